--- a/crates/pipithub-node/src/coordinator.rs
+++ b/crates/pipithub-node/src/coordinator.rs
@@ -178,7 +178,11 @@
                 Err(reason) => return Ended::Unusable(format!("event cannot be read: {reason}")),
             };
             match sequence.step(event.index, event.kind != pipithub_engine::policy::ListKind::Changes) {
-                Step::Take => take(event),
+                Step::Take => {
+                    take(event);
+                    // However many events came at once, calls and closes of clients are seen between any two.
+                    tokio::task::yield_now().await;
+                }
                 Step::Skip => {}
                 Step::Again => {
                     let last = sequence.last();
--- a/crates/pipithub-node/src/shell.rs
+++ b/crates/pipithub-node/src/shell.rs
@@ -82,6 +82,16 @@
     Worker,
 }
 
+/// What became of reading a connection.
+enum Progress {
+    /// All that there was is read.
+    Drained,
+    /// There may be more.
+    More,
+    /// The connection has ended.
+    Ended,
+}
+
 /// One connection as the shell knows it.
 struct Socket {
     side: Side,
@@ -363,8 +373,13 @@
                 () = socket.wake.notified() => continue,
             };
             let Ok(ready) = ready else { break };
-            if ready.is_readable() && !self.read(conn, &socket) {
-                break;
+            if ready.is_readable() {
+                match self.read(conn, &socket) {
+                    Progress::Ended => break,
+                    Progress::Drained => {}
+                    // Whoever writes without end must not keep the others' closes from being seen.
+                    Progress::More => tokio::task::yield_now().await,
+                }
             }
             if ready.is_writable() && !empty {
                 socket.flush(&mut socket.unwritten.borrow_mut());
@@ -416,8 +431,12 @@
         }
     }
 
-    /// Reads what there is; whether the connection goes on.
-    fn read(self: &Rc<Self>, conn: ConnId, socket: &Socket) -> bool {
+    /// Reads what there is, up to a buffer full.
+    fn read(self: &Rc<Self>, conn: ConnId, socket: &Socket) -> Progress {
+        if socket.side == Side::Client && socket.peer_closed() {
+            // However much of what it sent before is still unread.
+            return Progress::Ended;
+        }
         let mut scratch = self.scratch.borrow_mut();
         let mut filled = 0;
         while filled < scratch.len() {
@@ -427,12 +446,12 @@
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 // A client that has closed has gone: nothing that it asked for before is begun for nobody. What a
                 // worker said before its close counts.
-                _ if socket.side == Side::Client || filled == 0 => return false,
+                _ if socket.side == Side::Client || filled == 0 => return Progress::Ended,
                 _ => break,
             }
         }
         if filled == 0 {
-            return true;
+            return Progress::Drained;
         }
         let bytes = &scratch[..filled];
         self.with(|core, now| match socket.side {
@@ -442,7 +461,7 @@
         if socket.side == Side::Client {
             self.active.set(self.clock.now());
         }
-        true
+        if filled < scratch.len() { Progress::Drained } else { Progress::More }
     }
 
     async fn accept(self: Rc<Self>, listener: TcpListener) {
