--- a/crates/pipithub-node/src/core.rs
+++ b/crates/pipithub-node/src/core.rs
@@ -41,6 +41,9 @@
 const KILL_COUNTS: Time = 3_000_000_000;
 const KILL_AFTER: Time = 700_000_000;
 const KILL_MARGIN: Time = 50_000_000;
+/// Of that margin, the part in which clients may still read these answers and send more. The rest is for closing their
+/// connections, and for a turn of the loop.
+const LAST_ANSWERS_TIME: Time = 20_000_000;
 /// Answers leave so long before the client's time is up, for their own way back.
 const ANSWER_MARGIN: Time = 5_000_000;
 
@@ -228,9 +231,15 @@
         self.engine.open() == 0 && least.min(self.last_answers()).is_some_and(|at| now >= at)
     }
 
-    /// Whether there is no time left for what is still unwritten or unread.
+    /// Whether the end cannot wait any longer for clients to fall silent.
     pub fn overdue(&self, now: Time) -> bool {
-        self.last_answers().is_some_and(|at| now >= at + KILL_MARGIN * 4 / 5)
+        self.last_answers().is_some_and(|at| now >= at + LAST_ANSWERS_TIME)
+    }
+
+    /// The process is about to end: what clients have sent by now is answered, and their connections are closed.
+    pub fn end(&mut self) {
+        let clients = self.desk.connections();
+        self.effects.extend(clients.into_iter().map(|conn| Effect::Retire { conn }));
     }
 
     // ---- the list ----
@@ -318,7 +327,7 @@
 
     /// Bytes came from a client.
     pub fn client_bytes(&mut self, now: Time, conn: ConnId, bytes: &[u8]) {
-        let Some(client) = self.desk.client(conn).filter(|c| !c.condemned) else { return };
+        let Some(client) = self.desk.client(conn).filter(|c| !c.unreadable) else { return };
         client.framer.push(bytes);
         let mut lines = Vec::new();
         let long = loop {
@@ -340,10 +349,6 @@
             }
         }
         for line in lines {
-            // It may be gone, or given up, by what its last line brought about.
-            if self.desk.client(conn).is_none_or(|c| c.condemned) {
-                return;
-            }
             match line {
                 Ok(ClientLine::Call(call)) if ids.contains(&call.id) || names.contains(&call.call) => {
                     debug!(front_end = self.name, conn, call = call.call, "forgotten before it began");
@@ -351,9 +356,10 @@
                 line => self.client_line(now, conn, line),
             }
         }
-        if let Some(long) = long.filter(|_| self.desk.client(conn).is_some_and(|c| !c.condemned)) {
+        if let (Some(long), Some(client)) = (long, self.desk.client(conn)) {
+            client.unreadable = true;
             let fault = Fault { id: None, code: client::PARSE, message: long.to_string() };
-            self.fault(now, conn, &fault);
+            self.fault(conn, &fault);
         }
     }
 
@@ -368,6 +374,7 @@
                         self.desk.note(now + self.give_up_most, &caller.call);
                     }
                     self.left(now, ticket);
+                    self.retire_condemned(conn);
                 }
             }
             Ok(ClientLine::IsWell { id }) => {
@@ -375,12 +382,14 @@
                 let healthy = self.listed && self.stopping.is_none();
                 self.write(conn, client::health(id, healthy));
             }
-            Err(fault) => self.fault(now, conn, &fault),
+            // Noise on a connection that is given up has been answered once.
+            Err(fault) if fault.id.is_none() && client.condemned => {}
+            Err(fault) => self.fault(conn, &fault),
         }
     }
 
     /// Answers what is no call. What bears no number cannot be told from noise, and what follows noise cannot be trusted.
-    fn fault(&mut self, now: Time, conn: ConnId, fault: &Fault) {
+    fn fault(&mut self, conn: ConnId, fault: &Fault) {
         debug!(front_end = self.name, conn, %fault, "no call");
         // An answer under the number of an open call would be taken for that call's.
         let open =
@@ -388,16 +397,22 @@
         let id = fault.id.filter(|_| !open);
         self.write(conn, client::error(id, fault.code, &fault.message, None));
         if self.desk.fault(conn, FAULTY) || id.is_none() {
-            self.give_up(now, conn);
+            self.give_up(conn);
         }
     }
 
-    /// Takes nothing more from a client, and closes its connection once all that was taken is answered.
-    fn give_up(&mut self, now: Time, conn: ConnId) {
-        let open = self.desk.client(conn).map_or(0, |c| c.open.len());
-        debug!(front_end = self.name, conn, open, "client given up");
-        if self.desk.condemn(conn) {
-            self.drop_client(now, conn);
+    /// Begins no further call of a client, and closes its connection once all that came on it is answered.
+    fn give_up(&mut self, conn: ConnId) {
+        let Some(client) = self.desk.client(conn).filter(|c| !c.condemned) else { return };
+        client.condemned = true;
+        debug!(front_end = self.name, conn, open = client.open.len(), "client given up");
+        self.retire_condemned(conn);
+    }
+
+    /// Has the shell look once more at a client that is given up and has no call open, and then close it.
+    fn retire_condemned(&mut self, conn: ConnId) {
+        if self.desk.client(conn).is_some_and(|c| c.condemned && c.open.is_empty()) {
+            self.effects.push(Effect::Retire { conn });
         }
     }
 
@@ -406,26 +421,31 @@
         let invalid =
             |message: &str| Fault { id: Some(call.id), code: client::INVALID, message: message.into() };
         if client.open.contains_key(&call.id) {
-            return self.fault(now, conn, &invalid("id: in use"));
+            return self.fault(conn, &invalid("id: in use"));
         }
-        let many = client.open.len() >= OPEN_MOST;
+        let (many, condemned) = (client.open.len() >= OPEN_MOST, client.condemned);
         if self.desk.knows(&call.call) {
             // Its namesake may be running: to call a further try harmless would be wrong.
-            return self.fault(now, conn, &invalid("call: open already"));
+            return self.fault(conn, &invalid("call: open already"));
         }
         if self.desk.may_have_run(now, &call.call) {
             // The same again of what must not run twice.
-            return self.fault(now, conn, &invalid("call: has ended, and may have run"));
+            return self.fault(conn, &invalid("call: has ended, and may have run"));
         }
-        if many {
-            // A client may count a call as over whose end has not come here yet; this one has not run.
+        if many || condemned {
+            // A client may count a call as over whose end has not come here yet, or be given up for what it sent before;
+            // this one has not run.
             let limits = &self.site.policy.limits;
             let pushback = Some(limits.max_retry_after / 1_000_000).filter(|t| limits.retry_after && *t > 0);
-            let message = "too many calls open on this connection";
+            let message = if many {
+                "too many calls open on this connection"
+            } else {
+                "this connection is about to be closed"
+            };
             debug!(front_end = self.name, conn, call = call.call, message, "no call");
             self.write(conn, client::error(Some(call.id), client::REFUSED, message, pushback));
             if self.desk.fault(conn, BEYOND) {
-                self.give_up(now, conn);
+                self.give_up(conn);
             }
             return;
         }
@@ -723,9 +743,7 @@
             _ => client::error(Some(caller.id), client::FAILED, reply.cause.as_str(), None),
         };
         self.write(caller.conn, line);
-        if self.desk.client(caller.conn).is_some_and(|c| c.condemned && c.open.is_empty()) {
-            self.drop_client(now, caller.conn);
-        }
+        self.retire_condemned(caller.conn);
     }
 }
 
--- a/crates/pipithub-node/src/desk.rs
+++ b/crates/pipithub-node/src/desk.rs
@@ -38,8 +38,10 @@
     pub active: Time,
     /// Since when a line is half sent.
     pub partial: Option<Time>,
-    /// Nothing more is taken from it; it is closed once its open calls have their answers.
+    /// No call of it is begun any more; it is closed once all that came on it is answered.
     pub condemned: bool,
+    /// Its bytes cannot be cut into lines any more.
+    pub unreadable: bool,
     faults: u32,
 }
 
@@ -93,6 +95,7 @@
             active: now,
             partial: None,
             condemned: false,
+            unreadable: false,
             faults: 0,
         };
         self.clients.insert(conn, client);
@@ -113,6 +116,11 @@
         self.clients.get_mut(&conn)
     }
 
+    /// The numbers of all connections.
+    pub fn connections(&self) -> Vec<ConnId> {
+        self.clients.keys().copied().collect()
+    }
+
     /// Connections.
     pub fn len(&self) -> usize {
         self.clients.len()
@@ -191,15 +199,6 @@
         })
     }
 
-    /// Takes nothing more from a connection. Whether it may be closed at once: what was taken on it is owed its answer,
-    /// and a close would lose it.
-    pub fn condemn(&mut self, conn: ConnId) -> bool {
-        self.clients.get_mut(&conn).is_none_or(|client| {
-            client.condemned = true;
-            client.open.is_empty()
-        })
-    }
-
     /// A connection has ended; the tickets that were open on it, none of them owed an answer any more. What of it must not
     /// run twice is remembered until the given time.
     pub fn closed(&mut self, conn: ConnId, until: Time) -> Vec<u64> {
--- a/crates/pipithub-node/src/shell.rs
+++ b/crates/pipithub-node/src/shell.rs
@@ -27,6 +27,8 @@
 
 /// What is read at a time: more than a usual client sends in one breath, so that its close behind that is seen with it.
 const READ: usize = 64 << 10;
+/// How often a client whose connection is to be closed is read once more: all that it may have open, and some more.
+const LAST_READS: usize = 16;
 /// A buffer that has grown beyond this is let go once it is empty.
 const KEPT: usize = 16 << 10;
 /// The most that waits to be written on a connection: who does not read is cut off. So is who has more than [`KEPT`]
@@ -43,6 +45,8 @@
 const CLOSING_MOST: usize = 3;
 /// Before it ends, the process must have seen nothing new on its sockets for so long: long beside a turn of the loop.
 const LAST_LOOK: Time = 20_000_000;
+/// How long clients may take at the most to close their connections once the process is about to end.
+const END: Duration = Duration::from_millis(15);
 /// A configuration that cannot be read is looked at again after this, doubling, so often: somebody may be writing it. All
 /// of it lies within the 4 s after SIGHUP in which the new coordinator is to be followed.
 const LOOK_AGAIN: Duration = Duration::from_millis(50);
@@ -239,6 +243,8 @@
     clients: Rc<Slots>,
     workers: Rc<Slots>,
     lingering: Cell<usize>,
+    /// The process is about to end: nothing more is accepted.
+    ending: Cell<bool>,
     /// When something was last read from a client or written to one, or a client came.
     active: Cell<Time>,
     /// Connections to workers on which was written, and clients to be closed unless they have just asked for something.
@@ -292,10 +298,16 @@
     fn retire(&self, now: Time, conn: ConnId) {
         let Some(socket) = self.sockets.borrow().get(&conn).cloned() else { return };
         let (mut bytes, mut core) = (vec![0; READ], self.core.borrow_mut());
-        if let Ok(n) = socket.stream.try_read(&mut bytes)
-            && n > 0
-        {
-            core.client_bytes(now, conn, &bytes[..n]);
+        for _ in 0..LAST_READS {
+            if socket.peer_closed() {
+                // Nobody waits for what it asked.
+                break;
+            }
+            match socket.stream.try_read(&mut bytes) {
+                Ok(n) if n > 0 => core.client_bytes(now, conn, &bytes[..n]),
+                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+                _ => break,
+            }
         }
         core.retire(now, conn);
     }
@@ -393,7 +405,8 @@
         if socket.closing.get() {
             // The core has let go of it.
             let told = socket.written.get() > 0 || !socket.unwritten.borrow().is_empty();
-            if socket.side == Side::Client && told && self.lingering.get() < LINGERING_MOST {
+            let room = self.ending.get() || self.lingering.get() < LINGERING_MOST;
+            if socket.side == Side::Client && told && room {
                 self.lingering.set(self.lingering.get() + 1);
                 let _ = tokio::time::timeout(LINGER, self.linger(&socket)).await;
                 self.lingering.set(self.lingering.get() - 1);
@@ -498,6 +511,14 @@
         core.overdue(now) || core.done(now) && quiet() && written()
     }
 
+    /// Answers what clients have sent by now and closes their connections, so that they read these answers and a clean
+    /// end: the process's own end would reset each connection on which something stands unread.
+    async fn end(self: &Rc<Self>) {
+        self.ending.set(true);
+        self.with(|core, _| core.end());
+        let _ = tokio::time::timeout(END, self.clients.below(1)).await;
+    }
+
     /// Tells the core that time has passed, until it is done.
     async fn time(self: &Rc<Self>) {
         loop {
@@ -583,6 +604,7 @@
             clients: Slots::new(unwritten_most),
             workers: Slots::new(unwritten_most),
             lingering: Cell::new(0),
+            ending: Cell::new(false),
             active: Cell::new(clock.now()),
             touched: RefCell::default(),
             retiring: RefCell::default(),
@@ -637,6 +659,7 @@
             }
         }
         accepting.abort();
+        shell.end().await;
         let (stats, open) = (shell.core.borrow().stats(), shell.core.borrow().open());
         info!(front_end = config.name, open, ?stats, "front end down");
     }
--- /dev/null
+++ b/crates/pipithub-node/tests/bench/mod.rs
@@ -0,0 +1,130 @@
+//! A front end without sockets, with clients and workers played by hand.
+#![allow(dead_code)]
+
+use std::collections::BTreeMap;
+
+use pipithub_engine::Time;
+use pipithub_node::core::{ConnId, Core, Effect};
+use pipithub_platform::config::NodeConfig;
+
+pub const MS: Time = 1_000_000;
+pub const START: Time = 1_000_000 * MS;
+
+pub fn config() -> NodeConfig {
+    let class = |name: &str, effect: &str| {
+        serde_json::json!({"Name": name, "Effect": effect, "Aim": 1_000_000_000u64, "GiveUp": 3_000_000_000u64,
+            "LateWorth": 0.3, "Group": "all"})
+    };
+    let host = |id: &str, port: u16| {
+        serde_json::json!({"host": id, "dial": format!("10.0.0.1:{port}"), "site": "a", "class": "big", "block": 0,
+            "health": "SERVING", "share": 1, "born_ms": 0})
+    };
+    let all = serde_json::json!({
+        "name": "n1", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "coordinator": "127.0.0.1:1",
+        "limits": {"cores": 0.5, "memory_mb": 48, "sockets": 64},
+        "known": {"index": 1, "updates": [{"index": 1, "endpoints": {"seq": 1, "whole": true,
+            "hosts": [host("w1", 1), host("w2", 2)]}}]},
+        "settings": {
+            "PeersTotal": 1, "Granularity": 2_000_000, "Models": ["big"],
+            "Grades": [class("view", "read_like"), class("assign", "non_idempotent")],
+            "FamilyInfo": {"KindMemoryMb": [16000.0], "Orders": true, "WhenAbsent": "load",
+                "StaysLoaded": 8_000_000_000u64, "CountsAlike": true, "OrderTimeout": 10_000_000_000u64},
+            "Limits": {"MostTries": 4, "MayCancel": true, "Probes": true, "RetryAfter": true,
+                "MaxRetryAfter": 500_000_000, "ConnectTimeout": 250_000_000, "IdleClose": 30_000_000_000u64,
+                "StreamsPerConn": 32, "OpenCap": 20000},
+            "Report": {"How": "answers"},
+            "Rules": {"ColdFrom": 0.2, "RampTime": 5_000_000_000u64, "FallMultiple": 3.0, "OverloadFor": 2_000_000_000u64}
+        }
+    });
+    NodeConfig::parse(&all.to_string()).expect("configuration")
+}
+
+/// A front end, with clients and workers played by hand.
+pub struct Bench {
+    pub core: Core,
+    pub now: Time,
+    /// What the system holds of a client: the shell reads it when its connection is to be closed.
+    pub unread: BTreeMap<ConnId, Vec<u8>>,
+}
+
+impl Bench {
+    pub fn new() -> Self {
+        Bench::of(&config())
+    }
+
+    pub fn of(config: &NodeConfig) -> Self {
+        Bench { core: Core::new(START, config), now: START, unread: BTreeMap::new() }
+    }
+
+    pub fn effects(&mut self) -> Vec<Effect> {
+        let mut effects = Vec::new();
+        self.core.effects(&mut effects);
+        effects
+    }
+
+    pub fn client(&mut self) -> ConnId {
+        let conn = self.core.number();
+        self.core.client_opened(self.now, conn);
+        conn
+    }
+
+    pub fn say(&mut self, conn: ConnId, line: &str) {
+        self.core.client_bytes(self.now, conn, format!("{line}\n").as_bytes());
+    }
+
+    pub fn call(&mut self, conn: ConnId, id: u64, class: &str) {
+        let line = format!(
+            r#"{{"jsonrpc":"2.0","id":{id},"method":"{class}","params":{{"call":"{id:016x}","ttl":1500,"row":"00000000000000aa","props":"memory_mb:512;lanes:4","body":"aGVsbG8="}}}}"#
+        );
+        self.say(conn, &line);
+    }
+
+    /// Brings connections up; what is written on which connection.
+    pub fn written(&mut self) -> Vec<(ConnId, String)> {
+        let mut written = Vec::new();
+        loop {
+            let effects = self.effects();
+            if effects.is_empty() {
+                return written;
+            }
+            for effect in effects {
+                match effect {
+                    Effect::Connect { conn, .. } => self.core.worker_up(self.now, conn),
+                    Effect::Write { conn, bytes } => {
+                        written.push((conn, String::from_utf8(bytes.to_vec()).expect("text")));
+                    }
+                    Effect::Close { conn } => written.push((conn, "closed".to_string())),
+                    Effect::Retire { conn } => {
+                        if let Some(unread) = self.unread.remove(&conn) {
+                            self.core.client_bytes(self.now, conn, &unread);
+                        }
+                        self.core.retire(self.now, conn);
+                    }
+                    Effect::Unwrite { conn, at, len } => {
+                        written.push((conn, format!("unwritten {at}+{len}")))
+                    }
+                }
+            }
+        }
+    }
+
+    pub fn pass(&mut self, time: Time) {
+        let until = self.now + time;
+        while self.core.next_due() <= until {
+            self.now = self.now.max(self.core.next_due());
+            self.core.tick(self.now);
+        }
+        self.now = until;
+    }
+
+    /// A call that has been sent: the client, and the worker's connection.
+    pub fn sent(&mut self, class: &str) -> (ConnId, ConnId) {
+        let client = self.client();
+        self.call(client, 7, class);
+        let written = self.written();
+        let (worker, line) = written.last().expect("sent");
+        assert!(line.starts_with(r#"{"cmd":"DO","ref":"0000000000000007","opts":{"sort":""#), "{line}");
+        assert!(line.contains(r#""asset":"00000000000000aa""#) && line.contains(r#""payload":"aGVsbG8=""#));
+        (client, *worker)
+    }
+}
--- a/crates/pipithub-node/tests/closes.rs
+++ b/crates/pipithub-node/tests/closes.rs
@@ -101,3 +101,28 @@
     })
     .await;
 }
+
+/// A client's connection that is given up is still listened to: its cancels and its close count.
+#[tokio::test]
+async fn a_client_that_is_given_up_and_cancels_or_closes_has_its_call_withdrawn() {
+    for closes in [true, false] {
+        within(async {
+            let (worker, _list, node) = one_worker().await;
+            let mut client = Peer::connect(node).await;
+            client.send(&call(7, "view", "")).await;
+            let mut at_worker = Peer::of(worker.accept().await.expect("a connection").0);
+            at_worker.next().await.expect("a call");
+            client.send("noise\n").await;
+            assert!(client.next().await.expect("an answer")["error"].is_object(), "it is given up");
+            if closes {
+                drop(client);
+            } else {
+                client.say("{\"jsonrpc\":\"2.0\",\"method\":\"forget\",\"params\":{\"id\":7}}\n");
+                assert_eq!(client.next().await, None, "nothing is open on it any more");
+            }
+            let undo = at_worker.next().await.expect("told");
+            assert_eq!((&undo["cmd"], &undo["ref"]), (&"UNDO".into(), &"0000000000000007".into()));
+        })
+        .await;
+    }
+}
--- a/crates/pipithub-node/tests/core.rs
+++ b/crates/pipithub-node/tests/core.rs
@@ -1,120 +1,10 @@
 //! The front end without sockets: what clients and workers send, and what goes back.
 
-use pipithub_engine::Time;
-use pipithub_node::core::{ConnId, Core, Effect};
-use pipithub_platform::config::NodeConfig;
-use pipithub_platform::list;
-
-const MS: Time = 1_000_000;
-const START: Time = 1_000_000 * MS;
-
-fn config() -> NodeConfig {
-    let class = |name: &str, effect: &str| {
-        serde_json::json!({"Name": name, "Effect": effect, "Aim": 1_000_000_000u64, "GiveUp": 3_000_000_000u64,
-            "LateWorth": 0.3, "Group": "all"})
-    };
-    let host = |id: &str, port: u16| {
-        serde_json::json!({"host": id, "dial": format!("10.0.0.1:{port}"), "site": "a", "class": "big", "block": 0,
-            "health": "SERVING", "share": 1, "born_ms": 0})
-    };
-    let all = serde_json::json!({
-        "name": "n1", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "coordinator": "127.0.0.1:1",
-        "limits": {"cores": 0.5, "memory_mb": 48, "sockets": 64},
-        "known": {"index": 1, "updates": [{"index": 1, "endpoints": {"seq": 1, "whole": true,
-            "hosts": [host("w1", 1), host("w2", 2)]}}]},
-        "settings": {
-            "PeersTotal": 1, "Granularity": 2_000_000, "Models": ["big"],
-            "Grades": [class("view", "read_like"), class("assign", "non_idempotent")],
-            "FamilyInfo": {"KindMemoryMb": [16000.0], "Orders": true, "WhenAbsent": "load",
-                "StaysLoaded": 8_000_000_000u64, "CountsAlike": true, "OrderTimeout": 10_000_000_000u64},
-            "Limits": {"MostTries": 4, "MayCancel": true, "Probes": true, "RetryAfter": true,
-                "MaxRetryAfter": 500_000_000, "ConnectTimeout": 250_000_000, "IdleClose": 30_000_000_000u64,
-                "StreamsPerConn": 32, "OpenCap": 20000},
-            "Report": {"How": "answers"},
-            "Rules": {"ColdFrom": 0.2, "RampTime": 5_000_000_000u64, "FallMultiple": 3.0, "OverloadFor": 2_000_000_000u64}
-        }
-    });
-    NodeConfig::parse(&all.to_string()).expect("configuration")
-}
-
-/// A front end, with clients and workers played by hand.
-struct Bench {
-    core: Core,
-    now: Time,
-}
-
-impl Bench {
-    fn new() -> Self {
-        Bench { core: Core::new(START, &config()), now: START }
-    }
-
-    fn effects(&mut self) -> Vec<Effect> {
-        let mut effects = Vec::new();
-        self.core.effects(&mut effects);
-        effects
-    }
-
-    fn client(&mut self) -> ConnId {
-        let conn = self.core.number();
-        self.core.client_opened(self.now, conn);
-        conn
-    }
-
-    fn say(&mut self, conn: ConnId, line: &str) {
-        self.core.client_bytes(self.now, conn, format!("{line}\n").as_bytes());
-    }
-
-    fn call(&mut self, conn: ConnId, id: u64, class: &str) {
-        let line = format!(
-            r#"{{"jsonrpc":"2.0","id":{id},"method":"{class}","params":{{"call":"{id:016x}","ttl":1500,"row":"00000000000000aa","props":"memory_mb:512;lanes:4","body":"aGVsbG8="}}}}"#
-        );
-        self.say(conn, &line);
-    }
+mod bench;
 
-    /// Brings connections up; what is written on which connection.
-    fn written(&mut self) -> Vec<(ConnId, String)> {
-        let mut written = Vec::new();
-        loop {
-            let effects = self.effects();
-            if effects.is_empty() {
-                return written;
-            }
-            for effect in effects {
-                match effect {
-                    Effect::Connect { conn, .. } => self.core.worker_up(self.now, conn),
-                    Effect::Write { conn, bytes } => {
-                        written.push((conn, String::from_utf8(bytes.to_vec()).expect("text")));
-                    }
-                    Effect::Close { conn } => written.push((conn, "closed".to_string())),
-                    Effect::Retire { conn } => self.core.retire(self.now, conn),
-                    Effect::Unwrite { conn, at, len } => {
-                        written.push((conn, format!("unwritten {at}+{len}")))
-                    }
-                }
-            }
-        }
-    }
-
-    fn pass(&mut self, time: Time) {
-        let until = self.now + time;
-        while self.core.next_due() <= until {
-            self.now = self.now.max(self.core.next_due());
-            self.core.tick(self.now);
-        }
-        self.now = until;
-    }
-
-    /// A call that has been sent: the client, and the worker's connection.
-    fn sent(&mut self, class: &str) -> (ConnId, ConnId) {
-        let client = self.client();
-        self.call(client, 7, class);
-        let written = self.written();
-        let (worker, line) = written.last().expect("sent");
-        assert!(line.starts_with(r#"{"cmd":"DO","ref":"0000000000000007","opts":{"sort":""#), "{line}");
-        assert!(line.contains(r#""asset":"00000000000000aa""#) && line.contains(r#""payload":"aGVsbG8=""#));
-        (client, *worker)
-    }
-}
+use bench::{Bench, MS, config};
+use pipithub_node::core::{ConnId, Effect};
+use pipithub_platform::list;
 
 const SERVED: &[u8] = b"{\"cmd\":\"ACK\",\"ref\":\"0000000000000007\",\"opts\":{\"same\":\"2\",\"l\":\"inflight:1\"},\"payload\":\"d29ybGQ=\"}\n";
 
@@ -299,8 +189,11 @@
     let (client, worker) = b.sent("assign");
     b.say(client, "noise");
     b.call(client, 8, "view");
+    // The call behind it has not run, and is told so.
     let written = b.written();
-    assert!(written.len() == 1 && written[0].0 == client && written[0].1.contains("-32700"), "{written:?}");
+    assert!(written.len() == 2 && written.iter().all(|(conn, _)| *conn == client), "{written:?}");
+    assert!(written[0].1.contains("-32700") && written[1].1.contains("\"id\":8"), "{written:?}");
+    assert!(written[1].1.contains("-32050"), "{written:?}");
     b.core.worker_bytes(b.now, worker, SERVED);
     let to_client: Vec<_> = b.written().into_iter().filter(|(conn, _)| *conn == client).collect();
     assert!(to_client.len() == 2 && to_client[0].1.contains("result"), "{to_client:?}");
@@ -456,7 +349,7 @@
 fn a_stop_does_not_wait_for_deadlines_beyond_those_that_the_platform_counts() {
     let mut config = config();
     config.site.policy.classes.iter_mut().for_each(|c| c.give_up = 60_000 * MS);
-    let mut b = Bench { core: Core::new(START, &config), now: START };
+    let mut b = Bench::of(&config);
     let client = b.client();
     let line = r#"{"jsonrpc":"2.0","id":7,"method":"assign","params":{"call":"0000000000000007","ttl":60000,"row":"00000000000000aa"}}"#;
     b.say(client, line);
@@ -495,7 +388,7 @@
 fn a_call_whose_client_has_gone_while_it_waited_for_a_load_is_not_sent() {
     let mut config = config();
     config.site.policy.loading.call_loads = false;
-    let mut b = Bench { core: Core::new(START, &config), now: START };
+    let mut b = Bench::of(&config);
     // Nothing stands anywhere: found missing at its home, it is ordered there.
     let (client, home) = b.sent("view");
     b.core.worker_bytes(b.now, home, b"{\"cmd\":\"NOENT\",\"ref\":\"0000000000000007\"}\n");
