--- a/crates/pipithub-clock/src/lib.rs
+++ b/crates/pipithub-clock/src/lib.rs
@@ -1,10 +1,28 @@
-//! Time for the shells: a point that only grows, and the wall clock for records.
+//! Time for the shells: monotonic time for spans, and the wall clock for what is said to others.
+//!
+//! The wall clock may be stepped by seconds or by hours, in either direction. Deadlines, windows, waits and grace periods
+//! are therefore spans of monotonic time. Wall time is only compared with other wall times: stamps in messages, schedules
+//! that operators write, records that outlive a process. This crate is the one place that asks the system for it;
+//! `clippy.toml` forbids the calls elsewhere. Cores take both times as values, and their tests move a [`ManualClock`].
+
+mod manual;
+
+pub use manual::ManualClock;
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// A point in time or a length of it, in nanoseconds.
 pub type Time = u64;
 
+/// Both clocks, read together.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Reading {
+    /// Monotonic time; for spans.
+    pub now: Time,
+    /// Unix time in milliseconds; may have been stepped since the last reading.
+    pub wall_ms: u64,
+}
+
 /// Counts nanoseconds from a start that it bears a number for.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
@@ -32,6 +50,11 @@
         self.start.elapsed().as_nanos() as Time + self.base
     }
 
+    /// Both clocks now.
+    pub fn read(&self) -> Reading {
+        Reading { now: self.now(), wall_ms: wall_ms() }
+    }
+
     /// The instant of a time.
     pub fn instant(&self, time: Time) -> Instant {
         self.start + Duration::from_nanos(time.saturating_sub(self.base))
