--- a/crates/pipithub-directory/src/core.rs
+++ b/crates/pipithub-directory/src/core.rs
@@ -490,6 +490,13 @@
         }
     }
 
+    /// Takes the wall time that `now` stands for, as the wall clock may have been stepped. Only days and daily peaks
+    /// follow it; how old facts are is counted in monotonic time. Users whose next look is planned keep their place, so
+    /// that a step moves the refreshes ahead of the next peak, and none after it.
+    pub fn set_wall(&mut self, now: Time, wall_ms: i64) {
+        self.wall_ms = wall_ms.saturating_sub(ms(now));
+    }
+
     // ---- wants ----
 
     fn day(&self, now: Time) -> u8 {
--- a/crates/pipithub-directory/tests/core.rs
+++ b/crates/pipithub-directory/tests/core.rs
@@ -137,6 +137,23 @@
     assert!((0..500).filter(|n| fresh(*n)).count() >= 490);
 }
 
+/// The peak is in wall time: it had been counted from the wall time at the start for good.
+#[test]
+fn after_a_step_of_the_wall_clock_the_peak_is_where_the_wall_has_it() {
+    let peak = Peak { at: 6 * 3_600_000, ahead: 3_600_000 };
+    let mut core = core(10_000, |d| d.peak = Some(peak));
+    let (mut now, mut out) = (S, Vec::new());
+    core.set_wall(now, 3 * 3_600_000 + 1_000);
+    for n in 0..100 {
+        core.handle(now, Input::Wanted { user: format!("u{n}").into(), urgent: true }, &mut out);
+    }
+    run(&mut core, &mut now, 2 * S, std::mem::take(&mut out));
+    let asked = run(&mut core, &mut now, 5 * HOUR, Vec::new());
+    let asked: Vec<_> = asked.into_iter().filter(|(_, users)| *users > 0).collect();
+    assert!(asked.iter().map(|(_, users)| users).sum::<usize>() >= 98, "{asked:?}");
+    assert!(asked.iter().all(|(at, _)| (2 * HOUR..=3 * HOUR + 60 * S).contains(at)), "{asked:?}");
+}
+
 #[test]
 fn users_and_queues_are_bounded() {
     let mut core = core(50, |_| {});
