--- a/crates/pipithub-gateway/src/cron.rs
+++ b/crates/pipithub-gateway/src/cron.rs
@@ -1,4 +1,6 @@
 //! Timers as a second source: in memory, fired by this front end alone.
+//!
+//! What fires when, also across steps of the wall clock, is decided by [`Schedule`].
 
 use std::str::FromStr;
 use std::sync::Arc;
@@ -6,82 +8,118 @@
 use bytes::Bytes;
 use chrono::{DateTime, Utc};
 use croner::Cron;
-use pipithub_engine::{Call, Input, SourceId, Ticket, Trigger, Verdict};
+use pipithub_clock::wall_ms;
+use pipithub_engine::{Call, Input, Reply, SourceId, Ticket, Trigger, Verdict};
 use pipithub_settings::CronConfig;
 use tokio::sync::mpsc;
 use tracing::{error, info, warn};
 
 use crate::front::{Order, SourceHandle};
+use crate::schedule::{Occurrence, Schedule};
 
-struct Timer {
-    config: CronConfig,
-    cron: Cron,
-    next: Option<DateTime<Utc>>,
-}
-
-fn after(cron: &Cron, at: DateTime<Utc>) -> Option<DateTime<Utc>> {
-    cron.find_next_occurrence(&at, false).ok()
-}
-
-/// Fires timers until stopped. A time that passed while the process was held up fires once, late, not once for each
-/// that was missed.
-pub(crate) async fn run(
+/// The front end's timers as a source of calls.
+pub(crate) struct CronSource {
+    /// One for each timer of the schedule, in its order.
     configs: Vec<CronConfig>,
+    schedule: Schedule,
     source: SourceId,
-    mut handle: SourceHandle,
+    handle: SourceHandle,
     inputs: mpsc::Sender<Input>,
-) {
-    let mut timers: Vec<Timer> = Vec::new();
-    for config in configs {
-        match Cron::from_str(&config.schedule) {
-            Ok(cron) => {
-                let next = after(&cron, Utc::now());
-                timers.push(Timer { config, cron, next });
-            }
-            Err(error) => error!(timer = config.name, %error, "schedule not read"),
-        }
+    /// Tickets given out so far.
+    tickets: u64,
+}
+
+impl CronSource {
+    /// Timers from now on; one whose schedule cannot be read is left out.
+    pub(crate) fn new(
+        configs: Vec<CronConfig>,
+        source: SourceId,
+        handle: SourceHandle,
+        inputs: mpsc::Sender<Input>,
+    ) -> Self {
+        let (configs, patterns): (Vec<_>, Vec<_>) = configs.into_iter().filter_map(with_pattern).unzip();
+        let schedule = Schedule::new(patterns, wall_time());
+        CronSource { configs, schedule, source, handle, inputs, tickets: 0 }
     }
-    let mut number = 0;
-    loop {
-        let due = timers.iter().filter_map(|t| t.next).min();
-        let wait = async {
-            match due {
-                Some(due) => tokio::time::sleep((due - Utc::now()).to_std().unwrap_or_default()).await,
-                None => std::future::pending().await,
-            }
-        };
-        tokio::select! {
-            () = wait => {}
-            order = handle.orders.recv() => {
-                match order {
-                    Some(Order::Answer(ticket, reply)) => {
-                        let (verdict, cause) = (reply.verdict.as_str(), reply.cause.as_str());
-                        if reply.verdict == Verdict::Served {
-                            info!(ticket = ticket.number, verdict, cause, "timer's call over");
-                        } else {
-                            warn!(ticket = ticket.number, verdict, cause, "timer's call over");
-                        }
-                        let _ = inputs.send(Input::Settled(ticket)).await;
+
+    /// Fires timers until the front end is gone.
+    pub(crate) async fn run(mut self) {
+        loop {
+            let wait = self.schedule.wait(wall_time());
+            let waited = async {
+                match wait {
+                    Some(wait) => tokio::time::sleep(wait).await,
+                    None => std::future::pending().await,
+                }
+            };
+            tokio::select! {
+                () = waited => {
+                    if !self.fire_due().await {
+                        return;
                     }
-                    Some(Order::Forget(ticket)) => drop(inputs.send(Input::Settled(ticket)).await),
-                    Some(Order::Stop) => timers.clear(),
-                    None => return,
                 }
-                continue;
+                order = self.handle.orders.recv() => {
+                    let Some(order) = order else { return };
+                    self.obey(order).await;
+                }
             }
         }
-        let now = Utc::now();
-        for timer in timers.iter_mut().filter(|t| t.next.is_some_and(|next| next <= now)) {
-            let planned = timer.next.take().unwrap_or(now);
-            timer.next = after(&timer.cron, now);
-            number += 1;
-            let trigger = trigger(&timer.config, planned, Ticket { source, number });
-            info!(timer = timer.config.name, %planned, ticket = number, "timer fires");
-            if inputs.send(Input::Trigger(trigger)).await.is_err() {
-                return;
+    }
+
+    async fn obey(&mut self, order: Order) {
+        match order {
+            Order::Answer(ticket, reply) => {
+                log_answer(ticket, &reply);
+                self.settle(ticket).await;
             }
+            Order::Forget(ticket) => self.settle(ticket).await,
+            Order::Stop => self.schedule.stop(),
         }
     }
+
+    async fn settle(&self, ticket: Ticket) {
+        // A front end that is gone has no use for it.
+        let _ = self.inputs.send(Input::Settled(ticket)).await;
+    }
+
+    /// Whether the front end is still there.
+    async fn fire_due(&mut self) -> bool {
+        for Occurrence { timer, planned } in self.schedule.due(wall_time()) {
+            self.tickets += 1;
+            let ticket = Ticket { source: self.source, number: self.tickets };
+            let config = &self.configs[timer];
+            info!(timer = config.name, %planned, ticket = ticket.number, "timer fires");
+            let trigger = trigger(config, planned, ticket);
+            if self.inputs.send(Input::Trigger(trigger)).await.is_err() {
+                return false;
+            }
+        }
+        true
+    }
+}
+
+fn wall_time() -> DateTime<Utc> {
+    let millis = i64::try_from(wall_ms()).unwrap_or(i64::MAX);
+    DateTime::from_timestamp_millis(millis).unwrap_or(DateTime::<Utc>::MAX_UTC)
+}
+
+fn with_pattern(config: CronConfig) -> Option<(CronConfig, Cron)> {
+    match Cron::from_str(&config.schedule) {
+        Ok(pattern) => Some((config, pattern)),
+        Err(error) => {
+            error!(timer = config.name, %error, "schedule not read");
+            None
+        }
+    }
+}
+
+fn log_answer(ticket: Ticket, reply: &Reply) {
+    let (verdict, cause) = (reply.verdict.as_str(), reply.cause.as_str());
+    if reply.verdict == Verdict::Served {
+        info!(ticket = ticket.number, verdict, cause, "timer's call over");
+    } else {
+        warn!(ticket = ticket.number, verdict, cause, "timer's call over");
+    }
 }
 
 fn trigger(config: &CronConfig, planned: DateTime<Utc>, ticket: Ticket) -> Trigger {
--- a/crates/pipithub-gateway/src/directory.rs
+++ b/crates/pipithub-gateway/src/directory.rs
@@ -41,6 +41,8 @@
 const ALIVE_PART: u64 = 4;
 /// Entries of one answer; more cannot be an answer to what was asked.
 const ENTRIES_MOST: usize = 100_000;
+/// How far before now the first search for changes reaches: a stepped clock is an hour ahead, and a little more.
+const FIRST_POLL_REACH: chrono::TimeDelta = chrono::TimeDelta::seconds(3_600 + 2);
 /// Page of a search that has no bound of its own.
 const PAGE: u32 = 500;
 
@@ -195,6 +197,8 @@
                     }
                 }
             }
+            let reading = self.clock.read();
+            self.core.set_wall(reading.now, reading.wall_ms as i64);
             // Each version that is published costs copies of what changes next: while more waits, a while's is one version.
             let began = self.clock.now();
             loop {
@@ -459,10 +463,15 @@
     users.into_iter().map(|user| Found { user: user.into(), dn: entry.dn.clone(), person }).collect()
 }
 
-/// The generalized time of now (RFC 4517, 3.3.13), a little back.
-fn now_text() -> String {
-    let at = chrono::Utc::now() - chrono::TimeDelta::seconds(2);
-    at.format("%Y%m%d%H%M%SZ").to_string()
+/// From which `modifyTimestamp` on a directory is first asked for changes, as a generalized time (RFC 4517, 3.3.13).
+///
+/// It lies before now by [`FIRST_POLL_REACH`], as this machine's wall clock may be ahead of the server's: a start in the
+/// server's future would miss every change until then. Entries told though they had not changed do no harm.
+pub fn first_poll_since(wall_ms: u64) -> String {
+    let start_ms =
+        i64::try_from(wall_ms).unwrap_or(i64::MAX).saturating_sub(FIRST_POLL_REACH.num_milliseconds());
+    let start = chrono::DateTime::from_timestamp_millis(start_ms).unwrap_or_default();
+    start.format("%Y%m%d%H%M%SZ").to_string()
 }
 
 /// One question under way: the state first, then what was asked.
@@ -487,7 +496,7 @@
             },
             None => None,
         };
-        let newest = matches!(what, What::Since(None)).then(now_text);
+        let newest = matches!(what, What::Since(None)).then(|| first_poll_since(wall_ms()));
         let answer = Answer { newest, ..Answer::default() };
         Some(Question { what, state: Some(state), main, answer, entries: 0 })
     }
--- a/crates/pipithub-gateway/src/lib.rs
+++ b/crates/pipithub-gateway/src/lib.rs
@@ -9,6 +9,7 @@
 pub mod directory;
 mod front;
 mod list;
+pub mod schedule;
 mod tenancy;
 mod workers;
 
@@ -99,7 +100,8 @@
         if !config.cron.is_empty() {
             let id = source();
             let handle = front.add_source(id);
-            self.tasks.spawn(cron::run(config.cron.clone(), id, handle, inputs.clone()));
+            let timers = cron::CronSource::new(config.cron.clone(), id, handle, inputs.clone());
+            self.tasks.spawn(timers.run());
         }
         match &config.workers {
             WorkersConfig::Fixed(workers) => front.fixed_workers(workers),
