--- a/crates/pipithub-clock/src/lib.rs
+++ b/crates/pipithub-clock/src/lib.rs
@@ -70,6 +70,7 @@
 }
 
 /// Unix time in nanoseconds.
+#[expect(clippy::disallowed_methods, reason = "the one place that asks the system for wall time")]
 pub fn wall_ns() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos() as u64)
 }
--- a/crates/pipithub-standin/src/directory.rs
+++ b/crates/pipithub-standin/src/directory.rs
@@ -279,7 +279,8 @@
 
 /// The generalized time of now (RFC 4517, 3.3.13).
 fn timestamp() -> String {
-    chrono::Utc::now().format("%Y%m%d%H%M%SZ").to_string()
+    let millis = i64::try_from(pipithub_clock::wall_ms()).unwrap_or(i64::MAX);
+    chrono::DateTime::from_timestamp_millis(millis).unwrap_or_default().format("%Y%m%d%H%M%SZ").to_string()
 }
 
 impl Entry {
