--- a/crates/pipithub-consumer/src/consumer.rs
+++ b/crates/pipithub-consumer/src/consumer.rs
@@ -11,7 +11,8 @@
 
 use crate::backoff::Backoff;
 use crate::identity::{self, Identity};
-use crate::message::{self, Address, Route, Unreadable};
+use crate::latest_wall::LatestWall;
+use crate::message::{self, Address, ArrivalTime, Route, Unreadable};
 
 const MS: Time = 1_000_000;
 /// Bytes that wait to be written before no further transaction is begun.
@@ -149,6 +150,8 @@
     notices: VecDeque<Notice>,
     identity: Identity,
     wall_ms: u64,
+    latest_wall: LatestWall,
+    latest_wall_ms: u64,
     now: Time,
 }
 
@@ -175,6 +178,8 @@
             no_dead_letters: false,
             notices: VecDeque::new(),
             wall_ms: 0,
+            latest_wall: LatestWall::default(),
+            latest_wall_ms: 0,
             now,
         }
     }
@@ -232,9 +237,10 @@
         self.notices.push_back(Notice::Lost(why.to_string()));
     }
 
-    /// Takes bytes as they came.
+    /// Takes bytes as they came; `wall_ms` is the Unix time that `now` stands for.
     pub fn receive(&mut self, now: Time, wall_ms: u64, bytes: &[u8]) {
         (self.now, self.wall_ms) = (now, wall_ms);
+        self.latest_wall_ms = self.latest_wall.observe(now, wall_ms);
         if let Some(endpoint) = &mut self.endpoint {
             endpoint.receive(now, bytes);
         }
@@ -519,8 +525,9 @@
         self.next_ticket += 1;
         self.held.insert(number, Held { tag, address: Address::of(&content.properties) });
         let ConsumerSettings { queue, route, classes, .. } = &self.settings;
-        let read = message::read(&content, queue, route, classes, self.wall_ms).and_then(|read| {
-            let user = self.identity.user(&content, queue, redelivered, self.wall_ms)?;
+        let arrival = ArrivalTime { wall_ms: self.wall_ms, latest_wall_ms: self.latest_wall_ms };
+        let read = message::read(&content, queue, route, classes, arrival).and_then(|read| {
+            let user = self.identity.user(&content, queue, redelivered, self.now, self.wall_ms)?;
             Ok((read, user))
         });
         match read {
--- /dev/null
+++ b/crates/pipithub-consumer/src/latest_wall.rs
@@ -0,0 +1,29 @@
+//! The latest wall time that any reading stands for, so that a step back makes nothing younger.
+
+use pipithub_engine::Time;
+
+const NANOS_PER_MS: Time = 1_000_000;
+/// A step back counts for so long; after that the clock is taken to have been ahead before.
+const HOLD: Time = 24 * 3_600_000 * NANOS_PER_MS;
+
+/// Follows the wall clock forward at once, and back only after a day.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct LatestWall {
+    /// The greatest distance between wall and monotonic time, and when it was last seen.
+    lead: Option<(i64, Time)>,
+}
+
+impl LatestWall {
+    /// Takes a reading of both clocks; the wall time now by the latest of the readings, in Unix milliseconds.
+    pub fn observe(&mut self, now: Time, wall_ms: u64) -> u64 {
+        let now_ms = to_signed(now / NANOS_PER_MS);
+        let lead = to_signed(wall_ms).saturating_sub(now_ms);
+        let held = self.lead.filter(|(held, seen)| *held > lead && now.saturating_sub(*seen) <= HOLD);
+        let (greatest, _) = *self.lead.insert(held.unwrap_or((lead, now)));
+        u64::try_from(now_ms.saturating_add(greatest)).unwrap_or(0)
+    }
+}
+
+fn to_signed(ms: u64) -> i64 {
+    i64::try_from(ms).unwrap_or(i64::MAX)
+}
--- a/crates/pipithub-consumer/src/lib.rs
+++ b/crates/pipithub-consumer/src/lib.rs
@@ -8,6 +8,9 @@
 pub mod backoff;
 mod consumer;
 pub mod identity;
+mod latest_wall;
 pub mod message;
+pub mod replay;
 
 pub use consumer::{Consumer, ConsumerSettings, Notice, Phase, Qos};
+pub use latest_wall::LatestWall;
