--- a/crates/pipithub-directory/src/snapshot.rs
+++ b/crates/pipithub-directory/src/snapshot.rs
@@ -2,8 +2,9 @@
 //!
 //! A snapshot is sealed with HMAC-SHA256 over everything in it: one that was changed, was written under another key, or
 //! belongs to other directories is refused whole. Facts carry their age when written; the time since then is added, so
-//! that nothing becomes younger by a restart. A clock that was set back cannot be told from a snapshot of the future:
-//! both are refused.
+//! that nothing becomes younger by a restart. That time is wall time, the only one that outlives a process: where the wall
+//! clock was stepped meanwhile it is wrong by the step. A snapshot from the future shows a step back. One from up to a
+//! minute ahead is taken as a minute old; one from further ahead is refused.
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::{Digest, Sha256};
@@ -15,8 +16,8 @@
 const VERSION: u16 = 1;
 const SEAL: usize = 32;
 const HEAD: usize = 8 + 2 + 32 + 8 + 8;
-/// A snapshot from further ahead than this is of the future.
-const AHEAD_MOST: i64 = 60_000;
+/// A snapshot from further ahead than this is refused, and one from less far ahead is taken to be as old.
+const AHEAD_MOST_MS: i64 = 60_000;
 
 /// Why a snapshot is not taken.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -104,6 +105,15 @@
     }
 }
 
+/// The milliseconds that have passed since a snapshot was written.
+fn time_since(written_ms: i64, wall_ms: i64) -> Result<i64, Refused> {
+    let passed = wall_ms.saturating_sub(written_ms);
+    if passed < -AHEAD_MOST_MS {
+        return Err(Refused::Future(passed.saturating_neg()));
+    }
+    Ok(if passed < 0 { AHEAD_MOST_MS } else { passed })
+}
+
 /// Reads a snapshot: facts with their age by now. `tenants` and `directories` bound what it may name; facts older than
 /// `most` are left out.
 pub fn read(
@@ -126,10 +136,7 @@
     if written_for != of {
         return Err(Refused::Foreign);
     }
-    let passed = wall_ms.saturating_sub(i64::from_be_bytes(at));
-    if passed < -AHEAD_MOST {
-        return Err(Refused::Future(-passed));
-    }
+    let passed = time_since(i64::from_be_bytes(at), wall_ms)?;
     let mut facts = Vec::new();
     for number in 0..u64::from_be_bytes(count) {
         let fact = (|| {
@@ -138,7 +145,7 @@
             let told = Told::Tenant(TenantId(u16::from_be_bytes(rest.take()?)));
             let person = Person(u64::from_be_bytes(rest.take()?));
             let mark = u64::from_be_bytes(rest.take()?);
-            let age = i64::from_be_bytes(rest.take()?).saturating_add(passed.max(0));
+            let age = i64::from_be_bytes(rest.take()?).saturating_add(passed);
             Some((
                 user,
                 Claim {
--- a/crates/pipithub-directory/tests/core.rs
+++ b/crates/pipithub-directory/tests/core.rs
@@ -211,6 +211,35 @@
     }
 }
 
+/// A step back between the writing and the restart must not make facts look as fresh as when they were written.
+#[test]
+fn facts_from_a_snapshot_of_the_future_are_old() {
+    let mut core = core(100, |_| {});
+    let claim = Claim {
+        directory: 0,
+        told: Told::Tenant(TenantId(1)),
+        person: Person(7),
+        confirmed: 0,
+        mark: 3,
+        spread: 0,
+        seen: 0,
+    };
+    core.restore(0, vec![("mai".into(), claim)]);
+    let (of, key, wall) = ([1; 32], &b"sixteen bytes...."[..], 1_800_000_000_000);
+    let bytes = snapshot::write(core.roster(), S, wall, of, key);
+    let age = |wall| {
+        let facts = snapshot::read(&bytes, 0, wall, of, key, |_| Some(12 * HOUR))?;
+        Ok(-facts[0].1.confirmed)
+    };
+    assert_eq!(age(wall), Ok(1_000));
+    assert_eq!(age(wall + 5_000), Ok(6_000));
+    assert_eq!(age(wall - 1), Ok(61_000));
+    assert_eq!(age(wall - 60_000), Ok(61_000));
+    assert_eq!(age(wall - 60_001), Err(snapshot::Refused::Future(60_001)));
+    assert_eq!(age(wall - 3_600_000), Err(snapshot::Refused::Future(3_600_000)));
+    assert_eq!(age(i64::MIN), Err(snapshot::Refused::Future(i64::MAX)));
+}
+
 /// Two followed directories were told whole in one moment: the second one's end lost the first one's, and whoever was gone
 /// from that stayed, as fresh as the connection.
 #[test]
