--- a/crates/pipithub-endpoints/src/lib.rs
+++ b/crates/pipithub-endpoints/src/lib.rs
@@ -23,6 +23,7 @@
 pub const STARTED: &str = "pipithub.dev/started-ms";
 /// Annotation: memory in MB, by uid.
 pub const MEMORY: &str = "pipithub.dev/memory-mb";
+const NANOS_PER_MS: Time = 1_000_000;
 /// More endpoints than this are refused: a broken list must not fill the memory.
 pub const MOST_ENDPOINTS: usize = 20_000;
 
@@ -195,12 +196,14 @@
             let by_uid: BTreeMap<String, f64> = serde_json::from_str(text).ok()?;
             by_uid.get(&uid).copied().filter(|v| v.is_finite() && *v >= 0.0)
         };
+        // A start in the future, by a clock that was stepped back, counts as now: it is taken for cold no longer than
+        // a worker's ramp.
         let told = number(STARTED).map(|ms| {
             let age = (wall as f64 - ms).max(0.0) * 1e6;
             now.saturating_sub(age as Time).max(1)
         });
         let started = match before {
-            // A start once known stays: clocks that drift must not look like restarts.
+            // A start once known stays: clocks that drift or are stepped must not look like restarts.
             Some(known) => known.started,
             None => told.or(self.listed.then_some(now.max(1))),
         };
@@ -215,7 +218,7 @@
 
     /// The list as a text to keep for a restart.
     pub fn remembered(&self, now: Time, wall_ms: u64) -> String {
-        let started_ms = |t: Time| wall_ms.saturating_sub(now.saturating_sub(t) / 1_000_000);
+        let started_ms = |t: Time| wall_ms.saturating_sub(now.saturating_sub(t) / NANOS_PER_MS);
         let workers = self.known.iter().filter(|(_, k)| k.state != State::Gone).map(|(address, k)| Kept {
             address: address.clone(),
             draining: k.state == State::Draining,
@@ -265,15 +268,25 @@
     if kept.workers.len() > MOST_ENDPOINTS {
         return Err(ListError::TooMany(kept.workers.len()));
     }
-    let entry = |k: Kept| Entry {
-        worker: Worker::new(&k.address),
+    let entry = |worker: Kept| Entry {
+        worker: Worker::new(&worker.address),
         share: 0.0,
-        state: if k.draining { State::Draining } else { State::Live },
-        zone: k.zone,
+        state: if worker.draining { State::Draining } else { State::Live },
+        zone: worker.zone,
         cell: 0,
-        memory_mb: k.memory_mb.max(0.0),
-        // A start in the future, by a clock that was set back, counts as now.
-        started: k.started_ms.map(|ms| now.saturating_sub(wall_ms.saturating_sub(ms) * 1_000_000).max(1)),
+        memory_mb: worker.memory_mb.max(0.0),
+        started: worker.started_ms.and_then(|started_ms| {
+            let age_ms = age_across_restart(started_ms, kept.wall_ms, wall_ms)?;
+            Some(now.saturating_sub(age_ms.saturating_mul(NANOS_PER_MS)).max(1))
+        }),
     };
     Ok((ListKind::Remembered, kept.workers.into_iter().map(entry).collect()))
 }
+
+/// A worker's age by now, in milliseconds: what it was when the list was written, and the wall time since. A list from
+/// the future adds nothing, as the wall clock was stepped back by an unknown time; no worker is younger than it was. A
+/// start after the writing is unknown, and counts as long ago.
+fn age_across_restart(started_ms: u64, written_ms: u64, wall_ms: u64) -> Option<u64> {
+    let age_then = written_ms.checked_sub(started_ms)?;
+    Some(age_then.saturating_add(wall_ms.saturating_sub(written_ms)))
+}
--- a/crates/pipithub-endpoints/tests/watch.rs
+++ b/crates/pipithub-endpoints/tests/watch.rs
@@ -167,3 +167,60 @@
     assert_eq!(entries[2].started, Some(45 * SECOND), "started 15 s ago");
     assert!(recall("nonsense", 0, 0).is_err());
 }
+
+const HOUR_MS: u64 = 3_600_000;
+
+fn recalled_start(text: &str, wall_ms: u64) -> Option<Time> {
+    let now = 3 * 3_600 * SECOND;
+    let (_, entries) = recall(text, now, wall_ms).expect("its own text");
+    entries[0].started.map(|started| now - started)
+}
+
+/// A step back between the writing and the restart had made a worker that is an hour old start just now.
+#[test]
+fn no_worker_is_younger_after_a_restart() {
+    let mut watcher = watcher();
+    watcher.list(0, WALL, &list("5", vec![])).expect("a list");
+    let line = event("ADDED", slice("t", "6", vec![endpoint(3, "c", json!({"ready": true}))]));
+    watcher.line(10 * SECOND, WALL + 10_000, &line).expect("changes");
+    let written_ms = WALL + 10_000 + HOUR_MS;
+    let text = watcher.remembered(10 * SECOND + 3_600 * SECOND, written_ms);
+    let age = 3_600 * SECOND;
+    assert_eq!(recalled_start(&text, written_ms + 5_000), Some(age + 5 * SECOND));
+    assert_eq!(recalled_start(&text, written_ms - 5_000), Some(age), "stepped back by seconds");
+    assert_eq!(recalled_start(&text, written_ms - HOUR_MS), Some(age), "by an hour");
+    assert_eq!(recalled_start(&text, 0), Some(age), "to the clock's beginning");
+    assert_eq!(recalled_start(&text, written_ms + HOUR_MS), Some(2 * age), "forward");
+}
+
+/// Written by hand or by a fault: a start after the writing, and figures beyond any clock.
+#[test]
+fn a_remembered_start_in_the_future_counts_as_long_ago() {
+    let text = |wall_ms: u64, started_ms: u64| {
+        let worker = json!({"address": "10.0.0.1:80", "draining": false, "zone": "a", "memory_mb": 1.0,
+                            "started_ms": started_ms});
+        json!({"format": 1, "wall_ms": wall_ms, "workers": [worker]}).to_string()
+    };
+    assert_eq!(recalled_start(&text(WALL, WALL + 1), WALL + 10), None);
+    assert_eq!(recalled_start(&text(u64::MAX, 0), u64::MAX), Some(3 * 3_600 * SECOND - 1));
+}
+
+/// While the process runs, a known start is monotonic time and no step moves it.
+#[test]
+fn a_step_of_the_wall_clock_is_no_restart_of_workers() {
+    let stamped = |version: &str| {
+        let mut slice = slice("s", version, vec![endpoint(1, "a", json!({"ready": true}))]);
+        slice["metadata"]["annotations"]["pipithub.dev/started-ms"] =
+            json!(format!("{{\"a\": {}}}", WALL - 30_000));
+        slice
+    };
+    let mut watcher = watcher();
+    let all = watcher.list(60 * SECOND, WALL, &list("5", vec![stamped("4")])).expect("a list");
+    assert_eq!(all[0].started, Some(30 * SECOND));
+    for wall_ms in [WALL + HOUR_MS, WALL - HOUR_MS] {
+        let line = event("MODIFIED", stamped("6"));
+        assert!(matches!(watcher.line(61 * SECOND, wall_ms, &line), Ok(Step::Nothing)), "{wall_ms}");
+        let all = watcher.list(62 * SECOND, wall_ms, &list("7", vec![stamped("6")])).expect("a list");
+        assert_eq!(all[0].started, Some(30 * SECOND), "{wall_ms}");
+    }
+}
