--- a/crates/pipithub-consumer/src/backoff.rs
+++ b/crates/pipithub-consumer/src/backoff.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug)]
 pub struct Backoff {
     first: Time,
-    most: Time,
+    longest: Time,
     /// Health that lasts so long forgets the failures before it.
     healthy: Time,
     failures: u32,
@@ -15,9 +15,9 @@
 }
 
 impl Backoff {
-    /// Waits from `first`, doubling to `most`; equal seeds wait equally.
-    pub fn new(first: Time, most: Time, healthy: Time, seed: u64) -> Self {
-        Backoff { first, most, healthy, failures: 0, up_since: None, random: seed | 1 }
+    /// Waits from `first`, doubling to `longest`; equal seeds wait equally.
+    pub fn new(first: Time, longest: Time, healthy: Time, seed: u64) -> Self {
+        Backoff { first, longest, healthy, failures: 0, up_since: None, random: seed | 1 }
     }
 
     /// The try worked.
@@ -32,7 +32,7 @@
         if self.up_since.take().is_some_and(|up| now >= up + self.healthy) {
             self.failures = 0;
         }
-        let wait = self.first.saturating_mul(1 << self.failures.min(20)).min(self.most);
+        let wait = self.first.saturating_mul(1 << self.failures.min(20)).min(self.longest);
         self.failures = self.failures.saturating_add(1);
         // xorshift64: chance enough for jitter.
         self.random ^= self.random << 13;
--- a/crates/pipithub-consumer/src/consumer.rs
+++ b/crates/pipithub-consumer/src/consumer.rs
@@ -16,9 +16,9 @@
 
 const MS: Time = 1_000_000;
 /// Bytes that wait to be written before no further transaction is begun.
-const OUTPUT_MOST: usize = 4 << 20;
+const MAX_OUTPUT: usize = 4 << 20;
 /// Answers and acks in one transaction.
-const BATCH_MOST: usize = 128;
+const MAX_BATCH: usize = 128;
 /// The limit on deliveries is changed no more often: each change is a round trip.
 const QOS_GAP: Time = 50 * MS;
 
@@ -555,11 +555,11 @@
     /// Publishes what is owed and acks its messages, in one transaction: done both or neither.
     fn begin_commit(&mut self) {
         let Some(channel) = self.channel() else { return };
-        let full = self.endpoint.as_ref().is_none_or(|e| e.output_len() > OUTPUT_MOST);
+        let full = self.endpoint.as_ref().is_none_or(|e| e.output_len() > MAX_OUTPUT);
         if self.blocked || !self.committing.is_empty() || self.owed.is_empty() || full {
             return;
         }
-        while self.committing.len() < BATCH_MOST {
+        while self.committing.len() < MAX_BATCH {
             let Some((ticket, owed)) = self.owed.pop_front() else { break };
             let Some(Held { tag, address }) = self.held.get(&ticket) else { continue };
             let (tag, address) = (*tag, address.clone());
--- a/crates/pipithub-consumer/src/identity.rs
+++ b/crates/pipithub-consumer/src/identity.rs
@@ -26,9 +26,9 @@
 
 const MS: Time = 1_000_000;
 /// How far a desk's clock may be ahead of ours.
-const AHEAD_MOST_MS: u64 = 30_000;
+const MAX_AHEAD_MS: u64 = 30_000;
 /// Names that a user may have, in bytes.
-const USER_MOST: usize = 256;
+const MAX_USER_LEN: usize = 256;
 
 /// Keys by their ids, and for how long a signature counts.
 #[derive(Clone, Default, PartialEq, Eq)]
@@ -164,7 +164,7 @@
                 let Some(sent) = sent.and_then(|s| u64::try_from(s).ok()) else {
                     return no("a signed call needs header pipithub-sent-ms");
                 };
-                let tolerance = Tolerance { behind_ms: keys.max_age / MS, ahead_ms: AHEAD_MOST_MS };
+                let tolerance = Tolerance { behind_ms: keys.max_age / MS, ahead_ms: MAX_AHEAD_MS };
                 if !tolerance.accepts(sent, wall_ms) {
                     return no("the signature is too old, or from the future");
                 }
@@ -177,7 +177,7 @@
                 user
             }
         };
-        if user.len() > USER_MOST || user.chars().any(char::is_control) {
+        if user.len() > MAX_USER_LEN || user.chars().any(char::is_control) {
             return no("a user's name has up to 256 bytes and no control characters");
         }
         Ok(Some(fold(user).into()))
--- a/crates/pipithub-consumer/src/latest_wall.rs
+++ b/crates/pipithub-consumer/src/latest_wall.rs
@@ -4,7 +4,7 @@
 
 const NANOS_PER_MS: Time = 1_000_000;
 /// A step back counts for so long; after that the clock is taken to have been ahead before.
-const HOLD: Time = 24 * 3_600_000 * NANOS_PER_MS;
+const STEP_BACK_WINDOW: Time = 24 * 3_600_000 * NANOS_PER_MS;
 
 /// Follows the wall clock forward at once, and back only after a day.
 #[derive(Clone, Copy, Debug, Default)]
@@ -18,7 +18,8 @@
     pub fn observe(&mut self, now: Time, wall_ms: u64) -> u64 {
         let now_ms = to_signed(now / NANOS_PER_MS);
         let lead = to_signed(wall_ms).saturating_sub(now_ms);
-        let held = self.lead.filter(|(held, seen)| *held > lead && now.saturating_sub(*seen) <= HOLD);
+        let held =
+            self.lead.filter(|(held, seen)| *held > lead && now.saturating_sub(*seen) <= STEP_BACK_WINDOW);
         let (greatest, _) = *self.lead.insert(held.unwrap_or((lead, now)));
         u64::try_from(now_ms.saturating_add(greatest)).unwrap_or(0)
     }
--- a/crates/pipithub-consumer/src/message.rs
+++ b/crates/pipithub-consumer/src/message.rs
@@ -21,11 +21,13 @@
 
 const MS: Time = 1_000_000;
 /// No budget or age is taken for longer: a day.
-const LONGEST_MS: u64 = 86_400_000;
+const MAX_SPAN_MS: u64 = 86_400_000;
 /// A sender's clock may be ahead by this before its messages' age counts as unknown.
-const SKEW_MOST_MS: u64 = 1_000;
+const MAX_SKEW_MS: u64 = 1_000;
 /// A function's name has at most so many bytes.
-const LONGEST_NAME: usize = 200;
+const MAX_FUNCTION_LEN: usize = 200;
+/// A copy runs at most so many calls at a time.
+const MAX_LANES: f64 = 65_536.0;
 
 /// What holds for the messages of a queue where they do not say otherwise.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -64,22 +66,34 @@
     pub deliveries: u32,
 }
 
-fn number(headers: Option<&FieldTable>, name: &str) -> Result<Option<f64>, Unreadable> {
-    let Some(value) = headers.and_then(|h| h.get(name)) else { return Ok(None) };
-    let number = value.as_f64().or_else(|| value.as_str().and_then(|s| s.trim().parse().ok()));
-    match number.filter(|n| n.is_finite() && *n >= 0.0) {
-        Some(number) => Ok(Some(number)),
-        None => Err(Unreadable(format!("header {name} is not a number that is not negative"))),
+/// The headers of a message, read as what they should be.
+#[derive(Clone, Copy)]
+struct Headers<'a>(Option<&'a FieldTable>);
+
+impl<'a> Headers<'a> {
+    fn get(self, name: &str) -> Option<&'a FieldValue> {
+        self.0?.get(name)
     }
-}
 
-fn text<'a>(headers: Option<&'a FieldTable>, name: &str) -> Result<Option<&'a str>, Unreadable> {
-    match headers.and_then(|h| h.get(name)) {
-        None => Ok(None),
-        Some(value) => {
-            value.as_str().map(Some).ok_or_else(|| Unreadable(format!("header {name} is not a text")))
+    fn number(self, name: &str) -> Result<Option<f64>, Unreadable> {
+        let Some(value) = self.get(name) else { return Ok(None) };
+        let number = value.as_f64().or_else(|| value.as_str().and_then(|s| s.trim().parse().ok()));
+        match number.filter(|n| n.is_finite() && *n >= 0.0) {
+            Some(number) => Ok(Some(number)),
+            None => Err(Unreadable(format!("header {name} is not a number that is not negative"))),
         }
     }
+
+    /// A number of milliseconds as a span, [`MAX_SPAN_MS`] at the most.
+    fn span(self, name: &str) -> Result<Option<Time>, Unreadable> {
+        let millis = self.number(name)?;
+        Ok(millis.map(|ms| (ms.min(MAX_SPAN_MS as f64) * MS as f64) as Time))
+    }
+
+    fn text(self, name: &str) -> Result<Option<&'a str>, Unreadable> {
+        let Some(value) = self.get(name) else { return Ok(None) };
+        value.as_str().map(Some).ok_or_else(|| Unreadable(format!("header {name} is not a text")))
+    }
 }
 
 /// When a message is read, in Unix milliseconds.
@@ -94,13 +108,13 @@
 impl ArrivalTime {
     /// The time since then by the wall clock; none where it was stepped back past it.
     fn since(&self, sent_ms: u64) -> Time {
-        self.wall_ms.saturating_sub(sent_ms).min(LONGEST_MS) * MS
+        self.wall_ms.saturating_sub(sent_ms).min(MAX_SPAN_MS) * MS
     }
 
     /// The age at the most of a message sent then; unknown where that lies in the future.
-    fn age_at_most(&self, sent_ms: u64) -> Option<Time> {
-        let is_known = sent_ms <= self.latest_wall_ms.saturating_add(SKEW_MOST_MS);
-        is_known.then(|| self.latest_wall_ms.saturating_sub(sent_ms).min(LONGEST_MS) * MS)
+    fn max_age(&self, sent_ms: u64) -> Option<Time> {
+        let is_known = sent_ms <= self.latest_wall_ms.saturating_add(MAX_SKEW_MS);
+        is_known.then(|| self.latest_wall_ms.saturating_sub(sent_ms).min(MAX_SPAN_MS) * MS)
     }
 }
 
@@ -112,90 +126,137 @@
     classes: &[(String, bool)],
     arrival: ArrivalTime,
 ) -> Result<Read, Unreadable> {
-    let p = &content.properties;
-    let headers = p.headers.as_ref();
-    let class = match text(headers, "pipithub-class")?.or(p.kind.as_deref()) {
-        Some(name) => match classes.iter().position(|(n, _)| n == name) {
-            Some(class) => class,
-            // The property `type` may be used for something else where the route gives the class.
-            None if headers.is_none_or(|h| h.get("pipithub-class").is_none()) && route.class.is_some() => {
-                route.class.unwrap_or_default()
-            }
-            None => return Err(Unreadable(format!("class '{name}' is not known"))),
-        },
-        None => route.class.ok_or_else(|| Unreadable("no class: header pipithub-class is missing".into()))?,
-    };
-    let function: Arc<str> = match text(headers, "pipithub-function")? {
-        Some(name) if name.is_empty() || name.len() > LONGEST_NAME => {
-            return Err(Unreadable(format!(
-                "header pipithub-function has {} bytes, 1 to {LONGEST_NAME} are taken",
-                name.len()
-            )));
-        }
-        Some(name) => name.into(),
-        None => {
-            let missing = || Unreadable("no function: header pipithub-function is missing".into());
-            route.function.clone().ok_or_else(missing)?
-        }
-    };
-    let ms = |name: &str| -> Result<Option<Time>, Unreadable> {
-        Ok(number(headers, name)?.map(|ms| (ms.min(LONGEST_MS as f64) * MS as f64) as Time))
-    };
-    let expiration = match &p.expiration {
-        None => None,
-        Some(text) => match text.parse::<u64>() {
-            Ok(ms) => Some(ms.min(LONGEST_MS) * MS),
-            Err(_) => return Err(Unreadable(format!("expiration '{text}' is not a number of milliseconds"))),
-        },
-    };
-    let wait = [expiration, ms("pipithub-budget-ms")?].into_iter().flatten().min().or(route.budget);
-    let sent_ms = number(headers, "pipithub-sent-ms")?.map(|ms| ms as u64);
-    // A timestamp counts whole seconds: its message may have been sent up to a second later. It is taken as late as
-    // it can have been for the client's time, which must not be cut short, and as early for the age, which decides
-    // whether a repeat is harmless.
-    let early = sent_ms.or(p.timestamp.map(|s| s.saturating_mul(1000)));
-    let late = sent_ms.or(p.timestamp.map(|s| s.saturating_mul(1000).saturating_add(999)));
-    let waited = late.map_or(0, |sent| arrival.since(sent));
-    let budget = wait.map(|wait| wait.saturating_sub(waited));
-    let message_id = p.message_id.as_deref().filter(|id| !id.is_empty());
-    let identity = match (message_id, p.reply_to.as_deref(), p.correlation_id.as_deref()) {
-        (Some(id), ..) => Some(format!("{queue}\0{id}").into()),
-        (None, Some(reply), Some(correlation)) if !correlation.is_empty() => {
-            Some(format!("{queue}\0\0{reply}\0{correlation}").into())
-        }
-        _ => None,
-    };
-    let mut key: Option<Arc<str>> = text(headers, "pipithub-key")?.map(Into::into);
-    if key.is_none() && classes[class].1 {
-        // The message's own name does: each delivery of it carries the same.
-        key = message_id.map(Into::into);
-        if key.is_none() {
-            return Err(Unreadable(
-                "no key: a call of this class needs header pipithub-key or a message_id".into(),
-            ));
-        }
-    }
-    let lanes = number(headers, "pipithub-lanes")?.map_or(route.lanes, |n| n.min(65_536.0) as u32).max(1);
+    let properties = &content.properties;
+    let headers = Headers(properties.headers.as_ref());
+    let class = class(properties, headers, route, classes)?;
+    let function = function(headers, route)?;
+    let client_wait = client_wait(properties, headers, route)?;
+    let sent = SendTime::read(properties, headers)?;
+    let waited = sent.latest_ms.map_or(0, |sent_ms| arrival.since(sent_ms));
+    let message_id = message_id(properties);
+    let needs_key = classes[class].1;
+    let key = key(headers, message_id, needs_key)?;
+    let lanes = headers.number("pipithub-lanes")?.map_or(route.lanes, |lanes| lanes.min(MAX_LANES) as u32);
     let call = Call {
         function,
         class,
-        budget,
+        budget: client_wait.map(|wait| wait.saturating_sub(waited)),
         waited,
-        age: early.and_then(|sent| arrival.age_at_most(sent)),
-        expected: ms("pipithub-expected-ms")?.or(route.expected),
-        memory_mb: number(headers, "pipithub-memory-mb")?.unwrap_or(route.memory_mb),
-        lanes,
-        load_time: ms("pipithub-load-ms")?.or(route.load_time),
-        label: message_id.or(p.correlation_id.as_deref()).map(Into::into),
+        age: sent.earliest_ms.and_then(|sent_ms| arrival.max_age(sent_ms)),
+        expected: headers.span("pipithub-expected-ms")?.or(route.expected),
+        memory_mb: headers.number("pipithub-memory-mb")?.unwrap_or(route.memory_mb),
+        lanes: lanes.max(1),
+        load_time: headers.span("pipithub-load-ms")?.or(route.load_time),
+        label: message_id.or(properties.correlation_id.as_deref()).map(Into::into),
         key,
-        content_type: p.content_type.as_deref().map(Into::into),
+        content_type: properties.content_type.as_deref().map(Into::into),
         body: content.body.clone(),
         tenant: route.tenant,
         user: None,
         person: 0,
     };
-    let deliveries = headers.and_then(|h| h.get("x-delivery-count")).and_then(FieldValue::as_i64);
-    Ok(Read { call, identity, deliveries: deliveries.unwrap_or(0).clamp(0, i64::from(u32::MAX)) as u32 })
+    let deliveries = headers.get("x-delivery-count").and_then(FieldValue::as_i64).unwrap_or(0);
+    let deliveries = deliveries.clamp(0, i64::from(u32::MAX)) as u32;
+    Ok(Read { call, identity: identity(properties, queue), deliveries })
+}
+
+fn class(
+    properties: &Properties,
+    headers: Headers<'_>,
+    route: &Route,
+    classes: &[(String, bool)],
+) -> Result<usize, Unreadable> {
+    let Some(name) = headers.text("pipithub-class")?.or(properties.kind.as_deref()) else {
+        return route.class.ok_or_else(|| Unreadable("no class: header pipithub-class is missing".into()));
+    };
+    if let Some(class) = classes.iter().position(|(known, _)| known == name) {
+        return Ok(class);
+    }
+    // The property `type` may be used for something else where the route gives the class.
+    let by_property = headers.get("pipithub-class").is_none();
+    let unknown = || Unreadable(format!("class '{name}' is not known"));
+    route.class.filter(|_| by_property).ok_or_else(unknown)
+}
+
+fn function(headers: Headers<'_>, route: &Route) -> Result<Arc<str>, Unreadable> {
+    match headers.text("pipithub-function")? {
+        Some(name) if name.is_empty() || name.len() > MAX_FUNCTION_LEN => Err(Unreadable(format!(
+            "header pipithub-function has {} bytes, 1 to {MAX_FUNCTION_LEN} are taken",
+            name.len()
+        ))),
+        Some(name) => Ok(name.into()),
+        None => {
+            let missing = || Unreadable("no function: header pipithub-function is missing".into());
+            route.function.clone().ok_or_else(missing)
+        }
+    }
+}
+
+/// How long the client waits, from its sending on.
+fn client_wait(
+    properties: &Properties,
+    headers: Headers<'_>,
+    route: &Route,
+) -> Result<Option<Time>, Unreadable> {
+    let budget = headers.span("pipithub-budget-ms");
+    let expiration = match &properties.expiration {
+        None => None,
+        Some(text) => match text.parse::<u64>() {
+            Ok(ms) => Some(ms.min(MAX_SPAN_MS) * MS),
+            Err(_) => return Err(Unreadable(format!("expiration '{text}' is not a number of milliseconds"))),
+        },
+    };
+    Ok([expiration, budget?].into_iter().flatten().min().or(route.budget))
+}
+
+/// When a message was sent, in Unix milliseconds.
+///
+/// A timestamp counts whole seconds: its message may have been sent up to a second later. It is taken as late as it can
+/// have been for the client's time, which must not be cut short, and as early for the age, which decides whether a repeat
+/// is harmless.
+struct SendTime {
+    earliest_ms: Option<u64>,
+    latest_ms: Option<u64>,
+}
+
+impl SendTime {
+    fn read(properties: &Properties, headers: Headers<'_>) -> Result<Self, Unreadable> {
+        let exact_ms = headers.number("pipithub-sent-ms")?.map(|ms| ms as u64);
+        let second_ms = properties.timestamp.map(|seconds| seconds.saturating_mul(1000));
+        Ok(SendTime {
+            earliest_ms: exact_ms.or(second_ms),
+            latest_ms: exact_ms.or(second_ms.map(|ms| ms.saturating_add(999))),
+        })
+    }
+}
+
+fn message_id(properties: &Properties) -> Option<&str> {
+    properties.message_id.as_deref().filter(|id| !id.is_empty())
+}
+
+/// What names the message in each of its deliveries.
+fn identity(properties: &Properties, queue: &str) -> Option<Arc<str>> {
+    if let Some(id) = message_id(properties) {
+        return Some(format!("{queue}\0{id}").into());
+    }
+    let reply_to = properties.reply_to.as_deref()?;
+    let correlation_id = properties.correlation_id.as_deref().filter(|id| !id.is_empty())?;
+    Some(format!("{queue}\0\0{reply_to}\0{correlation_id}").into())
+}
+
+/// Under which workers drop repeats; where it is needed the message's own id does, as each delivery carries the same.
+fn key(
+    headers: Headers<'_>,
+    message_id: Option<&str>,
+    is_needed: bool,
+) -> Result<Option<Arc<str>>, Unreadable> {
+    let given = headers.text("pipithub-key")?;
+    if given.is_some() || !is_needed {
+        return Ok(given.map(Into::into));
+    }
+    let missing =
+        || Unreadable("no key: a call of this class needs header pipithub-key or a message_id".into());
+    message_id.map(|id| Some(id.into())).ok_or_else(missing)
 }
 
 /// What is kept of a message until its answer goes out.
--- a/crates/pipithub-consumer/src/replay.rs
+++ b/crates/pipithub-consumer/src/replay.rs
@@ -1,7 +1,7 @@
 //! Which signed messages were accepted before, across steps of the wall clock.
 //!
 //! A message's signed timestamp is judged against the wall clock by its caller. Here spans are monotonic time: an id is
-//! remembered for as long as its message could still be accepted, also after a step back of [`STEP_BACK_MOST`]. What had
+//! remembered for as long as its message could still be accepted, also after a step back of [`MAX_STEP_BACK`]. What had
 //! to be forgotten earlier, for want of room or by greater steps, cannot be told from a replay: its timestamps are kept as
 //! a few spans, and a message from within them is not new.
 
@@ -12,11 +12,11 @@
 
 const NANOS_PER_MS: Time = 1_000_000;
 /// Ids remembered at a time; each takes about 70 bytes.
-const REMEMBERED_MOST: usize = 500_000;
+const MAX_REMEMBERED: usize = 500_000;
 /// A step back of the wall clock that brings no forgotten message back into its time.
-const STEP_BACK_MOST: Time = 3_600_000 * NANOS_PER_MS;
+const MAX_STEP_BACK: Time = 3_600_000 * NANOS_PER_MS;
 /// Spans of timestamps whose ids were forgotten.
-const SPANS_MOST: usize = 8;
+const MAX_SPANS: usize = 8;
 /// Forgotten timestamps this close together make one span.
 const SPAN_GAP_MS: u64 = 1_000;
 
@@ -42,7 +42,7 @@
     /// For how long an id is remembered at the least.
     fn span(&self) -> Time {
         let accepted_ms = self.behind_ms.saturating_add(self.ahead_ms);
-        accepted_ms.saturating_mul(NANOS_PER_MS).saturating_add(STEP_BACK_MOST)
+        accepted_ms.saturating_mul(NANOS_PER_MS).saturating_add(MAX_STEP_BACK)
     }
 }
 
@@ -66,26 +66,26 @@
 /// The messages accepted so far, bounded.
 #[derive(Clone, Debug)]
 pub struct ReplayMemory {
-    room: usize,
+    capacity: usize,
     ids: HashSet<IdDigest>,
     /// In the order in which they were accepted.
-    order: VecDeque<Remembered>,
+    by_arrival: VecDeque<Remembered>,
     forgotten: ForgottenSpans,
 }
 
 impl Default for ReplayMemory {
     fn default() -> Self {
-        ReplayMemory::with_room(REMEMBERED_MOST)
+        ReplayMemory::with_capacity(MAX_REMEMBERED)
     }
 }
 
 impl ReplayMemory {
     /// Remembers at most so many ids, one at the least.
-    pub fn with_room(room: usize) -> Self {
+    pub fn with_capacity(capacity: usize) -> Self {
         ReplayMemory {
-            room: room.max(1),
+            capacity: capacity.max(1),
             ids: HashSet::new(),
-            order: VecDeque::new(),
+            by_arrival: VecDeque::new(),
             forgotten: ForgottenSpans::default(),
         }
     }
@@ -97,11 +97,11 @@
         if self.ids.contains(&id) || self.forgotten.contains(sent_ms) {
             return false;
         }
-        while self.order.len() >= self.room {
+        while self.by_arrival.len() >= self.capacity {
             self.forget_oldest();
         }
         self.ids.insert(id);
-        self.order.push_back(Remembered { id, sent_ms, accepted: now });
+        self.by_arrival.push_back(Remembered { id, sent_ms, accepted: now });
         true
     }
 
@@ -110,13 +110,13 @@
             now.saturating_sub(oldest.accepted) > tolerance.span()
                 && tolerance.is_past(oldest.sent_ms, wall_ms)
         };
-        while self.order.front().is_some_and(is_expired) {
+        while self.by_arrival.front().is_some_and(is_expired) {
             self.forget_oldest();
         }
     }
 
     fn forget_oldest(&mut self) {
-        if let Some(oldest) = self.order.pop_front() {
+        if let Some(oldest) = self.by_arrival.pop_front() {
             self.ids.remove(&oldest.id);
             self.forgotten.add(oldest.sent_ms);
         }
@@ -148,7 +148,7 @@
             }
             joins
         });
-        if self.0.len() > SPANS_MOST {
+        if self.0.len() > MAX_SPANS {
             // The oldest timestamps, and what lies between them, are the last to be missed.
             let second = self.0.remove(1);
             self.0[0].last_ms = second.last_ms;
--- a/crates/pipithub-consumer/tests/replay.rs
+++ b/crates/pipithub-consumer/tests/replay.rs
@@ -16,7 +16,7 @@
 #[test]
 fn what_was_forgotten_for_want_of_room_is_not_new() {
     let mut clock = ManualClock::new(1, WALL);
-    let mut memory = ReplayMemory::with_room(10);
+    let mut memory = ReplayMemory::with_capacity(10);
     for n in 0..100 {
         assert!(is_new(&mut memory, &format!("{n}"), clock.read().wall_ms, &clock), "{n}");
         clock.advance(100 * MS);
@@ -30,7 +30,7 @@
 #[test]
 fn forgotten_timestamps_stay_forgotten_in_any_order() {
     let clock = ManualClock::new(1, WALL);
-    let mut memory = ReplayMemory::with_room(1);
+    let mut memory = ReplayMemory::with_capacity(1);
     let sent = |n: u64| WALL + (n * 37 % 101) * 10_000;
     let mut taken = Vec::new();
     for n in 0..101 {
