--- a/crates/pipithub-clock/src/lib.rs
+++ b/crates/pipithub-clock/src/lib.rs
@@ -11,6 +11,8 @@
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+const NANOS_PER_MS: Time = 1_000_000;
+
 /// A point in time or a length of it, in nanoseconds.
 pub type Time = u64;
 
@@ -23,6 +25,16 @@
     pub wall_ms: u64,
 }
 
+impl Reading {
+    /// The monotonic time that a stamp of the wall clock stands for, judged by this reading: a stamp in the future counts
+    /// as now, one from before the start of monotonic time as its beginning. A later step of the wall clock doesn't move
+    /// what this gave.
+    pub fn time_of_stamp(&self, stamp_ms: u64) -> Time {
+        let age_ms = self.wall_ms.saturating_sub(stamp_ms);
+        self.now.saturating_sub(age_ms.saturating_mul(NANOS_PER_MS)).max(1)
+    }
+}
+
 /// Counts nanoseconds from a start that it bears a number for.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
@@ -77,5 +89,5 @@
 
 /// Unix time in milliseconds.
 pub fn wall_ms() -> u64 {
-    wall_ns() / 1_000_000
+    wall_ns() / NANOS_PER_MS
 }
--- a/crates/pipithub-clock/src/manual.rs
+++ b/crates/pipithub-clock/src/manual.rs
@@ -1,8 +1,6 @@
 //! A clock for tests: time passes, and the wall clock steps, only when the test says so.
 
-use crate::{Reading, Time};
-
-const NANOS_PER_MS: u64 = 1_000_000;
+use crate::{NANOS_PER_MS, Reading, Time};
 
 /// A pair of clocks that are moved by hand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/pipithub-clock/tests/clocks.rs
+++ b/crates/pipithub-clock/tests/clocks.rs
@@ -29,3 +29,14 @@
     // The wall clock may be stepped while this runs; that it is set at all can be said.
     assert!(reading.wall_ms > 0 && wall_before > 0);
 }
+
+#[test]
+fn a_stamp_becomes_a_monotonic_time_that_no_later_step_moves() {
+    let mut clock = ManualClock::new(100 * SECOND, 1_000_000);
+    assert_eq!(clock.read().time_of_stamp(995_000), 95 * SECOND);
+    clock.step_wall_ms(HOUR_MS);
+    // The same five seconds, told by a stamp of the stepped clock.
+    assert_eq!(clock.read().time_of_stamp(995_000 + HOUR_MS as u64), 95 * SECOND);
+    assert_eq!(clock.read().time_of_stamp(u64::MAX), 100 * SECOND, "in the future: now");
+    assert_eq!(clock.read().time_of_stamp(0), 1, "before the beginning: never 0, which means unknown");
+}
--- a/crates/pipithub-endpoints/src/lib.rs
+++ b/crates/pipithub-endpoints/src/lib.rs
@@ -13,6 +13,7 @@
 use std::collections::BTreeMap;
 
 use object::{Endpoint, EndpointSlice, EndpointSliceList, WatchEvent};
+use pipithub_clock::Reading;
 use pipithub_engine::Time;
 use pipithub_engine::policy::{Entry, ListKind, State, Worker};
 use serde::{Deserialize, Serialize};
@@ -25,7 +26,7 @@
 pub const MEMORY: &str = "pipithub.dev/memory-mb";
 const NANOS_PER_MS: Time = 1_000_000;
 /// More endpoints than this are refused: a broken list must not fill the memory.
-pub const MOST_ENDPOINTS: usize = 20_000;
+pub const MAX_ENDPOINTS: usize = 20_000;
 
 /// Why a body or line could not be taken; what was known stays.
 #[derive(Debug, thiserror::Error)]
@@ -39,7 +40,7 @@
         source: serde_json::Error,
     },
     /// It holds more endpoints than are taken.
-    #[error("{0} endpoints are more than the {MOST_ENDPOINTS} taken")]
+    #[error("{0} endpoints are more than the {MAX_ENDPOINTS} taken")]
     TooMany(usize),
     /// The server answered with a status object.
     #[error("the server answers {code}: {message}")]
@@ -103,12 +104,12 @@
         let json = |source| ListError::Json { what: "EndpointSliceList", source };
         let list: EndpointSliceList = serde_json::from_slice(body).map_err(json)?;
         let count = list.items.iter().map(|s| s.endpoints.len()).sum();
-        if count > MOST_ENDPOINTS {
+        if count > MAX_ENDPOINTS {
             return Err(ListError::TooMany(count));
         }
         self.slices = list.items.into_iter().map(|s| (s.metadata.name.clone(), s)).collect();
         self.version = Some(list.metadata.resource_version).filter(|v| !v.is_empty());
-        self.refresh(now, wall_ms);
+        self.refresh(Reading { now, wall_ms });
         self.listed = true;
         Ok(self.known.iter().map(|(address, k)| k.entry(address)).collect())
     }
@@ -129,12 +130,12 @@
                 } else {
                     let others = self.slices.iter().filter(|(n, _)| **n != name);
                     let count = others.map(|(_, s)| s.endpoints.len()).sum::<usize>() + slice.endpoints.len();
-                    if count > MOST_ENDPOINTS {
+                    if count > MAX_ENDPOINTS {
                         return Err(ListError::TooMany(count));
                     }
                     self.slices.insert(name, slice);
                 }
-                let changes = self.refresh(now, wall_ms);
+                let changes = self.refresh(Reading { now, wall_ms });
                 Ok(if changes.is_empty() { Step::Nothing } else { Step::Changes(changes) })
             }
             "BOOKMARK" => {
@@ -159,13 +160,13 @@
     }
 
     /// Works out the workers anew from all slices; what changed.
-    fn refresh(&mut self, now: Time, wall_ms: u64) -> Vec<Entry> {
+    fn refresh(&mut self, reading: Reading) -> Vec<Entry> {
         let mut next: BTreeMap<String, Known> = BTreeMap::new();
         for slice in self.slices.values() {
             let Some(port) = slice.port(self.port.as_deref()) else { continue };
             for endpoint in &slice.endpoints {
                 let Some(address) = endpoint.address(port) else { continue };
-                let found = self.known_of(slice, endpoint, &address, now, wall_ms);
+                let found = self.known_of(slice, endpoint, &address, reading);
                 // While an endpoint moves between slices it may stand in two; the careful word counts.
                 let careful = next.get(&address).is_some_and(|k| k.state == State::Draining);
                 if !careful {
@@ -188,7 +189,7 @@
         changes
     }
 
-    fn known_of(&self, slice: &EndpointSlice, e: &Endpoint, address: &str, now: Time, wall: u64) -> Known {
+    fn known_of(&self, slice: &EndpointSlice, e: &Endpoint, address: &str, reading: Reading) -> Known {
         let uid = e.target_ref.as_ref().map(|t| t.uid.clone()).unwrap_or_default();
         let before = self.known.get(address).filter(|k| k.uid == uid);
         let number = |name: &str| -> Option<f64> {
@@ -198,14 +199,11 @@
         };
         // A start in the future, by a clock that was stepped back, counts as now: it is taken for cold no longer than
         // a worker's ramp.
-        let told = number(STARTED).map(|ms| {
-            let age = (wall as f64 - ms).max(0.0) * 1e6;
-            now.saturating_sub(age as Time).max(1)
-        });
+        let told = number(STARTED).map(|stamp_ms| reading.time_of_stamp(stamp_ms as u64));
         let started = match before {
             // A start once known stays: clocks that drift or are stepped must not look like restarts.
             Some(known) => known.started,
-            None => told.or(self.listed.then_some(now.max(1))),
+            None => told.or(self.listed.then_some(reading.now.max(1))),
         };
         let memory_mb = number(MEMORY).unwrap_or(0.0);
         Known { state: e.state(), uid, zone: e.zone.clone().unwrap_or_default(), memory_mb, started }
@@ -265,7 +263,7 @@
 pub fn recall(text: &str, now: Time, wall_ms: u64) -> Result<(ListKind, Vec<Entry>), ListError> {
     let json = |source| ListError::Json { what: "remembered list", source };
     let kept: KeptList = serde_json::from_str(text).map_err(json)?;
-    if kept.workers.len() > MOST_ENDPOINTS {
+    if kept.workers.len() > MAX_ENDPOINTS {
         return Err(ListError::TooMany(kept.workers.len()));
     }
     let entry = |worker: Kept| Entry {
--- a/crates/pipithub-endpoints/tests/watch.rs
+++ b/crates/pipithub-endpoints/tests/watch.rs
@@ -138,7 +138,7 @@
         assert!(watcher.line(0, WALL, bad.as_bytes()).is_err(), "{bad}");
         assert_eq!((watcher.live(), watcher.version()), (1, Some("5")));
     }
-    let many = vec![endpoint(1, "a", json!({})); pipithub_endpoints::MOST_ENDPOINTS + 1];
+    let many = vec![endpoint(1, "a", json!({})); pipithub_endpoints::MAX_ENDPOINTS + 1];
     assert!(watcher.list(0, WALL, &list("6", vec![slice("s", "6", many)])).is_err());
     // Null for an empty list is what an API server sends.
     let null = json!({"metadata": {"name": "s"}, "endpoints": null, "ports": null});
