--- a/crates/pipithub-consumer/src/consumer.rs
+++ b/crates/pipithub-consumer/src/consumer.rs
@@ -22,7 +22,7 @@
 /// The limit on deliveries is changed no more often: each change is a round trip.
 const QOS_GAP: Time = 50 * MS;
 
-/// How the limit on deliveries is told to the broker.
+/// How the limit on deliveries is set at the broker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Qos {
     /// Over the channel (`global`), changed while consuming. Quorum queues of RabbitMQ refuse it.
@@ -37,7 +37,7 @@
 pub struct ConsumerSettings {
     /// Its number among the engine's sources.
     pub source: SourceId,
-    /// The front end's name, told to the broker.
+    /// The front end's name, as the broker is told it.
     pub front_end: String,
     /// What it logs in with.
     pub login: Login,
@@ -53,7 +53,7 @@
     pub classes: Vec<(String, bool)>,
     /// Most deliveries held at a time.
     pub prefetch: u16,
-    /// How the limit is told.
+    /// How the limit is set.
     pub qos: Qos,
     /// Where copies of unreadable messages go: exchange and routing key. Without it they are rejected, and the
     /// queue's own dead-letter exchange gets them.
@@ -112,19 +112,28 @@
     Stopped,
 }
 
+/// What settles a delivery, until it is committed.
 #[derive(Debug)]
-enum Owed {
+enum PendingAnswer {
     Answer(Arc<Reply>),
     Unreadable(Unreadable, Box<Content>),
     Nothing,
 }
 
+/// A delivery that is not settled.
 #[derive(Debug)]
-struct Held {
+struct InFlight {
     tag: u64,
     address: Address,
 }
 
+/// A limit on deliveries, and when the broker was sent it.
+#[derive(Clone, Copy, Debug, Default)]
+struct SentLimit {
+    count: u16,
+    at: Time,
+}
+
 /// One queue at one broker.
 #[derive(Debug)]
 pub struct Consumer {
@@ -135,14 +144,14 @@
     tag: ShortStr,
     tags: u64,
     next_ticket: u64,
-    held: BTreeMap<u64, Held>,
-    owed: VecDeque<(u64, Owed)>,
+    in_flight: BTreeMap<u64, InFlight>,
+    pending: VecDeque<(u64, PendingAnswer)>,
     /// Tickets of the transaction that is under way.
     committing: Vec<u64>,
     blocked: bool,
     room: usize,
-    /// The limit last told, and when.
-    told: (u16, Time),
+    /// The limit on deliveries as last sent.
+    sent_limit: SentLimit,
     stopping: bool,
     /// The exchange for dead letters is not there: a message that cannot be read must not end the channel again and
     /// again, so it is rejected instead.
@@ -169,11 +178,11 @@
             phase: Phase::Idle(now),
             tags: 0,
             next_ticket: 1,
-            held: BTreeMap::new(),
-            owed: VecDeque::new(),
+            in_flight: BTreeMap::new(),
+            pending: VecDeque::new(),
             committing: Vec::new(),
             blocked: false,
-            told: (0, 0),
+            sent_limit: SentLimit::default(),
             stopping: false,
             no_dead_letters: false,
             notices: VecDeque::new(),
@@ -191,7 +200,7 @@
 
     /// Deliveries that are not settled.
     pub fn held(&self) -> usize {
-        self.held.len()
+        self.in_flight.len()
     }
 
     /// The next notice.
@@ -230,8 +239,8 @@
 
     /// Tickets are void: what they stand for will be delivered again, unless its transaction had been done.
     fn void(&mut self, why: &str) {
-        self.held.clear();
-        self.owed.clear();
+        self.in_flight.clear();
+        self.pending.clear();
         self.committing.clear();
         self.blocked = false;
         self.notices.push_back(Notice::Lost(why.to_string()));
@@ -251,7 +260,9 @@
     pub fn next_timeout(&self) -> Option<Time> {
         let own = match self.phase {
             Phase::Paused(_, at) => at,
-            Phase::Consuming(_) if self.limit() != self.told.0 => Some(self.told.1 + QOS_GAP),
+            Phase::Consuming(_) if self.limit() != self.sent_limit.count => {
+                Some(self.sent_limit.at + QOS_GAP)
+            }
             _ => None,
         };
         [own, self.endpoint.as_ref().and_then(Endpoint::next_timeout)].into_iter().flatten().min()
@@ -269,7 +280,7 @@
         {
             self.phase = Phase::Paused(channel, None);
         }
-        self.follow_room();
+        self.apply_room();
     }
 
     /// Takes the bytes to write.
@@ -288,19 +299,19 @@
     /// How many more deliveries the engine has room for.
     pub fn set_room(&mut self, now: Time, room: usize) {
         (self.now, self.room) = (now, room);
-        self.follow_room();
+        self.apply_room();
     }
 
     /// Gives a trigger its final answer. Void tickets are passed over.
     pub fn answer(&mut self, now: Time, ticket: Ticket, reply: Arc<Reply>) {
         self.now = now;
-        self.owe(ticket.number, Owed::Answer(reply));
+        self.enqueue_answer(ticket.number, PendingAnswer::Answer(reply));
     }
 
     /// Settles a trigger without an answer.
     pub fn forget(&mut self, now: Time, ticket: Ticket) {
         self.now = now;
-        self.owe(ticket.number, Owed::Nothing);
+        self.enqueue_answer(ticket.number, PendingAnswer::Nothing);
     }
 
     /// Takes no more deliveries; once all are settled the connection is closed.
@@ -316,7 +327,7 @@
     }
 
     fn finish_stop(&mut self) {
-        if self.stopping && self.held.is_empty() && !matches!(self.phase, Phase::Stopped) {
+        if self.stopping && self.in_flight.is_empty() && !matches!(self.phase, Phase::Stopped) {
             if let Some(endpoint) = &mut self.endpoint {
                 endpoint.close(Fault::new(Code::Success, "done"));
             }
@@ -324,9 +335,9 @@
         }
     }
 
-    fn owe(&mut self, ticket: u64, owed: Owed) {
-        if self.held.contains_key(&ticket) {
-            self.owed.push_back((ticket, owed));
+    fn enqueue_answer(&mut self, ticket: u64, pending: PendingAnswer) {
+        if self.in_flight.contains_key(&ticket) {
+            self.pending.push_back((ticket, pending));
             self.begin_commit();
         }
     }
@@ -351,10 +362,10 @@
     /// Deliveries to hold at most: those held, and as many more as there is room for.
     fn limit(&self) -> u16 {
         let most = usize::from(self.settings.prefetch.max(1));
-        (self.held.len() + self.room).clamp(1, most) as u16
+        (self.in_flight.len() + self.room).clamp(1, most) as u16
     }
 
-    fn follow_room(&mut self) {
+    fn apply_room(&mut self) {
         match self.phase {
             Phase::Consuming(channel) => {
                 if self.room == 0 {
@@ -362,20 +373,21 @@
                 }
                 let limit = self.limit();
                 // Small steps up are not worth a round trip; each step down is.
-                let worth =
-                    limit < self.told.0 || limit == self.settings.prefetch || limit >= self.told.0 * 2;
+                let worth = limit < self.sent_limit.count
+                    || limit == self.settings.prefetch
+                    || limit >= self.sent_limit.count * 2;
                 if self.settings.qos == Qos::Channel
-                    && limit != self.told.0
+                    && limit != self.sent_limit.count
                     && worth
-                    && self.now >= self.told.1 + QOS_GAP
+                    && self.now >= self.sent_limit.at + QOS_GAP
                 {
-                    self.tell_limit(limit);
+                    self.send_limit(limit);
                 }
             }
             // Begun again only with some room, or each message would begin and end a consumer.
             Phase::Paused(channel, None) if !self.stopping => {
                 let enough = (usize::from(self.settings.prefetch) / 4).max(1);
-                if self.room >= enough || self.held.is_empty() && self.room > 0 {
+                if self.room >= enough || self.in_flight.is_empty() && self.room > 0 {
                     self.consume(channel);
                 }
             }
@@ -383,8 +395,8 @@
         }
     }
 
-    fn tell_limit(&mut self, limit: u16) {
-        self.told = (limit, self.now);
+    fn send_limit(&mut self, limit: u16) {
+        self.sent_limit = SentLimit { count: limit, at: self.now };
         let global = self.settings.qos == Qos::Channel;
         self.send(Method::BasicQos { prefetch_size: 0, prefetch_count: limit, global });
     }
@@ -398,7 +410,7 @@
     fn consume(&mut self, channel: u16) {
         let limit = self.limit();
         self.phase = Phase::Setup(channel);
-        self.tell_limit(limit);
+        self.send_limit(limit);
         // A new tag each time: a delivery for the last one may still be on its way.
         self.tags += 1;
         self.tag = ShortStr::truncated(&format!("{}-{}", self.settings.front_end, self.tags));
@@ -507,13 +519,13 @@
             }
             (Method::TxCommitOk {}, _) => {
                 for number in std::mem::take(&mut self.committing) {
-                    if self.held.remove(&number).is_some() {
+                    if self.in_flight.remove(&number).is_some() {
                         let ticket = Ticket { source: self.settings.source, number };
                         self.notices.push_back(Notice::Settled(ticket));
                     }
                 }
                 self.begin_commit();
-                self.follow_room();
+                self.apply_room();
                 self.finish_stop();
             }
             _ => {}
@@ -523,7 +535,7 @@
     fn delivered(&mut self, tag: u64, redelivered: bool, content: Content) {
         let number = self.next_ticket;
         self.next_ticket += 1;
-        self.held.insert(number, Held { tag, address: Address::of(&content.properties) });
+        self.in_flight.insert(number, InFlight { tag, address: Address::of(&content.properties) });
         let ConsumerSettings { queue, route, classes, .. } = &self.settings;
         let arrival = ArrivalTime { wall_ms: self.wall_ms, latest_wall_ms: self.latest_wall_ms };
         let read = message::read(&content, queue, route, classes, arrival).and_then(|read| {
@@ -545,32 +557,32 @@
             Err(why) => {
                 let message_id = content.properties.message_id.as_deref().map(str::to_string);
                 self.notices.push_back(Notice::Unreadable { message_id, why: why.clone() });
-                self.owe(number, Owed::Unreadable(why, Box::new(content)));
+                self.enqueue_answer(number, PendingAnswer::Unreadable(why, Box::new(content)));
             }
         }
     }
 
     // ---- answers ----
 
-    /// Publishes what is owed and acks its messages, in one transaction: done both or neither.
+    /// Publishes what is pending and acks its messages, in one transaction: done both or neither.
     fn begin_commit(&mut self) {
         let Some(channel) = self.channel() else { return };
         let full = self.endpoint.as_ref().is_none_or(|e| e.output_len() > MAX_OUTPUT);
-        if self.blocked || !self.committing.is_empty() || self.owed.is_empty() || full {
+        if self.blocked || !self.committing.is_empty() || self.pending.is_empty() || full {
             return;
         }
         while self.committing.len() < MAX_BATCH {
-            let Some((ticket, owed)) = self.owed.pop_front() else { break };
-            let Some(Held { tag, address }) = self.held.get(&ticket) else { continue };
+            let Some((ticket, pending)) = self.pending.pop_front() else { break };
+            let Some(InFlight { tag, address }) = self.in_flight.get(&ticket) else { continue };
             let (tag, address) = (*tag, address.clone());
             let mut settle = Method::BasicAck { delivery_tag: tag, multiple: false };
-            match owed {
-                Owed::Nothing => {}
-                Owed::Answer(reply) => {
+            match pending {
+                PendingAnswer::Nothing => {}
+                PendingAnswer::Answer(reply) => {
                     let (properties, body) = message::answer(&address, &reply);
                     self.publish_answer(channel, &address, properties, &body);
                 }
-                Owed::Unreadable(why, content) => {
+                PendingAnswer::Unreadable(why, content) => {
                     self.publish_answer(channel, &address, message::answer_unreadable(&address, &why), &[]);
                     match self.settings.dead_letter.as_ref().filter(|_| !self.no_dead_letters) {
                         Some((exchange, key)) => {
