--- a/crates/pipithub-directory/tests/core.rs
+++ b/crates/pipithub-directory/tests/core.rs
@@ -137,6 +137,23 @@
     assert!((0..500).filter(|n| fresh(*n)).count() >= 490);
 }
 
+/// The peak is in wall time: it had been counted from the wall time at the start for good.
+#[test]
+fn after_a_step_of_the_wall_clock_the_peak_is_where_the_wall_has_it() {
+    let peak = Peak { at: 6 * 3_600_000, ahead: 3_600_000 };
+    let mut core = core(10_000, |d| d.peak = Some(peak));
+    let (mut now, mut out) = (S, Vec::new());
+    core.set_wall(now, 3 * 3_600_000 + 1_000);
+    for n in 0..100 {
+        core.handle(now, Input::Wanted { user: format!("u{n}").into(), urgent: true }, &mut out);
+    }
+    run(&mut core, &mut now, 2 * S, std::mem::take(&mut out));
+    let asked = run(&mut core, &mut now, 5 * HOUR, Vec::new());
+    let asked: Vec<_> = asked.into_iter().filter(|(_, users)| *users > 0).collect();
+    assert!(asked.iter().map(|(_, users)| users).sum::<usize>() >= 98, "{asked:?}");
+    assert!(asked.iter().all(|(at, _)| (2 * HOUR..=3 * HOUR + 60 * S).contains(at)), "{asked:?}");
+}
+
 #[test]
 fn users_and_queues_are_bounded() {
     let mut core = core(50, |_| {});
@@ -194,6 +211,35 @@
     }
 }
 
+/// A step back between the writing and the restart must not make facts look as fresh as when they were written.
+#[test]
+fn facts_from_a_snapshot_of_the_future_are_old() {
+    let mut core = core(100, |_| {});
+    let claim = Claim {
+        directory: 0,
+        told: Told::Tenant(TenantId(1)),
+        person: Person(7),
+        confirmed: 0,
+        mark: 3,
+        spread: 0,
+        seen: 0,
+    };
+    core.restore(0, vec![("mai".into(), claim)]);
+    let (of, key, wall) = ([1; 32], &b"sixteen bytes...."[..], 1_800_000_000_000);
+    let bytes = snapshot::write(core.roster(), S, wall, of, key);
+    let age = |wall| {
+        let facts = snapshot::read(&bytes, 0, wall, of, key, |_| Some(12 * HOUR))?;
+        Ok(-facts[0].1.confirmed)
+    };
+    assert_eq!(age(wall), Ok(1_000));
+    assert_eq!(age(wall + 5_000), Ok(6_000));
+    assert_eq!(age(wall - 1), Ok(61_000));
+    assert_eq!(age(wall - 60_000), Ok(61_000));
+    assert_eq!(age(wall - 60_001), Err(snapshot::Refused::Future(60_001)));
+    assert_eq!(age(wall - 3_600_000), Err(snapshot::Refused::Future(3_600_000)));
+    assert_eq!(age(i64::MIN), Err(snapshot::Refused::Future(i64::MAX)));
+}
+
 /// Two followed directories were told whole in one moment: the second one's end lost the first one's, and whoever was gone
 /// from that stayed, as fresh as the connection.
 #[test]
