--- a/crates/pipithub-node/src/lib.rs
+++ b/crates/pipithub-node/src/lib.rs
@@ -10,4 +10,5 @@
 pub mod desk;
 pub mod pool;
 pub mod shell;
+pub mod sockets;
 pub mod staleness;
--- a/crates/pipithub-node/src/shell.rs
+++ b/crates/pipithub-node/src/shell.rs
@@ -20,10 +20,11 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::{Notify, watch};
 use tokio::time::Instant;
-use tracing::{debug, error, info, warn};
+use tracing::{debug, error, info};
 
 use crate::coordinator;
 use crate::core::{ConnId, Core, Effect};
+use crate::sockets::{self, ConnectError, LOCAL_RETRY, LocalFaults, TransferEnd};
 
 /// What is read at a time: more than a usual client sends in one breath, so that its close behind that is seen with it.
 const READ: usize = 64 << 10;
@@ -52,9 +53,6 @@
 const LOOK_AGAIN: Duration = Duration::from_millis(50);
 const LOOKS_MOST: u32 = 6;
 
-/// EAGAIN, ENFILE, EMFILE, EADDRNOTAVAIL, ENOBUFS and ENOMEM, on Linux: what this machine lacks tells nothing of a worker.
-const OWN_WANT: [i32; 6] = [11, 23, 24, 99, 105, 12];
-
 /// Why a front end could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
@@ -106,6 +104,8 @@
     closing: Cell<bool>,
     /// It cannot be written any more.
     broken: Cell<bool>,
+    /// This machine lacked something when it was last read or written.
+    exhausted: Cell<bool>,
     /// What the core was last told of a worker that does not read.
     blocked: Cell<Option<u64>>,
     wake: Notify,
@@ -171,6 +171,7 @@
             written: Cell::new(0),
             closing: Cell::new(false),
             broken: Cell::new(false),
+            exhausted: Cell::new(false),
             blocked: Cell::new(None),
             wake: Notify::new(),
             slot,
@@ -217,18 +218,17 @@
     }
 
     fn flush(&self, unwritten: &mut BytesMut) {
-        while !unwritten.is_empty() && !self.broken.get() {
-            match self.stream.try_write(unwritten) {
-                Ok(0) => self.broken.set(true),
-                Ok(n) => {
-                    self.written.set(self.written.get() + n as u64);
-                    unwritten.advance(n);
-                    self.slot.0.unwritten.set(self.slot.0.unwritten.get() - n);
-                }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => self.broken.set(true),
-            }
+        if self.broken.get() {
+            return;
+        }
+        let (count, end) = sockets::write_now(unwritten, |bytes| self.stream.try_write(bytes));
+        self.written.set(self.written.get() + count as u64);
+        unwritten.advance(count);
+        self.slot.0.unwritten.set(self.slot.0.unwritten.get() - count);
+        match end {
+            TransferEnd::Complete | TransferEnd::Blocked => {}
+            TransferEnd::Exhausted => self.exhausted.set(true),
+            TransferEnd::Ended => self.broken.set(true),
         }
         if unwritten.is_empty() && unwritten.capacity() > KEPT {
             *unwritten = BytesMut::new();
@@ -243,6 +243,7 @@
     clients: Rc<Slots>,
     workers: Rc<Slots>,
     lingering: Cell<usize>,
+    local_faults: LocalFaults,
     /// The process is about to end: nothing more is accepted.
     ending: Cell<bool>,
     /// When something was last read from a client or written to one, or a client came.
@@ -346,26 +347,24 @@
                 tokio::task::spawn_local(async move {
                     let within = Duration::from_nanos(within);
                     let most = shell.core.borrow().workers_most() + CLOSING_MOST;
-                    let dialled = Cell::new(false);
-                    let connect = async {
+                    let dial = async |dialled: &Cell<bool>| {
                         shell.workers.below(most).await;
                         dialled.set(true);
                         let slot = shell.workers.take();
                         TcpStream::connect(&*address).await.map(|stream| (stream, slot))
                     };
-                    match tokio::time::timeout(within, connect).await {
-                        Ok(Ok((stream, slot))) => {
+                    match sockets::connect(within, dial, &shell.local_faults).await {
+                        Ok((stream, slot)) => {
                             let socket = Socket::new(stream, Side::Worker, slot);
                             shell.sockets.borrow_mut().insert(conn, socket.clone());
                             shell.with(|core, now| core.worker_up(now, conn));
                             shell.pump(conn, socket).await;
                         }
-                        Ok(Err(error)) => {
+                        Err(error) => {
                             debug!(conn, %error, "cannot connect");
-                            let own = error.raw_os_error().is_some_and(|code| OWN_WANT.contains(&code));
+                            let own = matches!(error, ConnectError::Local);
                             shell.with(|core, now| core.worker_failed(now, conn, own));
                         }
-                        Err(_) => shell.with(|core, now| core.worker_failed(now, conn, !dialled.get())),
                     }
                 });
             }
@@ -379,6 +378,7 @@
             if socket.closing.get() || socket.broken.get() {
                 break;
             }
+            self.rest(&socket).await;
             let interest = if empty { Interest::READABLE } else { Interest::READABLE | Interest::WRITABLE };
             let ready = tokio::select! {
                 ready = socket.stream.ready(interest) => ready,
@@ -420,10 +420,20 @@
         });
     }
 
+    /// Waits for a moment where this machine lacked something when a connection was last read or written: that is tried
+    /// again, as whoever is at the other end is not to blame.
+    async fn rest(&self, socket: &Socket) {
+        if socket.exhausted.take() {
+            self.local_faults.note();
+            tokio::time::sleep(LOCAL_RETRY).await;
+        }
+    }
+
     /// Sends a client its last answers, says that no more follow, and reads on until it has closed too: a close with input
     /// unread is a reset, which would destroy answers that the client has not read yet.
     async fn linger(&self, socket: &Socket) {
         while !socket.unwritten.borrow().is_empty() && !socket.broken.get() {
+            self.rest(socket).await;
             if socket.stream.writable().await.is_err() {
                 return;
             }
@@ -451,17 +461,14 @@
             return Progress::Ended;
         }
         let mut scratch = self.scratch.borrow_mut();
-        let mut filled = 0;
-        while filled < scratch.len() {
-            match socket.stream.try_read(&mut scratch[filled..]) {
-                Ok(n) if n > 0 => filled += n,
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                // A client that has closed has gone: nothing that it asked for before is begun for nobody. What a
-                // worker said before its close counts.
-                _ if socket.side == Side::Client || filled == 0 => return Progress::Ended,
-                _ => break,
-            }
+        let (filled, end) = sockets::read_now(&mut scratch, |buffer| socket.stream.try_read(buffer));
+        if end == TransferEnd::Exhausted {
+            socket.exhausted.set(true);
+        }
+        // A client that has closed has gone: nothing that it asked for before is begun for nobody. What a worker said
+        // before its close counts.
+        if end == TransferEnd::Ended && (socket.side == Side::Client || filled == 0) {
+            return Progress::Ended;
         }
         if filled == 0 {
             return Progress::Drained;
@@ -474,30 +481,27 @@
         if socket.side == Side::Client {
             self.active.set(self.clock.now());
         }
-        if filled < scratch.len() { Progress::Drained } else { Progress::More }
+        if end == TransferEnd::Complete { Progress::More } else { Progress::Drained }
     }
 
     async fn accept(self: Rc<Self>, listener: TcpListener) {
         let most = self.core.borrow().clients_most() + LINGERING_MOST + NEWCOMERS_MOST;
-        loop {
+        let accept = async || {
             self.clients.below(most).await;
-            match listener.accept().await {
-                Ok((stream, _)) => {
-                    let conn = self.core.borrow_mut().number();
-                    let socket = Socket::new(stream, Side::Client, self.clients.take());
-                    self.active.set(self.clock.now());
-                    self.sockets.borrow_mut().insert(conn, socket.clone());
-                    self.with(|core, now| core.client_opened(now, conn));
-                    let shell = self.clone();
-                    tokio::task::spawn_local(async move { shell.pump(conn, socket).await });
-                }
-                Err(error) => {
-                    // Out of descriptors, most likely: those that close make room.
-                    warn!(%error, "cannot accept");
-                    tokio::time::sleep(Duration::from_millis(10)).await;
-                }
-            }
-        }
+            listener.accept().await
+        };
+        let take = |(stream, _)| {
+            let conn = self.core.borrow_mut().number();
+            let socket = Socket::new(stream, Side::Client, self.clients.take());
+            self.active.set(self.clock.now());
+            self.sockets.borrow_mut().insert(conn, socket.clone());
+            self.with(|core, now| core.client_opened(now, conn));
+            let shell = self.clone();
+            tokio::task::spawn_local(async move { shell.pump(conn, socket).await });
+        };
+        sockets::accept_all(accept, take, &self.local_faults).await;
+        // Nobody reaches this process any more: what it has taken is finished, and it ends.
+        self.with(|core, now| core.stop(now));
     }
 
     /// Whether the process may end: all that was taken is answered and written, and for a while nothing new was seen on
@@ -604,6 +608,7 @@
             clients: Slots::new(unwritten_most),
             workers: Slots::new(unwritten_most),
             lingering: Cell::new(0),
+            local_faults: LocalFaults::default(),
             ending: Cell::new(false),
             active: Cell::new(clock.now()),
             touched: RefCell::default(),
@@ -661,6 +666,7 @@
         accepting.abort();
         shell.end().await;
         let (stats, open) = (shell.core.borrow().stats(), shell.core.borrow().open());
-        info!(front_end = config.name, open, ?stats, "front end down");
+        let local_faults = shell.local_faults.count();
+        info!(front_end = config.name, open, ?stats, local_faults, "front end down");
     }
 }
