--- a/crates/pipithub-hollow/src/lib.rs
+++ b/crates/pipithub-hollow/src/lib.rs
@@ -8,7 +8,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-use pipithub_clock::{Clock, Time};
+use pipithub_clock::{Clock, Time, wall_ns};
 use pipithub_node::coordinator;
 use pipithub_node::core::{Core, Effect};
 use pipithub_platform::config::NodeConfig;
@@ -55,7 +55,7 @@
         let told = inner.clone();
         let names = config.site.names.clone();
         let follow = coordinator::follow(followed, last, names, config.seed, move |event| {
-            told.with(|core, now| core.list(now, &event));
+            told.with(|core, now| core.list_at(now, wall_ns(), &event));
             told.last.set(event.index);
             told.events.set(told.events.get() + 1);
             (told.taken)(event.index);
--- a/crates/pipithub-node/src/core.rs
+++ b/crates/pipithub-node/src/core.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use pipithub_engine::policy::{Effect as Repeats, ListKind, Load, Outcome, RequestId, State, Worker};
+use pipithub_engine::policy::{Effect as Repeats, Entry, ListKind, Load, Outcome, RequestId, State, Worker};
 use pipithub_engine::{
     AttemptEnd, AttemptId, Call, Engine, EngineSettings, Input, OrderEnd, Output, ProbeEnd, Reply, Served,
     SourceId, Stats, Ticket, Time, Trigger, Verdict,
@@ -18,6 +18,7 @@
 
 use crate::desk::{BEYOND, Caller, Desk, FAULTY, OPEN_MOST};
 use crate::pool::{Job, Lost, Pool, Request, Task};
+use crate::start_times::StartTimes;
 
 /// Names one connection, to a client or to a worker; never used twice.
 pub type ConnId = u64;
@@ -107,6 +108,7 @@
     stopping: Option<Time>,
     draining: bool,
     listed: bool,
+    start_times: StartTimes,
     inputs: VecDeque<Input>,
     outputs: Vec<Output>,
     effects: Vec<Effect>,
@@ -143,6 +145,7 @@
             stopping: None,
             draining: false,
             listed: false,
+            start_times: StartTimes::default(),
             inputs: VecDeque::new(),
             outputs: Vec::new(),
             effects: Vec::new(),
@@ -244,21 +247,38 @@
 
     // ---- the list ----
 
-    /// Takes a change of the worker list.
+    /// Takes a change of the worker list while the wall clock agrees with `now`.
     pub fn list(&mut self, now: Time, event: &ListEvent) {
+        self.list_at(now, now, event);
+    }
+
+    /// Takes a change of the worker list; `wall`: the wall clock at this moment, in Unix nanoseconds, by which the list
+    /// states when workers started.
+    pub fn list_at(&mut self, now: Time, wall: Time, event: &ListEvent) {
         if event.kind != ListKind::Changes {
             let named: BTreeSet<&Worker> = event.hosts.iter().map(|(e, _)| &e.worker).collect();
             self.pool.keep_only(&named);
+            self.start_times.keep_only(|worker| named.contains(worker));
         }
         for (entry, address) in &event.hosts {
             debug!(front_end = self.name, worker = &*entry.worker.0, state = ?entry.state, address, "list");
             self.pool.place(&entry.worker, address, entry.state == State::Gone);
         }
         self.listed = true;
-        let entries = event.hosts.iter().map(|(e, _)| e.clone()).collect();
+        let entries = event.hosts.iter().map(|(entry, _)| self.with_start_time(entry, now, wall)).collect();
         self.run(now, Input::Workers { kind: event.kind, entries });
     }
 
+    /// An entry whose start is told by this process's clock.
+    fn with_start_time(&mut self, entry: &Entry, now: Time, wall: Time) -> Entry {
+        if entry.state == State::Gone {
+            self.start_times.forget(&entry.worker);
+        }
+        let resolve = |stamp| self.start_times.resolve(&entry.worker, stamp, now, wall);
+        let started = entry.started.map(resolve);
+        Entry { started, ..entry.clone() }
+    }
+
     // ---- clients ----
 
     /// A client has connected.
--- a/crates/pipithub-node/src/lib.rs
+++ b/crates/pipithub-node/src/lib.rs
@@ -12,3 +12,4 @@
 pub mod shell;
 pub mod sockets;
 pub mod staleness;
+pub mod start_times;
--- a/crates/pipithub-node/src/shell.rs
+++ b/crates/pipithub-node/src/shell.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use bytes::{Buf, BytesMut};
-use pipithub_clock::Clock;
+use pipithub_clock::{Clock, wall_ns};
 use pipithub_engine::Time;
 use pipithub_platform::config::NodeConfig;
 use socket2::SockRef;
@@ -623,7 +623,7 @@
         let names = config.site.names.clone();
         let told = shell.clone();
         tokio::task::spawn_local(coordinator::follow(followed, last, names, config.seed, move |event| {
-            told.with(|core, now| core.list(now, &event));
+            told.with(|core, now| core.list_at(now, wall_ns(), &event));
         }));
         let address = listener.local_addr().map_or_else(|e| e.to_string(), |a| a.to_string());
         let accepting = tokio::task::spawn_local(shell.clone().accept(listener));
--- /dev/null
+++ b/crates/pipithub-node/src/start_times.rs
@@ -0,0 +1,47 @@
+//! When workers started, on this process's own monotonic clock.
+//!
+//! The endpoint list states starts by the wall clock, and the wall clock may be stepped while this process runs. Slow
+//! start is a span of real time, so each stamp becomes a monotonic time once, by both clocks as they stand when it is
+//! first seen, and keeps it: a later step must not make the worker older or younger, nor look like a restart.
+
+use std::collections::BTreeMap;
+
+use pipithub_engine::Time;
+use pipithub_engine::policy::Worker;
+
+/// A start as it was stated and as it counts here.
+#[derive(Clone, Copy, Debug)]
+struct Start {
+    stamp: Time,
+    time: Time,
+}
+
+/// The starts of the workers in the list; bounded by the list.
+#[derive(Debug, Default)]
+pub struct StartTimes {
+    starts: BTreeMap<Worker, Start>,
+}
+
+impl StartTimes {
+    /// The monotonic time of a start that the list states as `stamp`, with both clocks at this moment: `now` and
+    /// `wall`, Unix nanoseconds. A stamp in the future counts as now.
+    pub fn resolve(&mut self, worker: &Worker, stamp: Time, now: Time, wall: Time) -> Time {
+        if let Some(start) = self.starts.get(worker).filter(|start| start.stamp == stamp) {
+            return start.time;
+        }
+        let age = wall.saturating_sub(stamp);
+        let time = now.saturating_sub(age).max(1);
+        self.starts.insert(worker.clone(), Start { stamp, time });
+        time
+    }
+
+    /// Forgets a worker that has been removed.
+    pub fn forget(&mut self, worker: &Worker) {
+        self.starts.remove(worker);
+    }
+
+    /// Forgets all workers but these.
+    pub fn keep_only(&mut self, holds: impl Fn(&Worker) -> bool) {
+        self.starts.retain(|worker, _| holds(worker));
+    }
+}
