--- a/crates/pipithub-policy/src/decide.rs
+++ b/crates/pipithub-policy/src/decide.rs
@@ -1074,10 +1074,8 @@
     /// use theirs at once. It hurts where few want the worker: it is used too little.
     fn cold_budget_left(&self, node: &Node) -> bool {
         let (rules, now) = (&self.s.rules, self.now);
-        let Some(started) = node.entry.started.filter(|t| now < t + rules.ramp) else { return true };
-        if rules.fall_span == 0 || rules.fall_multiple <= 0.0 {
-            return true;
-        }
+        let can_fall = |t: &Time| now < t + rules.ramp && rules.fall_span > 0 && rules.fall_multiple > 0.0;
+        let Some(started) = node.entry.started.filter(can_fall) else { return true };
         let age = now.saturating_sub(started) as f64 / rules.ramp.max(1) as f64;
         let part = rules.cold_from + (1.0 - rules.cold_from) * age;
         let rate = rules.fall_multiple * part * self.warm_rate;
@@ -1091,11 +1089,10 @@
         node.sends.back().is_none_or(|t| *t < now - now % slot) && draw < COLD_SHARE * rate * slot as f64
     }
 
-    /// What a warm worker serves this front end, in calls for each unit of time. Where none is warm the last
-    /// figure stands; it is never held to be under a quarter of this front end's part of the calls.
+    /// What a warm worker serves this front end, in calls for each unit of time; the last figure where none
+    /// is warm. The least is a quarter of the own part of the calls, or of what was usually served if less.
     fn learn_warm_rate(&mut self) {
-        let (now, ramp) = (self.now, self.s.rules.ramp);
-        let live = self.nodes.live();
+        let (now, ramp, live) = (self.now, self.s.rules.ramp, self.nodes.live());
         let warm = live - self.nodes.started_since((now + 1).saturating_sub(ramp));
         let is_warm = |n: &&Node| n.is_live() && n.entry.started.is_none_or(|t| now >= t + ramp);
         let within = |n: &Node| n.served.iter().filter(|(t, _)| t + RATE_SPAN > now).count();
@@ -1103,6 +1100,9 @@
         let mean = |total: usize, count: usize| total as f64 / count.max(1) as f64 / RATE_SPAN as f64;
         let came = self.arrivals.since((now + 1).saturating_sub(RATE_SPAN));
         let rate = if warm == 0 { self.warm_rate } else { mean(served, warm) };
-        self.warm_rate = rate.max(mean(came, live) * RATE_FLOOR);
+        if warm > 0 {
+            self.usual_warm_rate.add(rate);
+        }
+        self.warm_rate = rate.max(self.usual_warm_rate.cap(mean(came, live)) * RATE_FLOOR);
     }
 }
--- a/crates/pipithub-policy/tests/plain/decide.rs
+++ b/crates/pipithub-policy/tests/plain/decide.rs
@@ -1089,8 +1089,8 @@
         node.sends.back().is_none_or(|t| *t < now - now % slot) && draw < COLD_SHARE * rate * slot as f64
     }
 
-    /// What a warm worker serves this front end, in calls for each unit of time. Where none is warm the last
-    /// figure stands; it is never held to be under a quarter of this front end's part of the calls.
+    /// What a warm worker serves this front end, in calls for each unit of time; the last figure where none
+    /// is warm. The least is a quarter of the own part of the calls, or of what was usually served if less.
     fn learn_warm_rate(&mut self) {
         let (now, ramp) = (self.now, self.s.rules.ramp);
         let live = || self.nodes.values().filter(|n| n.entry.state == State::Live);
@@ -1100,6 +1100,9 @@
         let came = self.arrivals.iter().filter(|t| **t + RATE_SPAN > now).count();
         let served: Vec<usize> = warm.map(within).collect();
         let rate = if served.is_empty() { self.warm_rate } else { mean(served.iter().sum(), served.len()) };
-        self.warm_rate = rate.max(mean(came, live().count()) * RATE_FLOOR);
+        if !served.is_empty() {
+            self.usual_warm_rate.add(rate);
+        }
+        self.warm_rate = rate.max(self.usual_warm_rate.cap(mean(came, live().count())) * RATE_FLOOR);
     }
 }
--- a/crates/pipithub-policy/tests/plain/state.rs
+++ b/crates/pipithub-policy/tests/plain/state.rs
@@ -29,6 +29,8 @@
     pub(crate) allowance: f64,
     /// Calls that a warm worker serves this front end, for each unit of time.
     pub(crate) warm_rate: f64,
+    /// Its mean over a longer time.
+    pub(crate) usual_warm_rate: RunningMean,
     /// Mean of what workers told to hold, and of how far runs were stretched there.
     pub(crate) held_seen: (f64, f64),
     /// Calls that may now be sent on a guess.
@@ -39,6 +41,33 @@
     pub(crate) lost: f64,
 }
 
+/// A mean over the last samples: each weighs as much as the others while there are few, and fades later.
+#[derive(Debug, Default)]
+pub(crate) struct RunningMean {
+    mean: f64,
+    samples: u32,
+}
+
+impl RunningMean {
+    /// So many samples weigh alike before the oldest ones fade.
+    const SAMPLES_MOST: u32 = 400;
+
+    /// Takes in a sample.
+    pub(crate) fn add(&mut self, sample: f64) {
+        self.samples = (self.samples + 1).min(Self::SAMPLES_MOST);
+        self.mean += (sample - self.mean) / f64::from(self.samples);
+    }
+
+    /// A value held to the mean at most; before the first sample nothing bounds it.
+    pub(crate) fn cap(&self, value: f64) -> f64 {
+        if self.samples == 0 {
+            value
+        } else {
+            value.min(self.mean)
+        }
+    }
+}
+
 /// A send that has no outcome yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Sent {
--- /dev/null
+++ b/crates/pipithub-policy/tests/slow_start.rs
@@ -0,0 +1,569 @@
+//! The slow-start budget of workers that have just started, summed over all front ends of a fleet.
+//!
+//! The operators let a warming worker fall when, within `fall_span`, it is sent more than its budget N and
+//! a margin for chance. Each front end decides alone, so the fleet is simulated here: every start is drawn,
+//! and the sum is checked at every single send, not on average.
+
+mod common;
+
+use std::collections::{BTreeMap, VecDeque};
+
+use common::{entry, settings, MS};
+use pipithub_policy::api::*;
+use pipithub_policy::decide::FrontEnd;
+use rand::rngs::SmallRng;
+use rand::{RngExt, SeedableRng};
+
+const SECOND: Time = 1_000 * MS;
+/// Time between a start and the moment the last front end has heard of it.
+const NEWS_DELAY_MOST: Time = SECOND / 2;
+/// When the simulation begins.
+const FIRST_TIME: Time = 1_000 * SECOND;
+/// Traffic before the first start, so that front ends know what warm workers take.
+const LEAD_TIME: Time = 6 * SECOND;
+/// Time from a send to its answer.
+const LATENCY: Time = 50 * MS;
+/// A worker holds up to this backlog, or this many calls, before it turns calls away.
+const BACKLOG_MOST: Time = SECOND / 2;
+const BACKLOG_CALLS: f64 = 2.0;
+/// The traffic of one busy front end, as a multiple of the mean.
+const BUSY_SHARE: f64 = 7.0;
+/// The share of all budgets that a herd may use. The module draws for about half of them: a fleet whose
+/// expected sends come near the budget keeps it by luck alone.
+const HERD_SENDS_MOST: f64 = 0.6;
+/// Period of the front ends' housekeeping timer.
+const HOUSEKEEPING: Time = 50 * MS;
+
+/// How the calls of clients are spread over the front ends.
+#[derive(Clone, Copy, Debug)]
+enum Traffic {
+    Equal,
+    /// Front end `i` gets a share proportional to `1 / (i + 1)`.
+    Unequal,
+    /// One front end gets seven times the mean; of so few that none can, nearly all.
+    OneBusy,
+}
+
+impl Traffic {
+    fn weight(self, front_end: usize, front_ends: usize) -> f64 {
+        let others = front_ends as f64 - 1.0;
+        match self {
+            Traffic::Equal => 1.0,
+            Traffic::Unequal => 1.0 / (front_end as f64 + 1.0),
+            Traffic::OneBusy if front_end == 0 => {
+                BUSY_SHARE * others / (front_ends as f64 - BUSY_SHARE).max(1.0)
+            }
+            Traffic::OneBusy => 1.0,
+        }
+    }
+}
+
+/// One simulated fleet.
+#[derive(Clone, Debug)]
+struct Scenario {
+    front_ends: usize,
+    traffic: Traffic,
+    /// In each ramp, half of the front ends restart at one drawn moment.
+    restarts: bool,
+    /// Requests that a worker may be sent within `fall_span` as it starts; it grows with the ramp.
+    first_budget: f64,
+    /// Workers that are warm throughout, and places in which one warming worker follows another.
+    warm_workers: usize,
+    warming_places: usize,
+    /// Arrivals as a multiple of what all workers would serve if they were warm.
+    demand: f64,
+    rules: Rules,
+    /// Starts to draw, at least.
+    starts: usize,
+    seed: u64,
+}
+
+impl Scenario {
+    fn new(front_ends: usize, traffic: Traffic, first_budget: f64, starts: usize) -> Scenario {
+        Scenario {
+            front_ends,
+            traffic,
+            restarts: false,
+            first_budget,
+            warm_workers: 3,
+            warming_places: 9,
+            demand: 1.5,
+            rules: Rules { cold_from: 0.2, ramp: 6 * SECOND, fall_multiple: 3.0, fall_span: 2 * SECOND },
+            starts,
+            seed: 43,
+        }
+    }
+
+    /// Calls that a warm worker serves in a second.
+    fn capacity(&self) -> f64 {
+        let span = self.rules.fall_span as f64 / SECOND as f64;
+        self.first_budget / (self.rules.fall_multiple * self.rules.cold_from * span)
+    }
+
+    /// The share of its capacity that a worker of this age has.
+    fn warmth(&self, age: Time) -> f64 {
+        let ramped = (age as f64 / self.rules.ramp as f64).min(1.0);
+        self.rules.cold_from + (1.0 - self.rules.cold_from) * ramped
+    }
+
+    /// How often each place gets a new worker.
+    fn rounds(&self) -> u64 {
+        self.starts.div_ceil(self.warming_places) as u64
+    }
+
+    /// The budget N of a worker of this age.
+    fn budget(&self, age: Time) -> f64 {
+        self.first_budget * self.warmth(age) / self.rules.cold_from
+    }
+}
+
+/// The most requests within `fall_span` that a warming worker with this budget survives.
+fn survivable(budget: f64) -> f64 {
+    if budget < 30.0 {
+        budget + 3.0 * budget.sqrt() + 3.0
+    } else {
+        budget + 2.0 * budget.sqrt() + 2.0
+    }
+}
+
+/// What came of all starts of a scenario.
+#[derive(Debug, Default)]
+struct Summary {
+    starts: usize,
+    /// Starts in which some window was overdrawn.
+    overdrawn: usize,
+    /// The fullest window, as a share of what is survivable.
+    fullest: f64,
+    /// Requests sent to warming workers, and their budgets over the time played.
+    sent: f64,
+    budgeted: f64,
+}
+
+/// What happens next in the simulation.
+enum Happening {
+    ClientCall,
+    Answer {
+        front_end: usize,
+        incarnation: u32,
+        finished: Finished,
+    },
+    /// A new worker takes the place of the one there.
+    WorkerStart {
+        place: usize,
+    },
+    /// A front end hears that a worker followed another.
+    News {
+        front_end: usize,
+        left: Entry,
+        came: Entry,
+    },
+    Restarts,
+}
+
+/// A worker with a rate of calls that it can take.
+#[derive(Default)]
+struct SimulatedWorker {
+    /// `None`: warm from the beginning.
+    started: Option<Time>,
+    /// When it is done with all it was sent.
+    free_at: Time,
+    /// Sends within the last `fall_span`.
+    recent_sends: VecDeque<Time>,
+    overdrawn: bool,
+}
+
+struct SimulatedFrontEnd {
+    module: FrontEnd,
+    seed: u64,
+    /// How often it has restarted: answers to earlier incarnations are lost.
+    incarnation: u32,
+    housekeeping_token: u64,
+    housekept: Time,
+}
+
+struct Fleet {
+    scenario: Scenario,
+    settings: Settings,
+    now: Time,
+    end: Time,
+    random: SmallRng,
+    front_ends: Vec<SimulatedFrontEnd>,
+    /// Running sums of the weights of the front ends' traffic.
+    shares: Vec<f64>,
+    workers: BTreeMap<Worker, SimulatedWorker>,
+    /// In each place two names take turns.
+    names: Vec<[Worker; 2]>,
+    turns: Vec<usize>,
+    /// A function whose first choice is the worker.
+    functions: BTreeMap<Worker, Function>,
+    attempts: BTreeMap<RequestId, u32>,
+    next_request: RequestId,
+    queue: BTreeMap<(Time, u64), Happening>,
+    queued: u64,
+    summary: Summary,
+}
+
+/// The entry of a worker in the list.
+fn listed(worker: &Worker, started: Option<Time>) -> Entry {
+    Entry { started, ..entry(&worker.0) }
+}
+
+/// For each worker a function that tries it before all others, as the module itself decides.
+fn functions_by_first_choice(workers: &[Worker]) -> BTreeMap<Worker, Function> {
+    let mut scout = FrontEnd::new(settings(Effect::Safe), 1);
+    let entries = workers.iter().map(|w| listed(w, None)).collect();
+    scout.handle(SECOND, Event::List { kind: ListKind::Complete, entries }, &mut Vec::new());
+    let mut found = BTreeMap::new();
+    for number in 0.. {
+        if found.len() == workers.len() {
+            break;
+        }
+        let function = Function(number);
+        let mut actions = Vec::new();
+        let call =
+            Request { id: number, function, lanes: 64, budget: Some(4 * SECOND), ..Request::default() };
+        // Ever later, so that no call meets the queue of an earlier one.
+        scout.handle((number + 2) * 100 * SECOND, Event::Arrived(call), &mut actions);
+        let worker = common::sent_to(&actions).expect("a scouting call is sent");
+        let answer = Finished {
+            request: number,
+            attempt: 0,
+            worker: worker.clone(),
+            outcome: Outcome::Served,
+            took: LATENCY,
+            settled: true,
+            note: None,
+            alike: None,
+            load: Load::default(),
+        };
+        scout.handle((number + 2) * 100 * SECOND + LATENCY, Event::Finished(answer), &mut actions);
+        found.entry(worker).or_insert(function);
+    }
+    found
+}
+
+impl Fleet {
+    fn new(scenario: Scenario) -> Fleet {
+        let mut settings = settings(Effect::Safe);
+        settings.front_ends = scenario.front_ends as u32;
+        settings.rules.clone_from(&scenario.rules);
+        settings.loading = Loading { tells_cold: true, ..Loading::default() };
+        let warm: Vec<Worker> =
+            (0..scenario.warm_workers).map(|i| Worker::new(&format!("warm{i}"))).collect();
+        let name = |place: usize, turn: &str| Worker::new(&format!("place{place}{turn}"));
+        let names: Vec<_> = (0..scenario.warming_places).map(|p| [name(p, "a"), name(p, "b")]).collect();
+        let all: Vec<Worker> = warm.iter().chain(names.iter().flatten()).cloned().collect();
+        let at_first = warm.iter().chain(names.iter().map(|n| &n[0]));
+        let workers = at_first.map(|w| (w.clone(), SimulatedWorker::default())).collect();
+        let mut sum = 0.0;
+        let mut running_sum = |front_end| {
+            sum += scenario.traffic.weight(front_end, scenario.front_ends);
+            sum
+        };
+        let mut fleet = Fleet {
+            settings,
+            now: FIRST_TIME,
+            end: FIRST_TIME + LEAD_TIME + scenario.rules.ramp * scenario.rounds(),
+            random: SmallRng::seed_from_u64(scenario.seed),
+            front_ends: Vec::new(),
+            shares: (0..scenario.front_ends).map(&mut running_sum).collect(),
+            workers,
+            names,
+            turns: vec![0; scenario.warming_places],
+            functions: functions_by_first_choice(&all),
+            attempts: BTreeMap::new(),
+            next_request: 1,
+            queue: BTreeMap::new(),
+            queued: 0,
+            summary: Summary::default(),
+            scenario,
+        };
+        for _ in 0..fleet.scenario.front_ends {
+            let seed = fleet.random.random();
+            let front_end = fleet.start_front_end(seed, 0);
+            fleet.front_ends.push(front_end);
+        }
+        fleet
+    }
+
+    /// Plays the scenario to its end.
+    fn play(scenario: Scenario) -> Summary {
+        let mut fleet = Fleet::new(scenario);
+        let (ramp, places) = (fleet.scenario.rules.ramp, fleet.scenario.warming_places);
+        let first_start = fleet.now + LEAD_TIME;
+        for round in 0..fleet.scenario.rounds() {
+            for place in 0..places {
+                let offset = ramp * place as u64 / places as u64;
+                fleet.schedule(first_start + ramp * round + offset, Happening::WorkerStart { place });
+            }
+            if fleet.scenario.restarts {
+                let moment = fleet.random.random_range(0..ramp);
+                fleet.schedule(first_start + ramp * round + moment, Happening::Restarts);
+            }
+        }
+        fleet.schedule(fleet.now, Happening::ClientCall);
+        while let Some(((at, _), happening)) = fleet.queue.pop_first().filter(|((at, _), _)| *at < fleet.end)
+        {
+            fleet.now = at;
+            fleet.take(happening);
+        }
+        fleet.summary
+    }
+
+    fn schedule(&mut self, at: Time, happening: Happening) {
+        self.queued += 1;
+        self.queue.insert((at, self.queued), happening);
+    }
+
+    fn take(&mut self, happening: Happening) {
+        match happening {
+            Happening::ClientCall => self.client_call(),
+            Happening::Answer { front_end, incarnation, finished } => {
+                if self.front_ends[front_end].incarnation == incarnation {
+                    self.hand_over(front_end, Event::Finished(finished));
+                }
+            }
+            Happening::WorkerStart { place } => self.start_worker(place),
+            Happening::News { front_end, left, came } => {
+                let news = Event::List { kind: ListKind::Changes, entries: vec![left, came] };
+                self.hand_over(front_end, news);
+            }
+            Happening::Restarts => self.restart_half(),
+        }
+    }
+
+    /// A client calls a function that prefers a warming worker; the next call is scheduled.
+    fn client_call(&mut self) {
+        let all = (self.scenario.warm_workers + self.scenario.warming_places) as f64;
+        let rate = self.scenario.demand * self.scenario.capacity() * all / SECOND as f64;
+        let gap = -(1.0 - self.random.random::<f64>()).ln() / rate;
+        self.schedule(self.now + gap as Time, Happening::ClientCall);
+
+        let total = self.shares[self.shares.len() - 1];
+        let point = self.random.random::<f64>() * total;
+        let front_end = self.shares.partition_point(|sum| *sum <= point).min(self.shares.len() - 1);
+        let place = self.random.random_range(0..self.scenario.warming_places);
+        let function = self.functions[&self.names[place][self.turns[place]]];
+        self.next_request += 1;
+        let call = Request {
+            id: self.next_request,
+            function,
+            lanes: 64,
+            load_time: Some(MS),
+            budget: Some(4 * SECOND),
+            ..Request::default()
+        };
+        self.housekeep(front_end);
+        self.hand_over(front_end, Event::Arrived(call));
+    }
+
+    /// Fires the housekeeping timer where it is due: between calls nothing depends on it.
+    fn housekeep(&mut self, front_end: usize) {
+        let simulated = &mut self.front_ends[front_end];
+        if self.now >= simulated.housekept + HOUSEKEEPING {
+            simulated.housekept = self.now;
+            let token = simulated.housekeeping_token;
+            self.hand_over(front_end, Event::Timer { token });
+        }
+    }
+
+    /// Lets the module of a front end handle an event, and does what it wants done.
+    fn hand_over(&mut self, front_end: usize, event: Event) {
+        let mut actions = Vec::new();
+        self.front_ends[front_end].module.handle(self.now, event, &mut actions);
+        for action in actions {
+            match action {
+                Action::Send { request, worker, .. } => self.send(front_end, request, worker),
+                Action::Refuse { request, .. } | Action::Fail { request } => {
+                    self.attempts.remove(&request);
+                }
+                _ => {}
+            }
+        }
+    }
+
+    fn send(&mut self, front_end: usize, request: RequestId, worker: Worker) {
+        let attempts = self.attempts.entry(request).or_default();
+        let attempt = std::mem::replace(attempts, *attempts + 1);
+        let outcome = self.received(&worker);
+        let settled = outcome == Outcome::Served;
+        if settled {
+            self.attempts.remove(&request);
+        }
+        let finished = Finished {
+            request,
+            attempt,
+            worker,
+            outcome,
+            took: LATENCY,
+            settled,
+            note: Some(CopyNote::Warm).filter(|_| settled),
+            alike: None,
+            load: Load::default(),
+        };
+        let incarnation = self.front_ends[front_end].incarnation;
+        self.schedule(self.now + LATENCY, Happening::Answer { front_end, incarnation, finished });
+    }
+
+    /// A worker gets a request: the window that ends with it is checked against the budget, and the worker
+    /// takes the request or turns it away.
+    fn received(&mut self, worker: &Worker) -> Outcome {
+        let Some(simulated) = self.workers.get_mut(worker) else { return Outcome::Unreachable };
+        let (scenario, now) = (&self.scenario, self.now);
+        let age = simulated.started.map_or(scenario.rules.ramp, |started| now - started);
+        if age < scenario.rules.ramp {
+            simulated.recent_sends.retain(|sent| sent + scenario.rules.fall_span > now);
+            simulated.recent_sends.push_back(now);
+            let filled = simulated.recent_sends.len() as f64 / survivable(scenario.budget(age));
+            self.summary.fullest = self.summary.fullest.max(filled);
+            self.summary.sent += 1.0;
+            if filled > 1.0 && !std::mem::replace(&mut simulated.overdrawn, true) {
+                self.summary.overdrawn += 1;
+            }
+        }
+        let time_per_call = SECOND as f64 / (scenario.capacity() * scenario.warmth(age));
+        let free_at = simulated.free_at.max(now) + time_per_call as Time;
+        if free_at - now > BACKLOG_MOST.max((time_per_call * BACKLOG_CALLS) as Time) {
+            return Outcome::Full;
+        }
+        simulated.free_at = free_at;
+        Outcome::Served
+    }
+
+    fn start_worker(&mut self, place: usize) {
+        let left = self.names[place][self.turns[place]].clone();
+        self.turns[place] = 1 - self.turns[place];
+        let came = self.names[place][self.turns[place]].clone();
+        self.workers.remove(&left);
+        let started = Some(self.now);
+        self.workers.insert(came.clone(), SimulatedWorker { started, ..SimulatedWorker::default() });
+        self.summary.starts += 1;
+        // The last workers' ramps are cut short by the end.
+        let played = self.scenario.rules.ramp.min(self.end - self.now);
+        let spans = played as f64 / self.scenario.rules.fall_span as f64;
+        self.summary.budgeted += self.scenario.budget(played / 2) * spans;
+        let left = Entry { state: State::Gone, ..listed(&left, None) };
+        let came = listed(&came, started);
+        for front_end in 0..self.front_ends.len() {
+            let delay = self.random.random_range(0..NEWS_DELAY_MOST);
+            let (left, came) = (left.clone(), came.clone());
+            self.schedule(self.now + delay, Happening::News { front_end, left, came });
+        }
+    }
+
+    /// A front end that knows the list of workers and nothing else.
+    fn start_front_end(&self, seed: u64, incarnation: u32) -> SimulatedFrontEnd {
+        let mut module = FrontEnd::new(self.settings.clone(), seed);
+        let entries = self.workers.iter().map(|(name, worker)| listed(name, worker.started)).collect();
+        let mut actions = Vec::new();
+        module.handle(self.now, Event::List { kind: ListKind::Remembered, entries }, &mut actions);
+        let housekeeping = actions.iter().find_map(|action| match action {
+            Action::Timer { after: HOUSEKEEPING, token } => Some(*token),
+            _ => None,
+        });
+        let housekeeping_token = housekeeping.expect("a front end asks for its housekeeping timer");
+        SimulatedFrontEnd { module, seed, incarnation, housekeeping_token, housekept: self.now }
+    }
+
+    /// Half of the front ends, drawn, lose all that they have learnt and counted; each keeps its seed.
+    fn restart_half(&mut self) {
+        for front_end in 0..self.front_ends.len() {
+            if self.random.random::<bool>() {
+                let SimulatedFrontEnd { seed, incarnation, .. } = self.front_ends[front_end];
+                self.front_ends[front_end] = self.start_front_end(seed, incarnation + 1);
+            }
+        }
+    }
+}
+
+/// How traffic reaches a fleet: its spread, and whether half of the front ends restart in each ramp.
+const CONDITIONS: [(Traffic, bool); 4] =
+    [(Traffic::Equal, false), (Traffic::Unequal, false), (Traffic::OneBusy, false), (Traffic::Equal, true)];
+const FLEETS: [usize; 6] = [2, 5, 20, 30, 60, 300];
+
+/// Plays scenarios side by side, as many at a time as there are conditions, and tells what came of each.
+fn play_all(scenarios: Vec<Scenario>) -> Vec<(Scenario, Summary)> {
+    let queue = std::sync::Mutex::new(scenarios.into_iter());
+    let next = || queue.lock().expect("no player has failed").next();
+    let player = || {
+        let mut played = Vec::new();
+        while let Some(scenario) = next() {
+            let summary = Fleet::play(scenario.clone());
+            played.push((scenario, summary));
+        }
+        played
+    };
+    std::thread::scope(|scope| {
+        let players: Vec<_> = CONDITIONS.iter().map(|_| scope.spawn(player)).collect();
+        players.into_iter().flat_map(|p| p.join().expect("a player ends")).collect()
+    })
+}
+
+/// Fails where a single window of a single start was overdrawn.
+fn assert_none_overdrawn(played: &[(Scenario, Summary)]) {
+    let overdrawn: Vec<_> = played.iter().filter(|(_, summary)| summary.overdrawn > 0).collect();
+    assert!(overdrawn.is_empty(), "overdrawn: {overdrawn:#?}");
+}
+
+/// A fleet of each size under each condition, `starts` starts of workers with this first budget.
+fn fleets(first_budget: f64, starts: usize) -> Vec<Scenario> {
+    let conditions = || CONDITIONS.into_iter();
+    let fleet = |front_ends| {
+        conditions().map(move |(traffic, restarts)| Scenario {
+            restarts,
+            ..Scenario::new(front_ends, traffic, first_budget, starts)
+        })
+    };
+    FLEETS.into_iter().flat_map(fleet).collect()
+}
+
+#[test]
+fn no_start_is_overdrawn_with_budgets_of_1_to_5() {
+    assert_none_overdrawn(&play_all(fleets(1.0, 198)));
+}
+
+#[test]
+fn no_start_is_overdrawn_with_budgets_of_6_to_30() {
+    assert_none_overdrawn(&play_all(fleets(6.0, 63)));
+}
+
+#[test]
+fn no_start_is_overdrawn_with_budgets_of_40_to_200_and_much_of_them_is_used() {
+    let played = play_all(fleets(40.0, 18));
+    assert_none_overdrawn(&played);
+    for (scenario, summary) in played {
+        let least = if scenario.front_ends < 300 { 0.4 } else { 0.2 };
+        assert!(summary.sent > least * summary.budgeted, "shut out: {scenario:?}, {summary:?}");
+    }
+}
+
+/// Clients that repeat refused calls raise the arrivals far beyond what the workers can serve.
+#[test]
+fn no_start_is_overdrawn_under_overload_while_front_ends_restart() {
+    let overload = |s: Scenario| Scenario { demand: 8.0, restarts: true, ..s };
+    let small = [2, 20, 300].map(|n| Scenario::new(n, Traffic::Unequal, 6.0, 45));
+    let large = [2, 20].map(|n| Scenario::new(n, Traffic::Equal, 40.0, 9));
+    assert_none_overdrawn(&play_all(small.into_iter().chain(large).map(overload).collect()));
+}
+
+/// A herd: every front end has more calls for few warming workers than their budgets bear.
+#[test]
+fn no_start_is_overdrawn_where_every_front_end_always_has_a_call_for_it() {
+    let herd = |s: Scenario| Scenario { warm_workers: 9, warming_places: 3, demand: 8.0, ..s };
+    let small = [20, 60, 300].map(|n| Scenario::new(n, Traffic::Equal, 1.0, 63));
+    let large = [20, 60].map(|n| Scenario::new(n, Traffic::Equal, 6.0, 18));
+    let played = play_all(small.into_iter().chain(large).map(herd).collect());
+    assert_none_overdrawn(&played);
+    for (scenario, summary) in played {
+        let most = HERD_SENDS_MOST * summary.budgeted;
+        assert!(summary.sent < most, "no room for chance: {scenario:?}, {summary:?}");
+    }
+}
+
+/// Where no worker is warm, nothing new is learnt of what a warm one takes.
+#[test]
+fn no_start_is_overdrawn_where_all_workers_are_warming() {
+    let all_cold = |s: Scenario| Scenario { warm_workers: 0, demand: 4.0, ..s };
+    let scenarios = [2, 20, 300].map(|n| Scenario::new(n, Traffic::Unequal, 40.0, 18));
+    assert_none_overdrawn(&play_all(scenarios.into_iter().map(all_cold).collect()));
+}
