--- a/crates/pipithub-policy/src/decide.rs
+++ b/crates/pipithub-policy/src/decide.rs
@@ -1068,7 +1068,7 @@
     }
 
     /// Whether a worker that has just started can take a send. Its capacity is told nowhere: it is judged by
-    /// what warm workers serve this front end, also its part of it; sends turned away would swell it.
+    /// what warm workers serve this front end, less at a smaller one; sends turned away would swell it.
     /// Where the part is under one send a span, one each would add up over a large tier: then each slot is
     /// drawn anew. A right to send must not be saved up: when all turn to a worker that stood idle, all would
     /// use theirs at once. It hurts where few want the worker: it is used too little.
@@ -1078,7 +1078,7 @@
         let Some(started) = node.entry.started.filter(can_fall) else { return true };
         let age = now.saturating_sub(started) as f64 / rules.ramp.max(1) as f64;
         let part = rules.cold_from + (1.0 - rules.cold_from) * age;
-        let rate = rules.fall_multiple * part * self.warm_rate;
+        let rate = rules.fall_multiple * part * self.warm_rate * self.nodes.relative_size(node).min(1.0);
         let budget = COLD_SAFETY * rate * rules.fall_span as f64;
         if budget >= 1.0 {
             let sent = node.sends.iter().filter(|t| **t + rules.fall_span > now).count();
--- a/crates/pipithub-policy/src/tier.rs
+++ b/crates/pipithub-policy/src/tier.rs
@@ -42,6 +42,9 @@
     /// What live ones told to hold, and how many told it.
     held: Fading,
     told: usize,
+    /// Sizes of the live ones that tell theirs, in units of [`SIZE_UNIT`], and how many do.
+    sizes: u128,
+    sized: usize,
     /// Shares of errors of the live ones for each class, in units of [`ERROR_UNIT`].
     errors: Vec<u128>,
 }
@@ -59,11 +62,15 @@
     heard: Time,
     started: Option<Time>,
     held: Option<Faded>,
+    size: u64,
     errors: Vec<u64>,
 }
 
 /// Shares are summed as whole numbers of this: sums of floats would drift as parts come and go.
 const ERROR_UNIT: f64 = (1u64 << 60) as f64;
+/// Sizes are summed likewise, none counted for more than [`SIZE_MOST`].
+const SIZE_UNIT: f64 = (1u64 << 30) as f64;
+const SIZE_MOST: f64 = 1e6;
 
 /// A worker that is being changed; what is counted of it is brought up to date when this goes.
 pub(crate) struct Changed<'a> {
@@ -238,6 +245,15 @@
         self.index.started.values().sum()
     }
 
+    /// A worker's size as a multiple of the mean of the live ones that tell theirs; 1 where it is not told.
+    pub(crate) fn relative_size(&self, node: &Node) -> f64 {
+        let size = size_units(&node.entry) as f64;
+        if size == 0.0 || self.index.sizes == 0 {
+            return 1.0;
+        }
+        size * self.index.sized as f64 / self.index.sizes as f64
+    }
+
     /// The mean of what live workers told to hold, each one call at the least and faded to that; 0 where none
     /// has told it.
     pub(crate) fn mean_held(&self, now: Time) -> f64 {
@@ -245,6 +261,11 @@
     }
 }
 
+/// The size that a worker's entry tells, in units of [`SIZE_UNIT`]; 0 where it tells none.
+fn size_units(entry: &Entry) -> u64 {
+    (entry.share.clamp(0.0, SIZE_MOST) * SIZE_UNIT) as u64
+}
+
 impl Index {
     /// Brings what is counted of a worker up to date; `there`: it is still known.
     fn note(&mut self, node: &mut Node, there: bool) {
@@ -328,6 +349,10 @@
             }
             held.into_iter().for_each(|part| self.held.add(part));
         }
+        let size = if live { size_units(entry) } else { 0 };
+        let before = std::mem::replace(&mut counted.size, size);
+        self.sizes = self.sizes + u128::from(size) - u128::from(before);
+        self.sized = self.sized + usize::from(size > 0) - usize::from(before > 0);
         let classes = node.health.len().max(counted.errors.len());
         counted.errors.resize(classes, 0);
         self.errors.resize(classes.max(self.errors.len()), 0);
--- a/crates/pipithub-policy/tests/plain/decide.rs
+++ b/crates/pipithub-policy/tests/plain/decide.rs
@@ -1066,7 +1066,7 @@
     }
 
     /// Whether a worker that has just started can take a send. Its capacity is told nowhere: it is judged by
-    /// what warm workers serve this front end, also its part of it; sends turned away would swell it.
+    /// what warm workers serve this front end, less at a smaller one; sends turned away would swell it.
     /// Where the part is under one send a span, one each would add up over a large tier: then each slot is
     /// drawn anew. A right to send must not be saved up: when all turn to a worker that stood idle, all would
     /// use theirs at once. It hurts where few want the worker: it is used too little.
@@ -1078,7 +1078,7 @@
         }
         let age = now.saturating_sub(started) as f64 / rules.ramp.max(1) as f64;
         let part = rules.cold_from + (1.0 - rules.cold_from) * age;
-        let rate = rules.fall_multiple * part * self.warm_rate;
+        let rate = rules.fall_multiple * part * self.warm_rate * self.relative_size(node).min(1.0);
         let budget = COLD_SAFETY * rate * rules.fall_span as f64;
         if budget >= 1.0 {
             let sent = node.sends.iter().filter(|t| **t + rules.fall_span > now).count();
@@ -1089,6 +1089,18 @@
         node.sends.back().is_none_or(|t| *t < now - now % slot) && draw < COLD_SHARE * rate * slot as f64
     }
 
+    /// A worker's size as a multiple of the mean of the live ones that tell theirs; 1 where it is not told.
+    fn relative_size(&self, node: &Node) -> f64 {
+        let units = |n: &Node| (n.entry.share.clamp(0.0, 1e6) * (1u64 << 30) as f64) as u64;
+        let live = self.nodes.values().filter(|n| n.entry.state == State::Live);
+        let told: Vec<u64> = live.map(units).filter(|size| *size > 0).collect();
+        let sum: u128 = told.iter().copied().map(u128::from).sum();
+        if units(node) == 0 || sum == 0 {
+            return 1.0;
+        }
+        units(node) as f64 * told.len() as f64 / sum as f64
+    }
+
     /// What a warm worker serves this front end, in calls for each unit of time; the last figure where none
     /// is warm. The least is a quarter of the own part of the calls, or of what was usually served if less.
     fn learn_warm_rate(&mut self) {
--- a/crates/pipithub-policy/tests/slow_start.rs
+++ b/crates/pipithub-policy/tests/slow_start.rs
@@ -70,6 +70,8 @@
     /// Workers that are warm throughout, and places in which one warming worker follows another.
     warm_workers: usize,
     warming_places: usize,
+    /// Size of the workers in every other warming place; all others have size 1.
+    small_size: f64,
     /// Arrivals as a multiple of what all workers would serve if they were warm.
     demand: f64,
     rules: Rules,
@@ -87,6 +89,7 @@
             first_budget,
             warm_workers: 3,
             warming_places: 9,
+            small_size: 1.0,
             demand: 1.5,
             rules: Rules { cold_from: 0.2, ramp: 6 * SECOND, fall_multiple: 3.0, fall_span: 2 * SECOND },
             starts,
@@ -106,6 +109,15 @@
         self.rules.cold_from + (1.0 - self.rules.cold_from) * ramped
     }
 
+    /// The size of the workers in a warming place.
+    fn size(&self, place: usize) -> f64 {
+        if place % 2 == 1 {
+            self.small_size
+        } else {
+            1.0
+        }
+    }
+
     /// How often each place gets a new worker.
     fn rounds(&self) -> u64 {
         self.starts.div_ceil(self.warming_places) as u64
@@ -161,8 +173,9 @@
 }
 
 /// A worker with a rate of calls that it can take.
-#[derive(Default)]
 struct SimulatedWorker {
+    /// Its capacity as a multiple of the usual one.
+    size: f64,
     /// `None`: warm from the beginning.
     started: Option<Time>,
     /// When it is done with all it was sent.
@@ -172,6 +185,12 @@
     overdrawn: bool,
 }
 
+impl SimulatedWorker {
+    fn new(size: f64, started: Option<Time>) -> SimulatedWorker {
+        SimulatedWorker { size, started, free_at: 0, recent_sends: VecDeque::new(), overdrawn: false }
+    }
+}
+
 struct SimulatedFrontEnd {
     module: FrontEnd,
     seed: u64,
@@ -204,14 +223,14 @@
 }
 
 /// The entry of a worker in the list.
-fn listed(worker: &Worker, started: Option<Time>) -> Entry {
-    Entry { started, ..entry(&worker.0) }
+fn listed(worker: &Worker, size: f64, started: Option<Time>) -> Entry {
+    Entry { started, share: size, ..entry(&worker.0) }
 }
 
 /// For each worker a function that tries it before all others, as the module itself decides.
 fn functions_by_first_choice(workers: &[Worker]) -> BTreeMap<Worker, Function> {
     let mut scout = FrontEnd::new(settings(Effect::Safe), 1);
-    let entries = workers.iter().map(|w| listed(w, None)).collect();
+    let entries = workers.iter().map(|w| listed(w, 1.0, None)).collect();
     scout.handle(SECOND, Event::List { kind: ListKind::Complete, entries }, &mut Vec::new());
     let mut found = BTreeMap::new();
     for number in 0.. {
@@ -253,8 +272,10 @@
         let name = |place: usize, turn: &str| Worker::new(&format!("place{place}{turn}"));
         let names: Vec<_> = (0..scenario.warming_places).map(|p| [name(p, "a"), name(p, "b")]).collect();
         let all: Vec<Worker> = warm.iter().chain(names.iter().flatten()).cloned().collect();
-        let at_first = warm.iter().chain(names.iter().map(|n| &n[0]));
-        let workers = at_first.map(|w| (w.clone(), SimulatedWorker::default())).collect();
+        let lasting = warm.iter().map(|name| (name, 1.0));
+        let first = names.iter().enumerate().map(|(place, names)| (&names[0], scenario.size(place)));
+        let at_first = lasting.chain(first);
+        let workers = at_first.map(|(name, size)| (name.clone(), SimulatedWorker::new(size, None))).collect();
         let mut sum = 0.0;
         let mut running_sum = |front_end| {
             sum += scenario.traffic.weight(front_end, scenario.front_ends);
@@ -414,14 +435,15 @@
         if age < scenario.rules.ramp {
             simulated.recent_sends.retain(|sent| sent + scenario.rules.fall_span > now);
             simulated.recent_sends.push_back(now);
-            let filled = simulated.recent_sends.len() as f64 / survivable(scenario.budget(age));
+            let filled =
+                simulated.recent_sends.len() as f64 / survivable(simulated.size * scenario.budget(age));
             self.summary.fullest = self.summary.fullest.max(filled);
             self.summary.sent += 1.0;
             if filled > 1.0 && !std::mem::replace(&mut simulated.overdrawn, true) {
                 self.summary.overdrawn += 1;
             }
         }
-        let time_per_call = SECOND as f64 / (scenario.capacity() * scenario.warmth(age));
+        let time_per_call = SECOND as f64 / (simulated.size * scenario.capacity() * scenario.warmth(age));
         let free_at = simulated.free_at.max(now) + time_per_call as Time;
         if free_at - now > BACKLOG_MOST.max((time_per_call * BACKLOG_CALLS) as Time) {
             return Outcome::Full;
@@ -435,15 +457,15 @@
         self.turns[place] = 1 - self.turns[place];
         let came = self.names[place][self.turns[place]].clone();
         self.workers.remove(&left);
-        let started = Some(self.now);
-        self.workers.insert(came.clone(), SimulatedWorker { started, ..SimulatedWorker::default() });
+        let (size, started) = (self.scenario.size(place), Some(self.now));
+        self.workers.insert(came.clone(), SimulatedWorker::new(size, started));
         self.summary.starts += 1;
         // The last workers' ramps are cut short by the end.
         let played = self.scenario.rules.ramp.min(self.end - self.now);
         let spans = played as f64 / self.scenario.rules.fall_span as f64;
-        self.summary.budgeted += self.scenario.budget(played / 2) * spans;
-        let left = Entry { state: State::Gone, ..listed(&left, None) };
-        let came = listed(&came, started);
+        self.summary.budgeted += size * self.scenario.budget(played / 2) * spans;
+        let left = Entry { state: State::Gone, ..listed(&left, size, None) };
+        let came = listed(&came, size, started);
         for front_end in 0..self.front_ends.len() {
             let delay = self.random.random_range(0..NEWS_DELAY_MOST);
             let (left, came) = (left.clone(), came.clone());
@@ -454,7 +476,8 @@
     /// A front end that knows the list of workers and nothing else.
     fn start_front_end(&self, seed: u64, incarnation: u32) -> SimulatedFrontEnd {
         let mut module = FrontEnd::new(self.settings.clone(), seed);
-        let entries = self.workers.iter().map(|(name, worker)| listed(name, worker.started)).collect();
+        let entries =
+            self.workers.iter().map(|(name, worker)| listed(name, worker.size, worker.started)).collect();
         let mut actions = Vec::new();
         module.handle(self.now, Event::List { kind: ListKind::Remembered, entries }, &mut actions);
         let housekeeping = actions.iter().find_map(|action| match action {
@@ -560,6 +583,14 @@
     }
 }
 
+/// What warm workers take says little of a smaller one, but the list tells its size.
+#[test]
+fn no_start_is_overdrawn_where_some_workers_are_smaller() {
+    let sized = |s: Scenario| [0.5, 0.25].map(|small_size| Scenario { small_size, ..s.clone() });
+    let scenarios = [2, 20, 300].map(|n| Scenario::new(n, Traffic::Equal, 40.0, 9));
+    assert_none_overdrawn(&play_all(scenarios.into_iter().flat_map(sized).collect()));
+}
+
 /// Where no worker is warm, nothing new is learnt of what a warm one takes.
 #[test]
 fn no_start_is_overdrawn_where_all_workers_are_warming() {
