--- /dev/null
+++ b/crates/pipithub-characterization/src/adapter_day/settings.rs
@@ -0,0 +1,148 @@
+//! The settings of a day, drawn and written as the text that a front end is attached with.
+
+use std::fmt::Write;
+
+use super::{MILLISECOND, SECOND};
+use crate::random::Random;
+
+/// Names of zones.
+pub(super) const ZONES: [&str; 3] = ["east", "west", "north"];
+/// Names of machine kinds.
+pub(super) const MACHINE_KINDS: [&str; 2] = ["std-2c", "slow-2c"];
+/// Memory of the machine kinds, in MB.
+const MEMORY: [u64; 2] = [4_096, 8_192];
+
+/// A class of requests.
+#[derive(Debug)]
+pub(super) struct Class {
+    pub(super) name: String,
+    effect: &'static str,
+    group: &'static str,
+    aim: u64,
+    pub(super) deadline: u64,
+    pub(super) stream: bool,
+}
+
+/// What the world needs to know of the settings, and the rest for the text.
+#[derive(Debug)]
+pub(super) struct Settings {
+    pub(super) classes: Vec<Class>,
+    pub(super) granularity: u64,
+    pub(super) most_tries: usize,
+    pub(super) connect_timeout: u64,
+    pub(super) order_timeout: u64,
+    pub(super) requests_load: bool,
+    pub(super) marks_cold: bool,
+    pub(super) counts_alike: bool,
+    pub(super) reports: &'static str,
+    pub(super) list_on_request: bool,
+    front_ends: u64,
+    may_cancel: bool,
+    probes: bool,
+    retry_after: bool,
+    orders: bool,
+    stays_loaded: u64,
+    load_span: u64,
+    ramp: u64,
+    zone: &'static str,
+}
+
+impl Settings {
+    pub(super) fn draw(random: &mut Random) -> Self {
+        let classes = (0..random.between(1, 3)).map(|number| Class::draw(random, number)).collect();
+        Settings {
+            classes,
+            granularity: random.pick(&[MILLISECOND, 2 * MILLISECOND, 5 * MILLISECOND]),
+            most_tries: random.between(2, 5) as usize,
+            connect_timeout: random.pick(&[100 * MILLISECOND, 250 * MILLISECOND]),
+            order_timeout: random.pick(&[SECOND, 4 * SECOND]),
+            requests_load: random.per_mille(400),
+            marks_cold: random.per_mille(600),
+            counts_alike: random.per_mille(600),
+            reports: random.pick(&["answers", "answers", "probe", "none"]),
+            list_on_request: random.per_mille(300),
+            front_ends: random.pick(&[1, 2, 6, 40, 200]),
+            may_cancel: random.per_mille(750),
+            probes: random.per_mille(800),
+            retry_after: random.per_mille(700),
+            orders: random.per_mille(900),
+            stays_loaded: random.pick(&[SECOND, 2 * SECOND, 8 * SECOND]),
+            load_span: random.pick(&[0, 0, 2 * SECOND]),
+            ramp: random.pick(&[2 * SECOND, 10 * SECOND]),
+            zone: random.pick(&ZONES),
+        }
+    }
+
+    /// The text for the front end of this number. Written by hand: the order of keys must not hang on a library.
+    pub(super) fn text(&self, number: u64) -> String {
+        let classes: Vec<String> = self.classes.iter().map(Class::text).collect();
+        let mut text = String::new();
+        // Writing to a string cannot fail.
+        let _ = write!(
+            text,
+            "{{\"Granularity\":{},\"PeersTotal\":{},\"Me\":{number},\"Zone\":\"{}\",\"Grades\":[{}],",
+            self.granularity,
+            self.front_ends,
+            self.zone,
+            classes.join(",")
+        );
+        let _ = write!(
+            text,
+            "\"RegistryMode\":\"{}\",\"Models\":[\"{}\",\"{}\"],\"Report\":{{\"How\":\"{}\"}},",
+            if self.list_on_request { "on_request" } else { "pushed" },
+            MACHINE_KINDS[0],
+            MACHINE_KINDS[1],
+            self.reports
+        );
+        let _ = write!(
+            text,
+            "\"FamilyInfo\":{{\"KindMemoryMb\":[{}.0,{}.0],\"Orders\":{},\"WhenAbsent\":\"{}\",\"StaysLoaded\":{},\
+             \"MarksCold\":{},\"CountsAlike\":{},\"OrderTimeout\":{},\"LoadSpan\":{},\"LoadsAnyway\":4.0,\
+             \"LoadsPerRequest\":0.2}},",
+            MEMORY[0],
+            MEMORY[1],
+            self.orders,
+            if self.requests_load { "load" } else { "miss" },
+            self.stays_loaded,
+            self.marks_cold,
+            self.counts_alike,
+            self.order_timeout,
+            self.load_span
+        );
+        let _ = write!(
+            text,
+            "\"Limits\":{{\"MostTries\":{},\"MayCancel\":{},\"Probes\":{},\"RetryAfter\":{},\
+             \"MaxRetryAfter\":500000000,\"ConnectTimeout\":{},\"OpenCap\":20000,\"StreamsPerConn\":32}},",
+            self.most_tries, self.may_cancel, self.probes, self.retry_after, self.connect_timeout
+        );
+        let _ = write!(
+            text,
+            "\"Prices\":{{\"Probe\":0.01}},\"Rules\":{{\"AnswerSlack\":8000000,\"ColdFrom\":0.16,\
+             \"DrainGrace\":1000000000,\"FallMultiple\":3.0,\"OverloadFor\":2000000000,\"RampTime\":{}}}}}",
+            self.ramp
+        );
+        text
+    }
+}
+
+impl Class {
+    fn draw(random: &mut Random, number: u64) -> Self {
+        let deadline = random.pick(&[800 * MILLISECOND, 2 * SECOND, 5 * SECOND]);
+        Class {
+            name: format!("class-{number}"),
+            effect: random.pick(&["read_like", "read_like", "idempotency_key", "non_idempotent"]),
+            group: random.pick(&["all", "zone", "cell"]),
+            aim: deadline / random.between(2, 5),
+            deadline,
+            stream: random.per_mille(200),
+        }
+    }
+
+    fn text(&self) -> String {
+        format!(
+            "{{\"Name\":\"{}\",\"Effect\":\"{}\",\"Group\":\"{}\",\"Aim\":{},\"GiveUp\":{},\"Stream\":{},\
+             \"DedupWindow\":3000000000,\"LateWorth\":0.3,\"Worth\":2.0}}",
+            self.name, self.effect, self.group, self.aim, self.deadline, self.stream
+        )
+    }
+}
--- /dev/null
+++ b/crates/pipithub-characterization/src/node_day/clients.rs
@@ -0,0 +1,181 @@
+//! What clients send.
+
+use super::world::{Happening, World};
+use super::{MILLISECOND, Node};
+
+/// The most calls of one burst; more than a connection may have open.
+const BURST: u64 = 45;
+/// Longer than any line may be.
+const LONG_LINE: usize = 40_000;
+
+/// A client's connection.
+#[derive(Debug, Default)]
+pub(super) struct Client {
+    /// Numbers of its calls without an answer yet, with the name of each.
+    pub(super) open: Vec<(u64, String)>,
+    next_id: u64,
+}
+
+impl<N: Node> World<'_, N> {
+    /// One client does something; the next one follows after a drawn time.
+    pub(super) fn client_acts(&mut self) {
+        let gap = self.random.between(1, 2 * self.gap);
+        self.schedule.add(self.now + gap, Happening::ClientActs);
+        if self.clients.is_empty() || self.random.per_mille(60) {
+            return self.connect_client();
+        }
+        let connections: Vec<u64> = self.clients.keys().copied().collect();
+        let connection = self.random.pick(&connections);
+        match self.random.between(0, 199) {
+            0..=1 => self.close_client(connection),
+            2..=12 => self.forget(connection, true),
+            13..=20 => self.forget(connection, false),
+            21..=23 => {
+                let id = self.fresh_id(connection);
+                let line = format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"isWell\"}}\n");
+                self.client_says("isWell", connection, line.as_bytes());
+            }
+            24 => self.client_says("noise", connection, b"noise\n"),
+            25 => self.client_says("long line", connection, &[b'x'; LONG_LINE]),
+            26 => self.client_says("half a line", connection, b"{\"json"),
+            27..=28 => self.bad_call(connection),
+            29..=40 => self.repeat(connection),
+            41..=44 => self.call_and_forget(connection),
+            45..=50 => self.call_in_pieces(connection),
+            51 => self.burst(connection),
+            52 => self.pause(),
+            _ => self.call(connection),
+        }
+    }
+
+    fn connect_client(&mut self) {
+        let connection = self.node.client_connected(self.now);
+        self.note("client connected", format!("client connected {connection}"));
+        self.clients.insert(connection, Client { open: Vec::new(), next_id: 1 });
+    }
+
+    fn close_client(&mut self, connection: u64) {
+        self.clients.remove(&connection);
+        self.note("client closed", format!("client closed {connection}"));
+        self.node.client_closed(self.now, connection);
+    }
+
+    /// Nobody sends for a while, so that silent connections are noticed.
+    fn pause(&mut self) {
+        self.silent_until = self.now + self.random.between(500, 2_600) * MILLISECOND;
+    }
+
+    pub(super) fn client_says(&mut self, kind: &str, connection: u64, bytes: &[u8]) {
+        self.note(kind, format!("client {connection} {}", bytes.escape_ascii()));
+        self.node.client_bytes(self.now, connection, bytes);
+    }
+
+    fn fresh_id(&mut self, connection: u64) -> u64 {
+        let client = self.clients.get_mut(&connection).expect("a connected client");
+        client.next_id += 1;
+        client.next_id - 1
+    }
+
+    /// A call's line, noted as open.
+    fn call_line(&mut self, connection: u64) -> String {
+        let id = self.fresh_id(connection);
+        let name = format!("{:016x}", self.random.number());
+        self.line_of(connection, id, &name)
+    }
+
+    fn line_of(&mut self, connection: u64, id: u64, name: &str) -> String {
+        let last = self.functions.len() as u64 - 1;
+        let drawn = self.random.between(0, last).min(self.random.between(0, last));
+        let function = &self.functions[drawn as usize];
+        let class = &self.configuration.classes[function.class];
+        let wait = class.time_to_live * self.random.between(4, 10) / 10;
+        let key = if class.keyed { format!(",\"dedupe\":\"key-{name}\"") } else { String::new() };
+        let body = self.random.pick(&["", "aGVsbG8=", "AAECAwQFBgc="]);
+        let body = if self.random.per_mille(50) { "QUJD".repeat(1_000) } else { body.to_string() };
+        let client = self.clients.get_mut(&connection).expect("a connected client");
+        client.open.push((id, name.to_string()));
+        format!(
+            "{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"{}\",\"params\":{{\"call\":\"{name}\",\"ttl\":{wait},\
+             \"row\":\"{:016x}\",\"props\":\"{}\",\"body\":\"{body}\"{key}}}}}\n",
+            class.name, function.name, function.properties
+        )
+    }
+
+    fn call(&mut self, connection: u64) {
+        let line = self.call_line(connection);
+        self.client_says("call", connection, line.as_bytes());
+    }
+
+    fn call_in_pieces(&mut self, connection: u64) {
+        let line = self.call_line(connection);
+        let (first, second) = line.as_bytes().split_at(line.len() / 2);
+        self.client_says("call in two pieces", connection, first);
+        self.client_says("call in two pieces", connection, second);
+    }
+
+    fn call_and_forget(&mut self, connection: u64) {
+        let call = self.call_line(connection);
+        let Some((id, _)) = self.clients.get_mut(&connection).and_then(|client| client.open.pop()) else {
+            return;
+        };
+        let forget = format!("{{\"jsonrpc\":\"2.0\",\"method\":\"forget\",\"params\":{{\"id\":{id}}}}}\n");
+        self.client_says("call and forget at once", connection, format!("{call}{forget}").as_bytes());
+    }
+
+    /// The name of an earlier call again, on whichever connection that was.
+    fn repeat(&mut self, connection: u64) {
+        let open: Vec<String> =
+            self.clients.values().flat_map(|client| &client.open).map(|(_, name)| name.clone()).collect();
+        let ended: Vec<String> = self.ended.iter().cloned().collect();
+        let names = if self.random.per_mille(300) { open } else { ended };
+        if !names.is_empty() {
+            let name = &names[self.random.between(0, names.len() as u64 - 1) as usize];
+            let id = self.fresh_id(connection);
+            let line = self.line_of(connection, id, name);
+            self.client_says("call repeated", connection, line.as_bytes());
+        }
+    }
+
+    fn burst(&mut self, connection: u64) {
+        let mut lines = String::new();
+        for _ in 0..self.random.between(2, BURST) {
+            lines.push_str(&self.call_line(connection));
+        }
+        let beyond = self.clients.get(&connection).is_some_and(|client| client.open.len() > 32);
+        let kind = if beyond { "call beyond those that may be open" } else { "call" };
+        self.client_says(kind, connection, lines.as_bytes());
+    }
+
+    fn forget(&mut self, connection: u64, by_id: bool) {
+        let Some(client) = self.clients.get_mut(&connection) else { return };
+        if client.open.is_empty() {
+            return;
+        }
+        let (id, name) = client.open.remove(self.random.between(0, client.open.len() as u64 - 1) as usize);
+        let (kind, what) = if by_id {
+            ("forget by id", format!("\"id\":{id}"))
+        } else {
+            ("forget by name", format!("\"call\":\"{name}\""))
+        };
+        let line = format!("{{\"jsonrpc\":\"2.0\",\"method\":\"forget\",\"params\":{{{what}}}}}\n");
+        self.remember_ended(name);
+        self.client_says(kind, connection, line.as_bytes());
+    }
+
+    fn bad_call(&mut self, connection: u64) {
+        let id = self.fresh_id(connection);
+        let line = match self.random.between(0, 3) {
+            0 => format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"nothing\"}}\n"),
+            1 => format!(
+                "{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"class-0\",\"params\":{{\"ttl\":-1}}}}\n"
+            ),
+            2 => format!("{{\"id\":{id},\"method\":\"class-0\"}}\n"),
+            _ => {
+                let name = format!("{:016x}", self.random.number());
+                let earlier = self.random.between(1, id);
+                self.line_of(connection, earlier, &name)
+            }
+        };
+        self.client_says("call", connection, line.as_bytes());
+    }
+}
--- /dev/null
+++ b/crates/pipithub-characterization/src/node_day/mod.rs
@@ -0,0 +1,165 @@
+//! A scripted day for a node without sockets: bytes, worker lists and time go in, effects come out.
+//!
+//! Clients call, retry, forget, hang up, send noise or nothing; workers answer with every word, late, twice, in pieces or
+//! not at all; connections fail, break and block; the list changes; at the end the node is told to stop.
+
+mod clients;
+mod configuration;
+mod workers;
+mod world;
+
+pub use world::run;
+
+/// What the node wants done on its connections.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Effect {
+    /// Write bytes.
+    Write {
+        /// The connection.
+        connection: u64,
+        /// What.
+        bytes: Vec<u8>,
+    },
+    /// Close a connection.
+    Close {
+        /// The connection.
+        connection: u64,
+    },
+    /// Hand over what a client has sent by now, then say that the connection may be retired.
+    Retire {
+        /// The connection.
+        connection: u64,
+    },
+    /// Take back bytes that the system has not taken.
+    Unwrite {
+        /// The connection.
+        connection: u64,
+        /// Where they begin.
+        at: u64,
+        /// How many they are.
+        length: u64,
+    },
+    /// Connect to a worker.
+    Connect {
+        /// The new connection.
+        connection: u64,
+        /// Where to.
+        address: String,
+        /// The connect timeout in nanoseconds.
+        within: u64,
+    },
+}
+
+impl Effect {
+    /// Its kind and its canonical text.
+    fn render(&self) -> (&'static str, String) {
+        match self {
+            Effect::Write { connection, bytes } => {
+                ("write", format!("write {connection} {}", bytes.escape_ascii()))
+            }
+            Effect::Close { connection } => ("close", format!("close {connection}")),
+            Effect::Retire { connection } => ("retire", format!("retire {connection}")),
+            Effect::Unwrite { connection, at, length } => {
+                ("unwrite", format!("unwrite {connection} {at} {length}"))
+            }
+            Effect::Connect { connection, address, within } => {
+                ("connect", format!("connect {connection} {address} {within}"))
+            }
+        }
+    }
+}
+
+/// The program under test; all times in nanoseconds.
+pub trait Node {
+    /// When time must be told next.
+    fn next_due(&self) -> u64;
+    /// Time has passed.
+    fn tick(&mut self, now: u64);
+    /// A client has connected; the number of its connection.
+    fn client_connected(&mut self, now: u64) -> u64;
+    /// Bytes came from a client.
+    fn client_bytes(&mut self, now: u64, connection: u64, bytes: &[u8]);
+    /// A client's connection has ended.
+    fn client_closed(&mut self, now: u64, connection: u64);
+    /// All that a client had sent is handed over.
+    fn client_retired(&mut self, now: u64, connection: u64);
+    /// A connection to a worker is up.
+    fn worker_connected(&mut self, now: u64, connection: u64);
+    /// A connection to a worker did not come up; `own`: for want of something here.
+    fn worker_failed(&mut self, now: u64, connection: u64, own: bool);
+    /// A worker does not read, so many bytes having been taken by the system; or it reads again.
+    fn worker_blocked(&mut self, now: u64, connection: u64, written: Option<u64>);
+    /// A connection to a worker has ended, so many bytes having been taken by the system.
+    fn worker_closed(&mut self, now: u64, connection: u64, written: u64);
+    /// Bytes came from a worker.
+    fn worker_bytes(&mut self, now: u64, connection: u64, bytes: &[u8]);
+    /// An event of the worker list, as text.
+    fn list(&mut self, now: u64, event: &str);
+    /// The node is to stop.
+    fn stop(&mut self, now: u64);
+    /// Whether it has stopped.
+    fn stopped(&self, now: u64) -> bool;
+    /// Figures that tell of its state, as a line.
+    fn figures(&self) -> String;
+    /// What is to be done since this was asked last.
+    fn effects(&mut self) -> Vec<Effect>;
+}
+
+/// Kinds of inputs and effects that the drawn days hold, each of them at least once.
+pub const KINDS: &[&str] = &[
+    "client answer failed",
+    "client answer health",
+    "client answer other error",
+    "client answer refused with a time",
+    "client answer refused without a time",
+    "client answer served",
+    "day stopped in time",
+    "in call",
+    "in call and forget at once",
+    "in call beyond those that may be open",
+    "in call in two pieces",
+    "in call repeated",
+    "in client closed",
+    "in client connected",
+    "in client retired",
+    "in forget by id",
+    "in forget by name",
+    "in half a line",
+    "in isWell",
+    "in list change",
+    "in list whole",
+    "in long line",
+    "in noise",
+    "in stop",
+    "in worker ACK",
+    "in worker AGAIN",
+    "in worker AILING",
+    "in worker EIO",
+    "in worker NOENT",
+    "in worker READY",
+    "in worker STALE",
+    "in worker answer in two pieces",
+    "in worker answer to nothing",
+    "in worker blocked",
+    "in worker closed",
+    "in worker closed within a line",
+    "in worker connected",
+    "in worker failed by itself",
+    "in worker failed for own want",
+    "in worker noise",
+    "in worker second answer",
+    "in worker unblocked",
+    "out close",
+    "out connect",
+    "out retire",
+    "out unwrite",
+    "out write",
+    "worker asked DO",
+    "worker asked METER",
+    "worker asked PIN",
+    "worker asked UNDO",
+    "worker asked UNPIN",
+];
+
+const MILLISECOND: u64 = 1_000_000;
+const SECOND: u64 = 1_000 * MILLISECOND;
--- /dev/null
+++ b/crates/pipithub-characterization/src/recording.rs
@@ -0,0 +1,149 @@
+//! Transcripts of days, and their comparison with the recorded digests.
+
+use std::collections::BTreeMap;
+use std::fmt::Write as _;
+use std::io::Write as _;
+use std::path::Path;
+
+use sha2::{Digest, Sha256};
+
+/// Set to `1`, it makes the tests write the recorded files instead of comparing with them.
+pub const RECORD_VARIABLE: &str = "RECORD_BEHAVIOR";
+/// Names a folder into which the whole transcripts of days that differ are written.
+pub const TRANSCRIPT_VARIABLE: &str = "BEHAVIOR_TRANSCRIPTS";
+
+/// All that went in and came out during one day, and how often each kind of it occurred.
+#[derive(Clone, Debug, Default)]
+pub struct Transcript {
+    text: String,
+    counts: BTreeMap<String, u64>,
+}
+
+impl Transcript {
+    /// Notes one line that went in.
+    pub fn input(&mut self, line: &str) {
+        self.line('>', line);
+    }
+
+    /// Notes one line that came out.
+    pub fn output(&mut self, line: &str) {
+        self.line('<', line);
+    }
+
+    /// Counts an occurrence of a kind of event or effect.
+    pub fn count(&mut self, kind: &str) {
+        match self.counts.get_mut(kind) {
+            Some(count) => *count += 1,
+            None => drop(self.counts.insert(kind.to_string(), 1)),
+        }
+    }
+
+    fn line(&mut self, direction: char, line: &str) {
+        self.text.push(direction);
+        self.text.push_str(line);
+        self.text.push('\n');
+    }
+
+    fn digest(&self) -> String {
+        Sha256::digest(self.text.as_bytes()).iter().map(|byte| format!("{byte:02x}")).collect()
+    }
+}
+
+/// Whether the tests are to write the recorded files.
+pub fn recording() -> bool {
+    let recording = std::env::var(RECORD_VARIABLE).is_ok_and(|value| value == "1");
+    assert!(!(recording && std::env::var_os("CI").is_some()), "{RECORD_VARIABLE} must not be set in CI");
+    recording
+}
+
+/// Says something past the test harness, which hides the output of tests that pass.
+fn announce(text: &str) {
+    let mut standard_error = std::io::stderr().lock();
+    // Where standard error is closed there is nobody to tell.
+    let _ = writeln!(standard_error, "{text}");
+}
+
+/// Runs a day for each seed below `seeds` on so many threads.
+pub fn run_days(seeds: u64, threads: u64, day: impl Fn(u64) -> Transcript + Sync) -> Vec<Transcript> {
+    let day = &day;
+    let mut transcripts: BTreeMap<u64, Transcript> = BTreeMap::new();
+    std::thread::scope(|scope| {
+        let run = |first: u64| (first..seeds).step_by(threads as usize).map(|seed| (seed, day(seed)));
+        let workers: Vec<_> =
+            (0..threads).map(|first| scope.spawn(move || run(first).collect::<Vec<_>>())).collect();
+        for worker in workers {
+            transcripts.extend(worker.join().expect("a day ends without a panic"));
+        }
+    });
+    transcripts.into_values().collect()
+}
+
+/// Compares the digests of all days with the recorded ones, or records them; the place of a day is its seed.
+///
+/// # Panics
+/// Where a digest differs from the recorded one, naming its seed, or where one of `kinds` never occurred.
+pub fn check_days(path: &Path, days: &[Transcript], kinds: &[&str]) {
+    check_kinds(path, days, kinds);
+    let digests: String = days.iter().enumerate().fold(String::new(), |mut text, (seed, day)| {
+        let _ = writeln!(text, "{seed} {}", day.digest());
+        text
+    });
+    if recording() {
+        return record(path, digests.as_bytes());
+    }
+    let recorded = std::fs::read_to_string(path).expect("the recorded digests can be read");
+    let mut differing: Vec<String> = Vec::new();
+    for (seed, (recorded, digest)) in recorded.lines().zip(digests.lines()).enumerate() {
+        if recorded != digest {
+            differing.push(seed.to_string());
+            write_transcript(path, seed, &days[seed]);
+        }
+    }
+    assert!(
+        differing.is_empty(),
+        "behavior differs from {} for the seeds {}; with {TRANSCRIPT_VARIABLE}=DIR their transcripts are written there",
+        path.display(),
+        differing.join(", ")
+    );
+    assert_eq!(recorded.lines().count(), days.len(), "as many days are recorded as were run");
+}
+
+/// Compares a written file with the recorded one, or records it.
+///
+/// # Panics
+/// Where they differ.
+pub fn check_file(path: &Path, written: &[u8]) {
+    if recording() {
+        return record(path, written);
+    }
+    let recorded = std::fs::read(path).expect("the recorded file can be read");
+    assert_eq!(recorded.escape_ascii().to_string(), written.escape_ascii().to_string(), "{}", path.display());
+}
+
+fn record(path: &Path, bytes: &[u8]) {
+    if let Some(folder) = path.parent() {
+        std::fs::create_dir_all(folder).expect("the folder of the recordings can be made");
+    }
+    std::fs::write(path, bytes).expect("the recording can be written");
+    announce(&format!("*** {RECORD_VARIABLE}=1: NOTHING WAS COMPARED; recorded {}", path.display()));
+}
+
+fn check_kinds(path: &Path, days: &[Transcript], kinds: &[&str]) {
+    let mut total: BTreeMap<&str, u64> = BTreeMap::new();
+    for (kind, count) in days.iter().flat_map(|day| &day.counts) {
+        *total.entry(kind).or_default() += count;
+    }
+    if recording() {
+        announce(&format!("*** occurrences in the days of {}:", path.display()));
+        total.iter().for_each(|(kind, count)| announce(&format!("{count:>10} {kind}")));
+    }
+    let missing: Vec<_> = kinds.iter().filter(|kind| !total.contains_key(**kind)).collect();
+    assert!(missing.is_empty(), "never occurred in the drawn days: {missing:?}");
+}
+
+fn write_transcript(path: &Path, seed: usize, day: &Transcript) {
+    let Some(folder) = std::env::var_os(TRANSCRIPT_VARIABLE) else { return };
+    let stem = path.file_stem().unwrap_or_default().to_string_lossy();
+    let file = Path::new(&folder).join(format!("{stem}-{seed}.txt"));
+    std::fs::write(file, &day.text).expect("a transcript can be written");
+}
--- /dev/null
+++ b/crates/pipithub-characterization/tests/node_driver/mod.rs
@@ -0,0 +1,104 @@
+//! The one place that knows the node's own types.
+
+use pipithub_characterization::node_day;
+use pipithub_node::core::{Core, Effect};
+use pipithub_platform::config::NodeConfig;
+use pipithub_platform::list;
+
+/// The node's core with the configuration that its lists are read by.
+pub struct Driver {
+    core: Core,
+    config: NodeConfig,
+}
+
+impl Driver {
+    /// Starts a node.
+    pub fn start(now: u64, configuration: &str) -> Self {
+        let config = NodeConfig::parse(configuration).expect("the configuration can be read");
+        Driver { core: Core::new(now, &config), config }
+    }
+}
+
+impl node_day::Node for Driver {
+    fn next_due(&self) -> u64 {
+        self.core.next_due()
+    }
+
+    fn tick(&mut self, now: u64) {
+        self.core.tick(now);
+    }
+
+    fn client_connected(&mut self, now: u64) -> u64 {
+        let connection = self.core.number();
+        self.core.client_opened(now, connection);
+        connection
+    }
+
+    fn client_bytes(&mut self, now: u64, connection: u64, bytes: &[u8]) {
+        self.core.client_bytes(now, connection, bytes);
+    }
+
+    fn client_closed(&mut self, now: u64, connection: u64) {
+        self.core.client_closed(now, connection);
+    }
+
+    fn client_retired(&mut self, now: u64, connection: u64) {
+        self.core.retire(now, connection);
+    }
+
+    fn worker_connected(&mut self, now: u64, connection: u64) {
+        self.core.worker_up(now, connection);
+    }
+
+    fn worker_failed(&mut self, now: u64, connection: u64, own: bool) {
+        self.core.worker_failed(now, connection, own);
+    }
+
+    fn worker_blocked(&mut self, now: u64, connection: u64, written: Option<u64>) {
+        self.core.worker_blocked(now, connection, written);
+    }
+
+    fn worker_closed(&mut self, now: u64, connection: u64, written: u64) {
+        self.core.worker_closed(now, connection, written);
+    }
+
+    fn worker_bytes(&mut self, now: u64, connection: u64, bytes: &[u8]) {
+        self.core.worker_bytes(now, connection, bytes);
+    }
+
+    fn list(&mut self, now: u64, event: &str) {
+        let event = list::parse(event, &self.config.site.names).expect("the event can be read");
+        self.core.list(now, &event);
+    }
+
+    fn stop(&mut self, now: u64) {
+        self.core.stop(now);
+    }
+
+    fn stopped(&self, now: u64) -> bool {
+        self.core.done(now)
+    }
+
+    fn figures(&self) -> String {
+        let (clients, workers) = self.core.connections();
+        format!("open {} clients {clients} workers {workers}", self.core.open())
+    }
+
+    fn effects(&mut self) -> Vec<node_day::Effect> {
+        let mut effects = Vec::new();
+        self.core.effects(&mut effects);
+        effects.into_iter().map(effect).collect()
+    }
+}
+
+fn effect(effect: Effect) -> node_day::Effect {
+    match effect {
+        Effect::Write { conn, bytes } => node_day::Effect::Write { connection: conn, bytes: bytes.to_vec() },
+        Effect::Close { conn } => node_day::Effect::Close { connection: conn },
+        Effect::Retire { conn } => node_day::Effect::Retire { connection: conn },
+        Effect::Unwrite { conn, at, len } => node_day::Effect::Unwrite { connection: conn, at, length: len },
+        Effect::Connect { conn, address, within } => {
+            node_day::Effect::Connect { connection: conn, address, within }
+        }
+    }
+}
