--- a/crates/pipithub-characterization/src/recording.rs
+++ b/crates/pipithub-characterization/src/recording.rs
@@ -120,6 +120,13 @@
     assert_eq!(recorded.escape_ascii().to_string(), written.escape_ascii().to_string(), "{}", path.display());
 }
 
+/// Records a file that no two runs write alike, unless it is recorded already.
+pub fn record_once(path: &Path, written: &[u8]) {
+    if recording() && !path.exists() {
+        record(path, written);
+    }
+}
+
 fn record(path: &Path, bytes: &[u8]) {
     if let Some(folder) = path.parent() {
         std::fs::create_dir_all(folder).expect("the folder of the recordings can be made");
--- /dev/null
+++ b/crates/pipithub-characterization/tests/file_driver/mod.rs
@@ -0,0 +1,194 @@
+//! The one place that knows the types behind the files; its own interface is text and bytes.
+
+use std::path::Path;
+
+use pipithub_directory::{
+    Claim, Directory, DirectorySettings, Lifetimes, Person, Settings, TenantBase, TenantId, Told, snapshot,
+};
+use pipithub_endpoints::{Step, Watcher};
+use pipithub_engine::policy::{Entry, ListKind, State};
+use pipithub_fleet::{Folder, Happening, MemberReport, Report};
+use pipithub_ldap::Dn;
+use pipithub_members::Record;
+
+const HOUR: u64 = 3_600 * 1_000_000_000;
+
+// ---- generation record ----
+
+/// The text of a generation record.
+pub fn generation_text(cluster: &str, name: &str, generation: u64) -> String {
+    Record { cluster: cluster.into(), name: name.into(), generation }.write()
+}
+
+/// Cluster, name and generation of a record's text.
+pub fn read_generation(text: &str) -> Result<(String, String, u64), String> {
+    let record = Record::read(text).map_err(|error| error.to_string())?;
+    Ok((record.cluster, record.name, record.generation))
+}
+
+/// The record's text that the next start writes, and whether it found an empty folder.
+pub fn next_generation(found: Option<&str>, cluster: &str, name: &str) -> Result<(String, bool), String> {
+    let (record, empty) = Record::start(found, cluster, name).map_err(|error| error.to_string())?;
+    Ok((record.write(), empty))
+}
+
+/// Writes the record of a data folder.
+pub fn save_generation(folder: &Path, text: &str) {
+    Folder::save_generation(folder, text).expect("the record is written");
+}
+
+/// The record of a data folder as a start finds it.
+pub fn load_generation(folder: &Path) -> Option<String> {
+    Folder::take(folder).expect("the folder is free").generation().expect("the record is read")
+}
+
+// ---- membership report ----
+
+fn member(name: &str, address: &str, state: &str, heard_ms: Option<u64>) -> MemberReport {
+    MemberReport {
+        name: name.into(),
+        address: address.into(),
+        zone: "east".into(),
+        state: state.into(),
+        for_ms: 1_500,
+        heard_ms,
+        generation: 41,
+        disk: "kept".into(),
+    }
+}
+
+/// Writes a membership report into a data folder.
+pub fn save_report(folder: &Path) {
+    let happening = |member: &str, what: &str| Happening {
+        at_ms: 1_800_000_000_000,
+        member: member.into(),
+        what: what.into(),
+    };
+    let report = Report {
+        at_ms: 1_800_000_000_123,
+        cluster: "campus".into(),
+        process: 4_242,
+        listen: "10.0.0.1:7400".into(),
+        me: member("front-1", "10.0.0.1:7400", "joined", None),
+        doubt: 2,
+        age_ms: Some(75),
+        members: vec![
+            member("front-2", "10.0.0.2:7400", "alive", Some(75)),
+            member("front-3", "10.0.0.3:7400", "suspect", None),
+        ],
+        happenings: [happening("front-2", "there"), happening("front-1", "stands joined")].into(),
+    };
+    let text = serde_json::to_vec(&report).expect("the report is text");
+    Folder::save_report(folder, &text).expect("the report is written");
+}
+
+/// The report of a data folder, a line each for the head, the members and what happened.
+pub fn load_report(folder: &Path) -> Vec<String> {
+    let text = Folder::read_report(folder).expect("the report is read");
+    let report: Report = serde_json::from_slice(&text).expect("the report is understood");
+    let member = |m: &MemberReport| {
+        format!(
+            "{} {} {} {} for {} heard {:?} generation {} disk {}",
+            m.name, m.address, m.zone, m.state, m.for_ms, m.heard_ms, m.generation, m.disk
+        )
+    };
+    let head = format!(
+        "{} {} process {} at {} doubt {} age {:?}",
+        report.cluster, report.listen, report.process, report.at_ms, report.doubt, report.age_ms
+    );
+    let happenings = report.happenings.iter().map(|h| format!("{} {} {}", h.at_ms, h.member, h.what));
+    [head, member(&report.me)]
+        .into_iter()
+        .chain(report.members.iter().map(member))
+        .chain(happenings)
+        .collect()
+}
+
+// ---- remembered worker list ----
+
+/// The text that is kept after a list and then a watch event.
+pub fn remembered_list(now: u64, wall_ms: u64, list: &str, change: &str) -> String {
+    let mut watcher = Watcher::new(None);
+    watcher.list(now, wall_ms, list.as_bytes()).expect("the list is read");
+    let step = watcher.line(now, wall_ms, change.as_bytes()).expect("the change is read");
+    assert!(matches!(step, Step::Changes(_)), "the change changes something");
+    watcher.remembered(now, wall_ms)
+}
+
+/// The workers of a remembered list, a line each.
+pub fn recall_list(text: &str, now: u64, wall_ms: u64) -> Result<Vec<String>, String> {
+    let (kind, entries) =
+        pipithub_endpoints::recall(text, now, wall_ms).map_err(|error| error.to_string())?;
+    assert_eq!(kind, ListKind::Remembered);
+    let line = |entry: &Entry| {
+        let state = match entry.state {
+            State::Live => "live",
+            State::Draining => "draining",
+            State::Gone => "gone",
+        };
+        let Entry { worker, zone, memory_mb, started, .. } = entry;
+        format!("{} {state} {zone} {memory_mb} {started:?}", worker.0)
+    };
+    Ok(entries.iter().map(line).collect())
+}
+
+// ---- directory snapshot ----
+
+/// A fact of a snapshot: user, tenant, person, mark, and when it was confirmed in milliseconds on the caller's clock.
+pub type Fact = (String, u16, u64, u64, i64);
+
+/// What a snapshot is written for.
+pub fn snapshot_fingerprint(parts: &[&str]) -> [u8; 32] {
+    snapshot::fingerprint(parts.iter().copied())
+}
+
+/// A snapshot of these facts.
+pub fn snapshot_bytes(facts: &[Fact], now: u64, wall_ms: i64, fingerprint: [u8; 32], key: &[u8]) -> Vec<u8> {
+    let base = |unit: &str| TenantBase {
+        directory: 0,
+        base: Dn::parse(&format!("ou={unit},dc=example")).expect("a name"),
+    };
+    let lifetimes = Lifetimes { fresh: HOUR, stale_most: 12 * HOUR, negative: HOUR / 60 };
+    let mut directory = Directory::new(Settings {
+        directories: vec![DirectorySettings { lifetimes, ..DirectorySettings::default() }],
+        tenants: vec![base("north"), base("south")],
+        max_users: 100,
+        max_queue: 100,
+        seed: 3,
+        wall_ms: 0,
+    });
+    let claims = facts.iter().map(|(user, tenant, person, mark, confirmed)| {
+        let claim = Claim {
+            directory: 0,
+            told: Told::Tenant(TenantId(*tenant)),
+            person: Person(*person),
+            confirmed: *confirmed,
+            mark: *mark,
+            spread: 0,
+            seen: 0,
+        };
+        (user.as_str().into(), claim)
+    });
+    directory.restore(now, claims.collect());
+    snapshot::write(directory.roster(), now, wall_ms, fingerprint, key)
+}
+
+/// The facts of a snapshot, by user.
+pub fn snapshot_facts(
+    bytes: &[u8],
+    now: u64,
+    wall_ms: i64,
+    fingerprint: [u8; 32],
+    key: &[u8],
+) -> Result<Vec<Fact>, String> {
+    let stale_most = |directory: u16| (directory == 0).then_some(12 * HOUR);
+    let facts = snapshot::read(bytes, now, wall_ms, fingerprint, key, stale_most);
+    let fact = |(user, claim): &(_, Claim)| {
+        let user: &pipithub_directory::User = user;
+        let Told::Tenant(tenant) = claim.told else { panic!("a fact without a tenant") };
+        (user.to_string(), tenant.0, claim.person.0, claim.mark, claim.confirmed)
+    };
+    let mut facts: Vec<Fact> = facts.map_err(|error| error.to_string())?.iter().map(fact).collect();
+    facts.sort();
+    Ok(facts)
+}
