--- a/crates/pipithub-characterization/src/adapter_day/incidents.rs
+++ b/crates/pipithub-characterization/src/adapter_day/incidents.rs
@@ -11,7 +11,7 @@
         let next = self.random.between(50, 700) * MILLISECOND;
         self.schedule.add(self.now + next, Happening::Incident);
         let worker = self.random.between(0, self.workers.len() as u64 - 1) as usize;
-        match self.random.between(0, 15) {
+        match self.random.between(0, 17) {
             0 => self.drain(worker),
             1 => self.crash(worker),
             2 => self.zone_outage(),
@@ -26,6 +26,7 @@
             12 => self.lose_subscription(),
             13 => self.restart_front_end(),
             14 => self.tell_peer_message(),
+            15 => self.errors_everywhere(),
             _ => self.burst(),
         }
     }
@@ -96,10 +97,17 @@
         }
     }
 
+    fn errors_everywhere(&mut self) {
+        let errors = self.random.between(100, 600);
+        self.errors_everywhere = (errors, self.now + self.random.between(1, 6) * SECOND);
+    }
+
+    /// Many requests at once, of one function or of any.
     fn burst(&mut self) {
-        for _ in 0..self.random.between(3, 15) {
+        let one = self.random.per_mille(500).then(|| self.any_function());
+        for _ in 0..self.random.between(3, 25) {
             let at = self.now + self.random.between(0, 30) * MILLISECOND;
-            self.schedule.add(at, Happening::Arrival { again: false });
+            self.schedule.add(at, Happening::Arrival { again: false, function: one });
         }
     }
 }
--- a/crates/pipithub-characterization/src/adapter_day/world.rs
+++ b/crates/pipithub-characterization/src/adapter_day/world.rs
@@ -27,6 +27,7 @@
 pub(super) enum Happening {
     Arrival {
         again: bool,
+        function: Option<usize>,
     },
     Incident,
     Listed {
@@ -135,6 +136,9 @@
     front_ends: Vec<FrontEnd>,
     by_address: BTreeMap<String, usize>,
     next_request: u64,
+    /// Errors of all workers alike, in a thousand attempts, and until when there are any.
+    pub(super) errors_everywhere: (u64, u64),
+    length: u64,
     gap: u64,
     lines: Vec<String>,
     actions: u64,
@@ -144,7 +148,7 @@
 /// Runs the day of a seed against the program under test.
 pub fn run(seed: u64, program: &mut impl LineProtocol, transcript: &mut Transcript) {
     let mut world = World::draw(seed, transcript);
-    let end = world.now + world.random.between(6, 14) * SECOND;
+    let end = world.now + world.length;
     for front_end in 0..world.front_ends.len() {
         world.attach(front_end);
     }
@@ -175,6 +179,12 @@
         let (low, high) = random.pick(&[(1, 10), (10, 40), (40, 120)]);
         let functions =
             (0..random.between(low, high)).map(|_| Function::draw(&mut random, &settings)).collect();
+        // A few days are long, with less in each second.
+        let (length, gap) = if random.per_mille(120) {
+            (random.between(25, 40), random.between(20, 50))
+        } else {
+            (random.between(6, 14), random.between(4, 40))
+        };
         let mut world = World {
             schedule: Schedule::default(),
             now: 1_000 * SECOND + random.between(0, 50) * SECOND,
@@ -183,7 +193,9 @@
             front_ends: (0..random.between(1, 3)).map(|_| FrontEnd::default()).collect(),
             by_address: BTreeMap::new(),
             next_request: 1,
-            gap: random.between(4, 40) * MILLISECOND,
+            errors_everywhere: (0, 0),
+            length: length * SECOND,
+            gap: gap * MILLISECOND,
             lines: Vec::new(),
             actions: 0,
             random,
@@ -191,7 +203,7 @@
             workers,
             transcript,
         };
-        world.schedule.add(world.now + MILLISECOND, Happening::Arrival { again: true });
+        world.schedule.add(world.now + MILLISECOND, Happening::Arrival { again: true, function: None });
         world.schedule.add(world.now + 500 * MILLISECOND, Happening::Incident);
         world
     }
@@ -241,7 +253,7 @@
 
     fn happen(&mut self, happening: Happening) {
         match happening {
-            Happening::Arrival { again } => self.arrival(again),
+            Happening::Arrival { again, function } => self.arrival(again, function),
             Happening::Incident => self.incident(),
             Happening::Listed { worker, state } => self.list_state(worker, state),
             Happening::Restarted { worker } => self.restarted(worker),
@@ -283,16 +295,16 @@
         }
     }
 
-    fn arrival(&mut self, again: bool) {
+    fn arrival(&mut self, again: bool, function: Option<usize>) {
         if again {
             let gap = self.random.between(MILLISECOND, 2 * self.gap);
-            self.schedule.add(self.now + gap, Happening::Arrival { again });
+            self.schedule.add(self.now + gap, Happening::Arrival { again, function });
         }
         let front_end = self.random.between(0, self.front_ends.len() as u64 - 1) as usize;
         // Low numbers are asked for more often.
         let last = self.functions.len() as u64 - 1;
         let drawn = self.random.between(0, last).min(self.random.between(0, last));
-        let function = self.functions[drawn as usize].clone();
+        let function = self.functions[function.unwrap_or(drawn as usize)].clone();
         let class = &self.settings.classes[function.class];
         let budget = class.deadline * self.random.between(4, 10) / 10;
         let (id, life) = (self.next_request, self.front_ends[front_end].life);
@@ -412,6 +424,11 @@
         (0..self.workers.len()).filter(|n| self.workers[*n].listed != Listed::Gone).collect()
     }
 
+    /// The place of a function that is asked for seldom or often.
+    pub(super) fn any_function(&mut self) -> usize {
+        self.random.between(0, self.functions.len() as u64 - 1) as usize
+    }
+
     pub(super) fn tell_changes(&mut self, workers: &[usize]) {
         for front_end in 0..self.front_ends.len() {
             if self.front_ends[front_end].subscribed {
@@ -548,7 +565,10 @@
         request.attempts.push(Attempt { worker, sent: now, ended: false });
         let moot = request.settled || request.streaming || attempt >= self.settings.most_tries;
         let (mut ending, mut after, mut detail) = ("N", self.settings.granularity, 0);
-        if !moot {
+        let (errors, errors_until) = self.errors_everywhere;
+        if !moot && now < errors_until && self.random.per_mille(errors) {
+            (ending, after) = ("E", 5 * MILLISECOND);
+        } else if !moot {
             let drawn = self.workers[worker].attempt(
                 &mut self.random,
                 &self.settings,
--- a/crates/pipithub-characterization/src/node_day/clients.rs
+++ b/crates/pipithub-characterization/src/node_day/clients.rs
@@ -38,7 +38,7 @@
             24 => self.client_says("noise", connection, b"noise\n"),
             25 => self.client_says("long line", connection, &[b'x'; LONG_LINE]),
             26 => self.client_says("half a line", connection, b"{\"json"),
-            27..=28 => self.bad_call(connection),
+            27..=28 => self.bad_calls(connection),
             29..=40 => self.repeat(connection),
             41..=44 => self.call_and_forget(connection),
             45..=50 => self.call_in_pieces(connection),
@@ -88,7 +88,7 @@
         let drawn = self.random.between(0, last).min(self.random.between(0, last));
         let function = &self.functions[drawn as usize];
         let class = &self.configuration.classes[function.class];
-        let wait = class.time_to_live * self.random.between(4, 10) / 10;
+        let wait = class.time_to_live * self.random.between(4, 14).min(10) / 10;
         let key = if class.keyed { format!(",\"dedupe\":\"key-{name}\"") } else { String::new() };
         let body = self.random.pick(&["", "aGVsbG8=", "AAECAwQFBgc="]);
         let body = if self.random.per_mille(50) { "QUJD".repeat(1_000) } else { body.to_string() };
@@ -162,6 +162,15 @@
         self.client_says(kind, connection, line.as_bytes());
     }
 
+    /// One bad call, or several in a row.
+    fn bad_calls(&mut self, connection: u64) {
+        for _ in 0..self.random.between(1, 6) {
+            if self.clients.contains_key(&connection) {
+                self.bad_call(connection);
+            }
+        }
+    }
+
     fn bad_call(&mut self, connection: u64) {
         let id = self.fresh_id(connection);
         let line = match self.random.between(0, 3) {
--- a/crates/pipithub-characterization/src/node_day/workers.rs
+++ b/crates/pipithub-characterization/src/node_day/workers.rs
@@ -22,8 +22,8 @@
     partial: Vec<u8>,
     /// Names of calls that the worker runs here.
     running: Vec<String>,
-    /// Calls that came here so far.
-    used: u32,
+    /// When bytes were written on it last.
+    written_at: Option<u64>,
 }
 
 impl<N: Node> World<'_, N> {
@@ -78,9 +78,15 @@
     pub(super) fn write_to_worker(&mut self, connection: u64, bytes: &[u8]) {
         let Some(link) = self.links.get_mut(&connection) else { return };
         link.waiting.extend_from_slice(bytes);
+        let idle = link.written_at.replace(self.now).map_or(0, |at| self.now - at);
         if link.blocked {
             return;
         }
+        if idle >= self.idle_breaks {
+            // Something on the way has forgotten the connection.
+            self.take(connection, bytes.len());
+            return self.schedule.add(self.now + MILLISECOND, Happening::LinkBreaks { connection });
+        }
         match self.random.between(0, 99) {
             0 => {
                 let part = self.random.between(0, bytes.len() as u64 - 1) as usize;
@@ -160,7 +166,6 @@
         match command.as_str() {
             "DO" => {
                 link.running.push(reference.clone());
-                link.used += 1;
                 self.run_call(connection, reference);
             }
             "UNDO" => link.running.retain(|name| *name != reference),
--- a/crates/pipithub-characterization/src/node_day/world.rs
+++ b/crates/pipithub-characterization/src/node_day/world.rs
@@ -57,6 +57,9 @@
     /// The mean time between two acts of clients.
     pub(super) gap: u64,
     pub(super) transcript: &'a mut Transcript,
+    /// Connections that were idle for so long break when they are used again.
+    pub(super) idle_breaks: u64,
+    length: u64,
     hosts: Vec<Host>,
     list_index: u64,
     effects: u64,
@@ -65,8 +68,11 @@
 /// Runs the day of a seed against the node that `start` makes of a time and a configuration's text.
 pub fn run<N: Node>(seed: u64, start: impl FnOnce(u64, &str) -> N, transcript: &mut Transcript) {
     let mut world = World::draw(seed, start, transcript);
-    let stop = world.now + world.random.between(6, 14) * SECOND;
+    let stop = world.now + world.length;
     world.pass(stop, |_| false);
+    if world.random.per_mille(300) {
+        world.all_hosts_fall_silent();
+    }
     world.note("stop", "stop".to_string());
     world.node.stop(world.now);
     let most = world.now + STOP_MOST;
@@ -96,6 +102,12 @@
         }
         let text = configuration.text(&known);
         transcript.input(&format!("{now} {text}"));
+        // A few days are long, with less in each second.
+        let (length, gap) = if random.per_mille(120) {
+            (random.between(25, 45), random.between(20, 50))
+        } else {
+            (random.between(6, 14), random.between(4, 30))
+        };
         let mut world = World {
             schedule: Schedule::default(),
             node: start(now, &text),
@@ -107,7 +119,9 @@
             silent_hosts: BTreeSet::new(),
             silent_until: 0,
             ended: VecDeque::new(),
-            gap: random.between(4, 30) * MILLISECOND,
+            idle_breaks: random.pick(&[100 * MILLISECOND, 700 * MILLISECOND, u64::MAX, u64::MAX, u64::MAX]),
+            length: length * SECOND,
+            gap: gap * MILLISECOND,
             transcript,
             hosts,
             list_index,
@@ -298,6 +312,11 @@
         self.tell_change(number as usize);
     }
 
+    /// Nothing comes from any worker any more.
+    fn all_hosts_fall_silent(&mut self) {
+        self.silent_hosts.extend(self.hosts.iter().map(|host| host.address.clone()));
+    }
+
     /// A worker is found at another address.
     fn move_host(&mut self, host: usize) {
         let number = self.random.between(0, 60_000);
