--- a/crates/pipithub-characterization/src/node_day/mod.rs
+++ b/crates/pipithub-characterization/src/node_day/mod.rs
@@ -99,6 +99,8 @@
     fn stop(&mut self, now: u64);
     /// Whether it has stopped.
     fn stopped(&self, now: u64) -> bool;
+    /// Whether there is no time left for what it has not finished.
+    fn out_of_time(&self, now: u64) -> bool;
     /// Figures that tell of its state, as a line.
     fn figures(&self) -> String;
     /// What is to be done since this was asked last.
--- a/crates/pipithub-characterization/src/node_day/world.rs
+++ b/crates/pipithub-characterization/src/node_day/world.rs
@@ -16,6 +16,8 @@
 const EFFECTS_MOST: u64 = 200_000;
 /// No node needs longer than this to stop.
 const STOP_MOST: u64 = 10 * SECOND;
+/// After the stop calls are still taken for a while: workers fall silent shortly before the end of that.
+const SILENT_AFTER_STOP: u64 = 600 * MILLISECOND;
 
 /// What comes due in a day.
 #[derive(Debug)]
@@ -70,13 +72,14 @@
     let mut world = World::draw(seed, start, transcript);
     let stop = world.now + world.length;
     world.pass(stop, |_| false);
-    if world.random.per_mille(300) {
-        world.all_hosts_fall_silent();
-    }
     world.note("stop", "stop".to_string());
     world.node.stop(world.now);
     let most = world.now + STOP_MOST;
-    world.pass(most, |world| world.node.stopped(world.now));
+    world.pass(world.now + SILENT_AFTER_STOP, |_| false);
+    if world.random.per_mille(500) {
+        world.all_hosts_fall_silent();
+    }
+    world.pass(most, |world| world.node.stopped(world.now) || world.node.out_of_time(world.now));
     world.figures();
     if world.node.stopped(world.now) {
         world.transcript.count("day stopped in time");
--- a/crates/pipithub-characterization/tests/node_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/node_driver/mod.rs
@@ -79,6 +79,10 @@
         self.core.done(now)
     }
 
+    fn out_of_time(&self, now: u64) -> bool {
+        self.core.overdue(now)
+    }
+
     fn figures(&self) -> String {
         let (clients, workers) = self.core.connections();
         format!("open {} clients {clients} workers {workers}", self.core.open())
