--- a/crates/pipithub-adapter/tests/driver/mod.rs
+++ b/crates/pipithub-adapter/tests/driver/mod.rs
@@ -3,7 +3,7 @@
 use std::io::{BufRead, BufReader, Write};
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
-use pipithub_characterization::adapter_day::LineProtocol;
+use pipithub_characterization::adapter_scenario::LineProtocol;
 
 /// A running adapter.
 pub struct Adapter {
--- /dev/null
+++ b/crates/pipithub-characterization/src/adapter_scenario/discovery.rs
@@ -0,0 +1,105 @@
+//! What front ends are told of the workers, and how their lives begin and end.
+
+use super::MILLISECOND;
+use super::tier::Listed;
+use super::world::{Event, FrontEnd, World};
+
+impl World<'_> {
+    pub(super) fn emit_endpoints(&mut self, front_end: usize, kind: &str, workers: &[usize]) {
+        let told = &mut self.front_ends[front_end];
+        told.revision += 1;
+        let revision = told.revision;
+        let head = format!("backends_changed {front_end} {revision} {kind} {}", workers.len());
+        self.emit(&format!("backends_changed {kind}"), head);
+        for number in workers {
+            let worker = &self.workers[*number];
+            self.lines.push(worker.entry());
+            self.by_address.insert(worker.address.clone(), *number);
+        }
+    }
+
+    pub(super) fn listed(&self) -> Vec<usize> {
+        (0..self.workers.len()).filter(|n| self.workers[*n].listed != Listed::Gone).collect()
+    }
+
+    /// The place of a function that is asked for seldom or often.
+    pub(super) fn any_function(&mut self) -> usize {
+        self.random.between(0, self.functions.len() as u64 - 1) as usize
+    }
+
+    pub(super) fn notify_changes(&mut self, workers: &[usize]) {
+        for front_end in 0..self.front_ends.len() {
+            if self.front_ends[front_end].subscribed {
+                self.emit_endpoints(front_end, "incr", workers);
+            }
+        }
+    }
+
+    pub(super) fn notify_all(&mut self, kind: &str) {
+        let listed = self.listed();
+        for front_end in 0..self.front_ends.len() {
+            if self.front_ends[front_end].subscribed {
+                self.emit_endpoints(front_end, kind, &listed);
+            }
+        }
+    }
+
+    pub(super) fn subscription_answer(&mut self, front_end: usize) {
+        if self.random.per_mille(200) {
+            return self.emit_endpoints(front_end, "lost", &[]);
+        }
+        self.front_ends[front_end].subscribed = true;
+        let listed = self.listed();
+        self.emit_endpoints(front_end, "total", &listed);
+    }
+
+    pub(super) fn lose_subscription(&mut self) {
+        let front_end = self.random.between(0, self.front_ends.len() as u64 - 1) as usize;
+        if self.settings.list_on_request && self.front_ends[front_end].subscribed {
+            self.front_ends[front_end].subscribed = false;
+            self.emit_endpoints(front_end, "lost", &[]);
+        }
+    }
+
+    // ---- front ends ----
+
+    /// A front end begins, with a list that may be stale.
+    pub(super) fn attach(&mut self, number: usize) {
+        self.withdraw_all(number);
+        let life = self.front_ends[number].life + 1;
+        let subscribed = !self.settings.list_on_request;
+        self.front_ends[number] = FrontEnd { life, subscribed, ..FrontEnd::default() };
+        let seed = self.random.number() >> 1;
+        let text = self.settings.text(number as u64);
+        self.emit("attach", format!("attach {number} {seed} {text}"));
+        let stale: Vec<_> = self.listed().into_iter().filter(|_| !self.random.per_mille(100)).collect();
+        self.emit_endpoints(number, "warm_copy", &stale);
+        if subscribed {
+            let at = self.now + self.random.between(0, 200) * MILLISECOND;
+            self.schedule.add(at, Event::SubscriptionAnswer { front_end: number, life });
+        }
+    }
+
+    /// What a front end that ends has out is held by the workers no more.
+    pub(super) fn withdraw_all(&mut self, front_end: usize) {
+        let attempts = self.front_ends[front_end].requests.values().flat_map(|request| &request.attempts);
+        for attempt in attempts.filter(|attempt| !attempt.ended) {
+            let worker = &mut self.workers[attempt.worker];
+            worker.held = worker.held.saturating_sub(1);
+        }
+    }
+
+    pub(super) fn restart_front_end(&mut self) {
+        let number = self.random.between(0, self.front_ends.len() as u64 - 1) as usize;
+        // What is already in the batch for it stays: it came before the end.
+        self.emit("killed", format!("killed {number}"));
+        self.attach(number);
+    }
+
+    pub(super) fn emit_peer_message(&mut self) {
+        let number = self.random.between(0, self.front_ends.len() as u64 - 1);
+        let bytes =
+            if self.random.per_mille(200) { "-".into() } else { format!("{:016x}", self.random.number()) };
+        self.emit("heard", format!("heard {number} 1 {bytes}"));
+    }
+}
--- a/crates/pipithub-characterization/src/adapter_day/incidents.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/incidents.rs
@@ -1,15 +1,15 @@
-//! What befalls workers and front ends in the course of a day.
+//! What befalls workers and front ends in the course of a scenario.
 
 use super::settings::ZONES;
 use super::tier::{Condition, Listed, Worker};
-use super::world::{Happening, World};
+use super::world::{Event, World};
 use super::{MILLISECOND, SECOND};
 
 impl World<'_> {
     /// One incident; the next one follows after a drawn time.
     pub(super) fn incident(&mut self) {
         let next = self.random.between(50, 700) * MILLISECOND;
-        self.schedule.add(self.now + next, Happening::Incident);
+        self.schedule.add(self.now + next, Event::Incident);
         let worker = self.random.between(0, self.workers.len() as u64 - 1) as usize;
         match self.random.between(0, 17) {
             0 => self.drain(worker),
@@ -22,29 +22,28 @@
             7 => self.loads_fail_until = self.now + self.random.between(300, 2_500) * MILLISECOND,
             8 | 9 => self.workers[worker].copies.clear(),
             10 => self.add_worker(),
-            11 => self.tell_all("total"),
+            11 => self.notify_all("total"),
             12 => self.lose_subscription(),
             13 => self.restart_front_end(),
-            14 => self.tell_peer_message(),
+            14 => self.emit_peer_message(),
             15 => self.errors_everywhere(),
             _ => self.burst(),
         }
     }
 
     fn drain(&mut self, worker: usize) {
-        self.list_state(worker, Listed::Draining);
+        self.publish_state(worker, Listed::Draining);
         let gone = self.now + self.random.between(300, 2_000) * MILLISECOND;
-        self.schedule.add(gone, Happening::Listed { worker, state: Listed::Gone });
-        self.schedule.add(gone + self.random.between(1, 3) * SECOND, Happening::Restarted { worker });
+        self.schedule.add(gone, Event::Listed { worker, state: Listed::Gone });
+        self.schedule.add(gone + self.random.between(1, 3) * SECOND, Event::Restarted { worker });
     }
 
     fn crash(&mut self, worker: usize) {
         self.workers[worker].condition = Condition::Crashed;
         self.workers[worker].copies.clear();
         let told = self.now + self.random.between(50, 1_500) * MILLISECOND;
-        self.schedule.add(told, Happening::Listed { worker, state: Listed::Gone });
-        self.schedule
-            .add(told + self.random.between(200, 3_000) * MILLISECOND, Happening::Restarted { worker });
+        self.schedule.add(told, Event::Listed { worker, state: Listed::Gone });
+        self.schedule.add(told + self.random.between(200, 3_000) * MILLISECOND, Event::Restarted { worker });
     }
 
     fn zone_outage(&mut self) {
@@ -53,7 +52,7 @@
         for worker in 0..self.workers.len() {
             if self.workers[worker].zone == zone && self.workers[worker].condition != Condition::Crashed {
                 self.workers[worker].condition = Condition::Silent;
-                self.schedule.add(until, Happening::Recovered { worker });
+                self.schedule.add(until, Event::Recovered { worker });
             }
         }
     }
@@ -62,7 +61,7 @@
         if self.workers[worker].condition != Condition::Crashed {
             self.workers[worker].condition = condition;
             let until = self.now + self.random.between(300, 4_000) * MILLISECOND;
-            self.schedule.add(until, Happening::Recovered { worker });
+            self.schedule.add(until, Event::Recovered { worker });
         }
     }
 
@@ -79,21 +78,21 @@
         let back = &mut self.workers[worker];
         (back.condition, back.started, back.held) = (Condition::Sound, Some(now), 0);
         back.copies.clear();
-        self.list_state(worker, Listed::Live);
+        self.publish_state(worker, Listed::Live);
     }
 
     /// Discovery tells of a worker's state.
-    pub(super) fn list_state(&mut self, worker: usize, state: Listed) {
+    pub(super) fn publish_state(&mut self, worker: usize, state: Listed) {
         self.workers[worker].listed = state;
-        self.tell_changes(&[worker]);
+        self.notify_changes(&[worker]);
     }
 
     fn add_worker(&mut self) {
-        if self.workers.len() < super::world::WORKERS_MOST {
+        if self.workers.len() < super::world::MAX_WORKERS {
             let mut worker = Worker::draw(&mut self.random, self.workers.len() as u64);
             worker.started = Some(self.now);
             self.workers.push(worker);
-            self.tell_changes(&[self.workers.len() - 1]);
+            self.notify_changes(&[self.workers.len() - 1]);
         }
     }
 
@@ -107,7 +106,7 @@
         let one = self.random.per_mille(500).then(|| self.any_function());
         for _ in 0..self.random.between(3, 25) {
             let at = self.now + self.random.between(0, 30) * MILLISECOND;
-            self.schedule.add(at, Happening::Arrival { again: false, function: one });
+            self.schedule.add(at, Event::Arrival { again: false, function: one });
         }
     }
 }
--- a/crates/pipithub-characterization/src/adapter_day/mod.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/mod.rs
@@ -1,8 +1,10 @@
-//! A scripted day on the adapter's line protocol.
+//! A scripted scenario on the adapter's line protocol.
 //!
 //! One to three front ends share a tier of workers. Each action is answered after a drawn time with a drawn outcome;
 //! incidents (crashes, drains, outages of a zone, failing loads, evictions, restarts) strike at drawn times.
 
+mod actions;
+mod discovery;
 mod incidents;
 mod settings;
 mod tier;
@@ -10,10 +12,10 @@
 
 pub use world::{LineProtocol, run};
 
-/// Kinds of events and actions that the drawn days hold, each of them at least once.
+/// Kinds of events and actions that the drawn scenarios hold, each of them at least once.
 pub const KINDS: &[&str] = &[
-    "day with at most 512 workers",
-    "day with more than 512 workers",
+    "scenario with at most 512 workers",
+    "scenario with more than 512 workers",
     "in attach",
     "in backends_changed incr",
     "in backends_changed lost",
--- a/crates/pipithub-characterization/src/adapter_day/settings.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a day, drawn and written as the text that a front end is attached with.
+//! The settings of a scenario, drawn and written as the text that a front end is attached with.
 
 use std::fmt::Write;
 
--- a/crates/pipithub-characterization/src/adapter_day/tier.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/tier.rs
@@ -1,4 +1,4 @@
-//! The workers of a day and how each of them answers.
+//! The workers of a scenario and how each of them answers.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 /// Requests that a worker holds before it turns others away.
 const CAPACITY: u32 = 12;
 /// Functions of which a worker holds copies at a time.
-const COPIES_MOST: usize = 6;
+const MAX_COPIES: usize = 6;
 
 /// The state that discovery tells of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -123,7 +123,7 @@
         if let Some(ready) = self.copies.get(&function) {
             return *ready;
         }
-        if self.copies.len() >= COPIES_MOST {
+        if self.copies.len() >= MAX_COPIES {
             let evicted = random.pick(&self.copies.keys().copied().collect::<Vec<_>>());
             self.copies.remove(&evicted);
         }
--- a/crates/pipithub-characterization/src/node_day/clients.rs
+++ b/crates/pipithub-characterization/src/node_scenario/clients.rs
@@ -1,6 +1,6 @@
 //! What clients send.
 
-use super::world::{Happening, World};
+use super::world::{Event, World};
 use super::{MILLISECOND, Node};
 
 /// The most calls of one burst; more than a connection may have open.
@@ -20,7 +20,7 @@
     /// One client does something; the next one follows after a drawn time.
     pub(super) fn client_acts(&mut self) {
         let gap = self.random.between(1, 2 * self.gap);
-        self.schedule.add(self.now + gap, Happening::ClientActs);
+        self.schedule.add(self.now + gap, Event::ClientActs);
         if self.clients.is_empty() || self.random.per_mille(60) {
             return self.connect_client();
         }
@@ -38,8 +38,8 @@
             24 => self.client_says("noise", connection, b"noise\n"),
             25 => self.client_says("long line", connection, &[b'x'; LONG_LINE]),
             26 => self.client_says("half a line", connection, b"{\"json"),
-            27..=28 => self.bad_calls(connection),
-            29..=40 => self.repeat(connection),
+            27..=28 => self.invalid_calls(connection),
+            29..=40 => self.retry(connection),
             41..=44 => self.call_and_forget(connection),
             45..=50 => self.call_in_pieces(connection),
             51 => self.burst(connection),
@@ -123,7 +123,7 @@
     }
 
     /// The name of an earlier call again, on whichever connection that was.
-    fn repeat(&mut self, connection: u64) {
+    fn retry(&mut self, connection: u64) {
         let open: Vec<String> =
             self.clients.values().flat_map(|client| &client.open).map(|(_, name)| name.clone()).collect();
         let ended: Vec<String> = self.ended.iter().cloned().collect();
@@ -163,15 +163,15 @@
     }
 
     /// One bad call, or several in a row.
-    fn bad_calls(&mut self, connection: u64) {
+    fn invalid_calls(&mut self, connection: u64) {
         for _ in 0..self.random.between(1, 6) {
             if self.clients.contains_key(&connection) {
-                self.bad_call(connection);
+                self.invalid_call(connection);
             }
         }
     }
 
-    fn bad_call(&mut self, connection: u64) {
+    fn invalid_call(&mut self, connection: u64) {
         let id = self.fresh_id(connection);
         let line = match self.random.between(0, 3) {
             0 => format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"nothing\"}}\n"),
--- a/crates/pipithub-characterization/src/node_day/configuration.rs
+++ b/crates/pipithub-characterization/src/node_scenario/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration of a day's node, and the events of its worker list.
+//! The configuration of a scenario's node, and the events of its worker list.
 
 use std::fmt::Write;
 
@@ -71,7 +71,7 @@
 }
 
 /// An event of the list.
-pub(super) fn list_event<'a>(index: u64, whole: bool, hosts: impl Iterator<Item = &'a Host>) -> String {
+pub(super) fn endpoint_event<'a>(index: u64, whole: bool, hosts: impl Iterator<Item = &'a Host>) -> String {
     let hosts: Vec<String> = hosts.map(Host::text).collect();
     format!(
         "{{\"index\":{index},\"endpoints\":{{\"seq\":{index},\"whole\":{whole},\"hosts\":[{}]}}}}",
--- a/crates/pipithub-characterization/src/node_day/mod.rs
+++ b/crates/pipithub-characterization/src/node_scenario/mod.rs
@@ -1,4 +1,4 @@
-//! A scripted day for a node without sockets: bytes, worker lists and time go in, effects come out.
+//! A scripted scenario for a node without sockets: bytes, worker lists and time go in, effects come out.
 //!
 //! Clients call, retry, forget, hang up, send noise or nothing; workers answer with every word, late, twice, in pieces or
 //! not at all; connections fail, break and block; the list changes; at the end the node is told to stop.
@@ -100,14 +100,14 @@
     /// Whether it has stopped.
     fn stopped(&self, now: u64) -> bool;
     /// Whether there is no time left for what it has not finished.
-    fn out_of_time(&self, now: u64) -> bool;
+    fn deadline_passed(&self, now: u64) -> bool;
     /// Figures that tell of its state, as a line.
     fn figures(&self) -> String;
     /// What is to be done since this was asked last.
     fn effects(&mut self) -> Vec<Effect>;
 }
 
-/// Kinds of inputs and effects that the drawn days hold, each of them at least once.
+/// Kinds of inputs and effects that the drawn scenarios hold, each of them at least once.
 pub const KINDS: &[&str] = &[
     "client answer failed",
     "client answer health",
@@ -115,7 +115,7 @@
     "client answer refused with a time",
     "client answer refused without a time",
     "client answer served",
-    "day stopped in time",
+    "scenario stopped in time",
     "in call",
     "in call and forget at once",
     "in call beyond those that may be open",
--- a/crates/pipithub-characterization/src/node_day/workers.rs
+++ b/crates/pipithub-characterization/src/node_scenario/workers.rs
@@ -2,7 +2,7 @@
 
 use serde_json::Value;
 
-use super::world::{Happening, World};
+use super::world::{Event, World};
 use super::{MILLISECOND, Node, SECOND};
 
 /// Calls that a worker holds before it turns others away.
@@ -34,11 +34,11 @@
         let link = Link { address, ..Link::default() };
         self.links.insert(connection, link);
         let event = match self.random.between(0, 99) {
-            _ if silent => (within, Happening::LinkFailed { connection, own: false }),
-            0..=2 => (MILLISECOND, Happening::LinkFailed { connection, own: true }),
-            3..=6 => (MILLISECOND, Happening::LinkFailed { connection, own: false }),
-            7 => (within, Happening::LinkFailed { connection, own: false }),
-            _ => (self.random.between(0, 3) * MILLISECOND, Happening::LinkUp { connection }),
+            _ if silent => (within, Event::LinkFailed { connection, own: false }),
+            0..=2 => (MILLISECOND, Event::LinkFailed { connection, own: true }),
+            3..=6 => (MILLISECOND, Event::LinkFailed { connection, own: false }),
+            7 => (within, Event::LinkFailed { connection, own: false }),
+            _ => (self.random.between(0, 3) * MILLISECOND, Event::LinkUp { connection }),
         };
         self.schedule.add(self.now + event.0, event.1);
     }
@@ -85,13 +85,13 @@
         if idle >= self.idle_breaks {
             // Something on the way has forgotten the connection.
             self.take(connection, bytes.len());
-            return self.schedule.add(self.now + MILLISECOND, Happening::LinkBreaks { connection });
+            return self.schedule.add(self.now + MILLISECOND, Event::LinkBreaks { connection });
         }
         match self.random.between(0, 99) {
             0 => {
                 let part = self.random.between(0, bytes.len() as u64 - 1) as usize;
                 self.take(connection, part);
-                self.schedule.add(self.now + MILLISECOND, Happening::LinkBreaks { connection });
+                self.schedule.add(self.now + MILLISECOND, Event::LinkBreaks { connection });
                 self.block(connection);
             }
             1..=2 => {
@@ -103,7 +103,7 @@
                 self.take(connection, part as usize);
                 self.block(connection);
                 let until = self.now + self.random.between(5, 1_200) * MILLISECOND;
-                self.schedule.add(until, Happening::LinkUnblocked { connection });
+                self.schedule.add(until, Event::LinkUnblocked { connection });
             }
             _ => self.take(connection, bytes.len()),
         }
@@ -113,7 +113,7 @@
         let Some(link) = self.links.get_mut(&connection) else { return };
         link.blocked = true;
         let taken = link.taken;
-        self.schedule.add(self.now, Happening::LinkBlocked { connection, taken });
+        self.schedule.add(self.now, Event::LinkBlocked { connection, taken });
     }
 
     pub(super) fn link_blocked(&mut self, connection: u64, taken: u64) {
@@ -197,7 +197,7 @@
             14..=19 => ("EIO", run),
             20..=22 => ("STALE", trip),
             23 => ("READY", trip),
-            24 => return self.schedule.add(self.now + run, Happening::LinkBreaks { connection }),
+            24 => return self.schedule.add(self.now + run, Event::LinkBreaks { connection }),
             25..=28 => return,
             29..=32 => ("ACK", run + SECOND),
             _ => ("ACK", run),
@@ -207,7 +207,7 @@
 
     fn answer_after(&mut self, after: u64, connection: u64, word: &'static str, reference: &str) {
         let reference = reference.to_string();
-        self.schedule.add(self.now + after, Happening::WorkerAnswers { connection, word, reference });
+        self.schedule.add(self.now + after, Event::WorkerAnswers { connection, word, reference });
     }
 
     pub(super) fn worker_answers(&mut self, connection: u64, word: &'static str, reference: &str) {
--- a/crates/pipithub-characterization/src/node_day/world.rs
+++ b/crates/pipithub-characterization/src/node_scenario/world.rs
@@ -1,9 +1,9 @@
-//! The world of a day: what is due is told to the node, and its effects become what is due.
+//! The world of a scenario: what is due is told to the node, and its effects become what is due.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use super::clients::Client;
-use super::configuration::{Configuration, Host, list_event};
+use super::configuration::{Configuration, Host, endpoint_event};
 use super::workers::Link;
 use super::{Effect, MILLISECOND, Node, SECOND};
 use crate::random::Random;
@@ -11,19 +11,19 @@
 use crate::schedule::Schedule;
 
 /// Names of ended calls that clients may repeat.
-const ENDED_MOST: usize = 32;
-/// A node that has more effects than this in a day is a runaway.
-const EFFECTS_MOST: u64 = 200_000;
+const MAX_ENDED_CALLS: usize = 32;
+/// A node that has more effects than this in a scenario is a runaway.
+const MAX_EFFECTS: u64 = 200_000;
 /// No node needs longer than this to stop.
-const STOP_MOST: u64 = 10 * SECOND;
+const MAX_STOP_TIME: u64 = 10 * SECOND;
 /// After the stop calls are still taken for a while: workers fall silent shortly before the end of that.
 const SILENT_AFTER_STOP: u64 = 600 * MILLISECOND;
 
-/// What comes due in a day.
+/// What comes due in a scenario.
 #[derive(Debug)]
-pub(super) enum Happening {
+pub(super) enum Event {
     ClientActs,
-    ListChanges,
+    EndpointsChange,
     Figures,
     HostSpeaks { address: String },
     LinkUp { connection: u64 },
@@ -41,10 +41,10 @@
     pub(super) properties: String,
 }
 
-/// All that a day consists of.
+/// All that a scenario consists of.
 pub(super) struct World<'a, N> {
     pub(super) random: Random,
-    pub(super) schedule: Schedule<Happening>,
+    pub(super) schedule: Schedule<Event>,
     pub(super) node: N,
     pub(super) now: u64,
     pub(super) configuration: Configuration,
@@ -67,22 +67,22 @@
     effects: u64,
 }
 
-/// Runs the day of a seed against the node that `start` makes of a time and a configuration's text.
+/// Runs the scenario of a seed against the node that `start` makes of a time and a configuration's text.
 pub fn run<N: Node>(seed: u64, start: impl FnOnce(u64, &str) -> N, transcript: &mut Transcript) {
     let mut world = World::draw(seed, start, transcript);
     let stop = world.now + world.length;
     world.pass(stop, |_| false);
     world.note("stop", "stop".to_string());
     world.node.stop(world.now);
-    let most = world.now + STOP_MOST;
+    let most = world.now + MAX_STOP_TIME;
     world.pass(world.now + SILENT_AFTER_STOP, |_| false);
     if world.random.per_mille(500) {
-        world.all_hosts_fall_silent();
+        world.silence_all_hosts();
     }
-    world.pass(most, |world| world.node.stopped(world.now) || world.node.out_of_time(world.now));
+    world.pass(most, |world| world.node.stopped(world.now) || world.node.deadline_passed(world.now));
     world.figures();
     if world.node.stopped(world.now) {
-        world.transcript.count("day stopped in time");
+        world.transcript.count("scenario stopped in time");
     }
 }
 
@@ -98,14 +98,14 @@
         let functions =
             (0..random.between(low, high)).map(|_| Function::draw(&mut random, &configuration)).collect();
         let now = 1_000_000 * SECOND + random.between(0, 999) * MILLISECOND;
-        let (mut known, mut list_index) = (vec![list_event(1, true, hosts.iter())], 1);
+        let (mut known, mut list_index) = (vec![endpoint_event(1, true, hosts.iter())], 1);
         if random.per_mille(300) {
-            known.push(list_event(2, false, hosts.iter().take(1)));
+            known.push(endpoint_event(2, false, hosts.iter().take(1)));
             list_index = 2;
         }
         let text = configuration.text(&known);
         transcript.input(&format!("{now} {text}"));
-        // A few days are long, with less in each second.
+        // A few scenarios are long, with less in each second.
         let (length, gap) = if random.per_mille(120) {
             (random.between(25, 45), random.between(20, 50))
         } else {
@@ -131,9 +131,9 @@
             effects: 0,
             random,
         };
-        world.schedule.add(now, Happening::ClientActs);
-        world.schedule.add(now + 300 * MILLISECOND, Happening::ListChanges);
-        world.schedule.add(now + 500 * MILLISECOND, Happening::Figures);
+        world.schedule.add(now, Event::ClientActs);
+        world.schedule.add(now + 300 * MILLISECOND, Event::EndpointsChange);
+        world.schedule.add(now + 500 * MILLISECOND, Event::Figures);
         world
     }
 
@@ -143,14 +143,14 @@
             let scheduled = self.schedule.next_due().unwrap_or(u64::MAX);
             let due = scheduled.min(self.node.next_due()).max(self.now).min(until);
             self.now = due;
-            while let Some(happening) = self.schedule.take_due(self.now) {
-                self.happen(happening);
-                self.carry_out();
+            while let Some(event) = self.schedule.take_due(self.now) {
+                self.handle(event);
+                self.perform_effects();
             }
             if self.node.next_due() <= self.now {
                 self.transcript.input(&format!("{} tick", self.now));
                 self.node.tick(self.now);
-                self.carry_out();
+                self.perform_effects();
             }
         }
     }
@@ -161,24 +161,24 @@
         self.transcript.input(&format!("{} {text}", self.now));
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::ClientActs if self.now < self.silent_until => {
-                self.schedule.add(self.silent_until, Happening::ClientActs);
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::ClientActs if self.now < self.silent_until => {
+                self.schedule.add(self.silent_until, Event::ClientActs);
             }
-            Happening::ClientActs => self.client_acts(),
-            Happening::ListChanges => self.list_changes(),
-            Happening::Figures => {
-                self.schedule.add(self.now + 500 * MILLISECOND, Happening::Figures);
+            Event::ClientActs => self.client_acts(),
+            Event::EndpointsChange => self.change_endpoints(),
+            Event::Figures => {
+                self.schedule.add(self.now + 500 * MILLISECOND, Event::Figures);
                 self.figures();
             }
-            Happening::HostSpeaks { address } => drop(self.silent_hosts.remove(&address)),
-            Happening::LinkUp { connection } => self.link_up(connection),
-            Happening::LinkFailed { connection, own } => self.link_failed(connection, own),
-            Happening::LinkBreaks { connection } => self.link_breaks(connection),
-            Happening::LinkBlocked { connection, taken } => self.link_blocked(connection, taken),
-            Happening::LinkUnblocked { connection } => self.link_unblocked(connection),
-            Happening::WorkerAnswers { connection, word, reference } => {
+            Event::HostSpeaks { address } => drop(self.silent_hosts.remove(&address)),
+            Event::LinkUp { connection } => self.link_up(connection),
+            Event::LinkFailed { connection, own } => self.link_failed(connection, own),
+            Event::LinkBreaks { connection } => self.link_breaks(connection),
+            Event::LinkBlocked { connection, taken } => self.link_blocked(connection, taken),
+            Event::LinkUnblocked { connection } => self.link_unblocked(connection),
+            Event::WorkerAnswers { connection, word, reference } => {
                 self.worker_answers(connection, word, &reference);
             }
         }
@@ -191,7 +191,7 @@
 
     // ---- effects ----
 
-    fn carry_out(&mut self) {
+    fn perform_effects(&mut self) {
         loop {
             let effects = self.node.effects();
             if effects.is_empty() {
@@ -199,16 +199,16 @@
             }
             for effect in effects {
                 self.effects += 1;
-                assert!(self.effects < EFFECTS_MOST, "the node acts without end");
+                assert!(self.effects < MAX_EFFECTS, "the node acts without end");
                 let (kind, text) = effect.render();
                 self.transcript.count(&format!("out {kind}"));
                 self.transcript.output(&text);
-                self.one(effect);
+                self.perform(effect);
             }
         }
     }
 
-    fn one(&mut self, effect: Effect) {
+    fn perform(&mut self, effect: Effect) {
         match effect {
             Effect::Connect { connection, address, within } => self.connect(connection, address, within),
             Effect::Write { connection, bytes } if self.clients.contains_key(&connection) => {
@@ -253,7 +253,7 @@
     }
 
     pub(super) fn remember_ended(&mut self, name: String) {
-        if self.ended.len() >= ENDED_MOST {
+        if self.ended.len() >= MAX_ENDED_CALLS {
             self.ended.pop_front();
         }
         self.ended.push_back(name);
@@ -261,38 +261,38 @@
 
     // ---- the list of workers ----
 
-    fn list_changes(&mut self) {
+    fn change_endpoints(&mut self) {
         let next = self.random.between(50, 900) * MILLISECOND;
-        self.schedule.add(self.now + next, Happening::ListChanges);
+        self.schedule.add(self.now + next, Event::EndpointsChange);
         let host = self.random.between(0, self.hosts.len() as u64 - 1) as usize;
         match self.random.between(0, 9) {
             0 => self.set_health(host, "DRAINING"),
             1 => self.set_health(host, "DELETED"),
             2 | 3 => self.restart_host(host),
             4 => self.add_host(),
-            5 => self.whole_list(),
+            5 => self.publish_all(),
             6 => {
                 // The events of a new configuration begin anew.
                 self.list_index = 0;
-                self.whole_list();
+                self.publish_all();
             }
             7 => {
                 let address = self.hosts[host].address.clone();
                 let until = self.now + self.random.between(200, 2_500) * MILLISECOND;
                 self.silent_hosts.insert(address.clone());
-                self.schedule.add(until, Happening::HostSpeaks { address });
+                self.schedule.add(until, Event::HostSpeaks { address });
             }
             8 => {
                 let address = self.hosts[host].address.clone();
                 self.host_breaks(&address);
             }
-            _ => self.move_host(host),
+            _ => self.readdress_host(host),
         }
     }
 
     fn set_health(&mut self, host: usize, health: &'static str) {
         self.hosts[host].health = health;
-        self.tell_change(host);
+        self.publish_change(host);
         if health == "DELETED" {
             let address = self.hosts[host].address.clone();
             self.host_breaks(&address);
@@ -304,7 +304,7 @@
         self.host_breaks(&address);
         self.hosts[host].health = "SERVING";
         self.hosts[host].started = self.now / MILLISECOND;
-        self.tell_change(host);
+        self.publish_change(host);
     }
 
     fn add_host(&mut self) {
@@ -312,32 +312,32 @@
         let mut host = Host::draw(&mut self.random, number);
         host.started = self.now / MILLISECOND;
         self.hosts.push(host);
-        self.tell_change(number as usize);
+        self.publish_change(number as usize);
     }
 
     /// Nothing comes from any worker any more.
-    fn all_hosts_fall_silent(&mut self) {
+    fn silence_all_hosts(&mut self) {
         self.silent_hosts.extend(self.hosts.iter().map(|host| host.address.clone()));
     }
 
     /// A worker is found at another address.
-    fn move_host(&mut self, host: usize) {
+    fn readdress_host(&mut self, host: usize) {
         let number = self.random.between(0, 60_000);
         self.hosts[host].address = format!("10.1.{}.{}:8080", number / 256, number % 256);
-        self.tell_change(host);
+        self.publish_change(host);
     }
 
-    fn tell_change(&mut self, host: usize) {
+    fn publish_change(&mut self, host: usize) {
         self.list_index += 1;
-        let event = list_event(self.list_index, false, self.hosts[host..=host].iter());
+        let event = endpoint_event(self.list_index, false, self.hosts[host..=host].iter());
         self.note("list change", event.clone());
         self.node.list(self.now, &event);
     }
 
-    fn whole_list(&mut self) {
+    fn publish_all(&mut self) {
         self.list_index += 1;
         let listed = self.hosts.iter().filter(|host| host.health != "DELETED");
-        let event = list_event(self.list_index, true, listed);
+        let event = endpoint_event(self.list_index, true, listed);
         self.note("list whole", event.clone());
         self.node.list(self.now, &event);
     }
--- a/crates/pipithub-characterization/src/recording.rs
+++ b/crates/pipithub-characterization/src/recording.rs
@@ -1,4 +1,4 @@
-//! Transcripts of days, and their comparison with the recorded digests.
+//! Transcripts of scenarios, and their comparison with the recorded digests.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -9,10 +9,10 @@
 
 /// Set to `1`, it makes the tests write the recorded files instead of comparing with them.
 pub const RECORD_VARIABLE: &str = "RECORD_BEHAVIOR";
-/// Names a folder into which the whole transcripts of days that differ are written.
+/// Names a folder into which the whole transcripts of scenarios that differ are written.
 pub const TRANSCRIPT_VARIABLE: &str = "BEHAVIOR_TRANSCRIPTS";
 
-/// All that went in and came out during one day, and how often each kind of it occurred.
+/// All that went in and came out during one scenario, and how often each kind of it occurred.
 #[derive(Clone, Debug, Default)]
 pub struct Transcript {
     text: String,
@@ -63,29 +63,33 @@
     let _ = writeln!(standard_error, "{text}");
 }
 
-/// Runs a day for each seed below `seeds` on so many threads.
-pub fn run_days(seeds: u64, threads: u64, day: impl Fn(u64) -> Transcript + Sync) -> Vec<Transcript> {
-    let day = &day;
+/// Runs a scenario for each seed below `seeds` on so many threads.
+pub fn run_scenarios(
+    seeds: u64,
+    threads: u64,
+    scenario: impl Fn(u64) -> Transcript + Sync,
+) -> Vec<Transcript> {
+    let scenario = &scenario;
     let mut transcripts: BTreeMap<u64, Transcript> = BTreeMap::new();
     std::thread::scope(|scope| {
-        let run = |first: u64| (first..seeds).step_by(threads as usize).map(|seed| (seed, day(seed)));
+        let run = |first: u64| (first..seeds).step_by(threads as usize).map(|seed| (seed, scenario(seed)));
         let workers: Vec<_> =
             (0..threads).map(|first| scope.spawn(move || run(first).collect::<Vec<_>>())).collect();
         for worker in workers {
-            transcripts.extend(worker.join().expect("a day ends without a panic"));
+            transcripts.extend(worker.join().expect("a scenario ends without a panic"));
         }
     });
     transcripts.into_values().collect()
 }
 
-/// Compares the digests of all days with the recorded ones, or records them; the place of a day is its seed.
+/// Compares the digests of all scenarios with the recorded ones, or records them; the place of a scenario is its seed.
 ///
 /// # Panics
 /// Where a digest differs from the recorded one, naming its seed, or where one of `kinds` never occurred.
-pub fn check_days(path: &Path, days: &[Transcript], kinds: &[&str]) {
-    check_kinds(path, days, kinds);
-    let digests: String = days.iter().enumerate().fold(String::new(), |mut text, (seed, day)| {
-        let _ = writeln!(text, "{seed} {}", day.digest());
+pub fn check_scenarios(path: &Path, scenarios: &[Transcript], kinds: &[&str]) {
+    check_kinds(path, scenarios, kinds);
+    let digests: String = scenarios.iter().enumerate().fold(String::new(), |mut text, (seed, scenario)| {
+        let _ = writeln!(text, "{seed} {}", scenario.digest());
         text
     });
     if recording() {
@@ -96,7 +100,7 @@
     for (seed, (recorded, digest)) in recorded.lines().zip(digests.lines()).enumerate() {
         if recorded != digest {
             differing.push(seed.to_string());
-            write_transcript(path, seed, &days[seed]);
+            write_transcript(path, seed, &scenarios[seed]);
         }
     }
     assert!(
@@ -105,7 +109,7 @@
         path.display(),
         differing.join(", ")
     );
-    assert_eq!(recorded.lines().count(), days.len(), "as many days are recorded as were run");
+    assert_eq!(recorded.lines().count(), scenarios.len(), "as many scenarios are recorded as were run");
 }
 
 /// Compares a written file with the recorded one, or records it.
@@ -135,22 +139,22 @@
     announce(&format!("*** {RECORD_VARIABLE}=1: NOTHING WAS COMPARED; recorded {}", path.display()));
 }
 
-fn check_kinds(path: &Path, days: &[Transcript], kinds: &[&str]) {
+fn check_kinds(path: &Path, scenarios: &[Transcript], kinds: &[&str]) {
     let mut total: BTreeMap<&str, u64> = BTreeMap::new();
-    for (kind, count) in days.iter().flat_map(|day| &day.counts) {
+    for (kind, count) in scenarios.iter().flat_map(|scenario| &scenario.counts) {
         *total.entry(kind).or_default() += count;
     }
     if recording() {
-        announce(&format!("*** occurrences in the days of {}:", path.display()));
+        announce(&format!("*** occurrences in the scenarios of {}:", path.display()));
         total.iter().for_each(|(kind, count)| announce(&format!("{count:>10} {kind}")));
     }
     let missing: Vec<_> = kinds.iter().filter(|kind| !total.contains_key(**kind)).collect();
-    assert!(missing.is_empty(), "never occurred in the drawn days: {missing:?}");
+    assert!(missing.is_empty(), "never occurred in the drawn scenarios: {missing:?}");
 }
 
-fn write_transcript(path: &Path, seed: usize, day: &Transcript) {
+fn write_transcript(path: &Path, seed: usize, scenario: &Transcript) {
     let Some(folder) = std::env::var_os(TRANSCRIPT_VARIABLE) else { return };
     let stem = path.file_stem().unwrap_or_default().to_string_lossy();
     let file = Path::new(&folder).join(format!("{stem}-{seed}.txt"));
-    std::fs::write(file, &day.text).expect("a transcript can be written");
+    std::fs::write(file, &scenario.text).expect("a transcript can be written");
 }
--- a/crates/pipithub-characterization/tests/node_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/node_driver/mod.rs
@@ -1,6 +1,6 @@
 //! The one place that knows the node's own types.
 
-use pipithub_characterization::node_day;
+use pipithub_characterization::node_scenario;
 use pipithub_node::core::{Core, Effect};
 use pipithub_platform::config::NodeConfig;
 use pipithub_platform::list;
@@ -19,7 +19,7 @@
     }
 }
 
-impl node_day::Node for Driver {
+impl node_scenario::Node for Driver {
     fn next_due(&self) -> u64 {
         self.core.next_due()
     }
@@ -79,7 +79,7 @@
         self.core.done(now)
     }
 
-    fn out_of_time(&self, now: u64) -> bool {
+    fn deadline_passed(&self, now: u64) -> bool {
         self.core.overdue(now)
     }
 
@@ -88,21 +88,25 @@
         format!("open {} clients {clients} workers {workers}", self.core.open())
     }
 
-    fn effects(&mut self) -> Vec<node_day::Effect> {
+    fn effects(&mut self) -> Vec<node_scenario::Effect> {
         let mut effects = Vec::new();
         self.core.effects(&mut effects);
         effects.into_iter().map(effect).collect()
     }
 }
 
-fn effect(effect: Effect) -> node_day::Effect {
+fn effect(effect: Effect) -> node_scenario::Effect {
     match effect {
-        Effect::Write { conn, bytes } => node_day::Effect::Write { connection: conn, bytes: bytes.to_vec() },
-        Effect::Close { conn } => node_day::Effect::Close { connection: conn },
-        Effect::Retire { conn } => node_day::Effect::Retire { connection: conn },
-        Effect::Unwrite { conn, at, len } => node_day::Effect::Unwrite { connection: conn, at, length: len },
+        Effect::Write { conn, bytes } => {
+            node_scenario::Effect::Write { connection: conn, bytes: bytes.to_vec() }
+        }
+        Effect::Close { conn } => node_scenario::Effect::Close { connection: conn },
+        Effect::Retire { conn } => node_scenario::Effect::Retire { connection: conn },
+        Effect::Unwrite { conn, at, len } => {
+            node_scenario::Effect::Unwrite { connection: conn, at, length: len }
+        }
         Effect::Connect { conn, address, within } => {
-            node_day::Effect::Connect { connection: conn, address, within }
+            node_scenario::Effect::Connect { connection: conn, address, within }
         }
     }
 }
