--- /dev/null
+++ b/crates/pipithub-adapter/tests/recorded.rs
@@ -0,0 +1,28 @@
+//! The adapter's answers to seeded scenarios, compared with those that are recorded.
+
+mod driver;
+
+use std::path::Path;
+
+use driver::Adapter;
+use pipithub_characterization::adapter_scenario::{self, KINDS};
+use pipithub_characterization::recording::{check_scenarios, run_scenarios, Transcript};
+
+/// How many scenarios are run.
+const SCENARIOS: u64 = 120;
+/// How many adapters run at a time.
+const THREADS: u64 = 4;
+
+fn scenario(seed: u64) -> Transcript {
+    let mut transcript = Transcript::default();
+    let mut adapter = Adapter::start();
+    adapter_scenario::run(seed, &mut adapter, &mut transcript);
+    adapter.finish();
+    transcript
+}
+
+#[test]
+fn seeded_scenarios_on_the_line_protocol_are_as_recorded() {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/recorded/adapter-digests.txt");
+    check_scenarios(&path, &run_scenarios(SCENARIOS, THREADS, scenario), KINDS);
+}
