--- a/crates/pipithub-inference/src/lib.rs
+++ b/crates/pipithub-inference/src/lib.rs
@@ -12,6 +12,8 @@
 use pipithub_engine::{AttemptId, Call, Time};
 use serde::{Deserialize, Serialize};
 
+const NANOSECONDS_PER_MILLISECOND: Time = 1_000_000;
+
 /// Names of the headers that are this project's own, and of the standard ones it reads.
 pub mod header {
     /// To the worker: whole milliseconds that an answer is of use for.
@@ -51,6 +53,26 @@
     pub headers: Vec<(&'static str, String)>,
 }
 
+/// Too little of the call's time is left to be told to a worker: its request must not be sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("the call's deadline is reached")]
+pub struct DeadlineReached;
+
+impl WorkerRequest {
+    /// Sets [`header::TIMEOUT`] from the time that is left, rounded down to whole milliseconds.
+    ///
+    /// To be called each time the request is put on a connection: what is left shrinks while it waits for one.
+    pub fn set_timeout(&mut self, left: Time) -> Result<(), DeadlineReached> {
+        let milliseconds = left / NANOSECONDS_PER_MILLISECOND;
+        if milliseconds == 0 {
+            return Err(DeadlineReached);
+        }
+        self.headers.retain(|(name, _)| *name != header::TIMEOUT);
+        self.headers.push((header::TIMEOUT, milliseconds.to_string()));
+        Ok(())
+    }
+}
+
 /// A model's name as a path segment.
 fn segment(name: &str) -> Cow<'_, str> {
     let plain = |b: u8| b.is_ascii_alphanumeric() || b"-._~".contains(&b);
@@ -96,7 +118,7 @@
 /// The request of an attempt; `left`: how long an answer is of use.
 pub fn infer(call: &Call, id: AttemptId, front_end: &str, left: Time) -> WorkerRequest {
     let mut headers = vec![
-        (header::TIMEOUT, (left / 1_000_000).to_string()),
+        (header::TIMEOUT, (left / NANOSECONDS_PER_MILLISECOND).to_string()),
         (header::ATTEMPT, id.number.to_string()),
         (header::FRONT_END, value(front_end)),
         (header::MEMORY, call.memory_mb.to_string()),
