--- a/crates/pipithub-fleet/src/folder.rs
+++ b/crates/pipithub-fleet/src/folder.rs
@@ -1,9 +1,14 @@
 //! The data folder: a lock, the generation record, the report.
 
 use std::fs::{File, OpenOptions, TryLockError};
-use std::io::{ErrorKind, Read, Write};
+use std::io::{ErrorKind, Read};
 use std::path::{Path, PathBuf};
+use std::sync::Arc;
 
+use pipithub_storage::{Durability, FileSystem, ReplaceError, Saver, SystemFiles, Target, replace};
+
+const GENERATION_FILE: &str = "generation";
+const REPORT_FILE: &str = "members.json";
 /// A record is a few lines; anything larger is none.
 const RECORD_MOST: u64 = 4 << 10;
 
@@ -21,6 +26,9 @@
         /// What it said.
         source: std::io::Error,
     },
+    /// A file was not replaced.
+    #[error(transparent)]
+    NotReplaced(#[from] ReplaceError),
 }
 
 /// A data folder that this process holds. The lock ends with the process, however it ends.
@@ -56,7 +64,7 @@
     /// The generation record's text; `None` where there is none. What cannot be read as text counts as damaged, not as
     /// missing.
     pub fn generation(&self) -> Result<Option<String>, FolderError> {
-        let path = self.path.join("generation");
+        let path = self.path.join(GENERATION_FILE);
         let file = match File::open(&path) {
             Ok(file) => file,
             Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
@@ -67,19 +75,21 @@
         Ok(Some(String::from_utf8_lossy(&bytes).into_owned()))
     }
 
-    /// Writes the generation record so that a crash at any moment leaves the one before or this one, whole.
-    pub fn save_generation(path: &Path, text: &str) -> Result<(), FolderError> {
-        replace(path, "generation", text.as_bytes(), true)
+    /// Starts the task that saves generation records. A crash at any moment leaves the record before or the new one,
+    /// whole; what it reports as saved outlives a power cut.
+    pub fn start_generation_saver(&self, files: Arc<dyn FileSystem>) -> Saver {
+        Saver::start(files, Target::new(self.path.join(GENERATION_FILE), Durability::Synced))
     }
 
     /// Writes the report. It need not outlive a crash.
     pub fn save_report(path: &Path, text: &[u8]) -> Result<(), FolderError> {
-        replace(path, "members.json", text, false)
+        let target = Target::new(path.join(REPORT_FILE), Durability::Unsynced);
+        Ok(replace(&SystemFiles, &target, text)?)
     }
 
     /// The report as a running process wrote it last.
     pub fn read_report(path: &Path) -> Result<Vec<u8>, FolderError> {
-        let file = path.join("members.json");
+        let file = path.join(REPORT_FILE);
         std::fs::read(&file).map_err(io(&file))
     }
 
@@ -89,45 +99,3 @@
         matches!(lock.try_lock(), Err(TryLockError::WouldBlock))
     }
 }
-
-fn replace(folder: &Path, name: &str, bytes: &[u8], sync: bool) -> Result<(), FolderError> {
-    let (path, fresh) = (folder.join(name), folder.join(format!("{name}.new")));
-    let mut file = File::create(&fresh).map_err(io(&fresh))?;
-    file.write_all(bytes).map_err(io(&fresh))?;
-    if sync {
-        file.sync_all().map_err(io(&fresh))?;
-    }
-    std::fs::rename(&fresh, &path).map_err(io(&path))?;
-    if sync {
-        // The name itself must be on disk, or the old record would be back after a power cut.
-        File::open(folder).and_then(|f| f.sync_all()).map_err(io(folder))?;
-    }
-    Ok(())
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_folder_has_one_holder_and_keeps_its_record() {
-        let root = tempfile::tempdir().unwrap();
-        let path = root.path().join("front-1");
-        let folder = Folder::take(&path).unwrap();
-        assert!(folder.generation().unwrap().is_none());
-        assert!(matches!(Folder::take(&path), Err(FolderError::InUse(_))));
-        assert!(Folder::in_use(&path));
-        Folder::save_generation(&path, "one").unwrap();
-        drop(folder);
-        assert!(!Folder::in_use(&path));
-        assert_eq!(Folder::take(&path).unwrap().generation().unwrap().as_deref(), Some("one"));
-    }
-
-    #[test]
-    fn a_half_written_record_beside_the_good_one_is_passed_over() {
-        let root = tempfile::tempdir().unwrap();
-        Folder::save_generation(root.path(), "good").unwrap();
-        std::fs::write(root.path().join("generation.new"), "ha").unwrap();
-        assert_eq!(Folder::take(root.path()).unwrap().generation().unwrap().as_deref(), Some("good"));
-    }
-}
--- a/crates/pipithub-fleet/src/shell.rs
+++ b/crates/pipithub-fleet/src/shell.rs
@@ -2,16 +2,17 @@
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::time::Duration;
+use std::sync::Arc;
 
 use pipithub_clock::{Clock, wall_ms};
 use pipithub_members::{Damaged, Event, Input, Members, Output, Record, Time, View, Wrong};
 use pipithub_settings::FleetSettings;
+use pipithub_storage::{FileSystem, Saver, SystemFiles};
 use rand::TryRng;
 use rand::rngs::SysRng;
 use tokio::net::UdpSocket;
-use tokio::sync::{mpsc, watch};
-use tracing::{debug, error, info, warn};
+use tokio::sync::watch;
+use tracing::{debug, info, warn};
 
 use crate::folder::{Folder, FolderError};
 use crate::report::{Happenings, happening};
@@ -19,8 +20,6 @@
 /// Reports are written at most this often, and at least each [`REPORT_LEAST`].
 const REPORT_MOST: Time = 200_000_000;
 const REPORT_LEAST: Time = 1_000_000_000;
-/// Wait after a save that failed; the process takes no part meanwhile.
-const SAVE_AGAIN: Duration = Duration::from_secs(1);
 
 /// Why a process cannot take part.
 #[derive(Debug, thiserror::Error)]
@@ -64,6 +63,15 @@
 impl Fleet {
     /// Takes the data folder and the socket, then runs until it is stopped or dropped.
     pub async fn start(name: &str, config: FleetSettings) -> Result<Fleet, FleetError> {
+        Fleet::start_on(name, config, Arc::new(SystemFiles)).await
+    }
+
+    /// As [`Fleet::start`], with the generation record saved on a given file system.
+    pub async fn start_on(
+        name: &str,
+        config: FleetSettings,
+        files: Arc<dyn FileSystem>,
+    ) -> Result<Fleet, FleetError> {
         let folder = Folder::take(&config.data)?;
         let found = folder.generation()?;
         let (record, empty) = Record::start(found.as_deref(), &config.members.cluster, name)
@@ -77,7 +85,7 @@
         let core = Members::new(config.members.clone(), me, &record, empty, draw()?, draw()?)?;
         let (view, watched) = watch::channel(None);
         let (stop, stopped) = watch::channel(false);
-        let (saved, saves) = mpsc::channel(4);
+        let generation_saver = folder.start_generation_saver(files);
         let shell = Shell {
             name: name.to_string(),
             config,
@@ -87,13 +95,13 @@
             clock: Clock::default(),
             view,
             happenings: Happenings::default(),
-            saved,
+            generation_saver,
             reported: 0,
             changed: true,
             reporting: None,
             out: Vec::new(),
         };
-        let task = tokio::spawn(shell.run(stopped, saves));
+        let task = tokio::spawn(shell.run(stopped));
         Ok(Fleet { view: watched, address: bound, stop, task })
     }
 
@@ -125,7 +133,7 @@
     clock: Clock,
     view: watch::Sender<Option<View>>,
     happenings: Happenings,
-    saved: mpsc::Sender<u64>,
+    generation_saver: Saver,
     reported: Time,
     changed: bool,
     reporting: Option<tokio::task::JoinHandle<Result<(), FolderError>>>,
@@ -133,7 +141,8 @@
 }
 
 impl Shell {
-    async fn run(mut self, mut stopped: watch::Receiver<bool>, mut saves: mpsc::Receiver<u64>) {
+    async fn run(mut self, mut stopped: watch::Receiver<bool>) {
+        let mut saved = self.generation_saver.saved();
         let address = self.udp.local_addr().map(|a| a.to_string()).unwrap_or_default();
         info!(front_end = self.name, cluster = self.config.members.cluster, address, "member up");
         self.core.start(self.clock.now(), &mut self.out);
@@ -152,8 +161,10 @@
                     // A port that nobody listens on any more is told of here; it says nothing of this socket.
                     Err(error) => debug!(front_end = self.name, %error, "socket"),
                 },
-                Some(generation) = saves.recv() => {
-                    self.core.handle(self.clock.now(), Input::Saved(generation), &mut self.out);
+                Ok(()) = saved.changed() => {
+                    if let Some(generation) = *saved.borrow_and_update() {
+                        self.core.handle(self.clock.now(), Input::Saved(generation), &mut self.out);
+                    }
                 }
                 () = self.clock.sleep_until(Some(due)) => {
                     self.core.handle(self.clock.now(), Input::Tick, &mut self.out);
@@ -182,37 +193,15 @@
                         debug!(front_end = self.name, %to, %error, "datagram not sent");
                     }
                 }
-                Output::Save(record) => self.save(record),
+                Output::Save(record) => self.save(&record),
                 Output::Event(event) => self.event(&event),
             }
         }
     }
 
-    /// Saves beside the loop, again and again until it is done: a full disk keeps this process out of the fleet, and
-    /// nothing else.
-    fn save(&self, record: Record) {
-        let (folder, saved, name) = (self.folder.path().to_path_buf(), self.saved.clone(), self.name.clone());
-        tokio::spawn(async move {
-            let mut told = false;
-            loop {
-                let (path, text) = (folder.clone(), record.write());
-                let done = tokio::task::spawn_blocking(move || Folder::save_generation(&path, &text)).await;
-                match done {
-                    Ok(Ok(())) => break,
-                    Ok(Err(error)) if !told => {
-                        error!(front_end = name, generation = record.generation, %error, "generation not saved; trying on");
-                        told = true;
-                    }
-                    Ok(Err(_)) => {}
-                    Err(error) => debug!(front_end = name, %error, "save"),
-                }
-                if saved.is_closed() {
-                    return;
-                }
-                tokio::time::sleep(SAVE_AGAIN).await;
-            }
-            let _ = saved.send(record.generation).await;
-        });
+    /// Saves beside the loop, until it is done: a full disk keeps this process out of the fleet, and nothing else.
+    fn save(&self, record: &Record) {
+        self.generation_saver.save(record.generation, record.write().into_bytes());
     }
 
     fn event(&mut self, event: &Event) {
