--- a/crates/pipithub-standin/src/broker/server.rs
+++ b/crates/pipithub-standin/src/broker/server.rs
@@ -12,6 +12,7 @@
 use tracing::{debug, info};
 
 use super::core::{Bounds, Broker, ConnId, Out};
+use crate::accept::next_connection;
 use crate::clock::Clock;
 use crate::recorder::Recorder;
 
@@ -188,12 +189,7 @@
 }
 
 async fn accept(listener: TcpListener, shared: Arc<Shared>) {
-    loop {
-        // An error here is for one connection (or want of descriptors): the next may do better.
-        let Ok((stream, peer)) = listener.accept().await else {
-            tokio::task::yield_now().await;
-            continue;
-        };
+    while let Some((stream, peer)) = next_connection(|| listener.accept()).await {
         let mut state = shared.lock();
         if state.mail.len() >= MOST_CONNECTIONS {
             info!(%peer, "turned away: too many connections");
--- a/crates/pipithub-standin/src/coordinator.rs
+++ b/crates/pipithub-standin/src/coordinator.rs
@@ -18,6 +18,8 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{oneshot, watch};
 
+use crate::accept::next_stream;
+
 /// Events kept for those who missed them; who missed more gets every worker.
 const HISTORY_MOST: usize = 1024;
 /// The most bytes of a request.
@@ -300,28 +302,22 @@
 }
 
 async fn accept(listener: TcpListener, shared: Arc<Shared>) {
-    loop {
-        match listener.accept().await {
-            Ok((stream, _)) if shared.behaviour.borrow().cut => {
-                shared.counters.refused.fetch_add(1, Relaxed);
-                drop(stream);
-            }
-            Ok((stream, _)) => {
-                shared.counters.connections.fetch_add(1, Relaxed);
-                let shared = shared.clone();
-                tokio::spawn(async move {
-                    shared.counters.open.fetch_add(1, Relaxed);
-                    let mut behaviour = shared.behaviour.subscribe();
-                    tokio::select! {
-                        _ = serve(stream, &shared) => {}
-                        _ = behaviour.wait_for(|b| b.cut) => {}
-                    }
-                    shared.counters.open.fetch_sub(1, Relaxed);
-                });
-            }
-            // Out of descriptors: streams that close make room.
-            Err(_) => tokio::time::sleep(Duration::from_millis(10)).await,
+    while let Some(stream) = next_stream(&listener).await {
+        if shared.behaviour.borrow().cut {
+            shared.counters.refused.fetch_add(1, Relaxed);
+            continue;
         }
+        shared.counters.connections.fetch_add(1, Relaxed);
+        let shared = shared.clone();
+        tokio::spawn(async move {
+            shared.counters.open.fetch_add(1, Relaxed);
+            let mut behaviour = shared.behaviour.subscribe();
+            tokio::select! {
+                _ = serve(stream, &shared) => {}
+                _ = behaviour.wait_for(|b| b.cut) => {}
+            }
+            shared.counters.open.fetch_sub(1, Relaxed);
+        });
     }
 }
 
--- a/crates/pipithub-standin/src/directory.rs
+++ b/crates/pipithub-standin/src/directory.rs
@@ -24,6 +24,8 @@
 use tokio_rustls::rustls::ServerConfig;
 use tokio_rustls::rustls::pki_types::PrivateKeyDer;
 
+use crate::accept::next_stream;
+
 /// How a server is set up.
 #[derive(Clone, Debug, Default)]
 pub struct DirectorySettings {
@@ -147,8 +149,7 @@
         });
         let served = shared.clone();
         let task = tokio::spawn(async move {
-            loop {
-                let Ok((stream, _)) = listener.accept().await else { continue };
+            while let Some(stream) = next_stream(&listener).await {
                 let _ = stream.set_nodelay(true);
                 tokio::spawn(serve(stream, served.clone()));
             }
--- a/crates/pipithub-standin/src/lib.rs
+++ b/crates/pipithub-standin/src/lib.rs
@@ -6,6 +6,7 @@
 //!
 //! They are test tools: they keep nothing on disk and trust whoever reaches them, so they listen on loopback alone.
 
+pub mod accept;
 pub mod broker;
 pub mod coordinator;
 pub mod directory;
--- a/crates/pipithub-standin/src/list.rs
+++ b/crates/pipithub-standin/src/list.rs
@@ -23,6 +23,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, mpsc};
 
+use crate::accept::next_stream;
 use crate::recorder::Recorder;
 
 /// Changes that are kept for watches; older versions are gone.
@@ -156,8 +157,7 @@
         let all = shared.clone();
         let task = tokio::spawn(async move {
             let mut connections = tokio::task::JoinSet::new();
-            loop {
-                let Ok((stream, _)) = listener.accept().await else { continue };
+            while let Some(stream) = next_stream(&listener).await {
                 let _ = stream.set_nodelay(true);
                 while connections.try_join_next().is_some() {}
                 let shared = all.clone();
--- a/crates/pipithub-standin/src/proxy.rs
+++ b/crates/pipithub-standin/src/proxy.rs
@@ -10,6 +10,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
+use crate::accept::next_stream;
+
 /// What is done to bytes that pass.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Damage {
@@ -60,8 +62,7 @@
         });
         let all = shared.clone();
         let task = tokio::spawn(async move {
-            loop {
-                let Ok((stream, _)) = listener.accept().await else { continue };
+            while let Some(stream) = next_stream(&listener).await {
                 let (shared, mut cut) = (all.clone(), all.cuts.subscribe());
                 tokio::spawn(async move {
                     tokio::select! {
--- a/crates/pipithub-standin/src/store.rs
+++ b/crates/pipithub-standin/src/store.rs
@@ -10,6 +10,8 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 
+use crate::accept::next_stream;
+
 /// How a store is built.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreSettings {
@@ -101,8 +103,7 @@
         });
         let shared = control.clone();
         let task = tokio::spawn(async move {
-            loop {
-                let Ok((stream, _)) = listener.accept().await else { continue };
+            while let Some(stream) = next_stream(&listener).await {
                 tokio::spawn(serve(stream, shared.clone()));
             }
         });
--- a/crates/pipithub-standin/src/worker/server.rs
+++ b/crates/pipithub-standin/src/worker/server.rs
@@ -18,6 +18,7 @@
 use tracing::debug;
 
 use super::core::{Happened, Incoming, Met, Refused, WorkerCore, WorkerSettings};
+use crate::accept::next_stream;
 use crate::clock::Clock;
 use crate::recorder::Recorder;
 
@@ -191,11 +192,7 @@
 async fn accept(listener: TcpListener, shared: Arc<Shared>) {
     // Connections end with the worker: a dead process keeps none.
     let mut connections = tokio::task::JoinSet::new();
-    loop {
-        let Ok((stream, _)) = listener.accept().await else {
-            tokio::task::yield_now().await;
-            continue;
-        };
+    while let Some(stream) = next_stream(&listener).await {
         let _ = stream.set_nodelay(true);
         while connections.try_join_next().is_some() {}
         let shared = shared.clone();
--- /dev/null
+++ b/crates/pipithub-standin/tests/accept.rs
@@ -0,0 +1,58 @@
+//! What a listener of a stand-in does after each kind of error.
+
+use std::collections::VecDeque;
+use std::io;
+use std::time::Duration;
+
+use pipithub_standin::accept::next_connection;
+use rustix::io::Errno;
+use tokio::time::Instant;
+
+/// What a scripted listener gives: errors first, a connection at last.
+struct Script {
+    errors: VecDeque<Errno>,
+    calls: usize,
+}
+
+impl Script {
+    fn of(errors: impl IntoIterator<Item = Errno>) -> Self {
+        Script { errors: errors.into_iter().collect(), calls: 0 }
+    }
+
+    fn accept(&mut self) -> io::Result<&'static str> {
+        self.calls += 1;
+        self.errors.pop_front().map_or(Ok("connection"), |errno| Err(errno.into()))
+    }
+
+    /// What comes of the script, and the time that was spent.
+    async fn play(&mut self) -> (Option<&'static str>, Duration) {
+        let began = Instant::now();
+        let accepted = next_connection(|| std::future::ready(self.accept())).await;
+        (accepted, began.elapsed())
+    }
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_lost_connection_holds_up_no_other() {
+    let mut script = Script::of([Errno::CONNABORTED, Errno::PROTO, Errno::INTR].repeat(100));
+    assert_eq!(script.play().await, (Some("connection"), Duration::ZERO));
+    assert_eq!(script.calls, 301);
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_machine_short_of_descriptors_or_memory_is_waited_for_without_spinning() {
+    for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM] {
+        let mut script = Script::of([errno; 50]);
+        let (accepted, waited) = script.play().await;
+        assert_eq!((accepted, script.calls), (Some("connection"), 51), "{errno}");
+        assert!(waited >= Duration::from_millis(50), "{errno}: it spins");
+        assert!(waited <= Duration::from_secs(5), "{errno}: it sleeps too long: {waited:?}");
+    }
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_listener_of_no_use_ends_at_once() {
+    let mut script = Script::of([Errno::BADF; 50]);
+    assert_eq!(script.play().await, (None, Duration::ZERO));
+    assert_eq!(script.calls, 1);
+}
