--- a/crates/pipithub-characterization/tests/file_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/file_driver/mod.rs
@@ -1,6 +1,7 @@
 //! The one place that knows the types behind the files; its own interface is text and bytes.
 
 use std::path::Path;
+use std::sync::Arc;
 
 use pipithub_directory::{
     Claim, Directory, DirectorySettings, Lifetimes, Person, Settings, TenantBase, TenantId, Told, snapshot,
@@ -10,6 +11,7 @@
 use pipithub_fleet::{Folder, Happening, MemberReport, Report};
 use pipithub_ldap::Dn;
 use pipithub_members::Record;
+use pipithub_storage::SystemFiles;
 
 const HOUR: u64 = 3_600 * 1_000_000_000;
 
@@ -34,7 +36,13 @@
 
 /// Writes the record of a data folder.
 pub fn save_generation(folder: &Path, text: &str) {
-    Folder::save_generation(folder, text).expect("the record is written");
+    let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
+    runtime.block_on(async {
+        let folder = Folder::take(folder).expect("the folder is free");
+        let saver = folder.start_generation_saver(Arc::new(SystemFiles));
+        saver.save(1, text.as_bytes());
+        saver.saved().wait_for(|number| *number == Some(1)).await.expect("the record is written");
+    });
 }
 
 /// The record of a data folder as a start finds it.
