--- a/crates/pipithub-adapter/src/main.rs
+++ b/crates/pipithub-adapter/src/main.rs
@@ -21,7 +21,10 @@
 fn main() -> ExitCode {
     let stdin = io::stdin();
     let stdout = io::stdout();
-    match run(&mut BufReader::with_capacity(1 << 16, stdin.lock()), &mut BufWriter::new(stdout.lock())) {
+    match run(
+        &mut BufReader::with_capacity(1 << 16, stdin.lock()),
+        &mut BufWriter::new(stdout.lock()),
+    ) {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
             eprintln!("pipithub-adapter: {message}");
@@ -32,7 +35,11 @@
 
 /// Reads batches until the input ends; every error names the line that it stands on.
 fn run(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), String> {
-    let mut lines = Lines { input, number: 0, text: String::new() };
+    let mut lines = Lines {
+        input,
+        number: 0,
+        text: String::new(),
+    };
     let mut hosted: BTreeMap<u64, Hosted> = BTreeMap::new();
     let mut actions: Vec<Action> = Vec::new();
     let mut reply = String::new();
@@ -53,7 +60,13 @@
             if name == "attach" {
                 let (seed, text) = wire::attach(&lines.text).map_err(|e| lines.at(&e))?;
                 let site = settings::parse(text).map_err(|e| lines.at(&e))?;
-                hosted.insert(end, Hosted { front: FrontEnd::new(site.policy, seed), names: site.names });
+                hosted.insert(
+                    end,
+                    Hosted {
+                        front: FrontEnd::new(site.policy, seed),
+                        names: site.names,
+                    },
+                );
                 continue;
             }
             if name == "killed" {
@@ -61,7 +74,9 @@
                 continue;
             }
             let Some(host) = hosted.get_mut(&end) else {
-                return Err(lines.at(&format!("'{name}' for front end {end}, which is not attached")));
+                return Err(lines.at(&format!(
+                    "'{name}' for front end {end}, which is not attached"
+                )));
             };
             let event = match wire::event(&lines.text, &host.names).map_err(|e| lines.at(&e))? {
                 Input::Event(event) => event,
@@ -71,7 +86,8 @@
                         if !lines.next()? {
                             return Err(lines.at("input ends inside a list"));
                         }
-                        entries.push(wire::entry(&lines.text, &host.names).map_err(|e| lines.at(&e))?);
+                        entries
+                            .push(wire::entry(&lines.text, &host.names).map_err(|e| lines.at(&e))?);
                     }
                     Event::List { kind, entries }
                 }
@@ -82,7 +98,9 @@
             }
         }
         reply.push_str("end\n");
-        let sent = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
+        let sent = output
+            .write_all(reply.as_bytes())
+            .and_then(|()| output.flush());
         sent.map_err(|e| format!("cannot write a reply: {e}"))?;
     }
     Ok(())
@@ -100,7 +118,10 @@
     fn next(&mut self) -> Result<bool, String> {
         self.text.clear();
         self.number += 1;
-        let read = self.input.read_line(&mut self.text).map_err(|e| self.at(&e.to_string()))?;
+        let read = self
+            .input
+            .read_line(&mut self.text)
+            .map_err(|e| self.at(&e.to_string()))?;
         let kept = self.text.trim_end_matches(['\n', '\r']).len();
         self.text.truncate(kept);
         Ok(read > 0)
--- a/crates/pipithub-adapter/src/wire.rs
+++ b/crates/pipithub-adapter/src/wire.rs
@@ -5,8 +5,8 @@
 
 use pipithub_platform::settings::Names;
 use pipithub_policy::api::{
-    Action, CopyNote, Entry, Event, Finished, Function, ListKind, Load, Ordered, Outcome, Request, State,
-    Time, Worker,
+    Action, CopyNote, Entry, Event, Finished, Function, ListKind, Load, Ordered, Outcome, Request,
+    State, Time, Worker,
 };
 
 /// What one line holds.
@@ -24,23 +24,32 @@
 
 impl<'a> Parts<'a> {
     fn of(line: &'a str) -> Self {
-        Parts { rest: line.split(' ') }
+        Parts {
+            rest: line.split(' '),
+        }
     }
 
     fn text(&mut self, what: &str) -> Result<&'a str, String> {
-        self.rest.next().filter(|p| !p.is_empty()).ok_or_else(|| format!("{what} is missing"))
+        self.rest
+            .next()
+            .filter(|p| !p.is_empty())
+            .ok_or_else(|| format!("{what} is missing"))
     }
 
     /// A value that may be absent: `-`, or no part at all.
     fn maybe<T: FromStr>(&mut self, what: &str) -> Result<Option<T>, String> {
         match self.rest.next() {
             None | Some("-") => Ok(None),
-            Some(part) => part.parse().map(Some).map_err(|_| format!("{what}: cannot read '{part}'")),
+            Some(part) => part
+                .parse()
+                .map(Some)
+                .map_err(|_| format!("{what}: cannot read '{part}'")),
         }
     }
 
     fn value<T: FromStr>(&mut self, what: &str) -> Result<T, String> {
-        self.maybe(what)?.ok_or_else(|| format!("{what} is missing"))
+        self.maybe(what)?
+            .ok_or_else(|| format!("{what} is missing"))
     }
 
     fn bool(&mut self, what: &str) -> Result<bool, String> {
@@ -53,7 +62,9 @@
 
     fn function(&mut self) -> Result<Function, String> {
         let text = self.text("Model")?;
-        u64::from_str_radix(text, 16).map(Function).map_err(|_| format!("Model: cannot read '{text}'"))
+        u64::from_str_radix(text, 16)
+            .map(Function)
+            .map_err(|_| format!("Model: cannot read '{text}'"))
     }
 
     fn worker(&mut self) -> Result<Worker, String> {
@@ -82,7 +93,9 @@
             Some(pairs) => pairs,
         };
         for pair in pairs.split(',') {
-            let (name, value) = pair.split_once(':').ok_or_else(|| format!("Load: cannot read '{pair}'"))?;
+            let (name, value) = pair
+                .split_once(':')
+                .ok_or_else(|| format!("Load: cannot read '{pair}'"))?;
             let slot = match name {
                 "rif" => &mut load.held,
                 "busy" => &mut load.busy,
@@ -90,7 +103,9 @@
                 "x1" => &mut load.loads,
                 _ => continue,
             };
-            let number: f64 = value.parse().map_err(|_| format!("Load: cannot read '{pair}'"))?;
+            let number: f64 = value
+                .parse()
+                .map_err(|_| format!("Load: cannot read '{pair}'"))?;
             *slot = Some(number).filter(|n| n.is_finite());
         }
         Ok(load)
@@ -110,14 +125,19 @@
 pub fn addressee(line: &str) -> Result<(u64, &str), String> {
     let mut parts = Parts::of(line);
     let name = parts.text("message")?;
-    Ok((parts.value("EndId").map_err(|e| format!("{name}: {e}"))?, name))
+    Ok((
+        parts.value("EndId").map_err(|e| format!("{name}: {e}"))?,
+        name,
+    ))
 }
 
 /// Seed and settings text of an `attach`.
 pub fn attach(line: &str) -> Result<(u64, &str), String> {
     let mut parts = line.splitn(4, ' ').skip(2);
     let seed = parts.next().ok_or("attach: RngSeed is missing")?;
-    let seed = seed.parse().map_err(|_| format!("attach: RngSeed: cannot read '{seed}'"))?;
+    let seed = seed
+        .parse()
+        .map_err(|_| format!("attach: RngSeed: cannot read '{seed}'"))?;
     Ok((seed, parts.next().ok_or("attach: BootInfo is missing")?))
 }
 
@@ -141,13 +161,19 @@
                 "lost" => ListKind::Lost,
                 other => return Err(format!("How: unknown '{other}'")),
             };
-            return Ok(Input::List { kind, count: p.maybe("Records")?.unwrap_or(0) });
+            return Ok(Input::List {
+                kind,
+                count: p.maybe("Records")?.unwrap_or(0),
+            });
         }
         "query" => {
             let id = p.value("Req")?;
             let expected = p.maybe("Expected")?;
             p.text("Owner")?;
-            let memory_mb = p.maybe::<f64>("SizeMb")?.filter(|m| m.is_finite()).unwrap_or(0.0);
+            let memory_mb = p
+                .maybe::<f64>("SizeMb")?
+                .filter(|m| m.is_finite())
+                .unwrap_or(0.0);
             let lanes = p.maybe::<f64>("PerCopy")?.unwrap_or(1.0) as u32;
             let grade = p.text("Grade")?;
             let class = names.classes.iter().position(|n| n == grade);
@@ -168,10 +194,19 @@
         "health_result" => {
             p.maybe::<Time>("Rtt")?;
             let answered = p.outcome()? == Outcome::Served;
-            Event::Probed { worker: p.worker()?, answered, load: p.load()? }
+            Event::Probed {
+                worker: p.worker()?,
+                answered,
+                load: p.load()?,
+            }
         }
-        "wake" => Event::Timer { token: p.value("Cookie")? },
-        "heard" => Event::Peer { from: p.value("Author")?, bytes: bytes(p.text("Bytes")?)? },
+        "wake" => Event::Timer {
+            token: p.value("Cookie")?,
+        },
+        "heard" => Event::Peer {
+            from: p.value("Author")?,
+            bytes: bytes(p.text("Bytes")?)?,
+        },
         "brought_up" => Event::Ordered(Ordered {
             worker: p.worker()?,
             function: p.function()?,
@@ -179,7 +214,9 @@
             took: p.maybe("Rtt")?.unwrap_or(0),
             copies: p.maybe("Copies")?.unwrap_or(0),
         }),
-        "lapsed" => Event::Left { request: p.value("Req")? },
+        "lapsed" => Event::Left {
+            request: p.value("Req")?,
+        },
         "completed" => {
             let request = p.value("Req")?;
             let attempt = p.value("N")?;
@@ -206,7 +243,9 @@
                 load: p.load()?,
             })
         }
-        "head_received" => Event::Streaming { request: p.value("Req")? },
+        "head_received" => Event::Streaming {
+            request: p.value("Req")?,
+        },
         _ => return Err("unknown message".to_string()),
     }))
 }
@@ -219,7 +258,10 @@
     }
     let fields = |p: &mut Parts| -> Result<Entry, String> {
         Ok(Entry {
-            share: p.maybe::<f64>("Share")?.filter(|s| s.is_finite()).unwrap_or(0.0),
+            share: p
+                .maybe::<f64>("Share")?
+                .filter(|s| s.is_finite())
+                .unwrap_or(0.0),
             worker: p.worker()?,
             state: match p.text("StageState")? {
                 "live" => State::Live,
@@ -231,7 +273,11 @@
             cell: p.maybe("Block")?.unwrap_or(0),
             memory_mb: {
                 let kind = p.text("FamilyType")?;
-                names.kinds.iter().find(|(name, _)| name == kind).map_or(0.0, |(_, memory)| *memory)
+                names
+                    .kinds
+                    .iter()
+                    .find(|(name, _)| name == kind)
+                    .map_or(0.0, |(_, memory)| *memory)
             },
             started: p.maybe::<Time>("StartTime")?.filter(|&t| t > 0),
         })
@@ -247,24 +293,49 @@
     if text.len() % 2 != 0 || !text.is_ascii() {
         return Err(bad());
     }
-    (0..text.len()).step_by(2).map(|i| u8::from_str_radix(&text[i..i + 2], 16).map_err(|_| bad())).collect()
+    (0..text.len())
+        .step_by(2)
+        .map(|i| u8::from_str_radix(&text[i..i + 2], 16).map_err(|_| bad()))
+        .collect()
 }
 
 /// Appends the line of one action.
 pub fn write(reply: &mut String, end: u64, action: &Action) {
     let done = match action {
-        Action::Send { request, worker, timeout: Some(t) } => {
+        Action::Send {
+            request,
+            worker,
+            timeout: Some(t),
+        } => {
             writeln!(reply, "hand_off {end} {request} {} {t}", worker.0)
         }
-        Action::Send { request, worker, timeout: None } => {
+        Action::Send {
+            request,
+            worker,
+            timeout: None,
+        } => {
             writeln!(reply, "hand_off {end} {request} {} -", worker.0)
         }
         Action::Cancel { request, attempt } => writeln!(reply, "recall {end} {request} {attempt}"),
-        Action::Refuse { request, retry_after: Some(t) } => writeln!(reply, "reject {end} {request} {t}"),
-        Action::Refuse { request, retry_after: None } => writeln!(reply, "reject {end} {request} -"),
+        Action::Refuse {
+            request,
+            retry_after: Some(t),
+        } => writeln!(reply, "reject {end} {request} {t}"),
+        Action::Refuse {
+            request,
+            retry_after: None,
+        } => writeln!(reply, "reject {end} {request} -"),
         Action::Fail { request } => writeln!(reply, "abort {end} {request}"),
-        Action::Hold { worker, function, copies } => {
-            writeln!(reply, "bring_up {end} {:016x} {} {copies}", function.0, worker.0)
+        Action::Hold {
+            worker,
+            function,
+            copies,
+        } => {
+            writeln!(
+                reply,
+                "bring_up {end} {:016x} {} {copies}",
+                function.0, worker.0
+            )
         }
         Action::Drop { worker, function } => {
             writeln!(reply, "shelve {end} {:016x} {}", function.0, worker.0)
--- a/crates/pipithub-adapter/tests/adapter.rs
+++ b/crates/pipithub-adapter/tests/adapter.rs
@@ -34,7 +34,9 @@
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply_and_a_clean_end_is_success() {
-    let out = run("sync 1\nend\nsync 2\n\nend\n".replace("\n\n", "\n").as_str());
+    let out = run("sync 1\nend\nsync 2\n\nend\n"
+        .replace("\n\n", "\n")
+        .as_str());
     assert!(out.status.success());
     assert_eq!(String::from_utf8_lossy(&out.stdout), "end\nend\n");
     assert!(run("").status.success());
@@ -48,7 +50,11 @@
     );
     let out = run(&input);
     let text = String::from_utf8_lossy(&out.stdout).to_string();
-    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
+    assert!(
+        out.status.success(),
+        "{}",
+        String::from_utf8_lossy(&out.stderr)
+    );
     assert!(text.contains("hand_off 3 77 10.0.0.1:80 -\n"), "{text}");
     assert_eq!(text.lines().filter(|l| *l == "end").count(), 3);
 }
@@ -63,7 +69,10 @@
 #[test]
 fn a_killed_front_end_forgets_all() {
     let attach = start().replace("sync 1000\n", "");
-    let out = run(&format!("{}sync 2000\n{QUERY}killed 3\n{attach}sync 3000\nend\n", start()));
+    let out = run(&format!(
+        "{}sync 2000\n{QUERY}killed 3\n{attach}sync 3000\nend\n",
+        start()
+    ));
     assert!(out.status.success());
 }
 
@@ -82,7 +91,10 @@
         let out = run(input);
         let error = String::from_utf8_lossy(&out.stderr).to_string();
         assert!(!out.status.success(), "{input}");
-        assert!(error.contains(wanted) && !error.contains("panicked"), "{input}: {error}");
+        assert!(
+            error.contains(wanted) && !error.contains("panicked"),
+            "{input}: {error}"
+        );
         assert!(out.stdout.is_empty());
     }
     let tails = [
@@ -99,6 +111,9 @@
         let out = run(&format!("{}sync 2000\n{tail}", start()));
         let error = String::from_utf8_lossy(&out.stderr).to_string();
         assert!(!out.status.success(), "{tail}");
-        assert!(error.contains("line ") && !error.contains("panicked"), "{tail}: {error}");
+        assert!(
+            error.contains("line ") && !error.contains("panicked"),
+            "{tail}: {error}"
+        );
     }
 }
--- a/crates/pipithub-adapter/tests/driver/mod.rs
+++ b/crates/pipithub-adapter/tests/driver/mod.rs
@@ -21,7 +21,11 @@
             .spawn()
             .expect("the adapter starts");
         let output = BufReader::new(child.stdout.take().expect("its output is a pipe"));
-        Adapter { input: child.stdin.take(), child, output }
+        Adapter {
+            input: child.stdin.take(),
+            child,
+            output,
+        }
     }
 
     /// Ends its input and waits for a clean end.
@@ -35,10 +39,16 @@
 impl LineProtocol for Adapter {
     fn exchange(&mut self, batch: &str) -> String {
         let input = self.input.as_mut().expect("the input is open");
-        input.write_all(batch.as_bytes()).and_then(|()| input.flush()).expect("the adapter reads");
+        input
+            .write_all(batch.as_bytes())
+            .and_then(|()| input.flush())
+            .expect("the adapter reads");
         let mut reply = String::new();
         while !reply.ends_with("end\n") {
-            let read = self.output.read_line(&mut reply).expect("the adapter writes text");
+            let read = self
+                .output
+                .read_line(&mut reply)
+                .expect("the adapter writes text");
             assert!(read > 0, "the adapter ended within a reply");
         }
         reply
--- a/crates/pipithub-admission/src/gate.rs
+++ b/crates/pipithub-admission/src/gate.rs
@@ -86,7 +86,9 @@
 
 impl<T> Known<T> {
     fn still(&self, roster: &Roster, now: Time, tenant: usize) -> bool {
-        let (Some(user), Some(person)) = (&self.arrival.user, self.person) else { return true };
+        let (Some(user), Some(person)) = (&self.arrival.user, self.person) else {
+            return true;
+        };
         matches!(roster.look(user, now),
             View::Tenant { tenant: t, person: p, .. } if usize::from(t.0) == tenant && p == person)
     }
@@ -142,12 +144,25 @@
 
     /// When [`Gate::tick`] is due next.
     pub fn next_due(&self) -> Option<Time> {
-        [self.waiting.next_due(), self.shares.next_due()].into_iter().flatten().min()
+        [self.waiting.next_due(), self.shares.next_due()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// A call comes in.
-    pub fn arrive(&mut self, now: Time, roster: &Roster, arrival: Arrival<T>, out: &mut Vec<Output<T>>) {
-        let known = Known { came: now, person: None, arrival };
+    pub fn arrive(
+        &mut self,
+        now: Time,
+        roster: &Roster,
+        arrival: Arrival<T>,
+        out: &mut Vec<Output<T>>,
+    ) {
+        let known = Known {
+            came: now,
+            person: None,
+            arrival,
+        };
         let Some(user) = known.arrival.user.clone() else {
             return match known.arrival.route {
                 // A route that takes calls without users speaks for its tenant: a timer's, a desk's own queue.
@@ -158,13 +173,19 @@
         let view = roster.look(&user, now);
         let wait = match view {
             View::Unknown => true,
-            View::Tenant { refresh: Refresh::Behind, .. } => {
+            View::Tenant {
+                refresh: Refresh::Behind,
+                ..
+            } => {
                 if self.wants_behind(now, &user) {
                     out.push(Output::Want(user.clone(), false));
                 }
                 false
             }
-            View::Tenant { refresh: Refresh::First, .. } => true,
+            View::Tenant {
+                refresh: Refresh::First,
+                ..
+            } => true,
             View::Tenant { .. } | View::Nobody | View::Twice => false,
         };
         if !wait {
@@ -179,7 +200,11 @@
     }
 
     fn wants_behind(&mut self, now: Time, user: &User) -> bool {
-        if self.behind.get(user).is_some_and(|at| now < *at + BEHIND_GAP) {
+        if self
+            .behind
+            .get(user)
+            .is_some_and(|at| now < *at + BEHIND_GAP)
+        {
             return false;
         }
         if self.behind.len() >= BEHIND_MOST {
@@ -191,14 +216,30 @@
         true
     }
 
-    fn judge(&mut self, now: Time, roster: &Roster, view: View, known: Known<T>, out: &mut Vec<Output<T>>) {
+    fn judge(
+        &mut self,
+        now: Time,
+        roster: &Roster,
+        view: View,
+        known: Known<T>,
+        out: &mut Vec<Output<T>>,
+    ) {
         let refuse = |known: Known<T>, why, after| Output::Refuse(known.arrival.call, why, after);
         match view {
             View::Tenant { tenant, person, .. } => {
                 if known.arrival.route.is_some_and(|route| route != tenant) {
                     return out.push(refuse(known, Why::OtherRoute, 0));
                 }
-                self.share(now, roster, Known { person: Some(person), ..known }, tenant, out);
+                self.share(
+                    now,
+                    roster,
+                    Known {
+                        person: Some(person),
+                        ..known
+                    },
+                    tenant,
+                    out,
+                );
             }
             View::Nobody => out.push(refuse(known, Why::Nobody, 0)),
             View::Twice => out.push(refuse(known, Why::ClaimedTwice, 0)),
@@ -216,7 +257,12 @@
     ) {
         let left = known.arrival.left.saturating_sub(now - known.came);
         let class = known.arrival.class;
-        let held = Held { call: known, tenant: usize::from(tenant.0), class, since: now };
+        let held = Held {
+            call: known,
+            tenant: usize::from(tenant.0),
+            class,
+            since: now,
+        };
         self.shares.offer(now, held, left, &mut self.starts);
         self.carry_out(now, roster, out);
     }
@@ -228,10 +274,19 @@
             let start = match start {
                 // It may have waited for its place while its user moved.
                 Start::Now(held) if !held.call.still(roster, now, held.tenant) => {
-                    self.shares.ended(now, held.tenant, End::Other, 0, &mut self.starts);
-                    let view =
-                        held.call.arrival.user.as_deref().map_or(View::Unknown, |u| roster.look(u, now));
-                    let why = if view == View::Twice { Why::ClaimedTwice } else { Why::Unknown };
+                    self.shares
+                        .ended(now, held.tenant, End::Other, 0, &mut self.starts);
+                    let view = held
+                        .call
+                        .arrival
+                        .user
+                        .as_deref()
+                        .map_or(View::Unknown, |u| roster.look(u, now));
+                    let why = if view == View::Twice {
+                        Why::ClaimedTwice
+                    } else {
+                        Why::Unknown
+                    };
                     out.push(Output::Refuse(held.call.arrival.call, why, 0));
                     continue;
                 }
@@ -246,7 +301,14 @@
             let waited = now.saturating_sub(known.came);
             let tenant = TenantId(held.tenant as u16);
             out.push(match refused {
-                None => Output::Admit(known.arrival.call, Admitted { tenant, person: known.person, waited }),
+                None => Output::Admit(
+                    known.arrival.call,
+                    Admitted {
+                        tenant,
+                        person: known.person,
+                        waited,
+                    },
+                ),
                 Some((why, after)) => Output::Refuse(known.arrival.call, why, after),
             });
         }
@@ -268,7 +330,8 @@
         (tenant, end, took): (TenantId, End, Time),
         out: &mut Vec<Output<T>>,
     ) {
-        self.shares.ended(now, usize::from(tenant.0), end, took, &mut self.starts);
+        self.shares
+            .ended(now, usize::from(tenant.0), end, took, &mut self.starts);
         self.carry_out(now, roster, out);
     }
 
--- a/crates/pipithub-admission/src/shares.rs
+++ b/crates/pipithub-admission/src/shares.rs
@@ -66,7 +66,11 @@
 
     fn note(&mut self, now: Time) {
         let since = self.since.or(Some(now));
-        *self = Rate { mean: self.raw(now) + 1e9 / RATE_SPAN, at: now, since };
+        *self = Rate {
+            mean: self.raw(now) + 1e9 / RATE_SPAN,
+            at: now,
+            since,
+        };
     }
 }
 
@@ -85,7 +89,12 @@
 
 impl Default for TenantShare {
     fn default() -> Self {
-        TenantShare { weight: 1.0, rate: None, most: usize::MAX, queue: 64 }
+        TenantShare {
+            weight: 1.0,
+            rate: None,
+            most: usize::MAX,
+            queue: 64,
+        }
     }
 }
 
@@ -212,7 +221,9 @@
 
     /// Calls in service and calls that wait, of a tenant.
     pub fn of(&self, tenant: usize) -> (usize, usize) {
-        self.tenants.get(tenant).map_or((0, 0), |t| (t.in_service, t.queue.len()))
+        self.tenants
+            .get(tenant)
+            .map_or((0, 0), |t| (t.in_service, t.queue.len()))
     }
 
     /// Calls that wait for a place.
@@ -228,9 +239,17 @@
 
     /// A tenant's share among those that have asked lately, from 0 to 1.
     fn fraction(&self, tenant: usize, now: Time) -> f64 {
-        let Some(own) = self.tenants.get(tenant) else { return 0.0 };
+        let Some(own) = self.tenants.get(tenant) else {
+            return 0.0;
+        };
         let active = |(n, t): &(usize, &Tenant<T>)| *n == tenant || t.is_active(now);
-        let all: f64 = self.tenants.iter().enumerate().filter(active).map(|(_, t)| t.share.weight).sum();
+        let all: f64 = self
+            .tenants
+            .iter()
+            .enumerate()
+            .filter(active)
+            .map(|(_, t)| t.share.weight)
+            .sum();
         own.share.weight / all.max(f64::MIN_POSITIVE)
     }
 
@@ -257,7 +276,8 @@
                 others += t.rate.now(now);
             }
         }
-        let left = (served - others) * self.tenants[tenant].share.weight / weights.max(f64::MIN_POSITIVE);
+        let left =
+            (served - others) * self.tenants[tenant].share.weight / weights.max(f64::MIN_POSITIVE);
         left.max(served * self.fraction(tenant, now))
     }
 
@@ -285,12 +305,17 @@
         }
         if self.is_congested(now) {
             // Never nothing: what it starts is part of what is served, and its share of that could shrink for ever.
-            return own.in_service == 0 || own.started.now(now) <= self.allowance(tenant, now) * HELD_BACK;
+            return own.in_service == 0
+                || own.started.now(now) <= self.allowance(tenant, now) * HELD_BACK;
         }
         if ((own.in_service + 1) as f64) <= self.part(tenant, now) {
             return true;
         }
-        let loan = if self.worth(class) * 2.0 < self.best { LESSER_LOAN } else { 1.0 };
+        let loan = if self.worth(class) * 2.0 < self.best {
+            LESSER_LOAN
+        } else {
+            1.0
+        };
         (self.in_service + 1) as f64 <= self.limit * loan
     }
 
@@ -350,14 +375,24 @@
     /// How long until a tenant's queue will have gone, at its own pace.
     fn stay_away(&self, tenant: usize, now: Time) -> Time {
         let own = &self.tenants[tenant];
-        let ahead = (own.queue.len() + 1) as f64 + (own.in_service as f64 - self.part(tenant, now)).max(0.0);
+        let ahead = (own.queue.len() + 1) as f64
+            + (own.in_service as f64 - self.part(tenant, now)).max(0.0);
         let pace = self.part(tenant, now) / self.service.max(1e5);
         ((ahead / pace) as Time).clamp(20 * MS, STAY_AWAY_MOST)
     }
 
     /// A call that had a place is over; `took` since it had it.
-    pub fn ended(&mut self, now: Time, tenant: usize, end: End, took: Time, out: &mut Vec<Start<T>>) {
-        let Some(own) = self.tenants.get_mut(tenant) else { return };
+    pub fn ended(
+        &mut self,
+        now: Time,
+        tenant: usize,
+        end: End,
+        took: Time,
+        out: &mut Vec<Start<T>>,
+    ) {
+        let Some(own) = self.tenants.get_mut(tenant) else {
+            return;
+        };
         let before = own.in_service;
         own.in_service = own.in_service.saturating_sub(1);
         self.in_service = self.in_service.saturating_sub(1);
@@ -402,8 +437,12 @@
                 self.may_start(n, held.class, now)
                     .then(|| (n, t.in_service as f64 / t.share.weight.max(1e-9)))
             });
-            let Some((tenant, _)) = waiting.min_by(|a, b| a.1.total_cmp(&b.1)) else { return };
-            let Some((key, (held, until))) = self.tenants[tenant].queue.pop_first() else { return };
+            let Some((tenant, _)) = waiting.min_by(|a, b| a.1.total_cmp(&b.1)) else {
+                return;
+            };
+            let Some((key, (held, until))) = self.tenants[tenant].queue.pop_first() else {
+                return;
+            };
             self.due.remove(&(until, tenant, key));
             self.start(now, held, out);
         }
@@ -428,7 +467,8 @@
             tenant.queue.retain(|_, (held, _)| !gone(&held.call));
         }
         let tenants = &self.tenants;
-        self.due.retain(|(_, tenant, key)| tenants[*tenant].queue.contains_key(key));
+        self.due
+            .retain(|(_, tenant, key)| tenants[*tenant].queue.contains_key(key));
     }
 }
 
@@ -443,7 +483,11 @@
     use super::*;
 
     fn shares(weights: &[f64], limit: f64) -> Shares<u64> {
-        let tenants = weights.iter().map(|w| TenantShare { weight: *w, queue: 4, ..TenantShare::default() });
+        let tenants = weights.iter().map(|w| TenantShare {
+            weight: *w,
+            queue: 4,
+            ..TenantShare::default()
+        });
         Shares::new(SharesSettings {
             tenants: tenants.collect(),
             worths: vec![1.0, 5.0],
@@ -452,14 +496,39 @@
         })
     }
 
-    fn offer(shares: &mut Shares<u64>, now: Time, tenant: usize, class: usize, call: u64) -> Vec<Start<u64>> {
+    fn offer(
+        shares: &mut Shares<u64>,
+        now: Time,
+        tenant: usize,
+        class: usize,
+        call: u64,
+    ) -> Vec<Start<u64>> {
         let mut out = Vec::new();
-        shares.offer(now, Held { call, tenant, class, since: now }, SECOND, &mut out);
+        shares.offer(
+            now,
+            Held {
+                call,
+                tenant,
+                class,
+                since: now,
+            },
+            SECOND,
+            &mut out,
+        );
         out
     }
 
     fn started(starts: &[Start<u64>]) -> Vec<u64> {
-        starts.iter().filter_map(|s| if let Start::Now(h) = s { Some(h.call) } else { None }).collect()
+        starts
+            .iter()
+            .filter_map(|s| {
+                if let Start::Now(h) = s {
+                    Some(h.call)
+                } else {
+                    None
+                }
+            })
+            .collect()
     }
 
     #[test]
@@ -472,14 +541,20 @@
         for n in 0..10 {
             assert_eq!(started(&offer(&mut shares, 1, 1, 1, 100 + n)), [100 + n]);
         }
-        assert!(started(&offer(&mut shares, 1, 0, 1, 201)).is_empty(), "nothing is lent any more");
+        assert!(
+            started(&offer(&mut shares, 1, 0, 1, 201)).is_empty(),
+            "nothing is lent any more"
+        );
     }
 
     /// Ten calls in service, one of them of a tenant whose share is a tenth and who asks for more.
     fn full() -> Shares<u64> {
         let mut shares = shares(&[1.0, 9.0], 10.0);
         for n in 0..9 {
-            assert_eq!(started(&offer(&mut shares, 0, 1, 1, 1_000 + n)), [1_000 + n]);
+            assert_eq!(
+                started(&offer(&mut shares, 0, 1, 1, 1_000 + n)),
+                [1_000 + n]
+            );
         }
         assert_eq!(started(&offer(&mut shares, 0, 0, 1, 1)), [1]);
         assert!(offer(&mut shares, 0, 0, 0, 2).is_empty(), "it waits");
@@ -490,9 +565,15 @@
     fn what_is_idle_is_lent_first_to_worthier_calls() {
         let mut shares = shares(&[1.0, 3.0], 20.0);
         offer(&mut shares, 0, 1, 1, 0);
-        let lent = (1..40).filter(|n| !started(&offer(&mut shares, 0, 0, 0, *n)).is_empty()).count();
+        let lent = (1..40)
+            .filter(|n| !started(&offer(&mut shares, 0, 0, 0, *n)).is_empty())
+            .count();
         assert_eq!(lent, 17, "18 of 20 in service for the lesser class");
-        assert_eq!(started(&offer(&mut shares, 0, 1, 1, 50)), [50], "the lender's part is not touched");
+        assert_eq!(
+            started(&offer(&mut shares, 0, 1, 1, 50)),
+            [50],
+            "the lender's part is not touched"
+        );
     }
 
     #[test]
@@ -505,7 +586,10 @@
         out.clear();
         assert_eq!(shares.next_due(), Some(40 * MS));
         shares.tick(40 * MS, &mut out);
-        assert!(matches!(&out[..], [Start::OverShare(h, after)] if h.call == 2 && *after > 0), "{out:?}");
+        assert!(
+            matches!(&out[..], [Start::OverShare(h, after)] if h.call == 2 && *after > 0),
+            "{out:?}"
+        );
         assert_eq!(shares.next_due(), None);
     }
 
@@ -518,7 +602,9 @@
         assert!(
             matches!(&offer(&mut shares, 0, 0, 0, 6)[..], [Start::OverShare(h, after)] if h.call == 6 && *after > 0)
         );
-        assert!(matches!(&offer(&mut shares, 0, 0, 1, 7)[..], [Start::OverShare(h, _)] if h.call == 5));
+        assert!(
+            matches!(&offer(&mut shares, 0, 0, 1, 7)[..], [Start::OverShare(h, _)] if h.call == 5)
+        );
         assert_eq!(shares.of(0), (1, 4));
     }
 
@@ -555,7 +641,10 @@
     #[test]
     fn rates_say_when_to_come_back() {
         let mut settings = SharesSettings {
-            tenants: vec![TenantShare { rate: Some((10.0, 2.0)), ..TenantShare::default() }],
+            tenants: vec![TenantShare {
+                rate: Some((10.0, 2.0)),
+                ..TenantShare::default()
+            }],
             worths: vec![1.0],
             limit: (1.0, 100.0),
             wait_most: 0,
@@ -564,7 +653,9 @@
         let mut shares = Shares::new(settings);
         assert_eq!(started(&offer(&mut shares, 0, 0, 0, 1)), [1]);
         assert_eq!(started(&offer(&mut shares, 0, 0, 0, 2)), [2]);
-        let [Start::OverRate(_, after)] = offer(&mut shares, 0, 0, 0, 3)[..] else { panic!("over its rate") };
+        let [Start::OverRate(_, after)] = offer(&mut shares, 0, 0, 0, 3)[..] else {
+            panic!("over its rate")
+        };
         assert!((99 * MS..=101 * MS).contains(&after), "{after}");
         assert_eq!(started(&offer(&mut shares, after + MS, 0, 0, 4)), [4]);
     }
@@ -579,7 +670,13 @@
             offer(&mut shares, 0, n as usize % 2, 1, n);
         }
         for n in 0..10 {
-            shares.ended(n * SECOND, n as usize % 2, End::NoWorkerInTime, MS, &mut out);
+            shares.ended(
+                n * SECOND,
+                n as usize % 2,
+                End::NoWorkerInTime,
+                MS,
+                &mut out,
+            );
         }
         assert_eq!(shares.limit(), 100.0);
     }
@@ -613,9 +710,16 @@
         offer(&mut shares, 0, 1, 1, 99);
         let mut out = Vec::new();
         shares.ended(MS, 1, End::NoWorkerInTime, MS, &mut out);
-        assert!((shares.limit() - 21.0 * CUT_WITHIN).abs() < 1e-9, "{}", shares.limit());
+        assert!(
+            (shares.limit() - 21.0 * CUT_WITHIN).abs() < 1e-9,
+            "{}",
+            shares.limit()
+        );
         shares.ended(2 * MS, 0, End::NoWorkerInTime, MS, &mut out);
-        assert!((shares.limit() - 21.0 * CUT_WITHIN).abs() < 1e-9, "one cut at a time");
+        assert!(
+            (shares.limit() - 21.0 * CUT_WITHIN).abs() < 1e-9,
+            "one cut at a time"
+        );
         shares.tick(60 * SECOND, &mut out);
         shares.tick(120 * SECOND, &mut out);
         assert!(shares.limit() > 90.0, "{}", shares.limit());
--- a/crates/pipithub-admission/tests/hard_cases.rs
+++ b/crates/pipithub-admission/tests/hard_cases.rs
@@ -2,10 +2,12 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use pipithub_admission::{Arrival, End, Gate, GateSettings, Output as Out, SharesSettings, TenantShare, Why};
+use pipithub_admission::{
+    Arrival, End, Gate, GateSettings, Output as Out, SharesSettings, TenantShare, Why,
+};
 use pipithub_directory::{
-    Answer, Directory, DirectorySettings, Failure, Found, Input, Lifetimes, Output, Person, SearchId,
-    Settings, TenantBase, TenantId, Time, User, View, What,
+    Answer, Directory, DirectorySettings, Failure, Found, Input, Lifetimes, Output, Person,
+    SearchId, Settings, TenantBase, TenantId, Time, User, View, What,
 };
 use pipithub_ldap::Dn;
 
@@ -31,11 +33,22 @@
 impl Server {
     fn new() -> Self {
         let (tree, asked) = (HashMap::new(), Vec::new());
-        Server { tree, mark: None, takes: 2 * MS, answers: true, loaded: true, refuses: false, asked }
+        Server {
+            tree,
+            mark: None,
+            takes: 2 * MS,
+            answers: true,
+            loaded: true,
+            refuses: false,
+            asked,
+        }
     }
 
     fn put(&mut self, user: &str, ou: &str, person: u64) {
-        self.tree.insert(user.into(), vec![(dn(&format!("uid={user},ou={ou},dc=example")), person)]);
+        self.tree.insert(
+            user.into(),
+            vec![(dn(&format!("uid={user},ou={ou},dc=example")), person)],
+        );
     }
 }
 
@@ -56,7 +69,11 @@
 }
 
 fn lifetimes() -> Lifetimes {
-    Lifetimes { fresh: 60 * S, stale_most: 3_600 * S, negative: 10 * S }
+    Lifetimes {
+        fresh: 60 * S,
+        stale_most: 3_600 * S,
+        negative: 10 * S,
+    }
 }
 
 impl World {
@@ -64,15 +81,25 @@
         Self::seeded(servers, 7, change)
     }
 
-    fn seeded(servers: &[usize], seed: u64, change: impl Fn(usize, &mut DirectorySettings)) -> World {
+    fn seeded(
+        servers: &[usize],
+        seed: u64,
+        change: impl Fn(usize, &mut DirectorySettings),
+    ) -> World {
         let directory = |(n, count): (usize, &usize)| {
-            let mut settings =
-                DirectorySettings { servers: *count, lifetimes: lifetimes(), ..DirectorySettings::default() };
+            let mut settings = DirectorySettings {
+                servers: *count,
+                lifetimes: lifetimes(),
+                ..DirectorySettings::default()
+            };
             change(n, &mut settings);
             settings
         };
         let bases = |n| {
-            ["north", "south"].map(|ou| TenantBase { directory: n, base: dn(&format!("ou={ou},dc=example")) })
+            ["north", "south"].map(|ou| TenantBase {
+                directory: n,
+                base: dn(&format!("ou={ou},dc=example")),
+            })
         };
         let settings = Settings {
             directories: servers.iter().enumerate().map(directory).collect(),
@@ -88,7 +115,13 @@
             wall_ms: 1_800_000_000_000,
         };
         let shares = SharesSettings {
-            tenants: vec![TenantShare { queue: 100, ..TenantShare::default() }; 2],
+            tenants: vec![
+                TenantShare {
+                    queue: 100,
+                    ..TenantShare::default()
+                };
+                2
+            ],
             worths: vec![1.0],
             limit: (8.0, 10_000.0),
             wait_most: 20 * MS,
@@ -96,7 +129,11 @@
         World {
             now: 0,
             core: Directory::new(settings),
-            gate: Gate::new(GateSettings { shares, identity_wait: 40 * MS, max_waiting: 4_096 }),
+            gate: Gate::new(GateSettings {
+                shares,
+                identity_wait: 40 * MS,
+                max_waiting: 4_096,
+            }),
             servers: servers.iter().map(|n| vec![Server::new(); *n]).collect(),
             due: BTreeMap::new(),
             number: 0,
@@ -113,11 +150,17 @@
         self.core.handle(self.now, input, &mut outputs);
         for output in outputs {
             match output {
-                Output::Search { id, directory, server, what } => self.search(id, directory, server, what),
+                Output::Search {
+                    id,
+                    directory,
+                    server,
+                    what,
+                } => self.search(id, directory, server, what),
                 Output::GiveUp(id) => self.due.retain(|_, (due, _)| *due != id),
                 Output::News(user) => {
                     let mut out = Vec::new();
-                    self.gate.news(self.now, self.core.roster(), &user, &mut out);
+                    self.gate
+                        .news(self.now, self.core.roster(), &user, &mut out);
                     self.gate_said(out);
                 }
                 Output::Changed(user) => self.changed.push((self.now, user)),
@@ -127,7 +170,11 @@
 
     fn search(&mut self, id: SearchId, directory: usize, server: usize, what: What) {
         let server = &mut self.servers[directory][server];
-        let users = if let What::Users(users) = &what { users.clone() } else { Vec::new() };
+        let users = if let What::Users(users) = &what {
+            users.clone()
+        } else {
+            Vec::new()
+        };
         server.asked.push((self.now, users.len()));
         if !server.answers {
             return;
@@ -141,8 +188,11 @@
                 person: Person(person),
             })
         };
-        let mut found: Vec<Found> =
-            if server.loaded { users.iter().flat_map(entries).collect() } else { Vec::new() };
+        let mut found: Vec<Found> = if server.loaded {
+            users.iter().flat_map(entries).collect()
+        } else {
+            Vec::new()
+        };
         if let Some((user, entries)) = &self.wrong {
             let told = |(dn, person): &(Dn, u64)| Found {
                 user: user.clone(),
@@ -151,10 +201,20 @@
             };
             found = entries.iter().map(told).collect();
         }
-        let answer = Answer { found, mark: server.mark, loaded: server.loaded, newest: None };
-        let outcome = if server.refuses { Err(Failure::Unable) } else { Ok(answer) };
+        let answer = Answer {
+            found,
+            mark: server.mark,
+            loaded: server.loaded,
+            newest: None,
+        };
+        let outcome = if server.refuses {
+            Err(Failure::Unable)
+        } else {
+            Ok(answer)
+        };
         self.number += 1;
-        self.due.insert((self.now + server.takes, self.number), (id, outcome));
+        self.due
+            .insert((self.now + server.takes, self.number), (id, outcome));
     }
 
     fn gate_said(&mut self, out: Vec<Out<u64>>) {
@@ -162,10 +222,18 @@
             match out {
                 Out::Admit(call, admitted) => {
                     assert_eq!(admitted.waited, self.now - self.came[&call]);
-                    assert!(self.admitted.insert(call, (admitted.tenant, admitted.waited)).is_none());
+                    assert!(
+                        self.admitted
+                            .insert(call, (admitted.tenant, admitted.waited))
+                            .is_none()
+                    );
                 }
                 Out::Refuse(call, why, _) => {
-                    assert!(self.refused.insert(call, (why, self.now - self.came[&call])).is_none());
+                    assert!(
+                        self.refused
+                            .insert(call, (why, self.now - self.came[&call]))
+                            .is_none()
+                    );
                 }
                 Out::Want(user, urgent) => self.core(Input::Wanted { user, urgent }),
             }
@@ -174,9 +242,16 @@
 
     fn call(&mut self, call: u64, user: &str) {
         self.came.insert(call, self.now);
-        let arrival = Arrival { call, user: Some(user.into()), route: None, class: 0, left: 2 * S };
+        let arrival = Arrival {
+            call,
+            user: Some(user.into()),
+            route: None,
+            class: 0,
+            left: 2 * S,
+        };
         let mut out = Vec::new();
-        self.gate.arrive(self.now, self.core.roster(), arrival, &mut out);
+        self.gate
+            .arrive(self.now, self.core.roster(), arrival, &mut out);
         self.gate_said(out);
     }
 
@@ -185,7 +260,9 @@
         loop {
             let answer = self.due.keys().next().map(|k| k.0);
             let due = [answer, self.core.next_due(self.now), self.gate.next_due()];
-            let Some(next) = due.into_iter().flatten().min().filter(|t| *t <= until) else { break };
+            let Some(next) = due.into_iter().flatten().min().filter(|t| *t <= until) else {
+                break;
+            };
             self.now = self.now.max(next);
             if answer.is_some_and(|a| a <= self.now) {
                 if let Some((_, (search, outcome))) = self.due.pop_first() {
@@ -215,7 +292,10 @@
 
     fn longest_wait(&self) -> Time {
         let admitted = self.admitted.values().map(|a| a.1);
-        admitted.chain(self.refused.values().map(|r| r.1)).max().unwrap_or(0)
+        admitted
+            .chain(self.refused.values().map(|r| r.1))
+            .max()
+            .unwrap_or(0)
     }
 }
 
@@ -250,12 +330,23 @@
             world.run(world.now + MS / 2);
         }
         world.run(world.now + 10 * S);
-        assert!(world.longest_wait() <= 50 * MS, "{name}: {} ms", world.longest_wait() / MS);
+        assert!(
+            world.longest_wait() <= 50 * MS,
+            "{name}: {} ms",
+            world.longest_wait() / MS
+        );
         let served = world.admitted.range(1_000..).count();
         let expected = if name == "up" { 1_000 } else { 700 };
         assert_eq!(served, expected, "{name}: all who were known are served");
-        assert_eq!(served + world.refused.len(), 1_000, "{name}: every call is answered");
-        assert!(world.refused.values().all(|r| r.0 == Why::Unknown), "{name}");
+        assert_eq!(
+            served + world.refused.len(),
+            1_000,
+            "{name}: every call is answered"
+        );
+        assert!(
+            world.refused.values().all(|r| r.0 == Why::Unknown),
+            "{name}"
+        );
     }
 }
 
@@ -278,7 +369,11 @@
         View::Tenant { age, .. } => age,
         _ => Time::MAX,
     };
-    assert!(age <= 2 * lifetimes().fresh, "and it is asked for all the same: {} s", age / S);
+    assert!(
+        age <= 2 * lifetimes().fresh,
+        "and it is asked for all the same: {} s",
+        age / S
+    );
 }
 
 #[test]
@@ -290,7 +385,13 @@
     }
     world.run(S);
     assert_eq!(world.admitted.len(), 1_000);
-    assert_eq!(world.servers[0].iter().map(|s| s.asked.iter().filter(|a| a.1 > 0).count()).sum::<usize>(), 1);
+    assert_eq!(
+        world.servers[0]
+            .iter()
+            .map(|s| s.asked.iter().filter(|a| a.1 > 0).count())
+            .sum::<usize>(),
+        1
+    );
 }
 
 /// One of two servers still tells the old place, for as long as it likes.
@@ -322,12 +423,23 @@
             world.run(world.now + S);
             match world.tenant("mai") {
                 Some(1) => new_since = new_since.or(Some(world.now)),
-                side => assert!(new_since.is_none(), "seed {seed}: back to {side:?} at {}", world.now / S),
+                side => assert!(
+                    new_since.is_none(),
+                    "seed {seed}: back to {side:?} at {}",
+                    world.now / S
+                ),
             }
         }
         let bound = 2 * lifetimes().fresh + 10 * S;
-        assert!(new_since.is_some_and(|at| at <= moved + bound), "seed {seed}: {new_since:?}");
-        assert_eq!(world.changed.iter().filter(|c| &*c.1 == "mai").count(), 1, "seed {seed}");
+        assert!(
+            new_since.is_some_and(|at| at <= moved + bound),
+            "seed {seed}: {new_since:?}"
+        );
+        assert_eq!(
+            world.changed.iter().filter(|c| &*c.1 == "mai").count(),
+            1,
+            "seed {seed}"
+        );
     }
 }
 
@@ -404,8 +516,15 @@
     world.call(1, "mai");
     world.call(2, "lan");
     world.run(world.now + S);
-    assert_eq!((world.tenant("mai"), world.tenant("lan")), (Some(0), Some(1)));
-    assert_eq!(world.admitted.get(&2).map(|a| a.0), Some(TenantId(1)), "the other server was asked");
+    assert_eq!(
+        (world.tenant("mai"), world.tenant("lan")),
+        (Some(0), Some(1))
+    );
+    assert_eq!(
+        world.admitted.get(&2).map(|a| a.0),
+        Some(TenantId(1)),
+        "the other server was asked"
+    );
 }
 
 /// A server that answers with entries nobody asked for: that it does not name a user means nothing.
@@ -431,7 +550,9 @@
     let mut asked: Vec<(Time, usize)> = Vec::new();
     for seed in 0..130u64 {
         let mut world = World::seeded(&[1], seed * 77 + 5, |_, _| {});
-        let users: Vec<String> = (0..40).map(|n| format!("u{}", (seed * 31 + n * 7) % 2_000)).collect();
+        let users: Vec<String> = (0..40)
+            .map(|n| format!("u{}", (seed * 31 + n * 7) % 2_000))
+            .collect();
         for user in &users {
             world.all(0, |s| s.put(user, "north", 1));
         }
@@ -455,12 +576,23 @@
         asked.extend(world.servers[0][0].asked.iter().filter(|a| a.0 >= 720 * S));
     }
     let mut seconds: BTreeMap<Time, usize> = BTreeMap::new();
-    asked.iter().for_each(|(at, _)| *seconds.entry(at / S - 720).or_default() += 1);
+    asked
+        .iter()
+        .for_each(|(at, _)| *seconds.entry(at / S - 720).or_default() += 1);
     let first = seconds.range(..60).map(|s| *s.1).max().unwrap_or(0);
     // 130 front ends with 40 users each to refresh: asked one by one, at once, these were 5,200 searches.
-    println!("{first} searches in the worst second, {} in all", asked.len());
-    assert!(first <= 130, "{first} searches in the worst second: {seconds:?}");
-    assert!(asked.iter().map(|a| a.1).sum::<usize>() > 5_000, "and they do refresh");
+    println!(
+        "{first} searches in the worst second, {} in all",
+        asked.len()
+    );
+    assert!(
+        first <= 130,
+        "{first} searches in the worst second: {seconds:?}"
+    );
+    assert!(
+        asked.iter().map(|a| a.1).sum::<usize>() > 5_000,
+        "and they do refresh"
+    );
 }
 
 /// A fleet of places that each serve a call in 50 ms; the module refuses what would wait longer than 100 ms. Half of it is
@@ -468,12 +600,22 @@
 fn fleet_day(shared: bool, storm: usize) -> [f64; 2] {
     let mut world = World::new(&[1], |_, _| {});
     let settings = SharesSettings {
-        tenants: vec![TenantShare { queue: 64, ..TenantShare::default() }; 2],
+        tenants: vec![
+            TenantShare {
+                queue: 64,
+                ..TenantShare::default()
+            };
+            2
+        ],
         worths: vec![1.0],
         limit: (8.0, 400.0),
         wait_most: 20 * MS,
     };
-    world.gate = Gate::new(GateSettings { shares: settings, identity_wait: 40 * MS, max_waiting: 4_096 });
+    world.gate = Gate::new(GateSettings {
+        shares: settings,
+        identity_wait: 40 * MS,
+        max_waiting: 4_096,
+    });
     world.all(0, |s| {
         s.put("mai", "north", 1);
         s.put("lan", "south", 1);
@@ -493,8 +635,15 @@
         }
         // 160 calls a second of each; the fleet serves 800, then 400, and a share is half of that.
         let beat = ms % 25 < 4;
-        let south = if (5_000..25_000).contains(&ms) { storm } else { 1 };
-        for (tenant, user, count) in [(0, "mai", usize::from(beat)), (1, "lan", usize::from(beat) * south)] {
+        let south = if (5_000..25_000).contains(&ms) {
+            storm
+        } else {
+            1
+        };
+        for (tenant, user, count) in [
+            (0, "mai", usize::from(beat)),
+            (1, "lan", usize::from(beat) * south),
+        ] {
             for _ in 0..count {
                 if shared {
                     world.call(call, user);
@@ -510,18 +659,32 @@
         for (key, tenant) in ended {
             held.remove(&key);
             if shared {
-                world.gate.ended(now, world.core.roster(), (tenant, End::Served, 50 * MS), &mut out);
+                world.gate.ended(
+                    now,
+                    world.core.roster(),
+                    (tenant, End::Served, 50 * MS),
+                    &mut out,
+                );
             }
             served[usize::from(tenant.0)] += 1;
         }
         world.gate_said(std::mem::take(&mut out));
-        while let Some((call, (tenant, _))) = world.admitted.range(10..).next().map(|(c, a)| (*c, *a)) {
+        while let Some((call, (tenant, _))) =
+            world.admitted.range(10..).next().map(|(c, a)| (*c, *a))
+        {
             world.admitted.remove(&call);
-            let Some(place) = busy.iter_mut().min() else { break };
+            let Some(place) = busy.iter_mut().min() else {
+                break;
+            };
             let begins = (*place).max(now);
             if begins > now + 100 * MS {
                 if shared {
-                    world.gate.ended(now, world.core.roster(), (tenant, End::NoWorkerInTime, 0), &mut out);
+                    world.gate.ended(
+                        now,
+                        world.core.roster(),
+                        (tenant, End::NoWorkerInTime, 0),
+                        &mut out,
+                    );
                 }
             } else {
                 *place = begins + 50 * MS;
@@ -543,6 +706,12 @@
         "served of the quiet tenant: quiet {quiet:.4}, storm {stormy:.4}, without shares {without:.4}; of the storm {storm:.4}"
     );
     assert!(quiet > 0.99, "{quiet}");
-    assert!(quiet - stormy < 0.02, "quiet {quiet:.4}, stormy {stormy:.4}");
-    assert!(without < 0.9, "the day is a hard one: {without:.4} without shares");
+    assert!(
+        quiet - stormy < 0.02,
+        "quiet {quiet:.4}, stormy {stormy:.4}"
+    );
+    assert!(
+        without < 0.9,
+        "the day is a hard one: {without:.4} without shares"
+    );
 }
--- a/crates/pipithub-amqp/benches/codec.rs
+++ b/crates/pipithub-amqp/benches/codec.rs
@@ -25,10 +25,17 @@
         exchange: text(""),
         routing_key: text("calls"),
     };
-    let on = |payload| Frame { channel: 1, payload };
+    let on = |payload| Frame {
+        channel: 1,
+        payload,
+    };
     vec![
         on(Payload::Method(deliver)),
-        on(Payload::Header { class_id: 60, body_size: body as u64, properties: Box::new(properties) }),
+        on(Payload::Header {
+            class_id: 60,
+            body_size: body as u64,
+            properties: Box::new(properties),
+        }),
         on(Payload::Body(Bytes::from(vec![7; body]))),
     ]
 }
--- a/crates/pipithub-amqp/src/endpoint.rs
+++ b/crates/pipithub-amqp/src/endpoint.rs
@@ -44,7 +44,12 @@
 
 impl Default for Tuning {
     fn default() -> Self {
-        Tuning { channel_max: 2047, frame_max: 131_072, heartbeat: 10, max_body: 64 << 20 }
+        Tuning {
+            channel_max: 2047,
+            frame_max: 131_072,
+            heartbeat: 10,
+            max_body: 64 << 20,
+        }
     }
 }
 
@@ -61,7 +66,11 @@
 
 impl Default for Login {
     fn default() -> Self {
-        Login { user: "guest".into(), password: "guest".into(), virtual_host: "/".into() }
+        Login {
+            user: "guest".into(),
+            password: "guest".into(),
+            virtual_host: "/".into(),
+        }
     }
 }
 
@@ -311,11 +320,18 @@
             State::Up => {
                 let beat = Time::from(self.tuning.heartbeat) * SECOND;
                 if beat > 0 && now >= self.last_received + 2 * beat {
-                    return self.over(Fault::new(Code::ConnectionForced, "no heartbeat came"), false);
+                    return self.over(
+                        Fault::new(Code::ConnectionForced, "no heartbeat came"),
+                        false,
+                    );
                 }
                 if beat > 0 && now >= self.last_sent + beat / 2 {
                     self.last_sent = now;
-                    Frame { channel: 0, payload: Payload::Heartbeat }.write(&mut self.out);
+                    Frame {
+                        channel: 0,
+                        payload: Payload::Heartbeat,
+                    }
+                    .write(&mut self.out);
                 }
             }
             State::Closing => {
@@ -325,7 +341,10 @@
             }
             _ => {
                 if now >= self.began + HANDSHAKE_MOST {
-                    self.over(Fault::new(Code::ConnectionForced, "the handshake took too long"), false);
+                    self.over(
+                        Fault::new(Code::ConnectionForced, "the handshake took too long"),
+                        false,
+                    );
                 }
             }
         }
@@ -349,12 +368,17 @@
         self.state = State::Closing;
         self.began = self.now;
         self.channels.clear();
-        self.events.push_back(Event::Closed { fault, by_peer: false });
+        self.events.push_back(Event::Closed {
+            fault,
+            by_peer: false,
+        });
     }
 
     /// Ends a channel from this end.
     pub fn close_channel(&mut self, channel: u16, fault: Fault) {
-        if let Some(state @ (Channel::Open { .. } | Channel::Opening)) = self.channels.get_mut(&channel) {
+        if let Some(state @ (Channel::Open { .. } | Channel::Opening)) =
+            self.channels.get_mut(&channel)
+        {
             *state = Channel::Closing;
             let method = Method::ChannelClose {
                 reply_code: fault.code,
@@ -363,7 +387,11 @@
                 method_id: fault.method_id,
             };
             self.write(channel, method);
-            self.events.push_back(Event::ChannelClosed { channel, fault, by_peer: false });
+            self.events.push_back(Event::ChannelClosed {
+                channel,
+                fault,
+                by_peer: false,
+            });
         }
     }
 
@@ -372,8 +400,14 @@
         if self.state != State::Up || self.role != Role::Client {
             return Err(SendError::NotOpen);
         }
-        let most = if self.tuning.channel_max == 0 { u16::MAX } else { self.tuning.channel_max };
-        let free = (1..=most).find(|c| !self.channels.contains_key(c)).ok_or(SendError::NoFreeChannel)?;
+        let most = if self.tuning.channel_max == 0 {
+            u16::MAX
+        } else {
+            self.tuning.channel_max
+        };
+        let free = (1..=most)
+            .find(|c| !self.channels.contains_key(c))
+            .ok_or(SendError::NoFreeChannel)?;
         self.channels.insert(free, Channel::Opening);
         self.write(free, Method::ChannelOpen {});
         Ok(free)
@@ -397,11 +431,22 @@
         self.check(channel, &method, true)?;
         let (class_id, _) = method.ids();
         self.write(channel, method);
-        let header =
-            Payload::Header { class_id, body_size: body.len() as u64, properties: Box::new(properties) };
-        Frame { channel, payload: header }.write(&mut self.out);
+        let header = Payload::Header {
+            class_id,
+            body_size: body.len() as u64,
+            properties: Box::new(properties),
+        };
+        Frame {
+            channel,
+            payload: header,
+        }
+        .write(&mut self.out);
         for part in body.chunks(self.tuning.frame_max as usize - OVERHEAD) {
-            Frame { channel, payload: Payload::Body(Bytes::copy_from_slice(part)) }.write(&mut self.out);
+            Frame {
+                channel,
+                payload: Payload::Body(Bytes::copy_from_slice(part)),
+            }
+            .write(&mut self.out);
         }
         Ok(())
     }
@@ -418,14 +463,20 @@
         match (self.state, channel) {
             (State::Up, 0) if method.ids().0 == 10 => Ok(()),
             (State::Up, 0) => Err(SendError::NoChannel(0)),
-            (State::Up, _) if matches!(self.channels.get(&channel), Some(Channel::Open { .. })) => Ok(()),
+            (State::Up, _) if matches!(self.channels.get(&channel), Some(Channel::Open { .. })) => {
+                Ok(())
+            }
             (State::Up, _) => Err(SendError::NoChannel(channel)),
             _ => Err(SendError::NotOpen),
         }
     }
 
     fn write(&mut self, channel: u16, method: Method) {
-        Frame { channel, payload: Payload::Method(method) }.write(&mut self.out);
+        Frame {
+            channel,
+            payload: Payload::Method(method),
+        }
+        .write(&mut self.out);
     }
 
     // ---- server's decisions ----
@@ -433,8 +484,20 @@
     /// The login is good.
     pub fn accept_login(&mut self) {
         if self.state == State::LoginDecision {
-            let Tuning { channel_max, frame_max, heartbeat, .. } = self.tuning;
-            self.write(0, Method::ConnectionTune { channel_max, frame_max, heartbeat });
+            let Tuning {
+                channel_max,
+                frame_max,
+                heartbeat,
+                ..
+            } = self.tuning;
+            self.write(
+                0,
+                Method::ConnectionTune {
+                    channel_max,
+                    frame_max,
+                    heartbeat,
+                },
+            );
             self.state = State::TuneOk;
         }
     }
@@ -478,7 +541,10 @@
         if self.state == State::Start && self.decoder.could_begin_with(b"AMQP") {
             // A server that speaks another version answers with its own header.
             if self.decoder.raw(8).is_some() {
-                self.over(Fault::new(Code::NotImplemented, "the server does not speak AMQP 0-9-1"), true);
+                self.over(
+                    Fault::new(Code::NotImplemented, "the server does not speak AMQP 0-9-1"),
+                    true,
+                );
             }
             return;
         }
@@ -504,16 +570,25 @@
     fn header(&mut self) -> bool {
         if !self.decoder.could_begin_with(&PROTOCOL_HEADER) {
             self.out.extend_from_slice(&PROTOCOL_HEADER);
-            self.over(Fault::new(Code::NotImplemented, "unknown protocol header"), false);
+            self.over(
+                Fault::new(Code::NotImplemented, "unknown protocol header"),
+                false,
+            );
             return false;
         }
         if self.decoder.raw(PROTOCOL_HEADER.len()).is_none() {
             return false;
         }
-        let capabilities =
-            ["basic.nack", "publisher_confirms", "connection.blocked", "consumer_cancel_notify"]
-                .iter()
-                .fold(FieldTable::new(), |t, name| t.with(name, FieldValue::Bool(true)));
+        let capabilities = [
+            "basic.nack",
+            "publisher_confirms",
+            "connection.blocked",
+            "consumer_cancel_notify",
+        ]
+        .iter()
+        .fold(FieldTable::new(), |t, name| {
+            t.with(name, FieldValue::Bool(true))
+        });
         self.write(
             0,
             Method::ConnectionStart {
@@ -568,9 +643,11 @@
                     _ => self.channel(channel, method),
                 }
             }
-            Payload::Header { class_id, body_size, properties } => {
-                self.content_header(channel, class_id, body_size, *properties)
-            }
+            Payload::Header {
+                class_id,
+                body_size,
+                properties,
+            } => self.content_header(channel, class_id, body_size, *properties),
             Payload::Body(bytes) => self.content_body(channel, &bytes),
         }
     }
@@ -580,22 +657,41 @@
             (
                 State::Start,
                 Method::ConnectionStart {
-                    version_major, version_minor, server_properties, mechanisms, ..
+                    version_major,
+                    version_minor,
+                    server_properties,
+                    mechanisms,
+                    ..
                 },
             ) => {
                 if (version_major, version_minor) != (0, 9) {
-                    return Err(Fault::new(Code::NotImplemented, "the server does not speak AMQP 0-9-1"));
+                    return Err(Fault::new(
+                        Code::NotImplemented,
+                        "the server does not speak AMQP 0-9-1",
+                    ));
                 }
                 if !mechanisms.split(|b| *b == b' ').any(|m| m == b"PLAIN") {
-                    return Err(Fault::new(Code::AccessRefused, "the server does not offer PLAIN"));
+                    return Err(Fault::new(
+                        Code::AccessRefused,
+                        "the server does not offer PLAIN",
+                    ));
                 }
                 self.peer_properties = server_properties;
                 let response = format!("\0{}\0{}", self.login.user, self.login.password);
-                let capabilities = ["connection.blocked", "consumer_cancel_notify", "publisher_confirms"]
-                    .iter()
-                    .fold(FieldTable::new(), |t, name| t.with(name, FieldValue::Bool(true)));
+                let capabilities = [
+                    "connection.blocked",
+                    "consumer_cancel_notify",
+                    "publisher_confirms",
+                ]
+                .iter()
+                .fold(FieldTable::new(), |t, name| {
+                    t.with(name, FieldValue::Bool(true))
+                });
                 let client_properties = FieldTable::new()
-                    .with("connection_name", self.name.as_deref().unwrap_or("pipithub"))
+                    .with(
+                        "connection_name",
+                        self.name.as_deref().unwrap_or("pipithub"),
+                    )
                     .with("product", "pipithub")
                     .with("version", env!("CARGO_PKG_VERSION"))
                     .with("capabilities", FieldValue::Table(capabilities));
@@ -610,38 +706,86 @@
                 );
                 self.state = State::Tune;
             }
-            (State::StartOk, Method::ConnectionStartOk { client_properties, mechanism, response, .. }) => {
+            (
+                State::StartOk,
+                Method::ConnectionStartOk {
+                    client_properties,
+                    mechanism,
+                    response,
+                    ..
+                },
+            ) => {
                 self.peer_properties = client_properties;
-                let mut parts = response.split(|b| *b == 0).map(|p| String::from_utf8_lossy(p).into_owned());
+                let mut parts = response
+                    .split(|b| *b == 0)
+                    .map(|p| String::from_utf8_lossy(p).into_owned());
                 let (_, user, password) = (parts.next(), parts.next(), parts.next());
                 let (true, Some(user), Some(password), None) =
                     (&*mechanism == "PLAIN", user, password, parts.next())
                 else {
-                    return Err(Fault::new(Code::AccessRefused, "only a PLAIN login is taken"));
+                    return Err(Fault::new(
+                        Code::AccessRefused,
+                        "only a PLAIN login is taken",
+                    ));
                 };
                 self.state = State::LoginDecision;
                 self.events.push_back(Event::Login { user, password });
             }
-            (State::Tune, Method::ConnectionTune { channel_max, frame_max, heartbeat }) => {
+            (
+                State::Tune,
+                Method::ConnectionTune {
+                    channel_max,
+                    frame_max,
+                    heartbeat,
+                },
+            ) => {
                 self.tuning.channel_max = least(self.tuning.channel_max, channel_max);
                 self.tuning.frame_max = least(self.tuning.frame_max, frame_max).max(FRAME_MIN_SIZE);
                 self.tuning.heartbeat = least(self.tuning.heartbeat, heartbeat);
                 self.decoder.set_frame_max(self.tuning.frame_max);
-                let Tuning { channel_max, frame_max, heartbeat, .. } = self.tuning;
-                self.write(0, Method::ConnectionTuneOk { channel_max, frame_max, heartbeat });
+                let Tuning {
+                    channel_max,
+                    frame_max,
+                    heartbeat,
+                    ..
+                } = self.tuning;
+                self.write(
+                    0,
+                    Method::ConnectionTuneOk {
+                        channel_max,
+                        frame_max,
+                        heartbeat,
+                    },
+                );
                 let virtual_host = ShortStr::truncated(&self.login.virtual_host);
                 self.write(0, Method::ConnectionOpen { virtual_host });
                 self.state = State::OpenOk;
             }
-            (State::TuneOk, Method::ConnectionTuneOk { channel_max, frame_max, heartbeat }) => {
-                let fits = |asked: u32, offered: u32| offered == 0 || asked != 0 && asked <= offered;
+            (
+                State::TuneOk,
+                Method::ConnectionTuneOk {
+                    channel_max,
+                    frame_max,
+                    heartbeat,
+                },
+            ) => {
+                let fits =
+                    |asked: u32, offered: u32| offered == 0 || asked != 0 && asked <= offered;
                 if !fits(u32::from(channel_max), u32::from(self.tuning.channel_max))
                     || !fits(frame_max, self.tuning.frame_max)
                     || frame_max < FRAME_MIN_SIZE
                 {
-                    return Err(Fault::new(Code::NotAllowed, "tune-ok beyond what tune offered"));
+                    return Err(Fault::new(
+                        Code::NotAllowed,
+                        "tune-ok beyond what tune offered",
+                    ));
                 }
-                self.tuning = Tuning { channel_max, frame_max, heartbeat, ..self.tuning };
+                self.tuning = Tuning {
+                    channel_max,
+                    frame_max,
+                    heartbeat,
+                    ..self.tuning
+                };
                 self.decoder.set_frame_max(frame_max);
                 self.state = State::Open;
             }
@@ -650,15 +794,31 @@
                 self.events.push_back(Event::OpenRequested { virtual_host });
             }
             (State::OpenOk, Method::ConnectionOpenOk {}) => self.up(),
-            (_, Method::ConnectionClose { reply_code, reply_text, class_id, method_id }) => {
+            (
+                _,
+                Method::ConnectionClose {
+                    reply_code,
+                    reply_text,
+                    class_id,
+                    method_id,
+                },
+            ) => {
                 self.write(0, Method::ConnectionCloseOk {});
-                let fault = Fault { code: reply_code, text: reply_text.to_string(), class_id, method_id };
+                let fault = Fault {
+                    code: reply_code,
+                    text: reply_text.to_string(),
+                    class_id,
+                    method_id,
+                };
                 self.over(fault, true);
             }
             (State::Up, Method::ConnectionBlocked { reason }) => {
-                self.events.push_back(Event::Blocked(Some(reason.to_string())));
+                self.events
+                    .push_back(Event::Blocked(Some(reason.to_string())));
+            }
+            (State::Up, Method::ConnectionUnblocked {}) => {
+                self.events.push_back(Event::Blocked(None))
             }
-            (State::Up, Method::ConnectionUnblocked {}) => self.events.push_back(Event::Blocked(None)),
             (_, method) => {
                 let text = format!("{} is not expected now", method.name());
                 return Err(Fault::new(Code::CommandInvalid, text).caused_by(&method));
@@ -674,7 +834,8 @@
                 if self.tuning.channel_max != 0 && channel > self.tuning.channel_max {
                     return fault(Code::ChannelError, "channel beyond channel-max");
                 }
-                self.channels.insert(channel, Channel::Open { assembly: None });
+                self.channels
+                    .insert(channel, Channel::Open { assembly: None });
                 self.write(channel, Method::ChannelOpenOk {});
                 self.events.push_back(Event::ChannelOpened { channel });
             }
@@ -694,13 +855,23 @@
                 self.write(channel, Method::ChannelCloseOk {});
             }
             (Some(Channel::Closing), _) => {}
-            (Some(Channel::Opening), _) => return fault(Code::ChannelError, "the channel is not open yet"),
+            (Some(Channel::Opening), _) => {
+                return fault(Code::ChannelError, "the channel is not open yet");
+            }
             (Some(Channel::Open { assembly: Some(_) }), _) => {
-                return fault(Code::UnexpectedFrame, "a method where a content was to come");
+                return fault(
+                    Code::UnexpectedFrame,
+                    "a method where a content was to come",
+                );
             }
             (
                 Some(Channel::Open { .. }),
-                Method::ChannelClose { reply_code, reply_text, class_id, method_id },
+                Method::ChannelClose {
+                    reply_code,
+                    reply_text,
+                    class_id,
+                    method_id,
+                },
             ) => {
                 let fault = Fault {
                     code: *reply_code,
@@ -710,7 +881,11 @@
                 };
                 self.channels.remove(&channel);
                 self.write(channel, Method::ChannelCloseOk {});
-                self.events.push_back(Event::ChannelClosed { channel, fault, by_peer: true });
+                self.events.push_back(Event::ChannelClosed {
+                    channel,
+                    fault,
+                    by_peer: true,
+                });
             }
             (Some(Channel::Open { .. }), Method::ChannelFlow { active }) => {
                 let active = *active;
@@ -721,22 +896,41 @@
                 return fault(Code::CommandInvalid, "not expected on an open channel");
             }
             (Some(Channel::Open { assembly }), _) if method.has_content() => {
-                *assembly = Some(Box::new(Assembly { method, header: None, body: BytesMut::new() }));
+                *assembly = Some(Box::new(Assembly {
+                    method,
+                    header: None,
+                    body: BytesMut::new(),
+                }));
             }
             (Some(Channel::Open { .. }), _) => {
-                self.events.push_back(Event::Method { channel, method, content: None });
+                self.events.push_back(Event::Method {
+                    channel,
+                    method,
+                    content: None,
+                });
             }
         }
         Ok(())
     }
 
-    fn content_header(&mut self, channel: u16, class: u16, size: u64, p: Properties) -> Result<(), Fault> {
+    fn content_header(
+        &mut self,
+        channel: u16,
+        class: u16,
+        size: u64,
+        p: Properties,
+    ) -> Result<(), Fault> {
         let max_body = self.tuning.max_body;
         match self.channels.get_mut(&channel) {
             Some(Channel::Closing) => Ok(()),
-            Some(Channel::Open { assembly: Some(assembly) }) if assembly.header.is_none() => {
+            Some(Channel::Open {
+                assembly: Some(assembly),
+            }) if assembly.header.is_none() => {
                 if assembly.method.ids().0 != class {
-                    return Err(Fault::new(Code::UnexpectedFrame, "content header of another class"));
+                    return Err(Fault::new(
+                        Code::UnexpectedFrame,
+                        "content header of another class",
+                    ));
                 }
                 if size > max_body {
                     let text = format!("a body of {size} bytes is beyond {max_body}");
@@ -748,39 +942,70 @@
                 self.assembled(channel);
                 Ok(())
             }
-            _ => Err(Fault::new(Code::UnexpectedFrame, "a content header that no method announced")),
+            _ => Err(Fault::new(
+                Code::UnexpectedFrame,
+                "a content header that no method announced",
+            )),
         }
     }
 
     fn content_body(&mut self, channel: u16, bytes: &[u8]) -> Result<(), Fault> {
         match self.channels.get_mut(&channel) {
             Some(Channel::Closing) => Ok(()),
-            Some(Channel::Open { assembly: Some(assembly) }) => {
+            Some(Channel::Open {
+                assembly: Some(assembly),
+            }) => {
                 let Some((size, _)) = &assembly.header else {
-                    return Err(Fault::new(Code::UnexpectedFrame, "a body before its header"));
+                    return Err(Fault::new(
+                        Code::UnexpectedFrame,
+                        "a body before its header",
+                    ));
                 };
                 if assembly.body.len() as u64 + bytes.len() as u64 > *size {
-                    return Err(Fault::new(Code::FrameError, "a body longer than its header says"));
+                    return Err(Fault::new(
+                        Code::FrameError,
+                        "a body longer than its header says",
+                    ));
                 }
                 assembly.body.extend_from_slice(bytes);
                 self.assembled(channel);
                 Ok(())
             }
-            _ => Err(Fault::new(Code::UnexpectedFrame, "a body that no method announced")),
+            _ => Err(Fault::new(
+                Code::UnexpectedFrame,
+                "a body that no method announced",
+            )),
         }
     }
 
     /// Hands out a content that is whole.
     fn assembled(&mut self, channel: u16) {
-        let Some(Channel::Open { assembly }) = self.channels.get_mut(&channel) else { return };
-        let whole = |a: &Assembly| a.header.as_ref().is_some_and(|(size, _)| a.body.len() as u64 == *size);
+        let Some(Channel::Open { assembly }) = self.channels.get_mut(&channel) else {
+            return;
+        };
+        let whole = |a: &Assembly| {
+            a.header
+                .as_ref()
+                .is_some_and(|(size, _)| a.body.len() as u64 == *size)
+        };
         if assembly.as_ref().is_some_and(|a| whole(a))
             && let Some(whole) = assembly.take()
         {
-            let Assembly { method, header, body } = *whole;
+            let Assembly {
+                method,
+                header,
+                body,
+            } = *whole;
             let properties = header.map(|(_, p)| p).unwrap_or_default();
-            let content = Some(Box::new(Content { properties, body: body.freeze() }));
-            self.events.push_back(Event::Method { channel, method, content });
+            let content = Some(Box::new(Content {
+                properties,
+                body: body.freeze(),
+            }));
+            self.events.push_back(Event::Method {
+                channel,
+                method,
+                content,
+            });
         }
     }
 }
--- a/crates/pipithub-amqp/src/frame.rs
+++ b/crates/pipithub-amqp/src/frame.rs
@@ -57,7 +57,11 @@
         let start = out.len();
         match &self.payload {
             Payload::Method(method) => method.write(&mut Writer::new(out)),
-            Payload::Header { class_id, body_size, properties } => {
+            Payload::Header {
+                class_id,
+                body_size,
+                properties,
+            } => {
                 let mut w = Writer::new(out);
                 w.u16(*class_id);
                 w.u16(0);
@@ -84,12 +88,19 @@
 impl FrameDecoder {
     /// Takes frames of at most so many bytes.
     pub fn new(frame_max: u32) -> Self {
-        FrameDecoder { buffer: BytesMut::new(), frame_max: frame_max as usize }
+        FrameDecoder {
+            buffer: BytesMut::new(),
+            frame_max: frame_max as usize,
+        }
     }
 
     /// Sets the negotiated limit; 0 stands for none and is taken as 16 MiB.
     pub fn set_frame_max(&mut self, frame_max: u32) {
-        self.frame_max = if frame_max == 0 { 16 << 20 } else { frame_max as usize };
+        self.frame_max = if frame_max == 0 {
+            16 << 20
+        } else {
+            frame_max as usize
+        };
     }
 
     /// Adds bytes as they came.
@@ -109,16 +120,24 @@
 
     /// The next whole frame. Any fault ends the connection: no later byte can be trusted.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, Fault> {
-        let Some(head) = self.buffer.first_chunk::<7>() else { return Ok(None) };
+        let Some(head) = self.buffer.first_chunk::<7>() else {
+            return Ok(None);
+        };
         let [kind, c0, c1, s0, s1, s2, s3] = *head;
         let channel = u16::from_be_bytes([c0, c1]);
         let size = u32::from_be_bytes([s0, s1, s2, s3]) as usize;
         if !matches!(kind, 1 | 2 | 3 | 8) {
-            return Err(Fault::new(Code::FrameError, format!("unknown frame type {kind}")));
+            return Err(Fault::new(
+                Code::FrameError,
+                format!("unknown frame type {kind}"),
+            ));
         }
         // Checked before the bytes have come: no peer can make this end buffer more than a frame.
         if size.saturating_add(OVERHEAD) > self.frame_max {
-            let text = format!("frame of {size} bytes is beyond frame-max {}", self.frame_max);
+            let text = format!(
+                "frame of {size} bytes is beyond frame-max {}",
+                self.frame_max
+            );
             return Err(Fault::new(Code::FrameError, text));
         }
         if self.buffer.len() < size + OVERHEAD {
@@ -129,15 +148,20 @@
         if self.buffer.get_u8() != END {
             return Err(Fault::new(Code::FrameError, "frame end octet is missing"));
         }
-        Ok(Some(Frame { channel, payload: Self::payload(kind, channel, payload)? }))
+        Ok(Some(Frame {
+            channel,
+            payload: Self::payload(kind, channel, payload)?,
+        }))
     }
 
     fn payload(kind: u8, channel: u16, bytes: Bytes) -> Result<Payload, Fault> {
         Ok(match kind {
             1 => Payload::Method(Method::read(&bytes).map_err(|e| match e {
-                MethodError::Unknown(class_id, method_id) => {
-                    Fault { class_id, method_id, ..Fault::new(Code::NotImplemented, e.to_string()) }
-                }
+                MethodError::Unknown(class_id, method_id) => Fault {
+                    class_id,
+                    method_id,
+                    ..Fault::new(Code::NotImplemented, e.to_string())
+                },
                 MethodError::Syntax(..) => Fault::new(Code::SyntaxError, e.to_string()),
             })?),
             2 => {
@@ -148,7 +172,11 @@
                     let body_size = r.u64()?;
                     let properties = Box::new(Properties::read(&mut r)?);
                     r.finish()?;
-                    Ok(Payload::Header { class_id, body_size, properties })
+                    Ok(Payload::Header {
+                        class_id,
+                        body_size,
+                        properties,
+                    })
                 };
                 let read: Result<Payload, crate::wire::SyntaxError> = read();
                 read.map_err(|e| Fault::new(Code::SyntaxError, format!("content header: {e}")))?
@@ -157,7 +185,9 @@
             _ if channel != 0 => {
                 return Err(Fault::new(Code::CommandInvalid, "heartbeat on a channel"));
             }
-            _ if !bytes.is_empty() => return Err(Fault::new(Code::SyntaxError, "heartbeat with a payload")),
+            _ if !bytes.is_empty() => {
+                return Err(Fault::new(Code::SyntaxError, "heartbeat with a payload"));
+            }
             _ => Payload::Heartbeat,
         })
     }
--- a/crates/pipithub-amqp/src/reply.rs
+++ b/crates/pipithub-amqp/src/reply.rs
@@ -91,7 +91,12 @@
 impl Fault {
     /// A fault that no method caused.
     pub fn new(code: Code, text: impl Into<String>) -> Self {
-        Fault { code: code as u16, text: text.into(), class_id: 0, method_id: 0 }
+        Fault {
+            code: code as u16,
+            text: text.into(),
+            class_id: 0,
+            method_id: 0,
+        }
     }
 
     /// Names the method that caused it.
--- a/crates/pipithub-amqp/src/value.rs
+++ b/crates/pipithub-amqp/src/value.rs
@@ -18,7 +18,11 @@
 impl ShortStr {
     /// Takes a text that fits.
     pub fn new(text: &str) -> Result<Self, TooLong> {
-        if text.len() > 255 { Err(TooLong(text.len())) } else { Ok(ShortStr(text.into())) }
+        if text.len() > 255 {
+            Err(TooLong(text.len()))
+        } else {
+            Ok(ShortStr(text.into()))
+        }
     }
 
     /// Takes as much of a text as fits, cut between characters.
@@ -123,7 +127,9 @@
         match self {
             FieldValue::F32(v) => Some(f64::from(*v)),
             FieldValue::F64(v) => Some(*v),
-            FieldValue::Decimal { scale, value } => Some(f64::from(*value) / 10f64.powi(i32::from(*scale))),
+            FieldValue::Decimal { scale, value } => {
+                Some(f64::from(*value) / 10f64.powi(i32::from(*scale)))
+            }
             other => other.as_i64().map(|v| v as f64),
         }
     }
--- a/crates/pipithub-amqp/src/wire.rs
+++ b/crates/pipithub-amqp/src/wire.rs
@@ -2,7 +2,9 @@
 
 use bytes::{BufMut, Bytes, BytesMut};
 use winnow::Parser;
-use winnow::binary::{be_f32, be_f64, be_i8, be_i16, be_i32, be_i64, be_u8, be_u16, be_u32, be_u64};
+use winnow::binary::{
+    be_f32, be_f64, be_i8, be_i16, be_i32, be_i64, be_u8, be_u16, be_u32, be_u64,
+};
 use winnow::error::EmptyError;
 use winnow::token::take;
 
@@ -54,7 +56,11 @@
 impl<'a> Reader<'a> {
     /// Reads from these bytes.
     pub fn new(input: &'a [u8]) -> Self {
-        Reader { input, bits: None, depth: 0 }
+        Reader {
+            input,
+            bits: None,
+            depth: 0,
+        }
     }
 
     number! {
@@ -135,7 +141,11 @@
             return Err(SyntaxError::TooDeep);
         }
         let length = self.u32()? as usize;
-        Ok(Reader { input: self.take(length, what)?, bits: None, depth: self.depth + 1 })
+        Ok(Reader {
+            input: self.take(length, what)?,
+            bits: None,
+            depth: self.depth + 1,
+        })
     }
 
     /// A field value with its type octet.
@@ -151,7 +161,10 @@
             b'l' | b'L' => FieldValue::I64(self.i64()?),
             b'f' => FieldValue::F32(self.f32()?),
             b'd' => FieldValue::F64(self.f64()?),
-            b'D' => FieldValue::Decimal { scale: self.u8()?, value: self.i32()? },
+            b'D' => FieldValue::Decimal {
+                scale: self.u8()?,
+                value: self.i32()?,
+            },
             b'S' => FieldValue::LongStr(self.long_str()?),
             b'x' => FieldValue::Bytes(self.long_str()?),
             b'T' => FieldValue::Timestamp(self.u64()?),
@@ -170,7 +183,11 @@
 
     /// Errors unless all bytes were read.
     pub fn finish(&self) -> Result<(), SyntaxError> {
-        if self.input.is_empty() { Ok(()) } else { Err(SyntaxError::LeftOver(self.input.len())) }
+        if self.input.is_empty() {
+            Ok(())
+        } else {
+            Err(SyntaxError::LeftOver(self.input.len()))
+        }
     }
 }
 
--- a/crates/pipithub-amqp/tests/codec.rs
+++ b/crates/pipithub-amqp/tests/codec.rs
@@ -48,8 +48,12 @@
         any::<i32>().prop_map(FieldValue::I32),
         any::<u32>().prop_map(FieldValue::U32),
         any::<i64>().prop_map(FieldValue::I64),
-        any::<f32>().prop_filter("equal to itself", |f| !f.is_nan()).prop_map(FieldValue::F32),
-        any::<f64>().prop_filter("equal to itself", |f| !f.is_nan()).prop_map(FieldValue::F64),
+        any::<f32>()
+            .prop_filter("equal to itself", |f| !f.is_nan())
+            .prop_map(FieldValue::F32),
+        any::<f64>()
+            .prop_filter("equal to itself", |f| !f.is_nan())
+            .prop_map(FieldValue::F64),
         (any::<u8>(), 0..i32::MAX).prop_map(|(scale, value)| FieldValue::Decimal { scale, value }),
         "\\PC{0,40}".prop_map(|s| FieldValue::from(s.as_str())),
         bytes.prop_map(FieldValue::Bytes),
@@ -123,20 +127,24 @@
             }
         }),
         (short(), any::<u64>(), any::<bool>(), short(), short()).prop_map(
-            |(consumer_tag, delivery_tag, redelivered, exchange, routing_key)| Method::BasicDeliver {
-                consumer_tag,
-                delivery_tag,
-                redelivered,
-                exchange,
-                routing_key
+            |(consumer_tag, delivery_tag, redelivered, exchange, routing_key)| {
+                Method::BasicDeliver {
+                    consumer_tag,
+                    delivery_tag,
+                    redelivered,
+                    exchange,
+                    routing_key,
+                }
             }
         ),
-        (table(), "[A-Z ]{0,20}").prop_map(|(server_properties, mechanisms)| Method::ConnectionStart {
-            version_major: 0,
-            version_minor: 9,
-            server_properties,
-            mechanisms: Bytes::from(mechanisms),
-            locales: Bytes::from_static(b"en_US"),
+        (table(), "[A-Z ]{0,20}").prop_map(|(server_properties, mechanisms)| {
+            Method::ConnectionStart {
+                version_major: 0,
+                version_minor: 9,
+                server_properties,
+                mechanisms: Bytes::from(mechanisms),
+                locales: Bytes::from_static(b"en_US"),
+            }
         }),
         prop::sample::select(Method::ALL.to_vec()).prop_map(|(class, id, ..)| least(class, id)),
     ]
@@ -161,7 +169,10 @@
     for (class, id, name, ..) in Method::ALL {
         let method = least(*class, *id);
         assert_eq!((method.ids(), method.name()), ((*class, *id), *name));
-        let frame = Frame { channel: 1, payload: Payload::Method(method) };
+        let frame = Frame {
+            channel: 1,
+            payload: Payload::Method(method),
+        };
         assert_eq!(decode(&bytes_of(&frame)), Ok(Some(frame)), "{name}");
     }
 }
@@ -218,16 +229,23 @@
 #[test]
 fn an_independent_codec_agrees_on_every_method() {
     for (class, id, name, ..) in Method::ALL {
-        let bytes = bytes_of(&Frame { channel: 1, payload: Payload::Method(least(*class, *id)) });
+        let bytes = bytes_of(&Frame {
+            channel: 1,
+            payload: Payload::Method(least(*class, *id)),
+        });
         let (_, theirs) = amq_protocol::frame::parse_frame(&bytes[..]).expect(name);
-        let out = amq_protocol::frame::gen_frame(&theirs)(cookie_factory::WriteContext::from(Vec::new()));
+        let out =
+            amq_protocol::frame::gen_frame(&theirs)(cookie_factory::WriteContext::from(Vec::new()));
         assert_eq!(out.expect(name).into_inner().0, bytes, "{name}");
     }
 }
 
 #[test]
 fn damaged_frames_get_the_codes_of_the_specification() {
-    let good = bytes_of(&Frame { channel: 1, payload: Payload::Method(Method::TxSelect {}) });
+    let good = bytes_of(&Frame {
+        channel: 1,
+        payload: Payload::Method(Method::TxSelect {}),
+    });
     let damaged = |change: &dyn Fn(&mut Vec<u8>)| {
         let mut bytes = good.to_vec();
         change(&mut bytes);
@@ -250,13 +268,18 @@
     );
     let text = bytes_of(&Frame {
         channel: 1,
-        payload: Payload::Method(Method::BasicCancelOk { consumer_tag: ShortStr::truncated("tag") }),
+        payload: Payload::Method(Method::BasicCancelOk {
+            consumer_tag: ShortStr::truncated("tag"),
+        }),
     });
     let mut longer = text.to_vec();
     longer[11] = 200;
     assert_eq!(decode(&longer).expect_err("cut").code, 502);
     // Heartbeats belong on channel 0 and are empty.
-    let mut beat = bytes_of(&Frame { channel: 0, payload: Payload::Heartbeat });
+    let mut beat = bytes_of(&Frame {
+        channel: 0,
+        payload: Payload::Heartbeat,
+    });
     assert!(decode(&beat).expect("good").is_some());
     beat[2] = 1;
     assert_eq!(decode(&beat).expect_err("on a channel").code, 503);
@@ -268,7 +291,10 @@
     let mut decoder = FrameDecoder::new(4096);
     decoder.push(&[3, 0, 1]);
     decoder.push(&(4096 - OVERHEAD as u32 + 1).to_be_bytes());
-    assert_eq!(decoder.next_frame().expect_err("too large").code, Code::FrameError as u16);
+    assert_eq!(
+        decoder.next_frame().expect_err("too large").code,
+        Code::FrameError as u16
+    );
 }
 
 /// Nested tables could exhaust the stack.
@@ -288,8 +314,14 @@
         no_wait: false,
         arguments: table,
     };
-    let bytes = bytes_of(&Frame { channel: 1, payload: Payload::Method(declare) });
-    assert_eq!(decode(&bytes).expect_err("too deep").code, Code::SyntaxError as u16);
+    let bytes = bytes_of(&Frame {
+        channel: 1,
+        payload: Payload::Method(declare),
+    });
+    assert_eq!(
+        decode(&bytes).expect_err("too deep").code,
+        Code::SyntaxError as u16
+    );
 }
 
 /// The page for queue users tells of each method how it is met.
@@ -297,6 +329,9 @@
 fn the_page_names_every_method() {
     let page = include_str!("../../../docs/amqp.md");
     for (_, _, name, ..) in Method::ALL {
-        assert!(page.contains(&format!("`{name}`")), "docs/amqp.md does not name {name}");
+        assert!(
+            page.contains(&format!("`{name}`")),
+            "docs/amqp.md does not name {name}"
+        );
     }
 }
--- a/crates/pipithub-amqp/tests/endpoints.rs
+++ b/crates/pipithub-amqp/tests/endpoints.rs
@@ -14,7 +14,10 @@
 
 impl Pair {
     fn new(client: Tuning, server: Tuning) -> Self {
-        Pair { client: Endpoint::client(Login::default(), client, 0), server: Endpoint::server(server, 0) }
+        Pair {
+            client: Endpoint::client(Login::default(), client, 0),
+            server: Endpoint::server(server, 0),
+        }
     }
 
     /// Moves bytes both ways, in small pieces, until none are left; the server takes every login.
@@ -37,7 +40,8 @@
                         self.server.accept_open()
                     }
                     Event::OpenRequested { .. } => {
-                        self.server.refuse_open(Fault::new(Code::NotAllowed, "no such virtual host"));
+                        self.server
+                            .refuse_open(Fault::new(Code::NotAllowed, "no such virtual host"));
                     }
                     _ => {}
                 }
@@ -63,7 +67,10 @@
         let (client, server) = pair.settle();
         assert_eq!(
             (client, server),
-            (vec![Event::ChannelOpened { channel: 1 }], vec![Event::ChannelOpened { channel: 1 }])
+            (
+                vec![Event::ChannelOpened { channel: 1 }],
+                vec![Event::ChannelOpened { channel: 1 }]
+            )
         );
         pair
     }
@@ -74,7 +81,11 @@
         frames.iter().for_each(|f| f.write(&mut bytes));
         self.server.receive(1, &bytes);
         while let Some(event) = self.server.poll_event() {
-            if let Event::Closed { fault, by_peer: false } = event {
+            if let Event::Closed {
+                fault,
+                by_peer: false,
+            } = event
+            {
                 let (client, _) = self.settle();
                 let told = |e: &Event| matches!(e, Event::Closed { fault: f, by_peer: true } if *f == fault);
                 assert!(client.iter().any(told), "the peer is told: {client:?}");
@@ -100,18 +111,38 @@
 }
 
 fn header(class_id: u16, body_size: u64) -> Frame {
-    on(1, Payload::Header { class_id, body_size, properties: Box::default() })
+    on(
+        1,
+        Payload::Header {
+            class_id,
+            body_size,
+            properties: Box::default(),
+        },
+    )
 }
 
 #[test]
 fn limits_are_negotiated_to_the_lesser() {
     let mut pair = Pair::new(
-        Tuning { channel_max: 0, frame_max: 8192, heartbeat: 60, ..Tuning::default() },
-        Tuning { channel_max: 10, frame_max: 131_072, heartbeat: 5, ..Tuning::default() },
+        Tuning {
+            channel_max: 0,
+            frame_max: 8192,
+            heartbeat: 60,
+            ..Tuning::default()
+        },
+        Tuning {
+            channel_max: 10,
+            frame_max: 131_072,
+            heartbeat: 5,
+            ..Tuning::default()
+        },
     );
     pair.settle();
     for tuning in [pair.client.tuning(), pair.server.tuning()] {
-        assert_eq!((tuning.channel_max, tuning.frame_max, tuning.heartbeat), (10, 8192, 5));
+        assert_eq!(
+            (tuning.channel_max, tuning.frame_max, tuning.heartbeat),
+            (10, 8192, 5)
+        );
     }
     for _ in 0..10 {
         pair.client.open_channel().expect("ten fit");
@@ -124,12 +155,21 @@
     for size in [0usize, 1, 4088, 131_064, 131_065, 16 << 20] {
         let mut pair = Pair::with_channel();
         let body = vec![7u8; size];
-        let properties = Properties { message_id: Some(ShortStr::truncated("m")), ..Properties::default() };
-        pair.client.send_content(1, publish(), properties, &body).expect("open");
+        let properties = Properties {
+            message_id: Some(ShortStr::truncated("m")),
+            ..Properties::default()
+        };
+        pair.client
+            .send_content(1, publish(), properties, &body)
+            .expect("open");
         let bytes = pair.client.take_output(0);
         pair.server.receive(0, &bytes);
         match pair.server.poll_event() {
-            Some(Event::Method { channel: 1, content: Some(content), .. }) => {
+            Some(Event::Method {
+                channel: 1,
+                content: Some(content),
+                ..
+            }) => {
                 assert_eq!(content.body.len(), size);
                 assert_eq!(content.properties.message_id.as_deref(), Some("m"));
             }
@@ -140,19 +180,32 @@
 
 #[test]
 fn a_body_beyond_the_limit_closes_its_channel_alone() {
-    let mut pair = Pair::new(Tuning::default(), Tuning { max_body: 10, ..Tuning::default() });
+    let mut pair = Pair::new(
+        Tuning::default(),
+        Tuning {
+            max_body: 10,
+            ..Tuning::default()
+        },
+    );
     pair.settle();
     pair.client.open_channel().expect("open");
     pair.client.open_channel().expect("open");
     pair.settle();
-    pair.client.send_content(1, publish(), Properties::default(), &[0; 11]).expect("open");
+    pair.client
+        .send_content(1, publish(), Properties::default(), &[0; 11])
+        .expect("open");
     let (client, _) = pair.settle();
     assert!(
         matches!(&client[..], [Event::ChannelClosed { channel: 1, fault, by_peer: true }] if fault.code == 311)
     );
-    pair.client.send_content(2, publish(), Properties::default(), &[0; 10]).expect("still open");
+    pair.client
+        .send_content(2, publish(), Properties::default(), &[0; 10])
+        .expect("still open");
     let (_, server) = pair.settle();
-    assert!(matches!(&server[..], [Event::Method { channel: 2, .. }]), "{server:?}");
+    assert!(
+        matches!(&server[..], [Event::Method { channel: 2, .. }]),
+        "{server:?}"
+    );
     // The number is free again.
     assert_eq!(pair.client.open_channel(), Ok(1));
 }
@@ -160,12 +213,19 @@
 #[test]
 fn wrong_logins_and_hosts_are_told() {
     let login = |password: &str, host: &str| {
-        let login = Login { password: password.into(), virtual_host: host.into(), ..Login::default() };
+        let login = Login {
+            password: password.into(),
+            virtual_host: host.into(),
+            ..Login::default()
+        };
         let mut pair = Pair::open();
         pair.client = Endpoint::client(login, Tuning::default(), 0);
         pair.server = Endpoint::server(Tuning::default(), 0);
         match pair.settle().0.pop() {
-            Some(Event::Closed { fault, by_peer: true }) => fault.code,
+            Some(Event::Closed {
+                fault,
+                by_peer: true,
+            }) => fault.code,
             other => panic!("{other:?}"),
         }
     };
@@ -188,30 +248,76 @@
 fn breaches_get_the_codes_of_the_specification() {
     let method = |m: Method| on(1, Payload::Method(m));
     let body = |n: usize| on(1, Payload::Body(Bytes::from(vec![0; n])));
-    let deliver = Method::BasicCancelOk { consumer_tag: ShortStr::default() };
+    let deliver = Method::BasicCancelOk {
+        consumer_tag: ShortStr::default(),
+    };
     let cases: Vec<(&str, u16, Vec<Frame>)> = vec![
-        ("a method on a channel that is not open", 504, vec![on(9, Payload::Method(Method::TxSelect {}))]),
-        ("a channel opened twice", 504, vec![method(Method::ChannelOpen {})]),
-        ("a channel beyond channel-max", 504, vec![on(3000, Payload::Method(Method::ChannelOpen {}))]),
+        (
+            "a method on a channel that is not open",
+            504,
+            vec![on(9, Payload::Method(Method::TxSelect {}))],
+        ),
+        (
+            "a channel opened twice",
+            504,
+            vec![method(Method::ChannelOpen {})],
+        ),
+        (
+            "a channel beyond channel-max",
+            504,
+            vec![on(3000, Payload::Method(Method::ChannelOpen {}))],
+        ),
         ("a header without a method", 505, vec![header(60, 1)]),
         ("a body without a method", 505, vec![body(1)]),
-        ("a body before its header", 505, vec![method(publish()), body(1)]),
-        ("a header of another class", 505, vec![method(publish()), header(50, 1)]),
+        (
+            "a body before its header",
+            505,
+            vec![method(publish()), body(1)],
+        ),
+        (
+            "a header of another class",
+            505,
+            vec![method(publish()), header(50, 1)],
+        ),
         (
             "a method inside a content",
             505,
-            vec![method(publish()), header(60, 2), method(Method::TxSelect {})],
+            vec![
+                method(publish()),
+                header(60, 2),
+                method(Method::TxSelect {}),
+            ],
+        ),
+        (
+            "a body too long",
+            501,
+            vec![method(publish()), header(60, 2), body(3)],
+        ),
+        (
+            "a channel's method on the connection",
+            503,
+            vec![on(0, Payload::Method(Method::TxSelect {}))],
+        ),
+        (
+            "a connection's method on a channel",
+            503,
+            vec![method(Method::ConnectionUnblocked {})],
+        ),
+        (
+            "a server's method from a client",
+            503,
+            vec![method(Method::BasicQosOk {})],
         ),
-        ("a body too long", 501, vec![method(publish()), header(60, 2), body(3)]),
-        ("a channel's method on the connection", 503, vec![on(0, Payload::Method(Method::TxSelect {}))]),
-        ("a connection's method on a channel", 503, vec![method(Method::ConnectionUnblocked {})]),
-        ("a server's method from a client", 503, vec![method(Method::BasicQosOk {})]),
         (
             "tune-ok out of turn",
             503,
             vec![on(
                 0,
-                Payload::Method(Method::ConnectionTuneOk { channel_max: 1, frame_max: 4096, heartbeat: 0 }),
+                Payload::Method(Method::ConnectionTuneOk {
+                    channel_max: 1,
+                    frame_max: 4096,
+                    heartbeat: 0,
+                }),
             )],
         ),
     ];
@@ -233,7 +339,11 @@
     server.poll_event();
     server.accept_login();
     let mut bytes = BytesMut::new();
-    let tune = Method::ConnectionTuneOk { channel_max: 0, frame_max: 131_072, heartbeat: 0 };
+    let tune = Method::ConnectionTuneOk {
+        channel_max: 0,
+        frame_max: 131_072,
+        heartbeat: 0,
+    };
     on(0, Payload::Method(tune)).write(&mut bytes);
     server.receive(0, &bytes);
     assert!(matches!(server.poll_event(), Some(Event::Closed { fault, .. }) if fault.code == 530));
@@ -245,7 +355,11 @@
     let mut now = 0;
     // Kept for a minute by heartbeats alone.
     while now < 60 * SECOND {
-        now = pair.client.next_timeout().expect("up").min(pair.server.next_timeout().expect("up"));
+        now = pair
+            .client
+            .next_timeout()
+            .expect("up")
+            .min(pair.server.next_timeout().expect("up"));
         pair.client.on_time(now);
         pair.server.on_time(now);
         let (up, down) = (pair.client.take_output(now), pair.server.take_output(now));
@@ -262,7 +376,10 @@
         assert!(at <= now + 25 * SECOND, "it should have given up");
         pair.server.on_time(at);
     }
-    assert!(matches!(pair.server.poll_event(), Some(Event::Closed { by_peer: false, .. })));
+    assert!(matches!(
+        pair.server.poll_event(),
+        Some(Event::Closed { by_peer: false, .. })
+    ));
 }
 
 #[test]
@@ -277,8 +394,10 @@
 #[test]
 fn a_channel_closed_by_both_at_once_is_closed() {
     let mut pair = Pair::with_channel();
-    pair.client.close_channel(1, Fault::new(Code::Success, "done"));
-    pair.server.close_channel(1, Fault::new(Code::NotFound, "no queue"));
+    pair.client
+        .close_channel(1, Fault::new(Code::Success, "done"));
+    pair.server
+        .close_channel(1, Fault::new(Code::NotFound, "no queue"));
     pair.settle();
     assert_eq!(pair.client.open_channel(), Ok(1));
     let (client, server) = pair.settle();
--- a/crates/pipithub-baselines/src/lib.rs
+++ b/crates/pipithub-baselines/src/lib.rs
@@ -5,7 +5,8 @@
 
 use pipithub_engine::Decide;
 use pipithub_engine::policy::{
-    Action, Effect, Event, Group, ListKind, Outcome, Request, RequestId, Settings, State, Time, Worker,
+    Action, Effect, Event, Group, ListKind, Outcome, Request, RequestId, Settings, State, Time,
+    Worker,
 };
 
 /// Which policy.
@@ -42,16 +43,30 @@
 impl Baseline {
     /// One that knows nothing but its settings.
     pub fn new(policy: Policy, settings: Settings) -> Self {
-        Baseline { policy, settings, workers: BTreeMap::new(), open: BTreeMap::new(), turn: 0 }
+        Baseline {
+            policy,
+            settings,
+            workers: BTreeMap::new(),
+            open: BTreeMap::new(),
+            turn: 0,
+        }
     }
 
     fn effect(&self, open: &Open) -> Effect {
-        self.settings.classes.get(open.call.class).map_or(Effect::Unsafe, |c| c.effect)
+        self.settings
+            .classes
+            .get(open.call.class)
+            .map_or(Effect::Unsafe, |c| c.effect)
     }
 
     fn may_repeat(&self, now: Time, open: &Open) -> bool {
-        let Some(first) = open.may_have_run else { return true };
-        match (self.effect(open), self.settings.classes.get(open.call.class)) {
+        let Some(first) = open.may_have_run else {
+            return true;
+        };
+        match (
+            self.effect(open),
+            self.settings.classes.get(open.call.class),
+        ) {
             (Effect::Safe, _) => true,
             (Effect::Keyed, Some(c)) => {
                 c.group == Group::All && now + 10 * self.settings.tick < first + c.dedup_window
@@ -71,36 +86,58 @@
         match self.policy {
             _ if live.is_empty() => None,
             Policy::RoundRobin => Some(live[self.turn % live.len()].0.clone()),
-            Policy::LeastLoaded => live.into_iter().min_by_key(|(_, held)| *held).map(|(w, _)| w.clone()),
+            Policy::LeastLoaded => live
+                .into_iter()
+                .min_by_key(|(_, held)| *held)
+                .map(|(w, _)| w.clone()),
         }
     }
 
     fn place(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.get(&id) else { return };
+        let Some(open) = self.open.get(&id) else {
+            return;
+        };
         let late = now + 2 * self.settings.tick >= open.deadline;
         let spent = open.attempts >= self.settings.limits.max_attempts;
         let tried = open.tried.clone();
         if late || spent || !self.may_repeat(now, open) {
             return self.end(id, actions);
         }
-        let Some(worker) = self.pick(&tried) else { return self.end(id, actions) };
+        let Some(worker) = self.pick(&tried) else {
+            return self.end(id, actions);
+        };
         if let Some((_, held)) = self.workers.get_mut(&worker) {
             *held += 1;
         }
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         (open.attempts, open.out, open.sent) = (open.attempts + 1, true, now);
         open.tried.push(worker.clone());
-        actions.push(Action::Send { request: id, worker, timeout: None });
+        actions.push(Action::Send {
+            request: id,
+            worker,
+            timeout: None,
+        });
     }
 
     fn end(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.remove(&id) else { return };
+        let Some(open) = self.open.remove(&id) else {
+            return;
+        };
         if open.out && self.settings.limits.cancel {
-            actions.push(Action::Cancel { request: id, attempt: open.attempts - 1 });
+            actions.push(Action::Cancel {
+                request: id,
+                attempt: open.attempts - 1,
+            });
         }
-        let harmless = self.effect(&open) == Effect::Safe || open.may_have_run.is_none() && !open.out;
+        let harmless =
+            self.effect(&open) == Effect::Safe || open.may_have_run.is_none() && !open.out;
         actions.push(if harmless {
-            Action::Refuse { request: id, retry_after: None }
+            Action::Refuse {
+                request: id,
+                retry_after: None,
+            }
         } else {
             Action::Fail { request: id }
         });
@@ -112,7 +149,8 @@
         match event {
             Event::List { kind, entries } => {
                 if matches!(kind, ListKind::Complete | ListKind::Remembered) {
-                    self.workers.retain(|w, _| entries.iter().any(|e| e.worker == *w));
+                    self.workers
+                        .retain(|w, _| entries.iter().any(|e| e.worker == *w));
                 }
                 for entry in entries {
                     match entry.state {
@@ -122,7 +160,11 @@
                 }
             }
             Event::Arrived(call) => {
-                let give_up = self.settings.classes.get(call.class).map_or(0, |c| c.give_up);
+                let give_up = self
+                    .settings
+                    .classes
+                    .get(call.class)
+                    .map_or(0, |c| c.give_up);
                 let budget = call.budget.unwrap_or(give_up);
                 let (id, deadline) = (call.id, now + budget);
                 let after = budget.saturating_sub(2 * self.settings.tick);
@@ -130,7 +172,15 @@
                 let (may_have_run, tried) = (None, Vec::new());
                 self.open.insert(
                     id,
-                    Open { call, deadline, attempts: 0, out: false, may_have_run, sent: now, tried },
+                    Open {
+                        call,
+                        deadline,
+                        attempts: 0,
+                        out: false,
+                        may_have_run,
+                        sent: now,
+                        tried,
+                    },
                 );
                 self.place(now, id, actions);
             }
@@ -142,7 +192,9 @@
                     self.open.remove(&end.request);
                     return;
                 }
-                let Some(open) = self.open.get_mut(&end.request) else { return };
+                let Some(open) = self.open.get_mut(&end.request) else {
+                    return;
+                };
                 open.out = false;
                 if !end.outcome.never_ran() && end.outcome != Outcome::Served {
                     open.may_have_run.get_or_insert(open.sent);
@@ -154,15 +206,25 @@
                     && open.out
                     && self.settings.limits.cancel
                 {
-                    actions.push(Action::Cancel { request, attempt: open.attempts - 1 });
+                    actions.push(Action::Cancel {
+                        request,
+                        attempt: open.attempts - 1,
+                    });
                 }
             }
             Event::Timer { token } => {
-                if self.open.get(&token).is_some_and(|o| now + 3 * self.settings.tick >= o.deadline) {
+                if self
+                    .open
+                    .get(&token)
+                    .is_some_and(|o| now + 3 * self.settings.tick >= o.deadline)
+                {
                     self.end(token, actions);
                 }
             }
-            Event::Streaming { .. } | Event::Probed { .. } | Event::Ordered(_) | Event::Peer { .. } => {}
+            Event::Streaming { .. }
+            | Event::Probed { .. }
+            | Event::Ordered(_)
+            | Event::Peer { .. } => {}
         }
     }
 }
--- a/crates/pipithub-bench/src/baseline.rs
+++ b/crates/pipithub-bench/src/baseline.rs
@@ -23,13 +23,18 @@
 type Idle = Arc<Mutex<HashMap<String, Vec<SendRequest<Full<Bytes>>>>>>;
 
 async fn post(idle: &Idle, worker: &str, function: &str, body: Bytes) -> Result<Bytes> {
-    let pooled = idle.lock().unwrap_or_else(PoisonError::into_inner).get_mut(worker).and_then(Vec::pop);
+    let pooled = idle
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
+        .get_mut(worker)
+        .and_then(Vec::pop);
     let mut sender = match pooled {
         Some(sender) => sender,
         None => {
             let stream = TcpStream::connect(worker).await?;
             stream.set_nodelay(true)?;
-            let (sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
+            let (sender, connection) =
+                hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
             tokio::spawn(connection);
             sender
         }
@@ -40,45 +45,93 @@
         .header("pipithub-model-lanes", "64")
         .body(Full::new(body))?;
     sender.ready().await?;
-    let answer = sender.send_request(request).await?.into_body().collect().await?.to_bytes();
-    idle.lock().unwrap_or_else(PoisonError::into_inner).entry(worker.to_string()).or_default().push(sender);
+    let answer = sender
+        .send_request(request)
+        .await?
+        .into_body()
+        .collect()
+        .await?
+        .to_bytes();
+    idle.lock()
+        .unwrap_or_else(PoisonError::into_inner)
+        .entry(worker.to_string())
+        .or_default()
+        .push(sender);
     Ok(answer)
 }
 
 /// Runs the pass-through until it is killed.
 pub async fn run(broker: &str, workers: Vec<String>) -> Result<()> {
-    let connection =
-        Connection::connect(&format!("amqp://guest:guest@{broker}/%2f"), ConnectionProperties::default())
-            .await?;
+    let connection = Connection::connect(
+        &format!("amqp://guest:guest@{broker}/%2f"),
+        ConnectionProperties::default(),
+    )
+    .await?;
     let channel = connection.create_channel().await?;
     channel.basic_qos(2_000, BasicQosOptions::default()).await?;
     let (queue, tag) = (ShortString::from("calls"), ShortString::from("baseline"));
-    let mut consumer =
-        channel.basic_consume(queue, tag, BasicConsumeOptions::default(), FieldTable::default()).await?;
-    let (idle, turn, workers) = (Idle::default(), Arc::new(AtomicUsize::new(0)), Arc::new(workers));
+    let mut consumer = channel
+        .basic_consume(
+            queue,
+            tag,
+            BasicConsumeOptions::default(),
+            FieldTable::default(),
+        )
+        .await?;
+    let (idle, turn, workers) = (
+        Idle::default(),
+        Arc::new(AtomicUsize::new(0)),
+        Arc::new(workers),
+    );
     while let Some(delivery) = consumer.next().await {
-        let Delivery { delivery_tag, data, properties, .. } = delivery?;
-        let (channel, idle, turn, workers) = (channel.clone(), idle.clone(), turn.clone(), workers.clone());
+        let Delivery {
+            delivery_tag,
+            data,
+            properties,
+            ..
+        } = delivery?;
+        let (channel, idle, turn, workers) =
+            (channel.clone(), idle.clone(), turn.clone(), workers.clone());
         tokio::spawn(async move {
-            let function =
-                match properties.headers().as_ref().and_then(|h| h.inner().get("pipithub-function")) {
-                    Some(AMQPValue::LongString(name)) => name.to_string(),
-                    _ => String::new(),
-                };
+            let function = match properties
+                .headers()
+                .as_ref()
+                .and_then(|h| h.inner().get("pipithub-function"))
+            {
+                Some(AMQPValue::LongString(name)) => name.to_string(),
+                _ => String::new(),
+            };
             let worker = &workers[turn.fetch_add(1, Ordering::Relaxed) % workers.len()];
             let (verdict, body) = match post(&idle, worker, &function, Bytes::from(data)).await {
                 Ok(body) => ("served", body),
                 Err(_) => ("failed", Bytes::new()),
             };
             let mut headers = FieldTable::default();
-            headers.insert("pipithub-verdict".into(), AMQPValue::LongString(LongString::from(verdict)));
+            headers.insert(
+                "pipithub-verdict".into(),
+                AMQPValue::LongString(LongString::from(verdict)),
+            );
             let answer = BasicProperties::default()
                 .with_headers(headers)
-                .with_correlation_id(properties.correlation_id().clone().unwrap_or_else(|| "".into()));
+                .with_correlation_id(
+                    properties
+                        .correlation_id()
+                        .clone()
+                        .unwrap_or_else(|| "".into()),
+                );
             let reply = properties.reply_to().clone().unwrap_or_else(|| "".into());
-            let _ =
-                channel.basic_publish("".into(), reply, BasicPublishOptions::default(), &body, answer).await;
-            let _ = channel.basic_ack(delivery_tag, BasicAckOptions::default()).await;
+            let _ = channel
+                .basic_publish(
+                    "".into(),
+                    reply,
+                    BasicPublishOptions::default(),
+                    &body,
+                    answer,
+                )
+                .await;
+            let _ = channel
+                .basic_ack(delivery_tag, BasicAckOptions::default())
+                .await;
         });
     }
     Ok(())
@@ -91,15 +144,27 @@
     let mut tasks = tokio::task::JoinSet::new();
     let warm = rate as u64;
     for n in 0..(rate * seconds as f64) as u64 + warm {
-        clock.sleep_until(Some((n as f64 * 1e9 / rate) as u64)).await;
-        let (idle, all, worker) = (idle.clone(), all.clone(), workers[n as usize % workers.len()].clone());
+        clock
+            .sleep_until(Some((n as f64 * 1e9 / rate) as u64))
+            .await;
+        let (idle, all, worker) = (
+            idle.clone(),
+            all.clone(),
+            workers[n as usize % workers.len()].clone(),
+        );
         tasks.spawn(async move {
             let began = clock.now();
             let body = Bytes::from_static(b"{\"inputs\":[],\"parameters\":{\"work_ms\":2}}");
             // The first second makes connections and loads models.
-            if post(&idle, &worker, &format!("m{}", n % 16), body).await.is_ok() && n >= warm {
+            if post(&idle, &worker, &format!("m{}", n % 16), body)
+                .await
+                .is_ok()
+                && n >= warm
+            {
                 let took = (clock.now() - began) / 1000;
-                all.lock().unwrap_or_else(PoisonError::into_inner).saturating_record(took.max(1));
+                all.lock()
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .saturating_record(took.max(1));
             }
         });
     }
--- a/crates/pipithub-bench/src/bin/decision_memory.rs
+++ b/crates/pipithub-bench/src/bin/decision_memory.rs
@@ -74,11 +74,25 @@
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let mut arguments = std::env::args().skip(1);
     let code = arguments.next().ok_or("plain or module?")?;
-    let numbers = arguments.map(|a| a.parse()).collect::<Result<Vec<u64>, _>>()?;
-    let [workers, functions, calls, seed] = numbers[..] else { return Err("four numbers are needed".into()) };
-    let day = Day::quiet(seed, workers as usize, functions, RATE, calls * 1_000 * MS / RATE);
+    let numbers = arguments
+        .map(|a| a.parse())
+        .collect::<Result<Vec<u64>, _>>()?;
+    let [workers, functions, calls, seed] = numbers[..] else {
+        return Err("four numbers are needed".into());
+    };
+    let day = Day::quiet(
+        seed,
+        workers as usize,
+        functions,
+        RATE,
+        calls * 1_000 * MS / RATE,
+    );
     let once = calls == functions;
-    let counted = if code == "plain" { count::<Plain>(day, once) } else { count::<Module>(day, once) };
+    let counted = if code == "plain" {
+        count::<Plain>(day, once)
+    } else {
+        count::<Module>(day, once)
+    };
     match counted {
         Some((most, held)) => println!("{most} {held}"),
         None => println!("slow"),
--- a/crates/pipithub-bench/src/hollow.rs
+++ b/crates/pipithub-bench/src/hollow.rs
@@ -18,7 +18,9 @@
 /// event, with the Unix time in nanoseconds at which the last one had it; `state` is answered at once.
 pub fn run(config: &Path, count: usize, first: usize) -> Result<()> {
     let config = NodeConfig::parse(&std::fs::read_to_string(config)?)?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     runtime.block_on(LocalSet::new().run_until(serve(config, count, first)))
 }
 
@@ -56,10 +58,14 @@
     println!("{}", json!({"front_ends": count}));
     let mut lines = BufReader::new(tokio::io::stdin()).lines();
     while let Some(line) = lines.next_line().await? {
-        let index = line.strip_prefix("await ").and_then(|index| index.trim().parse::<u64>().ok());
+        let index = line
+            .strip_prefix("await ")
+            .and_then(|index| index.trim().parse::<u64>().ok());
         if let Some(index) = index {
             awaited.index.set(index);
-            awaited.behind.set(fronts.iter().filter(|f| f.last() < index).count());
+            awaited
+                .behind
+                .set(fronts.iter().filter(|f| f.last() < index).count());
             awaited.at.set(wall_ns());
             while awaited.behind.get() > 0 {
                 awaited.all.notified().await;
--- a/crates/pipithub-bench/src/main.rs
+++ b/crates/pipithub-bench/src/main.rs
@@ -90,10 +90,18 @@
 fn main() -> Result<()> {
     let arguments = Arguments::parse();
     // They have a runtime of their own, on one thread.
-    if let Some(Command::Hollow { config, count, first }) = &arguments.command {
+    if let Some(Command::Hollow {
+        config,
+        count,
+        first,
+    }) = &arguments.command
+    {
         return hollow::run(config, *count, *first);
     }
-    tokio::runtime::Builder::new_multi_thread().enable_all().build()?.block_on(run(arguments))
+    tokio::runtime::Builder::new_multi_thread()
+        .enable_all()
+        .build()?
+        .block_on(run(arguments))
 }
 
 async fn run(arguments: Arguments) -> Result<()> {
@@ -104,7 +112,11 @@
             roster::roster(users);
             return Ok(());
         }
-        Some(Command::Morning { fronts, users, calls }) => {
+        Some(Command::Morning {
+            fronts,
+            users,
+            calls,
+        }) => {
             roster::morning(fronts, users, calls);
             return Ok(());
         }
@@ -115,10 +127,18 @@
         Some(Command::Hollow { .. } | Command::Directories) | None => {}
     }
     let me = std::env::current_exe()?;
-    let binary = arguments.binary.unwrap_or_else(|| me.with_file_name("pipithub"));
+    let binary = arguments
+        .binary
+        .unwrap_or_else(|| me.with_file_name("pipithub"));
     let folder = std::env::temp_dir().join(format!("pipithub-bench-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
-    let bed = Bed { me, binary, folder, seconds: arguments.seconds, workers: arguments.workers };
+    let bed = Bed {
+        me,
+        binary,
+        folder,
+        seconds: arguments.seconds,
+        workers: arguments.workers,
+    };
     match arguments.command {
         Some(Command::Directories) => bed.directories().await?,
         _ => bed.all().await?,
@@ -138,11 +158,27 @@
 /// What a process has used: CPU in seconds, resident memory in MiB.
 fn usage(pid: u32) -> (f64, f64) {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-    let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
-    let ticks = |n: usize| fields.get(n).and_then(|v| v.parse::<f64>().ok()).unwrap_or(0.0);
+    let fields: Vec<&str> = stat
+        .rsplit(')')
+        .next()
+        .unwrap_or_default()
+        .split_whitespace()
+        .collect();
+    let ticks = |n: usize| {
+        fields
+            .get(n)
+            .and_then(|v| v.parse::<f64>().ok())
+            .unwrap_or(0.0)
+    };
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
-    let rss =
-        status.lines().find_map(|l| l.strip_prefix("VmRSS:")?.trim().split(' ').next()?.parse::<f64>().ok());
+    let rss = status.lines().find_map(|l| {
+        l.strip_prefix("VmRSS:")?
+            .trim()
+            .split(' ')
+            .next()?
+            .parse::<f64>()
+            .ok()
+    });
     // Linux counts in hundredths of a second here on all its common machines.
     ((ticks(11) + ticks(12)) / 100.0, rss.unwrap_or(0.0) / 1024.0)
 }
@@ -191,15 +227,23 @@
             workers.push(self.standin(&worker).await?);
         }
         let addresses: Vec<String> = workers.iter().map(|w| w.address.clone()).collect();
-        println!("{} workers that take 2 ms a call; {} s a part", self.workers, self.seconds);
+        println!(
+            "{} workers that take 2 ms a call; {} s a part",
+            self.workers, self.seconds
+        );
         let direct = baseline::direct(&addresses, 200.0, self.seconds).await?;
         show("direct, 200 a second", &direct);
         let mut cost = Vec::new();
         for which in ["pass-through", "gateway"] {
-            let broker = self.standin(&["standin", "broker", "--commands", "--queue", "calls"]).await?;
+            let broker = self
+                .standin(&["standin", "broker", "--commands", "--queue", "calls"])
+                .await?;
             let log = self.folder.join("log");
             let process = if which == "gateway" {
-                let workers: String = addresses.iter().map(|a| format!("worker \"{a}\"; ")).collect();
+                let workers: String = addresses
+                    .iter()
+                    .map(|a| format!("worker \"{a}\"; "))
+                    .collect();
                 let text = format!(
                     "class \"view\" effect=\"safe\" aim=\"5s\" give-up=\"20s\" late-worth=0.5\n\
                      class \"long\" effect=\"unsafe\" aim=\"10s\" give-up=\"30s\" late-worth=0.5\n\
@@ -211,15 +255,26 @@
                 std::fs::write(&path, text)?;
                 Process::gateway(
                     &self.binary,
-                    &["serve".into(), "--config".into(), path.display().to_string()],
+                    &[
+                        "serve".into(),
+                        "--config".into(),
+                        path.display().to_string(),
+                    ],
                     &log,
                 )?
             } else {
-                let mut arguments = vec!["baseline".to_string(), "--broker".into(), broker.address.clone()];
-                addresses.iter().for_each(|a| arguments.extend(["--worker".to_string(), a.clone()]));
+                let mut arguments = vec![
+                    "baseline".to_string(),
+                    "--broker".into(),
+                    broker.address.clone(),
+                ];
+                addresses
+                    .iter()
+                    .for_each(|a| arguments.extend(["--worker".to_string(), a.clone()]));
                 Process::gateway(&self.me, &arguments, &log)?
             };
-            self.part(which, &broker.address, &process, &direct, &mut cost).await?;
+            self.part(which, &broker.address, &process, &direct, &mut cost)
+                .await?;
             process.kill().await;
             broker.kill().await;
         }
@@ -248,7 +303,8 @@
         let paced = load(&mut client, Load::Rate(200.0), self.seconds, 2).await?;
         show(&format!("{which}, 200 a second"), &paced.latency);
         let added = |q: f64| {
-            (paced.latency.value_at_quantile(q) as f64 - direct.value_at_quantile(q) as f64) / 1000.0
+            (paced.latency.value_at_quantile(q) as f64 - direct.value_at_quantile(q) as f64)
+                / 1000.0
         };
         println!(
             "{:<28} p50 {:>8.3} ms  p99 {:>8.3} ms  p99.9 {:>8.3} ms",
@@ -289,18 +345,34 @@
     async fn directories(&self) -> Result<()> {
         let mut workers = Vec::new();
         for _ in 0..self.workers {
-            let worker =
-                ["standin", "worker", "--commands", "--cores", "1000", "--run-ms", "2", "--load-ms", "1"];
+            let worker = [
+                "standin",
+                "worker",
+                "--commands",
+                "--cores",
+                "1000",
+                "--run-ms",
+                "2",
+                "--load-ms",
+                "1",
+            ];
             workers.push(
-                self.standin(&[&worker[..], &["--queue", "100000", "--keep-ms", "600000"]].concat()).await?,
+                self.standin(
+                    &[&worker[..], &["--queue", "100000", "--keep-ms", "600000"]].concat(),
+                )
+                .await?,
             );
         }
-        let list: String = workers.iter().map(|w| format!("worker \"{}\"; ", w.address)).collect();
+        let list: String = workers
+            .iter()
+            .map(|w| format!("worker \"{}\"; ", w.address))
+            .collect();
         let mut tree = String::from(
             "dn: dc=example\nobjectClass: domain\n\ndn: ou=north,dc=example\nobjectClass: organizationalUnit\n\n",
         );
         for n in 0..100 {
-            tree += &format!("dn: uid=u{n},ou=north,dc=example\nobjectClass: person\nuid: u{n}\n\n");
+            tree +=
+                &format!("dn: uid=u{n},ou=north,dc=example\nobjectClass: person\nuid: u{n}\n\n");
         }
         let file = self.folder.join("tree.ldif");
         std::fs::write(&file, tree)?;
@@ -308,12 +380,23 @@
             "{} workers that take 2 ms a call; 200 calls a second, {} s a part",
             self.workers, self.seconds
         );
-        for (what, trouble) in
-            [("no tenants", ""), ("up", "good"), ("slow", "delay 1990"), ("dead", "silent on")]
-        {
-            let broker = self.standin(&["standin", "broker", "--commands", "--queue", "calls"]).await?;
+        for (what, trouble) in [
+            ("no tenants", ""),
+            ("up", "good"),
+            ("slow", "delay 1990"),
+            ("dead", "silent on"),
+        ] {
+            let broker = self
+                .standin(&["standin", "broker", "--commands", "--queue", "calls"])
+                .await?;
             let mut server = self
-                .standin(&["standin", "directory", "--commands", "--tree", &file.display().to_string()])
+                .standin(&[
+                    "standin",
+                    "directory",
+                    "--commands",
+                    "--tree",
+                    &file.display().to_string(),
+                ])
                 .await?;
             let tenants = format!(
                 "signatures {{ key \"desk\" text=\"{KEY}\" }}\n\
@@ -333,7 +416,11 @@
             );
             let path = self.folder.join("serve.kdl");
             std::fs::write(&path, text)?;
-            let arguments = ["serve".to_string(), "--config".into(), path.display().to_string()];
+            let arguments = [
+                "serve".to_string(),
+                "--config".into(),
+                path.display().to_string(),
+            ];
             let process = Process::gateway(&self.binary, &arguments, &self.folder.join("log"))?;
             while consumers(&broker.address, Login::default(), "calls").await != Some(1) {
                 tokio::time::sleep(Duration::from_millis(20)).await;
@@ -348,7 +435,8 @@
             show(&format!("{what}, known users"), &known.latency);
             println!("  {} of {} not served", known.other, known.latency.len());
             if with {
-                let all = load_by(&mut client, Load::Rate(200.0), self.seconds, 3, users(100)).await?;
+                let all =
+                    load_by(&mut client, Load::Rate(200.0), self.seconds, 3, users(100)).await?;
                 show(&format!("{what}, 3 of 10 unknown"), &all.latency);
                 println!("  {} of {} not served", all.other, all.latency.len());
             }
@@ -391,7 +479,11 @@
 ) -> Result<Loaded> {
     let clock = Clock::default();
     let mut sent: HashMap<String, u64> = HashMap::new();
-    let mut loaded = Loaded { latency: histogram(), other: 0, took: 0.0 };
+    let mut loaded = Loaded {
+        latency: histogram(),
+        other: 0,
+        took: 0.0,
+    };
     let mut number = 0u64;
     let end = seconds * 1_000_000_000;
     let mut due = 0;
@@ -408,14 +500,19 @@
             }
             let id = format!("{part}-{number}");
             // Long ones are of a class of their own: among calls of 2 ms they would look like silent workers.
-            let (class, work) = if matches!(load, Load::Long(_)) { ("long", 3_000) } else { ("view", 2) };
+            let (class, work) = if matches!(load, Load::Long(_)) {
+                ("long", 3_000)
+            } else {
+                ("view", 2)
+            };
             number += 1;
             let call = Publish {
                 queue: "calls".into(),
                 class: class.into(),
                 function: format!("m{}", number % 16),
                 lanes: 64,
-                body: format!("{{\"inputs\":[],\"parameters\":{{\"work_ms\":{work}}}}}").into_bytes(),
+                body: format!("{{\"inputs\":[],\"parameters\":{{\"work_ms\":{work}}}}}")
+                    .into_bytes(),
                 id: id.clone(),
                 signed: users.map(|(from, to)| Signed {
                     user: format!("u{}", from + number % (to - from)),
--- a/crates/pipithub-bench/src/members.rs
+++ b/crates/pipithub-bench/src/members.rs
@@ -109,7 +109,14 @@
 impl Meter {
     fn new(fleet: &Fleet, patience: Time) -> Meter {
         let before = (fleet.bytes.clone(), fleet.net.now());
-        Meter { before, worst: (0.0, 0.0), suspected: 0.0, deaths: 0.0, full: 0.0, patience }
+        Meter {
+            before,
+            worst: (0.0, 0.0),
+            suspected: 0.0,
+            deaths: 0.0,
+            full: 0.0,
+            patience,
+        }
     }
 
     /// Lets one step pass.
@@ -117,7 +124,9 @@
         fleet.run_for(STEP);
         for told in std::mem::take(&mut fleet.history) {
             let lives = |name: &str| {
-                name.strip_prefix("front-").and_then(|n| n.parse().ok()).is_some_and(|n| fleet.runs(n))
+                name.strip_prefix("front-")
+                    .and_then(|n| n.parse().ok())
+                    .is_some_and(|n| fleet.runs(n))
             };
             match &told.event {
                 Event::Suspected(member) if lives(&member.identity.name) => self.suspected += 1.0,
@@ -128,10 +137,18 @@
         }
         if fleet.net.now() >= self.before.1 + SECOND {
             let span = seconds(fleet.net.now() - self.before.1);
-            let rates =
-                || fleet.bytes.iter().zip(&self.before.0).map(|(now, then)| (now - then) as f64 / span);
+            let rates = || {
+                fleet
+                    .bytes
+                    .iter()
+                    .zip(&self.before.0)
+                    .map(|(now, then)| (now - then) as f64 / span)
+            };
             let mean = rates().sum::<f64>() / fleet.size() as f64;
-            self.worst = (self.worst.0.max(mean), self.worst.1.max(rates().fold(0.0, f64::max)));
+            self.worst = (
+                self.worst.0.max(mean),
+                self.worst.1.max(rates().fold(0.0, f64::max)),
+            );
             self.before = (fleet.bytes.clone(), fleet.net.now());
         }
     }
@@ -166,7 +183,11 @@
 impl Cpu {
     fn read(fleet: &Fleet) -> Cpu {
         let used = crate::usage(std::process::id()).0;
-        Cpu(used, fleet.cores_took.as_secs_f64(), std::time::Instant::now())
+        Cpu(
+            used,
+            fleet.cores_took.as_secs_f64(),
+            std::time::Instant::now(),
+        )
     }
 
     /// CPU for each member and simulated second: of the cores, and of the simulation. The process has one thread, so
@@ -191,18 +212,31 @@
         let size = self.size;
         // Beyond `max-members` nobody is let in, so the bound stands above what is measured unless it is what is measured.
         let max_members = self.most.unwrap_or(size + 1).clamp(2, 10_000);
-        let settings = Settings { cluster: "bench".into(), max_members, ..Settings::default() };
+        let settings = Settings {
+            cluster: "bench".into(),
+            max_members,
+            ..Settings::default()
+        };
         let loss = if self.day == Day::Loss { 0.01 } else { 0.0 };
-        let usual = Link { loss, jitter: 3_000_000, ..Link::default() };
+        let usual = Link {
+            loss,
+            jitter: 3_000_000,
+            ..Link::default()
+        };
         let zones = if self.day == Day::TwentyFirst { 21 } else { 7 };
         let empty = crate::usage(std::process::id()).1;
         let mut fleet = Fleet::new(size, zones, 3, self.seed, settings, usual);
         fleet.keep = |e| matches!(e, Event::Suspected(_) | Event::Down { .. } | Event::Full(_));
-        (0..size).filter(|n| fleet.start(*n).is_err()).for_each(|n| eprintln!("member {n} did not start"));
+        (0..size)
+            .filter(|n| fleet.start(*n).is_err())
+            .for_each(|n| eprintln!("member {n} did not start"));
         let mut meter = Meter::new(&fleet, self.patience.min(86_400) * SECOND);
         let cpu = Cpu::read(&fleet);
         let begun = fleet.net.now();
-        let mut row = Row { together: meter.until(&mut fleet, Fleet::agreed), ..Row::default() };
+        let mut row = Row {
+            together: meter.until(&mut fleet, Fleet::agreed),
+            ..Row::default()
+        };
         row.cpu_start = cpu.since(&fleet, seconds(fleet.net.now() - begun)).0;
         row.memory = (crate::usage(std::process::id()).1 - empty) * 1_048_576.0 / size as f64;
         row.bytes_start = meter.worst.0;
@@ -214,13 +248,24 @@
         }
         meter.pass(&mut fleet, 10 * SECOND);
         let mut meter = Meter::new(&fleet, self.patience.min(86_400) * SECOND);
-        let (bytes, datagrams, cpu) = (fleet.bytes.clone(), fleet.datagrams.clone(), Cpu::read(&fleet));
+        let (bytes, datagrams, cpu) = (
+            fleet.bytes.clone(),
+            fleet.datagrams.clone(),
+            Cpu::read(&fleet),
+        );
         let rest = self.rest.max(1) as f64;
         meter.pass(&mut fleet, self.rest.max(1) * SECOND);
         (row.cpu, row.cpu_simulation) = cpu.since(&fleet, rest);
         let rate = |now: &[u64], then: &[u64]| {
-            let each = || now.iter().zip(then).map(|(now, then)| (now - then) as f64 / rest);
-            (each().sum::<f64>() / size as f64, each().fold(0.0, f64::max))
+            let each = || {
+                now.iter()
+                    .zip(then)
+                    .map(|(now, then)| (now - then) as f64 / rest)
+            };
+            (
+                each().sum::<f64>() / size as f64,
+                each().fold(0.0, f64::max),
+            )
         };
         (row.bytes, row.bytes_worst) = rate(&fleet.bytes, &bytes);
         (row.messages, row.messages_worst) = rate(&fleet.datagrams, &datagrams);
@@ -243,7 +288,11 @@
         };
         match self.day {
             Day::Regions => {
-                let of = |region| (0..size).filter(|n| n % REGIONS == region).collect::<Vec<_>>();
+                let of = |region| {
+                    (0..size)
+                        .filter(|n| n % REGIONS == region)
+                        .collect::<Vec<_>>()
+                };
                 for (a, b) in [(0, 1), (0, 2), (1, 2)] {
                     fleet.net.split(&of(a), &of(b), true);
                 }
@@ -252,8 +301,9 @@
                 (0.0, meter.until(fleet, Fleet::agreed))
             }
             Day::Restart => {
-                let mut times: Vec<(Time, usize)> =
-                    (0..size).map(|n| (fleet.net.rng.random_range(0..60 * SECOND), n)).collect();
+                let mut times: Vec<(Time, usize)> = (0..size)
+                    .map(|n| (fleet.net.rng.random_range(0..60 * SECOND), n))
+                    .collect();
                 times.sort_unstable();
                 let begun = fleet.net.now();
                 for (at, n) in times {
@@ -270,9 +320,17 @@
             _ => {
                 let dead: Vec<usize> = (0..size).filter(dies).collect();
                 dead.iter().for_each(|n| fleet.kill(*n));
-                let first = meter.until(fleet, |fleet| dead.iter().any(|n| fleet.opinions(*n).0 > 0));
+                let first =
+                    meter.until(fleet, |fleet| dead.iter().any(|n| fleet.opinions(*n).0 > 0));
                 let all = meter.until(fleet, Fleet::agreed);
-                (first, if all < 0.0 || first < 0.0 { -1.0 } else { first + all })
+                (
+                    first,
+                    if all < 0.0 || first < 0.0 {
+                        -1.0
+                    } else {
+                        first + all
+                    },
+                )
             }
         }
     }
--- a/crates/pipithub-bench/src/roster.rs
+++ b/crates/pipithub-bench/src/roster.rs
@@ -6,10 +6,13 @@
 use std::time::Instant;
 
 use arc_swap::ArcSwap;
-use pipithub_admission::{Arrival, Gate, GateSettings, Output as Out, SharesSettings, TenantShare, Why};
+use pipithub_admission::{
+    Arrival, Gate, GateSettings, Output as Out, SharesSettings, TenantShare, Why,
+};
 use pipithub_directory::{
-    Answer, Claim, Directory, DirectorySettings, Found, Input, Lifetimes, News, Output, Peak, Person,
-    Publisher, Roster, SearchId, Settings, TenantBase, TenantId, Time, Told, User, View, What,
+    Answer, Claim, Directory, DirectorySettings, Found, Input, Lifetimes, News, Output, Peak,
+    Person, Publisher, Roster, SearchId, Settings, TenantBase, TenantId, Time, Told, User, View,
+    What,
 };
 use pipithub_drill::load::Chance;
 use pipithub_ldap::Dn;
@@ -30,7 +33,12 @@
 fn core(asking: DirectorySettings, max_users: usize, seed: u64) -> Directory {
     Directory::new(Settings {
         directories: vec![asking],
-        tenants: (0..TENANTS).map(|t| TenantBase { directory: 0, base: base(t) }).collect(),
+        tenants: (0..TENANTS)
+            .map(|t| TenantBase {
+                directory: 0,
+                base: base(t),
+            })
+            .collect(),
         max_users,
         max_queue: 65_536,
         seed,
@@ -40,13 +48,24 @@
 
 fn resident() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let kib =
-        status.lines().find_map(|l| l.strip_prefix("VmRSS:")?.trim().split(' ').next()?.parse::<f64>().ok());
+    let kib = status.lines().find_map(|l| {
+        l.strip_prefix("VmRSS:")?
+            .trim()
+            .split(' ')
+            .next()?
+            .parse::<f64>()
+            .ok()
+    });
     kib.unwrap_or(0.0) * 1024.0
 }
 
 /// Looks users up for a while; nanoseconds of each look, from the shortest.
-fn looks(shared: &ArcSwap<Roster>, names: &[User], count: usize, stop: Option<&AtomicBool>) -> Vec<u32> {
+fn looks(
+    shared: &ArcSwap<Roster>,
+    names: &[User],
+    count: usize,
+    stop: Option<&AtomicBool>,
+) -> Vec<u32> {
     let mut chance = Chance::new(7);
     let mut times = Vec::with_capacity(count.min(1 << 24));
     while times.len() < count && stop.is_none_or(|s| !s.load(Ordering::Relaxed)) {
@@ -121,7 +140,10 @@
         "a look-up at random: {all:.0} ns in the mean, of these {fetch:.0} to fetch the name that is looked for"
     );
     drop(roster);
-    show("looks, nothing else", &looks(&shared, &names, 1_000_000, None));
+    show(
+        "looks, nothing else",
+        &looks(&shared, &names, 1_000_000, None),
+    );
     let bases: Vec<Dn> = (0..TENANTS).map(base).collect();
     let stop = AtomicBool::new(false);
     let mut took = 0.0;
@@ -130,13 +152,31 @@
         let began = Instant::now();
         let mut out = Vec::new();
         let mut published = Instant::now();
-        core.handle(S, Input::Told { directory: 0, news: News::Begun { whole: true } }, &mut out);
+        core.handle(
+            S,
+            Input::Told {
+                directory: 0,
+                news: News::Begun { whole: true },
+            },
+            &mut out,
+        );
         for n in 0..users {
             let user = name(n);
             let rdn = Dn::parse(&format!("uid={user}")).ok();
             let dn = bases[n % TENANTS].moved(rdn.as_ref(), Some(&bases[n % TENANTS]));
-            let found = Found { user, dn, person: Person(n as u64 + 1) };
-            core.handle(2 * S, Input::Told { directory: 0, news: News::Entry(found) }, &mut out);
+            let found = Found {
+                user,
+                dn,
+                person: Person(n as u64 + 1),
+            };
+            core.handle(
+                2 * S,
+                Input::Told {
+                    directory: 0,
+                    news: News::Entry(found),
+                },
+                &mut out,
+            );
             // As the gateway's shell does while more is waiting.
             if published.elapsed().as_millis() >= 20 {
                 publisher.publish(core.roster());
@@ -144,7 +184,14 @@
             }
             out.clear();
         }
-        core.handle(3 * S, Input::Told { directory: 0, news: News::Complete }, &mut out);
+        core.handle(
+            3 * S,
+            Input::Told {
+                directory: 0,
+                news: News::Complete,
+            },
+            &mut out,
+        );
         publisher.publish(core.roster());
         took = began.elapsed().as_secs_f64();
         stop.store(true, Ordering::Relaxed);
@@ -155,8 +202,10 @@
 }
 
 fn entry(n: usize) -> Dn {
-    base(n % TENANTS)
-        .moved(Dn::parse(&format!("uid=caregiver{n:07}")).ok().as_ref(), Some(&base(n % TENANTS)))
+    base(n % TENANTS).moved(
+        Dn::parse(&format!("uid=caregiver{n:07}")).ok().as_ref(),
+        Some(&base(n % TENANTS)),
+    )
 }
 
 /// Two mornings of 130 front ends, at a directory that answers in 5 ms.
@@ -201,11 +250,16 @@
         let in_peak = |day: Time| {
             let from = (day * 24 * HOUR + peak) / S;
             let peak = seconds.range(from..from + length / S);
-            (peak.clone().map(|s| *s.1).sum::<u64>(), peak.map(|s| *s.1).max().unwrap_or(0))
+            (
+                peak.clone().map(|s| *s.1).sum::<u64>(),
+                peak.map(|s| *s.1).max().unwrap_or(0),
+            )
         };
         let all: u64 = seconds.values().sum();
-        let peaks: Vec<String> =
-            (0..DAYS).map(in_peak).map(|(all, worst)| format!("{all} ({worst})")).collect();
+        let peaks: Vec<String> = (0..DAYS)
+            .map(in_peak)
+            .map(|(all, worst)| format!("{all} ({worst})"))
+            .collect();
         println!(
             "{what:<24} searches {all}, users asked for {asked}; in each peak, with the worst second: {}; calls that waited \
              {waited}, refused {refused}",
@@ -222,8 +276,15 @@
     asked: &mut u64,
 ) -> (u64, u64) {
     let asking = DirectorySettings {
-        lifetimes: Lifetimes { fresh: 7_200 * S, stale_most: 30 * 3_600 * S, negative: 30 * S },
-        peak: Some(Peak { at: (peak / MS) as i64, ahead: 1_800_000 }),
+        lifetimes: Lifetimes {
+            fresh: 7_200 * S,
+            stale_most: 30 * 3_600 * S,
+            negative: 30 * S,
+        },
+        peak: Some(Peak {
+            at: (peak / MS) as i64,
+            ahead: 1_800_000,
+        }),
         ..DirectorySettings::default()
     };
     let mut core = core(asking, 100_000, front * 7919 + 1);
@@ -250,14 +311,31 @@
             core.next_due(now),
             gate.next_due(),
         ];
-        let Some(next) = due.into_iter().flatten().min() else { break };
+        let Some(next) = due.into_iter().flatten().min() else {
+            break;
+        };
         now = now.max(next);
-        if let Some((_, (search, answer))) =
-            answers.first_entry().filter(|e| e.key().0 <= now).map(|e| e.remove_entry())
+        if let Some((_, (search, answer))) = answers
+            .first_entry()
+            .filter(|e| e.key().0 <= now)
+            .map(|e| e.remove_entry())
         {
-            core.handle(now, Input::Ended { search, outcome: Ok(answer) }, &mut out);
+            core.handle(
+                now,
+                Input::Ended {
+                    search,
+                    outcome: Ok(answer),
+                },
+                &mut out,
+            );
         } else if let Some((at, user)) = calls.next_if(|c| c.0 <= now) {
-            let arrival = Arrival { call: *at, user: Some(name(*user)), route: None, class: 0, left: 4 * S };
+            let arrival = Arrival {
+                call: *at,
+                user: Some(name(*user)),
+                route: None,
+                class: 0,
+                left: 4 * S,
+            };
             gate.arrive(now, core.roster(), arrival, &mut said);
         } else {
             core.handle(now, Input::Tick, &mut out);
@@ -273,7 +351,9 @@
                     Out::Want(user, urgent) => wants.push(Input::Wanted { user, urgent }),
                 }
             }
-            wants.into_iter().for_each(|w| core.handle(now, w, &mut out));
+            wants
+                .into_iter()
+                .for_each(|w| core.handle(now, w, &mut out));
             if out.is_empty() {
                 break;
             }
@@ -281,15 +361,29 @@
                 match one {
                     Output::Search { id, what, .. } => {
                         note(now);
-                        let users = if let What::Users(users) = what { users } else { Vec::new() };
+                        let users = if let What::Users(users) = what {
+                            users
+                        } else {
+                            Vec::new()
+                        };
                         *asked += users.len() as u64;
                         let found = |user: User| {
-                            let n: usize = user.trim_start_matches("caregiver").parse().unwrap_or(0);
-                            Found { user, dn: entry(n), person: Person(n as u64 + 1) }
+                            let n: usize =
+                                user.trim_start_matches("caregiver").parse().unwrap_or(0);
+                            Found {
+                                user,
+                                dn: entry(n),
+                                person: Person(n as u64 + 1),
+                            }
                         };
                         let found = users.into_iter().map(found).collect();
                         number += 1;
-                        let answer = Answer { found, mark: Some(1), loaded: true, newest: None };
+                        let answer = Answer {
+                            found,
+                            mark: Some(1),
+                            loaded: true,
+                            newest: None,
+                        };
                         answers.insert((now + 5 * MS, number), (id, answer));
                     }
                     Output::News(user) => gate.news(now, core.roster(), &user, &mut said),
--- a/crates/pipithub-bench/src/scale/council.rs
+++ b/crates/pipithub-bench/src/scale/council.rs
@@ -21,7 +21,11 @@
 const HELD: [u64; 4] = [10, 100, 1_000, 10_000];
 
 fn voter(id: u64, voters: usize, seed: u64) -> Result<Voter> {
-    let settings = VoterSettings { id, voters: (1..=voters as u64).collect(), tick: TICK };
+    let settings = VoterSettings {
+        id,
+        voters: (1..=voters as u64).collect(),
+        tick: TICK,
+    };
     Ok(Voter::new(settings, &Disk::default(), 0, seed)?)
 }
 
@@ -39,10 +43,20 @@
 
 impl Core {
     fn new(voters: usize, seed: u64) -> Result<Core> {
-        let all = (1..=voters as u64).map(|id| voter(id, voters, seed + id)).collect::<Result<_>>()?;
+        let all = (1..=voters as u64)
+            .map(|id| voter(id, voters, seed + id))
+            .collect::<Result<_>>()?;
         let queue = VecDeque::new();
-        let mut core =
-            Core { voters: all, now: 0, queue, sent: 0, stored: 0, snapshots: 0, answers: 0, number: 0 };
+        let mut core = Core {
+            voters: all,
+            now: 0,
+            queue,
+            sent: 0,
+            stored: 0,
+            snapshots: 0,
+            answers: 0,
+            number: 0,
+        };
         for _ in 0..10_000 {
             if core.leader().is_some() {
                 return Ok(core);
@@ -69,7 +83,11 @@
                         self.queue.push_back((to as usize - 1, Input::Raft(bytes)));
                     }
                     Output::Store(batch) => {
-                        self.stored += batch.entries.iter().map(|e| e.bytes.len() as u64).sum::<u64>();
+                        self.stored += batch
+                            .entries
+                            .iter()
+                            .map(|e| e.bytes.len() as u64)
+                            .sum::<u64>();
                         self.stored += batch.hard.as_ref().map_or(0, |b| b.len() as u64);
                         self.snapshots += batch.snapshot.as_ref().map_or(0, |b| b.len() as u64);
                         if batch.compact.is_none() {
@@ -92,9 +110,17 @@
             let now = batch.min(left);
             for _ in 0..now {
                 self.number += 1;
-                let command = Command::Settings { version: self.number, digest: u64::MAX - self.number };
+                let command = Command::Settings {
+                    version: self.number,
+                    digest: u64::MAX - self.number,
+                };
                 let name = format!("front-{}", self.number % 1_700);
-                let asked = Asked { name, boot: 1, number: self.number, command };
+                let asked = Asked {
+                    name,
+                    boot: 1,
+                    number: self.number,
+                    command,
+                };
                 self.queue.push_back((leader, Input::Ask(asked)));
             }
             self.pump();
@@ -110,8 +136,9 @@
 /// Simulated seconds from a leader's death until another leads, over links of 1 to 1.5 ms.
 fn election(voters: usize, seed: u64) -> Result<Option<f64>> {
     let mut net: Net<Vec<u8>> = Net::new(seed, Link::default());
-    let mut all: Vec<Option<Voter>> =
-        (1..=voters as u64).map(|id| voter(id, voters, seed * 64 + id).map(Some)).collect::<Result<_>>()?;
+    let mut all: Vec<Option<Voter>> = (1..=voters as u64)
+        .map(|id| voter(id, voters, seed * 64 + id).map(Some))
+        .collect::<Result<_>>()?;
     (0..voters).for_each(|n| net.wake_at(n, Some(TICK)));
     let mut died: Option<Time> = None;
     while let Some(next) = net.next(60_000 * MS) {
@@ -159,14 +186,27 @@
         let name = format!("front-{n}");
         number += 1;
         let apply = |state: &mut State, number, command| {
-            let asked = Asked { name: name.clone(), boot: u64::MAX / (n + 1), number, command };
+            let asked = Asked {
+                name: name.clone(),
+                boot: u64::MAX / (n + 1),
+                number,
+                command,
+            };
             state.apply(&Stamped { at: number, asked });
         };
         apply(&mut state, number, Command::Epoch);
         let epoch = state.epoch(&name).ok_or("no epoch")?;
         let lease = format!("lease-{n}");
         number += 1;
-        apply(&mut state, number, Command::Acquire { lease, epoch, length: 30_000 * MS });
+        apply(
+            &mut state,
+            number,
+            Command::Acquire {
+                lease,
+                epoch,
+                length: 30_000 * MS,
+            },
+        );
     }
     Ok(state)
 }
@@ -174,16 +214,37 @@
 /// All of it is of one thread; CPU is the wall clock's time of it, so nothing else may run beside it.
 pub async fn measure(plan: &Plan) -> Result<Vec<Series>> {
     let how = "core, no store and no links";
-    let series =
-        |what: &str, unit: &str, of: &str, planned| Series::new("council", what, unit, of, how, planned);
+    let series = |what: &str, unit: &str, of: &str, planned| {
+        Series::new("council", what, unit, of, how, planned)
+    };
     let mut all = Vec::new();
     for voters in VOTERS {
         let named = |what: &str| format!("{voters} voters: {what}");
         let mut rate = series(&named("entries agreed"), "1/s", "at once", 100);
-        let mut cpu = series(&named("CPU of all voters for an entry"), "us", "at once", 100);
-        let mut sent = series(&named("bytes between voters for an entry"), "B", "at once", 100);
-        let mut stored = series(&named("bytes stored at all voters for an entry"), "B", "at once", 100);
-        let mut factor = series(&named("times the 1 500 changes a day"), "times", "at once", 100);
+        let mut cpu = series(
+            &named("CPU of all voters for an entry"),
+            "us",
+            "at once",
+            100,
+        );
+        let mut sent = series(
+            &named("bytes between voters for an entry"),
+            "B",
+            "at once",
+            100,
+        );
+        let mut stored = series(
+            &named("bytes stored at all voters for an entry"),
+            "B",
+            "at once",
+            100,
+        );
+        let mut factor = series(
+            &named("times the 1 500 changes a day"),
+            "times",
+            "at once",
+            100,
+        );
         for batch in plan.sizes_or(&BATCHES) {
             let mut values: [Vec<f64>; 4] = Default::default();
             for play in 0..plan.plays as u64 {
@@ -199,16 +260,32 @@
                 values[2].push(each(core.sent, before.0));
                 values[3].push(each(core.stored + core.snapshots, before.1));
             }
-            factor.push(batch, values[0].iter().map(|v| v * 86_400.0 / PLANNED).collect());
-            for (one, values) in [&mut rate, &mut cpu, &mut sent, &mut stored].into_iter().zip(values) {
+            factor.push(
+                batch,
+                values[0].iter().map(|v| v * 86_400.0 / PLANNED).collect(),
+            );
+            for (one, values) in [&mut rate, &mut cpu, &mut sent, &mut stored]
+                .into_iter()
+                .zip(values)
+            {
                 one.push(batch, values);
             }
         }
         all.extend([rate, cpu, sent, stored, factor]);
     }
-    let mut before = series("3 voters: bytes between voters for an entry", "B", "entries before", 547_500);
+    let mut before = series(
+        "3 voters: bytes between voters for an entry",
+        "B",
+        "entries before",
+        547_500,
+    );
     let mut bytes = series("bytes of the state as a snapshot", "B", "leases", 10_000);
-    let mut took = series("CPU to write the state as a snapshot", "us", "leases", 10_000);
+    let mut took = series(
+        "CPU to write the state as a snapshot",
+        "us",
+        "leases",
+        10_000,
+    );
     for size in HELD {
         let mut core = Core::new(3, plan.seed)?;
         core.agree(size, 1)?;
@@ -225,14 +302,23 @@
         }
         took.push(size, times);
     }
-    let mut elections =
-        Series::new("council", "a leader's death until another leads", "s", "voters", "simulated time", 5);
+    let mut elections = Series::new(
+        "council",
+        "a leader's death until another leads",
+        "s",
+        "voters",
+        "simulated time",
+        5,
+    );
     for voters in VOTERS {
         let mut values = Vec::new();
         for seed in 0..20 {
             match election(voters, plan.seed + seed)? {
                 Some(time) => values.push(time),
-                None => eprintln!("{voters} voters, seed {}: nobody led again in 58 s", plan.seed + seed),
+                None => eprintln!(
+                    "{voters} voters, seed {}: nobody led again in 58 s",
+                    plan.seed + seed
+                ),
             }
         }
         elections.push(voters as u64, values);
--- a/crates/pipithub-bench/src/scale/decisions.rs
+++ b/crates/pipithub-bench/src/scale/decisions.rs
@@ -62,7 +62,10 @@
         if !self.names.iter().any(|(name, _)| name == what) {
             self.names.push((what.to_string(), unit));
         }
-        self.values.entry((what.to_string(), size)).or_default().push(value);
+        self.values
+            .entry((what.to_string(), size))
+            .or_default()
+            .push(value);
     }
 
     fn add_spent(&mut self, what: &str, size: u64, spent: &[Spent]) {
@@ -98,7 +101,11 @@
 
 impl<F: Front> Run<F> {
     fn new(day: &Day) -> Self {
-        Run { play: Play::new(day.clone()), spent: 0.0, over: false }
+        Run {
+            play: Play::new(day.clone()),
+            spent: 0.0,
+            over: false,
+        }
     }
 
     fn step(&mut self) {
@@ -118,15 +125,34 @@
         let windows = self.play.windows(WINDOW);
         figures.add_spent(&format!("{day}, a call, {code}"), size, &windows);
         let worst = windows.iter().map(|w| w.looked).fold(0.0, f64::max);
-        figures.add(&format!("{day}, a call in the worst window, {code}, looked at"), "workers", size, worst);
+        figures.add(
+            &format!("{day}, a call in the worst window, {code}, looked at"),
+            "workers",
+            size,
+            worst,
+        );
         figures.add_spent(&format!("{day}, a tick, {code}"), size, &self.play.ticks);
-        let seventh: Vec<Spent> = self.play.lists.iter().take(1).map(|(spent, _)| *spent).collect();
-        figures.add_spent(&format!("{day}, the list that removes it, {code}"), size, &seventh);
+        let seventh: Vec<Spent> = self
+            .play
+            .lists
+            .iter()
+            .take(1)
+            .map(|(spent, _)| *spent)
+            .collect();
+        figures.add_spent(
+            &format!("{day}, the list that removes it, {code}"),
+            size,
+            &seventh,
+        );
     }
 
     /// The ticks after the last call, and lists of each kind.
     fn note_lists(&mut self, figures: &mut Figures, code: &str, size: u64) {
-        figures.add_spent(&format!("idle, a tick, {code}"), size, &self.play.idle_ticks(40));
+        figures.add_spent(
+            &format!("idle, a tick, {code}"),
+            size,
+            &self.play.idle_ticks(40),
+        );
         figures.add_spent(&format!("the first list, {code}"), size, &[self.play.first]);
         let mut give = |kind: &str, times: usize, event: fn(&mut world::World) -> Event| {
             let one = |play: &mut Play<F>| {
@@ -138,7 +164,9 @@
         };
         give("of one change", 20, world::World::change_one);
         give("that removes a seventh", 1, |world| world.seventh(true));
-        give("that brings a seventh back", 1, |world| world.seventh(false));
+        give("that brings a seventh back", 1, |world| {
+            world.seventh(false)
+        });
         give("of all again", 1, |world| world.complete());
     }
 }
@@ -158,11 +186,18 @@
 }
 
 /// Runs the program that counts memory; `None` where it took too long.
-fn memory(plan: &Plan, code: &str, workers: u64, functions: u64, calls: u64) -> Result<Option<(f64, f64)>> {
+fn memory(
+    plan: &Plan,
+    code: &str,
+    workers: u64,
+    functions: u64,
+    calls: u64,
+) -> Result<Option<(f64, f64)>> {
     let program = std::env::current_exe()?.with_file_name("decision-memory");
     let numbers = [workers, functions, calls, plan.seed].map(|n| n.to_string());
     let done = Command::new(&program).arg(code).args(numbers).output();
-    let done = done.map_err(|e| format!("{}: {e}; build all of pipithub-bench", program.display()))?;
+    let done =
+        done.map_err(|e| format!("{}: {e}; build all of pipithub-bench", program.display()))?;
     if !done.status.success() {
         return Err(format!("decision-memory: {}", String::from_utf8_lossy(&done.stderr)).into());
     }
@@ -176,7 +211,15 @@
 
 /// The kinds of days: what they are called, and the day at this size.
 fn days(plan: &Plan, play: usize, size: u64) -> Vec<(&'static str, Day)> {
-    let quiet = |rate| Day::quiet(plan.seed + play as u64, size as usize, FUNCTIONS, rate, LENGTH);
+    let quiet = |rate| {
+        Day::quiet(
+            plan.seed + play as u64,
+            size as usize,
+            FUNCTIONS,
+            rate,
+            LENGTH,
+        )
+    };
     let mut days = vec![("quiet, 100/s", quiet(100)), ("quiet, 700/s", quiet(700))];
     days.extend(quiet(100).bad());
     days
@@ -217,11 +260,20 @@
     let mut all = figures.series("workers", PLANNED);
     // Functions called once each, at the planned tier: the most that is held, and what is after they are forgotten.
     let mut figures = Figures::default();
-    let counts: &[u64] = if sizes.contains(&PLANNED) { &[430, 4_300, FUNCTIONS] } else { &[] };
+    let counts: &[u64] = if sizes.contains(&PLANNED) {
+        &[430, 4_300, FUNCTIONS]
+    } else {
+        &[]
+    };
     for &functions in counts {
         match memory(plan, "module", PLANNED, functions, functions)? {
             Some((most, after)) => {
-                figures.add("functions called once, the most memory, module", "bytes", functions, most);
+                figures.add(
+                    "functions called once, the most memory, module",
+                    "bytes",
+                    functions,
+                    most,
+                );
                 figures.add(
                     "functions called once, memory when forgotten, module",
                     "bytes",
--- a/crates/pipithub-bench/src/scale/fit.rs
+++ b/crates/pipithub-bench/src/scale/fit.rs
@@ -24,13 +24,20 @@
             .map(|p| ((p.size as f64).ln(), p.value.ln()))
             .collect();
         let n = logs.len() as f64;
-        let (x, y) = (logs.iter().map(|l| l.0).sum::<f64>() / n, logs.iter().map(|l| l.1).sum::<f64>() / n);
+        let (x, y) = (
+            logs.iter().map(|l| l.0).sum::<f64>() / n,
+            logs.iter().map(|l| l.1).sum::<f64>() / n,
+        );
         let spread: f64 = logs.iter().map(|l| (l.0 - x).powi(2)).sum();
         if logs.len() < 2 || spread <= 0.0 {
             return None;
         }
         let exponent = logs.iter().map(|l| (l.0 - x) * (l.1 - y)).sum::<f64>() / spread;
-        let mut fit = Fit { exponent, factor: (y - exponent * x).exp(), residual: 0.0 };
+        let mut fit = Fit {
+            exponent,
+            factor: (y - exponent * x).exp(),
+            residual: 0.0,
+        };
         let off = |l: &(f64, f64)| ((l.1 - y - exponent * (l.0 - x)).exp() - 1.0).abs();
         fit.residual = logs.iter().map(off).fold(0.0, f64::max);
         Some(fit)
--- a/crates/pipithub-bench/src/scale/front_ends.rs
+++ b/crates/pipithub-bench/src/scale/front_ends.rs
@@ -46,14 +46,18 @@
 impl Table {
     /// Series by what they show and their units.
     fn new(of: &str, how: &str, planned: u64, columns: &[(&str, &str)]) -> Self {
-        let series = |(what, unit): &(&str, &str)| Series::new("front-ends", what, unit, of, how, planned);
+        let series =
+            |(what, unit): &(&str, &str)| Series::new("front-ends", what, unit, of, how, planned);
         Table(columns.iter().map(series).collect())
     }
 
     /// Adds the plays of one size, each with a value for each series.
     fn push(&mut self, size: u64, plays: &[Vec<f64>]) {
         for (i, series) in self.0.iter_mut().enumerate() {
-            series.push(size, plays.iter().filter_map(|p| p.get(i).copied()).collect());
+            series.push(
+                size,
+                plays.iter().filter_map(|p| p.get(i).copied()).collect(),
+            );
         }
     }
 }
--- a/crates/pipithub-bench/src/scale/front_ends/beyond.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/beyond.rs
@@ -20,19 +20,30 @@
         "processes",
         WORKERS,
         &[
-            ("a list at the start: whether it can serve after 6 s", "0 or 1"),
+            (
+                "a list at the start: whether it can serve after 6 s",
+                "0 or 1",
+            ),
             ("a list at the start: connections in 6 s", ""),
             ("a list at the start: bytes a second", "B/s"),
             ("a list at the start: CPU", "% of a core"),
             ("a list at the start: most resident memory", "MiB"),
-            ("a list after one of 100: whether it can serve after 6 s", "0 or 1"),
+            (
+                "a list after one of 100: whether it can serve after 6 s",
+                "0 or 1",
+            ),
             ("a list after one of 100: connections in 6 s", ""),
         ],
     );
     for size in plan.sizes_or(&[6_000, 8_000, 10_001, 16_000, 100_000]) {
         // Nothing of this is drawn: one play shows what happens.
         let mut values = one(plan, folder, size as usize, false).await?;
-        values.extend(one(plan, folder, size as usize, true).await?.into_iter().take(2));
+        values.extend(
+            one(plan, folder, size as usize, true)
+                .await?
+                .into_iter()
+                .take(2),
+        );
         table.push(size, &[values]);
     }
     Ok(table.0)
@@ -44,8 +55,14 @@
         let tier = Tier::new(FORMER, ZONES);
         coordinator.publish(true, tier.hosts(), &tier);
     }
-    let real = Real::start(&plan.binary, &configure(folder, &coordinator, "n0", plan.seed)?)?;
-    until(&coordinator, |c| c.open == 1 && c.events == u64::from(former)).await?;
+    let real = Real::start(
+        &plan.binary,
+        &configure(folder, &coordinator, "n0", plan.seed)?,
+    )?;
+    until(&coordinator, |c| {
+        c.open == 1 && c.events == u64::from(former)
+    })
+    .await?;
     let tier = Tier::new(workers, ZONES);
     let (counts, before, began) = (coordinator.counts(), cpu(real.pid()), Instant::now());
     let index = coordinator.publish(true, tier.hosts(), &tier);
@@ -57,7 +74,11 @@
     println!(
         "  {workers} workers, {} bytes, {}: can serve {well}; {} streams ended, the last: {}",
         event(index, true, tier.hosts()).len(),
-        if former { "after a list of 100" } else { "at the start" },
+        if former {
+            "after a list of 100"
+        } else {
+            "at the start"
+        },
         reasons.len(),
         reasons.last().map_or("-", String::as_str)
     );
@@ -65,6 +86,12 @@
     real.kill().await;
     let connections = (now.connections - counts.connections) as f64;
     let rate = (now.told_bytes - counts.told_bytes) as f64 / took;
-    let values = [f64::from(u8::from(well)), connections, rate, spent / took * 100.0, held.peak / 1024.0];
+    let values = [
+        f64::from(u8::from(well)),
+        connections,
+        rate,
+        spent / took * 100.0,
+        held.peak / 1024.0,
+    ];
     Ok(values.to_vec())
 }
--- a/crates/pipithub-bench/src/scale/front_ends/fleet.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/fleet.rs
@@ -28,7 +28,10 @@
         "hollow",
         FRONT_ENDS,
         &[
-            ("proportional memory a hollow front end at 1000 workers", "MiB"),
+            (
+                "proportional memory a hollow front end at 1000 workers",
+                "MiB",
+            ),
             ("start: time until all have the list", "ms"),
             ("quiet: CPU a hollow front end", "% of a core"),
             ("quiet: CPU of the stand-in", "% of a core"),
@@ -45,7 +48,10 @@
             ("cut: CPU a hollow front end", "% of a core"),
             ("cut: CPU of the stand-in", "% of a core"),
             ("after the cut: time until all have every worker", "ms"),
-            ("after the cut: time until the stand-in has written all", "ms"),
+            (
+                "after the cut: time until the stand-in has written all",
+                "ms",
+            ),
             ("after the cut: connections", ""),
             ("after the cut: bytes to all", "B"),
             ("after the cut: peak rate to all, over 50 ms", "B/s"),
@@ -80,7 +86,12 @@
 impl Fleet {
     fn now(&self) -> (Instant, Counts, u64, f64) {
         let fronts = self.crowds.iter().map(|c| cpu(c.pid())).sum();
-        (Instant::now(), self.coordinator.counts(), self.coordinator.cpu_ns(), fronts)
+        (
+            Instant::now(),
+            self.coordinator.counts(),
+            self.coordinator.cpu_ns(),
+            fronts,
+        )
     }
 
     fn since(&self, then: (Instant, Counts, u64, f64)) -> Spent {
@@ -134,11 +145,17 @@
     let coordinator = Coordinator::start(Behaviour::default())?;
     let config = configure(folder, &coordinator, "hollow", plan.seed)?;
     let mut tier = Tier::new(WORKERS, ZONES);
-    let mut fleet = Fleet { coordinator, crowds: Vec::new(), count: count as f64 };
+    let mut fleet = Fleet {
+        coordinator,
+        crowds: Vec::new(),
+        count: count as f64,
+    };
     let parts = PROCESSES.min(count);
     for n in 0..parts {
         let (from, to) = (count * n / parts, count * (n + 1) / parts);
-        fleet.crowds.push(Crowd::start(&config, to - from, from).await?);
+        fleet
+            .crowds
+            .push(Crowd::start(&config, to - from, from).await?);
     }
     until(&fleet.coordinator, |c| c.open == count as u64).await?;
     let then = wall_ns();
@@ -149,7 +166,13 @@
     let before = fleet.now();
     tokio::time::sleep(QUIET).await;
     let quiet = fleet.since(before);
-    let memory = fleet.crowds.iter().map(|c| memory(c.pid()).pss).sum::<f64>() / 1024.0 / count as f64;
+    let memory = fleet
+        .crowds
+        .iter()
+        .map(|c| memory(c.pid()).pss)
+        .sum::<f64>()
+        / 1024.0
+        / count as f64;
 
     let (mut times, mut cost, mut bytes) = (Vec::new(), Vec::new(), 0.0);
     for at in 0..EVENTS {
@@ -166,7 +189,9 @@
     let (replaced, cost) = (middle(&mut times), middle(&mut cost));
     let (one, one_spent) = fleet.change(&mut tier, |t| t.lose(1)).await?;
     // Two more of the other twenty.
-    let (more, more_spent) = fleet.change(&mut tier, |t| [t.lose(2), t.lose(3), t.lose(4)].concat()).await?;
+    let (more, more_spent) = fleet
+        .change(&mut tier, |t| [t.lose(2), t.lose(3), t.lose(4)].concat())
+        .await?;
 
     fleet.coordinator.behave(|b| b.cut = true);
     tokio::time::sleep(CUT - QUIET).await;
@@ -192,7 +217,9 @@
             }
         }
     };
-    tokio::time::timeout(Duration::from_secs(60), waited).await.map_err(|_| "not all asked anew")?;
+    tokio::time::timeout(Duration::from_secs(60), waited)
+        .await
+        .map_err(|_| "not all asked anew")?;
     let all = fleet.have(index, then).await?;
     let anew = fleet.since(before);
     let values = vec![
--- a/crates/pipithub-bench/src/scale/front_ends/lists.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/lists.rs
@@ -44,7 +44,10 @@
 
 async fn play(plan: &Plan, folder: &Path, workers: usize) -> Result<Vec<f64>> {
     let coordinator = Coordinator::start(Behaviour::default())?;
-    let real = Real::start(&plan.binary, &configure(folder, &coordinator, "n0", plan.seed)?)?;
+    let real = Real::start(
+        &plan.binary,
+        &configure(folder, &coordinator, "n0", plan.seed)?,
+    )?;
     let pid = real.pid();
     until(&coordinator, |c| c.open == 1).await?;
     let mut tier = Tier::new(workers, ZONES);
@@ -61,7 +64,11 @@
     until(&coordinator, |c| c.events == 1).await?;
     tokio::time::sleep(SETTLE).await;
     if !real.is_well().await? {
-        return Err(format!("cannot serve with {workers} workers: {:?}", real.logged("WARN").last()).into());
+        return Err(format!(
+            "cannot serve with {workers} workers: {:?}",
+            real.logged("WARN").last()
+        )
+        .into());
     }
     let (spent, took) = (cpu(pid) - before, began.elapsed().as_secs_f64());
     let idle = quiet().await;
--- a/crates/pipithub-bench/src/scale/front_ends/processes.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/processes.rs
@@ -50,10 +50,18 @@
             &configure(folder, &coordinator, &format!("n{n}"), plan.seed + n as u64)?,
         )?);
     }
-    until(&coordinator, |c| c.open >= count as u64 && c.events >= count as u64).await?;
+    until(&coordinator, |c| {
+        c.open >= count as u64 && c.events >= count as u64
+    })
+    .await?;
     tokio::time::sleep(Duration::from_secs(1)).await;
     let used = || real.iter().map(|r| cpu(r.pid())).sum::<f64>();
-    let (before, counts, own, began) = (used(), coordinator.counts(), coordinator.cpu_ns(), Instant::now());
+    let (before, counts, own, began) = (
+        used(),
+        coordinator.counts(),
+        coordinator.cpu_ns(),
+        Instant::now(),
+    );
     tokio::time::sleep(QUIET).await;
     let (took, after, now) = (began.elapsed().as_secs_f64(), used(), coordinator.counts());
     let own = (coordinator.cpu_ns() - own) as f64 / 1e9;
--- a/crates/pipithub-bench/src/scale/front_ends/rig.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/rig.rs
@@ -27,14 +27,22 @@
     let kib = |file: &str, field: &str| {
         let text = std::fs::read_to_string(format!("/proc/{pid}/{file}")).unwrap_or_default();
         let line = text.lines().find_map(|l| l.strip_prefix(field));
-        line.and_then(|l| l.split_whitespace().next()?.parse().ok()).unwrap_or(0.0)
+        line.and_then(|l| l.split_whitespace().next()?.parse().ok())
+            .unwrap_or(0.0)
     };
-    Memory { rss: kib("status", "VmRSS:"), pss: kib("smaps_rollup", "Pss:"), peak: kib("status", "VmHWM:") }
+    Memory {
+        rss: kib("status", "VmRSS:"),
+        pss: kib("smaps_rollup", "Pss:"),
+        peak: kib("status", "VmHWM:"),
+    }
 }
 
 /// CPU time of all threads of a process so far, in seconds.
 pub fn cpu(pid: u32) -> f64 {
-    let tasks = std::fs::read_dir(format!("/proc/{pid}/task")).into_iter().flatten().flatten();
+    let tasks = std::fs::read_dir(format!("/proc/{pid}/task"))
+        .into_iter()
+        .flatten()
+        .flatten();
     let ns = |task: std::fs::DirEntry| {
         let told = std::fs::read_to_string(task.path().join("schedstat")).ok()?;
         told.split_whitespace().next()?.parse::<f64>().ok()
@@ -43,7 +51,12 @@
 }
 
 /// A front end's configuration, in a file of this folder.
-pub fn configure(folder: &Path, coordinator: &Coordinator, name: &str, seed: u64) -> Result<PathBuf> {
+pub fn configure(
+    folder: &Path,
+    coordinator: &Coordinator,
+    name: &str,
+    seed: u64,
+) -> Result<PathBuf> {
     let class = |name: &str, effect: &str| json!({"Name": name, "Effect": effect, "Aim": 1_000_000_000u64, "GiveUp": 3_000_000_000u64, "LateWorth": 0.5});
     let config = json!({
         "name": name, "listen": "127.0.0.1:0", "seed": seed, "coordinator": coordinator.address().to_string(),
@@ -90,17 +103,31 @@
     /// Lines of its log that hold these words.
     pub fn logged(&self, words: &str) -> Vec<String> {
         let text = std::fs::read_to_string(&self.log).unwrap_or_default();
-        text.lines().filter(|l| l.contains(words)).map(str::to_string).collect()
+        text.lines()
+            .filter(|l| l.contains(words))
+            .map(str::to_string)
+            .collect()
     }
 
     /// Whether it says that it can serve.
     pub async fn is_well(&self) -> Result<bool> {
         let up = self.logged("front end up");
-        let address = up.iter().find_map(|l| l.split_whitespace().find_map(|w| w.strip_prefix("address=")));
-        let Some(address) = address else { return Ok(false) };
+        let address = up.iter().find_map(|l| {
+            l.split_whitespace()
+                .find_map(|w| w.strip_prefix("address="))
+        });
+        let Some(address) = address else {
+            return Ok(false);
+        };
         let mut stream = tokio::net::TcpStream::connect(address.trim_matches('"')).await?;
-        stream.write_all(b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"isWell\"}\n").await?;
-        let line = BufReader::new(stream).lines().next_line().await?.unwrap_or_default();
+        stream
+            .write_all(b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"isWell\"}\n")
+            .await?;
+        let line = BufReader::new(stream)
+            .lines()
+            .next_line()
+            .await?
+            .unwrap_or_default();
         Ok(serde_json::from_str::<Value>(&line)?["result"]["healthy"] == true)
     }
 
@@ -130,7 +157,11 @@
             .spawn()?;
         let stdin = child.stdin.take().ok_or("no pipe")?;
         let lines = BufReader::new(child.stdout.take().ok_or("no pipe")?).lines();
-        let mut crowd = Crowd { child, stdin, lines };
+        let mut crowd = Crowd {
+            child,
+            stdin,
+            lines,
+        };
         crowd.answer().await?;
         Ok(crowd)
     }
@@ -142,7 +173,9 @@
 
     async fn answer(&mut self) -> Result<Value> {
         let line = tokio::time::timeout(Duration::from_secs(120), self.lines.next_line()).await??;
-        Ok(serde_json::from_str(&line.ok_or("hollow front ends have ended")?)?)
+        Ok(serde_json::from_str(
+            &line.ok_or("hollow front ends have ended")?,
+        )?)
     }
 
     async fn ask(&mut self, line: &str) -> Result<Value> {
@@ -173,6 +206,8 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(Duration::from_secs(60), turns).await.map_err(|_| "the coordinator never saw it")?;
+    tokio::time::timeout(Duration::from_secs(60), turns)
+        .await
+        .map_err(|_| "the coordinator never saw it")?;
     Ok(())
 }
--- a/crates/pipithub-bench/src/scale/members.rs
+++ b/crates/pipithub-bench/src/scale/members.rs
@@ -18,59 +18,228 @@
 type Figure = (Day, &'static str, &'static str, fn(&Row) -> f64);
 
 const FIGURES: &[Figure] = &[
-    (Day::Ordinary, "start at once until all know all", "s", |r| r.together),
-    (Day::Ordinary, "a death until the first knows", "s", |r| r.first),
+    (
+        Day::Ordinary,
+        "start at once until all know all",
+        "s",
+        |r| r.together,
+    ),
+    (Day::Ordinary, "a death until the first knows", "s", |r| {
+        r.first
+    }),
     (Day::Ordinary, "a death until all know", "s", |r| r.all),
-    (Day::Ordinary, "suspicions of the living for each member", "", |r| r.suspected),
+    (
+        Day::Ordinary,
+        "suspicions of the living for each member",
+        "",
+        |r| r.suspected,
+    ),
     (Day::Ordinary, "false deaths in all", "", |r| r.false_deaths),
-    (Day::Ordinary, "bytes at rest, mean member", "B/s", |r| r.bytes),
-    (Day::Ordinary, "bytes at rest, worst member", "B/s", |r| r.bytes_worst),
-    (Day::Ordinary, "datagrams at rest, mean member", "1/s", |r| r.messages),
-    (Day::Ordinary, "datagrams at rest, worst member", "1/s", |r| r.messages_worst),
-    (Day::Ordinary, "bytes in the worst second of the start, mean member", "B/s", |r| r.bytes_start),
-    (Day::Ordinary, "bytes in the worst second after a death, mean member", "B/s", |r| r.bytes_blow),
-    (Day::Ordinary, "CPU at rest for each member", "% of a core", |r| r.cpu * 100.0),
-    (Day::Ordinary, "CPU during the start for each member", "% of a core", |r| r.cpu_start * 100.0),
-    (Day::Ordinary, "CPU of the simulation for each member", "% of a core", |r| r.cpu_simulation * 100.0),
-    (Day::Ordinary, "memory for each member", "KiB", |r| r.memory / 1_024.0),
-    (Day::Loss, "loss 1%: start at once until all know all", "s", |r| r.together),
-    (Day::Loss, "loss 1%: a death until the first knows", "s", |r| r.first),
-    (Day::Loss, "loss 1%: a death until all know", "s", |r| r.all),
-    (Day::Loss, "loss 1%: suspicions of the living for each member", "", |r| r.suspected),
-    (Day::Loss, "loss 1%: false deaths in all", "", |r| r.false_deaths),
-    (Day::Loss, "loss 1%: bytes at rest, mean member", "B/s", |r| r.bytes),
-    (Day::Loss, "loss 1%: bytes at rest, worst member", "B/s", |r| r.bytes_worst),
-    (Day::Seventh, "a seventh dies: until the first knows", "s", |r| r.first),
-    (Day::Seventh, "a seventh dies: until all know all", "s", |r| r.all),
-    (Day::Seventh, "a seventh dies: suspicions of the living for each member", "", |r| r.suspected),
-    (Day::Seventh, "a seventh dies: false deaths in all", "", |r| r.false_deaths),
-    (Day::Seventh, "a seventh dies: bytes in the worst second, mean member", "B/s", |r| r.bytes_blow),
-    (Day::Seventh, "a seventh dies: bytes in the worst second, worst member", "B/s", |r| r.bytes_blow_worst),
-    (Day::TwentyFirst, "one in 21 dies: until the first knows", "s", |r| r.first),
-    (Day::TwentyFirst, "one in 21 dies: until all know all", "s", |r| r.all),
-    (Day::TwentyFirst, "one in 21 dies: false deaths in all", "", |r| r.false_deaths),
-    (Day::TwentyFirst, "one in 21 dies: bytes in the worst second, mean member", "B/s", |r| r.bytes_blow),
-    (Day::Regions, "three regions cut for 60 s: from the mend until all know all", "s", |r| r.all),
-    (Day::Regions, "three regions cut for 60 s: bytes in the worst second, mean member", "B/s", |r| {
-        r.bytes_blow
+    (Day::Ordinary, "bytes at rest, mean member", "B/s", |r| {
+        r.bytes
     }),
-    (Day::Regions, "three regions cut for 60 s: bytes in the worst second, worst member", "B/s", |r| {
-        r.bytes_blow_worst
+    (Day::Ordinary, "bytes at rest, worst member", "B/s", |r| {
+        r.bytes_worst
     }),
-    (Day::Restart, "all restarted in 60 s: from the last until all know all", "s", |r| r.all),
-    (Day::Restart, "all restarted in 60 s: false deaths in all", "", |r| r.false_deaths),
-    (Day::Restart, "all restarted in 60 s: bytes in the worst second, mean member", "B/s", |r| r.bytes_blow),
-    (Day::Restart, "all restarted in 60 s: bytes in the worst second, worst member", "B/s", |r| {
-        r.bytes_blow_worst
+    (
+        Day::Ordinary,
+        "datagrams at rest, mean member",
+        "1/s",
+        |r| r.messages,
+    ),
+    (
+        Day::Ordinary,
+        "datagrams at rest, worst member",
+        "1/s",
+        |r| r.messages_worst,
+    ),
+    (
+        Day::Ordinary,
+        "bytes in the worst second of the start, mean member",
+        "B/s",
+        |r| r.bytes_start,
+    ),
+    (
+        Day::Ordinary,
+        "bytes in the worst second after a death, mean member",
+        "B/s",
+        |r| r.bytes_blow,
+    ),
+    (
+        Day::Ordinary,
+        "CPU at rest for each member",
+        "% of a core",
+        |r| r.cpu * 100.0,
+    ),
+    (
+        Day::Ordinary,
+        "CPU during the start for each member",
+        "% of a core",
+        |r| r.cpu_start * 100.0,
+    ),
+    (
+        Day::Ordinary,
+        "CPU of the simulation for each member",
+        "% of a core",
+        |r| r.cpu_simulation * 100.0,
+    ),
+    (Day::Ordinary, "memory for each member", "KiB", |r| {
+        r.memory / 1_024.0
+    }),
+    (
+        Day::Loss,
+        "loss 1%: start at once until all know all",
+        "s",
+        |r| r.together,
+    ),
+    (
+        Day::Loss,
+        "loss 1%: a death until the first knows",
+        "s",
+        |r| r.first,
+    ),
+    (Day::Loss, "loss 1%: a death until all know", "s", |r| r.all),
+    (
+        Day::Loss,
+        "loss 1%: suspicions of the living for each member",
+        "",
+        |r| r.suspected,
+    ),
+    (Day::Loss, "loss 1%: false deaths in all", "", |r| {
+        r.false_deaths
     }),
+    (
+        Day::Loss,
+        "loss 1%: bytes at rest, mean member",
+        "B/s",
+        |r| r.bytes,
+    ),
+    (
+        Day::Loss,
+        "loss 1%: bytes at rest, worst member",
+        "B/s",
+        |r| r.bytes_worst,
+    ),
+    (
+        Day::Seventh,
+        "a seventh dies: until the first knows",
+        "s",
+        |r| r.first,
+    ),
+    (
+        Day::Seventh,
+        "a seventh dies: until all know all",
+        "s",
+        |r| r.all,
+    ),
+    (
+        Day::Seventh,
+        "a seventh dies: suspicions of the living for each member",
+        "",
+        |r| r.suspected,
+    ),
+    (
+        Day::Seventh,
+        "a seventh dies: false deaths in all",
+        "",
+        |r| r.false_deaths,
+    ),
+    (
+        Day::Seventh,
+        "a seventh dies: bytes in the worst second, mean member",
+        "B/s",
+        |r| r.bytes_blow,
+    ),
+    (
+        Day::Seventh,
+        "a seventh dies: bytes in the worst second, worst member",
+        "B/s",
+        |r| r.bytes_blow_worst,
+    ),
+    (
+        Day::TwentyFirst,
+        "one in 21 dies: until the first knows",
+        "s",
+        |r| r.first,
+    ),
+    (
+        Day::TwentyFirst,
+        "one in 21 dies: until all know all",
+        "s",
+        |r| r.all,
+    ),
+    (
+        Day::TwentyFirst,
+        "one in 21 dies: false deaths in all",
+        "",
+        |r| r.false_deaths,
+    ),
+    (
+        Day::TwentyFirst,
+        "one in 21 dies: bytes in the worst second, mean member",
+        "B/s",
+        |r| r.bytes_blow,
+    ),
+    (
+        Day::Regions,
+        "three regions cut for 60 s: from the mend until all know all",
+        "s",
+        |r| r.all,
+    ),
+    (
+        Day::Regions,
+        "three regions cut for 60 s: bytes in the worst second, mean member",
+        "B/s",
+        |r| r.bytes_blow,
+    ),
+    (
+        Day::Regions,
+        "three regions cut for 60 s: bytes in the worst second, worst member",
+        "B/s",
+        |r| r.bytes_blow_worst,
+    ),
+    (
+        Day::Restart,
+        "all restarted in 60 s: from the last until all know all",
+        "s",
+        |r| r.all,
+    ),
+    (
+        Day::Restart,
+        "all restarted in 60 s: false deaths in all",
+        "",
+        |r| r.false_deaths,
+    ),
+    (
+        Day::Restart,
+        "all restarted in 60 s: bytes in the worst second, mean member",
+        "B/s",
+        |r| r.bytes_blow,
+    ),
+    (
+        Day::Restart,
+        "all restarted in 60 s: bytes in the worst second, worst member",
+        "B/s",
+        |r| r.bytes_blow_worst,
+    ),
 ];
 
 /// Plays one day in a process of its own.
 fn play(day: Day, size: u64, seed: u64) -> Result<Row> {
     let day = clap::ValueEnum::to_possible_value(&day).ok_or("a day without a name")?;
     let (size, seed) = (size.to_string(), seed.to_string());
-    let arguments = ["members", "--day", day.get_name(), "--size", &size, "--seed", &seed];
-    let done = Command::new(std::env::current_exe()?).args(arguments).output()?;
+    let arguments = [
+        "members",
+        "--day",
+        day.get_name(),
+        "--size",
+        &size,
+        "--seed",
+        &seed,
+    ];
+    let done = Command::new(std::env::current_exe()?)
+        .args(arguments)
+        .output()?;
     if !done.status.success() {
         return Err(format!("{arguments:?}: {}", String::from_utf8_lossy(&done.stderr)).into());
     }
@@ -89,10 +258,14 @@
             let mut rows = Vec::new();
             for seeds in seeds.chunks(beside) {
                 let played: Vec<Result<Row>> = std::thread::scope(|scope| {
-                    let threads: Vec<_> =
-                        seeds.iter().map(|seed| scope.spawn(|| play(*day, size, *seed))).collect();
+                    let threads: Vec<_> = seeds
+                        .iter()
+                        .map(|seed| scope.spawn(|| play(*day, size, *seed)))
+                        .collect();
                     let joined = threads.into_iter().map(|t| t.join());
-                    joined.map(|r| r.unwrap_or_else(|_| Err("a play broke off".into()))).collect()
+                    joined
+                        .map(|r| r.unwrap_or_else(|_| Err("a play broke off".into())))
+                        .collect()
                 });
                 for row in played {
                     rows.push(row?);
@@ -103,7 +276,11 @@
                 // Below zero: it did not come to it, which is no value.
                 let values: Vec<f64> = rows.iter().map(figure.3).filter(|v| *v >= 0.0).collect();
                 if values.len() < rows.len() {
-                    eprintln!("{size} members, {}: never in {} plays", figure.1, rows.len() - values.len());
+                    eprintln!(
+                        "{size} members, {}: never in {} plays",
+                        figure.1,
+                        rows.len() - values.len()
+                    );
                 }
                 if !values.is_empty() {
                     series.push(size, values);
--- a/crates/pipithub-bench/src/scale/mod.rs
+++ b/crates/pipithub-bench/src/scale/mod.rs
@@ -89,7 +89,11 @@
 
     /// The sizes to measure, of which these are the usual ones.
     pub fn sizes_or(&self, usual: &[u64]) -> Vec<u64> {
-        if self.sizes.is_empty() { usual.to_vec() } else { self.sizes.clone() }
+        if self.sizes.is_empty() {
+            usual.to_vec()
+        } else {
+            self.sizes.clone()
+        }
     }
 }
 
@@ -114,7 +118,13 @@
         values.sort_by(f64::total_cmp);
         let at = |i: usize| values.get(i).copied().unwrap_or(0.0);
         let plays = values.len();
-        Point { size, value: at(plays / 2), least: at(0), greatest: at(plays.saturating_sub(1)), plays }
+        Point {
+            size,
+            value: at(plays / 2),
+            least: at(0),
+            greatest: at(plays.saturating_sub(1)),
+            plays,
+        }
     }
 }
 
@@ -143,7 +153,16 @@
     /// A series and the slope through its points.
     pub fn new(part: &str, what: &str, unit: &str, of: &str, how: &str, planned: u64) -> Series {
         let [part, what, unit, of, how] = [part, what, unit, of, how].map(str::to_string);
-        Series { part, what, unit, of, how, points: Vec::new(), planned, fit: None }
+        Series {
+            part,
+            what,
+            unit,
+            of,
+            how,
+            points: Vec::new(),
+            planned,
+            fit: None,
+        }
     }
 
     /// Adds what was measured at one size.
@@ -157,7 +176,10 @@
     }
 
     fn print(&self) {
-        println!("\n{} / {} [{}], {}", self.part, self.what, self.unit, self.how);
+        println!(
+            "\n{} / {} [{}], {}",
+            self.part, self.what, self.unit, self.how
+        );
         for p in &self.points {
             println!(
                 "  {:>8} {:<12} {:>14.3}   ({:.3} to {:.3}, {} plays)",
@@ -181,9 +203,27 @@
 
 /// Measures the parts and shows their slopes.
 pub async fn run(scale: Scale, binary: PathBuf) -> Result<()> {
-    let Scale { sizes, only, seed, plays, fleet, .. } = scale;
-    let plan = Plan { sizes, only, seed, plays: plays.max(1), binary, fleet };
-    let parts = if scale.parts.is_empty() { Part::value_variants().to_vec() } else { scale.parts };
+    let Scale {
+        sizes,
+        only,
+        seed,
+        plays,
+        fleet,
+        ..
+    } = scale;
+    let plan = Plan {
+        sizes,
+        only,
+        seed,
+        plays: plays.max(1),
+        binary,
+        fleet,
+    };
+    let parts = if scale.parts.is_empty() {
+        Part::value_variants().to_vec()
+    } else {
+        scale.parts
+    };
     let mut all = Vec::new();
     for part in parts {
         let mut series: Vec<Series> = measure(part, &plan).await?;
