--- a/crates/pipithub-bench/src/scale/plot.rs
+++ b/crates/pipithub-bench/src/scale/plot.rs
@@ -9,13 +9,20 @@
 
 /// Draws a series and its slope up to the planned size.
 pub fn draw(series: &Series, folder: &Path) -> Result<()> {
-    let points: Vec<(f64, f64)> =
-        series.points.iter().filter(|p| p.value > 0.0).map(|p| (p.size as f64, p.value)).collect();
+    let points: Vec<(f64, f64)> = series
+        .points
+        .iter()
+        .filter(|p| p.value > 0.0)
+        .map(|p| (p.size as f64, p.value))
+        .collect();
     if points.is_empty() {
         return Ok(());
     }
     let plain = |c: char| if c.is_ascii_alphanumeric() { c } else { '-' };
-    let name: String = format!("{}-{}", series.part, series.what).chars().map(plain).collect();
+    let name: String = format!("{}-{}", series.part, series.what)
+        .chars()
+        .map(plain)
+        .collect();
     let path = folder.join(name + ".svg");
     let root = SVGBackend::new(&path, (800, 500)).into_drawing_area();
     root.fill(&WHITE)?;
@@ -33,7 +40,10 @@
         all().map(of).fold(f64::INFINITY, f64::min) / 1.5..all().map(of).fold(0.0, f64::max) * 1.5
     };
     let mut chart = ChartBuilder::on(&root)
-        .caption(format!("{} / {}", series.part, series.what), ("sans-serif", 18))
+        .caption(
+            format!("{} / {}", series.part, series.what),
+            ("sans-serif", 18),
+        )
         .margin(10)
         .x_label_area_size(40)
         .y_label_area_size(90)
--- a/crates/pipithub-bench/src/scale/settings.rs
+++ b/crates/pipithub-bench/src/scale/settings.rs
@@ -54,17 +54,49 @@
     }
     type Figure = (&'static str, &'static str, fn(&Play) -> f64);
     let figures: [Figure; 11] = [
-        ("all on the new coordinator after files and SIGHUP", "ms", |p| p.all * 1e3),
+        (
+            "all on the new coordinator after files and SIGHUP",
+            "ms",
+            |p| p.all * 1e3,
+        ),
         ("one on it after its SIGHUP, median", "ms", |p| p.one * 1e3),
-        ("one on it after its SIGHUP, last", "ms", |p| p.one_last * 1e3),
-        ("CPU of all front ends for one change", "ms", |p| p.cpu * 1e3),
-        ("bytes of files written for one change", "bytes", |p| p.written),
-        ("bytes of requests for the list after one change", "bytes", |p| p.asked),
-        ("two changes in a row, all on the second", "ms", |p| p.two_in_a_row * 1e3),
-        ("changed again at half of the handing out, all on the second", "ms", |p| p.overtaken * 1e3),
-        ("left on the former where the handing out is not begun anew", "front ends", |p| p.left_behind),
-        ("files half written at SIGHUP, all on it after their completion", "ms", |p| p.half_written * 1e3),
-        ("all restarted at once, which everything else needs", "ms", |p| p.restart * 1e3),
+        ("one on it after its SIGHUP, last", "ms", |p| {
+            p.one_last * 1e3
+        }),
+        ("CPU of all front ends for one change", "ms", |p| {
+            p.cpu * 1e3
+        }),
+        ("bytes of files written for one change", "bytes", |p| {
+            p.written
+        }),
+        (
+            "bytes of requests for the list after one change",
+            "bytes",
+            |p| p.asked,
+        ),
+        ("two changes in a row, all on the second", "ms", |p| {
+            p.two_in_a_row * 1e3
+        }),
+        (
+            "changed again at half of the handing out, all on the second",
+            "ms",
+            |p| p.overtaken * 1e3,
+        ),
+        (
+            "left on the former where the handing out is not begun anew",
+            "front ends",
+            |p| p.left_behind,
+        ),
+        (
+            "files half written at SIGHUP, all on it after their completion",
+            "ms",
+            |p| p.half_written * 1e3,
+        ),
+        (
+            "all restarted at once, which everything else needs",
+            "ms",
+            |p| p.restart * 1e3,
+        ),
     ];
     let mut all = Vec::new();
     for (what, unit, figure) in figures {
@@ -79,7 +111,9 @@
     println!(
         "  the coordinator's address: write the file beside, rename it, SIGHUP, look for its line in the log (4 steps)"
     );
-    println!("  anything else: the file, SIGTERM, wait for its end, start it, ask isWell (5 steps)");
+    println!(
+        "  anything else: the file, SIGTERM, wait for its end, start it, ask isWell (5 steps)"
+    );
     println!(
         "  {CHANGES_A_DAY} changes a day are one each {:.1} s; for {PLANNED} front ends {:.0} files and signals a second on \
          average, {:.0} a second where each must be in force within {WITHIN} s",
@@ -121,7 +155,10 @@
     }
     let asked = site.all_ask(to).await?;
     let last = asked.iter().map(|a| a.at).max().unwrap_or(begun);
-    let mut each: Vec<f64> = asked.iter().map(|a| (a.at - signalled[a.node]).as_secs_f64()).collect();
+    let mut each: Vec<f64> = asked
+        .iter()
+        .map(|a| (a.at - signalled[a.node]).as_secs_f64())
+        .collect();
     each.sort_by(f64::total_cmp);
     play.all = (last - begun).as_secs_f64();
     play.one = each[each.len() / 2];
@@ -164,7 +201,10 @@
         site.hang_up(n)?;
     }
     let last = site.ask(second, half).await?.iter().map(|a| a.at).max();
-    Ok(((last.unwrap_or_else(Instant::now) - begun).as_secs_f64(), on_first as f64))
+    Ok((
+        (last.unwrap_or_else(Instant::now) - begun).as_secs_f64(),
+        on_first as f64,
+    ))
 }
 
 async fn half_written(site: &mut Site) -> Result<f64> {
--- a/crates/pipithub-bench/src/scale/settings/reading.rs
+++ b/crates/pipithub-bench/src/scale/settings/reading.rs
@@ -21,12 +21,48 @@
     let new = |what: &str, unit: &str, of: &str, how: &str, planned: u64| {
         Series::new("settings", what, unit, of, how, planned)
     };
-    let mut bytes = new("size of a configuration", "bytes", "workers known", "core", WORKERS);
-    let mut workers = new("reading a configuration by its workers", "ms", "workers known", "core", WORKERS);
-    let mut classes = new("reading a configuration by its classes", "ms", "classes", "core", FUNCTIONS);
-    let mut start = new("CPU of a start", "ms", "workers known", "processes", WORKERS);
-    let mut again = new("CPU of one SIGHUP", "ms", "workers known", "processes", WORKERS);
-    let mut peak = new("peak memory of a process", "MB", "workers known", "processes", WORKERS);
+    let mut bytes = new(
+        "size of a configuration",
+        "bytes",
+        "workers known",
+        "core",
+        WORKERS,
+    );
+    let mut workers = new(
+        "reading a configuration by its workers",
+        "ms",
+        "workers known",
+        "core",
+        WORKERS,
+    );
+    let mut classes = new(
+        "reading a configuration by its classes",
+        "ms",
+        "classes",
+        "core",
+        FUNCTIONS,
+    );
+    let mut start = new(
+        "CPU of a start",
+        "ms",
+        "workers known",
+        "processes",
+        WORKERS,
+    );
+    let mut again = new(
+        "CPU of one SIGHUP",
+        "ms",
+        "workers known",
+        "processes",
+        WORKERS,
+    );
+    let mut peak = new(
+        "peak memory of a process",
+        "MB",
+        "workers known",
+        "processes",
+        WORKERS,
+    );
     for size in ENTRIES {
         let known: Vec<_> = (0..size).map(worker).collect();
         let text = configuration(0, "127.0.0.1:1", &known, 1).to_string();
--- a/crates/pipithub-bench/src/scale/settings/site.rs
+++ b/crates/pipithub-bench/src/scale/settings/site.rs
@@ -177,12 +177,18 @@
     /// Writes half of a file over the old one, as a copy that is interrupted does.
     pub fn write_half(&self, n: usize, coordinator: Coordinator) -> Result<()> {
         let text = self.text(n, coordinator);
-        Ok(std::fs::write(&self.fronts[n].place, &text[..text.len() / 2])?)
+        Ok(std::fs::write(
+            &self.fronts[n].place,
+            &text[..text.len() / 2],
+        )?)
     }
 
     /// Writes the whole file over what is there.
     pub fn write_whole(&self, n: usize, coordinator: Coordinator) -> Result<()> {
-        Ok(std::fs::write(&self.fronts[n].place, self.text(n, coordinator))?)
+        Ok(std::fs::write(
+            &self.fronts[n].place,
+            self.text(n, coordinator),
+        )?)
     }
 
     /// Sends SIGHUP.
@@ -192,7 +198,10 @@
 
     /// The most memory that any of them ever held, in MB.
     pub fn peak_mb(&self) -> f64 {
-        self.fronts.iter().map(|f| peak_mb(&f.child)).fold(0.0, f64::max)
+        self.fronts
+            .iter()
+            .map(|f| peak_mb(&f.child))
+            .fold(0.0, f64::max)
     }
 
     /// CPU of all, in seconds.
@@ -226,9 +235,11 @@
                 }
                 Ok(Some(Heard::Said(..))) => {}
                 _ => {
-                    return Err(
-                        format!("{} of {many} asked the coordinator in {PATIENCE:?}", all.len()).into()
-                    );
+                    return Err(format!(
+                        "{} of {many} asked the coordinator in {PATIENCE:?}",
+                        all.len()
+                    )
+                    .into());
                 }
             }
         }
@@ -250,9 +261,12 @@
                 }
                 Ok(Some(Heard::Asked(_))) => {}
                 _ => {
-                    return Err(
-                        format!("{} of {} said {what:?} in {PATIENCE:?}", who.len(), self.size()).into()
-                    );
+                    return Err(format!(
+                        "{} of {} said {what:?} in {PATIENCE:?}",
+                        who.len(),
+                        self.size()
+                    )
+                    .into());
                 }
             }
         }
@@ -260,13 +274,19 @@
     }
 
     /// Fails where another coordinator than this one is asked within a time.
-    pub async fn nobody_asks_but(&mut self, coordinator: Coordinator, within: Duration) -> Result<()> {
+    pub async fn nobody_asks_but(
+        &mut self,
+        coordinator: Coordinator,
+        within: Duration,
+    ) -> Result<()> {
         let end = tokio::time::Instant::now() + within;
         while let Ok(Some(heard)) = tokio::time::timeout_at(end, self.heard.recv()).await {
             if let Heard::Asked(asked) = heard
                 && asked.coordinator != coordinator
             {
-                return Err(format!("front end {} asked a former coordinator again", asked.node).into());
+                return Err(
+                    format!("front end {} asked a former coordinator again", asked.node).into(),
+                );
             }
         }
         Ok(())
@@ -299,26 +319,43 @@
 
 /// Sends a process a signal, by its own id.
 pub fn signal(child: &Child, signal: Signal) -> Result<()> {
-    let id = child.id().and_then(|id| Pid::from_raw(id as i32)).ok_or("the process has ended")?;
+    let id = child
+        .id()
+        .and_then(|id| Pid::from_raw(id as i32))
+        .ok_or("the process has ended")?;
     Ok(kill_process(id, signal)?)
 }
 
 /// CPU of a process in seconds: the scheduler's count, in nanoseconds, where ticks of 10 ms would say nothing.
 pub fn cpu(child: &Child) -> f64 {
     let Some(id) = child.id() else { return 0.0 };
-    let tasks = std::fs::read_dir(format!("/proc/{id}/task")).into_iter().flatten().flatten();
+    let tasks = std::fs::read_dir(format!("/proc/{id}/task"))
+        .into_iter()
+        .flatten()
+        .flatten();
     let used = |path: PathBuf| {
         let text = std::fs::read_to_string(path.join("schedstat")).unwrap_or_default();
-        text.split_whitespace().next().and_then(|n| n.parse::<f64>().ok()).unwrap_or(0.0)
+        text.split_whitespace()
+            .next()
+            .and_then(|n| n.parse::<f64>().ok())
+            .unwrap_or(0.0)
     };
     tasks.map(|task| used(task.path())).sum::<f64>() / 1e9
 }
 
 /// The most memory that a process ever held, in MB.
 pub fn peak_mb(child: &Child) -> f64 {
-    let status = child.id().and_then(|id| std::fs::read_to_string(format!("/proc/{id}/status")).ok());
-    let kb = status.as_deref().unwrap_or_default().lines().find_map(|l| l.strip_prefix("VmHWM:"));
-    kb.and_then(|kb| kb.trim().split(' ').next()?.parse::<f64>().ok()).unwrap_or(0.0) / 1024.0
+    let status = child
+        .id()
+        .and_then(|id| std::fs::read_to_string(format!("/proc/{id}/status")).ok());
+    let kb = status
+        .as_deref()
+        .unwrap_or_default()
+        .lines()
+        .find_map(|l| l.strip_prefix("VmHWM:"));
+    kb.and_then(|kb| kb.trim().split(' ').next()?.parse::<f64>().ok())
+        .unwrap_or(0.0)
+        / 1024.0
 }
 
 /// A worker of the list.
@@ -384,12 +421,23 @@
     }
     let at = Instant::now();
     let text = String::from_utf8_lossy(&head).to_lowercase();
-    let last =
-        text.lines().find_map(|line| line.strip_prefix("last-event-id:")?.trim().parse::<usize>().ok());
+    let last = text.lines().find_map(|line| {
+        line.strip_prefix("last-event-id:")?
+            .trim()
+            .parse::<usize>()
+            .ok()
+    });
     if let Some(node) = last.and_then(|last| last.checked_sub(first)) {
-        let _ = sender.send(Heard::Asked(Asked { node, coordinator, at, bytes: head.len() }));
+        let _ = sender.send(Heard::Asked(Asked {
+            node,
+            coordinator,
+            at,
+            bytes: head.len(),
+        }));
     }
-    stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\n").await?;
+    stream
+        .write_all(b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\n")
+        .await?;
     loop {
         stream.write_all(b": here\n\n").await?;
         tokio::time::sleep(COMMENT).await;
--- a/crates/pipithub-bench/src/scale/workers.rs
+++ b/crates/pipithub-bench/src/scale/workers.rs
@@ -46,9 +46,16 @@
     };
     let mut kinds: BTreeMap<String, BTreeMap<u64, Vec<Day>>> = BTreeMap::new();
     for day in read(folder)? {
-        kinds.entry(day.kind.clone()).or_default().entry(day.front_ends).or_default().push(day);
+        kinds
+            .entry(day.kind.clone())
+            .or_default()
+            .entry(day.front_ends)
+            .or_default()
+            .push(day);
     }
-    println!("\nworkers: front ends are real, workers, clients and time are simulated by the fleet test");
+    println!(
+        "\nworkers: front ends are real, workers, clients and time are simulated by the fleet test"
+    );
     println!(
         "  not told by its records: which worker got what, so a worker's figures are means over all workers"
     );
@@ -56,29 +63,60 @@
     let figures: [Figure; 17] = [
         ("workers, drawn by the seed", "workers", |d| d.workers),
         ("calls of the day, drawn by the seed", "calls", |d| d.calls),
-        ("calls of a front end in a second", "calls/s", |d| d.calls / d.seconds / d.front_ends as f64),
+        ("calls of a front end in a second", "calls/s", |d| {
+            d.calls / d.seconds / d.front_ends as f64
+        }),
         ("requests sent", "requests", |d| d.attempts),
-        ("requests at a worker", "requests", |d| d.attempts / d.workers),
-        ("requests for each call", "requests", |d| d.attempts / d.calls),
+        ("requests at a worker", "requests", |d| {
+            d.attempts / d.workers
+        }),
+        ("requests for each call", "requests", |d| {
+            d.attempts / d.calls
+        }),
         ("connections made", "connections", |d| d.connections),
-        ("connections at a worker", "connections", |d| d.connections / d.workers),
-        ("connections for each call", "connections", |d| d.connections / d.calls),
-        ("connections of a front end to a worker", "connections", |d| {
-            d.connections / d.workers / d.front_ends as f64
+        ("connections at a worker", "connections", |d| {
+            d.connections / d.workers
+        }),
+        ("connections for each call", "connections", |d| {
+            d.connections / d.calls
+        }),
+        (
+            "connections of a front end to a worker",
+            "connections",
+            |d| d.connections / d.workers / d.front_ends as f64,
+        ),
+        ("connections open at a worker, mean", "connections", |d| {
+            d.open * d.front_ends as f64 / d.workers
+        }),
+        ("handshakes at a worker", "handshakes", |d| {
+            d.handshakes / d.workers
+        }),
+        ("handshakes for each call", "handshakes", |d| {
+            d.handshakes / d.calls
         }),
-        ("connections open at a worker, mean", "connections", |d| d.open * d.front_ends as f64 / d.workers),
-        ("handshakes at a worker", "handshakes", |d| d.handshakes / d.workers),
-        ("handshakes for each call", "handshakes", |d| d.handshakes / d.calls),
         ("probes at a worker", "probes", |d| d.probes / d.workers),
         ("loads begun at a worker", "loads", |d| d.loads / d.workers),
-        ("loads begun for each call served", "loads", |d| d.loads / d.served),
-        ("calls for the list of a front end in a second", "calls/s", |d| d.list_calls),
+        ("loads begun for each call served", "loads", |d| {
+            d.loads / d.served
+        }),
+        (
+            "calls for the list of a front end in a second",
+            "calls/s",
+            |d| d.list_calls,
+        ),
     ];
     let mut all = Vec::new();
     for (kind, sizes) in &kinds {
         for (what, unit, figure) in figures {
             let what = format!("{what} ({kind})");
-            let mut series = Series::new("workers", &what, unit, "front ends", "simulated time", PLANNED);
+            let mut series = Series::new(
+                "workers",
+                &what,
+                unit,
+                "front ends",
+                "simulated time",
+                PLANNED,
+            );
             for (size, days) in sizes {
                 series.push(*size, days.iter().map(figure).collect());
             }
@@ -123,18 +161,32 @@
             return Err(format!("{}: too long for a record", place.display()).into());
         }
         let record: Value = serde_json::from_str(&std::fs::read_to_string(&place)?)?;
-        days.push(day(&record).map_err(|field| format!("{}: {field} is not told", place.display()))?);
+        days.push(
+            day(&record).map_err(|field| format!("{}: {field} is not told", place.display()))?,
+        );
+    }
+    if days.is_empty() {
+        Err(format!("{}: no records", folder.display()).into())
+    } else {
+        Ok(days)
     }
-    if days.is_empty() { Err(format!("{}: no records", folder.display()).into()) } else { Ok(days) }
 }
 
 /// One record's figures; the place of the first that is missing.
 fn day(record: &Value) -> std::result::Result<Day, &'static str> {
     let at = |place: &'static str| record.pointer(place).and_then(Value::as_f64).ok_or(place);
     let windows = record["windows"].as_array().ok_or("/windows")?;
-    let sum = |field: &str| windows.iter().filter_map(|w| w[field].as_f64()).sum::<f64>();
+    let sum = |field: &str| {
+        windows
+            .iter()
+            .filter_map(|w| w[field].as_f64())
+            .sum::<f64>()
+    };
     let start = |i: usize| windows.get(i).and_then(|w| w["from_s"].as_f64());
-    let stretch = start(1).zip(start(0)).map(|(second, first)| second - first).ok_or("/windows/1/from_s")?;
+    let stretch = start(1)
+        .zip(start(0))
+        .map(|(second, first)| second - first)
+        .ok_or("/windows/1/from_s")?;
     let calls = at("/requests")?;
     let served = sum("in_time") + sum("late");
     Ok(Day {
--- a/crates/pipithub-bench/tests/scale_workers.rs
+++ b/crates/pipithub-bench/tests/scale_workers.rs
@@ -7,7 +7,11 @@
 
 fn scale(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_pipithub-bench"));
-    command.args(["scale", "workers"]).args(arguments).output().expect("runs")
+    command
+        .args(["scale", "workers"])
+        .args(arguments)
+        .output()
+        .expect("runs")
 }
 
 /// A day on which each front end makes a hundred calls and each call takes one request and a half.
@@ -39,15 +43,30 @@
     let folder = tempfile::tempdir().expect("a folder");
     write(folder.path(), "a.json", &record(10, 20));
     write(folder.path(), "b.json", &record(100, 40));
-    let (place, out) = (folder.path().display().to_string(), folder.path().join("out"));
+    let (place, out) = (
+        folder.path().display().to_string(),
+        folder.path().join("out"),
+    );
     let output = scale(&["--fleet", &place, "--json", &out.display().to_string()]);
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    let all: Value = serde_json::from_str(&std::fs::read_to_string(&out).expect("written")).expect("JSON");
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
+    let all: Value =
+        serde_json::from_str(&std::fs::read_to_string(&out).expect("written")).expect("JSON");
     let values = |what: &str| -> Vec<f64> {
         let series = all.as_array().expect("a list").iter();
-        let named: Vec<&Value> = series.filter(|s| s["what"] == format!("{what} (calm+mass)")).collect();
+        let named: Vec<&Value> = series
+            .filter(|s| s["what"] == format!("{what} (calm+mass)"))
+            .collect();
         assert_eq!(named.len(), 1, "{what}");
-        named[0]["points"].as_array().expect("points").iter().filter_map(|p| p["value"].as_f64()).collect()
+        named[0]["points"]
+            .as_array()
+            .expect("points")
+            .iter()
+            .filter_map(|p| p["value"].as_f64())
+            .collect()
     };
     assert_eq!(values("workers, drawn by the seed"), [20.0, 40.0]);
     assert_eq!(values("calls of a front end in a second"), [10.0, 10.0]);
@@ -64,10 +83,16 @@
 fn a_record_that_does_not_tell_a_figure_is_named_with_it() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut short = record(10, 20);
-    short["meters"].as_object_mut().expect("an object").remove("probe");
+    short["meters"]
+        .as_object_mut()
+        .expect("an object")
+        .remove("probe");
     write(folder.path(), "short.json", &short);
     let output = scale(&["--fleet", &folder.path().display().to_string()]);
     assert!(!output.status.success());
     let said = String::from_utf8_lossy(&output.stderr).to_string();
-    assert!(said.contains("short.json") && said.contains("/meters/probe is not told"), "{said}");
+    assert!(
+        said.contains("short.json") && said.contains("/meters/probe is not told"),
+        "{said}"
+    );
 }
--- a/crates/pipithub-characterization/src/adapter_scenario/actions.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/actions.rs
@@ -21,7 +21,14 @@
             "recall" => {
                 let (request, attempt) = (number(2), number(3) as usize);
                 let at = self.now + self.settings.granularity;
-                let ended = Event::AttemptEnds { front_end, life, request, attempt, ending: "X", detail: 0 };
+                let ended = Event::AttemptEnds {
+                    front_end,
+                    life,
+                    request,
+                    attempt,
+                    ending: "X",
+                    detail: 0,
+                };
                 self.schedule.add(at, ended);
             }
             "reject" | "abort" => {
@@ -32,7 +39,15 @@
             "touch" => {
                 let at = self.now + self.random.between(1, 40) * MILLISECOND;
                 let (worker, sent) = (parts[2].to_string(), self.now);
-                self.schedule.add(at, Event::ProbeEnds { front_end, life, worker, sent });
+                self.schedule.add(
+                    at,
+                    Event::ProbeEnds {
+                        front_end,
+                        life,
+                        worker,
+                        sent,
+                    },
+                );
             }
             "bring_up" => self.begin_load(front_end, parts[2], parts[3]),
             "shelve" => {
@@ -42,11 +57,19 @@
             }
             "remind" => {
                 let line = format!("wake {front_end} {}", parts[3]);
-                self.schedule.add(self.now + number(2).max(1), Event::Line { front_end, life, line });
+                self.schedule.add(
+                    self.now + number(2).max(1),
+                    Event::Line {
+                        front_end,
+                        life,
+                        line,
+                    },
+                );
             }
             "tail" => {
                 let at = self.now + self.random.between(1, 60) * MILLISECOND;
-                self.schedule.add(at, Event::SubscriptionAnswer { front_end, life });
+                self.schedule
+                    .add(at, Event::SubscriptionAnswer { front_end, life });
             }
             other => panic!("an unknown action: {other}"),
         }
@@ -57,9 +80,15 @@
         let (life, now) = (self.front_ends[front_end].life, self.now);
         let loads_fail = now < self.loads_fail_until;
         // An action that was written just before the front end was killed names a request of its earlier life.
-        let Some(request) = self.front_ends[front_end].requests.get_mut(&id) else { return };
+        let Some(request) = self.front_ends[front_end].requests.get_mut(&id) else {
+            return;
+        };
         let attempt = request.attempts.len();
-        request.attempts.push(Attempt { worker, sent: now, ended: false });
+        request.attempts.push(Attempt {
+            worker,
+            sent: now,
+            ended: false,
+        });
         let moot = request.settled || request.streaming || attempt >= self.settings.most_tries;
         let (mut ending, mut after, mut detail) = ("N", self.settings.granularity, 0);
         let (errors, errors_until) = self.errors_everywhere;
@@ -82,14 +111,26 @@
         if request.stream && ending == "S" {
             let begins = now + after / 2;
             if begins < request.deadline {
-                let event = Event::StreamBegins { front_end, life, request: id, attempt };
+                let event = Event::StreamBegins {
+                    front_end,
+                    life,
+                    request: id,
+                    attempt,
+                };
                 self.schedule.add(begins, event);
             }
             if self.random.per_mille(100) {
                 (ending, detail) = ("R", 0);
             }
         }
-        let ends = Event::AttemptEnds { front_end, life, request: id, attempt, ending, detail };
+        let ends = Event::AttemptEnds {
+            front_end,
+            life,
+            request: id,
+            attempt,
+            ending,
+            detail,
+        };
         self.schedule.add(now + after, ends);
     }
 
@@ -105,10 +146,27 @@
             _ if worker.listed != Listed::Live => ("F", trip),
             Condition::Full => ("F", trip),
             _ if fails => ("E", trip * 20),
-            _ => ("S", worker.load(&mut self.random, self.now, function).saturating_sub(self.now) + trip),
+            _ => (
+                "S",
+                worker
+                    .load(&mut self.random, self.now, function)
+                    .saturating_sub(self.now)
+                    + trip,
+            ),
+        };
+        let (life, sent, worker) = (
+            self.front_ends[front_end].life,
+            self.now,
+            address.to_string(),
+        );
+        let ends = Event::OrderEnds {
+            front_end,
+            life,
+            worker,
+            function,
+            sent,
+            status,
         };
-        let (life, sent, worker) = (self.front_ends[front_end].life, self.now, address.to_string());
-        let ends = Event::OrderEnds { front_end, life, worker, function, sent, status };
         self.schedule.add(self.now + after, ends);
     }
 }
--- a/crates/pipithub-characterization/src/adapter_scenario/discovery.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/discovery.rs
@@ -9,7 +9,10 @@
         let told = &mut self.front_ends[front_end];
         told.revision += 1;
         let revision = told.revision;
-        let head = format!("backends_changed {front_end} {revision} {kind} {}", workers.len());
+        let head = format!(
+            "backends_changed {front_end} {revision} {kind} {}",
+            workers.len()
+        );
         self.emit(&format!("backends_changed {kind}"), head);
         for number in workers {
             let worker = &self.workers[*number];
@@ -19,7 +22,9 @@
     }
 
     pub(super) fn listed(&self) -> Vec<usize> {
-        (0..self.workers.len()).filter(|n| self.workers[*n].listed != Listed::Gone).collect()
+        (0..self.workers.len())
+            .filter(|n| self.workers[*n].listed != Listed::Gone)
+            .collect()
     }
 
     /// The place of a function that is asked for seldom or often.
@@ -68,21 +73,38 @@
         self.withdraw_all(number);
         let life = self.front_ends[number].life + 1;
         let subscribed = !self.settings.list_on_request;
-        self.front_ends[number] = FrontEnd { life, subscribed, ..FrontEnd::default() };
+        self.front_ends[number] = FrontEnd {
+            life,
+            subscribed,
+            ..FrontEnd::default()
+        };
         let seed = self.random.number() >> 1;
         let text = self.settings.text(number as u64);
         self.emit("attach", format!("attach {number} {seed} {text}"));
-        let stale: Vec<_> = self.listed().into_iter().filter(|_| !self.random.per_mille(100)).collect();
+        let stale: Vec<_> = self
+            .listed()
+            .into_iter()
+            .filter(|_| !self.random.per_mille(100))
+            .collect();
         self.emit_endpoints(number, "warm_copy", &stale);
         if subscribed {
             let at = self.now + self.random.between(0, 200) * MILLISECOND;
-            self.schedule.add(at, Event::SubscriptionAnswer { front_end: number, life });
+            self.schedule.add(
+                at,
+                Event::SubscriptionAnswer {
+                    front_end: number,
+                    life,
+                },
+            );
         }
     }
 
     /// What a front end that ends has out is held by the workers no more.
     pub(super) fn withdraw_all(&mut self, front_end: usize) {
-        let attempts = self.front_ends[front_end].requests.values().flat_map(|request| &request.attempts);
+        let attempts = self.front_ends[front_end]
+            .requests
+            .values()
+            .flat_map(|request| &request.attempts);
         for attempt in attempts.filter(|attempt| !attempt.ended) {
             let worker = &mut self.workers[attempt.worker];
             worker.held = worker.held.saturating_sub(1);
@@ -98,8 +120,11 @@
 
     pub(super) fn emit_peer_message(&mut self) {
         let number = self.random.between(0, self.front_ends.len() as u64 - 1);
-        let bytes =
-            if self.random.per_mille(200) { "-".into() } else { format!("{:016x}", self.random.number()) };
+        let bytes = if self.random.per_mille(200) {
+            "-".into()
+        } else {
+            format!("{:016x}", self.random.number())
+        };
         self.emit("heard", format!("heard {number} 1 {bytes}"));
     }
 }
--- a/crates/pipithub-characterization/src/adapter_scenario/incidents.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/incidents.rs
@@ -34,23 +34,43 @@
     fn drain(&mut self, worker: usize) {
         self.publish_state(worker, Listed::Draining);
         let gone = self.now + self.random.between(300, 2_000) * MILLISECOND;
-        self.schedule.add(gone, Event::Listed { worker, state: Listed::Gone });
-        self.schedule.add(gone + self.random.between(1, 3) * SECOND, Event::Restarted { worker });
+        self.schedule.add(
+            gone,
+            Event::Listed {
+                worker,
+                state: Listed::Gone,
+            },
+        );
+        self.schedule.add(
+            gone + self.random.between(1, 3) * SECOND,
+            Event::Restarted { worker },
+        );
     }
 
     fn crash(&mut self, worker: usize) {
         self.workers[worker].condition = Condition::Crashed;
         self.workers[worker].copies.clear();
         let told = self.now + self.random.between(50, 1_500) * MILLISECOND;
-        self.schedule.add(told, Event::Listed { worker, state: Listed::Gone });
-        self.schedule.add(told + self.random.between(200, 3_000) * MILLISECOND, Event::Restarted { worker });
+        self.schedule.add(
+            told,
+            Event::Listed {
+                worker,
+                state: Listed::Gone,
+            },
+        );
+        self.schedule.add(
+            told + self.random.between(200, 3_000) * MILLISECOND,
+            Event::Restarted { worker },
+        );
     }
 
     fn zone_outage(&mut self) {
         let zone = self.random.pick(&ZONES);
         let until = self.now + self.random.between(500, 3_000) * MILLISECOND;
         for worker in 0..self.workers.len() {
-            if self.workers[worker].zone == zone && self.workers[worker].condition != Condition::Crashed {
+            if self.workers[worker].zone == zone
+                && self.workers[worker].condition != Condition::Crashed
+            {
                 self.workers[worker].condition = Condition::Silent;
                 self.schedule.add(until, Event::Recovered { worker });
             }
@@ -106,7 +126,13 @@
         let one = self.random.per_mille(500).then(|| self.any_function());
         for _ in 0..self.random.between(3, 25) {
             let at = self.now + self.random.between(0, 30) * MILLISECOND;
-            self.schedule.add(at, Event::Arrival { again: false, function: one });
+            self.schedule.add(
+                at,
+                Event::Arrival {
+                    again: false,
+                    function: one,
+                },
+            );
         }
     }
 }
--- a/crates/pipithub-characterization/src/adapter_scenario/settings.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/settings.rs
@@ -49,7 +49,9 @@
 
 impl Settings {
     pub(super) fn draw(random: &mut Random) -> Self {
-        let classes = (0..random.between(1, 3)).map(|number| Class::draw(random, number)).collect();
+        let classes = (0..random.between(1, 3))
+            .map(|number| Class::draw(random, number))
+            .collect();
         Settings {
             classes,
             granularity: random.pick(&[MILLISECOND, 2 * MILLISECOND, 5 * MILLISECOND]),
@@ -89,7 +91,11 @@
         let _ = write!(
             text,
             "\"RegistryMode\":\"{}\",\"Models\":[\"{}\",\"{}\"],\"Report\":{{\"How\":\"{}\"}},",
-            if self.list_on_request { "on_request" } else { "pushed" },
+            if self.list_on_request {
+                "on_request"
+            } else {
+                "pushed"
+            },
             MACHINE_KINDS[0],
             MACHINE_KINDS[1],
             self.reports
@@ -130,7 +136,12 @@
         let deadline = random.pick(&[800 * MILLISECOND, 2 * SECOND, 5 * SECOND]);
         Class {
             name: format!("class-{number}"),
-            effect: random.pick(&["read_like", "read_like", "idempotency_key", "non_idempotent"]),
+            effect: random.pick(&[
+                "read_like",
+                "read_like",
+                "idempotency_key",
+                "non_idempotent",
+            ]),
             group: random.pick(&["all", "zone", "cell"]),
             aim: deadline / random.between(2, 5),
             deadline,
--- a/crates/pipithub-characterization/src/adapter_scenario/tier.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/tier.rs
@@ -58,7 +58,11 @@
 
 impl Ending {
     fn new(status: &'static str, after: u64, detail: u32) -> Self {
-        Ending { status, after, detail }
+        Ending {
+            status,
+            after,
+            detail,
+        }
     }
 }
 
@@ -100,7 +104,9 @@
             Listed::Draining => "quiescing",
             Listed::Gone => "dead",
         };
-        let started = self.started.map_or_else(|| "-".to_string(), |time| time.to_string());
+        let started = self
+            .started
+            .map_or_else(|| "-".to_string(), |time| time.to_string());
         format!(
             "entry {} {} {state} {} {} {} {started}",
             self.share, self.address, self.zone, self.cell, self.kind
@@ -109,7 +115,9 @@
 
     /// A load report.
     pub(super) fn report(&self, random: &mut Random) -> String {
-        let busy = random.between(0, 100).min(u64::from(self.held) * 12 + random.between(0, 20));
+        let busy = random
+            .between(0, 100)
+            .min(u64::from(self.held) * 12 + random.between(0, 20));
         format!(
             "rif:{},busy:0.{busy:02},x0:0.{:02},x1:{}",
             self.held,
@@ -151,8 +159,11 @@
             Condition::Failing if random.per_mille(700) => return Ending::new("E", trip, 0),
             Condition::Sound | Condition::Slow | Condition::Failing | Condition::Full => {}
         }
-        let alike =
-            if settings.counts_alike { 8 * random.between(0, 2).min(u64::from(self.held)) as u32 } else { 0 };
+        let alike = if settings.counts_alike {
+            8 * random.between(0, 2).min(u64::from(self.held)) as u32
+        } else {
+            0
+        };
         let full = self.condition == Condition::Full && random.per_mille(800);
         if full || self.held >= CAPACITY || self.listed != Listed::Live {
             return Ending::new("F", trip, alike);
@@ -176,7 +187,11 @@
             Some(_) => 3,
             None => 2,
         };
-        let stretch = if self.condition == Condition::Slow { 8 } else { 1 };
+        let stretch = if self.condition == Condition::Slow {
+            8
+        } else {
+            1
+        };
         let run = random.between(5, 60) * MILLISECOND * stretch * u64::from(2 + self.held / 4) / 2;
         let detail = alike + if settings.marks_cold { note } else { 0 };
         Ending::new("S", trip + ready.saturating_sub(now) + run, detail)
--- a/crates/pipithub-characterization/src/adapter_scenario/world.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/world.rs
@@ -158,7 +158,11 @@
         let reply = program.exchange(&batch);
         world.act_on(&reply);
         let granularity = world.settings.granularity;
-        let due = world.schedule.next_due().unwrap_or(end).max(world.now + granularity);
+        let due = world
+            .schedule
+            .next_due()
+            .unwrap_or(end)
+            .max(world.now + granularity);
         world.now = due.div_ceil(granularity) * granularity;
     }
 }
@@ -167,9 +171,11 @@
     fn draw(seed: u64, transcript: &'a mut Transcript) -> Self {
         let mut random = Random::new(seed);
         let settings = Settings::draw(&mut random);
-        let (low, high) = random.pick(&[(1, 3), (2, 12), (10, 40), (10, 40), (40, 120), (500, 690)]);
-        let workers: Vec<_> =
-            (0..random.between(low, high)).map(|number| Worker::draw(&mut random, number)).collect();
+        let (low, high) =
+            random.pick(&[(1, 3), (2, 12), (10, 40), (10, 40), (40, 120), (500, 690)]);
+        let workers: Vec<_> = (0..random.between(low, high))
+            .map(|number| Worker::draw(&mut random, number))
+            .collect();
         let considered = workers.len() <= MAX_CONSIDERED;
         transcript.count(if considered {
             "scenario with at most 512 workers"
@@ -177,8 +183,9 @@
             "scenario with more than 512 workers"
         });
         let (low, high) = random.pick(&[(1, 10), (10, 40), (40, 120)]);
-        let functions =
-            (0..random.between(low, high)).map(|_| Function::draw(&mut random, &settings)).collect();
+        let functions = (0..random.between(low, high))
+            .map(|_| Function::draw(&mut random, &settings))
+            .collect();
         // A few scenarios are long, with less in each second.
         let (length, gap) = if random.per_mille(120) {
             (random.between(25, 40), random.between(20, 50))
@@ -190,7 +197,9 @@
             now: 1_000 * SECOND + random.between(0, 50) * SECOND,
             loads_fail_until: 0,
             functions,
-            front_ends: (0..random.between(1, 3)).map(|_| FrontEnd::default()).collect(),
+            front_ends: (0..random.between(1, 3))
+                .map(|_| FrontEnd::default())
+                .collect(),
             by_address: BTreeMap::new(),
             next_request: 1,
             errors_everywhere: (0, 0),
@@ -203,8 +212,16 @@
             workers,
             transcript,
         };
-        world.schedule.add(world.now + MILLISECOND, Event::Arrival { again: true, function: None });
-        world.schedule.add(world.now + 500 * MILLISECOND, Event::Incident);
+        world.schedule.add(
+            world.now + MILLISECOND,
+            Event::Arrival {
+                again: true,
+                function: None,
+            },
+        );
+        world
+            .schedule
+            .add(world.now + 500 * MILLISECOND, Event::Incident);
         world
     }
 
@@ -258,36 +275,69 @@
             Event::Listed { worker, state } => self.publish_state(worker, state),
             Event::Restarted { worker } => self.restarted(worker),
             Event::Recovered { worker } => self.recovered(worker),
-            Event::Line { front_end, life, line } if self.alive(front_end, life) => {
+            Event::Line {
+                front_end,
+                life,
+                line,
+            } if self.alive(front_end, life) => {
                 self.emit(line.split(' ').next().unwrap_or_default(), line.clone());
             }
             Event::SubscriptionAnswer { front_end, life } if self.alive(front_end, life) => {
                 self.subscription_answer(front_end);
             }
-            Event::StreamBegins { front_end, life, request, attempt } if self.alive(front_end, life) => {
+            Event::StreamBegins {
+                front_end,
+                life,
+                request,
+                attempt,
+            } if self.alive(front_end, life) => {
                 self.stream_begins(front_end, request, attempt);
             }
-            Event::AttemptEnds { front_end, life, request, attempt, ending, detail }
-                if self.alive(front_end, life) =>
-            {
+            Event::AttemptEnds {
+                front_end,
+                life,
+                request,
+                attempt,
+                ending,
+                detail,
+            } if self.alive(front_end, life) => {
                 self.attempt_ends(front_end, request, attempt, ending, detail);
             }
-            Event::Deadline { front_end, life, request } if self.alive(front_end, life) => {
+            Event::Deadline {
+                front_end,
+                life,
+                request,
+            } if self.alive(front_end, life) => {
                 self.deadline(front_end, request);
             }
-            Event::ClientCancels { front_end, life, request } if self.alive(front_end, life) => {
+            Event::ClientCancels {
+                front_end,
+                life,
+                request,
+            } if self.alive(front_end, life) => {
                 self.client_cancels(front_end, request);
             }
-            Event::ProbeEnds { front_end, life, worker, sent } if self.alive(front_end, life) => {
+            Event::ProbeEnds {
+                front_end,
+                life,
+                worker,
+                sent,
+            } if self.alive(front_end, life) => {
                 self.probe_ends(front_end, &worker, sent);
             }
-            Event::OrderEnds { front_end, life, worker, function, sent, status }
-                if self.alive(front_end, life) =>
-            {
+            Event::OrderEnds {
+                front_end,
+                life,
+                worker,
+                function,
+                sent,
+                status,
+            } if self.alive(front_end, life) => {
                 let copies = u64::from(status == "S");
                 let took = self.now - sent;
-                let line =
-                    format!("brought_up {front_end} {worker} {function:016x} {status} {took} {copies}");
+                let line = format!(
+                    "brought_up {front_end} {worker} {function:016x} {status} {took} {copies}"
+                );
                 self.emit(&format!("brought_up {status}"), line);
             }
             // Meant for an earlier life of the front end.
@@ -298,20 +348,29 @@
     fn arrival(&mut self, again: bool, function: Option<usize>) {
         if again {
             let gap = self.random.between(MILLISECOND, 2 * self.gap);
-            self.schedule.add(self.now + gap, Event::Arrival { again, function });
+            self.schedule
+                .add(self.now + gap, Event::Arrival { again, function });
         }
         let front_end = self.random.between(0, self.front_ends.len() as u64 - 1) as usize;
         // Low numbers are asked for more often.
         let last = self.functions.len() as u64 - 1;
-        let drawn = self.random.between(0, last).min(self.random.between(0, last));
+        let drawn = self
+            .random
+            .between(0, last)
+            .min(self.random.between(0, last));
         let function = self.functions[function.unwrap_or(drawn as usize)].clone();
         let class = &self.settings.classes[function.class];
         let budget = class.deadline * self.random.between(4, 10) / 10;
         let (id, life) = (self.next_request, self.front_ends[front_end].life);
         self.next_request += 1;
-        let expected =
-            if self.random.per_mille(300) { "-".into() } else { self.random.between(1, 90).to_string() };
-        let load = function.load.map_or_else(|| "-".to_string(), |load| load.to_string());
+        let expected = if self.random.per_mille(300) {
+            "-".into()
+        } else {
+            self.random.between(1, 90).to_string()
+        };
+        let load = function
+            .load
+            .map_or_else(|| "-".to_string(), |load| load.to_string());
         let line = format!(
             "query {front_end} {id} {expected} - {} {} {} {load} {:016x} 1 {budget}",
             function.memory, function.lanes, class.name, function.name
@@ -326,30 +385,63 @@
         };
         self.emit("query", line);
         self.front_ends[front_end].requests.insert(id, request);
-        self.schedule.add(self.now + budget, Event::Deadline { front_end, life, request: id });
+        self.schedule.add(
+            self.now + budget,
+            Event::Deadline {
+                front_end,
+                life,
+                request: id,
+            },
+        );
         if self.random.per_mille(50) {
             // Some leave at once: what is sent for them then is moot.
-            let left = self.now + if self.random.per_mille(200) { 0 } else { self.random.between(1, budget) };
-            self.schedule.add(left, Event::ClientCancels { front_end, life, request: id });
+            let left = self.now
+                + if self.random.per_mille(200) {
+                    0
+                } else {
+                    self.random.between(1, budget)
+                };
+            self.schedule.add(
+                left,
+                Event::ClientCancels {
+                    front_end,
+                    life,
+                    request: id,
+                },
+            );
         }
     }
 
     fn stream_begins(&mut self, front_end: usize, id: u64, attempt: usize) {
         let now = self.now;
-        let Some(request) = self.front_ends[front_end].requests.get_mut(&id) else { return };
+        let Some(request) = self.front_ends[front_end].requests.get_mut(&id) else {
+            return;
+        };
         if request.settled || request.streaming || request.attempts[attempt].ended {
             return;
         }
         request.streaming = true;
-        let (worker, took) = (request.attempts[attempt].worker, now - request.attempts[attempt].sent);
+        let (worker, took) = (
+            request.attempts[attempt].worker,
+            now - request.attempts[attempt].sent,
+        );
         let address = &self.workers[worker].address;
         let line = format!("head_received {front_end} {id} {attempt} {address} {took}");
         self.emit("head_received", line);
     }
 
-    fn attempt_ends(&mut self, front_end: usize, id: u64, number: usize, ending: &'static str, detail: u32) {
+    fn attempt_ends(
+        &mut self,
+        front_end: usize,
+        id: u64,
+        number: usize,
+        ending: &'static str,
+        detail: u32,
+    ) {
         let now = self.now;
-        let Some(request) = self.front_ends[front_end].requests.get_mut(&id) else { return };
+        let Some(request) = self.front_ends[front_end].requests.get_mut(&id) else {
+            return;
+        };
         let attempt = &mut request.attempts[number];
         if attempt.ended {
             return;
@@ -360,7 +452,11 @@
         let worker = &mut self.workers[attempt.worker];
         worker.held = worker.held.saturating_sub(1);
         let told = matches!(ending, "S" | "F" | "E") && self.settings.reports == "answers";
-        let load = if told { worker.report(&mut self.random) } else { "-".to_string() };
+        let load = if told {
+            worker.report(&mut self.random)
+        } else {
+            "-".to_string()
+        };
         let address = &worker.address;
         let line = format!(
             "completed {front_end} {id} {number} {address} {ending} {took} {settled} {detail} {load}"
@@ -371,26 +467,46 @@
     /// The client's time is over: what is out times out, and an owed answer is given up a little later.
     fn deadline(&mut self, front_end: usize, id: u64) {
         let life = self.front_ends[front_end].life;
-        let Some(request) = self.front_ends[front_end].requests.get(&id) else { return };
+        let Some(request) = self.front_ends[front_end].requests.get(&id) else {
+            return;
+        };
         if request.streaming {
             return;
         }
-        let out: Vec<_> = (0..request.attempts.len()).filter(|n| !request.attempts[*n].ended).collect();
+        let out: Vec<_> = (0..request.attempts.len())
+            .filter(|n| !request.attempts[*n].ended)
+            .collect();
         for number in out {
             self.attempt_ends(front_end, id, number, "T", 0);
         }
-        self.schedule.add(self.now + 8 * MILLISECOND, Event::ClientCancels { front_end, life, request: id });
+        self.schedule.add(
+            self.now + 8 * MILLISECOND,
+            Event::ClientCancels {
+                front_end,
+                life,
+                request: id,
+            },
+        );
     }
 
     /// The client leaves; the front end is told a little later.
     fn client_cancels(&mut self, front_end: usize, id: u64) {
         let life = self.front_ends[front_end].life;
-        let Some(request) = self.front_ends[front_end].requests.get_mut(&id) else { return };
+        let Some(request) = self.front_ends[front_end].requests.get_mut(&id) else {
+            return;
+        };
         if !request.settled && !request.streaming {
             request.settled = true;
             let line = format!("lapsed {front_end} {id}");
             let told = self.now + self.random.between(0, 20) * MILLISECOND;
-            self.schedule.add(told, Event::Line { front_end, life, line });
+            self.schedule.add(
+                told,
+                Event::Line {
+                    front_end,
+                    life,
+                    line,
+                },
+            );
         }
     }
 
@@ -398,7 +514,11 @@
         let worker = &self.workers[self.by_address[address]];
         let sound = !matches!(worker.condition, Condition::Crashed | Condition::Silent);
         let status = if sound { "S" } else { "C" };
-        let load = if sound { worker.report(&mut self.random) } else { "-".to_string() };
+        let load = if sound {
+            worker.report(&mut self.random)
+        } else {
+            "-".to_string()
+        };
         let took = self.now - sent;
         let line = format!("health_result {front_end} {took} {status} {address} {load}");
         self.emit(&format!("health_result {status}"), line);
--- a/crates/pipithub-characterization/src/node_scenario/clients.rs
+++ b/crates/pipithub-characterization/src/node_scenario/clients.rs
@@ -51,7 +51,13 @@
     fn connect_client(&mut self) {
         let connection = self.node.client_connected(self.now);
         self.note("client connected", format!("client connected {connection}"));
-        self.clients.insert(connection, Client { open: Vec::new(), next_id: 1 });
+        self.clients.insert(
+            connection,
+            Client {
+                open: Vec::new(),
+                next_id: 1,
+            },
+        );
     }
 
     fn close_client(&mut self, connection: u64) {
@@ -66,12 +72,18 @@
     }
 
     pub(super) fn client_says(&mut self, kind: &str, connection: u64, bytes: &[u8]) {
-        self.note(kind, format!("client {connection} {}", bytes.escape_ascii()));
+        self.note(
+            kind,
+            format!("client {connection} {}", bytes.escape_ascii()),
+        );
         self.node.client_bytes(self.now, connection, bytes);
     }
 
     fn fresh_id(&mut self, connection: u64) -> u64 {
-        let client = self.clients.get_mut(&connection).expect("a connected client");
+        let client = self
+            .clients
+            .get_mut(&connection)
+            .expect("a connected client");
         client.next_id += 1;
         client.next_id - 1
     }
@@ -85,14 +97,28 @@
 
     fn line_of(&mut self, connection: u64, id: u64, name: &str) -> String {
         let last = self.functions.len() as u64 - 1;
-        let drawn = self.random.between(0, last).min(self.random.between(0, last));
+        let drawn = self
+            .random
+            .between(0, last)
+            .min(self.random.between(0, last));
         let function = &self.functions[drawn as usize];
         let class = &self.configuration.classes[function.class];
         let wait = class.time_to_live * self.random.between(4, 14).min(10) / 10;
-        let key = if class.keyed { format!(",\"dedupe\":\"key-{name}\"") } else { String::new() };
+        let key = if class.keyed {
+            format!(",\"dedupe\":\"key-{name}\"")
+        } else {
+            String::new()
+        };
         let body = self.random.pick(&["", "aGVsbG8=", "AAECAwQFBgc="]);
-        let body = if self.random.per_mille(50) { "QUJD".repeat(1_000) } else { body.to_string() };
-        let client = self.clients.get_mut(&connection).expect("a connected client");
+        let body = if self.random.per_mille(50) {
+            "QUJD".repeat(1_000)
+        } else {
+            body.to_string()
+        };
+        let client = self
+            .clients
+            .get_mut(&connection)
+            .expect("a connected client");
         client.open.push((id, name.to_string()));
         format!(
             "{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"{}\",\"params\":{{\"call\":\"{name}\",\"ttl\":{wait},\
@@ -115,19 +141,36 @@
 
     fn call_and_forget(&mut self, connection: u64) {
         let call = self.call_line(connection);
-        let Some((id, _)) = self.clients.get_mut(&connection).and_then(|client| client.open.pop()) else {
+        let Some((id, _)) = self
+            .clients
+            .get_mut(&connection)
+            .and_then(|client| client.open.pop())
+        else {
             return;
         };
-        let forget = format!("{{\"jsonrpc\":\"2.0\",\"method\":\"forget\",\"params\":{{\"id\":{id}}}}}\n");
-        self.client_says("call and forget at once", connection, format!("{call}{forget}").as_bytes());
+        let forget =
+            format!("{{\"jsonrpc\":\"2.0\",\"method\":\"forget\",\"params\":{{\"id\":{id}}}}}\n");
+        self.client_says(
+            "call and forget at once",
+            connection,
+            format!("{call}{forget}").as_bytes(),
+        );
     }
 
     /// The name of an earlier call again, on whichever connection that was.
     fn retry(&mut self, connection: u64) {
-        let open: Vec<String> =
-            self.clients.values().flat_map(|client| &client.open).map(|(_, name)| name.clone()).collect();
+        let open: Vec<String> = self
+            .clients
+            .values()
+            .flat_map(|client| &client.open)
+            .map(|(_, name)| name.clone())
+            .collect();
         let ended: Vec<String> = self.ended.iter().cloned().collect();
-        let names = if self.random.per_mille(300) { open } else { ended };
+        let names = if self.random.per_mille(300) {
+            open
+        } else {
+            ended
+        };
         if !names.is_empty() {
             let name = &names[self.random.between(0, names.len() as u64 - 1) as usize];
             let id = self.fresh_id(connection);
@@ -141,17 +184,28 @@
         for _ in 0..self.random.between(2, BURST) {
             lines.push_str(&self.call_line(connection));
         }
-        let beyond = self.clients.get(&connection).is_some_and(|client| client.open.len() > 32);
-        let kind = if beyond { "call beyond those that may be open" } else { "call" };
+        let beyond = self
+            .clients
+            .get(&connection)
+            .is_some_and(|client| client.open.len() > 32);
+        let kind = if beyond {
+            "call beyond those that may be open"
+        } else {
+            "call"
+        };
         self.client_says(kind, connection, lines.as_bytes());
     }
 
     fn forget(&mut self, connection: u64, by_id: bool) {
-        let Some(client) = self.clients.get_mut(&connection) else { return };
+        let Some(client) = self.clients.get_mut(&connection) else {
+            return;
+        };
         if client.open.is_empty() {
             return;
         }
-        let (id, name) = client.open.remove(self.random.between(0, client.open.len() as u64 - 1) as usize);
+        let (id, name) = client
+            .open
+            .remove(self.random.between(0, client.open.len() as u64 - 1) as usize);
         let (kind, what) = if by_id {
             ("forget by id", format!("\"id\":{id}"))
         } else {
--- a/crates/pipithub-characterization/src/node_scenario/configuration.rs
+++ b/crates/pipithub-characterization/src/node_scenario/configuration.rs
@@ -71,7 +71,11 @@
 }
 
 /// An event of the list.
-pub(super) fn endpoint_event<'a>(index: u64, whole: bool, hosts: impl Iterator<Item = &'a Host>) -> String {
+pub(super) fn endpoint_event<'a>(
+    index: u64,
+    whole: bool,
+    hosts: impl Iterator<Item = &'a Host>,
+) -> String {
     let hosts: Vec<String> = hosts.map(Host::text).collect();
     format!(
         "{{\"index\":{index},\"endpoints\":{{\"seq\":{index},\"whole\":{whole},\"hosts\":[{}]}}}}",
@@ -82,7 +86,9 @@
 impl Configuration {
     pub(super) fn draw(random: &mut Random) -> Self {
         Configuration {
-            classes: (0..random.between(1, 3)).map(|number| Class::draw(random, number)).collect(),
+            classes: (0..random.between(1, 3))
+                .map(|number| Class::draw(random, number))
+                .collect(),
             seed: random.number(),
             sockets: random.pick(&[34, 40, 64, 256]),
             front_ends: random.pick(&[1, 2, 6, 40]),
@@ -149,7 +155,12 @@
 
 impl Class {
     fn draw(random: &mut Random, number: u64) -> Self {
-        let effect = random.pick(&["read_like", "read_like", "idempotency_key", "non_idempotent"]);
+        let effect = random.pick(&[
+            "read_like",
+            "read_like",
+            "idempotency_key",
+            "non_idempotent",
+        ]);
         Class {
             name: format!("class-{number}"),
             keyed: effect == "idempotency_key",
--- a/crates/pipithub-characterization/src/node_scenario/mod.rs
+++ b/crates/pipithub-characterization/src/node_scenario/mod.rs
@@ -54,17 +54,25 @@
     /// Its kind and its canonical text.
     fn render(&self) -> (&'static str, String) {
         match self {
-            Effect::Write { connection, bytes } => {
-                ("write", format!("write {connection} {}", bytes.escape_ascii()))
-            }
+            Effect::Write { connection, bytes } => (
+                "write",
+                format!("write {connection} {}", bytes.escape_ascii()),
+            ),
             Effect::Close { connection } => ("close", format!("close {connection}")),
             Effect::Retire { connection } => ("retire", format!("retire {connection}")),
-            Effect::Unwrite { connection, at, length } => {
-                ("unwrite", format!("unwrite {connection} {at} {length}"))
-            }
-            Effect::Connect { connection, address, within } => {
-                ("connect", format!("connect {connection} {address} {within}"))
-            }
+            Effect::Unwrite {
+                connection,
+                at,
+                length,
+            } => ("unwrite", format!("unwrite {connection} {at} {length}")),
+            Effect::Connect {
+                connection,
+                address,
+                within,
+            } => (
+                "connect",
+                format!("connect {connection} {address} {within}"),
+            ),
         }
     }
 }
--- a/crates/pipithub-characterization/src/node_scenario/workers.rs
+++ b/crates/pipithub-characterization/src/node_scenario/workers.rs
@@ -31,14 +31,44 @@
 
     pub(super) fn connect(&mut self, connection: u64, address: String, within: u64) {
         let silent = self.silent_hosts.contains(&address);
-        let link = Link { address, ..Link::default() };
+        let link = Link {
+            address,
+            ..Link::default()
+        };
         self.links.insert(connection, link);
         let event = match self.random.between(0, 99) {
-            _ if silent => (within, Event::LinkFailed { connection, own: false }),
-            0..=2 => (MILLISECOND, Event::LinkFailed { connection, own: true }),
-            3..=6 => (MILLISECOND, Event::LinkFailed { connection, own: false }),
-            7 => (within, Event::LinkFailed { connection, own: false }),
-            _ => (self.random.between(0, 3) * MILLISECOND, Event::LinkUp { connection }),
+            _ if silent => (
+                within,
+                Event::LinkFailed {
+                    connection,
+                    own: false,
+                },
+            ),
+            0..=2 => (
+                MILLISECOND,
+                Event::LinkFailed {
+                    connection,
+                    own: true,
+                },
+            ),
+            3..=6 => (
+                MILLISECOND,
+                Event::LinkFailed {
+                    connection,
+                    own: false,
+                },
+            ),
+            7 => (
+                within,
+                Event::LinkFailed {
+                    connection,
+                    own: false,
+                },
+            ),
+            _ => (
+                self.random.between(0, 3) * MILLISECOND,
+                Event::LinkUp { connection },
+            ),
         };
         self.schedule.add(self.now + event.0, event.1);
     }
@@ -53,7 +83,11 @@
 
     pub(super) fn link_failed(&mut self, connection: u64, own: bool) {
         if self.links.remove(&connection).is_some() {
-            let kind = if own { "worker failed for own want" } else { "worker failed by itself" };
+            let kind = if own {
+                "worker failed for own want"
+            } else {
+                "worker failed by itself"
+            };
             self.note(kind, format!("worker failed {connection} {own}"));
             self.node.worker_failed(self.now, connection, own);
         }
@@ -62,36 +96,53 @@
     /// A connection ends from the worker's side.
     pub(super) fn link_breaks(&mut self, connection: u64) {
         if let Some(link) = self.links.remove(&connection) {
-            let kind = if link.waiting.is_empty() { "worker closed" } else { "worker closed within a line" };
+            let kind = if link.waiting.is_empty() {
+                "worker closed"
+            } else {
+                "worker closed within a line"
+            };
             self.note(kind, format!("worker closed {connection} {}", link.taken));
             self.node.worker_closed(self.now, connection, link.taken);
         }
     }
 
     pub(super) fn host_breaks(&mut self, address: &str) {
-        let links = self.links.iter().filter(|(_, link)| link.connected && link.address == address);
+        let links = self
+            .links
+            .iter()
+            .filter(|(_, link)| link.connected && link.address == address);
         let connections: Vec<u64> = links.map(|(connection, _)| *connection).collect();
-        connections.into_iter().for_each(|connection| self.link_breaks(connection));
+        connections
+            .into_iter()
+            .for_each(|connection| self.link_breaks(connection));
     }
 
     /// The node writes; the system takes all of it, some of it, or none while the worker does not read.
     pub(super) fn write_to_worker(&mut self, connection: u64, bytes: &[u8]) {
-        let Some(link) = self.links.get_mut(&connection) else { return };
+        let Some(link) = self.links.get_mut(&connection) else {
+            return;
+        };
         link.waiting.extend_from_slice(bytes);
-        let idle = link.written_at.replace(self.now).map_or(0, |at| self.now - at);
+        let idle = link
+            .written_at
+            .replace(self.now)
+            .map_or(0, |at| self.now - at);
         if link.blocked {
             return;
         }
         if idle >= self.idle_breaks {
             // Something on the way has forgotten the connection.
             self.take(connection, bytes.len());
-            return self.schedule.add(self.now + MILLISECOND, Event::LinkBreaks { connection });
+            return self
+                .schedule
+                .add(self.now + MILLISECOND, Event::LinkBreaks { connection });
         }
         match self.random.between(0, 99) {
             0 => {
                 let part = self.random.between(0, bytes.len() as u64 - 1) as usize;
                 self.take(connection, part);
-                self.schedule.add(self.now + MILLISECOND, Event::LinkBreaks { connection });
+                self.schedule
+                    .add(self.now + MILLISECOND, Event::LinkBreaks { connection });
                 self.block(connection);
             }
             1..=2 => {
@@ -103,28 +154,37 @@
                 self.take(connection, part as usize);
                 self.block(connection);
                 let until = self.now + self.random.between(5, 1_200) * MILLISECOND;
-                self.schedule.add(until, Event::LinkUnblocked { connection });
+                self.schedule
+                    .add(until, Event::LinkUnblocked { connection });
             }
             _ => self.take(connection, bytes.len()),
         }
     }
 
     fn block(&mut self, connection: u64) {
-        let Some(link) = self.links.get_mut(&connection) else { return };
+        let Some(link) = self.links.get_mut(&connection) else {
+            return;
+        };
         link.blocked = true;
         let taken = link.taken;
-        self.schedule.add(self.now, Event::LinkBlocked { connection, taken });
+        self.schedule
+            .add(self.now, Event::LinkBlocked { connection, taken });
     }
 
     pub(super) fn link_blocked(&mut self, connection: u64, taken: u64) {
         if self.links.get(&connection).is_some_and(|link| link.blocked) {
-            self.note("worker blocked", format!("worker blocked {connection} {taken}"));
+            self.note(
+                "worker blocked",
+                format!("worker blocked {connection} {taken}"),
+            );
             self.node.worker_blocked(self.now, connection, Some(taken));
         }
     }
 
     pub(super) fn link_unblocked(&mut self, connection: u64) {
-        let Some(link) = self.links.get_mut(&connection) else { return };
+        let Some(link) = self.links.get_mut(&connection) else {
+            return;
+        };
         link.blocked = false;
         let waiting = link.waiting.len();
         self.take(connection, waiting);
@@ -134,14 +194,20 @@
 
     /// Bytes are taken back that wait for the system to take them.
     pub(super) fn unwrite(&mut self, connection: u64, at: u64, length: u64) {
-        let Some(link) = self.links.get_mut(&connection) else { return };
-        let from = at.checked_sub(link.taken).expect("bytes that the system has are not taken back") as usize;
+        let Some(link) = self.links.get_mut(&connection) else {
+            return;
+        };
+        let from = at
+            .checked_sub(link.taken)
+            .expect("bytes that the system has are not taken back") as usize;
         link.waiting.drain(from..from + length as usize);
     }
 
     /// The system takes so many of the bytes that wait, and the worker reads them.
     fn take(&mut self, connection: u64, count: usize) {
-        let Some(link) = self.links.get_mut(&connection) else { return };
+        let Some(link) = self.links.get_mut(&connection) else {
+            return;
+        };
         link.taken += count as u64;
         link.partial.extend(link.waiting.drain(..count));
         let mut lines: Vec<String> = Vec::new();
@@ -159,7 +225,9 @@
         let command = line["cmd"].as_str().expect("a command").to_string();
         let reference = line["ref"].as_str().expect("a reference").to_string();
         self.transcript.count(&format!("worker asked {command}"));
-        let Some(link) = self.links.get_mut(&connection) else { return };
+        let Some(link) = self.links.get_mut(&connection) else {
+            return;
+        };
         if self.silent_hosts.contains(&link.address) {
             return;
         }
@@ -170,7 +238,11 @@
             }
             "UNDO" => link.running.retain(|name| *name != reference),
             "METER" => {
-                let word = if self.random.per_mille(850) { "READY" } else { "AILING" };
+                let word = if self.random.per_mille(850) {
+                    "READY"
+                } else {
+                    "AILING"
+                };
                 let after = self.random.between(1, 30) * MILLISECOND;
                 self.answer_after(after, connection, word, &reference);
             }
@@ -187,7 +259,10 @@
     }
 
     fn run_call(&mut self, connection: u64, reference: String) {
-        let held = self.links.get(&connection).map_or(0, |link| link.running.len() as u32);
+        let held = self
+            .links
+            .get(&connection)
+            .map_or(0, |link| link.running.len() as u32);
         let trip = self.random.between(1, 4) * MILLISECOND;
         let run = self.random.between(5, 120) * MILLISECOND;
         let (word, after) = match self.random.between(0, 199) {
@@ -197,7 +272,11 @@
             14..=19 => ("EIO", run),
             20..=22 => ("STALE", trip),
             23 => ("READY", trip),
-            24 => return self.schedule.add(self.now + run, Event::LinkBreaks { connection }),
+            24 => {
+                return self
+                    .schedule
+                    .add(self.now + run, Event::LinkBreaks { connection });
+            }
             25..=28 => return,
             29..=32 => ("ACK", run + SECOND),
             _ => ("ACK", run),
@@ -207,11 +286,20 @@
 
     fn answer_after(&mut self, after: u64, connection: u64, word: &'static str, reference: &str) {
         let reference = reference.to_string();
-        self.schedule.add(self.now + after, Event::WorkerAnswers { connection, word, reference });
+        self.schedule.add(
+            self.now + after,
+            Event::WorkerAnswers {
+                connection,
+                word,
+                reference,
+            },
+        );
     }
 
     pub(super) fn worker_answers(&mut self, connection: u64, word: &'static str, reference: &str) {
-        let Some(link) = self.links.get_mut(&connection) else { return };
+        let Some(link) = self.links.get_mut(&connection) else {
+            return;
+        };
         let held = link.running.len();
         let probe_or_order = reference.starts_with('t');
         let position = link.running.iter().position(|name| name == reference);
@@ -258,7 +346,10 @@
 
     fn worker_says(&mut self, kind: &str, connection: u64, bytes: &[u8]) {
         if self.links.contains_key(&connection) {
-            self.note(kind, format!("worker {connection} {}", bytes.escape_ascii()));
+            self.note(
+                kind,
+                format!("worker {connection} {}", bytes.escape_ascii()),
+            );
             self.node.worker_bytes(self.now, connection, bytes);
         }
     }
--- a/crates/pipithub-characterization/src/node_scenario/world.rs
+++ b/crates/pipithub-characterization/src/node_scenario/world.rs
@@ -25,13 +25,31 @@
     ClientActs,
     EndpointsChange,
     Figures,
-    HostSpeaks { address: String },
-    LinkUp { connection: u64 },
-    LinkFailed { connection: u64, own: bool },
-    LinkBreaks { connection: u64 },
-    LinkBlocked { connection: u64, taken: u64 },
-    LinkUnblocked { connection: u64 },
-    WorkerAnswers { connection: u64, word: &'static str, reference: String },
+    HostSpeaks {
+        address: String,
+    },
+    LinkUp {
+        connection: u64,
+    },
+    LinkFailed {
+        connection: u64,
+        own: bool,
+    },
+    LinkBreaks {
+        connection: u64,
+    },
+    LinkBlocked {
+        connection: u64,
+        taken: u64,
+    },
+    LinkUnblocked {
+        connection: u64,
+    },
+    WorkerAnswers {
+        connection: u64,
+        word: &'static str,
+        reference: String,
+    },
 }
 
 #[derive(Debug)]
@@ -79,7 +97,9 @@
     if world.random.per_mille(500) {
         world.silence_all_hosts();
     }
-    world.pass(most, |world| world.node.stopped(world.now) || world.node.deadline_passed(world.now));
+    world.pass(most, |world| {
+        world.node.stopped(world.now) || world.node.deadline_passed(world.now)
+    });
     world.figures();
     if world.node.stopped(world.now) {
         world.transcript.count("scenario stopped in time");
@@ -90,13 +110,23 @@
     fn draw(seed: u64, start: impl FnOnce(u64, &str) -> N, transcript: &'a mut Transcript) -> Self {
         let mut random = Random::new(seed);
         let configuration = Configuration::draw(&mut random);
-        let (low, high) =
-            random.pick(&[(1, 2), (2, 8), (2, 8), (3, 15), (8, 40), (8, 40), (40, 100), (520, 600)]);
-        let hosts: Vec<_> =
-            (0..random.between(low, high)).map(|number| Host::draw(&mut random, number)).collect();
+        let (low, high) = random.pick(&[
+            (1, 2),
+            (2, 8),
+            (2, 8),
+            (3, 15),
+            (8, 40),
+            (8, 40),
+            (40, 100),
+            (520, 600),
+        ]);
+        let hosts: Vec<_> = (0..random.between(low, high))
+            .map(|number| Host::draw(&mut random, number))
+            .collect();
         let (low, high) = random.pick(&[(1, 20), (20, 60), (60, 150)]);
-        let functions =
-            (0..random.between(low, high)).map(|_| Function::draw(&mut random, &configuration)).collect();
+        let functions = (0..random.between(low, high))
+            .map(|_| Function::draw(&mut random, &configuration))
+            .collect();
         let now = 1_000_000 * SECOND + random.between(0, 999) * MILLISECOND;
         let (mut known, mut list_index) = (vec![endpoint_event(1, true, hosts.iter())], 1);
         if random.per_mille(300) {
@@ -122,7 +152,13 @@
             silent_hosts: BTreeSet::new(),
             silent_until: 0,
             ended: VecDeque::new(),
-            idle_breaks: random.pick(&[100 * MILLISECOND, 700 * MILLISECOND, u64::MAX, u64::MAX, u64::MAX]),
+            idle_breaks: random.pick(&[
+                100 * MILLISECOND,
+                700 * MILLISECOND,
+                u64::MAX,
+                u64::MAX,
+                u64::MAX,
+            ]),
             length: length * SECOND,
             gap: gap * MILLISECOND,
             transcript,
@@ -132,7 +168,9 @@
             random,
         };
         world.schedule.add(now, Event::ClientActs);
-        world.schedule.add(now + 300 * MILLISECOND, Event::EndpointsChange);
+        world
+            .schedule
+            .add(now + 300 * MILLISECOND, Event::EndpointsChange);
         world.schedule.add(now + 500 * MILLISECOND, Event::Figures);
         world
     }
@@ -169,7 +207,8 @@
             Event::ClientActs => self.client_acts(),
             Event::EndpointsChange => self.change_endpoints(),
             Event::Figures => {
-                self.schedule.add(self.now + 500 * MILLISECOND, Event::Figures);
+                self.schedule
+                    .add(self.now + 500 * MILLISECOND, Event::Figures);
                 self.figures();
             }
             Event::HostSpeaks { address } => drop(self.silent_hosts.remove(&address)),
@@ -178,7 +217,11 @@
             Event::LinkBreaks { connection } => self.link_breaks(connection),
             Event::LinkBlocked { connection, taken } => self.link_blocked(connection, taken),
             Event::LinkUnblocked { connection } => self.link_unblocked(connection),
-            Event::WorkerAnswers { connection, word, reference } => {
+            Event::WorkerAnswers {
+                connection,
+                word,
+                reference,
+            } => {
                 self.worker_answers(connection, word, &reference);
             }
         }
@@ -186,7 +229,8 @@
 
     fn figures(&mut self) {
         let figures = self.node.figures();
-        self.transcript.output(&format!("{} figures {figures}", self.now));
+        self.transcript
+            .output(&format!("{} figures {figures}", self.now));
     }
 
     // ---- effects ----
@@ -210,12 +254,20 @@
 
     fn perform(&mut self, effect: Effect) {
         match effect {
-            Effect::Connect { connection, address, within } => self.connect(connection, address, within),
+            Effect::Connect {
+                connection,
+                address,
+                within,
+            } => self.connect(connection, address, within),
             Effect::Write { connection, bytes } if self.clients.contains_key(&connection) => {
                 self.client_hears(connection, &bytes);
             }
             Effect::Write { connection, bytes } => self.write_to_worker(connection, &bytes),
-            Effect::Unwrite { connection, at, length } => self.unwrite(connection, at, length),
+            Effect::Unwrite {
+                connection,
+                at,
+                length,
+            } => self.unwrite(connection, at, length),
             Effect::Close { connection } => {
                 self.clients.remove(&connection);
                 self.links.remove(&connection);
@@ -243,9 +295,14 @@
             "other error"
         };
         self.transcript.count(&format!("client answer {kind}"));
-        let line: serde_json::Value = serde_json::from_str(&text).expect("the node writes JSON to clients");
-        let Some(id) = line["id"].as_u64() else { return };
-        let Some(client) = self.clients.get_mut(&connection) else { return };
+        let line: serde_json::Value =
+            serde_json::from_str(&text).expect("the node writes JSON to clients");
+        let Some(id) = line["id"].as_u64() else {
+            return;
+        };
+        let Some(client) = self.clients.get_mut(&connection) else {
+            return;
+        };
         if let Some(place) = client.open.iter().position(|(open, _)| *open == id) {
             let (_, name) = client.open.remove(place);
             self.remember_ended(name);
@@ -317,7 +374,8 @@
 
     /// Nothing comes from any worker any more.
     fn silence_all_hosts(&mut self) {
-        self.silent_hosts.extend(self.hosts.iter().map(|host| host.address.clone()));
+        self.silent_hosts
+            .extend(self.hosts.iter().map(|host| host.address.clone()));
     }
 
     /// A worker is found at another address.
--- a/crates/pipithub-characterization/src/recording.rs
+++ b/crates/pipithub-characterization/src/recording.rs
@@ -45,14 +45,20 @@
     }
 
     fn digest(&self) -> String {
-        Sha256::digest(self.text.as_bytes()).iter().map(|byte| format!("{byte:02x}")).collect()
+        Sha256::digest(self.text.as_bytes())
+            .iter()
+            .map(|byte| format!("{byte:02x}"))
+            .collect()
     }
 }
 
 /// Whether the tests are to write the recorded files.
 pub fn recording() -> bool {
     let recording = std::env::var(RECORD_VARIABLE).is_ok_and(|value| value == "1");
-    assert!(!(recording && std::env::var_os("CI").is_some()), "{RECORD_VARIABLE} must not be set in CI");
+    assert!(
+        !(recording && std::env::var_os("CI").is_some()),
+        "{RECORD_VARIABLE} must not be set in CI"
+    );
     recording
 }
 
@@ -79,9 +85,14 @@
     let scenario = &scenario;
     let mut transcripts: BTreeMap<u64, Transcript> = BTreeMap::new();
     std::thread::scope(|scope| {
-        let run = |first: u64| (first..seeds).step_by(threads as usize).map(|seed| (seed, scenario(seed)));
-        let workers: Vec<_> =
-            (0..threads).map(|first| scope.spawn(move || run(first).collect::<Vec<_>>())).collect();
+        let run = |first: u64| {
+            (first..seeds)
+                .step_by(threads as usize)
+                .map(|seed| (seed, scenario(seed)))
+        };
+        let workers: Vec<_> = (0..threads)
+            .map(|first| scope.spawn(move || run(first).collect::<Vec<_>>()))
+            .collect();
         for worker in workers {
             transcripts.extend(worker.join().expect("a scenario ends without a panic"));
         }
@@ -94,10 +105,14 @@
 /// # Panics
 /// Where a digest differs from the recorded one, naming its seed, or where one of `kinds` never occurred.
 pub fn check_scenarios(path: &Path, scenarios: &[Transcript], kinds: &[&str]) {
-    let digests: String = scenarios.iter().enumerate().fold(String::new(), |mut text, (seed, scenario)| {
-        let _ = writeln!(text, "{seed} {}", scenario.digest());
-        text
-    });
+    let digests: String =
+        scenarios
+            .iter()
+            .enumerate()
+            .fold(String::new(), |mut text, (seed, scenario)| {
+                let _ = writeln!(text, "{seed} {}", scenario.digest());
+                text
+            });
     if recording() {
         check_kinds(path, scenarios, kinds);
         return record(path, digests.as_bytes());
@@ -121,7 +136,11 @@
         path.display(),
         differing.join(", ")
     );
-    assert_eq!(recorded.lines().count(), scenarios.len(), "as many scenarios are recorded as were run");
+    assert_eq!(
+        recorded.lines().count(),
+        scenarios.len(),
+        "as many scenarios are recorded as were run"
+    );
 }
 
 /// Compares a written file with the recorded one, or records it.
@@ -133,7 +152,12 @@
         return record(path, written);
     }
     let recorded = std::fs::read(path).expect("the recorded file can be read");
-    assert_eq!(recorded.escape_ascii().to_string(), written.escape_ascii().to_string(), "{}", path.display());
+    assert_eq!(
+        recorded.escape_ascii().to_string(),
+        written.escape_ascii().to_string(),
+        "{}",
+        path.display()
+    );
 }
 
 /// Records a file that no two runs write alike, unless it is recorded already.
@@ -148,7 +172,10 @@
         std::fs::create_dir_all(folder).expect("the folder of the recordings can be made");
     }
     std::fs::write(path, bytes).expect("the recording can be written");
-    announce(&format!("*** {RECORD_VARIABLE}=1: NOTHING WAS COMPARED; recorded {}", path.display()));
+    announce(&format!(
+        "*** {RECORD_VARIABLE}=1: NOTHING WAS COMPARED; recorded {}",
+        path.display()
+    ));
 }
 
 fn check_kinds(path: &Path, scenarios: &[Transcript], kinds: &[&str]) {
@@ -157,15 +184,28 @@
         *total.entry(kind).or_default() += count;
     }
     if recording() {
-        announce(&format!("*** occurrences in the scenarios of {}:", path.display()));
-        total.iter().for_each(|(kind, count)| announce(&format!("{count:>10} {kind}")));
+        announce(&format!(
+            "*** occurrences in the scenarios of {}:",
+            path.display()
+        ));
+        total
+            .iter()
+            .for_each(|(kind, count)| announce(&format!("{count:>10} {kind}")));
     }
-    let missing: Vec<_> = kinds.iter().filter(|kind| !total.contains_key(**kind)).collect();
-    assert!(missing.is_empty(), "never occurred in the drawn scenarios: {missing:?}");
+    let missing: Vec<_> = kinds
+        .iter()
+        .filter(|kind| !total.contains_key(**kind))
+        .collect();
+    assert!(
+        missing.is_empty(),
+        "never occurred in the drawn scenarios: {missing:?}"
+    );
 }
 
 fn write_transcript(path: &Path, seed: usize, scenario: &Transcript) {
-    let Some(folder) = std::env::var_os(TRANSCRIPT_VARIABLE) else { return };
+    let Some(folder) = std::env::var_os(TRANSCRIPT_VARIABLE) else {
+        return;
+    };
     let stem = path.file_stem().unwrap_or_default().to_string_lossy();
     let file = Path::new(&folder).join(format!("{stem}-{seed}.txt"));
     std::fs::write(file, &scenario.text).expect("a transcript can be written");
--- a/crates/pipithub-characterization/src/schedule.rs
+++ b/crates/pipithub-characterization/src/schedule.rs
@@ -11,7 +11,10 @@
 
 impl<T> Default for Schedule<T> {
     fn default() -> Self {
-        Schedule { due: BTreeMap::new(), inserted: 0 }
+        Schedule {
+            due: BTreeMap::new(),
+            inserted: 0,
+        }
     }
 }
 
@@ -29,7 +32,10 @@
 
     /// Takes the first event that is due by `now`.
     pub fn take_due(&mut self, now: u64) -> Option<T> {
-        let entry = self.due.first_entry().filter(|entry| entry.key().0 <= now)?;
+        let entry = self
+            .due
+            .first_entry()
+            .filter(|entry| entry.key().0 <= now)?;
         Some(entry.remove())
     }
 }
--- a/crates/pipithub-characterization/tests/file_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/file_driver/mod.rs
@@ -4,7 +4,8 @@
 use std::sync::Arc;
 
 use pipithub_directory::{
-    Claim, Directory, DirectorySettings, Lifetimes, Person, Settings, TenantBase, TenantId, Told, snapshot,
+    Claim, Directory, DirectorySettings, Lifetimes, Person, Settings, TenantBase, TenantId, Told,
+    snapshot,
 };
 use pipithub_endpoints::{Step, Watcher};
 use pipithub_engine::policy::{Entry, ListKind, State};
@@ -19,7 +20,12 @@
 
 /// The text of a generation record.
 pub fn generation_text(cluster: &str, name: &str, generation: u64) -> String {
-    Record { cluster: cluster.into(), name: name.into(), generation }.write()
+    Record {
+        cluster: cluster.into(),
+        name: name.into(),
+        generation,
+    }
+    .write()
 }
 
 /// Cluster, name and generation of a record's text.
@@ -29,25 +35,38 @@
 }
 
 /// The record's text that the next start writes, and whether it found an empty folder.
-pub fn next_generation(found: Option<&str>, cluster: &str, name: &str) -> Result<(String, bool), String> {
+pub fn next_generation(
+    found: Option<&str>,
+    cluster: &str,
+    name: &str,
+) -> Result<(String, bool), String> {
     let (record, empty) = Record::start(found, cluster, name).map_err(|error| error.to_string())?;
     Ok((record.write(), empty))
 }
 
 /// Writes the record of a data folder.
 pub fn save_generation(folder: &Path, text: &str) {
-    let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .build()
+        .expect("a runtime");
     runtime.block_on(async {
         let folder = Folder::take(folder).expect("the folder is free");
         let saver = folder.start_generation_saver(Arc::new(SystemFiles));
         saver.save(1, text.as_bytes());
-        saver.saved().wait_for(|number| *number == Some(1)).await.expect("the record is written");
+        saver
+            .saved()
+            .wait_for(|number| *number == Some(1))
+            .await
+            .expect("the record is written");
     });
 }
 
 /// The record of a data folder as a start finds it.
 pub fn load_generation(folder: &Path) -> Option<String> {
-    Folder::take(folder).expect("the folder is free").generation().expect("the record is read")
+    Folder::take(folder)
+        .expect("the folder is free")
+        .generation()
+        .expect("the record is read")
 }
 
 // ---- membership report ----
@@ -84,7 +103,11 @@
             member("front-2", "10.0.0.2:7400", "alive", Some(75)),
             member("front-3", "10.0.0.3:7400", "suspect", None),
         ],
-        happenings: [happening("front-2", "there"), happening("front-1", "stands joined")].into(),
+        happenings: [
+            happening("front-2", "there"),
+            happening("front-1", "stands joined"),
+        ]
+        .into(),
     };
     let text = serde_json::to_vec(&report).expect("the report is text");
     Folder::save_report(folder, &text).expect("the report is written");
@@ -104,7 +127,10 @@
         "{} {} process {} at {} doubt {} age {:?}",
         report.cluster, report.listen, report.process, report.at_ms, report.doubt, report.age_ms
     );
-    let happenings = report.happenings.iter().map(|h| format!("{} {} {}", h.at_ms, h.member, h.what));
+    let happenings = report
+        .happenings
+        .iter()
+        .map(|h| format!("{} {} {}", h.at_ms, h.member, h.what));
     [head, member(&report.me)]
         .into_iter()
         .chain(report.members.iter().map(member))
@@ -117,9 +143,16 @@
 /// The text that is kept after a list and then a watch event.
 pub fn remembered_list(now: u64, wall_ms: u64, list: &str, change: &str) -> String {
     let mut watcher = Watcher::new(None);
-    watcher.list(now, wall_ms, list.as_bytes()).expect("the list is read");
-    let step = watcher.line(now, wall_ms, change.as_bytes()).expect("the change is read");
-    assert!(matches!(step, Step::Changes(_)), "the change changes something");
+    watcher
+        .list(now, wall_ms, list.as_bytes())
+        .expect("the list is read");
+    let step = watcher
+        .line(now, wall_ms, change.as_bytes())
+        .expect("the change is read");
+    assert!(
+        matches!(step, Step::Changes(_)),
+        "the change changes something"
+    );
     watcher.remembered(now, wall_ms)
 }
 
@@ -134,7 +167,13 @@
             State::Draining => "draining",
             State::Gone => "gone",
         };
-        let Entry { worker, zone, memory_mb, started, .. } = entry;
+        let Entry {
+            worker,
+            zone,
+            memory_mb,
+            started,
+            ..
+        } = entry;
         format!("{} {state} {zone} {memory_mb} {started:?}", worker.0)
     };
     Ok(entries.iter().map(line).collect())
@@ -151,14 +190,27 @@
 }
 
 /// A snapshot of these facts.
-pub fn snapshot_bytes(facts: &[Fact], now: u64, wall_ms: i64, fingerprint: [u8; 32], key: &[u8]) -> Vec<u8> {
+pub fn snapshot_bytes(
+    facts: &[Fact],
+    now: u64,
+    wall_ms: i64,
+    fingerprint: [u8; 32],
+    key: &[u8],
+) -> Vec<u8> {
     let base = |unit: &str| TenantBase {
         directory: 0,
         base: Dn::parse(&format!("ou={unit},dc=example")).expect("a name"),
     };
-    let lifetimes = Lifetimes { fresh: HOUR, stale_most: 12 * HOUR, negative: HOUR / 60 };
+    let lifetimes = Lifetimes {
+        fresh: HOUR,
+        stale_most: 12 * HOUR,
+        negative: HOUR / 60,
+    };
     let mut directory = Directory::new(Settings {
-        directories: vec![DirectorySettings { lifetimes, ..DirectorySettings::default() }],
+        directories: vec![DirectorySettings {
+            lifetimes,
+            ..DirectorySettings::default()
+        }],
         tenants: vec![base("north"), base("south")],
         max_users: 100,
         max_queue: 100,
@@ -193,10 +245,22 @@
     let facts = snapshot::read(bytes, now, wall_ms, fingerprint, key, stale_most);
     let fact = |(user, claim): &(_, Claim)| {
         let user: &pipithub_directory::User = user;
-        let Told::Tenant(tenant) = claim.told else { panic!("a fact without a tenant") };
-        (user.to_string(), tenant.0, claim.person.0, claim.mark, claim.confirmed)
+        let Told::Tenant(tenant) = claim.told else {
+            panic!("a fact without a tenant")
+        };
+        (
+            user.to_string(),
+            tenant.0,
+            claim.person.0,
+            claim.mark,
+            claim.confirmed,
+        )
     };
-    let mut facts: Vec<Fact> = facts.map_err(|error| error.to_string())?.iter().map(fact).collect();
+    let mut facts: Vec<Fact> = facts
+        .map_err(|error| error.to_string())?
+        .iter()
+        .map(fact)
+        .collect();
     facts.sort();
     Ok(facts)
 }
--- a/crates/pipithub-characterization/tests/files.rs
+++ b/crates/pipithub-characterization/tests/files.rs
@@ -12,7 +12,9 @@
 const KEY: &[u8] = b"sixteen bytes....";
 
 fn recorded(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/recorded/files").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/recorded/files")
+        .join(name)
 }
 
 /// A data folder that holds a recorded file under the name that a front end looks for.
@@ -32,20 +34,38 @@
 #[test]
 fn a_generation_record_is_read_and_written_as_before() {
     let folder = tempfile::tempdir().expect("a folder");
-    file_driver::save_generation(folder.path(), &file_driver::generation_text("campus", "front-1", 41));
-    check_file(&recorded("generation"), &std::fs::read(folder.path().join("generation")).expect("written"));
+    file_driver::save_generation(
+        folder.path(),
+        &file_driver::generation_text("campus", "front-1", 41),
+    );
+    check_file(
+        &recorded("generation"),
+        &std::fs::read(folder.path().join("generation")).expect("written"),
+    );
 
     let text = file_driver::load_generation(folder_with("generation").path()).expect("a record");
     let expected = ("campus".to_string(), "front-1".to_string(), 41);
     assert_eq!(file_driver::read_generation(&text), Ok(expected));
     let next = (file_driver::generation_text("campus", "front-1", 42), false);
-    assert_eq!(file_driver::next_generation(Some(&text), "campus", "front-1"), Ok(next));
-    assert!(file_driver::next_generation(Some(&text), "campus", "front-2").is_err(), "another front end's");
+    assert_eq!(
+        file_driver::next_generation(Some(&text), "campus", "front-1"),
+        Ok(next)
+    );
+    assert!(
+        file_driver::next_generation(Some(&text), "campus", "front-2").is_err(),
+        "another front end's"
+    );
     for place in 0..text.len() {
         let changed = changed(text.as_bytes(), place);
         let changed = String::from_utf8(changed).expect("still text");
-        assert!(file_driver::read_generation(&changed).is_err(), "byte {place} changed");
-        assert!(file_driver::read_generation(&text[..place]).is_err(), "cut at {place}");
+        assert!(
+            file_driver::read_generation(&changed).is_err(),
+            "byte {place} changed"
+        );
+        assert!(
+            file_driver::read_generation(&text[..place]).is_err(),
+            "cut at {place}"
+        );
     }
 }
 
@@ -99,7 +119,10 @@
         "10.0.0.3:81 live  0 Some(30000000000)",
     ];
     assert_eq!(lines.expect("the list is understood"), expected);
-    assert!(file_driver::recall_list(&text[..text.len() / 2], 0, WALL_MS).is_err(), "cut off");
+    assert!(
+        file_driver::recall_list(&text[..text.len() / 2], 0, WALL_MS).is_err(),
+        "cut off"
+    );
 }
 
 fn fact(user: &str, tenant: u16, person: u64, confirmed_ms: i64) -> Fact {
@@ -118,7 +141,11 @@
 #[test]
 fn a_directory_snapshot_is_read_as_before() {
     let fingerprint = file_driver::snapshot_fingerprint(&["campus", "ou=north,dc=example"]);
-    let facts = [fact("lan", 0, 8, -11 * 3_600_000), fact("mai", 1, 7, 0), fact("thuỷ", 0, 9, -60_000)];
+    let facts = [
+        fact("lan", 0, 8, -11 * 3_600_000),
+        fact("mai", 1, 7, 0),
+        fact("thuỷ", 0, 9, -60_000),
+    ];
     let written = file_driver::snapshot_bytes(&facts, SECOND, WALL_MS as i64, fingerprint, KEY);
     record_once(&recorded("directory-three-users"), &written);
 
@@ -130,13 +157,24 @@
     // At once, but on a clock that stands 4 s later: the facts are as old as they were.
     let at_once = facts
         .clone()
-        .map(|(user, tenant, person, mark, confirmed)| (user, tenant, person, mark, confirmed + 4_000));
+        .map(|(user, tenant, person, mark, confirmed)| {
+            (user, tenant, person, mark, confirmed + 4_000)
+        });
     assert_eq!(read(WALL_MS as i64, fingerprint, KEY), Ok(at_once.to_vec()));
     // Two hours later one is past its bound.
     let later = read(WALL_MS as i64 + 2 * 3_600_000, fingerprint, KEY).expect("understood");
-    assert_eq!(later.iter().map(|fact| fact.0.as_str()).collect::<Vec<_>>(), ["mai", "thuỷ"]);
-    assert!(read(WALL_MS as i64, [2; 32], KEY).is_err(), "of another directory");
-    assert!(read(WALL_MS as i64, fingerprint, b"another key......").is_err(), "under another key");
+    assert_eq!(
+        later.iter().map(|fact| fact.0.as_str()).collect::<Vec<_>>(),
+        ["mai", "thuỷ"]
+    );
+    assert!(
+        read(WALL_MS as i64, [2; 32], KEY).is_err(),
+        "of another directory"
+    );
+    assert!(
+        read(WALL_MS as i64, fingerprint, b"another key......").is_err(),
+        "under another key"
+    );
     let changed = changed(&bytes, bytes.len() / 2);
     let read = file_driver::snapshot_facts(&changed, 0, WALL_MS as i64, fingerprint, KEY);
     assert!(read.is_err(), "changed");
--- a/crates/pipithub-characterization/tests/node_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/node_driver/mod.rs
@@ -15,7 +15,10 @@
     /// Starts a node.
     pub fn start(now: u64, configuration: &str) -> Self {
         let config = NodeConfig::parse(configuration).expect("the configuration can be read");
-        Driver { core: Core::new(now, &config), config }
+        Driver {
+            core: Core::new(now, &config),
+            config,
+        }
     }
 }
 
@@ -85,7 +88,10 @@
 
     fn figures(&self) -> String {
         let (clients, workers) = self.core.connections();
-        format!("open {} clients {clients} workers {workers}", self.core.open())
+        format!(
+            "open {} clients {clients} workers {workers}",
+            self.core.open()
+        )
     }
 
     fn effects(&mut self) -> Vec<node_scenario::Effect> {
@@ -97,16 +103,25 @@
 
 fn effect(effect: Effect) -> node_scenario::Effect {
     match effect {
-        Effect::Write { conn, bytes } => {
-            node_scenario::Effect::Write { connection: conn, bytes: bytes.to_vec() }
-        }
+        Effect::Write { conn, bytes } => node_scenario::Effect::Write {
+            connection: conn,
+            bytes: bytes.to_vec(),
+        },
         Effect::Close { conn } => node_scenario::Effect::Close { connection: conn },
         Effect::Retire { conn } => node_scenario::Effect::Retire { connection: conn },
-        Effect::Unwrite { conn, at, len } => {
-            node_scenario::Effect::Unwrite { connection: conn, at, length: len }
-        }
-        Effect::Connect { conn, address, within } => {
-            node_scenario::Effect::Connect { connection: conn, address, within }
-        }
+        Effect::Unwrite { conn, at, len } => node_scenario::Effect::Unwrite {
+            connection: conn,
+            at,
+            length: len,
+        },
+        Effect::Connect {
+            conn,
+            address,
+            within,
+        } => node_scenario::Effect::Connect {
+            connection: conn,
+            address,
+            within,
+        },
     }
 }
--- a/crates/pipithub-check/src/fleet.rs
+++ b/crates/pipithub-check/src/fleet.rs
@@ -96,8 +96,14 @@
 
 impl Rule {
     /// All of them.
-    pub const ALL: [Rule; 6] =
-        [Rule::OneNumber, Rule::DeadFound, Rule::LivingKept, Rule::DiskKnown, Rule::OneRun, Rule::OneFleet];
+    pub const ALL: [Rule; 6] = [
+        Rule::OneNumber,
+        Rule::DeadFound,
+        Rule::LivingKept,
+        Rule::DiskKnown,
+        Rule::OneRun,
+        Rule::OneFleet,
+    ];
 
     /// Its name.
     pub fn name(self) -> &'static str {
@@ -138,7 +144,10 @@
     fn other_run(&self, run: usize, from: Time, to: Time) -> bool {
         let of = &self.runs[run].name;
         let within = |r: &Run| r.started <= to && r.ended.is_none_or(|e| e >= from);
-        self.runs.iter().enumerate().any(|(n, r)| n != run && r.name == *of && within(r))
+        self.runs
+            .iter()
+            .enumerate()
+            .any(|(n, r)| n != run && r.name == *of && within(r))
     }
 }
 
@@ -146,7 +155,8 @@
 pub fn check(history: &History, bounds: Bounds) -> Vec<Breach> {
     let mut breaches = Vec::new();
     let mut breach = |rule: Rule, what: String| breaches.push(Breach { rule, what });
-    let seconds = |t: Time| t.saturating_sub(history.runs.first().map_or(0, |r| r.started)) as f64 / 1e9;
+    let seconds =
+        |t: Time| t.saturating_sub(history.runs.first().map_or(0, |r| r.started)) as f64 / 1e9;
 
     let mut numbers: BTreeMap<(&str, u64), (usize, Time)> = BTreeMap::new();
     let mut spoken = history.spoken.clone();
@@ -156,17 +166,23 @@
         let (first, since) = *numbers.entry((name, *generation)).or_insert((*run, *at));
         // A number is known where word of it could spread: what two take within that time, or from both sides of a
         // cut, nobody can tell apart but those who agree on epochs.
-        let known =
-            history.quiet(since.max(at.saturating_sub(bounds.settle)), *at) && since + bounds.settle <= *at;
+        let known = history.quiet(since.max(at.saturating_sub(bounds.settle)), *at)
+            && since + bounds.settle <= *at;
         if first != *run && known {
-            let what = format!("{name}: runs {first} and {run} both spoke under generation {generation}");
+            let what =
+                format!("{name}: runs {first} and {run} both spoke under generation {generation}");
             breach(Rule::OneNumber, what);
         }
     }
 
     for claim in history.claims.iter().filter(|c| c.joined) {
         let (me, at) = (&history.runs[claim.run], claim.at);
-        for (n, run) in history.runs.iter().enumerate().filter(|(_, r)| r.name != me.name) {
+        for (n, run) in history
+            .runs
+            .iter()
+            .enumerate()
+            .filter(|(_, r)| r.name != me.name)
+        {
             if let Some(ended) = run.ended.filter(|e| e + bounds.found <= at) {
                 let judged = history.quiet(ended, at)
                     && history.awake(claim.run, ended.saturating_sub(bounds.settle), at)
@@ -189,25 +205,44 @@
                 && !history.other_run(n, since, at)
                 && !history.other_run(claim.run, since, at);
             if judged && claim.others.get(&run.name) != Some(&false) {
-                let how = if claim.others.contains_key(&run.name) { "for dead" } else { "for unknown" };
-                let what =
-                    format!("at {:.1} s {} holds {} {how}, which runs", seconds(at), me.name, run.name);
+                let how = if claim.others.contains_key(&run.name) {
+                    "for dead"
+                } else {
+                    "for unknown"
+                };
+                let what = format!(
+                    "at {:.1} s {} holds {} {how}, which runs",
+                    seconds(at),
+                    me.name,
+                    run.name
+                );
                 breach(Rule::LivingKept, what);
             }
         }
     }
 
-    for (n, run) in history.runs.iter().enumerate().filter(|(_, r)| r.disk != Disk::Kept) {
-        let before = history.runs[..n].iter().enumerate().filter(|(_, r)| r.name == run.name);
+    for (n, run) in history
+        .runs
+        .iter()
+        .enumerate()
+        .filter(|(_, r)| r.disk != Disk::Kept)
+    {
+        let before = history.runs[..n]
+            .iter()
+            .enumerate()
+            .filter(|(_, r)| r.name == run.name);
         let used: Vec<u64> = before
             .flat_map(|(b, _)| {
-                let of = move |(r, _, at): &&(usize, u64, Time)| *r == b && *at + bounds.settle < run.started;
+                let of = move |(r, _, at): &&(usize, u64, Time)| {
+                    *r == b && *at + bounds.settle < run.started
+                };
                 history.spoken.iter().filter(of).map(|(_, g, _)| *g)
             })
             .collect();
-        let (Some(most), Some(last)) =
-            (used.iter().max(), history.claims.iter().rfind(|c| c.run == n && c.joined))
-        else {
+        let (Some(most), Some(last)) = (
+            used.iter().max(),
+            history.claims.iter().rfind(|c| c.run == n && c.joined),
+        ) else {
             continue;
         };
         // A number that the fleet had no time to know of cannot tell it.
@@ -229,11 +264,22 @@
     }
 
     for (n, one) in history.runs.iter().enumerate() {
-        for (m, other) in history.runs.iter().enumerate().skip(n + 1).filter(|(_, r)| r.name == one.name) {
+        for (m, other) in history
+            .runs
+            .iter()
+            .enumerate()
+            .skip(n + 1)
+            .filter(|(_, r)| r.name == one.name)
+        {
             let from = one.started.max(other.started) + bounds.settle;
             let joined = |run: usize| {
                 let mine = move |c: &&Claim| c.run == run && c.joined && c.at >= from;
-                history.claims.iter().filter(mine).map(|c| c.at).collect::<Vec<_>>()
+                history
+                    .claims
+                    .iter()
+                    .filter(mine)
+                    .map(|c| c.at)
+                    .collect::<Vec<_>>()
             };
             let (a, b) = (joined(n), joined(m));
             let both = a.iter().find(|t| {
@@ -241,32 +287,58 @@
                 history.quiet(t.saturating_sub(bounds.settle), **t) && b.iter().any(|u| near(&u))
             });
             if let Some(at) = both {
-                let what =
-                    format!("at {:.1} s runs {n} and {m} of {} both take part", seconds(*at), one.name);
+                let what = format!(
+                    "at {:.1} s runs {n} and {m} of {} both take part",
+                    seconds(*at),
+                    one.name
+                );
                 breach(Rule::OneRun, what);
             }
         }
     }
 
-    let here: Vec<usize> = (0..history.runs.len()).filter(|n| history.runs[*n].ended.is_none()).collect();
-    let names: std::collections::BTreeSet<&str> =
-        here.iter().map(|n| history.runs[*n].name.as_str()).collect();
+    let here: Vec<usize> = (0..history.runs.len())
+        .filter(|n| history.runs[*n].ended.is_none())
+        .collect();
+    let names: std::collections::BTreeSet<&str> = here
+        .iter()
+        .map(|n| history.runs[*n].name.as_str())
+        .collect();
     for n in here.iter().copied() {
         let run = &history.runs[n];
-        let twin = here.iter().any(|o| *o != n && history.runs[*o].name == run.name);
-        match history.claims.iter().rfind(|c| c.run == n && c.at >= history.end) {
-            None => breach(Rule::OneFleet, format!("{} (run {n}) claimed nothing in the end", run.name)),
+        let twin = here
+            .iter()
+            .any(|o| *o != n && history.runs[*o].name == run.name);
+        match history
+            .claims
+            .iter()
+            .rfind(|c| c.run == n && c.at >= history.end)
+        {
+            None => breach(
+                Rule::OneFleet,
+                format!("{} (run {n}) claimed nothing in the end", run.name),
+            ),
             Some(claim) if !claim.joined => {
                 if !twin {
-                    breach(Rule::OneFleet, format!("{} (run {n}) takes no part in the end", run.name));
+                    breach(
+                        Rule::OneFleet,
+                        format!("{} (run {n}) takes no part in the end", run.name),
+                    );
                 }
             }
             Some(claim) => {
-                let alive = claim.others.iter().filter(|(_, dead)| !**dead).map(|(name, _)| name.as_str());
+                let alive = claim
+                    .others
+                    .iter()
+                    .filter(|(_, dead)| !**dead)
+                    .map(|(name, _)| name.as_str());
                 let mut alive: std::collections::BTreeSet<&str> = alive.collect();
                 alive.insert(&run.name);
                 if alive != names {
-                    let what = format!("{} believes {alive:?} to be there, there are {names:?}", run.name);
+                    let what = format!(
+                        "{} believes {alive:?} to be there, there are {names:?}",
+                        run.name
+                    );
                     breach(Rule::OneFleet, what);
                 }
             }
@@ -280,16 +352,33 @@
     use super::*;
 
     const SECOND: Time = 1_000_000_000;
-    const BOUNDS: Bounds = Bounds { found: 5 * SECOND, settle: 5 * SECOND };
+    const BOUNDS: Bounds = Bounds {
+        found: 5 * SECOND,
+        settle: 5 * SECOND,
+    };
 
     fn run(name: &str, started: u64, ended: Option<u64>) -> Run {
         let (started, ended) = (started * SECOND, ended.map(|e| e * SECOND));
-        Run { name: name.into(), started, ended, disk: Disk::Kept, number: 1, paused: Vec::new() }
+        Run {
+            name: name.into(),
+            started,
+            ended,
+            disk: Disk::Kept,
+            number: 1,
+            paused: Vec::new(),
+        }
     }
 
     fn claim(run: usize, at: u64, others: &[(&str, bool)]) -> Claim {
         let others = others.iter().map(|(n, d)| (n.to_string(), *d)).collect();
-        Claim { at: at * SECOND, run, joined: true, generation: 1, disk: "kept".into(), others }
+        Claim {
+            at: at * SECOND,
+            run,
+            joined: true,
+            generation: 1,
+            disk: "kept".into(),
+            others,
+        }
     }
 
     /// Two that run, a third that dies at 20 s; claims at 10, 18, 30 and 40 s.
@@ -302,8 +391,12 @@
         };
         for at in [10, 18, 30, 40] {
             let dead = at > 20;
-            history.claims.push(claim(0, at, &[("b", false), ("c", dead)]));
-            history.claims.push(claim(1, at, &[("a", false), ("c", dead)]));
+            history
+                .claims
+                .push(claim(0, at, &[("b", false), ("c", dead)]));
+            history
+                .claims
+                .push(claim(1, at, &[("a", false), ("c", dead)]));
         }
         history
     }
@@ -355,7 +448,10 @@
     #[test]
     fn an_old_disk_that_is_believed_is_found() {
         let mut history = good();
-        history.runs.push(Run { disk: Disk::Old, ..run("c", 31, None) });
+        history.runs.push(Run {
+            disk: Disk::Old,
+            ..run("c", 31, None)
+        });
         history.spoken.push((3, 2, 32 * SECOND));
         history.claims.truncate(6);
         let mut back = claim(3, 40, &[("a", false), ("b", false)]);
@@ -377,7 +473,9 @@
         let mut history = good();
         history.runs.push(run("a", 12, None));
         history.spoken.push((3, 2, 12 * SECOND));
-        history.claims.push(claim(3, 40, &[("b", false), ("c", true)]));
+        history
+            .claims
+            .push(claim(3, 40, &[("b", false), ("c", true)]));
         assert_eq!(broken(&history), vec![Rule::OneRun]);
     }
 
--- a/crates/pipithub-check/src/record.rs
+++ b/crates/pipithub-check/src/record.rs
@@ -170,9 +170,17 @@
     pub fn read_all(text: &str) -> Result<Vec<Record>, Unreadable> {
         let whole = text.rfind('\n').map_or("", |end| &text[..end]);
         let read = |(n, line): (usize, &str)| {
-            serde_json::from_str(line).map_err(|source| Unreadable { line: n + 1, source })
+            serde_json::from_str(line).map_err(|source| Unreadable {
+                line: n + 1,
+                source,
+            })
         };
-        whole.lines().enumerate().filter(|(_, l)| !l.is_empty()).map(read).collect()
+        whole
+            .lines()
+            .enumerate()
+            .filter(|(_, l)| !l.is_empty())
+            .map(read)
+            .collect()
     }
 }
 
--- a/crates/pipithub-check/src/report.rs
+++ b/crates/pipithub-check/src/report.rs
@@ -42,7 +42,9 @@
 /// Works out a report in windows of so many nanoseconds.
 pub fn report(records: &[Record], book: &RuleBook, window: u64) -> Report {
     let stories = stories(records, book);
-    let Some(first) = stories.values().map(|s| s.published).min() else { return Report::default() };
+    let Some(first) = stories.values().map(|s| s.published).min() else {
+        return Report::default();
+    };
     let last = stories.values().map(|s| s.published).max().unwrap_or(first);
     let count = ((last - first) / window.max(1) + 1) as usize;
     let mut windows = vec![(Window::default(), 0.0, 0.0); count];
@@ -77,7 +79,8 @@
     }
     latencies.sort_by(f64::total_cmp);
     let quantile = |q: f64| {
-        let at = ((latencies.len() as f64 * q).ceil() as usize).clamp(1, latencies.len().max(1)) - 1;
+        let at =
+            ((latencies.len() as f64 * q).ceil() as usize).clamp(1, latencies.len().max(1)) - 1;
         latencies.get(at).copied().unwrap_or(0.0)
     };
     let finish = |(mut w, asked, earned): (Window, f64, f64), n: usize| {
@@ -87,7 +90,11 @@
     };
     Report {
         whole: finish(whole, 0),
-        windows: windows.into_iter().enumerate().map(|(n, w)| finish(w, n)).collect(),
+        windows: windows
+            .into_iter()
+            .enumerate()
+            .map(|(n, w)| finish(w, n))
+            .collect(),
         latency_ms: [quantile(0.5), quantile(0.99), quantile(0.999)],
         attempts: attempts as f64 / stories.len().max(1) as f64,
     }
--- a/crates/pipithub-check/src/rules.rs
+++ b/crates/pipithub-check/src/rules.rs
@@ -136,7 +136,12 @@
     for r in records {
         match &r.seen {
             Seen::Moved { user, tenant } => sides.entry(user).or_default().push((r.t, tenant)),
-            Seen::Published { queues, message_id: Some(id), headers, .. } if queues.contains(&book.queue) => {
+            Seen::Published {
+                queues,
+                message_id: Some(id),
+                headers,
+                ..
+            } if queues.contains(&book.queue) => {
                 if let Some(user) = headers.get("pipithub-user") {
                     users.insert(id, user);
                 }
@@ -146,17 +151,31 @@
     }
     sides.values_mut().for_each(|spans| spans.sort_unstable());
     for r in records {
-        let Seen::Call { request, function, .. } = &r.seen else { continue };
+        let Seen::Call {
+            request, function, ..
+        } = &r.seen
+        else {
+            continue;
+        };
         let user = users.get(request.as_str()).copied().unwrap_or_default();
         let spans = sides.get(user).map_or(&[][..], Vec::as_slice);
         let tenant = function.split('-').next().unwrap_or_default();
         let there = spans.iter().enumerate().any(|(n, (from, side))| {
             let until = spans.get(n + 1).map_or(u64::MAX, |next| next.0);
-            *side == tenant && *from <= r.t && r.t <= until.saturating_add(bound).saturating_add(book.slack)
+            *side == tenant
+                && *from <= r.t
+                && r.t <= until.saturating_add(bound).saturating_add(book.slack)
         });
         if !there {
-            let what = format!("{request} of user '{user}' reached {} with {function}", r.at);
-            breaches.push(Breach { rule: Rule::TenantsApart, at: r.t, what });
+            let what = format!(
+                "{request} of user '{user}' reached {} with {function}",
+                r.at
+            );
+            breaches.push(Breach {
+                rule: Rule::TenantsApart,
+                at: r.t,
+                what,
+            });
         }
     }
 }
@@ -166,7 +185,14 @@
     let mut stories: BTreeMap<String, Story> = BTreeMap::new();
     // First the calls themselves: records of different stand-ins come in any order.
     for r in records {
-        let Seen::Published { queues, message_id: Some(id), headers, expiration_ms, .. } = &r.seen else {
+        let Seen::Published {
+            queues,
+            message_id: Some(id),
+            headers,
+            expiration_ms,
+            ..
+        } = &r.seen
+        else {
             continue;
         };
         if !queues.contains(&book.queue) {
@@ -174,37 +200,74 @@
         }
         let class = headers.get("pipithub-class").cloned().unwrap_or_default();
         let give_up = book.classes.get(&class).map_or(0, |c| c.give_up);
-        let asked = headers.get("pipithub-budget-ms").and_then(|v| v.parse::<f64>().ok()).map(|ms| ms as u64);
+        let asked = headers
+            .get("pipithub-budget-ms")
+            .and_then(|v| v.parse::<f64>().ok())
+            .map(|ms| ms as u64);
         let asked = [asked, *expiration_ms].into_iter().flatten().min();
         let budget = asked.map_or(give_up, |ms| give_up.min(ms * MS));
-        let story = Story { published: r.t, class, budget, ..Story::default() };
+        let story = Story {
+            published: r.t,
+            class,
+            budget,
+            ..Story::default()
+        };
         stories.insert(id.clone(), story);
     }
     for r in records {
         match &r.seen {
-            Seen::Published { correlation_id: Some(id), headers, .. } => {
-                if let (Some(verdict), Some(story)) = (headers.get("pipithub-verdict"), stories.get_mut(id)) {
+            Seen::Published {
+                correlation_id: Some(id),
+                headers,
+                ..
+            } => {
+                if let (Some(verdict), Some(story)) =
+                    (headers.get("pipithub-verdict"), stories.get_mut(id))
+                {
                     story.answers.push((r.t, verdict.clone()));
                 }
             }
-            Seen::Delivered { queue, message_id: Some(id), redelivered, client, .. }
-                if *queue == book.queue =>
-            {
+            Seen::Delivered {
+                queue,
+                message_id: Some(id),
+                redelivered,
+                client,
+                ..
+            } if *queue == book.queue => {
                 if let Some(story) = stories.get_mut(id) {
                     story.delivered.push((r.t, *redelivered, client.clone()));
                 }
             }
-            Seen::Call { front_end, request, attempt, .. } => {
+            Seen::Call {
+                front_end,
+                request,
+                attempt,
+                ..
+            } => {
                 if let Some(story) = stories.get_mut(request) {
-                    story.calls.push((r.t, r.at.clone(), *attempt, front_end.clone()));
+                    story
+                        .calls
+                        .push((r.t, r.at.clone(), *attempt, front_end.clone()));
                 }
             }
-            Seen::Replied { front_end, request, attempt, not_run, .. } => {
+            Seen::Replied {
+                front_end,
+                request,
+                attempt,
+                not_run,
+                ..
+            } => {
                 if let Some(story) = stories.get_mut(request) {
-                    story.replies.push((r.t, r.at.clone(), *attempt, front_end.clone(), *not_run));
+                    story
+                        .replies
+                        .push((r.t, r.at.clone(), *attempt, front_end.clone(), *not_run));
                 }
             }
-            Seen::Ran { request, dropped: false, .. } => {
+            Seen::Ran {
+                request,
+                dropped: false,
+                ..
+            } => {
                 if let Some(story) = stories.get_mut(request) {
                     story.effects.push(r.t);
                 }
@@ -240,13 +303,25 @@
 }
 
 fn one_answer(id: &str, story: &Story, book: &RuleBook, breaches: &mut Vec<Breach>) {
-    let mut add = |at, what: String| breaches.push(Breach { rule: Rule::OneAnswer, at, what });
+    let mut add = |at, what: String| {
+        breaches.push(Breach {
+            rule: Rule::OneAnswer,
+            at,
+            what,
+        })
+    };
     if book.until.is_some_and(|until| story.published > until) {
         return;
     }
     let deadline = story.published + story.budget;
     match &story.answers[..] {
-        [] => add(deadline, format!("call {id} has no answer; delivered {} times", story.delivered.len())),
+        [] => add(
+            deadline,
+            format!(
+                "call {id} has no answer; delivered {} times",
+                story.delivered.len()
+            ),
+        ),
         [(at, verdict)] => {
             // What a front end that died had held comes again and is answered then; what came too late, at once.
             let last = story.delivered.last().map_or(story.published, |d| d.0);
@@ -254,28 +329,54 @@
             let own = if again { last + story.budget } else { deadline };
             if *at > own.max(last) + book.slack {
                 let late = (*at - own.max(last)) / MS;
-                add(*at, format!("call {id} was {verdict} {late} ms after its time"));
+                add(
+                    *at,
+                    format!("call {id} was {verdict} {late} ms after its time"),
+                );
             }
             if let Some((t, worker, ..)) = story.calls.iter().find(|c| c.0 > at + book.slack) {
                 let after = (t - at) / MS;
-                add(*t, format!("call {id} was sent to {worker} {after} ms after its answer"));
+                add(
+                    *t,
+                    format!("call {id} was sent to {worker} {after} ms after its answer"),
+                );
             }
         }
-        more => add(more[1].0, format!("call {id} has {} answers: {more:?}", more.len())),
+        more => add(
+            more[1].0,
+            format!("call {id} has {} answers: {more:?}", more.len()),
+        ),
     }
 }
 
 fn no_effect_twice(id: &str, story: &Story, book: &RuleBook, breaches: &mut Vec<Breach>) {
-    let Some(class) = book.classes.get(&story.class) else { return };
-    let mut add = |at, what: String| breaches.push(Breach { rule: Rule::NoEffectTwice, at, what });
+    let Some(class) = book.classes.get(&story.class) else {
+        return;
+    };
+    let mut add = |at, what: String| {
+        breaches.push(Breach {
+            rule: Rule::NoEffectTwice,
+            at,
+            what,
+        })
+    };
     if class.effect == Effect::Safe {
         return;
     }
     if let [_, second, ..] = story.effects[..] {
-        add(second, format!("call {id} of class {} took effect {} times", story.class, story.effects.len()));
+        add(
+            second,
+            format!(
+                "call {id} of class {} took effect {} times",
+                story.class,
+                story.effects.len()
+            ),
+        );
     }
     let refused = story.answers.iter().find(|(_, v)| v == "refused");
-    if let (Effect::Unsafe, Some((at, _)), [first, ..]) = (class.effect, refused, &story.effects[..]) {
+    if let (Effect::Unsafe, Some((at, _)), [first, ..]) =
+        (class.effect, refused, &story.effects[..])
+    {
         // A refusal says that another try is harmless: of a call that ran it is a lie.
         add(*at.max(first), format!("call {id} ran and was refused"));
     }
@@ -290,7 +391,10 @@
             }
             let within = *at < earlier + class.dedup_window;
             if class.effect == Effect::Unsafe || !within {
-                add(*at, format!("call {id} was sent to {worker} though it may have run at {w}"));
+                add(
+                    *at,
+                    format!("call {id} was sent to {worker} though it may have run at {w}"),
+                );
                 break;
             }
         }
@@ -309,7 +413,12 @@
     let mut closed: BTreeMap<(&str, &str), u64> = BTreeMap::new();
     for r in ordered {
         let (front_end, what) = match &r.seen {
-            Seen::Told { front_end, worker, state, .. } => {
+            Seen::Told {
+                front_end,
+                worker,
+                state,
+                ..
+            } => {
                 let key = (front_end.as_str(), worker.as_str());
                 if state == "live" {
                     closed.remove(&key);
@@ -318,18 +427,30 @@
                 }
                 continue;
             }
-            Seen::Call { front_end, request, .. } => (front_end, format!("call {request}")),
-            Seen::Order { front_end, function, copies, .. } if *copies > 0 => {
-                (front_end, format!("an order to load {function}"))
-            }
+            Seen::Call {
+                front_end, request, ..
+            } => (front_end, format!("call {request}")),
+            Seen::Order {
+                front_end,
+                function,
+                copies,
+                ..
+            } if *copies > 0 => (front_end, format!("an order to load {function}")),
             _ => continue,
         };
         if let Some(since) = closed.get(&(front_end.as_str(), r.at.as_str()))
             && r.t > since + book.drain_grace + book.slack
         {
             let after = (r.t - since) / MS;
-            let what = format!("{what} came to {} from {front_end} {after} ms after it was told", r.at);
-            breaches.push(Breach { rule: Rule::DrainsKept, at: r.t, what });
+            let what = format!(
+                "{what} came to {} from {front_end} {after} ms after it was told",
+                r.at
+            );
+            breaches.push(Breach {
+                rule: Rule::DrainsKept,
+                at: r.t,
+                what,
+            });
         }
     }
 }
@@ -338,20 +459,26 @@
     for r in records {
         if let Seen::FellOver { sent, bound } = &r.seen {
             let what = format!("{} fell over: {sent} calls sent, {bound:.1} borne", r.at);
-            breaches.push(Breach { rule: Rule::ColdWorkers, at: r.t, what });
+            breaches.push(Breach {
+                rule: Rule::ColdWorkers,
+                at: r.t,
+                what,
+            });
         }
     }
 }
 
 fn rationed(records: &[Record], book: &RuleBook, breaches: &mut Vec<Breach>) {
-    let Some((window, base, share)) = book.ration else { return };
+    let Some((window, base, share)) = book.ration else {
+        return;
+    };
     let mut orders: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     let mut taken: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     for r in records {
         match &r.seen {
-            Seen::Order { front_end, copies, .. } if *copies > 0 => {
-                orders.entry(front_end).or_default().push(r.t)
-            }
+            Seen::Order {
+                front_end, copies, ..
+            } if *copies > 0 => orders.entry(front_end).or_default().push(r.t),
             Seen::Delivered { queue, client, .. } if *queue == book.queue => {
                 taken.entry(front_of(client)).or_default().push(r.t);
             }
@@ -362,13 +489,23 @@
         times.sort_unstable();
         let calls = taken.get(front_end).map(Vec::as_slice).unwrap_or_default();
         for (n, at) in times.iter().enumerate() {
-            let within = times[..=n].iter().filter(|t| **t + window > at + book.slack).count() as f64;
-            let came =
-                calls.iter().filter(|t| **t + window + book.slack > *at && **t <= at + book.slack).count();
+            let within = times[..=n]
+                .iter()
+                .filter(|t| **t + window > at + book.slack)
+                .count() as f64;
+            let came = calls
+                .iter()
+                .filter(|t| **t + window + book.slack > *at && **t <= at + book.slack)
+                .count();
             let allowed = base + share * came as f64;
             if within > allowed {
-                let what = format!("{front_end}: {within} orders to load where {allowed:.2} are allowed");
-                breaches.push(Breach { rule: Rule::LoadsRationed, at: *at, what });
+                let what =
+                    format!("{front_end}: {within} orders to load where {allowed:.2} are allowed");
+                breaches.push(Breach {
+                    rule: Rule::LoadsRationed,
+                    at: *at,
+                    what,
+                });
             }
         }
     }
--- a/crates/pipithub-check/tests/planted.rs
+++ b/crates/pipithub-check/tests/planted.rs
@@ -16,10 +16,14 @@
         dedup_window: 1_000 * MS,
     };
     RuleBook {
-        classes: [("safe", Effect::Safe), ("keyed", Effect::Keyed), ("unsafe", Effect::Unsafe)]
-            .into_iter()
-            .map(|(n, e)| (n.to_string(), class(e)))
-            .collect(),
+        classes: [
+            ("safe", Effect::Safe),
+            ("keyed", Effect::Keyed),
+            ("unsafe", Effect::Unsafe),
+        ]
+        .into_iter()
+        .map(|(n, e)| (n.to_string(), class(e)))
+        .collect(),
         queue: "calls".into(),
         slack: 50 * MS,
         drain_grace: 500 * MS,
@@ -30,7 +34,11 @@
 }
 
 fn at(ms: u64, place: &str, seen: Seen) -> Record {
-    Record { t: (1_000_000 + ms) * MS, at: place.into(), seen }
+    Record {
+        t: (1_000_000 + ms) * MS,
+        at: place.into(),
+        seen,
+    }
 }
 
 fn published(ms: u64, id: &str, class: &str) -> Record {
@@ -87,26 +95,67 @@
     at(
         ms,
         worker,
-        Seen::Call { front_end: "fe".into(), request: id.into(), attempt, function: "f".into(), key: None },
+        Seen::Call {
+            front_end: "fe".into(),
+            request: id.into(),
+            attempt,
+            function: "f".into(),
+            key: None,
+        },
     )
 }
 
 fn ran(ms: u64, id: &str, worker: &str) -> Record {
-    at(ms, worker, Seen::Ran { request: id.into(), key: None, dropped: false })
+    at(
+        ms,
+        worker,
+        Seen::Ran {
+            request: id.into(),
+            key: None,
+            dropped: false,
+        },
+    )
 }
 
 fn replied(ms: u64, id: &str, worker: &str, attempt: u32, not_run: bool) -> Record {
     let status = if not_run { 429 } else { 200 };
-    at(ms, worker, Seen::Replied { front_end: "fe".into(), request: id.into(), attempt, status, not_run })
+    at(
+        ms,
+        worker,
+        Seen::Replied {
+            front_end: "fe".into(),
+            request: id.into(),
+            attempt,
+            status,
+            not_run,
+        },
+    )
 }
 
 fn order(ms: u64, worker: &str) -> Record {
-    at(ms, worker, Seen::Order { front_end: "fe".into(), function: "f".into(), copies: 1 })
+    at(
+        ms,
+        worker,
+        Seen::Order {
+            front_end: "fe".into(),
+            function: "f".into(),
+            copies: 1,
+        },
+    )
 }
 
 fn told(ms: u64, worker: &str, state: &str) -> Record {
     let (front_end, worker, state) = ("fe".into(), worker.into(), state.into());
-    at(ms, "list", Seen::Told { front_end, worker, state, started_ms: None })
+    at(
+        ms,
+        "list",
+        Seen::Told {
+            front_end,
+            worker,
+            state,
+            started_ms: None,
+        },
+    )
 }
 
 /// A call that is turned away once, then served.
@@ -126,7 +175,10 @@
 }
 
 fn broken(records: Vec<Record>) -> Vec<Rule> {
-    let mut rules: Vec<Rule> = check(&records, &book()).into_iter().map(|b| b.rule).collect();
+    let mut rules: Vec<Rule> = check(&records, &book())
+        .into_iter()
+        .map(|b| b.rule)
+        .collect();
     rules.dedup();
     rules
 }
@@ -142,8 +194,14 @@
 
 #[test]
 fn answers_that_lack_double_or_come_late_are_found() {
-    assert_eq!(broken(with(vec![published(10, "b", "safe")])), [Rule::OneAnswer]);
-    assert_eq!(broken(with(vec![answered(200, "a", "failed")])), [Rule::OneAnswer]);
+    assert_eq!(
+        broken(with(vec![published(10, "b", "safe")])),
+        [Rule::OneAnswer]
+    );
+    assert_eq!(
+        broken(with(vec![answered(200, "a", "failed")])),
+        [Rule::OneAnswer]
+    );
     let late = |ms, again| {
         vec![
             published(10, "b", "safe"),
@@ -154,9 +212,16 @@
     };
     assert_eq!(broken(with(late(2_055, false))), []);
     assert_eq!(broken(with(late(2_100, false))), [Rule::OneAnswer]);
-    assert_eq!(broken(with(late(3_400, true))), [], "its first front end died");
+    assert_eq!(
+        broken(with(late(3_400, true))),
+        [],
+        "its first front end died"
+    );
     assert_eq!(broken(with(late(3_600, true))), [Rule::OneAnswer]);
-    assert_eq!(broken(with(vec![call(200, "a", "w3", 2)])), [Rule::OneAnswer, Rule::NoEffectTwice]);
+    assert_eq!(
+        broken(with(vec![call(200, "a", "w3", 2)])),
+        [Rule::OneAnswer, Rule::NoEffectTwice]
+    );
 }
 
 #[test]
@@ -172,9 +237,20 @@
     };
     assert_eq!(broken(two("safe", 200)), []);
     assert_eq!(broken(two("keyed", 200)), []);
-    assert_eq!(broken(two("keyed", 1_200)), [Rule::NoEffectTwice], "forgotten by then");
-    assert_eq!(broken(two("unsafe", 200)), [Rule::NoEffectTwice], "it may have run, whether it did or not");
-    assert_eq!(broken(with(vec![ran(50, "a", "w3")])), [Rule::NoEffectTwice]);
+    assert_eq!(
+        broken(two("keyed", 1_200)),
+        [Rule::NoEffectTwice],
+        "forgotten by then"
+    );
+    assert_eq!(
+        broken(two("unsafe", 200)),
+        [Rule::NoEffectTwice],
+        "it may have run, whether it did or not"
+    );
+    assert_eq!(
+        broken(with(vec![ran(50, "a", "w3")])),
+        [Rule::NoEffectTwice]
+    );
     let refused = vec![
         published(0, "b", "unsafe"),
         delivered(1, "b", false),
@@ -182,14 +258,24 @@
         ran(3, "b", "w1"),
         answered(50, "b", "refused"),
     ];
-    assert_eq!(broken(refused), [Rule::NoEffectTwice], "a refusal of what ran is a lie");
+    assert_eq!(
+        broken(refused),
+        [Rule::NoEffectTwice],
+        "a refusal of what ran is a lie"
+    );
 }
 
 #[test]
 fn work_for_drained_workers_is_found() {
     let after = |ms, state| {
         let (came, over) = (delivered(551, "b", false), answered(900, "b", "served"));
-        with(vec![published(550, "b", "safe"), came, told(700, "w1", state), call(ms, "b", "w1", 0), over])
+        with(vec![
+            published(550, "b", "safe"),
+            came,
+            told(700, "w1", state),
+            call(ms, "b", "w1", 0),
+            over,
+        ])
     };
     assert_eq!(broken(after(600, "draining")), []);
     assert_eq!(broken(after(800, "draining")), [Rule::DrainsKept]);
@@ -200,7 +286,14 @@
 #[test]
 fn a_worker_pushed_over_is_found() {
     assert_eq!(
-        broken(with(vec![at(5, "w1", Seen::FellOver { sent: 9.0, bound: 4.0 })])),
+        broken(with(vec![at(
+            5,
+            "w1",
+            Seen::FellOver {
+                sent: 9.0,
+                bound: 4.0
+            }
+        )])),
         [Rule::ColdWorkers]
     );
 }
@@ -208,14 +301,29 @@
 #[test]
 fn loads_beyond_the_ration_are_found() {
     // One in any case and half of the one call taken: 1.5.
-    assert_eq!(broken(with(vec![order(6_000, "w2")])), [], "the window has passed");
-    assert_eq!(broken(with(vec![order(2_000, "w2")])), [Rule::LoadsRationed]);
+    assert_eq!(
+        broken(with(vec![order(6_000, "w2")])),
+        [],
+        "the window has passed"
+    );
+    assert_eq!(
+        broken(with(vec![order(2_000, "w2")])),
+        [Rule::LoadsRationed]
+    );
 }
 
 #[test]
 fn calls_that_cross_tenants_are_found() {
-    let moved =
-        |ms: u64, tenant: &str| at(ms, "drill", Seen::Moved { user: "mai".into(), tenant: tenant.into() });
+    let moved = |ms: u64, tenant: &str| {
+        at(
+            ms,
+            "drill",
+            Seen::Moved {
+                user: "mai".into(),
+                tenant: tenant.into(),
+            },
+        )
+    };
     let crossed = |ms: u64, function: &str, user: &str| {
         let mut publish = published(10, "b", "safe");
         if let Seen::Published { headers, .. } = &mut publish.seen {
@@ -233,7 +341,10 @@
             sent,
             answered(900, "b", "served"),
         ];
-        let book = RuleBook { move_bound: Some(200 * MS), ..book() };
+        let book = RuleBook {
+            move_bound: Some(200 * MS),
+            ..book()
+        };
         let all = pipithub_check::rules::check(&records, &book);
         all.iter().filter(|b| b.rule == Rule::TenantsApart).count()
     };
@@ -250,7 +361,10 @@
     let text: String = good().iter().map(Record::line).collect();
     assert_eq!(Record::read_all(&text).expect("own lines"), good());
     let cut = &text[..text.len() - 5];
-    assert_eq!(Record::read_all(cut).expect("but the last").len(), good().len() - 1);
+    assert_eq!(
+        Record::read_all(cut).expect("but the last").len(),
+        good().len() - 1
+    );
     let error = Record::read_all("{\"t\":1}\n").expect_err("no record");
     assert_eq!(error.line, 1);
 }
--- a/crates/pipithub-clock/src/lib.rs
+++ b/crates/pipithub-clock/src/lib.rs
@@ -31,7 +31,9 @@
     /// what this gave.
     pub fn time_of_stamp(&self, stamp_ms: u64) -> Time {
         let age_ms = self.wall_ms.saturating_sub(stamp_ms);
-        self.now.saturating_sub(age_ms.saturating_mul(NANOS_PER_MS)).max(1)
+        self.now
+            .saturating_sub(age_ms.saturating_mul(NANOS_PER_MS))
+            .max(1)
     }
 }
 
@@ -46,7 +48,10 @@
 impl Default for Clock {
     /// Counts from its making.
     fn default() -> Self {
-        Clock { start: Instant::now(), base: 1 }
+        Clock {
+            start: Instant::now(),
+            base: 1,
+        }
     }
 }
 
@@ -54,7 +59,10 @@
     /// Counts Unix time, as it was when the clock was made: times told by others compare with its own, and a step of the
     /// system's clock moves no deadline.
     pub fn unix() -> Self {
-        Clock { start: Instant::now(), base: wall_ns().max(1) }
+        Clock {
+            start: Instant::now(),
+            base: wall_ns().max(1),
+        }
     }
 
     /// Nanoseconds now.
@@ -64,7 +72,10 @@
 
     /// Both clocks now.
     pub fn read(&self) -> Reading {
-        Reading { now: self.now(), wall_ms: wall_ms() }
+        Reading {
+            now: self.now(),
+            wall_ms: wall_ms(),
+        }
     }
 
     /// The instant of a time.
@@ -82,9 +93,14 @@
 }
 
 /// Unix time in nanoseconds.
-#[expect(clippy::disallowed_methods, reason = "the one place that asks the system for wall time")]
+#[expect(
+    clippy::disallowed_methods,
+    reason = "the one place that asks the system for wall time"
+)]
 pub fn wall_ns() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_nanos() as u64)
 }
 
 /// Unix time in milliseconds.
--- a/crates/pipithub-clock/src/manual.rs
+++ b/crates/pipithub-clock/src/manual.rs
@@ -12,7 +12,10 @@
 impl ManualClock {
     /// Monotonic time `now` at Unix time `wall_ms`.
     pub fn new(now: Time, wall_ms: u64) -> Self {
-        ManualClock { now, wall_ns: wall_ms.saturating_mul(NANOS_PER_MS) }
+        ManualClock {
+            now,
+            wall_ns: wall_ms.saturating_mul(NANOS_PER_MS),
+        }
     }
 
     /// Lets a span of real time pass: both clocks advance.
@@ -33,6 +36,9 @@
 
     /// Both clocks as they stand.
     pub fn read(&self) -> Reading {
-        Reading { now: self.now, wall_ms: self.wall_ns / NANOS_PER_MS }
+        Reading {
+            now: self.now,
+            wall_ms: self.wall_ns / NANOS_PER_MS,
+        }
     }
 }
--- a/crates/pipithub-clock/tests/clocks.rs
+++ b/crates/pipithub-clock/tests/clocks.rs
@@ -9,11 +9,29 @@
 fn a_step_of_the_wall_moves_no_monotonic_time() {
     let mut clock = ManualClock::new(5, 10_000);
     clock.advance(SECOND);
-    assert_eq!(clock.read(), Reading { now: 5 + SECOND, wall_ms: 11_000 });
+    assert_eq!(
+        clock.read(),
+        Reading {
+            now: 5 + SECOND,
+            wall_ms: 11_000
+        }
+    );
     clock.step_wall_ms(HOUR_MS);
-    assert_eq!(clock.read(), Reading { now: 5 + SECOND, wall_ms: 11_000 + HOUR_MS as u64 });
+    assert_eq!(
+        clock.read(),
+        Reading {
+            now: 5 + SECOND,
+            wall_ms: 11_000 + HOUR_MS as u64
+        }
+    );
     clock.step_wall_ms(-HOUR_MS - 1_000);
-    assert_eq!(clock.read(), Reading { now: 5 + SECOND, wall_ms: 10_000 });
+    assert_eq!(
+        clock.read(),
+        Reading {
+            now: 5 + SECOND,
+            wall_ms: 10_000
+        }
+    );
     clock.step_wall_ms(i64::MIN);
     clock.step_wall_ms(i64::MAX);
     clock.advance(u64::MAX);
@@ -36,7 +54,18 @@
     assert_eq!(clock.read().time_of_stamp(995_000), 95 * SECOND);
     clock.step_wall_ms(HOUR_MS);
     // The same five seconds, told by a stamp of the stepped clock.
-    assert_eq!(clock.read().time_of_stamp(995_000 + HOUR_MS as u64), 95 * SECOND);
-    assert_eq!(clock.read().time_of_stamp(u64::MAX), 100 * SECOND, "in the future: now");
-    assert_eq!(clock.read().time_of_stamp(0), 1, "before the beginning: never 0, which means unknown");
+    assert_eq!(
+        clock.read().time_of_stamp(995_000 + HOUR_MS as u64),
+        95 * SECOND
+    );
+    assert_eq!(
+        clock.read().time_of_stamp(u64::MAX),
+        100 * SECOND,
+        "in the future: now"
+    );
+    assert_eq!(
+        clock.read().time_of_stamp(0),
+        1,
+        "before the beginning: never 0, which means unknown"
+    );
 }
--- a/crates/pipithub-consumer/src/backoff.rs
+++ b/crates/pipithub-consumer/src/backoff.rs
@@ -17,7 +17,14 @@
 impl Backoff {
     /// Waits from `first`, doubling to `longest`; equal seeds wait equally.
     pub fn new(first: Time, longest: Time, healthy: Time, seed: u64) -> Self {
-        Backoff { first, longest, healthy, failures: 0, up_since: None, random: seed | 1 }
+        Backoff {
+            first,
+            longest,
+            healthy,
+            failures: 0,
+            up_since: None,
+            random: seed | 1,
+        }
     }
 
     /// The try worked.
@@ -29,10 +36,17 @@
     /// broker do not come back in step; a connection that breaks as soon as it is up counts as a failure, so that
     /// a broker in trouble is not asked without pause.
     pub fn down(&mut self, now: Time) -> Time {
-        if self.up_since.take().is_some_and(|up| now >= up + self.healthy) {
+        if self
+            .up_since
+            .take()
+            .is_some_and(|up| now >= up + self.healthy)
+        {
             self.failures = 0;
         }
-        let wait = self.first.saturating_mul(1 << self.failures.min(20)).min(self.longest);
+        let wait = self
+            .first
+            .saturating_mul(1 << self.failures.min(20))
+            .min(self.longest);
         self.failures = self.failures.saturating_add(1);
         // xorshift64: chance enough for jitter.
         self.random ^= self.random << 13;
--- a/crates/pipithub-consumer/src/consumer.rs
+++ b/crates/pipithub-consumer/src/consumer.rs
@@ -233,8 +233,11 @@
     fn lost(&mut self, why: &str) {
         self.endpoint = None;
         self.void(why);
-        self.phase =
-            if self.stopping { Phase::Stopped } else { Phase::Idle(self.now + self.backoff.down(self.now)) };
+        self.phase = if self.stopping {
+            Phase::Stopped
+        } else {
+            Phase::Idle(self.now + self.backoff.down(self.now))
+        };
     }
 
     /// Tickets are void: what they stand for will be delivered again, unless its transaction had been done.
@@ -265,7 +268,10 @@
             }
             _ => None,
         };
-        [own, self.endpoint.as_ref().and_then(Endpoint::next_timeout)].into_iter().flatten().min()
+        [own, self.endpoint.as_ref().and_then(Endpoint::next_timeout)]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// Does what is due.
@@ -285,7 +291,11 @@
 
     /// Takes the bytes to write.
     pub fn take_output(&mut self, now: Time) -> Bytes {
-        let output = self.endpoint.as_mut().map(|e| e.take_output(now)).unwrap_or_default();
+        let output = self
+            .endpoint
+            .as_mut()
+            .map(|e| e.take_output(now))
+            .unwrap_or_default();
         // What was held back for want of room to write may go on.
         self.begin_commit();
         output
@@ -344,13 +354,17 @@
 
     fn channel(&self) -> Option<u16> {
         match self.phase {
-            Phase::Setup(channel) | Phase::Consuming(channel) | Phase::Paused(channel, _) => Some(channel),
+            Phase::Setup(channel) | Phase::Consuming(channel) | Phase::Paused(channel, _) => {
+                Some(channel)
+            }
             _ => None,
         }
     }
 
     fn send(&mut self, method: Method) {
-        let (Some(channel), Some(endpoint)) = (self.channel(), &mut self.endpoint) else { return };
+        let (Some(channel), Some(endpoint)) = (self.channel(), &mut self.endpoint) else {
+            return;
+        };
         if let Err(error) = endpoint.send(channel, method) {
             let why = error.to_string();
             endpoint.close(Fault::new(Code::InternalError, why));
@@ -396,14 +410,24 @@
     }
 
     fn send_limit(&mut self, limit: u16) {
-        self.sent_limit = SentLimit { count: limit, at: self.now };
+        self.sent_limit = SentLimit {
+            count: limit,
+            at: self.now,
+        };
         let global = self.settings.qos == Qos::Channel;
-        self.send(Method::BasicQos { prefetch_size: 0, prefetch_count: limit, global });
+        self.send(Method::BasicQos {
+            prefetch_size: 0,
+            prefetch_count: limit,
+            global,
+        });
     }
 
     fn pause(&mut self, channel: u16, until: Option<Time>) {
         let consumer_tag = self.tag.clone();
-        self.send(Method::BasicCancel { consumer_tag, no_wait: false });
+        self.send(Method::BasicCancel {
+            consumer_tag,
+            no_wait: false,
+        });
         self.phase = Phase::Paused(channel, until);
     }
 
@@ -449,7 +473,9 @@
                     }
                     self.send(Method::TxSelect {});
                 }
-                Event::Method { method, content, .. } => self.method(method, content),
+                Event::Method {
+                    method, content, ..
+                } => self.method(method, content),
                 Event::Blocked(reason) => {
                     self.blocked = reason.is_some();
                     self.notices.push_back(Notice::Blocked(reason));
@@ -475,7 +501,11 @@
                     self.void(&fault.to_string());
                     // The shell writes what is left and then tells that the transport is gone.
                     let next = self.now + self.backoff.down(self.now);
-                    self.phase = if self.stopping { Phase::Stopped } else { Phase::Idle(next) };
+                    self.phase = if self.stopping {
+                        Phase::Stopped
+                    } else {
+                        Phase::Idle(next)
+                    };
                 }
                 Event::Login { .. } | Event::OpenRequested { .. } | Event::Flow { .. } => {}
             }
@@ -483,7 +513,9 @@
     }
 
     fn method(&mut self, method: Method, content: Option<Box<Content>>) {
-        let Some(channel) = self.channel() else { return };
+        let Some(channel) = self.channel() else {
+            return;
+        };
         match (method, content) {
             (Method::TxSelectOk {}, _) => {
                 if self.stopping {
@@ -509,18 +541,34 @@
                 self.notices.push_back(Notice::Cancelled);
                 self.phase = Phase::Paused(channel, Some(self.now + self.backoff.down(self.now)));
             }
-            (Method::BasicDeliver { delivery_tag, redelivered, .. }, Some(content)) => {
+            (
+                Method::BasicDeliver {
+                    delivery_tag,
+                    redelivered,
+                    ..
+                },
+                Some(content),
+            ) => {
                 self.delivered(delivery_tag, redelivered, *content);
             }
             (Method::BasicReturn { routing_key, .. }, Some(content)) => {
-                let correlation_id = content.properties.correlation_id.as_deref().map(str::to_string);
-                self.notices
-                    .push_back(Notice::Returned { reply_to: routing_key.to_string(), correlation_id });
+                let correlation_id = content
+                    .properties
+                    .correlation_id
+                    .as_deref()
+                    .map(str::to_string);
+                self.notices.push_back(Notice::Returned {
+                    reply_to: routing_key.to_string(),
+                    correlation_id,
+                });
             }
             (Method::TxCommitOk {}, _) => {
                 for number in std::mem::take(&mut self.committing) {
                     if self.in_flight.remove(&number).is_some() {
-                        let ticket = Ticket { source: self.settings.source, number };
+                        let ticket = Ticket {
+                            source: self.settings.source,
+                            number,
+                        };
                         self.notices.push_back(Notice::Settled(ticket));
                     }
                 }
@@ -535,16 +583,35 @@
     fn delivered(&mut self, tag: u64, redelivered: bool, content: Content) {
         let number = self.next_ticket;
         self.next_ticket += 1;
-        self.in_flight.insert(number, InFlight { tag, address: Address::of(&content.properties) });
-        let ConsumerSettings { queue, route, classes, .. } = &self.settings;
-        let arrival = ArrivalTime { wall_ms: self.wall_ms, latest_wall_ms: self.latest_wall_ms };
+        self.in_flight.insert(
+            number,
+            InFlight {
+                tag,
+                address: Address::of(&content.properties),
+            },
+        );
+        let ConsumerSettings {
+            queue,
+            route,
+            classes,
+            ..
+        } = &self.settings;
+        let arrival = ArrivalTime {
+            wall_ms: self.wall_ms,
+            latest_wall_ms: self.latest_wall_ms,
+        };
         let read = message::read(&content, queue, route, classes, arrival).and_then(|read| {
-            let user = self.identity.user(&content, queue, redelivered, self.now, self.wall_ms)?;
+            let user = self
+                .identity
+                .user(&content, queue, redelivered, self.now, self.wall_ms)?;
             Ok((read, user))
         });
         match read {
             Ok((read, user)) => {
-                let ticket = Ticket { source: self.settings.source, number };
+                let ticket = Ticket {
+                    source: self.settings.source,
+                    number,
+                };
                 let trigger = Trigger {
                     ticket,
                     identity: read.identity,
@@ -556,7 +623,10 @@
             }
             Err(why) => {
                 let message_id = content.properties.message_id.as_deref().map(str::to_string);
-                self.notices.push_back(Notice::Unreadable { message_id, why: why.clone() });
+                self.notices.push_back(Notice::Unreadable {
+                    message_id,
+                    why: why.clone(),
+                });
                 self.enqueue_answer(number, PendingAnswer::Unreadable(why, Box::new(content)));
             }
         }
@@ -566,16 +636,28 @@
 
     /// Publishes what is pending and acks its messages, in one transaction: done both or neither.
     fn begin_commit(&mut self) {
-        let Some(channel) = self.channel() else { return };
-        let full = self.endpoint.as_ref().is_none_or(|e| e.output_len() > MAX_OUTPUT);
+        let Some(channel) = self.channel() else {
+            return;
+        };
+        let full = self
+            .endpoint
+            .as_ref()
+            .is_none_or(|e| e.output_len() > MAX_OUTPUT);
         if self.blocked || !self.committing.is_empty() || self.pending.is_empty() || full {
             return;
         }
         while self.committing.len() < MAX_BATCH {
-            let Some((ticket, pending)) = self.pending.pop_front() else { break };
-            let Some(InFlight { tag, address }) = self.in_flight.get(&ticket) else { continue };
+            let Some((ticket, pending)) = self.pending.pop_front() else {
+                break;
+            };
+            let Some(InFlight { tag, address }) = self.in_flight.get(&ticket) else {
+                continue;
+            };
             let (tag, address) = (*tag, address.clone());
-            let mut settle = Method::BasicAck { delivery_tag: tag, multiple: false };
+            let mut settle = Method::BasicAck {
+                delivery_tag: tag,
+                multiple: false,
+            };
             match pending {
                 PendingAnswer::Nothing => {}
                 PendingAnswer::Answer(reply) => {
@@ -583,15 +665,30 @@
                     self.publish_answer(channel, &address, properties, &body);
                 }
                 PendingAnswer::Unreadable(why, content) => {
-                    self.publish_answer(channel, &address, message::answer_unreadable(&address, &why), &[]);
-                    match self.settings.dead_letter.as_ref().filter(|_| !self.no_dead_letters) {
+                    self.publish_answer(
+                        channel,
+                        &address,
+                        message::answer_unreadable(&address, &why),
+                        &[],
+                    );
+                    match self
+                        .settings
+                        .dead_letter
+                        .as_ref()
+                        .filter(|_| !self.no_dead_letters)
+                    {
                         Some((exchange, key)) => {
                             let (exchange, key) = (exchange.clone(), key.clone());
                             let queue = &self.settings.queue;
                             let properties = message::dead_letter(&content.properties, queue, &why);
                             self.publish(channel, &exchange, &key, properties, &content.body);
                         }
-                        None => settle = Method::BasicReject { delivery_tag: tag, requeue: false },
+                        None => {
+                            settle = Method::BasicReject {
+                                delivery_tag: tag,
+                                requeue: false,
+                            }
+                        }
                     }
                 }
             }
@@ -603,13 +700,26 @@
         }
     }
 
-    fn publish_answer(&mut self, channel: u16, address: &Address, properties: Properties, body: &[u8]) {
+    fn publish_answer(
+        &mut self,
+        channel: u16,
+        address: &Address,
+        properties: Properties,
+        body: &[u8],
+    ) {
         if let Some(reply_to) = &address.reply_to {
             self.publish(channel, "", reply_to, properties, body);
         }
     }
 
-    fn publish(&mut self, channel: u16, exchange: &str, key: &str, properties: Properties, body: &[u8]) {
+    fn publish(
+        &mut self,
+        channel: u16,
+        exchange: &str,
+        key: &str,
+        properties: Properties,
+        body: &[u8],
+    ) {
         let method = Method::BasicPublish {
             exchange: ShortStr::truncated(exchange),
             routing_key: ShortStr::truncated(key),
--- a/crates/pipithub-consumer/src/identity.rs
+++ b/crates/pipithub-consumer/src/identity.rs
@@ -42,7 +42,10 @@
 impl std::fmt::Debug for Keys {
     /// Never shows a key.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Keys").field("ids", &self.keys.keys()).field("max_age", &self.max_age).finish()
+        f.debug_struct("Keys")
+            .field("ids", &self.keys.keys())
+            .field("max_age", &self.max_age)
+            .finish()
     }
 }
 
@@ -73,8 +76,12 @@
 pub fn signed_text(content: &Content, queue: &str) -> Vec<u8> {
     let p = &content.properties;
     let header = |name| text(content, name).unwrap_or_default();
-    let sent =
-        p.headers.as_ref().and_then(|h| h.get("pipithub-sent-ms")).and_then(|v| v.as_i64()).unwrap_or(-1);
+    let sent = p
+        .headers
+        .as_ref()
+        .and_then(|h| h.get("pipithub-sent-ms"))
+        .and_then(|v| v.as_i64())
+        .unwrap_or(-1);
     let sent = sent.to_string();
     let parts = [
         "pipithub-v1",
@@ -108,20 +115,30 @@
 /// The signature of a message under a key, as its header has it.
 pub fn sign(key: &[u8], content: &Content, queue: &str) -> String {
     let bytes = mac(key, content, queue).map(|m| m.finalize().into_bytes());
-    bytes.iter().flat_map(|b| b.iter()).map(|b| format!("{b:02x}")).collect()
+    bytes
+        .iter()
+        .flat_map(|b| b.iter())
+        .map(|b| format!("{b:02x}"))
+        .collect()
 }
 
 fn unhex(text: &str) -> Option<Vec<u8>> {
     if !text.is_ascii() || !text.len().is_multiple_of(2) || text.len() > 128 {
         return None;
     }
-    (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).ok()).collect()
+    (0..text.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).ok())
+        .collect()
 }
 
 impl Identity {
     /// By a rule.
     pub fn new(rule: Rule) -> Self {
-        Identity { rule, ..Identity::default() }
+        Identity {
+            rule,
+            ..Identity::default()
+        }
     }
 
     /// The user of a message, folded; `None` where none is asked for. `again`: the broker says that it delivers it again.
@@ -141,7 +158,12 @@
                 return no("this queue takes no word on users: header pipithub-user");
             }
             Rule::None => return Ok(None),
-            Rule::Broker => match content.properties.user_id.as_deref().filter(|u| !u.is_empty()) {
+            Rule::Broker => match content
+                .properties
+                .user_id
+                .as_deref()
+                .filter(|u| !u.is_empty())
+            {
                 None => return no("no user: property user_id is missing"),
                 Some(user) if named.is_some_and(|n| n != user) => {
                     return no("header pipithub-user is not the user_id that the broker checked");
@@ -149,30 +171,47 @@
                 Some(user) => user,
             },
             Rule::Signed(keys) => {
-                let Some(user) = named else { return no("no user: header pipithub-user is missing") };
+                let Some(user) = named else {
+                    return no("no user: header pipithub-user is missing");
+                };
                 let key = text(content, "pipithub-key-id").and_then(|id| keys.keys.get(id));
                 let signature = text(content, "pipithub-signature").and_then(unhex);
                 let (Some(key), Some(signature)) = (key, signature) else {
-                    return no("no signature under a known key: pipithub-key-id, pipithub-signature");
+                    return no(
+                        "no signature under a known key: pipithub-key-id, pipithub-signature",
+                    );
                 };
-                let fits = mac(key, content, queue).is_some_and(|m| m.verify_slice(&signature).is_ok());
+                let fits =
+                    mac(key, content, queue).is_some_and(|m| m.verify_slice(&signature).is_ok());
                 if !fits {
                     return no("the signature does not fit the message");
                 }
                 let headers = content.properties.headers.as_ref();
-                let sent = headers.and_then(|h| h.get("pipithub-sent-ms")).and_then(|v| v.as_i64());
+                let sent = headers
+                    .and_then(|h| h.get("pipithub-sent-ms"))
+                    .and_then(|v| v.as_i64());
                 let Some(sent) = sent.and_then(|s| u64::try_from(s).ok()) else {
                     return no("a signed call needs header pipithub-sent-ms");
                 };
-                let tolerance = Tolerance { behind_ms: keys.max_age / MS, ahead_ms: MAX_AHEAD_MS };
+                let tolerance = Tolerance {
+                    behind_ms: keys.max_age / MS,
+                    ahead_ms: MAX_AHEAD_MS,
+                };
                 if !tolerance.accepts(sent, wall_ms) {
                     return no("the signature is too old, or from the future");
                 }
-                let Some(id) = content.properties.message_id.as_deref().filter(|id| !id.is_empty()) else {
+                let Some(id) = content
+                    .properties
+                    .message_id
+                    .as_deref()
+                    .filter(|id| !id.is_empty())
+                else {
                     return no("a signed call needs a message_id");
                 };
                 if !self.replays.is_new(id, sent, now, wall_ms, tolerance) && !again {
-                    return no("a signed call came a second time, and not from the broker's own doing");
+                    return no(
+                        "a signed call came a second time, and not from the broker's own doing",
+                    );
                 }
                 user
             }
@@ -187,5 +226,9 @@
 /// As directories compare names: case and runs of spaces do not count.
 fn fold(user: &str) -> String {
     let words: Vec<&str> = user.split(' ').filter(|w| !w.is_empty()).collect();
-    words.join(" ").chars().flat_map(char::to_lowercase).collect()
+    words
+        .join(" ")
+        .chars()
+        .flat_map(char::to_lowercase)
+        .collect()
 }
--- a/crates/pipithub-consumer/src/latest_wall.rs
+++ b/crates/pipithub-consumer/src/latest_wall.rs
@@ -18,8 +18,9 @@
     pub fn observe(&mut self, now: Time, wall_ms: u64) -> u64 {
         let now_ms = to_signed(now / NANOS_PER_MS);
         let lead = to_signed(wall_ms).saturating_sub(now_ms);
-        let held =
-            self.lead.filter(|(held, seen)| *held > lead && now.saturating_sub(*seen) <= STEP_BACK_WINDOW);
+        let held = self
+            .lead
+            .filter(|(held, seen)| *held > lead && now.saturating_sub(*seen) <= STEP_BACK_WINDOW);
         let (greatest, _) = *self.lead.insert(held.unwrap_or((lead, now)));
         u64::try_from(now_ms.saturating_add(greatest)).unwrap_or(0)
     }
--- a/crates/pipithub-consumer/src/message.rs
+++ b/crates/pipithub-consumer/src/message.rs
@@ -76,11 +76,17 @@
     }
 
     fn number(self, name: &str) -> Result<Option<f64>, Unreadable> {
-        let Some(value) = self.get(name) else { return Ok(None) };
-        let number = value.as_f64().or_else(|| value.as_str().and_then(|s| s.trim().parse().ok()));
+        let Some(value) = self.get(name) else {
+            return Ok(None);
+        };
+        let number = value
+            .as_f64()
+            .or_else(|| value.as_str().and_then(|s| s.trim().parse().ok()));
         match number.filter(|n| n.is_finite() && *n >= 0.0) {
             Some(number) => Ok(Some(number)),
-            None => Err(Unreadable(format!("header {name} is not a number that is not negative"))),
+            None => Err(Unreadable(format!(
+                "header {name} is not a number that is not negative"
+            ))),
         }
     }
 
@@ -91,8 +97,13 @@
     }
 
     fn text(self, name: &str) -> Result<Option<&'a str>, Unreadable> {
-        let Some(value) = self.get(name) else { return Ok(None) };
-        value.as_str().map(Some).ok_or_else(|| Unreadable(format!("header {name} is not a text")))
+        let Some(value) = self.get(name) else {
+            return Ok(None);
+        };
+        value
+            .as_str()
+            .map(Some)
+            .ok_or_else(|| Unreadable(format!("header {name} is not a text")))
     }
 }
 
@@ -136,18 +147,26 @@
     let message_id = message_id(properties);
     let needs_key = classes[class].1;
     let key = key(headers, message_id, needs_key)?;
-    let lanes = headers.number("pipithub-lanes")?.map_or(route.lanes, |lanes| lanes.min(MAX_LANES) as u32);
+    let lanes = headers
+        .number("pipithub-lanes")?
+        .map_or(route.lanes, |lanes| lanes.min(MAX_LANES) as u32);
     let call = Call {
         function,
         class,
         budget: client_wait.map(|wait| wait.saturating_sub(waited)),
         waited,
-        age: sent.earliest_ms.and_then(|sent_ms| arrival.max_age(sent_ms)),
+        age: sent
+            .earliest_ms
+            .and_then(|sent_ms| arrival.max_age(sent_ms)),
         expected: headers.span("pipithub-expected-ms")?.or(route.expected),
-        memory_mb: headers.number("pipithub-memory-mb")?.unwrap_or(route.memory_mb),
+        memory_mb: headers
+            .number("pipithub-memory-mb")?
+            .unwrap_or(route.memory_mb),
         lanes: lanes.max(1),
         load_time: headers.span("pipithub-load-ms")?.or(route.load_time),
-        label: message_id.or(properties.correlation_id.as_deref()).map(Into::into),
+        label: message_id
+            .or(properties.correlation_id.as_deref())
+            .map(Into::into),
         key,
         content_type: properties.content_type.as_deref().map(Into::into),
         body: content.body.clone(),
@@ -155,9 +174,16 @@
         user: None,
         person: 0,
     };
-    let deliveries = headers.get("x-delivery-count").and_then(FieldValue::as_i64).unwrap_or(0);
+    let deliveries = headers
+        .get("x-delivery-count")
+        .and_then(FieldValue::as_i64)
+        .unwrap_or(0);
     let deliveries = deliveries.clamp(0, i64::from(u32::MAX)) as u32;
-    Ok(Read { call, identity: identity(properties, queue), deliveries })
+    Ok(Read {
+        call,
+        identity: identity(properties, queue),
+        deliveries,
+    })
 }
 
 fn class(
@@ -166,8 +192,13 @@
     route: &Route,
     classes: &[(String, bool)],
 ) -> Result<usize, Unreadable> {
-    let Some(name) = headers.text("pipithub-class")?.or(properties.kind.as_deref()) else {
-        return route.class.ok_or_else(|| Unreadable("no class: header pipithub-class is missing".into()));
+    let Some(name) = headers
+        .text("pipithub-class")?
+        .or(properties.kind.as_deref())
+    else {
+        return route
+            .class
+            .ok_or_else(|| Unreadable("no class: header pipithub-class is missing".into()));
     };
     if let Some(class) = classes.iter().position(|(known, _)| known == name) {
         return Ok(class);
@@ -203,10 +234,18 @@
         None => None,
         Some(text) => match text.parse::<u64>() {
             Ok(ms) => Some(ms.min(MAX_SPAN_MS) * MS),
-            Err(_) => return Err(Unreadable(format!("expiration '{text}' is not a number of milliseconds"))),
+            Err(_) => {
+                return Err(Unreadable(format!(
+                    "expiration '{text}' is not a number of milliseconds"
+                )));
+            }
         },
     };
-    Ok([expiration, budget?].into_iter().flatten().min().or(route.budget))
+    Ok([expiration, budget?]
+        .into_iter()
+        .flatten()
+        .min()
+        .or(route.budget))
 }
 
 /// When a message was sent, in Unix milliseconds.
@@ -222,7 +261,9 @@
 impl SendTime {
     fn read(properties: &Properties, headers: Headers<'_>) -> Result<Self, Unreadable> {
         let exact_ms = headers.number("pipithub-sent-ms")?.map(|ms| ms as u64);
-        let second_ms = properties.timestamp.map(|seconds| seconds.saturating_mul(1000));
+        let second_ms = properties
+            .timestamp
+            .map(|seconds| seconds.saturating_mul(1000));
         Ok(SendTime {
             earliest_ms: exact_ms.or(second_ms),
             latest_ms: exact_ms.or(second_ms.map(|ms| ms.saturating_add(999))),
@@ -240,7 +281,10 @@
         return Some(format!("{queue}\0{id}").into());
     }
     let reply_to = properties.reply_to.as_deref()?;
-    let correlation_id = properties.correlation_id.as_deref().filter(|id| !id.is_empty())?;
+    let correlation_id = properties
+        .correlation_id
+        .as_deref()
+        .filter(|id| !id.is_empty())?;
     Some(format!("{queue}\0\0{reply_to}\0{correlation_id}").into())
 }
 
@@ -254,8 +298,9 @@
     if given.is_some() || !is_needed {
         return Ok(given.map(Into::into));
     }
-    let missing =
-        || Unreadable("no key: a call of this class needs header pipithub-key or a message_id".into());
+    let missing = || {
+        Unreadable("no key: a call of this class needs header pipithub-key or a message_id".into())
+    };
     message_id.map(|id| Some(id.into())).ok_or_else(missing)
 }
 
@@ -292,7 +337,10 @@
 pub fn answer(address: &Address, reply: &Reply) -> (Properties, Bytes) {
     let mut headers = headers(reply.verdict.as_str(), reply.cause.as_str(), reply.attempts);
     if let Some(after) = reply.retry_after {
-        headers = headers.with("pipithub-retry-after-ms", i64::try_from(after / MS).unwrap_or(i64::MAX));
+        headers = headers.with(
+            "pipithub-retry-after-ms",
+            i64::try_from(after / MS).unwrap_or(i64::MAX),
+        );
     }
     if let Some(worker) = &reply.worker {
         headers = headers.with("pipithub-worker", &*worker.0);
@@ -300,7 +348,10 @@
     let (content_type, body) = match &reply.served {
         Some(served) => {
             headers = headers.with("pipithub-status", i64::from(served.status));
-            (served.content_type.as_deref().map(ShortStr::truncated), served.body.clone())
+            (
+                served.content_type.as_deref().map(ShortStr::truncated),
+                served.body.clone(),
+            )
         }
         None => (None, Bytes::new()),
     };
@@ -313,7 +364,11 @@
     properties(address, headers, None)
 }
 
-fn properties(address: &Address, headers: FieldTable, content_type: Option<ShortStr>) -> Properties {
+fn properties(
+    address: &Address,
+    headers: FieldTable,
+    content_type: Option<ShortStr>,
+) -> Properties {
     Properties {
         content_type,
         headers: Some(headers),
@@ -327,6 +382,12 @@
 /// The properties of the copy of an unreadable message that goes to the dead letters.
 pub fn dead_letter(original: &Properties, queue: &str, why: &Unreadable) -> Properties {
     let headers = original.headers.clone().unwrap_or_default();
-    let headers = headers.with("pipithub-reason", why.0.as_str()).with("pipithub-queue", queue);
-    Properties { headers: Some(headers), expiration: None, ..original.clone() }
+    let headers = headers
+        .with("pipithub-reason", why.0.as_str())
+        .with("pipithub-queue", queue);
+    Properties {
+        headers: Some(headers),
+        expiration: None,
+        ..original.clone()
+    }
 }
--- a/crates/pipithub-consumer/src/replay.rs
+++ b/crates/pipithub-consumer/src/replay.rs
@@ -42,7 +42,9 @@
     /// For how long an id is remembered at the least.
     fn span(&self) -> Time {
         let accepted_ms = self.behind_ms.saturating_add(self.ahead_ms);
-        accepted_ms.saturating_mul(NANOS_PER_MS).saturating_add(MAX_STEP_BACK)
+        accepted_ms
+            .saturating_mul(NANOS_PER_MS)
+            .saturating_add(MAX_STEP_BACK)
     }
 }
 
@@ -91,7 +93,14 @@
     }
 
     /// Whether a message is new; it is remembered from now on.
-    pub fn is_new(&mut self, id: &str, sent_ms: u64, now: Time, wall_ms: u64, tolerance: Tolerance) -> bool {
+    pub fn is_new(
+        &mut self,
+        id: &str,
+        sent_ms: u64,
+        now: Time,
+        wall_ms: u64,
+        tolerance: Tolerance,
+    ) -> bool {
         self.forget_expired(now, wall_ms, tolerance);
         let id = digest(id);
         if self.ids.contains(&id) || self.forgotten.contains(sent_ms) {
@@ -101,7 +110,11 @@
             self.forget_oldest();
         }
         self.ids.insert(id);
-        self.by_arrival.push_back(Remembered { id, sent_ms, accepted: now });
+        self.by_arrival.push_back(Remembered {
+            id,
+            sent_ms,
+            accepted: now,
+        });
         true
     }
 
@@ -135,12 +148,20 @@
 
 impl ForgottenSpans {
     fn contains(&self, sent_ms: u64) -> bool {
-        self.0.iter().any(|span| (span.first_ms..=span.last_ms).contains(&sent_ms))
+        self.0
+            .iter()
+            .any(|span| (span.first_ms..=span.last_ms).contains(&sent_ms))
     }
 
     fn add(&mut self, sent_ms: u64) {
         let place = self.0.partition_point(|span| span.first_ms <= sent_ms);
-        self.0.insert(place, Span { first_ms: sent_ms, last_ms: sent_ms });
+        self.0.insert(
+            place,
+            Span {
+                first_ms: sent_ms,
+                last_ms: sent_ms,
+            },
+        );
         self.0.dedup_by(|later, earlier| {
             let joins = later.first_ms <= earlier.last_ms.saturating_add(SPAN_GAP_MS);
             if joins {
--- a/crates/pipithub-consumer/tests/backoff.rs
+++ b/crates/pipithub-consumer/tests/backoff.rs
@@ -23,7 +23,8 @@
 
 #[test]
 fn clients_do_not_wait_in_step() {
-    let waits: std::collections::BTreeSet<Time> =
-        (0..100).map(|seed| Backoff::new(50 * MS, 5_000 * MS, MS, seed * 77 + 1).down(0)).collect();
+    let waits: std::collections::BTreeSet<Time> = (0..100)
+        .map(|seed| Backoff::new(50 * MS, 5_000 * MS, MS, seed * 77 + 1).down(0))
+        .collect();
     assert!(waits.len() > 40, "{}", waits.len());
 }
--- a/crates/pipithub-consumer/tests/message.rs
+++ b/crates/pipithub-consumer/tests/message.rs
@@ -10,17 +10,28 @@
 const MS: Time = 1_000_000;
 
 const WALL: u64 = 1_800_000_000_500;
-const ARRIVAL: ArrivalTime = ArrivalTime { wall_ms: WALL, latest_wall_ms: WALL };
+const ARRIVAL: ArrivalTime = ArrivalTime {
+    wall_ms: WALL,
+    latest_wall_ms: WALL,
+};
 
 fn classes() -> Vec<(String, bool)> {
     vec![("view".into(), false), ("change".into(), true)]
 }
 
 fn content(change: impl FnOnce(&mut Properties)) -> Content {
-    let headers = FieldTable::new().with("pipithub-function", "f").with("pipithub-class", "view");
-    let mut properties = Properties { headers: Some(headers), ..Properties::default() };
+    let headers = FieldTable::new()
+        .with("pipithub-function", "f")
+        .with("pipithub-class", "view");
+    let mut properties = Properties {
+        headers: Some(headers),
+        ..Properties::default()
+    };
     change(&mut properties);
-    Content { properties, body: Bytes::from_static(b"x") }
+    Content {
+        properties,
+        body: Bytes::from_static(b"x"),
+    }
 }
 
 fn header(p: &mut Properties, name: &str, value: impl Into<FieldValue>) {
@@ -28,14 +39,23 @@
 }
 
 fn read_it(change: impl FnOnce(&mut Properties)) -> Result<Read, Unreadable> {
-    read(&content(change), "q", &Route::default(), &classes(), ARRIVAL)
+    read(
+        &content(change),
+        "q",
+        &Route::default(),
+        &classes(),
+        ARRIVAL,
+    )
 }
 
 #[test]
 fn time_left_is_worked_out_from_when_it_was_sent() {
     let budget = |change: fn(&mut Properties)| read_it(change).expect("readable").call.budget;
     assert_eq!(budget(|_| {}), None);
-    assert_eq!(budget(|p| p.expiration = Some(ShortStr::truncated("900"))), Some(900 * MS));
+    assert_eq!(
+        budget(|p| p.expiration = Some(ShortStr::truncated("900"))),
+        Some(900 * MS)
+    );
     let sent = |p: &mut Properties| {
         p.expiration = Some(ShortStr::truncated("900"));
         header(p, "pipithub-sent-ms", (WALL - 400) as i64);
@@ -93,20 +113,35 @@
         header(p, "pipithub-class", "change");
     });
     let named = named.expect("readable");
-    assert_eq!((named.identity.as_deref(), named.call.key.as_deref()), (Some("q\0m"), Some("m")));
+    assert_eq!(
+        (named.identity.as_deref(), named.call.key.as_deref()),
+        (Some("q\0m"), Some("m"))
+    );
     let by_reply = read_it(|p| {
         p.reply_to = Some(ShortStr::truncated("r"));
         p.correlation_id = Some(ShortStr::truncated("c"));
     });
-    assert_eq!(by_reply.expect("readable").identity.as_deref(), Some("q\0\0r\0c"));
+    assert_eq!(
+        by_reply.expect("readable").identity.as_deref(),
+        Some("q\0\0r\0c")
+    );
     assert_eq!(read_it(|_| {}).expect("readable").identity, None);
     // Another use of `type` does no harm where the route gives the class.
-    let route = Route { class: Some(0), ..Route::default() };
+    let route = Route {
+        class: Some(0),
+        ..Route::default()
+    };
     let odd = content(|p| {
         p.kind = Some(ShortStr::truncated("com.example.Event"));
         p.headers = Some(FieldTable::new().with("pipithub-function", "f"));
     });
-    assert_eq!(read(&odd, "q", &route, &classes(), ARRIVAL).expect("readable").call.class, 0);
+    assert_eq!(
+        read(&odd, "q", &route, &classes(), ARRIVAL)
+            .expect("readable")
+            .call
+            .class,
+        0
+    );
 }
 
 const HOUR_MS: i64 = 3_600_000;
@@ -115,9 +150,15 @@
 fn age_of(sent_ms: u64, latest: &mut LatestWall, clock: &ManualClock) -> Option<Time> {
     let reading = clock.read();
     let latest_wall_ms = latest.observe(reading.now, reading.wall_ms);
-    let arrival = ArrivalTime { wall_ms: reading.wall_ms, latest_wall_ms };
+    let arrival = ArrivalTime {
+        wall_ms: reading.wall_ms,
+        latest_wall_ms,
+    };
     let content = content(|p| header(p, "pipithub-sent-ms", sent_ms as i64));
-    read(&content, "q", &Route::default(), &classes(), arrival).expect("readable").call.age
+    read(&content, "q", &Route::default(), &classes(), arrival)
+        .expect("readable")
+        .call
+        .age
 }
 
 /// By its age it is judged whether a repeat is still dropped by the workers: looking younger, it would run twice.
@@ -129,13 +170,25 @@
         assert_eq!(age_of(WALL, &mut latest, &clock), Some(0));
         clock.advance(20_000 * MS);
         clock.step_wall_ms(step_ms);
-        assert_eq!(age_of(WALL, &mut latest, &clock), Some(20_000 * MS), "step {step_ms}");
+        assert_eq!(
+            age_of(WALL, &mut latest, &clock),
+            Some(20_000 * MS),
+            "step {step_ms}"
+        );
         clock.advance(5_000 * MS);
-        assert_eq!(age_of(WALL, &mut latest, &clock), Some(25_000 * MS), "step {step_ms}");
+        assert_eq!(
+            age_of(WALL, &mut latest, &clock),
+            Some(25_000 * MS),
+            "step {step_ms}"
+        );
         // A day later the clock is taken to have been ahead before.
         clock.advance(24 * 3_600_000 * MS);
         let wall_ms = clock.read().wall_ms;
-        assert_eq!(age_of(wall_ms - 7, &mut latest, &clock), Some(7 * MS), "step {step_ms}");
+        assert_eq!(
+            age_of(wall_ms - 7, &mut latest, &clock),
+            Some(7 * MS),
+            "step {step_ms}"
+        );
     }
 }
 
@@ -151,6 +204,13 @@
 #[test]
 fn of_a_message_from_the_future_no_age_is_known() {
     let clock = ManualClock::new(1, WALL);
-    assert_eq!(age_of(WALL + 1_000, &mut LatestWall::default(), &clock), Some(0), "clocks differ a little");
-    assert_eq!(age_of(WALL + 1_001, &mut LatestWall::default(), &clock), None);
+    assert_eq!(
+        age_of(WALL + 1_000, &mut LatestWall::default(), &clock),
+        Some(0),
+        "clocks differ a little"
+    );
+    assert_eq!(
+        age_of(WALL + 1_001, &mut LatestWall::default(), &clock),
+        None
+    );
 }
--- a/crates/pipithub-consumer/tests/replay.rs
+++ b/crates/pipithub-consumer/tests/replay.rs
@@ -5,7 +5,10 @@
 
 const MS: u64 = 1_000_000;
 const WALL: u64 = 1_800_000_000_000;
-const TOLERANCE: Tolerance = Tolerance { behind_ms: 60_000, ahead_ms: 30_000 };
+const TOLERANCE: Tolerance = Tolerance {
+    behind_ms: 60_000,
+    ahead_ms: 30_000,
+};
 
 fn is_new(memory: &mut ReplayMemory, id: &str, sent_ms: u64, clock: &ManualClock) -> bool {
     let reading = clock.read();
@@ -18,11 +21,17 @@
     let mut clock = ManualClock::new(1, WALL);
     let mut memory = ReplayMemory::with_capacity(10);
     for n in 0..100 {
-        assert!(is_new(&mut memory, &format!("{n}"), clock.read().wall_ms, &clock), "{n}");
+        assert!(
+            is_new(&mut memory, &format!("{n}"), clock.read().wall_ms, &clock),
+            "{n}"
+        );
         clock.advance(100 * MS);
     }
     for n in 0..100 {
-        assert!(!is_new(&mut memory, &format!("{n}"), WALL + 100 * n, &clock), "{n}");
+        assert!(
+            !is_new(&mut memory, &format!("{n}"), WALL + 100 * n, &clock),
+            "{n}"
+        );
     }
 }
 
@@ -40,7 +49,10 @@
     }
     assert!(taken.len() > 8, "{}", taken.len());
     for n in taken {
-        assert!(!is_new(&mut memory, &format!("{n}"), sent(n), &clock), "{n}");
+        assert!(
+            !is_new(&mut memory, &format!("{n}"), sent(n), &clock),
+            "{n}"
+        );
     }
 }
 
@@ -71,7 +83,12 @@
     assert!(is_new(&mut memory, "second", ahead_ms + 500, &clock));
     clock.step_wall_ms(-7_200_000);
     clock.advance(3_700_000 * MS);
-    assert!(is_new(&mut memory, "meanwhile", clock.read().wall_ms, &clock));
+    assert!(is_new(
+        &mut memory,
+        "meanwhile",
+        clock.read().wall_ms,
+        &clock
+    ));
     clock.advance(3_500_200 * MS);
     assert_eq!(clock.read().wall_ms, ahead_ms + 200);
     assert!(is_new(&mut memory, "third", ahead_ms + 200, &clock));
