--- a/crates/pipithub-consumer/tests/with_broker.rs
+++ b/crates/pipithub-consumer/tests/with_broker.rs
@@ -4,11 +4,17 @@
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
-use pipithub_amqp::{Endpoint, Event, FieldTable, FieldValue, Login, Method, Properties, ShortStr, Tuning};
+use pipithub_amqp::{
+    Endpoint, Event, FieldTable, FieldValue, Login, Method, Properties, ShortStr, Tuning,
+};
 use pipithub_consumer::message::Route;
 use pipithub_consumer::{Consumer, ConsumerSettings, Notice, Phase, Qos};
-use pipithub_engine::policy::{Class, Effect, Entry, Limits, ListKind, Load, Outcome, Settings, Worker};
-use pipithub_engine::{AttemptEnd, AttemptId, Engine, EngineSettings, Input, Output, Served, SourceId, Time};
+use pipithub_engine::policy::{
+    Class, Effect, Entry, Limits, ListKind, Load, Outcome, Settings, Worker,
+};
+use pipithub_engine::{
+    AttemptEnd, AttemptId, Engine, EngineSettings, Input, Output, Served, SourceId, Time,
+};
 use pipithub_standin::broker::{Broker, ConnId, Out};
 use proptest::prelude::*;
 
@@ -41,7 +47,10 @@
 
     fn out(&mut self, out: Out) {
         let _ = match out {
-            Out::Method(channel, m, Some(c)) => self.endpoint.send_content(channel, m, c.properties, &c.body),
+            Out::Method(channel, m, Some(c)) => {
+                self.endpoint
+                    .send_content(channel, m, c.properties, &c.body)
+            }
             Out::Method(channel, m, None) => self.endpoint.send(channel, m),
             Out::CloseChannel(channel, fault) => {
                 self.endpoint.close_channel(channel, fault);
@@ -87,7 +96,10 @@
         broker.declare("answers", &FieldTable::new());
         broker.declare("dead", &FieldTable::new());
         let client = Endpoint::client(Login::default(), Tuning::default(), 0);
-        let client_line = Line { id: 1, endpoint: Endpoint::server(Tuning::default(), 0) };
+        let client_line = Line {
+            id: 1,
+            endpoint: Endpoint::server(Tuning::default(), 0),
+        };
         let mut bed = Bed {
             now: 1,
             wall_step_ms: 0,
@@ -123,19 +135,40 @@
     }
 
     fn front(&self, which: usize, life: u64) -> Front {
-        let class =
-            |effect| Class { effect, give_up: 4_000 * MS, dedup_window: 10_000 * MS, ..Class::default() };
+        let class = |effect| Class {
+            effect,
+            give_up: 4_000 * MS,
+            dedup_window: 10_000 * MS,
+            ..Class::default()
+        };
         let policy = Settings {
             tick: MS,
-            classes: vec![class(Effect::Safe), class(Effect::Keyed), class(Effect::Unsafe)],
-            limits: Limits { cancel: true, ..Limits::default() },
+            classes: vec![
+                class(Effect::Safe),
+                class(Effect::Keyed),
+                class(Effect::Unsafe),
+            ],
+            limits: Limits {
+                cancel: true,
+                ..Limits::default()
+            },
             ..Settings::default()
         };
         let max_open = usize::from(self.prefetch);
-        let settings = EngineSettings { policy, max_open, ..EngineSettings::default() };
+        let settings = EngineSettings {
+            policy,
+            max_open,
+            ..EngineSettings::default()
+        };
         let mut engine = Engine::new(settings, which as u64);
-        let entry = |n: u32| Entry { worker: Worker::new(&format!("w{n}")), ..Entry::default() };
-        let workers = Input::Workers { kind: ListKind::Remembered, entries: (0..3).map(entry).collect() };
+        let entry = |n: u32| Entry {
+            worker: Worker::new(&format!("w{n}")),
+            ..Entry::default()
+        };
+        let workers = Input::Workers {
+            kind: ListKind::Remembered,
+            entries: (0..3).map(entry).collect(),
+        };
         engine.handle(self.now, workers, &mut Vec::new());
         let consumer = ConsumerSettings {
             source: SourceId(0),
@@ -144,8 +177,16 @@
             tuning: Tuning::default(),
             queue: "calls".into(),
             declare: true,
-            route: Route { function: Some("f".into()), lanes: 4, ..Route::default() },
-            classes: vec![("safe".into(), false), ("keyed".into(), true), ("unsafe".into(), false)],
+            route: Route {
+                function: Some("f".into()),
+                lanes: 4,
+                ..Route::default()
+            },
+            classes: vec![
+                ("safe".into(), false),
+                ("keyed".into(), true),
+                ("unsafe".into(), false),
+            ],
             prefetch: self.prefetch,
             qos: self.qos,
             dead_letter: Some((String::new(), "dead".into())),
@@ -178,11 +219,23 @@
             }
             while let Some(event) = self.client.poll_event() {
                 match event {
-                    Event::Method { method: Method::BasicDeliver { .. }, content: Some(content), .. } => {
-                        let id = content.properties.correlation_id.as_deref().unwrap_or("none").to_string();
+                    Event::Method {
+                        method: Method::BasicDeliver { .. },
+                        content: Some(content),
+                        ..
+                    } => {
+                        let id = content
+                            .properties
+                            .correlation_id
+                            .as_deref()
+                            .unwrap_or("none")
+                            .to_string();
                         let headers = content.properties.headers.expect("an answer has headers");
                         let verdict = headers.get("pipithub-verdict").and_then(FieldValue::as_str);
-                        self.answers.entry(id).or_default().push(verdict.expect("a verdict").to_string());
+                        self.answers
+                            .entry(id)
+                            .or_default()
+                            .push(verdict.expect("a verdict").to_string());
                     }
                     Event::Closed { fault, .. } => panic!("the client's connection: {fault}"),
                     _ => {}
@@ -195,8 +248,11 @@
                 moved = true;
                 if id == 1 {
                     self.client_line.out(out);
-                } else if let Some(line) =
-                    self.fronts.iter_mut().filter_map(|f| f.line.as_mut()).find(|l| l.id == id)
+                } else if let Some(line) = self
+                    .fronts
+                    .iter_mut()
+                    .filter_map(|f| f.line.as_mut())
+                    .find(|l| l.id == id)
                 {
                     line.out(out);
                 }
@@ -219,7 +275,10 @@
                 return moved;
             }
             front.consumer.connected(now);
-            front.line = Some(Line { id: self.next, endpoint: Endpoint::server(Tuning::default(), now) });
+            front.line = Some(Line {
+                id: self.next,
+                endpoint: Endpoint::server(Tuning::default(), now),
+            });
             self.next += 1;
         }
         let up = front.consumer.take_output(now);
@@ -239,10 +298,18 @@
             moved = true;
             match &notice {
                 Notice::Trigger(trigger) => {
-                    front.engine.handle(now, Input::Trigger((**trigger).clone()), &mut out);
+                    front
+                        .engine
+                        .handle(now, Input::Trigger((**trigger).clone()), &mut out);
+                }
+                Notice::Settled(ticket) => {
+                    front.engine.handle(now, Input::Settled(*ticket), &mut out)
+                }
+                Notice::Lost(_) => {
+                    front
+                        .engine
+                        .handle(now, Input::SourceLost(SourceId(0)), &mut out)
                 }
-                Notice::Settled(ticket) => front.engine.handle(now, Input::Settled(*ticket), &mut out),
-                Notice::Lost(_) => front.engine.handle(now, Input::SourceLost(SourceId(0)), &mut out),
                 Notice::Returned { .. } => self.returned += 1,
                 _ => {}
             }
@@ -261,7 +328,9 @@
                 Output::Cancel(id) => {
                     front.attempts.retain(|(a, _)| *a != id);
                     let end = end(id, Outcome::Cancelled);
-                    front.engine.handle(now, Input::Attempt(end), &mut Vec::new());
+                    front
+                        .engine
+                        .handle(now, Input::Attempt(end), &mut Vec::new());
                 }
                 _ => {}
             }
@@ -298,7 +367,9 @@
             mandatory: true,
             immediate: false,
         };
-        self.client.send_content(1, publish, properties, b"body").expect("open");
+        self.client
+            .send_content(1, publish, properties, b"body")
+            .expect("open");
     }
 
     fn class(class: &'static str) -> impl FnOnce(&mut Properties) {
@@ -312,12 +383,18 @@
             for (id, name) in std::mem::take(&mut front.attempts) {
                 names.push(name);
                 let mut out = Vec::new();
-                front.engine.handle(self.now, Input::Attempt(end(id, outcome)), &mut out);
+                front
+                    .engine
+                    .handle(self.now, Input::Attempt(end(id, outcome)), &mut out);
                 for output in out {
                     match output {
-                        Output::Answer { ticket, reply } => front.consumer.answer(self.now, ticket, reply),
+                        Output::Answer { ticket, reply } => {
+                            front.consumer.answer(self.now, ticket, reply)
+                        }
                         Output::Send { id, call, .. } => {
-                            front.attempts.push((id, call.label.as_deref().unwrap_or("?").to_string()));
+                            front
+                                .attempts
+                                .push((id, call.label.as_deref().unwrap_or("?").to_string()));
                         }
                         _ => {}
                     }
@@ -345,7 +422,10 @@
     }
 
     fn verdicts(&self) -> Vec<(&str, Vec<&str>)> {
-        self.answers.iter().map(|(k, v)| (k.as_str(), v.iter().map(String::as_str).collect())).collect()
+        self.answers
+            .iter()
+            .map(|(k, v)| (k.as_str(), v.iter().map(String::as_str).collect()))
+            .collect()
     }
 }
 
@@ -355,7 +435,15 @@
         content_type: None,
         body: Bytes::from_static(b"done"),
     });
-    AttemptEnd { id, outcome, took: 20 * MS, note: None, alike: None, load: Load::default(), served }
+    AttemptEnd {
+        id,
+        outcome,
+        took: 20 * MS,
+        note: None,
+        alike: None,
+        load: Load::default(),
+        served,
+    }
 }
 
 #[test]
@@ -366,7 +454,10 @@
     assert_eq!(bed.serve(Outcome::Served), ["a"]);
     assert_eq!(bed.verdicts(), [("a", vec!["served"])]);
     assert_eq!(bed.broker.depth("calls"), Some((0, 0)));
-    assert_eq!((bed.fronts[0].engine.open(), bed.fronts[0].consumer.held()), (0, 0));
+    assert_eq!(
+        (bed.fronts[0].engine.open(), bed.fronts[0].consumer.held()),
+        (0, 0)
+    );
 }
 
 /// Delivered again after a step back, a message would look younger than the time for which workers drop its repeats.
@@ -375,7 +466,10 @@
     let mut bed = Bed::new(1, 10, Qos::Channel);
     bed.publish("k", |p| {
         Bed::class("keyed")(p);
-        p.headers = p.headers.take().map(|h| h.with("pipithub-sent-ms", WALL as i64));
+        p.headers = p
+            .headers
+            .take()
+            .map(|h| h.with("pipithub-sent-ms", WALL as i64));
     });
     bed.settle();
     bed.wall_step_ms = -3_600_000;
@@ -389,8 +483,13 @@
             _ => None,
         })
         .collect();
-    let [(false, Some(first)), (true, Some(again))] = ages[..] else { panic!("delivered twice: {ages:?}") };
-    assert!(first < MS && (10 * MS..=3_000 * MS).contains(&again), "{first} {again}");
+    let [(false, Some(first)), (true, Some(again))] = ages[..] else {
+        panic!("delivered twice: {ages:?}")
+    };
+    assert!(
+        first < MS && (10 * MS..=3_000 * MS).contains(&again),
+        "{first} {again}"
+    );
 }
 
 /// Killed in the middle of a call: an unsafe one may have run and is failed, a safe one is served.
@@ -400,7 +499,10 @@
     for (id, class) in [("s", "safe"), ("u", "unsafe"), ("k", "keyed")] {
         bed.publish(id, |p| {
             Bed::class(class)(p);
-            p.headers = p.headers.take().map(|h| h.with("pipithub-sent-ms", WALL as i64));
+            p.headers = p
+                .headers
+                .take()
+                .map(|h| h.with("pipithub-sent-ms", WALL as i64));
         });
     }
     bed.settle();
@@ -411,7 +513,14 @@
     bed.settle();
     assert_eq!(bed.verdicts(), [("u", vec!["failed"])]);
     assert_eq!(bed.serve(Outcome::Served), ["k", "s"]);
-    assert_eq!(bed.verdicts(), [("k", vec!["served"]), ("s", vec!["served"]), ("u", vec!["failed"])]);
+    assert_eq!(
+        bed.verdicts(),
+        [
+            ("k", vec!["served"]),
+            ("s", vec!["served"]),
+            ("u", vec!["failed"])
+        ]
+    );
 }
 
 /// Killed after the answer was published and before the commit reached the broker, or after: one answer either way.
@@ -423,7 +532,9 @@
         bed.settle();
         let (id, _) = bed.fronts[0].attempts.remove(0);
         let mut out = Vec::new();
-        bed.fronts[0].engine.handle(bed.now, Input::Attempt(end(id, Outcome::Served)), &mut out);
+        bed.fronts[0]
+            .engine
+            .handle(bed.now, Input::Attempt(end(id, Outcome::Served)), &mut out);
         let Some(Output::Answer { ticket, reply }) =
             out.into_iter().find(|o| matches!(o, Output::Answer { .. }))
         else {
@@ -432,15 +543,26 @@
         let now = bed.now;
         bed.fronts[0].consumer.answer(now, ticket, reply);
         let bytes = bed.fronts[0].consumer.take_output(now);
-        let (broker, line) = (&mut bed.broker, bed.fronts[0].line.as_mut().expect("a line"));
+        let (broker, line) = (
+            &mut bed.broker,
+            bed.fronts[0].line.as_mut().expect("a line"),
+        );
         // Cut just before the commit's last byte, or right after it.
-        let whole = if reaches { bytes.len() } else { bytes.len() - 1 };
+        let whole = if reaches {
+            bytes.len()
+        } else {
+            bytes.len() - 1
+        };
         line.receive(now, broker, &bytes[..whole]);
         bed.kill(0);
         bed.settle();
         let again = bed.serve(Outcome::Served);
         assert_eq!(again.len(), usize::from(!reaches));
-        assert_eq!(bed.verdicts(), [("a", vec!["served"])], "reaches: {reaches}");
+        assert_eq!(
+            bed.verdicts(),
+            [("a", vec!["served"])],
+            "reaches: {reaches}"
+        );
         assert_eq!(bed.broker.depth("calls"), Some((0, 0)));
     }
 }
@@ -452,7 +574,11 @@
     bed.settle();
     bed.cut(0);
     bed.pass(300 * MS);
-    assert_eq!(bed.fronts[0].engine.stats().joined, 1, "it came back to where it runs");
+    assert_eq!(
+        bed.fronts[0].engine.stats().joined,
+        1,
+        "it came back to where it runs"
+    );
     assert_eq!(bed.serve(Outcome::Served), ["u"]);
     assert_eq!(bed.verdicts(), [("u", vec!["served"])]);
 }
@@ -463,7 +589,10 @@
     bed.publish("bad", Bed::class("unheard-of"));
     bed.settle();
     assert_eq!(bed.verdicts(), [("bad", vec!["refused"])]);
-    assert_eq!((bed.broker.depth("calls"), bed.broker.depth("dead")), (Some((0, 0)), Some((1, 0))));
+    assert_eq!(
+        (bed.broker.depth("calls"), bed.broker.depth("dead")),
+        (Some((0, 0)), Some((1, 0)))
+    );
 }
 
 #[test]
@@ -512,7 +641,12 @@
 #[test]
 fn a_deleted_queue_is_consumed_again_when_it_is_back() {
     let mut bed = Bed::new(1, 10, Qos::Channel);
-    let delete = Method::QueueDelete { queue: s("calls"), if_unused: false, if_empty: false, no_wait: false };
+    let delete = Method::QueueDelete {
+        queue: s("calls"),
+        if_unused: false,
+        if_empty: false,
+        no_wait: false,
+    };
     bed.client.send(1, delete).expect("open");
     bed.settle();
     assert!(bed.fronts[0].notices.contains(&Notice::Cancelled));
@@ -528,10 +662,16 @@
 #[test]
 fn a_queue_with_properties_of_its_own_is_taken_as_it_is() {
     let mut bed = Bed::new(1, 10, Qos::Channel);
-    let delete = Method::QueueDelete { queue: s("calls"), if_unused: false, if_empty: false, no_wait: false };
+    let delete = Method::QueueDelete {
+        queue: s("calls"),
+        if_unused: false,
+        if_empty: false,
+        no_wait: false,
+    };
     bed.client.send(1, delete).expect("open");
     bed.settle();
-    bed.broker.declare("calls", &FieldTable::new().with("x-message-ttl", 60_000i64));
+    bed.broker
+        .declare("calls", &FieldTable::new().with("x-message-ttl", 60_000i64));
     bed.cut(0);
     bed.pass(1_000 * MS);
     bed.publish("a", |_| {});
--- a/crates/pipithub-council/src/client.rs
+++ b/crates/pipithub-council/src/client.rs
@@ -85,7 +85,10 @@
     /// A lease, where it still holds. It is to be asked right before acting: whoever sleeps between the two acts late,
     /// which only the epoch that goes with the act can tell.
     pub fn holds(&self, lease: &str, now: Time) -> Option<Held> {
-        self.leases.get(lease).copied().filter(|held| now < held.until && self.epoch == Some(held.epoch))
+        self.leases
+            .get(lease)
+            .copied()
+            .filter(|held| now < held.until && self.epoch == Some(held.epoch))
     }
 
     /// When [`Client::turn`] is wanted.
@@ -107,14 +110,24 @@
             None => self.asked = Some((now, now + self.again)),
         }
         let to = *self.voters.get(self.leader)?;
-        let asked = Asked { name: self.name.clone(), boot: self.boot, number, command };
+        let asked = Asked {
+            name: self.name.clone(),
+            boot: self.boot,
+            number,
+            command,
+        };
         Some((to, Wire::Ask(asked)))
     }
 
     /// Takes what a voter says.
     pub fn hear(&mut self, now: Time, wire: Wire) -> Option<Told> {
         match wire {
-            Wire::Answer { name, boot, number, answer } if name == self.name && boot == self.boot => {
+            Wire::Answer {
+                name,
+                boot,
+                number,
+                answer,
+            } if name == self.name && boot == self.boot => {
                 let (front, command) = self.waiting.front().cloned()?;
                 if front != number {
                     return None;
@@ -123,7 +136,11 @@
                 let (first, _) = self.asked.take().unwrap_or((now, now));
                 Some(self.answered(first, number, command, answer))
             }
-            Wire::Elsewhere { name, number, leader } if name == self.name => {
+            Wire::Elsewhere {
+                name,
+                number,
+                leader,
+            } if name == self.name => {
                 if self.waiting.front().map(|w| w.0) == Some(number)
                     && let Some((first, _)) = self.asked
                     && let Some(at) = leader.and_then(|l| self.voters.iter().position(|v| *v == l))
@@ -141,18 +158,34 @@
     fn answered(&mut self, first: Time, number: u64, command: Command, answer: Answer) -> Told {
         match (&command, &answer) {
             (Command::Epoch, Answer::Epoch(epoch)) => self.epoch = Some(*epoch),
-            (Command::Acquire { lease, epoch, length }, Answer::Granted) => {
+            (
+                Command::Acquire {
+                    lease,
+                    epoch,
+                    length,
+                },
+                Answer::Granted,
+            ) => {
                 // What is to be given back is not relied on: the log may give it to another before we hear of it.
-                let back = |c: &Command| matches!(c, Command::Release { lease: l, .. } if l == lease);
+                let back =
+                    |c: &Command| matches!(c, Command::Release { lease: l, .. } if l == lease);
                 if self.waiting.iter().any(|(_, c)| back(c)) {
                     return Told::Answer(number, answer);
                 }
                 // From when it was first asked: the log took it in then at the earliest.
                 let until = first + length - length / DRIFT;
-                self.leases.insert(lease.clone(), Held { epoch: *epoch, until });
+                self.leases.insert(
+                    lease.clone(),
+                    Held {
+                        epoch: *epoch,
+                        until,
+                    },
+                );
             }
             (Command::Release { lease, .. }, _) => drop(self.leases.remove(lease)),
-            (Command::Acquire { epoch, .. }, Answer::Fenced { .. }) if self.epoch == Some(*epoch) => {
+            (Command::Acquire { epoch, .. }, Answer::Fenced { .. })
+                if self.epoch == Some(*epoch) =>
+            {
                 self.epoch = None;
                 self.leases.clear();
                 return Told::Fenced;
@@ -165,7 +198,10 @@
     /// Gives a lease back: it is not relied on from now on.
     pub fn release(&mut self, lease: &str) -> Option<u64> {
         let held = self.leases.remove(lease)?;
-        self.ask(Command::Release { lease: lease.to_string(), epoch: held.epoch })
+        self.ask(Command::Release {
+            lease: lease.to_string(),
+            epoch: held.epoch,
+        })
     }
 }
 
@@ -174,7 +210,15 @@
     use super::*;
 
     fn answer(client: &mut Client, now: Time, number: u64, answer: Answer) -> Option<Told> {
-        client.hear(now, Wire::Answer { name: "a".into(), boot: 7, number, answer })
+        client.hear(
+            now,
+            Wire::Answer {
+                name: "a".into(),
+                boot: 7,
+                number,
+                answer,
+            },
+        )
     }
 
     fn with_epoch() -> Client {
@@ -186,7 +230,11 @@
     }
 
     fn acquire() -> Command {
-        Command::Acquire { lease: "l".into(), epoch: 4, length: 6_400 }
+        Command::Acquire {
+            lease: "l".into(),
+            epoch: 4,
+            length: 6_400,
+        }
     }
 
     #[test]
@@ -198,7 +246,13 @@
         assert_eq!(client.turn(1_100).unwrap().0, 2, "no answer: another voter");
         assert!(client.holds("l", 1_100).is_none());
         answer(&mut client, 2_000, number, Answer::Granted);
-        assert_eq!(client.holds("l", 7_299), Some(Held { epoch: 4, until: 7_300 }));
+        assert_eq!(
+            client.holds("l", 7_299),
+            Some(Held {
+                epoch: 4,
+                until: 7_300
+            })
+        );
         assert!(client.holds("l", 7_300).is_none());
     }
 
@@ -224,7 +278,10 @@
         answer(&mut client, 10, first, Answer::Granted);
         let more = client.ask(acquire()).unwrap();
         client.turn(20);
-        assert_eq!(answer(&mut client, 30, more, Answer::Fenced { epoch: 9 }), Some(Told::Fenced));
+        assert_eq!(
+            answer(&mut client, 30, more, Answer::Fenced { epoch: 9 }),
+            Some(Told::Fenced)
+        );
         assert!(client.holds("l", 40).is_none() && client.epoch().is_none());
     }
 
@@ -234,7 +291,12 @@
         let number = client.ask(acquire()).unwrap();
         client.turn(0);
         assert!(answer(&mut client, 5, number + 1, Answer::Granted).is_none());
-        let wire = Wire::Answer { name: "a".into(), boot: 6, number, answer: Answer::Granted };
+        let wire = Wire::Answer {
+            name: "a".into(),
+            boot: 6,
+            number,
+            answer: Answer::Granted,
+        };
         assert!(client.hear(5, wire).is_none());
         assert!(client.holds("l", 6).is_none());
     }
--- a/crates/pipithub-council/src/log.rs
+++ b/crates/pipithub-council/src/log.rs
@@ -87,7 +87,10 @@
         } else {
             // All start from one first snapshot, so that each log begins at the same place.
             log.snapshot.mut_metadata().set_conf_state(log.conf.clone());
-            (log.snapshot.mut_metadata().index, log.snapshot.mut_metadata().term) = (1, 1);
+            (
+                log.snapshot.mut_metadata().index,
+                log.snapshot.mut_metadata().term,
+            ) = (1, 1);
         }
         if let Some(bytes) = &disk.hard {
             log.hard = parse(bytes)?;
@@ -98,12 +101,19 @@
             let parsed: Entry = parse(&entry.bytes)?;
             let next = log.last() + 1;
             if parsed.index != next {
-                return Err(format!("entry {} stands where {next} belongs", parsed.index));
+                return Err(format!(
+                    "entry {} stands where {next} belongs",
+                    parsed.index
+                ));
             }
             log.entries.push(parsed);
         }
         if log.hard.commit > log.last() {
-            return Err(format!("{} entries were agreed, {} are here", log.hard.commit, log.last()));
+            return Err(format!(
+                "{} entries were agreed, {} are here",
+                log.hard.commit,
+                log.last()
+            ));
         }
         Ok(log)
     }
@@ -118,7 +128,9 @@
 
     /// Takes in new entries; whatever stood from the first one's place on gives way.
     pub(crate) fn append(&mut self, entries: &[Entry]) {
-        let Some(begin) = entries.first().map(|e| e.index) else { return };
+        let Some(begin) = entries.first().map(|e| e.index) else {
+            return;
+        };
         let keep = begin.saturating_sub(self.first()) as usize;
         self.entries.truncate(keep);
         self.entries.extend_from_slice(entries);
@@ -146,12 +158,18 @@
 }
 
 pub(crate) fn entry_bytes(entry: &Entry) -> LogEntry {
-    LogEntry { index: entry.index, bytes: entry.write_to_bytes().unwrap_or_default() }
+    LogEntry {
+        index: entry.index,
+        bytes: entry.write_to_bytes().unwrap_or_default(),
+    }
 }
 
 impl Storage for Log {
     fn initial_state(&self) -> Result<RaftState> {
-        Ok(RaftState { hard_state: self.hard.clone(), conf_state: self.conf.clone() })
+        Ok(RaftState {
+            hard_state: self.hard.clone(),
+            conf_state: self.conf.clone(),
+        })
     }
 
     fn entries(
@@ -182,7 +200,10 @@
             return Err(Error::Store(StorageError::Compacted));
         }
         let at = (index - self.first()) as usize;
-        self.entries.get(at).map(|e| e.term).ok_or(Error::Store(StorageError::Unavailable))
+        self.entries
+            .get(at)
+            .map(|e| e.term)
+            .ok_or(Error::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> Result<u64> {
--- a/crates/pipithub-council/src/state.rs
+++ b/crates/pipithub-council/src/state.rs
@@ -146,7 +146,12 @@
     pub fn apply(&mut self, entry: &Stamped) -> Answer {
         // A leader that was just elected may stamp less than the one before: time never goes back.
         self.clock = self.clock.max(entry.at);
-        let Asked { name, boot, number, command } = &entry.asked;
+        let Asked {
+            name,
+            boot,
+            number,
+            command,
+        } = &entry.asked;
         if *command == Command::Clock {
             let clock = self.clock;
             self.leases.retain(|_, l| l.until > clock);
@@ -156,13 +161,18 @@
             && b == boot
             && number <= n
         {
-            return if number == n { answer.clone() } else { Answer::Past };
+            return if number == n {
+                answer.clone()
+            } else {
+                Answer::Past
+            };
         }
         if !self.answered.contains_key(name) && self.answered.len() >= NAMES_MOST {
             return Answer::Full;
         }
         let answer = self.change(name, command);
-        self.answered.insert(name.clone(), (*boot, *number, answer.clone()));
+        self.answered
+            .insert(name.clone(), (*boot, *number, answer.clone()));
         answer
     }
 
@@ -173,7 +183,11 @@
                 self.epochs.insert(name.to_string(), self.next_epoch);
                 Answer::Epoch(self.next_epoch)
             }
-            Command::Acquire { lease, epoch, length } => {
+            Command::Acquire {
+                lease,
+                epoch,
+                length,
+            } => {
                 if let Some(fence) = self.fence(name, *epoch) {
                     return fence;
                 }
@@ -181,29 +195,49 @@
                 let (clock, full) = (self.clock, self.leases.len() >= LEASES_MOST);
                 match self.leases.get_mut(lease) {
                     // An earlier run of the same name is another holder: it may still act.
-                    Some(held) if held.until > clock && (held.holder != *name || held.epoch != *epoch) => {
-                        Answer::Taken { holder: held.holder.clone(), left: held.until - clock }
+                    Some(held)
+                        if held.until > clock && (held.holder != *name || held.epoch != *epoch) =>
+                    {
+                        Answer::Taken {
+                            holder: held.holder.clone(),
+                            left: held.until - clock,
+                        }
                     }
                     None if full => Answer::Full,
                     held => {
                         // Own time left is never cut; another's is over.
-                        let own = held
-                            .map_or(0, |h| if h.holder == *name && h.epoch == *epoch { h.until } else { 0 });
-                        let held = Lease { holder: name.to_string(), epoch: *epoch, until: until.max(own) };
+                        let own = held.map_or(0, |h| {
+                            if h.holder == *name && h.epoch == *epoch {
+                                h.until
+                            } else {
+                                0
+                            }
+                        });
+                        let held = Lease {
+                            holder: name.to_string(),
+                            epoch: *epoch,
+                            until: until.max(own),
+                        };
                         self.leases.insert(lease.clone(), held);
                         Answer::Granted
                     }
                 }
             }
             Command::Release { lease, epoch } => {
-                if self.leases.get(lease).is_some_and(|l| l.holder == name && l.epoch == *epoch) {
+                if self
+                    .leases
+                    .get(lease)
+                    .is_some_and(|l| l.holder == name && l.epoch == *epoch)
+                {
                     self.leases.remove(lease);
                 }
                 Answer::Done
             }
             Command::Settings { version, digest } => {
                 if *version <= self.settings.0 {
-                    return Answer::Newer { version: self.settings.0 };
+                    return Answer::Newer {
+                        version: self.settings.0,
+                    };
                 }
                 self.settings = (*version, *digest);
                 Answer::Done
@@ -223,11 +257,23 @@
     use super::*;
 
     fn ask(state: &mut State, at: Time, name: &str, number: u64, command: Command) -> Answer {
-        state.apply(&Stamped { at, asked: Asked { name: name.into(), boot: 1, number, command } })
+        state.apply(&Stamped {
+            at,
+            asked: Asked {
+                name: name.into(),
+                boot: 1,
+                number,
+                command,
+            },
+        })
     }
 
     fn acquire(epoch: u64) -> Command {
-        Command::Acquire { lease: "l".into(), epoch, length: 10 }
+        Command::Acquire {
+            lease: "l".into(),
+            epoch,
+            length: 10,
+        }
     }
 
     #[test]
@@ -236,10 +282,31 @@
         assert_eq!(ask(&mut s, 1, "a", 1, Command::Epoch), Answer::Epoch(1));
         assert_eq!(ask(&mut s, 1, "b", 1, Command::Epoch), Answer::Epoch(2));
         assert_eq!(ask(&mut s, 5, "a", 2, acquire(1)), Answer::Granted);
-        assert_eq!(ask(&mut s, 14, "b", 2, acquire(2)), Answer::Taken { holder: "a".into(), left: 1 });
+        assert_eq!(
+            ask(&mut s, 14, "b", 2, acquire(2)),
+            Answer::Taken {
+                holder: "a".into(),
+                left: 1
+            }
+        );
         assert_eq!(ask(&mut s, 15, "b", 3, acquire(2)), Answer::Granted);
-        assert_eq!(ask(&mut s, 16, "a", 3, acquire(1)), Answer::Taken { holder: "b".into(), left: 9 });
-        ask(&mut s, 16, "b", 4, Command::Release { lease: "l".into(), epoch: 2 });
+        assert_eq!(
+            ask(&mut s, 16, "a", 3, acquire(1)),
+            Answer::Taken {
+                holder: "b".into(),
+                left: 9
+            }
+        );
+        ask(
+            &mut s,
+            16,
+            "b",
+            4,
+            Command::Release {
+                lease: "l".into(),
+                epoch: 2,
+            },
+        );
         assert_eq!(ask(&mut s, 16, "a", 4, acquire(1)), Answer::Granted);
     }
 
@@ -249,8 +316,17 @@
         ask(&mut s, 1, "a", 1, Command::Epoch);
         ask(&mut s, 1, "a", 2, acquire(1));
         assert_eq!(ask(&mut s, 2, "a", 3, Command::Epoch), Answer::Epoch(2));
-        assert_eq!(ask(&mut s, 3, "a", 4, acquire(1)), Answer::Fenced { epoch: 2 });
-        assert_eq!(ask(&mut s, 3, "a", 5, acquire(2)), Answer::Taken { holder: "a".into(), left: 8 });
+        assert_eq!(
+            ask(&mut s, 3, "a", 4, acquire(1)),
+            Answer::Fenced { epoch: 2 }
+        );
+        assert_eq!(
+            ask(&mut s, 3, "a", 5, acquire(2)),
+            Answer::Taken {
+                holder: "a".into(),
+                left: 8
+            }
+        );
         assert_eq!(ask(&mut s, 11, "a", 6, acquire(2)), Answer::Granted);
     }
 
@@ -266,9 +342,27 @@
     #[test]
     fn time_does_not_go_back_and_versions_only_grow() {
         let mut s = State::default();
-        ask(&mut s, 100, "a", 1, Command::Settings { version: 3, digest: 7 });
+        ask(
+            &mut s,
+            100,
+            "a",
+            1,
+            Command::Settings {
+                version: 3,
+                digest: 7,
+            },
+        );
         assert_eq!(
-            ask(&mut s, 50, "b", 1, Command::Settings { version: 3, digest: 8 }),
+            ask(
+                &mut s,
+                50,
+                "b",
+                1,
+                Command::Settings {
+                    version: 3,
+                    digest: 8
+                }
+            ),
             Answer::Newer { version: 3 }
         );
         assert_eq!((s.clock(), s.settings()), (100, (3, 7)));
--- a/crates/pipithub-council/src/voter.rs
+++ b/crates/pipithub-council/src/voter.rs
@@ -156,7 +156,9 @@
     /// A voter that starts from what its disk holds.
     pub fn new(settings: VoterSettings, disk: &Disk, now: Time, seed: u64) -> Result<Voter, Unfit> {
         if ![1, 3, 5].contains(&settings.voters.len()) {
-            return Err(Unfit::Settings("a council has three or five voters (one for trying out)"));
+            return Err(Unfit::Settings(
+                "a council has three or five voters (one for trying out)",
+            ));
         }
         if settings.id == 0 || !settings.voters.contains(&settings.id) {
             return Err(Unfit::Settings("this voter is not in the list of voters"));
@@ -274,8 +276,12 @@
                     self.node.tick();
                     self.idle += 1;
                     if self.leads && self.idle >= CLOCK_TICKS {
-                        let asked =
-                            Asked { name: String::new(), boot: 0, number: 0, command: Command::Clock };
+                        let asked = Asked {
+                            name: String::new(),
+                            boot: 0,
+                            number: 0,
+                            command: Command::Clock,
+                        };
                         self.propose(asked);
                     }
                 }
@@ -286,8 +292,13 @@
 
     fn propose(&mut self, asked: Asked) -> bool {
         self.idle = 0;
-        let stamped = Stamped { at: self.log_time(), asked };
-        let Ok(data) = postcard::to_stdvec(&stamped) else { return false };
+        let stamped = Stamped {
+            at: self.log_time(),
+            asked,
+        };
+        let Ok(data) = postcard::to_stdvec(&stamped) else {
+            return false;
+        };
         let taken = self.under_way < UNDER_WAY && self.node.propose(Vec::new(), data).is_ok();
         self.under_way += usize::from(taken);
         taken
@@ -299,8 +310,16 @@
         if asked.command == Command::Clock || self.leads && self.propose(asked) {
             return;
         }
-        let leader = Some(self.node.raft.leader_id).filter(|id| *id != 0 && *id != self.settings.id);
-        out.push(Output::Tell { name: name.clone(), wire: Wire::Elsewhere { name, number, leader } });
+        let leader =
+            Some(self.node.raft.leader_id).filter(|id| *id != 0 && *id != self.settings.id);
+        out.push(Output::Tell {
+            name: name.clone(),
+            wire: Wire::Elsewhere {
+                name,
+                number,
+                leader,
+            },
+        });
     }
 
     /// Carries out what the engine has ready.
@@ -311,7 +330,10 @@
             for message in ready.take_messages() {
                 send(&message, out);
             }
-            let mut batch = Batch { number: ready.number(), ..Batch::default() };
+            let mut batch = Batch {
+                number: ready.number(),
+                ..Batch::default()
+            };
             if !ready.snapshot().is_empty() {
                 let snapshot = ready.snapshot().clone();
                 batch.snapshot = Some(written(&snapshot));
@@ -349,10 +371,20 @@
             self.leads = leads;
             // All that was ever stamped and may be agreed on stands in this log.
             let stamped = |e: &Entry| postcard::from_bytes::<Stamped>(&e.data).map_or(0, |s| s.at);
-            let newest = self.node.store().entries.iter().map(stamped).max().unwrap_or(0);
+            let newest = self
+                .node
+                .store()
+                .entries
+                .iter()
+                .map(stamped)
+                .max()
+                .unwrap_or(0);
             self.stamp = (newest.max(self.state.clock()), self.now);
             self.under_way = 0;
-            out.push(Output::Leads { leads, term: self.node.raft.term });
+            out.push(Output::Leads {
+                leads,
+                term: self.node.raft.term,
+            });
         }
     }
 
@@ -364,13 +396,27 @@
             }
             _ => None,
         };
-        out.push(Output::Applied { index: entry.index, term: entry.term, entry: stamped.clone() });
+        out.push(Output::Applied {
+            index: entry.index,
+            term: entry.term,
+            entry: stamped.clone(),
+        });
         let Some(stamped) = stamped else { return };
         let answer = self.state.apply(&stamped);
         self.under_way = self.under_way.saturating_sub(1);
-        let Asked { name, boot, number, command } = stamped.asked;
+        let Asked {
+            name,
+            boot,
+            number,
+            command,
+        } = stamped.asked;
         if self.leads && command != Command::Clock {
-            let wire = Wire::Answer { name: name.clone(), boot, number, answer };
+            let wire = Wire::Answer {
+                name: name.clone(),
+                boot,
+                number,
+                answer,
+            };
             out.push(Output::Tell { name, wire });
         }
     }
@@ -392,11 +438,17 @@
         if self.applied < from + COMPACT || !self.held.is_empty() {
             return;
         }
-        let Ok(term) = raft::Storage::term(self.node.store(), self.applied) else { return };
-        let Ok(data) = postcard::to_stdvec(&self.state) else { return };
+        let Ok(term) = raft::Storage::term(self.node.store(), self.applied) else {
+            return;
+        };
+        let Ok(data) = postcard::to_stdvec(&self.state) else {
+            return;
+        };
         let mut snapshot = Snapshot::default();
         snapshot.set_data(data.into());
-        snapshot.mut_metadata().set_conf_state(self.node.store().conf.clone());
+        snapshot
+            .mut_metadata()
+            .set_conf_state(self.node.store().conf.clone());
         (snapshot.mut_metadata().index, snapshot.mut_metadata().term) = (self.applied, term);
         let bytes = written(&snapshot);
         self.node.mut_store().compact(snapshot);
@@ -410,5 +462,8 @@
 }
 
 fn send(message: &Message, out: &mut Vec<Output>) {
-    out.push(Output::Send { to: message.to, bytes: written(message) });
+    out.push(Output::Send {
+        to: message.to,
+        bytes: written(message),
+    });
 }
--- a/crates/pipithub-council/tests/growth.rs
+++ b/crates/pipithub-council/tests/growth.rs
@@ -22,12 +22,23 @@
     fn new() -> Council {
         let ids = vec![1, 2, 3];
         let voter = |id: u64| {
-            let settings = VoterSettings { id, voters: ids.clone(), tick: TICK };
+            let settings = VoterSettings {
+                id,
+                voters: ids.clone(),
+                tick: TICK,
+            };
             Voter::new(settings, &pipithub_council::Disk::default(), 0, id).unwrap()
         };
         let voters = ids.iter().map(|id| voter(*id)).collect();
-        let mut council =
-            Council { voters, now: 0, messages: 0, bytes: 0, answers: 0, snapshot: 0, number: 0 };
+        let mut council = Council {
+            voters,
+            now: 0,
+            messages: 0,
+            bytes: 0,
+            answers: 0,
+            snapshot: 0,
+            number: 0,
+        };
         while council.leader().is_none() {
             council.tick();
         }
@@ -75,10 +86,21 @@
         let before = (self.messages, self.bytes, self.answers);
         for _ in 0..entries {
             self.number += 1;
-            let command = Command::Settings { version: self.number, digest: 7 };
+            let command = Command::Settings {
+                version: self.number,
+                digest: 7,
+            };
             let name = format!("front-{}", self.number % 10);
             let leader = self.leader().unwrap();
-            self.input(leader, Input::Ask(Asked { name, boot: 1, number: self.number, command }));
+            self.input(
+                leader,
+                Input::Ask(Asked {
+                    name,
+                    boot: 1,
+                    number: self.number,
+                    command,
+                }),
+            );
         }
         assert_eq!(self.answers - before.2, entries, "not all were answered");
         let each = |now: u64, then: u64| (now - then) as f64 / entries as f64;
@@ -94,12 +116,21 @@
     // The first snapshot is of 1,000 entries or so.
     council.agree(1_000);
     let snapshot = council.snapshot;
-    assert!(snapshot > 100 && messages >= 2.0 && bytes > 50.0, "{snapshot} {messages} {bytes}");
+    assert!(
+        snapshot > 100 && messages >= 2.0 && bytes > 50.0,
+        "{snapshot} {messages} {bytes}"
+    );
     council.agree(3_000);
     let (messages_late, bytes_late) = council.agree(200);
-    assert!(messages_late <= messages * 1.01, "messages an entry: {messages} and {messages_late}");
+    assert!(
+        messages_late <= messages * 1.01,
+        "messages an entry: {messages} and {messages_late}"
+    );
     // Numbers of more digits take a byte more here and there.
-    assert!(bytes_late <= bytes * 1.1, "bytes an entry: {bytes} and {bytes_late}");
+    assert!(
+        bytes_late <= bytes * 1.1,
+        "bytes an entry: {bytes} and {bytes_late}"
+    );
     assert!(
         council.snapshot <= snapshot + snapshot / 5,
         "bytes of a snapshot: {snapshot} and {}",
--- a/crates/pipithub-council/tests/seeds.rs
+++ b/crates/pipithub-council/tests/seeds.rs
@@ -62,13 +62,27 @@
 
 impl World {
     fn new(seed: u64, voters: usize, askers: usize, planted: Planted) -> World {
-        let usual = Link { delay: MS, jitter: 4 * MS, loss: 0.01, twice: 0.01, ..Link::default() };
+        let usual = Link {
+            delay: MS,
+            jitter: 4 * MS,
+            loss: 0.01,
+            twice: 0.01,
+            ..Link::default()
+        };
         let mut net = Net::new(seed, usual);
         let size = voters + askers;
-        let mut clock =
-            || (net.rng.random_range(0..1_000_000 * MS), 1.0 + net.rng.random_range(-5..=5) as f64 / 1_000.0);
+        let mut clock = || {
+            (
+                net.rng.random_range(0..1_000_000 * MS),
+                1.0 + net.rng.random_range(-5..=5) as f64 / 1_000.0,
+            )
+        };
         let clocks = (0..size).map(|_| clock()).collect();
-        let seat = |_| Seat { core: None, disk: Disk::default(), starts: 0 };
+        let seat = |_| Seat {
+            core: None,
+            disk: Disk::default(),
+            starts: 0,
+        };
         let ids: Vec<u64> = (1..=voters as u64).collect();
         let asker = |n: usize| Asker {
             core: Client::new(&format!("front-{n}"), 1, ids.clone(), 150 * MS),
@@ -106,7 +120,11 @@
 
     fn start(&mut self, n: usize) {
         let voters: Vec<u64> = (1..=self.seats.len() as u64).collect();
-        let settings = VoterSettings { id: n as u64 + 1, voters, tick: 20 * MS };
+        let settings = VoterSettings {
+            id: n as u64 + 1,
+            voters,
+            tick: 20 * MS,
+        };
         let (now, seed) = (self.local(n), self.net.rng.random());
         self.seats[n].starts += 1;
         match Voter::new(settings, &self.seats[n].disk, now, seed) {
@@ -115,7 +133,9 @@
                 self.seats[n].core = Some(core);
                 self.net.wake_at(n, Some(due));
             }
-            Err(error) => self.breaches.push(format!("voter {n} does not start: {error}")),
+            Err(error) => self
+                .breaches
+                .push(format!("voter {n} does not start: {error}")),
         }
     }
 
@@ -140,7 +160,9 @@
     fn voter(&mut self, n: usize, input: Input) {
         let now = self.local(n);
         let mut out = Vec::new();
-        let Some(core) = &mut self.seats[n].core else { return };
+        let Some(core) = &mut self.seats[n].core else {
+            return;
+        };
         core.handle(now, input, &mut out);
         let due = core.next_due();
         let term = core.leads().1;
@@ -154,7 +176,11 @@
                 Output::Store(batch) => {
                     // The disk takes its time, in order; a link to oneself that loses nothing.
                     let starts = self.seats[n].starts;
-                    *self.net.link(n, n) = Link { delay: 2 * MS, jitter: 0, ..Link::default() };
+                    *self.net.link(n, n) = Link {
+                        delay: 2 * MS,
+                        jitter: 0,
+                        ..Link::default()
+                    };
                     self.net.send(n, n, Mail::Stored(starts, batch));
                 }
                 Output::Applied { index, term, entry } => {
@@ -162,13 +188,16 @@
                     let told = format!("{term} {entry:?}");
                     let first = self.agreed.entry(index).or_insert_with(|| told.clone());
                     if *first != told {
-                        self.breaches.push(format!("entry {index} is {first} and, at voter {n}, {told}"));
+                        self.breaches.push(format!(
+                            "entry {index} is {first} and, at voter {n}, {told}"
+                        ));
                     }
                 }
                 Output::Leads { leads: true, term } => {
                     let first = *self.leaders.entry(term).or_insert(n);
                     if first != n {
-                        self.breaches.push(format!("voters {first} and {n} both lead in term {term}"));
+                        self.breaches
+                            .push(format!("voters {first} and {n} both lead in term {term}"));
                     }
                 }
                 Output::Leads { .. } | Output::Restored { .. } => {}
@@ -199,29 +228,45 @@
                 match asker.core.epoch() {
                     None => drop(asker.core.ask(Command::Epoch)),
                     Some(_) if give_back => drop(asker.core.release(&lease)),
-                    Some(epoch) => drop(asker.core.ask(Command::Acquire { lease, epoch, length: LENGTH })),
+                    Some(epoch) => drop(asker.core.ask(Command::Acquire {
+                        lease,
+                        epoch,
+                        length: LENGTH,
+                    })),
                 }
             }
         }
         while let Some((to, wire)) = self.askers[a].core.turn(now) {
             self.net.send(process, to as usize - 1, Mail::Wire(wire));
         }
-        let due = self.askers[a].core.next_due(now).map(|at| self.global(process, at));
-        let due = due.map_or(self.askers[a].next, |d| d.min(self.askers[a].next)).max(real + 1);
+        let due = self.askers[a]
+            .core
+            .next_due(now)
+            .map(|at| self.global(process, at));
+        let due = due
+            .map_or(self.askers[a].next, |d| d.min(self.askers[a].next))
+            .max(real + 1);
         self.net.wake_at(process, Some(due));
     }
 
     /// Nobody may rely on a lease that another relies on.
     fn leases(&mut self) {
         for lease in ["lease-0", "lease-1"] {
-            let late = if self.planted == Planted::LongLeases { LENGTH / 3 } else { 0 };
+            let late = if self.planted == Planted::LongLeases {
+                LENGTH / 3
+            } else {
+                0
+            };
             let holds = |n: &usize| {
                 let now = self.local(self.seats.len() + n).saturating_sub(late);
                 self.askers[*n].core.holds(lease, now).is_some()
             };
             let holders: Vec<usize> = (0..self.askers.len()).filter(holds).collect();
             if holders.len() > 1 && self.breaches.len() < 50 {
-                self.breaches.push(format!("{lease} is relied on by {holders:?} at {}", self.net.now() / MS));
+                self.breaches.push(format!(
+                    "{lease} is relied on by {holders:?} at {}",
+                    self.net.now() / MS
+                ));
             }
         }
     }
@@ -232,14 +277,26 @@
             match next {
                 Next::Wake(p) if p < self.seats.len() => self.voter(p, Input::Tick),
                 Next::Wake(p) => self.asker(p - self.seats.len(), None),
-                Next::Arrival { to, message: Mail::Raft(bytes), .. } => self.voter(to, Input::Raft(bytes)),
-                Next::Arrival { to, message: Mail::Wire(Wire::Ask(asked)), .. } => {
-                    self.voter(to, Input::Ask(asked))
-                }
-                Next::Arrival { to, message: Mail::Wire(wire), .. } => {
-                    self.asker(to - self.seats.len(), Some(wire))
-                }
-                Next::Arrival { to, message: Mail::Stored(starts, batch), .. } => {
+                Next::Arrival {
+                    to,
+                    message: Mail::Raft(bytes),
+                    ..
+                } => self.voter(to, Input::Raft(bytes)),
+                Next::Arrival {
+                    to,
+                    message: Mail::Wire(Wire::Ask(asked)),
+                    ..
+                } => self.voter(to, Input::Ask(asked)),
+                Next::Arrival {
+                    to,
+                    message: Mail::Wire(wire),
+                    ..
+                } => self.asker(to - self.seats.len(), Some(wire)),
+                Next::Arrival {
+                    to,
+                    message: Mail::Stored(starts, batch),
+                    ..
+                } => {
                     if self.seats[to].starts == starts {
                         self.seats[to].disk.store(&batch);
                         self.voter(to, Input::Stored(batch.number));
@@ -254,7 +311,11 @@
         let (voters, size) = (self.seats.len(), self.clocks.len());
         let (n, p, other) = {
             let rng = &mut self.net.rng;
-            (rng.random_range(0..voters), rng.random_range(0..size), rng.random_range(0..size))
+            (
+                rng.random_range(0..voters),
+                rng.random_range(0..size),
+                rng.random_range(0..size),
+            )
         };
         match self.net.rng.random_range(0..10u32) {
             0 | 1 => self.crash(n),
@@ -314,9 +375,16 @@
     if world.granted == before {
         breaches.push("once all was mended nothing was granted".into());
     }
-    let states: Vec<_> = world.seats.iter().filter_map(|s| s.core.as_ref()).map(Voter::applied).collect();
-    let (least, most) =
-        (states.iter().min().copied().unwrap_or(0), states.iter().max().copied().unwrap_or(0));
+    let states: Vec<_> = world
+        .seats
+        .iter()
+        .filter_map(|s| s.core.as_ref())
+        .map(Voter::applied)
+        .collect();
+    let (least, most) = (
+        states.iter().min().copied().unwrap_or(0),
+        states.iter().max().copied().unwrap_or(0),
+    );
     if states.len() < voters || least + 50 < most {
         breaches.push(format!("voters stand at {states:?}"));
     }
@@ -331,7 +399,10 @@
         assert!(breaches.is_empty(), "seed {seed}: {breaches:?}");
         granted += world.granted;
     }
-    assert!(granted > 500, "{granted}: the days say nothing where nothing is granted");
+    assert!(
+        granted > 500,
+        "{granted}: the days say nothing where nothing is granted"
+    );
 }
 
 fn found(planted: Planted, what: &str) -> bool {
@@ -382,16 +453,30 @@
     // While one is away the others agree on more than a log may hold.
     for _ in 0..900 {
         for asker in &mut world.askers {
-            let _ = asker.core.ask(Command::Settings { version: 1, digest: 0 });
+            let _ = asker.core.ask(Command::Settings {
+                version: 1,
+                digest: 0,
+            });
         }
         world.run_for(100 * MS);
     }
     let entries: Vec<usize> = world.seats.iter().map(|s| s.disk.entries.len()).collect();
-    assert!(world.applied > 3_000 && entries.iter().all(|e| *e < 2_000), "{} {entries:?}", world.applied);
+    assert!(
+        world.applied > 3_000 && entries.iter().all(|e| *e < 2_000),
+        "{} {entries:?}",
+        world.applied
+    );
     world.start(1);
     world.run_for(5_000 * MS);
-    let at: Vec<u64> = world.seats.iter().map(|s| s.core.as_ref().unwrap().applied()).collect();
-    assert!(at.iter().max().unwrap() - at.iter().min().unwrap() < 50, "{at:?}");
+    let at: Vec<u64> = world
+        .seats
+        .iter()
+        .map(|s| s.core.as_ref().unwrap().applied())
+        .collect();
+    assert!(
+        at.iter().max().unwrap() - at.iter().min().unwrap() < 50,
+        "{at:?}"
+    );
     assert!(world.breaches.is_empty(), "{:?}", world.breaches);
 }
 
@@ -399,7 +484,10 @@
 #[test]
 #[ignore = "long: a command, not part of CI"]
 fn many_days() {
-    let seeds = std::env::var("PIPITHUB_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(1_000);
+    let seeds = std::env::var("PIPITHUB_SEEDS")
+        .ok()
+        .and_then(|s| s.parse().ok())
+        .unwrap_or(1_000);
     for seed in 1_000..1_000 + seeds {
         let breaches = day(seed, Planted::Nothing).1;
         assert!(breaches.is_empty(), "seed {seed}: {breaches:?}");
--- a/crates/pipithub-directory/src/core.rs
+++ b/crates/pipithub-directory/src/core.rs
@@ -7,7 +7,9 @@
 use pipithub_ldap::Dn;
 
 use crate::Time;
-use crate::facts::{Claim, Claims, Facts, Lifetimes, Person, Roster, TenantId, Told, User, View, ms, share};
+use crate::facts::{
+    Claim, Claims, Facts, Lifetimes, Person, Roster, TenantId, Told, User, View, ms, share,
+};
 use crate::map::Map;
 use crate::peak::{DAY, Peak};
 use crate::servers::{Breaker, Limits, Server};
@@ -74,7 +76,11 @@
         DirectorySettings {
             servers: 1,
             realms: Vec::new(),
-            lifetimes: Lifetimes { fresh: 600 * S, stale_most: 12 * 3_600 * S, negative: 30 * S },
+            lifetimes: Lifetimes {
+                fresh: 600 * S,
+                stale_most: 12 * 3_600 * S,
+                negative: 30 * S,
+            },
             timeout: 2 * S,
             hedge_after: 50 * MS,
             batch: 64,
@@ -123,7 +129,9 @@
 
 impl What {
     fn is_answered_wrongly(&self, answer: &Answer) -> bool {
-        let What::Users(users) = self else { return false };
+        let What::Users(users) = self else {
+            return false;
+        };
         let asked: HashSet<&User> = users.iter().collect();
         answer.found.iter().any(|f| !asked.contains(&f.user))
     }
@@ -346,10 +354,17 @@
                 others.push(n);
             }
             for realm in &directory.realms {
-                realms.entry(pipithub_ldap::dn::fold(realm).into()).or_default().push(n);
+                realms
+                    .entry(pipithub_ldap::dn::fold(realm).into())
+                    .or_default()
+                    .push(n);
             }
         }
-        let facts = |d: &DirectorySettings| Facts { lifetimes: d.lifetimes, followed: None, slow: false };
+        let facts = |d: &DirectorySettings| Facts {
+            lifetimes: d.lifetimes,
+            followed: None,
+            slow: false,
+        };
         let site = |(n, d): (usize, &DirectorySettings)| Site {
             servers: vec![Server::new(); d.servers.max(1)],
             queues: Default::default(),
@@ -363,9 +378,13 @@
             doubts: BTreeMap::new(),
             later: BTreeSet::new(),
             // Front ends that start together do not poll together.
-            poll_due: (d.poll > 0).then(|| (d.poll as f64 * share("poll", settings.seed ^ n as u64)) as Time),
+            poll_due: (d.poll > 0)
+                .then(|| (d.poll as f64 * share("poll", settings.seed ^ n as u64)) as Time),
             state_due: (0..d.servers.max(1))
-                .map(|s| (state_gap(d) as f64 * share("state", settings.seed ^ (n * 64 + s) as u64)) as Time)
+                .map(|s| {
+                    (state_gap(d) as f64 * share("state", settings.seed ^ (n * 64 + s) as u64))
+                        as Time
+                })
                 .collect(),
             newest: None,
             persons: HashMap::new(),
@@ -406,7 +425,9 @@
 
     /// Whether a server of the directory is being asked.
     pub fn is_up(&self, directory: usize) -> bool {
-        self.sites.get(directory).is_some_and(|s| s.servers.iter().any(|s| s.breaker == Breaker::Closed))
+        self.sites
+            .get(directory)
+            .is_some_and(|s| s.servers.iter().any(|s| s.breaker == Breaker::Closed))
     }
 
     /// Searches under way.
@@ -419,7 +440,9 @@
         let seen = self.day(now);
         for (user, claim) in facts {
             let claim = Claim { seen, ..claim };
-            if usize::from(claim.directory) < self.sites.len() && self.roster.users.len() < self.max_users {
+            if usize::from(claim.directory) < self.sites.len()
+                && self.roster.users.len() < self.max_users
+            {
                 self.set(now, &user, claim);
             }
         }
@@ -445,12 +468,20 @@
             if !site.queues[2].is_empty() {
                 due.push(site.calm_due.max(now + MS));
             }
-            if site.waits(now) && site.tokens < 1.0 && site.servers.iter().any(|s| s.has_room(&limits)) {
+            if site.waits(now)
+                && site.tokens < 1.0
+                && site.servers.iter().any(|s| s.has_room(&limits))
+            {
                 let missing = (1.0 - site.tokens) / site.settings.rate.max(0.01);
                 due.push(site.filled.saturating_add((missing * 1e9) as Time + MS));
             }
         }
-        due.extend(self.wheel.keys().next().map(|s| u64::try_from(s.saturating_mul(1000)).unwrap_or(0) * MS));
+        due.extend(
+            self.wheel
+                .keys()
+                .next()
+                .map(|s| u64::try_from(s.saturating_mul(1000)).unwrap_or(0) * MS),
+        );
         if !self.sweeps.is_empty() {
             due.push(now);
         }
@@ -500,7 +531,10 @@
     // ---- wants ----
 
     fn day(&self, now: Time) -> u8 {
-        self.wall_ms.saturating_add(ms(now)).div_euclid(DAY).rem_euclid(256) as u8
+        self.wall_ms
+            .saturating_add(ms(now))
+            .div_euclid(DAY)
+            .rem_euclid(256) as u8
     }
 
     fn wanted(&mut self, now: Time, user: User, urgent: bool, out: &mut Vec<Output>) {
@@ -552,7 +586,8 @@
         }
         if queue == 2 && site.queues[2].is_empty() {
             // What nobody waits for is gathered into one search.
-            site.calm_due = now.saturating_add((site.settings.lifetimes.fresh / 16).min(LINGER_MOST));
+            site.calm_due =
+                now.saturating_add((site.settings.lifetimes.fresh / 16).min(LINGER_MOST));
         }
         site.queues[queue].push_back((user.clone(), 0));
         site.pending.insert(user);
@@ -575,7 +610,12 @@
         site.filled = site.filled.max(now);
         let burst = (site.settings.rate / 4.0).max(1.0);
         site.tokens = (site.tokens + passed * site.settings.rate).min(burst);
-        while let Some((_, user)) = self.sites[directory].later.first().filter(|l| l.0 <= now).cloned() {
+        while let Some((_, user)) = self.sites[directory]
+            .later
+            .first()
+            .filter(|l| l.0 <= now)
+            .cloned()
+        {
             let site = &mut self.sites[directory];
             let first = site.later.pop_first();
             if first.is_some() {
@@ -586,8 +626,12 @@
         let site = &mut self.sites[directory];
         if !site.servers.iter().any(|s| s.breaker == Breaker::Closed) {
             // Nobody can say: whoever waits is told so at once, and what is asked at leisure is asked by its next call.
-            let users: Vec<User> =
-                site.queues.iter_mut().flat_map(|q| q.drain(..)).map(|(user, _)| user).collect();
+            let users: Vec<User> = site
+                .queues
+                .iter_mut()
+                .flat_map(|q| q.drain(..))
+                .map(|(user, _)| user)
+                .collect();
             for user in &users {
                 site.pending.remove(user);
                 if site.missed.len() < self.max_queue {
@@ -605,12 +649,16 @@
             if site.tokens < 1.0 || !site.waits(now) {
                 return;
             }
-            let Some(server) = site.choose(None) else { return };
+            let Some(server) = site.choose(None) else {
+                return;
+            };
             let mut users = Vec::new();
             let mut tries = 0;
             while users.len() < site.settings.batch.max(1) {
                 // Those that were tried before go without others: what failed may be of their making.
-                let Some(queue) = site.queues.iter_mut().find(|q| !q.is_empty()) else { break };
+                let Some(queue) = site.queues.iter_mut().find(|q| !q.is_empty()) else {
+                    break;
+                };
                 match queue.front() {
                     Some((_, t)) if users.is_empty() || *t == tries => tries = *t,
                     _ => break,
@@ -640,7 +688,11 @@
         site.servers[server].out += 1;
         // A server that is slow as a rule is not asked twice for that.
         let usual = site.servers[server].pace().unwrap_or(0).saturating_mul(3);
-        let hedge = now.saturating_add(site.settings.hedge_after.max(usual.min(site.settings.timeout / 2)));
+        let hedge = now.saturating_add(
+            site.settings
+                .hedge_after
+                .max(usual.min(site.settings.timeout / 2)),
+        );
         let begun = Out {
             directory,
             server,
@@ -652,7 +704,12 @@
             what: what.clone(),
         };
         self.out.insert(id, begun);
-        out.push(Output::Search { id, directory, server, what });
+        out.push(Output::Search {
+            id,
+            directory,
+            server,
+            what,
+        });
         id
     }
 
@@ -670,7 +727,9 @@
             if now >= site.state_due[server] {
                 let gap = state_gap(&site.settings);
                 // One that has just answered is known as it is, and one alone is never behind another.
-                let heard = site.servers[server].heard.filter(|at| now < at.saturating_add(gap));
+                let heard = site.servers[server]
+                    .heard
+                    .filter(|at| now < at.saturating_add(gap));
                 site.state_due[server] = heard.unwrap_or(now).saturating_add(gap);
                 if heard.is_none()
                     && site.servers.len() > 1
@@ -694,26 +753,41 @@
 
     /// Searches whose time is up, and those for which a second server is asked.
     fn overdue(&mut self, now: Time, out: &mut Vec<Output>) {
-        let late: Vec<SearchId> =
-            self.out.iter().filter(|(_, o)| o.deadline <= now).map(|(id, _)| *id).collect();
+        let late: Vec<SearchId> = self
+            .out
+            .iter()
+            .filter(|(_, o)| o.deadline <= now)
+            .map(|(id, _)| *id)
+            .collect();
         for id in late {
             if self.out.contains_key(&id) {
                 out.push(Output::GiveUp(id));
                 self.ended(now, id, Err(Failure::TimedOut), out);
             }
         }
-        let slow = self.out.iter().filter(|(_, o)| o.hedge.is_some_and(|at| at <= now));
+        let slow = self
+            .out
+            .iter()
+            .filter(|(_, o)| o.hedge.is_some_and(|at| at <= now));
         let slow: Vec<SearchId> = slow.map(|(id, _)| *id).collect();
         for id in slow {
-            let Some(search) = self.out.get_mut(&id) else { continue };
+            let Some(search) = self.out.get_mut(&id) else {
+                continue;
+            };
             search.hedge = None;
-            let (directory, server, tries, what) =
-                (search.directory, search.server, search.tries, search.what.clone());
+            let (directory, server, tries, what) = (
+                search.directory,
+                search.server,
+                search.tries,
+                search.what.clone(),
+            );
             let site = &mut self.sites[directory];
             if site.hedges < 1.0 {
                 continue;
             }
-            let Some(other) = site.choose(Some(server)) else { continue };
+            let Some(other) = site.choose(Some(server)) else {
+                continue;
+            };
             site.hedges -= 1.0;
             self.stats.hedges += 1;
             let twin = self.begin(now, directory, other, what, tries, out);
@@ -726,9 +800,17 @@
         }
     }
 
-    fn ended(&mut self, now: Time, id: SearchId, outcome: Result<Answer, Failure>, out: &mut Vec<Output>) {
+    fn ended(
+        &mut self,
+        now: Time,
+        id: SearchId,
+        outcome: Result<Answer, Failure>,
+        out: &mut Vec<Output>,
+    ) {
         // One that was given up has ended before.
-        let Some(search) = self.out.remove(&id) else { return };
+        let Some(search) = self.out.remove(&id) else {
+            return;
+        };
         let directory = search.directory;
         let jitter = self.chance();
         let site = &mut self.sites[directory];
@@ -817,7 +899,16 @@
                         continue;
                     }
                     self.sites[directory].pending.remove(user);
-                    self.claim(now, directory, user, told, person, confirmed, answer.mark, out);
+                    self.claim(
+                        now,
+                        directory,
+                        user,
+                        told,
+                        person,
+                        confirmed,
+                        answer.mark,
+                        out,
+                    );
                     self.tell(user.clone(), out);
                 }
                 if !unsure.is_empty() {
@@ -845,8 +936,14 @@
     // ---- facts ----
 
     fn place(&mut self, directory: usize, dn: &Dn) -> Told {
-        let within = |(_, t): &(usize, &TenantBase)| t.directory == directory && dn.is_within(&t.base);
-        let found = self.tenants.iter().enumerate().filter(within).max_by_key(|(_, t)| t.base.depth());
+        let within =
+            |(_, t): &(usize, &TenantBase)| t.directory == directory && dn.is_within(&t.base);
+        let found = self
+            .tenants
+            .iter()
+            .enumerate()
+            .filter(within)
+            .max_by_key(|(_, t)| t.base.depth());
         match found {
             Some((n, _)) => Told::Tenant(TenantId(n as u16)),
             None => {
@@ -879,8 +976,16 @@
             spread,
             seen: 0,
         };
-        let old = self.roster.users.get(&**user).and_then(|c| c.of(claim.directory)).copied();
-        let claim = Claim { seen: old.map_or_else(|| self.day(now), |o| o.seen), ..claim };
+        let old = self
+            .roster
+            .users
+            .get(&**user)
+            .and_then(|c| c.of(claim.directory))
+            .copied();
+        let claim = Claim {
+            seen: old.map_or_else(|| self.day(now), |o| o.seen),
+            ..claim
+        };
         if let Some(old) = old {
             // A copy that is behind what was said before, or an answer that was overtaken by a later one.
             if claim.mark < old.mark || claim.confirmed < old.confirmed {
@@ -924,7 +1029,10 @@
     }
 
     fn is_held(&self, claim: &Claim, now: Time) -> bool {
-        let most = self.sites[usize::from(claim.directory)].settings.lifetimes.stale_most;
+        let most = self.sites[usize::from(claim.directory)]
+            .settings
+            .lifetimes
+            .stale_most;
         ms(now).saturating_sub(claim.confirmed) < ms(most)
     }
 
@@ -951,15 +1059,22 @@
         let gone = claim.confirmed.saturating_add(ms(most));
         let slot = settings.peak.map(|peak| {
             let confirmed = self.wall_ms.saturating_add(claim.confirmed);
-            peak.slot(confirmed, share(user, self.seed)).saturating_sub(self.wall_ms)
+            peak.slot(confirmed, share(user, self.seed))
+                .saturating_sub(self.wall_ms)
         });
-        let due = slot.filter(|_| matches!(claim.told, Told::Tenant(_))).map_or(gone, |s| s.min(gone));
-        due.max(ms(now).saturating_add(1000)).div_euclid(1000).saturating_add(1)
+        let due = slot
+            .filter(|_| matches!(claim.told, Told::Tenant(_)))
+            .map_or(gone, |s| s.min(gone));
+        due.max(ms(now).saturating_add(1000))
+            .div_euclid(1000)
+            .saturating_add(1)
     }
 
     /// Lets go of the user whose turn would be next: the oldest, or one who is nobody's.
     fn evict(&mut self) -> bool {
-        let Some(mut first) = self.wheel.first_entry() else { return false };
+        let Some(mut first) = self.wheel.first_entry() else {
+            return false;
+        };
         let user = first.get_mut().pop();
         if first.get().is_empty() {
             first.remove();
@@ -973,7 +1088,9 @@
     fn forget(&mut self, user: &str) {
         if let Some(claims) = self.roster.users.remove(user) {
             for claim in claims.as_slice() {
-                self.sites[usize::from(claim.directory)].persons.remove(&claim.person);
+                self.sites[usize::from(claim.directory)]
+                    .persons
+                    .remove(&claim.person);
             }
         }
     }
@@ -981,17 +1098,23 @@
     fn turn_wheel(&mut self, now: Time) {
         let second = ms(now).div_euclid(1000);
         for _ in 0..SWEEP {
-            let Some(mut first) = self.wheel.first_entry().filter(|e| *e.key() <= second) else { return };
+            let Some(mut first) = self.wheel.first_entry().filter(|e| *e.key() <= second) else {
+                return;
+            };
             let user = first.get_mut().pop();
             if first.get().is_empty() {
                 first.remove();
             }
             let Some(user) = user else { continue };
-            let Some(claims) = self.roster.users.get(user.as_str()) else { continue };
+            let Some(claims) = self.roster.users.get(user.as_str()) else {
+                continue;
+            };
             let claims = claims.as_slice().to_vec();
             let held = |c: &Claim| {
                 let site = &self.sites[usize::from(c.directory)];
-                let followed = self.roster.directories[usize::from(c.directory)].followed.is_some();
+                let followed = self.roster.directories[usize::from(c.directory)]
+                    .followed
+                    .is_some();
                 let most = match c.told {
                     Told::Tenant(_) => site.settings.lifetimes.stale_most,
                     _ => site.settings.lifetimes.negative,
@@ -1020,10 +1143,17 @@
             }
             // As if confirmed now, so that the next place is in the next window, unless it goes before.
             let due = claims.iter().map(|c| {
-                let again = Claim { confirmed: ms(now), ..*c };
+                let again = Claim {
+                    confirmed: ms(now),
+                    ..*c
+                };
                 let gone = self.look_again(now, &user, c);
                 let slot = self.look_again(now, &user, &again);
-                if gone > second + 2 { gone.min(slot) } else { slot }
+                if gone > second + 2 {
+                    gone.min(slot)
+                } else {
+                    slot
+                }
             });
             let due = due.min().unwrap_or(second + 60);
             self.wheel.entry(due).or_default().push(user);
@@ -1038,8 +1168,11 @@
             News::Begun { whole } => self.sites[directory].telling = Some((now_ms, whole)),
             News::Entry(found) => {
                 let told = self.place(directory, &found.dn);
-                let renamed =
-                    self.sites[directory].persons.get(&found.person).filter(|u| **u != found.user).cloned();
+                let renamed = self.sites[directory]
+                    .persons
+                    .get(&found.person)
+                    .filter(|u| **u != found.user)
+                    .cloned();
                 if let Some(old) = renamed {
                     self.gone(now, directory, &old, out);
                 }
@@ -1049,13 +1182,26 @@
                     }
                     return;
                 }
-                if self.roster.users.len() < self.max_users || self.roster.users.contains_key(&*found.user) {
+                if self.roster.users.len() < self.max_users
+                    || self.roster.users.contains_key(&*found.user)
+                {
                     if found.person != Person::default() {
-                        self.sites[directory].persons.insert(found.person, found.user.clone());
+                        self.sites[directory]
+                            .persons
+                            .insert(found.person, found.user.clone());
                     }
                     // Changes come in their order: there is nothing to doubt.
                     let mark = self.known_mark(directory, &found.user);
-                    self.claim(now, directory, &found.user, told, found.person, now_ms, Some(mark), out);
+                    self.claim(
+                        now,
+                        directory,
+                        &found.user,
+                        told,
+                        found.person,
+                        now_ms,
+                        Some(mark),
+                        out,
+                    );
                 }
             }
             News::Gone(person) => {
@@ -1064,10 +1210,24 @@
                 }
             }
             News::Kept(person) => {
-                let Some(user) = self.sites[directory].persons.get(&person).cloned() else { return };
-                let old = self.roster.users.get(&*user).and_then(|c| c.of(directory as u16)).copied();
+                let Some(user) = self.sites[directory].persons.get(&person).cloned() else {
+                    return;
+                };
+                let old = self
+                    .roster
+                    .users
+                    .get(&*user)
+                    .and_then(|c| c.of(directory as u16))
+                    .copied();
                 if let Some(old) = old {
-                    self.set(now, &user, Claim { confirmed: now_ms, ..old });
+                    self.set(
+                        now,
+                        &user,
+                        Claim {
+                            confirmed: now_ms,
+                            ..old
+                        },
+                    );
                 }
             }
             News::Complete => {
@@ -1076,7 +1236,12 @@
                     let all = Some(self.roster.users.clone());
                     // One for each directory: another's must not be lost to this one. A newer one holds the older's.
                     self.sweeps.retain(|s| s.directory != directory);
-                    self.sweeps.push(Sweep { directory, began, all, missed: Vec::new() });
+                    self.sweeps.push(Sweep {
+                        directory,
+                        began,
+                        all,
+                        missed: Vec::new(),
+                    });
                 }
                 self.follow(directory, Some(now_ms));
             }
@@ -1093,16 +1258,34 @@
     }
 
     fn known_mark(&self, directory: usize, user: &User) -> u64 {
-        let claim = self.roster.users.get(&**user).and_then(|c| c.of(directory as u16));
+        let claim = self
+            .roster
+            .users
+            .get(&**user)
+            .and_then(|c| c.of(directory as u16));
         claim.map_or(0, |c| c.mark)
     }
 
     fn gone(&mut self, now: Time, directory: usize, user: &User, out: &mut Vec<Output>) {
         let mark = self.known_mark(directory, user);
-        if let Some(claim) = self.roster.users.get(&**user).and_then(|c| c.of(directory as u16)) {
+        if let Some(claim) = self
+            .roster
+            .users
+            .get(&**user)
+            .and_then(|c| c.of(directory as u16))
+        {
             self.sites[directory].persons.remove(&claim.person);
         }
-        self.claim(now, directory, user, Told::Absent, Person::default(), ms(now), Some(mark), out);
+        self.claim(
+            now,
+            directory,
+            user,
+            Told::Absent,
+            Person::default(),
+            ms(now),
+            Some(mark),
+            out,
+        );
     }
 
     fn follow(&mut self, directory: usize, at: Option<i64>) {
@@ -1113,7 +1296,9 @@
 
     /// Goes on with those who were not told in a refresh, some at a time.
     fn go_on_sweeping(&mut self, now: Time, out: &mut Vec<Output>) {
-        let Some(mut sweep) = self.sweeps.pop() else { return };
+        let Some(mut sweep) = self.sweeps.pop() else {
+            return;
+        };
         let (directory, began) = (sweep.directory, sweep.began);
         if let Some(all) = sweep.all.take() {
             // Walking a shared map copies nothing and changes nothing.
@@ -1121,10 +1306,21 @@
                 let claim = c.of(directory as u16);
                 claim.is_some_and(|c| c.confirmed < began && matches!(c.told, Told::Tenant(_)))
             };
-            sweep.missed = all.iter().filter(missed).map(|(u, _)| u.as_str().into()).collect();
+            sweep.missed = all
+                .iter()
+                .filter(missed)
+                .map(|(u, _)| u.as_str().into())
+                .collect();
         }
-        for user in sweep.missed.split_off(sweep.missed.len().saturating_sub(SWEEP)) {
-            let still = self.roster.users.get(&*user).and_then(|c| c.of(directory as u16));
+        for user in sweep
+            .missed
+            .split_off(sweep.missed.len().saturating_sub(SWEEP))
+        {
+            let still = self
+                .roster
+                .users
+                .get(&*user)
+                .and_then(|c| c.of(directory as u16));
             if still.is_some_and(|c| c.confirmed < began) {
                 self.gone(now, directory, &user, out);
             }
@@ -1150,7 +1346,11 @@
 
     fn limits(&self) -> Limits {
         let s = &self.settings;
-        Limits { failures: s.failures.max(1), wait: s.wait, at_once: s.at_once }
+        Limits {
+            failures: s.failures.max(1),
+            wait: s.wait,
+            at_once: s.at_once,
+        }
     }
 
     /// Whether no server can be expected to answer while a call waits.
@@ -1164,8 +1364,13 @@
     /// The server to ask, if there is one with room.
     fn choose(&self, except: Option<usize>) -> Option<usize> {
         let limits = self.limits();
-        let open = self.servers.iter().enumerate().filter(|(n, s)| Some(*n) != except && s.has_room(&limits));
-        open.min_by(|a, b| a.1.cost().total_cmp(&b.1.cost())).map(|(n, _)| n)
+        let open = self
+            .servers
+            .iter()
+            .enumerate()
+            .filter(|(n, s)| Some(*n) != except && s.has_room(&limits));
+        open.min_by(|a, b| a.1.cost().total_cmp(&b.1.cost()))
+            .map(|(n, _)| n)
     }
 
     /// Notes how far a server has come. If another had come further before, since when it is behind.
@@ -1181,7 +1386,11 @@
             }
             self.marks.push_back((mark, at));
         }
-        let passed = self.marks.iter().find(|(m, _)| *m > mark).map(|(_, since)| *since);
+        let passed = self
+            .marks
+            .iter()
+            .find(|(m, _)| *m > mark)
+            .map(|(_, since)| *since);
         self.servers[server].behind = passed.is_some();
         passed
     }
--- a/crates/pipithub-directory/src/facts.rs
+++ b/crates/pipithub-directory/src/facts.rs
@@ -23,10 +23,14 @@
 impl Person {
     /// From the entry's id.
     pub fn of(uuid: &[u8]) -> Person {
-        let hash = uuid
-            .iter()
-            .fold(0xcbf2_9ce4_8422_2325u64, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3));
-        Person((hash ^ hash >> 29).wrapping_mul(0xbf58_476d_1ce4_e5b9).max(1))
+        let hash = uuid.iter().fold(0xcbf2_9ce4_8422_2325u64, |h, b| {
+            (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3)
+        });
+        Person(
+            (hash ^ hash >> 29)
+                .wrapping_mul(0xbf58_476d_1ce4_e5b9)
+                .max(1),
+        )
     }
 }
 
@@ -84,7 +88,11 @@
         match self {
             Claims::One(old) if old.directory == claim.directory => Claims::One(claim),
             _ => {
-                let others = self.as_slice().iter().filter(|c| c.directory != claim.directory).copied();
+                let others = self
+                    .as_slice()
+                    .iter()
+                    .filter(|c| c.directory != claim.directory)
+                    .copied();
                 Claims::More(others.chain([claim]).collect())
             }
         }
@@ -177,7 +185,10 @@
     /// The directories that may know a user: by realm where the name has one (`mai@north.example`), else those that take
     /// names without.
     pub fn relevant(&self, user: &str) -> &[u16] {
-        match user.rsplit_once('@').and_then(|(_, realm)| self.realms.get(realm)) {
+        match user
+            .rsplit_once('@')
+            .and_then(|(_, realm)| self.realms.get(realm))
+        {
             Some(directories) => directories,
             None if user.contains('@') => &[],
             None => &self.others,
@@ -185,9 +196,14 @@
     }
 
     fn age(&self, claim: &Claim, now_ms: i64) -> Time {
-        let followed = self.directories.get(usize::from(claim.directory)).and_then(|d| d.followed);
+        let followed = self
+            .directories
+            .get(usize::from(claim.directory))
+            .and_then(|d| d.followed);
         let confirmed = claim.confirmed.max(followed.unwrap_or(i64::MIN));
-        u64::try_from(now_ms.saturating_sub(confirmed)).unwrap_or(0).saturating_mul(MS)
+        u64::try_from(now_ms.saturating_sub(confirmed))
+            .unwrap_or(0)
+            .saturating_mul(MS)
     }
 
     /// What a user is now.
@@ -202,7 +218,9 @@
         let mut found: Option<(Claim, TenantId, Time, Facts)> = None;
         let mut absent = 0;
         for claim in claims {
-            let Some(facts) = self.directories.get(usize::from(claim.directory)) else { continue };
+            let Some(facts) = self.directories.get(usize::from(claim.directory)) else {
+                continue;
+            };
             let age = self.age(claim, now_ms);
             match claim.told {
                 Told::Tenant(tenant) if age < facts.lifetimes.stale_most => match found {
@@ -224,18 +242,33 @@
                 a if a < lifetimes.fresh.saturating_mul(2) || facts.slow => Refresh::Behind,
                 _ => Refresh::First,
             };
-            return View::Tenant { tenant, person, age, refresh };
+            return View::Tenant {
+                tenant,
+                person,
+                age,
+                refresh,
+            };
         }
         let relevant = self.relevant(user);
         // A directory that is followed and complete knows of everybody whom it does not name that they are not there.
         let complete = |d: &u16| {
             let facts = &self.directories[usize::from(*d)];
-            let age = |at: i64| u64::try_from(now_ms.saturating_sub(at)).unwrap_or(0).saturating_mul(MS);
-            facts.followed.is_some_and(|at| age(at) < facts.lifetimes.negative)
+            let age = |at: i64| {
+                u64::try_from(now_ms.saturating_sub(at))
+                    .unwrap_or(0)
+                    .saturating_mul(MS)
+            };
+            facts
+                .followed
+                .is_some_and(|at| age(at) < facts.lifetimes.negative)
                 && !claims.iter().any(|c| c.directory == *d)
         };
         let known = absent + relevant.iter().filter(|d| complete(d)).count();
-        if known >= relevant.len() { View::Nobody } else { View::Unknown }
+        if known >= relevant.len() {
+            View::Nobody
+        } else {
+            View::Unknown
+        }
     }
 
     /// All claims on a user, with their ages, for operators.
--- a/crates/pipithub-directory/src/lib.rs
+++ b/crates/pipithub-directory/src/lib.rs
@@ -17,8 +17,8 @@
 mod waiting;
 
 pub use core::{
-    Answer, Directory, DirectorySettings, Failure, Found, Input, News, Output, SearchId, Settings, Stats,
-    TenantBase, What,
+    Answer, Directory, DirectorySettings, Failure, Found, Input, News, Output, SearchId, Settings,
+    Stats, TenantBase, What,
 };
 pub use facts::{Claim, Lifetimes, Person, Refresh, Roster, TenantId, Told, User, View};
 pub use peak::Peak;
--- a/crates/pipithub-directory/src/map.rs
+++ b/crates/pipithub-directory/src/map.rs
@@ -31,7 +31,11 @@
         let hasher = RandomState::new();
         let empty = Arc::new(Table::with_hasher(hasher.clone()));
         let list: List<K, V> = (0..TABLES).map(|_| empty.clone()).collect();
-        Map { lists: (0..LISTS).map(|_| list.clone()).collect(), len: 0, hasher }
+        Map {
+            lists: (0..LISTS).map(|_| list.clone()).collect(),
+            len: 0,
+            hasher,
+        }
     }
 
     fn place<Q: Hash + ?Sized>(&self, key: &Q) -> (usize, usize) {
@@ -92,7 +96,10 @@
     }
 
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&K, &V)> {
-        self.lists.iter().flat_map(|list| list.iter()).flat_map(|table| table.iter())
+        self.lists
+            .iter()
+            .flat_map(|list| list.iter())
+            .flat_map(|table| table.iter())
     }
 }
 
--- a/crates/pipithub-directory/src/peak.rs
+++ b/crates/pipithub-directory/src/peak.rs
@@ -32,7 +32,10 @@
 
     #[test]
     fn slots_are_spread_over_the_next_window() {
-        let peak = Peak { at: 6 * HOUR, ahead: 2 * HOUR };
+        let peak = Peak {
+            at: 6 * HOUR,
+            ahead: 2 * HOUR,
+        };
         let day = 20_000 * DAY;
         assert_eq!(peak.slot(day + HOUR, 0.0), day + 4 * HOUR);
         assert_eq!(peak.slot(day + HOUR, 0.5), day + 5 * HOUR);
@@ -41,7 +44,10 @@
         assert_eq!(peak.slot(day + 4 * HOUR, 0.0), day + DAY + 4 * HOUR);
         assert_eq!(peak.slot(day + 23 * HOUR, 1.0), day + DAY + 6 * HOUR);
         // A window over midnight.
-        let early = Peak { at: HOUR, ahead: 3 * HOUR };
+        let early = Peak {
+            at: HOUR,
+            ahead: 3 * HOUR,
+        };
         assert_eq!(early.slot(day + 21 * HOUR, 0.0), day + 22 * HOUR);
         assert_eq!(early.slot(day, 0.0), day + 22 * HOUR);
         let _ = peak.slot(i64::MIN, f64::NAN) + early.slot(i64::MAX - 3 * DAY, 2.0);
--- a/crates/pipithub-directory/src/publish.rs
+++ b/crates/pipithub-directory/src/publish.rs
@@ -23,7 +23,10 @@
 impl Publisher {
     /// Begins with a version.
     pub fn new(roster: &Roster) -> Self {
-        Publisher { newest: Arc::new(ArcSwap::from_pointee(roster.clone())), kept: VecDeque::new() }
+        Publisher {
+            newest: Arc::new(ArcSwap::from_pointee(roster.clone())),
+            kept: VecDeque::new(),
+        }
     }
 
     /// Where readers look.
@@ -33,8 +36,13 @@
 
     /// Puts a version in place of the one before.
     pub fn publish(&mut self, roster: &Roster) {
-        self.kept.push_back(self.newest.swap(Arc::new(roster.clone())));
-        while self.kept.front().is_some_and(|old| Arc::strong_count(old) == 1) || self.kept.len() > KEPT_MOST
+        self.kept
+            .push_back(self.newest.swap(Arc::new(roster.clone())));
+        while self
+            .kept
+            .front()
+            .is_some_and(|old| Arc::strong_count(old) == 1)
+            || self.kept.len() > KEPT_MOST
         {
             self.kept.pop_front();
         }
--- a/crates/pipithub-directory/src/servers.rs
+++ b/crates/pipithub-directory/src/servers.rs
@@ -58,7 +58,8 @@
     }
 
     pub(crate) fn has_room(&self, limits: &Limits) -> bool {
-        self.breaker == Breaker::Closed && self.out < (self.window as usize).clamp(1, limits.at_once.max(1))
+        self.breaker == Breaker::Closed
+            && self.out < (self.window as usize).clamp(1, limits.at_once.max(1))
     }
 
     /// The less, the sooner it is asked.
@@ -91,9 +92,14 @@
             Breaker::Open { .. } => return,
             Breaker::Trying { wait, .. } => Some(wait),
         };
-        let wait = before.map_or(limits.wait.0, |w| w.saturating_mul(2)).clamp(limits.wait.0, limits.wait.1);
+        let wait = before
+            .map_or(limits.wait.0, |w| w.saturating_mul(2))
+            .clamp(limits.wait.0, limits.wait.1);
         let spread = (wait as f64 * (0.5 + jitter.clamp(0.0, 1.0))) as Time;
-        self.breaker = Breaker::Open { until: now.saturating_add(spread), wait };
+        self.breaker = Breaker::Open {
+            until: now.saturating_add(spread),
+            wait,
+        };
         self.window = 1.0;
     }
 }
@@ -105,7 +111,11 @@
     const S: Time = 1_000_000_000;
 
     fn limits() -> Limits {
-        Limits { failures: 3, wait: (S, 8 * S), at_once: 4 }
+        Limits {
+            failures: 3,
+            wait: (S, 8 * S),
+            at_once: 4,
+        }
     }
 
     #[test]
@@ -122,9 +132,14 @@
         server.failed(0, false, 0.5, &limits);
         let mut waits = Vec::new();
         for probe in 0..6 {
-            let Breaker::Open { until, wait } = server.breaker else { panic!("open") };
+            let Breaker::Open { until, wait } = server.breaker else {
+                panic!("open")
+            };
             waits.push(until / S);
-            server.breaker = Breaker::Trying { probe: SearchId(probe), wait };
+            server.breaker = Breaker::Trying {
+                probe: SearchId(probe),
+                wait,
+            };
             assert!(!server.has_room(&limits), "one probe, nothing else");
             server.failed(0, false, 0.5, &limits);
         }
@@ -136,7 +151,10 @@
         let limits = limits();
         let mut server = Server::new();
         server.failed(0, true, 0.0, &limits);
-        assert!(matches!(server.breaker, Breaker::Open { .. }), "its own word opens it at once");
+        assert!(
+            matches!(server.breaker, Breaker::Open { .. }),
+            "its own word opens it at once"
+        );
         server.answered(0, 1, &limits);
         server.out = 2;
         assert!(!server.has_room(&limits));
--- a/crates/pipithub-directory/src/snapshot.rs
+++ b/crates/pipithub-directory/src/snapshot.rs
@@ -48,7 +48,8 @@
 
 fn seal(key: &[u8], bytes: &[u8]) -> Hmac<Sha256> {
     // Keys of any length are taken (RFC 2104); the error is for other kinds of MAC.
-    let mut mac = Hmac::<Sha256>::new_from_slice(key).unwrap_or_else(|_| Hmac::new(&Default::default()));
+    let mut mac =
+        Hmac::<Sha256>::new_from_slice(key).unwrap_or_else(|_| Hmac::new(&Default::default()));
     mac.update(bytes);
     mac
 }
@@ -65,8 +66,12 @@
     let mut count = 0u64;
     for (user, claims) in roster.users.iter() {
         for claim in claims.as_slice() {
-            let Some(facts) = roster.directories.get(usize::from(claim.directory)) else { continue };
-            let Told::Tenant(tenant) = claim.told else { continue };
+            let Some(facts) = roster.directories.get(usize::from(claim.directory)) else {
+                continue;
+            };
+            let Told::Tenant(tenant) = claim.told else {
+                continue;
+            };
             let confirmed = claim.confirmed.max(facts.followed.unwrap_or(i64::MIN));
             let age = ms(now).saturating_sub(confirmed);
             if age >= ms(facts.lifetimes.stale_most) {
@@ -128,9 +133,12 @@
         return Err(Refused::NoSnapshot);
     }
     let (body, tag) = bytes.split_at(bytes.len() - SEAL);
-    seal(key, body).verify_slice(tag).map_err(|_| Refused::Tampered)?;
+    seal(key, body)
+        .verify_slice(tag)
+        .map_err(|_| Refused::Tampered)?;
     let mut rest = Bytes(&body[10..]);
-    let (Some(written_for), Some(at), Some(count)) = (rest.take::<32>(), rest.take(), rest.take()) else {
+    let (Some(written_for), Some(at), Some(count)) = (rest.take::<32>(), rest.take(), rest.take())
+    else {
         return Err(Refused::NoSnapshot);
     };
     if written_for != of {
--- a/crates/pipithub-directory/src/waiting.rs
+++ b/crates/pipithub-directory/src/waiting.rs
@@ -27,7 +27,12 @@
 
 impl<T> Held<T> {
     fn woken(self, in_vain: bool) -> Woken<T> {
-        Woken { call: self.call, user: self.user, since: self.since, in_vain }
+        Woken {
+            call: self.call,
+            user: self.user,
+            since: self.since,
+            in_vain,
+        }
     }
 }
 
@@ -44,7 +49,13 @@
 impl<T> Waiting<T> {
     /// At most so many.
     pub fn new(most: usize) -> Self {
-        Waiting { most, calls: BTreeMap::new(), by_user: HashMap::new(), due: BTreeSet::new(), next: 0 }
+        Waiting {
+            most,
+            calls: BTreeMap::new(),
+            by_user: HashMap::new(),
+            due: BTreeSet::new(),
+            next: 0,
+        }
     }
 
     /// How many wait.
@@ -71,7 +82,15 @@
         self.next += 1;
         self.by_user.entry(user.clone()).or_default().push(number);
         self.due.insert((until, number));
-        self.calls.insert(number, Held { call, user, since: now, until });
+        self.calls.insert(
+            number,
+            Held {
+                call,
+                user,
+                since: now,
+                until,
+            },
+        );
         Ok(())
     }
 
@@ -93,7 +112,9 @@
         let mut woken = Vec::new();
         while let Some(&(at, number)) = self.due.first().filter(|d| d.0 <= now) {
             self.due.remove(&(at, number));
-            let Some(held) = self.calls.remove(&number) else { continue };
+            let Some(held) = self.calls.remove(&number) else {
+                continue;
+            };
             self.unlist(&held.user, number);
             woken.push(held.woken(true));
         }
@@ -102,7 +123,12 @@
 
     /// Takes out all calls that are not wanted any more.
     pub fn forget(&mut self, mut gone: impl FnMut(&T) -> bool) {
-        let numbers: Vec<u64> = self.calls.iter().filter(|(_, c)| gone(&c.call)).map(|(n, _)| *n).collect();
+        let numbers: Vec<u64> = self
+            .calls
+            .iter()
+            .filter(|(_, c)| gone(&c.call))
+            .map(|(n, _)| *n)
+            .collect();
         for number in numbers {
             if let Some(held) = self.calls.remove(&number) {
                 self.due.remove(&(held.until, number));
@@ -135,8 +161,20 @@
         assert_eq!(waiting.add(10, 45, lan, 4), Err(4), "no more than may wait");
         assert_eq!(waiting.next_due(), Some(40));
         let due = waiting.due(40);
-        assert_eq!(due.iter().map(|w| (w.call, w.in_vain, w.since)).collect::<Vec<_>>(), [(1, true, 0)]);
-        assert_eq!(waiting.wake("mai").iter().map(|w| (w.call, w.in_vain)).collect::<Vec<_>>(), [(2, false)]);
+        assert_eq!(
+            due.iter()
+                .map(|w| (w.call, w.in_vain, w.since))
+                .collect::<Vec<_>>(),
+            [(1, true, 0)]
+        );
+        assert_eq!(
+            waiting
+                .wake("mai")
+                .iter()
+                .map(|w| (w.call, w.in_vain))
+                .collect::<Vec<_>>(),
+            [(2, false)]
+        );
         assert!(waiting.wake("mai").is_empty());
         waiting.forget(|call| *call == 3);
         assert!(waiting.is_empty() && waiting.next_due().is_none());
--- a/crates/pipithub-directory/tests/core.rs
+++ b/crates/pipithub-directory/tests/core.rs
@@ -1,8 +1,8 @@
 //! The directory core by itself: followed directories, days and peaks, bounds, snapshots.
 
 use pipithub_directory::{
-    Answer, Claim, Directory, DirectorySettings, Found, Input, Lifetimes, News, Output, Peak, Person,
-    Settings, TenantBase, TenantId, Time, Told, View, What, snapshot,
+    Answer, Claim, Directory, DirectorySettings, Found, Input, Lifetimes, News, Output, Peak,
+    Person, Settings, TenantBase, TenantId, Time, Told, View, What, snapshot,
 };
 use pipithub_ldap::Dn;
 
@@ -15,14 +15,21 @@
 
 fn core(max_users: usize, change: impl FnOnce(&mut DirectorySettings)) -> Directory {
     let mut directory = DirectorySettings {
-        lifetimes: Lifetimes { fresh: HOUR, stale_most: 12 * HOUR, negative: 30 * S },
+        lifetimes: Lifetimes {
+            fresh: HOUR,
+            stale_most: 12 * HOUR,
+            negative: 30 * S,
+        },
         ..DirectorySettings::default()
     };
     change(&mut directory);
     Directory::new(Settings {
         directories: vec![directory],
         tenants: ["north", "south"]
-            .map(|ou| TenantBase { directory: 0, base: dn(&format!("ou={ou},dc=example")) })
+            .map(|ou| TenantBase {
+                directory: 0,
+                base: dn(&format!("ou={ou},dc=example")),
+            })
             .to_vec(),
         max_users,
         max_queue: 10_000,
@@ -32,7 +39,11 @@
 }
 
 fn found(user: &str, ou: &str, person: u64) -> Found {
-    Found { user: user.into(), dn: dn(&format!("uid={user},ou={ou},dc=example")), person: Person(person) }
+    Found {
+        user: user.into(),
+        dn: dn(&format!("uid={user},ou={ou},dc=example")),
+        person: Person(person),
+    }
 }
 
 fn told(core: &mut Directory, now: Time, news: News) -> Vec<Output> {
@@ -49,22 +60,45 @@
 }
 
 /// Answers every search with everybody on the north side; when and how many were asked for.
-fn run(core: &mut Directory, now: &mut Time, until: Time, mut out: Vec<Output>) -> Vec<(Time, usize)> {
+fn run(
+    core: &mut Directory,
+    now: &mut Time,
+    until: Time,
+    mut out: Vec<Output>,
+) -> Vec<(Time, usize)> {
     let mut asked = Vec::new();
     loop {
         for output in std::mem::take(&mut out) {
             if let Output::Search { id, what, .. } = output {
-                let users = if let What::Users(users) = what { users } else { Vec::new() };
+                let users = if let What::Users(users) = what {
+                    users
+                } else {
+                    Vec::new()
+                };
                 asked.push((*now, users.len()));
                 let found = users.iter().map(|u| found(u, "north", 1)).collect();
-                let answer = Answer { found, mark: Some(1), loaded: true, newest: None };
-                core.handle(*now, Input::Ended { search: id, outcome: Ok(answer) }, &mut out);
+                let answer = Answer {
+                    found,
+                    mark: Some(1),
+                    loaded: true,
+                    newest: None,
+                };
+                core.handle(
+                    *now,
+                    Input::Ended {
+                        search: id,
+                        outcome: Ok(answer),
+                    },
+                    &mut out,
+                );
             }
         }
         if !out.is_empty() {
             continue;
         }
-        let Some(due) = core.next_due(*now).filter(|d| *d <= until) else { break };
+        let Some(due) = core.next_due(*now).filter(|d| *d <= until) else {
+            break;
+        };
         *now = due.max(*now);
         core.handle(*now, Input::Tick, &mut out);
     }
@@ -78,14 +112,22 @@
     told(&mut core, 0, News::Begun { whole: true });
     told(&mut core, 0, News::Entry(found("mai", "north", 1)));
     told(&mut core, 0, News::Entry(found("lan", "south", 2)));
-    assert_eq!(core.roster().look("nobody", S), View::Unknown, "not whole yet");
+    assert_eq!(
+        core.roster().look("nobody", S),
+        View::Unknown,
+        "not whole yet"
+    );
     told(&mut core, S, News::Complete);
     assert_eq!(core.roster().look("nobody", S), View::Nobody);
     let out = told(&mut core, 2 * S, News::Entry(found("mai", "south", 1)));
     assert!(out.contains(&Output::Changed("mai".into())));
     assert_eq!(tenant(&core, "mai", 2 * S), Some(1));
     told(&mut core, 3 * S, News::Entry(found("may", "south", 1)));
-    assert_eq!((tenant(&core, "mai", 3 * S), tenant(&core, "may", 3 * S)), (None, Some(1)), "renamed");
+    assert_eq!(
+        (tenant(&core, "mai", 3 * S), tenant(&core, "may", 3 * S)),
+        (None, Some(1)),
+        "renamed"
+    );
     told(&mut core, 4 * S, News::Gone(Person(2)));
     assert_eq!(core.roster().look("lan", 4 * S), View::Nobody);
     // As long as the connection is good nothing ages; then it does, from the last good moment.
@@ -94,7 +136,11 @@
     told(&mut core, 21 * HOUR, News::Lost);
     assert_eq!(tenant(&core, "may", 31 * HOUR), Some(1));
     assert_eq!(tenant(&core, "may", 33 * HOUR), None, "past the hard bound");
-    assert_eq!(core.roster().look("newcomer", 33 * HOUR), View::Unknown, "no longer known whole");
+    assert_eq!(
+        core.roster().look("newcomer", 33 * HOUR),
+        View::Unknown,
+        "no longer known whole"
+    );
 }
 
 /// Who is not named in a whole telling is gone, though no word of that ever comes.
@@ -102,36 +148,67 @@
 fn what_a_refresh_does_not_name_is_gone() {
     let mut core = core(10_000, |_| {});
     told(&mut core, 0, News::Begun { whole: true });
-    (0..5_000).for_each(|n| drop(told(&mut core, 0, News::Entry(found(&format!("u{n}"), "north", n + 1)))));
+    (0..5_000).for_each(|n| {
+        drop(told(
+            &mut core,
+            0,
+            News::Entry(found(&format!("u{n}"), "north", n + 1)),
+        ))
+    });
     told(&mut core, S, News::Complete);
     told(&mut core, 10 * S, News::Lost);
     told(&mut core, 20 * S, News::Begun { whole: true });
-    (0..100)
-        .for_each(|n| drop(told(&mut core, 20 * S, News::Entry(found(&format!("u{n}"), "north", n + 1)))));
+    (0..100).for_each(|n| {
+        drop(told(
+            &mut core,
+            20 * S,
+            News::Entry(found(&format!("u{n}"), "north", n + 1)),
+        ))
+    });
     let mut out = told(&mut core, 21 * S, News::Complete);
     let mut now = 21 * S;
     while let Some(due) = core.next_due(now).filter(|d| *d <= 21 * S) {
         now = due;
         core.handle(now, Input::Tick, &mut out);
     }
-    let left = (0..5_000).filter(|n| tenant(&core, &format!("u{n}"), 21 * S).is_some()).count();
+    let left = (0..5_000)
+        .filter(|n| tenant(&core, &format!("u{n}"), 21 * S).is_some())
+        .count();
     assert_eq!(left, 100);
-    assert_eq!(out.iter().filter(|o| matches!(o, Output::Changed(_))).count(), 4_900);
+    assert_eq!(
+        out.iter()
+            .filter(|o| matches!(o, Output::Changed(_)))
+            .count(),
+        4_900
+    );
 }
 
 #[test]
 fn known_users_are_asked_for_ahead_of_the_peak_in_few_searches() {
-    let peak = Peak { at: 6 * 3_600_000, ahead: 3_600_000 };
+    let peak = Peak {
+        at: 6 * 3_600_000,
+        ahead: 3_600_000,
+    };
     let mut core = core(10_000, |d| d.peak = Some(peak));
     let (mut now, mut out) = (0, Vec::new());
     for n in 0..500 {
-        core.handle(now, Input::Wanted { user: format!("u{n}").into(), urgent: true }, &mut out);
+        core.handle(
+            now,
+            Input::Wanted {
+                user: format!("u{n}").into(),
+                urgent: true,
+            },
+            &mut out,
+        );
     }
     run(&mut core, &mut now, S, std::mem::take(&mut out));
     let asked = run(&mut core, &mut now, 6 * HOUR, Vec::new());
     let users: usize = asked.iter().map(|a| a.1).sum();
     assert!(users >= 490, "{users} of 500 were asked for anew");
-    assert!(asked.iter().filter(|a| a.1 > 0).all(|a| a.0 >= 5 * HOUR), "within the hour before");
+    assert!(
+        asked.iter().filter(|a| a.1 > 0).all(|a| a.0 >= 5 * HOUR),
+        "within the hour before"
+    );
     assert!(asked.len() <= 500 / 3, "{} searches", asked.len());
     let fresh = |n| matches!(core.roster().look(&format!("u{n}"), now), View::Tenant { age, .. } if age <= HOUR + 60 * S);
     assert!((0..500).filter(|n| fresh(*n)).count() >= 490);
@@ -140,18 +217,36 @@
 /// The peak is in wall time: it had been counted from the wall time at the start for good.
 #[test]
 fn after_a_step_of_the_wall_clock_the_peak_is_where_the_wall_has_it() {
-    let peak = Peak { at: 6 * 3_600_000, ahead: 3_600_000 };
+    let peak = Peak {
+        at: 6 * 3_600_000,
+        ahead: 3_600_000,
+    };
     let mut core = core(10_000, |d| d.peak = Some(peak));
     let (mut now, mut out) = (S, Vec::new());
     core.set_wall(now, 3 * 3_600_000 + 1_000);
     for n in 0..100 {
-        core.handle(now, Input::Wanted { user: format!("u{n}").into(), urgent: true }, &mut out);
+        core.handle(
+            now,
+            Input::Wanted {
+                user: format!("u{n}").into(),
+                urgent: true,
+            },
+            &mut out,
+        );
     }
     run(&mut core, &mut now, 2 * S, std::mem::take(&mut out));
     let asked = run(&mut core, &mut now, 5 * HOUR, Vec::new());
     let asked: Vec<_> = asked.into_iter().filter(|(_, users)| *users > 0).collect();
-    assert!(asked.iter().map(|(_, users)| users).sum::<usize>() >= 98, "{asked:?}");
-    assert!(asked.iter().all(|(at, _)| (2 * HOUR..=3 * HOUR + 60 * S).contains(at)), "{asked:?}");
+    assert!(
+        asked.iter().map(|(_, users)| users).sum::<usize>() >= 98,
+        "{asked:?}"
+    );
+    assert!(
+        asked
+            .iter()
+            .all(|(at, _)| (2 * HOUR..=3 * HOUR + 60 * S).contains(at)),
+        "{asked:?}"
+    );
 }
 
 #[test]
@@ -159,7 +254,14 @@
     let mut core = core(50, |_| {});
     let (mut now, mut out) = (0, Vec::new());
     for n in 0..1_000 {
-        core.handle(now, Input::Wanted { user: format!("u{n}").into(), urgent: true }, &mut out);
+        core.handle(
+            now,
+            Input::Wanted {
+                user: format!("u{n}").into(),
+                urgent: true,
+            },
+            &mut out,
+        );
         now += S / 10;
     }
     run(&mut core, &mut now, 200 * S, std::mem::take(&mut out));
@@ -181,7 +283,13 @@
         spread: 0,
         seen: 0,
     };
-    core.restore(0, vec![("mai".into(), claim(0)), ("lan".into(), claim(-11 * 3_600_000))]);
+    core.restore(
+        0,
+        vec![
+            ("mai".into(), claim(0)),
+            ("lan".into(), claim(-11 * 3_600_000)),
+        ],
+    );
     let (of, key) = ([1; 32], &b"sixteen bytes...."[..]);
     let wall = 1_800_000_000_000;
     let bytes = snapshot::write(core.roster(), S, wall, of, key);
@@ -200,9 +308,18 @@
         -2 * 3_600_000 - 1_000,
         "nothing is younger for having been written down"
     );
-    assert_eq!(read(&bytes, wall, [2; 32], key), Err(snapshot::Refused::Foreign));
-    assert_eq!(read(&bytes, wall, of, b"another key......"), Err(snapshot::Refused::Tampered));
-    assert!(matches!(read(&bytes, wall - 100_000, of, key), Err(snapshot::Refused::Future(_))));
+    assert_eq!(
+        read(&bytes, wall, [2; 32], key),
+        Err(snapshot::Refused::Foreign)
+    );
+    assert_eq!(
+        read(&bytes, wall, of, b"another key......"),
+        Err(snapshot::Refused::Tampered)
+    );
+    assert!(matches!(
+        read(&bytes, wall - 100_000, of, key),
+        Err(snapshot::Refused::Future(_))
+    ));
     for at in 0..bytes.len() {
         let mut changed = bytes.clone();
         changed[at] ^= 1;
@@ -236,7 +353,10 @@
     assert_eq!(age(wall - 1), Ok(61_000));
     assert_eq!(age(wall - 60_000), Ok(61_000));
     assert_eq!(age(wall - 60_001), Err(snapshot::Refused::Future(60_001)));
-    assert_eq!(age(wall - 3_600_000), Err(snapshot::Refused::Future(3_600_000)));
+    assert_eq!(
+        age(wall - 3_600_000),
+        Err(snapshot::Refused::Future(3_600_000))
+    );
     assert_eq!(age(i64::MIN), Err(snapshot::Refused::Future(i64::MAX)));
 }
 
@@ -245,14 +365,24 @@
 #[test]
 fn refreshes_of_two_directories_do_not_lose_each_other() {
     let directory = DirectorySettings {
-        lifetimes: Lifetimes { fresh: HOUR, stale_most: 12 * HOUR, negative: 30 * S },
+        lifetimes: Lifetimes {
+            fresh: HOUR,
+            stale_most: 12 * HOUR,
+            negative: 30 * S,
+        },
         ..DirectorySettings::default()
     };
     let mut core = Directory::new(Settings {
         directories: vec![directory; 2],
         tenants: vec![
-            TenantBase { directory: 0, base: dn("ou=north,dc=example") },
-            TenantBase { directory: 1, base: dn("ou=south,dc=example") },
+            TenantBase {
+                directory: 0,
+                base: dn("ou=north,dc=example"),
+            },
+            TenantBase {
+                directory: 1,
+                base: dn("ou=south,dc=example"),
+            },
         ],
         max_users: 20_000,
         max_queue: 100,
@@ -271,20 +401,30 @@
                 &mut core,
                 0,
                 directory,
-                News::Entry(found(&format!("{name}{n}"), ou, 2 * n + directory as u64 + 1)),
+                News::Entry(found(
+                    &format!("{name}{n}"),
+                    ou,
+                    2 * n + directory as u64 + 1,
+                )),
             );
         });
         tell(&mut core, 0, directory, News::Complete);
     }
-    sides.iter().for_each(|(directory, ..)| tell(&mut core, 20 * S, *directory, News::Begun { whole: true }));
-    sides.iter().for_each(|(directory, ..)| tell(&mut core, 21 * S, *directory, News::Complete));
+    sides.iter().for_each(|(directory, ..)| {
+        tell(&mut core, 20 * S, *directory, News::Begun { whole: true })
+    });
+    sides
+        .iter()
+        .for_each(|(directory, ..)| tell(&mut core, 21 * S, *directory, News::Complete));
     let mut now = 21 * S;
     while let Some(due) = core.next_due(now).filter(|d| *d <= 21 * S) {
         now = due;
         core.handle(now, Input::Tick, &mut Vec::new());
     }
-    let left = sides
-        .iter()
-        .map(|(.., name)| (0..5_000).filter(|n| tenant(&core, &format!("{name}{n}"), now).is_some()).count());
+    let left = sides.iter().map(|(.., name)| {
+        (0..5_000)
+            .filter(|n| tenant(&core, &format!("{name}{n}"), now).is_some())
+            .count()
+    });
     assert_eq!(left.collect::<Vec<_>>(), [0, 0]);
 }
--- a/crates/pipithub-drill/src/client.rs
+++ b/crates/pipithub-drill/src/client.rs
@@ -5,7 +5,8 @@
 
 use bytes::{Buf, BytesMut};
 use pipithub_amqp::{
-    Content, Endpoint, Event, FieldTable, FieldValue, Login, Method, Properties, ShortStr, Time, Tuning,
+    Content, Endpoint, Event, FieldTable, FieldValue, Login, Method, Properties, ShortStr, Time,
+    Tuning,
 };
 use pipithub_clock::{Clock, wall_ms};
 use pipithub_consumer::identity::sign;
@@ -92,9 +93,20 @@
         let (calls, waiting) = mpsc::channel(WAITING);
         let (sender, answers) = mpsc::channel(WAITING);
         let clock = Clock::default();
-        let shell = Shell { address: address.into(), login, reply_queue: reply_queue.into(), clock, sender };
+        let shell = Shell {
+            address: address.into(),
+            login,
+            reply_queue: reply_queue.into(),
+            clock,
+            sender,
+        };
         let task = tokio::spawn(shell.run(waiting));
-        QueueClient { calls, answers, clock, task }
+        QueueClient {
+            calls,
+            answers,
+            clock,
+            task,
+        }
     }
 }
 
@@ -143,8 +155,8 @@
         stream.set_nodelay(true)?;
         let (mut reader, mut writer) = stream.split();
         let clock = self.clock;
-        let mut endpoint =
-            Endpoint::client(self.login.clone(), Tuning::default(), clock.now()).named("queue-client");
+        let mut endpoint = Endpoint::client(self.login.clone(), Tuning::default(), clock.now())
+            .named("queue-client");
         let (mut input, mut output) = (BytesMut::new(), BytesMut::new());
         let mut ready = None;
         loop {
@@ -164,14 +176,25 @@
                         };
                         let _ = endpoint.send(channel, consume);
                     }
-                    Event::Method { channel, method: Method::BasicConsumeOk { .. }, .. } => {
-                        ready = Some(channel)
-                    }
-                    Event::Method { method: Method::BasicDeliver { .. }, content: Some(content), .. } => {
+                    Event::Method {
+                        channel,
+                        method: Method::BasicConsumeOk { .. },
+                        ..
+                    } => ready = Some(channel),
+                    Event::Method {
+                        method: Method::BasicDeliver { .. },
+                        content: Some(content),
+                        ..
+                    } => {
                         let p = content.properties;
                         let headers = p.headers.unwrap_or_default();
-                        let text =
-                            |n: &str| headers.get(n).and_then(FieldValue::as_str).unwrap_or("").to_string();
+                        let text = |n: &str| {
+                            headers
+                                .get(n)
+                                .and_then(FieldValue::as_str)
+                                .unwrap_or("")
+                                .to_string()
+                        };
                         let answer = Answer {
                             id: p.correlation_id.as_deref().unwrap_or_default().to_string(),
                             verdict: text("pipithub-verdict"),
@@ -247,11 +270,15 @@
             user_id: call.user_id.as_deref().map(short),
             ..Properties::default()
         };
-        let mut content = Content { properties, body: call.body.into() };
+        let mut content = Content {
+            properties,
+            body: call.body.into(),
+        };
         if let Some(signed) = &call.signed {
             let signature = sign(&signed.key, &content, &call.queue);
             let headers = content.properties.headers.take().unwrap_or_default();
-            content.properties.headers = Some(headers.with("pipithub-signature", signature.as_str()));
+            content.properties.headers =
+                Some(headers.with("pipithub-signature", signature.as_str()));
         }
         let method = Method::BasicPublish {
             exchange: short(""),
@@ -271,12 +298,20 @@
         let mut endpoint = Endpoint::client(login, Tuning::default(), clock.now()).named("look");
         let mut input = BytesMut::new();
         loop {
-            stream.write_all(&endpoint.take_output(clock.now())).await.ok()?;
+            stream
+                .write_all(&endpoint.take_output(clock.now()))
+                .await
+                .ok()?;
             while let Some(event) = endpoint.poll_event() {
                 match event {
                     Event::Connected => drop(endpoint.open_channel()),
-                    Event::ChannelOpened { channel } => endpoint.send(channel, declare(queue, true)).ok()?,
-                    Event::Method { method: Method::QueueDeclareOk { consumer_count, .. }, .. } => {
+                    Event::ChannelOpened { channel } => {
+                        endpoint.send(channel, declare(queue, true)).ok()?
+                    }
+                    Event::Method {
+                        method: Method::QueueDeclareOk { consumer_count, .. },
+                        ..
+                    } => {
                         return Some(consumer_count);
                     }
                     Event::Closed { .. } | Event::ChannelClosed { .. } => return None,
@@ -293,5 +328,8 @@
             input.clear();
         }
     };
-    tokio::time::timeout(Duration::from_secs(5), ask).await.ok().flatten()
+    tokio::time::timeout(Duration::from_secs(5), ask)
+        .await
+        .ok()
+        .flatten()
 }
--- a/crates/pipithub-drill/src/fleet/day.rs
+++ b/crates/pipithub-drill/src/fleet/day.rs
@@ -123,8 +123,14 @@
         let source = || NamedSource::new(file, text.to_string());
         let document = KdlDocument::from_str(text).map_err(|error| {
             let first = error.diagnostics.first();
-            let message = first.and_then(|d| d.message.clone()).unwrap_or_else(|| "this is not KDL".into());
-            Box::new(Unreadable::new(message, source(), first.map_or((0, 0).into(), |d| d.span)))
+            let message = first
+                .and_then(|d| d.message.clone())
+                .unwrap_or_else(|| "this is not KDL".into());
+            Box::new(Unreadable::new(
+                message,
+                source(),
+                first.map_or((0, 0).into(), |d| d.span),
+            ))
         })?;
         let Some(head) = document.get("fleet-day") else {
             let message = "a fleet's day begins with 'fleet-day'".to_string();
@@ -159,7 +165,11 @@
             drawn: (head.number("drawn", Some(0.0))? as usize).min(200),
             steps: Vec::new(),
         };
-        for node in document.nodes().iter().filter(|n| n.name().value() != "fleet-day") {
+        for node in document
+            .nodes()
+            .iter()
+            .filter(|n| n.name().value() != "fleet-day")
+        {
             let n = Node::new(node, text, file);
             day.steps.push(step(&n, &day)?);
         }
@@ -172,18 +182,32 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut steps = self.steps.clone();
         for _ in 0..self.drawn {
-            let (member, other) = (rng.random_range(0..self.members), rng.random_range(1..self.members));
+            let (member, other) = (
+                rng.random_range(0..self.members),
+                rng.random_range(1..self.members),
+            );
             let other = (member + other) % self.members;
             let disk = [Disk::Kept, Disk::Empty, Disk::Old][rng.random_range(0..3usize)];
             let trouble = match rng.random_range(0..10u32) {
                 0..3 => FleetTrouble::Kill { member, disk },
                 3 => FleetTrouble::Pause { member },
-                4 => FleetTrouble::Cut { from: member, to: other, both: rng.random() },
-                5 => {
-                    FleetTrouble::Flap { from: member, to: other, every: rng.random_range(1..3u64) * SECOND }
-                }
-                6 => FleetTrouble::Hold { from: member, to: other },
-                7 => FleetTrouble::Split { zone: rng.random_range(0..self.zones) },
+                4 => FleetTrouble::Cut {
+                    from: member,
+                    to: other,
+                    both: rng.random(),
+                },
+                5 => FleetTrouble::Flap {
+                    from: member,
+                    to: other,
+                    every: rng.random_range(1..3u64) * SECOND,
+                },
+                6 => FleetTrouble::Hold {
+                    from: member,
+                    to: other,
+                },
+                7 => FleetTrouble::Split {
+                    zone: rng.random_range(0..self.zones),
+                },
                 8 => FleetTrouble::Slow {
                     delay: rng.random_range(5..40u64) * 1_000_000,
                     jitter: rng.random_range(1..30u64) * 1_000_000,
@@ -192,8 +216,14 @@
             };
             let latest = self.length.saturating_sub(2 * SECOND).max(1);
             let at = rng.random_range(0..latest);
-            let length = rng.random_range(SECOND..6 * SECOND).min(self.length.saturating_sub(at));
-            steps.push(FleetStep { at, length, trouble });
+            let length = rng
+                .random_range(SECOND..6 * SECOND)
+                .min(self.length.saturating_sub(at));
+            steps.push(FleetStep {
+                at,
+                length,
+                trouble,
+            });
         }
         steps.sort_by_key(|s| s.at);
         steps
@@ -202,14 +232,18 @@
 
 fn step(n: &Node<'_>, day: &FleetDay) -> Read<FleetStep> {
     n.allow(&[
-        "at", "for", "member", "disk", "from", "to", "both", "every", "zone", "delay", "jitter", "share",
+        "at", "for", "member", "disk", "from", "to", "both", "every", "zone", "delay", "jitter",
+        "share",
     ])?;
     let member = |name: &str| -> Read<usize> {
         let member = n.number(name, None)? as usize;
         if member < day.members {
             Ok(member)
         } else {
-            n.fault(format!("there are only {} members, counted from 0", day.members))
+            n.fault(format!(
+                "there are only {} members, counted from 0",
+                day.members
+            ))
         }
     };
     let trouble = match n.name() {
@@ -222,27 +256,50 @@
                 _ => return n.fault("a disk is \"kept\", \"empty\" or \"old\""),
             },
         },
-        "pause" => FleetTrouble::Pause { member: member("member")? },
-        "cut" => FleetTrouble::Cut { from: member("from")?, to: member("to")?, both: n.flag("both") },
+        "pause" => FleetTrouble::Pause {
+            member: member("member")?,
+        },
+        "cut" => FleetTrouble::Cut {
+            from: member("from")?,
+            to: member("to")?,
+            both: n.flag("both"),
+        },
         "flap" => FleetTrouble::Flap {
             from: member("from")?,
             to: member("to")?,
             every: n.time("every", Some(2 * SECOND))?.max(10_000_000),
         },
-        "hold" => FleetTrouble::Hold { from: member("from")?, to: member("to")? },
+        "hold" => FleetTrouble::Hold {
+            from: member("from")?,
+            to: member("to")?,
+        },
         "split" => {
             let zone = n.number("zone", None)? as usize;
             if zone >= day.zones {
-                return n.fault(format!("there are only {} zones, counted from 0", day.zones));
+                return n.fault(format!(
+                    "there are only {} zones, counted from 0",
+                    day.zones
+                ));
             }
             FleetTrouble::Split { zone }
         }
-        "slow" => FleetTrouble::Slow { delay: n.time("delay", None)?, jitter: n.time("jitter", Some(0))? },
-        "loss" => FleetTrouble::Loss { share: n.number("share", None)?.min(1.0) },
-        "twin" => FleetTrouble::Twin { member: member("member")? },
+        "slow" => FleetTrouble::Slow {
+            delay: n.time("delay", None)?,
+            jitter: n.time("jitter", Some(0))?,
+        },
+        "loss" => FleetTrouble::Loss {
+            share: n.number("share", None)?.min(1.0),
+        },
+        "twin" => FleetTrouble::Twin {
+            member: member("member")?,
+        },
         other => return n.fault(format!("a fleet's day has no '{other}'")),
     };
-    Ok(FleetStep { at: n.time("at", None)?, length: n.time("for", Some(3 * SECOND))?, trouble })
+    Ok(FleetStep {
+        at: n.time("at", None)?,
+        length: n.time("for", Some(3 * SECOND))?,
+        trouble,
+    })
 }
 
 #[cfg(test)]
@@ -254,15 +311,31 @@
         let text = "fleet-day name=\"x\" members=5 zones=2\nkill at=\"2s\" member=1 disk=\"old\"\ncut at=\"1s\" from=0 to=4 both=#true\n";
         assert!(FleetDay::is_one(text));
         let day = FleetDay::parse("x", text).unwrap();
-        assert_eq!(day.steps[0].trouble, FleetTrouble::Cut { from: 0, to: 4, both: true });
-        assert_eq!(day.steps[1].trouble, FleetTrouble::Kill { member: 1, disk: Disk::Old });
+        assert_eq!(
+            day.steps[0].trouble,
+            FleetTrouble::Cut {
+                from: 0,
+                to: 4,
+                both: true
+            }
+        );
+        assert_eq!(
+            day.steps[1].trouble,
+            FleetTrouble::Kill {
+                member: 1,
+                disk: Disk::Old
+            }
+        );
         for bad in [
             "kill at=\"2s\" member=5",
             "kill member=1",
             "burn at=\"1s\"",
             "kill at=\"1s\" member=1 disk=\"new\"",
         ] {
-            assert!(FleetDay::parse("x", &format!("fleet-day members=5\n{bad}\n")).is_err(), "{bad}");
+            assert!(
+                FleetDay::parse("x", &format!("fleet-day members=5\n{bad}\n")).is_err(),
+                "{bad}"
+            );
         }
     }
 
--- a/crates/pipithub-drill/src/fleet/run.rs
+++ b/crates/pipithub-drill/src/fleet/run.rs
@@ -90,9 +90,17 @@
         let (at, end) = (step.at, step.at + step.length);
         let mut both = |from: Act, to: Act| acts.extend([(at, from), (end, to)]);
         match step.trouble {
-            FleetTrouble::Kill { member, disk } => both(Act::Kill(member), Act::Start(member, disk)),
-            FleetTrouble::Pause { member } => both(Act::Pause(member, true), Act::Pause(member, false)),
-            FleetTrouble::Cut { from, to, both: ways } => {
+            FleetTrouble::Kill { member, disk } => {
+                both(Act::Kill(member), Act::Start(member, disk))
+            }
+            FleetTrouble::Pause { member } => {
+                both(Act::Pause(member, true), Act::Pause(member, false))
+            }
+            FleetTrouble::Cut {
+                from,
+                to,
+                both: ways,
+            } => {
                 both(Act::Cut(from, to, true), Act::Cut(from, to, false));
                 if ways {
                     both(Act::Cut(to, from, true), Act::Cut(to, from, false));
@@ -104,14 +112,22 @@
                     acts.extend([(t, Act::Cut(from, to, cut)), (t, Act::Cut(to, from, cut))]);
                     (t, cut) = (t + every, !cut);
                 }
-                acts.extend([(end, Act::Cut(from, to, false)), (end, Act::Cut(to, from, false))]);
+                acts.extend([
+                    (end, Act::Cut(from, to, false)),
+                    (end, Act::Cut(to, from, false)),
+                ]);
+            }
+            FleetTrouble::Hold { from, to } => {
+                both(Act::Hold(from, to, true), Act::Hold(from, to, false))
             }
-            FleetTrouble::Hold { from, to } => both(Act::Hold(from, to, true), Act::Hold(from, to, false)),
             FleetTrouble::Split { zone } => both(Act::Split(zone, true), Act::Split(zone, false)),
             FleetTrouble::Slow { delay, jitter } => both(Act::Slow(delay, jitter), Act::Slow(0, 0)),
             FleetTrouble::Loss { share } => both(Act::Loss(share), Act::Loss(0.0)),
             FleetTrouble::Twin { member } => {
-                both(Act::Twin(day.members + twins, member), Act::Kill(day.members + twins));
+                both(
+                    Act::Twin(day.members + twins, member),
+                    Act::Kill(day.members + twins),
+                );
                 twins += 1;
             }
         }
@@ -128,13 +144,20 @@
     fn settings(&self, slot: usize) -> String {
         let s = &self.slots[slot];
         let ms = |ns: u64| ns as f64 / 1e6;
-        let seeds: String =
-            (0..self.day.seeds).map(|n| format!("    seed \"{}\"\n", self.slots[n].advertise)).collect();
+        let seeds: String = (0..self.day.seeds)
+            .map(|n| format!("    seed \"{}\"\n", self.slots[n].advertise))
+            .collect();
         let via: String = self
             .relays
             .iter()
             .filter(|((from, _), _)| *from == slot)
-            .map(|((_, to), r)| format!("    via \"{}\" to=\"{}\"\n", self.slots[*to].advertise, r.address()))
+            .map(|((_, to), r)| {
+                format!(
+                    "    via \"{}\" to=\"{}\"\n",
+                    self.slots[*to].advertise,
+                    r.address()
+                )
+            })
             .collect();
         format!(
             "front-end {:?} drain=\"0s\"\nclass \"view\" effect=\"safe\"\nworkers {{ worker \"127.0.0.1:1\"; }}\nfleet {CLUSTER:?} {{\n    \
@@ -152,12 +175,19 @@
     fn start(&mut self, slot: usize, disk: Disk) -> std::io::Result<()> {
         let file = self.folder.join(format!("front-{slot}.kdl"));
         std::fs::write(&file, self.settings(slot))?;
-        let arguments = ["serve".to_string(), "--config".into(), file.display().to_string()];
+        let arguments = [
+            "serve".to_string(),
+            "--config".into(),
+            file.display().to_string(),
+        ];
         let log = self.folder.join(format!("front-{slot}.log"));
         let run = self.history.runs.len();
         let name = self.slots[slot].name.clone();
         let record = std::fs::read_to_string(self.data(slot).join("generation")).ok();
-        let number = record.and_then(|text| Record::read(&text).ok()).map_or(0, |r| r.generation) + 1;
+        let number = record
+            .and_then(|text| Record::read(&text).ok())
+            .map_or(0, |r| r.generation)
+            + 1;
         self.history.runs.push(Run {
             name,
             started: wall_ns(),
@@ -166,7 +196,10 @@
             number,
             paused: Vec::new(),
         });
-        self.spoken.lock().unwrap_or_else(PoisonError::into_inner).runs[slot] = Some(run);
+        self.spoken
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .runs[slot] = Some(run);
         let process = Process::gateway(self.binary, &arguments, &log)?;
         let s = &mut self.slots[slot];
         (s.process, s.run, s.led, s.paused) = (Some(process), Some(run), false, None);
@@ -175,7 +208,9 @@
 
     async fn kill(&mut self, slot: usize) {
         self.pause(slot, false);
-        let Some(process) = self.slots[slot].process.take() else { return };
+        let Some(process) = self.slots[slot].process.take() else {
+            return;
+        };
         process.kill().await;
         if let Some(run) = self.slots[slot].run.take() {
             self.history.runs[run].ended = Some(wall_ns());
@@ -189,17 +224,25 @@
 
     fn pause(&mut self, slot: usize, paused: bool) {
         let s = &mut self.slots[slot];
-        let Some(id) = s.process.as_ref().and_then(Process::id) else { return };
+        let Some(id) = s.process.as_ref().and_then(Process::id) else {
+            return;
+        };
         if paused == s.paused.is_some() {
             return;
         }
-        let signal = if paused { Signal::SIGSTOP } else { Signal::SIGCONT };
+        let signal = if paused {
+            Signal::SIGSTOP
+        } else {
+            Signal::SIGCONT
+        };
         if let Ok(id) = i32::try_from(id) {
             let _ = kill(Pid::from_raw(id), signal);
         }
         match (paused, s.paused.take(), s.run) {
             (true, _, _) => s.paused = Some(wall_ns()),
-            (false, Some(since), Some(run)) => self.history.runs[run].paused.push((since, wall_ns())),
+            (false, Some(since), Some(run)) => {
+                self.history.runs[run].paused.push((since, wall_ns()))
+            }
             _ => {}
         }
     }
@@ -214,7 +257,14 @@
                 let text = std::fs::read_to_string(&path)?;
                 let record = Record::read(&text).map_err(std::io::Error::other)?;
                 let generation = record.generation.saturating_sub(1);
-                std::fs::write(&path, Record { generation, ..record }.write())
+                std::fs::write(
+                    &path,
+                    Record {
+                        generation,
+                        ..record
+                    }
+                    .write(),
+                )
             }
         }
     }
@@ -267,7 +317,14 @@
                 let text = std::fs::read_to_string(from).unwrap_or_default();
                 if let Ok(record) = Record::read(&text) {
                     let generation = record.generation.saturating_sub(1);
-                    std::fs::write(to.join("generation"), Record { generation, ..record }.write())?;
+                    std::fs::write(
+                        to.join("generation"),
+                        Record {
+                            generation,
+                            ..record
+                        }
+                        .write(),
+                    )?;
                 }
                 self.slots[slot].name = self.slots[of].name.clone();
                 self.start(slot, Disk::Old)?;
@@ -281,9 +338,15 @@
         for slot in 0..self.slots.len() {
             let data = self.data(slot);
             let s = &mut self.slots[slot];
-            let (Some(process), Some(run), None) = (&s.process, s.run, s.paused) else { continue };
-            let Ok(bytes) = Folder::read_report(&data) else { continue };
-            let Ok(report) = serde_json::from_slice::<Report>(&bytes) else { continue };
+            let (Some(process), Some(run), None) = (&s.process, s.run, s.paused) else {
+                continue;
+            };
+            let Ok(bytes) = Folder::read_report(&data) else {
+                continue;
+            };
+            let Ok(report) = serde_json::from_slice::<Report>(&bytes) else {
+                continue;
+            };
             if process.id() != Some(report.process) {
                 continue;
             }
@@ -294,7 +357,13 @@
                 led.for_each(|(_, relay)| relay.lead_to(to));
             }
             let at = report.at_ms * 1_000_000;
-            if self.history.claims.iter().rfind(|c| c.run == run).is_some_and(|c| c.at >= at) {
+            if self
+                .history
+                .claims
+                .iter()
+                .rfind(|c| c.run == run)
+                .is_some_and(|c| c.at >= at)
+            {
                 continue;
             }
             self.history.claims.push(Claim {
@@ -303,7 +372,11 @@
                 joined: report.me.state == "joined",
                 generation: report.me.generation,
                 disk: report.me.disk,
-                others: report.members.into_iter().map(|m| (m.name, m.state == "down")).collect(),
+                others: report
+                    .members
+                    .into_iter()
+                    .map(|m| (m.name, m.state == "down"))
+                    .collect(),
             });
         }
     }
@@ -329,7 +402,10 @@
             (Act::Loss(_), Act::Loss(s)) => *s == 0.0,
             _ => false,
         };
-        let end = acts.iter().rfind(|(t, b)| t >= at && same(b)).map_or(length, |(t, _)| *t);
+        let end = acts
+            .iter()
+            .rfind(|(t, b)| t >= at && same(b))
+            .map_or(length, |(t, _)| *t);
         unrest.push((begin + at, begin + end));
     }
     unrest
@@ -355,17 +431,30 @@
         paused: None,
         led: false,
     };
-    let spoken = Arc::new(Mutex::new(Spoken { runs: vec![None; size], ..Spoken::default() }));
+    let spoken = Arc::new(Mutex::new(Spoken {
+        runs: vec![None; size],
+        ..Spoken::default()
+    }));
     let mut relays = BTreeMap::new();
-    for (from, to) in (0..size).flat_map(|a| (0..size).map(move |b| (a, b))).filter(|(a, b)| a != b) {
+    for (from, to) in (0..size)
+        .flat_map(|a| (0..size).map(move |b| (a, b)))
+        .filter(|(a, b)| a != b)
+    {
         let spoken = spoken.clone();
         let seen = move |bytes: &[u8]| {
-            let Some(me) = speaker(bytes, CLUSTER) else { return };
+            let Some(me) = speaker(bytes, CLUSTER) else {
+                return;
+            };
             let mut spoken = spoken.lock().unwrap_or_else(PoisonError::into_inner);
             // What still lay in a buffer belongs to the run that drew this number.
-            let Some(run) = spoken.boots.get(&me.boot).copied().or(spoken.runs[from]) else { return };
+            let Some(run) = spoken.boots.get(&me.boot).copied().or(spoken.runs[from]) else {
+                return;
+            };
             spoken.boots.insert(me.boot, run);
-            spoken.spoken.entry((run, me.generation)).or_insert_with(wall_ns);
+            spoken
+                .spoken
+                .entry((run, me.generation))
+                .or_insert_with(wall_ns);
         };
         let seed = seed.wrapping_mul(1_000_003) ^ ((from as u64) << 16) ^ to as u64;
         relays.insert((from, to), Relay::start(seed, seen).await?);
@@ -434,8 +523,13 @@
     stage.history.end = wall_ns();
     let claimed = |stage: &Stage<'_>| {
         let end = stage.history.end;
-        (0..day.members)
-            .all(|n| stage.history.claims.iter().any(|c| Some(c.run) == stage.slots[n].run && c.at >= end))
+        (0..day.members).all(|n| {
+            stage
+                .history
+                .claims
+                .iter()
+                .any(|c| Some(c.run) == stage.slots[n].run && c.at >= end)
+        })
     };
     let waited = tokio::time::Instant::now();
     while !claimed(&stage) && waited.elapsed() < START_MOST {
@@ -448,9 +542,26 @@
             process.kill().await;
         }
     }
-    let spoken = std::mem::take(&mut stage.spoken.lock().unwrap_or_else(PoisonError::into_inner).spoken);
-    stage.history.spoken = spoken.into_iter().map(|((run, g), at)| (run, g, at)).collect();
+    let spoken = std::mem::take(
+        &mut stage
+            .spoken
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .spoken,
+    );
+    stage.history.spoken = spoken
+        .into_iter()
+        .map(|((run, g), at)| (run, g, at))
+        .collect();
     let breaches = check(&stage.history, day.bounds);
-    let faults = stage.faults.iter().map(|(at, what)| (at.saturating_sub(begin) as f64 / 1e9, what.clone()));
-    Ok(Judged { breaches, faults: faults.collect(), history: stage.history, folder: stage.folder })
+    let faults = stage
+        .faults
+        .iter()
+        .map(|(at, what)| (at.saturating_sub(begin) as f64 / 1e9, what.clone()));
+    Ok(Judged {
+        breaches,
+        faults: faults.collect(),
+        history: stage.history,
+        folder: stage.folder,
+    })
 }
--- a/crates/pipithub-drill/src/load.rs
+++ b/crates/pipithub-drill/src/load.rs
@@ -39,12 +39,16 @@
 
 /// Moves of a day: when, which user, to which tenant.
 pub fn moves(day: &Scenario, seed: u64) -> Vec<(u64, usize, usize)> {
-    let Some(tenants) = &day.tenants else { return Vec::new() };
+    let Some(tenants) = &day.tenants else {
+        return Vec::new();
+    };
     let mut chance = Chance::new(seed ^ 0x6d6f_7665);
     let mut sides: Vec<usize> = (0..tenants.users).map(|n| n % 2).collect();
     let mut moves = Vec::new();
     for step in &day.steps {
-        let Trouble::MoveUsers { every } = step.trouble else { continue };
+        let Trouble::MoveUsers { every } = step.trouble else {
+            continue;
+        };
         let mut at = step.at;
         while at < step.at + step.length {
             let user = chance.below(tenants.users);
@@ -63,7 +67,9 @@
     // Of its own chance, so that a day without tenants has the calls that it always had.
     let mut whose = Chance::new(seed ^ 0x7573_6572);
     let mut moves = moves(day, seed).into_iter().peekable();
-    let mut sides: Vec<usize> = (0..day.tenants.as_ref().map_or(0, |t| t.users)).map(|n| n % 2).collect();
+    let mut sides: Vec<usize> = (0..day.tenants.as_ref().map_or(0, |t| t.users))
+        .map(|n| n % 2)
+        .collect();
     let mut calls = Vec::new();
     let mut at = 0.0f64;
     // A few functions draw a large part of all calls.
@@ -71,9 +77,17 @@
     let total: f64 = weights.iter().sum();
     let shares: f64 = day.classes.iter().map(|c| c.share).sum();
     loop {
-        let storm = day.steps.iter().filter(|s| s.at as f64 <= at && at < (s.at + s.length) as f64);
-        let storm =
-            storm.filter_map(|s| if let Trouble::Storm { times } = s.trouble { Some(times) } else { None });
+        let storm = day
+            .steps
+            .iter()
+            .filter(|s| s.at as f64 <= at && at < (s.at + s.length) as f64);
+        let storm = storm.filter_map(|s| {
+            if let Trouble::Storm { times } = s.trouble {
+                Some(times)
+            } else {
+                None
+            }
+        });
         // Half of the calls are the second tenant's as a rule.
         let storm = storm.fold(1.0, f64::max);
         at += -(1.0 - chance.unit()).ln() / (day.rate * (1.0 + storm) / 2.0) * 1e9;
@@ -85,12 +99,33 @@
             sides[user] = side;
         }
         let share = |pick: fn(&Trouble) -> Option<f64>| {
-            let active = day.steps.iter().filter(|s| s.at <= now && now < s.at + s.length);
+            let active = day
+                .steps
+                .iter()
+                .filter(|s| s.at <= now && now < s.at + s.length);
             active.filter_map(|s| pick(&s.trouble)).fold(0.0, f64::max)
         };
-        let one_off = share(|t| if let Trouble::OneOff { share } = t { Some(*share) } else { None });
-        let hot = share(|t| if let Trouble::Hot { share } = t { Some(*share) } else { None });
-        let little = share(|t| if let Trouble::LittleTime { share } = t { Some(*share) } else { None });
+        let one_off = share(|t| {
+            if let Trouble::OneOff { share } = t {
+                Some(*share)
+            } else {
+                None
+            }
+        });
+        let hot = share(|t| {
+            if let Trouble::Hot { share } = t {
+                Some(*share)
+            } else {
+                None
+            }
+        });
+        let little = share(|t| {
+            if let Trouble::LittleTime { share } = t {
+                Some(*share)
+            } else {
+                None
+            }
+        });
         let mut drawn = chance.unit() * shares;
         let class = day.classes.iter().find(|c| {
             drawn -= c.share;
@@ -115,10 +150,20 @@
             None => (function, None),
             Some(tenants) => {
                 let wanted = usize::from(whose.unit() < storm / (1.0 + storm));
-                let user =
-                    (0..64).map(|_| whose.below(tenants.users)).find(|u| sides[*u] == wanted).unwrap_or(0);
-                let side = if whose.unit() < tenants.spies { 1 - sides[user] } else { sides[user] };
-                let signed = Signed { user: format!("u{user}"), key_id: "desk".into(), key: KEY.into() };
+                let user = (0..64)
+                    .map(|_| whose.below(tenants.users))
+                    .find(|u| sides[*u] == wanted)
+                    .unwrap_or(0);
+                let side = if whose.unit() < tenants.spies {
+                    1 - sides[user]
+                } else {
+                    sides[user]
+                };
+                let signed = Signed {
+                    user: format!("u{user}"),
+                    key_id: "desk".into(),
+                    key: KEY.into(),
+                };
                 (format!("{}-{function}", TENANTS[side]), Some(signed))
             }
         };
@@ -135,7 +180,8 @@
                 budget_ms,
                 memory_mb: 0,
                 lanes: 4,
-                body: format!("{{\"inputs\":[],\"parameters\":{{\"work_ms\":{work_ms:.2}}}}}").into_bytes(),
+                body: format!("{{\"inputs\":[],\"parameters\":{{\"work_ms\":{work_ms:.2}}}}}")
+                    .into_bytes(),
                 signed,
                 user_id: None,
             },
--- a/crates/pipithub-drill/src/process.rs
+++ b/crates/pipithub-drill/src/process.rs
@@ -19,15 +19,26 @@
 impl Process {
     /// Starts `binary` with these arguments; its first line is awaited and must be `{"address": …}`. What it logs goes
     /// to a file.
-    pub async fn standin(binary: &Path, arguments: &[String], log: &Path) -> std::io::Result<Process> {
+    pub async fn standin(
+        binary: &Path,
+        arguments: &[String],
+        log: &Path,
+    ) -> std::io::Result<Process> {
         let mut process = Self::start(binary, arguments, log, Stdio::piped())?;
-        let stdout = process.child.stdout.take().ok_or(std::io::ErrorKind::BrokenPipe)?;
+        let stdout = process
+            .child
+            .stdout
+            .take()
+            .ok_or(std::io::ErrorKind::BrokenPipe)?;
         let mut lines = BufReader::new(stdout).lines();
         let first = tokio::time::timeout(Duration::from_secs(20), lines.next_line()).await;
-        let line =
-            first.map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))??.unwrap_or_default();
+        let line = first
+            .map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))??
+            .unwrap_or_default();
         let said: serde_json::Value = serde_json::from_str(&line).map_err(|_| {
-            std::io::Error::other(format!("{arguments:?} said {line:?} instead of its address"))
+            std::io::Error::other(format!(
+                "{arguments:?} said {line:?} instead of its address"
+            ))
         })?;
         process.address = said["address"].as_str().unwrap_or_default().to_string();
         Ok(process)
@@ -38,8 +49,16 @@
         Self::start(binary, arguments, log, Stdio::null())
     }
 
-    fn start(binary: &Path, arguments: &[String], log: &Path, stdout: Stdio) -> std::io::Result<Process> {
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(log)?;
+    fn start(
+        binary: &Path,
+        arguments: &[String],
+        log: &Path,
+        stdout: Stdio,
+    ) -> std::io::Result<Process> {
+        let log = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(log)?;
         let mut child = Command::new(binary)
             .args(arguments)
             .stdin(Stdio::piped())
@@ -48,7 +67,11 @@
             .kill_on_drop(true)
             .spawn()?;
         let stdin = child.stdin.take();
-        Ok(Process { child, stdin, address: String::new() })
+        Ok(Process {
+            child,
+            stdin,
+            address: String::new(),
+        })
     }
 
     /// Says a line on its standard input.
--- a/crates/pipithub-drill/src/run.rs
+++ b/crates/pipithub-drill/src/run.rs
@@ -87,7 +87,9 @@
 /// The acts of a day, by time.
 fn acts(day: &Scenario, seed: u64) -> Vec<(u64, Act)> {
     let moves = load::moves(day, seed).into_iter();
-    let mut acts: Vec<(u64, Act)> = moves.map(|(at, user, side)| (at, Act::Move(user, side))).collect();
+    let mut acts: Vec<(u64, Act)> = moves
+        .map(|(at, user, side)| (at, Act::Move(user, side)))
+        .collect();
     let dies = |acts: &mut Vec<(u64, Act)>, worker: usize, at: u64, length: u64| {
         acts.push((at, Act::Kill(worker)));
         acts.push((at + day.list_lag, Act::Gone(worker)));
@@ -160,15 +162,24 @@
     async fn start_worker(&mut self, n: usize, first: bool) -> std::io::Result<()> {
         self.started += 1;
         let mut arguments: Vec<String> =
-            ["standin", "worker", "--listen", "127.0.0.1:0", "--commands"].map(Into::into).into();
+            ["standin", "worker", "--listen", "127.0.0.1:0", "--commands"]
+                .map(Into::into)
+                .into();
         arguments.extend(["--store".into(), self.store.address().to_string()]);
-        arguments.extend(["--record".into(), self.path(&format!("worker-{}.jsonl", self.started))]);
+        arguments.extend([
+            "--record".into(),
+            self.path(&format!("worker-{}.jsonl", self.started)),
+        ]);
         arguments.extend(self.day.worker_arguments.iter().cloned());
         if first {
             arguments.extend(["--cold-from".into(), "1".into()]);
         }
-        let process = Process::standin(self.binary, &arguments, &self.folder.join("workers.log")).await?;
-        let (ip, port) = process.address.rsplit_once(':').unwrap_or(("127.0.0.1", "0"));
+        let process =
+            Process::standin(self.binary, &arguments, &self.folder.join("workers.log")).await?;
+        let (ip, port) = process
+            .address
+            .rsplit_once(':')
+            .unwrap_or(("127.0.0.1", "0"));
         let listed = Listed {
             ip: ip.to_string(),
             port: port.parse().unwrap_or(0),
@@ -206,7 +217,10 @@
             }
             Act::Gone(n) => {
                 for listed in std::mem::take(&mut self.slots[n].dead) {
-                    self.list.set(Listed { state: "gone".into(), ..listed });
+                    self.list.set(Listed {
+                        state: "gone".into(),
+                        ..listed
+                    });
                 }
             }
             Act::Start(n) => {
@@ -216,7 +230,10 @@
             }
             Act::Drain(n) => {
                 if let Some(listed) = &self.slots[n].listed {
-                    self.list.set(Listed { state: "draining".into(), ..listed.clone() });
+                    self.list.set(Listed {
+                        state: "draining".into(),
+                        ..listed.clone()
+                    });
                 }
             }
             Act::Say(n, line) => {
@@ -243,7 +260,8 @@
             Act::Directory(server, line) => drop(self.directories[server].command(&line)),
             Act::Stale(server, stale) => {
                 self.stale[server] = stale;
-                if let Some(current) = (0..self.directories.len()).find(|n| !self.stale[*n] && *n != server)
+                if let Some(current) =
+                    (0..self.directories.len()).find(|n| !self.stale[*n] && *n != server)
                     && !stale
                 {
                     self.directories[server].copy_from(&self.directories[current]);
@@ -252,7 +270,8 @@
             Act::Move(user, side) => {
                 // Noted first: a front end may act on it before the next line runs.
                 let (name, tenant) = (format!("u{user}"), load::TENANTS[side].to_string());
-                self.moved.note("directory", Seen::Moved { user: name, tenant });
+                self.moved
+                    .note("directory", Seen::Moved { user: name, tenant });
                 let from = format!("uid=u{user},ou={},dc=example", load::TENANTS[1 - side]);
                 for (n, directory) in self.directories.iter().enumerate() {
                     if !self.stale[n] {
@@ -299,7 +318,10 @@
     let (tenants, identity) = match &day.tenants {
         None => (String::new(), ""),
         Some(spec) => {
-            let servers: String = directories.iter().map(|d| format!("    server {d:?}\n")).collect();
+            let servers: String = directories
+                .iter()
+                .map(|d| format!("    server {d:?}\n"))
+                .collect();
             let each = |t: &str| {
                 format!(
                     "tenant {t:?} {{ directory \"campus\" base=\"ou={t},dc=example\"; function \"{t}-*\" }}\n"
@@ -339,11 +361,22 @@
     };
     let config = pipithub_settings::Config::parse(
         "drill",
-        &settings(day, 0, "127.0.0.1:1", "127.0.0.1:1", "x", &["127.0.0.1:1".into()]),
+        &settings(
+            day,
+            0,
+            "127.0.0.1:1",
+            "127.0.0.1:1",
+            "x",
+            &["127.0.0.1:1".into()],
+        ),
     );
     let ration = config.ok().and_then(|c| c.engine.policy.loading.ration);
     RuleBook {
-        classes: day.classes.iter().map(|c| (c.name.clone(), class(c))).collect(),
+        classes: day
+            .classes
+            .iter()
+            .map(|c| (c.name.clone(), class(c)))
+            .collect(),
         queue: QUEUE.into(),
         slack: day.slack,
         drain_grace: day.drain_grace,
@@ -367,9 +400,23 @@
     let list = ListServer::start(any, Recorder::file(&folder.join("list.jsonl"))?).await?;
     let store = StoreServer::start(any, StoreSettings::default()).await?;
     let record = folder.join("broker.jsonl").display().to_string();
-    let arguments =
-        ["standin", "broker", "--listen", "127.0.0.1:0", "--commands", "--queue", QUEUE, "--record", &record];
-    let broker = Process::standin(binary, &arguments.map(String::from), &folder.join("broker.log")).await?;
+    let arguments = [
+        "standin",
+        "broker",
+        "--listen",
+        "127.0.0.1:0",
+        "--commands",
+        "--queue",
+        QUEUE,
+        "--record",
+        &record,
+    ];
+    let broker = Process::standin(
+        binary,
+        &arguments.map(String::from),
+        &folder.join("broker.log"),
+    )
+    .await?;
     let address = broker.address.clone();
     let moved = Recorder::file(&folder.join("directory.jsonl"))?;
     let mut directories = Vec::new();
@@ -380,16 +427,36 @@
         }
         for user in 0..tenants.users {
             let tenant = load::TENANTS[user % 2];
-            tree += &format!("dn: uid=u{user},ou={tenant},dc=example\nobjectClass: person\nuid: u{user}\n\n");
-            moved.note("directory", Seen::Moved { user: format!("u{user}"), tenant: tenant.into() });
+            tree += &format!(
+                "dn: uid=u{user},ou={tenant},dc=example\nobjectClass: person\nuid: u{user}\n\n"
+            );
+            moved.note(
+                "directory",
+                Seen::Moved {
+                    user: format!("u{user}"),
+                    tenant: tenant.into(),
+                },
+            );
         }
         for _ in 0..tenants.servers {
-            let settings = DirectorySettings { tree: tree.clone(), ..DirectorySettings::default() };
+            let settings = DirectorySettings {
+                tree: tree.clone(),
+                ..DirectorySettings::default()
+            };
             directories.push(DirectoryServer::start(any, settings).await?);
         }
     }
-    let addresses: Vec<String> = directories.iter().map(|d| d.address().to_string()).collect();
-    let slots = (0..day.workers).map(|_| Slot { process: None, listed: None, dead: Vec::new() }).collect();
+    let addresses: Vec<String> = directories
+        .iter()
+        .map(|d| d.address().to_string())
+        .collect();
+    let slots = (0..day.workers)
+        .map(|_| Slot {
+            process: None,
+            listed: None,
+            dead: Vec::new(),
+        })
+        .collect();
     let mut stage = Stage {
         day,
         binary,
@@ -411,7 +478,14 @@
     }
     for n in 0..day.fronts {
         let remember = stage.path(&format!("front-{n}-list.json"));
-        let text = settings(day, n, &address, &stage.list.address().to_string(), &remember, &addresses);
+        let text = settings(
+            day,
+            n,
+            &address,
+            &stage.list.address().to_string(),
+            &remember,
+            &addresses,
+        );
         // A file with a fault would only show as a front end that never comes.
         pipithub_settings::Config::parse("drill settings", &text)
             .map_err(|f| format!("{f}: {:?}", f.lines()))?;
@@ -441,7 +515,11 @@
     let end = day.length + 2 * longest + 4 * SECOND;
     let mut second = SECOND;
     while (sent < total || acts.peek().is_some() || answered < total) && start.now() < end {
-        let next = [calls.peek().map(|c| c.0), acts.peek().map(|a| a.0), Some(second)];
+        let next = [
+            calls.peek().map(|c| c.0),
+            acts.peek().map(|a| a.0),
+            Some(second),
+        ];
         let due = next.into_iter().flatten().min();
         tokio::select! {
             () = start.sleep_until(due) => {
--- a/crates/pipithub-drill/src/scenario.rs
+++ b/crates/pipithub-drill/src/scenario.rs
@@ -19,7 +19,11 @@
 
 impl Unreadable {
     pub(crate) fn new(message: String, source_code: NamedSource<String>, span: SourceSpan) -> Self {
-        Unreadable { message, source_code, span }
+        Unreadable {
+            message,
+            source_code,
+            span,
+        }
     }
 }
 
@@ -206,12 +210,19 @@
     }
 
     pub(crate) fn flag(&self, name: &str) -> bool {
-        self.node.get(name).and_then(|v| v.as_bool()).unwrap_or(false)
+        self.node
+            .get(name)
+            .and_then(|v| v.as_bool())
+            .unwrap_or(false)
     }
 
     pub(crate) fn fault<T>(&self, message: impl Into<String>) -> Read<T> {
         let source_code = NamedSource::new(self.file, self.text.to_string());
-        Err(Box::new(Unreadable { message: message.into(), source_code, span: self.node.span() }))
+        Err(Box::new(Unreadable {
+            message: message.into(),
+            source_code,
+            span: self.node.span(),
+        }))
     }
 
     pub(crate) fn text_of(&self, name: &str) -> Option<&'a str> {
@@ -224,9 +235,10 @@
             (Some(v), _) if v.as_string().and_then(duration).is_some() => {
                 Ok(v.as_string().and_then(duration).unwrap_or_default())
             }
-            _ => {
-                self.fault(format!("'{}' needs a time '{name}', as {name}=\"2s\"", self.node.name().value()))
-            }
+            _ => self.fault(format!(
+                "'{}' needs a time '{name}', as {name}=\"2s\"",
+                self.node.name().value()
+            )),
         }
     }
 
@@ -236,12 +248,19 @@
         match (value, number.filter(|n| *n >= 0.0), default) {
             (None, _, Some(default)) => Ok(default),
             (Some(_), Some(number), _) => Ok(number),
-            _ => self.fault(format!("'{}' needs a number '{name}'", self.node.name().value())),
+            _ => self.fault(format!(
+                "'{}' needs a number '{name}'",
+                self.node.name().value()
+            )),
         }
     }
 
     pub(crate) fn allow(&self, names: &[&str]) -> Read<()> {
-        let given = self.node.entries().iter().filter_map(|e| e.name().map(|n| n.value()));
+        let given = self
+            .node
+            .entries()
+            .iter()
+            .filter_map(|e| e.name().map(|n| n.value()));
         for name in given {
             if !names.contains(&name) {
                 return self.fault(format!(
@@ -261,9 +280,15 @@
         let source = || NamedSource::new(file, text.to_string());
         let document = KdlDocument::from_str(text).map_err(|error| {
             let first = error.diagnostics.first();
-            let message = first.and_then(|d| d.message.clone()).unwrap_or_else(|| "this is not KDL".into());
+            let message = first
+                .and_then(|d| d.message.clone())
+                .unwrap_or_else(|| "this is not KDL".into());
             let span = first.map_or((0, 0).into(), |d| d.span);
-            Box::new(Unreadable { message, source_code: source(), span })
+            Box::new(Unreadable {
+                message,
+                source_code: source(),
+                span,
+            })
         })?;
         let mut day = Scenario {
             name: file.to_string(),
@@ -310,7 +335,15 @@
                     day.slack = n.time("slack", Some(day.slack))?;
                 }
                 "class" => {
-                    n.allow(&["effect", "aim", "give-up", "worth", "share", "work", "dedup-window"])?;
+                    n.allow(&[
+                        "effect",
+                        "aim",
+                        "give-up",
+                        "worth",
+                        "share",
+                        "work",
+                        "dedup-window",
+                    ])?;
                     let Some(name) = node.get(0).and_then(|v| v.as_string()) else {
                         return n.fault("a class needs a name");
                     };
@@ -355,55 +388,84 @@
                             server: n.number("server", Some(0.0))? as usize,
                             fault: match n.text_of("fault") {
                                 Some(fault) => fault.to_string(),
-                                None => return n.fault("'directory' needs a 'fault', as \"silent on\""),
+                                None => {
+                                    return n.fault("'directory' needs a 'fault', as \"silent on\"");
+                                }
                             },
                         },
-                        "stale-directory" => {
-                            Trouble::StaleDirectory { server: n.number("server", Some(0.0))? as usize }
-                        }
-                        "move-users" => {
-                            Trouble::MoveUsers { every: n.time("every", Some(200_000_000))?.max(1_000_000) }
-                        }
-                        "storm" => {
-                            Trouble::Storm { times: n.number("times", Some(10.0))?.clamp(1.0, 1_000.0) }
-                        }
-                        "crash" => Trouble::Crash { worker: n.number("worker", None)? as usize },
+                        "stale-directory" => Trouble::StaleDirectory {
+                            server: n.number("server", Some(0.0))? as usize,
+                        },
+                        "move-users" => Trouble::MoveUsers {
+                            every: n.time("every", Some(200_000_000))?.max(1_000_000),
+                        },
+                        "storm" => Trouble::Storm {
+                            times: n.number("times", Some(10.0))?.clamp(1.0, 1_000.0),
+                        },
+                        "crash" => Trouble::Crash {
+                            worker: n.number("worker", None)? as usize,
+                        },
                         "deploy" => Trouble::Deploy {
                             every: n.time("every", Some(1_500_000_000))?,
                             count: n.number("count", Some(3.0))? as usize,
                         },
-                        "late-list" => Trouble::LateList { by: n.time("by", None)? },
-                        "silent" => Trouble::Silent { worker: n.number("worker", None)? as usize },
-                        "slow-store" => Trouble::SlowStore { factor: n.number("factor", None)? },
+                        "late-list" => Trouble::LateList {
+                            by: n.time("by", None)?,
+                        },
+                        "silent" => Trouble::Silent {
+                            worker: n.number("worker", None)? as usize,
+                        },
+                        "slow-store" => Trouble::SlowStore {
+                            factor: n.number("factor", None)?,
+                        },
                         "halt-store" => Trouble::HaltStore,
-                        "kill-front" => Trouble::KillFront { front: n.number("front", None)? as usize },
+                        "kill-front" => Trouble::KillFront {
+                            front: n.number("front", None)? as usize,
+                        },
                         "cut-broker" => Trouble::CutBroker,
-                        "lose-zone" => Trouble::LoseZone { zone: n.number("zone", None)? as usize },
-                        "little-time" => Trouble::LittleTime { share: n.number("share", None)? },
-                        "one-off" => Trouble::OneOff { share: n.number("share", None)? },
-                        "hot" => Trouble::Hot { share: n.number("share", None)? },
+                        "lose-zone" => Trouble::LoseZone {
+                            zone: n.number("zone", None)? as usize,
+                        },
+                        "little-time" => Trouble::LittleTime {
+                            share: n.number("share", None)?,
+                        },
+                        "one-off" => Trouble::OneOff {
+                            share: n.number("share", None)?,
+                        },
+                        "hot" => Trouble::Hot {
+                            share: n.number("share", None)?,
+                        },
                         other => return n.fault(format!("a day has no '{other}'")),
                     };
                     n.allow(&[
-                        "at", "for", "worker", "front", "zone", "share", "factor", "by", "every", "count",
-                        "server", "fault", "times",
+                        "at", "for", "worker", "front", "zone", "share", "factor", "by", "every",
+                        "count", "server", "fault", "times",
                     ])?;
                     match trouble {
-                        Trouble::Crash { worker } | Trouble::Silent { worker } if worker >= day.workers => {
-                            return n
-                                .fault(format!("there are only {} workers, counted from 0", day.workers));
+                        Trouble::Crash { worker } | Trouble::Silent { worker }
+                            if worker >= day.workers =>
+                        {
+                            return n.fault(format!(
+                                "there are only {} workers, counted from 0",
+                                day.workers
+                            ));
                         }
                         Trouble::Directory { server, .. } | Trouble::StaleDirectory { server }
                             if day.tenants.as_ref().is_none_or(|t| server >= t.servers) =>
                         {
-                            return n.fault("there is no such directory server; 'tenants' comes first");
+                            return n
+                                .fault("there is no such directory server; 'tenants' comes first");
                         }
-                        Trouble::MoveUsers { .. } | Trouble::Storm { .. } if day.tenants.is_none() => {
+                        Trouble::MoveUsers { .. } | Trouble::Storm { .. }
+                            if day.tenants.is_none() =>
+                        {
                             return n.fault("this needs 'tenants', before it");
                         }
                         Trouble::KillFront { front } if front >= day.fronts => {
-                            return n
-                                .fault(format!("there are only {} front ends, counted from 0", day.fronts));
+                            return n.fault(format!(
+                                "there are only {} front ends, counted from 0",
+                                day.fronts
+                            ));
                         }
                         _ => {}
                     }
@@ -417,7 +479,11 @@
         }
         if day.classes.is_empty() {
             let message = "a day needs a class".to_string();
-            return Err(Box::new(Unreadable { message, source_code: source(), span: (0, 0).into() }));
+            return Err(Box::new(Unreadable {
+                message,
+                source_code: source(),
+                span: (0, 0).into(),
+            }));
         }
         day.steps.sort_by_key(|s| s.at);
         Ok(day)
--- a/crates/pipithub-endpoints/src/lib.rs
+++ b/crates/pipithub-endpoints/src/lib.rs
@@ -86,7 +86,10 @@
 impl Watcher {
     /// Follows the port of this name, or the first of each slice.
     pub fn new(port: Option<String>) -> Self {
-        Watcher { port, ..Watcher::default() }
+        Watcher {
+            port,
+            ..Watcher::default()
+        }
     }
 
     /// The version to watch from; `None`: list first.
@@ -101,22 +104,36 @@
 
     /// Takes the body of a list; all workers there are. `wall_ms` is the Unix time that `now` stands for.
     pub fn list(&mut self, now: Time, wall_ms: u64, body: &[u8]) -> Result<Vec<Entry>, ListError> {
-        let json = |source| ListError::Json { what: "EndpointSliceList", source };
+        let json = |source| ListError::Json {
+            what: "EndpointSliceList",
+            source,
+        };
         let list: EndpointSliceList = serde_json::from_slice(body).map_err(json)?;
         let count = list.items.iter().map(|s| s.endpoints.len()).sum();
         if count > MAX_ENDPOINTS {
             return Err(ListError::TooMany(count));
         }
-        self.slices = list.items.into_iter().map(|s| (s.metadata.name.clone(), s)).collect();
+        self.slices = list
+            .items
+            .into_iter()
+            .map(|s| (s.metadata.name.clone(), s))
+            .collect();
         self.version = Some(list.metadata.resource_version).filter(|v| !v.is_empty());
         self.refresh(Reading { now, wall_ms });
         self.listed = true;
-        Ok(self.known.iter().map(|(address, k)| k.entry(address)).collect())
+        Ok(self
+            .known
+            .iter()
+            .map(|(address, k)| k.entry(address))
+            .collect())
     }
 
     /// Takes one line of a watch.
     pub fn line(&mut self, now: Time, wall_ms: u64, line: &[u8]) -> Result<Step, ListError> {
-        let json = |source| ListError::Json { what: "watch event", source };
+        let json = |source| ListError::Json {
+            what: "watch event",
+            source,
+        };
         let event: WatchEvent = serde_json::from_slice(line).map_err(json)?;
         match event.kind.as_str() {
             "ADDED" | "MODIFIED" | "DELETED" => {
@@ -129,17 +146,24 @@
                     self.slices.remove(&name);
                 } else {
                     let others = self.slices.iter().filter(|(n, _)| **n != name);
-                    let count = others.map(|(_, s)| s.endpoints.len()).sum::<usize>() + slice.endpoints.len();
+                    let count = others.map(|(_, s)| s.endpoints.len()).sum::<usize>()
+                        + slice.endpoints.len();
                     if count > MAX_ENDPOINTS {
                         return Err(ListError::TooMany(count));
                     }
                     self.slices.insert(name, slice);
                 }
                 let changes = self.refresh(Reading { now, wall_ms });
-                Ok(if changes.is_empty() { Step::Nothing } else { Step::Changes(changes) })
+                Ok(if changes.is_empty() {
+                    Step::Nothing
+                } else {
+                    Step::Changes(changes)
+                })
             }
             "BOOKMARK" => {
-                let version = event.object["metadata"]["resourceVersion"].as_str().unwrap_or_default();
+                let version = event.object["metadata"]["resourceVersion"]
+                    .as_str()
+                    .unwrap_or_default();
                 if !version.is_empty() {
                     self.version = Some(version.to_string());
                 }
@@ -151,7 +175,10 @@
                     self.version = None;
                     return Ok(Step::Expired);
                 }
-                let message = event.object["message"].as_str().unwrap_or("no message").to_string();
+                let message = event.object["message"]
+                    .as_str()
+                    .unwrap_or("no message")
+                    .to_string();
                 Err(ListError::Status { code, message })
             }
             // A kind of event that later servers may send changes nothing here.
@@ -163,12 +190,18 @@
     fn refresh(&mut self, reading: Reading) -> Vec<Entry> {
         let mut next: BTreeMap<String, Known> = BTreeMap::new();
         for slice in self.slices.values() {
-            let Some(port) = slice.port(self.port.as_deref()) else { continue };
+            let Some(port) = slice.port(self.port.as_deref()) else {
+                continue;
+            };
             for endpoint in &slice.endpoints {
-                let Some(address) = endpoint.address(port) else { continue };
+                let Some(address) = endpoint.address(port) else {
+                    continue;
+                };
                 let found = self.known_of(slice, endpoint, &address, reading);
                 // While an endpoint moves between slices it may stand in two; the careful word counts.
-                let careful = next.get(&address).is_some_and(|k| k.state == State::Draining);
+                let careful = next
+                    .get(&address)
+                    .is_some_and(|k| k.state == State::Draining);
                 if !careful {
                     next.insert(address, found);
                 }
@@ -177,7 +210,13 @@
         let mut changes = Vec::new();
         for (address, old) in &self.known {
             if !next.contains_key(address) {
-                changes.push(Known { state: State::Gone, ..old.clone() }.entry(address));
+                changes.push(
+                    Known {
+                        state: State::Gone,
+                        ..old.clone()
+                    }
+                    .entry(address),
+                );
             }
         }
         for (address, new) in &next {
@@ -189,13 +228,26 @@
         changes
     }
 
-    fn known_of(&self, slice: &EndpointSlice, e: &Endpoint, address: &str, reading: Reading) -> Known {
-        let uid = e.target_ref.as_ref().map(|t| t.uid.clone()).unwrap_or_default();
+    fn known_of(
+        &self,
+        slice: &EndpointSlice,
+        e: &Endpoint,
+        address: &str,
+        reading: Reading,
+    ) -> Known {
+        let uid = e
+            .target_ref
+            .as_ref()
+            .map(|t| t.uid.clone())
+            .unwrap_or_default();
         let before = self.known.get(address).filter(|k| k.uid == uid);
         let number = |name: &str| -> Option<f64> {
             let text = slice.metadata.annotations.as_ref()?.get(name)?;
             let by_uid: BTreeMap<String, f64> = serde_json::from_str(text).ok()?;
-            by_uid.get(&uid).copied().filter(|v| v.is_finite() && *v >= 0.0)
+            by_uid
+                .get(&uid)
+                .copied()
+                .filter(|v| v.is_finite() && *v >= 0.0)
         };
         // A start in the future, by a clock that was stepped back, counts as now: it is taken for cold no longer than
         // a worker's ramp.
@@ -206,25 +258,42 @@
             None => told.or(self.listed.then_some(reading.now.max(1))),
         };
         let memory_mb = number(MEMORY).unwrap_or(0.0);
-        Known { state: e.state(), uid, zone: e.zone.clone().unwrap_or_default(), memory_mb, started }
+        Known {
+            state: e.state(),
+            uid,
+            zone: e.zone.clone().unwrap_or_default(),
+            memory_mb,
+            started,
+        }
     }
 
     /// How many workers are live.
     pub fn live(&self) -> usize {
-        self.known.values().filter(|k| k.state == State::Live).count()
+        self.known
+            .values()
+            .filter(|k| k.state == State::Live)
+            .count()
     }
 
     /// The list as a text to keep for a restart.
     pub fn remembered(&self, now: Time, wall_ms: u64) -> String {
         let started_ms = |t: Time| wall_ms.saturating_sub(now.saturating_sub(t) / NANOS_PER_MS);
-        let workers = self.known.iter().filter(|(_, k)| k.state != State::Gone).map(|(address, k)| Kept {
-            address: address.clone(),
-            draining: k.state == State::Draining,
-            zone: k.zone.clone(),
-            memory_mb: k.memory_mb,
-            started_ms: k.started.map(started_ms),
-        });
-        let kept = KeptList { format: 1, wall_ms, workers: workers.collect() };
+        let workers = self
+            .known
+            .iter()
+            .filter(|(_, k)| k.state != State::Gone)
+            .map(|(address, k)| Kept {
+                address: address.clone(),
+                draining: k.state == State::Draining,
+                zone: k.zone.clone(),
+                memory_mb: k.memory_mb,
+                started_ms: k.started.map(started_ms),
+            });
+        let kept = KeptList {
+            format: 1,
+            wall_ms,
+            workers: workers.collect(),
+        };
         serde_json::to_string_pretty(&kept).unwrap_or_default()
     }
 }
@@ -261,7 +330,10 @@
 
 /// Reads a remembered list; to be handed to the engine as [`ListKind::Remembered`].
 pub fn recall(text: &str, now: Time, wall_ms: u64) -> Result<(ListKind, Vec<Entry>), ListError> {
-    let json = |source| ListError::Json { what: "remembered list", source };
+    let json = |source| ListError::Json {
+        what: "remembered list",
+        source,
+    };
     let kept: KeptList = serde_json::from_str(text).map_err(json)?;
     if kept.workers.len() > MAX_ENDPOINTS {
         return Err(ListError::TooMany(kept.workers.len()));
@@ -269,16 +341,26 @@
     let entry = |worker: Kept| Entry {
         worker: Worker::new(&worker.address),
         share: 0.0,
-        state: if worker.draining { State::Draining } else { State::Live },
+        state: if worker.draining {
+            State::Draining
+        } else {
+            State::Live
+        },
         zone: worker.zone,
         cell: 0,
         memory_mb: worker.memory_mb.max(0.0),
         started: worker.started_ms.and_then(|started_ms| {
             let age_ms = age_across_restart(started_ms, kept.wall_ms, wall_ms)?;
-            Some(now.saturating_sub(age_ms.saturating_mul(NANOS_PER_MS)).max(1))
+            Some(
+                now.saturating_sub(age_ms.saturating_mul(NANOS_PER_MS))
+                    .max(1),
+            )
         }),
     };
-    Ok((ListKind::Remembered, kept.workers.into_iter().map(entry).collect()))
+    Ok((
+        ListKind::Remembered,
+        kept.workers.into_iter().map(entry).collect(),
+    ))
 }
 
 /// A worker's age by now, in milliseconds: what it was when the list was written, and the wall time since. A list from
--- a/crates/pipithub-endpoints/src/object.rs
+++ b/crates/pipithub-endpoints/src/object.rs
@@ -129,14 +129,24 @@
 impl Endpoint {
     /// Whether it takes new work: what is terminating, or not ready, does not.
     pub fn state(&self) -> State {
-        let Conditions { ready, terminating, .. } = self.conditions;
-        if terminating == Some(true) || ready == Some(false) { State::Draining } else { State::Live }
+        let Conditions {
+            ready, terminating, ..
+        } = self.conditions;
+        if terminating == Some(true) || ready == Some(false) {
+            State::Draining
+        } else {
+            State::Live
+        }
     }
 
     /// Where it is reached.
     pub fn address(&self, port: u16) -> Option<String> {
         let address = self.addresses.first().filter(|a| !a.is_empty())?;
-        Some(if address.contains(':') { format!("[{address}]:{port}") } else { format!("{address}:{port}") })
+        Some(if address.contains(':') {
+            format!("[{address}]:{port}")
+        } else {
+            format!("{address}:{port}")
+        })
     }
 }
 
--- a/crates/pipithub-endpoints/tests/watch.rs
+++ b/crates/pipithub-endpoints/tests/watch.rs
@@ -27,7 +27,9 @@
 }
 
 fn event(kind: &str, object: Value) -> Vec<u8> {
-    json!({"type": kind, "object": object}).to_string().into_bytes()
+    json!({"type": kind, "object": object})
+        .to_string()
+        .into_bytes()
 }
 
 fn watcher() -> Watcher {
@@ -35,7 +37,10 @@
 }
 
 fn short(entries: &[Entry]) -> Vec<(String, State)> {
-    entries.iter().map(|e| (e.worker.0.to_string(), e.state)).collect()
+    entries
+        .iter()
+        .map(|e| (e.worker.0.to_string(), e.state))
+        .collect()
 }
 
 #[test]
@@ -69,7 +74,10 @@
             (at(5), State::Live)
         ]
     );
-    assert_eq!((all[0].memory_mb, all[0].zone.as_str(), all[0].started), (8000.0, "a", None));
+    assert_eq!(
+        (all[0].memory_mb, all[0].zone.as_str(), all[0].started),
+        (8000.0, "a", None)
+    );
     assert_eq!((watcher.version(), watcher.live()), (Some("5"), 3));
 }
 
@@ -77,15 +85,39 @@
 fn a_watch_brings_only_what_changed() {
     let up = || json!({"ready": true});
     let mut watcher = watcher();
-    watcher.list(0, WALL, &list("5", vec![slice("s", "4", vec![endpoint(1, "a", up())])])).expect("a list");
-    let line = event("MODIFIED", slice("s", "6", vec![endpoint(1, "a", up()), endpoint(2, "b", up())]));
-    let Ok(Step::Changes(changes)) = watcher.line(3 * SECOND, WALL, &line) else { panic!("changes") };
+    watcher
+        .list(
+            0,
+            WALL,
+            &list("5", vec![slice("s", "4", vec![endpoint(1, "a", up())])]),
+        )
+        .expect("a list");
+    let line = event(
+        "MODIFIED",
+        slice(
+            "s",
+            "6",
+            vec![endpoint(1, "a", up()), endpoint(2, "b", up())],
+        ),
+    );
+    let Ok(Step::Changes(changes)) = watcher.line(3 * SECOND, WALL, &line) else {
+        panic!("changes")
+    };
     assert_eq!(short(&changes), [("10.0.0.2:80".to_string(), State::Live)]);
-    assert_eq!(changes[0].started, Some(3 * SECOND), "first seen in a watch: started now");
+    assert_eq!(
+        changes[0].started,
+        Some(3 * SECOND),
+        "first seen in a watch: started now"
+    );
     assert_eq!(watcher.version(), Some("6"));
-    assert!(matches!(watcher.line(4 * SECOND, WALL, &line), Ok(Step::Nothing)));
+    assert!(matches!(
+        watcher.line(4 * SECOND, WALL, &line),
+        Ok(Step::Nothing)
+    ));
     let gone = event("DELETED", slice("s", "7", vec![]));
-    let Ok(Step::Changes(changes)) = watcher.line(5 * SECOND, WALL, &gone) else { panic!("changes") };
+    let Ok(Step::Changes(changes)) = watcher.line(5 * SECOND, WALL, &gone) else {
+        panic!("changes")
+    };
     assert!(changes.iter().all(|e| e.state == State::Gone) && changes.len() == 2);
 }
 
@@ -94,22 +126,37 @@
 fn another_uid_at_the_same_address_is_a_restart() {
     let mut watcher = watcher();
     let one = |uid: &str| slice("s", "4", vec![endpoint(1, uid, json!({"ready": true}))]);
-    watcher.list(0, WALL, &list("5", vec![one("a")])).expect("a list");
-    let Ok(Step::Changes(changes)) = watcher.line(9 * SECOND, WALL, &event("MODIFIED", one("b"))) else {
+    watcher
+        .list(0, WALL, &list("5", vec![one("a")]))
+        .expect("a list");
+    let Ok(Step::Changes(changes)) = watcher.line(9 * SECOND, WALL, &event("MODIFIED", one("b")))
+    else {
         panic!("changes")
     };
     assert_eq!(changes[0].started, Some(9 * SECOND));
     // A list after a break that still shows it changes nothing about its start.
-    let all = watcher.list(20 * SECOND, WALL, &list("9", vec![one("b")])).expect("a list");
+    let all = watcher
+        .list(20 * SECOND, WALL, &list("9", vec![one("b")]))
+        .expect("a list");
     assert_eq!(all[0].started, Some(9 * SECOND));
 }
 
 #[test]
 fn an_endpoint_in_two_slices_counts_as_the_careful_one_says() {
     let mut watcher = watcher();
-    let a = slice("a", "4", vec![endpoint(1, "a", json!({"ready": false, "terminating": true}))]);
+    let a = slice(
+        "a",
+        "4",
+        vec![endpoint(
+            1,
+            "a",
+            json!({"ready": false, "terminating": true}),
+        )],
+    );
     let b = slice("b", "4", vec![endpoint(1, "a", json!({"ready": true}))]);
-    let all = watcher.list(0, WALL, &list("5", vec![a, b])).expect("a list");
+    let all = watcher
+        .list(0, WALL, &list("5", vec![a, b]))
+        .expect("a list");
     assert_eq!(short(&all), [("10.0.0.1:80".to_string(), State::Draining)]);
 }
 
@@ -118,14 +165,28 @@
     let mut watcher = watcher();
     watcher.list(0, WALL, &list("5", vec![])).expect("a list");
     let bookmark = event("BOOKMARK", json!({"metadata": {"resourceVersion": "77"}}));
-    assert!(matches!(watcher.line(0, WALL, &bookmark), Ok(Step::Nothing)));
+    assert!(matches!(
+        watcher.line(0, WALL, &bookmark),
+        Ok(Step::Nothing)
+    ));
     assert_eq!(watcher.version(), Some("77"));
-    let gone =
-        event("ERROR", json!({"kind": "Status", "code": 410, "reason": "Expired", "message": "too old"}));
+    let gone = event(
+        "ERROR",
+        json!({"kind": "Status", "code": 410, "reason": "Expired", "message": "too old"}),
+    );
     assert!(matches!(watcher.line(0, WALL, &gone), Ok(Step::Expired)));
     assert_eq!(watcher.version(), None);
-    let other = event("ERROR", json!({"kind": "Status", "code": 500, "message": "etcd"}));
-    assert!(watcher.line(0, WALL, &other).expect_err("an error").to_string().contains("500: etcd"));
+    let other = event(
+        "ERROR",
+        json!({"kind": "Status", "code": 500, "message": "etcd"}),
+    );
+    assert!(
+        watcher
+            .line(0, WALL, &other)
+            .expect_err("an error")
+            .to_string()
+            .contains("500: etcd")
+    );
 }
 
 #[test]
@@ -133,16 +194,31 @@
     let mut watcher = watcher();
     let up = slice("s", "4", vec![endpoint(1, "a", json!({"ready": true}))]);
     watcher.list(0, WALL, &list("5", vec![up])).expect("a list");
-    for bad in ["", "{", "[]", "{\"items\": 5}", "{\"items\": [{\"metadata\": {}, \"endpoints\": [{}]}]}"] {
+    for bad in [
+        "",
+        "{",
+        "[]",
+        "{\"items\": 5}",
+        "{\"items\": [{\"metadata\": {}, \"endpoints\": [{}]}]}",
+    ] {
         assert!(watcher.list(0, WALL, bad.as_bytes()).is_err(), "{bad}");
         assert!(watcher.line(0, WALL, bad.as_bytes()).is_err(), "{bad}");
         assert_eq!((watcher.live(), watcher.version()), (1, Some("5")));
     }
     let many = vec![endpoint(1, "a", json!({})); pipithub_endpoints::MAX_ENDPOINTS + 1];
-    assert!(watcher.list(0, WALL, &list("6", vec![slice("s", "6", many)])).is_err());
+    assert!(
+        watcher
+            .list(0, WALL, &list("6", vec![slice("s", "6", many)]))
+            .is_err()
+    );
     // Null for an empty list is what an API server sends.
     let null = json!({"metadata": {"name": "s"}, "endpoints": null, "ports": null});
-    assert_eq!(watcher.list(0, WALL, &list("7", vec![null])).expect("empty"), []);
+    assert_eq!(
+        watcher
+            .list(0, WALL, &list("7", vec![null]))
+            .expect("empty"),
+        []
+    );
 }
 
 #[test]
@@ -153,12 +229,20 @@
         vec![slice(
             "s",
             "4",
-            vec![endpoint(1, "a", json!({"ready": true})), endpoint(2, "b", json!({"terminating": true}))],
+            vec![
+                endpoint(1, "a", json!({"ready": true})),
+                endpoint(2, "b", json!({"terminating": true})),
+            ],
         )],
     );
     watcher.list(0, WALL, &body).expect("a list");
-    let line = event("ADDED", slice("t", "6", vec![endpoint(3, "c", json!({"ready": true}))]));
-    watcher.line(10 * SECOND, WALL + 10_000, &line).expect("changes");
+    let line = event(
+        "ADDED",
+        slice("t", "6", vec![endpoint(3, "c", json!({"ready": true}))]),
+    );
+    watcher
+        .line(10 * SECOND, WALL + 10_000, &line)
+        .expect("changes");
     let text = watcher.remembered(20 * SECOND, WALL + 20_000);
     // The new process counts its own time, 5 s on.
     let (kind, entries) = recall(&text, 60 * SECOND, WALL + 25_000).expect("its own text");
@@ -181,16 +265,40 @@
 fn no_worker_is_younger_after_a_restart() {
     let mut watcher = watcher();
     watcher.list(0, WALL, &list("5", vec![])).expect("a list");
-    let line = event("ADDED", slice("t", "6", vec![endpoint(3, "c", json!({"ready": true}))]));
-    watcher.line(10 * SECOND, WALL + 10_000, &line).expect("changes");
+    let line = event(
+        "ADDED",
+        slice("t", "6", vec![endpoint(3, "c", json!({"ready": true}))]),
+    );
+    watcher
+        .line(10 * SECOND, WALL + 10_000, &line)
+        .expect("changes");
     let written_ms = WALL + 10_000 + HOUR_MS;
     let text = watcher.remembered(10 * SECOND + 3_600 * SECOND, written_ms);
     let age = 3_600 * SECOND;
-    assert_eq!(recalled_start(&text, written_ms + 5_000), Some(age + 5 * SECOND));
-    assert_eq!(recalled_start(&text, written_ms - 5_000), Some(age), "stepped back by seconds");
-    assert_eq!(recalled_start(&text, written_ms - HOUR_MS), Some(age), "by an hour");
-    assert_eq!(recalled_start(&text, 0), Some(age), "to the clock's beginning");
-    assert_eq!(recalled_start(&text, written_ms + HOUR_MS), Some(2 * age), "forward");
+    assert_eq!(
+        recalled_start(&text, written_ms + 5_000),
+        Some(age + 5 * SECOND)
+    );
+    assert_eq!(
+        recalled_start(&text, written_ms - 5_000),
+        Some(age),
+        "stepped back by seconds"
+    );
+    assert_eq!(
+        recalled_start(&text, written_ms - HOUR_MS),
+        Some(age),
+        "by an hour"
+    );
+    assert_eq!(
+        recalled_start(&text, 0),
+        Some(age),
+        "to the clock's beginning"
+    );
+    assert_eq!(
+        recalled_start(&text, written_ms + HOUR_MS),
+        Some(2 * age),
+        "forward"
+    );
 }
 
 /// Written by hand or by a fault: a start after the writing, and figures beyond any clock.
@@ -202,7 +310,10 @@
         json!({"format": 1, "wall_ms": wall_ms, "workers": [worker]}).to_string()
     };
     assert_eq!(recalled_start(&text(WALL, WALL + 1), WALL + 10), None);
-    assert_eq!(recalled_start(&text(u64::MAX, 0), u64::MAX), Some(3 * 3_600 * SECOND - 1));
+    assert_eq!(
+        recalled_start(&text(u64::MAX, 0), u64::MAX),
+        Some(3 * 3_600 * SECOND - 1)
+    );
 }
 
 /// While the process runs, a known start is monotonic time and no step moves it.
@@ -215,12 +326,19 @@
         slice
     };
     let mut watcher = watcher();
-    let all = watcher.list(60 * SECOND, WALL, &list("5", vec![stamped("4")])).expect("a list");
+    let all = watcher
+        .list(60 * SECOND, WALL, &list("5", vec![stamped("4")]))
+        .expect("a list");
     assert_eq!(all[0].started, Some(30 * SECOND));
     for wall_ms in [WALL + HOUR_MS, WALL - HOUR_MS] {
         let line = event("MODIFIED", stamped("6"));
-        assert!(matches!(watcher.line(61 * SECOND, wall_ms, &line), Ok(Step::Nothing)), "{wall_ms}");
-        let all = watcher.list(62 * SECOND, wall_ms, &list("7", vec![stamped("6")])).expect("a list");
+        assert!(
+            matches!(watcher.line(61 * SECOND, wall_ms, &line), Ok(Step::Nothing)),
+            "{wall_ms}"
+        );
+        let all = watcher
+            .list(62 * SECOND, wall_ms, &list("7", vec![stamped("6")]))
+            .expect("a list");
         assert_eq!(all[0].started, Some(30 * SECOND), "{wall_ms}");
     }
 }
