--- a/crates/pipithub-engine/benches/engine.rs
+++ b/crates/pipithub-engine/benches/engine.rs
@@ -4,11 +4,12 @@
 use bytes::Bytes;
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use pipithub_engine::policy::{
-    Class, CopyNote, Effect, Entry, Event, Finished, Limits, ListKind, Load, Outcome, Request, Settings,
-    Worker,
+    Class, CopyNote, Effect, Entry, Event, Finished, Limits, ListKind, Load, Outcome, Request,
+    Settings, Worker,
 };
 use pipithub_engine::{
-    AttemptEnd, Call, Engine, EngineSettings, Input, Output, Served, SourceId, Ticket, Trigger, function_id,
+    AttemptEnd, Call, Engine, EngineSettings, Input, Output, Served, SourceId, Ticket, Trigger,
+    function_id,
 };
 use pipithub_policy::api::Action;
 use pipithub_policy::decide::FrontEnd;
@@ -16,84 +17,151 @@
 fn policy() -> Settings {
     Settings {
         tick: 1_000_000,
-        classes: vec![Class { effect: Effect::Safe, ..Class::default() }],
-        limits: Limits { cancel: true, ..Limits::default() },
+        classes: vec![Class {
+            effect: Effect::Safe,
+            ..Class::default()
+        }],
+        limits: Limits {
+            cancel: true,
+            ..Limits::default()
+        },
         ..Settings::default()
     }
 }
 
 fn entries(workers: usize) -> Vec<Entry> {
     (0..workers)
-        .map(|n| Entry { worker: Worker::new(&format!("10.0.0.{n}:80")), ..Entry::default() })
+        .map(|n| Entry {
+            worker: Worker::new(&format!("10.0.0.{n}:80")),
+            ..Entry::default()
+        })
         .collect()
 }
 
 fn costs(c: &mut Criterion) {
     let mut group = c.benchmark_group("one call, taken, sent, served, settled");
     for workers in [12usize, 66, 300] {
-        group.bench_with_input(BenchmarkId::new("engine", workers), &workers, |b, workers| {
-            let mut engine = Engine::new(EngineSettings { policy: policy(), ..EngineSettings::default() }, 1);
-            let (mut out, mut now, mut number) = (Vec::new(), 0, 0u64);
-            let list = Input::Workers { kind: ListKind::Complete, entries: entries(*workers) };
-            engine.handle(0, list, &mut out);
-            b.iter(|| {
-                number += 1;
-                now += 2_000_000;
-                let ticket = Ticket { source: SourceId(0), number };
-                let function = format!("f{}", number % 16).into();
-                let call = Call { function, lanes: 4, body: Bytes::from_static(b"x"), ..Call::default() };
-                let identity = Some(format!("m{number}").into());
-                let trigger = Trigger { ticket, identity, redelivered: false, deliveries: 0, call };
-                out.clear();
-                engine.handle(now, Input::Trigger(trigger), &mut out);
-                let id =
-                    out.iter().find_map(|o| if let Output::Send { id, .. } = o { Some(*id) } else { None });
-                if let Some(id) = id {
-                    let served = Some(Served { status: 200, ..Served::default() });
-                    let note = Some(CopyNote::Warm);
-                    let (outcome, took, load) = (Outcome::Served, 1_000_000, Load::default());
-                    let end = AttemptEnd { id, outcome, took, note, alike: Some(0), load, served };
-                    engine.handle(now + 1_000_000, Input::Attempt(end), &mut out);
-                }
-                engine.handle(now + 1_100_000, Input::Settled(ticket), &mut out);
-            });
-        });
-        group.bench_with_input(BenchmarkId::new("module alone", workers), &workers, |b, workers| {
-            let mut front = FrontEnd::new(policy(), 1);
-            let (mut out, mut now, mut number) = (Vec::new(), 0, 0u64);
-            front.handle(0, Event::List { kind: ListKind::Complete, entries: entries(*workers) }, &mut out);
-            b.iter(|| {
-                number += 1;
-                now += 2_000_000;
-                out.clear();
-                let function = function_id(&format!("f{}", number % 16));
-                let call = Request {
-                    id: number,
-                    function,
-                    lanes: 4,
-                    budget: Some(4_000_000_000),
-                    ..Request::default()
+        group.bench_with_input(
+            BenchmarkId::new("engine", workers),
+            &workers,
+            |b, workers| {
+                let mut engine = Engine::new(
+                    EngineSettings {
+                        policy: policy(),
+                        ..EngineSettings::default()
+                    },
+                    1,
+                );
+                let (mut out, mut now, mut number) = (Vec::new(), 0, 0u64);
+                let list = Input::Workers {
+                    kind: ListKind::Complete,
+                    entries: entries(*workers),
                 };
-                front.handle(now, Event::Arrived(call), &mut out);
-                let sent = out.iter().find_map(|a| {
-                    if let Action::Send { worker, .. } = a { Some(worker.clone()) } else { None }
+                engine.handle(0, list, &mut out);
+                b.iter(|| {
+                    number += 1;
+                    now += 2_000_000;
+                    let ticket = Ticket {
+                        source: SourceId(0),
+                        number,
+                    };
+                    let function = format!("f{}", number % 16).into();
+                    let call = Call {
+                        function,
+                        lanes: 4,
+                        body: Bytes::from_static(b"x"),
+                        ..Call::default()
+                    };
+                    let identity = Some(format!("m{number}").into());
+                    let trigger = Trigger {
+                        ticket,
+                        identity,
+                        redelivered: false,
+                        deliveries: 0,
+                        call,
+                    };
+                    out.clear();
+                    engine.handle(now, Input::Trigger(trigger), &mut out);
+                    let id = out.iter().find_map(|o| {
+                        if let Output::Send { id, .. } = o {
+                            Some(*id)
+                        } else {
+                            None
+                        }
+                    });
+                    if let Some(id) = id {
+                        let served = Some(Served {
+                            status: 200,
+                            ..Served::default()
+                        });
+                        let note = Some(CopyNote::Warm);
+                        let (outcome, took, load) = (Outcome::Served, 1_000_000, Load::default());
+                        let end = AttemptEnd {
+                            id,
+                            outcome,
+                            took,
+                            note,
+                            alike: Some(0),
+                            load,
+                            served,
+                        };
+                        engine.handle(now + 1_000_000, Input::Attempt(end), &mut out);
+                    }
+                    engine.handle(now + 1_100_000, Input::Settled(ticket), &mut out);
                 });
-                if let Some(worker) = sent {
-                    let end = Finished {
-                        request: number,
-                        attempt: 0,
-                        worker,
-                        outcome: Outcome::Served,
-                        took: 1_000_000,
-                        settled: true,
-                        note: Some(CopyNote::Warm),
-                        alike: Some(0),
-                        load: Load::default(),
+            },
+        );
+        group.bench_with_input(
+            BenchmarkId::new("module alone", workers),
+            &workers,
+            |b, workers| {
+                let mut front = FrontEnd::new(policy(), 1);
+                let (mut out, mut now, mut number) = (Vec::new(), 0, 0u64);
+                front.handle(
+                    0,
+                    Event::List {
+                        kind: ListKind::Complete,
+                        entries: entries(*workers),
+                    },
+                    &mut out,
+                );
+                b.iter(|| {
+                    number += 1;
+                    now += 2_000_000;
+                    out.clear();
+                    let function = function_id(&format!("f{}", number % 16));
+                    let call = Request {
+                        id: number,
+                        function,
+                        lanes: 4,
+                        budget: Some(4_000_000_000),
+                        ..Request::default()
                     };
-                    front.handle(now + 1_000_000, Event::Finished(end), &mut out);
-                }
-            });
-        });
+                    front.handle(now, Event::Arrived(call), &mut out);
+                    let sent = out.iter().find_map(|a| {
+                        if let Action::Send { worker, .. } = a {
+                            Some(worker.clone())
+                        } else {
+                            None
+                        }
+                    });
+                    if let Some(worker) = sent {
+                        let end = Finished {
+                            request: number,
+                            attempt: 0,
+                            worker,
+                            outcome: Outcome::Served,
+                            took: 1_000_000,
+                            settled: true,
+                            note: Some(CopyNote::Warm),
+                            alike: Some(0),
+                            load: Load::default(),
+                        };
+                        front.handle(now + 1_000_000, Event::Finished(end), &mut out);
+                    }
+                });
+            },
+        );
     }
     group.finish();
 }
--- a/crates/pipithub-engine/src/engine.rs
+++ b/crates/pipithub-engine/src/engine.rs
@@ -4,15 +4,15 @@
 use std::sync::Arc;
 
 use pipithub_policy::api::{
-    Action, Event, Finished, Function, ListKind, Ordered, Outcome, Request, RequestId, Settings, State, Time,
-    Worker,
+    Action, Event, Finished, Function, ListKind, Ordered, Outcome, Request, RequestId, Settings,
+    State, Time, Worker,
 };
 use pipithub_policy::decide::FrontEnd;
 
 use crate::memory::{Again, Memory, unknown_earlier};
 use crate::model::{
-    AttemptEnd, AttemptId, Call, Cause, Input, Output, Reply, Served, SourceId, Tenant, Ticket, Trigger,
-    Verdict, function_id,
+    AttemptEnd, AttemptId, Call, Cause, Input, Output, Reply, Served, SourceId, Tenant, Ticket,
+    Trigger, Verdict, function_id,
 };
 use crate::owners::Owners;
 use crate::timers::Timers;
@@ -229,7 +229,11 @@
         match input {
             Input::Tick => {}
             Input::Trigger(trigger) => self.trigger(now, trigger, None, out),
-            Input::Refuse { trigger, cause, retry_after } => {
+            Input::Refuse {
+                trigger,
+                cause,
+                retry_after,
+            } => {
                 self.trigger(now, trigger, Some((cause, retry_after)), out);
             }
             Input::Moved { user, now: side } => self.moved(now, &user, side, out),
@@ -242,12 +246,22 @@
             }
             Input::Attempt(end) => self.attempt(now, end, out),
             Input::Probe(p) => {
-                let event = Event::Probed { worker: p.worker, answered: p.answered, load: p.load };
+                let event = Event::Probed {
+                    worker: p.worker,
+                    answered: p.answered,
+                    load: p.load,
+                };
                 self.decide(now, event, out);
             }
             Input::Order(o) => {
                 let (worker, function, outcome) = (o.worker, o.function, o.outcome);
-                let order = Ordered { worker, function, outcome, took: o.took, copies: o.copies };
+                let order = Ordered {
+                    worker,
+                    function,
+                    outcome,
+                    took: o.took,
+                    copies: o.copies,
+                };
                 self.decide(now, Event::Ordered(order), out);
             }
             Input::Workers { kind, entries } => {
@@ -271,10 +285,18 @@
     /// Answers all that is open. What was never sent is refused; for the rest nothing is promised, for it may have run.
     fn end(&mut self, now: Time, out: &mut Vec<Output>) {
         self.draining = true;
-        let unanswered: Vec<_> =
-            self.open.iter().filter(|(_, o)| o.reply.is_none()).map(|(id, o)| (*id, o.attempts)).collect();
+        let unanswered: Vec<_> = self
+            .open
+            .iter()
+            .filter(|(_, o)| o.reply.is_none())
+            .map(|(id, o)| (*id, o.attempts))
+            .collect();
         for (request, attempts) in unanswered {
-            let verdict = if attempts == 0 { Verdict::Refused } else { Verdict::Failed };
+            let verdict = if attempts == 0 {
+                Verdict::Refused
+            } else {
+                Verdict::Failed
+            };
             self.answer(request, verdict, Cause::Draining, None, None, out);
             self.decide(now, Event::Left { request }, out);
         }
@@ -297,7 +319,13 @@
         out: &mut Vec<Output>,
     ) {
         self.stats.taken += 1;
-        let Trigger { ticket, identity, redelivered, deliveries, mut call } = trigger;
+        let Trigger {
+            ticket,
+            identity,
+            redelivered,
+            deliveries,
+            mut call,
+        } = trigger;
         call.class = call.class.min(self.settings.policy.classes.len() - 1);
         let (mut budget, waited) = (call.budget, call.waited);
         if redelivered {
@@ -313,7 +341,14 @@
                 Again::Forget => return out.push(Output::Forget(ticket)),
                 Again::Run(_) if deliveries > self.settings.max_deliveries => {
                     // A safe message that comes again and again may be what brings front ends down.
-                    return self.at_once(now, ticket, identity, Verdict::Failed, Cause::TooOften, out);
+                    return self.at_once(
+                        now,
+                        ticket,
+                        identity,
+                        Verdict::Failed,
+                        Cause::TooOften,
+                        out,
+                    );
                 }
                 Again::Run(None) => {}
                 Again::Run(Some(left)) => {
@@ -342,20 +377,38 @@
             return self.answer(request, Verdict::Refused, cause, retry_after, None, out);
         }
         if !self.settings.owners.allow(call.tenant, &call.function) {
-            return self.at_once(now, ticket, identity, Verdict::Refused, Cause::OtherTenant, out);
+            return self.at_once(
+                now,
+                ticket,
+                identity,
+                Verdict::Refused,
+                Cause::OtherTenant,
+                out,
+            );
         }
         let bytes = call.body.len();
         if self.draining {
-            return self.at_once(now, ticket, identity, Verdict::Refused, Cause::Draining, out);
+            return self.at_once(
+                now,
+                ticket,
+                identity,
+                Verdict::Refused,
+                Cause::Draining,
+                out,
+            );
         }
-        if self.open.len() >= self.settings.max_open || self.bytes + bytes > self.settings.max_bytes {
+        if self.open.len() >= self.settings.max_open || self.bytes + bytes > self.settings.max_bytes
+        {
             return self.at_once(now, ticket, identity, Verdict::Refused, Cause::NoRoom, out);
         }
         let class = &self.settings.policy.classes[call.class];
         // Of a message that waited in its queue the client's time is partly over, whoever states it.
         let rest = class.give_up.saturating_sub(waited);
         let budget = budget.unwrap_or(rest).min(rest);
-        let Some(left) = budget.checked_sub(self.settings.answer_margin).filter(|left| *left > 0) else {
+        let Some(left) = budget
+            .checked_sub(self.settings.answer_margin)
+            .filter(|left| *left > 0)
+        else {
             return self.at_once(now, ticket, identity, Verdict::Refused, Cause::TooLate, out);
         };
         let function = function_id(&call.function);
@@ -421,14 +474,19 @@
 
     /// A delivery takes the place of an earlier one of the same message.
     fn join(&mut self, request: RequestId, ticket: Ticket, out: &mut Vec<Output>) {
-        let Some(open) = self.open.get_mut(&request) else { return };
+        let Some(open) = self.open.get_mut(&request) else {
+            return;
+        };
         self.stats.joined += 1;
         if let Some(old) = open.ticket.replace(ticket) {
             self.tickets.remove(&old);
         }
         self.tickets.insert(ticket, request);
         if let Some(reply) = &open.reply {
-            out.push(Output::Answer { ticket, reply: reply.clone() });
+            out.push(Output::Answer {
+                ticket,
+                reply: reply.clone(),
+            });
         }
     }
 
@@ -436,10 +494,17 @@
     /// here; one that cannot is withdrawn, for nobody could be told of its end.
     fn source_lost(&mut self, now: Time, source: SourceId, out: &mut Vec<Output>) {
         let of = |t: &Ticket| t.source == source;
-        let lost: Vec<_> = self.tickets.iter().filter(|(t, _)| of(t)).map(|(t, r)| (*t, *r)).collect();
+        let lost: Vec<_> = self
+            .tickets
+            .iter()
+            .filter(|(t, _)| of(t))
+            .map(|(t, r)| (*t, *r))
+            .collect();
         for (ticket, request) in lost {
             self.tickets.remove(&ticket);
-            let Some(open) = self.open.get_mut(&request) else { continue };
+            let Some(open) = self.open.get_mut(&request) else {
+                continue;
+            };
             open.ticket = None;
             if open.identity.is_none() {
                 self.abandon(now, request, out);
@@ -450,8 +515,12 @@
     }
 
     fn settled(&mut self, now: Time, ticket: Ticket) {
-        let Some(request) = self.tickets.remove(&ticket) else { return };
-        let Some(open) = self.open.remove(&request) else { return };
+        let Some(request) = self.tickets.remove(&ticket) else {
+            return;
+        };
+        let Some(open) = self.open.remove(&request) else {
+            return;
+        };
         self.bytes -= open.bytes;
         if let Some(identity) = &open.identity {
             self.memory.settle(identity, request, now);
@@ -463,11 +532,23 @@
     fn moved(&mut self, now: Time, user: &str, side: Option<(Tenant, u64)>, out: &mut Vec<Output>) {
         // Calls that came after the move are the new side's already, though the word of it is handled only now.
         let is = |o: &Open| o.call.tenant.map(|t| (t, o.call.person));
-        let of = |o: &Open| o.call.user.as_deref() == Some(user) && (side.is_none() || is(o) != side);
-        let theirs: Vec<_> = self.open.iter().filter(|(_, o)| of(o)).map(|(id, _)| *id).collect();
+        let of =
+            |o: &Open| o.call.user.as_deref() == Some(user) && (side.is_none() || is(o) != side);
+        let theirs: Vec<_> = self
+            .open
+            .iter()
+            .filter(|(_, o)| of(o))
+            .map(|(id, _)| *id)
+            .collect();
         for request in theirs {
-            let Some(open) = self.open.get(&request) else { continue };
-            if open.reply.as_ref().is_some_and(|r| r.verdict != Verdict::Served) {
+            let Some(open) = self.open.get(&request) else {
+                continue;
+            };
+            if open
+                .reply
+                .as_ref()
+                .is_some_and(|r| r.verdict != Verdict::Served)
+            {
                 continue;
             }
             if open.reply.is_some() {
@@ -477,7 +558,11 @@
                 }
                 continue;
             }
-            let verdict = if open.attempts == 0 { Verdict::Refused } else { Verdict::Failed };
+            let verdict = if open.attempts == 0 {
+                Verdict::Refused
+            } else {
+                Verdict::Failed
+            };
             self.answer(request, verdict, Cause::UserMoved, None, None, out);
             self.decide(now, Event::Left { request }, out);
         }
@@ -490,7 +575,9 @@
 
     /// Ends a request to which no answer is owed any more.
     fn abandon(&mut self, now: Time, request: RequestId, out: &mut Vec<Output>) {
-        let Some(open) = self.open.remove(&request) else { return };
+        let Some(open) = self.open.remove(&request) else {
+            return;
+        };
         self.bytes -= open.bytes;
         if let Some(ticket) = open.ticket {
             self.tickets.remove(&ticket);
@@ -506,16 +593,33 @@
     // ---- attempts ----
 
     fn attempt(&mut self, now: Time, end: AttemptEnd, out: &mut Vec<Output>) {
-        let AttemptEnd { id, outcome, took, note, alike, load, served } = end;
+        let AttemptEnd {
+            id,
+            outcome,
+            took,
+            note,
+            alike,
+            load,
+            served,
+        } = end;
         let mut settled = true;
         // An outcome that nothing was sent for, or a second one, is none.
-        let Some(worker) = self.out.remove(&id) else { return };
+        let Some(worker) = self.out.remove(&id) else {
+            return;
+        };
         if let Some(open) = self.open.get_mut(&id.request) {
             open.last = Some((outcome, worker.clone()));
             settled = open.reply.is_some();
             if !settled && outcome == Outcome::Served {
                 settled = true;
-                self.answer(id.request, Verdict::Served, Cause::Answered, None, served, out);
+                self.answer(
+                    id.request,
+                    Verdict::Served,
+                    Cause::Answered,
+                    None,
+                    served,
+                    out,
+                );
             }
         }
         let finished = Finished {
@@ -542,7 +646,9 @@
         served: Option<Served>,
         out: &mut Vec<Output>,
     ) {
-        let Some(open) = self.open.get_mut(&request).filter(|o| o.reply.is_none()) else { return };
+        let Some(open) = self.open.get_mut(&request).filter(|o| o.reply.is_none()) else {
+            return;
+        };
         let counter = match verdict {
             Verdict::Served => &mut self.stats.served,
             Verdict::Refused => &mut self.stats.refused,
@@ -550,13 +656,24 @@
         };
         *counter += 1;
         let (last, worker) = open.last.clone().unzip();
-        let reply = Reply { verdict, cause, retry_after, attempts: open.attempts, last, worker, served };
+        let reply = Reply {
+            verdict,
+            cause,
+            retry_after,
+            attempts: open.attempts,
+            last,
+            worker,
+            served,
+        };
         let reply = Arc::new(reply);
         // The call's body is not needed any more, the answer's is.
         let bytes = reply.served.as_ref().map_or(0, |s| s.body.len());
         self.bytes = self.bytes - open.bytes + bytes;
         open.bytes = bytes;
-        let kept = Call { body: Default::default(), ..(*open.call).clone() };
+        let kept = Call {
+            body: Default::default(),
+            ..(*open.call).clone()
+        };
         open.call = Arc::new(kept);
         open.reply = Some(reply.clone());
         if let Some(ticket) = open.ticket {
@@ -566,7 +683,9 @@
 
     /// Ends an orphan in place of a send; the module hears that the attempt was not made.
     fn let_go(&mut self, request: RequestId, id: AttemptId, worker: Worker) {
-        let Some(open) = self.open.remove(&request) else { return };
+        let Some(open) = self.open.remove(&request) else {
+            return;
+        };
         self.bytes -= open.bytes;
         if let Some(identity) = &open.identity {
             self.memory.abandon(identity, request);
@@ -576,7 +695,9 @@
 
     /// Lets go of an answered request whose message did not come back in its time: it went elsewhere.
     fn retire(&mut self, now: Time, request: RequestId) {
-        let Some(open) = self.open.get(&request) else { return };
+        let Some(open) = self.open.get(&request) else {
+            return;
+        };
         if open.ticket.is_none() && open.reply.is_some() && now >= open.deadline {
             self.bytes -= open.bytes;
             if let Some(identity) = &open.identity {
@@ -610,27 +731,53 @@
 
     /// At its own timer a request has either been answered or has come to its end here too.
     fn overdue(&mut self, now: Time, request: RequestId, out: &mut Vec<Output>) {
-        let Some(open) = self.open.get(&request) else { return };
+        let Some(open) = self.open.get(&request) else {
+            return;
+        };
         if open.reply.is_none() && now + 2 * self.settings.policy.tick >= open.deadline {
             // The module ends what it knows; what it does not know any more must not wait for ever.
-            self.answer(request, Verdict::Failed, Cause::AttemptsEnded, None, None, out);
+            self.answer(
+                request,
+                Verdict::Failed,
+                Cause::AttemptsEnded,
+                None,
+                None,
+                out,
+            );
         }
         self.retire(now, request);
     }
 
     fn act(&mut self, now: Time, action: Action, out: &mut Vec<Output>) {
         match action {
-            Action::Send { request, worker, timeout } => {
-                let Some(open) = self.open.get_mut(&request).filter(|o| o.reply.is_none()) else { return };
-                let id = AttemptId { request, number: open.attempts };
+            Action::Send {
+                request,
+                worker,
+                timeout,
+            } => {
+                let Some(open) = self.open.get_mut(&request).filter(|o| o.reply.is_none()) else {
+                    return;
+                };
+                let id = AttemptId {
+                    request,
+                    number: open.attempts,
+                };
                 if open.ticket.is_none() {
                     // Its message is another front end's by now: a further send here could come after the other's
                     // answer. What is out already may end, for the message may still come back here.
                     return self.let_go(request, id, worker);
                 }
-                if !self.settings.owners.allow(open.call.tenant, &open.call.function) {
+                if !self
+                    .settings
+                    .owners
+                    .allow(open.call.tenant, &open.call.function)
+                {
                     // Looked at when it came; looked at again where it would leave, whatever happened between.
-                    let verdict = if open.attempts == 0 { Verdict::Refused } else { Verdict::Failed };
+                    let verdict = if open.attempts == 0 {
+                        Verdict::Refused
+                    } else {
+                        Verdict::Failed
+                    };
                     self.answer(request, verdict, Cause::OtherTenant, None, None, out);
                     self.events.push_back(not_sent(request, id, worker));
                     return;
@@ -639,13 +786,24 @@
                 self.out.insert(id, worker.clone());
                 self.stats.sends += 1;
                 let deadline = timeout.map_or(open.deadline, |t| open.deadline.min(now + t));
-                out.push(Output::Send { id, worker, call: open.call.clone(), deadline });
+                out.push(Output::Send {
+                    id,
+                    worker,
+                    call: open.call.clone(),
+                    deadline,
+                });
             }
             Action::Cancel { request, attempt } => {
                 self.stats.cancels += 1;
-                out.push(Output::Cancel(AttemptId { request, number: attempt }));
+                out.push(Output::Cancel(AttemptId {
+                    request,
+                    number: attempt,
+                }));
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 let cause = self.cause(request);
                 self.answer(request, Verdict::Refused, cause, retry_after, None, out);
             }
@@ -653,10 +811,19 @@
                 let cause = self.cause(request);
                 self.answer(request, Verdict::Failed, cause, None, None, out);
             }
-            Action::Hold { worker, function, copies } => match self.names.get(&function) {
+            Action::Hold {
+                worker,
+                function,
+                copies,
+            } => match self.names.get(&function) {
                 Some((name, _)) => {
                     self.stats.holds += 1;
-                    out.push(Output::Hold { worker, function, name: name.clone(), copies });
+                    out.push(Output::Hold {
+                        worker,
+                        function,
+                        name: name.clone(),
+                        copies,
+                    });
                 }
                 // Forgotten here: the module is told that nothing came of it.
                 None => self.events.push_back(Event::Ordered(Ordered {
@@ -669,7 +836,10 @@
             },
             Action::Drop { worker, function } => {
                 if let Some((name, _)) = self.names.get(&function) {
-                    out.push(Output::Drop { worker, name: name.clone() });
+                    out.push(Output::Drop {
+                        worker,
+                        name: name.clone(),
+                    });
                 }
             }
             Action::Probe { worker } => {
--- a/crates/pipithub-engine/src/memory.rs
+++ b/crates/pipithub-engine/src/memory.rs
@@ -31,8 +31,10 @@
     match (class.effect, class.group) {
         (Effect::Safe, _) => Again::Run(None),
         (Effect::Keyed, Group::All) if keyed => {
-            let left = age.and_then(|age| class.dedup_window.checked_sub(age.saturating_add(margin)));
-            left.filter(|left| *left > 0).map_or(Again::Fail, |left| Again::Run(Some(left)))
+            let left =
+                age.and_then(|age| class.dedup_window.checked_sub(age.saturating_add(margin)));
+            left.filter(|left| *left > 0)
+                .map_or(Again::Fail, |left| Again::Run(Some(left)))
         }
         (Effect::Keyed | Effect::Unsafe, _) => Again::Fail,
     }
@@ -52,7 +54,13 @@
 impl Memory {
     /// Remembers at most so many settled messages, for so long.
     pub fn new(most: usize, keep: Time) -> Self {
-        Memory { most, keep, open: BTreeMap::new(), settled: BTreeMap::new(), order: VecDeque::new() }
+        Memory {
+            most,
+            keep,
+            open: BTreeMap::new(),
+            settled: BTreeMap::new(),
+            order: VecDeque::new(),
+        }
     }
 
     /// A message that is not a repeat: what was known of an earlier one of the same name is void, for a client may
@@ -70,8 +78,12 @@
         self.open.remove(identity);
         self.settled.insert(identity.clone(), now);
         self.order.push_back((now, identity.clone()));
-        while self.order.len() > self.most || self.order.front().is_some_and(|(t, _)| t + self.keep < now) {
-            let Some((at, old)) = self.order.pop_front() else { break };
+        while self.order.len() > self.most
+            || self.order.front().is_some_and(|(t, _)| t + self.keep < now)
+        {
+            let Some((at, old)) = self.order.pop_front() else {
+                break;
+            };
             if self.settled.get(&old) == Some(&at) {
                 self.settled.remove(&old);
             }
@@ -96,6 +108,9 @@
         if let Some(request) = self.open.get(identity) {
             return Some(Again::Join(*request));
         }
-        self.settled.get(identity).filter(|at| **at + self.keep >= now).map(|_| Again::Forget)
+        self.settled
+            .get(identity)
+            .filter(|at| **at + self.keep >= now)
+            .map(|_| Again::Forget)
     }
 }
--- a/crates/pipithub-engine/src/model.rs
+++ b/crates/pipithub-engine/src/model.rs
@@ -3,7 +3,9 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use pipithub_policy::api::{CopyNote, Entry, Function, ListKind, Load, Outcome, RequestId, Time, Worker};
+use pipithub_policy::api::{
+    CopyNote, Entry, Function, ListKind, Load, Outcome, RequestId, Time, Worker,
+};
 
 /// A source of triggers: a queue at one broker, a timer table, or whatever hands in calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -22,9 +24,9 @@
 pub fn function_id(name: &str) -> Function {
     // FNV-1a with a finishing mix. Two names that meet share a place in the hash order and their averages; the
     // calls themselves always carry their own name.
-    let hash = name
-        .bytes()
-        .fold(0xcbf2_9ce4_8422_2325u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3));
+    let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325u64, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3)
+    });
     let mixed = (hash ^ (hash >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
     Function(mixed ^ (mixed >> 32))
 }
--- a/crates/pipithub-engine/src/owners.rs
+++ b/crates/pipithub-engine/src/owners.rs
@@ -37,8 +37,13 @@
         if let Some(owner) = self.whole.get(function) {
             return Some(*owner);
         }
-        let longest = self.beginnings.iter().filter(|(b, _)| function.starts_with(b.as_str()));
-        longest.max_by_key(|(b, _)| b.len()).map(|(_, owner)| *owner)
+        let longest = self
+            .beginnings
+            .iter()
+            .filter(|(b, _)| function.starts_with(b.as_str()));
+        longest
+            .max_by_key(|(b, _)| b.len())
+            .map(|(_, owner)| *owner)
     }
 
     /// Whether there are tenants at all.
@@ -67,11 +72,19 @@
         assert!(owners.allow(None, "anything"));
         let (north, south) = (Tenant(0), Tenant(1));
         assert_eq!(owners.insert("north-*", Owner::Tenant(north)), None);
-        assert_eq!(owners.insert("north-and-south-*", Owner::Tenant(south)), None);
+        assert_eq!(
+            owners.insert("north-and-south-*", Owner::Tenant(south)),
+            None
+        );
         assert_eq!(owners.insert("holidays", Owner::Shared), None);
-        assert_eq!(owners.insert("north-*", Owner::Tenant(south)), Some(Owner::Tenant(north)));
+        assert_eq!(
+            owners.insert("north-*", Owner::Tenant(south)),
+            Some(Owner::Tenant(north))
+        );
         owners.insert("north-*", Owner::Tenant(north));
-        assert!(owners.allow(Some(north), "north-roster") && !owners.allow(Some(south), "north-roster"));
+        assert!(
+            owners.allow(Some(north), "north-roster") && !owners.allow(Some(south), "north-roster")
+        );
         assert!(
             owners.allow(Some(south), "north-and-south-map")
                 && !owners.allow(Some(north), "north-and-south-map")
--- a/crates/pipithub-engine/tests/engine.rs
+++ b/crates/pipithub-engine/tests/engine.rs
@@ -8,8 +8,8 @@
     Class, Effect, Entry, Group, Limits, ListKind, Load, Outcome, Settings, State, Worker,
 };
 use pipithub_engine::{
-    AttemptEnd, AttemptId, Call, Cause, Engine, EngineSettings, Input, Output, Owner, Owners, Reply, Served,
-    SourceId, Tenant, Ticket, Time, Trigger, Verdict,
+    AttemptEnd, AttemptId, Call, Cause, Engine, EngineSettings, Input, Output, Owner, Owners,
+    Reply, Served, SourceId, Tenant, Ticket, Time, Trigger, Verdict,
 };
 
 const MS: Time = 1_000_000;
@@ -18,15 +18,28 @@
 const UNSAFE: usize = 2;
 
 fn class(effect: Effect) -> Class {
-    Class { effect, give_up: 4_000 * MS, dedup_window: 3_000 * MS, late_worth: 0.3, ..Class::default() }
+    Class {
+        effect,
+        give_up: 4_000 * MS,
+        dedup_window: 3_000 * MS,
+        late_worth: 0.3,
+        ..Class::default()
+    }
 }
 
 fn settings() -> EngineSettings {
     EngineSettings {
         policy: Settings {
             tick: MS,
-            classes: vec![class(Effect::Safe), class(Effect::Keyed), class(Effect::Unsafe)],
-            limits: Limits { cancel: true, ..Limits::default() },
+            classes: vec![
+                class(Effect::Safe),
+                class(Effect::Keyed),
+                class(Effect::Unsafe),
+            ],
+            limits: Limits {
+                cancel: true,
+                ..Limits::default()
+            },
             ..Settings::default()
         },
         ..EngineSettings::default()
@@ -42,9 +55,20 @@
 
 impl Bed {
     fn new(settings: EngineSettings) -> Self {
-        let mut bed = Bed { engine: Engine::new(settings, 7), now: 0, out: Vec::new(), tickets: 0 };
-        let entry = |n: u32| Entry { worker: Worker::new(&format!("w{n}")), ..Entry::default() };
-        bed.input(Input::Workers { kind: ListKind::Complete, entries: (0..3).map(entry).collect() });
+        let mut bed = Bed {
+            engine: Engine::new(settings, 7),
+            now: 0,
+            out: Vec::new(),
+            tickets: 0,
+        };
+        let entry = |n: u32| Entry {
+            worker: Worker::new(&format!("w{n}")),
+            ..Entry::default()
+        };
+        bed.input(Input::Workers {
+            kind: ListKind::Complete,
+            entries: (0..3).map(entry).collect(),
+        });
         bed
     }
 
@@ -53,9 +77,16 @@
         std::mem::take(&mut self.out)
     }
 
-    fn trigger(&mut self, class: usize, change: impl FnOnce(&mut Trigger)) -> (Ticket, Vec<Output>) {
+    fn trigger(
+        &mut self,
+        class: usize,
+        change: impl FnOnce(&mut Trigger),
+    ) -> (Ticket, Vec<Output>) {
         self.tickets += 1;
-        let ticket = Ticket { source: SourceId(1), number: self.tickets };
+        let ticket = Ticket {
+            source: SourceId(1),
+            number: self.tickets,
+        };
         let call = Call {
             function: "f".into(),
             class,
@@ -64,8 +95,13 @@
             body: Bytes::from_static(b"body"),
             ..Call::default()
         };
-        let mut trigger =
-            Trigger { ticket, identity: Some("m".into()), redelivered: false, deliveries: 0, call };
+        let mut trigger = Trigger {
+            ticket,
+            identity: Some("m".into()),
+            redelivered: false,
+            deliveries: 0,
+            call,
+        };
         change(&mut trigger);
         (ticket, self.input(Input::Trigger(trigger)))
     }
@@ -77,7 +113,15 @@
             body: Bytes::from_static(b"yes"),
         });
         let load = Load::default();
-        let end = AttemptEnd { id, outcome, took: 10 * MS, note: None, alike: None, load, served };
+        let end = AttemptEnd {
+            id,
+            outcome,
+            took: 10 * MS,
+            note: None,
+            alike: None,
+            load,
+            served,
+        };
         self.input(Input::Attempt(end))
     }
 
@@ -95,7 +139,15 @@
 }
 
 fn sends(out: &[Output]) -> Vec<AttemptId> {
-    out.iter().filter_map(|o| if let Output::Send { id, .. } = o { Some(*id) } else { None }).collect()
+    out.iter()
+        .filter_map(|o| {
+            if let Output::Send { id, .. } = o {
+                Some(*id)
+            } else {
+                None
+            }
+        })
+        .collect()
 }
 
 fn answers(out: &[Output]) -> Vec<(Ticket, Arc<Reply>)> {
@@ -118,8 +170,14 @@
     let (ticket, out) = bed.trigger(UNSAFE, |_| {});
     let out = bed.end(sends(&out)[0], Outcome::Served);
     let (to, reply) = only_answer(&out);
-    assert_eq!((to, reply.verdict, reply.attempts), (ticket, Verdict::Served, 1));
-    assert_eq!(reply.served.as_ref().map(|s| &s.body[..]), Some(&b"yes"[..]));
+    assert_eq!(
+        (to, reply.verdict, reply.attempts),
+        (ticket, Verdict::Served, 1)
+    );
+    assert_eq!(
+        reply.served.as_ref().map(|s| &s.body[..]),
+        Some(&b"yes"[..])
+    );
     assert_eq!(bed.engine.open(), 1);
     bed.input(Input::Settled(ticket));
     assert_eq!((bed.engine.open(), bed.engine.bytes()), (0, 0));
@@ -144,7 +202,11 @@
     let (_, out) = bed.trigger(SAFE, |t| t.call.waited = 3_000 * MS);
     assert_eq!(sends(&out).len(), 1);
     let out = bed.pass(1_000 * MS);
-    assert_eq!(only_answer(&out).1.verdict, Verdict::Refused, "its 4 s are over");
+    assert_eq!(
+        only_answer(&out).1.verdict,
+        Verdict::Refused,
+        "its 4 s are over"
+    );
     let (_, out) = bed.trigger(SAFE, |t| t.call.waited = 5_000 * MS);
     assert_eq!(only_answer(&out).1.cause, Cause::TooLate);
 }
@@ -178,7 +240,11 @@
     let mut bed = Bed::new(settings());
     let (_, out) = bed.trigger(UNSAFE, |_| {});
     bed.input(Input::SourceLost(SourceId(1)));
-    assert_eq!(bed.end(sends(&out)[0], Outcome::Served), [], "nobody can be told now");
+    assert_eq!(
+        bed.end(sends(&out)[0], Outcome::Served),
+        [],
+        "nobody can be told now"
+    );
     let (again, out) = bed.trigger(UNSAFE, |t| t.redelivered = true);
     let (to, reply) = only_answer(&out);
     assert_eq!((to, reply.verdict), (again, Verdict::Served));
@@ -195,7 +261,14 @@
     let (_, out) = bed.trigger(SAFE, |_| {});
     bed.input(Input::SourceLost(SourceId(1)));
     assert_eq!(bed.end(sends(&out)[0], Outcome::Broken), []);
-    assert_eq!((bed.engine.open(), bed.engine.bytes(), bed.engine.attempts_out()), (0, 0, 0));
+    assert_eq!(
+        (
+            bed.engine.open(),
+            bed.engine.bytes(),
+            bed.engine.attempts_out()
+        ),
+        (0, 0, 0)
+    );
     // Should it come back here after all, it is decided anew.
     let (_, out) = bed.trigger(SAFE, |t| t.redelivered = true);
     assert_eq!(sends(&out).len(), 1);
@@ -217,8 +290,14 @@
     // Twice at a time: both are answered.
     let (a, out_a) = bed.trigger(SAFE, |_| {});
     let (b, out_b) = bed.trigger(SAFE, |_| {});
-    assert_eq!(only_answer(&bed.end(sends(&out_a)[0], Outcome::Served)).0, a);
-    assert_eq!(only_answer(&bed.end(sends(&out_b)[0], Outcome::Served)).0, b);
+    assert_eq!(
+        only_answer(&bed.end(sends(&out_a)[0], Outcome::Served)).0,
+        a
+    );
+    assert_eq!(
+        only_answer(&bed.end(sends(&out_b)[0], Outcome::Served)).0,
+        b
+    );
 }
 
 #[test]
@@ -233,20 +312,48 @@
     let failed = Some((Verdict::Failed, Cause::MayHaveRunBefore));
     assert_eq!(fate(SAFE, None), None);
     assert_eq!(fate(UNSAFE, Some(0)), failed);
-    assert_eq!(fate(KEYED, None), failed, "its first send may be of any age");
+    assert_eq!(
+        fate(KEYED, None),
+        failed,
+        "its first send may be of any age"
+    );
     assert_eq!(fate(KEYED, Some(500 * MS)), None);
-    assert_eq!(fate(KEYED, Some(2_999 * MS)), failed, "workers may forget it while it is sent");
+    assert_eq!(
+        fate(KEYED, Some(2_999 * MS)),
+        failed,
+        "workers may forget it while it is sent"
+    );
 }
 
 #[test]
 fn the_table_of_repeats() {
-    let keyed = |group| Class { group, ..class(Effect::Keyed) };
+    let keyed = |group| Class {
+        group,
+        ..class(Effect::Keyed)
+    };
     let all = keyed(Group::All);
-    assert_eq!(unknown_earlier(&all, Some(MS), true, MS), Again::Run(Some(2_998 * MS)));
-    assert_eq!(unknown_earlier(&all, Some(MS), false, MS), Again::Fail, "no key, no dropping");
-    assert_eq!(unknown_earlier(&all, Some(2_999 * MS), true, MS), Again::Fail);
-    assert_eq!(unknown_earlier(&all, Some(Time::MAX), true, MS), Again::Fail);
-    assert_eq!(unknown_earlier(&keyed(Group::Zone), Some(MS), true, MS), Again::Fail, "which zone had it?");
+    assert_eq!(
+        unknown_earlier(&all, Some(MS), true, MS),
+        Again::Run(Some(2_998 * MS))
+    );
+    assert_eq!(
+        unknown_earlier(&all, Some(MS), false, MS),
+        Again::Fail,
+        "no key, no dropping"
+    );
+    assert_eq!(
+        unknown_earlier(&all, Some(2_999 * MS), true, MS),
+        Again::Fail
+    );
+    assert_eq!(
+        unknown_earlier(&all, Some(Time::MAX), true, MS),
+        Again::Fail
+    );
+    assert_eq!(
+        unknown_earlier(&keyed(Group::Zone), Some(MS), true, MS),
+        Again::Fail,
+        "which zone had it?"
+    );
 }
 
 #[test]
@@ -257,7 +364,10 @@
         t.deliveries = 21;
     });
     let (_, reply) = only_answer(&out);
-    assert_eq!((reply.verdict, reply.cause), (Verdict::Failed, Cause::TooOften));
+    assert_eq!(
+        (reply.verdict, reply.cause),
+        (Verdict::Failed, Cause::TooOften)
+    );
 }
 
 #[test]
@@ -267,7 +377,14 @@
     let attempt = sends(&out)[0];
     let out = bed.input(Input::SourceLost(SourceId(1)));
     assert_eq!(out, [Output::Cancel(attempt)]);
-    assert_eq!((bed.engine.open(), bed.engine.bytes(), bed.engine.attempts_out()), (0, 0, 1));
+    assert_eq!(
+        (
+            bed.engine.open(),
+            bed.engine.bytes(),
+            bed.engine.attempts_out()
+        ),
+        (0, 0, 1)
+    );
     bed.end(attempt, Outcome::Cancelled);
     assert_eq!(bed.engine.attempts_out(), 0);
 }
@@ -303,14 +420,20 @@
 
 #[test]
 fn every_bound_answers_at_once() {
-    let mut bed = Bed::new(EngineSettings { max_open: 2, ..settings() });
+    let mut bed = Bed::new(EngineSettings {
+        max_open: 2,
+        ..settings()
+    });
     bed.trigger(SAFE, |t| t.identity = Some("a".into()));
     bed.trigger(SAFE, |t| t.identity = Some("b".into()));
     assert_eq!(bed.engine.room(), 0);
     let (_, out) = bed.trigger(SAFE, |t| t.identity = Some("c".into()));
     assert_eq!(only_answer(&out).1.cause, Cause::NoRoom);
 
-    let mut bed = Bed::new(EngineSettings { max_bytes: 5, ..settings() });
+    let mut bed = Bed::new(EngineSettings {
+        max_bytes: 5,
+        ..settings()
+    });
     bed.trigger(SAFE, |t| t.identity = Some("a".into()));
     let (_, out) = bed.trigger(SAFE, |t| t.identity = Some("b".into()));
     assert_eq!(only_answer(&out).1.cause, Cause::NoRoom);
@@ -320,7 +443,10 @@
     let (_, out) = bed.trigger(SAFE, |_| {});
     assert_eq!(only_answer(&out).1.cause, Cause::Draining);
 
-    let mut bed = Bed::new(EngineSettings { max_names: 10, ..settings() });
+    let mut bed = Bed::new(EngineSettings {
+        max_names: 10,
+        ..settings()
+    });
     for n in 0..100 {
         bed.now += MS;
         bed.trigger(SAFE, |t| {
@@ -334,23 +460,49 @@
 fn before_the_first_list_there_is_no_room() {
     let mut engine = Engine::new(settings(), 7);
     assert_eq!(engine.room(), 0);
-    engine.handle(0, Input::Workers { kind: ListKind::Lost, entries: Vec::new() }, &mut Vec::new());
+    engine.handle(
+        0,
+        Input::Workers {
+            kind: ListKind::Lost,
+            entries: Vec::new(),
+        },
+        &mut Vec::new(),
+    );
     assert_eq!(engine.room(), 0, "a list that could not be had is none");
-    engine.handle(0, Input::Workers { kind: ListKind::Complete, entries: Vec::new() }, &mut Vec::new());
+    engine.handle(
+        0,
+        Input::Workers {
+            kind: ListKind::Complete,
+            entries: Vec::new(),
+        },
+        &mut Vec::new(),
+    );
     assert_eq!(engine.room(), settings().max_open);
 }
 
 #[test]
 fn without_workers_a_call_is_refused_and_after_their_return_served() {
     let mut bed = Bed::new(settings());
-    let gone =
-        |n: u32| Entry { worker: Worker::new(&format!("w{n}")), state: State::Gone, ..Entry::default() };
-    bed.input(Input::Workers { kind: ListKind::Changes, entries: (0..3).map(gone).collect() });
+    let gone = |n: u32| Entry {
+        worker: Worker::new(&format!("w{n}")),
+        state: State::Gone,
+        ..Entry::default()
+    };
+    bed.input(Input::Workers {
+        kind: ListKind::Changes,
+        entries: (0..3).map(gone).collect(),
+    });
     assert_eq!(bed.engine.live_workers(), 0);
     let (_, out) = bed.trigger(SAFE, |t| t.identity = None);
     assert_eq!(only_answer(&out).1.verdict, Verdict::Refused);
-    let back = Entry { worker: Worker::new("w9"), ..Entry::default() };
-    bed.input(Input::Workers { kind: ListKind::Changes, entries: vec![back] });
+    let back = Entry {
+        worker: Worker::new("w9"),
+        ..Entry::default()
+    };
+    bed.input(Input::Workers {
+        kind: ListKind::Changes,
+        entries: vec![back],
+    });
     let (_, out) = bed.trigger(SAFE, |t| t.identity = None);
     assert_eq!(sends(&out).len(), 1);
 }
@@ -361,16 +513,32 @@
     let (_, out) = bed.trigger(UNSAFE, |_| {});
     let id = sends(&out)[0];
     assert_eq!(bed.end(AttemptId { number: 5, ..id }, Outcome::Served), []);
-    assert_eq!(bed.end(AttemptId { request: 99, number: 0 }, Outcome::Served), []);
+    assert_eq!(
+        bed.end(
+            AttemptId {
+                request: 99,
+                number: 0
+            },
+            Outcome::Served
+        ),
+        []
+    );
     assert_eq!(answers(&bed.end(id, Outcome::Served)).len(), 1);
-    assert_eq!(bed.end(id, Outcome::Served), [], "a second outcome of one attempt is none");
+    assert_eq!(
+        bed.end(id, Outcome::Served),
+        [],
+        "a second outcome of one attempt is none"
+    );
 }
 
 fn owned() -> EngineSettings {
     let mut owners = Owners::default();
     owners.insert("north-*", Owner::Tenant(Tenant(0)));
     owners.insert("south-*", Owner::Tenant(Tenant(1)));
-    EngineSettings { owners: Arc::new(owners), ..settings() }
+    EngineSettings {
+        owners: Arc::new(owners),
+        ..settings()
+    }
 }
 
 fn of(function: &str, tenant: u16, user: &str) -> impl FnOnce(&mut Trigger) {
@@ -398,7 +566,11 @@
     let (_, out) = bed.trigger(SAFE, of("unnamed", 0, "mai"));
     assert_eq!(verdicts(&out), [(Verdict::Refused, Cause::OtherTenant)]);
     let (_, out) = bed.trigger(SAFE, |t| t.call.function = "north-map".into());
-    assert_eq!(verdicts(&out), [(Verdict::Refused, Cause::OtherTenant)], "nobody's call");
+    assert_eq!(
+        verdicts(&out),
+        [(Verdict::Refused, Cause::OtherTenant)],
+        "nobody's call"
+    );
     let (_, out) = bed.trigger(SAFE, of("north-map", 0, "mai"));
     assert!(out.iter().any(|o| matches!(o, Output::Send { .. })));
 }
@@ -408,7 +580,8 @@
 fn a_moved_users_calls_end_at_once() {
     let mut bed = Bed::new(owned());
     let (_, out) = bed.trigger(UNSAFE, of("north-map", 0, "mai"));
-    let Some(Output::Send { id, .. }) = out.iter().find(|o| matches!(o, Output::Send { .. })) else {
+    let Some(Output::Send { id, .. }) = out.iter().find(|o| matches!(o, Output::Send { .. }))
+    else {
         panic!("a send")
     };
     let (_, other) = bed.trigger(SAFE, of("north-map", 0, "lan"));
@@ -416,9 +589,20 @@
     // A call of the new side that came before the word of the move was handled goes on.
     let (_, new) = bed.trigger(SAFE, of("south-map", 1, "mai"));
     assert!(new.iter().any(|o| matches!(o, Output::Send { .. })));
-    let out = bed.input(Input::Moved { user: "mai".into(), now: Some((Tenant(1), 0)) });
-    assert_eq!(verdicts(&out), [(Verdict::Failed, Cause::UserMoved)], "it may have run");
-    assert!(out.iter().any(|o| matches!(o, Output::Cancel(c) if c == id)), "{out:?}");
+    let out = bed.input(Input::Moved {
+        user: "mai".into(),
+        now: Some((Tenant(1), 0)),
+    });
+    assert_eq!(
+        verdicts(&out),
+        [(Verdict::Failed, Cause::UserMoved)],
+        "it may have run"
+    );
+    assert!(
+        out.iter()
+            .any(|o| matches!(o, Output::Cancel(c) if c == id)),
+        "{out:?}"
+    );
     let out = bed.end(*id, Outcome::Served);
     assert_eq!(verdicts(&out), [], "one answer");
     assert!(
@@ -433,21 +617,48 @@
 fn a_refusal_of_what_is_open_already_only_takes_the_new_ticket() {
     let mut bed = Bed::new(owned());
     let (_, out) = bed.trigger(SAFE, of("north-map", 0, "mai"));
-    let Some(Output::Send { id, .. }) = out.iter().find(|o| matches!(o, Output::Send { .. })) else {
+    let Some(Output::Send { id, .. }) = out.iter().find(|o| matches!(o, Output::Send { .. }))
+    else {
         panic!("a send")
     };
     bed.input(Input::SourceLost(SourceId(1)));
-    let call = Call { function: "north-map".into(), tenant: Some(Tenant(0)), ..Call::default() };
-    let ticket = Ticket { source: SourceId(1), number: 99 };
+    let call = Call {
+        function: "north-map".into(),
+        tenant: Some(Tenant(0)),
+        ..Call::default()
+    };
+    let ticket = Ticket {
+        source: SourceId(1),
+        number: 99,
+    };
     let identity: Option<Arc<str>> = Some("north-map-0-mai".into());
-    assert!(bed.engine.knows(identity.as_ref().expect("a name"), bed.now));
-    let trigger = Trigger { ticket, identity, redelivered: true, deliveries: 1, call };
-    let out = bed.input(Input::Refuse { trigger, cause: Cause::OverShare, retry_after: None });
+    assert!(
+        bed.engine
+            .knows(identity.as_ref().expect("a name"), bed.now)
+    );
+    let trigger = Trigger {
+        ticket,
+        identity,
+        redelivered: true,
+        deliveries: 1,
+        call,
+    };
+    let out = bed.input(Input::Refuse {
+        trigger,
+        cause: Cause::OverShare,
+        retry_after: None,
+    });
     assert_eq!(verdicts(&out), []);
-    assert_eq!(verdicts(&bed.end(*id, Outcome::Served)), [(Verdict::Served, Cause::Answered)]);
+    assert_eq!(
+        verdicts(&bed.end(*id, Outcome::Served)),
+        [(Verdict::Served, Cause::Answered)]
+    );
     // A redelivered unsafe one that is unknown here may have run: a refusal would call it harmless.
     let trigger = Trigger {
-        ticket: Ticket { source: SourceId(1), number: 100 },
+        ticket: Ticket {
+            source: SourceId(1),
+            number: 100,
+        },
         identity: Some("other".into()),
         redelivered: true,
         deliveries: 1,
@@ -458,6 +669,10 @@
             ..Call::default()
         },
     };
-    let out = bed.input(Input::Refuse { trigger, cause: Cause::OverShare, retry_after: None });
+    let out = bed.input(Input::Refuse {
+        trigger,
+        cause: Cause::OverShare,
+        retry_after: None,
+    });
     assert_eq!(verdicts(&out), [(Verdict::Failed, Cause::MayHaveRunBefore)]);
 }
--- a/crates/pipithub-engine/tests/world.rs
+++ b/crates/pipithub-engine/tests/world.rs
@@ -4,10 +4,12 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use bytes::Bytes;
-use pipithub_engine::policy::{Class, Effect, Entry, Limits, ListKind, Load, Outcome, Settings, Worker};
+use pipithub_engine::policy::{
+    Class, Effect, Entry, Limits, ListKind, Load, Outcome, Settings, Worker,
+};
 use pipithub_engine::{
-    AttemptEnd, AttemptId, Call, Engine, EngineSettings, Input, Output, Served, SourceId, Ticket, Time,
-    Trigger, Verdict,
+    AttemptEnd, AttemptId, Call, Engine, EngineSettings, Input, Output, Served, SourceId, Ticket,
+    Time, Trigger, Verdict,
 };
 use proptest::prelude::*;
 
@@ -16,13 +18,26 @@
 const GIVE_UP: Time = 2_000 * MS;
 
 fn settings() -> EngineSettings {
-    let class = |effect| Class { effect, give_up: GIVE_UP, dedup_window: WINDOW, ..Class::default() };
+    let class = |effect| Class {
+        effect,
+        give_up: GIVE_UP,
+        dedup_window: WINDOW,
+        ..Class::default()
+    };
     EngineSettings {
         policy: Settings {
             front_ends: 2,
             tick: MS,
-            classes: vec![class(Effect::Safe), class(Effect::Keyed), class(Effect::Unsafe)],
-            limits: Limits { cancel: true, max_attempts: 4, ..Limits::default() },
+            classes: vec![
+                class(Effect::Safe),
+                class(Effect::Keyed),
+                class(Effect::Unsafe),
+            ],
+            limits: Limits {
+                cancel: true,
+                max_attempts: 4,
+                ..Limits::default()
+            },
             ..Settings::default()
         },
         max_open: 20,
@@ -94,16 +109,28 @@
     }
 
     fn chance(&mut self, below: u64) -> u64 {
-        self.random =
-            self.random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.random = self
+            .random
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (self.random >> 33) % below
     }
 
     fn engine(&mut self, which: usize) -> Engine {
         let mut engine = Engine::new(settings(), which as u64 + 1);
-        let entry = |n: u32| Entry { worker: Worker::new(&format!("w{n}")), ..Entry::default() };
+        let entry = |n: u32| Entry {
+            worker: Worker::new(&format!("w{n}")),
+            ..Entry::default()
+        };
         let entries = (0..4).map(entry).collect();
-        engine.handle(self.now, Input::Workers { kind: ListKind::Remembered, entries }, &mut Vec::new());
+        engine.handle(
+            self.now,
+            Input::Workers {
+                kind: ListKind::Remembered,
+                entries,
+            },
+            &mut Vec::new(),
+        );
         engine
     }
 
@@ -121,17 +148,25 @@
     }
 
     fn message_of(&self, call: &Call) -> usize {
-        call.key.as_deref().and_then(|k| k.parse().ok()).expect("every call here has its number as key")
+        call.key
+            .as_deref()
+            .and_then(|k| k.parse().ok())
+            .expect("every call here has its number as key")
     }
 
     fn output(&mut self, which: usize, output: Output) {
         let life = self.life[which];
         match output {
-            Output::Send { id, call, deadline, .. } => {
+            Output::Send {
+                id, call, deadline, ..
+            } => {
                 assert!(deadline > self.now, "sent after its time");
                 let message = self.message_of(&call);
                 let held = self.unacked.values().any(|held| *held == (which, message));
-                assert!(held, "message {message} was sent by one that does not hold it");
+                assert!(
+                    held,
+                    "message {message} was sent by one that does not hold it"
+                );
                 let trouble = self.chance(100) < self.trouble;
                 let outcome = match (trouble, self.chance(5)) {
                     (false, _) => Outcome::Served,
@@ -157,7 +192,10 @@
                 let after = self.chance(4) * MS;
                 let heard = self.chance(200) >= self.trouble;
                 let connection = self.connection[which];
-                self.plan(after, Happening::Commit(which, connection, ticket, reply.verdict, heard));
+                self.plan(
+                    after,
+                    Happening::Commit(which, connection, ticket, reply.verdict, heard),
+                );
             }
             Output::Forget(ticket) => {
                 self.unacked.remove(&ticket);
@@ -170,8 +208,12 @@
     /// The connection of an engine is gone: what it held goes back to the head of the queue.
     fn requeue(&mut self, which: usize) {
         self.connection[which] += 1;
-        let back: Vec<_> =
-            self.unacked.iter().filter(|(_, (w, _))| *w == which).map(|(t, m)| (*t, m.1)).collect();
+        let back: Vec<_> = self
+            .unacked
+            .iter()
+            .filter(|(_, (w, _))| *w == which)
+            .map(|(t, m)| (*t, m.1))
+            .collect();
         for (ticket, message) in back.into_iter().rev() {
             self.unacked.remove(&ticket);
             self.messages[message].redelivered = true;
@@ -193,7 +235,8 @@
                 });
             }
             Happening::Run(which, life, id, message, outcome) => {
-                let runs = !outcome.never_ran() && (outcome != Outcome::Broken || self.chance(2) == 0);
+                let runs =
+                    !outcome.never_ran() && (outcome != Outcome::Broken || self.chance(2) == 0);
                 if runs {
                     let effects = &mut self.messages[message].effects;
                     // Workers drop the repeats of a keyed call for a while.
@@ -214,7 +257,15 @@
                 self.ended.push((which, life, id));
                 let served = (outcome == Outcome::Served).then(Served::default);
                 let load = Load::default();
-                let end = AttemptEnd { id, outcome, took: 50 * MS, note: None, alike: None, load, served };
+                let end = AttemptEnd {
+                    id,
+                    outcome,
+                    took: 50 * MS,
+                    note: None,
+                    alike: None,
+                    load,
+                    served,
+                };
                 self.input(which, Input::Attempt(end));
             }
             Happening::Commit(which, connection, ticket, verdict, heard) => {
@@ -222,7 +273,10 @@
                     return;
                 }
                 // Answer and ack take effect together.
-                let (_, message) = self.unacked.remove(&ticket).expect("a ticket is settled once");
+                let (_, message) = self
+                    .unacked
+                    .remove(&ticket)
+                    .expect("a ticket is settled once");
                 self.messages[message].answers.push((verdict, self.now));
                 if heard {
                     self.input(which, Input::Settled(ticket));
@@ -246,13 +300,25 @@
     fn deliver(&mut self) {
         while !self.queue.is_empty() {
             let first = self.chance(2) as usize;
-            let free = [first, 1 - first].into_iter().find(|w| self.engines[*w].room() > 0);
+            let free = [first, 1 - first]
+                .into_iter()
+                .find(|w| self.engines[*w].room() > 0);
             let Some(which) = free else { return };
-            let Some(message) = self.queue.pop_front() else { return };
+            let Some(message) = self.queue.pop_front() else {
+                return;
+            };
             self.count += 1;
-            let ticket = Ticket { source: SourceId(0), number: self.count };
+            let ticket = Ticket {
+                source: SourceId(0),
+                number: self.count,
+            };
             self.unacked.insert(ticket, (which, message));
-            let Message { class, published, redelivered, .. } = self.messages[message];
+            let Message {
+                class,
+                published,
+                redelivered,
+                ..
+            } = self.messages[message];
             let age = self.now - published;
             let call = Call {
                 function: format!("f{}", message % 3).into(),
@@ -265,7 +331,13 @@
                 ..Call::default()
             };
             let identity = Some(message.to_string().into());
-            let trigger = Trigger { ticket, identity, redelivered, deliveries: 0, call };
+            let trigger = Trigger {
+                ticket,
+                identity,
+                redelivered,
+                deliveries: 0,
+                call,
+            };
             self.input(which, Input::Trigger(trigger));
         }
     }
@@ -277,7 +349,11 @@
         }
         for _ in 0..self.trouble / 5 {
             let (at, which) = (self.chance(1_500) * MS, self.chance(2) as usize);
-            let what = if self.chance(2) == 0 { Happening::Kill(which) } else { Happening::Lose(which) };
+            let what = if self.chance(2) == 0 {
+                Happening::Kill(which)
+            } else {
+                Happening::Lose(which)
+            };
             self.plan(at, what);
         }
         let end = 20_000 * MS;
--- a/crates/pipithub-fleet/src/folder.rs
+++ b/crates/pipithub-fleet/src/folder.rs
@@ -39,7 +39,10 @@
 }
 
 fn io(path: &Path) -> impl FnOnce(std::io::Error) -> FolderError + '_ {
-    move |source| FolderError::Io { path: path.to_path_buf(), source }
+    move |source| FolderError::Io {
+        path: path.to_path_buf(),
+        source,
+    }
 }
 
 impl Folder {
@@ -47,10 +50,17 @@
     pub fn take(path: &Path) -> Result<Folder, FolderError> {
         std::fs::create_dir_all(path).map_err(io(path))?;
         let file = path.join("lock");
-        let lock =
-            OpenOptions::new().create(true).truncate(false).write(true).open(&file).map_err(io(&file))?;
+        let lock = OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(&file)
+            .map_err(io(&file))?;
         match lock.try_lock() {
-            Ok(()) => Ok(Folder { path: path.to_path_buf(), _lock: lock }),
+            Ok(()) => Ok(Folder {
+                path: path.to_path_buf(),
+                _lock: lock,
+            }),
             Err(TryLockError::WouldBlock) => Err(FolderError::InUse(path.to_path_buf())),
             Err(TryLockError::Error(source)) => Err(FolderError::Io { path: file, source }),
         }
@@ -71,14 +81,19 @@
             Err(source) => return Err(FolderError::Io { path, source }),
         };
         let mut bytes = Vec::new();
-        file.take(RECORD_MOST).read_to_end(&mut bytes).map_err(io(&path))?;
+        file.take(RECORD_MOST)
+            .read_to_end(&mut bytes)
+            .map_err(io(&path))?;
         Ok(Some(String::from_utf8_lossy(&bytes).into_owned()))
     }
 
     /// Starts the task that saves generation records. A crash at any moment leaves the record before or the new one,
     /// whole; what it reports as saved outlives a power cut.
     pub fn start_generation_saver(&self, files: Arc<dyn FileSystem>) -> Saver {
-        Saver::start(files, Target::new(self.path.join(GENERATION_FILE), Durability::Synced))
+        Saver::start(
+            files,
+            Target::new(self.path.join(GENERATION_FILE), Durability::Synced),
+        )
     }
 
     /// Writes the report. It need not outlive a crash.
@@ -95,7 +110,9 @@
 
     /// Whether a process runs with a folder.
     pub fn in_use(path: &Path) -> bool {
-        let Ok(lock) = OpenOptions::new().write(true).open(path.join("lock")) else { return false };
+        let Ok(lock) = OpenOptions::new().write(true).open(path.join("lock")) else {
+            return false;
+        };
         matches!(lock.try_lock(), Err(TryLockError::WouldBlock))
     }
 }
--- a/crates/pipithub-fleet/src/report.rs
+++ b/crates/pipithub-fleet/src/report.rs
@@ -91,15 +91,26 @@
     let (member, what) = match event {
         Event::Up(m) => (
             m.identity.name.clone(),
-            format!("there, generation {} at {}", m.identity.generation, m.identity.address),
+            format!(
+                "there, generation {} at {}",
+                m.identity.generation, m.identity.address
+            ),
         ),
-        Event::Suspected(m) => {
-            (m.identity.name.clone(), format!("suspected: a probe got no answer; {}", heard(m)))
-        }
-        Event::Down { member, suspected: true } => {
-            (member.identity.name.clone(), format!("held for dead: it did not speak up; {}", heard(member)))
-        }
-        Event::Down { member, suspected: false } => (
+        Event::Suspected(m) => (
+            m.identity.name.clone(),
+            format!("suspected: a probe got no answer; {}", heard(m)),
+        ),
+        Event::Down {
+            member,
+            suspected: true,
+        } => (
+            member.identity.name.clone(),
+            format!("held for dead: it did not speak up; {}", heard(member)),
+        ),
+        Event::Down {
+            member,
+            suspected: false,
+        } => (
             member.identity.name.clone(),
             format!("gone: it left, or others found it dead; {}", heard(member)),
         ),
@@ -113,21 +124,33 @@
             ),
         ),
         Event::Standing(s) => (me.to_string(), format!("stands {}", standing(s))),
-        Event::Overslept { by } => {
-            (me.to_string(), format!("was held up for {} ms: what it knew is that much older", ms(*by)))
-        }
+        Event::Overslept { by } => (
+            me.to_string(),
+            format!(
+                "was held up for {} ms: what it knew is that much older",
+                ms(*by)
+            ),
+        ),
         Event::DiskBehind { disk, seen } => (
             me.to_string(),
-            format!("its disk says generation {disk}, the fleet has seen {seen}: the disk is old or empty"),
+            format!(
+                "its disk says generation {disk}, the fleet has seen {seen}: the disk is old or empty"
+            ),
+        ),
+        Event::Refused { from, why, count } => (
+            from.to_string(),
+            format!("{count} datagrams turned away: {why}"),
+        ),
+        Event::Full(who) => (
+            who.name.clone(),
+            "not let in: as many members as max-members allows".to_string(),
         ),
-        Event::Refused { from, why, count } => {
-            (from.to_string(), format!("{count} datagrams turned away: {why}"))
-        }
-        Event::Full(who) => {
-            (who.name.clone(), "not let in: as many members as max-members allows".to_string())
-        }
     };
-    Happening { at_ms, member, what }
+    Happening {
+        at_ms,
+        member,
+        what,
+    }
 }
 
 /// Keeps the latest happenings.
--- a/crates/pipithub-fleet/src/shell.rs
+++ b/crates/pipithub-fleet/src/shell.rs
@@ -75,12 +75,22 @@
         let folder = Folder::take(&config.data)?;
         let found = folder.generation()?;
         let (record, empty) = Record::start(found.as_deref(), &config.members.cluster, name)
-            .map_err(|source| FleetError::Record { path: config.data.join("generation"), source })?;
-        let socket = |source| FleetError::Socket { address: config.listen, source };
+            .map_err(|source| FleetError::Record {
+                path: config.data.join("generation"),
+                source,
+            })?;
+        let socket = |source| FleetError::Socket {
+            address: config.listen,
+            source,
+        };
         let udp = UdpSocket::bind(config.listen).await.map_err(socket)?;
         let bound = udp.local_addr().map_err(socket)?;
         let address = config.advertise.unwrap_or(bound);
-        let draw = || SysRng.try_next_u64().map_err(|e| FleetError::Random(e.to_string()));
+        let draw = || {
+            SysRng
+                .try_next_u64()
+                .map_err(|e| FleetError::Random(e.to_string()))
+        };
         let me = (name.to_string(), address, config.zone.clone());
         let core = Members::new(config.members.clone(), me, &record, empty, draw()?, draw()?)?;
         let (view, watched) = watch::channel(None);
@@ -102,7 +112,12 @@
             out: Vec::new(),
         };
         let task = tokio::spawn(shell.run(stopped));
-        Ok(Fleet { view: watched, address: bound, stop, task })
+        Ok(Fleet {
+            view: watched,
+            address: bound,
+            stop,
+            task,
+        })
     }
 
     /// Where it listens.
@@ -143,14 +158,28 @@
 impl Shell {
     async fn run(mut self, mut stopped: watch::Receiver<bool>) {
         let mut saved = self.generation_saver.saved();
-        let address = self.udp.local_addr().map(|a| a.to_string()).unwrap_or_default();
-        info!(front_end = self.name, cluster = self.config.members.cluster, address, "member up");
+        let address = self
+            .udp
+            .local_addr()
+            .map(|a| a.to_string())
+            .unwrap_or_default();
+        info!(
+            front_end = self.name,
+            cluster = self.config.members.cluster,
+            address,
+            "member up"
+        );
         self.core.start(self.clock.now(), &mut self.out);
         self.carry_out().await;
         // Larger than any datagram of ours: what fills it is none.
         let mut buffer = vec![0; 2048];
         loop {
-            let report = self.reported + if self.changed { REPORT_MOST } else { REPORT_LEAST };
+            let report = self.reported
+                + if self.changed {
+                    REPORT_MOST
+                } else {
+                    REPORT_LEAST
+                };
             let due = self.core.next_due().map_or(report, |due| due.min(report));
             tokio::select! {
                 read = self.udp.recv_from(&mut buffer) => match read {
@@ -174,7 +203,8 @@
             self.carry_out().await;
             self.report().await;
         }
-        self.core.handle(self.clock.now(), Input::Leave, &mut self.out);
+        self.core
+            .handle(self.clock.now(), Input::Leave, &mut self.out);
         self.carry_out().await;
         self.reported = 0;
         self.report().await;
@@ -201,18 +231,32 @@
 
     /// Saves beside the loop, until it is done: a full disk keeps this process out of the fleet, and nothing else.
     fn save(&self, record: &Record) {
-        self.generation_saver.save(record.generation, record.write().into_bytes());
+        self.generation_saver
+            .save(record.generation, record.write().into_bytes());
     }
 
     fn event(&mut self, event: &Event) {
         let told = happening(event, &self.name, wall_ms(), self.clock.now());
-        let (front_end, member, what) = (self.name.as_str(), told.member.as_str(), told.what.as_str());
+        let (front_end, member, what) =
+            (self.name.as_str(), told.member.as_str(), told.what.as_str());
         match event {
             Event::Up(m) | Event::Suspected(m) => {
-                info!(front_end, member, epoch = m.identity.generation, what, "members");
+                info!(
+                    front_end,
+                    member,
+                    epoch = m.identity.generation,
+                    what,
+                    "members"
+                );
             }
             Event::Down { member: m, .. } => {
-                info!(front_end, member, epoch = m.identity.generation, what, "members");
+                info!(
+                    front_end,
+                    member,
+                    epoch = m.identity.generation,
+                    what,
+                    "members"
+                );
             }
             Event::Overslept { .. } | Event::DiskBehind { .. } | Event::Full(_) => {
                 warn!(front_end, member, what, "members");
@@ -225,7 +269,11 @@
 
     async fn report(&mut self) {
         let now = self.clock.now();
-        let wait = if self.changed { REPORT_MOST } else { REPORT_LEAST };
+        let wait = if self.changed {
+            REPORT_MOST
+        } else {
+            REPORT_LEAST
+        };
         if now < self.reported.saturating_add(wait)
             || self.reporting.as_ref().is_some_and(|t| !t.is_finished())
         {
@@ -238,8 +286,14 @@
         }
         (self.reported, self.changed) = (now, false);
         let view = self.core.view(now);
-        let listen = self.udp.local_addr().map(|a| a.to_string()).unwrap_or_default();
-        let report = self.happenings.report(&self.config.members.cluster, &listen, &view, wall_ms());
+        let listen = self
+            .udp
+            .local_addr()
+            .map(|a| a.to_string())
+            .unwrap_or_default();
+        let report =
+            self.happenings
+                .report(&self.config.members.cluster, &listen, &view, wall_ms());
         self.view.send_replace(Some(view));
         let folder = self.folder.path().to_path_buf();
         self.reporting = Some(tokio::task::spawn_blocking(move || write(&folder, &report)));
--- a/crates/pipithub-fleet/tests/failing_disk.rs
+++ b/crates/pipithub-fleet/tests/failing_disk.rs
@@ -56,7 +56,11 @@
     fn create_new(&self, path: &Path) -> io::Result<Box<dyn WritableFile>> {
         self.fail(Step::Create)?;
         let file = SystemFiles.create_new(path)?;
-        Ok(Box::new(FailingFile { file, write: self.fail(Step::Write), sync: self.fail(Step::SyncFile) }))
+        Ok(Box::new(FailingFile {
+            file,
+            write: self.fail(Step::Write),
+            sync: self.fail(Step::SyncFile),
+        }))
     }
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
@@ -76,7 +80,11 @@
 
 fn settings(data: &Path, seed: SocketAddr) -> FleetSettings {
     FleetSettings {
-        members: Settings { cluster: "campus".into(), seeds: vec![seed], ..Settings::default() },
+        members: Settings {
+            cluster: "campus".into(),
+            seeds: vec![seed],
+            ..Settings::default()
+        },
         listen: SocketAddr::from(([127, 0, 0, 1], 0)),
         advertise: None,
         zone: String::new(),
@@ -93,13 +101,23 @@
 async fn a_process_stays_out_while_this_step_fails(step: Step) {
     let root = tempfile::tempdir().expect("a folder");
     let seed = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
-    let before = Record { cluster: "campus".into(), name: "front-1".into(), generation: 4 };
+    let before = Record {
+        cluster: "campus".into(),
+        name: "front-1".into(),
+        generation: 4,
+    };
     std::fs::write(root.path().join("generation"), before.write()).expect("written");
     let (heal, healthy) = watch::channel(false);
     let (failures, mut failed) = mpsc::unbounded_channel();
-    let files = Arc::new(FailingFiles { step, healthy, failures });
+    let files = Arc::new(FailingFiles {
+        step,
+        healthy,
+        failures,
+    });
     let config = settings(root.path(), seed.local_addr().expect("its address"));
-    let fleet = Fleet::start_on("front-1", config, files).await.expect("it starts all the same");
+    let fleet = Fleet::start_on("front-1", config, files)
+        .await
+        .expect("it starts all the same");
     for _ in 0..3 {
         failed.recv().await.expect("it goes on trying");
         let read = generation_on_disk(root.path());
@@ -109,12 +127,20 @@
     }
     let mut buffer = [0; 2048];
     let sent = seed.try_recv(&mut buffer).map_err(|e| e.kind());
-    assert_eq!(sent, Err(ErrorKind::WouldBlock), "{step:?}: nothing is sent before");
+    assert_eq!(
+        sent,
+        Err(ErrorKind::WouldBlock),
+        "{step:?}: nothing is sent before"
+    );
     let standing = fleet.view().borrow().as_ref().map(|v| v.standing.clone());
     assert!(standing.is_none_or(|s| s == Standing::Saving), "{step:?}");
     heal.send(true).expect("it runs");
     seed.recv(&mut buffer).await.expect("it asks its seed");
-    assert_eq!(generation_on_disk(root.path()), Some(5), "{step:?}: on disk before anything is sent");
+    assert_eq!(
+        generation_on_disk(root.path()),
+        Some(5),
+        "{step:?}: on disk before anything is sent"
+    );
     fleet.stop().await;
     let folder = Folder::take(root.path()).expect("given back");
     assert!(folder.generation().expect("readable").is_some());
--- a/crates/pipithub-fleet/tests/folder.rs
+++ b/crates/pipithub-fleet/tests/folder.rs
@@ -25,7 +25,14 @@
     drop(folder);
     assert!(!Folder::in_use(&path));
     save(&path, "one").await;
-    assert_eq!(Folder::take(&path).expect("free").generation().expect("readable").as_deref(), Some("one"));
+    assert_eq!(
+        Folder::take(&path)
+            .expect("free")
+            .generation()
+            .expect("readable")
+            .as_deref(),
+        Some("one")
+    );
 }
 
 #[tokio::test]
@@ -33,10 +40,19 @@
     let root = tempfile::tempdir().expect("a folder");
     save(root.path(), "good").await;
     std::fs::write(root.path().join("generation.new"), "ha").expect("written");
-    let read = || Folder::take(root.path()).expect("free").generation().expect("readable");
+    let read = || {
+        Folder::take(root.path())
+            .expect("free")
+            .generation()
+            .expect("readable")
+    };
     assert_eq!(read().as_deref(), Some("good"));
     save(root.path(), "better").await;
-    assert_eq!(read().as_deref(), Some("better"), "what was left behind is no hindrance");
+    assert_eq!(
+        read().as_deref(),
+        Some("better"),
+        "what was left behind is no hindrance"
+    );
 }
 
 #[test]
--- a/crates/pipithub-fleetsim/src/lib.rs
+++ b/crates/pipithub-fleetsim/src/lib.rs
@@ -55,7 +55,10 @@
 
 /// The address of a process.
 pub fn address(process: usize) -> SocketAddr {
-    SocketAddr::from(([10, 0, (process / 250) as u8, (process % 250) as u8 + 1], 7000))
+    SocketAddr::from((
+        [10, 0, (process / 250) as u8, (process % 250) as u8 + 1],
+        7000,
+    ))
 }
 
 fn process_at(address: SocketAddr) -> Option<usize> {
@@ -70,8 +73,18 @@
 
 impl Fleet {
     /// A fleet of so many processes, none started, in zones that take turns. Seeds are the first `seeds` of them.
-    pub fn new(size: usize, zones: usize, seeds: usize, seed: u64, settings: Settings, usual: Link) -> Fleet {
-        let settings = Settings { seeds: (0..seeds).map(address).collect(), ..settings };
+    pub fn new(
+        size: usize,
+        zones: usize,
+        seeds: usize,
+        seed: u64,
+        settings: Settings,
+        usual: Link,
+    ) -> Fleet {
+        let settings = Settings {
+            seeds: (0..seeds).map(address).collect(),
+            ..settings
+        };
         let process = |n: usize| Process {
             name: format!("front-{n}"),
             zone: format!("zone-{}", n % zones.max(1)),
@@ -153,7 +166,10 @@
 
     /// What a process believes now.
     pub fn view(&self, process: usize) -> Option<View> {
-        self.processes[process].core.as_ref().map(|core| core.view(self.net.now()))
+        self.processes[process]
+            .core
+            .as_ref()
+            .map(|core| core.view(self.net.now()))
     }
 
     /// Hands an input to a process.
@@ -189,14 +205,19 @@
                             }
                         }
                     }
-                    Output::Event(event) if (self.keep)(&event) => {
-                        self.history.push(Told { at: self.net.now(), by: process, event })
-                    }
+                    Output::Event(event) if (self.keep)(&event) => self.history.push(Told {
+                        at: self.net.now(),
+                        by: process,
+                        event,
+                    }),
                     Output::Event(_) => {}
                 }
             }
         }
-        let due = self.processes[process].core.as_ref().and_then(Members::next_due);
+        let due = self.processes[process]
+            .core
+            .as_ref()
+            .and_then(Members::next_due);
         self.net.wake_at(process, due);
     }
 
@@ -205,7 +226,13 @@
         while let Some(next) = self.net.next(until) {
             match next {
                 Next::Arrival { from, to, message } => {
-                    self.input(to, Input::Datagram { from: address(from), bytes: &message });
+                    self.input(
+                        to,
+                        Input::Datagram {
+                            from: address(from),
+                            bytes: &message,
+                        },
+                    );
                 }
                 Next::Wake(process) => self.input(process, Input::Tick),
             }
@@ -228,10 +255,15 @@
         let mut names: Vec<&str> = running.map(|p| p.name.as_str()).collect();
         names.sort_unstable();
         let knows = |core: &Members| {
-            let active = core.others().filter(|m| m.state != State::Down).map(|m| m.identity.name.as_str());
+            let active = core
+                .others()
+                .filter(|m| m.state != State::Down)
+                .map(|m| m.identity.name.as_str());
             // Rows come by name; of its own name it knows itself, and another process may bear it.
             let own = names.partition_point(|n| *n < core.me().name.as_str());
-            let others = names[..own].iter().chain(names.get(own + 1..).unwrap_or_default());
+            let others = names[..own]
+                .iter()
+                .chain(names.get(own + 1..).unwrap_or_default());
             *core.standing() == Standing::Joined && active.eq(others.copied())
         };
         !names.is_empty() && self.cores().all(knows)
--- a/crates/pipithub-gateway/src/amqp.rs
+++ b/crates/pipithub-gateway/src/amqp.rs
@@ -30,7 +30,10 @@
         source,
         front_end: front_end.to_string(),
         login: broker.login.clone(),
-        tuning: Tuning { heartbeat: broker.heartbeat, ..Tuning::default() },
+        tuning: Tuning {
+            heartbeat: broker.heartbeat,
+            ..Tuning::default()
+        },
         queue: queue.name.clone(),
         declare: queue.declare,
         route: queue.route.clone(),
@@ -62,9 +65,21 @@
     clock: Clock,
     seed: u64,
 ) {
-    let (source, queue, front_end) = (settings.source, settings.queue.clone(), settings.front_end.clone());
+    let (source, queue, front_end) = (
+        settings.source,
+        settings.queue.clone(),
+        settings.front_end.clone(),
+    );
     let consumer = Consumer::new(settings, clock.now(), seed);
-    let mut shell = Shell { consumer, source, queue, front_end, handle, inputs, clock };
+    let mut shell = Shell {
+        consumer,
+        source,
+        queue,
+        front_end,
+        handle,
+        inputs,
+        clock,
+    };
     let mut turn = 0;
     loop {
         match shell.consumer.phase() {
@@ -82,18 +97,24 @@
                         let now = shell.clock.now();
                         shell.consumer.connected(now);
                         if let Err(error) = shell.connected(stream).await {
-                            shell.consumer.transport_lost(shell.clock.now(), &error.to_string());
+                            shell
+                                .consumer
+                                .transport_lost(shell.clock.now(), &error.to_string());
                         }
                         shell.notices().await;
                     }
                     Err(error) => {
                         warn!(front_end = shell.front_end, queue = shell.queue, address, %error, "broker not reached");
-                        shell.consumer.transport_lost(shell.clock.now(), &error.to_string());
+                        shell
+                            .consumer
+                            .transport_lost(shell.clock.now(), &error.to_string());
                     }
                 }
             }
             // Only a connection that is up has another phase.
-            _ => shell.consumer.transport_lost(shell.clock.now(), "no transport"),
+            _ => shell
+                .consumer
+                .transport_lost(shell.clock.now(), "no transport"),
         }
     }
 }
@@ -179,15 +200,27 @@
                     continue;
                 }
                 Notice::Cancelled => {
-                    warn!(front_end, queue, "the broker ended the consumer: is the queue gone?");
+                    warn!(
+                        front_end,
+                        queue, "the broker ended the consumer: is the queue gone?"
+                    );
                     continue;
                 }
                 Notice::Blocked(reason) => {
                     warn!(front_end, queue, ?reason, "the broker's word on publishes");
                     continue;
                 }
-                Notice::Returned { reply_to, correlation_id } => {
-                    warn!(front_end, queue, reply_to, ?correlation_id, "an answer could not be delivered");
+                Notice::Returned {
+                    reply_to,
+                    correlation_id,
+                } => {
+                    warn!(
+                        front_end,
+                        queue,
+                        reply_to,
+                        ?correlation_id,
+                        "an answer could not be delivered"
+                    );
                     continue;
                 }
                 Notice::Unreadable { message_id, why } => {
--- a/crates/pipithub-gateway/src/cron.rs
+++ b/crates/pipithub-gateway/src/cron.rs
@@ -37,9 +37,17 @@
         handle: SourceHandle,
         inputs: mpsc::Sender<Input>,
     ) -> Self {
-        let (configs, patterns): (Vec<_>, Vec<_>) = configs.into_iter().filter_map(with_pattern).unzip();
+        let (configs, patterns): (Vec<_>, Vec<_>) =
+            configs.into_iter().filter_map(with_pattern).unzip();
         let schedule = Schedule::new(patterns, wall_time());
-        CronSource { configs, schedule, source, handle, inputs, tickets: 0 }
+        CronSource {
+            configs,
+            schedule,
+            source,
+            handle,
+            inputs,
+            tickets: 0,
+        }
     }
 
     /// Fires timers until the front end is gone.
@@ -86,7 +94,10 @@
     async fn fire_due(&mut self) -> bool {
         for Occurrence { timer, planned } in self.schedule.due(wall_time()) {
             self.tickets += 1;
-            let ticket = Ticket { source: self.source, number: self.tickets };
+            let ticket = Ticket {
+                source: self.source,
+                number: self.tickets,
+            };
             let config = &self.configs[timer];
             info!(timer = config.name, %planned, ticket = ticket.number, "timer fires");
             let trigger = trigger(config, planned, ticket);
@@ -143,5 +154,11 @@
         user: None,
         person: 0,
     };
-    Trigger { ticket, identity: Some(name), redelivered: false, deliveries: 0, call }
+    Trigger {
+        ticket,
+        identity: Some(name),
+        redelivered: false,
+        deliveries: 0,
+        call,
+    }
 }
--- a/crates/pipithub-gateway/src/directory.rs
+++ b/crates/pipithub-gateway/src/directory.rs
@@ -9,8 +9,8 @@
 use bytes::Bytes;
 use pipithub_clock::{Clock, wall_ms};
 use pipithub_directory::{
-    Answer, Directory, Failure, Found, Input, News, Output, Person, Publisher, Roster, SearchId, Settings,
-    User, What, snapshot,
+    Answer, Directory, Failure, Found, Input, News, Output, Person, Publisher, Roster, SearchId,
+    Settings, User, What, snapshot,
 };
 use pipithub_ldap::client::Entry;
 use pipithub_ldap::message::{Filter, ResultCode, SearchRequestScope};
@@ -65,7 +65,11 @@
 /// The core's settings.
 pub(crate) fn settings(config: &TenantsConfig, seed: u64, clock: Clock) -> Settings {
     Settings {
-        directories: config.directories.iter().map(|d| d.asking.clone()).collect(),
+        directories: config
+            .directories
+            .iter()
+            .map(|d| d.asking.clone())
+            .collect(),
         tenants: config.tenants.iter().map(|t| t.place.clone()).collect(),
         max_users: config.max_users,
         max_queue: 65_536,
@@ -77,9 +81,14 @@
 fn fingerprint(config: &TenantsConfig) -> [u8; 32] {
     let directories = config.directories.iter().flat_map(|d| {
         let realms = d.asking.realms.iter().map(String::as_str);
-        ["directory", &d.name, &d.base, &d.user_attribute].into_iter().chain(realms)
+        ["directory", &d.name, &d.base, &d.user_attribute]
+            .into_iter()
+            .chain(realms)
     });
-    let tenants = config.tenants.iter().flat_map(|t| ["tenant", &t.name, &t.base]);
+    let tenants = config
+        .tenants
+        .iter()
+        .flat_map(|t| ["tenant", &t.name, &t.base]);
     snapshot::fingerprint(directories.chain(tenants))
 }
 
@@ -92,7 +101,10 @@
     tasks: &mut tokio::task::JoinSet<()>,
 ) -> Handle {
     let mut core = Directory::new(settings(&config, seed, clock));
-    let file = config.snapshot.as_ref().map(|s| s.path.with_extension(front_end));
+    let file = config
+        .snapshot
+        .as_ref()
+        .map(|s| s.path.with_extension(front_end));
     if let (Some(snapshot), Some(file)) = (&config.snapshot, &file) {
         recall(&config, &mut core, file, &snapshot.key, clock);
     }
@@ -100,9 +112,21 @@
     let roster = publisher.newest();
     let (wants, inputs) = mpsc::channel(WANTS);
     let (words, heard) = mpsc::channel(WANTS);
-    let shell = Shell { core, config, clock, publisher, words, links: BTreeMap::new(), file };
+    let shell = Shell {
+        core,
+        config,
+        clock,
+        publisher,
+        words,
+        links: BTreeMap::new(),
+        file,
+    };
     tasks.spawn(shell.run(inputs, wants.clone(), front_end.to_string()));
-    Handle { roster, wants, words: heard }
+    Handle {
+        roster,
+        wants,
+        words: heard,
+    }
 }
 
 fn recall(config: &TenantsConfig, core: &mut Directory, file: &Path, key: &[u8], clock: Clock) {
@@ -111,13 +135,27 @@
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => return,
         Err(error) => return warn!(file = %file.display(), %error, "snapshot not read"),
     };
-    let most = |d: u16| config.directories.get(usize::from(d)).map(|d| d.asking.lifetimes.stale_most);
-    match snapshot::read(&bytes, clock.now(), wall_ms() as i64, fingerprint(config), key, most) {
+    let most = |d: u16| {
+        config
+            .directories
+            .get(usize::from(d))
+            .map(|d| d.asking.lifetimes.stale_most)
+    };
+    match snapshot::read(
+        &bytes,
+        clock.now(),
+        wall_ms() as i64,
+        fingerprint(config),
+        key,
+        most,
+    ) {
         Ok(facts) => {
             info!(file = %file.display(), users = facts.len(), "snapshot taken");
             core.restore(clock.now(), facts);
         }
-        Err(error) => warn!(file = %file.display(), %error, "snapshot refused; users are asked for anew"),
+        Err(error) => {
+            warn!(file = %file.display(), %error, "snapshot refused; users are asked for anew")
+        }
     }
 }
 
@@ -174,7 +212,11 @@
                 tasks.spawn(follower.run());
             }
         }
-        let every = self.config.snapshot.as_ref().map(|s| Duration::from_nanos(s.every));
+        let every = self
+            .config
+            .snapshot
+            .as_ref()
+            .map(|s| Duration::from_nanos(s.every));
         let mut write = tokio::time::interval(every.unwrap_or(Duration::from_secs(3600)));
         write.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         write.tick().await;
@@ -219,10 +261,18 @@
             self.publisher.publish(self.core.roster());
             for output in out.drain(..) {
                 let word = match output {
-                    Output::Search { id, directory, server, what } => {
+                    Output::Search {
+                        id,
+                        directory,
+                        server,
+                        what,
+                    } => {
                         let link = self.links.get(&(directory, server));
                         if link.is_none_or(|l| l.try_send(Command::Search(id, what)).is_err()) {
-                            let ended = Input::Ended { search: id, outcome: Err(Failure::Lost) };
+                            let ended = Input::Ended {
+                                search: id,
+                                outcome: Err(Failure::Lost),
+                            };
                             let _ = inputs_in.try_send(ended);
                         }
                         continue;
@@ -251,8 +301,16 @@
         let (file, config) = (self.file.clone()?, self.config.clone());
         let (roster, now) = (self.core.roster().clone(), self.clock.now());
         Some(tokio::task::spawn_blocking(move || {
-            let Some(settings) = &config.snapshot else { return };
-            let bytes = snapshot::write(&roster, now, wall_ms() as i64, fingerprint(&config), &settings.key);
+            let Some(settings) = &config.snapshot else {
+                return;
+            };
+            let bytes = snapshot::write(
+                &roster,
+                now,
+                wall_ms() as i64,
+                fingerprint(&config),
+                &settings.key,
+            );
             if let Err(error) = replace(&file, &bytes) {
                 warn!(file = %file.display(), %error, "snapshot not written; the one before stays");
             }
@@ -282,15 +340,16 @@
     let other = |e: String| std::io::Error::other(e);
     let mut roots = RootCertStore::empty();
     if let Some(path) = &directory.ca {
-        let certificates =
-            CertificateDer::pem_file_iter(path).map_err(|e| other(format!("{}: {e}", path.display())))?;
+        let certificates = CertificateDer::pem_file_iter(path)
+            .map_err(|e| other(format!("{}: {e}", path.display())))?;
         for certificate in certificates {
             let certificate = certificate.map_err(|e| other(format!("{}: {e}", path.display())))?;
             roots.add(certificate).map_err(|e| other(e.to_string()))?;
         }
     }
     let provider = Arc::new(tokio_rustls::rustls::crypto::ring::default_provider());
-    let config = ClientConfig::builder_with_provider(provider).with_safe_default_protocol_versions();
+    let config =
+        ClientConfig::builder_with_provider(provider).with_safe_default_protocol_versions();
     let config = config.map_err(|e| other(e.to_string()))?;
     let config = config.with_root_certificates(roots).with_no_client_auth();
     Ok(Some(TlsConnector::from(Arc::new(config))))
@@ -311,7 +370,9 @@
     ) -> Result<Self, String> {
         let server = &directory.servers[server];
         let opening = async {
-            let plain = TcpStream::connect(&server.address).await.map_err(|e| e.to_string())?;
+            let plain = TcpStream::connect(&server.address)
+                .await
+                .map_err(|e| e.to_string())?;
             let _ = plain.set_nodelay(true);
             let name = ServerName::try_from(server.name.clone()).map_err(|e| e.to_string());
             let mut stream: Box<dyn Transport> = match (directory.tls, tls) {
@@ -320,8 +381,11 @@
                 }
                 (Tls::Start, Some(tls)) => {
                     let mut plain = plain;
-                    let settings =
-                        ClientSettings { start_tls: true, bind: None, ..ClientSettings::default() };
+                    let settings = ClientSettings {
+                        start_tls: true,
+                        bind: None,
+                        ..ClientSettings::default()
+                    };
                     let mut first = Client::new(settings);
                     drive(&mut plain, &mut first, |e| matches!(e, Event::BeginTls)).await?;
                     // What follows is a connection of its own over TLS.
@@ -329,10 +393,20 @@
                 }
                 _ => Box::new(plain),
             };
-            let bind = directory.bind.clone().map(|(name, password)| (name, Bytes::from(password)));
-            let mut client = Client::new(ClientSettings { bind, ..ClientSettings::default() });
+            let bind = directory
+                .bind
+                .clone()
+                .map(|(name, password)| (name, Bytes::from(password)));
+            let mut client = Client::new(ClientSettings {
+                bind,
+                ..ClientSettings::default()
+            });
             drive(&mut stream, &mut client, |e| matches!(e, Event::Ready)).await?;
-            Ok(Connection { stream, client, buffer: vec![0; 32 << 10] })
+            Ok(Connection {
+                stream,
+                client,
+                buffer: vec![0; 32 << 10],
+            })
         };
         match tokio::time::timeout(CONNECT_MOST, opening).await {
             Ok(opened) => opened,
@@ -345,7 +419,10 @@
         if bytes.is_empty() {
             return Ok(());
         }
-        self.stream.write_all(&bytes).await.map_err(|e| e.to_string())
+        self.stream
+            .write_all(&bytes)
+            .await
+            .map_err(|e| e.to_string())
     }
 
     async fn read(&mut self) -> Result<(), String> {
@@ -402,7 +479,10 @@
 }
 
 fn also(directory: &DirectoryConfig) -> Option<Filter> {
-    directory.filter.as_deref().and_then(|f| filter::parse(f).ok())
+    directory
+        .filter
+        .as_deref()
+        .and_then(|f| filter::parse(f).ok())
 }
 
 fn state_search(directory: &DirectoryConfig) -> Search {
@@ -429,30 +509,54 @@
         What::Since(None) => return None,
         What::Since(Some(since)) => {
             let changed = filter::at_least("modifyTimestamp", since);
-            filter::and([also(directory), Some(changed)].into_iter().flatten().collect())
+            filter::and(
+                [also(directory), Some(changed)]
+                    .into_iter()
+                    .flatten()
+                    .collect(),
+            )
         }
     };
     Some(Search {
         base: directory.base.clone(),
         scope: SearchRequestScope::WholeSubtree,
         filter,
-        attributes: vec![directory.user_attribute.clone(), "entryUUID".into(), "modifyTimestamp".into()],
+        attributes: vec![
+            directory.user_attribute.clone(),
+            "entryUUID".into(),
+            "modifyTimestamp".into(),
+        ],
         size_limit: 0,
-        time_limit: u32::try_from(directory.asking.timeout / 1_000_000_000).unwrap_or(0).saturating_add(1),
+        time_limit: u32::try_from(directory.asking.timeout / 1_000_000_000)
+            .unwrap_or(0)
+            .saturating_add(1),
         controls: vec![sync::paged(PAGE, page)],
     })
 }
 
 /// A mark from a `contextCSN`, or from a number that only grows.
 fn mark(text: &str) -> Option<u64> {
-    let digits: String = text.split(['Z', '#']).next()?.chars().filter(char::is_ascii_digit).collect();
+    let digits: String = text
+        .split(['Z', '#'])
+        .next()?
+        .chars()
+        .filter(char::is_ascii_digit)
+        .collect();
     // Of a time with microseconds the century is left out: the rest fits.
-    if digits.len() >= 20 { digits[2..20].parse().ok() } else { digits.parse().ok() }
+    if digits.len() >= 20 {
+        digits[2..20].parse().ok()
+    } else {
+        digits.parse().ok()
+    }
 }
 
 fn found(directory: &DirectoryConfig, entry: &Entry, asked: Option<&BTreeSet<&str>>) -> Vec<Found> {
-    let person = entry.text("entryUUID").map_or(Person::default(), |id| Person::of(id.as_bytes()));
-    let names = entry.values(&directory.user_attribute).filter_map(|v| std::str::from_utf8(v).ok());
+    let person = entry
+        .text("entryUUID")
+        .map_or(Person::default(), |id| Person::of(id.as_bytes()));
+    let names = entry
+        .values(&directory.user_attribute)
+        .filter_map(|v| std::str::from_utf8(v).ok());
     let mut users: Vec<String> = names.map(|name| whole(directory, name)).collect();
     if let Some(asked) = asked
         && users.iter().any(|u| asked.contains(u.as_str()))
@@ -460,7 +564,14 @@
         users.retain(|u| asked.contains(u.as_str()));
     }
     users.truncate(16);
-    users.into_iter().map(|user| Found { user: user.into(), dn: entry.dn.clone(), person }).collect()
+    users
+        .into_iter()
+        .map(|user| Found {
+            user: user.into(),
+            dn: entry.dn.clone(),
+            person,
+        })
+        .collect()
 }
 
 /// From which `modifyTimestamp` on a directory is first asked for changes, as a generalized time (RFC 4517, 3.3.13).
@@ -468,8 +579,9 @@
 /// It lies before now by [`FIRST_POLL_REACH`], as this machine's wall clock may be ahead of the server's: a start in the
 /// server's future would miss every change until then. Entries told though they had not changed do no harm.
 pub fn first_poll_since(wall_ms: u64) -> String {
-    let start_ms =
-        i64::try_from(wall_ms).unwrap_or(i64::MAX).saturating_sub(FIRST_POLL_REACH.num_milliseconds());
+    let start_ms = i64::try_from(wall_ms)
+        .unwrap_or(i64::MAX)
+        .saturating_sub(FIRST_POLL_REACH.num_milliseconds());
     let start = chrono::DateTime::from_timestamp_millis(start_ms).unwrap_or_default();
     start.format("%Y%m%d%H%M%SZ").to_string()
 }
@@ -497,8 +609,17 @@
             None => None,
         };
         let newest = matches!(what, What::Since(None)).then(|| first_poll_since(wall_ms()));
-        let answer = Answer { newest, ..Answer::default() };
-        Some(Question { what, state: Some(state), main, answer, entries: 0 })
+        let answer = Answer {
+            newest,
+            ..Answer::default()
+        };
+        Some(Question {
+            what,
+            state: Some(state),
+            main,
+            answer,
+            entries: 0,
+        })
     }
 
     fn has(&self, id: Asked) -> bool {
@@ -509,15 +630,25 @@
         self.state.is_none() && self.main.is_none()
     }
 
-    fn entry(&mut self, directory: &DirectoryConfig, id: Asked, entry: &Entry) -> Result<(), Failure> {
+    fn entry(
+        &mut self,
+        directory: &DirectoryConfig,
+        id: Asked,
+        entry: &Entry,
+    ) -> Result<(), Failure> {
         self.entries += 1;
         if self.entries > ENTRIES_MOST {
             return Err(Failure::Nonsense);
         }
         if self.state == Some(id) {
             self.answer.loaded = true;
-            let marks = directory.mark_attribute.iter().flat_map(|a| entry.values(a));
-            self.answer.mark = marks.filter_map(|v| mark(std::str::from_utf8(v).ok()?)).max();
+            let marks = directory
+                .mark_attribute
+                .iter()
+                .flat_map(|a| entry.values(a));
+            self.answer.mark = marks
+                .filter_map(|v| mark(std::str::from_utf8(v).ok()?))
+                .max();
             return Ok(());
         }
         let asked = match &self.what {
@@ -527,7 +658,9 @@
         if let Some(changed) = entry.text("modifyTimestamp").filter(|_| asked.is_none()) {
             self.answer.newest = Some(changed.to_string()).max(self.answer.newest.take());
         }
-        self.answer.found.extend(found(directory, entry, asked.as_ref()));
+        self.answer
+            .found
+            .extend(found(directory, entry, asked.as_ref()));
         Ok(())
     }
 
@@ -544,7 +677,9 @@
             ResultCode::NoSuchObject => {}
             ResultCode::Referral => {
                 let host = |url: &String| {
-                    let rest = url.strip_prefix("ldap://").or(url.strip_prefix("ldaps://"))?;
+                    let rest = url
+                        .strip_prefix("ldap://")
+                        .or(url.strip_prefix("ldaps://"))?;
                     let host = rest.split(['/', '?']).next()?;
                     directory.servers.iter().position(|s| s.address == host)
                 };
@@ -574,18 +709,23 @@
 pub async fn ask(directory: &DirectoryConfig, server: usize, what: What) -> Result<Answer, String> {
     let tls = connector(directory).map_err(|e| e.to_string())?;
     let mut connection = Connection::open(directory, server, tls.as_ref()).await?;
-    let mut question = Question::begin(directory, &mut connection.client, what).ok_or("not begun")?;
+    let mut question =
+        Question::begin(directory, &mut connection.client, what).ok_or("not begun")?;
     let asking = async {
         loop {
             connection.flush().await?;
             while let Some(event) = connection.client.poll() {
                 match event {
                     Event::Entry(id, entry) => {
-                        question.entry(directory, id, &entry).map_err(|f| format!("{f:?}"))?;
+                        question
+                            .entry(directory, id, &entry)
+                            .map_err(|f| format!("{f:?}"))?;
                     }
                     Event::Done(id, outcome) => {
                         let ended = question.done(directory, &mut connection.client, id, &outcome);
-                        ended.map_err(|f| format!("{f:?}: {:?} {}", outcome.code, outcome.message))?;
+                        ended.map_err(|f| {
+                            format!("{f:?}: {:?} {}", outcome.code, outcome.message)
+                        })?;
                     }
                     Event::Over(why) => return Err(why),
                     _ => {}
@@ -600,7 +740,9 @@
         }
     };
     let most = Duration::from_nanos(directory.asking.timeout);
-    tokio::time::timeout(most, asking).await.unwrap_or_else(|_| Err("no answer in time".into()))
+    tokio::time::timeout(most, asking)
+        .await
+        .unwrap_or_else(|_| Err("no answer in time".into()))
 }
 
 // ---- links ----
@@ -630,20 +772,34 @@
             match command {
                 Command::Search(id, what) => {
                     turn += 1;
-                    if lines[turn % count].try_send(Command::Search(id, what)).is_err() {
-                        let _ = inputs.try_send(Input::Ended { search: id, outcome: Err(Failure::Lost) });
+                    if lines[turn % count]
+                        .try_send(Command::Search(id, what))
+                        .is_err()
+                    {
+                        let _ = inputs.try_send(Input::Ended {
+                            search: id,
+                            outcome: Err(Failure::Lost),
+                        });
                     }
                 }
-                Command::GiveUp(id) => lines.iter().for_each(|l| drop(l.try_send(Command::GiveUp(id)))),
+                Command::GiveUp(id) => lines
+                    .iter()
+                    .for_each(|l| drop(l.try_send(Command::GiveUp(id)))),
             }
         }
     }
 
-    async fn connection(self: Arc<Self>, mut commands: mpsc::Receiver<Command>, inputs: mpsc::Sender<Input>) {
+    async fn connection(
+        self: Arc<Self>,
+        mut commands: mpsc::Receiver<Command>,
+        inputs: mpsc::Sender<Input>,
+    ) {
         let directory = &*self.directory;
         let address = &directory.servers[self.server].address;
         while let Some(first) = commands.recv().await {
-            let Command::Search(id, what) = first else { continue };
+            let Command::Search(id, what) = first else {
+                continue;
+            };
             let mut questions: BTreeMap<SearchId, Question> = BTreeMap::new();
             let why = match Connection::open(directory, self.server, self.tls.as_ref()).await {
                 Ok(mut connection) => {
@@ -655,10 +811,16 @@
                     );
                     let begun = Question::begin(directory, &mut connection.client, what);
                     questions.extend(begun.map(|q| (id, q)));
-                    self.talk(&mut connection, &mut commands, &inputs, &mut questions).await
+                    self.talk(&mut connection, &mut commands, &inputs, &mut questions)
+                        .await
                 }
                 Err(why) => {
-                    let _ = inputs.send(Input::Ended { search: id, outcome: Err(Failure::Lost) }).await;
+                    let _ = inputs
+                        .send(Input::Ended {
+                            search: id,
+                            outcome: Err(Failure::Lost),
+                        })
+                        .await;
                     why
                 }
             };
@@ -670,7 +832,12 @@
                 "directory server lost"
             );
             for id in questions.into_keys() {
-                let _ = inputs.send(Input::Ended { search: id, outcome: Err(Failure::Lost) }).await;
+                let _ = inputs
+                    .send(Input::Ended {
+                        search: id,
+                        outcome: Err(Failure::Lost),
+                    })
+                    .await;
             }
         }
     }
@@ -692,12 +859,16 @@
                 let (asked, step) = match event {
                     Event::Entry(asked, entry) => {
                         let question = questions.values_mut().find(|q| q.has(asked));
-                        (asked, question.map_or(Ok(()), |q| q.entry(directory, asked, &entry)))
+                        (
+                            asked,
+                            question.map_or(Ok(()), |q| q.entry(directory, asked, &entry)),
+                        )
                     }
                     Event::Done(asked, outcome) => {
                         let question = questions.values_mut().find(|q| q.has(asked));
-                        let step = question
-                            .map_or(Ok(()), |q| q.done(directory, &mut connection.client, asked, &outcome));
+                        let step = question.map_or(Ok(()), |q| {
+                            q.done(directory, &mut connection.client, asked, &outcome)
+                        });
                         if step.is_err() {
                             let (code, words) = (outcome.code, outcome.message);
                             warn!(
@@ -712,10 +883,15 @@
                         (asked, step)
                     }
                     // Places to go on at are not followed: only servers of the settings are asked.
-                    Event::Reference(..) | Event::Info(..) | Event::Ready | Event::BeginTls => continue,
+                    Event::Reference(..) | Event::Info(..) | Event::Ready | Event::BeginTls => {
+                        continue;
+                    }
                     Event::Over(why) => return why,
                 };
-                let Some(id) = questions.iter().find(|(_, q)| q.has(asked) || q.is_over()).map(|(id, _)| *id)
+                let Some(id) = questions
+                    .iter()
+                    .find(|(_, q)| q.has(asked) || q.is_over())
+                    .map(|(id, _)| *id)
                 else {
                     continue;
                 };
@@ -729,7 +905,14 @@
                         connection.client.abandon(left);
                     }
                     let outcome = outcome.map(|()| question.answer);
-                    if inputs.send(Input::Ended { search: id, outcome }).await.is_err() {
+                    if inputs
+                        .send(Input::Ended {
+                            search: id,
+                            outcome,
+                        })
+                        .await
+                        .is_err()
+                    {
                         return "the front end is gone".into();
                     }
                 }
@@ -787,7 +970,10 @@
             let began = tokio::time::Instant::now();
             let why = self.follow(server, &mut cookie).await;
             let name = &self.directory.name;
-            warn!(directory = name, server, why, "a directory is not followed any more");
+            warn!(
+                directory = name,
+                server, why, "a directory is not followed any more"
+            );
             if !self.tell(News::Lost).await {
                 return;
             }
@@ -809,7 +995,13 @@
     }
 
     async fn tell(&self, news: News) -> bool {
-        self.inputs.send(Input::Told { directory: self.number, news }).await.is_ok()
+        self.inputs
+            .send(Input::Told {
+                directory: self.number,
+                news,
+            })
+            .await
+            .is_ok()
     }
 
     async fn follow(&self, server: usize, cookie: &mut Option<Bytes>) -> String {
@@ -828,8 +1020,15 @@
             time_limit: 0,
             controls: vec![sync::request(cookie.clone())],
         };
-        let Some(id) = connection.client.search(search) else { return "not begun".into() };
-        if !self.tell(News::Begun { whole: cookie.is_none() }).await {
+        let Some(id) = connection.client.search(search) else {
+            return "not begun".into();
+        };
+        if !self
+            .tell(News::Begun {
+                whole: cookie.is_none(),
+            })
+            .await
+        {
             return "the front end is gone".into();
         }
         let mut complete = false;
@@ -847,7 +1046,10 @@
                             return "an entry without its state".into();
                         };
                         let person = Person::of(uuid_text(&state.uuid).as_bytes());
-                        *cookie = state.cookie.map(|c| Bytes::copy_from_slice(&c)).or(cookie.take());
+                        *cookie = state
+                            .cookie
+                            .map(|c| Bytes::copy_from_slice(&c))
+                            .or(cookie.take());
                         match state.state {
                             State::Delete => vec![News::Gone(person)],
                             State::Present => vec![News::Kept(person)],
@@ -862,14 +1064,30 @@
                             Info::Cookie(c) => (Some(c), Vec::new()),
                             Info::RefreshDelete(p) | Info::RefreshPresent(p) => {
                                 complete |= p.refresh_done;
-                                (p.cookie, if p.refresh_done { vec![News::Complete] } else { Vec::new() })
+                                (
+                                    p.cookie,
+                                    if p.refresh_done {
+                                        vec![News::Complete]
+                                    } else {
+                                        Vec::new()
+                                    },
+                                )
                             }
                             Info::Ids(ids) => {
                                 let person = |u: &_| Person::of(uuid_text(u).as_bytes());
-                                let news =
-                                    |u| if ids.refresh_deletes { News::Gone(u) } else { News::Kept(u) };
-                                let all =
-                                    ids.uuids.to_vec().into_iter().map(|u| news(person(&u[..]))).collect();
+                                let news = |u| {
+                                    if ids.refresh_deletes {
+                                        News::Gone(u)
+                                    } else {
+                                        News::Kept(u)
+                                    }
+                                };
+                                let all = ids
+                                    .uuids
+                                    .to_vec()
+                                    .into_iter()
+                                    .map(|u| news(person(&u[..])))
+                                    .collect();
                                 (ids.cookie, all)
                             }
                             _ => (None, Vec::new()),
@@ -878,7 +1096,10 @@
                         news
                     }
                     Event::Done(of, outcome) if of == id => {
-                        return format!("the synchronisation ended: {:?} {}", outcome.code, outcome.message);
+                        return format!(
+                            "the synchronisation ended: {:?} {}",
+                            outcome.code, outcome.message
+                        );
                     }
                     Event::Done(of, outcome) if alive == Some(of) => {
                         alive = None;
@@ -920,7 +1141,14 @@
     if hex.len() != 32 {
         return hex;
     }
-    format!("{}-{}-{}-{}-{}", &hex[..8], &hex[8..12], &hex[12..16], &hex[16..20], &hex[20..])
+    format!(
+        "{}-{}-{}-{}-{}",
+        &hex[..8],
+        &hex[8..12],
+        &hex[12..16],
+        &hex[16..20],
+        &hex[20..]
+    )
 }
 
 #[cfg(test)]
--- a/crates/pipithub-gateway/src/front.rs
+++ b/crates/pipithub-gateway/src/front.rs
@@ -105,7 +105,10 @@
         let (orders, receiver) = mpsc::unbounded_channel();
         let (room, watched) = watch::channel(self.engine.room());
         self.sources.insert(id, Source { orders, room });
-        SourceHandle { orders: receiver, room: watched }
+        SourceHandle {
+            orders: receiver,
+            room: watched,
+        }
     }
 
     pub(crate) fn snapshot(&self) -> watch::Receiver<Snapshot> {
@@ -119,7 +122,10 @@
             memory_mb: *memory_mb,
             ..Entry::default()
         };
-        self.first(Input::Workers { kind: ListKind::Complete, entries: workers.iter().map(entry).collect() });
+        self.first(Input::Workers {
+            kind: ListKind::Complete,
+            entries: workers.iter().map(entry).collect(),
+        });
     }
 
     /// An input before anything runs.
@@ -128,7 +134,11 @@
     }
 
     pub(crate) async fn run(mut self, mut stopped: watch::Receiver<bool>) {
-        info!(front_end = self.name, workers = self.engine.live_workers(), "front end up");
+        info!(
+            front_end = self.name,
+            workers = self.engine.live_workers(),
+            "front end up"
+        );
         let mut batch = Vec::with_capacity(256);
         let mut end = None;
         loop {
@@ -139,7 +149,10 @@
                 break;
             }
             let gate_due = self.tenancy.as_ref().and_then(Tenancy::next_due);
-            let due = [self.engine.next_due(), end, gate_due].into_iter().flatten().min();
+            let due = [self.engine.next_due(), end, gate_due]
+                .into_iter()
+                .flatten()
+                .min();
             let word = async {
                 match &mut self.tenancy {
                     Some(tenancy) => tenancy.word().await,
@@ -191,18 +204,24 @@
     /// Hands an input to the engine, a new call to the gate first.
     fn input(&mut self, input: Input) {
         let now = self.clock.now();
-        let Some(tenancy) = &mut self.tenancy else { return self.engine.handle(now, input, &mut self.out) };
+        let Some(tenancy) = &mut self.tenancy else {
+            return self.engine.handle(now, input, &mut self.out);
+        };
         match input {
             // What is open or was settled here is decided by that: the gate must not refuse what runs.
             Input::Trigger(trigger)
                 if !(trigger.redelivered
-                    && trigger.identity.as_ref().is_some_and(|i| self.engine.knows(i, now))) =>
+                    && trigger
+                        .identity
+                        .as_ref()
+                        .is_some_and(|i| self.engine.knows(i, now))) =>
             {
                 tenancy.arrive(now, trigger, &mut self.inward);
             }
             Input::SourceLost(source) => {
                 tenancy.lost(now, source, &mut self.inward);
-                self.engine.handle(now, Input::SourceLost(source), &mut self.out);
+                self.engine
+                    .handle(now, Input::SourceLost(source), &mut self.out);
             }
             other => {
                 tenancy.tick(now, self.engine.open(), &mut self.inward);
@@ -216,7 +235,9 @@
         let waiting = self.tenancy.as_ref().map_or(0, Tenancy::pending);
         let room = self.engine.room().saturating_sub(waiting);
         for source in self.sources.values() {
-            source.room.send_if_modified(|known| std::mem::replace(known, room) != room);
+            source
+                .room
+                .send_if_modified(|known| std::mem::replace(known, room) != room);
         }
         let snapshot = Snapshot {
             stats: self.engine.stats(),
@@ -225,7 +246,8 @@
             workers: self.engine.live_workers(),
             waiting,
         };
-        self.snapshot.send_if_modified(|known| std::mem::replace(known, snapshot) != snapshot);
+        self.snapshot
+            .send_if_modified(|known| std::mem::replace(known, snapshot) != snapshot);
     }
 
     fn carry_out(&mut self) {
@@ -245,7 +267,12 @@
 
     fn one(&mut self, output: Output) {
         match output {
-            Output::Send { id, worker, call, deadline } => {
+            Output::Send {
+                id,
+                worker,
+                call,
+                deadline,
+            } => {
                 debug!(
                     front_end = self.name,
                     request = id.request,
@@ -272,8 +299,19 @@
                     let _ = cancel.send(());
                 }
             }
-            Output::Hold { worker, function, name, copies } => {
-                debug!(front_end = self.name, worker = &*worker.0, function = &*name, copies, "order");
+            Output::Hold {
+                worker,
+                function,
+                name,
+                copies,
+            } => {
+                debug!(
+                    front_end = self.name,
+                    worker = &*worker.0,
+                    function = &*name,
+                    copies,
+                    "order"
+                );
                 let (pool, sender) = (self.pool.clone(), self.sender.clone());
                 tokio::spawn(async move {
                     let end = pool.order(worker, function, &name, copies).await;
--- a/crates/pipithub-gateway/src/lib.rs
+++ b/crates/pipithub-gateway/src/lib.rs
@@ -53,7 +53,11 @@
     /// Starts all front ends with a textbook policy in the module's place: for comparison in drills alone.
     pub fn start_deciding_by(config: &Config, baseline: Option<Policy>) -> Gateway {
         let (stop, stopped) = watch::channel(false);
-        let mut gateway = Gateway { stop, snapshots: Vec::new(), tasks: JoinSet::new() };
+        let mut gateway = Gateway {
+            stop,
+            snapshots: Vec::new(),
+            tasks: JoinSet::new(),
+        };
         for instance in 0..config.instances {
             let name = if config.instances == 1 {
                 config.name.clone()
@@ -74,12 +78,20 @@
     ) {
         let clock = Clock::default();
         let pool = Arc::new(workers::Pool::new(name, config.http, clock));
-        let seed = name.bytes().fold(u64::from(std::process::id()), |h, b| h.wrapping_mul(31) + u64::from(b));
-        let (mut front, inputs) = front::Front::new(name, config, clock, seed, pool.clone(), baseline);
+        let seed = name.bytes().fold(u64::from(std::process::id()), |h, b| {
+            h.wrapping_mul(31) + u64::from(b)
+        });
+        let (mut front, inputs) =
+            front::Front::new(name, config, clock, seed, pool.clone(), baseline);
         if let Some(tenants) = &config.tenants {
             let tenants = Arc::new(tenants.clone());
             let handle = directory::start(tenants.clone(), name, clock, seed, &mut self.tasks);
-            front.keep_tenants(tenancy::Tenancy::new(tenants, handle, &config.engine.policy.classes, name));
+            front.keep_tenants(tenancy::Tenancy::new(
+                tenants,
+                handle,
+                &config.engine.policy.classes,
+                name,
+            ));
         }
         let mut number = 0;
         let mut source = || {
@@ -92,8 +104,14 @@
                 let handle = front.add_source(id);
                 let consumer = amqp::settings(config, broker, queue, id, name);
                 let addresses = broker.addresses.clone();
-                let task =
-                    amqp::run(consumer, addresses, handle, inputs.clone(), clock, seed ^ u64::from(id.0));
+                let task = amqp::run(
+                    consumer,
+                    addresses,
+                    handle,
+                    inputs.clone(),
+                    clock,
+                    seed ^ u64::from(id.0),
+                );
                 self.tasks.spawn(task);
             }
         }
@@ -105,7 +123,13 @@
         }
         match &config.workers {
             WorkersConfig::Fixed(workers) => front.fixed_workers(workers),
-            WorkersConfig::Slices { url, namespace, service, port, remember } => {
+            WorkersConfig::Slices {
+                url,
+                namespace,
+                service,
+                port,
+                remember,
+            } => {
                 let settings = list::ListSettings {
                     url: url.clone(),
                     namespace: namespace.clone(),
@@ -115,9 +139,13 @@
                     front_end: name.to_string(),
                 };
                 if let Some(remembered) = list::recall(&settings, clock) {
-                    front.first(Input::Workers { kind: remembered.0, entries: remembered.1 });
+                    front.first(Input::Workers {
+                        kind: remembered.0,
+                        entries: remembered.1,
+                    });
                 }
-                self.tasks.spawn(list::run(settings, inputs.clone(), clock, seed));
+                self.tasks
+                    .spawn(list::run(settings, inputs.clone(), clock, seed));
             }
         }
         self.snapshots.push(front.snapshot());
--- a/crates/pipithub-gateway/src/list.rs
+++ b/crates/pipithub-gateway/src/list.rs
@@ -53,11 +53,17 @@
 }
 
 async fn get(settings: &ListSettings, query: &str) -> Result<Response<Incoming>, String> {
-    let host = settings.url.trim_start_matches("http://").trim_end_matches('/');
+    let host = settings
+        .url
+        .trim_start_matches("http://")
+        .trim_end_matches('/');
     let connect = tokio::time::timeout(Duration::from_secs(5), TcpStream::connect(host)).await;
-    let stream = connect.map_err(|_| "connecting takes too long".to_string())?.map_err(|e| e.to_string())?;
-    let (mut sender, connection) =
-        hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.map_err(|e| e.to_string())?;
+    let stream = connect
+        .map_err(|_| "connecting takes too long".to_string())?
+        .map_err(|e| e.to_string())?;
+    let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
+        .await
+        .map_err(|e| e.to_string())?;
     tokio::spawn(connection);
     let path = format!(
         "/apis/discovery.k8s.io/v1/namespaces/{}/endpointslices?labelSelector=kubernetes.io%2Fservice-name%3D{}{query}",
@@ -70,7 +76,9 @@
         .body(Empty::<Bytes>::new())
         .map_err(|e| e.to_string())?;
     let answer = tokio::time::timeout(Duration::from_secs(30), sender.send_request(request)).await;
-    let answer = answer.map_err(|_| "no answer".to_string())?.map_err(|e| e.to_string())?;
+    let answer = answer
+        .map_err(|_| "no answer".to_string())?
+        .map_err(|e| e.to_string())?;
     if answer.status() == 410 {
         return Err("410".into());
     }
@@ -81,7 +89,12 @@
 }
 
 /// Follows the list for ever. What is known stays while the server cannot be reached.
-pub(crate) async fn run(settings: ListSettings, inputs: mpsc::Sender<Input>, clock: Clock, seed: u64) {
+pub(crate) async fn run(
+    settings: ListSettings,
+    inputs: mpsc::Sender<Input>,
+    clock: Clock,
+    seed: u64,
+) {
     let mut watcher = Watcher::new(settings.port.clone());
     let mut backoff = Backoff::new(100 * MS, 5_000 * MS, 2_000 * MS, seed);
     loop {
@@ -96,7 +109,12 @@
         }
         if let Err(why) = ended {
             let wait = backoff.down(clock.now());
-            warn!(front_end = settings.front_end, why, wait_ms = wait / MS, "worker list not followed");
+            warn!(
+                front_end = settings.front_end,
+                why,
+                wait_ms = wait / MS,
+                "worker list not followed"
+            );
             tokio::time::sleep(Duration::from_nanos(wait)).await;
         }
     }
@@ -109,15 +127,36 @@
     clock: Clock,
 ) -> Result<(), String> {
     let answer = get(settings, "").await?;
-    let read =
-        tokio::time::timeout(Duration::from_secs(30), Limited::new(answer.into_body(), BODY_MOST).collect());
-    let body = read.await.map_err(|_| "the list stalls".to_string())?.map_err(|e| e.to_string())?.to_bytes();
-    let entries = watcher.list(clock.now(), wall_ms(), &body).map_err(|e| e.to_string())?;
+    let read = tokio::time::timeout(
+        Duration::from_secs(30),
+        Limited::new(answer.into_body(), BODY_MOST).collect(),
+    );
+    let body = read
+        .await
+        .map_err(|_| "the list stalls".to_string())?
+        .map_err(|e| e.to_string())?
+        .to_bytes();
+    let entries = watcher
+        .list(clock.now(), wall_ms(), &body)
+        .map_err(|e| e.to_string())?;
     if watcher.version().is_none() {
         return Err("the list has no resourceVersion to watch from".into());
     }
-    info!(front_end = settings.front_end, workers = entries.len(), live = watcher.live(), "worker list");
-    told(settings, watcher, inputs, clock, ListKind::Complete, entries).await;
+    info!(
+        front_end = settings.front_end,
+        workers = entries.len(),
+        live = watcher.live(),
+        "worker list"
+    );
+    told(
+        settings,
+        watcher,
+        inputs,
+        clock,
+        ListKind::Complete,
+        entries,
+    )
+    .await;
     Ok(())
 }
 
@@ -144,8 +183,9 @@
     clock: Clock,
 ) -> Result<(), String> {
     let version = watcher.version().unwrap_or_default();
-    let query =
-        format!("&watch=1&allowWatchBookmarks=true&timeoutSeconds={WATCH_SECONDS}&resourceVersion={version}");
+    let query = format!(
+        "&watch=1&allowWatchBookmarks=true&timeoutSeconds={WATCH_SECONDS}&resourceVersion={version}"
+    );
     let answer = match get(settings, &query).await {
         Err(why) if why == "410" => {
             watcher.forget_version();
@@ -161,11 +201,15 @@
             Ok(Some(frame)) => frame.map_err(|e| e.to_string())?,
             // Its time is over, as asked: the next one goes on from the version reached, at once. One that ends
             // early is a server in trouble, not to be asked without a pause.
-            Ok(None) if tokio::time::Instant::now() + Duration::from_secs(15) >= end => return Ok(()),
+            Ok(None) if tokio::time::Instant::now() + Duration::from_secs(15) >= end => {
+                return Ok(());
+            }
             Ok(None) => return Err("the watch has ended".into()),
             Err(_) => return Ok(()),
         };
-        let Some(data) = frame.data_ref() else { continue };
+        let Some(data) = frame.data_ref() else {
+            continue;
+        };
         if buffer.len() + data.len() > BODY_MOST {
             return Err("a watch event is too long".into());
         }
--- a/crates/pipithub-gateway/src/schedule.rs
+++ b/crates/pipithub-gateway/src/schedule.rs
@@ -58,8 +58,17 @@
 impl Schedule {
     /// Occurrences from this wall time on.
     pub fn new(patterns: impl IntoIterator<Item = Cron>, wall: DateTime<Utc>) -> Self {
-        let timers = patterns.into_iter().map(|pattern| Timer { pattern, next: None }).collect();
-        let mut schedule = Schedule { timers, covered_until: wall };
+        let timers = patterns
+            .into_iter()
+            .map(|pattern| Timer {
+                pattern,
+                next: None,
+            })
+            .collect();
+        let mut schedule = Schedule {
+            timers,
+            covered_until: wall,
+        };
         schedule.begin_from(wall);
         schedule
     }
@@ -82,7 +91,10 @@
         let mut due = Vec::new();
         for (number, timer) in self.timers.iter_mut().enumerate() {
             if let Some(planned) = timer.next.filter(|next| *next <= wall) {
-                due.push(Occurrence { timer: number, planned });
+                due.push(Occurrence {
+                    timer: number,
+                    planned,
+                });
                 timer.plan_after(wall);
             }
         }
@@ -93,7 +105,10 @@
     pub fn wait(&self, wall: DateTime<Utc>) -> Option<Duration> {
         let next = self.timers.iter().filter_map(|timer| timer.next).min()?;
         // An occurrence that is due already waits no longer.
-        let until_next = next.signed_duration_since(wall).to_std().unwrap_or_default();
+        let until_next = next
+            .signed_duration_since(wall)
+            .to_std()
+            .unwrap_or_default();
         Some(until_next.min(LONGEST_WAIT))
     }
 
--- a/crates/pipithub-gateway/src/tenancy.rs
+++ b/crates/pipithub-gateway/src/tenancy.rs
@@ -55,7 +55,11 @@
         classes: &[Class],
         front_end: &str,
     ) -> Self {
-        let Handle { roster, wants, words } = handle;
+        let Handle {
+            roster,
+            wants,
+            words,
+        } = handle;
         Tenancy {
             gate: Gate::new(config.gate.clone()),
             config,
@@ -84,13 +88,18 @@
 
     /// The names of a call's tenant and user, for logs.
     pub(crate) fn name(&self, tenant: Option<Tenant>) -> Option<&str> {
-        tenant.and_then(|t| self.config.tenants.get(usize::from(t.0))).map(|t| t.name.as_str())
+        tenant
+            .and_then(|t| self.config.tenants.get(usize::from(t.0)))
+            .map(|t| t.name.as_str())
     }
 
     /// The tenant and user of a call that was let in, for logs.
     pub(crate) fn of(&self, ticket: Ticket) -> (Option<&str>, Option<&str>) {
         let call = self.let_in.get(&ticket);
-        (call.and_then(|c| self.name(Some(Tenant(c.tenant.0)))), call.and_then(|c| c.user.as_deref()))
+        (
+            call.and_then(|c| self.name(Some(Tenant(c.tenant.0)))),
+            call.and_then(|c| c.user.as_deref()),
+        )
     }
 
     /// A call has come in.
@@ -105,14 +114,20 @@
             left: call.budget.map_or(rest, |b| b.min(rest)),
             call: Box::new(trigger),
         };
-        self.gate.arrive(now, &self.roster.load(), arrival, &mut self.out);
+        self.gate
+            .arrive(now, &self.roster.load(), arrival, &mut self.out);
         self.carry_out(now, inputs);
     }
 
     /// A source is gone with all that it brought.
     pub(crate) fn lost(&mut self, now: Time, source: SourceId, inputs: &mut Vec<Input>) {
         self.gate.forget(|trigger| trigger.ticket.source == source);
-        let gone: Vec<Ticket> = self.let_in.keys().filter(|t| t.source == source).copied().collect();
+        let gone: Vec<Ticket> = self
+            .let_in
+            .keys()
+            .filter(|t| t.source == source)
+            .copied()
+            .collect();
         for ticket in gone {
             self.over(now, ticket, End::Other, inputs);
         }
@@ -137,7 +152,12 @@
     fn over(&mut self, now: Time, ticket: Ticket, end: End, inputs: &mut Vec<Input>) {
         if let Some(call) = self.let_in.remove(&ticket) {
             let took = now.saturating_sub(call.since);
-            self.gate.ended(now, &self.roster.load(), (call.tenant, end, took), &mut self.out);
+            self.gate.ended(
+                now,
+                &self.roster.load(),
+                (call.tenant, end, took),
+                &mut self.out,
+            );
             self.carry_out(now, inputs);
         }
     }
@@ -145,7 +165,9 @@
     /// The directories have said something.
     pub(crate) fn told(&mut self, now: Time, word: Word, inputs: &mut Vec<Input>) {
         match word {
-            Word::News(user) => self.gate.news(now, &self.roster.load(), &user, &mut self.out),
+            Word::News(user) => self
+                .gate
+                .news(now, &self.roster.load(), &user, &mut self.out),
             Word::Changed(user) => {
                 let side = match self.roster.load().look(&user, now) {
                     View::Tenant { tenant, person, .. } => Some((Tenant(tenant.0), person.0)),
@@ -163,10 +185,22 @@
         self.carry_out(now, inputs);
         if self.let_in.len() > open + SLACK {
             // A ticket that was replaced by a later delivery of its message is answered under that one.
-            let longest = self.classes.iter().map(|c| c.give_up).max().unwrap_or(0).saturating_mul(2);
+            let longest = self
+                .classes
+                .iter()
+                .map(|c| c.give_up)
+                .max()
+                .unwrap_or(0)
+                .saturating_mul(2);
             let old = |c: &Let| now.saturating_sub(c.since) > longest;
-            let gone: Vec<Ticket> = self.let_in.iter().filter(|(_, c)| old(c)).map(|(t, _)| *t).collect();
-            gone.into_iter().for_each(|ticket| self.over(now, ticket, End::Other, inputs));
+            let gone: Vec<Ticket> = self
+                .let_in
+                .iter()
+                .filter(|(_, c)| old(c))
+                .map(|(t, _)| *t)
+                .collect();
+            gone.into_iter()
+                .for_each(|ticket| self.over(now, ticket, End::Other, inputs));
         }
     }
 
@@ -176,18 +210,38 @@
                 Output::Admit(mut trigger, admitted) => {
                     trigger.call.tenant = Some(Tenant(admitted.tenant.0));
                     trigger.call.person = admitted.person.map_or(0, |p| p.0);
-                    trigger.call.budget = trigger.call.budget.map(|b| b.saturating_sub(admitted.waited));
+                    trigger.call.budget = trigger
+                        .call
+                        .budget
+                        .map(|b| b.saturating_sub(admitted.waited));
                     trigger.call.waited = trigger.call.waited.saturating_add(admitted.waited);
                     let user = trigger.call.user.clone();
-                    self.let_in.insert(trigger.ticket, Let { tenant: admitted.tenant, user, since: now });
+                    self.let_in.insert(
+                        trigger.ticket,
+                        Let {
+                            tenant: admitted.tenant,
+                            user,
+                            since: now,
+                        },
+                    );
                     inputs.push(Input::Trigger(*trigger));
                 }
                 Output::Refuse(trigger, why, after) => {
                     let label = trigger.call.label.as_deref();
                     let user = trigger.call.user.as_deref();
-                    debug!(front_end = self.front_end, request = label, user, ?why, "not let in");
+                    debug!(
+                        front_end = self.front_end,
+                        request = label,
+                        user,
+                        ?why,
+                        "not let in"
+                    );
                     let retry_after = (after > 0).then_some(after);
-                    inputs.push(Input::Refuse { trigger: *trigger, cause: cause(why), retry_after });
+                    inputs.push(Input::Refuse {
+                        trigger: *trigger,
+                        cause: cause(why),
+                        retry_after,
+                    });
                 }
                 Output::Want(user, urgent) => {
                     // With no room the call waits its time and is judged by what is known.
--- a/crates/pipithub-gateway/src/workers.rs
+++ b/crates/pipithub-gateway/src/workers.rs
@@ -58,7 +58,12 @@
 
 impl Pool {
     pub(crate) fn new(front_end: &str, config: HttpConfig, clock: Clock) -> Self {
-        Pool { front_end: front_end.to_string(), config, clock, idle: Mutex::new(HashMap::new()) }
+        Pool {
+            front_end: front_end.to_string(),
+            config,
+            clock,
+            idle: Mutex::new(HashMap::new()),
+        }
     }
 
     fn idle(&self) -> MutexGuard<'_, HashMap<Arc<str>, Vec<Connection>>> {
@@ -89,8 +94,9 @@
         let connect = async {
             let stream = TcpStream::connect(&*worker.0).await.ok()?;
             stream.set_nodelay(true).ok()?;
-            let (sender, connection) =
-                hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.ok()?;
+            let (sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
+                .await
+                .ok()?;
             let task = tokio::spawn(async move { drop(connection.await) });
             Some(Connection { sender, task })
         };
@@ -100,7 +106,12 @@
 
     /// One exchange. A pooled connection that its worker had closed before anything was sent is passed over; what may
     /// have been sent is never sent again here.
-    async fn exchange(&self, worker: &Worker, request: WorkerRequest, body: Bytes) -> Result<Answer, Failed> {
+    async fn exchange(
+        &self,
+        worker: &Worker,
+        request: WorkerRequest,
+        body: Bytes,
+    ) -> Result<Answer, Failed> {
         loop {
             let pooled = self.take(worker);
             let fresh = pooled.is_none();
@@ -108,13 +119,16 @@
                 Some(connection) => connection,
                 None => self.connect(worker).await.ok_or(Failed::NotSent)?,
             };
-            let mut builder =
-                Request::builder().method(if request.get { "GET" } else { "POST" }).uri(&request.path);
+            let mut builder = Request::builder()
+                .method(if request.get { "GET" } else { "POST" })
+                .uri(&request.path);
             builder = builder.header("host", &*worker.0);
             for (name, value) in &request.headers {
                 builder = builder.header(*name, value);
             }
-            let built = builder.body(Full::new(body.clone())).map_err(|_| Failed::NotSent)?;
+            let built = builder
+                .body(Full::new(body.clone()))
+                .map_err(|_| Failed::NotSent)?;
             if connection.sender.ready().await.is_err() {
                 if fresh {
                     return Err(Failed::NotSent);
@@ -133,9 +147,17 @@
                 };
             let (parts, incoming) = response.into_parts();
             let limited = Limited::new(incoming, self.config.max_body);
-            let body = limited.collect().await.map_err(|_| Failed::Broken)?.to_bytes();
+            let body = limited
+                .collect()
+                .await
+                .map_err(|_| Failed::Broken)?
+                .to_bytes();
             self.put(worker, connection);
-            return Ok(Answer { status: parts.status.as_u16(), headers: parts.headers, body });
+            return Ok(Answer {
+                status: parts.status.as_u16(),
+                headers: parts.headers,
+                body,
+            });
         }
     }
 
@@ -173,11 +195,25 @@
                     body: answer.body.clone(),
                 });
                 let (outcome, note, alike, load) = (told.outcome, told.note, told.alike, told.load);
-                AttemptEnd { id, outcome, took, note, alike, load, served }
-            }
-            Err(outcome) => {
-                AttemptEnd { id, outcome, took, note: None, alike: None, load: Load::default(), served: None }
+                AttemptEnd {
+                    id,
+                    outcome,
+                    took,
+                    note,
+                    alike,
+                    load,
+                    served,
+                }
             }
+            Err(outcome) => AttemptEnd {
+                id,
+                outcome,
+                took,
+                note: None,
+                alike: None,
+                load: Load::default(),
+                served: None,
+            },
         }
     }
 
@@ -192,14 +228,23 @@
         let began = self.clock.now();
         let request = pipithub_inference::order(name, copies, &self.front_end);
         let most = std::time::Duration::from_nanos(self.config.order_timeout);
-        let answer = tokio::time::timeout(most, self.exchange(&worker, request, Bytes::new())).await;
+        let answer =
+            tokio::time::timeout(most, self.exchange(&worker, request, Bytes::new())).await;
         let (outcome, copies) = match answer {
             Err(_) => (Outcome::TimedOut, 0),
             Ok(Err(Failed::NotSent)) => (Outcome::Unreachable, 0),
             Ok(Err(Failed::Broken)) => (Outcome::Broken, 0),
-            Ok(Ok(answer)) => pipithub_inference::order_outcome(answer.status, |name| answer.header(name)),
+            Ok(Ok(answer)) => {
+                pipithub_inference::order_outcome(answer.status, |name| answer.header(name))
+            }
         };
-        OrderEnd { worker, function, outcome, took: self.clock.now() - began, copies }
+        OrderEnd {
+            worker,
+            function,
+            outcome,
+            took: self.clock.now() - began,
+            copies,
+        }
     }
 
     /// Has a worker unload idle copies; nobody waits for the reply.
@@ -213,13 +258,25 @@
     pub(crate) async fn probe(&self, worker: Worker) -> ProbeEnd {
         let most = std::time::Duration::from_nanos(self.config.probe_timeout);
         let request = pipithub_inference::probe(&self.front_end);
-        let answer = tokio::time::timeout(most, self.exchange(&worker, request, Bytes::new())).await;
+        let answer =
+            tokio::time::timeout(most, self.exchange(&worker, request, Bytes::new())).await;
         match answer {
             Ok(Ok(answer)) if answer.status == 200 => {
-                let load = answer.header(header::LOAD).map(pipithub_inference::load).unwrap_or_default();
-                ProbeEnd { worker, answered: true, load }
+                let load = answer
+                    .header(header::LOAD)
+                    .map(pipithub_inference::load)
+                    .unwrap_or_default();
+                ProbeEnd {
+                    worker,
+                    answered: true,
+                    load,
+                }
             }
-            _ => ProbeEnd { worker, answered: false, load: Load::default() },
+            _ => ProbeEnd {
+                worker,
+                answered: false,
+                load: Load::default(),
+            },
         }
     }
 }
--- a/crates/pipithub-gateway/tests/schedule.rs
+++ b/crates/pipithub-gateway/tests/schedule.rs
@@ -28,7 +28,11 @@
         let clock = ManualClock::new(1, START_MS);
         let pattern = Cron::from_str(pattern).expect("a pattern");
         let schedule = Schedule::new([pattern], wall(&clock));
-        Run { clock, schedule, planned: Vec::new() }
+        Run {
+            clock,
+            schedule,
+            planned: Vec::new(),
+        }
     }
 
     /// Lets real time pass; what fired in it, by its planned time.
@@ -37,7 +41,10 @@
         let first = self.planned.len();
         loop {
             let now = self.clock.read().now;
-            let wait = self.schedule.wait(wall(&self.clock)).expect("it has occurrences");
+            let wait = self
+                .schedule
+                .wait(wall(&self.clock))
+                .expect("it has occurrences");
             assert!(wait <= LONGEST_WAIT, "a step would be seen {wait:?} late");
             if now + wait.as_nanos() as u64 > end {
                 self.clock.advance(end - now);
@@ -52,7 +59,8 @@
     fn ask(&mut self) {
         for due in self.schedule.due(wall(&self.clock)) {
             assert!(due.planned <= wall(&self.clock), "before its time");
-            self.planned.push(due.planned.timestamp() - (START_MS / 1_000) as i64);
+            self.planned
+                .push(due.planned.timestamp() - (START_MS / 1_000) as i64);
         }
     }
 }
@@ -115,10 +123,18 @@
 /// Steps at every point of the run, there and back again, some while nothing asks.
 #[test]
 fn whatever_the_steps_no_occurrence_fires_twice() {
-    let steps = [7, -7, 3_600, -3_600, -1, 1, -3_600, 3_600, 59, -61, 2, 20_000, -20_000];
+    let steps = [
+        7, -7, 3_600, -3_600, -1, 1, -3_600, 3_600, 59, -61, 2, 20_000, -20_000,
+    ];
     for offset in 0..steps.len() {
         let mut run = Run::new("*/5 * * * * *");
-        for (turn, step) in steps.iter().cycle().skip(offset).take(steps.len()).enumerate() {
+        for (turn, step) in steps
+            .iter()
+            .cycle()
+            .skip(offset)
+            .take(steps.len())
+            .enumerate()
+        {
             run.pass(Duration::from_millis(1_300 * turn as u64 + 400));
             run.clock.step_wall_ms(step * SECOND_MS);
             if turn % 2 == 0 {
@@ -128,7 +144,11 @@
         run.pass(seconds(3 * 3_600));
         let mut once = run.planned.clone();
         once.dedup();
-        assert!(run.planned.is_sorted() && once == run.planned, "offset {offset}: {:?}", run.planned);
+        assert!(
+            run.planned.is_sorted() && once == run.planned,
+            "offset {offset}: {:?}",
+            run.planned
+        );
         assert!(!run.planned.is_empty(), "offset {offset}");
     }
 }
--- a/crates/pipithub-gateway/tests/sockets.rs
+++ b/crates/pipithub-gateway/tests/sockets.rs
@@ -21,8 +21,14 @@
 
 async fn broker() -> BrokerServer {
     let queues = vec![("calls".to_string(), FieldTable::new())];
-    let settings = BrokerSettings { queues, recorder: Recorder::memory(), ..BrokerSettings::default() };
-    BrokerServer::start(any(), settings).await.expect("a broker")
+    let settings = BrokerSettings {
+        queues,
+        recorder: Recorder::memory(),
+        ..BrokerSettings::default()
+    };
+    BrokerServer::start(any(), settings)
+        .await
+        .expect("a broker")
 }
 
 async fn worker(run_ms: u64) -> (WorkerServer, Recorder) {
@@ -34,7 +40,12 @@
         cold_from: 1.0,
         ..WorkerSettings::default()
     };
-    (WorkerServer::start(any(), settings, None, recorder.clone()).await.expect("a worker"), recorder)
+    (
+        WorkerServer::start(any(), settings, None, recorder.clone())
+            .await
+            .expect("a worker"),
+        recorder,
+    )
 }
 
 fn config(broker: SocketAddr, workers: &str, more: &str) -> Config {
@@ -50,7 +61,10 @@
 }
 
 fn fixed(workers: &[SocketAddr]) -> String {
-    workers.iter().map(|a| format!("worker \"{a}\"; ")).collect()
+    workers
+        .iter()
+        .map(|a| format!("worker \"{a}\"; "))
+        .collect()
 }
 
 fn call(id: &str, class: &str, body: Vec<u8>) -> Publish {
@@ -82,7 +96,9 @@
 
 async fn answer(client: &mut QueueClient) -> Answer {
     let answer = tokio::time::timeout(Duration::from_secs(60), client.answers.recv()).await;
-    answer.expect("an answer in its time").expect("the client runs")
+    answer
+        .expect("an answer in its time")
+        .expect("the client runs")
 }
 
 async fn until(what: &str, mut holds: impl FnMut() -> bool) {
@@ -97,7 +113,11 @@
 fn answers_at(broker: &BrokerServer) -> BTreeMap<String, Vec<String>> {
     let mut all: BTreeMap<String, Vec<String>> = BTreeMap::new();
     for record in broker.recorder().records() {
-        if let Seen::Published { correlation_id: Some(id), headers, .. } = record.seen
+        if let Seen::Published {
+            correlation_id: Some(id),
+            headers,
+            ..
+        } = record.seen
             && let Some(verdict) = headers.get("pipithub-verdict")
         {
             all.entry(id).or_default().push(verdict.clone());
@@ -118,34 +138,68 @@
     let mut client = client(broker.address());
     for size in [0, 1, 16 << 20] {
         let body: Vec<u8> = (0..size).map(|n: usize| (n % 251) as u8).collect();
-        client.calls.send(call(&format!("{size}"), "view", body.clone())).await.expect("running");
+        client
+            .calls
+            .send(call(&format!("{size}"), "view", body.clone()))
+            .await
+            .expect("running");
         let answer = answer(&mut client).await;
-        assert_eq!((answer.verdict.as_str(), answer.cause.as_str()), ("served", "answered"), "{size}");
-        assert!(answer.body == body, "{size} bytes came back as {}", answer.body.len());
+        assert_eq!(
+            (answer.verdict.as_str(), answer.cause.as_str()),
+            ("served", "answered"),
+            "{size}"
+        );
+        assert!(
+            answer.body == body,
+            "{size} bytes came back as {}",
+            answer.body.len()
+        );
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn every_worker_gone_with_a_thousand_messages_waiting() {
     let (broker, (worker, _)) = (broker().await, worker(1).await);
-    let list = ListServer::start(any(), Recorder::none()).await.expect("a list");
+    let list = ListServer::start(any(), Recorder::none())
+        .await
+        .expect("a list");
     let bounds = "engine { max-open 300; max-mb 8 }";
-    let gateway =
-        Gateway::start(&config(broker.address(), &format!("list \"http://{}\"", list.address()), bounds));
+    let gateway = Gateway::start(&config(
+        broker.address(),
+        &format!("list \"http://{}\"", list.address()),
+        bounds,
+    ));
     let mut client = client(broker.address());
     for n in 0..1_000 {
-        client.calls.send(call(&format!("{n}"), "view", vec![1; 10_000])).await.expect("running");
+        client
+            .calls
+            .send(call(&format!("{n}"), "view", vec![1; 10_000]))
+            .await
+            .expect("running");
     }
     let mut verdicts: BTreeMap<String, usize> = BTreeMap::new();
     for _ in 0..1_000 {
-        *verdicts.entry(answer(&mut client).await.verdict).or_default() += 1;
+        *verdicts
+            .entry(answer(&mut client).await.verdict)
+            .or_default() += 1;
         let held = gateway.snapshots()[0];
         assert!(held.open <= 300 && held.bytes <= 8 << 20, "{held:?}");
     }
-    assert_eq!(verdicts, BTreeMap::from([("refused".to_string(), 1_000)]), "none lost, none kept waiting");
+    assert_eq!(
+        verdicts,
+        BTreeMap::from([("refused".to_string(), 1_000)]),
+        "none lost, none kept waiting"
+    );
     list.set(listed(&worker, "back"));
-    until("the worker is known", || gateway.snapshots()[0].workers == 1).await;
-    client.calls.send(call("after", "assign", b"x".to_vec())).await.expect("running");
+    until("the worker is known", || {
+        gateway.snapshots()[0].workers == 1
+    })
+    .await;
+    client
+        .calls
+        .send(call("after", "assign", b"x".to_vec()))
+        .await
+        .expect("running");
     assert_eq!(answer(&mut client).await.verdict, "served");
 }
 
@@ -153,13 +207,22 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn nothing_is_taken_before_the_first_list() {
     let (broker, (worker, _)) = (broker().await, worker(1).await);
-    let list = ListServer::start(any(), Recorder::none()).await.expect("a list");
+    let list = ListServer::start(any(), Recorder::none())
+        .await
+        .expect("a list");
     list.set(listed(&worker, "first"));
     list.set_delay(Duration::from_millis(500));
-    let _gateway =
-        Gateway::start(&config(broker.address(), &format!("list \"http://{}\"", list.address()), ""));
+    let _gateway = Gateway::start(&config(
+        broker.address(),
+        &format!("list \"http://{}\"", list.address()),
+        "",
+    ));
     let mut client = client(broker.address());
-    client.calls.send(call("early", "view", b"x".to_vec())).await.expect("running");
+    client
+        .calls
+        .send(call("early", "view", b"x".to_vec()))
+        .await
+        .expect("running");
     assert_eq!(answer(&mut client).await.verdict, "served");
 }
 
@@ -170,56 +233,93 @@
     let client = client(broker.address());
     for n in 0..200 {
         let class = if n % 2 == 0 { "view" } else { "assign" };
-        client.calls.send(call(&format!("{n}"), class, b"x".to_vec())).await.expect("running");
+        client
+            .calls
+            .send(call(&format!("{n}"), class, b"x".to_vec()))
+            .await
+            .expect("running");
         if n % 50 == 25 {
             until("some calls are there", || worker.held() > 0).await;
             broker.cut_all();
         }
     }
     let published = || {
-        let of =
-            |s: &Seen| matches!(s, Seen::Published { queues, .. } if queues.iter().any(|q| q == "calls"));
-        broker.recorder().records().iter().filter(|r| of(&r.seen)).count()
+        let of = |s: &Seen| matches!(s, Seen::Published { queues, .. } if queues.iter().any(|q| q == "calls"));
+        broker
+            .recorder()
+            .records()
+            .iter()
+            .filter(|r| of(&r.seen))
+            .count()
     };
     // What the client had on its way when it was cut may be lost to it, however much that is. It publishes in order, so
     // once a call given to it after the last cut is answered, the broker has all that will ever come.
     let mut next = 200;
     until("a call after the last cut is answered", || {
-        let answered = answers_at(&broker).keys().any(|id| id.parse().is_ok_and(|n: usize| n >= 200));
+        let answered = answers_at(&broker)
+            .keys()
+            .any(|id| id.parse().is_ok_and(|n: usize| n >= 200));
         if !answered && client.calls.capacity() == client.calls.max_capacity() {
-            let _ = client.calls.try_send(call(&format!("{next}"), "view", b"x".to_vec()));
+            let _ = client
+                .calls
+                .try_send(call(&format!("{next}"), "view", b"x".to_vec()));
             next += 2;
         }
         answered
     })
     .await;
-    until("all that the broker took are answered", || answers_at(&broker).len() == published()).await;
+    until("all that the broker took are answered", || {
+        answers_at(&broker).len() == published()
+    })
+    .await;
     for (id, verdicts) in answers_at(&broker) {
         assert_eq!(verdicts.len(), 1, "{id}: {verdicts:?}");
         let number: usize = id.parse().expect("its number");
-        assert!(number.is_multiple_of(2) || runs(&ran, &id) <= 1, "unsafe call {id} ran twice");
+        assert!(
+            number.is_multiple_of(2) || runs(&ran, &id) <= 1,
+            "unsafe call {id} ran twice"
+        );
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn damage_on_the_way_to_the_broker_loses_nothing() {
-    for damage in
-        [Damage::Corrupt, Damage::Swallow, Damage::HalfClose, Damage::Delay(Duration::from_millis(30))]
-    {
+    for damage in [
+        Damage::Corrupt,
+        Damage::Swallow,
+        Damage::HalfClose,
+        Damage::Delay(Duration::from_millis(30)),
+    ] {
         let (broker, (worker, _)) = (broker().await, worker(1).await);
-        let proxy = Proxy::start(any(), broker.address().to_string()).await.expect("a proxy");
+        let proxy = Proxy::start(any(), broker.address().to_string())
+            .await
+            .expect("a proxy");
         let _gateway = Gateway::start(&config(proxy.address(), &fixed(&[worker.address()]), ""));
         let mut client = client(broker.address());
-        client.calls.send(call("before", "view", b"x".to_vec())).await.expect("running");
+        client
+            .calls
+            .send(call("before", "view", b"x".to_vec()))
+            .await
+            .expect("running");
         assert_eq!(answer(&mut client).await.verdict, "served");
         proxy.set(damage);
         for n in 0..20 {
-            client.calls.send(call(&format!("{n}"), "view", b"x".to_vec())).await.expect("running");
+            client
+                .calls
+                .send(call(&format!("{n}"), "view", b"x".to_vec()))
+                .await
+                .expect("running");
         }
         // Damage is seen once the bytes have passed; a silent line only by its missing heartbeats.
         until("damage was met", || {
             let of = |s: &Seen| matches!(s, Seen::Delivered { queue, .. } if queue == "calls");
-            let delivered = broker.recorder().records().iter().filter(|r| of(&r.seen)).count() >= 2;
+            let delivered = broker
+                .recorder()
+                .records()
+                .iter()
+                .filter(|r| of(&r.seen))
+                .count()
+                >= 2;
             // It may have met the end of the first call's transaction: then the connection is gone before a second
             // delivery, and each further one meets it too.
             delivered || proxy.met() >= 3
@@ -233,8 +333,15 @@
         until("all are settled", || broker.depth("calls") == Some((0, 0))).await;
         if damage == Damage::Corrupt {
             // A turned bit in a body or an id goes unnoticed in AMQP, which has no checksum: only the rest is asked.
-            client.calls.send(call("after", "view", b"x".to_vec())).await.expect("running");
-            until("service is back", || answers_at(&broker).contains_key("after")).await;
+            client
+                .calls
+                .send(call("after", "view", b"x".to_vec()))
+                .await
+                .expect("running");
+            until("service is back", || {
+                answers_at(&broker).contains_key("after")
+            })
+            .await;
         } else {
             assert_eq!(answers_at(&broker).len(), 21, "{damage:?}");
             assert!(
@@ -249,22 +356,34 @@
 /// The worker runs the call and its answer never comes: the call may have run, so it fails, once, and in its time.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_swallowed_answer_fails_an_unsafe_call_and_is_not_run_again() {
-    let (broker, (first, ran), (second, ran_second)) = (broker().await, worker(1).await, worker(1).await);
+    let (broker, (first, ran), (second, ran_second)) =
+        (broker().await, worker(1).await, worker(1).await);
     let proxies = [
-        Proxy::start(any(), first.address().to_string()).await.expect("a proxy"),
-        Proxy::start(any(), second.address().to_string()).await.expect("a proxy"),
+        Proxy::start(any(), first.address().to_string())
+            .await
+            .expect("a proxy"),
+        Proxy::start(any(), second.address().to_string())
+            .await
+            .expect("a proxy"),
     ];
     let workers = fixed(&proxies.each_ref().map(Proxy::address));
     let _gateway = Gateway::start(&config(broker.address(), &workers, ""));
     let mut client = client(broker.address());
-    client.calls.send(call("warm", "view", b"x".to_vec())).await.expect("running");
+    client
+        .calls
+        .send(call("warm", "view", b"x".to_vec()))
+        .await
+        .expect("running");
     assert_eq!(answer(&mut client).await.verdict, "served");
     proxies.iter().for_each(|p| p.set(Damage::Swallow));
     let mut lost = call("lost", "assign", b"x".to_vec());
     lost.budget_ms = Some(1_500);
     client.calls.send(lost).await.expect("running");
     let answer = answer(&mut client).await;
-    assert_eq!((answer.id.as_str(), answer.verdict.as_str(), answer.attempts), ("lost", "failed", 1));
+    assert_eq!(
+        (answer.id.as_str(), answer.verdict.as_str(), answer.attempts),
+        ("lost", "failed", 1)
+    );
     assert_eq!(runs(&ran, "lost") + runs(&ran_second, "lost"), 1);
 }
 
@@ -291,12 +410,20 @@
     let gateway = Gateway::start(&config(broker.address(), &fixed(&[worker.address()]), ""));
     let mut client = client(broker.address());
     for n in 0..8 {
-        client.calls.send(call(&format!("{n}"), "assign", b"x".to_vec())).await.expect("running");
+        client
+            .calls
+            .send(call(&format!("{n}"), "assign", b"x".to_vec()))
+            .await
+            .expect("running");
     }
     until("calls run", || worker.held() > 0).await;
     let taken = gateway.snapshots()[0].stats.taken;
     gateway.stop().await;
-    assert!(answers_at(&broker).len() as u64 >= taken, "{} of {taken}", answers_at(&broker).len());
+    assert!(
+        answers_at(&broker).len() as u64 >= taken,
+        "{} of {taken}",
+        answers_at(&broker).len()
+    );
     // What it had not taken is there for the next one.
     let _next = Gateway::start(&config(broker.address(), &fixed(&[worker.address()]), ""));
     for _ in 0..8 {
@@ -308,8 +435,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_timer_runs_calls_by_the_same_decisions() {
     let (broker, (worker, ran)) = (broker().await, worker(1).await);
-    let timer = "cron \"tick\" { schedule \"* * * * * *\"; class \"assign\"; function \"g\"; body \"{}\" }";
-    let _gateway = Gateway::start(&config(broker.address(), &fixed(&[worker.address()]), timer));
+    let timer =
+        "cron \"tick\" { schedule \"* * * * * *\"; class \"assign\"; function \"g\"; body \"{}\" }";
+    let _gateway = Gateway::start(&config(
+        broker.address(),
+        &fixed(&[worker.address()]),
+        timer,
+    ));
     until("the timer's call ran twice, each time once", || {
         let records = ran.records();
         let named: Vec<_> = records
@@ -319,7 +451,14 @@
                 _ => None,
             })
             .collect();
-        assert!(named.iter().collect::<std::collections::BTreeSet<_>>().len() == named.len(), "{named:?}");
+        assert!(
+            named
+                .iter()
+                .collect::<std::collections::BTreeSet<_>>()
+                .len()
+                == named.len(),
+            "{named:?}"
+        );
         named.len() >= 2
     })
     .await;
--- a/crates/pipithub-gateway/tests/tenants.rs
+++ b/crates/pipithub-gateway/tests/tenants.rs
@@ -36,8 +36,15 @@
 
 async fn directory(tree: &str, ldaps: bool) -> DirectoryServer {
     let login = Some(("cn=gateway,dc=example".to_string(), "secret".to_string()));
-    let settings = DirectorySettings { tree: tree.into(), base: None, login, ldaps };
-    DirectoryServer::start(any(), settings).await.expect("a directory")
+    let settings = DirectorySettings {
+        tree: tree.into(),
+        base: None,
+        login,
+        ldaps,
+    };
+    DirectoryServer::start(any(), settings)
+        .await
+        .expect("a directory")
 }
 
 struct Stage {
@@ -56,7 +63,9 @@
             logins: vec![("mai".into(), "m".into())],
             ..BrokerSettings::default()
         };
-        let broker = BrokerServer::start(any(), settings).await.expect("a broker");
+        let broker = BrokerServer::start(any(), settings)
+            .await
+            .expect("a broker");
         let seen = Recorder::memory();
         let settings = WorkerSettings {
             cores: 8.0,
@@ -65,16 +74,27 @@
             cold_from: 1.0,
             ..WorkerSettings::default()
         };
-        let worker = WorkerServer::start(any(), settings, None, seen.clone()).await.expect("a worker");
-        let folder = std::env::temp_dir().join(format!("pipithub-tenants-{}-{name}", std::process::id()));
+        let worker = WorkerServer::start(any(), settings, None, seen.clone())
+            .await
+            .expect("a worker");
+        let folder =
+            std::env::temp_dir().join(format!("pipithub-tenants-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        Stage { broker, _worker: worker, seen, folder }
+        Stage {
+            broker,
+            _worker: worker,
+            seen,
+            folder,
+        }
     }
 
     fn config(&self, servers: &[&DirectoryServer], directory: &str, more: &str) -> Config {
         let ca = self.folder.join("ca.pem");
         std::fs::write(&ca, servers.iter().map(|s| s.ca()).collect::<String>()).expect("written");
-        let servers: String = servers.iter().map(|s| format!("server \"{}\"; ", s.address())).collect();
+        let servers: String = servers
+            .iter()
+            .map(|s| format!("server \"{}\"; ", s.address()))
+            .collect();
         let text = format!(
             "front-end \"fe\"\n\
              class \"view\" effect=\"safe\" aim=\"2s\" give-up=\"4s\"\n\
@@ -95,13 +115,19 @@
     }
 
     fn client(&self) -> QueueClient {
-        QueueClient::start(&self.broker.address().to_string(), Login::default(), "answers")
+        QueueClient::start(
+            &self.broker.address().to_string(),
+            Login::default(),
+            "answers",
+        )
     }
 
     /// Calls that reached a worker: when, of which function.
     fn sent(&self) -> Vec<(u64, String, String)> {
         let call = |r: pipithub_check::record::Record| match r.seen {
-            Seen::Call { request, function, .. } => Some((r.t, request, function)),
+            Seen::Call {
+                request, function, ..
+            } => Some((r.t, request, function)),
             _ => None,
         };
         self.seen.records().into_iter().filter_map(call).collect()
@@ -121,14 +147,20 @@
         class: "view".into(),
         function: function.into(),
         body: b"{\"inputs\":[]}".to_vec(),
-        signed: Some(Signed { user: user.into(), key_id: "desk".into(), key: KEY.to_vec() }),
+        signed: Some(Signed {
+            user: user.into(),
+            key_id: "desk".into(),
+            key: KEY.to_vec(),
+        }),
         ..Publish::default()
     }
 }
 
 async fn answer(client: &mut QueueClient) -> Answer {
     let answer = tokio::time::timeout(Duration::from_secs(60), client.answers.recv()).await;
-    answer.expect("an answer in its time").expect("the client runs")
+    answer
+        .expect("an answer in its time")
+        .expect("the client runs")
 }
 
 async fn one(client: &mut QueueClient, call: Publish) -> (String, String) {
@@ -145,8 +177,16 @@
 async fn calls_run_for_their_users_tenant_alone_over_each_kind_of_tls() {
     for (tls, ldaps) in [("none", false), ("start", false), ("ldaps", true)] {
         let stage = Stage::new(tls).await;
-        let server = directory(&tree(&[("mai".into(), "north"), ("lan".into(), "south")]), ldaps).await;
-        let config = stage.config(&[&server], &format!("tls \"{tls}\"; mark-attribute \"contextCSN\""), "");
+        let server = directory(
+            &tree(&[("mai".into(), "north"), ("lan".into(), "south")]),
+            ldaps,
+        )
+        .await;
+        let config = stage.config(
+            &[&server],
+            &format!("tls \"{tls}\"; mark-attribute \"contextCSN\""),
+            "",
+        );
         let _gateway = Gateway::start(&config);
         let mut client = stage.client();
         assert_eq!(
@@ -154,21 +194,54 @@
             pair("served", "answered"),
             "{tls}"
         );
-        assert_eq!(one(&mut client, call("2", "mai", "south-map")).await, pair("refused", "other-tenant"));
-        assert_eq!(one(&mut client, call("3", "lan", "south-map")).await, pair("served", "answered"));
-        assert_eq!(one(&mut client, call("4", "lan", "holidays")).await, pair("served", "answered"));
-        assert_eq!(one(&mut client, call("5", "lan", "unnamed")).await, pair("refused", "other-tenant"));
-        assert_eq!(one(&mut client, call("6", "nobody", "north-map")).await, pair("refused", "no-tenant"));
+        assert_eq!(
+            one(&mut client, call("2", "mai", "south-map")).await,
+            pair("refused", "other-tenant")
+        );
+        assert_eq!(
+            one(&mut client, call("3", "lan", "south-map")).await,
+            pair("served", "answered")
+        );
+        assert_eq!(
+            one(&mut client, call("4", "lan", "holidays")).await,
+            pair("served", "answered")
+        );
+        assert_eq!(
+            one(&mut client, call("5", "lan", "unnamed")).await,
+            pair("refused", "other-tenant")
+        );
+        assert_eq!(
+            one(&mut client, call("6", "nobody", "north-map")).await,
+            pair("refused", "no-tenant")
+        );
         // A name that is a filter's text is nobody's name.
-        assert_eq!(one(&mut client, call("7", "*)(uid=*", "north-map")).await, pair("refused", "no-tenant"));
+        assert_eq!(
+            one(&mut client, call("7", "*)(uid=*", "north-map")).await,
+            pair("refused", "no-tenant")
+        );
         let mut spoofed = call("8", "mai", "north-map");
         spoofed.signed.as_mut().expect("signed").key = b"another key of some length".to_vec();
-        assert_eq!(one(&mut client, spoofed).await, pair("refused", "unreadable"));
         assert_eq!(
-            one(&mut client, Publish { signed: None, ..call("9", "", "north-map") }).await.1,
+            one(&mut client, spoofed).await,
+            pair("refused", "unreadable")
+        );
+        assert_eq!(
+            one(
+                &mut client,
+                Publish {
+                    signed: None,
+                    ..call("9", "", "north-map")
+                }
+            )
+            .await
+            .1,
             "unreadable"
         );
-        let ran: Vec<String> = stage.sent().into_iter().map(|(_, request, _)| request).collect();
+        let ran: Vec<String> = stage
+            .sent()
+            .into_iter()
+            .map(|(_, request, _)| request)
+            .collect();
         assert_eq!(ran, ["1", "3", "4"], "{tls}");
     }
 }
@@ -177,28 +250,56 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn the_brokers_users_are_directory_users() {
     let stage = Stage::new("broker").await;
-    let server = directory(&tree(&[("mai".into(), "north"), ("lan".into(), "south")]), false).await;
+    let server = directory(
+        &tree(&[("mai".into(), "north"), ("lan".into(), "south")]),
+        false,
+    )
+    .await;
     let mut config = stage.config(&[&server], "tls \"none\"", "");
     config.amqp[0].queues[0].identity = pipithub_consumer::identity::Rule::Broker;
     let _gateway = Gateway::start(&config);
-    let login = Login { user: "mai".into(), password: "m".into(), ..Login::default() };
+    let login = Login {
+        user: "mai".into(),
+        password: "m".into(),
+        ..Login::default()
+    };
     let mut client = QueueClient::start(&stage.broker.address().to_string(), login, "answers");
     let by = |id: &str, user: Option<&str>, function: &str| Publish {
         signed: None,
         user_id: user.map(str::to_string),
         ..call(id, "", function)
     };
-    assert_eq!(one(&mut client, by("1", Some("mai"), "north-map")).await, pair("served", "answered"));
-    assert_eq!(one(&mut client, by("2", Some("mai"), "south-map")).await, pair("refused", "other-tenant"));
-    assert_eq!(one(&mut client, by("3", None, "north-map")).await, pair("refused", "unreadable"));
+    assert_eq!(
+        one(&mut client, by("1", Some("mai"), "north-map")).await,
+        pair("served", "answered")
+    );
+    assert_eq!(
+        one(&mut client, by("2", Some("mai"), "south-map")).await,
+        pair("refused", "other-tenant")
+    );
+    assert_eq!(
+        one(&mut client, by("3", None, "north-map")).await,
+        pair("refused", "unreadable")
+    );
     // The broker takes no message under another's name: the channel ends, and the client's next call comes on a new one.
-    client.calls.send(by("4", Some("lan"), "south-map")).await.expect("running");
+    client
+        .calls
+        .send(by("4", Some("lan"), "south-map"))
+        .await
+        .expect("running");
     let end = tokio::time::Instant::now() + Duration::from_secs(30);
     loop {
-        client.calls.send(by("5", Some("mai"), "north-map")).await.expect("running");
+        client
+            .calls
+            .send(by("5", Some("mai"), "north-map"))
+            .await
+            .expect("running");
         match tokio::time::timeout(Duration::from_millis(500), client.answers.recv()).await {
             Ok(Some(answer)) => {
-                break assert_eq!((answer.id.as_str(), answer.verdict.as_str()), ("5", "served"));
+                break assert_eq!(
+                    (answer.id.as_str(), answer.verdict.as_str()),
+                    ("5", "served")
+                );
             }
             _ => assert!(tokio::time::Instant::now() < end, "no answer"),
         }
@@ -214,10 +315,14 @@
     let other = directory(&tree(&[("mai".into(), "south")]), true).await;
     let mut config = stage.config(&[&server], "tls \"ldaps\"", "");
     // The settings trust the first one's authority, and its address now leads to the second.
-    config.tenants.as_mut().expect("tenants").directories[0].servers[0].address = other.address().to_string();
+    config.tenants.as_mut().expect("tenants").directories[0].servers[0].address =
+        other.address().to_string();
     let _gateway = Gateway::start(&config);
     let mut client = stage.client();
-    assert_eq!(one(&mut client, call("1", "mai", "north-map")).await, pair("refused", "user-unknown"));
+    assert_eq!(
+        one(&mut client, call("1", "mai", "north-map")).await,
+        pair("refused", "user-unknown")
+    );
     assert_eq!((other.searches(), stage.sent().len()), (0, 0));
 }
 
@@ -232,7 +337,10 @@
     let config = stage.config(&[&server], "tls \"none\"", &more);
     let gateway = Gateway::start(&config);
     let mut client = stage.client();
-    assert_eq!(one(&mut client, call("1", "mai", "north-map")).await, pair("served", "answered"));
+    assert_eq!(
+        one(&mut client, call("1", "mai", "north-map")).await,
+        pair("served", "answered")
+    );
     let written = file.with_extension("fe");
     let end = tokio::time::Instant::now() + Duration::from_secs(30);
     // The first one may have been written before there was anything in it.
@@ -243,25 +351,42 @@
     gateway.stop().await;
     server.set_faults(|f| f.silent = true);
     let gateway = Gateway::start(&config);
-    assert_eq!(one(&mut client, call("2", "mai", "north-map")).await, pair("served", "answered"));
+    assert_eq!(
+        one(&mut client, call("2", "mai", "north-map")).await,
+        pair("served", "answered")
+    );
     gateway.stop().await;
     let mut bytes = std::fs::read(&written).expect("a snapshot");
     let at = bytes.len() - 40;
     bytes[at] ^= 1;
     std::fs::write(&written, bytes).expect("written");
     let _gateway = Gateway::start(&config);
-    assert_eq!(one(&mut client, call("3", "mai", "north-map")).await, pair("refused", "user-unknown"));
+    assert_eq!(
+        one(&mut client, call("3", "mai", "north-map")).await,
+        pair("refused", "user-unknown")
+    );
 }
 
 /// A followed directory tells of a move as it happens: the next call is on the new side, and a call that waits is not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_followed_directory_moves_users_at_once() {
     let stage = Stage::new("follow").await;
-    let server = directory(&tree(&[("mai".into(), "north"), ("lan".into(), "south")]), false).await;
-    let config = stage.config(&[&server], "tls \"none\"; follow #true; mark-attribute \"contextCSN\"", "");
+    let server = directory(
+        &tree(&[("mai".into(), "north"), ("lan".into(), "south")]),
+        false,
+    )
+    .await;
+    let config = stage.config(
+        &[&server],
+        "tls \"none\"; follow #true; mark-attribute \"contextCSN\"",
+        "",
+    );
     let _gateway = Gateway::start(&config);
     let mut client = stage.client();
-    assert_eq!(one(&mut client, call("1", "mai", "north-map")).await, pair("served", "answered"));
+    assert_eq!(
+        one(&mut client, call("1", "mai", "north-map")).await,
+        pair("served", "answered")
+    );
     assert!(server.move_to("uid=mai,ou=north,dc=example", "ou=south,dc=example"));
     let mut n = 2;
     let end = tokio::time::Instant::now() + Duration::from_secs(30);
@@ -274,9 +399,13 @@
         assert_eq!(told, pair("refused", "other-tenant"));
         assert!(tokio::time::Instant::now() < end, "never on the new side");
     }
-    assert_eq!(one(&mut client, call("last", "mai", "north-map")).await, pair("refused", "other-tenant"));
+    assert_eq!(
+        one(&mut client, call("last", "mai", "north-map")).await,
+        pair("refused", "other-tenant")
+    );
     assert!(server.delete("uid=lan,ou=south,dc=example"));
-    while one(&mut client, call(&format!("lan{n}"), "lan", "south-map")).await != pair("refused", "no-tenant")
+    while one(&mut client, call(&format!("lan{n}"), "lan", "south-map")).await
+        != pair("refused", "no-tenant")
     {
         n += 1;
         assert!(tokio::time::Instant::now() < end, "never gone");
@@ -291,16 +420,27 @@
     let directory = "tls \"none\"; poll \"1s\"; fresh \"10m\"; mark-attribute \"contextCSN\"";
     let _gateway = Gateway::start(&stage.config(&[&server], directory, ""));
     let mut client = stage.client();
-    assert_eq!(one(&mut client, call("1", "mai", "north-map")).await, pair("served", "answered"));
+    assert_eq!(
+        one(&mut client, call("1", "mai", "north-map")).await,
+        pair("served", "answered")
+    );
     assert!(server.move_to("uid=mai,ou=north,dc=example", "ou=south,dc=example"));
     let end = tokio::time::Instant::now() + Duration::from_secs(60);
     let mut n = 2;
-    while one(&mut client, call(&n.to_string(), "mai", "south-map")).await != pair("served", "answered") {
+    while one(&mut client, call(&n.to_string(), "mai", "south-map")).await
+        != pair("served", "answered")
+    {
         n += 1;
-        assert!(tokio::time::Instant::now() < end, "the move was never heard");
+        assert!(
+            tokio::time::Instant::now() < end,
+            "the move was never heard"
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    assert_eq!(one(&mut client, call("last", "mai", "north-map")).await, pair("refused", "other-tenant"));
+    assert_eq!(
+        one(&mut client, call("last", "mai", "north-map")).await,
+        pair("refused", "other-tenant")
+    );
 }
 
 /// A day of moves, directory faults and a stale replica, from a seed. Returns calls, calls sent, and crossings: sends to a
@@ -322,8 +462,10 @@
     let mut client = stage.client();
     let began = std::time::Instant::now();
     // When each user was on which side, by the newest server's word.
-    let mut history: BTreeMap<String, Vec<(u64, &str)>> =
-        users.iter().map(|(u, side)| (u.clone(), vec![(0, *side)])).collect();
+    let mut history: BTreeMap<String, Vec<(u64, &str)>> = users
+        .iter()
+        .map(|(u, side)| (u.clone(), vec![(0, *side)]))
+        .collect();
     let mut wanted: BTreeMap<String, (String, String)> = BTreeMap::new();
     let (mut sent, mut answered) = (0usize, 0usize);
     let mut stale = 0;
@@ -335,14 +477,26 @@
             answered += 1;
         }
         let user = chance.below(users.len());
-        let side = if chance.unit() < 0.1 { sides[chance.below(2)] } else { users[user].1 };
+        let side = if chance.unit() < 0.1 {
+            sides[chance.below(2)]
+        } else {
+            users[user].1
+        };
         let id = format!("{seed}-{sent}");
         wanted.insert(id.clone(), (users[user].0.clone(), side.to_string()));
-        client.calls.send(call(&id, &users[user].0, &format!("{side}-map"))).await.expect("running");
+        client
+            .calls
+            .send(call(&id, &users[user].0, &format!("{side}-map")))
+            .await
+            .expect("running");
         sent += 1;
         if chance.unit() < 0.02 {
             // Moved at one server; the other may not hear of it until its fault is over.
-            let to = if users[user].1 == "north" { "south" } else { "north" };
+            let to = if users[user].1 == "north" {
+                "south"
+            } else {
+                "north"
+            };
             let name = |side: &str| format!("uid={},ou={side},dc=example", users[user].0);
             for (n, server) in servers.iter().enumerate() {
                 if n != stale {
@@ -350,7 +504,10 @@
                 }
             }
             users[user].1 = to;
-            history.entry(users[user].0.clone()).or_default().push((wall_ns(), to));
+            history
+                .entry(users[user].0.clone())
+                .or_default()
+                .push((wall_ns(), to));
         }
         if began.elapsed().as_secs_f64() > next_fault {
             next_fault += 0.4;
@@ -400,7 +557,10 @@
 /// `PIPITHUB_SEEDS` sets how many days are run.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn no_call_crosses_tenants_on_days_of_moves_faults_and_stale_replicas() {
-    let seeds: u64 = std::env::var("PIPITHUB_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(4);
+    let seeds: u64 = std::env::var("PIPITHUB_SEEDS")
+        .ok()
+        .and_then(|s| s.parse().ok())
+        .unwrap_or(4);
     let mut days = tokio::task::JoinSet::new();
     let (mut calls, mut runs) = (0, 0);
     let mut crossings = Vec::new();
@@ -418,7 +578,13 @@
         (calls, runs) = (calls + sent, runs + ran);
         crossings.extend(crossed);
     }
-    println!("{seeds} days, {calls} calls, {runs} sent, {} crossings", crossings.len());
+    println!(
+        "{seeds} days, {calls} calls, {runs} sent, {} crossings",
+        crossings.len()
+    );
     assert!(crossings.is_empty(), "{crossings:?}");
-    assert!(runs * 2 > calls, "only {runs} of {calls} were sent: the days show nothing");
+    assert!(
+        runs * 2 > calls,
+        "only {runs} of {calls} were sent: the days show nothing"
+    );
 }
--- a/crates/pipithub-hollow/src/lib.rs
+++ b/crates/pipithub-hollow/src/lib.rs
@@ -60,8 +60,15 @@
             told.events.set(told.events.get() + 1);
             (told.taken)(event.index);
         });
-        let tasks = [tokio::task::spawn_local(follow), tokio::task::spawn_local(inner.clone().time())];
-        Hollow { inner, _coordinator: coordinator, tasks }
+        let tasks = [
+            tokio::task::spawn_local(follow),
+            tokio::task::spawn_local(inner.clone().time()),
+        ];
+        Hollow {
+            inner,
+            _coordinator: coordinator,
+            tasks,
+        }
     }
 
     /// The number of the last list event that the core has.
--- a/crates/pipithub-hollow/tests/growth.rs
+++ b/crates/pipithub-hollow/tests/growth.rs
@@ -11,7 +11,10 @@
 
 /// What was counted between the two.
 fn asked(before: Counts, after: Counts) -> (u64, u64) {
-    (after.connections - before.connections, after.asked_bytes - before.asked_bytes)
+    (
+        after.connections - before.connections,
+        after.asked_bytes - before.asked_bytes,
+    )
 }
 
 /// A minute has sixty comments; they come at once here.
@@ -32,14 +35,22 @@
             // What comes behind them has been read once they have.
             let changed = tier.replace(0);
             let index = coordinator.publish(false, &changed, &tier);
-            rig::until(|| front.last() == index && coordinator.counts().comments >= start.comments + 60)
-                .await;
-            (asked(Counts::default(), start), asked(start, coordinator.counts()))
+            rig::until(|| {
+                front.last() == index && coordinator.counts().comments >= start.comments + 60
+            })
+            .await;
+            (
+                asked(Counts::default(), start),
+                asked(start, coordinator.counts()),
+            )
         });
         seen.push(counted.await);
     }
     // One connection and one request with the list, of the same bytes; nothing after that.
-    assert!(seen.iter().all(|s| *s == ((1, seen[0].0.1), (0, 0))) && seen[0].0.1 > 0, "{seen:?}");
+    assert!(
+        seen.iter().all(|s| *s == ((1, seen[0].0.1), (0, 0))) && seen[0].0.1 > 0,
+        "{seen:?}"
+    );
 }
 
 /// What the front end tells of what it has is what keeps the list from being handed out anew.
@@ -71,10 +82,28 @@
         }
     }
     // Beyond names and numbers, which have the same length at any size here, but for their digits.
-    let most = |n| seen.iter().filter(|s| s.0 == n).map(|s| s.1).max().unwrap_or(0);
-    let least = |n| seen.iter().filter(|s| s.0 == n).map(|s| s.1).min().unwrap_or(0);
-    assert!(most(1) <= least(1) + 64 && most(10) <= least(10) + 10 * 64, "{seen:?}");
-    assert!(least(10) > 5 * least(1) / 2, "events are counted at all: {seen:?}");
+    let most = |n| {
+        seen.iter()
+            .filter(|s| s.0 == n)
+            .map(|s| s.1)
+            .max()
+            .unwrap_or(0)
+    };
+    let least = |n| {
+        seen.iter()
+            .filter(|s| s.0 == n)
+            .map(|s| s.1)
+            .min()
+            .unwrap_or(0)
+    };
+    assert!(
+        most(1) <= least(1) + 64 && most(10) <= least(10) + 10 * 64,
+        "{seen:?}"
+    );
+    assert!(
+        least(10) > 5 * least(1) / 2,
+        "events are counted at all: {seen:?}"
+    );
 }
 
 /// Machines come and go each day: what a front end keeps of them must not grow from day to day.
@@ -119,8 +148,16 @@
                 // It asks again from the last event that it could use.
                 rig::until(|| coordinator.counts().connections >= 3).await;
                 let requests = coordinator.requests();
-                assert!(requests[1..].iter().all(|r| r.contains("last-event-id: 1\r\n")), "{requests:?}");
-                assert_eq!((front.last(), front.show().matches("worker-").count()), (1, before));
+                assert!(
+                    requests[1..]
+                        .iter()
+                        .all(|r| r.contains("last-event-id: 1\r\n")),
+                    "{requests:?}"
+                );
+                assert_eq!(
+                    (front.last(), front.show().matches("worker-").count()),
+                    (1, before)
+                );
                 let changed = tier.replace(0);
                 coordinator.forget();
                 let index = coordinator.publish(false, &changed, &tier);
--- a/crates/pipithub-hollow/tests/rig/mod.rs
+++ b/crates/pipithub-hollow/tests/rig/mod.rs
@@ -25,7 +25,11 @@
 /// A coordinator whose comments come often, so that a busy machine does not let a stream look dead.
 pub fn coordinator() -> Coordinator {
     let comments = Some(Duration::from_millis(200));
-    Coordinator::start(Behaviour { comments, ..Behaviour::default() }).expect("listens")
+    Coordinator::start(Behaviour {
+        comments,
+        ..Behaviour::default()
+    })
+    .expect("listens")
 }
 
 /// A hollow front end of this coordinator.
@@ -42,7 +46,9 @@
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
-    tokio::time::timeout(Duration::from_secs(60), turns).await.expect("it never came to hold");
+    tokio::time::timeout(Duration::from_secs(60), turns)
+        .await
+        .expect("it never came to hold");
 }
 
 /// Hands out every worker of this tier, and waits until the front end has it.
