--- a/crates/pipithub-hollow/tests/same.rs
+++ b/crates/pipithub-hollow/tests/same.rs
@@ -15,12 +15,18 @@
 /// The text without what only tells how long a front end has run, which two cannot share: points in Unix time, and how
 /// often the core's own timer has been set anew. That they are there counts, and not which they are.
 fn without_times(text: &str) -> String {
-    let (before, timers) = text.split_once("timers: Timers {").expect("the engine has timers");
+    let (before, timers) = text
+        .split_once("timers: Timers {")
+        .expect("the engine has timers");
     let (timers, after) = timers.split_once('}').expect("they end");
     let asked = timers.split_once("asked: ").expect("their number").1.trim();
     let heap = without_points(timers).replace(&format!("(T, {asked}, "), "(T, N, ");
     let heap = heap.replace(&format!("asked: {asked}"), "asked: N");
-    format!("{}timers: Timers {{{heap}}}{}", without_points(before), without_points(after))
+    format!(
+        "{}timers: Timers {{{heap}}}{}",
+        without_points(before),
+        without_points(after)
+    )
 }
 
 /// Points in Unix time have 19 digits and begin so until the year 2033; a hash rarely does, and is then not compared.
@@ -73,15 +79,23 @@
 /// The names of the workers that the core knows, by the Debug text of its connections' table, sorted.
 fn known(text: &str) -> Vec<String> {
     let peers = text.split_once("peers: {").map_or("", |(_, rest)| rest);
-    let peers = peers.split_once("links: {").map_or(peers, |(peers, _)| peers);
-    let names = peers.split("Worker(\"").skip(1).filter_map(|t| Some(t.split_once('"')?.0.to_string()));
+    let peers = peers
+        .split_once("links: {")
+        .map_or(peers, |(peers, _)| peers);
+    let names = peers
+        .split("Worker(\"")
+        .skip(1)
+        .filter_map(|t| Some(t.split_once('"')?.0.to_string()));
     names.collect()
 }
 
 /// Waits until the core knows the tier's workers and no others: each event of the story changes that.
 async fn caught_up(text: impl Fn() -> String, tier: &Tier) {
-    let mut names: Vec<String> =
-        tier.hosts().iter().map(|h| h["host"].as_str().unwrap_or_default().to_string()).collect();
+    let mut names: Vec<String> = tier
+        .hosts()
+        .iter()
+        .map(|h| h["host"].as_str().unwrap_or_default().to_string())
+        .collect();
     names.sort();
     rig::until(|| known(&text()) == names).await;
 }
@@ -93,8 +107,15 @@
     let mut tier = Tier::new(210, 7);
     let state = if hollow {
         let front = Hollow::start(&NodeConfig::parse(&text).expect("good"), |_| {});
-        story(&coordinator, &mut tier, async |tier| caught_up(|| front.show(), tier).await).await;
-        assert_eq!(front.wanted(), 0, "the core wanted nothing that nobody does here");
+        story(&coordinator, &mut tier, async |tier| {
+            caught_up(|| front.show(), tier).await
+        })
+        .await;
+        assert_eq!(
+            front.wanted(),
+            0,
+            "the core wanted nothing that nobody does here"
+        );
         front.show()
     } else {
         let folder = tempfile::tempdir().expect("a folder");
@@ -103,23 +124,33 @@
         let node = Node::bind(&place, None).await.expect("starts");
         let shown = Rc::new(RefCell::new(None));
         let kept = shown.clone();
-        spawn_local(node.serve_sharing(move |core: Rc<RefCell<Core>>| *kept.borrow_mut() = Some(core)));
+        spawn_local(
+            node.serve_sharing(move |core: Rc<RefCell<Core>>| *kept.borrow_mut() = Some(core)),
+        );
         rig::until(|| shown.borrow().is_some()).await;
         let core = shown.borrow_mut().take().expect("shown");
-        story(&coordinator, &mut tier, async |tier| caught_up(|| format!("{:?}", core.borrow()), tier).await)
-            .await;
+        story(&coordinator, &mut tier, async |tier| {
+            caught_up(|| format!("{:?}", core.borrow()), tier).await
+        })
+        .await;
         let state = format!("{:?}", core.borrow());
         state
     };
     // Each has a coordinator of its own, whose port is all that may differ.
     let own = coordinator.address().to_string();
-    let requests = coordinator.requests().iter().map(|r| r.replace(&own, "COORDINATOR")).collect();
+    let requests = coordinator
+        .requests()
+        .iter()
+        .map(|r| r.replace(&own, "COORDINATOR"))
+        .collect();
     (requests, without_times(&state))
 }
 
 #[tokio::test]
 async fn a_hollow_front_end_asks_the_same_bytes_and_holds_the_same_state_as_the_real_shell() {
-    let (hollow, real) = LocalSet::new().run_until(async { (play(true).await, play(false).await) }).await;
+    let (hollow, real) = LocalSet::new()
+        .run_until(async { (play(true).await, play(false).await) })
+        .await;
     assert_eq!(hollow.0, real.0);
     assert!(
         hollow.0.len() >= 4,
@@ -127,13 +158,20 @@
         hollow.0
     );
     assert_eq!(known(&hollow.1).len(), 180);
-    assert!(hollow.1 == real.1, "{}", first_difference(&hollow.1, &real.1));
+    assert!(
+        hollow.1 == real.1,
+        "{}",
+        first_difference(&hollow.1, &real.1)
+    );
 }
 
 /// Where two texts part, with what stands around.
 fn first_difference(a: &str, b: &str) -> String {
     let at = a.bytes().zip(b.bytes()).take_while(|(x, y)| x == y).count();
-    let around =
-        |t: &str| t.get(at.saturating_sub(120)..(at + 120).min(t.len())).unwrap_or_default().to_string();
+    let around = |t: &str| {
+        t.get(at.saturating_sub(120)..(at + 120).min(t.len()))
+            .unwrap_or_default()
+            .to_string()
+    };
     format!("at byte {at}:\n{}\n{}", around(a), around(b))
 }
--- a/crates/pipithub-inference/src/lib.rs
+++ b/crates/pipithub-inference/src/lib.rs
@@ -68,7 +68,8 @@
             return Err(DeadlineReached);
         }
         self.headers.retain(|(name, _)| *name != header::TIMEOUT);
-        self.headers.push((header::TIMEOUT, milliseconds.to_string()));
+        self.headers
+            .push((header::TIMEOUT, milliseconds.to_string()));
         Ok(())
     }
 }
@@ -118,19 +119,34 @@
 /// The request of an attempt; `left`: how long an answer is of use.
 pub fn infer(call: &Call, id: AttemptId, front_end: &str, left: Time) -> WorkerRequest {
     let mut headers = vec![
-        (header::TIMEOUT, (left / NANOSECONDS_PER_MILLISECOND).to_string()),
+        (
+            header::TIMEOUT,
+            (left / NANOSECONDS_PER_MILLISECOND).to_string(),
+        ),
         (header::ATTEMPT, id.number.to_string()),
         (header::FRONT_END, value(front_end)),
         (header::MEMORY, call.memory_mb.to_string()),
         (header::LANES, call.lanes.to_string()),
-        ("content-type", call.content_type.as_deref().map_or("application/json".into(), plain_type)),
+        (
+            "content-type",
+            call.content_type
+                .as_deref()
+                .map_or("application/json".into(), plain_type),
+        ),
     ];
     match &call.label {
         Some(label) => headers.push((header::REQUEST, value(label))),
-        None => headers.push((header::REQUEST, format!("{}-{}", value(front_end), id.request))),
+        None => headers.push((
+            header::REQUEST,
+            format!("{}-{}", value(front_end), id.request),
+        )),
     }
     headers.extend(call.key.as_ref().map(|key| (header::KEY, value(key))));
-    WorkerRequest { get: false, path: format!("/v2/models/{}/infer", segment(&call.function)), headers }
+    WorkerRequest {
+        get: false,
+        path: format!("/v2/models/{}/infer", segment(&call.function)),
+        headers,
+    }
 }
 
 /// A content type that may stand in a header.
@@ -159,7 +175,11 @@
 /// The request of a probe.
 pub fn probe(front_end: &str) -> WorkerRequest {
     let headers = vec![(header::FRONT_END, value(front_end))];
-    WorkerRequest { get: true, path: "/v2/health/ready".into(), headers }
+    WorkerRequest {
+        get: true,
+        path: "/v2/health/ready".into(),
+        headers,
+    }
 }
 
 /// One line of the repository's index.
@@ -240,7 +260,9 @@
 
 /// The module's view of an ORCA report. What cannot be read counts as not told.
 pub fn load(report: &str) -> Load {
-    let Ok(report) = orca::Report::parse(report) else { return Load::default() };
+    let Ok(report) = orca::Report::parse(report) else {
+        return Load::default();
+    };
     Load {
         held: report.get("named_metrics.inflight"),
         busy: report.get("cpu_utilization"),
@@ -254,7 +276,9 @@
     use super::*;
 
     fn told(status: u16, headers: &[(&str, &'static str)]) -> Told {
-        outcome(status, |name| headers.iter().find(|(n, _)| *n == name).map(|(_, v)| *v))
+        outcome(status, |name| {
+            headers.iter().find(|(n, _)| *n == name).map(|(_, v)| *v)
+        })
     }
 
     #[test]
@@ -262,12 +286,23 @@
         let not_run = (header::RAN, "no");
         assert_eq!(told(200, &[]).outcome, Outcome::Served);
         assert_eq!(told(400, &[]).outcome, Outcome::Served);
-        assert_eq!(told(404, &[]).outcome, Outcome::Error, "what answered may not be the worker");
+        assert_eq!(
+            told(404, &[]).outcome,
+            Outcome::Error,
+            "what answered may not be the worker"
+        );
         assert_eq!(told(404, &[not_run]).outcome, Outcome::Absent);
         assert_eq!(told(429, &[]).outcome, Outcome::Full);
-        assert_eq!(told(503, &[]).outcome, Outcome::Error, "a proxy's 503 may hide a call that ran");
+        assert_eq!(
+            told(503, &[]).outcome,
+            Outcome::Error,
+            "a proxy's 503 may hide a call that ran"
+        );
         assert_eq!(told(503, &[not_run]).outcome, Outcome::Full);
-        assert_eq!(told(503, &[not_run, (header::COPY, "failed")]).outcome, Outcome::Absent);
+        assert_eq!(
+            told(503, &[not_run, (header::COPY, "failed")]).outcome,
+            Outcome::Absent
+        );
         assert_eq!(told(502, &[]).outcome, Outcome::Error);
         for status in 100..1000 {
             let never = told(status, &[]).outcome.never_ran();
@@ -278,14 +313,19 @@
     #[test]
     fn want_of_room_is_no_failed_load() {
         let told = |status, headers: &[(&str, &'static str)]| {
-            order_outcome(status, |name| headers.iter().find(|(n, _)| *n == name).map(|(_, v)| *v))
+            order_outcome(status, |name| {
+                headers.iter().find(|(n, _)| *n == name).map(|(_, v)| *v)
+            })
         };
         let not_run = (header::RAN, "no");
         assert_eq!(told(200, &[]), (Outcome::Served, 1));
         assert_eq!(told(200, &[(header::COPIES, "3")]), (Outcome::Served, 3));
         assert_eq!(told(429, &[(header::COPIES, "2")]), (Outcome::Full, 2));
         assert_eq!(told(503, &[not_run]), (Outcome::Full, 0));
-        assert_eq!(told(503, &[not_run, (header::COPY, "failed")]), (Outcome::Error, 0));
+        assert_eq!(
+            told(503, &[not_run, (header::COPY, "failed")]),
+            (Outcome::Error, 0)
+        );
         assert_eq!(told(500, &[]), (Outcome::Error, 0));
     }
 
@@ -296,24 +336,52 @@
             &[
                 (header::COPY, "began"),
                 (header::ALIKE, "3"),
-                (header::LOAD, "TEXT cpu_utilization=0.5,mem_utilization=0.25,named_metrics.inflight=7"),
+                (
+                    header::LOAD,
+                    "TEXT cpu_utilization=0.5,mem_utilization=0.25,named_metrics.inflight=7",
+                ),
             ],
         );
         assert_eq!((told.note, told.alike), (Some(CopyNote::Began), Some(3)));
-        let load = Load { held: Some(7.0), busy: Some(0.5), memory_tied: Some(0.25), loads: None };
+        let load = Load {
+            held: Some(7.0),
+            busy: Some(0.5),
+            memory_tied: Some(0.25),
+            loads: None,
+        };
         assert_eq!(told.load, load);
     }
 
     #[test]
     fn any_name_makes_a_path_and_comes_back() {
         for name in ["resnet", "../admin", "a b/ü%", "", ".", "x?y#z"] {
-            let call = Call { function: name.into(), label: Some("ü\r\nx: y".into()), ..Call::default() };
-            let request = infer(&call, AttemptId { request: 1, number: 2 }, "fe", 1_500_000);
-            let segment = request.path.strip_prefix("/v2/models/").and_then(|p| p.strip_suffix("/infer"));
+            let call = Call {
+                function: name.into(),
+                label: Some("ü\r\nx: y".into()),
+                ..Call::default()
+            };
+            let request = infer(
+                &call,
+                AttemptId {
+                    request: 1,
+                    number: 2,
+                },
+                "fe",
+                1_500_000,
+            );
+            let segment = request
+                .path
+                .strip_prefix("/v2/models/")
+                .and_then(|p| p.strip_suffix("/infer"));
             let segment = segment.expect("one segment");
             assert!(!segment.contains(['/', '?', '#', ' ']) && segment != ".." && segment != ".");
             assert_eq!(unescape(segment).as_deref(), Some(name));
-            assert!(request.headers.iter().all(|(_, v)| v.bytes().all(|b| (0x20..0x7f).contains(&b))));
+            assert!(
+                request
+                    .headers
+                    .iter()
+                    .all(|(_, v)| v.bytes().all(|b| (0x20..0x7f).contains(&b)))
+            );
             assert!(request.headers.contains(&(header::TIMEOUT, "1".into())));
         }
         assert_eq!(unescape("%zz"), None);
--- a/crates/pipithub-inference/src/orca.rs
+++ b/crates/pipithub-inference/src/orca.rs
@@ -22,23 +22,30 @@
 pub struct Report(BTreeMap<String, f64>);
 
 fn pair<'a>(input: &mut &'a str) -> Result<(&'a str, f64), EmptyError> {
-    let name = take_while(1.., |c: char| c.is_ascii_alphanumeric() || "._-".contains(c));
-    let number =
-        take_while(1.., |c: char| c.is_ascii_digit() || "+-.eE".contains(c)).try_map(str::parse::<f64>);
+    let name = take_while(1.., |c: char| {
+        c.is_ascii_alphanumeric() || "._-".contains(c)
+    });
+    let number = take_while(1.., |c: char| c.is_ascii_digit() || "+-.eE".contains(c))
+        .try_map(str::parse::<f64>);
     separated_pair(name, delimited(space0, '=', space0), number).parse_next(input)
 }
 
 fn text(input: &str) -> Option<Vec<(&str, f64)>> {
     let comma = delimited(space0, ',', space0);
     let parsed: Result<Vec<(&str, f64)>, _> =
-        delimited(space0, separated(0..=MOST, pair, comma), space0).parse(input).map_err(|_| Unreadable);
+        delimited(space0, separated(0..=MOST, pair, comma), space0)
+            .parse(input)
+            .map_err(|_| Unreadable);
     parsed.ok()
 }
 
 impl Report {
     /// A metric, where it is a finite number that is not negative.
     pub fn get(&self, name: &str) -> Option<f64> {
-        self.0.get(name).copied().filter(|v| v.is_finite() && *v >= 0.0)
+        self.0
+            .get(name)
+            .copied()
+            .filter(|v| v.is_finite() && *v >= 0.0)
     }
 
     /// Sets a metric.
@@ -52,7 +59,9 @@
         match format {
             "TEXT" => {
                 let pairs = text(rest).ok_or(Unreadable)?;
-                Ok(Report(pairs.into_iter().map(|(n, v)| (n.to_string(), v)).collect()))
+                Ok(Report(
+                    pairs.into_iter().map(|(n, v)| (n.to_string(), v)).collect(),
+                ))
             }
             "JSON" => {
                 let all: serde_json::Map<String, serde_json::Value> =
@@ -99,9 +108,17 @@
 
     #[test]
     fn both_forms_are_read() {
-        let text = Report::parse("TEXT cpu_utilization=0.3, named_metrics.inflight = 2e0").expect("text");
-        assert_eq!((text.get("cpu_utilization"), text.get("named_metrics.inflight")), (Some(0.3), Some(2.0)));
-        let json = r#"JSON {"cpu_utilization": 0.3, "named_metrics": {"inflight": 2, "x": "y"}, "z": []}"#;
+        let text =
+            Report::parse("TEXT cpu_utilization=0.3, named_metrics.inflight = 2e0").expect("text");
+        assert_eq!(
+            (
+                text.get("cpu_utilization"),
+                text.get("named_metrics.inflight")
+            ),
+            (Some(0.3), Some(2.0))
+        );
+        let json =
+            r#"JSON {"cpu_utilization": 0.3, "named_metrics": {"inflight": 2, "x": "y"}, "z": []}"#;
         assert_eq!(Report::parse(json), Ok(text.clone()));
         assert_eq!(Report::parse(&text.to_text()), Ok(text));
         assert_eq!(Report::parse("TEXT"), Ok(Report::default()));
@@ -124,7 +141,10 @@
         }
         let odd = Report::parse("TEXT a=-1,b=1e999").expect("numbers");
         assert_eq!((odd.get("a"), odd.get("b")), (None, None));
-        let many = (0..100).map(|n| format!("m{n}=1")).collect::<Vec<_>>().join(",");
+        let many = (0..100)
+            .map(|n| format!("m{n}=1"))
+            .collect::<Vec<_>>()
+            .join(",");
         assert_eq!(Report::parse(&format!("TEXT {many}")), Err(Unreadable));
     }
 }
--- a/crates/pipithub-inference/tests/timeout.rs
+++ b/crates/pipithub-inference/tests/timeout.rs
@@ -6,18 +6,38 @@
 const MILLISECOND: u64 = 1_000_000;
 
 fn request(left: u64) -> WorkerRequest {
-    infer(&Call { function: "f".into(), ..Call::default() }, AttemptId { request: 1, number: 0 }, "fe", left)
+    infer(
+        &Call {
+            function: "f".into(),
+            ..Call::default()
+        },
+        AttemptId {
+            request: 1,
+            number: 0,
+        },
+        "fe",
+        left,
+    )
 }
 
 fn timeouts(request: &WorkerRequest) -> Vec<&str> {
-    request.headers.iter().filter(|(name, _)| *name == header::TIMEOUT).map(|(_, v)| v.as_str()).collect()
+    request
+        .headers
+        .iter()
+        .filter(|(name, _)| *name == header::TIMEOUT)
+        .map(|(_, v)| v.as_str())
+        .collect()
 }
 
 #[test]
 fn a_request_that_waited_tells_what_is_left_then() {
     let mut request = request(1_500 * MILLISECOND);
     assert_eq!(request.set_timeout(1_260 * MILLISECOND), Ok(()));
-    assert_eq!(timeouts(&request), ["1260"], "told once, with the newer figure");
+    assert_eq!(
+        timeouts(&request),
+        ["1260"],
+        "told once, with the newer figure"
+    );
     assert_eq!(request.set_timeout(900 * MILLISECOND + 999_999), Ok(()));
     assert_eq!(timeouts(&request), ["900"], "never more than is left");
 }
@@ -25,7 +45,11 @@
 #[test]
 fn a_request_with_nothing_left_to_tell_is_refused() {
     for left in [0, 1, MILLISECOND - 1] {
-        assert_eq!(request(MILLISECOND).set_timeout(left), Err(DeadlineReached), "{left} ns");
+        assert_eq!(
+            request(MILLISECOND).set_timeout(left),
+            Err(DeadlineReached),
+            "{left} ns"
+        );
     }
     let mut request = request(MILLISECOND);
     assert_eq!(request.set_timeout(MILLISECOND), Ok(()));
--- a/crates/pipithub-ldap/src/client.rs
+++ b/crates/pipithub-ldap/src/client.rs
@@ -7,9 +7,9 @@
 
 use bytes::{Bytes, BytesMut};
 use rasn_ldap::{
-    AbandonRequest, AuthenticationChoice, BindRequest, Control, ExtendedRequest, Filter, LdapMessage,
-    LdapResult, ProtocolOp, ResultCode, SearchRequest, SearchRequestDerefAliases, SearchRequestScope,
-    SearchResultEntry, UnbindRequest,
+    AbandonRequest, AuthenticationChoice, BindRequest, Control, ExtendedRequest, Filter,
+    LdapMessage, LdapResult, ProtocolOp, ResultCode, SearchRequest, SearchRequestDerefAliases,
+    SearchRequestScope, SearchResultEntry, UnbindRequest,
 };
 
 use crate::frame::{Framer, encode};
@@ -31,7 +31,12 @@
 
 impl Default for ClientSettings {
     fn default() -> Self {
-        ClientSettings { start_tls: false, bind: None, max_message: 1 << 20, max_searches: 64 }
+        ClientSettings {
+            start_tls: false,
+            bind: None,
+            max_message: 1 << 20,
+            max_searches: 64,
+        }
     }
 }
 
@@ -72,13 +77,17 @@
 impl Entry {
     /// The values of an attribute; names are compared without regard to case.
     pub fn values(&self, attribute: &str) -> impl Iterator<Item = &[u8]> {
-        let named = self.attributes.iter().filter(move |(name, _)| name.eq_ignore_ascii_case(attribute));
+        let named = self
+            .attributes
+            .iter()
+            .filter(move |(name, _)| name.eq_ignore_ascii_case(attribute));
         named.flat_map(|(_, values)| values.iter().map(|v| &v[..]))
     }
 
     /// The first value of an attribute, as text.
     pub fn text(&self, attribute: &str) -> Option<&str> {
-        self.values(attribute).find_map(|v| std::str::from_utf8(v).ok())
+        self.values(attribute)
+            .find_map(|v| std::str::from_utf8(v).ok())
     }
 }
 
@@ -180,8 +189,10 @@
             return;
         };
         let choice = AuthenticationChoice::Simple(password.into());
-        let id =
-            self.send(ProtocolOp::BindRequest(BindRequest::new(3, name.as_str().into(), choice)), Vec::new());
+        let id = self.send(
+            ProtocolOp::BindRequest(BindRequest::new(3, name.as_str().into(), choice)),
+            Vec::new(),
+        );
         self.phase = Phase::Binding(id);
     }
 
@@ -223,7 +234,11 @@
             search.time_limit,
             false,
             search.filter,
-            search.attributes.iter().map(|a| a.as_str().into()).collect(),
+            search
+                .attributes
+                .iter()
+                .map(|a| a.as_str().into())
+                .collect(),
         );
         let id = self.send(ProtocolOp::SearchRequest(request), search.controls);
         self.searches.insert(id, ());
@@ -283,27 +298,40 @@
             (ProtocolOp::ExtendedResp(r), _) if id == 0 => {
                 let notice = r.response_name.as_deref() == Some(oid::NOTICE_OF_DISCONNECTION);
                 let words = &r.diagnostic_message.0;
-                let what = if notice { "the server ends the connection" } else { "an unsolicited message" };
+                let what = if notice {
+                    "the server ends the connection"
+                } else {
+                    "an unsolicited message"
+                };
                 self.over(format!("{what}: {:?} {words}", r.result_code));
             }
-            (ProtocolOp::ExtendedResp(r), Phase::StartTls(asked)) if id == asked => match r.result_code {
-                ResultCode::Success => {
-                    self.phase = Phase::Handshake;
-                    self.events.push_back(Event::BeginTls);
+            (ProtocolOp::ExtendedResp(r), Phase::StartTls(asked)) if id == asked => {
+                match r.result_code {
+                    ResultCode::Success => {
+                        self.phase = Phase::Handshake;
+                        self.events.push_back(Event::BeginTls);
+                    }
+                    code => self.over(format!(
+                        "StartTLS refused: {code:?} {}",
+                        r.diagnostic_message.0
+                    )),
                 }
-                code => self.over(format!("StartTLS refused: {code:?} {}", r.diagnostic_message.0)),
-            },
-            (ProtocolOp::BindResponse(r), Phase::Binding(asked)) if id == asked => match r.result_code {
-                ResultCode::Success => {
-                    self.phase = Phase::Ready;
-                    self.events.push_back(Event::Ready);
+            }
+            (ProtocolOp::BindResponse(r), Phase::Binding(asked)) if id == asked => {
+                match r.result_code {
+                    ResultCode::Success => {
+                        self.phase = Phase::Ready;
+                        self.events.push_back(Event::Ready);
+                    }
+                    code => self.over(format!("bind refused: {code:?} {}", r.diagnostic_message.0)),
                 }
-                code => self.over(format!("bind refused: {code:?} {}", r.diagnostic_message.0)),
-            },
+            }
             (ProtocolOp::SearchResEntry(entry), Phase::Ready) => {
                 if self.searches.contains_key(&id) {
                     match self::entry(entry, controls.as_ref()) {
-                        Ok(entry) => self.events.push_back(Event::Entry(SearchId(id), Box::new(entry))),
+                        Ok(entry) => self
+                            .events
+                            .push_back(Event::Entry(SearchId(id), Box::new(entry))),
                         Err(why) => self.over(why),
                     }
                 }
@@ -343,16 +371,33 @@
     let dn = Dn::parse(&told.object_name.0).map_err(|e| e.to_string())?;
     let attributes = told.attributes.into_iter();
     let attributes = attributes.map(|a| {
-        (a.r#type.0.clone(), a.vals.to_vec().into_iter().map(|v| Bytes::copy_from_slice(v)).collect())
+        (
+            a.r#type.0.clone(),
+            a.vals
+                .to_vec()
+                .into_iter()
+                .map(|v| Bytes::copy_from_slice(v))
+                .collect(),
+        )
     });
-    Ok(Entry { dn, attributes: attributes.collect(), state: sync::read_state(controls) })
+    Ok(Entry {
+        dn,
+        attributes: attributes.collect(),
+        state: sync::read_state(controls),
+    })
 }
 
 fn outcome(result: LdapResult, controls: Option<&Vec<Control>>) -> Outcome {
     Outcome {
         code: result.result_code,
         message: result.diagnostic_message.0.chars().take(200).collect(),
-        referrals: result.referral.unwrap_or_default().into_iter().map(|u| u.0).take(16).collect(),
+        referrals: result
+            .referral
+            .unwrap_or_default()
+            .into_iter()
+            .map(|u| u.0)
+            .take(16)
+            .collect(),
         page: sync::read_paged(controls).map(|p| p.1),
         sync: sync::read_done(controls),
     }
--- a/crates/pipithub-ldap/src/dn.rs
+++ b/crates/pipithub-ldap/src/dn.rs
@@ -30,7 +30,10 @@
 impl Dn {
     /// Reads a name.
     pub fn parse(text: &str) -> Result<Dn, NoDn> {
-        let no = |why| NoDn { text: text.chars().take(80).collect(), why };
+        let no = |why| NoDn {
+            text: text.chars().take(80).collect(),
+            why,
+        };
         if text.len() > LONGEST {
             return Err(no("it is too long"));
         }
@@ -39,13 +42,17 @@
         }
         let parts: Vec<Vec<(String, String)>> = separated(1.., rdn, separator(','))
             .parse(text.trim_start_matches(' '))
-            .map_err(|_| no("parts are 'type=value', set apart by commas, special characters escaped"))?;
+            .map_err(|_| {
+                no("parts are 'type=value', set apart by commas, special characters escaped")
+            })?;
         if parts.len() > PARTS_MOST {
             return Err(no("it has too many parts"));
         }
         let part = |pairs: Vec<(String, String)>| {
-            let mut pairs: Vec<String> =
-                pairs.iter().map(|(t, v)| format!("{}={}", fold(t), escaped(&fold(v)))).collect();
+            let mut pairs: Vec<String> = pairs
+                .iter()
+                .map(|(t, v)| format!("{}={}", fold(t), escaped(&fold(v))))
+                .collect();
             pairs.sort();
             pairs.join("+").into_boxed_str()
         };
@@ -122,7 +129,11 @@
 }
 
 fn separator(c: char) -> impl FnMut(&mut &str) -> Result<(), ContextError> {
-    move |input| (take_while(0.., ' '), c, take_while(0.., ' ')).void().parse_next(input)
+    move |input| {
+        (take_while(0.., ' '), c, take_while(0.., ' '))
+            .void()
+            .parse_next(input)
+    }
 }
 
 fn rdn(input: &mut &str) -> Result<Vec<(String, String)>, ContextError> {
@@ -130,8 +141,10 @@
 }
 
 fn pair(input: &mut &str) -> Result<(String, String), ContextError> {
-    let kind: &str =
-        take_while(1.., |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '.').parse_next(input)?;
+    let kind: &str = take_while(1.., |c: char| {
+        c.is_ascii_alphanumeric() || c == '-' || c == '.'
+    })
+    .parse_next(input)?;
     separator('=')(input)?;
     let value = alt((hex_string, value)).parse_next(input)?;
     Ok((kind.to_string(), value))
@@ -139,7 +152,10 @@
 
 /// `#` and the BER encoding in hexadecimal; kept as it is written.
 fn hex_string(input: &mut &str) -> Result<String, ContextError> {
-    ('#', take_while(2.., |c: char| c.is_ascii_hexdigit())).take().map(str::to_string).parse_next(input)
+    ('#', take_while(2.., |c: char| c.is_ascii_hexdigit()))
+        .take()
+        .map(str::to_string)
+        .parse_next(input)
 }
 
 fn value(input: &mut &str) -> Result<String, ContextError> {
@@ -159,18 +175,23 @@
 /// Bytes of a value: a character as it is, or an escaped one.
 fn piece(input: &mut &str) -> Result<Vec<u8>, ContextError> {
     let escape = ('\\', alt((hex_pair, special)));
-    let plain = any.verify(|c: &char| !matches!(c, '"' | '+' | ',' | ';' | '<' | '>' | '\\' | '\0'));
+    let plain =
+        any.verify(|c: &char| !matches!(c, '"' | '+' | ',' | ';' | '<' | '>' | '\\' | '\0'));
     let plain = plain.map(|c: char| c.to_string().into_bytes());
     alt((escape.map(|(_, b)| b), plain)).parse_next(input)
 }
 
 fn hex_pair(input: &mut &str) -> Result<Vec<u8>, ContextError> {
     let hex = take_while(2..=2, |c: char| c.is_ascii_hexdigit()).parse_next(input)?;
-    u8::from_str_radix(hex, 16).map(|b| vec![b]).map_err(|_| ContextError::new())
+    u8::from_str_radix(hex, 16)
+        .map(|b| vec![b])
+        .map_err(|_| ContextError::new())
 }
 
 fn special(input: &mut &str) -> Result<Vec<u8>, ContextError> {
-    one_of(['"', '+', ',', ';', '<', '>', '\\', ' ', '#', '=']).map(|c: char| vec![c as u8]).parse_next(input)
+    one_of(['"', '+', ',', ';', '<', '>', '\\', ' ', '#', '='])
+        .map(|c: char| vec![c as u8])
+        .parse_next(input)
 }
 
 #[cfg(test)]
@@ -183,10 +204,20 @@
 
     #[test]
     fn equal_names_are_equal() {
-        assert_eq!(dn("UID=Mai,  OU=North ,dc=Example"), dn("uid=mai,ou=north,dc=example"));
-        assert_eq!(dn("cn=James \\\"Jim\\\" Smith\\, III"), dn("CN=james \\22jim\\22 smith\\2C iii"));
+        assert_eq!(
+            dn("UID=Mai,  OU=North ,dc=Example"),
+            dn("uid=mai,ou=north,dc=example")
+        );
+        assert_eq!(
+            dn("cn=James \\\"Jim\\\" Smith\\, III"),
+            dn("CN=james \\22jim\\22 smith\\2C iii")
+        );
         assert_eq!(dn("a=1+b=2,dc=x"), dn("B=2+A=1,DC=x"));
-        assert_ne!(dn("cn=a\\,ou=north"), dn("cn=a,ou=north"), "an escaped comma is no boundary");
+        assert_ne!(
+            dn("cn=a\\,ou=north"),
+            dn("cn=a,ou=north"),
+            "an escaped comma is no boundary"
+        );
         assert_eq!(dn(""), Dn::default());
         assert_eq!(dn("cn=Lu\\C4\\8Di\\C4\\87"), dn("cn=Lučić"));
     }
@@ -196,13 +227,18 @@
         let north = dn("ou=north,dc=example");
         assert!(dn("uid=a,ou=north,dc=example").is_within(&north) && north.is_within(&north));
         assert!(!dn("uid=a,ou=south-ou=north,dc=example").is_within(&north));
-        assert!(!dn("uid=a\\,ou=north,dc=example").is_within(&north), "the value holds the text of a part");
+        assert!(
+            !dn("uid=a\\,ou=north,dc=example").is_within(&north),
+            "the value holds the text of a part"
+        );
         assert!(!dn("dc=example").is_within(&north));
     }
 
     #[test]
     fn what_is_no_name_is_refused() {
-        for bad in ["x", "=x", "a=1,", "a=1,,b=2", "a=\\", "a=\\zz", "a=b\"c", "a=\\ff", ",a=1"] {
+        for bad in [
+            "x", "=x", "a=1,", "a=1,,b=2", "a=\\", "a=\\zz", "a=b\"c", "a=\\ff", ",a=1",
+        ] {
             assert!(Dn::parse(bad).is_err(), "{bad}");
         }
         assert!(Dn::parse(&format!("a={}", "x".repeat(LONGEST))).is_err());
@@ -212,7 +248,13 @@
     #[test]
     fn moves() {
         let from = dn("uid=mai,ou=north,dc=example");
-        assert_eq!(from.moved(None, Some(&dn("ou=south,dc=example"))), dn("uid=mai,ou=south,dc=example"));
-        assert_eq!(from.moved(Some(&dn("uid=may")), None), dn("uid=may,ou=north,dc=example"));
+        assert_eq!(
+            from.moved(None, Some(&dn("ou=south,dc=example"))),
+            dn("uid=mai,ou=south,dc=example")
+        );
+        assert_eq!(
+            from.moved(Some(&dn("uid=may")), None),
+            dn("uid=may,ou=north,dc=example")
+        );
     }
 }
--- a/crates/pipithub-ldap/src/filter.rs
+++ b/crates/pipithub-ldap/src/filter.rs
@@ -42,9 +42,17 @@
 }
 
 /// Any of these names, and the operator's own filter where there is one.
-pub fn any_of<'a>(attribute: &str, names: impl Iterator<Item = &'a str>, also: Option<&Filter>) -> Filter {
+pub fn any_of<'a>(
+    attribute: &str,
+    names: impl Iterator<Item = &'a str>,
+    also: Option<&Filter>,
+) -> Filter {
     let mut names: Vec<Filter> = names.map(|name| equal(attribute, name)).collect();
-    let names = if names.len() == 1 { names.remove(0) } else { Filter::Or(SetOf::from_vec(names)) };
+    let names = if names.len() == 1 {
+        names.remove(0)
+    } else {
+        Filter::Or(SetOf::from_vec(names))
+    };
     match also {
         Some(also) => and(vec![also.clone(), names]),
         None => names,
@@ -61,7 +69,9 @@
     if text.len() > LONGEST {
         return Err(no());
     }
-    (|input: &mut &str| whole(input, DEPTH_MOST)).parse(text.trim()).map_err(|_| no())
+    (|input: &mut &str| whole(input, DEPTH_MOST))
+        .parse(text.trim())
+        .map_err(|_| no())
 }
 
 fn whole(input: &mut &str, depth: usize) -> Result<Filter, ContextError> {
@@ -77,10 +87,14 @@
     };
     match input.chars().next() {
         Some('&') => ('&', list).map(|(_, l)| and(l)).parse_next(input),
-        Some('|') => ('|', list).map(|(_, l)| Filter::Or(SetOf::from_vec(l))).parse_next(input),
+        Some('|') => ('|', list)
+            .map(|(_, l)| Filter::Or(SetOf::from_vec(l)))
+            .parse_next(input),
         Some('!') => {
             let negated = |input: &mut &str| whole(input, depth);
-            ('!', negated).map(|(_, f)| Filter::Not(Box::new(f))).parse_next(input)
+            ('!', negated)
+                .map(|(_, f)| Filter::Not(Box::new(f)))
+                .parse_next(input)
         }
         _ => item(input),
     }
@@ -90,7 +104,8 @@
     let kind = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '.' | ';');
     let attribute: &str = take_while(1.., kind).parse_next(input)?;
     let relation = alt(("=", ">=", "<=", "~=")).parse_next(input)?;
-    let pieces: Vec<Vec<u8>> = winnow::combinator::separated(1..=64, value, '*').parse_next(input)?;
+    let pieces: Vec<Vec<u8>> =
+        winnow::combinator::separated(1..=64, value, '*').parse_next(input)?;
     if pieces.len() == 1 {
         let assertion = assertion(attribute, &pieces[0]);
         return Ok(match relation {
@@ -118,7 +133,10 @@
         _ => Some(SubstringChoice::Any(piece.into())),
     };
     let choices = pieces.into_iter().enumerate().filter_map(choice).collect();
-    Ok(Filter::Substrings(SubstringFilter::new(attribute.into(), choices)))
+    Ok(Filter::Substrings(SubstringFilter::new(
+        attribute.into(),
+        choices,
+    )))
 }
 
 fn value(input: &mut &str) -> Result<Vec<u8>, ContextError> {
@@ -144,12 +162,25 @@
         assert_eq!(parse("(uid=mai)"), Ok(equal("uid", "mai")));
         assert_eq!(parse("(cn=a\\2ab\\28)"), Ok(equal("cn", "a*b(")));
         assert_eq!(parse("(objectClass=*)"), Ok(all()));
-        assert!(matches!(parse("(&(a=1)(|(b=2)(!(c=3))))"), Ok(Filter::And(_))));
-        let Ok(Filter::Substrings(s)) = parse("(cn=a*b*c)") else { panic!("substrings") };
+        assert!(matches!(
+            parse("(&(a=1)(|(b=2)(!(c=3))))"),
+            Ok(Filter::And(_))
+        ));
+        let Ok(Filter::Substrings(s)) = parse("(cn=a*b*c)") else {
+            panic!("substrings")
+        };
         assert_eq!(s.substrings.len(), 3);
-        for bad in
-            ["", "uid=mai", "(uid=mai", "(uid=a)(b=c)", "(&)", "(uid=a\\2)", "(=x)", "(a>=x*y)", "(a=**)"]
-        {
+        for bad in [
+            "",
+            "uid=mai",
+            "(uid=mai",
+            "(uid=a)(b=c)",
+            "(&)",
+            "(uid=a\\2)",
+            "(=x)",
+            "(a>=x*y)",
+            "(a=**)",
+        ] {
             assert!(parse(bad).is_err(), "{bad}");
         }
         assert!(parse(&format!("{}(a=1){}", "(!".repeat(1000), ")".repeat(1000))).is_err());
@@ -159,7 +190,9 @@
     #[test]
     fn a_name_cannot_change_the_filter() {
         let name = "*)(uid=*))(|(uid=*";
-        let Filter::EqualityMatch(a) = any_of("uid", [name].into_iter(), None) else { panic!("an equality") };
+        let Filter::EqualityMatch(a) = any_of("uid", [name].into_iter(), None) else {
+            panic!("an equality")
+        };
         assert_eq!(&a.assertion_value[..], name.as_bytes());
     }
 }
--- a/crates/pipithub-ldap/src/frame.rs
+++ b/crates/pipithub-ldap/src/frame.rs
@@ -44,7 +44,9 @@
 
 /// Reads a head; `None`: there are not enough bytes yet.
 fn head(bytes: &[u8]) -> Result<Option<Head>, Malformed> {
-    let Some(&first) = bytes.first() else { return Ok(None) };
+    let Some(&first) = bytes.first() else {
+        return Ok(None);
+    };
     let mut at = 1;
     if first & 0x1f == 0x1f {
         // No tag of LDAP needs this form with more than one byte.
@@ -54,7 +56,9 @@
             Some(_) => at = 2,
         }
     }
-    let Some(&short) = bytes.get(at) else { return Ok(None) };
+    let Some(&short) = bytes.get(at) else {
+        return Ok(None);
+    };
     at += 1;
     let mut length = usize::from(short);
     if short & 0x80 != 0 {
@@ -62,11 +66,17 @@
         if count == 0 || count > 4 {
             return Err(Malformed::Length);
         }
-        let Some(rest) = bytes.get(at..at + count) else { return Ok(None) };
+        let Some(rest) = bytes.get(at..at + count) else {
+            return Ok(None);
+        };
         length = rest.iter().fold(0, |n, b| n << 8 | usize::from(*b));
         at += count;
     }
-    Ok(Some(Head { size: at, length, constructed: first & 0x20 != 0 }))
+    Ok(Some(Head {
+        size: at,
+        length,
+        constructed: first & 0x20 != 0,
+    }))
 }
 
 /// Walks all values of a message without recursion.
@@ -78,7 +88,9 @@
             ends.pop();
         }
         let end = ends.last().copied().unwrap_or(message.len());
-        let Some(head) = head(&message[at..end])? else { return Err(Malformed::Overrun) };
+        let Some(head) = head(&message[at..end])? else {
+            return Err(Malformed::Overrun);
+        };
         let content = at + head.size;
         if head.length > end - content {
             return Err(Malformed::Overrun);
@@ -106,7 +118,10 @@
 impl Framer {
     /// Takes messages of up to this many bytes.
     pub fn new(most: usize) -> Self {
-        Framer { buffer: BytesMut::new(), most }
+        Framer {
+            buffer: BytesMut::new(),
+            most,
+        }
     }
 
     /// More bytes have come.
@@ -126,10 +141,15 @@
             Some(0x30) => {}
             Some(other) => return Err(Malformed::Start(*other)),
         }
-        let Some(head) = head(&self.buffer)? else { return Ok(None) };
+        let Some(head) = head(&self.buffer)? else {
+            return Ok(None);
+        };
         // Before it is all here: nothing is kept for a length that is only claimed.
         if head.length > self.most {
-            return Err(Malformed::TooLong { claimed: head.length, most: self.most });
+            return Err(Malformed::TooLong {
+                claimed: head.length,
+                most: self.most,
+            });
         }
         let whole = head.size + head.length;
         if self.buffer.len() < whole {
--- a/crates/pipithub-ldap/src/ldif.rs
+++ b/crates/pipithub-ldap/src/ldif.rs
@@ -29,7 +29,10 @@
 /// Reads all entries of a file. Values by URL (`:<`) are refused: a tree must not have other files read.
 pub fn read(text: &str) -> Result<Vec<Record>, NoLdif> {
     if text.len() > LONGEST {
-        return Err(NoLdif { line: 1, why: format!("a file has up to {LONGEST} bytes") });
+        return Err(NoLdif {
+            line: 1,
+            why: format!("a file has up to {LONGEST} bytes"),
+        });
     }
     let mut lines: Vec<(usize, String)> = Vec::new();
     for (n, line) in text.lines().enumerate() {
@@ -37,7 +40,12 @@
         match (line.strip_prefix(' '), lines.last_mut()) {
             // A line that begins with a space goes on with the one before it; a comment may go on too.
             (Some(rest), Some((_, before))) if !before.is_empty() => before.push_str(rest),
-            (Some(_), _) => return Err(NoLdif { line: n + 1, why: "nothing to go on with".into() }),
+            (Some(_), _) => {
+                return Err(NoLdif {
+                    line: n + 1,
+                    why: "nothing to go on with".into(),
+                });
+            }
             (None, _) => lines.push((n + 1, line.to_string())),
         }
     }
@@ -50,8 +58,9 @@
             open = false;
             continue;
         }
-        let (name, rest) =
-            line.split_once(':').ok_or_else(|| no("neither 'name: value' nor empty".into()))?;
+        let (name, rest) = line
+            .split_once(':')
+            .ok_or_else(|| no("neither 'name: value' nor empty".into()))?;
         let value = match (rest.strip_prefix(':'), rest.strip_prefix('<')) {
             (Some(encoded), _) => base64(encoded.trim()).ok_or_else(|| no("no base64".into()))?,
             (_, Some(_)) => return Err(no("values by URL are not read".into())),
@@ -77,7 +86,11 @@
         }
         let written = String::from_utf8(value).map_err(|_| no("a name is UTF-8".into()))?;
         let dn = Dn::parse(&written).map_err(|e| no(e.to_string()))?;
-        records.push(Record { dn, written, attributes: Vec::new() });
+        records.push(Record {
+            dn,
+            written,
+            attributes: Vec::new(),
+        });
         open = true;
     }
     Ok(records)
@@ -123,8 +136,13 @@
         let text = "version: 1\n# a comment\n#  that goes on\n\ndn: uid=mai,\n dc=example\r\nuid: mai\nsn:: TMO8\ncn:\n\n\ndn: dc=example\n";
         let records = read(text).expect("LDIF");
         assert_eq!(records.len(), 2);
-        assert_eq!(records[0].dn, Dn::parse("uid=mai,dc=example").expect("a name"));
-        let [uid, sn, cn] = &records[0].attributes[..] else { panic!("{records:?}") };
+        assert_eq!(
+            records[0].dn,
+            Dn::parse("uid=mai,dc=example").expect("a name")
+        );
+        let [uid, sn, cn] = &records[0].attributes[..] else {
+            panic!("{records:?}")
+        };
         assert_eq!(
             (uid.1.as_slice(), sn.1.as_slice(), cn.1.as_slice()),
             (&b"mai"[..], "Lü".as_bytes(), &b""[..])
--- a/crates/pipithub-ldap/src/sync.rs
+++ b/crates/pipithub-ldap/src/sync.rs
@@ -113,7 +113,11 @@
 
 fn control(oid: &[u8], critical: bool, value: &impl Encode) -> Control {
     let value = rasn::ber::encode(value).unwrap_or_default();
-    Control::new(Bytes::copy_from_slice(oid).into(), critical, Some(value.into()))
+    Control::new(
+        Bytes::copy_from_slice(oid).into(),
+        critical,
+        Some(value.into()),
+    )
 }
 
 fn find<T: Decode>(controls: Option<&Vec<Control>>, oid: &[u8]) -> Option<T> {
@@ -123,7 +127,14 @@
 
 /// A paged results control: page size in requests, an estimate of the total in answers.
 pub fn paged(size: u32, cookie: Bytes) -> Control {
-    control(oid::PAGED, false, &PagedValue { size, cookie: cookie.into() })
+    control(
+        oid::PAGED,
+        false,
+        &PagedValue {
+            size,
+            cookie: cookie.into(),
+        },
+    )
 }
 
 /// The size and cookie of a paged results control.
@@ -136,19 +147,34 @@
     control(
         oid::SYNC_REQUEST,
         true,
-        &RequestValue { mode: Mode::RefreshAndPersist, cookie: cookie.map(Into::into), reload_hint: false },
+        &RequestValue {
+            mode: Mode::RefreshAndPersist,
+            cookie: cookie.map(Into::into),
+            reload_hint: false,
+        },
     )
 }
 
 /// The cookie of a sync request, and whether changes are wanted as they happen.
 pub fn read_request(controls: Option<&Vec<Control>>) -> Option<(Option<Bytes>, bool)> {
     let value: RequestValue = find(controls, oid::SYNC_REQUEST)?;
-    Some((value.cookie.map(|c| Bytes::copy_from_slice(&c)), value.mode == Mode::RefreshAndPersist))
+    Some((
+        value.cookie.map(|c| Bytes::copy_from_slice(&c)),
+        value.mode == Mode::RefreshAndPersist,
+    ))
 }
 
 /// A sync state control.
 pub fn state(state: State, uuid: Bytes, cookie: Option<Bytes>) -> Control {
-    control(oid::SYNC_STATE, false, &StateValue { state, uuid: uuid.into(), cookie: cookie.map(Into::into) })
+    control(
+        oid::SYNC_STATE,
+        false,
+        &StateValue {
+            state,
+            uuid: uuid.into(),
+            cookie: cookie.map(Into::into),
+        },
+    )
 }
 
 /// The sync state control of an entry.
@@ -163,7 +189,10 @@
 
 /// The value of a sync info message: the end of a refresh in which everything present was told.
 pub fn refresh_present(cookie: Option<Bytes>) -> Bytes {
-    let info = Info::RefreshPresent(PhaseValue { cookie: cookie.map(Into::into), refresh_done: true });
+    let info = Info::RefreshPresent(PhaseValue {
+        cookie: cookie.map(Into::into),
+        refresh_done: true,
+    });
     rasn::ber::encode(&info).unwrap_or_default().into()
 }
 
@@ -179,14 +208,25 @@
     #[test]
     fn values_come_back_as_they_went() {
         let cookie = Bytes::from_static(b"c");
-        assert_eq!(read_paged(Some(&vec![paged(7, cookie.clone())])), Some((7, cookie.clone())));
+        assert_eq!(
+            read_paged(Some(&vec![paged(7, cookie.clone())])),
+            Some((7, cookie.clone()))
+        );
         assert_eq!(
             read_request(Some(&vec![request(Some(cookie.clone()))])),
             Some((Some(cookie.clone()), true))
         );
-        let told = read_state(Some(&vec![state(State::Delete, Bytes::from_static(&[7; 16]), None)]));
-        assert_eq!(told.map(|t| (t.state, t.uuid.len())), Some((State::Delete, 16)));
-        let Some(Info::RefreshPresent(phase)) = read_info(&refresh_present(Some(cookie.clone()))) else {
+        let told = read_state(Some(&vec![state(
+            State::Delete,
+            Bytes::from_static(&[7; 16]),
+            None,
+        )]));
+        assert_eq!(
+            told.map(|t| (t.state, t.uuid.len())),
+            Some((State::Delete, 16))
+        );
+        let Some(Info::RefreshPresent(phase)) = read_info(&refresh_present(Some(cookie.clone())))
+        else {
             panic!()
         };
         assert!(phase.refresh_done && phase.cookie == Some(cookie.into()));
@@ -197,6 +237,9 @@
     #[test]
     fn a_sync_request_is_as_the_rfc_writes_it() {
         let control = request(None);
-        assert_eq!(control.control_value.as_deref(), Some(&[0x30, 3, 0x0a, 1, 3][..]));
+        assert_eq!(
+            control.control_value.as_deref(),
+            Some(&[0x30, 3, 0x0a, 1, 3][..])
+        );
     }
 }
--- a/crates/pipithub-ldap/tests/connection.rs
+++ b/crates/pipithub-ldap/tests/connection.rs
@@ -3,8 +3,8 @@
 use bytes::Bytes;
 use pipithub_ldap::frame::{Framer, encode};
 use pipithub_ldap::message::{
-    BindResponse, ExtendedResponse, LdapMessage, LdapResult, PartialAttribute, ProtocolOp, ResultCode,
-    SearchRequestScope, SearchResultDone, SearchResultEntry,
+    BindResponse, ExtendedResponse, LdapMessage, LdapResult, PartialAttribute, ProtocolOp,
+    ResultCode, SearchRequestScope, SearchResultDone, SearchResultEntry,
 };
 use pipithub_ldap::{Client, ClientSettings, Dn, Event, Search, SearchId, filter};
 use proptest::prelude::*;
@@ -32,7 +32,11 @@
 }
 
 fn done(code: ResultCode) -> ProtocolOp {
-    ProtocolOp::SearchResDone(SearchResultDone(LdapResult::new(code, "".into(), "".into())))
+    ProtocolOp::SearchResDone(SearchResultDone(LdapResult::new(
+        code,
+        "".into(),
+        "".into(),
+    )))
 }
 
 fn entry(dn: &str) -> ProtocolOp {
@@ -59,7 +63,10 @@
 
 fn ready() -> Client {
     let mut client = Client::new(settings(false));
-    assert!(client.search(search("early")).is_none(), "nothing is asked before the bind is over");
+    assert!(
+        client.search(search("early")).is_none(),
+        "nothing is asked before the bind is over"
+    );
     let id = asked(&mut client)[0].message_id;
     answer(&mut client, id, bound(ResultCode::Success));
     assert_eq!(client.poll(), Some(Event::Ready));
@@ -75,7 +82,9 @@
     answer(&mut client, one.0, entry("uid=mai,dc=example"));
     answer(&mut client, one.0, done(ResultCode::Success));
     assert!(matches!(client.poll(), Some(Event::Done(id, _)) if id == two));
-    let Some(Event::Entry(id, told)) = client.poll() else { panic!("an entry") };
+    let Some(Event::Entry(id, told)) = client.poll() else {
+        panic!("an entry")
+    };
     assert_eq!((id, told.text("uid")), (one, Some("mai")));
     assert_eq!(Some(told.dn), Dn::parse("uid=mai,dc=example").ok());
     assert!(matches!(client.poll(), Some(Event::Done(id, _)) if id == one));
@@ -108,7 +117,9 @@
     let mut client = Client::new(settings(true));
     let asked_now = asked(&mut client);
     assert!(
-        asked_now.iter().all(|m| matches!(m.protocol_op, ProtocolOp::ExtendedReq(_))),
+        asked_now
+            .iter()
+            .all(|m| matches!(m.protocol_op, ProtocolOp::ExtendedReq(_))),
         "no password in the clear"
     );
     let mut bytes = ok(asked_now[0].message_id);
@@ -120,9 +131,15 @@
     let id = asked(&mut client)[0].message_id;
     client.receive(&ok(id));
     assert_eq!(client.poll(), Some(Event::BeginTls));
-    assert!(client.take_output().is_empty(), "the bind waits for the handshake");
+    assert!(
+        client.take_output().is_empty(),
+        "the bind waits for the handshake"
+    );
     client.secured();
-    assert!(matches!(asked(&mut client)[0].protocol_op, ProtocolOp::BindRequest(_)));
+    assert!(matches!(
+        asked(&mut client)[0].protocol_op,
+        ProtocolOp::BindRequest(_)
+    ));
 }
 
 /// A plain answer to StartTLS, built as a server would.
@@ -151,7 +168,9 @@
 #[test]
 fn searches_are_bounded() {
     let mut client = ready();
-    let begun = (0..100).filter(|n| client.search(search(&n.to_string())).is_some()).count();
+    let begun = (0..100)
+        .filter(|n| client.search(search(&n.to_string())).is_some())
+        .count();
     assert_eq!(begun, ClientSettings::default().max_searches);
     client.abandon(SearchId(2));
     assert!(client.search(search("one more")).is_some());
--- a/crates/pipithub-members/src/core.rs
+++ b/crates/pipithub-members/src/core.rs
@@ -5,7 +5,9 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-use foca::{Foca, Message, NoCustomBroadcast, OwnedNotification, PeriodicParams, PostcardCodec, Timer};
+use foca::{
+    Foca, Message, NoCustomBroadcast, OwnedNotification, PeriodicParams, PostcardCodec, Timer,
+};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
@@ -201,7 +203,15 @@
         }
         let disk = if empty { Disk::Empty } else { Disk::Kept };
         let generation = record.generation;
-        let me = Identity { name, address, zone, generation, boot, renewal: 0, disk };
+        let me = Identity {
+            name,
+            address,
+            zone,
+            generation,
+            boot,
+            renewal: 0,
+            disk,
+        };
         Ok(Members {
             mark: mark(&settings.cluster),
             settings,
@@ -316,7 +326,9 @@
         }
         while let Some(entry) = self.due.first_entry().filter(|e| e.key().0 <= now) {
             match entry.remove() {
-                Due::Swim(timer) => self.swim(out, |engine, wants| engine.handle_timer(timer, wants)),
+                Due::Swim(timer) => {
+                    self.swim(out, |engine, wants| engine.handle_timer(timer, wants))
+                }
                 Due::Ask => self.ask(out),
                 Due::Join => self.join(out),
                 Due::Learn => self.learn(out),
@@ -345,7 +357,10 @@
         self.health.overslept();
         out.push(Output::Event(Event::Overslept { by }));
         let due = std::mem::take(&mut self.due);
-        self.due = due.into_iter().map(|((at, n), d)| ((at + by, n), d)).collect();
+        self.due = due
+            .into_iter()
+            .map(|((at, n), d)| ((at + by, n), d))
+            .collect();
     }
 
     fn stand(&mut self, standing: Standing, out: &mut Vec<Output>) {
@@ -369,7 +384,10 @@
         let period = Duration::from_nanos(self.settings.probe_period);
         let seldom = |periods: u32, members: usize| {
             let num_members = NonZeroUsize::new(members).unwrap_or(NonZeroUsize::MIN);
-            Some(PeriodicParams { frequency: period * periods, num_members })
+            Some(PeriodicParams {
+                frequency: period * periods,
+                num_members,
+            })
         };
         let three = NonZeroUsize::new(3).unwrap_or(NonZeroUsize::MIN);
         let config = foca::Config {
@@ -384,7 +402,10 @@
             notify_down_members: true,
             periodic_announce: seldom(30, 1),
             periodic_announce_to_down_members: seldom(10, 2),
-            periodic_gossip: Some(PeriodicParams { frequency: period / 4, num_members: three }),
+            periodic_gossip: Some(PeriodicParams {
+                frequency: period / 4,
+                num_members: three,
+            }),
         };
         let rng = SmallRng::seed_from_u64(self.rng.random());
         self.due.retain(|_, due| !matches!(due, Due::Swim(_)));
@@ -404,7 +425,10 @@
         asked.dedup();
         if let Some(bytes) = Envelope::Hello(self.me.clone()).write(self.mark) {
             for to in asked.into_iter().filter(|a| *a != self.me.address) {
-                out.push(Output::Send { to, bytes: bytes.clone() });
+                out.push(Output::Send {
+                    to,
+                    bytes: bytes.clone(),
+                });
             }
         }
         // Half of the wait is drawn, so that a fleet restarted at once does not ask in step.
@@ -436,7 +460,8 @@
             }
             Envelope::Taken { known, active } => self.taken(known, active, out),
             Envelope::Swim(data) => {
-                let from = || swim_sender(&data).is_some_and(|from| self.let_in.contains(&from.name));
+                let from =
+                    || swim_sender(&data).is_some_and(|from| self.let_in.contains(&from.name));
                 let may = self.cleared || from();
                 if may && matches!(self.standing, Standing::Alone | Standing::Joined) {
                     self.swim(out, |engine, wants| engine.handle_data(&data, wants));
@@ -468,12 +493,22 @@
     /// Asks a member for further names, as long as that tells any.
     fn learn(&mut self, out: &mut Vec<Output>) {
         let names = self.table.len();
-        self.learnt = if names > self.learnt.0 { (names, 0) } else { (names, self.learnt.1 + 1) };
-        if self.learnt.1 >= LEARN_IN_VAIN || !matches!(self.standing, Standing::Alone | Standing::Joined) {
+        self.learnt = if names > self.learnt.0 {
+            (names, 0)
+        } else {
+            (names, self.learnt.1 + 1)
+        };
+        if self.learnt.1 >= LEARN_IN_VAIN
+            || !matches!(self.standing, Standing::Alone | Standing::Joined)
+        {
             return;
         }
-        let there: Vec<&Identity> =
-            self.table.rows().filter(|m| m.state == State::Alive).map(|m| &m.identity).collect();
+        let there: Vec<&Identity> = self
+            .table
+            .rows()
+            .filter(|m| m.state == State::Alive)
+            .map(|m| &m.identity)
+            .collect();
         if !there.is_empty() {
             let one = there[self.rng.random_range(0..there.len())].clone();
             self.swim(out, |engine, wants| engine.announce(one, wants));
@@ -508,7 +543,10 @@
     fn answer(&self, run: &Identity) -> Option<Envelope> {
         let known = match self.table.get(&run.name) {
             _ if run.name == self.me.name => Some((self.me.clone(), true)),
-            Some(row) => Some((row.identity.clone(), row.state != State::Down && self.in_touch())),
+            Some(row) => Some((
+                row.identity.clone(),
+                row.state != State::Down && self.in_touch(),
+            )),
             None => None,
         };
         match known {
@@ -526,7 +564,10 @@
     fn in_touch(&self) -> bool {
         let fresh = 4 * self.settings.probe_period;
         self.standing == Standing::Joined
-            && self.table.touched.is_some_and(|t| self.now.saturating_sub(t) < fresh)
+            && self
+                .table
+                .touched
+                .is_some_and(|t| self.now.saturating_sub(t) < fresh)
     }
 
     fn tell(&self, to: SocketAddr, envelope: &Envelope, out: &mut Vec<Output>) {
@@ -556,10 +597,17 @@
             self.stand(Standing::Barred(known), out);
             return;
         }
-        let Some(next) = known.generation.checked_add(1).filter(|_| self.standing != Standing::Saving) else {
+        let Some(next) = known
+            .generation
+            .checked_add(1)
+            .filter(|_| self.standing != Standing::Saving)
+        else {
             return;
         };
-        out.push(Output::Event(Event::DiskBehind { disk: self.me.generation, seen: known.generation }));
+        out.push(Output::Event(Event::DiskBehind {
+            disk: self.me.generation,
+            seen: known.generation,
+        }));
         self.me.generation = next;
         self.me.renewal = 0;
         if self.me.disk == Disk::Kept {
@@ -577,7 +625,9 @@
         out: &mut Vec<Output>,
         act: impl FnOnce(&mut Engine, &mut Wants) -> Result<T, foca::Error>,
     ) {
-        let Some(engine) = &mut self.engine else { return };
+        let Some(engine) = &mut self.engine else {
+            return;
+        };
         let mut wants = Wants::default();
         // An error is a datagram that says nothing usable, or is our own: both are passed over.
         let _ = act(engine, &mut wants);
@@ -617,7 +667,10 @@
         match note {
             OwnedNotification::DataReceived(header) => {
                 self.table.heard(&header.src, self.now);
-                if matches!(header.message, Message::Ack(_) | Message::ForwardedAck { .. }) {
+                if matches!(
+                    header.message,
+                    Message::Ack(_) | Message::ForwardedAck { .. }
+                ) {
                     self.health.probe_answered();
                 }
             }
@@ -664,7 +717,9 @@
         let Some(engine) = &self.engine else { return };
         // Most datagrams tell nothing new. A look-up of each member's name after each of them was most of a member's CPU
         // and grew faster than the fleet; a sum over numbers that stand in a row tells that nothing changed.
-        let sum = engine.iter_membership_state().fold(0u64, |sum, member| sum.wrapping_add(summand(member)));
+        let sum = engine
+            .iter_membership_state()
+            .fold(0u64, |sum, member| sum.wrapping_add(summand(member)));
         if self.taken_in.replace(sum) == Some(sum) {
             return;
         }
@@ -676,8 +731,12 @@
                 foca::State::Down => State::Down,
             };
             let identity = member.id();
-            let Some(before) = self.table.set(identity, state, self.now) else { continue };
-            let Some(row) = self.table.get(&identity.name) else { continue };
+            let Some(before) = self.table.set(identity, state, self.now) else {
+                continue;
+            };
+            let Some(row) = self.table.get(&identity.name) else {
+                continue;
+            };
             let known = before.as_ref().filter(|b| b.identity.same_run(identity));
             if let Some(before) = before.as_ref().filter(|b| !b.identity.same_run(identity)) {
                 let (before, now) = (before.identity.clone(), identity.clone());
@@ -692,9 +751,10 @@
                 (Some(State::Down), State::Down) => continue,
                 // Who was never known to be there is no news when dead.
                 (None, State::Down) => continue,
-                (Some(was), State::Down) => {
-                    Event::Down { member: row.clone(), suspected: was == State::Suspect }
-                }
+                (Some(was), State::Down) => Event::Down {
+                    member: row.clone(),
+                    suspected: was == State::Suspect,
+                },
             };
             out.push(Output::Event(event));
         }
@@ -716,10 +776,12 @@
     };
     let small = (u64::from(id.renewal) << 32) | (u64::from(id.address.port()) << 4) | state;
     // SplitMix64's last steps, over each part in turn.
-    [id.boot, id.generation, ip, small].into_iter().fold(0, |sum: u64, part| {
-        let x = (sum ^ part).wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        x ^ (x >> 31)
-    })
+    [id.boot, id.generation, ip, small]
+        .into_iter()
+        .fold(0, |sum: u64, part| {
+            let x = (sum ^ part).wrapping_add(0x9e37_79b9_7f4a_7c15);
+            let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+            let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+            x ^ (x >> 31)
+        })
 }
--- a/crates/pipithub-members/src/envelope.rs
+++ b/crates/pipithub-members/src/envelope.rs
@@ -80,7 +80,9 @@
             return Err(Refused::Version(bytes[2]));
         }
         // A newer version may only add at the end, or kinds that are not understood here.
-        postcard::take_from_bytes(&bytes[HEAD..]).map(|(e, _)| e).map_err(|_| Refused::Damaged)
+        postcard::take_from_bytes(&bytes[HEAD..])
+            .map(|(e, _)| e)
+            .map_err(|_| Refused::Damaged)
     }
 }
 
@@ -108,15 +110,27 @@
     #[test]
     fn strangers_and_distant_versions_are_told_apart() {
         let bytes = Envelope::Swim(vec![1, 2, 3]).write(mark("campus")).unwrap();
-        assert_eq!(Envelope::read(&bytes, mark("campus")), Ok(Envelope::Swim(vec![1, 2, 3])));
-        assert_eq!(Envelope::read(&bytes, mark("other")), Err(Refused::Stranger));
+        assert_eq!(
+            Envelope::read(&bytes, mark("campus")),
+            Ok(Envelope::Swim(vec![1, 2, 3]))
+        );
+        assert_eq!(
+            Envelope::read(&bytes, mark("other")),
+            Err(Refused::Stranger)
+        );
         let mut newer = bytes.clone();
         newer[2] = WIRE_NEWEST + 1;
         newer.push(9);
         assert!(Envelope::read(&newer, mark("campus")).is_ok());
         newer[2] = WIRE_NEWEST + 2;
-        assert_eq!(Envelope::read(&newer, mark("campus")), Err(Refused::Version(WIRE_NEWEST + 2)));
-        assert_eq!(Envelope::read(b"GET / HTTP", mark("campus")), Err(Refused::Unknown));
+        assert_eq!(
+            Envelope::read(&newer, mark("campus")),
+            Err(Refused::Version(WIRE_NEWEST + 2))
+        );
+        assert_eq!(
+            Envelope::read(b"GET / HTTP", mark("campus")),
+            Err(Refused::Unknown)
+        );
     }
 
     proptest! {
--- a/crates/pipithub-members/src/generation.rs
+++ b/crates/pipithub-members/src/generation.rs
@@ -36,19 +36,28 @@
 }
 
 fn digest(body: &str) -> String {
-    Sha256::digest(body.as_bytes()).iter().take(8).map(|b| format!("{b:02x}")).collect()
+    Sha256::digest(body.as_bytes())
+        .iter()
+        .take(8)
+        .map(|b| format!("{b:02x}"))
+        .collect()
 }
 
 impl Record {
     /// The record as text.
     pub fn write(&self) -> String {
-        let body = format!("pipithub generation 1\n{}\n{}\n{}\n", self.cluster, self.name, self.generation);
+        let body = format!(
+            "pipithub generation 1\n{}\n{}\n{}\n",
+            self.cluster, self.name, self.generation
+        );
         format!("{body}{}\n", digest(&body))
     }
 
     /// Reads a text that [`Record::write`] made.
     pub fn read(text: &str) -> Result<Record, Damaged> {
-        let text = text.strip_suffix('\n').ok_or(Damaged::Text("it breaks off"))?;
+        let text = text
+            .strip_suffix('\n')
+            .ok_or(Damaged::Text("it breaks off"))?;
         let at = text.rfind('\n').ok_or(Damaged::Text("it breaks off"))? + 1;
         let (body, sum) = text.split_at(at);
         if digest(body) != sum {
@@ -62,26 +71,46 @@
         let (Some(cluster), Some(name), Some(number)) = (cluster, name, number) else {
             return Err(Damaged::Text("lines are missing"));
         };
-        let generation = number.parse().map_err(|_| Damaged::Text("its generation is no number"))?;
-        Ok(Record { cluster: cluster.into(), name: name.into(), generation })
+        let generation = number
+            .parse()
+            .map_err(|_| Damaged::Text("its generation is no number"))?;
+        Ok(Record {
+            cluster: cluster.into(),
+            name: name.into(),
+            generation,
+        })
     }
 
     /// What a start with this folder takes: the record to write before anything is sent, and whether the folder was
     /// empty.
-    pub fn start(found: Option<&str>, cluster: &str, name: &str) -> Result<(Record, bool), Damaged> {
+    pub fn start(
+        found: Option<&str>,
+        cluster: &str,
+        name: &str,
+    ) -> Result<(Record, bool), Damaged> {
         let last = match found {
             None => None,
             Some(text) => {
                 let record = Record::read(text)?;
                 if record.cluster != cluster || record.name != name {
-                    return Err(Damaged::Foreign { name: record.name, cluster: record.cluster });
+                    return Err(Damaged::Foreign {
+                        name: record.name,
+                        cluster: record.cluster,
+                    });
                 }
                 Some(record.generation)
             }
         };
         let number = last.unwrap_or(0);
         let generation = number.checked_add(1).ok_or(Damaged::Spent(number))?;
-        Ok((Record { cluster: cluster.into(), name: name.into(), generation }, last.is_none()))
+        Ok((
+            Record {
+                cluster: cluster.into(),
+                name: name.into(),
+                generation,
+            },
+            last.is_none(),
+        ))
     }
 }
 
@@ -102,10 +131,23 @@
     fn another_front_ends_folder_is_refused() {
         let (first, _) = Record::start(None, "campus", "front-1").unwrap();
         let text = first.write();
-        assert!(matches!(Record::start(Some(&text), "campus", "front-2"), Err(Damaged::Foreign { .. })));
-        assert!(matches!(Record::start(Some(&text), "other", "front-1"), Err(Damaged::Foreign { .. })));
-        let last = Record { generation: u64::MAX, ..first }.write();
-        assert_eq!(Record::start(Some(&last), "campus", "front-1"), Err(Damaged::Spent(u64::MAX)));
+        assert!(matches!(
+            Record::start(Some(&text), "campus", "front-2"),
+            Err(Damaged::Foreign { .. })
+        ));
+        assert!(matches!(
+            Record::start(Some(&text), "other", "front-1"),
+            Err(Damaged::Foreign { .. })
+        ));
+        let last = Record {
+            generation: u64::MAX,
+            ..first
+        }
+        .write();
+        assert_eq!(
+            Record::start(Some(&last), "campus", "front-1"),
+            Err(Damaged::Spent(u64::MAX))
+        );
     }
 
     proptest! {
--- a/crates/pipithub-members/src/identity.rs
+++ b/crates/pipithub-members/src/identity.rs
@@ -54,7 +54,10 @@
     type Addr = CompactString;
 
     fn renew(&self) -> Option<Self> {
-        Some(Identity { renewal: self.renewal.checked_add(1)?, ..self.clone() })
+        Some(Identity {
+            renewal: self.renewal.checked_add(1)?,
+            ..self.clone()
+        })
     }
 
     fn addr(&self) -> CompactString {
@@ -74,7 +77,15 @@
     fn run(generation: u64, boot: u64) -> Identity {
         let address = SocketAddr::from(([127, 0, 0, 1], 7000));
         let (name, zone) = ("front-1".into(), "a".into());
-        Identity { name, address, zone, generation, boot, renewal: 0, disk: Disk::Kept }
+        Identity {
+            name,
+            address,
+            zone,
+            generation,
+            boot,
+            renewal: 0,
+            disk: Disk::Kept,
+        }
     }
 
     #[test]
--- a/crates/pipithub-members/src/view.rs
+++ b/crates/pipithub-members/src/view.rs
@@ -95,22 +95,40 @@
     }
 
     pub(crate) fn active(&self) -> usize {
-        self.rows.values().filter(|m| m.state != State::Down).count()
+        self.rows
+            .values()
+            .filter(|m| m.state != State::Down)
+            .count()
     }
 
     /// Takes in how a member stands; tells what it was before where that changed.
-    pub(crate) fn set(&mut self, identity: &Identity, state: State, now: Time) -> Option<Option<Member>> {
+    pub(crate) fn set(
+        &mut self,
+        identity: &Identity,
+        state: State,
+        now: Time,
+    ) -> Option<Option<Member>> {
         match self.rows.get_mut(&identity.name) {
             Some(row) if row.identity == *identity && row.state == state => None,
             Some(row) => {
                 let before = row.clone();
                 // Another run was never heard by us; a renewed one is the same process.
                 let heard = row.heard.filter(|_| row.identity.same_run(identity));
-                *row = Member { identity: identity.clone(), state, since: now, heard };
+                *row = Member {
+                    identity: identity.clone(),
+                    state,
+                    since: now,
+                    heard,
+                };
                 Some(Some(before))
             }
             None => {
-                let row = Member { identity: identity.clone(), state, since: now, heard: None };
+                let row = Member {
+                    identity: identity.clone(),
+                    state,
+                    since: now,
+                    heard: None,
+                };
                 self.rows.insert(identity.name.clone(), row);
                 Some(None)
             }
@@ -120,13 +138,18 @@
     /// A member spoke to us itself.
     pub(crate) fn heard(&mut self, identity: &Identity, now: Time) {
         self.touched = Some(now);
-        if let Some(row) = self.rows.get_mut(&identity.name).filter(|r| r.identity.same_run(identity)) {
+        if let Some(row) = self
+            .rows
+            .get_mut(&identity.name)
+            .filter(|r| r.identity.same_run(identity))
+        {
             row.heard = Some(now);
         }
     }
 
     /// Forgets the dead that have been so for long.
     pub(crate) fn forget(&mut self, now: Time, after: Time) {
-        self.rows.retain(|_, m| m.state != State::Down || now.saturating_sub(m.since) < after);
+        self.rows
+            .retain(|_, m| m.state != State::Down || now.saturating_sub(m.since) < after);
     }
 }
--- a/crates/pipithub-members/tests/fleet.rs
+++ b/crates/pipithub-members/tests/fleet.rs
@@ -8,7 +8,10 @@
 const SECOND: Time = 1_000_000_000;
 
 fn settings(cluster: &str) -> Settings {
-    Settings { cluster: cluster.into(), ..Settings::default() }
+    Settings {
+        cluster: cluster.into(),
+        ..Settings::default()
+    }
 }
 
 fn fleet(size: usize, seed: u64, usual: Link) -> Fleet {
@@ -37,7 +40,9 @@
     assert_eq!(fleet.opinions(5), (11, 0));
     assert!(fleet.agreed());
     assert!(
-        (0..12).filter(|n| *n != 5).all(|n| down_events(&fleet, n) == 0),
+        (0..12)
+            .filter(|n| *n != 5)
+            .all(|n| down_events(&fleet, n) == 0),
         "somebody else was held for dead"
     );
 }
@@ -48,7 +53,15 @@
     fleet.leave(4);
     fleet.run_for(3 * SECOND);
     assert_eq!(fleet.opinions(4), (8, 0));
-    let suspected = |e: &Event| matches!(e, Event::Down { suspected: true, .. } | Event::Suspected(_));
+    let suspected = |e: &Event| {
+        matches!(
+            e,
+            Event::Down {
+                suspected: true,
+                ..
+            } | Event::Suspected(_)
+        )
+    };
     assert!(!fleet.history.iter().any(|t| suspected(&t.event)));
 }
 
@@ -60,11 +73,18 @@
     fleet.start(3).unwrap();
     fleet.run_for(15 * SECOND);
     let after = fleet.view(3).unwrap().me;
-    assert_eq!((after.generation, after.disk), (before.generation + 1, Disk::Kept));
+    assert_eq!(
+        (after.generation, after.disk),
+        (before.generation + 1, Disk::Kept)
+    );
     assert!(fleet.agreed());
     for n in (0..7).filter(|n| *n != 3) {
         let view = fleet.view(n).unwrap();
-        let row = view.members.iter().find(|m| m.identity.name == "front-3").unwrap();
+        let row = view
+            .members
+            .iter()
+            .find(|m| m.identity.name == "front-3")
+            .unwrap();
         assert!(row.identity.same_run(&after) && row.state == State::Alive);
     }
 }
@@ -87,11 +107,20 @@
     fleet.run_for(10 * SECOND);
     let me = fleet.view(3).unwrap().me;
     assert_eq!((me.generation, me.disk), (last + 1, Disk::Old));
-    assert!(fleet.history.iter().any(|t| t.by == 3 && t.event == Event::DiskBehind { disk: 2, seen: last }));
+    assert!(fleet.history.iter().any(|t| t.by == 3
+        && t.event
+            == Event::DiskBehind {
+                disk: 2,
+                seen: last
+            }));
     assert!(fleet.agreed());
     // Others know it too: whoever asks this member for what it once held must not believe its disk.
     let view = fleet.view(0).unwrap();
-    assert!(view.members.iter().any(|m| m.identity.name == "front-3" && m.identity.disk == Disk::Old));
+    assert!(
+        view.members
+            .iter()
+            .any(|m| m.identity.name == "front-3" && m.identity.disk == Disk::Old)
+    );
 }
 
 /// Seed 5 of `drills/members.kdl`: the fleet still spoke to the dead run's address, and the run from the old disk that
@@ -102,7 +131,12 @@
         let mut fleet = started(5, seed, Link::default());
         let old = fleet.disk(4).clone().map(|_| {
             let generation = 0;
-            pipithub_members::Record { cluster: "campus".into(), name: "front-4".into(), generation }.write()
+            pipithub_members::Record {
+                cluster: "campus".into(),
+                name: "front-4".into(),
+                generation,
+            }
+            .write()
         });
         fleet.kill(4);
         fleet.run_for(40 * SECOND);
@@ -111,7 +145,11 @@
         (0..5).for_each(|n| fleet.net.link(4, n).cut = true);
         fleet.start(4).unwrap();
         fleet.run_for(30 * SECOND);
-        assert_ne!(fleet.view(4).unwrap().standing, Standing::Joined, "seed {seed}: drawn in");
+        assert_ne!(
+            fleet.view(4).unwrap().standing,
+            Standing::Joined,
+            "seed {seed}: drawn in"
+        );
         (0..5).for_each(|n| fleet.net.link(4, n).cut = false);
         fleet.run_for(20 * SECOND);
         let me = fleet.view(4).unwrap().me;
@@ -145,14 +183,24 @@
         fleet.start(6).unwrap();
         fleet.run_for(60 * SECOND);
         let joined = |n: usize| fleet.view(n).unwrap().standing == Standing::Joined;
-        assert!(joined(1) != joined(6), "seed {seed}: both take part, or none");
+        assert!(
+            joined(1) != joined(6),
+            "seed {seed}: both take part, or none"
+        );
         let (stays, waits) = if joined(1) { (1, 6) } else { (6, 1) };
-        assert!(matches!(fleet.view(waits).unwrap().standing, Standing::Barred(_)), "seed {seed}");
+        assert!(
+            matches!(fleet.view(waits).unwrap().standing, Standing::Barred(_)),
+            "seed {seed}"
+        );
         fleet.kill(stays);
         fleet.run_for(60 * SECOND);
         let view = fleet.view(waits).unwrap();
         assert_eq!(view.standing, Standing::Joined, "seed {seed}");
-        assert!(view.me.generation > 1 && view.me.disk != Disk::Kept, "seed {seed}: {:?}", view.me);
+        assert!(
+            view.me.generation > 1 && view.me.disk != Disk::Kept,
+            "seed {seed}: {:?}",
+            view.me
+        );
     }
 }
 
@@ -245,9 +293,28 @@
         fleet.input(0, pipithub_members::Input::Datagram { from, bytes });
     }
     fleet.run_for(5 * SECOND);
-    assert!(fleet.view(0).unwrap().members.iter().all(|m| m.identity.address != from));
-    let refused = |e: &Event| matches!(e, Event::Refused { why: pipithub_members::Refused::Stranger, .. });
-    assert_eq!(fleet.history.iter().filter(|t| refused(&t.event)).count(), 1, "told once, not for each");
+    assert!(
+        fleet
+            .view(0)
+            .unwrap()
+            .members
+            .iter()
+            .all(|m| m.identity.address != from)
+    );
+    let refused = |e: &Event| {
+        matches!(
+            e,
+            Event::Refused {
+                why: pipithub_members::Refused::Stranger,
+                ..
+            }
+        )
+    };
+    assert_eq!(
+        fleet.history.iter().filter(|t| refused(&t.event)).count(),
+        1,
+        "told once, not for each"
+    );
 }
 
 #[test]
@@ -302,7 +369,12 @@
 
 #[test]
 fn lost_datagrams_bring_nobody_down() {
-    let lossy = Link { loss: 0.05, twice: 0.02, jitter: 20_000_000, ..Link::default() };
+    let lossy = Link {
+        loss: 0.05,
+        twice: 0.02,
+        jitter: 20_000_000,
+        ..Link::default()
+    };
     let mut fleet = started(10, 14, lossy);
     fleet.run_for(120 * SECOND);
     assert!((0..10).all(|n| down_events(&fleet, n) == 0));
@@ -312,14 +384,26 @@
 fn drawn_day(seed: u64) -> Result<(), String> {
     use rand::RngExt;
     let size = 7;
-    let mut fleet = fleet(size, seed, Link { loss: 0.02, jitter: 10_000_000, ..Link::default() });
+    let mut fleet = fleet(
+        size,
+        seed,
+        Link {
+            loss: 0.02,
+            jitter: 10_000_000,
+            ..Link::default()
+        },
+    );
     (0..size).for_each(|n| fleet.start(n).unwrap());
     let mut kept: Vec<Option<String>> = vec![None; size];
     let mut numbers: Vec<Vec<(u64, u64)>> = vec![Vec::new(); size];
     for _ in 0..25 {
         let (n, other, what) = {
             let rng = &mut fleet.net.rng;
-            (rng.random_range(0..size), rng.random_range(0..size), rng.random_range(0..9u32))
+            (
+                rng.random_range(0..size),
+                rng.random_range(0..size),
+                rng.random_range(0..9u32),
+            )
         };
         match what {
             0 | 1 => fleet.kill(n),
@@ -337,7 +421,9 @@
         let wait = fleet.net.rng.random_range(1..9u64);
         fleet.run_for(wait * SECOND);
         for (n, seen) in numbers.iter_mut().enumerate() {
-            let Some(view) = fleet.view(n).filter(|v| v.standing == Standing::Joined) else { continue };
+            let Some(view) = fleet.view(n).filter(|v| v.standing == Standing::Joined) else {
+                continue;
+            };
             let run = (view.me.generation, view.me.boot);
             if !seen.contains(&run) {
                 seen.push(run);
@@ -353,17 +439,32 @@
     }
     fleet.run_for(120 * SECOND);
     if !fleet.agreed() {
-        let stands = |n| fleet.view(n).map(|v| (v.standing.clone(), v.active().count()));
-        return Err(format!("not one fleet again: {:?}", (0..size).map(stands).collect::<Vec<_>>()));
+        let stands = |n| {
+            fleet
+                .view(n)
+                .map(|v| (v.standing.clone(), v.active().count()))
+        };
+        return Err(format!(
+            "not one fleet again: {:?}",
+            (0..size).map(stands).collect::<Vec<_>>()
+        ));
     }
-    let joined = |n: &usize| fleet.view(*n).is_some_and(|v| v.standing == Standing::Joined);
+    let joined = |n: &usize| {
+        fleet
+            .view(*n)
+            .is_some_and(|v| v.standing == Standing::Joined)
+    };
     if let Some(n) = (0..size).find(|n| !joined(n)) {
-        return Err(format!("{n} stands {:?}", fleet.view(n).map(|v| v.standing)));
+        return Err(format!(
+            "{n} stands {:?}",
+            fleet.view(n).map(|v| v.standing)
+        ));
     }
     for n in 0..size {
         let me = fleet.view(n).map(|v| v.me).ok_or("gone")?;
         let wrong = |v: &pipithub_members::View| {
-            v.active().any(|m| m.identity.name == me.name && !m.identity.same_run(&me))
+            v.active()
+                .any(|m| m.identity.name == me.name && !m.identity.same_run(&me))
         };
         if (0..size).filter_map(|o| fleet.view(o)).any(|v| wrong(&v)) {
             return Err(format!("{n} is taken for a former self"));
@@ -383,7 +484,10 @@
 #[test]
 #[ignore = "long: a command, not part of CI"]
 fn many_drawn_days_end_as_one_fleet() {
-    let seeds = std::env::var("PIPITHUB_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(1_000);
+    let seeds = std::env::var("PIPITHUB_SEEDS")
+        .ok()
+        .and_then(|s| s.parse().ok())
+        .unwrap_or(1_000);
     for seed in 1_000..1_000 + seeds {
         drawn_day(seed).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
     }
--- a/crates/pipithub-members/tests/growth.rs
+++ b/crates/pipithub-members/tests/growth.rs
@@ -20,17 +20,29 @@
 }
 
 fn seen(size: usize) -> Seen {
-    let settings = Settings { cluster: "growth".into(), ..Settings::default() };
+    let settings = Settings {
+        cluster: "growth".into(),
+        ..Settings::default()
+    };
     let mut fleet = Fleet::new(size, 3, 3, 21, settings, Link::default());
     fleet.keep = |_| false;
     (0..size).for_each(|n| fleet.start(n).unwrap());
     // Beside coming together: what is new is passed on for some seconds more.
     fleet.run_for(30 * SECOND);
     assert!(fleet.agreed(), "{size} did not come together in 30 s");
-    let (bytes, datagrams, compared) = (fleet.bytes.clone(), fleet.datagrams.clone(), fleet.comparisons());
+    let (bytes, datagrams, compared) = (
+        fleet.bytes.clone(),
+        fleet.datagrams.clone(),
+        fleet.comparisons(),
+    );
     fleet.run_for(REST * SECOND);
     let each = (size as u64 * REST) as f64;
-    let sent = |now: &[u64], then: &[u64]| now.iter().zip(then).map(|(n, t)| n - t).collect::<Vec<u64>>();
+    let sent = |now: &[u64], then: &[u64]| {
+        now.iter()
+            .zip(then)
+            .map(|(n, t)| n - t)
+            .collect::<Vec<u64>>()
+    };
     let bytes = sent(&fleet.bytes, &bytes);
     let datagrams = sent(&fleet.datagrams, &datagrams);
     let comparisons = (fleet.comparisons() - compared) as f64 / each;
@@ -59,8 +71,18 @@
         small.bytes,
         small.datagrams
     );
-    assert!(large.bytes < small.bytes * 1.25, "bytes: {} and {}", small.bytes, large.bytes);
-    assert!(large.worst < small.worst * 1.8, "worst member's bytes: {} and {}", small.worst, large.worst);
+    assert!(
+        large.bytes < small.bytes * 1.25,
+        "bytes: {} and {}",
+        small.bytes,
+        large.bytes
+    );
+    assert!(
+        large.worst < small.worst * 1.8,
+        "worst member's bytes: {} and {}",
+        small.worst,
+        large.worst
+    );
     assert!(
         large.datagrams < small.datagrams * 1.15,
         "datagrams: {} and {}",
@@ -68,6 +90,15 @@
         large.datagrams
     );
     // A member takes some six inputs a second at rest, and none of them tells anything new.
-    assert!(large.comparisons < 0.1, "comparisons a member and second: {}", large.comparisons);
-    assert!(large.known < small.known * 1.6, "a death was known in {} s and {} s", small.known, large.known);
+    assert!(
+        large.comparisons < 0.1,
+        "comparisons a member and second: {}",
+        large.comparisons
+    );
+    assert!(
+        large.known < small.known * 1.6,
+        "a death was known in {} s and {} s",
+        small.known,
+        large.known
+    );
 }
--- a/crates/pipithub-node/src/coordinator.rs
+++ b/crates/pipithub-node/src/coordinator.rs
@@ -101,7 +101,10 @@
         };
         let last = sequence.last();
         match ended {
-            Ended::Stream(reason) => warn!(coordinator = place, last, reason, "coordinator stream ended"),
+            Ended::Stream(reason) => warn!(
+                coordinator = place,
+                last, reason, "coordinator stream ended"
+            ),
             Ended::Unusable(reason) => {
                 unusable += 1;
                 error!(
@@ -137,18 +140,25 @@
     mut take: impl FnMut(ListEvent),
 ) -> Ended {
     let head = async {
-        let stream = TcpStream::connect(address).await.map_err(|e| format!("cannot connect: {e}"))?;
+        let stream = TcpStream::connect(address)
+            .await
+            .map_err(|e| format!("cannot connect: {e}"))?;
         let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
             .await
             .map_err(|e| format!("handshake: {e}"))?;
-        let task = Connection(tokio::task::spawn_local(async move { drop(connection.await) }));
+        let task = Connection(tokio::task::spawn_local(
+            async move { drop(connection.await) },
+        ));
         let request = Request::get("/v2/stream")
             .header("host", address)
             .header("accept", "text/event-stream")
             .header("last-event-id", sequence.last())
             .body(Empty::<Bytes>::new())
             .map_err(|e| format!("request: {e}"))?;
-        let response = sender.send_request(request).await.map_err(|e| format!("request: {e}"))?;
+        let response = sender
+            .send_request(request)
+            .await
+            .map_err(|e| format!("request: {e}"))?;
         Ok::<_, String>((response, sender, task))
     };
     let (response, _sender, _task) = match tokio::time::timeout(CONNECT, head).await {
@@ -168,7 +178,9 @@
             Ok(Some(Err(error))) => return Ended::Stream(format!("broke off: {error}")),
             Ok(Some(Ok(frame))) => frame,
         };
-        let Some(data) = frame.data_ref() else { continue };
+        let Some(data) = frame.data_ref() else {
+            continue;
+        };
         if let Err(long) = reader.push(data, &mut events) {
             return Ended::Unusable(long.to_string());
         }
@@ -177,7 +189,10 @@
                 Ok(event) => event,
                 Err(reason) => return Ended::Unusable(format!("event cannot be read: {reason}")),
             };
-            match sequence.step(event.index, event.kind != pipithub_engine::policy::ListKind::Changes) {
+            match sequence.step(
+                event.index,
+                event.kind != pipithub_engine::policy::ListKind::Changes,
+            ) {
                 Step::Take => {
                     take(event);
                     // However many events came at once, calls and closes of clients are seen between any two.
@@ -186,7 +201,10 @@
                 Step::Skip => {}
                 Step::Again => {
                     let last = sequence.last();
-                    return Ended::Stream(format!("events between {last} and {} are missing", event.index));
+                    return Ended::Stream(format!(
+                        "events between {last} and {} are missing",
+                        event.index
+                    ));
                 }
             }
         }
--- a/crates/pipithub-node/src/core.rs
+++ b/crates/pipithub-node/src/core.rs
@@ -4,10 +4,12 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use pipithub_engine::policy::{Effect as Repeats, Entry, ListKind, Load, Outcome, RequestId, State, Worker};
+use pipithub_engine::policy::{
+    Effect as Repeats, Entry, ListKind, Load, Outcome, RequestId, State, Worker,
+};
 use pipithub_engine::{
-    AttemptEnd, AttemptId, Call, Engine, EngineSettings, Input, OrderEnd, Output, ProbeEnd, Reply, Served,
-    SourceId, Stats, Ticket, Time, Trigger, Verdict,
+    AttemptEnd, AttemptId, Call, Engine, EngineSettings, Input, OrderEnd, Output, ProbeEnd, Reply,
+    Served, SourceId, Stats, Ticket, Time, Trigger, Verdict,
 };
 use pipithub_platform::client::{self, ClientCall, ClientLine, Fault};
 use pipithub_platform::config::NodeConfig;
@@ -135,7 +137,13 @@
             name: config.name.clone(),
             engine: Engine::new(settings, config.seed),
             site: site.clone(),
-            give_up_most: site.policy.classes.iter().map(|c| c.give_up).max().unwrap_or(0),
+            give_up_most: site
+                .policy
+                .classes
+                .iter()
+                .map(|c| c.give_up)
+                .max()
+                .unwrap_or(0),
             desk: Desk::new(clients),
             pool,
             out: BTreeMap::new(),
@@ -169,7 +177,10 @@
 
     /// When [`Core::tick`] is due next.
     pub fn next_due(&self) -> Time {
-        self.engine.next_due().unwrap_or(Time::MAX).min(self.swept + SWEEP)
+        self.engine
+            .next_due()
+            .unwrap_or(Time::MAX)
+            .min(self.swept + SWEEP)
     }
 
     /// How many calls have no answer yet.
@@ -224,7 +235,8 @@
     /// Once a stop was asked for: when whatever has no answer gets one, as the process may be killed soon after.
     fn last_answers(&self) -> Option<Time> {
         let counted = self.give_up_most.min(KILL_COUNTS);
-        self.stopping.map(|since| since + counted + KILL_AFTER - KILL_MARGIN)
+        self.stopping
+            .map(|since| since + counted + KILL_AFTER - KILL_MARGIN)
     }
 
     /// Whether a stop was asked for and all that was taken is answered. Answers may still be unwritten, and requests
@@ -236,13 +248,15 @@
 
     /// Whether the end cannot wait any longer for clients to fall silent.
     pub fn overdue(&self, now: Time) -> bool {
-        self.last_answers().is_some_and(|at| now >= at + LAST_ANSWERS_TIME)
+        self.last_answers()
+            .is_some_and(|at| now >= at + LAST_ANSWERS_TIME)
     }
 
     /// The process is about to end: what clients have sent by now is answered, and their connections are closed.
     pub fn end(&mut self) {
         let clients = self.desk.connections();
-        self.effects.extend(clients.into_iter().map(|conn| Effect::Retire { conn }));
+        self.effects
+            .extend(clients.into_iter().map(|conn| Effect::Retire { conn }));
     }
 
     // ---- the list ----
@@ -262,11 +276,22 @@
         }
         for (entry, address) in &event.hosts {
             debug!(front_end = self.name, worker = &*entry.worker.0, state = ?entry.state, address, "list");
-            self.pool.place(&entry.worker, address, entry.state == State::Gone);
+            self.pool
+                .place(&entry.worker, address, entry.state == State::Gone);
         }
         self.listed = true;
-        let entries = event.hosts.iter().map(|(entry, _)| self.with_start_time(entry, now, wall)).collect();
-        self.run(now, Input::Workers { kind: event.kind, entries });
+        let entries = event
+            .hosts
+            .iter()
+            .map(|(entry, _)| self.with_start_time(entry, now, wall))
+            .collect();
+        self.run(
+            now,
+            Input::Workers {
+                kind: event.kind,
+                entries,
+            },
+        );
     }
 
     /// An entry whose start is told by this process's clock.
@@ -276,7 +301,10 @@
         }
         let resolve = |stamp| self.start_times.resolve(&entry.worker, stamp, now, wall);
         let started = entry.started.map(resolve);
-        Entry { started, ..entry.clone() }
+        Entry {
+            started,
+            ..entry.clone()
+        }
     }
 
     // ---- clients ----
@@ -311,7 +339,12 @@
     pub fn client_closed(&mut self, now: Time, conn: ConnId) {
         let tickets = self.desk.closed(conn, now + self.give_up_most);
         if !tickets.is_empty() {
-            debug!(front_end = self.name, conn, open = tickets.len(), "client has left calls open");
+            debug!(
+                front_end = self.name,
+                conn,
+                open = tickets.len(),
+                "client has left calls open"
+            );
         }
         for ticket in tickets {
             self.left(now, ticket);
@@ -320,7 +353,10 @@
 
     /// A client has ceased to wait. Whatever the settings say of cancelling, what has not left yet does not leave any more.
     fn left(&mut self, now: Time, ticket: u64) {
-        let ticket = Ticket { source: CLIENTS, number: ticket };
+        let ticket = Ticket {
+            source: CLIENTS,
+            number: ticket,
+        };
         let request = self.engine.request(ticket);
         self.run(now, Input::Left(ticket));
         self.abandon(now, request);
@@ -330,8 +366,15 @@
     /// Nobody waits for a request any more: attempts that have not left are taken back.
     fn abandon(&mut self, now: Time, request: Option<RequestId>) {
         let Some(request) = request else { return };
-        let of = AttemptId { request, number: 0 }..=AttemptId { request, number: u32::MAX };
-        let out: Vec<_> = self.out.range(of).map(|(id, worker)| (*id, worker.clone())).collect();
+        let of = AttemptId { request, number: 0 }..=AttemptId {
+            request,
+            number: u32::MAX,
+        };
+        let out: Vec<_> = self
+            .out
+            .range(of)
+            .map(|(id, worker)| (*id, worker.clone()))
+            .collect();
         for (id, worker) in out {
             if let Some(job) = self.pool.abandon(now, &worker, id) {
                 let took = now.saturating_sub(job.began);
@@ -347,7 +390,9 @@
 
     /// Bytes came from a client.
     pub fn client_bytes(&mut self, now: Time, conn: ConnId, bytes: &[u8]) {
-        let Some(client) = self.desk.client(conn).filter(|c| !c.unreadable) else { return };
+        let Some(client) = self.desk.client(conn).filter(|c| !c.unreadable) else {
+            return;
+        };
         client.framer.push(bytes);
         let mut lines = Vec::new();
         let long = loop {
@@ -358,8 +403,11 @@
             }
         };
         let partial = client.framer.partial();
-        client.partial =
-            if partial { client.partial.filter(|_| lines.is_empty()).or(Some(now)) } else { None };
+        client.partial = if partial {
+            client.partial.filter(|_| lines.is_empty()).or(Some(now))
+        } else {
+            None
+        };
         // What was asked and taken back in one breath has nobody who waits for it: it is not begun.
         let (mut ids, mut names) = (BTreeSet::new(), BTreeSet::new());
         for line in &lines {
@@ -370,21 +418,34 @@
         }
         for line in lines {
             match line {
-                Ok(ClientLine::Call(call)) if ids.contains(&call.id) || names.contains(&call.call) => {
-                    debug!(front_end = self.name, conn, call = call.call, "forgotten before it began");
+                Ok(ClientLine::Call(call))
+                    if ids.contains(&call.id) || names.contains(&call.call) =>
+                {
+                    debug!(
+                        front_end = self.name,
+                        conn,
+                        call = call.call,
+                        "forgotten before it began"
+                    );
                 }
                 line => self.client_line(now, conn, line),
             }
         }
         if let (Some(long), Some(client)) = (long, self.desk.client(conn)) {
             client.unreadable = true;
-            let fault = Fault { id: None, code: client::PARSE, message: long.to_string() };
+            let fault = Fault {
+                id: None,
+                code: client::PARSE,
+                message: long.to_string(),
+            };
             self.fault(conn, &fault);
         }
     }
 
     fn client_line(&mut self, now: Time, conn: ConnId, line: Result<ClientLine, Fault>) {
-        let Some(client) = self.desk.client(conn) else { return };
+        let Some(client) = self.desk.client(conn) else {
+            return;
+        };
         match line {
             Ok(ClientLine::Call(call)) => self.call(now, conn, *call),
             Ok(ClientLine::Forget { id, call }) => {
@@ -412,8 +473,10 @@
     fn fault(&mut self, conn: ConnId, fault: &Fault) {
         debug!(front_end = self.name, conn, %fault, "no call");
         // An answer under the number of an open call would be taken for that call's.
-        let open =
-            self.desk.client(conn).is_some_and(|c| fault.id.is_some_and(|id| c.open.contains_key(&id)));
+        let open = self
+            .desk
+            .client(conn)
+            .is_some_and(|c| fault.id.is_some_and(|id| c.open.contains_key(&id)));
         let id = fault.id.filter(|_| !open);
         self.write(conn, client::error(id, fault.code, &fault.message, None));
         if self.desk.fault(conn, FAULTY) || id.is_none() {
@@ -423,23 +486,39 @@
 
     /// Begins no further call of a client, and closes its connection once all that came on it is answered.
     fn give_up(&mut self, conn: ConnId) {
-        let Some(client) = self.desk.client(conn).filter(|c| !c.condemned) else { return };
+        let Some(client) = self.desk.client(conn).filter(|c| !c.condemned) else {
+            return;
+        };
         client.condemned = true;
-        debug!(front_end = self.name, conn, open = client.open.len(), "client given up");
+        debug!(
+            front_end = self.name,
+            conn,
+            open = client.open.len(),
+            "client given up"
+        );
         self.retire_condemned(conn);
     }
 
     /// Has the shell look once more at a client that is given up and has no call open, and then close it.
     fn retire_condemned(&mut self, conn: ConnId) {
-        if self.desk.client(conn).is_some_and(|c| c.condemned && c.open.is_empty()) {
+        if self
+            .desk
+            .client(conn)
+            .is_some_and(|c| c.condemned && c.open.is_empty())
+        {
             self.effects.push(Effect::Retire { conn });
         }
     }
 
     fn call(&mut self, now: Time, conn: ConnId, call: ClientCall) {
-        let Some(client) = self.desk.client(conn) else { return };
-        let invalid =
-            |message: &str| Fault { id: Some(call.id), code: client::INVALID, message: message.into() };
+        let Some(client) = self.desk.client(conn) else {
+            return;
+        };
+        let invalid = |message: &str| Fault {
+            id: Some(call.id),
+            code: client::INVALID,
+            message: message.into(),
+        };
         if client.open.contains_key(&call.id) {
             return self.fault(conn, &invalid("id: in use"));
         }
@@ -456,14 +535,24 @@
             // A client may count a call as over whose end has not come here yet, or be given up for what it sent before;
             // this one has not run.
             let limits = &self.site.policy.limits;
-            let pushback = Some(limits.max_retry_after / 1_000_000).filter(|t| limits.retry_after && *t > 0);
+            let pushback =
+                Some(limits.max_retry_after / 1_000_000).filter(|t| limits.retry_after && *t > 0);
             let message = if many {
                 "too many calls open on this connection"
             } else {
                 "this connection is about to be closed"
             };
-            debug!(front_end = self.name, conn, call = call.call, message, "no call");
-            self.write(conn, client::error(Some(call.id), client::REFUSED, message, pushback));
+            debug!(
+                front_end = self.name,
+                conn,
+                call = call.call,
+                message,
+                "no call"
+            );
+            self.write(
+                conn,
+                client::error(Some(call.id), client::REFUSED, message, pushback),
+            );
             if self.desk.fault(conn, BEYOND) {
                 self.give_up(conn);
             }
@@ -472,8 +561,18 @@
         if let Some(client) = self.desk.client(conn) {
             (client.active, client.spoke) = (now, true);
         }
-        let once = self.site.policy.classes.get(call.class).is_some_and(|c| c.effect == Repeats::Unsafe);
-        let number = self.desk.begin(Caller { conn, id: call.id, call: call.call.clone(), once });
+        let once = self
+            .site
+            .policy
+            .classes
+            .get(call.class)
+            .is_some_and(|c| c.effect == Repeats::Unsafe);
+        let number = self.desk.begin(Caller {
+            conn,
+            id: call.id,
+            call: call.call.clone(),
+            once,
+        });
         let call = Call {
             function: Arc::from(call.function),
             class: call.class,
@@ -486,8 +585,17 @@
             body: call.body,
             ..Call::default()
         };
-        let ticket = Ticket { source: CLIENTS, number };
-        let trigger = Trigger { ticket, identity: None, redelivered: false, deliveries: 0, call };
+        let ticket = Ticket {
+            source: CLIENTS,
+            number,
+        };
+        let trigger = Trigger {
+            ticket,
+            identity: None,
+            redelivered: false,
+            deliveries: 0,
+            call,
+        };
         self.run(now, Input::Trigger(trigger));
     }
 
@@ -523,10 +631,14 @@
 
     /// Bytes came from a worker.
     pub fn worker_bytes(&mut self, now: Time, conn: ConnId, bytes: &[u8]) {
-        let Some(framer) = self.pool.framer(conn) else { return };
+        let Some(framer) = self.pool.framer(conn) else {
+            return;
+        };
         framer.push(bytes);
         loop {
-            let Some(framer) = self.pool.framer(conn) else { return };
+            let Some(framer) = self.pool.framer(conn) else {
+                return;
+            };
             let spoilt = match framer.next_line() {
                 Ok(None) => return,
                 Ok(Some(line)) => match worker::read(&line) {
@@ -538,7 +650,10 @@
                 },
                 Err(long) => long.to_string(),
             };
-            info!(front_end = self.name, conn, spoilt, "answer cannot be read; connection closed");
+            info!(
+                front_end = self.name,
+                conn, spoilt, "answer cannot be read; connection closed"
+            );
             self.pool.spoilt(now, conn);
             return self.lose(now);
         }
@@ -565,24 +680,54 @@
         match job.task {
             Task::Attempt(id) => {
                 // An answer to something else under this name proves nothing.
-                let outcome =
-                    if matches!(answer.word, Word::Ready | Word::Ailing) { Outcome::Error } else { outcome };
+                let outcome = if matches!(answer.word, Word::Ready | Word::Ailing) {
+                    Outcome::Error
+                } else {
+                    outcome
+                };
                 let body = answer.body;
-                let served =
-                    (outcome == Outcome::Served).then(|| Served { status: 200, content_type: None, body });
+                let served = (outcome == Outcome::Served).then(|| Served {
+                    status: 200,
+                    content_type: None,
+                    body,
+                });
                 let told = matches!(outcome, Outcome::Served | Outcome::Full);
                 let alike = told.then_some(answer.alike);
-                let end = AttemptEnd { id, outcome, took, note: None, alike, load: answer.load, served };
+                let end = AttemptEnd {
+                    id,
+                    outcome,
+                    took,
+                    note: None,
+                    alike,
+                    load: answer.load,
+                    served,
+                };
                 self.attempt_ended(end);
                 self.settle(now);
             }
             Task::Order(function) => {
                 let copies = answer.copies;
-                self.run(now, Input::Order(OrderEnd { worker, function, outcome, took, copies }));
+                self.run(
+                    now,
+                    Input::Order(OrderEnd {
+                        worker,
+                        function,
+                        outcome,
+                        took,
+                        copies,
+                    }),
+                );
             }
             Task::Probe => {
                 let answered = answer.word == Word::Ready;
-                self.run(now, Input::Probe(ProbeEnd { worker, answered, load: answer.load }));
+                self.run(
+                    now,
+                    Input::Probe(ProbeEnd {
+                        worker,
+                        answered,
+                        load: answer.load,
+                    }),
+                );
             }
             Task::Drop => {}
         }
@@ -619,11 +764,21 @@
             match job.task {
                 Task::Attempt(id) => self.attempt_ended(without_answer(id, outcome, took)),
                 Task::Order(function) => {
-                    let end = OrderEnd { worker, function, outcome, took, copies: 0 };
+                    let end = OrderEnd {
+                        worker,
+                        function,
+                        outcome,
+                        took,
+                        copies: 0,
+                    };
                     self.inputs.push_back(Input::Order(end));
                 }
                 Task::Probe => {
-                    let end = ProbeEnd { worker, answered: false, load: Load::default() };
+                    let end = ProbeEnd {
+                        worker,
+                        answered: false,
+                        load: Load::default(),
+                    };
                     self.inputs.push_back(Input::Probe(end));
                 }
                 Task::Drop => {}
@@ -658,22 +813,51 @@
 
     fn one(&mut self, now: Time, output: Output) {
         match output {
-            Output::Send { id, worker, call, deadline } => self.send(now, id, worker, &call, deadline),
+            Output::Send {
+                id,
+                worker,
+                call,
+                deadline,
+            } => self.send(now, id, worker, &call, deadline),
             Output::Cancel(id) => {
-                let Some(worker) = self.out.get(&id).cloned() else { return };
+                let Some(worker) = self.out.get(&id).cloned() else {
+                    return;
+                };
                 let (took, back) = self
                     .pool
                     .withdraw(now, &worker, id)
-                    .map_or((0, false), |(job, back)| (now.saturating_sub(job.began), back));
-                let outcome = if back { Outcome::NotSent } else { Outcome::Cancelled };
+                    .map_or((0, false), |(job, back)| {
+                        (now.saturating_sub(job.began), back)
+                    });
+                let outcome = if back {
+                    Outcome::NotSent
+                } else {
+                    Outcome::Cancelled
+                };
                 self.attempt_ended(without_answer(id, outcome, took));
             }
-            Output::Hold { worker, function, name, copies } => {
-                debug!(front_end = self.name, worker = &*worker.0, function = &*name, copies, "order");
+            Output::Hold {
+                worker,
+                function,
+                name,
+                copies,
+            } => {
+                debug!(
+                    front_end = self.name,
+                    worker = &*worker.0,
+                    function = &*name,
+                    copies,
+                    "order"
+                );
                 let tag = self.tag();
                 let line = worker::pin(&tag, &name, copies);
-                let job =
-                    Job::new(Task::Order(function), tag, line, now, now + self.site.transport.order_timeout);
+                let job = Job::new(
+                    Task::Order(function),
+                    tag,
+                    line,
+                    now,
+                    now + self.site.transport.order_timeout,
+                );
                 self.ask(now, &worker, job);
             }
             Output::Drop { worker, name } => {
@@ -690,7 +874,11 @@
             Output::Probe(worker) => {
                 let tag = self.tag();
                 let line = worker::meter(&tag);
-                self.ask(now, &worker, Job::new(Task::Probe, tag, line, now, now + PROBE_MOST));
+                self.ask(
+                    now,
+                    &worker,
+                    Job::new(Task::Probe, tag, line, now, now + PROBE_MOST),
+                );
             }
             Output::Answer { ticket, reply } => {
                 let request = self.engine.request(ticket);
@@ -705,7 +893,12 @@
 
     fn send(&mut self, now: Time, id: AttemptId, worker: Worker, call: &Call, deadline: Time) {
         let name = call.label.as_deref().unwrap_or_default();
-        let class = self.site.names.classes.get(call.class).map_or("", String::as_str);
+        let class = self
+            .site
+            .names
+            .classes
+            .get(call.class)
+            .map_or("", String::as_str);
         debug!(
             front_end = self.name,
             request = id.request,
@@ -740,7 +933,9 @@
     }
 
     fn reply(&mut self, now: Time, ticket: u64, reply: &Arc<Reply>) {
-        let Some(caller) = self.desk.end(now, ticket) else { return };
+        let Some(caller) = self.desk.end(now, ticket) else {
+            return;
+        };
         if caller.once && reply.attempts > 0 && reply.verdict != Verdict::Refused {
             self.desk.note(now + self.give_up_most, &caller.call);
         }
@@ -758,7 +953,12 @@
             (Verdict::Served, Some(served)) => client::served(caller.id, &served.body),
             (Verdict::Refused, _) => {
                 let pushback = reply.retry_after.map(|t| t / 1_000_000);
-                client::error(Some(caller.id), client::REFUSED, reply.cause.as_str(), pushback)
+                client::error(
+                    Some(caller.id),
+                    client::REFUSED,
+                    reply.cause.as_str(),
+                    pushback,
+                )
             }
             _ => client::error(Some(caller.id), client::FAILED, reply.cause.as_str(), None),
         };
@@ -768,5 +968,13 @@
 }
 
 fn without_answer(id: AttemptId, outcome: Outcome, took: Time) -> AttemptEnd {
-    AttemptEnd { id, outcome, took, note: None, alike: None, load: Load::default(), served: None }
+    AttemptEnd {
+        id,
+        outcome,
+        took,
+        note: None,
+        alike: None,
+        load: Load::default(),
+        served: None,
+    }
 }
--- a/crates/pipithub-node/src/desk.rs
+++ b/crates/pipithub-node/src/desk.rs
@@ -102,8 +102,13 @@
         if self.clients.len() <= self.most {
             return None;
         }
-        let idle = self.clients.iter().filter(|(id, c)| c.open.is_empty() && **id != conn);
-        idle.min_by_key(|(_, c)| (c.spoke, c.active)).map(|(id, _)| *id).or(Some(conn))
+        let idle = self
+            .clients
+            .iter()
+            .filter(|(id, c)| c.open.is_empty() && **id != conn);
+        idle.min_by_key(|(_, c)| (c.spoke, c.active))
+            .map(|(id, _)| *id)
+            .or(Some(conn))
     }
 
     /// Connections that there may be.
@@ -150,7 +155,11 @@
 
     /// Whether a call of this name has ended here lately, may have run and must not run again.
     pub fn may_have_run(&mut self, now: Time, call: &str) -> bool {
-        while self.ran_order.front().is_some_and(|(until, _)| *until < now) {
+        while self
+            .ran_order
+            .front()
+            .is_some_and(|(until, _)| *until < now)
+        {
             if let Some((_, oldest)) = self.ran_order.pop_front() {
                 self.ran.remove(&oldest);
             }
@@ -202,10 +211,14 @@
     /// A connection has ended; the tickets that were open on it, none of them owed an answer any more. What of it must not
     /// run twice is remembered until the given time.
     pub fn closed(&mut self, conn: ConnId, until: Time) -> Vec<u64> {
-        let Some(client) = self.clients.remove(&conn) else { return Vec::new() };
+        let Some(client) = self.clients.remove(&conn) else {
+            return Vec::new();
+        };
         let tickets: Vec<u64> = client.open.into_values().collect();
         for ticket in &tickets {
-            let Some(caller) = self.callers.remove(ticket) else { continue };
+            let Some(caller) = self.callers.remove(ticket) else {
+                continue;
+            };
             if self.calls.get(&caller.call) == Some(ticket) {
                 self.calls.remove(&caller.call);
             }
@@ -219,8 +232,13 @@
     /// Connections that hold a descriptor for nothing.
     pub fn silent(&self, now: Time) -> Vec<ConnId> {
         let over = |since: Time| now >= since + SILENT_MOST;
-        let silent =
-            |c: &Client| c.open.is_empty() && (!c.spoke && over(c.active) || c.partial.is_some_and(over));
-        self.clients.iter().filter(|(_, c)| silent(c)).map(|(id, _)| *id).collect()
+        let silent = |c: &Client| {
+            c.open.is_empty() && (!c.spoke && over(c.active) || c.partial.is_some_and(over))
+        };
+        self.clients
+            .iter()
+            .filter(|(_, c)| silent(c))
+            .map(|(id, _)| *id)
+            .collect()
     }
 }
--- a/crates/pipithub-node/src/pool.rs
+++ b/crates/pipithub-node/src/pool.rs
@@ -83,7 +83,15 @@
         began: Time,
         deadline: Time,
     ) -> Self {
-        Job { task, reference, request: request.into(), began, deadline, rewrites: 0, abandoned: false }
+        Job {
+            task,
+            reference,
+            request: request.into(),
+            began,
+            deadline,
+            rewrites: 0,
+            abandoned: false,
+        }
     }
 
     /// The line to write now; `None` where too little time is left for any.
@@ -91,7 +99,9 @@
         let left = self.deadline.saturating_sub(now);
         match &self.request {
             Request::Line(line) => Some(line.clone()).filter(|_| left > 0),
-            Request::Run(run) => Some(run).filter(|_| left >= LEAST_PATIENCE).map(|run| run.line(left)),
+            Request::Run(run) => Some(run)
+                .filter(|_| left >= LEAST_PATIENCE)
+                .map(|run| run.line(left)),
         }
     }
 }
@@ -195,16 +205,32 @@
             Progress::None => {
                 let len = carried.whole_at - carried.begins_at;
                 self.queued -= len;
-                for other in self.carried.values_mut().filter(|c| c.whole_at > carried.whole_at) {
+                for other in self
+                    .carried
+                    .values_mut()
+                    .filter(|c| c.whole_at > carried.whole_at)
+                {
                     other.begins_at -= len;
                     other.whole_at -= len;
                 }
-                effects.push(Effect::Unwrite { conn, at: carried.begins_at, len });
-                return Some(GivenUp { job: carried.job, unsent: true, behind: Vec::new() });
+                effects.push(Effect::Unwrite {
+                    conn,
+                    at: carried.begins_at,
+                    len,
+                });
+                return Some(GivenUp {
+                    job: carried.job,
+                    unsent: true,
+                    behind: Vec::new(),
+                });
             }
             Progress::Part(written) => {
                 let behind = self.seal(conn, written, effects);
-                return Some(GivenUp { job: carried.job, unsent: true, behind });
+                return Some(GivenUp {
+                    job: carried.job,
+                    unsent: true,
+                    behind,
+                });
             }
             Progress::Whole => {}
         }
@@ -216,16 +242,32 @@
                 effects.push(Effect::Write { conn, bytes });
             }
         }
-        Some(GivenUp { job: carried.job, unsent: false, behind: Vec::new() })
+        Some(GivenUp {
+            job: carried.job,
+            unsent: false,
+            behind: Vec::new(),
+        })
     }
 
     /// Takes back all that the system has not taken, within a line: nothing may follow. The jobs that stood behind it.
     fn seal(&mut self, conn: ConnId, written: u64, effects: &mut Vec<Effect>) -> Vec<Job> {
-        effects.push(Effect::Unwrite { conn, at: written, len: self.queued - written });
+        effects.push(Effect::Unwrite {
+            conn,
+            at: written,
+            len: self.queued - written,
+        });
         (self.sealed, self.queued) = (true, written);
-        let behind: Vec<String> =
-            self.carried.iter().filter(|(_, c)| c.whole_at > written).map(|(name, _)| name.clone()).collect();
-        behind.iter().filter_map(|name| self.carried.remove(name)).map(|c| c.job).collect()
+        let behind: Vec<String> = self
+            .carried
+            .iter()
+            .filter(|(_, c)| c.whole_at > written)
+            .map(|(name, _)| name.clone())
+            .collect();
+        behind
+            .iter()
+            .filter_map(|name| self.carried.remove(name))
+            .map(|c| c.job)
+            .collect()
     }
 
     /// How much of a job's line the system has taken.
@@ -277,7 +319,13 @@
 
 impl Pool {
     /// At most so many connections, each carrying so many jobs. `cancel`: workers may be told to give a run up.
-    pub fn new(most: usize, streams: usize, connect_timeout: Time, idle_close: Time, cancel: bool) -> Self {
+    pub fn new(
+        most: usize,
+        streams: usize,
+        connect_timeout: Time,
+        idle_close: Time,
+        cancel: bool,
+    ) -> Self {
         Pool {
             most: most.max(1),
             streams: streams.max(1),
@@ -333,7 +381,10 @@
 
     /// Notes where a worker is to be found, or that it is gone.
     pub fn place(&mut self, worker: &Worker, address: &str, gone: bool) {
-        let new = || Peer { gone: true, ..Peer::default() };
+        let new = || Peer {
+            gone: true,
+            ..Peer::default()
+        };
         let peer = self.peers.entry(worker.clone()).or_insert_with(new);
         if !address.is_empty() {
             peer.address = address.to_string();
@@ -342,7 +393,9 @@
     }
 
     fn set_gone(&mut self, worker: &Worker, gone: bool) {
-        let Some(peer) = self.peers.get_mut(worker) else { return };
+        let Some(peer) = self.peers.get_mut(worker) else {
+            return;
+        };
         self.live -= usize::from(!peer.gone);
         self.live += usize::from(!gone);
         peer.gone = gone;
@@ -353,7 +406,12 @@
 
     /// Notes that all workers but these are gone.
     pub fn keep_only(&mut self, named: &BTreeSet<&Worker>) {
-        let lost: Vec<Worker> = self.peers.keys().filter(|w| !named.contains(w)).cloned().collect();
+        let lost: Vec<Worker> = self
+            .peers
+            .keys()
+            .filter(|w| !named.contains(w))
+            .cloned()
+            .collect();
         lost.iter().for_each(|worker| self.set_gone(worker, true));
     }
 
@@ -372,13 +430,21 @@
     /// Puts waiting jobs on connections, and asks for new connections.
     fn dispatch(&mut self, now: Time, worker: &Worker) {
         while let Some(id) = self.connection(now, worker) {
-            let Some(job) = self.peers.get_mut(worker).and_then(|p| p.waiting.pop_front()) else { return };
+            let Some(job) = self
+                .peers
+                .get_mut(worker)
+                .and_then(|p| p.waiting.pop_front())
+            else {
+                return;
+            };
             let Some(line) = job.line(now) else {
                 // Its time ran out between two sweeps: nobody waits for it.
                 self.lost.push((worker.clone(), job, Lost::NotSent));
                 continue;
             };
-            let Some(link) = self.links.get_mut(&id) else { return };
+            let Some(link) = self.links.get_mut(&id) else {
+                return;
+            };
             let idle = now.saturating_sub(link.used);
             debug!(
                 conn = id,
@@ -393,10 +459,19 @@
             let begins_at = link.queued;
             link.queued += line.len() as u64;
             (link.uses, link.used) = (link.uses + 1, now);
-            self.effects.push(Effect::Write { conn: id, bytes: line });
+            self.effects.push(Effect::Write {
+                conn: id,
+                bytes: line,
+            });
             if job.task != Task::Drop {
                 let (whole_at, queued_at) = (link.queued, now);
-                let carried = Carried { job, begins_at, whole_at, queued_at, idle };
+                let carried = Carried {
+                    job,
+                    begins_at,
+                    whole_at,
+                    queued_at,
+                    idle,
+                };
                 link.carried.insert(carried.job.reference.clone(), carried);
             }
         }
@@ -410,30 +485,51 @@
         let live = self.live.max(1);
         let peer = self.peers.get_mut(worker)?;
         let reference = &peer.waiting.front()?.reference;
-        let links = peer.links.iter().filter_map(|id| self.links.get(id).map(|l| (*id, l)));
+        let links = peer
+            .links
+            .iter()
+            .filter_map(|id| self.links.get(id).map(|l| (*id, l)));
         let here = links.filter(|(_, l)| l.address == peer.address);
         let fits = |l: &Link| {
-            let stale = l.carried.is_empty() && l.uses > 0 && limit.is_some_and(|t| now >= l.used + t);
+            let stale =
+                l.carried.is_empty() && l.uses > 0 && limit.is_some_and(|t| now >= l.used + t);
             let used = l.carried.contains_key(reference) || l.spent.contains(reference);
-            l.up && !stale && !used && l.blocked.is_none() && !l.sealed && l.carried.len() < self.streams
+            l.up && !stale
+                && !used
+                && l.blocked.is_none()
+                && !l.sealed
+                && l.carried.len() < self.streams
         };
-        let free = here.clone().filter(|(_, l)| fits(l) && l.carried.is_empty()).max_by_key(|(_, l)| l.used);
+        let free = here
+            .clone()
+            .filter(|(_, l)| fits(l) && l.carried.is_empty())
+            .max_by_key(|(_, l)| l.used);
         if let Some((id, _)) = free {
             return Some(id);
         }
-        let shared =
-            here.clone().filter(|(_, l)| fits(l)).min_by_key(|(_, l)| l.carried.len()).map(|(id, _)| id);
+        let shared = here
+            .clone()
+            .filter(|(_, l)| fits(l))
+            .min_by_key(|(_, l)| l.carried.len())
+            .map(|(id, _)| id);
         let mut coming = here.clone().filter(|(_, l)| !l.up).count();
         // One more where all that are up have carried this name before.
         let spent = here.clone().any(|(_, l)| l.up)
-            && here.filter(|(_, l)| l.up).all(|(_, l)| l.spent.contains(reference));
+            && here
+                .filter(|(_, l)| l.up)
+                .all(|(_, l)| l.spent.contains(reference));
         let part = (self.most / live).max(1) + usize::from(spent);
-        while coming < peer.waiting.len() && peer.links.len() < part && self.links.len() < self.most {
+        while coming < peer.waiting.len() && peer.links.len() < part && self.links.len() < self.most
+        {
             let (id, address) = (self.next, peer.address.clone());
             self.next += 1;
             self.links.insert(id, Link::new(worker, &address, now));
             peer.links.push(id);
-            self.effects.push(Effect::Connect { conn: id, address, within: self.connect_timeout });
+            self.effects.push(Effect::Connect {
+                conn: id,
+                address,
+                within: self.connect_timeout,
+            });
             coming += 1;
         }
         shared.filter(|_| coming < peer.waiting.len())
@@ -453,7 +549,9 @@
     /// The worker behind a connection does not read, or reads again: the bytes that the system has taken so far. Meanwhile
     /// nothing more is put on it.
     pub fn blocked(&mut self, now: Time, conn: ConnId, written: Option<u64>) {
-        let Some(link) = self.links.get_mut(&conn) else { return };
+        let Some(link) = self.links.get_mut(&conn) else {
+            return;
+        };
         let clear = link.blocked.is_some() && written.is_none();
         link.blocked = written;
         if clear {
@@ -465,13 +563,23 @@
     /// A connection did not come up: nothing that waits for it was sent. `own`: for want of something here, so that the
     /// worker is not to blame.
     pub fn failed(&mut self, conn: ConnId, own: bool) {
-        let Some(link) = self.links.remove(&conn) else { return };
-        let Some(peer) = self.peers.get_mut(&link.worker) else { return };
+        let Some(link) = self.links.remove(&conn) else {
+            return;
+        };
+        let Some(peer) = self.peers.get_mut(&link.worker) else {
+            return;
+        };
         peer.links.retain(|id| *id != conn);
         // Others may still come up; each stands for one job.
-        let coming = peer.links.iter().filter(|id| self.links.get(id).is_some_and(|l| !l.up)).count();
+        let coming = peer
+            .links
+            .iter()
+            .filter(|id| self.links.get(id).is_some_and(|l| !l.up))
+            .count();
         while peer.waiting.len() > coming {
-            let Some(job) = peer.waiting.pop_front() else { break };
+            let Some(job) = peer.waiting.pop_front() else {
+                break;
+            };
             let how = if own { Lost::Unsent } else { Lost::NotSent };
             self.lost.push((link.worker.clone(), job, how));
         }
@@ -502,11 +610,21 @@
     /// A connection has ended, or is ended for what came on it. `written`: the bytes that the system took; what it did not
     /// take whole never arrived and goes out again on another connection.
     pub fn closed(&mut self, now: Time, conn: ConnId, written: u64, how: Lost) {
-        let Some(link) = self.links.remove(&conn) else { return };
-        let Some(peer) = self.peers.get_mut(&link.worker) else { return };
+        let Some(link) = self.links.remove(&conn) else {
+            return;
+        };
+        let Some(peer) = self.peers.get_mut(&link.worker) else {
+            return;
+        };
         peer.links.retain(|id| *id != conn);
         let mut unsent = Vec::new();
-        for Carried { job, whole_at, idle, .. } in link.carried.into_values() {
+        for Carried {
+            job,
+            whole_at,
+            idle,
+            ..
+        } in link.carried.into_values()
+        {
             if let Some(idle) = idle {
                 self.staleness.learn(now, idle, how == Lost::Broken);
             }
@@ -546,7 +664,11 @@
         cancel: bool,
     ) -> Option<(Job, bool)> {
         let link = self.links.get_mut(&conn)?;
-        let GivenUp { job, unsent, behind } = link.give_up(conn, name, cancel, &mut self.effects)?;
+        let GivenUp {
+            job,
+            unsent,
+            behind,
+        } = link.give_up(conn, name, cancel, &mut self.effects)?;
         if !behind.is_empty() {
             self.resend(now, worker, behind);
         }
@@ -556,7 +678,11 @@
 
     /// Closes a sealed connection that carries nothing any more.
     fn close_sealed(&mut self, now: Time, conn: ConnId) {
-        if self.links.get(&conn).is_some_and(|l| l.sealed && l.carried.is_empty()) {
+        if self
+            .links
+            .get(&conn)
+            .is_some_and(|l| l.sealed && l.carried.is_empty())
+        {
             self.effects.push(Effect::Close { conn });
             self.closed(now, conn, u64::MAX, Lost::Broken);
         }
@@ -565,7 +691,9 @@
     /// What came on a connection cannot be read: it is closed. What the shell was not handed yet did not leave, and must
     /// not count as run: an unsafe call would be lost for nothing.
     pub fn spoilt(&mut self, now: Time, conn: ConnId) {
-        let Some(link) = self.links.get(&conn) else { return };
+        let Some(link) = self.links.get(&conn) else {
+            return;
+        };
         let mut handed = link.queued;
         self.effects.retain(|effect| match effect {
             Effect::Write { conn: on, bytes } if *on == conn => {
@@ -599,12 +727,15 @@
         if matches!(link.progress(link.carried.get(&name)?), Progress::Whole) {
             return None;
         }
-        self.give_up(now, worker, conn, &name, false).map(|(job, _)| job)
+        self.give_up(now, worker, conn, &name, false)
+            .map(|(job, _)| job)
     }
 
     fn take_waiting(&mut self, worker: &Worker, id: AttemptId) -> Option<Job> {
         let waiting = &mut self.peers.get_mut(worker)?.waiting;
-        let at = waiting.iter().position(|job| job.task == Task::Attempt(id))?;
+        let at = waiting
+            .iter()
+            .position(|job| job.task == Task::Attempt(id))?;
         waiting.remove(at)
     }
 
@@ -612,7 +743,9 @@
     fn carrying(&self, worker: &Worker, id: AttemptId) -> Option<(ConnId, String)> {
         self.peers.get(worker)?.links.iter().find_map(|conn| {
             let carried = &self.links.get(conn)?.carried;
-            let (name, _) = carried.iter().find(|(_, c)| c.job.task == Task::Attempt(id))?;
+            let (name, _) = carried
+                .iter()
+                .find(|(_, c)| c.job.task == Task::Attempt(id))?;
             Some((*conn, name.clone()))
         })
     }
@@ -633,7 +766,11 @@
         over.sort_unstable_by_key(|(begins_at, ..)| std::cmp::Reverse(*begins_at));
         for (_, conn, worker, name) in over {
             if let Some((job, unsent)) = self.give_up(now, &worker, conn, &name, self.cancel) {
-                let how = if unsent { Lost::NotSent } else { Lost::TimedOut };
+                let how = if unsent {
+                    Lost::NotSent
+                } else {
+                    Lost::TimedOut
+                };
                 self.lost.push((worker, job, how));
             }
         }
@@ -642,10 +779,13 @@
     /// Ends what is overdue, lets go of connections that stay idle and of workers that are gone.
     pub fn sweep(&mut self, now: Time) {
         for worker in &self.watched {
-            let Some(peer) = self.peers.get_mut(worker) else { continue };
+            let Some(peer) = self.peers.get_mut(worker) else {
+                continue;
+            };
             // A job that waits is not sent: it is given back in time to go elsewhere.
             peer.waiting.retain(|job| {
-                let over = now >= job.deadline || now >= job.began + 2 * self.connect_timeout || peer.gone;
+                let over =
+                    now >= job.deadline || now >= job.began + 2 * self.connect_timeout || peer.gone;
                 if over {
                     self.lost.push((worker.clone(), job.clone(), Lost::NotSent));
                 }
@@ -670,7 +810,9 @@
         }
         let peers = &mut self.peers;
         self.watched.retain(|worker| {
-            let Some(peer) = peers.get(worker) else { return false };
+            let Some(peer) = peers.get(worker) else {
+                return false;
+            };
             let (gone, waits) = (peer.gone, !peer.waiting.is_empty());
             let over = gone && !waits && peer.links.is_empty();
             if over {
--- a/crates/pipithub-node/src/shell.rs
+++ b/crates/pipithub-node/src/shell.rs
@@ -115,7 +115,10 @@
 impl Drop for Socket {
     fn drop(&mut self) {
         let left = self.unwritten.get_mut().len();
-        self.slot.0.unwritten.set(self.slot.0.unwritten.get() - left);
+        self.slot
+            .0
+            .unwritten
+            .set(self.slot.0.unwritten.get() - left);
     }
 }
 
@@ -134,7 +137,10 @@
 
 impl Slots {
     fn new(unwritten_most: usize) -> Rc<Self> {
-        Rc::new(Slots { unwritten_most, ..Slots::default() })
+        Rc::new(Slots {
+            unwritten_most,
+            ..Slots::default()
+        })
     }
 
     fn take(self: &Rc<Self>) -> Slot {
@@ -188,7 +194,9 @@
     /// Takes back bytes that the system has not taken, counted from the first ever written.
     fn unwrite(&self, at: u64, len: u64) {
         let mut unwritten = self.unwritten.borrow_mut();
-        let (Some(at), len) = (at.checked_sub(self.written.get()), len as usize) else { return };
+        let (Some(at), len) = (at.checked_sub(self.written.get()), len as usize) else {
+            return;
+        };
         let at = at as usize;
         if at + len <= unwritten.len() {
             let mut rest = unwritten.split_off(at);
@@ -204,11 +212,15 @@
         let mut unwritten = self.unwritten.borrow_mut();
         let first = unwritten.is_empty();
         unwritten.extend_from_slice(bytes);
-        self.slot.0.unwritten.set(self.slot.0.unwritten.get() + bytes.len());
+        self.slot
+            .0
+            .unwritten
+            .set(self.slot.0.unwritten.get() + bytes.len());
         if first {
             self.flush(&mut unwritten);
         }
-        let crowded = self.slot.0.unwritten.get() > self.slot.0.unwritten_most && unwritten.len() > KEPT;
+        let crowded =
+            self.slot.0.unwritten.get() > self.slot.0.unwritten_most && unwritten.len() > KEPT;
         if crowded || unwritten.len() > UNWRITTEN_MOST {
             self.broken.set(true);
         }
@@ -224,7 +236,10 @@
         let (count, end) = sockets::write_now(unwritten, |bytes| self.stream.try_write(bytes));
         self.written.set(self.written.get() + count as u64);
         unwritten.advance(count);
-        self.slot.0.unwritten.set(self.slot.0.unwritten.get() - count);
+        self.slot
+            .0
+            .unwritten
+            .set(self.slot.0.unwritten.get() - count);
         match end {
             TransferEnd::Complete | TransferEnd::Blocked => {}
             TransferEnd::Exhausted => self.exhausted.set(true),
@@ -288,7 +303,9 @@
 
     /// Tells the core how far the system has taken what is written to a worker that does not read.
     fn tell_blocked(&self, now: Time, conn: ConnId) {
-        let Some(socket) = self.sockets.borrow().get(&conn).cloned() else { return };
+        let Some(socket) = self.sockets.borrow().get(&conn).cloned() else {
+            return;
+        };
         let blocked = (!socket.unwritten.borrow().is_empty()).then(|| socket.written.get());
         if socket.blocked.replace(blocked) != blocked {
             self.core.borrow_mut().worker_blocked(now, conn, blocked);
@@ -297,7 +314,9 @@
 
     /// Closes a client's connection, unless a request has come on it in this very moment.
     fn retire(&self, now: Time, conn: ConnId) {
-        let Some(socket) = self.sockets.borrow().get(&conn).cloned() else { return };
+        let Some(socket) = self.sockets.borrow().get(&conn).cloned() else {
+            return;
+        };
         let (mut bytes, mut core) = (vec![0; READ], self.core.borrow_mut());
         // From the system itself: the poller may not have told of the last bytes yet.
         let system = SockRef::from(&socket.stream);
@@ -344,7 +363,11 @@
                     socket.wake.notify_one();
                 }
             }
-            Effect::Connect { conn, address, within } => {
+            Effect::Connect {
+                conn,
+                address,
+                within,
+            } => {
                 let shell = self.clone();
                 tokio::task::spawn_local(async move {
                     let within = Duration::from_nanos(within);
@@ -353,7 +376,9 @@
                         shell.workers.below(most).await;
                         dialled.set(true);
                         let slot = shell.workers.take();
-                        TcpStream::connect(&*address).await.map(|stream| (stream, slot))
+                        TcpStream::connect(&*address)
+                            .await
+                            .map(|stream| (stream, slot))
                     };
                     match sockets::connect(within, dial, &shell.local_faults).await {
                         Ok((stream, slot)) => {
@@ -381,7 +406,11 @@
                 break;
             }
             self.rest(&socket).await;
-            let interest = if empty { Interest::READABLE } else { Interest::READABLE | Interest::WRITABLE };
+            let interest = if empty {
+                Interest::READABLE
+            } else {
+                Interest::READABLE | Interest::WRITABLE
+            };
             let ready = tokio::select! {
                 ready = socket.stream.ready(interest) => ready,
                 () = socket.wake.notified() => continue,
@@ -441,14 +470,23 @@
             }
             socket.flush(&mut socket.unwritten.borrow_mut());
         }
-        if socket.broken.get() || SockRef::from(&socket.stream).shutdown(Shutdown::Write).is_err() {
+        if socket.broken.get()
+            || SockRef::from(&socket.stream)
+                .shutdown(Shutdown::Write)
+                .is_err()
+        {
             return;
         }
         let mut waste = vec![0; KEPT];
         while socket.stream.readable().await.is_ok() {
             match socket.stream.try_read(&mut waste) {
                 Ok(0) => return,
-                Err(e) if !matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {
+                Err(e)
+                    if !matches!(
+                        e.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
+                    ) =>
+                {
                     return;
                 }
                 _ => {}
@@ -463,7 +501,8 @@
             return Progress::Ended;
         }
         let mut scratch = self.scratch.borrow_mut();
-        let (filled, end) = sockets::read_now(&mut scratch, |buffer| socket.stream.try_read(buffer));
+        let (filled, end) =
+            sockets::read_now(&mut scratch, |buffer| socket.stream.try_read(buffer));
         if end == TransferEnd::Exhausted {
             socket.exhausted.set(true);
         }
@@ -483,7 +522,11 @@
         if socket.side == Side::Client {
             self.active.set(self.clock.now());
         }
-        if end == TransferEnd::Complete { Progress::More } else { Progress::Drained }
+        if end == TransferEnd::Complete {
+            Progress::More
+        } else {
+            Progress::Drained
+        }
     }
 
     async fn accept(self: Rc<Self>, listener: TcpListener) {
@@ -511,7 +554,10 @@
     fn over(&self) -> bool {
         let (now, core) = (self.clock.now(), self.core.borrow());
         let written = || {
-            self.sockets.borrow().values().all(|s| s.side == Side::Worker || s.unwritten.borrow().is_empty())
+            self.sockets
+                .borrow()
+                .values()
+                .all(|s| s.side == Side::Worker || s.unwritten.borrow().is_empty())
         };
         let quiet = || now >= self.active.get() + LAST_LOOK && self.lingering.get() == 0;
         core.overdue(now) || core.done(now) && quiet() && written()
@@ -552,7 +598,10 @@
 }
 
 fn load(path: &Path) -> Result<NodeConfig, StartError> {
-    let fault = |reason: String| StartError::Config { place: path.to_path_buf(), reason };
+    let fault = |reason: String| StartError::Config {
+        place: path.to_path_buf(),
+        reason,
+    };
     let text = std::fs::read_to_string(path).map_err(|e| fault(e.to_string()))?;
     NodeConfig::parse(&text).map_err(fault)
 }
@@ -574,13 +623,23 @@
     /// [`StartError`] where it cannot start.
     pub async fn bind(path: &Path, listen: Option<String>) -> Result<Self, StartError> {
         // From here on a signal is heard, though it is served later: a file replaced after it is read is read again.
-        let (terminate, interrupt) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
+        let (terminate, interrupt) = (
+            signal(SignalKind::terminate())?,
+            signal(SignalKind::interrupt())?,
+        );
         let reload = signal(SignalKind::hangup())?;
         let config = load(path)?;
         let address = listen.unwrap_or_else(|| config.listen.clone());
         let listener = TcpListener::bind(&*address).await;
         let listener = listener.map_err(|reason| StartError::Listen { address, reason })?;
-        Ok(Node { config, place: path.to_path_buf(), listener, terminate, interrupt, reload })
+        Ok(Node {
+            config,
+            place: path.to_path_buf(),
+            listener,
+            terminate,
+            interrupt,
+            reload,
+        })
     }
 
     /// Where it listens.
@@ -599,7 +658,14 @@
 
     /// As [`Node::serve`]; the core is shown to `share` before it serves, for tests that compare its state.
     pub async fn serve_sharing(self, share: impl FnOnce(Rc<RefCell<Core>>)) {
-        let Node { config, place, listener, mut terminate, mut interrupt, mut reload } = self;
+        let Node {
+            config,
+            place,
+            listener,
+            mut terminate,
+            mut interrupt,
+            mut reload,
+        } = self;
         let clock = Clock::unix();
         let unwritten_most = ((config.memory_mb as usize) << 20) / UNWRITTEN_PART;
         let core = Rc::new(RefCell::new(Core::new(clock.now(), &config)));
@@ -624,12 +690,25 @@
         let (coordinator, followed) = watch::channel(config.coordinator.clone());
         let names = config.site.names.clone();
         let told = shell.clone();
-        tokio::task::spawn_local(coordinator::follow(followed, last, names, config.seed, move |event| {
-            told.with(|core, now| core.list_at(now, wall_ns(), &event));
-        }));
-        let address = listener.local_addr().map_or_else(|e| e.to_string(), |a| a.to_string());
+        tokio::task::spawn_local(coordinator::follow(
+            followed,
+            last,
+            names,
+            config.seed,
+            move |event| {
+                told.with(|core, now| core.list_at(now, wall_ns(), &event));
+            },
+        ));
+        let address = listener
+            .local_addr()
+            .map_or_else(|e| e.to_string(), |a| a.to_string());
         let accepting = tokio::task::spawn_local(shell.clone().accept(listener));
-        info!(front_end = config.name, address, coordinator = config.coordinator, "front end up");
+        info!(
+            front_end = config.name,
+            address,
+            coordinator = config.coordinator,
+            "front end up"
+        );
         let over = shell.time();
         tokio::pin!(over);
         // How often a configuration that could not be read was looked at, and when to look again.
@@ -669,6 +748,12 @@
         shell.end().await;
         let (stats, open) = (shell.core.borrow().stats(), shell.core.borrow().open());
         let local_faults = shell.local_faults.count();
-        info!(front_end = config.name, open, ?stats, local_faults, "front end down");
+        info!(
+            front_end = config.name,
+            open,
+            ?stats,
+            local_faults,
+            "front end down"
+        );
     }
 }
--- a/crates/pipithub-node/src/sockets.rs
+++ b/crates/pipithub-node/src/sockets.rs
@@ -38,7 +38,9 @@
         match accept().await {
             Ok(connection) => take(connection),
             Err(error) => match accept_failure(&error) {
-                AcceptFailure::Connection => debug!(%error, "a connection ended before it was accepted"),
+                AcceptFailure::Connection => {
+                    debug!(%error, "a connection ended before it was accepted")
+                }
                 AcceptFailure::Exhausted => {
                     // Those that close make room.
                     faults.note();
@@ -89,7 +91,13 @@
             }
         }
     };
-    let timed_out = |_| Err(if dialled.get() { ConnectError::TimedOut } else { ConnectError::Local });
+    let timed_out = |_| {
+        Err(if dialled.get() {
+            ConnectError::TimedOut
+        } else {
+            ConnectError::Local
+        })
+    };
     timeout(within, tries).await.unwrap_or_else(timed_out)
 }
 
@@ -107,7 +115,10 @@
 }
 
 /// Writes as much as the system takes: the bytes taken, and what ended it.
-pub fn write_now(bytes: &[u8], mut write: impl FnMut(&[u8]) -> io::Result<usize>) -> (usize, TransferEnd) {
+pub fn write_now(
+    bytes: &[u8],
+    mut write: impl FnMut(&[u8]) -> io::Result<usize>,
+) -> (usize, TransferEnd) {
     let mut written = 0;
     while written < bytes.len() {
         match transferred(write(&bytes[written..])) {
--- a/crates/pipithub-node/src/staleness.rs
+++ b/crates/pipithub-node/src/staleness.rs
@@ -35,7 +35,10 @@
         if now >= self.faded + HALF {
             let halves = (now - self.faded) / HALF;
             let left = 0.5f64.powi(halves.min(60) as i32);
-            self.used.iter_mut().chain(&mut self.broke).for_each(|n| *n *= left);
+            self.used
+                .iter_mut()
+                .chain(&mut self.broke)
+                .for_each(|n| *n *= left);
             self.faded = now;
         }
         let at = step(idle);
@@ -46,7 +49,8 @@
     /// Connections that are idle for this long or longer must not be used again; `None`: any may.
     pub fn limit(&self) -> Option<Time> {
         // What breaks after some time breaks after a longer one too, seen or not.
-        let at = (0..STEPS).find(|&i| self.broke[i] >= BREAKS && self.broke[i] >= SHARE * self.used[i])?;
+        let at = (0..STEPS)
+            .find(|&i| self.broke[i] >= BREAKS && self.broke[i] >= SHARE * self.used[i])?;
         Some(if at == 0 { 0 } else { UNIT << (at - 1) })
     }
 }
--- a/crates/pipithub-node/tests/bench/mod.rs
+++ b/crates/pipithub-node/tests/bench/mod.rs
@@ -53,7 +53,11 @@
     }
 
     pub fn of(config: &NodeConfig) -> Self {
-        Bench { core: Core::new(START, config), now: START, unread: BTreeMap::new() }
+        Bench {
+            core: Core::new(START, config),
+            now: START,
+            unread: BTreeMap::new(),
+        }
     }
 
     pub fn effects(&mut self) -> Vec<Effect> {
@@ -69,7 +73,8 @@
     }
 
     pub fn say(&mut self, conn: ConnId, line: &str) {
-        self.core.client_bytes(self.now, conn, format!("{line}\n").as_bytes());
+        self.core
+            .client_bytes(self.now, conn, format!("{line}\n").as_bytes());
     }
 
     pub fn call(&mut self, conn: ConnId, id: u64, class: &str) {
@@ -123,8 +128,14 @@
         self.call(client, 7, class);
         let written = self.written();
         let (worker, line) = written.last().expect("sent");
-        assert!(line.starts_with(r#"{"cmd":"DO","ref":"0000000000000007","opts":{"sort":""#), "{line}");
-        assert!(line.contains(r#""asset":"00000000000000aa""#) && line.contains(r#""payload":"aGVsbG8=""#));
+        assert!(
+            line.starts_with(r#"{"cmd":"DO","ref":"0000000000000007","opts":{"sort":""#),
+            "{line}"
+        );
+        assert!(
+            line.contains(r#""asset":"00000000000000aa""#)
+                && line.contains(r#""payload":"aGVsbG8=""#)
+        );
         (client, *worker)
     }
 }
--- a/crates/pipithub-node/tests/closes.rs
+++ b/crates/pipithub-node/tests/closes.rs
@@ -17,12 +17,19 @@
 use tokio::task::{LocalSet, spawn_local, yield_now};
 
 async fn within<T>(test: impl Future<Output = T>) -> T {
-    LocalSet::new().run_until(tokio::time::timeout(Duration::from_secs(60), test)).await.expect("it ends")
+    LocalSet::new()
+        .run_until(tokio::time::timeout(Duration::from_secs(60), test))
+        .await
+        .expect("it ends")
 }
 
 async fn one_worker() -> (TcpListener, TcpListener, SocketAddr) {
     let ((worker, at), (list, list_at)) = (listener().await, listener().await);
-    let node = start(&config(list_at, &[event(1, true, &[("w1", at, "SERVING")])])).await;
+    let node = start(&config(
+        list_at,
+        &[event(1, true, &[("w1", at, "SERVING")])],
+    ))
+    .await;
     (worker, list, node)
 }
 
@@ -44,9 +51,15 @@
         let seen = Rc::new(RefCell::new(Vec::new()));
         let (_address, followed) = watch::channel(address.to_string());
         let (noted, now) = (seen.clone(), turns.clone());
-        spawn_local(coordinator::follow(followed, 0, Names::default(), 1, move |_| {
-            noted.borrow_mut().push(now.get());
-        }));
+        spawn_local(coordinator::follow(
+            followed,
+            0,
+            Names::default(),
+            1,
+            move |_| {
+                noted.borrow_mut().push(now.get());
+            },
+        ));
         let (mut stream, _) = list.accept().await.expect("it asks");
         let mut request = Vec::new();
         while !request.ends_with(b"\r\n\r\n") {
@@ -54,7 +67,10 @@
         }
         let mut text = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\n".to_string();
         for n in 1..=EVENTS {
-            text += &format!("id: {n}\ndata: {}\n\n", event(n, n == 1, &[("w1", address, "SERVING")]));
+            text += &format!(
+                "id: {n}\ndata: {}\n\n",
+                event(n, n == 1, &[("w1", address, "SERVING")])
+            );
         }
         stream.write_all(text.as_bytes()).await.expect("written");
         while seen.borrow().len() < EVENTS as usize {
@@ -62,8 +78,14 @@
         }
         let seen = seen.borrow();
         // Tasks that are ready together change places from turn to turn, and one may be woken twice in a turn.
-        let at_once = seen.windows(MOST + 1).filter(|some| some[0] == some[MOST]).count();
-        assert_eq!(at_once, 0, "more than {MOST} events between two turns of another task: {seen:?}");
+        let at_once = seen
+            .windows(MOST + 1)
+            .filter(|some| some[0] == some[MOST])
+            .count();
+        assert_eq!(
+            at_once, 0,
+            "more than {MOST} events between two turns of another task: {seen:?}"
+        );
     })
     .await;
 }
@@ -82,9 +104,13 @@
         at_worker.send(&served(&asked)).await;
         client.next().await.expect("an answer");
         // Answers to nothing open, until the system takes no more.
-        let noise = "{\"cmd\":\"ACK\",\"ref\":\"ffffffffffffffff\",\"payload\":\"\"}\n".repeat(1000);
+        let noise =
+            "{\"cmd\":\"ACK\",\"ref\":\"ffffffffffffffff\",\"payload\":\"\"}\n".repeat(1000);
         let mut sent = 0;
-        while let Ok(n) = at_worker.write.try_write(&noise.as_bytes()[sent % noise.len()..]) {
+        while let Ok(n) = at_worker
+            .write
+            .try_write(&noise.as_bytes()[sent % noise.len()..])
+        {
             sent += n;
         }
         assert!(sent > 16 * PIECE, "{sent} bytes stand before the front end");
@@ -95,9 +121,17 @@
             yield_now().await;
             held.push(held_by_the_system(port, peer));
         }
-        let most = held.windows(2).map(|pair| pair[0].saturating_sub(pair[1])).max().expect("some");
+        let most = held
+            .windows(2)
+            .map(|pair| pair[0].saturating_sub(pair[1]))
+            .max()
+            .expect("some");
         // As above: a task may have its turn more than once between two counts.
-        assert!(most <= 4 * PIECE, "{most} of {sent} bytes were read in one turn of {}", held.len());
+        assert!(
+            most <= 4 * PIECE,
+            "{most} of {sent} bytes were read in one turn of {}",
+            held.len()
+        );
     })
     .await;
 }
@@ -113,7 +147,10 @@
             let mut at_worker = Peer::of(worker.accept().await.expect("a connection").0);
             at_worker.next().await.expect("a call");
             client.send("noise\n").await;
-            assert!(client.next().await.expect("an answer")["error"].is_object(), "it is given up");
+            assert!(
+                client.next().await.expect("an answer")["error"].is_object(),
+                "it is given up"
+            );
             if closes {
                 drop(client);
             } else {
@@ -121,7 +158,10 @@
                 assert_eq!(client.next().await, None, "nothing is open on it any more");
             }
             let undo = at_worker.next().await.expect("told");
-            assert_eq!((&undo["cmd"], &undo["ref"]), (&"UNDO".into(), &"0000000000000007".into()));
+            assert_eq!(
+                (&undo["cmd"], &undo["ref"]),
+                (&"UNDO".into(), &"0000000000000007".into())
+            );
         })
         .await;
     }
@@ -156,7 +196,11 @@
         drop(gone);
         stays.is_well(2).await;
         stays.send(&call(256, "assign", "")).await;
-        assert_eq!(at_worker.next().await.expect("a call")["ref"], "0000000000000100", "the next one");
+        assert_eq!(
+            at_worker.next().await.expect("a call")["ref"],
+            "0000000000000100",
+            "the next one"
+        );
     })
     .await;
 }
--- a/crates/pipithub-node/tests/coordinator.rs
+++ b/crates/pipithub-node/tests/coordinator.rs
@@ -44,7 +44,11 @@
     let times = Times::default();
     let _guard = tracing::subscriber::set_default(times.clone());
     let following = follow(followed, 0, Names::default(), seed, |_| {});
-    let _ = tokio::time::timeout(Duration::from_secs(20), LocalSet::new().run_until(following)).await;
+    let _ = tokio::time::timeout(
+        Duration::from_secs(20),
+        LocalSet::new().run_until(following),
+    )
+    .await;
     let times = times.0.lock().expect("one thread");
     times.windows(2).map(|pair| pair[1] - pair[0]).collect()
 }
@@ -58,10 +62,17 @@
         for (i, wait) in waits.iter().enumerate() {
             let middle = Duration::from_millis(50 << i.min(4));
             let slack = Duration::from_millis(2);
-            assert!(*wait + slack >= middle / 2 && *wait <= middle * 3 / 2 + slack, "{i}: {wait:?}");
+            assert!(
+                *wait + slack >= middle / 2 && *wait <= middle * 3 / 2 + slack,
+                "{i}: {wait:?}"
+            );
         }
     }
-    let apart = one.iter().zip(&other).filter(|(a, b)| a.abs_diff(**b) > Duration::from_millis(2)).count();
+    let apart = one
+        .iter()
+        .zip(&other)
+        .filter(|(a, b)| a.abs_diff(**b) > Duration::from_millis(2))
+        .count();
     assert!(apart * 2 > one.len().min(other.len()), "{one:?}, {other:?}");
     assert_eq!(one, waits(1).await, "and each by its own seed alone");
 }
@@ -102,7 +113,10 @@
     let odd = serde_json::json!({"host": "w2", "dial": "127.0.0.1:1", "health": "ODD"});
     let long = "x".repeat(DATA_MOST + 1);
     let cases = [
-        (event(2, false, &[good.clone(), odd]), "endpoints.hosts[1].health: unknown"),
+        (
+            event(2, false, &[good.clone(), odd]),
+            "endpoints.hosts[1].health: unknown",
+        ),
         (long, "event 2: data: more than 8192000 bytes"),
     ];
     for (text, reason) in cases {
@@ -128,9 +142,14 @@
             }
         };
         let local = LocalSet::new();
-        tokio::time::timeout(Duration::from_secs(60), local.run_until(both)).await.expect("logged twice");
+        tokio::time::timeout(Duration::from_secs(60), local.run_until(both))
+            .await
+            .expect("logged twice");
         for (i, error) in told()[..2].iter().enumerate() {
-            assert!(error.contains(reason) && error.contains(&format!("unusable={} ", i + 1)), "{error}");
+            assert!(
+                error.contains(reason) && error.contains(&format!("unusable={} ", i + 1)),
+                "{error}"
+            );
         }
         assert_eq!(*taken.borrow(), [1], "the former list stays");
     }
--- a/crates/pipithub-node/tests/core.rs
+++ b/crates/pipithub-node/tests/core.rs
@@ -13,7 +13,11 @@
     let mut b = Bench::new();
     let (client, worker) = b.sent("assign");
     // An answer to nothing open comes first, and the answer twice.
-    b.core.worker_bytes(b.now, worker, b"{\"cmd\":\"ACK\",\"ref\":\"ffffffffffffffff\",\"payload\":\"\"}\n");
+    b.core.worker_bytes(
+        b.now,
+        worker,
+        b"{\"cmd\":\"ACK\",\"ref\":\"ffffffffffffffff\",\"payload\":\"\"}\n",
+    );
     b.core.worker_bytes(b.now, worker, &SERVED[..20]);
     b.core.worker_bytes(b.now, worker, &SERVED[20..]);
     b.core.worker_bytes(b.now, worker, SERVED);
@@ -24,14 +28,20 @@
 
 #[test]
 fn a_spoilt_answer_closes_its_connection_and_an_unsafe_call_is_failed_not_refused() {
-    for spoilt in ["{\"cmd\":\"ACK\",\"ref\":\"0000000000000007\",\"payload\":\"!!\"}\n", "noise\n"] {
+    for spoilt in [
+        "{\"cmd\":\"ACK\",\"ref\":\"0000000000000007\",\"payload\":\"!!\"}\n",
+        "noise\n",
+    ] {
         let mut b = Bench::new();
         let (client, worker) = b.sent("assign");
         b.core.worker_bytes(b.now, worker, spoilt.as_bytes());
         let written = b.written();
         assert!(written.contains(&(worker, "closed".to_string())));
         let to_client: Vec<_> = written.iter().filter(|(conn, _)| *conn == client).collect();
-        assert!(to_client.len() == 1 && to_client[0].1.contains("-32000"), "{to_client:?}");
+        assert!(
+            to_client.len() == 1 && to_client[0].1.contains("-32000"),
+            "{to_client:?}"
+        );
     }
     // A line without end is spoilt too, within a bound.
     let mut b = Bench::new();
@@ -46,14 +56,22 @@
     let (client, worker) = b.sent("view");
     b.core.worker_closed(b.now, worker, u64::MAX);
     let written = b.written();
-    assert!(written.iter().any(|(conn, line)| *conn != client && line.contains("\"DO\"")), "{written:?}");
+    assert!(
+        written
+            .iter()
+            .any(|(conn, line)| *conn != client && line.contains("\"DO\"")),
+        "{written:?}"
+    );
 }
 
 #[test]
 fn what_clients_send_wrongly_is_answered_with_an_error_and_reaches_no_worker() {
     let call = r#""params":{"call":"0000000000000001","ttl":TTL,"row":"00000000000000aa","props":"PROPS","body":"BODY"}"#;
     let with = |method: &str, ttl: &str, props: &str, body: &str| {
-        let call = call.replace("TTL", ttl).replace("PROPS", props).replace("BODY", body);
+        let call = call
+            .replace("TTL", ttl)
+            .replace("PROPS", props)
+            .replace("BODY", body);
         format!(r#"{{"jsonrpc":"2.0","id":1,"method":"{method}",{call}}}"#)
     };
     let bad = [
@@ -80,8 +98,14 @@
         let client = b.client();
         b.say(client, &line);
         let written = b.written();
-        assert!(!written.is_empty() && written.iter().all(|(conn, _)| *conn == client), "{line:.80}");
-        assert!(written[0].1.contains("\"error\""), "{line:.80}: {written:?}");
+        assert!(
+            !written.is_empty() && written.iter().all(|(conn, _)| *conn == client),
+            "{line:.80}"
+        );
+        assert!(
+            written[0].1.contains("\"error\""),
+            "{line:.80}: {written:?}"
+        );
     }
 }
 
@@ -92,9 +116,16 @@
     let other = b.client();
     b.call(other, 7, "assign");
     let written = b.written();
-    assert!(written.len() == 1 && written[0].0 == other && !written[0].1.contains("-32050"), "{written:?}");
+    assert!(
+        written.len() == 1 && written[0].0 == other && !written[0].1.contains("-32050"),
+        "{written:?}"
+    );
     b.core.worker_bytes(b.now, worker, SERVED);
-    assert!(b.written().iter().any(|(conn, line)| *conn == client && line.contains("result")));
+    assert!(
+        b.written()
+            .iter()
+            .any(|(conn, line)| *conn == client && line.contains("result"))
+    );
 }
 
 #[test]
@@ -103,7 +134,10 @@
         let mut b = Bench::new();
         let (client, worker) = b.sent("view");
         if forgets {
-            b.say(client, r#"{"jsonrpc":"2.0","method":"forget","params":{"id":7}}"#);
+            b.say(
+                client,
+                r#"{"jsonrpc":"2.0","method":"forget","params":{"id":7}}"#,
+            );
         } else {
             b.core.client_closed(b.now, client);
         }
@@ -119,8 +153,15 @@
     let mut b = Bench::new();
     let (client, _) = b.sent("view");
     b.pass(1_500 * MS);
-    let answers: Vec<_> = b.written().into_iter().filter(|(conn, _)| *conn == client).collect();
-    assert!(answers.len() == 1 && answers[0].1.contains("-32050"), "{answers:?}");
+    let answers: Vec<_> = b
+        .written()
+        .into_iter()
+        .filter(|(conn, _)| *conn == client)
+        .collect();
+    assert!(
+        answers.len() == 1 && answers[0].1.contains("-32050"),
+        "{answers:?}"
+    );
     assert!(answers[0].1.contains("\"pushback\":500"));
 }
 
@@ -132,14 +173,25 @@
     let half = b.client();
     b.core.client_bytes(b.now, half, b"{\"json");
     b.pass(2_100 * MS);
-    let closed: Vec<ConnId> = b.written().iter().filter(|(_, l)| l == "closed").map(|(c, _)| *c).collect();
-    assert!(closed.contains(&silent) && closed.contains(&half) && !closed.contains(&client), "{closed:?}");
+    let closed: Vec<ConnId> = b
+        .written()
+        .iter()
+        .filter(|(_, l)| l == "closed")
+        .map(|(c, _)| *c)
+        .collect();
+    assert!(
+        closed.contains(&silent) && closed.contains(&half) && !closed.contains(&client),
+        "{closed:?}"
+    );
     let mut b = Bench::new();
     let (client, _) = b.sent("view");
     for _ in 0..200 {
         b.client();
         assert!(!b.written().contains(&(client, "closed".to_string())));
-        assert!(b.core.connections().0 <= 24, "the descriptors of 64 suffice");
+        assert!(
+            b.core.connections().0 <= 24,
+            "the descriptors of 64 suffice"
+        );
     }
 }
 
@@ -152,10 +204,18 @@
     assert!(b.written()[0].1.contains("\"healthy\":false"));
     b.pass(500 * MS);
     b.call(client, 9, "assign");
-    assert!(b.written().iter().any(|(conn, _)| *conn != client), "still taken");
+    assert!(
+        b.written().iter().any(|(conn, _)| *conn != client),
+        "still taken"
+    );
     b.pass(400 * MS);
     b.call(client, 10, "view");
-    assert!(b.written().iter().any(|(conn, l)| *conn == client && l.contains("-32050")), "refused at once");
+    assert!(
+        b.written()
+            .iter()
+            .any(|(conn, l)| *conn == client && l.contains("-32050")),
+        "refused at once"
+    );
     b.core.worker_bytes(b.now, worker, SERVED);
     assert!(!b.core.done(b.now), "a call is open");
     b.pass(2_000 * MS);
@@ -174,12 +234,20 @@
         );
         list::parse(&text, &config().site.names).expect("event")
     };
-    ["w1", "w2"].iter().for_each(|id| b.core.list(b.now, &drains(id)));
+    ["w1", "w2"]
+        .iter()
+        .for_each(|id| b.core.list(b.now, &drains(id)));
     let client = b.client();
     b.call(client, 20, "view");
     let written = b.written();
-    assert!(written.iter().all(|(conn, _)| *conn == client), "{written:?}");
-    assert!(written.iter().any(|(_, line)| line.contains("-32050")), "refused, unsent and at once");
+    assert!(
+        written.iter().all(|(conn, _)| *conn == client),
+        "{written:?}"
+    );
+    assert!(
+        written.iter().any(|(_, line)| line.contains("-32050")),
+        "refused, unsent and at once"
+    );
 }
 
 /// A close would lose the calls that are open on the connection: what was taken is owed its answer.
@@ -191,12 +259,25 @@
     b.call(client, 8, "view");
     // The call behind it has not run, and is told so.
     let written = b.written();
-    assert!(written.len() == 2 && written.iter().all(|(conn, _)| *conn == client), "{written:?}");
-    assert!(written[0].1.contains("-32700") && written[1].1.contains("\"id\":8"), "{written:?}");
+    assert!(
+        written.len() == 2 && written.iter().all(|(conn, _)| *conn == client),
+        "{written:?}"
+    );
+    assert!(
+        written[0].1.contains("-32700") && written[1].1.contains("\"id\":8"),
+        "{written:?}"
+    );
     assert!(written[1].1.contains("-32050"), "{written:?}");
     b.core.worker_bytes(b.now, worker, SERVED);
-    let to_client: Vec<_> = b.written().into_iter().filter(|(conn, _)| *conn == client).collect();
-    assert!(to_client.len() == 2 && to_client[0].1.contains("result"), "{to_client:?}");
+    let to_client: Vec<_> = b
+        .written()
+        .into_iter()
+        .filter(|(conn, _)| *conn == client)
+        .collect();
+    assert!(
+        to_client.len() == 2 && to_client[0].1.contains("result"),
+        "{to_client:?}"
+    );
     assert_eq!(to_client[1].1, "closed");
 }
 
@@ -204,15 +285,31 @@
 fn slips_on_a_long_connection_do_not_add_up_but_in_a_row_they_end_it() {
     let mut b = Bench::new();
     let client = b.client();
-    let closed = |b: &mut Bench| b.written().iter().any(|(conn, l)| *conn == client && l == "closed");
+    let closed = |b: &mut Bench| {
+        b.written()
+            .iter()
+            .any(|(conn, l)| *conn == client && l == "closed")
+    };
     for id in 1..20 {
-        b.say(client, &format!(r#"{{"jsonrpc":"2.0","id":{id},"method":"nothing"}}"#));
+        b.say(
+            client,
+            &format!(r#"{{"jsonrpc":"2.0","id":{id},"method":"nothing"}}"#),
+        );
         b.call(client, 100 + id, "view");
-        b.say(client, &format!(r#"{{"jsonrpc":"2.0","method":"forget","params":{{"id":{}}}}}"#, 100 + id));
+        b.say(
+            client,
+            &format!(
+                r#"{{"jsonrpc":"2.0","method":"forget","params":{{"id":{}}}}}"#,
+                100 + id
+            ),
+        );
         assert!(!closed(&mut b), "after {id}");
     }
     for id in 200..204 {
-        b.say(client, &format!(r#"{{"jsonrpc":"2.0","id":{id},"method":"nothing"}}"#));
+        b.say(
+            client,
+            &format!(r#"{{"jsonrpc":"2.0","id":{id},"method":"nothing"}}"#),
+        );
     }
     assert!(closed(&mut b));
 }
@@ -223,7 +320,8 @@
     let hosts: Vec<_> = (0..40)
         .map(|n| serde_json::json!({"host": format!("h{n}"), "dial": format!("10.0.0.2:{n}"), "health": "SERVING"}))
         .collect();
-    let event = serde_json::json!({"index": 2, "endpoints": {"seq": 2, "whole": false, "hosts": hosts}});
+    let event =
+        serde_json::json!({"index": 2, "endpoints": {"seq": 2, "whole": false, "hosts": hosts}});
     let event = list::parse(&event.to_string(), &config().site.names).expect("event");
     b.core.list(b.now, &event);
     let client = b.client();
@@ -237,7 +335,8 @@
     }
     let mut answers = b.written();
     answers.retain(|(conn, _)| *conn == client);
-    let beyond = |l: &str| l.contains("too many") && l.contains("-32050") && l.contains("\"pushback\":500");
+    let beyond =
+        |l: &str| l.contains("too many") && l.contains("-32050") && l.contains("\"pushback\":500");
     let refused: Vec<_> = answers.iter().filter(|(_, l)| beyond(l)).collect();
     assert!(
         refused.len() == 8 && answers.len() == 8 && !answers.iter().any(|(_, l)| l == "closed"),
@@ -249,7 +348,13 @@
 /// A late client states a little more than its class's three seconds; it is held to these, and not turned away.
 #[test]
 fn a_client_that_states_a_little_too_much_time_is_served_within_its_class() {
-    for (ttl, taken) in [("3000", true), ("3049", true), ("6001", false), ("-5", false), ("1e23", false)] {
+    for (ttl, taken) in [
+        ("3000", true),
+        ("3049", true),
+        ("6001", false),
+        ("-5", false),
+        ("1e23", false),
+    ] {
         let mut b = Bench::new();
         let client = b.client();
         b.say(
@@ -258,10 +363,17 @@
                 r#"{{"jsonrpc":"2.0","id":7,"method":"view","params":{{"call":"0000000000000007","ttl":{ttl},"row":"00000000000000aa"}}}}"#
             ),
         );
-        let sent = b.written().into_iter().find(|(conn, _)| *conn != client).map(|(_, line)| line);
+        let sent = b
+            .written()
+            .into_iter()
+            .find(|(conn, _)| *conn != client)
+            .map(|(_, line)| line);
         assert_eq!(sent.is_some(), taken, "{ttl}");
         if let Some(line) = sent {
-            assert!(line.contains(r#""patience":29"#), "a little under three seconds: {line}");
+            assert!(
+                line.contains(r#""patience":29"#),
+                "a little under three seconds: {line}"
+            );
         }
     }
 }
@@ -271,14 +383,20 @@
 /// Asked and taken back within what was read at once: to begin it would be an attempt for nobody.
 #[test]
 fn a_call_that_is_forgotten_in_the_same_breath_is_not_begun() {
-    for forget in [FORGET, r#"{"jsonrpc":"2.0","method":"forget","params":{"call":"0000000000000007"}}"#] {
+    for forget in [
+        FORGET,
+        r#"{"jsonrpc":"2.0","method":"forget","params":{"call":"0000000000000007"}}"#,
+    ] {
         let mut b = Bench::new();
         let client = b.client();
         let call = r#"{"jsonrpc":"2.0","id":7,"method":"view","params":{"call":"0000000000000007","ttl":1500,"row":"00000000000000aa"}}"#;
         b.say(client, &format!("{call}\n{forget}"));
         assert_eq!((b.written(), b.core.open()), (vec![], 0));
         b.call(client, 8, "view");
-        assert!(b.written().iter().any(|(_, line)| line.contains("\"DO\"")), "others are");
+        assert!(
+            b.written().iter().any(|(_, line)| line.contains("\"DO\"")),
+            "others are"
+        );
     }
 }
 
@@ -288,12 +406,21 @@
     let mut b = Bench::new();
     let silent = b.client();
     b.pass(2_100 * MS);
-    assert!(b.effects().contains(&Effect::Retire { conn: silent }), "the shell looks once more");
+    assert!(
+        b.effects().contains(&Effect::Retire { conn: silent }),
+        "the shell looks once more"
+    );
     b.call(silent, 7, "view");
     b.core.retire(b.now, silent);
     let written = b.written();
-    assert!(written.iter().any(|(_, line)| line.contains("\"DO\"")), "{written:?}");
-    assert!(!written.contains(&(silent, "closed".to_string())), "{written:?}");
+    assert!(
+        written.iter().any(|(_, line)| line.contains("\"DO\"")),
+        "{written:?}"
+    );
+    assert!(
+        !written.contains(&(silent, "closed".to_string())),
+        "{written:?}"
+    );
 }
 
 /// The same name again, after what must not run twice has ended: by answer, by a close, by a forget.
@@ -319,7 +446,10 @@
         b.pass(3_100 * MS);
         let other = b.client();
         b.call(other, 7, "assign");
-        assert!(b.written().iter().any(|(_, line)| line.contains("\"DO\"")), "{how}");
+        assert!(
+            b.written().iter().any(|(_, line)| line.contains("\"DO\"")),
+            "{how}"
+        );
     }
     // What may be repeated is.
     let mut b = Bench::new();
@@ -340,7 +470,10 @@
     b.call(client, 7, "view");
     b.written();
     b.core.worker_bytes(b.now, worker, SERVED);
-    assert!(b.written().iter().all(|(conn, _)| *conn != client), "the second call is still open");
+    assert!(
+        b.written().iter().all(|(conn, _)| *conn != client),
+        "the second call is still open"
+    );
     assert_eq!(b.core.open(), 1);
 }
 
@@ -348,7 +481,12 @@
 #[test]
 fn a_stop_does_not_wait_for_deadlines_beyond_those_that_the_platform_counts() {
     let mut config = config();
-    config.site.policy.classes.iter_mut().for_each(|c| c.give_up = 60_000 * MS);
+    config
+        .site
+        .policy
+        .classes
+        .iter_mut()
+        .for_each(|c| c.give_up = 60_000 * MS);
     let mut b = Bench::of(&config);
     let client = b.client();
     let line = r#"{"jsonrpc":"2.0","id":7,"method":"assign","params":{"call":"0000000000000007","ttl":60000,"row":"00000000000000aa"}}"#;
@@ -356,11 +494,19 @@
     b.written();
     b.core.stop(b.now);
     b.pass(3_690 * MS);
-    assert!(b.written().iter().any(|(conn, line)| *conn == client && line.contains("-32000")));
+    assert!(
+        b.written()
+            .iter()
+            .any(|(conn, line)| *conn == client && line.contains("-32000"))
+    );
     assert!(b.core.done(b.now));
     // Whoever comes later still is refused at once.
     b.call(client, 9, "view");
-    assert!(b.written().iter().any(|(conn, line)| *conn == client && line.contains("-32050")));
+    assert!(
+        b.written()
+            .iter()
+            .any(|(conn, line)| *conn == client && line.contains("-32050"))
+    );
 }
 
 /// Wherever its call stands, a client that has gone gets no further attempt: here between two.
@@ -375,7 +521,11 @@
             b.core.client_closed(b.now, client);
         }
         b.written();
-        b.core.worker_bytes(b.now, worker, b"{\"cmd\":\"AGAIN\",\"ref\":\"0000000000000007\"}\n");
+        b.core.worker_bytes(
+            b.now,
+            worker,
+            b"{\"cmd\":\"AGAIN\",\"ref\":\"0000000000000007\"}\n",
+        );
         assert_eq!((b.written(), b.core.open()), (vec![], 0));
         b.core.worker_closed(b.now, worker, u64::MAX);
         b.pass(5_000 * MS);
@@ -391,9 +541,17 @@
     let mut b = Bench::of(&config);
     // Nothing stands anywhere: found missing at its home, it is ordered there.
     let (client, home) = b.sent("view");
-    b.core.worker_bytes(b.now, home, b"{\"cmd\":\"NOENT\",\"ref\":\"0000000000000007\"}\n");
+    b.core.worker_bytes(
+        b.now,
+        home,
+        b"{\"cmd\":\"NOENT\",\"ref\":\"0000000000000007\"}\n",
+    );
     let written = b.written();
-    let (worker, order) = written.iter().find(|(_, line)| line.contains("\"PIN\"")).expect("ordered").clone();
+    let (worker, order) = written
+        .iter()
+        .find(|(_, line)| line.contains("\"PIN\""))
+        .expect("ordered")
+        .clone();
     b.core.client_closed(b.now, client);
     let tag = order.split('"').nth(7).expect("a tag");
     b.core.worker_bytes(
@@ -403,7 +561,10 @@
     );
     b.pass(1_000 * MS);
     let written = b.written();
-    assert!(written.iter().all(|(_, line)| !line.contains("\"DO\"")), "{written:?}");
+    assert!(
+        written.iter().all(|(_, line)| !line.contains("\"DO\"")),
+        "{written:?}"
+    );
 }
 
 /// What the front end writes and asks for, with no connection brought up by itself.
@@ -484,6 +645,9 @@
         let second = asked.connects.last().expect("it goes elsewhere");
         b.core.worker_up(b.now, *second);
         let runs = b.asked().runs;
-        assert!(runs.len() == 1 && runs[0].0 == *second && runs[0].2 == 1_495 - 200, "{runs:?}");
+        assert!(
+            runs.len() == 1 && runs[0].0 == *second && runs[0].2 == 1_495 - 200,
+            "{runs:?}"
+        );
     }
 }
--- a/crates/pipithub-node/tests/crossings.rs
+++ b/crates/pipithub-node/tests/crossings.rs
@@ -17,13 +17,20 @@
 use tokio::task::LocalSet;
 
 async fn within<T>(test: impl Future<Output = T>) -> T {
-    LocalSet::new().run_until(tokio::time::timeout(Duration::from_secs(60), test)).await.expect("it ends")
+    LocalSet::new()
+        .run_until(tokio::time::timeout(Duration::from_secs(60), test))
+        .await
+        .expect("it ends")
 }
 
 /// A front end with one worker, whose list says no more.
 async fn one_worker() -> (TcpListener, TcpListener, SocketAddr) {
     let ((worker, at), (list, list_at)) = (listener().await, listener().await);
-    let node = start(&config(list_at, &[event(1, true, &[("w1", at, "SERVING")])])).await;
+    let node = start(&config(
+        list_at,
+        &[event(1, true, &[("w1", at, "SERVING")])],
+    ))
+    .await;
     (worker, list, node)
 }
 
@@ -45,7 +52,11 @@
         drop(gone);
         stays.is_well(2).await;
         stays.send(&call(8, "assign", "")).await;
-        assert_eq!(at_worker.next().await.expect("a call")["ref"], "0000000000000008", "the next one");
+        assert_eq!(
+            at_worker.next().await.expect("a call")["ref"],
+            "0000000000000008",
+            "the next one"
+        );
     })
     .await;
 }
@@ -86,11 +97,17 @@
         let mut at_worker = Peer::of(worker.accept().await.expect("a connection").0);
         let asked = at_worker.next().await.expect("a call");
         client.send("noise\n").await;
-        assert!(client.next().await.expect("an answer")["error"].is_object(), "it is given up");
+        assert!(
+            client.next().await.expect("an answer")["error"].is_object(),
+            "it is given up"
+        );
         // The worker's answer ends it; more input stands unread behind.
         at_worker.say(&served(&asked));
         client.say(&"more noise\n".repeat(1000));
-        assert_eq!(client.next().await.expect("an answer")["result"]["body"], "d29ybGQ=");
+        assert_eq!(
+            client.next().await.expect("an answer")["result"]["body"],
+            "d29ybGQ="
+        );
         assert_eq!(client.next().await, None, "and an end without a reset");
     })
     .await;
@@ -106,15 +123,25 @@
         let asked = at_worker.next().await.expect("a call");
         let answer = served(&asked);
         at_worker.say(&answer[..answer.len() - 9]);
-        let stream = at_worker.lines.into_inner().into_inner().reunite(at_worker.write).expect("both halves");
-        SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("set");
+        let stream = at_worker
+            .lines
+            .into_inner()
+            .into_inner()
+            .reunite(at_worker.write)
+            .expect("both halves");
+        SockRef::from(&stream)
+            .set_linger(Some(Duration::ZERO))
+            .expect("set");
         drop(stream);
         let answer = client.next().await.expect("an answer");
         assert_eq!(answer["error"]["code"], -32000, "it may have run: {answer}");
         // The next one runs, on a new connection.
         client.send(&call(8, "view", "")).await;
         let mut second = Peer::of(worker.accept().await.expect("a new connection").0);
-        assert_eq!(second.next().await.expect("a call")["ref"], "0000000000000008");
+        assert_eq!(
+            second.next().await.expect("a call")["ref"],
+            "0000000000000008"
+        );
     })
     .await;
 }
@@ -135,7 +162,10 @@
         let again = second.next().await.expect("a call");
         first.say(&served(&asked));
         second.say(&served(&again));
-        assert_eq!(client.next().await.expect("an answer")["result"]["body"], "c2Vjb25k");
+        assert_eq!(
+            client.next().await.expect("an answer")["result"]["body"],
+            "c2Vjb25k"
+        );
     })
     .await;
 }
@@ -177,7 +207,14 @@
 async fn blocked_worker(effect: &str) -> Blocked {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(4096).expect("set");
-    socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("bound");
+    socket
+        .bind(
+            &"127.0.0.1:0"
+                .parse::<SocketAddr>()
+                .expect("an address")
+                .into(),
+        )
+        .expect("bound");
     socket.listen(16).expect("listens");
     socket.set_nonblocking(true).expect("set");
     let worker = TcpListener::from_std(socket.into()).expect("listens");
@@ -219,7 +256,15 @@
         clients.push(client);
     }
     watcher.is_well(1).await;
-    Blocked { at, at_worker, worker, watcher, clients, body, _list: list }
+    Blocked {
+        at,
+        at_worker,
+        worker,
+        watcher,
+        clients,
+        body,
+        _list: list,
+    }
 }
 
 /// A worker stops reading while its calls' clients leave; later it reads again. What lay in the front end's own buffer
@@ -228,12 +273,20 @@
 #[tokio::test]
 async fn what_stood_behind_a_worker_that_did_not_read_does_not_begin_once_its_clients_have_gone() {
     within(async {
-        let Blocked { mut at_worker, mut watcher, clients, body, .. } = blocked_worker("read_like").await;
+        let Blocked {
+            mut at_worker,
+            mut watcher,
+            clients,
+            body,
+            ..
+        } = blocked_worker("read_like").await;
         drop(clients);
         watcher.is_well(2).await;
         watcher.is_well(3).await;
-        let ports =
-            at_worker.write.local_addr().and_then(|at| Ok((at.port(), at_worker.write.peer_addr()?.port())));
+        let ports = at_worker
+            .write
+            .local_addr()
+            .and_then(|at| Ok((at.port(), at_worker.write.peer_addr()?.port())));
         let (port, peer) = ports.expect("connected");
         let held = rig::held_by_the_system(port, peer);
         // It reads again, to the connection's end: the line of which the system held a part never becomes whole.
@@ -248,7 +301,10 @@
         }
         // What began is what the system held whole when the clients had gone.
         assert!(held < 200 * body.len(), "not all of it went out: {held}");
-        assert!(began <= held, "{began} bytes of calls began, {held} were out of reach");
+        assert!(
+            began <= held,
+            "{began} bytes of calls began, {held} were out of reach"
+        );
     })
     .await;
 }
@@ -259,8 +315,15 @@
 #[tokio::test]
 async fn what_is_taken_back_as_a_worker_begins_to_read_again_has_not_left() {
     within(async {
-        let Blocked { at, at_worker, worker, mut watcher, mut clients, body, _list } =
-            blocked_worker("non_idempotent").await;
+        let Blocked {
+            at,
+            at_worker,
+            worker,
+            mut watcher,
+            mut clients,
+            body,
+            _list,
+        } = blocked_worker("non_idempotent").await;
         // The client whose call has left in part: its later calls can be taken back.
         let line = pipithub_platform::worker::run(
             &"0".repeat(16),
@@ -283,10 +346,17 @@
                 break;
             }
         }
-        assert!(read.len() > 40 * line, "there is room for some more: {}", read.len());
+        assert!(
+            read.len() > 40 * line,
+            "there is room for some more: {}",
+            read.len()
+        );
         watcher.is_well(5).await;
         // The worker serves what it reads, on this connection and on those that follow.
-        let whole = read.iter().rposition(|b| *b == b'\n').map_or(0, |at| at + 1);
+        let whole = read
+            .iter()
+            .rposition(|b| *b == b'\n')
+            .map_or(0, |at| at + 1);
         let rest = String::from_utf8(read.split_off(whole)).expect("text");
         let began = Rc::new(RefCell::new(Vec::new()));
         let read = String::from_utf8(read).expect("text");
@@ -314,7 +384,11 @@
         // Whoever was taken for never sent was refused, or went out again: these must not run twice.
         let began = began.borrow();
         let once: BTreeSet<String> = began.iter().cloned().collect();
-        assert_eq!(once.len(), began.len(), "begun, and taken for never sent: {began:?}");
+        assert_eq!(
+            once.len(),
+            began.len(),
+            "begun, and taken for never sent: {began:?}"
+        );
         let unseen: Vec<_> = ran.difference(&once).collect();
         assert!(unseen.is_empty(), "served by nobody: {unseen:?}");
         let both: Vec<_> = refused.intersection(&once).collect();
@@ -335,19 +409,26 @@
     mut piece: String,
     began: Rc<RefCell<Vec<String>>>,
 ) {
-    let (mut peer, mut lines): (Peer, Vec<String>) = (first, lines.lines().map(str::to_string).collect());
+    let (mut peer, mut lines): (Peer, Vec<String>) =
+        (first, lines.lines().map(str::to_string).collect());
     loop {
         loop {
             for line in lines.drain(..) {
                 // A line that cannot be read is half of one, at its connection's end.
-                let Ok(asked) = serde_json::from_str::<serde_json::Value>(&line) else { continue };
+                let Ok(asked) = serde_json::from_str::<serde_json::Value>(&line) else {
+                    continue;
+                };
                 if asked["cmd"] == "DO" {
-                    began.borrow_mut().push(asked["ref"].as_str().expect("a name").to_string());
+                    began
+                        .borrow_mut()
+                        .push(asked["ref"].as_str().expect("a name").to_string());
                     let _ = peer.write.write_all(served(&asked).as_bytes()).await;
                 }
             }
             // The front end ends a connection on which it waits for nothing; an answer that crosses that makes it a reset.
-            let Ok(Some(line)) = peer.lines.next_line().await else { break };
+            let Ok(Some(line)) = peer.lines.next_line().await else {
+                break;
+            };
             lines.push(std::mem::take(&mut piece) + &line);
         }
         peer = Peer::of(listener.accept().await.expect("a new connection").0);
@@ -361,17 +442,35 @@
         let ((worker, at), (list, list_at)) = (listener().await, listener().await);
         let node = start(&config(list_at, &[])).await;
         let head = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\n";
-        let told =
-            |n: u64, whole| format!("id: {n}\ndata: {}\n\n", event(n, whole, &[("w1", at, "SERVING")]));
+        let told = |n: u64, whole| {
+            format!(
+                "id: {n}\ndata: {}\n\n",
+                event(n, whole, &[("w1", at, "SERVING")])
+            )
+        };
         // What each connection says before it falls silent while it stays open, and what the next one is asked from.
         let scripts = [
             (String::new(), "last-event-id: 0"),
             (head[..20].to_string(), "last-event-id: 0"),
             (format!("{head}: ping\n\n"), "last-event-id: 0"),
-            (format!("{head}{}", &told(1, true)[..30]), "last-event-id: 0"),
+            (
+                format!("{head}{}", &told(1, true)[..30]),
+                "last-event-id: 0",
+            ),
             // A gap: asked about once, at once.
-            (format!("{head}{}{}", told(1, true), told(3, false)), "last-event-id: 0"),
-            (format!("{head}{}{}{}", told(1, true), told(2, false), told(3, false)), "last-event-id: 1"),
+            (
+                format!("{head}{}{}", told(1, true), told(3, false)),
+                "last-event-id: 0",
+            ),
+            (
+                format!(
+                    "{head}{}{}{}",
+                    told(1, true),
+                    told(2, false),
+                    told(3, false)
+                ),
+                "last-event-id: 1",
+            ),
         ];
         let mut open: Vec<TcpStream> = Vec::new();
         for (says, asked_from) in scripts {
@@ -406,7 +505,14 @@
     within(async {
         // One place in its queue, which is taken: further connections come up only once somebody accepts.
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("bound");
+        socket
+            .bind(
+                &"127.0.0.1:0"
+                    .parse::<SocketAddr>()
+                    .expect("an address")
+                    .into(),
+            )
+            .expect("bound");
         socket.listen(0).expect("listens");
         socket.set_nonblocking(true).expect("set");
         let worker = TcpListener::from_std(socket.into()).expect("listens");
@@ -419,7 +525,10 @@
         let mut client = Peer::connect(node).await;
         client.send(&call(7, "assign", "")).await;
         let answer = client.next().await.expect("an answer");
-        assert_eq!(answer["error"]["code"], -32050, "it was never sent: {answer}");
+        assert_eq!(
+            answer["error"]["code"], -32050,
+            "it was never sent: {answer}"
+        );
         // Now there is room. What comes up late was given up: whoever gets through bears no call of that name.
         drop(filler);
         drop(worker.accept().await.expect("the filler"));
@@ -481,7 +590,11 @@
             'fill: while !sent.is_multiple_of(16)
                 || sent as usize * body.len() < held_by_the_system(port) + (700 << 10)
             {
-                if client.write.try_write(call(1000 * n + sent, "view", &body).as_bytes()).is_err() {
+                if client
+                    .write
+                    .try_write(call(1000 * n + sent, "view", &body).as_bytes())
+                    .is_err()
+                {
                     break;
                 }
                 sent += 1;
@@ -508,7 +621,10 @@
             }
             whole += usize::from(read == *sent);
         }
-        assert!((1..4).contains(&whole), "some are cut off, and not all: {whole}");
+        assert!(
+            (1..4).contains(&whole),
+            "some are cut off, and not all: {whole}"
+        );
         assert!(watcher.is_well(question + 1).await);
     })
     .await;
@@ -518,7 +634,11 @@
 #[cfg(target_os = "linux")]
 async fn closed(client: &Peer) {
     loop {
-        let ready = client.write.as_ref().ready(Interest::READABLE | Interest::WRITABLE).await;
+        let ready = client
+            .write
+            .as_ref()
+            .ready(Interest::READABLE | Interest::WRITABLE)
+            .await;
         if !ready.is_ok_and(|r| !r.is_read_closed() && !r.is_write_closed() && !r.is_error()) {
             return;
         }
--- a/crates/pipithub-node/tests/endings.rs
+++ b/crates/pipithub-node/tests/endings.rs
@@ -146,7 +146,11 @@
     let contents: [(&str, String, &[u64]); 5] = [
         ("one call", call(1), &[1]),
         ("two calls", call(1) + &call(2), &[1, 2]),
-        ("a call between noise", call(1) + "noise\n" + &call(2), &[1, 2]),
+        (
+            "a call between noise",
+            call(1) + "noise\n" + &call(2),
+            &[1, 2],
+        ),
         ("a call and half of another", call(1) + &call(2)[..40], &[1]),
         ("a call of no class, and one", faulty(1) + &call(2), &[1, 2]),
     ];
@@ -159,13 +163,20 @@
                 b.pass(10 * MS);
                 written.extend(b.written());
             }
-            let to_client: Vec<&str> =
-                written.iter().filter(|(c, _)| *c == conn).map(|(_, line)| line.as_str()).collect();
-            let closed = to_client.iter().position(|line| *line == "closed").unwrap_or(to_client.len());
+            let to_client: Vec<&str> = written
+                .iter()
+                .filter(|(c, _)| *c == conn)
+                .map(|(_, line)| line.as_str())
+                .collect();
+            let closed = to_client
+                .iter()
+                .position(|line| *line == "closed")
+                .unwrap_or(to_client.len());
             for id in *asked {
                 let number = format!("\"id\":{id},");
-                let answers: Vec<usize> =
-                    (0..to_client.len()).filter(|at| to_client[*at].contains(&number)).collect();
+                let answers: Vec<usize> = (0..to_client.len())
+                    .filter(|at| to_client[*at].contains(&number))
+                    .collect();
                 assert!(
                     answers.len() == 1 && answers[0] < closed,
                     "{name}, {content}: request {id} among {to_client:#?}"
@@ -182,12 +193,23 @@
 fn a_stop_answers_everything_that_it_took_before_the_kill_however_short_the_deadlines() {
     for longest in [50, 200, 800, 3_000] {
         let mut config = config();
-        config.site.policy.classes.iter_mut().for_each(|c| c.give_up = longest * MS);
+        config
+            .site
+            .policy
+            .classes
+            .iter_mut()
+            .for_each(|c| c.give_up = longest * MS);
         let mut b = Bench::of(&config);
         let clients: Vec<ConnId> = (0..4).map(|_| b.client()).collect();
         let call = |id: u64| {
-            let class = if id.is_multiple_of(3) { "assign" } else { "view" };
-            call(id).replace("view", class).replace("\"ttl\":1500", &format!("\"ttl\":{longest}"))
+            let class = if id.is_multiple_of(3) {
+                "assign"
+            } else {
+                "view"
+            };
+            call(id)
+                .replace("view", class)
+                .replace("\"ttl\":1500", &format!("\"ttl\":{longest}"))
         };
         let (mut sent, mut written) = (0, Vec::new());
         let mut send = |b: &mut Bench, unread: bool| {
@@ -206,9 +228,15 @@
             send(&mut b, false);
             b.pass(5 * MS);
             written.extend(b.written());
-            assert!(b.now < kill, "deadlines of {longest} ms: it would be killed");
+            assert!(
+                b.now < kill,
+                "deadlines of {longest} ms: it would be killed"
+            );
         }
-        assert!(b.now + 15 * MS < kill, "deadlines of {longest} ms: time to close what is open");
+        assert!(
+            b.now + 15 * MS < kill,
+            "deadlines of {longest} ms: time to close what is open"
+        );
         // The last that were sent lie unread.
         send(&mut b, true);
         b.core.end();
@@ -216,8 +244,10 @@
         assert_eq!(b.core.open(), 0);
         for id in 1..=sent {
             let number = format!("\"id\":{id},");
-            let answers =
-                written.iter().filter(|(conn, l)| clients.contains(conn) && l.contains(&number)).count();
+            let answers = written
+                .iter()
+                .filter(|(conn, l)| clients.contains(conn) && l.contains(&number))
+                .count();
             assert_eq!(answers, 1, "deadlines of {longest} ms: call {id} of {sent}");
         }
         assert_eq!(b.core.connections().0, 0, "all are closed");
