--- a/crates/pipithub-node/tests/faults.rs
+++ b/crates/pipithub-node/tests/faults.rs
@@ -17,16 +17,32 @@
     let (begun, faults) = (Instant::now(), LocalFaults::default());
     let (mut taken, mut script) = (Vec::new(), script.iter());
     // The listener's end is the script's.
-    let accept = async || script.next().copied().unwrap_or(Err(Errno::BADF)).map_err(io::Error::from);
+    let accept = async || {
+        script
+            .next()
+            .copied()
+            .unwrap_or(Err(Errno::BADF))
+            .map_err(io::Error::from)
+    };
     accept_all(accept, |connection| taken.push(connection), &faults).await;
     (taken, faults.count(), begun.elapsed())
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_connection_that_ends_before_it_is_accepted_holds_nobody_up() {
-    for errno in [Errno::CONNABORTED, Errno::INTR, Errno::PROTO, Errno::HOSTUNREACH] {
-        let (taken, faults, took) = accepted(&[Err(errno), Err(errno), Ok(1), Err(errno), Ok(2)]).await;
-        assert_eq!((taken, faults, took), (vec![1, 2], 0, Duration::ZERO), "{errno}");
+    for errno in [
+        Errno::CONNABORTED,
+        Errno::INTR,
+        Errno::PROTO,
+        Errno::HOSTUNREACH,
+    ] {
+        let (taken, faults, took) =
+            accepted(&[Err(errno), Err(errno), Ok(1), Err(errno), Ok(2)]).await;
+        assert_eq!(
+            (taken, faults, took),
+            (vec![1, 2], 0, Duration::ZERO),
+            "{errno}"
+        );
     }
 }
 
@@ -67,37 +83,69 @@
     ];
     for errno in local {
         let (end, faults) = connected(&[Err(errno), Err(errno), Err(errno), Ok(1)]).await;
-        assert!(matches!(end, Ok(1)) && faults == 3, "{errno}: {end:?}, {faults} faults");
+        assert!(
+            matches!(end, Ok(1)) && faults == 3,
+            "{errno}: {end:?}, {faults} faults"
+        );
         let begun = Instant::now();
         let (end, faults) = connected(&[Err(errno); 100]).await;
         assert!(matches!(end, Err(ConnectError::Local)), "{errno}: {end:?}");
         let most = WITHIN.as_millis() / LOCAL_RETRY.as_millis();
-        assert!(u128::from(faults) <= most + 1 && begun.elapsed() <= 2 * WITHIN, "{errno}: {faults} faults");
+        assert!(
+            u128::from(faults) <= most + 1 && begun.elapsed() <= 2 * WITHIN,
+            "{errno}: {faults} faults"
+        );
     }
 }
 
 #[tokio::test(start_paused = true)]
 async fn what_the_worker_or_the_network_does_is_not_tried_again() {
-    for errno in [Errno::CONNREFUSED, Errno::CONNRESET, Errno::HOSTUNREACH, Errno::TIMEDOUT] {
+    for errno in [
+        Errno::CONNREFUSED,
+        Errno::CONNRESET,
+        Errno::HOSTUNREACH,
+        Errno::TIMEDOUT,
+    ] {
         let (end, faults) = connected(&[Err(errno), Ok(1)]).await;
-        assert!(matches!(end, Err(ConnectError::Peer(_))) && faults == 0, "{errno}: {end:?}");
+        assert!(
+            matches!(end, Err(ConnectError::Peer(_))) && faults == 0,
+            "{errno}: {end:?}"
+        );
     }
     let (end, faults) = connected(&[]).await;
-    assert!(matches!(end, Err(ConnectError::TimedOut)) && faults == 0, "no answer: {end:?}");
+    assert!(
+        matches!(end, Err(ConnectError::TimedOut)) && faults == 0,
+        "no answer: {end:?}"
+    );
     // Nothing here was wanting in the end: it is the worker that does not answer.
     let (end, faults) = connected(&[Err(Errno::NOBUFS)]).await;
-    assert!(matches!(end, Err(ConnectError::TimedOut)) && faults == 1, "no answer: {end:?}");
+    assert!(
+        matches!(end, Err(ConnectError::TimedOut)) && faults == 1,
+        "no answer: {end:?}"
+    );
 }
 
 /// How a series of short transfers ends that a call fails with this error, in writing and in reading: both alike.
 fn transfer_end(last: Errno) -> TransferEnd {
     let script = [Ok(2), Err(Errno::INTR), Ok(1), Err(last)];
     let mut calls = script.iter();
-    let mut next = || calls.next().copied().expect("no call after the last").map_err(io::Error::from);
+    let mut next = || {
+        calls
+            .next()
+            .copied()
+            .expect("no call after the last")
+            .map_err(io::Error::from)
+    };
     let (written, end) = write_now(b"hello", |_| next());
     assert_eq!(written, 3, "{last}: what the system took counts");
     let mut calls = script.iter();
-    let mut next = || calls.next().copied().expect("no call after the last").map_err(io::Error::from);
+    let mut next = || {
+        calls
+            .next()
+            .copied()
+            .expect("no call after the last")
+            .map_err(io::Error::from)
+    };
     let (read, read_end) = read_now(&mut [0; 5], |_| next());
     assert_eq!((read, read_end), (3, end), "{last}");
     end
@@ -109,7 +157,12 @@
     for errno in [Errno::NOBUFS, Errno::NOMEM] {
         assert_eq!(transfer_end(errno), TransferEnd::Exhausted, "{errno}");
     }
-    for errno in [Errno::PIPE, Errno::CONNRESET, Errno::TIMEDOUT, Errno::HOSTUNREACH] {
+    for errno in [
+        Errno::PIPE,
+        Errno::CONNRESET,
+        Errno::TIMEDOUT,
+        Errno::HOSTUNREACH,
+    ] {
         assert_eq!(transfer_end(errno), TransferEnd::Ended, "{errno}");
     }
     let mut calls = 0;
@@ -117,5 +170,9 @@
         calls += 1;
         Ok(bytes.len().min(2))
     });
-    assert_eq!((written, end, calls), (5, TransferEnd::Complete, 3), "short writes go on");
+    assert_eq!(
+        (written, end, calls),
+        (5, TransferEnd::Complete, 3),
+        "short writes go on"
+    );
 }
--- a/crates/pipithub-node/tests/pool.rs
+++ b/crates/pipithub-node/tests/pool.rs
@@ -28,7 +28,11 @@
         let mut pool = Pool::new(most, 4, 250 * MS, 30_000 * MS, true);
         let worker = Worker::new("w");
         pool.place(&worker, "10.0.0.1:1", false);
-        Bench { pool, worker, effects: Vec::new() }
+        Bench {
+            pool,
+            worker,
+            effects: Vec::new(),
+        }
     }
 
     fn ask(&mut self, now: Time, request: u64) {
@@ -45,13 +49,29 @@
         let connects = self.effects();
         connects
             .iter()
-            .filter_map(|e| if let Effect::Connect { conn, .. } = e { Some(*conn) } else { None })
+            .filter_map(|e| {
+                if let Effect::Connect { conn, .. } = e {
+                    Some(*conn)
+                } else {
+                    None
+                }
+            })
             .collect()
     }
 
     fn lost(&mut self) -> Vec<(u64, Lost)> {
-        let request = |t: &Task| if let Task::Attempt(id) = t { id.request } else { 0 };
-        self.pool.lost().iter().map(|(_, job, how)| (request(&job.task), *how)).collect()
+        let request = |t: &Task| {
+            if let Task::Attempt(id) = t {
+                id.request
+            } else {
+                0
+            }
+        };
+        self.pool
+            .lost()
+            .iter()
+            .map(|(_, job, how)| (request(&job.task), *how))
+            .collect()
     }
 
     /// One call over one connection, answered after a millisecond.
@@ -79,14 +99,25 @@
     let conns = b.connected();
     assert_eq!(conns.len(), 2, "one each, as far as they go");
     conns.iter().for_each(|c| b.pool.up(MS, *c));
-    let mut writes = b.effects().into_iter().filter(|e| matches!(e, Effect::Write { .. })).count();
+    let mut writes = b
+        .effects()
+        .into_iter()
+        .filter(|e| matches!(e, Effect::Write { .. }))
+        .count();
     b.ask(2 * MS, 4);
-    writes += b.effects().iter().filter(|e| matches!(e, Effect::Write { .. })).count();
+    writes += b
+        .effects()
+        .iter()
+        .filter(|e| matches!(e, Effect::Write { .. }))
+        .count();
     assert_eq!(writes, 4, "the others share them");
     // A broken one takes its own calls with it, and no others.
     b.pool.closed(3 * MS, conns[0], u64::MAX, Lost::Broken);
     let lost = b.lost();
-    assert!(lost.len() == 2 && lost.iter().all(|(_, how)| *how == Lost::Broken), "{lost:?}");
+    assert!(
+        lost.len() == 2 && lost.iter().all(|(_, how)| *how == Lost::Broken),
+        "{lost:?}"
+    );
 }
 
 #[test]
@@ -105,7 +136,11 @@
     let conn = b.connected()[0];
     b.pool.up(0, conn);
     b.pool.closed(0, conn, 7, Lost::Broken);
-    assert_eq!(b.lost(), [(2, Lost::Broken)], "a whole line may have been read");
+    assert_eq!(
+        b.lost(),
+        [(2, Lost::Broken)],
+        "a whole line may have been read"
+    );
 }
 
 #[test]
@@ -136,7 +171,10 @@
         b.pool.sweep(now);
         b.pool.lost();
     }
-    assert!((2..=3).contains(&broken), "learnt from the first ones: {broken}");
+    assert!(
+        (2..=3).contains(&broken),
+        "learnt from the first ones: {broken}"
+    );
     // Short pauses are not suspected.
     let first = b.call(now, 100).expect("written");
     b.pool.answered(now, first, &format!("{:016x}", 100));
@@ -148,7 +186,10 @@
     let mut b = Bench::new(4);
     let conn = b.call(0, 1).expect("written");
     b.effects();
-    let id = AttemptId { request: 1, number: 0 };
+    let id = AttemptId {
+        request: 1,
+        number: 0,
+    };
     assert!(b.pool.withdraw(MS, &b.worker.clone(), id).is_some());
     let line = Bytes::from_static(b"{\"cmd\":\"UNDO\",\"ref\":\"0000000000000001\"}\n");
     assert_eq!(b.effects(), [Effect::Write { conn, bytes: line }]);
@@ -174,7 +215,11 @@
     let mut pool = Pool::new(1, 1, 250 * MS, 30_000 * MS, true);
     let worker = Worker::new("w");
     pool.place(&worker, "10.0.0.1:1", false);
-    let mut b = Bench { pool, worker, effects: Vec::new() };
+    let mut b = Bench {
+        pool,
+        worker,
+        effects: Vec::new(),
+    };
     let conn = b.call(0, 1).expect("written");
     b.ask(0, 2);
     b.effects();
@@ -188,8 +233,13 @@
         "{effects:?}"
     );
     // What had been handed over may have run.
-    let conn =
-        b.effects.iter().find_map(|e| if let Effect::Connect { conn, .. } = e { Some(*conn) } else { None });
+    let conn = b.effects.iter().find_map(|e| {
+        if let Effect::Connect { conn, .. } = e {
+            Some(*conn)
+        } else {
+            None
+        }
+    });
     let conn = conn.expect("a new connection");
     b.pool.up(MS, conn);
     b.effects();
@@ -217,7 +267,12 @@
     b.pool.sweep(5_000 * MS);
     assert_eq!(b.lost(), [(1, Lost::TimedOut)]);
     assert_eq!(b.effects(), [], "no UNDO");
-    assert!(b.pool.answered(5_001 * MS, conn, "0000000000000001").is_none(), "its answer belongs to nothing");
+    assert!(
+        b.pool
+            .answered(5_001 * MS, conn, "0000000000000001")
+            .is_none(),
+        "its answer belongs to nothing"
+    );
 }
 
 /// The client has left, while its call waits for a connection, or for another one after the first broke.
@@ -226,15 +281,29 @@
     let mut b = uncancelled();
     b.ask(0, 1);
     let conn = b.connected()[0];
-    assert!(b.pool.abandon(MS, &b.worker.clone(), attempt(1)).is_some(), "it has not left");
+    assert!(
+        b.pool.abandon(MS, &b.worker.clone(), attempt(1)).is_some(),
+        "it has not left"
+    );
     b.pool.up(100 * MS, conn);
-    assert_eq!(b.effects(), [], "nothing is written on the connection that comes up late");
+    assert_eq!(
+        b.effects(),
+        [],
+        "nothing is written on the connection that comes up late"
+    );
 
     b.ask(200 * MS, 2);
     assert!(matches!(&b.effects()[..], [Effect::Write { .. }]));
-    assert!(b.pool.abandon(MS, &b.worker.clone(), attempt(2)).is_none(), "it may have left");
+    assert!(
+        b.pool.abandon(MS, &b.worker.clone(), attempt(2)).is_none(),
+        "it may have left"
+    );
     b.pool.closed(201 * MS, conn, 3, Lost::Broken);
-    assert_eq!((b.lost(), b.effects()), (vec![(2, Lost::Unsent)], vec![]), "not written again");
+    assert_eq!(
+        (b.lost(), b.effects()),
+        (vec![(2, Lost::Unsent)], vec![]),
+        "not written again"
+    );
 }
 
 /// A worker stops reading: what lies behind in the shell's own buffer begins whenever it reads again, UNDO or not.
@@ -243,7 +312,11 @@
     let mut pool = Pool::new(1, 8, 250 * MS, 30_000 * MS, true);
     let worker = Worker::new("w");
     pool.place(&worker, "10.0.0.1:1", false);
-    let mut b = Bench { pool, worker, effects: Vec::new() };
+    let mut b = Bench {
+        pool,
+        worker,
+        effects: Vec::new(),
+    };
     let conn = b.call(0, 1).expect("written");
     b.effects();
     (2..=4).for_each(|request| b.ask(0, request));
@@ -252,23 +325,57 @@
     b.pool.blocked(MS, conn, Some(9));
     b.ask(MS, 5);
     assert_eq!(b.effects(), [], "nothing more is put behind");
-    let (_, back) = b.pool.withdraw(MS, &b.worker.clone(), attempt(3)).expect("open");
+    let (_, back) = b
+        .pool
+        .withdraw(MS, &b.worker.clone(), attempt(3))
+        .expect("open");
     assert!(back, "it is certain that it was not sent");
-    assert_eq!(b.effects(), [Effect::Unwrite { conn, at: 14, len: 7 }]);
+    assert_eq!(
+        b.effects(),
+        [Effect::Unwrite {
+            conn,
+            at: 14,
+            len: 7
+        }]
+    );
     // The one behind has moved up, and the one that has begun cannot be taken back.
-    let (_, back) = b.pool.withdraw(MS, &b.worker.clone(), attempt(4)).expect("open");
+    let (_, back) = b
+        .pool
+        .withdraw(MS, &b.worker.clone(), attempt(4))
+        .expect("open");
     assert!(back);
-    assert_eq!(b.effects(), [Effect::Unwrite { conn, at: 14, len: 7 }]);
+    assert_eq!(
+        b.effects(),
+        [Effect::Unwrite {
+            conn,
+            at: 14,
+            len: 7
+        }]
+    );
     // The one that has begun to leave never becomes whole: nothing may follow its half.
-    let (_, back) = b.pool.withdraw(MS, &b.worker.clone(), attempt(2)).expect("open");
+    let (_, back) = b
+        .pool
+        .withdraw(MS, &b.worker.clone(), attempt(2))
+        .expect("open");
     assert!(back, "half a line does not run");
-    assert_eq!(b.effects(), [Effect::Unwrite { conn, at: 9, len: 5 }]);
+    assert_eq!(
+        b.effects(),
+        [Effect::Unwrite {
+            conn,
+            at: 9,
+            len: 5
+        }]
+    );
     // It reads again: what left whole is still answered there, and then the fifth goes out on another connection.
     b.pool.blocked(2 * MS, conn, None);
     assert_eq!(b.effects(), [], "not behind half a line");
     assert!(b.pool.answered(3 * MS, conn, "0000000000000001").is_some());
     let effects = b.effects();
-    let [Effect::Close { conn: closed }, Effect::Connect { conn: next, .. }] = effects[..] else {
+    let [
+        Effect::Close { conn: closed },
+        Effect::Connect { conn: next, .. },
+    ] = effects[..]
+    else {
         panic!("{effects:?}")
     };
     assert_eq!(closed, conn);
@@ -283,19 +390,34 @@
     let mut pool = Pool::new(1, 8, 250 * MS, 30_000 * MS, true);
     let worker = Worker::new("w");
     pool.place(&worker, "10.0.0.1:1", false);
-    let mut b = Bench { pool, worker, effects: Vec::new() };
+    let mut b = Bench {
+        pool,
+        worker,
+        effects: Vec::new(),
+    };
     let conn = b.call(0, 1).expect("written");
     (2..=4).for_each(|request| b.ask(0, request));
     b.effects();
     b.pool.blocked(MS, conn, Some(9));
     b.pool.sweep(100 * MS - 1);
-    assert_eq!((b.effects(), b.lost()), (vec![], vec![]), "it is within the slack");
+    assert_eq!(
+        (b.effects(), b.lost()),
+        (vec![], vec![]),
+        "it is within the slack"
+    );
     b.pool.sweep(100 * MS);
     let unwrite = |at, len| Effect::Unwrite { conn, at, len };
     assert_eq!(b.effects(), [unwrite(21, 7), unwrite(14, 7), unwrite(9, 5)]);
-    assert_eq!(b.lost(), [(4, Lost::NotSent), (3, Lost::NotSent), (2, Lost::NotSent)]);
+    assert_eq!(
+        b.lost(),
+        [(4, Lost::NotSent), (3, Lost::NotSent), (2, Lost::NotSent)]
+    );
     // What the system has taken whole may run: its answer still counts.
-    assert!(b.pool.answered(101 * MS, conn, "0000000000000001").is_some());
+    assert!(
+        b.pool
+            .answered(101 * MS, conn, "0000000000000001")
+            .is_some()
+    );
     assert_eq!(b.effects(), [Effect::Close { conn }]);
 }
 
@@ -307,10 +429,18 @@
     b.ask(0, 2);
     b.effects();
     b.pool.blocked(MS, conn, Some(3));
-    assert!(b.pool.abandon(2 * MS, &b.worker.clone(), attempt(1)).is_some(), "half a line does not run");
+    assert!(
+        b.pool
+            .abandon(2 * MS, &b.worker.clone(), attempt(1))
+            .is_some(),
+        "half a line does not run"
+    );
     let effects = b.effects();
-    let [Effect::Unwrite { at: 3, len: 11, .. }, Effect::Close { .. }, Effect::Connect { conn: next, .. }] =
-        effects[..]
+    let [
+        Effect::Unwrite { at: 3, len: 11, .. },
+        Effect::Close { .. },
+        Effect::Connect { conn: next, .. },
+    ] = effects[..]
     else {
         panic!("{effects:?}")
     };
@@ -331,7 +461,13 @@
             key: None,
             body: Bytes::new(),
         });
-        let job = Job::new(Task::Attempt(attempt(1)), "0000000000000001".to_string(), request, 0, 50 * MS);
+        let job = Job::new(
+            Task::Attempt(attempt(1)),
+            "0000000000000001".to_string(),
+            request,
+            0,
+            50 * MS,
+        );
         b.pool.ask(0, &b.worker.clone(), job);
         let conn = b.connected()[0];
         b.pool.up(up, conn);
@@ -356,11 +492,17 @@
 fn a_name_that_is_used_again_is_not_answered_by_a_second_copy_of_the_first_answer() {
     let mut b = Bench::new(4);
     let first = b.call(0, 1).expect("written");
-    b.pool.answered(MS, first, "0000000000000001").expect("open");
+    b.pool
+        .answered(MS, first, "0000000000000001")
+        .expect("open");
     let second = b.call(2 * MS, 1).expect("written");
     assert_ne!(first, second, "not where a second copy may still come");
     assert!(b.pool.answered(3 * MS, first, "0000000000000001").is_none());
-    assert!(b.pool.answered(4 * MS, second, "0000000000000001").is_some());
+    assert!(
+        b.pool
+            .answered(4 * MS, second, "0000000000000001")
+            .is_some()
+    );
     // Nor by the answer that was on its way when it was given up.
     let third = b.call(5 * MS, 2).expect("written");
     b.pool.withdraw(MS, &b.worker.clone(), attempt(2));
@@ -369,7 +511,9 @@
     // Where a worker may have one connection only, a further one is made for that.
     let mut b = Bench::new(1);
     let first = b.call(0, 1).expect("written");
-    b.pool.answered(MS, first, "0000000000000001").expect("open");
+    b.pool
+        .answered(MS, first, "0000000000000001")
+        .expect("open");
     b.ask(2 * MS, 1);
     b.pool.sweep(20_000 * MS);
     assert_eq!(b.lost(), [(1, Lost::NotSent)], "or it is given back unsent");
@@ -392,7 +536,11 @@
         let name = |n: u32| Worker::new(&format!("w{n}"));
         (1..workers).for_each(|n| bench.pool.place(&name(n), "10.0.0.2:1", false));
         bench.pool.sweep(0);
-        assert_eq!(bench.pool.watched(), 0, "nothing is to be done at any of {workers}");
+        assert_eq!(
+            bench.pool.watched(),
+            0,
+            "nothing is to be done at any of {workers}"
+        );
         bench.ask(MS, 1);
         assert_eq!(bench.pool.watched(), 1, "a job waits for its connection");
         for conn in bench.connected() {
@@ -405,9 +553,16 @@
         bench.pool.sweep(5 * MS);
         assert_eq!((bench.pool.watched(), bench.lost()), (1, vec![]));
         bench.pool.sweep(600 * MS);
-        assert_eq!((bench.pool.watched(), bench.lost()), (0, vec![(2, Lost::NotSent)]));
+        assert_eq!(
+            (bench.pool.watched(), bench.lost()),
+            (0, vec![(2, Lost::NotSent)])
+        );
         bench.pool.place(&name(7), "", true);
-        assert_eq!(bench.pool.watched(), 1, "one that has gone is to be forgotten");
+        assert_eq!(
+            bench.pool.watched(),
+            1,
+            "one that has gone is to be forgotten"
+        );
         bench.pool.sweep(700 * MS);
         assert_eq!(bench.pool.watched(), 0);
     }
@@ -427,14 +582,27 @@
     let here = Worker::new("w");
     assert_eq!(connections(&|_| ()), 4);
     assert_eq!(connections(&|pool| pool.place(&other, "", true)), 8);
-    assert_eq!(connections(&|pool| (0..3).for_each(|_| pool.place(&other, "", true))), 8, "told of it again");
-    assert_eq!(connections(&|pool| (0..3).for_each(|_| pool.place(&other, "10.0.0.2:1", false))), 4);
-    assert_eq!(connections(&|pool| pool.keep_only(&BTreeSet::from([&here]))), 8);
+    assert_eq!(
+        connections(&|pool| (0..3).for_each(|_| pool.place(&other, "", true))),
+        8,
+        "told of it again"
+    );
+    assert_eq!(
+        connections(&|pool| (0..3).for_each(|_| pool.place(&other, "10.0.0.2:1", false))),
+        4
+    );
+    assert_eq!(
+        connections(&|pool| pool.keep_only(&BTreeSet::from([&here]))),
+        8
+    );
     let gone_and_back = |pool: &mut Pool| {
         pool.keep_only(&BTreeSet::from([&here]));
         pool.sweep(0);
         pool.place(&other, "10.0.0.2:1", false);
     };
     assert_eq!(connections(&gone_and_back), 4);
-    assert_eq!(connections(&|pool| pool.place(&Worker::new("third"), "10.0.0.3:1", false)), 2);
+    assert_eq!(
+        connections(&|pool| pool.place(&Worker::new("third"), "10.0.0.3:1", false)),
+        2
+    );
 }
--- a/crates/pipithub-node/tests/retire.rs
+++ b/crates/pipithub-node/tests/retire.rs
@@ -34,7 +34,12 @@
     for _ in 0..turns {
         yield_now().await;
     }
-    let quiet = quiet.lines.into_inner().into_inner().reunite(quiet.write).expect("both halves");
+    let quiet = quiet
+        .lines
+        .into_inner()
+        .into_inner()
+        .reunite(quiet.write)
+        .expect("both halves");
     let mut quiet = quiet.into_std().expect("a socket");
     match quiet.read(&mut [0; 64]) {
         Ok(0) => return false,
@@ -44,8 +49,10 @@
     let line = call(7, "view", "").replace(":60000", ":50");
     assert_eq!(quiet.write(line.as_bytes()).expect("written"), line.len());
     let mut quiet = Peer::of(tokio::net::TcpStream::from_std(quiet).expect("a socket"));
-    let answer =
-        quiet.next().await.unwrap_or_else(|| panic!("closed without an answer, after {turns} turns"));
+    let answer = quiet
+        .next()
+        .await
+        .unwrap_or_else(|| panic!("closed without an answer, after {turns} turns"));
     assert_eq!(answer["id"], 7);
     true
 }
@@ -57,7 +64,13 @@
         for turns in 0..TURNS {
             answered.push(asks_after(turns).await);
         }
-        assert!(answered[0] && !answered[TURNS - 1], "both come about: {answered:?}");
+        assert!(
+            answered[0] && !answered[TURNS - 1],
+            "both come about: {answered:?}"
+        );
     };
-    LocalSet::new().run_until(tokio::time::timeout(Duration::from_secs(60), test)).await.expect("it ends");
+    LocalSet::new()
+        .run_until(tokio::time::timeout(Duration::from_secs(60), test))
+        .await
+        .expect("it ends");
 }
--- a/crates/pipithub-node/tests/rig/mod.rs
+++ b/crates/pipithub-node/tests/rig/mod.rs
@@ -51,7 +51,10 @@
 pub async fn start(config: &Value) -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
-    let place = std::env::temp_dir().join(format!("pipithub-node-{}-{number}.json", std::process::id()));
+    let place = std::env::temp_dir().join(format!(
+        "pipithub-node-{}-{number}.json",
+        std::process::id()
+    ));
     std::fs::write(&place, config.to_string()).expect("written");
     let node = Node::bind(&place, None).await.expect("starts");
     std::fs::remove_file(&place).expect("removed");
@@ -69,7 +72,10 @@
 impl Peer {
     pub fn of(stream: TcpStream) -> Self {
         let (read, write) = stream.into_split();
-        Peer { lines: BufReader::new(read).lines(), write }
+        Peer {
+            lines: BufReader::new(read).lines(),
+            write,
+        }
     }
 
     pub async fn connect(address: SocketAddr) -> Self {
@@ -84,16 +90,25 @@
 
     /// Writes without waiting, so that the other side has not run when this returns.
     pub fn say(&mut self, text: &str) {
-        assert_eq!(self.write.try_write(text.as_bytes()).expect("room"), text.len());
+        assert_eq!(
+            self.write.try_write(text.as_bytes()).expect("room"),
+            text.len()
+        );
     }
 
     pub async fn send(&mut self, text: &str) {
-        self.write.write_all(text.as_bytes()).await.expect("written");
+        self.write
+            .write_all(text.as_bytes())
+            .await
+            .expect("written");
     }
 
     /// Waits until the front end has handled all that stood in the system before, and says whether it is healthy.
     pub async fn is_well(&mut self, id: u64) -> bool {
-        self.send(&format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"isWell\"}}\n")).await;
+        self.send(&format!(
+            "{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"isWell\"}}\n"
+        ))
+        .await;
         let answer = self.next().await.expect("an answer");
         answer["result"]["healthy"] == true
     }
--- a/crates/pipithub-node/tests/sockets.rs
+++ b/crates/pipithub-node/tests/sockets.rs
@@ -20,8 +20,7 @@
                 if breaks {
                     return;
                 }
-                let answer =
-                    serde_json::json!({"cmd": "ACK", "ref": request["ref"], "payload": request["payload"]});
+                let answer = serde_json::json!({"cmd": "ACK", "ref": request["ref"], "payload": request["payload"]});
                 let _ = write.write_all(format!("{answer}\n").as_bytes()).await;
             }
         });
@@ -86,10 +85,21 @@
 #[test]
 fn events_are_taken_once_and_in_order_and_a_gap_is_asked_about_once() {
     let mut sequence = Sequence::after(3);
-    assert_eq!((sequence.step(3, false), sequence.step(4, false)), (Step::Skip, Step::Take));
+    assert_eq!(
+        (sequence.step(3, false), sequence.step(4, false)),
+        (Step::Skip, Step::Take)
+    );
     assert_eq!(sequence.step(6, false), Step::Again);
     assert_eq!(sequence.step(5, false), Step::Take, "it was had after all");
     assert_eq!(sequence.step(9, false), Step::Again);
-    assert_eq!(sequence.step(9, false), Step::Take, "what cannot be had is not waited for");
-    assert_eq!((sequence.step(20, true), sequence.last()), (Step::Take, 20), "a whole list fills any gap");
+    assert_eq!(
+        sequence.step(9, false),
+        Step::Take,
+        "what cannot be had is not waited for"
+    );
+    assert_eq!(
+        (sequence.step(20, true), sequence.last()),
+        (Step::Take, 20),
+        "a whole list fills any gap"
+    );
 }
--- a/crates/pipithub-node/tests/staleness.rs
+++ b/crates/pipithub-node/tests/staleness.rs
@@ -19,7 +19,11 @@
     assert_eq!(staleness.limit(), Some(128 * MS));
     staleness.learn(100, 100 * MS, true);
     staleness.learn(100, 100 * MS, true);
-    assert_eq!(staleness.limit(), Some(64 * MS), "a shorter time that breaks counts");
+    assert_eq!(
+        staleness.limit(),
+        Some(64 * MS),
+        "a shorter time that breaks counts"
+    );
     staleness.learn(100 + 20_000 * MS, 10 * MS, false);
     assert_eq!(staleness.limit(), None, "tried again after a while");
 }
--- a/crates/pipithub-node/tests/start_times.rs
+++ b/crates/pipithub-node/tests/start_times.rs
@@ -31,16 +31,30 @@
     b.core.list_at(b.now, wall, &only_worker(2, wall - age));
     let client = b.client();
     (1..=CALLS).for_each(|id| b.call(client, id, "view"));
-    b.written().iter().filter(|(_, line)| line.contains("\"DO\"")).count()
+    b.written()
+        .iter()
+        .filter(|(_, line)| line.contains("\"DO\""))
+        .count()
 }
 
 #[test]
 fn a_step_of_the_wall_clock_makes_no_starting_worker_older_or_younger() {
     let (starting, warm) = (sent_in_a_burst(WALL, 0), sent_in_a_burst(WALL, 10 * SECOND));
-    assert!(starting < warm, "slow start binds in this test: {starting} of {warm}");
+    assert!(
+        starting < warm,
+        "slow start binds in this test: {starting} of {warm}"
+    );
     for wall in [WALL - HOUR, WALL + HOUR, bench::START, bench::START + HOUR] {
-        assert_eq!(sent_in_a_burst(wall, 0), starting, "just started, wall clock at {wall}");
-        assert_eq!(sent_in_a_burst(wall, 10 * SECOND), warm, "past its ramp, wall clock at {wall}");
+        assert_eq!(
+            sent_in_a_burst(wall, 0),
+            starting,
+            "just started, wall clock at {wall}"
+        );
+        assert_eq!(
+            sent_in_a_burst(wall, 10 * SECOND),
+            warm,
+            "past its ramp, wall clock at {wall}"
+        );
     }
 }
 
@@ -50,13 +64,25 @@
     let first = starts.resolve(&worker, WALL, 100 * SECOND, WALL + 3 * SECOND);
     assert_eq!(first, 97 * SECOND);
     for step in [0, HOUR] {
-        assert_eq!(starts.resolve(&worker, WALL, 200 * SECOND, WALL - HOUR + step), first);
+        assert_eq!(
+            starts.resolve(&worker, WALL, 200 * SECOND, WALL - HOUR + step),
+            first
+        );
     }
     // Another stamp is another start, and one in the future is now.
-    assert_eq!(starts.resolve(&worker, WALL + HOUR, 300 * SECOND, WALL), 300 * SECOND);
+    assert_eq!(
+        starts.resolve(&worker, WALL + HOUR, 300 * SECOND, WALL),
+        300 * SECOND
+    );
     // A worker that was removed and comes again is judged anew.
     starts.forget(&worker);
-    assert_eq!(starts.resolve(&worker, WALL, 400 * SECOND, WALL + SECOND), 399 * SECOND);
+    assert_eq!(
+        starts.resolve(&worker, WALL, 400 * SECOND, WALL + SECOND),
+        399 * SECOND
+    );
     starts.keep_only(|_| false);
-    assert_eq!(starts.resolve(&worker, WALL, 500 * SECOND, WALL), 500 * SECOND);
+    assert_eq!(
+        starts.resolve(&worker, WALL, 500 * SECOND, WALL),
+        500 * SECOND
+    );
 }
--- a/crates/pipithub-node/tests/stop.rs
+++ b/crates/pipithub-node/tests/stop.rs
@@ -13,7 +13,10 @@
     let test = async {
         let ((_worker, at), (_list, list_at)) = (listener().await, listener().await);
         let mut config = config(list_at, &[event(1, true, &[("w1", at, "SERVING")])]);
-        for class in config["settings"]["Grades"].as_array_mut().expect("classes") {
+        for class in config["settings"]["Grades"]
+            .as_array_mut()
+            .expect("classes")
+        {
             class["Aim"] = 25_000_000.into();
             class["GiveUp"] = 50_000_000.into();
         }
@@ -21,7 +24,9 @@
         let mut client = Peer::connect(node).await;
         let mut idle = Peer::connect(node).await;
         assert!(client.is_well(1).await && idle.is_well(1).await);
-        let stop = Command::new("kill").args(["-TERM", &std::process::id().to_string()]).status();
+        let stop = Command::new("kill")
+            .args(["-TERM", &std::process::id().to_string()])
+            .status();
         assert!(stop.expect("sent").success());
         // Two calls for every answer to two: some are always on their way.
         let mut id = 2;
@@ -45,5 +50,8 @@
         assert!(id > 4, "calls were answered after the stop");
         assert_eq!(idle.next().await, None, "a clean end");
     };
-    LocalSet::new().run_until(tokio::time::timeout(Duration::from_secs(60), test)).await.expect("it ends");
+    LocalSet::new()
+        .run_until(tokio::time::timeout(Duration::from_secs(60), test))
+        .await
+        .expect("it ends");
 }
--- a/crates/pipithub-node/tests/trouble.rs
+++ b/crates/pipithub-node/tests/trouble.rs
@@ -57,7 +57,10 @@
 }
 
 fn noise_on_all(b: &mut Bench, asked: &BTreeMap<ConnId, Vec<String>>) {
-    assert!(asked.values().any(|lines| lines.len() > 1), "some connection is shared: {asked:?}");
+    assert!(
+        asked.values().any(|lines| lines.len() > 1),
+        "some connection is shared: {asked:?}"
+    );
     for conn in asked.keys() {
         b.core.worker_bytes(b.now, *conn, b"noise\n");
     }
@@ -65,7 +68,10 @@
 
 fn flood(b: &mut Bench, asked: &BTreeMap<ConnId, Vec<String>>) {
     for conn in asked.keys() {
-        (0..200).for_each(|_| b.core.worker_bytes(b.now, *conn, FLOOD.repeat(100).as_bytes()));
+        (0..200).for_each(|_| {
+            b.core
+                .worker_bytes(b.now, *conn, FLOOD.repeat(100).as_bytes())
+        });
     }
 }
 
@@ -74,7 +80,10 @@
     let other = b.client();
     for id in 1..=CALLS {
         b.say(other, &line(id, "view"));
-        b.say(other, &format!(r#"{{"jsonrpc":"2.0","method":"forget","params":{{"call":"{id:016x}"}}}}"#));
+        b.say(
+            other,
+            &format!(r#"{{"jsonrpc":"2.0","method":"forget","params":{{"call":"{id:016x}"}}}}"#),
+        );
     }
     b.say(other, "noise");
     let third = b.client();
@@ -91,7 +100,11 @@
 #[test]
 fn every_call_has_one_answer_in_its_time_whatever_goes_wrong_beside_it() {
     let troubles: [(&str, usize, Trouble); 5] = [
-        ("answers that cannot be read, on shared connections", 20_000, noise_on_all),
+        (
+            "answers that cannot be read, on shared connections",
+            20_000,
+            noise_on_all,
+        ),
         ("workers that flood", 20_000, flood),
         ("a full table", 4, |_, _| ()),
         ("faults of other clients", 20_000, others_faults),
@@ -101,9 +114,15 @@
         for class in ["view", "assign"] {
             let answers = answers(class, open_most, trouble);
             let missing: Vec<u64> = (1..=CALLS).filter(|id| !answers.contains_key(id)).collect();
-            assert!(missing.is_empty(), "{name}, {class}: no answer to {missing:?}");
+            assert!(
+                missing.is_empty(),
+                "{name}, {class}: no answer to {missing:?}"
+            );
             let latest = answers.values().max().expect("some");
-            assert!(*latest <= 1_500, "{name}, {class}: an answer after {latest} ms");
+            assert!(
+                *latest <= 1_500,
+                "{name}, {class}: an answer after {latest} ms"
+            );
         }
     }
 }
--- a/crates/pipithub-os-error/tests/classes.rs
+++ b/crates/pipithub-os-error/tests/classes.rs
@@ -29,7 +29,13 @@
 
 #[test]
 fn what_the_peer_or_the_network_did_is_the_peers() {
-    let peer = [Errno::CONNREFUSED, Errno::CONNRESET, Errno::PIPE, Errno::TIMEDOUT, Errno::HOSTUNREACH];
+    let peer = [
+        Errno::CONNREFUSED,
+        Errno::CONNRESET,
+        Errno::PIPE,
+        Errno::TIMEDOUT,
+        Errno::HOSTUNREACH,
+    ];
     for errno in peer {
         assert_eq!(fault_origin(&error(errno)), FaultOrigin::Peer, "{errno}");
     }
@@ -48,14 +54,31 @@
 
 #[test]
 fn an_aborted_connection_holds_up_no_other() {
-    for errno in [Errno::CONNABORTED, Errno::PROTO, Errno::HOSTUNREACH, Errno::INTR] {
-        assert_eq!(accept_failure(&error(errno)), AcceptFailure::Connection, "{errno}");
+    for errno in [
+        Errno::CONNABORTED,
+        Errno::PROTO,
+        Errno::HOSTUNREACH,
+        Errno::INTR,
+    ] {
+        assert_eq!(
+            accept_failure(&error(errno)),
+            AcceptFailure::Connection,
+            "{errno}"
+        );
     }
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM] {
-        assert_eq!(accept_failure(&error(errno)), AcceptFailure::Exhausted, "{errno}");
+        assert_eq!(
+            accept_failure(&error(errno)),
+            AcceptFailure::Exhausted,
+            "{errno}"
+        );
     }
     for errno in [Errno::BADF, Errno::NOTSOCK] {
-        assert_eq!(accept_failure(&error(errno)), AcceptFailure::Fatal, "{errno}");
+        assert_eq!(
+            accept_failure(&error(errno)),
+            AcceptFailure::Fatal,
+            "{errno}"
+        );
     }
 }
 
--- a/crates/pipithub-platform/src/client.rs
+++ b/crates/pipithub-platform/src/client.rs
@@ -96,7 +96,11 @@
 
 impl Fault {
     fn new(id: Option<u64>, code: i64, message: impl Into<String>) -> Self {
-        Fault { id, code, message: message.into() }
+        Fault {
+            id,
+            code,
+            message: message.into(),
+        }
     }
 }
 
@@ -114,25 +118,39 @@
         None => None,
         Some(id) => match id.as_u64().filter(|id| *id > 0) {
             Some(id) => Some(id),
-            None => return Err(Fault::new(None, INVALID, "id: not a whole number from 1 on")),
+            None => {
+                return Err(Fault::new(
+                    None,
+                    INVALID,
+                    "id: not a whole number from 1 on",
+                ));
+            }
         },
     };
     let bad = |code, message: &str| Fault::new(id, code, message);
     if all.get("jsonrpc").and_then(Value::as_str) != Some("2.0") {
         return Err(bad(INVALID, "jsonrpc: not 2.0"));
     }
-    let method = all.get("method").and_then(Value::as_str).ok_or_else(|| bad(INVALID, "method: missing"))?;
+    let method = all
+        .get("method")
+        .and_then(Value::as_str)
+        .ok_or_else(|| bad(INVALID, "method: missing"))?;
     let none = Value::Null;
     let params = all.get("params").unwrap_or(&none);
     if method == FORGET {
         let number = params.get("id").and_then(Value::as_u64).or(id);
-        let call = params.get("call").and_then(Value::as_str).map(str::to_string);
+        let call = params
+            .get("call")
+            .and_then(Value::as_str)
+            .map(str::to_string);
         if number.is_none() && call.is_none() {
             return Err(bad(BAD_PARAMS, "forget: names no call"));
         }
         return Ok(ClientLine::Forget { id: number, call });
     }
-    let Some(id) = id else { return Err(bad(INVALID, "id: missing")) };
+    let Some(id) = id else {
+        return Err(bad(INVALID, "id: missing"));
+    };
     if method == IS_WELL {
         return Ok(ClientLine::IsWell { id });
     }
@@ -140,21 +158,36 @@
     Ok(ClientLine::Call(Box::new(call)))
 }
 
-fn call(id: u64, method: &str, params: &Value, site: &SiteSettings) -> Result<ClientCall, (i64, String)> {
+fn call(
+    id: u64,
+    method: &str,
+    params: &Value,
+    site: &SiteSettings,
+) -> Result<ClientCall, (i64, String)> {
     let bad = |message: &str| (BAD_PARAMS, message.to_string());
     let names: &Names = &site.names;
     let class = names.classes.iter().position(|n| n == method);
     let class = class.ok_or_else(|| (NO_METHOD, "method: no such class".to_string()))?;
     let name = |field: &str| {
-        let text = params.get(field).and_then(Value::as_str).filter(|t| is_name(t));
-        text.map(str::to_string).ok_or_else(|| bad(&format!("{field}: not 16 hex digits")))
+        let text = params
+            .get(field)
+            .and_then(Value::as_str)
+            .filter(|t| is_name(t));
+        text.map(str::to_string)
+            .ok_or_else(|| bad(&format!("{field}: not 16 hex digits")))
     };
     let give_up = site.policy.classes.get(class).map_or(0, |c| c.give_up);
-    let ttl = params.get("ttl").and_then(Value::as_f64).ok_or_else(|| bad("ttl: not a number"))?;
+    let ttl = params
+        .get("ttl")
+        .and_then(Value::as_f64)
+        .ok_or_else(|| bad("ttl: not a number"))?;
     // A client that is late by itself states somewhat more than its class's time, which holds all the same: such a call
     // must not be lost to a strict bound. Far beyond it lies nothing but nonsense.
     if !(ttl > 0.0 && ttl <= TTL_MOST * give_up as f64 / 1e6) {
-        return Err(bad(&format!("ttl: {ttl} is not above 0 and near {} at most", give_up as f64 / 1e6)));
+        return Err(bad(&format!(
+            "ttl: {ttl} is not above 0 and near {} at most",
+            give_up as f64 / 1e6
+        )));
     }
     let mut read = ClientCall {
         id,
@@ -174,17 +207,27 @@
         Some(_) => return Err(bad("props: not a string")),
     }
     // A keyed call is repeated on the strength of its key: without one a repeat would be a second effect.
-    let keyed = site.policy.classes.get(class).is_some_and(|c| c.effect == Effect::Keyed);
+    let keyed = site
+        .policy
+        .classes
+        .get(class)
+        .is_some_and(|c| c.effect == Effect::Keyed);
     match params.get("dedupe") {
-        None | Some(Value::Null) if keyed => return Err(bad("dedupe: missing, and this class is keyed")),
+        None | Some(Value::Null) if keyed => {
+            return Err(bad("dedupe: missing, and this class is keyed"));
+        }
         None | Some(Value::Null) => {}
-        Some(Value::String(key)) if !key.is_empty() && key.len() <= KEY_MOST => read.key = Some(key.clone()),
+        Some(Value::String(key)) if !key.is_empty() && key.len() <= KEY_MOST => {
+            read.key = Some(key.clone())
+        }
         Some(_) => return Err(bad("dedupe: not a text of 1 to 256 bytes")),
     }
     match params.get("body") {
         None | Some(Value::Null) => {}
         Some(Value::String(text)) => {
-            let body = STANDARD.decode(text).map_err(|e| bad(&format!("body: {e}")))?;
+            let body = STANDARD
+                .decode(text)
+                .map_err(|e| bad(&format!("body: {e}")))?;
             if body.len() > BODY_MOST {
                 return Err(bad("body: too long"));
             }
@@ -201,7 +244,10 @@
     for pair in pairs.split(';').filter(|p| !p.is_empty()) {
         let (name, value) = pair.split_once(':').ok_or("props: a pair without ':'")?;
         let known = matches!(name, "memory_mb" | "lanes" | "load_ms");
-        let figure = value.parse::<f64>().ok().filter(|f| f.is_finite() && *f >= 0.0);
+        let figure = value
+            .parse::<f64>()
+            .ok()
+            .filter(|f| f.is_finite() && *f >= 0.0);
         match figure {
             None if known => return Err(format!("props: {name}: not a figure from 0 on")),
             None => {}
@@ -214,7 +260,9 @@
                     return Err("props: lanes: out of range".to_string());
                 }
                 "lanes" => call.lanes = f as u32,
-                "load_ms" if f > 3_600_000.0 => return Err("props: load_ms: out of range".to_string()),
+                "load_ms" if f > 3_600_000.0 => {
+                    return Err("props: load_ms: out of range".to_string());
+                }
                 "load_ms" => call.load_time = Some((f * 1e6) as Time),
                 _ => {}
             },
@@ -239,7 +287,8 @@
 /// The line of an error; `pushback` in milliseconds, with refusals alone.
 pub fn error(id: Option<u64>, code: i64, message: &str, pushback: Option<u64>) -> Bytes {
     let id = id.map_or_else(|| "null".to_string(), |id| id.to_string());
-    let mut line = format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"error\":{{\"code\":{code},\"message\":");
+    let mut line =
+        format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"error\":{{\"code\":{code},\"message\":");
     line.push_str(&Value::from(message).to_string());
     if let Some(pushback) = pushback {
         // Writing to a string cannot fail.
--- a/crates/pipithub-platform/src/config.rs
+++ b/crates/pipithub-platform/src/config.rs
@@ -68,22 +68,34 @@
         let all: Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
         let string = |field: &str| {
             let text = all[field].as_str().filter(|t| !t.is_empty());
-            text.map(str::to_string).ok_or_else(|| format!("{field}: missing"))
+            text.map(str::to_string)
+                .ok_or_else(|| format!("{field}: missing"))
         };
         let site = settings::read(&all["settings"])?;
         let seed = match &all["seed"] {
             Value::String(hex) => u64::from_str_radix(hex, 16).map_err(|e| format!("seed: {e}"))?,
-            other => other.as_u64().ok_or("seed: neither hex digits nor a number")?,
+            other => other
+                .as_u64()
+                .ok_or("seed: neither hex digits nor a number")?,
         };
         let mut known = Vec::new();
-        for (i, update) in all["known"]["updates"].as_array().into_iter().flatten().enumerate() {
-            known.push(list::read(update, &site.names).map_err(|e| format!("known.updates[{i}]: {e}"))?);
+        for (i, update) in all["known"]["updates"]
+            .as_array()
+            .into_iter()
+            .flatten()
+            .enumerate()
+        {
+            known.push(
+                list::read(update, &site.names).map_err(|e| format!("known.updates[{i}]: {e}"))?,
+            );
         }
         let limit = |field: &str, unless: u64| match &all["limits"][field] {
             Value::Null => Ok(unless),
             figure => {
                 let figure = figure.as_f64().filter(|f| *f >= 1.0);
-                figure.map(|f| f as u64).ok_or_else(|| format!("limits.{field}: not a figure from 1 on"))
+                figure
+                    .map(|f| f as u64)
+                    .ok_or_else(|| format!("limits.{field}: not a figure from 1 on"))
             }
         };
         usable(&site)?;
--- a/crates/pipithub-platform/src/line.rs
+++ b/crates/pipithub-platform/src/line.rs
@@ -25,7 +25,11 @@
 impl LineFramer {
     /// Lines of at most so many bytes, the line feed not counted.
     pub fn new(most: usize) -> Self {
-        LineFramer { buffer: BytesMut::new(), scanned: 0, most }
+        LineFramer {
+            buffer: BytesMut::new(),
+            scanned: 0,
+            most,
+        }
     }
 
     /// Takes in what was read. To keep the bound, call [`LineFramer::next_line`] until it has no more after each piece.
@@ -38,13 +42,20 @@
     /// # Errors
     /// [`TooLong`] where a line, whole or not, is longer than the bound.
     pub fn next_line(&mut self) -> Result<Option<Bytes>, TooLong> {
-        let found = self.buffer[self.scanned..].iter().position(|b| *b == b'\n').map(|at| at + self.scanned);
+        let found = self.buffer[self.scanned..]
+            .iter()
+            .position(|b| *b == b'\n')
+            .map(|at| at + self.scanned);
         let Some(end) = found else {
             self.scanned = self.buffer.len();
             if self.buffer.is_empty() && self.buffer.capacity() > KEPT {
                 self.buffer = BytesMut::new();
             }
-            return if self.scanned > self.most { Err(TooLong { most: self.most }) } else { Ok(None) };
+            return if self.scanned > self.most {
+                Err(TooLong { most: self.most })
+            } else {
+                Ok(None)
+            };
         };
         if end > self.most {
             return Err(TooLong { most: self.most });
--- a/crates/pipithub-platform/src/list.rs
+++ b/crates/pipithub-platform/src/list.rs
@@ -30,14 +30,24 @@
 pub fn read(value: &Value, names: &Names) -> Result<ListEvent, String> {
     let index = value["index"].as_u64().ok_or("index: not a whole number")?;
     let endpoints = &value["endpoints"];
-    let hosts = endpoints["hosts"].as_array().ok_or("endpoints.hosts: not a list")?;
+    let hosts = endpoints["hosts"]
+        .as_array()
+        .ok_or("endpoints.hosts: not a list")?;
     if hosts.len() > HOSTS_MOST {
         return Err(format!("endpoints.hosts: more than {HOSTS_MOST}"));
     }
-    let kind =
-        if endpoints["whole"].as_bool() == Some(true) { ListKind::Complete } else { ListKind::Changes };
-    let read = |(i, h): (usize, &Value)| host(h, names).map_err(|e| format!("endpoints.hosts[{i}].{e}"));
-    let hosts = hosts.iter().enumerate().map(read).collect::<Result<_, _>>()?;
+    let kind = if endpoints["whole"].as_bool() == Some(true) {
+        ListKind::Complete
+    } else {
+        ListKind::Changes
+    };
+    let read =
+        |(i, h): (usize, &Value)| host(h, names).map_err(|e| format!("endpoints.hosts[{i}].{e}"));
+    let hosts = hosts
+        .iter()
+        .enumerate()
+        .map(read)
+        .collect::<Result<_, _>>()?;
     Ok(ListEvent { index, kind, hosts })
 }
 
@@ -51,8 +61,12 @@
 }
 
 fn host(host: &Value, names: &Names) -> Result<(Entry, String), String> {
-    let text =
-        |field: &str| host[field].as_str().filter(|t| !t.is_empty()).ok_or(format!("{field}: missing"));
+    let text = |field: &str| {
+        host[field]
+            .as_str()
+            .filter(|t| !t.is_empty())
+            .ok_or(format!("{field}: missing"))
+    };
     let kind = host["class"].as_str().unwrap_or_default();
     let state = match host["health"].as_str() {
         Some("SERVING") => State::Live,
@@ -61,16 +75,29 @@
         other => return Err(format!("health: unknown {other:?}")),
     };
     // One that is gone needs no address any more.
-    let address =
-        if state == State::Gone { host["dial"].as_str().unwrap_or_default() } else { text("dial")? };
+    let address = if state == State::Gone {
+        host["dial"].as_str().unwrap_or_default()
+    } else {
+        text("dial")?
+    };
     let entry = Entry {
         worker: Worker::new(text("host")?),
-        share: host["share"].as_f64().filter(|s| s.is_finite()).unwrap_or(0.0),
+        share: host["share"]
+            .as_f64()
+            .filter(|s| s.is_finite())
+            .unwrap_or(0.0),
         state,
         zone: host["site"].as_str().unwrap_or_default().to_string(),
         cell: host["block"].as_u64().unwrap_or(0),
-        memory_mb: names.kinds.iter().find(|(name, _)| name == kind).map_or(0.0, |(_, memory)| *memory),
-        started: host["born_ms"].as_u64().filter(|ms| *ms > 0).map(|ms| ms.saturating_mul(1_000_000)),
+        memory_mb: names
+            .kinds
+            .iter()
+            .find(|(name, _)| name == kind)
+            .map_or(0.0, |(_, memory)| *memory),
+        started: host["born_ms"]
+            .as_u64()
+            .filter(|ms| *ms > 0)
+            .map(|ms| ms.saturating_mul(1_000_000)),
     };
     Ok((entry, address.to_string()))
 }
--- a/crates/pipithub-platform/src/settings.rs
+++ b/crates/pipithub-platform/src/settings.rs
@@ -1,6 +1,8 @@
 //! Reads the settings that a front end is given at its start, in the simulator and in service alike.
 
-use pipithub_policy::api::{Class, Effect, Group, Limits, Loading, Prices, Ration, Rules, Settings, Time};
+use pipithub_policy::api::{
+    Class, Effect, Group, Limits, Loading, Prices, Ration, Rules, Settings, Time,
+};
 use serde_json::Value;
 
 /// The names that the lines of one front end use.
@@ -57,11 +59,21 @@
     let limits = &all["Limits"];
     let rules = &all["Rules"];
     let family = &all["FamilyInfo"];
-    let grades = all["Grades"].as_array().map(Vec::as_slice).unwrap_or_default();
-    let kinds = all["Models"].as_array().map(Vec::as_slice).unwrap_or_default();
+    let grades = all["Grades"]
+        .as_array()
+        .map(Vec::as_slice)
+        .unwrap_or_default();
+    let kinds = all["Models"]
+        .as_array()
+        .map(Vec::as_slice)
+        .unwrap_or_default();
     let memory = |i: usize| number(&family["KindMemoryMb"][i]).max(0.0);
     let names = Names {
-        kinds: kinds.iter().enumerate().map(|(i, kind)| (string(kind), memory(i))).collect(),
+        kinds: kinds
+            .iter()
+            .enumerate()
+            .map(|(i, kind)| (string(kind), memory(i)))
+            .collect(),
         classes: grades.iter().map(|g| string(&g["Name"])).collect(),
     };
     let window = time(&family["LoadSpan"]);
@@ -72,7 +84,10 @@
         limits: Limits {
             max_attempts: time(&limits["MostTries"]).clamp(1, u64::from(u32::MAX)) as u32,
             cancel: flag(&limits["MayCancel"]),
-            probes: flag(&limits["Probes"]) && all["Report"]["How"].as_str().is_some_and(|how| how != "none"),
+            probes: flag(&limits["Probes"])
+                && all["Report"]["How"]
+                    .as_str()
+                    .is_some_and(|how| how != "none"),
             retry_after: flag(&limits["RetryAfter"]),
             max_retry_after: time(&limits["MaxRetryAfter"]),
         },
@@ -94,7 +109,9 @@
                 share: number(&family["LoadsPerRequest"]),
             }),
         },
-        prices: Prices { probe: number(&all["Prices"]["Probe"]).max(0.0) },
+        prices: Prices {
+            probe: number(&all["Prices"]["Probe"]).max(0.0),
+        },
         zone: string(&all["Zone"]),
         list_on_request: all["RegistryMode"].as_str() == Some("on_request"),
     };
@@ -106,7 +123,11 @@
         open_most: or(&limits["OpenCap"], 4096) as usize,
         order_timeout: or(&family["OrderTimeout"], 10_000_000_000),
     };
-    Ok(SiteSettings { policy: settings, names, transport })
+    Ok(SiteSettings {
+        policy: settings,
+        names,
+        transport,
+    })
 }
 
 fn class(grade: &Value) -> Result<Class, String> {
--- a/crates/pipithub-platform/src/sse.rs
+++ b/crates/pipithub-platform/src/sse.rs
@@ -42,7 +42,11 @@
 
 impl Default for SseReader {
     fn default() -> Self {
-        SseReader { lines: LineFramer::new(DATA_MOST + FIELD), event: SseEvent::default(), begun: false }
+        SseReader {
+            lines: LineFramer::new(DATA_MOST + FIELD),
+            event: SseEvent::default(),
+            begun: false,
+        }
     }
 }
 
@@ -89,6 +93,8 @@
     }
 
     fn too_long(&self) -> EventTooLong {
-        EventTooLong { id: self.event.id.clone() }
+        EventTooLong {
+            id: self.event.id.clone(),
+        }
     }
 }
--- a/crates/pipithub-platform/src/worker.rs
+++ b/crates/pipithub-platform/src/worker.rs
@@ -12,7 +12,14 @@
 pub const LINE_MOST: usize = 128 << 10;
 
 /// The line that asks for a run; `patience` is how long the front end will wait, `key` the call's idempotency key.
-pub fn run(call: &str, class: &str, function: &str, patience: Time, key: Option<&str>, body: &[u8]) -> Bytes {
+pub fn run(
+    call: &str,
+    class: &str,
+    function: &str,
+    patience: Time,
+    key: Option<&str>,
+    body: &[u8],
+) -> Bytes {
     let key = key.map_or_else(String::new, |key| format!(",\"op\":{}", Value::from(key)));
     let mut line = format!(
         "{{\"cmd\":\"DO\",\"ref\":\"{call}\",\"opts\":{{\"sort\":{},\"asset\":\"{function}\",\"patience\":{}{key}}},\"payload\":\"",
@@ -42,7 +49,14 @@
 impl RunRequest {
     /// The line, for a front end that will wait so long.
     pub fn line(&self, patience: Time) -> Bytes {
-        run(&self.call, &self.class, &self.function, patience, self.key.as_deref(), &self.body)
+        run(
+            &self.call,
+            &self.class,
+            &self.function,
+            patience,
+            self.key.as_deref(),
+            &self.body,
+        )
     }
 }
 
@@ -134,16 +148,20 @@
     let option = |name: &str| opts.and_then(|o| o.get(name));
     let body = match all.get("payload") {
         None | Some(Value::Null) => Bytes::new(),
-        Some(Value::String(text)) => {
-            STANDARD.decode(text).map_err(|e| Spoilt(format!("payload: {e}")))?.into()
-        }
+        Some(Value::String(text)) => STANDARD
+            .decode(text)
+            .map_err(|e| Spoilt(format!("payload: {e}")))?
+            .into(),
         Some(_) => return Err(spoilt("payload: not a string")),
     };
     Ok(Answer {
         reference,
         word,
         alike: option("same").and_then(figure).unwrap_or(0.0) as u32,
-        load: option("l").and_then(Value::as_str).map(load).unwrap_or_default(),
+        load: option("l")
+            .and_then(Value::as_str)
+            .map(load)
+            .unwrap_or_default(),
         copies: option("n").and_then(figure).unwrap_or(0.0) as u32,
         body,
     })
--- a/crates/pipithub-platform/tests/growth.rs
+++ b/crates/pipithub-platform/tests/growth.rs
@@ -35,9 +35,15 @@
 }
 
 fn linear(what: &str, figures: &[f64]) {
-    assert!(figures.iter().all(|f| *f > 0.0), "{what}: nothing was counted: {figures:?}");
+    assert!(
+        figures.iter().all(|f| *f > 0.0),
+        "{what}: nothing was counted: {figures:?}"
+    );
     for pair in figures.windows(2) {
-        assert!(pair[1] <= pair[0] * MOST, "{what} grow faster than the configuration: {figures:?}");
+        assert!(
+            pair[1] <= pair[0] * MOST,
+            "{what} grow faster than the configuration: {figures:?}"
+        );
     }
 }
 
@@ -95,6 +101,10 @@
 fn the_first_repeat_is_found_where_it_stands() {
     assert_eq!(first_repeat::<&str>(&[]), None);
     assert_eq!(first_repeat(&["a", "b", "a", "b"]), Some(2));
-    let place = NodeConfig::parse(&text(1, 3).replace("c00002", "c00000")).expect_err("it names one twice");
-    assert_eq!(place, "settings.Grades[2].Name: \"c00000\" names an earlier class too");
+    let place =
+        NodeConfig::parse(&text(1, 3).replace("c00002", "c00000")).expect_err("it names one twice");
+    assert_eq!(
+        place,
+        "settings.Grades[2].Name: \"c00000\" names an earlier class too"
+    );
 }
--- a/crates/pipithub-platform/tests/protocol.rs
+++ b/crates/pipithub-platform/tests/protocol.rs
@@ -10,7 +10,10 @@
 use proptest::prelude::*;
 
 fn site() -> SiteSettings {
-    let mut site = SiteSettings { policy: Settings::default(), ..SiteSettings::default() };
+    let mut site = SiteSettings {
+        policy: Settings::default(),
+        ..SiteSettings::default()
+    };
     site.policy.classes.push(Class::default());
     site.names.classes.push("view".to_string());
     site
@@ -72,25 +75,44 @@
 
 #[test]
 fn a_line_beyond_its_bound_is_an_error_whole_or_not() {
-    assert_eq!(lines(&[b"abc\r\n", b"abcd\n"], 4), (vec![b"abc".to_vec(), b"abcd".to_vec()], false));
+    assert_eq!(
+        lines(&[b"abc\r\n", b"abcd\n"], 4),
+        (vec![b"abc".to_vec(), b"abcd".to_vec()], false)
+    );
     assert!(lines(&[b"abcde\n"], 4).1 && lines(&[b"ab", b"cde"], 4).1);
 }
 
 #[test]
 fn events_count_once_they_are_whole() {
     let (mut reader, mut events) = (SseReader::default(), Vec::new());
-    reader.push(b": hello\n\nid: 4\nevent: x\ndata: {\"a\":\n", &mut events).unwrap();
+    reader
+        .push(b": hello\n\nid: 4\nevent: x\ndata: {\"a\":\n", &mut events)
+        .unwrap();
     assert!(events.is_empty());
-    reader.push(b"data:1}\n\nid: 5\ndata: cut of", &mut events).unwrap();
-    assert_eq!(events, [SseEvent { id: Some("4".into()), data: "{\"a\":\n1}".into() }]);
+    reader
+        .push(b"data:1}\n\nid: 5\ndata: cut of", &mut events)
+        .unwrap();
+    assert_eq!(
+        events,
+        [SseEvent {
+            id: Some("4".into()),
+            data: "{\"a\":\n1}".into()
+        }]
+    );
 }
 
 #[test]
 fn answers_come_with_figures_as_numbers_or_text() {
     let line = br#"{"cmd":"ACK","ref":"t1","opts":{"n":"2","same":3,"l":"inflight:7;util:0.61;x0:nan;new:1"},"payload":""}"#;
     let answer = worker::read(line).unwrap();
-    assert_eq!((answer.copies, answer.alike, answer.reference.as_str()), (2, 3, "t1"));
-    assert_eq!((answer.load.held, answer.load.busy, answer.load.memory_tied), (Some(7.0), Some(0.61), None));
+    assert_eq!(
+        (answer.copies, answer.alike, answer.reference.as_str()),
+        (2, 3, "t1")
+    );
+    assert_eq!(
+        (answer.load.held, answer.load.busy, answer.load.memory_tied),
+        (Some(7.0), Some(0.61), None)
+    );
     for spoilt in [
         "{}",
         "[]",
@@ -104,16 +126,22 @@
 
 #[test]
 fn a_list_names_what_is_wrong_in_it() {
-    let event = |host: &str| format!(r#"{{"index":3,"endpoints":{{"whole":true,"hosts":[{host}]}}}}"#);
+    let event =
+        |host: &str| format!(r#"{{"index":3,"endpoints":{{"whole":true,"hosts":[{host}]}}}}"#);
     let fault = |host: &str| list::parse(&event(host), &site().names).unwrap_err();
     assert_eq!(
         fault(r#"{"host":"w","dial":"a:1","health":"ODD"}"#),
         "endpoints.hosts[0].health: unknown Some(\"ODD\")"
     );
-    assert_eq!(fault(r#"{"host":"w","health":"SERVING"}"#), "endpoints.hosts[0].dial: missing");
-    let good =
-        list::parse(&event(r#"{"host":"w","dial":"a:1","health":"SERVING","born_ms":5}"#), &site().names)
-            .unwrap();
+    assert_eq!(
+        fault(r#"{"host":"w","health":"SERVING"}"#),
+        "endpoints.hosts[0].dial: missing"
+    );
+    let good = list::parse(
+        &event(r#"{"host":"w","dial":"a:1","health":"SERVING","born_ms":5}"#),
+        &site().names,
+    )
+    .unwrap();
     assert_eq!(good.hosts[0].0.started, Some(5_000_000));
 }
 
@@ -121,25 +149,48 @@
 #[test]
 fn the_idempotency_key_passes_unchanged_and_a_keyed_call_without_one_is_an_error() {
     let mut site = site();
-    site.policy.classes[0] = Class { effect: Effect::Keyed, give_up: 3_000_000_000, ..Class::default() };
+    site.policy.classes[0] = Class {
+        effect: Effect::Keyed,
+        give_up: 3_000_000_000,
+        ..Class::default()
+    };
     let line = |key: &str| {
         format!(
             r#"{{"jsonrpc":"2.0","id":1,"method":"view","params":{{"call":"9b1f03aa5c7e2d41","ttl":1500,"row":"7f3a9c21e0b4d655"{key}}}}}"#
         )
     };
     let read = client::read(line(r#","dedupe":"40bf \"e3\"""#).as_bytes(), &site).expect("a call");
-    let ClientLine::Call(call) = read else { panic!("{read:?}") };
-    let sent = worker::run(&call.call, "view", &call.function, call.ttl, call.key.as_deref(), &call.body);
+    let ClientLine::Call(call) = read else {
+        panic!("{read:?}")
+    };
+    let sent = worker::run(
+        &call.call,
+        "view",
+        &call.function,
+        call.ttl,
+        call.key.as_deref(),
+        &call.body,
+    );
     let sent: serde_json::Value = serde_json::from_slice(&sent).expect("a line");
     assert_eq!(sent["opts"]["op"], "40bf \"e3\"");
     for key in ["", r#","dedupe":"""#, r#","dedupe":7"#, r#","dedupe":null"#] {
         let fault = client::read(line(key).as_bytes(), &site).expect_err("no key");
-        assert!(fault.id == Some(1) && fault.code != client::REFUSED, "{key}: {fault}");
+        assert!(
+            fault.id == Some(1) && fault.code != client::REFUSED,
+            "{key}: {fault}"
+        );
     }
     // Other classes need none, and their lines bear none.
     site.policy.classes[0].effect = Effect::Unsafe;
     assert!(client::read(line("").as_bytes(), &site).is_ok());
-    let plain = worker::run("9b1f03aa5c7e2d41", "view", "7f3a9c21e0b4d655", 1_000_000, None, &[]);
+    let plain = worker::run(
+        "9b1f03aa5c7e2d41",
+        "view",
+        "7f3a9c21e0b4d655",
+        1_000_000,
+        None,
+        &[],
+    );
     assert!(!String::from_utf8_lossy(&plain).contains("\"op\""));
 }
 
@@ -153,28 +204,47 @@
     };
     let says = |grades, what: &str| assert_eq!(fault(grades).as_deref(), Some(what));
     says(serde_json::json!([]), "settings.Grades: no class");
-    says(serde_json::json!([grade("", 1)]), "settings.Grades[0].Name: \"\" cannot name a class");
-    says(serde_json::json!([grade("isWell", 1)]), "settings.Grades[0].Name: \"isWell\" cannot name a class");
+    says(
+        serde_json::json!([grade("", 1)]),
+        "settings.Grades[0].Name: \"\" cannot name a class",
+    );
+    says(
+        serde_json::json!([grade("isWell", 1)]),
+        "settings.Grades[0].Name: \"isWell\" cannot name a class",
+    );
     says(
         serde_json::json!([grade("a", 1), grade("a", 1)]),
         "settings.Grades[1].Name: \"a\" names an earlier class too",
     );
-    says(serde_json::json!([grade("a", 0)]), "settings.Grades[0].GiveUp: not above 0");
-    assert_eq!(fault(serde_json::json!([grade("a", 1), grade("b", u64::MAX)])), None);
+    says(
+        serde_json::json!([grade("a", 0)]),
+        "settings.Grades[0].GiveUp: not above 0",
+    );
+    assert_eq!(
+        fault(serde_json::json!([grade("a", 1), grade("b", u64::MAX)])),
+        None
+    );
 }
 
 /// An event with so many workers.
 fn tier(workers: usize) -> String {
-    let host = |n| format!(r#"{{"host":"worker-{n:06}","dial":"10.0.0.1:30012","health":"SERVING"}}"#);
+    let host =
+        |n| format!(r#"{{"host":"worker-{n:06}","dial":"10.0.0.1:30012","health":"SERVING"}}"#);
     let hosts: Vec<String> = (0..workers).map(host).collect();
-    format!(r#"{{"index":1,"endpoints":{{"whole":true,"hosts":[{}]}}}}"#, hosts.join(","))
+    format!(
+        r#"{{"index":1,"endpoints":{{"whole":true,"hosts":[{}]}}}}"#,
+        hosts.join(",")
+    )
 }
 
 #[test]
 fn a_list_at_the_bound_is_read_and_one_worker_more_is_an_error_with_place_and_reason() {
     let names = site().names;
     let read = list::parse(&tier(HOSTS_MOST), &names).expect("at the bound");
-    assert_eq!((read.hosts.len(), HOSTS_MOST >= 2 * 16_000), (HOSTS_MOST, true));
+    assert_eq!(
+        (read.hosts.len(), HOSTS_MOST >= 2 * 16_000),
+        (HOSTS_MOST, true)
+    );
     let fault = list::parse(&tier(HOSTS_MOST + 1), &names).expect_err("beyond it");
     assert_eq!(fault, format!("endpoints.hosts: more than {HOSTS_MOST}"));
 }
@@ -186,10 +256,16 @@
         let mut events = Vec::new();
         // In pieces, as they come.
         let (mut reader, text) = (SseReader::default(), format!("id: 7\ndata: {text}\n\n"));
-        text.as_bytes().chunks(65_536).try_for_each(|piece| reader.push(piece, &mut events)).map(|()| events)
+        text.as_bytes()
+            .chunks(65_536)
+            .try_for_each(|piece| reader.push(piece, &mut events))
+            .map(|()| events)
     };
     let events = read(&"x".repeat(DATA_MOST)).expect("at the bound");
-    assert_eq!(events.iter().map(|e| e.data.len()).collect::<Vec<_>>(), [DATA_MOST]);
+    assert_eq!(
+        events.iter().map(|e| e.data.len()).collect::<Vec<_>>(),
+        [DATA_MOST]
+    );
     let says = |text: &str| read(text).expect_err("beyond the bound").to_string();
     let expected = "event 7: data: more than 8192000 bytes, which are 32000 workers of 256 bytes";
     assert_eq!(says(&"x".repeat(DATA_MOST + 1)), expected);
--- a/crates/pipithub-policy/src/api.rs
+++ b/crates/pipithub-policy/src/api.rs
@@ -106,7 +106,13 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { max_attempts: 3, cancel: false, probes: false, retry_after: false, max_retry_after: 0 }
+        Limits {
+            max_attempts: 3,
+            cancel: false,
+            probes: false,
+            retry_after: false,
+            max_retry_after: 0,
+        }
     }
 }
 
@@ -125,7 +131,12 @@
 
 impl Default for Rules {
     fn default() -> Self {
-        Rules { cold_from: 1.0, ramp: 0, fall_multiple: 0.0, fall_span: 0 }
+        Rules {
+            cold_from: 1.0,
+            ramp: 0,
+            fall_multiple: 0.0,
+            fall_span: 0,
+        }
     }
 }
 
@@ -291,7 +302,10 @@
 impl Outcome {
     /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::Unreachable | Outcome::NotSent | Outcome::Absent)
+        matches!(
+            self,
+            Outcome::Full | Outcome::Unreachable | Outcome::NotSent | Outcome::Absent
+        )
     }
 }
 
--- a/crates/pipithub-policy/src/state.rs
+++ b/crates/pipithub-policy/src/state.rs
@@ -180,8 +180,11 @@
 
     /// A worker of which nothing is known but its entry.
     pub(crate) fn new(entry: Entry, classes: usize) -> Self {
-        let hash =
-            entry.worker.0.bytes().fold(0xcbf2_9ce4_8422_2325, |h: u64, b| {
+        let hash = entry
+            .worker
+            .0
+            .bytes()
+            .fold(0xcbf2_9ce4_8422_2325, |h: u64, b| {
                 (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3)
             });
         Node {
--- a/crates/pipithub-policy/src/tier.rs
+++ b/crates/pipithub-policy/src/tier.rs
@@ -109,7 +109,9 @@
     /// What is believed of a function's copies here: the only way to begin to believe in any.
     pub(crate) fn copies_of(&mut self, function: Function) -> &mut Copies {
         if !self.node.copies.contains_key(&function) {
-            self.index.holders.insert((function, self.node.entry.worker.clone()));
+            self.index
+                .holders
+                .insert((function, self.node.entry.worker.clone()));
         }
         self.node.copies.entry(function).or_default()
     }
@@ -126,14 +128,23 @@
 impl Tier {
     /// An empty tier in which told loads fade by half in this time.
     pub(crate) fn new(half_life: Time) -> Self {
-        let index = Index { held: Fading::new(half_life), ..Index::default() };
-        Tier { nodes: HashMap::default(), index }
+        let index = Index {
+            held: Fading::new(half_life),
+            ..Index::default()
+        };
+        Tier {
+            nodes: HashMap::default(),
+            index,
+        }
     }
 
     /// A worker to be changed.
     pub(crate) fn get_mut(&mut self, worker: &Worker) -> Option<Changed<'_>> {
         looked(1);
-        Some(Changed { node: self.nodes.get_mut(worker)?, index: &mut self.index })
+        Some(Changed {
+            node: self.nodes.get_mut(worker)?,
+            index: &mut self.index,
+        })
     }
 
     /// The worker of an entry, to be changed; as the entry says where it was not known.
@@ -141,14 +152,25 @@
         looked(1);
         let new = || Node::new(entry.clone(), classes);
         let node = self.nodes.entry(entry.worker.clone()).or_insert_with(new);
-        Changed { node, index: &mut self.index }
+        Changed {
+            node,
+            index: &mut self.index,
+        }
     }
 
     /// Changes those of which this holds; it goes through all workers.
-    pub(crate) fn change_where(&mut self, holds: impl Fn(&Node) -> bool, change: impl FnMut(&mut Node)) {
+    pub(crate) fn change_where(
+        &mut self,
+        holds: impl Fn(&Node) -> bool,
+        change: impl FnMut(&mut Node),
+    ) {
         looked(self.nodes.len() as u64);
-        let mut those: Vec<Worker> =
-            self.nodes.iter().filter(|(_, n)| holds(n)).map(|(w, _)| w.clone()).collect();
+        let mut those: Vec<Worker> = self
+            .nodes
+            .iter()
+            .filter(|(_, n)| holds(n))
+            .map(|(w, _)| w.clone())
+            .collect();
         those.sort_unstable();
         self.change_each(those, change);
     }
@@ -165,14 +187,23 @@
 
     fn change_each(&mut self, those: Vec<Worker>, mut change: impl FnMut(&mut Node)) {
         for worker in &those {
-            self.get_mut(worker).into_iter().for_each(|mut node| change(&mut node));
+            self.get_mut(worker)
+                .into_iter()
+                .for_each(|mut node| change(&mut node));
         }
     }
 
     /// Forgets the workers that have gone and owe no answer.
     pub(crate) fn forget_gone(&mut self) {
         let over = |w: &&Worker| self.nodes.get(*w).is_none_or(|n| n.out.is_empty());
-        let over: Vec<Worker> = self.index.gone.iter().inspect(|_| looked(1)).filter(over).cloned().collect();
+        let over: Vec<Worker> = self
+            .index
+            .gone
+            .iter()
+            .inspect(|_| looked(1))
+            .filter(over)
+            .cloned()
+            .collect();
         for worker in over {
             if let Some(mut node) = self.nodes.remove(&worker) {
                 self.index.note(&mut node, false);
@@ -183,10 +214,15 @@
     /// Forgets which workers held functions that they do not hold any more.
     pub(crate) fn forget_holders(&mut self) {
         let nodes = &self.nodes;
-        self.index.holders.retain(|(f, w)| nodes.get(w).is_some_and(|n| n.copies.contains_key(f)));
+        self.index
+            .holders
+            .retain(|(f, w)| nodes.get(w).is_some_and(|n| n.copies.contains_key(f)));
     }
 
-    fn of<'a>(&'a self, set: impl Iterator<Item = &'a Worker> + 'a) -> impl Iterator<Item = &'a Node> + 'a {
+    fn of<'a>(
+        &'a self,
+        set: impl Iterator<Item = &'a Worker> + 'a,
+    ) -> impl Iterator<Item = &'a Node> + 'a {
         set.inspect(|_| looked(1)).filter_map(|w| self.nodes.get(w))
     }
 
@@ -200,7 +236,10 @@
         let first = (hash, Worker::default());
         let ring = &self.index.ring;
         let around = ring.range(first.clone()..).chain(ring.range(..first));
-        around.take(most).inspect(|_| looked(1)).map(|(hash, worker)| (*hash, worker))
+        around
+            .take(most)
+            .inspect(|_| looked(1))
+            .map(|(hash, worker)| (*hash, worker))
     }
 
     /// Workers with sends out or answers that are still counted, by address.
@@ -216,7 +255,12 @@
     /// Workers that may hold copies of a function, by address.
     pub(crate) fn holders(&self, function: Function) -> impl Iterator<Item = &Node> {
         let from = (function, Worker::default());
-        self.of(self.index.holders.range(from..).take_while(move |(f, _)| *f == function).map(|(_, w)| w))
+        self.of(self
+            .index
+            .holders
+            .range(from..)
+            .take_while(move |(f, _)| *f == function)
+            .map(|(_, w)| w))
     }
 
     /// How many zones there are.
@@ -226,7 +270,11 @@
 
     /// When a zone was last heard from; `None` where it has no worker.
     pub(crate) fn heard(&self, zone: &str) -> Option<Time> {
-        self.index.heard.get(zone)?.last_key_value().map(|(heard, _)| *heard)
+        self.index
+            .heard
+            .get(zone)?
+            .last_key_value()
+            .map(|(heard, _)| *heard)
     }
 
     /// The zones to which sends are out.
@@ -282,10 +330,18 @@
         };
         let waits = !node.served.is_empty() || !node.out.is_empty();
         let loads = node.orders || node.out.iter().any(|s| s.cold || s.unproven || s.adds);
-        set(&mut self.gone, &mut counted.gone, there && entry.state == State::Gone);
+        set(
+            &mut self.gone,
+            &mut counted.gone,
+            there && entry.state == State::Gone,
+        );
         set(&mut self.recent, &mut counted.recent, there && waits);
         set(&mut self.loading, &mut counted.loading, there && loads);
-        set(&mut self.holding, &mut counted.holding, there && !node.copies.is_empty());
+        set(
+            &mut self.holding,
+            &mut counted.holding,
+            there && !node.copies.is_empty(),
+        );
         if std::mem::replace(&mut counted.ring, live) != live {
             let place = (node.hash, entry.worker.clone());
             if !(live && self.ring.insert(place.clone())) {
@@ -302,7 +358,8 @@
                 if let Some(times) = self.heard.get_mut(&entry.zone) {
                     *times.entry(node.heard).or_default() += 1;
                 } else {
-                    self.heard.insert(entry.zone.clone(), BTreeMap::from([(node.heard, 1)]));
+                    self.heard
+                        .insert(entry.zone.clone(), BTreeMap::from([(node.heard, 1)]));
                 }
             }
         }
@@ -319,12 +376,17 @@
                 }
             }
             if is_busy {
-                self.busy.entry(entry.zone.clone()).or_default().insert(entry.worker.clone());
+                self.busy
+                    .entry(entry.zone.clone())
+                    .or_default()
+                    .insert(entry.worker.clone());
             }
             counted.busy = is_busy;
         }
         if moved {
-            if let Some(zone) = std::mem::replace(&mut counted.zone, there.then(|| entry.zone.clone())) {
+            if let Some(zone) =
+                std::mem::replace(&mut counted.zone, there.then(|| entry.zone.clone()))
+            {
                 if self.heard.get(&zone).is_some_and(BTreeMap::is_empty) {
                     self.heard.remove(&zone);
                 }
@@ -357,7 +419,11 @@
         counted.errors.resize(classes, 0);
         self.errors.resize(classes.max(self.errors.len()), 0);
         for (class, (sum, before)) in self.errors.iter_mut().zip(&mut counted.errors).enumerate() {
-            let share = node.health.get(class).filter(|_| live).map_or(0.0, |h| h.errors);
+            let share = node
+                .health
+                .get(class)
+                .filter(|_| live)
+                .map_or(0.0, |h| h.errors);
             let now = (share.clamp(0.0, 1.0) * ERROR_UNIT) as u64;
             *sum = *sum + u128::from(now) - u128::from(std::mem::replace(before, now));
         }
@@ -424,14 +490,20 @@
 
     /// An empty sum.
     pub(crate) fn new(half_life: Time) -> Self {
-        Fading { half_life: half_life.max(1), ..Fading::default() }
+        Fading {
+            half_life: half_life.max(1),
+            ..Fading::default()
+        }
     }
 
     /// A value as of a time, as a part; none below zero.
     pub(crate) fn part(&self, at: Time, value: f64) -> Faded {
         let half = self.half_life.max(1);
         let scale = ((at % half) as f64 / half as f64).exp2();
-        Faded { epoch: at / half, value: (value.clamp(0.0, Self::MOST) * scale * Self::UNIT) as u128 }
+        Faded {
+            epoch: at / half,
+            value: (value.clamp(0.0, Self::MOST) * scale * Self::UNIT) as u128,
+        }
     }
 
     fn now(&self, part: Faded) -> u128 {
@@ -466,5 +538,8 @@
 }
 
 fn shifted(value: u128, by: u64) -> u128 {
-    u32::try_from(by).ok().and_then(|by| value.checked_shr(by)).unwrap_or(0)
+    u32::try_from(by)
+        .ok()
+        .and_then(|by| value.checked_shr(by))
+        .unwrap_or(0)
 }
--- a/crates/pipithub-policy/tests/common/mod.rs
+++ b/crates/pipithub-policy/tests/common/mod.rs
@@ -37,14 +37,28 @@
             retry_after: true,
             max_retry_after: 500 * MS,
         },
-        rules: Rules { cold_from: 0.2, ramp: 15_000 * MS, fall_multiple: 3.0, fall_span: 2_000 * MS },
-        loading: Loading { orders: true, tells_cold: true, ..Loading::default() },
+        rules: Rules {
+            cold_from: 0.2,
+            ramp: 15_000 * MS,
+            fall_multiple: 3.0,
+            fall_span: 2_000 * MS,
+        },
+        loading: Loading {
+            orders: true,
+            tells_cold: true,
+            ..Loading::default()
+        },
         ..Settings::default()
     }
 }
 
 pub fn entry(name: &str) -> Entry {
-    Entry { worker: Worker::new(name), zone: "a".to_string(), share: 1.0, ..Entry::default() }
+    Entry {
+        worker: Worker::new(name),
+        zone: "a".to_string(),
+        share: 1.0,
+        ..Entry::default()
+    }
 }
 
 impl Bench {
@@ -55,9 +69,18 @@
     pub fn seeded(settings: Settings, workers: &[&str], seed: u64) -> Self {
         let front = FrontEnd::new(settings, seed);
         let (did, timers) = (Vec::new(), BTreeSet::new());
-        let mut bench = Bench { front, now: 1_000_000 * MS, did, timers, next_id: 1 };
+        let mut bench = Bench {
+            front,
+            now: 1_000_000 * MS,
+            did,
+            timers,
+            next_id: 1,
+        };
         let entries = workers.iter().map(|w| entry(w)).collect();
-        bench.event(Event::List { kind: ListKind::Remembered, entries });
+        bench.event(Event::List {
+            kind: ListKind::Remembered,
+            entries,
+        });
         bench
     }
 
@@ -69,12 +92,16 @@
             Action::Timer { after, token } => Some((self.now + after, *token)),
             _ => None,
         }));
-        self.did.extend(actions.iter().map(|a| (self.now, a.clone())));
+        self.did
+            .extend(actions.iter().map(|a| (self.now, a.clone())));
         actions
     }
 
     pub fn changes(&mut self, entries: Vec<Entry>) -> Vec<Action> {
-        self.event(Event::List { kind: ListKind::Changes, entries })
+        self.event(Event::List {
+            kind: ListKind::Changes,
+            entries,
+        })
     }
 
     /// A call of a function with four lanes and a load of 500 ms.
@@ -96,7 +123,13 @@
         (id, actions)
     }
 
-    pub fn finish(&mut self, id: RequestId, attempt: u32, worker: &Worker, outcome: Outcome) -> Vec<Action> {
+    pub fn finish(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+        worker: &Worker,
+        outcome: Outcome,
+    ) -> Vec<Action> {
         let note = Some(CopyNote::Warm).filter(|_| outcome == Outcome::Served);
         self.finish_noted(id, attempt, worker, outcome, 50 * MS, note)
     }
@@ -127,7 +160,12 @@
     pub fn pass(&mut self, time: Time) -> Vec<Action> {
         let until = self.now + time;
         let mut all = Vec::new();
-        while let Some((due, token)) = self.timers.first().copied().filter(|(due, _)| *due <= until) {
+        while let Some((due, token)) = self
+            .timers
+            .first()
+            .copied()
+            .filter(|(due, _)| *due <= until)
+        {
             self.timers.pop_first();
             self.now = self.now.max(due);
             all.extend(self.event(Event::Timer { token }));
@@ -137,10 +175,18 @@
     }
 
     /// Answers every order to load given by these actions.
-    pub fn answer_orders(&mut self, actions: &[Action], outcome: Outcome, copies: u32) -> Vec<Action> {
+    pub fn answer_orders(
+        &mut self,
+        actions: &[Action],
+        outcome: Outcome,
+        copies: u32,
+    ) -> Vec<Action> {
         let mut all = Vec::new();
         for action in actions {
-            if let Action::Hold { worker, function, .. } = action {
+            if let Action::Hold {
+                worker, function, ..
+            } = action
+            {
                 let (worker, function) = (worker.clone(), *function);
                 all.extend(self.event(Event::Ordered(Ordered {
                     worker,
--- a/crates/pipithub-policy/tests/fleet.rs
+++ b/crates/pipithub-policy/tests/fleet.rs
@@ -15,7 +15,10 @@
 impl Draw {
     /// From 0 up to 1.
     fn next(&mut self) -> f64 {
-        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.0 = self
+            .0
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 11) as f64 / (1u64 << 53) as f64
     }
 }
@@ -120,7 +123,13 @@
 
 impl Fleet {
     /// So many front ends and workers, calls at a rate of `share` of what all cores can run, for some seconds.
-    fn play(fronts: usize, machines: usize, share: f64, seconds: u64, change: impl Fn(&mut Settings)) -> Sum {
+    fn play(
+        fronts: usize,
+        machines: usize,
+        share: f64,
+        seconds: u64,
+        change: impl Fn(&mut Settings),
+    ) -> Sum {
         Self::reporting(false, fronts, machines, share, seconds, change)
     }
 
@@ -136,9 +145,19 @@
     ) -> BTreeMap<usize, (Time, Vec<Time>)> {
         let start = 1_000_000 * MS;
         let mut happens: Vec<(Time, What)> = (0..replaced)
-            .map(|old| (start + (4_000 + 300 * old as u64) * MS, What::Replaced { old }))
+            .map(|old| {
+                (
+                    start + (4_000 + 300 * old as u64) * MS,
+                    What::Replaced { old },
+                )
+            })
             .collect();
-        let restart = |front| (start + (4_500 + 37 * front as u64) * MS, What::Restarted { front });
+        let restart = |front| {
+            (
+                start + (4_500 + 37 * front as u64) * MS,
+                What::Restarted { front },
+            )
+        };
         happens.extend((0..fronts).step_by(5).map(restart));
         Self::playing(false, fronts, machines, share, 20, change, happens).cold
     }
@@ -152,7 +171,16 @@
         seconds: u64,
         change: impl Fn(&mut Settings),
     ) -> Sum {
-        Self::playing(reports, fronts, machines, share, seconds, change, Vec::new()).sum
+        Self::playing(
+            reports,
+            fronts,
+            machines,
+            share,
+            seconds,
+            change,
+            Vec::new(),
+        )
+        .sum
     }
 
     fn playing(
@@ -170,7 +198,9 @@
         change(&mut s);
         let start = 1_000_000 * MS;
         let mut fleet = Fleet {
-            fronts: (0..fronts).map(|i| FrontEnd::new(s.clone(), 77 + i as u64)).collect(),
+            fronts: (0..fronts)
+                .map(|i| FrontEnd::new(s.clone(), 77 + i as u64))
+                .collect(),
             machines: (0..machines).map(|_| Machine::default()).collect(),
             due: BinaryHeap::new(),
             what: BTreeMap::new(),
@@ -182,12 +212,20 @@
             asked: BTreeMap::new(),
             reports,
             settings: s.clone(),
-            list: (0..machines).map(|m| (m, entry(&format!("w{m}")))).collect(),
+            list: (0..machines)
+                .map(|m| (m, entry(&format!("w{m}"))))
+                .collect(),
             cold: BTreeMap::new(),
         };
         for front in 0..fronts {
             let entries = (0..machines).map(|m| entry(&format!("w{m}"))).collect();
-            fleet.event(front, Event::List { kind: ListKind::Remembered, entries });
+            fleet.event(
+                front,
+                Event::List {
+                    kind: ListKind::Remembered,
+                    entries,
+                },
+            );
         }
         for (at, what) in happens {
             fleet.at(at, what);
@@ -235,15 +273,34 @@
                 self.event(front, Event::Arrived(call));
             }
             What::Timer(front, token) => self.event(front, Event::Timer { token }),
-            What::Arrives { front, worker, request, attempt, function } => {
+            What::Arrives {
+                front,
+                worker,
+                request,
+                attempt,
+                function,
+            } => {
                 if let Some((_, came)) = self.cold.get_mut(&worker) {
                     came.push(self.now);
                 }
                 let machine = &mut self.machines[worker];
                 let loading = machine.loading.values().flatten();
-                let all = || machine.running.iter().chain(&machine.waiting).chain(loading.clone());
+                let all = || {
+                    machine
+                        .running
+                        .iter()
+                        .chain(&machine.waiting)
+                        .chain(loading.clone())
+                };
                 let alike = all().filter(|h| h.function == function).count() as u32;
-                let held = Held { front, request, attempt, function, came: self.now, alike };
+                let held = Held {
+                    front,
+                    request,
+                    attempt,
+                    function,
+                    came: self.now,
+                    alike,
+                };
                 if all().count() >= QUEUE {
                     self.sum.full += 1;
                     return self.answer(worker, &held, Outcome::Full);
@@ -261,13 +318,19 @@
             }
             What::Loaded { worker, function } => {
                 let machine = &mut self.machines[worker];
-                machine.waiting.extend(machine.loading.remove(&function).unwrap_or_default());
+                machine
+                    .waiting
+                    .extend(machine.loading.remove(&function).unwrap_or_default());
                 machine.copies.insert(function, self.now);
                 self.start(worker);
             }
             What::Done { worker, function } => {
                 let machine = &mut self.machines[worker];
-                let at = machine.running.iter().position(|h| h.function == function).expect("it runs");
+                let at = machine
+                    .running
+                    .iter()
+                    .position(|h| h.function == function)
+                    .expect("it runs");
                 let held = machine.running.remove(at);
                 self.answer(worker, &held, Outcome::Served);
                 self.start(worker);
@@ -284,28 +347,76 @@
                 self.machines.push(Machine::default());
                 self.cold.insert(new, (self.now, Vec::new()));
                 self.list.remove(&old);
-                self.list.insert(new, Entry { started: Some(self.now), ..entry(&format!("w{new}")) });
+                self.list.insert(
+                    new,
+                    Entry {
+                        started: Some(self.now),
+                        ..entry(&format!("w{new}"))
+                    },
+                );
                 for front in 0..self.fronts.len() {
                     let late = (self.draw.next() * 1_000.0) as u64 * MS;
-                    self.at(self.now + late, What::Heard { front, old, new, started: self.now });
+                    self.at(
+                        self.now + late,
+                        What::Heard {
+                            front,
+                            old,
+                            new,
+                            started: self.now,
+                        },
+                    );
                 }
             }
-            What::Heard { front, old, new, started } => {
-                let gone = Entry { state: State::Gone, ..entry(&format!("w{old}")) };
-                let here = Entry { started: Some(started), ..entry(&format!("w{new}")) };
-                self.event(front, Event::List { kind: ListKind::Changes, entries: vec![gone, here] });
+            What::Heard {
+                front,
+                old,
+                new,
+                started,
+            } => {
+                let gone = Entry {
+                    state: State::Gone,
+                    ..entry(&format!("w{old}"))
+                };
+                let here = Entry {
+                    started: Some(started),
+                    ..entry(&format!("w{new}"))
+                };
+                self.event(
+                    front,
+                    Event::List {
+                        kind: ListKind::Changes,
+                        entries: vec![gone, here],
+                    },
+                );
             }
             What::Restarted { front } => {
                 let seed = 1_000 + 77 * front as u64;
                 self.fronts[front] = FrontEnd::new(self.settings.clone(), seed);
                 let entries = self.list.values().cloned().collect();
-                self.event(front, Event::List { kind: ListKind::Remembered, entries });
+                self.event(
+                    front,
+                    Event::List {
+                        kind: ListKind::Remembered,
+                        entries,
+                    },
+                );
             }
             What::Told { front, worker } => {
-                let held = (self.machines[worker].running.len() + self.machines[worker].waiting.len()) as f64;
-                let load = Load { held: Some(held), ..Load::default() };
+                let held = (self.machines[worker].running.len()
+                    + self.machines[worker].waiting.len()) as f64;
+                let load = Load {
+                    held: Some(held),
+                    ..Load::default()
+                };
                 let worker = Worker::new(&format!("w{worker}"));
-                self.event(front, Event::Probed { worker, answered: true, load });
+                self.event(
+                    front,
+                    Event::Probed {
+                        worker,
+                        answered: true,
+                        load,
+                    },
+                );
             }
         }
     }
@@ -315,15 +426,29 @@
         let (now, machine) = (self.now, &mut self.machines[worker]);
         let mut started = Vec::new();
         while machine.running.len() < CORES {
-            let Some(held) = machine.waiting.pop_front() else { break };
+            let Some(held) = machine.waiting.pop_front() else {
+                break;
+            };
             machine.copies.insert(held.function, now);
             started.push(held.function);
             machine.running.push(held);
         }
         while machine.copies.len() > COPIES {
-            let busy = |f: &u64| machine.running.iter().chain(&machine.waiting).any(|h| h.function == *f);
-            let idle = machine.copies.iter().filter(|(f, _)| !busy(f)).min_by_key(|(_, t)| **t);
-            let Some(function) = idle.map(|(f, _)| *f) else { break };
+            let busy = |f: &u64| {
+                machine
+                    .running
+                    .iter()
+                    .chain(&machine.waiting)
+                    .any(|h| h.function == *f)
+            };
+            let idle = machine
+                .copies
+                .iter()
+                .filter(|(f, _)| !busy(f))
+                .min_by_key(|(_, t)| **t);
+            let Some(function) = idle.map(|(f, _)| *f) else {
+                break;
+            };
             machine.copies.remove(&function);
         }
         for function in started {
@@ -335,7 +460,10 @@
     fn answer(&mut self, worker: usize, held: &Held, outcome: Outcome) {
         let machine = &self.machines[worker];
         let now = (machine.running.len() + machine.waiting.len()) as f64;
-        let load = Load { held: Some(now).filter(|_| self.reports), ..Load::default() };
+        let load = Load {
+            held: Some(now).filter(|_| self.reports),
+            ..Load::default()
+        };
         let end = Finished {
             request: held.request,
             attempt: held.attempt,
@@ -347,7 +475,13 @@
             alike: Some(held.alike),
             load,
         };
-        self.at(self.now + MS, What::Answer { front: held.front, end });
+        self.at(
+            self.now + MS,
+            What::Answer {
+                front: held.front,
+                end,
+            },
+        );
     }
 
     fn event(&mut self, front: usize, event: Event) {
@@ -356,17 +490,36 @@
         let number = |w: &Worker| w.0[1..].parse::<usize>().expect("a number");
         for action in actions {
             match action {
-                Action::Timer { after, token } => self.at(self.now + after, What::Timer(front, token)),
-                Action::Send { request, worker, .. } => {
+                Action::Timer { after, token } => {
+                    self.at(self.now + after, What::Timer(front, token))
+                }
+                Action::Send {
+                    request, worker, ..
+                } => {
                     let attempts = self.attempts.entry(request).or_default();
                     let attempt = std::mem::replace(attempts, *attempts + 1);
                     let function = self.asked[&request].1;
                     let worker = number(&worker);
-                    self.at(self.now + MS, What::Arrives { front, worker, request, attempt, function });
+                    self.at(
+                        self.now + MS,
+                        What::Arrives {
+                            front,
+                            worker,
+                            request,
+                            attempt,
+                            function,
+                        },
+                    );
                 }
                 Action::Probe { worker } => {
                     self.sum.probes += 1;
-                    self.at(self.now + 2 * MS, What::Told { front, worker: number(&worker) });
+                    self.at(
+                        self.now + 2 * MS,
+                        What::Told {
+                            front,
+                            worker: number(&worker),
+                        },
+                    );
                 }
                 _ => {}
             }
@@ -379,19 +532,31 @@
     let play = |price: f64| Fleet::play(60, 12, 0.5, 12, |s| s.prices.probe = price);
     let (dear, free) = (play(0.1), play(0.0));
     assert!(dear.calls > 1_800 && free.calls == dear.calls, "{dear:?}");
-    assert!(free.probes * 2 > free.calls, "asked for nothing, nearly every call asks: {free:?}");
+    assert!(
+        free.probes * 2 > free.calls,
+        "asked for nothing, nearly every call asks: {free:?}"
+    );
     assert!(dear.probes * 20 < dear.calls, "{dear:?}");
-    assert!(dear.in_time * 20 > free.in_time * 17, "calls themselves tell most of it: {dear:?}, {free:?}");
+    assert!(
+        dear.in_time * 20 > free.in_time * 17,
+        "calls themselves tell most of it: {dear:?}, {free:?}"
+    );
 }
 
 #[test]
 fn a_function_that_fills_its_home_has_several_and_none_is_run_over() {
     // What is told of others' calls leads to it; all else is alike.
-    let play =
-        |told: bool| Fleet::play(60, 12, 0.6, 30, |s| (s.loading.tells_alike, s.prices.probe) = (told, 0.1));
+    let play = |told: bool| {
+        Fleet::play(60, 12, 0.6, 30, |s| {
+            (s.loading.tells_alike, s.prices.probe) = (told, 0.1)
+        })
+    };
     let (told, untold) = (play(true), play(false));
     assert!(told.full * 10 < untold.full * 9, "{told:?}, {untold:?}");
-    assert!(told.in_time > untold.in_time && told.loads < untold.loads, "{told:?}, {untold:?}");
+    assert!(
+        told.in_time > untold.in_time && told.loads < untold.loads,
+        "{told:?}, {untold:?}"
+    );
 }
 
 #[test]
@@ -409,19 +574,29 @@
 fn cold_workers_bear_what_a_whole_fleet_sends_them_however_many_send() {
     for fronts in [3, 9, 20, 30, 90] {
         for (share, replaced) in [(0.6, 4), (1.3, 8)] {
-            let rules =
-                Rules { cold_from: 0.2, ramp: 10_000 * MS, fall_multiple: 3.0, fall_span: 2_000 * MS };
+            let rules = Rules {
+                cold_from: 0.2,
+                ramp: 10_000 * MS,
+                fall_multiple: 3.0,
+                fall_span: 2_000 * MS,
+            };
             let cold = Fleet::release(fronts, 12, share, replaced, |s| s.rules = rules.clone());
             assert_eq!(cold.len(), replaced);
-            assert!(cold.values().any(|(_, came)| came.len() > 5), "none is shut out");
+            assert!(
+                cold.values().any(|(_, came)| came.len() > 5),
+                "none is shut out"
+            );
             for (worker, (started, mut came)) in cold {
                 // After its ramp it is as warm as any.
                 came.retain(|t| *t < started + rules.ramp);
                 for (first, last) in came.iter().enumerate() {
-                    let within = came[..=first].iter().filter(|t| **t + rules.fall_span > *last).count();
+                    let within = came[..=first]
+                        .iter()
+                        .filter(|t| **t + rules.fall_span > *last)
+                        .count();
                     let part = (last - started) as f64 / rules.ramp as f64;
-                    let capacity =
-                        CORES as f64 / RUN as f64 * (rules.cold_from + (1.0 - rules.cold_from) * part);
+                    let capacity = CORES as f64 / RUN as f64
+                        * (rules.cold_from + (1.0 - rules.cold_from) * part);
                     let budget = rules.fall_multiple * capacity * rules.fall_span as f64;
                     assert!(
                         within as f64 <= budget + 2.0 * budget.sqrt() + 2.0,
--- a/crates/pipithub-policy/tests/growth.rs
+++ b/crates/pipithub-policy/tests/growth.rs
@@ -54,7 +54,9 @@
     let mut play: Play<F> = Play::new(day);
     let mut cut = false;
     while !cut && play.step() {
-        cut = play.calls.len() >= 2 * WINDOW && play.calls.len() % WINDOW == 0 && mean(&play.calls) > most;
+        cut = play.calls.len() >= 2 * WINDOW
+            && play.calls.len() % WINDOW == 0
+            && mean(&play.calls) > most;
     }
     let windows: Vec<f64> = play.windows(WINDOW).iter().map(|w| w.looked).collect();
     let mut counted = Counted {
@@ -65,15 +67,23 @@
         ..Counted::default()
     };
     // Cut short, a single tick must do.
-    counted.idle_tick = if cut { counted.busy_tick } else { mean(&play.idle_ticks(40)) };
+    counted.idle_tick = if cut {
+        counted.busy_tick
+    } else {
+        mean(&play.idle_ticks(40))
+    };
     let one = |play: &mut Play<F>| {
         let event = play.world.change_one();
         play.give(play.world.now(), event)
     };
-    let changes: Vec<Spent> = (0..if cut { 1 } else { 40 }).map(|_| one(&mut play)).collect();
+    let changes: Vec<Spent> = (0..if cut { 1 } else { 40 })
+        .map(|_| one(&mut play))
+        .collect();
     counted.change = mean(&changes);
     let event = play.world.seventh(true);
-    let Event::List { entries, .. } = &event else { return counted };
+    let Event::List { entries, .. } = &event else {
+        return counted;
+    };
     let named = entries.len() as f64;
     counted.seventh = play.give(play.world.now(), event).looked / named;
     counted
@@ -86,7 +96,10 @@
         bad.map_or_else(|| quiet(workers), |(_, day)| day)
     };
     let small = count::<F>(day(SMALL), f64::INFINITY);
-    assert!(small.call > 0.0, "{name}: what a call looks at is not counted");
+    assert!(
+        small.call > 0.0,
+        "{name}: what a call looks at is not counted"
+    );
     let large = count::<F>(day(LARGE), 4.0 * MOST * small.call);
     println!("{name}\n  {SMALL} workers {small:?}\n  {LARGE} workers {large:?}");
     let pairs = [
@@ -96,10 +109,17 @@
         ("a busy tick", small.busy_tick, large.busy_tick),
         ("an idle tick", small.idle_tick, large.idle_tick),
         ("a list of one change", small.change, large.change),
-        ("a worker of a seventh that goes", small.seventh, large.seventh),
+        (
+            "a worker of a seventh that goes",
+            small.seventh,
+            large.seventh,
+        ),
     ];
     // Under one worker is as good as none.
-    pairs.into_iter().filter(|(_, small, large)| *large > MOST * small.max(1.0)).collect()
+    pairs
+        .into_iter()
+        .filter(|(_, small, large)| *large > MOST * small.max(1.0))
+        .collect()
 }
 
 fn holds(name: &str) {
@@ -113,12 +133,23 @@
 #[test]
 fn what_grows_is_found() {
     // The reference looks at every worker: it is the fault that this file must find.
-    let found: Vec<_> = grown::<plain::decide::FrontEnd>("quiet").iter().map(|(what, ..)| *what).collect();
+    let found: Vec<_> = grown::<plain::decide::FrontEnd>("quiet")
+        .iter()
+        .map(|(what, ..)| *what)
+        .collect();
     // A list that removes a seventh costs it so much for each worker that goes: that alone does not grow.
-    let all =
-        ["a call, mean", "a call, middle window", "a call, worst window", "a busy tick", "an idle tick"];
+    let all = [
+        "a call, mean",
+        "a call, middle window",
+        "a call, worst window",
+        "a busy tick",
+        "an idle tick",
+    ];
     for what in all.into_iter().chain(["a list of one change"]) {
-        assert!(found.contains(&what), "{what} grows with the reference and was not found: {found:?}");
+        assert!(
+            found.contains(&what),
+            "{what} grows with the reference and was not found: {found:?}"
+        );
     }
 }
 
--- a/crates/pipithub-policy/tests/let_go.rs
+++ b/crates/pipithub-policy/tests/let_go.rs
@@ -15,7 +15,8 @@
     let mut world = World::new(day);
     let mut actions = Vec::with_capacity(10_000);
     let mut front = None;
-    let mut held = measure(|| front = Some(FrontEnd::new(world.day.settings.clone(), 3))).bytes_current;
+    let mut held =
+        measure(|| front = Some(FrontEnd::new(world.day.settings.clone(), 3))).bytes_current;
     let mut front = front.expect("it was made");
     let mut next = Some((world.now(), world.complete()));
     let mut stopped = false;
@@ -32,7 +33,10 @@
         }
     }
     assert!(stopped && world.idle(), "all calls have ended");
-    assert!(world.counts["arrived"] >= functions * 8 / 10, "that many were called");
+    assert!(
+        world.counts["arrived"] >= functions * 8 / 10,
+        "that many were called"
+    );
     held
 }
 
@@ -42,5 +46,8 @@
     println!("{few} bytes after 1,000 functions, {many} after 4,000");
     assert!(few > 0, "the workers themselves are held");
     // Queues keep the room that they once took; a function that stays would cost a hundred bytes and more.
-    assert!(many < few + 3_000 * 20, "{few} bytes after 1,000 functions, {many} after 4,000");
+    assert!(
+        many < few + 3_000 * 20,
+        "{few} bytes after 1,000 functions, {many} after 4,000"
+    );
 }
--- a/crates/pipithub-policy/tests/limits.rs
+++ b/crates/pipithub-policy/tests/limits.rs
@@ -10,7 +10,11 @@
 
 #[test]
 fn no_line_is_longer_than_110_columns() {
-    let sources = [MODULE, include_str!("../src/api.rs"), include_str!("../src/state.rs")];
+    let sources = [
+        MODULE,
+        include_str!("../src/api.rs"),
+        include_str!("../src/state.rs"),
+    ];
     for line in sources.iter().flat_map(|s| s.lines()) {
         assert!(line.chars().count() <= 110, "{line}");
     }
--- a/crates/pipithub-policy/tests/plain/decide.rs
+++ b/crates/pipithub-policy/tests/plain/decide.rs
@@ -152,19 +152,41 @@
         s.front_ends = s.front_ends.max(1);
         let (rules, loading) = (&mut s.rules, &mut s.loading);
         let window = loading.ration.iter_mut().map(|r| &mut r.window);
-        let told = [&mut s.tick, &mut rules.ramp, &mut rules.fall_span, &mut loading.keep_alive];
-        let class = s.classes.iter_mut().flat_map(|c| [&mut c.aim, &mut c.give_up, &mut c.dedup_window]);
-        told.into_iter().chain(window).chain(class).for_each(|t| *t = (*t).min(LONGEST));
+        let told = [
+            &mut s.tick,
+            &mut rules.ramp,
+            &mut rules.fall_span,
+            &mut loading.keep_alive,
+        ];
+        let class = s
+            .classes
+            .iter_mut()
+            .flat_map(|c| [&mut c.aim, &mut c.give_up, &mut c.dedup_window]);
+        told.into_iter()
+            .chain(window)
+            .chain(class)
+            .for_each(|t| *t = (*t).min(LONGEST));
         let class_run = vec![None; s.classes.len()];
-        FrontEnd { class_run, s, seed, load_stretch: 1.0, held_seen: (6.0, 1.0), ..FrontEnd::default() }
+        FrontEnd {
+            class_run,
+            s,
+            seed,
+            load_stretch: 1.0,
+            held_seen: (6.0, 1.0),
+            ..FrontEnd::default()
+        }
     }
 
     /// Takes one event and appends what to do about it.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now.min(Time::MAX >> 2));
         if self.next_round == 0 {
-            self.next_round = self.now + self.interval() / 2 + mix(self.seed) % (self.interval() / 2);
-            actions.push(Action::Timer { after: CHORES, token: CHORES_TOKEN });
+            self.next_round =
+                self.now + self.interval() / 2 + mix(self.seed) % (self.interval() / 2);
+            actions.push(Action::Timer {
+                after: CHORES,
+                token: CHORES_TOKEN,
+            });
             if self.s.list_on_request {
                 actions.push(Action::FollowList);
             }
@@ -188,12 +210,22 @@
                 }
             }
             Event::Ordered(reply) => self.ordered(&reply, actions),
-            Event::Timer { token: CHORES_TOKEN } => self.chores(actions),
-            Event::Probed { worker, answered, load } => {
+            Event::Timer {
+                token: CHORES_TOKEN,
+            } => self.chores(actions),
+            Event::Probed {
+                worker,
+                answered,
+                load,
+            } => {
                 self.told(&worker, Some(load).filter(|_| answered), actions);
             }
             Event::Timer { token } if token & ASK_TOKEN > 0 => {
-                if let Some(worker) = self.open.get(&(token & !ASK_TOKEN)).and_then(|o| o.asks.clone()) {
+                if let Some(worker) = self
+                    .open
+                    .get(&(token & !ASK_TOKEN))
+                    .and_then(|o| o.asks.clone())
+                {
                     self.told(&worker, None, actions);
                 }
             }
@@ -217,15 +249,21 @@
         }
         if kind != ListKind::Changes {
             let named: BTreeSet<&Worker> = entries.iter().map(|e| &e.worker).collect();
-            for node in self.nodes.values_mut().filter(|n| !named.contains(&n.entry.worker)) {
+            for node in self
+                .nodes
+                .values_mut()
+                .filter(|n| !named.contains(&n.entry.worker))
+            {
                 node.entry.state = State::Gone;
             }
         }
         let classes = self.s.classes.len();
         for mut entry in entries {
             entry.started = entry.started.map(|t| t.min(Time::MAX >> 2));
-            let node =
-                self.nodes.entry(entry.worker.clone()).or_insert_with(|| Node::new(entry.clone(), classes));
+            let node = self
+                .nodes
+                .entry(entry.worker.clone())
+                .or_insert_with(|| Node::new(entry.clone(), classes));
             if node.entry.started != entry.started {
                 // A process that started anew holds nothing and has no past.
                 node.copies.clear();
@@ -234,15 +272,21 @@
             }
             node.entry = entry;
         }
-        self.nodes.retain(|_, n| n.entry.state != State::Gone || !n.out.is_empty());
+        self.nodes
+            .retain(|_, n| n.entry.state != State::Gone || !n.out.is_empty());
     }
 
     /// The workers that may be sent work, in the function's order: the same at every front end. In a large
     /// tier a function that fills one home has several: each front end begins at one of them, drawn once for
     /// all, so that no home is full while the next ones idle, and each front end has few workers to meet.
     fn order(&self, function: Function) -> Vec<Worker> {
-        let live = self.nodes.iter().filter(|(_, n)| n.entry.state == State::Live);
-        let mut ranked: Vec<_> = live.map(|(w, n)| (mix(n.hash ^ mix(function.0)), w)).collect();
+        let live = self
+            .nodes
+            .iter()
+            .filter(|(_, n)| n.entry.state == State::Live);
+        let mut ranked: Vec<_> = live
+            .map(|(w, n)| (mix(n.hash ^ mix(function.0)), w))
+            .collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
         let mut order: Vec<Worker> = ranked.into_iter().map(|(_, w)| w.clone()).collect();
         let homes = self.programs.get(&function).map_or(0.0, |p| p.homes);
@@ -250,16 +294,26 @@
             let draw = draw(self.seed ^ mix(function.0));
             // Of several homes one in the own zone, where there is one: crossing costs time and more.
             let all = 0..(homes as usize).min(order.len());
-            let near: Vec<usize> = all.filter(|i| self.nodes[&order[*i]].entry.zone == self.s.zone).collect();
+            let near: Vec<usize> = all
+                .filter(|i| self.nodes[&order[*i]].entry.zone == self.s.zone)
+                .collect();
             let any = ((draw * homes) as usize).min(order.len() - 1);
-            let first = near.get((draw * near.len() as f64) as usize).copied().unwrap_or(any);
+            let first = near
+                .get((draw * near.len() as f64) as usize)
+                .copied()
+                .unwrap_or(any);
             order[..=first].rotate_right(1);
         }
         if self.blind() && !order.is_empty() {
             // Wanted functions may share a home by chance, and it stays full while others idle: each front
             // end that was told so draws, once for all, whether it still begins there.
-            let known = || self.nodes.values().filter(|n| n.entry.state == State::Live && n.told.at > 0);
-            let mean = known().map(|n| self.usually_holds(n)).sum::<f64>() / known().count().max(1) as f64;
+            let known = || {
+                self.nodes
+                    .values()
+                    .filter(|n| n.entry.state == State::Live && n.told.at > 0)
+            };
+            let mean =
+                known().map(|n| self.usually_holds(n)).sum::<f64>() / known().count().max(1) as f64;
             let stays = |w: &Worker| {
                 let node = &self.nodes[w];
                 let share = (mean / self.usually_holds(node)).powi(EASE);
@@ -283,7 +337,10 @@
     fn run_of(&self, function: Function, class: usize) -> f64 {
         // Capped, so that no estimate shuts a function out: what is never sent is never learnt again.
         let usual = self.class_run[class].unwrap_or(self.s.classes[class].aim as f64 * FIRST_RUN);
-        self.programs.get(&function).and_then(|p| p.run).map_or(usual, |run| run.min(usual * RUN_MOST))
+        self.programs
+            .get(&function)
+            .and_then(|p| p.run)
+            .map_or(usual, |run| run.min(usual * RUN_MOST))
     }
 
     /// What loads take beside the usual, from those that were seen.
@@ -302,8 +359,14 @@
     }
 
     fn learn_load(&mut self, function: Function, took: f64) {
-        let Some(program) = self.programs.get_mut(&function) else { return };
-        let usual = program.told_load.map(|t| t as f64).or(program.seen_load).or(self.load_mean);
+        let Some(program) = self.programs.get_mut(&function) else {
+            return;
+        };
+        let usual = program
+            .told_load
+            .map(|t| t as f64)
+            .or(program.seen_load)
+            .or(self.load_mean);
         if let Some(usual) = usual.filter(|u| *u > 0.0) {
             let sample = (took / usual).clamp(0.5, 2.0 * SAMPLE_CAP);
             self.load_stretch += 0.3 * (sample - self.load_stretch);
@@ -312,7 +375,11 @@
         let mean = self.load_mean.get_or_insert(took);
         *mean += RUN_GAIN * (took - *mean);
         let seen = program.seen_load.get_or_insert(took);
-        *seen = if took > *seen { took.min(*seen * 2.0) } else { *seen + 0.3 * (took - *seen) };
+        *seen = if took > *seen {
+            took.min(*seen * 2.0)
+        } else {
+            *seen + 0.3 * (took - *seen)
+        };
     }
 
     /// Notes a load that was done or failed. Where loads fail, each further one, a repeat of the same call
@@ -335,7 +402,10 @@
             self.store_heard(failed);
         }
         let node = self.nodes.get_mut(&end.worker)?;
-        let at = node.out.iter().position(|s| s.request == end.request && s.attempt == end.attempt)?;
+        let at = node
+            .out
+            .iter()
+            .position(|s| s.request == end.request && s.attempt == end.attempt)?;
         // Withdrawn work may go on unseen: the replay holds it until its foreseen end.
         let sent = if end.outcome == Outcome::Cancelled && node.out[at].due > now {
             node.out[at].withdrawn = true;
@@ -345,19 +415,33 @@
         };
         let ran = Some((sent.at, node.entry.zone.clone(), node.entry.cell));
         if !end.outcome.never_ran() {
-            let late = if now > sent.aim { 1.0 - self.s.classes[sent.class].late_worth } else { 0.0 };
-            let lost = if end.outcome == Outcome::Served { late } else { 1.0 };
+            let late = if now > sent.aim {
+                1.0 - self.s.classes[sent.class].late_worth
+            } else {
+                0.0
+            };
+            let lost = if end.outcome == Outcome::Served {
+                late
+            } else {
+                1.0
+            };
             self.lost += RUN_GAIN * (lost - self.lost);
         }
         // A try of a zone that brought no word is as good as overdue.
-        let silent = matches!(end.outcome, Outcome::Unreachable | Outcome::Broken | Outcome::TimedOut);
+        let silent = matches!(
+            end.outcome,
+            Outcome::Unreachable | Outcome::Broken | Outcome::TimedOut
+        );
         let tried = |z: &&mut Health| silent && sent.at >= z.shut_until;
         if let Some(zone) = self.zones.get_mut(&node.entry.zone).filter(tried) {
             zone.shut(now);
         }
         // The function's calls that stood there, at each of its homes alike, over the lanes of a copy: so
         // many homes does it need. A worker adds copies by itself too, but no cores to run them.
-        let alike = end.alike.filter(|_| self.s.loading.tells_alike).map(|a| a.min(1_000));
+        let alike = end
+            .alike
+            .filter(|_| self.s.loading.tells_alike)
+            .map(|a| a.min(1_000));
         let told = alike.map(|a| (a, (f64::from(a) + 1.0 - sent.same).max(0.0)));
         let program = self.programs.get_mut(&sent.function).filter(|_| blind);
         if let Some(((_, others), program)) = told.zip(program) {
@@ -383,7 +467,10 @@
                 if let Some((alike, others)) = told {
                     // What others had there, beside our own; and copies enough for all of them at once.
                     copies.others += PACE_GAIN * (others - copies.others);
-                    let lanes = self.programs.get(&sent.function).map_or(1, |p| p.lanes.max(1));
+                    let lanes = self
+                        .programs
+                        .get(&sent.function)
+                        .map_or(1, |p| p.lanes.max(1));
                     if end.note == Some(CopyNote::Warm) {
                         copies.count = copies.count.max((alike + 1).div_ceil(lanes));
                     }
@@ -411,7 +498,11 @@
                 let held = end.load.held.unwrap_or(0.0);
                 let gain = RUN_GAIN * (2.0 / sent.crowd.max(held / 2.0)).min(1.0).powi(2);
                 // Where that is not told, a long answer is rather the queue of the others than a long run.
-                let rise = if blind && end.load.held.is_none() { DOUBT } else { 1.0 };
+                let rise = if blind && end.load.held.is_none() {
+                    DOUBT
+                } else {
+                    1.0
+                };
                 let learn = |mean: &mut f64| {
                     let sample = took.min(*mean * SAMPLE_CAP);
                     *mean += gain * (sample - *mean) * if sample > *mean { rise } else { 1.0 };
@@ -426,14 +517,19 @@
                 // would bring all down by itself.
                 node.strikes += 1;
                 if node.strikes >= STRIKES {
-                    node.health.iter_mut().filter(|h| now >= h.shut_until).for_each(|h| h.shut(now));
+                    node.health
+                        .iter_mut()
+                        .filter(|h| now >= h.shut_until)
+                        .for_each(|h| h.shut(now));
                 }
                 if node.strikes > STRIKES {
                     node.copies.clear();
                 }
             }
             // Withdrawn, it has taken so long at the least: else only the quick answers would teach.
-            Outcome::Cancelled if same_process && !sent.cold && !sent.unproven && ratio > node.pace => {
+            Outcome::Cancelled
+                if same_process && !sent.cold && !sent.unproven && ratio > node.pace =>
+            {
                 node.learn_pace(ratio, sent.crowd);
                 node.heard = now;
             }
@@ -460,9 +556,16 @@
     fn erred(&mut self, worker: &Worker, sent: &Sent) {
         let (now, class) = (self.now, sent.class);
         let live = |n: &&Node| n.entry.state == State::Live && n.entry.worker != *worker;
-        let others = || self.nodes.values().filter(live).map(|n| n.health[class].errors);
+        let others = || {
+            self.nodes
+                .values()
+                .filter(live)
+                .map(|n| n.health[class].errors)
+        };
         let usual = others().sum::<f64>() / others().count().max(1) as f64;
-        let Some(health) = self.nodes.get_mut(worker).map(|n| &mut n.health[class]) else { return };
+        let Some(health) = self.nodes.get_mut(worker).map(|n| &mut n.health[class]) else {
+            return;
+        };
         if health.erred.replace(sent.function) != Some(sent.function) || health.bad > 0 {
             health.errors += PACE_GAIN * (1.0 - health.errors);
         }
@@ -473,13 +576,21 @@
 
     /// Takes the reply to an order; calls that waited for it are placed again.
     fn ordered(&mut self, reply: &Ordered, actions: &mut Vec<Action>) {
-        let (worker, function, took, count) =
-            (&reply.worker, reply.function, reply.took.min(LONGEST), reply.copies.min(64));
+        let (worker, function, took, count) = (
+            &reply.worker,
+            reply.function,
+            reply.took.min(LONGEST),
+            reply.copies.min(64),
+        );
         let run = self.run_of(function, 0);
         if reply.outcome == Outcome::Error {
             self.store_heard(true);
         }
-        if let Some(copies) = self.nodes.get_mut(worker).and_then(|n| n.copies.get_mut(&function)) {
+        if let Some(copies) = self
+            .nodes
+            .get_mut(worker)
+            .and_then(|n| n.copies.get_mut(&function))
+        {
             if std::mem::take(&mut copies.ordered) {
                 if reply.outcome == Outcome::Served && count > 0 {
                     (copies.count, copies.proven, copies.placed) = (count, true, true);
@@ -488,12 +599,18 @@
                         self.learn_load(function, took as f64);
                     }
                 } else if count == 0 && !copies.proven {
-                    self.nodes.get_mut(worker).map(|n| n.copies.remove(&function));
+                    self.nodes
+                        .get_mut(worker)
+                        .map(|n| n.copies.remove(&function));
                 }
             }
         }
         for id in self.waiting(|o| o.parked && o.call.function == function) {
-            if let Some(open) = self.open.get_mut(&id).filter(|_| reply.outcome == Outcome::Served) {
+            if let Some(open) = self
+                .open
+                .get_mut(&id)
+                .filter(|_| reply.outcome == Outcome::Served)
+            {
                 open.tried.pop();
             }
             self.place(id, actions);
@@ -502,7 +619,11 @@
 
     /// The requests of which this holds.
     fn waiting(&self, holds: impl Fn(&Open) -> bool) -> Vec<RequestId> {
-        self.open.iter().filter(|(_, open)| holds(open)).map(|(id, _)| *id).collect()
+        self.open
+            .iter()
+            .filter(|(_, open)| holds(open))
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     /// Notes what a worker tells of its load, the worst where it keeps silent; calls that waited to hear it
@@ -517,9 +638,17 @@
                 }
                 held => held.unwrap_or(node.told.usual),
             };
-            let load = load.unwrap_or(Load { held: Some(f64::INFINITY), ..Load::default() });
+            let load = load.unwrap_or(Load {
+                held: Some(f64::INFINITY),
+                ..Load::default()
+            });
             let (held, busy) = (load.held.unwrap_or(0.0), load.busy.unwrap_or(0.0));
-            node.told = Told { at: self.now, held, busy, usual };
+            node.told = Told {
+                at: self.now,
+                held,
+                busy,
+                usual,
+            };
         }
         for id in self.waiting(|o| o.asks.as_ref() == Some(worker)) {
             self.open.entry(id).and_modify(|o| o.asks = None);
@@ -563,11 +692,18 @@
             return Some(self.now);
         }
         // Not seen yet. When the answer is overdue there is a load before it, and a slow one.
-        let first = node.out.iter().filter(|s| s.function == function).map(|s| (s.at, s.due)).min();
+        let first = node
+            .out
+            .iter()
+            .filter(|s| s.function == function)
+            .map(|s| (s.at, s.due))
+            .min();
         Some(match first {
             Some((at, due)) if due < self.now => {
                 let load = at + self.load_of(function, 0) as Time;
-                Some(load).filter(|t| *t > self.now).unwrap_or(self.now + (self.now - at) / 2)
+                Some(load)
+                    .filter(|t| *t > self.now)
+                    .unwrap_or(self.now + (self.now - at) / 2)
             }
             _ => copies.ready.max(self.now),
         })
@@ -577,7 +713,9 @@
     fn replay(&self, node: &Node, call: &Request, presumed: bool) -> Foreseen {
         let now = self.now;
         let copies = node.copies.get(&call.function);
-        let ready = self.ready_at(node, call.function).or(presumed.then_some(now));
+        let ready = self
+            .ready_at(node, call.function)
+            .or(presumed.then_some(now));
         let all = f64::from(call.lanes.max(1)) * f64::from(copies.map_or(1, |c| c.count.max(1)));
         // The other front ends follow the same order and fill their part of the lanes: as told, else alike.
         let lanes = match copies.filter(|_| self.s.loading.tells_alike) {
@@ -586,8 +724,16 @@
         };
         let lanes = lanes.ceil().clamp(1.0, 64.0) as usize;
         let adds = self.s.loading.tells_alike
-            && node.out.iter().filter(|s| s.function == call.function).count() >= lanes;
-        let (before, pace) = (node.stretch(now, node.out.len()), node.stretch(now, node.out.len() + 1));
+            && node
+                .out
+                .iter()
+                .filter(|s| s.function == call.function)
+                .count()
+                >= lanes;
+        let (before, pace) = (
+            node.stretch(now, node.out.len()),
+            node.stretch(now, node.out.len() + 1),
+        );
         let run = self.run_of(call.function, call.class) * pace;
         let begin = |ready: Time| -> (Time, bool) {
             let mut free = vec![ready; lanes];
@@ -595,22 +741,46 @@
             for sent in node.out.iter() {
                 let (start, end) = if sent.function == call.function {
                     let lane = (0..lanes).min_by_key(|&i| free[i]).unwrap_or(0);
-                    let base = if free[lane] > now || sent.due <= now { free[lane] } else { sent.at };
+                    let base = if free[lane] > now || sent.due <= now {
+                        free[lane]
+                    } else {
+                        sent.at
+                    };
                     free[lane] = (base + (sent.run * pace) as Time).max(now);
                     (base, free[lane])
                 } else {
-                    (sent.at, if sent.cold { sent.due } else { sent.at + (sent.run * pace) as Time })
+                    (
+                        sent.at,
+                        if sent.cold {
+                            sent.due
+                        } else {
+                            sent.at + (sent.run * pace) as Time
+                        },
+                    )
                 };
                 // A deadline lost already binds no more, else one late call would shut the worker.
                 let lost = sent.cold || start + (sent.run * before) as Time > sent.goal;
                 hold &= end <= sent.goal || lost;
             }
-            (free.into_iter().min().unwrap_or(ready) + (run * PAD) as Time, hold)
+            (
+                free.into_iter().min().unwrap_or(ready) + (run * PAD) as Time,
+                hold,
+            )
         };
         let (warm_finish, others_hold) = begin(now);
         let stands = ready.unwrap_or_else(|| now + self.load_of(call.function, call.class) as Time);
-        let finish = if stands <= now { warm_finish } else { begin(stands).0 };
-        Foreseen { cold: ready.is_none(), adds, others_hold, warm_finish, finish }
+        let finish = if stands <= now {
+            warm_finish
+        } else {
+            begin(stands).0
+        };
+        Foreseen {
+            cold: ready.is_none(),
+            adds,
+            others_hold,
+            warm_finish,
+            finish,
+        }
     }
 
     /// Loads that this front end believes under way, and whether one is of this function.
@@ -618,19 +788,30 @@
         let (mut count, mut same) = (0, false);
         // What hangs at a worker that cannot be reached loads nothing: counted, it would bar those left.
         for node in self.nodes.values().filter(|n| n.strikes < STRIKES) {
-            let slow = |s: &&Sent| s.cold || s.unproven && self.now > s.at + (s.run * SAMPLE_CAP) as Time;
+            let slow =
+                |s: &&Sent| s.cold || s.unproven && self.now > s.at + (s.run * SAMPLE_CAP) as Time;
             // A load that nobody waits for may be left out: no other waits for it.
             let awaited = || node.out.iter().filter(|s| !s.withdrawn);
             let waiting = awaited().filter(slow).map(|s| s.function);
             // However many wait beside taken lanes, a worker adds one copy at a time: counted each, a lost
             // zone's calls at those left barred them from loads that they had room and time for.
-            let adding: BTreeSet<Function> = node.out.iter().filter(|s| s.adds).map(|s| s.function).collect();
+            let adding: BTreeSet<Function> = node
+                .out
+                .iter()
+                .filter(|s| s.adds)
+                .map(|s| s.function)
+                .collect();
             count += adding.len();
-            let ordered = node.copies.iter().filter(|(_, c)| c.ordered).map(|(f, _)| *f);
+            let ordered = node
+                .copies
+                .iter()
+                .filter(|(_, c)| c.ordered)
+                .map(|(f, _)| *f);
             let loading: BTreeSet<Function> = waiting.chain(ordered).collect();
             count += loading.len();
             // Before an answer has shown a copy anywhere, a second load would be a guess on a guess.
-            same |= loading.contains(&function) || awaited().any(|s| s.unproven && s.function == function);
+            same |= loading.contains(&function)
+                || awaited().any(|s| s.unproven && s.function == function);
         }
         (count, same)
     }
@@ -638,9 +819,15 @@
     /// Whether a copy more should fit beside those believed there: in a shared order own beliefs tell most.
     fn has_room(&self, node: &Node, function: Function) -> bool {
         let memory = |f: &Function| self.programs.get(f).map_or(0.0, |p| p.memory_mb);
-        let stands = node.copies.iter().filter(|(f, _)| self.ready_at(node, **f).is_some());
-        let held: f64 = stands.map(|(f, c)| memory(f) * f64::from(c.count.max(1))).sum();
-        node.entry.memory_mb <= 0.0 || held + memory(&function) <= node.entry.memory_mb * MEMORY_FILL
+        let stands = node
+            .copies
+            .iter()
+            .filter(|(f, _)| self.ready_at(node, **f).is_some());
+        let held: f64 = stands
+            .map(|(f, c)| memory(f) * f64::from(c.count.max(1)))
+            .sum();
+        node.entry.memory_mb <= 0.0
+            || held + memory(&function) <= node.entry.memory_mb * MEMORY_FILL
     }
 
     /// Whether the request may have an attempt at this worker at all.
@@ -660,12 +847,24 @@
         };
         // A worker in trouble is left alone; once that time is over one send at a time tries it.
         let health = &node.health[open.call.class];
-        let idle = || node.out.iter().all(|s| s.class != open.call.class || s.at < health.shut_until);
+        let idle = || {
+            node.out
+                .iter()
+                .all(|s| s.class != open.call.class || s.at < health.shut_until)
+        };
         // So is a zone; the try may end in any way, then the next one may go.
-        let near = || self.nodes.values().filter(|n| n.entry.zone == node.entry.zone).flat_map(|n| &n.out);
+        let near = || {
+            self.nodes
+                .values()
+                .filter(|n| n.entry.zone == node.entry.zone)
+                .flat_map(|n| &n.out)
+        };
         let free = |z: &Health| near().all(|s| s.withdrawn || s.at < z.shut_until);
         repeat_ok
-            && self.zones.get(&node.entry.zone).is_none_or(|z| self.now >= z.shut_until && free(z))
+            && self
+                .zones
+                .get(&node.entry.zone)
+                .is_none_or(|z| self.now >= z.shut_until && free(z))
             && (health.bad == 0 || self.now >= health.shut_until && idle())
             && (node.out.len() as f64) < node.room
             && self.cold_budget_left(node)
@@ -673,7 +872,9 @@
 
     /// Sends the request where the design says, or ends it.
     fn place(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         open.parked = false;
         if open.outstanding || open.streaming || open.asks.is_some() {
             return;
@@ -685,17 +886,25 @@
             return self.end(id, actions);
         }
         // After the aim only late worth is left; where there is none, more work would be waste.
-        let goal = if now < open.aim { open.aim } else { open.deadline };
+        let goal = if now < open.aim {
+            open.aim
+        } else {
+            open.deadline
+        };
         if goal == open.deadline && open.aim < now && class.late_worth <= 0.0 {
             return self.end(id, actions);
         }
         let order = self.order(function);
-        let located = order.iter().any(|w| self.ready_at(&self.nodes[w], function).is_some());
+        let located = order
+            .iter()
+            .any(|w| self.ready_at(&self.nodes[w], function).is_some());
         // A slow store must not be asked for more: loads are bounded, and one of this function is awaited.
         let (loads, loading) = self.loads_under_way(function);
         // The most: some for each of its part of the workers; the fewer, the slower the store is.
         let store_open = now >= self.store.shut_until;
-        let most = (LOADS_MOST * order.len()).div_ceil(self.s.front_ends as usize).max(2);
+        let most = (LOADS_MOST * order.len())
+            .div_ceil(self.s.front_ends as usize)
+            .max(2);
         let may_add = store_open && loads as f64 * self.store_pace().max(1.0) < most as f64;
         let may_load = may_add && !loading;
         let (blind, run) = (self.blind(), self.run_of(function, open.call.class) * PAD);
@@ -744,9 +953,16 @@
             }
         }
         if let Some(worker) = ask {
-            actions.push(Action::Probe { worker: worker.clone() });
-            actions.push(Action::Timer { after: ASK_WAIT, token: id | ASK_TOKEN });
-            self.open.entry(id).and_modify(|o| (o.asks, o.asked) = (Some(worker), o.asked + 1));
+            actions.push(Action::Probe {
+                worker: worker.clone(),
+            });
+            actions.push(Action::Timer {
+                after: ASK_WAIT,
+                token: id | ASK_TOKEN,
+            });
+            self.open
+                .entry(id)
+                .and_modify(|o| (o.asks, o.asked) = (Some(worker), o.asked + 1));
             return;
         }
         if let Some((worker, seen)) = &want {
@@ -757,11 +973,17 @@
         let mut choice = choice.or(late);
         // The others follow the same order: what moved on here did there, and has likely loaded it. A wrong
         // guess must still be served: a call with little time goes where a copy stands, or not at all.
-        if let Some((worker, seen)) = want.filter(|_| choice.is_none() && self.guesses >= 1.0 && store_open) {
+        if let Some((worker, seen)) =
+            want.filter(|_| choice.is_none() && self.guesses >= 1.0 && store_open)
+        {
             let goal = self.open[&id].deadline;
             if self.s.loading.call_loads && seen.finish <= goal {
                 self.guesses -= 1.0;
-                let seen = Foreseen { cold: false, finish: seen.warm_finish, ..seen };
+                let seen = Foreseen {
+                    cold: false,
+                    finish: seen.warm_finish,
+                    ..seen
+                };
                 choice = Some((worker, seen, goal));
             }
         }
@@ -785,7 +1007,8 @@
         let now = self.now;
         call.class = call.class.min(self.s.classes.len() - 1);
         let class = &self.s.classes[call.class];
-        let stretch = call.expected.unwrap_or(0).min(LONGEST) as f64 * class.aim_stretch.clamp(0.0, 1e3);
+        let stretch =
+            call.expected.unwrap_or(0).min(LONGEST) as f64 * class.aim_stretch.clamp(0.0, 1e3);
         let budget = call.budget.unwrap_or(class.give_up).min(LONGEST);
         let deadline = now + budget;
         let aim = (now + class.aim + stretch as Time).min(deadline);
@@ -794,23 +1017,39 @@
             self.guesses = (self.guesses + GUESS_SHARE).min(GUESSES_MOST);
         }
         let program = self.programs.entry(call.function).or_default();
-        (program.lanes, program.memory_mb, program.called) = (call.lanes, call.memory_mb.max(0.0), now);
-        program.told_load = call.load_time.filter(|t| *t > 0).map(|t| t.min(LONGEST)).or(program.told_load);
+        (program.lanes, program.memory_mb, program.called) =
+            (call.lanes, call.memory_mb.max(0.0), now);
+        program.told_load = call
+            .load_time
+            .filter(|t| *t > 0)
+            .map(|t| t.min(LONGEST))
+            .or(program.told_load);
         // Two ticks early: the answer must be out before the client's time is up.
         let (id, after) = (call.id, budget.saturating_sub(2 * self.s.tick));
         actions.push(Action::Timer { after, token: id });
-        self.open.insert(id, Open { call, aim, deadline, ..Open::default() });
+        self.open.insert(
+            id,
+            Open {
+                call,
+                aim,
+                deadline,
+                ..Open::default()
+            },
+        );
         self.place(id, actions);
     }
 
     /// Sends to a worker, with what was foreseen there and the deadline that the send is held to.
     fn send(&mut self, id: RequestId, chosen: (Worker, Foreseen, Time), actions: &mut Vec<Action>) {
         let (now, (worker, seen, goal)) = (self.now, chosen);
-        let Some((function, class)) = self.open.get(&id).map(|o| (o.call.function, o.call.class)) else {
+        let Some((function, class)) = self.open.get(&id).map(|o| (o.call.function, o.call.class))
+        else {
             return;
         };
         let run = self.run_of(function, class);
-        let (Some(node), Some(open)) = (self.nodes.get_mut(&worker), self.open.get_mut(&id)) else { return };
+        let (Some(node), Some(open)) = (self.nodes.get_mut(&worker), self.open.get_mut(&id)) else {
+            return;
+        };
         let crowd = node.out.len() as f64 + 1.0;
         node.out.push(Sent {
             request: id,
@@ -832,7 +1071,12 @@
         node.sends.push_back(now);
         let copies = node.copies.entry(function).or_default();
         if copies.ready == 0 || seen.cold {
-            *copies = Copies { count: 1, ready: now, placed: copies.placed, ..Copies::default() };
+            *copies = Copies {
+                count: 1,
+                ready: now,
+                placed: copies.placed,
+                ..Copies::default()
+            };
             if seen.cold {
                 copies.ready = seen.finish.saturating_sub((run * PAD) as Time);
             }
@@ -842,15 +1086,26 @@
         open.attempts += 1;
         open.outstanding = true;
         open.tried.push(worker.clone());
-        actions.push(Action::Send { request: id, worker, timeout: None });
+        actions.push(Action::Send {
+            request: id,
+            worker,
+            timeout: None,
+        });
     }
 
-    fn outcome(&mut self, end: &Finished, ran: Option<(Time, String, u64)>, actions: &mut Vec<Action>) {
+    fn outcome(
+        &mut self,
+        end: &Finished,
+        ran: Option<(Time, String, u64)>,
+        actions: &mut Vec<Action>,
+    ) {
         if end.settled {
             self.open.remove(&end.request);
             return;
         }
-        let Some(open) = self.open.get_mut(&end.request) else { return };
+        let Some(open) = self.open.get_mut(&end.request) else {
+            return;
+        };
         open.outstanding = false;
         if end.outcome == Outcome::Absent {
             // The worker is sound, only the copy is not there: an order may still bring it.
@@ -865,15 +1120,21 @@
 
     /// Gives the final answer: a refusal where a further try is harmless, else a failure.
     fn end(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.remove(&id) else { return };
+        let Some(open) = self.open.remove(&id) else {
+            return;
+        };
         self.withdraw(id, &open, actions);
         let class = &self.s.classes[open.call.class];
-        let any = class.effect == Effect::Safe || class.effect == Effect::Keyed && class.group == Group::All;
+        let any = class.effect == Effect::Safe
+            || class.effect == Effect::Keyed && class.group == Group::All;
         let harmless = any || open.may_have_run.is_none() && !open.outstanding;
         if harmless {
             let may = |t: &Time| self.s.limits.retry_after && *t > 0;
             let retry_after = Some(self.s.limits.max_retry_after).filter(may);
-            actions.push(Action::Refuse { request: id, retry_after });
+            actions.push(Action::Refuse {
+                request: id,
+                retry_after,
+            });
         } else {
             actions.push(Action::Fail { request: id });
         }
@@ -885,13 +1146,19 @@
     /// on: that is replayed to its foreseen end, and what it took teaches, but its true end is never heard.
     fn withdraw(&self, id: RequestId, open: &Open, actions: &mut Vec<Action>) {
         if self.s.limits.cancel && open.outstanding && !open.streaming {
-            actions.push(Action::Cancel { request: id, attempt: open.attempts - 1 });
+            actions.push(Action::Cancel {
+                request: id,
+                attempt: open.attempts - 1,
+            });
         }
     }
 
     fn chores(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
-        actions.push(Action::Timer { after: CHORES, token: CHORES_TOKEN });
+        actions.push(Action::Timer {
+            after: CHORES,
+            token: CHORES_TOKEN,
+        });
         // No outcome is a symptom too, counted a class: a fault behind the workers may swallow the calls of
         // one though others are answered; slow loads may look alike.
         let mut recalled = Vec::new();
@@ -903,8 +1170,18 @@
             for class in 0..node.health.len() {
                 let overdue = |s: &&Sent| s.class == class && s.overdue(now);
                 let count = node.out.iter().filter(overdue).count();
-                let since = node.out.iter().filter(overdue).map(|s| s.at).min().unwrap_or(now);
-                let answers = node.served.iter().filter(|(t, c)| *c == class && *t > since).count();
+                let since = node
+                    .out
+                    .iter()
+                    .filter(overdue)
+                    .map(|s| s.at)
+                    .min()
+                    .unwrap_or(now);
+                let answers = node
+                    .served
+                    .iter()
+                    .filter(|(t, c)| *c == class && *t > since)
+                    .count();
                 let health = &mut node.health[class];
                 let needed = if health.bad > 0 { 1 } else { SILENT_SENDS };
                 if now >= health.shut_until && count >= needed && count > answers {
@@ -918,15 +1195,28 @@
             self.hear_zones(&mut recalled);
         }
         for (id, attempt) in recalled {
-            let Some(open) = self.open.get(&id) else { continue };
+            let Some(open) = self.open.get(&id) else {
+                continue;
+            };
             let (limits, effect) = (&self.s.limits, self.s.classes[open.call.class].effect);
             if limits.cancel && effect != Effect::Unsafe && open.attempts < limits.max_attempts {
-                actions.push(Action::Cancel { request: id, attempt });
+                actions.push(Action::Cancel {
+                    request: id,
+                    attempt,
+                });
             }
         }
-        self.nodes.retain(|_, n| n.entry.state != State::Gone || !n.out.is_empty());
+        self.nodes
+            .retain(|_, n| n.entry.state != State::Gone || !n.out.is_empty());
         self.learn_warm_rate();
-        let window = self.s.loading.ration.as_ref().map_or(0, |r| r.window).max(RATE_SPAN) + CHORES;
+        let window = self
+            .s
+            .loading
+            .ration
+            .as_ref()
+            .map_or(0, |r| r.window)
+            .max(RATE_SPAN)
+            + CHORES;
         self.orders.retain(|t| t + window >= now);
         self.arrivals.retain(|t| t + window >= now);
         if now >= self.next_round {
@@ -947,20 +1237,34 @@
             *last = (*last).max(node.heard);
         }
         let all = heard.len();
-        self.zones.retain(|zone, z| all > 1 && heard.get(zone.as_str()).is_some_and(|last| *last <= z.since));
+        self.zones.retain(|zone, z| {
+            all > 1
+                && heard
+                    .get(zone.as_str())
+                    .is_some_and(|last| *last <= z.since)
+        });
         for (zone, last) in heard {
             let shut = self.zones.get(zone);
             // Where all say nothing it is not the zone, and all that there is cannot be left alone.
             if self.zones.len() - usize::from(shut.is_some()) + 1 >= all {
                 continue;
             }
-            let out = || self.nodes.values().filter(|n| n.entry.zone == zone).flat_map(|n| &n.out);
+            let out = || {
+                self.nodes
+                    .values()
+                    .filter(|n| n.entry.zone == zone)
+                    .flat_map(|n| &n.out)
+            };
             // What was out when it was shut is no news of it since.
             let since = last.max(shut.map_or(0, |z| z.since));
             let overdue = out().filter(|s| s.at > since && s.overdue(now)).count();
             let needed = if shut.is_some() { 1 } else { SILENT_SENDS };
             if overdue >= needed && shut.is_none_or(|z| now >= z.shut_until) {
-                recalled.extend(out().filter(|s| !s.withdrawn).map(|s| (s.request, s.attempt)));
+                recalled.extend(
+                    out()
+                        .filter(|s| !s.withdrawn)
+                        .map(|s| (s.request, s.attempt)),
+                );
                 self.zones.entry(zone.to_string()).or_default().shut(now);
             }
         }
@@ -973,18 +1277,29 @@
     /// Notes run time that moved on because no copy stood at the worker. After such misses one hold loads the
     /// function here: one at a time, as a slow store must not be asked again for what it has not brought yet.
     fn missed(&mut self, worker: &Worker, id: RequestId, spread: bool, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.get(&id) else { return };
+        let Some(open) = self.open.get(&id) else {
+            return;
+        };
         let (function, class, aim) = (open.call.function, open.call.class, open.aim);
         let run = self.run_of(function, class);
-        let Some(node) = self.nodes.get_mut(worker) else { return };
+        let Some(node) = self.nodes.get_mut(worker) else {
+            return;
+        };
         let copies = node.copies.entry(function).or_default();
         let adequate = (aim.saturating_sub(self.now) as f64 - run).max(0.0);
-        copies.adequate = if copies.misses == 0 { adequate } else { copies.adequate.min(adequate) };
+        copies.adequate = if copies.misses == 0 {
+            adequate
+        } else {
+            copies.adequate.min(adequate)
+        };
         copies.misses += 1;
         copies.missed_work += run;
         let enough = spread && copies.misses >= MISSES_TO_SPREAD;
         let loading = |n: &Node| n.copies.get(&function).is_some_and(|c| c.ordered);
-        if enough && self.has_room(&self.nodes[worker], function) && !self.nodes.values().any(loading) {
+        if enough
+            && self.has_room(&self.nodes[worker], function)
+            && !self.nodes.values().any(loading)
+        {
             self.hold(worker, function, actions);
         }
     }
@@ -999,22 +1314,35 @@
                 if copies.placed && stands {
                     placed.push((copies.used_work, worker.clone(), *function));
                 } else if copies.missed_work > 0.0 {
-                    wanted.push((copies.adequate, copies.missed_work, worker.clone(), *function));
+                    wanted.push((
+                        copies.adequate,
+                        copies.missed_work,
+                        worker.clone(),
+                        *function,
+                    ));
                 }
                 (copies.used_work, copies.missed_work, copies.misses) = (0.0, 0.0, 0);
                 // Further copies go first when idle: what is not seen again is not believed for long.
                 copies.count = copies.count.saturating_sub(1).max(1);
             }
         }
-        placed.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| (&a.1, a.2).cmp(&(&b.1, b.2))));
-        wanted.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| (&a.2, a.3).cmp(&(&b.2, b.3))));
+        placed.sort_by(|a, b| {
+            a.0.total_cmp(&b.0)
+                .then_with(|| (&a.1, a.2).cmp(&(&b.1, b.2)))
+        });
+        wanted.sort_by(|a, b| {
+            a.0.total_cmp(&b.0)
+                .then_with(|| (&a.2, a.3).cmp(&(&b.2, b.3)))
+        });
         self.allowance = (self.allowance + placed.len() as f64 * REPLACED_SHARE).min(2.0);
         let mut placed = placed.into_iter();
         for (_, missed, worker, function) in wanted {
             if self.allowance < 1.0 {
                 break;
             }
-            let Some((used, old_worker, old)) = placed.next() else { break };
+            let Some((used, old_worker, old)) = placed.next() else {
+                break;
+            };
             if missed <= used || !self.hold(&worker, function, actions) {
                 break;
             }
@@ -1022,15 +1350,19 @@
             if let Some(node) = self.nodes.get_mut(&old_worker) {
                 node.copies.remove(&old);
                 if node.entry.state == State::Live {
-                    actions.push(Action::Drop { worker: old_worker, function: old });
+                    actions.push(Action::Drop {
+                        worker: old_worker,
+                        function: old,
+                    });
                 }
             }
         }
         let (now, keep) = (self.now, self.s.loading.keep_alive);
         for node in self.nodes.values_mut() {
             let busy: BTreeSet<Function> = node.out.iter().map(|s| s.function).collect();
-            node.copies
-                .retain(|f, c| busy.contains(f) || c.ordered || c.used + 2 * keep > now && c.ready > 0);
+            node.copies.retain(|f, c| {
+                busy.contains(f) || c.ordered || c.used + 2 * keep > now && c.ready > 0
+            });
         }
         let forget = FORGET_INTERVALS * self.interval();
         self.programs.retain(|_, p| p.called + forget > now);
@@ -1041,27 +1373,47 @@
     /// The only place that orders loads: drained and gone workers get none, and the ration holds.
     fn hold(&mut self, worker: &Worker, function: Function, actions: &mut Vec<Action>) -> bool {
         let now = self.now;
-        if !self.s.loading.orders || !self.programs.contains_key(&function) || now < self.store.shut_until {
+        if !self.s.loading.orders
+            || !self.programs.contains_key(&function)
+            || now < self.store.shut_until
+        {
             return false;
         }
         if let Some(ration) = &self.s.loading.ration {
             let slack = 2 * self.s.tick;
-            let orders = self.orders.iter().filter(|t| **t + ration.window + slack >= now).count();
-            let taken = self.arrivals.iter().filter(|t| **t + ration.window > now + slack).count();
+            let orders = self
+                .orders
+                .iter()
+                .filter(|t| **t + ration.window + slack >= now)
+                .count();
+            let taken = self
+                .arrivals
+                .iter()
+                .filter(|t| **t + ration.window > now + slack)
+                .count();
             if orders as f64 + 1.0 > ration.base + ration.share * taken as f64 {
                 return false;
             }
         }
-        let live = self.nodes.get_mut(worker).filter(|n| n.entry.state == State::Live);
+        let live = self
+            .nodes
+            .get_mut(worker)
+            .filter(|n| n.entry.state == State::Live);
         let copies = live.map(|n| n.copies.entry(function).or_default());
-        let Some(copies) = copies.filter(|c| !c.ordered) else { return false };
+        let Some(copies) = copies.filter(|c| !c.ordered) else {
+            return false;
+        };
         copies.ordered = true;
         if !copies.proven {
             copies.ready = Time::MAX >> 1;
         }
         copies.used = now;
         self.orders.push_back(now);
-        actions.push(Action::Hold { worker: worker.clone(), function, copies: 1 });
+        actions.push(Action::Hold {
+            worker: worker.clone(),
+            function,
+            copies: 1,
+        });
         true
     }
 
@@ -1072,7 +1424,9 @@
     /// use theirs at once. It hurts where few want the worker: it is used too little.
     fn cold_budget_left(&self, node: &Node) -> bool {
         let (rules, now) = (&self.s.rules, self.now);
-        let Some(started) = node.entry.started.filter(|t| now < t + rules.ramp) else { return true };
+        let Some(started) = node.entry.started.filter(|t| now < t + rules.ramp) else {
+            return true;
+        };
         if rules.fall_span == 0 || rules.fall_multiple <= 0.0 {
             return true;
         }
@@ -1081,12 +1435,17 @@
         let rate = rules.fall_multiple * part * self.warm_rate * self.relative_size(node).min(1.0);
         let budget = COLD_SAFETY * rate * rules.fall_span as f64;
         if budget >= 1.0 {
-            let sent = node.sends.iter().filter(|t| **t + rules.fall_span > now).count();
+            let sent = node
+                .sends
+                .iter()
+                .filter(|t| **t + rules.fall_span > now)
+                .count();
             return sent as f64 + 1.0 <= budget;
         }
         let slot = (rules.fall_span / COLD_SLOTS).max(1);
         let draw = draw(self.seed ^ node.hash ^ mix(started ^ (now / slot)));
-        node.sends.back().is_none_or(|t| *t < now - now % slot) && draw < COLD_SHARE * rate * slot as f64
+        node.sends.back().is_none_or(|t| *t < now - now % slot)
+            && draw < COLD_SHARE * rate * slot as f64
     }
 
     /// A worker's size as a multiple of the mean of the live ones that tell theirs; 1 where it is not told.
@@ -1108,13 +1467,23 @@
         let live = || self.nodes.values().filter(|n| n.entry.state == State::Live);
         let warm = live().filter(|n| n.entry.started.is_none_or(|t| now >= t + ramp));
         let within = |n: &Node| n.served.iter().filter(|(t, _)| t + RATE_SPAN > now).count();
-        let mean = |total: usize, count: usize| total as f64 / count.max(1) as f64 / RATE_SPAN as f64;
-        let came = self.arrivals.iter().filter(|t| **t + RATE_SPAN > now).count();
+        let mean =
+            |total: usize, count: usize| total as f64 / count.max(1) as f64 / RATE_SPAN as f64;
+        let came = self
+            .arrivals
+            .iter()
+            .filter(|t| **t + RATE_SPAN > now)
+            .count();
         let served: Vec<usize> = warm.map(within).collect();
-        let rate = if served.is_empty() { self.warm_rate } else { mean(served.iter().sum(), served.len()) };
+        let rate = if served.is_empty() {
+            self.warm_rate
+        } else {
+            mean(served.iter().sum(), served.len())
+        };
         if !served.is_empty() {
             self.usual_warm_rate.add(rate);
         }
-        self.warm_rate = rate.max(self.usual_warm_rate.cap(mean(came, live().count())) * RATE_FLOOR);
+        self.warm_rate =
+            rate.max(self.usual_warm_rate.cap(mean(came, live().count())) * RATE_FLOOR);
     }
 }
--- a/crates/pipithub-policy/tests/random.rs
+++ b/crates/pipithub-policy/tests/random.rs
@@ -47,12 +47,24 @@
 fn play(seed: u64, steps: usize) -> Vec<Action> {
     let mut dice = Dice(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
     let mut s = settings(Effect::Safe);
-    s.classes.push(Class { effect: Effect::Keyed, group: Group::Cell, ..s.classes[0].clone() });
-    s.classes.push(Class { effect: Effect::Unsafe, late_worth: 0.0, ..s.classes[0].clone() });
+    s.classes.push(Class {
+        effect: Effect::Keyed,
+        group: Group::Cell,
+        ..s.classes[0].clone()
+    });
+    s.classes.push(Class {
+        effect: Effect::Unsafe,
+        late_worth: 0.0,
+        ..s.classes[0].clone()
+    });
     s.loading.call_loads = seed % 3 != 0;
     s.loading.tells_alike = seed % 2 == 0;
     s.front_ends = 1 + (seed % 3) as u32;
-    let ration = Ration { window: 5_000 * MS, base: 3.0, share: 0.15 };
+    let ration = Ration {
+        window: 5_000 * MS,
+        base: 3.0,
+        share: 0.15,
+    };
     s.loading.ration = (seed % 2 == 1).then(|| ration.clone());
     let slack = 8 * MS;
     let mut front = FrontEnd::new(s.clone(), seed);
@@ -72,14 +84,28 @@
             events.push((due, Event::Timer { token }));
         }
         let event = match dice.roll(20) {
-            _ if step == 0 => Event::List { kind: ListKind::Remembered, entries: entries(&mut dice, now, 6) },
-            0 => Event::List { kind: ListKind::Changes, entries: entries(&mut dice, now, 2) },
-            1 if dice.roll(10) == 0 => {
-                Event::List { kind: ListKind::Complete, entries: entries(&mut dice, now, 5) }
-            }
-            2 if dice.roll(10) == 0 => Event::List { kind: ListKind::Lost, entries: Vec::new() },
-            3 => Event::Timer { token: dice.roll(1 << 40) },
-            4 => Event::Left { request: dice.roll(next + 5) },
+            _ if step == 0 => Event::List {
+                kind: ListKind::Remembered,
+                entries: entries(&mut dice, now, 6),
+            },
+            0 => Event::List {
+                kind: ListKind::Changes,
+                entries: entries(&mut dice, now, 2),
+            },
+            1 if dice.roll(10) == 0 => Event::List {
+                kind: ListKind::Complete,
+                entries: entries(&mut dice, now, 5),
+            },
+            2 if dice.roll(10) == 0 => Event::List {
+                kind: ListKind::Lost,
+                entries: Vec::new(),
+            },
+            3 => Event::Timer {
+                token: dice.roll(1 << 40),
+            },
+            4 => Event::Left {
+                request: dice.roll(next + 5),
+            },
             5 => Event::Ordered(Ordered {
                 worker: Worker::new(&format!("w{}", dice.roll(12))),
                 function: Function(dice.roll(9)),
@@ -90,12 +116,21 @@
             6 if !orders.is_empty() => {
                 let (worker, function) = orders.remove(dice.roll(orders.len() as u64) as usize);
                 let outcome = OUTCOMES[dice.roll(9) as usize];
-                Event::Ordered(Ordered { worker, function, outcome, took: 300 * MS, copies: 1 })
+                Event::Ordered(Ordered {
+                    worker,
+                    function,
+                    outcome,
+                    took: 300 * MS,
+                    copies: 1,
+                })
             }
             7..=12 if !out.is_empty() => {
                 let (request, attempt, worker) = out.remove(dice.roll(out.len() as u64) as usize);
-                let outcome =
-                    if dice.roll(2) == 0 { Outcome::Served } else { OUTCOMES[dice.roll(9) as usize] };
+                let outcome = if dice.roll(2) == 0 {
+                    Outcome::Served
+                } else {
+                    OUTCOMES[dice.roll(9) as usize]
+                };
                 let k = known.get_mut(&request).unwrap();
                 k.outstanding -= 1;
                 let settled = k.over || outcome == Outcome::Served;
@@ -104,9 +139,14 @@
                     attempt,
                     worker,
                     outcome,
-                    took: if dice.roll(50) == 0 { u64::MAX } else { dice.roll(900) * MS },
+                    took: if dice.roll(50) == 0 {
+                        u64::MAX
+                    } else {
+                        dice.roll(900) * MS
+                    },
                     settled,
-                    note: [None, Some(CopyNote::Warm), Some(CopyNote::Began)][dice.roll(3) as usize],
+                    note: [None, Some(CopyNote::Warm), Some(CopyNote::Began)]
+                        [dice.roll(3) as usize],
                     alike: Some(dice.roll(40) as u32),
                     load: Load::default(),
                 })
@@ -114,7 +154,14 @@
             _ => {
                 let class = dice.roll(3) as usize;
                 let budget = [0, MS, 50 * MS, 2_000 * MS, 4_000 * MS][dice.roll(5) as usize];
-                known.insert(next, Known { class, deadline: now + budget, ..Known::default() });
+                known.insert(
+                    next,
+                    Known {
+                        class,
+                        deadline: now + budget,
+                        ..Known::default()
+                    },
+                );
                 call_times.push(now);
                 next += 1;
                 Event::Arrived(Request {
@@ -123,7 +170,8 @@
                     class,
                     lanes: dice.roll(4) as u32,
                     memory_mb: [0.0, -3.0, 700.0][dice.roll(3) as usize],
-                    load_time: [None, Some(0), Some(u64::MAX), Some(700 * MS)][dice.roll(4) as usize],
+                    load_time: [None, Some(0), Some(u64::MAX), Some(700 * MS)]
+                        [dice.roll(4) as usize],
                     budget: Some(budget),
                     ..Request::default()
                 })
@@ -145,17 +193,29 @@
             front.handle(at, event, &mut actions);
             for action in &actions {
                 match action {
-                    Action::Send { request, worker, .. } => {
+                    Action::Send {
+                        request, worker, ..
+                    } => {
                         let k = known.get_mut(request).expect("only what came in is sent");
-                        assert!(!k.over && k.outstanding == 0, "seed {seed}: one attempt at a time");
-                        assert_eq!(states[worker].0, State::Live, "seed {seed}: drained or gone");
+                        assert!(
+                            !k.over && k.outstanding == 0,
+                            "seed {seed}: one attempt at a time"
+                        );
+                        assert_eq!(
+                            states[worker].0,
+                            State::Live,
+                            "seed {seed}: drained or gone"
+                        );
                         let effect = s.classes[k.class].effect;
                         if let Some((first, cell)) = k.may_have_run.or(ran.map(|(_, c)| (0, c))) {
                             if ran.is_none_or(|(r, _)| r == *request) || k.may_have_run.is_some() {
                                 assert_ne!(effect, Effect::Unsafe, "seed {seed}: an effect twice");
                                 if effect == Effect::Keyed && k.may_have_run.is_some() {
                                     assert!(at < first + s.classes[k.class].dedup_window);
-                                    assert_eq!(states[worker].1, cell, "seed {seed}: out of the group");
+                                    assert_eq!(
+                                        states[worker].1, cell,
+                                        "seed {seed}: out of the group"
+                                    );
                                 }
                             }
                         }
@@ -172,10 +232,17 @@
                         let refuse = matches!(action, Action::Refuse { .. });
                         let proven = s.classes[k.class].effect == Effect::Safe
                             || k.may_have_run.is_none() && ran.is_none() && k.outstanding == 0;
-                        assert!(!refuse || proven, "seed {seed}: a refusal promises too much");
+                        assert!(
+                            !refuse || proven,
+                            "seed {seed}: a refusal promises too much"
+                        );
                         k.over = true;
                     }
-                    Action::Hold { worker, function, copies } => {
+                    Action::Hold {
+                        worker,
+                        function,
+                        copies,
+                    } => {
                         assert_eq!(states[worker].0, State::Live);
                         assert!(*copies > 0);
                         orders.push((worker.clone(), *function));
@@ -184,7 +251,10 @@
                         let given = order_times.iter().filter(within).count() as f64;
                         let taken = call_times.iter().filter(within).count() as f64;
                         let allowed = ration.base + ration.share * taken;
-                        assert!(s.loading.ration.is_none() || given <= allowed, "seed {seed}: ration");
+                        assert!(
+                            s.loading.ration.is_none() || given <= allowed,
+                            "seed {seed}: ration"
+                        );
                     }
                     Action::Timer { after, token } => {
                         timers.insert((at + after, *token));
@@ -193,12 +263,19 @@
                 }
             }
             if let Some((request, cell)) = ran {
-                known.get_mut(&request).unwrap().may_have_run.get_or_insert((at, cell));
+                known
+                    .get_mut(&request)
+                    .unwrap()
+                    .may_have_run
+                    .get_or_insert((at, cell));
             }
             all.extend(actions);
         }
         for k in known.values() {
-            assert!(k.over || k.deadline + 40 * MS >= now, "seed {seed}: a request without an answer");
+            assert!(
+                k.over || k.deadline + 40 * MS >= now,
+                "seed {seed}: a request without an answer"
+            );
         }
     }
     all
@@ -214,7 +291,14 @@
         };
         let started = (dice.roll(4) == 0).then_some(now);
         let worker = Worker::new(&format!("w{n}"));
-        Entry { worker, state, cell: n % 2, memory_mb: 4_000.0, started, ..Entry::default() }
+        Entry {
+            worker,
+            state,
+            cell: n % 2,
+            memory_mb: 4_000.0,
+            started,
+            ..Entry::default()
+        }
     };
     (0..count).map(|_| one(dice)).collect()
 }
--- a/crates/pipithub-policy/tests/ring.rs
+++ b/crates/pipithub-policy/tests/ring.rs
@@ -10,12 +10,24 @@
 const FUNCTIONS: u64 = 9_000;
 
 fn name(n: u64) -> Worker {
-    Worker::new(&format!("10.{}.{}.{}:8080", n / 65_536, n / 256 % 256, n % 256))
+    Worker::new(&format!(
+        "10.{}.{}.{}:8080",
+        n / 65_536,
+        n / 256 % 256,
+        n % 256
+    ))
 }
 
 fn list(workers: impl Iterator<Item = u64>, state: State) -> Event {
-    let entry = |n| Entry { worker: name(n), state, ..Entry::default() };
-    Event::List { kind: ListKind::Changes, entries: workers.map(entry).collect() }
+    let entry = |n| Entry {
+        worker: name(n),
+        state,
+        ..Entry::default()
+    };
+    Event::List {
+        kind: ListKind::Changes,
+        entries: workers.map(entry).collect(),
+    }
 }
 
 struct Front {
@@ -26,8 +38,16 @@
 
 impl Front {
     fn new(seed: u64, workers: impl Iterator<Item = u64>) -> Front {
-        let settings = Settings { front_ends: 2, classes: vec![Class::default()], ..Settings::default() };
-        let mut front = Front { core: FrontEnd::new(settings, seed), now: MS, calls: 0 };
+        let settings = Settings {
+            front_ends: 2,
+            classes: vec![Class::default()],
+            ..Settings::default()
+        };
+        let mut front = Front {
+            core: FrontEnd::new(settings, seed),
+            now: MS,
+            calls: 0,
+        };
         front.event(list(workers, State::Live));
         front
     }
@@ -43,7 +63,12 @@
         self.calls += 1;
         self.now += MS;
         let id = self.calls;
-        let call = Request { id, function: Function(function), lanes: 1, ..Request::default() };
+        let call = Request {
+            id,
+            function: Function(function),
+            lanes: 1,
+            ..Request::default()
+        };
         let actions = self.event(Event::Arrived(call));
         let sent = actions.iter().find_map(|a| match a {
             Action::Send { worker, .. } => Some(worker.clone()),
@@ -66,7 +91,9 @@
     }
 
     fn homes(&mut self) -> BTreeMap<u64, Worker> {
-        (0..FUNCTIONS).map(|f| (f, self.home(f * 7_919 + 1))).collect()
+        (0..FUNCTIONS)
+            .map(|f| (f, self.home(f * 7_919 + 1)))
+            .collect()
     }
 }
 
@@ -95,7 +122,10 @@
     let share = (FUNCTIONS * few / WORKERS) as usize;
     for after in [more, less] {
         let moved = moved(&before, &after);
-        assert!(moved >= share / 2, "{moved} of {share}: what is gone cannot be anyone's home");
+        assert!(
+            moved >= share / 2,
+            "{moved} of {share}: what is gone cannot be anyone's home"
+        );
         // What it gains or held, and as much again where the end of an order slides by one.
         assert!(moved <= share * 5 / 2, "{moved} of {share}");
     }
@@ -105,7 +135,9 @@
 fn homes_are_spread_evenly() {
     let homes = Front::new(1, 0..WORKERS).homes();
     let mut counts: BTreeMap<&Worker, u64> = BTreeMap::new();
-    homes.values().for_each(|home| *counts.entry(home).or_default() += 1);
+    homes
+        .values()
+        .for_each(|home| *counts.entry(home).or_default() += 1);
     let mean = FUNCTIONS as f64 / WORKERS as f64;
     // As by chance: three functions a worker, so one in twenty has none, and hardly one has four times the mean.
     let none = 1.0 - counts.len() as f64 / WORKERS as f64;
--- a/crates/pipithub-policy/tests/rules.rs
+++ b/crates/pipithub-policy/tests/rules.rs
@@ -14,7 +14,11 @@
         let ends = |a: &[Action]| refused(a) || failed(a);
         let early = b.pass(3_900 * MS);
         let late = b.pass(100 * MS);
-        assert_eq!(usize::from(ends(&early)) + usize::from(ends(&late)), 1, "{effect:?}");
+        assert_eq!(
+            usize::from(ends(&early)) + usize::from(ends(&late)),
+            1,
+            "{effect:?}"
+        );
         assert!(!ends(&b.pass(5_000 * MS)));
     }
 }
@@ -23,7 +27,10 @@
 fn nothing_to_send_to_means_a_refusal_at_once() {
     let mut b = Bench::new(settings(Effect::Unsafe), &[]);
     let (_, actions) = b.call(1);
-    let wanted = Action::Refuse { request: 1, retry_after: Some(500 * MS) };
+    let wanted = Action::Refuse {
+        request: 1,
+        retry_after: Some(500 * MS),
+    };
     assert!(actions.contains(&wanted));
 }
 
@@ -31,7 +38,10 @@
 fn a_call_without_time_is_refused_unsent() {
     let mut b = Bench::new(settings(Effect::Safe), &["w1"]);
     for budget in [0, MS, 4 * MS] {
-        let (_, actions) = b.call_with(Request { budget: Some(budget), ..Request::default() });
+        let (_, actions) = b.call_with(Request {
+            budget: Some(budget),
+            ..Request::default()
+        });
         assert!(refused(&actions) && sent_to(&actions).is_none());
     }
 }
@@ -43,7 +53,10 @@
         let mut b = Bench::new(settings(Effect::Unsafe), &["w1", "w2"]);
         let (id, actions) = b.call(1);
         let after = b.finish(id, 0, &sent_to(&actions).unwrap(), outcome);
-        assert!(failed(&after) && !refused(&after) && sent_to(&after).is_none(), "{outcome:?}");
+        assert!(
+            failed(&after) && !refused(&after) && sent_to(&after).is_none(),
+            "{outcome:?}"
+        );
 
         let mut b = Bench::new(settings(Effect::Safe), &["w1", "w2"]);
         let (id, actions) = b.call(1);
@@ -68,19 +81,37 @@
     let zones = |b: &mut Bench, first: &Worker, other: &str| {
         let names = ["w1", "w2"];
         let of = |n: &&str| if Worker::new(n) == *first { "a" } else { other };
-        let list = names.iter().map(|n| Entry { zone: of(n).to_string(), ..entry(n) }).collect();
+        let list = names
+            .iter()
+            .map(|n| Entry {
+                zone: of(n).to_string(),
+                ..entry(n)
+            })
+            .collect();
         b.changes(list);
     };
-    for (other, wait, again) in [("a", 100, true), ("b", 100, false), ("a", 2_480, true), ("a", 2_495, false)]
-    {
+    for (other, wait, again) in [
+        ("a", 100, true),
+        ("b", 100, false),
+        ("a", 2_480, true),
+        ("a", 2_495, false),
+    ] {
         let mut b = Bench::new(s.clone(), &["w1", "w2"]);
         let (id, actions) = b.call(1);
         let first = sent_to(&actions).unwrap();
         zones(&mut b, &first, other);
         b.now += wait * MS;
         let after = b.finish(id, 0, &first, Outcome::Broken);
-        assert_eq!(sent_to(&after).is_some(), again, "other zone {other}, after {wait} ms");
-        assert_eq!(failed(&after), !again, "a refusal would promise that trying again is harmless");
+        assert_eq!(
+            sent_to(&after).is_some(),
+            again,
+            "other zone {other}, after {wait} ms"
+        );
+        assert_eq!(
+            failed(&after),
+            !again,
+            "a refusal would promise that trying again is harmless"
+        );
     }
 }
 
@@ -97,13 +128,25 @@
     for state in [State::Draining, State::Gone] {
         let mut b = Bench::new(settings(Effect::Safe), &["w1", "w2", "w3"]);
         let home = b.warm(1);
-        b.changes(vec![Entry { state, ..entry(&home.0) }]);
+        b.changes(vec![Entry {
+            state,
+            ..entry(&home.0)
+        }]);
         b.did.clear();
         for i in 0..200 {
             let (id, actions) = b.call(i % 7);
             b.pass(20 * MS);
             if let Some(worker) = sent_to(&actions) {
-                b.finish(id, 0, &worker, if i % 3 == 0 { Outcome::Full } else { Outcome::Served });
+                b.finish(
+                    id,
+                    0,
+                    &worker,
+                    if i % 3 == 0 {
+                        Outcome::Full
+                    } else {
+                        Outcome::Served
+                    },
+                );
             }
         }
         for (_, action) in &b.did {
@@ -118,8 +161,15 @@
 fn a_worker_missing_from_a_complete_list_is_gone() {
     let mut b = Bench::new(settings(Effect::Safe), &["w1", "w2"]);
     let home = b.warm(1);
-    let rest = ["w1", "w2"].iter().filter(|n| Worker::new(n) != home).map(|n| entry(n)).collect();
-    b.event(Event::List { kind: ListKind::Complete, entries: rest });
+    let rest = ["w1", "w2"]
+        .iter()
+        .filter(|n| Worker::new(n) != home)
+        .map(|n| entry(n))
+        .collect();
+    b.event(Event::List {
+        kind: ListKind::Complete,
+        entries: rest,
+    });
     let (_, actions) = b.call(1);
     assert_ne!(sent_to(&actions).expect("the other worker"), home);
 }
@@ -141,7 +191,10 @@
         }
     }
     let started = b.now;
-    b.changes(vec![Entry { started: Some(started), ..entry(&home.0) }]);
+    b.changes(vec![Entry {
+        started: Some(started),
+        ..entry(&home.0)
+    }]);
     b.did.clear();
     let mut sends = Vec::new();
     for i in 0..1_500 {
@@ -153,27 +206,52 @@
                 sends.push(b.now);
             }
             // Refusals count too: they are work that arrived.
-            b.finish(id, 0, &worker, if i % 2 == 0 { Outcome::Served } else { Outcome::Full });
+            b.finish(
+                id,
+                0,
+                &worker,
+                if i % 2 == 0 {
+                    Outcome::Served
+                } else {
+                    Outcome::Full
+                },
+            );
         }
     }
     assert!(!sends.is_empty(), "a cold worker is not shut out");
     let most_served = 1_500.0 / 7.5 / 2.0;
     for &t in &sends {
-        let within = sends.iter().filter(|&&u| u <= t && u + rules.fall_span > t).count() as f64;
+        let within = sends
+            .iter()
+            .filter(|&&u| u <= t && u + rules.fall_span > t)
+            .count() as f64;
         let age = (t - started) as f64 / rules.ramp as f64;
         let part = rules.cold_from + (1.0 - rules.cold_from) * age.min(1.0);
         let span = rules.fall_span as f64 / 1e9;
-        assert!(within <= 1.0 + rules.fall_multiple * part * most_served * span, "{within} at age {age:.2}");
+        assert!(
+            within <= 1.0 + rules.fall_multiple * part * most_served * span,
+            "{within} at age {age:.2}"
+        );
     }
-    let first_span = sends.iter().filter(|&&t| t < started + rules.fall_span).count();
-    assert!(first_span < 60, "the first burst is held: {first_span} of 400 calls");
+    let first_span = sends
+        .iter()
+        .filter(|&&t| t < started + rules.fall_span)
+        .count();
+    assert!(
+        first_span < 60,
+        "the first burst is held: {first_span} of 400 calls"
+    );
 }
 
 #[test]
 fn orders_to_load_stay_within_the_ration_over_any_window() {
     let mut s = settings(Effect::Safe);
     s.loading.call_loads = false;
-    let ration = Ration { window: 5_000 * MS, base: 3.0, share: 0.15 };
+    let ration = Ration {
+        window: 5_000 * MS,
+        base: 3.0,
+        share: 0.15,
+    };
     s.loading.ration = Some(ration.clone());
     let mut b = Bench::new(s, &["w1", "w2", "w3", "w4"]);
     let mut calls = Vec::new();
@@ -197,15 +275,27 @@
         .collect();
     assert!(orders.len() > 20, "the ration is used: {}", orders.len());
     for &t in &orders {
-        let given = orders.iter().filter(|&&u| u <= t && u + ration.window > t).count() as f64;
-        let taken = calls.iter().filter(|&&u| u <= t && u + ration.window > t).count() as f64;
-        assert!(given <= ration.base + ration.share * taken, "{given} orders on {taken} calls");
+        let given = orders
+            .iter()
+            .filter(|&&u| u <= t && u + ration.window > t)
+            .count() as f64;
+        let taken = calls
+            .iter()
+            .filter(|&&u| u <= t && u + ration.window > t)
+            .count() as f64;
+        assert!(
+            given <= ration.base + ration.share * taken,
+            "{given} orders on {taken} calls"
+        );
     }
 }
 
 #[test]
 fn never_two_attempts_at_once_nor_more_than_allowed() {
-    let mut b = Bench::new(settings(Effect::Safe), &["w1", "w2", "w3", "w4", "w5", "w6"]);
+    let mut b = Bench::new(
+        settings(Effect::Safe),
+        &["w1", "w2", "w3", "w4", "w5", "w6"],
+    );
     let (id, actions) = b.call(1);
     let mut worker = sent_to(&actions);
     let mut attempts = 0;
@@ -225,7 +315,9 @@
     let mut s = settings(Effect::Safe);
     s.front_ends = 100;
     let (rules, names) = (s.rules.clone(), ["w1", "w2", "w3", "w4"]);
-    let mut tier: Vec<Bench> = (0..100).map(|seed| Bench::seeded(s.clone(), &names, seed)).collect();
+    let mut tier: Vec<Bench> = (0..100)
+        .map(|seed| Bench::seeded(s.clone(), &names, seed))
+        .collect();
     // A call a second at each front end, by 16 functions.
     let home = sent_to(&tier[0].call(1).1).unwrap();
     tier[0].finish(1, 0, &home, Outcome::Served);
@@ -238,7 +330,10 @@
             }
             b.pass(950 * MS);
         }
-        b.changes(vec![Entry { started: Some(b.now), ..entry(&home.0) }]);
+        b.changes(vec![Entry {
+            started: Some(b.now),
+            ..entry(&home.0)
+        }]);
     }
     let mut sends = Vec::new();
     for (i, b) in tier.iter_mut().enumerate() {
@@ -255,7 +350,11 @@
             b.pass(450 * MS);
         }
     }
-    assert!(sends.len() > 30, "a cold worker is not shut out: {}", sends.len());
+    assert!(
+        sends.len() > 30,
+        "a cold worker is not shut out: {}",
+        sends.len()
+    );
     // The other three workers serve about sixty a second meanwhile; held to fifty here.
     assert_within_budget(&rules, &sends, 50.0);
 }
@@ -263,10 +362,18 @@
 /// No span of sends, told by the age of the cold worker, holds more than one that serves so many a second bears.
 fn assert_within_budget(rules: &Rules, sends: &[Time], a_second: f64) {
     for &t in sends {
-        let within = sends.iter().filter(|&&u| u <= t && u + rules.fall_span > t).count() as f64;
-        let part = rules.cold_from + (1.0 - rules.cold_from) * (t as f64 / rules.ramp as f64).min(1.0);
+        let within = sends
+            .iter()
+            .filter(|&&u| u <= t && u + rules.fall_span > t)
+            .count() as f64;
+        let part =
+            rules.cold_from + (1.0 - rules.cold_from) * (t as f64 / rules.ramp as f64).min(1.0);
         let most = rules.fall_multiple * part * a_second * rules.fall_span as f64 / 1e9;
-        assert!(within <= most, "{within} sends, {most:.1} allowed at {} ms", t / MS);
+        assert!(
+            within <= most,
+            "{within} sends, {most:.1} allowed at {} ms",
+            t / MS
+        );
     }
 }
 
@@ -281,21 +388,31 @@
         let home = b.warm(1);
         b.pass(5_000 * MS);
         let started = b.now;
-        b.changes(vec![Entry { started: Some(started), ..entry(&home.0) }]);
+        b.changes(vec![Entry {
+            started: Some(started),
+            ..entry(&home.0)
+        }]);
         for i in 0..idle / (1_000 * MS) * calls + 8 {
             let herd = b.now >= started + idle;
             let (id, actions) = b.call(if herd { 1 } else { 10 + i % 16 });
             if let Some(worker) = sent_to(&actions) {
                 sends.extend((worker == home).then(|| b.now - started));
                 b.event(Event::Left { request: id });
-                let outcome =
-                    if !herd && i % (2 * calls) == 0 { Outcome::Served } else { Outcome::Cancelled };
+                let outcome = if !herd && i % (2 * calls) == 0 {
+                    Outcome::Served
+                } else {
+                    Outcome::Cancelled
+                };
                 b.finish(id, 0, &worker, outcome);
             }
             b.pass(if herd { 250 * MS } else { 1_000 * MS / calls });
         }
     }
-    assert!(sends.len() > 20, "a cold worker is not shut out: {}", sends.len());
+    assert!(
+        sends.len() > 20,
+        "a cold worker is not shut out: {}",
+        sends.len()
+    );
     assert_within_budget(&s.rules, &sends, 50.0);
 }
 
--- a/crates/pipithub-policy/tests/same.rs
+++ b/crates/pipithub-policy/tests/same.rs
@@ -27,7 +27,9 @@
         events += 1;
         one.clear();
         other.clear();
-        let decided = catch_unwind(AssertUnwindSafe(|| reference.handle(at, event.clone(), &mut one)));
+        let decided = catch_unwind(AssertUnwindSafe(|| {
+            reference.handle(at, event.clone(), &mut one)
+        }));
         if decided.is_err() {
             // An overflow of the reference's own: it has no decision to compare with, and the day ends.
             world.counts.insert("day cut short", 1);
@@ -42,8 +44,20 @@
     }
     let mut counts = std::mem::take(&mut world.counts);
     let sends = counts.get("send").copied().unwrap_or_default();
-    *counts.entry(if blind { "send, large tier" } else { "send, small tier" }).or_default() += sends;
-    *counts.entry(if blind { "day, large tier" } else { "day, small tier" }).or_default() += 1;
+    *counts
+        .entry(if blind {
+            "send, large tier"
+        } else {
+            "send, small tier"
+        })
+        .or_default() += sends;
+    *counts
+        .entry(if blind {
+            "day, large tier"
+        } else {
+            "day, small tier"
+        })
+        .or_default() += 1;
     counts.insert("event", events);
     counts
 }
@@ -101,12 +115,21 @@
             *all.entry(name).or_default() += count;
         }
     }
-    println!("part {part}: {:.1} s, {all:?}", began.elapsed().as_secs_f64());
+    println!(
+        "part {part}: {:.1} s, {all:?}",
+        began.elapsed().as_secs_f64()
+    );
     for (name, least) in LEAST {
         let count = all.get(name).copied().unwrap_or_default();
-        assert!(count >= least, "part {part}: {name} came {count} times, not {least}");
+        assert!(
+            count >= least,
+            "part {part}: {name} came {count} times, not {least}"
+        );
     }
-    assert!(all.get("day cut short").copied().unwrap_or_default() <= CUT_MOST, "part {part}");
+    assert!(
+        all.get("day cut short").copied().unwrap_or_default() <= CUT_MOST,
+        "part {part}"
+    );
 }
 
 macro_rules! parts {
@@ -124,13 +147,30 @@
 #[test]
 fn the_reference_counts_what_it_looks_at() {
     let mut reference = plain::decide::FrontEnd::new(Settings::default(), 7);
-    let entry = |n: u32| Entry { worker: Worker::new(&format!("10.0.0.{n}:80")), ..Entry::default() };
+    let entry = |n: u32| Entry {
+        worker: Worker::new(&format!("10.0.0.{n}:80")),
+        ..Entry::default()
+    };
     let entries: Vec<Entry> = (0..20).map(entry).collect();
-    let call = Request { id: 1, function: Function(42), budget: Some(2_000_000_000), ..Request::default() };
+    let call = Request {
+        id: 1,
+        function: Function(42),
+        budget: Some(2_000_000_000),
+        ..Request::default()
+    };
     let mut actions = Vec::new();
-    reference.handle(0, Event::List { kind: ListKind::Complete, entries }, &mut actions);
+    reference.handle(
+        0,
+        Event::List {
+            kind: ListKind::Complete,
+            entries,
+        },
+        &mut actions,
+    );
     work::taken();
     reference.handle(1_000_000, Event::Arrived(call), &mut actions);
     assert!(work::taken() >= 20, "it looks at every worker");
-    assert!(actions.iter().any(|a| matches!(a, Action::Send { request: 1, .. })));
+    assert!(actions
+        .iter()
+        .any(|a| matches!(a, Action::Send { request: 1, .. })));
 }
