--- a/crates/pipithub-policy/tests/slow_start.rs
+++ b/crates/pipithub-policy/tests/slow_start.rs
@@ -91,7 +91,12 @@
             warming_places: 9,
             small_size: 1.0,
             demand: 1.5,
-            rules: Rules { cold_from: 0.2, ramp: 6 * SECOND, fall_multiple: 3.0, fall_span: 2 * SECOND },
+            rules: Rules {
+                cold_from: 0.2,
+                ramp: 6 * SECOND,
+                fall_multiple: 3.0,
+                fall_span: 2 * SECOND,
+            },
             starts,
             seed: 43,
         }
@@ -187,7 +192,13 @@
 
 impl SimulatedWorker {
     fn new(size: f64, started: Option<Time>) -> SimulatedWorker {
-        SimulatedWorker { size, started, free_at: 0, recent_sends: VecDeque::new(), overdrawn: false }
+        SimulatedWorker {
+            size,
+            started,
+            free_at: 0,
+            recent_sends: VecDeque::new(),
+            overdrawn: false,
+        }
     }
 }
 
@@ -224,14 +235,25 @@
 
 /// The entry of a worker in the list.
 fn listed(worker: &Worker, size: f64, started: Option<Time>) -> Entry {
-    Entry { started, share: size, ..entry(&worker.0) }
+    Entry {
+        started,
+        share: size,
+        ..entry(&worker.0)
+    }
 }
 
 /// For each worker a function that tries it before all others, as the module itself decides.
 fn functions_by_first_choice(workers: &[Worker]) -> BTreeMap<Worker, Function> {
     let mut scout = FrontEnd::new(settings(Effect::Safe), 1);
     let entries = workers.iter().map(|w| listed(w, 1.0, None)).collect();
-    scout.handle(SECOND, Event::List { kind: ListKind::Complete, entries }, &mut Vec::new());
+    scout.handle(
+        SECOND,
+        Event::List {
+            kind: ListKind::Complete,
+            entries,
+        },
+        &mut Vec::new(),
+    );
     let mut found = BTreeMap::new();
     for number in 0.. {
         if found.len() == workers.len() {
@@ -239,10 +261,19 @@
         }
         let function = Function(number);
         let mut actions = Vec::new();
-        let call =
-            Request { id: number, function, lanes: 64, budget: Some(4 * SECOND), ..Request::default() };
+        let call = Request {
+            id: number,
+            function,
+            lanes: 64,
+            budget: Some(4 * SECOND),
+            ..Request::default()
+        };
         // Ever later, so that no call meets the queue of an earlier one.
-        scout.handle((number + 2) * 100 * SECOND, Event::Arrived(call), &mut actions);
+        scout.handle(
+            (number + 2) * 100 * SECOND,
+            Event::Arrived(call),
+            &mut actions,
+        );
         let worker = common::sent_to(&actions).expect("a scouting call is sent");
         let answer = Finished {
             request: number,
@@ -255,7 +286,11 @@
             alike: None,
             load: Load::default(),
         };
-        scout.handle((number + 2) * 100 * SECOND + LATENCY, Event::Finished(answer), &mut actions);
+        scout.handle(
+            (number + 2) * 100 * SECOND + LATENCY,
+            Event::Finished(answer),
+            &mut actions,
+        );
         found.entry(worker).or_insert(function);
     }
     found
@@ -266,16 +301,27 @@
         let mut settings = settings(Effect::Safe);
         settings.front_ends = scenario.front_ends as u32;
         settings.rules.clone_from(&scenario.rules);
-        settings.loading = Loading { tells_cold: true, ..Loading::default() };
-        let warm: Vec<Worker> =
-            (0..scenario.warm_workers).map(|i| Worker::new(&format!("warm{i}"))).collect();
+        settings.loading = Loading {
+            tells_cold: true,
+            ..Loading::default()
+        };
+        let warm: Vec<Worker> = (0..scenario.warm_workers)
+            .map(|i| Worker::new(&format!("warm{i}")))
+            .collect();
         let name = |place: usize, turn: &str| Worker::new(&format!("place{place}{turn}"));
-        let names: Vec<_> = (0..scenario.warming_places).map(|p| [name(p, "a"), name(p, "b")]).collect();
+        let names: Vec<_> = (0..scenario.warming_places)
+            .map(|p| [name(p, "a"), name(p, "b")])
+            .collect();
         let all: Vec<Worker> = warm.iter().chain(names.iter().flatten()).cloned().collect();
         let lasting = warm.iter().map(|name| (name, 1.0));
-        let first = names.iter().enumerate().map(|(place, names)| (&names[0], scenario.size(place)));
+        let first = names
+            .iter()
+            .enumerate()
+            .map(|(place, names)| (&names[0], scenario.size(place)));
         let at_first = lasting.chain(first);
-        let workers = at_first.map(|(name, size)| (name.clone(), SimulatedWorker::new(size, None))).collect();
+        let workers = at_first
+            .map(|(name, size)| (name.clone(), SimulatedWorker::new(size, None)))
+            .collect();
         let mut sum = 0.0;
         let mut running_sum = |front_end| {
             sum += scenario.traffic.weight(front_end, scenario.front_ends);
@@ -315,7 +361,10 @@
         for round in 0..fleet.scenario.rounds() {
             for place in 0..places {
                 let offset = ramp * place as u64 / places as u64;
-                fleet.schedule(first_start + ramp * round + offset, Happening::WorkerStart { place });
+                fleet.schedule(
+                    first_start + ramp * round + offset,
+                    Happening::WorkerStart { place },
+                );
             }
             if fleet.scenario.restarts {
                 let moment = fleet.random.random_range(0..ramp);
@@ -323,7 +372,10 @@
             }
         }
         fleet.schedule(fleet.now, Happening::ClientCall);
-        while let Some(((at, _), happening)) = fleet.queue.pop_first().filter(|((at, _), _)| *at < fleet.end)
+        while let Some(((at, _), happening)) = fleet
+            .queue
+            .pop_first()
+            .filter(|((at, _), _)| *at < fleet.end)
         {
             fleet.now = at;
             fleet.take(happening);
@@ -339,14 +391,25 @@
     fn take(&mut self, happening: Happening) {
         match happening {
             Happening::ClientCall => self.client_call(),
-            Happening::Answer { front_end, incarnation, finished } => {
+            Happening::Answer {
+                front_end,
+                incarnation,
+                finished,
+            } => {
                 if self.front_ends[front_end].incarnation == incarnation {
                     self.hand_over(front_end, Event::Finished(finished));
                 }
             }
             Happening::WorkerStart { place } => self.start_worker(place),
-            Happening::News { front_end, left, came } => {
-                let news = Event::List { kind: ListKind::Changes, entries: vec![left, came] };
+            Happening::News {
+                front_end,
+                left,
+                came,
+            } => {
+                let news = Event::List {
+                    kind: ListKind::Changes,
+                    entries: vec![left, came],
+                };
                 self.hand_over(front_end, news);
             }
             Happening::Restarts => self.restart_half(),
@@ -362,7 +425,10 @@
 
         let total = self.shares[self.shares.len() - 1];
         let point = self.random.random::<f64>() * total;
-        let front_end = self.shares.partition_point(|sum| *sum <= point).min(self.shares.len() - 1);
+        let front_end = self
+            .shares
+            .partition_point(|sum| *sum <= point)
+            .min(self.shares.len() - 1);
         let place = self.random.random_range(0..self.scenario.warming_places);
         let function = self.functions[&self.names[place][self.turns[place]]];
         self.next_request += 1;
@@ -391,10 +457,14 @@
     /// Lets the module of a front end handle an event, and does what it wants done.
     fn hand_over(&mut self, front_end: usize, event: Event) {
         let mut actions = Vec::new();
-        self.front_ends[front_end].module.handle(self.now, event, &mut actions);
+        self.front_ends[front_end]
+            .module
+            .handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { request, worker, .. } => self.send(front_end, request, worker),
+                Action::Send {
+                    request, worker, ..
+                } => self.send(front_end, request, worker),
                 Action::Refuse { request, .. } | Action::Fail { request } => {
                     self.attempts.remove(&request);
                 }
@@ -423,27 +493,41 @@
             load: Load::default(),
         };
         let incarnation = self.front_ends[front_end].incarnation;
-        self.schedule(self.now + LATENCY, Happening::Answer { front_end, incarnation, finished });
+        self.schedule(
+            self.now + LATENCY,
+            Happening::Answer {
+                front_end,
+                incarnation,
+                finished,
+            },
+        );
     }
 
     /// A worker gets a request: the window that ends with it is checked against the budget, and the worker
     /// takes the request or turns it away.
     fn received(&mut self, worker: &Worker) -> Outcome {
-        let Some(simulated) = self.workers.get_mut(worker) else { return Outcome::Unreachable };
+        let Some(simulated) = self.workers.get_mut(worker) else {
+            return Outcome::Unreachable;
+        };
         let (scenario, now) = (&self.scenario, self.now);
-        let age = simulated.started.map_or(scenario.rules.ramp, |started| now - started);
+        let age = simulated
+            .started
+            .map_or(scenario.rules.ramp, |started| now - started);
         if age < scenario.rules.ramp {
-            simulated.recent_sends.retain(|sent| sent + scenario.rules.fall_span > now);
+            simulated
+                .recent_sends
+                .retain(|sent| sent + scenario.rules.fall_span > now);
             simulated.recent_sends.push_back(now);
-            let filled =
-                simulated.recent_sends.len() as f64 / survivable(simulated.size * scenario.budget(age));
+            let filled = simulated.recent_sends.len() as f64
+                / survivable(simulated.size * scenario.budget(age));
             self.summary.fullest = self.summary.fullest.max(filled);
             self.summary.sent += 1.0;
             if filled > 1.0 && !std::mem::replace(&mut simulated.overdrawn, true) {
                 self.summary.overdrawn += 1;
             }
         }
-        let time_per_call = SECOND as f64 / (simulated.size * scenario.capacity() * scenario.warmth(age));
+        let time_per_call =
+            SECOND as f64 / (simulated.size * scenario.capacity() * scenario.warmth(age));
         let free_at = simulated.free_at.max(now) + time_per_call as Time;
         if free_at - now > BACKLOG_MOST.max((time_per_call * BACKLOG_CALLS) as Time) {
             return Outcome::Full;
@@ -458,41 +542,73 @@
         let came = self.names[place][self.turns[place]].clone();
         self.workers.remove(&left);
         let (size, started) = (self.scenario.size(place), Some(self.now));
-        self.workers.insert(came.clone(), SimulatedWorker::new(size, started));
+        self.workers
+            .insert(came.clone(), SimulatedWorker::new(size, started));
         self.summary.starts += 1;
         // The last workers' ramps are cut short by the end.
         let played = self.scenario.rules.ramp.min(self.end - self.now);
         let spans = played as f64 / self.scenario.rules.fall_span as f64;
         self.summary.budgeted += size * self.scenario.budget(played / 2) * spans;
-        let left = Entry { state: State::Gone, ..listed(&left, size, None) };
+        let left = Entry {
+            state: State::Gone,
+            ..listed(&left, size, None)
+        };
         let came = listed(&came, size, started);
         for front_end in 0..self.front_ends.len() {
             let delay = self.random.random_range(0..NEWS_DELAY_MOST);
             let (left, came) = (left.clone(), came.clone());
-            self.schedule(self.now + delay, Happening::News { front_end, left, came });
+            self.schedule(
+                self.now + delay,
+                Happening::News {
+                    front_end,
+                    left,
+                    came,
+                },
+            );
         }
     }
 
     /// A front end that knows the list of workers and nothing else.
     fn start_front_end(&self, seed: u64, incarnation: u32) -> SimulatedFrontEnd {
         let mut module = FrontEnd::new(self.settings.clone(), seed);
-        let entries =
-            self.workers.iter().map(|(name, worker)| listed(name, worker.size, worker.started)).collect();
+        let entries = self
+            .workers
+            .iter()
+            .map(|(name, worker)| listed(name, worker.size, worker.started))
+            .collect();
         let mut actions = Vec::new();
-        module.handle(self.now, Event::List { kind: ListKind::Remembered, entries }, &mut actions);
+        module.handle(
+            self.now,
+            Event::List {
+                kind: ListKind::Remembered,
+                entries,
+            },
+            &mut actions,
+        );
         let housekeeping = actions.iter().find_map(|action| match action {
-            Action::Timer { after: HOUSEKEEPING, token } => Some(*token),
+            Action::Timer {
+                after: HOUSEKEEPING,
+                token,
+            } => Some(*token),
             _ => None,
         });
         let housekeeping_token = housekeeping.expect("a front end asks for its housekeeping timer");
-        SimulatedFrontEnd { module, seed, incarnation, housekeeping_token, housekept: self.now }
+        SimulatedFrontEnd {
+            module,
+            seed,
+            incarnation,
+            housekeeping_token,
+            housekept: self.now,
+        }
     }
 
     /// Half of the front ends, drawn, lose all that they have learnt and counted; each keeps its seed.
     fn restart_half(&mut self) {
         for front_end in 0..self.front_ends.len() {
             if self.random.random::<bool>() {
-                let SimulatedFrontEnd { seed, incarnation, .. } = self.front_ends[front_end];
+                let SimulatedFrontEnd {
+                    seed, incarnation, ..
+                } = self.front_ends[front_end];
                 self.front_ends[front_end] = self.start_front_end(seed, incarnation + 1);
             }
         }
@@ -500,8 +616,12 @@
 }
 
 /// How traffic reaches a fleet: its spread, and whether half of the front ends restart in each ramp.
-const CONDITIONS: [(Traffic, bool); 4] =
-    [(Traffic::Equal, false), (Traffic::Unequal, false), (Traffic::OneBusy, false), (Traffic::Equal, true)];
+const CONDITIONS: [(Traffic, bool); 4] = [
+    (Traffic::Equal, false),
+    (Traffic::Unequal, false),
+    (Traffic::OneBusy, false),
+    (Traffic::Equal, true),
+];
 const FLEETS: [usize; 6] = [2, 5, 20, 30, 60, 300];
 
 /// Plays scenarios side by side, as many at a time as there are conditions, and tells what came of each.
@@ -518,13 +638,19 @@
     };
     std::thread::scope(|scope| {
         let players: Vec<_> = CONDITIONS.iter().map(|_| scope.spawn(player)).collect();
-        players.into_iter().flat_map(|p| p.join().expect("a player ends")).collect()
+        players
+            .into_iter()
+            .flat_map(|p| p.join().expect("a player ends"))
+            .collect()
     })
 }
 
 /// Fails where a single window of a single start was overdrawn.
 fn assert_none_overdrawn(played: &[(Scenario, Summary)]) {
-    let overdrawn: Vec<_> = played.iter().filter(|(_, summary)| summary.overdrawn > 0).collect();
+    let overdrawn: Vec<_> = played
+        .iter()
+        .filter(|(_, summary)| summary.overdrawn > 0)
+        .collect();
     assert!(overdrawn.is_empty(), "overdrawn: {overdrawn:#?}");
 }
 
@@ -556,37 +682,59 @@
     assert_none_overdrawn(&played);
     for (scenario, summary) in played {
         let least = if scenario.front_ends < 300 { 0.4 } else { 0.2 };
-        assert!(summary.sent > least * summary.budgeted, "shut out: {scenario:?}, {summary:?}");
+        assert!(
+            summary.sent > least * summary.budgeted,
+            "shut out: {scenario:?}, {summary:?}"
+        );
     }
 }
 
 /// Clients that repeat refused calls raise the arrivals far beyond what the workers can serve.
 #[test]
 fn no_start_is_overdrawn_under_overload_while_front_ends_restart() {
-    let overload = |s: Scenario| Scenario { demand: 8.0, restarts: true, ..s };
+    let overload = |s: Scenario| Scenario {
+        demand: 8.0,
+        restarts: true,
+        ..s
+    };
     let small = [2, 20, 300].map(|n| Scenario::new(n, Traffic::Unequal, 6.0, 45));
     let large = [2, 20].map(|n| Scenario::new(n, Traffic::Equal, 40.0, 9));
-    assert_none_overdrawn(&play_all(small.into_iter().chain(large).map(overload).collect()));
+    assert_none_overdrawn(&play_all(
+        small.into_iter().chain(large).map(overload).collect(),
+    ));
 }
 
 /// A herd: every front end has more calls for few warming workers than their budgets bear.
 #[test]
 fn no_start_is_overdrawn_where_every_front_end_always_has_a_call_for_it() {
-    let herd = |s: Scenario| Scenario { warm_workers: 9, warming_places: 3, demand: 8.0, ..s };
+    let herd = |s: Scenario| Scenario {
+        warm_workers: 9,
+        warming_places: 3,
+        demand: 8.0,
+        ..s
+    };
     let small = [20, 60, 300].map(|n| Scenario::new(n, Traffic::Equal, 1.0, 63));
     let large = [20, 60].map(|n| Scenario::new(n, Traffic::Equal, 6.0, 18));
     let played = play_all(small.into_iter().chain(large).map(herd).collect());
     assert_none_overdrawn(&played);
     for (scenario, summary) in played {
         let most = HERD_SENDS_MOST * summary.budgeted;
-        assert!(summary.sent < most, "no room for chance: {scenario:?}, {summary:?}");
+        assert!(
+            summary.sent < most,
+            "no room for chance: {scenario:?}, {summary:?}"
+        );
     }
 }
 
 /// What warm workers take says little of a smaller one, but the list tells its size.
 #[test]
 fn no_start_is_overdrawn_where_some_workers_are_smaller() {
-    let sized = |s: Scenario| [0.5, 0.25].map(|small_size| Scenario { small_size, ..s.clone() });
+    let sized = |s: Scenario| {
+        [0.5, 0.25].map(|small_size| Scenario {
+            small_size,
+            ..s.clone()
+        })
+    };
     let scenarios = [2, 20, 300].map(|n| Scenario::new(n, Traffic::Equal, 40.0, 9));
     assert_none_overdrawn(&play_all(scenarios.into_iter().flat_map(sized).collect()));
 }
@@ -594,7 +742,11 @@
 /// Where no worker is warm, nothing new is learnt of what a warm one takes.
 #[test]
 fn no_start_is_overdrawn_where_all_workers_are_warming() {
-    let all_cold = |s: Scenario| Scenario { warm_workers: 0, demand: 4.0, ..s };
+    let all_cold = |s: Scenario| Scenario {
+        warm_workers: 0,
+        demand: 4.0,
+        ..s
+    };
     let scenarios = [2, 20, 300].map(|n| Scenario::new(n, Traffic::Unequal, 40.0, 18));
     assert_none_overdrawn(&play_all(scenarios.into_iter().map(all_cold).collect()));
 }
--- a/crates/pipithub-policy/tests/tier.rs
+++ b/crates/pipithub-policy/tests/tier.rs
@@ -39,19 +39,52 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Enter { worker: u8, state: u8, zone: u8, started: Option<u16> },
-    LoseAll { but: u8 },
-    Send { worker: u8, flags: (bool, bool, bool) },
-    End { worker: u8 },
-    Served { worker: u8, count: u8 },
-    Copy { worker: u8, function: u8, ordered: bool },
-    Forget { worker: u8, function: u8 },
-    Told { worker: u8, held: f64 },
-    Errors { worker: u8, class: u8, share: f64 },
-    Restart { worker: u8 },
+    Enter {
+        worker: u8,
+        state: u8,
+        zone: u8,
+        started: Option<u16>,
+    },
+    LoseAll {
+        but: u8,
+    },
+    Send {
+        worker: u8,
+        flags: (bool, bool, bool),
+    },
+    End {
+        worker: u8,
+    },
+    Served {
+        worker: u8,
+        count: u8,
+    },
+    Copy {
+        worker: u8,
+        function: u8,
+        ordered: bool,
+    },
+    Forget {
+        worker: u8,
+        function: u8,
+    },
+    Told {
+        worker: u8,
+        held: f64,
+    },
+    Errors {
+        worker: u8,
+        class: u8,
+        share: f64,
+    },
+    Restart {
+        worker: u8,
+    },
     ForgetGone,
     ForgetHolders,
-    Pass { time: u32 },
+    Pass {
+        time: u32,
+    },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -115,19 +148,39 @@
     fn play(&mut self, step: Step) {
         let now = self.now;
         match step {
-            Step::Enter { worker, state, zone, started } => {
-                let state =
-                    [State::Live, State::Live, State::Live, State::Draining, State::Gone][state as usize];
+            Step::Enter {
+                worker,
+                state,
+                zone,
+                started,
+            } => {
+                let state = [
+                    State::Live,
+                    State::Live,
+                    State::Live,
+                    State::Draining,
+                    State::Gone,
+                ][state as usize];
                 let zone = ["", "a", "b", "zone with a name"][zone as usize].to_string();
                 let started = started.map(Time::from);
-                let entry = Entry { worker: name(worker), state, zone, started, ..Entry::default() };
+                let entry = Entry {
+                    worker: name(worker),
+                    state,
+                    zone,
+                    started,
+                    ..Entry::default()
+                };
                 self.tier.get_or_add(&entry, CLASSES).entry = entry.clone();
                 self.plain.entry(name(worker)).or_default().entry = entry;
             }
             Step::LoseAll { but } => {
                 let lost = |w: &Worker| *w != name(but);
-                self.tier.change_where(|n| lost(&n.entry.worker), |n| n.entry.state = State::Gone);
-                self.plain.iter_mut().filter(|(w, _)| lost(w)).for_each(|(_, p)| p.entry.state = State::Gone);
+                self.tier
+                    .change_where(|n| lost(&n.entry.worker), |n| n.entry.state = State::Gone);
+                self.plain
+                    .iter_mut()
+                    .filter(|(w, _)| lost(w))
+                    .for_each(|(_, p)| p.entry.state = State::Gone);
             }
             Step::Send { worker, flags } => self.both(worker, |node, plain| {
                 node.out.push(sent(flags));
@@ -143,7 +196,11 @@
                 node.served = (0..count).map(|_| (now, 0)).collect();
                 plain.served = count.into();
             }),
-            Step::Copy { worker, function, ordered } => self.both(worker, |node, plain| {
+            Step::Copy {
+                worker,
+                function,
+                ordered,
+            } => self.both(worker, |node, plain| {
                 let function = Function(function.into());
                 node.copies_of(function).ordered = ordered;
                 // As the one place that orders does.
@@ -155,10 +212,19 @@
                 plain.copies.remove(&Function(function.into()));
             }),
             Step::Told { worker, held } => self.both(worker, |node, plain| {
-                node.told = Told { at: now, held, busy: 0.0, usual: held };
+                node.told = Told {
+                    at: now,
+                    held,
+                    busy: 0.0,
+                    usual: held,
+                };
                 plain.told = (now, held);
             }),
-            Step::Errors { worker, class, share } => self.both(worker, |node, plain| {
+            Step::Errors {
+                worker,
+                class,
+                share,
+            } => self.both(worker, |node, plain| {
                 node.health[class as usize].errors = share;
                 plain.errors[class as usize] = share;
             }),
@@ -170,7 +236,8 @@
             }),
             Step::ForgetGone => {
                 self.tier.forget_gone();
-                self.plain.retain(|_, p| p.entry.state != State::Gone || !p.out.is_empty());
+                self.plain
+                    .retain(|_, p| p.entry.state != State::Gone || !p.out.is_empty());
             }
             Step::ForgetHolders => self.tier.forget_holders(),
             Step::Pass { time } => self.now += Time::from(time),
@@ -178,7 +245,10 @@
     }
 
     fn both(&mut self, worker: u8, change: impl FnOnce(&mut tier::Changed<'_>, &mut Plain)) {
-        let (node, plain) = (self.tier.get_mut(&name(worker)), self.plain.get_mut(&name(worker)));
+        let (node, plain) = (
+            self.tier.get_mut(&name(worker)),
+            self.plain.get_mut(&name(worker)),
+        );
         assert_eq!(node.is_some(), plain.is_some(), "known to one alone");
         if let Some((mut node, plain)) = node.zip(plain) {
             change(&mut node, plain);
@@ -186,7 +256,11 @@
     }
 
     fn that(&self, holds: impl Fn(&Plain) -> bool) -> Vec<Worker> {
-        self.plain.values().filter(|p| holds(p)).map(|p| p.entry.worker.clone()).collect()
+        self.plain
+            .values()
+            .filter(|p| holds(p))
+            .map(|p| p.entry.worker.clone())
+            .collect()
     }
 
     fn compare(&mut self) {
@@ -197,31 +271,49 @@
         assert_eq!(self.tier.live(), self.that(live).len());
         let recent = self.that(|p| !p.out.is_empty() || p.served > 0);
         assert_eq!(names(self.tier.recent().collect()), recent);
-        let loads = |p: &Plain| p.out.iter().any(|s| s.0 || s.1 || s.2) || p.copies.values().any(|o| *o);
+        let loads =
+            |p: &Plain| p.out.iter().any(|s| s.0 || s.1 || s.2) || p.copies.values().any(|o| *o);
         assert_eq!(names(self.tier.loading().collect()), self.that(loads));
         let mut holding = Vec::new();
-        self.tier.change_holding(|n| holding.push(n.entry.worker.clone()));
+        self.tier
+            .change_holding(|n| holding.push(n.entry.worker.clone()));
         assert_eq!(holding, self.that(|p| !p.copies.is_empty()));
         for function in (0..6).map(Function) {
-            let maybe = self.tier.holders(function).filter(|n| n.copies.contains_key(&function)).collect();
-            assert_eq!(names(maybe), self.that(|p| p.copies.contains_key(&function)));
+            let maybe = self
+                .tier
+                .holders(function)
+                .filter(|n| n.copies.contains_key(&function))
+                .collect();
+            assert_eq!(
+                names(maybe),
+                self.that(|p| p.copies.contains_key(&function))
+            );
         }
         let zones: BTreeSet<&str> = self.plain.values().map(|p| p.entry.zone.as_str()).collect();
         assert_eq!(self.tier.zones(), zones.len());
         for zone in ["", "a", "b", "zone with a name", "none"] {
             let here = |p: &Plain| p.entry.zone == zone;
-            let heard = self.plain.values().filter(|p| here(p)).map(|p| p.heard).max();
+            let heard = self
+                .plain
+                .values()
+                .filter(|p| here(p))
+                .map(|p| p.heard)
+                .max();
             assert_eq!(self.tier.heard(zone), heard, "{zone}");
             let busy = self.that(|p| here(p) && !p.out.is_empty());
             assert_eq!(self.tier.busy_zones().any(|z| z == zone), !busy.is_empty());
             assert_eq!(names(self.tier.busy_in(zone).collect()), busy);
         }
         self.since = self.since.max(self.now / 100);
-        let started = self.that(|p| live(p) && p.entry.started.is_some_and(|t| t >= self.since)).len();
+        let started = self
+            .that(|p| live(p) && p.entry.started.is_some_and(|t| t >= self.since))
+            .len();
         assert_eq!(self.tier.started_since(self.since), started);
         let known = || self.plain.values().filter(|p| live(p) && p.told.0 > 0);
         let fade = |p: &Plain| 0.5f64.powf((self.now - p.told.0) as f64 / HALF_LIFE as f64);
-        let sum: f64 = known().map(|p| 1.0 + (p.told.1 - 1.0).max(0.0) * fade(p)).sum();
+        let sum: f64 = known()
+            .map(|p| 1.0 + (p.told.1 - 1.0).max(0.0) * fade(p))
+            .sum();
         let mean = sum / known().count().max(1) as f64;
         assert!(
             (self.tier.mean_held(self.now) - mean).abs() < 1e-9,
@@ -230,9 +322,17 @@
         );
         let all: Vec<Worker> = self.plain.keys().cloned().collect();
         for (worker, class) in all.iter().flat_map(|w| [(w, 0), (w, 1)]) {
-            let others = || self.plain.values().filter(|p| live(p) && p.entry.worker != *worker);
-            let mean = others().map(|p| p.errors[class]).sum::<f64>() / others().count().max(1) as f64;
-            let kept = self.tier.get_mut(worker).map_or(-1.0, |n| n.mean_errors_beside(class));
+            let others = || {
+                self.plain
+                    .values()
+                    .filter(|p| live(p) && p.entry.worker != *worker)
+            };
+            let mean =
+                others().map(|p| p.errors[class]).sum::<f64>() / others().count().max(1) as f64;
+            let kept = self
+                .tier
+                .get_mut(worker)
+                .map_or(-1.0, |n| n.mean_errors_beside(class));
             assert!((kept - mean).abs() < 1e-12, "{kept} {mean}");
         }
     }
--- a/crates/pipithub-policy/tests/trouble.rs
+++ b/crates/pipithub-policy/tests/trouble.rs
@@ -19,7 +19,9 @@
         let mut queue = vec![(id, 0, actions)];
         let passed = b.pass(50 * MS);
         for (id, attempt, worker) in std::mem::take(&mut open) {
-            let gone = passed.iter().any(|a| matches!(a, Action::Cancel { request, .. } if *request == id));
+            let gone = passed
+                .iter()
+                .any(|a| matches!(a, Action::Cancel { request, .. } if *request == id));
             if gone {
                 let actions = b.finish(id, attempt, &worker, Outcome::Cancelled);
                 queue.push((id, attempt + 1, actions));
@@ -29,7 +31,9 @@
         }
         while let Some((id, attempt, actions)) = queue.pop() {
             b.answer_orders(&actions, Outcome::Served, 1);
-            let Some(worker) = sent_to(&actions) else { continue };
+            let Some(worker) = sent_to(&actions) else {
+                continue;
+            };
             workers.push(worker.clone());
             match answer(&worker) {
                 Some(outcome) => {
@@ -68,7 +72,10 @@
     let moved = all.iter().zip(&less).filter(|(a, b)| a != b).count();
     let lost = all.iter().filter(|w| **w == Worker::new("w5")).count();
     assert_eq!(moved, lost, "only what stood at the lost worker moves");
-    assert!((20..=60).contains(&lost), "each worker is home to its part: {lost}");
+    assert!(
+        (20..=60).contains(&lost),
+        "each worker is home to its part: {lost}"
+    );
 }
 
 #[test]
@@ -103,31 +110,51 @@
             };
             let (id, actions) = b.call_with(call);
             b.pass(25 * MS);
-            let Some(worker) = sent_to(&actions) else { continue };
+            let Some(worker) = sent_to(&actions) else {
+                continue;
+            };
             sent_home += usize::from(class == 1 && worker == home);
             if class == 0 || worker != home {
                 b.finish(id, 0, &worker, Outcome::Served);
             }
         }
     }
-    assert!(sent_home < 30, "{sent_home} of 60 calls of the swallowed class still went there");
+    assert!(
+        sent_home < 30,
+        "{sent_home} of 60 calls of the swallowed class still went there"
+    );
     let (_, actions) = b.call(1);
-    assert_eq!(sent_to(&actions), Some(home), "the other class stays at its home");
+    assert_eq!(
+        sent_to(&actions),
+        Some(home),
+        "the other class stays at its home"
+    );
 }
 
 #[test]
 fn a_crashed_worker_is_left_at_once_and_comes_back_cold() {
     let mut b = Bench::new(settings(Effect::Safe), &THREE);
     let home = b.warm(1);
-    let (served, workers) =
-        play(&mut b, 1, 60, |w| Some(if *w == home { Outcome::Unreachable } else { Outcome::Served }));
+    let (served, workers) = play(&mut b, 1, 60, |w| {
+        Some(if *w == home {
+            Outcome::Unreachable
+        } else {
+            Outcome::Served
+        })
+    });
     assert_eq!(served, 60);
     assert!(workers.iter().filter(|w| **w == home).count() < 10);
     let started = Some(b.now);
-    b.changes(vec![Entry { started, ..entry(&home.0) }]);
+    b.changes(vec![Entry {
+        started,
+        ..entry(&home.0)
+    }]);
     let (served, workers) = play(&mut b, 1, 600, |_| Some(Outcome::Served));
     assert!(served > 590, "served {served} of 600");
-    assert!(workers[300..].iter().filter(|w| **w == home).count() > 250, "the home is used again");
+    assert!(
+        workers[300..].iter().filter(|w| **w == home).count() > 250,
+        "the home is used again"
+    );
 }
 
 #[test]
@@ -137,13 +164,29 @@
     for function in 0..6 {
         b.warm(function);
     }
-    b.changes(names[..5].iter().map(|n| Entry { state: State::Gone, ..entry(n) }).collect());
+    b.changes(
+        names[..5]
+            .iter()
+            .map(|n| Entry {
+                state: State::Gone,
+                ..entry(n)
+            })
+            .collect(),
+    );
     for function in 0..6 {
         let (served, _) = play(&mut b, function, 40, |_| Some(Outcome::Served));
         assert!(served >= 38, "function {function}: {served} of 40");
     }
     let started = Some(b.now);
-    b.changes(names[..5].iter().map(|n| Entry { started, ..entry(n) }).collect());
+    b.changes(
+        names[..5]
+            .iter()
+            .map(|n| Entry {
+                started,
+                ..entry(n)
+            })
+            .collect(),
+    );
     let mut used = std::collections::BTreeSet::new();
     for _ in 0..8 {
         for function in 0..6 {
@@ -155,7 +198,10 @@
 
 #[test]
 fn a_slow_store_is_not_asked_twice_for_one_function() {
-    let mut b = Bench::new(settings(Effect::Safe), &["w1", "w2", "w3", "w4", "w5", "w6"]);
+    let mut b = Bench::new(
+        settings(Effect::Safe),
+        &["w1", "w2", "w3", "w4", "w5", "w6"],
+    );
     let mut workers = std::collections::BTreeSet::new();
     for _ in 0..60 {
         workers.extend(sent_to(&b.call(1).1));
@@ -206,18 +252,37 @@
     assert!(out.len() < 400, "an overload is refused in part");
     for id in out {
         b.pass(5 * MS);
-        b.finish_noted(id, 0, &Worker::new("w1"), Outcome::Served, 900 * MS, Some(CopyNote::Warm));
+        b.finish_noted(
+            id,
+            0,
+            &Worker::new("w1"),
+            Outcome::Served,
+            900 * MS,
+            Some(CopyNote::Warm),
+        );
     }
     let (_, actions) = b.call(1);
-    assert!(sent_to(&actions).is_some(), "an emptied worker takes calls at once");
+    assert!(
+        sent_to(&actions).is_some(),
+        "an emptied worker takes calls at once"
+    );
 }
 
 #[test]
 fn a_full_worker_is_sent_fewer_and_then_more_again() {
     let mut b = Bench::new(settings(Effect::Safe), &THREE);
     let home = b.warm(1);
-    let (served, _) = play(&mut b, 1, 50, |w| Some(if *w == home { Outcome::Full } else { Outcome::Served }));
-    assert!(served >= 48, "turned away calls are served elsewhere: {served}");
+    let (served, _) = play(&mut b, 1, 50, |w| {
+        Some(if *w == home {
+            Outcome::Full
+        } else {
+            Outcome::Served
+        })
+    });
+    assert!(
+        served >= 48,
+        "turned away calls are served elsewhere: {served}"
+    );
     let (_, workers) = play(&mut b, 1, 200, |_| Some(Outcome::Served));
     assert!(workers[100..].iter().filter(|w| **w == home).count() > 90);
 }
@@ -229,7 +294,13 @@
     let mut b = Bench::new(settings(Effect::Safe), &THREE);
     let mut served = 0;
     for function in 0..40 {
-        let answer = |w: &Worker| Some(if *w == dead { Outcome::Unreachable } else { Outcome::Served });
+        let answer = |w: &Worker| {
+            Some(if *w == dead {
+                Outcome::Unreachable
+            } else {
+                Outcome::Served
+            })
+        };
         served += play(&mut b, function, 2, answer).0;
     }
     assert!(served >= 76, "served {served} of 80");
@@ -265,10 +336,16 @@
         }
         let name = format!("n{round}");
         b.changes(vec![entry(&name)]);
-        b.changes(vec![Entry { state: State::Gone, ..entry(&name) }]);
+        b.changes(vec![Entry {
+            state: State::Gone,
+            ..entry(&name)
+        }]);
         sizes.push(format!("{:?}", b.front).len());
     }
-    assert!(sizes[29] < sizes[9] * 3 / 2, "remembered text grows: {sizes:?}");
+    assert!(
+        sizes[29] < sizes[9] * 3 / 2,
+        "remembered text grows: {sizes:?}"
+    );
 }
 
 #[test]
@@ -282,12 +359,24 @@
         at_home += usize::from(worker == home);
         let (other, _) = b.call(1);
         let broken = i % 5 == 0;
-        let after = b.finish(id, 0, &worker, if broken { Outcome::Broken } else { Outcome::Served });
+        let after = b.finish(
+            id,
+            0,
+            &worker,
+            if broken {
+                Outcome::Broken
+            } else {
+                Outcome::Served
+            },
+        );
         if let Some(again) = sent_to(&after) {
             b.finish(id, 1, &again, Outcome::Served);
         }
         let after = b.pass(60 * MS);
-        assert!(!after.iter().any(|a| matches!(a, Action::Cancel { .. })), "call {other} is left to run");
+        assert!(
+            !after.iter().any(|a| matches!(a, Action::Cancel { .. })),
+            "call {other} is left to run"
+        );
         b.finish(other, 0, &home, Outcome::Served);
     }
     assert!(at_home > 95, "{at_home} of 100 at home");
@@ -309,25 +398,48 @@
 }
 
 fn report(worker: &Worker, held: Option<f64>, busy: Option<f64>) -> Event {
-    let load = Load { held, busy, ..Load::default() };
-    Event::Probed { worker: worker.clone(), answered: true, load }
+    let load = Load {
+        held,
+        busy,
+        ..Load::default()
+    };
+    Event::Probed {
+        worker: worker.clone(),
+        answered: true,
+        load,
+    }
 }
 
 #[test]
 fn in_a_large_tier_a_worker_that_tells_a_long_queue_is_passed_over() {
     let mut b = Bench::new(large_tier(), &THREE);
     let (id, actions) = b.call(1);
-    assert!(sent_to(&actions).is_none(), "the call waits to hear of its home");
+    assert!(
+        sent_to(&actions).is_none(),
+        "the call waits to hear of its home"
+    );
     let home = probed(&actions).expect("the home is asked for its load");
     let after = b.event(report(&home, Some(1.0), None));
-    assert_eq!(sent_to(&after), Some(home.clone()), "a short queue is taken");
+    assert_eq!(
+        sent_to(&after),
+        Some(home.clone()),
+        "a short queue is taken"
+    );
     b.pass(50 * MS);
     b.finish(id, 0, &home, Outcome::Served);
     b.pass(2_000 * MS);
     let (_, actions) = b.call(1);
-    assert_eq!(probed(&actions), Some(home.clone()), "old word is not trusted");
+    assert_eq!(
+        probed(&actions),
+        Some(home.clone()),
+        "old word is not trusted"
+    );
     let after = b.event(report(&home, Some(200.0), None));
-    assert_ne!(sent_to(&after), Some(home.clone()), "a long queue stands before the newcomer");
+    assert_ne!(
+        sent_to(&after),
+        Some(home.clone()),
+        "a long queue stands before the newcomer"
+    );
     assert_ne!(probed(&after), Some(home), "the next worker is asked");
 }
 
@@ -354,7 +466,11 @@
     let (_, actions) = b.call(1);
     assert!(probed(&actions).is_some());
     let after = b.event(report(&home, None, Some(1.0)));
-    assert_eq!(sent_to(&after), Some(home), "with no other worker it still gets the call");
+    assert_eq!(
+        sent_to(&after),
+        Some(home),
+        "with no other worker it still gets the call"
+    );
 }
 
 #[test]
@@ -376,9 +492,19 @@
         let mut sent = 0;
         for _ in 0..20 {
             let (id, actions) = b.call_with(call.clone());
-            let Some(worker) = sent_to(&actions) else { continue };
-            let after =
-                b.finish(id, 0, &worker, if worker == home { Outcome::Full } else { Outcome::Served });
+            let Some(worker) = sent_to(&actions) else {
+                continue;
+            };
+            let after = b.finish(
+                id,
+                0,
+                &worker,
+                if worker == home {
+                    Outcome::Full
+                } else {
+                    Outcome::Served
+                },
+            );
             if let Some(next) = sent_to(&after) {
                 sent += 1;
                 b.finish(id, 1, &next, Outcome::Served);
@@ -399,29 +525,50 @@
     for _ in 0..60 {
         let (id, actions) = b.call(2);
         if let Some(worker) = sent_to(&actions) {
-            b.finish_noted(id, 0, &worker, Outcome::Served, 900 * MS, Some(CopyNote::Warm));
+            b.finish_noted(
+                id,
+                0,
+                &worker,
+                Outcome::Served,
+                900 * MS,
+                Some(CopyNote::Warm),
+            );
         }
         b.pass(500 * MS);
         b.warm(1);
     }
     b.pass(10_000 * MS);
     let (_, actions) = b.call(2);
-    assert!(sent_to(&actions).is_some(), "a function refused for ever is never learnt again");
+    assert!(
+        sent_to(&actions).is_some(),
+        "a function refused for ever is never learnt again"
+    );
 }
 
 /// Clients that leave before their time and ask again elsewhere: what they left goes on at the workers.
 #[test]
 fn work_that_nobody_waits_for_is_withdrawn() {
-    for (effect, cancel) in [(Effect::Safe, true), (Effect::Keyed, true), (Effect::Safe, false)] {
+    for (effect, cancel) in [
+        (Effect::Safe, true),
+        (Effect::Keyed, true),
+        (Effect::Safe, false),
+    ] {
         let settings = settings(effect);
-        let limits = Limits { cancel, ..settings.limits.clone() };
+        let limits = Limits {
+            cancel,
+            ..settings.limits.clone()
+        };
         let mut b = Bench::new(Settings { limits, ..settings }, &["w1"]);
         let (id, actions) = b.call(7);
         assert!(sent_to(&actions).is_some());
         let actions = b.event(Event::Left { request: id });
-        let withdrawn = matches!(actions[..], [Action::Cancel { request, attempt: 0 }] if request == id);
+        let withdrawn =
+            matches!(actions[..], [Action::Cancel { request, attempt: 0 }] if request == id);
         assert_eq!(withdrawn, cancel, "{effect:?}: {actions:?}");
-        assert!(b.event(Event::Left { request: id }).is_empty(), "it has ended already");
+        assert!(
+            b.event(Event::Left { request: id }).is_empty(),
+            "it has ended already"
+        );
     }
 }
 
@@ -432,7 +579,11 @@
     let worker = b.warm(7);
     let burst = |b: &mut Bench| {
         let calls: Vec<_> = (0..80).map(|_| b.call(7)).collect();
-        calls.into_iter().filter(|(_, a)| sent_to(a).is_some()).map(|(id, _)| id).collect::<Vec<_>>()
+        calls
+            .into_iter()
+            .filter(|(_, a)| sent_to(a).is_some())
+            .map(|(id, _)| id)
+            .collect::<Vec<_>>()
     };
     let taken = burst(&mut b);
     assert!(taken.len() > 4 && taken.len() < 80, "{}", taken.len());
@@ -451,7 +602,13 @@
     for outcome in [Outcome::Error, Outcome::Absent] {
         let names: Vec<String> = (0..20).map(|i| format!("w{i}")).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
-        let mut b = Bench::new(Settings { front_ends: 20, ..settings(Effect::Safe) }, &names);
+        let mut b = Bench::new(
+            Settings {
+                front_ends: 20,
+                ..settings(Effect::Safe)
+            },
+            &names,
+        );
         let home = b.warm(1);
         let sends = |b: &mut Bench, calls: u64, works: bool| {
             let mut sends = 0;
@@ -470,12 +627,22 @@
             }
             sends
         };
-        assert!(sends(&mut b, 20, false) < 30, "{outcome:?}: loads are asked of a store that fails");
+        assert!(
+            sends(&mut b, 20, false) < 30,
+            "{outcome:?}: loads are asked of a store that fails"
+        );
         let (id, actions) = b.call(1);
-        assert_eq!(sent_to(&actions).as_ref(), Some(&home), "a warm copy goes on serving");
+        assert_eq!(
+            sent_to(&actions).as_ref(),
+            Some(&home),
+            "a warm copy goes on serving"
+        );
         b.finish(id, 0, &home, Outcome::Served);
         b.pass(5_000 * MS);
-        assert!(sends(&mut b, 5, true) >= 5, "{outcome:?}: loads are begun again");
+        assert!(
+            sends(&mut b, 5, true) >= 5,
+            "{outcome:?}: loads are begun again"
+        );
     }
 }
 
@@ -495,10 +662,17 @@
             ..Request::default()
         });
         let sent = sent_to(&actions);
-        assert!(sent.is_none_or(|w| w == home), "a call is sent into a load that it cannot outlast");
+        assert!(
+            sent.is_none_or(|w| w == home),
+            "a call is sent into a load that it cannot outlast"
+        );
         orders.extend(held(&actions));
     }
-    assert_eq!(orders.len(), 1, "one order, for the other worker: {orders:?}");
+    assert_eq!(
+        orders.len(),
+        1,
+        "one order, for the other worker: {orders:?}"
+    );
     assert_ne!(orders[0], home);
 }
 
@@ -509,17 +683,37 @@
     let mut taken = 0;
     for i in 0..60 {
         let (id, actions) = b.call(7);
-        let Some(worker) = sent_to(&actions) else { continue };
+        let Some(worker) = sent_to(&actions) else {
+            continue;
+        };
         taken += usize::from(i >= 40);
-        let (leaves, took) = if i < 20 { (false, 400 * MS) } else { (true, 1_500 * MS) };
+        let (leaves, took) = if i < 20 {
+            (false, 400 * MS)
+        } else {
+            (true, 1_500 * MS)
+        };
         b.pass(took);
         if leaves {
             b.event(Event::Left { request: id });
         }
-        let outcome = if leaves { Outcome::Cancelled } else { Outcome::Served };
-        b.finish_noted(id, 0, &worker, outcome, took, Some(CopyNote::Warm).filter(|_| !leaves));
+        let outcome = if leaves {
+            Outcome::Cancelled
+        } else {
+            Outcome::Served
+        };
+        b.finish_noted(
+            id,
+            0,
+            &worker,
+            outcome,
+            took,
+            Some(CopyNote::Warm).filter(|_| !leaves),
+        );
     }
-    assert!(taken < 20, "a worker is trusted that clients leave unanswered");
+    assert!(
+        taken < 20,
+        "a worker is trusted that clients leave unanswered"
+    );
 }
 
 #[test]
@@ -533,18 +727,32 @@
         for round in 0..300 {
             let (id, actions) = b.call(round % 12 + 1);
             b.answer_orders(&actions, Outcome::Served, 1);
-            let Some(worker) = sent_to(&actions) else { continue };
+            let Some(worker) = sent_to(&actions) else {
+                continue;
+            };
             b.pass(20 * MS);
             count += 1;
             let fails = failing && worker == bad && count % 4 > 0;
             lost += usize::from(fails);
-            b.finish(id, 0, &worker, if fails { Outcome::Error } else { Outcome::Served });
+            b.finish(
+                id,
+                0,
+                &worker,
+                if fails {
+                    Outcome::Error
+                } else {
+                    Outcome::Served
+                },
+            );
         }
         lost
     };
     assert_eq!(lost(&mut b, false), 0);
     let early = lost(&mut b, true);
-    assert!((3..30).contains(&early), "of about 75 calls that it is home to, lost {early}");
+    assert!(
+        (3..30).contains(&early),
+        "of about 75 calls that it is home to, lost {early}"
+    );
     assert_eq!(lost(&mut b, false), 0);
     let home = b.call(1).1;
     assert_eq!(sent_to(&home), Some(bad), "it serves again");
@@ -575,10 +783,16 @@
     for round in 0..300 {
         let (id, actions) = b.call(round % 12 + 1);
         b.answer_orders(&actions, Outcome::Served, 1);
-        let Some(worker) = sent_to(&actions) else { continue };
+        let Some(worker) = sent_to(&actions) else {
+            continue;
+        };
         sent += 1;
         b.pass(20 * MS);
-        let outcome = if (round * 7 + round / 12) % 3 == 0 { Outcome::Error } else { Outcome::Served };
+        let outcome = if (round * 7 + round / 12) % 3 == 0 {
+            Outcome::Error
+        } else {
+            Outcome::Served
+        };
         b.finish(id, 0, &worker, outcome);
     }
     // Chance makes one worker look worse for a moment; without the comparison all would be shut at once.
@@ -587,8 +801,17 @@
 
 /// Functions whose home is this worker, from this number on.
 fn homed_at(workers: &[&str], home: &Worker, from: u64, count: usize) -> Vec<u64> {
-    let home_of = |function: &u64| sent_to(&Bench::new(settings(Effect::Safe), workers).call(*function).1);
-    (from..).filter(|f| home_of(f).as_ref() == Some(home)).take(count).collect()
+    let home_of = |function: &u64| {
+        sent_to(
+            &Bench::new(settings(Effect::Safe), workers)
+                .call(*function)
+                .1,
+        )
+    };
+    (from..)
+        .filter(|f| home_of(f).as_ref() == Some(home))
+        .take(count)
+        .collect()
 }
 
 /// Two connections to the worker fail, so that it is left alone.
@@ -606,8 +829,14 @@
     let functions = homed_at(&THREE, &home, 1, 40);
     let mut b = Bench::new(settings(Effect::Safe), &THREE);
     cut_off(&mut b, &home, &functions[..2]);
-    let sent = functions[2..].iter().filter(|f| sent_to(&b.call(**f).1).is_some()).count();
-    assert!((6..=12).contains(&sent), "four for each worker at the most: {sent}");
+    let sent = functions[2..]
+        .iter()
+        .filter(|f| sent_to(&b.call(**f).1).is_some())
+        .count();
+    assert!(
+        (6..=12).contains(&sent),
+        "four for each worker at the most: {sent}"
+    );
 }
 
 #[test]
@@ -620,7 +849,10 @@
     b.pass(700 * MS);
     (1..=2).for_each(|id| drop(b.finish(id, 0, &home, Outcome::Unreachable)));
     let (_, actions) = b.call(functions[16]);
-    assert!(sent_to(&actions).is_some_and(|w| w != home), "loaded at one that is left");
+    assert!(
+        sent_to(&actions).is_some_and(|w| w != home),
+        "loaded at one that is left"
+    );
 }
 
 /// A worker adds one copy at a time, however many calls wait for it: counted each, they bar all other loads.
@@ -636,13 +868,26 @@
         b.warm(function);
     }
     let busy = |b: &mut Bench, function| {
-        let call = Request { function: Function(function), lanes: 1, ..Request::default() };
+        let call = Request {
+            function: Function(function),
+            lanes: 1,
+            ..Request::default()
+        };
         sent_to(&b.call_with(call).1).is_some_and(|w| w != lost)
     };
-    let waiting = (0..20).flat_map(|_| others).filter(|f| busy(&mut b, *f)).count();
-    assert!(waiting >= 9, "beside taken lanes, more than six loads, which are allowed: {waiting}");
+    let waiting = (0..20)
+        .flat_map(|_| others)
+        .filter(|f| busy(&mut b, *f))
+        .count();
+    assert!(
+        waiting >= 9,
+        "beside taken lanes, more than six loads, which are allowed: {waiting}"
+    );
     cut_off(&mut b, &lost, &functions[..2]);
-    assert!(sent_to(&b.call(functions[2]).1).is_some_and(|w| w != lost), "loaded at one that is left");
+    assert!(
+        sent_to(&b.call(functions[2]).1).is_some_and(|w| w != lost),
+        "loaded at one that is left"
+    );
 }
 
 #[test]
@@ -657,7 +902,10 @@
             b.finish_noted(id, 0, &worker, Outcome::Served, took, Some(CopyNote::Began));
         }
         cut_off(&mut b, &home, &functions[..2]);
-        functions[2..].iter().filter(|f| sent_to(&b.call(**f).1).is_some()).count()
+        functions[2..]
+            .iter()
+            .filter(|f| sent_to(&b.call(**f).1).is_some())
+            .count()
     };
     // Calls give the usual time of a load as 500 ms.
     let (usual, slow) = (sent(550 * MS), sent(2_050 * MS));
@@ -667,8 +915,16 @@
 /// The entries of twelve workers, every second one in a zone `b`, with the given state there.
 fn zoned(state_far: State) -> Vec<Entry> {
     let one = |i: u32| {
-        let (zone, state) = if i % 2 == 1 { ("b", state_far) } else { ("a", State::Live) };
-        Entry { zone: zone.into(), state, ..entry(&format!("w{i}")) }
+        let (zone, state) = if i % 2 == 1 {
+            ("b", state_far)
+        } else {
+            ("a", State::Live)
+        };
+        Entry {
+            zone: zone.into(),
+            state,
+            ..entry(&format!("w{i}"))
+        }
     };
     (0..12).map(one).collect()
 }
@@ -694,7 +950,11 @@
     which: fn(&Worker) -> bool,
     answer: impl Fn(&Worker) -> Option<Outcome>,
 ) -> usize {
-    play_many(b, calls, answer).1.iter().filter(|w| which(w)).count()
+    play_many(b, calls, answer)
+        .1
+        .iter()
+        .filter(|w| which(w))
+        .count()
 }
 
 #[test]
@@ -703,9 +963,17 @@
     sent_where(&mut b, 60, far, |_| Some(Outcome::Served));
     sent_where(&mut b, 60, far, |w| (!far(w)).then_some(Outcome::Served));
     // From here on no connection comes up there: no try is ever overdue.
-    let tries =
-        sent_where(&mut b, 400, far, |w| Some(if far(w) { Outcome::Unreachable } else { Outcome::Served }));
-    assert!((2..30).contains(&tries), "some tries in 20 s, not each call: {tries}");
+    let tries = sent_where(&mut b, 400, far, |w| {
+        Some(if far(w) {
+            Outcome::Unreachable
+        } else {
+            Outcome::Served
+        })
+    });
+    assert!(
+        (2..30).contains(&tries),
+        "some tries in 20 s, not each call: {tries}"
+    );
     sent_where(&mut b, 160, far, |_| Some(Outcome::Served));
     let back = sent_where(&mut b, 60, far, |_| Some(Outcome::Served));
     assert!(back > 10, "the zone is used again once it answers: {back}");
@@ -717,7 +985,13 @@
     sent_where(&mut b, 60, far, |_| Some(Outcome::Served));
     sent_where(&mut b, 60, far, |w| (!far(w)).then_some(Outcome::Served));
     let gone = zoned(State::Live).into_iter().filter(|e| !far(&e.worker));
-    b.changes(gone.map(|e| Entry { state: State::Gone, ..e }).collect());
+    b.changes(
+        gone.map(|e| Entry {
+            state: State::Gone,
+            ..e
+        })
+        .collect(),
+    );
     b.pass(5_000 * MS);
     let sent = sent_where(&mut b, 60, far, |_| Some(Outcome::Served));
     assert!(sent > 50, "{sent} of 60 went to the zone that is left");
@@ -727,14 +1001,22 @@
 fn in_a_large_tier_a_zone_that_says_nothing_is_left_and_found_again() {
     let mut b = two_zones("a", false);
     let sent_far = |b: &mut Bench, calls: u64, answers: bool| {
-        let (_, workers) = play_many(b, calls, |w| (answers || !far(w)).then_some(Outcome::Served));
+        let (_, workers) = play_many(b, calls, |w| {
+            (answers || !far(w)).then_some(Outcome::Served)
+        });
         workers.iter().filter(|w| far(w)).count()
     };
     assert!(sent_far(&mut b, 60, true) > 15, "both zones are used");
     let cut = sent_far(&mut b, 120, false);
-    assert!(cut < 15, "{cut} of some 60 calls went to a zone that says nothing");
+    assert!(
+        cut < 15,
+        "{cut} of some 60 calls went to a zone that says nothing"
+    );
     sent_far(&mut b, 160, true);
-    assert!(sent_far(&mut b, 60, true) > 15, "the zone is used again once it answers");
+    assert!(
+        sent_far(&mut b, 60, true) > 15,
+        "the zone is used again once it answers"
+    );
 }
 
 /// As [`play`], each call of another function.
@@ -761,7 +1043,9 @@
             let mut last = None;
             for _ in 0..12 {
                 let (request, actions) = b.call(function);
-                let Some(worker) = sent_to(&actions) else { continue };
+                let Some(worker) = sent_to(&actions) else {
+                    continue;
+                };
                 b.pass(50 * MS);
                 // Twelve calls of it stand there, as at each of its homes: lanes of three copies.
                 let end = Finished {
@@ -783,5 +1067,8 @@
         last_far
     };
     let (here, elsewhere) = (near("b"), near("a"));
-    assert!(here > 16 && elsewhere < 4, "{here} of 20 in zone b from there, {elsewhere} from zone a");
+    assert!(
+        here > 16 && elsewhere < 4,
+        "{here} of 20 in zone b from there, {elsewhere} from zone a"
+    );
 }
--- a/crates/pipithub-policy/tests/unforeseen.rs
+++ b/crates/pipithub-policy/tests/unforeseen.rs
@@ -15,13 +15,27 @@
     let (id, actions) = bench.call(7);
     assert!(sent_to(&actions).is_some(), "presumed at its home");
     let actions = bench.finish(id, 0, &worker, Outcome::Absent);
-    assert!(actions.iter().any(|a| matches!(a, Action::Hold { .. })), "ordered there: {actions:?}");
+    assert!(
+        actions.iter().any(|a| matches!(a, Action::Hold { .. })),
+        "ordered there: {actions:?}"
+    );
     // The worker tells that its cores are busy: second choice, and there is no other.
-    let load = Load { busy: Some(1.0), held: Some(1.0), ..Load::default() };
-    bench.event(Event::Probed { worker: worker.clone(), answered: true, load });
+    let load = Load {
+        busy: Some(1.0),
+        held: Some(1.0),
+        ..Load::default()
+    };
+    bench.event(Event::Probed {
+        worker: worker.clone(),
+        answered: true,
+        load,
+    });
     for _ in 0..3 {
         let (_, actions) = bench.call(7);
-        assert!(sent_to(&actions).is_some(), "sent to wait for the order: {actions:?}");
+        assert!(
+            sent_to(&actions).is_some(),
+            "sent to wait for the order: {actions:?}"
+        );
     }
     // Housekeeping must neither overflow nor take the worker for silent, and call back what is there.
     let actions = bench.pass(120 * MS);
--- a/crates/pipithub-policy/tests/world/day.rs
+++ b/crates/pipithub-policy/tests/world/day.rs
@@ -75,7 +75,11 @@
     /// A day without faults at a site of many front ends, as planned for: 1,700 front ends, 7 zones, an answer
     /// after 50 to 300 ms, most copies standing.
     pub fn quiet(seed: u64, workers: usize, functions: u64, rate: u64, length: Time) -> Day {
-        let class = Class { late_worth: 0.3, give_up: 4_000 * MS, ..Class::default() };
+        let class = Class {
+            late_worth: 0.3,
+            give_up: 4_000 * MS,
+            ..Class::default()
+        };
         let limits = Limits {
             max_attempts: 3,
             cancel: true,
@@ -83,13 +87,22 @@
             retry_after: true,
             max_retry_after: 500 * MS,
         };
-        let loading = Loading { tells_cold: true, tells_alike: true, ..Loading::default() };
+        let loading = Loading {
+            tells_cold: true,
+            tells_alike: true,
+            ..Loading::default()
+        };
         let settings = Settings {
             front_ends: 1_700,
             tick: 2 * MS,
             classes: vec![class],
             limits,
-            rules: Rules { cold_from: 0.2, ramp: 15_000 * MS, fall_multiple: 3.0, fall_span: 2_000 * MS },
+            rules: Rules {
+                cold_from: 0.2,
+                ramp: 15_000 * MS,
+                fall_multiple: 3.0,
+                fall_span: 2_000 * MS,
+            },
             loading,
             prices: Prices { probe: 0.02 },
             zone: "z0".to_string(),
@@ -143,10 +156,36 @@
         let third = self.start + self.length / 3;
         let cold_load = (1_000 * MS, 3_000 * MS);
         vec![
-            ("homes full", Day { full: 0.9, ..self.clone() }),
-            ("all cold", Day { warm: 0.0, started: 1.0, load: cold_load, ..self.clone() }),
-            ("a zone silent", Day { silent: Some((third, end)), ..self.clone() }),
-            ("a seventh gone", Day { seventh: Some(third), ..self.clone() }),
+            (
+                "homes full",
+                Day {
+                    full: 0.9,
+                    ..self.clone()
+                },
+            ),
+            (
+                "all cold",
+                Day {
+                    warm: 0.0,
+                    started: 1.0,
+                    load: cold_load,
+                    ..self.clone()
+                },
+            ),
+            (
+                "a zone silent",
+                Day {
+                    silent: Some((third, end)),
+                    ..self.clone()
+                },
+            ),
+            (
+                "a seventh gone",
+                Day {
+                    seventh: Some(third),
+                    ..self.clone()
+                },
+            ),
             ("each function once", Day { once: true, ..self }),
         ]
     }
@@ -159,15 +198,30 @@
         let placing = d.random_bool(0.12);
         // Some for a zone that says nothing while clients come and go, seen by one of many front ends.
         let muted = !placing && d.random_bool(0.12);
-        let workers =
-            between(d, if placing { 5 } else { 1 }, if placing { most.min(30) } else { most }) as usize;
+        let workers = between(
+            d,
+            if placing { 5 } else { 1 },
+            if placing { most.min(30) } else { most },
+        ) as usize;
         // A long day of a large tier costs the most: it is rare.
         let seconds = between(d, if placing { 20_000 } else { 5_000 }, 90_000);
-        let seconds = seconds.min(if muted { 20_000 } else { 5_000 + 400_000 / workers as u64 });
+        let seconds = seconds.min(if muted {
+            20_000
+        } else {
+            5_000 + 400_000 / workers as u64
+        });
         let (start, length) = (pick(d, &[0, 1, 77_000_000 * MS]), seconds * MS);
-        let zones = if muted { d.random_range(2..5) } else { between(d, 1, 9) as usize - 1 };
+        let zones = if muted {
+            d.random_range(2..5)
+        } else {
+            between(d, 1, 9) as usize - 1
+        };
         let quiet = placing || muted || d.random_bool(0.15);
-        let calls = if placing || muted { 400 } else { between(d, 50, if workers > 100 { 90 } else { 220 }) };
+        let calls = if placing || muted {
+            400
+        } else {
+            between(d, 50, if workers > 100 { 90 } else { 220 })
+        };
         let mut fault = |chance: f64, most: f64| {
             if quiet || !d.random_bool(chance) {
                 0.0
@@ -179,7 +233,8 @@
         let (unreachable, mute, slow) = (fault(0.3, 0.3), fault(0.3, 0.3), fault(0.4, 0.3));
         let (gone, load_fails, bad) = (fault(0.2, 0.3), fault(0.3, 0.8), fault(0.4, 0.6));
         let leaves = if muted { 0.4 } else { fault(0.5, 0.2) };
-        let some = |d: &mut SmallRng, chance: f64| d.random_bool(chance).then(|| start + length / 3);
+        let some =
+            |d: &mut SmallRng, chance: f64| d.random_bool(chance).then(|| start + length / 3);
         let class = |d: &mut SmallRng| {
             let aim = between(d, if muted { 500 } else { 150 }, 2_000) * MS;
             Class {
@@ -187,7 +242,16 @@
                 aim_stretch: pick(d, &[0.0, 0.0, 3.0]),
                 give_up: aim * between(d, if muted { 5 } else { 1 }, 8),
                 late_worth: pick(d, &[0.0, 0.3, 0.3, 0.8]),
-                effect: pick(d, &[Effect::Safe, Effect::Safe, Effect::Keyed, Effect::Keyed, Effect::Unsafe]),
+                effect: pick(
+                    d,
+                    &[
+                        Effect::Safe,
+                        Effect::Safe,
+                        Effect::Keyed,
+                        Effect::Keyed,
+                        Effect::Unsafe,
+                    ],
+                ),
                 group: pick(d, &[Group::All, Group::Zone, Group::Cell]),
                 dedup_window: pick(d, &[0, 700, 5_000]) * MS,
             }
@@ -207,7 +271,11 @@
             fall_span: pick(d, &[0, 500, 2_000]) * MS,
         };
         let call_loads = !placing && d.random_bool(0.7);
-        let ration = Ration { window: 3_000 * MS, base: d.random_range(1.0..6.0), share: 0.15 };
+        let ration = Ration {
+            window: 3_000 * MS,
+            base: d.random_range(1.0..6.0),
+            share: 0.15,
+        };
         let loading = Loading {
             orders: d.random_bool(if call_loads { 0.6 } else { 0.95 }),
             call_loads,
@@ -217,13 +285,19 @@
             ration: (!placing && d.random_bool(0.4)).then_some(ration),
         };
         let settings = Settings {
-            front_ends: between(d, if muted { 9 } else { 1 }, if placing { 3 } else { 1_700 }) as u32,
+            front_ends: between(
+                d,
+                if muted { 9 } else { 1 },
+                if placing { 3 } else { 1_700 },
+            ) as u32,
             tick: pick(d, &[0, 1, 2, 5]) * MS,
             classes,
             limits,
             rules,
             loading,
-            prices: Prices { probe: pick(d, &[0.0, 0.001, 0.01, 1.0]) },
+            prices: Prices {
+                probe: pick(d, &[0.0, 0.001, 0.01, 1.0]),
+            },
             zone: pick(d, &["", "z0", "z1", "elsewhere"]).to_string(),
             list_on_request: d.random_bool(0.5),
         };
@@ -240,11 +314,22 @@
             functions: between(d, if placing { 30 } else { 1 }, 60),
             once: d.random_bool(0.05),
             gap: length / calls,
-            burst: if muted { pick(d, &[1, 3, 8]) } else { pick(d, &[1, 1, 4, 12, 30]) },
-            run: (between(d, 5, 50) * MS, between(d, 50, if muted { 150 } else { 600 }) * MS),
+            burst: if muted {
+                pick(d, &[1, 3, 8])
+            } else {
+                pick(d, &[1, 1, 4, 12, 30])
+            },
+            run: (
+                between(d, 5, 50) * MS,
+                between(d, 50, if muted { 150 } else { 600 }) * MS,
+            ),
             load: (between(d, 50, 400) * MS, between(d, 400, 4_000) * MS),
             told_load: pick(d, &[0.0, 0.5, 1.0]),
-            warm: if placing { 0.0 } else { pick(d, &[0.0, 0.5, 0.9, 1.0]) },
+            warm: if placing {
+                0.0
+            } else {
+                pick(d, &[0.0, 0.5, 0.9, 1.0])
+            },
             others: pick(d, &[0.0, 3.0, 10.0]),
             alike: pick(d, &[0.0, 3.0, 12.0, 60.0]),
             cap: pick(d, &[8.0, 30.0, 1e9]),
@@ -264,7 +349,11 @@
             tells: pick(d, &[0.0, 0.6, 1.0]),
             probes: pick(d, &[1.0, 0.8, 0.3]),
             stops: pick(d, &[1.0, 0.8]),
-            changes: if quiet { 0 } else { pick(d, &[0, 300, 2_000]) * MS },
+            changes: if quiet {
+                0
+            } else {
+                pick(d, &[0, 300, 2_000]) * MS
+            },
             odd: d.random_bool(0.5),
             silent,
             seventh: some(d, 0.3),
--- a/crates/pipithub-policy/tests/world/meter.rs
+++ b/crates/pipithub-policy/tests/world/meter.rs
@@ -86,17 +86,26 @@
         let began = Instant::now();
         self.front.handle(at, event, &mut self.actions);
         let time = began.elapsed().as_nanos() as f64;
-        let spent = Spent { time, looked: work::taken() as f64 };
+        let spent = Spent {
+            time,
+            looked: work::taken() as f64,
+        };
         self.world.answer(&self.actions);
         spent
     }
 
     /// The day's next event; false once it is over.
     pub fn step(&mut self) -> bool {
-        let Some((at, event)) = self.world.step() else { return false };
+        let Some((at, event)) = self.world.step() else {
+            return false;
+        };
         let arrives = matches!(event, Event::Arrived(_));
         let chores = matches!(event, Event::Timer { token } if token >= CHORES_TOKEN);
-        let list = if let Event::List { entries, .. } = &event { Some(entries.len()) } else { None };
+        let list = if let Event::List { entries, .. } = &event {
+            Some(entries.len())
+        } else {
+            None
+        };
         let spent = self.give(at, event);
         if let Some(named) = list {
             self.lists.push((spent, named));
@@ -116,9 +125,15 @@
         let mean = |calls: &[Spent]| {
             let mut sum = Spent::default();
             calls.iter().for_each(|c| sum += *c);
-            Spent { time: sum.time / calls.len() as f64, looked: sum.looked / calls.len() as f64 }
+            Spent {
+                time: sum.time / calls.len() as f64,
+                looked: sum.looked / calls.len() as f64,
+            }
         };
-        self.calls[self.calls.len() / 5..].chunks_exact(length.max(1)).map(mean).collect()
+        self.calls[self.calls.len() / 5..]
+            .chunks_exact(length.max(1))
+            .map(mean)
+            .collect()
     }
 
     /// So many housekeeping timers after the last call has ended.
--- a/crates/pipithub-policy/tests/world/mod.rs
+++ b/crates/pipithub-policy/tests/world/mod.rs
@@ -151,15 +151,26 @@
     /// All workers as they stand, as the first list.
     pub fn complete(&self) -> Event {
         let live = |m: &&Machine| m.entry.state != State::Gone;
-        let entries = self.machines.iter().filter(live).map(|m| m.entry.clone()).collect();
-        Event::List { kind: ListKind::Complete, entries }
+        let entries = self
+            .machines
+            .iter()
+            .filter(live)
+            .map(|m| m.entry.clone())
+            .collect();
+        Event::List {
+            kind: ListKind::Complete,
+            entries,
+        }
     }
 
     /// One worker is replaced by a new process of its own: a list of one change.
     pub fn change_one(&mut self) -> Event {
         let one = self.news.random_range(0..self.machines.len());
         self.restart(one);
-        Event::List { kind: ListKind::Changes, entries: vec![self.machines[one].entry.clone()] }
+        Event::List {
+            kind: ListKind::Changes,
+            entries: vec![self.machines[one].entry.clone()],
+        }
     }
 
     /// A seventh of all workers goes at once, or comes back as new processes.
@@ -172,25 +183,44 @@
                 self.restart(*i);
             }
         }
-        let entries = which.iter().map(|i| self.machines[*i].entry.clone()).collect();
-        Event::List { kind: ListKind::Changes, entries }
+        let entries = which
+            .iter()
+            .map(|i| self.machines[*i].entry.clone())
+            .collect();
+        Event::List {
+            kind: ListKind::Changes,
+            entries,
+        }
     }
 
     /// What the front end did about the last event.
     pub fn answer(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
-                Action::Send { request, worker, .. } => self.sent(*request, worker),
+                Action::Send {
+                    request, worker, ..
+                } => self.sent(*request, worker),
                 Action::Cancel { request, attempt } => self.cancelled(*request, *attempt),
-                Action::Refuse { request, retry_after } => {
-                    self.count(if retry_after.is_some() { "refused for a while" } else { "refused" });
+                Action::Refuse {
+                    request,
+                    retry_after,
+                } => {
+                    self.count(if retry_after.is_some() {
+                        "refused for a while"
+                    } else {
+                        "refused"
+                    });
                     self.ended(*request, retry_after.unwrap_or(30 * MS));
                 }
                 Action::Fail { request } => {
                     self.count("failed");
                     self.ended(*request, 30 * MS);
                 }
-                Action::Hold { worker, function, copies } => self.ordered(worker, *function, *copies),
+                Action::Hold {
+                    worker,
+                    function,
+                    copies,
+                } => self.ordered(worker, *function, *copies),
                 Action::Drop { worker, function } => {
                     self.count("drop");
                     if let Some(i) = self.index.get(worker) {
@@ -199,7 +229,9 @@
                 }
                 Action::Probe { worker } => {
                     self.count("probe");
-                    let Some(&i) = self.index.get(worker) else { continue };
+                    let Some(&i) = self.index.get(worker) else {
+                        continue;
+                    };
                     let mut dice = self.dice(3, i as u64, self.now);
                     let gone = self.machines[i].entry.state == State::Gone || self.silent(i);
                     let answered = !gone && dice.random_bool(self.day.probes);
@@ -240,8 +272,13 @@
                 let call = self.draw_call();
                 // Some come at once, the others after a drawn while.
                 let together = self.day.burst > 1 && self.next_id % self.day.burst != 0;
-                let mean = if together { 0 } else { self.day.gap * self.day.burst };
-                let gap = (mean as f64 * -(1.0 - self.calls.random_range(0.0..1.0f64)).ln()) as Time;
+                let mean = if together {
+                    0
+                } else {
+                    self.day.gap * self.day.burst
+                };
+                let gap =
+                    (mean as f64 * -(1.0 - self.calls.random_range(0.0..1.0f64)).ln()) as Time;
                 self.at(self.now + gap, What::Calls);
                 return self.arrive(call);
             }
@@ -253,7 +290,9 @@
             }
             What::Timer(token) => Event::Timer { token },
             What::Streaming(request) => {
-                self.clients.get(&request).filter(|c| !c.over && !c.out.is_empty())?;
+                self.clients
+                    .get(&request)
+                    .filter(|c| !c.over && !c.out.is_empty())?;
                 self.count("streaming");
                 Event::Streaming { request }
             }
@@ -266,9 +305,21 @@
                 Event::Left { request }
             }
             What::Probed(i, answered) => {
-                self.count(if answered { "probe answered" } else { "probe not answered" });
-                let load = if answered { self.load(i) } else { Load::default() };
-                Event::Probed { worker: self.machines[i].entry.worker.clone(), answered, load }
+                self.count(if answered {
+                    "probe answered"
+                } else {
+                    "probe not answered"
+                });
+                let load = if answered {
+                    self.load(i)
+                } else {
+                    Load::default()
+                };
+                Event::Probed {
+                    worker: self.machines[i].entry.worker.clone(),
+                    answered,
+                    load,
+                }
             }
             What::Ordered(reply) => Event::Ordered(reply),
             What::News => {
@@ -294,12 +345,20 @@
         };
         let classes = self.day.settings.classes.len().max(1);
         let class = self.calls.random_range(0..classes);
-        let give_up = self.day.settings.classes.get(class).map_or(4_000 * MS, |c| c.give_up);
+        let give_up = self
+            .day
+            .settings
+            .classes
+            .get(class)
+            .map_or(4_000 * MS, |c| c.give_up);
         let mut dice = self.dice(1, function, 0);
         let (least, most) = self.day.load;
         let load_time = (dice.random_range(0.0..1.0) < self.day.told_load)
             .then(|| dice.random_range(least..=most.max(least + 1)));
-        let (lanes, memory_mb) = (dice.random_range(0..6), [0.0, 100.0, 900.0][dice.random_range(0..3)]);
+        let (lanes, memory_mb) = (
+            dice.random_range(0..6),
+            [0.0, 100.0, 900.0][dice.random_range(0..3)],
+        );
         let budget = match self.calls.random_range(0..8) {
             0 => None,
             1 => Some(give_up / 3),
@@ -308,7 +367,16 @@
         let expected = self.calls.random_bool(0.5).then(|| self.run_of(function));
         let id = self.next_id | 1 << 40;
         self.next_id += 1;
-        Request { id, expected, memory_mb, lanes, class, load_time, function: Function(function), budget }
+        Request {
+            id,
+            expected,
+            memory_mb,
+            lanes,
+            class,
+            load_time,
+            function: Function(function),
+            budget,
+        }
     }
 
     fn arrive(&mut self, call: Request) -> Option<Event> {
@@ -318,7 +386,12 @@
             let after = dice.random_range(MS..=self.day.leaves_within.max(MS));
             self.at(self.now + after, What::Left(call.id));
         }
-        let client = Client { call: call.clone(), attempts: 0, out: BTreeMap::new(), over: false };
+        let client = Client {
+            call: call.clone(),
+            attempts: 0,
+            out: BTreeMap::new(),
+            over: false,
+        };
         self.clients.insert(call.id, client);
         Some(Event::Arrived(call))
     }
@@ -326,18 +399,29 @@
     /// The usual run of a function, and what a load of it takes.
     fn run_of(&self, function: u64) -> Time {
         let (least, most) = self.day.run;
-        self.dice(1, function, 1).random_range(least..=most.max(least + 1))
+        self.dice(1, function, 1)
+            .random_range(least..=most.max(least + 1))
     }
 
     fn silent(&self, machine: usize) -> bool {
         let zone = &self.machines[machine].entry.zone;
-        zone == "z1" && self.day.silent.is_some_and(|(from, until)| (from..until).contains(&self.now))
+        zone == "z1"
+            && self
+                .day
+                .silent
+                .is_some_and(|(from, until)| (from..until).contains(&self.now))
     }
 
     /// Calls of the other front ends at a worker: some hold many times the mean, and all change.
     fn others(&self, machine: usize) -> f64 {
-        let busy = self.dice(6, machine as u64, 0).random_range(0.0..1.0f64).powi(3) * 4.0;
-        let present = self.dice(6, machine as u64, 1 + self.now / (400 * MS)).random_range(0.5..1.5);
+        let busy = self
+            .dice(6, machine as u64, 0)
+            .random_range(0.0..1.0f64)
+            .powi(3)
+            * 4.0;
+        let present = self
+            .dice(6, machine as u64, 1 + self.now / (400 * MS))
+            .random_range(0.5..1.5);
         (self.day.others * busy * present).floor()
     }
 
@@ -345,7 +429,11 @@
         let mut dice = self.dice(7, machine as u64, self.now);
         let held = self.others(machine) + self.machines[machine].own.len() as f64;
         // A few tell nonsense.
-        let held = if dice.random_bool(0.002) { f64::INFINITY } else { held };
+        let held = if dice.random_bool(0.002) {
+            f64::INFINITY
+        } else {
+            held
+        };
         let busy = (held / 16.0).min(1.0);
         Load {
             held: dice.random_bool(0.9).then_some(held),
@@ -357,11 +445,15 @@
 
     /// A send: how and when its attempt ends.
     fn sent(&mut self, request: RequestId, worker: &Worker) {
-        let Some(client) = self.clients.get_mut(&request) else { return };
+        let Some(client) = self.clients.get_mut(&request) else {
+            return;
+        };
         let (function, attempt) = (client.call.function, client.attempts);
         client.attempts += 1;
         let load_time = client.call.load_time;
-        let Some(&i) = self.index.get(worker) else { return };
+        let Some(&i) = self.index.get(worker) else {
+            return;
+        };
         client.out.insert(attempt, i);
         self.count("send");
         if attempt > 0 {
@@ -371,51 +463,72 @@
         let (now, day) = (self.now, &self.day);
         let chance = |dice: &mut SmallRng, p: f64| dice.random_range(0.0..1.0) < p;
         let machine = &self.machines[i];
-        let same = machine.own.iter().filter(|(r, _)| self.clients[r].call.function == function).count();
+        let same = machine
+            .own
+            .iter()
+            .filter(|(r, _)| self.clients[r].call.function == function)
+            .count();
         let rank = function.0 as f64;
         let alike = day.alike / rank * dice.random_range(0.5..1.5) + same as f64;
         let held = self.others(i) + machine.own.len() as f64;
-        let mut run = self.run_of(function.0) as f64 * dice.random_range(0.7..1.4) * (1.0 + held / 16.0);
+        let mut run =
+            self.run_of(function.0) as f64 * dice.random_range(0.7..1.4) * (1.0 + held / 16.0);
         if chance(&mut dice, day.slow) {
             run *= 10.0;
         }
         let mut load = None;
         let first = self.dice(9, i as u64, function.0).random_range(0.0..1.0) < day.warm;
         let drained = machine.entry.started.is_some();
-        let copy = machine.copies.get(&function).copied().or((first && !drained).then_some(0));
+        let copy = machine
+            .copies
+            .get(&function)
+            .copied()
+            .or((first && !drained).then_some(0));
         let copy = copy.filter(|_| !chance(&mut dice, day.gone));
         let bad = self.dice(10, i as u64, 0).random_range(0.0..1.0) < day.bad;
         let mut note = Some(CopyNote::Warm);
-        let (outcome, took) = if machine.entry.state == State::Gone || chance(&mut dice, day.unreachable) {
-            (Outcome::Unreachable, MS)
-        } else if self.silent(i) || chance(&mut dice, day.mute) {
-            (Outcome::TimedOut, [1_500, 4_000, 60_000][dice.random_range(0..3)] * MS)
-        } else if chance(&mut dice, day.full) || held > day.cap {
-            (Outcome::Full, MS)
-        } else if bad && chance(&mut dice, 0.8) || chance(&mut dice, day.error) {
-            (Outcome::Error, (run * 0.2) as Time)
-        } else if chance(&mut dice, day.broken) {
-            (Outcome::Broken, (run * 0.5) as Time)
-        } else if let Some(ready) = copy {
-            let wait = ready.saturating_sub(now);
-            note = Some(if wait > 0 { CopyNote::Waited } else { CopyNote::Warm });
-            load = Some(ready);
-            (Outcome::Served, wait + run as Time)
-        } else if !day.settings.loading.call_loads {
-            (Outcome::Absent, MS)
-        } else {
-            let (least, most) = day.load;
-            let usual = load_time.unwrap_or_else(|| self.dice(1, function.0, 2).random_range(least..=most));
-            let takes = (usual as f64 * dice.random_range(0.8..1.5)) as Time;
-            if chance(&mut dice, day.load_fails) {
-                note = Some(CopyNote::Failed);
-                ([Outcome::Error, Outcome::Absent][dice.random_range(0..2)], takes / 2)
+        let (outcome, took) =
+            if machine.entry.state == State::Gone || chance(&mut dice, day.unreachable) {
+                (Outcome::Unreachable, MS)
+            } else if self.silent(i) || chance(&mut dice, day.mute) {
+                (
+                    Outcome::TimedOut,
+                    [1_500, 4_000, 60_000][dice.random_range(0..3)] * MS,
+                )
+            } else if chance(&mut dice, day.full) || held > day.cap {
+                (Outcome::Full, MS)
+            } else if bad && chance(&mut dice, 0.8) || chance(&mut dice, day.error) {
+                (Outcome::Error, (run * 0.2) as Time)
+            } else if chance(&mut dice, day.broken) {
+                (Outcome::Broken, (run * 0.5) as Time)
+            } else if let Some(ready) = copy {
+                let wait = ready.saturating_sub(now);
+                note = Some(if wait > 0 {
+                    CopyNote::Waited
+                } else {
+                    CopyNote::Warm
+                });
+                load = Some(ready);
+                (Outcome::Served, wait + run as Time)
+            } else if !day.settings.loading.call_loads {
+                (Outcome::Absent, MS)
             } else {
-                note = Some(CopyNote::Began);
-                load = Some(now + takes);
-                (Outcome::Served, takes + run as Time)
-            }
-        };
+                let (least, most) = day.load;
+                let usual = load_time
+                    .unwrap_or_else(|| self.dice(1, function.0, 2).random_range(least..=most));
+                let takes = (usual as f64 * dice.random_range(0.8..1.5)) as Time;
+                if chance(&mut dice, day.load_fails) {
+                    note = Some(CopyNote::Failed);
+                    (
+                        [Outcome::Error, Outcome::Absent][dice.random_range(0..2)],
+                        takes / 2,
+                    )
+                } else {
+                    note = Some(CopyNote::Began);
+                    load = Some(now + takes);
+                    (Outcome::Served, takes + run as Time)
+                }
+            };
         let tells = outcome != Outcome::TimedOut && chance(&mut dice, day.tells);
         let end = Finished {
             request,
@@ -425,7 +538,8 @@
             took,
             settled: false,
             note: note.filter(|_| day.settings.loading.tells_cold && outcome != Outcome::TimedOut),
-            alike: (day.settings.loading.tells_alike && outcome == Outcome::Served).then_some(alike as u32),
+            alike: (day.settings.loading.tells_alike && outcome == Outcome::Served)
+                .then_some(alike as u32),
             load: if tells { self.load(i) } else { Load::default() },
         };
         if outcome == Outcome::Served && chance(&mut dice, day.streams) {
@@ -467,7 +581,11 @@
     }
 
     fn forget(&mut self, request: RequestId) {
-        if self.clients.get(&request).is_some_and(|c| c.over && c.out.is_empty()) {
+        if self
+            .clients
+            .get(&request)
+            .is_some_and(|c| c.over && c.out.is_empty())
+        {
             self.clients.remove(&request);
         }
     }
@@ -475,13 +593,23 @@
     fn cancelled(&mut self, request: RequestId, attempt: u32) {
         self.count("cancel");
         let mut dice = self.dice(11, request, u64::from(attempt));
-        let machine = self.clients.get(&request).and_then(|c| c.out.get(&attempt)).copied();
-        let Some(machine) = machine.filter(|_| dice.random_bool(self.day.stops)) else { return };
+        let machine = self
+            .clients
+            .get(&request)
+            .and_then(|c| c.out.get(&attempt))
+            .copied();
+        let Some(machine) = machine.filter(|_| dice.random_bool(self.day.stops)) else {
+            return;
+        };
         let end = Finished {
             request,
             attempt,
             worker: self.machines[machine].entry.worker.clone(),
-            outcome: if dice.random_bool(0.05) { Outcome::NotSent } else { Outcome::Cancelled },
+            outcome: if dice.random_bool(0.05) {
+                Outcome::NotSent
+            } else {
+                Outcome::Cancelled
+            },
             took: dice.random_range(20..400) * MS,
             settled: false,
             note: None,
@@ -493,7 +621,9 @@
 
     /// The front end gave the final answer.
     fn ended(&mut self, request: RequestId, away: Time) {
-        let Some(client) = self.clients.get_mut(&request) else { return };
+        let Some(client) = self.clients.get_mut(&request) else {
+            return;
+        };
         client.over = true;
         let call = client.call.clone();
         let mut dice = self.dice(12, request, 0);
@@ -506,12 +636,22 @@
 
     fn ordered(&mut self, worker: &Worker, function: Function, copies: u32) {
         self.count("hold");
-        let Some(&i) = self.index.get(worker) else { return };
+        let Some(&i) = self.index.get(worker) else {
+            return;
+        };
         let mut dice = self.dice(13, i as u64, function.0 ^ self.now);
         let (least, most) = self.day.load;
-        let stands = self.machines[i].copies.get(&function).is_some_and(|ready| *ready <= self.now);
-        let takes = if stands { MS } else { dice.random_range(least..=most) };
-        let fails = self.machines[i].entry.state == State::Gone || dice.random_bool(self.day.load_fails);
+        let stands = self.machines[i]
+            .copies
+            .get(&function)
+            .is_some_and(|ready| *ready <= self.now);
+        let takes = if stands {
+            MS
+        } else {
+            dice.random_range(least..=most)
+        };
+        let fails =
+            self.machines[i].entry.state == State::Gone || dice.random_bool(self.day.load_fails);
         let outcome = match dice.random_range(0..4) {
             _ if !fails => Outcome::Served,
             0 => Outcome::Error,
@@ -523,8 +663,18 @@
             self.machines[i].copies.insert(function, self.now + takes);
         }
         self.count(if fails { "order failed" } else { "order done" });
-        let stand = if fails { dice.random_range(0..2) } else { copies + dice.random_range(0..2) };
-        let reply = Ordered { worker: worker.clone(), function, outcome, took: takes, copies: stand };
+        let stand = if fails {
+            dice.random_range(0..2)
+        } else {
+            copies + dice.random_range(0..2)
+        };
+        let reply = Ordered {
+            worker: worker.clone(),
+            function,
+            outcome,
+            took: takes,
+            copies: stand,
+        };
         self.at(self.now + takes, What::Ordered(reply));
     }
 
@@ -543,12 +693,20 @@
             worker: worker.clone(),
             share: [0.0, 1.0, 2.0][dice.random_range(0..3)],
             state: State::Live,
-            zone: if self.day.zones > 0 { format!("z{zone}") } else { String::new() },
+            zone: if self.day.zones > 0 {
+                format!("z{zone}")
+            } else {
+                String::new()
+            },
             cell: dice.random_range(0..4),
             memory_mb: [0.0, 2_000.0, 16_000.0][dice.random_range(0..3)],
             started,
         };
-        self.machines.push(Machine { entry, copies: BTreeMap::new(), own: BTreeSet::new() });
+        self.machines.push(Machine {
+            entry,
+            copies: BTreeMap::new(),
+            own: BTreeSet::new(),
+        });
         self.index.insert(worker, i);
         i
     }
@@ -578,12 +736,22 @@
             }
             named.insert(i);
         }
-        let roll = if self.day.odd { self.news.random_range(0..12) } else { 11 };
-        let mut entries: Vec<Entry> = named.iter().map(|i| self.machines[*i].entry.clone()).collect();
+        let roll = if self.day.odd {
+            self.news.random_range(0..12)
+        } else {
+            11
+        };
+        let mut entries: Vec<Entry> = named
+            .iter()
+            .map(|i| self.machines[*i].entry.clone())
+            .collect();
         match roll {
             0 => {
                 self.count("list lost");
-                Event::List { kind: ListKind::Lost, entries: Vec::new() }
+                Event::List {
+                    kind: ListKind::Lost,
+                    entries: Vec::new(),
+                }
             }
             1 | 2 => {
                 self.count("list complete");
@@ -592,26 +760,48 @@
             3 => {
                 // A stale one: some are missing.
                 self.count("list remembered");
-                let Event::List { mut entries, .. } = self.complete() else { return self.complete() };
+                let Event::List { mut entries, .. } = self.complete() else {
+                    return self.complete();
+                };
                 entries.retain(|_| self.news.random_bool(0.8));
-                Event::List { kind: ListKind::Remembered, entries }
+                Event::List {
+                    kind: ListKind::Remembered,
+                    entries,
+                }
             }
             4 | 5 => {
                 // The same worker twice, first as it was not; and one that nobody knows, gone.
                 self.count("list with one twice");
-                let stray = Entry { worker: Worker::new("nobody:1"), state: State::Gone, ..Entry::default() };
+                let stray = Entry {
+                    worker: Worker::new("nobody:1"),
+                    state: State::Gone,
+                    ..Entry::default()
+                };
                 if let Some(first) = entries.first().cloned() {
                     let states = [State::Live, State::Draining, State::Gone];
                     let state = states[self.news.random_range(0..3)];
                     let started = Some(self.now).filter(|_| self.news.random_bool(0.5));
-                    entries.insert(0, Entry { state, started, ..first });
+                    entries.insert(
+                        0,
+                        Entry {
+                            state,
+                            started,
+                            ..first
+                        },
+                    );
                 }
                 entries.push(stray);
-                Event::List { kind: ListKind::Changes, entries }
+                Event::List {
+                    kind: ListKind::Changes,
+                    entries,
+                }
             }
             _ => {
                 self.count("list of changes");
-                Event::List { kind: ListKind::Changes, entries }
+                Event::List {
+                    kind: ListKind::Changes,
+                    entries,
+                }
             }
         }
     }
--- a/crates/pipithub-settings/src/fleet.rs
+++ b/crates/pipithub-settings/src/fleet.rs
@@ -50,14 +50,26 @@
     let span = node.node.span();
     let cluster = node.name();
     let listen = child(&node, "listen");
-    if listen.is_none() && node.node.children().is_none_or(|c| c.get("listen").is_none()) {
-        node.faults.add(span, "fleet needs 'listen'", Some("listen \"10.0.0.4:7100\""));
+    if listen.is_none()
+        && node
+            .node
+            .children()
+            .is_none_or(|c| c.get("listen").is_none())
+    {
+        node.faults.add(
+            span,
+            "fleet needs 'listen'",
+            Some("listen \"10.0.0.4:7100\""),
+        );
     }
     let advertise = child(&node, "advertise");
     let told = advertise.or(listen);
-    if let Some(told) = told.filter(|a| a.ip().is_unspecified() || advertise.is_some() && a.port() == 0) {
+    if let Some(told) =
+        told.filter(|a| a.ip().is_unspecified() || advertise.is_some() && a.port() == 0)
+    {
         let help = "advertise \"10.0.0.4:7100\": where the others find this front end";
-        node.faults.add(span, format!("others cannot reach {told}"), Some(help));
+        node.faults
+            .add(span, format!("others cannot reach {told}"), Some(help));
     }
     let data = node.text("data").map(PathBuf::from);
     if data.is_none() {
@@ -68,7 +80,11 @@
     for seed in node.all("seed") {
         if let Some(address) = address(&seed) {
             if seeds.contains(&address) {
-                seed.faults.add(seed.node.span(), format!("seed {address} is given twice"), None);
+                seed.faults.add(
+                    seed.node.span(),
+                    format!("seed {address} is given twice"),
+                    None,
+                );
             } else {
                 seeds.push(address);
             }
@@ -80,10 +96,18 @@
         let to = route.text("to").and_then(|t| t.parse().ok());
         match (address(&route), to) {
             (Some(address), Some(_)) if via.contains_key(&address) => {
-                route.faults.add(route.node.span(), format!("'via' of {address} is given twice"), None);
+                route.faults.add(
+                    route.node.span(),
+                    format!("'via' of {address} is given twice"),
+                    None,
+                );
             }
             (Some(address), Some(to)) => drop(via.insert(address, to)),
-            (Some(_), None) => route.faults.add(route.node.span(), "'via' needs 'to' with an address", None),
+            (Some(_), None) => {
+                route
+                    .faults
+                    .add(route.node.span(), "'via' needs 'to' with an address", None)
+            }
             _ => {}
         }
         route.finish();
@@ -107,10 +131,22 @@
         Ok(()) => {}
     }
     if instances > 1 {
-        let help = "one front end for each process, so that a name stands for one process and one folder";
-        node.faults.add(span, format!("fleet with {instances} instances"), Some(help));
+        let help =
+            "one front end for each process, so that a name stands for one process and one folder";
+        node.faults.add(
+            span,
+            format!("fleet with {instances} instances"),
+            Some(help),
+        );
     }
     let zone = node.text("zone").unwrap_or_default();
     node.finish();
-    Some(FleetSettings { members, listen: listen?, advertise, zone, data: data?, via })
+    Some(FleetSettings {
+        members,
+        listen: listen?,
+        advertise,
+        zone,
+        data: data?,
+        via,
+    })
 }
--- a/crates/pipithub-settings/src/lib.rs
+++ b/crates/pipithub-settings/src/lib.rs
@@ -18,7 +18,9 @@
 use pipithub_consumer::identity::Rule;
 use pipithub_consumer::message::Route;
 use pipithub_engine::{EngineSettings, Time};
-pub use tenants::{DirectoryConfig, ServerConfig, SnapshotConfig, TenantConfig, TenantsConfig, Tls};
+pub use tenants::{
+    DirectoryConfig, ServerConfig, SnapshotConfig, TenantConfig, TenantsConfig, Tls,
+};
 
 /// One fault of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, Diagnostic)]
@@ -49,16 +51,27 @@
 impl Faults {
     fn new(name: &str, text: &str, faults: Vec<Fault>) -> Self {
         let source_code = NamedSource::new(name, text.to_string());
-        Faults { source_code, faults, text: text.to_string() }
+        Faults {
+            source_code,
+            faults,
+            text: text.to_string(),
+        }
     }
 
     /// The line of each fault, from 1, with its message.
     pub fn lines(&self) -> Vec<(usize, String)> {
         let line = |f: &Fault| {
             let end = f.span.offset().min(self.text.len());
-            self.text.as_bytes()[..end].iter().filter(|b| **b == b'\n').count() + 1
+            self.text.as_bytes()[..end]
+                .iter()
+                .filter(|b| **b == b'\n')
+                .count()
+                + 1
         };
-        self.faults.iter().map(|f| (line(f), f.message.clone())).collect()
+        self.faults
+            .iter()
+            .map(|f| (line(f), f.message.clone()))
+            .collect()
     }
 }
 
--- a/crates/pipithub-settings/src/read.rs
+++ b/crates/pipithub-settings/src/read.rs
@@ -15,7 +15,8 @@
 
 use crate::tenants::{self, Tenants};
 use crate::{
-    AmqpConfig, Config, CronConfig, Fault, HttpConfig, LogConfig, QueueConfig, WorkersConfig, arc, duration,
+    AmqpConfig, Config, CronConfig, Fault, HttpConfig, LogConfig, QueueConfig, WorkersConfig, arc,
+    duration,
 };
 
 pub(crate) const MS: Time = 1_000_000;
@@ -28,7 +29,11 @@
 impl Faulty {
     pub(crate) fn add(&self, span: SourceSpan, message: impl Into<String>, help: Option<&str>) {
         let (message, help) = (message.into(), help.map(str::to_string));
-        self.0.borrow_mut().push(Fault { message, span, help });
+        self.0.borrow_mut().push(Fault {
+            message,
+            span,
+            help,
+        });
     }
 }
 
@@ -41,7 +46,11 @@
 
 impl<'a> Reader<'a> {
     pub(crate) fn new(node: &'a KdlNode, faults: &'a Faulty) -> Self {
-        Reader { node, faults, seen: RefCell::default() }
+        Reader {
+            node,
+            faults,
+            seen: RefCell::default(),
+        }
     }
 
     fn children(&self) -> impl Iterator<Item = &'a KdlNode> {
@@ -64,7 +73,8 @@
         let mut all = self.all(name).into_iter();
         let first = all.next();
         for more in all {
-            self.faults.add(more.node.span(), format!("'{name}' is given twice"), None);
+            self.faults
+                .add(more.node.span(), format!("'{name}' is given twice"), None);
         }
         first
     }
@@ -103,10 +113,15 @@
     /// A value given as a child node or as a property.
     pub(crate) fn value(&self, name: &str) -> Option<(&'a KdlValue, SourceSpan)> {
         let child = self.one(name);
-        let property = self.node.entries().iter().find(|e| e.name().is_some_and(|n| n.value() == name));
+        let property = self
+            .node
+            .entries()
+            .iter()
+            .find(|e| e.name().is_some_and(|n| n.value() == name));
         match (child, property) {
             (Some(child), Some(property)) => {
-                self.faults.add(property.span(), format!("'{name}' is given twice"), None);
+                self.faults
+                    .add(property.span(), format!("'{name}' is given twice"), None);
                 child.argument()
             }
             (Some(child), None) => {
@@ -121,7 +136,11 @@
         let (value, span) = self.value(name)?;
         let taken = take(value);
         if taken.is_none() {
-            self.faults.add(span, format!("'{name}' cannot be {value}"), Some(&format!("it takes {what}")));
+            self.faults.add(
+                span,
+                format!("'{name}' cannot be {value}"),
+                Some(&format!("it takes {what}")),
+            );
         }
         taken
     }
@@ -131,13 +150,16 @@
     }
 
     pub(crate) fn flag(&self, name: &str, default: bool) -> bool {
-        self.typed(name, "#true or #false", KdlValue::as_bool).unwrap_or(default)
+        self.typed(name, "#true or #false", KdlValue::as_bool)
+            .unwrap_or(default)
     }
 
     pub(crate) fn whole(&self, name: &str, default: u64, least: u64, most: u64) -> u64 {
         let what = format!("a whole number from {least} to {most}");
         let take = |v: &KdlValue| {
-            v.as_integer().and_then(|n| u64::try_from(n).ok()).filter(|n| (least..=most).contains(n))
+            v.as_integer()
+                .and_then(|n| u64::try_from(n).ok())
+                .filter(|n| (least..=most).contains(n))
         };
         self.typed(name, &what, take).unwrap_or(default)
     }
@@ -152,8 +174,16 @@
     }
 
     pub(crate) fn maybe_time(&self, name: &str, least: Time, most: Time) -> Option<Time> {
-        let what = format!("a time from {} to {}, as \"250ms\" or \"2s\"", written(least), written(most));
-        let take = |v: &KdlValue| v.as_string().and_then(duration).filter(|t| (least..=most).contains(t));
+        let what = format!(
+            "a time from {} to {}, as \"250ms\" or \"2s\"",
+            written(least),
+            written(most)
+        );
+        let take = |v: &KdlValue| {
+            v.as_string()
+                .and_then(duration)
+                .filter(|t| (least..=most).contains(t))
+        };
         self.typed(name, &what, take)
     }
 
@@ -163,8 +193,14 @@
 
     pub(crate) fn choice<T: Copy>(&self, name: &str, default: T, choices: &[(&str, T)]) -> T {
         let names: Vec<&str> = choices.iter().map(|(n, _)| *n).collect();
-        let take = |v: &KdlValue| choices.iter().find(|(n, _)| Some(*n) == v.as_string()).map(|(_, t)| *t);
-        self.typed(name, &format!("one of {}", names.join(", ")), take).unwrap_or(default)
+        let take = |v: &KdlValue| {
+            choices
+                .iter()
+                .find(|(n, _)| Some(*n) == v.as_string())
+                .map(|(_, t)| *t)
+        };
+        self.typed(name, &format!("one of {}", names.join(", ")), take)
+            .unwrap_or(default)
     }
 
     /// Tells of everything that no one has asked for.
@@ -177,7 +213,9 @@
             self.faults.add(child.name().span(), text, help.as_deref());
         }
         for entry in self.node.entries() {
-            let Some(name) = entry.name().map(|n| n.value()) else { continue };
+            let Some(name) = entry.name().map(|n| n.value()) else {
+                continue;
+            };
             if !seen.contains(name) && !properties.contains(&name) {
                 let help = near(name, seen.iter().map(String::as_str));
                 let text = format!("'{}' has no '{name}'", self.node.name().value());
@@ -208,7 +246,9 @@
             let mut last = row[0];
             row[0] = i + 1;
             for (j, cb) in b.iter().enumerate() {
-                let next = (last + usize::from(ca != *cb)).min(row[j] + 1).min(row[j + 1] + 1);
+                let next = (last + usize::from(ca != *cb))
+                    .min(row[j] + 1)
+                    .min(row[j + 1] + 1);
                 last = std::mem::replace(&mut row[j + 1], next);
             }
         }
@@ -221,7 +261,10 @@
 pub(crate) fn config(text: &str) -> Result<Config, Vec<Fault>> {
     let document = KdlDocument::from_str(text).map_err(|error| {
         let fault = |d: &kdl::KdlDiagnostic| Fault {
-            message: d.message.clone().unwrap_or_else(|| "this is not KDL".to_string()),
+            message: d
+                .message
+                .clone()
+                .unwrap_or_else(|| "this is not KDL".to_string()),
             span: d.span,
             help: d.help.clone(),
         };
@@ -232,14 +275,20 @@
     root.set_children(document);
     let config = whole(&Reader::new(&root, &faults));
     let faults = faults.0.into_inner();
-    if faults.is_empty() { Ok(config) } else { Err(faults) }
+    if faults.is_empty() {
+        Ok(config)
+    } else {
+        Err(faults)
+    }
 }
 
 fn whole(root: &Reader<'_>) -> Config {
     let empty = KdlNode::new("default");
     let nothing = || Reader::new(&empty, root.faults);
     let front = root.one("front-end");
-    let name = front.as_ref().map_or_else(|| "front-end".to_string(), Reader::name);
+    let name = front
+        .as_ref()
+        .map_or_else(|| "front-end".to_string(), Reader::name);
     let front = front.unwrap_or_else(nothing);
     let instances = front.whole("instances", 1, 1, 64) as u32;
     let peers = front.whole("peers", u64::from(instances), 1, 1_000_000) as u32;
@@ -252,7 +301,11 @@
     for node in root.all("class") {
         let name = node.name();
         if names.iter().any(|(n, _)| *n == name) {
-            root.faults.add(node.node.span(), format!("class '{name}' is given twice"), None);
+            root.faults.add(
+                node.node.span(),
+                format!("class '{name}' is given twice"),
+                None,
+            );
         }
         worths.push(node.number("worth", 1.0, 0.0, 1e6));
         let class = class(&node);
@@ -261,7 +314,11 @@
         node.finish();
     }
     if classes.is_empty() {
-        root.faults.add((0, 0).into(), "no class is given", Some("class \"view\" { effect \"safe\" }"));
+        root.faults.add(
+            (0, 0).into(),
+            "no class is given",
+            Some("class \"view\" { effect \"safe\" }"),
+        );
         classes.push(Class::default());
         names.push((String::new(), false));
         worths.push(1.0);
@@ -311,31 +368,61 @@
     let bounds = root.one("engine").unwrap_or_else(nothing);
     let defaults = EngineSettings::default();
     let tick = bounds.time("tick", MS, MS / 10, 100 * MS);
-    let settings =
-        Settings { front_ends: peers, tick, classes, limits, rules, loading, ..Settings::default() };
+    let settings = Settings {
+        front_ends: peers,
+        tick,
+        classes,
+        limits,
+        rules,
+        loading,
+        ..Settings::default()
+    };
     let engine = EngineSettings {
         policy: settings,
         max_open: bounds.whole("max-open", defaults.max_open as u64, 1, 1_000_000) as usize,
         max_bytes: bounds.whole("max-mb", 256, 1, 65_536) as usize * (1 << 20),
         answer_margin: bounds.time("answer-margin", defaults.answer_margin, 0, 10 * SECOND),
         remember: bounds.whole("remember", defaults.remember as u64, 0, 10_000_000) as usize,
-        remember_for: bounds.time("remember-for", defaults.remember_for, longest, 86_400 * SECOND),
-        max_deliveries: bounds.whole("max-deliveries", u64::from(defaults.max_deliveries), 1, 1_000_000)
-            as u32,
+        remember_for: bounds.time(
+            "remember-for",
+            defaults.remember_for,
+            longest,
+            86_400 * SECOND,
+        ),
+        max_deliveries: bounds.whole(
+            "max-deliveries",
+            u64::from(defaults.max_deliveries),
+            1,
+            1_000_000,
+        ) as u32,
         max_names: bounds.whole("max-names", defaults.max_names as u64, 16, 10_000_000) as usize,
         owners: Default::default(),
     };
     bounds.finish();
 
     let (tenants, owners) = tenants::read(root, &names, worths);
-    let engine = EngineSettings { owners: owners.into(), ..engine };
+    let engine = EngineSettings {
+        owners: owners.into(),
+        ..engine
+    };
 
-    let amqp: Vec<AmqpConfig> =
-        root.all("amqp").iter().map(|node| broker(node, &names, &engine, &tenants)).collect();
-    let cron: Vec<CronConfig> = root.all("cron").iter().map(|node| timer(node, &names, &tenants)).collect();
+    let amqp: Vec<AmqpConfig> = root
+        .all("amqp")
+        .iter()
+        .map(|node| broker(node, &names, &engine, &tenants))
+        .collect();
+    let cron: Vec<CronConfig> = root
+        .all("cron")
+        .iter()
+        .map(|node| timer(node, &names, &tenants))
+        .collect();
     let workers = root.one("workers");
     if workers.is_none() {
-        root.faults.add((0, 0).into(), "no workers are given", Some("workers { worker \"127.0.0.1:9000\" }"));
+        root.faults.add(
+            (0, 0).into(),
+            "no workers are given",
+            Some("workers { worker \"127.0.0.1:9000\" }"),
+        );
     }
     let workers = self::workers(&workers.unwrap_or_else(nothing));
 
@@ -351,7 +438,10 @@
     let fleet = crate::fleet::read(root, instances);
     let node = root.one("log").unwrap_or_else(nothing);
     let json = node.choice("format", false, &[("text", false), ("json", true)]);
-    let log = LogConfig { json, level: node.text("level").unwrap_or_else(|| "info".into()) };
+    let log = LogConfig {
+        json,
+        level: node.text("level").unwrap_or_else(|| "info".into()),
+    };
     node.finish();
     root.finish();
     Config {
@@ -372,43 +462,76 @@
 
 fn class(node: &Reader<'_>) -> Class {
     if node.one("effect").is_none() && node.node.get("effect").is_none() {
-        let help = "effect \"safe\", \"keyed\" or \"unsafe\": whether a call may run twice must be said";
-        node.faults.add(node.node.span(), "a class needs 'effect'", Some(help));
-    }
-    let effects = [("safe", Effect::Safe), ("keyed", Effect::Keyed), ("unsafe", Effect::Unsafe)];
+        let help =
+            "effect \"safe\", \"keyed\" or \"unsafe\": whether a call may run twice must be said";
+        node.faults
+            .add(node.node.span(), "a class needs 'effect'", Some(help));
+    }
+    let effects = [
+        ("safe", Effect::Safe),
+        ("keyed", Effect::Keyed),
+        ("unsafe", Effect::Unsafe),
+    ];
     let effect = node.choice("effect", Effect::Unsafe, &effects);
     let aim = node.time("aim", SECOND, MS, 3_600 * SECOND);
     let give_up = node.time("give-up", 4 * aim, MS, 3_600 * SECOND);
     if give_up < aim {
-        let text = format!("give-up ({}) is before aim ({})", written(give_up), written(aim));
+        let text = format!(
+            "give-up ({}) is before aim ({})",
+            written(give_up),
+            written(aim)
+        );
         node.faults.add(node.node.span(), text, None);
     }
     let dedup = node.maybe_time("dedup-window", MS, 3_600 * SECOND);
     let group = node.choice(
         "group",
         Group::All,
-        &[("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)],
+        &[
+            ("all", Group::All),
+            ("zone", Group::Zone),
+            ("cell", Group::Cell),
+        ],
     );
     if effect == Effect::Keyed && dedup.is_none() {
         let help = "for how long workers drop repeats of a key; without it no repeat is harmless";
-        node.faults.add(node.node.span(), "a keyed class needs 'dedup-window'", Some(help));
+        node.faults.add(
+            node.node.span(),
+            "a keyed class needs 'dedup-window'",
+            Some(help),
+        );
     }
     if effect != Effect::Keyed && dedup.is_some() {
-        node.faults.add(node.node.span(), "only a keyed class has a 'dedup-window'", None);
+        node.faults.add(
+            node.node.span(),
+            "only a keyed class has a 'dedup-window'",
+            None,
+        );
     }
     let late_worth = node.number("late-worth", 0.0, 0.0, 1.0);
     let aim_stretch = node.number("aim-stretch", 0.0, 0.0, 1_000.0);
-    Class { aim, aim_stretch, give_up, late_worth, effect, group, dedup_window: dedup.unwrap_or(0) }
+    Class {
+        aim,
+        aim_stretch,
+        give_up,
+        late_worth,
+        effect,
+        group,
+        dedup_window: dedup.unwrap_or(0),
+    }
 }
 
 /// What holds for the calls of a queue or timer.
 fn route(node: &Reader<'_>, classes: &[(String, bool)]) -> Route {
     let class = node.value("class").and_then(|(value, span)| {
-        let found = value.as_string().and_then(|name| classes.iter().position(|(n, _)| n == name));
+        let found = value
+            .as_string()
+            .and_then(|name| classes.iter().position(|(n, _)| n == name));
         if found.is_none() {
             let known: Vec<&str> = classes.iter().map(|(n, _)| n.as_str()).collect();
             let help = format!("classes are {}", known.join(", "));
-            node.faults.add(span, format!("there is no class {value}"), Some(&help));
+            node.faults
+                .add(span, format!("there is no class {value}"), Some(&help));
         }
         found
     });
@@ -431,9 +554,17 @@
     tenants: &Tenants,
 ) -> AmqpConfig {
     let name = node.name();
-    let addresses: Vec<String> = node.all("address").iter().map(|a| address(a, a.argument())).collect();
+    let addresses: Vec<String> = node
+        .all("address")
+        .iter()
+        .map(|a| address(a, a.argument()))
+        .collect();
     if addresses.is_empty() {
-        node.faults.add(node.node.span(), format!("amqp '{name}' needs an 'address'"), None);
+        node.faults.add(
+            node.node.span(),
+            format!("amqp '{name}' needs an 'address'"),
+            None,
+        );
     }
     let mut login = Login::default();
     if let Some(l) = node.one("login") {
@@ -450,11 +581,17 @@
     let queue = |q: Reader<'_>| {
         let prefetch = q.whole("prefetch", 100, 1, 65_535) as u16;
         if usize::from(prefetch) > engine.max_open {
-            let text = format!("prefetch {prefetch} is more than the engine's max-open {}", engine.max_open);
+            let text = format!(
+                "prefetch {prefetch} is more than the engine's max-open {}",
+                engine.max_open
+            );
             q.faults.add(q.node.span(), text, None);
         }
         let dead_letter = q.one("dead-letter").map(|d| {
-            let target = (d.text("exchange").unwrap_or_default(), d.text("key").unwrap_or_default());
+            let target = (
+                d.text("exchange").unwrap_or_default(),
+                d.text("key").unwrap_or_default(),
+            );
             d.finish();
             target
         });
@@ -462,8 +599,15 @@
             name: q.name(),
             declare: q.flag("declare", true),
             prefetch,
-            qos: q.choice("qos", Qos::Channel, &[("channel", Qos::Channel), ("consumer", Qos::Consumer)]),
-            route: Route { tenant: tenants.named(&q), ..route(&q, classes) },
+            qos: q.choice(
+                "qos",
+                Qos::Channel,
+                &[("channel", Qos::Channel), ("consumer", Qos::Consumer)],
+            ),
+            route: Route {
+                tenant: tenants.named(&q),
+                ..route(&q, classes)
+            },
             dead_letter,
             identity: tenants.identity(&q),
         };
@@ -472,19 +616,37 @@
     };
     let queues: Vec<QueueConfig> = node.all("queue").into_iter().map(queue).collect();
     if queues.is_empty() {
-        node.faults.add(node.node.span(), format!("amqp '{name}' needs a 'queue'"), None);
+        node.faults.add(
+            node.node.span(),
+            format!("amqp '{name}' needs a 'queue'"),
+            None,
+        );
     }
     node.finish();
-    AmqpConfig { name, addresses, login, heartbeat, retry, queues }
+    AmqpConfig {
+        name,
+        addresses,
+        login,
+        heartbeat,
+        retry,
+        queues,
+    }
 }
 
 pub(crate) fn address(node: &Reader<'_>, value: Option<(&KdlValue, SourceSpan)>) -> String {
-    let Some((value, span)) = value else { return String::new() };
+    let Some((value, span)) = value else {
+        return String::new();
+    };
     let text = value.as_string().unwrap_or_default();
-    let good =
-        text.rsplit_once(':').is_some_and(|(host, port)| !host.is_empty() && port.parse::<u16>().is_ok());
+    let good = text
+        .rsplit_once(':')
+        .is_some_and(|(host, port)| !host.is_empty() && port.parse::<u16>().is_ok());
     if !good {
-        node.faults.add(span, format!("{value} is no address"), Some("\"host:port\""));
+        node.faults.add(
+            span,
+            format!("{value} is no address"),
+            Some("\"host:port\""),
+        );
     }
     text.to_string()
 }
@@ -498,25 +660,46 @@
             .build()
             .parse(text)
         {
-            node.faults.add(span, format!("{value} is no schedule: {error}"), Some("as \"*/5 * * * *\""));
+            node.faults.add(
+                span,
+                format!("{value} is no schedule: {error}"),
+                Some("as \"*/5 * * * *\""),
+            );
         }
         text.to_string()
     });
     if schedule.is_none() {
-        node.faults.add(node.node.span(), format!("cron '{name}' needs a 'schedule'"), None);
+        node.faults.add(
+            node.node.span(),
+            format!("cron '{name}' needs a 'schedule'"),
+            None,
+        );
     }
     let mut route = route(node, classes);
     route.tenant = tenants.named(node);
     if !tenants.is_empty() && route.tenant.is_none() {
         let help = "a timer has no user: say whose it is";
-        node.faults.add(node.node.span(), format!("cron '{name}' needs 'tenant'"), Some(help));
+        node.faults.add(
+            node.node.span(),
+            format!("cron '{name}' needs 'tenant'"),
+            Some(help),
+        );
     }
     if route.class.is_none() || route.function.is_none() {
-        node.faults.add(node.node.span(), format!("cron '{name}' needs 'class' and 'function'"), None);
+        node.faults.add(
+            node.node.span(),
+            format!("cron '{name}' needs 'class' and 'function'"),
+            None,
+        );
     }
     let body = node.text("body").unwrap_or_default();
     node.finish();
-    CronConfig { name, schedule: schedule.unwrap_or_default(), route, body }
+    CronConfig {
+        name,
+        schedule: schedule.unwrap_or_default(),
+        route,
+        body,
+    }
 }
 
 fn workers(node: &Reader<'_>) -> WorkersConfig {
@@ -533,13 +716,19 @@
                     None,
                 );
             }
-            let (url, span) = list.argument().map_or((String::new(), list.node.span()), |(v, s)| {
-                (v.as_string().unwrap_or_default().to_string(), s)
-            });
+            let (url, span) = list
+                .argument()
+                .map_or((String::new(), list.node.span()), |(v, s)| {
+                    (v.as_string().unwrap_or_default().to_string(), s)
+                });
             let host = url.strip_prefix("http://").map(|h| h.trim_end_matches('/'));
             if host.is_none_or(|h| h.is_empty() || h.contains('/')) {
                 let help = "\"http://host:port\"; TLS and logins are a local proxy's matter";
-                list.faults.add(span, format!("\"{url}\" is no address of a list"), Some(help));
+                list.faults.add(
+                    span,
+                    format!("\"{url}\" is no address of a list"),
+                    Some(help),
+                );
             }
             let config = WorkersConfig::Slices {
                 url,
--- a/crates/pipithub-settings/src/tenants.rs
+++ b/crates/pipithub-settings/src/tenants.rs
@@ -87,7 +87,9 @@
 
 impl std::fmt::Debug for SnapshotConfig {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("SnapshotConfig").field("path", &self.path).finish_non_exhaustive()
+        f.debug_struct("SnapshotConfig")
+            .field("path", &self.path)
+            .finish_non_exhaustive()
     }
 }
 
@@ -121,9 +123,12 @@
     pub(crate) fn named(&self, node: &Reader<'_>) -> Option<Tenant> {
         let (value, span) = node.value("tenant")?;
         let all = self.config.as_ref().map_or(&[][..], |c| &c.tenants);
-        let found = value.as_string().and_then(|name| all.iter().position(|t| t.name == name));
+        let found = value
+            .as_string()
+            .and_then(|name| all.iter().position(|t| t.name == name));
         if found.is_none() {
-            node.faults.add(span, format!("there is no tenant {value}"), None);
+            node.faults
+                .add(span, format!("there is no tenant {value}"), None);
         }
         found.map(|n| Tenant(n as u16))
     }
@@ -136,13 +141,20 @@
             Broker,
             Signed,
         }
-        let ways = [("none", Way::None), ("broker", Way::Broker), ("signed", Way::Signed)];
+        let ways = [
+            ("none", Way::None),
+            ("broker", Way::Broker),
+            ("signed", Way::Signed),
+        ];
         let way = node.choice("identity", Way::None, &ways);
         let owned = node.node.get("tenant").is_some() || !node.all("tenant").is_empty();
         if !self.is_empty() && way == Way::None && !owned {
-            let help =
-                "identity \"broker\" or \"signed\", or 'tenant' for a queue that is one tenant's alone";
-            node.faults.add(node.node.span(), "nothing says whose the calls of this queue are", Some(help));
+            let help = "identity \"broker\" or \"signed\", or 'tenant' for a queue that is one tenant's alone";
+            node.faults.add(
+                node.node.span(),
+                "nothing says whose the calls of this queue are",
+                Some(help),
+            );
         }
         match (way, &self.keys) {
             (Way::None, _) => Rule::None,
@@ -150,7 +162,11 @@
             (Way::Signed, Some(keys)) => Rule::Signed(keys.clone()),
             (Way::Signed, None) => {
                 let help = "signatures { key \"desk\" file=\"desk.key\" }";
-                node.faults.add(node.node.span(), "signed calls need 'signatures' with a key", Some(help));
+                node.faults.add(
+                    node.node.span(),
+                    "signed calls need 'signatures' with a key",
+                    Some(help),
+                );
                 Rule::None
             }
         }
@@ -163,18 +179,26 @@
     match (file, text) {
         (Some(file), None) => match std::fs::read(&file) {
             Ok(bytes) => {
-                let end = bytes.iter().rposition(|b| !b.is_ascii_whitespace()).map_or(0, |n| n + 1);
+                let end = bytes
+                    .iter()
+                    .rposition(|b| !b.is_ascii_whitespace())
+                    .map_or(0, |n| n + 1);
                 Some(bytes[..end].to_vec())
             }
             Err(error) => {
-                node.faults.add(node.node.span(), format!("{what}: {file}: {error}"), None);
+                node.faults
+                    .add(node.node.span(), format!("{what}: {file}: {error}"), None);
                 None
             }
         },
         (None, Some(text)) => Some(text.into_bytes()),
         _ => {
             let help = Some("file=\"…\", or text=\"…\" where the settings themselves are secret");
-            node.faults.add(node.node.span(), format!("{what} needs either 'file' or 'text'"), help);
+            node.faults.add(
+                node.node.span(),
+                format!("{what} needs either 'file' or 'text'"),
+                help,
+            );
             None
         }
     }
@@ -182,14 +206,19 @@
 
 fn long_enough(node: &Reader<'_>, key: &[u8]) {
     if key.len() < 16 {
-        node.faults.add(node.node.span(), "a key has at least 16 bytes", None);
+        node.faults
+            .add(node.node.span(), "a key has at least 16 bytes", None);
     }
 }
 
 fn dn(node: &Reader<'_>, name: &str) -> (String, Dn) {
     let Some((value, span)) = node.value(name) else {
         let text = format!("'{}' needs '{name}'", node.node.name().value());
-        node.faults.add(node.node.span(), text, Some("a distinguished name, as \"ou=north,dc=example\""));
+        node.faults.add(
+            node.node.span(),
+            text,
+            Some("a distinguished name, as \"ou=north,dc=example\""),
+        );
         return Default::default();
     };
     let text = value.as_string().unwrap_or_default().to_string();
@@ -203,7 +232,8 @@
 fn time_of_day(text: &str) -> Option<i64> {
     let (hours, minutes) = text.split_once(':')?;
     let (hours, minutes): (i64, i64) = (hours.parse().ok()?, minutes.parse().ok()?);
-    ((0..24).contains(&hours) && (0..60).contains(&minutes)).then_some((hours * 60 + minutes) * 60_000)
+    ((0..24).contains(&hours) && (0..60).contains(&minutes))
+        .then_some((hours * 60 + minutes) * 60_000)
 }
 
 fn directory(node: &Reader<'_>) -> DirectoryConfig {
@@ -211,20 +241,38 @@
     let server = |s: Reader<'_>| {
         let address = address(&s, s.argument());
         let host = address.rsplit_once(':').map_or("", |a| a.0).to_string();
-        let config = ServerConfig { name: s.text("name").unwrap_or(host), address };
+        let config = ServerConfig {
+            name: s.text("name").unwrap_or(host),
+            address,
+        };
         s.finish();
         config
     };
     let servers: Vec<ServerConfig> = node.all("server").into_iter().map(server).collect();
     if servers.is_empty() || servers.len() > 32 {
-        node.faults.add(node.node.span(), format!("directory '{name}' needs one to 32 'server'"), None);
+        node.faults.add(
+            node.node.span(),
+            format!("directory '{name}' needs one to 32 'server'"),
+            None,
+        );
     }
-    let tls =
-        node.choice("tls", Tls::Start, &[("none", Tls::None), ("start", Tls::Start), ("ldaps", Tls::Ldaps)]);
+    let tls = node.choice(
+        "tls",
+        Tls::Start,
+        &[
+            ("none", Tls::None),
+            ("start", Tls::Start),
+            ("ldaps", Tls::Ldaps),
+        ],
+    );
     let ca = node.text("ca").map(PathBuf::from);
     if tls != Tls::None && ca.is_none() {
         let help = "the file of the authority that signed the servers' certificates";
-        node.faults.add(node.node.span(), format!("directory '{name}' needs 'ca' for TLS"), Some(help));
+        node.faults.add(
+            node.node.span(),
+            format!("directory '{name}' needs 'ca' for TLS"),
+            Some(help),
+        );
     }
     let bind = node.one("bind").map(|b| {
         let (written, _) = dn(&b, "as");
@@ -232,14 +280,16 @@
         b.finish();
         // An empty password is an anonymous bind that succeeds (RFC 4513, 5.1.2): it must not pass for a login.
         if password.is_empty() {
-            b.faults.add(b.node.span(), "an empty password binds nobody", None);
+            b.faults
+                .add(b.node.span(), "an empty password binds nobody", None);
         }
         (written, String::from_utf8_lossy(&password).into_owned())
     });
     let filter = node.value("filter").map(|(value, span)| {
         let text = value.as_string().unwrap_or_default().to_string();
         if let Err(error) = filter::parse(&text) {
-            node.faults.add(span, error.to_string(), Some("as \"(objectClass=person)\""));
+            node.faults
+                .add(span, error.to_string(), Some("as \"(objectClass=person)\""));
         }
         text
     });
@@ -249,22 +299,37 @@
     let lifetimes = Lifetimes {
         fresh,
         stale_most: node.time("stale-most", most, 200 * MS, 86_400 * SECOND),
-        negative: node.time("negative", defaults.lifetimes.negative, 100 * MS, 3_600 * SECOND),
+        negative: node.time(
+            "negative",
+            defaults.lifetimes.negative,
+            100 * MS,
+            3_600 * SECOND,
+        ),
     };
     if lifetimes.stale_most < 2 * fresh {
-        let help = "a fact is used while it is asked for again: the bound is at least twice 'fresh'";
-        node.faults.add(node.node.span(), "'stale-most' is less than twice 'fresh'", Some(help));
+        let help =
+            "a fact is used while it is asked for again: the bound is at least twice 'fresh'";
+        node.faults.add(
+            node.node.span(),
+            "'stale-most' is less than twice 'fresh'",
+            Some(help),
+        );
     }
     let peak = node.one("peak").map(|p| {
-        let (text, span) =
-            p.argument().map_or(("", p.node.span()), |(v, s)| (v.as_string().unwrap_or_default(), s));
+        let (text, span) = p.argument().map_or(("", p.node.span()), |(v, s)| {
+            (v.as_string().unwrap_or_default(), s)
+        });
         let at = time_of_day(text).unwrap_or_else(|| {
-            p.faults.add(span, "no time of day", Some("as \"05:30\", in UTC"));
+            p.faults
+                .add(span, "no time of day", Some("as \"05:30\", in UTC"));
             0
         });
         let ahead = p.time("ahead", 7_200 * SECOND, 60 * SECOND, 43_200 * SECOND);
         p.finish();
-        Peak { at, ahead: (ahead / MS) as i64 }
+        Peak {
+            at,
+            ahead: (ahead / MS) as i64,
+        }
     });
     let wait = (
         node.time("retry-first", defaults.wait.0, 10 * MS, 600 * SECOND),
@@ -283,7 +348,9 @@
         wait: (wait.0.min(wait.1), wait.1),
         doubt: node.time("doubt", defaults.doubt, 0, 600 * SECOND),
         peak,
-        poll: node.maybe_time("poll", SECOND, 86_400 * SECOND).unwrap_or(0),
+        poll: node
+            .maybe_time("poll", SECOND, 86_400 * SECOND)
+            .unwrap_or(0),
     };
     let config = DirectoryConfig {
         tls,
@@ -310,7 +377,8 @@
         let secret = secret(&key, "a key").unwrap_or_default();
         long_enough(&key, &secret);
         if keys.insert(key.name(), secret).is_some() {
-            key.faults.add(key.node.span(), "this key's id is given twice", None);
+            key.faults
+                .add(key.node.span(), "this key's id is given twice", None);
         }
         key.finish();
     }
@@ -320,7 +388,11 @@
 }
 
 /// Reads everything about tenants.
-pub(crate) fn read(root: &Reader<'_>, classes: &[(String, bool)], worths: Vec<f64>) -> (Tenants, Owners) {
+pub(crate) fn read(
+    root: &Reader<'_>,
+    classes: &[(String, bool)],
+    worths: Vec<f64>,
+) -> (Tenants, Owners) {
     let keys = keys(root);
     let mut owners = Owners::default();
     let directories: Vec<DirectoryConfig> = root.all("directory").iter().map(directory).collect();
@@ -329,30 +401,57 @@
     for node in root.all("tenant") {
         let name = node.name();
         if tenants.iter().any(|t| t.name == name) {
-            root.faults.add(node.node.span(), format!("tenant '{name}' is given twice"), None);
+            root.faults.add(
+                node.node.span(),
+                format!("tenant '{name}' is given twice"),
+                None,
+            );
         }
         let place = node.one("directory").map(|d| {
             let found = directories.iter().position(|c| c.name == d.name());
             if found.is_none() {
-                d.faults.add(d.node.span(), format!("there is no directory '{}'", d.name()), None);
+                d.faults.add(
+                    d.node.span(),
+                    format!("there is no directory '{}'", d.name()),
+                    None,
+                );
             }
             let directory = found.unwrap_or(0);
             let (base, read) = dn(&d, "base");
             d.finish();
-            let whole = directories.get(directory).and_then(|c| Dn::parse(&c.base).ok()).unwrap_or_default();
+            let whole = directories
+                .get(directory)
+                .and_then(|c| Dn::parse(&c.base).ok())
+                .unwrap_or_default();
             if !read.is_within(&whole) {
-                d.faults.add(d.node.span(), "this base is not within the directory's", None);
+                d.faults.add(
+                    d.node.span(),
+                    "this base is not within the directory's",
+                    None,
+                );
             }
-            let same = tenants.iter().find(|t| t.place.directory == directory && t.place.base == read);
+            let same = tenants
+                .iter()
+                .find(|t| t.place.directory == directory && t.place.base == read);
             if let Some(other) = same {
                 let text = format!("tenant '{}' has this base already", other.name);
                 d.faults.add(d.node.span(), text, None);
             }
-            (TenantBase { directory, base: read }, base)
+            (
+                TenantBase {
+                    directory,
+                    base: read,
+                },
+                base,
+            )
         });
         let Some((place, base)) = place else {
             let help = Some("directory \"campus\" base=\"ou=north,dc=example\"");
-            root.faults.add(node.node.span(), format!("tenant '{name}' needs 'directory'"), help);
+            root.faults.add(
+                node.node.span(),
+                format!("tenant '{name}' needs 'directory'"),
+                help,
+            );
             continue;
         };
         let tenant = Tenant(tenants.len() as u16);
@@ -364,11 +463,19 @@
             }
         }
         let rate = node.one("rate").map(|r| {
-            let value = r.argument().and_then(|(v, _)| v.as_integer().map(|n| n as f64).or(v.as_float()));
-            let rate = value.filter(|v| (0.001..=1e6).contains(v)).unwrap_or_else(|| {
-                r.faults.add(r.node.span(), "a rate is calls a second, from 0.001 to 1000000", None);
-                1.0
-            });
+            let value = r
+                .argument()
+                .and_then(|(v, _)| v.as_integer().map(|n| n as f64).or(v.as_float()));
+            let rate = value
+                .filter(|v| (0.001..=1e6).contains(v))
+                .unwrap_or_else(|| {
+                    r.faults.add(
+                        r.node.span(),
+                        "a rate is calls a second, from 0.001 to 1000000",
+                        None,
+                    );
+                    1.0
+                });
             let burst = r.number("burst", rate.max(1.0), 1.0, 1e6);
             r.finish();
             (rate, burst)
@@ -381,20 +488,36 @@
             queue: node.whole("queue", defaults.queue as u64, 0, 100_000) as usize,
         });
         node.finish();
-        tenants.push(TenantConfig { name, functions, place, base });
+        tenants.push(TenantConfig {
+            name,
+            functions,
+            place,
+            base,
+        });
     }
     for shared in root.all("shared-function") {
         let name = shared.name();
         if owners.insert(&name, Owner::Shared).is_some() {
-            root.faults.add(shared.node.span(), format!("function '{name}' is a tenant's already"), None);
+            root.faults.add(
+                shared.node.span(),
+                format!("function '{name}' is a tenant's already"),
+                None,
+            );
         }
     }
     let node = root.one("admission");
     let empty = kdl::KdlNode::new("admission");
     let node = node.unwrap_or_else(|| Reader::new(&empty, root.faults));
-    let limit = (node.number("limit-least", 8.0, 1.0, 1e6), node.number("limit-most", 1_024.0, 1.0, 1e6));
+    let limit = (
+        node.number("limit-least", 8.0, 1.0, 1e6),
+        node.number("limit-most", 1_024.0, 1.0, 1e6),
+    );
     if limit.0 > limit.1 {
-        node.faults.add(node.node.span(), "'limit-least' is above 'limit-most'", None);
+        node.faults.add(
+            node.node.span(),
+            "'limit-least' is above 'limit-most'",
+            None,
+        );
     }
     let gate = GateSettings {
         shares: SharesSettings {
@@ -417,17 +540,32 @@
             key
         });
         if key.is_none() {
-            s.faults.add(s.node.span(), "a snapshot needs a 'key' that seals it", None);
+            s.faults.add(
+                s.node.span(),
+                "a snapshot needs a 'key' that seals it",
+                None,
+            );
         }
         s.finish();
-        SnapshotConfig { path, key: key.unwrap_or_default(), every }
+        SnapshotConfig {
+            path,
+            key: key.unwrap_or_default(),
+            every,
+        }
     });
     node.finish();
     if tenants.is_empty() && !directories.is_empty() {
-        root.faults.add((0, 0).into(), "there is a directory and no tenant", None);
+        root.faults
+            .add((0, 0).into(), "there is a directory and no tenant", None);
     }
     debug_assert_eq!(classes.len(), gate.shares.worths.len());
     let any = !tenants.is_empty();
-    let config = any.then_some(TenantsConfig { tenants, directories, gate, max_users, snapshot });
+    let config = any.then_some(TenantsConfig {
+        tenants,
+        directories,
+        gate,
+        max_users,
+        snapshot,
+    });
     (Tenants { config, keys }, owners)
 }
--- a/crates/pipithub-simnet/src/lib.rs
+++ b/crates/pipithub-simnet/src/lib.rs
@@ -27,7 +27,13 @@
 
 impl Default for Link {
     fn default() -> Self {
-        Link { cut: false, delay: 1_000_000, jitter: 500_000, loss: 0.0, twice: 0.0 }
+        Link {
+            cut: false,
+            delay: 1_000_000,
+            jitter: 500_000,
+            loss: 0.0,
+            twice: 0.0,
+        }
     }
 }
 
@@ -124,8 +130,19 @@
         }
         let copies = 1 + usize::from(self.rng.random::<f64>() < link.twice);
         for _ in 0..copies {
-            let jitter = if link.jitter > 0 { self.rng.random_range(0..link.jitter) } else { 0 };
-            self.push(self.now + link.delay + jitter, Next::Arrival { from, to, message: message.clone() });
+            let jitter = if link.jitter > 0 {
+                self.rng.random_range(0..link.jitter)
+            } else {
+                0
+            };
+            self.push(
+                self.now + link.delay + jitter,
+                Next::Arrival {
+                    from,
+                    to,
+                    message: message.clone(),
+                },
+            );
         }
     }
 
--- a/crates/pipithub-standin/src/accept.rs
+++ b/crates/pipithub-standin/src/accept.rs
@@ -13,7 +13,9 @@
 
 /// The next connection of a listener; `None` where the listener is of no use any more.
 pub(crate) async fn next_stream(listener: &TcpListener) -> Option<TcpStream> {
-    next_connection(|| listener.accept()).await.map(|(stream, _)| stream)
+    next_connection(|| listener.accept())
+        .await
+        .map(|(stream, _)| stream)
 }
 
 /// Calls `accept` until it gives a connection; `None` after an error that no further call can mend.
@@ -30,7 +32,9 @@
             Err(error) => error,
         };
         match accept_failure(&error) {
-            AcceptFailure::Connection => debug!(%error, "a connection was lost before it was accepted"),
+            AcceptFailure::Connection => {
+                debug!(%error, "a connection was lost before it was accepted")
+            }
             AcceptFailure::Exhausted => {
                 warn!(%error, "no connection can be accepted for a moment");
                 tokio::time::sleep(EXHAUSTED_WAIT).await;
--- a/crates/pipithub-standin/src/broker/core.rs
+++ b/crates/pipithub-standin/src/broker/core.rs
@@ -39,7 +39,11 @@
 
 impl Default for Bounds {
     fn default() -> Self {
-        Bounds { messages: 1_000_000, entities: 10_000, bytes: 1 << 30 }
+        Bounds {
+            messages: 1_000_000,
+            entities: 10_000,
+            bytes: 1 << 30,
+        }
     }
 }
 
@@ -205,7 +209,10 @@
         Broker {
             bounds,
             now: 0,
-            exchanges: standard.into_iter().map(|(n, kind)| (name(n), exchange(kind))).collect(),
+            exchanges: standard
+                .into_iter()
+                .map(|(n, kind)| (name(n), exchange(kind)))
+                .collect(),
             queues: BTreeMap::new(),
             connections: BTreeMap::new(),
             names: 0,
@@ -232,7 +239,10 @@
         let queue = name(queue);
         let ready = self.queues.get(&queue)?.messages.len();
         let channels = self.connections.values().flat_map(|c| c.channels.values());
-        let unacked = channels.flat_map(|c| c.unacked.values()).filter(|u| u.queue == queue).count();
+        let unacked = channels
+            .flat_map(|c| c.unacked.values())
+            .filter(|u| u.queue == queue)
+            .count();
         Some((ready, unacked))
     }
 
@@ -255,11 +265,16 @@
 
     /// A connection is open; `client` is its name for the records, `user` whom it logged in as.
     pub fn connect(&mut self, id: ConnId, client: &str, user: &str) {
-        let connection =
-            Connection { client: client.to_string(), user: user.to_string(), ..Connection::default() };
+        let connection = Connection {
+            client: client.to_string(),
+            user: user.to_string(),
+            ..Connection::default()
+        };
         self.connections.insert(id, connection);
         if let Some(reason) = &self.blocked {
-            let method = Method::ConnectionBlocked { reason: name(reason) };
+            let method = Method::ConnectionBlocked {
+                reason: name(reason),
+            };
             self.out.push((id, Out::Method(0, method, None)));
         }
     }
@@ -267,9 +282,14 @@
     /// Its output waits to be written, or no longer does.
     pub fn set_congested(&mut self, now: Time, id: ConnId, congested: bool) {
         self.now = now;
-        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
         if std::mem::replace(&mut connection.congested, congested) && !congested {
-            let queues = connection.channels.values().flat_map(|c| c.consumers.values());
+            let queues = connection
+                .channels
+                .values()
+                .flat_map(|c| c.consumers.values());
             self.stirred.extend(queues.map(|c| c.queue.clone()));
             self.deliver();
         }
@@ -280,7 +300,9 @@
         self.blocked = reason.map(str::to_string);
         for id in self.connections.keys() {
             let method = match reason {
-                Some(reason) => Method::ConnectionBlocked { reason: name(reason) },
+                Some(reason) => Method::ConnectionBlocked {
+                    reason: name(reason),
+                },
                 None => Method::ConnectionUnblocked {},
             };
             self.out.push((*id, Out::Method(0, method, None)));
@@ -295,13 +317,21 @@
     /// A connection is gone: all that it had not acknowledged goes back.
     pub fn disconnect(&mut self, now: Time, id: ConnId) {
         self.now = now;
-        let Some(connection) = self.connections.get(&id) else { return };
+        let Some(connection) = self.connections.get(&id) else {
+            return;
+        };
         let client = connection.client.clone();
         let channels: Vec<u16> = connection.channels.keys().copied().collect();
-        channels.into_iter().for_each(|channel| self.channel_gone(id, channel));
+        channels
+            .into_iter()
+            .for_each(|channel| self.channel_gone(id, channel));
         self.connections.remove(&id);
-        let owned: Vec<_> =
-            self.queues.iter().filter(|(_, q)| q.owner == Some(id)).map(|(n, _)| n.clone()).collect();
+        let owned: Vec<_> = self
+            .queues
+            .iter()
+            .filter(|(_, q)| q.owner == Some(id))
+            .map(|(n, _)| n.clone())
+            .collect();
         owned.iter().for_each(|queue| self.delete_queue(queue));
         self.seen.push(Seen::ClientGone { client });
         self.deliver();
@@ -309,7 +339,10 @@
 
     /// When [`Broker::on_time`] is due.
     pub fn next_timeout(&self) -> Option<Time> {
-        let heads = self.queues.values().filter_map(|q| q.messages.front()?.expires);
+        let heads = self
+            .queues
+            .values()
+            .filter_map(|q| q.messages.front()?.expires);
         let unused = self.queues.values().filter(|q| q.consumers.is_empty());
         let expiring = unused.filter_map(|q| Some(q.unused_since + q.arguments.expires?));
         heads.chain(expiring).min()
@@ -319,14 +352,28 @@
     pub fn on_time(&mut self, now: Time) {
         self.now = now;
         let due = |q: &Queue| {
-            q.messages.front().and_then(|m| m.expires).is_some_and(|t| t <= now)
-                || q.consumers.is_empty() && q.arguments.expires.is_some_and(|e| q.unused_since + e <= now)
+            q.messages
+                .front()
+                .and_then(|m| m.expires)
+                .is_some_and(|t| t <= now)
+                || q.consumers.is_empty()
+                    && q.arguments
+                        .expires
+                        .is_some_and(|e| q.unused_since + e <= now)
         };
-        let names: Vec<_> = self.queues.iter().filter(|(_, q)| due(q)).map(|(n, _)| n.clone()).collect();
+        let names: Vec<_> = self
+            .queues
+            .iter()
+            .filter(|(_, q)| due(q))
+            .map(|(n, _)| n.clone())
+            .collect();
         for queue in names {
             self.expire(&queue);
             let gone = |q: &Queue| {
-                q.consumers.is_empty() && q.arguments.expires.is_some_and(|e| q.unused_since + e <= now)
+                q.consumers.is_empty()
+                    && q.arguments
+                        .expires
+                        .is_some_and(|e| q.unused_since + e <= now)
             };
             if self.queues.get(&queue).is_some_and(gone) {
                 self.delete_queue(&queue);
@@ -357,7 +404,11 @@
                     self.stirred.extend(queues);
                 }
             }
-            Event::Method { channel, method, content } => {
+            Event::Method {
+                channel,
+                method,
+                content,
+            } => {
                 if self.channel(id, channel).is_none() {
                     return;
                 }
@@ -377,7 +428,10 @@
                 }
             }
             Event::Closed { .. } => return self.disconnect(now, id),
-            Event::Login { .. } | Event::OpenRequested { .. } | Event::Connected | Event::Blocked(_) => {}
+            Event::Login { .. }
+            | Event::OpenRequested { .. }
+            | Event::Connected
+            | Event::Blocked(_) => {}
         }
         self.deliver();
     }
@@ -392,7 +446,13 @@
 
     // ---- methods ----
 
-    fn method(&mut self, id: ConnId, channel: u16, m: Method, content: Option<Content>) -> Result<(), Fault> {
+    fn method(
+        &mut self,
+        id: ConnId,
+        channel: u16,
+        m: Method,
+        content: Option<Content>,
+    ) -> Result<(), Fault> {
         match &m {
             Method::ExchangeDeclare { .. }
             | Method::ExchangeDelete { .. }
@@ -403,7 +463,9 @@
             | Method::QueueUnbind { .. }
             | Method::QueuePurge { .. }
             | Method::QueueDelete { .. } => self.queue_method(id, channel, m),
-            Method::BasicPublish { .. } => self.publish_method(id, channel, m, content.unwrap_or_default()),
+            Method::BasicPublish { .. } => {
+                self.publish_method(id, channel, m, content.unwrap_or_default())
+            }
             Method::BasicAck { .. } | Method::BasicNack { .. } | Method::BasicReject { .. } => {
                 self.settle_method(id, channel, m)
             }
@@ -429,7 +491,11 @@
             } => {
                 let known = self.exchanges.get(exchange);
                 if *passive && known.is_none() {
-                    return Err(fault(Code::NotFound, format!("no exchange '{exchange}'"), &m));
+                    return Err(fault(
+                        Code::NotFound,
+                        format!("no exchange '{exchange}'"),
+                        &m,
+                    ));
                 }
                 if !*passive {
                     let kind = match &**kind {
@@ -449,20 +515,35 @@
                             if (e.kind, e.durable, e.auto_delete, e.internal)
                                 != (kind, *durable, *auto_delete, *internal) =>
                         {
-                            let text = format!("exchange '{exchange}' exists with other properties");
+                            let text =
+                                format!("exchange '{exchange}' exists with other properties");
                             return Err(fault(Code::PreconditionFailed, text, &m));
                         }
                         Some(_) => {}
                         None if exchange.is_empty() || exchange.starts_with("amq.") => {
-                            return Err(fault(Code::AccessRefused, "the name is reserved".into(), &m));
+                            return Err(fault(
+                                Code::AccessRefused,
+                                "the name is reserved".into(),
+                                &m,
+                            ));
                         }
                         None if self.exchanges.len() >= self.bounds.entities => {
-                            return Err(fault(Code::ResourceError, "too many exchanges".into(), &m));
+                            return Err(fault(
+                                Code::ResourceError,
+                                "too many exchanges".into(),
+                                &m,
+                            ));
                         }
                         None => {
-                            let (durable, auto_delete, internal) = (*durable, *auto_delete, *internal);
-                            let new =
-                                Exchange { kind, durable, auto_delete, internal, bindings: BTreeSet::new() };
+                            let (durable, auto_delete, internal) =
+                                (*durable, *auto_delete, *internal);
+                            let new = Exchange {
+                                kind,
+                                durable,
+                                auto_delete,
+                                internal,
+                                bindings: BTreeSet::new(),
+                            };
                             self.exchanges.insert(exchange.clone(), new);
                         }
                     }
@@ -471,12 +552,23 @@
                     self.send(id, channel, Method::ExchangeDeclareOk {});
                 }
             }
-            Method::ExchangeDelete { exchange, if_unused, no_wait } => {
+            Method::ExchangeDelete {
+                exchange,
+                if_unused,
+                no_wait,
+            } => {
                 if exchange.is_empty() || exchange.starts_with("amq.") {
-                    return Err(fault(Code::AccessRefused, "the exchange is the broker's own".into(), &m));
+                    return Err(fault(
+                        Code::AccessRefused,
+                        "the exchange is the broker's own".into(),
+                        &m,
+                    ));
                 }
                 // To delete what is not there is no fault (RabbitMQ; the specification says 404).
-                let used = self.exchanges.get(exchange).is_some_and(|e| !e.bindings.is_empty());
+                let used = self
+                    .exchanges
+                    .get(exchange)
+                    .is_some_and(|e| !e.bindings.is_empty());
                 if *if_unused && used {
                     return Err(fault(
                         Code::PreconditionFailed,
@@ -486,14 +578,26 @@
                 }
                 self.exchanges.remove(exchange);
                 let target = Target::Exchange(exchange.clone());
-                self.exchanges.values_mut().for_each(|e| e.bindings.retain(|(_, t)| *t != target));
+                self.exchanges
+                    .values_mut()
+                    .for_each(|e| e.bindings.retain(|(_, t)| *t != target));
                 if !no_wait {
                     self.send(id, channel, Method::ExchangeDeleteOk {});
                 }
             }
-            Method::ExchangeBind { destination, source, routing_key, no_wait, .. } => {
+            Method::ExchangeBind {
+                destination,
+                source,
+                routing_key,
+                no_wait,
+                ..
+            } => {
                 if !self.exchanges.contains_key(destination) {
-                    return Err(fault(Code::NotFound, format!("no exchange '{destination}'"), &m));
+                    return Err(fault(
+                        Code::NotFound,
+                        format!("no exchange '{destination}'"),
+                        &m,
+                    ));
                 }
                 let target = Target::Exchange(destination.clone());
                 self.bind(source, routing_key, target, &m)?;
@@ -501,9 +605,16 @@
                     self.send(id, channel, Method::ExchangeBindOk {});
                 }
             }
-            Method::ExchangeUnbind { destination, source, routing_key, no_wait, .. } => {
+            Method::ExchangeUnbind {
+                destination,
+                source,
+                routing_key,
+                no_wait,
+                ..
+            } => {
                 if let Some(e) = self.exchanges.get_mut(source) {
-                    e.bindings.remove(&(routing_key.clone(), Target::Exchange(destination.clone())));
+                    e.bindings
+                        .remove(&(routing_key.clone(), Target::Exchange(destination.clone())));
                 }
                 if !no_wait {
                     self.send(id, channel, Method::ExchangeUnbindOk {});
@@ -514,9 +625,19 @@
         Ok(())
     }
 
-    fn bind(&mut self, source: &ShortStr, key: &ShortStr, target: Target, m: &Method) -> Result<(), Fault> {
+    fn bind(
+        &mut self,
+        source: &ShortStr,
+        key: &ShortStr,
+        target: Target,
+        m: &Method,
+    ) -> Result<(), Fault> {
         if source.is_empty() {
-            return Err(fault(Code::AccessRefused, "the default exchange takes no bindings".into(), m));
+            return Err(fault(
+                Code::AccessRefused,
+                "the default exchange takes no bindings".into(),
+                m,
+            ));
         }
         let limit = self.bounds.entities;
         let Some(exchange) = self.exchanges.get_mut(source) else {
@@ -539,7 +660,10 @@
         };
         let text = |key: &str| match table.get(key) {
             None => Ok(None),
-            Some(v) => v.as_str().map(|s| Some(name(s))).ok_or(format!("{key} must be a text")),
+            Some(v) => v
+                .as_str()
+                .map(|s| Some(name(s)))
+                .ok_or(format!("{key} must be a text")),
         };
         let max_length = match table.get("x-max-length") {
             None => None,
@@ -572,9 +696,17 @@
 
     fn queue_method(&mut self, id: ConnId, channel: u16, m: Method) -> Result<(), Fault> {
         match &m {
-            Method::QueueDeclare { queue, passive, durable, exclusive, auto_delete, no_wait, arguments } => {
-                let parsed =
-                    Self::arguments(arguments).map_err(|e| fault(Code::PreconditionFailed, e, &m))?;
+            Method::QueueDeclare {
+                queue,
+                passive,
+                durable,
+                exclusive,
+                auto_delete,
+                no_wait,
+                arguments,
+            } => {
+                let parsed = Self::arguments(arguments)
+                    .map_err(|e| fault(Code::PreconditionFailed, e, &m))?;
                 let mut queue = queue.clone();
                 if queue.is_empty() && !passive {
                     self.names += 1;
@@ -590,7 +722,11 @@
                         return Err(fault(Code::PreconditionFailed, text, &m));
                     }
                 } else if queue.starts_with("amq.") {
-                    return Err(fault(Code::AccessRefused, "the name is reserved".into(), &m));
+                    return Err(fault(
+                        Code::AccessRefused,
+                        "the name is reserved".into(),
+                        &m,
+                    ));
                 }
                 if !self.queues.contains_key(&queue) {
                     if self.queues.len() >= self.bounds.entities {
@@ -612,35 +748,65 @@
                     let found = &self.queues[&queue];
                     let (message_count, consumer_count) =
                         (found.messages.len() as u32, found.consumers.len() as u32);
-                    self.send(id, channel, Method::QueueDeclareOk { queue, message_count, consumer_count });
+                    self.send(
+                        id,
+                        channel,
+                        Method::QueueDeclareOk {
+                            queue,
+                            message_count,
+                            consumer_count,
+                        },
+                    );
                 }
             }
-            Method::QueueBind { queue, exchange, routing_key, no_wait, .. } => {
+            Method::QueueBind {
+                queue,
+                exchange,
+                routing_key,
+                no_wait,
+                ..
+            } => {
                 self.usable(id, queue, &m)?;
                 self.bind(exchange, routing_key, Target::Queue(queue.clone()), &m)?;
                 if !no_wait {
                     self.send(id, channel, Method::QueueBindOk {});
                 }
             }
-            Method::QueueUnbind { queue, exchange, routing_key, .. } => {
+            Method::QueueUnbind {
+                queue,
+                exchange,
+                routing_key,
+                ..
+            } => {
                 if let Some(e) = self.exchanges.get_mut(exchange) {
-                    e.bindings.remove(&(routing_key.clone(), Target::Queue(queue.clone())));
+                    e.bindings
+                        .remove(&(routing_key.clone(), Target::Queue(queue.clone())));
                 }
                 self.send(id, channel, Method::QueueUnbindOk {});
             }
             Method::QueuePurge { queue, no_wait } => {
                 self.usable(id, queue, &m)?;
-                let purged = self.queues.get_mut(queue).map(|q| std::mem::take(&mut q.messages).len());
+                let purged = self
+                    .queues
+                    .get_mut(queue)
+                    .map(|q| std::mem::take(&mut q.messages).len());
                 if !no_wait {
                     let message_count = purged.unwrap_or(0) as u32;
                     self.send(id, channel, Method::QueuePurgeOk { message_count });
                 }
             }
-            Method::QueueDelete { queue, if_unused, if_empty, no_wait } => {
+            Method::QueueDelete {
+                queue,
+                if_unused,
+                if_empty,
+                no_wait,
+            } => {
                 let mut message_count = 0;
                 if self.queues.contains_key(queue) {
                     let found = self.usable(id, queue, &m)?;
-                    if *if_unused && !found.consumers.is_empty() || *if_empty && !found.messages.is_empty() {
+                    if *if_unused && !found.consumers.is_empty()
+                        || *if_empty && !found.messages.is_empty()
+                    {
                         return Err(fault(
                             Code::PreconditionFailed,
                             format!("queue '{queue}' is in use"),
@@ -660,45 +826,86 @@
     }
 
     fn delete_queue(&mut self, queue: &ShortStr) {
-        let Some(found) = self.queues.remove(queue) else { return };
+        let Some(found) = self.queues.remove(queue) else {
+            return;
+        };
         for (id, channel, tag) in found.consumers {
             // The consumer is told: its queue is gone.
             if let Some(c) = self.channel(id, channel) {
                 c.consumers.remove(&tag);
-                let cancel = Method::BasicCancel { consumer_tag: tag, no_wait: true };
+                let cancel = Method::BasicCancel {
+                    consumer_tag: tag,
+                    no_wait: true,
+                };
                 self.send(id, channel, cancel);
             }
         }
         let target = Target::Queue(queue.clone());
-        self.exchanges.values_mut().for_each(|e| e.bindings.retain(|(_, t)| *t != target));
+        self.exchanges
+            .values_mut()
+            .for_each(|e| e.bindings.retain(|(_, t)| *t != target));
     }
 
     // ---- publishing ----
 
-    fn publish_method(&mut self, id: ConnId, channel: u16, m: Method, content: Content) -> Result<(), Fault> {
-        let Method::BasicPublish { exchange, immediate, .. } = &m else { return Ok(()) };
+    fn publish_method(
+        &mut self,
+        id: ConnId,
+        channel: u16,
+        m: Method,
+        content: Content,
+    ) -> Result<(), Fault> {
+        let Method::BasicPublish {
+            exchange,
+            immediate,
+            ..
+        } = &m
+        else {
+            return Ok(());
+        };
         if *immediate {
-            return Err(fault(Code::NotImplemented, "immediate is not offered".into(), &m));
+            return Err(fault(
+                Code::NotImplemented,
+                "immediate is not offered".into(),
+                &m,
+            ));
         }
         let user = self.connections.get(&id).map_or("", |c| c.user.as_str());
         if let Some(claimed) = content.properties.user_id.as_deref().filter(|c| *c != user) {
             // As RabbitMQ checks it: nobody publishes under another's name.
-            let text = format!("user_id property set to '{claimed}' but authenticated user was '{user}'");
+            let text =
+                format!("user_id property set to '{claimed}' but authenticated user was '{user}'");
             return Err(fault(Code::PreconditionFailed, text, &m));
         }
         match self.exchanges.get(exchange) {
-            None => return Err(fault(Code::NotFound, format!("no exchange '{exchange}'"), &m)),
+            None => {
+                return Err(fault(
+                    Code::NotFound,
+                    format!("no exchange '{exchange}'"),
+                    &m,
+                ));
+            }
             Some(e) if e.internal => {
-                return Err(fault(Code::AccessRefused, format!("exchange '{exchange}' is internal"), &m));
+                return Err(fault(
+                    Code::AccessRefused,
+                    format!("exchange '{exchange}' is internal"),
+                    &m,
+                ));
             }
             Some(_) => {}
         }
         if let Some(text) = &content.properties.expiration
             && text.parse::<u32>().is_err()
         {
-            return Err(fault(Code::PreconditionFailed, format!("expiration '{text}'"), &m));
+            return Err(fault(
+                Code::PreconditionFailed,
+                format!("expiration '{text}'"),
+                &m,
+            ));
         }
-        let Some(c) = self.channel(id, channel) else { return Ok(()) };
+        let Some(c) = self.channel(id, channel) else {
+            return Ok(());
+        };
         if let Some(transaction) = &mut c.transaction {
             transaction.publishes.push((m, content));
             return Ok(());
@@ -709,13 +916,28 @@
         });
         self.publish(id, channel, m, content);
         if let Some(delivery_tag) = confirm {
-            self.send(id, channel, Method::BasicAck { delivery_tag, multiple: false });
+            self.send(
+                id,
+                channel,
+                Method::BasicAck {
+                    delivery_tag,
+                    multiple: false,
+                },
+            );
         }
         Ok(())
     }
 
     fn publish(&mut self, id: ConnId, channel: u16, m: Method, content: Content) {
-        let Method::BasicPublish { exchange, routing_key, mandatory, .. } = m else { return };
+        let Method::BasicPublish {
+            exchange,
+            routing_key,
+            mandatory,
+            ..
+        } = m
+        else {
+            return;
+        };
         let Content { properties, body } = content;
         let queues = self.route(&exchange, &routing_key);
         self.note_published(id, &queues, &routing_key, &properties, body.len());
@@ -732,8 +954,15 @@
         }
         self.numbers += 1;
         let number = self.numbers;
-        let message =
-            Message { exchange, routing_key, properties, body, redelivered: false, expires: None, number };
+        let message = Message {
+            exchange,
+            routing_key,
+            properties,
+            body,
+            redelivered: false,
+            expires: None,
+            number,
+        };
         for queue in queues {
             self.enqueue(&queue, message.clone());
         }
@@ -748,7 +977,11 @@
         size: usize,
     ) {
         let text = |s: &Option<ShortStr>| s.as_deref().map(str::to_string);
-        let headers = p.headers.iter().flat_map(|t| t.iter()).filter(|(n, _)| n.starts_with("pipithub-"));
+        let headers = p
+            .headers
+            .iter()
+            .flat_map(|t| t.iter())
+            .filter(|(n, _)| n.starts_with("pipithub-"));
         let told = |v: &FieldValue| match v {
             FieldValue::LongStr(b) => String::from_utf8_lossy(b).into_owned(),
             other => other.as_f64().map(|n| n.to_string()).unwrap_or_default(),
@@ -762,7 +995,11 @@
             expiration_ms: p.expiration.as_ref().and_then(|e| e.parse().ok()),
             headers: headers.map(|(n, v)| (n.to_string(), told(v))).collect(),
             size: size as u64,
-            client: self.connections.get(&id).map(|c| c.client.clone()).unwrap_or_default(),
+            client: self
+                .connections
+                .get(&id)
+                .map(|c| c.client.clone())
+                .unwrap_or_default(),
         });
     }
 
@@ -771,9 +1008,12 @@
         if exchange.is_empty() {
             return self.queues.keys().filter(|q| *q == key).cloned().collect();
         }
-        let (mut queues, mut visited, mut open) = (BTreeSet::new(), BTreeSet::new(), vec![exchange.clone()]);
+        let (mut queues, mut visited, mut open) =
+            (BTreeSet::new(), BTreeSet::new(), vec![exchange.clone()]);
         while let Some(next) = open.pop() {
-            let Some(found) = self.exchanges.get(&next) else { continue };
+            let Some(found) = self.exchanges.get(&next) else {
+                continue;
+            };
             if !visited.insert(next) {
                 continue;
             }
@@ -797,13 +1037,26 @@
 
     fn enqueue(&mut self, queue: &ShortStr, mut message: Message) {
         let now = self.now;
-        let Some(found) = self.queues.get_mut(queue) else { return };
-        let own = message.properties.expiration.as_ref().and_then(|e| e.parse::<u64>().ok());
-        let ttl = [own.map(|ms| ms * 1_000_000), found.arguments.ttl].into_iter().flatten().min();
+        let Some(found) = self.queues.get_mut(queue) else {
+            return;
+        };
+        let own = message
+            .properties
+            .expiration
+            .as_ref()
+            .and_then(|e| e.parse::<u64>().ok());
+        let ttl = [own.map(|ms| ms * 1_000_000), found.arguments.ttl]
+            .into_iter()
+            .flatten()
+            .min();
         message.expires = ttl.map(|ttl| now.saturating_add(ttl));
         found.messages.push_back(message);
         let most = found.arguments.max_length.unwrap_or(self.bounds.messages);
-        let over = if found.messages.len() > most { found.messages.pop_front() } else { None };
+        let over = if found.messages.len() > most {
+            found.messages.pop_front()
+        } else {
+            None
+        };
         if let Some(over) = over {
             self.dead_letter(queue, over, "maxlen");
         }
@@ -814,16 +1067,26 @@
         let now = self.now;
         let mut dead = Vec::new();
         if let Some(found) = self.queues.get_mut(queue) {
-            while found.messages.front().and_then(|m| m.expires).is_some_and(|t| t <= now) {
+            while found
+                .messages
+                .front()
+                .and_then(|m| m.expires)
+                .is_some_and(|t| t <= now)
+            {
                 dead.extend(found.messages.pop_front());
             }
         }
-        dead.into_iter().for_each(|message| self.dead_letter(queue, message, "expired"));
+        dead.into_iter()
+            .for_each(|message| self.dead_letter(queue, message, "expired"));
     }
 
     fn dead_letter(&mut self, queue: &ShortStr, mut message: Message, reason: &str) {
-        let Some(arguments) = self.queues.get(queue).map(|q| q.arguments.clone()) else { return };
-        let Some(exchange) = arguments.dead_exchange else { return };
+        let Some(arguments) = self.queues.get(queue).map(|q| q.arguments.clone()) else {
+            return;
+        };
+        let Some(exchange) = arguments.dead_exchange else {
+            return;
+        };
         let mut headers = message.properties.headers.take().unwrap_or_default();
         let mut deaths = match headers.get("x-death") {
             Some(FieldValue::Array(deaths)) => deaths.clone(),
@@ -841,14 +1104,19 @@
             .with("queue", &**queue)
             .with("reason", reason)
             .with("exchange", &*message.exchange)
-            .with("routing-keys", FieldValue::Array(vec![FieldValue::from(&*message.routing_key)]))
+            .with(
+                "routing-keys",
+                FieldValue::Array(vec![FieldValue::from(&*message.routing_key)]),
+            )
             .with("count", 1i64);
         deaths.insert(0, FieldValue::Table(death));
         headers.insert(name("x-death"), FieldValue::Array(deaths));
         message.properties.headers = Some(headers);
         message.properties.expiration = None;
         message.redelivered = false;
-        let key = arguments.dead_key.unwrap_or_else(|| message.routing_key.clone());
+        let key = arguments
+            .dead_key
+            .unwrap_or_else(|| message.routing_key.clone());
         for target in self.route(&exchange, &key) {
             let mut copy = message.clone();
             (copy.exchange, copy.routing_key) = (exchange.clone(), key.clone());
@@ -860,9 +1128,17 @@
 
     fn consume_method(&mut self, id: ConnId, channel: u16, m: Method) -> Result<(), Fault> {
         match &m {
-            Method::BasicQos { prefetch_size, prefetch_count, global } => {
+            Method::BasicQos {
+                prefetch_size,
+                prefetch_count,
+                global,
+            } => {
                 if *prefetch_size != 0 {
-                    return Err(fault(Code::NotImplemented, "a prefetch in bytes is not offered".into(), &m));
+                    return Err(fault(
+                        Code::NotImplemented,
+                        "a prefetch in bytes is not offered".into(),
+                        &m,
+                    ));
                 }
                 if let Some(c) = self.channel(id, channel) {
                     if *global {
@@ -875,10 +1151,20 @@
                 }
                 self.send(id, channel, Method::BasicQosOk {});
             }
-            Method::BasicConsume { queue, consumer_tag, no_ack, exclusive, no_wait, .. } => {
+            Method::BasicConsume {
+                queue,
+                consumer_tag,
+                no_ack,
+                exclusive,
+                no_wait,
+                ..
+            } => {
                 let found = self.usable(id, queue, &m)?;
                 let held = found.consumers.iter().any(|(i, c, t)| {
-                    let consumer = self.connections.get(i).and_then(|i| i.channels.get(c)?.consumers.get(t));
+                    let consumer = self
+                        .connections
+                        .get(i)
+                        .and_then(|i| i.channels.get(c)?.consumers.get(t));
                     consumer.is_some_and(|c| c.exclusive)
                 });
                 if held || *exclusive && !found.consumers.is_empty() {
@@ -890,13 +1176,25 @@
                     self.names += 1;
                     tag = name(&format!("amq.ctag-{}", self.names));
                 }
-                let Some(c) = self.channel(id, channel) else { return Ok(()) };
+                let Some(c) = self.channel(id, channel) else {
+                    return Ok(());
+                };
                 if c.consumers.contains_key(&tag) {
-                    return Err(fault(Code::NotAllowed, format!("consumer tag '{tag}' is taken"), &m));
+                    return Err(fault(
+                        Code::NotAllowed,
+                        format!("consumer tag '{tag}' is taken"),
+                        &m,
+                    ));
                 }
                 let prefetch = c.prefetch;
                 let (queue, no_ack, exclusive) = (queue.clone(), *no_ack, *exclusive);
-                let consumer = Consumer { queue: queue.clone(), no_ack, exclusive, prefetch, unacked: 0 };
+                let consumer = Consumer {
+                    queue: queue.clone(),
+                    no_ack,
+                    exclusive,
+                    prefetch,
+                    unacked: 0,
+                };
                 c.consumers.insert(tag.clone(), consumer);
                 if let Some(found) = self.queues.get_mut(&queue) {
                     found.consumers.push_back((id, channel, tag.clone()));
@@ -907,7 +1205,10 @@
                 }
                 self.stirred.insert(queue);
             }
-            Method::BasicCancel { consumer_tag, no_wait } => {
+            Method::BasicCancel {
+                consumer_tag,
+                no_wait,
+            } => {
                 self.end_consumer(id, channel, consumer_tag);
                 if !no_wait {
                     let consumer_tag = consumer_tag.clone();
@@ -917,22 +1218,42 @@
             Method::BasicGet { queue, no_ack } => {
                 self.usable(id, queue, &m)?;
                 self.expire(queue);
-                let Some(found) = self.queues.get_mut(queue) else { return Ok(()) };
+                let Some(found) = self.queues.get_mut(queue) else {
+                    return Ok(());
+                };
                 let Some(message) = found.messages.pop_front() else {
                     self.send(id, channel, Method::BasicGetEmpty {});
                     return Ok(());
                 };
                 let message_count = found.messages.len() as u32;
-                let Some(c) = self.channel(id, channel) else { return Ok(()) };
+                let Some(c) = self.channel(id, channel) else {
+                    return Ok(());
+                };
                 c.next_tag += 1;
                 let delivery_tag = c.next_tag;
                 if !no_ack {
-                    let unacked = Unacked { queue: queue.clone(), message: message.clone(), consumer: None };
+                    let unacked = Unacked {
+                        queue: queue.clone(),
+                        message: message.clone(),
+                        consumer: None,
+                    };
                     c.unacked.insert(delivery_tag, unacked);
                 }
-                let Message { exchange, routing_key, properties, body, redelivered, .. } = message;
-                let got =
-                    Method::BasicGetOk { delivery_tag, redelivered, exchange, routing_key, message_count };
+                let Message {
+                    exchange,
+                    routing_key,
+                    properties,
+                    body,
+                    redelivered,
+                    ..
+                } = message;
+                let got = Method::BasicGetOk {
+                    delivery_tag,
+                    redelivered,
+                    exchange,
+                    routing_key,
+                    message_count,
+                };
                 let content = Some(Box::new(Content { properties, body }));
                 self.out.push((id, Out::Method(channel, got, content)));
             }
@@ -950,16 +1271,31 @@
                 }
             }
             Method::BasicCancelOk { .. } | Method::ChannelFlowOk { .. } => {}
-            _ => return Err(fault(Code::NotImplemented, format!("{} is not offered", m.name()), &m)),
+            _ => {
+                return Err(fault(
+                    Code::NotImplemented,
+                    format!("{} is not offered", m.name()),
+                    &m,
+                ));
+            }
         }
         Ok(())
     }
 
     fn end_consumer(&mut self, id: ConnId, channel: u16, tag: &ShortStr) {
-        let Some(consumer) = self.channel(id, channel).and_then(|c| c.consumers.remove(tag)) else { return };
+        let Some(consumer) = self
+            .channel(id, channel)
+            .and_then(|c| c.consumers.remove(tag))
+        else {
+            return;
+        };
         let now = self.now;
-        let Some(queue) = self.queues.get_mut(&consumer.queue) else { return };
-        queue.consumers.retain(|(i, c, t)| (*i, *c, t) != (id, channel, tag));
+        let Some(queue) = self.queues.get_mut(&consumer.queue) else {
+            return;
+        };
+        queue
+            .consumers
+            .retain(|(i, c, t)| (*i, *c, t) != (id, channel, tag));
         queue.unused_since = now;
         if queue.auto_delete && queue.had_consumers && queue.consumers.is_empty() {
             self.delete_queue(&consumer.queue);
@@ -968,31 +1304,61 @@
 
     fn settle_method(&mut self, id: ConnId, channel: u16, m: Method) -> Result<(), Fault> {
         let (tag, multiple, settle) = match &m {
-            Method::BasicAck { delivery_tag, multiple } => (*delivery_tag, *multiple, Settle::Ack),
-            Method::BasicNack { delivery_tag, multiple, requeue } => {
-                (*delivery_tag, *multiple, Settle::Reject { requeue: *requeue })
-            }
-            Method::BasicReject { delivery_tag, requeue } => {
-                (*delivery_tag, false, Settle::Reject { requeue: *requeue })
-            }
+            Method::BasicAck {
+                delivery_tag,
+                multiple,
+            } => (*delivery_tag, *multiple, Settle::Ack),
+            Method::BasicNack {
+                delivery_tag,
+                multiple,
+                requeue,
+            } => (
+                *delivery_tag,
+                *multiple,
+                Settle::Reject { requeue: *requeue },
+            ),
+            Method::BasicReject {
+                delivery_tag,
+                requeue,
+            } => (*delivery_tag, false, Settle::Reject { requeue: *requeue }),
             _ => return Ok(()),
         };
-        let Some(c) = self.channel(id, channel) else { return Ok(()) };
+        let Some(c) = self.channel(id, channel) else {
+            return Ok(());
+        };
         let free = |t: &u64| c.transaction.as_ref().is_none_or(|x| !x.taken.contains(t));
         let tags: Vec<u64> = match (tag, multiple) {
             (0, true) => c.unacked.keys().copied().filter(free).collect(),
-            (tag, true) => c.unacked.range(..=tag).map(|(t, _)| *t).filter(free).collect(),
-            (tag, false) => c.unacked.contains_key(&tag).then_some(tag).into_iter().filter(free).collect(),
+            (tag, true) => c
+                .unacked
+                .range(..=tag)
+                .map(|(t, _)| *t)
+                .filter(free)
+                .collect(),
+            (tag, false) => c
+                .unacked
+                .contains_key(&tag)
+                .then_some(tag)
+                .into_iter()
+                .filter(free)
+                .collect(),
         };
         if tags.is_empty() && !(multiple && tag == 0) {
-            return Err(fault(Code::PreconditionFailed, format!("unknown delivery tag {tag}"), &m));
+            return Err(fault(
+                Code::PreconditionFailed,
+                format!("unknown delivery tag {tag}"),
+                &m,
+            ));
         }
         for tag in tags {
             let settle = match &settle {
                 Settle::Ack => Settle::Ack,
                 Settle::Reject { requeue } => Settle::Reject { requeue: *requeue },
             };
-            match self.channel(id, channel).and_then(|c| c.transaction.as_mut()) {
+            match self
+                .channel(id, channel)
+                .and_then(|c| c.transaction.as_mut())
+            {
                 Some(transaction) => {
                     transaction.taken.insert(tag);
                     transaction.settles.push((tag, settle));
@@ -1004,9 +1370,22 @@
     }
 
     fn settle(&mut self, id: ConnId, channel: u16, tag: u64, settle: Settle) {
-        let client = self.connections.get(&id).map(|c| c.client.clone()).unwrap_or_default();
-        let Some(c) = self.channel(id, channel) else { return };
-        let Some(Unacked { queue, message, consumer }) = c.unacked.remove(&tag) else { return };
+        let client = self
+            .connections
+            .get(&id)
+            .map(|c| c.client.clone())
+            .unwrap_or_default();
+        let Some(c) = self.channel(id, channel) else {
+            return;
+        };
+        let Some(Unacked {
+            queue,
+            message,
+            consumer,
+        }) = c.unacked.remove(&tag)
+        else {
+            return;
+        };
         if let Some(consumer) = consumer.and_then(|t| c.consumers.get_mut(&t)) {
             consumer.unacked -= 1;
         }
@@ -1015,7 +1394,11 @@
         match settle {
             Settle::Ack => {
                 let message_id = message.properties.message_id.as_deref().map(str::to_string);
-                self.seen.push(Seen::Acked { queue: queue.to_string(), message_id, client });
+                self.seen.push(Seen::Acked {
+                    queue: queue.to_string(),
+                    message_id,
+                    client,
+                });
             }
             Settle::Reject { requeue: true } => self.requeue(&queue, message),
             Settle::Reject { requeue: false } => self.dead_letter(&queue, message, "rejected"),
@@ -1025,14 +1408,20 @@
     /// Puts a message back where it was, for another delivery.
     fn requeue(&mut self, queue: &ShortStr, mut message: Message) {
         message.redelivered = true;
-        let Some(found) = self.queues.get_mut(queue) else { return };
-        let at = found.messages.partition_point(|m| m.number < message.number);
+        let Some(found) = self.queues.get_mut(queue) else {
+            return;
+        };
+        let at = found
+            .messages
+            .partition_point(|m| m.number < message.number);
         found.messages.insert(at, message);
         self.stirred.insert(queue.clone());
     }
 
     fn requeue_all(&mut self, id: ConnId, channel: u16) {
-        let Some(c) = self.channel(id, channel) else { return };
+        let Some(c) = self.channel(id, channel) else {
+            return;
+        };
         c.consumers.values_mut().for_each(|c| c.unacked = 0);
         for (_, unacked) in std::mem::take(&mut c.unacked) {
             self.requeue(&unacked.queue, unacked.message);
@@ -1041,25 +1430,38 @@
 
     fn channel_gone(&mut self, id: ConnId, channel: u16) {
         self.requeue_all(id, channel);
-        let tags: Vec<_> =
-            self.channel(id, channel).map(|c| c.consumers.keys().cloned().collect()).unwrap_or_default();
-        tags.iter().for_each(|tag| self.end_consumer(id, channel, tag));
+        let tags: Vec<_> = self
+            .channel(id, channel)
+            .map(|c| c.consumers.keys().cloned().collect())
+            .unwrap_or_default();
+        tags.iter()
+            .for_each(|tag| self.end_consumer(id, channel, tag));
     }
 
     // ---- transactions and confirms ----
 
     fn mode_method(&mut self, id: ConnId, channel: u16, m: Method) -> Result<(), Fault> {
-        let Some(c) = self.channel(id, channel) else { return Ok(()) };
+        let Some(c) = self.channel(id, channel) else {
+            return Ok(());
+        };
         let reply = match (&m, &mut c.transaction) {
             (Method::TxSelect {}, _) if c.confirms.is_some() => {
-                return Err(fault(Code::PreconditionFailed, "the channel is in confirm mode".into(), &m));
+                return Err(fault(
+                    Code::PreconditionFailed,
+                    "the channel is in confirm mode".into(),
+                    &m,
+                ));
             }
             (Method::TxSelect {}, transaction) => {
                 transaction.get_or_insert_default();
                 Method::TxSelectOk {}
             }
             (Method::ConfirmSelect { .. }, Some(_)) => {
-                return Err(fault(Code::PreconditionFailed, "the channel is transactional".into(), &m));
+                return Err(fault(
+                    Code::PreconditionFailed,
+                    "the channel is transactional".into(),
+                    &m,
+                ));
             }
             (Method::ConfirmSelect { no_wait }, None) => {
                 c.confirms.get_or_insert(0);
@@ -1069,7 +1471,11 @@
                 Method::ConfirmSelectOk {}
             }
             (_, None) => {
-                return Err(fault(Code::PreconditionFailed, "the channel is not transactional".into(), &m));
+                return Err(fault(
+                    Code::PreconditionFailed,
+                    "the channel is not transactional".into(),
+                    &m,
+                ));
             }
             (Method::TxRollback {}, Some(transaction)) => {
                 *transaction = Transaction::default();
@@ -1077,7 +1483,9 @@
             }
             (_, Some(transaction)) => {
                 // Publishes and settlements take effect together: nothing can come between them here.
-                let Transaction { publishes, settles, .. } = std::mem::take(transaction);
+                let Transaction {
+                    publishes, settles, ..
+                } = std::mem::take(transaction);
                 for (method, content) in publishes {
                     self.publish(id, channel, method, content);
                 }
@@ -1102,37 +1510,59 @@
     }
 
     fn deliver_one(&mut self, queue: &ShortStr) -> bool {
-        let Some(found) = self.queues.get_mut(queue) else { return false };
+        let Some(found) = self.queues.get_mut(queue) else {
+            return false;
+        };
         if found.messages.is_empty() {
             return false;
         }
         for _ in 0..found.consumers.len() {
-            let Some((id, channel, tag)) = found.consumers.pop_front() else { return false };
+            let Some((id, channel, tag)) = found.consumers.pop_front() else {
+                return false;
+            };
             found.consumers.push_back((id, channel, tag.clone()));
-            let Some(connection) = self.connections.get_mut(&id).filter(|c| !c.congested) else { continue };
+            let Some(connection) = self.connections.get_mut(&id).filter(|c| !c.congested) else {
+                continue;
+            };
             let client = connection.client.clone();
-            let Some(c) = connection.channels.get_mut(&channel).filter(|c| !c.stopped) else { continue };
+            let Some(c) = connection.channels.get_mut(&channel).filter(|c| !c.stopped) else {
+                continue;
+            };
             let held = c.unacked.values().filter(|u| u.consumer.is_some()).count();
             if c.prefetch_global != 0 && held >= usize::from(c.prefetch_global) {
                 continue;
             }
-            let Some(consumer) = c.consumers.get_mut(&tag) else { continue };
+            let Some(consumer) = c.consumers.get_mut(&tag) else {
+                continue;
+            };
             if !consumer.no_ack
                 && consumer.prefetch != 0
                 && consumer.unacked >= usize::from(consumer.prefetch)
             {
                 continue;
             }
-            let Some(message) = found.messages.pop_front() else { return false };
+            let Some(message) = found.messages.pop_front() else {
+                return false;
+            };
             c.next_tag += 1;
             let delivery_tag = c.next_tag;
             if !consumer.no_ack {
                 consumer.unacked += 1;
-                let unacked =
-                    Unacked { queue: queue.clone(), message: message.clone(), consumer: Some(tag.clone()) };
+                let unacked = Unacked {
+                    queue: queue.clone(),
+                    message: message.clone(),
+                    consumer: Some(tag.clone()),
+                };
                 c.unacked.insert(delivery_tag, unacked);
             }
-            let Message { exchange, routing_key, properties, body, redelivered, .. } = message;
+            let Message {
+                exchange,
+                routing_key,
+                properties,
+                body,
+                redelivered,
+                ..
+            } = message;
             self.seen.push(Seen::Delivered {
                 queue: queue.to_string(),
                 message_id: properties.message_id.as_deref().map(str::to_string),
@@ -1140,8 +1570,13 @@
                 redelivered,
                 client,
             });
-            let method =
-                Method::BasicDeliver { consumer_tag: tag, delivery_tag, redelivered, exchange, routing_key };
+            let method = Method::BasicDeliver {
+                consumer_tag: tag,
+                delivery_tag,
+                redelivered,
+                exchange,
+                routing_key,
+            };
             let content = Some(Box::new(Content { properties, body }));
             self.out.push((id, Out::Method(channel, method, content)));
             return true;
