--- a/crates/pipithub-standin/src/broker/server.rs
+++ b/crates/pipithub-standin/src/broker/server.rs
@@ -96,8 +96,15 @@
         let listener = TcpListener::bind(listen).await?;
         let address = listener.local_addr()?;
         let mut broker = Broker::new(settings.bounds);
-        settings.queues.iter().for_each(|(queue, arguments)| broker.declare(queue, arguments));
-        let state = State { broker, mail: HashMap::new(), next: 1 };
+        settings
+            .queues
+            .iter()
+            .for_each(|(queue, arguments)| broker.declare(queue, arguments));
+        let state = State {
+            broker,
+            mail: HashMap::new(),
+            next: 1,
+        };
         let shared = Arc::new(Shared {
             settings,
             clock: Clock::default(),
@@ -107,7 +114,11 @@
         });
         let accept = tokio::spawn(accept(listener, shared.clone()));
         let timer = tokio::spawn(timer(shared.clone()));
-        Ok(BrokerServer { address, shared, tasks: vec![accept, timer] })
+        Ok(BrokerServer {
+            address,
+            shared,
+            tasks: vec![accept, timer],
+        })
     }
 
     /// Where it listens.
@@ -158,13 +169,19 @@
 
     fn route(&self, state: &mut State) {
         loop {
-            state.broker.take_seen().into_iter().for_each(|seen| self.settings.recorder.note(&self.at, seen));
+            state
+                .broker
+                .take_seen()
+                .into_iter()
+                .for_each(|seen| self.settings.recorder.note(&self.at, seen));
             let out = state.broker.take_out();
             if out.is_empty() {
                 return;
             }
             for (id, out) in out {
-                let Some(mail) = state.mail.get_mut(&id) else { continue };
+                let Some(mail) = state.mail.get_mut(&id) else {
+                    continue;
+                };
                 if let Out::Method(_, _, content) = &out {
                     mail.bytes += 256 + content.as_ref().map_or(0, |c| c.body.len());
                 }
@@ -198,7 +215,12 @@
         let id = state.next;
         state.next += 1;
         let notify = Arc::new(Notify::new());
-        let mail = Mail { waiting: VecDeque::new(), bytes: 0, notify: notify.clone(), cut: false };
+        let mail = Mail {
+            waiting: VecDeque::new(),
+            bytes: 0,
+            notify: notify.clone(),
+            cut: false,
+        };
         state.mail.insert(id, mail);
         drop(state);
         let shared = shared.clone();
@@ -223,7 +245,13 @@
 impl<'a> Connection<'a> {
     fn new(shared: &'a Shared, id: ConnId) -> Self {
         let endpoint = Endpoint::server(shared.settings.tuning, shared.clock.now());
-        Connection { shared, id, endpoint, publisher: false, user: String::new() }
+        Connection {
+            shared,
+            id,
+            endpoint,
+            publisher: false,
+            user: String::new(),
+        }
     }
 
     fn event(&mut self, event: Event) {
@@ -235,7 +263,8 @@
                     self.user = user;
                     self.endpoint.accept_login();
                 } else {
-                    self.endpoint.refuse_login("ACCESS_REFUSED - login was refused");
+                    self.endpoint
+                        .refuse_login("ACCESS_REFUSED - login was refused");
                 }
             }
             Event::OpenRequested { virtual_host } => {
@@ -243,19 +272,31 @@
                     self.endpoint.accept_open();
                 } else {
                     let text = format!("NOT_ALLOWED - vhost {virtual_host} not found");
-                    self.endpoint.refuse_open(Fault::new(Code::NotAllowed, text));
+                    self.endpoint
+                        .refuse_open(Fault::new(Code::NotAllowed, text));
                 }
             }
             Event::Connected => {
                 let told = self.endpoint.peer_properties();
-                let name = told.get("connection_name").or(told.get("product")).and_then(|v| v.as_str());
+                let name = told
+                    .get("connection_name")
+                    .or(told.get("product"))
+                    .and_then(|v| v.as_str());
                 let client = format!("{}#{}", name.unwrap_or("client"), self.id);
-                self.shared.act(|broker, _| broker.connect(self.id, &client, &self.user));
+                self.shared
+                    .act(|broker, _| broker.connect(self.id, &client, &self.user));
             }
             event => {
-                let publishes = matches!(&event, Event::Method { method: Method::BasicPublish { .. }, .. });
+                let publishes = matches!(
+                    &event,
+                    Event::Method {
+                        method: Method::BasicPublish { .. },
+                        ..
+                    }
+                );
                 self.publisher |= publishes;
-                self.shared.act(|broker, now| broker.handle(now, self.id, event));
+                self.shared
+                    .act(|broker, now| broker.handle(now, self.id, event));
             }
         }
     }
@@ -266,7 +307,9 @@
             self.event(event);
         }
         let mut state = self.shared.lock();
-        let Some(mail) = state.mail.get_mut(&self.id) else { return false };
+        let Some(mail) = state.mail.get_mut(&self.id) else {
+            return false;
+        };
         if mail.cut {
             return false;
         }
@@ -275,7 +318,8 @@
             // A channel that its peer has closed meanwhile takes nothing more: what was on its way is void.
             let sent = match out {
                 Out::Method(channel, method, Some(content)) => {
-                    self.endpoint.send_content(channel, method, content.properties, &content.body)
+                    self.endpoint
+                        .send_content(channel, method, content.properties, &content.body)
                 }
                 Out::Method(channel, method, None) => self.endpoint.send(channel, method),
                 Out::CloseChannel(channel, fault) => {
@@ -306,7 +350,8 @@
             let clock = self.shared.clock;
             output.extend_from_slice(&self.endpoint.take_output(clock.now()));
             if output.is_empty() {
-                self.shared.act(|broker, now| broker.set_congested(now, self.id, false));
+                self.shared
+                    .act(|broker, now| broker.set_congested(now, self.id, false));
             }
             if self.endpoint.is_over() && output.is_empty() {
                 return writer.shutdown().await;
--- a/crates/pipithub-standin/src/coordinator.rs
+++ b/crates/pipithub-standin/src/coordinator.rs
@@ -30,7 +30,8 @@
 const BACKLOG: u32 = 4096;
 /// A slow coordinator writes so often.
 const SLOW_STEP: Duration = Duration::from_millis(50);
-const HEAD: &str = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\nconnection: close\r\n\r\n";
+const HEAD: &str =
+    "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\nconnection: close\r\n\r\n";
 
 /// The workers of a site, as the list names them.
 #[derive(Clone, Debug)]
@@ -42,7 +43,10 @@
 impl Tier {
     /// So many workers, in zones by turns.
     pub fn new(workers: usize, zones: usize) -> Self {
-        let mut tier = Tier { hosts: Vec::new(), born: 0 };
+        let mut tier = Tier {
+            hosts: Vec::new(),
+            born: 0,
+        };
         for at in 0..workers {
             let host = tier.host(at, at % zones.max(1));
             tier.hosts.push(host);
@@ -66,7 +70,9 @@
 
     /// Replaces a worker by a new one; what changed.
     pub fn replace(&mut self, at: usize) -> Vec<Value> {
-        let Some(old) = self.hosts.get(at).cloned() else { return Vec::new() };
+        let Some(old) = self.hosts.get(at).cloned() else {
+            return Vec::new();
+        };
         let mut fresh = self.host(at, 0);
         fresh["site"] = old["site"].clone();
         self.hosts[at] = fresh.clone();
@@ -76,8 +82,10 @@
     /// Takes away one zone's workers; what changed.
     pub fn lose(&mut self, zone: usize) -> Vec<Value> {
         let name = format!("zone-{zone}");
-        let (lost, left): (Vec<Value>, Vec<Value>) =
-            self.hosts.drain(..).partition(|h| h["site"].as_str() == Some(&name));
+        let (lost, left): (Vec<Value>, Vec<Value>) = self
+            .hosts
+            .drain(..)
+            .partition(|h| h["site"].as_str() == Some(&name));
         self.hosts = left;
         lost.iter().map(gone).collect()
     }
@@ -137,7 +145,11 @@
 
 impl Default for Behaviour {
     fn default() -> Self {
-        Behaviour { comments: Some(Duration::from_secs(1)), rate: None, cut: false }
+        Behaviour {
+            comments: Some(Duration::from_secs(1)),
+            rate: None,
+            cut: false,
+        }
     }
 }
 
@@ -184,7 +196,9 @@
     /// # Errors
     /// As the system says.
     pub fn start(behaviour: Behaviour) -> io::Result<Self> {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
         let listener = {
             let _in = runtime.enter();
             let socket = TcpSocket::new_v4()?;
@@ -202,20 +216,30 @@
         let (stop, stopped) = oneshot::channel();
         let (ready, up) = std::sync::mpsc::channel();
         let serving = shared.clone();
-        let thread = std::thread::Builder::new().name("coordinator".into()).spawn(move || {
-            let own = std::fs::read_link("/proc/thread-self").unwrap_or_default();
-            let place = std::path::Path::new("/proc").join(own).join("schedstat");
-            *serving.schedstat.lock().unwrap_or_else(PoisonError::into_inner) = place.display().to_string();
-            let _ = ready.send(());
-            runtime.block_on(async {
-                tokio::select! {
-                    () = accept(listener, serving) => {}
-                    _ = stopped => {}
-                }
-            });
-        })?;
+        let thread = std::thread::Builder::new()
+            .name("coordinator".into())
+            .spawn(move || {
+                let own = std::fs::read_link("/proc/thread-self").unwrap_or_default();
+                let place = std::path::Path::new("/proc").join(own).join("schedstat");
+                *serving
+                    .schedstat
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner) = place.display().to_string();
+                let _ = ready.send(());
+                runtime.block_on(async {
+                    tokio::select! {
+                        () = accept(listener, serving) => {}
+                        _ = stopped => {}
+                    }
+                });
+            })?;
         let _ = up.recv();
-        Ok(Coordinator { shared, address, stop: Some(stop), thread: Some(thread) })
+        Ok(Coordinator {
+            shared,
+            address,
+            stop: Some(stop),
+            thread: Some(thread),
+        })
     }
 
     /// Where it listens.
@@ -226,7 +250,11 @@
     /// Hands out an event with these workers, beside the list that it leaves; its number.
     pub fn publish(&self, whole: bool, hosts: &[Value], tier: &Tier) -> u64 {
         let index = self.shared.book().last + 1;
-        self.publish_text(index, &event(index, whole, hosts), &event(index, true, tier.hosts()));
+        self.publish_text(
+            index,
+            &event(index, whole, hosts),
+            &event(index, true, tier.hosts()),
+        );
         index
     }
 
@@ -286,9 +314,16 @@
 
     /// CPU time of its thread, in nanoseconds; 0 where the system does not tell.
     pub fn cpu_ns(&self) -> u64 {
-        let place = self.shared.schedstat.lock().unwrap_or_else(PoisonError::into_inner);
+        let place = self
+            .shared
+            .schedstat
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let told = std::fs::read_to_string(&*place).unwrap_or_default();
-        told.split_whitespace().next().and_then(|n| n.parse().ok()).unwrap_or(0)
+        told.split_whitespace()
+            .next()
+            .and_then(|n| n.parse().ok())
+            .unwrap_or(0)
     }
 }
 
@@ -330,10 +365,18 @@
             return Ok(());
         }
     }
-    shared.counters.asked_bytes.fetch_add(request.len() as u64, Relaxed);
+    shared
+        .counters
+        .asked_bytes
+        .fetch_add(request.len() as u64, Relaxed);
     let text = String::from_utf8_lossy(&request).into_owned();
-    let id =
-        text.lines().find_map(|l| l.to_ascii_lowercase().strip_prefix("last-event-id:")?.trim().parse().ok());
+    let id = text.lines().find_map(|l| {
+        l.to_ascii_lowercase()
+            .strip_prefix("last-event-id:")?
+            .trim()
+            .parse()
+            .ok()
+    });
     let mut last: u64 = id.unwrap_or(0);
     let (mut news, mut said, mut left);
     {
@@ -349,7 +392,10 @@
     comments.tick().await;
     let (mut read, mut write) = stream.split();
     write.write_all(HEAD.as_bytes()).await?;
-    shared.counters.told_bytes.fetch_add(HEAD.len() as u64, Relaxed);
+    shared
+        .counters
+        .told_bytes
+        .fetch_add(HEAD.len() as u64, Relaxed);
     let mut first = true;
     let mut waste = [0; 512];
     loop {
@@ -392,7 +438,11 @@
     if first && last == 0 || oldest > last + 1 {
         return vec![(book.last, book.whole.clone())];
     }
-    book.history.iter().filter(|(index, _)| *index > last).cloned().collect()
+    book.history
+        .iter()
+        .filter(|(index, _)| *index > last)
+        .cloned()
+        .collect()
 }
 
 async fn comment(write: &mut (impl AsyncWriteExt + Unpin), shared: &Shared) -> io::Result<()> {
@@ -400,12 +450,21 @@
     tell(write, b":\n\n", shared).await
 }
 
-async fn tell(write: &mut (impl AsyncWriteExt + Unpin), bytes: &[u8], shared: &Shared) -> io::Result<()> {
+async fn tell(
+    write: &mut (impl AsyncWriteExt + Unpin),
+    bytes: &[u8],
+    shared: &Shared,
+) -> io::Result<()> {
     let rate = shared.behaviour.borrow().rate;
-    let step = rate.map_or(usize::MAX, |r| (r as usize * SLOW_STEP.as_millis() as usize / 1000).max(1));
+    let step = rate.map_or(usize::MAX, |r| {
+        (r as usize * SLOW_STEP.as_millis() as usize / 1000).max(1)
+    });
     for piece in bytes.chunks(step.min(bytes.len().max(1))) {
         write.write_all(piece).await?;
-        shared.counters.told_bytes.fetch_add(piece.len() as u64, Relaxed);
+        shared
+            .counters
+            .told_bytes
+            .fetch_add(piece.len() as u64, Relaxed);
         if rate.is_some() {
             tokio::time::sleep(SLOW_STEP).await;
         }
--- a/crates/pipithub-standin/src/directory.rs
+++ b/crates/pipithub-standin/src/directory.rs
@@ -12,9 +12,9 @@
 use bytes::Bytes;
 use pipithub_ldap::frame::{Framer, encode};
 use pipithub_ldap::message::{
-    AuthenticationChoice, BindResponse, Control, ExtendedRequest, Filter, IntermediateResponse, LdapMessage,
-    LdapResult, PartialAttribute, ProtocolOp, ResultCode, SearchRequest, SearchRequestScope,
-    SearchResultDone, SearchResultEntry, SubstringChoice,
+    AuthenticationChoice, BindResponse, Control, ExtendedRequest, Filter, IntermediateResponse,
+    LdapMessage, LdapResult, PartialAttribute, ProtocolOp, ResultCode, SearchRequest,
+    SearchRequestScope, SearchResultDone, SearchResultEntry, SubstringChoice,
 };
 use pipithub_ldap::{Dn, dn, ldif, oid, sync};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
@@ -113,7 +113,12 @@
         let records = ldif::read(&settings.tree).map_err(invalid)?;
         let base = match &settings.base {
             Some(base) => Dn::parse(base).map_err(invalid)?,
-            None => records.iter().map(|r| &r.dn).min_by_key(|d| d.depth()).cloned().unwrap_or_default(),
+            None => records
+                .iter()
+                .map(|r| &r.dn)
+                .min_by_key(|d| d.depth())
+                .cloned()
+                .unwrap_or_default(),
         };
         let mut tree = Tree {
             entries: BTreeMap::new(),
@@ -127,7 +132,8 @@
         for record in records {
             tree.insert(record);
         }
-        let made = rcgen::generate_simple_self_signed(["localhost".to_string(), "127.0.0.1".to_string()]);
+        let made =
+            rcgen::generate_simple_self_signed(["localhost".to_string(), "127.0.0.1".to_string()]);
         let made = made.map_err(invalid)?;
         let key = PrivateKeyDer::try_from(made.signing_key.serialize_der()).map_err(invalid)?;
         let provider = Arc::new(tokio_rustls::rustls::crypto::ring::default_provider());
@@ -154,7 +160,11 @@
                 tokio::spawn(serve(stream, served.clone()));
             }
         });
-        Ok(DirectoryServer { address, shared, task })
+        Ok(DirectoryServer {
+            address,
+            shared,
+            task,
+        })
     }
 
     /// Where it listens.
@@ -198,9 +208,13 @@
 
     /// Takes an entry out; whether it was there.
     pub fn delete(&self, name: &str) -> bool {
-        let Ok(dn) = Dn::parse(name) else { return false };
+        let Ok(dn) = Dn::parse(name) else {
+            return false;
+        };
         let mut tree = self.tree();
-        let Some(entry) = tree.entries.remove(&dn) else { return false };
+        let Some(entry) = tree.entries.remove(&dn) else {
+            return false;
+        };
         tree.mark += 1;
         let _ = self.shared.changes.send(Change::Gone(entry.uuid));
         true
@@ -208,9 +222,13 @@
 
     /// Moves an entry below another one; whether it was there.
     pub fn move_to(&self, name: &str, superior: &str) -> bool {
-        let (Ok(dn), Ok(superior)) = (Dn::parse(name), Dn::parse(superior)) else { return false };
+        let (Ok(dn), Ok(superior)) = (Dn::parse(name), Dn::parse(superior)) else {
+            return false;
+        };
         let mut tree = self.tree();
-        let Some(mut entry) = tree.entries.remove(&dn) else { return false };
+        let Some(mut entry) = tree.entries.remove(&dn) else {
+            return false;
+        };
         let to = dn.moved(None, Some(&superior));
         tree.mark += 1;
         entry.changed = timestamp();
@@ -241,7 +259,9 @@
         let (verb, rest) = line.split_once(' ').unwrap_or((line, ""));
         let on = rest == "on";
         match verb {
-            "delay" => self.set_faults(|f| f.delay = Duration::from_millis(rest.parse().unwrap_or(100))),
+            "delay" => {
+                self.set_faults(|f| f.delay = Duration::from_millis(rest.parse().unwrap_or(100)))
+            }
             "silent" => self.set_faults(|f| f.silent = on),
             "drop" => self.set_faults(|f| f.drop_every = rest.parse().unwrap_or(2)),
             "wrong" => self.set_faults(|f| f.wrong = on),
@@ -250,7 +270,11 @@
             "good" => self.set_faults(|f| *f = Faults::default()),
             "cut" => self.cut(),
             "delete" => return self.delete(rest),
-            "move" => return rest.split_once(" > ").is_some_and(|(from, to)| self.move_to(from, to)),
+            "move" => {
+                return rest
+                    .split_once(" > ")
+                    .is_some_and(|(from, to)| self.move_to(from, to));
+            }
             _ => return false,
         }
         true
@@ -266,22 +290,37 @@
         // The same name entered anew is another entry, as in a real directory; it differs between servers only where
         // their histories do.
         uuid[8..].copy_from_slice(
-            &record.dn.to_string().bytes().fold(7u64, |h, b| h.wrapping_mul(31) + u64::from(b)).to_be_bytes(),
+            &record
+                .dn
+                .to_string()
+                .bytes()
+                .fold(7u64, |h, b| h.wrapping_mul(31) + u64::from(b))
+                .to_be_bytes(),
         );
-        let entry =
-            Entry { written: record.written, attributes: record.attributes, uuid, changed: timestamp() };
+        let entry = Entry {
+            written: record.written,
+            attributes: record.attributes,
+            uuid,
+            changed: timestamp(),
+        };
         self.entries.insert(record.dn, entry);
     }
 
     fn csn(&self) -> String {
-        format!("20260101000000.{:06}Z#000000#000#000000", self.mark % 1_000_000)
+        format!(
+            "20260101000000.{:06}Z#000000#000#000000",
+            self.mark % 1_000_000
+        )
     }
 }
 
 /// The generalized time of now (RFC 4517, 3.3.13).
 fn timestamp() -> String {
     let millis = i64::try_from(pipithub_clock::wall_ms()).unwrap_or(i64::MAX);
-    chrono::DateTime::from_timestamp_millis(millis).unwrap_or_default().format("%Y%m%d%H%M%SZ").to_string()
+    chrono::DateTime::from_timestamp_millis(millis)
+        .unwrap_or_default()
+        .format("%Y%m%d%H%M%SZ")
+        .to_string()
 }
 
 impl Entry {
@@ -289,14 +328,18 @@
         if name.eq_ignore_ascii_case("modifyTimestamp") {
             return vec![self.changed.clone().into_bytes()];
         }
-        let named = self.attributes.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name));
+        let named = self
+            .attributes
+            .iter()
+            .filter(|(n, _)| n.eq_ignore_ascii_case(name));
         named.map(|(_, v)| v.clone()).collect()
     }
 
     fn matches(&self, filter: &Filter) -> bool {
         let folded = |v: &[u8]| dn::fold(&String::from_utf8_lossy(v));
-        let any =
-            |name: &str, test: &dyn Fn(&str) -> bool| self.values(name).iter().any(|v| test(&folded(v)));
+        let any = |name: &str, test: &dyn Fn(&str) -> bool| {
+            self.values(name).iter().any(|v| test(&folded(v)))
+        };
         match filter {
             Filter::And(all) => all.to_vec().iter().all(|f| self.matches(f)),
             Filter::Or(all) => all.to_vec().iter().any(|f| self.matches(f)),
@@ -319,12 +362,15 @@
             Filter::Substrings(s) => any(&s.r#type, &|value| {
                 let mut rest = value;
                 s.substrings.iter().all(|piece| match piece {
-                    SubstringChoice::Initial(p) => {
-                        rest.strip_prefix(folded(p).as_str()).map(|r| rest = r).is_some()
-                    }
+                    SubstringChoice::Initial(p) => rest
+                        .strip_prefix(folded(p).as_str())
+                        .map(|r| rest = r)
+                        .is_some(),
                     SubstringChoice::Any(p) => {
                         let piece = folded(p);
-                        rest.find(&piece).map(|at| rest = &rest[at + piece.len()..]).is_some()
+                        rest.find(&piece)
+                            .map(|at| rest = &rest[at + piece.len()..])
+                            .is_some()
                     }
                     SubstringChoice::Final(p) => rest.ends_with(folded(p).as_str()),
                     _ => false,
@@ -339,19 +385,37 @@
         let all = wanted.is_empty() || wanted.iter().any(|w| w == "*");
         for (name, value) in &self.attributes {
             if all || wanted.iter().any(|w| w.eq_ignore_ascii_case(name)) {
-                attributes.entry(name.clone()).or_default().push(value.clone());
+                attributes
+                    .entry(name.clone())
+                    .or_default()
+                    .push(value.clone());
             }
         }
-        let operational = [("entryUUID", uuid_text(&self.uuid)), ("modifyTimestamp", self.changed.clone())];
+        let operational = [
+            ("entryUUID", uuid_text(&self.uuid)),
+            ("modifyTimestamp", self.changed.clone()),
+        ];
         for (name, value) in operational {
-            if wanted.iter().any(|w| w.eq_ignore_ascii_case(name) || w == "+") {
-                attributes.entry(name.to_string()).or_default().push(value.into_bytes());
+            if wanted
+                .iter()
+                .any(|w| w.eq_ignore_ascii_case(name) || w == "+")
+            {
+                attributes
+                    .entry(name.to_string())
+                    .or_default()
+                    .push(value.into_bytes());
             }
         }
         let attribute = |(name, values): (String, Vec<Vec<u8>>)| {
-            PartialAttribute::new(name.into(), set(values.into_iter().map(Into::into).collect()))
+            PartialAttribute::new(
+                name.into(),
+                set(values.into_iter().map(Into::into).collect()),
+            )
         };
-        SearchResultEntry::new(self.written.as_str().into(), attributes.into_iter().map(attribute).collect())
+        SearchResultEntry::new(
+            self.written.as_str().into(),
+            attributes.into_iter().map(attribute).collect(),
+        )
     }
 }
 
@@ -361,7 +425,14 @@
 
 fn uuid_text(uuid: &[u8; 16]) -> String {
     let hex: String = uuid.iter().map(|b| format!("{b:02x}")).collect();
-    format!("{}-{}-{}-{}-{}", &hex[..8], &hex[8..12], &hex[12..16], &hex[16..20], &hex[20..])
+    format!(
+        "{}-{}-{}-{}-{}",
+        &hex[..8],
+        &hex[8..12],
+        &hex[12..16],
+        &hex[16..20],
+        &hex[20..]
+    )
 }
 
 impl Shared {
@@ -370,10 +441,20 @@
     }
 
     /// The answer to a search, without its persistent part.
-    fn search(&self, id: u32, request: &SearchRequest, controls: Option<&Vec<Control>>) -> Vec<LdapMessage> {
+    fn search(
+        &self,
+        id: u32,
+        request: &SearchRequest,
+        controls: Option<&Vec<Control>>,
+    ) -> Vec<LdapMessage> {
         let mut tree = self.tree();
         tree.searches += 1;
-        let done = |code| LdapMessage::new(id, ProtocolOp::SearchResDone(SearchResultDone(result(code, ""))));
+        let done = |code| {
+            LdapMessage::new(
+                id,
+                ProtocolOp::SearchResDone(SearchResultDone(result(code, ""))),
+            )
+        };
         if tree.faults.busy {
             return vec![done(ResultCode::Busy)];
         }
@@ -385,25 +466,40 @@
             return vec![done(ResultCode::NoSuchObject)];
         }
         if request.scope == SearchRequestScope::BaseObject {
-            let Some(entry) = tree.entries.get(&base) else { return vec![done(ResultCode::Success)] };
+            let Some(entry) = tree.entries.get(&base) else {
+                return vec![done(ResultCode::Success)];
+            };
             let mut told = entry.told(&wanted);
             if base == tree.base && wanted.iter().any(|w| w.eq_ignore_ascii_case("contextCSN")) {
                 let value = set(vec![tree.csn().into_bytes().into()]);
-                told.attributes.push(PartialAttribute::new("contextCSN".into(), value));
+                told.attributes
+                    .push(PartialAttribute::new("contextCSN".into(), value));
             }
-            return vec![LdapMessage::new(id, ProtocolOp::SearchResEntry(told)), done(ResultCode::Success)];
+            return vec![
+                LdapMessage::new(id, ProtocolOp::SearchResEntry(told)),
+                done(ResultCode::Success),
+            ];
         }
         let sync = sync::read_request(controls);
         let page = sync::read_paged(controls);
-        let from =
-            page.as_ref().and_then(|(_, c)| std::str::from_utf8(c).ok()?.parse::<usize>().ok()).unwrap_or(0);
+        let from = page
+            .as_ref()
+            .and_then(|(_, c)| std::str::from_utf8(c).ok()?.parse::<usize>().ok())
+            .unwrap_or(0);
         let inside = |dn: &Dn| match request.scope {
             SearchRequestScope::SingleLevel => dn.parent().as_ref() == Some(&base),
             _ => dn.is_within(&base),
         };
-        let wrong =
-            tree.faults.wrong.then(|| tree.entries.iter().next_back().map(|(d, e)| (d.clone(), e.clone())));
-        let found = tree.entries.iter().filter(|(dn, e)| inside(dn) && e.matches(&request.filter));
+        let wrong = tree.faults.wrong.then(|| {
+            tree.entries
+                .iter()
+                .next_back()
+                .map(|(d, e)| (d.clone(), e.clone()))
+        });
+        let found = tree
+            .entries
+            .iter()
+            .filter(|(dn, e)| inside(dn) && e.matches(&request.filter));
         let mut found: Vec<Entry> = found.map(|(_, e)| e.clone()).collect();
         if let Some(Some((_, entry))) = wrong {
             found = vec![entry];
@@ -428,7 +524,11 @@
         let mut end = done(ResultCode::Success);
         if let Some((size, _)) = page {
             let next = from.saturating_add(size as usize);
-            let cookie = if next < all { Bytes::from(next.to_string()) } else { Bytes::new() };
+            let cookie = if next < all {
+                Bytes::from(next.to_string())
+            } else {
+                Bytes::new()
+            };
             end.controls = Some(vec![sync::paged(all as u32, cookie)]);
         }
         messages.push(end);
@@ -520,7 +620,10 @@
                 }
                 ProtocolOp::SearchRequest(_) if !bound => {
                     let refused = result(ResultCode::InsufficientAccessRights, "bind first");
-                    answers.push(LdapMessage::new(id, ProtocolOp::SearchResDone(SearchResultDone(refused))));
+                    answers.push(LdapMessage::new(
+                        id,
+                        ProtocolOp::SearchResDone(SearchResultDone(refused)),
+                    ));
                 }
                 ProtocolOp::SearchRequest(request) => {
                     let controls = message.controls.as_ref();
@@ -535,7 +638,10 @@
                 _ => return Ok(None),
             }
             let bytes: Vec<u8> = answers.iter().flat_map(encode).collect();
-            queue.push_back((tokio::time::Instant::now() + shared.tree().faults.delay, bytes));
+            queue.push_back((
+                tokio::time::Instant::now() + shared.tree().faults.delay,
+                bytes,
+            ));
         }
         let next = queue.front().map(|(at, _)| *at);
         let wait = async {
@@ -574,7 +680,11 @@
 }
 
 /// What a change is to those who follow.
-fn told(shared: &Shared, persistent: &BTreeMap<u32, SearchRequest>, change: Change) -> Vec<LdapMessage> {
+fn told(
+    shared: &Shared,
+    persistent: &BTreeMap<u32, SearchRequest>,
+    change: Change,
+) -> Vec<LdapMessage> {
     let tree = shared.tree();
     if tree.faults.silent {
         return Vec::new();
@@ -584,16 +694,25 @@
         let wanted: Vec<String> = request.attributes.iter().map(|a| a.0.clone()).collect();
         let (entry, state, uuid) = match &change {
             Change::Is(dn) => {
-                let Some(entry) = tree.entries.get(dn).filter(|e| e.matches(&request.filter)) else {
+                let Some(entry) = tree.entries.get(dn).filter(|e| e.matches(&request.filter))
+                else {
                     continue;
                 };
                 (entry.told(&wanted), sync::State::Modify, entry.uuid)
             }
-            Change::Gone(uuid) => (SearchResultEntry::new("".into(), Vec::new()), sync::State::Delete, *uuid),
+            Change::Gone(uuid) => (
+                SearchResultEntry::new("".into(), Vec::new()),
+                sync::State::Delete,
+                *uuid,
+            ),
             Change::Cut => continue,
         };
         let mut message = LdapMessage::new(*id, ProtocolOp::SearchResEntry(entry));
-        message.controls = Some(vec![sync::state(state, Bytes::copy_from_slice(&uuid), None)]);
+        message.controls = Some(vec![sync::state(
+            state,
+            Bytes::copy_from_slice(&uuid),
+            None,
+        )]);
         messages.push(message);
     }
     messages
--- a/crates/pipithub-standin/src/list.rs
+++ b/crates/pipithub-standin/src/list.rs
@@ -16,7 +16,8 @@
 use hyper_util::rt::TokioIo;
 use pipithub_check::record::Seen;
 use pipithub_endpoints::object::{
-    Conditions, Endpoint, EndpointPort, EndpointSlice, EndpointSliceList, ListMeta, ObjectMeta, TargetRef,
+    Conditions, Endpoint, EndpointPort, EndpointSlice, EndpointSliceList, ListMeta, ObjectMeta,
+    TargetRef,
 };
 use pipithub_endpoints::{MEMORY, STARTED};
 use serde::{Deserialize, Serialize};
@@ -64,7 +65,11 @@
             annotations.insert(STARTED.to_string(), by_uid(self.started_ms as f64));
         }
         let live = self.state == "live";
-        let conditions = Conditions { ready: Some(live), serving: Some(true), terminating: Some(!live) };
+        let conditions = Conditions {
+            ready: Some(live),
+            serving: Some(true),
+            terminating: Some(!live),
+        };
         EndpointSlice {
             metadata: ObjectMeta {
                 name: self.name(),
@@ -80,9 +85,15 @@
                 addresses: vec![self.ip.clone()],
                 conditions,
                 zone: Some(self.zone.clone()).filter(|z| !z.is_empty()),
-                target_ref: Some(TargetRef { name: format!("worker-{}", self.port), uid: self.uid.clone() }),
+                target_ref: Some(TargetRef {
+                    name: format!("worker-{}", self.port),
+                    uid: self.uid.clone(),
+                }),
+            }],
+            ports: vec![EndpointPort {
+                name: Some("http".into()),
+                port: Some(self.port),
             }],
-            ports: vec![EndpointPort { name: Some("http".into()), port: Some(self.port) }],
         }
     }
 }
@@ -168,7 +179,11 @@
                 });
             }
         });
-        Ok(ListServer { address, shared, task })
+        Ok(ListServer {
+            address,
+            shared,
+            task,
+        })
     }
 
     /// Where it listens.
@@ -229,17 +244,27 @@
 }
 
 fn parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
-    query.split('&').find_map(|p| p.strip_prefix(name)?.strip_prefix('='))
+    query
+        .split('&')
+        .find_map(|p| p.strip_prefix(name)?.strip_prefix('='))
 }
 
 async fn serve(shared: Arc<Shared>, request: Request<Incoming>) -> Result<Reply, Infallible> {
     let (parts, body) = request.into_parts();
     let query = parts.uri.query().unwrap_or_default().to_string();
-    let agent = parts.headers.get("user-agent").and_then(|v| v.to_str().ok()).unwrap_or_default();
+    let agent = parts
+        .headers
+        .get("user-agent")
+        .and_then(|v| v.to_str().ok())
+        .unwrap_or_default();
     let front_end = agent.strip_prefix("pipithub/").unwrap_or(agent).to_string();
     match (&parts.method, parts.uri.path()) {
         (&Method::POST, "/control/worker") => {
-            let body = body.collect().await.map(|b| b.to_bytes()).unwrap_or_default();
+            let body = body
+                .collect()
+                .await
+                .map(|b| b.to_bytes())
+                .unwrap_or_default();
             match serde_json::from_slice(&body) {
                 Ok(worker) => set(&shared, worker),
                 Err(error) => return Ok(full(StatusCode::BAD_REQUEST, error.to_string())),
@@ -247,7 +272,9 @@
             Ok(full(StatusCode::OK, String::new()))
         }
         (&Method::POST, "/control/delay") => {
-            let ms = parameter(&query, "ms").and_then(|v| v.parse().ok()).unwrap_or(0);
+            let ms = parameter(&query, "ms")
+                .and_then(|v| v.parse().ok())
+                .unwrap_or(0);
             shared.lock().delay = Duration::from_millis(ms);
             Ok(full(StatusCode::OK, String::new()))
         }
@@ -266,21 +293,32 @@
             // A list that is late shows how things stood then: it is made now and sent later.
             let (list, workers, delay) = {
                 let state = shared.lock();
-                let items = state.workers.values().map(|w| w.slice(state.version)).collect();
-                let metadata = ListMeta { resource_version: state.version.to_string() };
+                let items = state
+                    .workers
+                    .values()
+                    .map(|w| w.slice(state.version))
+                    .collect();
+                let metadata = ListMeta {
+                    resource_version: state.version.to_string(),
+                };
                 let workers: Vec<Listed> = state.workers.values().cloned().collect();
                 (EndpointSliceList { metadata, items }, workers, state.delay)
             };
             tokio::time::sleep(delay).await;
             workers.iter().for_each(|w| shared.told(&front_end, w));
-            Ok(full(StatusCode::OK, serde_json::to_string(&list).unwrap_or_default()))
+            Ok(full(
+                StatusCode::OK,
+                serde_json::to_string(&list).unwrap_or_default(),
+            ))
         }
         _ => Ok(full(StatusCode::NOT_FOUND, String::new())),
     }
 }
 
 fn watch(shared: Arc<Shared>, front_end: String, query: &str) -> Reply {
-    let mut from: u64 = parameter(query, "resourceVersion").and_then(|v| v.parse().ok()).unwrap_or(0);
+    let mut from: u64 = parameter(query, "resourceVersion")
+        .and_then(|v| v.parse().ok())
+        .unwrap_or(0);
     let (sender, mut receiver) = mpsc::channel::<Bytes>(64);
     tokio::spawn(async move {
         let breaks = shared.lock().breaks;
@@ -293,7 +331,12 @@
                 }
                 let oldest = state.history.front().map_or(state.version + 1, |(v, _)| *v);
                 let expired = from + 1 < oldest && from < state.version;
-                let news: Vec<_> = state.history.iter().filter(|(v, _)| *v > from).cloned().collect();
+                let news: Vec<_> = state
+                    .history
+                    .iter()
+                    .filter(|(v, _)| *v > from)
+                    .cloned()
+                    .collect();
                 (expired, news, state.delay)
             };
             if expired {
@@ -312,17 +355,29 @@
             tokio::time::sleep(delay).await;
             for (version, worker) in news {
                 from = version;
-                let kind = if worker.state == "gone" { "DELETED" } else { "MODIFIED" };
+                let kind = if worker.state == "gone" {
+                    "DELETED"
+                } else {
+                    "MODIFIED"
+                };
                 let event = serde_json::json!({"type": kind, "object": worker.slice(version)});
                 // Noted before it is written: the front end cannot have been told earlier.
                 shared.told(&front_end, &worker);
-                if sender.send(Bytes::from(format!("{event}\n"))).await.is_err() {
+                if sender
+                    .send(Bytes::from(format!("{event}\n")))
+                    .await
+                    .is_err()
+                {
                     return;
                 }
             }
         }
     });
-    let stream = futures_stream(move |cx| receiver.poll_recv(cx).map(|b| b.map(|b| Ok(Frame::data(b)))));
+    let stream = futures_stream(move |cx| {
+        receiver
+            .poll_recv(cx)
+            .map(|b| b.map(|b| Ok(Frame::data(b))))
+    });
     Response::new(StreamBody::new(stream).boxed_unsync())
 }
 
@@ -331,8 +386,8 @@
     poll: impl FnMut(&mut std::task::Context<'_>) -> std::task::Poll<Option<T>> + Unpin,
 ) -> impl futures_core::Stream<Item = T> {
     struct PollStream<F>(F);
-    impl<T, F: FnMut(&mut std::task::Context<'_>) -> std::task::Poll<Option<T>> + Unpin> futures_core::Stream
-        for PollStream<F>
+    impl<T, F: FnMut(&mut std::task::Context<'_>) -> std::task::Poll<Option<T>> + Unpin>
+        futures_core::Stream for PollStream<F>
     {
         type Item = T;
         fn poll_next(
--- a/crates/pipithub-standin/src/proxy.rs
+++ b/crates/pipithub-standin/src/proxy.rs
@@ -72,7 +72,11 @@
                 });
             }
         });
-        Ok(Proxy { address, shared, task })
+        Ok(Proxy {
+            address,
+            shared,
+            task,
+        })
     }
 
     /// Where it listens.
@@ -82,7 +86,11 @@
 
     /// Sets the damage, for connections that are open too.
     pub fn set(&self, damage: Damage) {
-        *self.shared.damage.lock().unwrap_or_else(PoisonError::into_inner) = damage;
+        *self
+            .shared
+            .damage
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = damage;
     }
 
     /// How often bytes, or a new connection's, have met damage so far.
--- a/crates/pipithub-standin/src/recorder.rs
+++ b/crates/pipithub-standin/src/recorder.rs
@@ -27,19 +27,30 @@
 
     /// Appends to a file.
     pub fn file(path: &Path) -> std::io::Result<Self> {
-        let file = std::fs::OpenOptions::new().create(true).append(true).open(path)?;
-        Ok(Recorder { sink: Some(Arc::new(Mutex::new(Sink::File(file)))) })
+        let file = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(path)?;
+        Ok(Recorder {
+            sink: Some(Arc::new(Mutex::new(Sink::File(file)))),
+        })
     }
 
     /// Keeps records in memory, for tests in one process.
     pub fn memory() -> Self {
-        Recorder { sink: Some(Arc::new(Mutex::new(Sink::Memory(Vec::new())))) }
+        Recorder {
+            sink: Some(Arc::new(Mutex::new(Sink::Memory(Vec::new())))),
+        }
     }
 
     /// Writes one thing down.
     pub fn note(&self, at: &str, seen: Seen) {
         let Some(sink) = &self.sink else { return };
-        let record = Record { t: wall_ns(), at: at.to_string(), seen };
+        let record = Record {
+            t: wall_ns(),
+            at: at.to_string(),
+            seen,
+        };
         match &mut *sink.lock().unwrap_or_else(PoisonError::into_inner) {
             Sink::File(file) => {
                 // A full disk must not stop the stand-in; the checker sees that records are missing.
@@ -51,7 +62,9 @@
 
     /// What was written down so far, where it is kept in memory.
     pub fn records(&self) -> Vec<Record> {
-        let Some(sink) = &self.sink else { return Vec::new() };
+        let Some(sink) = &self.sink else {
+            return Vec::new();
+        };
         match &*sink.lock().unwrap_or_else(PoisonError::into_inner) {
             Sink::File(_) => Vec::new(),
             Sink::Memory(records) => records.clone(),
--- a/crates/pipithub-standin/src/relay.rs
+++ b/crates/pipithub-standin/src/relay.rs
@@ -60,9 +60,22 @@
         let socket = Arc::new(UdpSocket::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?);
         let address = socket.local_addr()?;
         let way = watch::channel(Way::default()).0;
-        let shared = Arc::new(Shared { way, to: Mutex::default(), under_way: AtomicUsize::new(0) });
-        let task = tokio::spawn(relay(socket, shared.clone(), SmallRng::seed_from_u64(seed), seen));
-        Ok(Relay { address, shared, task })
+        let shared = Arc::new(Shared {
+            way,
+            to: Mutex::default(),
+            under_way: AtomicUsize::new(0),
+        });
+        let task = tokio::spawn(relay(
+            socket,
+            shared.clone(),
+            SmallRng::seed_from_u64(seed),
+            seen,
+        ));
+        Ok(Relay {
+            address,
+            shared,
+            task,
+        })
     }
 
     /// Where datagrams are handed in.
@@ -72,7 +85,11 @@
 
     /// Where they go from now on; `None`: nowhere.
     pub fn lead_to(&self, to: Option<SocketAddr>) {
-        *self.shared.to.lock().unwrap_or_else(PoisonError::into_inner) = to;
+        *self
+            .shared
+            .to
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = to;
     }
 
     /// Changes what is done to them; what is under way keeps its time.
@@ -81,11 +98,18 @@
     }
 }
 
-async fn relay(socket: Arc<UdpSocket>, shared: Arc<Shared>, mut rng: SmallRng, seen: impl Fn(&[u8])) {
+async fn relay(
+    socket: Arc<UdpSocket>,
+    shared: Arc<Shared>,
+    mut rng: SmallRng,
+    seen: impl Fn(&[u8]),
+) {
     let mut buffer = vec![0; 65_536];
     let mut free = Instant::now();
     loop {
-        let Ok((count, _)) = socket.recv_from(&mut buffer).await else { continue };
+        let Ok((count, _)) = socket.recv_from(&mut buffer).await else {
+            continue;
+        };
         let bytes = &buffer[..count];
         seen(bytes);
         let way = *shared.way.borrow();
@@ -126,8 +150,11 @@
 
     async fn pair() -> (Relay, UdpSocket, UdpSocket, mpsc::UnboundedReceiver<usize>) {
         let (told, seen) = mpsc::unbounded_channel();
-        let relay =
-            Relay::start(1, move |b| assert!(told.send(b.len()).is_ok() || b.is_empty())).await.unwrap();
+        let relay = Relay::start(1, move |b| {
+            assert!(told.send(b.len()).is_ok() || b.is_empty())
+        })
+        .await
+        .unwrap();
         let to = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let from = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         relay.lead_to(Some(to.local_addr().unwrap()));
--- a/crates/pipithub-standin/src/store.rs
+++ b/crates/pipithub-standin/src/store.rs
@@ -25,7 +25,11 @@
 
 impl Default for StoreSettings {
     fn default() -> Self {
-        StoreSettings { fetch: Duration::from_millis(300), at_once: 8, limit: 40 }
+        StoreSettings {
+            fetch: Duration::from_millis(300),
+            at_once: 8,
+            limit: 40,
+        }
     }
 }
 
@@ -47,7 +51,8 @@
 impl StoreControl {
     /// Slows it down by this factor; 1 is its usual pace.
     pub fn slow(&self, factor: f64) {
-        self.slowness.store((factor.clamp(0.0, 1e6) * 1000.0) as u64, Ordering::Relaxed);
+        self.slowness
+            .store((factor.clamp(0.0, 1e6) * 1000.0) as u64, Ordering::Relaxed);
     }
 
     /// Turns every fetch away, or serves them again.
@@ -71,7 +76,10 @@
 
     /// Gives a key back: its call did not run.
     fn give_back(&self, key: &str) {
-        self.keys.lock().unwrap_or_else(PoisonError::into_inner).remove(key);
+        self.keys
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .remove(key);
     }
 }
 
@@ -107,7 +115,11 @@
                 tokio::spawn(serve(stream, shared.clone()));
             }
         });
-        Ok(StoreServer { address, control, task })
+        Ok(StoreServer {
+            address,
+            control,
+            task,
+        })
     }
 
     /// Where it listens.
@@ -137,12 +149,20 @@
                     tokio::time::sleep(settings.fetch.mul_f64(crowd * slowness)).await;
                 }
                 control.active.fetch_sub(1, Ordering::Relaxed);
-                if taken && !control.halted.load(Ordering::Relaxed) { "ok" } else { "no" }
+                if taken && !control.halted.load(Ordering::Relaxed) {
+                    "ok"
+                } else {
+                    "no"
+                }
             }
             "KEY" => {
                 let (ms, key) = rest.split_once(' ').unwrap_or(("0", rest));
                 let window = Duration::from_millis(ms.parse().unwrap_or(0));
-                if control.claim(key, window) { "ok" } else { "no" }
+                if control.claim(key, window) {
+                    "ok"
+                } else {
+                    "no"
+                }
             }
             "UNKEY" => {
                 control.give_back(rest);
@@ -163,7 +183,11 @@
             _ => "no",
         };
         line.clear();
-        stream.get_mut().get_mut().write_all(format!("{answer}\n").as_bytes()).await?;
+        stream
+            .get_mut()
+            .get_mut()
+            .write_all(format!("{answer}\n").as_bytes())
+            .await?;
     }
     Ok(())
 }
@@ -182,7 +206,10 @@
 /// Says one line to a store; its answer.
 pub async fn say(address: &str, line: &str) -> std::io::Result<String> {
     let mut stream = BufReader::new(TcpStream::connect(address).await?);
-    stream.get_mut().write_all(format!("{line}\n").as_bytes()).await?;
+    stream
+        .get_mut()
+        .write_all(format!("{line}\n").as_bytes())
+        .await?;
     let mut answer = String::new();
     stream.read_line(&mut answer).await?;
     Ok(answer.trim().to_string())
@@ -190,7 +217,12 @@
 
 /// Fetches a model; whether it came.
 pub async fn fetch(address: &str, model: &str) -> bool {
-    matches!(say(address, &format!("GET {}", one_line(model))).await.as_deref(), Ok("ok"))
+    matches!(
+        say(address, &format!("GET {}", one_line(model)))
+            .await
+            .as_deref(),
+        Ok("ok")
+    )
 }
 
 /// A text with a line's end in it would be two lines.
--- a/crates/pipithub-standin/src/worker/core.rs
+++ b/crates/pipithub-standin/src/worker/core.rs
@@ -229,7 +229,9 @@
 
     /// Its share of its capacity now.
     pub fn warmth(&self) -> f64 {
-        let WorkerSettings { cold_from, ramp, .. } = self.settings;
+        let WorkerSettings {
+            cold_from, ramp, ..
+        } = self.settings;
         let age = self.now.saturating_sub(self.started) as f64 / ramp.max(1) as f64;
         cold_from + (1.0 - cold_from) * age.min(1.0)
     }
@@ -246,7 +248,10 @@
 
     /// Loads under way or waiting.
     pub fn loads(&self) -> usize {
-        self.models.values().map(|m| m.loading.len() + m.queued_loads as usize).sum()
+        self.models
+            .values()
+            .map(|m| m.loading.len() + m.queued_loads as usize)
+            .sum()
     }
 
     /// The share of its memory in copies that cannot be freed.
@@ -261,7 +266,11 @@
     /// Models and how they stand.
     pub fn index(&self) -> Vec<(String, &'static str)> {
         let state = |m: &Model| if m.ready > 0 { "READY" } else { "LOADING" };
-        self.models.iter().filter(|(_, m)| m.copies() > 0).map(|(n, m)| (n.clone(), state(m))).collect()
+        self.models
+            .iter()
+            .filter(|(_, m)| m.copies() > 0)
+            .map(|(n, m)| (n.clone(), state(m)))
+            .collect()
     }
 
     fn rate(&self) -> f64 {
@@ -285,11 +294,17 @@
                 model.running -= 1;
                 model.idle_since = now;
             }
-            self.out.push(Happened::Done { id: done.id, result: Ok(done.met), alike: done.alike });
+            self.out.push(Happened::Done {
+                id: done.id,
+                result: Ok(done.met),
+                alike: done.alike,
+            });
         }
         let names: Vec<String> = self.models.keys().cloned().collect();
         for name in names {
-            let Some(model) = self.models.get_mut(&name) else { continue };
+            let Some(model) = self.models.get_mut(&name) else {
+                continue;
+            };
             let before = model.loading.len();
             model.loading.retain(|at| at.is_none_or(|at| at > now));
             let loaded = (before - model.loading.len()) as u32;
@@ -303,20 +318,36 @@
             }
             self.orders_done(&name);
         }
-        self.models.retain(|_, m| m.copies() > 0 || m.running > 0 || !m.orders.is_empty());
-        self.keys.retain(|_, t| *t + self.settings.dedup_window > now);
+        self.models
+            .retain(|_, m| m.copies() > 0 || m.running > 0 || !m.orders.is_empty());
+        self.keys
+            .retain(|_, t| *t + self.settings.dedup_window > now);
         self.begin();
     }
 
     /// When something is due.
     pub fn next_due(&self) -> Option<Time> {
         let rate = self.rate().max(1e-9);
-        let run = self.running.iter().map(|r| self.now + (r.left.max(0.0) / rate) as Time + 1).min();
+        let run = self
+            .running
+            .iter()
+            .map(|r| self.now + (r.left.max(0.0) / rate) as Time + 1)
+            .min();
         // While the worker warms up its pace changes: looked at again before long.
         let ramp = (self.warmth() < 1.0 && !self.running.is_empty()).then_some(self.now + 20 * MS);
-        let loads = self.models.values().flat_map(|m| m.loading.iter().flatten()).min().copied();
-        let idle = self.models.values().filter(|m| m.ready > m.running.div_ceil(m.lanes.max(1)));
-        let idle = idle.map(|m| (m.idle_since + self.settings.keep_alive).max(self.now + MS)).min();
+        let loads = self
+            .models
+            .values()
+            .flat_map(|m| m.loading.iter().flatten())
+            .min()
+            .copied();
+        let idle = self
+            .models
+            .values()
+            .filter(|m| m.ready > m.running.div_ceil(m.lanes.max(1)));
+        let idle = idle
+            .map(|m| (m.idle_since + self.settings.keep_alive).max(self.now + MS))
+            .min();
         [run, ramp, loads, idle].into_iter().flatten().min()
     }
 
@@ -329,7 +360,11 @@
             (self.running.iter().filter(|r| r.function == f).count() + waiting) as u32
         };
         let alike = held_alike(&call.function);
-        let refuse = |why| Happened::Done { id: call.id, result: Err(why), alike };
+        let refuse = |why| Happened::Done {
+            id: call.id,
+            result: Err(why),
+            alike,
+        };
         if self.fallen {
             return self.out.push(refuse(Refused::Fallen));
         }
@@ -338,9 +373,17 @@
         }
         let (copy_mb, lanes) = (self.settings.copy_mb, self.settings.lanes);
         let model = self.models.entry(call.function.clone()).or_default();
-        model.copy_mb = if call.copy_mb > 0.0 { call.copy_mb } else { copy_mb };
+        model.copy_mb = if call.copy_mb > 0.0 {
+            call.copy_mb
+        } else {
+            copy_mb
+        };
         model.lanes = if call.lanes > 0 { call.lanes } else { lanes };
-        let waiting = self.waiting.iter().filter(|w| w.call.function == call.function).count() as u32;
+        let waiting = self
+            .waiting
+            .iter()
+            .filter(|w| w.call.function == call.function)
+            .count() as u32;
         let free = (model.ready * model.lanes).saturating_sub(model.running + waiting);
         let coming = (model.copies() - model.ready) * model.lanes;
         let met = if free > 0 {
@@ -361,7 +404,12 @@
 
     /// What has been sent while the worker is cold may push it over.
     fn pressure(&mut self) {
-        let WorkerSettings { fall_multiple, fall_span, ramp, .. } = self.settings;
+        let WorkerSettings {
+            fall_multiple,
+            fall_span,
+            ramp,
+            ..
+        } = self.settings;
         let now = self.now;
         self.sent.push_back(now);
         while self.sent.front().is_some_and(|t| t + fall_span <= now) {
@@ -370,7 +418,8 @@
         if fall_multiple <= 0.0 || self.fallen || now >= self.started + ramp {
             return;
         }
-        let bound = fall_multiple * self.settings.capacity() * self.warmth() * fall_span as f64 / 1e9;
+        let bound =
+            fall_multiple * self.settings.capacity() * self.warmth() * fall_span as f64 / 1e9;
         let sent = self.sent.len() as f64;
         // A little slack for chance, as one call more or less is no herd.
         if sent > bound + 2.0 {
@@ -381,11 +430,20 @@
 
     /// Begins a load, or queues it; false where no room can be made.
     fn load(&mut self, function: &str) -> bool {
-        let need = self.models.get(function).map_or(self.settings.copy_mb, |m| m.copy_mb);
+        let need = self
+            .models
+            .get(function)
+            .map_or(self.settings.copy_mb, |m| m.copy_mb);
         while self.memory_used() + need > self.settings.memory_mb {
             let idle = |m: &Model| m.ready > m.running.div_ceil(m.lanes.max(1));
-            let oldest = self.models.iter().filter(|(n, m)| n.as_str() != function && idle(m));
-            let Some(name) = oldest.min_by_key(|(_, m)| m.idle_since).map(|(n, _)| n.clone()) else {
+            let oldest = self
+                .models
+                .iter()
+                .filter(|(n, m)| n.as_str() != function && idle(m));
+            let Some(name) = oldest
+                .min_by_key(|(_, m)| m.idle_since)
+                .map(|(n, _)| n.clone())
+            else {
                 return false;
             };
             if let Some(model) = self.models.get_mut(&name) {
@@ -400,7 +458,10 @@
     }
 
     fn memory_used(&self) -> f64 {
-        self.models.values().map(|m| f64::from(m.copies()) * m.copy_mb).sum()
+        self.models
+            .values()
+            .map(|m| f64::from(m.copies()) * m.copy_mb)
+            .sum()
     }
 
     fn begin_loads(&mut self) {
@@ -424,8 +485,12 @@
     pub fn fetched(&mut self, now: Time, function: &str, came: bool) {
         self.on_time(now);
         let until = now + self.settings.load;
-        let Some(model) = self.models.get_mut(function) else { return };
-        let Some(at) = model.loading.iter().position(Option::is_none) else { return };
+        let Some(model) = self.models.get_mut(function) else {
+            return;
+        };
+        let Some(at) = model.loading.iter().position(Option::is_none) else {
+            return;
+        };
         if came {
             model.loading[at] = Some(until);
             return;
@@ -433,16 +498,25 @@
         model.loading.remove(at);
         if model.copies() == 0 {
             // A failed load is told as failed, to all that waited for it; nothing is tried again here.
-            let (gone, kept) =
-                std::mem::take(&mut self.waiting).into_iter().partition(|w| w.call.function == function);
+            let (gone, kept) = std::mem::take(&mut self.waiting)
+                .into_iter()
+                .partition(|w| w.call.function == function);
             self.waiting = kept;
             let gone: VecDeque<Waiting> = gone;
             for Waiting { call, alike, .. } in gone {
-                self.out.push(Happened::Done { id: call.id, result: Err(Refused::LoadFailed), alike });
+                self.out.push(Happened::Done {
+                    id: call.id,
+                    result: Err(Refused::LoadFailed),
+                    alike,
+                });
             }
             if let Some(model) = self.models.get_mut(function) {
                 for (id, _) in std::mem::take(&mut model.orders) {
-                    self.out.push(Happened::Ordered { id, copies: 0, result: Err(Refused::LoadFailed) });
+                    self.out.push(Happened::Ordered {
+                        id,
+                        copies: 0,
+                        result: Err(Refused::LoadFailed),
+                    });
                 }
             }
         }
@@ -455,22 +529,40 @@
         let mut n = 0;
         while n < self.waiting.len() {
             let function = &self.waiting[n].call.function;
-            let free = self.models.get(function).is_some_and(|m| m.running < m.ready * m.lanes);
-            let Some(Waiting { call, met, alike }) = free.then(|| self.waiting.remove(n)).flatten() else {
+            let free = self
+                .models
+                .get(function)
+                .is_some_and(|m| m.running < m.ready * m.lanes);
+            let Some(Waiting { call, met, alike }) = free.then(|| self.waiting.remove(n)).flatten()
+            else {
                 n += 1;
                 continue;
             };
             if let Some(model) = self.models.get_mut(&call.function) {
                 model.running += 1;
             }
-            let dropped = call.repeat || call.key.as_ref().is_some_and(|k| self.keys.contains_key(k));
+            let dropped =
+                call.repeat || call.key.as_ref().is_some_and(|k| self.keys.contains_key(k));
             if let Some(key) = call.key.filter(|_| !dropped) {
                 self.keys.insert(key, self.now);
             }
-            self.out.push(Happened::Ran { id: call.id, dropped });
-            let work = if dropped { MS } else { call.work.unwrap_or(self.settings.run) };
+            self.out.push(Happened::Ran {
+                id: call.id,
+                dropped,
+            });
+            let work = if dropped {
+                MS
+            } else {
+                call.work.unwrap_or(self.settings.run)
+            };
             let (id, function) = (call.id, call.function);
-            self.running.push(Running { id, function, left: work.max(1) as f64, met, alike });
+            self.running.push(Running {
+                id,
+                function,
+                left: work.max(1) as f64,
+                met,
+                alike,
+            });
         }
     }
 
@@ -484,7 +576,11 @@
     pub fn order(&mut self, now: Time, id: u64, function: &str, copies: u32) {
         self.on_time(now);
         if self.fallen {
-            return self.out.push(Happened::Ordered { id, copies: 0, result: Err(Refused::Fallen) });
+            return self.out.push(Happened::Ordered {
+                id,
+                copies: 0,
+                result: Err(Refused::Fallen),
+            });
         }
         if copies == 0 {
             if let Some(model) = self.models.get_mut(function) {
@@ -492,20 +588,31 @@
             }
             let copies = self.models.get(function).map_or(0, |m| m.ready);
             self.models.retain(|_, m| m.copies() > 0 || m.running > 0);
-            return self.out.push(Happened::Ordered { id, copies, result: Ok(()) });
+            return self.out.push(Happened::Ordered {
+                id,
+                copies,
+                result: Ok(()),
+            });
         }
         let (copy_mb, lanes) = (self.settings.copy_mb, self.settings.lanes);
-        let model = self.models.entry(function.to_string()).or_insert_with(|| Model {
-            copy_mb,
-            lanes,
-            ..Model::default()
-        });
+        let model = self
+            .models
+            .entry(function.to_string())
+            .or_insert_with(|| Model {
+                copy_mb,
+                lanes,
+                ..Model::default()
+            });
         model.idle_since = now;
         while self.models[function].copies() < copies.min(16) {
             if !self.load(function) {
                 let copies = self.models[function].ready;
                 self.models.retain(|_, m| m.copies() > 0 || m.running > 0);
-                return self.out.push(Happened::Ordered { id, copies, result: Err(Refused::NoMemory) });
+                return self.out.push(Happened::Ordered {
+                    id,
+                    copies,
+                    result: Err(Refused::NoMemory),
+                });
             }
         }
         if let Some(model) = self.models.get_mut(function) {
@@ -515,16 +622,21 @@
     }
 
     fn orders_done(&mut self, function: &str) {
-        let Some(model) = self.models.get_mut(function) else { return };
+        let Some(model) = self.models.get_mut(function) else {
+            return;
+        };
         let ready = model.ready;
-        let (done, open) = std::mem::take(&mut model.orders).into_iter().partition(|(_, n)| *n <= ready);
+        let (done, open) = std::mem::take(&mut model.orders)
+            .into_iter()
+            .partition(|(_, n)| *n <= ready);
         model.orders = open;
         let done: Vec<(u64, u32)> = done;
-        self.out.extend(done.into_iter().map(|(id, _)| Happened::Ordered {
-            id,
-            copies: ready,
-            result: Ok(()),
-        }));
+        self.out
+            .extend(done.into_iter().map(|(id, _)| Happened::Ordered {
+                id,
+                copies: ready,
+                result: Ok(()),
+            }));
     }
 }
 
@@ -533,7 +645,11 @@
     use super::*;
 
     fn call(id: u64, function: &str) -> Incoming {
-        Incoming { id, function: function.into(), ..Incoming::default() }
+        Incoming {
+            id,
+            function: function.into(),
+            ..Incoming::default()
+        }
     }
 
     fn run(worker: &mut WorkerCore, until: Time) -> Vec<(Time, Happened)> {
@@ -555,7 +671,10 @@
     }
 
     fn warm() -> WorkerSettings {
-        WorkerSettings { cold_from: 1.0, ..WorkerSettings::default() }
+        WorkerSettings {
+            cold_from: 1.0,
+            ..WorkerSettings::default()
+        }
     }
 
     #[test]
@@ -564,22 +683,38 @@
         w.call(0, call(1, "f"));
         w.call(100 * MS, call(2, "f"));
         let all = run(&mut w, 1_000 * MS);
-        assert_eq!(done(&all, 1).map(|d| (d.0 / MS, d.1)), Some((560, Ok(Met::Began))));
+        assert_eq!(
+            done(&all, 1).map(|d| (d.0 / MS, d.1)),
+            Some((560, Ok(Met::Began)))
+        );
         assert_eq!(done(&all, 2).map(|d| d.1), Some(Ok(Met::Waited)));
         w.call(1_000 * MS, call(3, "f"));
         let all = run(&mut w, 2_000 * MS);
-        assert_eq!(done(&all, 3).map(|d| (d.0 / MS, d.1)), Some((1_060, Ok(Met::Warm))));
+        assert_eq!(
+            done(&all, 3).map(|d| (d.0 / MS, d.1)),
+            Some((1_060, Ok(Met::Warm)))
+        );
         run(&mut w, 12_000 * MS);
         assert_eq!(w.index(), []);
     }
 
     #[test]
     fn memory_is_bounded_and_idle_copies_give_way() {
-        let mut w = WorkerCore::new(WorkerSettings { memory_mb: 8_000.0, ..warm() }, false, 0);
+        let mut w = WorkerCore::new(
+            WorkerSettings {
+                memory_mb: 8_000.0,
+                ..warm()
+            },
+            false,
+            0,
+        );
         w.call(0, call(1, "a"));
         w.call(0, call(2, "b"));
         w.call(0, call(3, "c"));
-        assert_eq!(done(&run(&mut w, MS), 3).map(|d| d.1), Some(Err(Refused::NoMemory)));
+        assert_eq!(
+            done(&run(&mut w, MS), 3).map(|d| d.1),
+            Some(Err(Refused::NoMemory))
+        );
         run(&mut w, 1_000 * MS);
         w.call(1_000 * MS, call(4, "c"));
         let all = run(&mut w, 2_000 * MS);
@@ -596,33 +731,64 @@
         w.fetched(MS, "f", false);
         let all = w.take();
         assert!(
-            all.contains(&Happened::Done { id: 1, result: Err(Refused::LoadFailed), alike: 0 }),
+            all.contains(&Happened::Done {
+                id: 1,
+                result: Err(Refused::LoadFailed),
+                alike: 0
+            }),
             "{all:?}"
         );
-        assert!(all.contains(&Happened::Ordered { id: 9, copies: 0, result: Err(Refused::LoadFailed) }));
+        assert!(all.contains(&Happened::Ordered {
+            id: 9,
+            copies: 0,
+            result: Err(Refused::LoadFailed)
+        }));
     }
 
     #[test]
     fn repeats_of_a_key_are_dropped_for_a_while() {
         let mut w = WorkerCore::new(warm(), false, 0);
-        let keyed = |id| Incoming { key: Some("k".into()), ..call(id, "f") };
+        let keyed = |id| Incoming {
+            key: Some("k".into()),
+            ..call(id, "f")
+        };
         w.call(0, keyed(1));
         run(&mut w, 1_000 * MS);
         w.call(1_000 * MS, keyed(2));
-        assert!(run(&mut w, 2_000 * MS).iter().any(|(_, h)| *h == Happened::Ran { id: 2, dropped: true }));
+        assert!(run(&mut w, 2_000 * MS).iter().any(|(_, h)| *h
+            == Happened::Ran {
+                id: 2,
+                dropped: true
+            }));
         w.call(9_000 * MS, keyed(3));
-        assert!(run(&mut w, 10_000 * MS).iter().any(|(_, h)| *h == Happened::Ran { id: 3, dropped: false }));
+        assert!(run(&mut w, 10_000 * MS).iter().any(|(_, h)| *h
+            == Happened::Ran {
+                id: 3,
+                dropped: false
+            }));
     }
 
     #[test]
     fn a_cold_worker_is_slow_and_falls_over_when_it_is_sent_too_much() {
-        let cold = WorkerSettings { fall_multiple: 2.0, queue: 1_000, ..WorkerSettings::default() };
+        let cold = WorkerSettings {
+            fall_multiple: 2.0,
+            queue: 1_000,
+            ..WorkerSettings::default()
+        };
         let mut w = WorkerCore::new(cold.clone(), false, 0);
         // 33 calls a second when warm, 0.3 of it cold: 2 x 10 x 2 s = 40 calls, and slack.
         (0..40).for_each(|n| w.call(n * MS, call(n, "f")));
-        assert!(!w.take().iter().any(|h| matches!(h, Happened::FellOver { .. })));
+        assert!(
+            !w.take()
+                .iter()
+                .any(|h| matches!(h, Happened::FellOver { .. }))
+        );
         (40..50).for_each(|n| w.call(n * MS, call(n, "f")));
-        assert!(w.take().iter().any(|h| matches!(h, Happened::FellOver { .. })));
+        assert!(
+            w.take()
+                .iter()
+                .any(|h| matches!(h, Happened::FellOver { .. }))
+        );
         let mut w = WorkerCore::new(cold, false, 0);
         w.call(0, call(1, "f"));
         let at = done(&run(&mut w, 5_000 * MS), 1).expect("served").0;
--- a/crates/pipithub-standin/src/worker/server.rs
+++ b/crates/pipithub-standin/src/worker/server.rs
@@ -27,7 +27,10 @@
 
 enum Reply {
     Call(Result<Met, Refused>, u32),
-    Order { copies: u32, result: Result<(), Refused> },
+    Order {
+        copies: u32,
+        result: Result<(), Refused>,
+    },
 }
 
 struct State {
@@ -76,7 +79,13 @@
         recorder.note(&address.to_string(), up);
         let dedup_window = std::time::Duration::from_nanos(settings.dedup_window);
         let core = WorkerCore::new(settings, store.is_some(), clock.now());
-        let state = State { core, next: 1, waiting: HashMap::new(), names: HashMap::new(), swallow: false };
+        let state = State {
+            core,
+            next: 1,
+            waiting: HashMap::new(),
+            names: HashMap::new(),
+            swallow: false,
+        };
         let shared = Arc::new(Shared {
             state: Mutex::new(state),
             clock,
@@ -90,7 +99,11 @@
         let mut tasks = tokio::task::JoinSet::new();
         tasks.spawn(accept(listener, shared.clone()));
         tasks.spawn(timer(shared.clone()));
-        Ok(WorkerServer { address, shared, tasks })
+        Ok(WorkerServer {
+            address,
+            shared,
+            tasks,
+        })
     }
 
     /// Where it listens.
@@ -132,7 +145,14 @@
             match happened {
                 Happened::Ran { id, dropped } => {
                     if let Some((request, key)) = state.names.remove(&id) {
-                        self.recorder.note(&self.at, Seen::Ran { request, key, dropped });
+                        self.recorder.note(
+                            &self.at,
+                            Seen::Ran {
+                                request,
+                                key,
+                                dropped,
+                            },
+                        );
                     }
                 }
                 Happened::Done { id, result, alike } => {
@@ -227,14 +247,31 @@
     }
 }
 
-async fn serve(shared: Arc<Shared>, request: Request<Body>) -> Result<Response<Full<Bytes>>, std::io::Error> {
+async fn serve(
+    shared: Arc<Shared>,
+    request: Request<Body>,
+) -> Result<Response<Full<Bytes>>, std::io::Error> {
     let (parts, body) = request.into_parts();
-    let told = |name: &str| parts.headers.get(name).and_then(|v| v.to_str().ok()).map(str::to_string);
-    let number =
-        |name: &str| told(name).and_then(|v| v.parse::<f64>().ok()).filter(|n| *n >= 0.0).unwrap_or(0.0);
+    let told = |name: &str| {
+        parts
+            .headers
+            .get(name)
+            .and_then(|v| v.to_str().ok())
+            .map(str::to_string)
+    };
+    let number = |name: &str| {
+        told(name)
+            .and_then(|v| v.parse::<f64>().ok())
+            .filter(|n| *n >= 0.0)
+            .unwrap_or(0.0)
+    };
     let front_end = told(header::FRONT_END).unwrap_or_default();
     let path: Vec<&str> = parts.uri.path().trim_matches('/').split('/').collect();
-    let reply = |status: StatusCode| Response::builder().status(status).header(header::LOAD, shared.report());
+    let reply = |status: StatusCode| {
+        Response::builder()
+            .status(status)
+            .header(header::LOAD, shared.report())
+    };
     let body = match Limited::new(body, BODY_MOST).collect().await {
         Ok(body) => body.to_bytes(),
         Err(_) => return Ok(finish(reply(StatusCode::PAYLOAD_TOO_LARGE), Bytes::new())),
@@ -252,14 +289,37 @@
                 reason: String::new(),
             };
             let all: Vec<IndexEntry> = index.into_iter().map(entry).collect();
-            Ok(finish(reply(StatusCode::OK), Bytes::from(serde_json::to_vec(&all).unwrap_or_default())))
+            Ok(finish(
+                reply(StatusCode::OK),
+                Bytes::from(serde_json::to_vec(&all).unwrap_or_default()),
+            ))
         }
-        (&Method::POST, ["v2", "repository", "models", model, verb @ ("load" | "unload")]) => {
+        (
+            &Method::POST,
+            [
+                "v2",
+                "repository",
+                "models",
+                model,
+                verb @ ("load" | "unload"),
+            ],
+        ) => {
             let Some(model) = unescape(model) else {
                 return Ok(finish(reply(StatusCode::BAD_REQUEST), Bytes::new()));
             };
-            let copies = if *verb == "load" { (number(header::COPIES) as u32).max(1) } else { 0 };
-            shared.recorder.note(&shared.at, Seen::Order { front_end, function: model.clone(), copies });
+            let copies = if *verb == "load" {
+                (number(header::COPIES) as u32).max(1)
+            } else {
+                0
+            };
+            shared.recorder.note(
+                &shared.at,
+                Seen::Order {
+                    front_end,
+                    function: model.clone(),
+                    copies,
+                },
+            );
             let (sender, receiver) = oneshot::channel();
             let id = shared.act(|state, now| {
                 let id = state.next;
@@ -268,7 +328,11 @@
                 state.core.order(now, id, &model, copies);
                 id
             });
-            let mut guard = Guard { shared: shared.clone(), id, armed: true };
+            let mut guard = Guard {
+                shared: shared.clone(),
+                id,
+                armed: true,
+            };
             let told = receiver.await;
             guard.armed = false;
             let Ok(Reply::Order { copies, result }) = told else {
@@ -279,7 +343,9 @@
                 Err(Refused::LoadFailed) => StatusCode::SERVICE_UNAVAILABLE,
                 Err(_) => StatusCode::TOO_MANY_REQUESTS,
             };
-            let mut response = reply(status).header(header::COPIES, copies).header(header::RAN, "no");
+            let mut response = reply(status)
+                .header(header::COPIES, copies)
+                .header(header::RAN, "no");
             if result == Err(Refused::LoadFailed) {
                 response = response.header(header::COPY, "failed");
             }
@@ -302,10 +368,15 @@
                 },
             );
             let json: Option<serde_json::Value> = serde_json::from_slice(&body).ok();
-            let work = json.as_ref().and_then(|j| j["parameters"]["work_ms"].as_f64()).filter(|w| *w >= 0.0);
+            let work = json
+                .as_ref()
+                .and_then(|j| j["parameters"]["work_ms"].as_f64())
+                .filter(|w| *w >= 0.0);
             // The workers of one store drop each other's repeats: the key is claimed there before the call may run.
             let claimed = match (&shared.store, &key) {
-                (Some(store), Some(key)) => crate::store::claim(store, key, shared.dedup_window).await,
+                (Some(store), Some(key)) => {
+                    crate::store::claim(store, key, shared.dedup_window).await
+                }
                 _ => true,
             };
             let incoming = Incoming {
@@ -327,11 +398,19 @@
                 state.core.call(now, Incoming { id, ..incoming });
                 id
             });
-            let mut guard = Guard { shared: shared.clone(), id, armed: true };
+            let mut guard = Guard {
+                shared: shared.clone(),
+                id,
+                armed: true,
+            };
             let told = receiver.await;
             guard.armed = false;
-            let Ok(Reply::Call(result, alike)) = told else { return Err(std::io::ErrorKind::Other.into()) };
-            if let (Err(_), true, Some(store), Some(key)) = (&result, claimed, &shared.store, told_key) {
+            let Ok(Reply::Call(result, alike)) = told else {
+                return Err(std::io::ErrorKind::Other.into());
+            };
+            if let (Err(_), true, Some(store), Some(key)) =
+                (&result, claimed, &shared.store, told_key)
+            {
                 crate::store::give_back(store, &key).await;
             }
             if shared.lock().swallow {
@@ -349,7 +428,13 @@
             };
             let not_run = result.is_err();
             let status_code = status.as_u16();
-            let replied = Seen::Replied { front_end, request: name, attempt, status: status_code, not_run };
+            let replied = Seen::Replied {
+                front_end,
+                request: name,
+                attempt,
+                status: status_code,
+                not_run,
+            };
             shared.recorder.note(&shared.at, replied);
             let mut response = reply(status).header(header::ALIKE, alike);
             if let Some(note) = note {
--- a/crates/pipithub-standin/tests/accept.rs
+++ b/crates/pipithub-standin/tests/accept.rs
@@ -16,12 +16,17 @@
 
 impl Script {
     fn of(errors: impl IntoIterator<Item = Errno>) -> Self {
-        Script { errors: errors.into_iter().collect(), calls: 0 }
+        Script {
+            errors: errors.into_iter().collect(),
+            calls: 0,
+        }
     }
 
     fn accept(&mut self) -> io::Result<&'static str> {
         self.calls += 1;
-        self.errors.pop_front().map_or(Ok("connection"), |errno| Err(errno.into()))
+        self.errors
+            .pop_front()
+            .map_or(Ok("connection"), |errno| Err(errno.into()))
     }
 
     /// What comes of the script, and the time that was spent.
@@ -44,9 +49,16 @@
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM] {
         let mut script = Script::of([errno; 50]);
         let (accepted, waited) = script.play().await;
-        assert_eq!((accepted, script.calls), (Some("connection"), 51), "{errno}");
+        assert_eq!(
+            (accepted, script.calls),
+            (Some("connection"), 51),
+            "{errno}"
+        );
         assert!(waited >= Duration::from_millis(50), "{errno}: it spins");
-        assert!(waited <= Duration::from_secs(5), "{errno}: it sleeps too long: {waited:?}");
+        assert!(
+            waited <= Duration::from_secs(5),
+            "{errno}: it sleeps too long: {waited:?}"
+        );
     }
 }
 
--- a/crates/pipithub-standin/tests/lapin.rs
+++ b/crates/pipithub-standin/tests/lapin.rs
@@ -10,14 +10,19 @@
 use pipithub_standin::broker::{BrokerServer, BrokerSettings};
 
 async fn broker() -> BrokerServer {
-    BrokerServer::start(SocketAddr::from(([127, 0, 0, 1], 0)), BrokerSettings::default())
-        .await
-        .expect("a broker")
+    BrokerServer::start(
+        SocketAddr::from(([127, 0, 0, 1], 0)),
+        BrokerSettings::default(),
+    )
+    .await
+    .expect("a broker")
 }
 
 async fn connect(broker: &BrokerServer) -> (Connection, Channel) {
     let uri = format!("amqp://guest:guest@{}/%2f", broker.address());
-    let connection = Connection::connect(&uri, ConnectionProperties::default()).await.expect("a connection");
+    let connection = Connection::connect(&uri, ConnectionProperties::default())
+        .await
+        .expect("a connection");
     let channel = connection.create_channel().await.expect("a channel");
     (connection, channel)
 }
@@ -31,12 +36,26 @@
     for (key, value) in arguments {
         table.insert(short(key), value.clone());
     }
-    channel.queue_declare(short(queue), QueueDeclareOptions::default(), table).await.expect("declared");
+    channel
+        .queue_declare(short(queue), QueueDeclareOptions::default(), table)
+        .await
+        .expect("declared");
 }
 
-async fn publish(channel: &Channel, queue: &str, body: &[u8], properties: BasicProperties) -> Option<bool> {
+async fn publish(
+    channel: &Channel,
+    queue: &str,
+    body: &[u8],
+    properties: BasicProperties,
+) -> Option<bool> {
     let confirm = channel
-        .basic_publish(short(""), short(queue), BasicPublishOptions::default(), body, properties)
+        .basic_publish(
+            short(""),
+            short(queue),
+            BasicPublishOptions::default(),
+            body,
+            properties,
+        )
         .await
         .expect("published")
         .await
@@ -46,7 +65,10 @@
 
 async fn consume(channel: &Channel, queue: &str) -> Consumer {
     let options = BasicConsumeOptions::default();
-    channel.basic_consume(short(queue), short("me"), options, FieldTable::default()).await.expect("consuming")
+    channel
+        .basic_consume(short(queue), short("me"), options, FieldTable::default())
+        .await
+        .expect("consuming")
 }
 
 fn code(error: lapin::Error) -> u16 {
@@ -57,7 +79,9 @@
 }
 
 async fn next(consumer: &mut Consumer) -> lapin::message::Delivery {
-    let next = tokio::time::timeout(Duration::from_secs(20), consumer.next()).await.expect("in time");
+    let next = tokio::time::timeout(Duration::from_secs(20), consumer.next())
+        .await
+        .expect("in time");
     next.expect("the consumer runs").expect("a delivery")
 }
 
@@ -66,9 +90,15 @@
     let broker = broker().await;
     let (_connection, channel) = connect(&broker).await;
     declare(&channel, "q", &[]).await;
-    channel.confirm_select(ConfirmSelectOptions::default()).await.expect("confirms");
+    channel
+        .confirm_select(ConfirmSelectOptions::default())
+        .await
+        .expect("confirms");
     for size in [0, 10, 300_000] {
-        assert_eq!(publish(&channel, "q", &vec![1; size], BasicProperties::default()).await, Some(true));
+        assert_eq!(
+            publish(&channel, "q", &vec![1; size], BasicProperties::default()).await,
+            Some(true)
+        );
     }
     assert_eq!(broker.depth("q"), Some((3, 0)));
 }
@@ -94,13 +124,25 @@
         )
     };
     answer().await.expect("published");
-    channel.basic_ack(delivery.delivery_tag, BasicAckOptions::default()).await.expect("acked");
+    channel
+        .basic_ack(delivery.delivery_tag, BasicAckOptions::default())
+        .await
+        .expect("acked");
     channel.tx_rollback().await.expect("rolled back");
-    assert_eq!((broker.depth("answers"), broker.depth("calls")), (Some((0, 0)), Some((0, 1))));
+    assert_eq!(
+        (broker.depth("answers"), broker.depth("calls")),
+        (Some((0, 0)), Some((0, 1)))
+    );
     answer().await.expect("published");
-    channel.basic_ack(delivery.delivery_tag, BasicAckOptions::default()).await.expect("acked");
+    channel
+        .basic_ack(delivery.delivery_tag, BasicAckOptions::default())
+        .await
+        .expect("acked");
     channel.tx_commit().await.expect("committed");
-    assert_eq!((broker.depth("answers"), broker.depth("calls")), (Some((1, 0)), Some((0, 0))));
+    assert_eq!(
+        (broker.depth("answers"), broker.depth("calls")),
+        (Some((1, 0)), Some((0, 0)))
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -111,7 +153,10 @@
     for n in 0..10u8 {
         publish(&channel, "q", &[n], BasicProperties::default()).await;
     }
-    channel.basic_qos(3, BasicQosOptions { global: true }).await.expect("qos");
+    channel
+        .basic_qos(3, BasicQosOptions { global: true })
+        .await
+        .expect("qos");
     let mut consumer = consume(&channel, "q").await;
     for n in 0..3u8 {
         let delivery = next(&mut consumer).await;
@@ -123,8 +168,15 @@
     let mut consumer = consume(&channel, "q").await;
     for n in 0..10u8 {
         let delivery = next(&mut consumer).await;
-        assert_eq!((delivery.data[0], delivery.redelivered), (n, n < 3), "in their old order");
-        channel.basic_ack(delivery.delivery_tag, BasicAckOptions::default()).await.expect("acked");
+        assert_eq!(
+            (delivery.data[0], delivery.redelivered),
+            (n, n < 3),
+            "in their old order"
+        );
+        channel
+            .basic_ack(delivery.delivery_tag, BasicAckOptions::default())
+            .await
+            .expect("acked");
     }
 }
 
@@ -134,21 +186,40 @@
     let (_connection, channel) = connect(&broker).await;
     declare(&channel, "dead", &[]).await;
     let text = |t: &str| AMQPValue::LongString(t.into());
-    let dead = [("x-dead-letter-exchange", text("")), ("x-dead-letter-routing-key", text("dead"))];
+    let dead = [
+        ("x-dead-letter-exchange", text("")),
+        ("x-dead-letter-routing-key", text("dead")),
+    ];
     declare(&channel, "q", &dead).await;
     let mut graves = consume(&channel, "dead").await;
-    publish(&channel, "q", b"old", BasicProperties::default().with_expiration(short("30"))).await;
+    publish(
+        &channel,
+        "q",
+        b"old",
+        BasicProperties::default().with_expiration(short("30")),
+    )
+    .await;
     let grave = next(&mut graves).await;
     assert_eq!(&grave.data[..], b"old");
     let headers = grave.properties.headers().clone().expect("headers");
-    let Some(AMQPValue::FieldArray(deaths)) = headers.inner().get("x-death") else { panic!("{headers:?}") };
-    let Some(AMQPValue::FieldTable(death)) = deaths.as_slice().first() else { panic!("{headers:?}") };
+    let Some(AMQPValue::FieldArray(deaths)) = headers.inner().get("x-death") else {
+        panic!("{headers:?}")
+    };
+    let Some(AMQPValue::FieldTable(death)) = deaths.as_slice().first() else {
+        panic!("{headers:?}")
+    };
     assert_eq!(death.inner().get("reason"), Some(&text("expired")));
     publish(&channel, "q", b"bad", BasicProperties::default()).await;
-    let got =
-        channel.basic_get(short("q"), BasicGetOptions::default()).await.expect("got").expect("a message");
+    let got = channel
+        .basic_get(short("q"), BasicGetOptions::default())
+        .await
+        .expect("got")
+        .expect("a message");
     channel
-        .basic_reject(got.delivery.delivery_tag, BasicRejectOptions { requeue: false })
+        .basic_reject(
+            got.delivery.delivery_tag,
+            BasicRejectOptions { requeue: false },
+        )
         .await
         .expect("rejected");
     assert_eq!(&next(&mut graves).await.data[..], b"bad");
@@ -161,24 +232,44 @@
     declare(&channel, "a", &[]).await;
     let kind = lapin::ExchangeKind::Topic;
     channel
-        .exchange_declare(short("x"), kind, ExchangeDeclareOptions::default(), FieldTable::default())
+        .exchange_declare(
+            short("x"),
+            kind,
+            ExchangeDeclareOptions::default(),
+            FieldTable::default(),
+        )
         .await
         .expect("declared");
     channel
-        .queue_bind(short("a"), short("x"), short("k.*"), QueueBindOptions::default(), FieldTable::default())
+        .queue_bind(
+            short("a"),
+            short("x"),
+            short("k.*"),
+            QueueBindOptions::default(),
+            FieldTable::default(),
+        )
         .await
         .expect("bound");
     let options = BasicPublishOptions::default();
     for key in ["k.one", "k.one.two", "other"] {
         channel
-            .basic_publish(short("x"), short(key), options, b"m", BasicProperties::default())
+            .basic_publish(
+                short("x"),
+                short(key),
+                options,
+                b"m",
+                BasicProperties::default(),
+            )
             .await
             .expect("published");
     }
     channel
         .queue_declare(
             short("a"),
-            QueueDeclareOptions { passive: true, ..Default::default() },
+            QueueDeclareOptions {
+                passive: true,
+                ..Default::default()
+            },
             FieldTable::default(),
         )
         .await
@@ -187,13 +278,21 @@
     let missing = channel
         .queue_declare(
             short("nope"),
-            QueueDeclareOptions { passive: true, ..Default::default() },
+            QueueDeclareOptions {
+                passive: true,
+                ..Default::default()
+            },
             FieldTable::default(),
         )
         .await;
     assert_eq!(code(missing.expect_err("no such queue")), 404);
     let channel = connection.create_channel().await.expect("another channel");
-    let durable = QueueDeclareOptions { durable: true, ..Default::default() };
-    let other = channel.queue_declare(short("a"), durable, FieldTable::default()).await;
+    let durable = QueueDeclareOptions {
+        durable: true,
+        ..Default::default()
+    };
+    let other = channel
+        .queue_declare(short("a"), durable, FieldTable::default())
+        .await;
     assert_eq!(code(other.expect_err("another kind of queue")), 406);
 }
--- a/crates/pipithub-storage/src/backoff.rs
+++ b/crates/pipithub-storage/src/backoff.rs
@@ -20,7 +20,11 @@
 impl Backoff {
     /// Starts at `first` and doubles up to `longest`.
     pub fn new(first: Duration, longest: Duration) -> Self {
-        Backoff { first, longest, next: first }
+        Backoff {
+            first,
+            longest,
+            next: first,
+        }
     }
 
     /// The delay before the next retry.
--- a/crates/pipithub-storage/src/replace.rs
+++ b/crates/pipithub-storage/src/replace.rs
@@ -81,7 +81,11 @@
     fn with_suffix(path: PathBuf, suffix: &str, durability: Durability) -> Self {
         let mut temporary = OsString::from(path.as_os_str());
         temporary.push(suffix);
-        Target { path, temporary: temporary.into(), durability }
+        Target {
+            path,
+            temporary: temporary.into(),
+            durability,
+        }
     }
 
     /// The file.
@@ -101,7 +105,11 @@
 ///
 /// After an error all steps have to be made again, on a new file: pages whose sync failed may count as clean, so that a
 /// second sync of the same file would succeed with nothing written. This is what a further call does.
-pub fn replace(files: &dyn FileSystem, target: &Target, content: &[u8]) -> Result<(), ReplaceError> {
+pub fn replace(
+    files: &dyn FileSystem,
+    target: &Target,
+    content: &[u8],
+) -> Result<(), ReplaceError> {
     let outcome = write_and_rename(files, target, content);
     if outcome.is_err() {
         // Gives back its space where the disk is full. Where it fails, the next replacement removes the file.
@@ -110,22 +118,36 @@
     outcome
 }
 
-fn write_and_rename(files: &dyn FileSystem, target: &Target, content: &[u8]) -> Result<(), ReplaceError> {
-    let Target { path, temporary, durability } = target;
+fn write_and_rename(
+    files: &dyn FileSystem,
+    target: &Target,
+    content: &[u8],
+) -> Result<(), ReplaceError> {
+    let Target {
+        path,
+        temporary,
+        durability,
+    } = target;
     match files.remove(temporary) {
         Err(error) if error.kind() != ErrorKind::NotFound => Err(error),
         _ => Ok(()),
     }
     .map_err(failed(Step::RemoveStale, temporary))?;
-    let mut file = files.create_new(temporary).map_err(failed(Step::Create, temporary))?;
+    let mut file = files
+        .create_new(temporary)
+        .map_err(failed(Step::Create, temporary))?;
     write_all(&mut *file, content).map_err(failed(Step::Write, temporary))?;
     if *durability == Durability::Synced {
         file.sync().map_err(failed(Step::SyncFile, temporary))?;
     }
-    files.rename(temporary, path).map_err(failed(Step::Rename, path))?;
+    files
+        .rename(temporary, path)
+        .map_err(failed(Step::Rename, path))?;
     if *durability == Durability::Synced {
         // Without this, the old file could be back after a power cut.
-        files.sync_folder(target.folder()).map_err(failed(Step::SyncFolder, target.folder()))?;
+        files
+            .sync_folder(target.folder())
+            .map_err(failed(Step::SyncFolder, target.folder()))?;
     }
     Ok(())
 }
@@ -143,5 +165,9 @@
 }
 
 fn failed(step: Step, path: &Path) -> impl FnOnce(io::Error) -> ReplaceError + '_ {
-    move |source| ReplaceError { step, path: path.to_path_buf(), source }
+    move |source| ReplaceError {
+        step,
+        path: path.to_path_buf(),
+        source,
+    }
 }
--- a/crates/pipithub-storage/src/saver.rs
+++ b/crates/pipithub-storage/src/saver.rs
@@ -32,14 +32,22 @@
     pub fn start(files: Arc<dyn FileSystem>, target: Target) -> Self {
         let (newest, newest_receiver) = watch::channel(None);
         let (saved_sender, saved) = watch::channel(None);
-        let worker = Worker { files, target, newest: newest_receiver, saved: saved_sender };
+        let worker = Worker {
+            files,
+            target,
+            newest: newest_receiver,
+            saved: saved_sender,
+        };
         tokio::spawn(worker.run());
         Saver { newest, saved }
     }
 
     /// Has this content saved, under a number that [`Saver::saved`] will tell.
     pub fn save(&self, number: u64, content: impl Into<Arc<[u8]>>) {
-        self.newest.send_replace(Some(Version { number, content: content.into() }));
+        self.newest.send_replace(Some(Version {
+            number,
+            content: content.into(),
+        }));
     }
 
     /// The number of the content that was saved last: it is on disk. Its sender is gone when the task has ended.
@@ -82,7 +90,9 @@
     }
 
     async fn save_newest(&mut self) -> Result<(), SaveError> {
-        let Some(version) = self.newest.borrow_and_update().clone() else { return Ok(()) };
+        let Some(version) = self.newest.borrow_and_update().clone() else {
+            return Ok(());
+        };
         let (files, target) = (self.files.clone(), self.target.clone());
         let content = version.content;
         let replaced = tokio::task::spawn_blocking(move || replace(&*files, &target, &content));
--- a/crates/pipithub-storage/tests/disk/mod.rs
+++ b/crates/pipithub-storage/tests/disk/mod.rs
@@ -81,7 +81,11 @@
 impl Disk {
     /// A disk that holds one file, durably.
     pub fn with(path: &Path, content: &[u8]) -> Self {
-        let inode = Inode { cached: content.into(), durable: content.into(), clean_until: content.len() };
+        let inode = Inode {
+            cached: content.into(),
+            durable: content.into(),
+            clean_until: content.len(),
+        };
         let names = BTreeMap::from([(path.to_path_buf(), 0)]);
         let state = State {
             inodes: vec![inode],
@@ -113,7 +117,10 @@
     /// What a process reads.
     pub fn read(&self, path: &Path) -> Option<Vec<u8>> {
         let state = self.state();
-        state.names.get(path).map(|inode| state.inodes[*inode].cached.clone())
+        state
+            .names
+            .get(path)
+            .map(|inode| state.inodes[*inode].cached.clone())
     }
 
     /// The names that a process sees.
@@ -153,7 +160,9 @@
             Some(Fault::Takes(most) | Fault::Killed(most)) => bytes.len().min(most),
             _ => bytes.len(),
         };
-        state.inodes[self.inode].cached.extend_from_slice(&bytes[..count]);
+        state.inodes[self.inode]
+            .cached
+            .extend_from_slice(&bytes[..count]);
         end(fault).map(|()| count)
     }
 
@@ -162,7 +171,11 @@
         let fault = state.begin("sync file");
         let inode = &mut state.inodes[self.inode];
         // As on Linux: after a failure the pages count as clean, and a further sync succeeds with nothing written.
-        if fault.is_ok() && fault.as_ref().is_ok_and(|f| !matches!(f, Some(Fault::Killed(_)))) {
+        if fault.is_ok()
+            && fault
+                .as_ref()
+                .is_ok_and(|f| !matches!(f, Some(Fault::Killed(_))))
+        {
             let from = inode.clean_until;
             inode.durable.resize(from, 0);
             inode.durable.extend_from_slice(&inode.cached[from..]);
@@ -184,7 +197,10 @@
         state.names.insert(path.into(), inode);
         state.renamed();
         end(fault)?;
-        Ok(Box::new(OpenFile { disk: self.clone(), inode }))
+        Ok(Box::new(OpenFile {
+            disk: self.clone(),
+            inode,
+        }))
     }
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
--- a/crates/pipithub-storage/tests/replace.rs
+++ b/crates/pipithub-storage/tests/replace.rs
@@ -30,20 +30,31 @@
     let read = disk.read(&path());
     assert!(is_whole(read.as_deref()), "{context}: read back {read:?}");
     for read in disk.after_power_cut(&path()) {
-        assert!(is_whole(read.as_deref()), "{context}: after a power cut {read:?}");
+        assert!(
+            is_whole(read.as_deref()),
+            "{context}: after a power cut {read:?}"
+        );
     }
 }
 
 fn assert_saved(disk: &Disk, context: &str) {
     assert_eq!(disk.read(&path()).as_deref(), Some(NEW), "{context}");
     for read in disk.after_power_cut(&path()) {
-        assert_eq!(read.as_deref(), Some(NEW), "{context}: reported as saved, but after a power cut");
+        assert_eq!(
+            read.as_deref(),
+            Some(NEW),
+            "{context}: reported as saved, but after a power cut"
+        );
     }
 }
 
 /// Every fault that one operation can have.
 fn faults() -> Vec<Fault> {
-    let kinds = [ErrorKind::StorageFull, ErrorKind::Other, ErrorKind::PermissionDenied];
+    let kinds = [
+        ErrorKind::StorageFull,
+        ErrorKind::Other,
+        ErrorKind::PermissionDenied,
+    ];
     let mut all: Vec<Fault> = kinds.into_iter().map(Fault::Fails).collect();
     all.push(Fault::DoneButFails);
     all.extend((0..=NEW.len()).flat_map(|cut| [Fault::Takes(cut), Fault::Killed(cut)]));
@@ -56,7 +67,17 @@
     replace(&disk, &target(), NEW).expect("no fault");
     assert_saved(&disk, "no fault");
     let operations = disk.operations();
-    assert_eq!(operations, ["remove", "create", "write", "sync file", "rename", "sync folder"]);
+    assert_eq!(
+        operations,
+        [
+            "remove",
+            "create",
+            "write",
+            "sync file",
+            "rename",
+            "sync folder"
+        ]
+    );
     assert_eq!(disk.names(), [path()], "no temporary file is left");
 }
 
@@ -76,7 +97,11 @@
             disk.plan(|_| None);
             replace(&disk, &target(), NEW).unwrap_or_else(|e| panic!("{context}, then none: {e}"));
             assert_saved(&disk, &context);
-            assert_eq!(disk.names(), [path()], "{context}: no temporary file is left");
+            assert_eq!(
+                disk.names(),
+                [path()],
+                "{context}: no temporary file is left"
+            );
         }
     }
     assert!(failures > 6 * 4, "the faults were met: {failures}");
@@ -86,7 +111,10 @@
 fn faults_for_a_while_leave_whole_content_until_a_try_saves() {
     for first in 0..OPERATIONS {
         for length in 1..20 {
-            for fault in faults().into_iter().filter(|f| !matches!(f, Fault::Killed(_) | Fault::Takes(1..))) {
+            for fault in faults()
+                .into_iter()
+                .filter(|f| !matches!(f, Fault::Killed(_) | Fault::Takes(1..)))
+            {
                 let context = format!("{fault:?} of {length} operations from {first}");
                 let disk = Disk::with(&path(), OLD);
                 disk.plan(move |n| (first..first + length).contains(&n).then_some(fault));
@@ -94,7 +122,10 @@
                 while replace(&disk, &target(), NEW).is_err() {
                     assert_whole(&disk, &context);
                     tries += 1;
-                    assert!(tries <= length, "{context}: each try meets a fault at least");
+                    assert!(
+                        tries <= length,
+                        "{context}: each try meets a fault at least"
+                    );
                 }
                 assert_saved(&disk, &context);
             }
@@ -137,7 +168,11 @@
     let disk = Disk::with(&path(), OLD);
     let interrupted = Fault::Fails(ErrorKind::Interrupted);
     disk.plan(move |n| match n {
-        2.. if n < 2 + 2 * NEW.len() => Some(if n % 2 == 0 { interrupted } else { Fault::Takes(1) }),
+        2.. if n < 2 + 2 * NEW.len() => Some(if n % 2 == 0 {
+            interrupted
+        } else {
+            Fault::Takes(1)
+        }),
         _ => None,
     });
     replace(&disk, &target(), NEW).expect("no fault of the disk");
@@ -148,13 +183,22 @@
 
 #[test]
 fn an_error_tells_its_step() {
-    let steps =
-        [Step::RemoveStale, Step::Create, Step::Write, Step::SyncFile, Step::Rename, Step::SyncFolder];
+    let steps = [
+        Step::RemoveStale,
+        Step::Create,
+        Step::Write,
+        Step::SyncFile,
+        Step::Rename,
+        Step::SyncFolder,
+    ];
     for (operation, step) in steps.into_iter().enumerate() {
         let disk = Disk::with(&path(), OLD);
         disk.plan(move |n| (n == operation).then_some(Fault::Fails(ErrorKind::StorageFull)));
         let error = replace(&disk, &target(), NEW).expect_err("a fault");
-        assert_eq!((error.step, error.source.kind()), (step, ErrorKind::StorageFull));
+        assert_eq!(
+            (error.step, error.source.kind()),
+            (step, ErrorKind::StorageFull)
+        );
     }
 }
 
@@ -167,7 +211,10 @@
             disk.plan(move |n| (n == operation).then_some(fault));
             let _ = replace(&disk, &Target::new(path(), Durability::Unsynced), NEW);
             let read = disk.read(&path());
-            assert!(is_whole(read.as_deref()), "{fault:?} of {operation}: {read:?}");
+            assert!(
+                is_whole(read.as_deref()),
+                "{fault:?} of {operation}: {read:?}"
+            );
             assert!(!disk.operations().iter().any(|o| o.starts_with("sync")));
         }
     }
@@ -188,7 +235,11 @@
         let left = disk.names();
         replace(&disk, &one, NEW).expect("no fault");
         assert_saved(&disk, "beside a killed writer");
-        assert_eq!(disk.names().len(), left.len(), "the other's temporary file is its own to remove");
+        assert_eq!(
+            disk.names().len(),
+            left.len(),
+            "the other's temporary file is its own to remove"
+        );
     }
 }
 
@@ -206,7 +257,11 @@
 fn the_systems_files_are_replaced() {
     let folder = tempfile::tempdir().expect("a folder");
     let target = Target::new(folder.path().join("record"), Durability::Synced);
-    std::fs::write(folder.path().join("record.new"), "left behind by a killed process").expect("written");
+    std::fs::write(
+        folder.path().join("record.new"),
+        "left behind by a killed process",
+    )
+    .expect("written");
     for content in [OLD, NEW, b""] {
         replace(&SystemFiles, &target, content).expect("replaced");
         assert_eq!(std::fs::read(target.path()).expect("read"), content);
@@ -214,5 +269,8 @@
     }
     let missing = Target::new(folder.path().join("none/record"), Durability::Synced);
     let error = replace(&SystemFiles, &missing, NEW).expect_err("no such folder");
-    assert_eq!((error.step, error.source.kind()), (Step::Create, ErrorKind::NotFound));
+    assert_eq!(
+        (error.step, error.source.kind()),
+        (Step::Create, ErrorKind::NotFound)
+    );
 }
--- a/crates/pipithub-storage/tests/saver.rs
+++ b/crates/pipithub-storage/tests/saver.rs
@@ -21,12 +21,17 @@
 }
 
 fn saver(disk: &Disk) -> Saver {
-    Saver::start(Arc::new(disk.clone()), Target::new(path(), Durability::Synced))
+    Saver::start(
+        Arc::new(disk.clone()),
+        Target::new(path(), Durability::Synced),
+    )
 }
 
 /// Fails where the event never comes: the clock is paused, and moves on when nothing else can happen.
 async fn in_time<T>(event: impl Future<Output = T>) -> T {
-    tokio::time::timeout(Duration::from_secs(3_600), event).await.expect("it never came")
+    tokio::time::timeout(Duration::from_secs(3_600), event)
+        .await
+        .expect("it never came")
 }
 
 fn assert_on_disk(disk: &Disk, content: &[u8]) {
@@ -52,7 +57,9 @@
                 let mut saved = saver.saved();
                 assert_eq!(*saved.borrow_and_update(), None);
                 saver.save(7, *b"new");
-                in_time(saved.wait_for(|s| *s == Some(7))).await.expect("it goes on trying");
+                in_time(saved.wait_for(|s| *s == Some(7)))
+                    .await
+                    .expect("it goes on trying");
                 assert_on_disk(&disk, b"new");
             }
         }
@@ -69,7 +76,9 @@
         saver.save(number, number.to_string().into_bytes());
         tokio::task::yield_now().await;
     }
-    let first = *in_time(saved.wait_for(Option::is_some)).await.expect("it goes on trying");
+    let first = *in_time(saved.wait_for(Option::is_some))
+        .await
+        .expect("it goes on trying");
     assert_eq!(first, Some(100), "not one of those before");
     assert_on_disk(&disk, b"100");
 }
@@ -81,7 +90,9 @@
     let mut saved = one.saved();
     one.save(1, *b"new");
     drop(one);
-    in_time(saved.wait_for(|_| false)).await.expect_err("the task ends");
+    in_time(saved.wait_for(|_| false))
+        .await
+        .expect_err("the task ends");
     assert_eq!(*saved.borrow(), Some(1));
     assert_on_disk(&good, b"new");
 
@@ -91,9 +102,15 @@
     let mut saved = other.saved();
     other.save(1, *b"new");
     drop(other);
-    in_time(saved.wait_for(|_| false)).await.expect_err("the task ends");
+    in_time(saved.wait_for(|_| false))
+        .await
+        .expect_err("the task ends");
     assert_eq!(*saved.borrow(), None);
-    assert_eq!(broken.operations(), ["remove", "remove"], "one try, and its cleaning up");
+    assert_eq!(
+        broken.operations(),
+        ["remove", "remove"],
+        "one try, and its cleaning up"
+    );
     assert_on_disk(&broken, OLD);
 }
 
@@ -105,5 +122,8 @@
     backoff.reset();
     assert_eq!(backoff.next_delay().as_millis(), 100);
     let mut longest = Backoff::new(Duration::MAX, Duration::MAX);
-    assert_eq!((longest.next_delay(), longest.next_delay()), (Duration::MAX, Duration::MAX));
+    assert_eq!(
+        (longest.next_delay(), longest.next_delay()),
+        (Duration::MAX, Duration::MAX)
+    );
 }
--- a/crates/pipithub/src/demo.rs
+++ b/crates/pipithub/src/demo.rs
@@ -20,20 +20,27 @@
     );
     let folder = std::env::temp_dir().join(format!("pipithub-demo-{}", std::process::id()));
     let binary = std::env::current_exe().into_diagnostic()?;
-    let judged = pipithub_drill::run::run(&day, 1, &binary, &folder, None, |second, sent, verdicts| {
-        let of = |v: &str| verdicts.get(v).copied().unwrap_or(0);
-        println!(
-            "{second:>4.0} s  sent {sent:>5}  served {:>5}  refused {:>4}  failed {:>4}",
-            of("served"),
-            of("refused"),
-            of("failed")
-        );
-    });
-    let judged = judged.await.map_err(|e| miette!("{e}; logs are in {}", folder.display()))?;
+    let judged =
+        pipithub_drill::run::run(&day, 1, &binary, &folder, None, |second, sent, verdicts| {
+            let of = |v: &str| verdicts.get(v).copied().unwrap_or(0);
+            println!(
+                "{second:>4.0} s  sent {sent:>5}  served {:>5}  refused {:>4}  failed {:>4}",
+                of("served"),
+                of("refused"),
+                of("failed")
+            );
+        });
+    let judged = judged
+        .await
+        .map_err(|e| miette!("{e}; logs are in {}", folder.display()))?;
     crate::show(&day, 1, &judged);
     let kept = judged.breaches.is_empty();
     if kept {
         let _ = std::fs::remove_dir_all(&folder);
     }
-    Ok(if kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if kept {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    })
 }
--- a/crates/pipithub/src/main.rs
+++ b/crates/pipithub/src/main.rs
@@ -136,15 +136,24 @@
 }
 
 fn log(json: bool, level: &str) {
-    let filter = EnvFilter::try_from_default_env().or_else(|_| EnvFilter::try_new(level)).unwrap_or_default();
-    let builder = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
+    let filter = EnvFilter::try_from_default_env()
+        .or_else(|_| EnvFilter::try_new(level))
+        .unwrap_or_default();
+    let builder = tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr);
     // A second call, as in tests, changes nothing.
-    let _ = if json { builder.json().try_init() } else { builder.with_ansi(false).try_init() };
+    let _ = if json {
+        builder.json().try_init()
+    } else {
+        builder.with_ansi(false).try_init()
+    };
 }
 
 fn load(path: &Path) -> Result<Config> {
-    let text =
-        std::fs::read_to_string(path).into_diagnostic().wrap_err_with(|| path.display().to_string())?;
+    let text = std::fs::read_to_string(path)
+        .into_diagnostic()
+        .wrap_err_with(|| path.display().to_string())?;
     Config::parse(&path.display().to_string(), &text).map_err(|faults| miette::Report::new(*faults))
 }
 
@@ -168,7 +177,9 @@
             tokio::task::LocalSet::new().run_until(node.serve()).await;
             Ok(ExitCode::SUCCESS)
         }
-        Command::Config { command: ConfigCommand::Check { file } } => {
+        Command::Config {
+            command: ConfigCommand::Check { file },
+        } => {
             let config = load(&file)?;
             let queues: usize = config.amqp.iter().map(|a| a.queues.len()).sum();
             println!(
@@ -189,7 +200,13 @@
         Command::Tenants { command } => tenants::run(command).await,
         Command::Publish(publish) => publish::run(publish).await,
         Command::Demo => demo::run().await,
-        Command::Drill { file, seed, json, folder, baseline } => {
+        Command::Drill {
+            file,
+            seed,
+            json,
+            folder,
+            baseline,
+        } => {
             log(false, "warn");
             let text = std::fs::read_to_string(&file)
                 .into_diagnostic()
@@ -197,15 +214,17 @@
             if FleetDay::is_one(&text) {
                 return fleet_drill(&file, &text, seed, json, folder).await;
             }
-            let day =
-                Scenario::parse(&file.display().to_string(), &text).map_err(|e| miette::Report::new(*e))?;
+            let day = Scenario::parse(&file.display().to_string(), &text)
+                .map_err(|e| miette::Report::new(*e))?;
             let given = folder.is_some();
             let folder = folder.unwrap_or_else(|| {
                 std::env::temp_dir().join(format!("pipithub-drill-{}-{seed}", std::process::id()))
             });
             let binary = std::env::current_exe().into_diagnostic()?;
             let baseline = baseline.map(Baseline::name);
-            let judged = pipithub_drill::run::run(&day, seed, &binary, &folder, baseline, |_, _, _| {}).await;
+            let judged =
+                pipithub_drill::run::run(&day, seed, &binary, &folder, baseline, |_, _, _| {})
+                    .await;
             let judged = judged.map_err(|e| miette!("{e}; logs are in {}", folder.display()))?;
             if json {
                 println!("{}", json_of(&day, seed, &judged));
@@ -234,7 +253,8 @@
     folder: Option<PathBuf>,
 ) -> Result<ExitCode> {
     use pipithub_check::fleet::Rule;
-    let day = FleetDay::parse(&file.display().to_string(), text).map_err(|e| miette::Report::new(*e))?;
+    let day =
+        FleetDay::parse(&file.display().to_string(), text).map_err(|e| miette::Report::new(*e))?;
     let given = folder.is_some();
     let folder = folder.unwrap_or_else(|| {
         std::env::temp_dir().join(format!("pipithub-fleet-{}-{seed}", std::process::id()))
@@ -243,7 +263,13 @@
     let judged = pipithub_drill::fleet::run(&day, seed, &binary, &folder).await;
     let judged = judged.map_err(|e| miette!("{e}; logs are in {}", folder.display()))?;
     let (history, broken) = (&judged.history, judged.breaches.len());
-    let of = |rule: Rule| judged.breaches.iter().filter(move |b| b.rule == rule).map(|b| b.what.as_str());
+    let of = |rule: Rule| {
+        judged
+            .breaches
+            .iter()
+            .filter(move |b| b.rule == rule)
+            .map(|b| b.what.as_str())
+    };
     if json {
         let rules = Rule::ALL.map(|r| {
             let breaches: Vec<&str> = of(r).collect();
@@ -255,11 +281,23 @@
         });
         println!("{value}");
     } else {
-        println!("{}, seed {seed}: {} runs, {} claims", day.name, history.runs.len(), history.claims.len());
-        judged.faults.iter().for_each(|(at, what)| println!("{at:>7.1} s {what}"));
+        println!(
+            "{}, seed {seed}: {} runs, {} claims",
+            day.name,
+            history.runs.len(),
+            history.claims.len()
+        );
+        judged
+            .faults
+            .iter()
+            .for_each(|(at, what)| println!("{at:>7.1} s {what}"));
         for rule in Rule::ALL {
             let count = of(rule).count();
-            let word = if count == 0 { "kept".to_string() } else { format!("BROKEN {count} times") };
+            let word = if count == 0 {
+                "kept".to_string()
+            } else {
+                format!("BROKEN {count} times")
+            };
             println!("{:<30} {word}", rule.name());
             of(rule).take(10).for_each(|what| println!("    {what}"));
         }
@@ -275,8 +313,8 @@
 }
 
 async fn asked_to_stop() -> Result<()> {
-    let mut terminate =
-        tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate()).into_diagnostic()?;
+    let mut terminate = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
+        .into_diagnostic()?;
     tokio::select! {
         _ = terminate.recv() => {}
         interrupted = tokio::signal::ctrl_c() => interrupted.into_diagnostic()?,
@@ -287,8 +325,12 @@
 
 fn json_of(day: &Scenario, seed: u64, judged: &Judged) -> serde_json::Value {
     let rule = |r: &Rule| {
-        let broken: Vec<&str> =
-            judged.breaches.iter().filter(|b| b.rule == *r).map(|b| b.what.as_str()).collect();
+        let broken: Vec<&str> = judged
+            .breaches
+            .iter()
+            .filter(|b| b.rule == *r)
+            .map(|b| b.what.as_str())
+            .collect();
         serde_json::json!({"rule": r.name(), "kept": broken.is_empty(), "breaches": broken})
     };
     serde_json::json!({
@@ -302,14 +344,21 @@
 }
 
 fn show(day: &Scenario, seed: u64, judged: &Judged) {
-    println!("{}, seed {seed}: {} calls, {} answers at the client", day.name, judged.calls, judged.answered);
+    println!(
+        "{}, seed {seed}: {} calls, {} answers at the client",
+        day.name, judged.calls, judged.answered
+    );
     println!(
         "{:>7} {:>6} {:>8} {:>6} {:>8} {:>7} {:>8}",
         "from", "calls", "in time", "late", "refused", "failed", "service"
     );
     let line = |name: String, w: &pipithub_check::report::Window| {
-        let (calls, in_time, late, refused, failed) = (w.calls, w.in_time, w.late, w.refused, w.failed);
-        println!("{name:>7} {calls:>6} {in_time:>8} {late:>6} {refused:>8} {failed:>7} {:>8.3}", w.service);
+        let (calls, in_time, late, refused, failed) =
+            (w.calls, w.in_time, w.late, w.refused, w.failed);
+        println!(
+            "{name:>7} {calls:>6} {in_time:>8} {late:>6} {refused:>8} {failed:>7} {:>8.3}",
+            w.service
+        );
     };
     let mut faults = judged.faults.iter().peekable();
     for window in &judged.report.windows {
@@ -329,8 +378,15 @@
         println!(
             "{:<30} {}",
             rule.name(),
-            if broken.is_empty() { "kept".to_string() } else { format!("BROKEN {} times", broken.len()) }
+            if broken.is_empty() {
+                "kept".to_string()
+            } else {
+                format!("BROKEN {} times", broken.len())
+            }
         );
-        broken.iter().take(10).for_each(|b| println!("    {}", b.what));
+        broken
+            .iter()
+            .take(10)
+            .for_each(|b| println!("    {}", b.what));
     }
 }
--- a/crates/pipithub/src/members.rs
+++ b/crates/pipithub/src/members.rs
@@ -35,19 +35,26 @@
 
 /// Takes part in the fleet where the settings say so.
 pub async fn start(config: &Config) -> Result<Option<Fleet>> {
-    let Some(fleet) = &config.fleet else { return Ok(None) };
-    let fleet = Fleet::start(&config.name, fleet.clone()).await.into_diagnostic()?;
+    let Some(fleet) = &config.fleet else {
+        return Ok(None);
+    };
+    let fleet = Fleet::start(&config.name, fleet.clone())
+        .await
+        .into_diagnostic()?;
     Ok(Some(fleet))
 }
 
 fn report(config: &Path) -> Result<(Report, bool)> {
     let config = crate::load(config)?;
-    let fleet =
-        config.fleet.ok_or_else(|| miette!("these settings have no fleet: the front end shares nothing"))?;
+    let fleet = config
+        .fleet
+        .ok_or_else(|| miette!("these settings have no fleet: the front end shares nothing"))?;
     let bytes = Folder::read_report(&fleet.data)
         .into_diagnostic()
         .wrap_err("no report: was this front end ever started?")?;
-    let report = serde_json::from_slice(&bytes).into_diagnostic().wrap_err("the report cannot be read")?;
+    let report = serde_json::from_slice(&bytes)
+        .into_diagnostic()
+        .wrap_err("the report cannot be read")?;
     Ok((report, Folder::in_use(&fleet.data)))
 }
 
@@ -63,22 +70,40 @@
                 status(&report, running);
             }
             let part = running && report.me.state == "joined";
-            Ok(if part { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+            Ok(if part {
+                ExitCode::SUCCESS
+            } else {
+                ExitCode::FAILURE
+            })
         }
-        Members::Explain { member, config, json } => {
+        Members::Explain {
+            member,
+            config,
+            json,
+        } => {
             let (report, _) = report(&config)?;
             let about = |name: &str| member.as_deref().is_none_or(|m| m == name);
-            let seen: Vec<_> = report.happenings.iter().filter(|h| about(&h.member)).collect();
+            let seen: Vec<_> = report
+                .happenings
+                .iter()
+                .filter(|h| about(&h.member))
+                .collect();
             if json {
                 println!("{}", serde_json::to_value(&seen).into_diagnostic()?);
             } else {
                 let now = wall_ms();
                 for happening in &seen {
                     let ago = now.saturating_sub(happening.at_ms) as f64 / 1e3;
-                    println!("{ago:>9.1} s ago  {:<20} {}", happening.member, happening.what);
+                    println!(
+                        "{ago:>9.1} s ago  {:<20} {}",
+                        happening.member, happening.what
+                    );
                 }
                 if seen.is_empty() {
-                    println!("nothing was seen of it among the last {} changes", report.happenings.len());
+                    println!(
+                        "nothing was seen of it among the last {} changes",
+                        report.happenings.len()
+                    );
                 }
             }
             Ok(ExitCode::SUCCESS)
@@ -89,13 +114,19 @@
 fn status(report: &Report, running: bool) {
     let seconds = |ms: u64| format!("{:.1} s", ms as f64 / 1e3);
     let age = seconds(wall_ms().saturating_sub(report.at_ms));
-    let word = report.age_ms.map_or("never".to_string(), |ms| format!("{} ago", seconds(ms)));
+    let word = report
+        .age_ms
+        .map_or("never".to_string(), |ms| format!("{} ago", seconds(ms)));
     println!(
         "{} of {}: {}{}; generation {}, disk {}, doubt {} of 8",
         report.me.name,
         report.cluster,
         report.me.state,
-        if running { "" } else { " when it last ran; not running now" },
+        if running {
+            ""
+        } else {
+            " when it last ran; not running now"
+        },
         report.me.generation,
         report.me.disk,
         report.doubt
--- a/crates/pipithub/src/publish.rs
+++ b/crates/pipithub/src/publish.rs
@@ -18,7 +18,12 @@
     #[arg(long, default_value = "guest")]
     user: String,
     /// Password.
-    #[arg(long, default_value = "guest", env = "PIPITHUB_PASSWORD", hide_env_values = true)]
+    #[arg(
+        long,
+        default_value = "guest",
+        env = "PIPITHUB_PASSWORD",
+        hide_env_values = true
+    )]
     password: String,
     /// Virtual host.
     #[arg(long, default_value = "/")]
@@ -65,18 +70,27 @@
 }
 
 pub async fn run(publish: Publish) -> Result<ExitCode> {
-    let login = Login { user: publish.user.clone(), password: publish.password, virtual_host: publish.vhost };
+    let login = Login {
+        user: publish.user.clone(),
+        password: publish.password,
+        virtual_host: publish.vhost,
+    };
     let signed = match (publish.for_user, publish.key_file, publish.key_id) {
         (Some(user), Some(file), Some(key_id)) => {
             let key = std::fs::read(&file).into_diagnostic()?;
-            Some(Signed { user, key_id, key: key.trim_ascii_end().to_vec() })
+            Some(Signed {
+                user,
+                key_id,
+                key: key.trim_ascii_end().to_vec(),
+            })
         }
         _ => None,
     };
     let me = format!("{}-{}", std::process::id(), pipithub_clock::wall_ms());
     let mut client = QueueClient::start(&publish.broker, login, &format!("pipithub-publish-{me}"));
     let mut sent: HashMap<String, u64> = HashMap::new();
-    let (mut verdicts, mut causes): (BTreeMap<String, usize>, BTreeMap<String, usize>) = Default::default();
+    let (mut verdicts, mut causes): (BTreeMap<String, usize>, BTreeMap<String, usize>) =
+        Default::default();
     let mut latencies = Vec::new();
     let gap = (1e9 / publish.rate.clamp(0.001, 1e6)) as u64;
     let clock = client.clock;
@@ -84,7 +98,11 @@
     let mut number = 0;
     let end = began + gap * publish.count + publish.wait_ms * 1_000_000;
     while latencies.len() < publish.count as usize {
-        let due = if number < publish.count { began + gap * number } else { end };
+        let due = if number < publish.count {
+            began + gap * number
+        } else {
+            end
+        };
         tokio::select! {
             () = clock.sleep_until(Some(due.min(end))) => {
                 if number >= publish.count || clock.now() >= end {
@@ -119,7 +137,10 @@
     latencies.sort_by(f64::total_cmp);
     let quantile = |q: f64| {
         let at = (latencies.len() as f64 * q).ceil() as usize;
-        latencies.get(at.clamp(1, latencies.len().max(1)) - 1).copied().unwrap_or(f64::NAN)
+        latencies
+            .get(at.clamp(1, latencies.len().max(1)) - 1)
+            .copied()
+            .unwrap_or(f64::NAN)
     };
     let unanswered = sent.len();
     if publish.json {
@@ -128,8 +149,12 @@
         println!("{all}");
     } else {
         println!("{number} sent, {unanswered} without an answer");
-        verdicts.iter().for_each(|(verdict, count)| println!("{verdict:>12} {count:>8}"));
-        causes.iter().for_each(|(cause, count)| println!("  {cause:>24} {count:>8}"));
+        verdicts
+            .iter()
+            .for_each(|(verdict, count)| println!("{verdict:>12} {count:>8}"));
+        causes
+            .iter()
+            .for_each(|(cause, count)| println!("  {cause:>24} {count:>8}"));
         println!(
             "answered in p50 {:.2} ms, p90 {:.2} ms, p99 {:.2} ms, p99.9 {:.2} ms",
             quantile(0.5),
@@ -138,5 +163,9 @@
             quantile(0.999)
         );
     }
-    Ok(if unanswered == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if unanswered == 0 {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    })
 }
--- a/crates/pipithub/src/standin.rs
+++ b/crates/pipithub/src/standin.rs
@@ -173,8 +173,14 @@
         Standin::Broker { common, queue } => {
             let recorder = common.check()?;
             let queues = queue.into_iter().map(|q| (q, FieldTable::new())).collect();
-            let settings = BrokerSettings { queues, recorder, ..BrokerSettings::default() };
-            let broker = BrokerServer::start(common.listen, settings).await.into_diagnostic()?;
+            let settings = BrokerSettings {
+                queues,
+                recorder,
+                ..BrokerSettings::default()
+            };
+            let broker = BrokerServer::start(common.listen, settings)
+                .await
+                .into_diagnostic()?;
             say(broker.address());
             let act = |line: &str| match line {
                 "cut" => broker.cut_all(),
@@ -202,7 +208,8 @@
                 dedup_window: ms(worker.dedup_ms),
                 ..WorkerSettings::default()
             };
-            let started = WorkerServer::start(worker.common.listen, settings, worker.store, recorder).await;
+            let started =
+                WorkerServer::start(worker.common.listen, settings, worker.store, recorder).await;
             let server = Arc::new(started.into_diagnostic()?);
             say(server.address());
             let fallen = server.clone();
@@ -216,22 +223,47 @@
                 () = fallen.fallen() => Err(miette!("it fell over: it was sent too much while cold")),
             }
         }
-        Standin::Store { common, fetch_ms, at_once, limit } => {
+        Standin::Store {
+            common,
+            fetch_ms,
+            at_once,
+            limit,
+        } => {
             common.check()?;
-            let settings = StoreSettings { fetch: Duration::from_millis(fetch_ms), at_once, limit };
-            let store = StoreServer::start(common.listen, settings).await.into_diagnostic()?;
+            let settings = StoreSettings {
+                fetch: Duration::from_millis(fetch_ms),
+                at_once,
+                limit,
+            };
+            let store = StoreServer::start(common.listen, settings)
+                .await
+                .into_diagnostic()?;
             say(store.address());
             stop_or(commands(common.commands, |_| {})).await
         }
         Standin::List { common } => {
-            let list = ListServer::start(common.listen, common.check()?).await.into_diagnostic()?;
+            let list = ListServer::start(common.listen, common.check()?)
+                .await
+                .into_diagnostic()?;
             say(list.address());
             stop_or(commands(common.commands, |_| {})).await
         }
-        Standin::Directory { common, tree, bind, password, ldaps, ca_out } => {
+        Standin::Directory {
+            common,
+            tree,
+            bind,
+            password,
+            ldaps,
+            ca_out,
+        } => {
             common.check()?;
             let text = std::fs::read_to_string(&tree).into_diagnostic()?;
-            let settings = DirectorySettings { tree: text, base: None, login: bind.zip(password), ldaps };
+            let settings = DirectorySettings {
+                tree: text,
+                base: None,
+                login: bind.zip(password),
+                ldaps,
+            };
             let server = DirectoryServer::start(common.listen, settings).await;
             let server = server.map_err(|e| miette!("{}: {e}", tree.display()))?;
             if let Some(file) = ca_out {
@@ -251,7 +283,9 @@
             say(proxy.address());
             let act = |line: &str| match line.split_once(' ').unwrap_or((line, "")) {
                 ("pass", _) => proxy.set(Damage::None),
-                ("delay", ms) => proxy.set(Damage::Delay(Duration::from_millis(ms.parse().unwrap_or(100)))),
+                ("delay", ms) => proxy.set(Damage::Delay(Duration::from_millis(
+                    ms.parse().unwrap_or(100),
+                ))),
                 ("cut", _) => proxy.cut(),
                 ("half-close", _) => proxy.set(Damage::HalfClose),
                 ("swallow", _) => proxy.set(Damage::Swallow),
--- a/crates/pipithub/src/tenants.rs
+++ b/crates/pipithub/src/tenants.rs
@@ -39,7 +39,10 @@
 
 fn tenants(config: &Path) -> Result<(pipithub_settings::Config, TenantsConfig)> {
     let config = crate::load(config)?;
-    let tenants = config.tenants.clone().ok_or_else(|| miette!("these settings have no tenants"))?;
+    let tenants = config
+        .tenants
+        .clone()
+        .ok_or_else(|| miette!("these settings have no tenants"))?;
     Ok((config, tenants))
 }
 
@@ -47,7 +50,11 @@
     match command {
         Tenants::Show { config } => show(&tenants(&config)?.1),
         Tenants::Check { config } => return check(&tenants(&config)?.1).await,
-        Tenants::Explain { user, config, function } => {
+        Tenants::Explain {
+            user,
+            config,
+            function,
+        } => {
             let (config, tenants) = tenants(&config)?;
             return explain(&config, &tenants, &user, function.as_deref()).await;
         }
@@ -57,10 +64,19 @@
 
 fn show(config: &TenantsConfig) {
     let weights: f64 = config.gate.shares.tenants.iter().map(|t| t.weight).sum();
-    println!("{:<16} {:>6} {:>12} {:>8}  {:<12} functions", "tenant", "share", "rate", "most", "directory");
+    println!(
+        "{:<16} {:>6} {:>12} {:>8}  {:<12} functions",
+        "tenant", "share", "rate", "most", "directory"
+    );
     for (tenant, share) in config.tenants.iter().zip(&config.gate.shares.tenants) {
-        let rate = share.rate.map_or("-".to_string(), |(rate, burst)| format!("{rate}/s +{burst}"));
-        let most = if share.most >= 1_000_000 { "-".to_string() } else { share.most.to_string() };
+        let rate = share.rate.map_or("-".to_string(), |(rate, burst)| {
+            format!("{rate}/s +{burst}")
+        });
+        let most = if share.most >= 1_000_000 {
+            "-".to_string()
+        } else {
+            share.most.to_string()
+        };
         println!(
             "{:<16} {:>5.1}% {rate:>12} {most:>8}  {:<12} {}",
             tenant.name,
@@ -74,7 +90,10 @@
 
 async fn check(config: &TenantsConfig) -> Result<ExitCode> {
     let mut well = true;
-    println!("{:<12} {:<24} {:>10}  state", "directory", "server", "answered");
+    println!(
+        "{:<12} {:<24} {:>10}  state",
+        "directory", "server", "answered"
+    );
     for directory in &config.directories {
         let mut marks = Vec::new();
         let mut lines = Vec::new();
@@ -91,7 +110,10 @@
             let state = match answer {
                 Err(why) => why,
                 Ok(Answer { loaded: false, .. }) => {
-                    format!("nothing at {}: still loading, or a wrong base", directory.base)
+                    format!(
+                        "nothing at {}: still loading, or a wrong base",
+                        directory.base
+                    )
                 }
                 Ok(_) if directory.mark_attribute.is_some() && mark.is_none() => {
                     "tells no mark: it cannot be seen whether it is behind".to_string()
@@ -103,7 +125,11 @@
             println!("{:<12} {address:<24} {took:>10}  {state}", directory.name);
         }
     }
-    Ok(if well { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if well {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    })
 }
 
 async fn explain(
@@ -114,7 +140,11 @@
 ) -> Result<ExitCode> {
     let user: std::sync::Arc<str> = pipithub_ldap::dn::fold(user).into();
     let mut core = Directory::new(Settings {
-        directories: tenants.directories.iter().map(|d| d.asking.clone()).collect(),
+        directories: tenants
+            .directories
+            .iter()
+            .map(|d| d.asking.clone())
+            .collect(),
         tenants: tenants.tenants.iter().map(|t| t.place.clone()).collect(),
         max_users: 16,
         max_queue: 16,
@@ -131,11 +161,17 @@
             match ask(directory, n, What::Users(vec![user.clone()])).await {
                 Err(why) => println!("{} {}: no answer: {why}", directory.name, server.address),
                 Ok(answer) if !answer.loaded => {
-                    println!("{} {}: its tree is not there", directory.name, server.address)
+                    println!(
+                        "{} {}: its tree is not there",
+                        directory.name, server.address
+                    )
                 }
                 Ok(answer) => {
-                    let mark = answer.mark.map_or("no mark".to_string(), |m| format!("mark {m}"));
-                    let names: Vec<String> = answer.found.iter().map(|f| f.dn.to_string()).collect();
+                    let mark = answer
+                        .mark
+                        .map_or("no mark".to_string(), |m| format!("mark {m}"));
+                    let names: Vec<String> =
+                        answer.found.iter().map(|f| f.dn.to_string()).collect();
                     let told = if names.is_empty() {
                         "nobody of this name".to_string()
                     } else {
@@ -148,12 +184,32 @@
     }
     // The same core as a front end's decides, over the same answers.
     let mut out = Vec::new();
-    core.handle(0, Input::Wanted { user: user.clone(), urgent: true }, &mut out);
+    core.handle(
+        0,
+        Input::Wanted {
+            user: user.clone(),
+            urgent: true,
+        },
+        &mut out,
+    );
     while let Some(output) = out.pop() {
-        if let Output::Search { id, directory, server, what } = output {
+        if let Output::Search {
+            id,
+            directory,
+            server,
+            what,
+        } = output
+        {
             let asked = ask(&tenants.directories[directory], server, what).await;
             let outcome = asked.map_err(|_| pipithub_directory::Failure::Lost);
-            core.handle(1, Input::Ended { search: id, outcome }, &mut out);
+            core.handle(
+                1,
+                Input::Ended {
+                    search: id,
+                    outcome,
+                },
+                &mut out,
+            );
         }
     }
     let tenant = match core.roster().look(&user, 1) {
@@ -174,12 +230,28 @@
             None
         }
     };
-    let Some(tenant) = tenant else { return Ok(ExitCode::FAILURE) };
+    let Some(tenant) = tenant else {
+        return Ok(ExitCode::FAILURE);
+    };
     println!("{user}: {}'s", tenants.tenants[tenant].name);
     if let Some(function) = function {
-        let may = config.engine.owners.allow(Some(pipithub_engine::Tenant(tenant as u16)), function);
-        println!("{function}: {}", if may { "may be run" } else { "refused (other-tenant)" });
-        return Ok(if may { ExitCode::SUCCESS } else { ExitCode::FAILURE });
+        let may = config
+            .engine
+            .owners
+            .allow(Some(pipithub_engine::Tenant(tenant as u16)), function);
+        println!(
+            "{function}: {}",
+            if may {
+                "may be run"
+            } else {
+                "refused (other-tenant)"
+            }
+        );
+        return Ok(if may {
+            ExitCode::SUCCESS
+        } else {
+            ExitCode::FAILURE
+        });
     }
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/pipithub/tests/cli.rs
+++ b/crates/pipithub/tests/cli.rs
@@ -6,7 +6,10 @@
 const BINARY: &str = env!("CARGO_BIN_EXE_pipithub");
 
 fn run(arguments: &[&str]) -> Output {
-    Command::new(BINARY).args(arguments).output().expect("it runs")
+    Command::new(BINARY)
+        .args(arguments)
+        .output()
+        .expect("it runs")
 }
 
 fn file(name: &str, text: &str) -> String {
@@ -31,7 +34,9 @@
             .spawn()
             .expect("it starts");
         let mut line = String::new();
-        BufReader::new(child.stdout.take().expect("a pipe")).read_line(&mut line).expect("its first line");
+        BufReader::new(child.stdout.take().expect("a pipe"))
+            .read_line(&mut line)
+            .expect("its first line");
         let said: serde_json::Value = serde_json::from_str(&line).expect("JSON");
         let address = said["address"].as_str().expect("an address").to_string();
         assert!(address.starts_with("127.0.0.1:"));
@@ -48,15 +53,27 @@
 
 #[test]
 fn settings_are_checked_and_faults_named_by_place() {
-    let good = file("good.kdl", "class \"view\" effect=\"safe\"\nworkers { worker \"127.0.0.1:1\" }\n");
+    let good = file(
+        "good.kdl",
+        "class \"view\" effect=\"safe\"\nworkers { worker \"127.0.0.1:1\" }\n",
+    );
     let output = run(&["config", "check", &good]);
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    let bad =
-        file("bad.kdl", "class \"view\" effect=\"safe\" aim=\"soon\"\nworkers { worker \"127.0.0.1:1\" }\n");
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
+    let bad = file(
+        "bad.kdl",
+        "class \"view\" effect=\"safe\" aim=\"soon\"\nworkers { worker \"127.0.0.1:1\" }\n",
+    );
     let output = run(&["config", "check", &bad]);
     let told = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(!output.status.success());
-    assert!(told.contains("'aim' cannot be") && told.contains("bad.kdl:1:"), "{told}");
+    assert!(
+        told.contains("'aim' cannot be") && told.contains("bad.kdl:1:"),
+        "{told}"
+    );
     let output = run(&["serve", "--config", &bad]);
     assert!(!output.status.success(), "nothing runs with such a file");
 }
@@ -82,8 +99,18 @@
         .stderr(Stdio::null())
         .spawn()
         .expect("it starts");
-    let publish =
-        ["publish", "--broker", &broker.1, "--class", "view", "--function", "f", "--count", "5", "--json"];
+    let publish = [
+        "publish",
+        "--broker",
+        &broker.1,
+        "--class",
+        "view",
+        "--function",
+        "f",
+        "--count",
+        "5",
+        "--json",
+    ];
     let output = run(&[&publish[..], &["--rate", "100", "--wait-ms", "30000"]].concat());
     let _ = gateway.kill();
     let _ = gateway.wait();
@@ -101,8 +128,10 @@
 
 #[test]
 fn a_day_that_cannot_be_read_names_place_and_reason() {
-    let bad =
-        file("bad-day.kdl", "day length=\"2s\"\nclass \"a\" effect=\"safe\"\ncrash worker=99 at=\"1s\"\n");
+    let bad = file(
+        "bad-day.kdl",
+        "day length=\"2s\"\nclass \"a\" effect=\"safe\"\ncrash worker=99 at=\"1s\"\n",
+    );
     let output = run(&["drill", &bad]);
     let told = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
@@ -134,21 +163,38 @@
     let config = file("tenants.kdl", &settings(&directory.1));
     let told = |arguments: &[&str]| {
         let output = run(&[&["tenants"], arguments, &["--config", &config]].concat());
-        (output.status.success(), String::from_utf8_lossy(&output.stdout).into_owned())
+        (
+            output.status.success(),
+            String::from_utf8_lossy(&output.stdout).into_owned(),
+        )
     };
     let (good, text) = told(&["show"]);
-    assert!(good && text.contains("north") && text.contains("100.0%") && text.contains("north-*"), "{text}");
+    assert!(
+        good && text.contains("north") && text.contains("100.0%") && text.contains("north-*"),
+        "{text}"
+    );
     let (good, text) = told(&["check"]);
     assert!(good && text.contains("well"), "{text}");
     let (good, text) = told(&["explain", "Mai", "--function", "north-map"]);
-    assert!(good && text.contains("mai: north's") && text.contains("may be run"), "{text}");
-    assert!(text.contains("uid=mai,ou=north,dc=example (mark "), "{text}");
+    assert!(
+        good && text.contains("mai: north's") && text.contains("may be run"),
+        "{text}"
+    );
+    assert!(
+        text.contains("uid=mai,ou=north,dc=example (mark "),
+        "{text}"
+    );
     let (good, text) = told(&["explain", "mai", "--function", "south-map"]);
     assert!(!good && text.contains("refused (other-tenant)"), "{text}");
     let (good, text) = told(&["explain", "lan"]);
-    assert!(!good && text.contains("nobody of this name") && text.contains("no-tenant"), "{text}");
-    let bad =
-        file("bad-tenants.kdl", &settings("127.0.0.1:1").replace("ou=north,dc=example", "ou=north,dc=other"));
+    assert!(
+        !good && text.contains("nobody of this name") && text.contains("no-tenant"),
+        "{text}"
+    );
+    let bad = file(
+        "bad-tenants.kdl",
+        &settings("127.0.0.1:1").replace("ou=north,dc=example", "ou=north,dc=other"),
+    );
     let output = run(&["config", "check", &bad]);
     assert!(!output.status.success());
     assert!(String::from_utf8_lossy(&output.stderr).contains("not within the directory's"));
@@ -171,7 +217,11 @@
     let output = run(&["drill", &day, "--seed", "7", "--json"]);
     let told: serde_json::Value = serde_json::from_slice(&output.stdout)
         .unwrap_or_else(|_| panic!("no JSON: {}", String::from_utf8_lossy(&output.stderr)));
-    assert!(told["calls"].as_u64().is_some_and(|c| c > 1_000), "{}", told["calls"]);
+    assert!(
+        told["calls"].as_u64().is_some_and(|c| c > 1_000),
+        "{}",
+        told["calls"]
+    );
     for rule in told["rules"].as_array().expect("rules") {
         assert_eq!(rule["kept"], true, "{rule}");
     }
@@ -183,25 +233,45 @@
     let place = std::env::temp_dir().join(format!("pipithub-node-cli-{}.json", std::process::id()));
     let node = || {
         let mut command = Command::new(BINARY);
-        command.arg("node").env("LB_CONFIG", &place).env_remove("RUST_LOG").env("LB_LISTEN", "127.0.0.1:0");
+        command
+            .arg("node")
+            .env("LB_CONFIG", &place)
+            .env_remove("RUST_LOG")
+            .env("LB_LISTEN", "127.0.0.1:0");
         command.stderr(Stdio::piped());
         command
     };
-    std::fs::write(&place, r#"{"name":"n1","listen":"127.0.0.1:0","seed":"xyz","settings":{}}"#)
-        .expect("written");
+    std::fs::write(
+        &place,
+        r#"{"name":"n1","listen":"127.0.0.1:0","seed":"xyz","settings":{}}"#,
+    )
+    .expect("written");
     let output = node().output().expect("runs");
     assert!(!output.status.success());
     let said = String::from_utf8_lossy(&output.stderr).replace('\n', " ");
-    assert!(said.contains("seed") && said.contains("invalid digit"), "{said}");
+    assert!(
+        said.contains("seed") && said.contains("invalid digit"),
+        "{said}"
+    );
 
     let good = r#"{"name":"n1","listen":"127.0.0.1:0","seed":"1f","coordinator":"127.0.0.1:1","settings":{"Grades":
         [{"Name":"view","Effect":"read_like","Aim":1000000000,"GiveUp":1000000000}]}}"#;
     std::fs::write(&place, good).expect("written");
     let mut child = node().spawn().expect("starts");
     let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
-    let mut until = |what: &str| log.by_ref().map_while(Result::ok).any(|line| line.contains(what));
+    let mut until = |what: &str| {
+        log.by_ref()
+            .map_while(Result::ok)
+            .any(|line| line.contains(what))
+    };
     let pid = child.id().to_string();
-    let signal = |name: &str| Command::new("kill").args([name, &pid]).status().expect("signals").success();
+    let signal = |name: &str| {
+        Command::new("kill")
+            .args([name, &pid])
+            .status()
+            .expect("signals")
+            .success()
+    };
     assert!(until("front end up"));
     std::fs::write(&place, "{").expect("written");
     assert!(signal("-HUP") && until("previous configuration stays in force"));
--- a/crates/pipithub/tests/fleet.rs
+++ b/crates/pipithub/tests/fleet.rs
@@ -7,7 +7,10 @@
 const BINARY: &str = env!("CARGO_BIN_EXE_pipithub");
 
 fn run(arguments: &[&str]) -> Output {
-    Command::new(BINARY).args(arguments).output().expect("it runs")
+    Command::new(BINARY)
+        .args(arguments)
+        .output()
+        .expect("it runs")
 }
 
 fn settings(folder: &Path, name: &str, more: &str) -> String {
@@ -33,7 +36,10 @@
 
 fn serve(config: &str) -> Ended {
     let mut command = Command::new(BINARY);
-    command.args(["serve", "--config", config]).stdout(Stdio::null()).stderr(Stdio::null());
+    command
+        .args(["serve", "--config", config])
+        .stdout(Stdio::null())
+        .stderr(Stdio::null());
     Ended(command.spawn().expect("it starts"))
 }
 
@@ -63,20 +69,36 @@
     let first = serve(&one);
     let said = status(&one, |s| s["me"]["state"] == "alone");
     let seed = said["listen"].as_str().expect("an address").to_string();
-    let two = settings(folder.path(), "front-2", &format!("{quick}    seed {seed:?}\n"));
+    let two = settings(
+        folder.path(),
+        "front-2",
+        &format!("{quick}    seed {seed:?}\n"),
+    );
     let second = serve(&two);
-    status(&two, |s| s["me"]["state"] == "joined" && s["members"][0]["name"] == "front-1");
-    status(&one, |s| s["me"]["state"] == "joined" && s["members"][0]["state"] == "alive");
+    status(&two, |s| {
+        s["me"]["state"] == "joined" && s["members"][0]["name"] == "front-1"
+    });
+    status(&one, |s| {
+        s["me"]["state"] == "joined" && s["members"][0]["state"] == "alive"
+    });
     drop(second);
     status(&one, |s| s["members"][0]["state"] == "down");
     let out = run(&["members", "explain", "front-2", "--config", &one]);
     let text = String::from_utf8_lossy(&out.stdout);
-    assert!(text.contains("suspected") && text.contains("held for dead"), "{text}");
+    assert!(
+        text.contains("suspected") && text.contains("held for dead"),
+        "{text}"
+    );
     let again = serve(&two);
-    status(&one, |s| s["members"][0]["state"] == "alive" && s["members"][0]["generation"] == 2);
+    status(&one, |s| {
+        s["members"][0]["state"] == "alive" && s["members"][0]["generation"] == 2
+    });
     drop((first, again));
     let out = run(&["members", "status", "--config", &one]);
-    assert!(!out.status.success(), "a process that does not run takes no part");
+    assert!(
+        !out.status.success(),
+        "a process that does not run takes no part"
+    );
     assert!(String::from_utf8_lossy(&out.stdout).contains("not running now"));
 }
 
@@ -94,17 +116,26 @@
     std::fs::write(&record, "pipithub gen").expect("written");
     let out = run(&["serve", "--config", &config]);
     let text = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert!(!out.status.success() && text.contains("damaged") && text.contains("generation"), "{text}");
+    assert!(
+        !out.status.success() && text.contains("damaged") && text.contains("generation"),
+        "{text}"
+    );
 }
 
 #[test]
 fn faults_of_fleet_settings_are_named_with_their_lines() {
     let folder = folder();
     let faulty = [
-        ("    seed \"127.0.0.1:7101\"\n    seed \"127.0.0.1:7101\"\n", "seed 127.0.0.1:7101 is given twice"),
+        (
+            "    seed \"127.0.0.1:7101\"\n    seed \"127.0.0.1:7101\"\n",
+            "seed 127.0.0.1:7101 is given twice",
+        ),
         ("    seed \"front-2:7101\"\n", "is no address"),
         ("    probe-wait \"700ms\"\n", "under half of probe-period"),
-        ("    advertise \"0.0.0.0:7100\"\n", "others cannot reach 0.0.0.0:7100"),
+        (
+            "    advertise \"0.0.0.0:7100\"\n",
+            "others cannot reach 0.0.0.0:7100",
+        ),
         ("    max-members 1\n", "'max-members' cannot be 1"),
         ("    sead \"127.0.0.1:7101\"\n", "did you mean 'seed'?"),
         ("    via \"127.0.0.1:1\"\n", "'via' needs 'to'"),
@@ -113,7 +144,10 @@
         let config = settings(folder.path(), "front-1", more);
         let out = run(&["config", "check", &config]);
         let text = String::from_utf8_lossy(&out.stderr).replace("\n", " ");
-        assert!(!out.status.success() && text.contains(reason), "{more}: {text}");
+        assert!(
+            !out.status.success() && text.contains(reason),
+            "{more}: {text}"
+        );
     }
     let good = settings(folder.path(), "front-1", "    seed \"127.0.0.1:7101\"\n");
     assert!(run(&["config", "check", &good]).status.success());
@@ -122,10 +156,20 @@
 /// The small day over five processes: deaths, a frozen member, an old disk, a link cut one way. Judged from truth.
 #[test]
 fn a_bad_day_of_a_fleet_keeps_all_its_rules() {
-    let day = concat!(env!("CARGO_MANIFEST_DIR"), "/../../drills/members-small.kdl");
+    let day = concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/../../drills/members-small.kdl"
+    );
     let out = run(&["drill", day, "--seed", "1", "--json"]);
     let text = String::from_utf8_lossy(&out.stdout);
-    assert!(out.status.success(), "{text}\n{}", String::from_utf8_lossy(&out.stderr));
+    assert!(
+        out.status.success(),
+        "{text}\n{}",
+        String::from_utf8_lossy(&out.stderr)
+    );
     let said: serde_json::Value = serde_json::from_str(&text).expect("JSON");
-    assert!(said["claims"].as_u64() > Some(50) && said["runs"] == 7, "{text}");
+    assert!(
+        said["claims"].as_u64() > Some(50) && said["runs"] == 7,
+        "{text}"
+    );
 }
--- a/crates/pipithub/tests/restarts.rs
+++ b/crates/pipithub/tests/restarts.rs
@@ -17,14 +17,25 @@
 /// The configuration is a pipe: while the program reads it, it stands between two lines that the test can hold open.
 #[test]
 fn a_reload_asked_for_while_the_configuration_is_first_read_is_heard() {
-    let ((_worker, at), (first, first_at), (second, second_at)) = (listener(), listener(), listener());
+    let ((_worker, at), (first, first_at), (second, second_at)) =
+        (listener(), listener(), listener());
     let place = Place::new("pipe");
-    assert!(Command::new("mkfifo").arg(&place.0).status().expect("runs").success());
+    assert!(
+        Command::new("mkfifo")
+            .arg(&place.0)
+            .status()
+            .expect("runs")
+            .success()
+    );
     let mut front_end = FrontEnd::spawn(&place.0, None);
     // Opens once the program has opened the other end.
-    let mut pipe = std::fs::OpenOptions::new().write(true).open(&place.0).expect("a pipe");
+    let mut pipe = std::fs::OpenOptions::new()
+        .write(true)
+        .open(&place.0)
+        .expect("a pipe");
     front_end.signal("HUP");
-    pipe.write_all(config(first_at, at).to_string().as_bytes()).expect("it is still there");
+    pipe.write_all(config(first_at, at).to_string().as_bytes())
+        .expect("it is still there");
     // The file is replaced before its first reading ends.
     let fresh = Place::new("fresh");
     write(&fresh, &config(second_at, at).to_string());
@@ -105,7 +116,11 @@
     ids.sort_unstable();
     assert_eq!(ids, [1, 2, 3]);
     assert!(front_end.process.0.wait().expect("it ends").success());
-    assert_eq!((open.next(), late.next(), other.next()), (None, None, None), "nothing more, and no reset");
+    assert_eq!(
+        (open.next(), late.next(), other.next()),
+        (None, None, None),
+        "nothing more, and no reset"
+    );
 }
 
 /// A call is open and hangs; the process ends all the same, before it may be killed, and says so to the client.
@@ -120,7 +135,11 @@
     let mut hangs = Peer::of(workers.accept().expect("a connection").0);
     hangs.next().expect("a call");
     front_end.signal("TERM");
-    assert_eq!(client.next().expect("an answer")["error"]["code"], -32000, "it may have run");
+    assert_eq!(
+        client.next().expect("an answer")["error"]["code"],
+        -32000,
+        "it may have run"
+    );
     assert_eq!(client.next(), None);
     assert!(front_end.process.0.wait().expect("it ends").success());
 }
@@ -167,7 +186,10 @@
     let mut client = Peer::connect(address);
     for id in 1..=50 {
         client.send(&call(id, "assign"));
-        assert!(client.next().expect("an answer")["result"].is_object(), "call {id}");
+        assert!(
+            client.next().expect("an answer")["result"].is_object(),
+            "call {id}"
+        );
     }
     let list = TcpListener::bind(list_at).expect("the same port");
     let (_open, asked) = tell(&list, &[event(2, at)]);
--- a/crates/pipithub/tests/rig/mod.rs
+++ b/crates/pipithub/tests/rig/mod.rs
@@ -27,8 +27,7 @@
             let mut write = stream.try_clone().expect("a second handle");
             for line in BufReader::new(stream).lines().map_while(Result::ok) {
                 let asked: serde_json::Value = serde_json::from_str(&line).expect("a request");
-                let answer =
-                    serde_json::json!({"cmd": "ACK", "ref": asked["ref"], "payload": asked["payload"]});
+                let answer = serde_json::json!({"cmd": "ACK", "ref": asked["ref"], "payload": asked["payload"]});
                 if write.write_all(format!("{answer}\n").as_bytes()).is_err() {
                     return;
                 }
@@ -94,12 +93,24 @@
             Some(most) => {
                 // As the platform does it: the shell becomes the program.
                 let mut shell = Command::new("/bin/sh");
-                shell.args(["-c", &format!("ulimit -n {most}; exec {BINARY} \"$@\""), "sh"]);
+                shell.args([
+                    "-c",
+                    &format!("ulimit -n {most}; exec {BINARY} \"$@\""),
+                    "sh",
+                ]);
                 shell
             }
         };
-        command.arg("node").env("LB_CONFIG", config).env("RUST_LOG", "info").env("NO_COLOR", "1");
-        let child = command.env_remove("LB_LISTEN").stderr(Stdio::piped()).spawn().expect("starts");
+        command
+            .arg("node")
+            .env("LB_CONFIG", config)
+            .env("RUST_LOG", "info")
+            .env("NO_COLOR", "1");
+        let child = command
+            .env_remove("LB_LISTEN")
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("starts");
         let mut process = Running(child);
         let log = BufReader::new(process.0.stderr.take().expect("piped")).lines();
         FrontEnd { process, log }
@@ -108,20 +119,28 @@
     /// Waits for a line of its log that holds these words.
     pub fn says(&mut self, words: &str) -> String {
         let mut lines = self.log.by_ref().map_while(Result::ok);
-        lines.find(|line| line.contains(words)).unwrap_or_else(|| panic!("it ended and never said {words:?}"))
+        lines
+            .find(|line| line.contains(words))
+            .unwrap_or_else(|| panic!("it ended and never said {words:?}"))
     }
 
     /// Waits until it is up; where clients connect.
     pub fn up(&mut self) -> SocketAddr {
         let line = self.says("front end up");
-        let address = line.split_whitespace().find_map(|w| w.strip_prefix("address=")).expect("told");
+        let address = line
+            .split_whitespace()
+            .find_map(|w| w.strip_prefix("address="))
+            .expect("told");
         address.trim_matches('"').parse().expect("an address")
     }
 
     /// Sends it a signal, by its own id.
     pub fn signal(&self, name: &str) {
         let id = self.process.0.id().to_string();
-        let done = Command::new("kill").args(["-s", name, &id]).status().expect("runs");
+        let done = Command::new("kill")
+            .args(["-s", name, &id])
+            .status()
+            .expect("runs");
         assert!(done.success(), "{name}");
     }
 }
@@ -135,7 +154,10 @@
 impl Peer {
     pub fn of(stream: TcpStream) -> Self {
         let write = stream.try_clone().expect("a second handle");
-        Peer { lines: BufReader::new(stream).lines(), write }
+        Peer {
+            lines: BufReader::new(stream).lines(),
+            write,
+        }
     }
 
     pub fn connect(address: SocketAddr) -> Self {
@@ -154,7 +176,9 @@
 
     /// Whether the front end says that it is well.
     pub fn is_well(&mut self, id: u64) -> bool {
-        self.send(&format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"isWell\"}}\n"));
+        self.send(&format!(
+            "{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"isWell\"}}\n"
+        ));
         self.next().expect("an answer")["result"]["healthy"] == true
     }
 
--- a/crates/pipithub/tests/run_line.rs
+++ b/crates/pipithub/tests/run_line.rs
@@ -40,7 +40,12 @@
     let process = Process::new(pid as i32).expect("it runs");
     let mut found = Vec::new();
     for task in process.tasks().expect("its threads").map_while(Result::ok) {
-        found.extend(task.children().into_iter().flatten().map(|child| format!("child {child}")));
+        found.extend(
+            task.children()
+                .into_iter()
+                .flatten()
+                .map(|child| format!("child {child}")),
+        );
     }
     // Children that ended and were waited for leave their page faults in the sums.
     let stat = process.stat().expect("its figures");
@@ -48,14 +53,37 @@
         found.push("a child that has ended".to_string());
     }
     let mut allowed: BTreeSet<u64> = BTreeSet::new();
-    allowed.extend(process.tcp().expect("TCP over IPv4").into_iter().map(|s| s.inode));
-    allowed.extend(process.udp().expect("UDP over IPv4").into_iter().map(|s| s.inode));
+    allowed.extend(
+        process
+            .tcp()
+            .expect("TCP over IPv4")
+            .into_iter()
+            .map(|s| s.inode),
+    );
+    allowed.extend(
+        process
+            .udp()
+            .expect("UDP over IPv4")
+            .into_iter()
+            .map(|s| s.inode),
+    );
     // The pair that carries word of signals within the process has no name: nobody comes to it.
-    allowed.extend(process.unix().expect("Unix").into_iter().filter(|s| s.path.is_none()).map(|s| s.inode));
+    allowed.extend(
+        process
+            .unix()
+            .expect("Unix")
+            .into_iter()
+            .filter(|s| s.path.is_none())
+            .map(|s| s.inode),
+    );
     for fd in process.fd().expect("its descriptors").map_while(Result::ok) {
         match fd.target {
-            FDTarget::Socket(inode) if !allowed.contains(&inode) => found.push(format!("socket {}", fd.fd)),
-            FDTarget::AnonInode(kind) if kind.contains("uring") => found.push(format!("descriptor {kind}")),
+            FDTarget::Socket(inode) if !allowed.contains(&inode) => {
+                found.push(format!("socket {}", fd.fd))
+            }
+            FDTarget::AnonInode(kind) if kind.contains("uring") => {
+                found.push(format!("descriptor {kind}"))
+            }
             _ => {}
         }
     }
@@ -65,7 +93,10 @@
 #[test]
 fn the_deploy_file_starts_one_program_by_exec() {
     let place = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/balancer.toml");
-    let deploy: toml::Table = std::fs::read_to_string(place).expect("it is there").parse().expect("TOML");
+    let deploy: toml::Table = std::fs::read_to_string(place)
+        .expect("it is there")
+        .parse()
+        .expect("TOML");
     let run = deploy["run"].as_str().expect("a line");
     let words: Vec<&str> = run.split_whitespace().collect();
     assert_eq!(
@@ -73,21 +104,32 @@
         ["exec", "target/release/pipithub", "node"],
         "no shell stays and nothing goes beside it"
     );
-    assert!(deploy["build"].as_str().expect("a line").contains("-p pipithub "));
+    assert!(
+        deploy["build"]
+            .as_str()
+            .expect("a line")
+            .contains("-p pipithub ")
+    );
 }
 
 #[test]
 fn the_program_is_linked_dynamically_against_the_c_library() {
     let mut bytes = std::fs::read(BINARY).expect("it was built");
     let (interpreter, needs) = linked(&bytes).expect("a program");
-    assert!(interpreter && needs.iter().any(|n| n.starts_with("libc.so")), "{needs:?}");
+    assert!(
+        interpreter && needs.iter().any(|n| n.starts_with("libc.so")),
+        "{needs:?}"
+    );
     // The check itself: without an interpreter, as where all is linked in, it says so.
     let header = elf::FileHeader64::<Endianness>::parse(&*bytes).expect("a header");
     let endian = header.endian().expect("its order");
     let at = header.e_phoff.get(endian) as usize;
     let size = usize::from(header.e_phentsize.get(endian));
     let segments = header.program_headers(endian, &*bytes).expect("segments");
-    let which = segments.iter().position(|s| s.p_type.get(endian) == elf::PT_INTERP).expect("one names it");
+    let which = segments
+        .iter()
+        .position(|s| s.p_type.get(endian) == elf::PT_INTERP)
+        .expect("one names it");
     bytes[at + which * size..][..4].copy_from_slice(&0u32.to_ne_bytes());
     assert!(!linked(&bytes).expect("a program").0);
 }
@@ -110,7 +152,12 @@
     // A socket over IPv6, and one that others can come to by a path.
     let path = std::env::temp_dir().join(format!("pipithub-run-{}", std::process::id()));
     let named = std::os::unix::net::UnixListener::bind(&path).expect("bound");
-    assert!(breaches(std::process::id()).iter().any(|b| b.starts_with("socket")), "a path");
+    assert!(
+        breaches(std::process::id())
+            .iter()
+            .any(|b| b.starts_with("socket")),
+        "a path"
+    );
     drop(named);
     std::fs::remove_file(&path).expect("removed");
 }
@@ -131,14 +178,29 @@
     std::fs::write(&place, config.to_string()).expect("written");
     // As the platform does it: the shell becomes the program.
     let mut command = Command::new("/bin/sh");
-    command.args(["-c", &format!("exec {BINARY} node")]).env("LB_CONFIG", &place).env("RUST_LOG", "info");
-    let child = command.env_remove("LB_LISTEN").stderr(Stdio::piped()).spawn().expect("starts");
+    command
+        .args(["-c", &format!("exec {BINARY} node")])
+        .env("LB_CONFIG", &place)
+        .env("RUST_LOG", "info");
+    let child = command
+        .env_remove("LB_LISTEN")
+        .stderr(Stdio::piped())
+        .spawn()
+        .expect("starts");
     let mut child = Running(child);
     let pid = child.0.id();
-    let mut log = BufReader::new(child.0.stderr.take().expect("piped")).lines().map_while(Result::ok);
-    let up = log.by_ref().find(|line| line.contains("front end up")).expect("it comes up");
+    let mut log = BufReader::new(child.0.stderr.take().expect("piped"))
+        .lines()
+        .map_while(Result::ok);
+    let up = log
+        .by_ref()
+        .find(|line| line.contains("front end up"))
+        .expect("it comes up");
     std::fs::remove_file(&place).expect("removed");
-    let address = up.split_whitespace().find_map(|w| w.strip_prefix("address=")).expect("told");
+    let address = up
+        .split_whitespace()
+        .find_map(|w| w.strip_prefix("address="))
+        .expect("told");
     let address = address.trim_matches('"').to_string();
     std::thread::spawn(move || worker(worker_at));
     let (mut coordinator, _) = list_at.accept().expect("it asks for the list");
@@ -149,11 +211,20 @@
     for id in 1..=20 {
         let call = serde_json::json!({"jsonrpc": "2.0", "id": id, "method": "view", "params":
             {"call": format!("{id:016x}"), "ttl": 60_000, "row": "00000000000000aa", "body": "aGVsbG8="}});
-        write.write_all(format!("{call}\n").as_bytes()).expect("sent");
+        write
+            .write_all(format!("{call}\n").as_bytes())
+            .expect("sent");
         let answer = lines.next().expect("an answer").expect("whole");
-        assert!(answer.contains(r#""result":{"body":"aGVsbG8="}"#), "{answer}");
+        assert!(
+            answer.contains(r#""result":{"body":"aGVsbG8="}"#),
+            "{answer}"
+        );
     }
     assert_eq!(breaches(pid), Vec::<String>::new());
     let runs = std::fs::read_link(format!("/proc/{pid}/exe")).expect("its program");
-    assert_eq!(runs.file_name(), std::path::Path::new(BINARY).file_name(), "no shell stays before it");
+    assert_eq!(
+        runs.file_name(),
+        std::path::Path::new(BINARY).file_name(),
+        "no shell stays before it"
+    );
 }
