--- a/crates/pipithub-adapter/src/main.rs
+++ b/crates/pipithub-adapter/src/main.rs
@@ -89,7 +89,10 @@
                         entries
                             .push(wire::entry(&lines.text, &host.names).map_err(|e| lines.at(&e))?);
                     }
-                    Event::List { kind, entries }
+                    Event::Endpoints {
+                        update: kind,
+                        endpoints: entries,
+                    }
                 }
             };
             host.front.handle(now, event, &mut actions);
--- a/crates/pipithub-adapter/src/wire.rs
+++ b/crates/pipithub-adapter/src/wire.rs
@@ -5,8 +5,8 @@
 
 use pipithub_platform::settings::Names;
 use pipithub_policy::api::{
-    Action, CopyNote, Entry, Event, Finished, Function, ListKind, Load, Ordered, Outcome, Request,
-    State, Time, Worker,
+    Action, AttemptFinished, Endpoint, EndpointState, EndpointUpdate, Event, FunctionId,
+    LoadFinished, LoadReport, Outcome, ReplicaStatus, Request, Time, WorkerId,
 };
 
 /// What one line holds.
@@ -14,7 +14,7 @@
     /// A whole event.
     Event(Event),
     /// The head of a list, with the number of entry lines that follow.
-    List { kind: ListKind, count: usize },
+    List { kind: EndpointUpdate, count: usize },
 }
 
 /// Walks over the parts of a line.
@@ -60,34 +60,34 @@
         }
     }
 
-    fn function(&mut self) -> Result<Function, String> {
+    fn function(&mut self) -> Result<FunctionId, String> {
         let text = self.text("Model")?;
         u64::from_str_radix(text, 16)
-            .map(Function)
+            .map(FunctionId)
             .map_err(|_| format!("Model: cannot read '{text}'"))
     }
 
-    fn worker(&mut self) -> Result<Worker, String> {
-        Ok(Worker::new(self.text("Worker")?))
+    fn worker(&mut self) -> Result<WorkerId, String> {
+        Ok(WorkerId::new(self.text("Worker")?))
     }
 
     fn outcome(&mut self) -> Result<Outcome, String> {
         Ok(match self.text("Status")? {
             "S" => Outcome::Served,
             "E" => Outcome::Error,
-            "F" => Outcome::Full,
+            "F" => Outcome::Rejected,
             "T" => Outcome::TimedOut,
             "C" => Outcome::Unreachable,
-            "R" => Outcome::Broken,
+            "R" => Outcome::ConnectionLost,
             "X" => Outcome::Cancelled,
             "N" => Outcome::NotSent,
-            "M" => Outcome::Absent,
+            "M" => Outcome::NotLoaded,
             other => return Err(format!("Status: unknown '{other}'")),
         })
     }
 
-    fn load(&mut self) -> Result<Load, String> {
-        let mut load = Load::default();
+    fn load(&mut self) -> Result<LoadReport, String> {
+        let mut load = LoadReport::default();
         let pairs = match self.rest.next() {
             None | Some("-") | Some("") => return Ok(load),
             Some(pairs) => pairs,
@@ -97,10 +97,10 @@
                 .split_once(':')
                 .ok_or_else(|| format!("Load: cannot read '{pair}'"))?;
             let slot = match name {
-                "rif" => &mut load.held,
-                "busy" => &mut load.busy,
-                "x0" => &mut load.memory_tied,
-                "x1" => &mut load.loads,
+                "rif" => &mut load.in_flight,
+                "busy" => &mut load.cpu_utilization,
+                "x0" => &mut load.pinned_memory,
+                "x1" => &mut load.pending_loads,
                 _ => continue,
             };
             let number: f64 = value
@@ -155,10 +155,10 @@
         "backends_changed" => {
             p.maybe::<u64>("Revision")?;
             let kind = match p.text("How")? {
-                "incr" => ListKind::Changes,
-                "total" => ListKind::Complete,
-                "warm_copy" => ListKind::Remembered,
-                "lost" => ListKind::Lost,
+                "incr" => EndpointUpdate::Delta,
+                "total" => EndpointUpdate::Snapshot,
+                "warm_copy" => EndpointUpdate::Cached,
+                "lost" => EndpointUpdate::Lost,
                 other => return Err(format!("How: unknown '{other}'")),
             };
             return Ok(Input::List {
@@ -182,22 +182,22 @@
             p.maybe::<u64>("Attrs")?;
             Event::Arrived(Request {
                 id,
-                expected,
+                expected_work: expected,
                 memory_mb,
-                lanes,
+                replica_concurrency: lanes,
                 class: class.ok_or_else(|| format!("Grade: unknown '{grade}'"))?,
                 load_time: bringup.map(|ms| (ms * 1e6) as Time),
                 function,
-                budget: p.maybe("TimeBudget")?,
+                timeout: p.maybe("TimeBudget")?,
             })
         }
         "health_result" => {
             p.maybe::<Time>("Rtt")?;
             let answered = p.outcome()? == Outcome::Served;
-            Event::Probed {
+            Event::LoadPolled {
                 worker: p.worker()?,
                 answered,
-                load: p.load()?,
+                report: p.load()?,
             }
         }
         "wake" => Event::Timer {
@@ -207,14 +207,14 @@
             from: p.value("Author")?,
             bytes: bytes(p.text("Bytes")?)?,
         },
-        "brought_up" => Event::Ordered(Ordered {
+        "brought_up" => Event::LoadFinished(LoadFinished {
             worker: p.worker()?,
             function: p.function()?,
             outcome: p.outcome()?,
-            took: p.maybe("Rtt")?.unwrap_or(0),
-            copies: p.maybe("Copies")?.unwrap_or(0),
+            elapsed: p.maybe("Rtt")?.unwrap_or(0),
+            replicas: p.maybe("Copies")?.unwrap_or(0),
         }),
-        "lapsed" => Event::Left {
+        "lapsed" => Event::ClientCancelled {
             request: p.value("Req")?,
         },
         "completed" => {
@@ -225,22 +225,22 @@
             let took = p.maybe("Rtt")?.unwrap_or(0);
             let settled = p.bool("Settled")?;
             let detail: Option<u32> = p.maybe("Detail")?;
-            Event::Finished(Finished {
+            Event::AttemptFinished(AttemptFinished {
                 request,
                 attempt,
                 worker,
                 outcome,
-                took,
+                elapsed: took,
                 settled,
-                note: match detail.unwrap_or(0) % 8 {
-                    1 => Some(CopyNote::Warm),
-                    2 => Some(CopyNote::Began),
-                    3 => Some(CopyNote::Waited),
-                    4 => Some(CopyNote::Failed),
+                replica_status: match detail.unwrap_or(0) % 8 {
+                    1 => Some(ReplicaStatus::Warm),
+                    2 => Some(ReplicaStatus::LoadStarted),
+                    3 => Some(ReplicaStatus::LoadAwaited),
+                    4 => Some(ReplicaStatus::LoadFailed),
                     _ => None,
                 },
-                alike: detail.map(|d| d / 8),
-                load: p.load()?,
+                function_concurrency: detail.map(|d| d / 8),
+                load_report: p.load()?,
             })
         }
         "head_received" => Event::Streaming {
@@ -251,22 +251,22 @@
 }
 
 /// Reads one line of a list.
-pub fn entry(line: &str, names: &Names) -> Result<Entry, String> {
+pub fn entry(line: &str, names: &Names) -> Result<Endpoint, String> {
     let mut p = Parts::of(line);
     if p.text("message")? != "entry" {
         return Err(format!("expected 'entry', found '{line}'"));
     }
-    let fields = |p: &mut Parts| -> Result<Entry, String> {
-        Ok(Entry {
-            share: p
+    let fields = |p: &mut Parts| -> Result<Endpoint, String> {
+        Ok(Endpoint {
+            weight: p
                 .maybe::<f64>("Share")?
                 .filter(|s| s.is_finite())
                 .unwrap_or(0.0),
             worker: p.worker()?,
             state: match p.text("StageState")? {
-                "live" => State::Live,
-                "quiescing" => State::Draining,
-                "dead" => State::Gone,
+                "live" => EndpointState::Ready,
+                "quiescing" => EndpointState::Draining,
+                "dead" => EndpointState::Removed,
                 other => return Err(format!("StageState: unknown '{other}'")),
             },
             zone: p.text("Dc")?.to_string(),
@@ -279,7 +279,7 @@
                     .find(|(name, _)| name == kind)
                     .map_or(0.0, |(_, memory)| *memory)
             },
-            started: p.maybe::<Time>("StartTime")?.filter(|&t| t > 0),
+            started_at: p.maybe::<Time>("StartTime")?.filter(|&t| t > 0),
         })
     };
     fields(&mut p).map_err(|e| format!("entry: {e}"))
@@ -302,14 +302,14 @@
 /// Appends the line of one action.
 pub fn write(reply: &mut String, end: u64, action: &Action) {
     let done = match action {
-        Action::Send {
+        Action::Forward {
             request,
             worker,
             timeout: Some(t),
         } => {
             writeln!(reply, "hand_off {end} {request} {} {t}", worker.0)
         }
-        Action::Send {
+        Action::Forward {
             request,
             worker,
             timeout: None,
@@ -317,19 +317,19 @@
             writeln!(reply, "hand_off {end} {request} {} -", worker.0)
         }
         Action::Cancel { request, attempt } => writeln!(reply, "recall {end} {request} {attempt}"),
-        Action::Refuse {
+        Action::Reject {
             request,
             retry_after: Some(t),
         } => writeln!(reply, "reject {end} {request} {t}"),
-        Action::Refuse {
+        Action::Reject {
             request,
             retry_after: None,
         } => writeln!(reply, "reject {end} {request} -"),
         Action::Fail { request } => writeln!(reply, "abort {end} {request}"),
-        Action::Hold {
+        Action::LoadFunction {
             worker,
             function,
-            copies,
+            replicas: copies,
         } => {
             writeln!(
                 reply,
@@ -337,12 +337,12 @@
                 function.0, worker.0
             )
         }
-        Action::Drop { worker, function } => {
+        Action::EvictFunction { worker, function } => {
             writeln!(reply, "shelve {end} {:016x} {}", function.0, worker.0)
         }
-        Action::Probe { worker } => writeln!(reply, "touch {end} {}", worker.0),
-        Action::Timer { after, token } => writeln!(reply, "remind {end} {after} {token}"),
-        Action::FollowList => writeln!(reply, "tail {end} 1"),
+        Action::PollLoad { worker } => writeln!(reply, "touch {end} {}", worker.0),
+        Action::SetTimer { after, token } => writeln!(reply, "remind {end} {after} {token}"),
+        Action::WatchEndpoints => writeln!(reply, "tail {end} 1"),
     };
     debug_assert!(done.is_ok(), "writing to a string cannot fail");
 }
--- a/crates/pipithub-baselines/src/lib.rs
+++ b/crates/pipithub-baselines/src/lib.rs
@@ -5,8 +5,8 @@
 
 use pipithub_engine::Decide;
 use pipithub_engine::policy::{
-    Action, Effect, Event, Group, ListKind, Outcome, Request, RequestId, Settings, State, Time,
-    Worker,
+    Action, DeduplicationScope, EndpointState, EndpointUpdate, Event, Idempotency, Outcome,
+    Request, RequestId, Settings, Time, WorkerId,
 };
 
 /// Which policy.
@@ -27,7 +27,7 @@
     /// When it was first sent in a way that may have run.
     may_have_run: Option<Time>,
     sent: Time,
-    tried: Vec<Worker>,
+    tried: Vec<WorkerId>,
 }
 
 /// A textbook policy.
@@ -35,7 +35,7 @@
 pub struct Baseline {
     policy: Policy,
     settings: Settings,
-    workers: BTreeMap<Worker, (State, u32)>,
+    workers: BTreeMap<WorkerId, (EndpointState, u32)>,
     open: BTreeMap<RequestId, Open>,
     turn: usize,
 }
@@ -52,11 +52,11 @@
         }
     }
 
-    fn effect(&self, open: &Open) -> Effect {
+    fn effect(&self, open: &Open) -> Idempotency {
         self.settings
             .classes
             .get(open.call.class)
-            .map_or(Effect::Unsafe, |c| c.effect)
+            .map_or(Idempotency::NonIdempotent, |c| c.idempotency)
     }
 
     fn may_repeat(&self, now: Time, open: &Open) -> bool {
@@ -67,19 +67,20 @@
             self.effect(open),
             self.settings.classes.get(open.call.class),
         ) {
-            (Effect::Safe, _) => true,
-            (Effect::Keyed, Some(c)) => {
-                c.group == Group::All && now + 10 * self.settings.tick < first + c.dedup_window
+            (Idempotency::Idempotent, _) => true,
+            (Idempotency::WithKey, Some(c)) => {
+                c.deduplication_scope == DeduplicationScope::All
+                    && now + 10 * self.settings.tick < first + c.deduplication_window
             }
             _ => false,
         }
     }
 
-    fn pick(&mut self, tried: &[Worker]) -> Option<Worker> {
-        let live: Vec<(&Worker, u32)> = self
+    fn pick(&mut self, tried: &[WorkerId]) -> Option<WorkerId> {
+        let live: Vec<(&WorkerId, u32)> = self
             .workers
             .iter()
-            .filter(|(w, (s, _))| *s == State::Live && !tried.contains(w))
+            .filter(|(w, (s, _))| *s == EndpointState::Ready && !tried.contains(w))
             .map(|(w, (_, held))| (w, *held))
             .collect();
         self.turn += 1;
@@ -114,7 +115,7 @@
         };
         (open.attempts, open.out, open.sent) = (open.attempts + 1, true, now);
         open.tried.push(worker.clone());
-        actions.push(Action::Send {
+        actions.push(Action::Forward {
             request: id,
             worker,
             timeout: None,
@@ -131,10 +132,10 @@
                 attempt: open.attempts - 1,
             });
         }
-        let harmless =
-            self.effect(&open) == Effect::Safe || open.may_have_run.is_none() && !open.out;
+        let harmless = self.effect(&open) == Idempotency::Idempotent
+            || open.may_have_run.is_none() && !open.out;
         actions.push(if harmless {
-            Action::Refuse {
+            Action::Reject {
                 request: id,
                 retry_after: None,
             }
@@ -147,14 +148,17 @@
 impl Decide for Baseline {
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::List { kind, entries } => {
-                if matches!(kind, ListKind::Complete | ListKind::Remembered) {
+            Event::Endpoints {
+                update: kind,
+                endpoints: entries,
+            } => {
+                if matches!(kind, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
                     self.workers
                         .retain(|w, _| entries.iter().any(|e| e.worker == *w));
                 }
                 for entry in entries {
                     match entry.state {
-                        State::Gone => drop(self.workers.remove(&entry.worker)),
+                        EndpointState::Removed => drop(self.workers.remove(&entry.worker)),
                         state => self.workers.entry(entry.worker).or_default().0 = state,
                     }
                 }
@@ -164,11 +168,11 @@
                     .settings
                     .classes
                     .get(call.class)
-                    .map_or(0, |c| c.give_up);
-                let budget = call.budget.unwrap_or(give_up);
+                    .map_or(0, |c| c.client_timeout);
+                let budget = call.timeout.unwrap_or(give_up);
                 let (id, deadline) = (call.id, now + budget);
                 let after = budget.saturating_sub(2 * self.settings.tick);
-                actions.push(Action::Timer { after, token: id });
+                actions.push(Action::SetTimer { after, token: id });
                 let (may_have_run, tried) = (None, Vec::new());
                 self.open.insert(
                     id,
@@ -184,7 +188,7 @@
                 );
                 self.place(now, id, actions);
             }
-            Event::Finished(end) => {
+            Event::AttemptFinished(end) => {
                 if let Some((_, held)) = self.workers.get_mut(&end.worker) {
                     *held = held.saturating_sub(1);
                 }
@@ -201,7 +205,7 @@
                 }
                 self.place(now, end.request, actions);
             }
-            Event::Left { request } => {
+            Event::ClientCancelled { request } => {
                 if let Some(open) = self.open.remove(&request)
                     && open.out
                     && self.settings.limits.cancel
@@ -222,8 +226,8 @@
                 }
             }
             Event::Streaming { .. }
-            | Event::Probed { .. }
-            | Event::Ordered(_)
+            | Event::LoadPolled { .. }
+            | Event::LoadFinished(_)
             | Event::Peer { .. } => {}
         }
     }
--- a/crates/pipithub-drill/src/scenario.rs
+++ b/crates/pipithub-drill/src/scenario.rs
@@ -389,7 +389,8 @@
                             fault: match n.text_of("fault") {
                                 Some(fault) => fault.to_string(),
                                 None => {
-                                    return n.fault("'directory' needs a 'fault', as \"silent on\"");
+                                    return n
+                                        .fault("'directory' needs a 'fault', as \"silent on\"");
                                 }
                             },
                         },
--- a/crates/pipithub-endpoints/src/lib.rs
+++ b/crates/pipithub-endpoints/src/lib.rs
@@ -12,10 +12,10 @@
 
 use std::collections::BTreeMap;
 
-use object::{Endpoint, EndpointSlice, EndpointSliceList, WatchEvent};
+use object::{EndpointSlice, EndpointSliceList, SliceEndpoint, WatchEvent};
 use pipithub_clock::Reading;
 use pipithub_engine::Time;
-use pipithub_engine::policy::{Entry, ListKind, State, Worker};
+use pipithub_engine::policy::{Endpoint, EndpointState, EndpointUpdate, WorkerId};
 use serde::{Deserialize, Serialize};
 
 /// The group, version and kind that a watch brings.
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Workers changed.
-    Changes(Vec<Entry>),
+    Changes(Vec<Endpoint>),
     /// Nothing of note; the version to go on from moved.
     Nothing,
     /// The version is too old: list anew.
@@ -66,7 +66,7 @@
 /// One endpoint as it stands.
 #[derive(Clone, Debug, PartialEq)]
 struct Known {
-    state: State,
+    state: EndpointState,
     uid: String,
     zone: String,
     memory_mb: f64,
@@ -103,7 +103,12 @@
     }
 
     /// Takes the body of a list; all workers there are. `wall_ms` is the Unix time that `now` stands for.
-    pub fn list(&mut self, now: Time, wall_ms: u64, body: &[u8]) -> Result<Vec<Entry>, ListError> {
+    pub fn list(
+        &mut self,
+        now: Time,
+        wall_ms: u64,
+        body: &[u8],
+    ) -> Result<Vec<Endpoint>, ListError> {
         let json = |source| ListError::Json {
             what: "EndpointSliceList",
             source,
@@ -187,7 +192,7 @@
     }
 
     /// Works out the workers anew from all slices; what changed.
-    fn refresh(&mut self, reading: Reading) -> Vec<Entry> {
+    fn refresh(&mut self, reading: Reading) -> Vec<Endpoint> {
         let mut next: BTreeMap<String, Known> = BTreeMap::new();
         for slice in self.slices.values() {
             let Some(port) = slice.port(self.port.as_deref()) else {
@@ -201,7 +206,7 @@
                 // While an endpoint moves between slices it may stand in two; the careful word counts.
                 let careful = next
                     .get(&address)
-                    .is_some_and(|k| k.state == State::Draining);
+                    .is_some_and(|k| k.state == EndpointState::Draining);
                 if !careful {
                     next.insert(address, found);
                 }
@@ -212,7 +217,7 @@
             if !next.contains_key(address) {
                 changes.push(
                     Known {
-                        state: State::Gone,
+                        state: EndpointState::Removed,
                         ..old.clone()
                     }
                     .entry(address),
@@ -231,7 +236,7 @@
     fn known_of(
         &self,
         slice: &EndpointSlice,
-        e: &Endpoint,
+        e: &SliceEndpoint,
         address: &str,
         reading: Reading,
     ) -> Known {
@@ -271,7 +276,7 @@
     pub fn live(&self) -> usize {
         self.known
             .values()
-            .filter(|k| k.state == State::Live)
+            .filter(|k| k.state == EndpointState::Ready)
             .count()
     }
 
@@ -281,10 +286,10 @@
         let workers = self
             .known
             .iter()
-            .filter(|(_, k)| k.state != State::Gone)
+            .filter(|(_, k)| k.state != EndpointState::Removed)
             .map(|(address, k)| Kept {
                 address: address.clone(),
-                draining: k.state == State::Draining,
+                draining: k.state == EndpointState::Draining,
                 zone: k.zone.clone(),
                 memory_mb: k.memory_mb,
                 started_ms: k.started.map(started_ms),
@@ -299,15 +304,15 @@
 }
 
 impl Known {
-    fn entry(&self, address: &str) -> Entry {
-        Entry {
-            worker: Worker::new(address),
-            share: 0.0,
+    fn entry(&self, address: &str) -> Endpoint {
+        Endpoint {
+            worker: WorkerId::new(address),
+            weight: 0.0,
             state: self.state,
             zone: self.zone.clone(),
             cell: 0,
             memory_mb: self.memory_mb,
-            started: self.started,
+            started_at: self.started,
         }
     }
 }
@@ -329,7 +334,11 @@
 }
 
 /// Reads a remembered list; to be handed to the engine as [`ListKind::Remembered`].
-pub fn recall(text: &str, now: Time, wall_ms: u64) -> Result<(ListKind, Vec<Entry>), ListError> {
+pub fn recall(
+    text: &str,
+    now: Time,
+    wall_ms: u64,
+) -> Result<(EndpointUpdate, Vec<Endpoint>), ListError> {
     let json = |source| ListError::Json {
         what: "remembered list",
         source,
@@ -338,18 +347,18 @@
     if kept.workers.len() > MAX_ENDPOINTS {
         return Err(ListError::TooMany(kept.workers.len()));
     }
-    let entry = |worker: Kept| Entry {
-        worker: Worker::new(&worker.address),
-        share: 0.0,
+    let entry = |worker: Kept| Endpoint {
+        worker: WorkerId::new(&worker.address),
+        weight: 0.0,
         state: if worker.draining {
-            State::Draining
+            EndpointState::Draining
         } else {
-            State::Live
+            EndpointState::Ready
         },
         zone: worker.zone,
         cell: 0,
         memory_mb: worker.memory_mb.max(0.0),
-        started: worker.started_ms.and_then(|started_ms| {
+        started_at: worker.started_ms.and_then(|started_ms| {
             let age_ms = age_across_restart(started_ms, kept.wall_ms, wall_ms)?;
             Some(
                 now.saturating_sub(age_ms.saturating_mul(NANOS_PER_MS))
@@ -358,7 +367,7 @@
         }),
     };
     Ok((
-        ListKind::Remembered,
+        EndpointUpdate::Cached,
         kept.workers.into_iter().map(entry).collect(),
     ))
 }
--- a/crates/pipithub-endpoints/src/object.rs
+++ b/crates/pipithub-endpoints/src/object.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use pipithub_engine::policy::State;
+use pipithub_engine::policy::EndpointState;
 use serde::{Deserialize, Serialize};
 
 /// `metadata` of a list.
@@ -61,7 +61,7 @@
     pub address_type: String,
     /// The endpoints; the API server may send `null` for none.
     #[serde(default, deserialize_with = "null_is_empty")]
-    pub endpoints: Vec<Endpoint>,
+    pub endpoints: Vec<SliceEndpoint>,
     /// The ports; likewise.
     #[serde(default, deserialize_with = "null_is_empty")]
     pub ports: Vec<EndpointPort>,
@@ -112,7 +112,7 @@
 /// An endpoint.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Endpoint {
+pub struct SliceEndpoint {
     /// Its addresses; they are alternatives, the first is taken.
     pub addresses: Vec<String>,
     /// How it stands.
@@ -126,16 +126,16 @@
     pub target_ref: Option<TargetRef>,
 }
 
-impl Endpoint {
+impl SliceEndpoint {
     /// Whether it takes new work: what is terminating, or not ready, does not.
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> EndpointState {
         let Conditions {
             ready, terminating, ..
         } = self.conditions;
         if terminating == Some(true) || ready == Some(false) {
-            State::Draining
+            EndpointState::Draining
         } else {
-            State::Live
+            EndpointState::Ready
         }
     }
 
--- a/crates/pipithub-engine/src/engine.rs
+++ b/crates/pipithub-engine/src/engine.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use pipithub_policy::api::{
-    Action, Event, Finished, Function, ListKind, Ordered, Outcome, Request, RequestId, Settings,
-    State, Time, Worker,
+    Action, AttemptFinished, EndpointState, EndpointUpdate, Event, FunctionId, LoadFinished,
+    Outcome, Request, RequestId, Settings, Time, WorkerId,
 };
 use pipithub_policy::decide::FrontEnd;
 
@@ -57,17 +57,17 @@
 }
 
 /// An attempt that the module ordered and that was not made; its request is over.
-fn not_sent(request: RequestId, id: AttemptId, worker: Worker) -> Event {
-    Event::Finished(Finished {
+fn not_sent(request: RequestId, id: AttemptId, worker: WorkerId) -> Event {
+    Event::AttemptFinished(AttemptFinished {
         request,
         attempt: id.number,
         worker,
         outcome: Outcome::NotSent,
-        took: 0,
+        elapsed: 0,
         settled: true,
-        note: None,
-        alike: None,
-        load: Default::default(),
+        replica_status: None,
+        function_concurrency: None,
+        load_report: Default::default(),
     })
 }
 
@@ -117,7 +117,7 @@
     call: Arc<Call>,
     deadline: Time,
     attempts: u32,
-    last: Option<(Outcome, Worker)>,
+    last: Option<(Outcome, WorkerId)>,
     /// The final answer, not yet known to be safe.
     reply: Option<Arc<Reply>>,
     /// Bytes that it is charged with.
@@ -133,16 +133,16 @@
     open: BTreeMap<RequestId, Open>,
     tickets: BTreeMap<Ticket, RequestId>,
     /// Attempts that have no outcome yet; they outlive their request, for the module must hear of every end.
-    out: BTreeMap<AttemptId, Worker>,
+    out: BTreeMap<AttemptId, WorkerId>,
     memory: Memory,
-    names: BTreeMap<Function, (Arc<str>, Time)>,
+    names: BTreeMap<FunctionId, (Arc<str>, Time)>,
     next_request: RequestId,
     bytes: usize,
     draining: bool,
     /// A list of workers has come, if only a remembered one.
     listed: bool,
     /// Live workers, as last told.
-    live: BTreeSet<Worker>,
+    live: BTreeSet<WorkerId>,
     stats: Stats,
     actions: Vec<Action>,
     events: VecDeque<Event>,
@@ -246,36 +246,45 @@
             }
             Input::Attempt(end) => self.attempt(now, end, out),
             Input::Probe(p) => {
-                let event = Event::Probed {
+                let event = Event::LoadPolled {
                     worker: p.worker,
                     answered: p.answered,
-                    load: p.load,
+                    report: p.load,
                 };
                 self.decide(now, event, out);
             }
             Input::Order(o) => {
                 let (worker, function, outcome) = (o.worker, o.function, o.outcome);
-                let order = Ordered {
+                let order = LoadFinished {
                     worker,
                     function,
                     outcome,
-                    took: o.took,
-                    copies: o.copies,
+                    elapsed: o.took,
+                    replicas: o.copies,
                 };
-                self.decide(now, Event::Ordered(order), out);
+                self.decide(now, Event::LoadFinished(order), out);
             }
             Input::Workers { kind, entries } => {
-                self.listed |= kind != ListKind::Lost;
-                if matches!(kind, ListKind::Complete | ListKind::Remembered) {
+                self.listed |= kind != EndpointUpdate::Lost;
+                if matches!(kind, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
                     self.live.clear();
                 }
                 for entry in &entries {
                     match entry.state {
-                        State::Live => self.live.insert(entry.worker.clone()),
-                        State::Draining | State::Gone => self.live.remove(&entry.worker),
+                        EndpointState::Ready => self.live.insert(entry.worker.clone()),
+                        EndpointState::Draining | EndpointState::Removed => {
+                            self.live.remove(&entry.worker)
+                        }
                     };
                 }
-                self.decide(now, Event::List { kind, entries }, out);
+                self.decide(
+                    now,
+                    Event::Endpoints {
+                        update: kind,
+                        endpoints: entries,
+                    },
+                    out,
+                );
             }
             Input::Drain => self.draining = true,
             Input::End => self.end(now, out),
@@ -298,7 +307,7 @@
                 Verdict::Failed
             };
             self.answer(request, verdict, Cause::Draining, None, None, out);
-            self.decide(now, Event::Left { request }, out);
+            self.decide(now, Event::ClientCancelled { request }, out);
         }
     }
 
@@ -352,7 +361,7 @@
                 }
                 Again::Run(None) => {}
                 Again::Run(Some(left)) => {
-                    budget = Some(budget.unwrap_or(class.give_up).min(left));
+                    budget = Some(budget.unwrap_or(class.client_timeout).min(left));
                 }
                 Again::Fail => {
                     return self.at_once(
@@ -403,7 +412,7 @@
         }
         let class = &self.settings.policy.classes[call.class];
         // Of a message that waited in its queue the client's time is partly over, whoever states it.
-        let rest = class.give_up.saturating_sub(waited);
+        let rest = class.client_timeout.saturating_sub(waited);
         let budget = budget.unwrap_or(rest).min(rest);
         let Some(left) = budget
             .checked_sub(self.settings.answer_margin)
@@ -415,13 +424,13 @@
         self.name(now, function, &call.function);
         let request = Request {
             id: self.next_request,
-            expected: call.expected,
+            expected_work: call.expected,
             memory_mb: call.memory_mb,
-            lanes: call.lanes,
+            replica_concurrency: call.lanes,
             class: call.class,
             load_time: call.load_time,
             function,
-            budget: Some(left),
+            timeout: Some(left),
         };
         self.insert(now + left, ticket, identity, call);
         self.decide(now, Event::Arrived(request), out);
@@ -564,7 +573,7 @@
                 Verdict::Failed
             };
             self.answer(request, verdict, Cause::UserMoved, None, None, out);
-            self.decide(now, Event::Left { request }, out);
+            self.decide(now, Event::ClientCancelled { request }, out);
         }
     }
 
@@ -586,7 +595,7 @@
             self.memory.abandon(identity, request);
         }
         if open.reply.is_none() {
-            self.decide(now, Event::Left { request }, out);
+            self.decide(now, Event::ClientCancelled { request }, out);
         }
     }
 
@@ -622,18 +631,18 @@
                 );
             }
         }
-        let finished = Finished {
+        let finished = AttemptFinished {
             request: id.request,
             attempt: id.number,
             worker,
             outcome,
-            took,
+            elapsed: took,
             settled,
-            note,
-            alike,
-            load,
+            replica_status: note,
+            function_concurrency: alike,
+            load_report: load,
         };
-        self.decide(now, Event::Finished(finished), out);
+        self.decide(now, Event::AttemptFinished(finished), out);
     }
 
     /// Gives the final answer of a request: the first is the only one.
@@ -682,7 +691,7 @@
     }
 
     /// Ends an orphan in place of a send; the module hears that the attempt was not made.
-    fn let_go(&mut self, request: RequestId, id: AttemptId, worker: Worker) {
+    fn let_go(&mut self, request: RequestId, id: AttemptId, worker: WorkerId) {
         let Some(open) = self.open.remove(&request) else {
             return;
         };
@@ -750,7 +759,7 @@
 
     fn act(&mut self, now: Time, action: Action, out: &mut Vec<Output>) {
         match action {
-            Action::Send {
+            Action::Forward {
                 request,
                 worker,
                 timeout,
@@ -800,7 +809,7 @@
                     number: attempt,
                 }));
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
@@ -811,10 +820,10 @@
                 let cause = self.cause(request);
                 self.answer(request, Verdict::Failed, cause, None, None, out);
             }
-            Action::Hold {
+            Action::LoadFunction {
                 worker,
                 function,
-                copies,
+                replicas: copies,
             } => match self.names.get(&function) {
                 Some((name, _)) => {
                     self.stats.holds += 1;
@@ -826,15 +835,15 @@
                     });
                 }
                 // Forgotten here: the module is told that nothing came of it.
-                None => self.events.push_back(Event::Ordered(Ordered {
+                None => self.events.push_back(Event::LoadFinished(LoadFinished {
                     worker,
                     function,
                     outcome: Outcome::NotSent,
-                    took: 0,
-                    copies: 0,
+                    elapsed: 0,
+                    replicas: 0,
                 })),
             },
-            Action::Drop { worker, function } => {
+            Action::EvictFunction { worker, function } => {
                 if let Some((name, _)) = self.names.get(&function) {
                     out.push(Output::Drop {
                         worker,
@@ -842,12 +851,12 @@
                     });
                 }
             }
-            Action::Probe { worker } => {
+            Action::PollLoad { worker } => {
                 self.stats.probes += 1;
                 out.push(Output::Probe(worker));
             }
-            Action::Timer { after, token } => self.timers.set(now.saturating_add(after), token),
-            Action::FollowList => out.push(Output::FollowList),
+            Action::SetTimer { after, token } => self.timers.set(now.saturating_add(after), token),
+            Action::WatchEndpoints => out.push(Output::FollowList),
         }
     }
 
@@ -859,7 +868,7 @@
     }
 
     /// Keeps the name of a function for orders; when there are too many, those not called for longest go.
-    fn name(&mut self, now: Time, function: Function, name: &Arc<str>) {
+    fn name(&mut self, now: Time, function: FunctionId, name: &Arc<str>) {
         if let Some((_, called)) = self.names.get_mut(&function) {
             *called = now;
             return;
--- a/crates/pipithub-engine/src/memory.rs
+++ b/crates/pipithub-engine/src/memory.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use pipithub_policy::api::{Class, Effect, Group, RequestId, Time};
+use pipithub_policy::api::{Class, DeduplicationScope, Idempotency, RequestId, Time};
 
 /// What to do with a message that came again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,15 +28,18 @@
 /// again. A keyed one may only where all workers drop its repeats and the oldest possible send is still within the
 /// time that they remember it: so its age must be known. `margin` is the time that the last send may need to arrive.
 pub fn unknown_earlier(class: &Class, age: Option<Time>, keyed: bool, margin: Time) -> Again {
-    match (class.effect, class.group) {
-        (Effect::Safe, _) => Again::Run(None),
-        (Effect::Keyed, Group::All) if keyed => {
-            let left =
-                age.and_then(|age| class.dedup_window.checked_sub(age.saturating_add(margin)));
+    match (class.idempotency, class.deduplication_scope) {
+        (Idempotency::Idempotent, _) => Again::Run(None),
+        (Idempotency::WithKey, DeduplicationScope::All) if keyed => {
+            let left = age.and_then(|age| {
+                class
+                    .deduplication_window
+                    .checked_sub(age.saturating_add(margin))
+            });
             left.filter(|left| *left > 0)
                 .map_or(Again::Fail, |left| Again::Run(Some(left)))
         }
-        (Effect::Keyed | Effect::Unsafe, _) => Again::Fail,
+        (Idempotency::WithKey | Idempotency::NonIdempotent, _) => Again::Fail,
     }
 }
 
--- a/crates/pipithub-engine/src/model.rs
+++ b/crates/pipithub-engine/src/model.rs
@@ -4,7 +4,8 @@
 
 use bytes::Bytes;
 use pipithub_policy::api::{
-    CopyNote, Entry, Function, ListKind, Load, Outcome, RequestId, Time, Worker,
+    Endpoint, EndpointUpdate, FunctionId, LoadReport, Outcome, ReplicaStatus, RequestId, Time,
+    WorkerId,
 };
 
 /// A source of triggers: a queue at one broker, a timer table, or whatever hands in calls.
@@ -21,14 +22,14 @@
 }
 
 /// The id under which the module knows a function: the same at every front end, on every machine.
-pub fn function_id(name: &str) -> Function {
+pub fn function_id(name: &str) -> FunctionId {
     // FNV-1a with a finishing mix. Two names that meet share a place in the hash order and their averages; the
     // calls themselves always carry their own name.
     let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325u64, |h, b| {
         (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3)
     });
     let mixed = (hash ^ (hash >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
-    Function(mixed ^ (mixed >> 32))
+    FunctionId(mixed ^ (mixed >> 32))
 }
 
 /// A tenant, by its place in the settings.
@@ -117,11 +118,11 @@
     /// How long it took.
     pub took: Time,
     /// What it met there, where told.
-    pub note: Option<CopyNote>,
+    pub note: Option<ReplicaStatus>,
     /// Calls of the function that the worker held, where told.
     pub alike: Option<u32>,
     /// The worker's report.
-    pub load: Load,
+    pub load: LoadReport,
     /// The answer; with [`Outcome::Served`] alone.
     pub served: Option<Served>,
 }
@@ -130,20 +131,20 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProbeEnd {
     /// The worker.
-    pub worker: Worker,
+    pub worker: WorkerId,
     /// It answered.
     pub answered: bool,
     /// Its report.
-    pub load: Load,
+    pub load: LoadReport,
 }
 
 /// How an order ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OrderEnd {
     /// The worker.
-    pub worker: Worker,
+    pub worker: WorkerId,
     /// The function.
-    pub function: Function,
+    pub function: FunctionId,
     /// [`Outcome::Served`]: the copies stand.
     pub outcome: Outcome,
     /// How long it took.
@@ -174,9 +175,9 @@
     /// News of the workers.
     Workers {
         /// What it covers.
-        kind: ListKind,
+        kind: EndpointUpdate,
         /// The workers in it.
-        entries: Vec<Entry>,
+        entries: Vec<Endpoint>,
     },
     /// A call came in that is not to run: it gets its one answer like any other, unless it is known already.
     Refuse {
@@ -297,7 +298,7 @@
     /// How the last of them ended.
     pub last: Option<Outcome>,
     /// The worker of the last attempt.
-    pub worker: Option<Worker>,
+    pub worker: Option<WorkerId>,
     /// What the worker answered; with [`Verdict::Served`] alone.
     pub served: Option<Served>,
 }
@@ -310,7 +311,7 @@
         /// Its id.
         id: AttemptId,
         /// Where to.
-        worker: Worker,
+        worker: WorkerId,
         /// What to run.
         call: Arc<Call>,
         /// After this point on the caller's clock an answer is of no use: the attempt ends as timed out.
@@ -321,9 +322,9 @@
     /// Have a worker hold copies; one [`Input::Order`] is owed.
     Hold {
         /// The worker.
-        worker: Worker,
+        worker: WorkerId,
         /// The function's id and name.
-        function: Function,
+        function: FunctionId,
         /// Its name.
         name: Arc<str>,
         /// Copies wanted; 0 only asks.
@@ -332,12 +333,12 @@
     /// Have a worker unload idle copies.
     Drop {
         /// The worker.
-        worker: Worker,
+        worker: WorkerId,
         /// The function's name.
         name: Arc<str>,
     },
     /// Ask a worker for its load; one [`Input::Probe`] is owed.
-    Probe(Worker),
+    Probe(WorkerId),
     /// Give the final answer and settle the trigger, both or neither; [`Input::Settled`] or
     /// [`Input::SourceLost`] is owed.
     Answer {
--- a/crates/pipithub-gateway/src/front.rs
+++ b/crates/pipithub-gateway/src/front.rs
@@ -6,7 +6,7 @@
 
 use pipithub_baselines::{Baseline, Policy};
 use pipithub_clock::Clock;
-use pipithub_engine::policy::{Entry, ListKind, Worker};
+use pipithub_engine::policy::{Endpoint, EndpointUpdate, WorkerId};
 use pipithub_engine::{AttemptId, Engine, Input, Output, Reply, SourceId, Ticket, Time, Verdict};
 use pipithub_settings::Config;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -116,14 +116,14 @@
     }
 
     pub(crate) fn fixed_workers(&mut self, workers: &[(String, String, f64)]) {
-        let entry = |(address, zone, memory_mb): &(String, String, f64)| Entry {
-            worker: Worker::new(address),
+        let entry = |(address, zone, memory_mb): &(String, String, f64)| Endpoint {
+            worker: WorkerId::new(address),
             zone: zone.clone(),
             memory_mb: *memory_mb,
-            ..Entry::default()
+            ..Endpoint::default()
         };
         self.first(Input::Workers {
-            kind: ListKind::Complete,
+            kind: EndpointUpdate::Snapshot,
             entries: workers.iter().map(entry).collect(),
         });
     }
--- a/crates/pipithub-gateway/src/list.rs
+++ b/crates/pipithub-gateway/src/list.rs
@@ -12,7 +12,7 @@
 use pipithub_consumer::backoff::Backoff;
 use pipithub_endpoints::{Step, Watcher};
 use pipithub_engine::Input;
-use pipithub_engine::policy::{Entry, ListKind};
+use pipithub_engine::policy::{Endpoint, EndpointUpdate};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 use tracing::{info, warn};
@@ -33,7 +33,10 @@
 }
 
 /// The list as it was when the process last ran.
-pub(crate) fn recall(settings: &ListSettings, clock: Clock) -> Option<(ListKind, Vec<Entry>)> {
+pub(crate) fn recall(
+    settings: &ListSettings,
+    clock: Clock,
+) -> Option<(EndpointUpdate, Vec<Endpoint>)> {
     let path = settings.remember.as_ref()?;
     let text = std::fs::read_to_string(path).ok()?;
     match pipithub_endpoints::recall(&text, clock.now(), wall_ms()) {
@@ -153,7 +156,7 @@
         watcher,
         inputs,
         clock,
-        ListKind::Complete,
+        EndpointUpdate::Snapshot,
         entries,
     )
     .await;
@@ -165,8 +168,8 @@
     watcher: &Watcher,
     inputs: &mpsc::Sender<Input>,
     clock: Clock,
-    kind: ListKind,
-    entries: Vec<Entry>,
+    kind: EndpointUpdate,
+    entries: Vec<Endpoint>,
 ) {
     let _ = inputs.send(Input::Workers { kind, entries }).await;
     if let Some(path) = &settings.remember
@@ -222,7 +225,15 @@
             }
             match watcher.line(clock.now(), wall_ms(), &line) {
                 Ok(Step::Changes(changes)) => {
-                    told(settings, watcher, inputs, clock, ListKind::Changes, changes).await;
+                    told(
+                        settings,
+                        watcher,
+                        inputs,
+                        clock,
+                        EndpointUpdate::Delta,
+                        changes,
+                    )
+                    .await;
                 }
                 Ok(Step::Nothing) => {}
                 Ok(Step::Expired) => return Ok(()),
--- a/crates/pipithub-gateway/src/tenancy.rs
+++ b/crates/pipithub-gateway/src/tenancy.rs
@@ -105,7 +105,7 @@
     /// A call has come in.
     pub(crate) fn arrive(&mut self, now: Time, trigger: Trigger, inputs: &mut Vec<Input>) {
         let call = &trigger.call;
-        let give_up = self.classes.get(call.class).map_or(0, |c| c.give_up);
+        let give_up = self.classes.get(call.class).map_or(0, |c| c.client_timeout);
         let rest = give_up.saturating_sub(call.waited);
         let arrival = Arrival {
             user: call.user.clone(),
@@ -188,7 +188,7 @@
             let longest = self
                 .classes
                 .iter()
-                .map(|c| c.give_up)
+                .map(|c| c.client_timeout)
                 .max()
                 .unwrap_or(0)
                 .saturating_mul(2);
--- a/crates/pipithub-gateway/src/workers.rs
+++ b/crates/pipithub-gateway/src/workers.rs
@@ -9,7 +9,7 @@
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
 use pipithub_clock::Clock;
-use pipithub_engine::policy::{Function, Load, Outcome, Worker};
+use pipithub_engine::policy::{FunctionId, LoadReport, Outcome, WorkerId};
 use pipithub_engine::{AttemptEnd, AttemptId, Call, OrderEnd, ProbeEnd, Served, Time};
 use pipithub_inference::{WorkerRequest, header};
 use pipithub_settings::HttpConfig;
@@ -70,7 +70,7 @@
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn take(&self, worker: &Worker) -> Option<Connection> {
+    fn take(&self, worker: &WorkerId) -> Option<Connection> {
         let mut idle = self.idle();
         let connections = idle.get_mut(&worker.0)?;
         while let Some(connection) = connections.pop() {
@@ -82,7 +82,7 @@
         None
     }
 
-    fn put(&self, worker: &Worker, connection: Connection) {
+    fn put(&self, worker: &WorkerId, connection: Connection) {
         let mut idle = self.idle();
         let connections = idle.entry(worker.0.clone()).or_default();
         if connections.len() < self.config.idle && !connection.sender.is_closed() {
@@ -90,7 +90,7 @@
         }
     }
 
-    async fn connect(&self, worker: &Worker) -> Option<Connection> {
+    async fn connect(&self, worker: &WorkerId) -> Option<Connection> {
         let connect = async {
             let stream = TcpStream::connect(&*worker.0).await.ok()?;
             stream.set_nodelay(true).ok()?;
@@ -108,7 +108,7 @@
     /// have been sent is never sent again here.
     async fn exchange(
         &self,
-        worker: &Worker,
+        worker: &WorkerId,
         request: WorkerRequest,
         body: Bytes,
     ) -> Result<Answer, Failed> {
@@ -165,7 +165,7 @@
     pub(crate) async fn attempt(
         &self,
         id: AttemptId,
-        worker: &Worker,
+        worker: &WorkerId,
         call: &Call,
         deadline: Time,
         cancelled: oneshot::Receiver<()>,
@@ -179,7 +179,7 @@
             answer = exchange => match answer {
                 Ok(answer) => Ok(answer),
                 Err(Failed::NotSent) => Err(Outcome::Unreachable),
-                Err(Failed::Broken) => Err(Outcome::Broken),
+                Err(Failed::Broken) => Err(Outcome::ConnectionLost),
             },
             () = self.clock.sleep_until(Some(deadline)) => Err(Outcome::TimedOut),
             _ = cancelled => Err(Outcome::Cancelled),
@@ -211,7 +211,7 @@
                 took,
                 note: None,
                 alike: None,
-                load: Load::default(),
+                load: LoadReport::default(),
                 served: None,
             },
         }
@@ -220,8 +220,8 @@
     /// Has a worker hold copies.
     pub(crate) async fn order(
         &self,
-        worker: Worker,
-        function: Function,
+        worker: WorkerId,
+        function: FunctionId,
         name: &str,
         copies: u32,
     ) -> OrderEnd {
@@ -233,7 +233,7 @@
         let (outcome, copies) = match answer {
             Err(_) => (Outcome::TimedOut, 0),
             Ok(Err(Failed::NotSent)) => (Outcome::Unreachable, 0),
-            Ok(Err(Failed::Broken)) => (Outcome::Broken, 0),
+            Ok(Err(Failed::Broken)) => (Outcome::ConnectionLost, 0),
             Ok(Ok(answer)) => {
                 pipithub_inference::order_outcome(answer.status, |name| answer.header(name))
             }
@@ -248,14 +248,14 @@
     }
 
     /// Has a worker unload idle copies; nobody waits for the reply.
-    pub(crate) async fn unload(&self, worker: Worker, name: &str) {
+    pub(crate) async fn unload(&self, worker: WorkerId, name: &str) {
         let request = pipithub_inference::order(name, 0, &self.front_end);
         let most = std::time::Duration::from_nanos(self.config.order_timeout);
         let _ = tokio::time::timeout(most, self.exchange(&worker, request, Bytes::new())).await;
     }
 
     /// Asks a worker for its load.
-    pub(crate) async fn probe(&self, worker: Worker) -> ProbeEnd {
+    pub(crate) async fn probe(&self, worker: WorkerId) -> ProbeEnd {
         let most = std::time::Duration::from_nanos(self.config.probe_timeout);
         let request = pipithub_inference::probe(&self.front_end);
         let answer =
@@ -275,7 +275,7 @@
             _ => ProbeEnd {
                 worker,
                 answered: false,
-                load: Load::default(),
+                load: LoadReport::default(),
             },
         }
     }
--- a/crates/pipithub-node/src/coordinator.rs
+++ b/crates/pipithub-node/src/coordinator.rs
@@ -191,7 +191,7 @@
             };
             match sequence.step(
                 event.index,
-                event.kind != pipithub_engine::policy::ListKind::Changes,
+                event.kind != pipithub_engine::policy::EndpointUpdate::Delta,
             ) {
                 Step::Take => {
                     take(event);
--- a/crates/pipithub-node/src/core.rs
+++ b/crates/pipithub-node/src/core.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use pipithub_engine::policy::{
-    Effect as Repeats, Entry, ListKind, Load, Outcome, RequestId, State, Worker,
+    Endpoint, EndpointState, EndpointUpdate, Idempotency, LoadReport, Outcome, RequestId, WorkerId,
 };
 use pipithub_engine::{
     AttemptEnd, AttemptId, Call, Engine, EngineSettings, Input, OrderEnd, Output, ProbeEnd, Reply,
@@ -102,7 +102,7 @@
     desk: Desk,
     pool: Pool,
     /// Workers that attempts went to, for as long as they are out.
-    out: BTreeMap<AttemptId, Worker>,
+    out: BTreeMap<AttemptId, WorkerId>,
     next_tag: u64,
     swept: Time,
     silence_swept: Time,
@@ -141,7 +141,7 @@
                 .policy
                 .classes
                 .iter()
-                .map(|c| c.give_up)
+                .map(|c| c.client_timeout)
                 .max()
                 .unwrap_or(0),
             desk: Desk::new(clients),
@@ -269,15 +269,18 @@
     /// Takes a change of the worker list; `wall`: the wall clock at this moment, in Unix nanoseconds, by which the list
     /// states when workers started.
     pub fn list_at(&mut self, now: Time, wall: Time, event: &ListEvent) {
-        if event.kind != ListKind::Changes {
-            let named: BTreeSet<&Worker> = event.hosts.iter().map(|(e, _)| &e.worker).collect();
+        if event.kind != EndpointUpdate::Delta {
+            let named: BTreeSet<&WorkerId> = event.hosts.iter().map(|(e, _)| &e.worker).collect();
             self.pool.keep_only(&named);
             self.start_times.keep_only(|worker| named.contains(worker));
         }
         for (entry, address) in &event.hosts {
             debug!(front_end = self.name, worker = &*entry.worker.0, state = ?entry.state, address, "list");
-            self.pool
-                .place(&entry.worker, address, entry.state == State::Gone);
+            self.pool.place(
+                &entry.worker,
+                address,
+                entry.state == EndpointState::Removed,
+            );
         }
         self.listed = true;
         let entries = event
@@ -295,14 +298,14 @@
     }
 
     /// An entry whose start is told by this process's clock.
-    fn with_start_time(&mut self, entry: &Entry, now: Time, wall: Time) -> Entry {
-        if entry.state == State::Gone {
+    fn with_start_time(&mut self, entry: &Endpoint, now: Time, wall: Time) -> Endpoint {
+        if entry.state == EndpointState::Removed {
             self.start_times.forget(&entry.worker);
         }
         let resolve = |stamp| self.start_times.resolve(&entry.worker, stamp, now, wall);
-        let started = entry.started.map(resolve);
-        Entry {
-            started,
+        let started = entry.started_at.map(resolve);
+        Endpoint {
+            started_at: started,
             ..entry.clone()
         }
     }
@@ -566,7 +569,7 @@
             .policy
             .classes
             .get(call.class)
-            .is_some_and(|c| c.effect == Repeats::Unsafe);
+            .is_some_and(|c| c.idempotency == Idempotency::NonIdempotent);
         let number = self.desk.begin(Caller {
             conn,
             id: call.id,
@@ -672,8 +675,8 @@
         let took = now.saturating_sub(job.began);
         let outcome = match answer.word {
             Word::Ok | Word::Ready | Word::Ailing => Outcome::Served,
-            Word::Absent => Outcome::Absent,
-            Word::Full => Outcome::Full,
+            Word::Absent => Outcome::NotLoaded,
+            Word::Full => Outcome::Rejected,
             Word::Error => Outcome::Error,
             Word::Over => Outcome::NotSent,
         };
@@ -691,7 +694,7 @@
                     content_type: None,
                     body,
                 });
-                let told = matches!(outcome, Outcome::Served | Outcome::Full);
+                let told = matches!(outcome, Outcome::Served | Outcome::Rejected);
                 let alike = told.then_some(answer.alike);
                 let end = AttemptEnd {
                     id,
@@ -756,7 +759,7 @@
             let outcome = match how {
                 Lost::NotSent => Outcome::Unreachable,
                 Lost::Unsent => Outcome::NotSent,
-                Lost::Broken => Outcome::Broken,
+                Lost::Broken => Outcome::ConnectionLost,
                 Lost::Spoilt => Outcome::Error,
                 Lost::TimedOut => Outcome::TimedOut,
             };
@@ -777,7 +780,7 @@
                     let end = ProbeEnd {
                         worker,
                         answered: false,
-                        load: Load::default(),
+                        load: LoadReport::default(),
                     };
                     self.inputs.push_back(Input::Probe(end));
                 }
@@ -891,7 +894,7 @@
         }
     }
 
-    fn send(&mut self, now: Time, id: AttemptId, worker: Worker, call: &Call, deadline: Time) {
+    fn send(&mut self, now: Time, id: AttemptId, worker: WorkerId, call: &Call, deadline: Time) {
         let name = call.label.as_deref().unwrap_or_default();
         let class = self
             .site
@@ -922,7 +925,7 @@
     }
 
     /// Hands a job to the pool; what cannot be sent is told to the engine after the present input.
-    fn ask(&mut self, now: Time, worker: &Worker, job: Job) {
+    fn ask(&mut self, now: Time, worker: &WorkerId, job: Job) {
         self.pool.ask(now, worker, job);
         self.note_lost(now);
     }
@@ -974,7 +977,7 @@
         took,
         note: None,
         alike: None,
-        load: Load::default(),
+        load: LoadReport::default(),
         served: None,
     }
 }
--- a/crates/pipithub-node/src/pool.rs
+++ b/crates/pipithub-node/src/pool.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use bytes::Bytes;
-use pipithub_engine::policy::{Function, Worker};
+use pipithub_engine::policy::{FunctionId, WorkerId};
 use pipithub_engine::{AttemptId, Time};
 use pipithub_platform::line::LineFramer;
 use pipithub_platform::worker::{LINE_MOST, RunRequest, undo};
@@ -34,7 +34,7 @@
     /// To run a call.
     Attempt(AttemptId),
     /// To hold copies.
-    Order(Function),
+    Order(FunctionId),
     /// To tell its load.
     Probe,
     /// To unload copies; no answer comes.
@@ -153,7 +153,7 @@
 
 #[derive(Debug)]
 struct Link {
-    worker: Worker,
+    worker: WorkerId,
     address: String,
     up: bool,
     framer: LineFramer,
@@ -174,7 +174,7 @@
 
 impl Link {
     /// One that is on its way.
-    fn new(worker: &Worker, address: &str, now: Time) -> Self {
+    fn new(worker: &WorkerId, address: &str, now: Time) -> Self {
         Link {
             worker: worker.clone(),
             address: address.to_string(),
@@ -305,15 +305,15 @@
     idle_close: Time,
     /// Workers may be told to give a run up.
     cancel: bool,
-    peers: BTreeMap<Worker, Peer>,
+    peers: BTreeMap<WorkerId, Peer>,
     /// How many peers are not gone: nothing on the way of a call, and no sweep, may go through all of them.
     live: usize,
     /// Peers with jobs that may wait, and those that are gone: all that a sweep looks at.
-    watched: BTreeSet<Worker>,
+    watched: BTreeSet<WorkerId>,
     links: BTreeMap<ConnId, Link>,
     next: ConnId,
     effects: Vec<Effect>,
-    lost: Vec<(Worker, Job, Lost)>,
+    lost: Vec<(WorkerId, Job, Lost)>,
     staleness: Staleness,
 }
 
@@ -355,7 +355,7 @@
     }
 
     /// Jobs that ended without an answer since this was asked last; their ends are owed.
-    pub fn lost(&mut self) -> Vec<(Worker, Job, Lost)> {
+    pub fn lost(&mut self) -> Vec<(WorkerId, Job, Lost)> {
         std::mem::take(&mut self.lost)
     }
 
@@ -380,7 +380,7 @@
     }
 
     /// Notes where a worker is to be found, or that it is gone.
-    pub fn place(&mut self, worker: &Worker, address: &str, gone: bool) {
+    pub fn place(&mut self, worker: &WorkerId, address: &str, gone: bool) {
         let new = || Peer {
             gone: true,
             ..Peer::default()
@@ -392,7 +392,7 @@
         self.set_gone(worker, gone);
     }
 
-    fn set_gone(&mut self, worker: &Worker, gone: bool) {
+    fn set_gone(&mut self, worker: &WorkerId, gone: bool) {
         let Some(peer) = self.peers.get_mut(worker) else {
             return;
         };
@@ -405,8 +405,8 @@
     }
 
     /// Notes that all workers but these are gone.
-    pub fn keep_only(&mut self, named: &BTreeSet<&Worker>) {
-        let lost: Vec<Worker> = self
+    pub fn keep_only(&mut self, named: &BTreeSet<&WorkerId>) {
+        let lost: Vec<WorkerId> = self
             .peers
             .keys()
             .filter(|w| !named.contains(w))
@@ -416,7 +416,7 @@
     }
 
     /// Takes a job for a worker; a job that cannot be sent is lost at once.
-    pub fn ask(&mut self, now: Time, worker: &Worker, job: Job) {
+    pub fn ask(&mut self, now: Time, worker: &WorkerId, job: Job) {
         match self.peers.get_mut(worker) {
             Some(peer) if !peer.address.is_empty() && peer.waiting.len() < WAITING_MOST => {
                 peer.waiting.push_back(job);
@@ -428,7 +428,7 @@
     }
 
     /// Puts waiting jobs on connections, and asks for new connections.
-    fn dispatch(&mut self, now: Time, worker: &Worker) {
+    fn dispatch(&mut self, now: Time, worker: &WorkerId) {
         while let Some(id) = self.connection(now, worker) {
             let Some(job) = self
                 .peers
@@ -480,7 +480,7 @@
     /// The connection for the first job that waits for a worker: the free one that was used last, so that the others may
     /// be let go. Else each job that waits is to have a new one; where there is no room for that many, the one that
     /// carries least.
-    fn connection(&mut self, now: Time, worker: &Worker) -> Option<ConnId> {
+    fn connection(&mut self, now: Time, worker: &WorkerId) -> Option<ConnId> {
         let limit = self.staleness.limit();
         let live = self.live.max(1);
         let peer = self.peers.get_mut(worker)?;
@@ -591,7 +591,12 @@
     }
 
     /// An answer came: the job that it ends. `None` where nothing of this name is open, as with a second copy.
-    pub fn answered(&mut self, now: Time, conn: ConnId, reference: &str) -> Option<(Worker, Job)> {
+    pub fn answered(
+        &mut self,
+        now: Time,
+        conn: ConnId,
+        reference: &str,
+    ) -> Option<(WorkerId, Job)> {
         let link = self.links.get_mut(&conn)?;
         let carried = link.carried.remove(reference)?;
         link.used = now;
@@ -638,7 +643,7 @@
     }
 
     /// Has jobs that never arrived whole wait for another connection, as often as that may be tried.
-    fn resend(&mut self, now: Time, worker: &Worker, jobs: Vec<Job>) {
+    fn resend(&mut self, now: Time, worker: &WorkerId, jobs: Vec<Job>) {
         for mut job in jobs {
             let waiting = self.peers.get_mut(worker).map(|peer| &mut peer.waiting);
             match waiting.filter(|waiting| waiting.len() < WAITING_MOST) {
@@ -658,7 +663,7 @@
     fn give_up(
         &mut self,
         now: Time,
-        worker: &Worker,
+        worker: &WorkerId,
         conn: ConnId,
         name: &str,
         cancel: bool,
@@ -707,7 +712,7 @@
     }
 
     /// Withdraws an attempt: its job, and whether it is certain that it was not sent.
-    pub fn withdraw(&mut self, now: Time, worker: &Worker, id: AttemptId) -> Option<(Job, bool)> {
+    pub fn withdraw(&mut self, now: Time, worker: &WorkerId, id: AttemptId) -> Option<(Job, bool)> {
         if let Some(job) = self.take_waiting(worker, id) {
             return Some((job, true));
         }
@@ -717,7 +722,7 @@
 
     /// Nobody waits for an attempt any more, whatever the settings say of cancelling: it is given back if it has not left
     /// whole, and is not written again if its connection ends.
-    pub fn abandon(&mut self, now: Time, worker: &Worker, id: AttemptId) -> Option<Job> {
+    pub fn abandon(&mut self, now: Time, worker: &WorkerId, id: AttemptId) -> Option<Job> {
         if let Some(job) = self.take_waiting(worker, id) {
             return Some(job);
         }
@@ -731,7 +736,7 @@
             .map(|(job, _)| job)
     }
 
-    fn take_waiting(&mut self, worker: &Worker, id: AttemptId) -> Option<Job> {
+    fn take_waiting(&mut self, worker: &WorkerId, id: AttemptId) -> Option<Job> {
         let waiting = &mut self.peers.get_mut(worker)?.waiting;
         let at = waiting
             .iter()
@@ -740,7 +745,7 @@
     }
 
     /// The connection that carries an attempt, and its name there.
-    fn carrying(&self, worker: &Worker, id: AttemptId) -> Option<(ConnId, String)> {
+    fn carrying(&self, worker: &WorkerId, id: AttemptId) -> Option<(ConnId, String)> {
         self.peers.get(worker)?.links.iter().find_map(|conn| {
             let carried = &self.links.get(conn)?.carried;
             let (name, _) = carried
--- a/crates/pipithub-node/src/start_times.rs
+++ b/crates/pipithub-node/src/start_times.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use pipithub_engine::Time;
-use pipithub_engine::policy::Worker;
+use pipithub_engine::policy::WorkerId;
 
 /// A start as it was stated and as it counts here.
 #[derive(Clone, Copy, Debug)]
@@ -19,13 +19,13 @@
 /// The starts of the workers in the list; bounded by the list.
 #[derive(Debug, Default)]
 pub struct StartTimes {
-    starts: BTreeMap<Worker, Start>,
+    starts: BTreeMap<WorkerId, Start>,
 }
 
 impl StartTimes {
     /// The monotonic time of a start that the list states as `stamp`, with both clocks at this moment: `now` and
     /// `wall`, Unix nanoseconds. A stamp in the future counts as now.
-    pub fn resolve(&mut self, worker: &Worker, stamp: Time, now: Time, wall: Time) -> Time {
+    pub fn resolve(&mut self, worker: &WorkerId, stamp: Time, now: Time, wall: Time) -> Time {
         if let Some(start) = self.starts.get(worker).filter(|start| start.stamp == stamp) {
             return start.time;
         }
@@ -36,12 +36,12 @@
     }
 
     /// Forgets a worker that has been removed.
-    pub fn forget(&mut self, worker: &Worker) {
+    pub fn forget(&mut self, worker: &WorkerId) {
         self.starts.remove(worker);
     }
 
     /// Forgets all workers but these.
-    pub fn keep_only(&mut self, holds: impl Fn(&Worker) -> bool) {
+    pub fn keep_only(&mut self, holds: impl Fn(&WorkerId) -> bool) {
         self.starts.retain(|worker, _| holds(worker));
     }
 }
--- a/crates/pipithub-platform/src/client.rs
+++ b/crates/pipithub-platform/src/client.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 
 use crate::settings::{Names, SiteSettings};
-use pipithub_policy::api::{Effect, Time};
+use pipithub_policy::api::{Idempotency, Time};
 
 /// The most bytes of a call's body.
 pub const BODY_MOST: usize = 16 << 10;
@@ -176,7 +176,11 @@
         text.map(str::to_string)
             .ok_or_else(|| bad(&format!("{field}: not 16 hex digits")))
     };
-    let give_up = site.policy.classes.get(class).map_or(0, |c| c.give_up);
+    let give_up = site
+        .policy
+        .classes
+        .get(class)
+        .map_or(0, |c| c.client_timeout);
     let ttl = params
         .get("ttl")
         .and_then(Value::as_f64)
@@ -211,7 +215,7 @@
         .policy
         .classes
         .get(class)
-        .is_some_and(|c| c.effect == Effect::Keyed);
+        .is_some_and(|c| c.idempotency == Idempotency::WithKey);
     match params.get("dedupe") {
         None | Some(Value::Null) if keyed => {
             return Err(bad("dedupe: missing, and this class is keyed"));
--- a/crates/pipithub-platform/src/config.rs
+++ b/crates/pipithub-platform/src/config.rs
@@ -52,7 +52,7 @@
         if repeat == Some(i) {
             return Err(format!("{place}.Name: {name:?} names an earlier class too"));
         }
-        if class.give_up == 0 {
+        if class.client_timeout == 0 {
             return Err(format!("{place}.GiveUp: not above 0"));
         }
     }
--- a/crates/pipithub-platform/src/list.rs
+++ b/crates/pipithub-platform/src/list.rs
@@ -1,6 +1,6 @@
 //! Changes of the worker list, numbered from 1 at each start of a front end.
 
-use pipithub_policy::api::{Entry, ListKind, State, Worker};
+use pipithub_policy::api::{Endpoint, EndpointState, EndpointUpdate, WorkerId};
 use serde_json::Value;
 
 use crate::settings::Names;
@@ -18,9 +18,9 @@
     /// Its number.
     pub index: u64,
     /// Whether it holds every worker.
-    pub kind: ListKind,
+    pub kind: EndpointUpdate,
     /// The workers in it, by id, with the address of each.
-    pub hosts: Vec<(Entry, String)>,
+    pub hosts: Vec<(Endpoint, String)>,
 }
 
 /// Reads one event.
@@ -37,9 +37,9 @@
         return Err(format!("endpoints.hosts: more than {HOSTS_MOST}"));
     }
     let kind = if endpoints["whole"].as_bool() == Some(true) {
-        ListKind::Complete
+        EndpointUpdate::Snapshot
     } else {
-        ListKind::Changes
+        EndpointUpdate::Delta
     };
     let read =
         |(i, h): (usize, &Value)| host(h, names).map_err(|e| format!("endpoints.hosts[{i}].{e}"));
@@ -60,7 +60,7 @@
     read(&value, names)
 }
 
-fn host(host: &Value, names: &Names) -> Result<(Entry, String), String> {
+fn host(host: &Value, names: &Names) -> Result<(Endpoint, String), String> {
     let text = |field: &str| {
         host[field]
             .as_str()
@@ -69,20 +69,20 @@
     };
     let kind = host["class"].as_str().unwrap_or_default();
     let state = match host["health"].as_str() {
-        Some("SERVING") => State::Live,
-        Some("DRAINING") => State::Draining,
-        Some("DELETED") => State::Gone,
+        Some("SERVING") => EndpointState::Ready,
+        Some("DRAINING") => EndpointState::Draining,
+        Some("DELETED") => EndpointState::Removed,
         other => return Err(format!("health: unknown {other:?}")),
     };
     // One that is gone needs no address any more.
-    let address = if state == State::Gone {
+    let address = if state == EndpointState::Removed {
         host["dial"].as_str().unwrap_or_default()
     } else {
         text("dial")?
     };
-    let entry = Entry {
-        worker: Worker::new(text("host")?),
-        share: host["share"]
+    let entry = Endpoint {
+        worker: WorkerId::new(text("host")?),
+        weight: host["share"]
             .as_f64()
             .filter(|s| s.is_finite())
             .unwrap_or(0.0),
@@ -94,7 +94,7 @@
             .iter()
             .find(|(name, _)| name == kind)
             .map_or(0.0, |(_, memory)| *memory),
-        started: host["born_ms"]
+        started_at: host["born_ms"]
             .as_u64()
             .filter(|ms| *ms > 0)
             .map(|ms| ms.saturating_mul(1_000_000)),
--- a/crates/pipithub-platform/src/settings.rs
+++ b/crates/pipithub-platform/src/settings.rs
@@ -1,7 +1,8 @@
 //! Reads the settings that a front end is given at its start, in the simulator and in service alike.
 
 use pipithub_policy::api::{
-    Class, Effect, Group, Limits, Loading, Prices, Ration, Rules, Settings, Time,
+    Class, Costs, DeduplicationScope, FunctionLoading, Idempotency, Limits, LoadRateLimit,
+    Settings, SlowStart, Time,
 };
 use serde_json::Value;
 
@@ -84,36 +85,36 @@
         limits: Limits {
             max_attempts: time(&limits["MostTries"]).clamp(1, u64::from(u32::MAX)) as u32,
             cancel: flag(&limits["MayCancel"]),
-            probes: flag(&limits["Probes"])
+            load_polls: flag(&limits["Probes"])
                 && all["Report"]["How"]
                     .as_str()
                     .is_some_and(|how| how != "none"),
             retry_after: flag(&limits["RetryAfter"]),
             max_retry_after: time(&limits["MaxRetryAfter"]),
         },
-        rules: Rules {
-            cold_from: rules["ColdFrom"].as_f64().unwrap_or(1.0),
-            ramp: time(&rules["RampTime"]),
-            fall_multiple: number(&rules["FallMultiple"]),
-            fall_span: time(&rules["OverloadFor"]),
+        slow_start: SlowStart {
+            initial_weight: rules["ColdFrom"].as_f64().unwrap_or(1.0),
+            window: time(&rules["RampTime"]),
+            overload_factor: number(&rules["FallMultiple"]),
+            overload_window: time(&rules["OverloadFor"]),
         },
-        loading: Loading {
-            orders: flag(&family["Orders"]),
-            call_loads: family["WhenAbsent"].as_str() != Some("miss"),
+        loading: FunctionLoading {
+            load_commands: flag(&family["Orders"]),
+            loads_on_request: family["WhenAbsent"].as_str() != Some("miss"),
             keep_alive: time(&family["StaysLoaded"]),
-            tells_cold: flag(&family["MarksCold"]),
-            tells_alike: flag(&family["CountsAlike"]),
-            ration: (window > 0).then(|| Ration {
+            reports_cold_starts: flag(&family["MarksCold"]),
+            reports_concurrency: flag(&family["CountsAlike"]),
+            rate_limit: (window > 0).then(|| LoadRateLimit {
                 window,
-                base: number(&family["LoadsAnyway"]),
-                share: number(&family["LoadsPerRequest"]),
+                burst: number(&family["LoadsAnyway"]),
+                per_request: number(&family["LoadsPerRequest"]),
             }),
         },
-        prices: Prices {
-            probe: number(&all["Prices"]["Probe"]).max(0.0),
+        costs: Costs {
+            load_poll: number(&all["Prices"]["Probe"]).max(0.0),
         },
         zone: string(&all["Zone"]),
-        list_on_request: all["RegistryMode"].as_str() == Some("on_request"),
+        watch_on_request: all["RegistryMode"].as_str() == Some("on_request"),
     };
     let or = |told: &Value, unless: Time| Some(time(told)).filter(|t| *t > 0).unwrap_or(unless);
     let transport = Transport {
@@ -132,23 +133,23 @@
 
 fn class(grade: &Value) -> Result<Class, String> {
     Ok(Class {
-        aim: time(&grade["Aim"]),
-        aim_stretch: number(&grade["AimStretch"]),
-        give_up: time(&grade["GiveUp"]),
-        late_worth: number(&grade["LateWorth"]),
-        effect: match grade["Effect"].as_str() {
-            Some("read_like") => Effect::Safe,
-            Some("idempotency_key") => Effect::Keyed,
-            Some("non_idempotent") => Effect::Unsafe,
+        latency_objective: time(&grade["Aim"]),
+        objective_per_work: number(&grade["AimStretch"]),
+        client_timeout: time(&grade["GiveUp"]),
+        late_answer_weight: number(&grade["LateWorth"]),
+        idempotency: match grade["Effect"].as_str() {
+            Some("read_like") => Idempotency::Idempotent,
+            Some("idempotency_key") => Idempotency::WithKey,
+            Some("non_idempotent") => Idempotency::NonIdempotent,
             other => return Err(format!("settings: unknown Effect {other:?}")),
         },
-        group: match grade["Group"].as_str() {
-            Some("all") | None => Group::All,
-            Some("zone") => Group::Zone,
-            Some("cell") => Group::Cell,
+        deduplication_scope: match grade["Group"].as_str() {
+            Some("all") | None => DeduplicationScope::All,
+            Some("zone") => DeduplicationScope::Zone,
+            Some("cell") => DeduplicationScope::Cell,
             other => return Err(format!("settings: unknown Group {other:?}")),
         },
-        dedup_window: time(&grade["DedupWindow"]),
+        deduplication_window: time(&grade["DedupWindow"]),
     })
 }
 
--- a/crates/pipithub-platform/src/worker.rs
+++ b/crates/pipithub-platform/src/worker.rs
@@ -5,7 +5,7 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use bytes::Bytes;
-use pipithub_policy::api::{Load, Time};
+use pipithub_policy::api::{LoadReport, Time};
 use serde_json::Value;
 
 /// The most bytes of an answer's line: well beyond any body that clients may send, far below a front end's memory.
@@ -110,7 +110,7 @@
     /// Calls of the function that the worker held when this one came.
     pub alike: u32,
     /// The worker's report.
-    pub load: Load,
+    pub load: LoadReport,
     /// Copies that stand loaded; with answers to orders.
     pub copies: u32,
     /// The body; with [`Word::Ok`].
@@ -175,14 +175,14 @@
 
 /// A load report: `name:figure` pairs set apart by semicolons, under the short or the settings' names. What cannot be
 /// read counts as not told.
-pub fn load(text: &str) -> Load {
-    let mut load = Load::default();
+pub fn load(text: &str) -> LoadReport {
+    let mut load = LoadReport::default();
     for (name, value) in text.split(';').filter_map(|pair| pair.split_once(':')) {
         let slot = match name {
-            "inflight" | "rif" => &mut load.held,
-            "util" | "busy" => &mut load.busy,
-            "x0" => &mut load.memory_tied,
-            "x1" => &mut load.loads,
+            "inflight" | "rif" => &mut load.in_flight,
+            "util" | "busy" => &mut load.cpu_utilization,
+            "x0" => &mut load.pinned_memory,
+            "x1" => &mut load.pending_loads,
             _ => continue,
         };
         *slot = value.parse().ok().filter(|f: &f64| f.is_finite());
--- a/crates/pipithub-policy/src/api.rs
+++ b/crates/pipithub-policy/src/api.rs
@@ -13,40 +13,40 @@
 
 /// The address of a worker, exactly as the list of workers spells it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Worker(pub Arc<str>);
+pub struct WorkerId(pub Arc<str>);
 
-impl Worker {
+impl WorkerId {
     /// Wraps an address.
     pub fn new(address: &str) -> Self {
-        Worker(Arc::from(address))
+        WorkerId(Arc::from(address))
     }
 }
 
-impl Default for Worker {
+impl Default for WorkerId {
     fn default() -> Self {
-        Worker::new("")
+        WorkerId::new("")
     }
 }
 
 /// The program that a call needs loaded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Function(pub u64);
+pub struct FunctionId(pub u64);
 
 /// How far a call may be repeated once it may have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// May be repeated freely.
     #[default]
-    Safe,
+    Idempotent,
     /// Carries a key; repeats are dropped by one group of workers for a while.
-    Keyed,
+    WithKey,
     /// Must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// The workers that drop each other's repeats of a keyed call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All workers.
     #[default]
     All,
@@ -60,31 +60,31 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this earns full worth.
-    pub aim: Time,
+    pub latency_objective: Time,
     /// The aim grows by this multiple of the call's own expected work.
-    pub aim_stretch: f64,
+    pub objective_per_work: f64,
     /// The longest that a client waits over all its tries.
-    pub give_up: Time,
+    pub client_timeout: Time,
     /// The share of the worth that a late answer earns.
-    pub late_worth: f64,
+    pub late_answer_weight: f64,
     /// How far repeats are harmless.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Which workers drop repeats of a keyed call.
-    pub group: Group,
+    pub deduplication_scope: DeduplicationScope,
     /// For how long they do.
-    pub dedup_window: Time,
+    pub deduplication_window: Time,
 }
 
 impl Default for Class {
     fn default() -> Self {
         Class {
-            aim: 1_000_000_000,
-            aim_stretch: 0.0,
-            give_up: 4_000_000_000,
-            late_worth: 0.0,
-            effect: Effect::Safe,
-            group: Group::All,
-            dedup_window: 0,
+            latency_objective: 1_000_000_000,
+            objective_per_work: 0.0,
+            client_timeout: 4_000_000_000,
+            late_answer_weight: 0.0,
+            idempotency: Idempotency::Idempotent,
+            deduplication_scope: DeduplicationScope::All,
+            deduplication_window: 0,
         }
     }
 }
@@ -97,7 +97,7 @@
     /// Attempts may be cancelled.
     pub cancel: bool,
     /// Workers may be probed for their load.
-    pub probes: bool,
+    pub load_polls: bool,
     /// Refusals may carry a time to stay away.
     pub retry_after: bool,
     /// The longest such time that clients heed.
@@ -109,7 +109,7 @@
         Limits {
             max_attempts: 3,
             cancel: false,
-            probes: false,
+            load_polls: false,
             retry_after: false,
             max_retry_after: 0,
         }
@@ -118,74 +118,74 @@
 
 /// The figures of the rules on draining and starting workers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rules {
+pub struct SlowStart {
     /// A started worker runs at this share of its capacity or better.
-    pub cold_from: f64,
+    pub initial_weight: f64,
     /// It is warm after this time.
-    pub ramp: Time,
+    pub window: Time,
     /// Sent more than this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    pub overload_factor: f64,
     /// ... for this long, it falls over; 0: it never does.
-    pub fall_span: Time,
+    pub overload_window: Time,
 }
 
-impl Default for Rules {
+impl Default for SlowStart {
     fn default() -> Self {
-        Rules {
-            cold_from: 1.0,
-            ramp: 0,
-            fall_multiple: 0.0,
-            fall_span: 0,
+        SlowStart {
+            initial_weight: 1.0,
+            window: 0,
+            overload_factor: 0.0,
+            overload_window: 0,
         }
     }
 }
 
 /// A limit on orders to load: at most `base` plus `share` of the requests taken, over any `window`.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ration {
+pub struct LoadRateLimit {
     /// The length of time over which orders are counted.
     pub window: Time,
     /// Orders allowed in any case.
-    pub base: f64,
+    pub burst: f64,
     /// Further orders for each request taken.
-    pub share: f64,
+    pub per_request: f64,
 }
 
 /// How workers load programs and what is told of it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Loading {
+pub struct FunctionLoading {
     /// Copies may be held and dropped by order.
-    pub orders: bool,
-    /// A call that finds no copy loads one; else it is turned away as [`Outcome::Absent`].
-    pub call_loads: bool,
+    pub load_commands: bool,
+    /// A call that finds no copy loads one; else it is turned away as [`Outcome::NotLoaded`].
+    pub loads_on_request: bool,
     /// An idle copy stays at least this long, unless its room is needed.
     pub keep_alive: Time,
     /// Answers tell whether a copy stood loaded.
-    pub tells_cold: bool,
+    pub reports_cold_starts: bool,
     /// Answers tell how many calls of the function the worker held.
-    pub tells_alike: bool,
+    pub reports_concurrency: bool,
     /// The limit on orders to load, where there is one.
-    pub ration: Option<Ration>,
+    pub rate_limit: Option<LoadRateLimit>,
 }
 
-impl Default for Loading {
+impl Default for FunctionLoading {
     fn default() -> Self {
-        Loading {
-            orders: false,
-            call_loads: true,
+        FunctionLoading {
+            load_commands: false,
+            loads_on_request: true,
             keep_alive: 10_000_000_000,
-            tells_cold: false,
-            tells_alike: false,
-            ration: None,
+            reports_cold_starts: false,
+            reports_concurrency: false,
+            rate_limit: None,
         }
     }
 }
 
 /// What things cost, in shares of the worth of all calls; 0 where nothing is told.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Prices {
+pub struct Costs {
     /// One probe for each call.
-    pub probe: f64,
+    pub load_poll: f64,
 }
 
 /// What a front end is told at its start.
@@ -200,51 +200,51 @@
     /// What is allowed.
     pub limits: Limits,
     /// The figures of the rules.
-    pub rules: Rules,
+    pub slow_start: SlowStart,
     /// How programs are loaded.
-    pub loading: Loading,
+    pub loading: FunctionLoading,
     /// What things cost.
-    pub prices: Prices,
+    pub costs: Costs,
     /// The zone that this front end stands in; empty where it is not told.
     pub zone: String,
     /// Changes of the worker list must be asked for.
-    pub list_on_request: bool,
+    pub watch_on_request: bool,
 }
 
 /// How a worker stands in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum State {
+pub enum EndpointState {
     /// Takes work.
     #[default]
-    Live,
+    Ready,
     /// Finishes its work and must get nothing new.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// What a list of workers covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum EndpointUpdate {
     /// Only what changed.
-    Changes,
+    Delta,
     /// Every worker there is.
-    Complete,
+    Snapshot,
     /// Every worker, as this front end last saw the list; it may be stale.
-    Remembered,
+    Cached,
     /// No list came: a call failed.
     Lost,
 }
 
 /// One worker in a list.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Entry {
+pub struct Endpoint {
     /// Its address.
-    pub worker: Worker,
+    pub worker: WorkerId,
     /// Its size beside the others; 0 where unknown.
-    pub share: f64,
+    pub weight: f64,
     /// How it stands.
-    pub state: State,
+    pub state: EndpointState,
     /// Its zone.
     pub zone: String,
     /// Its cell.
@@ -252,7 +252,7 @@
     /// Its memory, in MB; 0 where unknown.
     pub memory_mb: f64,
     /// The clock time at which it last started; `None`: long ago.
-    pub started: Option<Time>,
+    pub started_at: Option<Time>,
 }
 
 /// A call that a client has handed to this front end.
@@ -261,19 +261,19 @@
     /// Its id.
     pub id: RequestId,
     /// The work it is expected to take, where told.
-    pub expected: Option<Time>,
+    pub expected_work: Option<Time>,
     /// Memory of one loaded copy, in MB.
     pub memory_mb: f64,
     /// Calls that one copy runs at a time.
-    pub lanes: u32,
+    pub replica_concurrency: u32,
     /// Its class, as an index into the settings.
     pub class: usize,
     /// The usual time of a load, where told.
     pub load_time: Option<Time>,
     /// The program that it needs.
-    pub function: Function,
+    pub function: FunctionId,
     /// How long the client waits for this try; `None`: as long as its class does.
-    pub budget: Option<Time>,
+    pub timeout: Option<Time>,
 }
 
 /// How an attempt or an order ended.
@@ -284,19 +284,19 @@
     /// An error; it may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer in time; it may have run or still run.
     TimedOut,
     /// No connection: never ran.
     Unreachable,
     /// The connection broke; it may have run.
-    Broken,
+    ConnectionLost,
     /// Withdrawn; it may have run.
     Cancelled,
     /// Not sent at all.
     NotSent,
     /// The program is not loaded there, or its load failed: never ran.
-    Absent,
+    NotLoaded,
 }
 
 impl Outcome {
@@ -304,110 +304,110 @@
     pub fn never_ran(self) -> bool {
         matches!(
             self,
-            Outcome::Full | Outcome::Unreachable | Outcome::NotSent | Outcome::Absent
+            Outcome::Rejected | Outcome::Unreachable | Outcome::NotSent | Outcome::NotLoaded
         )
     }
 }
 
 /// What an answer tells about the copy it met.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CopyNote {
+pub enum ReplicaStatus {
     /// A copy stood loaded.
     Warm,
     /// This call began a cold start.
-    Began,
+    LoadStarted,
     /// This call waited for a cold start begun before.
-    Waited,
+    LoadAwaited,
     /// The load failed.
-    Failed,
+    LoadFailed,
 }
 
 /// A worker's own report of its load; any part may be missing.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct LoadReport {
     /// Requests it holds.
-    pub held: Option<f64>,
+    pub in_flight: Option<f64>,
     /// How busy its cores are, 0 to 1.
-    pub busy: Option<f64>,
+    pub cpu_utilization: Option<f64>,
     /// Share of its memory that cannot be freed.
-    pub memory_tied: Option<f64>,
+    pub pinned_memory: Option<f64>,
     /// Loads under way or waiting.
-    pub loads: Option<f64>,
+    pub pending_loads: Option<f64>,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Finished {
+pub struct AttemptFinished {
     /// The request.
     pub request: RequestId,
     /// Which of its attempts, from 0.
     pub attempt: u32,
     /// Where it was sent.
-    pub worker: Worker,
+    pub worker: WorkerId,
     /// How it ended.
     pub outcome: Outcome,
     /// How long it took.
-    pub took: Time,
+    pub elapsed: Time,
     /// The request is over, by this outcome or before it.
     pub settled: bool,
     /// What it met there, where told.
-    pub note: Option<CopyNote>,
+    pub replica_status: Option<ReplicaStatus>,
     /// Calls of the same function that the worker held when this one came, where told.
-    pub alike: Option<u32>,
+    pub function_concurrency: Option<u32>,
     /// The worker's report, where one came.
-    pub load: Load,
+    pub load_report: LoadReport,
 }
 
 /// The reply to an order to hold copies.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ordered {
+pub struct LoadFinished {
     /// The worker.
-    pub worker: Worker,
+    pub worker: WorkerId,
     /// The function.
-    pub function: Function,
+    pub function: FunctionId,
     /// How it ended; [`Outcome::Served`]: the copies stand.
     pub outcome: Outcome,
     /// How long it took.
-    pub took: Time,
+    pub elapsed: Time,
     /// Copies that stand loaded now.
-    pub copies: u32,
+    pub replicas: u32,
 }
 
 /// What happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the workers.
-    List {
+    Endpoints {
         /// What it covers.
-        kind: ListKind,
+        update: EndpointUpdate,
         /// The workers in it.
-        entries: Vec<Entry>,
+        endpoints: Vec<Endpoint>,
     },
     /// A request came in.
     Arrived(Request),
     /// An attempt ended.
-    Finished(Finished),
+    AttemptFinished(AttemptFinished),
     /// The answer of a streamed call has begun; it has no deadline from here on.
     Streaming {
         /// The request.
         request: RequestId,
     },
     /// The client has left; no answer is owed.
-    Left {
+    ClientCancelled {
         /// The request.
         request: RequestId,
     },
     /// A probe came back.
-    Probed {
+    LoadPolled {
         /// The worker.
-        worker: Worker,
+        worker: WorkerId,
         /// It answered.
         answered: bool,
         /// Its report, where one came.
-        load: Load,
+        report: LoadReport,
     },
     /// An order to hold copies ended.
-    Ordered(Ordered),
+    LoadFinished(LoadFinished),
     /// A timer fell due.
     Timer {
         /// The token given with it.
@@ -426,11 +426,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
-    Send {
+    Forward {
         /// The request.
         request: RequestId,
         /// Where to.
-        worker: Worker,
+        worker: WorkerId,
         /// Its time-out; `None`: until the client gives up.
         timeout: Option<Time>,
     },
@@ -442,7 +442,7 @@
         attempt: u32,
     },
     /// Final answer: not served, and another try is harmless.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// How long the client should stay away.
@@ -454,33 +454,33 @@
         request: RequestId,
     },
     /// Have a worker hold at least so many copies; 0 only asks how many stand.
-    Hold {
+    LoadFunction {
         /// The worker.
-        worker: Worker,
+        worker: WorkerId,
         /// The function.
-        function: Function,
+        function: FunctionId,
         /// Copies wanted.
-        copies: u32,
+        replicas: u32,
     },
     /// Have a worker unload its idle copies of a function.
-    Drop {
+    EvictFunction {
         /// The worker.
-        worker: Worker,
+        worker: WorkerId,
         /// The function.
-        function: Function,
+        function: FunctionId,
     },
-    /// Ask a worker for its load; one [`Event::Probed`] follows.
-    Probe {
+    /// Ask a worker for its load; one [`Event::LoadPolled`] follows.
+    PollLoad {
         /// The worker.
-        worker: Worker,
+        worker: WorkerId,
     },
     /// Ask for an [`Event::Timer`].
-    Timer {
+    SetTimer {
         /// How far from now.
         after: Time,
         /// Comes back with it.
         token: u64,
     },
     /// Ask that changes of the list be sent from now on.
-    FollowList,
+    WatchEndpoints,
 }
--- a/crates/pipithub-policy/src/state.rs
+++ b/crates/pipithub-policy/src/state.rs
@@ -11,10 +11,10 @@
     pub(crate) now: Time,
     pub(crate) seed: u64,
     pub(crate) nodes: Tier,
-    pub(crate) programs: BTreeMap<Function, Program>,
+    pub(crate) programs: BTreeMap<FunctionId, Program>,
     pub(crate) open: BTreeMap<RequestId, Open>,
     /// Calls that wait for a worker to tell its load, by worker; some may be over.
-    pub(crate) asking: BTreeMap<Worker, BTreeSet<RequestId>>,
+    pub(crate) asking: BTreeMap<WorkerId, BTreeSet<RequestId>>,
     /// Mean run time of each class.
     pub(crate) class_run: Vec<Option<f64>>,
     /// Seen load time over the told one, and the mean load where none is told.
@@ -75,7 +75,7 @@
 pub(crate) struct Sent {
     pub(crate) request: RequestId,
     pub(crate) attempt: u32,
-    pub(crate) function: Function,
+    pub(crate) function: FunctionId,
     pub(crate) class: usize,
     pub(crate) at: Time,
     /// When the replay foresaw its answer.
@@ -132,7 +132,7 @@
     pub(crate) since: Time,
     /// Share of errors among the last ends, and the function of the last one.
     pub(crate) errors: f64,
-    pub(crate) erred: Option<Function>,
+    pub(crate) erred: Option<FunctionId>,
 }
 
 /// What a worker last told of its load: when, the calls it held and how busy its cores were.
@@ -147,9 +147,9 @@
 
 #[derive(Debug)]
 pub(crate) struct Node {
-    pub(crate) entry: Entry,
+    pub(crate) entry: Endpoint,
     pub(crate) hash: u64,
-    pub(crate) copies: BTreeMap<Function, Copies>,
+    pub(crate) copies: BTreeMap<FunctionId, Copies>,
     pub(crate) out: Vec<Sent>,
     /// Served time over the usual, and own sends there meanwhile.
     pub(crate) pace: f64,
@@ -175,11 +175,11 @@
 impl Node {
     /// Whether it may be sent work.
     pub(crate) fn is_live(&self) -> bool {
-        self.entry.state == State::Live
+        self.entry.state == EndpointState::Ready
     }
 
     /// A worker of which nothing is known but its entry.
-    pub(crate) fn new(entry: Entry, classes: usize) -> Self {
+    pub(crate) fn new(entry: Endpoint, classes: usize) -> Self {
         let hash = entry
             .worker
             .0
@@ -231,12 +231,12 @@
     pub(crate) outstanding: bool,
     /// The first attempt that may have run: when, and in which zone and cell.
     pub(crate) may_have_run: Option<(Time, String, u64)>,
-    pub(crate) tried: Vec<Worker>,
+    pub(crate) tried: Vec<WorkerId>,
     pub(crate) streaming: bool,
     /// It waits, unsent, for an order's reply.
     pub(crate) parked: bool,
     /// It waits, unsent, for a worker to tell its load; and how often it has.
-    pub(crate) asks: Option<Worker>,
+    pub(crate) asks: Option<WorkerId>,
     pub(crate) asked: u32,
 }
 
--- a/crates/pipithub-policy/src/tier.rs
+++ b/crates/pipithub-policy/src/tier.rs
@@ -16,7 +16,7 @@
 /// The workers by address. The hasher has fixed keys: equal events leave equal states.
 #[derive(Debug, Default)]
 pub(crate) struct Tier {
-    nodes: HashMap<Worker, Node, BuildHasherDefault<DefaultHasher>>,
+    nodes: HashMap<WorkerId, Node, BuildHasherDefault<DefaultHasher>>,
     index: Index,
 }
 
@@ -24,17 +24,17 @@
 #[derive(Debug, Default)]
 struct Index {
     /// Live ones by hash.
-    ring: BTreeSet<(u64, Worker)>,
-    gone: BTreeSet<Worker>,
+    ring: BTreeSet<(u64, WorkerId)>,
+    gone: BTreeSet<WorkerId>,
     /// With sends out, or answers that are still counted.
-    recent: BTreeSet<Worker>,
+    recent: BTreeSet<WorkerId>,
     /// With a send or an order that may stand for a load.
-    loading: BTreeSet<Worker>,
+    loading: BTreeSet<WorkerId>,
     /// With copies, and with copies of each function: some may have lost them since.
-    holding: BTreeSet<Worker>,
-    holders: BTreeSet<(Function, Worker)>,
+    holding: BTreeSet<WorkerId>,
+    holders: BTreeSet<(FunctionId, WorkerId)>,
     /// With sends out, by zone.
-    busy: BTreeMap<String, BTreeSet<Worker>>,
+    busy: BTreeMap<String, BTreeSet<WorkerId>>,
     /// How many were last heard at each time, by zone.
     heard: BTreeMap<String, BTreeMap<Time, usize>>,
     /// How many live ones started at each time, those long past left out.
@@ -107,7 +107,7 @@
     }
 
     /// What is believed of a function's copies here: the only way to begin to believe in any.
-    pub(crate) fn copies_of(&mut self, function: Function) -> &mut Copies {
+    pub(crate) fn copies_of(&mut self, function: FunctionId) -> &mut Copies {
         if !self.node.copies.contains_key(&function) {
             self.index
                 .holders
@@ -117,9 +117,9 @@
     }
 }
 
-impl std::ops::Index<&Worker> for Tier {
+impl std::ops::Index<&WorkerId> for Tier {
     type Output = Node;
-    fn index(&self, worker: &Worker) -> &Node {
+    fn index(&self, worker: &WorkerId) -> &Node {
         looked(1);
         &self.nodes[worker]
     }
@@ -139,7 +139,7 @@
     }
 
     /// A worker to be changed.
-    pub(crate) fn get_mut(&mut self, worker: &Worker) -> Option<Changed<'_>> {
+    pub(crate) fn get_mut(&mut self, worker: &WorkerId) -> Option<Changed<'_>> {
         looked(1);
         Some(Changed {
             node: self.nodes.get_mut(worker)?,
@@ -148,7 +148,7 @@
     }
 
     /// The worker of an entry, to be changed; as the entry says where it was not known.
-    pub(crate) fn get_or_add(&mut self, entry: &Entry, classes: usize) -> Changed<'_> {
+    pub(crate) fn get_or_add(&mut self, entry: &Endpoint, classes: usize) -> Changed<'_> {
         looked(1);
         let new = || Node::new(entry.clone(), classes);
         let node = self.nodes.entry(entry.worker.clone()).or_insert_with(new);
@@ -165,7 +165,7 @@
         change: impl FnMut(&mut Node),
     ) {
         looked(self.nodes.len() as u64);
-        let mut those: Vec<Worker> = self
+        let mut those: Vec<WorkerId> = self
             .nodes
             .iter()
             .filter(|(_, n)| holds(n))
@@ -185,7 +185,7 @@
         self.change_each(self.index.holding.iter().cloned().collect(), change);
     }
 
-    fn change_each(&mut self, those: Vec<Worker>, mut change: impl FnMut(&mut Node)) {
+    fn change_each(&mut self, those: Vec<WorkerId>, mut change: impl FnMut(&mut Node)) {
         for worker in &those {
             self.get_mut(worker)
                 .into_iter()
@@ -195,8 +195,8 @@
 
     /// Forgets the workers that have gone and owe no answer.
     pub(crate) fn forget_gone(&mut self) {
-        let over = |w: &&Worker| self.nodes.get(*w).is_none_or(|n| n.out.is_empty());
-        let over: Vec<Worker> = self
+        let over = |w: &&WorkerId| self.nodes.get(*w).is_none_or(|n| n.out.is_empty());
+        let over: Vec<WorkerId> = self
             .index
             .gone
             .iter()
@@ -221,7 +221,7 @@
 
     fn of<'a>(
         &'a self,
-        set: impl Iterator<Item = &'a Worker> + 'a,
+        set: impl Iterator<Item = &'a WorkerId> + 'a,
     ) -> impl Iterator<Item = &'a Node> + 'a {
         set.inspect(|_| looked(1)).filter_map(|w| self.nodes.get(w))
     }
@@ -232,8 +232,8 @@
     }
 
     /// So many live workers with their hashes, from this one on around the ring; all where there are fewer.
-    pub(crate) fn from(&self, hash: u64, most: usize) -> impl Iterator<Item = (u64, &Worker)> {
-        let first = (hash, Worker::default());
+    pub(crate) fn from(&self, hash: u64, most: usize) -> impl Iterator<Item = (u64, &WorkerId)> {
+        let first = (hash, WorkerId::default());
         let ring = &self.index.ring;
         let around = ring.range(first.clone()..).chain(ring.range(..first));
         around
@@ -253,8 +253,8 @@
     }
 
     /// Workers that may hold copies of a function, by address.
-    pub(crate) fn holders(&self, function: Function) -> impl Iterator<Item = &Node> {
-        let from = (function, Worker::default());
+    pub(crate) fn holders(&self, function: FunctionId) -> impl Iterator<Item = &Node> {
+        let from = (function, WorkerId::default());
         self.of(self
             .index
             .holders
@@ -310,8 +310,8 @@
 }
 
 /// The size that a worker's entry tells, in units of [`SIZE_UNIT`]; 0 where it tells none.
-fn size_units(entry: &Entry) -> u64 {
-    (entry.share.clamp(0.0, SIZE_MOST) * SIZE_UNIT) as u64
+fn size_units(entry: &Endpoint) -> u64 {
+    (entry.weight.clamp(0.0, SIZE_MOST) * SIZE_UNIT) as u64
 }
 
 impl Index {
@@ -323,7 +323,7 @@
         }
         let mut counted = std::mem::take(&mut node.counted);
         let entry = &node.entry;
-        let set = |set: &mut BTreeSet<Worker>, was: &mut bool, is: bool| {
+        let set = |set: &mut BTreeSet<WorkerId>, was: &mut bool, is: bool| {
             if std::mem::replace(was, is) != is && !(is && set.insert(entry.worker.clone())) {
                 set.remove(&entry.worker);
             }
@@ -333,7 +333,7 @@
         set(
             &mut self.gone,
             &mut counted.gone,
-            there && entry.state == State::Gone,
+            there && entry.state == EndpointState::Removed,
         );
         set(&mut self.recent, &mut counted.recent, there && waits);
         set(&mut self.loading, &mut counted.loading, there && loads);
@@ -392,7 +392,7 @@
                 }
             }
         }
-        let started = entry.started.filter(|_| live);
+        let started = entry.started_at.filter(|_| live);
         if counted.started != started {
             if let Some(before) = std::mem::replace(&mut counted.started, started) {
                 less(&mut self.started, before);
