--- a/crates/pipithub-policy/tests/plain/decide.rs
+++ b/crates/pipithub-policy/tests/plain/decide.rs
@@ -150,18 +150,21 @@
             s.classes.push(Class::default());
         }
         s.front_ends = s.front_ends.max(1);
-        let (rules, loading) = (&mut s.rules, &mut s.loading);
-        let window = loading.ration.iter_mut().map(|r| &mut r.window);
+        let (rules, loading) = (&mut s.slow_start, &mut s.loading);
+        let window = loading.rate_limit.iter_mut().map(|r| &mut r.window);
         let told = [
             &mut s.tick,
-            &mut rules.ramp,
-            &mut rules.fall_span,
+            &mut rules.window,
+            &mut rules.overload_window,
             &mut loading.keep_alive,
         ];
-        let class = s
-            .classes
-            .iter_mut()
-            .flat_map(|c| [&mut c.aim, &mut c.give_up, &mut c.dedup_window]);
+        let class = s.classes.iter_mut().flat_map(|c| {
+            [
+                &mut c.latency_objective,
+                &mut c.client_timeout,
+                &mut c.deduplication_window,
+            ]
+        });
         told.into_iter()
             .chain(window)
             .chain(class)
@@ -183,20 +186,23 @@
         if self.next_round == 0 {
             self.next_round =
                 self.now + self.interval() / 2 + mix(self.seed) % (self.interval() / 2);
-            actions.push(Action::Timer {
+            actions.push(Action::SetTimer {
                 after: CHORES,
                 token: CHORES_TOKEN,
             });
-            if self.s.list_on_request {
-                actions.push(Action::FollowList);
+            if self.s.watch_on_request {
+                actions.push(Action::WatchEndpoints);
             }
         }
         match event {
-            Event::List { kind, entries } => self.list(kind, entries, actions),
+            Event::Endpoints {
+                update: kind,
+                endpoints: entries,
+            } => self.list(kind, entries, actions),
             Event::Arrived(call) => self.arrived(call, actions),
-            Event::Finished(end) => {
-                if end.load != Load::default() {
-                    self.told(&end.worker, Some(end.load), actions);
+            Event::AttemptFinished(end) => {
+                if end.load_report != LoadReport::default() {
+                    self.told(&end.worker, Some(end.load_report), actions);
                 }
                 let ran = self.attempt_over(&end);
                 self.outcome(&end, ran, actions);
@@ -204,19 +210,19 @@
             Event::Streaming { request } => {
                 self.open.entry(request).and_modify(|o| o.streaming = true);
             }
-            Event::Left { request } => {
+            Event::ClientCancelled { request } => {
                 if let Some(open) = self.open.remove(&request) {
                     self.withdraw(request, &open, actions);
                 }
             }
-            Event::Ordered(reply) => self.ordered(&reply, actions),
+            Event::LoadFinished(reply) => self.ordered(&reply, actions),
             Event::Timer {
                 token: CHORES_TOKEN,
             } => self.chores(actions),
-            Event::Probed {
+            Event::LoadPolled {
                 worker,
                 answered,
-                load,
+                report: load,
             } => {
                 self.told(&worker, Some(load).filter(|_| answered), actions);
             }
@@ -240,31 +246,31 @@
         }
     }
 
-    fn list(&mut self, kind: ListKind, entries: Vec<Entry>, actions: &mut Vec<Action>) {
-        if kind == ListKind::Lost {
-            if self.s.list_on_request {
-                actions.push(Action::FollowList);
+    fn list(&mut self, kind: EndpointUpdate, entries: Vec<Endpoint>, actions: &mut Vec<Action>) {
+        if kind == EndpointUpdate::Lost {
+            if self.s.watch_on_request {
+                actions.push(Action::WatchEndpoints);
             }
             return;
         }
-        if kind != ListKind::Changes {
-            let named: BTreeSet<&Worker> = entries.iter().map(|e| &e.worker).collect();
+        if kind != EndpointUpdate::Delta {
+            let named: BTreeSet<&WorkerId> = entries.iter().map(|e| &e.worker).collect();
             for node in self
                 .nodes
                 .values_mut()
                 .filter(|n| !named.contains(&n.entry.worker))
             {
-                node.entry.state = State::Gone;
+                node.entry.state = EndpointState::Removed;
             }
         }
         let classes = self.s.classes.len();
         for mut entry in entries {
-            entry.started = entry.started.map(|t| t.min(Time::MAX >> 2));
+            entry.started_at = entry.started_at.map(|t| t.min(Time::MAX >> 2));
             let node = self
                 .nodes
                 .entry(entry.worker.clone())
                 .or_insert_with(|| Node::new(entry.clone(), classes));
-            if node.entry.started != entry.started {
+            if node.entry.started_at != entry.started_at {
                 // A process that started anew holds nothing and has no past.
                 node.copies.clear();
                 (node.pace, node.crowd, node.room, node.strikes) = (1.0, 1.0, f64::INFINITY, 0);
@@ -273,22 +279,22 @@
             node.entry = entry;
         }
         self.nodes
-            .retain(|_, n| n.entry.state != State::Gone || !n.out.is_empty());
+            .retain(|_, n| n.entry.state != EndpointState::Removed || !n.out.is_empty());
     }
 
     /// The workers that may be sent work, in the function's order: the same at every front end. In a large
     /// tier a function that fills one home has several: each front end begins at one of them, drawn once for
     /// all, so that no home is full while the next ones idle, and each front end has few workers to meet.
-    fn order(&self, function: Function) -> Vec<Worker> {
+    fn order(&self, function: FunctionId) -> Vec<WorkerId> {
         let live = self
             .nodes
             .iter()
-            .filter(|(_, n)| n.entry.state == State::Live);
+            .filter(|(_, n)| n.entry.state == EndpointState::Ready);
         let mut ranked: Vec<_> = live
             .map(|(w, n)| (mix(n.hash ^ mix(function.0)), w))
             .collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
-        let mut order: Vec<Worker> = ranked.into_iter().map(|(_, w)| w.clone()).collect();
+        let mut order: Vec<WorkerId> = ranked.into_iter().map(|(_, w)| w.clone()).collect();
         let homes = self.programs.get(&function).map_or(0.0, |p| p.homes);
         if self.blind() && homes > 1.0 && !order.is_empty() {
             let draw = draw(self.seed ^ mix(function.0));
@@ -310,11 +316,11 @@
             let known = || {
                 self.nodes
                     .values()
-                    .filter(|n| n.entry.state == State::Live && n.told.at > 0)
+                    .filter(|n| n.entry.state == EndpointState::Ready && n.told.at > 0)
             };
             let mean =
                 known().map(|n| self.usually_holds(n)).sum::<f64>() / known().count().max(1) as f64;
-            let stays = |w: &Worker| {
+            let stays = |w: &WorkerId| {
                 let node = &self.nodes[w];
                 let share = (mean / self.usually_holds(node)).powi(EASE);
                 node.told.at == 0 || draw(self.seed ^ mix(function.0) ^ node.hash) <= share
@@ -334,9 +340,10 @@
     // ---- beliefs: warm copies, run and load times ----
 
     /// What a run of the call takes at the usual pace, averaged from served answers.
-    fn run_of(&self, function: Function, class: usize) -> f64 {
+    fn run_of(&self, function: FunctionId, class: usize) -> f64 {
         // Capped, so that no estimate shuts a function out: what is never sent is never learnt again.
-        let usual = self.class_run[class].unwrap_or(self.s.classes[class].aim as f64 * FIRST_RUN);
+        let usual = self.class_run[class]
+            .unwrap_or(self.s.classes[class].latency_objective as f64 * FIRST_RUN);
         self.programs
             .get(&function)
             .and_then(|p| p.run)
@@ -349,16 +356,16 @@
     }
 
     /// What a load takes: the told time at the store's present pace, else the longest seen.
-    fn load_of(&self, function: Function, class: usize) -> f64 {
+    fn load_of(&self, function: FunctionId, class: usize) -> f64 {
         let (program, stretch) = (self.programs.get(&function), self.store_pace());
         if let Some(told) = program.and_then(|p| p.told_load) {
             return told as f64 * stretch;
         }
         let seen = program.and_then(|p| p.seen_load).or(self.load_mean);
-        seen.unwrap_or(self.s.classes[class].aim as f64 * FIRST_LOAD) * stretch
+        seen.unwrap_or(self.s.classes[class].latency_objective as f64 * FIRST_LOAD) * stretch
     }
 
-    fn learn_load(&mut self, function: Function, took: f64) {
+    fn learn_load(&mut self, function: FunctionId, took: f64) {
         let Some(program) = self.programs.get_mut(&function) else {
             return;
         };
@@ -395,10 +402,10 @@
     }
 
     /// Takes an ended attempt out of the worker's queue and learns from it; tells when it was sent and where.
-    fn attempt_over(&mut self, end: &Finished) -> Option<(Time, String, u64)> {
+    fn attempt_over(&mut self, end: &AttemptFinished) -> Option<(Time, String, u64)> {
         let (now, blind) = (self.now, self.blind());
-        let failed = end.note == Some(CopyNote::Failed);
-        if failed || end.note == Some(CopyNote::Began) {
+        let failed = end.replica_status == Some(ReplicaStatus::LoadFailed);
+        if failed || end.replica_status == Some(ReplicaStatus::LoadStarted) {
             self.store_heard(failed);
         }
         let node = self.nodes.get_mut(&end.worker)?;
@@ -416,7 +423,7 @@
         let ran = Some((sent.at, node.entry.zone.clone(), node.entry.cell));
         if !end.outcome.never_ran() {
             let late = if now > sent.aim {
-                1.0 - self.s.classes[sent.class].late_worth
+                1.0 - self.s.classes[sent.class].late_answer_weight
             } else {
                 0.0
             };
@@ -430,7 +437,7 @@
         // A try of a zone that brought no word is as good as overdue.
         let silent = matches!(
             end.outcome,
-            Outcome::Unreachable | Outcome::Broken | Outcome::TimedOut
+            Outcome::Unreachable | Outcome::ConnectionLost | Outcome::TimedOut
         );
         let tried = |z: &&mut Health| silent && sent.at >= z.shut_until;
         if let Some(zone) = self.zones.get_mut(&node.entry.zone).filter(tried) {
@@ -439,8 +446,8 @@
         // The function's calls that stood there, at each of its homes alike, over the lanes of a copy: so
         // many homes does it need. A worker adds copies by itself too, but no cores to run them.
         let alike = end
-            .alike
-            .filter(|_| self.s.loading.tells_alike)
+            .function_concurrency
+            .filter(|_| self.s.loading.reports_concurrency)
             .map(|a| a.min(1_000));
         let told = alike.map(|a| (a, (f64::from(a) + 1.0 - sent.same).max(0.0)));
         let program = self.programs.get_mut(&sent.function).filter(|_| blind);
@@ -450,8 +457,8 @@
             program.homes = homes + SPREAD_GAIN * (wanted.clamp(1.0, 64.0) - homes);
         }
         // An attempt of an earlier process tells nothing of the present one.
-        let same_process = node.entry.started.is_none_or(|t| t <= sent.at);
-        let took = end.took.min(LONGEST) as f64;
+        let same_process = node.entry.started_at.is_none_or(|t| t <= sent.at);
+        let took = end.elapsed.min(LONGEST) as f64;
         let ratio = (took / sent.run.max(1.0)).clamp(0.1, SAMPLE_CAP);
         match end.outcome {
             Outcome::Served if same_process => {
@@ -471,18 +478,18 @@
                         .programs
                         .get(&sent.function)
                         .map_or(1, |p| p.lanes.max(1));
-                    if end.note == Some(CopyNote::Warm) {
+                    if end.replica_status == Some(ReplicaStatus::Warm) {
                         copies.count = copies.count.max((alike + 1).div_ceil(lanes));
                     }
                 }
                 let expected = sent.run * node.pace.max(0.1);
-                let loaded = match end.note {
-                    Some(CopyNote::Warm) => false,
+                let loaded = match end.replica_status {
+                    Some(ReplicaStatus::Warm) => false,
                     Some(_) => true,
                     None => (sent.cold || sent.unproven) && took > expected * SAMPLE_CAP,
                 };
                 if loaded {
-                    if end.note != Some(CopyNote::Waited) {
+                    if end.replica_status != Some(ReplicaStatus::LoadAwaited) {
                         self.learn_load(sent.function, (took - expected).max(0.0));
                     }
                     return ran;
@@ -495,10 +502,10 @@
                 }
                 node.learn_pace(ratio, sent.crowd);
                 // Answers from an uncrowded worker, also as told, tell the run itself; the rest is its pace.
-                let held = end.load.held.unwrap_or(0.0);
+                let held = end.load_report.in_flight.unwrap_or(0.0);
                 let gain = RUN_GAIN * (2.0 / sent.crowd.max(held / 2.0)).min(1.0).powi(2);
                 // Where that is not told, a long answer is rather the queue of the others than a long run.
-                let rise = if blind && end.load.held.is_none() {
+                let rise = if blind && end.load_report.in_flight.is_none() {
                     DOUBT
                 } else {
                     1.0
@@ -512,7 +519,7 @@
                     learn(program.run.get_or_insert(sent.run));
                 }
             }
-            Outcome::Unreachable | Outcome::Broken if same_process => {
+            Outcome::Unreachable | Outcome::ConnectionLost if same_process => {
                 // One broken connection is no dead process: where every worker resets a few, acting on it
                 // would bring all down by itself.
                 node.strikes += 1;
@@ -534,13 +541,13 @@
                 node.heard = now;
             }
             // What failed to load does not stand: believed, it would draw the next call.
-            Outcome::Absent | Outcome::Error
-                if same_process && (failed || end.outcome == Outcome::Absent) =>
+            Outcome::NotLoaded | Outcome::Error
+                if same_process && (failed || end.outcome == Outcome::NotLoaded) =>
             {
                 node.copies.remove(&sent.function);
             }
             Outcome::Error if same_process => self.erred(&end.worker, &sent),
-            Outcome::Full if same_process => {
+            Outcome::Rejected if same_process => {
                 node.room = (sent.crowd * ROOM_CUT).max(1.0);
                 node.heard = now;
             }
@@ -553,9 +560,9 @@
     /// left alone, for as long as it is worse than the others: a broken disk, a bad release, a lost secret.
     /// What fails everywhere alike, a program or a client's nonsense, shuts nobody: of one function's errors
     /// in a row one counts. Harm: where a worker alone can run a function, its calls are refused.
-    fn erred(&mut self, worker: &Worker, sent: &Sent) {
+    fn erred(&mut self, worker: &WorkerId, sent: &Sent) {
         let (now, class) = (self.now, sent.class);
-        let live = |n: &&Node| n.entry.state == State::Live && n.entry.worker != *worker;
+        let live = |n: &&Node| n.entry.state == EndpointState::Ready && n.entry.worker != *worker;
         let others = || {
             self.nodes
                 .values()
@@ -575,12 +582,12 @@
     }
 
     /// Takes the reply to an order; calls that waited for it are placed again.
-    fn ordered(&mut self, reply: &Ordered, actions: &mut Vec<Action>) {
+    fn ordered(&mut self, reply: &LoadFinished, actions: &mut Vec<Action>) {
         let (worker, function, took, count) = (
             &reply.worker,
             reply.function,
-            reply.took.min(LONGEST),
-            reply.copies.min(64),
+            reply.elapsed.min(LONGEST),
+            reply.replicas.min(64),
         );
         let run = self.run_of(function, 0);
         if reply.outcome == Outcome::Error {
@@ -628,9 +635,9 @@
 
     /// Notes what a worker tells of its load, the worst where it keeps silent; calls that waited to hear it
     /// are placed.
-    fn told(&mut self, worker: &Worker, load: Option<Load>, actions: &mut Vec<Action>) {
+    fn told(&mut self, worker: &WorkerId, load: Option<LoadReport>, actions: &mut Vec<Action>) {
         if let Some(node) = self.nodes.get_mut(worker) {
-            let usual = match load.and_then(|l| l.held).filter(|h| h.is_finite()) {
+            let usual = match load.and_then(|l| l.in_flight).filter(|h| h.is_finite()) {
                 Some(held) if node.told.at > 0 => {
                     let age = self.now.saturating_sub(node.told.at) as f64;
                     let before = node.told.usual * 0.5f64.powf(age / HELD_AGE as f64);
@@ -638,11 +645,14 @@
                 }
                 held => held.unwrap_or(node.told.usual),
             };
-            let load = load.unwrap_or(Load {
-                held: Some(f64::INFINITY),
-                ..Load::default()
+            let load = load.unwrap_or(LoadReport {
+                in_flight: Some(f64::INFINITY),
+                ..LoadReport::default()
             });
-            let (held, busy) = (load.held.unwrap_or(0.0), load.busy.unwrap_or(0.0));
+            let (held, busy) = (
+                load.in_flight.unwrap_or(0.0),
+                load.cpu_utilization.unwrap_or(0.0),
+            );
             node.told = Told {
                 at: self.now,
                 held,
@@ -666,7 +676,8 @@
     /// too. In a large tier each call met a worker that was not heard of lately, so that all asked for every
     /// call, whatever it cost. Harm: where asking is dear a silent worker is found by calls alone.
     fn asking_pays(&self) -> bool {
-        self.s.limits.probes && self.lost * (1.0 - self.lost) * ASK_SAVES >= self.s.prices.probe
+        self.s.limits.load_polls
+            && self.lost * (1.0 - self.lost) * ASK_SAVES >= self.s.costs.load_poll
     }
 
     /// How far fresh word of a worker's load stretches a run there; an own answer since tells more.
@@ -682,7 +693,7 @@
     // ---- replay and admission ----
 
     /// When the copies of a function stand at a worker: `None` where none is believed there.
-    fn ready_at(&self, node: &Node, function: Function) -> Option<Time> {
+    fn ready_at(&self, node: &Node, function: FunctionId) -> Option<Time> {
         let copies = node.copies.get(&function).filter(|c| c.ready > 0)?;
         let busy = node.out.iter().any(|s| s.function == function);
         if !busy && !copies.ordered && self.now > copies.used + self.s.loading.keep_alive {
@@ -716,14 +727,15 @@
         let ready = self
             .ready_at(node, call.function)
             .or(presumed.then_some(now));
-        let all = f64::from(call.lanes.max(1)) * f64::from(copies.map_or(1, |c| c.count.max(1)));
+        let all = f64::from(call.replica_concurrency.max(1))
+            * f64::from(copies.map_or(1, |c| c.count.max(1)));
         // The other front ends follow the same order and fill their part of the lanes: as told, else alike.
-        let lanes = match copies.filter(|_| self.s.loading.tells_alike) {
+        let lanes = match copies.filter(|_| self.s.loading.reports_concurrency) {
             Some(copies) => all - copies.others,
             None => all / f64::from(self.s.front_ends),
         };
         let lanes = lanes.ceil().clamp(1.0, 64.0) as usize;
-        let adds = self.s.loading.tells_alike
+        let adds = self.s.loading.reports_concurrency
             && node
                 .out
                 .iter()
@@ -784,7 +796,7 @@
     }
 
     /// Loads that this front end believes under way, and whether one is of this function.
-    fn loads_under_way(&self, function: Function) -> (usize, bool) {
+    fn loads_under_way(&self, function: FunctionId) -> (usize, bool) {
         let (mut count, mut same) = (0, false);
         // What hangs at a worker that cannot be reached loads nothing: counted, it would bar those left.
         for node in self.nodes.values().filter(|n| n.strikes < STRIKES) {
@@ -795,7 +807,7 @@
             let waiting = awaited().filter(slow).map(|s| s.function);
             // However many wait beside taken lanes, a worker adds one copy at a time: counted each, a lost
             // zone's calls at those left barred them from loads that they had room and time for.
-            let adding: BTreeSet<Function> = node
+            let adding: BTreeSet<FunctionId> = node
                 .out
                 .iter()
                 .filter(|s| s.adds)
@@ -807,7 +819,7 @@
                 .iter()
                 .filter(|(_, c)| c.ordered)
                 .map(|(f, _)| *f);
-            let loading: BTreeSet<Function> = waiting.chain(ordered).collect();
+            let loading: BTreeSet<FunctionId> = waiting.chain(ordered).collect();
             count += loading.len();
             // Before an answer has shown a copy anywhere, a second load would be a guess on a guess.
             same |= loading.contains(&function)
@@ -817,8 +829,8 @@
     }
 
     /// Whether a copy more should fit beside those believed there: in a shared order own beliefs tell most.
-    fn has_room(&self, node: &Node, function: Function) -> bool {
-        let memory = |f: &Function| self.programs.get(f).map_or(0.0, |p| p.memory_mb);
+    fn has_room(&self, node: &Node, function: FunctionId) -> bool {
+        let memory = |f: &FunctionId| self.programs.get(f).map_or(0.0, |p| p.memory_mb);
         let stands = node
             .copies
             .iter()
@@ -833,16 +845,16 @@
     /// Whether the request may have an attempt at this worker at all.
     fn allowed(&self, open: &Open, node: &Node) -> bool {
         let class = &self.s.classes[open.call.class];
-        let repeat_ok = match (&open.may_have_run, class.effect) {
-            (None, _) | (_, Effect::Safe) => true,
-            (_, Effect::Unsafe) => false,
-            (Some((at, zone, cell)), Effect::Keyed) => {
-                let in_group = match class.group {
-                    Group::All => true,
-                    Group::Zone => *zone == node.entry.zone,
-                    Group::Cell => *cell == node.entry.cell,
+        let repeat_ok = match (&open.may_have_run, class.idempotency) {
+            (None, _) | (_, Idempotency::Idempotent) => true,
+            (_, Idempotency::NonIdempotent) => false,
+            (Some((at, zone, cell)), Idempotency::WithKey) => {
+                let in_group = match class.deduplication_scope {
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => *zone == node.entry.zone,
+                    DeduplicationScope::Cell => *cell == node.entry.cell,
                 };
-                in_group && self.now + 4 * self.s.tick.max(MS) < at + class.dedup_window
+                in_group && self.now + 4 * self.s.tick.max(MS) < at + class.deduplication_window
             }
         };
         // A worker in trouble is left alone; once that time is over one send at a time tries it.
@@ -891,7 +903,7 @@
         } else {
             open.deadline
         };
-        if goal == open.deadline && open.aim < now && class.late_worth <= 0.0 {
+        if goal == open.deadline && open.aim < now && class.late_answer_weight <= 0.0 {
             return self.end(id, actions);
         }
         let order = self.order(function);
@@ -942,7 +954,7 @@
             if seen.cold && want.is_none() {
                 want = Some((worker.clone(), seen));
             }
-            if late.is_some() || class.late_worth <= 0.0 || seen.finish > open.deadline {
+            if late.is_some() || class.late_answer_weight <= 0.0 || seen.finish > open.deadline {
                 continue;
             }
             let waiting = node.out.iter().filter(|s| s.goal > s.aim).count();
@@ -953,10 +965,10 @@
             }
         }
         if let Some(worker) = ask {
-            actions.push(Action::Probe {
+            actions.push(Action::PollLoad {
                 worker: worker.clone(),
             });
-            actions.push(Action::Timer {
+            actions.push(Action::SetTimer {
                 after: ASK_WAIT,
                 token: id | ASK_TOKEN,
             });
@@ -977,7 +989,7 @@
             want.filter(|_| choice.is_none() && self.guesses >= 1.0 && store_open)
         {
             let goal = self.open[&id].deadline;
-            if self.s.loading.call_loads && seen.finish <= goal {
+            if self.s.loading.loads_on_request && seen.finish <= goal {
                 self.guesses -= 1.0;
                 let seen = Foreseen {
                     cold: false,
@@ -988,7 +1000,7 @@
             }
         }
         match choice.or(soft) {
-            Some((worker, seen, _)) if seen.cold && !self.s.loading.call_loads => {
+            Some((worker, seen, _)) if seen.cold && !self.s.loading.loads_on_request => {
                 // Only an order brings the function in: the call waits here, unsent, for its reply.
                 if !self.hold(&worker, function, actions) {
                     return self.end(id, actions);
@@ -1007,18 +1019,18 @@
         let now = self.now;
         call.class = call.class.min(self.s.classes.len() - 1);
         let class = &self.s.classes[call.class];
-        let stretch =
-            call.expected.unwrap_or(0).min(LONGEST) as f64 * class.aim_stretch.clamp(0.0, 1e3);
-        let budget = call.budget.unwrap_or(class.give_up).min(LONGEST);
+        let stretch = call.expected_work.unwrap_or(0).min(LONGEST) as f64
+            * class.objective_per_work.clamp(0.0, 1e3);
+        let budget = call.timeout.unwrap_or(class.client_timeout).min(LONGEST);
         let deadline = now + budget;
-        let aim = (now + class.aim + stretch as Time).min(deadline);
+        let aim = (now + class.latency_objective + stretch as Time).min(deadline);
         self.arrivals.push_back(now);
         if self.blind() {
             self.guesses = (self.guesses + GUESS_SHARE).min(GUESSES_MOST);
         }
         let program = self.programs.entry(call.function).or_default();
         (program.lanes, program.memory_mb, program.called) =
-            (call.lanes, call.memory_mb.max(0.0), now);
+            (call.replica_concurrency, call.memory_mb.max(0.0), now);
         program.told_load = call
             .load_time
             .filter(|t| *t > 0)
@@ -1026,7 +1038,7 @@
             .or(program.told_load);
         // Two ticks early: the answer must be out before the client's time is up.
         let (id, after) = (call.id, budget.saturating_sub(2 * self.s.tick));
-        actions.push(Action::Timer { after, token: id });
+        actions.push(Action::SetTimer { after, token: id });
         self.open.insert(
             id,
             Open {
@@ -1040,7 +1052,12 @@
     }
 
     /// Sends to a worker, with what was foreseen there and the deadline that the send is held to.
-    fn send(&mut self, id: RequestId, chosen: (Worker, Foreseen, Time), actions: &mut Vec<Action>) {
+    fn send(
+        &mut self,
+        id: RequestId,
+        chosen: (WorkerId, Foreseen, Time),
+        actions: &mut Vec<Action>,
+    ) {
         let (now, (worker, seen, goal)) = (self.now, chosen);
         let Some((function, class)) = self.open.get(&id).map(|o| (o.call.function, o.call.class))
         else {
@@ -1086,7 +1103,7 @@
         open.attempts += 1;
         open.outstanding = true;
         open.tried.push(worker.clone());
-        actions.push(Action::Send {
+        actions.push(Action::Forward {
             request: id,
             worker,
             timeout: None,
@@ -1095,7 +1112,7 @@
 
     fn outcome(
         &mut self,
-        end: &Finished,
+        end: &AttemptFinished,
         ran: Option<(Time, String, u64)>,
         actions: &mut Vec<Action>,
     ) {
@@ -1107,7 +1124,7 @@
             return;
         };
         open.outstanding = false;
-        if end.outcome == Outcome::Absent {
+        if end.outcome == Outcome::NotLoaded {
             // The worker is sound, only the copy is not there: an order may still bring it.
             open.tried.pop();
         }
@@ -1125,13 +1142,14 @@
         };
         self.withdraw(id, &open, actions);
         let class = &self.s.classes[open.call.class];
-        let any = class.effect == Effect::Safe
-            || class.effect == Effect::Keyed && class.group == Group::All;
+        let any = class.idempotency == Idempotency::Idempotent
+            || class.idempotency == Idempotency::WithKey
+                && class.deduplication_scope == DeduplicationScope::All;
         let harmless = any || open.may_have_run.is_none() && !open.outstanding;
         if harmless {
             let may = |t: &Time| self.s.limits.retry_after && *t > 0;
             let retry_after = Some(self.s.limits.max_retry_after).filter(may);
-            actions.push(Action::Refuse {
+            actions.push(Action::Reject {
                 request: id,
                 retry_after,
             });
@@ -1155,7 +1173,7 @@
 
     fn chores(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
-        actions.push(Action::Timer {
+        actions.push(Action::SetTimer {
             after: CHORES,
             token: CHORES_TOKEN,
         });
@@ -1163,7 +1181,7 @@
         // one though others are answered; slow loads may look alike.
         let mut recalled = Vec::new();
         for node in self.nodes.values_mut() {
-            let keep = RATE_SPAN.max(self.s.rules.fall_span) + CHORES;
+            let keep = RATE_SPAN.max(self.s.slow_start.overload_window) + CHORES;
             node.sends.retain(|t| t + keep >= now);
             node.out.retain(|s| !s.withdrawn || s.due > now);
             node.served.retain(|(t, _)| t + keep >= now);
@@ -1198,8 +1216,11 @@
             let Some(open) = self.open.get(&id) else {
                 continue;
             };
-            let (limits, effect) = (&self.s.limits, self.s.classes[open.call.class].effect);
-            if limits.cancel && effect != Effect::Unsafe && open.attempts < limits.max_attempts {
+            let (limits, effect) = (&self.s.limits, self.s.classes[open.call.class].idempotency);
+            if limits.cancel
+                && effect != Idempotency::NonIdempotent
+                && open.attempts < limits.max_attempts
+            {
                 actions.push(Action::Cancel {
                     request: id,
                     attempt,
@@ -1207,12 +1228,12 @@
             }
         }
         self.nodes
-            .retain(|_, n| n.entry.state != State::Gone || !n.out.is_empty());
+            .retain(|_, n| n.entry.state != EndpointState::Removed || !n.out.is_empty());
         self.learn_warm_rate();
         let window = self
             .s
             .loading
-            .ration
+            .rate_limit
             .as_ref()
             .map_or(0, |r| r.window)
             .max(RATE_SPAN)
@@ -1276,7 +1297,13 @@
 
     /// Notes run time that moved on because no copy stood at the worker. After such misses one hold loads the
     /// function here: one at a time, as a slow store must not be asked again for what it has not brought yet.
-    fn missed(&mut self, worker: &Worker, id: RequestId, spread: bool, actions: &mut Vec<Action>) {
+    fn missed(
+        &mut self,
+        worker: &WorkerId,
+        id: RequestId,
+        spread: bool,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(open) = self.open.get(&id) else {
             return;
         };
@@ -1306,8 +1333,8 @@
 
     /// One round of the hybrid policy.
     fn replace(&mut self, actions: &mut Vec<Action>) {
-        let mut placed: Vec<(f64, Worker, Function)> = Vec::new();
-        let mut wanted: Vec<(f64, f64, Worker, Function)> = Vec::new();
+        let mut placed: Vec<(f64, WorkerId, FunctionId)> = Vec::new();
+        let mut wanted: Vec<(f64, f64, WorkerId, FunctionId)> = Vec::new();
         for (worker, node) in self.nodes.iter_mut() {
             for (function, copies) in node.copies.iter_mut() {
                 let stands = copies.proven && self.now <= copies.used + self.s.loading.keep_alive;
@@ -1349,8 +1376,8 @@
             self.allowance -= 1.0;
             if let Some(node) = self.nodes.get_mut(&old_worker) {
                 node.copies.remove(&old);
-                if node.entry.state == State::Live {
-                    actions.push(Action::Drop {
+                if node.entry.state == EndpointState::Ready {
+                    actions.push(Action::EvictFunction {
                         worker: old_worker,
                         function: old,
                     });
@@ -1359,7 +1386,7 @@
         }
         let (now, keep) = (self.now, self.s.loading.keep_alive);
         for node in self.nodes.values_mut() {
-            let busy: BTreeSet<Function> = node.out.iter().map(|s| s.function).collect();
+            let busy: BTreeSet<FunctionId> = node.out.iter().map(|s| s.function).collect();
             node.copies.retain(|f, c| {
                 busy.contains(f) || c.ordered || c.used + 2 * keep > now && c.ready > 0
             });
@@ -1371,15 +1398,15 @@
     // ---- rule guards ----
 
     /// The only place that orders loads: drained and gone workers get none, and the ration holds.
-    fn hold(&mut self, worker: &Worker, function: Function, actions: &mut Vec<Action>) -> bool {
+    fn hold(&mut self, worker: &WorkerId, function: FunctionId, actions: &mut Vec<Action>) -> bool {
         let now = self.now;
-        if !self.s.loading.orders
+        if !self.s.loading.load_commands
             || !self.programs.contains_key(&function)
             || now < self.store.shut_until
         {
             return false;
         }
-        if let Some(ration) = &self.s.loading.ration {
+        if let Some(ration) = &self.s.loading.rate_limit {
             let slack = 2 * self.s.tick;
             let orders = self
                 .orders
@@ -1391,14 +1418,14 @@
                 .iter()
                 .filter(|t| **t + ration.window > now + slack)
                 .count();
-            if orders as f64 + 1.0 > ration.base + ration.share * taken as f64 {
+            if orders as f64 + 1.0 > ration.burst + ration.per_request * taken as f64 {
                 return false;
             }
         }
         let live = self
             .nodes
             .get_mut(worker)
-            .filter(|n| n.entry.state == State::Live);
+            .filter(|n| n.entry.state == EndpointState::Ready);
         let copies = live.map(|n| n.copies.entry(function).or_default());
         let Some(copies) = copies.filter(|c| !c.ordered) else {
             return false;
@@ -1409,10 +1436,10 @@
         }
         copies.used = now;
         self.orders.push_back(now);
-        actions.push(Action::Hold {
+        actions.push(Action::LoadFunction {
             worker: worker.clone(),
             function,
-            copies: 1,
+            replicas: 1,
         });
         true
     }
@@ -1423,26 +1450,27 @@
     /// drawn anew. A right to send must not be saved up: when all turn to a worker that stood idle, all would
     /// use theirs at once. It hurts where few want the worker: it is used too little.
     fn cold_budget_left(&self, node: &Node) -> bool {
-        let (rules, now) = (&self.s.rules, self.now);
-        let Some(started) = node.entry.started.filter(|t| now < t + rules.ramp) else {
+        let (rules, now) = (&self.s.slow_start, self.now);
+        let Some(started) = node.entry.started_at.filter(|t| now < t + rules.window) else {
             return true;
         };
-        if rules.fall_span == 0 || rules.fall_multiple <= 0.0 {
+        if rules.overload_window == 0 || rules.overload_factor <= 0.0 {
             return true;
         }
-        let age = now.saturating_sub(started) as f64 / rules.ramp.max(1) as f64;
-        let part = rules.cold_from + (1.0 - rules.cold_from) * age;
-        let rate = rules.fall_multiple * part * self.warm_rate * self.relative_size(node).min(1.0);
-        let budget = COLD_SAFETY * rate * rules.fall_span as f64;
+        let age = now.saturating_sub(started) as f64 / rules.window.max(1) as f64;
+        let part = rules.initial_weight + (1.0 - rules.initial_weight) * age;
+        let rate =
+            rules.overload_factor * part * self.warm_rate * self.relative_size(node).min(1.0);
+        let budget = COLD_SAFETY * rate * rules.overload_window as f64;
         if budget >= 1.0 {
             let sent = node
                 .sends
                 .iter()
-                .filter(|t| **t + rules.fall_span > now)
+                .filter(|t| **t + rules.overload_window > now)
                 .count();
             return sent as f64 + 1.0 <= budget;
         }
-        let slot = (rules.fall_span / COLD_SLOTS).max(1);
+        let slot = (rules.overload_window / COLD_SLOTS).max(1);
         let draw = draw(self.seed ^ node.hash ^ mix(started ^ (now / slot)));
         node.sends.back().is_none_or(|t| *t < now - now % slot)
             && draw < COLD_SHARE * rate * slot as f64
@@ -1450,8 +1478,11 @@
 
     /// A worker's size as a multiple of the mean of the live ones that tell theirs; 1 where it is not told.
     fn relative_size(&self, node: &Node) -> f64 {
-        let units = |n: &Node| (n.entry.share.clamp(0.0, 1e6) * (1u64 << 30) as f64) as u64;
-        let live = self.nodes.values().filter(|n| n.entry.state == State::Live);
+        let units = |n: &Node| (n.entry.weight.clamp(0.0, 1e6) * (1u64 << 30) as f64) as u64;
+        let live = self
+            .nodes
+            .values()
+            .filter(|n| n.entry.state == EndpointState::Ready);
         let told: Vec<u64> = live.map(units).filter(|size| *size > 0).collect();
         let sum: u128 = told.iter().copied().map(u128::from).sum();
         if units(node) == 0 || sum == 0 {
@@ -1463,9 +1494,13 @@
     /// What a warm worker serves this front end, in calls for each unit of time; the last figure where none
     /// is warm. The least is a quarter of the own part of the calls, or of what was usually served if less.
     fn learn_warm_rate(&mut self) {
-        let (now, ramp) = (self.now, self.s.rules.ramp);
-        let live = || self.nodes.values().filter(|n| n.entry.state == State::Live);
-        let warm = live().filter(|n| n.entry.started.is_none_or(|t| now >= t + ramp));
+        let (now, ramp) = (self.now, self.s.slow_start.window);
+        let live = || {
+            self.nodes
+                .values()
+                .filter(|n| n.entry.state == EndpointState::Ready)
+        };
+        let warm = live().filter(|n| n.entry.started_at.is_none_or(|t| now >= t + ramp));
         let within = |n: &Node| n.served.iter().filter(|(t, _)| t + RATE_SPAN > now).count();
         let mean =
             |total: usize, count: usize| total as f64 / count.max(1) as f64 / RATE_SPAN as f64;
--- a/crates/pipithub-policy/tests/plain/state.rs
+++ b/crates/pipithub-policy/tests/plain/state.rs
@@ -11,7 +11,7 @@
     pub(crate) now: Time,
     pub(crate) seed: u64,
     pub(crate) nodes: Counted<Node>,
-    pub(crate) programs: BTreeMap<Function, Program>,
+    pub(crate) programs: BTreeMap<FunctionId, Program>,
     pub(crate) open: BTreeMap<RequestId, Open>,
     /// Mean run time of each class.
     pub(crate) class_run: Vec<Option<f64>>,
@@ -73,7 +73,7 @@
 pub(crate) struct Sent {
     pub(crate) request: RequestId,
     pub(crate) attempt: u32,
-    pub(crate) function: Function,
+    pub(crate) function: FunctionId,
     pub(crate) class: usize,
     pub(crate) at: Time,
     /// When the replay foresaw its answer.
@@ -130,7 +130,7 @@
     pub(crate) since: Time,
     /// Share of errors among the last ends, and the function of the last one.
     pub(crate) errors: f64,
-    pub(crate) erred: Option<Function>,
+    pub(crate) erred: Option<FunctionId>,
 }
 
 /// What a worker last told of its load: when, the calls it held and how busy its cores were.
@@ -145,9 +145,9 @@
 
 #[derive(Debug)]
 pub(crate) struct Node {
-    pub(crate) entry: Entry,
+    pub(crate) entry: Endpoint,
     pub(crate) hash: u64,
-    pub(crate) copies: BTreeMap<Function, Copies>,
+    pub(crate) copies: BTreeMap<FunctionId, Copies>,
     pub(crate) out: Vec<Sent>,
     /// Served time over the usual, and own sends there meanwhile.
     pub(crate) pace: f64,
@@ -168,7 +168,7 @@
 
 impl Node {
     /// A worker of which nothing is known but its entry.
-    pub(crate) fn new(entry: Entry, classes: usize) -> Self {
+    pub(crate) fn new(entry: Endpoint, classes: usize) -> Self {
         let hash = entry
             .worker
             .0
@@ -218,12 +218,12 @@
     pub(crate) outstanding: bool,
     /// The first attempt that may have run: when, and in which zone and cell.
     pub(crate) may_have_run: Option<(Time, String, u64)>,
-    pub(crate) tried: Vec<Worker>,
+    pub(crate) tried: Vec<WorkerId>,
     pub(crate) streaming: bool,
     /// It waits, unsent, for an order's reply.
     pub(crate) parked: bool,
     /// It waits, unsent, for a worker to tell its load; and how often it has.
-    pub(crate) asks: Option<Worker>,
+    pub(crate) asks: Option<WorkerId>,
     pub(crate) asked: u32,
 }
 
--- a/crates/pipithub-policy/tests/random.rs
+++ b/crates/pipithub-policy/tests/random.rs
@@ -23,13 +23,13 @@
 const OUTCOMES: [Outcome; 9] = [
     Outcome::Served,
     Outcome::Error,
-    Outcome::Full,
+    Outcome::Rejected,
     Outcome::TimedOut,
     Outcome::Unreachable,
-    Outcome::Broken,
+    Outcome::ConnectionLost,
     Outcome::Cancelled,
     Outcome::NotSent,
-    Outcome::Absent,
+    Outcome::NotLoaded,
 ];
 
 /// What the test knows of a request.
@@ -46,33 +46,33 @@
 /// Plays one sequence and checks the rules on the way; returns all actions.
 fn play(seed: u64, steps: usize) -> Vec<Action> {
     let mut dice = Dice(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
-    let mut s = settings(Effect::Safe);
+    let mut s = settings(Idempotency::Idempotent);
     s.classes.push(Class {
-        effect: Effect::Keyed,
-        group: Group::Cell,
+        idempotency: Idempotency::WithKey,
+        deduplication_scope: DeduplicationScope::Cell,
         ..s.classes[0].clone()
     });
     s.classes.push(Class {
-        effect: Effect::Unsafe,
-        late_worth: 0.0,
+        idempotency: Idempotency::NonIdempotent,
+        late_answer_weight: 0.0,
         ..s.classes[0].clone()
     });
-    s.loading.call_loads = seed % 3 != 0;
-    s.loading.tells_alike = seed % 2 == 0;
+    s.loading.loads_on_request = seed % 3 != 0;
+    s.loading.reports_concurrency = seed % 2 == 0;
     s.front_ends = 1 + (seed % 3) as u32;
-    let ration = Ration {
+    let ration = LoadRateLimit {
         window: 5_000 * MS,
-        base: 3.0,
-        share: 0.15,
+        burst: 3.0,
+        per_request: 0.15,
     };
-    s.loading.ration = (seed % 2 == 1).then(|| ration.clone());
+    s.loading.rate_limit = (seed % 2 == 1).then(|| ration.clone());
     let slack = 8 * MS;
     let mut front = FrontEnd::new(s.clone(), seed);
     let mut now: Time = if seed % 4 == 0 { 0 } else { 77_000_000 * MS };
-    let mut states: BTreeMap<Worker, (State, u64)> = BTreeMap::new();
+    let mut states: BTreeMap<WorkerId, (EndpointState, u64)> = BTreeMap::new();
     let mut known: BTreeMap<RequestId, Known> = BTreeMap::new();
-    let mut out: Vec<(RequestId, u32, Worker)> = Vec::new();
-    let mut orders: Vec<(Worker, Function)> = Vec::new();
+    let mut out: Vec<(RequestId, u32, WorkerId)> = Vec::new();
+    let mut orders: Vec<(WorkerId, FunctionId)> = Vec::new();
     let mut timers: BTreeSet<(Time, u64)> = BTreeSet::new();
     let (mut order_times, mut call_times) = (Vec::new(), Vec::new());
     let (mut next, mut all) = (1, Vec::new());
@@ -84,44 +84,44 @@
             events.push((due, Event::Timer { token }));
         }
         let event = match dice.roll(20) {
-            _ if step == 0 => Event::List {
-                kind: ListKind::Remembered,
-                entries: entries(&mut dice, now, 6),
+            _ if step == 0 => Event::Endpoints {
+                update: EndpointUpdate::Cached,
+                endpoints: entries(&mut dice, now, 6),
             },
-            0 => Event::List {
-                kind: ListKind::Changes,
-                entries: entries(&mut dice, now, 2),
+            0 => Event::Endpoints {
+                update: EndpointUpdate::Delta,
+                endpoints: entries(&mut dice, now, 2),
             },
-            1 if dice.roll(10) == 0 => Event::List {
-                kind: ListKind::Complete,
-                entries: entries(&mut dice, now, 5),
+            1 if dice.roll(10) == 0 => Event::Endpoints {
+                update: EndpointUpdate::Snapshot,
+                endpoints: entries(&mut dice, now, 5),
             },
-            2 if dice.roll(10) == 0 => Event::List {
-                kind: ListKind::Lost,
-                entries: Vec::new(),
+            2 if dice.roll(10) == 0 => Event::Endpoints {
+                update: EndpointUpdate::Lost,
+                endpoints: Vec::new(),
             },
             3 => Event::Timer {
                 token: dice.roll(1 << 40),
             },
-            4 => Event::Left {
+            4 => Event::ClientCancelled {
                 request: dice.roll(next + 5),
             },
-            5 => Event::Ordered(Ordered {
-                worker: Worker::new(&format!("w{}", dice.roll(12))),
-                function: Function(dice.roll(9)),
+            5 => Event::LoadFinished(LoadFinished {
+                worker: WorkerId::new(&format!("w{}", dice.roll(12))),
+                function: FunctionId(dice.roll(9)),
                 outcome: OUTCOMES[dice.roll(9) as usize],
-                took: dice.roll(u64::MAX >> 12),
-                copies: dice.roll(1 << 32) as u32,
+                elapsed: dice.roll(u64::MAX >> 12),
+                replicas: dice.roll(1 << 32) as u32,
             }),
             6 if !orders.is_empty() => {
                 let (worker, function) = orders.remove(dice.roll(orders.len() as u64) as usize);
                 let outcome = OUTCOMES[dice.roll(9) as usize];
-                Event::Ordered(Ordered {
+                Event::LoadFinished(LoadFinished {
                     worker,
                     function,
                     outcome,
-                    took: 300 * MS,
-                    copies: 1,
+                    elapsed: 300 * MS,
+                    replicas: 1,
                 })
             }
             7..=12 if !out.is_empty() => {
@@ -134,21 +134,24 @@
                 let k = known.get_mut(&request).unwrap();
                 k.outstanding -= 1;
                 let settled = k.over || outcome == Outcome::Served;
-                Event::Finished(Finished {
+                Event::AttemptFinished(AttemptFinished {
                     request,
                     attempt,
                     worker,
                     outcome,
-                    took: if dice.roll(50) == 0 {
+                    elapsed: if dice.roll(50) == 0 {
                         u64::MAX
                     } else {
                         dice.roll(900) * MS
                     },
                     settled,
-                    note: [None, Some(CopyNote::Warm), Some(CopyNote::Began)]
-                        [dice.roll(3) as usize],
-                    alike: Some(dice.roll(40) as u32),
-                    load: Load::default(),
+                    replica_status: [
+                        None,
+                        Some(ReplicaStatus::Warm),
+                        Some(ReplicaStatus::LoadStarted),
+                    ][dice.roll(3) as usize],
+                    function_concurrency: Some(dice.roll(40) as u32),
+                    load_report: LoadReport::default(),
                 })
             }
             _ => {
@@ -166,13 +169,13 @@
                 next += 1;
                 Event::Arrived(Request {
                     id: next - 1,
-                    function: Function(dice.roll(9)),
+                    function: FunctionId(dice.roll(9)),
                     class,
-                    lanes: dice.roll(4) as u32,
+                    replica_concurrency: dice.roll(4) as u32,
                     memory_mb: [0.0, -3.0, 700.0][dice.roll(3) as usize],
                     load_time: [None, Some(0), Some(u64::MAX), Some(700 * MS)]
                         [dice.roll(4) as usize],
-                    budget: Some(budget),
+                    timeout: Some(budget),
                     ..Request::default()
                 })
             }
@@ -181,19 +184,19 @@
         for (at, event) in events {
             note_list(&event, &mut states);
             let mut ran = None;
-            if let Event::Finished(end) = &event {
+            if let Event::AttemptFinished(end) = &event {
                 let cell = states.get(&end.worker).map_or(0, |(_, cell)| *cell);
                 known.get_mut(&end.request).unwrap().over |= end.outcome == Outcome::Served;
                 ran = (!end.outcome.never_ran()).then_some((end.request, cell));
             }
-            if let Event::Left { request } = &event {
+            if let Event::ClientCancelled { request } = &event {
                 known.entry(*request).or_default().over = true;
             }
             let mut actions = Vec::new();
             front.handle(at, event, &mut actions);
             for action in &actions {
                 match action {
-                    Action::Send {
+                    Action::Forward {
                         request, worker, ..
                     } => {
                         let k = known.get_mut(request).expect("only what came in is sent");
@@ -203,15 +206,19 @@
                         );
                         assert_eq!(
                             states[worker].0,
-                            State::Live,
+                            EndpointState::Ready,
                             "seed {seed}: drained or gone"
                         );
-                        let effect = s.classes[k.class].effect;
+                        let effect = s.classes[k.class].idempotency;
                         if let Some((first, cell)) = k.may_have_run.or(ran.map(|(_, c)| (0, c))) {
                             if ran.is_none_or(|(r, _)| r == *request) || k.may_have_run.is_some() {
-                                assert_ne!(effect, Effect::Unsafe, "seed {seed}: an effect twice");
-                                if effect == Effect::Keyed && k.may_have_run.is_some() {
-                                    assert!(at < first + s.classes[k.class].dedup_window);
+                                assert_ne!(
+                                    effect,
+                                    Idempotency::NonIdempotent,
+                                    "seed {seed}: an effect twice"
+                                );
+                                if effect == Idempotency::WithKey && k.may_have_run.is_some() {
+                                    assert!(at < first + s.classes[k.class].deduplication_window);
                                     assert_eq!(
                                         states[worker].1, cell,
                                         "seed {seed}: out of the group"
@@ -225,12 +232,12 @@
                         assert!(k.attempts <= s.limits.max_attempts);
                         out.push((*request, k.attempts - 1, worker.clone()));
                     }
-                    Action::Refuse { request, .. } | Action::Fail { request } => {
+                    Action::Reject { request, .. } | Action::Fail { request } => {
                         let k = known.get_mut(request).expect("only what came in is ended");
                         assert!(!k.over, "seed {seed}: two final answers");
                         assert!(at <= k.deadline + slack, "seed {seed}: too late");
-                        let refuse = matches!(action, Action::Refuse { .. });
-                        let proven = s.classes[k.class].effect == Effect::Safe
+                        let refuse = matches!(action, Action::Reject { .. });
+                        let proven = s.classes[k.class].idempotency == Idempotency::Idempotent
                             || k.may_have_run.is_none() && ran.is_none() && k.outstanding == 0;
                         assert!(
                             !refuse || proven,
@@ -238,25 +245,25 @@
                         );
                         k.over = true;
                     }
-                    Action::Hold {
+                    Action::LoadFunction {
                         worker,
                         function,
-                        copies,
+                        replicas: copies,
                     } => {
-                        assert_eq!(states[worker].0, State::Live);
+                        assert_eq!(states[worker].0, EndpointState::Ready);
                         assert!(*copies > 0);
                         orders.push((worker.clone(), *function));
                         order_times.push(at);
                         let within = |t: &&Time| **t + ration.window > at;
                         let given = order_times.iter().filter(within).count() as f64;
                         let taken = call_times.iter().filter(within).count() as f64;
-                        let allowed = ration.base + ration.share * taken;
+                        let allowed = ration.burst + ration.per_request * taken;
                         assert!(
-                            s.loading.ration.is_none() || given <= allowed,
+                            s.loading.rate_limit.is_none() || given <= allowed,
                             "seed {seed}: ration"
                         );
                     }
-                    Action::Timer { after, token } => {
+                    Action::SetTimer { after, token } => {
                         timers.insert((at + after, *token));
                     }
                     _ => {}
@@ -281,32 +288,38 @@
     all
 }
 
-fn entries(dice: &mut Dice, now: Time, count: u64) -> Vec<Entry> {
+fn entries(dice: &mut Dice, now: Time, count: u64) -> Vec<Endpoint> {
     let one = |dice: &mut Dice| {
         let n = dice.roll(10);
         let state = match dice.roll(6) {
-            0 => State::Draining,
-            1 => State::Gone,
-            _ => State::Live,
+            0 => EndpointState::Draining,
+            1 => EndpointState::Removed,
+            _ => EndpointState::Ready,
         };
         let started = (dice.roll(4) == 0).then_some(now);
-        let worker = Worker::new(&format!("w{n}"));
-        Entry {
+        let worker = WorkerId::new(&format!("w{n}"));
+        Endpoint {
             worker,
             state,
             cell: n % 2,
             memory_mb: 4_000.0,
-            started,
-            ..Entry::default()
+            started_at: started,
+            ..Endpoint::default()
         }
     };
     (0..count).map(|_| one(dice)).collect()
 }
 
-fn note_list(event: &Event, states: &mut BTreeMap<Worker, (State, u64)>) {
-    if let Event::List { kind, entries } = event {
-        if matches!(kind, ListKind::Complete | ListKind::Remembered) {
-            states.values_mut().for_each(|s| s.0 = State::Gone);
+fn note_list(event: &Event, states: &mut BTreeMap<WorkerId, (EndpointState, u64)>) {
+    if let Event::Endpoints {
+        update: kind,
+        endpoints: entries,
+    } = event
+    {
+        if matches!(kind, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
+            states
+                .values_mut()
+                .for_each(|s| s.0 = EndpointState::Removed);
         }
         for e in entries {
             states.insert(e.worker.clone(), (e.state, e.cell));
--- a/crates/pipithub-policy/tests/ring.rs
+++ b/crates/pipithub-policy/tests/ring.rs
@@ -9,8 +9,8 @@
 const WORKERS: u64 = 3_000;
 const FUNCTIONS: u64 = 9_000;
 
-fn name(n: u64) -> Worker {
-    Worker::new(&format!(
+fn name(n: u64) -> WorkerId {
+    WorkerId::new(&format!(
         "10.{}.{}.{}:8080",
         n / 65_536,
         n / 256 % 256,
@@ -18,15 +18,15 @@
     ))
 }
 
-fn list(workers: impl Iterator<Item = u64>, state: State) -> Event {
-    let entry = |n| Entry {
+fn list(workers: impl Iterator<Item = u64>, state: EndpointState) -> Event {
+    let entry = |n| Endpoint {
         worker: name(n),
         state,
-        ..Entry::default()
+        ..Endpoint::default()
     };
-    Event::List {
-        kind: ListKind::Changes,
-        entries: workers.map(entry).collect(),
+    Event::Endpoints {
+        update: EndpointUpdate::Delta,
+        endpoints: workers.map(entry).collect(),
     }
 }
 
@@ -48,7 +48,7 @@
             now: MS,
             calls: 0,
         };
-        front.event(list(workers, State::Live));
+        front.event(list(workers, EndpointState::Ready));
         front
     }
 
@@ -59,45 +59,45 @@
     }
 
     /// Where a function that nobody called before is sent: its home.
-    fn home(&mut self, function: u64) -> Worker {
+    fn home(&mut self, function: u64) -> WorkerId {
         self.calls += 1;
         self.now += MS;
         let id = self.calls;
         let call = Request {
             id,
-            function: Function(function),
-            lanes: 1,
+            function: FunctionId(function),
+            replica_concurrency: 1,
             ..Request::default()
         };
         let actions = self.event(Event::Arrived(call));
         let sent = actions.iter().find_map(|a| match a {
-            Action::Send { worker, .. } => Some(worker.clone()),
+            Action::Forward { worker, .. } => Some(worker.clone()),
             _ => None,
         });
         let worker = sent.expect("an idle tier takes the call");
         // It leaves nothing behind that the next call would meet.
-        self.event(Event::Finished(Finished {
+        self.event(Event::AttemptFinished(AttemptFinished {
             request: id,
             attempt: 0,
             worker: worker.clone(),
-            outcome: Outcome::Absent,
-            took: MS,
+            outcome: Outcome::NotLoaded,
+            elapsed: MS,
             settled: true,
-            note: None,
-            alike: None,
-            load: Load::default(),
+            replica_status: None,
+            function_concurrency: None,
+            load_report: LoadReport::default(),
         }));
         worker
     }
 
-    fn homes(&mut self) -> BTreeMap<u64, Worker> {
+    fn homes(&mut self) -> BTreeMap<u64, WorkerId> {
         (0..FUNCTIONS)
             .map(|f| (f, self.home(f * 7_919 + 1)))
             .collect()
     }
 }
 
-fn moved(before: &BTreeMap<u64, Worker>, after: &BTreeMap<u64, Worker>) -> usize {
+fn moved(before: &BTreeMap<u64, WorkerId>, after: &BTreeMap<u64, WorkerId>) -> usize {
     before.iter().filter(|(f, home)| after[f] != **home).count()
 }
 
@@ -116,7 +116,7 @@
     let more = Front::new(1, 0..WORKERS + few).homes();
     let less = {
         let mut front = Front::new(1, 0..WORKERS);
-        front.event(list(0..few, State::Gone));
+        front.event(list(0..few, EndpointState::Removed));
         front.homes()
     };
     let share = (FUNCTIONS * few / WORKERS) as usize;
@@ -134,7 +134,7 @@
 #[test]
 fn homes_are_spread_evenly() {
     let homes = Front::new(1, 0..WORKERS).homes();
-    let mut counts: BTreeMap<&Worker, u64> = BTreeMap::new();
+    let mut counts: BTreeMap<&WorkerId, u64> = BTreeMap::new();
     homes
         .values()
         .for_each(|home| *counts.entry(home).or_default() += 1);
--- a/crates/pipithub-policy/tests/rules.rs
+++ b/crates/pipithub-policy/tests/rules.rs
@@ -7,7 +7,11 @@
 
 #[test]
 fn a_silent_worker_does_not_cost_the_final_answer() {
-    for effect in [Effect::Safe, Effect::Keyed, Effect::Unsafe] {
+    for effect in [
+        Idempotency::Idempotent,
+        Idempotency::WithKey,
+        Idempotency::NonIdempotent,
+    ] {
         let mut b = Bench::new(settings(effect), &["w1"]);
         let (_, actions) = b.call(1);
         assert!(sent_to(&actions).is_some());
@@ -25,9 +29,9 @@
 
 #[test]
 fn nothing_to_send_to_means_a_refusal_at_once() {
-    let mut b = Bench::new(settings(Effect::Unsafe), &[]);
+    let mut b = Bench::new(settings(Idempotency::NonIdempotent), &[]);
     let (_, actions) = b.call(1);
-    let wanted = Action::Refuse {
+    let wanted = Action::Reject {
         request: 1,
         retry_after: Some(500 * MS),
     };
@@ -36,10 +40,10 @@
 
 #[test]
 fn a_call_without_time_is_refused_unsent() {
-    let mut b = Bench::new(settings(Effect::Safe), &["w1"]);
+    let mut b = Bench::new(settings(Idempotency::Idempotent), &["w1"]);
     for budget in [0, MS, 4 * MS] {
         let (_, actions) = b.call_with(Request {
-            budget: Some(budget),
+            timeout: Some(budget),
             ..Request::default()
         });
         assert!(refused(&actions) && sent_to(&actions).is_none());
@@ -49,8 +53,8 @@
 #[test]
 fn what_may_have_run_is_repeated_only_where_the_class_allows() {
     use Outcome::*;
-    for outcome in [Error, TimedOut, Broken, Cancelled] {
-        let mut b = Bench::new(settings(Effect::Unsafe), &["w1", "w2"]);
+    for outcome in [Error, TimedOut, ConnectionLost, Cancelled] {
+        let mut b = Bench::new(settings(Idempotency::NonIdempotent), &["w1", "w2"]);
         let (id, actions) = b.call(1);
         let after = b.finish(id, 0, &sent_to(&actions).unwrap(), outcome);
         assert!(
@@ -58,32 +62,38 @@
             "{outcome:?}"
         );
 
-        let mut b = Bench::new(settings(Effect::Safe), &["w1", "w2"]);
+        let mut b = Bench::new(settings(Idempotency::Idempotent), &["w1", "w2"]);
         let (id, actions) = b.call(1);
         let after = b.finish(id, 0, &sent_to(&actions).unwrap(), outcome);
         assert!(sent_to(&after).is_some(), "{outcome:?}");
     }
-    for outcome in [Full, Unreachable, NotSent, Absent] {
-        let mut b = Bench::new(settings(Effect::Unsafe), &["w1", "w2"]);
+    for outcome in [Rejected, Unreachable, NotSent, NotLoaded] {
+        let mut b = Bench::new(settings(Idempotency::NonIdempotent), &["w1", "w2"]);
         let (id, actions) = b.call(1);
         let first = sent_to(&actions).unwrap();
         let after = b.finish(id, 0, &first, outcome);
         let again = sent_to(&after).expect("proved never to have run");
         // Only a copy that is missing, or was lost in loading, is tried where it was.
-        assert_eq!(again == first, outcome == Absent, "{outcome:?}");
+        assert_eq!(again == first, outcome == NotLoaded, "{outcome:?}");
     }
 }
 
 #[test]
 fn a_keyed_call_is_repeated_only_in_its_group_and_window() {
-    let mut s = settings(Effect::Keyed);
-    s.classes[0].group = Group::Zone;
-    let zones = |b: &mut Bench, first: &Worker, other: &str| {
+    let mut s = settings(Idempotency::WithKey);
+    s.classes[0].deduplication_scope = DeduplicationScope::Zone;
+    let zones = |b: &mut Bench, first: &WorkerId, other: &str| {
         let names = ["w1", "w2"];
-        let of = |n: &&str| if Worker::new(n) == *first { "a" } else { other };
+        let of = |n: &&str| {
+            if WorkerId::new(n) == *first {
+                "a"
+            } else {
+                other
+            }
+        };
         let list = names
             .iter()
-            .map(|n| Entry {
+            .map(|n| Endpoint {
                 zone: of(n).to_string(),
                 ..entry(n)
             })
@@ -101,7 +111,7 @@
         let first = sent_to(&actions).unwrap();
         zones(&mut b, &first, other);
         b.now += wait * MS;
-        let after = b.finish(id, 0, &first, Outcome::Broken);
+        let after = b.finish(id, 0, &first, Outcome::ConnectionLost);
         assert_eq!(
             sent_to(&after).is_some(),
             again,
@@ -117,18 +127,18 @@
 
 #[test]
 fn a_group_of_all_workers_may_be_refused() {
-    let mut b = Bench::new(settings(Effect::Keyed), &["w1"]);
+    let mut b = Bench::new(settings(Idempotency::WithKey), &["w1"]);
     let (id, actions) = b.call(1);
-    let after = b.finish(id, 0, &sent_to(&actions).unwrap(), Outcome::Broken);
+    let after = b.finish(id, 0, &sent_to(&actions).unwrap(), Outcome::ConnectionLost);
     assert!(refused(&after));
 }
 
 #[test]
 fn drained_and_gone_workers_get_neither_calls_nor_orders() {
-    for state in [State::Draining, State::Gone] {
-        let mut b = Bench::new(settings(Effect::Safe), &["w1", "w2", "w3"]);
+    for state in [EndpointState::Draining, EndpointState::Removed] {
+        let mut b = Bench::new(settings(Idempotency::Idempotent), &["w1", "w2", "w3"]);
         let home = b.warm(1);
-        b.changes(vec![Entry {
+        b.changes(vec![Endpoint {
             state,
             ..entry(&home.0)
         }]);
@@ -142,7 +152,7 @@
                     0,
                     &worker,
                     if i % 3 == 0 {
-                        Outcome::Full
+                        Outcome::Rejected
                     } else {
                         Outcome::Served
                     },
@@ -150,7 +160,7 @@
             }
         }
         for (_, action) in &b.did {
-            if let Action::Send { worker, .. } | Action::Hold { worker, .. } = action {
+            if let Action::Forward { worker, .. } | Action::LoadFunction { worker, .. } = action {
                 assert_ne!(*worker, home, "{state:?}");
             }
         }
@@ -159,16 +169,16 @@
 
 #[test]
 fn a_worker_missing_from_a_complete_list_is_gone() {
-    let mut b = Bench::new(settings(Effect::Safe), &["w1", "w2"]);
+    let mut b = Bench::new(settings(Idempotency::Idempotent), &["w1", "w2"]);
     let home = b.warm(1);
     let rest = ["w1", "w2"]
         .iter()
-        .filter(|n| Worker::new(n) != home)
+        .filter(|n| WorkerId::new(n) != home)
         .map(|n| entry(n))
         .collect();
-    b.event(Event::List {
-        kind: ListKind::Complete,
-        entries: rest,
+    b.event(Event::Endpoints {
+        update: EndpointUpdate::Snapshot,
+        endpoints: rest,
     });
     let (_, actions) = b.call(1);
     assert_ne!(sent_to(&actions).expect("the other worker"), home);
@@ -177,8 +187,8 @@
 /// Sends to a worker that has just started, over any span, against what it may be sent.
 #[test]
 fn a_cold_worker_is_sent_no_more_than_its_part_over_any_span() {
-    let s = settings(Effect::Safe);
-    let (rules, names) = (s.rules.clone(), ["w1", "w2", "w3"]);
+    let s = settings(Idempotency::Idempotent);
+    let (rules, names) = (s.slow_start.clone(), ["w1", "w2", "w3"]);
     let mut b = Bench::new(s, &names);
     let home = b.warm(1);
     // Ten calls a second are what each warm worker serves this front end.
@@ -191,8 +201,8 @@
         }
     }
     let started = b.now;
-    b.changes(vec![Entry {
-        started: Some(started),
+    b.changes(vec![Endpoint {
+        started_at: Some(started),
         ..entry(&home.0)
     }]);
     b.did.clear();
@@ -213,7 +223,7 @@
                 if i % 2 == 0 {
                     Outcome::Served
                 } else {
-                    Outcome::Full
+                    Outcome::Rejected
                 },
             );
         }
@@ -223,19 +233,19 @@
     for &t in &sends {
         let within = sends
             .iter()
-            .filter(|&&u| u <= t && u + rules.fall_span > t)
+            .filter(|&&u| u <= t && u + rules.overload_window > t)
             .count() as f64;
-        let age = (t - started) as f64 / rules.ramp as f64;
-        let part = rules.cold_from + (1.0 - rules.cold_from) * age.min(1.0);
-        let span = rules.fall_span as f64 / 1e9;
+        let age = (t - started) as f64 / rules.window as f64;
+        let part = rules.initial_weight + (1.0 - rules.initial_weight) * age.min(1.0);
+        let span = rules.overload_window as f64 / 1e9;
         assert!(
-            within <= 1.0 + rules.fall_multiple * part * most_served * span,
+            within <= 1.0 + rules.overload_factor * part * most_served * span,
             "{within} at age {age:.2}"
         );
     }
     let first_span = sends
         .iter()
-        .filter(|&&t| t < started + rules.fall_span)
+        .filter(|&&t| t < started + rules.overload_window)
         .count();
     assert!(
         first_span < 60,
@@ -245,14 +255,14 @@
 
 #[test]
 fn orders_to_load_stay_within_the_ration_over_any_window() {
-    let mut s = settings(Effect::Safe);
-    s.loading.call_loads = false;
-    let ration = Ration {
+    let mut s = settings(Idempotency::Idempotent);
+    s.loading.loads_on_request = false;
+    let ration = LoadRateLimit {
         window: 5_000 * MS,
-        base: 3.0,
-        share: 0.15,
+        burst: 3.0,
+        per_request: 0.15,
     };
-    s.loading.ration = Some(ration.clone());
+    s.loading.rate_limit = Some(ration.clone());
     let mut b = Bench::new(s, &["w1", "w2", "w3", "w4"]);
     let mut calls = Vec::new();
     for i in 0..400 {
@@ -261,16 +271,16 @@
         b.pass(35 * MS);
         let mut actions = actions;
         if let Some(worker) = sent_to(&actions) {
-            actions.extend(b.finish(id, 0, &worker, Outcome::Absent));
+            actions.extend(b.finish(id, 0, &worker, Outcome::NotLoaded));
         }
         while !held(&actions).is_empty() {
-            actions = b.answer_orders(&actions, Outcome::Full, 0);
+            actions = b.answer_orders(&actions, Outcome::Rejected, 0);
         }
     }
     let orders: Vec<Time> = b
         .did
         .iter()
-        .filter(|(_, a)| matches!(a, Action::Hold { copies: 1.., .. }))
+        .filter(|(_, a)| matches!(a, Action::LoadFunction { replicas: 1.., .. }))
         .map(|(t, _)| *t)
         .collect();
     assert!(orders.len() > 20, "the ration is used: {}", orders.len());
@@ -284,7 +294,7 @@
             .filter(|&&u| u <= t && u + ration.window > t)
             .count() as f64;
         assert!(
-            given <= ration.base + ration.share * taken,
+            given <= ration.burst + ration.per_request * taken,
             "{given} orders on {taken} calls"
         );
     }
@@ -293,7 +303,7 @@
 #[test]
 fn never_two_attempts_at_once_nor_more_than_allowed() {
     let mut b = Bench::new(
-        settings(Effect::Safe),
+        settings(Idempotency::Idempotent),
         &["w1", "w2", "w3", "w4", "w5", "w6"],
     );
     let (id, actions) = b.call(1);
@@ -303,7 +313,7 @@
         let again = b.event(Event::Timer { token: id });
         assert!(sent_to(&again).is_none(), "the first attempt is still out");
         b.now += 10 * MS;
-        worker = sent_to(&b.finish(id, attempts, &w, Outcome::Full));
+        worker = sent_to(&b.finish(id, attempts, &w, Outcome::Rejected));
         attempts += 1;
     }
     assert_eq!(attempts, 4);
@@ -312,9 +322,9 @@
 /// A hundred front ends, each with under one send a span to spare, against what all may send together.
 #[test]
 fn a_large_tier_together_does_not_push_a_cold_worker_over() {
-    let mut s = settings(Effect::Safe);
+    let mut s = settings(Idempotency::Idempotent);
     s.front_ends = 100;
-    let (rules, names) = (s.rules.clone(), ["w1", "w2", "w3", "w4"]);
+    let (rules, names) = (s.slow_start.clone(), ["w1", "w2", "w3", "w4"]);
     let mut tier: Vec<Bench> = (0..100)
         .map(|seed| Bench::seeded(s.clone(), &names, seed))
         .collect();
@@ -330,8 +340,8 @@
             }
             b.pass(950 * MS);
         }
-        b.changes(vec![Entry {
-            started: Some(b.now),
+        b.changes(vec![Endpoint {
+            started_at: Some(b.now),
             ..entry(&home.0)
         }]);
     }
@@ -360,15 +370,15 @@
 }
 
 /// No span of sends, told by the age of the cold worker, holds more than one that serves so many a second bears.
-fn assert_within_budget(rules: &Rules, sends: &[Time], a_second: f64) {
+fn assert_within_budget(rules: &SlowStart, sends: &[Time], a_second: f64) {
     for &t in sends {
         let within = sends
             .iter()
-            .filter(|&&u| u <= t && u + rules.fall_span > t)
+            .filter(|&&u| u <= t && u + rules.overload_window > t)
             .count() as f64;
-        let part =
-            rules.cold_from + (1.0 - rules.cold_from) * (t as f64 / rules.ramp as f64).min(1.0);
-        let most = rules.fall_multiple * part * a_second * rules.fall_span as f64 / 1e9;
+        let part = rules.initial_weight
+            + (1.0 - rules.initial_weight) * (t as f64 / rules.window as f64).min(1.0);
+        let most = rules.overload_factor * part * a_second * rules.overload_window as f64 / 1e9;
         assert!(
             within <= most,
             "{within} sends, {most:.1} allowed at {} ms",
@@ -380,16 +390,20 @@
 /// A hundred front ends turn at once to a worker, cold since `idle`. Before that each takes `calls` a second,
 /// of which one in two seconds is served; what a worker can do at the full is fifty a second.
 fn herd_on_a_cold_home(calls: u64, idle: Time) {
-    let mut s = settings(Effect::Safe);
-    (s.front_ends, s.rules.fall_multiple, s.rules.fall_span) = (100, 2.0, 1_000 * MS);
+    let mut s = settings(Idempotency::Idempotent);
+    (
+        s.front_ends,
+        s.slow_start.overload_factor,
+        s.slow_start.overload_window,
+    ) = (100, 2.0, 1_000 * MS);
     let mut sends = Vec::new();
     for seed in 0..100 {
         let mut b = Bench::seeded(s.clone(), &["w1", "w2"], seed);
         let home = b.warm(1);
         b.pass(5_000 * MS);
         let started = b.now;
-        b.changes(vec![Entry {
-            started: Some(started),
+        b.changes(vec![Endpoint {
+            started_at: Some(started),
             ..entry(&home.0)
         }]);
         for i in 0..idle / (1_000 * MS) * calls + 8 {
@@ -397,7 +411,7 @@
             let (id, actions) = b.call(if herd { 1 } else { 10 + i % 16 });
             if let Some(worker) = sent_to(&actions) {
                 sends.extend((worker == home).then(|| b.now - started));
-                b.event(Event::Left { request: id });
+                b.event(Event::ClientCancelled { request: id });
                 let outcome = if !herd && i % (2 * calls) == 0 {
                     Outcome::Served
                 } else {
@@ -413,7 +427,7 @@
         "a cold worker is not shut out: {}",
         sends.len()
     );
-    assert_within_budget(&s.rules, &sends, 50.0);
+    assert_within_budget(&s.slow_start, &sends, 50.0);
 }
 
 /// Rights to send that were saved up while a worker stood idle would all be used at once.
--- a/crates/pipithub-policy/tests/same.rs
+++ b/crates/pipithub-policy/tests/same.rs
@@ -147,23 +147,23 @@
 #[test]
 fn the_reference_counts_what_it_looks_at() {
     let mut reference = plain::decide::FrontEnd::new(Settings::default(), 7);
-    let entry = |n: u32| Entry {
-        worker: Worker::new(&format!("10.0.0.{n}:80")),
-        ..Entry::default()
+    let entry = |n: u32| Endpoint {
+        worker: WorkerId::new(&format!("10.0.0.{n}:80")),
+        ..Endpoint::default()
     };
-    let entries: Vec<Entry> = (0..20).map(entry).collect();
+    let entries: Vec<Endpoint> = (0..20).map(entry).collect();
     let call = Request {
         id: 1,
-        function: Function(42),
-        budget: Some(2_000_000_000),
+        function: FunctionId(42),
+        timeout: Some(2_000_000_000),
         ..Request::default()
     };
     let mut actions = Vec::new();
     reference.handle(
         0,
-        Event::List {
-            kind: ListKind::Complete,
-            entries,
+        Event::Endpoints {
+            update: EndpointUpdate::Snapshot,
+            endpoints: entries,
         },
         &mut actions,
     );
@@ -172,5 +172,5 @@
     assert!(work::taken() >= 20, "it looks at every worker");
     assert!(actions
         .iter()
-        .any(|a| matches!(a, Action::Send { request: 1, .. })));
+        .any(|a| matches!(a, Action::Forward { request: 1, .. })));
 }
--- a/crates/pipithub-policy/tests/slow_start.rs
+++ b/crates/pipithub-policy/tests/slow_start.rs
@@ -74,7 +74,7 @@
     small_size: f64,
     /// Arrivals as a multiple of what all workers would serve if they were warm.
     demand: f64,
-    rules: Rules,
+    rules: SlowStart,
     /// Starts to draw, at least.
     starts: usize,
     seed: u64,
@@ -91,11 +91,11 @@
             warming_places: 9,
             small_size: 1.0,
             demand: 1.5,
-            rules: Rules {
-                cold_from: 0.2,
-                ramp: 6 * SECOND,
-                fall_multiple: 3.0,
-                fall_span: 2 * SECOND,
+            rules: SlowStart {
+                initial_weight: 0.2,
+                window: 6 * SECOND,
+                overload_factor: 3.0,
+                overload_window: 2 * SECOND,
             },
             starts,
             seed: 43,
@@ -104,14 +104,14 @@
 
     /// Calls that a warm worker serves in a second.
     fn capacity(&self) -> f64 {
-        let span = self.rules.fall_span as f64 / SECOND as f64;
-        self.first_budget / (self.rules.fall_multiple * self.rules.cold_from * span)
+        let span = self.rules.overload_window as f64 / SECOND as f64;
+        self.first_budget / (self.rules.overload_factor * self.rules.initial_weight * span)
     }
 
     /// The share of its capacity that a worker of this age has.
     fn warmth(&self, age: Time) -> f64 {
-        let ramped = (age as f64 / self.rules.ramp as f64).min(1.0);
-        self.rules.cold_from + (1.0 - self.rules.cold_from) * ramped
+        let ramped = (age as f64 / self.rules.window as f64).min(1.0);
+        self.rules.initial_weight + (1.0 - self.rules.initial_weight) * ramped
     }
 
     /// The size of the workers in a warming place.
@@ -130,7 +130,7 @@
 
     /// The budget N of a worker of this age.
     fn budget(&self, age: Time) -> f64 {
-        self.first_budget * self.warmth(age) / self.rules.cold_from
+        self.first_budget * self.warmth(age) / self.rules.initial_weight
     }
 }
 
@@ -162,7 +162,7 @@
     Answer {
         front_end: usize,
         incarnation: u32,
-        finished: Finished,
+        finished: AttemptFinished,
     },
     /// A new worker takes the place of the one there.
     WorkerStart {
@@ -171,8 +171,8 @@
     /// A front end hears that a worker followed another.
     News {
         front_end: usize,
-        left: Entry,
-        came: Entry,
+        left: Endpoint,
+        came: Endpoint,
     },
     Restarts,
 }
@@ -220,12 +220,12 @@
     front_ends: Vec<SimulatedFrontEnd>,
     /// Running sums of the weights of the front ends' traffic.
     shares: Vec<f64>,
-    workers: BTreeMap<Worker, SimulatedWorker>,
+    workers: BTreeMap<WorkerId, SimulatedWorker>,
     /// In each place two names take turns.
-    names: Vec<[Worker; 2]>,
+    names: Vec<[WorkerId; 2]>,
     turns: Vec<usize>,
     /// A function whose first choice is the worker.
-    functions: BTreeMap<Worker, Function>,
+    functions: BTreeMap<WorkerId, FunctionId>,
     attempts: BTreeMap<RequestId, u32>,
     next_request: RequestId,
     queue: BTreeMap<(Time, u64), Happening>,
@@ -234,23 +234,23 @@
 }
 
 /// The entry of a worker in the list.
-fn listed(worker: &Worker, size: f64, started: Option<Time>) -> Entry {
-    Entry {
-        started,
-        share: size,
+fn listed(worker: &WorkerId, size: f64, started: Option<Time>) -> Endpoint {
+    Endpoint {
+        started_at: started,
+        weight: size,
         ..entry(&worker.0)
     }
 }
 
 /// For each worker a function that tries it before all others, as the module itself decides.
-fn functions_by_first_choice(workers: &[Worker]) -> BTreeMap<Worker, Function> {
-    let mut scout = FrontEnd::new(settings(Effect::Safe), 1);
+fn functions_by_first_choice(workers: &[WorkerId]) -> BTreeMap<WorkerId, FunctionId> {
+    let mut scout = FrontEnd::new(settings(Idempotency::Idempotent), 1);
     let entries = workers.iter().map(|w| listed(w, 1.0, None)).collect();
     scout.handle(
         SECOND,
-        Event::List {
-            kind: ListKind::Complete,
-            entries,
+        Event::Endpoints {
+            update: EndpointUpdate::Snapshot,
+            endpoints: entries,
         },
         &mut Vec::new(),
     );
@@ -259,13 +259,13 @@
         if found.len() == workers.len() {
             break;
         }
-        let function = Function(number);
+        let function = FunctionId(number);
         let mut actions = Vec::new();
         let call = Request {
             id: number,
             function,
-            lanes: 64,
-            budget: Some(4 * SECOND),
+            replica_concurrency: 64,
+            timeout: Some(4 * SECOND),
             ..Request::default()
         };
         // Ever later, so that no call meets the queue of an earlier one.
@@ -275,20 +275,20 @@
             &mut actions,
         );
         let worker = common::sent_to(&actions).expect("a scouting call is sent");
-        let answer = Finished {
+        let answer = AttemptFinished {
             request: number,
             attempt: 0,
             worker: worker.clone(),
             outcome: Outcome::Served,
-            took: LATENCY,
+            elapsed: LATENCY,
             settled: true,
-            note: None,
-            alike: None,
-            load: Load::default(),
+            replica_status: None,
+            function_concurrency: None,
+            load_report: LoadReport::default(),
         };
         scout.handle(
             (number + 2) * 100 * SECOND + LATENCY,
-            Event::Finished(answer),
+            Event::AttemptFinished(answer),
             &mut actions,
         );
         found.entry(worker).or_insert(function);
@@ -298,21 +298,21 @@
 
 impl Fleet {
     fn new(scenario: Scenario) -> Fleet {
-        let mut settings = settings(Effect::Safe);
+        let mut settings = settings(Idempotency::Idempotent);
         settings.front_ends = scenario.front_ends as u32;
-        settings.rules.clone_from(&scenario.rules);
-        settings.loading = Loading {
-            tells_cold: true,
-            ..Loading::default()
+        settings.slow_start.clone_from(&scenario.rules);
+        settings.loading = FunctionLoading {
+            reports_cold_starts: true,
+            ..FunctionLoading::default()
         };
-        let warm: Vec<Worker> = (0..scenario.warm_workers)
-            .map(|i| Worker::new(&format!("warm{i}")))
+        let warm: Vec<WorkerId> = (0..scenario.warm_workers)
+            .map(|i| WorkerId::new(&format!("warm{i}")))
             .collect();
-        let name = |place: usize, turn: &str| Worker::new(&format!("place{place}{turn}"));
+        let name = |place: usize, turn: &str| WorkerId::new(&format!("place{place}{turn}"));
         let names: Vec<_> = (0..scenario.warming_places)
             .map(|p| [name(p, "a"), name(p, "b")])
             .collect();
-        let all: Vec<Worker> = warm.iter().chain(names.iter().flatten()).cloned().collect();
+        let all: Vec<WorkerId> = warm.iter().chain(names.iter().flatten()).cloned().collect();
         let lasting = warm.iter().map(|name| (name, 1.0));
         let first = names
             .iter()
@@ -330,7 +330,7 @@
         let mut fleet = Fleet {
             settings,
             now: FIRST_TIME,
-            end: FIRST_TIME + LEAD_TIME + scenario.rules.ramp * scenario.rounds(),
+            end: FIRST_TIME + LEAD_TIME + scenario.rules.window * scenario.rounds(),
             random: SmallRng::seed_from_u64(scenario.seed),
             front_ends: Vec::new(),
             shares: (0..scenario.front_ends).map(&mut running_sum).collect(),
@@ -356,7 +356,7 @@
     /// Plays the scenario to its end.
     fn play(scenario: Scenario) -> Summary {
         let mut fleet = Fleet::new(scenario);
-        let (ramp, places) = (fleet.scenario.rules.ramp, fleet.scenario.warming_places);
+        let (ramp, places) = (fleet.scenario.rules.window, fleet.scenario.warming_places);
         let first_start = fleet.now + LEAD_TIME;
         for round in 0..fleet.scenario.rounds() {
             for place in 0..places {
@@ -397,7 +397,7 @@
                 finished,
             } => {
                 if self.front_ends[front_end].incarnation == incarnation {
-                    self.hand_over(front_end, Event::Finished(finished));
+                    self.hand_over(front_end, Event::AttemptFinished(finished));
                 }
             }
             Happening::WorkerStart { place } => self.start_worker(place),
@@ -406,9 +406,9 @@
                 left,
                 came,
             } => {
-                let news = Event::List {
-                    kind: ListKind::Changes,
-                    entries: vec![left, came],
+                let news = Event::Endpoints {
+                    update: EndpointUpdate::Delta,
+                    endpoints: vec![left, came],
                 };
                 self.hand_over(front_end, news);
             }
@@ -435,9 +435,9 @@
         let call = Request {
             id: self.next_request,
             function,
-            lanes: 64,
+            replica_concurrency: 64,
             load_time: Some(MS),
-            budget: Some(4 * SECOND),
+            timeout: Some(4 * SECOND),
             ..Request::default()
         };
         self.housekeep(front_end);
@@ -462,10 +462,10 @@
             .handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send {
+                Action::Forward {
                     request, worker, ..
                 } => self.send(front_end, request, worker),
-                Action::Refuse { request, .. } | Action::Fail { request } => {
+                Action::Reject { request, .. } | Action::Fail { request } => {
                     self.attempts.remove(&request);
                 }
                 _ => {}
@@ -473,7 +473,7 @@
         }
     }
 
-    fn send(&mut self, front_end: usize, request: RequestId, worker: Worker) {
+    fn send(&mut self, front_end: usize, request: RequestId, worker: WorkerId) {
         let attempts = self.attempts.entry(request).or_default();
         let attempt = std::mem::replace(attempts, *attempts + 1);
         let outcome = self.received(&worker);
@@ -481,16 +481,16 @@
         if settled {
             self.attempts.remove(&request);
         }
-        let finished = Finished {
+        let finished = AttemptFinished {
             request,
             attempt,
             worker,
             outcome,
-            took: LATENCY,
+            elapsed: LATENCY,
             settled,
-            note: Some(CopyNote::Warm).filter(|_| settled),
-            alike: None,
-            load: Load::default(),
+            replica_status: Some(ReplicaStatus::Warm).filter(|_| settled),
+            function_concurrency: None,
+            load_report: LoadReport::default(),
         };
         let incarnation = self.front_ends[front_end].incarnation;
         self.schedule(
@@ -505,18 +505,18 @@
 
     /// A worker gets a request: the window that ends with it is checked against the budget, and the worker
     /// takes the request or turns it away.
-    fn received(&mut self, worker: &Worker) -> Outcome {
+    fn received(&mut self, worker: &WorkerId) -> Outcome {
         let Some(simulated) = self.workers.get_mut(worker) else {
             return Outcome::Unreachable;
         };
         let (scenario, now) = (&self.scenario, self.now);
         let age = simulated
             .started
-            .map_or(scenario.rules.ramp, |started| now - started);
-        if age < scenario.rules.ramp {
+            .map_or(scenario.rules.window, |started| now - started);
+        if age < scenario.rules.window {
             simulated
                 .recent_sends
-                .retain(|sent| sent + scenario.rules.fall_span > now);
+                .retain(|sent| sent + scenario.rules.overload_window > now);
             simulated.recent_sends.push_back(now);
             let filled = simulated.recent_sends.len() as f64
                 / survivable(simulated.size * scenario.budget(age));
@@ -530,7 +530,7 @@
             SECOND as f64 / (simulated.size * scenario.capacity() * scenario.warmth(age));
         let free_at = simulated.free_at.max(now) + time_per_call as Time;
         if free_at - now > BACKLOG_MOST.max((time_per_call * BACKLOG_CALLS) as Time) {
-            return Outcome::Full;
+            return Outcome::Rejected;
         }
         simulated.free_at = free_at;
         Outcome::Served
@@ -546,11 +546,11 @@
             .insert(came.clone(), SimulatedWorker::new(size, started));
         self.summary.starts += 1;
         // The last workers' ramps are cut short by the end.
-        let played = self.scenario.rules.ramp.min(self.end - self.now);
-        let spans = played as f64 / self.scenario.rules.fall_span as f64;
+        let played = self.scenario.rules.window.min(self.end - self.now);
+        let spans = played as f64 / self.scenario.rules.overload_window as f64;
         self.summary.budgeted += size * self.scenario.budget(played / 2) * spans;
-        let left = Entry {
-            state: State::Gone,
+        let left = Endpoint {
+            state: EndpointState::Removed,
             ..listed(&left, size, None)
         };
         let came = listed(&came, size, started);
@@ -579,14 +579,14 @@
         let mut actions = Vec::new();
         module.handle(
             self.now,
-            Event::List {
-                kind: ListKind::Remembered,
-                entries,
+            Event::Endpoints {
+                update: EndpointUpdate::Cached,
+                endpoints: entries,
             },
             &mut actions,
         );
         let housekeeping = actions.iter().find_map(|action| match action {
-            Action::Timer {
+            Action::SetTimer {
                 after: HOUSEKEEPING,
                 token,
             } => Some(*token),
--- a/crates/pipithub-policy/tests/tier.rs
+++ b/crates/pipithub-policy/tests/tier.rs
@@ -28,10 +28,10 @@
 /// A worker as the naive form remembers it.
 #[derive(Debug, Default)]
 struct Plain {
-    entry: Entry,
+    entry: Endpoint,
     out: Vec<(bool, bool, bool)>,
     served: usize,
-    copies: BTreeMap<Function, bool>,
+    copies: BTreeMap<FunctionId, bool>,
     told: (Time, f64),
     heard: Time,
     errors: [f64; CLASSES],
@@ -109,12 +109,12 @@
     ]
 }
 
-fn name(worker: u8) -> Worker {
-    Worker::new(&format!("10.0.0.{worker}:80"))
+fn name(worker: u8) -> WorkerId {
+    WorkerId::new(&format!("10.0.0.{worker}:80"))
 }
 
 fn sent((cold, unproven, adds): (bool, bool, bool)) -> Sent {
-    let (request, attempt, function, class) = (1, 0, Function(1), 0);
+    let (request, attempt, function, class) = (1, 0, FunctionId(1), 0);
     let (at, due, goal, aim, run) = (0, 0, 0, 0, 0.0);
     let (same, crowd, withdrawn) = (1.0, 1.0, false);
     Sent {
@@ -138,7 +138,7 @@
 
 struct Both {
     tier: Tier,
-    plain: BTreeMap<Worker, Plain>,
+    plain: BTreeMap<WorkerId, Plain>,
     now: Time,
     /// The latest moment that was asked about: it never goes back.
     since: Time,
@@ -155,32 +155,34 @@
                 started,
             } => {
                 let state = [
-                    State::Live,
-                    State::Live,
-                    State::Live,
-                    State::Draining,
-                    State::Gone,
+                    EndpointState::Ready,
+                    EndpointState::Ready,
+                    EndpointState::Ready,
+                    EndpointState::Draining,
+                    EndpointState::Removed,
                 ][state as usize];
                 let zone = ["", "a", "b", "zone with a name"][zone as usize].to_string();
                 let started = started.map(Time::from);
-                let entry = Entry {
+                let entry = Endpoint {
                     worker: name(worker),
                     state,
                     zone,
-                    started,
-                    ..Entry::default()
+                    started_at: started,
+                    ..Endpoint::default()
                 };
                 self.tier.get_or_add(&entry, CLASSES).entry = entry.clone();
                 self.plain.entry(name(worker)).or_default().entry = entry;
             }
             Step::LoseAll { but } => {
-                let lost = |w: &Worker| *w != name(but);
-                self.tier
-                    .change_where(|n| lost(&n.entry.worker), |n| n.entry.state = State::Gone);
+                let lost = |w: &WorkerId| *w != name(but);
+                self.tier.change_where(
+                    |n| lost(&n.entry.worker),
+                    |n| n.entry.state = EndpointState::Removed,
+                );
                 self.plain
                     .iter_mut()
                     .filter(|(w, _)| lost(w))
-                    .for_each(|(_, p)| p.entry.state = State::Gone);
+                    .for_each(|(_, p)| p.entry.state = EndpointState::Removed);
             }
             Step::Send { worker, flags } => self.both(worker, |node, plain| {
                 node.out.push(sent(flags));
@@ -201,15 +203,15 @@
                 function,
                 ordered,
             } => self.both(worker, |node, plain| {
-                let function = Function(function.into());
+                let function = FunctionId(function.into());
                 node.copies_of(function).ordered = ordered;
                 // As the one place that orders does.
                 node.orders |= ordered;
                 plain.copies.insert(function, ordered);
             }),
             Step::Forget { worker, function } => self.both(worker, |node, plain| {
-                node.copies.remove(&Function(function.into()));
-                plain.copies.remove(&Function(function.into()));
+                node.copies.remove(&FunctionId(function.into()));
+                plain.copies.remove(&FunctionId(function.into()));
             }),
             Step::Told { worker, held } => self.both(worker, |node, plain| {
                 node.told = Told {
@@ -237,7 +239,7 @@
             Step::ForgetGone => {
                 self.tier.forget_gone();
                 self.plain
-                    .retain(|_, p| p.entry.state != State::Gone || !p.out.is_empty());
+                    .retain(|_, p| p.entry.state != EndpointState::Removed || !p.out.is_empty());
             }
             Step::ForgetHolders => self.tier.forget_holders(),
             Step::Pass { time } => self.now += Time::from(time),
@@ -255,7 +257,7 @@
         }
     }
 
-    fn that(&self, holds: impl Fn(&Plain) -> bool) -> Vec<Worker> {
+    fn that(&self, holds: impl Fn(&Plain) -> bool) -> Vec<WorkerId> {
         self.plain
             .values()
             .filter(|p| holds(p))
@@ -264,10 +266,10 @@
     }
 
     fn compare(&mut self) {
-        let names = |nodes: Vec<&state::Node>| -> Vec<Worker> {
+        let names = |nodes: Vec<&state::Node>| -> Vec<WorkerId> {
             nodes.into_iter().map(|n| n.entry.worker.clone()).collect()
         };
-        let live = |p: &Plain| p.entry.state == State::Live;
+        let live = |p: &Plain| p.entry.state == EndpointState::Ready;
         assert_eq!(self.tier.live(), self.that(live).len());
         let recent = self.that(|p| !p.out.is_empty() || p.served > 0);
         assert_eq!(names(self.tier.recent().collect()), recent);
@@ -278,7 +280,7 @@
         self.tier
             .change_holding(|n| holding.push(n.entry.worker.clone()));
         assert_eq!(holding, self.that(|p| !p.copies.is_empty()));
-        for function in (0..6).map(Function) {
+        for function in (0..6).map(FunctionId) {
             let maybe = self
                 .tier
                 .holders(function)
@@ -306,7 +308,7 @@
         }
         self.since = self.since.max(self.now / 100);
         let started = self
-            .that(|p| live(p) && p.entry.started.is_some_and(|t| t >= self.since))
+            .that(|p| live(p) && p.entry.started_at.is_some_and(|t| t >= self.since))
             .len();
         assert_eq!(self.tier.started_since(self.since), started);
         let known = || self.plain.values().filter(|p| live(p) && p.told.0 > 0);
@@ -320,7 +322,7 @@
             "{} {mean}",
             self.tier.mean_held(self.now)
         );
-        let all: Vec<Worker> = self.plain.keys().cloned().collect();
+        let all: Vec<WorkerId> = self.plain.keys().cloned().collect();
         for (worker, class) in all.iter().flat_map(|w| [(w, 0), (w, 1)]) {
             let others = || {
                 self.plain
@@ -355,15 +357,15 @@
         let mut tier = Tier::new(HALF_LIFE);
         let mut hashes = BTreeMap::new();
         for worker in 0..count {
-            let state = if worker % 5 == 4 { State::Draining } else { State::Live };
-            let entry = Entry { worker: name(worker), state, ..Entry::default() };
+            let state = if worker % 5 == 4 { EndpointState::Draining } else { EndpointState::Ready };
+            let entry = Endpoint { worker: name(worker), state, ..Endpoint::default() };
             let hash = tier.get_or_add(&entry, 1).hash;
-            if state == State::Live {
+            if state == EndpointState::Ready {
                 hashes.insert(hash, entry.worker);
             }
         }
         let next = hashes.range(from..).chain(hashes.range(..from)).take(most);
-        let expected: Vec<(u64, &Worker)> = next.map(|(h, w)| (*h, w)).collect();
+        let expected: Vec<(u64, &WorkerId)> = next.map(|(h, w)| (*h, w)).collect();
         prop_assert_eq!(tier.from(from, most).collect::<Vec<_>>(), expected);
     }
 
--- a/crates/pipithub-policy/tests/trouble.rs
+++ b/crates/pipithub-policy/tests/trouble.rs
@@ -10,10 +10,10 @@
     b: &mut Bench,
     function: u64,
     calls: usize,
-    mut answer: impl FnMut(&Worker) -> Option<Outcome>,
-) -> (usize, Vec<Worker>) {
+    mut answer: impl FnMut(&WorkerId) -> Option<Outcome>,
+) -> (usize, Vec<WorkerId>) {
     let (mut served, mut workers) = (0, Vec::new());
-    let mut open: Vec<(RequestId, u32, Worker)> = Vec::new();
+    let mut open: Vec<(RequestId, u32, WorkerId)> = Vec::new();
     for _ in 0..calls {
         let (id, actions) = b.call(function);
         let mut queue = vec![(id, 0, actions)];
@@ -52,8 +52,8 @@
 
 #[test]
 fn the_home_is_the_same_at_every_front_end_and_stable_under_churn() {
-    let homes = |workers: &[&str], seed: u32| -> Vec<Worker> {
-        let mut s = settings(Effect::Safe);
+    let homes = |workers: &[&str], seed: u32| -> Vec<WorkerId> {
+        let mut s = settings(Idempotency::Idempotent);
         s.front_ends = seed;
         let mut b = Bench::new(s, workers);
         let mut one = |function| {
@@ -70,7 +70,7 @@
     assert_eq!(all, homes(&["w5", "w3", "w1", "w2", "w4"], 3));
     let less = homes(&["w1", "w2", "w3", "w4"], 1);
     let moved = all.iter().zip(&less).filter(|(a, b)| a != b).count();
-    let lost = all.iter().filter(|w| **w == Worker::new("w5")).count();
+    let lost = all.iter().filter(|w| **w == WorkerId::new("w5")).count();
     assert_eq!(moved, lost, "only what stood at the lost worker moves");
     assert!(
         (20..=60).contains(&lost),
@@ -80,7 +80,7 @@
 
 #[test]
 fn a_silent_worker_is_left_and_used_again_when_it_answers() {
-    let mut b = Bench::new(settings(Effect::Safe), &THREE);
+    let mut b = Bench::new(settings(Idempotency::Idempotent), &THREE);
     let home = b.warm(1);
     let (served, workers) = play(&mut b, 1, 100, |w| (*w != home).then_some(Outcome::Served));
     assert!(served > 90, "served {served} of 100");
@@ -94,7 +94,7 @@
 
 #[test]
 fn a_class_that_a_worker_swallows_is_moved_though_another_is_answered() {
-    let mut s = settings(Effect::Safe);
+    let mut s = settings(Idempotency::Idempotent);
     s.classes.push(s.classes[0].clone());
     let mut b = Bench::new(s, &THREE);
     let home = b.warm(1);
@@ -102,10 +102,10 @@
     for _ in 0..60 {
         for class in [0, 1] {
             let call = Request {
-                function: Function(1),
-                lanes: 8,
+                function: FunctionId(1),
+                replica_concurrency: 8,
                 class,
-                budget: Some(4_000 * MS),
+                timeout: Some(4_000 * MS),
                 ..Request::default()
             };
             let (id, actions) = b.call_with(call);
@@ -133,7 +133,7 @@
 
 #[test]
 fn a_crashed_worker_is_left_at_once_and_comes_back_cold() {
-    let mut b = Bench::new(settings(Effect::Safe), &THREE);
+    let mut b = Bench::new(settings(Idempotency::Idempotent), &THREE);
     let home = b.warm(1);
     let (served, workers) = play(&mut b, 1, 60, |w| {
         Some(if *w == home {
@@ -145,8 +145,8 @@
     assert_eq!(served, 60);
     assert!(workers.iter().filter(|w| **w == home).count() < 10);
     let started = Some(b.now);
-    b.changes(vec![Entry {
-        started,
+    b.changes(vec![Endpoint {
+        started_at: started,
         ..entry(&home.0)
     }]);
     let (served, workers) = play(&mut b, 1, 600, |_| Some(Outcome::Served));
@@ -160,15 +160,15 @@
 #[test]
 fn the_loss_of_most_workers_neither_stops_service_nor_lasts() {
     let names = ["w1", "w2", "w3", "w4", "w5", "w6"];
-    let mut b = Bench::new(settings(Effect::Safe), &names);
+    let mut b = Bench::new(settings(Idempotency::Idempotent), &names);
     for function in 0..6 {
         b.warm(function);
     }
     b.changes(
         names[..5]
             .iter()
-            .map(|n| Entry {
-                state: State::Gone,
+            .map(|n| Endpoint {
+                state: EndpointState::Removed,
                 ..entry(n)
             })
             .collect(),
@@ -181,8 +181,8 @@
     b.changes(
         names[..5]
             .iter()
-            .map(|n| Entry {
-                started,
+            .map(|n| Endpoint {
+                started_at: started,
                 ..entry(n)
             })
             .collect(),
@@ -199,7 +199,7 @@
 #[test]
 fn a_slow_store_is_not_asked_twice_for_one_function() {
     let mut b = Bench::new(
-        settings(Effect::Safe),
+        settings(Idempotency::Idempotent),
         &["w1", "w2", "w3", "w4", "w5", "w6"],
     );
     let mut workers = std::collections::BTreeSet::new();
@@ -212,7 +212,7 @@
 
 #[test]
 fn one_off_functions_do_not_begin_loads_without_bound() {
-    let mut b = Bench::new(settings(Effect::Safe), &["w1", "w2", "w3", "w4"]);
+    let mut b = Bench::new(settings(Idempotency::Idempotent), &["w1", "w2", "w3", "w4"]);
     let sends = (0..200).filter(|f| {
         b.pass(2 * MS);
         sent_to(&b.call(1_000 + f).1).is_some()
@@ -223,14 +223,21 @@
 
 #[test]
 fn heavy_calls_do_not_shut_a_worker() {
-    let mut b = Bench::new(settings(Effect::Safe), &THREE);
+    let mut b = Bench::new(settings(Idempotency::Idempotent), &THREE);
     let home = b.warm(1);
     for i in 0..100 {
         let (id, actions) = b.call(1);
         b.pass(50 * MS);
         if let Some(worker) = sent_to(&actions) {
             let took = if i % 25 == 0 { 2_000 * MS } else { 50 * MS };
-            b.finish_noted(id, 0, &worker, Outcome::Served, took, Some(CopyNote::Warm));
+            b.finish_noted(
+                id,
+                0,
+                &worker,
+                Outcome::Served,
+                took,
+                Some(ReplicaStatus::Warm),
+            );
         }
     }
     let (_, workers) = play(&mut b, 1, 50, |_| Some(Outcome::Served));
@@ -239,7 +246,7 @@
 
 #[test]
 fn a_refusal_spiral_does_not_feed_itself() {
-    let mut b = Bench::new(settings(Effect::Safe), &["w1"]);
+    let mut b = Bench::new(settings(Idempotency::Idempotent), &["w1"]);
     b.warm(1);
     let mut out = Vec::new();
     for _ in 0..400 {
@@ -255,10 +262,10 @@
         b.finish_noted(
             id,
             0,
-            &Worker::new("w1"),
+            &WorkerId::new("w1"),
             Outcome::Served,
             900 * MS,
-            Some(CopyNote::Warm),
+            Some(ReplicaStatus::Warm),
         );
     }
     let (_, actions) = b.call(1);
@@ -270,11 +277,11 @@
 
 #[test]
 fn a_full_worker_is_sent_fewer_and_then_more_again() {
-    let mut b = Bench::new(settings(Effect::Safe), &THREE);
+    let mut b = Bench::new(settings(Idempotency::Idempotent), &THREE);
     let home = b.warm(1);
     let (served, _) = play(&mut b, 1, 50, |w| {
         Some(if *w == home {
-            Outcome::Full
+            Outcome::Rejected
         } else {
             Outcome::Served
         })
@@ -289,12 +296,12 @@
 
 #[test]
 fn after_a_restart_a_stale_list_is_enough_to_serve() {
-    let mut b = Bench::new(settings(Effect::Safe), &THREE);
+    let mut b = Bench::new(settings(Idempotency::Idempotent), &THREE);
     let dead = sent_to(&b.call(1).1).unwrap();
-    let mut b = Bench::new(settings(Effect::Safe), &THREE);
+    let mut b = Bench::new(settings(Idempotency::Idempotent), &THREE);
     let mut served = 0;
     for function in 0..40 {
-        let answer = |w: &Worker| {
+        let answer = |w: &WorkerId| {
             Some(if *w == dead {
                 Outcome::Unreachable
             } else {
@@ -308,12 +315,12 @@
 
 #[test]
 fn a_worker_that_loads_only_by_order_is_served_by_one() {
-    let mut s = settings(Effect::Safe);
-    s.loading.call_loads = false;
+    let mut s = settings(Idempotency::Idempotent);
+    s.loading.loads_on_request = false;
     let mut b = Bench::new(s, &THREE);
     let (id, actions) = b.call(1);
     let home = sent_to(&actions).expect("presumed at its home");
-    let after = b.finish(id, 0, &home, Outcome::Absent);
+    let after = b.finish(id, 0, &home, Outcome::NotLoaded);
     let at = held(&after);
     assert_eq!(at.len(), 1, "one order");
     assert!(sent_to(&after).is_none(), "the call waits for it");
@@ -324,7 +331,7 @@
 
 #[test]
 fn state_stays_bounded_on_a_long_run() {
-    let mut b = Bench::new(settings(Effect::Safe), &THREE);
+    let mut b = Bench::new(settings(Idempotency::Idempotent), &THREE);
     let mut sizes = Vec::new();
     for round in 0..30u64 {
         for i in 0..200u64 {
@@ -336,8 +343,8 @@
         }
         let name = format!("n{round}");
         b.changes(vec![entry(&name)]);
-        b.changes(vec![Entry {
-            state: State::Gone,
+        b.changes(vec![Endpoint {
+            state: EndpointState::Removed,
             ..entry(&name)
         }]);
         sizes.push(format!("{:?}", b.front).len());
@@ -350,7 +357,7 @@
 
 #[test]
 fn one_broken_connection_neither_moves_a_function_nor_withdraws_its_other_calls() {
-    let mut b = Bench::new(settings(Effect::Safe), &THREE);
+    let mut b = Bench::new(settings(Idempotency::Idempotent), &THREE);
     let home = b.warm(1);
     let mut at_home = 0;
     for i in 0..100 {
@@ -364,7 +371,7 @@
             0,
             &worker,
             if broken {
-                Outcome::Broken
+                Outcome::ConnectionLost
             } else {
                 Outcome::Served
             },
@@ -384,29 +391,29 @@
 
 /// Settings of a tier so large that own sends tell nothing of the queues.
 fn large_tier() -> Settings {
-    let mut s = settings(Effect::Safe);
+    let mut s = settings(Idempotency::Idempotent);
     s.front_ends = 100;
-    s.limits.probes = true;
+    s.limits.load_polls = true;
     s
 }
 
-fn probed(actions: &[Action]) -> Option<Worker> {
+fn probed(actions: &[Action]) -> Option<WorkerId> {
     actions.iter().find_map(|a| match a {
-        Action::Probe { worker } => Some(worker.clone()),
+        Action::PollLoad { worker } => Some(worker.clone()),
         _ => None,
     })
 }
 
-fn report(worker: &Worker, held: Option<f64>, busy: Option<f64>) -> Event {
-    let load = Load {
-        held,
-        busy,
-        ..Load::default()
+fn report(worker: &WorkerId, held: Option<f64>, busy: Option<f64>) -> Event {
+    let load = LoadReport {
+        in_flight: held,
+        cpu_utilization: busy,
+        ..LoadReport::default()
     };
-    Event::Probed {
+    Event::LoadPolled {
         worker: worker.clone(),
         answered: true,
-        load,
+        report: load,
     }
 }
 
@@ -477,16 +484,16 @@
 fn a_call_with_little_time_begins_no_load_on_a_guess() {
     for (budget, guessed) in [(4_000 * MS, true), (700 * MS, false)] {
         let mut s = large_tier();
-        s.limits.probes = false;
-        s.loading.orders = false;
+        s.limits.load_polls = false;
+        s.loading.load_commands = false;
         let mut b = Bench::new(s, &THREE);
         let home = b.warm(1);
         // The home turns calls away: the others have moved on to the next worker and loaded it there.
         let call = Request {
-            function: Function(1),
-            lanes: 4,
+            function: FunctionId(1),
+            replica_concurrency: 4,
             load_time: Some(2_000 * MS),
-            budget: Some(budget),
+            timeout: Some(budget),
             ..Request::default()
         };
         let mut sent = 0;
@@ -500,7 +507,7 @@
                 0,
                 &worker,
                 if worker == home {
-                    Outcome::Full
+                    Outcome::Rejected
                 } else {
                     Outcome::Served
                 },
@@ -518,7 +525,7 @@
 #[test]
 fn a_run_learnt_from_the_queues_of_others_shuts_no_function_out() {
     let mut s = large_tier();
-    s.limits.probes = false;
+    s.limits.load_polls = false;
     let mut b = Bench::new(s, &THREE);
     b.warm(1);
     // One function's answers come late for a while; it must be sent again once that is over.
@@ -531,7 +538,7 @@
                 &worker,
                 Outcome::Served,
                 900 * MS,
-                Some(CopyNote::Warm),
+                Some(ReplicaStatus::Warm),
             );
         }
         b.pass(500 * MS);
@@ -549,9 +556,9 @@
 #[test]
 fn work_that_nobody_waits_for_is_withdrawn() {
     for (effect, cancel) in [
-        (Effect::Safe, true),
-        (Effect::Keyed, true),
-        (Effect::Safe, false),
+        (Idempotency::Idempotent, true),
+        (Idempotency::WithKey, true),
+        (Idempotency::Idempotent, false),
     ] {
         let settings = settings(effect);
         let limits = Limits {
@@ -561,12 +568,12 @@
         let mut b = Bench::new(Settings { limits, ..settings }, &["w1"]);
         let (id, actions) = b.call(7);
         assert!(sent_to(&actions).is_some());
-        let actions = b.event(Event::Left { request: id });
+        let actions = b.event(Event::ClientCancelled { request: id });
         let withdrawn =
             matches!(actions[..], [Action::Cancel { request, attempt: 0 }] if request == id);
         assert_eq!(withdrawn, cancel, "{effect:?}: {actions:?}");
         assert!(
-            b.event(Event::Left { request: id }).is_empty(),
+            b.event(Event::ClientCancelled { request: id }).is_empty(),
             "it has ended already"
         );
     }
@@ -575,7 +582,7 @@
 /// Withdrawn work may run on: a front end that forgot it would send into a queue that is still full.
 #[test]
 fn withdrawn_work_is_replayed_to_its_foreseen_end() {
-    let mut b = Bench::new(settings(Effect::Safe), &["w1"]);
+    let mut b = Bench::new(settings(Idempotency::Idempotent), &["w1"]);
     let worker = b.warm(7);
     let burst = |b: &mut Bench| {
         let calls: Vec<_> = (0..80).map(|_| b.call(7)).collect();
@@ -588,7 +595,7 @@
     let taken = burst(&mut b);
     assert!(taken.len() > 4 && taken.len() < 80, "{}", taken.len());
     for id in &taken {
-        b.event(Event::Left { request: *id });
+        b.event(Event::ClientCancelled { request: *id });
         b.finish_noted(*id, 0, &worker, Outcome::Cancelled, MS, None);
     }
     assert!(burst(&mut b).len() < taken.len() / 2);
@@ -599,13 +606,13 @@
 /// A store that turns fetches away: each call went on to the next worker, and began the next load there.
 #[test]
 fn loads_that_fail_are_not_begun_again_for_a_while() {
-    for outcome in [Outcome::Error, Outcome::Absent] {
+    for outcome in [Outcome::Error, Outcome::NotLoaded] {
         let names: Vec<String> = (0..20).map(|i| format!("w{i}")).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         let mut b = Bench::new(
             Settings {
                 front_ends: 20,
-                ..settings(Effect::Safe)
+                ..settings(Idempotency::Idempotent)
             },
             &names,
         );
@@ -618,8 +625,8 @@
                 while let Some(worker) = sent_to(&actions) {
                     sends += 1;
                     let (outcome, note) = match works {
-                        true => (Outcome::Served, CopyNote::Began),
-                        false => (outcome, CopyNote::Failed),
+                        true => (Outcome::Served, ReplicaStatus::LoadStarted),
+                        false => (outcome, ReplicaStatus::LoadFailed),
                     };
                     actions = b.finish_noted(id, attempt, &worker, outcome, 40 * MS, Some(note));
                     attempt += 1;
@@ -649,16 +656,16 @@
 /// A load longer than any client waits: no call may begin it, so only an order takes the function further.
 #[test]
 fn a_function_too_slow_to_load_for_its_calls_is_spread_by_order() {
-    let mut b = Bench::new(settings(Effect::Safe), &["w1", "w2"]);
+    let mut b = Bench::new(settings(Idempotency::Idempotent), &["w1", "w2"]);
     let home = b.warm(1);
     let mut orders = Vec::new();
     for _ in 0..60 {
         let (_, actions) = b.call_with(Request {
-            function: Function(1),
-            lanes: 4,
+            function: FunctionId(1),
+            replica_concurrency: 4,
             memory_mb: 100.0,
             load_time: Some(6_000 * MS),
-            budget: Some(4_000 * MS),
+            timeout: Some(4_000 * MS),
             ..Request::default()
         });
         let sent = sent_to(&actions);
@@ -679,7 +686,7 @@
 /// Clients that leave take the slow answers with them: the quick ones alone would show a sound worker.
 #[test]
 fn withdrawn_attempts_teach_how_long_they_took() {
-    let mut b = Bench::new(settings(Effect::Safe), &["w1"]);
+    let mut b = Bench::new(settings(Idempotency::Idempotent), &["w1"]);
     let mut taken = 0;
     for i in 0..60 {
         let (id, actions) = b.call(7);
@@ -694,7 +701,7 @@
         };
         b.pass(took);
         if leaves {
-            b.event(Event::Left { request: id });
+            b.event(Event::ClientCancelled { request: id });
         }
         let outcome = if leaves {
             Outcome::Cancelled
@@ -707,7 +714,7 @@
             &worker,
             outcome,
             took,
-            Some(CopyNote::Warm).filter(|_| !leaves),
+            Some(ReplicaStatus::Warm).filter(|_| !leaves),
         );
     }
     assert!(
@@ -718,7 +725,7 @@
 
 #[test]
 fn a_worker_whose_calls_mostly_fail_is_left_and_used_again_when_they_do_not() {
-    let mut b = Bench::new(settings(Effect::Unsafe), &THREE);
+    let mut b = Bench::new(settings(Idempotency::NonIdempotent), &THREE);
     let bad = b.warm(1);
     // Several functions at each worker; three of four calls at the bad one fail.
     let mut count = 0;
@@ -760,7 +767,7 @@
 
 #[test]
 fn errors_of_one_function_or_at_all_workers_alike_shut_nobody() {
-    let mut b = Bench::new(settings(Effect::Safe), &THREE);
+    let mut b = Bench::new(settings(Idempotency::Idempotent), &THREE);
     let home = b.warm(1);
     // A program that always fails, often called: its home serves others.
     for _ in 0..100 {
@@ -776,7 +783,7 @@
         b.finish(id, 0, &home, Outcome::Served);
     }
     // Half of all answers are spoilt, wherever they come from.
-    let mut b = Bench::new(settings(Effect::Safe), &THREE);
+    let mut b = Bench::new(settings(Idempotency::Idempotent), &THREE);
     let (served, _) = play(&mut b, 1, 10, |_| Some(Outcome::Served));
     assert_eq!(served, 10);
     let mut sent = 0;
@@ -800,10 +807,10 @@
 }
 
 /// Functions whose home is this worker, from this number on.
-fn homed_at(workers: &[&str], home: &Worker, from: u64, count: usize) -> Vec<u64> {
+fn homed_at(workers: &[&str], home: &WorkerId, from: u64, count: usize) -> Vec<u64> {
     let home_of = |function: &u64| {
         sent_to(
-            &Bench::new(settings(Effect::Safe), workers)
+            &Bench::new(settings(Idempotency::Idempotent), workers)
                 .call(*function)
                 .1,
         )
@@ -815,7 +822,7 @@
 }
 
 /// Two connections to the worker fail, so that it is left alone.
-fn cut_off(b: &mut Bench, worker: &Worker, functions: &[u64]) {
+fn cut_off(b: &mut Bench, worker: &WorkerId, functions: &[u64]) {
     for function in functions {
         let (id, actions) = b.call(*function);
         assert_eq!(sent_to(&actions).as_ref(), Some(worker));
@@ -825,9 +832,9 @@
 
 #[test]
 fn functions_of_a_lost_home_begin_no_more_loads_elsewhere_than_are_allowed_at_a_time() {
-    let home = Worker::new("w1");
+    let home = WorkerId::new("w1");
     let functions = homed_at(&THREE, &home, 1, 40);
-    let mut b = Bench::new(settings(Effect::Safe), &THREE);
+    let mut b = Bench::new(settings(Idempotency::Idempotent), &THREE);
     cut_off(&mut b, &home, &functions[..2]);
     let sent = functions[2..]
         .iter()
@@ -841,9 +848,9 @@
 
 #[test]
 fn calls_that_hang_at_a_lost_worker_are_no_loads_that_bar_others() {
-    let home = Worker::new("w1");
+    let home = WorkerId::new("w1");
     let functions = homed_at(&THREE, &home, 1, 20);
-    let mut b = Bench::new(settings(Effect::Safe), &THREE);
+    let mut b = Bench::new(settings(Idempotency::Idempotent), &THREE);
     // As many loads as are allowed hang there when it is lost.
     functions[..14].iter().for_each(|f| drop(b.call(*f)));
     b.pass(700 * MS);
@@ -858,19 +865,19 @@
 /// A worker adds one copy at a time, however many calls wait for it: counted each, they bar all other loads.
 #[test]
 fn calls_that_wait_beside_taken_lanes_are_one_load_together() {
-    let mut s = settings(Effect::Safe);
-    (s.loading.tells_alike, s.front_ends) = (true, 2);
+    let mut s = settings(Idempotency::Idempotent);
+    (s.loading.reports_concurrency, s.front_ends) = (true, 2);
     let mut b = Bench::new(s, &THREE);
-    let lost = Worker::new("w1");
+    let lost = WorkerId::new("w1");
     let functions = homed_at(&THREE, &lost, 100, 3);
-    let others = ["w2", "w3"].map(|w| homed_at(&THREE, &Worker::new(w), 1, 1)[0]);
+    let others = ["w2", "w3"].map(|w| homed_at(&THREE, &WorkerId::new(w), 1, 1)[0]);
     for function in others {
         b.warm(function);
     }
     let busy = |b: &mut Bench, function| {
         let call = Request {
-            function: Function(function),
-            lanes: 1,
+            function: FunctionId(function),
+            replica_concurrency: 1,
             ..Request::default()
         };
         sent_to(&b.call_with(call).1).is_some_and(|w| w != lost)
@@ -892,14 +899,21 @@
 
 #[test]
 fn the_slower_the_store_the_fewer_loads_are_under_way() {
-    let home = Worker::new("w1");
+    let home = WorkerId::new("w1");
     let functions = homed_at(&THREE, &home, 1, 40);
     let sent = |took: Time| {
-        let mut b = Bench::new(settings(Effect::Safe), &THREE);
+        let mut b = Bench::new(settings(Idempotency::Idempotent), &THREE);
         for function in 1_000..1_010 {
             let (id, actions) = b.call(function);
             let worker = sent_to(&actions).expect("sent");
-            b.finish_noted(id, 0, &worker, Outcome::Served, took, Some(CopyNote::Began));
+            b.finish_noted(
+                id,
+                0,
+                &worker,
+                Outcome::Served,
+                took,
+                Some(ReplicaStatus::LoadStarted),
+            );
         }
         cut_off(&mut b, &home, &functions[..2]);
         functions[2..]
@@ -913,14 +927,14 @@
 }
 
 /// The entries of twelve workers, every second one in a zone `b`, with the given state there.
-fn zoned(state_far: State) -> Vec<Entry> {
+fn zoned(state_far: EndpointState) -> Vec<Endpoint> {
     let one = |i: u32| {
         let (zone, state) = if i % 2 == 1 {
             ("b", state_far)
         } else {
-            ("a", State::Live)
+            ("a", EndpointState::Ready)
         };
-        Entry {
+        Endpoint {
             zone: zone.into(),
             state,
             ..entry(&format!("w{i}"))
@@ -930,16 +944,17 @@
 }
 
 /// Whether a worker of [`zoned`] stands in the zone `b`.
-fn far(worker: &Worker) -> bool {
+fn far(worker: &WorkerId) -> bool {
     worker.0[1..].parse::<u32>().is_ok_and(|i| i % 2 == 1)
 }
 
 /// A front end of a large tier in one of two zones.
 fn two_zones(zone: &str, tells_alike: bool) -> Bench {
     let mut s = large_tier();
-    (s.limits.probes, s.loading.tells_alike, s.zone) = (false, tells_alike, zone.to_string());
+    (s.limits.load_polls, s.loading.reports_concurrency, s.zone) =
+        (false, tells_alike, zone.to_string());
     let mut b = Bench::new(s, &[]);
-    b.changes(zoned(State::Live));
+    b.changes(zoned(EndpointState::Ready));
     b
 }
 
@@ -947,8 +962,8 @@
 fn sent_where(
     b: &mut Bench,
     calls: u64,
-    which: fn(&Worker) -> bool,
-    answer: impl Fn(&Worker) -> Option<Outcome>,
+    which: fn(&WorkerId) -> bool,
+    answer: impl Fn(&WorkerId) -> Option<Outcome>,
 ) -> usize {
     play_many(b, calls, answer)
         .1
@@ -984,10 +999,12 @@
     let mut b = two_zones("a", false);
     sent_where(&mut b, 60, far, |_| Some(Outcome::Served));
     sent_where(&mut b, 60, far, |w| (!far(w)).then_some(Outcome::Served));
-    let gone = zoned(State::Live).into_iter().filter(|e| !far(&e.worker));
+    let gone = zoned(EndpointState::Ready)
+        .into_iter()
+        .filter(|e| !far(&e.worker));
     b.changes(
-        gone.map(|e| Entry {
-            state: State::Gone,
+        gone.map(|e| Endpoint {
+            state: EndpointState::Removed,
             ..e
         })
         .collect(),
@@ -1023,8 +1040,8 @@
 fn play_many(
     b: &mut Bench,
     calls: u64,
-    mut answer: impl FnMut(&Worker) -> Option<Outcome>,
-) -> (usize, Vec<Worker>) {
+    mut answer: impl FnMut(&WorkerId) -> Option<Outcome>,
+) -> (usize, Vec<WorkerId>) {
     let (mut served, mut workers) = (0, Vec::new());
     for i in 0..calls {
         let (some, met) = play(b, i % 30, 1, &mut answer);
@@ -1048,18 +1065,18 @@
                 };
                 b.pass(50 * MS);
                 // Twelve calls of it stand there, as at each of its homes: lanes of three copies.
-                let end = Finished {
+                let end = AttemptFinished {
                     request,
                     attempt: 0,
                     worker: worker.clone(),
                     outcome: Outcome::Served,
-                    took: 50 * MS,
+                    elapsed: 50 * MS,
                     settled: true,
-                    note: None,
-                    alike: Some(12),
-                    load: Load::default(),
+                    replica_status: None,
+                    function_concurrency: Some(12),
+                    load_report: LoadReport::default(),
                 };
-                b.event(Event::Finished(end));
+                b.event(Event::AttemptFinished(end));
                 last = Some(worker);
             }
             last_far += usize::from(last.is_some_and(|w| far(&w)));
--- a/crates/pipithub-policy/tests/unforeseen.rs
+++ b/crates/pipithub-policy/tests/unforeseen.rs
@@ -7,28 +7,30 @@
 
 #[test]
 fn a_send_beside_an_order_under_way_is_not_silence() {
-    let mut s = settings(Effect::Safe);
+    let mut s = settings(Idempotency::Idempotent);
     s.front_ends = 9;
-    s.loading.call_loads = false;
+    s.loading.loads_on_request = false;
     let mut bench = Bench::new(s, &["w1"]);
-    let worker = Worker::new("w1");
+    let worker = WorkerId::new("w1");
     let (id, actions) = bench.call(7);
     assert!(sent_to(&actions).is_some(), "presumed at its home");
-    let actions = bench.finish(id, 0, &worker, Outcome::Absent);
+    let actions = bench.finish(id, 0, &worker, Outcome::NotLoaded);
     assert!(
-        actions.iter().any(|a| matches!(a, Action::Hold { .. })),
+        actions
+            .iter()
+            .any(|a| matches!(a, Action::LoadFunction { .. })),
         "ordered there: {actions:?}"
     );
     // The worker tells that its cores are busy: second choice, and there is no other.
-    let load = Load {
-        busy: Some(1.0),
-        held: Some(1.0),
-        ..Load::default()
+    let load = LoadReport {
+        cpu_utilization: Some(1.0),
+        in_flight: Some(1.0),
+        ..LoadReport::default()
     };
-    bench.event(Event::Probed {
+    bench.event(Event::LoadPolled {
         worker: worker.clone(),
         answered: true,
-        load,
+        report: load,
     });
     for _ in 0..3 {
         let (_, actions) = bench.call(7);
--- a/crates/pipithub-policy/tests/world/day.rs
+++ b/crates/pipithub-policy/tests/world/day.rs
@@ -76,35 +76,35 @@
     /// after 50 to 300 ms, most copies standing.
     pub fn quiet(seed: u64, workers: usize, functions: u64, rate: u64, length: Time) -> Day {
         let class = Class {
-            late_worth: 0.3,
-            give_up: 4_000 * MS,
+            late_answer_weight: 0.3,
+            client_timeout: 4_000 * MS,
             ..Class::default()
         };
         let limits = Limits {
             max_attempts: 3,
             cancel: true,
-            probes: true,
+            load_polls: true,
             retry_after: true,
             max_retry_after: 500 * MS,
         };
-        let loading = Loading {
-            tells_cold: true,
-            tells_alike: true,
-            ..Loading::default()
+        let loading = FunctionLoading {
+            reports_cold_starts: true,
+            reports_concurrency: true,
+            ..FunctionLoading::default()
         };
         let settings = Settings {
             front_ends: 1_700,
             tick: 2 * MS,
             classes: vec![class],
             limits,
-            rules: Rules {
-                cold_from: 0.2,
-                ramp: 15_000 * MS,
-                fall_multiple: 3.0,
-                fall_span: 2_000 * MS,
+            slow_start: SlowStart {
+                initial_weight: 0.2,
+                window: 15_000 * MS,
+                overload_factor: 3.0,
+                overload_window: 2_000 * MS,
             },
             loading,
-            prices: Prices { probe: 0.02 },
+            costs: Costs { load_poll: 0.02 },
             zone: "z0".to_string(),
             ..Settings::default()
         };
@@ -238,51 +238,58 @@
         let class = |d: &mut SmallRng| {
             let aim = between(d, if muted { 500 } else { 150 }, 2_000) * MS;
             Class {
-                aim,
-                aim_stretch: pick(d, &[0.0, 0.0, 3.0]),
-                give_up: aim * between(d, if muted { 5 } else { 1 }, 8),
-                late_worth: pick(d, &[0.0, 0.3, 0.3, 0.8]),
-                effect: pick(
+                latency_objective: aim,
+                objective_per_work: pick(d, &[0.0, 0.0, 3.0]),
+                client_timeout: aim * between(d, if muted { 5 } else { 1 }, 8),
+                late_answer_weight: pick(d, &[0.0, 0.3, 0.3, 0.8]),
+                idempotency: pick(
                     d,
                     &[
-                        Effect::Safe,
-                        Effect::Safe,
-                        Effect::Keyed,
-                        Effect::Keyed,
-                        Effect::Unsafe,
+                        Idempotency::Idempotent,
+                        Idempotency::Idempotent,
+                        Idempotency::WithKey,
+                        Idempotency::WithKey,
+                        Idempotency::NonIdempotent,
                     ],
                 ),
-                group: pick(d, &[Group::All, Group::Zone, Group::Cell]),
-                dedup_window: pick(d, &[0, 700, 5_000]) * MS,
+                deduplication_scope: pick(
+                    d,
+                    &[
+                        DeduplicationScope::All,
+                        DeduplicationScope::Zone,
+                        DeduplicationScope::Cell,
+                    ],
+                ),
+                deduplication_window: pick(d, &[0, 700, 5_000]) * MS,
             }
         };
         let classes = (0..d.random_range(0..4)).map(|_| class(d)).collect();
         let limits = Limits {
             max_attempts: d.random_range(1..6),
             cancel: muted || d.random_bool(0.6),
-            probes: d.random_bool(0.6),
+            load_polls: d.random_bool(0.6),
             retry_after: d.random_bool(0.5),
             max_retry_after: pick(d, &[0, 500 * MS]),
         };
-        let rules = Rules {
-            cold_from: d.random_range(0.05..1.0),
-            ramp: between(d, 1_000, 20_000) * MS,
-            fall_multiple: pick(d, &[0.0, 1.0, 3.0]),
-            fall_span: pick(d, &[0, 500, 2_000]) * MS,
+        let rules = SlowStart {
+            initial_weight: d.random_range(0.05..1.0),
+            window: between(d, 1_000, 20_000) * MS,
+            overload_factor: pick(d, &[0.0, 1.0, 3.0]),
+            overload_window: pick(d, &[0, 500, 2_000]) * MS,
         };
         let call_loads = !placing && d.random_bool(0.7);
-        let ration = Ration {
+        let ration = LoadRateLimit {
             window: 3_000 * MS,
-            base: d.random_range(1.0..6.0),
-            share: 0.15,
+            burst: d.random_range(1.0..6.0),
+            per_request: 0.15,
         };
-        let loading = Loading {
-            orders: d.random_bool(if call_loads { 0.6 } else { 0.95 }),
-            call_loads,
+        let loading = FunctionLoading {
+            load_commands: d.random_bool(if call_loads { 0.6 } else { 0.95 }),
+            loads_on_request: call_loads,
             keep_alive: between(d, 500, if placing { 4_000 } else { 40_000 }) * MS,
-            tells_cold: d.random_bool(0.5),
-            tells_alike: d.random_bool(0.5),
-            ration: (!placing && d.random_bool(0.4)).then_some(ration),
+            reports_cold_starts: d.random_bool(0.5),
+            reports_concurrency: d.random_bool(0.5),
+            rate_limit: (!placing && d.random_bool(0.4)).then_some(ration),
         };
         let settings = Settings {
             front_ends: between(
@@ -293,13 +300,13 @@
             tick: pick(d, &[0, 1, 2, 5]) * MS,
             classes,
             limits,
-            rules,
+            slow_start: rules,
             loading,
-            prices: Prices {
-                probe: pick(d, &[0.0, 0.001, 0.01, 1.0]),
+            costs: Costs {
+                load_poll: pick(d, &[0.0, 0.001, 0.01, 1.0]),
             },
             zone: pick(d, &["", "z0", "z1", "elsewhere"]).to_string(),
-            list_on_request: d.random_bool(0.5),
+            watch_on_request: d.random_bool(0.5),
         };
         let silent = some(d, if muted { 1.0 } else { 0.3 }).filter(|_| zones > 1);
         let silent = silent.map(|from| (from, from + length / if muted { 2 } else { 3 }));
--- a/crates/pipithub-policy/tests/world/meter.rs
+++ b/crates/pipithub-policy/tests/world/meter.rs
@@ -101,7 +101,10 @@
         };
         let arrives = matches!(event, Event::Arrived(_));
         let chores = matches!(event, Event::Timer { token } if token >= CHORES_TOKEN);
-        let list = if let Event::List { entries, .. } = &event {
+        let list = if let Event::Endpoints {
+            endpoints: entries, ..
+        } = &event
+        {
             Some(entries.len())
         } else {
             None
--- a/crates/pipithub-policy/tests/world/mod.rs
+++ b/crates/pipithub-policy/tests/world/mod.rs
@@ -23,10 +23,10 @@
     Again(Request),
     Timer(u64),
     Streaming(RequestId),
-    Ends(RequestId, u32, Finished),
+    Ends(RequestId, u32, AttemptFinished),
     Left(RequestId),
     Probed(usize, bool),
-    Ordered(Ordered),
+    Ordered(LoadFinished),
     News,
     SeventhGone,
     SeventhBack,
@@ -34,9 +34,9 @@
 
 /// A worker as it is.
 struct Machine {
-    entry: Entry,
+    entry: Endpoint,
     /// Copies that stand or will, since when, and the calls of this front end there.
-    copies: BTreeMap<Function, Time>,
+    copies: BTreeMap<FunctionId, Time>,
     own: BTreeSet<(RequestId, u32)>,
 }
 
@@ -66,7 +66,7 @@
     sequence: u64,
     no_calls: bool,
     machines: Vec<Machine>,
-    index: BTreeMap<Worker, usize>,
+    index: BTreeMap<WorkerId, usize>,
     clients: BTreeMap<RequestId, Client>,
     calls: SmallRng,
     news: SmallRng,
@@ -150,16 +150,16 @@
 
     /// All workers as they stand, as the first list.
     pub fn complete(&self) -> Event {
-        let live = |m: &&Machine| m.entry.state != State::Gone;
+        let live = |m: &&Machine| m.entry.state != EndpointState::Removed;
         let entries = self
             .machines
             .iter()
             .filter(live)
             .map(|m| m.entry.clone())
             .collect();
-        Event::List {
-            kind: ListKind::Complete,
-            entries,
+        Event::Endpoints {
+            update: EndpointUpdate::Snapshot,
+            endpoints: entries,
         }
     }
 
@@ -167,9 +167,9 @@
     pub fn change_one(&mut self) -> Event {
         let one = self.news.random_range(0..self.machines.len());
         self.restart(one);
-        Event::List {
-            kind: ListKind::Changes,
-            entries: vec![self.machines[one].entry.clone()],
+        Event::Endpoints {
+            update: EndpointUpdate::Delta,
+            endpoints: vec![self.machines[one].entry.clone()],
         }
     }
 
@@ -178,7 +178,7 @@
         let which: Vec<usize> = (0..self.machines.len()).filter(|i| i % 7 == 3).collect();
         for i in &which {
             if gone {
-                self.machines[*i].entry.state = State::Gone;
+                self.machines[*i].entry.state = EndpointState::Removed;
             } else {
                 self.restart(*i);
             }
@@ -187,9 +187,9 @@
             .iter()
             .map(|i| self.machines[*i].entry.clone())
             .collect();
-        Event::List {
-            kind: ListKind::Changes,
-            entries,
+        Event::Endpoints {
+            update: EndpointUpdate::Delta,
+            endpoints: entries,
         }
     }
 
@@ -197,11 +197,11 @@
     pub fn answer(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
-                Action::Send {
+                Action::Forward {
                     request, worker, ..
                 } => self.sent(*request, worker),
                 Action::Cancel { request, attempt } => self.cancelled(*request, *attempt),
-                Action::Refuse {
+                Action::Reject {
                     request,
                     retry_after,
                 } => {
@@ -216,24 +216,25 @@
                     self.count("failed");
                     self.ended(*request, 30 * MS);
                 }
-                Action::Hold {
+                Action::LoadFunction {
                     worker,
                     function,
-                    copies,
+                    replicas: copies,
                 } => self.ordered(worker, *function, *copies),
-                Action::Drop { worker, function } => {
+                Action::EvictFunction { worker, function } => {
                     self.count("drop");
                     if let Some(i) = self.index.get(worker) {
                         self.machines[*i].copies.remove(function);
                     }
                 }
-                Action::Probe { worker } => {
+                Action::PollLoad { worker } => {
                     self.count("probe");
                     let Some(&i) = self.index.get(worker) else {
                         continue;
                     };
                     let mut dice = self.dice(3, i as u64, self.now);
-                    let gone = self.machines[i].entry.state == State::Gone || self.silent(i);
+                    let gone =
+                        self.machines[i].entry.state == EndpointState::Removed || self.silent(i);
                     let answered = !gone && dice.random_bool(self.day.probes);
                     // One that is not answered is told as such late, or never.
                     if answered || dice.random_bool(0.5) {
@@ -241,11 +242,11 @@
                         self.at(self.now + after, What::Probed(i, answered));
                     }
                 }
-                Action::Timer { after, token } => {
+                Action::SetTimer { after, token } => {
                     let late = self.dice(4, *token, self.now).random_range(0..4) * MS / 2;
                     self.at(self.now + *after + late, What::Timer(*token));
                 }
-                Action::FollowList => self.count("follow list"),
+                Action::WatchEndpoints => self.count("follow list"),
             }
         }
     }
@@ -302,7 +303,7 @@
                 client.over = true;
                 self.count("left");
                 self.forget(request);
-                Event::Left { request }
+                Event::ClientCancelled { request }
             }
             What::Probed(i, answered) => {
                 self.count(if answered {
@@ -313,15 +314,15 @@
                 let load = if answered {
                     self.load(i)
                 } else {
-                    Load::default()
+                    LoadReport::default()
                 };
-                Event::Probed {
+                Event::LoadPolled {
                     worker: self.machines[i].entry.worker.clone(),
                     answered,
-                    load,
+                    report: load,
                 }
             }
-            What::Ordered(reply) => Event::Ordered(reply),
+            What::Ordered(reply) => Event::LoadFinished(reply),
             What::News => {
                 let gap = self.day.changes / 2 + self.news.random_range(0..self.day.changes);
                 self.at(self.now + gap, What::News);
@@ -350,7 +351,7 @@
             .settings
             .classes
             .get(class)
-            .map_or(4_000 * MS, |c| c.give_up);
+            .map_or(4_000 * MS, |c| c.client_timeout);
         let mut dice = self.dice(1, function, 0);
         let (least, most) = self.day.load;
         let load_time = (dice.random_range(0.0..1.0) < self.day.told_load)
@@ -369,13 +370,13 @@
         self.next_id += 1;
         Request {
             id,
-            expected,
+            expected_work: expected,
             memory_mb,
-            lanes,
+            replica_concurrency: lanes,
             class,
             load_time,
-            function: Function(function),
-            budget,
+            function: FunctionId(function),
+            timeout: budget,
         }
     }
 
@@ -425,7 +426,7 @@
         (self.day.others * busy * present).floor()
     }
 
-    fn load(&self, machine: usize) -> Load {
+    fn load(&self, machine: usize) -> LoadReport {
         let mut dice = self.dice(7, machine as u64, self.now);
         let held = self.others(machine) + self.machines[machine].own.len() as f64;
         // A few tell nonsense.
@@ -435,16 +436,16 @@
             held
         };
         let busy = (held / 16.0).min(1.0);
-        Load {
-            held: dice.random_bool(0.9).then_some(held),
-            busy: dice.random_bool(0.9).then_some(busy),
-            memory_tied: None,
-            loads: None,
+        LoadReport {
+            in_flight: dice.random_bool(0.9).then_some(held),
+            cpu_utilization: dice.random_bool(0.9).then_some(busy),
+            pinned_memory: None,
+            pending_loads: None,
         }
     }
 
     /// A send: how and when its attempt ends.
-    fn sent(&mut self, request: RequestId, worker: &Worker) {
+    fn sent(&mut self, request: RequestId, worker: &WorkerId) {
         let Some(client) = self.clients.get_mut(&request) else {
             return;
         };
@@ -478,7 +479,7 @@
         }
         let mut load = None;
         let first = self.dice(9, i as u64, function.0).random_range(0.0..1.0) < day.warm;
-        let drained = machine.entry.started.is_some();
+        let drained = machine.entry.started_at.is_some();
         let copy = machine
             .copies
             .get(&function)
@@ -486,61 +487,69 @@
             .or((first && !drained).then_some(0));
         let copy = copy.filter(|_| !chance(&mut dice, day.gone));
         let bad = self.dice(10, i as u64, 0).random_range(0.0..1.0) < day.bad;
-        let mut note = Some(CopyNote::Warm);
-        let (outcome, took) =
-            if machine.entry.state == State::Gone || chance(&mut dice, day.unreachable) {
-                (Outcome::Unreachable, MS)
-            } else if self.silent(i) || chance(&mut dice, day.mute) {
+        let mut note = Some(ReplicaStatus::Warm);
+        let (outcome, took) = if machine.entry.state == EndpointState::Removed
+            || chance(&mut dice, day.unreachable)
+        {
+            (Outcome::Unreachable, MS)
+        } else if self.silent(i) || chance(&mut dice, day.mute) {
+            (
+                Outcome::TimedOut,
+                [1_500, 4_000, 60_000][dice.random_range(0..3)] * MS,
+            )
+        } else if chance(&mut dice, day.full) || held > day.cap {
+            (Outcome::Rejected, MS)
+        } else if bad && chance(&mut dice, 0.8) || chance(&mut dice, day.error) {
+            (Outcome::Error, (run * 0.2) as Time)
+        } else if chance(&mut dice, day.broken) {
+            (Outcome::ConnectionLost, (run * 0.5) as Time)
+        } else if let Some(ready) = copy {
+            let wait = ready.saturating_sub(now);
+            note = Some(if wait > 0 {
+                ReplicaStatus::LoadAwaited
+            } else {
+                ReplicaStatus::Warm
+            });
+            load = Some(ready);
+            (Outcome::Served, wait + run as Time)
+        } else if !day.settings.loading.loads_on_request {
+            (Outcome::NotLoaded, MS)
+        } else {
+            let (least, most) = day.load;
+            let usual =
+                load_time.unwrap_or_else(|| self.dice(1, function.0, 2).random_range(least..=most));
+            let takes = (usual as f64 * dice.random_range(0.8..1.5)) as Time;
+            if chance(&mut dice, day.load_fails) {
+                note = Some(ReplicaStatus::LoadFailed);
                 (
-                    Outcome::TimedOut,
-                    [1_500, 4_000, 60_000][dice.random_range(0..3)] * MS,
+                    [Outcome::Error, Outcome::NotLoaded][dice.random_range(0..2)],
+                    takes / 2,
                 )
-            } else if chance(&mut dice, day.full) || held > day.cap {
-                (Outcome::Full, MS)
-            } else if bad && chance(&mut dice, 0.8) || chance(&mut dice, day.error) {
-                (Outcome::Error, (run * 0.2) as Time)
-            } else if chance(&mut dice, day.broken) {
-                (Outcome::Broken, (run * 0.5) as Time)
-            } else if let Some(ready) = copy {
-                let wait = ready.saturating_sub(now);
-                note = Some(if wait > 0 {
-                    CopyNote::Waited
-                } else {
-                    CopyNote::Warm
-                });
-                load = Some(ready);
-                (Outcome::Served, wait + run as Time)
-            } else if !day.settings.loading.call_loads {
-                (Outcome::Absent, MS)
             } else {
-                let (least, most) = day.load;
-                let usual = load_time
-                    .unwrap_or_else(|| self.dice(1, function.0, 2).random_range(least..=most));
-                let takes = (usual as f64 * dice.random_range(0.8..1.5)) as Time;
-                if chance(&mut dice, day.load_fails) {
-                    note = Some(CopyNote::Failed);
-                    (
-                        [Outcome::Error, Outcome::Absent][dice.random_range(0..2)],
-                        takes / 2,
-                    )
-                } else {
-                    note = Some(CopyNote::Began);
-                    load = Some(now + takes);
-                    (Outcome::Served, takes + run as Time)
-                }
-            };
+                note = Some(ReplicaStatus::LoadStarted);
+                load = Some(now + takes);
+                (Outcome::Served, takes + run as Time)
+            }
+        };
         let tells = outcome != Outcome::TimedOut && chance(&mut dice, day.tells);
-        let end = Finished {
+        let end = AttemptFinished {
             request,
             attempt,
             worker: worker.clone(),
             outcome,
-            took,
+            elapsed: took,
             settled: false,
-            note: note.filter(|_| day.settings.loading.tells_cold && outcome != Outcome::TimedOut),
-            alike: (day.settings.loading.tells_alike && outcome == Outcome::Served)
+            replica_status: note.filter(|_| {
+                day.settings.loading.reports_cold_starts && outcome != Outcome::TimedOut
+            }),
+            function_concurrency: (day.settings.loading.reports_concurrency
+                && outcome == Outcome::Served)
                 .then_some(alike as u32),
-            load: if tells { self.load(i) } else { Load::default() },
+            load_report: if tells {
+                self.load(i)
+            } else {
+                LoadReport::default()
+            },
         };
         if outcome == Outcome::Served && chance(&mut dice, day.streams) {
             self.at(now + took / 2, What::Streaming(request));
@@ -553,7 +562,12 @@
     }
 
     /// An attempt ends, unless it has ended before.
-    fn ends(&mut self, request: RequestId, attempt: u32, mut end: Finished) -> Option<Event> {
+    fn ends(
+        &mut self,
+        request: RequestId,
+        attempt: u32,
+        mut end: AttemptFinished,
+    ) -> Option<Event> {
         let client = self.clients.get_mut(&request)?;
         let machine = client.out.remove(&attempt)?;
         client.over |= end.outcome == Outcome::Served;
@@ -563,21 +577,21 @@
         self.count(match end.outcome {
             Outcome::Served => "served",
             Outcome::Error => "error",
-            Outcome::Full => "full",
+            Outcome::Rejected => "full",
             Outcome::TimedOut => "timed out",
             Outcome::Unreachable => "unreachable",
-            Outcome::Broken => "broken",
+            Outcome::ConnectionLost => "broken",
             Outcome::Cancelled => "cancelled",
             Outcome::NotSent => "not sent",
-            Outcome::Absent => "absent",
+            Outcome::NotLoaded => "absent",
         });
-        match end.note {
-            Some(CopyNote::Began) => self.count("load begun"),
-            Some(CopyNote::Failed) => self.count("load failed"),
-            Some(CopyNote::Waited) => self.count("load awaited"),
+        match end.replica_status {
+            Some(ReplicaStatus::LoadStarted) => self.count("load begun"),
+            Some(ReplicaStatus::LoadFailed) => self.count("load failed"),
+            Some(ReplicaStatus::LoadAwaited) => self.count("load awaited"),
             _ => {}
         }
-        Some(Event::Finished(end))
+        Some(Event::AttemptFinished(end))
     }
 
     fn forget(&mut self, request: RequestId) {
@@ -601,7 +615,7 @@
         let Some(machine) = machine.filter(|_| dice.random_bool(self.day.stops)) else {
             return;
         };
-        let end = Finished {
+        let end = AttemptFinished {
             request,
             attempt,
             worker: self.machines[machine].entry.worker.clone(),
@@ -610,11 +624,11 @@
             } else {
                 Outcome::Cancelled
             },
-            took: dice.random_range(20..400) * MS,
+            elapsed: dice.random_range(20..400) * MS,
             settled: false,
-            note: None,
-            alike: None,
-            load: Load::default(),
+            replica_status: None,
+            function_concurrency: None,
+            load_report: LoadReport::default(),
         };
         self.at(self.now + MS, What::Ends(request, attempt, end));
     }
@@ -634,7 +648,7 @@
         self.forget(request);
     }
 
-    fn ordered(&mut self, worker: &Worker, function: Function, copies: u32) {
+    fn ordered(&mut self, worker: &WorkerId, function: FunctionId, copies: u32) {
         self.count("hold");
         let Some(&i) = self.index.get(worker) else {
             return;
@@ -650,12 +664,12 @@
         } else {
             dice.random_range(least..=most)
         };
-        let fails =
-            self.machines[i].entry.state == State::Gone || dice.random_bool(self.day.load_fails);
+        let fails = self.machines[i].entry.state == EndpointState::Removed
+            || dice.random_bool(self.day.load_fails);
         let outcome = match dice.random_range(0..4) {
             _ if !fails => Outcome::Served,
             0 => Outcome::Error,
-            1 => Outcome::Absent,
+            1 => Outcome::NotLoaded,
             2 => Outcome::Unreachable,
             _ => Outcome::TimedOut,
         };
@@ -668,12 +682,12 @@
         } else {
             copies + dice.random_range(0..2)
         };
-        let reply = Ordered {
+        let reply = LoadFinished {
             worker: worker.clone(),
             function,
             outcome,
-            took: takes,
-            copies: stand,
+            elapsed: takes,
+            replicas: stand,
         };
         self.at(self.now + takes, What::Ordered(reply));
     }
@@ -683,16 +697,16 @@
     fn new_machine(&mut self) -> usize {
         let (n, i) = (self.next_name, self.machines.len());
         self.next_name += 1;
-        let worker = Worker::new(&format!("10.{}.{}.{}:8080", n >> 16, n >> 8 & 255, n & 255));
+        let worker = WorkerId::new(&format!("10.{}.{}.{}:8080", n >> 16, n >> 8 & 255, n & 255));
         let mut dice = self.dice(2, n, 0);
         // Zones of unequal sizes: the first has the most.
         let zone = (dice.random_range(0.0..1.0f64).powf(1.5) * self.day.zones as f64) as usize;
         let started = (dice.random_range(0.0..1.0) < self.day.started || self.now > self.day.start)
             .then(|| self.now.saturating_sub(dice.random_range(0..3_000) * MS));
-        let entry = Entry {
+        let entry = Endpoint {
             worker: worker.clone(),
-            share: [0.0, 1.0, 2.0][dice.random_range(0..3)],
-            state: State::Live,
+            weight: [0.0, 1.0, 2.0][dice.random_range(0..3)],
+            state: EndpointState::Ready,
             zone: if self.day.zones > 0 {
                 format!("z{zone}")
             } else {
@@ -700,7 +714,7 @@
             },
             cell: dice.random_range(0..4),
             memory_mb: [0.0, 2_000.0, 16_000.0][dice.random_range(0..3)],
-            started,
+            started_at: started,
         };
         self.machines.push(Machine {
             entry,
@@ -715,7 +729,7 @@
     fn restart(&mut self, machine: usize) {
         let (m, now) = (&mut self.machines[machine], self.now);
         m.copies.clear();
-        (m.entry.state, m.entry.started) = (State::Live, Some(now));
+        (m.entry.state, m.entry.started_at) = (EndpointState::Ready, Some(now));
     }
 
     /// Something changes; what is told of it is a list of some kind.
@@ -727,12 +741,12 @@
                 _ => self.news.random_range(0..self.machines.len()),
             };
             match self.news.random_range(0..8) {
-                0 | 1 if self.day.odd => self.machines[i].entry.state = State::Draining,
-                2 => self.machines[i].entry.state = State::Gone,
+                0 | 1 if self.day.odd => self.machines[i].entry.state = EndpointState::Draining,
+                2 => self.machines[i].entry.state = EndpointState::Removed,
                 3 | 4 => self.restart(i),
                 5 if self.day.odd => self.machines[i].entry.zone = "z1".to_string(),
-                6 => self.machines[i].entry.share = 1.5,
-                _ => self.machines[i].entry.state = State::Live,
+                6 => self.machines[i].entry.weight = 1.5,
+                _ => self.machines[i].entry.state = EndpointState::Ready,
             }
             named.insert(i);
         }
@@ -741,16 +755,16 @@
         } else {
             11
         };
-        let mut entries: Vec<Entry> = named
+        let mut entries: Vec<Endpoint> = named
             .iter()
             .map(|i| self.machines[*i].entry.clone())
             .collect();
         match roll {
             0 => {
                 self.count("list lost");
-                Event::List {
-                    kind: ListKind::Lost,
-                    entries: Vec::new(),
+                Event::Endpoints {
+                    update: EndpointUpdate::Lost,
+                    endpoints: Vec::new(),
                 }
             }
             1 | 2 => {
@@ -760,47 +774,55 @@
             3 => {
                 // A stale one: some are missing.
                 self.count("list remembered");
-                let Event::List { mut entries, .. } = self.complete() else {
+                let Event::Endpoints {
+                    endpoints: mut entries,
+                    ..
+                } = self.complete()
+                else {
                     return self.complete();
                 };
                 entries.retain(|_| self.news.random_bool(0.8));
-                Event::List {
-                    kind: ListKind::Remembered,
-                    entries,
+                Event::Endpoints {
+                    update: EndpointUpdate::Cached,
+                    endpoints: entries,
                 }
             }
             4 | 5 => {
                 // The same worker twice, first as it was not; and one that nobody knows, gone.
                 self.count("list with one twice");
-                let stray = Entry {
-                    worker: Worker::new("nobody:1"),
-                    state: State::Gone,
-                    ..Entry::default()
+                let stray = Endpoint {
+                    worker: WorkerId::new("nobody:1"),
+                    state: EndpointState::Removed,
+                    ..Endpoint::default()
                 };
                 if let Some(first) = entries.first().cloned() {
-                    let states = [State::Live, State::Draining, State::Gone];
+                    let states = [
+                        EndpointState::Ready,
+                        EndpointState::Draining,
+                        EndpointState::Removed,
+                    ];
                     let state = states[self.news.random_range(0..3)];
                     let started = Some(self.now).filter(|_| self.news.random_bool(0.5));
                     entries.insert(
                         0,
-                        Entry {
+                        Endpoint {
                             state,
-                            started,
+                            started_at: started,
                             ..first
                         },
                     );
                 }
                 entries.push(stray);
-                Event::List {
-                    kind: ListKind::Changes,
-                    entries,
+                Event::Endpoints {
+                    update: EndpointUpdate::Delta,
+                    endpoints: entries,
                 }
             }
             _ => {
                 self.count("list of changes");
-                Event::List {
-                    kind: ListKind::Changes,
-                    entries,
+                Event::Endpoints {
+                    update: EndpointUpdate::Delta,
+                    endpoints: entries,
                 }
             }
         }
--- a/crates/pipithub-settings/src/read.rs
+++ b/crates/pipithub-settings/src/read.rs
@@ -10,7 +10,10 @@
 use pipithub_amqp::Login;
 use pipithub_consumer::Qos;
 use pipithub_consumer::message::Route;
-use pipithub_engine::policy::{Class, Effect, Group, Limits, Loading, Ration, Rules, Settings};
+use pipithub_engine::policy::{
+    Class, DeduplicationScope, FunctionLoading, Idempotency, Limits, LoadRateLimit, Settings,
+    SlowStart,
+};
 use pipithub_engine::{EngineSettings, Time};
 
 use crate::tenants::{self, Tenants};
@@ -309,7 +312,7 @@
         }
         worths.push(node.number("worth", 1.0, 0.0, 1e6));
         let class = class(&node);
-        names.push((name, class.effect == Effect::Keyed));
+        names.push((name, class.idempotency == Idempotency::WithKey));
         classes.push(class);
         node.finish();
     }
@@ -323,45 +326,49 @@
         names.push((String::new(), false));
         worths.push(1.0);
     }
-    let longest = classes.iter().map(|c| c.give_up).max().unwrap_or(SECOND);
+    let longest = classes
+        .iter()
+        .map(|c| c.client_timeout)
+        .max()
+        .unwrap_or(SECOND);
 
     let limits_node = root.one("limits").unwrap_or_else(nothing);
     let retry_after = limits_node.maybe_time("retry-after", MS, 3_600 * SECOND);
     let limits = Limits {
         max_attempts: limits_node.whole("attempts", 4, 1, 16) as u32,
         cancel: limits_node.flag("cancel", true),
-        probes: limits_node.flag("probes", true),
+        load_polls: limits_node.flag("probes", true),
         retry_after: retry_after.is_some(),
         max_retry_after: retry_after.unwrap_or(0),
     };
     limits_node.finish();
 
     let cold = root.one("cold-workers").unwrap_or_else(nothing);
-    let rules = Rules {
-        cold_from: cold.number("from", 1.0, 0.01, 1.0),
-        ramp: cold.time("ramp", 0, 0, 3_600 * SECOND),
-        fall_multiple: cold.number("multiple", 0.0, 0.0, 1_000.0),
-        fall_span: cold.time("span", 0, 0, 600 * SECOND),
+    let rules = SlowStart {
+        initial_weight: cold.number("from", 1.0, 0.01, 1.0),
+        window: cold.time("ramp", 0, 0, 3_600 * SECOND),
+        overload_factor: cold.number("multiple", 0.0, 0.0, 1_000.0),
+        overload_window: cold.time("span", 0, 0, 600 * SECOND),
     };
     cold.finish();
 
     let load = root.one("loading").unwrap_or_else(nothing);
     let ration = load.one("ration").map(|r| {
-        let ration = Ration {
+        let ration = LoadRateLimit {
             window: r.time("window", 5 * SECOND, 100 * MS, 3_600 * SECOND),
-            base: r.number("base", 3.0, 0.0, 1e6),
-            share: r.number("share", 0.15, 0.0, 100.0),
+            burst: r.number("base", 3.0, 0.0, 1e6),
+            per_request: r.number("share", 0.15, 0.0, 100.0),
         };
         r.finish();
         ration
     });
-    let loading = Loading {
-        orders: load.flag("orders", true),
-        call_loads: load.flag("call-loads", true),
+    let loading = FunctionLoading {
+        load_commands: load.flag("orders", true),
+        loads_on_request: load.flag("call-loads", true),
         keep_alive: load.time("keep-alive", 10 * SECOND, 100 * MS, 86_400 * SECOND),
-        tells_cold: load.flag("tells-cold", true),
-        tells_alike: load.flag("tells-alike", true),
-        ration,
+        reports_cold_starts: load.flag("tells-cold", true),
+        reports_concurrency: load.flag("tells-alike", true),
+        rate_limit: ration,
     };
     load.finish();
 
@@ -373,7 +380,7 @@
         tick,
         classes,
         limits,
-        rules,
+        slow_start: rules,
         loading,
         ..Settings::default()
     };
@@ -468,11 +475,11 @@
             .add(node.node.span(), "a class needs 'effect'", Some(help));
     }
     let effects = [
-        ("safe", Effect::Safe),
-        ("keyed", Effect::Keyed),
-        ("unsafe", Effect::Unsafe),
+        ("safe", Idempotency::Idempotent),
+        ("keyed", Idempotency::WithKey),
+        ("unsafe", Idempotency::NonIdempotent),
     ];
-    let effect = node.choice("effect", Effect::Unsafe, &effects);
+    let effect = node.choice("effect", Idempotency::NonIdempotent, &effects);
     let aim = node.time("aim", SECOND, MS, 3_600 * SECOND);
     let give_up = node.time("give-up", 4 * aim, MS, 3_600 * SECOND);
     if give_up < aim {
@@ -486,14 +493,14 @@
     let dedup = node.maybe_time("dedup-window", MS, 3_600 * SECOND);
     let group = node.choice(
         "group",
-        Group::All,
+        DeduplicationScope::All,
         &[
-            ("all", Group::All),
-            ("zone", Group::Zone),
-            ("cell", Group::Cell),
+            ("all", DeduplicationScope::All),
+            ("zone", DeduplicationScope::Zone),
+            ("cell", DeduplicationScope::Cell),
         ],
     );
-    if effect == Effect::Keyed && dedup.is_none() {
+    if effect == Idempotency::WithKey && dedup.is_none() {
         let help = "for how long workers drop repeats of a key; without it no repeat is harmless";
         node.faults.add(
             node.node.span(),
@@ -501,7 +508,7 @@
             Some(help),
         );
     }
-    if effect != Effect::Keyed && dedup.is_some() {
+    if effect != Idempotency::WithKey && dedup.is_some() {
         node.faults.add(
             node.node.span(),
             "only a keyed class has a 'dedup-window'",
@@ -511,13 +518,13 @@
     let late_worth = node.number("late-worth", 0.0, 0.0, 1.0);
     let aim_stretch = node.number("aim-stretch", 0.0, 0.0, 1_000.0);
     Class {
-        aim,
-        aim_stretch,
-        give_up,
-        late_worth,
-        effect,
-        group,
-        dedup_window: dedup.unwrap_or(0),
+        latency_objective: aim,
+        objective_per_work: aim_stretch,
+        client_timeout: give_up,
+        late_answer_weight: late_worth,
+        idempotency: effect,
+        deduplication_scope: group,
+        deduplication_window: dedup.unwrap_or(0),
     }
 }
 
--- a/crates/pipithub-settings/tests/settings.rs
+++ b/crates/pipithub-settings/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings files, good and bad.
 
-use pipithub_engine::policy::Effect;
+use pipithub_engine::policy::Idempotency;
 use pipithub_settings::{Config, WorkersConfig, duration};
 
 const GOOD: &str = r#"
@@ -34,12 +34,28 @@
         .policy
         .classes
         .iter()
-        .map(|c| c.effect)
+        .map(|c| c.idempotency)
         .collect();
-    assert_eq!(effects, [Effect::Safe, Effect::Unsafe, Effect::Keyed]);
-    assert_eq!(config.engine.policy.classes[1].aim, 750_000_000);
     assert_eq!(
-        config.engine.policy.loading.ration.as_ref().map(|r| r.base),
+        effects,
+        [
+            Idempotency::Idempotent,
+            Idempotency::NonIdempotent,
+            Idempotency::WithKey
+        ]
+    );
+    assert_eq!(
+        config.engine.policy.classes[1].latency_objective,
+        750_000_000
+    );
+    assert_eq!(
+        config
+            .engine
+            .policy
+            .loading
+            .rate_limit
+            .as_ref()
+            .map(|r| r.burst),
         Some(3.0)
     );
     assert_eq!(config.amqp[0].addresses.len(), 2);
--- a/crates/pipithub-standin/src/list.rs
+++ b/crates/pipithub-standin/src/list.rs
@@ -16,8 +16,8 @@
 use hyper_util::rt::TokioIo;
 use pipithub_check::record::Seen;
 use pipithub_endpoints::object::{
-    Conditions, Endpoint, EndpointPort, EndpointSlice, EndpointSliceList, ListMeta, ObjectMeta,
-    TargetRef,
+    Conditions, EndpointPort, EndpointSlice, EndpointSliceList, ListMeta, ObjectMeta,
+    SliceEndpoint, TargetRef,
 };
 use pipithub_endpoints::{MEMORY, STARTED};
 use serde::{Deserialize, Serialize};
@@ -81,7 +81,7 @@
                 annotations: Some(annotations),
             },
             address_type: "IPv4".into(),
-            endpoints: vec![Endpoint {
+            endpoints: vec![SliceEndpoint {
                 addresses: vec![self.ip.clone()],
                 conditions,
                 zone: Some(self.zone.clone()).filter(|z| !z.is_empty()),
