--- a/crates/pipithub-gateway/src/directory.rs
+++ b/crates/pipithub-gateway/src/directory.rs
@@ -17,6 +17,7 @@
 use pipithub_ldap::sync::{self, Info, State};
 use pipithub_ldap::{Client, ClientSettings, Event, Search, SearchId as Asked, dn, filter};
 use pipithub_settings::{DirectoryConfig, TenantsConfig, Tls};
+use pipithub_storage::{Durability, Saver, SystemFiles, Target};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
@@ -100,7 +101,9 @@
     let roster = publisher.newest();
     let (wants, inputs) = mpsc::channel(WANTS);
     let (words, heard) = mpsc::channel(WANTS);
-    let shell = Shell { core, config, clock, publisher, words, links: BTreeMap::new(), file };
+    let saver =
+        file.map(|file| Arc::new(Saver::start(Arc::new(SystemFiles), Target::new(file, Durability::Synced))));
+    let shell = Shell { core, config, clock, publisher, words, links: BTreeMap::new(), saver };
     tasks.spawn(shell.run(inputs, wants.clone(), front_end.to_string()));
     Handle { roster, wants, words: heard }
 }
@@ -128,7 +131,8 @@
     publisher: Publisher,
     words: mpsc::Sender<Word>,
     links: BTreeMap<(usize, usize), mpsc::Sender<Command>>,
-    file: Option<std::path::PathBuf>,
+    /// Saves snapshots, where there are any.
+    saver: Option<Arc<Saver>>,
 }
 
 enum Command {
@@ -248,28 +252,16 @@
 
     /// Writes a snapshot off the path: the roster is shared, not copied.
     fn keep(&self) -> Option<tokio::task::JoinHandle<()>> {
-        let (file, config) = (self.file.clone()?, self.config.clone());
+        let (saver, config) = (self.saver.clone()?, self.config.clone());
         let (roster, now) = (self.core.roster().clone(), self.clock.now());
         Some(tokio::task::spawn_blocking(move || {
             let Some(settings) = &config.snapshot else { return };
             let bytes = snapshot::write(&roster, now, wall_ms() as i64, fingerprint(&config), &settings.key);
-            if let Err(error) = replace(&file, &bytes) {
-                warn!(file = %file.display(), %error, "snapshot not written; the one before stays");
-            }
+            saver.save(now, bytes);
         }))
     }
 }
 
-/// Writes a file whole or not at all.
-fn replace(file: &Path, bytes: &[u8]) -> std::io::Result<()> {
-    use std::io::Write;
-    let new = file.with_extension("new");
-    let mut out = std::fs::File::create(&new)?;
-    out.write_all(bytes)?;
-    out.sync_all()?;
-    std::fs::rename(&new, file)
-}
-
 // ---- connections ----
 
 trait Transport: AsyncRead + AsyncWrite + Unpin + Send {}
--- a/crates/pipithub-gateway/src/lib.rs
+++ b/crates/pipithub-gateway/src/lib.rs
@@ -5,6 +5,7 @@
 //! happened and carry out what it says. They decide nothing.
 
 mod amqp;
+pub mod connect;
 mod cron;
 pub mod directory;
 mod front;
--- a/crates/pipithub-gateway/src/list.rs
+++ b/crates/pipithub-gateway/src/list.rs
@@ -1,6 +1,7 @@
 //! The worker list over HTTP: list, then watch, and again.
 
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
+use std::sync::Arc;
 use std::time::Duration;
 
 use bytes::{Buf, Bytes, BytesMut};
@@ -13,6 +14,7 @@
 use pipithub_endpoints::{Step, Watcher};
 use pipithub_engine::Input;
 use pipithub_engine::policy::{Entry, ListKind};
+use pipithub_storage::{Durability, Saver, SystemFiles, Target};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 use tracing::{info, warn};
@@ -45,11 +47,11 @@
     }
 }
 
-/// Written beside and moved into place: a process that dies meanwhile leaves the old one whole.
-async fn keep(path: &Path, text: String) -> std::io::Result<()> {
-    let beside = path.with_extension("new");
-    tokio::fs::write(&beside, text).await?;
-    tokio::fs::rename(&beside, path).await
+/// Saves the remembered list. All front ends of a process write the same file, each by a temporary file of its own.
+fn start_saver(settings: &ListSettings) -> Option<Saver> {
+    let path = settings.remember.as_ref()?;
+    let target = Target::shared(path, &settings.front_end, Durability::Synced);
+    Some(Saver::start(Arc::new(SystemFiles), target))
 }
 
 async fn get(settings: &ListSettings, query: &str) -> Result<Response<Incoming>, String> {
@@ -83,13 +85,15 @@
 /// Follows the list for ever. What is known stays while the server cannot be reached.
 pub(crate) async fn run(settings: ListSettings, inputs: mpsc::Sender<Input>, clock: Clock, seed: u64) {
     let mut watcher = Watcher::new(settings.port.clone());
+    let saver = start_saver(&settings);
+    let saver = saver.as_ref();
     let mut backoff = Backoff::new(100 * MS, 5_000 * MS, 2_000 * MS, seed);
     loop {
         let ended = if watcher.version().is_none() {
-            list(&settings, &mut watcher, &inputs, clock).await
+            list(&settings, &mut watcher, &inputs, saver, clock).await
         } else {
             backoff.up(clock.now());
-            watch(&settings, &mut watcher, &inputs, clock).await
+            watch(&settings, &mut watcher, &inputs, saver, clock).await
         };
         if inputs.is_closed() {
             return;
@@ -106,6 +110,7 @@
     settings: &ListSettings,
     watcher: &mut Watcher,
     inputs: &mpsc::Sender<Input>,
+    saver: Option<&Saver>,
     clock: Clock,
 ) -> Result<(), String> {
     let answer = get(settings, "").await?;
@@ -117,23 +122,21 @@
         return Err("the list has no resourceVersion to watch from".into());
     }
     info!(front_end = settings.front_end, workers = entries.len(), live = watcher.live(), "worker list");
-    told(settings, watcher, inputs, clock, ListKind::Complete, entries).await;
+    told(watcher, inputs, saver, clock, ListKind::Complete, entries).await;
     Ok(())
 }
 
 async fn told(
-    settings: &ListSettings,
     watcher: &Watcher,
     inputs: &mpsc::Sender<Input>,
+    saver: Option<&Saver>,
     clock: Clock,
     kind: ListKind,
     entries: Vec<Entry>,
 ) {
     let _ = inputs.send(Input::Workers { kind, entries }).await;
-    if let Some(path) = &settings.remember
-        && let Err(error) = keep(path, watcher.remembered(clock.now(), wall_ms())).await
-    {
-        warn!(path = %path.display(), %error, "the list is not kept");
+    if let Some(saver) = saver {
+        saver.save(clock.now(), watcher.remembered(clock.now(), wall_ms()).into_bytes());
     }
 }
 
@@ -141,6 +144,7 @@
     settings: &ListSettings,
     watcher: &mut Watcher,
     inputs: &mpsc::Sender<Input>,
+    saver: Option<&Saver>,
     clock: Clock,
 ) -> Result<(), String> {
     let version = watcher.version().unwrap_or_default();
@@ -178,7 +182,7 @@
             }
             match watcher.line(clock.now(), wall_ms(), &line) {
                 Ok(Step::Changes(changes)) => {
-                    told(settings, watcher, inputs, clock, ListKind::Changes, changes).await;
+                    told(watcher, inputs, saver, clock, ListKind::Changes, changes).await;
                 }
                 Ok(Step::Nothing) => {}
                 Ok(Step::Expired) => return Ok(()),
--- a/crates/pipithub-gateway/src/workers.rs
+++ b/crates/pipithub-gateway/src/workers.rs
@@ -16,6 +16,8 @@
 use tokio::net::TcpStream;
 use tokio::sync::oneshot;
 
+use crate::connect::{ConnectFailure, connect_by};
+
 /// A connection and the task that moves its bytes; dropped, it is closed, so that a worker sees when nobody waits.
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
@@ -37,13 +39,26 @@
 }
 
 /// How an exchange failed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Failed {
-    /// Nothing of it was sent.
+    /// The worker took no connection, or none that lasted: nothing of it was sent.
+    Unreachable,
+    /// This machine could not make a connection, or the deadline was reached before: nothing of it was sent, and nothing
+    /// is known of the worker.
     NotSent,
     /// It was sent, at least in part.
     Broken,
 }
 
+impl From<ConnectFailure> for Failed {
+    fn from(failure: ConnectFailure) -> Self {
+        match failure {
+            ConnectFailure::Peer => Failed::Unreachable,
+            ConnectFailure::Local => Failed::NotSent,
+        }
+    }
+}
+
 struct Answer {
     status: u16,
     headers: hyper::HeaderMap,
@@ -85,29 +100,46 @@
         }
     }
 
-    async fn connect(&self, worker: &Worker) -> Option<Connection> {
-        let connect = async {
-            let stream = TcpStream::connect(&*worker.0).await.ok()?;
-            stream.set_nodelay(true).ok()?;
-            let (sender, connection) =
-                hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.ok()?;
-            let task = tokio::spawn(async move { drop(connection.await) });
-            Some(Connection { sender, task })
-        };
+    async fn connect(&self, worker: &Worker) -> Result<Connection, Failed> {
         let most = std::time::Duration::from_nanos(self.config.connect_timeout);
-        tokio::time::timeout(most, connect).await.ok().flatten()
+        let give_up = tokio::time::Instant::now() + most;
+        let stream = connect_by(give_up, || TcpStream::connect(&*worker.0)).await?;
+        stream.set_nodelay(true).map_err(|_| Failed::Unreachable)?;
+        let (sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
+            .await
+            .map_err(|_| Failed::Unreachable)?;
+        let task = tokio::spawn(async move { drop(connection.await) });
+        Ok(Connection { sender, task })
     }
 
     /// One exchange. A pooled connection that its worker had closed before anything was sent is passed over; what may
     /// have been sent is never sent again here.
-    async fn exchange(&self, worker: &Worker, request: WorkerRequest, body: Bytes) -> Result<Answer, Failed> {
+    ///
+    /// Where there is a deadline, the worker is told what is left of it when the request is put on a connection.
+    async fn exchange(
+        &self,
+        worker: &Worker,
+        mut request: WorkerRequest,
+        body: Bytes,
+        deadline: Option<Time>,
+    ) -> Result<Answer, Failed> {
         loop {
             let pooled = self.take(worker);
             let fresh = pooled.is_none();
             let mut connection = match pooled {
                 Some(connection) => connection,
-                None => self.connect(worker).await.ok_or(Failed::NotSent)?,
+                None => self.connect(worker).await?,
             };
+            if connection.sender.ready().await.is_err() {
+                if fresh {
+                    return Err(Failed::Unreachable);
+                }
+                continue;
+            }
+            if let Some(deadline) = deadline {
+                let left = deadline.saturating_sub(self.clock.now());
+                request.set_timeout(left).map_err(|_| Failed::NotSent)?;
+            }
             let mut builder =
                 Request::builder().method(if request.get { "GET" } else { "POST" }).uri(&request.path);
             builder = builder.header("host", &*worker.0);
@@ -115,18 +147,12 @@
                 builder = builder.header(*name, value);
             }
             let built = builder.body(Full::new(body.clone())).map_err(|_| Failed::NotSent)?;
-            if connection.sender.ready().await.is_err() {
-                if fresh {
-                    return Err(Failed::NotSent);
-                }
-                continue;
-            }
             let response: Response<hyper::body::Incoming> =
                 match connection.sender.try_send_request(built).await {
                     Ok(response) => response,
                     // The message comes back only where no byte of it was written.
                     Err(mut error) => match error.take_message() {
-                        Some(_) if fresh => return Err(Failed::NotSent),
+                        Some(_) if fresh => return Err(Failed::Unreachable),
                         Some(_) => continue,
                         None => return Err(Failed::Broken),
                     },
@@ -151,12 +177,13 @@
         let began = self.clock.now();
         let left = deadline.saturating_sub(began);
         let request = pipithub_inference::infer(call, id, &self.front_end, left);
-        let exchange = self.exchange(worker, request, call.body.clone());
+        let exchange = self.exchange(worker, request, call.body.clone(), Some(deadline));
         let ended = tokio::select! {
             biased;
             answer = exchange => match answer {
                 Ok(answer) => Ok(answer),
-                Err(Failed::NotSent) => Err(Outcome::Unreachable),
+                Err(Failed::Unreachable) => Err(Outcome::Unreachable),
+                Err(Failed::NotSent) => Err(Outcome::NotSent),
                 Err(Failed::Broken) => Err(Outcome::Broken),
             },
             () = self.clock.sleep_until(Some(deadline)) => Err(Outcome::TimedOut),
@@ -192,10 +219,11 @@
         let began = self.clock.now();
         let request = pipithub_inference::order(name, copies, &self.front_end);
         let most = std::time::Duration::from_nanos(self.config.order_timeout);
-        let answer = tokio::time::timeout(most, self.exchange(&worker, request, Bytes::new())).await;
+        let answer = tokio::time::timeout(most, self.exchange(&worker, request, Bytes::new(), None)).await;
         let (outcome, copies) = match answer {
             Err(_) => (Outcome::TimedOut, 0),
-            Ok(Err(Failed::NotSent)) => (Outcome::Unreachable, 0),
+            Ok(Err(Failed::Unreachable)) => (Outcome::Unreachable, 0),
+            Ok(Err(Failed::NotSent)) => (Outcome::NotSent, 0),
             Ok(Err(Failed::Broken)) => (Outcome::Broken, 0),
             Ok(Ok(answer)) => pipithub_inference::order_outcome(answer.status, |name| answer.header(name)),
         };
@@ -206,14 +234,14 @@
     pub(crate) async fn unload(&self, worker: Worker, name: &str) {
         let request = pipithub_inference::order(name, 0, &self.front_end);
         let most = std::time::Duration::from_nanos(self.config.order_timeout);
-        let _ = tokio::time::timeout(most, self.exchange(&worker, request, Bytes::new())).await;
+        let _ = tokio::time::timeout(most, self.exchange(&worker, request, Bytes::new(), None)).await;
     }
 
     /// Asks a worker for its load.
     pub(crate) async fn probe(&self, worker: Worker) -> ProbeEnd {
         let most = std::time::Duration::from_nanos(self.config.probe_timeout);
         let request = pipithub_inference::probe(&self.front_end);
-        let answer = tokio::time::timeout(most, self.exchange(&worker, request, Bytes::new())).await;
+        let answer = tokio::time::timeout(most, self.exchange(&worker, request, Bytes::new(), None)).await;
         match answer {
             Ok(Ok(answer)) if answer.status == 200 => {
                 let load = answer.header(header::LOAD).map(pipithub_inference::load).unwrap_or_default();
