--- a/crates/pipithub-gateway/src/workers.rs
+++ b/crates/pipithub-gateway/src/workers.rs
@@ -175,8 +175,7 @@
         cancelled: oneshot::Receiver<()>,
     ) -> AttemptEnd {
         let began = self.clock.now();
-        let left = deadline.saturating_sub(began);
-        let request = pipithub_inference::infer(call, id, &self.front_end, left);
+        let request = pipithub_inference::infer(call, id, &self.front_end);
         let exchange = self.exchange(worker, request, call.body.clone(), Some(deadline));
         let ended = tokio::select! {
             biased;
--- a/crates/pipithub-inference/src/lib.rs
+++ b/crates/pipithub-inference/src/lib.rs
@@ -115,10 +115,9 @@
     }
 }
 
-/// The request of an attempt; `left`: how long an answer is of use.
-pub fn infer(call: &Call, id: AttemptId, front_end: &str, left: Time) -> WorkerRequest {
+/// The request of an attempt; [`WorkerRequest::set_timeout`] is due before it is written.
+pub fn infer(call: &Call, id: AttemptId, front_end: &str) -> WorkerRequest {
     let mut headers = vec![
-        (header::TIMEOUT, (left / NANOSECONDS_PER_MILLISECOND).to_string()),
         (header::ATTEMPT, id.number.to_string()),
         (header::FRONT_END, value(front_end)),
         (header::MEMORY, call.memory_mb.to_string()),
@@ -308,7 +307,8 @@
     fn any_name_makes_a_path_and_comes_back() {
         for name in ["resnet", "../admin", "a b/ü%", "", ".", "x?y#z"] {
             let call = Call { function: name.into(), label: Some("ü\r\nx: y".into()), ..Call::default() };
-            let request = infer(&call, AttemptId { request: 1, number: 2 }, "fe", 1_500_000);
+            let mut request = infer(&call, AttemptId { request: 1, number: 2 }, "fe");
+            assert_eq!(request.set_timeout(1_500_000), Ok(()));
             let segment = request.path.strip_prefix("/v2/models/").and_then(|p| p.strip_suffix("/infer"));
             let segment = segment.expect("one segment");
             assert!(!segment.contains(['/', '?', '#', ' ']) && segment != ".." && segment != ".");
--- a/crates/pipithub-inference/tests/timeout.rs
+++ b/crates/pipithub-inference/tests/timeout.rs
@@ -5,8 +5,8 @@
 
 const MILLISECOND: u64 = 1_000_000;
 
-fn request(left: u64) -> WorkerRequest {
-    infer(&Call { function: "f".into(), ..Call::default() }, AttemptId { request: 1, number: 0 }, "fe", left)
+fn request() -> WorkerRequest {
+    infer(&Call { function: "f".into(), ..Call::default() }, AttemptId { request: 1, number: 0 }, "fe")
 }
 
 fn timeouts(request: &WorkerRequest) -> Vec<&str> {
@@ -15,7 +15,8 @@
 
 #[test]
 fn a_request_that_waited_tells_what_is_left_then() {
-    let mut request = request(1_500 * MILLISECOND);
+    let mut request = request();
+    assert_eq!(request.set_timeout(1_500 * MILLISECOND), Ok(()));
     assert_eq!(request.set_timeout(1_260 * MILLISECOND), Ok(()));
     assert_eq!(timeouts(&request), ["1260"], "told once, with the newer figure");
     assert_eq!(request.set_timeout(900 * MILLISECOND + 999_999), Ok(()));
@@ -25,9 +26,9 @@
 #[test]
 fn a_request_with_nothing_left_to_tell_is_refused() {
     for left in [0, 1, MILLISECOND - 1] {
-        assert_eq!(request(MILLISECOND).set_timeout(left), Err(DeadlineReached), "{left} ns");
+        assert_eq!(request().set_timeout(left), Err(DeadlineReached), "{left} ns");
     }
-    let mut request = request(MILLISECOND);
+    let mut request = request();
     assert_eq!(request.set_timeout(MILLISECOND), Ok(()));
     assert_eq!(timeouts(&request), ["1"]);
 }
