--- a/crates/pipithub-node/src/shell.rs
+++ b/crates/pipithub-node/src/shell.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::future::Future;
-use std::io;
+use std::io::{self, Read};
 use std::net::{Shutdown, SocketAddr};
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use bytes::{Buf, BytesMut};
-use pipithub_clock::Clock;
+use pipithub_clock::{Clock, wall_ns};
 use pipithub_engine::Time;
 use pipithub_platform::config::NodeConfig;
 use socket2::SockRef;
@@ -299,15 +299,17 @@
     fn retire(&self, now: Time, conn: ConnId) {
         let Some(socket) = self.sockets.borrow().get(&conn).cloned() else { return };
         let (mut bytes, mut core) = (vec![0; READ], self.core.borrow_mut());
+        // From the system itself: the poller may not have told of the last bytes yet.
+        let system = SockRef::from(&socket.stream);
         for _ in 0..LAST_READS {
-            if socket.peer_closed() {
+            let (count, end) = sockets::read_now(&mut bytes, |buffer| (&*system).read(buffer));
+            if socket.peer_closed() || end == TransferEnd::Ended {
                 // Nobody waits for what it asked.
                 break;
             }
-            match socket.stream.try_read(&mut bytes) {
-                Ok(n) if n > 0 => core.client_bytes(now, conn, &bytes[..n]),
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                _ => break,
+            core.client_bytes(now, conn, &bytes[..count]);
+            if end != TransferEnd::Complete {
+                break;
             }
         }
         core.retire(now, conn);
@@ -623,7 +625,7 @@
         let names = config.site.names.clone();
         let told = shell.clone();
         tokio::task::spawn_local(coordinator::follow(followed, last, names, config.seed, move |event| {
-            told.with(|core, now| core.list(now, &event));
+            told.with(|core, now| core.list_at(now, wall_ns(), &event));
         }));
         let address = listener.local_addr().map_or_else(|e| e.to_string(), |a| a.to_string());
         let accepting = tokio::task::spawn_local(shell.clone().accept(listener));
