--- a/crates/pipithub-inference/src/lib.rs
+++ b/crates/pipithub-inference/src/lib.rs
@@ -8,7 +8,7 @@
 
 use std::borrow::Cow;
 
-use pipithub_engine::policy::{LoadReport, Outcome, ReplicaStatus};
+use pipithub_engine::policy::{ReplicaStatus, LoadReport, Outcome};
 use pipithub_engine::{AttemptId, Call, Time};
 use serde::{Deserialize, Serialize};
 
@@ -116,13 +116,9 @@
     }
 }
 
-/// The request of an attempt; `left`: how long an answer is of use.
-pub fn infer(call: &Call, id: AttemptId, front_end: &str, left: Time) -> WorkerRequest {
+/// The request of an attempt; [`WorkerRequest::set_timeout`] is due before it is written.
+pub fn infer(call: &Call, id: AttemptId, front_end: &str) -> WorkerRequest {
     let mut headers = vec![
-        (
-            header::TIMEOUT,
-            (left / NANOSECONDS_PER_MILLISECOND).to_string(),
-        ),
         (header::ATTEMPT, id.number.to_string()),
         (header::FRONT_END, value(front_end)),
         (header::MEMORY, call.memory_mb.to_string()),
@@ -342,10 +338,7 @@
                 ),
             ],
         );
-        assert_eq!(
-            (told.note, told.alike),
-            (Some(ReplicaStatus::LoadStarted), Some(3))
-        );
+        assert_eq!((told.note, told.alike), (Some(ReplicaStatus::LoadStarted), Some(3)));
         let load = LoadReport {
             in_flight: Some(7.0),
             cpu_utilization: Some(0.5),
@@ -363,15 +356,15 @@
                 label: Some("ü\r\nx: y".into()),
                 ..Call::default()
             };
-            let request = infer(
+            let mut request = infer(
                 &call,
                 AttemptId {
                     request: 1,
                     number: 2,
                 },
                 "fe",
-                1_500_000,
             );
+            assert_eq!(request.set_timeout(1_500_000), Ok(()));
             let segment = request
                 .path
                 .strip_prefix("/v2/models/")
--- a/crates/pipithub-inference/tests/timeout.rs
+++ b/crates/pipithub-inference/tests/timeout.rs
@@ -5,7 +5,7 @@
 
 const MILLISECOND: u64 = 1_000_000;
 
-fn request(left: u64) -> WorkerRequest {
+fn request() -> WorkerRequest {
     infer(
         &Call {
             function: "f".into(),
@@ -16,7 +16,6 @@
             number: 0,
         },
         "fe",
-        left,
     )
 }
 
@@ -31,7 +30,8 @@
 
 #[test]
 fn a_request_that_waited_tells_what_is_left_then() {
-    let mut request = request(1_500 * MILLISECOND);
+    let mut request = request();
+    assert_eq!(request.set_timeout(1_500 * MILLISECOND), Ok(()));
     assert_eq!(request.set_timeout(1_260 * MILLISECOND), Ok(()));
     assert_eq!(
         timeouts(&request),
@@ -46,12 +46,12 @@
 fn a_request_with_nothing_left_to_tell_is_refused() {
     for left in [0, 1, MILLISECOND - 1] {
         assert_eq!(
-            request(MILLISECOND).set_timeout(left),
+            request().set_timeout(left),
             Err(DeadlineReached),
             "{left} ns"
         );
     }
-    let mut request = request(MILLISECOND);
+    let mut request = request();
     assert_eq!(request.set_timeout(MILLISECOND), Ok(()));
     assert_eq!(timeouts(&request), ["1"]);
 }
