--- a/crates/pipithub-gateway/src/lib.rs
+++ b/crates/pipithub-gateway/src/lib.rs
@@ -11,6 +11,7 @@
 mod front;
 mod list;
 pub mod schedule;
+pub mod seed;
 mod tenancy;
 mod workers;
 
@@ -79,9 +80,7 @@
     ) {
         let clock = Clock::default();
         let pool = Arc::new(workers::Pool::new(name, config.http, clock));
-        let seed = name.bytes().fold(u64::from(std::process::id()), |h, b| {
-            h.wrapping_mul(31) + u64::from(b)
-        });
+        let seed = seed::random_seed();
         let (mut front, inputs) =
             front::Front::new(name, config, clock, seed, pool.clone(), baseline);
         if let Some(tenants) = &config.tenants {
--- a/crates/pipithub-gateway/src/list.rs
+++ b/crates/pipithub-gateway/src/list.rs
@@ -35,7 +35,10 @@
 }
 
 /// The list as it was when the process last ran.
-pub(crate) fn recall(settings: &ListSettings, clock: Clock) -> Option<(EndpointUpdate, Vec<Endpoint>)> {
+pub(crate) fn recall(
+    settings: &ListSettings,
+    clock: Clock,
+) -> Option<(EndpointUpdate, Vec<Endpoint>)> {
     let path = settings.remember.as_ref()?;
     let text = std::fs::read_to_string(path).ok()?;
     match pipithub_endpoints::recall(&text, clock.now(), wall_ms()) {
@@ -153,7 +156,15 @@
         live = watcher.live(),
         "worker list"
     );
-    told(watcher, inputs, saver, clock, EndpointUpdate::Snapshot, entries).await;
+    told(
+        watcher,
+        inputs,
+        saver,
+        clock,
+        EndpointUpdate::Snapshot,
+        entries,
+    )
+    .await;
     Ok(())
 }
 
@@ -221,7 +232,15 @@
             }
             match watcher.line(clock.now(), wall_ms(), &line) {
                 Ok(Step::Changes(changes)) => {
-                    told(watcher, inputs, saver, clock, EndpointUpdate::Delta, changes).await;
+                    told(
+                        watcher,
+                        inputs,
+                        saver,
+                        clock,
+                        EndpointUpdate::Delta,
+                        changes,
+                    )
+                    .await;
                 }
                 Ok(Step::Nothing) => {}
                 Ok(Step::Expired) => return Ok(()),
--- a/crates/pipithub-inference/src/lib.rs
+++ b/crates/pipithub-inference/src/lib.rs
@@ -8,7 +8,7 @@
 
 use std::borrow::Cow;
 
-use pipithub_engine::policy::{ReplicaStatus, LoadReport, Outcome};
+use pipithub_engine::policy::{LoadReport, Outcome, ReplicaStatus};
 use pipithub_engine::{AttemptId, Call, Time};
 use serde::{Deserialize, Serialize};
 
@@ -338,7 +338,10 @@
                 ),
             ],
         );
-        assert_eq!((told.note, told.alike), (Some(ReplicaStatus::LoadStarted), Some(3)));
+        assert_eq!(
+            (told.note, told.alike),
+            (Some(ReplicaStatus::LoadStarted), Some(3))
+        );
         let load = LoadReport {
             in_flight: Some(7.0),
             cpu_utilization: Some(0.5),
