--- a/crates/pipithub-consumer/src/message.rs
+++ b/crates/pipithub-consumer/src/message.rs
@@ -153,21 +153,21 @@
     let call = Call {
         function,
         class,
-        budget: client_wait.map(|wait| wait.saturating_sub(waited)),
+        timeout: client_wait.map(|wait| wait.saturating_sub(waited)),
         waited,
         age: sent
             .earliest_ms
             .and_then(|sent_ms| arrival.max_age(sent_ms)),
-        expected: headers.span("pipithub-expected-ms")?.or(route.expected),
+        expected_work: headers.span("pipithub-expected-ms")?.or(route.expected),
         memory_mb: headers
             .number("pipithub-memory-mb")?
             .unwrap_or(route.memory_mb),
-        lanes: lanes.max(1),
+        replica_concurrency: lanes.max(1),
         load_time: headers.span("pipithub-load-ms")?.or(route.load_time),
         label: message_id
             .or(properties.correlation_id.as_deref())
             .map(Into::into),
-        key,
+        idempotency_key: key,
         content_type: properties.content_type.as_deref().map(Into::into),
         body: content.body.clone(),
         tenant: route.tenant,
--- a/crates/pipithub-consumer/tests/message.rs
+++ b/crates/pipithub-consumer/tests/message.rs
@@ -50,7 +50,7 @@
 
 #[test]
 fn time_left_is_worked_out_from_when_it_was_sent() {
-    let budget = |change: fn(&mut Properties)| read_it(change).expect("readable").call.budget;
+    let budget = |change: fn(&mut Properties)| read_it(change).expect("readable").call.timeout;
     assert_eq!(budget(|_| {}), None);
     assert_eq!(
         budget(|p| p.expiration = Some(ShortStr::truncated("900"))),
@@ -87,7 +87,7 @@
         p.expiration = Some(ShortStr::truncated("2000"));
     });
     let call = read.expect("readable").call;
-    assert_eq!(call.budget, Some((2000 - 501) * MS));
+    assert_eq!(call.timeout, Some((2000 - 501) * MS));
     assert_eq!(call.waited, 501 * MS);
     assert_eq!(call.age, Some(1500 * MS));
 }
@@ -114,7 +114,10 @@
     });
     let named = named.expect("readable");
     assert_eq!(
-        (named.identity.as_deref(), named.call.key.as_deref()),
+        (
+            named.identity.as_deref(),
+            named.call.idempotency_key.as_deref()
+        ),
         (Some("q\0m"), Some("m"))
     );
     let by_reply = read_it(|p| {
--- a/crates/pipithub-consumer/tests/with_broker.rs
+++ b/crates/pipithub-consumer/tests/with_broker.rs
@@ -14,7 +14,7 @@
     Settings, WorkerId,
 };
 use pipithub_engine::{
-    AttemptEnd, AttemptId, Engine, EngineSettings, Input, Output, Served, SourceId, Time,
+    AttemptId, AttemptResult, Engine, EngineSettings, Input, Output, Served, SourceId, Time,
 };
 use pipithub_standin::broker::{Broker, ConnId, Out};
 use proptest::prelude::*;
@@ -166,9 +166,9 @@
             worker: WorkerId::new(&format!("w{n}")),
             ..WorkerEndpoint::default()
         };
-        let workers = Input::Workers {
-            kind: EndpointUpdate::Cached,
-            entries: (0..3).map(entry).collect(),
+        let workers = Input::Endpoints {
+            update: EndpointUpdate::Cached,
+            endpoints: (0..3).map(entry).collect(),
         };
         engine.handle(self.now, workers, &mut Vec::new());
         let consumer = ConsumerSettings {
@@ -320,7 +320,7 @@
         for output in out {
             moved = true;
             match output {
-                Output::Send { id, call, .. } => {
+                Output::Forward { id, call, .. } => {
                     let label = call.label.as_deref().unwrap_or("?").to_string();
                     front.attempts.push((id, label));
                 }
@@ -331,7 +331,7 @@
                     let end = end(id, Outcome::Cancelled);
                     front
                         .engine
-                        .handle(now, Input::Attempt(end), &mut Vec::new());
+                        .handle(now, Input::AttemptFinished(end), &mut Vec::new());
                 }
                 _ => {}
             }
@@ -386,13 +386,13 @@
                 let mut out = Vec::new();
                 front
                     .engine
-                    .handle(self.now, Input::Attempt(end(id, outcome)), &mut out);
+                    .handle(self.now, Input::AttemptFinished(end(id, outcome)), &mut out);
                 for output in out {
                     match output {
                         Output::Answer { ticket, reply } => {
                             front.consumer.answer(self.now, ticket, reply)
                         }
-                        Output::Send { id, call, .. } => {
+                        Output::Forward { id, call, .. } => {
                             front
                                 .attempts
                                 .push((id, call.label.as_deref().unwrap_or("?").to_string()));
@@ -430,19 +430,19 @@
     }
 }
 
-fn end(id: AttemptId, outcome: Outcome) -> AttemptEnd {
+fn end(id: AttemptId, outcome: Outcome) -> AttemptResult {
     let served = (outcome == Outcome::Served).then(|| Served {
         status: 200,
         content_type: None,
         body: Bytes::from_static(b"done"),
     });
-    AttemptEnd {
+    AttemptResult {
         id,
         outcome,
-        took: 20 * MS,
-        note: None,
-        alike: None,
-        load: LoadReport::default(),
+        elapsed: 20 * MS,
+        replica_status: None,
+        function_concurrency: None,
+        load_report: LoadReport::default(),
         served,
     }
 }
@@ -533,9 +533,11 @@
         bed.settle();
         let (id, _) = bed.fronts[0].attempts.remove(0);
         let mut out = Vec::new();
-        bed.fronts[0]
-            .engine
-            .handle(bed.now, Input::Attempt(end(id, Outcome::Served)), &mut out);
+        bed.fronts[0].engine.handle(
+            bed.now,
+            Input::AttemptFinished(end(id, Outcome::Served)),
+            &mut out,
+        );
         let Some(Output::Answer { ticket, reply }) =
             out.into_iter().find(|o| matches!(o, Output::Answer { .. }))
         else {
--- a/crates/pipithub-endpoints/src/lib.rs
+++ b/crates/pipithub-endpoints/src/lib.rs
@@ -333,7 +333,7 @@
     started_ms: Option<u64>,
 }
 
-/// Reads a remembered list; to be handed to the engine as [`ListKind::Remembered`].
+/// Reads a remembered list; to be handed to the engine as [`EndpointUpdate::Cached`].
 pub fn recall(
     text: &str,
     now: Time,
--- a/crates/pipithub-engine/benches/engine.rs
+++ b/crates/pipithub-engine/benches/engine.rs
@@ -8,7 +8,7 @@
     Outcome, ReplicaStatus, Request, Settings, WorkerId,
 };
 use pipithub_engine::{
-    AttemptEnd, Call, Engine, EngineSettings, Input, Output, Served, SourceId, Ticket, Trigger,
+    AttemptResult, Call, Engine, EngineSettings, Input, Output, Served, SourceId, Ticket, Trigger,
     function_id,
 };
 use pipithub_policy::api::Action;
@@ -53,9 +53,9 @@
                     1,
                 );
                 let (mut out, mut now, mut number) = (Vec::new(), 0, 0u64);
-                let list = Input::Workers {
-                    kind: EndpointUpdate::Snapshot,
-                    entries: entries(*workers),
+                let list = Input::Endpoints {
+                    update: EndpointUpdate::Snapshot,
+                    endpoints: entries(*workers),
                 };
                 engine.handle(0, list, &mut out);
                 b.iter(|| {
@@ -68,7 +68,7 @@
                     let function = format!("f{}", number % 16).into();
                     let call = Call {
                         function,
-                        lanes: 4,
+                        replica_concurrency: 4,
                         body: Bytes::from_static(b"x"),
                         ..Call::default()
                     };
@@ -83,7 +83,7 @@
                     out.clear();
                     engine.handle(now, Input::Trigger(trigger), &mut out);
                     let id = out.iter().find_map(|o| {
-                        if let Output::Send { id, .. } = o {
+                        if let Output::Forward { id, .. } = o {
                             Some(*id)
                         } else {
                             None
@@ -97,16 +97,16 @@
                         let note = Some(ReplicaStatus::Warm);
                         let (outcome, took, load) =
                             (Outcome::Served, 1_000_000, LoadReport::default());
-                        let end = AttemptEnd {
+                        let end = AttemptResult {
                             id,
                             outcome,
-                            took,
-                            note,
-                            alike: Some(0),
-                            load,
+                            elapsed: took,
+                            replica_status: note,
+                            function_concurrency: Some(0),
+                            load_report: load,
                             served,
                         };
-                        engine.handle(now + 1_000_000, Input::Attempt(end), &mut out);
+                        engine.handle(now + 1_000_000, Input::AttemptFinished(end), &mut out);
                     }
                     engine.handle(now + 1_100_000, Input::Settled(ticket), &mut out);
                 });
--- a/crates/pipithub-engine/src/engine.rs
+++ b/crates/pipithub-engine/src/engine.rs
@@ -11,7 +11,7 @@
 
 use crate::memory::{Again, Memory, unknown_earlier};
 use crate::model::{
-    AttemptEnd, AttemptId, Call, Cause, Input, Output, Reply, Served, SourceId, Tenant, Ticket,
+    AttemptId, AttemptResult, Call, Cause, Input, Output, Reply, Served, SourceId, Tenant, Ticket,
     Trigger, Verdict, function_id,
 };
 use crate::owners::Owners;
@@ -229,42 +229,45 @@
         match input {
             Input::Tick => {}
             Input::Trigger(trigger) => self.trigger(now, trigger, None, out),
-            Input::Refuse {
+            Input::Reject {
                 trigger,
                 cause,
                 retry_after,
             } => {
                 self.trigger(now, trigger, Some((cause, retry_after)), out);
             }
-            Input::Moved { user, now: side } => self.moved(now, &user, side, out),
+            Input::UserMigrated { user, now: side } => self.moved(now, &user, side, out),
             Input::SourceLost(source) => self.source_lost(now, source, out),
             Input::Settled(ticket) => self.settled(now, ticket),
-            Input::Left(ticket) => {
+            Input::CallerCancelled(ticket) => {
                 if let Some(request) = self.tickets.get(&ticket).copied() {
                     self.abandon(now, request, out);
                 }
             }
-            Input::Attempt(end) => self.attempt(now, end, out),
-            Input::Probe(p) => {
+            Input::AttemptFinished(end) => self.attempt(now, end, out),
+            Input::LoadPolled(p) => {
                 let event = Event::LoadPolled {
                     worker: p.worker,
                     answered: p.answered,
-                    report: p.load,
+                    report: p.load_report,
                 };
                 self.decide(now, event, out);
             }
-            Input::Order(o) => {
+            Input::LoadCommandFinished(o) => {
                 let (worker, function, outcome) = (o.worker, o.function, o.outcome);
                 let order = LoadFinished {
                     worker,
                     function,
                     outcome,
-                    elapsed: o.took,
-                    replicas: o.copies,
+                    elapsed: o.elapsed,
+                    replicas: o.replicas,
                 };
                 self.decide(now, Event::LoadFinished(order), out);
             }
-            Input::Workers { kind, entries } => {
+            Input::Endpoints {
+                update: kind,
+                endpoints: entries,
+            } => {
                 self.listed |= kind != EndpointUpdate::Lost;
                 if matches!(kind, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
                     self.live.clear();
@@ -287,7 +290,7 @@
                 );
             }
             Input::Drain => self.draining = true,
-            Input::End => self.end(now, out),
+            Input::AnswerAll => self.end(now, out),
         }
     }
 
@@ -302,7 +305,7 @@
             .collect();
         for (request, attempts) in unanswered {
             let verdict = if attempts == 0 {
-                Verdict::Refused
+                Verdict::Rejected
             } else {
                 Verdict::Failed
             };
@@ -336,7 +339,7 @@
             mut call,
         } = trigger;
         call.class = call.class.min(self.settings.policy.classes.len() - 1);
-        let (mut budget, waited) = (call.budget, call.waited);
+        let (mut budget, waited) = (call.timeout, call.waited);
         if redelivered {
             self.stats.again += 1;
             let class = &self.settings.policy.classes[call.class];
@@ -344,7 +347,9 @@
             let again = self
                 .memory
                 .again(identity.as_ref(), now)
-                .unwrap_or_else(|| unknown_earlier(class, call.age, call.key.is_some(), margin));
+                .unwrap_or_else(|| {
+                    unknown_earlier(class, call.age, call.idempotency_key.is_some(), margin)
+                });
             match again {
                 Again::Join(request) => return self.join(request, ticket, out),
                 Again::Forget => return out.push(Output::Forget(ticket)),
@@ -355,7 +360,7 @@
                         ticket,
                         identity,
                         Verdict::Failed,
-                        Cause::TooOften,
+                        Cause::TooManyDeliveries,
                         out,
                     );
                 }
@@ -383,14 +388,14 @@
         }
         if let Some((cause, retry_after)) = refused {
             let request = self.insert(now, ticket, identity, Call::default());
-            return self.answer(request, Verdict::Refused, cause, retry_after, None, out);
+            return self.answer(request, Verdict::Rejected, cause, retry_after, None, out);
         }
         if !self.settings.owners.allow(call.tenant, &call.function) {
             return self.at_once(
                 now,
                 ticket,
                 identity,
-                Verdict::Refused,
+                Verdict::Rejected,
                 Cause::OtherTenant,
                 out,
             );
@@ -401,14 +406,21 @@
                 now,
                 ticket,
                 identity,
-                Verdict::Refused,
+                Verdict::Rejected,
                 Cause::Draining,
                 out,
             );
         }
         if self.open.len() >= self.settings.max_open || self.bytes + bytes > self.settings.max_bytes
         {
-            return self.at_once(now, ticket, identity, Verdict::Refused, Cause::NoRoom, out);
+            return self.at_once(
+                now,
+                ticket,
+                identity,
+                Verdict::Rejected,
+                Cause::AtCapacity,
+                out,
+            );
         }
         let class = &self.settings.policy.classes[call.class];
         // Of a message that waited in its queue the client's time is partly over, whoever states it.
@@ -418,15 +430,22 @@
             .checked_sub(self.settings.answer_margin)
             .filter(|left| *left > 0)
         else {
-            return self.at_once(now, ticket, identity, Verdict::Refused, Cause::TooLate, out);
+            return self.at_once(
+                now,
+                ticket,
+                identity,
+                Verdict::Rejected,
+                Cause::TooLate,
+                out,
+            );
         };
         let function = function_id(&call.function);
         self.name(now, function, &call.function);
         let request = Request {
             id: self.next_request,
-            expected_work: call.expected,
+            expected_work: call.expected_work,
             memory_mb: call.memory_mb,
-            replica_concurrency: call.lanes,
+            replica_concurrency: call.replica_concurrency,
             class: call.class,
             load_time: call.load_time,
             function,
@@ -568,11 +587,11 @@
                 continue;
             }
             let verdict = if open.attempts == 0 {
-                Verdict::Refused
+                Verdict::Rejected
             } else {
                 Verdict::Failed
             };
-            self.answer(request, verdict, Cause::UserMoved, None, None, out);
+            self.answer(request, verdict, Cause::UserMigrated, None, None, out);
             self.decide(now, Event::ClientCancelled { request }, out);
         }
     }
@@ -601,14 +620,14 @@
 
     // ---- attempts ----
 
-    fn attempt(&mut self, now: Time, end: AttemptEnd, out: &mut Vec<Output>) {
-        let AttemptEnd {
+    fn attempt(&mut self, now: Time, end: AttemptResult, out: &mut Vec<Output>) {
+        let AttemptResult {
             id,
             outcome,
-            took,
-            note,
-            alike,
-            load,
+            elapsed: took,
+            replica_status: note,
+            function_concurrency: alike,
+            load_report: load,
             served,
         } = end;
         let mut settled = true;
@@ -660,7 +679,7 @@
         };
         let counter = match verdict {
             Verdict::Served => &mut self.stats.served,
-            Verdict::Refused => &mut self.stats.refused,
+            Verdict::Rejected => &mut self.stats.refused,
             Verdict::Failed => &mut self.stats.failed,
         };
         *counter += 1;
@@ -670,7 +689,7 @@
             cause,
             retry_after,
             attempts: open.attempts,
-            last,
+            last_outcome: last,
             worker,
             served,
         };
@@ -783,7 +802,7 @@
                 {
                     // Looked at when it came; looked at again where it would leave, whatever happened between.
                     let verdict = if open.attempts == 0 {
-                        Verdict::Refused
+                        Verdict::Rejected
                     } else {
                         Verdict::Failed
                     };
@@ -795,7 +814,7 @@
                 self.out.insert(id, worker.clone());
                 self.stats.sends += 1;
                 let deadline = timeout.map_or(open.deadline, |t| open.deadline.min(now + t));
-                out.push(Output::Send {
+                out.push(Output::Forward {
                     id,
                     worker,
                     call: open.call.clone(),
@@ -814,7 +833,7 @@
                 retry_after,
             } => {
                 let cause = self.cause(request);
-                self.answer(request, Verdict::Refused, cause, retry_after, None, out);
+                self.answer(request, Verdict::Rejected, cause, retry_after, None, out);
             }
             Action::Fail { request } => {
                 let cause = self.cause(request);
@@ -827,11 +846,11 @@
             } => match self.names.get(&function) {
                 Some((name, _)) => {
                     self.stats.holds += 1;
-                    out.push(Output::Hold {
+                    out.push(Output::LoadFunction {
                         worker,
                         function,
                         name: name.clone(),
-                        copies,
+                        replicas: copies,
                     });
                 }
                 // Forgotten here: the module is told that nothing came of it.
@@ -845,7 +864,7 @@
             },
             Action::EvictFunction { worker, function } => {
                 if let Some((name, _)) = self.names.get(&function) {
-                    out.push(Output::Drop {
+                    out.push(Output::EvictFunction {
                         worker,
                         name: name.clone(),
                     });
@@ -853,10 +872,10 @@
             }
             Action::PollLoad { worker } => {
                 self.stats.probes += 1;
-                out.push(Output::Probe(worker));
+                out.push(Output::PollLoad(worker));
             }
             Action::SetTimer { after, token } => self.timers.set(now.saturating_add(after), token),
-            Action::WatchEndpoints => out.push(Output::FollowList),
+            Action::WatchEndpoints => out.push(Output::WatchEndpoints),
         }
     }
 
--- a/crates/pipithub-engine/src/lib.rs
+++ b/crates/pipithub-engine/src/lib.rs
@@ -16,8 +16,8 @@
 
 pub use engine::{Decide, Engine, EngineSettings, Stats};
 pub use model::{
-    AttemptEnd, AttemptId, Call, Cause, Input, OrderEnd, Output, ProbeEnd, Reply, Served, SourceId,
-    Tenant, Ticket, Trigger, Verdict, function_id,
+    AttemptId, AttemptResult, Call, Cause, Input, LoadCommandResult, LoadPollResult, Output, Reply,
+    Served, SourceId, Tenant, Ticket, Trigger, Verdict, function_id,
 };
 pub use owners::{Owner, Owners};
 pub use pipithub_policy::api as policy;
--- a/crates/pipithub-engine/src/model.rs
+++ b/crates/pipithub-engine/src/model.rs
@@ -44,23 +44,23 @@
     /// Its class, as an index into the settings.
     pub class: usize,
     /// What is left of the client's time; `None`: as long as the class gives.
-    pub budget: Option<Time>,
-    /// For how long the message has surely waited already: its class's time began then. [`Call::budget`] is net of it.
+    pub timeout: Option<Time>,
+    /// For how long the message has surely waited already: its class's time began then. [`Call::timeout`] is net of it.
     pub waited: Time,
     /// For how long the message may have existed at the most, where its source tells.
     pub age: Option<Time>,
     /// The work it is expected to take, where told.
-    pub expected: Option<Time>,
+    pub expected_work: Option<Time>,
     /// Memory of one loaded copy, in MB.
     pub memory_mb: f64,
     /// Calls that one copy runs at a time.
-    pub lanes: u32,
+    pub replica_concurrency: u32,
     /// The usual time of a load, where told.
     pub load_time: Option<Time>,
     /// Names the call to workers and in logs; the message's own id, where it has one.
     pub label: Option<Arc<str>>,
     /// Under which workers drop repeats.
-    pub key: Option<Arc<str>>,
+    pub idempotency_key: Option<Arc<str>>,
     /// MIME type of the body.
     pub content_type: Option<Arc<str>>,
     /// Handed to the worker as it is.
@@ -110,37 +110,37 @@
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AttemptEnd {
+pub struct AttemptResult {
     /// The attempt.
     pub id: AttemptId,
     /// How it ended.
     pub outcome: Outcome,
     /// How long it took.
-    pub took: Time,
+    pub elapsed: Time,
     /// What it met there, where told.
-    pub note: Option<ReplicaStatus>,
+    pub replica_status: Option<ReplicaStatus>,
     /// Calls of the function that the worker held, where told.
-    pub alike: Option<u32>,
+    pub function_concurrency: Option<u32>,
     /// The worker's report.
-    pub load: LoadReport,
+    pub load_report: LoadReport,
     /// The answer; with [`Outcome::Served`] alone.
     pub served: Option<Served>,
 }
 
 /// How a probe ended.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ProbeEnd {
+pub struct LoadPollResult {
     /// The worker.
     pub worker: WorkerId,
     /// It answered.
     pub answered: bool,
     /// Its report.
-    pub load: LoadReport,
+    pub load_report: LoadReport,
 }
 
 /// How an order ended.
 #[derive(Clone, Debug, PartialEq)]
-pub struct OrderEnd {
+pub struct LoadCommandResult {
     /// The worker.
     pub worker: WorkerId,
     /// The function.
@@ -148,9 +148,9 @@
     /// [`Outcome::Served`]: the copies stand.
     pub outcome: Outcome,
     /// How long it took.
-    pub took: Time,
+    pub elapsed: Time,
     /// Copies that stand loaded.
-    pub copies: u32,
+    pub replicas: u32,
 }
 
 /// What happened.
@@ -165,22 +165,22 @@
     /// An answer is safe at its source.
     Settled(Ticket),
     /// One caller has left or ceased to wait: no answer is owed, and what runs for it is withdrawn.
-    Left(Ticket),
+    CallerCancelled(Ticket),
     /// An attempt ended.
-    Attempt(AttemptEnd),
+    AttemptFinished(AttemptResult),
     /// A probe ended.
-    Probe(ProbeEnd),
+    LoadPolled(LoadPollResult),
     /// An order ended.
-    Order(OrderEnd),
+    LoadCommandFinished(LoadCommandResult),
     /// News of the workers.
-    Workers {
+    Endpoints {
         /// What it covers.
-        kind: EndpointUpdate,
+        update: EndpointUpdate,
         /// The workers in it.
-        entries: Vec<Endpoint>,
+        endpoints: Vec<Endpoint>,
     },
     /// A call came in that is not to run: it gets its one answer like any other, unless it is known already.
-    Refuse {
+    Reject {
         /// The call.
         trigger: Trigger,
         /// Why.
@@ -189,7 +189,7 @@
         retry_after: Option<Time>,
     },
     /// A user is not whose they were, or not who they were: what is open for the user as they were ends now.
-    Moved {
+    UserMigrated {
         /// The user.
         user: Arc<str>,
         /// Whose they are, and which person; `None`: nobody's.
@@ -198,7 +198,7 @@
     /// Take nothing new from now on; what is open is finished.
     Drain,
     /// The process may be killed soon: whatever has no answer gets one now, and nothing new is taken.
-    End,
+    AnswerAll,
 }
 
 /// The kind of a final answer.
@@ -207,7 +207,7 @@
     /// A worker answered.
     Served,
     /// It did not run; another try is harmless.
-    Refused,
+    Rejected,
     /// Nothing is promised: it may have run.
     Failed,
 }
@@ -217,7 +217,7 @@
     pub fn as_str(self) -> &'static str {
         match self {
             Verdict::Served => "served",
-            Verdict::Refused => "refused",
+            Verdict::Rejected => "refused",
             Verdict::Failed => "failed",
         }
     }
@@ -237,9 +237,9 @@
     /// It came again and may have run before, where it must not run twice.
     MayHaveRunBefore,
     /// It came again more often than is allowed.
-    TooOften,
+    TooManyDeliveries,
     /// As much is held already as may be.
-    NoRoom,
+    AtCapacity,
     /// The front end is being stopped.
     Draining,
     /// It does not say whose it is.
@@ -249,13 +249,13 @@
     /// Its user is no tenant's.
     NoTenant,
     /// More than one tenant claims its user.
-    ClaimedTwice,
+    AmbiguousTenant,
     /// Its function or route is not its tenant's.
     OtherTenant,
     /// Its user moved while it was open.
-    UserMoved,
+    UserMigrated,
     /// Its tenant has as much as is its share.
-    OverShare,
+    OverQuota,
     /// Its tenant calls more often than it may.
     OverRate,
 }
@@ -269,16 +269,16 @@
             Cause::AttemptsEnded => "attempts-ended",
             Cause::TooLate => "too-late",
             Cause::MayHaveRunBefore => "may-have-run-before",
-            Cause::TooOften => "redelivered-too-often",
-            Cause::NoRoom => "no-room",
+            Cause::TooManyDeliveries => "redelivered-too-often",
+            Cause::AtCapacity => "no-room",
             Cause::Draining => "draining",
             Cause::NoUser => "no-user",
             Cause::UserUnknown => "user-unknown",
             Cause::NoTenant => "no-tenant",
-            Cause::ClaimedTwice => "claimed-twice",
+            Cause::AmbiguousTenant => "claimed-twice",
             Cause::OtherTenant => "other-tenant",
-            Cause::UserMoved => "user-moved",
-            Cause::OverShare => "over-share",
+            Cause::UserMigrated => "user-moved",
+            Cause::OverQuota => "over-share",
             Cause::OverRate => "over-rate",
         }
     }
@@ -296,7 +296,7 @@
     /// Attempts made.
     pub attempts: u32,
     /// How the last of them ended.
-    pub last: Option<Outcome>,
+    pub last_outcome: Option<Outcome>,
     /// The worker of the last attempt.
     pub worker: Option<WorkerId>,
     /// What the worker answered; with [`Verdict::Served`] alone.
@@ -306,8 +306,8 @@
 /// What to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Start an attempt; one [`Input::Attempt`] is owed for it.
-    Send {
+    /// Start an attempt; one [`Input::AttemptFinished`] is owed for it.
+    Forward {
         /// Its id.
         id: AttemptId,
         /// Where to.
@@ -317,10 +317,10 @@
         /// After this point on the caller's clock an answer is of no use: the attempt ends as timed out.
         deadline: Time,
     },
-    /// Stop waiting for an attempt; its [`Input::Attempt`] is owed still.
+    /// Stop waiting for an attempt; its [`Input::AttemptFinished`] is owed still.
     Cancel(AttemptId),
-    /// Have a worker hold copies; one [`Input::Order`] is owed.
-    Hold {
+    /// Have a worker hold copies; one [`Input::LoadCommandFinished`] is owed.
+    LoadFunction {
         /// The worker.
         worker: WorkerId,
         /// The function's id and name.
@@ -328,17 +328,17 @@
         /// Its name.
         name: Arc<str>,
         /// Copies wanted; 0 only asks.
-        copies: u32,
+        replicas: u32,
     },
     /// Have a worker unload idle copies.
-    Drop {
+    EvictFunction {
         /// The worker.
         worker: WorkerId,
         /// The function's name.
         name: Arc<str>,
     },
-    /// Ask a worker for its load; one [`Input::Probe`] is owed.
-    Probe(WorkerId),
+    /// Ask a worker for its load; one [`Input::LoadPolled`] is owed.
+    PollLoad(WorkerId),
     /// Give the final answer and settle the trigger, both or neither; [`Input::Settled`] or
     /// [`Input::SourceLost`] is owed.
     Answer {
@@ -350,5 +350,5 @@
     /// Settle a trigger that has had its answer before, without another.
     Forget(Ticket),
     /// The list of workers must be asked for.
-    FollowList,
+    WatchEndpoints,
 }
--- a/crates/pipithub-engine/tests/engine.rs
+++ b/crates/pipithub-engine/tests/engine.rs
@@ -9,7 +9,7 @@
     LoadReport, Outcome, Settings, WorkerId,
 };
 use pipithub_engine::{
-    AttemptEnd, AttemptId, Call, Cause, Engine, EngineSettings, Input, Output, Owner, Owners,
+    AttemptId, AttemptResult, Call, Cause, Engine, EngineSettings, Input, Output, Owner, Owners,
     Reply, Served, SourceId, Tenant, Ticket, Time, Trigger, Verdict,
 };
 
@@ -66,9 +66,9 @@
             worker: WorkerId::new(&format!("w{n}")),
             ..Endpoint::default()
         };
-        bed.input(Input::Workers {
-            kind: EndpointUpdate::Snapshot,
-            entries: (0..3).map(entry).collect(),
+        bed.input(Input::Endpoints {
+            update: EndpointUpdate::Snapshot,
+            endpoints: (0..3).map(entry).collect(),
         });
         bed
     }
@@ -91,8 +91,8 @@
         let call = Call {
             function: "f".into(),
             class,
-            lanes: 4,
-            key: Some("k".into()),
+            replica_concurrency: 4,
+            idempotency_key: Some("k".into()),
             body: Bytes::from_static(b"body"),
             ..Call::default()
         };
@@ -114,16 +114,16 @@
             body: Bytes::from_static(b"yes"),
         });
         let load = LoadReport::default();
-        let end = AttemptEnd {
+        let end = AttemptResult {
             id,
             outcome,
-            took: 10 * MS,
-            note: None,
-            alike: None,
-            load,
+            elapsed: 10 * MS,
+            replica_status: None,
+            function_concurrency: None,
+            load_report: load,
             served,
         };
-        self.input(Input::Attempt(end))
+        self.input(Input::AttemptFinished(end))
     }
 
     /// Lets time pass, doing what falls due.
@@ -142,7 +142,7 @@
 fn sends(out: &[Output]) -> Vec<AttemptId> {
     out.iter()
         .filter_map(|o| {
-            if let Output::Send { id, .. } = o {
+            if let Output::Forward { id, .. } = o {
                 Some(*id)
             } else {
                 None
@@ -189,9 +189,9 @@
     let mut bed = Bed::new(settings());
     for budget in [0, 1, 5 * MS, 20 * MS] {
         // Nobody knows the function, so only a load of a second could serve it: 20 ms cannot be met.
-        let (_, out) = bed.trigger(UNSAFE, |t| t.call.budget = Some(budget));
+        let (_, out) = bed.trigger(UNSAFE, |t| t.call.timeout = Some(budget));
         assert_eq!(sends(&out), []);
-        assert_eq!(only_answer(&out).1.verdict, Verdict::Refused, "{budget}");
+        assert_eq!(only_answer(&out).1.verdict, Verdict::Rejected, "{budget}");
     }
 }
 
@@ -205,7 +205,7 @@
     let out = bed.pass(1_000 * MS);
     assert_eq!(
         only_answer(&out).1.verdict,
-        Verdict::Refused,
+        Verdict::Rejected,
         "its 4 s are over"
     );
     let (_, out) = bed.trigger(SAFE, |t| t.call.waited = 5_000 * MS);
@@ -367,7 +367,7 @@
     let (_, reply) = only_answer(&out);
     assert_eq!(
         (reply.verdict, reply.cause),
-        (Verdict::Failed, Cause::TooOften)
+        (Verdict::Failed, Cause::TooManyDeliveries)
     );
 }
 
@@ -405,9 +405,9 @@
 #[test]
 fn a_silent_worker_does_not_keep_a_caller_waiting_beyond_the_time() {
     let mut bed = Bed::new(settings());
-    for (class, verdict) in [(SAFE, Verdict::Refused), (UNSAFE, Verdict::Failed)] {
+    for (class, verdict) in [(SAFE, Verdict::Rejected), (UNSAFE, Verdict::Failed)] {
         let began = bed.now;
-        let (ticket, out) = bed.trigger(class, |t| t.call.budget = Some(1_500 * MS));
+        let (ticket, out) = bed.trigger(class, |t| t.call.timeout = Some(1_500 * MS));
         let attempt = sends(&out)[0];
         let out = bed.pass(1_500 * MS);
         let (to, reply) = only_answer(&out);
@@ -429,7 +429,7 @@
     bed.trigger(SAFE, |t| t.identity = Some("b".into()));
     assert_eq!(bed.engine.room(), 0);
     let (_, out) = bed.trigger(SAFE, |t| t.identity = Some("c".into()));
-    assert_eq!(only_answer(&out).1.cause, Cause::NoRoom);
+    assert_eq!(only_answer(&out).1.cause, Cause::AtCapacity);
 
     let mut bed = Bed::new(EngineSettings {
         max_bytes: 5,
@@ -437,7 +437,7 @@
     });
     bed.trigger(SAFE, |t| t.identity = Some("a".into()));
     let (_, out) = bed.trigger(SAFE, |t| t.identity = Some("b".into()));
-    assert_eq!(only_answer(&out).1.cause, Cause::NoRoom);
+    assert_eq!(only_answer(&out).1.cause, Cause::AtCapacity);
 
     let mut bed = Bed::new(settings());
     bed.input(Input::Drain);
@@ -463,18 +463,18 @@
     assert_eq!(engine.room(), 0);
     engine.handle(
         0,
-        Input::Workers {
-            kind: EndpointUpdate::Lost,
-            entries: Vec::new(),
+        Input::Endpoints {
+            update: EndpointUpdate::Lost,
+            endpoints: Vec::new(),
         },
         &mut Vec::new(),
     );
     assert_eq!(engine.room(), 0, "a list that could not be had is none");
     engine.handle(
         0,
-        Input::Workers {
-            kind: EndpointUpdate::Snapshot,
-            entries: Vec::new(),
+        Input::Endpoints {
+            update: EndpointUpdate::Snapshot,
+            endpoints: Vec::new(),
         },
         &mut Vec::new(),
     );
@@ -489,20 +489,20 @@
         state: EndpointState::Removed,
         ..Endpoint::default()
     };
-    bed.input(Input::Workers {
-        kind: EndpointUpdate::Delta,
-        entries: (0..3).map(gone).collect(),
+    bed.input(Input::Endpoints {
+        update: EndpointUpdate::Delta,
+        endpoints: (0..3).map(gone).collect(),
     });
     assert_eq!(bed.engine.live_workers(), 0);
     let (_, out) = bed.trigger(SAFE, |t| t.identity = None);
-    assert_eq!(only_answer(&out).1.verdict, Verdict::Refused);
+    assert_eq!(only_answer(&out).1.verdict, Verdict::Rejected);
     let back = Endpoint {
         worker: WorkerId::new("w9"),
         ..Endpoint::default()
     };
-    bed.input(Input::Workers {
-        kind: EndpointUpdate::Delta,
-        entries: vec![back],
+    bed.input(Input::Endpoints {
+        update: EndpointUpdate::Delta,
+        endpoints: vec![back],
     });
     let (_, out) = bed.trigger(SAFE, |t| t.identity = None);
     assert_eq!(sends(&out).len(), 1);
@@ -563,17 +563,17 @@
 fn a_call_runs_functions_of_its_own_tenant_alone() {
     let mut bed = Bed::new(owned());
     let (_, out) = bed.trigger(SAFE, of("south-map", 0, "mai"));
-    assert_eq!(verdicts(&out), [(Verdict::Refused, Cause::OtherTenant)]);
+    assert_eq!(verdicts(&out), [(Verdict::Rejected, Cause::OtherTenant)]);
     let (_, out) = bed.trigger(SAFE, of("unnamed", 0, "mai"));
-    assert_eq!(verdicts(&out), [(Verdict::Refused, Cause::OtherTenant)]);
+    assert_eq!(verdicts(&out), [(Verdict::Rejected, Cause::OtherTenant)]);
     let (_, out) = bed.trigger(SAFE, |t| t.call.function = "north-map".into());
     assert_eq!(
         verdicts(&out),
-        [(Verdict::Refused, Cause::OtherTenant)],
+        [(Verdict::Rejected, Cause::OtherTenant)],
         "nobody's call"
     );
     let (_, out) = bed.trigger(SAFE, of("north-map", 0, "mai"));
-    assert!(out.iter().any(|o| matches!(o, Output::Send { .. })));
+    assert!(out.iter().any(|o| matches!(o, Output::Forward { .. })));
 }
 
 /// What the old tenant's worker answers must not reach a user who is another's by then, nor may anything more be sent.
@@ -581,22 +581,22 @@
 fn a_moved_users_calls_end_at_once() {
     let mut bed = Bed::new(owned());
     let (_, out) = bed.trigger(UNSAFE, of("north-map", 0, "mai"));
-    let Some(Output::Send { id, .. }) = out.iter().find(|o| matches!(o, Output::Send { .. }))
+    let Some(Output::Forward { id, .. }) = out.iter().find(|o| matches!(o, Output::Forward { .. }))
     else {
         panic!("a send")
     };
     let (_, other) = bed.trigger(SAFE, of("north-map", 0, "lan"));
-    assert!(other.iter().any(|o| matches!(o, Output::Send { .. })));
+    assert!(other.iter().any(|o| matches!(o, Output::Forward { .. })));
     // A call of the new side that came before the word of the move was handled goes on.
     let (_, new) = bed.trigger(SAFE, of("south-map", 1, "mai"));
-    assert!(new.iter().any(|o| matches!(o, Output::Send { .. })));
-    let out = bed.input(Input::Moved {
+    assert!(new.iter().any(|o| matches!(o, Output::Forward { .. })));
+    let out = bed.input(Input::UserMigrated {
         user: "mai".into(),
         now: Some((Tenant(1), 0)),
     });
     assert_eq!(
         verdicts(&out),
-        [(Verdict::Failed, Cause::UserMoved)],
+        [(Verdict::Failed, Cause::UserMigrated)],
         "it may have run"
     );
     assert!(
@@ -609,7 +609,7 @@
     assert!(
         !bed.pass(5_000 * MS)
             .iter()
-            .any(|o| matches!(o, Output::Send { id: again, .. } if again.request == id.request))
+            .any(|o| matches!(o, Output::Forward { id: again, .. } if again.request == id.request))
     );
 }
 
@@ -618,7 +618,7 @@
 fn a_refusal_of_what_is_open_already_only_takes_the_new_ticket() {
     let mut bed = Bed::new(owned());
     let (_, out) = bed.trigger(SAFE, of("north-map", 0, "mai"));
-    let Some(Output::Send { id, .. }) = out.iter().find(|o| matches!(o, Output::Send { .. }))
+    let Some(Output::Forward { id, .. }) = out.iter().find(|o| matches!(o, Output::Forward { .. }))
     else {
         panic!("a send")
     };
@@ -644,9 +644,9 @@
         deliveries: 1,
         call,
     };
-    let out = bed.input(Input::Refuse {
+    let out = bed.input(Input::Reject {
         trigger,
-        cause: Cause::OverShare,
+        cause: Cause::OverQuota,
         retry_after: None,
     });
     assert_eq!(verdicts(&out), []);
@@ -670,9 +670,9 @@
             ..Call::default()
         },
     };
-    let out = bed.input(Input::Refuse {
+    let out = bed.input(Input::Reject {
         trigger,
-        cause: Cause::OverShare,
+        cause: Cause::OverQuota,
         retry_after: None,
     });
     assert_eq!(verdicts(&out), [(Verdict::Failed, Cause::MayHaveRunBefore)]);
--- a/crates/pipithub-engine/tests/world.rs
+++ b/crates/pipithub-engine/tests/world.rs
@@ -8,8 +8,8 @@
     Class, Endpoint, EndpointUpdate, Idempotency, Limits, LoadReport, Outcome, Settings, WorkerId,
 };
 use pipithub_engine::{
-    AttemptEnd, AttemptId, Call, Engine, EngineSettings, Input, Output, Served, SourceId, Ticket,
-    Time, Trigger, Verdict,
+    AttemptId, AttemptResult, Call, Engine, EngineSettings, Input, Output, Served, SourceId,
+    Ticket, Time, Trigger, Verdict,
 };
 use proptest::prelude::*;
 
@@ -125,9 +125,9 @@
         let entries = (0..4).map(entry).collect();
         engine.handle(
             self.now,
-            Input::Workers {
-                kind: EndpointUpdate::Cached,
-                entries,
+            Input::Endpoints {
+                update: EndpointUpdate::Cached,
+                endpoints: entries,
             },
             &mut Vec::new(),
         );
@@ -148,7 +148,7 @@
     }
 
     fn message_of(&self, call: &Call) -> usize {
-        call.key
+        call.idempotency_key
             .as_deref()
             .and_then(|k| k.parse().ok())
             .expect("every call here has its number as key")
@@ -157,7 +157,7 @@
     fn output(&mut self, which: usize, output: Output) {
         let life = self.life[which];
         match output {
-            Output::Send {
+            Output::Forward {
                 id, call, deadline, ..
             } => {
                 assert!(deadline > self.now, "sent after its time");
@@ -201,7 +201,10 @@
                 self.unacked.remove(&ticket);
                 self.input(which, Input::Settled(ticket));
             }
-            Output::Probe(_) | Output::Hold { .. } | Output::Drop { .. } | Output::FollowList => {}
+            Output::PollLoad(_)
+            | Output::LoadFunction { .. }
+            | Output::EvictFunction { .. }
+            | Output::WatchEndpoints => {}
         }
     }
 
@@ -257,16 +260,16 @@
                 self.ended.push((which, life, id));
                 let served = (outcome == Outcome::Served).then(Served::default);
                 let load = LoadReport::default();
-                let end = AttemptEnd {
+                let end = AttemptResult {
                     id,
                     outcome,
-                    took: 50 * MS,
-                    note: None,
-                    alike: None,
-                    load,
+                    elapsed: 50 * MS,
+                    replica_status: None,
+                    function_concurrency: None,
+                    load_report: load,
                     served,
                 };
-                self.input(which, Input::Attempt(end));
+                self.input(which, Input::AttemptFinished(end));
             }
             Happening::Commit(which, connection, ticket, verdict, heard) => {
                 if connection != self.connection[which] {
@@ -323,10 +326,10 @@
             let call = Call {
                 function: format!("f{}", message % 3).into(),
                 class,
-                budget: Some(GIVE_UP.saturating_sub(age)),
+                timeout: Some(GIVE_UP.saturating_sub(age)),
                 age: Some(age),
-                lanes: 4,
-                key: Some(message.to_string().into()),
+                replica_concurrency: 4,
+                idempotency_key: Some(message.to_string().into()),
                 body: Bytes::from_static(b"x"),
                 ..Call::default()
             };
@@ -391,7 +394,7 @@
                 prop_assert!(message.effects.len() <= 1, "message {} ran twice: {:?}", number, message);
                 // A refusal promises that another try is harmless.
                 let harmless = message.class == 1 || message.effects.is_empty();
-                prop_assert!(verdict != Verdict::Refused || harmless, "message {}: {:?}", number, message);
+                prop_assert!(verdict != Verdict::Rejected || harmless, "message {}: {:?}", number, message);
             }
             prop_assert!(verdict != Verdict::Served || !message.effects.is_empty());
             // Lost connections may bring it back late, but then it is answered at once.
--- a/crates/pipithub-gateway/src/front.rs
+++ b/crates/pipithub-gateway/src/front.rs
@@ -122,9 +122,9 @@
             memory_mb: *memory_mb,
             ..Endpoint::default()
         };
-        self.first(Input::Workers {
-            kind: EndpointUpdate::Snapshot,
-            entries: workers.iter().map(entry).collect(),
+        self.first(Input::Endpoints {
+            update: EndpointUpdate::Snapshot,
+            endpoints: workers.iter().map(entry).collect(),
         });
     }
 
@@ -181,7 +181,7 @@
                 }
             }
             for input in batch.drain(..) {
-                if let Input::Attempt(done) = &input {
+                if let Input::AttemptFinished(done) = &input {
                     self.cancels.remove(&done.id);
                 }
                 self.input(input);
@@ -267,7 +267,7 @@
 
     fn one(&mut self, output: Output) {
         match output {
-            Output::Send {
+            Output::Forward {
                 id,
                 worker,
                 call,
@@ -290,7 +290,7 @@
                 let (pool, sender) = (self.pool.clone(), self.sender.clone());
                 tokio::spawn(async move {
                     let end = pool.attempt(id, &worker, &call, deadline, cancelled).await;
-                    let _ = sender.send(Input::Attempt(end)).await;
+                    let _ = sender.send(Input::AttemptFinished(end)).await;
                 });
             }
             Output::Cancel(id) => {
@@ -299,11 +299,11 @@
                     let _ = cancel.send(());
                 }
             }
-            Output::Hold {
+            Output::LoadFunction {
                 worker,
                 function,
                 name,
-                copies,
+                replicas: copies,
             } => {
                 debug!(
                     front_end = self.name,
@@ -315,18 +315,18 @@
                 let (pool, sender) = (self.pool.clone(), self.sender.clone());
                 tokio::spawn(async move {
                     let end = pool.order(worker, function, &name, copies).await;
-                    let _ = sender.send(Input::Order(end)).await;
+                    let _ = sender.send(Input::LoadCommandFinished(end)).await;
                 });
             }
-            Output::Drop { worker, name } => {
+            Output::EvictFunction { worker, name } => {
                 let pool = self.pool.clone();
                 tokio::spawn(async move { pool.unload(worker, &name).await });
             }
-            Output::Probe(worker) => {
+            Output::PollLoad(worker) => {
                 let (pool, sender) = (self.pool.clone(), self.sender.clone());
                 tokio::spawn(async move {
                     let end = pool.probe(worker).await;
-                    let _ = sender.send(Input::Probe(end)).await;
+                    let _ = sender.send(Input::LoadPolled(end)).await;
                 });
             }
             Output::Answer { ticket, reply } => {
@@ -334,7 +334,7 @@
                 let worker = reply.worker.as_ref().map(|w| &*w.0);
                 if reply.verdict == Verdict::Failed {
                     info!(front_end = self.name, source = ticket.source.0, ticket = ticket.number,
-                        tenant, user, cause = reply.cause.as_str(), attempts = reply.attempts, worker, last = ?reply.last,
+                        tenant, user, cause = reply.cause.as_str(), attempts = reply.attempts, worker, last = ?reply.last_outcome,
                         "failed");
                 } else {
                     debug!(
@@ -364,7 +364,7 @@
                 self.order(ticket.source, Order::Forget(ticket));
             }
             // Lists are followed from the start here.
-            Output::FollowList => {}
+            Output::WatchEndpoints => {}
         }
     }
 
--- a/crates/pipithub-gateway/src/lib.rs
+++ b/crates/pipithub-gateway/src/lib.rs
@@ -139,9 +139,9 @@
                     front_end: name.to_string(),
                 };
                 if let Some(remembered) = list::recall(&settings, clock) {
-                    front.first(Input::Workers {
-                        kind: remembered.0,
-                        entries: remembered.1,
+                    front.first(Input::Endpoints {
+                        update: remembered.0,
+                        endpoints: remembered.1,
                     });
                 }
                 self.tasks
--- a/crates/pipithub-gateway/src/list.rs
+++ b/crates/pipithub-gateway/src/list.rs
@@ -176,7 +176,12 @@
     kind: EndpointUpdate,
     entries: Vec<Endpoint>,
 ) {
-    let _ = inputs.send(Input::Workers { kind, entries }).await;
+    let _ = inputs
+        .send(Input::Endpoints {
+            update: kind,
+            endpoints: entries,
+        })
+        .await;
     if let Some(saver) = saver {
         saver.save(
             clock.now(),
--- a/crates/pipithub-gateway/src/tenancy.rs
+++ b/crates/pipithub-gateway/src/tenancy.rs
@@ -41,9 +41,9 @@
         Why::NoUser => Cause::NoUser,
         Why::Unknown => Cause::UserUnknown,
         Why::Nobody => Cause::NoTenant,
-        Why::ClaimedTwice => Cause::ClaimedTwice,
+        Why::ClaimedTwice => Cause::AmbiguousTenant,
         Why::OtherRoute => Cause::OtherTenant,
-        Why::OverShare => Cause::OverShare,
+        Why::OverShare => Cause::OverQuota,
         Why::OverRate => Cause::OverRate,
     }
 }
@@ -111,7 +111,7 @@
             user: call.user.clone(),
             route: call.tenant.map(|t| TenantId(t.0)),
             class: call.class,
-            left: call.budget.map_or(rest, |b| b.min(rest)),
+            left: call.timeout.map_or(rest, |b| b.min(rest)),
             call: Box::new(trigger),
         };
         self.gate
@@ -173,7 +173,7 @@
                     View::Tenant { tenant, person, .. } => Some((Tenant(tenant.0), person.0)),
                     _ => None,
                 };
-                inputs.push(Input::Moved { user, now: side });
+                inputs.push(Input::UserMigrated { user, now: side });
             }
         }
         self.carry_out(now, inputs);
@@ -210,9 +210,9 @@
                 Output::Admit(mut trigger, admitted) => {
                     trigger.call.tenant = Some(Tenant(admitted.tenant.0));
                     trigger.call.person = admitted.person.map_or(0, |p| p.0);
-                    trigger.call.budget = trigger
+                    trigger.call.timeout = trigger
                         .call
-                        .budget
+                        .timeout
                         .map(|b| b.saturating_sub(admitted.waited));
                     trigger.call.waited = trigger.call.waited.saturating_add(admitted.waited);
                     let user = trigger.call.user.clone();
@@ -237,7 +237,7 @@
                         "not let in"
                     );
                     let retry_after = (after > 0).then_some(after);
-                    inputs.push(Input::Refuse {
+                    inputs.push(Input::Reject {
                         trigger: *trigger,
                         cause: cause(why),
                         retry_after,
--- a/crates/pipithub-gateway/src/workers.rs
+++ b/crates/pipithub-gateway/src/workers.rs
@@ -10,7 +10,9 @@
 use hyper_util::rt::TokioIo;
 use pipithub_clock::Clock;
 use pipithub_engine::policy::{FunctionId, LoadReport, Outcome, WorkerId};
-use pipithub_engine::{AttemptEnd, AttemptId, Call, OrderEnd, ProbeEnd, Served, Time};
+use pipithub_engine::{
+    AttemptId, AttemptResult, Call, LoadCommandResult, LoadPollResult, Served, Time,
+};
 use pipithub_inference::{WorkerRequest, header};
 use pipithub_settings::HttpConfig;
 use tokio::net::TcpStream;
@@ -189,7 +191,7 @@
         call: &Call,
         deadline: Time,
         cancelled: oneshot::Receiver<()>,
-    ) -> AttemptEnd {
+    ) -> AttemptResult {
         let began = self.clock.now();
         let request = pipithub_inference::infer(call, id, &self.front_end);
         let exchange = self.exchange(worker, request, call.body.clone(), Some(deadline));
@@ -215,23 +217,23 @@
                     body: answer.body.clone(),
                 });
                 let (outcome, note, alike, load) = (told.outcome, told.note, told.alike, told.load);
-                AttemptEnd {
+                AttemptResult {
                     id,
                     outcome,
-                    took,
-                    note,
-                    alike,
-                    load,
+                    elapsed: took,
+                    replica_status: note,
+                    function_concurrency: alike,
+                    load_report: load,
                     served,
                 }
             }
-            Err(outcome) => AttemptEnd {
+            Err(outcome) => AttemptResult {
                 id,
                 outcome,
-                took,
-                note: None,
-                alike: None,
-                load: LoadReport::default(),
+                elapsed: took,
+                replica_status: None,
+                function_concurrency: None,
+                load_report: LoadReport::default(),
                 served: None,
             },
         }
@@ -244,7 +246,7 @@
         function: FunctionId,
         name: &str,
         copies: u32,
-    ) -> OrderEnd {
+    ) -> LoadCommandResult {
         let began = self.clock.now();
         let request = pipithub_inference::order(name, copies, &self.front_end);
         let most = std::time::Duration::from_nanos(self.config.order_timeout);
@@ -259,12 +261,12 @@
                 pipithub_inference::order_outcome(answer.status, |name| answer.header(name))
             }
         };
-        OrderEnd {
+        LoadCommandResult {
             worker,
             function,
             outcome,
-            took: self.clock.now() - began,
-            copies,
+            elapsed: self.clock.now() - began,
+            replicas: copies,
         }
     }
 
@@ -277,7 +279,7 @@
     }
 
     /// Asks a worker for its load.
-    pub(crate) async fn probe(&self, worker: WorkerId) -> ProbeEnd {
+    pub(crate) async fn probe(&self, worker: WorkerId) -> LoadPollResult {
         let most = std::time::Duration::from_nanos(self.config.probe_timeout);
         let request = pipithub_inference::probe(&self.front_end);
         let answer =
@@ -288,16 +290,16 @@
                     .header(header::LOAD)
                     .map(pipithub_inference::load)
                     .unwrap_or_default();
-                ProbeEnd {
+                LoadPollResult {
                     worker,
                     answered: true,
-                    load,
+                    load_report: load,
                 }
             }
-            _ => ProbeEnd {
+            _ => LoadPollResult {
                 worker,
                 answered: false,
-                load: LoadReport::default(),
+                load_report: LoadReport::default(),
             },
         }
     }
--- a/crates/pipithub-inference/src/lib.rs
+++ b/crates/pipithub-inference/src/lib.rs
@@ -122,7 +122,7 @@
         (header::ATTEMPT, id.number.to_string()),
         (header::FRONT_END, value(front_end)),
         (header::MEMORY, call.memory_mb.to_string()),
-        (header::LANES, call.lanes.to_string()),
+        (header::LANES, call.replica_concurrency.to_string()),
         (
             "content-type",
             call.content_type
@@ -137,7 +137,11 @@
             format!("{}-{}", value(front_end), id.request),
         )),
     }
-    headers.extend(call.key.as_ref().map(|key| (header::KEY, value(key))));
+    headers.extend(
+        call.idempotency_key
+            .as_ref()
+            .map(|key| (header::KEY, value(key))),
+    );
     WorkerRequest {
         get: false,
         path: format!("/v2/models/{}/infer", segment(&call.function)),
--- a/crates/pipithub-node/src/core.rs
+++ b/crates/pipithub-node/src/core.rs
@@ -8,8 +8,8 @@
     Endpoint, EndpointState, EndpointUpdate, Idempotency, LoadReport, Outcome, RequestId, WorkerId,
 };
 use pipithub_engine::{
-    AttemptEnd, AttemptId, Call, Engine, EngineSettings, Input, OrderEnd, Output, ProbeEnd, Reply,
-    Served, SourceId, Stats, Ticket, Time, Trigger, Verdict,
+    AttemptId, AttemptResult, Call, Engine, EngineSettings, Input, LoadCommandResult,
+    LoadPollResult, Output, Reply, Served, SourceId, Stats, Ticket, Time, Trigger, Verdict,
 };
 use pipithub_platform::client::{self, ClientCall, ClientLine, Fault};
 use pipithub_platform::config::NodeConfig;
@@ -217,7 +217,7 @@
             self.run(now, Input::Drain);
         }
         if self.last_answers().is_some_and(|at| now >= at) {
-            self.run(now, Input::End);
+            self.run(now, Input::AnswerAll);
         }
         self.run(now, Input::Tick);
     }
@@ -290,9 +290,9 @@
             .collect();
         self.run(
             now,
-            Input::Workers {
-                kind: event.kind,
-                entries,
+            Input::Endpoints {
+                update: event.kind,
+                endpoints: entries,
             },
         );
     }
@@ -361,7 +361,7 @@
             number: ticket,
         };
         let request = self.engine.request(ticket);
-        self.run(now, Input::Left(ticket));
+        self.run(now, Input::CallerCancelled(ticket));
         self.abandon(now, request);
         self.settle(now);
     }
@@ -579,12 +579,12 @@
         let call = Call {
             function: Arc::from(call.function),
             class: call.class,
-            budget: Some(call.ttl),
+            timeout: Some(call.ttl),
             memory_mb: call.memory_mb,
-            lanes: call.lanes,
+            replica_concurrency: call.lanes,
             load_time: call.load_time,
             label: Some(Arc::from(call.call)),
-            key: call.key.map(Arc::from),
+            idempotency_key: call.key.map(Arc::from),
             body: call.body,
             ..Call::default()
         };
@@ -696,13 +696,13 @@
                 });
                 let told = matches!(outcome, Outcome::Served | Outcome::Rejected);
                 let alike = told.then_some(answer.alike);
-                let end = AttemptEnd {
+                let end = AttemptResult {
                     id,
                     outcome,
-                    took,
-                    note: None,
-                    alike,
-                    load: answer.load,
+                    elapsed: took,
+                    replica_status: None,
+                    function_concurrency: alike,
+                    load_report: answer.load,
                     served,
                 };
                 self.attempt_ended(end);
@@ -712,12 +712,12 @@
                 let copies = answer.copies;
                 self.run(
                     now,
-                    Input::Order(OrderEnd {
+                    Input::LoadCommandFinished(LoadCommandResult {
                         worker,
                         function,
                         outcome,
-                        took,
-                        copies,
+                        elapsed: took,
+                        replicas: copies,
                     }),
                 );
             }
@@ -725,10 +725,10 @@
                 let answered = answer.word == Word::Ready;
                 self.run(
                     now,
-                    Input::Probe(ProbeEnd {
+                    Input::LoadPolled(LoadPollResult {
                         worker,
                         answered,
-                        load: answer.load,
+                        load_report: answer.load,
                     }),
                 );
             }
@@ -737,20 +737,20 @@
     }
 
     /// Notes the end of an attempt, for the engine to hear after the present input.
-    fn attempt_ended(&mut self, end: AttemptEnd) {
+    fn attempt_ended(&mut self, end: AttemptResult) {
         debug!(
             front_end = self.name,
             request = end.id.request,
             attempt = end.id.number,
             worker = self.out.get(&end.id).map(|w| &*w.0),
             outcome = ?end.outcome,
-            took_us = end.took / 1000,
-            alike = end.alike,
-            load = ?end.load,
+            took_us = end.elapsed / 1000,
+            alike = end.function_concurrency,
+            load = ?end.load_report,
             "attempt ended"
         );
         self.out.remove(&end.id);
-        self.inputs.push_back(Input::Attempt(end));
+        self.inputs.push_back(Input::AttemptFinished(end));
     }
 
     /// Notes the ends of jobs that got no answer.
@@ -767,22 +767,22 @@
             match job.task {
                 Task::Attempt(id) => self.attempt_ended(without_answer(id, outcome, took)),
                 Task::Order(function) => {
-                    let end = OrderEnd {
+                    let end = LoadCommandResult {
                         worker,
                         function,
                         outcome,
-                        took,
-                        copies: 0,
+                        elapsed: took,
+                        replicas: 0,
                     };
-                    self.inputs.push_back(Input::Order(end));
+                    self.inputs.push_back(Input::LoadCommandFinished(end));
                 }
                 Task::Probe => {
-                    let end = ProbeEnd {
+                    let end = LoadPollResult {
                         worker,
                         answered: false,
-                        load: LoadReport::default(),
+                        load_report: LoadReport::default(),
                     };
-                    self.inputs.push_back(Input::Probe(end));
+                    self.inputs.push_back(Input::LoadPolled(end));
                 }
                 Task::Drop => {}
             }
@@ -816,7 +816,7 @@
 
     fn one(&mut self, now: Time, output: Output) {
         match output {
-            Output::Send {
+            Output::Forward {
                 id,
                 worker,
                 call,
@@ -839,11 +839,11 @@
                 };
                 self.attempt_ended(without_answer(id, outcome, took));
             }
-            Output::Hold {
+            Output::LoadFunction {
                 worker,
                 function,
                 name,
-                copies,
+                replicas: copies,
             } => {
                 debug!(
                     front_end = self.name,
@@ -863,7 +863,7 @@
                 );
                 self.ask(now, &worker, job);
             }
-            Output::Drop { worker, name } => {
+            Output::EvictFunction { worker, name } => {
                 let line = worker::unpin(&name);
                 let job = Job::new(
                     Task::Drop,
@@ -874,7 +874,7 @@
                 );
                 self.ask(now, &worker, job);
             }
-            Output::Probe(worker) => {
+            Output::PollLoad(worker) => {
                 let tag = self.tag();
                 let line = worker::meter(&tag);
                 self.ask(
@@ -890,7 +890,7 @@
                 self.inputs.push_back(Input::Settled(ticket));
             }
             // Nothing is delivered twice here, and the list is followed from the start.
-            Output::Forget(_) | Output::FollowList => {}
+            Output::Forget(_) | Output::WatchEndpoints => {}
         }
     }
 
@@ -916,7 +916,7 @@
             call: name.to_string(),
             class: class.to_string(),
             function: call.function.clone(),
-            key: call.key.clone(),
+            key: call.idempotency_key.clone(),
             body: call.body.clone(),
         });
         let job = Job::new(Task::Attempt(id), name.to_string(), request, now, deadline);
@@ -939,7 +939,7 @@
         let Some(caller) = self.desk.end(now, ticket) else {
             return;
         };
-        if caller.once && reply.attempts > 0 && reply.verdict != Verdict::Refused {
+        if caller.once && reply.attempts > 0 && reply.verdict != Verdict::Rejected {
             self.desk.note(now + self.give_up_most, &caller.call);
         }
         debug!(
@@ -949,12 +949,12 @@
             cause = reply.cause.as_str(),
             attempts = reply.attempts,
             worker = reply.worker.as_ref().map(|w| &*w.0),
-            last = ?reply.last,
+            last = ?reply.last_outcome,
             "answer"
         );
         let line = match (reply.verdict, &reply.served) {
             (Verdict::Served, Some(served)) => client::served(caller.id, &served.body),
-            (Verdict::Refused, _) => {
+            (Verdict::Rejected, _) => {
                 let pushback = reply.retry_after.map(|t| t / 1_000_000);
                 client::error(
                     Some(caller.id),
@@ -970,14 +970,14 @@
     }
 }
 
-fn without_answer(id: AttemptId, outcome: Outcome, took: Time) -> AttemptEnd {
-    AttemptEnd {
+fn without_answer(id: AttemptId, outcome: Outcome, took: Time) -> AttemptResult {
+    AttemptResult {
         id,
         outcome,
-        took,
-        note: None,
-        alike: None,
-        load: LoadReport::default(),
+        elapsed: took,
+        replica_status: None,
+        function_concurrency: None,
+        load_report: LoadReport::default(),
         served: None,
     }
 }
