--- a/crates/pipithub-adapter/src/wire.rs
+++ b/crates/pipithub-adapter/src/wire.rs
@@ -10,7 +10,7 @@
 };
 
 /// What one line holds.
-pub enum Input {
+pub(crate) enum Input {
     /// A whole event.
     Event(Event),
     /// The head of a list, with the number of entry lines that follow.
@@ -89,7 +89,7 @@
     fn load(&mut self) -> Result<LoadReport, String> {
         let mut load = LoadReport::default();
         let pairs = match self.rest.next() {
-            None | Some("-") | Some("") => return Ok(load),
+            None | Some("-" | "") => return Ok(load),
             Some(pairs) => pairs,
         };
         for pair in pairs.split(',') {
@@ -113,7 +113,7 @@
 }
 
 /// Reads the line that begins a batch.
-pub fn clock(line: &str) -> Result<Time, String> {
+pub(crate) fn clock(line: &str) -> Result<Time, String> {
     let mut parts = Parts::of(line);
     match parts.text("message")? {
         "sync" => parts.value("clock"),
@@ -122,7 +122,7 @@
 }
 
 /// The front end that a line is for, and the name of its message.
-pub fn addressee(line: &str) -> Result<(u64, &str), String> {
+pub(crate) fn addressee(line: &str) -> Result<(u64, &str), String> {
     let mut parts = Parts::of(line);
     let name = parts.text("message")?;
     Ok((
@@ -132,7 +132,7 @@
 }
 
 /// Seed and settings text of an `attach`.
-pub fn attach(line: &str) -> Result<(u64, &str), String> {
+pub(crate) fn attach(line: &str) -> Result<(u64, &str), String> {
     let mut parts = line.splitn(4, ' ').skip(2);
     let seed = parts.next().ok_or("attach: RngSeed is missing")?;
     let seed = seed
@@ -142,7 +142,7 @@
 }
 
 /// Reads any other event line.
-pub fn event(line: &str, names: &Names) -> Result<Input, String> {
+pub(crate) fn event(line: &str, names: &Names) -> Result<Input, String> {
     let name = line.split(' ').next().unwrap_or_default();
     parse(line, names).map_err(|e| format!("{name}: {e}"))
 }
@@ -251,7 +251,7 @@
 }
 
 /// Reads one line of a list.
-pub fn entry(line: &str, names: &Names) -> Result<Endpoint, String> {
+pub(crate) fn entry(line: &str, names: &Names) -> Result<Endpoint, String> {
     let mut p = Parts::of(line);
     if p.text("message")? != "entry" {
         return Err(format!("expected 'entry', found '{line}'"));
@@ -300,7 +300,7 @@
 }
 
 /// Appends the line of one action.
-pub fn write(reply: &mut String, end: u64, action: &Action) {
+pub(crate) fn write(reply: &mut String, end: u64, action: &Action) {
     let done = match action {
         Action::Forward {
             request,
--- a/crates/pipithub-adapter/tests/driver/mod.rs
+++ b/crates/pipithub-adapter/tests/driver/mod.rs
@@ -6,7 +6,7 @@
 use pipithub_characterization::adapter_scenario::LineProtocol;
 
 /// A running adapter.
-pub struct Adapter {
+pub(crate) struct Adapter {
     child: Child,
     input: Option<ChildStdin>,
     output: BufReader<ChildStdout>,
@@ -14,7 +14,7 @@
 
 impl Adapter {
     /// Starts one.
-    pub fn start() -> Self {
+    pub(crate) fn start() -> Self {
         let mut child = Command::new(env!("CARGO_BIN_EXE_pipithub-adapter"))
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
@@ -29,7 +29,7 @@
     }
 
     /// Ends its input and waits for a clean end.
-    pub fn finish(mut self) {
+    pub(crate) fn finish(mut self) {
         drop(self.input.take());
         let status = self.child.wait().expect("the adapter ends");
         assert!(status.success(), "{status}");
--- a/crates/pipithub-admission/src/shares.rs
+++ b/crates/pipithub-admission/src/shares.rs
@@ -625,7 +625,7 @@
             for start in std::mem::take(&mut out) {
                 match start {
                     Start::Now(h) if h.tenant == 0 => {
-                        shares.ended(now, 0, End::NoWorkerInTime, 0, &mut Vec::new())
+                        shares.ended(now, 0, End::NoWorkerInTime, 0, &mut Vec::new());
                     }
                     Start::Now(_) => {
                         starts += u64::from(n > 5_000);
--- a/crates/pipithub-amqp/src/endpoint.rs
+++ b/crates/pipithub-amqp/src/endpoint.rs
@@ -652,6 +652,7 @@
         }
     }
 
+    #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
     fn connection(&mut self, method: Method) -> Result<(), Fault> {
         match (self.state, method) {
             (
@@ -817,7 +818,7 @@
                     .push_back(Event::Blocked(Some(reason.to_string())));
             }
             (State::Up, Method::ConnectionUnblocked {}) => {
-                self.events.push_back(Event::Blocked(None))
+                self.events.push_back(Event::Blocked(None));
             }
             (_, method) => {
                 let text = format!("{} is not expected now", method.name());
--- a/crates/pipithub-amqp/src/reply.rs
+++ b/crates/pipithub-amqp/src/reply.rs
@@ -47,7 +47,12 @@
 impl Code {
     /// The code of a number, where the specification has it.
     pub fn from_number(number: u16) -> Option<Self> {
-        use Code::*;
+        use Code::{
+            AccessRefused, ChannelError, CommandInvalid, ConnectionForced, ContentTooLarge,
+            FrameError, InternalError, InvalidPath, NoConsumers, NoRoute, NotAllowed, NotFound,
+            NotImplemented, PreconditionFailed, ResourceError, ResourceLocked, Success,
+            SyntaxError, UnexpectedFrame,
+        };
         [
             Success,
             ContentTooLarge,
--- a/crates/pipithub-amqp/tests/codec.rs
+++ b/crates/pipithub-amqp/tests/codec.rs
@@ -301,7 +301,7 @@
 #[test]
 fn tables_nested_too_deep_are_refused() {
     let mut table = FieldTable::new();
-    for _ in 0..MAX_DEPTH + 1 {
+    for _ in 0..=MAX_DEPTH {
         table = FieldTable::new().with("t", FieldValue::Table(table));
     }
     let declare = Method::ExchangeDeclare {
--- a/crates/pipithub-amqp/tests/endpoints.rs
+++ b/crates/pipithub-amqp/tests/endpoints.rs
@@ -37,7 +37,7 @@
                     }
                     Event::Login { .. } => self.server.refuse_login("unknown user"),
                     Event::OpenRequested { virtual_host } if &**virtual_host == "/" => {
-                        self.server.accept_open()
+                        self.server.accept_open();
                     }
                     Event::OpenRequested { .. } => {
                         self.server
--- a/crates/pipithub-bench/src/baseline.rs
+++ b/crates/pipithub-bench/src/baseline.rs
@@ -28,16 +28,15 @@
         .unwrap_or_else(PoisonError::into_inner)
         .get_mut(worker)
         .and_then(Vec::pop);
-    let mut sender = match pooled {
-        Some(sender) => sender,
-        None => {
-            let stream = TcpStream::connect(worker).await?;
-            stream.set_nodelay(true)?;
-            let (sender, connection) =
-                hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
-            tokio::spawn(connection);
-            sender
-        }
+    let mut sender = if let Some(sender) = pooled {
+        sender
+    } else {
+        let stream = TcpStream::connect(worker).await?;
+        stream.set_nodelay(true)?;
+        let (sender, connection) =
+            hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
+        tokio::spawn(connection);
+        sender
     };
     let request = Request::post(format!("/v2/models/{function}/infer"))
         .header("host", worker)
@@ -61,7 +60,7 @@
 }
 
 /// Runs the pass-through until it is killed.
-pub async fn run(broker: &str, workers: Vec<String>) -> Result<()> {
+pub(crate) async fn run(broker: &str, workers: Vec<String>) -> Result<()> {
     let connection = Connection::connect(
         &format!("amqp://guest:guest@{broker}/%2f"),
         ConnectionProperties::default(),
@@ -138,7 +137,7 @@
 }
 
 /// Calls workers without anything between.
-pub async fn direct(workers: &[String], rate: f64, seconds: u64) -> Result<Histogram<u64>> {
+pub(crate) async fn direct(workers: &[String], rate: f64, seconds: u64) -> Result<Histogram<u64>> {
     let (idle, clock) = (Idle::default(), Clock::default());
     let all = Arc::new(Mutex::new(histogram()));
     let mut tasks = tokio::task::JoinSet::new();
--- a/crates/pipithub-bench/src/hollow.rs
+++ b/crates/pipithub-bench/src/hollow.rs
@@ -16,7 +16,7 @@
 
 /// Runs so many, numbered from `first`, until standard input ends. `await INDEX` is answered once all of them have that
 /// event, with the Unix time in nanoseconds at which the last one had it; `state` is answered at once.
-pub fn run(config: &Path, count: usize, first: usize) -> Result<()> {
+pub(crate) fn run(config: &Path, count: usize, first: usize) -> Result<()> {
     let config = NodeConfig::parse(&std::fs::read_to_string(config)?)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/pipithub-bench/src/main.rs
+++ b/crates/pipithub-bench/src/main.rs
@@ -201,7 +201,10 @@
 
 impl Bed {
     async fn standin(&self, arguments: &[&str]) -> Result<Process> {
-        let arguments: Vec<String> = arguments.iter().map(|a| a.to_string()).collect();
+        let arguments: Vec<String> = arguments
+            .iter()
+            .map(std::string::ToString::to_string)
+            .collect();
         Ok(Process::standin(&self.binary, &arguments, &self.folder.join("log")).await?)
     }
 
@@ -342,6 +345,7 @@
 
 impl Bed {
     /// The gateway without tenants, then with them: 100 users, of whom 30 are unknown when the directory turns slow or dies.
+    #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
     async fn directories(&self) -> Result<()> {
         let mut workers = Vec::new();
         for _ in 0..self.workers {
--- a/crates/pipithub-bench/src/members.rs
+++ b/crates/pipithub-bench/src/members.rs
@@ -15,7 +15,7 @@
 
 /// What happens in a day.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Day {
+pub(crate) enum Day {
     /// All start at once; later one dies.
     Ordinary,
     /// The same, and each link loses 1% of the datagrams.
@@ -32,7 +32,7 @@
 
 /// A day to be played; its figures go to standard output as JSON.
 #[derive(Args)]
-pub struct Play {
+pub(crate) struct Play {
     /// Members.
     #[arg(long, default_value_t = 60)]
     size: usize,
@@ -55,7 +55,7 @@
 
 /// What a day showed. Times are simulated seconds; -1 where it did not come to that.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Row {
+pub(crate) struct Row {
     /// Until all knew all after the start.
     pub together: f64,
     /// From the blow (a death, a mended cut, the last restart) until the first knew of it, in the days with deaths.
@@ -203,7 +203,7 @@
 
 impl Play {
     /// Plays the day and prints its row.
-    pub fn run(&self) -> crate::Result<()> {
+    pub(crate) fn run(&self) -> crate::Result<()> {
         println!("{}", serde_json::to_string(&self.row())?);
         Ok(())
     }
--- a/crates/pipithub-bench/src/roster.rs
+++ b/crates/pipithub-bench/src/roster.rs
@@ -93,7 +93,8 @@
 }
 
 /// A million users over 50 tenants.
-pub fn roster(users: usize) {
+#[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
+pub(crate) fn roster(users: usize) {
     let names: Vec<User> = (0..users).map(name).collect();
     let before = resident();
     let mut core = core(DirectorySettings::default(), 2 * users, 1);
@@ -209,7 +210,7 @@
 }
 
 /// Two mornings of 130 front ends, at a directory that answers in 5 ms.
-pub fn morning(fronts: u64, users: usize, calls_each: usize) {
+pub(crate) fn morning(fronts: u64, users: usize, calls_each: usize) {
     const HOUR: Time = 3_600 * S;
     // The peak begins three hours after the start, and a day later.
     let (peak, length) = (3 * HOUR, HOUR);
@@ -268,6 +269,7 @@
     }
 }
 
+#[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
 fn simulate(
     front: u64,
     calls: &[(Time, usize)],
@@ -318,7 +320,7 @@
         if let Some((_, (search, answer))) = answers
             .first_entry()
             .filter(|e| e.key().0 <= now)
-            .map(|e| e.remove_entry())
+            .map(std::collections::btree_map::OccupiedEntry::remove_entry)
         {
             core.handle(
                 now,
--- a/crates/pipithub-bench/src/scale/council.rs
+++ b/crates/pipithub-bench/src/scale/council.rs
@@ -156,7 +156,7 @@
                 match output {
                     Output::Send { to, bytes } => net.send(n, to as usize - 1, bytes),
                     Output::Store(batch) if batch.compact.is_none() => {
-                        inputs.insert(0, Input::Stored(batch.number))
+                        inputs.insert(0, Input::Stored(batch.number));
                     }
                     _ => {}
                 }
@@ -212,7 +212,8 @@
 }
 
 /// All of it is of one thread; CPU is the wall clock's time of it, so nothing else may run beside it.
-pub async fn measure(plan: &Plan) -> Result<Vec<Series>> {
+#[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
+pub(super) async fn measure(plan: &Plan) -> Result<Vec<Series>> {
     let how = "core, no store and no links";
     let series = |what: &str, unit: &str, of: &str, planned| {
         Series::new("council", what, unit, of, how, planned)
--- a/crates/pipithub-bench/src/scale/decisions.rs
+++ b/crates/pipithub-bench/src/scale/decisions.rs
@@ -225,7 +225,7 @@
     days
 }
 
-pub async fn measure(plan: &Plan) -> Result<Vec<Series>> {
+pub(super) async fn measure(plan: &Plan) -> Result<Vec<Series>> {
     let sizes = plan.sizes_or(&SIZES);
     let mut figures = Figures::default();
     for &size in &sizes {
--- a/crates/pipithub-bench/src/scale/fit.rs
+++ b/crates/pipithub-bench/src/scale/fit.rs
@@ -6,7 +6,7 @@
 
 /// `value = factor * size^exponent`.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Fit {
+pub(crate) struct Fit {
     /// The power of the size.
     pub exponent: f64,
     /// The value at size one.
@@ -17,7 +17,7 @@
 
 impl Fit {
     /// The slope through the points; `None` for fewer than two that are above zero.
-    pub fn through(points: &[Point]) -> Option<Fit> {
+    pub(crate) fn through(points: &[Point]) -> Option<Fit> {
         let logs: Vec<(f64, f64)> = points
             .iter()
             .filter(|p| p.size > 0 && p.value > 0.0)
@@ -44,7 +44,7 @@
     }
 
     /// What the slope says for a size.
-    pub fn at(&self, size: u64) -> f64 {
+    pub(crate) fn at(&self, size: u64) -> f64 {
         self.factor * (size as f64).powf(self.exponent)
     }
 }
--- a/crates/pipithub-bench/src/scale/front_ends.rs
+++ b/crates/pipithub-bench/src/scale/front_ends.rs
@@ -20,7 +20,7 @@
 const ZONES: usize = 21;
 
 /// Measures the sections that the plan names, or all.
-pub async fn measure(plan: &Plan) -> Result<Vec<Series>> {
+pub(super) async fn measure(plan: &Plan) -> Result<Vec<Series>> {
     let folder = std::env::temp_dir().join(format!("pipithub-front-ends-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
     let mut all = Vec::new();
--- a/crates/pipithub-bench/src/scale/front_ends/beyond.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/beyond.rs
@@ -14,7 +14,7 @@
 /// Workers in the list that went well before.
 const FORMER: usize = 100;
 
-pub async fn measure(plan: &Plan, folder: &Path) -> Result<Vec<Series>> {
+pub(super) async fn measure(plan: &Plan, folder: &Path) -> Result<Vec<Series>> {
     let mut table = Table::new(
         "workers",
         "processes",
--- a/crates/pipithub-bench/src/scale/front_ends/fleet.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/fleet.rs
@@ -22,7 +22,7 @@
 /// How often the rate is looked at.
 const LOOK: Duration = Duration::from_millis(50);
 
-pub async fn measure(plan: &Plan, folder: &Path) -> Result<Vec<Series>> {
+pub(super) async fn measure(plan: &Plan, folder: &Path) -> Result<Vec<Series>> {
     let mut table = Table::new(
         "front ends",
         "hollow",
@@ -141,6 +141,7 @@
     (counts.told_bytes - 3 * counts.comments) as f64
 }
 
+#[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
 async fn play(plan: &Plan, folder: &Path, count: usize) -> Result<Vec<f64>> {
     let coordinator = Coordinator::start(Behaviour::default())?;
     let config = configure(folder, &coordinator, "hollow", plan.seed)?;
@@ -194,7 +195,7 @@
         .await?;
 
     fleet.coordinator.behave(|b| b.cut = true);
-    tokio::time::sleep(CUT - QUIET).await;
+    tokio::time::sleep(CUT.checked_sub(QUIET).unwrap()).await;
     let before = fleet.now();
     tokio::time::sleep(QUIET).await;
     let cut = fleet.since(before);
--- a/crates/pipithub-bench/src/scale/front_ends/lists.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/lists.rs
@@ -15,7 +15,7 @@
 const SETTLE: Duration = Duration::from_secs(2);
 const EVENTS: usize = 20;
 
-pub async fn measure(plan: &Plan, folder: &Path) -> Result<Vec<Series>> {
+pub(super) async fn measure(plan: &Plan, folder: &Path) -> Result<Vec<Series>> {
     let mut table = Table::new(
         "workers",
         "processes",
--- a/crates/pipithub-bench/src/scale/front_ends/processes.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/processes.rs
@@ -14,7 +14,7 @@
 const WORKERS: usize = 1_000;
 const QUIET: Duration = Duration::from_secs(3);
 
-pub async fn measure(plan: &Plan, folder: &Path) -> Result<Vec<Series>> {
+pub(super) async fn measure(plan: &Plan, folder: &Path) -> Result<Vec<Series>> {
     let mut table = Table::new(
         "front ends",
         "processes",
--- a/crates/pipithub-bench/src/scale/front_ends/rig.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/rig.rs
@@ -13,7 +13,7 @@
 
 /// What a process holds, in KiB.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Memory {
+pub(super) struct Memory {
     /// Resident, pages shared with others counted whole.
     pub rss: f64,
     /// Resident, pages shared with others counted by shares.
@@ -23,7 +23,7 @@
 }
 
 /// What a process holds; zeros where it is gone.
-pub fn memory(pid: u32) -> Memory {
+pub(super) fn memory(pid: u32) -> Memory {
     let kib = |file: &str, field: &str| {
         let text = std::fs::read_to_string(format!("/proc/{pid}/{file}")).unwrap_or_default();
         let line = text.lines().find_map(|l| l.strip_prefix(field));
@@ -38,7 +38,7 @@
 }
 
 /// CPU time of all threads of a process so far, in seconds.
-pub fn cpu(pid: u32) -> f64 {
+pub(super) fn cpu(pid: u32) -> f64 {
     let tasks = std::fs::read_dir(format!("/proc/{pid}/task"))
         .into_iter()
         .flatten()
@@ -51,7 +51,7 @@
 }
 
 /// A front end's configuration, in a file of this folder.
-pub fn configure(
+pub(super) fn configure(
     folder: &Path,
     coordinator: &Coordinator,
     name: &str,
@@ -72,14 +72,14 @@
 }
 
 /// A real front end.
-pub struct Real {
+pub(super) struct Real {
     child: Child,
     log: PathBuf,
 }
 
 impl Real {
     /// Starts `pipithub node` by this configuration.
-    pub fn start(binary: &Path, config: &Path) -> Result<Self> {
+    pub(super) fn start(binary: &Path, config: &Path) -> Result<Self> {
         let log = config.with_extension("log");
         let child = Command::new(binary)
             .arg("node")
@@ -96,12 +96,12 @@
     }
 
     /// Its process id.
-    pub fn pid(&self) -> u32 {
+    pub(super) fn pid(&self) -> u32 {
         self.child.id().unwrap_or(0)
     }
 
     /// Lines of its log that hold these words.
-    pub fn logged(&self, words: &str) -> Vec<String> {
+    pub(super) fn logged(&self, words: &str) -> Vec<String> {
         let text = std::fs::read_to_string(&self.log).unwrap_or_default();
         text.lines()
             .filter(|l| l.contains(words))
@@ -110,7 +110,7 @@
     }
 
     /// Whether it says that it can serve.
-    pub async fn is_well(&self) -> Result<bool> {
+    pub(super) async fn is_well(&self) -> Result<bool> {
         let up = self.logged("front end up");
         let address = up.iter().find_map(|l| {
             l.split_whitespace()
@@ -132,13 +132,13 @@
     }
 
     /// Kills it and waits until it is gone.
-    pub async fn kill(mut self) {
+    pub(super) async fn kill(mut self) {
         let _ = self.child.kill().await;
     }
 }
 
 /// A process of many hollow front ends.
-pub struct Crowd {
+pub(super) struct Crowd {
     child: Child,
     stdin: ChildStdin,
     lines: Lines<BufReader<ChildStdout>>,
@@ -146,7 +146,7 @@
 
 impl Crowd {
     /// Starts so many, numbered from `first`.
-    pub async fn start(config: &Path, count: usize, first: usize) -> Result<Self> {
+    pub(super) async fn start(config: &Path, count: usize, first: usize) -> Result<Self> {
         let mut child = Command::new(std::env::current_exe()?)
             .args(["hollow", "--config"])
             .arg(config)
@@ -167,7 +167,7 @@
     }
 
     /// Its process id.
-    pub fn pid(&self) -> u32 {
+    pub(super) fn pid(&self) -> u32 {
         self.child.id().unwrap_or(0)
     }
 
@@ -185,7 +185,7 @@
     }
 
     /// Waits until all have this event; the Unix time in nanoseconds at which the last one had it.
-    pub async fn have(&mut self, index: u64) -> Result<u64> {
+    pub(super) async fn have(&mut self, index: u64) -> Result<u64> {
         let told = self.ask(&format!("await {index}")).await?;
         if told["wanted"] != 0 {
             return Err(format!("hollow front ends wanted connections: {told}").into());
@@ -194,13 +194,13 @@
     }
 
     /// Ends it and waits until it is gone.
-    pub async fn kill(mut self) {
+    pub(super) async fn kill(mut self) {
         let _ = self.child.kill().await;
     }
 }
 
 /// Waits until this holds of what the coordinator counts.
-pub async fn until(coordinator: &Coordinator, holds: impl Fn(Counts) -> bool) -> Result<()> {
+pub(super) async fn until(coordinator: &Coordinator, holds: impl Fn(Counts) -> bool) -> Result<()> {
     let turns = async {
         while !holds(coordinator.counts()) {
             tokio::time::sleep(Duration::from_millis(5)).await;
--- a/crates/pipithub-bench/src/scale/members.rs
+++ b/crates/pipithub-bench/src/scale/members.rs
@@ -247,7 +247,7 @@
 }
 
 /// Days from the settled fleet on take 60 s of rest and then the blow.
-pub async fn measure(plan: &Plan) -> Result<Vec<Series>> {
+pub(super) async fn measure(plan: &Plan) -> Result<Vec<Series>> {
     let how = "simulated time";
     let series = |f: &Figure| Series::new("members", f.1, f.2, "members", how, PLANNED);
     let mut all: Vec<Series> = FIGURES.iter().map(series).collect();
@@ -262,7 +262,7 @@
                         .iter()
                         .map(|seed| scope.spawn(|| play(*day, size, *seed)))
                         .collect();
-                    let joined = threads.into_iter().map(|t| t.join());
+                    let joined = threads.into_iter().map(std::thread::ScopedJoinHandle::join);
                     joined
                         .map(|r| r.unwrap_or_else(|_| Err("a play broke off".into())))
                         .collect()
--- a/crates/pipithub-bench/src/scale/mod.rs
+++ b/crates/pipithub-bench/src/scale/mod.rs
@@ -14,13 +14,13 @@
 use clap::{Args, ValueEnum};
 use serde::Serialize;
 
-pub use fit::Fit;
+pub(crate) use fit::Fit;
 
 use crate::Result;
 
 /// What is measured and where the figures go.
 #[derive(Args)]
-pub struct Scale {
+pub(crate) struct Scale {
     /// Parts; all of them by default.
     #[arg(value_enum)]
     parts: Vec<Part>,
@@ -49,7 +49,7 @@
 
 /// A part of the site whose growth is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Part {
+pub(crate) enum Part {
     /// What a call, a list event and an idle tick cost the decision module.
     Decisions,
     /// What a front end's process holds, reads and asks, and what hands out the list spends.
@@ -66,7 +66,7 @@
 
 /// How a part is to be measured.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub(crate) struct Plan {
     /// Sizes in place of the part's own; empty: its own.
     pub sizes: Vec<u64>,
     /// Sections of a part that has some; empty: all.
@@ -83,12 +83,12 @@
 
 impl Plan {
     /// Whether a section of a part is to be measured.
-    pub fn wants(&self, section: &str) -> bool {
+    pub(crate) fn wants(&self, section: &str) -> bool {
         self.only.is_empty() || self.only.iter().any(|o| o == section)
     }
 
     /// The sizes to measure, of which these are the usual ones.
-    pub fn sizes_or(&self, usual: &[u64]) -> Vec<u64> {
+    pub(crate) fn sizes_or(&self, usual: &[u64]) -> Vec<u64> {
         if self.sizes.is_empty() {
             usual.to_vec()
         } else {
@@ -99,7 +99,7 @@
 
 /// What was measured at one size.
 #[derive(Clone, Debug, Serialize)]
-pub struct Point {
+pub(crate) struct Point {
     /// The size.
     pub size: u64,
     /// The median of the plays.
@@ -114,7 +114,7 @@
 
 impl Point {
     /// The median of these values; 0 where there are none.
-    pub fn of(size: u64, mut values: Vec<f64>) -> Point {
+    pub(crate) fn of(size: u64, mut values: Vec<f64>) -> Point {
         values.sort_by(f64::total_cmp);
         let at = |i: usize| values.get(i).copied().unwrap_or(0.0);
         let plays = values.len();
@@ -130,7 +130,7 @@
 
 /// One figure over several sizes.
 #[derive(Clone, Debug, Serialize)]
-pub struct Series {
+pub(crate) struct Series {
     /// The part it belongs to.
     pub part: String,
     /// What was measured, in words.
@@ -151,7 +151,14 @@
 
 impl Series {
     /// A series and the slope through its points.
-    pub fn new(part: &str, what: &str, unit: &str, of: &str, how: &str, planned: u64) -> Series {
+    pub(crate) fn new(
+        part: &str,
+        what: &str,
+        unit: &str,
+        of: &str,
+        how: &str,
+        planned: u64,
+    ) -> Series {
         let [part, what, unit, of, how] = [part, what, unit, of, how].map(str::to_string);
         Series {
             part,
@@ -166,12 +173,12 @@
     }
 
     /// Adds what was measured at one size.
-    pub fn push(&mut self, size: u64, values: Vec<f64>) {
+    pub(crate) fn push(&mut self, size: u64, values: Vec<f64>) {
         self.points.push(Point::of(size, values));
     }
 
     /// The furthest size that was really run.
-    pub fn furthest(&self) -> u64 {
+    pub(crate) fn furthest(&self) -> u64 {
         self.points.iter().map(|p| p.size).max().unwrap_or(0)
     }
 
@@ -202,7 +209,7 @@
 }
 
 /// Measures the parts and shows their slopes.
-pub async fn run(scale: Scale, binary: PathBuf) -> Result<()> {
+pub(crate) async fn run(scale: Scale, binary: PathBuf) -> Result<()> {
     let Scale {
         sizes,
         only,
--- a/crates/pipithub-bench/src/scale/plot.rs
+++ b/crates/pipithub-bench/src/scale/plot.rs
@@ -8,7 +8,7 @@
 use crate::Result;
 
 /// Draws a series and its slope up to the planned size.
-pub fn draw(series: &Series, folder: &Path) -> Result<()> {
+pub(super) fn draw(series: &Series, folder: &Path) -> Result<()> {
     let points: Vec<(f64, f64)> = series
         .points
         .iter()
--- a/crates/pipithub-bench/src/scale/settings.rs
+++ b/crates/pipithub-bench/src/scale/settings.rs
@@ -46,7 +46,7 @@
 }
 
 /// Measures processes first, then what reading a configuration costs as it grows.
-pub async fn measure(plan: &Plan) -> Result<Vec<Series>> {
+pub(super) async fn measure(plan: &Plan) -> Result<Vec<Series>> {
     let folder = tempfile::tempdir()?;
     let mut plays: Vec<(u64, Vec<Play>)> = Vec::new();
     for size in plan.sizes_or(&FRONT_ENDS) {
--- a/crates/pipithub-bench/src/scale/settings/reading.rs
+++ b/crates/pipithub-bench/src/scale/settings/reading.rs
@@ -17,7 +17,7 @@
 const FUNCTIONS: u64 = 43_000;
 
 /// Measures the reading alone, and then a process that starts with such a file and reads it again.
-pub async fn measure(plan: &Plan, folder: &Path) -> Result<Vec<Series>> {
+pub(super) async fn measure(plan: &Plan, folder: &Path) -> Result<Vec<Series>> {
     let new = |what: &str, unit: &str, of: &str, how: &str, planned: u64| {
         Series::new("settings", what, unit, of, how, planned)
     };
--- a/crates/pipithub-bench/src/scale/settings/site.rs
+++ b/crates/pipithub-bench/src/scale/settings/site.rs
@@ -24,11 +24,11 @@
 const HEAD_MOST: usize = 8 << 10;
 
 /// One of the coordinators.
-pub type Coordinator = usize;
+pub(super) type Coordinator = usize;
 
 /// What a front end's log said.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
+pub(super) enum Said {
     /// It is up.
     Up,
     /// It has taken a configuration in.
@@ -39,7 +39,7 @@
 
 /// A front end's question for the list.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked {
+pub(super) struct Asked {
     /// Who asked.
     pub node: usize,
     /// Whom.
@@ -62,7 +62,7 @@
 }
 
 /// Front ends, their files and their coordinators.
-pub struct Site {
+pub(super) struct Site {
     binary: PathBuf,
     folder: PathBuf,
     fronts: Vec<Front>,
@@ -79,7 +79,7 @@
 
 impl Site {
     /// Starts so many, each with so many workers known and classes, and waits until each has asked its coordinator.
-    pub async fn start(
+    pub(super) async fn start(
         binary: &Path,
         folder: &Path,
         size: usize,
@@ -120,12 +120,12 @@
     }
 
     /// How many there are.
-    pub fn size(&self) -> usize {
+    pub(super) fn size(&self) -> usize {
         self.fronts.len()
     }
 
     /// The coordinator that the next change names.
-    pub fn next(&mut self) -> Coordinator {
+    pub(super) fn next(&mut self) -> Coordinator {
         self.others.clear();
         self.in_force = (self.in_force + 1) % COORDINATORS;
         self.in_force
@@ -166,7 +166,7 @@
     }
 
     /// Puts a new file in the place of the old one, so that nobody reads a part of it; its bytes.
-    pub fn replace(&self, n: usize, coordinator: Coordinator) -> Result<usize> {
+    pub(super) fn replace(&self, n: usize, coordinator: Coordinator) -> Result<usize> {
         let (text, place) = (self.text(n, coordinator), &self.fronts[n].place);
         let beside = place.with_extension("fresh");
         std::fs::write(&beside, &text)?;
@@ -175,7 +175,7 @@
     }
 
     /// Writes half of a file over the old one, as a copy that is interrupted does.
-    pub fn write_half(&self, n: usize, coordinator: Coordinator) -> Result<()> {
+    pub(super) fn write_half(&self, n: usize, coordinator: Coordinator) -> Result<()> {
         let text = self.text(n, coordinator);
         Ok(std::fs::write(
             &self.fronts[n].place,
@@ -184,7 +184,7 @@
     }
 
     /// Writes the whole file over what is there.
-    pub fn write_whole(&self, n: usize, coordinator: Coordinator) -> Result<()> {
+    pub(super) fn write_whole(&self, n: usize, coordinator: Coordinator) -> Result<()> {
         Ok(std::fs::write(
             &self.fronts[n].place,
             self.text(n, coordinator),
@@ -192,12 +192,12 @@
     }
 
     /// Sends SIGHUP.
-    pub fn hang_up(&self, n: usize) -> Result<()> {
+    pub(super) fn hang_up(&self, n: usize) -> Result<()> {
         signal(&self.fronts[n].child, Signal::HUP)
     }
 
     /// The most memory that any of them ever held, in MB.
-    pub fn peak_mb(&self) -> f64 {
+    pub(super) fn peak_mb(&self) -> f64 {
         self.fronts
             .iter()
             .map(|f| peak_mb(&f.child))
@@ -205,17 +205,21 @@
     }
 
     /// CPU of all, in seconds.
-    pub fn cpu(&self) -> f64 {
+    pub(super) fn cpu(&self) -> f64 {
         self.fronts.iter().map(|f| cpu(&f.child)).sum()
     }
 
     /// Waits until each has asked this coordinator.
-    pub async fn all_ask(&mut self, coordinator: Coordinator) -> Result<Vec<Asked>> {
+    pub(super) async fn all_ask(&mut self, coordinator: Coordinator) -> Result<Vec<Asked>> {
         self.ask(coordinator, self.size()).await
     }
 
     /// Waits until so many front ends have asked this coordinator; the first question of each.
-    pub async fn ask(&mut self, coordinator: Coordinator, many: usize) -> Result<Vec<Asked>> {
+    pub(super) async fn ask(
+        &mut self,
+        coordinator: Coordinator,
+        many: usize,
+    ) -> Result<Vec<Asked>> {
         let (mut who, mut all) = (HashSet::new(), Vec::new());
         let end = tokio::time::Instant::now() + PATIENCE;
         // Those of the others are kept: one half of the front ends may be asked about after the other.
@@ -248,7 +252,7 @@
     }
 
     /// Waits until each has said this; what is asked meanwhile is passed over.
-    pub async fn all_say(&mut self, what: Said) -> Result<Instant> {
+    pub(super) async fn all_say(&mut self, what: Said) -> Result<Instant> {
         let mut who = HashSet::new();
         let end = tokio::time::Instant::now() + PATIENCE;
         let mut last = Instant::now();
@@ -274,7 +278,7 @@
     }
 
     /// Fails where another coordinator than this one is asked within a time.
-    pub async fn nobody_asks_but(
+    pub(super) async fn nobody_asks_but(
         &mut self,
         coordinator: Coordinator,
         within: Duration,
@@ -293,7 +297,7 @@
     }
 
     /// Stops all at once and starts each again when it has ended; seconds until the last one has asked.
-    pub async fn restart(&mut self) -> Result<f64> {
+    pub(super) async fn restart(&mut self) -> Result<f64> {
         let to = self.next();
         let begun = Instant::now();
         for n in 0..self.size() {
@@ -310,7 +314,7 @@
     }
 
     /// Ends all.
-    pub async fn stop(mut self) {
+    pub(super) async fn stop(mut self) {
         for front in &mut self.fronts {
             let _ = front.child.kill().await;
         }
@@ -318,7 +322,7 @@
 }
 
 /// Sends a process a signal, by its own id.
-pub fn signal(child: &Child, signal: Signal) -> Result<()> {
+pub(super) fn signal(child: &Child, signal: Signal) -> Result<()> {
     let id = child
         .id()
         .and_then(|id| Pid::from_raw(id as i32))
@@ -327,7 +331,7 @@
 }
 
 /// CPU of a process in seconds: the scheduler's count, in nanoseconds, where ticks of 10 ms would say nothing.
-pub fn cpu(child: &Child) -> f64 {
+pub(super) fn cpu(child: &Child) -> f64 {
     let Some(id) = child.id() else { return 0.0 };
     let tasks = std::fs::read_dir(format!("/proc/{id}/task"))
         .into_iter()
@@ -344,7 +348,7 @@
 }
 
 /// The most memory that a process ever held, in MB.
-pub fn peak_mb(child: &Child) -> f64 {
+pub(super) fn peak_mb(child: &Child) -> f64 {
     let status = child
         .id()
         .and_then(|id| std::fs::read_to_string(format!("/proc/{id}/status")).ok());
@@ -359,7 +363,7 @@
 }
 
 /// A worker of the list.
-pub fn worker(n: u64) -> Value {
+pub(super) fn worker(n: u64) -> Value {
     json!({"host": format!("w{n}"), "dial": format!("127.0.0.1:{}", 20_000 + n % 20_000), "site": "a", "health": "SERVING"})
 }
 
@@ -372,7 +376,12 @@
 }
 
 /// The configuration of a front end, whose last known event bears its number beyond what the events need.
-pub fn configuration(n: usize, coordinator: &str, workers: &[Value], classes: usize) -> Value {
+pub(super) fn configuration(
+    n: usize,
+    coordinator: &str,
+    workers: &[Value],
+    classes: usize,
+) -> Value {
     let updates: Vec<Value> = workers
         .chunks(EVENT_MOST)
         .enumerate()
--- a/crates/pipithub-bench/src/scale/workers.rs
+++ b/crates/pipithub-bench/src/scale/workers.rs
@@ -39,7 +39,7 @@
 }
 
 /// Reads the records, one series for each kind of day and figure.
-pub async fn measure(plan: &Plan) -> Result<Vec<Series>> {
+pub(super) async fn measure(plan: &Plan) -> Result<Vec<Series>> {
     let Some(folder) = &plan.fleet else {
         println!("\nworkers: skipped, as no records of the fleet test are given (--fleet DIR)");
         return Ok(Vec::new());
--- a/crates/pipithub-characterization/src/random.rs
+++ b/crates/pipithub-characterization/src/random.rs
@@ -1,6 +1,6 @@
 //! A small generator of pseudo-random numbers whose sequence never changes with a dependency.
 
-/// SplitMix64.
+/// `SplitMix64`.
 #[derive(Clone, Debug)]
 pub struct Random {
     state: u64,
--- a/crates/pipithub-characterization/tests/file_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/file_driver/mod.rs
@@ -19,7 +19,7 @@
 // ---- generation record ----
 
 /// The text of a generation record.
-pub fn generation_text(cluster: &str, name: &str, generation: u64) -> String {
+pub(crate) fn generation_text(cluster: &str, name: &str, generation: u64) -> String {
     Record {
         cluster: cluster.into(),
         name: name.into(),
@@ -29,13 +29,13 @@
 }
 
 /// Cluster, name and generation of a record's text.
-pub fn read_generation(text: &str) -> Result<(String, String, u64), String> {
+pub(crate) fn read_generation(text: &str) -> Result<(String, String, u64), String> {
     let record = Record::read(text).map_err(|error| error.to_string())?;
     Ok((record.cluster, record.name, record.generation))
 }
 
 /// The record's text that the next start writes, and whether it found an empty folder.
-pub fn next_generation(
+pub(crate) fn next_generation(
     found: Option<&str>,
     cluster: &str,
     name: &str,
@@ -45,7 +45,7 @@
 }
 
 /// Writes the record of a data folder.
-pub fn save_generation(folder: &Path, text: &str) {
+pub(crate) fn save_generation(folder: &Path, text: &str) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
         .expect("a runtime");
@@ -62,7 +62,7 @@
 }
 
 /// The record of a data folder as a start finds it.
-pub fn load_generation(folder: &Path) -> Option<String> {
+pub(crate) fn load_generation(folder: &Path) -> Option<String> {
     Folder::take(folder)
         .expect("the folder is free")
         .generation()
@@ -85,7 +85,7 @@
 }
 
 /// Writes a membership report into a data folder.
-pub fn save_report(folder: &Path) {
+pub(crate) fn save_report(folder: &Path) {
     let happening = |member: &str, what: &str| Happening {
         at_ms: 1_800_000_000_000,
         member: member.into(),
@@ -114,7 +114,7 @@
 }
 
 /// The report of a data folder, a line each for the head, the members and what happened.
-pub fn load_report(folder: &Path) -> Vec<String> {
+pub(crate) fn load_report(folder: &Path) -> Vec<String> {
     let text = Folder::read_report(folder).expect("the report is read");
     let report: Report = serde_json::from_slice(&text).expect("the report is understood");
     let member = |m: &MemberReport| {
@@ -141,7 +141,7 @@
 // ---- remembered worker list ----
 
 /// The text that is kept after a list and then a watch event.
-pub fn remembered_list(now: u64, wall_ms: u64, list: &str, change: &str) -> String {
+pub(crate) fn remembered_list(now: u64, wall_ms: u64, list: &str, change: &str) -> String {
     let mut watcher = Watcher::new(None);
     watcher
         .list(now, wall_ms, list.as_bytes())
@@ -157,7 +157,7 @@
 }
 
 /// The workers of a remembered list, a line each.
-pub fn recall_list(text: &str, now: u64, wall_ms: u64) -> Result<Vec<String>, String> {
+pub(crate) fn recall_list(text: &str, now: u64, wall_ms: u64) -> Result<Vec<String>, String> {
     let (kind, entries) =
         pipithub_endpoints::recall(text, now, wall_ms).map_err(|error| error.to_string())?;
     assert_eq!(kind, EndpointUpdate::Cached);
@@ -182,15 +182,15 @@
 // ---- directory snapshot ----
 
 /// A fact of a snapshot: user, tenant, person, mark, and when it was confirmed in milliseconds on the caller's clock.
-pub type Fact = (String, u16, u64, u64, i64);
+pub(crate) type Fact = (String, u16, u64, u64, i64);
 
 /// What a snapshot is written for.
-pub fn snapshot_fingerprint(parts: &[&str]) -> [u8; 32] {
+pub(crate) fn snapshot_fingerprint(parts: &[&str]) -> [u8; 32] {
     snapshot::fingerprint(parts.iter().copied())
 }
 
 /// A snapshot of these facts.
-pub fn snapshot_bytes(
+pub(crate) fn snapshot_bytes(
     facts: &[Fact],
     now: u64,
     wall_ms: i64,
@@ -234,7 +234,7 @@
 }
 
 /// The facts of a snapshot, by user.
-pub fn snapshot_facts(
+pub(crate) fn snapshot_facts(
     bytes: &[u8],
     now: u64,
     wall_ms: i64,
--- a/crates/pipithub-characterization/tests/node_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/node_driver/mod.rs
@@ -6,14 +6,14 @@
 use pipithub_platform::list;
 
 /// The node's core with the configuration that its lists are read by.
-pub struct Driver {
+pub(crate) struct Driver {
     core: Core,
     config: NodeConfig,
 }
 
 impl Driver {
     /// Starts a node.
-    pub fn start(now: u64, configuration: &str) -> Self {
+    pub(crate) fn start(now: u64, configuration: &str) -> Self {
         let config = NodeConfig::parse(configuration).expect("the configuration can be read");
         Driver {
             core: Core::new(now, &config),
--- a/crates/pipithub-check/src/fleet.rs
+++ b/crates/pipithub-check/src/fleet.rs
@@ -152,6 +152,7 @@
 }
 
 /// Judges a history.
+#[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
 pub fn check(history: &History, bounds: Bounds) -> Vec<Breach> {
     let mut breaches = Vec::new();
     let mut breach = |rule: Rule, what: String| breaches.push(Breach { rule, what });
--- a/crates/pipithub-check/src/rules.rs
+++ b/crates/pipithub-check/src/rules.rs
@@ -308,7 +308,7 @@
             rule: Rule::OneAnswer,
             at,
             what,
-        })
+        });
     };
     if book.until.is_some_and(|until| story.published > until) {
         return;
@@ -358,7 +358,7 @@
             rule: Rule::NoEffectTwice,
             at,
             what,
-        })
+        });
     };
     if class.effect == Effect::Safe {
         return;
--- a/crates/pipithub-consumer/src/consumer.rs
+++ b/crates/pipithub-consumer/src/consumer.rs
@@ -25,7 +25,7 @@
 /// How the limit on deliveries is set at the broker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Qos {
-    /// Over the channel (`global`), changed while consuming. Quorum queues of RabbitMQ refuse it.
+    /// Over the channel (`global`), changed while consuming. Quorum queues of `RabbitMQ` refuse it.
     #[default]
     Channel,
     /// For the consumer; to change it the consumer is cancelled and begun anew.
--- a/crates/pipithub-consumer/src/identity.rs
+++ b/crates/pipithub-consumer/src/identity.rs
@@ -1,7 +1,7 @@
 //! Whose call a message is, and how that is proved.
 //!
 //! Two ways are offered. Under [`Rule::Broker`] the property `user_id` counts: a broker that checks it against the
-//! connection's user, as RabbitMQ does, lets nobody publish under another's name. Under [`Rule::Signed`] a desk that
+//! connection's user, as `RabbitMQ` does, lets nobody publish under another's name. Under [`Rule::Signed`] a desk that
 //! publishes for many users signs each call:
 //!
 //! | header | meaning |
@@ -80,7 +80,7 @@
         .headers
         .as_ref()
         .and_then(|h| h.get("pipithub-sent-ms"))
-        .and_then(|v| v.as_i64())
+        .and_then(pipithub_amqp::FieldValue::as_i64)
         .unwrap_or(-1);
     let sent = sent.to_string();
     let parts = [
@@ -189,7 +189,7 @@
                 let headers = content.properties.headers.as_ref();
                 let sent = headers
                     .and_then(|h| h.get("pipithub-sent-ms"))
-                    .and_then(|v| v.as_i64());
+                    .and_then(pipithub_amqp::FieldValue::as_i64);
                 let Some(sent) = sent.and_then(|s| u64::try_from(s).ok()) else {
                     return no("a signed call needs header pipithub-sent-ms");
                 };
--- a/crates/pipithub-consumer/tests/with_broker.rs
+++ b/crates/pipithub-consumer/tests/with_broker.rs
@@ -304,12 +304,12 @@
                         .handle(now, Input::Trigger((**trigger).clone()), &mut out);
                 }
                 Notice::Settled(ticket) => {
-                    front.engine.handle(now, Input::Settled(*ticket), &mut out)
+                    front.engine.handle(now, Input::Settled(*ticket), &mut out);
                 }
                 Notice::Lost(_) => {
                     front
                         .engine
-                        .handle(now, Input::SourceLost(SourceId(0)), &mut out)
+                        .handle(now, Input::SourceLost(SourceId(0)), &mut out);
                 }
                 Notice::Returned { .. } => self.returned += 1,
                 _ => {}
@@ -390,7 +390,7 @@
                 for output in out {
                     match output {
                         Output::Answer { ticket, reply } => {
-                            front.consumer.answer(self.now, ticket, reply)
+                            front.consumer.answer(self.now, ticket, reply);
                         }
                         Output::Forward { id, call, .. } => {
                             front
--- a/crates/pipithub-council/src/voter.rs
+++ b/crates/pipithub-council/src/voter.rs
@@ -168,9 +168,10 @@
         }
         let log = Log::load(disk, &settings.voters).map_err(Unfit::Disk)?;
         let data = log.snapshot.get_data();
-        let state = match data.is_empty() {
-            true => State::default(),
-            false => postcard::from_bytes(data).map_err(|e| Unfit::Disk(e.to_string()))?,
+        let state = if data.is_empty() {
+            State::default()
+        } else {
+            postcard::from_bytes(data).map_err(|e| Unfit::Disk(e.to_string()))?
         };
         let applied = log.snapshot.get_metadata().index;
         let config = Config {
--- a/crates/pipithub-council/tests/seeds.rs
+++ b/crates/pipithub-council/tests/seeds.rs
@@ -74,7 +74,7 @@
         let mut clock = || {
             (
                 net.rng.random_range(0..1_000_000 * MS),
-                1.0 + net.rng.random_range(-5..=5) as f64 / 1_000.0,
+                1.0 + f64::from(net.rng.random_range(-5..=5)) / 1_000.0,
             )
         };
         let clocks = (0..size).map(|_| clock()).collect();
--- a/crates/pipithub-directory/src/core.rs
+++ b/crates/pipithub-directory/src/core.rs
@@ -503,7 +503,7 @@
             Input::Wanted { user, urgent } => self.wanted(now, user, urgent, out),
             Input::Ended { search, outcome } => self.ended(now, search, outcome, out),
             Input::Told { directory, news } if directory < self.sites.len() => {
-                self.told(now, directory, news, out)
+                self.told(now, directory, news, out);
             }
             Input::Told { .. } => {}
         }
@@ -800,6 +800,7 @@
         }
     }
 
+    #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
     fn ended(
         &mut self,
         now: Time,
@@ -944,12 +945,11 @@
             .enumerate()
             .filter(within)
             .max_by_key(|(_, t)| t.base.depth());
-        match found {
-            Some((n, _)) => Told::Tenant(TenantId(n as u16)),
-            None => {
-                self.stats.odd += 1;
-                Told::Absent
-            }
+        if let Some((n, _)) = found {
+            Told::Tenant(TenantId(n as u16))
+        } else {
+            self.stats.odd += 1;
+            Told::Absent
         }
     }
 
@@ -1037,14 +1037,13 @@
     }
 
     fn set(&mut self, now: Time, user: &User, claim: Claim) {
-        let claims = match self.roster.users.get(&**user) {
-            Some(claims) => claims.with(claim),
-            None => {
-                while self.roster.users.len() >= self.max_users && self.evict() {}
-                let due = self.look_again(now, user, &claim);
-                self.wheel.entry(due).or_default().push((&**user).into());
-                Claims::One(claim)
-            }
+        let claims = if let Some(claims) = self.roster.users.get(&**user) {
+            claims.with(claim)
+        } else {
+            while self.roster.users.len() >= self.max_users && self.evict() {}
+            let due = self.look_again(now, user, &claim);
+            self.wheel.entry(due).or_default().push((&**user).into());
+            Claims::One(claim)
         };
         self.roster.users.insert((&**user).into(), claims);
     }
--- a/crates/pipithub-directory/src/map.rs
+++ b/crates/pipithub-directory/src/map.rs
@@ -121,13 +121,10 @@
                 if n % 50 == 0 {
                     versions.push((map.clone(), model.clone()));
                 }
-                match value {
-                    Some(value) => {
-                        map.insert(key, value);
-                        model.insert(key, value);
-                    }
-                    None => prop_assert_eq!(map.remove(&key), model.remove(&key)),
-                }
+                if let Some(value) = value {
+                    map.insert(key, value);
+                    model.insert(key, value);
+                } else { prop_assert_eq!(map.remove(&key), model.remove(&key)) }
             }
             versions.push((map, model));
             for (map, model) in versions {
--- a/crates/pipithub-directory/tests/core.rs
+++ b/crates/pipithub-directory/tests/core.rs
@@ -153,7 +153,7 @@
             &mut core,
             0,
             News::Entry(found(&format!("u{n}"), "north", n + 1)),
-        ))
+        ));
     });
     told(&mut core, S, News::Complete);
     told(&mut core, 10 * S, News::Lost);
@@ -163,7 +163,7 @@
             &mut core,
             20 * S,
             News::Entry(found(&format!("u{n}"), "north", n + 1)),
-        ))
+        ));
     });
     let mut out = told(&mut core, 21 * S, News::Complete);
     let mut now = 21 * S;
@@ -411,7 +411,7 @@
         tell(&mut core, 0, directory, News::Complete);
     }
     sides.iter().for_each(|(directory, ..)| {
-        tell(&mut core, 20 * S, *directory, News::Begun { whole: true })
+        tell(&mut core, 20 * S, *directory, News::Begun { whole: true });
     });
     sides
         .iter()
--- a/crates/pipithub-drill/src/client.rs
+++ b/crates/pipithub-drill/src/client.rs
@@ -306,7 +306,7 @@
                 match event {
                     Event::Connected => drop(endpoint.open_channel()),
                     Event::ChannelOpened { channel } => {
-                        endpoint.send(channel, declare(queue, true)).ok()?
+                        endpoint.send(channel, declare(queue, true)).ok()?;
                     }
                     Event::Method {
                         method: Method::QueueDeclareOk { consumer_count, .. },
--- a/crates/pipithub-drill/src/fleet/run.rs
+++ b/crates/pipithub-drill/src/fleet/run.rs
@@ -91,10 +91,10 @@
         let mut both = |from: Act, to: Act| acts.extend([(at, from), (end, to)]);
         match step.trouble {
             FleetTrouble::Kill { member, disk } => {
-                both(Act::Kill(member), Act::Start(member, disk))
+                both(Act::Kill(member), Act::Start(member, disk));
             }
             FleetTrouble::Pause { member } => {
-                both(Act::Pause(member, true), Act::Pause(member, false))
+                both(Act::Pause(member, true), Act::Pause(member, false));
             }
             FleetTrouble::Cut {
                 from,
@@ -118,7 +118,7 @@
                 ]);
             }
             FleetTrouble::Hold { from, to } => {
-                both(Act::Hold(from, to, true), Act::Hold(from, to, false))
+                both(Act::Hold(from, to, true), Act::Hold(from, to, false));
             }
             FleetTrouble::Split { zone } => both(Act::Split(zone, true), Act::Split(zone, false)),
             FleetTrouble::Slow { delay, jitter } => both(Act::Slow(delay, jitter), Act::Slow(0, 0)),
@@ -241,7 +241,7 @@
         match (paused, s.paused.take(), s.run) {
             (true, _, _) => s.paused = Some(wall_ns()),
             (false, Some(since), Some(run)) => {
-                self.history.runs[run].paused.push((since, wall_ns()))
+                self.history.runs[run].paused.push((since, wall_ns()));
             }
             _ => {}
         }
@@ -412,6 +412,7 @@
 }
 
 /// Runs a day from a seed.
+#[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
 pub async fn run(
     day: &FleetDay,
     seed: u64,
--- a/crates/pipithub-drill/src/load.rs
+++ b/crates/pipithub-drill/src/load.rs
@@ -62,6 +62,7 @@
 }
 
 /// The calls, each with its time in nanoseconds from the first.
+#[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
 pub fn calls(day: &Scenario, seed: u64, queue: &str) -> Vec<(u64, Publish)> {
     let mut chance = Chance::new(seed);
     // Of its own chance, so that a day without tenants has the calls that it always had.
--- a/crates/pipithub-drill/src/run.rs
+++ b/crates/pipithub-drill/src/run.rs
@@ -387,6 +387,11 @@
 }
 
 /// Runs a day from a seed; `progress` is told each second, and `baseline` names a policy in the module's place.
+#[expect(
+    clippy::cognitive_complexity,
+    clippy::too_many_lines,
+    reason = "not split yet; see the roadmap"
+)]
 pub async fn run(
     day: &Scenario,
     seed: u64,
--- a/crates/pipithub-drill/src/scenario.rs
+++ b/crates/pipithub-drill/src/scenario.rs
@@ -212,7 +212,7 @@
     pub(crate) fn flag(&self, name: &str) -> bool {
         self.node
             .get(name)
-            .and_then(|v| v.as_bool())
+            .and_then(kdl::KdlValue::as_bool)
             .unwrap_or(false)
     }
 
@@ -260,7 +260,7 @@
             .node
             .entries()
             .iter()
-            .filter_map(|e| e.name().map(|n| n.value()));
+            .filter_map(|e| e.name().map(kdl::KdlIdentifier::value));
         for name in given {
             if !names.contains(&name) {
                 return self.fault(format!(
@@ -276,6 +276,7 @@
 
 impl Scenario {
     /// Reads a file.
+    #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
     pub fn parse(file: &str, text: &str) -> Result<Scenario, Box<Unreadable>> {
         let source = || NamedSource::new(file, text.to_string());
         let document = KdlDocument::from_str(text).map_err(|error| {
@@ -370,7 +371,10 @@
                         .collect();
                 }
                 "settings" => {
-                    day.settings = node.children().map(|d| d.to_string()).unwrap_or_default();
+                    day.settings = node
+                        .children()
+                        .map(std::string::ToString::to_string)
+                        .unwrap_or_default();
                 }
                 "tenants" => {
                     n.allow(&["users", "servers", "spies", "bound"])?;
@@ -378,7 +382,10 @@
                         users: (n.number("users", Some(60.0))? as usize).clamp(2, 1_000_000),
                         servers: (n.number("servers", Some(2.0))? as usize).clamp(1, 8),
                         spies: n.number("spies", Some(0.05))?.min(1.0),
-                        settings: node.children().map(|d| d.to_string()).unwrap_or_default(),
+                        settings: node
+                            .children()
+                            .map(std::string::ToString::to_string)
+                            .unwrap_or_default(),
                         bound: n.time("bound", None)?,
                     });
                 }
--- a/crates/pipithub-endpoints/src/lib.rs
+++ b/crates/pipithub-endpoints/src/lib.rs
@@ -1,4 +1,4 @@
-//! The worker list from Kubernetes EndpointSlice objects (`discovery.k8s.io/v1`), without I/O.
+//! The worker list from Kubernetes `EndpointSlice` objects (`discovery.k8s.io/v1`), without I/O.
 //!
 //! A [`Watcher`] takes the bodies of a list and the lines of a watch and tells what changed for the engine. It keeps the
 //! `resourceVersion` to watch from, notices a version that is too old (`410 Gone`), and can be written down and read
--- a/crates/pipithub-engine/benches/engine.rs
+++ b/crates/pipithub-engine/benches/engine.rs
@@ -38,6 +38,7 @@
         .collect()
 }
 
+#[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
 fn costs(c: &mut Criterion) {
     let mut group = c.benchmark_group("one call, taken, sent, served, settled");
     for workers in [12usize, 66, 300] {
--- a/crates/pipithub-engine/src/engine.rs
+++ b/crates/pipithub-engine/src/engine.rs
@@ -323,6 +323,7 @@
 
     /// `refused`: it is not to run. What came before is looked up first all the same: a call that runs here, or was
     /// answered, must not be refused on top of that, and one that may have run elsewhere must not be called harmless.
+    #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
     fn trigger(
         &mut self,
         now: Time,
--- a/crates/pipithub-gateway/src/directory.rs
+++ b/crates/pipithub-gateway/src/directory.rs
@@ -161,7 +161,7 @@
             core.restore(clock.now(), facts);
         }
         Err(error) => {
-            warn!(file = %file.display(), %error, "snapshot refused; users are asked for anew")
+            warn!(file = %file.display(), %error, "snapshot refused; users are asked for anew");
         }
     }
 }
@@ -183,6 +183,7 @@
 }
 
 impl Shell {
+    #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
     async fn run(
         mut self,
         mut inputs: mpsc::Receiver<Input>,
@@ -242,7 +243,7 @@
                 }
                 () = self.clock.sleep_until(due) => batch.push(Input::Tick),
                 _ = write.tick(), if every.is_some() => {
-                    if writing.as_ref().is_none_or(|w| w.is_finished()) {
+                    if writing.as_ref().is_none_or(tokio::task::JoinHandle::is_finished) {
                         writing = self.keep();
                     }
                 }
@@ -595,13 +596,14 @@
     fn begin(directory: &DirectoryConfig, client: &mut Client, what: What) -> Option<Question> {
         let state = client.search(state_search(directory))?;
         let main = match main_search(directory, &what, Bytes::new()) {
-            Some(search) => match client.search(search) {
-                Some(id) => Some(id),
-                None => {
+            Some(search) => {
+                if let Some(id) = client.search(search) {
+                    Some(id)
+                } else {
                     client.abandon(state);
                     return None;
                 }
-            },
+            }
             None => None,
         };
         let newest = matches!(what, What::Since(None)).then(|| first_poll_since(wall_ms()));
@@ -1000,6 +1002,7 @@
             .is_ok()
     }
 
+    #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
     async fn follow(&self, server: usize, cookie: &mut Option<Bytes>) -> String {
         let directory = &*self.directory;
         let mut connection = match Connection::open(directory, server, self.tls.as_ref()).await {
--- a/crates/pipithub-gateway/tests/tenants.rs
+++ b/crates/pipithub-gateway/tests/tenants.rs
@@ -445,6 +445,7 @@
 
 /// A day of moves, directory faults and a stale replica, from a seed. Returns calls, calls sent, and crossings: sends to a
 /// side on which the user had not been for longer than the bound.
+#[allow(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
 async fn day(seed: u64, length: Duration) -> (usize, usize, Vec<String>) {
     let stage = Stage::new(&format!("day{seed}")).await;
     let mut chance = Chance::new(seed);
@@ -537,7 +538,7 @@
     }
     // The bound that the settings state is the hard one, 1 s, counted from when a server that can be reached knows: half
     // of `fresh` until it is heard, after up to 400 ms of a fault and 600 ms of its breaker. Then the way to a worker, on a machine that is busy.
-    let bound = Duration::from_millis(4_000).as_nanos() as u64;
+    let bound = Duration::from_secs(4).as_nanos() as u64;
     let mut crossings = Vec::new();
     for (at, request, function) in stage.sent() {
         let (user, asked) = &wanted[&request];
--- a/crates/pipithub-hollow/src/lib.rs
+++ b/crates/pipithub-hollow/src/lib.rs
@@ -132,7 +132,7 @@
                 () = self.rearm.notified() => continue,
             }
             self.armed.set(Time::MAX);
-            self.with(|core, now| core.tick(now));
+            self.with(pipithub_node::core::Core::tick);
         }
     }
 }
--- a/crates/pipithub-hollow/tests/rig/mod.rs
+++ b/crates/pipithub-hollow/tests/rig/mod.rs
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 
 /// A front end of this coordinator.
-pub fn config(coordinator: SocketAddr) -> Value {
+pub(crate) fn config(coordinator: SocketAddr) -> Value {
     json!({
         "name": "n1", "listen": "127.0.0.1:0", "seed": "5eed", "coordinator": coordinator.to_string(),
         "limits": {"memory_mb": 128, "sockets": 64},
@@ -23,7 +23,7 @@
 }
 
 /// A coordinator whose comments come often, so that a busy machine does not let a stream look dead.
-pub fn coordinator() -> Coordinator {
+pub(crate) fn coordinator() -> Coordinator {
     let comments = Some(Duration::from_millis(200));
     Coordinator::start(Behaviour {
         comments,
@@ -33,13 +33,13 @@
 }
 
 /// A hollow front end of this coordinator.
-pub fn hollow(coordinator: &Coordinator) -> Hollow {
+pub(crate) fn hollow(coordinator: &Coordinator) -> Hollow {
     let config = NodeConfig::parse(&config(coordinator.address()).to_string()).expect("good");
     Hollow::start(&config, |_| {})
 }
 
 /// Waits until this holds; it fails after a time that no busy machine takes.
-pub async fn until(mut holds: impl FnMut() -> bool) {
+pub(crate) async fn until(mut holds: impl FnMut() -> bool) {
     let turns = async {
         while !holds() {
             // The coordinator has a thread of its own: there is nothing of it to be woken by.
@@ -52,7 +52,7 @@
 }
 
 /// Hands out every worker of this tier, and waits until the front end has it.
-pub async fn whole(coordinator: &Coordinator, hollow: &Hollow, tier: &Tier) {
+pub(crate) async fn whole(coordinator: &Coordinator, hollow: &Hollow, tier: &Tier) {
     let index = coordinator.publish(true, tier.hosts(), tier);
     until(|| hollow.last() == index).await;
 }
--- a/crates/pipithub-hollow/tests/same.rs
+++ b/crates/pipithub-hollow/tests/same.rs
@@ -108,7 +108,7 @@
     let state = if hollow {
         let front = Hollow::start(&NodeConfig::parse(&text).expect("good"), |_| {});
         story(&coordinator, &mut tier, async |tier| {
-            caught_up(|| front.show(), tier).await
+            caught_up(|| front.show(), tier).await;
         })
         .await;
         assert_eq!(
@@ -130,7 +130,7 @@
         rig::until(|| shown.borrow().is_some()).await;
         let core = shown.borrow_mut().take().expect("shown");
         story(&coordinator, &mut tier, async |tier| {
-            caught_up(|| format!("{:?}", core.borrow()), tier).await
+            caught_up(|| format!("{:?}", core.borrow()), tier).await;
         })
         .await;
         let state = format!("{:?}", core.borrow());
--- a/crates/pipithub-ldap/src/client.rs
+++ b/crates/pipithub-ldap/src/client.rs
@@ -1,7 +1,7 @@
-//! One client connection as a state machine: StartTLS, simple bind, searches, abandon.
+//! One client connection as a state machine: `StartTLS`, simple bind, searches, abandon.
 //!
 //! Nothing is asked before the bind is over, nothing is sent in the clear where TLS is wanted, and what a server sends
-//! between its word on StartTLS and the handshake ends the connection: it could be anybody's.
+//! between its word on `StartTLS` and the handshake ends the connection: it could be anybody's.
 
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/pipithub-ldap/src/lib.rs
+++ b/crates/pipithub-ldap/src/lib.rs
@@ -18,7 +18,7 @@
 
 /// OIDs of what is used beside the core of the protocol.
 pub mod oid {
-    /// StartTLS (RFC 4511, 4.14).
+    /// `StartTLS` (RFC 4511, 4.14).
     pub const START_TLS: &[u8] = b"1.3.6.1.4.1.1466.20037";
     /// Notice of disconnection (RFC 4511, 4.4.1).
     pub const NOTICE_OF_DISCONNECTION: &[u8] = b"1.3.6.1.4.1.1466.20036";
--- a/crates/pipithub-ldap/tests/connection.rs
+++ b/crates/pipithub-ldap/tests/connection.rs
@@ -142,7 +142,7 @@
     ));
 }
 
-/// A plain answer to StartTLS, built as a server would.
+/// A plain answer to `StartTLS`, built as a server would.
 struct ExtendedResponseOk(u32);
 
 impl ExtendedResponseOk {
--- a/crates/pipithub-members/src/core.rs
+++ b/crates/pipithub-members/src/core.rs
@@ -327,7 +327,7 @@
         while let Some(entry) = self.due.first_entry().filter(|e| e.key().0 <= now) {
             match entry.remove() {
                 Due::Swim(timer) => {
-                    self.swim(out, |engine, wants| engine.handle_timer(timer, wants))
+                    self.swim(out, |engine, wants| engine.handle_timer(timer, wants));
                 }
                 Due::Ask => self.ask(out),
                 Due::Join => self.join(out),
--- a/crates/pipithub-node/src/shell.rs
+++ b/crates/pipithub-node/src/shell.rs
@@ -546,7 +546,7 @@
         };
         sockets::accept_all(accept, take, &self.local_faults).await;
         // Nobody reaches this process any more: what it has taken is finished, and it ends.
-        self.with(|core, now| core.stop(now));
+        self.with(super::core::Core::stop);
     }
 
     /// Whether the process may end: all that was taken is answered and written, and for a while nothing new was seen on
@@ -581,7 +581,7 @@
                 () = self.rearm.notified() => continue,
             }
             self.armed.set(Time::MAX);
-            self.with(|core, now| core.tick(now));
+            self.with(super::core::Core::tick);
             if self.over() {
                 return;
             }
@@ -716,8 +716,8 @@
         loop {
             let look = tokio::select! {
                 () = &mut over => break,
-                _ = terminate.recv() => { shell.with(|core, now| core.stop(now)); false }
-                _ = interrupt.recv() => { shell.with(|core, now| core.stop(now)); false }
+                _ = terminate.recv() => { shell.with(super::core::Core::stop); false }
+                _ = interrupt.recv() => { shell.with(super::core::Core::stop); false }
                 _ = reload.recv() => { looks = 0; true }
                 () = at(again) => true,
             };
--- a/crates/pipithub-node/src/sockets.rs
+++ b/crates/pipithub-node/src/sockets.rs
@@ -39,7 +39,7 @@
             Ok(connection) => take(connection),
             Err(error) => match accept_failure(&error) {
                 AcceptFailure::Connection => {
-                    debug!(%error, "a connection ended before it was accepted")
+                    debug!(%error, "a connection ended before it was accepted");
                 }
                 AcceptFailure::Exhausted => {
                     // Those that close make room.
--- a/crates/pipithub-node/tests/bench/mod.rs
+++ b/crates/pipithub-node/tests/bench/mod.rs
@@ -7,10 +7,10 @@
 use pipithub_node::core::{ConnId, Core, Effect};
 use pipithub_platform::config::NodeConfig;
 
-pub const MS: Time = 1_000_000;
-pub const START: Time = 1_000_000 * MS;
+pub(crate) const MS: Time = 1_000_000;
+pub(crate) const START: Time = 1_000_000 * MS;
 
-pub fn config() -> NodeConfig {
+pub(crate) fn config() -> NodeConfig {
     let class = |name: &str, effect: &str| {
         serde_json::json!({"Name": name, "Effect": effect, "Aim": 1_000_000_000u64, "GiveUp": 3_000_000_000u64,
             "LateWorth": 0.3, "Group": "all"})
@@ -40,7 +40,7 @@
 }
 
 /// A front end, with clients and workers played by hand.
-pub struct Bench {
+pub(crate) struct Bench {
     pub core: Core,
     pub now: Time,
     /// What the system holds of a client: the shell reads it when its connection is to be closed.
@@ -48,11 +48,11 @@
 }
 
 impl Bench {
-    pub fn new() -> Self {
+    pub(crate) fn new() -> Self {
         Bench::of(&config())
     }
 
-    pub fn of(config: &NodeConfig) -> Self {
+    pub(crate) fn of(config: &NodeConfig) -> Self {
         Bench {
             core: Core::new(START, config),
             now: START,
@@ -60,24 +60,24 @@
         }
     }
 
-    pub fn effects(&mut self) -> Vec<Effect> {
+    pub(crate) fn effects(&mut self) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.core.effects(&mut effects);
         effects
     }
 
-    pub fn client(&mut self) -> ConnId {
+    pub(crate) fn client(&mut self) -> ConnId {
         let conn = self.core.number();
         self.core.client_opened(self.now, conn);
         conn
     }
 
-    pub fn say(&mut self, conn: ConnId, line: &str) {
+    pub(crate) fn say(&mut self, conn: ConnId, line: &str) {
         self.core
             .client_bytes(self.now, conn, format!("{line}\n").as_bytes());
     }
 
-    pub fn call(&mut self, conn: ConnId, id: u64, class: &str) {
+    pub(crate) fn call(&mut self, conn: ConnId, id: u64, class: &str) {
         let line = format!(
             r#"{{"jsonrpc":"2.0","id":{id},"method":"{class}","params":{{"call":"{id:016x}","ttl":1500,"row":"00000000000000aa","props":"memory_mb:512;lanes:4","body":"aGVsbG8="}}}}"#
         );
@@ -85,7 +85,7 @@
     }
 
     /// Brings connections up; what is written on which connection.
-    pub fn written(&mut self) -> Vec<(ConnId, String)> {
+    pub(crate) fn written(&mut self) -> Vec<(ConnId, String)> {
         let mut written = Vec::new();
         loop {
             let effects = self.effects();
@@ -106,14 +106,14 @@
                         self.core.retire(self.now, conn);
                     }
                     Effect::Unwrite { conn, at, len } => {
-                        written.push((conn, format!("unwritten {at}+{len}")))
+                        written.push((conn, format!("unwritten {at}+{len}")));
                     }
                 }
             }
         }
     }
 
-    pub fn pass(&mut self, time: Time) {
+    pub(crate) fn pass(&mut self, time: Time) {
         let until = self.now + time;
         while self.core.next_due() <= until {
             self.now = self.now.max(self.core.next_due());
@@ -123,7 +123,7 @@
     }
 
     /// A call that has been sent: the client, and the worker's connection.
-    pub fn sent(&mut self, class: &str) -> (ConnId, ConnId) {
+    pub(crate) fn sent(&mut self, class: &str) -> (ConnId, ConnId) {
         let client = self.client();
         self.call(client, 7, class);
         let written = self.written();
--- a/crates/pipithub-node/tests/rig/mod.rs
+++ b/crates/pipithub-node/tests/rig/mod.rs
@@ -14,14 +14,14 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// A listener on a port of the system's choice, and where it is.
-pub async fn listener() -> (TcpListener, SocketAddr) {
+pub(crate) async fn listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
     let address = listener.local_addr().expect("bound");
     (listener, address)
 }
 
 /// An event that names these workers: with its number, and whether it holds all of them.
-pub fn event(index: u64, whole: bool, hosts: &[(&str, SocketAddr, &str)]) -> Value {
+pub(crate) fn event(index: u64, whole: bool, hosts: &[(&str, SocketAddr, &str)]) -> Value {
     let hosts: Vec<Value> = hosts
         .iter()
         .map(
@@ -32,7 +32,7 @@
 }
 
 /// The configuration of a front end with these workers: `view` may be repeated, `assign` must not run twice.
-pub fn config(coordinator: SocketAddr, known: &[Value]) -> Value {
+pub(crate) fn config(coordinator: SocketAddr, known: &[Value]) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"Name": name, "Effect": effect, "Aim": 30_000_000_000u64,
         "GiveUp": 60_000_000_000u64, "LateWorth": 0.5})
@@ -48,7 +48,7 @@
 }
 
 /// Starts a front end; where clients connect. Must be called within a `LocalSet`.
-pub async fn start(config: &Value) -> SocketAddr {
+pub(crate) async fn start(config: &Value) -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let place = std::env::temp_dir().join(format!(
@@ -64,13 +64,13 @@
 }
 
 /// One end of a connection, by lines.
-pub struct Peer {
+pub(crate) struct Peer {
     pub lines: Lines<BufReader<OwnedReadHalf>>,
     pub write: OwnedWriteHalf,
 }
 
 impl Peer {
-    pub fn of(stream: TcpStream) -> Self {
+    pub(crate) fn of(stream: TcpStream) -> Self {
         let (read, write) = stream.into_split();
         Peer {
             lines: BufReader::new(read).lines(),
@@ -78,25 +78,25 @@
         }
     }
 
-    pub async fn connect(address: SocketAddr) -> Self {
+    pub(crate) async fn connect(address: SocketAddr) -> Self {
         Peer::of(TcpStream::connect(address).await.expect("connects"))
     }
 
     /// The next line, as JSON; `None` at a clean end.
-    pub async fn next(&mut self) -> Option<Value> {
+    pub(crate) async fn next(&mut self) -> Option<Value> {
         let line = self.lines.next_line().await.expect("no reset")?;
         Some(serde_json::from_str(&line).expect("JSON"))
     }
 
     /// Writes without waiting, so that the other side has not run when this returns.
-    pub fn say(&mut self, text: &str) {
+    pub(crate) fn say(&mut self, text: &str) {
         assert_eq!(
             self.write.try_write(text.as_bytes()).expect("room"),
             text.len()
         );
     }
 
-    pub async fn send(&mut self, text: &str) {
+    pub(crate) async fn send(&mut self, text: &str) {
         self.write
             .write_all(text.as_bytes())
             .await
@@ -104,7 +104,7 @@
     }
 
     /// Waits until the front end has handled all that stood in the system before, and says whether it is healthy.
-    pub async fn is_well(&mut self, id: u64) -> bool {
+    pub(crate) async fn is_well(&mut self, id: u64) -> bool {
         self.send(&format!(
             "{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"isWell\"}}\n"
         ))
@@ -115,21 +115,21 @@
 }
 
 /// The line of a call.
-pub fn call(id: u64, class: &str, body: &str) -> String {
+pub(crate) fn call(id: u64, class: &str, body: &str) -> String {
     let call = json!({"jsonrpc": "2.0", "id": id, "method": class, "params":
         {"call": format!("{id:016x}"), "ttl": 60_000, "row": "00000000000000aa", "props": "memory_mb:1;lanes:1000", "body": body}});
     format!("{call}\n")
 }
 
 /// The line with which a worker serves what this line asked for.
-pub fn served(asked: &Value) -> String {
+pub(crate) fn served(asked: &Value) -> String {
     let answer = json!({"cmd": "ACK", "ref": asked["ref"], "payload": asked["payload"]});
     format!("{answer}\n")
 }
 
 /// What the system holds between these two ports: unacknowledged and unread bytes, from its tables.
 #[cfg(target_os = "linux")]
-pub fn held_by_the_system(one: u16, other: u16) -> usize {
+pub(crate) fn held_by_the_system(one: u16, other: u16) -> usize {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the table");
     let of = |line: &str| -> Option<usize> {
         let fields: Vec<&str> = line.split_whitespace().collect();
--- a/crates/pipithub-node/tests/trouble.rs
+++ b/crates/pipithub-node/tests/trouble.rs
@@ -70,7 +70,7 @@
     for conn in asked.keys() {
         (0..200).for_each(|_| {
             b.core
-                .worker_bytes(b.now, *conn, FLOOD.repeat(100).as_bytes())
+                .worker_bytes(b.now, *conn, FLOOD.repeat(100).as_bytes());
         });
     }
 }
--- a/crates/pipithub-platform/src/client.rs
+++ b/crates/pipithub-platform/src/client.rs
@@ -222,7 +222,7 @@
         }
         None | Some(Value::Null) => {}
         Some(Value::String(key)) if !key.is_empty() && key.len() <= KEY_MOST => {
-            read.key = Some(key.clone())
+            read.key = Some(key.clone());
         }
         Some(_) => return Err(bad("dedupe: not a text of 1 to 256 bytes")),
     }
--- a/crates/pipithub-policy/src/decide.rs
+++ b/crates/pipithub-policy/src/decide.rs
@@ -4,9 +4,13 @@
 //! own sends, any load counted, still meets every deadline; else it is refused unsent. No clock, thread
 //! or I/O: equal events give equal actions. Plain data stands in `src/state.rs`.
 
-use crate::api::*;
+use crate::api::{
+    Action, AttemptFinished, Class, DeduplicationScope, Endpoint, EndpointState, EndpointUpdate,
+    Event, FunctionId, Idempotency, LoadFinished, LoadReport, Outcome, ReplicaStatus, Request,
+    RequestId, Settings, Time, WorkerId,
+};
 pub use crate::state::FrontEnd;
-use crate::state::*;
+use crate::state::{draw, mix, Changed, Copies, Foreseen, Health, Node, Open, Sent, Tier, Told};
 use std::collections::BTreeSet;
 
 /// Nanoseconds in a millisecond.
@@ -230,7 +234,9 @@
                 self.outcome(&end, ran, actions);
             }
             Event::Streaming { request } => {
-                drop(self.open.get_mut(&request).map(|o| o.streaming = true))
+                if let Some(open) = self.open.get_mut(&request) {
+                    open.streaming = true;
+                }
             }
             Event::ClientCancelled { request } => {
                 if let Some(open) = self.open.remove(&request) {
@@ -403,6 +409,11 @@
     }
 
     /// Takes an ended attempt out of the worker's queue and learns from it; tells when it was sent and where.
+    #[expect(
+        clippy::cognitive_complexity,
+        clippy::too_many_lines,
+        reason = "not split yet; see the roadmap"
+    )]
     fn attempt_over(&mut self, end: &AttemptFinished) -> Option<(Time, String, u64)> {
         let (now, blind) = (self.now, self.blind());
         let failed = end.replica_status == Some(ReplicaStatus::LoadFailed);
@@ -719,7 +730,7 @@
         let begin = |ready: Time| -> (Time, bool) {
             let mut free = vec![ready; lanes];
             let mut hold = true;
-            for sent in node.out.iter() {
+            for sent in &node.out {
                 let (start, end) = if sent.function == call.function {
                     let lane = (0..lanes).min_by_key(|&i| free[i]).unwrap_or(0);
                     let base = if free[lane] > now || sent.due <= now {
@@ -858,6 +869,7 @@
     }
 
     /// Sends the request where the design says, or ends it.
+    #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
     fn place(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
@@ -1312,7 +1324,7 @@
         let mut wanted: Vec<(f64, f64, WorkerId, FunctionId)> = Vec::new();
         self.nodes.change_holding(|node| {
             let worker = &node.entry.worker;
-            for (function, copies) in node.copies.iter_mut() {
+            for (function, copies) in &mut node.copies {
                 let stands = copies.proven && self.now <= copies.used + self.s.loading.keep_alive;
                 if copies.placed && stands {
                     placed.push((copies.used_work, worker.clone(), *function));
--- a/crates/pipithub-policy/src/lib.rs
+++ b/crates/pipithub-policy/src/lib.rs
@@ -6,16 +6,19 @@
 //! [`api`] holds the plain types that go in and out, [`decide`] the state machine that decides.
 //!
 //! ```
-//! use pipithub_policy::api::{Action, Entry, Event, Function, ListKind, Request, Settings, State, Worker};
+//! use pipithub_policy::api::{Action, Endpoint, EndpointState, EndpointUpdate, Event, FunctionId, Request, Settings, WorkerId};
 //! use pipithub_policy::decide::FrontEnd;
 //!
 //! let mut front = FrontEnd::new(Settings::default(), 7);
 //! let mut actions = Vec::new();
-//! let worker = Entry { worker: Worker::new("10.0.0.1:80"), state: State::Live, ..Entry::default() };
-//! front.handle(0, Event::List { kind: ListKind::Complete, entries: vec![worker] }, &mut actions);
-//! let call = Request { id: 1, function: Function(42), budget: Some(2_000_000_000), ..Request::default() };
-//! front.handle(1_000_000, Event::Arrived(call), &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::Send { request: 1, .. })));
+//! let worker = WorkerId::new("10.0.0.1:80");
+//! let endpoint = Endpoint { worker, state: EndpointState::Ready, ..Endpoint::default() };
+//! let list = Event::Endpoints { update: EndpointUpdate::Snapshot, endpoints: vec![endpoint] };
+//! front.handle(0, list, &mut actions);
+//! let timeout = Some(2_000_000_000);
+//! let request = Request { id: 1, function: FunctionId(42), timeout, ..Request::default() };
+//! front.handle(1_000_000, Event::Arrived(request), &mut actions);
+//! assert!(actions.iter().any(|a| matches!(a, Action::Forward { request: 1, .. })));
 //! ```
 
 pub mod api;
--- a/crates/pipithub-policy/src/state.rs
+++ b/crates/pipithub-policy/src/state.rs
@@ -1,6 +1,8 @@
 //! What a front end remembers, as plain data. What is made of it stands in `src/decide.rs`.
 
-use crate::api::*;
+use crate::api::{
+    Endpoint, EndpointState, FunctionId, Request, RequestId, Settings, Time, WorkerId,
+};
 pub(crate) use crate::tier::{Changed, Counted, Tier, Times};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/crates/pipithub-policy/src/tier.rs
+++ b/crates/pipithub-policy/src/tier.rs
@@ -9,8 +9,8 @@
 use std::hash::BuildHasherDefault;
 use std::ops::{Deref, DerefMut};
 
-use crate::api::*;
-use crate::state::*;
+use crate::api::{Endpoint, EndpointState, FunctionId, Time, WorkerId};
+use crate::state::{Copies, Node};
 use crate::work::looked;
 
 /// The workers by address. The hasher has fixed keys: equal events leave equal states.
@@ -316,6 +316,7 @@
 
 impl Index {
     /// Brings what is counted of a worker up to date; `there`: it is still known.
+    #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
     fn note(&mut self, node: &mut Node, there: bool) {
         let live = there && node.is_live();
         if node.orders {
--- a/crates/pipithub-policy/tests/common/mod.rs
+++ b/crates/pipithub-policy/tests/common/mod.rs
@@ -7,10 +7,10 @@
 use pipithub_policy::decide::FrontEnd;
 
 /// Nanoseconds in a millisecond.
-pub const MS: u64 = 1_000_000;
+pub(crate) const MS: u64 = 1_000_000;
 
 /// A front end, its clock, and all that it has done.
-pub struct Bench {
+pub(crate) struct Bench {
     pub front: FrontEnd,
     pub now: Time,
     pub did: Vec<(Time, Action)>,
@@ -19,7 +19,7 @@
 }
 
 /// Settings with one class of the given effect, orders allowed, rules as at a usual site.
-pub fn settings(effect: Idempotency) -> Settings {
+pub(crate) fn settings(effect: Idempotency) -> Settings {
     Settings {
         front_ends: 1,
         tick: 2 * MS,
@@ -52,7 +52,7 @@
     }
 }
 
-pub fn entry(name: &str) -> Endpoint {
+pub(crate) fn entry(name: &str) -> Endpoint {
     Endpoint {
         worker: WorkerId::new(name),
         zone: "a".to_string(),
@@ -62,11 +62,11 @@
 }
 
 impl Bench {
-    pub fn new(settings: Settings, workers: &[&str]) -> Self {
+    pub(crate) fn new(settings: Settings, workers: &[&str]) -> Self {
         Bench::seeded(settings, workers, 11)
     }
 
-    pub fn seeded(settings: Settings, workers: &[&str], seed: u64) -> Self {
+    pub(crate) fn seeded(settings: Settings, workers: &[&str], seed: u64) -> Self {
         let front = FrontEnd::new(settings, seed);
         let (did, timers) = (Vec::new(), BTreeSet::new());
         let mut bench = Bench {
@@ -85,7 +85,7 @@
     }
 
     /// Hands over one event; what comes of it is returned and kept.
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.front.handle(self.now, event, &mut actions);
         self.timers.extend(actions.iter().filter_map(|a| match a {
@@ -97,7 +97,7 @@
         actions
     }
 
-    pub fn changes(&mut self, entries: Vec<Endpoint>) -> Vec<Action> {
+    pub(crate) fn changes(&mut self, entries: Vec<Endpoint>) -> Vec<Action> {
         self.event(Event::Endpoints {
             update: EndpointUpdate::Delta,
             endpoints: entries,
@@ -105,7 +105,7 @@
     }
 
     /// A call of a function with four lanes and a load of 500 ms.
-    pub fn call(&mut self, function: u64) -> (RequestId, Vec<Action>) {
+    pub(crate) fn call(&mut self, function: u64) -> (RequestId, Vec<Action>) {
         self.call_with(Request {
             function: FunctionId(function),
             replica_concurrency: 4,
@@ -116,14 +116,14 @@
         })
     }
 
-    pub fn call_with(&mut self, request: Request) -> (RequestId, Vec<Action>) {
+    pub(crate) fn call_with(&mut self, request: Request) -> (RequestId, Vec<Action>) {
         let id = self.next_id;
         self.next_id += 1;
         let actions = self.event(Event::Arrived(Request { id, ..request }));
         (id, actions)
     }
 
-    pub fn finish(
+    pub(crate) fn finish(
         &mut self,
         id: RequestId,
         attempt: u32,
@@ -134,7 +134,7 @@
         self.finish_noted(id, attempt, worker, outcome, 50 * MS, note)
     }
 
-    pub fn finish_noted(
+    pub(crate) fn finish_noted(
         &mut self,
         request: RequestId,
         attempt: u32,
@@ -157,7 +157,7 @@
     }
 
     /// Lets time pass, with every timer that falls due.
-    pub fn pass(&mut self, time: Time) -> Vec<Action> {
+    pub(crate) fn pass(&mut self, time: Time) -> Vec<Action> {
         let until = self.now + time;
         let mut all = Vec::new();
         while let Some((due, token)) = self
@@ -175,7 +175,7 @@
     }
 
     /// Answers every order to load given by these actions.
-    pub fn answer_orders(
+    pub(crate) fn answer_orders(
         &mut self,
         actions: &[Action],
         outcome: Outcome,
@@ -201,7 +201,7 @@
     }
 
     /// Calls and answers a function so often that its home is known to be warm; tells the home.
-    pub fn warm(&mut self, function: u64) -> WorkerId {
+    pub(crate) fn warm(&mut self, function: u64) -> WorkerId {
         let mut home = None;
         for _ in 0..12 {
             let (id, actions) = self.call(function);
@@ -214,22 +214,22 @@
     }
 }
 
-pub fn sent_to(actions: &[Action]) -> Option<WorkerId> {
+pub(crate) fn sent_to(actions: &[Action]) -> Option<WorkerId> {
     actions.iter().find_map(|a| match a {
         Action::Forward { worker, .. } => Some(worker.clone()),
         _ => None,
     })
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub(crate) fn refused(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
-pub fn failed(actions: &[Action]) -> bool {
+pub(crate) fn failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
-pub fn held(actions: &[Action]) -> Vec<WorkerId> {
+pub(crate) fn held(actions: &[Action]) -> Vec<WorkerId> {
     actions
         .iter()
         .filter_map(|a| match a {
--- a/crates/pipithub-policy/tests/fleet.rs
+++ b/crates/pipithub-policy/tests/fleet.rs
@@ -257,6 +257,7 @@
         self.what.insert(number, what);
     }
 
+    #[allow(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
     fn one(&mut self, what: What) {
         match what {
             What::Call(front) => {
@@ -495,7 +496,7 @@
         for action in actions {
             match action {
                 Action::SetTimer { after, token } => {
-                    self.at(self.now + after, What::Timer(front, token))
+                    self.at(self.now + after, What::Timer(front, token));
                 }
                 Action::Forward {
                     request, worker, ..
@@ -552,7 +553,7 @@
     // What is told of others' calls leads to it; all else is alike.
     let play = |told: bool| {
         Fleet::play(60, 12, 0.6, 30, |s| {
-            (s.loading.reports_concurrency, s.costs.load_poll) = (told, 0.1)
+            (s.loading.reports_concurrency, s.costs.load_poll) = (told, 0.1);
         })
     };
     let (told, untold) = (play(true), play(false));
@@ -585,7 +586,7 @@
                 overload_window: 2_000 * MS,
             };
             let cold = Fleet::release(fronts, 12, share, replaced, |s| {
-                s.slow_start = rules.clone()
+                s.slow_start = rules.clone();
             });
             assert_eq!(cold.len(), replaced);
             assert!(
--- a/crates/pipithub-policy/tests/plain/decide.rs
+++ b/crates/pipithub-policy/tests/plain/decide.rs
@@ -4,9 +4,13 @@
 //! own sends, any load counted, still meets every deadline; else it is refused unsent. No clock, thread
 //! or I/O: equal events give equal actions. Plain data stands in `src/state.rs`.
 
-pub use super::state::FrontEnd;
-use super::state::*;
-use pipithub_policy::api::*;
+pub(crate) use super::state::FrontEnd;
+use super::state::{draw, mix, Copies, Foreseen, Health, Node, Open, Sent, Told};
+use pipithub_policy::api::{
+    Action, AttemptFinished, Class, DeduplicationScope, Endpoint, EndpointState, EndpointUpdate,
+    Event, FunctionId, Idempotency, LoadFinished, LoadReport, Outcome, ReplicaStatus, Request,
+    RequestId, Settings, Time, WorkerId,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Nanoseconds in a millisecond.
@@ -144,7 +148,7 @@
 
 impl FrontEnd {
     /// A front end that knows nothing but its settings.
-    pub fn new(settings: Settings, seed: u64) -> Self {
+    pub(crate) fn new(settings: Settings, seed: u64) -> Self {
         let mut s = settings;
         if s.classes.is_empty() {
             s.classes.push(Class::default());
@@ -181,7 +185,7 @@
     }
 
     /// Takes one event and appends what to do about it.
-    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
+    pub(crate) fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now.min(Time::MAX >> 2));
         if self.next_round == 0 {
             self.next_round =
@@ -402,6 +406,11 @@
     }
 
     /// Takes an ended attempt out of the worker's queue and learns from it; tells when it was sent and where.
+    #[allow(
+        clippy::cognitive_complexity,
+        clippy::too_many_lines,
+        reason = "not split yet; see the roadmap"
+    )]
     fn attempt_over(&mut self, end: &AttemptFinished) -> Option<(Time, String, u64)> {
         let (now, blind) = (self.now, self.blind());
         let failed = end.replica_status == Some(ReplicaStatus::LoadFailed);
@@ -750,7 +759,7 @@
         let begin = |ready: Time| -> (Time, bool) {
             let mut free = vec![ready; lanes];
             let mut hold = true;
-            for sent in node.out.iter() {
+            for sent in &node.out {
                 let (start, end) = if sent.function == call.function {
                     let lane = (0..lanes).min_by_key(|&i| free[i]).unwrap_or(0);
                     let base = if free[lane] > now || sent.due <= now {
@@ -883,6 +892,7 @@
     }
 
     /// Sends the request where the design says, or ends it.
+    #[allow(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
     fn place(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
@@ -1336,7 +1346,7 @@
         let mut placed: Vec<(f64, WorkerId, FunctionId)> = Vec::new();
         let mut wanted: Vec<(f64, f64, WorkerId, FunctionId)> = Vec::new();
         for (worker, node) in self.nodes.iter_mut() {
-            for (function, copies) in node.copies.iter_mut() {
+            for (function, copies) in &mut node.copies {
                 let stands = copies.proven && self.now <= copies.used + self.s.loading.keep_alive;
                 if copies.placed && stands {
                     placed.push((copies.used_work, worker.clone(), *function));
--- a/crates/pipithub-policy/tests/plain/mod.rs
+++ b/crates/pipithub-policy/tests/plain/mod.rs
@@ -5,5 +5,5 @@
 //! changes it here too and says so.
 
 mod counted;
-pub mod decide;
+pub(super) mod decide;
 mod state;
--- a/crates/pipithub-policy/tests/plain/state.rs
+++ b/crates/pipithub-policy/tests/plain/state.rs
@@ -1,12 +1,12 @@
 //! What a front end remembers, as plain data. What is made of it stands in `src/decide.rs`.
 
 use super::counted::Counted;
-use pipithub_policy::api::*;
+use pipithub_policy::api::{Endpoint, FunctionId, Request, RequestId, Settings, Time, WorkerId};
 use std::collections::{BTreeMap, VecDeque};
 
 /// One front end.
 #[derive(Debug, Default)]
-pub struct FrontEnd {
+pub(crate) struct FrontEnd {
     pub(crate) s: Settings,
     pub(crate) now: Time,
     pub(crate) seed: u64,
--- a/crates/pipithub-policy/tests/random.rs
+++ b/crates/pipithub-policy/tests/random.rs
@@ -44,6 +44,11 @@
 }
 
 /// Plays one sequence and checks the rules on the way; returns all actions.
+#[allow(
+    clippy::cognitive_complexity,
+    clippy::too_many_lines,
+    reason = "not split yet; see the roadmap"
+)]
 fn play(seed: u64, steps: usize) -> Vec<Action> {
     let mut dice = Dice(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
     let mut s = settings(Idempotency::Idempotent);
--- a/crates/pipithub-policy/tests/same.rs
+++ b/crates/pipithub-policy/tests/same.rs
@@ -28,7 +28,7 @@
         one.clear();
         other.clear();
         let decided = catch_unwind(AssertUnwindSafe(|| {
-            reference.handle(at, event.clone(), &mut one)
+            reference.handle(at, event.clone(), &mut one);
         }));
         if decided.is_err() {
             // An overflow of the reference's own: it has no decision to compare with, and the day ends.
@@ -36,9 +36,10 @@
             break;
         }
         module.handle(at, event.clone(), &mut other);
-        if one != other {
-            panic!("day {seed}, event {events} at {at}: {event:?}\nreference {one:?}\nmodule {other:?}");
-        }
+        assert!(
+            one == other,
+            "day {seed}, event {events} at {at}: {event:?}\nreference {one:?}\nmodule {other:?}"
+        );
         world.answer(&one);
         next = world.step();
     }
--- a/crates/pipithub-policy/tests/tier.rs
+++ b/crates/pipithub-policy/tests/tier.rs
@@ -6,15 +6,15 @@
 
 // The tier is no part of the crate's interface, so its very files are taken in here.
 mod api {
-    pub use pipithub_policy::api::*;
+    pub(crate) use pipithub_policy::api::*;
 }
 mod work {
-    pub use pipithub_policy::work::*;
+    pub(crate) use pipithub_policy::work::*;
 }
-#[allow(dead_code, unused_imports)]
+#[allow(dead_code, unreachable_pub, unused_imports)]
 #[path = "../src/state.rs"]
 mod state;
-#[allow(dead_code)]
+#[allow(dead_code, unreachable_pub)]
 #[path = "../src/tier.rs"]
 mod tier;
 
--- a/crates/pipithub-policy/tests/trouble.rs
+++ b/crates/pipithub-policy/tests/trouble.rs
@@ -624,9 +624,10 @@
                 let mut attempt = 0;
                 while let Some(worker) = sent_to(&actions) {
                     sends += 1;
-                    let (outcome, note) = match works {
-                        true => (Outcome::Served, ReplicaStatus::LoadStarted),
-                        false => (outcome, ReplicaStatus::LoadFailed),
+                    let (outcome, note) = if works {
+                        (Outcome::Served, ReplicaStatus::LoadStarted)
+                    } else {
+                        (outcome, ReplicaStatus::LoadFailed)
                     };
                     actions = b.finish_noted(id, attempt, &worker, outcome, 40 * MS, Some(note));
                     attempt += 1;
--- a/crates/pipithub-policy/tests/world/day.rs
+++ b/crates/pipithub-policy/tests/world/day.rs
@@ -1,15 +1,18 @@
 //! What a day is like: settings, tier, calls and faults, drawn from a seed or told.
 
-use pipithub_policy::api::*;
+use pipithub_policy::api::{
+    Class, Costs, DeduplicationScope, FunctionLoading, Idempotency, Limits, LoadRateLimit,
+    Settings, SlowStart, Time,
+};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
 /// Nanoseconds in a millisecond.
-pub const MS: Time = 1_000_000;
+pub(crate) const MS: Time = 1_000_000;
 
 /// A day of one front end. Shares and chances are from 0 to 1, times nanoseconds.
 #[derive(Clone, Debug)]
-pub struct Day {
+pub(crate) struct Day {
     /// Seed of all that the world draws.
     pub seed: u64,
     /// What the front end is told at its start.
@@ -74,7 +77,7 @@
 impl Day {
     /// A day without faults at a site of many front ends, as planned for: 1,700 front ends, 7 zones, an answer
     /// after 50 to 300 ms, most copies standing.
-    pub fn quiet(seed: u64, workers: usize, functions: u64, rate: u64, length: Time) -> Day {
+    pub(crate) fn quiet(seed: u64, workers: usize, functions: u64, rate: u64, length: Time) -> Day {
         let class = Class {
             late_answer_weight: 0.3,
             client_timeout: 4_000 * MS,
@@ -151,7 +154,7 @@
     }
 
     /// The bad days, by name, made of a quiet one.
-    pub fn bad(self) -> Vec<(&'static str, Day)> {
+    pub(crate) fn bad(self) -> Vec<(&'static str, Day)> {
         let end = self.start + self.length;
         let third = self.start + self.length / 3;
         let cold_load = (1_000 * MS, 3_000 * MS);
@@ -191,7 +194,8 @@
     }
 
     /// A drawn day: any size of tier up to `most` workers, any rules, any mix of faults.
-    pub fn drawn(seed: u64, most: u64) -> Day {
+    #[allow(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
+    pub(crate) fn drawn(seed: u64, most: u64) -> Day {
         let mut dice = SmallRng::seed_from_u64(seed ^ 0x5eed_da75);
         let d = &mut dice;
         // Some days are there for the orders: many functions, all placed by orders, no faults.
--- a/crates/pipithub-policy/tests/world/meter.rs
+++ b/crates/pipithub-policy/tests/world/meter.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use pipithub_policy::api::*;
+use pipithub_policy::api::{Action, Event, Settings, Time};
 use pipithub_policy::{decide, work};
 
 use super::{Day, World, MS};
@@ -11,7 +11,7 @@
 const CHORES_TOKEN: u64 = 1 << 62;
 
 /// The module, or its plain reference.
-pub trait Front {
+pub(crate) trait Front {
     /// One that knows its settings alone.
     fn start(settings: Settings, seed: u64) -> Self;
     /// Hands over an event.
@@ -30,7 +30,7 @@
 
 /// What one thing cost: nanoseconds, and workers looked at.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Spent {
+pub(crate) struct Spent {
     /// Nanoseconds.
     pub time: f64,
     /// Workers looked at.
@@ -45,7 +45,7 @@
 }
 
 /// One front end in its world.
-pub struct Play<F> {
+pub(crate) struct Play<F> {
     /// The world.
     pub world: World,
     front: F,
@@ -62,7 +62,7 @@
 
 impl<F: Front> Play<F> {
     /// A day of which the first list is told.
-    pub fn new(day: Day) -> Self {
+    pub(crate) fn new(day: Day) -> Self {
         let front = F::start(day.settings.clone(), day.seed);
         let world = World::new(day);
         let mut play = Play {
@@ -80,7 +80,7 @@
     }
 
     /// Hands over an event; the world answers what is done about it.
-    pub fn give(&mut self, at: Time, event: Event) -> Spent {
+    pub(crate) fn give(&mut self, at: Time, event: Event) -> Spent {
         self.actions.clear();
         work::taken();
         let began = Instant::now();
@@ -95,7 +95,7 @@
     }
 
     /// The day's next event; false once it is over.
-    pub fn step(&mut self) -> bool {
+    pub(crate) fn step(&mut self) -> bool {
         let Some((at, event)) = self.world.step() else {
             return false;
         };
@@ -124,7 +124,7 @@
 
     /// The means of the calls, so many at a time: an answer falls to the call that came last, so single calls
     /// say little. The first fifth is left out: there nothing is known yet.
-    pub fn windows(&self, length: usize) -> Vec<Spent> {
+    pub(crate) fn windows(&self, length: usize) -> Vec<Spent> {
         let mean = |calls: &[Spent]| {
             let mut sum = Spent::default();
             calls.iter().for_each(|c| sum += *c);
@@ -140,7 +140,7 @@
     }
 
     /// So many housekeeping timers after the last call has ended.
-    pub fn idle_ticks(&mut self, count: usize) -> Vec<Spent> {
+    pub(crate) fn idle_ticks(&mut self, count: usize) -> Vec<Spent> {
         self.world.stop_calls(60_000 * MS);
         while !self.world.idle() && self.step() {}
         let before = self.ticks.len();
@@ -150,7 +150,7 @@
 }
 
 /// The value in the middle; 0 of none.
-pub fn median(mut values: Vec<f64>) -> f64 {
+pub(crate) fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied().unwrap_or(0.0)
 }
--- a/crates/pipithub-policy/tests/world/mod.rs
+++ b/crates/pipithub-policy/tests/world/mod.rs
@@ -6,16 +6,19 @@
 #![allow(dead_code)]
 
 mod day;
-pub mod meter;
+pub(super) mod meter;
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use pipithub_policy::api::*;
+use pipithub_policy::api::{
+    Action, AttemptFinished, Endpoint, EndpointState, EndpointUpdate, Event, FunctionId,
+    LoadFinished, LoadReport, Outcome, ReplicaStatus, Request, RequestId, Time, WorkerId,
+};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Zipf};
 
-pub use day::{Day, MS};
+pub(super) use day::{Day, MS};
 
 /// What is to happen at a time.
 enum What {
@@ -50,10 +53,10 @@
 }
 
 /// What happened how often, by name.
-pub type Counts = BTreeMap<&'static str, u64>;
+pub(super) type Counts = BTreeMap<&'static str, u64>;
 
 /// The world of one day.
-pub struct World {
+pub(super) struct World {
     /// The day.
     pub day: Day,
     /// What happened how often.
@@ -82,7 +85,7 @@
 
 impl World {
     /// The world at the start of a day.
-    pub fn new(day: Day) -> World {
+    pub(super) fn new(day: Day) -> World {
         let wanted = Zipf::new(day.functions.max(1) as f64, 1.0).expect("one function at least");
         let mut world = World {
             counts: Counts::new(),
@@ -116,7 +119,7 @@
     }
 
     /// The next event and its time; `None` once the day is over.
-    pub fn step(&mut self) -> Option<(Time, Event)> {
+    pub(super) fn step(&mut self) -> Option<(Time, Event)> {
         loop {
             let ((at, _), what) = self.happenings.pop_first()?;
             if at > self.day.start + self.day.length {
@@ -133,23 +136,23 @@
     }
 
     /// The time in this world.
-    pub fn now(&self) -> Time {
+    pub(super) fn now(&self) -> Time {
         self.now
     }
 
     /// No client calls any more, and the day goes on for so long.
-    pub fn stop_calls(&mut self, for_another: Time) {
+    pub(super) fn stop_calls(&mut self, for_another: Time) {
         self.no_calls = true;
         self.day.length = self.now + for_another - self.day.start;
     }
 
     /// Whether no attempt is out and no client waits.
-    pub fn idle(&self) -> bool {
+    pub(super) fn idle(&self) -> bool {
         self.clients.is_empty()
     }
 
     /// All workers as they stand, as the first list.
-    pub fn complete(&self) -> Event {
+    pub(super) fn complete(&self) -> Event {
         let live = |m: &&Machine| m.entry.state != EndpointState::Removed;
         let entries = self
             .machines
@@ -164,7 +167,7 @@
     }
 
     /// One worker is replaced by a new process of its own: a list of one change.
-    pub fn change_one(&mut self) -> Event {
+    pub(super) fn change_one(&mut self) -> Event {
         let one = self.news.random_range(0..self.machines.len());
         self.restart(one);
         Event::Endpoints {
@@ -174,7 +177,7 @@
     }
 
     /// A seventh of all workers goes at once, or comes back as new processes.
-    pub fn seventh(&mut self, gone: bool) -> Event {
+    pub(super) fn seventh(&mut self, gone: bool) -> Event {
         let which: Vec<usize> = (0..self.machines.len()).filter(|i| i % 7 == 3).collect();
         for i in &which {
             if gone {
@@ -194,7 +197,7 @@
     }
 
     /// What the front end did about the last event.
-    pub fn answer(&mut self, actions: &[Action]) {
+    pub(super) fn answer(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
                 Action::Forward {
@@ -445,6 +448,7 @@
     }
 
     /// A send: how and when its attempt ends.
+    #[allow(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
     fn sent(&mut self, request: RequestId, worker: &WorkerId) {
         let Some(client) = self.clients.get_mut(&request) else {
             return;
--- a/crates/pipithub-settings/src/fleet.rs
+++ b/crates/pipithub-settings/src/fleet.rs
@@ -45,6 +45,7 @@
     address(&child)
 }
 
+#[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
 pub(crate) fn read(root: &Reader<'_>, instances: u32) -> Option<FleetSettings> {
     let node = root.one("fleet")?;
     let span = node.node.span();
@@ -106,7 +107,7 @@
             (Some(_), None) => {
                 route
                     .faults
-                    .add(route.node.span(), "'via' needs 'to' with an address", None)
+                    .add(route.node.span(), "'via' needs 'to' with an address", None);
             }
             _ => {}
         }
--- a/crates/pipithub-settings/src/lib.rs
+++ b/crates/pipithub-settings/src/lib.rs
@@ -127,7 +127,7 @@
 /// Where workers are found.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkersConfig {
-    /// From EndpointSlices.
+    /// From `EndpointSlices`.
     Slices {
         /// `http://host:port` of the API server, or of a proxy that logs in to it.
         url: String,
--- a/crates/pipithub-settings/src/read.rs
+++ b/crates/pipithub-settings/src/read.rs
@@ -57,7 +57,10 @@
     }
 
     fn children(&self) -> impl Iterator<Item = &'a KdlNode> {
-        self.node.children().into_iter().flat_map(|d| d.nodes())
+        self.node
+            .children()
+            .into_iter()
+            .flat_map(kdl::KdlDocument::nodes)
     }
 
     fn mark(&self, name: &str) {
@@ -216,7 +219,7 @@
             self.faults.add(child.name().span(), text, help.as_deref());
         }
         for entry in self.node.entries() {
-            let Some(name) = entry.name().map(|n| n.value()) else {
+            let Some(name) = entry.name().map(kdl::KdlIdentifier::value) else {
                 continue;
             };
             if !seen.contains(name) && !properties.contains(&name) {
@@ -285,6 +288,7 @@
     }
 }
 
+#[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
 fn whole(root: &Reader<'_>) -> Config {
     let empty = KdlNode::new("default");
     let nothing = || Reader::new(&empty, root.faults);
@@ -714,50 +718,47 @@
     let list = node.one("list");
     let remember = node.text("remember").map(PathBuf::from);
     node.finish();
-    match list {
-        Some(list) => {
-            if let Some(worker) = fixed.first() {
-                node.faults.add(
-                    worker.node.span(),
-                    "workers are given twice: by 'list' and by 'worker'",
-                    None,
-                );
-            }
-            let (url, span) = list
-                .argument()
-                .map_or((String::new(), list.node.span()), |(v, s)| {
-                    (v.as_string().unwrap_or_default().to_string(), s)
-                });
-            let host = url.strip_prefix("http://").map(|h| h.trim_end_matches('/'));
-            if host.is_none_or(|h| h.is_empty() || h.contains('/')) {
-                let help = "\"http://host:port\"; TLS and logins are a local proxy's matter";
-                list.faults.add(
-                    span,
-                    format!("\"{url}\" is no address of a list"),
-                    Some(help),
-                );
-            }
-            let config = WorkersConfig::Slices {
-                url,
-                namespace: list.text("namespace").unwrap_or_else(|| "default".into()),
-                service: list.text("service").unwrap_or_else(|| "workers".into()),
-                port: list.text("port"),
-                remember,
-            };
-            list.finish();
-            config
+    if let Some(list) = list {
+        if let Some(worker) = fixed.first() {
+            node.faults.add(
+                worker.node.span(),
+                "workers are given twice: by 'list' and by 'worker'",
+                None,
+            );
         }
-        None => {
-            let read = |w: &Reader<'_>| {
-                let worker = (
-                    address(w, w.argument()),
-                    w.text("zone").unwrap_or_default(),
-                    w.number("memory-mb", 0.0, 0.0, 1e9),
-                );
-                w.finish();
-                worker
-            };
-            WorkersConfig::Fixed(fixed.iter().map(read).collect())
+        let (url, span) = list
+            .argument()
+            .map_or((String::new(), list.node.span()), |(v, s)| {
+                (v.as_string().unwrap_or_default().to_string(), s)
+            });
+        let host = url.strip_prefix("http://").map(|h| h.trim_end_matches('/'));
+        if host.is_none_or(|h| h.is_empty() || h.contains('/')) {
+            let help = "\"http://host:port\"; TLS and logins are a local proxy's matter";
+            list.faults.add(
+                span,
+                format!("\"{url}\" is no address of a list"),
+                Some(help),
+            );
         }
+        let config = WorkersConfig::Slices {
+            url,
+            namespace: list.text("namespace").unwrap_or_else(|| "default".into()),
+            service: list.text("service").unwrap_or_else(|| "workers".into()),
+            port: list.text("port"),
+            remember,
+        };
+        list.finish();
+        config
+    } else {
+        let read = |w: &Reader<'_>| {
+            let worker = (
+                address(w, w.argument()),
+                w.text("zone").unwrap_or_default(),
+                w.number("memory-mb", 0.0, 0.0, 1e9),
+            );
+            w.finish();
+            worker
+        };
+        WorkersConfig::Fixed(fixed.iter().map(read).collect())
     }
 }
--- a/crates/pipithub-settings/src/tenants.rs
+++ b/crates/pipithub-settings/src/tenants.rs
@@ -17,7 +17,7 @@
 pub enum Tls {
     /// Not at all; for loopback and tests.
     None,
-    /// StartTLS on the plain port.
+    /// `StartTLS` on the plain port.
     Start,
     /// From the first byte.
     Ldaps,
@@ -236,6 +236,7 @@
         .then_some((hours * 60 + minutes) * 60_000)
 }
 
+#[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
 fn directory(node: &Reader<'_>) -> DirectoryConfig {
     let name = node.name();
     let server = |s: Reader<'_>| {
@@ -388,6 +389,7 @@
 }
 
 /// Reads everything about tenants.
+#[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
 pub(crate) fn read(
     root: &Reader<'_>,
     classes: &[(String, bool)],
--- a/crates/pipithub-standin/src/accept.rs
+++ b/crates/pipithub-standin/src/accept.rs
@@ -33,7 +33,7 @@
         };
         match accept_failure(&error) {
             AcceptFailure::Connection => {
-                debug!(%error, "a connection was lost before it was accepted")
+                debug!(%error, "a connection was lost before it was accepted");
             }
             AcceptFailure::Exhausted => {
                 warn!(%error, "no connection can be accepted for a moment");
--- a/crates/pipithub-standin/src/broker/core.rs
+++ b/crates/pipithub-standin/src/broker/core.rs
@@ -1,6 +1,6 @@
 //! A virtual host of a broker without I/O: exchanges, queues, consumers, transactions, confirms, dead letters.
 //!
-//! It follows the specification and, where that is silent or brokers in use differ from it, RabbitMQ: `basic.qos` with
+//! It follows the specification and, where that is silent or brokers in use differ from it, `RabbitMQ`: `basic.qos` with
 //! `global` counts over the channel, without it for consumers begun later; `x-message-ttl`, `x-dead-letter-exchange`,
 //! `x-dead-letter-routing-key`, `x-max-length` and `x-expires` are taken as queue arguments.
 
@@ -477,6 +477,7 @@
         }
     }
 
+    #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
     fn exchange_method(&mut self, id: ConnId, channel: u16, m: Method) -> Result<(), Fault> {
         match &m {
             Method::ExchangeDeclare {
@@ -694,6 +695,7 @@
         Ok(found)
     }
 
+    #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
     fn queue_method(&mut self, id: ConnId, channel: u16, m: Method) -> Result<(), Fault> {
         match &m {
             Method::QueueDeclare {
@@ -980,14 +982,17 @@
         let headers = p
             .headers
             .iter()
-            .flat_map(|t| t.iter())
+            .flat_map(pipithub_amqp::FieldTable::iter)
             .filter(|(n, _)| n.starts_with("pipithub-"));
         let told = |v: &FieldValue| match v {
             FieldValue::LongStr(b) => String::from_utf8_lossy(b).into_owned(),
             other => other.as_f64().map(|n| n.to_string()).unwrap_or_default(),
         };
         self.seen.push(Seen::Published {
-            queues: queues.iter().map(|q| q.to_string()).collect(),
+            queues: queues
+                .iter()
+                .map(std::string::ToString::to_string)
+                .collect(),
             routing_key: key.to_string(),
             message_id: text(&p.message_id),
             correlation_id: text(&p.correlation_id),
@@ -1126,6 +1131,7 @@
 
     // ---- consuming ----
 
+    #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
     fn consume_method(&mut self, id: ConnId, channel: u16, m: Method) -> Result<(), Fault> {
         match &m {
             Method::BasicQos {
--- a/crates/pipithub-standin/src/broker/server.rs
+++ b/crates/pipithub-standin/src/broker/server.rs
@@ -85,7 +85,7 @@
 
 impl Drop for BrokerServer {
     fn drop(&mut self) {
-        self.tasks.iter().for_each(|t| t.abort());
+        self.tasks.iter().for_each(tokio::task::JoinHandle::abort);
         self.cut_all();
     }
 }
@@ -199,7 +199,7 @@
     loop {
         let due = shared.lock().broker.next_timeout();
         tokio::select! {
-            () = shared.clock.sleep_until(due) => shared.act(|broker, now| broker.on_time(now)),
+            () = shared.clock.sleep_until(due) => shared.act(super::core::Broker::on_time),
             () = shared.timer.notified() => {}
         }
     }
--- a/crates/pipithub-standin/src/directory.rs
+++ b/crates/pipithub-standin/src/directory.rs
@@ -1,6 +1,6 @@
 //! A stand-in for an LDAP directory server: a tree from LDIF, searched over the protocol, with faults on order.
 //!
-//! It offers what a gateway may meet: simple binds, StartTLS and TLS from the first byte, filters, paging, content
+//! It offers what a gateway may meet: simple binds, `StartTLS` and TLS from the first byte, filters, paging, content
 //! synchronisation (RFC 4533) with changes as they happen, `contextCSN` at the base, `modifyTimestamp` and `entryUUID` at
 //! each entry. Replicas are several servers, each with a tree of its own.
 
@@ -35,7 +35,7 @@
     pub base: Option<String>,
     /// Name and password that a client must bind with; `None`: anybody may search.
     pub login: Option<(String, String)>,
-    /// TLS from the first byte. StartTLS is offered otherwise.
+    /// TLS from the first byte. `StartTLS` is offered otherwise.
     pub ldaps: bool,
 }
 
@@ -260,7 +260,7 @@
         let on = rest == "on";
         match verb {
             "delay" => {
-                self.set_faults(|f| f.delay = Duration::from_millis(rest.parse().unwrap_or(100)))
+                self.set_faults(|f| f.delay = Duration::from_millis(rest.parse().unwrap_or(100)));
             }
             "silent" => self.set_faults(|f| f.silent = on),
             "drop" => self.set_faults(|f| f.drop_every = rest.parse().unwrap_or(2)),
--- a/crates/pipithub-standin/src/list.rs
+++ b/crates/pipithub-standin/src/list.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the Kubernetes API server's EndpointSlices: list and watch with `resourceVersion`, expired versions,
+//! A stand-in for the Kubernetes API server's `EndpointSlices`: list and watch with `resourceVersion`, expired versions,
 //! breaks, and lists that are late.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -263,7 +263,7 @@
             let body = body
                 .collect()
                 .await
-                .map(|b| b.to_bytes())
+                .map(http_body_util::Collected::to_bytes)
                 .unwrap_or_default();
             match serde_json::from_slice(&body) {
                 Ok(worker) => set(&shared, worker),
--- a/crates/pipithub-standin/src/relay.rs
+++ b/crates/pipithub-standin/src/relay.rs
@@ -151,7 +151,7 @@
     async fn pair() -> (Relay, UdpSocket, UdpSocket, mpsc::UnboundedReceiver<usize>) {
         let (told, seen) = mpsc::unbounded_channel();
         let relay = Relay::start(1, move |b| {
-            assert!(told.send(b.len()).is_ok() || b.is_empty())
+            assert!(told.send(b.len()).is_ok() || b.is_empty());
         })
         .await
         .unwrap();
--- a/crates/pipithub-standin/src/worker/core.rs
+++ b/crates/pipithub-standin/src/worker/core.rs
@@ -599,8 +599,8 @@
             .models
             .entry(function.to_string())
             .or_insert_with(|| Model {
-                copy_mb,
                 lanes,
+                copy_mb,
                 ..Model::default()
             });
         model.idle_since = now;
--- a/crates/pipithub-standin/src/worker/server.rs
+++ b/crates/pipithub-standin/src/worker/server.rs
@@ -247,6 +247,7 @@
     }
 }
 
+#[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
 async fn serve(
     shared: Arc<Shared>,
     request: Request<Body>,
--- a/crates/pipithub-storage/tests/disk/mod.rs
+++ b/crates/pipithub-storage/tests/disk/mod.rs
@@ -10,7 +10,7 @@
 
 /// What becomes of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub(crate) enum Fault {
     /// It fails without an effect.
     Fails(ErrorKind),
     /// It has its effect, but reports a failure.
@@ -22,7 +22,7 @@
 }
 
 /// Which operations have which fault, by their number from 0.
-pub type Plan = Box<dyn Fn(usize) -> Option<Fault> + Send>;
+pub(crate) type Plan = Box<dyn Fn(usize) -> Option<Fault> + Send>;
 
 /// Content in the page cache and on disk.
 #[derive(Clone, Debug, Default)]
@@ -76,11 +76,11 @@
 
 /// The disk. Clones are the same one.
 #[derive(Clone)]
-pub struct Disk(Arc<Mutex<State>>);
+pub(crate) struct Disk(Arc<Mutex<State>>);
 
 impl Disk {
     /// A disk that holds one file, durably.
-    pub fn with(path: &Path, content: &[u8]) -> Self {
+    pub(crate) fn with(path: &Path, content: &[u8]) -> Self {
         let inode = Inode {
             cached: content.into(),
             durable: content.into(),
@@ -103,19 +103,19 @@
     }
 
     /// Counts operations from 0 again, and has them fail by this plan. A killed process runs again.
-    pub fn plan(&self, plan: impl Fn(usize) -> Option<Fault> + Send + 'static) {
+    pub(crate) fn plan(&self, plan: impl Fn(usize) -> Option<Fault> + Send + 'static) {
         let mut state = self.state();
         (state.plan, state.killed) = (Box::new(plan), false);
         state.operations.clear();
     }
 
     /// The operations since the plan was set.
-    pub fn operations(&self) -> Vec<&'static str> {
+    pub(crate) fn operations(&self) -> Vec<&'static str> {
         self.state().operations.clone()
     }
 
     /// What a process reads.
-    pub fn read(&self, path: &Path) -> Option<Vec<u8>> {
+    pub(crate) fn read(&self, path: &Path) -> Option<Vec<u8>> {
         let state = self.state();
         state
             .names
@@ -124,13 +124,13 @@
     }
 
     /// The names that a process sees.
-    pub fn names(&self) -> Vec<PathBuf> {
+    pub(crate) fn names(&self) -> Vec<PathBuf> {
         self.state().names.keys().cloned().collect()
     }
 
     /// All that may be read after a power cut: name changes that were not synced may be there up to any of them, and
     /// content that was not synced up to any byte.
-    pub fn after_power_cut(&self, path: &Path) -> Vec<Option<Vec<u8>>> {
+    pub(crate) fn after_power_cut(&self, path: &Path) -> Vec<Option<Vec<u8>>> {
         let state = self.state();
         let mut all = Vec::new();
         for names in &state.name_history {
--- a/crates/pipithub/src/demo.rs
+++ b/crates/pipithub/src/demo.rs
@@ -7,7 +7,7 @@
 
 const DAY: &str = include_str!("../demo.kdl");
 
-pub async fn run() -> Result<ExitCode> {
+pub(crate) async fn run() -> Result<ExitCode> {
     crate::log(false, "warn");
     let day = Scenario::parse("demo.kdl", DAY).map_err(|e| miette::Report::new(*e))?;
     println!(
--- a/crates/pipithub/src/main.rs
+++ b/crates/pipithub/src/main.rs
@@ -40,7 +40,7 @@
         #[arg(long, hide = true)]
         baseline: Option<Baseline>,
     },
-    /// Runs one front end of the platform: clients over JSON-RPC lines, its configuration in LB_CONFIG.
+    /// Runs one front end of the platform: clients over JSON-RPC lines, its configuration in `LB_CONFIG`.
     Node {
         /// The configuration file.
         #[arg(long, env = "LB_CONFIG")]
--- a/crates/pipithub/src/members.rs
+++ b/crates/pipithub/src/members.rs
@@ -10,7 +10,7 @@
 use pipithub_settings::Config;
 
 #[derive(Subcommand)]
-pub enum Members {
+pub(crate) enum Members {
     /// Lists the members as the running front end believes them to be; ends with 0 only where it takes part.
     Status {
         /// The settings file.
@@ -34,7 +34,7 @@
 }
 
 /// Takes part in the fleet where the settings say so.
-pub async fn start(config: &Config) -> Result<Option<Fleet>> {
+pub(crate) async fn start(config: &Config) -> Result<Option<Fleet>> {
     let Some(fleet) = &config.fleet else {
         return Ok(None);
     };
@@ -58,7 +58,7 @@
     Ok((report, Folder::in_use(&fleet.data)))
 }
 
-pub fn run(command: Members) -> Result<ExitCode> {
+pub(crate) fn run(command: Members) -> Result<ExitCode> {
     match command {
         Members::Status { config, json } => {
             let (report, running) = report(&config)?;
--- a/crates/pipithub/src/publish.rs
+++ b/crates/pipithub/src/publish.rs
@@ -10,7 +10,7 @@
 
 /// Publishes calls to a queue and shows their answers.
 #[derive(Args)]
-pub struct Publish {
+pub(crate) struct Publish {
     /// The broker.
     #[arg(long, default_value = "127.0.0.1:5672")]
     broker: String,
@@ -69,7 +69,7 @@
     json: bool,
 }
 
-pub async fn run(publish: Publish) -> Result<ExitCode> {
+pub(crate) async fn run(publish: Publish) -> Result<ExitCode> {
     let login = Login {
         user: publish.user.clone(),
         password: publish.password,
--- a/crates/pipithub/src/standin.rs
+++ b/crates/pipithub/src/standin.rs
@@ -18,7 +18,7 @@
 use tokio::io::{AsyncBufReadExt, BufReader};
 
 #[derive(Subcommand)]
-pub enum Standin {
+pub(crate) enum Standin {
     /// An AMQP 0-9-1 broker; user guest, password guest, virtual host `/`.
     Broker {
         #[command(flatten)]
@@ -43,7 +43,7 @@
         #[arg(long, default_value_t = 40)]
         limit: usize,
     },
-    /// The worker list: EndpointSlices with list and watch. Workers are set by `POST /control/worker`.
+    /// The worker list: `EndpointSlices` with list and watch. Workers are set by `POST /control/worker`.
     List {
         #[command(flatten)]
         common: Common,
@@ -62,7 +62,7 @@
         /// Its password.
         #[arg(long)]
         password: Option<String>,
-        /// Speak TLS from the first byte; otherwise StartTLS is offered.
+        /// Speak TLS from the first byte; otherwise `StartTLS` is offered.
         #[arg(long)]
         ldaps: bool,
         /// Write its certificate to this file, as PEM.
@@ -81,7 +81,7 @@
 }
 
 #[derive(Args)]
-pub struct Common {
+pub(crate) struct Common {
     /// Where to listen; loopback alone.
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
@@ -94,7 +94,7 @@
 }
 
 #[derive(Args)]
-pub struct Worker {
+pub(crate) struct Worker {
     #[command(flatten)]
     common: Common,
     /// Where models are fetched; without it a load takes `--load-ms` alone.
@@ -168,7 +168,8 @@
     }
 }
 
-pub async fn run(standin: Standin) -> Result<()> {
+#[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
+pub(crate) async fn run(standin: Standin) -> Result<()> {
     match standin {
         Standin::Broker { common, queue } => {
             let recorder = common.check()?;
--- a/crates/pipithub/src/tenants.rs
+++ b/crates/pipithub/src/tenants.rs
@@ -11,7 +11,7 @@
 use pipithub_settings::TenantsConfig;
 
 #[derive(Subcommand)]
-pub enum Tenants {
+pub(crate) enum Tenants {
     /// Lists tenants with their places, functions and shares.
     Show {
         /// The settings file.
@@ -46,7 +46,7 @@
     Ok((config, tenants))
 }
 
-pub async fn run(command: Tenants) -> Result<ExitCode> {
+pub(crate) async fn run(command: Tenants) -> Result<ExitCode> {
     match command {
         Tenants::Show { config } => show(&tenants(&config)?.1),
         Tenants::Check { config } => return check(&tenants(&config)?.1).await,
@@ -132,6 +132,7 @@
     })
 }
 
+#[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
 async fn explain(
     config: &pipithub_settings::Config,
     tenants: &TenantsConfig,
@@ -164,7 +165,7 @@
                     println!(
                         "{} {}: its tree is not there",
                         directory.name, server.address
-                    )
+                    );
                 }
                 Ok(answer) => {
                     let mark = answer
--- a/crates/pipithub/tests/fleet.rs
+++ b/crates/pipithub/tests/fleet.rs
@@ -143,7 +143,7 @@
     for (more, reason) in faulty {
         let config = settings(folder.path(), "front-1", more);
         let out = run(&["config", "check", &config]);
-        let text = String::from_utf8_lossy(&out.stderr).replace("\n", " ");
+        let text = String::from_utf8_lossy(&out.stderr).replace('\n', " ");
         assert!(
             !out.status.success() && text.contains(reason),
             "{more}: {text}"
--- a/crates/pipithub/tests/rig/mod.rs
+++ b/crates/pipithub/tests/rig/mod.rs
@@ -11,7 +11,7 @@
 const BINARY: &str = env!("CARGO_BIN_EXE_pipithub");
 
 /// A process that is ended when dropped.
-pub struct Running(pub Child);
+pub(crate) struct Running(pub Child);
 
 impl Drop for Running {
     fn drop(&mut self) {
@@ -21,7 +21,7 @@
 }
 
 /// Answers every line of a worker's protocol; ends with the test.
-pub fn worker(listener: TcpListener) {
+pub(crate) fn worker(listener: TcpListener) {
     for stream in listener.incoming().map_while(Result::ok) {
         std::thread::spawn(move || {
             let mut write = stream.try_clone().expect("a second handle");
@@ -37,17 +37,17 @@
 }
 
 /// A listener on a port of the system's choice, and where it is.
-pub fn listener() -> (TcpListener, SocketAddr) {
+pub(crate) fn listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let address = listener.local_addr().expect("bound");
     (listener, address)
 }
 
 /// A file that is removed with the test, and is nobody else's.
-pub struct Place(pub PathBuf);
+pub(crate) struct Place(pub PathBuf);
 
 impl Place {
-    pub fn new(name: &str) -> Self {
+    pub(crate) fn new(name: &str) -> Self {
         Place(std::env::temp_dir().join(format!("pipithub-{name}-{}", std::process::id())))
     }
 }
@@ -59,7 +59,7 @@
 }
 
 /// The configuration of a front end that knows one worker: `view` may be repeated, `assign` must not run twice.
-pub fn config(coordinator: SocketAddr, worker: SocketAddr) -> Value {
+pub(crate) fn config(coordinator: SocketAddr, worker: SocketAddr) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"Name": name, "Effect": effect, "Aim": 30_000_000_000u64,
         "GiveUp": 60_000_000_000u64})
@@ -74,20 +74,20 @@
 }
 
 /// An event that names this worker alone.
-pub fn event(index: u64, worker: SocketAddr) -> Value {
+pub(crate) fn event(index: u64, worker: SocketAddr) -> Value {
     json!({"index": index, "endpoints": {"seq": index, "whole": true, "hosts": [
         {"host": format!("w{}", worker.port()), "dial": worker.to_string(), "site": "a", "health": "SERVING"}]}})
 }
 
 /// A front end as a process.
-pub struct FrontEnd {
+pub(crate) struct FrontEnd {
     pub process: Running,
     pub log: Lines<BufReader<ChildStderr>>,
 }
 
 impl FrontEnd {
     /// Starts it, with at most so many descriptors where that is told.
-    pub fn spawn(config: &Path, descriptors: Option<u32>) -> Self {
+    pub(crate) fn spawn(config: &Path, descriptors: Option<u32>) -> Self {
         let mut command = match descriptors {
             None => Command::new(BINARY),
             Some(most) => {
@@ -117,7 +117,7 @@
     }
 
     /// Waits for a line of its log that holds these words.
-    pub fn says(&mut self, words: &str) -> String {
+    pub(crate) fn says(&mut self, words: &str) -> String {
         let mut lines = self.log.by_ref().map_while(Result::ok);
         lines
             .find(|line| line.contains(words))
@@ -125,7 +125,7 @@
     }
 
     /// Waits until it is up; where clients connect.
-    pub fn up(&mut self) -> SocketAddr {
+    pub(crate) fn up(&mut self) -> SocketAddr {
         let line = self.says("front end up");
         let address = line
             .split_whitespace()
@@ -135,7 +135,7 @@
     }
 
     /// Sends it a signal, by its own id.
-    pub fn signal(&self, name: &str) {
+    pub(crate) fn signal(&self, name: &str) {
         let id = self.process.0.id().to_string();
         let done = Command::new("kill")
             .args(["-s", name, &id])
@@ -146,13 +146,13 @@
 }
 
 /// One end of a connection, by lines.
-pub struct Peer {
+pub(crate) struct Peer {
     lines: Lines<BufReader<TcpStream>>,
     write: TcpStream,
 }
 
 impl Peer {
-    pub fn of(stream: TcpStream) -> Self {
+    pub(crate) fn of(stream: TcpStream) -> Self {
         let write = stream.try_clone().expect("a second handle");
         Peer {
             lines: BufReader::new(stream).lines(),
@@ -160,22 +160,22 @@
         }
     }
 
-    pub fn connect(address: SocketAddr) -> Self {
+    pub(crate) fn connect(address: SocketAddr) -> Self {
         Peer::of(TcpStream::connect(address).expect("connects"))
     }
 
     /// The next line, as JSON; `None` at a clean end.
-    pub fn next(&mut self) -> Option<Value> {
+    pub(crate) fn next(&mut self) -> Option<Value> {
         let line = self.lines.next()?.expect("no reset");
         Some(serde_json::from_str(&line).expect("JSON"))
     }
 
-    pub fn send(&mut self, text: &str) {
+    pub(crate) fn send(&mut self, text: &str) {
         self.write.write_all(text.as_bytes()).expect("written");
     }
 
     /// Whether the front end says that it is well.
-    pub fn is_well(&mut self, id: u64) -> bool {
+    pub(crate) fn is_well(&mut self, id: u64) -> bool {
         self.send(&format!(
             "{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"isWell\"}}\n"
         ));
@@ -183,21 +183,21 @@
     }
 
     /// Answers what this asked for, as a worker that served it.
-    pub fn serve(&mut self, asked: &Value) {
+    pub(crate) fn serve(&mut self, asked: &Value) {
         let answer = json!({"cmd": "ACK", "ref": asked["ref"], "payload": asked["payload"]});
         self.send(&format!("{answer}\n"));
     }
 }
 
 /// The line of a call.
-pub fn call(id: u64, class: &str) -> String {
+pub(crate) fn call(id: u64, class: &str) -> String {
     let call = json!({"jsonrpc": "2.0", "id": id, "method": class, "params":
         {"call": format!("{id:016x}"), "ttl": 60_000, "row": "00000000000000aa", "props": "memory_mb:1;lanes:1000", "body": "aGVsbG8="}});
     format!("{call}\n")
 }
 
 /// Takes a coordinator's next connection and answers with these events, and stays open.
-pub fn tell(list: &TcpListener, events: &[Value]) -> (TcpStream, String) {
+pub(crate) fn tell(list: &TcpListener, events: &[Value]) -> (TcpStream, String) {
     let (mut stream, _) = list.accept().expect("it asks");
     let (mut request, mut byte) = (Vec::new(), [0]);
     while !request.ends_with(b"\r\n\r\n") {
--- a/crates/pipithub/tests/run_line.rs
+++ b/crates/pipithub/tests/run_line.rs
@@ -79,10 +79,10 @@
     for fd in process.fd().expect("its descriptors").map_while(Result::ok) {
         match fd.target {
             FDTarget::Socket(inode) if !allowed.contains(&inode) => {
-                found.push(format!("socket {}", fd.fd))
+                found.push(format!("socket {}", fd.fd));
             }
             FDTarget::AnonInode(kind) if kind.contains("uring") => {
-                found.push(format!("descriptor {kind}"))
+                found.push(format!("descriptor {kind}"));
             }
             _ => {}
         }
