--- a/crates/pipithub-policy/src/lib.rs
+++ b/crates/pipithub-policy/src/lib.rs
@@ -6,7 +6,9 @@
 //! [`api`] holds the plain types that go in and out, [`decide`] the state machine that decides.
 //!
 //! ```
-//! use pipithub_policy::api::{Action, Endpoint, EndpointState, EndpointUpdate, Event, FunctionId, Request, Settings, WorkerId};
+//! use pipithub_policy::api::{
+//!     Action, Endpoint, EndpointState, EndpointUpdate, Event, FunctionId, Request, Settings, WorkerId,
+//! };
 //! use pipithub_policy::decide::FrontEnd;
 //!
 //! let mut front = FrontEnd::new(Settings::default(), 7);
