--- a/crates/pipithub-adapter/src/main.rs
+++ b/crates/pipithub-adapter/src/main.rs
@@ -9,7 +9,7 @@
 
 use pipithub_platform::settings::{self, Names};
 use pipithub_policy::api::{Action, Event};
-use pipithub_policy::decide::FrontEnd;
+use pipithub_policy::FrontEnd;
 use wire::Input;
 
 /// One hosted front end, with the names that its lines use.
--- a/crates/pipithub-bench/src/bin/decision_memory.rs
+++ b/crates/pipithub-bench/src/bin/decision_memory.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use allocation_counter::measure;
+use pipithub_policy::FrontEnd as Module;
 use pipithub_policy::api::{Action, Event, Settings, Time};
-use pipithub_policy::decide::FrontEnd as Module;
 use plain::decide::FrontEnd as Plain;
 use world::meter::Front;
 use world::{Day, MS, World};
--- a/crates/pipithub-bench/src/scale/decisions.rs
+++ b/crates/pipithub-bench/src/scale/decisions.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::process::Command;
 
+use pipithub_policy::FrontEnd as Module;
 use pipithub_policy::api::{Action, Event, Settings, Time};
-use pipithub_policy::decide::FrontEnd as Module;
 use plain::decide::FrontEnd as Plain;
 use world::meter::{Front, Play, Spent, median};
 use world::{Day, MS};
--- a/crates/pipithub-engine/benches/engine.rs
+++ b/crates/pipithub-engine/benches/engine.rs
@@ -11,8 +11,8 @@
     AttemptResult, Call, Engine, EngineSettings, Input, Output, Served, SourceId, Ticket, Trigger,
     function_id,
 };
+use pipithub_policy::FrontEnd;
 use pipithub_policy::api::Action;
-use pipithub_policy::decide::FrontEnd;
 
 fn policy() -> Settings {
     Settings {
--- a/crates/pipithub-engine/src/engine.rs
+++ b/crates/pipithub-engine/src/engine.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
+use pipithub_policy::FrontEnd;
 use pipithub_policy::api::{
     Action, AttemptFinished, EndpointState, EndpointUpdate, Event, FunctionId, LoadFinished,
     Outcome, Request, RequestId, Settings, Time, WorkerId,
 };
-use pipithub_policy::decide::FrontEnd;
 
 use crate::memory::{Again, Memory, unknown_earlier};
 use crate::model::{
--- a/crates/pipithub-policy/src/api.rs
+++ b/crates/pipithub-policy/src/api.rs
@@ -1,7 +1,7 @@
 //! The interface of the decision module: settings, events and actions as plain types.
 //!
 //! All times are nanoseconds. A [`Time`] in an event is a length unless its text says otherwise; the
-//! clock itself is handed to [`crate::decide::FrontEnd::handle`].
+//! clock itself is handed to [`crate::FrontEnd::handle`].
 
 use std::sync::Arc;
 
--- a/crates/pipithub-policy/src/lib.rs
+++ b/crates/pipithub-policy/src/lib.rs
@@ -3,13 +3,13 @@
 //! Each front end admits a request at the first worker in a shared hash order whose replayed queue of
 //! its own sends, counting any load, still meets every deadline; else it refuses the request unsent.
 //!
-//! [`api`] holds the plain types that go in and out, [`decide`] the state machine that decides.
+//! [`api`] holds the plain types that go in and out, [`FrontEnd`] is the state machine that decides.
 //!
 //! ```
 //! use pipithub_policy::api::{
 //!     Action, Endpoint, EndpointState, EndpointUpdate, Event, FunctionId, Request, Settings, WorkerId,
 //! };
-//! use pipithub_policy::decide::FrontEnd;
+//! use pipithub_policy::FrontEnd;
 //!
 //! let mut front = FrontEnd::new(Settings::default(), 7);
 //! let mut actions = Vec::new();
@@ -24,11 +24,13 @@
 //! ```
 
 pub mod api;
-pub mod decide;
+mod decide;
 mod state;
 mod tier;
 pub mod work;
 
+pub use decide::FrontEnd;
+
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
 struct Readme;
--- a/crates/pipithub-policy/tests/common/mod.rs
+++ b/crates/pipithub-policy/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use pipithub_policy::api::*;
-use pipithub_policy::decide::FrontEnd;
+use pipithub_policy::FrontEnd;
 
 /// Nanoseconds in a millisecond.
 pub(crate) const MS: u64 = 1_000_000;
--- a/crates/pipithub-policy/tests/fleet.rs
+++ b/crates/pipithub-policy/tests/fleet.rs
@@ -7,7 +7,7 @@
 
 use common::{entry, settings, MS};
 use pipithub_policy::api::*;
-use pipithub_policy::decide::FrontEnd;
+use pipithub_policy::FrontEnd;
 
 /// Equal numbers from equal seeds.
 struct Draw(u64);
--- a/crates/pipithub-policy/tests/growth.rs
+++ b/crates/pipithub-policy/tests/growth.rs
@@ -4,7 +4,7 @@
 mod world;
 
 use pipithub_policy::api::*;
-use pipithub_policy::decide::FrontEnd;
+use pipithub_policy::FrontEnd;
 use world::meter::{median, Front, Play, Spent};
 use world::{Day, MS};
 
--- a/crates/pipithub-policy/tests/let_go.rs
+++ b/crates/pipithub-policy/tests/let_go.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use allocation_counter::measure;
-use pipithub_policy::decide::FrontEnd;
+use pipithub_policy::FrontEnd;
 use world::{Day, World, MS};
 
 /// Bytes that a front end holds some time after so many functions were called once each.
--- a/crates/pipithub-policy/tests/random.rs
+++ b/crates/pipithub-policy/tests/random.rs
@@ -6,7 +6,7 @@
 
 use common::{settings, MS};
 use pipithub_policy::api::*;
-use pipithub_policy::decide::FrontEnd;
+use pipithub_policy::FrontEnd;
 
 /// A small generator of our own, so that the sequences never change.
 struct Dice(u64);
--- a/crates/pipithub-policy/tests/ring.rs
+++ b/crates/pipithub-policy/tests/ring.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use pipithub_policy::api::*;
-use pipithub_policy::decide::FrontEnd;
+use pipithub_policy::FrontEnd;
 
 const MS: Time = 1_000_000;
 const WORKERS: u64 = 3_000;
--- a/crates/pipithub-policy/tests/same.rs
+++ b/crates/pipithub-policy/tests/same.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use pipithub_policy::api::*;
-use pipithub_policy::{decide, work};
+use pipithub_policy::{work, FrontEnd};
 use world::{Counts, Day, World};
 
 /// Days of each of the tests below, which run at the same time.
@@ -16,7 +16,7 @@
 /// Plays one day into both and tells what happened in it.
 fn play(seed: u64) -> Counts {
     let day = Day::drawn(seed, 300);
-    let mut module = decide::FrontEnd::new(day.settings.clone(), seed);
+    let mut module = FrontEnd::new(day.settings.clone(), seed);
     let mut reference = plain::decide::FrontEnd::new(day.settings.clone(), seed);
     let blind = day.settings.front_ends > 8;
     let mut world = World::new(day);
--- a/crates/pipithub-policy/tests/slow_start.rs
+++ b/crates/pipithub-policy/tests/slow_start.rs
@@ -10,7 +10,7 @@
 
 use common::{entry, settings, MS};
 use pipithub_policy::api::*;
-use pipithub_policy::decide::FrontEnd;
+use pipithub_policy::FrontEnd;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
--- a/crates/pipithub-policy/tests/world/meter.rs
+++ b/crates/pipithub-policy/tests/world/meter.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use pipithub_policy::api::{Action, Event, Settings, Time};
-use pipithub_policy::{decide, work};
+use pipithub_policy::{work, FrontEnd};
 
 use super::{Day, World, MS};
 
@@ -18,13 +18,13 @@
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>);
 }
 
-impl Front for decide::FrontEnd {
+impl Front for FrontEnd {
     fn start(settings: Settings, seed: u64) -> Self {
-        decide::FrontEnd::new(settings, seed)
+        FrontEnd::new(settings, seed)
     }
 
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
-        decide::FrontEnd::handle(self, now, event, actions);
+        FrontEnd::handle(self, now, event, actions);
     }
 }
 
