--- a/crates/pipithub-policy/src/front_end.rs
+++ b/crates/pipithub-policy/src/front_end.rs
@@ -7,53 +7,53 @@
 use crate::api::{
     Action, Class, Event, FunctionId, LoadReport, RequestId, Settings, Time, WorkerId,
 };
-use crate::load_reports::{ASK_TOKEN, HELD_AGE};
-use crate::maintenance::{CHORES, CHORES_TOKEN};
-use crate::state::{mix, Health, Open, Program, RunningMean};
-use crate::tier::{Tier, Times};
+use crate::load_reports::{IN_FLIGHT_HALF_LIFE, POLL_TIMEOUT_TOKEN};
+use crate::maintenance::{MAINTENANCE_PERIOD, MAINTENANCE_TOKEN};
+use crate::state::{mix, FunctionState, Health, PendingRequest, RunningMean};
+use crate::tier::{EventTimes, WorkerPool};
 
 /// Nanoseconds in a millisecond.
-pub(crate) const MS: Time = 1_000_000;
+pub(crate) const MILLISECOND: Time = 1_000_000;
 /// No length of time told or seen counts as longer, so that no sum overflows.
-pub(crate) const LONGEST: Time = 3_600_000 * MS;
+pub(crate) const MAX_DURATION: Time = 3_600_000 * MILLISECOND;
 
 /// One front end.
 #[derive(Debug, Default)]
 pub struct FrontEnd {
-    pub(crate) s: Settings,
+    pub(crate) settings: Settings,
     pub(crate) now: Time,
     pub(crate) seed: u64,
-    pub(crate) nodes: Tier,
-    pub(crate) programs: BTreeMap<FunctionId, Program>,
-    pub(crate) open: BTreeMap<RequestId, Open>,
+    pub(crate) workers: WorkerPool,
+    pub(crate) functions: BTreeMap<FunctionId, FunctionState>,
+    pub(crate) pending: BTreeMap<RequestId, PendingRequest>,
     /// Calls that wait for a worker to tell its load, by worker; some may be over.
-    pub(crate) asking: BTreeMap<WorkerId, BTreeSet<RequestId>>,
+    pub(crate) awaiting_load_report: BTreeMap<WorkerId, BTreeSet<RequestId>>,
     /// Mean run time of each class.
-    pub(crate) class_run: Vec<Option<f64>>,
+    pub(crate) class_run_times: Vec<Option<f64>>,
     /// Seen load time over the told one, and the mean load where none is told.
-    pub(crate) load_stretch: f64,
-    pub(crate) load_mean: Option<f64>,
-    pub(crate) load_heard: Time,
+    pub(crate) load_slowdown: f64,
+    pub(crate) mean_load_time: Option<f64>,
+    pub(crate) load_observed_at: Time,
     /// Health of what loads come from, and loads that failed since the last that was done.
-    pub(crate) store: Health,
-    pub(crate) failed_loads: u32,
+    pub(crate) store_health: Health,
+    pub(crate) consecutive_failed_loads: u32,
     /// Arrivals and orders within the ration's window, arrivals within the rate span at least.
-    pub(crate) arrivals: Times,
-    pub(crate) orders: Times,
-    pub(crate) next_round: Time,
-    pub(crate) allowance: f64,
+    pub(crate) arrivals: EventTimes,
+    pub(crate) load_commands: EventTimes,
+    pub(crate) next_rebalancing_at: Time,
+    pub(crate) rebalancing_allowance: f64,
     /// Calls that a warm worker serves this front end, for each unit of time.
     pub(crate) warm_rate: f64,
     /// Its mean over a longer time.
-    pub(crate) usual_warm_rate: RunningMean,
+    pub(crate) mean_warm_rate: RunningMean,
     /// Mean of what workers told to hold, and of how far runs were stretched there.
-    pub(crate) held_seen: (f64, f64),
+    pub(crate) reported_queues: (f64, f64),
     /// Calls that may now be sent on a guess.
-    pub(crate) guesses: f64,
+    pub(crate) speculation_tokens: f64,
     /// Zones that say nothing.
-    pub(crate) zones: BTreeMap<String, Health>,
+    pub(crate) silent_zones: BTreeMap<String, Health>,
     /// Mean share of their worth that own sends lost: answered late, in error or not at all.
-    pub(crate) lost: f64,
+    pub(crate) mean_lost_value: f64,
 }
 
 impl FrontEnd {
@@ -82,16 +82,19 @@
         told.into_iter()
             .chain(window)
             .chain(class)
-            .for_each(|t| *t = (*t).min(LONGEST));
-        let (nodes, class_run, held_seen) =
-            (Tier::new(HELD_AGE), vec![None; s.classes.len()], (6.0, 1.0));
+            .for_each(|t| *t = (*t).min(MAX_DURATION));
+        let (nodes, class_run, held_seen) = (
+            WorkerPool::new(IN_FLIGHT_HALF_LIFE),
+            vec![None; s.classes.len()],
+            (6.0, 1.0),
+        );
         FrontEnd {
-            nodes,
-            class_run,
-            s,
+            workers: nodes,
+            class_run_times: class_run,
+            settings: s,
             seed,
-            load_stretch: 1.0,
-            held_seen,
+            load_slowdown: 1.0,
+            reported_queues: held_seen,
             ..FrontEnd::default()
         }
     }
@@ -99,61 +102,68 @@
     /// Takes one event and appends what to do about it.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now.min(Time::MAX >> 2));
-        if self.next_round == 0 {
-            self.next_round =
-                self.now + self.interval() / 2 + mix(self.seed) % (self.interval() / 2);
+        if self.next_rebalancing_at == 0 {
+            self.next_rebalancing_at = self.now
+                + self.rebalancing_interval() / 2
+                + mix(self.seed) % (self.rebalancing_interval() / 2);
             actions.push(Action::SetTimer {
-                after: CHORES,
-                token: CHORES_TOKEN,
+                after: MAINTENANCE_PERIOD,
+                token: MAINTENANCE_TOKEN,
             });
-            actions.extend(self.s.watch_on_request.then_some(Action::WatchEndpoints));
+            actions.extend(
+                self.settings
+                    .watch_on_request
+                    .then_some(Action::WatchEndpoints),
+            );
         }
         match event {
             Event::Endpoints {
                 update: kind,
                 endpoints: entries,
-            } => self.list(kind, entries, actions),
-            Event::Arrived(call) => self.arrived(call, actions),
+            } => self.update_endpoints(kind, entries, actions),
+            Event::Arrived(call) => self.accept(call, actions),
             Event::AttemptFinished(end) => {
                 if end.load_report != LoadReport::default() {
-                    self.told(&end.worker, Some(end.load_report), actions);
+                    self.record_load_report(&end.worker, Some(end.load_report), actions);
                 }
-                let ran = self.attempt_over(&end);
-                self.outcome(&end, ran, actions);
+                let ran = self.record_attempt(&end);
+                self.finish_attempt(&end, ran, actions);
             }
             Event::Streaming { request } => {
-                if let Some(open) = self.open.get_mut(&request) {
+                if let Some(open) = self.pending.get_mut(&request) {
                     open.streaming = true;
                 }
             }
             Event::ClientCancelled { request } => {
-                if let Some(open) = self.open.remove(&request) {
-                    self.withdraw(request, &open, actions);
+                if let Some(open) = self.pending.remove(&request) {
+                    self.cancel_attempt(request, &open, actions);
                 }
             }
-            Event::LoadFinished(reply) => self.ordered(&reply, actions),
+            Event::LoadFinished(reply) => self.finish_load(&reply, actions),
             Event::Timer {
-                token: CHORES_TOKEN,
-            } => self.chores(actions),
+                token: MAINTENANCE_TOKEN,
+            } => self.run_maintenance(actions),
             Event::LoadPolled {
                 worker,
                 answered,
                 report: load,
-            } => self.told(&worker, answered.then_some(load), actions),
-            Event::Timer { token } if token & ASK_TOKEN > 0 => {
+            } => self.record_load_report(&worker, answered.then_some(load), actions),
+            Event::Timer { token } if token & POLL_TIMEOUT_TOKEN > 0 => {
                 if let Some(worker) = self
-                    .open
-                    .get(&(token & !ASK_TOKEN))
-                    .and_then(|o| o.asks.clone())
+                    .pending
+                    .get(&(token & !POLL_TIMEOUT_TOKEN))
+                    .and_then(|o| o.polled_worker.clone())
                 {
-                    self.told(&worker, None, actions);
+                    self.record_load_report(&worker, None, actions);
                 }
             }
             Event::Timer { token } => {
                 // The client's time may be all but over.
-                let over = |o: &Open| !o.streaming && self.now + 3 * self.s.tick >= o.deadline;
-                if self.open.get(&token).is_some_and(over) {
-                    self.end(token, actions);
+                let over = |o: &PendingRequest| {
+                    !o.streaming && self.now + 3 * self.settings.tick >= o.deadline
+                };
+                if self.pending.get(&token).is_some_and(over) {
+                    self.reject_or_fail(token, actions);
                 }
             }
             Event::Peer { .. } => {}
--- a/crates/pipithub-policy/tests/tier.rs
+++ b/crates/pipithub-policy/tests/tier.rs
@@ -19,8 +19,8 @@
 mod tier;
 
 use api::*;
-use state::{Health, Sent, Told};
-use tier::{Tier, Times};
+use state::{Attempt, Health, ReportedLoad};
+use tier::{EventTimes, WorkerPool};
 
 const HALF_LIFE: Time = 20_000;
 const CLASSES: usize = 2;
@@ -113,31 +113,31 @@
     WorkerId::new(&format!("10.0.0.{worker}:80"))
 }
 
-fn sent((cold, unproven, adds): (bool, bool, bool)) -> Sent {
+fn sent((cold, unproven, adds): (bool, bool, bool)) -> Attempt {
     let (request, attempt, function, class) = (1, 0, FunctionId(1), 0);
     let (at, due, goal, aim, run) = (0, 0, 0, 0, 0.0);
     let (same, crowd, withdrawn) = (1.0, 1.0, false);
-    Sent {
+    Attempt {
         request,
         attempt,
         function,
         class,
-        at,
-        due,
-        goal,
-        run,
-        aim,
-        cold,
-        unproven,
-        adds,
-        same,
-        crowd,
-        withdrawn,
+        sent_at: at,
+        predicted_finish: due,
+        target_deadline: goal,
+        run_time: run,
+        latency_objective: aim,
+        cold_start: cold,
+        unconfirmed: unproven,
+        adds_replica: adds,
+        function_concurrency: same,
+        concurrency: crowd,
+        cancelled: withdrawn,
     }
 }
 
 struct Both {
-    tier: Tier,
+    tier: WorkerPool,
     plain: BTreeMap<WorkerId, Plain>,
     now: Time,
     /// The latest moment that was asked about: it never goes back.
@@ -170,14 +170,14 @@
                     started_at: started,
                     ..Endpoint::default()
                 };
-                self.tier.get_or_add(&entry, CLASSES).entry = entry.clone();
+                self.tier.get_or_add(&entry, CLASSES).endpoint = entry.clone();
                 self.plain.entry(name(worker)).or_default().entry = entry;
             }
             Step::LoseAll { but } => {
                 let lost = |w: &WorkerId| *w != name(but);
                 self.tier.change_where(
-                    |n| lost(&n.entry.worker),
-                    |n| n.entry.state = EndpointState::Removed,
+                    |n| lost(&n.endpoint.worker),
+                    |n| n.endpoint.state = EndpointState::Removed,
                 );
                 self.plain
                     .iter_mut()
@@ -185,17 +185,17 @@
                     .for_each(|(_, p)| p.entry.state = EndpointState::Removed);
             }
             Step::Send { worker, flags } => self.both(worker, |node, plain| {
-                node.out.push(sent(flags));
+                node.in_flight.push(sent(flags));
                 plain.out.push(flags);
             }),
             Step::End { worker } => self.both(worker, |node, plain| {
-                node.out.pop();
+                node.in_flight.pop();
                 plain.out.pop();
-                node.heard = now;
+                node.last_response_at = now;
                 plain.heard = now;
             }),
             Step::Served { worker, count } => self.both(worker, |node, plain| {
-                node.served = (0..count).map(|_| (now, 0)).collect();
+                node.recent_answers = (0..count).map(|_| (now, 0)).collect();
                 plain.served = count.into();
             }),
             Step::Copy {
@@ -204,21 +204,21 @@
                 ordered,
             } => self.both(worker, |node, plain| {
                 let function = FunctionId(function.into());
-                node.copies_of(function).ordered = ordered;
+                node.replicas_of(function).load_requested = ordered;
                 // As the one place that orders does.
-                node.orders |= ordered;
+                node.may_have_load_commands |= ordered;
                 plain.copies.insert(function, ordered);
             }),
             Step::Forget { worker, function } => self.both(worker, |node, plain| {
-                node.copies.remove(&FunctionId(function.into()));
+                node.replicas.remove(&FunctionId(function.into()));
                 plain.copies.remove(&FunctionId(function.into()));
             }),
             Step::Told { worker, held } => self.both(worker, |node, plain| {
-                node.told = Told {
-                    at: now,
-                    held,
-                    busy: 0.0,
-                    usual: held,
+                node.load_report = ReportedLoad {
+                    received_at: now,
+                    in_flight: held,
+                    cpu_utilization: 0.0,
+                    mean_in_flight: held,
                 };
                 plain.told = (now, held);
             }),
@@ -227,26 +227,26 @@
                 class,
                 share,
             } => self.both(worker, |node, plain| {
-                node.health[class as usize].errors = share;
+                node.health[class as usize].error_rate = share;
                 plain.errors[class as usize] = share;
             }),
             Step::Restart { worker } => self.both(worker, |node, plain| {
-                node.copies.clear();
+                node.replicas.clear();
                 node.health = vec![Health::default(); CLASSES];
                 plain.copies.clear();
                 plain.errors = [0.0; CLASSES];
             }),
             Step::ForgetGone => {
-                self.tier.forget_gone();
+                self.tier.forget_removed();
                 self.plain
                     .retain(|_, p| p.entry.state != EndpointState::Removed || !p.out.is_empty());
             }
-            Step::ForgetHolders => self.tier.forget_holders(),
+            Step::ForgetHolders => self.tier.forget_former_holders(),
             Step::Pass { time } => self.now += Time::from(time),
         }
     }
 
-    fn both(&mut self, worker: u8, change: impl FnOnce(&mut tier::Changed<'_>, &mut Plain)) {
+    fn both(&mut self, worker: u8, change: impl FnOnce(&mut tier::WorkerGuard<'_>, &mut Plain)) {
         let (node, plain) = (
             self.tier.get_mut(&name(worker)),
             self.plain.get_mut(&name(worker)),
@@ -266,25 +266,28 @@
     }
 
     fn compare(&mut self) {
-        let names = |nodes: Vec<&state::Node>| -> Vec<WorkerId> {
-            nodes.into_iter().map(|n| n.entry.worker.clone()).collect()
+        let names = |nodes: Vec<&state::WorkerState>| -> Vec<WorkerId> {
+            nodes
+                .into_iter()
+                .map(|n| n.endpoint.worker.clone())
+                .collect()
         };
         let live = |p: &Plain| p.entry.state == EndpointState::Ready;
-        assert_eq!(self.tier.live(), self.that(live).len());
+        assert_eq!(self.tier.ready_count(), self.that(live).len());
         let recent = self.that(|p| !p.out.is_empty() || p.served > 0);
-        assert_eq!(names(self.tier.recent().collect()), recent);
+        assert_eq!(names(self.tier.active().collect()), recent);
         let loads =
             |p: &Plain| p.out.iter().any(|s| s.0 || s.1 || s.2) || p.copies.values().any(|o| *o);
         assert_eq!(names(self.tier.loading().collect()), self.that(loads));
         let mut holding = Vec::new();
         self.tier
-            .change_holding(|n| holding.push(n.entry.worker.clone()));
+            .change_with_replicas(|n| holding.push(n.endpoint.worker.clone()));
         assert_eq!(holding, self.that(|p| !p.copies.is_empty()));
         for function in (0..6).map(FunctionId) {
             let maybe = self
                 .tier
                 .holders(function)
-                .filter(|n| n.copies.contains_key(&function))
+                .filter(|n| n.replicas.contains_key(&function))
                 .collect();
             assert_eq!(
                 names(maybe),
@@ -292,7 +295,7 @@
             );
         }
         let zones: BTreeSet<&str> = self.plain.values().map(|p| p.entry.zone.as_str()).collect();
-        assert_eq!(self.tier.zones(), zones.len());
+        assert_eq!(self.tier.zone_count(), zones.len());
         for zone in ["", "a", "b", "zone with a name", "none"] {
             let here = |p: &Plain| p.entry.zone == zone;
             let heard = self
@@ -301,7 +304,7 @@
                 .filter(|p| here(p))
                 .map(|p| p.heard)
                 .max();
-            assert_eq!(self.tier.heard(zone), heard, "{zone}");
+            assert_eq!(self.tier.last_response_in(zone), heard, "{zone}");
             let busy = self.that(|p| here(p) && !p.out.is_empty());
             assert_eq!(self.tier.busy_zones().any(|z| z == zone), !busy.is_empty());
             assert_eq!(names(self.tier.busy_in(zone).collect()), busy);
@@ -318,9 +321,9 @@
             .sum();
         let mean = sum / known().count().max(1) as f64;
         assert!(
-            (self.tier.mean_held(self.now) - mean).abs() < 1e-9,
+            (self.tier.mean_reported_in_flight(self.now) - mean).abs() < 1e-9,
             "{} {mean}",
-            self.tier.mean_held(self.now)
+            self.tier.mean_reported_in_flight(self.now)
         );
         let all: Vec<WorkerId> = self.plain.keys().cloned().collect();
         for (worker, class) in all.iter().flat_map(|w| [(w, 0), (w, 1)]) {
@@ -334,7 +337,7 @@
             let kept = self
                 .tier
                 .get_mut(worker)
-                .map_or(-1.0, |n| n.mean_errors_beside(class));
+                .map_or(-1.0, |n| n.mean_error_rate_of_others(class));
             assert!((kept - mean).abs() < 1e-12, "{kept} {mean}");
         }
     }
@@ -345,7 +348,7 @@
 
     #[test]
     fn what_is_kept_is_what_a_look_at_all_would_find(steps in proptest::collection::vec(step(), 1..120)) {
-        let mut both = Both { tier: Tier::new(HALF_LIFE), plain: BTreeMap::new(), now: 1, since: 0 };
+        let mut both = Both { tier: WorkerPool::new(HALF_LIFE), plain: BTreeMap::new(), now: 1, since: 0 };
         for step in steps {
             both.play(step);
             both.compare();
@@ -354,7 +357,7 @@
 
     #[test]
     fn the_ring_gives_those_that_come_next(count in 0u8..60, from in any::<u64>(), most in 0usize..70) {
-        let mut tier = Tier::new(HALF_LIFE);
+        let mut tier = WorkerPool::new(HALF_LIFE);
         let mut hashes = BTreeMap::new();
         for worker in 0..count {
             let state = if worker % 5 == 4 { EndpointState::Draining } else { EndpointState::Ready };
@@ -366,13 +369,13 @@
         }
         let next = hashes.range(from..).chain(hashes.range(..from)).take(most);
         let expected: Vec<(u64, &WorkerId)> = next.map(|(h, w)| (*h, w)).collect();
-        prop_assert_eq!(tier.from(from, most).collect::<Vec<_>>(), expected);
+        prop_assert_eq!(tier.ring_from(from, most).collect::<Vec<_>>(), expected);
     }
 
     #[test]
     fn moments_are_counted_as_by_a_look_at_each(gaps in proptest::collection::vec(0u64..50, 0..60),
                                                 marks in proptest::collection::vec(0u64..1_500, 1..8)) {
-        let mut times = Times::default();
+        let mut times = EventTimes::default();
         let mut all: Vec<Time> = Vec::new();
         for gap in gaps {
             all.push(all.last().copied().unwrap_or(0) + gap);
