--- a/crates/pipithub-policy/src/front_end.rs
+++ b/crates/pipithub-policy/src/front_end.rs
@@ -7,10 +7,12 @@
 use crate::api::{
     Action, Class, Event, FunctionId, LoadReport, RequestId, Settings, Time, WorkerId,
 };
+use crate::hashing::mix;
 use crate::load_reports::{IN_FLIGHT_HALF_LIFE, POLL_TIMEOUT_TOKEN};
 use crate::maintenance::{MAINTENANCE_PERIOD, MAINTENANCE_TOKEN};
-use crate::state::{mix, FunctionState, Health, PendingRequest, RunningMean};
-use crate::tier::{EventTimes, WorkerPool};
+use crate::state::{FunctionState, Health, PendingRequest};
+use crate::statistics::{EventTimes, RunningMean};
+use crate::worker_pool::WorkerPool;
 
 /// Nanoseconds in a millisecond.
 pub(crate) const MILLISECOND: Time = 1_000_000;
--- a/crates/pipithub-policy/src/lib.rs
+++ b/crates/pipithub-policy/src/lib.rs
@@ -29,6 +29,7 @@
 mod estimates;
 mod front_end;
 mod function_loading;
+mod hashing;
 mod load_reports;
 mod maintenance;
 mod outlier;
@@ -39,8 +40,9 @@
 mod routing;
 mod slow_start;
 mod state;
-mod tier;
+mod statistics;
 pub mod work;
+mod worker_pool;
 
 pub use front_end::FrontEnd;
 
--- a/crates/pipithub-policy/src/outlier.rs
+++ b/crates/pipithub-policy/src/outlier.rs
@@ -6,7 +6,7 @@
 use crate::estimates::SLOWDOWN_GAIN;
 use crate::front_end::{FrontEnd, MILLISECOND};
 use crate::state::{Attempt, Health};
-use crate::tier::WorkerGuard;
+use crate::worker_pool::WorkerGuard;
 
 /// A send is overdue at this multiple of what was foreseen; a worker is silent when more of a class's sends
 /// are than it has answered since the first of them, and at least so many.
--- a/crates/pipithub-policy/src/preference.rs
+++ b/crates/pipithub-policy/src/preference.rs
@@ -2,8 +2,9 @@
 
 use crate::api::{FunctionId, WorkerId};
 use crate::front_end::FrontEnd;
+use crate::hashing::{draw, mix};
 use crate::load_reports::IN_FLIGHT_HALF_LIFE;
-use crate::state::{draw, mix, WorkerState};
+use crate::state::WorkerState;
 
 /// A function's order goes through so many workers at the most: a call costs no more in a larger tier.
 const MAX_ORDER: usize = 512;
--- a/crates/pipithub-policy/src/slow_start.rs
+++ b/crates/pipithub-policy/src/slow_start.rs
@@ -2,7 +2,8 @@
 
 use crate::api::Time;
 use crate::front_end::{FrontEnd, MILLISECOND};
-use crate::state::{draw, mix, WorkerState};
+use crate::hashing::{draw, mix};
+use crate::state::WorkerState;
 
 /// The share of its part of a cold worker's budget that this front end spends; and where that part is under
 /// one send, so that chance does not overdraw the sum, drawn so many times a span.
--- a/crates/pipithub-policy/src/state.rs
+++ b/crates/pipithub-policy/src/state.rs
@@ -1,36 +1,10 @@
 //! What a front end remembers, as plain data. What is made of it stands in the modules that decide.
 
 use crate::api::{Endpoint, EndpointState, FunctionId, Request, RequestId, Time, WorkerId};
-use crate::tier::IndexedState;
+use crate::hashing::hash_address;
+use crate::worker_pool::IndexedState;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A mean over the last samples: each weighs as much as the others while there are few, and fades later.
-#[derive(Debug, Default)]
-pub(crate) struct RunningMean {
-    mean: f64,
-    samples: u32,
-}
-
-impl RunningMean {
-    /// So many samples weigh alike before the oldest ones fade.
-    const MAX_SAMPLES: u32 = 400;
-
-    /// Takes in a sample.
-    pub(crate) fn add(&mut self, sample: f64) {
-        self.samples = (self.samples + 1).min(Self::MAX_SAMPLES);
-        self.mean += (sample - self.mean) / f64::from(self.samples);
-    }
-
-    /// A value held to the mean at most; before the first sample nothing bounds it.
-    pub(crate) fn cap(&self, value: f64) -> f64 {
-        if self.samples == 0 {
-            value
-        } else {
-            value.min(self.mean)
-        }
-    }
-}
-
 /// A send that has no outcome yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
@@ -141,16 +115,10 @@
 
     /// A worker of which nothing is known but its entry.
     pub(crate) fn new(entry: Endpoint, classes: usize) -> Self {
-        let hash = entry
-            .worker
-            .0
-            .bytes()
-            .fold(0xcbf2_9ce4_8422_2325, |h: u64, b| {
-                (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3)
-            });
+        let hash = hash_address(&entry.worker.0);
         WorkerState {
             endpoint: entry,
-            hash: mix(hash),
+            hash,
             replicas: BTreeMap::new(),
             in_flight: Vec::new(),
             slowdown: 1.0,
@@ -213,14 +181,3 @@
     pub(crate) warm_finish: Time,
     pub(crate) finish: Time,
 }
-
-/// A number drawn from 0 up to 1: equal for equal seeds.
-pub(crate) fn draw(seed: u64) -> f64 {
-    (mix(seed) >> 11) as f64 / (1u64 << 53) as f64
-}
-
-pub(crate) fn mix(mut x: u64) -> u64 {
-    x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    x ^ (x >> 31)
-}
--- /dev/null
+++ b/crates/pipithub-policy/src/worker_pool.rs
@@ -0,0 +1,257 @@
+//! The workers that a front end knows, with sets and sums over them that are updated with each
+//! change.
+//!
+//! A request must not cost more among more workers, so nothing on its path goes through all of
+//! them: what a decision asks of all workers is kept in [`index`], which is updated whenever one of
+//! them has changed. No decision is made here, and nothing here depends on the clock but what the
+//! caller hands in.
+
+mod index;
+#[cfg(test)]
+mod tests;
+
+use std::collections::hash_map::DefaultHasher;
+use std::collections::HashMap;
+use std::hash::BuildHasherDefault;
+use std::ops::{Deref, DerefMut, Index};
+
+pub(crate) use self::index::IndexedState;
+use self::index::WorkerIndex;
+use crate::api::{Endpoint, FunctionId, Time, WorkerId};
+use crate::state::{Replicas, WorkerState};
+use crate::work::looked;
+
+/// The workers by address. The hasher has fixed keys: equal events leave equal states.
+#[derive(Debug, Default)]
+pub(crate) struct WorkerPool {
+    workers: HashMap<WorkerId, WorkerState, BuildHasherDefault<DefaultHasher>>,
+    index: WorkerIndex,
+}
+
+/// A worker that is being changed; the index is updated when this is dropped.
+pub(crate) struct WorkerGuard<'a> {
+    worker: &'a mut WorkerState,
+    index: &'a mut WorkerIndex,
+}
+
+impl Deref for WorkerGuard<'_> {
+    type Target = WorkerState;
+
+    fn deref(&self) -> &WorkerState {
+        self.worker
+    }
+}
+
+impl DerefMut for WorkerGuard<'_> {
+    fn deref_mut(&mut self) -> &mut WorkerState {
+        self.worker
+    }
+}
+
+impl Drop for WorkerGuard<'_> {
+    fn drop(&mut self) {
+        self.index.update(self.worker, true);
+    }
+}
+
+impl WorkerGuard<'_> {
+    /// The mean error rate of a class over the other ready workers; 0 where there is no other.
+    pub(crate) fn mean_error_rate_of_others(&self, class: usize) -> f64 {
+        self.index.mean_error_rate_without(self.worker, class)
+    }
+
+    /// What is believed of a function's replicas here: the only way to begin to believe in any.
+    pub(crate) fn replicas_of(&mut self, function: FunctionId) -> &mut Replicas {
+        if !self.worker.replicas.contains_key(&function) {
+            self.index.add_holder(function, self.worker);
+        }
+        self.worker.replicas.entry(function).or_default()
+    }
+}
+
+impl Index<&WorkerId> for WorkerPool {
+    type Output = WorkerState;
+
+    fn index(&self, worker: &WorkerId) -> &WorkerState {
+        looked(1);
+        &self.workers[worker]
+    }
+}
+
+impl WorkerPool {
+    /// An empty pool in which reported requests in flight decay by half in this time.
+    pub(crate) fn new(half_life: Time) -> Self {
+        WorkerPool {
+            workers: HashMap::default(),
+            index: WorkerIndex::new(half_life),
+        }
+    }
+
+    /// A worker to be changed.
+    pub(crate) fn get_mut(&mut self, worker: &WorkerId) -> Option<WorkerGuard<'_>> {
+        looked(1);
+        Some(WorkerGuard {
+            worker: self.workers.get_mut(worker)?,
+            index: &mut self.index,
+        })
+    }
+
+    /// The worker of an endpoint, to be changed; added as the endpoint says where it was not known.
+    pub(crate) fn get_or_add(&mut self, endpoint: &Endpoint, classes: usize) -> WorkerGuard<'_> {
+        looked(1);
+        let worker = self
+            .workers
+            .entry(endpoint.worker.clone())
+            .or_insert_with(|| WorkerState::new(endpoint.clone(), classes));
+        WorkerGuard {
+            worker,
+            index: &mut self.index,
+        }
+    }
+
+    /// Changes the workers that match; it goes through all workers.
+    pub(crate) fn change_where(
+        &mut self,
+        matches: impl Fn(&WorkerState) -> bool,
+        change: impl FnMut(&mut WorkerState),
+    ) {
+        looked(self.workers.len() as u64);
+        let mut matching: Vec<WorkerId> = self
+            .workers
+            .iter()
+            .filter(|(_, worker)| matches(worker))
+            .map(|(id, _)| id.clone())
+            .collect();
+        matching.sort_unstable();
+        self.change_each(&matching, change);
+    }
+
+    /// Changes each worker with attempts in flight or answers that are still counted, by address.
+    pub(crate) fn change_active(&mut self, change: impl FnMut(&mut WorkerState)) {
+        let active: Vec<WorkerId> = self.index.active().cloned().collect();
+        self.change_each(&active, change);
+    }
+
+    /// Changes each worker with replicas, by address.
+    pub(crate) fn change_with_replicas(&mut self, change: impl FnMut(&mut WorkerState)) {
+        let with_replicas: Vec<WorkerId> = self.index.with_replicas().cloned().collect();
+        self.change_each(&with_replicas, change);
+    }
+
+    fn change_each(&mut self, workers: &[WorkerId], mut change: impl FnMut(&mut WorkerState)) {
+        for id in workers {
+            if let Some(mut worker) = self.get_mut(id) {
+                change(&mut worker);
+            }
+        }
+    }
+
+    /// Forgets the removed workers that have no attempt in flight.
+    pub(crate) fn forget_removed(&mut self) {
+        let idle = |id: &&WorkerId| {
+            self.workers
+                .get(*id)
+                .is_none_or(|worker| worker.in_flight.is_empty())
+        };
+        let idle: Vec<WorkerId> = self
+            .index
+            .removed()
+            .inspect(|_| looked(1))
+            .filter(idle)
+            .cloned()
+            .collect();
+        for id in idle {
+            if let Some(mut worker) = self.workers.remove(&id) {
+                self.index.update(&mut worker, false);
+            }
+        }
+    }
+
+    /// Forgets which workers held functions that they do not hold any more.
+    pub(crate) fn forget_former_holders(&mut self) {
+        let workers = &self.workers;
+        self.index.retain_holders(|function, id| {
+            workers
+                .get(id)
+                .is_some_and(|worker| worker.replicas.contains_key(function))
+        });
+    }
+
+    fn states<'a>(
+        &'a self,
+        ids: impl Iterator<Item = &'a WorkerId> + 'a,
+    ) -> impl Iterator<Item = &'a WorkerState> + 'a {
+        ids.inspect(|_| looked(1))
+            .filter_map(|id| self.workers.get(id))
+    }
+
+    /// How many workers are ready.
+    pub(crate) fn ready_count(&self) -> usize {
+        self.index.ready_count()
+    }
+
+    /// So many ready workers with their hashes, from this hash on around the ring; all where there
+    /// are fewer.
+    pub(crate) fn ring_from(
+        &self,
+        hash: u64,
+        max: usize,
+    ) -> impl Iterator<Item = (u64, &WorkerId)> {
+        self.index
+            .ring_from(hash)
+            .take(max)
+            .inspect(|_| looked(1))
+            .map(|(hash, worker)| (*hash, worker))
+    }
+
+    /// Workers with attempts in flight or answers that are still counted, by address.
+    pub(crate) fn active(&self) -> impl Iterator<Item = &WorkerState> {
+        self.states(self.index.active())
+    }
+
+    /// Workers with an attempt or a command that may stand for a load, by address.
+    pub(crate) fn loading(&self) -> impl Iterator<Item = &WorkerState> {
+        self.states(self.index.loading())
+    }
+
+    /// Workers that may hold replicas of a function, by address.
+    pub(crate) fn holders(&self, function: FunctionId) -> impl Iterator<Item = &WorkerState> {
+        self.states(self.index.holders(function))
+    }
+
+    /// How many zones there are.
+    pub(crate) fn zone_count(&self) -> usize {
+        self.index.zone_count()
+    }
+
+    /// When a zone last responded; `None` where it has no worker.
+    pub(crate) fn last_response_in(&self, zone: &str) -> Option<Time> {
+        self.index.last_response_in(zone)
+    }
+
+    /// The zones with attempts in flight.
+    pub(crate) fn busy_zones(&self) -> impl Iterator<Item = &str> {
+        self.index.busy_zones()
+    }
+
+    /// Workers of a zone with attempts in flight, by address.
+    pub(crate) fn busy_in(&self, zone: &str) -> impl Iterator<Item = &WorkerState> {
+        self.states(self.index.busy_in(zone))
+    }
+
+    /// How many ready workers started at this time or later; the time must never go back.
+    pub(crate) fn started_since(&mut self, time: Time) -> usize {
+        self.index.started_since(time)
+    }
+
+    /// A worker's weight over the mean of the ready ones that have one; 1 where it has none.
+    pub(crate) fn relative_weight(&self, worker: &WorkerState) -> f64 {
+        self.index.relative_weight(worker)
+    }
+
+    /// The mean of the requests in flight that ready workers reported, each decayed to one and at
+    /// least one; 0 where none has reported.
+    pub(crate) fn mean_reported_in_flight(&self, now: Time) -> f64 {
+        self.index.mean_reported_in_flight(now)
+    }
+}
--- /dev/null
+++ b/crates/pipithub-policy/src/worker_pool/index.rs
@@ -0,0 +1,422 @@
+//! Sets and sums over all workers, updated with each change of one of them.
+//!
+//! Sums are whole numbers: what was added can be subtracted again without a rounding error, where
+//! sums of floating-point numbers would drift as parts come and go.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::mem;
+
+use crate::api::{Endpoint, EndpointState, FunctionId, Time, WorkerId};
+use crate::state::WorkerState;
+use crate::statistics::{DecayingPart, DecayingSum};
+
+/// Error rates are summed as whole multiples of one part in this.
+const ERROR_RATE_UNIT: f64 = (1u64 << 60) as f64;
+/// Weights are summed as whole multiples of one part in this.
+const WEIGHT_UNIT: f64 = (1u64 << 30) as f64;
+/// No weight counts for more: the sum of all must not overflow.
+const MAX_WEIGHT: f64 = 1e6;
+
+/// What is known of all workers together. Each worker's part stands with it as [`IndexedState`].
+#[derive(Debug, Default)]
+pub(super) struct WorkerIndex {
+    /// Ready workers by hash.
+    ring: BTreeSet<(u64, WorkerId)>,
+    removed: BTreeSet<WorkerId>,
+    /// With attempts in flight, or answers that are still counted.
+    active: BTreeSet<WorkerId>,
+    /// With an attempt or a command that may stand for a load.
+    loading: BTreeSet<WorkerId>,
+    /// With replicas.
+    with_replicas: BTreeSet<WorkerId>,
+    /// With replicas of each function: some may have lost them since.
+    holders: BTreeSet<(FunctionId, WorkerId)>,
+    /// With attempts in flight, by zone.
+    busy: BTreeMap<String, BTreeSet<WorkerId>>,
+    /// How many last responded at each time, by zone.
+    last_responses: BTreeMap<String, BTreeMap<Time, usize>>,
+    /// How many ready ones started at each time, those long past left out.
+    started: BTreeMap<Time, usize>,
+    /// Requests in flight beyond one that ready workers reported.
+    reported_in_flight: DecayingSum,
+    /// How many ready workers have reported.
+    reporting_workers: usize,
+    /// Weights of the ready workers, in units of [`WEIGHT_UNIT`].
+    weights: u128,
+    /// How many ready workers have a weight.
+    weighted_workers: usize,
+    /// Error rates of the ready workers for each class, in units of [`ERROR_RATE_UNIT`].
+    error_rates: Vec<u128>,
+}
+
+/// What of a worker is counted in the index.
+#[derive(Debug, Default)]
+pub(crate) struct IndexedState {
+    ring: bool,
+    removed: bool,
+    active: bool,
+    loading: bool,
+    with_replicas: bool,
+    busy: bool,
+    zone: Option<String>,
+    last_response_at: Time,
+    started_at: Option<Time>,
+    reported_in_flight: Option<DecayingPart>,
+    weight: u64,
+    error_rates: Vec<u64>,
+}
+
+impl WorkerIndex {
+    /// An empty index in which reported requests in flight decay by half in this time.
+    pub(super) fn new(half_life: Time) -> Self {
+        WorkerIndex {
+            reported_in_flight: DecayingSum::new(half_life),
+            ..WorkerIndex::default()
+        }
+    }
+
+    /// Brings what is counted of a worker up to date; `known`: it is still in the pool.
+    pub(super) fn update(&mut self, worker: &mut WorkerState, known: bool) {
+        if worker.may_have_load_commands {
+            worker.may_have_load_commands = worker
+                .replicas
+                .values()
+                .any(|replicas| replicas.load_requested);
+        }
+        let mut indexed = mem::take(&mut worker.indexed);
+        let ready = known && worker.is_ready();
+        self.update_sets(worker, &mut indexed, known);
+        self.update_ring(worker, &mut indexed, ready);
+        self.update_last_response(worker, &mut indexed, known);
+        self.update_zone(worker, &mut indexed, known);
+        self.update_started(worker, &mut indexed, ready);
+        self.update_reported_load(worker, &mut indexed, ready);
+        self.update_weight(worker, &mut indexed, ready);
+        self.update_error_rates(worker, &mut indexed, ready);
+        worker.indexed = indexed;
+    }
+
+    fn update_sets(&mut self, worker: &WorkerState, indexed: &mut IndexedState, known: bool) {
+        let id = &worker.endpoint.worker;
+        let is_removed = worker.endpoint.state == EndpointState::Removed;
+        let is_active = !worker.recent_answers.is_empty() || !worker.in_flight.is_empty();
+        let may_load = worker.may_have_load_commands
+            || worker
+                .in_flight
+                .iter()
+                .any(|a| a.cold_start || a.unconfirmed || a.adds_replica);
+        let has_replicas = !worker.replicas.is_empty();
+        set_member(
+            &mut self.removed,
+            id,
+            &mut indexed.removed,
+            known && is_removed,
+        );
+        set_member(
+            &mut self.active,
+            id,
+            &mut indexed.active,
+            known && is_active,
+        );
+        set_member(
+            &mut self.loading,
+            id,
+            &mut indexed.loading,
+            known && may_load,
+        );
+        set_member(
+            &mut self.with_replicas,
+            id,
+            &mut indexed.with_replicas,
+            known && has_replicas,
+        );
+    }
+
+    fn update_ring(&mut self, worker: &WorkerState, indexed: &mut IndexedState, ready: bool) {
+        if mem::replace(&mut indexed.ring, ready) == ready {
+            return;
+        }
+        let position = (worker.hash, worker.endpoint.worker.clone());
+        if ready {
+            self.ring.insert(position);
+        } else {
+            self.ring.remove(&position);
+        }
+    }
+
+    fn update_last_response(
+        &mut self,
+        worker: &WorkerState,
+        indexed: &mut IndexedState,
+        known: bool,
+    ) {
+        let zone = &worker.endpoint.zone;
+        let unchanged = indexed.zone.as_deref() == Some(zone)
+            && indexed.last_response_at == worker.last_response_at;
+        if known && unchanged {
+            return;
+        }
+        if let Some(times) = indexed
+            .zone
+            .as_ref()
+            .and_then(|zone| self.last_responses.get_mut(zone))
+        {
+            decrement(times, indexed.last_response_at);
+        }
+        if !known {
+            return;
+        }
+        indexed.last_response_at = worker.last_response_at;
+        if let Some(times) = self.last_responses.get_mut(zone) {
+            *times.entry(worker.last_response_at).or_default() += 1;
+        } else {
+            let times = BTreeMap::from([(worker.last_response_at, 1)]);
+            self.last_responses.insert(zone.clone(), times);
+        }
+    }
+
+    /// Brings the set of busy workers of each zone up to date, and then the worker's zone itself.
+    fn update_zone(&mut self, worker: &WorkerState, indexed: &mut IndexedState, known: bool) {
+        let zone = known.then_some(worker.endpoint.zone.as_str());
+        let is_busy = known && !worker.in_flight.is_empty();
+        let moved = indexed.zone.as_deref() != zone;
+        if moved || indexed.busy != is_busy {
+            if let Some(former) = indexed.zone.as_ref().filter(|_| indexed.busy) {
+                self.remove_busy(former, &worker.endpoint.worker);
+            }
+            if is_busy {
+                self.busy
+                    .entry(worker.endpoint.zone.clone())
+                    .or_default()
+                    .insert(worker.endpoint.worker.clone());
+            }
+            indexed.busy = is_busy;
+        }
+        if !moved {
+            return;
+        }
+        let former = mem::replace(&mut indexed.zone, zone.map(str::to_string));
+        let is_empty = |zone: &String| {
+            self.last_responses
+                .get(zone)
+                .is_some_and(BTreeMap::is_empty)
+        };
+        if let Some(former) = former.filter(is_empty) {
+            self.last_responses.remove(&former);
+        }
+    }
+
+    fn remove_busy(&mut self, zone: &str, worker: &WorkerId) {
+        let Some(busy) = self.busy.get_mut(zone) else {
+            return;
+        };
+        busy.remove(worker);
+        if busy.is_empty() {
+            self.busy.remove(zone);
+        }
+    }
+
+    fn update_started(&mut self, worker: &WorkerState, indexed: &mut IndexedState, ready: bool) {
+        let started_at = worker.endpoint.started_at.filter(|_| ready);
+        if indexed.started_at == started_at {
+            return;
+        }
+        if let Some(before) = mem::replace(&mut indexed.started_at, started_at) {
+            decrement(&mut self.started, before);
+        }
+        if let Some(time) = started_at {
+            *self.started.entry(time).or_default() += 1;
+        }
+    }
+
+    fn update_reported_load(
+        &mut self,
+        worker: &WorkerState,
+        indexed: &mut IndexedState,
+        ready: bool,
+    ) {
+        let report = worker.load_report;
+        let part = (ready && report.received_at > 0).then(|| {
+            self.reported_in_flight
+                .part(report.received_at, report.mean_in_flight - 1.0)
+        });
+        if indexed.reported_in_flight == part {
+            return;
+        }
+        self.reporting_workers += usize::from(part.is_some());
+        self.reporting_workers -= usize::from(indexed.reported_in_flight.is_some());
+        if let Some(before) = mem::replace(&mut indexed.reported_in_flight, part) {
+            self.reported_in_flight.subtract(before);
+        }
+        if let Some(part) = part {
+            self.reported_in_flight.add(part);
+        }
+    }
+
+    fn update_weight(&mut self, worker: &WorkerState, indexed: &mut IndexedState, ready: bool) {
+        let weight = if ready {
+            weight_units(&worker.endpoint)
+        } else {
+            0
+        };
+        let before = mem::replace(&mut indexed.weight, weight);
+        self.weights = self.weights + u128::from(weight) - u128::from(before);
+        self.weighted_workers =
+            self.weighted_workers + usize::from(weight > 0) - usize::from(before > 0);
+    }
+
+    fn update_error_rates(
+        &mut self,
+        worker: &WorkerState,
+        indexed: &mut IndexedState,
+        ready: bool,
+    ) {
+        let classes = worker.health.len().max(indexed.error_rates.len());
+        indexed.error_rates.resize(classes, 0);
+        self.error_rates
+            .resize(classes.max(self.error_rates.len()), 0);
+        let counted = self.error_rates.iter_mut().zip(&mut indexed.error_rates);
+        for (class, (sum, before)) in counted.enumerate() {
+            let rate = worker
+                .health
+                .get(class)
+                .filter(|_| ready)
+                .map_or(0.0, |health| health.error_rate);
+            let now = (rate.clamp(0.0, 1.0) * ERROR_RATE_UNIT) as u64;
+            *sum = *sum + u128::from(now) - u128::from(mem::replace(before, now));
+        }
+    }
+
+    /// The mean error rate of a class over the ready workers but this one; 0 where there is no
+    /// other.
+    pub(super) fn mean_error_rate_without(&self, worker: &WorkerState, class: usize) -> f64 {
+        let own = worker.indexed.error_rates.get(class).copied();
+        let without_own = |sum: &u128| sum - u128::from(own.unwrap_or(0));
+        let others = self.error_rates.get(class).map_or(0, without_own) as f64 / ERROR_RATE_UNIT;
+        others / (self.ring.len() - usize::from(worker.indexed.ring)).max(1) as f64
+    }
+
+    /// Notes that a worker is about to hold replicas of a function.
+    pub(super) fn add_holder(&mut self, function: FunctionId, worker: &WorkerState) {
+        self.holders
+            .insert((function, worker.endpoint.worker.clone()));
+    }
+
+    /// Forgets the holders for which this is false.
+    pub(super) fn retain_holders(&mut self, retain: impl Fn(&FunctionId, &WorkerId) -> bool) {
+        self.holders
+            .retain(|(function, worker)| retain(function, worker));
+    }
+
+    /// Workers that may hold replicas of a function, by address.
+    pub(super) fn holders(&self, function: FunctionId) -> impl Iterator<Item = &WorkerId> {
+        let first = (function, WorkerId::default());
+        self.holders
+            .range(first..)
+            .take_while(move |(held, _)| *held == function)
+            .map(|(_, worker)| worker)
+    }
+
+    /// Removed workers, by address.
+    pub(super) fn removed(&self) -> impl Iterator<Item = &WorkerId> {
+        self.removed.iter()
+    }
+
+    /// Workers with attempts in flight or answers that are still counted, by address.
+    pub(super) fn active(&self) -> impl Iterator<Item = &WorkerId> {
+        self.active.iter()
+    }
+
+    /// Workers with an attempt or a command that may stand for a load, by address.
+    pub(super) fn loading(&self) -> impl Iterator<Item = &WorkerId> {
+        self.loading.iter()
+    }
+
+    /// Workers with replicas, by address.
+    pub(super) fn with_replicas(&self) -> impl Iterator<Item = &WorkerId> {
+        self.with_replicas.iter()
+    }
+
+    /// How many workers are ready.
+    pub(super) fn ready_count(&self) -> usize {
+        self.ring.len()
+    }
+
+    /// All ready workers, from this hash on around the ring.
+    pub(super) fn ring_from(&self, hash: u64) -> impl Iterator<Item = &(u64, WorkerId)> {
+        let first = (hash, WorkerId::default());
+        self.ring
+            .range(first.clone()..)
+            .chain(self.ring.range(..first))
+    }
+
+    /// How many zones there are.
+    pub(super) fn zone_count(&self) -> usize {
+        self.last_responses.len()
+    }
+
+    /// When a zone last responded; `None` where it has no worker.
+    pub(super) fn last_response_in(&self, zone: &str) -> Option<Time> {
+        let (last, _) = self.last_responses.get(zone)?.last_key_value()?;
+        Some(*last)
+    }
+
+    /// The zones with attempts in flight.
+    pub(super) fn busy_zones(&self) -> impl Iterator<Item = &str> {
+        self.busy.keys().map(String::as_str)
+    }
+
+    /// Workers of a zone with attempts in flight, by address.
+    pub(super) fn busy_in(&self, zone: &str) -> impl Iterator<Item = &WorkerId> {
+        self.busy.get(zone).into_iter().flatten()
+    }
+
+    /// How many ready workers started at this time or later; the time must never go back.
+    pub(super) fn started_since(&mut self, time: Time) -> usize {
+        self.started = self.started.split_off(&time);
+        self.started.values().sum()
+    }
+
+    /// A worker's weight over the mean of the ready ones that have one; 1 where it has none.
+    pub(super) fn relative_weight(&self, worker: &WorkerState) -> f64 {
+        let weight = weight_units(&worker.endpoint) as f64;
+        if weight == 0.0 || self.weights == 0 {
+            return 1.0;
+        }
+        weight * self.weighted_workers as f64 / self.weights as f64
+    }
+
+    /// The mean of the requests in flight that ready workers reported, each decayed to one and at
+    /// least one; 0 where none has reported.
+    pub(super) fn mean_reported_in_flight(&self, now: Time) -> f64 {
+        (self.reporting_workers as f64 + self.reported_in_flight.sum(now))
+            / self.reporting_workers.max(1) as f64
+    }
+}
+
+/// Makes a worker a member of a set or not; `was`: whether it has been one.
+fn set_member(set: &mut BTreeSet<WorkerId>, worker: &WorkerId, was: &mut bool, is: bool) {
+    if mem::replace(was, is) == is {
+        return;
+    }
+    if is {
+        set.insert(worker.clone());
+    } else {
+        set.remove(worker);
+    }
+}
+
+/// The weight of an endpoint, in units of [`WEIGHT_UNIT`]; 0 where it has none.
+fn weight_units(endpoint: &Endpoint) -> u64 {
+    (endpoint.weight.clamp(0.0, MAX_WEIGHT) * WEIGHT_UNIT) as u64
+}
+
+/// Counts one less of this time.
+fn decrement(times: &mut BTreeMap<Time, usize>, time: Time) {
+    if let Some(count) = times.get_mut(&time) {
+        *count -= 1;
+        if *count == 0 {
+            times.remove(&time);
+        }
+    }
+}
--- /dev/null
+++ b/crates/pipithub-policy/src/worker_pool/tests.rs
@@ -0,0 +1,446 @@
+//! What the pool keeps up to date is what a scan of all workers finds.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use proptest::prelude::*;
+
+use super::{WorkerGuard, WorkerPool};
+use crate::api::{Endpoint, EndpointState, FunctionId, Time, WorkerId};
+use crate::state::{Attempt, Health, ReportedLoad, WorkerState};
+
+const HALF_LIFE: Time = 20_000;
+const CLASSES: usize = 2;
+
+/// Why an attempt may stand for a load.
+#[derive(Clone, Copy, Debug)]
+struct LoadMarks {
+    cold_start: bool,
+    unconfirmed: bool,
+    adds_replica: bool,
+}
+
+impl LoadMarks {
+    fn may_load(self) -> bool {
+        self.cold_start || self.unconfirmed || self.adds_replica
+    }
+}
+
+/// A load report as the naive form remembers it; `received_at` 0: none came.
+#[derive(Debug, Default)]
+struct NaiveReport {
+    received_at: Time,
+    in_flight: f64,
+}
+
+/// A worker as the naive form remembers it.
+#[derive(Debug, Default)]
+struct NaiveWorker {
+    endpoint: Endpoint,
+    in_flight: Vec<LoadMarks>,
+    answers: usize,
+    replicas: BTreeMap<FunctionId, bool>,
+    load_report: NaiveReport,
+    last_response_at: Time,
+    error_rates: [f64; CLASSES],
+}
+
+#[derive(Clone, Debug)]
+enum Step {
+    Enter {
+        worker: u8,
+        state: u8,
+        zone: u8,
+        started: Option<u16>,
+    },
+    LoseAll {
+        but: u8,
+    },
+    Send {
+        worker: u8,
+        marks: LoadMarks,
+    },
+    End {
+        worker: u8,
+    },
+    Served {
+        worker: u8,
+        count: u8,
+    },
+    Replica {
+        worker: u8,
+        function: u8,
+        load_requested: bool,
+    },
+    Forget {
+        worker: u8,
+        function: u8,
+    },
+    Reported {
+        worker: u8,
+        in_flight: f64,
+    },
+    Errors {
+        worker: u8,
+        class: u8,
+        rate: f64,
+    },
+    Restart {
+        worker: u8,
+    },
+    ForgetRemoved,
+    ForgetFormerHolders,
+    Pass {
+        time: u32,
+    },
+}
+
+fn load_marks() -> impl Strategy<Value = LoadMarks> {
+    any::<(bool, bool, bool)>().prop_map(|(cold_start, unconfirmed, adds_replica)| LoadMarks {
+        cold_start,
+        unconfirmed,
+        adds_replica,
+    })
+}
+
+fn step() -> impl Strategy<Value = Step> {
+    let worker = 0u8..14;
+    prop_oneof![
+        4 => (worker.clone(), 0u8..5, 0u8..4, proptest::option::of(0u16..5_000))
+            .prop_map(|(worker, state, zone, started)| {
+                Step::Enter { worker, state, zone, started }
+            }),
+        1 => (0u8..14).prop_map(|but| Step::LoseAll { but }),
+        4 => (worker.clone(), load_marks())
+            .prop_map(|(worker, marks)| Step::Send { worker, marks }),
+        3 => worker.clone().prop_map(|worker| Step::End { worker }),
+        2 => (worker.clone(), 0u8..3)
+            .prop_map(|(worker, count)| Step::Served { worker, count }),
+        3 => (worker.clone(), 0u8..6, any::<bool>())
+            .prop_map(|(worker, function, load_requested)| {
+                Step::Replica { worker, function, load_requested }
+            }),
+        2 => (worker.clone(), 0u8..6)
+            .prop_map(|(worker, function)| Step::Forget { worker, function }),
+        3 => (worker.clone(), 0.0..90.0f64)
+            .prop_map(|(worker, in_flight)| Step::Reported { worker, in_flight }),
+        2 => (worker.clone(), 0u8..2, 0.0..1.0f64)
+            .prop_map(|(worker, class, rate)| Step::Errors { worker, class, rate }),
+        1 => worker.prop_map(|worker| Step::Restart { worker }),
+        2 => Just(Step::ForgetRemoved),
+        1 => Just(Step::ForgetFormerHolders),
+        2 => prop_oneof![9 => 0u32..300_000, 1 => Just(200 * HALF_LIFE as u32)]
+            .prop_map(|time| Step::Pass { time }),
+    ]
+}
+
+fn name(worker: u8) -> WorkerId {
+    WorkerId::new(&format!("10.0.0.{worker}:80"))
+}
+
+/// An attempt that may stand for a load or not.
+fn attempt(marks: LoadMarks) -> Attempt {
+    Attempt {
+        request: 1,
+        attempt: 0,
+        function: FunctionId(1),
+        class: 0,
+        sent_at: 0,
+        predicted_finish: 0,
+        target_deadline: 0,
+        run_time: 0.0,
+        latency_objective: 0,
+        cold_start: marks.cold_start,
+        unconfirmed: marks.unconfirmed,
+        adds_replica: marks.adds_replica,
+        function_concurrency: 1.0,
+        concurrency: 1.0,
+        cancelled: false,
+    }
+}
+
+fn ids<'a>(workers: impl Iterator<Item = &'a WorkerState>) -> Vec<WorkerId> {
+    workers
+        .map(|worker| worker.endpoint.worker.clone())
+        .collect()
+}
+
+fn is_ready(worker: &NaiveWorker) -> bool {
+    worker.endpoint.state == EndpointState::Ready
+}
+
+/// The pool, and all workers in a naive form beside it.
+struct Both {
+    pool: WorkerPool,
+    naive: BTreeMap<WorkerId, NaiveWorker>,
+    now: Time,
+    /// The latest moment that was asked about: it never goes back.
+    since: Time,
+}
+
+impl Both {
+    fn play(&mut self, step: Step) {
+        let now = self.now;
+        match step {
+            Step::Enter {
+                worker,
+                state,
+                zone,
+                started,
+            } => self.enter(worker, state, zone, started),
+            Step::LoseAll { but } => {
+                let lost = |w: &WorkerId| *w != name(but);
+                self.pool.change_where(
+                    |worker| lost(&worker.endpoint.worker),
+                    |worker| worker.endpoint.state = EndpointState::Removed,
+                );
+                self.naive
+                    .iter_mut()
+                    .filter(|(w, _)| lost(w))
+                    .for_each(|(_, p)| p.endpoint.state = EndpointState::Removed);
+            }
+            Step::Send { worker, marks } => self.both(worker, |worker, naive| {
+                worker.in_flight.push(attempt(marks));
+                naive.in_flight.push(marks);
+            }),
+            Step::End { worker } => self.both(worker, |worker, naive| {
+                worker.in_flight.pop();
+                naive.in_flight.pop();
+                worker.last_response_at = now;
+                naive.last_response_at = now;
+            }),
+            Step::Served { worker, count } => self.both(worker, |worker, naive| {
+                worker.recent_answers = (0..count).map(|_| (now, 0)).collect();
+                naive.answers = count.into();
+            }),
+            Step::Replica {
+                worker,
+                function,
+                load_requested,
+            } => self.both(worker, |worker, naive| {
+                let function = FunctionId(function.into());
+                worker.replicas_of(function).load_requested = load_requested;
+                // As the one place that gives load commands does.
+                worker.may_have_load_commands |= load_requested;
+                naive.replicas.insert(function, load_requested);
+            }),
+            Step::Forget { worker, function } => self.both(worker, |worker, naive| {
+                worker.replicas.remove(&FunctionId(function.into()));
+                naive.replicas.remove(&FunctionId(function.into()));
+            }),
+            Step::Reported { worker, in_flight } => self.both(worker, |worker, naive| {
+                worker.load_report = ReportedLoad {
+                    received_at: now,
+                    in_flight,
+                    cpu_utilization: 0.0,
+                    mean_in_flight: in_flight,
+                };
+                naive.load_report = NaiveReport {
+                    received_at: now,
+                    in_flight,
+                };
+            }),
+            Step::Errors {
+                worker,
+                class,
+                rate,
+            } => self.both(worker, |worker, naive| {
+                worker.health[class as usize].error_rate = rate;
+                naive.error_rates[class as usize] = rate;
+            }),
+            Step::Restart { worker } => self.both(worker, |worker, naive| {
+                worker.replicas.clear();
+                worker.health = vec![Health::default(); CLASSES];
+                naive.replicas.clear();
+                naive.error_rates = [0.0; CLASSES];
+            }),
+            Step::ForgetRemoved => {
+                self.pool.forget_removed();
+                self.naive.retain(|_, p| {
+                    p.endpoint.state != EndpointState::Removed || !p.in_flight.is_empty()
+                });
+            }
+            Step::ForgetFormerHolders => self.pool.forget_former_holders(),
+            Step::Pass { time } => self.now += Time::from(time),
+        }
+    }
+
+    fn enter(&mut self, worker: u8, state: u8, zone: u8, started: Option<u16>) {
+        let states = [
+            EndpointState::Ready,
+            EndpointState::Ready,
+            EndpointState::Ready,
+            EndpointState::Draining,
+            EndpointState::Removed,
+        ];
+        let zones = ["", "a", "b", "zone with a name"];
+        let endpoint = Endpoint {
+            worker: name(worker),
+            state: states[usize::from(state)],
+            zone: zones[usize::from(zone)].to_string(),
+            started_at: started.map(Time::from),
+            ..Endpoint::default()
+        };
+        self.pool.get_or_add(&endpoint, CLASSES).endpoint = endpoint.clone();
+        self.naive.entry(name(worker)).or_default().endpoint = endpoint;
+    }
+
+    fn both(&mut self, worker: u8, change: impl FnOnce(&mut WorkerGuard<'_>, &mut NaiveWorker)) {
+        let (worker, naive) = (
+            self.pool.get_mut(&name(worker)),
+            self.naive.get_mut(&name(worker)),
+        );
+        assert_eq!(worker.is_some(), naive.is_some(), "known to one alone");
+        if let Some((mut worker, naive)) = worker.zip(naive) {
+            change(&mut worker, naive);
+        }
+    }
+
+    fn that(&self, holds: impl Fn(&NaiveWorker) -> bool) -> Vec<WorkerId> {
+        self.naive
+            .values()
+            .filter(|p| holds(p))
+            .map(|p| p.endpoint.worker.clone())
+            .collect()
+    }
+
+    fn compare(&mut self) {
+        self.compare_sets();
+        self.compare_zones();
+        self.compare_sums();
+        self.compare_error_rates();
+    }
+
+    fn compare_sets(&mut self) {
+        assert_eq!(self.pool.ready_count(), self.that(is_ready).len());
+        let recent = self.that(|p| !p.in_flight.is_empty() || p.answers > 0);
+        assert_eq!(ids(self.pool.active()), recent);
+        let loads = |p: &NaiveWorker| {
+            p.in_flight.iter().any(|marks| marks.may_load()) || p.replicas.values().any(|o| *o)
+        };
+        assert_eq!(ids(self.pool.loading()), self.that(loads));
+        let mut holding = Vec::new();
+        self.pool
+            .change_with_replicas(|n| holding.push(n.endpoint.worker.clone()));
+        assert_eq!(holding, self.that(|p| !p.replicas.is_empty()));
+        for function in (0..6).map(FunctionId) {
+            let maybe = self
+                .pool
+                .holders(function)
+                .filter(|n| n.replicas.contains_key(&function));
+            assert_eq!(
+                ids(maybe),
+                self.that(|p| p.replicas.contains_key(&function))
+            );
+        }
+    }
+
+    fn compare_zones(&self) {
+        let zones: BTreeSet<&str> = self
+            .naive
+            .values()
+            .map(|p| p.endpoint.zone.as_str())
+            .collect();
+        assert_eq!(self.pool.zone_count(), zones.len());
+        for zone in ["", "a", "b", "zone with a name", "none"] {
+            let here = |p: &NaiveWorker| p.endpoint.zone == zone;
+            let heard = self
+                .naive
+                .values()
+                .filter(|p| here(p))
+                .map(|p| p.last_response_at)
+                .max();
+            assert_eq!(self.pool.last_response_in(zone), heard, "{zone}");
+            let busy = self.that(|p| here(p) && !p.in_flight.is_empty());
+            assert_eq!(self.pool.busy_zones().any(|z| z == zone), !busy.is_empty());
+            assert_eq!(ids(self.pool.busy_in(zone)), busy);
+        }
+    }
+
+    fn compare_sums(&mut self) {
+        self.since = self.since.max(self.now / 100);
+        let started = self
+            .that(|p| is_ready(p) && p.endpoint.started_at.is_some_and(|t| t >= self.since))
+            .len();
+        assert_eq!(self.pool.started_since(self.since), started);
+        let known = || {
+            self.naive
+                .values()
+                .filter(|p| is_ready(p) && p.load_report.received_at > 0)
+        };
+        let fade = |p: &NaiveWorker| {
+            0.5f64.powf((self.now - p.load_report.received_at) as f64 / HALF_LIFE as f64)
+        };
+        let sum: f64 = known()
+            .map(|p| 1.0 + (p.load_report.in_flight - 1.0).max(0.0) * fade(p))
+            .sum();
+        let mean = sum / known().count().max(1) as f64;
+        assert!(
+            (self.pool.mean_reported_in_flight(self.now) - mean).abs() < 1e-9,
+            "{} {mean}",
+            self.pool.mean_reported_in_flight(self.now)
+        );
+    }
+
+    fn compare_error_rates(&mut self) {
+        let all: Vec<WorkerId> = self.naive.keys().cloned().collect();
+        for (worker, class) in all.iter().flat_map(|w| [(w, 0), (w, 1)]) {
+            let others = || {
+                self.naive
+                    .values()
+                    .filter(|p| is_ready(p) && p.endpoint.worker != *worker)
+            };
+            let mean = others().map(|p| p.error_rates[class]).sum::<f64>()
+                / others().count().max(1) as f64;
+            let indexed = self
+                .pool
+                .get_mut(worker)
+                .map_or(-1.0, |n| n.mean_error_rate_of_others(class));
+            assert!((indexed - mean).abs() < 1e-12, "{indexed} {mean}");
+        }
+    }
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig::with_cases(128))]
+
+    #[test]
+    fn the_index_equals_a_scan_of_all_workers(
+        steps in proptest::collection::vec(step(), 1..120),
+    ) {
+        let mut both = Both {
+            pool: WorkerPool::new(HALF_LIFE),
+            naive: BTreeMap::new(),
+            now: 1,
+            since: 0,
+        };
+        for step in steps {
+            both.play(step);
+            both.compare();
+        }
+    }
+
+    #[test]
+    fn the_ring_yields_the_ready_workers_that_come_next(
+        count in 0u8..60,
+        from in any::<u64>(),
+        max in 0usize..70,
+    ) {
+        let mut pool = WorkerPool::new(HALF_LIFE);
+        let mut hashes = BTreeMap::new();
+        for worker in 0..count {
+            let state = if worker % 5 == 4 {
+                EndpointState::Draining
+            } else {
+                EndpointState::Ready
+            };
+            let endpoint = Endpoint { worker: name(worker), state, ..Endpoint::default() };
+            let hash = pool.get_or_add(&endpoint, 1).hash;
+            if state == EndpointState::Ready {
+                hashes.insert(hash, endpoint.worker);
+            }
+        }
+        let next = hashes.range(from..).chain(hashes.range(..from)).take(max);
+        let expected: Vec<(u64, &WorkerId)> = next.map(|(h, w)| (*h, w)).collect();
+        prop_assert_eq!(pool.ring_from(from, max).collect::<Vec<_>>(), expected);
+    }
+}
--- a/crates/pipithub-policy/tests/limits.rs
+++ b/crates/pipithub-policy/tests/limits.rs
@@ -4,7 +4,18 @@
 use std::path::{Path, PathBuf};
 
 /// Plain data, the interface, counters, sums and tests: these files decide nothing.
-const WITHOUT_DECISIONS: [&str; 5] = ["api.rs", "lib.rs", "state.rs", "tier.rs", "work.rs"];
+const WITHOUT_DECISIONS: [&str; 10] = [
+    "api.rs",
+    "hashing.rs",
+    "lib.rs",
+    "state.rs",
+    "statistics.rs",
+    "statistics/tests.rs",
+    "work.rs",
+    "worker_pool.rs",
+    "worker_pool/index.rs",
+    "worker_pool/tests.rs",
+];
 const MAX_COLUMNS: usize = 110;
 
 fn package() -> &'static Path {
