--- a/crates/pipithub-policy/src/front_end.rs
+++ b/crates/pipithub-policy/src/front_end.rs
@@ -1,24 +1,22 @@
 //! One front end: its state, and the step that each event starts.
 //!
-//! The types that go in and out stand in `src/api.rs`.
+//! The types that go in and out stand in `src/api.rs`. There is no clock, thread or I/O here: equal
+//! events give equal actions, so that a recorded day can be replayed. Each decision has a module of
+//! its own; the mechanism follows "Resource Provisioning and Allocation in Function-as-a-Service
+//! Edge-Clouds", as `docs/design.md` tells with what was changed and why.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::api::{
-    Action, Class, Event, FunctionId, LoadReport, RequestId, Settings, Time, WorkerId,
-};
+use crate::api::{Action, Class, Event, FunctionId, RequestId, Settings, Time, WorkerId};
+use crate::estimates::Estimates;
 use crate::hashing::mix;
 use crate::load_reports::{IN_FLIGHT_HALF_LIFE, POLL_TIMEOUT_TOKEN};
 use crate::maintenance::{MAINTENANCE_PERIOD, MAINTENANCE_TOKEN};
 use crate::state::{FunctionState, Health, PendingRequest};
 use crate::statistics::{EventTimes, RunningMean};
+use crate::time::{MAX_DURATION, MAX_TIME};
 use crate::worker_pool::WorkerPool;
 
-/// Nanoseconds in a millisecond.
-pub(crate) const MILLISECOND: Time = 1_000_000;
-/// No length of time told or seen counts as longer, so that no sum overflows.
-pub(crate) const MAX_DURATION: Time = 3_600_000 * MILLISECOND;
-
 /// One front end.
 #[derive(Debug, Default)]
 pub struct FrontEnd {
@@ -28,147 +26,116 @@
     pub(crate) workers: WorkerPool,
     pub(crate) functions: BTreeMap<FunctionId, FunctionState>,
     pub(crate) pending: BTreeMap<RequestId, PendingRequest>,
-    /// Calls that wait for a worker to tell its load, by worker; some may be over.
+    /// Requests that wait for a load report, by worker; some may be over.
     pub(crate) awaiting_load_report: BTreeMap<WorkerId, BTreeSet<RequestId>>,
-    /// Mean run time of each class.
-    pub(crate) class_run_times: Vec<Option<f64>>,
-    /// Seen load time over the told one, and the mean load where none is told.
-    pub(crate) load_slowdown: f64,
-    pub(crate) mean_load_time: Option<f64>,
-    pub(crate) load_observed_at: Time,
-    /// Health of what loads come from, and loads that failed since the last that was done.
+    pub(crate) estimates: Estimates,
+    /// Health of the store that functions are loaded from.
     pub(crate) store_health: Health,
+    /// Loads that failed since the last that was done.
     pub(crate) consecutive_failed_loads: u32,
-    /// Arrivals and orders within the ration's window, arrivals within the rate span at least.
+    /// Requests within the rate limit's window, and within the time over which answers are counted.
     pub(crate) arrivals: EventTimes,
+    /// Load commands within the rate limit's window.
     pub(crate) load_commands: EventTimes,
     pub(crate) next_rebalancing_at: Time,
+    /// Replicas that may be replaced now; a fraction is carried over.
     pub(crate) rebalancing_allowance: f64,
-    /// Calls that a warm worker serves this front end, for each unit of time.
+    /// Requests that a warm worker serves this front end, for each nanosecond.
     pub(crate) warm_rate: f64,
     /// Its mean over a longer time.
     pub(crate) mean_warm_rate: RunningMean,
-    /// Mean of what workers told to hold, and of how far runs were stretched there.
-    pub(crate) reported_queues: (f64, f64),
-    /// Calls that may now be sent on a guess.
+    /// Attempts that may now be made where others have likely loaded the function.
     pub(crate) speculation_tokens: f64,
-    /// Zones that say nothing.
+    /// Zones that do not respond.
     pub(crate) silent_zones: BTreeMap<String, Health>,
-    /// Mean share of their worth that own sends lost: answered late, in error or not at all.
+    /// Mean share of their value that attempts lost: answered late, in error or not at all.
     pub(crate) mean_lost_value: f64,
 }
 
 impl FrontEnd {
     /// A front end that knows nothing but its settings.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let mut s = settings;
-        if s.classes.is_empty() {
-            s.classes.push(Class::default());
-        }
-        s.front_ends = s.front_ends.max(1);
-        let (rules, loading) = (&mut s.slow_start, &mut s.loading);
-        let window = loading.rate_limit.iter_mut().map(|r| &mut r.window);
-        let told = [
-            &mut s.tick,
-            &mut rules.window,
-            &mut rules.overload_window,
-            &mut loading.keep_alive,
-        ];
-        let class = s.classes.iter_mut().flat_map(|c| {
-            [
-                &mut c.latency_objective,
-                &mut c.client_timeout,
-                &mut c.deduplication_window,
-            ]
-        });
-        told.into_iter()
-            .chain(window)
-            .chain(class)
-            .for_each(|t| *t = (*t).min(MAX_DURATION));
-        let (nodes, class_run, held_seen) = (
-            WorkerPool::new(IN_FLIGHT_HALF_LIFE),
-            vec![None; s.classes.len()],
-            (6.0, 1.0),
-        );
+        let settings = bounded(settings);
         FrontEnd {
-            workers: nodes,
-            class_run_times: class_run,
-            settings: s,
+            workers: WorkerPool::new(IN_FLIGHT_HALF_LIFE),
+            estimates: Estimates::new(settings.classes.len()),
+            settings,
             seed,
-            load_slowdown: 1.0,
-            reported_queues: held_seen,
             ..FrontEnd::default()
         }
     }
 
     /// Takes one event and appends what to do about it.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
-        self.now = self.now.max(now.min(Time::MAX >> 2));
+        self.now = self.now.max(now.min(MAX_TIME));
         if self.next_rebalancing_at == 0 {
-            self.next_rebalancing_at = self.now
-                + self.rebalancing_interval() / 2
-                + mix(self.seed) % (self.rebalancing_interval() / 2);
-            actions.push(Action::SetTimer {
-                after: MAINTENANCE_PERIOD,
-                token: MAINTENANCE_TOKEN,
-            });
-            actions.extend(
-                self.settings
-                    .watch_on_request
-                    .then_some(Action::WatchEndpoints),
-            );
+            self.start(actions);
         }
         match event {
-            Event::Endpoints {
-                update: kind,
-                endpoints: entries,
-            } => self.update_endpoints(kind, entries, actions),
-            Event::Arrived(call) => self.accept(call, actions),
-            Event::AttemptFinished(end) => {
-                if end.load_report != LoadReport::default() {
-                    self.record_load_report(&end.worker, Some(end.load_report), actions);
-                }
-                let ran = self.record_attempt(&end);
-                self.finish_attempt(&end, ran, actions);
+            Event::Endpoints { update, endpoints } => {
+                self.update_endpoints(update, endpoints, actions);
             }
+            Event::Arrived(request) => self.accept(request, actions),
+            Event::AttemptFinished(end) => self.finish_attempt(&end, actions),
             Event::Streaming { request } => {
-                if let Some(open) = self.pending.get_mut(&request) {
-                    open.streaming = true;
-                }
-            }
-            Event::ClientCancelled { request } => {
-                if let Some(open) = self.pending.remove(&request) {
-                    self.cancel_attempt(request, &open, actions);
+                if let Some(pending) = self.pending.get_mut(&request) {
+                    pending.streaming = true;
                 }
             }
+            Event::ClientCancelled { request } => self.cancel_request(request, actions),
             Event::LoadFinished(reply) => self.finish_load(&reply, actions),
-            Event::Timer {
-                token: MAINTENANCE_TOKEN,
-            } => self.run_maintenance(actions),
             Event::LoadPolled {
                 worker,
                 answered,
-                report: load,
-            } => self.record_load_report(&worker, answered.then_some(load), actions),
-            Event::Timer { token } if token & POLL_TIMEOUT_TOKEN > 0 => {
-                if let Some(worker) = self
-                    .pending
-                    .get(&(token & !POLL_TIMEOUT_TOKEN))
-                    .and_then(|o| o.polled_worker.clone())
-                {
-                    self.record_load_report(&worker, None, actions);
-                }
-            }
-            Event::Timer { token } => {
-                // The client's time may be all but over.
-                let over = |o: &PendingRequest| {
-                    !o.streaming && self.now + 3 * self.settings.tick >= o.deadline
-                };
-                if self.pending.get(&token).is_some_and(over) {
-                    self.reject_or_fail(token, actions);
-                }
-            }
+                report,
+            } => self.record_load_report(&worker, answered.then_some(report), actions),
+            Event::Timer { token } => self.handle_timer(token, actions),
             Event::Peer { .. } => {}
         }
     }
+
+    /// Starts the timers at the first event; the first rebalancing is drawn, so that front ends
+    /// that start together do not rebalance together.
+    fn start(&mut self, actions: &mut Vec<Action>) {
+        let half_interval = self.rebalancing_interval() / 2;
+        self.next_rebalancing_at = self.now + half_interval + mix(self.seed) % half_interval;
+        actions.push(Action::SetTimer {
+            after: MAINTENANCE_PERIOD,
+            token: MAINTENANCE_TOKEN,
+        });
+        self.watch_endpoints(actions);
+    }
+
+    fn handle_timer(&mut self, token: u64, actions: &mut Vec<Action>) {
+        if token == MAINTENANCE_TOKEN {
+            self.run_maintenance(actions);
+        } else if token & POLL_TIMEOUT_TOKEN > 0 {
+            self.expire_poll(token & !POLL_TIMEOUT_TOKEN, actions);
+        } else {
+            self.expire_request(token, actions);
+        }
+    }
+}
+
+/// Replaces settings that the arithmetic could not bear: no class, no front end, durations without
+/// a bound.
+fn bounded(mut settings: Settings) -> Settings {
+    if settings.classes.is_empty() {
+        settings.classes.push(Class::default());
+    }
+    settings.front_ends = settings.front_ends.max(1);
+    let bound = |duration: &mut Time| *duration = (*duration).min(MAX_DURATION);
+    bound(&mut settings.tick);
+    bound(&mut settings.slow_start.window);
+    bound(&mut settings.slow_start.overload_window);
+    bound(&mut settings.loading.keep_alive);
+    if let Some(limit) = &mut settings.loading.rate_limit {
+        bound(&mut limit.window);
+    }
+    for class in &mut settings.classes {
+        bound(&mut class.latency_objective);
+        bound(&mut class.client_timeout);
+        bound(&mut class.deduplication_window);
+    }
+    settings
 }
--- a/crates/pipithub-policy/src/function_loading.rs
+++ b/crates/pipithub-policy/src/function_loading.rs
@@ -1,191 +1,273 @@
-//! Load commands, their limits and their replies.
+//! Loads of functions: how many may be under way, and the load commands that bring functions in.
+//!
+//! A slow store must not be asked for more than it delivers, so that loads are limited by the
+//! worker; load commands obey a rate limit where there is one; and after failed loads none is begun
+//! for a while.
 
 use std::collections::BTreeSet;
 
 use crate::api::{Action, FunctionId, LoadFinished, Outcome, Time, WorkerId};
-use crate::estimates::{faded, MAX_SAMPLE};
-use crate::front_end::{FrontEnd, MAX_DURATION};
+use crate::estimates::MAX_SAMPLE;
+use crate::front_end::FrontEnd;
 use crate::outlier::MAX_CONSECUTIVE_FAILURES;
 use crate::state::{Attempt, WorkerState};
+use crate::time::MAX_DURATION;
 
-/// The share of a worker's memory that believed copies fill before a further one evicts: others run too.
+/// Loads that may be under way for each worker: with one, a lost zone's functions came back too
+/// slowly.
+const MAX_LOADS_PER_WORKER: usize = 4;
+/// Loads that this front end may have under way however few workers there are.
+const MIN_LOAD_LIMIT: usize = 2;
+/// The share of a worker's memory that believed replicas fill before a further one evicts: others
+/// run too.
 const MAX_MEMORY_SHARE: f64 = 0.5;
+/// No reply to a load command counts for more replicas.
+const MAX_REPORTED_REPLICAS: u32 = 64;
+/// When replicas are ready that a command is to load: no duration tells. It lies beyond all points
+/// in time, with room to add to it.
+const UNKNOWN_READY_AT: Time = Time::MAX >> 1;
 
-impl FrontEnd {
-    /// What loads take beside the usual, from those that were seen.
-    pub(crate) fn load_slowdown(&self) -> f64 {
-        faded(
-            self.load_slowdown,
-            self.now.saturating_sub(self.load_observed_at),
-        )
+/// Loads that this front end believes under way.
+pub(crate) struct LoadsInProgress {
+    pub(crate) count: usize,
+    /// One of them is of the function that was asked about.
+    pub(crate) of_function: bool,
+}
+
+impl Attempt {
+    /// Whether it is believed to wait for a load.
+    fn awaits_load(&self, now: Time) -> bool {
+        let is_late = || now > self.sent_at + (self.run_time * MAX_SAMPLE) as Time;
+        self.cold_start || self.unconfirmed && is_late()
     }
+}
 
-    /// Notes a load that was done or failed. Where loads fail, each further one, a repeat of the same call
-    /// above all, keeps the store in trouble: none is begun for a while, longer each time. It holds for a
-    /// store that turns fetches away, stops or has lost a program; one failure means nothing. Harm: what is
-    /// asked for seldom is refused meanwhile, though a load might have come through.
-    pub(crate) fn record_load_outcome(&mut self, failed: bool) {
-        self.consecutive_failed_loads = if failed {
-            self.consecutive_failed_loads + 1
-        } else {
-            0
-        };
-        self.store_health.consecutive_errors -=
-            u32::from(!failed && self.store_health.consecutive_errors > 0);
-        if self.consecutive_failed_loads >= MAX_CONSECUTIVE_FAILURES
-            && self.now >= self.store_health.ejected_until
-        {
-            self.store_health.eject(self.now);
-        }
+impl WorkerState {
+    /// The functions that are believed to be loading here.
+    fn loading_functions(&self, now: Time) -> BTreeSet<FunctionId> {
+        // A load that nobody waits for may not happen: no other request waits for it.
+        let awaited = self
+            .in_flight
+            .iter()
+            .filter(|attempt| !attempt.cancelled && attempt.awaits_load(now))
+            .map(|attempt| attempt.function);
+        let commanded = self
+            .replicas
+            .iter()
+            .filter(|(_, replicas)| replicas.load_requested)
+            .map(|(function, _)| *function);
+        awaited.chain(commanded).collect()
     }
 
-    /// Takes the reply to an order; calls that waited for it are placed again.
-    pub(crate) fn finish_load(&mut self, reply: &LoadFinished, actions: &mut Vec<Action>) {
-        let (worker, function, took, count) = (
-            &reply.worker,
-            reply.function,
-            reply.elapsed.min(MAX_DURATION),
-            reply.replicas.min(64),
-        );
-        let run = self.expected_run_time(function, 0);
-        if reply.outcome == Outcome::Error {
-            self.record_load_outcome(true);
-        }
-        let mut loaded = false;
-        if let Some(mut node) = self.workers.get_mut(worker) {
-            if let Some(copies) = node
-                .replicas
-                .get_mut(&function)
-                .filter(|c| c.load_requested)
-            {
-                copies.load_requested = false;
-                if reply.outcome == Outcome::Served && count > 0 {
-                    (copies.count, copies.confirmed, copies.loaded_by_command) =
-                        (count, true, true);
-                    (copies.ready_at, copies.last_used_at) =
-                        (copies.ready_at.min(self.now), self.now);
-                    loaded = took as f64 > run;
-                } else if count == 0 && !copies.confirmed {
-                    node.replicas.remove(&function);
-                }
-            }
-        }
-        if loaded {
-            self.record_load_time(function, took as f64);
-        }
-        let parked = self
-            .pending
+    /// How many functions may get a further replica here. However many requests wait beside
+    /// replicas that are taken, a worker adds one replica at a time: counted each, a lost zone's
+    /// requests at the workers left barred them from loads that they had memory and time for.
+    fn functions_adding_replicas(&self) -> usize {
+        self.in_flight
             .iter()
-            .filter(|(_, o)| o.awaits_load && o.request.function == function);
-        for id in parked.map(|(id, _)| *id).collect::<Vec<_>>() {
-            if let Some(open) = self
-                .pending
-                .get_mut(&id)
-                .filter(|_| reply.outcome == Outcome::Served)
-            {
-                open.attempted_workers.pop();
-            }
-            self.route(id, actions);
-        }
+            .filter(|attempt| attempt.adds_replica)
+            .map(|attempt| attempt.function)
+            .collect::<BTreeSet<FunctionId>>()
+            .len()
     }
+}
 
-    /// Loads that this front end believes under way, and whether one is of this function.
-    pub(crate) fn loads_in_progress(&self, function: FunctionId) -> (usize, bool) {
-        let (mut count, mut same) = (0, false);
-        // What hangs at a worker that cannot be reached loads nothing: counted, it would bar those left.
-        for node in self
+impl FrontEnd {
+    /// The loads that this front end believes under way.
+    pub(crate) fn loads_in_progress(&self, function: FunctionId) -> LoadsInProgress {
+        let mut loads = LoadsInProgress {
+            count: 0,
+            of_function: false,
+        };
+        // What hangs at a worker that cannot be reached loads nothing: counted, it would bar those
+        // left.
+        let reachable = self
             .workers
             .loading()
-            .filter(|n| n.consecutive_connect_failures < MAX_CONSECUTIVE_FAILURES)
-        {
-            let slow = |s: &&Attempt| {
-                s.cold_start
-                    || s.unconfirmed && self.now > s.sent_at + (s.run_time * MAX_SAMPLE) as Time
+            .filter(|worker| worker.consecutive_connect_failures < MAX_CONSECUTIVE_FAILURES);
+        for worker in reachable {
+            let loading = worker.loading_functions(self.now);
+            loads.count += worker.functions_adding_replicas() + loading.len();
+            // Before an answer has shown a replica anywhere, a second load would be a guess on a
+            // guess.
+            let is_unconfirmed = || {
+                worker
+                    .in_flight_of(function)
+                    .any(|attempt| !attempt.cancelled && attempt.unconfirmed)
             };
-            // A load that nobody waits for may be left out: no other waits for it.
-            let awaited = || node.in_flight.iter().filter(|s| !s.cancelled);
-            let waiting = awaited().filter(slow).map(|s| s.function);
-            // However many wait beside taken lanes, a worker adds one copy at a time: counted each, a lost
-            // zone's calls at those left barred them from loads that they had room and time for.
-            let adding: BTreeSet<FunctionId> = node
-                .in_flight
-                .iter()
-                .filter(|s| s.adds_replica)
-                .map(|s| s.function)
-                .collect();
-            count += adding.len();
-            let ordered = node
-                .replicas
-                .iter()
-                .filter(|(_, c)| c.load_requested)
-                .map(|(f, _)| *f);
-            let loading: BTreeSet<FunctionId> = waiting.chain(ordered).collect();
-            count += loading.len();
-            // Before an answer has shown a copy anywhere, a second load would be a guess on a guess.
-            same |= loading.contains(&function)
-                || awaited().any(|s| s.unconfirmed && s.function == function);
+            loads.of_function |= loading.contains(&function) || is_unconfirmed();
         }
-        (count, same)
+        loads
     }
 
-    /// Whether a copy more should fit beside those believed there: in a shared order own beliefs tell most.
-    pub(crate) fn has_memory_for(&self, node: &WorkerState, function: FunctionId) -> bool {
-        let memory = |f: &FunctionId| self.functions.get(f).map_or(0.0, |p| p.memory_mb);
-        let stands = node
+    /// Whether one more load may begin: some for each of this front end's part of the workers, the
+    /// fewer, the slower the store is.
+    pub(crate) fn may_begin_load(&self, loads: &LoadsInProgress) -> bool {
+        let limit = (MAX_LOADS_PER_WORKER * self.workers.ready_count())
+            .div_ceil(self.settings.front_ends as usize)
+            .max(MIN_LOAD_LIMIT);
+        self.store_is_available()
+            && loads.count as f64 * self.load_slowdown().max(1.0) < limit as f64
+    }
+
+    /// Whether loads may begin as far as the store is concerned.
+    pub(crate) fn store_is_available(&self) -> bool {
+        self.now >= self.store_health.ejected_until
+    }
+
+    /// Whether a further replica should fit beside those believed there: in a shared order a front
+    /// end's own beliefs tell most.
+    pub(crate) fn has_memory_for(&self, worker: &WorkerState, function: FunctionId) -> bool {
+        let memory = |function: &FunctionId| {
+            self.functions
+                .get(function)
+                .map_or(0.0, |function| function.memory_mb)
+        };
+        let used: f64 = worker
             .replicas
             .iter()
-            .filter(|(f, _)| self.replica_ready_at(node, **f).is_some());
-        let held: f64 = stands
-            .map(|(f, c)| memory(f) * f64::from(c.count.max(1)))
+            .filter(|(function, _)| self.replica_ready_at(worker, **function).is_some())
+            .map(|(function, replicas)| memory(function) * f64::from(replicas.count.max(1)))
             .sum();
-        node.endpoint.memory_mb <= 0.0
-            || held + memory(&function) <= node.endpoint.memory_mb * MAX_MEMORY_SHARE
+        worker.endpoint.memory_mb <= 0.0
+            || used + memory(&function) <= worker.endpoint.memory_mb * MAX_MEMORY_SHARE
     }
 
-    /// The only place that orders loads: drained and gone workers get none, and the ration holds.
+    /// Has a worker load a function; `false` where it may not.
+    ///
+    /// This is the only place that gives load commands: drained and removed workers get none, and
+    /// the rate limit is kept.
     pub(crate) fn command_load(
         &mut self,
-        worker: &WorkerId,
+        worker_id: &WorkerId,
         function: FunctionId,
         actions: &mut Vec<Action>,
     ) -> bool {
         let now = self.now;
         if !self.settings.loading.load_commands
             || !self.functions.contains_key(&function)
-            || now < self.store_health.ejected_until
+            || !self.store_is_available()
+            || !self.load_rate_allows()
         {
             return false;
         }
-        if let Some(ration) = &self.settings.loading.rate_limit {
-            let slack = 2 * self.settings.tick;
-            let orders = self
-                .load_commands
-                .since(now.saturating_sub(ration.window + slack));
-            let taken = self
-                .arrivals
-                .since((now + slack + 1).saturating_sub(ration.window));
-            if orders as f64 + 1.0 > ration.burst + ration.per_request * taken as f64 {
-                return false;
-            }
-        }
-        let Some(mut node) = self.workers.get_mut(worker).filter(|n| n.is_ready()) else {
+        let Some(mut worker) = self.workers.get_mut(worker_id) else {
             return false;
         };
-        let copies = node.replicas_of(function);
-        if std::mem::replace(&mut copies.load_requested, true) {
+        if !worker.is_ready() {
             return false;
         }
-        if !copies.confirmed {
-            copies.ready_at = Time::MAX >> 1;
+        let replicas = worker.replicas_of(function);
+        if replicas.load_requested {
+            return false;
+        }
+        replicas.load_requested = true;
+        if !replicas.confirmed {
+            replicas.ready_at = UNKNOWN_READY_AT;
         }
-        copies.last_used_at = now;
-        node.may_have_load_commands = true;
+        replicas.last_used_at = now;
+        worker.may_have_load_commands = true;
         self.load_commands.push(now);
         actions.push(Action::LoadFunction {
-            worker: worker.clone(),
+            worker: worker_id.clone(),
             function,
             replicas: 1,
         });
         true
     }
+
+    /// Whether the rate limit leaves room for a load command; two ticks of slack, as the clocks may
+    /// differ.
+    fn load_rate_allows(&self) -> bool {
+        let Some(limit) = &self.settings.loading.rate_limit else {
+            return true;
+        };
+        let slack = 2 * self.settings.tick;
+        let commands = self
+            .load_commands
+            .since(self.now.saturating_sub(limit.window + slack));
+        let arrivals = self
+            .arrivals
+            .since((self.now + slack + 1).saturating_sub(limit.window));
+        let is_exceeded = commands as f64 + 1.0 > limit.burst + limit.per_request * arrivals as f64;
+        !is_exceeded
+    }
+
+    /// Takes the reply to a load command; requests that waited for it are routed again.
+    pub(crate) fn finish_load(&mut self, reply: &LoadFinished, actions: &mut Vec<Action>) {
+        let elapsed = reply.elapsed.min(MAX_DURATION) as f64;
+        let run_time = self.expected_run_time(reply.function, 0);
+        if reply.outcome == Outcome::Error {
+            self.record_load_outcome(true);
+        }
+        let is_loaded = self.record_load_reply(reply);
+        // A reply within a run's time met a replica that was there already.
+        if is_loaded && elapsed > run_time {
+            if let Some(function) = self.functions.get_mut(&reply.function) {
+                self.estimates.record_load_time(function, elapsed, self.now);
+            }
+        }
+        let waiting: Vec<_> = self
+            .pending
+            .iter()
+            .filter(|(_, pending)| {
+                pending.awaits_load && pending.request.function == reply.function
+            })
+            .map(|(id, _)| *id)
+            .collect();
+        for id in waiting {
+            if let Some(pending) = self.pending.get_mut(&id) {
+                if reply.outcome == Outcome::Served {
+                    pending.attempted_workers.pop();
+                }
+            }
+            self.route(id, actions);
+        }
+    }
+
+    /// Takes in which replicas a reply tells of; whether a command has loaded them.
+    fn record_load_reply(&mut self, reply: &LoadFinished) -> bool {
+        let count = reply.replicas.min(MAX_REPORTED_REPLICAS);
+        let Some(mut worker) = self.workers.get_mut(&reply.worker) else {
+            return false;
+        };
+        let Some(replicas) = worker.replicas.get_mut(&reply.function) else {
+            return false;
+        };
+        if !replicas.load_requested {
+            return false;
+        }
+        replicas.load_requested = false;
+        if reply.outcome == Outcome::Served && count > 0 {
+            replicas.count = count;
+            replicas.confirmed = true;
+            replicas.loaded_by_command = true;
+            replicas.ready_at = replicas.ready_at.min(self.now);
+            replicas.last_used_at = self.now;
+            return true;
+        }
+        if count == 0 && !replicas.confirmed {
+            worker.replicas.remove(&reply.function);
+        }
+        false
+    }
+
+    /// Takes in a load that was done or failed.
+    ///
+    /// Where loads fail, each further one, a retry of the same request above all, keeps the store
+    /// overloaded: none is begun for a while, longer each time. It holds for a store that rejects
+    /// requests, is down or has lost a function; one failure means nothing. The price: what is
+    /// rarely requested is rejected meanwhile, though a load might have come through.
+    pub(crate) fn record_load_outcome(&mut self, failed: bool) {
+        if failed {
+            self.consecutive_failed_loads += 1;
+        } else {
+            self.consecutive_failed_loads = 0;
+            let errors = &mut self.store_health.consecutive_errors;
+            *errors = errors.saturating_sub(1);
+        }
+        if self.consecutive_failed_loads >= MAX_CONSECUTIVE_FAILURES && self.store_is_available() {
+            self.store_health.eject(self.now);
+        }
+    }
 }
--- a/crates/pipithub-policy/src/maintenance.rs
+++ b/crates/pipithub-policy/src/maintenance.rs
@@ -1,99 +1,67 @@
-//! Periodic maintenance.
+//! Periodic maintenance: detection of silence, counts that expire, and the rounds of rebalancing.
 
-use crate::api::{Action, Idempotency, Time};
-use crate::front_end::{FrontEnd, MILLISECOND};
-use crate::outlier::MIN_OVERDUE_ATTEMPTS;
+use crate::api::{Action, Time};
+use crate::front_end::FrontEnd;
 use crate::slow_start::RATE_WINDOW;
-use crate::state::Attempt;
+use crate::state::WorkerState;
+use crate::time::MILLISECOND;
 
-/// Housekeeping period: short beside any aim, long beside a tick.
+/// The period: short beside any latency objective, long beside a tick.
 pub(crate) const MAINTENANCE_PERIOD: Time = 50 * MILLISECOND;
-/// Token of the housekeeping timer; request ids stay far below.
+/// Token of the maintenance timer; request ids stay far below.
 pub(crate) const MAINTENANCE_TOKEN: u64 = 1 << 62;
 
 impl FrontEnd {
+    /// Runs one round of maintenance and asks for the next.
     pub(crate) fn run_maintenance(&mut self, actions: &mut Vec<Action>) {
-        let now = self.now;
         actions.push(Action::SetTimer {
             after: MAINTENANCE_PERIOD,
             token: MAINTENANCE_TOKEN,
         });
-        // No outcome is a symptom too, counted a class: a fault behind the workers may swallow the calls of
-        // one though others are answered; slow loads may look alike.
+        self.recall_from_silent(actions);
+        self.workers.forget_removed();
+        self.update_warm_rate();
+        self.forget_expired_events();
+        if self.now >= self.next_rebalancing_at {
+            self.next_rebalancing_at = self.now + self.rebalancing_interval();
+            self.rebalance_replicas(actions);
+        }
+    }
+
+    /// Ejects silent workers and zones, and cancels what waits for them.
+    fn recall_from_silent(&mut self, actions: &mut Vec<Action>) {
+        let now = self.now;
+        let answers_kept =
+            RATE_WINDOW.max(self.settings.slow_start.overload_window) + MAINTENANCE_PERIOD;
         let mut recalled = Vec::new();
-        self.workers.change_active(|node| {
-            let keep =
-                RATE_WINDOW.max(self.settings.slow_start.overload_window) + MAINTENANCE_PERIOD;
-            node.in_flight
-                .retain(|s| !s.cancelled || s.predicted_finish > now);
-            node.recent_answers.retain(|(t, _)| t + keep >= now);
-            for class in 0..node.health.len() {
-                let overdue = |s: &&Attempt| s.class == class && s.is_overdue(now);
-                let count = node.in_flight.iter().filter(overdue).count();
-                let since = node
-                    .in_flight
-                    .iter()
-                    .filter(overdue)
-                    .map(|s| s.sent_at)
-                    .min()
-                    .unwrap_or(now);
-                let answers = node
-                    .recent_answers
-                    .iter()
-                    .filter(|(t, c)| *c == class && *t > since)
-                    .count();
-                let health = &mut node.health[class];
-                let needed = if health.consecutive_errors > 0 {
-                    1
-                } else {
-                    MIN_OVERDUE_ATTEMPTS
-                };
-                if now >= health.ejected_until && count >= needed && count > answers {
-                    health.eject(now);
-                    let out = node
-                        .in_flight
-                        .iter()
-                        .filter(|s| s.class == class && !s.cancelled);
-                    recalled.extend(out.map(|s| (s.request, s.attempt)));
-                }
-            }
+        self.workers.change_active(|worker| {
+            worker.forget_expired(now, answers_kept);
+            worker.eject_if_silent(now, &mut recalled);
         });
         if self.relies_on_load_reports() {
             self.detect_silent_zones(&mut recalled);
         }
-        for (id, attempt) in recalled {
-            let Some(open) = self.pending.get(&id) else {
-                continue;
-            };
-            let (limits, effect) = (
-                &self.settings.limits,
-                self.settings.classes[open.request.class].idempotency,
-            );
-            if limits.cancel
-                && effect != Idempotency::NonIdempotent
-                && open.attempts < limits.max_attempts
-            {
-                actions.push(Action::Cancel {
-                    request: id,
-                    attempt,
-                });
-            }
-        }
-        self.workers.forget_removed();
-        self.update_warm_rate();
-        let window = self
-            .settings
-            .loading
-            .rate_limit
-            .as_ref()
-            .map_or(0, |r| r.window)
-            .max(RATE_WINDOW)
-            + MAINTENANCE_PERIOD;
-        self.load_commands.forget_before(now.saturating_sub(window));
-        self.arrivals.forget_before(now.saturating_sub(window));
-        if now >= self.next_rebalancing_at {
-            self.next_rebalancing_at = now + self.rebalancing_interval();
-            self.rebalance_replicas(actions);
-        }
+        self.cancel_recalled(&recalled, actions);
+    }
+
+    /// Forgets arrivals and load commands that no count asks for any more.
+    fn forget_expired_events(&mut self) {
+        let rate_limit = self.settings.loading.rate_limit.as_ref();
+        let limit_window = rate_limit.map_or(0, |limit| limit.window);
+        let kept = limit_window.max(RATE_WINDOW) + MAINTENANCE_PERIOD;
+        let first = self.now.saturating_sub(kept);
+        self.load_commands.forget_before(first);
+        self.arrivals.forget_before(first);
+    }
+}
+
+impl WorkerState {
+    /// Forgets cancelled attempts that are over by their prediction, and answers that are not
+    /// counted any more.
+    fn forget_expired(&mut self, now: Time, answers_kept: Time) {
+        self.in_flight
+            .retain(|attempt| !attempt.cancelled || attempt.predicted_finish > now);
+        self.recent_answers
+            .retain(|answer| answer.at + answers_kept >= now);
     }
 }
--- a/crates/pipithub-policy/src/outlier.rs
+++ b/crates/pipithub-policy/src/outlier.rs
@@ -1,135 +1,284 @@
-//! Outlier detection: workers and zones that are left alone for a while.
+//! Outlier detection: workers, zones and the store are left alone for a while, and how they come
+//! back.
+//!
+//! A worker is ejected for a class whose attempts it leaves overdue or answers with errors, and for
+//! all classes when connections to it fail. A zone is ejected when nothing comes from it any more.
+//! All come back alike: after an ejection time that doubles, one attempt at a time.
+//! `docs/design.md`, "Exceptions, and when each acts", tells when each acts.
 
 use std::collections::BTreeSet;
 
-use crate::api::{RequestId, Time};
+use crate::api::{Action, Idempotency, Outcome, RequestId, Time};
 use crate::estimates::SLOWDOWN_GAIN;
-use crate::front_end::{FrontEnd, MILLISECOND};
-use crate::state::{Attempt, Health};
+use crate::front_end::FrontEnd;
+use crate::state::{Attempt, Health, WorkerState};
+use crate::time::MILLISECOND;
 use crate::worker_pool::WorkerGuard;
 
-/// A send is overdue at this multiple of what was foreseen; a worker is silent when more of a class's sends
-/// are than it has answered since the first of them, and at least so many.
+/// An attempt is overdue at this multiple of the time that it was predicted to take.
 const OVERDUE_FACTOR: f64 = 3.0;
-/// A send is overdue at this multiple of what was foreseen; a worker is silent when more of a class's sends
-/// are than it has answered since the first of them, and at least so many.
-pub(crate) const MIN_OVERDUE_ATTEMPTS: usize = 3;
-/// Connections failed, with no answer between, before a worker is left alone; one more: its copies are lost.
+/// A worker or zone is silent with so many overdue attempts and no answer, and more than it has
+/// answered since.
+const MIN_OVERDUE_ATTEMPTS: usize = 3;
+/// Failures in a row, of connections or loads, before a worker or the store is left alone. One more
+/// failed connection: the worker's replicas are lost.
 pub(crate) const MAX_CONSECUTIVE_FAILURES: u32 = 2;
-/// A worker is in trouble when this share of its last ends are errors, and so many times that of the others.
+/// A worker is an outlier when more than this share of its last attempts ended in errors ...
 const MAX_ERROR_RATE: f64 = 0.35;
-/// A worker is in trouble when this share of its last ends are errors, and so many times that of the others.
+/// ... and more than so many times that of the others.
 const MAX_RELATIVE_ERROR_RATE: f64 = 2.0;
-/// First time that a worker in trouble is left alone, and how often it doubles at most: the way back.
+/// The first ejection time.
 const BASE_EJECTION_TIME: Time = 500 * MILLISECOND;
-/// First time that a worker in trouble is left alone, and how often it doubles at most: the way back.
+/// How often it doubles at most.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
 
+/// An attempt that is to be cancelled and made elsewhere.
+pub(crate) struct RecalledAttempt {
+    pub(crate) request: RequestId,
+    pub(crate) attempt: u32,
+}
+
 impl Health {
-    /// Leaves the worker alone for a while, longer each time.
+    /// Leaves it alone for a while, longer each time.
     pub(crate) fn eject(&mut self, now: Time) {
         self.ejected_at = now;
-        self.ejected_until =
-            now + (BASE_EJECTION_TIME << self.consecutive_errors.min(MAX_EJECTION_DOUBLINGS));
+        let doublings = self.consecutive_errors.min(MAX_EJECTION_DOUBLINGS);
+        self.ejected_until = now + (BASE_EJECTION_TIME << doublings);
         self.consecutive_errors = (self.consecutive_errors + 1).min(MAX_EJECTION_DOUBLINGS + 1);
     }
+
+    /// Takes in an answer.
+    pub(crate) fn record_success(&mut self) {
+        self.consecutive_errors = self.consecutive_errors.saturating_sub(1);
+        self.error_rate -= SLOWDOWN_GAIN * self.error_rate;
+    }
+
+    /// Ejects a silent zone anew where an attempt that probed it brought no response either.
+    pub(crate) fn record_probe(&mut self, outcome: Outcome, sent_at: Time, now: Time) {
+        let no_response = matches!(
+            outcome,
+            Outcome::Unreachable | Outcome::ConnectionLost | Outcome::TimedOut
+        );
+        if no_response && sent_at >= self.ejected_until {
+            self.eject(now);
+        }
+    }
 }
 
 impl Attempt {
     /// Whether its answer is so late that it counts as silence.
-    pub(crate) fn is_overdue(&self, now: Time) -> bool {
-        // What waits for an order has no foreseen end: the sum must not overflow.
-        now > self.sent_at.saturating_add(
-            (self.predicted_finish.saturating_sub(self.sent_at) as f64 * OVERDUE_FACTOR) as Time,
-        )
+    fn is_overdue(&self, now: Time) -> bool {
+        let predicted_time = self.predicted_finish.saturating_sub(self.sent_at);
+        // What waits for a load command has no predicted finish: the sum must not overflow.
+        now > self
+            .sent_at
+            .saturating_add((predicted_time as f64 * OVERDUE_FACTOR) as Time)
+    }
+
+    fn recall(&self) -> RecalledAttempt {
+        RecalledAttempt {
+            request: self.request,
+            attempt: self.attempt,
+        }
     }
 }
 
 impl WorkerGuard<'_> {
-    /// Notes an error. A worker whose calls mostly fail answers fast, so it looks free and draws more: it is
-    /// left alone, for as long as it is worse than the others: a broken disk, a bad release, a lost secret.
-    /// What fails everywhere alike, a program or a client's nonsense, shuts nobody: of one function's errors
-    /// in a row one counts. Harm: where a worker alone can run a function, its calls are refused.
-    pub(crate) fn record_error(&mut self, now: Time, sent: &Attempt) {
-        let usual = self.mean_error_rate_of_others(sent.class);
-        let health = &mut self.health[sent.class];
-        if health.last_error_function.replace(sent.function) != Some(sent.function)
-            || health.consecutive_errors > 0
-        {
+    /// Takes in an error.
+    ///
+    /// A worker whose requests mostly fail answers fast, so that it looks free and draws more: it
+    /// is ejected for as long as it is worse than the others, for a broken disk, a bad release, a
+    /// lost secret. What fails everywhere alike, by a function or a client's mistake, ejects
+    /// nobody: of one function's errors in a row one counts. The price: where one worker alone can
+    /// run a function, its requests are rejected.
+    pub(crate) fn record_error(&mut self, now: Time, attempt: &Attempt) {
+        let usual = self.mean_error_rate_of_others(attempt.class);
+        let health = &mut self.health[attempt.class];
+        let last = health.last_error_function.replace(attempt.function);
+        if last != Some(attempt.function) || health.consecutive_errors > 0 {
             health.error_rate += SLOWDOWN_GAIN * (1.0 - health.error_rate);
         }
-        if health.error_rate > MAX_ERROR_RATE.max(usual * MAX_RELATIVE_ERROR_RATE)
-            && now >= health.ejected_until
-        {
+        let max_error_rate = MAX_ERROR_RATE.max(usual * MAX_RELATIVE_ERROR_RATE);
+        if health.error_rate > max_error_rate && now >= health.ejected_until {
             health.eject(now);
         }
     }
 }
 
+impl WorkerState {
+    /// Takes in a failed or broken connection. One is no dead process: where every worker resets a
+    /// few, acting on it would bring all down by itself.
+    pub(crate) fn record_connect_failure(&mut self, now: Time) {
+        self.consecutive_connect_failures += 1;
+        if self.consecutive_connect_failures >= MAX_CONSECUTIVE_FAILURES {
+            for health in &mut self.health {
+                if now >= health.ejected_until {
+                    health.eject(now);
+                }
+            }
+        }
+        if self.consecutive_connect_failures > MAX_CONSECUTIVE_FAILURES {
+            self.replicas.clear();
+        }
+    }
+
+    /// Whether it may get an attempt of a class: it is not ejected, or it is time to probe it with
+    /// one.
+    pub(crate) fn accepts(&self, class: usize, now: Time) -> bool {
+        let health = &self.health[class];
+        let is_probed = || {
+            self.in_flight
+                .iter()
+                .any(|attempt| attempt.class == class && attempt.sent_at >= health.ejected_until)
+        };
+        health.consecutive_errors == 0 || now >= health.ejected_until && !is_probed()
+    }
+
+    /// Ejects it for each class that it has fallen silent for.
+    ///
+    /// No outcome is a symptom too, counted by class: a fault behind the workers may swallow the
+    /// requests of one class though others are answered. Slow loads may look alike.
+    pub(crate) fn eject_if_silent(&mut self, now: Time, recalled: &mut Vec<RecalledAttempt>) {
+        for class in 0..self.health.len() {
+            if !self.is_silent(class, now) {
+                continue;
+            }
+            self.health[class].eject(now);
+            let waiting = self
+                .in_flight
+                .iter()
+                .filter(|attempt| attempt.class == class && !attempt.cancelled);
+            recalled.extend(waiting.map(Attempt::recall));
+        }
+    }
+
+    fn is_silent(&self, class: usize, now: Time) -> bool {
+        let overdue = || {
+            self.in_flight
+                .iter()
+                .filter(|attempt| attempt.class == class && attempt.is_overdue(now))
+        };
+        let count = overdue().count();
+        let first = overdue()
+            .map(|attempt| attempt.sent_at)
+            .min()
+            .unwrap_or(now);
+        let answers = self
+            .recent_answers
+            .iter()
+            .filter(|answer| answer.class == class && answer.at > first)
+            .count();
+        let health = &self.health[class];
+        let needed = if health.consecutive_errors > 0 {
+            1
+        } else {
+            MIN_OVERDUE_ATTEMPTS
+        };
+        now >= health.ejected_until && count >= needed && count > answers
+    }
+}
+
 impl FrontEnd {
-    /// Leaves a zone alone from which nothing came since sends went there that are overdue now, several of
-    /// them; what is out there is sent elsewhere as with a silent worker, and one send at a time finds the
-    /// way back. In a large tier no worker gets enough sends to be told silent by itself before the outage
-    /// is over. Harm: a zone in which just the few workers that this front end met are silent is left too.
-    pub(crate) fn detect_silent_zones(&mut self, recalled: &mut Vec<(RequestId, u32)>) {
+    /// Ejects a zone from which nothing came since attempts went there that are overdue now,
+    /// several of them.
+    ///
+    /// What is in flight there is sent elsewhere as with a silent worker. In a large deployment no
+    /// worker gets enough attempts to be found silent by itself before the outage is over. The
+    /// price: a zone in which just the few workers that this front end met are silent is ejected
+    /// too.
+    pub(crate) fn detect_silent_zones(&mut self, recalled: &mut Vec<RecalledAttempt>) {
         let now = self.now;
-        let all = self.workers.zone_count();
-        self.silent_zones.retain(|zone, z| {
-            all > 1
-                && self
-                    .workers
-                    .last_response_in(zone)
-                    .is_some_and(|last| last <= z.ejected_at)
-        });
+        self.readmit_zones();
+        let zone_count = self.workers.zone_count();
         for zone in self.workers.busy_zones() {
-            let shut = self.silent_zones.get(zone);
-            // Where all say nothing it is not the zone, and all that there is cannot be left alone.
-            if self.silent_zones.len() - usize::from(shut.is_some()) + 1 >= all {
+            let ejected = self.silent_zones.get(zone);
+            // Where all zones are silent it is not the zone, and all that there is cannot be left
+            // alone.
+            if self.silent_zones.len() - usize::from(ejected.is_some()) + 1 >= zone_count {
                 continue;
             }
-            let out = || self.workers.busy_in(zone).flat_map(|n| &n.in_flight);
-            // What was out when it was shut is no news of it since.
-            let since = self
-                .workers
-                .last_response_in(zone)
-                .max(shut.map(|z| z.ejected_at))
-                .unwrap_or(0);
-            let overdue = out()
-                .filter(|s| s.sent_at > since && s.is_overdue(now))
-                .count();
-            let needed = if shut.is_some() {
-                1
-            } else {
-                MIN_OVERDUE_ATTEMPTS
-            };
-            if overdue >= needed && shut.is_none_or(|z| now >= z.ejected_until) {
-                recalled.extend(
-                    out()
-                        .filter(|s| !s.cancelled)
-                        .map(|s| (s.request, s.attempt)),
-                );
-                self.silent_zones
-                    .entry(zone.to_string())
-                    .or_default()
-                    .eject(now);
+            if !self.is_zone_silent(zone, ejected) {
+                continue;
             }
+            let waiting = self
+                .workers
+                .busy_in(zone)
+                .flat_map(|worker| &worker.in_flight)
+                .filter(|attempt| !attempt.cancelled);
+            recalled.extend(waiting.map(Attempt::recall));
+            self.silent_zones
+                .entry(zone.to_string())
+                .or_default()
+                .eject(now);
         }
     }
 
-    /// The zones that are left alone; once that time is over one send at a time tries one. The try may end in
-    /// any way, then the next one may go.
+    /// Forgets the silent zones that have responded since, or where no other zone is left.
+    fn readmit_zones(&mut self) {
+        let workers = &self.workers;
+        let has_others = workers.zone_count() > 1;
+        self.silent_zones.retain(|zone, health| {
+            has_others
+                && workers
+                    .last_response_in(zone)
+                    .is_some_and(|last| last <= health.ejected_at)
+        });
+    }
+
+    fn is_zone_silent(&self, zone: &str, ejected: Option<&Health>) -> bool {
+        // What was in flight when it was ejected is no sign since then.
+        let since = self
+            .workers
+            .last_response_in(zone)
+            .max(ejected.map(|health| health.ejected_at))
+            .unwrap_or(0);
+        let overdue = self
+            .workers
+            .busy_in(zone)
+            .flat_map(|worker| &worker.in_flight)
+            .filter(|attempt| attempt.sent_at > since && attempt.is_overdue(self.now))
+            .count();
+        let needed = if ejected.is_some() {
+            1
+        } else {
+            MIN_OVERDUE_ATTEMPTS
+        };
+        overdue >= needed && ejected.is_none_or(|health| self.now >= health.ejected_until)
+    }
+
+    /// The zones that are left alone; once that time is over one attempt at a time probes one. It
+    /// may end in any way, then the next one may go.
     pub(crate) fn closed_zones(&self) -> BTreeSet<&str> {
-        let out = |zone| {
+        let is_probed = |zone: &str, health: &Health| {
             self.workers
                 .busy_in(zone)
-                .flat_map(|n| &n.in_flight)
-                .filter(|s| !s.cancelled)
+                .flat_map(|worker| &worker.in_flight)
+                .any(|attempt| !attempt.cancelled && attempt.sent_at >= health.ejected_until)
         };
-        let tried = |zone, shut: &Health| out(zone).any(|s| s.sent_at >= shut.ejected_until);
-        let closed = self
-            .silent_zones
+        self.silent_zones
             .iter()
-            .filter(|(zone, z)| self.now < z.ejected_until || tried(zone.as_str(), z));
-        closed.map(|(zone, _)| zone.as_str()).collect()
+            .filter(|(zone, health)| self.now < health.ejected_until || is_probed(zone, health))
+            .map(|(zone, _)| zone.as_str())
+            .collect()
+    }
+
+    /// Cancels attempts at silent workers, where the request may be retried elsewhere.
+    pub(crate) fn cancel_recalled(&self, recalled: &[RecalledAttempt], actions: &mut Vec<Action>) {
+        let limits = &self.settings.limits;
+        for RecalledAttempt { request, attempt } in recalled {
+            let Some(pending) = self.pending.get(request) else {
+                continue;
+            };
+            let class = &self.settings.classes[pending.request.class];
+            if limits.cancel
+                && class.idempotency != Idempotency::NonIdempotent
+                && pending.attempts < limits.max_attempts
+            {
+                actions.push(Action::Cancel {
+                    request: *request,
+                    attempt: *attempt,
+                });
+            }
+        }
     }
 }
--- a/crates/pipithub-policy/src/preference.rs
+++ b/crates/pipithub-policy/src/preference.rs
@@ -1,75 +1,83 @@
 //! The order in which the workers are considered for a function.
+//!
+//! Rendezvous hashing (Thaler and Ravishankar, 1998): the same order at every front end without a
+//! message, so that their requests for a function meet at the same few workers. The path along
+//! which the paper offloads became this order (`docs/design.md`, "What was changed, and why" and "A
+//! decision in a large tier").
 
 use crate::api::{FunctionId, WorkerId};
 use crate::front_end::FrontEnd;
 use crate::hashing::{draw, mix};
-use crate::load_reports::IN_FLIGHT_HALF_LIFE;
-use crate::state::WorkerState;
 
-/// A function's order goes through so many workers at the most: a call costs no more in a larger tier.
+/// A function's order goes through so many workers at the most: a request costs no more among more
+/// workers.
 const MAX_ORDER: usize = 512;
-/// At a worker that tells of more calls than the average, this power of the average over its own is the share
-/// of front ends that still begin there; the rest begin at one of so many next in the order. What it tells
-/// sinks in by this weight and fades by half in this time: a crowd of functions lasts.
+/// At a worker that reports more requests than the average, this power of the average over its own
+/// is the share of front ends that still begin there.
 const AVOIDANCE_EXPONENT: i32 = 4;
-/// At a worker that tells of more calls than the average, this power of the average over its own is the share
-/// of front ends that still begin there; the rest begin at one of so many next in the order. What it tells
-/// sinks in by this weight and fades by half in this time: a crowd of functions lasts.
+/// The others begin at one of so many workers at the head of the order.
 const AVOIDANCE_CANDIDATES: usize = 4;
 
 impl FrontEnd {
-    /// The workers that may be sent work, in the function's order: the same at every front end. Of very many
-    /// it goes through those that come next to the function on a ring of hashes. In a large tier a function
-    /// that fills one home has several: each front end begins at one of them, drawn once for all, so that no
-    /// home is full while the next ones idle, and each front end has few workers to meet.
+    /// The workers that may be sent work, in the function's order.
+    ///
+    /// Of very many workers these are the ones that come next to the function on a ring of hashes.
+    /// In a large deployment each front end draws where it begins.
     pub(crate) fn preference_order(&self, function: FunctionId) -> Vec<&WorkerId> {
-        let place = mix(function.0);
-        let near = self.workers.ring_from(mix(place), MAX_ORDER);
-        let mut ranked: Vec<_> = near.map(|(hash, w)| (mix(hash ^ place), w)).collect();
+        let function_hash = mix(function.0);
+        let mut ranked: Vec<(u64, &WorkerId)> = self
+            .workers
+            .ring_from(mix(function_hash), MAX_ORDER)
+            .map(|(hash, worker)| (mix(hash ^ function_hash), worker))
+            .collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
-        let mut order: Vec<&WorkerId> = ranked.into_iter().map(|(_, w)| w).collect();
-        let homes = self
-            .functions
-            .get(&function)
-            .map_or(0.0, |p| p.preferred_workers);
-        if self.relies_on_load_reports() && homes > 1.0 && !order.is_empty() {
-            let draw = draw(self.seed ^ mix(function.0));
-            // Of several homes one in the own zone, where there is one: crossing costs time and more.
-            let all = 0..(homes as usize).min(order.len());
-            let near: Vec<usize> = all
-                .filter(|i| self.workers[order[*i]].endpoint.zone == self.settings.zone)
-                .collect();
-            let any = ((draw * homes) as usize).min(order.len() - 1);
-            let first = near
-                .get((draw * near.len() as f64) as usize)
-                .copied()
-                .unwrap_or(any);
-            order[..=first].rotate_right(1);
-        }
+        let mut order: Vec<&WorkerId> = ranked.into_iter().map(|(_, worker)| worker).collect();
         if self.relies_on_load_reports() && !order.is_empty() {
-            // Wanted functions may share a home by chance, and it stays full while others idle: each front
-            // end that was told so draws, once for all, whether it still begins there.
-            let mean = self.workers.mean_reported_in_flight(self.now);
-            let stays = |w: &&WorkerId| {
-                let node = &self.workers[w];
-                let share = (mean / self.usual_in_flight(node)).powi(AVOIDANCE_EXPONENT);
-                node.load_report.received_at == 0
-                    || draw(self.seed ^ mix(function.0) ^ node.hash) <= share
-            };
-            let first = order
-                .iter()
-                .take(AVOIDANCE_CANDIDATES)
-                .position(stays)
-                .unwrap_or(0);
-            order[..=first].rotate_right(1);
+            self.begin_at_preferred_worker(function, &mut order);
+            self.avoid_loaded_workers(function, &mut order);
         }
         order
     }
 
-    /// What a worker usually holds, as it told; one call where that is long ago.
-    fn usual_in_flight(&self, node: &WorkerState) -> f64 {
-        let age = self.now.saturating_sub(node.load_report.received_at) as f64;
-        1.0 + (node.load_report.mean_in_flight - 1.0).max(0.0)
-            * 0.5f64.powf(age / IN_FLIGHT_HALF_LIFE as f64)
+    /// Of the several preferred workers of a function one comes first, drawn once for all, so that
+    /// none is full while the next ones idle, and each front end has few workers to meet.
+    fn begin_at_preferred_worker(&self, function: FunctionId, order: &mut [&WorkerId]) {
+        let preferred = self
+            .functions
+            .get(&function)
+            .map_or(0.0, |function| function.preferred_workers);
+        if preferred <= 1.0 {
+            return;
+        }
+        let draw = draw(self.seed ^ mix(function.0));
+        // One in the own zone, where there is one: crossing zones costs time and more.
+        let own_zone: Vec<usize> = (0..(preferred as usize).min(order.len()))
+            .filter(|&position| self.workers[order[position]].endpoint.zone == self.settings.zone)
+            .collect();
+        let any = ((draw * preferred) as usize).min(order.len() - 1);
+        let first = own_zone
+            .get((draw * own_zone.len() as f64) as usize)
+            .copied()
+            .unwrap_or(any);
+        order[..=first].rotate_right(1);
+    }
+
+    /// Functions in demand may share a preferred worker by chance, and it stays full while others
+    /// idle: each front end that has a report of it draws, once for all, whether it still begins
+    /// there.
+    fn avoid_loaded_workers(&self, function: FunctionId, order: &mut [&WorkerId]) {
+        let mean = self.workers.mean_reported_in_flight(self.now);
+        let stays = |worker: &&WorkerId| {
+            let worker = &self.workers[worker];
+            let share = (mean / self.usual_in_flight(worker)).powi(AVOIDANCE_EXPONENT);
+            worker.load_report.received_at == 0
+                || draw(self.seed ^ mix(function.0) ^ worker.hash) <= share
+        };
+        let first = order
+            .iter()
+            .take(AVOIDANCE_CANDIDATES)
+            .position(stays)
+            .unwrap_or(0);
+        order[..=first].rotate_right(1);
     }
 }
--- a/crates/pipithub-policy/src/replay.rs
+++ b/crates/pipithub-policy/src/replay.rs
@@ -1,122 +1,192 @@
-//! The queue of a worker, predicted from this front end's own attempts.
+//! What a worker's queue means for a new request, predicted from this front end's own attempts
+//! there.
+//!
+//! Admission by replay (the paper, section III-B): a request is admitted where replaying the queue
+//! with it still meets every deadline. The queue is this front end's attempts in the order in which
+//! they left; a load that a request has to wait for is put first.
 
 use crate::api::{FunctionId, Request, Time};
 use crate::front_end::FrontEnd;
-use crate::state::{Prediction, WorkerState};
+use crate::state::WorkerState;
 
-/// The newcomer's own run is padded so much: served times have tails, the replay knows averages.
+/// The run of the new request counts for so much more: run times have long tails, means do not show
+/// them. Margins of 1.3 and 2.2 were each worse on some days (`docs/design.md`, "Tried without
+/// success").
 pub(crate) const RUN_TIME_MARGIN: f64 = 1.6;
+/// Most of a function's requests that are replayed side by side at one worker.
+const MAX_REPLAYED_CONCURRENCY: f64 = 64.0;
+
+/// What the replay of one worker predicts for a new request.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Prediction {
+    /// No replica is believed there: the request would wait for a load.
+    pub(crate) cold_start: bool,
+    /// All of the replicas' concurrency is taken: the worker may well start a further replica for
+    /// it.
+    pub(crate) adds_replica: bool,
+    /// Every attempt in the queue still meets its deadline.
+    pub(crate) others_meet_deadlines: bool,
+    /// When it would be served if a replica were loaded.
+    pub(crate) warm_finish: Time,
+    /// When it will be served, any load counted.
+    pub(crate) finish: Time,
+}
+
+/// A worker's queue with a new request behind it.
+struct Queue<'a> {
+    worker: &'a WorkerState,
+    request: &'a Request,
+    now: Time,
+    /// Requests of the function that run side by side for this front end.
+    concurrency: usize,
+    /// The slowdown there without the new request, and with it.
+    slowdown_without: f64,
+    slowdown_with: f64,
+}
+
+/// When a queue has been worked off.
+struct QueueEnd {
+    /// When the first of the function's slots is free.
+    free_at: Time,
+    /// Every attempt in it meets its deadline.
+    deadlines_met: bool,
+}
+
+impl Queue<'_> {
+    /// Replays the queue where the function's replicas are loaded at this time.
+    fn replay(&self, ready_at: Time) -> QueueEnd {
+        let mut slots = vec![ready_at; self.concurrency];
+        let mut deadlines_met = true;
+        for attempt in &self.worker.in_flight {
+            let run_time = (attempt.run_time * self.slowdown_with) as Time;
+            let (start, finish) = if attempt.function == self.request.function {
+                let slot = first_free(&slots);
+                let start = if slots[slot] > self.now || attempt.predicted_finish <= self.now {
+                    slots[slot]
+                } else {
+                    attempt.sent_at
+                };
+                slots[slot] = (start + run_time).max(self.now);
+                (start, slots[slot])
+            } else if attempt.cold_start {
+                (attempt.sent_at, attempt.predicted_finish)
+            } else {
+                (attempt.sent_at, attempt.sent_at + run_time)
+            };
+            // A deadline that is missed without the new request too binds no more, else one late
+            // request would close the worker.
+            let finish_without = start + (attempt.run_time * self.slowdown_without) as Time;
+            let missed_anyway = attempt.cold_start || finish_without > attempt.target_deadline;
+            deadlines_met &= finish <= attempt.target_deadline || missed_anyway;
+        }
+        QueueEnd {
+            free_at: slots.into_iter().min().unwrap_or(ready_at),
+            deadlines_met,
+        }
+    }
+}
+
+/// The first of the slots that are free earliest.
+fn first_free(slots: &[Time]) -> usize {
+    (0..slots.len())
+        .min_by_key(|&slot| slots[slot])
+        .unwrap_or(0)
+}
 
 impl FrontEnd {
-    /// When the copies of a function stand at a worker: `None` where none is believed there.
+    /// When the replicas of a function are loaded at a worker: `None` where none is believed there.
     pub(crate) fn replica_ready_at(
         &self,
-        node: &WorkerState,
+        worker: &WorkerState,
         function: FunctionId,
     ) -> Option<Time> {
-        let copies = node.replicas.get(&function).filter(|c| c.ready_at > 0)?;
-        let busy = node.in_flight.iter().any(|s| s.function == function);
-        if !busy
-            && !copies.load_requested
-            && self.now > copies.last_used_at + self.settings.loading.keep_alive
-        {
+        let replicas = worker
+            .replicas
+            .get(&function)
+            .filter(|replicas| replicas.ready_at > 0)?;
+        let busy = worker.in_flight_of(function).next().is_some();
+        let kept_until = replicas.last_used_at + self.settings.loading.keep_alive;
+        if !busy && !replicas.load_requested && self.now > kept_until {
             return None;
         }
-        if copies.confirmed && copies.ready_at <= self.now {
+        if replicas.confirmed && replicas.ready_at <= self.now {
             return Some(self.now);
         }
-        // Not seen yet. When the answer is overdue there is a load before it, and a slow one.
-        let first = node
-            .in_flight
-            .iter()
-            .filter(|s| s.function == function)
-            .map(|s| (s.sent_at, s.predicted_finish))
+        let first = worker
+            .in_flight_of(function)
+            .map(|attempt| (attempt.sent_at, attempt.predicted_finish))
             .min();
         Some(match first {
-            Some((at, due)) if due < self.now => {
-                let load = at + self.expected_load_time(function, 0) as Time;
-                Some(load)
-                    .filter(|t| *t > self.now)
-                    .unwrap_or(self.now + (self.now - at) / 2)
+            // Not confirmed yet. When the answer is overdue there is a load before it, and a slow
+            // one.
+            Some((sent_at, predicted_finish)) if predicted_finish < self.now => {
+                let loaded_at = sent_at + self.expected_load_time(function, 0) as Time;
+                if loaded_at > self.now {
+                    loaded_at
+                } else {
+                    self.now + (self.now - sent_at) / 2
+                }
             }
-            _ => copies.ready_at.max(self.now),
+            _ => replicas.ready_at.max(self.now),
         })
     }
 
-    /// Replays this front end's own sends at the worker, in arrival order, and the newcomer after them.
-    pub(crate) fn predict(&self, node: &WorkerState, call: &Request, presumed: bool) -> Prediction {
+    /// Replays this front end's attempts at the worker, and the new request after them; `presumed`:
+    /// replicas are presumed there.
+    pub(crate) fn predict(
+        &self,
+        worker: &WorkerState,
+        request: &Request,
+        presumed: bool,
+    ) -> Prediction {
         let now = self.now;
-        let copies = node.replicas.get(&call.function);
-        let ready = self
-            .replica_ready_at(node, call.function)
+        let ready_at = self
+            .replica_ready_at(worker, request.function)
             .or(presumed.then_some(now));
-        let all = f64::from(call.replica_concurrency.max(1))
-            * f64::from(copies.map_or(1, |c| c.count.max(1)));
-        // The other front ends follow the same order and fill their part of the lanes: as told, else alike.
-        let lanes = match copies.filter(|_| self.settings.loading.reports_concurrency) {
-            Some(copies) => all - copies.others_in_flight,
-            None => all / f64::from(self.settings.front_ends),
-        };
-        let lanes = lanes.ceil().clamp(1.0, 64.0) as usize;
-        let adds = self.settings.loading.reports_concurrency
-            && node
-                .in_flight
-                .iter()
-                .filter(|s| s.function == call.function)
-                .count()
-                >= lanes;
-        let (before, pace) = (
-            node.slowdown_at(now, node.in_flight.len()),
-            node.slowdown_at(now, node.in_flight.len() + 1),
-        );
-        let run = self.expected_run_time(call.function, call.class) * pace;
-        let begin = |ready: Time| -> (Time, bool) {
-            let mut free = vec![ready; lanes];
-            let mut hold = true;
-            for sent in &node.in_flight {
-                let (start, end) = if sent.function == call.function {
-                    let lane = (0..lanes).min_by_key(|&i| free[i]).unwrap_or(0);
-                    let base = if free[lane] > now || sent.predicted_finish <= now {
-                        free[lane]
-                    } else {
-                        sent.sent_at
-                    };
-                    free[lane] = (base + (sent.run_time * pace) as Time).max(now);
-                    (base, free[lane])
-                } else {
-                    (
-                        sent.sent_at,
-                        if sent.cold_start {
-                            sent.predicted_finish
-                        } else {
-                            sent.sent_at + (sent.run_time * pace) as Time
-                        },
-                    )
-                };
-                // A deadline lost already binds no more, else one late call would shut the worker.
-                let lost = sent.cold_start
-                    || start + (sent.run_time * before) as Time > sent.target_deadline;
-                hold &= end <= sent.target_deadline || lost;
-            }
-            (
-                free.into_iter().min().unwrap_or(ready) + (run * RUN_TIME_MARGIN) as Time,
-                hold,
-            )
+        let concurrency = self.replayed_concurrency(worker, request);
+        let adds_replica = self.settings.loading.reports_concurrency
+            && worker.in_flight_of(request.function).count() >= concurrency;
+        let in_flight = worker.in_flight.len();
+        let queue = Queue {
+            worker,
+            request,
+            now,
+            concurrency,
+            slowdown_without: worker.slowdown_at(now, in_flight),
+            slowdown_with: worker.slowdown_at(now, in_flight + 1),
         };
-        let (warm_finish, others_hold) = begin(now);
-        let stands = ready
-            .unwrap_or_else(|| now + self.expected_load_time(call.function, call.class) as Time);
-        let finish = if stands <= now {
+        let run_time =
+            self.expected_run_time(request.function, request.class) * queue.slowdown_with;
+        let padded_run_time = (run_time * RUN_TIME_MARGIN) as Time;
+        let warm = queue.replay(now);
+        let warm_finish = warm.free_at + padded_run_time;
+        let loaded_at = ready_at.unwrap_or_else(|| {
+            now + self.expected_load_time(request.function, request.class) as Time
+        });
+        let finish = if loaded_at <= now {
             warm_finish
         } else {
-            begin(stands).0
+            queue.replay(loaded_at).free_at + padded_run_time
         };
         Prediction {
-            cold_start: ready.is_none(),
-            adds_replica: adds,
-            others_meet_deadlines: others_hold,
+            cold_start: ready_at.is_none(),
+            adds_replica,
+            others_meet_deadlines: warm.deadlines_met,
             warm_finish,
             finish,
         }
     }
+
+    /// How many requests of the function the worker's replicas run side by side for this front end.
+    fn replayed_concurrency(&self, worker: &WorkerState, request: &Request) -> usize {
+        let replicas = worker.replicas.get(&request.function);
+        let of_all = f64::from(request.replica_concurrency.max(1))
+            * f64::from(replicas.map_or(1, |replicas| replicas.count.max(1)));
+        // The other front ends follow the same order and take their part: as reported, else alike.
+        let own = match replicas.filter(|_| self.settings.loading.reports_concurrency) {
+            Some(replicas) => of_all - replicas.others_in_flight,
+            None => of_all / f64::from(self.settings.front_ends),
+        };
+        own.ceil().clamp(1.0, MAX_REPLAYED_CONCURRENCY) as usize
+    }
 }
--- a/crates/pipithub-policy/src/requests.rs
+++ b/crates/pipithub-policy/src/requests.rs
@@ -1,198 +1,268 @@
-//! The life of a request, from its arrival to its one final answer.
+//! The life of a request: accepted, forwarded, retried, and given one final answer in the client's
+//! time.
 
 use crate::api::{
-    Action, AttemptFinished, DeduplicationScope, Idempotency, Outcome, Request, RequestId, Time,
-    WorkerId,
+    Action, AttemptFinished, DeduplicationScope, FunctionId, Idempotency, LoadReport, Outcome,
+    Request, RequestId, Time,
 };
-use crate::front_end::{FrontEnd, MAX_DURATION};
-use crate::replay::RUN_TIME_MARGIN;
-use crate::state::{Attempt, PendingRequest, Prediction, Replicas};
+use crate::front_end::FrontEnd;
+use crate::replay::{Prediction, RUN_TIME_MARGIN};
+use crate::routing::Candidate;
+use crate::state::{Attempt, PendingRequest, Replicas, WorkerState};
+use crate::time::{MAX_DURATION, MILLISECOND};
+use crate::worker_pool::WorkerGuard;
 
-/// Calls that may be sent on a guess that others hold a copy, for each call taken, and the most saved up.
+/// Speculative attempts that each request adds; one for two requests, so that most go where a
+/// replica is.
 const SPECULATION_TOKENS_PER_REQUEST: f64 = 0.5;
-/// Calls that may be sent on a guess that others hold a copy, for each call taken, and the most saved up.
+/// The most speculative attempts that are saved up.
 const MAX_SPECULATION_TOKENS: f64 = 8.0;
+/// The largest multiple of the expected work that the latency objective grows by.
+const MAX_OBJECTIVE_PER_WORK: f64 = 1e3;
 
 impl FrontEnd {
-    pub(crate) fn accept(&mut self, mut call: Request, actions: &mut Vec<Action>) {
+    /// Accepts a request and routes it.
+    pub(crate) fn accept(&mut self, mut request: Request, actions: &mut Vec<Action>) {
         let now = self.now;
-        call.class = call.class.min(self.settings.classes.len() - 1);
-        let class = &self.settings.classes[call.class];
-        let stretch = call.expected_work.unwrap_or(0).min(MAX_DURATION) as f64
-            * class.objective_per_work.clamp(0.0, 1e3);
-        let budget = call
+        request.class = request.class.min(self.settings.classes.len() - 1);
+        let class = &self.settings.classes[request.class];
+        let extra = request.expected_work.unwrap_or(0).min(MAX_DURATION) as f64
+            * class.objective_per_work.clamp(0.0, MAX_OBJECTIVE_PER_WORK);
+        let timeout = request
             .timeout
             .unwrap_or(class.client_timeout)
             .min(MAX_DURATION);
-        let deadline = now + budget;
-        let aim = (now + class.latency_objective + stretch as Time).min(deadline);
+        let deadline = now + timeout;
+        let latency_objective = (now + class.latency_objective + extra as Time).min(deadline);
         self.arrivals.push(now);
         if self.relies_on_load_reports() {
             self.speculation_tokens = (self.speculation_tokens + SPECULATION_TOKENS_PER_REQUEST)
                 .min(MAX_SPECULATION_TOKENS);
         }
-        let program = self.functions.entry(call.function).or_default();
-        (
-            program.replica_concurrency,
-            program.memory_mb,
-            program.last_requested_at,
-        ) = (call.replica_concurrency, call.memory_mb.max(0.0), now);
-        program.declared_load_time = call
-            .load_time
-            .filter(|t| *t > 0)
-            .map(|t| t.min(MAX_DURATION))
-            .or(program.declared_load_time);
+        self.update_function(&request);
+        let id = request.id;
         // Two ticks early: the answer must be out before the client's time is up.
-        let (id, after) = (call.id, budget.saturating_sub(2 * self.settings.tick));
-        actions.push(Action::SetTimer { after, token: id });
-        self.pending.insert(
-            id,
-            PendingRequest {
-                request: call,
-                latency_objective: aim,
-                deadline,
-                ..PendingRequest::default()
-            },
-        );
+        actions.push(Action::SetTimer {
+            after: timeout.saturating_sub(2 * self.settings.tick),
+            token: id,
+        });
+        let pending = PendingRequest {
+            request,
+            latency_objective,
+            deadline,
+            ..PendingRequest::default()
+        };
+        self.pending.insert(id, pending);
         self.route(id, actions);
     }
 
-    /// Sends to a worker, with what was foreseen there and the deadline that the send is held to.
-    pub(crate) fn forward(
-        &mut self,
-        id: RequestId,
-        chosen: (WorkerId, Prediction, Time),
-        actions: &mut Vec<Action>,
-    ) {
-        let (now, (worker, seen, goal)) = (self.now, chosen);
-        let Some(Request {
-            function, class, ..
-        }) = self.pending.get(&id).map(|o| o.request.clone())
-        else {
+    fn update_function(&mut self, request: &Request) {
+        let function = self.functions.entry(request.function).or_default();
+        function.replica_concurrency = request.replica_concurrency;
+        function.memory_mb = request.memory_mb.max(0.0);
+        function.last_requested_at = self.now;
+        if let Some(load_time) = request.load_time.filter(|time| *time > 0) {
+            function.declared_load_time = Some(load_time.min(MAX_DURATION));
+        }
+    }
+
+    /// Sends a request to a worker.
+    pub(crate) fn forward(&mut self, id: RequestId, chosen: Candidate, actions: &mut Vec<Action>) {
+        let Some(pending) = self.pending.get(&id) else {
             return;
         };
-        let run = self.expected_run_time(function, class);
-        let Some(mut node) = self.workers.get_mut(&worker) else {
+        let (function, class) = (pending.request.function, pending.request.class);
+        let run_time = self.expected_run_time(function, class);
+        let Some(mut worker) = self.workers.get_mut(&chosen.worker) else {
             return;
         };
-        let Some(open) = self.pending.get_mut(&id) else {
+        let Some(pending) = self.pending.get_mut(&id) else {
             return;
         };
-        let crowd = node.in_flight.len() as f64 + 1.0;
-        let sent = Attempt {
-            request: id,
-            attempt: open.attempts,
-            function,
-            class,
-            sent_at: now,
-            predicted_finish: seen.finish,
-            target_deadline: goal,
-            run_time: run,
-            cold_start: seen.cold_start || seen.finish > seen.warm_finish,
-            adds_replica: seen.adds_replica,
-            function_concurrency: node
-                .in_flight
-                .iter()
-                .filter(|s| s.function == function)
-                .count() as f64
-                + 1.0,
-            unconfirmed: node.replicas.get(&function).is_none_or(|c| !c.confirmed),
-            latency_objective: open.latency_objective,
-            concurrency: crowd,
-            cancelled: false,
-        };
-        node.in_flight.push(sent);
-        node.recent_sends
-            .retain(|t| *t + self.settings.slow_start.overload_window > now);
-        node.recent_sends.push_back(now);
-        let copies = node.replicas_of(function);
-        if copies.ready_at == 0 || seen.cold_start {
-            *copies = Replicas {
-                count: 1,
-                ready_at: now,
-                loaded_by_command: copies.loaded_by_command,
-                ..Replicas::default()
-            };
-            if seen.cold_start {
-                copies.ready_at = seen.finish.saturating_sub((run * RUN_TIME_MARGIN) as Time);
-            }
-        }
-        copies.last_used_at = now;
-        copies.admitted_run_time += run;
-        open.attempts += 1;
-        open.attempt_in_flight = true;
-        open.attempted_workers.push(worker.clone());
+        let attempt = new_attempt(&worker, pending, &chosen, run_time, self.now);
+        let overload_window = self.settings.slow_start.overload_window;
+        worker.add_attempt(attempt, overload_window);
+        worker.expect_replicas(function, &chosen.prediction, run_time, self.now);
+        pending.attempts += 1;
+        pending.attempt_in_flight = true;
+        pending.attempted_workers.push(chosen.worker.clone());
         actions.push(Action::Forward {
             request: id,
-            worker,
+            worker: chosen.worker,
             timeout: None,
         });
     }
 
-    pub(crate) fn finish_attempt(
-        &mut self,
-        end: &AttemptFinished,
-        ran: Option<(Time, String, u64)>,
-        actions: &mut Vec<Action>,
-    ) {
+    /// Takes the end of an attempt, learns from it, and retries the request where it is not over.
+    pub(crate) fn finish_attempt(&mut self, end: &AttemptFinished, actions: &mut Vec<Action>) {
+        if end.load_report != LoadReport::default() {
+            self.record_load_report(&end.worker, Some(end.load_report), actions);
+        }
+        let execution = self.record_attempt(end);
         if end.settled {
             self.pending.remove(&end.request);
             return;
         }
-        let Some(open) = self.pending.get_mut(&end.request) else {
+        let Some(pending) = self.pending.get_mut(&end.request) else {
             return;
         };
-        open.attempt_in_flight = false;
+        pending.attempt_in_flight = false;
         if end.outcome == Outcome::NotLoaded {
-            // The worker is sound, only the copy is not there: an order may still bring it.
-            open.attempted_workers.pop();
+            // The worker is sound, only the replica is missing: a command may still load it.
+            pending.attempted_workers.pop();
         }
-        if !end.outcome.never_ran() && open.possible_execution.is_none() {
-            // Where the send is not known any more, the window counts as over.
-            open.possible_execution = Some(ran.unwrap_or_default());
+        if !end.outcome.never_ran() && pending.possible_execution.is_none() {
+            // Where the attempt is not known any more, the deduplication window counts as over.
+            pending.possible_execution = Some(execution.unwrap_or_default());
         }
         self.route(end.request, actions);
     }
 
-    /// Gives the final answer: a refusal where a further try is harmless, else a failure.
+    /// Whether an attempt of the request at this worker cannot make it take effect twice.
+    pub(crate) fn may_retry_at(&self, pending: &PendingRequest, worker: &WorkerState) -> bool {
+        let class = &self.settings.classes[pending.request.class];
+        let Some(execution) = &pending.possible_execution else {
+            return true;
+        };
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::WithKey => {
+                let in_scope = match class.deduplication_scope {
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => execution.zone == worker.endpoint.zone,
+                    DeduplicationScope::Cell => execution.cell == worker.endpoint.cell,
+                };
+                let margin = 4 * self.settings.tick.max(MILLISECOND);
+                let window_end = execution.sent_at + class.deduplication_window;
+                in_scope && self.now + margin < window_end
+            }
+        }
+    }
+
+    /// Ends a request whose client has cancelled it; no answer is owed.
+    pub(crate) fn cancel_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        if let Some(pending) = self.pending.remove(&id) {
+            self.cancel_attempt(id, &pending, actions);
+        }
+    }
+
+    /// Ends a request whose client's time is all but over, unless its answer has begun.
+    pub(crate) fn expire_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let is_over = |pending: &PendingRequest| {
+            !pending.streaming && self.now + 3 * self.settings.tick >= pending.deadline
+        };
+        if self.pending.get(&id).is_some_and(is_over) {
+            self.reject_or_fail(id, actions);
+        }
+    }
+
+    /// Gives the final answer: a rejection where a retry is harmless, else a failure.
     pub(crate) fn reject_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.pending.remove(&id) else {
+        let Some(pending) = self.pending.remove(&id) else {
             return;
         };
-        self.cancel_attempt(id, &open, actions);
-        let class = &self.settings.classes[open.request.class];
-        let any = class.idempotency == Idempotency::Idempotent
-            || class.idempotency == Idempotency::WithKey
-                && class.deduplication_scope == DeduplicationScope::All;
-        let harmless = any || open.possible_execution.is_none() && !open.attempt_in_flight;
-        let may = |t: &Time| self.settings.limits.retry_after && *t > 0;
-        let retry_after = Some(self.settings.limits.max_retry_after).filter(may);
-        let refuse = Action::Reject {
-            request: id,
-            retry_after,
+        self.cancel_attempt(id, &pending, actions);
+        let class = &self.settings.classes[pending.request.class];
+        let may_run_twice = match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::WithKey => class.deduplication_scope == DeduplicationScope::All,
+            Idempotency::NonIdempotent => false,
         };
-        actions.push(if harmless {
-            refuse
-        } else {
-            Action::Fail { request: id }
+        let never_ran = pending.possible_execution.is_none() && !pending.attempt_in_flight;
+        if !may_run_twice && !never_ran {
+            actions.push(Action::Fail { request: id });
+            return;
+        }
+        let limits = &self.settings.limits;
+        let has_retry_after = limits.retry_after && limits.max_retry_after > 0;
+        actions.push(Action::Reject {
+            request: id,
+            retry_after: has_retry_after.then_some(limits.max_retry_after),
         });
     }
 
-    /// Withdraws an attempt that nobody waits for, however the wait ended: clients that leave and ask again
-    /// at once would else have the work done twice and more, and the full queues then outlast the cause. In a
-    /// small tier the own queue shows it; in a large one nothing does. It may harm where withdrawn work goes
-    /// on: that is replayed to its foreseen end, and what it took teaches, but its true end is never heard.
-    pub(crate) fn cancel_attempt(
-        &self,
-        id: RequestId,
-        open: &PendingRequest,
-        actions: &mut Vec<Action>,
-    ) {
-        if self.settings.limits.cancel && open.attempt_in_flight && !open.streaming {
+    /// Cancels an attempt that nobody waits for, however the wait ended.
+    ///
+    /// Clients that leave and retry at once would else have the work done twice and more, and the
+    /// full queues then outlast the cause. In a small deployment the own queue shows it; in a large
+    /// one nothing does. It may harm where cancelled work goes on: that is replayed to its
+    /// predicted finish, and the time it took teaches, but its true end is never heard of.
+    fn cancel_attempt(&self, id: RequestId, pending: &PendingRequest, actions: &mut Vec<Action>) {
+        if self.settings.limits.cancel && pending.attempt_in_flight && !pending.streaming {
             actions.push(Action::Cancel {
                 request: id,
-                attempt: open.attempts - 1,
+                attempt: pending.attempts - 1,
             });
         }
     }
 }
+
+fn new_attempt(
+    worker: &WorkerState,
+    pending: &PendingRequest,
+    chosen: &Candidate,
+    run_time: f64,
+    now: Time,
+) -> Attempt {
+    let function = pending.request.function;
+    let prediction = &chosen.prediction;
+    Attempt {
+        request: pending.request.id,
+        attempt: pending.attempts,
+        function,
+        class: pending.request.class,
+        sent_at: now,
+        predicted_finish: prediction.finish,
+        target_deadline: chosen.target_deadline,
+        run_time,
+        latency_objective: pending.latency_objective,
+        cold_start: prediction.cold_start || prediction.finish > prediction.warm_finish,
+        unconfirmed: worker
+            .replicas
+            .get(&function)
+            .is_none_or(|replicas| !replicas.confirmed),
+        adds_replica: prediction.adds_replica,
+        function_concurrency: worker.in_flight_of(function).count() as f64 + 1.0,
+        concurrency: worker.in_flight.len() as f64 + 1.0,
+        cancelled: false,
+    }
+}
+
+impl WorkerState {
+    fn add_attempt(&mut self, attempt: Attempt, overload_window: Time) {
+        let now = attempt.sent_at;
+        self.in_flight.push(attempt);
+        self.recent_sends
+            .retain(|sent_at| *sent_at + overload_window > now);
+        self.recent_sends.push_back(now);
+    }
+}
+
+impl WorkerGuard<'_> {
+    /// Believes in replicas of a function that is sent here, loaded by then or by the request
+    /// itself.
+    fn expect_replicas(
+        &mut self,
+        function: FunctionId,
+        prediction: &Prediction,
+        run_time: f64,
+        now: Time,
+    ) {
+        let replicas = self.replicas_of(function);
+        if replicas.ready_at == 0 || prediction.cold_start {
+            *replicas = Replicas {
+                count: 1,
+                ready_at: now,
+                loaded_by_command: replicas.loaded_by_command,
+                ..Replicas::default()
+            };
+            if prediction.cold_start {
+                let padded_run_time = (run_time * RUN_TIME_MARGIN) as Time;
+                replicas.ready_at = prediction.finish.saturating_sub(padded_run_time);
+            }
+        }
+        replicas.last_used_at = now;
+        replicas.admitted_run_time += run_time;
+    }
+}
--- a/crates/pipithub-policy/src/routing.rs
+++ b/crates/pipithub-policy/src/routing.rs
@@ -1,219 +1,327 @@
 //! The worker that a request is forwarded to.
+//!
+//! The workers are gone through in the function's order, and the first at which the prediction
+//! meets every deadline gets the request (admission by replay, the paper, section III-B). Where
+//! none does, an answer after the latency objective, a speculative attempt or a worker with busy
+//! cores may do; else the request is rejected unsent. `docs/design.md`, "Exceptions, and when each
+//! acts", tells when and why the exceptions apply.
 
 use std::collections::BTreeSet;
 
-use crate::api::{Action, DeduplicationScope, Idempotency, RequestId};
-use crate::front_end::{FrontEnd, MILLISECOND};
-use crate::load_reports::{
-    MAX_POLLS_PER_REQUEST, POLL_TIMEOUT, POLL_TIMEOUT_TOKEN, REPORT_LIFETIME,
-};
-use crate::replay::RUN_TIME_MARGIN;
-use crate::state::{PendingRequest, Prediction, WorkerState};
-
-/// Loads that may be under way for each worker: with one, a lost zone's functions came back too slowly.
-const MAX_LOADS_PER_WORKER: usize = 4;
-/// The most late calls to wait at one worker for a load: they must not fill its queue.
-const MAX_LATE_REQUESTS: usize = 8;
-/// A worker whose cores are told to be busier than this has a queue: it is second choice.
+use crate::api::{Action, FunctionId, Request, RequestId, Time, WorkerId};
+use crate::front_end::FrontEnd;
+use crate::load_reports::REPORT_LIFETIME;
+use crate::replay::{Prediction, RUN_TIME_MARGIN};
+use crate::state::{PendingRequest, WorkerState};
+
+/// A worker that reports its cores to be busier than this has a queue: it is second choice.
 const MAX_CPU_UTILIZATION: f64 = 0.95;
+/// The most requests past their objective at one worker: they must not fill its queue.
+const MAX_LATE_REQUESTS: usize = 8;
 
-impl FrontEnd {
-    /// Whether the request may have an attempt at this worker at all.
-    fn may_attempt(
-        &self,
-        open: &PendingRequest,
-        node: &WorkerState,
-        closed: &BTreeSet<&str>,
-    ) -> bool {
-        let class = &self.settings.classes[open.request.class];
-        let repeat_ok = match (&open.possible_execution, class.idempotency) {
-            (None, _) | (_, Idempotency::Idempotent) => true,
-            (_, Idempotency::NonIdempotent) => false,
-            (Some((at, zone, cell)), Idempotency::WithKey) => {
-                let in_group = match class.deduplication_scope {
-                    DeduplicationScope::All => true,
-                    DeduplicationScope::Zone => *zone == node.endpoint.zone,
-                    DeduplicationScope::Cell => *cell == node.endpoint.cell,
-                };
-                in_group
-                    && self.now + 4 * self.settings.tick.max(MILLISECOND)
-                        < at + class.deduplication_window
-            }
-        };
-        // A worker in trouble is left alone; once that time is over one send at a time tries it.
-        let health = &node.health[open.request.class];
-        let idle = || {
-            node.in_flight
-                .iter()
-                .all(|s| s.class != open.request.class || s.sent_at < health.ejected_until)
-        };
-        repeat_ok
-            && !closed.contains(node.endpoint.zone.as_str())
-            && (health.consecutive_errors == 0 || self.now >= health.ejected_until && idle())
-            && (node.in_flight.len() as f64) < node.concurrency_limit
-            && self.has_slow_start_budget(node)
-    }
+/// A worker for a request, with what is predicted there and the deadline that the attempt is
+/// admitted for.
+pub(crate) struct Candidate {
+    pub(crate) worker: WorkerId,
+    pub(crate) prediction: Prediction,
+    pub(crate) target_deadline: Time,
+}
+
+/// What a worker is to a request.
+enum Verdict {
+    /// It may not be sent the request, or would not serve it in time.
+    Unsuitable,
+    /// Its cores are reported to be busy.
+    Busy(Prediction),
+    /// It has to be polled first.
+    NeedsPoll,
+    /// Every deadline is met there.
+    Admits(Prediction),
+    /// Only a load stands in the way of the target deadline.
+    AwaitsLoad(Prediction),
+}
+
+/// What a search looks for, and what it needs to know of all workers.
+struct Search<'a> {
+    pending: &'a PendingRequest,
+    /// The deadline that the request is to meet.
+    target_deadline: Time,
+    /// Zones that are left alone.
+    closed_zones: BTreeSet<&'a str>,
+    /// A replica of the function is believed somewhere.
+    located: bool,
+    /// A load may begin.
+    may_load: bool,
+    /// A further replica may be started where there is one.
+    may_add_replica: bool,
+    /// The run alone, with its margin.
+    padded_run_time: f64,
+}
 
-    /// Sends the request where the design says, or ends it.
-    #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
+/// What a search has found.
+#[derive(Default)]
+struct Found {
+    /// The first worker that admits the request.
+    admits: Option<Candidate>,
+    /// The first one that serves it after its objective.
+    late: Option<Candidate>,
+    /// The first one at which only a load stands in the way.
+    awaits_load: Option<Candidate>,
+    /// The first one that would admit it, were its cores not busy.
+    busy: Option<Candidate>,
+    /// One that has to be polled first; it ends the search.
+    needs_poll: Option<WorkerId>,
+}
+
+impl FrontEnd {
+    /// Forwards the request to the worker that admits it, or ends it.
     pub(crate) fn route(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.pending.get_mut(&id) else {
+        let Some(pending) = self.pending.get_mut(&id) else {
             return;
         };
-        open.awaits_load = false;
-        if open.attempt_in_flight || open.streaming || open.polled_worker.is_some() {
+        pending.awaits_load = false;
+        if pending.attempt_in_flight || pending.streaming || pending.polled_worker.is_some() {
             return;
         }
-        let open = &self.pending[&id];
-        let class = &self.settings.classes[open.request.class];
-        let (now, function) = (self.now, open.request.function);
-        if open.attempts >= self.settings.limits.max_attempts
-            || now + 2 * self.settings.tick >= open.deadline
-        {
+        let pending = &self.pending[&id];
+        let (function, deadline) = (pending.request.function, pending.deadline);
+        let Some(target_deadline) = self.target_deadline(pending) else {
             return self.reject_or_fail(id, actions);
-        }
-        // After the aim only late worth is left; where there is none, more work would be waste.
-        let goal = if now < open.latency_objective {
-            open.latency_objective
-        } else {
-            open.deadline
         };
-        if goal == open.deadline && open.latency_objective < now && class.late_answer_weight <= 0.0
-        {
-            return self.reject_or_fail(id, actions);
+        let mut found = self.search(pending, target_deadline);
+        if let Some(worker) = found.needs_poll {
+            return self.poll_load(id, worker, actions);
         }
-        let order = self.preference_order(function);
-        let stands = |n: &WorkerState| n.is_ready() && self.replica_ready_at(n, function).is_some();
-        let located = self.workers.holders(function).any(stands);
-        let closed = self.closed_zones();
-        // A slow store must not be asked for more: loads are bounded, and one of this function is awaited.
-        let (loads, loading) = self.loads_in_progress(function);
-        // The most: some for each of its part of the workers; the fewer, the slower the store is.
-        let store_open = now >= self.store_health.ejected_until;
-        let most = (MAX_LOADS_PER_WORKER * self.workers.ready_count())
-            .div_ceil(self.settings.front_ends as usize)
-            .max(2);
-        let may_add = store_open && loads as f64 * self.load_slowdown().max(1.0) < most as f64;
-        let may_load = may_add && !loading;
-        let (blind, run) = (
-            self.relies_on_load_reports(),
-            self.expected_run_time(function, open.request.class) * RUN_TIME_MARGIN,
-        );
-        let mut presume = !located && open.attempts == 0;
-        let (mut choice, mut late, mut want, mut soft, mut ask) = (None, None, None, None, None);
-        for worker in order
-            .into_iter()
-            .filter(|w| !open.attempted_workers.contains(w))
-        {
-            let node = &self.workers[worker];
-            if !self.may_attempt(open, node, &closed) {
-                // Presumed at its home alone. Where that is lost it stands nowhere: presumed at the next one,
-                // each of the lost worker's functions would begin a load there past the bound on loads.
-                presume = false;
-                continue;
-            }
-            // Found nowhere, it is presumed at its home: who knows nothing must neither refuse nor spread.
-            let seen = self.predict(node, &open.request, presume);
-            presume = false;
-            let crowded = run * self.reported_slowdown(node) > (goal - now) as f64;
-            if !seen.others_meet_deadlines || seen.warm_finish > goal || crowded {
-                continue;
-            }
-            if blind
-                && now < node.load_report.received_at + REPORT_LIFETIME
-                && node.load_report.cpu_utilization > MAX_CPU_UTILIZATION
-            {
-                soft = soft.or_else(|| (!seen.cold_start).then(|| (worker.clone(), seen, goal)));
-                continue;
-            }
-            let unheard = blind
-                && now > REPORT_LIFETIME + node.load_report.received_at.max(node.last_response_at);
-            if unheard && self.poll_is_worthwhile() && open.load_polls < MAX_POLLS_PER_REQUEST {
-                ask = Some(worker.clone());
-                break;
-            }
-            if seen.finish <= goal
-                && (!seen.cold_start || may_load)
-                && (!seen.adds_replica || may_add)
+        if let Some(miss) = &found.awaits_load {
+            // A load longer than clients wait is begun by no request: only a command spreads such a
+            // function.
+            let may_spread = found.admits.is_some() || miss.prediction.finish > deadline;
+            self.record_placement_miss(&miss.worker, id, may_spread, actions);
+        }
+        let mut choice = found.admits.or(found.late);
+        if choice.is_none() {
+            choice = found
+                .awaits_load
+                .take()
+                .and_then(|miss| self.speculate(miss, deadline));
+        }
+        match choice.or(found.busy) {
+            Some(chosen)
+                if chosen.prediction.cold_start && !self.settings.loading.loads_on_request =>
             {
-                choice = Some((worker.clone(), seen, goal));
-                break;
-            }
-            // Only a load stands in the way.
-            if seen.cold_start && want.is_none() {
-                want = Some((worker.clone(), seen));
+                self.await_load(id, chosen.worker, function, actions);
             }
-            if late.is_some() || class.late_answer_weight <= 0.0 || seen.finish > open.deadline {
+            Some(chosen) => self.forward(id, chosen, actions),
+            None => self.reject_or_fail(id, actions),
+        }
+    }
+
+    /// The deadline that a further attempt of the request has to meet; `None`: it gets none.
+    fn target_deadline(&self, pending: &PendingRequest) -> Option<Time> {
+        let class = &self.settings.classes[pending.request.class];
+        let out_of_time = self.now + 2 * self.settings.tick >= pending.deadline;
+        if pending.attempts >= self.settings.limits.max_attempts || out_of_time {
+            return None;
+        }
+        if self.now < pending.latency_objective {
+            return Some(pending.latency_objective);
+        }
+        // After the objective only a late answer is left; where that is worth nothing, more work
+        // would be waste.
+        if pending.latency_objective < self.now && class.late_answer_weight <= 0.0 {
+            return None;
+        }
+        Some(pending.deadline)
+    }
+
+    /// Goes through the workers in the function's order.
+    fn search(&self, pending: &PendingRequest, target_deadline: Time) -> Found {
+        let request = &pending.request;
+        let order = self.preference_order(request.function);
+        let search = self.begin_search(pending, target_deadline);
+        let mut found = Found::default();
+        // Where nobody is believed to hold it, it is presumed at its first worker: a front end that
+        // knows nothing must neither reject nor spread. Where that one is lost it is loaded
+        // nowhere: presumed at the next one, each of the lost worker's functions would begin a load
+        // there past the limit on loads.
+        let mut presumed = !search.located && pending.attempts == 0;
+        for id in order {
+            if pending.attempted_workers.contains(id) {
                 continue;
             }
-            let waiting = node
-                .in_flight
-                .iter()
-                .filter(|s| s.target_deadline > s.latency_objective)
-                .count();
-            // A function that stands elsewhere is loaded here only where that should evict nothing.
-            let worthwhile = || may_load && (!located || self.has_memory_for(node, function));
-            if waiting < MAX_LATE_REQUESTS
-                && (!seen.cold_start || worthwhile())
-                && (!seen.adds_replica || may_add)
-            {
-                late = Some((worker.clone(), seen, open.deadline));
+            let worker = &self.workers[id];
+            let verdict = self.assess(&search, worker, std::mem::take(&mut presumed));
+            let candidate = |prediction, target_deadline| Candidate {
+                worker: id.clone(),
+                prediction,
+                target_deadline,
+            };
+            match verdict {
+                Verdict::Unsuitable => {}
+                Verdict::Busy(prediction) => {
+                    if found.busy.is_none() && !prediction.cold_start {
+                        found.busy = Some(candidate(prediction, target_deadline));
+                    }
+                }
+                Verdict::NeedsPoll => {
+                    found.needs_poll = Some(id.clone());
+                    break;
+                }
+                Verdict::Admits(prediction) => {
+                    found.admits = Some(candidate(prediction, target_deadline));
+                    break;
+                }
+                Verdict::AwaitsLoad(prediction) => {
+                    if found.awaits_load.is_none() && prediction.cold_start {
+                        found.awaits_load = Some(candidate(prediction, pending.deadline));
+                    }
+                    if found.late.is_none() && self.may_serve_late(&search, worker, &prediction) {
+                        found.late = Some(candidate(prediction, pending.deadline));
+                    }
+                }
             }
         }
-        if let Some(worker) = ask {
-            actions.push(Action::PollLoad {
-                worker: worker.clone(),
-            });
-            actions.push(Action::SetTimer {
-                after: POLL_TIMEOUT,
-                token: id | POLL_TIMEOUT_TOKEN,
-            });
-            self.awaiting_load_report
-                .entry(worker.clone())
-                .or_default()
-                .insert(id);
-            self.pending
-                .entry(id)
-                .and_modify(|o| (o.polled_worker, o.load_polls) = (Some(worker), o.load_polls + 1));
-            return;
+        found
+    }
+
+    fn begin_search<'a>(
+        &'a self,
+        pending: &'a PendingRequest,
+        target_deadline: Time,
+    ) -> Search<'a> {
+        let Request {
+            function, class, ..
+        } = pending.request;
+        let loads = self.loads_in_progress(function);
+        let may_add_replica = self.may_begin_load(&loads);
+        Search {
+            pending,
+            target_deadline,
+            closed_zones: self.closed_zones(),
+            located: self.is_located(function),
+            // One load of a function is awaited before the next.
+            may_load: may_add_replica && !loads.of_function,
+            may_add_replica,
+            padded_run_time: self.expected_run_time(function, class) * RUN_TIME_MARGIN,
         }
-        if let Some((worker, seen)) = &want {
-            // A load longer than clients wait is begun by no call: only an order spreads such a function.
-            let spread = choice.is_some() || seen.finish > self.pending[&id].deadline;
-            self.record_placement_miss(worker, id, spread, actions);
+    }
+
+    /// Whether a replica of the function is believed at a ready worker.
+    fn is_located(&self, function: FunctionId) -> bool {
+        self.workers
+            .holders(function)
+            .any(|worker| worker.is_ready() && self.replica_ready_at(worker, function).is_some())
+    }
+
+    /// What a worker is to the request.
+    fn assess(&self, search: &Search, worker: &WorkerState, presumed: bool) -> Verdict {
+        let now = self.now;
+        if !self.may_attempt(search, worker) {
+            return Verdict::Unsuitable;
         }
-        let mut choice = choice.or(late);
-        // The others follow the same order: what moved on here did there, and has likely loaded it. A wrong
-        // guess must still be served: a call with little time goes where a copy stands, or not at all.
-        if let Some((worker, seen)) =
-            want.filter(|_| choice.is_none() && self.speculation_tokens >= 1.0 && store_open)
+        let prediction = self.predict(worker, &search.pending.request, presumed);
+        let target_deadline = search.target_deadline;
+        let saturated = search.padded_run_time * self.reported_slowdown(worker)
+            > (target_deadline - now) as f64;
+        if !prediction.others_meet_deadlines
+            || prediction.warm_finish > target_deadline
+            || saturated
         {
-            let goal = self.pending[&id].deadline;
-            if self.settings.loading.loads_on_request && seen.finish <= goal {
-                self.speculation_tokens -= 1.0;
-                let seen = Prediction {
-                    cold_start: false,
-                    finish: seen.warm_finish,
-                    ..seen
-                };
-                choice = Some((worker, seen, goal));
-            }
+            return Verdict::Unsuitable;
         }
-        match choice.or(soft) {
-            Some((worker, seen, _))
-                if seen.cold_start && !self.settings.loading.loads_on_request =>
-            {
-                // Only an order brings the function in: the call waits here, unsent, for its reply.
-                if !self.command_load(&worker, function, actions) {
-                    return self.reject_or_fail(id, actions);
-                }
-                if let Some(open) = self.pending.get_mut(&id) {
-                    open.awaits_load = true;
-                    open.attempted_workers.push(worker);
-                }
+        if self.relies_on_load_reports() {
+            let report = &worker.load_report;
+            let is_busy = report.cpu_utilization > MAX_CPU_UTILIZATION;
+            if now < report.received_at + REPORT_LIFETIME && is_busy {
+                return Verdict::Busy(prediction);
             }
-            Some(chosen) => self.forward(id, chosen, actions),
-            None => self.reject_or_fail(id, actions),
+            let last_heard_at = report.received_at.max(worker.last_response_at);
+            let unheard = now > REPORT_LIFETIME + last_heard_at;
+            if unheard && self.may_poll(search.pending.load_polls) {
+                return Verdict::NeedsPoll;
+            }
+        }
+        if prediction.finish <= target_deadline
+            && (!prediction.cold_start || search.may_load)
+            && (!prediction.adds_replica || search.may_add_replica)
+        {
+            return Verdict::Admits(prediction);
+        }
+        Verdict::AwaitsLoad(prediction)
+    }
+
+    /// Whether the request may have an attempt at this worker at all.
+    fn may_attempt(&self, search: &Search, worker: &WorkerState) -> bool {
+        let pending = search.pending;
+        self.may_retry_at(pending, worker)
+            && !search.closed_zones.contains(worker.endpoint.zone.as_str())
+            && worker.accepts(pending.request.class, self.now)
+            && (worker.in_flight.len() as f64) < worker.concurrency_limit
+            && self.has_slow_start_budget(worker)
+    }
+
+    /// Whether a worker may serve the request after its objective.
+    fn may_serve_late(
+        &self,
+        search: &Search,
+        worker: &WorkerState,
+        prediction: &Prediction,
+    ) -> bool {
+        let request = &search.pending.request;
+        let class = &self.settings.classes[request.class];
+        if class.late_answer_weight <= 0.0 || prediction.finish > search.pending.deadline {
+            return false;
+        }
+        let late_requests = worker
+            .in_flight
+            .iter()
+            .filter(|attempt| attempt.target_deadline > attempt.latency_objective)
+            .count();
+        // A function that is loaded elsewhere is loaded here only where that should evict nothing.
+        let load_is_worthwhile = || {
+            search.may_load && (!search.located || self.has_memory_for(worker, request.function))
+        };
+        late_requests < MAX_LATE_REQUESTS
+            && (!prediction.cold_start || load_is_worthwhile())
+            && (!prediction.adds_replica || search.may_add_replica)
+    }
+
+    /// Sends the request to a worker at which only a load stands in the way, as if the function
+    /// were loaded.
+    ///
+    /// The others follow the same order: what moved on here did there, and has likely loaded it. A
+    /// wrong guess must still be served: a request with little time goes where a replica is, or not
+    /// at all.
+    fn speculate(&mut self, miss: Candidate, deadline: Time) -> Option<Candidate> {
+        let in_time = self.settings.loading.loads_on_request && miss.prediction.finish <= deadline;
+        if self.speculation_tokens < 1.0 || !self.store_is_available() || !in_time {
+            return None;
+        }
+        self.speculation_tokens -= 1.0;
+        Some(Candidate {
+            prediction: Prediction {
+                cold_start: false,
+                finish: miss.prediction.warm_finish,
+                ..miss.prediction
+            },
+            ..miss
+        })
+    }
+
+    /// Has the function loaded by a command; the request waits, unsent, for the reply.
+    fn await_load(
+        &mut self,
+        id: RequestId,
+        worker: WorkerId,
+        function: FunctionId,
+        actions: &mut Vec<Action>,
+    ) {
+        if !self.command_load(&worker, function, actions) {
+            return self.reject_or_fail(id, actions);
+        }
+        if let Some(pending) = self.pending.get_mut(&id) {
+            pending.awaits_load = true;
+            pending.attempted_workers.push(worker);
         }
     }
 }
--- a/crates/pipithub-policy/src/worker_pool/tests.rs
+++ b/crates/pipithub-policy/src/worker_pool/tests.rs
@@ -6,7 +6,7 @@
 
 use super::{WorkerGuard, WorkerPool};
 use crate::api::{Endpoint, EndpointState, FunctionId, Time, WorkerId};
-use crate::state::{Attempt, Health, ReportedLoad, WorkerState};
+use crate::state::{Answer, Attempt, Health, ReportedLoad, WorkerState};
 
 const HALF_LIFE: Time = 20_000;
 const CLASSES: usize = 2;
@@ -209,7 +209,7 @@
                 naive.last_response_at = now;
             }),
             Step::Served { worker, count } => self.both(worker, |worker, naive| {
-                worker.recent_answers = (0..count).map(|_| (now, 0)).collect();
+                worker.recent_answers = (0..count).map(|_| Answer { at: now, class: 0 }).collect();
                 naive.answers = count.into();
             }),
             Step::Replica {
--- a/crates/pipithub-policy/tests/limits.rs
+++ b/crates/pipithub-policy/tests/limits.rs
@@ -4,19 +4,21 @@
 use std::path::{Path, PathBuf};
 
 /// Plain data, the interface, counters, sums and tests: these files decide nothing.
-const WITHOUT_DECISIONS: [&str; 10] = [
+const WITHOUT_DECISIONS: [&str; 11] = [
     "api.rs",
     "hashing.rs",
     "lib.rs",
     "state.rs",
     "statistics.rs",
     "statistics/tests.rs",
+    "time.rs",
     "work.rs",
     "worker_pool.rs",
     "worker_pool/index.rs",
     "worker_pool/tests.rs",
 ];
 const MAX_COLUMNS: usize = 110;
+const MAX_LINES: usize = 500;
 
 fn package() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -81,6 +83,15 @@
     }
 }
 
+#[test]
+fn no_file_is_longer_than_a_newcomer_reads_at_a_time() {
+    for path in sources() {
+        let text = std::fs::read_to_string(&path).expect("a source");
+        let lines = text.lines().count();
+        assert!(lines <= MAX_LINES, "{}: {lines} lines", path.display());
+    }
+}
+
 #[test]
 fn the_module_names_its_interface_at_its_top() {
     let text = include_str!("../src/front_end.rs");
