--- a/crates/pipithub-adapter/src/main.rs
+++ b/crates/pipithub-adapter/src/main.rs
@@ -8,13 +8,16 @@
 use std::process::ExitCode;
 
 use pipithub_platform::settings::{self, Names};
-use pipithub_policy::api::{Action, Event};
+use pipithub_policy::api::{Action, Endpoint, Event, Time};
 use pipithub_policy::FrontEnd;
 use wire::Input;
 
+/// Buffered bytes of the input.
+const INPUT_BUFFER: usize = 1 << 16;
+
 /// One hosted front end, with the names that its lines use.
 struct Hosted {
-    front: FrontEnd,
+    front_end: FrontEnd,
     names: Names,
 }
 
@@ -22,8 +25,8 @@
     let stdin = io::stdin();
     let stdout = io::stdout();
     match run(
-        &mut BufReader::with_capacity(1 << 16, stdin.lock()),
-        &mut BufWriter::new(stdout.lock()),
+        BufReader::with_capacity(INPUT_BUFFER, stdin.lock()),
+        BufWriter::new(stdout.lock()),
     ) {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
@@ -34,89 +37,128 @@
 }
 
 /// Reads batches until the input ends; every error names the line that it stands on.
-fn run(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), String> {
-    let mut lines = Lines {
-        input,
-        number: 0,
-        text: String::new(),
-    };
-    let mut hosted: BTreeMap<u64, Hosted> = BTreeMap::new();
-    let mut actions: Vec<Action> = Vec::new();
-    let mut reply = String::new();
-    while lines.next()? {
-        if lines.text.is_empty() {
+fn run(input: impl BufRead, mut output: impl Write) -> Result<(), String> {
+    let mut session = Session::new(input);
+    while session.lines.next()? {
+        if session.lines.text.is_empty() {
             continue;
         }
-        let now = wire::clock(&lines.text).map_err(|e| lines.at(&e))?;
-        reply.clear();
+        let reply = session.answer_batch()?;
+        output
+            .write_all(reply.as_bytes())
+            .and_then(|()| output.flush())
+            .map_err(|e| format!("cannot write a reply: {e}"))?;
+    }
+    Ok(())
+}
+
+/// The hosted front ends, and the input that speaks to them.
+struct Session<R: BufRead> {
+    lines: Lines<R>,
+    hosted: BTreeMap<u64, Hosted>,
+    actions: Vec<Action>,
+    reply: String,
+}
+
+impl<R: BufRead> Session<R> {
+    fn new(input: R) -> Self {
+        Session {
+            lines: Lines {
+                input,
+                number: 0,
+                text: String::new(),
+            },
+            hosted: BTreeMap::new(),
+            actions: Vec::new(),
+            reply: String::new(),
+        }
+    }
+
+    /// Handles the batch whose first line was read; returns the reply to it.
+    fn answer_batch(&mut self) -> Result<&str, String> {
+        let now = wire::clock(&self.lines.text).map_err(|e| self.lines.at(&e))?;
+        self.reply.clear();
         loop {
-            if !lines.next()? {
-                return Err(lines.at("input ends inside a batch"));
-            }
-            if lines.text == "end" {
+            self.lines.next_of("a batch")?;
+            if self.lines.text == "end" {
                 break;
             }
-            let (end, name) = wire::addressee(&lines.text).map_err(|e| lines.at(&e))?;
-            if name == "attach" {
-                let (seed, text) = wire::attach(&lines.text).map_err(|e| lines.at(&e))?;
-                let site = settings::parse(text).map_err(|e| lines.at(&e))?;
-                hosted.insert(
-                    end,
-                    Hosted {
-                        front: FrontEnd::new(site.policy, seed),
-                        names: site.names,
-                    },
-                );
-                continue;
-            }
-            if name == "killed" {
-                hosted.remove(&end);
-                continue;
-            }
-            let Some(host) = hosted.get_mut(&end) else {
-                return Err(lines.at(&format!(
-                    "'{name}' for front end {end}, which is not attached"
-                )));
-            };
-            let event = match wire::event(&lines.text, &host.names).map_err(|e| lines.at(&e))? {
-                Input::Event(event) => event,
-                Input::List { kind, count } => {
-                    let mut entries = Vec::new();
-                    for _ in 0..count {
-                        if !lines.next()? {
-                            return Err(lines.at("input ends inside a list"));
-                        }
-                        entries
-                            .push(wire::entry(&lines.text, &host.names).map_err(|e| lines.at(&e))?);
-                    }
-                    Event::Endpoints {
-                        update: kind,
-                        endpoints: entries,
-                    }
-                }
-            };
-            host.front.handle(now, event, &mut actions);
-            for action in actions.drain(..) {
-                wire::write(&mut reply, end, &action);
+            self.handle_line(now)?;
+        }
+        self.reply.push_str("end\n");
+        Ok(&self.reply)
+    }
+
+    fn handle_line(&mut self, now: Time) -> Result<(), String> {
+        let (id, name) = wire::addressee(&self.lines.text).map_err(|e| self.lines.at(&e))?;
+        match name {
+            "attach" => self.attach(id),
+            "killed" => {
+                self.hosted.remove(&id);
+                Ok(())
             }
+            _ => self.handle_event(now, id),
         }
-        reply.push_str("end\n");
-        let sent = output
-            .write_all(reply.as_bytes())
-            .and_then(|()| output.flush());
-        sent.map_err(|e| format!("cannot write a reply: {e}"))?;
     }
-    Ok(())
+
+    /// Starts a front end.
+    fn attach(&mut self, id: u64) -> Result<(), String> {
+        let (seed, text) = wire::attach(&self.lines.text).map_err(|e| self.lines.at(&e))?;
+        let site = settings::parse(text).map_err(|e| self.lines.at(&e))?;
+        let hosted = Hosted {
+            front_end: FrontEnd::new(site.policy, seed),
+            names: site.names,
+        };
+        self.hosted.insert(id, hosted);
+        Ok(())
+    }
+
+    /// Hands an event to the front end that it is for, and appends its actions to the reply.
+    fn handle_event(&mut self, now: Time, id: u64) -> Result<(), String> {
+        let Some(hosted) = self.hosted.get_mut(&id) else {
+            let name = self.lines.text.split(' ').next().unwrap_or_default();
+            return Err(self.lines.at(&format!(
+                "'{name}' for front end {id}, which is not attached"
+            )));
+        };
+        let input = wire::event(&self.lines.text, &hosted.names).map_err(|e| self.lines.at(&e))?;
+        let event = match input {
+            Input::Event(event) => event,
+            Input::List { update, count } => Event::Endpoints {
+                update,
+                endpoints: read_endpoints(&mut self.lines, count, &hosted.names)?,
+            },
+        };
+        hosted.front_end.handle(now, event, &mut self.actions);
+        for action in self.actions.drain(..) {
+            wire::write(&mut self.reply, id, &action);
+        }
+        Ok(())
+    }
+}
+
+/// Reads the entry lines of a list.
+fn read_endpoints<R: BufRead>(
+    lines: &mut Lines<R>,
+    count: usize,
+    names: &Names,
+) -> Result<Vec<Endpoint>, String> {
+    let mut endpoints = Vec::new();
+    for _ in 0..count {
+        lines.next_of("a list")?;
+        endpoints.push(wire::entry(&lines.text, names).map_err(|e| lines.at(&e))?);
+    }
+    Ok(endpoints)
 }
 
 /// Input lines with their numbers.
-struct Lines<'a, R: BufRead> {
-    input: &'a mut R,
+struct Lines<R: BufRead> {
+    input: R,
     number: u64,
     text: String,
 }
 
-impl<R: BufRead> Lines<'_, R> {
+impl<R: BufRead> Lines<R> {
     /// Reads the next line into `text`; `false` where the input ends.
     fn next(&mut self) -> Result<bool, String> {
         self.text.clear();
@@ -125,11 +167,20 @@
             .input
             .read_line(&mut self.text)
             .map_err(|e| self.at(&e.to_string()))?;
-        let kept = self.text.trim_end_matches(['\n', '\r']).len();
-        self.text.truncate(kept);
+        let length = self.text.trim_end_matches(['\n', '\r']).len();
+        self.text.truncate(length);
         Ok(read > 0)
     }
 
+    /// Reads the next line of something that the input must not end inside of.
+    fn next_of(&mut self, whole: &str) -> Result<(), String> {
+        if self.next()? {
+            Ok(())
+        } else {
+            Err(self.at(&format!("input ends inside {whole}")))
+        }
+    }
+
     fn at(&self, message: &str) -> String {
         format!("line {}: {message}", self.number)
     }
--- a/crates/pipithub-adapter/src/wire.rs
+++ b/crates/pipithub-adapter/src/wire.rs
@@ -9,12 +9,20 @@
     LoadFinished, LoadReport, Outcome, ReplicaStatus, Request, Time, WorkerId,
 };
 
+/// Nanoseconds in a millisecond.
+const NANOS_PER_MS: f64 = 1e6;
+/// The detail of an answer is the concurrency of its function times this, plus the replica's status.
+const DETAIL_STATUSES: u32 = 8;
+
 /// What one line holds.
 pub(crate) enum Input {
     /// A whole event.
     Event(Event),
     /// The head of a list, with the number of entry lines that follow.
-    List { kind: EndpointUpdate, count: usize },
+    List {
+        update: EndpointUpdate,
+        count: usize,
+    },
 }
 
 /// Walks over the parts of a line.
@@ -148,106 +156,127 @@
 }
 
 fn parse(line: &str, names: &Names) -> Result<Input, String> {
-    let mut p = Parts::of(line);
-    let name = p.text("message")?;
-    p.text("EndId")?;
-    Ok(Input::Event(match name {
-        "backends_changed" => {
-            p.maybe::<u64>("Revision")?;
-            let kind = match p.text("How")? {
-                "incr" => EndpointUpdate::Delta,
-                "total" => EndpointUpdate::Snapshot,
-                "warm_copy" => EndpointUpdate::Cached,
-                "lost" => EndpointUpdate::Lost,
-                other => return Err(format!("How: unknown '{other}'")),
-            };
-            return Ok(Input::List {
-                kind,
-                count: p.maybe("Records")?.unwrap_or(0),
-            });
-        }
-        "query" => {
-            let id = p.value("Req")?;
-            let expected = p.maybe("Expected")?;
-            p.text("Owner")?;
-            let memory_mb = p
-                .maybe::<f64>("SizeMb")?
-                .filter(|m| m.is_finite())
-                .unwrap_or(0.0);
-            let lanes = p.maybe::<f64>("PerCopy")?.unwrap_or(1.0) as u32;
-            let grade = p.text("Grade")?;
-            let class = names.classes.iter().position(|n| n == grade);
-            let bringup: Option<f64> = p.maybe("BringupMs")?;
-            let function = p.function()?;
-            p.maybe::<u64>("Attrs")?;
-            Event::Arrived(Request {
-                id,
-                expected_work: expected,
-                memory_mb,
-                replica_concurrency: lanes,
-                class: class.ok_or_else(|| format!("Grade: unknown '{grade}'"))?,
-                load_time: bringup.map(|ms| (ms * 1e6) as Time),
-                function,
-                timeout: p.maybe("TimeBudget")?,
-            })
-        }
-        "health_result" => {
-            p.maybe::<Time>("Rtt")?;
-            let answered = p.outcome()? == Outcome::Served;
-            Event::LoadPolled {
-                worker: p.worker()?,
-                answered,
-                report: p.load()?,
-            }
-        }
+    let mut parts = Parts::of(line);
+    let name = parts.text("message")?;
+    parts.text("EndId")?;
+    let event = match name {
+        "backends_changed" => return parts.list(),
+        "query" => Event::Arrived(parts.request(names)?),
+        "health_result" => parts.load_polled()?,
         "wake" => Event::Timer {
-            token: p.value("Cookie")?,
+            token: parts.value("Cookie")?,
         },
         "heard" => Event::Peer {
-            from: p.value("Author")?,
-            bytes: bytes(p.text("Bytes")?)?,
+            from: parts.value("Author")?,
+            bytes: bytes(parts.text("Bytes")?)?,
         },
-        "brought_up" => Event::LoadFinished(LoadFinished {
-            worker: p.worker()?,
-            function: p.function()?,
-            outcome: p.outcome()?,
-            elapsed: p.maybe("Rtt")?.unwrap_or(0),
-            replicas: p.maybe("Copies")?.unwrap_or(0),
-        }),
+        "brought_up" => Event::LoadFinished(parts.load_finished()?),
         "lapsed" => Event::ClientCancelled {
-            request: p.value("Req")?,
+            request: parts.value("Req")?,
         },
-        "completed" => {
-            let request = p.value("Req")?;
-            let attempt = p.value("N")?;
-            let worker = p.worker()?;
-            let outcome = p.outcome()?;
-            let took = p.maybe("Rtt")?.unwrap_or(0);
-            let settled = p.bool("Settled")?;
-            let detail: Option<u32> = p.maybe("Detail")?;
-            Event::AttemptFinished(AttemptFinished {
-                request,
-                attempt,
-                worker,
-                outcome,
-                elapsed: took,
-                settled,
-                replica_status: match detail.unwrap_or(0) % 8 {
-                    1 => Some(ReplicaStatus::Warm),
-                    2 => Some(ReplicaStatus::LoadStarted),
-                    3 => Some(ReplicaStatus::LoadAwaited),
-                    4 => Some(ReplicaStatus::LoadFailed),
-                    _ => None,
-                },
-                function_concurrency: detail.map(|d| d / 8),
-                load_report: p.load()?,
-            })
-        }
+        "completed" => Event::AttemptFinished(parts.attempt_finished()?),
         "head_received" => Event::Streaming {
-            request: p.value("Req")?,
+            request: parts.value("Req")?,
         },
         _ => return Err("unknown message".to_string()),
-    }))
+    };
+    Ok(Input::Event(event))
+}
+
+/// Whole messages, from the part after the front end's id on.
+impl Parts<'_> {
+    fn list(&mut self) -> Result<Input, String> {
+        self.maybe::<u64>("Revision")?;
+        let update = match self.text("How")? {
+            "incr" => EndpointUpdate::Delta,
+            "total" => EndpointUpdate::Snapshot,
+            "warm_copy" => EndpointUpdate::Cached,
+            "lost" => EndpointUpdate::Lost,
+            other => return Err(format!("How: unknown '{other}'")),
+        };
+        Ok(Input::List {
+            update,
+            count: self.maybe("Records")?.unwrap_or(0),
+        })
+    }
+
+    fn request(&mut self, names: &Names) -> Result<Request, String> {
+        let id = self.value("Req")?;
+        let expected_work = self.maybe("Expected")?;
+        self.text("Owner")?;
+        let memory_mb = self
+            .maybe::<f64>("SizeMb")?
+            .filter(|m| m.is_finite())
+            .unwrap_or(0.0);
+        let replica_concurrency = self.maybe::<f64>("PerCopy")?.unwrap_or(1.0) as u32;
+        let grade = self.text("Grade")?;
+        let class = names.classes.iter().position(|n| n == grade);
+        let load_ms: Option<f64> = self.maybe("BringupMs")?;
+        let function = self.function()?;
+        self.maybe::<u64>("Attrs")?;
+        Ok(Request {
+            id,
+            expected_work,
+            memory_mb,
+            replica_concurrency,
+            class: class.ok_or_else(|| format!("Grade: unknown '{grade}'"))?,
+            load_time: load_ms.map(|ms| (ms * NANOS_PER_MS) as Time),
+            function,
+            timeout: self.maybe("TimeBudget")?,
+        })
+    }
+
+    fn load_polled(&mut self) -> Result<Event, String> {
+        self.maybe::<Time>("Rtt")?;
+        let answered = self.outcome()? == Outcome::Served;
+        Ok(Event::LoadPolled {
+            worker: self.worker()?,
+            answered,
+            report: self.load()?,
+        })
+    }
+
+    fn load_finished(&mut self) -> Result<LoadFinished, String> {
+        Ok(LoadFinished {
+            worker: self.worker()?,
+            function: self.function()?,
+            outcome: self.outcome()?,
+            elapsed: self.maybe("Rtt")?.unwrap_or(0),
+            replicas: self.maybe("Copies")?.unwrap_or(0),
+        })
+    }
+
+    fn attempt_finished(&mut self) -> Result<AttemptFinished, String> {
+        let request = self.value("Req")?;
+        let attempt = self.value("N")?;
+        let worker = self.worker()?;
+        let outcome = self.outcome()?;
+        let elapsed = self.maybe("Rtt")?.unwrap_or(0);
+        let settled = self.bool("Settled")?;
+        let detail: Option<u32> = self.maybe("Detail")?;
+        Ok(AttemptFinished {
+            request,
+            attempt,
+            worker,
+            outcome,
+            elapsed,
+            settled,
+            replica_status: detail.and_then(replica_status),
+            function_concurrency: detail.map(|detail| detail / DETAIL_STATUSES),
+            load_report: self.load()?,
+        })
+    }
+}
+
+/// What the detail of an answer tells of the replica that it met.
+fn replica_status(detail: u32) -> Option<ReplicaStatus> {
+    match detail % DETAIL_STATUSES {
+        1 => Some(ReplicaStatus::Warm),
+        2 => Some(ReplicaStatus::LoadStarted),
+        3 => Some(ReplicaStatus::LoadAwaited),
+        4 => Some(ReplicaStatus::LoadFailed),
+        _ => None,
+    }
 }
 
 /// Reads one line of a list.
