--- a/crates/pipithub-policy/src/api.rs
+++ b/crates/pipithub-policy/src/api.rs
@@ -8,10 +8,10 @@
 /// A point on the caller's clock, or a length of time, in nanoseconds.
 pub type Time = u64;
 
-/// Names one try of a client; never used twice for different tries.
+/// Identifies one attempt of a client at a request; never used twice.
 pub type RequestId = u64;
 
-/// The address of a worker, exactly as the list of workers spells it.
+/// The address of a worker, exactly as the endpoint list spells it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerId(pub Arc<str>);
 
@@ -28,23 +28,23 @@
     }
 }
 
-/// The program that a call needs loaded.
+/// The function that a request needs loaded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FunctionId(pub u64);
 
-/// How far a call may be repeated once it may have run.
+/// Whether a request may be retried once it may have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May be repeated freely.
+    /// May be retried freely.
     #[default]
     Idempotent,
-    /// Carries a key; repeats are dropped by one group of workers for a while.
+    /// Carries an idempotency key; retries are dropped within a scope of workers for a while.
     WithKey,
     /// Must never run twice.
     NonIdempotent,
 }
 
-/// The workers that drop each other's repeats of a keyed call.
+/// The workers that drop each other's retries of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All workers.
@@ -56,22 +56,22 @@
     Cell,
 }
 
-/// A class of calls and what its answers are worth.
+/// A class of requests and the value of its answers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this earns full worth.
+    /// An answer within this time has its full value.
     pub latency_objective: Time,
-    /// The aim grows by this multiple of the call's own expected work.
+    /// The objective grows by this multiple of the request's own expected work.
     pub objective_per_work: f64,
-    /// The longest that a client waits over all its tries.
+    /// The longest that a client waits over all attempts.
     pub client_timeout: Time,
-    /// The share of the worth that a late answer earns.
+    /// The share of the value that a late answer has.
     pub late_answer_weight: f64,
-    /// How far repeats are harmless.
+    /// Whether retries are harmless.
     pub idempotency: Idempotency,
-    /// Which workers drop repeats of a keyed call.
+    /// Which workers drop retries of a request with an idempotency key.
     pub deduplication_scope: DeduplicationScope,
-    /// For how long they do.
+    /// For how long they do so.
     pub deduplication_window: Time,
 }
 
@@ -96,11 +96,11 @@
     pub max_attempts: u32,
     /// Attempts may be cancelled.
     pub cancel: bool,
-    /// Workers may be probed for their load.
+    /// Workers may be polled for their load.
     pub load_polls: bool,
-    /// Refusals may carry a time to stay away.
+    /// Rejections may carry a Retry-After.
     pub retry_after: bool,
-    /// The longest such time that clients heed.
+    /// The longest Retry-After that clients heed.
     pub max_retry_after: Time,
 }
 
@@ -116,10 +116,10 @@
     }
 }
 
-/// The figures of the rules on draining and starting workers.
+/// What a worker that has just started can take.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlowStart {
-    /// A started worker runs at this share of its capacity or better.
+    /// A worker starts at this share of its capacity, or better.
     pub initial_weight: f64,
     /// It is warm after this time.
     pub window: Time,
@@ -140,31 +140,31 @@
     }
 }
 
-/// A limit on orders to load: at most `base` plus `share` of the requests taken, over any `window`.
+/// A limit on load commands: at most `burst` plus `per_request` for each request taken, over any `window`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadRateLimit {
-    /// The length of time over which orders are counted.
+    /// The time over which load commands are counted.
     pub window: Time,
-    /// Orders allowed in any case.
+    /// Load commands allowed in any case.
     pub burst: f64,
-    /// Further orders for each request taken.
+    /// Further load commands for each request taken.
     pub per_request: f64,
 }
 
-/// How workers load programs and what is told of it.
+/// How workers load functions and what they report of it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FunctionLoading {
-    /// Copies may be held and dropped by order.
+    /// Replicas may be loaded and evicted by command.
     pub load_commands: bool,
-    /// A call that finds no copy loads one; else it is turned away as [`Outcome::NotLoaded`].
+    /// A request that finds no replica loads one; else it is rejected as [`Outcome::NotLoaded`].
     pub loads_on_request: bool,
-    /// An idle copy stays at least this long, unless its room is needed.
+    /// An idle replica stays at least this long, unless its memory is needed.
     pub keep_alive: Time,
-    /// Answers tell whether a copy stood loaded.
+    /// Answers tell whether a replica was loaded.
     pub reports_cold_starts: bool,
-    /// Answers tell how many calls of the function the worker held.
+    /// Answers tell how many requests of the function the worker had in flight.
     pub reports_concurrency: bool,
-    /// The limit on orders to load, where there is one.
+    /// The limit on load commands, where there is one.
     pub rate_limit: Option<LoadRateLimit>,
 }
 
@@ -181,14 +181,14 @@
     }
 }
 
-/// What things cost, in shares of the worth of all calls; 0 where nothing is told.
+/// What actions cost, as shares of the value of all requests; 0 where it is not known.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Costs {
-    /// One probe for each call.
+    /// One load poll for each request.
     pub load_poll: f64,
 }
 
-/// What a front end is told at its start.
+/// The settings of a front end.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// Front ends in this pool, this one included; 0 counts as 1.
@@ -199,51 +199,51 @@
     pub classes: Vec<Class>,
     /// What is allowed.
     pub limits: Limits,
-    /// The figures of the rules.
+    /// What a worker that has just started can take.
     pub slow_start: SlowStart,
-    /// How programs are loaded.
+    /// How functions are loaded.
     pub loading: FunctionLoading,
-    /// What things cost.
+    /// What actions cost.
     pub costs: Costs,
-    /// The zone that this front end stands in; empty where it is not told.
+    /// The zone of this front end; empty where it is not known.
     pub zone: String,
-    /// Changes of the worker list must be asked for.
+    /// Updates of the endpoint list must be asked for.
     pub watch_on_request: bool,
 }
 
-/// How a worker stands in the list.
+/// The state of a worker in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes work.
+    /// Takes requests.
     #[default]
     Ready,
-    /// Finishes its work and must get nothing new.
+    /// Finishes its requests and must get no new one.
     Draining,
     /// Removed.
     Removed,
 }
 
-/// What a list of workers covers.
+/// What an update of the endpoint list covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
     /// Only what changed.
     Delta,
     /// Every worker there is.
     Snapshot,
-    /// Every worker, as this front end last saw the list; it may be stale.
+    /// Every worker, as this front end last saw the list; it may be out of date.
     Cached,
     /// No list came: a call failed.
     Lost,
 }
 
-/// One worker in a list.
+/// One worker in the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Endpoint {
     /// Its address.
     pub worker: WorkerId,
-    /// Its size beside the others; 0 where unknown.
+    /// Its weight beside the others; 0 where unknown.
     pub weight: f64,
-    /// How it stands.
+    /// Its state.
     pub state: EndpointState,
     /// Its zone.
     pub zone: String,
@@ -255,35 +255,35 @@
     pub started_at: Option<Time>,
 }
 
-/// A call that a client has handed to this front end.
+/// A request that a client has sent to this front end.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Request {
     /// Its id.
     pub id: RequestId,
-    /// The work it is expected to take, where told.
+    /// The work it is expected to take, where known.
     pub expected_work: Option<Time>,
-    /// Memory of one loaded copy, in MB.
+    /// Memory of one loaded replica, in MB.
     pub memory_mb: f64,
-    /// Calls that one copy runs at a time.
+    /// Requests that one replica runs at a time.
     pub replica_concurrency: u32,
     /// Its class, as an index into the settings.
     pub class: usize,
-    /// The usual time of a load, where told.
+    /// The usual time of a load, where known.
     pub load_time: Option<Time>,
-    /// The program that it needs.
+    /// The function that it needs.
     pub function: FunctionId,
-    /// How long the client waits for this try; `None`: as long as its class does.
+    /// How long the client waits for this answer; `None`: as long as its class does.
     pub timeout: Option<Time>,
 }
 
-/// How an attempt or an order ended.
+/// How an attempt or a load command ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served; or the copies stand.
+    /// Served; or the replicas are loaded.
     Served,
     /// An error; it may have run.
     Error,
-    /// Turned away unseen.
+    /// Rejected at capacity: never ran.
     Rejected,
     /// No answer in time; it may have run or still run.
     TimedOut,
@@ -291,11 +291,11 @@
     Unreachable,
     /// The connection broke; it may have run.
     ConnectionLost,
-    /// Withdrawn; it may have run.
+    /// Cancelled; it may have run.
     Cancelled,
     /// Not sent at all.
     NotSent,
-    /// The program is not loaded there, or its load failed: never ran.
+    /// The function is not loaded there, or its load failed: never ran.
     NotLoaded,
 }
 
@@ -309,14 +309,14 @@
     }
 }
 
-/// What an answer tells about the copy it met.
+/// What an answer tells about the replica that served it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaStatus {
-    /// A copy stood loaded.
+    /// A replica was loaded.
     Warm,
-    /// This call began a cold start.
+    /// This request began a cold start.
     LoadStarted,
-    /// This call waited for a cold start begun before.
+    /// This request waited for a cold start begun before.
     LoadAwaited,
     /// The load failed.
     LoadFailed,
@@ -325,7 +325,7 @@
 /// A worker's own report of its load; any part may be missing.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests it holds.
+    /// Requests in flight.
     pub in_flight: Option<f64>,
     /// How busy its cores are, 0 to 1.
     pub cpu_utilization: Option<f64>,
@@ -350,33 +350,33 @@
     pub elapsed: Time,
     /// The request is over, by this outcome or before it.
     pub settled: bool,
-    /// What it met there, where told.
+    /// What it tells of the replica, where known.
     pub replica_status: Option<ReplicaStatus>,
-    /// Calls of the same function that the worker held when this one came, where told.
+    /// Requests of the function that the worker had in flight when this one came, where known.
     pub function_concurrency: Option<u32>,
-    /// The worker's report, where one came.
+    /// The worker's load report, where one came.
     pub load_report: LoadReport,
 }
 
-/// The reply to an order to hold copies.
+/// The reply to a load command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadFinished {
     /// The worker.
     pub worker: WorkerId,
     /// The function.
     pub function: FunctionId,
-    /// How it ended; [`Outcome::Served`]: the copies stand.
+    /// How it ended; [`Outcome::Served`]: the replicas are loaded.
     pub outcome: Outcome,
     /// How long it took.
     pub elapsed: Time,
-    /// Copies that stand loaded now.
+    /// Replicas that are loaded now.
     pub replicas: u32,
 }
 
 /// What happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the workers.
+    /// An update of the endpoint list.
     Endpoints {
         /// What it covers.
         update: EndpointUpdate,
@@ -387,28 +387,28 @@
     Arrived(Request),
     /// An attempt ended.
     AttemptFinished(AttemptFinished),
-    /// The answer of a streamed call has begun; it has no deadline from here on.
+    /// The answer of a streamed request has begun; it has no deadline from here on.
     Streaming {
         /// The request.
         request: RequestId,
     },
-    /// The client has left; no answer is owed.
+    /// The client has cancelled; no answer is owed.
     ClientCancelled {
         /// The request.
         request: RequestId,
     },
-    /// A probe came back.
+    /// A load poll has ended.
     LoadPolled {
         /// The worker.
         worker: WorkerId,
         /// It answered.
         answered: bool,
-        /// Its report, where one came.
+        /// Its load report, where one came.
         report: LoadReport,
     },
-    /// An order to hold copies ended.
+    /// A load command ended.
     LoadFinished(LoadFinished),
-    /// A timer fell due.
+    /// A timer has expired.
     Timer {
         /// The token given with it.
         token: u64,
@@ -431,7 +431,7 @@
         request: RequestId,
         /// Where to.
         worker: WorkerId,
-        /// Its time-out; `None`: until the client gives up.
+        /// Its timeout; `None`: until the client gives up.
         timeout: Option<Time>,
     },
     /// Stop waiting for an attempt.
@@ -441,11 +441,11 @@
         /// Which attempt.
         attempt: u32,
     },
-    /// Final answer: not served, and another try is harmless.
+    /// Final answer: not served, and a retry is harmless.
     Reject {
         /// The request.
         request: RequestId,
-        /// How long the client should stay away.
+        /// How long the client should wait before a retry.
         retry_after: Option<Time>,
     },
     /// Final answer: failed, with nothing promised.
@@ -453,23 +453,23 @@
         /// The request.
         request: RequestId,
     },
-    /// Have a worker hold at least so many copies; 0 only asks how many stand.
+    /// Have a worker load at least so many replicas; 0 only asks how many are loaded.
     LoadFunction {
         /// The worker.
         worker: WorkerId,
         /// The function.
         function: FunctionId,
-        /// Copies wanted.
+        /// Replicas wanted.
         replicas: u32,
     },
-    /// Have a worker unload its idle copies of a function.
+    /// Have a worker evict its idle replicas of a function.
     EvictFunction {
         /// The worker.
         worker: WorkerId,
         /// The function.
         function: FunctionId,
     },
-    /// Ask a worker for its load; one [`Event::LoadPolled`] follows.
+    /// Poll a worker for its load; one [`Event::LoadPolled`] follows.
     PollLoad {
         /// The worker.
         worker: WorkerId,
@@ -481,6 +481,6 @@
         /// Comes back with it.
         token: u64,
     },
-    /// Ask that changes of the list be sent from now on.
+    /// Ask that updates of the endpoint list be sent from now on.
     WatchEndpoints,
 }
--- a/crates/pipithub-policy/src/worker_pool/tests.rs
+++ b/crates/pipithub-policy/src/worker_pool/tests.rs
@@ -187,17 +187,7 @@
                 zone,
                 started,
             } => self.enter(worker, state, zone, started),
-            Step::LoseAll { but } => {
-                let lost = |w: &WorkerId| *w != name(but);
-                self.pool.change_where(
-                    |worker| lost(&worker.endpoint.worker),
-                    |worker| worker.endpoint.state = EndpointState::Removed,
-                );
-                self.naive
-                    .iter_mut()
-                    .filter(|(w, _)| lost(w))
-                    .for_each(|(_, p)| p.endpoint.state = EndpointState::Removed);
-            }
+            Step::LoseAll { but } => self.lose_all_but(but),
             Step::Send { worker, marks } => self.both(worker, |worker, naive| {
                 worker.in_flight.push(attempt(marks));
                 naive.in_flight.push(marks);
@@ -216,29 +206,12 @@
                 worker,
                 function,
                 load_requested,
-            } => self.both(worker, |worker, naive| {
-                let function = FunctionId(function.into());
-                worker.replicas_of(function).load_requested = load_requested;
-                // As the one place that gives load commands does.
-                worker.may_have_load_commands |= load_requested;
-                naive.replicas.insert(function, load_requested);
-            }),
+            } => self.hold_replica(worker, function, load_requested),
             Step::Forget { worker, function } => self.both(worker, |worker, naive| {
                 worker.replicas.remove(&FunctionId(function.into()));
                 naive.replicas.remove(&FunctionId(function.into()));
             }),
-            Step::Reported { worker, in_flight } => self.both(worker, |worker, naive| {
-                worker.load_report = ReportedLoad {
-                    received_at: now,
-                    in_flight,
-                    cpu_utilization: 0.0,
-                    mean_in_flight: in_flight,
-                };
-                naive.load_report = NaiveReport {
-                    received_at: now,
-                    in_flight,
-                };
-            }),
+            Step::Reported { worker, in_flight } => self.report(worker, in_flight),
             Step::Errors {
                 worker,
                 class,
@@ -284,6 +257,44 @@
         self.naive.entry(name(worker)).or_default().endpoint = endpoint;
     }
 
+    fn lose_all_but(&mut self, but: u8) {
+        let lost = |w: &WorkerId| *w != name(but);
+        self.pool.change_where(
+            |worker| lost(&worker.endpoint.worker),
+            |worker| worker.endpoint.state = EndpointState::Removed,
+        );
+        self.naive
+            .iter_mut()
+            .filter(|(w, _)| lost(w))
+            .for_each(|(_, p)| p.endpoint.state = EndpointState::Removed);
+    }
+
+    fn hold_replica(&mut self, worker: u8, function: u8, load_requested: bool) {
+        let function = FunctionId(function.into());
+        self.both(worker, |worker, naive| {
+            worker.replicas_of(function).load_requested = load_requested;
+            // As the one place that gives load commands does.
+            worker.may_have_load_commands |= load_requested;
+            naive.replicas.insert(function, load_requested);
+        });
+    }
+
+    fn report(&mut self, worker: u8, in_flight: f64) {
+        let now = self.now;
+        self.both(worker, |worker, naive| {
+            worker.load_report = ReportedLoad {
+                received_at: now,
+                in_flight,
+                cpu_utilization: 0.0,
+                mean_in_flight: in_flight,
+            };
+            naive.load_report = NaiveReport {
+                received_at: now,
+                in_flight,
+            };
+        });
+    }
+
     fn both(&mut self, worker: u8, change: impl FnOnce(&mut WorkerGuard<'_>, &mut NaiveWorker)) {
         let (worker, naive) = (
             self.pool.get_mut(&name(worker)),
