--- a/crates/pipithub-policy/tests/common/mod.rs
+++ b/crates/pipithub-policy/tests/common/mod.rs
@@ -3,7 +3,11 @@
 
 use std::collections::BTreeSet;
 
-use pipithub_policy::api::*;
+use pipithub_policy::api::{
+    Action, AttemptFinished, Class, Endpoint, EndpointUpdate, Event, FunctionId, FunctionLoading,
+    Idempotency, Limits, LoadFinished, LoadReport, Outcome, ReplicaStatus, Request, RequestId,
+    Settings, SlowStart, Time, WorkerId,
+};
 use pipithub_policy::FrontEnd;
 
 /// Nanoseconds in a millisecond.
@@ -242,3 +246,79 @@
         })
         .collect()
 }
+
+/// Calls a function at 20 a second; `answer` says how a worker answers. Tells how many were served.
+pub(crate) fn play(
+    b: &mut Bench,
+    function: u64,
+    calls: usize,
+    mut answer: impl FnMut(&WorkerId) -> Option<Outcome>,
+) -> (usize, Vec<WorkerId>) {
+    let (mut served, mut workers) = (0, Vec::new());
+    let mut open: Vec<(RequestId, u32, WorkerId)> = Vec::new();
+    for _ in 0..calls {
+        let (id, actions) = b.call(function);
+        let mut queue = vec![(id, 0, actions)];
+        let passed = b.pass(50 * MS);
+        for (id, attempt, worker) in std::mem::take(&mut open) {
+            let gone = passed
+                .iter()
+                .any(|a| matches!(a, Action::Cancel { request, .. } if *request == id));
+            if gone {
+                let actions = b.finish(id, attempt, &worker, Outcome::Cancelled);
+                queue.push((id, attempt + 1, actions));
+            } else {
+                open.push((id, attempt, worker));
+            }
+        }
+        while let Some((id, attempt, actions)) = queue.pop() {
+            b.answer_orders(&actions, Outcome::Served, 1);
+            let Some(worker) = sent_to(&actions) else {
+                continue;
+            };
+            workers.push(worker.clone());
+            match answer(&worker) {
+                Some(outcome) => {
+                    served += usize::from(outcome == Outcome::Served);
+                    let actions = b.finish(id, attempt, &worker, outcome);
+                    queue.push((id, attempt + 1, actions));
+                }
+                None => open.push((id, attempt, worker)),
+            }
+        }
+    }
+    (served, workers)
+}
+
+/// The workers of a small deployment.
+pub(crate) const THREE: [&str; 3] = ["w1", "w2", "w3"];
+
+/// Settings of a tier so large that own sends tell nothing of the queues.
+pub(crate) fn large_tier() -> Settings {
+    let mut s = settings(Idempotency::Idempotent);
+    s.front_ends = 100;
+    s.limits.load_polls = true;
+    s
+}
+
+/// The worker that is polled.
+pub(crate) fn probed(actions: &[Action]) -> Option<WorkerId> {
+    actions.iter().find_map(|a| match a {
+        Action::PollLoad { worker } => Some(worker.clone()),
+        _ => None,
+    })
+}
+
+/// A load report of a worker.
+pub(crate) fn report(worker: &WorkerId, held: Option<f64>, busy: Option<f64>) -> Event {
+    let load = LoadReport {
+        in_flight: held,
+        cpu_utilization: busy,
+        ..LoadReport::default()
+    };
+    Event::LoadPolled {
+        worker: worker.clone(),
+        answered: true,
+        report: load,
+    }
+}
