--- a/crates/pipithub-adapter/src/wire.rs
+++ b/crates/pipithub-adapter/src/wire.rs
@@ -160,7 +160,7 @@
     let name = parts.text("message")?;
     parts.text("EndId")?;
     let event = match name {
-        "backends_changed" => return parts.list(),
+        "backends_changed" => return parts.endpoint_list(),
         "query" => Event::Arrived(parts.request(names)?),
         "health_result" => parts.load_polled()?,
         "wake" => Event::Timer {
@@ -185,7 +185,7 @@
 
 /// Whole messages, from the part after the front end's id on.
 impl Parts<'_> {
-    fn list(&mut self) -> Result<Input, String> {
+    fn endpoint_list(&mut self) -> Result<Input, String> {
         self.maybe::<u64>("Revision")?;
         let update = match self.text("How")? {
             "incr" => EndpointUpdate::Delta,
--- a/crates/pipithub-policy/tests/fleet.rs
+++ b/crates/pipithub-policy/tests/fleet.rs
@@ -6,7 +6,10 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
 use common::{entry, settings, MS};
-use pipithub_policy::api::*;
+use pipithub_policy::api::{
+    Action, AttemptFinished, Endpoint, EndpointState, EndpointUpdate, Event, FunctionId,
+    Idempotency, LoadReport, Outcome, Request, RequestId, Settings, SlowStart, Time, WorkerId,
+};
 use pipithub_policy::FrontEnd;
 
 /// Equal numbers from equal seeds.
--- a/crates/pipithub-policy/tests/growth.rs
+++ b/crates/pipithub-policy/tests/growth.rs
@@ -3,7 +3,7 @@
 mod plain;
 mod world;
 
-use pipithub_policy::api::*;
+use pipithub_policy::api::{Action, Event, Settings, Time};
 use pipithub_policy::FrontEnd;
 use world::meter::{median, Front, Play, Spent};
 use world::{Day, MS};
--- a/crates/pipithub-policy/tests/random.rs
+++ b/crates/pipithub-policy/tests/random.rs
@@ -5,7 +5,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use common::{settings, MS};
-use pipithub_policy::api::*;
+use pipithub_policy::api::{
+    Action, AttemptFinished, Class, DeduplicationScope, Endpoint, EndpointState, EndpointUpdate,
+    Event, FunctionId, Idempotency, LoadFinished, LoadRateLimit, LoadReport, Outcome,
+    ReplicaStatus, Request, RequestId, Time, WorkerId,
+};
 use pipithub_policy::FrontEnd;
 
 /// A small generator of our own, so that the sequences never change.
--- a/crates/pipithub-policy/tests/ring.rs
+++ b/crates/pipithub-policy/tests/ring.rs
@@ -2,7 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use pipithub_policy::api::*;
+use pipithub_policy::api::{
+    Action, AttemptFinished, Class, Endpoint, EndpointState, EndpointUpdate, Event, FunctionId,
+    LoadReport, Outcome, Request, Settings, Time, WorkerId,
+};
 use pipithub_policy::FrontEnd;
 
 const MS: Time = 1_000_000;
--- a/crates/pipithub-policy/tests/rules.rs
+++ b/crates/pipithub-policy/tests/rules.rs
@@ -3,7 +3,10 @@
 mod common;
 
 use common::{entry, failed, held, refused, sent_to, settings, Bench, MS};
-use pipithub_policy::api::*;
+use pipithub_policy::api::{
+    Action, DeduplicationScope, Endpoint, EndpointState, EndpointUpdate, Event, Idempotency,
+    LoadRateLimit, Outcome, Request, SlowStart, Time, WorkerId,
+};
 
 #[test]
 fn a_silent_worker_does_not_cost_the_final_answer() {
--- a/crates/pipithub-policy/tests/same.rs
+++ b/crates/pipithub-policy/tests/same.rs
@@ -6,7 +6,9 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::time::Instant;
 
-use pipithub_policy::api::*;
+use pipithub_policy::api::{
+    Action, Endpoint, EndpointUpdate, Event, FunctionId, Request, Settings, WorkerId,
+};
 use pipithub_policy::{work, FrontEnd};
 use world::{Counts, Day, World};
 
--- a/crates/pipithub-policy/tests/slow_start.rs
+++ b/crates/pipithub-policy/tests/slow_start.rs
@@ -9,7 +9,11 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use common::{entry, settings, MS};
-use pipithub_policy::api::*;
+use pipithub_policy::api::{
+    Action, AttemptFinished, Endpoint, EndpointState, EndpointUpdate, Event, FunctionId,
+    FunctionLoading, Idempotency, LoadReport, Outcome, ReplicaStatus, Request, RequestId, Settings,
+    SlowStart, Time, WorkerId,
+};
 use pipithub_policy::FrontEnd;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
--- a/crates/pipithub-policy/tests/unforeseen.rs
+++ b/crates/pipithub-policy/tests/unforeseen.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{sent_to, settings, Bench, MS};
-use pipithub_policy::api::*;
+use pipithub_policy::api::{Action, Event, Idempotency, LoadReport, Outcome, WorkerId};
 
 #[test]
 fn a_send_beside_an_order_under_way_is_not_silence() {
