--- a/crates/pipithub-policy/src/estimates.rs
+++ b/crates/pipithub-policy/src/estimates.rs
@@ -2,7 +2,7 @@
 //!
 //! All are means that weigh a new sample by a fixed gain, with samples capped: one heavy request is
 //! no slow worker. Estimates of slowdowns return to the usual when nothing refreshes them, so that
-//! no bad spell is believed for ever.
+//! no slow period is believed for ever.
 
 use crate::api::{FunctionId, Time};
 use crate::front_end::FrontEnd;
--- a/crates/pipithub-policy/src/load_reports.rs
+++ b/crates/pipithub-policy/src/load_reports.rs
@@ -16,7 +16,7 @@
 pub(crate) const REPORT_LIFETIME: Time = 700 * MILLISECOND;
 /// Weight of a new report in the mean of the requests in flight.
 const IN_FLIGHT_GAIN: f64 = 0.5;
-/// That mean decays by half in this time: functions that crowd a worker do so for long.
+/// That mean decays by half in this time: functions that load a worker do so for long.
 pub(crate) const IN_FLIGHT_HALF_LIFE: Time = 20_000 * MILLISECOND;
 /// Marks the timers of requests that wait for a load report; request ids stay far below.
 pub(crate) const POLL_TIMEOUT_TOKEN: u64 = 1 << 61;
--- a/crates/pipithub-policy/src/rebalancing.rs
+++ b/crates/pipithub-policy/src/rebalancing.rs
@@ -38,7 +38,7 @@
 /// What a round has to choose from.
 #[derive(Default)]
 struct Placements {
-    /// Replicas that stand loaded by a command.
+    /// Replicas that were loaded by a command.
     placed: Vec<Placement>,
     /// Functions that were missed.
     missed: Vec<Placement>,
--- a/crates/pipithub-policy/src/requests.rs
+++ b/crates/pipithub-policy/src/requests.rs
@@ -187,7 +187,7 @@
     /// Clients that leave and retry at once would else have the work done twice and more, and the
     /// full queues then outlast the cause. In a small deployment the own queue shows it; in a large
     /// one nothing does. It may harm where cancelled work goes on: that is replayed to its
-    /// predicted finish, and the time it took teaches, but its true end is never heard of.
+    /// predicted finish, and the time it took is learnt from, but its true end is never known.
     fn cancel_attempt(&self, id: RequestId, pending: &PendingRequest, actions: &mut Vec<Action>) {
         if self.settings.limits.cancel && pending.attempt_in_flight && !pending.streaming {
             actions.push(Action::Cancel {
--- a/crates/pipithub-policy/src/slow_start.rs
+++ b/crates/pipithub-policy/src/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: what a worker that has just started may be sent.
 //!
 //! A worker that warms up falls over when it gets more than a multiple of its present capacity for
-//! a while. Its capacity is not told: it is taken from what warm workers serve this front end. The
+//! a while. Its capacity is not known: it is taken from what warm workers serve this front end. The
 //! front ends share no count, so that each spends its part of the budget only. `docs/design.md`, "A
 //! cold worker's budget" and "Cold workers' budget", tells where the figures come from;
 //! `tests/slow_start.rs` holds the rule.
--- a/crates/pipithub-policy/src/state.rs
+++ b/crates/pipithub-policy/src/state.rs
@@ -112,7 +112,7 @@
     pub(crate) last_response_at: Time,
     /// The most attempts to have there; a rejection lowers it, answers raise it.
     pub(crate) concurrency_limit: f64,
-    /// Its health for each class: what stands behind a worker may fail one class alone.
+    /// Its health for each class: a backend of the worker may fail one class alone.
     pub(crate) health: Vec<Health>,
     /// Failed or broken connections since its last answer.
     pub(crate) consecutive_connect_failures: u32,
@@ -178,7 +178,7 @@
     pub(crate) run_time: Option<f64>,
     pub(crate) last_requested_at: Time,
     /// Preferred workers that it needs in a large deployment, of one replica each; under 1 while no
-    /// answer has told its concurrency.
+    /// answer has reported its concurrency.
     pub(crate) preferred_workers: f64,
 }
 
--- a/crates/pipithub-policy/src/work.rs
+++ b/crates/pipithub-policy/src/work.rs
@@ -1,6 +1,7 @@
 //! Counts the workers looked at, in builds with the feature `count`; elsewhere nothing is counted.
 //!
-//! Counted work says how a decision grows with the tier on any machine, where time would not.
+//! Counted work shows how a decision grows with the number of workers on any machine, where time
+//! would not.
 
 #[cfg(feature = "count")]
 thread_local! {
--- a/crates/pipithub-policy/src/worker_pool.rs
+++ b/crates/pipithub-policy/src/worker_pool.rs
@@ -209,7 +209,7 @@
         self.states(self.index.active())
     }
 
-    /// Workers with an attempt or a command that may stand for a load, by address.
+    /// Workers with an attempt or a command that may be a load, by address.
     pub(crate) fn loading(&self) -> impl Iterator<Item = &WorkerState> {
         self.states(self.index.loading())
     }
--- a/crates/pipithub-policy/src/worker_pool/index.rs
+++ b/crates/pipithub-policy/src/worker_pool/index.rs
@@ -17,7 +17,7 @@
 /// No weight counts for more: the sum of all must not overflow.
 const MAX_WEIGHT: f64 = 1e6;
 
-/// What is known of all workers together. Each worker's part stands with it as [`IndexedState`].
+/// What is known of all workers together. Each worker's part is kept with it as [`IndexedState`].
 #[derive(Debug, Default)]
 pub(super) struct WorkerIndex {
     /// Ready workers by hash.
@@ -25,7 +25,7 @@
     removed: BTreeSet<WorkerId>,
     /// With attempts in flight, or answers that are still counted.
     active: BTreeSet<WorkerId>,
-    /// With an attempt or a command that may stand for a load.
+    /// With an attempt or a command that may be a load.
     loading: BTreeSet<WorkerId>,
     /// With replicas.
     with_replicas: BTreeSet<WorkerId>,
@@ -327,7 +327,7 @@
         self.active.iter()
     }
 
-    /// Workers with an attempt or a command that may stand for a load, by address.
+    /// Workers with an attempt or a command that may be a load, by address.
     pub(super) fn loading(&self) -> impl Iterator<Item = &WorkerId> {
         self.loading.iter()
     }
--- a/crates/pipithub-policy/src/worker_pool/tests.rs
+++ b/crates/pipithub-policy/src/worker_pool/tests.rs
@@ -11,7 +11,7 @@
 const HALF_LIFE: Time = 20_000;
 const CLASSES: usize = 2;
 
-/// Why an attempt may stand for a load.
+/// Why an attempt may be waiting for a load.
 #[derive(Clone, Copy, Debug)]
 struct LoadMarks {
     cold_start: bool,
@@ -137,7 +137,7 @@
     WorkerId::new(&format!("10.0.0.{worker}:80"))
 }
 
-/// An attempt that may stand for a load or not.
+/// An attempt that may be waiting for a load or not.
 fn attempt(marks: LoadMarks) -> Attempt {
     Attempt {
         request: 1,
