--- /dev/null
+++ b/crates/pipithub-policy/src/routing.rs
@@ -0,0 +1,327 @@
+//! The worker that a request is forwarded to.
+//!
+//! The workers are gone through in the function's order, and the first at which the prediction
+//! meets every deadline gets the request (admission by replay, the paper, section III-B). Where
+//! none does, an answer after the latency objective, a speculative attempt or a worker with busy
+//! cores may do; else the request is rejected unsent. `docs/design.md`, "Exceptions, and when each
+//! acts", tells when and why the exceptions apply.
+
+use std::collections::BTreeSet;
+
+use crate::api::{Action, FunctionId, Request, RequestId, Time, WorkerId};
+use crate::front_end::FrontEnd;
+use crate::load_reports::REPORT_LIFETIME;
+use crate::replay::{Prediction, RUN_TIME_MARGIN};
+use crate::state::{PendingRequest, WorkerState};
+
+/// A worker that reports its cores to be busier than this has a queue: it is second choice.
+const MAX_CPU_UTILIZATION: f64 = 0.95;
+/// The most requests past their objective at one worker: they must not fill its queue.
+const MAX_LATE_REQUESTS: usize = 8;
+
+/// A worker for a request, with what is predicted there and the deadline that the attempt is
+/// admitted for.
+pub(crate) struct Candidate {
+    pub(crate) worker: WorkerId,
+    pub(crate) prediction: Prediction,
+    pub(crate) target_deadline: Time,
+}
+
+/// What a worker is to a request.
+enum Verdict {
+    /// It may not be sent the request, or would not serve it in time.
+    Unsuitable,
+    /// Its cores are reported to be busy.
+    Busy(Prediction),
+    /// It has to be polled first.
+    NeedsPoll,
+    /// Every deadline is met there.
+    Admits(Prediction),
+    /// Only a load stands in the way of the target deadline.
+    AwaitsLoad(Prediction),
+}
+
+/// What a search looks for, and what it needs to know of all workers.
+struct Search<'a> {
+    pending: &'a PendingRequest,
+    /// The deadline that the request is to meet.
+    target_deadline: Time,
+    /// Zones that are left alone.
+    closed_zones: BTreeSet<&'a str>,
+    /// A replica of the function is believed somewhere.
+    located: bool,
+    /// A load may begin.
+    may_load: bool,
+    /// A further replica may be started where there is one.
+    may_add_replica: bool,
+    /// The run alone, with its margin.
+    padded_run_time: f64,
+}
+
+/// What a search has found.
+#[derive(Default)]
+struct Found {
+    /// The first worker that admits the request.
+    admits: Option<Candidate>,
+    /// The first one that serves it after its objective.
+    late: Option<Candidate>,
+    /// The first one at which only a load stands in the way.
+    awaits_load: Option<Candidate>,
+    /// The first one that would admit it, were its cores not busy.
+    busy: Option<Candidate>,
+    /// One that has to be polled first; it ends the search.
+    needs_poll: Option<WorkerId>,
+}
+
+impl FrontEnd {
+    /// Forwards the request to the worker that admits it, or ends it.
+    pub(crate) fn route(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(pending) = self.pending.get_mut(&id) else {
+            return;
+        };
+        pending.awaits_load = false;
+        if pending.attempt_in_flight || pending.streaming || pending.polled_worker.is_some() {
+            return;
+        }
+        let pending = &self.pending[&id];
+        let (function, deadline) = (pending.request.function, pending.deadline);
+        let Some(target_deadline) = self.target_deadline(pending) else {
+            return self.reject_or_fail(id, actions);
+        };
+        let mut found = self.search(pending, target_deadline);
+        if let Some(worker) = found.needs_poll {
+            return self.poll_load(id, worker, actions);
+        }
+        if let Some(miss) = &found.awaits_load {
+            // A load longer than clients wait is begun by no request: only a command spreads such a
+            // function.
+            let may_spread = found.admits.is_some() || miss.prediction.finish > deadline;
+            self.record_placement_miss(&miss.worker, id, may_spread, actions);
+        }
+        let mut choice = found.admits.or(found.late);
+        if choice.is_none() {
+            choice = found
+                .awaits_load
+                .take()
+                .and_then(|miss| self.speculate(miss, deadline));
+        }
+        match choice.or(found.busy) {
+            Some(chosen)
+                if chosen.prediction.cold_start && !self.settings.loading.loads_on_request =>
+            {
+                self.await_load(id, chosen.worker, function, actions);
+            }
+            Some(chosen) => self.forward(id, chosen, actions),
+            None => self.reject_or_fail(id, actions),
+        }
+    }
+
+    /// The deadline that a further attempt of the request has to meet; `None`: it gets none.
+    fn target_deadline(&self, pending: &PendingRequest) -> Option<Time> {
+        let class = &self.settings.classes[pending.request.class];
+        let out_of_time = self.now + 2 * self.settings.tick >= pending.deadline;
+        if pending.attempts >= self.settings.limits.max_attempts || out_of_time {
+            return None;
+        }
+        if self.now < pending.latency_objective {
+            return Some(pending.latency_objective);
+        }
+        // After the objective only a late answer is left; where that is worth nothing, more work
+        // would be waste.
+        if pending.latency_objective < self.now && class.late_answer_weight <= 0.0 {
+            return None;
+        }
+        Some(pending.deadline)
+    }
+
+    /// Goes through the workers in the function's order.
+    fn search(&self, pending: &PendingRequest, target_deadline: Time) -> Found {
+        let request = &pending.request;
+        let order = self.preference_order(request.function);
+        let search = self.begin_search(pending, target_deadline);
+        let mut found = Found::default();
+        // Where nobody is believed to hold it, it is presumed at its first worker: a front end that
+        // knows nothing must neither reject nor spread. Where that one is lost it is loaded
+        // nowhere: presumed at the next one, each of the lost worker's functions would begin a load
+        // there past the limit on loads.
+        let mut presumed = !search.located && pending.attempts == 0;
+        for id in order {
+            if pending.attempted_workers.contains(id) {
+                continue;
+            }
+            let worker = &self.workers[id];
+            let verdict = self.assess(&search, worker, std::mem::take(&mut presumed));
+            let candidate = |prediction, target_deadline| Candidate {
+                worker: id.clone(),
+                prediction,
+                target_deadline,
+            };
+            match verdict {
+                Verdict::Unsuitable => {}
+                Verdict::Busy(prediction) => {
+                    if found.busy.is_none() && !prediction.cold_start {
+                        found.busy = Some(candidate(prediction, target_deadline));
+                    }
+                }
+                Verdict::NeedsPoll => {
+                    found.needs_poll = Some(id.clone());
+                    break;
+                }
+                Verdict::Admits(prediction) => {
+                    found.admits = Some(candidate(prediction, target_deadline));
+                    break;
+                }
+                Verdict::AwaitsLoad(prediction) => {
+                    if found.awaits_load.is_none() && prediction.cold_start {
+                        found.awaits_load = Some(candidate(prediction, pending.deadline));
+                    }
+                    if found.late.is_none() && self.may_serve_late(&search, worker, &prediction) {
+                        found.late = Some(candidate(prediction, pending.deadline));
+                    }
+                }
+            }
+        }
+        found
+    }
+
+    fn begin_search<'a>(
+        &'a self,
+        pending: &'a PendingRequest,
+        target_deadline: Time,
+    ) -> Search<'a> {
+        let Request {
+            function, class, ..
+        } = pending.request;
+        let loads = self.loads_in_progress(function);
+        let may_add_replica = self.may_begin_load(&loads);
+        Search {
+            pending,
+            target_deadline,
+            closed_zones: self.closed_zones(),
+            located: self.is_located(function),
+            // One load of a function is awaited before the next.
+            may_load: may_add_replica && !loads.of_function,
+            may_add_replica,
+            padded_run_time: self.expected_run_time(function, class) * RUN_TIME_MARGIN,
+        }
+    }
+
+    /// Whether a replica of the function is believed at a ready worker.
+    fn is_located(&self, function: FunctionId) -> bool {
+        self.workers
+            .holders(function)
+            .any(|worker| worker.is_ready() && self.replica_ready_at(worker, function).is_some())
+    }
+
+    /// What a worker is to the request.
+    fn assess(&self, search: &Search, worker: &WorkerState, presumed: bool) -> Verdict {
+        let now = self.now;
+        if !self.may_attempt(search, worker) {
+            return Verdict::Unsuitable;
+        }
+        let prediction = self.predict(worker, &search.pending.request, presumed);
+        let target_deadline = search.target_deadline;
+        let saturated = search.padded_run_time * self.reported_slowdown(worker)
+            > (target_deadline - now) as f64;
+        if !prediction.others_meet_deadlines
+            || prediction.warm_finish > target_deadline
+            || saturated
+        {
+            return Verdict::Unsuitable;
+        }
+        if self.relies_on_load_reports() {
+            let report = &worker.load_report;
+            let is_busy = report.cpu_utilization > MAX_CPU_UTILIZATION;
+            if now < report.received_at + REPORT_LIFETIME && is_busy {
+                return Verdict::Busy(prediction);
+            }
+            let last_heard_at = report.received_at.max(worker.last_response_at);
+            let unheard = now > REPORT_LIFETIME + last_heard_at;
+            if unheard && self.may_poll(search.pending.load_polls) {
+                return Verdict::NeedsPoll;
+            }
+        }
+        if prediction.finish <= target_deadline
+            && (!prediction.cold_start || search.may_load)
+            && (!prediction.adds_replica || search.may_add_replica)
+        {
+            return Verdict::Admits(prediction);
+        }
+        Verdict::AwaitsLoad(prediction)
+    }
+
+    /// Whether the request may have an attempt at this worker at all.
+    fn may_attempt(&self, search: &Search, worker: &WorkerState) -> bool {
+        let pending = search.pending;
+        self.may_retry_at(pending, worker)
+            && !search.closed_zones.contains(worker.endpoint.zone.as_str())
+            && worker.accepts(pending.request.class, self.now)
+            && (worker.in_flight.len() as f64) < worker.concurrency_limit
+            && self.has_slow_start_budget(worker)
+    }
+
+    /// Whether a worker may serve the request after its objective.
+    fn may_serve_late(
+        &self,
+        search: &Search,
+        worker: &WorkerState,
+        prediction: &Prediction,
+    ) -> bool {
+        let request = &search.pending.request;
+        let class = &self.settings.classes[request.class];
+        if class.late_answer_weight <= 0.0 || prediction.finish > search.pending.deadline {
+            return false;
+        }
+        let late_requests = worker
+            .in_flight
+            .iter()
+            .filter(|attempt| attempt.target_deadline > attempt.latency_objective)
+            .count();
+        // A function that is loaded elsewhere is loaded here only where that should evict nothing.
+        let load_is_worthwhile = || {
+            search.may_load && (!search.located || self.has_memory_for(worker, request.function))
+        };
+        late_requests < MAX_LATE_REQUESTS
+            && (!prediction.cold_start || load_is_worthwhile())
+            && (!prediction.adds_replica || search.may_add_replica)
+    }
+
+    /// Sends the request to a worker at which only a load stands in the way, as if the function
+    /// were loaded.
+    ///
+    /// The others follow the same order: what moved on here did there, and has likely loaded it. A
+    /// wrong guess must still be served: a request with little time goes where a replica is, or not
+    /// at all.
+    fn speculate(&mut self, miss: Candidate, deadline: Time) -> Option<Candidate> {
+        let in_time = self.settings.loading.loads_on_request && miss.prediction.finish <= deadline;
+        if self.speculation_tokens < 1.0 || !self.store_is_available() || !in_time {
+            return None;
+        }
+        self.speculation_tokens -= 1.0;
+        Some(Candidate {
+            prediction: Prediction {
+                cold_start: false,
+                finish: miss.prediction.warm_finish,
+                ..miss.prediction
+            },
+            ..miss
+        })
+    }
+
+    /// Has the function loaded by a command; the request waits, unsent, for the reply.
+    fn await_load(
+        &mut self,
+        id: RequestId,
+        worker: WorkerId,
+        function: FunctionId,
+        actions: &mut Vec<Action>,
+    ) {
+        if !self.command_load(&worker, function, actions) {
+            return self.reject_or_fail(id, actions);
+        }
+        if let Some(pending) = self.pending.get_mut(&id) {
+            pending.awaits_load = true;
+            pending.attempted_workers.push(worker);
+        }
+    }
+}
--- a/crates/pipithub-policy/tests/fleet.rs
+++ b/crates/pipithub-policy/tests/fleet.rs
@@ -6,8 +6,11 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
 use common::{entry, settings, MS};
-use pipithub_policy::api::*;
-use pipithub_policy::decide::FrontEnd;
+use pipithub_policy::api::{
+    Action, AttemptFinished, Endpoint, EndpointState, EndpointUpdate, Event, FunctionId,
+    Idempotency, LoadReport, Outcome, Request, RequestId, Settings, SlowStart, Time, WorkerId,
+};
+use pipithub_policy::FrontEnd;
 
 /// Equal numbers from equal seeds.
 struct Draw(u64);
--- a/crates/pipithub-policy/tests/ring.rs
+++ b/crates/pipithub-policy/tests/ring.rs
@@ -2,8 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use pipithub_policy::api::*;
-use pipithub_policy::decide::FrontEnd;
+use pipithub_policy::api::{
+    Action, AttemptFinished, Class, Endpoint, EndpointState, EndpointUpdate, Event, FunctionId,
+    LoadReport, Outcome, Request, Settings, Time, WorkerId,
+};
+use pipithub_policy::FrontEnd;
 
 const MS: Time = 1_000_000;
 const WORKERS: u64 = 3_000;
