--- a/crates/pipithub-consumer/tests/with_broker.rs
+++ b/crates/pipithub-consumer/tests/with_broker.rs
@@ -158,7 +158,7 @@
         let max_open = usize::from(self.prefetch);
         let settings = EngineSettings {
             policy,
-            max_open,
+            max_pending: max_open,
             ..EngineSettings::default()
         };
         let mut engine = Engine::new(settings, which as u64);
@@ -336,7 +336,7 @@
                 _ => {}
             }
         }
-        front.consumer.set_room(now, front.engine.room());
+        front.consumer.set_room(now, front.engine.capacity());
         moved
     }
 
@@ -456,7 +456,10 @@
     assert_eq!(bed.verdicts(), [("a", vec!["served"])]);
     assert_eq!(bed.broker.depth("calls"), Some((0, 0)));
     assert_eq!(
-        (bed.fronts[0].engine.open(), bed.fronts[0].consumer.held()),
+        (
+            bed.fronts[0].engine.pending_requests(),
+            bed.fronts[0].consumer.held()
+        ),
         (0, 0)
     );
 }
--- a/crates/pipithub-engine/src/engine.rs
+++ b/crates/pipithub-engine/src/engine.rs
@@ -23,19 +23,19 @@
     /// The module's settings.
     pub policy: Settings,
     /// Requests held at a time, answered but not yet settled ones included.
-    pub max_open: usize,
+    pub max_pending: usize,
     /// Bytes of bodies held at a time, calls' and answers'.
-    pub max_bytes: usize,
+    pub max_body_bytes: usize,
     /// Answers leave this long before the client's time is up, for their own way back.
     pub answer_margin: Time,
     /// Settled messages remembered against repeats.
-    pub remember: usize,
+    pub remembered_messages: usize,
     /// For how long.
     pub remember_for: Time,
     /// A message that came more often than this is failed: it may be what brings front ends down.
     pub max_deliveries: u32,
     /// Function names kept for orders.
-    pub max_names: usize,
+    pub max_function_names: usize,
     /// Which functions are whose.
     pub owners: Arc<Owners>,
 }
@@ -44,13 +44,13 @@
     fn default() -> Self {
         EngineSettings {
             policy: Settings::default(),
-            max_open: 4096,
-            max_bytes: 256 << 20,
+            max_pending: 4096,
+            max_body_bytes: 256 << 20,
             answer_margin: 5_000_000,
-            remember: 65_536,
+            remembered_messages: 65_536,
             remember_for: 600_000_000_000,
             max_deliveries: 20,
-            max_names: 16_384,
+            max_function_names: 16_384,
             owners: Arc::default(),
         }
     }
@@ -87,23 +87,23 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
     /// Triggers taken.
-    pub taken: u64,
+    pub triggers: u64,
     /// Of these, ones that came again.
-    pub again: u64,
+    pub redelivered: u64,
     /// Of these, joined to a request that was open here.
     pub joined: u64,
     /// Attempts started.
-    pub sends: u64,
+    pub attempts: u64,
     /// Attempts withdrawn.
-    pub cancels: u64,
+    pub cancelled_attempts: u64,
     /// Orders to hold copies.
-    pub holds: u64,
+    pub load_commands: u64,
     /// Probes.
-    pub probes: u64,
+    pub load_polls: u64,
     /// Final answers served.
     pub served: u64,
     /// Final answers refused.
-    pub refused: u64,
+    pub rejected: u64,
     /// Final answers failed.
     pub failed: u64,
 }
@@ -164,7 +164,7 @@
         let settings = EngineSettings { policy, ..settings };
         Engine {
             front,
-            memory: Memory::new(settings.remember, settings.remember_for),
+            memory: Memory::new(settings.remembered_messages, settings.remember_for),
             settings,
             timers: Timers::default(),
             open: BTreeMap::new(),
@@ -189,30 +189,30 @@
 
     /// How many more triggers may be handed in now. Sources that can be held back should be. Before the first list there
     /// is no room: a front end that knows no worker yet would refuse what another could serve.
-    pub fn room(&self) -> usize {
-        if !self.listed || self.draining || self.bytes >= self.settings.max_bytes {
+    pub fn capacity(&self) -> usize {
+        if !self.listed || self.draining || self.bytes >= self.settings.max_body_bytes {
             return 0;
         }
-        self.settings.max_open.saturating_sub(self.open.len())
+        self.settings.max_pending.saturating_sub(self.open.len())
     }
 
     /// Requests that are not settled.
-    pub fn open(&self) -> usize {
+    pub fn pending_requests(&self) -> usize {
         self.open.len()
     }
 
     /// Attempts that have no outcome yet.
-    pub fn attempts_out(&self) -> usize {
+    pub fn attempts_in_flight(&self) -> usize {
         self.out.len()
     }
 
     /// Bytes of bodies held.
-    pub fn bytes(&self) -> usize {
+    pub fn body_bytes(&self) -> usize {
         self.bytes
     }
 
     /// Workers that may be sent work, as last told.
-    pub fn live_workers(&self) -> usize {
+    pub fn ready_workers(&self) -> usize {
         self.live.len()
     }
 
@@ -331,7 +331,7 @@
         refused: Option<(Cause, Option<Time>)>,
         out: &mut Vec<Output>,
     ) {
-        self.stats.taken += 1;
+        self.stats.triggers += 1;
         let Trigger {
             ticket,
             identity,
@@ -342,7 +342,7 @@
         call.class = call.class.min(self.settings.policy.classes.len() - 1);
         let (mut budget, waited) = (call.timeout, call.waited);
         if redelivered {
-            self.stats.again += 1;
+            self.stats.redelivered += 1;
             let class = &self.settings.policy.classes[call.class];
             let margin = self.settings.answer_margin + 4 * self.settings.policy.tick;
             let again = self
@@ -412,7 +412,8 @@
                 out,
             );
         }
-        if self.open.len() >= self.settings.max_open || self.bytes + bytes > self.settings.max_bytes
+        if self.open.len() >= self.settings.max_pending
+            || self.bytes + bytes > self.settings.max_body_bytes
         {
             return self.at_once(
                 now,
@@ -680,7 +681,7 @@
         };
         let counter = match verdict {
             Verdict::Served => &mut self.stats.served,
-            Verdict::Rejected => &mut self.stats.refused,
+            Verdict::Rejected => &mut self.stats.rejected,
             Verdict::Failed => &mut self.stats.failed,
         };
         *counter += 1;
@@ -813,7 +814,7 @@
                 }
                 open.attempts += 1;
                 self.out.insert(id, worker.clone());
-                self.stats.sends += 1;
+                self.stats.attempts += 1;
                 let deadline = timeout.map_or(open.deadline, |t| open.deadline.min(now + t));
                 out.push(Output::Forward {
                     id,
@@ -823,7 +824,7 @@
                 });
             }
             Action::Cancel { request, attempt } => {
-                self.stats.cancels += 1;
+                self.stats.cancelled_attempts += 1;
                 out.push(Output::Cancel(AttemptId {
                     request,
                     number: attempt,
@@ -846,7 +847,7 @@
                 replicas: copies,
             } => match self.names.get(&function) {
                 Some((name, _)) => {
-                    self.stats.holds += 1;
+                    self.stats.load_commands += 1;
                     out.push(Output::LoadFunction {
                         worker,
                         function,
@@ -872,7 +873,7 @@
                 }
             }
             Action::PollLoad { worker } => {
-                self.stats.probes += 1;
+                self.stats.load_polls += 1;
                 out.push(Output::PollLoad(worker));
             }
             Action::SetTimer { after, token } => self.timers.set(now.saturating_add(after), token),
@@ -893,7 +894,7 @@
             *called = now;
             return;
         }
-        if self.names.len() >= self.settings.max_names {
+        if self.names.len() >= self.settings.max_function_names {
             let mut times: Vec<Time> = self.names.values().map(|(_, called)| *called).collect();
             times.sort_unstable();
             // A half goes at a time, so that one-off functions do not make each call pay for this.
--- a/crates/pipithub-engine/tests/engine.rs
+++ b/crates/pipithub-engine/tests/engine.rs
@@ -179,9 +179,12 @@
         reply.served.as_ref().map(|s| &s.body[..]),
         Some(&b"yes"[..])
     );
-    assert_eq!(bed.engine.open(), 1);
+    assert_eq!(bed.engine.pending_requests(), 1);
     bed.input(Input::Settled(ticket));
-    assert_eq!((bed.engine.open(), bed.engine.bytes()), (0, 0));
+    assert_eq!(
+        (bed.engine.pending_requests(), bed.engine.body_bytes()),
+        (0, 0)
+    );
 }
 
 #[test]
@@ -264,9 +267,9 @@
     assert_eq!(bed.end(sends(&out)[0], Outcome::ConnectionLost), []);
     assert_eq!(
         (
-            bed.engine.open(),
-            bed.engine.bytes(),
-            bed.engine.attempts_out()
+            bed.engine.pending_requests(),
+            bed.engine.body_bytes(),
+            bed.engine.attempts_in_flight()
         ),
         (0, 0, 0)
     );
@@ -380,14 +383,14 @@
     assert_eq!(out, [Output::Cancel(attempt)]);
     assert_eq!(
         (
-            bed.engine.open(),
-            bed.engine.bytes(),
-            bed.engine.attempts_out()
+            bed.engine.pending_requests(),
+            bed.engine.body_bytes(),
+            bed.engine.attempts_in_flight()
         ),
         (0, 0, 1)
     );
     bed.end(attempt, Outcome::Cancelled);
-    assert_eq!(bed.engine.attempts_out(), 0);
+    assert_eq!(bed.engine.attempts_in_flight(), 0);
 }
 
 /// A message that went elsewhere after a lost connection must not be held for ever.
@@ -397,9 +400,12 @@
     let (_, out) = bed.trigger(SAFE, |_| {});
     bed.input(Input::SourceLost(SourceId(1)));
     bed.end(sends(&out)[0], Outcome::Served);
-    assert_eq!(bed.engine.open(), 1);
+    assert_eq!(bed.engine.pending_requests(), 1);
     bed.pass(5_000 * MS);
-    assert_eq!((bed.engine.open(), bed.engine.bytes()), (0, 0));
+    assert_eq!(
+        (bed.engine.pending_requests(), bed.engine.body_bytes()),
+        (0, 0)
+    );
 }
 
 #[test]
@@ -422,17 +428,17 @@
 #[test]
 fn every_bound_answers_at_once() {
     let mut bed = Bed::new(EngineSettings {
-        max_open: 2,
+        max_pending: 2,
         ..settings()
     });
     bed.trigger(SAFE, |t| t.identity = Some("a".into()));
     bed.trigger(SAFE, |t| t.identity = Some("b".into()));
-    assert_eq!(bed.engine.room(), 0);
+    assert_eq!(bed.engine.capacity(), 0);
     let (_, out) = bed.trigger(SAFE, |t| t.identity = Some("c".into()));
     assert_eq!(only_answer(&out).1.cause, Cause::AtCapacity);
 
     let mut bed = Bed::new(EngineSettings {
-        max_bytes: 5,
+        max_body_bytes: 5,
         ..settings()
     });
     bed.trigger(SAFE, |t| t.identity = Some("a".into()));
@@ -445,7 +451,7 @@
     assert_eq!(only_answer(&out).1.cause, Cause::Draining);
 
     let mut bed = Bed::new(EngineSettings {
-        max_names: 10,
+        max_function_names: 10,
         ..settings()
     });
     for n in 0..100 {
@@ -460,7 +466,7 @@
 #[test]
 fn before_the_first_list_there_is_no_room() {
     let mut engine = Engine::new(settings(), 7);
-    assert_eq!(engine.room(), 0);
+    assert_eq!(engine.capacity(), 0);
     engine.handle(
         0,
         Input::Endpoints {
@@ -469,7 +475,7 @@
         },
         &mut Vec::new(),
     );
-    assert_eq!(engine.room(), 0, "a list that could not be had is none");
+    assert_eq!(engine.capacity(), 0, "a list that could not be had is none");
     engine.handle(
         0,
         Input::Endpoints {
@@ -478,7 +484,7 @@
         },
         &mut Vec::new(),
     );
-    assert_eq!(engine.room(), settings().max_open);
+    assert_eq!(engine.capacity(), settings().max_pending);
 }
 
 #[test]
@@ -493,7 +499,7 @@
         update: EndpointUpdate::Delta,
         endpoints: (0..3).map(gone).collect(),
     });
-    assert_eq!(bed.engine.live_workers(), 0);
+    assert_eq!(bed.engine.ready_workers(), 0);
     let (_, out) = bed.trigger(SAFE, |t| t.identity = None);
     assert_eq!(only_answer(&out).1.verdict, Verdict::Rejected);
     let back = Endpoint {
--- a/crates/pipithub-engine/tests/world.rs
+++ b/crates/pipithub-engine/tests/world.rs
@@ -40,7 +40,7 @@
             },
             ..Settings::default()
         },
-        max_open: 20,
+        max_pending: 20,
         ..EngineSettings::default()
     }
 }
@@ -305,7 +305,7 @@
             let first = self.chance(2) as usize;
             let free = [first, 1 - first]
                 .into_iter()
-                .find(|w| self.engines[*w].room() > 0);
+                .find(|w| self.engines[*w].capacity() > 0);
             let Some(which) = free else { return };
             let Some(message) = self.queue.pop_front() else {
                 return;
@@ -403,7 +403,7 @@
             }
         }
         for engine in &world.engines {
-            prop_assert_eq!((engine.open(), engine.bytes(), engine.attempts_out()), (0, 0, 0));
+            prop_assert_eq!((engine.pending_requests(), engine.body_bytes(), engine.attempts_in_flight()), (0, 0, 0));
         }
     }
 
--- a/crates/pipithub-gateway/src/front.rs
+++ b/crates/pipithub-gateway/src/front.rs
@@ -103,7 +103,7 @@
 
     pub(crate) fn add_source(&mut self, id: SourceId) -> SourceHandle {
         let (orders, receiver) = mpsc::unbounded_channel();
-        let (room, watched) = watch::channel(self.engine.room());
+        let (room, watched) = watch::channel(self.engine.capacity());
         self.sources.insert(id, Source { orders, room });
         SourceHandle {
             orders: receiver,
@@ -136,7 +136,7 @@
     pub(crate) async fn run(mut self, mut stopped: watch::Receiver<bool>) {
         info!(
             front_end = self.name,
-            workers = self.engine.live_workers(),
+            workers = self.engine.ready_workers(),
             "front end up"
         );
         let mut batch = Vec::with_capacity(256);
@@ -145,7 +145,9 @@
             self.carry_out();
             self.tell();
             let pending = self.tenancy.as_ref().map_or(0, Tenancy::pending);
-            if end.is_some_and(|end| self.engine.open() + pending == 0 || self.clock.now() >= end) {
+            if end.is_some_and(|end| {
+                self.engine.pending_requests() + pending == 0 || self.clock.now() >= end
+            }) {
                 break;
             }
             let gate_due = self.tenancy.as_ref().and_then(Tenancy::next_due);
@@ -174,7 +176,7 @@
                 }
                 () = self.clock.sleep_until(due) => batch.push(Input::Tick),
                 _ = stopped.wait_for(|s| *s), if end.is_none() => {
-                    info!(front_end = self.name, open = self.engine.open(), "stopping");
+                    info!(front_end = self.name, open = self.engine.pending_requests(), "stopping");
                     end = Some(self.clock.now() + self.drain);
                     self.sources.values().for_each(|s| drop(s.orders.send(Order::Stop)));
                     batch.push(Input::Drain);
@@ -189,7 +191,7 @@
                 self.carry_out();
             }
         }
-        let left = self.engine.open();
+        let left = self.engine.pending_requests();
         if left > 0 {
             warn!(
                 front_end = self.name,
@@ -224,7 +226,7 @@
                     .handle(now, Input::SourceLost(source), &mut self.out);
             }
             other => {
-                tenancy.tick(now, self.engine.open(), &mut self.inward);
+                tenancy.tick(now, self.engine.pending_requests(), &mut self.inward);
                 self.engine.handle(now, other, &mut self.out);
             }
         }
@@ -233,7 +235,7 @@
     /// Tells sources how much room there is, and whoever looks how things stand.
     fn tell(&mut self) {
         let waiting = self.tenancy.as_ref().map_or(0, Tenancy::pending);
-        let room = self.engine.room().saturating_sub(waiting);
+        let room = self.engine.capacity().saturating_sub(waiting);
         for source in self.sources.values() {
             source
                 .room
@@ -241,9 +243,9 @@
         }
         let snapshot = Snapshot {
             stats: self.engine.stats(),
-            open: self.engine.open(),
-            bytes: self.engine.bytes(),
-            workers: self.engine.live_workers(),
+            open: self.engine.pending_requests(),
+            bytes: self.engine.body_bytes(),
+            workers: self.engine.ready_workers(),
             waiting,
         };
         self.snapshot
--- a/crates/pipithub-gateway/tests/sockets.rs
+++ b/crates/pipithub-gateway/tests/sockets.rs
@@ -417,7 +417,7 @@
             .expect("running");
     }
     until("calls run", || worker.held() > 0).await;
-    let taken = gateway.snapshots()[0].stats.taken;
+    let taken = gateway.snapshots()[0].stats.triggers;
     gateway.stop().await;
     assert!(
         answers_at(&broker).len() as u64 >= taken,
--- a/crates/pipithub-node/src/core.rs
+++ b/crates/pipithub-node/src/core.rs
@@ -124,8 +124,8 @@
         let (clients, workers) = (usable * 3 / 5, usable * 2 / 5);
         let settings = EngineSettings {
             policy: site.policy.clone(),
-            max_open: site.transport.open_most.min(clients * OPEN_MOST),
-            max_bytes: (config.memory_mb as usize) << 18,
+            max_pending: site.transport.open_most.min(clients * OPEN_MOST),
+            max_body_bytes: (config.memory_mb as usize) << 18,
             answer_margin: ANSWER_MARGIN,
             ..EngineSettings::default()
         };
@@ -185,7 +185,7 @@
 
     /// How many calls have no answer yet.
     pub fn open(&self) -> usize {
-        self.engine.open()
+        self.engine.pending_requests()
     }
 
     /// Connections of clients and to workers.
@@ -227,7 +227,11 @@
     /// The platform asked for an end.
     pub fn stop(&mut self, now: Time) {
         if self.stopping.is_none() {
-            info!(front_end = self.name, open = self.engine.open(), "stopping");
+            info!(
+                front_end = self.name,
+                open = self.engine.pending_requests(),
+                "stopping"
+            );
             self.stopping = Some(now);
         }
     }
@@ -243,7 +247,8 @@
     /// unread: the shell looks for these.
     pub fn done(&self, now: Time) -> bool {
         let least = self.stopping.map(|since| since + TERM_LEAST);
-        self.engine.open() == 0 && least.min(self.last_answers()).is_some_and(|at| now >= at)
+        self.engine.pending_requests() == 0
+            && least.min(self.last_answers()).is_some_and(|at| now >= at)
     }
 
     /// Whether the end cannot wait any longer for clients to fall silent.
--- a/crates/pipithub-settings/src/read.rs
+++ b/crates/pipithub-settings/src/read.rs
@@ -390,10 +390,15 @@
     };
     let engine = EngineSettings {
         policy: settings,
-        max_open: bounds.whole("max-open", defaults.max_open as u64, 1, 1_000_000) as usize,
-        max_bytes: bounds.whole("max-mb", 256, 1, 65_536) as usize * (1 << 20),
+        max_pending: bounds.whole("max-open", defaults.max_pending as u64, 1, 1_000_000) as usize,
+        max_body_bytes: bounds.whole("max-mb", 256, 1, 65_536) as usize * (1 << 20),
         answer_margin: bounds.time("answer-margin", defaults.answer_margin, 0, 10 * SECOND),
-        remember: bounds.whole("remember", defaults.remember as u64, 0, 10_000_000) as usize,
+        remembered_messages: bounds.whole(
+            "remember",
+            defaults.remembered_messages as u64,
+            0,
+            10_000_000,
+        ) as usize,
         remember_for: bounds.time(
             "remember-for",
             defaults.remember_for,
@@ -406,7 +411,12 @@
             1,
             1_000_000,
         ) as u32,
-        max_names: bounds.whole("max-names", defaults.max_names as u64, 16, 10_000_000) as usize,
+        max_function_names: bounds.whole(
+            "max-names",
+            defaults.max_function_names as u64,
+            16,
+            10_000_000,
+        ) as usize,
         owners: Default::default(),
     };
     bounds.finish();
@@ -591,10 +601,10 @@
     let heartbeat = node.whole("heartbeat", 10, 0, 3_600) as u16;
     let queue = |q: Reader<'_>| {
         let prefetch = q.whole("prefetch", 100, 1, 65_535) as u16;
-        if usize::from(prefetch) > engine.max_open {
+        if usize::from(prefetch) > engine.max_pending {
             let text = format!(
                 "prefetch {prefetch} is more than the engine's max-open {}",
-                engine.max_open
+                engine.max_pending
             );
             q.faults.add(q.node.span(), text, None);
         }
