--- a/crates/pipithub-engine/src/engine.rs
+++ b/crates/pipithub-engine/src/engine.rs
@@ -11,8 +11,8 @@
 
 use crate::memory::{Again, Memory, unknown_earlier};
 use crate::model::{
-    AttemptId, AttemptResult, Call, Cause, Input, Output, Reply, Served, SourceId, Tenant, Ticket,
-    Trigger, Verdict, function_id,
+    AttemptId, AttemptResult, Call, Cause, Input, Output, Reply, Served, SourceId, TenantUser,
+    Ticket, Trigger, Verdict, function_id,
 };
 use crate::owners::Owners;
 use crate::timers::Timers;
@@ -559,9 +559,14 @@
 
     /// Ends what is open for a user who is not whose they were. What was never sent is refused. For the rest nothing is
     /// promised: it may have run for the old tenant, whose answer must not reach the user any more.
-    fn moved(&mut self, now: Time, user: &str, side: Option<(Tenant, u64)>, out: &mut Vec<Output>) {
+    fn moved(&mut self, now: Time, user: &str, side: Option<TenantUser>, out: &mut Vec<Output>) {
         // Calls that came after the move are the new side's already, though the word of it is handled only now.
-        let is = |o: &Open| o.call.tenant.map(|t| (t, o.call.person));
+        let is = |o: &Open| {
+            o.call.tenant.map(|tenant| TenantUser {
+                tenant,
+                person: o.call.person,
+            })
+        };
         let of =
             |o: &Open| o.call.user.as_deref() == Some(user) && (side.is_none() || is(o) != side);
         let theirs: Vec<_> = self
--- a/crates/pipithub-engine/src/lib.rs
+++ b/crates/pipithub-engine/src/lib.rs
@@ -17,7 +17,7 @@
 pub use engine::{Decide, Engine, EngineSettings, Stats};
 pub use model::{
     AttemptId, AttemptResult, Call, Cause, Input, LoadCommandResult, LoadPollResult, Output, Reply,
-    Served, SourceId, Tenant, Ticket, Trigger, Verdict, function_id,
+    Served, SourceId, Tenant, TenantUser, Ticket, Trigger, Verdict, function_id,
 };
 pub use owners::{Owner, Owners};
 pub use pipithub_policy::api as policy;
--- a/crates/pipithub-engine/src/model.rs
+++ b/crates/pipithub-engine/src/model.rs
@@ -153,6 +153,15 @@
     pub replicas: u32,
 }
 
+/// A user as a tenant's directory knows them.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct TenantUser {
+    /// The tenant.
+    pub tenant: Tenant,
+    /// Tells the user from another person of the same name; 0 if it is not known.
+    pub person: u64,
+}
+
 /// What happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
@@ -192,8 +201,8 @@
     UserMigrated {
         /// The user.
         user: Arc<str>,
-        /// Whose they are, and which person; `None`: nobody's.
-        now: Option<(Tenant, u64)>,
+        /// Who bears the name now; `None`: nobody.
+        now: Option<TenantUser>,
     },
     /// Take nothing new from now on; what is open is finished.
     Drain,
--- a/crates/pipithub-engine/tests/engine.rs
+++ b/crates/pipithub-engine/tests/engine.rs
@@ -10,7 +10,7 @@
 };
 use pipithub_engine::{
     AttemptId, AttemptResult, Call, Cause, Engine, EngineSettings, Input, Output, Owner, Owners,
-    Reply, Served, SourceId, Tenant, Ticket, Time, Trigger, Verdict,
+    Reply, Served, SourceId, Tenant, TenantUser, Ticket, Time, Trigger, Verdict,
 };
 
 const MS: Time = 1_000_000;
@@ -598,7 +598,10 @@
     assert!(new.iter().any(|o| matches!(o, Output::Forward { .. })));
     let out = bed.input(Input::UserMigrated {
         user: "mai".into(),
-        now: Some((Tenant(1), 0)),
+        now: Some(TenantUser {
+            tenant: Tenant(1),
+            person: 0,
+        }),
     });
     assert_eq!(
         verdicts(&out),
--- a/crates/pipithub-gateway/src/tenancy.rs
+++ b/crates/pipithub-gateway/src/tenancy.rs
@@ -7,7 +7,9 @@
 use pipithub_admission::{Arrival, End, Gate, Output, Why};
 use pipithub_directory::{Input as Wanted, Roster, TenantId, User, View};
 use pipithub_engine::policy::Class;
-use pipithub_engine::{Cause, Input, Reply, SourceId, Tenant, Ticket, Time, Trigger, Verdict};
+use pipithub_engine::{
+    Cause, Input, Reply, SourceId, Tenant, TenantUser, Ticket, Time, Trigger, Verdict,
+};
 use pipithub_settings::TenantsConfig;
 use tokio::sync::mpsc;
 use tracing::debug;
@@ -170,7 +172,10 @@
                 .news(now, &self.roster.load(), &user, &mut self.out),
             Word::Changed(user) => {
                 let side = match self.roster.load().look(&user, now) {
-                    View::Tenant { tenant, person, .. } => Some((Tenant(tenant.0), person.0)),
+                    View::Tenant { tenant, person, .. } => Some(TenantUser {
+                        tenant: Tenant(tenant.0),
+                        person: person.0,
+                    }),
                     _ => None,
                 };
                 inputs.push(Input::UserMigrated { user, now: side });
