--- a/crates/pipithub-engine/src/engine.rs
+++ b/crates/pipithub-engine/src/engine.rs
@@ -9,12 +9,12 @@
 };
 use pipithub_policy::decide::FrontEnd;
 
-use crate::memory::{Again, Memory, unknown_earlier};
 use crate::model::{
     AttemptId, AttemptResult, Call, Cause, Input, Output, Reply, Served, SourceId, TenantUser,
     Ticket, Trigger, Verdict, function_id,
 };
 use crate::owners::Owners;
+use crate::redelivery::{DeliveryHistory, RedeliveryDecision, decide_unknown};
 use crate::timers::Timers;
 
 /// What an engine is given at its start, beside the module's own settings.
@@ -57,7 +57,7 @@
 }
 
 /// An attempt that the module ordered and that was not made; its request is over.
-fn not_sent(request: RequestId, id: AttemptId, worker: WorkerId) -> Event {
+fn attempt_not_sent(request: RequestId, id: AttemptId, worker: WorkerId) -> Event {
     Event::AttemptFinished(AttemptFinished {
         request,
         attempt: id.number,
@@ -110,14 +110,14 @@
 
 /// A request that is not settled.
 #[derive(Debug)]
-struct Open {
+struct PendingRequest {
     /// `None`: its source is gone; the answer waits for the message to come again.
     ticket: Option<Ticket>,
     identity: Option<Arc<str>>,
     call: Arc<Call>,
     deadline: Time,
     attempts: u32,
-    last: Option<(Outcome, WorkerId)>,
+    last_attempt: Option<(Outcome, WorkerId)>,
     /// The final answer, not yet known to be safe.
     reply: Option<Arc<Reply>>,
     /// Bytes that it is charged with.
@@ -128,21 +128,21 @@
 #[derive(Debug)]
 pub struct Engine {
     settings: EngineSettings,
-    front: Box<dyn Decide>,
+    decider: Box<dyn Decide>,
     timers: Timers,
-    open: BTreeMap<RequestId, Open>,
+    pending: BTreeMap<RequestId, PendingRequest>,
     tickets: BTreeMap<Ticket, RequestId>,
     /// Attempts that have no outcome yet; they outlive their request, for the module must hear of every end.
-    out: BTreeMap<AttemptId, WorkerId>,
-    memory: Memory,
-    names: BTreeMap<FunctionId, (Arc<str>, Time)>,
+    attempts_in_flight: BTreeMap<AttemptId, WorkerId>,
+    history: DeliveryHistory,
+    function_names: BTreeMap<FunctionId, (Arc<str>, Time)>,
     next_request: RequestId,
     bytes: usize,
     draining: bool,
     /// A list of workers has come, if only a remembered one.
-    listed: bool,
+    list_received: bool,
     /// Live workers, as last told.
-    live: BTreeSet<WorkerId>,
+    ready_workers: BTreeSet<WorkerId>,
     stats: Stats,
     actions: Vec<Action>,
     events: VecDeque<Event>,
@@ -156,26 +156,26 @@
     }
 
     /// An engine whose decisions are made by something else than the module: for comparison alone.
-    pub fn deciding_by(front: Box<dyn Decide>, settings: EngineSettings) -> Self {
+    pub fn deciding_by(decider: Box<dyn Decide>, settings: EngineSettings) -> Self {
         let mut policy = settings.policy.clone();
         if policy.classes.is_empty() {
             policy.classes.push(Default::default());
         }
         let settings = EngineSettings { policy, ..settings };
         Engine {
-            front,
-            memory: Memory::new(settings.remembered_messages, settings.remember_for),
+            decider,
+            history: DeliveryHistory::new(settings.remembered_messages, settings.remember_for),
             settings,
             timers: Timers::default(),
-            open: BTreeMap::new(),
+            pending: BTreeMap::new(),
             tickets: BTreeMap::new(),
-            out: BTreeMap::new(),
-            names: BTreeMap::new(),
+            attempts_in_flight: BTreeMap::new(),
+            function_names: BTreeMap::new(),
             next_request: 1,
             bytes: 0,
             draining: false,
-            listed: false,
-            live: BTreeSet::new(),
+            list_received: false,
+            ready_workers: BTreeSet::new(),
             stats: Stats::default(),
             actions: Vec::new(),
             events: VecDeque::new(),
@@ -190,20 +190,20 @@
     /// How many more triggers may be handed in now. Sources that can be held back should be. Before the first list there
     /// is no room: a front end that knows no worker yet would refuse what another could serve.
     pub fn capacity(&self) -> usize {
-        if !self.listed || self.draining || self.bytes >= self.settings.max_body_bytes {
+        if !self.list_received || self.draining || self.bytes >= self.settings.max_body_bytes {
             return 0;
         }
-        self.settings.max_pending.saturating_sub(self.open.len())
+        self.settings.max_pending.saturating_sub(self.pending.len())
     }
 
     /// Requests that are not settled.
     pub fn pending_requests(&self) -> usize {
-        self.open.len()
+        self.pending.len()
     }
 
     /// Attempts that have no outcome yet.
     pub fn attempts_in_flight(&self) -> usize {
-        self.out.len()
+        self.attempts_in_flight.len()
     }
 
     /// Bytes of bodies held.
@@ -213,7 +213,7 @@
 
     /// Workers that may be sent work, as last told.
     pub fn ready_workers(&self) -> usize {
-        self.live.len()
+        self.ready_workers.len()
     }
 
     /// What was done so far.
@@ -228,15 +228,15 @@
         }
         match input {
             Input::Tick => {}
-            Input::Trigger(trigger) => self.trigger(now, trigger, None, out),
+            Input::Trigger(trigger) => self.receive(now, trigger, None, out),
             Input::Reject {
                 trigger,
                 cause,
                 retry_after,
             } => {
-                self.trigger(now, trigger, Some((cause, retry_after)), out);
+                self.receive(now, trigger, Some((cause, retry_after)), out);
             }
-            Input::UserMigrated { user, now: side } => self.moved(now, &user, side, out),
+            Input::UserMigrated { user, now: side } => self.user_migrated(now, &user, side, out),
             Input::SourceLost(source) => self.source_lost(now, source, out),
             Input::Settled(ticket) => self.settled(now, ticket),
             Input::CallerCancelled(ticket) => {
@@ -244,7 +244,7 @@
                     self.abandon(now, request, out);
                 }
             }
-            Input::AttemptFinished(end) => self.attempt(now, end, out),
+            Input::AttemptFinished(end) => self.attempt_finished(now, end, out),
             Input::LoadPolled(p) => {
                 let event = Event::LoadPolled {
                     worker: p.worker,
@@ -268,15 +268,15 @@
                 update: kind,
                 endpoints: entries,
             } => {
-                self.listed |= kind != EndpointUpdate::Lost;
+                self.list_received |= kind != EndpointUpdate::Lost;
                 if matches!(kind, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
-                    self.live.clear();
+                    self.ready_workers.clear();
                 }
                 for entry in &entries {
                     match entry.state {
-                        EndpointState::Ready => self.live.insert(entry.worker.clone()),
+                        EndpointState::Ready => self.ready_workers.insert(entry.worker.clone()),
                         EndpointState::Draining | EndpointState::Removed => {
-                            self.live.remove(&entry.worker)
+                            self.ready_workers.remove(&entry.worker)
                         }
                     };
                 }
@@ -290,15 +290,15 @@
                 );
             }
             Input::Drain => self.draining = true,
-            Input::AnswerAll => self.end(now, out),
+            Input::AnswerAll => self.answer_all(now, out),
         }
     }
 
     /// Answers all that is open. What was never sent is refused; for the rest nothing is promised, for it may have run.
-    fn end(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn answer_all(&mut self, now: Time, out: &mut Vec<Output>) {
         self.draining = true;
         let unanswered: Vec<_> = self
-            .open
+            .pending
             .iter()
             .filter(|(_, o)| o.reply.is_none())
             .map(|(id, o)| (*id, o.attempts))
@@ -324,7 +324,7 @@
     /// `refused`: it is not to run. What came before is looked up first all the same: a call that runs here, or was
     /// answered, must not be refused on top of that, and one that may have run elsewhere must not be called harmless.
     #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
-    fn trigger(
+    fn receive(
         &mut self,
         now: Time,
         trigger: Trigger,
@@ -340,23 +340,23 @@
             mut call,
         } = trigger;
         call.class = call.class.min(self.settings.policy.classes.len() - 1);
-        let (mut budget, waited) = (call.timeout, call.waited);
+        let (mut timeout, waited) = (call.timeout, call.waited);
         if redelivered {
             self.stats.redelivered += 1;
             let class = &self.settings.policy.classes[call.class];
             let margin = self.settings.answer_margin + 4 * self.settings.policy.tick;
             let again = self
-                .memory
-                .again(identity.as_ref(), now)
+                .history
+                .decide(identity.as_ref(), now)
                 .unwrap_or_else(|| {
-                    unknown_earlier(class, call.age, call.idempotency_key.is_some(), margin)
+                    decide_unknown(class, call.age, call.idempotency_key.is_some(), margin)
                 });
             match again {
-                Again::Join(request) => return self.join(request, ticket, out),
-                Again::Forget => return out.push(Output::Forget(ticket)),
-                Again::Run(_) if deliveries > self.settings.max_deliveries => {
+                RedeliveryDecision::Join(request) => return self.join(request, ticket, out),
+                RedeliveryDecision::Forget => return out.push(Output::Forget(ticket)),
+                RedeliveryDecision::Run(_) if deliveries > self.settings.max_deliveries => {
                     // A safe message that comes again and again may be what brings front ends down.
-                    return self.at_once(
+                    return self.answer_at_once(
                         now,
                         ticket,
                         identity,
@@ -365,12 +365,12 @@
                         out,
                     );
                 }
-                Again::Run(None) => {}
-                Again::Run(Some(left)) => {
-                    budget = Some(budget.unwrap_or(class.client_timeout).min(left));
+                RedeliveryDecision::Run(None) => {}
+                RedeliveryDecision::Run(Some(left)) => {
+                    timeout = Some(timeout.unwrap_or(class.client_timeout).min(left));
                 }
-                Again::Fail => {
-                    return self.at_once(
+                RedeliveryDecision::Fail => {
+                    return self.answer_at_once(
                         now,
                         ticket,
                         identity,
@@ -380,11 +380,11 @@
                     );
                 }
             }
-        } else if let Some(request) = identity.as_ref().and_then(|i| self.memory.open(i)) {
+        } else if let Some(request) = identity.as_ref().and_then(|i| self.history.pending(i)) {
             // Not a repeat by its source's word, yet of the name of one that is open: a client that sent twice.
             // The earlier one keeps its answer and loses its name.
-            if let Some(open) = self.open.get_mut(&request) {
-                open.identity = None;
+            if let Some(pending) = self.pending.get_mut(&request) {
+                pending.identity = None;
             }
         }
         if let Some((cause, retry_after)) = refused {
@@ -392,7 +392,7 @@
             return self.answer(request, Verdict::Rejected, cause, retry_after, None, out);
         }
         if !self.settings.owners.allow(call.tenant, &call.function) {
-            return self.at_once(
+            return self.answer_at_once(
                 now,
                 ticket,
                 identity,
@@ -403,7 +403,7 @@
         }
         let bytes = call.body.len();
         if self.draining {
-            return self.at_once(
+            return self.answer_at_once(
                 now,
                 ticket,
                 identity,
@@ -412,10 +412,10 @@
                 out,
             );
         }
-        if self.open.len() >= self.settings.max_pending
+        if self.pending.len() >= self.settings.max_pending
             || self.bytes + bytes > self.settings.max_body_bytes
         {
-            return self.at_once(
+            return self.answer_at_once(
                 now,
                 ticket,
                 identity,
@@ -427,12 +427,12 @@
         let class = &self.settings.policy.classes[call.class];
         // Of a message that waited in its queue the client's time is partly over, whoever states it.
         let rest = class.client_timeout.saturating_sub(waited);
-        let budget = budget.unwrap_or(rest).min(rest);
-        let Some(left) = budget
+        let timeout = timeout.unwrap_or(rest).min(rest);
+        let Some(left) = timeout
             .checked_sub(self.settings.answer_margin)
             .filter(|left| *left > 0)
         else {
-            return self.at_once(
+            return self.answer_at_once(
                 now,
                 ticket,
                 identity,
@@ -442,7 +442,7 @@
             );
         };
         let function = function_id(&call.function);
-        self.name(now, function, &call.function);
+        self.record_function_call(now, function, &call.function);
         let request = Request {
             id: self.next_request,
             expected_work: call.expected_work,
@@ -468,27 +468,27 @@
         let request = self.next_request;
         self.next_request += 1;
         if let Some(identity) = &identity {
-            self.memory.begin(identity, request);
+            self.history.begin(identity, request);
         }
         let bytes = call.body.len();
         self.bytes += bytes;
         self.tickets.insert(ticket, request);
-        let open = Open {
+        let pending = PendingRequest {
             ticket: Some(ticket),
             identity,
             call: Arc::new(call),
             deadline,
             attempts: 0,
-            last: None,
+            last_attempt: None,
             reply: None,
             bytes,
         };
-        self.open.insert(request, open);
+        self.pending.insert(request, pending);
         request
     }
 
     /// Gives a final answer to a trigger that the module never sees.
-    fn at_once(
+    fn answer_at_once(
         &mut self,
         now: Time,
         ticket: Ticket,
@@ -504,15 +504,15 @@
 
     /// A delivery takes the place of an earlier one of the same message.
     fn join(&mut self, request: RequestId, ticket: Ticket, out: &mut Vec<Output>) {
-        let Some(open) = self.open.get_mut(&request) else {
+        let Some(pending) = self.pending.get_mut(&request) else {
             return;
         };
         self.stats.joined += 1;
-        if let Some(old) = open.ticket.replace(ticket) {
+        if let Some(old) = pending.ticket.replace(ticket) {
             self.tickets.remove(&old);
         }
         self.tickets.insert(ticket, request);
-        if let Some(reply) = &open.reply {
+        if let Some(reply) = &pending.reply {
             out.push(Output::Answer {
                 ticket,
                 reply: reply.clone(),
@@ -532,14 +532,14 @@
             .collect();
         for (ticket, request) in lost {
             self.tickets.remove(&ticket);
-            let Some(open) = self.open.get_mut(&request) else {
+            let Some(pending) = self.pending.get_mut(&request) else {
                 continue;
             };
-            open.ticket = None;
-            if open.identity.is_none() {
+            pending.ticket = None;
+            if pending.identity.is_none() {
                 self.abandon(now, request, out);
             } else {
-                self.timers.set(open.deadline.max(now), request);
+                self.timers.set(pending.deadline.max(now), request);
             }
         }
     }
@@ -548,52 +548,59 @@
         let Some(request) = self.tickets.remove(&ticket) else {
             return;
         };
-        let Some(open) = self.open.remove(&request) else {
+        let Some(pending) = self.pending.remove(&request) else {
             return;
         };
-        self.bytes -= open.bytes;
-        if let Some(identity) = &open.identity {
-            self.memory.settle(identity, request, now);
+        self.bytes -= pending.bytes;
+        if let Some(identity) = &pending.identity {
+            self.history.settle(identity, request, now);
         }
     }
 
     /// Ends what is open for a user who is not whose they were. What was never sent is refused. For the rest nothing is
     /// promised: it may have run for the old tenant, whose answer must not reach the user any more.
-    fn moved(&mut self, now: Time, user: &str, side: Option<TenantUser>, out: &mut Vec<Output>) {
+    fn user_migrated(
+        &mut self,
+        now: Time,
+        user: &str,
+        side: Option<TenantUser>,
+        out: &mut Vec<Output>,
+    ) {
         // Calls that came after the move are the new side's already, though the word of it is handled only now.
-        let is = |o: &Open| {
+        let is = |o: &PendingRequest| {
             o.call.tenant.map(|tenant| TenantUser {
                 tenant,
                 person: o.call.person,
             })
         };
-        let of =
-            |o: &Open| o.call.user.as_deref() == Some(user) && (side.is_none() || is(o) != side);
+        let of = |o: &PendingRequest| {
+            o.call.user.as_deref() == Some(user) && (side.is_none() || is(o) != side)
+        };
         let theirs: Vec<_> = self
-            .open
+            .pending
             .iter()
             .filter(|(_, o)| of(o))
             .map(|(id, _)| *id)
             .collect();
         for request in theirs {
-            let Some(open) = self.open.get(&request) else {
+            let Some(pending) = self.pending.get(&request) else {
                 continue;
             };
-            if open
+            if pending
                 .reply
                 .as_ref()
                 .is_some_and(|r| r.verdict != Verdict::Served)
             {
                 continue;
             }
-            if open.reply.is_some() {
+            if pending.reply.is_some() {
                 // Served, but not yet told to anybody: its message is gone, and may come back.
-                if open.ticket.is_none() {
+                if pending.ticket.is_none() {
                     self.abandon(now, request, out);
                 }
                 continue;
             }
-            let verdict = if open.attempts == 0 {
+            let verdict = if pending.attempts == 0 {
                 Verdict::Rejected
             } else {
                 Verdict::Failed
@@ -605,29 +612,29 @@
 
     /// Whether a message of this name is open here or was settled here lately: what comes of it is decided by that.
     pub fn knows(&self, identity: &Arc<str>, now: Time) -> bool {
-        self.memory.again(Some(identity), now).is_some()
+        self.history.decide(Some(identity), now).is_some()
     }
 
     /// Ends a request to which no answer is owed any more.
     fn abandon(&mut self, now: Time, request: RequestId, out: &mut Vec<Output>) {
-        let Some(open) = self.open.remove(&request) else {
+        let Some(pending) = self.pending.remove(&request) else {
             return;
         };
-        self.bytes -= open.bytes;
-        if let Some(ticket) = open.ticket {
+        self.bytes -= pending.bytes;
+        if let Some(ticket) = pending.ticket {
             self.tickets.remove(&ticket);
         }
-        if let Some(identity) = &open.identity {
-            self.memory.abandon(identity, request);
+        if let Some(identity) = &pending.identity {
+            self.history.abandon(identity, request);
         }
-        if open.reply.is_none() {
+        if pending.reply.is_none() {
             self.decide(now, Event::ClientCancelled { request }, out);
         }
     }
 
     // ---- attempts ----
 
-    fn attempt(&mut self, now: Time, end: AttemptResult, out: &mut Vec<Output>) {
+    fn attempt_finished(&mut self, now: Time, end: AttemptResult, out: &mut Vec<Output>) {
         let AttemptResult {
             id,
             outcome,
@@ -639,12 +646,12 @@
         } = end;
         let mut settled = true;
         // An outcome that nothing was sent for, or a second one, is none.
-        let Some(worker) = self.out.remove(&id) else {
+        let Some(worker) = self.attempts_in_flight.remove(&id) else {
             return;
         };
-        if let Some(open) = self.open.get_mut(&id.request) {
-            open.last = Some((outcome, worker.clone()));
-            settled = open.reply.is_some();
+        if let Some(pending) = self.pending.get_mut(&id.request) {
+            pending.last_attempt = Some((outcome, worker.clone()));
+            settled = pending.reply.is_some();
             if !settled && outcome == Outcome::Served {
                 settled = true;
                 self.answer(
@@ -681,7 +688,7 @@
         served: Option<Served>,
         out: &mut Vec<Output>,
     ) {
-        let Some(open) = self.open.get_mut(&request).filter(|o| o.reply.is_none()) else {
+        let Some(pending) = self.pending.get_mut(&request).filter(|o| o.reply.is_none()) else {
             return;
         };
         let counter = match verdict {
@@ -690,12 +697,12 @@
             Verdict::Failed => &mut self.stats.failed,
         };
         *counter += 1;
-        let (last, worker) = open.last.clone().unzip();
+        let (last, worker) = pending.last_attempt.clone().unzip();
         let reply = Reply {
             verdict,
             cause,
             retry_after,
-            attempts: open.attempts,
+            attempts: pending.attempts,
             last_outcome: last,
             worker,
             served,
@@ -703,42 +710,42 @@
         let reply = Arc::new(reply);
         // The call's body is not needed any more, the answer's is.
         let bytes = reply.served.as_ref().map_or(0, |s| s.body.len());
-        self.bytes = self.bytes - open.bytes + bytes;
-        open.bytes = bytes;
+        self.bytes = self.bytes - pending.bytes + bytes;
+        pending.bytes = bytes;
         let kept = Call {
             body: Default::default(),
-            ..(*open.call).clone()
+            ..(*pending.call).clone()
         };
-        open.call = Arc::new(kept);
-        open.reply = Some(reply.clone());
-        if let Some(ticket) = open.ticket {
+        pending.call = Arc::new(kept);
+        pending.reply = Some(reply.clone());
+        if let Some(ticket) = pending.ticket {
             out.push(Output::Answer { ticket, reply });
         }
     }
 
     /// Ends an orphan in place of a send; the module hears that the attempt was not made.
-    fn let_go(&mut self, request: RequestId, id: AttemptId, worker: WorkerId) {
-        let Some(open) = self.open.remove(&request) else {
+    fn release_orphan(&mut self, request: RequestId, id: AttemptId, worker: WorkerId) {
+        let Some(pending) = self.pending.remove(&request) else {
             return;
         };
-        self.bytes -= open.bytes;
-        if let Some(identity) = &open.identity {
-            self.memory.abandon(identity, request);
+        self.bytes -= pending.bytes;
+        if let Some(identity) = &pending.identity {
+            self.history.abandon(identity, request);
         }
-        self.events.push_back(not_sent(request, id, worker));
+        self.events.push_back(attempt_not_sent(request, id, worker));
     }
 
     /// Lets go of an answered request whose message did not come back in its time: it went elsewhere.
-    fn retire(&mut self, now: Time, request: RequestId) {
-        let Some(open) = self.open.get(&request) else {
+    fn release_expired_orphan(&mut self, now: Time, request: RequestId) {
+        let Some(pending) = self.pending.get(&request) else {
             return;
         };
-        if open.ticket.is_none() && open.reply.is_some() && now >= open.deadline {
-            self.bytes -= open.bytes;
-            if let Some(identity) = &open.identity {
-                self.memory.abandon(identity, request);
+        if pending.ticket.is_none() && pending.reply.is_some() && now >= pending.deadline {
+            self.bytes -= pending.bytes;
+            if let Some(identity) = &pending.identity {
+                self.history.abandon(identity, request);
             }
-            self.open.remove(&request);
+            self.pending.remove(&request);
         }
     }
 
@@ -752,24 +759,24 @@
                 _ => None,
             };
             let mut actions = std::mem::take(&mut self.actions);
-            self.front.handle(now, event, &mut actions);
+            self.decider.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(now, action, out);
+                self.carry_out(now, action, out);
             }
             self.actions = actions;
             // A request's own timer is due just before its end; chores' and others' tokens name no request.
             if let Some(request) = timer {
-                self.overdue(now, request, out);
+                self.request_timer_expired(now, request, out);
             }
         }
     }
 
     /// At its own timer a request has either been answered or has come to its end here too.
-    fn overdue(&mut self, now: Time, request: RequestId, out: &mut Vec<Output>) {
-        let Some(open) = self.open.get(&request) else {
+    fn request_timer_expired(&mut self, now: Time, request: RequestId, out: &mut Vec<Output>) {
+        let Some(pending) = self.pending.get(&request) else {
             return;
         };
-        if open.reply.is_none() && now + 2 * self.settings.policy.tick >= open.deadline {
+        if pending.reply.is_none() && now + 2 * self.settings.policy.tick >= pending.deadline {
             // The module ends what it knows; what it does not know any more must not wait for ever.
             self.answer(
                 request,
@@ -780,51 +787,52 @@
                 out,
             );
         }
-        self.retire(now, request);
+        self.release_expired_orphan(now, request);
     }
 
-    fn act(&mut self, now: Time, action: Action, out: &mut Vec<Output>) {
+    fn carry_out(&mut self, now: Time, action: Action, out: &mut Vec<Output>) {
         match action {
             Action::Forward {
                 request,
                 worker,
                 timeout,
             } => {
-                let Some(open) = self.open.get_mut(&request).filter(|o| o.reply.is_none()) else {
+                let Some(pending) = self.pending.get_mut(&request).filter(|o| o.reply.is_none())
+                else {
                     return;
                 };
                 let id = AttemptId {
                     request,
-                    number: open.attempts,
+                    number: pending.attempts,
                 };
-                if open.ticket.is_none() {
+                if pending.ticket.is_none() {
                     // Its message is another front end's by now: a further send here could come after the other's
                     // answer. What is out already may end, for the message may still come back here.
-                    return self.let_go(request, id, worker);
+                    return self.release_orphan(request, id, worker);
                 }
                 if !self
                     .settings
                     .owners
-                    .allow(open.call.tenant, &open.call.function)
+                    .allow(pending.call.tenant, &pending.call.function)
                 {
                     // Looked at when it came; looked at again where it would leave, whatever happened between.
-                    let verdict = if open.attempts == 0 {
+                    let verdict = if pending.attempts == 0 {
                         Verdict::Rejected
                     } else {
                         Verdict::Failed
                     };
                     self.answer(request, verdict, Cause::OtherTenant, None, None, out);
-                    self.events.push_back(not_sent(request, id, worker));
+                    self.events.push_back(attempt_not_sent(request, id, worker));
                     return;
                 }
-                open.attempts += 1;
-                self.out.insert(id, worker.clone());
+                pending.attempts += 1;
+                self.attempts_in_flight.insert(id, worker.clone());
                 self.stats.attempts += 1;
-                let deadline = timeout.map_or(open.deadline, |t| open.deadline.min(now + t));
+                let deadline = timeout.map_or(pending.deadline, |t| pending.deadline.min(now + t));
                 out.push(Output::Forward {
                     id,
                     worker,
-                    call: open.call.clone(),
+                    call: pending.call.clone(),
                     deadline,
                 });
             }
@@ -839,18 +847,18 @@
                 request,
                 retry_after,
             } => {
-                let cause = self.cause(request);
+                let cause = self.cause_of_end(request);
                 self.answer(request, Verdict::Rejected, cause, retry_after, None, out);
             }
             Action::Fail { request } => {
-                let cause = self.cause(request);
+                let cause = self.cause_of_end(request);
                 self.answer(request, Verdict::Failed, cause, None, None, out);
             }
             Action::LoadFunction {
                 worker,
                 function,
                 replicas: copies,
-            } => match self.names.get(&function) {
+            } => match self.function_names.get(&function) {
                 Some((name, _)) => {
                     self.stats.load_commands += 1;
                     out.push(Output::LoadFunction {
@@ -870,7 +878,7 @@
                 })),
             },
             Action::EvictFunction { worker, function } => {
-                if let Some((name, _)) = self.names.get(&function) {
+                if let Some((name, _)) = self.function_names.get(&function) {
                     out.push(Output::EvictFunction {
                         worker,
                         name: name.clone(),
@@ -886,26 +894,31 @@
         }
     }
 
-    fn cause(&self, request: RequestId) -> Cause {
-        match self.open.get(&request) {
-            Some(open) if open.attempts > 0 => Cause::AttemptsEnded,
+    fn cause_of_end(&self, request: RequestId) -> Cause {
+        match self.pending.get(&request) {
+            Some(pending) if pending.attempts > 0 => Cause::AttemptsEnded,
             _ => Cause::NoWorkerInTime,
         }
     }
 
     /// Keeps the name of a function for orders; when there are too many, those not called for longest go.
-    fn name(&mut self, now: Time, function: FunctionId, name: &Arc<str>) {
-        if let Some((_, called)) = self.names.get_mut(&function) {
+    fn record_function_call(&mut self, now: Time, function: FunctionId, name: &Arc<str>) {
+        if let Some((_, called)) = self.function_names.get_mut(&function) {
             *called = now;
             return;
         }
-        if self.names.len() >= self.settings.max_function_names {
-            let mut times: Vec<Time> = self.names.values().map(|(_, called)| *called).collect();
+        if self.function_names.len() >= self.settings.max_function_names {
+            let mut times: Vec<Time> = self
+                .function_names
+                .values()
+                .map(|(_, called)| *called)
+                .collect();
             times.sort_unstable();
             // A half goes at a time, so that one-off functions do not make each call pay for this.
             let middle = times[times.len() / 2];
-            self.names.retain(|_, (_, called)| *called > middle);
+            self.function_names
+                .retain(|_, (_, called)| *called > middle);
         }
-        self.names.insert(function, (name.clone(), now));
+        self.function_names.insert(function, (name.clone(), now));
     }
 }
--- a/crates/pipithub-engine/src/lib.rs
+++ b/crates/pipithub-engine/src/lib.rs
@@ -5,13 +5,13 @@
 //! and no protocol: a source of triggers is a number, and each trigger carries a ticket that its source understands.
 //! Equal inputs give equal outputs, so sockets, an emulator and a replay can drive the same engine.
 //!
-//! What the module does not see is kept here: which trigger came again ([`memory`]), that each ticket gets exactly one
+//! What the module does not see is kept here: which trigger came again ([`redelivery`]), that each ticket gets exactly one
 //! final answer, and how much may be held at a time.
 
 mod engine;
-pub mod memory;
 mod model;
 mod owners;
+pub mod redelivery;
 mod timers;
 
 pub use engine::{Decide, Engine, EngineSettings, Stats};
--- a/crates/pipithub-engine/src/memory.rs
+++ b/crates/pipithub-engine/src/redelivery.rs
@@ -11,7 +11,7 @@
 
 /// What to do with a message that came again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Again {
+pub enum RedeliveryDecision {
     /// It is open here: this delivery takes the place of the one before.
     Join(RequestId),
     /// It was answered, and the answer is safe: settle it without another.
@@ -27,42 +27,49 @@
 /// Every earlier delivery may have been sent to a worker at any time since the message was made. A safe call may run
 /// again. A keyed one may only where all workers drop its repeats and the oldest possible send is still within the
 /// time that they remember it: so its age must be known. `margin` is the time that the last send may need to arrive.
-pub fn unknown_earlier(class: &Class, age: Option<Time>, keyed: bool, margin: Time) -> Again {
+pub fn decide_unknown(
+    class: &Class,
+    age: Option<Time>,
+    has_key: bool,
+    margin: Time,
+) -> RedeliveryDecision {
     match (class.idempotency, class.deduplication_scope) {
-        (Idempotency::Idempotent, _) => Again::Run(None),
-        (Idempotency::WithKey, DeduplicationScope::All) if keyed => {
+        (Idempotency::Idempotent, _) => RedeliveryDecision::Run(None),
+        (Idempotency::WithKey, DeduplicationScope::All) if has_key => {
             let left = age.and_then(|age| {
                 class
                     .deduplication_window
                     .checked_sub(age.saturating_add(margin))
             });
             left.filter(|left| *left > 0)
-                .map_or(Again::Fail, |left| Again::Run(Some(left)))
+                .map_or(RedeliveryDecision::Fail, |left| {
+                    RedeliveryDecision::Run(Some(left))
+                })
         }
-        (Idempotency::WithKey | Idempotency::NonIdempotent, _) => Again::Fail,
+        (Idempotency::WithKey | Idempotency::NonIdempotent, _) => RedeliveryDecision::Fail,
     }
 }
 
 /// Messages that are open or were answered not long ago, by identity. Bounded in number and age; what is forgotten
 /// counts as unknown, which is the careful side.
 #[derive(Debug)]
-pub struct Memory {
-    most: usize,
-    keep: Time,
-    open: BTreeMap<Arc<str>, RequestId>,
+pub struct DeliveryHistory {
+    max_settled: usize,
+    retention: Time,
+    pending: BTreeMap<Arc<str>, RequestId>,
     settled: BTreeMap<Arc<str>, Time>,
-    order: VecDeque<(Time, Arc<str>)>,
+    settled_in_order: VecDeque<(Time, Arc<str>)>,
 }
 
-impl Memory {
+impl DeliveryHistory {
     /// Remembers at most so many settled messages, for so long.
-    pub fn new(most: usize, keep: Time) -> Self {
-        Memory {
-            most,
-            keep,
-            open: BTreeMap::new(),
+    pub fn new(max_settled: usize, retention: Time) -> Self {
+        DeliveryHistory {
+            max_settled,
+            retention,
+            pending: BTreeMap::new(),
             settled: BTreeMap::new(),
-            order: VecDeque::new(),
+            settled_in_order: VecDeque::new(),
         }
     }
 
@@ -70,21 +77,24 @@
     /// use a name again and the new message must not be settled by the old one's answer.
     pub fn begin(&mut self, identity: &Arc<str>, request: RequestId) {
         self.settled.remove(identity);
-        self.open.insert(identity.clone(), request);
+        self.pending.insert(identity.clone(), request);
     }
 
     /// The answer is safe.
     pub fn settle(&mut self, identity: &Arc<str>, request: RequestId, now: Time) {
-        if self.open.get(identity) != Some(&request) {
+        if self.pending.get(identity) != Some(&request) {
             return;
         }
-        self.open.remove(identity);
+        self.pending.remove(identity);
         self.settled.insert(identity.clone(), now);
-        self.order.push_back((now, identity.clone()));
-        while self.order.len() > self.most
-            || self.order.front().is_some_and(|(t, _)| t + self.keep < now)
+        self.settled_in_order.push_back((now, identity.clone()));
+        while self.settled_in_order.len() > self.max_settled
+            || self
+                .settled_in_order
+                .front()
+                .is_some_and(|(t, _)| t + self.retention < now)
         {
-            let Some((at, old)) = self.order.pop_front() else {
+            let Some((at, old)) = self.settled_in_order.pop_front() else {
                 break;
             };
             if self.settled.get(&old) == Some(&at) {
@@ -95,25 +105,25 @@
 
     /// The request ended without an answer that is safe.
     pub fn abandon(&mut self, identity: &Arc<str>, request: RequestId) {
-        if self.open.get(identity) == Some(&request) {
-            self.open.remove(identity);
+        if self.pending.get(identity) == Some(&request) {
+            self.pending.remove(identity);
         }
     }
 
     /// The open request of this name.
-    pub fn open(&self, identity: &str) -> Option<RequestId> {
-        self.open.get(identity).copied()
+    pub fn pending(&self, identity: &str) -> Option<RequestId> {
+        self.pending.get(identity).copied()
     }
 
     /// What this front end itself knows of a message that came again.
-    pub fn again(&self, identity: Option<&Arc<str>>, now: Time) -> Option<Again> {
+    pub fn decide(&self, identity: Option<&Arc<str>>, now: Time) -> Option<RedeliveryDecision> {
         let identity = identity?;
-        if let Some(request) = self.open.get(identity) {
-            return Some(Again::Join(*request));
+        if let Some(request) = self.pending.get(identity) {
+            return Some(RedeliveryDecision::Join(*request));
         }
         self.settled
             .get(identity)
-            .filter(|at| **at + self.keep >= now)
-            .map(|_| Again::Forget)
+            .filter(|at| **at + self.retention >= now)
+            .map(|_| RedeliveryDecision::Forget)
     }
 }
--- a/crates/pipithub-engine/tests/engine/redelivery.rs
+++ b/crates/pipithub-engine/tests/engine/redelivery.rs
@@ -1,7 +1,7 @@
 //! Messages that are delivered again, and requests whose source is lost.
 
-use pipithub_engine::memory::{Again, unknown_earlier};
 use pipithub_engine::policy::{Class, DeduplicationScope, Idempotency, Outcome};
+use pipithub_engine::redelivery::{RedeliveryDecision, decide_unknown};
 use pipithub_engine::{Cause, Input, Output, SourceId, Time, Verdict};
 
 use crate::bed::{Bed, KEYED, MS, SAFE, UNSAFE, answers, class, only_answer, sends, settings};
@@ -116,25 +116,25 @@
     };
     let all = keyed(DeduplicationScope::All);
     assert_eq!(
-        unknown_earlier(&all, Some(MS), true, MS),
-        Again::Run(Some(2_998 * MS))
+        decide_unknown(&all, Some(MS), true, MS),
+        RedeliveryDecision::Run(Some(2_998 * MS))
     );
     assert_eq!(
-        unknown_earlier(&all, Some(MS), false, MS),
-        Again::Fail,
+        decide_unknown(&all, Some(MS), false, MS),
+        RedeliveryDecision::Fail,
         "no key, no dropping"
     );
     assert_eq!(
-        unknown_earlier(&all, Some(2_999 * MS), true, MS),
-        Again::Fail
+        decide_unknown(&all, Some(2_999 * MS), true, MS),
+        RedeliveryDecision::Fail
     );
     assert_eq!(
-        unknown_earlier(&all, Some(Time::MAX), true, MS),
-        Again::Fail
+        decide_unknown(&all, Some(Time::MAX), true, MS),
+        RedeliveryDecision::Fail
     );
     assert_eq!(
-        unknown_earlier(&keyed(DeduplicationScope::Zone), Some(MS), true, MS),
-        Again::Fail,
+        decide_unknown(&keyed(DeduplicationScope::Zone), Some(MS), true, MS),
+        RedeliveryDecision::Fail,
         "which zone had it?"
     );
 }
