--- a/crates/pipithub-engine/src/engine.rs
+++ b/crates/pipithub-engine/src/engine.rs
@@ -5,57 +5,20 @@
 
 use pipithub_policy::api::{
     Action, AttemptFinished, EndpointState, EndpointUpdate, Event, FunctionId, LoadFinished,
-    Outcome, Request, RequestId, Settings, Time, WorkerId,
+    Outcome, Request, RequestId, Time, WorkerId,
 };
 use pipithub_policy::decide::FrontEnd;
 
-use crate::model::{
-    AttemptId, AttemptResult, Call, Cause, Input, Output, Reply, Served, SourceId, TenantUser,
-    Ticket, Trigger, Verdict, function_id,
-};
-use crate::owners::Owners;
+use crate::call::{AttemptId, Call, SourceId, Ticket, Trigger, function_id};
+use crate::decide::Decide;
+use crate::input::{AttemptResult, Input, TenantUser};
+use crate::output::Output;
 use crate::redelivery::{DeliveryHistory, RedeliveryDecision, decide_unknown};
+use crate::reply::{Cause, Reply, Served, Verdict};
+use crate::settings::EngineSettings;
+use crate::stats::Stats;
 use crate::timers::Timers;
 
-/// What an engine is given at its start, beside the module's own settings.
-#[derive(Clone, Debug, PartialEq)]
-pub struct EngineSettings {
-    /// The module's settings.
-    pub policy: Settings,
-    /// Requests held at a time, answered but not yet settled ones included.
-    pub max_pending: usize,
-    /// Bytes of bodies held at a time, calls' and answers'.
-    pub max_body_bytes: usize,
-    /// Answers leave this long before the client's time is up, for their own way back.
-    pub answer_margin: Time,
-    /// Settled messages remembered against repeats.
-    pub remembered_messages: usize,
-    /// For how long.
-    pub remember_for: Time,
-    /// A message that came more often than this is failed: it may be what brings front ends down.
-    pub max_deliveries: u32,
-    /// Function names kept for orders.
-    pub max_function_names: usize,
-    /// Which functions are whose.
-    pub owners: Arc<Owners>,
-}
-
-impl Default for EngineSettings {
-    fn default() -> Self {
-        EngineSettings {
-            policy: Settings::default(),
-            max_pending: 4096,
-            max_body_bytes: 256 << 20,
-            answer_margin: 5_000_000,
-            remembered_messages: 65_536,
-            remember_for: 600_000_000_000,
-            max_deliveries: 20,
-            max_function_names: 16_384,
-            owners: Arc::default(),
-        }
-    }
-}
-
 /// An attempt that the module ordered and that was not made; its request is over.
 fn attempt_not_sent(request: RequestId, id: AttemptId, worker: WorkerId) -> Event {
     Event::AttemptFinished(AttemptFinished {
@@ -71,43 +34,6 @@
     })
 }
 
-/// Decides: the module, or in drills a policy to compare it with.
-pub trait Decide: std::fmt::Debug + Send {
-    /// Takes one event and appends what to do about it.
-    fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>);
-}
-
-impl Decide for FrontEnd {
-    fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
-        FrontEnd::handle(self, now, event, actions);
-    }
-}
-
-/// What an engine has done so far.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Stats {
-    /// Triggers taken.
-    pub triggers: u64,
-    /// Of these, ones that came again.
-    pub redelivered: u64,
-    /// Of these, joined to a request that was open here.
-    pub joined: u64,
-    /// Attempts started.
-    pub attempts: u64,
-    /// Attempts withdrawn.
-    pub cancelled_attempts: u64,
-    /// Orders to hold copies.
-    pub load_commands: u64,
-    /// Probes.
-    pub load_polls: u64,
-    /// Final answers served.
-    pub served: u64,
-    /// Final answers refused.
-    pub rejected: u64,
-    /// Final answers failed.
-    pub failed: u64,
-}
-
 /// A request that is not settled.
 #[derive(Debug)]
 struct PendingRequest {
--- a/crates/pipithub-engine/src/owners.rs
+++ b/crates/pipithub-engine/src/owners.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::model::Tenant;
+use crate::call::Tenant;
 
 /// Whose a function is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- /dev/null
+++ b/crates/pipithub-engine/src/settings.rs
@@ -0,0 +1,50 @@
+//! Settings of an engine.
+
+use std::sync::Arc;
+
+use pipithub_policy::api::{Settings, Time};
+
+use crate::owners::Owners;
+
+const MILLISECOND: Time = 1_000_000;
+const SECOND: Time = 1_000 * MILLISECOND;
+const MEBIBYTE: usize = 1 << 20;
+
+/// What an engine is given at its start.
+#[derive(Clone, Debug, PartialEq)]
+pub struct EngineSettings {
+    /// Settings of the decision module.
+    pub policy: Settings,
+    /// The maximum number of pending requests, including those whose answer is not settled yet.
+    pub max_pending: usize,
+    /// The maximum size of all bodies in memory, of calls and of answers.
+    pub max_body_bytes: usize,
+    /// Answers leave this long before the client's timeout, which leaves time for their way back.
+    pub answer_margin: Time,
+    /// The number of settled messages that are remembered in order to recognize redeliveries.
+    pub remembered_messages: usize,
+    /// How long a settled message is remembered.
+    pub remember_for: Time,
+    /// A message that was delivered more often than this fails: it may be what crashes front ends.
+    pub max_deliveries: u32,
+    /// The maximum number of functions whose names are kept for load commands.
+    pub max_function_names: usize,
+    /// Which tenant owns which function.
+    pub owners: Arc<Owners>,
+}
+
+impl Default for EngineSettings {
+    fn default() -> Self {
+        EngineSettings {
+            policy: Settings::default(),
+            max_pending: 4_096,
+            max_body_bytes: 256 * MEBIBYTE,
+            answer_margin: 5 * MILLISECOND,
+            remembered_messages: 65_536,
+            remember_for: 600 * SECOND,
+            max_deliveries: 20,
+            max_function_names: 16_384,
+            owners: Arc::default(),
+        }
+    }
+}
