--- a/crates/pipithub-engine/src/engine.rs
+++ b/crates/pipithub-engine/src/engine.rs
@@ -7,19 +7,18 @@
 mod cancellation;
 mod shutdown;
 
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use pipithub_policy::api::{
-    Action, EndpointState, EndpointUpdate, Event, FunctionId, LoadFinished, Outcome, RequestId,
-    Time, WorkerId,
-};
+use pipithub_policy::api::{Action, Event, Outcome, RequestId, Time, WorkerId};
 use pipithub_policy::decide::FrontEnd;
 
 use crate::call::{AttemptId, Call, Ticket};
 use crate::decide::Decide;
+use crate::function_names::FunctionNames;
 use crate::input::Input;
 use crate::output::Output;
+use crate::ready_workers::ReadyWorkers;
 use crate::redelivery::DeliveryHistory;
 use crate::reply::Reply;
 use crate::settings::EngineSettings;
@@ -53,14 +52,11 @@
     /// Attempts that have no outcome yet; they outlive their request, for the module must hear of every end.
     attempts_in_flight: BTreeMap<AttemptId, WorkerId>,
     history: DeliveryHistory,
-    function_names: BTreeMap<FunctionId, (Arc<str>, Time)>,
+    function_names: FunctionNames,
     next_request: RequestId,
     bytes: usize,
     draining: bool,
-    /// A list of workers has come, if only a remembered one.
-    list_received: bool,
-    /// Live workers, as last told.
-    ready_workers: BTreeSet<WorkerId>,
+    ready_workers: ReadyWorkers,
     stats: Stats,
     actions: Vec<Action>,
     events: VecDeque<Event>,
@@ -82,18 +78,17 @@
         let settings = EngineSettings { policy, ..settings };
         Engine {
             decider,
+            function_names: FunctionNames::new(settings.max_function_names),
             history: DeliveryHistory::new(settings.remembered_messages, settings.remember_for),
             settings,
             timers: Timers::default(),
             pending: BTreeMap::new(),
             tickets: BTreeMap::new(),
             attempts_in_flight: BTreeMap::new(),
-            function_names: BTreeMap::new(),
             next_request: 1,
             bytes: 0,
             draining: false,
-            list_received: false,
-            ready_workers: BTreeSet::new(),
+            ready_workers: ReadyWorkers::default(),
             stats: Stats::default(),
             actions: Vec::new(),
             events: VecDeque::new(),
@@ -102,13 +97,16 @@
 
     /// When [`Input::Tick`] is due next.
     pub fn next_due(&self) -> Option<Time> {
-        self.timers.next()
+        self.timers.next_due()
     }
 
     /// How many more triggers may be handed in now. Sources that can be held back should be. Before the first list there
     /// is no room: a front end that knows no worker yet would refuse what another could serve.
     pub fn capacity(&self) -> usize {
-        if !self.list_received || self.draining || self.bytes >= self.settings.max_body_bytes {
+        if !self.ready_workers.list_received()
+            || self.draining
+            || self.bytes >= self.settings.max_body_bytes
+        {
             return 0;
         }
         self.settings.max_pending.saturating_sub(self.pending.len())
@@ -163,49 +161,11 @@
                 }
             }
             Input::AttemptFinished(end) => self.attempt_finished(now, end, out),
-            Input::LoadPolled(p) => {
-                let event = Event::LoadPolled {
-                    worker: p.worker,
-                    answered: p.answered,
-                    report: p.load_report,
-                };
-                self.decide(now, event, out);
-            }
-            Input::LoadCommandFinished(o) => {
-                let (worker, function, outcome) = (o.worker, o.function, o.outcome);
-                let order = LoadFinished {
-                    worker,
-                    function,
-                    outcome,
-                    elapsed: o.elapsed,
-                    replicas: o.replicas,
-                };
-                self.decide(now, Event::LoadFinished(order), out);
-            }
-            Input::Endpoints {
-                update: kind,
-                endpoints: entries,
-            } => {
-                self.list_received |= kind != EndpointUpdate::Lost;
-                if matches!(kind, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
-                    self.ready_workers.clear();
-                }
-                for entry in &entries {
-                    match entry.state {
-                        EndpointState::Ready => self.ready_workers.insert(entry.worker.clone()),
-                        EndpointState::Draining | EndpointState::Removed => {
-                            self.ready_workers.remove(&entry.worker)
-                        }
-                    };
-                }
-                self.decide(
-                    now,
-                    Event::Endpoints {
-                        update: kind,
-                        endpoints: entries,
-                    },
-                    out,
-                );
+            Input::LoadPolled(result) => self.decide(now, result.into(), out),
+            Input::LoadCommandFinished(result) => self.decide(now, result.into(), out),
+            Input::Endpoints { update, endpoints } => {
+                self.ready_workers.apply(update, &endpoints);
+                self.decide(now, Event::Endpoints { update, endpoints }, out);
             }
             Input::Drain => self.draining = true,
             Input::AnswerAll => self.answer_all(now, out),
@@ -219,6 +179,6 @@
 
     /// Whether a message of this name is open here or was settled here lately: what comes of it is decided by that.
     pub fn knows(&self, identity: &Arc<str>, now: Time) -> bool {
-        self.history.decide(Some(identity), now).is_some()
+        self.history.decide(identity, now).is_some()
     }
 }
--- a/crates/pipithub-engine/src/engine/actions.rs
+++ b/crates/pipithub-engine/src/engine/actions.rs
@@ -1,8 +1,6 @@
 //! Events go to the decision module, and its actions are carried out.
 
-use std::sync::Arc;
-
-use pipithub_policy::api::{Action, Event, FunctionId, LoadFinished, Outcome, RequestId, Time};
+use pipithub_policy::api::{Action, Event, LoadFinished, Outcome, RequestId, Time};
 
 use crate::call::AttemptId;
 use crate::output::Output;
@@ -100,8 +98,8 @@
                 worker,
                 function,
                 replicas: copies,
-            } => match self.function_names.get(&function) {
-                Some((name, _)) => {
+            } => match self.function_names.get(function) {
+                Some(name) => {
                     self.stats.load_commands += 1;
                     out.push(Output::LoadFunction {
                         worker,
@@ -120,7 +118,7 @@
                 })),
             },
             Action::EvictFunction { worker, function } => {
-                if let Some((name, _)) = self.function_names.get(&function) {
+                if let Some(name) = self.function_names.get(function) {
                     out.push(Output::EvictFunction {
                         worker,
                         name: name.clone(),
@@ -142,30 +140,4 @@
             _ => Cause::NoWorkerInTime,
         }
     }
-
-    /// Keeps the name of a function for orders; when there are too many, those not called for longest go.
-    pub(super) fn record_function_call(
-        &mut self,
-        now: Time,
-        function: FunctionId,
-        name: &Arc<str>,
-    ) {
-        if let Some((_, called)) = self.function_names.get_mut(&function) {
-            *called = now;
-            return;
-        }
-        if self.function_names.len() >= self.settings.max_function_names {
-            let mut times: Vec<Time> = self
-                .function_names
-                .values()
-                .map(|(_, called)| *called)
-                .collect();
-            times.sort_unstable();
-            // A half goes at a time, so that one-off functions do not make each call pay for this.
-            let middle = times[times.len() / 2];
-            self.function_names
-                .retain(|_, (_, called)| *called > middle);
-        }
-        self.function_names.insert(function, (name.clone(), now));
-    }
 }
--- a/crates/pipithub-engine/src/engine/admission.rs
+++ b/crates/pipithub-engine/src/engine/admission.rs
@@ -36,16 +36,14 @@
             self.stats.redelivered += 1;
             let class = &self.settings.policy.classes[call.class];
             let margin = self.settings.answer_margin + 4 * self.settings.policy.tick;
-            let again = self
-                .history
-                .decide(identity.as_ref(), now)
-                .unwrap_or_else(|| {
-                    decide_unknown(class, call.age, call.idempotency_key.is_some(), margin)
-                });
-            match again {
+            let known = identity.as_ref().and_then(|i| self.history.decide(i, now));
+            let decision = known.unwrap_or_else(|| {
+                decide_unknown(class, call.age, call.idempotency_key.is_some(), margin)
+            });
+            match decision {
                 RedeliveryDecision::Join(request) => return self.join(request, ticket, out),
                 RedeliveryDecision::Forget => return out.push(Output::Forget(ticket)),
-                RedeliveryDecision::Run(_) if deliveries > self.settings.max_deliveries => {
+                RedeliveryDecision::Run { .. } if deliveries > self.settings.max_deliveries => {
                     // A safe message that comes again and again may be what brings front ends down.
                     return self.answer_at_once(
                         now,
@@ -56,8 +54,8 @@
                         out,
                     );
                 }
-                RedeliveryDecision::Run(None) => {}
-                RedeliveryDecision::Run(Some(left)) => {
+                RedeliveryDecision::Run { within: None } => {}
+                RedeliveryDecision::Run { within: Some(left) } => {
                     timeout = Some(timeout.unwrap_or(class.client_timeout).min(left));
                 }
                 RedeliveryDecision::Fail => {
@@ -133,7 +131,8 @@
             );
         };
         let function = function_id(&call.function);
-        self.record_function_call(now, function, &call.function);
+        self.function_names
+            .record_call(now, function, &call.function);
         let request = Request {
             id: self.next_request,
             expected_work: call.expected_work,
--- /dev/null
+++ b/crates/pipithub-engine/src/function_names.rs
@@ -0,0 +1,63 @@
+//! Names of functions.
+//!
+//! The decision module knows a function by its id alone, while load commands to workers need its name.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+use pipithub_policy::api::{FunctionId, Time};
+
+#[derive(Debug)]
+struct KnownFunction {
+    name: Arc<str>,
+    last_called: Time,
+}
+
+/// The names of the functions that were called last, bounded in number.
+#[derive(Debug)]
+pub(crate) struct FunctionNames {
+    max: usize,
+    functions: BTreeMap<FunctionId, KnownFunction>,
+}
+
+impl FunctionNames {
+    pub(crate) fn new(max: usize) -> Self {
+        FunctionNames {
+            max,
+            functions: BTreeMap::new(),
+        }
+    }
+
+    pub(crate) fn get(&self, function: FunctionId) -> Option<&Arc<str>> {
+        self.functions.get(&function).map(|known| &known.name)
+    }
+
+    /// Records that a function was called.
+    pub(crate) fn record_call(&mut self, now: Time, function: FunctionId, name: &Arc<str>) {
+        if let Some(known) = self.functions.get_mut(&function) {
+            known.last_called = now;
+            return;
+        }
+        if self.functions.len() >= self.max {
+            self.evict_older_half();
+        }
+        let known = KnownFunction {
+            name: name.clone(),
+            last_called: now,
+        };
+        self.functions.insert(function, known);
+    }
+
+    /// Forgets the half that was not called for longest. Half of them go at a time, so that functions which are called
+    /// only once do not make each call pay for an eviction.
+    fn evict_older_half(&mut self) {
+        let mut times: Vec<Time> = self
+            .functions
+            .values()
+            .map(|known| known.last_called)
+            .collect();
+        times.sort_unstable();
+        let median = times[times.len() / 2];
+        self.functions.retain(|_, known| known.last_called > median);
+    }
+}
--- a/crates/pipithub-engine/src/input.rs
+++ b/crates/pipithub-engine/src/input.rs
@@ -3,7 +3,8 @@
 use std::sync::Arc;
 
 use pipithub_policy::api::{
-    Endpoint, EndpointUpdate, FunctionId, LoadReport, Outcome, ReplicaStatus, Time, WorkerId,
+    Endpoint, EndpointUpdate, Event, FunctionId, LoadFinished, LoadReport, Outcome, ReplicaStatus,
+    Time, WorkerId,
 };
 
 use crate::call::{AttemptId, SourceId, Tenant, Ticket, Trigger};
@@ -110,3 +111,25 @@
     /// The process may be killed soon: all that is pending is answered now, and nothing new is accepted.
     AnswerAll,
 }
+
+impl From<LoadPollResult> for Event {
+    fn from(result: LoadPollResult) -> Self {
+        Event::LoadPolled {
+            worker: result.worker,
+            answered: result.answered,
+            report: result.load_report,
+        }
+    }
+}
+
+impl From<LoadCommandResult> for Event {
+    fn from(result: LoadCommandResult) -> Self {
+        Event::LoadFinished(LoadFinished {
+            worker: result.worker,
+            function: result.function,
+            outcome: result.outcome,
+            elapsed: result.elapsed,
+            replicas: result.replicas,
+        })
+    }
+}
--- a/crates/pipithub-engine/src/lib.rs
+++ b/crates/pipithub-engine/src/lib.rs
@@ -11,9 +11,11 @@
 mod call;
 mod decide;
 mod engine;
+mod function_names;
 mod input;
 mod output;
 mod owners;
+mod ready_workers;
 pub mod redelivery;
 mod reply;
 mod settings;
--- a/crates/pipithub-engine/src/redelivery.rs
+++ b/crates/pipithub-engine/src/redelivery.rs
@@ -1,32 +1,36 @@
-//! What is remembered of messages that may be delivered again.
+//! What happens to a message that is delivered again.
 //!
-//! A broker delivers a message again when the connection that held it is lost, whatever had been done by then. The
-//! decision on such a message is made here, apart from the engine, from what this front end remembers of it and from
-//! what its class allows.
+//! A broker redelivers a message when the connection that held it is lost, whatever was done with it until then. The
+//! decision depends on what this front end remembers of earlier deliveries, and else on what the class of the call
+//! allows.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
 use pipithub_policy::api::{Class, DeduplicationScope, Idempotency, RequestId, Time};
 
-/// What to do with a message that came again.
+/// What to do with a message that was redelivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RedeliveryDecision {
-    /// It is open here: this delivery takes the place of the one before.
+    /// It is pending here: this delivery takes the place of the earlier one.
     Join(RequestId),
-    /// It was answered, and the answer is safe: settle it without another.
+    /// It was answered and its answer is safe: settle it without another answer.
     Forget,
-    /// It may have run elsewhere, and that is harmless: run it, within this time from now.
-    Run(Option<Time>),
+    /// It may have run elsewhere, and running it again is harmless.
+    Run {
+        /// How long from now an attempt may start, where that is bounded.
+        within: Option<Time>,
+    },
     /// It may have run elsewhere and must not run again.
     Fail,
 }
 
-/// A message whose earlier deliveries went elsewhere, or were forgotten: what its class allows.
+/// Decides on a message whose earlier deliveries went elsewhere or are not remembered, by what its class allows.
 ///
-/// Every earlier delivery may have been sent to a worker at any time since the message was made. A safe call may run
-/// again. A keyed one may only where all workers drop its repeats and the oldest possible send is still within the
-/// time that they remember it: so its age must be known. `margin` is the time that the last send may need to arrive.
+/// Every earlier delivery may have been forwarded to a worker at any time since the message was made. An idempotent
+/// call may run again. A call with an idempotency key may run again only if all workers deduplicate it and the oldest
+/// possible attempt is still within their deduplication window, for which its age must be known. `margin` is the time
+/// that the last attempt may need until it arrives.
 pub fn decide_unknown(
     class: &Class,
     age: Option<Time>,
@@ -34,36 +38,46 @@
     margin: Time,
 ) -> RedeliveryDecision {
     match (class.idempotency, class.deduplication_scope) {
-        (Idempotency::Idempotent, _) => RedeliveryDecision::Run(None),
+        (Idempotency::Idempotent, _) => RedeliveryDecision::Run { within: None },
         (Idempotency::WithKey, DeduplicationScope::All) if has_key => {
-            let left = age.and_then(|age| {
-                class
-                    .deduplication_window
-                    .checked_sub(age.saturating_add(margin))
-            });
-            left.filter(|left| *left > 0)
-                .map_or(RedeliveryDecision::Fail, |left| {
-                    RedeliveryDecision::Run(Some(left))
-                })
+            match rest_of_window(class, age, margin) {
+                Some(rest) => RedeliveryDecision::Run { within: Some(rest) },
+                None => RedeliveryDecision::Fail,
+            }
         }
         (Idempotency::WithKey | Idempotency::NonIdempotent, _) => RedeliveryDecision::Fail,
     }
 }
 
-/// Messages that are open or were answered not long ago, by identity. Bounded in number and age; what is forgotten
-/// counts as unknown, which is the careful side.
+/// How long from now workers surely still deduplicate a call of this age.
+fn rest_of_window(class: &Class, age: Option<Time>, margin: Time) -> Option<Time> {
+    let used = age?.saturating_add(margin);
+    class
+        .deduplication_window
+        .checked_sub(used)
+        .filter(|rest| *rest > 0)
+}
+
 #[derive(Debug)]
-pub struct DeliveryHistory {
+struct SettledMessage {
+    identity: Arc<str>,
+    settled_at: Time,
+}
+
+/// The messages that are pending or were settled lately, by identity. It is bounded in number and age; a message that
+/// is forgotten counts as unknown, which is the safe side.
+#[derive(Debug)]
+pub(crate) struct DeliveryHistory {
     max_settled: usize,
     retention: Time,
     pending: BTreeMap<Arc<str>, RequestId>,
     settled: BTreeMap<Arc<str>, Time>,
-    settled_in_order: VecDeque<(Time, Arc<str>)>,
+    settled_in_order: VecDeque<SettledMessage>,
 }
 
 impl DeliveryHistory {
-    /// Remembers at most so many settled messages, for so long.
-    pub fn new(max_settled: usize, retention: Time) -> Self {
+    /// Remembers up to `max_settled` settled messages, each for `retention`.
+    pub(crate) fn new(max_settled: usize, retention: Time) -> Self {
         DeliveryHistory {
             max_settled,
             retention,
@@ -73,57 +87,61 @@
         }
     }
 
-    /// A message that is not a repeat: what was known of an earlier one of the same name is void, for a client may
-    /// use a name again and the new message must not be settled by the old one's answer.
-    pub fn begin(&mut self, identity: &Arc<str>, request: RequestId) {
+    /// Records a new message. What was known of an earlier one of the same identity is void, for a client may use an
+    /// identity again, and the new message must not be settled by the old one's answer.
+    pub(crate) fn begin(&mut self, identity: &Arc<str>, request: RequestId) {
         self.settled.remove(identity);
         self.pending.insert(identity.clone(), request);
     }
 
-    /// The answer is safe.
-    pub fn settle(&mut self, identity: &Arc<str>, request: RequestId, now: Time) {
+    /// Records that the answer of a request is safe.
+    pub(crate) fn settle(&mut self, identity: &Arc<str>, request: RequestId, now: Time) {
         if self.pending.get(identity) != Some(&request) {
             return;
         }
         self.pending.remove(identity);
         self.settled.insert(identity.clone(), now);
-        self.settled_in_order.push_back((now, identity.clone()));
-        while self.settled_in_order.len() > self.max_settled
-            || self
-                .settled_in_order
-                .front()
-                .is_some_and(|(t, _)| t + self.retention < now)
-        {
-            let Some((at, old)) = self.settled_in_order.pop_front() else {
-                break;
-            };
-            if self.settled.get(&old) == Some(&at) {
-                self.settled.remove(&old);
+        self.settled_in_order.push_back(SettledMessage {
+            identity: identity.clone(),
+            settled_at: now,
+        });
+        self.forget_old(now);
+    }
+
+    fn forget_old(&mut self, now: Time) {
+        while let Some(oldest) = self.settled_in_order.front() {
+            let expired = oldest.settled_at + self.retention < now;
+            if !expired && self.settled_in_order.len() <= self.max_settled {
+                return;
+            }
+            // The same identity may have been settled again since, and then stays.
+            if self.settled.get(&oldest.identity) == Some(&oldest.settled_at) {
+                self.settled.remove(&oldest.identity);
             }
+            self.settled_in_order.pop_front();
         }
     }
 
-    /// The request ended without an answer that is safe.
-    pub fn abandon(&mut self, identity: &Arc<str>, request: RequestId) {
+    /// Records that a request ended without a safe answer.
+    pub(crate) fn abandon(&mut self, identity: &Arc<str>, request: RequestId) {
         if self.pending.get(identity) == Some(&request) {
             self.pending.remove(identity);
         }
     }
 
-    /// The open request of this name.
-    pub fn pending(&self, identity: &str) -> Option<RequestId> {
+    /// The pending request of this identity.
+    pub(crate) fn pending(&self, identity: &str) -> Option<RequestId> {
         self.pending.get(identity).copied()
     }
 
-    /// What this front end itself knows of a message that came again.
-    pub fn decide(&self, identity: Option<&Arc<str>>, now: Time) -> Option<RedeliveryDecision> {
-        let identity = identity?;
+    /// What this front end itself knows of a redelivered message; `None` if nothing.
+    pub(crate) fn decide(&self, identity: &Arc<str>, now: Time) -> Option<RedeliveryDecision> {
         if let Some(request) = self.pending.get(identity) {
             return Some(RedeliveryDecision::Join(*request));
         }
         self.settled
             .get(identity)
-            .filter(|at| **at + self.retention >= now)
+            .filter(|settled_at| **settled_at + self.retention >= now)
             .map(|_| RedeliveryDecision::Forget)
     }
 }
--- a/crates/pipithub-engine/src/timers.rs
+++ b/crates/pipithub-engine/src/timers.rs
@@ -1,28 +1,42 @@
-//! Timers that the module asked for, in order of time and then of asking.
+//! Timers that the decision module asked for.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 use pipithub_policy::api::Time;
 
+/// A timer; equal times fall due in the order in which they were set.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Timer {
+    due: Time,
+    sequence: u64,
+    token: u64,
+}
+
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
-    heap: BinaryHeap<Reverse<(Time, u64, u64)>>,
-    asked: u64,
+    heap: BinaryHeap<Reverse<Timer>>,
+    last_sequence: u64,
 }
 
 impl Timers {
     pub(crate) fn set(&mut self, due: Time, token: u64) {
-        self.asked += 1;
-        self.heap.push(Reverse((due, self.asked, token)));
+        self.last_sequence += 1;
+        self.heap.push(Reverse(Timer {
+            due,
+            sequence: self.last_sequence,
+            token,
+        }));
     }
 
-    pub(crate) fn next(&self) -> Option<Time> {
-        self.heap.peek().map(|Reverse((due, ..))| *due)
+    /// When the next timer is due.
+    pub(crate) fn next_due(&self) -> Option<Time> {
+        self.heap.peek().map(|Reverse(timer)| timer.due)
     }
 
+    /// Removes the next timer if it is due, and returns its token.
     pub(crate) fn take_due(&mut self, now: Time) -> Option<u64> {
-        self.next().filter(|due| *due <= now)?;
-        self.heap.pop().map(|Reverse((_, _, token))| token)
+        self.next_due().filter(|due| *due <= now)?;
+        self.heap.pop().map(|Reverse(timer)| timer.token)
     }
 }
--- a/crates/pipithub-engine/tests/engine/redelivery.rs
+++ b/crates/pipithub-engine/tests/engine/redelivery.rs
@@ -117,7 +117,9 @@
     let all = keyed(DeduplicationScope::All);
     assert_eq!(
         decide_unknown(&all, Some(MS), true, MS),
-        RedeliveryDecision::Run(Some(2_998 * MS))
+        RedeliveryDecision::Run {
+            within: Some(2_998 * MS)
+        }
     );
     assert_eq!(
         decide_unknown(&all, Some(MS), false, MS),
