--- a/crates/pipithub-engine/src/engine.rs
+++ b/crates/pipithub-engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine: the module's front end, the open requests, and the one final answer of each.
+//! The engine: the front end of the decision module, the pending requests, and the one final answer of each.
 
 mod actions;
 mod admission;
@@ -10,88 +10,67 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use pipithub_policy::api::{Action, Event, Outcome, RequestId, Time, WorkerId};
+use pipithub_policy::api::{Action, Class, Event, RequestId, Time, WorkerId};
 use pipithub_policy::decide::FrontEnd;
 
-use crate::call::{AttemptId, Call, Ticket};
+use crate::call::{AttemptId, Ticket};
 use crate::decide::Decide;
 use crate::function_names::FunctionNames;
 use crate::input::Input;
 use crate::output::Output;
+use crate::pending::PendingRequests;
 use crate::ready_workers::ReadyWorkers;
 use crate::redelivery::DeliveryHistory;
-use crate::reply::Reply;
+use crate::reply::FinalAnswer;
 use crate::settings::EngineSettings;
 use crate::stats::Stats;
 use crate::timers::Timers;
 
-/// A request that is not settled.
-#[derive(Debug)]
-struct PendingRequest {
-    /// `None`: its source is gone; the answer waits for the message to come again.
-    ticket: Option<Ticket>,
-    identity: Option<Arc<str>>,
-    call: Arc<Call>,
-    deadline: Time,
-    attempts: u32,
-    last_attempt: Option<(Outcome, WorkerId)>,
-    /// The final answer, not yet known to be safe.
-    reply: Option<Arc<Reply>>,
-    /// Bytes that it is charged with.
-    bytes: usize,
-}
-
 /// One front end.
 #[derive(Debug)]
 pub struct Engine {
     settings: EngineSettings,
     decider: Box<dyn Decide>,
     timers: Timers,
-    pending: BTreeMap<RequestId, PendingRequest>,
-    tickets: BTreeMap<Ticket, RequestId>,
-    /// Attempts that have no outcome yet; they outlive their request, for the module must hear of every end.
+    pending: PendingRequests,
+    /// Attempts that have no result yet. They outlive their request, for the decision module must hear of every end.
     attempts_in_flight: BTreeMap<AttemptId, WorkerId>,
     history: DeliveryHistory,
     function_names: FunctionNames,
-    next_request: RequestId,
-    bytes: usize,
-    draining: bool,
     ready_workers: ReadyWorkers,
+    draining: bool,
     stats: Stats,
-    actions: Vec<Action>,
+    /// Events that the decision module has not seen yet.
     events: VecDeque<Event>,
+    /// Empty between decisions; kept so that its memory is used again.
+    actions: Vec<Action>,
 }
 
 impl Engine {
-    /// An engine that knows nothing but its settings; the seed is its only chance.
+    /// An engine that knows nothing but its settings; the seed is its only source of chance.
     pub fn new(settings: EngineSettings, seed: u64) -> Self {
         let module = FrontEnd::new(settings.policy.clone(), seed);
         Self::deciding_by(Box::new(module), settings)
     }
 
-    /// An engine whose decisions are made by something else than the module: for comparison alone.
-    pub fn deciding_by(decider: Box<dyn Decide>, settings: EngineSettings) -> Self {
-        let mut policy = settings.policy.clone();
-        if policy.classes.is_empty() {
-            policy.classes.push(Default::default());
+    /// An engine whose decisions are made by something other than the decision module, for comparison only.
+    pub fn deciding_by(decider: Box<dyn Decide>, mut settings: EngineSettings) -> Self {
+        if settings.policy.classes.is_empty() {
+            settings.policy.classes.push(Class::default());
         }
-        let settings = EngineSettings { policy, ..settings };
         Engine {
             decider,
-            function_names: FunctionNames::new(settings.max_function_names),
-            history: DeliveryHistory::new(settings.remembered_messages, settings.remember_for),
-            settings,
             timers: Timers::default(),
-            pending: BTreeMap::new(),
-            tickets: BTreeMap::new(),
+            pending: PendingRequests::new(),
             attempts_in_flight: BTreeMap::new(),
-            next_request: 1,
-            bytes: 0,
-            draining: false,
+            history: DeliveryHistory::new(settings.remembered_messages, settings.remember_for),
+            function_names: FunctionNames::new(settings.max_function_names),
             ready_workers: ReadyWorkers::default(),
+            draining: false,
             stats: Stats::default(),
-            actions: Vec::new(),
             events: VecDeque::new(),
+            actions: Vec::new(),
+            settings,
         }
     }
 
@@ -100,13 +79,12 @@
         self.timers.next_due()
     }
 
-    /// How many more triggers may be handed in now. Sources that can be held back should be. Before the first list there
-    /// is no room: a front end that knows no worker yet would refuse what another could serve.
+    /// How many more triggers may be handed in now; sources that can be held back should be. There is no capacity before
+    /// the first endpoint list: a front end that knows no worker yet would reject what another could serve.
     pub fn capacity(&self) -> usize {
-        if !self.ready_workers.list_received()
-            || self.draining
-            || self.bytes >= self.settings.max_body_bytes
-        {
+        let no_list = !self.ready_workers.list_received();
+        let no_memory = self.pending.body_bytes() >= self.settings.max_body_bytes;
+        if no_list || self.draining || no_memory {
             return 0;
         }
         self.settings.max_pending.saturating_sub(self.pending.len())
@@ -117,17 +95,17 @@
         self.pending.len()
     }
 
-    /// Attempts that have no outcome yet.
+    /// Attempts that have no result yet.
     pub fn attempts_in_flight(&self) -> usize {
         self.attempts_in_flight.len()
     }
 
-    /// Bytes of bodies held.
+    /// Bytes of all bodies in memory, of calls and of answers.
     pub fn body_bytes(&self) -> usize {
-        self.bytes
+        self.pending.body_bytes()
     }
 
-    /// Workers that may be sent work, as last told.
+    /// Workers that may receive calls, by the latest endpoint list.
     pub fn ready_workers(&self) -> usize {
         self.ready_workers.len()
     }
@@ -137,11 +115,19 @@
         self.stats
     }
 
+    /// The request that a ticket stands for, as long as it is not settled.
+    pub fn request(&self, ticket: Ticket) -> Option<RequestId> {
+        self.pending.of_ticket(ticket)
+    }
+
+    /// Whether a message of this identity is pending here or was settled here lately: that decides what comes of it.
+    pub fn knows(&self, identity: &Arc<str>, now: Time) -> bool {
+        self.history.decide(identity, now).is_some()
+    }
+
     /// Takes one input and appends what to do about it.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
-        while let Some(token) = self.timers.take_due(now) {
-            self.decide(now, Event::Timer { token }, out);
-        }
+        self.run_due_timers(now, out);
         match input {
             Input::Tick => {}
             Input::Trigger(trigger) => self.receive(now, trigger, None, out),
@@ -150,17 +136,19 @@
                 cause,
                 retry_after,
             } => {
-                self.receive(now, trigger, Some((cause, retry_after)), out);
+                let rejection = FinalAnswer::rejected_with_retry_after(cause, retry_after);
+                self.receive(now, trigger, Some(rejection), out);
+            }
+            Input::UserMigrated {
+                user,
+                now: successor,
+            } => {
+                self.user_migrated(now, &user, successor, out);
             }
-            Input::UserMigrated { user, now: side } => self.user_migrated(now, &user, side, out),
             Input::SourceLost(source) => self.source_lost(now, source, out),
             Input::Settled(ticket) => self.settled(now, ticket),
-            Input::CallerCancelled(ticket) => {
-                if let Some(request) = self.tickets.get(&ticket).copied() {
-                    self.abandon(now, request, out);
-                }
-            }
-            Input::AttemptFinished(end) => self.attempt_finished(now, end, out),
+            Input::CallerCancelled(ticket) => self.caller_cancelled(now, ticket, out),
+            Input::AttemptFinished(result) => self.attempt_finished(now, result, out),
             Input::LoadPolled(result) => self.decide(now, result.into(), out),
             Input::LoadCommandFinished(result) => self.decide(now, result.into(), out),
             Input::Endpoints { update, endpoints } => {
@@ -172,13 +160,9 @@
         }
     }
 
-    /// The request that a ticket stands for, as long as it is not settled.
-    pub fn request(&self, ticket: Ticket) -> Option<RequestId> {
-        self.tickets.get(&ticket).copied()
-    }
-
-    /// Whether a message of this name is open here or was settled here lately: what comes of it is decided by that.
-    pub fn knows(&self, identity: &Arc<str>, now: Time) -> bool {
-        self.history.decide(identity, now).is_some()
+    fn run_due_timers(&mut self, now: Time, out: &mut Vec<Output>) {
+        while let Some(token) = self.timers.take_due(now) {
+            self.decide(now, Event::Timer { token }, out);
+        }
     }
 }
--- a/crates/pipithub-engine/src/engine/admission.rs
+++ b/crates/pipithub-engine/src/engine/admission.rs
@@ -4,204 +4,176 @@
 
 use pipithub_policy::api::{Event, Request, RequestId, Time};
 
+use super::Engine;
 use crate::call::{Call, Ticket, Trigger, function_id};
 use crate::output::Output;
 use crate::redelivery::{RedeliveryDecision, decide_unknown};
-use crate::reply::{Cause, Verdict};
+use crate::reply::{Cause, FinalAnswer};
 
-use super::{Engine, PendingRequest};
+/// How many ticks of the decision module may pass until the last attempt of a request has left. Workers must still
+/// deduplicate it then.
+const TICKS_UNTIL_LAST_ATTEMPT: Time = 4;
 
 impl Engine {
-    /// `refused`: it is not to run. What came before is looked up first all the same: a call that runs here, or was
-    /// answered, must not be refused on top of that, and one that may have run elsewhere must not be called harmless.
-    #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
+    /// Starts a request for a call, joins the call to an earlier delivery of its message, or answers it at once.
+    ///
+    /// `rejection` is given where the call is not to run. What is known of its message is looked up first all the same:
+    /// a call that runs here, or was answered, must not be rejected on top of that, and a rejection must not declare
+    /// harmless what may have run elsewhere.
     pub(super) fn receive(
         &mut self,
         now: Time,
-        trigger: Trigger,
-        refused: Option<(Cause, Option<Time>)>,
+        mut trigger: Trigger,
+        rejection: Option<FinalAnswer>,
         out: &mut Vec<Output>,
     ) {
         self.stats.triggers += 1;
-        let Trigger {
-            ticket,
-            identity,
-            redelivered,
-            deliveries,
-            mut call,
-        } = trigger;
-        call.class = call.class.min(self.settings.policy.classes.len() - 1);
-        let (mut timeout, waited) = (call.timeout, call.waited);
-        if redelivered {
+        let last_class = self.settings.policy.classes.len() - 1;
+        trigger.call.class = trigger.call.class.min(last_class);
+        let mut run_within = None;
+        if trigger.redelivered {
             self.stats.redelivered += 1;
-            let class = &self.settings.policy.classes[call.class];
-            let margin = self.settings.answer_margin + 4 * self.settings.policy.tick;
-            let known = identity.as_ref().and_then(|i| self.history.decide(i, now));
-            let decision = known.unwrap_or_else(|| {
-                decide_unknown(class, call.age, call.idempotency_key.is_some(), margin)
-            });
-            match decision {
-                RedeliveryDecision::Join(request) => return self.join(request, ticket, out),
-                RedeliveryDecision::Forget => return out.push(Output::Forget(ticket)),
-                RedeliveryDecision::Run { .. } if deliveries > self.settings.max_deliveries => {
-                    // A safe message that comes again and again may be what brings front ends down.
-                    return self.answer_at_once(
-                        now,
-                        ticket,
-                        identity,
-                        Verdict::Failed,
-                        Cause::TooManyDeliveries,
-                        out,
-                    );
+            match self.decide_redelivery(now, &trigger) {
+                RedeliveryDecision::Join(request) => {
+                    return self.join(request, trigger.ticket, out);
                 }
-                RedeliveryDecision::Run { within: None } => {}
-                RedeliveryDecision::Run { within: Some(left) } => {
-                    timeout = Some(timeout.unwrap_or(class.client_timeout).min(left));
+                RedeliveryDecision::Forget => return out.push(Output::Forget(trigger.ticket)),
+                RedeliveryDecision::Run { .. }
+                    if trigger.deliveries > self.settings.max_deliveries =>
+                {
+                    let answer = FinalAnswer::failed(Cause::TooManyDeliveries);
+                    return self.answer_at_once(now, trigger, answer, out);
                 }
+                RedeliveryDecision::Run { within } => run_within = within,
                 RedeliveryDecision::Fail => {
-                    return self.answer_at_once(
-                        now,
-                        ticket,
-                        identity,
-                        Verdict::Failed,
-                        Cause::MayHaveRunBefore,
-                        out,
-                    );
+                    let answer = FinalAnswer::failed(Cause::MayHaveRunBefore);
+                    return self.answer_at_once(now, trigger, answer, out);
                 }
             }
-        } else if let Some(request) = identity.as_ref().and_then(|i| self.history.pending(i)) {
-            // Not a repeat by its source's word, yet of the name of one that is open: a client that sent twice.
-            // The earlier one keeps its answer and loses its name.
-            if let Some(pending) = self.pending.get_mut(&request) {
-                pending.identity = None;
-            }
+        } else if let Some(identity) = &trigger.identity {
+            self.release_identity(identity);
         }
-        if let Some((cause, retry_after)) = refused {
-            let request = self.insert(now, ticket, identity, Call::default());
-            return self.answer(request, Verdict::Rejected, cause, retry_after, None, out);
+        match self.admit(&trigger.call, run_within, rejection) {
+            Ok(timeout) => self.start_request(now, trigger, timeout, out),
+            Err(answer) => self.answer_at_once(now, trigger, answer, out),
+        }
+    }
+
+    fn decide_redelivery(&self, now: Time, trigger: &Trigger) -> RedeliveryDecision {
+        let identity = trigger.identity.as_ref();
+        if let Some(decision) = identity.and_then(|identity| self.history.decide(identity, now)) {
+            return decision;
+        }
+        let call = &trigger.call;
+        let policy = &self.settings.policy;
+        let margin = self.settings.answer_margin + TICKS_UNTIL_LAST_ATTEMPT * policy.tick;
+        let has_key = call.idempotency_key.is_some();
+        decide_unknown(&policy.classes[call.class], call.age, has_key, margin)
+    }
+
+    /// Takes an identity from the pending request that bears it. The source says that the new message is no redelivery:
+    /// a client used one identity for two calls. The earlier call keeps its answer and loses its identity.
+    fn release_identity(&mut self, identity: &str) {
+        let bearer = self.history.pending(identity);
+        if let Some(pending) = bearer.and_then(|request| self.pending.get_mut(request)) {
+            pending.identity = None;
+        }
+    }
+
+    /// The time in which a call must be answered, or the answer of a call that is not to run.
+    fn admit(
+        &self,
+        call: &Call,
+        run_within: Option<Time>,
+        rejection: Option<FinalAnswer>,
+    ) -> Result<Time, FinalAnswer> {
+        if let Some(rejection) = rejection {
+            return Err(rejection);
         }
         if !self.settings.owners.allow(call.tenant, &call.function) {
-            return self.answer_at_once(
-                now,
-                ticket,
-                identity,
-                Verdict::Rejected,
-                Cause::OtherTenant,
-                out,
-            );
+            return Err(FinalAnswer::rejected(Cause::OtherTenant));
         }
-        let bytes = call.body.len();
         if self.draining {
-            return self.answer_at_once(
-                now,
-                ticket,
-                identity,
-                Verdict::Rejected,
-                Cause::Draining,
-                out,
-            );
+            return Err(FinalAnswer::rejected(Cause::Draining));
         }
-        if self.pending.len() >= self.settings.max_pending
-            || self.bytes + bytes > self.settings.max_body_bytes
-        {
-            return self.answer_at_once(
-                now,
-                ticket,
-                identity,
-                Verdict::Rejected,
-                Cause::AtCapacity,
-                out,
-            );
+        if !self.has_capacity_for(call.body.len()) {
+            return Err(FinalAnswer::rejected(Cause::AtCapacity));
         }
+        self.time_to_answer(call, run_within)
+            .ok_or(FinalAnswer::rejected(Cause::TooLate))
+    }
+
+    fn has_capacity_for(&self, body_bytes: usize) -> bool {
+        self.pending.len() < self.settings.max_pending
+            && self.pending.body_bytes() + body_bytes <= self.settings.max_body_bytes
+    }
+
+    /// The time from now in which a call must be answered; `None` if none is left. The wait of a message in its queue
+    /// counts, whoever states the timeout.
+    fn time_to_answer(&self, call: &Call, run_within: Option<Time>) -> Option<Time> {
         let class = &self.settings.policy.classes[call.class];
-        // Of a message that waited in its queue the client's time is partly over, whoever states it.
-        let rest = class.client_timeout.saturating_sub(waited);
-        let timeout = timeout.unwrap_or(rest).min(rest);
-        let Some(left) = timeout
+        let rest_of_class = class.client_timeout.saturating_sub(call.waited);
+        let mut timeout = call.timeout.unwrap_or(rest_of_class).min(rest_of_class);
+        if let Some(run_within) = run_within {
+            timeout = timeout.min(run_within);
+        }
+        timeout
             .checked_sub(self.settings.answer_margin)
-            .filter(|left| *left > 0)
-        else {
-            return self.answer_at_once(
-                now,
-                ticket,
-                identity,
-                Verdict::Rejected,
-                Cause::TooLate,
-                out,
-            );
-        };
+            .filter(|time| *time > 0)
+    }
+
+    fn start_request(&mut self, now: Time, trigger: Trigger, timeout: Time, out: &mut Vec<Output>) {
+        let call = trigger.call;
         let function = function_id(&call.function);
         self.function_names
             .record_call(now, function, &call.function);
         let request = Request {
-            id: self.next_request,
+            id: self.pending.next_id(),
             expected_work: call.expected_work,
             memory_mb: call.memory_mb,
             replica_concurrency: call.replica_concurrency,
             class: call.class,
             load_time: call.load_time,
             function,
-            timeout: Some(left),
+            timeout: Some(timeout),
         };
-        self.insert(now + left, ticket, identity, call);
+        self.insert_pending(now + timeout, trigger.ticket, trigger.identity, call);
         self.decide(now, Event::Arrived(request), out);
     }
 
-    /// Notes a new request under the next number.
-    pub(super) fn insert(
+    /// Gives a final answer to a trigger that the decision module never sees. Its body is dropped at once: what is
+    /// rejected for want of memory must not take any.
+    fn answer_at_once(
+        &mut self,
+        now: Time,
+        trigger: Trigger,
+        answer: FinalAnswer,
+        out: &mut Vec<Output>,
+    ) {
+        let without_body = Call::default();
+        let request = self.insert_pending(now, trigger.ticket, trigger.identity, without_body);
+        self.answer(request, answer, out);
+    }
+
+    fn insert_pending(
         &mut self,
         deadline: Time,
         ticket: Ticket,
         identity: Option<Arc<str>>,
         call: Call,
     ) -> RequestId {
-        let request = self.next_request;
-        self.next_request += 1;
         if let Some(identity) = &identity {
-            self.history.begin(identity, request);
+            self.history.begin(identity, self.pending.next_id());
         }
-        let bytes = call.body.len();
-        self.bytes += bytes;
-        self.tickets.insert(ticket, request);
-        let pending = PendingRequest {
-            ticket: Some(ticket),
-            identity,
-            call: Arc::new(call),
-            deadline,
-            attempts: 0,
-            last_attempt: None,
-            reply: None,
-            bytes,
-        };
-        self.pending.insert(request, pending);
-        request
-    }
-
-    /// Gives a final answer to a trigger that the module never sees.
-    pub(super) fn answer_at_once(
-        &mut self,
-        now: Time,
-        ticket: Ticket,
-        identity: Option<Arc<str>>,
-        verdict: Verdict,
-        cause: Cause,
-        out: &mut Vec<Output>,
-    ) {
-        // The body is let go at once: what is refused for want of room must not take any.
-        let request = self.insert(now, ticket, identity, Call::default());
-        self.answer(request, verdict, cause, None, None, out);
+        self.pending.insert(ticket, identity, call, deadline)
     }
 
-    /// A delivery takes the place of an earlier one of the same message.
-    pub(super) fn join(&mut self, request: RequestId, ticket: Ticket, out: &mut Vec<Output>) {
-        let Some(pending) = self.pending.get_mut(&request) else {
+    /// Has a delivery take the place of an earlier one of the same message.
+    fn join(&mut self, request: RequestId, ticket: Ticket, out: &mut Vec<Output>) {
+        let Some(pending) = self.pending.replace_ticket(request, ticket) else {
             return;
         };
         self.stats.joined += 1;
-        if let Some(old) = pending.ticket.replace(ticket) {
-            self.tickets.remove(&old);
-        }
-        self.tickets.insert(ticket, request);
         if let Some(reply) = &pending.reply {
             out.push(Output::Answer {
                 ticket,
--- a/crates/pipithub-engine/src/engine/answers.rs
+++ b/crates/pipithub-engine/src/engine/answers.rs
@@ -4,106 +4,96 @@
 
 use pipithub_policy::api::{RequestId, Time};
 
-use crate::call::{Call, Ticket};
+use super::Engine;
+use crate::call::Ticket;
 use crate::output::Output;
-use crate::reply::{Cause, Reply, Served, Verdict};
+use crate::pending::PendingRequest;
+use crate::reply::{Cause, FinalAnswer, Reply, Verdict};
 
-use super::Engine;
+/// How many ticks before its deadline the timer of a request may expire and still count as its end.
+const TICKS_BEFORE_DEADLINE: Time = 2;
 
 impl Engine {
-    /// Gives the final answer of a request: the first is the only one.
+    /// Gives the final answer of a request; a second one is ignored.
     pub(super) fn answer(
         &mut self,
         request: RequestId,
-        verdict: Verdict,
-        cause: Cause,
-        retry_after: Option<Time>,
-        served: Option<Served>,
+        answer: FinalAnswer,
         out: &mut Vec<Output>,
     ) {
-        let Some(pending) = self.pending.get_mut(&request).filter(|o| o.reply.is_none()) else {
+        let Some(pending) = self.pending.get_unanswered_mut(request) else {
             return;
         };
-        let counter = match verdict {
+        let counter = match answer.verdict {
             Verdict::Served => &mut self.stats.served,
             Verdict::Rejected => &mut self.stats.rejected,
             Verdict::Failed => &mut self.stats.failed,
         };
         *counter += 1;
-        let (last, worker) = pending.last_attempt.clone().unzip();
-        let reply = Reply {
-            verdict,
-            cause,
-            retry_after,
+        let last_attempt = pending.last_attempt.clone();
+        let reply = Arc::new(Reply {
+            verdict: answer.verdict,
+            cause: answer.cause,
+            retry_after: answer.retry_after,
             attempts: pending.attempts,
-            last_outcome: last,
-            worker,
-            served,
-        };
-        let reply = Arc::new(reply);
-        // The call's body is not needed any more, the answer's is.
-        let bytes = reply.served.as_ref().map_or(0, |s| s.body.len());
-        self.bytes = self.bytes - pending.bytes + bytes;
-        pending.bytes = bytes;
-        let kept = Call {
-            body: Default::default(),
-            ..(*pending.call).clone()
-        };
-        pending.call = Arc::new(kept);
-        pending.reply = Some(reply.clone());
-        if let Some(ticket) = pending.ticket {
+            last_outcome: last_attempt.as_ref().map(|attempt| attempt.outcome),
+            worker: last_attempt.map(|attempt| attempt.worker),
+            served: answer.served,
+        });
+        let ticket = pending.ticket;
+        self.pending.set_reply(request, &reply);
+        if let Some(ticket) = ticket {
             out.push(Output::Answer { ticket, reply });
         }
     }
 
+    /// The answer is safe at its source: the request is forgotten, its message remembered as settled.
     pub(super) fn settled(&mut self, now: Time, ticket: Ticket) {
-        let Some(request) = self.tickets.remove(&ticket) else {
+        let Some(request) = self.pending.of_ticket(ticket) else {
             return;
         };
-        let Some(pending) = self.pending.remove(&request) else {
+        let Some(pending) = self.pending.remove(request) else {
             return;
         };
-        self.bytes -= pending.bytes;
         if let Some(identity) = &pending.identity {
             self.history.settle(identity, request, now);
         }
     }
 
-    /// At its own timer a request has either been answered or has come to its end here too.
+    /// Forgets a request whose answer is not known to be safe.
+    pub(super) fn release(&mut self, request: RequestId) -> Option<PendingRequest> {
+        let pending = self.pending.remove(request)?;
+        if let Some(identity) = &pending.identity {
+            self.history.abandon(identity, request);
+        }
+        Some(pending)
+    }
+
+    /// The decision module answers a request by the time of its timer. What it has forgotten must not stay pending for
+    /// ever, and fails here.
     pub(super) fn request_timer_expired(
         &mut self,
         now: Time,
         request: RequestId,
         out: &mut Vec<Output>,
     ) {
-        let Some(pending) = self.pending.get(&request) else {
+        let Some(pending) = self.pending.get(request) else {
             return;
         };
-        if pending.reply.is_none() && now + 2 * self.settings.policy.tick >= pending.deadline {
-            // The module ends what it knows; what it does not know any more must not wait for ever.
-            self.answer(
-                request,
-                Verdict::Failed,
-                Cause::AttemptsEnded,
-                None,
-                None,
-                out,
-            );
+        let tolerance = TICKS_BEFORE_DEADLINE * self.settings.policy.tick;
+        if pending.reply.is_none() && now + tolerance >= pending.deadline {
+            self.answer(request, FinalAnswer::failed(Cause::AttemptsEnded), out);
         }
-        self.release_expired_orphan(now, request);
+        self.release_orphan(now, request);
     }
 
-    /// Lets go of an answered request whose message did not come back in its time: it went elsewhere.
-    pub(super) fn release_expired_orphan(&mut self, now: Time, request: RequestId) {
-        let Some(pending) = self.pending.get(&request) else {
+    /// Forgets an answered request whose message was not redelivered here until its deadline: it went elsewhere.
+    fn release_orphan(&mut self, now: Time, request: RequestId) {
+        let Some(pending) = self.pending.get(request) else {
             return;
         };
         if pending.ticket.is_none() && pending.reply.is_some() && now >= pending.deadline {
-            self.bytes -= pending.bytes;
-            if let Some(identity) = &pending.identity {
-                self.history.abandon(identity, request);
-            }
-            self.pending.remove(&request);
+            self.release(request);
         }
     }
 }
--- a/crates/pipithub-engine/src/engine/attempts.rs
+++ b/crates/pipithub-engine/src/engine/attempts.rs
@@ -1,81 +1,105 @@
 //! Attempts: from the decision to forward a request until the result.
 
-use pipithub_policy::api::{AttemptFinished, Event, Outcome, RequestId, Time, WorkerId};
+use pipithub_policy::api::{
+    AttemptFinished, Event, LoadReport, Outcome, RequestId, Time, WorkerId,
+};
 
+use super::Engine;
 use crate::call::AttemptId;
 use crate::input::AttemptResult;
 use crate::output::Output;
-use crate::reply::{Cause, Verdict};
-
-use super::Engine;
+use crate::pending::EndedAttempt;
+use crate::reply::{Cause, FinalAnswer};
 
 impl Engine {
-    pub(super) fn attempt_finished(
+    /// Starts an attempt, unless the request has its answer, has lost its source or may not run its function.
+    pub(super) fn forward(
         &mut self,
         now: Time,
-        end: AttemptResult,
+        request: RequestId,
+        worker: WorkerId,
+        timeout: Option<Time>,
         out: &mut Vec<Output>,
     ) {
-        let AttemptResult {
+        let Some(pending) = self.pending.get_unanswered_mut(request) else {
+            return;
+        };
+        let id = AttemptId {
+            request,
+            number: pending.attempts,
+        };
+        if pending.ticket.is_none() {
+            // The message may be at another front end by now, and an attempt from here could run after that one's
+            // answer. Attempts in flight may end, for the message may still be redelivered here.
+            self.release(request);
+            self.events.push_back(attempt_not_sent(id, worker));
+            return;
+        }
+        let owners = &self.settings.owners;
+        if !owners.allow(pending.call.tenant, &pending.call.function) {
+            // This was checked on arrival, and is checked again where the call would leave, whatever happened between.
+            let answer = FinalAnswer::interrupted(pending.attempts, Cause::OtherTenant);
+            self.answer(request, answer, out);
+            self.events.push_back(attempt_not_sent(id, worker));
+            return;
+        }
+        pending.attempts += 1;
+        let deadline = timeout.map_or(pending.deadline, |timeout| {
+            pending.deadline.min(now + timeout)
+        });
+        let call = pending.call.clone();
+        self.attempts_in_flight.insert(id, worker.clone());
+        self.stats.attempts += 1;
+        out.push(Output::Forward {
             id,
-            outcome,
-            elapsed: took,
-            replica_status: note,
-            function_concurrency: alike,
-            load_report: load,
-            served,
-        } = end;
-        let mut settled = true;
-        // An outcome that nothing was sent for, or a second one, is none.
-        let Some(worker) = self.attempts_in_flight.remove(&id) else {
+            worker,
+            call,
+            deadline,
+        });
+    }
+
+    /// Takes the result of an attempt. A result for an attempt that is not in flight is ignored.
+    pub(super) fn attempt_finished(
+        &mut self,
+        now: Time,
+        result: AttemptResult,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(worker) = self.attempts_in_flight.remove(&result.id) else {
             return;
         };
-        if let Some(pending) = self.pending.get_mut(&id.request) {
-            pending.last_attempt = Some((outcome, worker.clone()));
+        let request = result.id.request;
+        let mut settled = true;
+        if let Some(pending) = self.pending.get_mut(request) {
+            pending.last_attempt = Some(EndedAttempt {
+                outcome: result.outcome,
+                worker: worker.clone(),
+            });
             settled = pending.reply.is_some();
-            if !settled && outcome == Outcome::Served {
+            if !settled && result.outcome == Outcome::Served {
                 settled = true;
-                self.answer(
-                    id.request,
-                    Verdict::Served,
-                    Cause::Answered,
-                    None,
-                    served,
-                    out,
-                );
+                self.answer(request, FinalAnswer::served(result.served), out);
             }
         }
         let finished = AttemptFinished {
-            request: id.request,
-            attempt: id.number,
+            request,
+            attempt: result.id.number,
             worker,
-            outcome,
-            elapsed: took,
+            outcome: result.outcome,
+            elapsed: result.elapsed,
             settled,
-            replica_status: note,
-            function_concurrency: alike,
-            load_report: load,
+            replica_status: result.replica_status,
+            function_concurrency: result.function_concurrency,
+            load_report: result.load_report,
         };
         self.decide(now, Event::AttemptFinished(finished), out);
     }
-
-    /// Ends an orphan in place of a send; the module hears that the attempt was not made.
-    pub(super) fn release_orphan(&mut self, request: RequestId, id: AttemptId, worker: WorkerId) {
-        let Some(pending) = self.pending.remove(&request) else {
-            return;
-        };
-        self.bytes -= pending.bytes;
-        if let Some(identity) = &pending.identity {
-            self.history.abandon(identity, request);
-        }
-        self.events.push_back(attempt_not_sent(request, id, worker));
-    }
 }
 
-/// An attempt that the module ordered and that was not made; its request is over.
-pub(super) fn attempt_not_sent(request: RequestId, id: AttemptId, worker: WorkerId) -> Event {
+/// The end of an attempt that the decision module asked for and that was not made; its request is over.
+fn attempt_not_sent(id: AttemptId, worker: WorkerId) -> Event {
     Event::AttemptFinished(AttemptFinished {
-        request,
+        request: id.request,
         attempt: id.number,
         worker,
         outcome: Outcome::NotSent,
@@ -83,6 +107,6 @@
         settled: true,
         replica_status: None,
         function_concurrency: None,
-        load_report: Default::default(),
+        load_report: LoadReport::default(),
     })
 }
--- a/crates/pipithub-engine/src/engine/cancellation.rs
+++ b/crates/pipithub-engine/src/engine/cancellation.rs
@@ -2,105 +2,108 @@
 
 use pipithub_policy::api::{Event, RequestId, Time};
 
+use super::Engine;
 use crate::call::{SourceId, Ticket};
 use crate::input::TenantUser;
 use crate::output::Output;
-use crate::reply::{Cause, Verdict};
-
-use super::{Engine, PendingRequest};
+use crate::pending::PendingRequest;
+use crate::reply::{Cause, FinalAnswer, Verdict};
 
 impl Engine {
-    /// Tickets of the source are void. A request that can be told again goes on, for its message may come back
-    /// here; one that cannot is withdrawn, for nobody could be told of its end.
+    /// A caller has left: no answer is owed.
+    pub(super) fn caller_cancelled(&mut self, now: Time, ticket: Ticket, out: &mut Vec<Output>) {
+        if let Some(request) = self.pending.of_ticket(ticket) {
+            self.abandon(now, request, out);
+        }
+    }
+
+    /// Voids the tickets of a source. A request with an identity goes on until its deadline, for its message may be
+    /// redelivered here. One without is cancelled, for nobody could be told of its end.
     pub(super) fn source_lost(&mut self, now: Time, source: SourceId, out: &mut Vec<Output>) {
-        let of = |t: &Ticket| t.source == source;
-        let lost: Vec<_> = self
-            .tickets
-            .iter()
-            .filter(|(t, _)| of(t))
-            .map(|(t, r)| (*t, *r))
-            .collect();
-        for (ticket, request) in lost {
-            self.tickets.remove(&ticket);
-            let Some(pending) = self.pending.get_mut(&request) else {
+        for ticket in self.pending.tickets_of(source) {
+            let Some(request) = self.pending.void_ticket(ticket) else {
                 continue;
             };
-            pending.ticket = None;
-            if pending.identity.is_none() {
-                self.abandon(now, request, out);
-            } else {
-                self.timers.set(pending.deadline.max(now), request);
+            match self.pending.get(request) {
+                Some(pending) if pending.identity.is_some() => {
+                    self.timers.set(pending.deadline.max(now), request);
+                }
+                _ => self.abandon(now, request, out),
             }
         }
     }
 
-    /// Ends what is open for a user who is not whose they were. What was never sent is refused. For the rest nothing is
-    /// promised: it may have run for the old tenant, whose answer must not reach the user any more.
+    /// Ends what is pending for a user as they were before `successor` took over the name. What was never forwarded is
+    /// rejected. For the rest nothing is promised: it may have run for the former tenant, whose answer must not reach
+    /// the user any more.
     pub(super) fn user_migrated(
         &mut self,
         now: Time,
         user: &str,
-        side: Option<TenantUser>,
+        successor: Option<TenantUser>,
         out: &mut Vec<Output>,
     ) {
-        // Calls that came after the move are the new side's already, though the word of it is handled only now.
-        let is = |o: &PendingRequest| {
-            o.call.tenant.map(|tenant| TenantUser {
-                tenant,
-                person: o.call.person,
-            })
-        };
-        let of = |o: &PendingRequest| {
-            o.call.user.as_deref() == Some(user) && (side.is_none() || is(o) != side)
-        };
-        let theirs: Vec<_> = self
+        let former: Vec<RequestId> = self
             .pending
             .iter()
-            .filter(|(_, o)| of(o))
-            .map(|(id, _)| *id)
+            .filter(|(_, pending)| is_of_former_user(pending, user, successor))
+            .map(|(request, _)| request)
             .collect();
-        for request in theirs {
-            let Some(pending) = self.pending.get(&request) else {
-                continue;
-            };
-            if pending
-                .reply
-                .as_ref()
-                .is_some_and(|r| r.verdict != Verdict::Served)
-            {
-                continue;
+        for request in former {
+            self.end_for_former_user(now, request, out);
+        }
+    }
+
+    fn end_for_former_user(&mut self, now: Time, request: RequestId, out: &mut Vec<Output>) {
+        let Some(pending) = self.pending.get(request) else {
+            return;
+        };
+        match &pending.reply {
+            None => {
+                let answer = FinalAnswer::interrupted(pending.attempts, Cause::UserMigrated);
+                self.end_early(now, request, answer, out);
             }
-            if pending.reply.is_some() {
-                // Served, but not yet told to anybody: its message is gone, and may come back.
-                if pending.ticket.is_none() {
-                    self.abandon(now, request, out);
-                }
-                continue;
+            // The answer was not given to anybody yet, and waits for a redelivery of its message.
+            Some(reply) if reply.verdict == Verdict::Served && pending.ticket.is_none() => {
+                self.abandon(now, request, out);
             }
-            let verdict = if pending.attempts == 0 {
-                Verdict::Rejected
-            } else {
-                Verdict::Failed
-            };
-            self.answer(request, verdict, Cause::UserMigrated, None, None, out);
-            self.decide(now, Event::ClientCancelled { request }, out);
+            Some(_) => {}
         }
     }
 
+    /// Gives the final answer of a request that the decision module still works on, and has that stop.
+    pub(super) fn end_early(
+        &mut self,
+        now: Time,
+        request: RequestId,
+        answer: FinalAnswer,
+        out: &mut Vec<Output>,
+    ) {
+        self.answer(request, answer, out);
+        self.decide(now, Event::ClientCancelled { request }, out);
+    }
+
     /// Ends a request to which no answer is owed any more.
-    pub(super) fn abandon(&mut self, now: Time, request: RequestId, out: &mut Vec<Output>) {
-        let Some(pending) = self.pending.remove(&request) else {
+    fn abandon(&mut self, now: Time, request: RequestId, out: &mut Vec<Output>) {
+        let Some(pending) = self.release(request) else {
             return;
         };
-        self.bytes -= pending.bytes;
-        if let Some(ticket) = pending.ticket {
-            self.tickets.remove(&ticket);
-        }
-        if let Some(identity) = &pending.identity {
-            self.history.abandon(identity, request);
-        }
         if pending.reply.is_none() {
             self.decide(now, Event::ClientCancelled { request }, out);
         }
     }
 }
+
+/// Whether a request was made by a user before `successor` took over the name. Calls of the successor may have arrived
+/// before the engine was told of the migration.
+fn is_of_former_user(pending: &PendingRequest, user: &str, successor: Option<TenantUser>) -> bool {
+    let call = &pending.call;
+    if call.user.as_deref() != Some(user) {
+        return false;
+    }
+    let caller = call.tenant.map(|tenant| TenantUser {
+        tenant,
+        person: call.person,
+    });
+    successor.is_none() || caller != successor
+}
--- a/crates/pipithub-engine/src/engine/shutdown.rs
+++ b/crates/pipithub-engine/src/engine/shutdown.rs
@@ -1,30 +1,27 @@
 //! The end of a graceful shutdown.
 
-use pipithub_policy::api::{Event, Time};
-
-use crate::output::Output;
-use crate::reply::{Cause, Verdict};
+use pipithub_policy::api::{RequestId, Time};
 
 use super::Engine;
+use crate::output::Output;
+use crate::reply::{Cause, FinalAnswer};
 
 impl Engine {
-    /// Answers all that is open. What was never sent is refused; for the rest nothing is promised, for it may have run.
+    /// Answers all that is pending. What was never forwarded is rejected; for the rest nothing is promised, for it may
+    /// have run.
     pub(super) fn answer_all(&mut self, now: Time, out: &mut Vec<Output>) {
         self.draining = true;
-        let unanswered: Vec<_> = self
+        let unanswered: Vec<(RequestId, FinalAnswer)> = self
             .pending
             .iter()
-            .filter(|(_, o)| o.reply.is_none())
-            .map(|(id, o)| (*id, o.attempts))
+            .filter(|(_, pending)| pending.reply.is_none())
+            .map(|(request, pending)| {
+                let answer = FinalAnswer::interrupted(pending.attempts, Cause::Draining);
+                (request, answer)
+            })
             .collect();
-        for (request, attempts) in unanswered {
-            let verdict = if attempts == 0 {
-                Verdict::Rejected
-            } else {
-                Verdict::Failed
-            };
-            self.answer(request, verdict, Cause::Draining, None, None, out);
-            self.decide(now, Event::ClientCancelled { request }, out);
+        for (request, answer) in unanswered {
+            self.end_early(now, request, answer, out);
         }
     }
 }
--- a/crates/pipithub-engine/src/lib.rs
+++ b/crates/pipithub-engine/src/lib.rs
@@ -15,6 +15,7 @@
 mod input;
 mod output;
 mod owners;
+mod pending;
 mod ready_workers;
 pub mod redelivery;
 mod reply;
--- a/crates/pipithub-engine/src/reply.rs
+++ b/crates/pipithub-engine/src/reply.rs
@@ -117,3 +117,55 @@
     /// What the worker answered; with [`Verdict::Served`] alone.
     pub served: Option<Served>,
 }
+
+/// The part of a [`Reply`] that does not depend on the attempts made.
+#[derive(Debug)]
+pub(crate) struct FinalAnswer {
+    pub(crate) verdict: Verdict,
+    pub(crate) cause: Cause,
+    pub(crate) retry_after: Option<Time>,
+    pub(crate) served: Option<Served>,
+}
+
+impl FinalAnswer {
+    pub(crate) fn served(served: Option<Served>) -> Self {
+        FinalAnswer {
+            served,
+            ..Self::without_body(Verdict::Served, Cause::Answered)
+        }
+    }
+
+    pub(crate) fn rejected(cause: Cause) -> Self {
+        Self::without_body(Verdict::Rejected, cause)
+    }
+
+    pub(crate) fn rejected_with_retry_after(cause: Cause, retry_after: Option<Time>) -> Self {
+        FinalAnswer {
+            retry_after,
+            ..Self::rejected(cause)
+        }
+    }
+
+    pub(crate) fn failed(cause: Cause) -> Self {
+        Self::without_body(Verdict::Failed, cause)
+    }
+
+    /// The answer of a request that is ended before its attempts are: rejected if none was made, for then a retry is
+    /// harmless, else failed.
+    pub(crate) fn interrupted(attempts: u32, cause: Cause) -> Self {
+        if attempts == 0 {
+            Self::rejected(cause)
+        } else {
+            Self::failed(cause)
+        }
+    }
+
+    fn without_body(verdict: Verdict, cause: Cause) -> Self {
+        FinalAnswer {
+            verdict,
+            cause,
+            retry_after: None,
+            served: None,
+        }
+    }
+}
