--- a/crates/pipithub-engine/tests/engine/admission.rs
+++ b/crates/pipithub-engine/tests/engine/admission.rs
@@ -3,15 +3,15 @@
 use pipithub_engine::policy::{Endpoint, EndpointState, EndpointUpdate, WorkerId};
 use pipithub_engine::{Cause, Engine, EngineSettings, Input, Verdict};
 
-use crate::bed::{Bed, MS, SAFE, UNSAFE, only_answer, sends, settings};
+use crate::bed::{Bed, IDEMPOTENT, MS, NON_IDEMPOTENT, forwarded, only_answer, settings};
 
 #[test]
-fn a_call_with_almost_no_time_is_answered_at_once_and_never_sent() {
+fn a_call_with_almost_no_time_is_rejected_at_once_and_never_forwarded() {
     let mut bed = Bed::new(settings());
     for budget in [0, 1, 5 * MS, 20 * MS] {
         // Nobody knows the function, so only a load of a second could serve it: 20 ms cannot be met.
-        let (_, out) = bed.trigger(UNSAFE, |t| t.call.timeout = Some(budget));
-        assert_eq!(sends(&out), []);
+        let (_, out) = bed.trigger(NON_IDEMPOTENT, |t| t.call.timeout = Some(budget));
+        assert_eq!(forwarded(&out), []);
         assert_eq!(only_answer(&out).1.verdict, Verdict::Rejected, "{budget}");
     }
 }
@@ -21,15 +21,15 @@
 #[test]
 fn time_in_the_queue_counts() {
     let mut bed = Bed::new(settings());
-    let (_, out) = bed.trigger(SAFE, |t| t.call.waited = 3_000 * MS);
-    assert_eq!(sends(&out).len(), 1);
+    let (_, out) = bed.trigger(IDEMPOTENT, |t| t.call.waited = 3_000 * MS);
+    assert_eq!(forwarded(&out).len(), 1);
     let out = bed.pass(1_000 * MS);
     assert_eq!(
         only_answer(&out).1.verdict,
         Verdict::Rejected,
         "its 4 s are over"
     );
-    let (_, out) = bed.trigger(SAFE, |t| t.call.waited = 5_000 * MS);
+    let (_, out) = bed.trigger(IDEMPOTENT, |t| t.call.waited = 5_000 * MS);
     assert_eq!(only_answer(&out).1.cause, Cause::TooLate);
 }
 
@@ -39,23 +39,23 @@
         max_pending: 2,
         ..settings()
     });
-    bed.trigger(SAFE, |t| t.identity = Some("a".into()));
-    bed.trigger(SAFE, |t| t.identity = Some("b".into()));
+    bed.trigger(IDEMPOTENT, |t| t.identity = Some("a".into()));
+    bed.trigger(IDEMPOTENT, |t| t.identity = Some("b".into()));
     assert_eq!(bed.engine.capacity(), 0);
-    let (_, out) = bed.trigger(SAFE, |t| t.identity = Some("c".into()));
+    let (_, out) = bed.trigger(IDEMPOTENT, |t| t.identity = Some("c".into()));
     assert_eq!(only_answer(&out).1.cause, Cause::AtCapacity);
 
     let mut bed = Bed::new(EngineSettings {
         max_body_bytes: 5,
         ..settings()
     });
-    bed.trigger(SAFE, |t| t.identity = Some("a".into()));
-    let (_, out) = bed.trigger(SAFE, |t| t.identity = Some("b".into()));
+    bed.trigger(IDEMPOTENT, |t| t.identity = Some("a".into()));
+    let (_, out) = bed.trigger(IDEMPOTENT, |t| t.identity = Some("b".into()));
     assert_eq!(only_answer(&out).1.cause, Cause::AtCapacity);
 
     let mut bed = Bed::new(settings());
     bed.input(Input::Drain);
-    let (_, out) = bed.trigger(SAFE, |_| {});
+    let (_, out) = bed.trigger(IDEMPOTENT, |_| {});
     assert_eq!(only_answer(&out).1.cause, Cause::Draining);
 
     let mut bed = Bed::new(EngineSettings {
@@ -64,7 +64,7 @@
     });
     for n in 0..100 {
         bed.now += MS;
-        bed.trigger(SAFE, |t| {
+        bed.trigger(IDEMPOTENT, |t| {
             t.identity = None;
             t.call.function = format!("one-off {n}").into();
         });
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn before_the_first_list_there_is_no_room() {
+fn before_the_first_endpoint_list_there_is_no_capacity() {
     let mut engine = Engine::new(settings(), 7);
     assert_eq!(engine.capacity(), 0);
     engine.handle(
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn without_workers_a_call_is_refused_and_after_their_return_served() {
+fn without_workers_a_call_is_rejected_and_after_their_return_forwarded() {
     let mut bed = Bed::new(settings());
     let gone = |n: u32| Endpoint {
         worker: WorkerId::new(&format!("w{n}")),
@@ -108,7 +108,7 @@
         endpoints: (0..3).map(gone).collect(),
     });
     assert_eq!(bed.engine.ready_workers(), 0);
-    let (_, out) = bed.trigger(SAFE, |t| t.identity = None);
+    let (_, out) = bed.trigger(IDEMPOTENT, |t| t.identity = None);
     assert_eq!(only_answer(&out).1.verdict, Verdict::Rejected);
     let back = Endpoint {
         worker: WorkerId::new("w9"),
@@ -118,6 +118,6 @@
         update: EndpointUpdate::Delta,
         endpoints: vec![back],
     });
-    let (_, out) = bed.trigger(SAFE, |t| t.identity = None);
-    assert_eq!(sends(&out).len(), 1);
+    let (_, out) = bed.trigger(IDEMPOTENT, |t| t.identity = None);
+    assert_eq!(forwarded(&out).len(), 1);
 }
--- a/crates/pipithub-engine/tests/engine/answers.rs
+++ b/crates/pipithub-engine/tests/engine/answers.rs
@@ -3,13 +3,13 @@
 use pipithub_engine::policy::Outcome;
 use pipithub_engine::{AttemptId, Input, Output, Verdict};
 
-use crate::bed::{Bed, MS, SAFE, UNSAFE, answers, only_answer, sends, settings};
+use crate::bed::{Bed, IDEMPOTENT, MS, NON_IDEMPOTENT, answers, forwarded, only_answer, settings};
 
 #[test]
-fn a_call_is_sent_and_its_answer_comes_back() {
+fn a_call_is_forwarded_and_its_answer_comes_back() {
     let mut bed = Bed::new(settings());
-    let (ticket, out) = bed.trigger(UNSAFE, |_| {});
-    let out = bed.end(sends(&out)[0], Outcome::Served);
+    let (ticket, out) = bed.trigger(NON_IDEMPOTENT, |_| {});
+    let out = bed.end(forwarded(&out)[0], Outcome::Served);
     let (to, reply) = only_answer(&out);
     assert_eq!(
         (to, reply.verdict, reply.attempts),
@@ -28,24 +28,27 @@
 }
 
 #[test]
-fn an_unsafe_call_that_may_have_run_fails_and_one_that_did_not_goes_on() {
+fn a_non_idempotent_call_that_may_have_run_fails_and_one_that_did_not_is_retried() {
     let mut bed = Bed::new(settings());
-    let (_, out) = bed.trigger(UNSAFE, |_| {});
-    let out = bed.end(sends(&out)[0], Outcome::Unreachable);
-    let second = sends(&out)[0];
+    let (_, out) = bed.trigger(NON_IDEMPOTENT, |_| {});
+    let out = bed.end(forwarded(&out)[0], Outcome::Unreachable);
+    let second = forwarded(&out)[0];
     assert_eq!(second.number, 1);
     let out = bed.end(second, Outcome::ConnectionLost);
     assert_eq!(only_answer(&out).1.verdict, Verdict::Failed);
-    assert_eq!(sends(&out), []);
+    assert_eq!(forwarded(&out), []);
 }
 
 #[test]
-fn a_silent_worker_does_not_keep_a_caller_waiting_beyond_the_time() {
+fn a_silent_worker_does_not_keep_a_caller_waiting_beyond_its_timeout() {
     let mut bed = Bed::new(settings());
-    for (class, verdict) in [(SAFE, Verdict::Rejected), (UNSAFE, Verdict::Failed)] {
+    for (class, verdict) in [
+        (IDEMPOTENT, Verdict::Rejected),
+        (NON_IDEMPOTENT, Verdict::Failed),
+    ] {
         let began = bed.now;
         let (ticket, out) = bed.trigger(class, |t| t.call.timeout = Some(1_500 * MS));
-        let attempt = sends(&out)[0];
+        let attempt = forwarded(&out)[0];
         let out = bed.pass(1_500 * MS);
         let (to, reply) = only_answer(&out);
         assert_eq!((to, reply.verdict), (ticket, verdict));
@@ -57,10 +60,10 @@
 }
 
 #[test]
-fn an_outcome_that_nothing_was_sent_for_changes_nothing() {
+fn a_result_without_an_attempt_changes_nothing() {
     let mut bed = Bed::new(settings());
-    let (_, out) = bed.trigger(UNSAFE, |_| {});
-    let id = sends(&out)[0];
+    let (_, out) = bed.trigger(NON_IDEMPOTENT, |_| {});
+    let id = forwarded(&out)[0];
     assert_eq!(bed.end(AttemptId { number: 5, ..id }, Outcome::Served), []);
     assert_eq!(
         bed.end(
--- a/crates/pipithub-engine/tests/engine/bed.rs
+++ b/crates/pipithub-engine/tests/engine/bed.rs
@@ -13,11 +13,11 @@
 
 pub(crate) const MS: Time = 1_000_000;
 
-pub(crate) const SAFE: usize = 0;
+pub(crate) const IDEMPOTENT: usize = 0;
 
-pub(crate) const KEYED: usize = 1;
+pub(crate) const WITH_KEY: usize = 1;
 
-pub(crate) const UNSAFE: usize = 2;
+pub(crate) const NON_IDEMPOTENT: usize = 2;
 
 pub(crate) fn class(effect: Idempotency) -> Class {
     Class {
@@ -140,7 +140,7 @@
     }
 }
 
-pub(crate) fn sends(out: &[Output]) -> Vec<AttemptId> {
+pub(crate) fn forwarded(out: &[Output]) -> Vec<AttemptId> {
     out.iter()
         .filter_map(|o| {
             if let Output::Forward { id, .. } = o {
--- a/crates/pipithub-engine/tests/engine/redelivery.rs
+++ b/crates/pipithub-engine/tests/engine/redelivery.rs
@@ -4,46 +4,48 @@
 use pipithub_engine::redelivery::{RedeliveryDecision, decide_unknown};
 use pipithub_engine::{Cause, Input, Output, SourceId, Time, Verdict};
 
-use crate::bed::{Bed, KEYED, MS, SAFE, UNSAFE, answers, class, only_answer, sends, settings};
+use crate::bed::{
+    Bed, IDEMPOTENT, MS, NON_IDEMPOTENT, WITH_KEY, answers, class, forwarded, only_answer, settings,
+};
 
 #[test]
-fn a_repeat_of_an_open_call_joins_it() {
+fn a_redelivery_of_a_pending_call_joins_it() {
     let mut bed = Bed::new(settings());
-    let (_, out) = bed.trigger(UNSAFE, |_| {});
-    let attempt = sends(&out)[0];
+    let (_, out) = bed.trigger(NON_IDEMPOTENT, |_| {});
+    let attempt = forwarded(&out)[0];
     bed.input(Input::SourceLost(SourceId(1)));
-    let (again, out) = bed.trigger(UNSAFE, |t| t.redelivered = true);
+    let (again, out) = bed.trigger(NON_IDEMPOTENT, |t| t.redelivered = true);
     assert_eq!(out, [], "it is running already");
     let out = bed.end(attempt, Outcome::Served);
     assert_eq!(only_answer(&out).0, again);
 }
 
 #[test]
-fn a_repeat_of_an_answered_call_gets_the_same_answer() {
+fn a_redelivery_of_an_answered_call_gets_the_same_answer() {
     let mut bed = Bed::new(settings());
-    let (_, out) = bed.trigger(UNSAFE, |_| {});
+    let (_, out) = bed.trigger(NON_IDEMPOTENT, |_| {});
     bed.input(Input::SourceLost(SourceId(1)));
     assert_eq!(
-        bed.end(sends(&out)[0], Outcome::Served),
+        bed.end(forwarded(&out)[0], Outcome::Served),
         [],
         "nobody can be told now"
     );
-    let (again, out) = bed.trigger(UNSAFE, |t| t.redelivered = true);
+    let (again, out) = bed.trigger(NON_IDEMPOTENT, |t| t.redelivered = true);
     let (to, reply) = only_answer(&out);
     assert_eq!((to, reply.verdict), (again, Verdict::Served));
     bed.input(Input::Settled(again));
     // A broker without transactions may lose the ack of an answer that is safe: no second answer then.
-    let (third, out) = bed.trigger(UNSAFE, |t| t.redelivered = true);
+    let (third, out) = bed.trigger(NON_IDEMPOTENT, |t| t.redelivered = true);
     assert_eq!(out, [Output::Forget(third)]);
 }
 
 /// Found by the bad day: a front end whose connection was cut sent a call again after another had answered it.
 #[test]
-fn an_orphan_is_not_sent_again() {
+fn a_request_without_its_source_is_not_retried() {
     let mut bed = Bed::new(settings());
-    let (_, out) = bed.trigger(SAFE, |_| {});
+    let (_, out) = bed.trigger(IDEMPOTENT, |_| {});
     bed.input(Input::SourceLost(SourceId(1)));
-    assert_eq!(bed.end(sends(&out)[0], Outcome::ConnectionLost), []);
+    assert_eq!(bed.end(forwarded(&out)[0], Outcome::ConnectionLost), []);
     assert_eq!(
         (
             bed.engine.pending_requests(),
@@ -53,32 +55,32 @@
         (0, 0, 0)
     );
     // Should it come back here after all, it is decided anew.
-    let (_, out) = bed.trigger(SAFE, |t| t.redelivered = true);
-    assert_eq!(sends(&out).len(), 1);
+    let (_, out) = bed.trigger(IDEMPOTENT, |t| t.redelivered = true);
+    assert_eq!(forwarded(&out).len(), 1);
 }
 
 /// A client that uses a name anew must not have its call settled by the answer of an earlier one.
 #[test]
-fn a_name_used_anew_is_a_new_message() {
+fn an_identity_that_is_used_anew_is_a_new_message() {
     let mut bed = Bed::new(settings());
-    let (first, out) = bed.trigger(UNSAFE, |_| {});
-    bed.end(sends(&out)[0], Outcome::Served);
+    let (first, out) = bed.trigger(NON_IDEMPOTENT, |_| {});
+    bed.end(forwarded(&out)[0], Outcome::Served);
     bed.input(Input::Settled(first));
-    let (_, out) = bed.trigger(UNSAFE, |_| {});
-    let attempt = sends(&out)[0];
+    let (_, out) = bed.trigger(NON_IDEMPOTENT, |_| {});
+    let attempt = forwarded(&out)[0];
     bed.input(Input::SourceLost(SourceId(1)));
-    let (again, out) = bed.trigger(UNSAFE, |t| t.redelivered = true);
+    let (again, out) = bed.trigger(NON_IDEMPOTENT, |t| t.redelivered = true);
     assert_eq!(out, []);
     assert_eq!(only_answer(&bed.end(attempt, Outcome::Served)).0, again);
     // Twice at a time: both are answered.
-    let (a, out_a) = bed.trigger(SAFE, |_| {});
-    let (b, out_b) = bed.trigger(SAFE, |_| {});
+    let (a, out_a) = bed.trigger(IDEMPOTENT, |_| {});
+    let (b, out_b) = bed.trigger(IDEMPOTENT, |_| {});
     assert_eq!(
-        only_answer(&bed.end(sends(&out_a)[0], Outcome::Served)).0,
+        only_answer(&bed.end(forwarded(&out_a)[0], Outcome::Served)).0,
         a
     );
     assert_eq!(
-        only_answer(&bed.end(sends(&out_b)[0], Outcome::Served)).0,
+        only_answer(&bed.end(forwarded(&out_b)[0], Outcome::Served)).0,
         b
     );
 }
@@ -93,23 +95,23 @@
         answers(&out).first().map(|(_, r)| (r.verdict, r.cause))
     };
     let failed = Some((Verdict::Failed, Cause::MayHaveRunBefore));
-    assert_eq!(fate(SAFE, None), None);
-    assert_eq!(fate(UNSAFE, Some(0)), failed);
+    assert_eq!(fate(IDEMPOTENT, None), None);
+    assert_eq!(fate(NON_IDEMPOTENT, Some(0)), failed);
     assert_eq!(
-        fate(KEYED, None),
+        fate(WITH_KEY, None),
         failed,
         "its first send may be of any age"
     );
-    assert_eq!(fate(KEYED, Some(500 * MS)), None);
+    assert_eq!(fate(WITH_KEY, Some(500 * MS)), None);
     assert_eq!(
-        fate(KEYED, Some(2_999 * MS)),
+        fate(WITH_KEY, Some(2_999 * MS)),
         failed,
         "workers may forget it while it is sent"
     );
 }
 
 #[test]
-fn the_table_of_repeats() {
+fn redelivery_by_class_age_and_key() {
     let keyed = |group| Class {
         deduplication_scope: group,
         ..class(Idempotency::WithKey)
@@ -142,9 +144,9 @@
 }
 
 #[test]
-fn a_message_that_comes_again_and_again_is_failed() {
+fn a_message_with_too_many_deliveries_fails() {
     let mut bed = Bed::new(settings());
-    let (_, out) = bed.trigger(SAFE, |t| {
+    let (_, out) = bed.trigger(IDEMPOTENT, |t| {
         t.redelivered = true;
         t.deliveries = 21;
     });
@@ -156,10 +158,10 @@
 }
 
 #[test]
-fn what_nobody_can_be_told_of_is_withdrawn() {
+fn a_request_that_cannot_be_answered_is_cancelled() {
     let mut bed = Bed::new(settings());
-    let (_, out) = bed.trigger(SAFE, |t| t.identity = None);
-    let attempt = sends(&out)[0];
+    let (_, out) = bed.trigger(IDEMPOTENT, |t| t.identity = None);
+    let attempt = forwarded(&out)[0];
     let out = bed.input(Input::SourceLost(SourceId(1)));
     assert_eq!(out, [Output::Cancel(attempt)]);
     assert_eq!(
@@ -176,11 +178,11 @@
 
 /// A message that went elsewhere after a lost connection must not be held for ever.
 #[test]
-fn an_orphan_is_let_go_at_its_deadline() {
+fn a_request_without_its_source_is_released_at_its_deadline() {
     let mut bed = Bed::new(settings());
-    let (_, out) = bed.trigger(SAFE, |_| {});
+    let (_, out) = bed.trigger(IDEMPOTENT, |_| {});
     bed.input(Input::SourceLost(SourceId(1)));
-    bed.end(sends(&out)[0], Outcome::Served);
+    bed.end(forwarded(&out)[0], Outcome::Served);
     assert_eq!(bed.engine.pending_requests(), 1);
     bed.pass(5_000 * MS);
     assert_eq!(
--- a/crates/pipithub-engine/tests/engine/tenants.rs
+++ b/crates/pipithub-engine/tests/engine/tenants.rs
@@ -8,7 +8,7 @@
     Ticket, Trigger, Verdict,
 };
 
-use crate::bed::{Bed, MS, SAFE, UNSAFE, settings};
+use crate::bed::{Bed, IDEMPOTENT, MS, NON_IDEMPOTENT, settings};
 
 fn owned() -> EngineSettings {
     let mut owners = Owners::default();
@@ -40,33 +40,33 @@
 #[test]
 fn a_call_runs_functions_of_its_own_tenant_alone() {
     let mut bed = Bed::new(owned());
-    let (_, out) = bed.trigger(SAFE, of("south-map", 0, "mai"));
+    let (_, out) = bed.trigger(IDEMPOTENT, of("south-map", 0, "mai"));
     assert_eq!(verdicts(&out), [(Verdict::Rejected, Cause::OtherTenant)]);
-    let (_, out) = bed.trigger(SAFE, of("unnamed", 0, "mai"));
+    let (_, out) = bed.trigger(IDEMPOTENT, of("unnamed", 0, "mai"));
     assert_eq!(verdicts(&out), [(Verdict::Rejected, Cause::OtherTenant)]);
-    let (_, out) = bed.trigger(SAFE, |t| t.call.function = "north-map".into());
+    let (_, out) = bed.trigger(IDEMPOTENT, |t| t.call.function = "north-map".into());
     assert_eq!(
         verdicts(&out),
         [(Verdict::Rejected, Cause::OtherTenant)],
         "nobody's call"
     );
-    let (_, out) = bed.trigger(SAFE, of("north-map", 0, "mai"));
+    let (_, out) = bed.trigger(IDEMPOTENT, of("north-map", 0, "mai"));
     assert!(out.iter().any(|o| matches!(o, Output::Forward { .. })));
 }
 
 /// What the old tenant's worker answers must not reach a user who is another's by then, nor may anything more be sent.
 #[test]
-fn a_moved_users_calls_end_at_once() {
+fn calls_of_a_migrated_user_end_at_once() {
     let mut bed = Bed::new(owned());
-    let (_, out) = bed.trigger(UNSAFE, of("north-map", 0, "mai"));
+    let (_, out) = bed.trigger(NON_IDEMPOTENT, of("north-map", 0, "mai"));
     let Some(Output::Forward { id, .. }) = out.iter().find(|o| matches!(o, Output::Forward { .. }))
     else {
         panic!("a send")
     };
-    let (_, other) = bed.trigger(SAFE, of("north-map", 0, "lan"));
+    let (_, other) = bed.trigger(IDEMPOTENT, of("north-map", 0, "lan"));
     assert!(other.iter().any(|o| matches!(o, Output::Forward { .. })));
     // A call of the new side that came before the word of the move was handled goes on.
-    let (_, new) = bed.trigger(SAFE, of("south-map", 1, "mai"));
+    let (_, new) = bed.trigger(IDEMPOTENT, of("south-map", 1, "mai"));
     assert!(new.iter().any(|o| matches!(o, Output::Forward { .. })));
     let out = bed.input(Input::UserMigrated {
         user: "mai".into(),
@@ -96,9 +96,9 @@
 
 /// A message that is open here is delivered again while its tenant is over its share: it keeps its one run and answer.
 #[test]
-fn a_refusal_of_what_is_open_already_only_takes_the_new_ticket() {
+fn a_rejection_of_a_pending_message_only_takes_over_its_ticket() {
     let mut bed = Bed::new(owned());
-    let (_, out) = bed.trigger(SAFE, of("north-map", 0, "mai"));
+    let (_, out) = bed.trigger(IDEMPOTENT, of("north-map", 0, "mai"));
     let Some(Output::Forward { id, .. }) = out.iter().find(|o| matches!(o, Output::Forward { .. }))
     else {
         panic!("a send")
@@ -146,7 +146,7 @@
         deliveries: 1,
         call: Call {
             function: "north-map".into(),
-            class: UNSAFE,
+            class: NON_IDEMPOTENT,
             tenant: Some(Tenant(0)),
             ..Call::default()
         },
--- a/crates/pipithub-engine/tests/owners.rs
+++ b/crates/pipithub-engine/tests/owners.rs
@@ -3,7 +3,7 @@
 use pipithub_engine::{Owner, Owners, Tenant};
 
 #[test]
-fn the_longest_name_decides_and_unnamed_functions_are_nobodys() {
+fn the_longest_prefix_decides_and_other_functions_have_no_owner() {
     let mut owners = Owners::default();
     assert!(owners.allow(None, "anything"));
     let (north, south) = (Tenant(0), Tenant(1));
--- a/crates/pipithub-engine/tests/world.rs
+++ b/crates/pipithub-engine/tests/world.rs
@@ -15,12 +15,12 @@
 
 const MS: Time = 1_000_000;
 const WINDOW: Time = 2_500 * MS;
-const GIVE_UP: Time = 2_000 * MS;
+const CLIENT_TIMEOUT: Time = 2_000 * MS;
 
 fn settings() -> EngineSettings {
     let class = |effect| Class {
         idempotency: effect,
-        client_timeout: GIVE_UP,
+        client_timeout: CLIENT_TIMEOUT,
         deduplication_window: WINDOW,
         ..Class::default()
     };
@@ -326,7 +326,7 @@
             let call = Call {
                 function: format!("f{}", message % 3).into(),
                 class,
-                timeout: Some(GIVE_UP.saturating_sub(age)),
+                timeout: Some(CLIENT_TIMEOUT.saturating_sub(age)),
                 age: Some(age),
                 replica_concurrency: 4,
                 idempotency_key: Some(message.to_string().into()),
@@ -399,7 +399,7 @@
             prop_assert!(verdict != Verdict::Served || !message.effects.is_empty());
             // Lost connections may bring it back late, but then it is answered at once.
             if !message.redelivered {
-                prop_assert!(at <= message.published + GIVE_UP, "message {} late: {:?}", number, message);
+                prop_assert!(at <= message.published + CLIENT_TIMEOUT, "message {} late: {:?}", number, message);
             }
         }
         for engine in &world.engines {
