--- a/crates/pipithub-engine/tests/engine/admission.rs
+++ b/crates/pipithub-engine/tests/engine/admission.rs
@@ -3,14 +3,14 @@
 use pipithub_engine::policy::{Endpoint, EndpointState, EndpointUpdate, WorkerId};
 use pipithub_engine::{Cause, Engine, EngineSettings, Input, Verdict};
 
-use crate::bed::{Bed, IDEMPOTENT, MS, NON_IDEMPOTENT, forwarded, only_answer, settings};
+use crate::harness::{Harness, IDEMPOTENT, MS, NON_IDEMPOTENT, forwarded, only_answer, settings};
 
 #[test]
 fn a_call_with_almost_no_time_is_rejected_at_once_and_never_forwarded() {
-    let mut bed = Bed::new(settings());
+    let mut harness = Harness::new(settings());
     for budget in [0, 1, 5 * MS, 20 * MS] {
         // Nobody knows the function, so only a load of a second could serve it: 20 ms cannot be met.
-        let (_, out) = bed.trigger(NON_IDEMPOTENT, |t| t.call.timeout = Some(budget));
+        let (_, out) = harness.trigger(NON_IDEMPOTENT, |t| t.call.timeout = Some(budget));
         assert_eq!(forwarded(&out), []);
         assert_eq!(only_answer(&out).1.verdict, Verdict::Rejected, "{budget}");
     }
@@ -20,51 +20,51 @@
 /// client had long gone.
 #[test]
 fn time_in_the_queue_counts() {
-    let mut bed = Bed::new(settings());
-    let (_, out) = bed.trigger(IDEMPOTENT, |t| t.call.waited = 3_000 * MS);
+    let mut harness = Harness::new(settings());
+    let (_, out) = harness.trigger(IDEMPOTENT, |t| t.call.waited = 3_000 * MS);
     assert_eq!(forwarded(&out).len(), 1);
-    let out = bed.pass(1_000 * MS);
+    let out = harness.pass(1_000 * MS);
     assert_eq!(
         only_answer(&out).1.verdict,
         Verdict::Rejected,
         "its 4 s are over"
     );
-    let (_, out) = bed.trigger(IDEMPOTENT, |t| t.call.waited = 5_000 * MS);
+    let (_, out) = harness.trigger(IDEMPOTENT, |t| t.call.waited = 5_000 * MS);
     assert_eq!(only_answer(&out).1.cause, Cause::TooLate);
 }
 
 #[test]
 fn every_bound_answers_at_once() {
-    let mut bed = Bed::new(EngineSettings {
+    let mut harness = Harness::new(EngineSettings {
         max_pending: 2,
         ..settings()
     });
-    bed.trigger(IDEMPOTENT, |t| t.identity = Some("a".into()));
-    bed.trigger(IDEMPOTENT, |t| t.identity = Some("b".into()));
-    assert_eq!(bed.engine.capacity(), 0);
-    let (_, out) = bed.trigger(IDEMPOTENT, |t| t.identity = Some("c".into()));
+    harness.trigger(IDEMPOTENT, |t| t.identity = Some("a".into()));
+    harness.trigger(IDEMPOTENT, |t| t.identity = Some("b".into()));
+    assert_eq!(harness.engine.capacity(), 0);
+    let (_, out) = harness.trigger(IDEMPOTENT, |t| t.identity = Some("c".into()));
     assert_eq!(only_answer(&out).1.cause, Cause::AtCapacity);
 
-    let mut bed = Bed::new(EngineSettings {
+    let mut harness = Harness::new(EngineSettings {
         max_body_bytes: 5,
         ..settings()
     });
-    bed.trigger(IDEMPOTENT, |t| t.identity = Some("a".into()));
-    let (_, out) = bed.trigger(IDEMPOTENT, |t| t.identity = Some("b".into()));
+    harness.trigger(IDEMPOTENT, |t| t.identity = Some("a".into()));
+    let (_, out) = harness.trigger(IDEMPOTENT, |t| t.identity = Some("b".into()));
     assert_eq!(only_answer(&out).1.cause, Cause::AtCapacity);
 
-    let mut bed = Bed::new(settings());
-    bed.input(Input::Drain);
-    let (_, out) = bed.trigger(IDEMPOTENT, |_| {});
+    let mut harness = Harness::new(settings());
+    harness.input(Input::Drain);
+    let (_, out) = harness.trigger(IDEMPOTENT, |_| {});
     assert_eq!(only_answer(&out).1.cause, Cause::Draining);
 
-    let mut bed = Bed::new(EngineSettings {
+    let mut harness = Harness::new(EngineSettings {
         max_function_names: 10,
         ..settings()
     });
     for n in 0..100 {
-        bed.now += MS;
-        bed.trigger(IDEMPOTENT, |t| {
+        harness.now += MS;
+        harness.trigger(IDEMPOTENT, |t| {
             t.identity = None;
             t.call.function = format!("one-off {n}").into();
         });
@@ -97,27 +97,27 @@
 
 #[test]
 fn without_workers_a_call_is_rejected_and_after_their_return_forwarded() {
-    let mut bed = Bed::new(settings());
+    let mut harness = Harness::new(settings());
     let gone = |n: u32| Endpoint {
         worker: WorkerId::new(&format!("w{n}")),
         state: EndpointState::Removed,
         ..Endpoint::default()
     };
-    bed.input(Input::Endpoints {
+    harness.input(Input::Endpoints {
         update: EndpointUpdate::Delta,
         endpoints: (0..3).map(gone).collect(),
     });
-    assert_eq!(bed.engine.ready_workers(), 0);
-    let (_, out) = bed.trigger(IDEMPOTENT, |t| t.identity = None);
+    assert_eq!(harness.engine.ready_workers(), 0);
+    let (_, out) = harness.trigger(IDEMPOTENT, |t| t.identity = None);
     assert_eq!(only_answer(&out).1.verdict, Verdict::Rejected);
     let back = Endpoint {
         worker: WorkerId::new("w9"),
         ..Endpoint::default()
     };
-    bed.input(Input::Endpoints {
+    harness.input(Input::Endpoints {
         update: EndpointUpdate::Delta,
         endpoints: vec![back],
     });
-    let (_, out) = bed.trigger(IDEMPOTENT, |t| t.identity = None);
+    let (_, out) = harness.trigger(IDEMPOTENT, |t| t.identity = None);
     assert_eq!(forwarded(&out).len(), 1);
 }
--- a/crates/pipithub-engine/tests/engine/bed.rs
+++ b/crates/pipithub-engine/tests/engine/harness.rs
@@ -48,16 +48,16 @@
     }
 }
 
-pub(crate) struct Bed {
+pub(crate) struct Harness {
     pub(crate) engine: Engine,
     pub(crate) now: Time,
     out: Vec<Output>,
     tickets: u64,
 }
 
-impl Bed {
+impl Harness {
     pub(crate) fn new(settings: EngineSettings) -> Self {
-        let mut bed = Bed {
+        let mut harness = Harness {
             engine: Engine::new(settings, 7),
             now: 0,
             out: Vec::new(),
@@ -67,11 +67,11 @@
             worker: WorkerId::new(&format!("w{n}")),
             ..Endpoint::default()
         };
-        bed.input(Input::Endpoints {
+        harness.input(Input::Endpoints {
             update: EndpointUpdate::Snapshot,
             endpoints: (0..3).map(entry).collect(),
         });
-        bed
+        harness
     }
 
     pub(crate) fn input(&mut self, input: Input) -> Vec<Output> {
--- a/crates/pipithub-engine/tests/engine/main.rs
+++ b/crates/pipithub-engine/tests/engine/main.rs
@@ -2,6 +2,6 @@
 
 mod admission;
 mod answers;
-mod bed;
+mod harness;
 mod redelivery;
 mod tenants;
--- a/crates/pipithub-engine/tests/engine/tenants.rs
+++ b/crates/pipithub-engine/tests/engine/tenants.rs
@@ -8,9 +8,9 @@
     Ticket, Trigger, Verdict,
 };
 
-use crate::bed::{Bed, IDEMPOTENT, MS, NON_IDEMPOTENT, settings};
+use crate::harness::{Harness, IDEMPOTENT, MS, NON_IDEMPOTENT, settings};
 
-fn owned() -> EngineSettings {
+fn settings_with_owners() -> EngineSettings {
     let mut owners = Owners::default();
     owners.insert("north-*", Owner::Tenant(Tenant(0)));
     owners.insert("south-*", Owner::Tenant(Tenant(1)));
@@ -20,7 +20,7 @@
     }
 }
 
-fn of(function: &str, tenant: u16, user: &str) -> impl FnOnce(&mut Trigger) {
+fn call_of(function: &str, tenant: u16, user: &str) -> impl FnOnce(&mut Trigger) {
     move |t| {
         t.identity = Some(format!("{function}-{tenant}-{user}").into());
         t.call.function = function.into();
@@ -39,36 +39,36 @@
 
 #[test]
 fn a_call_runs_functions_of_its_own_tenant_alone() {
-    let mut bed = Bed::new(owned());
-    let (_, out) = bed.trigger(IDEMPOTENT, of("south-map", 0, "mai"));
+    let mut harness = Harness::new(settings_with_owners());
+    let (_, out) = harness.trigger(IDEMPOTENT, call_of("south-map", 0, "mai"));
     assert_eq!(verdicts(&out), [(Verdict::Rejected, Cause::OtherTenant)]);
-    let (_, out) = bed.trigger(IDEMPOTENT, of("unnamed", 0, "mai"));
+    let (_, out) = harness.trigger(IDEMPOTENT, call_of("unnamed", 0, "mai"));
     assert_eq!(verdicts(&out), [(Verdict::Rejected, Cause::OtherTenant)]);
-    let (_, out) = bed.trigger(IDEMPOTENT, |t| t.call.function = "north-map".into());
+    let (_, out) = harness.trigger(IDEMPOTENT, |t| t.call.function = "north-map".into());
     assert_eq!(
         verdicts(&out),
         [(Verdict::Rejected, Cause::OtherTenant)],
         "nobody's call"
     );
-    let (_, out) = bed.trigger(IDEMPOTENT, of("north-map", 0, "mai"));
+    let (_, out) = harness.trigger(IDEMPOTENT, call_of("north-map", 0, "mai"));
     assert!(out.iter().any(|o| matches!(o, Output::Forward { .. })));
 }
 
 /// What the old tenant's worker answers must not reach a user who is another's by then, nor may anything more be sent.
 #[test]
 fn calls_of_a_migrated_user_end_at_once() {
-    let mut bed = Bed::new(owned());
-    let (_, out) = bed.trigger(NON_IDEMPOTENT, of("north-map", 0, "mai"));
+    let mut harness = Harness::new(settings_with_owners());
+    let (_, out) = harness.trigger(NON_IDEMPOTENT, call_of("north-map", 0, "mai"));
     let Some(Output::Forward { id, .. }) = out.iter().find(|o| matches!(o, Output::Forward { .. }))
     else {
-        panic!("a send")
+        panic!("an attempt")
     };
-    let (_, other) = bed.trigger(IDEMPOTENT, of("north-map", 0, "lan"));
+    let (_, other) = harness.trigger(IDEMPOTENT, call_of("north-map", 0, "lan"));
     assert!(other.iter().any(|o| matches!(o, Output::Forward { .. })));
     // A call of the new side that came before the word of the move was handled goes on.
-    let (_, new) = bed.trigger(IDEMPOTENT, of("south-map", 1, "mai"));
+    let (_, new) = harness.trigger(IDEMPOTENT, call_of("south-map", 1, "mai"));
     assert!(new.iter().any(|o| matches!(o, Output::Forward { .. })));
-    let out = bed.input(Input::UserMigrated {
+    let out = harness.input(Input::UserMigrated {
         user: "mai".into(),
         now: Some(TenantUser {
             tenant: Tenant(1),
@@ -85,10 +85,11 @@
             .any(|o| matches!(o, Output::Cancel(c) if c == id)),
         "{out:?}"
     );
-    let out = bed.end(*id, Outcome::Served);
+    let out = harness.end(*id, Outcome::Served);
     assert_eq!(verdicts(&out), [], "one answer");
     assert!(
-        !bed.pass(5_000 * MS)
+        !harness
+            .pass(5_000 * MS)
             .iter()
             .any(|o| matches!(o, Output::Forward { id: again, .. } if again.request == id.request))
     );
@@ -97,13 +98,13 @@
 /// A message that is open here is delivered again while its tenant is over its share: it keeps its one run and answer.
 #[test]
 fn a_rejection_of_a_pending_message_only_takes_over_its_ticket() {
-    let mut bed = Bed::new(owned());
-    let (_, out) = bed.trigger(IDEMPOTENT, of("north-map", 0, "mai"));
+    let mut harness = Harness::new(settings_with_owners());
+    let (_, out) = harness.trigger(IDEMPOTENT, call_of("north-map", 0, "mai"));
     let Some(Output::Forward { id, .. }) = out.iter().find(|o| matches!(o, Output::Forward { .. }))
     else {
-        panic!("a send")
+        panic!("an attempt")
     };
-    bed.input(Input::SourceLost(SourceId(1)));
+    harness.input(Input::SourceLost(SourceId(1)));
     let call = Call {
         function: "north-map".into(),
         tenant: Some(Tenant(0)),
@@ -115,8 +116,9 @@
     };
     let identity: Option<Arc<str>> = Some("north-map-0-mai".into());
     assert!(
-        bed.engine
-            .knows(identity.as_ref().expect("a name"), bed.now)
+        harness
+            .engine
+            .knows(identity.as_ref().expect("a name"), harness.now)
     );
     let trigger = Trigger {
         ticket,
@@ -125,14 +127,14 @@
         deliveries: 1,
         call,
     };
-    let out = bed.input(Input::Reject {
+    let out = harness.input(Input::Reject {
         trigger,
         cause: Cause::OverQuota,
         retry_after: None,
     });
     assert_eq!(verdicts(&out), []);
     assert_eq!(
-        verdicts(&bed.end(*id, Outcome::Served)),
+        verdicts(&harness.end(*id, Outcome::Served)),
         [(Verdict::Served, Cause::Answered)]
     );
     // A redelivered unsafe one that is unknown here may have run: a refusal would call it harmless.
@@ -151,7 +153,7 @@
             ..Call::default()
         },
     };
-    let out = bed.input(Input::Reject {
+    let out = harness.input(Input::Reject {
         trigger,
         cause: Cause::OverQuota,
         retry_after: None,
--- a/crates/pipithub-engine/tests/world.rs
+++ b/crates/pipithub-engine/tests/world.rs
@@ -1,4 +1,4 @@
-//! Two engines, a broker and workers in one small world with random troubles. Checked from outside: every message gets
+//! Two engines, a broker and workers in one small world with random faults. Checked from outside: every message gets
 //! exactly one final answer, no unsafe call runs twice, a keyed one has one effect, all within the client's time.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -56,7 +56,7 @@
 }
 
 #[derive(Debug)]
-enum Happening {
+enum Occurrence {
     Publish(usize),
     /// A worker begins a call; then how it ends.
     Run(usize, u32, AttemptId, usize, Outcome),
@@ -69,37 +69,37 @@
 
 struct World {
     now: Time,
-    random: u64,
+    random_state: u64,
     engines: Vec<Engine>,
-    /// How often each engine was started: what belongs to an earlier life is void.
-    life: Vec<u32>,
+    /// How often each engine was started: what belongs to an earlier incarnation is void.
+    incarnation: Vec<u32>,
     connection: Vec<u32>,
-    agenda: BTreeMap<(Time, u64), Happening>,
+    planned: BTreeMap<(Time, u64), Occurrence>,
     count: u64,
     queue: VecDeque<usize>,
     unacked: BTreeMap<Ticket, (usize, usize)>,
     messages: Vec<Message>,
     cancelled: Vec<(usize, u32, AttemptId)>,
     ended: Vec<(usize, u32, AttemptId)>,
-    trouble: u64,
+    fault_percent: u64,
 }
 
 impl World {
-    fn new(seed: u64, trouble: u64) -> Self {
+    fn new(seed: u64, fault_percent: u64) -> Self {
         let mut world = World {
             now: 0,
-            random: seed,
+            random_state: seed,
             engines: Vec::new(),
-            life: vec![0, 0],
+            incarnation: vec![0, 0],
             connection: vec![0, 0],
-            agenda: BTreeMap::new(),
+            planned: BTreeMap::new(),
             count: 0,
             queue: VecDeque::new(),
             unacked: BTreeMap::new(),
             messages: Vec::new(),
             cancelled: Vec::new(),
             ended: Vec::new(),
-            trouble,
+            fault_percent,
         };
         for which in 0..2 {
             let engine = world.engine(which);
@@ -109,11 +109,11 @@
     }
 
     fn chance(&mut self, below: u64) -> u64 {
-        self.random = self
-            .random
+        self.random_state = self
+            .random_state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        (self.random >> 33) % below
+        (self.random_state >> 33) % below
     }
 
     fn engine(&mut self, which: usize) -> Engine {
@@ -134,9 +134,9 @@
         engine
     }
 
-    fn plan(&mut self, after: Time, what: Happening) {
+    fn plan(&mut self, after: Time, what: Occurrence) {
         self.count += 1;
-        self.agenda.insert((self.now + after, self.count), what);
+        self.planned.insert((self.now + after, self.count), what);
     }
 
     fn input(&mut self, which: usize, input: Input) {
@@ -155,7 +155,7 @@
     }
 
     fn output(&mut self, which: usize, output: Output) {
-        let life = self.life[which];
+        let incarnation = self.incarnation[which];
         match output {
             Output::Forward {
                 id, call, deadline, ..
@@ -167,8 +167,8 @@
                     held,
                     "message {message} was sent by one that does not hold it"
                 );
-                let trouble = self.chance(100) < self.trouble;
-                let outcome = match (trouble, self.chance(5)) {
+                let faulty = self.chance(100) < self.fault_percent;
+                let outcome = match (faulty, self.chance(5)) {
                     (false, _) => Outcome::Served,
                     (true, 0) => Outcome::Unreachable,
                     (true, 1) => Outcome::Rejected,
@@ -177,24 +177,30 @@
                     (true, _) => Outcome::TimedOut,
                 };
                 let travel = self.chance(30) * MS;
-                self.plan(travel, Happening::Run(which, life, id, message, outcome));
+                self.plan(
+                    travel,
+                    Occurrence::Run(which, incarnation, id, message, outcome),
+                );
                 if outcome == Outcome::TimedOut {
                     let wait = deadline - self.now;
-                    self.plan(wait, Happening::End(which, life, id, outcome));
+                    self.plan(wait, Occurrence::End(which, incarnation, id, outcome));
                 }
             }
             Output::Cancel(id) => {
                 // Withdrawn: what has reached the worker goes on there.
-                self.cancelled.push((which, life, id));
-                self.plan(0, Happening::End(which, life, id, Outcome::Cancelled));
+                self.cancelled.push((which, incarnation, id));
+                self.plan(
+                    0,
+                    Occurrence::End(which, incarnation, id, Outcome::Cancelled),
+                );
             }
             Output::Answer { ticket, reply } => {
                 let after = self.chance(4) * MS;
-                let heard = self.chance(200) >= self.trouble;
+                let heard = self.chance(200) >= self.fault_percent;
                 let connection = self.connection[which];
                 self.plan(
                     after,
-                    Happening::Commit(which, connection, ticket, reply.verdict, heard),
+                    Occurrence::Commit(which, connection, ticket, reply.verdict, heard),
                 );
             }
             Output::Forget(ticket) => {
@@ -224,9 +230,9 @@
         }
     }
 
-    fn happen(&mut self, what: Happening) {
+    fn occur(&mut self, what: Occurrence) {
         match what {
-            Happening::Publish(class) => {
+            Occurrence::Publish(class) => {
                 self.queue.push_back(self.messages.len());
                 let (answers, effects) = (Vec::new(), Vec::new());
                 self.messages.push(Message {
@@ -237,7 +243,7 @@
                     effects,
                 });
             }
-            Happening::Run(which, life, id, message, outcome) => {
+            Occurrence::Run(which, incarnation, id, message, outcome) => {
                 let runs = !outcome.never_ran()
                     && (outcome != Outcome::ConnectionLost || self.chance(2) == 0);
                 if runs {
@@ -250,14 +256,16 @@
                 }
                 if outcome != Outcome::TimedOut {
                     let after = self.chance(200) * MS;
-                    self.plan(after, Happening::End(which, life, id, outcome));
+                    self.plan(after, Occurrence::End(which, incarnation, id, outcome));
                 }
             }
-            Happening::End(which, life, id, outcome) => {
-                if life != self.life[which] || self.ended.contains(&(which, life, id)) {
+            Occurrence::End(which, incarnation, id, outcome) => {
+                if incarnation != self.incarnation[which]
+                    || self.ended.contains(&(which, incarnation, id))
+                {
                     return;
                 }
-                self.ended.push((which, life, id));
+                self.ended.push((which, incarnation, id));
                 let served = (outcome == Outcome::Served).then(Served::default);
                 let load = LoadReport::default();
                 let end = AttemptResult {
@@ -271,7 +279,7 @@
                 };
                 self.input(which, Input::AttemptFinished(end));
             }
-            Happening::Commit(which, connection, ticket, verdict, heard) => {
+            Occurrence::Commit(which, connection, ticket, verdict, heard) => {
                 if connection != self.connection[which] {
                     return;
                 }
@@ -288,12 +296,12 @@
                     self.input(which, Input::SourceLost(SourceId(0)));
                 }
             }
-            Happening::Kill(which) => {
-                self.life[which] += 1;
+            Occurrence::Kill(which) => {
+                self.incarnation[which] += 1;
                 self.requeue(which);
                 self.engines[which] = self.engine(which);
             }
-            Happening::Lose(which) => {
+            Occurrence::Lose(which) => {
                 self.requeue(which);
                 self.input(which, Input::SourceLost(SourceId(0)));
             }
@@ -348,30 +356,30 @@
     fn run(mut self) -> Self {
         for n in 0..60 {
             let class = self.chance(3) as usize;
-            self.plan(n * 20 * MS, Happening::Publish(class));
+            self.plan(n * 20 * MS, Occurrence::Publish(class));
         }
-        for _ in 0..self.trouble / 5 {
+        for _ in 0..self.fault_percent / 5 {
             let (at, which) = (self.chance(1_500) * MS, self.chance(2) as usize);
             let what = if self.chance(2) == 0 {
-                Happening::Kill(which)
+                Occurrence::Kill(which)
             } else {
-                Happening::Lose(which)
+                Occurrence::Lose(which)
             };
             self.plan(at, what);
         }
         let end = 20_000 * MS;
         loop {
-            let planned = self.agenda.first_key_value().map(|((t, _), _)| *t);
+            let next_planned = self.planned.first_key_value().map(|((t, _), _)| *t);
             let due = self.engines.iter().filter_map(Engine::next_due).min();
-            let next = planned.into_iter().chain(due).min().unwrap_or(end);
+            let next = next_planned.into_iter().chain(due).min().unwrap_or(end);
             if next >= end {
                 return self;
             }
             self.now = self.now.max(next);
-            match self.agenda.first_entry().filter(|e| e.key().0 <= self.now) {
+            match self.planned.first_entry().filter(|e| e.key().0 <= self.now) {
                 Some(entry) => {
                     let what = entry.remove();
-                    self.happen(what);
+                    self.occur(what);
                 }
                 None => (0..2).for_each(|which| self.input(which, Input::Tick)),
             }
@@ -384,8 +392,8 @@
     #![proptest_config(ProptestConfig::with_cases(96))]
 
     #[test]
-    fn one_answer_each_and_no_effect_twice(seed in any::<u64>(), trouble in 0..60u64) {
-        let world = World::new(seed, trouble).run();
+    fn one_answer_each_and_no_effect_twice(seed in any::<u64>(), fault_percent in 0..60u64) {
+        let world = World::new(seed, fault_percent).run();
         prop_assert_eq!(world.messages.len(), 60);
         for (number, message) in world.messages.iter().enumerate() {
             prop_assert_eq!(message.answers.len(), 1, "message {}: {:?}", number, message);
