--- a/crates/pipithub-engine/src/engine.rs
+++ b/crates/pipithub-engine/src/engine.rs
@@ -1,219 +1,113 @@
-//! The engine: the module's front end, the open requests, and the one final answer of each.
+//! The engine: the front end of the decision module, the pending requests, and the one final answer of each.
 
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+mod actions;
+mod admission;
+mod answers;
+mod attempts;
+mod cancellation;
+mod shutdown;
+
+use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
+use pipithub_policy::api::{Action, Class, Event, RequestId, Time, WorkerId};
 use pipithub_policy::FrontEnd;
-use pipithub_policy::api::{
-    Action, AttemptFinished, EndpointState, EndpointUpdate, Event, FunctionId, LoadFinished,
-    Outcome, Request, RequestId, Settings, Time, WorkerId,
-};
 
-use crate::memory::{Again, Memory, unknown_earlier};
-use crate::model::{
-    AttemptId, AttemptResult, Call, Cause, Input, Output, Reply, Served, SourceId, Tenant, Ticket,
-    Trigger, Verdict, function_id,
-};
-use crate::owners::Owners;
+use crate::call::{AttemptId, Ticket};
+use crate::decide::Decide;
+use crate::function_names::FunctionNames;
+use crate::input::Input;
+use crate::output::Output;
+use crate::pending::PendingRequests;
+use crate::ready_workers::ReadyWorkers;
+use crate::redelivery::DeliveryHistory;
+use crate::reply::FinalAnswer;
+use crate::settings::EngineSettings;
+use crate::stats::Stats;
 use crate::timers::Timers;
 
-/// What an engine is given at its start, beside the module's own settings.
-#[derive(Clone, Debug, PartialEq)]
-pub struct EngineSettings {
-    /// The module's settings.
-    pub policy: Settings,
-    /// Requests held at a time, answered but not yet settled ones included.
-    pub max_open: usize,
-    /// Bytes of bodies held at a time, calls' and answers'.
-    pub max_bytes: usize,
-    /// Answers leave this long before the client's time is up, for their own way back.
-    pub answer_margin: Time,
-    /// Settled messages remembered against repeats.
-    pub remember: usize,
-    /// For how long.
-    pub remember_for: Time,
-    /// A message that came more often than this is failed: it may be what brings front ends down.
-    pub max_deliveries: u32,
-    /// Function names kept for orders.
-    pub max_names: usize,
-    /// Which functions are whose.
-    pub owners: Arc<Owners>,
-}
-
-impl Default for EngineSettings {
-    fn default() -> Self {
-        EngineSettings {
-            policy: Settings::default(),
-            max_open: 4096,
-            max_bytes: 256 << 20,
-            answer_margin: 5_000_000,
-            remember: 65_536,
-            remember_for: 600_000_000_000,
-            max_deliveries: 20,
-            max_names: 16_384,
-            owners: Arc::default(),
-        }
-    }
-}
-
-/// An attempt that the module ordered and that was not made; its request is over.
-fn not_sent(request: RequestId, id: AttemptId, worker: WorkerId) -> Event {
-    Event::AttemptFinished(AttemptFinished {
-        request,
-        attempt: id.number,
-        worker,
-        outcome: Outcome::NotSent,
-        elapsed: 0,
-        settled: true,
-        replica_status: None,
-        function_concurrency: None,
-        load_report: Default::default(),
-    })
-}
-
-/// Decides: the module, or in drills a policy to compare it with.
-pub trait Decide: std::fmt::Debug + Send {
-    /// Takes one event and appends what to do about it.
-    fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>);
-}
-
-impl Decide for FrontEnd {
-    fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
-        FrontEnd::handle(self, now, event, actions);
-    }
-}
-
-/// What an engine has done so far.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Stats {
-    /// Triggers taken.
-    pub taken: u64,
-    /// Of these, ones that came again.
-    pub again: u64,
-    /// Of these, joined to a request that was open here.
-    pub joined: u64,
-    /// Attempts started.
-    pub sends: u64,
-    /// Attempts withdrawn.
-    pub cancels: u64,
-    /// Orders to hold copies.
-    pub holds: u64,
-    /// Probes.
-    pub probes: u64,
-    /// Final answers served.
-    pub served: u64,
-    /// Final answers refused.
-    pub refused: u64,
-    /// Final answers failed.
-    pub failed: u64,
-}
-
-/// A request that is not settled.
-#[derive(Debug)]
-struct Open {
-    /// `None`: its source is gone; the answer waits for the message to come again.
-    ticket: Option<Ticket>,
-    identity: Option<Arc<str>>,
-    call: Arc<Call>,
-    deadline: Time,
-    attempts: u32,
-    last: Option<(Outcome, WorkerId)>,
-    /// The final answer, not yet known to be safe.
-    reply: Option<Arc<Reply>>,
-    /// Bytes that it is charged with.
-    bytes: usize,
-}
-
 /// One front end.
 #[derive(Debug)]
 pub struct Engine {
     settings: EngineSettings,
-    front: Box<dyn Decide>,
+    decider: Box<dyn Decide>,
     timers: Timers,
-    open: BTreeMap<RequestId, Open>,
-    tickets: BTreeMap<Ticket, RequestId>,
-    /// Attempts that have no outcome yet; they outlive their request, for the module must hear of every end.
-    out: BTreeMap<AttemptId, WorkerId>,
-    memory: Memory,
-    names: BTreeMap<FunctionId, (Arc<str>, Time)>,
-    next_request: RequestId,
-    bytes: usize,
+    pending: PendingRequests,
+    /// Attempts that have no result yet. They outlive their request, for the decision module must hear of every end.
+    attempts_in_flight: BTreeMap<AttemptId, WorkerId>,
+    history: DeliveryHistory,
+    function_names: FunctionNames,
+    ready_workers: ReadyWorkers,
     draining: bool,
-    /// A list of workers has come, if only a remembered one.
-    listed: bool,
-    /// Live workers, as last told.
-    live: BTreeSet<WorkerId>,
     stats: Stats,
-    actions: Vec<Action>,
+    /// Events that the decision module has not seen yet.
     events: VecDeque<Event>,
+    /// Empty between decisions; kept so that its memory is used again.
+    actions: Vec<Action>,
 }
 
 impl Engine {
-    /// An engine that knows nothing but its settings; the seed is its only chance.
+    /// An engine that knows nothing but its settings; the seed is its only source of chance.
     pub fn new(settings: EngineSettings, seed: u64) -> Self {
         let module = FrontEnd::new(settings.policy.clone(), seed);
         Self::deciding_by(Box::new(module), settings)
     }
 
-    /// An engine whose decisions are made by something else than the module: for comparison alone.
-    pub fn deciding_by(front: Box<dyn Decide>, settings: EngineSettings) -> Self {
-        let mut policy = settings.policy.clone();
-        if policy.classes.is_empty() {
-            policy.classes.push(Default::default());
+    /// An engine whose decisions are made by something other than the decision module, for comparison only.
+    pub fn deciding_by(decider: Box<dyn Decide>, mut settings: EngineSettings) -> Self {
+        if settings.policy.classes.is_empty() {
+            settings.policy.classes.push(Class::default());
         }
-        let settings = EngineSettings { policy, ..settings };
         Engine {
-            front,
-            memory: Memory::new(settings.remember, settings.remember_for),
-            settings,
+            decider,
             timers: Timers::default(),
-            open: BTreeMap::new(),
-            tickets: BTreeMap::new(),
-            out: BTreeMap::new(),
-            names: BTreeMap::new(),
-            next_request: 1,
-            bytes: 0,
+            pending: PendingRequests::new(),
+            attempts_in_flight: BTreeMap::new(),
+            history: DeliveryHistory::new(settings.remembered_messages, settings.remember_for),
+            function_names: FunctionNames::new(settings.max_function_names),
+            ready_workers: ReadyWorkers::default(),
             draining: false,
-            listed: false,
-            live: BTreeSet::new(),
             stats: Stats::default(),
-            actions: Vec::new(),
             events: VecDeque::new(),
+            actions: Vec::new(),
+            settings,
         }
     }
 
     /// When [`Input::Tick`] is due next.
     pub fn next_due(&self) -> Option<Time> {
-        self.timers.next()
+        self.timers.next_due()
     }
 
-    /// How many more triggers may be handed in now. Sources that can be held back should be. Before the first list there
-    /// is no room: a front end that knows no worker yet would refuse what another could serve.
-    pub fn room(&self) -> usize {
-        if !self.listed || self.draining || self.bytes >= self.settings.max_bytes {
+    /// How many more triggers may be handed in now; sources that can be held back should be. There is no capacity before
+    /// the first endpoint list: a front end that knows no worker yet would reject what another could serve.
+    pub fn capacity(&self) -> usize {
+        let no_list = !self.ready_workers.list_received();
+        let no_memory = self.pending.body_bytes() >= self.settings.max_body_bytes;
+        if no_list || self.draining || no_memory {
             return 0;
         }
-        self.settings.max_open.saturating_sub(self.open.len())
+        self.settings.max_pending.saturating_sub(self.pending.len())
     }
 
     /// Requests that are not settled.
-    pub fn open(&self) -> usize {
-        self.open.len()
+    pub fn pending_requests(&self) -> usize {
+        self.pending.len()
     }
 
-    /// Attempts that have no outcome yet.
-    pub fn attempts_out(&self) -> usize {
-        self.out.len()
+    /// Attempts that have no result yet.
+    pub fn attempts_in_flight(&self) -> usize {
+        self.attempts_in_flight.len()
     }
 
-    /// Bytes of bodies held.
-    pub fn bytes(&self) -> usize {
-        self.bytes
+    /// Bytes of all bodies in memory, of calls and of answers.
+    pub fn body_bytes(&self) -> usize {
+        self.pending.body_bytes()
     }
 
-    /// Workers that may be sent work, as last told.
-    pub fn live_workers(&self) -> usize {
-        self.live.len()
+    /// Workers that may receive calls, by the latest endpoint list.
+    pub fn ready_workers(&self) -> usize {
+        self.ready_workers.len()
     }
 
     /// What was done so far.
@@ -221,685 +115,54 @@
         self.stats
     }
 
+    /// The request that a ticket stands for, as long as it is not settled.
+    pub fn request(&self, ticket: Ticket) -> Option<RequestId> {
+        self.pending.of_ticket(ticket)
+    }
+
+    /// Whether a message of this identity is pending here or was settled here lately: that decides what comes of it.
+    pub fn knows(&self, identity: &Arc<str>, now: Time) -> bool {
+        self.history.decide(identity, now).is_some()
+    }
+
     /// Takes one input and appends what to do about it.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
-        while let Some(token) = self.timers.take_due(now) {
-            self.decide(now, Event::Timer { token }, out);
-        }
+        self.run_due_timers(now, out);
         match input {
             Input::Tick => {}
-            Input::Trigger(trigger) => self.trigger(now, trigger, None, out),
+            Input::Trigger(trigger) => self.receive(now, trigger, None, out),
             Input::Reject {
                 trigger,
                 cause,
                 retry_after,
             } => {
-                self.trigger(now, trigger, Some((cause, retry_after)), out);
+                let rejection = FinalAnswer::rejected_with_retry_after(cause, retry_after);
+                self.receive(now, trigger, Some(rejection), out);
+            }
+            Input::UserMigrated {
+                user,
+                now: successor,
+            } => {
+                self.user_migrated(now, &user, successor, out);
             }
-            Input::UserMigrated { user, now: side } => self.moved(now, &user, side, out),
             Input::SourceLost(source) => self.source_lost(now, source, out),
             Input::Settled(ticket) => self.settled(now, ticket),
-            Input::CallerCancelled(ticket) => {
-                if let Some(request) = self.tickets.get(&ticket).copied() {
-                    self.abandon(now, request, out);
-                }
-            }
-            Input::AttemptFinished(end) => self.attempt(now, end, out),
-            Input::LoadPolled(p) => {
-                let event = Event::LoadPolled {
-                    worker: p.worker,
-                    answered: p.answered,
-                    report: p.load_report,
-                };
-                self.decide(now, event, out);
-            }
-            Input::LoadCommandFinished(o) => {
-                let (worker, function, outcome) = (o.worker, o.function, o.outcome);
-                let order = LoadFinished {
-                    worker,
-                    function,
-                    outcome,
-                    elapsed: o.elapsed,
-                    replicas: o.replicas,
-                };
-                self.decide(now, Event::LoadFinished(order), out);
-            }
-            Input::Endpoints {
-                update: kind,
-                endpoints: entries,
-            } => {
-                self.listed |= kind != EndpointUpdate::Lost;
-                if matches!(kind, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
-                    self.live.clear();
-                }
-                for entry in &entries {
-                    match entry.state {
-                        EndpointState::Ready => self.live.insert(entry.worker.clone()),
-                        EndpointState::Draining | EndpointState::Removed => {
-                            self.live.remove(&entry.worker)
-                        }
-                    };
-                }
-                self.decide(
-                    now,
-                    Event::Endpoints {
-                        update: kind,
-                        endpoints: entries,
-                    },
-                    out,
-                );
+            Input::CallerCancelled(ticket) => self.caller_cancelled(now, ticket, out),
+            Input::AttemptFinished(result) => self.attempt_finished(now, result, out),
+            Input::LoadPolled(result) => self.decide(now, result.into(), out),
+            Input::LoadCommandFinished(result) => self.decide(now, result.into(), out),
+            Input::Endpoints { update, endpoints } => {
+                self.ready_workers.apply(update, &endpoints);
+                self.decide(now, Event::Endpoints { update, endpoints }, out);
             }
             Input::Drain => self.draining = true,
-            Input::AnswerAll => self.end(now, out),
-        }
-    }
-
-    /// Answers all that is open. What was never sent is refused; for the rest nothing is promised, for it may have run.
-    fn end(&mut self, now: Time, out: &mut Vec<Output>) {
-        self.draining = true;
-        let unanswered: Vec<_> = self
-            .open
-            .iter()
-            .filter(|(_, o)| o.reply.is_none())
-            .map(|(id, o)| (*id, o.attempts))
-            .collect();
-        for (request, attempts) in unanswered {
-            let verdict = if attempts == 0 {
-                Verdict::Rejected
-            } else {
-                Verdict::Failed
-            };
-            self.answer(request, verdict, Cause::Draining, None, None, out);
-            self.decide(now, Event::ClientCancelled { request }, out);
-        }
-    }
-
-    /// The request that a ticket stands for, as long as it is not settled.
-    pub fn request(&self, ticket: Ticket) -> Option<RequestId> {
-        self.tickets.get(&ticket).copied()
-    }
-
-    // ---- triggers ----
-
-    /// `refused`: it is not to run. What came before is looked up first all the same: a call that runs here, or was
-    /// answered, must not be refused on top of that, and one that may have run elsewhere must not be called harmless.
-    #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
-    fn trigger(
-        &mut self,
-        now: Time,
-        trigger: Trigger,
-        refused: Option<(Cause, Option<Time>)>,
-        out: &mut Vec<Output>,
-    ) {
-        self.stats.taken += 1;
-        let Trigger {
-            ticket,
-            identity,
-            redelivered,
-            deliveries,
-            mut call,
-        } = trigger;
-        call.class = call.class.min(self.settings.policy.classes.len() - 1);
-        let (mut budget, waited) = (call.timeout, call.waited);
-        if redelivered {
-            self.stats.again += 1;
-            let class = &self.settings.policy.classes[call.class];
-            let margin = self.settings.answer_margin + 4 * self.settings.policy.tick;
-            let again = self
-                .memory
-                .again(identity.as_ref(), now)
-                .unwrap_or_else(|| {
-                    unknown_earlier(class, call.age, call.idempotency_key.is_some(), margin)
-                });
-            match again {
-                Again::Join(request) => return self.join(request, ticket, out),
-                Again::Forget => return out.push(Output::Forget(ticket)),
-                Again::Run(_) if deliveries > self.settings.max_deliveries => {
-                    // A safe message that comes again and again may be what brings front ends down.
-                    return self.at_once(
-                        now,
-                        ticket,
-                        identity,
-                        Verdict::Failed,
-                        Cause::TooManyDeliveries,
-                        out,
-                    );
-                }
-                Again::Run(None) => {}
-                Again::Run(Some(left)) => {
-                    budget = Some(budget.unwrap_or(class.client_timeout).min(left));
-                }
-                Again::Fail => {
-                    return self.at_once(
-                        now,
-                        ticket,
-                        identity,
-                        Verdict::Failed,
-                        Cause::MayHaveRunBefore,
-                        out,
-                    );
-                }
-            }
-        } else if let Some(request) = identity.as_ref().and_then(|i| self.memory.open(i)) {
-            // Not a repeat by its source's word, yet of the name of one that is open: a client that sent twice.
-            // The earlier one keeps its answer and loses its name.
-            if let Some(open) = self.open.get_mut(&request) {
-                open.identity = None;
-            }
-        }
-        if let Some((cause, retry_after)) = refused {
-            let request = self.insert(now, ticket, identity, Call::default());
-            return self.answer(request, Verdict::Rejected, cause, retry_after, None, out);
-        }
-        if !self.settings.owners.allow(call.tenant, &call.function) {
-            return self.at_once(
-                now,
-                ticket,
-                identity,
-                Verdict::Rejected,
-                Cause::OtherTenant,
-                out,
-            );
-        }
-        let bytes = call.body.len();
-        if self.draining {
-            return self.at_once(
-                now,
-                ticket,
-                identity,
-                Verdict::Rejected,
-                Cause::Draining,
-                out,
-            );
+            Input::AnswerAll => self.answer_all(now, out),
         }
-        if self.open.len() >= self.settings.max_open || self.bytes + bytes > self.settings.max_bytes
-        {
-            return self.at_once(
-                now,
-                ticket,
-                identity,
-                Verdict::Rejected,
-                Cause::AtCapacity,
-                out,
-            );
-        }
-        let class = &self.settings.policy.classes[call.class];
-        // Of a message that waited in its queue the client's time is partly over, whoever states it.
-        let rest = class.client_timeout.saturating_sub(waited);
-        let budget = budget.unwrap_or(rest).min(rest);
-        let Some(left) = budget
-            .checked_sub(self.settings.answer_margin)
-            .filter(|left| *left > 0)
-        else {
-            return self.at_once(
-                now,
-                ticket,
-                identity,
-                Verdict::Rejected,
-                Cause::TooLate,
-                out,
-            );
-        };
-        let function = function_id(&call.function);
-        self.name(now, function, &call.function);
-        let request = Request {
-            id: self.next_request,
-            expected_work: call.expected_work,
-            memory_mb: call.memory_mb,
-            replica_concurrency: call.replica_concurrency,
-            class: call.class,
-            load_time: call.load_time,
-            function,
-            timeout: Some(left),
-        };
-        self.insert(now + left, ticket, identity, call);
-        self.decide(now, Event::Arrived(request), out);
-    }
-
-    /// Notes a new request under the next number.
-    fn insert(
-        &mut self,
-        deadline: Time,
-        ticket: Ticket,
-        identity: Option<Arc<str>>,
-        call: Call,
-    ) -> RequestId {
-        let request = self.next_request;
-        self.next_request += 1;
-        if let Some(identity) = &identity {
-            self.memory.begin(identity, request);
-        }
-        let bytes = call.body.len();
-        self.bytes += bytes;
-        self.tickets.insert(ticket, request);
-        let open = Open {
-            ticket: Some(ticket),
-            identity,
-            call: Arc::new(call),
-            deadline,
-            attempts: 0,
-            last: None,
-            reply: None,
-            bytes,
-        };
-        self.open.insert(request, open);
-        request
     }
 
-    /// Gives a final answer to a trigger that the module never sees.
-    fn at_once(
-        &mut self,
-        now: Time,
-        ticket: Ticket,
-        identity: Option<Arc<str>>,
-        verdict: Verdict,
-        cause: Cause,
-        out: &mut Vec<Output>,
-    ) {
-        // The body is let go at once: what is refused for want of room must not take any.
-        let request = self.insert(now, ticket, identity, Call::default());
-        self.answer(request, verdict, cause, None, None, out);
-    }
-
-    /// A delivery takes the place of an earlier one of the same message.
-    fn join(&mut self, request: RequestId, ticket: Ticket, out: &mut Vec<Output>) {
-        let Some(open) = self.open.get_mut(&request) else {
-            return;
-        };
-        self.stats.joined += 1;
-        if let Some(old) = open.ticket.replace(ticket) {
-            self.tickets.remove(&old);
-        }
-        self.tickets.insert(ticket, request);
-        if let Some(reply) = &open.reply {
-            out.push(Output::Answer {
-                ticket,
-                reply: reply.clone(),
-            });
-        }
-    }
-
-    /// Tickets of the source are void. A request that can be told again goes on, for its message may come back
-    /// here; one that cannot is withdrawn, for nobody could be told of its end.
-    fn source_lost(&mut self, now: Time, source: SourceId, out: &mut Vec<Output>) {
-        let of = |t: &Ticket| t.source == source;
-        let lost: Vec<_> = self
-            .tickets
-            .iter()
-            .filter(|(t, _)| of(t))
-            .map(|(t, r)| (*t, *r))
-            .collect();
-        for (ticket, request) in lost {
-            self.tickets.remove(&ticket);
-            let Some(open) = self.open.get_mut(&request) else {
-                continue;
-            };
-            open.ticket = None;
-            if open.identity.is_none() {
-                self.abandon(now, request, out);
-            } else {
-                self.timers.set(open.deadline.max(now), request);
-            }
-        }
-    }
-
-    fn settled(&mut self, now: Time, ticket: Ticket) {
-        let Some(request) = self.tickets.remove(&ticket) else {
-            return;
-        };
-        let Some(open) = self.open.remove(&request) else {
-            return;
-        };
-        self.bytes -= open.bytes;
-        if let Some(identity) = &open.identity {
-            self.memory.settle(identity, request, now);
-        }
-    }
-
-    /// Ends what is open for a user who is not whose they were. What was never sent is refused. For the rest nothing is
-    /// promised: it may have run for the old tenant, whose answer must not reach the user any more.
-    fn moved(&mut self, now: Time, user: &str, side: Option<(Tenant, u64)>, out: &mut Vec<Output>) {
-        // Calls that came after the move are the new side's already, though the word of it is handled only now.
-        let is = |o: &Open| o.call.tenant.map(|t| (t, o.call.person));
-        let of =
-            |o: &Open| o.call.user.as_deref() == Some(user) && (side.is_none() || is(o) != side);
-        let theirs: Vec<_> = self
-            .open
-            .iter()
-            .filter(|(_, o)| of(o))
-            .map(|(id, _)| *id)
-            .collect();
-        for request in theirs {
-            let Some(open) = self.open.get(&request) else {
-                continue;
-            };
-            if open
-                .reply
-                .as_ref()
-                .is_some_and(|r| r.verdict != Verdict::Served)
-            {
-                continue;
-            }
-            if open.reply.is_some() {
-                // Served, but not yet told to anybody: its message is gone, and may come back.
-                if open.ticket.is_none() {
-                    self.abandon(now, request, out);
-                }
-                continue;
-            }
-            let verdict = if open.attempts == 0 {
-                Verdict::Rejected
-            } else {
-                Verdict::Failed
-            };
-            self.answer(request, verdict, Cause::UserMigrated, None, None, out);
-            self.decide(now, Event::ClientCancelled { request }, out);
-        }
-    }
-
-    /// Whether a message of this name is open here or was settled here lately: what comes of it is decided by that.
-    pub fn knows(&self, identity: &Arc<str>, now: Time) -> bool {
-        self.memory.again(Some(identity), now).is_some()
-    }
-
-    /// Ends a request to which no answer is owed any more.
-    fn abandon(&mut self, now: Time, request: RequestId, out: &mut Vec<Output>) {
-        let Some(open) = self.open.remove(&request) else {
-            return;
-        };
-        self.bytes -= open.bytes;
-        if let Some(ticket) = open.ticket {
-            self.tickets.remove(&ticket);
-        }
-        if let Some(identity) = &open.identity {
-            self.memory.abandon(identity, request);
-        }
-        if open.reply.is_none() {
-            self.decide(now, Event::ClientCancelled { request }, out);
-        }
-    }
-
-    // ---- attempts ----
-
-    fn attempt(&mut self, now: Time, end: AttemptResult, out: &mut Vec<Output>) {
-        let AttemptResult {
-            id,
-            outcome,
-            elapsed: took,
-            replica_status: note,
-            function_concurrency: alike,
-            load_report: load,
-            served,
-        } = end;
-        let mut settled = true;
-        // An outcome that nothing was sent for, or a second one, is none.
-        let Some(worker) = self.out.remove(&id) else {
-            return;
-        };
-        if let Some(open) = self.open.get_mut(&id.request) {
-            open.last = Some((outcome, worker.clone()));
-            settled = open.reply.is_some();
-            if !settled && outcome == Outcome::Served {
-                settled = true;
-                self.answer(
-                    id.request,
-                    Verdict::Served,
-                    Cause::Answered,
-                    None,
-                    served,
-                    out,
-                );
-            }
-        }
-        let finished = AttemptFinished {
-            request: id.request,
-            attempt: id.number,
-            worker,
-            outcome,
-            elapsed: took,
-            settled,
-            replica_status: note,
-            function_concurrency: alike,
-            load_report: load,
-        };
-        self.decide(now, Event::AttemptFinished(finished), out);
-    }
-
-    /// Gives the final answer of a request: the first is the only one.
-    fn answer(
-        &mut self,
-        request: RequestId,
-        verdict: Verdict,
-        cause: Cause,
-        retry_after: Option<Time>,
-        served: Option<Served>,
-        out: &mut Vec<Output>,
-    ) {
-        let Some(open) = self.open.get_mut(&request).filter(|o| o.reply.is_none()) else {
-            return;
-        };
-        let counter = match verdict {
-            Verdict::Served => &mut self.stats.served,
-            Verdict::Rejected => &mut self.stats.refused,
-            Verdict::Failed => &mut self.stats.failed,
-        };
-        *counter += 1;
-        let (last, worker) = open.last.clone().unzip();
-        let reply = Reply {
-            verdict,
-            cause,
-            retry_after,
-            attempts: open.attempts,
-            last_outcome: last,
-            worker,
-            served,
-        };
-        let reply = Arc::new(reply);
-        // The call's body is not needed any more, the answer's is.
-        let bytes = reply.served.as_ref().map_or(0, |s| s.body.len());
-        self.bytes = self.bytes - open.bytes + bytes;
-        open.bytes = bytes;
-        let kept = Call {
-            body: Default::default(),
-            ..(*open.call).clone()
-        };
-        open.call = Arc::new(kept);
-        open.reply = Some(reply.clone());
-        if let Some(ticket) = open.ticket {
-            out.push(Output::Answer { ticket, reply });
-        }
-    }
-
-    /// Ends an orphan in place of a send; the module hears that the attempt was not made.
-    fn let_go(&mut self, request: RequestId, id: AttemptId, worker: WorkerId) {
-        let Some(open) = self.open.remove(&request) else {
-            return;
-        };
-        self.bytes -= open.bytes;
-        if let Some(identity) = &open.identity {
-            self.memory.abandon(identity, request);
-        }
-        self.events.push_back(not_sent(request, id, worker));
-    }
-
-    /// Lets go of an answered request whose message did not come back in its time: it went elsewhere.
-    fn retire(&mut self, now: Time, request: RequestId) {
-        let Some(open) = self.open.get(&request) else {
-            return;
-        };
-        if open.ticket.is_none() && open.reply.is_some() && now >= open.deadline {
-            self.bytes -= open.bytes;
-            if let Some(identity) = &open.identity {
-                self.memory.abandon(identity, request);
-            }
-            self.open.remove(&request);
-        }
-    }
-
-    // ---- the module ----
-
-    fn decide(&mut self, now: Time, event: Event, out: &mut Vec<Output>) {
-        self.events.push_back(event);
-        while let Some(event) = self.events.pop_front() {
-            let timer = match &event {
-                Event::Timer { token } => Some(*token),
-                _ => None,
-            };
-            let mut actions = std::mem::take(&mut self.actions);
-            self.front.handle(now, event, &mut actions);
-            for action in actions.drain(..) {
-                self.act(now, action, out);
-            }
-            self.actions = actions;
-            // A request's own timer is due just before its end; chores' and others' tokens name no request.
-            if let Some(request) = timer {
-                self.overdue(now, request, out);
-            }
-        }
-    }
-
-    /// At its own timer a request has either been answered or has come to its end here too.
-    fn overdue(&mut self, now: Time, request: RequestId, out: &mut Vec<Output>) {
-        let Some(open) = self.open.get(&request) else {
-            return;
-        };
-        if open.reply.is_none() && now + 2 * self.settings.policy.tick >= open.deadline {
-            // The module ends what it knows; what it does not know any more must not wait for ever.
-            self.answer(
-                request,
-                Verdict::Failed,
-                Cause::AttemptsEnded,
-                None,
-                None,
-                out,
-            );
-        }
-        self.retire(now, request);
-    }
-
-    fn act(&mut self, now: Time, action: Action, out: &mut Vec<Output>) {
-        match action {
-            Action::Forward {
-                request,
-                worker,
-                timeout,
-            } => {
-                let Some(open) = self.open.get_mut(&request).filter(|o| o.reply.is_none()) else {
-                    return;
-                };
-                let id = AttemptId {
-                    request,
-                    number: open.attempts,
-                };
-                if open.ticket.is_none() {
-                    // Its message is another front end's by now: a further send here could come after the other's
-                    // answer. What is out already may end, for the message may still come back here.
-                    return self.let_go(request, id, worker);
-                }
-                if !self
-                    .settings
-                    .owners
-                    .allow(open.call.tenant, &open.call.function)
-                {
-                    // Looked at when it came; looked at again where it would leave, whatever happened between.
-                    let verdict = if open.attempts == 0 {
-                        Verdict::Rejected
-                    } else {
-                        Verdict::Failed
-                    };
-                    self.answer(request, verdict, Cause::OtherTenant, None, None, out);
-                    self.events.push_back(not_sent(request, id, worker));
-                    return;
-                }
-                open.attempts += 1;
-                self.out.insert(id, worker.clone());
-                self.stats.sends += 1;
-                let deadline = timeout.map_or(open.deadline, |t| open.deadline.min(now + t));
-                out.push(Output::Forward {
-                    id,
-                    worker,
-                    call: open.call.clone(),
-                    deadline,
-                });
-            }
-            Action::Cancel { request, attempt } => {
-                self.stats.cancels += 1;
-                out.push(Output::Cancel(AttemptId {
-                    request,
-                    number: attempt,
-                }));
-            }
-            Action::Reject {
-                request,
-                retry_after,
-            } => {
-                let cause = self.cause(request);
-                self.answer(request, Verdict::Rejected, cause, retry_after, None, out);
-            }
-            Action::Fail { request } => {
-                let cause = self.cause(request);
-                self.answer(request, Verdict::Failed, cause, None, None, out);
-            }
-            Action::LoadFunction {
-                worker,
-                function,
-                replicas: copies,
-            } => match self.names.get(&function) {
-                Some((name, _)) => {
-                    self.stats.holds += 1;
-                    out.push(Output::LoadFunction {
-                        worker,
-                        function,
-                        name: name.clone(),
-                        replicas: copies,
-                    });
-                }
-                // Forgotten here: the module is told that nothing came of it.
-                None => self.events.push_back(Event::LoadFinished(LoadFinished {
-                    worker,
-                    function,
-                    outcome: Outcome::NotSent,
-                    elapsed: 0,
-                    replicas: 0,
-                })),
-            },
-            Action::EvictFunction { worker, function } => {
-                if let Some((name, _)) = self.names.get(&function) {
-                    out.push(Output::EvictFunction {
-                        worker,
-                        name: name.clone(),
-                    });
-                }
-            }
-            Action::PollLoad { worker } => {
-                self.stats.probes += 1;
-                out.push(Output::PollLoad(worker));
-            }
-            Action::SetTimer { after, token } => self.timers.set(now.saturating_add(after), token),
-            Action::WatchEndpoints => out.push(Output::WatchEndpoints),
-        }
-    }
-
-    fn cause(&self, request: RequestId) -> Cause {
-        match self.open.get(&request) {
-            Some(open) if open.attempts > 0 => Cause::AttemptsEnded,
-            _ => Cause::NoWorkerInTime,
-        }
-    }
-
-    /// Keeps the name of a function for orders; when there are too many, those not called for longest go.
-    fn name(&mut self, now: Time, function: FunctionId, name: &Arc<str>) {
-        if let Some((_, called)) = self.names.get_mut(&function) {
-            *called = now;
-            return;
-        }
-        if self.names.len() >= self.settings.max_names {
-            let mut times: Vec<Time> = self.names.values().map(|(_, called)| *called).collect();
-            times.sort_unstable();
-            // A half goes at a time, so that one-off functions do not make each call pay for this.
-            let middle = times[times.len() / 2];
-            self.names.retain(|_, (_, called)| *called > middle);
+    fn run_due_timers(&mut self, now: Time, out: &mut Vec<Output>) {
+        while let Some(token) = self.timers.take_due(now) {
+            self.decide(now, Event::Timer { token }, out);
         }
-        self.names.insert(function, (name.clone(), now));
     }
 }
--- /dev/null
+++ b/crates/pipithub-engine/tests/engine/main.rs
@@ -0,0 +1,7 @@
+//! The engine against scripted sources and workers.
+
+mod admission;
+mod answers;
+mod harness;
+mod redelivery;
+mod tenants;
