--- a/crates/pipithub-characterization/tests/node_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/node_driver/mod.rs
@@ -1,7 +1,8 @@
 //! The one place that knows the node's own types.
 
 use pipithub_characterization::node_scenario;
-use pipithub_node::core::{Core, Effect};
+use pipithub_node::core::Core;
+use pipithub_node::effect::Effect;
 use pipithub_platform::config::NodeConfig;
 use pipithub_platform::list;
 
--- a/crates/pipithub-hollow/src/lib.rs
+++ b/crates/pipithub-hollow/src/lib.rs
@@ -10,7 +10,8 @@
 
 use pipithub_clock::{Clock, Time, wall_ns};
 use pipithub_node::coordinator;
-use pipithub_node::core::{Core, Effect};
+use pipithub_node::core::Core;
+use pipithub_node::effect::Effect;
 use pipithub_platform::config::NodeConfig;
 use tokio::sync::{Notify, watch};
 use tokio::task::JoinHandle;
--- a/crates/pipithub-node/src/core.rs
+++ b/crates/pipithub-node/src/core.rs
@@ -19,12 +19,10 @@
 use tracing::{debug, info};
 
 use crate::desk::{BEYOND, Caller, Desk, FAULTY, OPEN_MOST};
+use crate::effect::{ConnId, Effect};
 use crate::pool::{Job, Lost, Pool, Request, Task};
 use crate::start_times::StartTimes;
 
-/// Names one connection, to a client or to a worker; never used twice.
-pub type ConnId = u64;
-
 /// All clients are one source to the engine: each call's ticket is its own.
 const CLIENTS: SourceId = SourceId(1);
 /// How often overdue jobs and idle connections are looked for.
@@ -50,48 +48,6 @@
 /// Answers leave so long before the client's time is up, for their own way back.
 const ANSWER_MARGIN: Time = 5_000_000;
 
-/// What the shell is to do.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Effect {
-    /// Write on a connection.
-    Write {
-        /// The connection.
-        conn: ConnId,
-        /// What.
-        bytes: Bytes,
-    },
-    /// Close a connection: a client's once all is written, a worker's at once, for what is left unwritten must not begin
-    /// there any more. The core has forgotten it.
-    Close {
-        /// The connection.
-        conn: ConnId,
-    },
-    /// Hand over what a client has sent by now, then say [`Core::retire`]: a request may come in the very moment in
-    /// which its connection is to be closed.
-    Retire {
-        /// The connection.
-        conn: ConnId,
-    },
-    /// Take back bytes that the system has not taken yet.
-    Unwrite {
-        /// The connection.
-        conn: ConnId,
-        /// Where they begin, in bytes from the connection's first.
-        at: u64,
-        /// How many they are.
-        len: u64,
-    },
-    /// Open a connection to a worker; [`Core::worker_up`] or [`Core::worker_failed`] is owed.
-    Connect {
-        /// The new connection.
-        conn: ConnId,
-        /// Where to.
-        address: String,
-        /// It has failed if it is not up by then.
-        within: Time,
-    },
-}
-
 /// One front end.
 #[derive(Debug)]
 pub struct Core {
@@ -222,8 +178,6 @@
         self.run(now, Input::Tick);
     }
 
-    // ---- stopping ----
-
     /// The platform asked for an end.
     pub fn stop(&mut self, now: Time) {
         if self.stopping.is_none() {
@@ -259,8 +213,6 @@
             .extend(clients.into_iter().map(|conn| Effect::Retire { conn }));
     }
 
-    // ---- the list ----
-
     /// Takes a change of the worker list while the wall clock agrees with `now`.
     pub fn list(&mut self, now: Time, event: &ListEvent) {
         self.list_at(now, now, event);
@@ -310,8 +262,6 @@
         }
     }
 
-    // ---- clients ----
-
     /// A client has connected.
     pub fn client_opened(&mut self, now: Time, conn: ConnId) {
         if let Some(other) = self.desk.opened(now, conn) {
@@ -606,8 +556,6 @@
         self.effects.push(Effect::Write { conn, bytes });
     }
 
-    // ---- workers ----
-
     /// A connection to a worker is up.
     pub fn worker_up(&mut self, now: Time, conn: ConnId) {
         self.pool.up(now, conn);
@@ -794,8 +742,6 @@
         self.settle(now);
     }
 
-    // ---- the engine ----
-
     /// Hands an input to the engine, and all that comes of it at once.
     fn run(&mut self, now: Time, input: Input) {
         self.inputs.push_back(input);
--- a/crates/pipithub-node/src/desk.rs
+++ b/crates/pipithub-node/src/desk.rs
@@ -6,7 +6,7 @@
 use pipithub_platform::client::LINE_MOST;
 use pipithub_platform::line::LineFramer;
 
-use crate::core::ConnId;
+use crate::effect::ConnId;
 
 /// Calls that may be open on one connection.
 pub const OPEN_MOST: usize = 32;
--- /dev/null
+++ b/crates/pipithub-node/src/effect.rs
@@ -0,0 +1,49 @@
+//! What the core asks the shell to do, and the numbers that connections bear.
+
+use bytes::Bytes;
+use pipithub_engine::Time;
+
+/// Names one connection, to a client or to a worker; never used twice.
+pub type ConnId = u64;
+
+/// What the shell is to do.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Effect {
+    /// Write on a connection.
+    Write {
+        /// The connection.
+        conn: ConnId,
+        /// What.
+        bytes: Bytes,
+    },
+    /// Close a connection: a client's once all is written, a worker's at once, for what is left unwritten must not begin
+    /// there any more. The core has forgotten it.
+    Close {
+        /// The connection.
+        conn: ConnId,
+    },
+    /// Hand over what a client has sent by now, then say [`Core::retire`](crate::core::Core::retire): a request may come in the very moment in
+    /// which its connection is to be closed.
+    Retire {
+        /// The connection.
+        conn: ConnId,
+    },
+    /// Take back bytes that the system has not taken yet.
+    Unwrite {
+        /// The connection.
+        conn: ConnId,
+        /// Where they begin, in bytes from the connection's first.
+        at: u64,
+        /// How many they are.
+        len: u64,
+    },
+    /// Open a connection to a worker; [`Core::worker_up`](crate::core::Core::worker_up) or [`Core::worker_failed`] is owed.
+    Connect {
+        /// The new connection.
+        conn: ConnId,
+        /// Where to.
+        address: String,
+        /// It has failed if it is not up by then.
+        within: Time,
+    },
+}
--- a/crates/pipithub-node/src/lib.rs
+++ b/crates/pipithub-node/src/lib.rs
@@ -8,6 +8,7 @@
 pub mod coordinator;
 pub mod core;
 pub mod desk;
+pub mod effect;
 pub mod pool;
 pub mod shell;
 pub mod sockets;
--- a/crates/pipithub-node/src/pool.rs
+++ b/crates/pipithub-node/src/pool.rs
@@ -13,7 +13,7 @@
 use pipithub_platform::worker::{LINE_MOST, RunRequest, undo};
 use tracing::debug;
 
-use crate::core::{ConnId, Effect};
+use crate::effect::{ConnId, Effect};
 use crate::staleness::Staleness;
 
 /// How often what never arrived is written again, on another connection.
--- a/crates/pipithub-node/src/shell.rs
+++ b/crates/pipithub-node/src/shell.rs
@@ -23,7 +23,8 @@
 use tracing::{debug, error, info};
 
 use crate::coordinator;
-use crate::core::{ConnId, Core, Effect};
+use crate::core::Core;
+use crate::effect::{ConnId, Effect};
 use crate::sockets::{self, ConnectError, LOCAL_RETRY, LocalFaults, TransferEnd};
 
 /// What is read at a time: more than a usual client sends in one breath, so that its close behind that is seen with it.
@@ -546,7 +547,7 @@
         };
         sockets::accept_all(accept, take, &self.local_faults).await;
         // Nobody reaches this process any more: what it has taken is finished, and it ends.
-        self.with(super::core::Core::stop);
+        self.with(Core::stop);
     }
 
     /// Whether the process may end: all that was taken is answered and written, and for a while nothing new was seen on
@@ -581,7 +582,7 @@
                 () = self.rearm.notified() => continue,
             }
             self.armed.set(Time::MAX);
-            self.with(super::core::Core::tick);
+            self.with(Core::tick);
             if self.over() {
                 return;
             }
@@ -716,8 +717,8 @@
         loop {
             let look = tokio::select! {
                 () = &mut over => break,
-                _ = terminate.recv() => { shell.with(super::core::Core::stop); false }
-                _ = interrupt.recv() => { shell.with(super::core::Core::stop); false }
+                _ = terminate.recv() => { shell.with(Core::stop); false }
+                _ = interrupt.recv() => { shell.with(Core::stop); false }
                 _ = reload.recv() => { looks = 0; true }
                 () = at(again) => true,
             };
--- a/crates/pipithub-node/tests/bench/mod.rs
+++ b/crates/pipithub-node/tests/bench/mod.rs
@@ -4,7 +4,8 @@
 use std::collections::BTreeMap;
 
 use pipithub_engine::Time;
-use pipithub_node::core::{ConnId, Core, Effect};
+use pipithub_node::core::Core;
+use pipithub_node::effect::{ConnId, Effect};
 use pipithub_platform::config::NodeConfig;
 
 pub(crate) const MS: Time = 1_000_000;
--- a/crates/pipithub-node/tests/core.rs
+++ b/crates/pipithub-node/tests/core.rs
@@ -3,7 +3,7 @@
 mod bench;
 
 use bench::{Bench, MS, config};
-use pipithub_node::core::{ConnId, Effect};
+use pipithub_node::effect::{ConnId, Effect};
 use pipithub_platform::list;
 
 const SERVED: &[u8] = b"{\"cmd\":\"ACK\",\"ref\":\"0000000000000007\",\"opts\":{\"same\":\"2\",\"l\":\"inflight:1\"},\"payload\":\"d29ybGQ=\"}\n";
--- a/crates/pipithub-node/tests/endings.rs
+++ b/crates/pipithub-node/tests/endings.rs
@@ -4,7 +4,7 @@
 
 use bench::{Bench, MS, config};
 use pipithub_engine::Time;
-use pipithub_node::core::ConnId;
+use pipithub_node::effect::ConnId;
 
 fn call(id: u64) -> String {
     format!(
--- a/crates/pipithub-node/tests/pool.rs
+++ b/crates/pipithub-node/tests/pool.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use pipithub_engine::policy::WorkerId;
 use pipithub_engine::{AttemptId, Time};
-use pipithub_node::core::{ConnId, Effect};
+use pipithub_node::effect::{ConnId, Effect};
 use pipithub_node::pool::{Job, Lost, Pool, Request, Task};
 use pipithub_platform::worker::RunRequest;
 
--- a/crates/pipithub-node/tests/trouble.rs
+++ b/crates/pipithub-node/tests/trouble.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use bench::{Bench, MS, config};
-use pipithub_node::core::ConnId;
+use pipithub_node::effect::ConnId;
 
 const CALLS: u64 = 24;
 const FLOOD: &str = "{\"cmd\":\"ACK\",\"ref\":\"ffffffffffffffff\",\"payload\":\"\"}\n";
