--- a/crates/pipithub-characterization/tests/node_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/node_driver/mod.rs
@@ -33,8 +33,8 @@
     }
 
     fn client_connected(&mut self, now: u64) -> u64 {
-        let connection = self.core.number();
-        self.core.client_opened(now, connection);
+        let connection = self.core.next_connection_id();
+        self.core.client_connected(now, connection);
         connection
     }
 
@@ -47,11 +47,11 @@
     }
 
     fn client_retired(&mut self, now: u64, connection: u64) {
-        self.core.retire(now, connection);
+        self.core.close_client_if_idle(now, connection);
     }
 
     fn worker_connected(&mut self, now: u64, connection: u64) {
-        self.core.worker_up(now, connection);
+        self.core.worker_connected(now, connection);
     }
 
     fn worker_failed(&mut self, now: u64, connection: u64, own: bool) {
@@ -72,55 +72,59 @@
 
     fn list(&mut self, now: u64, event: &str) {
         let event = list::parse(event, &self.config.site.names).expect("the event can be read");
-        self.core.list(now, &event);
+        self.core.update_endpoints(now, &event);
     }
 
     fn stop(&mut self, now: u64) {
-        self.core.stop(now);
+        self.core.begin_shutdown(now);
     }
 
     fn stopped(&self, now: u64) -> bool {
-        self.core.done(now)
+        self.core.is_drained(now)
     }
 
     fn deadline_passed(&self, now: u64) -> bool {
-        self.core.overdue(now)
+        self.core.shutdown_overdue(now)
     }
 
     fn figures(&self) -> String {
         let (clients, workers) = self.core.connections();
         format!(
             "open {} clients {clients} workers {workers}",
-            self.core.open()
+            self.core.pending_requests()
         )
     }
 
     fn effects(&mut self) -> Vec<node_scenario::Effect> {
         let mut effects = Vec::new();
-        self.core.effects(&mut effects);
+        self.core.take_effects(&mut effects);
         effects.into_iter().map(effect).collect()
     }
 }
 
 fn effect(effect: Effect) -> node_scenario::Effect {
     match effect {
-        Effect::Write { conn, bytes } => node_scenario::Effect::Write {
-            connection: conn,
+        Effect::Write { connection, bytes } => node_scenario::Effect::Write {
+            connection,
             bytes: bytes.to_vec(),
         },
-        Effect::Close { conn } => node_scenario::Effect::Close { connection: conn },
-        Effect::Retire { conn } => node_scenario::Effect::Retire { connection: conn },
-        Effect::Unwrite { conn, at, len } => node_scenario::Effect::Unwrite {
-            connection: conn,
-            at,
-            length: len,
+        Effect::Close { connection } => node_scenario::Effect::Close { connection },
+        Effect::Retire { connection } => node_scenario::Effect::Retire { connection },
+        Effect::CancelWrite {
+            connection,
+            offset,
+            length,
+        } => node_scenario::Effect::Unwrite {
+            connection,
+            at: offset,
+            length,
         },
         Effect::Connect {
-            conn,
+            connection,
             address,
             within,
         } => node_scenario::Effect::Connect {
-            connection: conn,
+            connection,
             address,
             within,
         },
--- a/crates/pipithub-hollow/src/lib.rs
+++ b/crates/pipithub-hollow/src/lib.rs
@@ -56,7 +56,7 @@
         let told = inner.clone();
         let names = config.site.names.clone();
         let follow = coordinator::follow(followed, last, names, config.seed, move |event| {
-            told.with(|core, now| core.list_at(now, wall_ns(), &event));
+            told.with(|core, now| core.update_endpoints_at(now, wall_ns(), &event));
             told.last.set(event.index);
             told.events.set(told.events.get() + 1);
             (told.taken)(event.index);
@@ -107,14 +107,14 @@
         act(&mut core, now);
         let mut effects = Vec::new();
         loop {
-            core.effects(&mut effects);
+            core.take_effects(&mut effects);
             if effects.is_empty() {
                 break;
             }
             self.wanted.set(self.wanted.get() + effects.len() as u64);
             for effect in effects.drain(..) {
-                if let Effect::Connect { conn, .. } = effect {
-                    core.worker_failed(now, conn, true);
+                if let Effect::Connect { connection, .. } = effect {
+                    core.worker_failed(now, connection, true);
                 }
             }
         }
--- a/crates/pipithub-node/src/core.rs
+++ b/crates/pipithub-node/src/core.rs
@@ -19,7 +19,7 @@
 use tracing::{debug, info};
 
 use crate::desk::{BEYOND, Caller, Desk, FAULTY, OPEN_MOST};
-use crate::effect::{ConnId, Effect};
+use crate::effect::{ConnectionId, Effect};
 use crate::pool::{Job, Lost, Pool, Request, Task};
 use crate::start_times::StartTimes;
 
@@ -115,20 +115,20 @@
             effects: Vec::new(),
         };
         for event in &config.known {
-            core.list(now, event);
+            core.update_endpoints(now, event);
         }
         core
     }
 
     /// A number for a connection that the shell accepted.
-    pub fn number(&mut self) -> ConnId {
-        self.pool.number()
+    pub fn next_connection_id(&mut self) -> ConnectionId {
+        self.pool.next_connection_id()
     }
 
     /// Appends what is to be done.
-    pub fn effects(&mut self, effects: &mut Vec<Effect>) {
+    pub fn take_effects(&mut self, effects: &mut Vec<Effect>) {
         effects.append(&mut self.effects);
-        self.pool.effects(effects);
+        self.pool.take_effects(effects);
     }
 
     /// When [`Core::tick`] is due next.
@@ -140,7 +140,7 @@
     }
 
     /// How many calls have no answer yet.
-    pub fn open(&self) -> usize {
+    pub fn pending_requests(&self) -> usize {
         self.engine.open()
     }
 
@@ -163,9 +163,9 @@
         }
         if now >= self.silence_swept + SILENCE_SWEEP {
             self.silence_swept = now;
-            for conn in self.desk.silent(now) {
-                debug!(front_end = self.name, conn, "client is silent");
-                self.effects.push(Effect::Retire { conn });
+            for connection in self.desk.silent(now) {
+                debug!(front_end = self.name, connection, "client is silent");
+                self.effects.push(Effect::Retire { connection });
             }
         }
         if !self.draining && self.stopping.is_some_and(|since| now >= since + TERM_TAKES) {
@@ -179,7 +179,7 @@
     }
 
     /// The platform asked for an end.
-    pub fn stop(&mut self, now: Time) {
+    pub fn begin_shutdown(&mut self, now: Time) {
         if self.stopping.is_none() {
             info!(front_end = self.name, open = self.engine.open(), "stopping");
             self.stopping = Some(now);
@@ -195,32 +195,35 @@
 
     /// Whether a stop was asked for and all that was taken is answered. Answers may still be unwritten, and requests
     /// unread: the shell looks for these.
-    pub fn done(&self, now: Time) -> bool {
+    pub fn is_drained(&self, now: Time) -> bool {
         let least = self.stopping.map(|since| since + TERM_LEAST);
         self.engine.open() == 0 && least.min(self.last_answers()).is_some_and(|at| now >= at)
     }
 
     /// Whether the end cannot wait any longer for clients to fall silent.
-    pub fn overdue(&self, now: Time) -> bool {
+    pub fn shutdown_overdue(&self, now: Time) -> bool {
         self.last_answers()
             .is_some_and(|at| now >= at + LAST_ANSWERS_TIME)
     }
 
     /// The process is about to end: what clients have sent by now is answered, and their connections are closed.
-    pub fn end(&mut self) {
+    pub fn close_clients(&mut self) {
         let clients = self.desk.connections();
-        self.effects
-            .extend(clients.into_iter().map(|conn| Effect::Retire { conn }));
+        self.effects.extend(
+            clients
+                .into_iter()
+                .map(|connection| Effect::Retire { connection }),
+        );
     }
 
     /// Takes a change of the worker list while the wall clock agrees with `now`.
-    pub fn list(&mut self, now: Time, event: &ListEvent) {
-        self.list_at(now, now, event);
+    pub fn update_endpoints(&mut self, now: Time, event: &ListEvent) {
+        self.update_endpoints_at(now, now, event);
     }
 
     /// Takes a change of the worker list; `wall`: the wall clock at this moment, in Unix nanoseconds, by which the list
     /// states when workers started.
-    pub fn list_at(&mut self, now: Time, wall: Time, event: &ListEvent) {
+    pub fn update_endpoints_at(&mut self, now: Time, wall: Time, event: &ListEvent) {
         if event.kind != EndpointUpdate::Delta {
             let named: BTreeSet<&WorkerId> = event.hosts.iter().map(|(e, _)| &e.worker).collect();
             self.pool.keep_only(&named);
@@ -263,38 +266,46 @@
     }
 
     /// A client has connected.
-    pub fn client_opened(&mut self, now: Time, conn: ConnId) {
-        if let Some(other) = self.desk.opened(now, conn) {
-            debug!(front_end = self.name, conn = other, "too many clients");
-            self.effects.push(Effect::Retire { conn: other });
+    pub fn client_connected(&mut self, now: Time, connection: ConnectionId) {
+        if let Some(other) = self.desk.opened(now, connection) {
+            debug!(
+                front_end = self.name,
+                connection = other,
+                "too many clients"
+            );
+            self.effects.push(Effect::Retire { connection: other });
         }
     }
 
     /// All that a client has sent by now is handed over: its connection is closed, unless that was a request.
-    pub fn retire(&mut self, now: Time, conn: ConnId) {
-        if self.desk.client(conn).is_some_and(|c| c.open.is_empty()) {
-            debug!(front_end = self.name, conn, "client closed");
-            self.drop_client(now, conn);
+    pub fn close_client_if_idle(&mut self, now: Time, connection: ConnectionId) {
+        if self
+            .desk
+            .client(connection)
+            .is_some_and(|c| c.open.is_empty())
+        {
+            debug!(front_end = self.name, connection, "client closed");
+            self.drop_client(now, connection);
         }
     }
 
     /// Connections that clients may have at a time.
-    pub fn clients_most(&self) -> usize {
+    pub fn max_client_connections(&self) -> usize {
         self.desk.most()
     }
 
     /// Connections that there may be to workers at a time.
-    pub fn workers_most(&self) -> usize {
+    pub fn max_worker_connections(&self) -> usize {
         self.pool.most()
     }
 
     /// A client's connection has ended.
-    pub fn client_closed(&mut self, now: Time, conn: ConnId) {
-        let tickets = self.desk.closed(conn, now + self.give_up_most);
+    pub fn client_closed(&mut self, now: Time, connection: ConnectionId) {
+        let tickets = self.desk.closed(connection, now + self.give_up_most);
         if !tickets.is_empty() {
             debug!(
                 front_end = self.name,
-                conn,
+                connection,
                 open = tickets.len(),
                 "client has left calls open"
             );
@@ -336,14 +347,14 @@
         }
     }
 
-    fn drop_client(&mut self, now: Time, conn: ConnId) {
-        self.effects.push(Effect::Close { conn });
-        self.client_closed(now, conn);
+    fn drop_client(&mut self, now: Time, connection: ConnectionId) {
+        self.effects.push(Effect::Close { connection });
+        self.client_closed(now, connection);
     }
 
     /// Bytes came from a client.
-    pub fn client_bytes(&mut self, now: Time, conn: ConnId, bytes: &[u8]) {
-        let Some(client) = self.desk.client(conn).filter(|c| !c.unreadable) else {
+    pub fn client_bytes(&mut self, now: Time, connection: ConnectionId, bytes: &[u8]) {
+        let Some(client) = self.desk.client(connection).filter(|c| !c.unreadable) else {
             return;
         };
         client.framer.push(bytes);
@@ -376,95 +387,103 @@
                 {
                     debug!(
                         front_end = self.name,
-                        conn,
+                        connection,
                         call = call.call,
                         "forgotten before it began"
                     );
                 }
-                line => self.client_line(now, conn, line),
+                line => self.client_line(now, connection, line),
             }
         }
-        if let (Some(long), Some(client)) = (long, self.desk.client(conn)) {
+        if let (Some(long), Some(client)) = (long, self.desk.client(connection)) {
             client.unreadable = true;
             let fault = Fault {
                 id: None,
                 code: client::PARSE,
                 message: long.to_string(),
             };
-            self.fault(conn, &fault);
+            self.fault(connection, &fault);
         }
     }
 
-    fn client_line(&mut self, now: Time, conn: ConnId, line: Result<ClientLine, Fault>) {
-        let Some(client) = self.desk.client(conn) else {
+    fn client_line(
+        &mut self,
+        now: Time,
+        connection: ConnectionId,
+        line: Result<ClientLine, Fault>,
+    ) {
+        let Some(client) = self.desk.client(connection) else {
             return;
         };
         match line {
-            Ok(ClientLine::Call(call)) => self.call(now, conn, *call),
+            Ok(ClientLine::Call(call)) => self.call(now, connection, *call),
             Ok(ClientLine::Forget { id, call }) => {
                 client.active = now;
-                if let Some(ticket) = self.desk.find(conn, id, call.as_deref()) {
+                if let Some(ticket) = self.desk.find(connection, id, call.as_deref()) {
                     if let Some(caller) = self.desk.end(now, ticket).filter(|c| c.once) {
                         self.desk.note(now + self.give_up_most, &caller.call);
                     }
                     self.left(now, ticket);
-                    self.retire_condemned(conn);
+                    self.retire_condemned(connection);
                 }
             }
             Ok(ClientLine::IsWell { id }) => {
                 (client.active, client.spoke) = (now, true);
                 let healthy = self.listed && self.stopping.is_none();
-                self.write(conn, client::health(id, healthy));
+                self.write(connection, client::health(id, healthy));
             }
             // Noise on a connection that is given up has been answered once.
             Err(fault) if fault.id.is_none() && client.condemned => {}
-            Err(fault) => self.fault(conn, &fault),
+            Err(fault) => self.fault(connection, &fault),
         }
     }
 
     /// Answers what is no call. What bears no number cannot be told from noise, and what follows noise cannot be trusted.
-    fn fault(&mut self, conn: ConnId, fault: &Fault) {
-        debug!(front_end = self.name, conn, %fault, "no call");
+    fn fault(&mut self, connection: ConnectionId, fault: &Fault) {
+        debug!(front_end = self.name, connection, %fault, "no call");
         // An answer under the number of an open call would be taken for that call's.
         let open = self
             .desk
-            .client(conn)
+            .client(connection)
             .is_some_and(|c| fault.id.is_some_and(|id| c.open.contains_key(&id)));
         let id = fault.id.filter(|_| !open);
-        self.write(conn, client::error(id, fault.code, &fault.message, None));
-        if self.desk.fault(conn, FAULTY) || id.is_none() {
-            self.give_up(conn);
+        self.write(
+            connection,
+            client::error(id, fault.code, &fault.message, None),
+        );
+        if self.desk.fault(connection, FAULTY) || id.is_none() {
+            self.give_up(connection);
         }
     }
 
     /// Begins no further call of a client, and closes its connection once all that came on it is answered.
-    fn give_up(&mut self, conn: ConnId) {
-        let Some(client) = self.desk.client(conn).filter(|c| !c.condemned) else {
+    fn give_up(&mut self, connection: ConnectionId) {
+        let Some(client) = self.desk.client(connection).filter(|c| !c.condemned) else {
             return;
         };
         client.condemned = true;
         debug!(
             front_end = self.name,
-            conn,
+            connection,
             open = client.open.len(),
             "client given up"
         );
-        self.retire_condemned(conn);
+        self.retire_condemned(connection);
     }
 
     /// Has the shell look once more at a client that is given up and has no call open, and then close it.
-    fn retire_condemned(&mut self, conn: ConnId) {
+    fn retire_condemned(&mut self, connection: ConnectionId) {
         if self
             .desk
-            .client(conn)
+            .client(connection)
             .is_some_and(|c| c.condemned && c.open.is_empty())
         {
-            self.effects.push(Effect::Retire { conn });
+            self.effects.push(Effect::Retire { connection });
         }
     }
 
-    fn call(&mut self, now: Time, conn: ConnId, call: ClientCall) {
-        let Some(client) = self.desk.client(conn) else {
+    fn call(&mut self, now: Time, connection: ConnectionId, call: ClientCall) {
+        let Some(client) = self.desk.client(connection) else {
             return;
         };
         let invalid = |message: &str| Fault {
@@ -473,16 +492,16 @@
             message: message.into(),
         };
         if client.open.contains_key(&call.id) {
-            return self.fault(conn, &invalid("id: in use"));
+            return self.fault(connection, &invalid("id: in use"));
         }
         let (many, condemned) = (client.open.len() >= OPEN_MOST, client.condemned);
         if self.desk.knows(&call.call) {
             // Its namesake may be running: to call a further try harmless would be wrong.
-            return self.fault(conn, &invalid("call: open already"));
+            return self.fault(connection, &invalid("call: open already"));
         }
         if self.desk.may_have_run(now, &call.call) {
             // The same again of what must not run twice.
-            return self.fault(conn, &invalid("call: has ended, and may have run"));
+            return self.fault(connection, &invalid("call: has ended, and may have run"));
         }
         if many || condemned {
             // A client may count a call as over whose end has not come here yet, or be given up for what it sent before;
@@ -497,21 +516,21 @@
             };
             debug!(
                 front_end = self.name,
-                conn,
+                connection,
                 call = call.call,
                 message,
                 "no call"
             );
             self.write(
-                conn,
+                connection,
                 client::error(Some(call.id), client::REFUSED, message, pushback),
             );
-            if self.desk.fault(conn, BEYOND) {
-                self.give_up(conn);
+            if self.desk.fault(connection, BEYOND) {
+                self.give_up(connection);
             }
             return;
         }
-        if let Some(client) = self.desk.client(conn) {
+        if let Some(client) = self.desk.client(connection) {
             (client.active, client.spoke) = (now, true);
         }
         let once = self
@@ -521,7 +540,7 @@
             .get(call.class)
             .is_some_and(|c| c.idempotency == Idempotency::NonIdempotent);
         let number = self.desk.begin(Caller {
-            conn,
+            connection,
             id: call.id,
             call: call.call.clone(),
             once,
@@ -552,49 +571,49 @@
         self.run(now, Input::Trigger(trigger));
     }
 
-    fn write(&mut self, conn: ConnId, bytes: Bytes) {
-        self.effects.push(Effect::Write { conn, bytes });
+    fn write(&mut self, connection: ConnectionId, bytes: Bytes) {
+        self.effects.push(Effect::Write { connection, bytes });
     }
 
     /// A connection to a worker is up.
-    pub fn worker_up(&mut self, now: Time, conn: ConnId) {
-        self.pool.up(now, conn);
+    pub fn worker_connected(&mut self, now: Time, connection: ConnectionId) {
+        self.pool.up(now, connection);
         self.lose(now);
     }
 
     /// A connection to a worker did not come up; `own`: for want of something here.
-    pub fn worker_failed(&mut self, now: Time, conn: ConnId, own: bool) {
-        self.pool.failed(conn, own);
+    pub fn worker_failed(&mut self, now: Time, connection: ConnectionId, own: bool) {
+        self.pool.failed(connection, own);
         self.lose(now);
     }
 
     /// A worker does not read, the system having taken so many bytes for it so far; or, with `None`, it reads again.
-    pub fn worker_blocked(&mut self, now: Time, conn: ConnId, written: Option<u64>) {
-        self.pool.blocked(now, conn, written);
+    pub fn worker_blocked(&mut self, now: Time, connection: ConnectionId, written: Option<u64>) {
+        self.pool.blocked(now, connection, written);
         self.lose(now);
     }
 
     /// A connection to a worker has ended, with so many bytes written on it.
-    pub fn worker_closed(&mut self, now: Time, conn: ConnId, written: u64) {
-        self.pool.closed(now, conn, written, Lost::Broken);
+    pub fn worker_closed(&mut self, now: Time, connection: ConnectionId, written: u64) {
+        self.pool.closed(now, connection, written, Lost::Broken);
         self.lose(now);
     }
 
     /// Bytes came from a worker.
-    pub fn worker_bytes(&mut self, now: Time, conn: ConnId, bytes: &[u8]) {
-        let Some(framer) = self.pool.framer(conn) else {
+    pub fn worker_bytes(&mut self, now: Time, connection: ConnectionId, bytes: &[u8]) {
+        let Some(framer) = self.pool.framer(connection) else {
             return;
         };
         framer.push(bytes);
         loop {
-            let Some(framer) = self.pool.framer(conn) else {
+            let Some(framer) = self.pool.framer(connection) else {
                 return;
             };
             let spoilt = match framer.next_line() {
                 Ok(None) => return,
                 Ok(Some(line)) => match worker::read(&line) {
                     Ok(answer) => {
-                        self.answer(now, conn, answer);
+                        self.answer(now, connection, answer);
                         continue;
                     }
                     Err(spoilt) => spoilt.to_string(),
@@ -603,19 +622,19 @@
             };
             info!(
                 front_end = self.name,
-                conn, spoilt, "answer cannot be read; connection closed"
+                connection, spoilt, "answer cannot be read; connection closed"
             );
-            self.pool.spoilt(now, conn);
+            self.pool.spoilt(now, connection);
             return self.lose(now);
         }
     }
 
-    fn answer(&mut self, now: Time, conn: ConnId, answer: Answer) {
-        let found = self.pool.answered(now, conn, &answer.reference);
+    fn answer(&mut self, now: Time, connection: ConnectionId, answer: Answer) {
+        let found = self.pool.answered(now, connection, &answer.reference);
         let Some((worker, job)) = found else {
             return debug!(
                 front_end = self.name,
-                conn,
+                connection,
                 reference = answer.reference,
                 "answer to nothing open"
             );
@@ -911,8 +930,8 @@
             }
             _ => client::error(Some(caller.id), client::FAILED, reply.cause.as_str(), None),
         };
-        self.write(caller.conn, line);
-        self.retire_condemned(caller.conn);
+        self.write(caller.connection, line);
+        self.retire_condemned(caller.connection);
     }
 }
 
--- a/crates/pipithub-node/src/desk.rs
+++ b/crates/pipithub-node/src/desk.rs
@@ -6,7 +6,7 @@
 use pipithub_platform::client::LINE_MOST;
 use pipithub_platform::line::LineFramer;
 
-use crate::effect::ConnId;
+use crate::effect::ConnectionId;
 
 /// Calls that may be open on one connection.
 pub const OPEN_MOST: usize = 32;
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Caller {
     /// The connection.
-    pub conn: ConnId,
+    pub connection: ConnectionId,
     /// Its number there.
     pub id: u64,
     /// Its name.
@@ -62,7 +62,7 @@
 #[derive(Debug)]
 pub struct Desk {
     most: usize,
-    clients: BTreeMap<ConnId, Client>,
+    clients: BTreeMap<ConnectionId, Client>,
     callers: BTreeMap<u64, Caller>,
     calls: HashMap<String, u64>,
     /// Calls that must not run twice and may have run, each until when it is remembered; and in that order.
@@ -87,7 +87,7 @@
 
     /// A connection came. Where there are too many, the one to close for it: one that never asked for anything before
     /// one that did, the longest idle of them; the newcomer itself where calls are open on all.
-    pub fn opened(&mut self, now: Time, conn: ConnId) -> Option<ConnId> {
+    pub fn opened(&mut self, now: Time, connection: ConnectionId) -> Option<ConnectionId> {
         let client = Client {
             framer: LineFramer::new(LINE_MOST),
             open: BTreeMap::new(),
@@ -98,17 +98,17 @@
             unreadable: false,
             faults: 0,
         };
-        self.clients.insert(conn, client);
+        self.clients.insert(connection, client);
         if self.clients.len() <= self.most {
             return None;
         }
         let idle = self
             .clients
             .iter()
-            .filter(|(id, c)| c.open.is_empty() && **id != conn);
+            .filter(|(id, c)| c.open.is_empty() && **id != connection);
         idle.min_by_key(|(_, c)| (c.spoke, c.active))
             .map(|(id, _)| *id)
-            .or(Some(conn))
+            .or(Some(connection))
     }
 
     /// Connections that there may be.
@@ -117,12 +117,12 @@
     }
 
     /// The client of a connection.
-    pub fn client(&mut self, conn: ConnId) -> Option<&mut Client> {
-        self.clients.get_mut(&conn)
+    pub fn client(&mut self, connection: ConnectionId) -> Option<&mut Client> {
+        self.clients.get_mut(&connection)
     }
 
     /// The numbers of all connections.
-    pub fn connections(&self) -> Vec<ConnId> {
+    pub fn connections(&self) -> Vec<ConnectionId> {
         self.clients.keys().copied().collect()
     }
 
@@ -171,7 +171,7 @@
     pub fn begin(&mut self, caller: Caller) -> u64 {
         let ticket = self.next;
         self.next += 1;
-        if let Some(client) = self.clients.get_mut(&caller.conn) {
+        if let Some(client) = self.clients.get_mut(&caller.connection) {
             client.open.insert(caller.id, ticket);
             client.faults = 0;
         }
@@ -186,7 +186,7 @@
         if self.calls.get(&caller.call) == Some(&ticket) {
             self.calls.remove(&caller.call);
         }
-        if let Some(client) = self.clients.get_mut(&caller.conn) {
+        if let Some(client) = self.clients.get_mut(&caller.connection) {
             client.open.remove(&caller.id);
             client.active = now;
         }
@@ -194,15 +194,24 @@
     }
 
     /// The ticket of a call on a connection, by its number there or by its name.
-    pub fn find(&self, conn: ConnId, id: Option<u64>, call: Option<&str>) -> Option<u64> {
+    pub fn find(
+        &self,
+        connection: ConnectionId,
+        id: Option<u64>,
+        call: Option<&str>,
+    ) -> Option<u64> {
         let by_call = call.and_then(|call| self.calls.get(call)).copied();
-        let by_call = by_call.filter(|t| self.callers.get(t).is_some_and(|c| c.conn == conn));
-        by_call.or_else(|| self.clients.get(&conn)?.open.get(&id?).copied())
+        let by_call = by_call.filter(|t| {
+            self.callers
+                .get(t)
+                .is_some_and(|c| c.connection == connection)
+        });
+        by_call.or_else(|| self.clients.get(&connection)?.open.get(&id?).copied())
     }
 
     /// Counts what was asked amiss; whether the connection is to be given up for it.
-    pub fn fault(&mut self, conn: ConnId, counts: u32) -> bool {
-        self.clients.get_mut(&conn).is_none_or(|client| {
+    pub fn fault(&mut self, connection: ConnectionId, counts: u32) -> bool {
+        self.clients.get_mut(&connection).is_none_or(|client| {
             client.faults += counts;
             client.faults >= FAULTS_MOST
         })
@@ -210,8 +219,8 @@
 
     /// A connection has ended; the tickets that were open on it, none of them owed an answer any more. What of it must not
     /// run twice is remembered until the given time.
-    pub fn closed(&mut self, conn: ConnId, until: Time) -> Vec<u64> {
-        let Some(client) = self.clients.remove(&conn) else {
+    pub fn closed(&mut self, connection: ConnectionId, until: Time) -> Vec<u64> {
+        let Some(client) = self.clients.remove(&connection) else {
             return Vec::new();
         };
         let tickets: Vec<u64> = client.open.into_values().collect();
@@ -230,7 +239,7 @@
     }
 
     /// Connections that hold a descriptor for nothing.
-    pub fn silent(&self, now: Time) -> Vec<ConnId> {
+    pub fn silent(&self, now: Time) -> Vec<ConnectionId> {
         let over = |since: Time| now >= since + SILENT_MOST;
         let silent = |c: &Client| {
             c.open.is_empty() && (!c.spoke && over(c.active) || c.partial.is_some_and(over))
--- a/crates/pipithub-node/src/effect.rs
+++ b/crates/pipithub-node/src/effect.rs
@@ -4,7 +4,7 @@
 use pipithub_engine::Time;
 
 /// Names one connection, to a client or to a worker; never used twice.
-pub type ConnId = u64;
+pub type ConnectionId = u64;
 
 /// What the shell is to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -12,7 +12,7 @@
     /// Write on a connection.
     Write {
         /// The connection.
-        conn: ConnId,
+        connection: ConnectionId,
         /// What.
         bytes: Bytes,
     },
@@ -20,27 +20,29 @@
     /// there any more. The core has forgotten it.
     Close {
         /// The connection.
-        conn: ConnId,
+        connection: ConnectionId,
     },
-    /// Hand over what a client has sent by now, then say [`Core::retire`](crate::core::Core::retire): a request may come in the very moment in
+    /// Hand over what a client has sent by now, then say
+    /// [`Core::close_client_if_idle`](crate::core::Core::close_client_if_idle): a request may come in the very moment in
     /// which its connection is to be closed.
     Retire {
         /// The connection.
-        conn: ConnId,
+        connection: ConnectionId,
     },
     /// Take back bytes that the system has not taken yet.
-    Unwrite {
+    CancelWrite {
         /// The connection.
-        conn: ConnId,
+        connection: ConnectionId,
         /// Where they begin, in bytes from the connection's first.
-        at: u64,
+        offset: u64,
         /// How many they are.
-        len: u64,
+        length: u64,
     },
-    /// Open a connection to a worker; [`Core::worker_up`](crate::core::Core::worker_up) or [`Core::worker_failed`] is owed.
+    /// Open a connection to a worker; [`Core::worker_connected`](crate::core::Core::worker_connected) or
+    /// [`Core::worker_failed`](crate::core::Core::worker_failed) is owed.
     Connect {
         /// The new connection.
-        conn: ConnId,
+        connection: ConnectionId,
         /// Where to.
         address: String,
         /// It has failed if it is not up by then.
--- a/crates/pipithub-node/src/pool.rs
+++ b/crates/pipithub-node/src/pool.rs
@@ -13,7 +13,7 @@
 use pipithub_platform::worker::{LINE_MOST, RunRequest, undo};
 use tracing::debug;
 
-use crate::effect::{ConnId, Effect};
+use crate::effect::{ConnectionId, Effect};
 use crate::staleness::Staleness;
 
 /// How often what never arrived is written again, on another connection.
@@ -195,7 +195,7 @@
     /// up, where the settings let us.
     fn give_up(
         &mut self,
-        conn: ConnId,
+        id: ConnectionId,
         reference: &str,
         cancel: bool,
         effects: &mut Vec<Effect>,
@@ -213,10 +213,10 @@
                     other.begins_at -= len;
                     other.whole_at -= len;
                 }
-                effects.push(Effect::Unwrite {
-                    conn,
-                    at: carried.begins_at,
-                    len,
+                effects.push(Effect::CancelWrite {
+                    connection: id,
+                    offset: carried.begins_at,
+                    length: len,
                 });
                 return Some(GivenUp {
                     job: carried.job,
@@ -225,7 +225,7 @@
                 });
             }
             Progress::Part(written) => {
-                let behind = self.seal(conn, written, effects);
+                let behind = self.seal(id, written, effects);
                 return Some(GivenUp {
                     job: carried.job,
                     unsent: true,
@@ -239,7 +239,10 @@
             if cancel && !self.sealed {
                 let bytes = undo(reference);
                 self.queued += bytes.len() as u64;
-                effects.push(Effect::Write { conn, bytes });
+                effects.push(Effect::Write {
+                    connection: id,
+                    bytes,
+                });
             }
         }
         Some(GivenUp {
@@ -250,11 +253,11 @@
     }
 
     /// Takes back all that the system has not taken, within a line: nothing may follow. The jobs that stood behind it.
-    fn seal(&mut self, conn: ConnId, written: u64, effects: &mut Vec<Effect>) -> Vec<Job> {
-        effects.push(Effect::Unwrite {
-            conn,
-            at: written,
-            len: self.queued - written,
+    fn seal(&mut self, id: ConnectionId, written: u64, effects: &mut Vec<Effect>) -> Vec<Job> {
+        effects.push(Effect::CancelWrite {
+            connection: id,
+            offset: written,
+            length: self.queued - written,
         });
         (self.sealed, self.queued) = (true, written);
         let behind: Vec<String> = self
@@ -292,7 +295,7 @@
 struct Peer {
     address: String,
     gone: bool,
-    links: Vec<ConnId>,
+    links: Vec<ConnectionId>,
     waiting: VecDeque<Job>,
 }
 
@@ -310,8 +313,8 @@
     live: usize,
     /// Peers with jobs that may wait, and those that are gone: all that a sweep looks at.
     watched: BTreeSet<WorkerId>,
-    links: BTreeMap<ConnId, Link>,
-    next: ConnId,
+    links: BTreeMap<ConnectionId, Link>,
+    next: ConnectionId,
     effects: Vec<Effect>,
     lost: Vec<(WorkerId, Job, Lost)>,
     staleness: Staleness,
@@ -344,13 +347,13 @@
     }
 
     /// A number for a connection, of whichever side; never used twice.
-    pub fn number(&mut self) -> ConnId {
+    pub fn next_connection_id(&mut self) -> ConnectionId {
         self.next += 1;
         self.next - 1
     }
 
     /// Appends what is to be done on connections.
-    pub fn effects(&mut self, effects: &mut Vec<Effect>) {
+    pub fn take_effects(&mut self, effects: &mut Vec<Effect>) {
         effects.append(&mut self.effects);
     }
 
@@ -447,7 +450,7 @@
             };
             let idle = now.saturating_sub(link.used);
             debug!(
-                conn = id,
+                connection = id,
                 reference = job.reference,
                 worker = &*worker.0,
                 uses = link.uses,
@@ -460,7 +463,7 @@
             link.queued += line.len() as u64;
             (link.uses, link.used) = (link.uses + 1, now);
             self.effects.push(Effect::Write {
-                conn: id,
+                connection: id,
                 bytes: line,
             });
             if job.task != Task::Drop {
@@ -480,7 +483,7 @@
     /// The connection for the first job that waits for a worker: the free one that was used last, so that the others may
     /// be let go. Else each job that waits is to have a new one; where there is no room for that many, the one that
     /// carries least.
-    fn connection(&mut self, now: Time, worker: &WorkerId) -> Option<ConnId> {
+    fn connection(&mut self, now: Time, worker: &WorkerId) -> Option<ConnectionId> {
         let limit = self.staleness.limit();
         let live = self.live.max(1);
         let peer = self.peers.get_mut(worker)?;
@@ -526,7 +529,7 @@
             self.links.insert(id, Link::new(worker, &address, now));
             peer.links.push(id);
             self.effects.push(Effect::Connect {
-                conn: id,
+                connection: id,
                 address,
                 within: self.connect_timeout,
             });
@@ -536,10 +539,10 @@
     }
 
     /// A connection is up.
-    pub fn up(&mut self, now: Time, conn: ConnId) {
-        let Some(link) = self.links.get_mut(&conn) else {
+    pub fn up(&mut self, now: Time, id: ConnectionId) {
+        let Some(link) = self.links.get_mut(&id) else {
             // Given up meanwhile.
-            return self.effects.push(Effect::Close { conn });
+            return self.effects.push(Effect::Close { connection: id });
         };
         (link.up, link.used) = (true, now);
         let worker = link.worker.clone();
@@ -548,8 +551,8 @@
 
     /// The worker behind a connection does not read, or reads again: the bytes that the system has taken so far. Meanwhile
     /// nothing more is put on it.
-    pub fn blocked(&mut self, now: Time, conn: ConnId, written: Option<u64>) {
-        let Some(link) = self.links.get_mut(&conn) else {
+    pub fn blocked(&mut self, now: Time, id: ConnectionId, written: Option<u64>) {
+        let Some(link) = self.links.get_mut(&id) else {
             return;
         };
         let clear = link.blocked.is_some() && written.is_none();
@@ -562,14 +565,14 @@
 
     /// A connection did not come up: nothing that waits for it was sent. `own`: for want of something here, so that the
     /// worker is not to blame.
-    pub fn failed(&mut self, conn: ConnId, own: bool) {
-        let Some(link) = self.links.remove(&conn) else {
+    pub fn failed(&mut self, id: ConnectionId, own: bool) {
+        let Some(link) = self.links.remove(&id) else {
             return;
         };
         let Some(peer) = self.peers.get_mut(&link.worker) else {
             return;
         };
-        peer.links.retain(|id| *id != conn);
+        peer.links.retain(|other| *other != id);
         // Others may still come up; each stands for one job.
         let coming = peer
             .links
@@ -586,18 +589,18 @@
     }
 
     /// The framer of a connection.
-    pub fn framer(&mut self, conn: ConnId) -> Option<&mut LineFramer> {
-        self.links.get_mut(&conn).map(|l| &mut l.framer)
+    pub fn framer(&mut self, id: ConnectionId) -> Option<&mut LineFramer> {
+        self.links.get_mut(&id).map(|l| &mut l.framer)
     }
 
     /// An answer came: the job that it ends. `None` where nothing of this name is open, as with a second copy.
     pub fn answered(
         &mut self,
         now: Time,
-        conn: ConnId,
+        id: ConnectionId,
         reference: &str,
     ) -> Option<(WorkerId, Job)> {
-        let link = self.links.get_mut(&conn)?;
+        let link = self.links.get_mut(&id)?;
         let carried = link.carried.remove(reference)?;
         link.used = now;
         if matches!(carried.job.task, Task::Attempt(_)) {
@@ -607,21 +610,21 @@
             self.staleness.learn(now, idle, false);
         }
         let worker = link.worker.clone();
-        self.close_sealed(now, conn);
+        self.close_sealed(now, id);
         self.dispatch(now, &worker);
         Some((worker, carried.job))
     }
 
     /// A connection has ended, or is ended for what came on it. `written`: the bytes that the system took; what it did not
     /// take whole never arrived and goes out again on another connection.
-    pub fn closed(&mut self, now: Time, conn: ConnId, written: u64, how: Lost) {
-        let Some(link) = self.links.remove(&conn) else {
+    pub fn closed(&mut self, now: Time, id: ConnectionId, written: u64, how: Lost) {
+        let Some(link) = self.links.remove(&id) else {
             return;
         };
         let Some(peer) = self.peers.get_mut(&link.worker) else {
             return;
         };
-        peer.links.retain(|id| *id != conn);
+        peer.links.retain(|other| *other != id);
         let mut unsent = Vec::new();
         for Carried {
             job,
@@ -664,94 +667,102 @@
         &mut self,
         now: Time,
         worker: &WorkerId,
-        conn: ConnId,
+        id: ConnectionId,
         name: &str,
         cancel: bool,
     ) -> Option<(Job, bool)> {
-        let link = self.links.get_mut(&conn)?;
+        let link = self.links.get_mut(&id)?;
         let GivenUp {
             job,
             unsent,
             behind,
-        } = link.give_up(conn, name, cancel, &mut self.effects)?;
+        } = link.give_up(id, name, cancel, &mut self.effects)?;
         if !behind.is_empty() {
             self.resend(now, worker, behind);
         }
-        self.close_sealed(now, conn);
+        self.close_sealed(now, id);
         Some((job, unsent))
     }
 
     /// Closes a sealed connection that carries nothing any more.
-    fn close_sealed(&mut self, now: Time, conn: ConnId) {
+    fn close_sealed(&mut self, now: Time, id: ConnectionId) {
         if self
             .links
-            .get(&conn)
+            .get(&id)
             .is_some_and(|l| l.sealed && l.carried.is_empty())
         {
-            self.effects.push(Effect::Close { conn });
-            self.closed(now, conn, u64::MAX, Lost::Broken);
+            self.effects.push(Effect::Close { connection: id });
+            self.closed(now, id, u64::MAX, Lost::Broken);
         }
     }
 
     /// What came on a connection cannot be read: it is closed. What the shell was not handed yet did not leave, and must
     /// not count as run: an unsafe call would be lost for nothing.
-    pub fn spoilt(&mut self, now: Time, conn: ConnId) {
-        let Some(link) = self.links.get(&conn) else {
+    pub fn spoilt(&mut self, now: Time, id: ConnectionId) {
+        let Some(link) = self.links.get(&id) else {
             return;
         };
         let mut handed = link.queued;
         self.effects.retain(|effect| match effect {
-            Effect::Write { conn: on, bytes } if *on == conn => {
+            Effect::Write {
+                connection: on,
+                bytes,
+            } if *on == id => {
                 handed -= bytes.len() as u64;
                 false
             }
             _ => true,
         });
-        self.effects.push(Effect::Close { conn });
-        self.closed(now, conn, handed, Lost::Spoilt);
+        self.effects.push(Effect::Close { connection: id });
+        self.closed(now, id, handed, Lost::Spoilt);
     }
 
     /// Withdraws an attempt: its job, and whether it is certain that it was not sent.
-    pub fn withdraw(&mut self, now: Time, worker: &WorkerId, id: AttemptId) -> Option<(Job, bool)> {
-        if let Some(job) = self.take_waiting(worker, id) {
+    pub fn withdraw(
+        &mut self,
+        now: Time,
+        worker: &WorkerId,
+        attempt: AttemptId,
+    ) -> Option<(Job, bool)> {
+        if let Some(job) = self.take_waiting(worker, attempt) {
             return Some((job, true));
         }
-        let (conn, name) = self.carrying(worker, id)?;
-        self.give_up(now, worker, conn, &name, self.cancel)
+        let (id, name) = self.carrying(worker, attempt)?;
+        self.give_up(now, worker, id, &name, self.cancel)
     }
 
     /// Nobody waits for an attempt any more, whatever the settings say of cancelling: it is given back if it has not left
     /// whole, and is not written again if its connection ends.
-    pub fn abandon(&mut self, now: Time, worker: &WorkerId, id: AttemptId) -> Option<Job> {
-        if let Some(job) = self.take_waiting(worker, id) {
+    pub fn abandon(&mut self, now: Time, worker: &WorkerId, attempt: AttemptId) -> Option<Job> {
+        if let Some(job) = self.take_waiting(worker, attempt) {
             return Some(job);
         }
-        let (conn, name) = self.carrying(worker, id)?;
-        let link = self.links.get_mut(&conn)?;
+        let (id, name) = self.carrying(worker, attempt)?;
+        let link = self.links.get_mut(&id)?;
         link.carried.get_mut(&name)?.job.abandoned = true;
         if matches!(link.progress(link.carried.get(&name)?), Progress::Whole) {
             return None;
         }
-        self.give_up(now, worker, conn, &name, false)
+        self.give_up(now, worker, id, &name, false)
             .map(|(job, _)| job)
     }
 
-    fn take_waiting(&mut self, worker: &WorkerId, id: AttemptId) -> Option<Job> {
+    fn take_waiting(&mut self, worker: &WorkerId, attempt: AttemptId) -> Option<Job> {
         let waiting = &mut self.peers.get_mut(worker)?.waiting;
         let at = waiting
             .iter()
-            .position(|job| job.task == Task::Attempt(id))?;
+            .position(|job| job.task == Task::Attempt(attempt))?;
         waiting.remove(at)
     }
 
     /// The connection that carries an attempt, and its name there.
-    fn carrying(&self, worker: &WorkerId, id: AttemptId) -> Option<(ConnId, String)> {
-        self.peers.get(worker)?.links.iter().find_map(|conn| {
-            let carried = &self.links.get(conn)?.carried;
+    fn carrying(&self, worker: &WorkerId, attempt: AttemptId) -> Option<(ConnectionId, String)> {
+        self.peers.get(worker)?.links.iter().find_map(|id| {
+            let carried = &self.links.get(id)?.carried;
             let (name, _) = carried
                 .iter()
-                .find(|(_, c)| c.job.task == Task::Attempt(id))?;
-            Some((*conn, name.clone()))
+                .find(|(_, c)| c.job.task == Task::Attempt(attempt))?;
+            Some((*id, name.clone()))
         })
     }
 
@@ -769,8 +780,8 @@
         }
         // From the last to the first: what stands behind half a line is taken back before it.
         over.sort_unstable_by_key(|(begins_at, ..)| std::cmp::Reverse(*begins_at));
-        for (_, conn, worker, name) in over {
-            if let Some((job, unsent)) = self.give_up(now, &worker, conn, &name, self.cancel) {
+        for (_, id, worker, name) in over {
+            if let Some((job, unsent)) = self.give_up(now, &worker, id, &name, self.cancel) {
                 let how = if unsent {
                     Lost::NotSent
                 } else {
@@ -810,7 +821,7 @@
             }
         }
         for id in idle {
-            self.effects.push(Effect::Close { conn: id });
+            self.effects.push(Effect::Close { connection: id });
             self.closed(now, id, u64::MAX, Lost::Broken);
         }
         let peers = &mut self.peers;
--- a/crates/pipithub-node/src/shell.rs
+++ b/crates/pipithub-node/src/shell.rs
@@ -24,7 +24,7 @@
 
 use crate::coordinator;
 use crate::core::Core;
-use crate::effect::{ConnId, Effect};
+use crate::effect::{ConnectionId, Effect};
 use crate::sockets::{self, ConnectError, LOCAL_RETRY, LocalFaults, TransferEnd};
 
 /// What is read at a time: more than a usual client sends in one breath, so that its close behind that is seen with it.
@@ -255,7 +255,7 @@
 /// The core and its sockets.
 struct Shell {
     core: Rc<RefCell<Core>>,
-    sockets: RefCell<HashMap<ConnId, Rc<Socket>>>,
+    sockets: RefCell<HashMap<ConnectionId, Rc<Socket>>>,
     clients: Rc<Slots>,
     workers: Rc<Slots>,
     lingering: Cell<usize>,
@@ -265,8 +265,8 @@
     /// When something was last read from a client or written to one, or a client came.
     active: Cell<Time>,
     /// Connections to workers on which was written, and clients to be closed unless they have just asked for something.
-    touched: RefCell<Vec<ConnId>>,
-    retiring: RefCell<Vec<ConnId>>,
+    touched: RefCell<Vec<ConnectionId>>,
+    retiring: RefCell<Vec<ConnectionId>>,
     clock: Clock,
     scratch: RefCell<Vec<u8>>,
     /// When the timer is set to go off, and how to set it anew.
@@ -281,7 +281,7 @@
         let mut effects = Vec::new();
         act(&mut self.core.borrow_mut(), now);
         loop {
-            self.core.borrow_mut().effects(&mut effects);
+            self.core.borrow_mut().take_effects(&mut effects);
             for effect in effects.drain(..) {
                 self.carry_out(effect);
             }
@@ -290,11 +290,11 @@
             if touched.is_empty() && retiring.is_empty() {
                 break;
             }
-            for conn in touched {
-                self.tell_blocked(now, conn);
+            for connection in touched {
+                self.tell_blocked(now, connection);
             }
-            for conn in retiring {
-                self.retire(now, conn);
+            for connection in retiring {
+                self.retire(now, connection);
             }
         }
         if self.core.borrow().next_due() < self.armed.get() {
@@ -303,19 +303,21 @@
     }
 
     /// Tells the core how far the system has taken what is written to a worker that does not read.
-    fn tell_blocked(&self, now: Time, conn: ConnId) {
-        let Some(socket) = self.sockets.borrow().get(&conn).cloned() else {
+    fn tell_blocked(&self, now: Time, connection: ConnectionId) {
+        let Some(socket) = self.sockets.borrow().get(&connection).cloned() else {
             return;
         };
         let blocked = (!socket.unwritten.borrow().is_empty()).then(|| socket.written.get());
         if socket.blocked.replace(blocked) != blocked {
-            self.core.borrow_mut().worker_blocked(now, conn, blocked);
+            self.core
+                .borrow_mut()
+                .worker_blocked(now, connection, blocked);
         }
     }
 
     /// Closes a client's connection, unless a request has come on it in this very moment.
-    fn retire(&self, now: Time, conn: ConnId) {
-        let Some(socket) = self.sockets.borrow().get(&conn).cloned() else {
+    fn retire(&self, now: Time, connection: ConnectionId) {
+        let Some(socket) = self.sockets.borrow().get(&connection).cloned() else {
             return;
         };
         let (mut bytes, mut core) = (vec![0; READ], self.core.borrow_mut());
@@ -327,52 +329,56 @@
                 // Nobody waits for what it asked.
                 break;
             }
-            core.client_bytes(now, conn, &bytes[..count]);
+            core.client_bytes(now, connection, &bytes[..count]);
             if end != TransferEnd::Complete {
                 break;
             }
         }
-        core.retire(now, conn);
+        core.close_client_if_idle(now, connection);
     }
 
     fn carry_out(self: &Rc<Self>, effect: Effect) {
         match effect {
-            Effect::Write { conn, bytes } => {
-                if let Some(socket) = self.sockets.borrow().get(&conn) {
+            Effect::Write { connection, bytes } => {
+                if let Some(socket) = self.sockets.borrow().get(&connection) {
                     if socket.side == Side::Worker {
                         if socket.peer_closed() {
                             // Whatever is written now would be lost, and nobody could say whether it ran.
                             socket.broken.set(true);
                         }
-                        self.touched.borrow_mut().push(conn);
+                        self.touched.borrow_mut().push(connection);
                     } else {
                         self.active.set(self.clock.now());
                     }
                     socket.write(&bytes);
                 }
             }
-            Effect::Unwrite { conn, at, len } => {
-                if let Some(socket) = self.sockets.borrow().get(&conn) {
-                    socket.unwrite(at, len);
-                    self.touched.borrow_mut().push(conn);
+            Effect::CancelWrite {
+                connection,
+                offset,
+                length,
+            } => {
+                if let Some(socket) = self.sockets.borrow().get(&connection) {
+                    socket.unwrite(offset, length);
+                    self.touched.borrow_mut().push(connection);
                 }
             }
-            Effect::Retire { conn } => self.retiring.borrow_mut().push(conn),
-            Effect::Close { conn } => {
-                if let Some(socket) = self.sockets.borrow_mut().remove(&conn) {
+            Effect::Retire { connection } => self.retiring.borrow_mut().push(connection),
+            Effect::Close { connection } => {
+                if let Some(socket) = self.sockets.borrow_mut().remove(&connection) {
                     socket.closing.set(true);
                     socket.wake.notify_one();
                 }
             }
             Effect::Connect {
-                conn,
+                connection,
                 address,
                 within,
             } => {
                 let shell = self.clone();
                 tokio::task::spawn_local(async move {
                     let within = Duration::from_nanos(within);
-                    let most = shell.core.borrow().workers_most() + CLOSING_MOST;
+                    let most = shell.core.borrow().max_worker_connections() + CLOSING_MOST;
                     let dial = async |dialled: &Cell<bool>| {
                         shell.workers.below(most).await;
                         dialled.set(true);
@@ -384,14 +390,17 @@
                     match sockets::connect(within, dial, &shell.local_faults).await {
                         Ok((stream, slot)) => {
                             let socket = Socket::new(stream, Side::Worker, slot);
-                            shell.sockets.borrow_mut().insert(conn, socket.clone());
-                            shell.with(|core, now| core.worker_up(now, conn));
-                            shell.pump(conn, socket).await;
+                            shell
+                                .sockets
+                                .borrow_mut()
+                                .insert(connection, socket.clone());
+                            shell.with(|core, now| core.worker_connected(now, connection));
+                            shell.pump(connection, socket).await;
                         }
                         Err(error) => {
-                            debug!(conn, %error, "cannot connect");
+                            debug!(connection, %error, "cannot connect");
                             let own = matches!(error, ConnectError::Local);
-                            shell.with(|core, now| core.worker_failed(now, conn, own));
+                            shell.with(|core, now| core.worker_failed(now, connection, own));
                         }
                     }
                 });
@@ -400,7 +409,7 @@
     }
 
     /// Moves the bytes of one connection until it ends.
-    async fn pump(self: &Rc<Self>, conn: ConnId, socket: Rc<Socket>) {
+    async fn pump(self: &Rc<Self>, connection: ConnectionId, socket: Rc<Socket>) {
         loop {
             let empty = socket.unwritten.borrow().is_empty();
             if socket.closing.get() || socket.broken.get() {
@@ -418,7 +427,7 @@
             };
             let Ok(ready) = ready else { break };
             if ready.is_readable() {
-                match self.read(conn, &socket) {
+                match self.read(connection, &socket) {
                     Progress::Ended => break,
                     Progress::Drained => {}
                     // Whoever writes without end must not keep the others' closes from being seen.
@@ -428,7 +437,7 @@
             if ready.is_writable() && !empty {
                 socket.flush(&mut socket.unwritten.borrow_mut());
                 if socket.side == Side::Worker {
-                    self.with(|_, _| self.touched.borrow_mut().push(conn));
+                    self.with(|_, _| self.touched.borrow_mut().push(connection));
                 } else {
                     self.active.set(self.clock.now());
                 }
@@ -445,10 +454,10 @@
             }
             return;
         }
-        self.sockets.borrow_mut().remove(&conn);
+        self.sockets.borrow_mut().remove(&connection);
         self.with(|core, now| match socket.side {
-            Side::Client => core.client_closed(now, conn),
-            Side::Worker => core.worker_closed(now, conn, socket.written.get()),
+            Side::Client => core.client_closed(now, connection),
+            Side::Worker => core.worker_closed(now, connection, socket.written.get()),
         });
     }
 
@@ -496,7 +505,7 @@
     }
 
     /// Reads what there is, up to a buffer full.
-    fn read(self: &Rc<Self>, conn: ConnId, socket: &Socket) -> Progress {
+    fn read(self: &Rc<Self>, connection: ConnectionId, socket: &Socket) -> Progress {
         if socket.side == Side::Client && socket.peer_closed() {
             // However much of what it sent before is still unread.
             return Progress::Ended;
@@ -517,8 +526,8 @@
         }
         let bytes = &scratch[..filled];
         self.with(|core, now| match socket.side {
-            Side::Client => core.client_bytes(now, conn, bytes),
-            Side::Worker => core.worker_bytes(now, conn, bytes),
+            Side::Client => core.client_bytes(now, connection, bytes),
+            Side::Worker => core.worker_bytes(now, connection, bytes),
         });
         if socket.side == Side::Client {
             self.active.set(self.clock.now());
@@ -531,23 +540,23 @@
     }
 
     async fn accept(self: Rc<Self>, listener: TcpListener) {
-        let most = self.core.borrow().clients_most() + LINGERING_MOST + NEWCOMERS_MOST;
+        let most = self.core.borrow().max_client_connections() + LINGERING_MOST + NEWCOMERS_MOST;
         let accept = async || {
             self.clients.below(most).await;
             listener.accept().await
         };
         let take = |(stream, _)| {
-            let conn = self.core.borrow_mut().number();
+            let connection = self.core.borrow_mut().next_connection_id();
             let socket = Socket::new(stream, Side::Client, self.clients.take());
             self.active.set(self.clock.now());
-            self.sockets.borrow_mut().insert(conn, socket.clone());
-            self.with(|core, now| core.client_opened(now, conn));
+            self.sockets.borrow_mut().insert(connection, socket.clone());
+            self.with(|core, now| core.client_connected(now, connection));
             let shell = self.clone();
-            tokio::task::spawn_local(async move { shell.pump(conn, socket).await });
+            tokio::task::spawn_local(async move { shell.pump(connection, socket).await });
         };
         sockets::accept_all(accept, take, &self.local_faults).await;
         // Nobody reaches this process any more: what it has taken is finished, and it ends.
-        self.with(Core::stop);
+        self.with(Core::begin_shutdown);
     }
 
     /// Whether the process may end: all that was taken is answered and written, and for a while nothing new was seen on
@@ -561,14 +570,14 @@
                 .all(|s| s.side == Side::Worker || s.unwritten.borrow().is_empty())
         };
         let quiet = || now >= self.active.get() + LAST_LOOK && self.lingering.get() == 0;
-        core.overdue(now) || core.done(now) && quiet() && written()
+        core.shutdown_overdue(now) || core.is_drained(now) && quiet() && written()
     }
 
     /// Answers what clients have sent by now and closes their connections, so that they read these answers and a clean
     /// end: the process's own end would reset each connection on which something stands unread.
     async fn end(self: &Rc<Self>) {
         self.ending.set(true);
-        self.with(|core, _| core.end());
+        self.with(|core, _| core.close_clients());
         let _ = tokio::time::timeout(END, self.clients.below(1)).await;
     }
 
@@ -697,7 +706,7 @@
             names,
             config.seed,
             move |event| {
-                told.with(|core, now| core.list_at(now, wall_ns(), &event));
+                told.with(|core, now| core.update_endpoints_at(now, wall_ns(), &event));
             },
         ));
         let address = listener
@@ -717,8 +726,8 @@
         loop {
             let look = tokio::select! {
                 () = &mut over => break,
-                _ = terminate.recv() => { shell.with(Core::stop); false }
-                _ = interrupt.recv() => { shell.with(Core::stop); false }
+                _ = terminate.recv() => { shell.with(Core::begin_shutdown); false }
+                _ = interrupt.recv() => { shell.with(Core::begin_shutdown); false }
                 _ = reload.recv() => { looks = 0; true }
                 () = at(again) => true,
             };
@@ -747,7 +756,10 @@
         }
         accepting.abort();
         shell.end().await;
-        let (stats, open) = (shell.core.borrow().stats(), shell.core.borrow().open());
+        let (stats, open) = (
+            shell.core.borrow().stats(),
+            shell.core.borrow().pending_requests(),
+        );
         let local_faults = shell.local_faults.count();
         info!(
             front_end = config.name,
--- a/crates/pipithub-node/tests/bench/mod.rs
+++ b/crates/pipithub-node/tests/bench/mod.rs
@@ -5,7 +5,7 @@
 
 use pipithub_engine::Time;
 use pipithub_node::core::Core;
-use pipithub_node::effect::{ConnId, Effect};
+use pipithub_node::effect::{ConnectionId, Effect};
 use pipithub_platform::config::NodeConfig;
 
 pub(crate) const MS: Time = 1_000_000;
@@ -45,7 +45,7 @@
     pub core: Core,
     pub now: Time,
     /// What the system holds of a client: the shell reads it when its connection is to be closed.
-    pub unread: BTreeMap<ConnId, Vec<u8>>,
+    pub unread: BTreeMap<ConnectionId, Vec<u8>>,
 }
 
 impl Bench {
@@ -63,30 +63,30 @@
 
     pub(crate) fn effects(&mut self) -> Vec<Effect> {
         let mut effects = Vec::new();
-        self.core.effects(&mut effects);
+        self.core.take_effects(&mut effects);
         effects
     }
 
-    pub(crate) fn client(&mut self) -> ConnId {
-        let conn = self.core.number();
-        self.core.client_opened(self.now, conn);
-        conn
+    pub(crate) fn client(&mut self) -> ConnectionId {
+        let connection = self.core.next_connection_id();
+        self.core.client_connected(self.now, connection);
+        connection
     }
 
-    pub(crate) fn say(&mut self, conn: ConnId, line: &str) {
+    pub(crate) fn say(&mut self, connection: ConnectionId, line: &str) {
         self.core
-            .client_bytes(self.now, conn, format!("{line}\n").as_bytes());
+            .client_bytes(self.now, connection, format!("{line}\n").as_bytes());
     }
 
-    pub(crate) fn call(&mut self, conn: ConnId, id: u64, class: &str) {
+    pub(crate) fn call(&mut self, connection: ConnectionId, id: u64, class: &str) {
         let line = format!(
             r#"{{"jsonrpc":"2.0","id":{id},"method":"{class}","params":{{"call":"{id:016x}","ttl":1500,"row":"00000000000000aa","props":"memory_mb:512;lanes:4","body":"aGVsbG8="}}}}"#
         );
-        self.say(conn, &line);
+        self.say(connection, &line);
     }
 
     /// Brings connections up; what is written on which connection.
-    pub(crate) fn written(&mut self) -> Vec<(ConnId, String)> {
+    pub(crate) fn written(&mut self) -> Vec<(ConnectionId, String)> {
         let mut written = Vec::new();
         loop {
             let effects = self.effects();
@@ -95,19 +95,28 @@
             }
             for effect in effects {
                 match effect {
-                    Effect::Connect { conn, .. } => self.core.worker_up(self.now, conn),
-                    Effect::Write { conn, bytes } => {
-                        written.push((conn, String::from_utf8(bytes.to_vec()).expect("text")));
+                    Effect::Connect { connection, .. } => {
+                        self.core.worker_connected(self.now, connection)
                     }
-                    Effect::Close { conn } => written.push((conn, "closed".to_string())),
-                    Effect::Retire { conn } => {
-                        if let Some(unread) = self.unread.remove(&conn) {
-                            self.core.client_bytes(self.now, conn, &unread);
+                    Effect::Write { connection, bytes } => {
+                        written
+                            .push((connection, String::from_utf8(bytes.to_vec()).expect("text")));
+                    }
+                    Effect::Close { connection } => {
+                        written.push((connection, "closed".to_string()))
+                    }
+                    Effect::Retire { connection } => {
+                        if let Some(unread) = self.unread.remove(&connection) {
+                            self.core.client_bytes(self.now, connection, &unread);
                         }
-                        self.core.retire(self.now, conn);
+                        self.core.close_client_if_idle(self.now, connection);
                     }
-                    Effect::Unwrite { conn, at, len } => {
-                        written.push((conn, format!("unwritten {at}+{len}")));
+                    Effect::CancelWrite {
+                        connection,
+                        offset,
+                        length,
+                    } => {
+                        written.push((connection, format!("unwritten {offset}+{length}")));
                     }
                 }
             }
@@ -124,7 +133,7 @@
     }
 
     /// A call that has been sent: the client, and the worker's connection.
-    pub(crate) fn sent(&mut self, class: &str) -> (ConnId, ConnId) {
+    pub(crate) fn sent(&mut self, class: &str) -> (ConnectionId, ConnectionId) {
         let client = self.client();
         self.call(client, 7, class);
         let written = self.written();
--- a/crates/pipithub-node/tests/core.rs
+++ b/crates/pipithub-node/tests/core.rs
@@ -3,7 +3,7 @@
 mod bench;
 
 use bench::{Bench, MS, config};
-use pipithub_node::effect::{ConnId, Effect};
+use pipithub_node::effect::{ConnectionId, Effect};
 use pipithub_platform::list;
 
 const SERVED: &[u8] = b"{\"cmd\":\"ACK\",\"ref\":\"0000000000000007\",\"opts\":{\"same\":\"2\",\"l\":\"inflight:1\"},\"payload\":\"d29ybGQ=\"}\n";
@@ -23,7 +23,7 @@
     b.core.worker_bytes(b.now, worker, SERVED);
     let answer = "{\"jsonrpc\":\"2.0\",\"id\":7,\"result\":{\"body\":\"d29ybGQ=\"}}\n".to_string();
     assert_eq!(b.written(), [(client, answer)]);
-    assert_eq!((b.core.open(), b.core.stats().served), (0, 1));
+    assert_eq!((b.core.pending_requests(), b.core.stats().served), (0, 1));
 }
 
 #[test]
@@ -37,7 +37,10 @@
         b.core.worker_bytes(b.now, worker, spoilt.as_bytes());
         let written = b.written();
         assert!(written.contains(&(worker, "closed".to_string())));
-        let to_client: Vec<_> = written.iter().filter(|(conn, _)| *conn == client).collect();
+        let to_client: Vec<_> = written
+            .iter()
+            .filter(|(connection, _)| *connection == client)
+            .collect();
         assert!(
             to_client.len() == 1 && to_client[0].1.contains("-32000"),
             "{to_client:?}"
@@ -59,7 +62,7 @@
     assert!(
         written
             .iter()
-            .any(|(conn, line)| *conn != client && line.contains("\"DO\"")),
+            .any(|(connection, line)| *connection != client && line.contains("\"DO\"")),
         "{written:?}"
     );
 }
@@ -99,7 +102,7 @@
         b.say(client, &line);
         let written = b.written();
         assert!(
-            !written.is_empty() && written.iter().all(|(conn, _)| *conn == client),
+            !written.is_empty() && written.iter().all(|(connection, _)| *connection == client),
             "{line:.80}"
         );
         assert!(
@@ -124,7 +127,7 @@
     assert!(
         b.written()
             .iter()
-            .any(|(conn, line)| *conn == client && line.contains("result"))
+            .any(|(connection, line)| *connection == client && line.contains("result"))
     );
 }
 
@@ -144,7 +147,7 @@
         let undo = "{\"cmd\":\"UNDO\",\"ref\":\"0000000000000007\"}\n".to_string();
         assert_eq!(b.written(), [(worker, undo)]);
         b.core.worker_bytes(b.now, worker, SERVED);
-        assert!(b.written().is_empty() && b.core.open() == 0);
+        assert!(b.written().is_empty() && b.core.pending_requests() == 0);
     }
 }
 
@@ -156,7 +159,7 @@
     let answers: Vec<_> = b
         .written()
         .into_iter()
-        .filter(|(conn, _)| *conn == client)
+        .filter(|(connection, _)| *connection == client)
         .collect();
     assert!(
         answers.len() == 1 && answers[0].1.contains("-32050"),
@@ -173,7 +176,7 @@
     let half = b.client();
     b.core.client_bytes(b.now, half, b"{\"json");
     b.pass(2_100 * MS);
-    let closed: Vec<ConnId> = b
+    let closed: Vec<ConnectionId> = b
         .written()
         .iter()
         .filter(|(_, l)| l == "closed")
@@ -199,13 +202,15 @@
 fn a_stop_finishes_what_is_open_and_takes_calls_while_clients_still_send() {
     let mut b = Bench::new();
     let (client, worker) = b.sent("view");
-    b.core.stop(b.now);
+    b.core.begin_shutdown(b.now);
     b.say(client, r#"{"jsonrpc":"2.0","id":8,"method":"isWell"}"#);
     assert!(b.written()[0].1.contains("\"healthy\":false"));
     b.pass(500 * MS);
     b.call(client, 9, "assign");
     assert!(
-        b.written().iter().any(|(conn, _)| *conn != client),
+        b.written()
+            .iter()
+            .any(|(connection, _)| *connection != client),
         "still taken"
     );
     b.pass(400 * MS);
@@ -213,13 +218,13 @@
     assert!(
         b.written()
             .iter()
-            .any(|(conn, l)| *conn == client && l.contains("-32050")),
+            .any(|(connection, l)| *connection == client && l.contains("-32050")),
         "refused at once"
     );
     b.core.worker_bytes(b.now, worker, SERVED);
-    assert!(!b.core.done(b.now), "a call is open");
+    assert!(!b.core.is_drained(b.now), "a call is open");
     b.pass(2_000 * MS);
-    assert!(b.core.done(b.now) && b.core.open() == 0);
+    assert!(b.core.is_drained(b.now) && b.core.pending_requests() == 0);
 }
 
 #[test]
@@ -236,12 +241,12 @@
     };
     ["w1", "w2"]
         .iter()
-        .for_each(|id| b.core.list(b.now, &drains(id)));
+        .for_each(|id| b.core.update_endpoints(b.now, &drains(id)));
     let client = b.client();
     b.call(client, 20, "view");
     let written = b.written();
     assert!(
-        written.iter().all(|(conn, _)| *conn == client),
+        written.iter().all(|(connection, _)| *connection == client),
         "{written:?}"
     );
     assert!(
@@ -260,7 +265,7 @@
     // The call behind it has not run, and is told so.
     let written = b.written();
     assert!(
-        written.len() == 2 && written.iter().all(|(conn, _)| *conn == client),
+        written.len() == 2 && written.iter().all(|(connection, _)| *connection == client),
         "{written:?}"
     );
     assert!(
@@ -272,7 +277,7 @@
     let to_client: Vec<_> = b
         .written()
         .into_iter()
-        .filter(|(conn, _)| *conn == client)
+        .filter(|(connection, _)| *connection == client)
         .collect();
     assert!(
         to_client.len() == 2 && to_client[0].1.contains("result"),
@@ -288,7 +293,7 @@
     let closed = |b: &mut Bench| {
         b.written()
             .iter()
-            .any(|(conn, l)| *conn == client && l == "closed")
+            .any(|(connection, l)| *connection == client && l == "closed")
     };
     for id in 1..20 {
         b.say(
@@ -323,7 +328,7 @@
     let event =
         serde_json::json!({"index": 2, "endpoints": {"seq": 2, "whole": false, "hosts": hosts}});
     let event = list::parse(&event.to_string(), &config().site.names).expect("event");
-    b.core.list(b.now, &event);
+    b.core.update_endpoints(b.now, &event);
     let client = b.client();
     // Answered without a close, as a client may be a moment ahead in what it counts as over.
     for id in 1..=40 {
@@ -334,7 +339,7 @@
         b.say(client, &line);
     }
     let mut answers = b.written();
-    answers.retain(|(conn, _)| *conn == client);
+    answers.retain(|(connection, _)| *connection == client);
     let beyond =
         |l: &str| l.contains("too many") && l.contains("-32050") && l.contains("\"pushback\":500");
     let refused: Vec<_> = answers.iter().filter(|(_, l)| beyond(l)).collect();
@@ -342,7 +347,7 @@
         refused.len() == 8 && answers.len() == 8 && !answers.iter().any(|(_, l)| l == "closed"),
         "{answers:?}"
     );
-    assert_eq!(b.core.open(), 32);
+    assert_eq!(b.core.pending_requests(), 32);
 }
 
 /// A late client states a little more than its class's three seconds; it is held to these, and not turned away.
@@ -366,7 +371,7 @@
         let sent = b
             .written()
             .into_iter()
-            .find(|(conn, _)| *conn != client)
+            .find(|(connection, _)| *connection != client)
             .map(|(_, line)| line);
         assert_eq!(sent.is_some(), taken, "{ttl}");
         if let Some(line) = sent {
@@ -391,7 +396,7 @@
         let client = b.client();
         let call = r#"{"jsonrpc":"2.0","id":7,"method":"view","params":{"call":"0000000000000007","ttl":1500,"row":"00000000000000aa"}}"#;
         b.say(client, &format!("{call}\n{forget}"));
-        assert_eq!((b.written(), b.core.open()), (vec![], 0));
+        assert_eq!((b.written(), b.core.pending_requests()), (vec![], 0));
         b.call(client, 8, "view");
         assert!(
             b.written().iter().any(|(_, line)| line.contains("\"DO\"")),
@@ -407,11 +412,11 @@
     let silent = b.client();
     b.pass(2_100 * MS);
     assert!(
-        b.effects().contains(&Effect::Retire { conn: silent }),
+        b.effects().contains(&Effect::Retire { connection: silent }),
         "the shell looks once more"
     );
     b.call(silent, 7, "view");
-    b.core.retire(b.now, silent);
+    b.core.close_client_if_idle(b.now, silent);
     let written = b.written();
     assert!(
         written.iter().any(|(_, line)| line.contains("\"DO\"")),
@@ -471,10 +476,12 @@
     b.written();
     b.core.worker_bytes(b.now, worker, SERVED);
     assert!(
-        b.written().iter().all(|(conn, _)| *conn != client),
+        b.written()
+            .iter()
+            .all(|(connection, _)| *connection != client),
         "the second call is still open"
     );
-    assert_eq!(b.core.open(), 1);
+    assert_eq!(b.core.pending_requests(), 1);
 }
 
 /// A deadline of a minute: it counts as 3 s.
@@ -492,20 +499,20 @@
     let line = r#"{"jsonrpc":"2.0","id":7,"method":"assign","params":{"call":"0000000000000007","ttl":60000,"row":"00000000000000aa"}}"#;
     b.say(client, line);
     b.written();
-    b.core.stop(b.now);
+    b.core.begin_shutdown(b.now);
     b.pass(3_690 * MS);
     assert!(
         b.written()
             .iter()
-            .any(|(conn, line)| *conn == client && line.contains("-32000"))
+            .any(|(connection, line)| *connection == client && line.contains("-32000"))
     );
-    assert!(b.core.done(b.now));
+    assert!(b.core.is_drained(b.now));
     // Whoever comes later still is refused at once.
     b.call(client, 9, "view");
     assert!(
         b.written()
             .iter()
-            .any(|(conn, line)| *conn == client && line.contains("-32050"))
+            .any(|(connection, line)| *connection == client && line.contains("-32050"))
     );
 }
 
@@ -526,7 +533,7 @@
             worker,
             b"{\"cmd\":\"AGAIN\",\"ref\":\"0000000000000007\"}\n",
         );
-        assert_eq!((b.written(), b.core.open()), (vec![], 0));
+        assert_eq!((b.written(), b.core.pending_requests()), (vec![], 0));
         b.core.worker_closed(b.now, worker, u64::MAX);
         b.pass(5_000 * MS);
         assert!(b.written().iter().all(|(_, line)| !line.contains("\"DO\"")));
@@ -570,10 +577,10 @@
 /// What the front end writes and asks for, with no connection brought up by itself.
 #[derive(Default)]
 struct Asked {
-    connects: Vec<ConnId>,
+    connects: Vec<ConnectionId>,
     /// Each run that is asked for: its connection, its line's length, and the time that it states, in milliseconds.
-    runs: Vec<(ConnId, u64, u64)>,
-    unwritten: Vec<(ConnId, u64, u64)>,
+    runs: Vec<(ConnectionId, u64, u64)>,
+    unwritten: Vec<(ConnectionId, u64, u64)>,
 }
 
 impl Bench {
@@ -581,12 +588,16 @@
         let mut asked = Asked::default();
         for effect in self.effects() {
             match effect {
-                Effect::Connect { conn, .. } => asked.connects.push(conn),
-                Effect::Unwrite { conn, at, len } => asked.unwritten.push((conn, at, len)),
-                Effect::Write { conn, bytes } if bytes.starts_with(br#"{"cmd":"DO""#) => {
+                Effect::Connect { connection, .. } => asked.connects.push(connection),
+                Effect::CancelWrite {
+                    connection,
+                    offset,
+                    length,
+                } => asked.unwritten.push((connection, offset, length)),
+                Effect::Write { connection, bytes } if bytes.starts_with(br#"{"cmd":"DO""#) => {
                     let line: serde_json::Value = serde_json::from_slice(&bytes).expect("JSON");
                     let patience = line["opts"]["patience"].as_u64().expect("a figure");
-                    asked.runs.push((conn, bytes.len() as u64, patience));
+                    asked.runs.push((connection, bytes.len() as u64, patience));
                 }
                 _ => {}
             }
@@ -603,7 +614,7 @@
     b.call(client, 7, "view");
     let connects = b.asked().connects;
     b.pass(240 * MS);
-    b.core.worker_up(b.now, connects[0]);
+    b.core.worker_connected(b.now, connects[0]);
     let runs = b.asked().runs;
     assert!(runs.len() == 1 && runs[0].2 == 1_495 - 240, "{runs:?}");
 }
@@ -615,14 +626,14 @@
     b.call(client, 7, "view");
     let first = b.asked().connects[0];
     b.pass(100 * MS);
-    b.core.worker_up(b.now, first);
+    b.core.worker_connected(b.now, first);
     assert_eq!(b.asked().runs[0].2, 1_495 - 100);
     b.pass(50 * MS);
     // It broke with a part of the line taken.
     b.core.worker_closed(b.now, first, 5);
     let second = b.asked().connects[0];
     b.pass(60 * MS);
-    b.core.worker_up(b.now, second);
+    b.core.worker_connected(b.now, second);
     let runs = b.asked().runs;
     assert!(runs.len() == 1 && runs[0].2 == 1_495 - 210, "{runs:?}");
 }
@@ -634,7 +645,7 @@
         let client = b.client();
         b.call(client, 7, "view");
         let first = b.asked().connects[0];
-        b.core.worker_up(b.now, first);
+        b.core.worker_connected(b.now, first);
         let (_, length, patience) = b.asked().runs[0];
         assert_eq!(patience, 1_495);
         b.core.worker_blocked(b.now, first, Some(taken));
@@ -643,7 +654,7 @@
         assert_eq!(asked.unwritten, [(first, taken, length - taken)]);
         b.pass(50 * MS);
         let second = asked.connects.last().expect("it goes elsewhere");
-        b.core.worker_up(b.now, *second);
+        b.core.worker_connected(b.now, *second);
         let runs = b.asked().runs;
         assert!(
             runs.len() == 1 && runs[0].0 == *second && runs[0].2 == 1_495 - 200,
--- a/crates/pipithub-node/tests/endings.rs
+++ b/crates/pipithub-node/tests/endings.rs
@@ -4,7 +4,7 @@
 
 use bench::{Bench, MS, config};
 use pipithub_engine::Time;
-use pipithub_node::effect::ConnId;
+use pipithub_node::effect::ConnectionId;
 
 fn call(id: u64) -> String {
     format!(
@@ -21,24 +21,24 @@
 struct Ending {
     name: &'static str,
     /// Brings it about on a new connection, on which the given text has come, read or not.
-    play: fn(&mut Bench, &str) -> ConnId,
+    play: fn(&mut Bench, &str) -> ConnectionId,
 }
 
-fn read(b: &mut Bench, conn: ConnId, text: &str) {
-    b.core.client_bytes(b.now, conn, text.as_bytes());
+fn read(b: &mut Bench, connection: ConnectionId, text: &str) {
+    b.core.client_bytes(b.now, connection, text.as_bytes());
 }
 
 const ENDINGS: [Ending; 11] = [
     Ending {
         name: "too many connections",
         play: |b, text| {
-            let conn = b.client();
-            b.unread.insert(conn, text.into());
+            let connection = b.client();
+            b.unread.insert(connection, text.into());
             // The first that never asked goes first.
             (0..24).for_each(|_| {
                 b.client();
             });
-            conn
+            connection
         },
     },
     Ending {
@@ -48,95 +48,99 @@
                 let client = b.client();
                 read(b, client, &call(1000 + id));
             }
-            let conn = b.client();
-            b.unread.insert(conn, text.into());
-            conn
+            let connection = b.client();
+            b.unread.insert(connection, text.into());
+            connection
         },
     },
     Ending {
         name: "silent",
         play: |b, text| {
-            let conn = b.client();
+            let connection = b.client();
             b.pass(1_990 * MS);
-            b.unread.insert(conn, text.into());
-            conn
+            b.unread.insert(connection, text.into());
+            connection
         },
     },
     Ending {
         name: "half a request",
         play: |b, text| {
-            let conn = b.client();
+            let connection = b.client();
             let (half, rest) = text.split_at(text.len() / 3);
-            read(b, conn, half);
+            read(b, connection, half);
             b.pass(1_990 * MS);
-            b.unread.insert(conn, rest.into());
-            conn
+            b.unread.insert(connection, rest.into());
+            connection
         },
     },
     Ending {
         name: "noise before it",
         play: |b, text| {
-            let conn = b.client();
-            read(b, conn, &format!("noise\n{text}"));
-            conn
+            let connection = b.client();
+            read(b, connection, &format!("noise\n{text}"));
+            connection
         },
     },
     Ending {
         name: "noise before it, itself unread",
         play: |b, text| {
-            let conn = b.client();
-            b.unread.insert(conn, text.into());
-            read(b, conn, "noise\n");
-            conn
+            let connection = b.client();
+            b.unread.insert(connection, text.into());
+            read(b, connection, "noise\n");
+            connection
         },
     },
     Ending {
         name: "faulty lines in a row before it",
         play: |b, text| {
-            let conn = b.client();
+            let connection = b.client();
             let faults: String = (101..=104).map(faulty).collect();
-            read(b, conn, &(faults + text));
-            conn
+            read(b, connection, &(faults + text));
+            connection
         },
     },
     Ending {
         name: "a line too long behind it",
         play: |b, text| {
-            let conn = b.client();
-            read(b, conn, &(text.to_string() + "\n" + &"x".repeat(40_000)));
-            conn
+            let connection = b.client();
+            read(
+                b,
+                connection,
+                &(text.to_string() + "\n" + &"x".repeat(40_000)),
+            );
+            connection
         },
     },
     Ending {
         name: "given up while a call is open",
         play: |b, text| {
-            let conn = b.client();
-            read(b, conn, &(call(500) + "noise\n"));
+            let connection = b.client();
+            read(b, connection, &(call(500) + "noise\n"));
             b.pass(10 * MS);
-            read(b, conn, text);
-            conn
+            read(b, connection, text);
+            connection
         },
     },
     Ending {
         name: "shutdown, drained",
         play: |b, text| {
-            let conn = b.client();
-            b.core.stop(b.now);
+            let connection = b.client();
+            b.core.begin_shutdown(b.now);
             b.pass(800 * MS);
-            read(b, conn, text);
-            conn
+            read(b, connection, text);
+            connection
         },
     },
     Ending {
         name: "the end of the process",
         play: |b, text| {
-            let conn = b.client();
-            b.core.stop(b.now);
+            let connection = b.client();
+            b.core.begin_shutdown(b.now);
             // Before the connection counts as silent.
             b.pass(1_200 * MS);
-            b.unread.insert(conn, text.into());
-            b.core.end();
-            conn
+            b.unread.insert(connection, text.into());
+            b.core.close_clients();
+            connection
         },
     },
 ];
@@ -157,7 +161,7 @@
     for Ending { name, play } in ENDINGS {
         for (content, text, asked) in &contents {
             let mut b = Bench::new();
-            let conn = play(&mut b, text);
+            let connection = play(&mut b, text);
             let mut written = b.written();
             for _ in 0..400 {
                 b.pass(10 * MS);
@@ -165,7 +169,7 @@
             }
             let to_client: Vec<&str> = written
                 .iter()
-                .filter(|(c, _)| *c == conn)
+                .filter(|(c, _)| *c == connection)
                 .map(|(_, line)| line.as_str())
                 .collect();
             let closed = to_client
@@ -200,7 +204,7 @@
             .iter_mut()
             .for_each(|c| c.client_timeout = longest * MS);
         let mut b = Bench::of(&config);
-        let clients: Vec<ConnId> = (0..4).map(|_| b.client()).collect();
+        let clients: Vec<ConnectionId> = (0..4).map(|_| b.client()).collect();
         let call = |id: u64| {
             let class = if id.is_multiple_of(3) {
                 "assign"
@@ -213,18 +217,18 @@
         };
         let (mut sent, mut written) = (0, Vec::new());
         let mut send = |b: &mut Bench, unread: bool| {
-            for conn in &clients {
+            for connection in &clients {
                 sent += 1;
                 if unread {
-                    b.unread.insert(*conn, call(sent).into());
+                    b.unread.insert(*connection, call(sent).into());
                 } else {
-                    read(b, *conn, &call(sent));
+                    read(b, *connection, &call(sent));
                 }
             }
         };
-        b.core.stop(b.now);
+        b.core.begin_shutdown(b.now);
         let kill: Time = b.now + (longest + 700) * MS;
-        while !b.core.overdue(b.now) && !b.core.done(b.now) {
+        while !b.core.shutdown_overdue(b.now) && !b.core.is_drained(b.now) {
             send(&mut b, false);
             b.pass(5 * MS);
             written.extend(b.written());
@@ -239,14 +243,14 @@
         );
         // The last that were sent lie unread.
         send(&mut b, true);
-        b.core.end();
+        b.core.close_clients();
         written.extend(b.written());
-        assert_eq!(b.core.open(), 0);
+        assert_eq!(b.core.pending_requests(), 0);
         for id in 1..=sent {
             let number = format!("\"id\":{id},");
             let answers = written
                 .iter()
-                .filter(|(conn, l)| clients.contains(conn) && l.contains(&number))
+                .filter(|(connection, l)| clients.contains(connection) && l.contains(&number))
                 .count();
             assert_eq!(answers, 1, "deadlines of {longest} ms: call {id} of {sent}");
         }
--- a/crates/pipithub-node/tests/pool.rs
+++ b/crates/pipithub-node/tests/pool.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use pipithub_engine::policy::WorkerId;
 use pipithub_engine::{AttemptId, Time};
-use pipithub_node::effect::{ConnId, Effect};
+use pipithub_node::effect::{ConnectionId, Effect};
 use pipithub_node::pool::{Job, Lost, Pool, Request, Task};
 use pipithub_platform::worker::RunRequest;
 
@@ -41,17 +41,17 @@
 
     fn effects(&mut self) -> Vec<Effect> {
         self.effects.clear();
-        self.pool.effects(&mut self.effects);
+        self.pool.take_effects(&mut self.effects);
         self.effects.clone()
     }
 
-    fn connected(&mut self) -> Vec<ConnId> {
+    fn connected(&mut self) -> Vec<ConnectionId> {
         let connects = self.effects();
         connects
             .iter()
             .filter_map(|e| {
-                if let Effect::Connect { conn, .. } = e {
-                    Some(*conn)
+                if let Effect::Connect { connection, .. } = e {
+                    Some(*connection)
                 } else {
                     None
                 }
@@ -75,17 +75,17 @@
     }
 
     /// One call over one connection, answered after a millisecond.
-    fn call(&mut self, now: Time, request: u64) -> Option<ConnId> {
+    fn call(&mut self, now: Time, request: u64) -> Option<ConnectionId> {
         self.ask(now, request);
         let mut wrote = None;
         for effect in self.effects() {
             match effect {
-                Effect::Connect { conn, .. } => {
-                    self.pool.up(now, conn);
-                    wrote = Some(conn);
+                Effect::Connect { connection, .. } => {
+                    self.pool.up(now, connection);
+                    wrote = Some(connection);
                 }
-                Effect::Write { conn, .. } => wrote = Some(conn),
-                Effect::Close { .. } | Effect::Retire { .. } | Effect::Unwrite { .. } => {}
+                Effect::Write { connection, .. } => wrote = Some(connection),
+                Effect::Close { .. } | Effect::Retire { .. } | Effect::CancelWrite { .. } => {}
             }
         }
         wrote
@@ -96,9 +96,9 @@
 fn each_call_gets_a_connection_of_its_own_while_there_are_descriptors() {
     let mut b = Bench::new(2);
     (1..=3).for_each(|request| b.ask(0, request));
-    let conns = b.connected();
-    assert_eq!(conns.len(), 2, "one each, as far as they go");
-    conns.iter().for_each(|c| b.pool.up(MS, *c));
+    let connections = b.connected();
+    assert_eq!(connections.len(), 2, "one each, as far as they go");
+    connections.iter().for_each(|c| b.pool.up(MS, *c));
     let mut writes = b
         .effects()
         .into_iter()
@@ -112,7 +112,8 @@
         .count();
     assert_eq!(writes, 4, "the others share them");
     // A broken one takes its own calls with it, and no others.
-    b.pool.closed(3 * MS, conns[0], u64::MAX, Lost::Broken);
+    b.pool
+        .closed(3 * MS, connections[0], u64::MAX, Lost::Broken);
     let lost = b.lost();
     assert!(
         lost.len() == 2 && lost.iter().all(|(_, how)| *how == Lost::Broken),
@@ -125,17 +126,17 @@
     let mut b = Bench::new(4);
     b.ask(0, 1);
     for _ in 0..3 {
-        let conn = b.connected()[0];
-        b.pool.up(0, conn);
+        let connection = b.connected()[0];
+        b.pool.up(0, connection);
         assert!(b.lost().is_empty());
         // All but the line feed was taken.
-        b.pool.closed(0, conn, 6, Lost::Broken);
+        b.pool.closed(0, connection, 6, Lost::Broken);
     }
     assert_eq!(b.lost(), [(1, Lost::NotSent)]);
     b.ask(0, 2);
-    let conn = b.connected()[0];
-    b.pool.up(0, conn);
-    b.pool.closed(0, conn, 7, Lost::Broken);
+    let connection = b.connected()[0];
+    b.pool.up(0, connection);
+    b.pool.closed(0, connection, 7, Lost::Broken);
     assert_eq!(
         b.lost(),
         [(2, Lost::Broken)],
@@ -147,8 +148,8 @@
 fn a_refused_connection_gives_back_what_waits_for_it() {
     let mut b = Bench::new(4);
     b.ask(0, 1);
-    let conn = b.connected()[0];
-    b.pool.failed(conn, false);
+    let connection = b.connected()[0];
+    b.pool.failed(connection, false);
     assert_eq!(b.lost(), [(1, Lost::NotSent)]);
     assert!(b.pool.is_empty());
 }
@@ -159,12 +160,13 @@
     let (mut now, mut broken) = (0, 0);
     for request in 0..40 {
         let fresh = b.pool.is_empty();
-        let conn = b.call(now, request).expect("written");
+        let connection = b.call(now, request).expect("written");
         if fresh {
-            b.pool.answered(now + MS, conn, &format!("{request:016x}"));
+            b.pool
+                .answered(now + MS, connection, &format!("{request:016x}"));
         } else {
             // Idle for 200 ms: whatever stands between has forgotten it.
-            b.pool.closed(now, conn, u64::MAX, Lost::Broken);
+            b.pool.closed(now, connection, u64::MAX, Lost::Broken);
             broken += 1;
         }
         now += 200 * MS;
@@ -184,7 +186,7 @@
 #[test]
 fn a_withdrawn_call_is_undone_and_its_answer_belongs_to_nothing() {
     let mut b = Bench::new(4);
-    let conn = b.call(0, 1).expect("written");
+    let connection = b.call(0, 1).expect("written");
     b.effects();
     let id = AttemptId {
         request: 1,
@@ -192,8 +194,18 @@
     };
     assert!(b.pool.withdraw(MS, &b.worker.clone(), id).is_some());
     let line = Bytes::from_static(b"{\"cmd\":\"UNDO\",\"ref\":\"0000000000000001\"}\n");
-    assert_eq!(b.effects(), [Effect::Write { conn, bytes: line }]);
-    assert!(b.pool.answered(MS, conn, "0000000000000001").is_none());
+    assert_eq!(
+        b.effects(),
+        [Effect::Write {
+            connection,
+            bytes: line
+        }]
+    );
+    assert!(
+        b.pool
+            .answered(MS, connection, "0000000000000001")
+            .is_none()
+    );
 }
 
 #[test]
@@ -205,9 +217,12 @@
     b.pool.place(&b.worker.clone(), "", true);
     b.pool.place(&next, "10.0.0.1:1", false);
     b.pool.sweep(MS);
-    assert!(b.effects().contains(&Effect::Close { conn: old }));
+    assert!(b.effects().contains(&Effect::Close { connection: old }));
     b.worker = next;
-    assert!(b.call(2 * MS, 2).is_some_and(|conn| conn != old));
+    assert!(
+        b.call(2 * MS, 2)
+            .is_some_and(|connection| connection != old)
+    );
 }
 
 #[test]
@@ -220,30 +235,35 @@
         worker,
         effects: Vec::new(),
     };
-    let conn = b.call(0, 1).expect("written");
+    let connection = b.call(0, 1).expect("written");
     b.ask(0, 2);
     b.effects();
     // One read brings the first answer, on which the second call is put, and then noise.
-    assert!(b.pool.answered(MS, conn, &format!("{:016x}", 1)).is_some());
-    b.pool.spoilt(MS, conn);
+    assert!(
+        b.pool
+            .answered(MS, connection, &format!("{:016x}", 1))
+            .is_some()
+    );
+    b.pool.spoilt(MS, connection);
     assert!(b.lost().is_empty(), "it goes out again");
     let effects = b.effects();
     assert!(
-        effects.contains(&Effect::Close { conn }) && matches!(effects[1], Effect::Connect { .. }),
+        effects.contains(&Effect::Close { connection })
+            && matches!(effects[1], Effect::Connect { .. }),
         "{effects:?}"
     );
     // What had been handed over may have run.
-    let conn = b.effects.iter().find_map(|e| {
-        if let Effect::Connect { conn, .. } = e {
-            Some(*conn)
+    let connection = b.effects.iter().find_map(|e| {
+        if let Effect::Connect { connection, .. } = e {
+            Some(*connection)
         } else {
             None
         }
     });
-    let conn = conn.expect("a new connection");
-    b.pool.up(MS, conn);
+    let connection = connection.expect("a new connection");
+    b.pool.up(MS, connection);
     b.effects();
-    b.pool.spoilt(MS, conn);
+    b.pool.spoilt(MS, connection);
     assert_eq!(b.lost(), [(2, Lost::Spoilt)]);
 }
 
@@ -262,14 +282,14 @@
 #[test]
 fn where_the_settings_forbid_cancelling_no_worker_is_told_to_give_up() {
     let mut b = uncancelled();
-    let conn = b.call(0, 1).expect("written");
+    let connection = b.call(0, 1).expect("written");
     b.effects();
     b.pool.sweep(5_000 * MS);
     assert_eq!(b.lost(), [(1, Lost::TimedOut)]);
     assert_eq!(b.effects(), [], "no UNDO");
     assert!(
         b.pool
-            .answered(5_001 * MS, conn, "0000000000000001")
+            .answered(5_001 * MS, connection, "0000000000000001")
             .is_none(),
         "its answer belongs to nothing"
     );
@@ -280,12 +300,12 @@
 fn what_nobody_waits_for_is_not_sent_where_cancelling_is_forbidden_either() {
     let mut b = uncancelled();
     b.ask(0, 1);
-    let conn = b.connected()[0];
+    let connection = b.connected()[0];
     assert!(
         b.pool.abandon(MS, &b.worker.clone(), attempt(1)).is_some(),
         "it has not left"
     );
-    b.pool.up(100 * MS, conn);
+    b.pool.up(100 * MS, connection);
     assert_eq!(
         b.effects(),
         [],
@@ -298,7 +318,7 @@
         b.pool.abandon(MS, &b.worker.clone(), attempt(2)).is_none(),
         "it may have left"
     );
-    b.pool.closed(201 * MS, conn, 3, Lost::Broken);
+    b.pool.closed(201 * MS, connection, 3, Lost::Broken);
     assert_eq!(
         (b.lost(), b.effects()),
         (vec![(2, Lost::Unsent)], vec![]),
@@ -317,12 +337,12 @@
         worker,
         effects: Vec::new(),
     };
-    let conn = b.call(0, 1).expect("written");
+    let connection = b.call(0, 1).expect("written");
     b.effects();
     (2..=4).for_each(|request| b.ask(0, request));
     assert_eq!(b.effects().len(), 3, "each line has seven bytes");
     // The system took the first line and a part of the second.
-    b.pool.blocked(MS, conn, Some(9));
+    b.pool.blocked(MS, connection, Some(9));
     b.ask(MS, 5);
     assert_eq!(b.effects(), [], "nothing more is put behind");
     let (_, back) = b
@@ -332,10 +352,10 @@
     assert!(back, "it is certain that it was not sent");
     assert_eq!(
         b.effects(),
-        [Effect::Unwrite {
-            conn,
-            at: 14,
-            len: 7
+        [Effect::CancelWrite {
+            connection,
+            offset: 14,
+            length: 7
         }]
     );
     // The one behind has moved up, and the one that has begun cannot be taken back.
@@ -346,10 +366,10 @@
     assert!(back);
     assert_eq!(
         b.effects(),
-        [Effect::Unwrite {
-            conn,
-            at: 14,
-            len: 7
+        [Effect::CancelWrite {
+            connection,
+            offset: 14,
+            length: 7
         }]
     );
     // The one that has begun to leave never becomes whole: nothing may follow its half.
@@ -360,25 +380,31 @@
     assert!(back, "half a line does not run");
     assert_eq!(
         b.effects(),
-        [Effect::Unwrite {
-            conn,
-            at: 9,
-            len: 5
+        [Effect::CancelWrite {
+            connection,
+            offset: 9,
+            length: 5
         }]
     );
     // It reads again: what left whole is still answered there, and then the fifth goes out on another connection.
-    b.pool.blocked(2 * MS, conn, None);
+    b.pool.blocked(2 * MS, connection, None);
     assert_eq!(b.effects(), [], "not behind half a line");
-    assert!(b.pool.answered(3 * MS, conn, "0000000000000001").is_some());
+    assert!(
+        b.pool
+            .answered(3 * MS, connection, "0000000000000001")
+            .is_some()
+    );
     let effects = b.effects();
     let [
-        Effect::Close { conn: closed },
-        Effect::Connect { conn: next, .. },
+        Effect::Close { connection: closed },
+        Effect::Connect {
+            connection: next, ..
+        },
     ] = effects[..]
     else {
         panic!("{effects:?}")
     };
-    assert_eq!(closed, conn);
+    assert_eq!(closed, connection);
     b.pool.up(4 * MS, next);
     assert!(matches!(&b.effects()[..], [Effect::Write { .. }]));
     assert_eq!(b.lost(), []);
@@ -395,10 +421,10 @@
         worker,
         effects: Vec::new(),
     };
-    let conn = b.call(0, 1).expect("written");
+    let connection = b.call(0, 1).expect("written");
     (2..=4).for_each(|request| b.ask(0, request));
     b.effects();
-    b.pool.blocked(MS, conn, Some(9));
+    b.pool.blocked(MS, connection, Some(9));
     b.pool.sweep(100 * MS - 1);
     assert_eq!(
         (b.effects(), b.lost()),
@@ -406,8 +432,15 @@
         "it is within the slack"
     );
     b.pool.sweep(100 * MS);
-    let unwrite = |at, len| Effect::Unwrite { conn, at, len };
-    assert_eq!(b.effects(), [unwrite(21, 7), unwrite(14, 7), unwrite(9, 5)]);
+    let cancel_write = |offset, length| Effect::CancelWrite {
+        connection,
+        offset,
+        length,
+    };
+    assert_eq!(
+        b.effects(),
+        [cancel_write(21, 7), cancel_write(14, 7), cancel_write(9, 5)]
+    );
     assert_eq!(
         b.lost(),
         [(4, Lost::NotSent), (3, Lost::NotSent), (2, Lost::NotSent)]
@@ -415,20 +448,20 @@
     // What the system has taken whole may run: its answer still counts.
     assert!(
         b.pool
-            .answered(101 * MS, conn, "0000000000000001")
+            .answered(101 * MS, connection, "0000000000000001")
             .is_some()
     );
-    assert_eq!(b.effects(), [Effect::Close { conn }]);
+    assert_eq!(b.effects(), [Effect::Close { connection }]);
 }
 
 /// A job that has stood behind half a line for a moment only goes out again on another connection.
 #[test]
 fn what_stands_behind_half_a_line_goes_out_again() {
     let mut b = Bench::new(1);
-    let conn = b.call(0, 1).expect("written");
+    let connection = b.call(0, 1).expect("written");
     b.ask(0, 2);
     b.effects();
-    b.pool.blocked(MS, conn, Some(3));
+    b.pool.blocked(MS, connection, Some(3));
     assert!(
         b.pool
             .abandon(2 * MS, &b.worker.clone(), attempt(1))
@@ -437,15 +470,21 @@
     );
     let effects = b.effects();
     let [
-        Effect::Unwrite { at: 3, len: 11, .. },
+        Effect::CancelWrite {
+            offset: 3,
+            length: 11,
+            ..
+        },
         Effect::Close { .. },
-        Effect::Connect { conn: next, .. },
+        Effect::Connect {
+            connection: next, ..
+        },
     ] = effects[..]
     else {
         panic!("{effects:?}")
     };
     b.pool.up(3 * MS, next);
-    assert!(matches!(&b.effects()[..], [Effect::Write { conn, .. }] if *conn == next));
+    assert!(matches!(&b.effects()[..], [Effect::Write { connection, .. }] if *connection == next));
     assert_eq!(b.lost(), []);
 }
 
@@ -469,8 +508,8 @@
             50 * MS,
         );
         b.pool.ask(0, &b.worker.clone(), job);
-        let conn = b.connected()[0];
-        b.pool.up(up, conn);
+        let connection = b.connected()[0];
+        b.pool.up(up, connection);
         assert_eq!(b.effects().len(), usize::from(written), "up at {up}");
         assert_eq!(b.lost().is_empty(), written, "up at {up}");
     }
@@ -482,8 +521,8 @@
     let mut late = job(0, 1);
     late.deadline = 50 * MS;
     b.pool.ask(0, &b.worker.clone(), late);
-    let conn = b.connected()[0];
-    b.pool.up(50 * MS, conn);
+    let connection = b.connected()[0];
+    b.pool.up(50 * MS, connection);
     assert_eq!((b.effects(), b.lost()), (vec![], vec![(1, Lost::NotSent)]));
 }
 
@@ -523,8 +562,8 @@
 fn a_connection_that_fails_for_want_of_descriptors_here_is_not_the_workers_fault() {
     let mut b = Bench::new(4);
     b.ask(0, 1);
-    let conn = b.connected()[0];
-    b.pool.failed(conn, true);
+    let connection = b.connected()[0];
+    b.pool.failed(connection, true);
     assert_eq!(b.lost(), [(1, Lost::Unsent)]);
 }
 
@@ -543,8 +582,8 @@
         );
         bench.ask(MS, 1);
         assert_eq!(bench.pool.watched(), 1, "a job waits for its connection");
-        for conn in bench.connected() {
-            bench.pool.up(2 * MS, conn);
+        for connection in bench.connected() {
+            bench.pool.up(2 * MS, connection);
         }
         bench.pool.sweep(3 * MS);
         assert_eq!(bench.pool.watched(), 0, "it is on its way");
--- a/crates/pipithub-node/tests/start_times.rs
+++ b/crates/pipithub-node/tests/start_times.rs
@@ -28,7 +28,8 @@
 /// How many of a burst of calls go to a worker that started `age` ago, the wall clock standing at `wall`.
 fn sent_in_a_burst(wall: Time, age: Time) -> usize {
     let mut b = Bench::new();
-    b.core.list_at(b.now, wall, &only_worker(2, wall - age));
+    b.core
+        .update_endpoints_at(b.now, wall, &only_worker(2, wall - age));
     let client = b.client();
     (1..=CALLS).for_each(|id| b.call(client, id, "view"));
     b.written()
--- a/crates/pipithub-node/tests/trouble.rs
+++ b/crates/pipithub-node/tests/trouble.rs
@@ -5,13 +5,13 @@
 use std::collections::BTreeMap;
 
 use bench::{Bench, MS, config};
-use pipithub_node::effect::ConnId;
+use pipithub_node::effect::ConnectionId;
 
 const CALLS: u64 = 24;
 const FLOOD: &str = "{\"cmd\":\"ACK\",\"ref\":\"ffffffffffffffff\",\"payload\":\"\"}\n";
 
 /// A trouble, with the front end, the client whose calls are open, and what was written to which worker for them.
-type Trouble = fn(&mut Bench, &BTreeMap<ConnId, Vec<String>>);
+type Trouble = fn(&mut Bench, &BTreeMap<ConnectionId, Vec<String>>);
 
 fn line(id: u64, class: &str) -> String {
     format!(
@@ -28,19 +28,20 @@
     let mut b = Bench::of(&config);
     let client = b.client();
     let mut answers = BTreeMap::new();
-    let mut asked: BTreeMap<ConnId, Vec<String>> = BTreeMap::new();
-    let mut note = |written: Vec<(ConnId, String)>, at: u64, answers: &mut BTreeMap<u64, u64>| {
-        for (conn, line) in written {
-            if conn != client {
-                asked.entry(conn).or_default().push(line);
-                continue;
+    let mut asked: BTreeMap<ConnectionId, Vec<String>> = BTreeMap::new();
+    let mut note =
+        |written: Vec<(ConnectionId, String)>, at: u64, answers: &mut BTreeMap<u64, u64>| {
+            for (connection, line) in written {
+                if connection != client {
+                    asked.entry(connection).or_default().push(line);
+                    continue;
+                }
+                let answer: serde_json::Value = serde_json::from_str(&line).expect("an answer");
+                let earlier = answers.insert(answer["id"].as_u64().expect("a number"), at);
+                assert_eq!(earlier, None, "a second answer: {line}");
             }
-            let answer: serde_json::Value = serde_json::from_str(&line).expect("an answer");
-            let earlier = answers.insert(answer["id"].as_u64().expect("a number"), at);
-            assert_eq!(earlier, None, "a second answer: {line}");
-        }
-        asked.clone()
-    };
+            asked.clone()
+        };
     for id in 1..=CALLS {
         b.say(client, &line(id, class));
     }
@@ -52,30 +53,30 @@
         note(written, 10 * at, &mut answers);
         b.pass(10 * MS);
     }
-    assert_eq!(b.core.open(), 0);
+    assert_eq!(b.core.pending_requests(), 0);
     answers
 }
 
-fn noise_on_all(b: &mut Bench, asked: &BTreeMap<ConnId, Vec<String>>) {
+fn noise_on_all(b: &mut Bench, asked: &BTreeMap<ConnectionId, Vec<String>>) {
     assert!(
         asked.values().any(|lines| lines.len() > 1),
         "some connection is shared: {asked:?}"
     );
-    for conn in asked.keys() {
-        b.core.worker_bytes(b.now, *conn, b"noise\n");
+    for connection in asked.keys() {
+        b.core.worker_bytes(b.now, *connection, b"noise\n");
     }
 }
 
-fn flood(b: &mut Bench, asked: &BTreeMap<ConnId, Vec<String>>) {
-    for conn in asked.keys() {
+fn flood(b: &mut Bench, asked: &BTreeMap<ConnectionId, Vec<String>>) {
+    for connection in asked.keys() {
         (0..200).for_each(|_| {
             b.core
-                .worker_bytes(b.now, *conn, FLOOD.repeat(100).as_bytes());
+                .worker_bytes(b.now, *connection, FLOOD.repeat(100).as_bytes());
         });
     }
 }
 
-fn others_faults(b: &mut Bench, _: &BTreeMap<ConnId, Vec<String>>) {
+fn others_faults(b: &mut Bench, _: &BTreeMap<ConnectionId, Vec<String>>) {
     // Names of the first client's calls, cancels for them, noise, a line too long, and a close.
     let other = b.client();
     for id in 1..=CALLS {
@@ -91,9 +92,9 @@
     b.core.client_closed(b.now, third);
 }
 
-fn all_break(b: &mut Bench, asked: &BTreeMap<ConnId, Vec<String>>) {
-    for conn in asked.keys() {
-        b.core.worker_closed(b.now, *conn, u64::MAX);
+fn all_break(b: &mut Bench, asked: &BTreeMap<ConnectionId, Vec<String>>) {
+    for connection in asked.keys() {
+        b.core.worker_closed(b.now, *connection, u64::MAX);
     }
 }
 
