--- /dev/null
+++ b/crates/pipithub-node/src/core/workers.rs
@@ -0,0 +1,212 @@
+//! The worker side: connections, answers, and attempts that end without one.
+
+use pipithub_engine::policy::{LoadReport, Outcome};
+use pipithub_engine::{
+    AttemptId, AttemptResult, Input, LoadCommandResult, LoadPollResult, Served, Time,
+};
+use pipithub_platform::worker::{self, Answer, Word};
+use tracing::{debug, info};
+
+use super::Core;
+use crate::effect::ConnectionId;
+use crate::worker_pool::{Lost, Task};
+
+impl Core {
+    /// A connection to a worker is up.
+    pub fn worker_connected(&mut self, now: Time, connection: ConnectionId) {
+        self.pool.up(now, connection);
+        self.lose(now);
+    }
+
+    /// A connection to a worker did not come up; `own`: for want of something here.
+    pub fn worker_failed(&mut self, now: Time, connection: ConnectionId, own: bool) {
+        self.pool.failed(connection, own);
+        self.lose(now);
+    }
+
+    /// A worker does not read, the system having taken so many bytes for it so far; or, with `None`, it reads again.
+    pub fn worker_blocked(&mut self, now: Time, connection: ConnectionId, written: Option<u64>) {
+        self.pool.blocked(now, connection, written);
+        self.lose(now);
+    }
+
+    /// A connection to a worker has ended, with so many bytes written on it.
+    pub fn worker_closed(&mut self, now: Time, connection: ConnectionId, written: u64) {
+        self.pool.closed(now, connection, written, Lost::Broken);
+        self.lose(now);
+    }
+
+    /// Bytes came from a worker.
+    pub fn worker_bytes(&mut self, now: Time, connection: ConnectionId, bytes: &[u8]) {
+        let Some(framer) = self.pool.framer(connection) else {
+            return;
+        };
+        framer.push(bytes);
+        loop {
+            let Some(framer) = self.pool.framer(connection) else {
+                return;
+            };
+            let spoilt = match framer.next_line() {
+                Ok(None) => return,
+                Ok(Some(line)) => match worker::read(&line) {
+                    Ok(answer) => {
+                        self.answer(now, connection, answer);
+                        continue;
+                    }
+                    Err(spoilt) => spoilt.to_string(),
+                },
+                Err(long) => long.to_string(),
+            };
+            info!(
+                front_end = self.name,
+                connection, spoilt, "answer cannot be read; connection closed"
+            );
+            self.pool.spoilt(now, connection);
+            return self.lose(now);
+        }
+    }
+
+    fn answer(&mut self, now: Time, connection: ConnectionId, answer: Answer) {
+        let found = self.pool.answered(now, connection, &answer.reference);
+        let Some((worker, job)) = found else {
+            return debug!(
+                front_end = self.name,
+                connection,
+                reference = answer.reference,
+                "answer to nothing open"
+            );
+        };
+        let took = now.saturating_sub(job.began);
+        let outcome = match answer.word {
+            Word::Ok | Word::Ready | Word::Ailing => Outcome::Served,
+            Word::Absent => Outcome::NotLoaded,
+            Word::Full => Outcome::Rejected,
+            Word::Error => Outcome::Error,
+            Word::Over => Outcome::NotSent,
+        };
+        match job.task {
+            Task::Attempt(id) => {
+                // An answer to something else under this name proves nothing.
+                let outcome = if matches!(answer.word, Word::Ready | Word::Ailing) {
+                    Outcome::Error
+                } else {
+                    outcome
+                };
+                let body = answer.body;
+                let served = (outcome == Outcome::Served).then(|| Served {
+                    status: 200,
+                    content_type: None,
+                    body,
+                });
+                let told = matches!(outcome, Outcome::Served | Outcome::Rejected);
+                let alike = told.then_some(answer.alike);
+                let end = AttemptResult {
+                    id,
+                    outcome,
+                    elapsed: took,
+                    replica_status: None,
+                    function_concurrency: alike,
+                    load_report: answer.load,
+                    served,
+                };
+                self.attempt_ended(end);
+                self.settle(now);
+            }
+            Task::Order(function) => {
+                let copies = answer.copies;
+                self.run(
+                    now,
+                    Input::LoadCommandFinished(LoadCommandResult {
+                        worker,
+                        function,
+                        outcome,
+                        elapsed: took,
+                        replicas: copies,
+                    }),
+                );
+            }
+            Task::Probe => {
+                let answered = answer.word == Word::Ready;
+                self.run(
+                    now,
+                    Input::LoadPolled(LoadPollResult {
+                        worker,
+                        answered,
+                        load_report: answer.load,
+                    }),
+                );
+            }
+            Task::Drop => {}
+        }
+    }
+
+    /// Notes the end of an attempt, for the engine to hear after the present input.
+    pub(super) fn attempt_ended(&mut self, end: AttemptResult) {
+        debug!(
+            front_end = self.name,
+            request = end.id.request,
+            attempt = end.id.number,
+            worker = self.out.get(&end.id).map(|w| &*w.0),
+            outcome = ?end.outcome,
+            took_us = end.elapsed / 1000,
+            alike = end.function_concurrency,
+            load = ?end.load_report,
+            "attempt ended"
+        );
+        self.out.remove(&end.id);
+        self.inputs.push_back(Input::AttemptFinished(end));
+    }
+
+    /// Notes the ends of jobs that got no answer.
+    pub(super) fn note_lost(&mut self, now: Time) {
+        for (worker, job, how) in self.pool.lost() {
+            let outcome = match how {
+                Lost::NotSent => Outcome::Unreachable,
+                Lost::Unsent => Outcome::NotSent,
+                Lost::Broken => Outcome::ConnectionLost,
+                Lost::Spoilt => Outcome::Error,
+                Lost::TimedOut => Outcome::TimedOut,
+            };
+            let took = now.saturating_sub(job.began);
+            match job.task {
+                Task::Attempt(id) => self.attempt_ended(without_answer(id, outcome, took)),
+                Task::Order(function) => {
+                    let end = LoadCommandResult {
+                        worker,
+                        function,
+                        outcome,
+                        elapsed: took,
+                        replicas: 0,
+                    };
+                    self.inputs.push_back(Input::LoadCommandFinished(end));
+                }
+                Task::Probe => {
+                    let end = LoadPollResult {
+                        worker,
+                        answered: false,
+                        load_report: LoadReport::default(),
+                    };
+                    self.inputs.push_back(Input::LoadPolled(end));
+                }
+                Task::Drop => {}
+            }
+        }
+    }
+
+    pub(super) fn lose(&mut self, now: Time) {
+        self.note_lost(now);
+        self.settle(now);
+    }
+}
+
+pub(super) fn without_answer(id: AttemptId, outcome: Outcome, took: Time) -> AttemptResult {
+    AttemptResult {
+        id,
+        outcome,
+        elapsed: took,
+        replica_status: None,
+        function_concurrency: None,
+        load_report: LoadReport::default(),
+        served: None,
+    }
+}
--- /dev/null
+++ b/crates/pipithub-node/src/shell/connection.rs
@@ -0,0 +1,185 @@
+//! Moves the bytes of one connection until it ends.
+
+use std::io::{self, Read};
+use std::net::Shutdown;
+use std::rc::Rc;
+use std::time::Duration;
+
+use pipithub_engine::Time;
+use socket2::SockRef;
+use tokio::io::Interest;
+
+use super::socket::{Side, Socket};
+use super::{KEPT, LINGERING_MOST, READ, Shell};
+use crate::effect::ConnectionId;
+use crate::sockets::{self, LOCAL_RETRY, TransferEnd};
+
+/// How often a client whose connection is to be closed is read once more: all that it may have open, and some more.
+const LAST_READS: usize = 16;
+/// How long a client whose connection is closed may take to read its last answers: some round trips of a slow network.
+const LINGER: Duration = Duration::from_millis(250);
+
+/// What became of reading a connection.
+enum Progress {
+    /// All that there was is read.
+    Drained,
+    /// There may be more.
+    More,
+    /// The connection has ended.
+    Ended,
+}
+
+impl Shell {
+    /// Closes a client's connection, unless a request has come on it in this very moment.
+    pub(super) fn retire(&self, now: Time, connection: ConnectionId) {
+        let Some(socket) = self.sockets.borrow().get(&connection).cloned() else {
+            return;
+        };
+        let (mut bytes, mut core) = (vec![0; READ], self.core.borrow_mut());
+        // From the system itself: the poller may not have told of the last bytes yet.
+        let system = SockRef::from(&socket.stream);
+        for _ in 0..LAST_READS {
+            let (count, end) = sockets::read_now(&mut bytes, |buffer| (&*system).read(buffer));
+            if socket.peer_closed() || end == TransferEnd::Ended {
+                // Nobody waits for what it asked.
+                break;
+            }
+            core.client_bytes(now, connection, &bytes[..count]);
+            if end != TransferEnd::Complete {
+                break;
+            }
+        }
+        core.close_client_if_idle(now, connection);
+    }
+
+    /// Moves the bytes of one connection until it ends.
+    pub(super) async fn pump(self: &Rc<Self>, connection: ConnectionId, socket: Rc<Socket>) {
+        loop {
+            let empty = socket.unwritten.borrow().is_empty();
+            if socket.closing.get() || socket.broken.get() {
+                break;
+            }
+            self.rest(&socket).await;
+            let interest = if empty {
+                Interest::READABLE
+            } else {
+                Interest::READABLE | Interest::WRITABLE
+            };
+            let ready = tokio::select! {
+                ready = socket.stream.ready(interest) => ready,
+                () = socket.wake.notified() => continue,
+            };
+            let Ok(ready) = ready else { break };
+            if ready.is_readable() {
+                match self.read(connection, &socket) {
+                    Progress::Ended => break,
+                    Progress::Drained => {}
+                    // Whoever writes without end must not keep the others' closes from being seen.
+                    Progress::More => tokio::task::yield_now().await,
+                }
+            }
+            if ready.is_writable() && !empty {
+                socket.flush(&mut socket.unwritten.borrow_mut());
+                if socket.side == Side::Worker {
+                    self.with(|_, _| self.touched.borrow_mut().push(connection));
+                } else {
+                    self.active.set(self.clock.now());
+                }
+            }
+        }
+        if socket.closing.get() {
+            // The core has let go of it.
+            let told = socket.written.get() > 0 || !socket.unwritten.borrow().is_empty();
+            let room = self.ending.get() || self.lingering.get() < LINGERING_MOST;
+            if socket.side == Side::Client && told && room {
+                self.lingering.set(self.lingering.get() + 1);
+                let _ = tokio::time::timeout(LINGER, self.linger(&socket)).await;
+                self.lingering.set(self.lingering.get() - 1);
+            }
+            return;
+        }
+        self.sockets.borrow_mut().remove(&connection);
+        self.with(|core, now| match socket.side {
+            Side::Client => core.client_closed(now, connection),
+            Side::Worker => core.worker_closed(now, connection, socket.written.get()),
+        });
+    }
+
+    /// Waits for a moment where this machine lacked something when a connection was last read or written: that is tried
+    /// again, as whoever is at the other end is not to blame.
+    async fn rest(&self, socket: &Socket) {
+        if socket.exhausted.take() {
+            self.local_faults.note();
+            tokio::time::sleep(LOCAL_RETRY).await;
+        }
+    }
+
+    /// Sends a client its last answers, says that no more follow, and reads on until it has closed too: a close with input
+    /// unread is a reset, which would destroy answers that the client has not read yet.
+    async fn linger(&self, socket: &Socket) {
+        while !socket.unwritten.borrow().is_empty() && !socket.broken.get() {
+            self.rest(socket).await;
+            if socket.stream.writable().await.is_err() {
+                return;
+            }
+            socket.flush(&mut socket.unwritten.borrow_mut());
+        }
+        if socket.broken.get()
+            || SockRef::from(&socket.stream)
+                .shutdown(Shutdown::Write)
+                .is_err()
+        {
+            return;
+        }
+        let mut waste = vec![0; KEPT];
+        while socket.stream.readable().await.is_ok() {
+            match socket.stream.try_read(&mut waste) {
+                Ok(0) => return,
+                Err(e)
+                    if !matches!(
+                        e.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
+                    ) =>
+                {
+                    return;
+                }
+                _ => {}
+            }
+        }
+    }
+
+    /// Reads what there is, up to a buffer full.
+    fn read(self: &Rc<Self>, connection: ConnectionId, socket: &Socket) -> Progress {
+        if socket.side == Side::Client && socket.peer_closed() {
+            // However much of what it sent before is still unread.
+            return Progress::Ended;
+        }
+        let mut scratch = self.scratch.borrow_mut();
+        let (filled, end) =
+            sockets::read_now(&mut scratch, |buffer| socket.stream.try_read(buffer));
+        if end == TransferEnd::Exhausted {
+            socket.exhausted.set(true);
+        }
+        // A client that has closed has gone: nothing that it asked for before is begun for nobody. What a worker said
+        // before its close counts.
+        if end == TransferEnd::Ended && (socket.side == Side::Client || filled == 0) {
+            return Progress::Ended;
+        }
+        if filled == 0 {
+            return Progress::Drained;
+        }
+        let bytes = &scratch[..filled];
+        self.with(|core, now| match socket.side {
+            Side::Client => core.client_bytes(now, connection, bytes),
+            Side::Worker => core.worker_bytes(now, connection, bytes),
+        });
+        if socket.side == Side::Client {
+            self.active.set(self.clock.now());
+        }
+        if end == TransferEnd::Complete {
+            Progress::More
+        } else {
+            Progress::Drained
+        }
+    }
+}
--- /dev/null
+++ b/crates/pipithub-node/src/shell/listener.rs
@@ -0,0 +1,34 @@
+//! Accepts clients.
+
+use std::rc::Rc;
+
+use tokio::net::TcpListener;
+
+use super::socket::{Side, Socket};
+use super::{LINGERING_MOST, Shell};
+use crate::core::Core;
+use crate::sockets;
+
+const NEWCOMERS_MOST: usize = 3;
+
+impl Shell {
+    pub(super) async fn accept(self: Rc<Self>, listener: TcpListener) {
+        let most = self.core.borrow().max_client_connections() + LINGERING_MOST + NEWCOMERS_MOST;
+        let accept = async || {
+            self.clients.below(most).await;
+            listener.accept().await
+        };
+        let take = |(stream, _)| {
+            let connection = self.core.borrow_mut().next_connection_id();
+            let socket = Socket::new(stream, Side::Client, self.clients.take());
+            self.active.set(self.clock.now());
+            self.sockets.borrow_mut().insert(connection, socket.clone());
+            self.with(|core, now| core.client_connected(now, connection));
+            let shell = self.clone();
+            tokio::task::spawn_local(async move { shell.pump(connection, socket).await });
+        };
+        sockets::accept_all(accept, take, &self.local_faults).await;
+        // Nobody reaches this process any more: what it has taken is finished, and it ends.
+        self.with(Core::begin_shutdown);
+    }
+}
--- a/crates/pipithub-node/tests/pool.rs
+++ b/crates/pipithub-node/tests/pool.rs
@@ -6,7 +6,7 @@
 use pipithub_engine::policy::WorkerId;
 use pipithub_engine::{AttemptId, Time};
 use pipithub_node::effect::{ConnectionId, Effect};
-use pipithub_node::pool::{Job, Lost, Pool, Request, Task};
+use pipithub_node::worker_pool::{Job, Lost, Pool, Request, Task};
 use pipithub_platform::worker::RunRequest;
 
 const MS: Time = 1_000_000;
