--- a/crates/pipithub-node/src/coordinator.rs
+++ b/crates/pipithub-node/src/coordinator.rs
@@ -22,8 +22,8 @@
 const JITTER: std::ops::Range<f64> = 0.5..1.5;
 /// How long to wait before asking again: doubled each time, up to the most, which together with a silence stays well
 /// within those 4 s.
-const RETRY_FIRST: Duration = Duration::from_millis(50);
-const RETRY_MOST: Duration = Duration::from_millis(800);
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
 /// Follows the coordinator for as long as the front end runs; each event is handed to `take` once, in order.
 pub async fn follow(
@@ -34,7 +34,7 @@
     mut take: impl FnMut(ListEvent),
 ) {
     let mut sequence = Sequence::after(last);
-    let (mut wait, mut rng) = (RETRY_FIRST, StdRng::seed_from_u64(seed));
+    let (mut wait, mut rng) = (MIN_BACKOFF, StdRng::seed_from_u64(seed));
     // Events that could not be used since the start, the same one counted each time it came.
     let mut unusable = 0u64;
     loop {
@@ -47,7 +47,7 @@
                     return;
                 }
                 info!(coordinator = &*address.borrow(), "coordinator has moved");
-                wait = RETRY_FIRST;
+                wait = MIN_BACKOFF;
                 continue;
             }
         };
@@ -66,12 +66,12 @@
             }
         }
         if took {
-            wait = RETRY_FIRST;
+            wait = MIN_BACKOFF;
         }
         tokio::select! {
-            () = tokio::time::sleep(wait.mul_f64(rng.random_range(JITTER))) => wait = (wait * 2).min(RETRY_MOST),
+            () = tokio::time::sleep(wait.mul_f64(rng.random_range(JITTER))) => wait = (wait * 2).min(MAX_BACKOFF),
             // It has moved: what was wrong with the old one says nothing of the new.
-            _ = address.changed() => wait = RETRY_FIRST,
+            _ = address.changed() => wait = MIN_BACKOFF,
         }
     }
 }
--- a/crates/pipithub-node/src/coordinator/sequence.rs
+++ b/crates/pipithub-node/src/coordinator/sequence.rs
@@ -16,7 +16,7 @@
     /// It was taken before.
     Skip,
     /// Events are missing before it: ask again from the last that was taken.
-    Again,
+    Reconnect,
 }
 
 impl Sequence {
@@ -30,14 +30,14 @@
         self.last
     }
 
-    /// What to do with the event of this number; `whole`: it holds every worker.
-    pub fn step(&mut self, index: u64, whole: bool) -> Step {
+    /// What to do with the event of this number; `is_complete`: it holds every worker.
+    pub fn step(&mut self, index: u64, is_complete: bool) -> Step {
         if index <= self.last {
             return Step::Skip;
         }
-        if index > self.last + 1 && !whole && self.gap != Some(index) {
+        if index > self.last + 1 && !is_complete && self.gap != Some(index) {
             self.gap = Some(index);
-            return Step::Again;
+            return Step::Reconnect;
         }
         (self.last, self.gap) = (index, None);
         Step::Take
--- a/crates/pipithub-node/src/coordinator/stream.rs
+++ b/crates/pipithub-node/src/coordinator/stream.rs
@@ -15,9 +15,9 @@
 
 /// A comment comes each second: after so long without a byte the stream is dead, though it may look open. What it would
 /// have told counts as told 4 s after it fell silent, which leaves time for two further tries.
-const SILENCE: Duration = Duration::from_millis(1_600);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_600);
 /// A connection and the head of its answer must come within this: many round trips, and a small part of those 4 s.
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Why a stream ended.
 pub(super) enum Ended {
@@ -56,7 +56,7 @@
             .map_err(|e| format!("request: {e}"))?;
         Ok::<_, String>((response, sender, task))
     };
-    let (response, _sender, _task) = match tokio::time::timeout(CONNECT, head).await {
+    let (response, _sender, _task) = match tokio::time::timeout(CONNECT_TIMEOUT, head).await {
         Ok(Ok(up)) => up,
         Ok(Err(reason)) => return Ended::Stream(reason),
         Err(_) => return Ended::Stream("no answer".to_string()),
@@ -67,7 +67,7 @@
     let mut body = response.into_body();
     let (mut reader, mut events) = (SseReader::default(), Vec::new());
     loop {
-        let frame = match tokio::time::timeout(SILENCE, body.frame()).await {
+        let frame = match tokio::time::timeout(SILENCE_TIMEOUT, body.frame()).await {
             Err(_) => return Ended::Stream("silent".to_string()),
             Ok(None) => return Ended::Stream("closed".to_string()),
             Ok(Some(Err(error))) => return Ended::Stream(format!("broke off: {error}")),
@@ -94,7 +94,7 @@
                     tokio::task::yield_now().await;
                 }
                 Step::Skip => {}
-                Step::Again => {
+                Step::Reconnect => {
                     let last = sequence.last();
                     return Ended::Stream(format!(
                         "events between {last} and {} are missing",
--- a/crates/pipithub-node/src/core.rs
+++ b/crates/pipithub-node/src/core.rs
@@ -15,18 +15,18 @@
 use pipithub_platform::settings::SiteSettings;
 use tracing::debug;
 
-use self::shutdown::TERM_TAKES;
-use crate::desk::{Desk, OPEN_MOST};
+use self::shutdown::ACCEPT_AFTER_SIGTERM;
+use crate::client_sessions::{ClientSessions, MAX_PENDING_CALLS};
 use crate::effect::{ConnectionId, Effect};
 use crate::start_times::StartTimes;
-use crate::worker_pool::Pool;
+use crate::worker_pool::WorkerPool;
 
 /// How often overdue jobs and idle connections are looked for.
-const SWEEP: Time = 10_000_000;
+const SWEEP_INTERVAL: Time = 10_000_000;
 /// How often silent clients are.
-const SILENCE_SWEEP: Time = 100_000_000;
+const SILENCE_SWEEP_INTERVAL: Time = 100_000_000;
 /// Descriptors kept for the listener, logs, signals, the poller, the coordinator and connections that are closing.
-const RESERVED: usize = 24;
+const RESERVED_DESCRIPTORS: usize = 24;
 /// Answers leave so long before the client's time is up, for their own way back.
 const ANSWER_MARGIN: Time = 5_000_000;
 
@@ -36,18 +36,18 @@
     name: String,
     engine: Engine,
     site: SiteSettings,
-    give_up_most: Time,
-    desk: Desk,
-    pool: Pool,
+    max_client_timeout: Time,
+    client_sessions: ClientSessions,
+    worker_pool: WorkerPool,
     /// Workers that attempts went to, for as long as they are out.
-    out: BTreeMap<AttemptId, WorkerId>,
+    in_flight: BTreeMap<AttemptId, WorkerId>,
     next_tag: u64,
-    swept: Time,
-    silence_swept: Time,
+    last_sweep: Time,
+    last_silence_sweep: Time,
     /// When SIGTERM came.
-    stopping: Option<Time>,
+    shutdown_started: Option<Time>,
     draining: bool,
-    listed: bool,
+    has_endpoint_list: bool,
     start_times: StartTimes,
     inputs: VecDeque<Input>,
     outputs: Vec<Output>,
@@ -58,11 +58,11 @@
     /// A front end with the configuration's list of workers.
     pub fn new(now: Time, config: &NodeConfig) -> Self {
         let site = &config.site;
-        let usable = config.sockets.saturating_sub(RESERVED).max(8);
+        let usable = config.sockets.saturating_sub(RESERVED_DESCRIPTORS).max(8);
         let (clients, workers) = (usable * 3 / 5, usable * 2 / 5);
         let settings = EngineSettings {
             policy: site.policy.clone(),
-            max_open: site.transport.open_most.min(clients * OPEN_MOST),
+            max_open: site.transport.open_most.min(clients * MAX_PENDING_CALLS),
             max_bytes: (config.memory_mb as usize) << 18,
             answer_margin: ANSWER_MARGIN,
             ..EngineSettings::default()
@@ -70,27 +70,27 @@
         let transport = &site.transport;
         let cancel = site.policy.limits.cancel;
         let (connect, idle) = (transport.connect_timeout, transport.idle_close);
-        let pool = Pool::new(workers, transport.streams, connect, idle, cancel);
+        let worker_pool = WorkerPool::new(workers, transport.streams, connect, idle, cancel);
         let mut core = Core {
             name: config.name.clone(),
             engine: Engine::new(settings, config.seed),
             site: site.clone(),
-            give_up_most: site
+            max_client_timeout: site
                 .policy
                 .classes
                 .iter()
                 .map(|c| c.client_timeout)
                 .max()
                 .unwrap_or(0),
-            desk: Desk::new(clients),
-            pool,
-            out: BTreeMap::new(),
+            client_sessions: ClientSessions::new(clients),
+            worker_pool,
+            in_flight: BTreeMap::new(),
             next_tag: 1,
-            swept: now,
-            silence_swept: now,
-            stopping: None,
+            last_sweep: now,
+            last_silence_sweep: now,
+            shutdown_started: None,
             draining: false,
-            listed: false,
+            has_endpoint_list: false,
             start_times: StartTimes::default(),
             inputs: VecDeque::new(),
             outputs: Vec::new(),
@@ -104,13 +104,13 @@
 
     /// A number for a connection that the shell accepted.
     pub fn next_connection_id(&mut self) -> ConnectionId {
-        self.pool.next_connection_id()
+        self.worker_pool.next_connection_id()
     }
 
     /// Appends what is to be done.
     pub fn take_effects(&mut self, effects: &mut Vec<Effect>) {
         effects.append(&mut self.effects);
-        self.pool.take_effects(effects);
+        self.worker_pool.take_effects(effects);
     }
 
     /// When [`Core::tick`] is due next.
@@ -118,7 +118,7 @@
         self.engine
             .next_due()
             .unwrap_or(Time::MAX)
-            .min(self.swept + SWEEP)
+            .min(self.last_sweep + SWEEP_INTERVAL)
     }
 
     /// How many calls have no answer yet.
@@ -128,7 +128,7 @@
 
     /// Connections of clients and to workers.
     pub fn connections(&self) -> (usize, usize) {
-        (self.desk.len(), self.pool.len())
+        (self.client_sessions.len(), self.worker_pool.len())
     }
 
     /// What was done so far.
@@ -138,23 +138,27 @@
 
     /// Time has passed.
     pub fn tick(&mut self, now: Time) {
-        if now >= self.swept + SWEEP {
-            self.swept = now;
-            self.pool.sweep(now);
-            self.lose(now);
+        if now >= self.last_sweep + SWEEP_INTERVAL {
+            self.last_sweep = now;
+            self.worker_pool.sweep(now);
+            self.settle_failures(now);
         }
-        if now >= self.silence_swept + SILENCE_SWEEP {
-            self.silence_swept = now;
-            for connection in self.desk.silent(now) {
+        if now >= self.last_silence_sweep + SILENCE_SWEEP_INTERVAL {
+            self.last_silence_sweep = now;
+            for connection in self.client_sessions.silent_connections(now) {
                 debug!(front_end = self.name, connection, "client is silent");
                 self.effects.push(Effect::Retire { connection });
             }
         }
-        if !self.draining && self.stopping.is_some_and(|since| now >= since + TERM_TAKES) {
+        if !self.draining
+            && self
+                .shutdown_started
+                .is_some_and(|since| now >= since + ACCEPT_AFTER_SIGTERM)
+        {
             self.draining = true;
             self.run(now, Input::Drain);
         }
-        if self.last_answers().is_some_and(|at| now >= at) {
+        if self.final_answers_at().is_some_and(|at| now >= at) {
             self.run(now, Input::AnswerAll);
         }
         self.run(now, Input::Tick);
@@ -162,12 +166,12 @@
 
     /// Connections that clients may have at a time.
     pub fn max_client_connections(&self) -> usize {
-        self.desk.most()
+        self.client_sessions.max_connections()
     }
 
     /// Connections that there may be to workers at a time.
     pub fn max_worker_connections(&self) -> usize {
-        self.pool.most()
+        self.worker_pool.max_connections()
     }
 
     /// Hands an input to the engine, and all that comes of it at once.
@@ -182,7 +186,7 @@
             let mut outputs = std::mem::take(&mut self.outputs);
             self.engine.handle(now, input, &mut outputs);
             for output in outputs.drain(..) {
-                self.one(now, output);
+                self.perform(now, output);
             }
             self.outputs = outputs;
         }
--- a/crates/pipithub-node/src/core/calls.rs
+++ b/crates/pipithub-node/src/core/calls.rs
@@ -8,8 +8,8 @@
 use tracing::debug;
 
 use super::Core;
-use super::workers::without_answer;
-use crate::desk::{BEYOND, Caller, OPEN_MOST};
+use super::workers::unanswered;
+use crate::client_sessions::{EXCESS_CALL_SCORE, MAX_PENDING_CALLS, PendingCall};
 use crate::effect::ConnectionId;
 
 /// All clients are one source to the engine: each call's ticket is its own.
@@ -17,39 +17,39 @@
 
 impl Core {
     /// A client has ceased to wait. Whatever the settings say of cancelling, what has not left yet does not leave any more.
-    pub(super) fn left(&mut self, now: Time, ticket: u64) {
+    pub(super) fn cancel_call(&mut self, now: Time, ticket: u64) {
         let ticket = Ticket {
             source: CLIENTS,
             number: ticket,
         };
         let request = self.engine.request(ticket);
         self.run(now, Input::CallerCancelled(ticket));
-        self.abandon(now, request);
+        self.abandon_attempts(now, request);
         self.settle(now);
     }
 
     /// Nobody waits for a request any more: attempts that have not left are taken back.
-    pub(super) fn abandon(&mut self, now: Time, request: Option<RequestId>) {
+    pub(super) fn abandon_attempts(&mut self, now: Time, request: Option<RequestId>) {
         let Some(request) = request else { return };
         let of = AttemptId { request, number: 0 }..=AttemptId {
             request,
             number: u32::MAX,
         };
         let out: Vec<_> = self
-            .out
+            .in_flight
             .range(of)
             .map(|(id, worker)| (*id, worker.clone()))
             .collect();
         for (id, worker) in out {
-            if let Some(job) = self.pool.abandon(now, &worker, id) {
-                let took = now.saturating_sub(job.began);
-                self.attempt_ended(without_answer(id, Outcome::NotSent, took));
+            if let Some(request) = self.worker_pool.abandon(now, &worker, id) {
+                let took = now.saturating_sub(request.began);
+                self.attempt_ended(unanswered(id, Outcome::NotSent, took));
             }
         }
     }
 
-    pub(super) fn call(&mut self, now: Time, connection: ConnectionId, call: ClientCall) {
-        let Some(client) = self.desk.client(connection) else {
+    pub(super) fn begin_call(&mut self, now: Time, connection: ConnectionId, call: ClientCall) {
+        let Some(client) = self.client_sessions.client(connection) else {
             return;
         };
         let invalid = |message: &str| Fault {
@@ -57,19 +57,22 @@
             code: client::INVALID,
             message: message.into(),
         };
-        if client.open.contains_key(&call.id) {
-            return self.fault(connection, &invalid("id: in use"));
+        if client.pending_calls.contains_key(&call.id) {
+            return self.answer_fault(connection, &invalid("id: in use"));
         }
-        let (many, condemned) = (client.open.len() >= OPEN_MOST, client.condemned);
-        if self.desk.knows(&call.call) {
+        let (many, reading_stopped) = (
+            client.pending_calls.len() >= MAX_PENDING_CALLS,
+            client.reading_stopped,
+        );
+        if self.client_sessions.is_pending(&call.call) {
             // Its namesake may be running: to call a further try harmless would be wrong.
-            return self.fault(connection, &invalid("call: open already"));
+            return self.answer_fault(connection, &invalid("call: open already"));
         }
-        if self.desk.may_have_run(now, &call.call) {
+        if self.client_sessions.may_have_executed(now, &call.call) {
             // The same again of what must not run twice.
-            return self.fault(connection, &invalid("call: has ended, and may have run"));
+            return self.answer_fault(connection, &invalid("call: has ended, and may have run"));
         }
-        if many || condemned {
+        if many || reading_stopped {
             // A client may count a call as over whose end has not come here yet, or be given up for what it sent before;
             // this one has not run.
             let limits = &self.site.policy.limits;
@@ -91,25 +94,28 @@
                 connection,
                 client::error(Some(call.id), client::REFUSED, message, pushback),
             );
-            if self.desk.fault(connection, BEYOND) {
-                self.give_up(connection);
+            if self
+                .client_sessions
+                .add_fault_score(connection, EXCESS_CALL_SCORE)
+            {
+                self.stop_reading(connection);
             }
             return;
         }
-        if let Some(client) = self.desk.client(connection) {
-            (client.active, client.spoke) = (now, true);
+        if let Some(client) = self.client_sessions.client(connection) {
+            (client.last_active, client.has_called) = (now, true);
         }
-        let once = self
+        let non_idempotent = self
             .site
             .policy
             .classes
             .get(call.class)
             .is_some_and(|c| c.idempotency == Idempotency::NonIdempotent);
-        let number = self.desk.begin(Caller {
+        let number = self.client_sessions.begin_call(PendingCall {
             connection,
             id: call.id,
-            call: call.call.clone(),
-            once,
+            name: call.call.clone(),
+            non_idempotent,
         });
         let call = Call {
             function: Arc::from(call.function),
@@ -137,16 +143,17 @@
         self.run(now, Input::Trigger(trigger));
     }
 
-    pub(super) fn reply(&mut self, now: Time, ticket: u64, reply: &Arc<Reply>) {
-        let Some(caller) = self.desk.end(now, ticket) else {
+    pub(super) fn answer_client(&mut self, now: Time, ticket: u64, reply: &Arc<Reply>) {
+        let Some(pending) = self.client_sessions.end_call(now, ticket) else {
             return;
         };
-        if caller.once && reply.attempts > 0 && reply.verdict != Verdict::Rejected {
-            self.desk.note(now + self.give_up_most, &caller.call);
+        if pending.non_idempotent && reply.attempts > 0 && reply.verdict != Verdict::Rejected {
+            self.client_sessions
+                .record_executed(now + self.max_client_timeout, &pending.name);
         }
         debug!(
             front_end = self.name,
-            call = caller.call,
+            call = pending.name,
             verdict = reply.verdict.as_str(),
             cause = reply.cause.as_str(),
             attempts = reply.attempts,
@@ -155,19 +162,19 @@
             "answer"
         );
         let line = match (reply.verdict, &reply.served) {
-            (Verdict::Served, Some(served)) => client::served(caller.id, &served.body),
+            (Verdict::Served, Some(served)) => client::served(pending.id, &served.body),
             (Verdict::Rejected, _) => {
                 let pushback = reply.retry_after.map(|t| t / 1_000_000);
                 client::error(
-                    Some(caller.id),
+                    Some(pending.id),
                     client::REFUSED,
                     reply.cause.as_str(),
                     pushback,
                 )
             }
-            _ => client::error(Some(caller.id), client::FAILED, reply.cause.as_str(), None),
+            _ => client::error(Some(pending.id), client::FAILED, reply.cause.as_str(), None),
         };
-        self.write(caller.connection, line);
-        self.retire_condemned(caller.connection);
+        self.write(pending.connection, line);
+        self.close_if_answered(pending.connection);
     }
 }
--- a/crates/pipithub-node/src/core/clients.rs
+++ b/crates/pipithub-node/src/core/clients.rs
@@ -8,13 +8,13 @@
 use tracing::debug;
 
 use super::Core;
-use crate::desk::FAULTY;
+use crate::client_sessions::MALFORMED_LINE_SCORE;
 use crate::effect::{ConnectionId, Effect};
 
 impl Core {
     /// A client has connected.
     pub fn client_connected(&mut self, now: Time, connection: ConnectionId) {
-        if let Some(other) = self.desk.opened(now, connection) {
+        if let Some(other) = self.client_sessions.connected(now, connection) {
             debug!(
                 front_end = self.name,
                 connection = other,
@@ -27,18 +27,20 @@
     /// All that a client has sent by now is handed over: its connection is closed, unless that was a request.
     pub fn close_client_if_idle(&mut self, now: Time, connection: ConnectionId) {
         if self
-            .desk
+            .client_sessions
             .client(connection)
-            .is_some_and(|c| c.open.is_empty())
+            .is_some_and(|c| c.pending_calls.is_empty())
         {
             debug!(front_end = self.name, connection, "client closed");
-            self.drop_client(now, connection);
+            self.close_client(now, connection);
         }
     }
 
     /// A client's connection has ended.
     pub fn client_closed(&mut self, now: Time, connection: ConnectionId) {
-        let tickets = self.desk.closed(connection, now + self.give_up_most);
+        let tickets = self
+            .client_sessions
+            .disconnected(connection, now + self.max_client_timeout);
         if !tickets.is_empty() {
             debug!(
                 front_end = self.name,
@@ -48,18 +50,22 @@
             );
         }
         for ticket in tickets {
-            self.left(now, ticket);
+            self.cancel_call(now, ticket);
         }
     }
 
-    fn drop_client(&mut self, now: Time, connection: ConnectionId) {
+    fn close_client(&mut self, now: Time, connection: ConnectionId) {
         self.effects.push(Effect::Close { connection });
         self.client_closed(now, connection);
     }
 
     /// Bytes came from a client.
     pub fn client_bytes(&mut self, now: Time, connection: ConnectionId, bytes: &[u8]) {
-        let Some(client) = self.desk.client(connection).filter(|c| !c.unreadable) else {
+        let Some(client) = self
+            .client_sessions
+            .client(connection)
+            .filter(|c| !c.unreadable)
+        else {
             return;
         };
         client.framer.push(bytes);
@@ -72,8 +78,11 @@
             }
         };
         let partial = client.framer.partial();
-        client.partial = if partial {
-            client.partial.filter(|_| lines.is_empty()).or(Some(now))
+        client.partial_line_since = if partial {
+            client
+                .partial_line_since
+                .filter(|_| lines.is_empty())
+                .or(Some(now))
         } else {
             None
         };
@@ -100,14 +109,14 @@
                 line => self.client_line(now, connection, line),
             }
         }
-        if let (Some(long), Some(client)) = (long, self.desk.client(connection)) {
+        if let (Some(long), Some(client)) = (long, self.client_sessions.client(connection)) {
             client.unreadable = true;
             let fault = Fault {
                 id: None,
                 code: client::PARSE,
                 message: long.to_string(),
             };
-            self.fault(connection, &fault);
+            self.answer_fault(connection, &fault);
         }
     }
 
@@ -117,71 +126,87 @@
         connection: ConnectionId,
         line: Result<ClientLine, Fault>,
     ) {
-        let Some(client) = self.desk.client(connection) else {
+        let Some(client) = self.client_sessions.client(connection) else {
             return;
         };
         match line {
-            Ok(ClientLine::Call(call)) => self.call(now, connection, *call),
+            Ok(ClientLine::Call(call)) => self.begin_call(now, connection, *call),
             Ok(ClientLine::Forget { id, call }) => {
-                client.active = now;
-                if let Some(ticket) = self.desk.find(connection, id, call.as_deref()) {
-                    if let Some(caller) = self.desk.end(now, ticket).filter(|c| c.once) {
-                        self.desk.note(now + self.give_up_most, &caller.call);
+                client.last_active = now;
+                if let Some(ticket) =
+                    self.client_sessions
+                        .find_ticket(connection, id, call.as_deref())
+                {
+                    if let Some(pending) = self
+                        .client_sessions
+                        .end_call(now, ticket)
+                        .filter(|c| c.non_idempotent)
+                    {
+                        self.client_sessions
+                            .record_executed(now + self.max_client_timeout, &pending.name);
                     }
-                    self.left(now, ticket);
-                    self.retire_condemned(connection);
+                    self.cancel_call(now, ticket);
+                    self.close_if_answered(connection);
                 }
             }
             Ok(ClientLine::IsWell { id }) => {
-                (client.active, client.spoke) = (now, true);
-                let healthy = self.listed && self.stopping.is_none();
+                (client.last_active, client.has_called) = (now, true);
+                let healthy = self.has_endpoint_list && self.shutdown_started.is_none();
                 self.write(connection, client::health(id, healthy));
             }
             // Noise on a connection that is given up has been answered once.
-            Err(fault) if fault.id.is_none() && client.condemned => {}
-            Err(fault) => self.fault(connection, &fault),
+            Err(fault) if fault.id.is_none() && client.reading_stopped => {}
+            Err(fault) => self.answer_fault(connection, &fault),
         }
     }
 
     /// Answers what is no call. What bears no number cannot be told from noise, and what follows noise cannot be trusted.
-    pub(super) fn fault(&mut self, connection: ConnectionId, fault: &Fault) {
+    pub(super) fn answer_fault(&mut self, connection: ConnectionId, fault: &Fault) {
         debug!(front_end = self.name, connection, %fault, "no call");
         // An answer under the number of an open call would be taken for that call's.
         let open = self
-            .desk
+            .client_sessions
             .client(connection)
-            .is_some_and(|c| fault.id.is_some_and(|id| c.open.contains_key(&id)));
+            .is_some_and(|c| fault.id.is_some_and(|id| c.pending_calls.contains_key(&id)));
         let id = fault.id.filter(|_| !open);
         self.write(
             connection,
             client::error(id, fault.code, &fault.message, None),
         );
-        if self.desk.fault(connection, FAULTY) || id.is_none() {
-            self.give_up(connection);
+        if self
+            .client_sessions
+            .add_fault_score(connection, MALFORMED_LINE_SCORE)
+            || id.is_none()
+        {
+            self.stop_reading(connection);
         }
     }
 
     /// Begins no further call of a client, and closes its connection once all that came on it is answered.
-    pub(super) fn give_up(&mut self, connection: ConnectionId) {
-        let Some(client) = self.desk.client(connection).filter(|c| !c.condemned) else {
+    pub(super) fn stop_reading(&mut self, connection: ConnectionId) {
+        let Some(client) = self
+            .client_sessions
+            .client(connection)
+            .filter(|c| !c.reading_stopped)
+        else {
             return;
         };
-        client.condemned = true;
+        client.reading_stopped = true;
         debug!(
             front_end = self.name,
             connection,
-            open = client.open.len(),
+            open = client.pending_calls.len(),
             "client given up"
         );
-        self.retire_condemned(connection);
+        self.close_if_answered(connection);
     }
 
     /// Has the shell look once more at a client that is given up and has no call open, and then close it.
-    pub(super) fn retire_condemned(&mut self, connection: ConnectionId) {
+    pub(super) fn close_if_answered(&mut self, connection: ConnectionId) {
         if self
-            .desk
+            .client_sessions
             .client(connection)
-            .is_some_and(|c| c.condemned && c.open.is_empty())
+            .is_some_and(|c| c.reading_stopped && c.pending_calls.is_empty())
         {
             self.effects.push(Effect::Retire { connection });
         }
--- a/crates/pipithub-node/src/core/endpoint_list.rs
+++ b/crates/pipithub-node/src/core/endpoint_list.rs
@@ -20,18 +20,19 @@
     pub fn update_endpoints_at(&mut self, now: Time, wall: Time, event: &ListEvent) {
         if event.kind != EndpointUpdate::Delta {
             let named: BTreeSet<&WorkerId> = event.hosts.iter().map(|(e, _)| &e.worker).collect();
-            self.pool.keep_only(&named);
-            self.start_times.keep_only(|worker| named.contains(worker));
+            self.worker_pool.retain_workers(&named);
+            self.start_times
+                .retain_workers(|worker| named.contains(worker));
         }
         for (entry, address) in &event.hosts {
             debug!(front_end = self.name, worker = &*entry.worker.0, state = ?entry.state, address, "list");
-            self.pool.place(
+            self.worker_pool.set_address(
                 &entry.worker,
                 address,
                 entry.state == EndpointState::Removed,
             );
         }
-        self.listed = true;
+        self.has_endpoint_list = true;
         let entries = event
             .hosts
             .iter()
--- a/crates/pipithub-node/src/core/outputs.rs
+++ b/crates/pipithub-node/src/core/outputs.rs
@@ -6,37 +6,37 @@
 use tracing::debug;
 
 use super::Core;
-use super::workers::without_answer;
-use crate::worker_pool::{Job, Request, Task};
+use super::workers::unanswered;
+use crate::worker_pool::{Payload, RequestKind, WorkerRequest};
 
 /// A probe without an answer by then is none.
-const PROBE_MOST: Time = 250_000_000;
+const LOAD_POLL_TIMEOUT: Time = 250_000_000;
 
 impl Core {
-    pub(super) fn one(&mut self, now: Time, output: Output) {
+    pub(super) fn perform(&mut self, now: Time, output: Output) {
         match output {
             Output::Forward {
                 id,
                 worker,
                 call,
                 deadline,
-            } => self.send(now, id, worker, &call, deadline),
+            } => self.forward(now, id, worker, &call, deadline),
             Output::Cancel(id) => {
-                let Some(worker) = self.out.get(&id).cloned() else {
+                let Some(worker) = self.in_flight.get(&id).cloned() else {
                     return;
                 };
                 let (took, back) = self
-                    .pool
-                    .withdraw(now, &worker, id)
-                    .map_or((0, false), |(job, back)| {
-                        (now.saturating_sub(job.began), back)
+                    .worker_pool
+                    .cancel(now, &worker, id)
+                    .map_or((0, false), |(request, back)| {
+                        (now.saturating_sub(request.began), back)
                     });
                 let outcome = if back {
                     Outcome::NotSent
                 } else {
                     Outcome::Cancelled
                 };
-                self.attempt_ended(without_answer(id, outcome, took));
+                self.attempt_ended(unanswered(id, outcome, took));
             }
             Output::LoadFunction {
                 worker,
@@ -51,41 +51,47 @@
                     copies,
                     "order"
                 );
-                let tag = self.tag();
+                let tag = self.next_reference();
                 let line = worker::pin(&tag, &name, copies);
-                let job = Job::new(
-                    Task::Order(function),
+                let request = WorkerRequest::new(
+                    RequestKind::LoadFunction(function),
                     tag,
                     line,
                     now,
                     now + self.site.transport.order_timeout,
                 );
-                self.ask(now, &worker, job);
+                self.submit(now, &worker, request);
             }
             Output::EvictFunction { worker, name } => {
                 let line = worker::unpin(&name);
-                let job = Job::new(
-                    Task::Drop,
+                let request = WorkerRequest::new(
+                    RequestKind::EvictFunction,
                     name.to_string(),
                     line,
                     now,
                     now + self.site.transport.order_timeout,
                 );
-                self.ask(now, &worker, job);
+                self.submit(now, &worker, request);
             }
             Output::PollLoad(worker) => {
-                let tag = self.tag();
+                let tag = self.next_reference();
                 let line = worker::meter(&tag);
-                self.ask(
+                self.submit(
                     now,
                     &worker,
-                    Job::new(Task::Probe, tag, line, now, now + PROBE_MOST),
+                    WorkerRequest::new(
+                        RequestKind::PollLoad,
+                        tag,
+                        line,
+                        now,
+                        now + LOAD_POLL_TIMEOUT,
+                    ),
                 );
             }
             Output::Answer { ticket, reply } => {
                 let request = self.engine.request(ticket);
-                self.abandon(now, request);
-                self.reply(now, ticket.number, &reply);
+                self.abandon_attempts(now, request);
+                self.answer_client(now, ticket.number, &reply);
                 self.inputs.push_back(Input::Settled(ticket));
             }
             // Nothing is delivered twice here, and the list is followed from the start.
@@ -93,7 +99,7 @@
         }
     }
 
-    fn send(&mut self, now: Time, id: AttemptId, worker: WorkerId, call: &Call, deadline: Time) {
+    fn forward(&mut self, now: Time, id: AttemptId, worker: WorkerId, call: &Call, deadline: Time) {
         let name = call.label.as_deref().unwrap_or_default();
         let class = self
             .site
@@ -111,25 +117,31 @@
             attempt = id.number,
             "send"
         );
-        let request = Request::Run(RunRequest {
+        let payload = Payload::Run(RunRequest {
             call: name.to_string(),
             class: class.to_string(),
             function: call.function.clone(),
             key: call.idempotency_key.clone(),
             body: call.body.clone(),
         });
-        let job = Job::new(Task::Attempt(id), name.to_string(), request, now, deadline);
-        self.out.insert(id, worker.clone());
-        self.ask(now, &worker, job);
+        let request = WorkerRequest::new(
+            RequestKind::Attempt(id),
+            name.to_string(),
+            payload,
+            now,
+            deadline,
+        );
+        self.in_flight.insert(id, worker.clone());
+        self.submit(now, &worker, request);
     }
 
-    /// Hands a job to the pool; what cannot be sent is told to the engine after the present input.
-    fn ask(&mut self, now: Time, worker: &WorkerId, job: Job) {
-        self.pool.ask(now, worker, job);
-        self.note_lost(now);
+    /// Hands a request to the pool; what cannot be sent is told to the engine after the present input.
+    fn submit(&mut self, now: Time, worker: &WorkerId, request: WorkerRequest) {
+        self.worker_pool.submit(now, worker, request);
+        self.record_failures(now);
     }
 
-    fn tag(&mut self) -> String {
+    fn next_reference(&mut self) -> String {
         self.next_tag += 1;
         format!("t{}", self.next_tag)
     }
--- a/crates/pipithub-node/src/core/workers.rs
+++ b/crates/pipithub-node/src/core/workers.rs
@@ -9,48 +9,49 @@
 
 use super::Core;
 use crate::effect::ConnectionId;
-use crate::worker_pool::{Lost, Task};
+use crate::worker_pool::{RequestKind, SendFailure};
 
 impl Core {
     /// A connection to a worker is up.
     pub fn worker_connected(&mut self, now: Time, connection: ConnectionId) {
-        self.pool.up(now, connection);
-        self.lose(now);
+        self.worker_pool.connected(now, connection);
+        self.settle_failures(now);
     }
 
     /// A connection to a worker did not come up; `own`: for want of something here.
     pub fn worker_failed(&mut self, now: Time, connection: ConnectionId, own: bool) {
-        self.pool.failed(connection, own);
-        self.lose(now);
+        self.worker_pool.connect_failed(connection, own);
+        self.settle_failures(now);
     }
 
     /// A worker does not read, the system having taken so many bytes for it so far; or, with `None`, it reads again.
     pub fn worker_blocked(&mut self, now: Time, connection: ConnectionId, written: Option<u64>) {
-        self.pool.blocked(now, connection, written);
-        self.lose(now);
+        self.worker_pool.set_blocked(now, connection, written);
+        self.settle_failures(now);
     }
 
     /// A connection to a worker has ended, with so many bytes written on it.
     pub fn worker_closed(&mut self, now: Time, connection: ConnectionId, written: u64) {
-        self.pool.closed(now, connection, written, Lost::Broken);
-        self.lose(now);
+        self.worker_pool
+            .closed(now, connection, written, SendFailure::ConnectionLost);
+        self.settle_failures(now);
     }
 
     /// Bytes came from a worker.
     pub fn worker_bytes(&mut self, now: Time, connection: ConnectionId, bytes: &[u8]) {
-        let Some(framer) = self.pool.framer(connection) else {
+        let Some(framer) = self.worker_pool.framer(connection) else {
             return;
         };
         framer.push(bytes);
         loop {
-            let Some(framer) = self.pool.framer(connection) else {
+            let Some(framer) = self.worker_pool.framer(connection) else {
                 return;
             };
             let spoilt = match framer.next_line() {
                 Ok(None) => return,
                 Ok(Some(line)) => match worker::read(&line) {
                     Ok(answer) => {
-                        self.answer(now, connection, answer);
+                        self.answer_received(now, connection, answer);
                         continue;
                     }
                     Err(spoilt) => spoilt.to_string(),
@@ -61,14 +62,16 @@
                 front_end = self.name,
                 connection, spoilt, "answer cannot be read; connection closed"
             );
-            self.pool.spoilt(now, connection);
-            return self.lose(now);
+            self.worker_pool.close_malformed(now, connection);
+            return self.settle_failures(now);
         }
     }
 
-    fn answer(&mut self, now: Time, connection: ConnectionId, answer: Answer) {
-        let found = self.pool.answered(now, connection, &answer.reference);
-        let Some((worker, job)) = found else {
+    fn answer_received(&mut self, now: Time, connection: ConnectionId, answer: Answer) {
+        let found = self
+            .worker_pool
+            .answered(now, connection, &answer.reference);
+        let Some((worker, request)) = found else {
             return debug!(
                 front_end = self.name,
                 connection,
@@ -76,7 +79,7 @@
                 "answer to nothing open"
             );
         };
-        let took = now.saturating_sub(job.began);
+        let took = now.saturating_sub(request.began);
         let outcome = match answer.word {
             Word::Ok | Word::Ready | Word::Ailing => Outcome::Served,
             Word::Absent => Outcome::NotLoaded,
@@ -84,8 +87,8 @@
             Word::Error => Outcome::Error,
             Word::Over => Outcome::NotSent,
         };
-        match job.task {
-            Task::Attempt(id) => {
+        match request.kind {
+            RequestKind::Attempt(id) => {
                 // An answer to something else under this name proves nothing.
                 let outcome = if matches!(answer.word, Word::Ready | Word::Ailing) {
                     Outcome::Error
@@ -112,7 +115,7 @@
                 self.attempt_ended(end);
                 self.settle(now);
             }
-            Task::Order(function) => {
+            RequestKind::LoadFunction(function) => {
                 let copies = answer.copies;
                 self.run(
                     now,
@@ -125,7 +128,7 @@
                     }),
                 );
             }
-            Task::Probe => {
+            RequestKind::PollLoad => {
                 let answered = answer.word == Word::Ready;
                 self.run(
                     now,
@@ -136,7 +139,7 @@
                     }),
                 );
             }
-            Task::Drop => {}
+            RequestKind::EvictFunction => {}
         }
     }
 
@@ -146,31 +149,31 @@
             front_end = self.name,
             request = end.id.request,
             attempt = end.id.number,
-            worker = self.out.get(&end.id).map(|w| &*w.0),
+            worker = self.in_flight.get(&end.id).map(|w| &*w.0),
             outcome = ?end.outcome,
             took_us = end.elapsed / 1000,
             alike = end.function_concurrency,
             load = ?end.load_report,
             "attempt ended"
         );
-        self.out.remove(&end.id);
+        self.in_flight.remove(&end.id);
         self.inputs.push_back(Input::AttemptFinished(end));
     }
 
     /// Notes the ends of jobs that got no answer.
-    pub(super) fn note_lost(&mut self, now: Time) {
-        for (worker, job, how) in self.pool.lost() {
+    pub(super) fn record_failures(&mut self, now: Time) {
+        for (worker, request, how) in self.worker_pool.take_failures() {
             let outcome = match how {
-                Lost::NotSent => Outcome::Unreachable,
-                Lost::Unsent => Outcome::NotSent,
-                Lost::Broken => Outcome::ConnectionLost,
-                Lost::Spoilt => Outcome::Error,
-                Lost::TimedOut => Outcome::TimedOut,
+                SendFailure::Unreachable => Outcome::Unreachable,
+                SendFailure::NeverSent => Outcome::NotSent,
+                SendFailure::ConnectionLost => Outcome::ConnectionLost,
+                SendFailure::Malformed => Outcome::Error,
+                SendFailure::TimedOut => Outcome::TimedOut,
             };
-            let took = now.saturating_sub(job.began);
-            match job.task {
-                Task::Attempt(id) => self.attempt_ended(without_answer(id, outcome, took)),
-                Task::Order(function) => {
+            let took = now.saturating_sub(request.began);
+            match request.kind {
+                RequestKind::Attempt(id) => self.attempt_ended(unanswered(id, outcome, took)),
+                RequestKind::LoadFunction(function) => {
                     let end = LoadCommandResult {
                         worker,
                         function,
@@ -180,7 +183,7 @@
                     };
                     self.inputs.push_back(Input::LoadCommandFinished(end));
                 }
-                Task::Probe => {
+                RequestKind::PollLoad => {
                     let end = LoadPollResult {
                         worker,
                         answered: false,
@@ -188,18 +191,18 @@
                     };
                     self.inputs.push_back(Input::LoadPolled(end));
                 }
-                Task::Drop => {}
+                RequestKind::EvictFunction => {}
             }
         }
     }
 
-    pub(super) fn lose(&mut self, now: Time) {
-        self.note_lost(now);
+    pub(super) fn settle_failures(&mut self, now: Time) {
+        self.record_failures(now);
         self.settle(now);
     }
 }
 
-pub(super) fn without_answer(id: AttemptId, outcome: Outcome, took: Time) -> AttemptResult {
+pub(super) fn unanswered(id: AttemptId, outcome: Outcome, took: Time) -> AttemptResult {
     AttemptResult {
         id,
         outcome,
--- a/crates/pipithub-node/src/staleness.rs
+++ b/crates/pipithub-node/src/idle_timeout.rs
@@ -7,50 +7,51 @@
 use pipithub_engine::Time;
 
 /// Lengths of idle time are told apart by powers of two of this, in nanoseconds.
-const UNIT: Time = 1_000_000;
+const BUCKET_UNIT: Time = 1_000_000;
 /// Their number; the last holds all that is longer.
-const STEPS: usize = 18;
+const BUCKETS: usize = 18;
 /// So many breaks, and this share of the uses, make a length of idle time too long.
-const BREAKS: f64 = 1.5;
-const SHARE: f64 = 0.1;
+const MIN_BREAKS: f64 = 1.5;
+const MIN_BREAK_RATIO: f64 = 0.1;
 /// What was seen counts half after this time: whatever stood in the way may be gone.
-const HALF: Time = 20_000_000_000;
+const HALF_LIFE: Time = 20_000_000_000;
 
 /// What became of connections that were used again, by how long they had been idle.
 #[derive(Clone, Debug, Default)]
-pub struct Staleness {
-    used: [f64; STEPS],
-    broke: [f64; STEPS],
-    faded: Time,
+pub struct IdleTimeout {
+    uses: [f64; BUCKETS],
+    breaks: [f64; BUCKETS],
+    decayed_at: Time,
 }
 
-fn step(idle: Time) -> usize {
-    let units = idle / UNIT;
-    ((Time::BITS - units.leading_zeros()) as usize).min(STEPS - 1)
+fn bucket(idle: Time) -> usize {
+    let units = idle / BUCKET_UNIT;
+    ((Time::BITS - units.leading_zeros()) as usize).min(BUCKETS - 1)
 }
 
-impl Staleness {
+impl IdleTimeout {
     /// A connection that had been idle for so long was used, and broke or not before any answer.
-    pub fn learn(&mut self, now: Time, idle: Time, broke: bool) {
-        if now >= self.faded + HALF {
-            let halves = (now - self.faded) / HALF;
+    pub fn record_use(&mut self, now: Time, idle: Time, broke: bool) {
+        if now >= self.decayed_at + HALF_LIFE {
+            let halves = (now - self.decayed_at) / HALF_LIFE;
             let left = 0.5f64.powi(halves.min(60) as i32);
-            self.used
+            self.uses
                 .iter_mut()
-                .chain(&mut self.broke)
+                .chain(&mut self.breaks)
                 .for_each(|n| *n *= left);
-            self.faded = now;
+            self.decayed_at = now;
         }
-        let at = step(idle);
-        self.used[at] += 1.0;
-        self.broke[at] += f64::from(u8::from(broke));
+        let at = bucket(idle);
+        self.uses[at] += 1.0;
+        self.breaks[at] += f64::from(u8::from(broke));
     }
 
     /// Connections that are idle for this long or longer must not be used again; `None`: any may.
     pub fn limit(&self) -> Option<Time> {
         // What breaks after some time breaks after a longer one too, seen or not.
-        let at = (0..STEPS)
-            .find(|&i| self.broke[i] >= BREAKS && self.broke[i] >= SHARE * self.used[i])?;
-        Some(if at == 0 { 0 } else { UNIT << (at - 1) })
+        let at = (0..BUCKETS).find(|&i| {
+            self.breaks[i] >= MIN_BREAKS && self.breaks[i] >= MIN_BREAK_RATIO * self.uses[i]
+        })?;
+        Some(if at == 0 { 0 } else { BUCKET_UNIT << (at - 1) })
     }
 }
--- a/crates/pipithub-node/src/lib.rs
+++ b/crates/pipithub-node/src/lib.rs
@@ -1,16 +1,16 @@
 //! The platform's front end: clients over JSON-RPC, workers over lines, the coordinator over server-sent events.
 //!
 //! [`core`] is the whole front end without sockets, clock or threads: bytes and time go in, effects come out. It holds the
-//! engine, the clients ([`desk`]) and the connections to workers ([`worker_pool`]). [`shell`] is a thin layer on tokio, on one
+//! engine, the clients ([`client_sessions`]) and the connections to workers ([`worker_pool`]). [`shell`] is a thin layer on tokio, on one
 //! thread, that moves bytes and time; [`coordinator`] follows the worker list. Where a call runs, and whether, is
 //! decided by the module alone; what is bounded here are the front end's own resources.
 
+pub mod client_sessions;
 pub mod coordinator;
 pub mod core;
-pub mod desk;
 pub mod effect;
+pub mod idle_timeout;
 pub mod shell;
 pub mod sockets;
-pub mod staleness;
 pub mod start_times;
 pub mod worker_pool;
--- a/crates/pipithub-node/src/shell.rs
+++ b/crates/pipithub-node/src/shell.rs
@@ -27,14 +27,14 @@
 use crate::sockets::{self, ConnectError, LocalFaults};
 
 /// What is read at a time: more than a usual client sends in one breath, so that its close behind that is seen with it.
-const READ: usize = 64 << 10;
+const READ_BUFFER_BYTES: usize = 64 << 10;
 /// A buffer that has grown beyond this is let go once it is empty.
-const KEPT: usize = 16 << 10;
+const MAX_IDLE_BUFFER: usize = 16 << 10;
 /// Connections of clients that may linger so at a time, beyond those that clients may have; newcomers beyond both, for
 /// which others are about to be closed; and connections to workers that are about to be. All are among the descriptors
 /// that the core keeps free; the process itself needs twelve of these.
-const LINGERING_MOST: usize = 6;
-const CLOSING_MOST: usize = 3;
+const MAX_LINGERING: usize = 6;
+const MAX_CLOSING: usize = 3;
 
 /// The core and its sockets.
 struct Shell {
@@ -45,49 +45,50 @@
     lingering: Cell<usize>,
     local_faults: LocalFaults,
     /// The process is about to end: nothing more is accepted.
-    ending: Cell<bool>,
+    shutting_down: Cell<bool>,
     /// When something was last read from a client or written to one, or a client came.
-    active: Cell<Time>,
+    last_client_activity: Cell<Time>,
     /// Connections to workers on which was written, and clients to be closed unless they have just asked for something.
-    touched: RefCell<Vec<ConnectionId>>,
-    retiring: RefCell<Vec<ConnectionId>>,
+    written_workers: RefCell<Vec<ConnectionId>>,
+    closing_clients: RefCell<Vec<ConnectionId>>,
     clock: Clock,
-    scratch: RefCell<Vec<u8>>,
+    read_buffer: RefCell<Vec<u8>>,
     /// When the timer is set to go off, and how to set it anew.
-    armed: Cell<Time>,
-    rearm: Notify,
+    timer_due: Cell<Time>,
+    timer_changed: Notify,
 }
 
 impl Shell {
     /// Lets the core take something in and does what comes of it.
-    fn with(self: &Rc<Self>, act: impl FnOnce(&mut Core, Time)) {
+    fn update_core(self: &Rc<Self>, act: impl FnOnce(&mut Core, Time)) {
         let now = self.clock.now();
         let mut effects = Vec::new();
         act(&mut self.core.borrow_mut(), now);
         loop {
             self.core.borrow_mut().take_effects(&mut effects);
             for effect in effects.drain(..) {
-                self.carry_out(effect);
+                self.execute(effect);
             }
             // Only now is the buffers' state one that the core can reckon with.
-            let (touched, retiring) = (self.touched.take(), self.retiring.take());
-            if touched.is_empty() && retiring.is_empty() {
+            let (written_workers, closing_clients) =
+                (self.written_workers.take(), self.closing_clients.take());
+            if written_workers.is_empty() && closing_clients.is_empty() {
                 break;
             }
-            for connection in touched {
-                self.tell_blocked(now, connection);
+            for connection in written_workers {
+                self.report_blocked(now, connection);
             }
-            for connection in retiring {
-                self.retire(now, connection);
+            for connection in closing_clients {
+                self.close_client_if_idle(now, connection);
             }
         }
-        if self.core.borrow().next_due() < self.armed.get() {
-            self.rearm.notify_one();
+        if self.core.borrow().next_due() < self.timer_due.get() {
+            self.timer_changed.notify_one();
         }
     }
 
     /// Tells the core how far the system has taken what is written to a worker that does not read.
-    fn tell_blocked(&self, now: Time, connection: ConnectionId) {
+    fn report_blocked(&self, now: Time, connection: ConnectionId) {
         let Some(socket) = self.sockets.borrow().get(&connection).cloned() else {
             return;
         };
@@ -99,7 +100,7 @@
         }
     }
 
-    fn carry_out(self: &Rc<Self>, effect: Effect) {
+    fn execute(self: &Rc<Self>, effect: Effect) {
         match effect {
             Effect::Write { connection, bytes } => {
                 if let Some(socket) = self.sockets.borrow().get(&connection) {
@@ -108,9 +109,9 @@
                             // Whatever is written now would be lost, and nobody could say whether it ran.
                             socket.broken.set(true);
                         }
-                        self.touched.borrow_mut().push(connection);
+                        self.written_workers.borrow_mut().push(connection);
                     } else {
-                        self.active.set(self.clock.now());
+                        self.last_client_activity.set(self.clock.now());
                     }
                     socket.write(&bytes);
                 }
@@ -121,11 +122,11 @@
                 length,
             } => {
                 if let Some(socket) = self.sockets.borrow().get(&connection) {
-                    socket.unwrite(offset, length);
-                    self.touched.borrow_mut().push(connection);
+                    socket.cancel_write(offset, length);
+                    self.written_workers.borrow_mut().push(connection);
                 }
             }
-            Effect::Retire { connection } => self.retiring.borrow_mut().push(connection),
+            Effect::Retire { connection } => self.closing_clients.borrow_mut().push(connection),
             Effect::Close { connection } => {
                 if let Some(socket) = self.sockets.borrow_mut().remove(&connection) {
                     socket.closing.set(true);
@@ -140,9 +141,9 @@
                 let shell = self.clone();
                 tokio::task::spawn_local(async move {
                     let within = Duration::from_nanos(within);
-                    let most = shell.core.borrow().max_worker_connections() + CLOSING_MOST;
+                    let most = shell.core.borrow().max_worker_connections() + MAX_CLOSING;
                     let dial = async |dialled: &Cell<bool>| {
-                        shell.workers.below(most).await;
+                        shell.workers.wait_below(most).await;
                         dialled.set(true);
                         let slot = shell.workers.take();
                         TcpStream::connect(&*address)
@@ -156,13 +157,13 @@
                                 .sockets
                                 .borrow_mut()
                                 .insert(connection, socket.clone());
-                            shell.with(|core, now| core.worker_connected(now, connection));
-                            shell.pump(connection, socket).await;
+                            shell.update_core(|core, now| core.worker_connected(now, connection));
+                            shell.serve_connection(connection, socket).await;
                         }
                         Err(error) => {
                             debug!(connection, %error, "cannot connect");
                             let own = matches!(error, ConnectError::Local);
-                            shell.with(|core, now| core.worker_failed(now, connection, own));
+                            shell.update_core(|core, now| core.worker_failed(now, connection, own));
                         }
                     }
                 });
--- a/crates/pipithub-node/src/shell/connection.rs
+++ b/crates/pipithub-node/src/shell/connection.rs
@@ -10,14 +10,14 @@
 use tokio::io::Interest;
 
 use super::socket::{Side, Socket};
-use super::{KEPT, LINGERING_MOST, READ, Shell};
+use super::{MAX_IDLE_BUFFER, MAX_LINGERING, READ_BUFFER_BYTES, Shell};
 use crate::effect::ConnectionId;
 use crate::sockets::{self, LOCAL_RETRY, TransferEnd};
 
 /// How often a client whose connection is to be closed is read once more: all that it may have open, and some more.
-const LAST_READS: usize = 16;
+const MAX_FINAL_READS: usize = 16;
 /// How long a client whose connection is closed may take to read its last answers: some round trips of a slow network.
-const LINGER: Duration = Duration::from_millis(250);
+const LINGER_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// What became of reading a connection.
 enum Progress {
@@ -31,14 +31,14 @@
 
 impl Shell {
     /// Closes a client's connection, unless a request has come on it in this very moment.
-    pub(super) fn retire(&self, now: Time, connection: ConnectionId) {
+    pub(super) fn close_client_if_idle(&self, now: Time, connection: ConnectionId) {
         let Some(socket) = self.sockets.borrow().get(&connection).cloned() else {
             return;
         };
-        let (mut bytes, mut core) = (vec![0; READ], self.core.borrow_mut());
+        let (mut bytes, mut core) = (vec![0; READ_BUFFER_BYTES], self.core.borrow_mut());
         // From the system itself: the poller may not have told of the last bytes yet.
         let system = SockRef::from(&socket.stream);
-        for _ in 0..LAST_READS {
+        for _ in 0..MAX_FINAL_READS {
             let (count, end) = sockets::read_now(&mut bytes, |buffer| (&*system).read(buffer));
             if socket.peer_closed() || end == TransferEnd::Ended {
                 // Nobody waits for what it asked.
@@ -53,13 +53,17 @@
     }
 
     /// Moves the bytes of one connection until it ends.
-    pub(super) async fn pump(self: &Rc<Self>, connection: ConnectionId, socket: Rc<Socket>) {
+    pub(super) async fn serve_connection(
+        self: &Rc<Self>,
+        connection: ConnectionId,
+        socket: Rc<Socket>,
+    ) {
         loop {
             let empty = socket.unwritten.borrow().is_empty();
             if socket.closing.get() || socket.broken.get() {
                 break;
             }
-            self.rest(&socket).await;
+            self.wait_for_local_resources(&socket).await;
             let interest = if empty {
                 Interest::READABLE
             } else {
@@ -81,25 +85,25 @@
             if ready.is_writable() && !empty {
                 socket.flush(&mut socket.unwritten.borrow_mut());
                 if socket.side == Side::Worker {
-                    self.with(|_, _| self.touched.borrow_mut().push(connection));
+                    self.update_core(|_, _| self.written_workers.borrow_mut().push(connection));
                 } else {
-                    self.active.set(self.clock.now());
+                    self.last_client_activity.set(self.clock.now());
                 }
             }
         }
         if socket.closing.get() {
             // The core has let go of it.
             let told = socket.written.get() > 0 || !socket.unwritten.borrow().is_empty();
-            let room = self.ending.get() || self.lingering.get() < LINGERING_MOST;
+            let room = self.shutting_down.get() || self.lingering.get() < MAX_LINGERING;
             if socket.side == Side::Client && told && room {
                 self.lingering.set(self.lingering.get() + 1);
-                let _ = tokio::time::timeout(LINGER, self.linger(&socket)).await;
+                let _ = tokio::time::timeout(LINGER_TIMEOUT, self.linger(&socket)).await;
                 self.lingering.set(self.lingering.get() - 1);
             }
             return;
         }
         self.sockets.borrow_mut().remove(&connection);
-        self.with(|core, now| match socket.side {
+        self.update_core(|core, now| match socket.side {
             Side::Client => core.client_closed(now, connection),
             Side::Worker => core.worker_closed(now, connection, socket.written.get()),
         });
@@ -107,7 +111,7 @@
 
     /// Waits for a moment where this machine lacked something when a connection was last read or written: that is tried
     /// again, as whoever is at the other end is not to blame.
-    async fn rest(&self, socket: &Socket) {
+    async fn wait_for_local_resources(&self, socket: &Socket) {
         if socket.exhausted.take() {
             self.local_faults.note();
             tokio::time::sleep(LOCAL_RETRY).await;
@@ -118,7 +122,7 @@
     /// unread is a reset, which would destroy answers that the client has not read yet.
     async fn linger(&self, socket: &Socket) {
         while !socket.unwritten.borrow().is_empty() && !socket.broken.get() {
-            self.rest(socket).await;
+            self.wait_for_local_resources(socket).await;
             if socket.stream.writable().await.is_err() {
                 return;
             }
@@ -131,7 +135,7 @@
         {
             return;
         }
-        let mut waste = vec![0; KEPT];
+        let mut waste = vec![0; MAX_IDLE_BUFFER];
         while socket.stream.readable().await.is_ok() {
             match socket.stream.try_read(&mut waste) {
                 Ok(0) => return,
@@ -154,9 +158,9 @@
             // However much of what it sent before is still unread.
             return Progress::Ended;
         }
-        let mut scratch = self.scratch.borrow_mut();
+        let mut read_buffer = self.read_buffer.borrow_mut();
         let (filled, end) =
-            sockets::read_now(&mut scratch, |buffer| socket.stream.try_read(buffer));
+            sockets::read_now(&mut read_buffer, |buffer| socket.stream.try_read(buffer));
         if end == TransferEnd::Exhausted {
             socket.exhausted.set(true);
         }
@@ -168,13 +172,13 @@
         if filled == 0 {
             return Progress::Drained;
         }
-        let bytes = &scratch[..filled];
-        self.with(|core, now| match socket.side {
+        let bytes = &read_buffer[..filled];
+        self.update_core(|core, now| match socket.side {
             Side::Client => core.client_bytes(now, connection, bytes),
             Side::Worker => core.worker_bytes(now, connection, bytes),
         });
         if socket.side == Side::Client {
-            self.active.set(self.clock.now());
+            self.last_client_activity.set(self.clock.now());
         }
         if end == TransferEnd::Complete {
             Progress::More
--- a/crates/pipithub-node/src/shell/listener.rs
+++ b/crates/pipithub-node/src/shell/listener.rs
@@ -5,30 +5,32 @@
 use tokio::net::TcpListener;
 
 use super::socket::{Side, Socket};
-use super::{LINGERING_MOST, Shell};
+use super::{MAX_LINGERING, Shell};
 use crate::core::Core;
 use crate::sockets;
 
-const NEWCOMERS_MOST: usize = 3;
+const MAX_NEWCOMERS: usize = 3;
 
 impl Shell {
     pub(super) async fn accept(self: Rc<Self>, listener: TcpListener) {
-        let most = self.core.borrow().max_client_connections() + LINGERING_MOST + NEWCOMERS_MOST;
+        let most = self.core.borrow().max_client_connections() + MAX_LINGERING + MAX_NEWCOMERS;
         let accept = async || {
-            self.clients.below(most).await;
+            self.clients.wait_below(most).await;
             listener.accept().await
         };
         let take = |(stream, _)| {
             let connection = self.core.borrow_mut().next_connection_id();
             let socket = Socket::new(stream, Side::Client, self.clients.take());
-            self.active.set(self.clock.now());
+            self.last_client_activity.set(self.clock.now());
             self.sockets.borrow_mut().insert(connection, socket.clone());
-            self.with(|core, now| core.client_connected(now, connection));
+            self.update_core(|core, now| core.client_connected(now, connection));
             let shell = self.clone();
-            tokio::task::spawn_local(async move { shell.pump(connection, socket).await });
+            tokio::task::spawn_local(
+                async move { shell.serve_connection(connection, socket).await },
+            );
         };
         sockets::accept_all(accept, take, &self.local_faults).await;
         // Nobody reaches this process any more: what it has taken is finished, and it ends.
-        self.with(Core::begin_shutdown);
+        self.update_core(Core::begin_shutdown);
     }
 }
--- a/crates/pipithub-node/src/shell/reload.rs
+++ b/crates/pipithub-node/src/shell/reload.rs
@@ -10,8 +10,8 @@
 
 /// A configuration that cannot be read is looked at again after this, doubling, so often: somebody may be writing it. All
 /// of it lies within the 4 s after SIGHUP in which the new coordinator is to be followed.
-pub(super) const LOOK_AGAIN: Duration = Duration::from_millis(50);
-pub(super) const LOOKS_MOST: u32 = 6;
+pub(super) const RELOAD_BACKOFF: Duration = Duration::from_millis(50);
+pub(super) const MAX_RELOAD_RETRIES: u32 = 6;
 
 /// Waits until a time; for ever where there is none.
 pub(super) async fn at(time: Option<Instant>) {
--- a/crates/pipithub-node/src/shell/runtime.rs
+++ b/crates/pipithub-node/src/shell/runtime.rs
@@ -16,19 +16,19 @@
 use tokio::time::Instant;
 use tracing::{error, info};
 
-use super::reload::{LOOK_AGAIN, LOOKS_MOST, at, load};
+use super::reload::{MAX_RELOAD_RETRIES, RELOAD_BACKOFF, at, load};
 use super::slots::Slots;
 use super::socket::Side;
-use super::{READ, Shell};
+use super::{READ_BUFFER_BYTES, Shell};
 use crate::coordinator;
 use crate::core::Core;
 use crate::sockets::LocalFaults;
 
-const UNWRITTEN_PART: usize = 8;
+const UNWRITTEN_MEMORY_DIVISOR: usize = 8;
 /// Before it ends, the process must have seen nothing new on its sockets for so long: long beside a turn of the loop.
-const LAST_LOOK: Time = 20_000_000;
+const QUIET_TIME: Time = 20_000_000;
 /// How long clients may take at the most to close their connections once the process is about to end.
-const END: Duration = Duration::from_millis(15);
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(15);
 
 /// Why a front end could not start.
 #[derive(Debug, thiserror::Error)]
@@ -57,7 +57,7 @@
 impl Shell {
     /// Whether the process may end: all that was taken is answered and written, and for a while nothing new was seen on
     /// any socket, so that no request stands unread in the system.
-    fn over(&self) -> bool {
+    fn is_finished(&self) -> bool {
         let (now, core) = (self.clock.now(), self.core.borrow());
         let written = || {
             self.sockets
@@ -65,30 +65,31 @@
                 .values()
                 .all(|s| s.side == Side::Worker || s.unwritten.borrow().is_empty())
         };
-        let quiet = || now >= self.active.get() + LAST_LOOK && self.lingering.get() == 0;
+        let quiet =
+            || now >= self.last_client_activity.get() + QUIET_TIME && self.lingering.get() == 0;
         core.shutdown_overdue(now) || core.is_drained(now) && quiet() && written()
     }
 
     /// Answers what clients have sent by now and closes their connections, so that they read these answers and a clean
     /// end: the process's own end would reset each connection on which something stands unread.
-    async fn end(self: &Rc<Self>) {
-        self.ending.set(true);
-        self.with(|core, _| core.close_clients());
-        let _ = tokio::time::timeout(END, self.clients.below(1)).await;
+    async fn close_clients(self: &Rc<Self>) {
+        self.shutting_down.set(true);
+        self.update_core(|core, _| core.close_clients());
+        let _ = tokio::time::timeout(CLOSE_TIMEOUT, self.clients.wait_below(1)).await;
     }
 
     /// Tells the core that time has passed, until it is done.
-    async fn time(self: &Rc<Self>) {
+    async fn run_timer(self: &Rc<Self>) {
         loop {
             let due = self.core.borrow().next_due();
-            self.armed.set(due);
+            self.timer_due.set(due);
             tokio::select! {
                 () = self.clock.sleep_until(Some(due)) => {}
-                () = self.rearm.notified() => continue,
+                () = self.timer_changed.notified() => continue,
             }
-            self.armed.set(Time::MAX);
-            self.with(Core::tick);
-            if self.over() {
+            self.timer_due.set(Time::MAX);
+            self.update_core(Core::tick);
+            if self.is_finished() {
                 return;
             }
         }
@@ -156,24 +157,24 @@
             mut reload,
         } = self;
         let clock = Clock::unix();
-        let unwritten_most = ((config.memory_mb as usize) << 20) / UNWRITTEN_PART;
+        let max_unwritten = ((config.memory_mb as usize) << 20) / UNWRITTEN_MEMORY_DIVISOR;
         let core = Rc::new(RefCell::new(Core::new(clock.now(), &config)));
         share(core.clone());
         let shell = Rc::new(Shell {
             core,
             sockets: RefCell::default(),
-            clients: Slots::new(unwritten_most),
-            workers: Slots::new(unwritten_most),
+            clients: Slots::new(max_unwritten),
+            workers: Slots::new(max_unwritten),
             lingering: Cell::new(0),
             local_faults: LocalFaults::default(),
-            ending: Cell::new(false),
-            active: Cell::new(clock.now()),
-            touched: RefCell::default(),
-            retiring: RefCell::default(),
+            shutting_down: Cell::new(false),
+            last_client_activity: Cell::new(clock.now()),
+            written_workers: RefCell::default(),
+            closing_clients: RefCell::default(),
             clock,
-            scratch: RefCell::new(vec![0; READ]),
-            armed: Cell::new(Time::MAX),
-            rearm: Notify::new(),
+            read_buffer: RefCell::new(vec![0; READ_BUFFER_BYTES]),
+            timer_due: Cell::new(Time::MAX),
+            timer_changed: Notify::new(),
         });
         let last = config.known.last().map_or(0, |e| e.index);
         let (coordinator, followed) = watch::channel(config.coordinator.clone());
@@ -185,7 +186,7 @@
             names,
             config.seed,
             move |event| {
-                told.with(|core, now| core.update_endpoints_at(now, wall_ns(), &event));
+                told.update_core(|core, now| core.update_endpoints_at(now, wall_ns(), &event));
             },
         ));
         let address = listener
@@ -198,15 +199,15 @@
             coordinator = config.coordinator,
             "front end up"
         );
-        let over = shell.time();
+        let over = shell.run_timer();
         tokio::pin!(over);
         // How often a configuration that could not be read was looked at, and when to look again.
         let (mut looks, mut again) = (0, None);
         loop {
             let look = tokio::select! {
                 () = &mut over => break,
-                _ = terminate.recv() => { shell.with(Core::begin_shutdown); false }
-                _ = interrupt.recv() => { shell.with(Core::begin_shutdown); false }
+                _ = terminate.recv() => { shell.update_core(Core::begin_shutdown); false }
+                _ = interrupt.recv() => { shell.update_core(Core::begin_shutdown); false }
                 _ = reload.recv() => { looks = 0; true }
                 () = at(again) => true,
             };
@@ -226,15 +227,15 @@
                 }
                 Err(reason) => {
                     error!(%reason, looks, "previous configuration stays in force");
-                    if looks < LOOKS_MOST {
-                        again = Some(Instant::now() + LOOK_AGAIN * 2u32.pow(looks));
+                    if looks < MAX_RELOAD_RETRIES {
+                        again = Some(Instant::now() + RELOAD_BACKOFF * 2u32.pow(looks));
                         looks += 1;
                     }
                 }
             }
         }
         accepting.abort();
-        shell.end().await;
+        shell.close_clients().await;
         let (stats, open) = (
             shell.core.borrow().stats(),
             shell.core.borrow().pending_requests(),
--- a/crates/pipithub-node/src/shell/slots.rs
+++ b/crates/pipithub-node/src/shell/slots.rs
@@ -12,16 +12,16 @@
     pub(super) freed: Notify,
     /// Bytes that wait to be written on all of them, and the most.
     pub(super) unwritten: Cell<usize>,
-    pub(super) unwritten_most: usize,
+    pub(super) max_unwritten: usize,
 }
 
 /// One of them.
 pub(super) struct Slot(pub(super) Rc<Slots>);
 
 impl Slots {
-    pub(super) fn new(unwritten_most: usize) -> Rc<Self> {
+    pub(super) fn new(max_unwritten: usize) -> Rc<Self> {
         Rc::new(Slots {
-            unwritten_most,
+            max_unwritten,
             ..Slots::default()
         })
     }
@@ -32,7 +32,7 @@
     }
 
     /// Waits until fewer than so many are in use.
-    pub(super) async fn below(&self, most: usize) {
+    pub(super) async fn wait_below(&self, most: usize) {
         while self.used.get() >= most {
             self.freed.notified().await;
         }
--- a/crates/pipithub-node/src/shell/socket.rs
+++ b/crates/pipithub-node/src/shell/socket.rs
@@ -10,13 +10,13 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-use super::KEPT;
+use super::MAX_IDLE_BUFFER;
 use super::slots::Slot;
 use crate::sockets::{self, TransferEnd};
 
-/// The most that waits to be written on a connection: who does not read is cut off. So is who has more than [`KEPT`]
+/// The most that waits to be written on a connection: who does not read is cut off. So is who has more than [`MAX_IDLE_BUFFER`]
 /// waiting while all together have more than this part of the memory: many that do not read must not fill it.
-const UNWRITTEN_MOST: usize = 1 << 20;
+const MAX_UNWRITTEN: usize = 1 << 20;
 
 /// Which side a connection is of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,7 +78,7 @@
     }
 
     /// Takes back bytes that the system has not taken, counted from the first ever written.
-    pub(super) fn unwrite(&self, at: u64, len: u64) {
+    pub(super) fn cancel_write(&self, at: u64, len: u64) {
         let mut unwritten = self.unwritten.borrow_mut();
         let (Some(at), len) = (at.checked_sub(self.written.get()), len as usize) else {
             return;
@@ -105,9 +105,9 @@
         if first {
             self.flush(&mut unwritten);
         }
-        let crowded =
-            self.slot.0.unwritten.get() > self.slot.0.unwritten_most && unwritten.len() > KEPT;
-        if crowded || unwritten.len() > UNWRITTEN_MOST {
+        let crowded = self.slot.0.unwritten.get() > self.slot.0.max_unwritten
+            && unwritten.len() > MAX_IDLE_BUFFER;
+        if crowded || unwritten.len() > MAX_UNWRITTEN {
             self.broken.set(true);
         }
         if !unwritten.is_empty() || self.broken.get() {
@@ -131,7 +131,7 @@
             TransferEnd::Exhausted => self.exhausted.set(true),
             TransferEnd::Ended => self.broken.set(true),
         }
-        if unwritten.is_empty() && unwritten.capacity() > KEPT {
+        if unwritten.is_empty() && unwritten.capacity() > MAX_IDLE_BUFFER {
             *unwritten = BytesMut::new();
         }
     }
--- a/crates/pipithub-node/src/start_times.rs
+++ b/crates/pipithub-node/src/start_times.rs
@@ -41,7 +41,7 @@
     }
 
     /// Forgets all workers but these.
-    pub fn keep_only(&mut self, holds: impl Fn(&WorkerId) -> bool) {
+    pub fn retain_workers(&mut self, holds: impl Fn(&WorkerId) -> bool) {
         self.starts.retain(|worker, _| holds(worker));
     }
 }
--- a/crates/pipithub-node/src/worker_pool.rs
+++ b/crates/pipithub-node/src/worker_pool.rs
@@ -10,7 +10,7 @@
 mod selection;
 mod sweep;
 
-pub use self::request::{Job, Lost, Request, Task};
+pub use self::request::{Payload, RequestKind, SendFailure, WorkerRequest};
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -19,65 +19,65 @@
 use pipithub_platform::line::LineFramer;
 use tracing::debug;
 
-use self::connection::{Carried, Link};
+use self::connection::{Connection, InFlight};
 use crate::effect::{ConnectionId, Effect};
-use crate::staleness::Staleness;
+use crate::idle_timeout::IdleTimeout;
 
-/// The most jobs to wait for a connection to one worker.
-const WAITING_MOST: usize = 256;
+/// The most requests to wait for a connection to one worker.
+const MAX_WAITING: usize = 256;
 
 #[derive(Debug, Default)]
-struct Peer {
+struct WorkerConnections {
     address: String,
-    gone: bool,
-    links: Vec<ConnectionId>,
-    waiting: VecDeque<Job>,
+    removed: bool,
+    connections: Vec<ConnectionId>,
+    waiting: VecDeque<WorkerRequest>,
 }
 
 /// All connections to workers.
 #[derive(Debug)]
-pub struct Pool {
-    most: usize,
-    streams: usize,
+pub struct WorkerPool {
+    max_connections: usize,
+    max_requests_per_connection: usize,
     connect_timeout: Time,
     idle_close: Time,
     /// Workers may be told to give a run up.
     cancel: bool,
-    peers: BTreeMap<WorkerId, Peer>,
-    /// How many peers are not gone: nothing on the way of a call, and no sweep, may go through all of them.
-    live: usize,
-    /// Peers with jobs that may wait, and those that are gone: all that a sweep looks at.
+    workers: BTreeMap<WorkerId, WorkerConnections>,
+    /// How many workers are not gone: nothing on the way of a call, and no sweep, may go through all of them.
+    listed: usize,
+    /// Workers with requests that may wait, and those that are gone: all that a sweep looks at.
     watched: BTreeSet<WorkerId>,
-    links: BTreeMap<ConnectionId, Link>,
+    connections: BTreeMap<ConnectionId, Connection>,
     next: ConnectionId,
     effects: Vec<Effect>,
-    lost: Vec<(WorkerId, Job, Lost)>,
-    staleness: Staleness,
+    failures: Vec<(WorkerId, WorkerRequest, SendFailure)>,
+    idle_timeout: IdleTimeout,
 }
 
-impl Pool {
-    /// At most so many connections, each carrying so many jobs. `cancel`: workers may be told to give a run up.
+impl WorkerPool {
+    /// At most so many connections, each carrying so many requests. `cancel`: workers may be told to give a run up.
     pub fn new(
-        most: usize,
-        streams: usize,
+        max_connections: usize,
+        max_requests_per_connection: usize,
         connect_timeout: Time,
         idle_close: Time,
         cancel: bool,
     ) -> Self {
-        Pool {
-            most: most.max(1),
-            streams: streams.max(1),
+        WorkerPool {
+            max_connections: max_connections.max(1),
+            max_requests_per_connection: max_requests_per_connection.max(1),
             connect_timeout,
             idle_close,
             cancel,
-            peers: BTreeMap::new(),
-            live: 0,
+            workers: BTreeMap::new(),
+            listed: 0,
             watched: BTreeSet::new(),
-            links: BTreeMap::new(),
+            connections: BTreeMap::new(),
             next: 1,
             effects: Vec::new(),
-            lost: Vec::new(),
-            staleness: Staleness::default(),
+            failures: Vec::new(),
+            idle_timeout: IdleTimeout::default(),
         }
     }
 
@@ -92,156 +92,162 @@
         effects.append(&mut self.effects);
     }
 
-    /// Jobs that ended without an answer since this was asked last; their ends are owed.
-    pub fn lost(&mut self) -> Vec<(WorkerId, Job, Lost)> {
-        std::mem::take(&mut self.lost)
+    /// Requests that ended without an answer since this was asked last; their ends are owed.
+    pub fn take_failures(&mut self) -> Vec<(WorkerId, WorkerRequest, SendFailure)> {
+        std::mem::take(&mut self.failures)
     }
 
     /// Connections, those under way included.
     pub fn len(&self) -> usize {
-        self.links.len()
+        self.connections.len()
     }
 
     /// Connections that there may be, those under way included.
-    pub fn most(&self) -> usize {
-        self.most
+    pub fn max_connections(&self) -> usize {
+        self.max_connections
     }
 
-    /// How many workers a sweep looks at: those with jobs that may wait, and those that are gone.
+    /// How many workers a sweep looks at: those with requests that may wait, and those that are gone.
     pub fn watched(&self) -> usize {
         self.watched.len()
     }
 
     /// Whether there is none.
     pub fn is_empty(&self) -> bool {
-        self.links.is_empty()
+        self.connections.is_empty()
     }
 
     /// Notes where a worker is to be found, or that it is gone.
-    pub fn place(&mut self, worker: &WorkerId, address: &str, gone: bool) {
-        let new = || Peer {
-            gone: true,
-            ..Peer::default()
+    pub fn set_address(&mut self, worker: &WorkerId, address: &str, gone: bool) {
+        let new = || WorkerConnections {
+            removed: true,
+            ..WorkerConnections::default()
         };
-        let peer = self.peers.entry(worker.clone()).or_insert_with(new);
+        let entry = self.workers.entry(worker.clone()).or_insert_with(new);
         if !address.is_empty() {
-            peer.address = address.to_string();
+            entry.address = address.to_string();
         }
-        self.set_gone(worker, gone);
+        self.set_removed(worker, gone);
     }
 
-    fn set_gone(&mut self, worker: &WorkerId, gone: bool) {
-        let Some(peer) = self.peers.get_mut(worker) else {
+    fn set_removed(&mut self, worker: &WorkerId, gone: bool) {
+        let Some(entry) = self.workers.get_mut(worker) else {
             return;
         };
-        self.live -= usize::from(!peer.gone);
-        self.live += usize::from(!gone);
-        peer.gone = gone;
+        self.listed -= usize::from(!entry.removed);
+        self.listed += usize::from(!gone);
+        entry.removed = gone;
         if gone {
             self.watched.insert(worker.clone());
         }
     }
 
     /// Notes that all workers but these are gone.
-    pub fn keep_only(&mut self, named: &BTreeSet<&WorkerId>) {
+    pub fn retain_workers(&mut self, named: &BTreeSet<&WorkerId>) {
         let lost: Vec<WorkerId> = self
-            .peers
+            .workers
             .keys()
             .filter(|w| !named.contains(w))
             .cloned()
             .collect();
-        lost.iter().for_each(|worker| self.set_gone(worker, true));
+        lost.iter()
+            .for_each(|worker| self.set_removed(worker, true));
     }
 
-    /// Takes a job for a worker; a job that cannot be sent is lost at once.
-    pub fn ask(&mut self, now: Time, worker: &WorkerId, job: Job) {
-        match self.peers.get_mut(worker) {
-            Some(peer) if !peer.address.is_empty() && peer.waiting.len() < WAITING_MOST => {
-                peer.waiting.push_back(job);
+    /// Takes a request for a worker; a request that cannot be sent is lost at once.
+    pub fn submit(&mut self, now: Time, worker: &WorkerId, request: WorkerRequest) {
+        match self.workers.get_mut(worker) {
+            Some(entry) if !entry.address.is_empty() && entry.waiting.len() < MAX_WAITING => {
+                entry.waiting.push_back(request);
                 self.watched.insert(worker.clone());
                 self.dispatch(now, worker);
             }
-            _ => self.lost.push((worker.clone(), job, Lost::NotSent)),
+            _ => self
+                .failures
+                .push((worker.clone(), request, SendFailure::Unreachable)),
         }
     }
 
-    /// Puts waiting jobs on connections, and asks for new connections.
+    /// Puts waiting requests on connections, and asks for new connections.
     fn dispatch(&mut self, now: Time, worker: &WorkerId) {
-        while let Some(id) = self.connection(now, worker) {
-            let Some(job) = self
-                .peers
+        while let Some(id) = self.select_connection(now, worker) {
+            let Some(request) = self
+                .workers
                 .get_mut(worker)
                 .and_then(|p| p.waiting.pop_front())
             else {
                 return;
             };
-            let Some(line) = job.line(now) else {
+            let Some(line) = request.line(now) else {
                 // Its time ran out between two sweeps: nobody waits for it.
-                self.lost.push((worker.clone(), job, Lost::NotSent));
+                self.failures
+                    .push((worker.clone(), request, SendFailure::Unreachable));
                 continue;
             };
-            let Some(link) = self.links.get_mut(&id) else {
+            let Some(connection) = self.connections.get_mut(&id) else {
                 return;
             };
-            let idle = now.saturating_sub(link.used);
+            let idle = now.saturating_sub(connection.last_used);
             debug!(
                 connection = id,
-                reference = job.reference,
+                reference = request.reference,
                 worker = &*worker.0,
-                uses = link.uses,
+                uses = connection.uses,
                 idle_us = idle / 1000,
-                beside = link.carried.len(),
+                beside = connection.in_flight.len(),
                 "written"
             );
-            let idle = (link.uses > 0 && link.carried.is_empty()).then_some(idle);
-            let begins_at = link.queued;
-            link.queued += line.len() as u64;
-            (link.uses, link.used) = (link.uses + 1, now);
+            let idle = (connection.uses > 0 && connection.in_flight.is_empty()).then_some(idle);
+            let start_offset = connection.queued_bytes;
+            connection.queued_bytes += line.len() as u64;
+            (connection.uses, connection.last_used) = (connection.uses + 1, now);
             self.effects.push(Effect::Write {
                 connection: id,
                 bytes: line,
             });
-            if job.task != Task::Drop {
-                let (whole_at, queued_at) = (link.queued, now);
-                let carried = Carried {
-                    job,
-                    begins_at,
-                    whole_at,
+            if request.kind != RequestKind::EvictFunction {
+                let (end_offset, queued_at) = (connection.queued_bytes, now);
+                let in_flight = InFlight {
+                    request,
+                    start_offset,
+                    end_offset,
                     queued_at,
                     idle,
                 };
-                link.carried.insert(carried.job.reference.clone(), carried);
+                connection
+                    .in_flight
+                    .insert(in_flight.request.reference.clone(), in_flight);
             }
         }
     }
 
     /// A connection is up.
-    pub fn up(&mut self, now: Time, id: ConnectionId) {
-        let Some(link) = self.links.get_mut(&id) else {
+    pub fn connected(&mut self, now: Time, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(&id) else {
             // Given up meanwhile.
             return self.effects.push(Effect::Close { connection: id });
         };
-        (link.up, link.used) = (true, now);
-        let worker = link.worker.clone();
+        (connection.established, connection.last_used) = (true, now);
+        let worker = connection.worker.clone();
         self.dispatch(now, &worker);
     }
 
     /// The worker behind a connection does not read, or reads again: the bytes that the system has taken so far. Meanwhile
     /// nothing more is put on it.
-    pub fn blocked(&mut self, now: Time, id: ConnectionId, written: Option<u64>) {
-        let Some(link) = self.links.get_mut(&id) else {
+    pub fn set_blocked(&mut self, now: Time, id: ConnectionId, written: Option<u64>) {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        let clear = link.blocked.is_some() && written.is_none();
-        link.blocked = written;
+        let clear = connection.blocked.is_some() && written.is_none();
+        connection.blocked = written;
         if clear {
-            let worker = link.worker.clone();
+            let worker = connection.worker.clone();
             self.dispatch(now, &worker);
         }
     }
 
     /// The framer of a connection.
     pub fn framer(&mut self, id: ConnectionId) -> Option<&mut LineFramer> {
-        self.links.get_mut(&id).map(|l| &mut l.framer)
+        self.connections.get_mut(&id).map(|l| &mut l.framer)
     }
 }
--- a/crates/pipithub-node/src/worker_pool/connection.rs
+++ b/crates/pipithub-node/src/worker_pool/connection.rs
@@ -7,19 +7,19 @@
 use pipithub_platform::line::LineFramer;
 use pipithub_platform::worker::{LINE_MOST, undo};
 
-use super::request::{Job, Task};
+use super::request::{RequestKind, WorkerRequest};
 use crate::effect::{ConnectionId, Effect};
 
 /// Names that a connection remembers as used. Second answers come within moments, so few suffice.
-const SPENT_MOST: usize = 16;
+const MAX_RECENT_REFERENCES: usize = 16;
 
 #[derive(Debug)]
-pub(super) struct Carried {
-    pub(super) job: Job,
+pub(super) struct InFlight {
+    pub(super) request: WorkerRequest,
     /// Where its line begins, in bytes from the connection's first.
-    pub(super) begins_at: u64,
-    /// Bytes that must have been written on the connection for the job to have arrived whole.
-    pub(super) whole_at: u64,
+    pub(super) start_offset: u64,
+    /// Bytes that must have been written on the connection for the request to have arrived whole.
+    pub(super) end_offset: u64,
     /// When its line was made.
     pub(super) queued_at: Time,
     /// For how long the connection had been idle; `None` where it was new or carried others.
@@ -34,55 +34,55 @@
     Whole,
 }
 
-/// A job that was given up.
-pub(super) struct GivenUp {
-    pub(super) job: Job,
+/// A request that was given up.
+pub(super) struct Withdrawn {
+    pub(super) request: WorkerRequest,
     /// It is certain that it did not arrive whole.
     pub(super) unsent: bool,
-    /// Jobs whose lines could not stay behind it; they have not left either.
-    pub(super) behind: Vec<Job>,
+    /// Requests whose lines could not stay behind it; they have not left either.
+    pub(super) displaced: Vec<WorkerRequest>,
 }
 
 #[derive(Debug)]
-pub(super) struct Link {
+pub(super) struct Connection {
     pub(super) worker: WorkerId,
     pub(super) address: String,
-    pub(super) up: bool,
+    pub(super) established: bool,
     pub(super) framer: LineFramer,
-    pub(super) carried: BTreeMap<String, Carried>,
+    pub(super) in_flight: BTreeMap<String, InFlight>,
     /// Attempts that it carried lately: an answer may come twice, the second time under a name that is in use again.
-    pub(super) spent: VecDeque<String>,
+    pub(super) recent_references: VecDeque<String>,
     /// Bytes handed to the shell so far.
-    pub(super) queued: u64,
+    pub(super) queued_bytes: u64,
     /// The worker does not read: the bytes that the system has taken so far.
     pub(super) blocked: Option<u64>,
     /// It ends in half a line, which must not become whole: nothing more is written on it, and it is closed once it
     /// carries nothing.
     pub(super) sealed: bool,
-    /// Jobs that it has carried so far.
+    /// Requests that it has carried so far.
     pub(super) uses: u64,
-    pub(super) used: Time,
+    pub(super) last_used: Time,
 }
 
-impl Link {
+impl Connection {
     /// One that is on its way.
     pub(super) fn new(worker: &WorkerId, address: &str, now: Time) -> Self {
-        Link {
+        Connection {
             worker: worker.clone(),
             address: address.to_string(),
-            up: false,
+            established: false,
             framer: LineFramer::new(LINE_MOST),
-            carried: BTreeMap::new(),
-            spent: VecDeque::new(),
-            queued: 0,
+            in_flight: BTreeMap::new(),
+            recent_references: VecDeque::new(),
+            queued_bytes: 0,
             blocked: None,
             sealed: false,
             uses: 0,
-            used: now,
+            last_used: now,
         }
     }
 
-    /// Takes out a job of which the answer is not waited for any more. One that has not left whole is taken back: an UNDO
+    /// Takes out a request of which the answer is not waited for any more. One that has not left whole is taken back: an UNDO
     /// behind it would not keep it from beginning once the worker reads again. Otherwise the worker is told to give a run
     /// up, where the settings let us.
     pub(super) fn give_up(
@@ -91,94 +91,99 @@
         reference: &str,
         cancel: bool,
         effects: &mut Vec<Effect>,
-    ) -> Option<GivenUp> {
-        let carried = self.carried.remove(reference)?;
-        match self.progress(&carried) {
+    ) -> Option<Withdrawn> {
+        let in_flight = self.in_flight.remove(reference)?;
+        match self.progress(&in_flight) {
             Progress::None => {
-                let len = carried.whole_at - carried.begins_at;
-                self.queued -= len;
+                let len = in_flight.end_offset - in_flight.start_offset;
+                self.queued_bytes -= len;
                 for other in self
-                    .carried
+                    .in_flight
                     .values_mut()
-                    .filter(|c| c.whole_at > carried.whole_at)
+                    .filter(|c| c.end_offset > in_flight.end_offset)
                 {
-                    other.begins_at -= len;
-                    other.whole_at -= len;
+                    other.start_offset -= len;
+                    other.end_offset -= len;
                 }
                 effects.push(Effect::CancelWrite {
                     connection: id,
-                    offset: carried.begins_at,
+                    offset: in_flight.start_offset,
                     length: len,
                 });
-                return Some(GivenUp {
-                    job: carried.job,
+                return Some(Withdrawn {
+                    request: in_flight.request,
                     unsent: true,
-                    behind: Vec::new(),
+                    displaced: Vec::new(),
                 });
             }
             Progress::Part(written) => {
-                let behind = self.seal(id, written, effects);
-                return Some(GivenUp {
-                    job: carried.job,
+                let displaced = self.seal(id, written, effects);
+                return Some(Withdrawn {
+                    request: in_flight.request,
                     unsent: true,
-                    behind,
+                    displaced,
                 });
             }
             Progress::Whole => {}
         }
-        if matches!(carried.job.task, Task::Attempt(_)) {
-            self.spend(reference);
+        if matches!(in_flight.request.kind, RequestKind::Attempt(_)) {
+            self.remember_reference(reference);
             if cancel && !self.sealed {
                 let bytes = undo(reference);
-                self.queued += bytes.len() as u64;
+                self.queued_bytes += bytes.len() as u64;
                 effects.push(Effect::Write {
                     connection: id,
                     bytes,
                 });
             }
         }
-        Some(GivenUp {
-            job: carried.job,
+        Some(Withdrawn {
+            request: in_flight.request,
             unsent: false,
-            behind: Vec::new(),
+            displaced: Vec::new(),
         })
     }
 
-    /// Takes back all that the system has not taken, within a line: nothing may follow. The jobs that stood behind it.
-    fn seal(&mut self, id: ConnectionId, written: u64, effects: &mut Vec<Effect>) -> Vec<Job> {
+    /// Takes back all that the system has not taken, within a line: nothing may follow. The requests that stood behind it.
+    fn seal(
+        &mut self,
+        id: ConnectionId,
+        written: u64,
+        effects: &mut Vec<Effect>,
+    ) -> Vec<WorkerRequest> {
         effects.push(Effect::CancelWrite {
             connection: id,
             offset: written,
-            length: self.queued - written,
+            length: self.queued_bytes - written,
         });
-        (self.sealed, self.queued) = (true, written);
-        let behind: Vec<String> = self
-            .carried
+        (self.sealed, self.queued_bytes) = (true, written);
+        let displaced: Vec<String> = self
+            .in_flight
             .iter()
-            .filter(|(_, c)| c.whole_at > written)
+            .filter(|(_, c)| c.end_offset > written)
             .map(|(name, _)| name.clone())
             .collect();
-        behind
+        displaced
             .iter()
-            .filter_map(|name| self.carried.remove(name))
-            .map(|c| c.job)
+            .filter_map(|name| self.in_flight.remove(name))
+            .map(|c| c.request)
             .collect()
     }
 
-    /// How much of a job's line the system has taken.
-    pub(super) fn progress(&self, carried: &Carried) -> Progress {
+    /// How much of a request's line the system has taken.
+    pub(super) fn progress(&self, in_flight: &InFlight) -> Progress {
         match self.blocked {
-            Some(written) if written <= carried.begins_at => Progress::None,
-            Some(written) if written < carried.whole_at => Progress::Part(written),
+            Some(written) if written <= in_flight.start_offset => Progress::None,
+            Some(written) if written < in_flight.end_offset => Progress::Part(written),
             _ => Progress::Whole,
         }
     }
 
     /// Notes that a name was used here: a late second answer must not be taken for that of its next use.
-    pub(super) fn spend(&mut self, reference: &str) {
-        if self.spent.len() >= SPENT_MOST {
-            self.spent.pop_front();
+    pub(super) fn remember_reference(&mut self, reference: &str) {
+        if self.recent_references.len() >= MAX_RECENT_REFERENCES {
+            self.recent_references.pop_front();
         }
-        self.spent.push_back(reference.to_string());
+        self.recent_references.push_back(reference.to_string());
     }
 }
--- a/crates/pipithub-node/src/worker_pool/endings.rs
+++ b/crates/pipithub-node/src/worker_pool/endings.rs
@@ -3,110 +3,122 @@
 use pipithub_engine::policy::WorkerId;
 use pipithub_engine::{AttemptId, Time};
 
-use super::connection::{Carried, GivenUp, Progress};
-use super::request::{Job, Lost, Task};
-use super::{Pool, WAITING_MOST};
+use super::connection::{InFlight, Progress, Withdrawn};
+use super::request::{RequestKind, SendFailure, WorkerRequest};
+use super::{MAX_WAITING, WorkerPool};
 use crate::effect::{ConnectionId, Effect};
 
 /// How often what never arrived is written again, on another connection.
-const REWRITES: u32 = 2;
+const MAX_REWRITES: u32 = 2;
 
-impl Pool {
-    /// A connection did not come up: nothing that waits for it was sent. `own`: for want of something here, so that the
+impl WorkerPool {
+    /// A connection did not come up: nothing that waits for it was sent. `local_fault`: for want of something here, so that the
     /// worker is not to blame.
-    pub fn failed(&mut self, id: ConnectionId, own: bool) {
-        let Some(link) = self.links.remove(&id) else {
+    pub fn connect_failed(&mut self, id: ConnectionId, local_fault: bool) {
+        let Some(connection) = self.connections.remove(&id) else {
             return;
         };
-        let Some(peer) = self.peers.get_mut(&link.worker) else {
+        let Some(entry) = self.workers.get_mut(&connection.worker) else {
             return;
         };
-        peer.links.retain(|other| *other != id);
-        // Others may still come up; each stands for one job.
-        let coming = peer
-            .links
+        entry.connections.retain(|other| *other != id);
+        // Others may still come up; each stands for one request.
+        let coming = entry
+            .connections
             .iter()
-            .filter(|id| self.links.get(id).is_some_and(|l| !l.up))
+            .filter(|id| self.connections.get(id).is_some_and(|l| !l.established))
             .count();
-        while peer.waiting.len() > coming {
-            let Some(job) = peer.waiting.pop_front() else {
+        while entry.waiting.len() > coming {
+            let Some(request) = entry.waiting.pop_front() else {
                 break;
             };
-            let how = if own { Lost::Unsent } else { Lost::NotSent };
-            self.lost.push((link.worker.clone(), job, how));
+            let how = if local_fault {
+                SendFailure::NeverSent
+            } else {
+                SendFailure::Unreachable
+            };
+            self.failures
+                .push((connection.worker.clone(), request, how));
         }
     }
 
-    /// An answer came: the job that it ends. `None` where nothing of this name is open, as with a second copy.
+    /// An answer came: the request that it ends. `None` where nothing of this name is open, as with a second copy.
     pub fn answered(
         &mut self,
         now: Time,
         id: ConnectionId,
         reference: &str,
-    ) -> Option<(WorkerId, Job)> {
-        let link = self.links.get_mut(&id)?;
-        let carried = link.carried.remove(reference)?;
-        link.used = now;
-        if matches!(carried.job.task, Task::Attempt(_)) {
-            link.spend(reference);
+    ) -> Option<(WorkerId, WorkerRequest)> {
+        let connection = self.connections.get_mut(&id)?;
+        let in_flight = connection.in_flight.remove(reference)?;
+        connection.last_used = now;
+        if matches!(in_flight.request.kind, RequestKind::Attempt(_)) {
+            connection.remember_reference(reference);
         }
-        if let Some(idle) = carried.idle {
-            self.staleness.learn(now, idle, false);
+        if let Some(idle) = in_flight.idle {
+            self.idle_timeout.record_use(now, idle, false);
         }
-        let worker = link.worker.clone();
+        let worker = connection.worker.clone();
         self.close_sealed(now, id);
         self.dispatch(now, &worker);
-        Some((worker, carried.job))
+        Some((worker, in_flight.request))
     }
 
     /// A connection has ended, or is ended for what came on it. `written`: the bytes that the system took; what it did not
     /// take whole never arrived and goes out again on another connection.
-    pub fn closed(&mut self, now: Time, id: ConnectionId, written: u64, how: Lost) {
-        let Some(link) = self.links.remove(&id) else {
+    pub fn closed(&mut self, now: Time, id: ConnectionId, written: u64, how: SendFailure) {
+        let Some(connection) = self.connections.remove(&id) else {
             return;
         };
-        let Some(peer) = self.peers.get_mut(&link.worker) else {
+        let Some(entry) = self.workers.get_mut(&connection.worker) else {
             return;
         };
-        peer.links.retain(|other| *other != id);
+        entry.connections.retain(|other| *other != id);
         let mut unsent = Vec::new();
-        for Carried {
-            job,
-            whole_at,
+        for InFlight {
+            request,
+            end_offset,
             idle,
             ..
-        } in link.carried.into_values()
+        } in connection.in_flight.into_values()
         {
             if let Some(idle) = idle {
-                self.staleness.learn(now, idle, how == Lost::Broken);
+                self.idle_timeout
+                    .record_use(now, idle, how == SendFailure::ConnectionLost);
             }
-            if whole_at <= written {
-                self.lost.push((link.worker.clone(), job, how));
+            if end_offset <= written {
+                self.failures
+                    .push((connection.worker.clone(), request, how));
             } else {
-                unsent.push(job);
+                unsent.push(request);
             }
         }
-        self.resend(now, &link.worker, unsent);
+        self.resend(now, &connection.worker, unsent);
     }
 
-    /// Has jobs that never arrived whole wait for another connection, as often as that may be tried.
-    fn resend(&mut self, now: Time, worker: &WorkerId, jobs: Vec<Job>) {
-        for mut job in jobs {
-            let waiting = self.peers.get_mut(worker).map(|peer| &mut peer.waiting);
-            match waiting.filter(|waiting| waiting.len() < WAITING_MOST) {
-                _ if job.abandoned => self.lost.push((worker.clone(), job, Lost::Unsent)),
-                Some(waiting) if job.rewrites < REWRITES => {
-                    job.rewrites += 1;
-                    waiting.push_back(job);
+    /// Has requests that never arrived whole wait for another connection, as often as that may be tried.
+    fn resend(&mut self, now: Time, worker: &WorkerId, requests: Vec<WorkerRequest>) {
+        for mut request in requests {
+            let waiting = self.workers.get_mut(worker).map(|entry| &mut entry.waiting);
+            match waiting.filter(|waiting| waiting.len() < MAX_WAITING) {
+                _ if request.abandoned => {
+                    self.failures
+                        .push((worker.clone(), request, SendFailure::NeverSent));
+                }
+                Some(waiting) if request.rewrites < MAX_REWRITES => {
+                    request.rewrites += 1;
+                    waiting.push_back(request);
                     self.watched.insert(worker.clone());
                 }
-                _ => self.lost.push((worker.clone(), job, Lost::NotSent)),
+                _ => self
+                    .failures
+                    .push((worker.clone(), request, SendFailure::Unreachable)),
             }
         }
         self.dispatch(now, worker);
     }
 
-    /// Takes an attempt's job off its connection; see [`Link::give_up`].
+    /// Takes an attempt's request off its connection; see [`Connection::give_up`].
     pub(super) fn give_up(
         &mut self,
         now: Time,
@@ -114,39 +126,39 @@
         id: ConnectionId,
         name: &str,
         cancel: bool,
-    ) -> Option<(Job, bool)> {
-        let link = self.links.get_mut(&id)?;
-        let GivenUp {
-            job,
+    ) -> Option<(WorkerRequest, bool)> {
+        let connection = self.connections.get_mut(&id)?;
+        let Withdrawn {
+            request,
             unsent,
-            behind,
-        } = link.give_up(id, name, cancel, &mut self.effects)?;
-        if !behind.is_empty() {
-            self.resend(now, worker, behind);
+            displaced,
+        } = connection.give_up(id, name, cancel, &mut self.effects)?;
+        if !displaced.is_empty() {
+            self.resend(now, worker, displaced);
         }
         self.close_sealed(now, id);
-        Some((job, unsent))
+        Some((request, unsent))
     }
 
     /// Closes a sealed connection that carries nothing any more.
     fn close_sealed(&mut self, now: Time, id: ConnectionId) {
         if self
-            .links
+            .connections
             .get(&id)
-            .is_some_and(|l| l.sealed && l.carried.is_empty())
+            .is_some_and(|l| l.sealed && l.in_flight.is_empty())
         {
             self.effects.push(Effect::Close { connection: id });
-            self.closed(now, id, u64::MAX, Lost::Broken);
+            self.closed(now, id, u64::MAX, SendFailure::ConnectionLost);
         }
     }
 
     /// What came on a connection cannot be read: it is closed. What the shell was not handed yet did not leave, and must
     /// not count as run: an unsafe call would be lost for nothing.
-    pub fn spoilt(&mut self, now: Time, id: ConnectionId) {
-        let Some(link) = self.links.get(&id) else {
+    pub fn close_malformed(&mut self, now: Time, id: ConnectionId) {
+        let Some(connection) = self.connections.get(&id) else {
             return;
         };
-        let mut handed = link.queued;
+        let mut handed = connection.queued_bytes;
         self.effects.retain(|effect| match effect {
             Effect::Write {
                 connection: on,
@@ -158,54 +170,66 @@
             _ => true,
         });
         self.effects.push(Effect::Close { connection: id });
-        self.closed(now, id, handed, Lost::Spoilt);
+        self.closed(now, id, handed, SendFailure::Malformed);
     }
 
-    /// Withdraws an attempt: its job, and whether it is certain that it was not sent.
-    pub fn withdraw(
+    /// Withdraws an attempt: its request, and whether it is certain that it was not sent.
+    pub fn cancel(
         &mut self,
         now: Time,
         worker: &WorkerId,
         attempt: AttemptId,
-    ) -> Option<(Job, bool)> {
-        if let Some(job) = self.take_waiting(worker, attempt) {
-            return Some((job, true));
+    ) -> Option<(WorkerRequest, bool)> {
+        if let Some(request) = self.take_waiting(worker, attempt) {
+            return Some((request, true));
         }
-        let (id, name) = self.carrying(worker, attempt)?;
+        let (id, name) = self.find_attempt(worker, attempt)?;
         self.give_up(now, worker, id, &name, self.cancel)
     }
 
     /// Nobody waits for an attempt any more, whatever the settings say of cancelling: it is given back if it has not left
     /// whole, and is not written again if its connection ends.
-    pub fn abandon(&mut self, now: Time, worker: &WorkerId, attempt: AttemptId) -> Option<Job> {
-        if let Some(job) = self.take_waiting(worker, attempt) {
-            return Some(job);
+    pub fn abandon(
+        &mut self,
+        now: Time,
+        worker: &WorkerId,
+        attempt: AttemptId,
+    ) -> Option<WorkerRequest> {
+        if let Some(request) = self.take_waiting(worker, attempt) {
+            return Some(request);
         }
-        let (id, name) = self.carrying(worker, attempt)?;
-        let link = self.links.get_mut(&id)?;
-        link.carried.get_mut(&name)?.job.abandoned = true;
-        if matches!(link.progress(link.carried.get(&name)?), Progress::Whole) {
+        let (id, name) = self.find_attempt(worker, attempt)?;
+        let connection = self.connections.get_mut(&id)?;
+        connection.in_flight.get_mut(&name)?.request.abandoned = true;
+        if matches!(
+            connection.progress(connection.in_flight.get(&name)?),
+            Progress::Whole
+        ) {
             return None;
         }
         self.give_up(now, worker, id, &name, false)
-            .map(|(job, _)| job)
+            .map(|(request, _)| request)
     }
 
-    fn take_waiting(&mut self, worker: &WorkerId, attempt: AttemptId) -> Option<Job> {
-        let waiting = &mut self.peers.get_mut(worker)?.waiting;
+    fn take_waiting(&mut self, worker: &WorkerId, attempt: AttemptId) -> Option<WorkerRequest> {
+        let waiting = &mut self.workers.get_mut(worker)?.waiting;
         let at = waiting
             .iter()
-            .position(|job| job.task == Task::Attempt(attempt))?;
+            .position(|request| request.kind == RequestKind::Attempt(attempt))?;
         waiting.remove(at)
     }
 
     /// The connection that carries an attempt, and its name there.
-    fn carrying(&self, worker: &WorkerId, attempt: AttemptId) -> Option<(ConnectionId, String)> {
-        self.peers.get(worker)?.links.iter().find_map(|id| {
-            let carried = &self.links.get(id)?.carried;
-            let (name, _) = carried
+    fn find_attempt(
+        &self,
+        worker: &WorkerId,
+        attempt: AttemptId,
+    ) -> Option<(ConnectionId, String)> {
+        self.workers.get(worker)?.connections.iter().find_map(|id| {
+            let in_flight = &self.connections.get(id)?.in_flight;
+            let (name, _) = in_flight
                 .iter()
-                .find(|(_, c)| c.job.task == Task::Attempt(attempt))?;
+                .find(|(_, c)| c.request.kind == RequestKind::Attempt(attempt))?;
             Some((*id, name.clone()))
         })
     }
--- a/crates/pipithub-node/src/worker_pool/request.rs
+++ b/crates/pipithub-node/src/worker_pool/request.rs
@@ -6,45 +6,45 @@
 use pipithub_platform::worker::RunRequest;
 
 /// A call with less left is not sent: workers are told whole milliseconds.
-const LEAST_PATIENCE: Time = 1_000_000;
+const MIN_TIMEOUT: Time = 1_000_000;
 
 /// What is asked of a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Task {
+pub enum RequestKind {
     /// To run a call.
     Attempt(AttemptId),
     /// To hold copies.
-    Order(FunctionId),
+    LoadFunction(FunctionId),
     /// To tell its load.
-    Probe,
+    PollLoad,
     /// To unload copies; no answer comes.
-    Drop,
+    EvictFunction,
 }
 
-/// What is written for a job.
+/// What is written for a request.
 #[derive(Clone, Debug)]
-pub enum Request {
+pub enum Payload {
     /// The same line whenever it is written.
     Line(Bytes),
     /// A run: its line states the time that is left when it is put on a connection.
     Run(RunRequest),
 }
 
-impl From<Bytes> for Request {
+impl From<Bytes> for Payload {
     fn from(line: Bytes) -> Self {
-        Request::Line(line)
+        Payload::Line(line)
     }
 }
 
 /// Something asked of a worker that has not ended.
 #[derive(Clone, Debug)]
-pub struct Job {
+pub struct WorkerRequest {
     /// What.
-    pub task: Task,
+    pub kind: RequestKind,
     /// What the answer will name: the call, or a tag.
     pub reference: String,
     /// What is written for it.
-    pub request: Request,
+    pub payload: Payload,
     /// When it was asked for.
     pub began: Time,
     /// It ends as timed out by then.
@@ -54,19 +54,19 @@
     pub(super) abandoned: bool,
 }
 
-impl Job {
-    /// A job that has not been tried.
+impl WorkerRequest {
+    /// A request that has not been tried.
     pub fn new(
-        task: Task,
+        kind: RequestKind,
         reference: String,
-        request: impl Into<Request>,
+        payload: impl Into<Payload>,
         began: Time,
         deadline: Time,
     ) -> Self {
-        Job {
-            task,
+        WorkerRequest {
+            kind,
             reference,
-            request: request.into(),
+            payload: payload.into(),
             began,
             deadline,
             rewrites: 0,
@@ -77,26 +77,26 @@
     /// The line to write now; `None` where too little time is left for any.
     pub(super) fn line(&self, now: Time) -> Option<Bytes> {
         let left = self.deadline.saturating_sub(now);
-        match &self.request {
-            Request::Line(line) => Some(line.clone()).filter(|_| left > 0),
-            Request::Run(run) => Some(run)
-                .filter(|_| left >= LEAST_PATIENCE)
+        match &self.payload {
+            Payload::Line(line) => Some(line.clone()).filter(|_| left > 0),
+            Payload::Run(run) => Some(run)
+                .filter(|_| left >= MIN_TIMEOUT)
                 .map(|run| run.line(left)),
         }
     }
 }
 
-/// How a job ended without an answer.
+/// How a request ended without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lost {
-    /// The worker could not be reached, or the job never arrived whole: it did not run.
-    NotSent,
+pub enum SendFailure {
+    /// The worker could not be reached, or the request never arrived whole: it did not run.
+    Unreachable,
     /// It never left, for reasons of this front end's own: it did not run, and the worker is not to blame.
-    Unsent,
+    NeverSent,
     /// Its connection broke: it may have run.
-    Broken,
+    ConnectionLost,
     /// What came back cannot be read: the worker is there, and it may have run.
-    Spoilt,
+    Malformed,
     /// No answer in time: it may have run.
     TimedOut,
 }
--- a/crates/pipithub-node/src/worker_pool/selection.rs
+++ b/crates/pipithub-node/src/worker_pool/selection.rs
@@ -3,59 +3,69 @@
 use pipithub_engine::Time;
 use pipithub_engine::policy::WorkerId;
 
-use super::Pool;
-use super::connection::Link;
+use super::WorkerPool;
+use super::connection::Connection;
 use crate::effect::{ConnectionId, Effect};
 
-impl Pool {
-    /// The connection for the first job that waits for a worker: the free one that was used last, so that the others may
-    /// be let go. Else each job that waits is to have a new one; where there is no room for that many, the one that
+impl WorkerPool {
+    /// The connection for the first request that waits for a worker: the free one that was used last, so that the others may
+    /// be let go. Else each request that waits is to have a new one; where there is no room for that many, the one that
     /// carries least.
-    pub(super) fn connection(&mut self, now: Time, worker: &WorkerId) -> Option<ConnectionId> {
-        let limit = self.staleness.limit();
-        let live = self.live.max(1);
-        let peer = self.peers.get_mut(worker)?;
-        let reference = &peer.waiting.front()?.reference;
-        let links = peer
-            .links
+    pub(super) fn select_connection(
+        &mut self,
+        now: Time,
+        worker: &WorkerId,
+    ) -> Option<ConnectionId> {
+        let limit = self.idle_timeout.limit();
+        let live = self.listed.max(1);
+        let entry = self.workers.get_mut(worker)?;
+        let reference = &entry.waiting.front()?.reference;
+        let connections = entry
+            .connections
             .iter()
-            .filter_map(|id| self.links.get(id).map(|l| (*id, l)));
-        let here = links.filter(|(_, l)| l.address == peer.address);
-        let fits = |l: &Link| {
-            let stale =
-                l.carried.is_empty() && l.uses > 0 && limit.is_some_and(|t| now >= l.used + t);
-            let used = l.carried.contains_key(reference) || l.spent.contains(reference);
-            l.up && !stale
+            .filter_map(|id| self.connections.get(id).map(|l| (*id, l)));
+        let here = connections.filter(|(_, l)| l.address == entry.address);
+        let fits = |l: &Connection| {
+            let stale = l.in_flight.is_empty()
+                && l.uses > 0
+                && limit.is_some_and(|t| now >= l.last_used + t);
+            let used =
+                l.in_flight.contains_key(reference) || l.recent_references.contains(reference);
+            l.established
+                && !stale
                 && !used
                 && l.blocked.is_none()
                 && !l.sealed
-                && l.carried.len() < self.streams
+                && l.in_flight.len() < self.max_requests_per_connection
         };
         let free = here
             .clone()
-            .filter(|(_, l)| fits(l) && l.carried.is_empty())
-            .max_by_key(|(_, l)| l.used);
+            .filter(|(_, l)| fits(l) && l.in_flight.is_empty())
+            .max_by_key(|(_, l)| l.last_used);
         if let Some((id, _)) = free {
             return Some(id);
         }
         let shared = here
             .clone()
             .filter(|(_, l)| fits(l))
-            .min_by_key(|(_, l)| l.carried.len())
+            .min_by_key(|(_, l)| l.in_flight.len())
             .map(|(id, _)| id);
-        let mut coming = here.clone().filter(|(_, l)| !l.up).count();
+        let mut coming = here.clone().filter(|(_, l)| !l.established).count();
         // One more where all that are up have carried this name before.
-        let spent = here.clone().any(|(_, l)| l.up)
+        let spent = here.clone().any(|(_, l)| l.established)
             && here
-                .filter(|(_, l)| l.up)
-                .all(|(_, l)| l.spent.contains(reference));
-        let part = (self.most / live).max(1) + usize::from(spent);
-        while coming < peer.waiting.len() && peer.links.len() < part && self.links.len() < self.most
+                .filter(|(_, l)| l.established)
+                .all(|(_, l)| l.recent_references.contains(reference));
+        let part = (self.max_connections / live).max(1) + usize::from(spent);
+        while coming < entry.waiting.len()
+            && entry.connections.len() < part
+            && self.connections.len() < self.max_connections
         {
-            let (id, address) = (self.next, peer.address.clone());
+            let (id, address) = (self.next, entry.address.clone());
             self.next += 1;
-            self.links.insert(id, Link::new(worker, &address, now));
-            peer.links.push(id);
+            self.connections
+                .insert(id, Connection::new(worker, &address, now));
+            entry.connections.push(id);
             self.effects.push(Effect::Connect {
                 connection: id,
                 address,
@@ -63,6 +73,6 @@
             });
             coming += 1;
         }
-        shared.filter(|_| coming < peer.waiting.len())
+        shared.filter(|_| coming < entry.waiting.len())
     }
 }
--- a/crates/pipithub-node/tests/sockets.rs
+++ b/crates/pipithub-node/tests/sockets.rs
@@ -89,9 +89,9 @@
         (sequence.step(3, false), sequence.step(4, false)),
         (Step::Skip, Step::Take)
     );
-    assert_eq!(sequence.step(6, false), Step::Again);
+    assert_eq!(sequence.step(6, false), Step::Reconnect);
     assert_eq!(sequence.step(5, false), Step::Take, "it was had after all");
-    assert_eq!(sequence.step(9, false), Step::Again);
+    assert_eq!(sequence.step(9, false), Step::Reconnect);
     assert_eq!(
         sequence.step(9, false),
         Step::Take,
--- a/crates/pipithub-node/tests/start_times.rs
+++ b/crates/pipithub-node/tests/start_times.rs
@@ -81,7 +81,7 @@
         starts.resolve(&worker, WALL, 400 * SECOND, WALL + SECOND),
         399 * SECOND
     );
-    starts.keep_only(|_| false);
+    starts.retain_workers(|_| false);
     assert_eq!(
         starts.resolve(&worker, WALL, 500 * SECOND, WALL),
         500 * SECOND
--- a/crates/pipithub-node/tests/pool.rs
+++ b/crates/pipithub-node/tests/worker_pool.rs
@@ -6,28 +6,28 @@
 use pipithub_engine::policy::WorkerId;
 use pipithub_engine::{AttemptId, Time};
 use pipithub_node::effect::{ConnectionId, Effect};
-use pipithub_node::worker_pool::{Job, Lost, Pool, Request, Task};
+use pipithub_node::worker_pool::{Payload, RequestKind, SendFailure, WorkerPool, WorkerRequest};
 use pipithub_platform::worker::RunRequest;
 
 const MS: Time = 1_000_000;
 
-fn job(now: Time, request: u64) -> Job {
-    let task = Task::Attempt(AttemptId { request, number: 0 });
+fn worker_request(now: Time, request: u64) -> WorkerRequest {
+    let task = RequestKind::Attempt(AttemptId { request, number: 0 });
     let line = Bytes::from(format!("line {request}\n"));
-    Job::new(task, format!("{request:016x}"), line, now, now + 5_000 * MS)
+    WorkerRequest::new(task, format!("{request:016x}"), line, now, now + 5_000 * MS)
 }
 
 struct Bench {
-    pool: Pool,
+    pool: WorkerPool,
     worker: WorkerId,
     effects: Vec<Effect>,
 }
 
 impl Bench {
     fn new(most: usize) -> Self {
-        let mut pool = Pool::new(most, 4, 250 * MS, 30_000 * MS, true);
+        let mut pool = WorkerPool::new(most, 4, 250 * MS, 30_000 * MS, true);
         let worker = WorkerId::new("w");
-        pool.place(&worker, "10.0.0.1:1", false);
+        pool.set_address(&worker, "10.0.0.1:1", false);
         Bench {
             pool,
             worker,
@@ -36,7 +36,8 @@
     }
 
     fn ask(&mut self, now: Time, request: u64) {
-        self.pool.ask(now, &self.worker, job(now, request));
+        self.pool
+            .submit(now, &self.worker, worker_request(now, request));
     }
 
     fn effects(&mut self) -> Vec<Effect> {
@@ -59,18 +60,18 @@
             .collect()
     }
 
-    fn lost(&mut self) -> Vec<(u64, Lost)> {
-        let request = |t: &Task| {
-            if let Task::Attempt(id) = t {
+    fn lost(&mut self) -> Vec<(u64, SendFailure)> {
+        let number = |t: &RequestKind| {
+            if let RequestKind::Attempt(id) = t {
                 id.request
             } else {
                 0
             }
         };
         self.pool
-            .lost()
+            .take_failures()
             .iter()
-            .map(|(_, job, how)| (request(&job.task), *how))
+            .map(|(_, request, how)| (number(&request.kind), *how))
             .collect()
     }
 
@@ -81,7 +82,7 @@
         for effect in self.effects() {
             match effect {
                 Effect::Connect { connection, .. } => {
-                    self.pool.up(now, connection);
+                    self.pool.connected(now, connection);
                     wrote = Some(connection);
                 }
                 Effect::Write { connection, .. } => wrote = Some(connection),
@@ -98,7 +99,7 @@
     (1..=3).for_each(|request| b.ask(0, request));
     let connections = b.connected();
     assert_eq!(connections.len(), 2, "one each, as far as they go");
-    connections.iter().for_each(|c| b.pool.up(MS, *c));
+    connections.iter().for_each(|c| b.pool.connected(MS, *c));
     let mut writes = b
         .effects()
         .into_iter()
@@ -112,11 +113,18 @@
         .count();
     assert_eq!(writes, 4, "the others share them");
     // A broken one takes its own calls with it, and no others.
-    b.pool
-        .closed(3 * MS, connections[0], u64::MAX, Lost::Broken);
+    b.pool.closed(
+        3 * MS,
+        connections[0],
+        u64::MAX,
+        SendFailure::ConnectionLost,
+    );
     let lost = b.lost();
     assert!(
-        lost.len() == 2 && lost.iter().all(|(_, how)| *how == Lost::Broken),
+        lost.len() == 2
+            && lost
+                .iter()
+                .all(|(_, how)| *how == SendFailure::ConnectionLost),
         "{lost:?}"
     );
 }
@@ -127,19 +135,19 @@
     b.ask(0, 1);
     for _ in 0..3 {
         let connection = b.connected()[0];
-        b.pool.up(0, connection);
+        b.pool.connected(0, connection);
         assert!(b.lost().is_empty());
         // All but the line feed was taken.
-        b.pool.closed(0, connection, 6, Lost::Broken);
+        b.pool.closed(0, connection, 6, SendFailure::ConnectionLost);
     }
-    assert_eq!(b.lost(), [(1, Lost::NotSent)]);
+    assert_eq!(b.lost(), [(1, SendFailure::Unreachable)]);
     b.ask(0, 2);
     let connection = b.connected()[0];
-    b.pool.up(0, connection);
-    b.pool.closed(0, connection, 7, Lost::Broken);
+    b.pool.connected(0, connection);
+    b.pool.closed(0, connection, 7, SendFailure::ConnectionLost);
     assert_eq!(
         b.lost(),
-        [(2, Lost::Broken)],
+        [(2, SendFailure::ConnectionLost)],
         "a whole line may have been read"
     );
 }
@@ -149,8 +157,8 @@
     let mut b = Bench::new(4);
     b.ask(0, 1);
     let connection = b.connected()[0];
-    b.pool.failed(connection, false);
-    assert_eq!(b.lost(), [(1, Lost::NotSent)]);
+    b.pool.connect_failed(connection, false);
+    assert_eq!(b.lost(), [(1, SendFailure::Unreachable)]);
     assert!(b.pool.is_empty());
 }
 
@@ -166,12 +174,13 @@
                 .answered(now + MS, connection, &format!("{request:016x}"));
         } else {
             // Idle for 200 ms: whatever stands between has forgotten it.
-            b.pool.closed(now, connection, u64::MAX, Lost::Broken);
+            b.pool
+                .closed(now, connection, u64::MAX, SendFailure::ConnectionLost);
             broken += 1;
         }
         now += 200 * MS;
         b.pool.sweep(now);
-        b.pool.lost();
+        b.pool.take_failures();
     }
     assert!(
         (2..=3).contains(&broken),
@@ -192,7 +201,7 @@
         request: 1,
         number: 0,
     };
-    assert!(b.pool.withdraw(MS, &b.worker.clone(), id).is_some());
+    assert!(b.pool.cancel(MS, &b.worker.clone(), id).is_some());
     let line = Bytes::from_static(b"{\"cmd\":\"UNDO\",\"ref\":\"0000000000000001\"}\n");
     assert_eq!(
         b.effects(),
@@ -214,8 +223,8 @@
     let old = b.call(0, 1).expect("written");
     b.pool.answered(0, old, &format!("{:016x}", 1));
     let next = WorkerId::new("next");
-    b.pool.place(&b.worker.clone(), "", true);
-    b.pool.place(&next, "10.0.0.1:1", false);
+    b.pool.set_address(&b.worker.clone(), "", true);
+    b.pool.set_address(&next, "10.0.0.1:1", false);
     b.pool.sweep(MS);
     assert!(b.effects().contains(&Effect::Close { connection: old }));
     b.worker = next;
@@ -227,9 +236,9 @@
 
 #[test]
 fn what_was_not_handed_over_when_an_answer_is_spoilt_did_not_run() {
-    let mut pool = Pool::new(1, 1, 250 * MS, 30_000 * MS, true);
+    let mut pool = WorkerPool::new(1, 1, 250 * MS, 30_000 * MS, true);
     let worker = WorkerId::new("w");
-    pool.place(&worker, "10.0.0.1:1", false);
+    pool.set_address(&worker, "10.0.0.1:1", false);
     let mut b = Bench {
         pool,
         worker,
@@ -244,7 +253,7 @@
             .answered(MS, connection, &format!("{:016x}", 1))
             .is_some()
     );
-    b.pool.spoilt(MS, connection);
+    b.pool.close_malformed(MS, connection);
     assert!(b.lost().is_empty(), "it goes out again");
     let effects = b.effects();
     assert!(
@@ -261,17 +270,17 @@
         }
     });
     let connection = connection.expect("a new connection");
-    b.pool.up(MS, connection);
+    b.pool.connected(MS, connection);
     b.effects();
-    b.pool.spoilt(MS, connection);
-    assert_eq!(b.lost(), [(2, Lost::Spoilt)]);
+    b.pool.close_malformed(MS, connection);
+    assert_eq!(b.lost(), [(2, SendFailure::Malformed)]);
 }
 
 /// A pool that may not tell workers to give runs up.
 fn uncancelled() -> Bench {
     let mut b = Bench::new(4);
-    b.pool = Pool::new(4, 4, 250 * MS, 30_000 * MS, false);
-    b.pool.place(&b.worker, "10.0.0.1:1", false);
+    b.pool = WorkerPool::new(4, 4, 250 * MS, 30_000 * MS, false);
+    b.pool.set_address(&b.worker, "10.0.0.1:1", false);
     b
 }
 
@@ -285,7 +294,7 @@
     let connection = b.call(0, 1).expect("written");
     b.effects();
     b.pool.sweep(5_000 * MS);
-    assert_eq!(b.lost(), [(1, Lost::TimedOut)]);
+    assert_eq!(b.lost(), [(1, SendFailure::TimedOut)]);
     assert_eq!(b.effects(), [], "no UNDO");
     assert!(
         b.pool
@@ -305,7 +314,7 @@
         b.pool.abandon(MS, &b.worker.clone(), attempt(1)).is_some(),
         "it has not left"
     );
-    b.pool.up(100 * MS, connection);
+    b.pool.connected(100 * MS, connection);
     assert_eq!(
         b.effects(),
         [],
@@ -318,10 +327,11 @@
         b.pool.abandon(MS, &b.worker.clone(), attempt(2)).is_none(),
         "it may have left"
     );
-    b.pool.closed(201 * MS, connection, 3, Lost::Broken);
+    b.pool
+        .closed(201 * MS, connection, 3, SendFailure::ConnectionLost);
     assert_eq!(
         (b.lost(), b.effects()),
-        (vec![(2, Lost::Unsent)], vec![]),
+        (vec![(2, SendFailure::NeverSent)], vec![]),
         "not written again"
     );
 }
@@ -329,9 +339,9 @@
 /// A worker stops reading: what lies behind in the shell's own buffer begins whenever it reads again, UNDO or not.
 #[test]
 fn what_waits_behind_a_worker_that_does_not_read_is_taken_back() {
-    let mut pool = Pool::new(1, 8, 250 * MS, 30_000 * MS, true);
+    let mut pool = WorkerPool::new(1, 8, 250 * MS, 30_000 * MS, true);
     let worker = WorkerId::new("w");
-    pool.place(&worker, "10.0.0.1:1", false);
+    pool.set_address(&worker, "10.0.0.1:1", false);
     let mut b = Bench {
         pool,
         worker,
@@ -342,12 +352,12 @@
     (2..=4).for_each(|request| b.ask(0, request));
     assert_eq!(b.effects().len(), 3, "each line has seven bytes");
     // The system took the first line and a part of the second.
-    b.pool.blocked(MS, connection, Some(9));
+    b.pool.set_blocked(MS, connection, Some(9));
     b.ask(MS, 5);
     assert_eq!(b.effects(), [], "nothing more is put behind");
     let (_, back) = b
         .pool
-        .withdraw(MS, &b.worker.clone(), attempt(3))
+        .cancel(MS, &b.worker.clone(), attempt(3))
         .expect("open");
     assert!(back, "it is certain that it was not sent");
     assert_eq!(
@@ -361,7 +371,7 @@
     // The one behind has moved up, and the one that has begun cannot be taken back.
     let (_, back) = b
         .pool
-        .withdraw(MS, &b.worker.clone(), attempt(4))
+        .cancel(MS, &b.worker.clone(), attempt(4))
         .expect("open");
     assert!(back);
     assert_eq!(
@@ -375,7 +385,7 @@
     // The one that has begun to leave never becomes whole: nothing may follow its half.
     let (_, back) = b
         .pool
-        .withdraw(MS, &b.worker.clone(), attempt(2))
+        .cancel(MS, &b.worker.clone(), attempt(2))
         .expect("open");
     assert!(back, "half a line does not run");
     assert_eq!(
@@ -387,7 +397,7 @@
         }]
     );
     // It reads again: what left whole is still answered there, and then the fifth goes out on another connection.
-    b.pool.blocked(2 * MS, connection, None);
+    b.pool.set_blocked(2 * MS, connection, None);
     assert_eq!(b.effects(), [], "not behind half a line");
     assert!(
         b.pool
@@ -405,7 +415,7 @@
         panic!("{effects:?}")
     };
     assert_eq!(closed, connection);
-    b.pool.up(4 * MS, next);
+    b.pool.connected(4 * MS, next);
     assert!(matches!(&b.effects()[..], [Effect::Write { .. }]));
     assert_eq!(b.lost(), []);
 }
@@ -413,9 +423,9 @@
 /// A line states the time that its client had left when it was made: it must not reach the worker much later.
 #[test]
 fn what_a_worker_does_not_read_within_a_tenth_of_a_second_is_taken_back() {
-    let mut pool = Pool::new(1, 8, 250 * MS, 30_000 * MS, true);
+    let mut pool = WorkerPool::new(1, 8, 250 * MS, 30_000 * MS, true);
     let worker = WorkerId::new("w");
-    pool.place(&worker, "10.0.0.1:1", false);
+    pool.set_address(&worker, "10.0.0.1:1", false);
     let mut b = Bench {
         pool,
         worker,
@@ -424,7 +434,7 @@
     let connection = b.call(0, 1).expect("written");
     (2..=4).for_each(|request| b.ask(0, request));
     b.effects();
-    b.pool.blocked(MS, connection, Some(9));
+    b.pool.set_blocked(MS, connection, Some(9));
     b.pool.sweep(100 * MS - 1);
     assert_eq!(
         (b.effects(), b.lost()),
@@ -443,7 +453,11 @@
     );
     assert_eq!(
         b.lost(),
-        [(4, Lost::NotSent), (3, Lost::NotSent), (2, Lost::NotSent)]
+        [
+            (4, SendFailure::Unreachable),
+            (3, SendFailure::Unreachable),
+            (2, SendFailure::Unreachable)
+        ]
     );
     // What the system has taken whole may run: its answer still counts.
     assert!(
@@ -454,14 +468,14 @@
     assert_eq!(b.effects(), [Effect::Close { connection }]);
 }
 
-/// A job that has stood behind half a line for a moment only goes out again on another connection.
+/// A request that has stood behind half a line for a moment only goes out again on another connection.
 #[test]
 fn what_stands_behind_half_a_line_goes_out_again() {
     let mut b = Bench::new(1);
     let connection = b.call(0, 1).expect("written");
     b.ask(0, 2);
     b.effects();
-    b.pool.blocked(MS, connection, Some(3));
+    b.pool.set_blocked(MS, connection, Some(3));
     assert!(
         b.pool
             .abandon(2 * MS, &b.worker.clone(), attempt(1))
@@ -483,7 +497,7 @@
     else {
         panic!("{effects:?}")
     };
-    b.pool.up(3 * MS, next);
+    b.pool.connected(3 * MS, next);
     assert!(matches!(&b.effects()[..], [Effect::Write { connection, .. }] if *connection == next));
     assert_eq!(b.lost(), []);
 }
@@ -493,23 +507,23 @@
 fn a_run_with_no_time_left_is_not_written() {
     for (up, written) in [(49 * MS, true), (49 * MS + 1, false), (60 * MS, false)] {
         let mut b = Bench::new(4);
-        let request = Request::Run(RunRequest {
+        let request = Payload::Run(RunRequest {
             call: "0000000000000001".to_string(),
             class: "view".to_string(),
             function: "00000000000000aa".into(),
             key: None,
             body: Bytes::new(),
         });
-        let job = Job::new(
-            Task::Attempt(attempt(1)),
+        let request = WorkerRequest::new(
+            RequestKind::Attempt(attempt(1)),
             "0000000000000001".to_string(),
             request,
             0,
             50 * MS,
         );
-        b.pool.ask(0, &b.worker.clone(), job);
+        b.pool.submit(0, &b.worker.clone(), request);
         let connection = b.connected()[0];
-        b.pool.up(up, connection);
+        b.pool.connected(up, connection);
         assert_eq!(b.effects().len(), usize::from(written), "up at {up}");
         assert_eq!(b.lost().is_empty(), written, "up at {up}");
     }
@@ -518,12 +532,15 @@
 #[test]
 fn a_call_whose_time_ran_out_before_its_connection_came_up_is_not_sent() {
     let mut b = Bench::new(4);
-    let mut late = job(0, 1);
+    let mut late = worker_request(0, 1);
     late.deadline = 50 * MS;
-    b.pool.ask(0, &b.worker.clone(), late);
+    b.pool.submit(0, &b.worker.clone(), late);
     let connection = b.connected()[0];
-    b.pool.up(50 * MS, connection);
-    assert_eq!((b.effects(), b.lost()), (vec![], vec![(1, Lost::NotSent)]));
+    b.pool.connected(50 * MS, connection);
+    assert_eq!(
+        (b.effects(), b.lost()),
+        (vec![], vec![(1, SendFailure::Unreachable)])
+    );
 }
 
 /// An answer may come twice. The name is used again, by a further attempt or by a client that repeats itself.
@@ -544,7 +561,7 @@
     );
     // Nor by the answer that was on its way when it was given up.
     let third = b.call(5 * MS, 2).expect("written");
-    b.pool.withdraw(MS, &b.worker.clone(), attempt(2));
+    b.pool.cancel(MS, &b.worker.clone(), attempt(2));
     let fourth = b.call(6 * MS, 2).expect("written");
     assert_ne!(third, fourth);
     // Where a worker may have one connection only, a further one is made for that.
@@ -555,7 +572,11 @@
         .expect("open");
     b.ask(2 * MS, 1);
     b.pool.sweep(20_000 * MS);
-    assert_eq!(b.lost(), [(1, Lost::NotSent)], "or it is given back unsent");
+    assert_eq!(
+        b.lost(),
+        [(1, SendFailure::Unreachable)],
+        "or it is given back unsent"
+    );
 }
 
 #[test]
@@ -563,8 +584,8 @@
     let mut b = Bench::new(4);
     b.ask(0, 1);
     let connection = b.connected()[0];
-    b.pool.failed(connection, true);
-    assert_eq!(b.lost(), [(1, Lost::Unsent)]);
+    b.pool.connect_failed(connection, true);
+    assert_eq!(b.lost(), [(1, SendFailure::NeverSent)]);
 }
 
 /// A sweep comes a hundred times a second: going through all workers each time was most of an idle front end's work.
@@ -573,7 +594,7 @@
     for workers in [10, 10_000] {
         let mut bench = Bench::new(50);
         let name = |n: u32| WorkerId::new(&format!("w{n}"));
-        (1..workers).for_each(|n| bench.pool.place(&name(n), "10.0.0.2:1", false));
+        (1..workers).for_each(|n| bench.pool.set_address(&name(n), "10.0.0.2:1", false));
         bench.pool.sweep(0);
         assert_eq!(
             bench.pool.watched(),
@@ -581,22 +602,28 @@
             "nothing is to be done at any of {workers}"
         );
         bench.ask(MS, 1);
-        assert_eq!(bench.pool.watched(), 1, "a job waits for its connection");
+        assert_eq!(
+            bench.pool.watched(),
+            1,
+            "a request waits for its connection"
+        );
         for connection in bench.connected() {
-            bench.pool.up(2 * MS, connection);
+            bench.pool.connected(2 * MS, connection);
         }
         bench.pool.sweep(3 * MS);
         assert_eq!(bench.pool.watched(), 0, "it is on its way");
         // One that waits in vain is still given back in time.
-        bench.pool.ask(4 * MS, &name(3), job(4 * MS, 2));
+        bench
+            .pool
+            .submit(4 * MS, &name(3), worker_request(4 * MS, 2));
         bench.pool.sweep(5 * MS);
         assert_eq!((bench.pool.watched(), bench.lost()), (1, vec![]));
         bench.pool.sweep(600 * MS);
         assert_eq!(
             (bench.pool.watched(), bench.lost()),
-            (0, vec![(2, Lost::NotSent)])
+            (0, vec![(2, SendFailure::Unreachable)])
         );
-        bench.pool.place(&name(7), "", true);
+        bench.pool.set_address(&name(7), "", true);
         assert_eq!(
             bench.pool.watched(),
             1,
@@ -611,37 +638,37 @@
 #[test]
 fn a_workers_part_of_the_connections_follows_those_that_come_and_go() {
     let other = WorkerId::new("other");
-    let connections = |change: &dyn Fn(&mut Pool)| {
+    let connections = |change: &dyn Fn(&mut WorkerPool)| {
         let mut bench = Bench::new(8);
-        bench.pool.place(&other, "10.0.0.2:1", false);
+        bench.pool.set_address(&other, "10.0.0.2:1", false);
         change(&mut bench.pool);
         (0..10).for_each(|request| bench.ask(MS, request));
         bench.connected().len()
     };
     let here = WorkerId::new("w");
     assert_eq!(connections(&|_| ()), 4);
-    assert_eq!(connections(&|pool| pool.place(&other, "", true)), 8);
+    assert_eq!(connections(&|pool| pool.set_address(&other, "", true)), 8);
     assert_eq!(
-        connections(&|pool| (0..3).for_each(|_| pool.place(&other, "", true))),
+        connections(&|pool| (0..3).for_each(|_| pool.set_address(&other, "", true))),
         8,
         "told of it again"
     );
     assert_eq!(
-        connections(&|pool| (0..3).for_each(|_| pool.place(&other, "10.0.0.2:1", false))),
+        connections(&|pool| (0..3).for_each(|_| pool.set_address(&other, "10.0.0.2:1", false))),
         4
     );
     assert_eq!(
-        connections(&|pool| pool.keep_only(&BTreeSet::from([&here]))),
+        connections(&|pool| pool.retain_workers(&BTreeSet::from([&here]))),
         8
     );
-    let gone_and_back = |pool: &mut Pool| {
-        pool.keep_only(&BTreeSet::from([&here]));
+    let gone_and_back = |pool: &mut WorkerPool| {
+        pool.retain_workers(&BTreeSet::from([&here]));
         pool.sweep(0);
-        pool.place(&other, "10.0.0.2:1", false);
+        pool.set_address(&other, "10.0.0.2:1", false);
     };
     assert_eq!(connections(&gone_and_back), 4);
     assert_eq!(
-        connections(&|pool| pool.place(&WorkerId::new("third"), "10.0.0.3:1", false)),
+        connections(&|pool| pool.set_address(&WorkerId::new("third"), "10.0.0.3:1", false)),
         2
     );
 }
