--- a/crates/pipithub-hollow/src/lib.rs
+++ b/crates/pipithub-hollow/src/lib.rs
@@ -41,7 +41,7 @@
     /// called within a [`tokio::task::LocalSet`].
     pub fn start(config: &NodeConfig, taken: impl Fn(u64) + 'static) -> Self {
         let clock = Clock::unix();
-        let last = config.known.last().map_or(0, |e| e.index);
+        let last = config.known_updates.last().map_or(0, |e| e.index);
         let inner = Rc::new(Inner {
             core: RefCell::new(Core::new(clock.now(), config)),
             clock,
--- a/crates/pipithub-hollow/tests/growth.rs
+++ b/crates/pipithub-hollow/tests/growth.rs
@@ -3,7 +3,7 @@
 mod rig;
 
 use pipithub_hollow::Hollow;
-use pipithub_platform::list::HOSTS_MOST;
+use pipithub_platform::list::MAX_ENDPOINTS;
 use pipithub_standin::coordinator::{Counts, Tier};
 use tokio::task::LocalSet;
 
@@ -135,7 +135,7 @@
 /// A list that is too long must not take the former one away, and must not be the end of it either.
 #[tokio::test]
 async fn a_list_beyond_the_bounds_leaves_the_former_one_and_a_good_one_is_taken_after_it() {
-    for beyond in [HOSTS_MOST + 1, 100_000] {
+    for beyond in [MAX_ENDPOINTS + 1, 100_000] {
         LocalSet::new()
             .run_until(async {
                 let coordinator = rig::coordinator();
--- a/crates/pipithub-node/src/client_sessions.rs
+++ b/crates/pipithub-node/src/client_sessions.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
 use pipithub_engine::Time;
-use pipithub_platform::client::LINE_MOST;
+use pipithub_platform::client::MAX_LINE_BYTES;
 use pipithub_platform::line::LineFramer;
 
 use crate::effect::ConnectionId;
@@ -89,7 +89,7 @@
     /// one that did, the longest idle of them; the newcomer itself where calls are open on all.
     pub fn connected(&mut self, now: Time, connection: ConnectionId) -> Option<ConnectionId> {
         let client = ClientSession {
-            framer: LineFramer::new(LINE_MOST),
+            framer: LineFramer::new(MAX_LINE_BYTES),
             pending_calls: BTreeMap::new(),
             has_called: false,
             last_active: now,
--- a/crates/pipithub-node/src/coordinator.rs
+++ b/crates/pipithub-node/src/coordinator.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use pipithub_platform::list::ListEvent;
+use pipithub_platform::list::EndpointEvent;
 use pipithub_platform::settings::Names;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -31,7 +31,7 @@
     last: u64,
     names: Names,
     seed: u64,
-    mut take: impl FnMut(ListEvent),
+    mut take: impl FnMut(EndpointEvent),
 ) {
     let mut sequence = Sequence::after(last);
     let (mut wait, mut rng) = (MIN_BACKOFF, StdRng::seed_from_u64(seed));
--- a/crates/pipithub-node/src/coordinator/stream.rs
+++ b/crates/pipithub-node/src/coordinator/stream.rs
@@ -6,7 +6,7 @@
 use http_body_util::{BodyExt, Empty};
 use hyper::Request;
 use hyper_util::rt::TokioIo;
-use pipithub_platform::list::{self, ListEvent};
+use pipithub_platform::list::{self, EndpointEvent};
 use pipithub_platform::settings::Names;
 use pipithub_platform::sse::SseReader;
 use tokio::net::TcpStream;
@@ -32,7 +32,7 @@
     address: &str,
     sequence: &mut Sequence,
     names: &Names,
-    mut take: impl FnMut(ListEvent),
+    mut take: impl FnMut(EndpointEvent),
 ) -> Ended {
     let head = async {
         let stream = TcpStream::connect(address)
@@ -86,7 +86,7 @@
             };
             match sequence.step(
                 event.index,
-                event.kind != pipithub_engine::policy::EndpointUpdate::Delta,
+                event.update != pipithub_engine::policy::EndpointUpdate::Delta,
             ) {
                 Step::Take => {
                     take(event);
--- a/crates/pipithub-node/src/core.rs
+++ b/crates/pipithub-node/src/core.rs
@@ -58,19 +58,31 @@
     /// A front end with the configuration's list of workers.
     pub fn new(now: Time, config: &NodeConfig) -> Self {
         let site = &config.site;
-        let usable = config.sockets.saturating_sub(RESERVED_DESCRIPTORS).max(8);
+        let usable = config
+            .max_descriptors
+            .saturating_sub(RESERVED_DESCRIPTORS)
+            .max(8);
         let (clients, workers) = (usable * 3 / 5, usable * 2 / 5);
         let settings = EngineSettings {
             policy: site.policy.clone(),
-            max_open: site.transport.open_most.min(clients * MAX_PENDING_CALLS),
+            max_open: site
+                .transport
+                .max_pending_requests
+                .min(clients * MAX_PENDING_CALLS),
             max_bytes: (config.memory_mb as usize) << 18,
             answer_margin: ANSWER_MARGIN,
             ..EngineSettings::default()
         };
         let transport = &site.transport;
         let cancel = site.policy.limits.cancel;
-        let (connect, idle) = (transport.connect_timeout, transport.idle_close);
-        let worker_pool = WorkerPool::new(workers, transport.streams, connect, idle, cancel);
+        let (connect, idle) = (transport.connect_timeout, transport.idle_timeout);
+        let worker_pool = WorkerPool::new(
+            workers,
+            transport.max_requests_per_connection,
+            connect,
+            idle,
+            cancel,
+        );
         let mut core = Core {
             name: config.name.clone(),
             engine: Engine::new(settings, config.seed),
@@ -96,7 +108,7 @@
             outputs: Vec::new(),
             effects: Vec::new(),
         };
-        for event in &config.known {
+        for event in &config.known_updates {
             core.update_endpoints(now, event);
         }
         core
--- a/crates/pipithub-node/src/core/calls.rs
+++ b/crates/pipithub-node/src/core/calls.rs
@@ -4,7 +4,7 @@
 
 use pipithub_engine::policy::{Idempotency, Outcome, RequestId};
 use pipithub_engine::{AttemptId, Call, Input, Reply, SourceId, Ticket, Time, Trigger, Verdict};
-use pipithub_platform::client::{self, ClientCall, Fault};
+use pipithub_platform::client::{self, ClientCall, RequestError};
 use tracing::debug;
 
 use super::Core;
@@ -52,9 +52,9 @@
         let Some(client) = self.client_sessions.client(connection) else {
             return;
         };
-        let invalid = |message: &str| Fault {
+        let invalid = |message: &str| RequestError {
             id: Some(call.id),
-            code: client::INVALID,
+            code: client::INVALID_REQUEST,
             message: message.into(),
         };
         if client.pending_calls.contains_key(&call.id) {
@@ -64,11 +64,11 @@
             client.pending_calls.len() >= MAX_PENDING_CALLS,
             client.reading_stopped,
         );
-        if self.client_sessions.is_pending(&call.call) {
+        if self.client_sessions.is_pending(&call.name) {
             // Its namesake may be running: to call a further try harmless would be wrong.
             return self.answer_fault(connection, &invalid("call: open already"));
         }
-        if self.client_sessions.may_have_executed(now, &call.call) {
+        if self.client_sessions.may_have_executed(now, &call.name) {
             // The same again of what must not run twice.
             return self.answer_fault(connection, &invalid("call: has ended, and may have run"));
         }
@@ -86,13 +86,13 @@
             debug!(
                 front_end = self.name,
                 connection,
-                call = call.call,
+                call = call.name,
                 message,
                 "no call"
             );
             self.write(
                 connection,
-                client::error(Some(call.id), client::REFUSED, message, pushback),
+                client::error_line(Some(call.id), client::REJECTED, message, pushback),
             );
             if self
                 .client_sessions
@@ -114,18 +114,18 @@
         let number = self.client_sessions.begin_call(PendingCall {
             connection,
             id: call.id,
-            name: call.call.clone(),
+            name: call.name.clone(),
             non_idempotent,
         });
         let call = Call {
             function: Arc::from(call.function),
             class: call.class,
-            timeout: Some(call.ttl),
+            timeout: Some(call.client_timeout),
             memory_mb: call.memory_mb,
-            replica_concurrency: call.lanes,
+            replica_concurrency: call.replica_concurrency,
             load_time: call.load_time,
-            label: Some(Arc::from(call.call)),
-            idempotency_key: call.key.map(Arc::from),
+            label: Some(Arc::from(call.name)),
+            idempotency_key: call.idempotency_key.map(Arc::from),
             body: call.body,
             ..Call::default()
         };
@@ -162,17 +162,17 @@
             "answer"
         );
         let line = match (reply.verdict, &reply.served) {
-            (Verdict::Served, Some(served)) => client::served(pending.id, &served.body),
+            (Verdict::Served, Some(served)) => client::result_line(pending.id, &served.body),
             (Verdict::Rejected, _) => {
                 let pushback = reply.retry_after.map(|t| t / 1_000_000);
-                client::error(
+                client::error_line(
                     Some(pending.id),
-                    client::REFUSED,
+                    client::REJECTED,
                     reply.cause.as_str(),
                     pushback,
                 )
             }
-            _ => client::error(Some(pending.id), client::FAILED, reply.cause.as_str(), None),
+            _ => client::error_line(Some(pending.id), client::FAILED, reply.cause.as_str(), None),
         };
         self.write(pending.connection, line);
         self.close_if_answered(pending.connection);
--- a/crates/pipithub-node/src/core/clients.rs
+++ b/crates/pipithub-node/src/core/clients.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use pipithub_engine::Time;
-use pipithub_platform::client::{self, ClientLine, Fault};
+use pipithub_platform::client::{self, ClientLine, RequestError};
 use tracing::debug;
 
 use super::Core;
@@ -72,7 +72,7 @@
         let mut lines = Vec::new();
         let long = loop {
             match client.framer.next_line() {
-                Ok(Some(line)) => lines.push(client::read(&line, &self.site)),
+                Ok(Some(line)) => lines.push(client::read_line(&line, &self.site)),
                 Ok(None) => break None,
                 Err(long) => break Some(long),
             }
@@ -89,7 +89,7 @@
         // What was asked and taken back in one breath has nobody who waits for it: it is not begun.
         let (mut ids, mut names) = (BTreeSet::new(), BTreeSet::new());
         for line in &lines {
-            if let Ok(ClientLine::Forget { id, call }) = line {
+            if let Ok(ClientLine::Cancel { id, call }) = line {
                 ids.extend(*id);
                 names.extend(call.clone());
             }
@@ -97,12 +97,12 @@
         for line in lines {
             match line {
                 Ok(ClientLine::Call(call))
-                    if ids.contains(&call.id) || names.contains(&call.call) =>
+                    if ids.contains(&call.id) || names.contains(&call.name) =>
                 {
                     debug!(
                         front_end = self.name,
                         connection,
-                        call = call.call,
+                        call = call.name,
                         "forgotten before it began"
                     );
                 }
@@ -111,9 +111,9 @@
         }
         if let (Some(long), Some(client)) = (long, self.client_sessions.client(connection)) {
             client.unreadable = true;
-            let fault = Fault {
+            let fault = RequestError {
                 id: None,
-                code: client::PARSE,
+                code: client::PARSE_ERROR,
                 message: long.to_string(),
             };
             self.answer_fault(connection, &fault);
@@ -124,14 +124,14 @@
         &mut self,
         now: Time,
         connection: ConnectionId,
-        line: Result<ClientLine, Fault>,
+        line: Result<ClientLine, RequestError>,
     ) {
         let Some(client) = self.client_sessions.client(connection) else {
             return;
         };
         match line {
             Ok(ClientLine::Call(call)) => self.begin_call(now, connection, *call),
-            Ok(ClientLine::Forget { id, call }) => {
+            Ok(ClientLine::Cancel { id, call }) => {
                 client.last_active = now;
                 if let Some(ticket) =
                     self.client_sessions
@@ -149,10 +149,10 @@
                     self.close_if_answered(connection);
                 }
             }
-            Ok(ClientLine::IsWell { id }) => {
+            Ok(ClientLine::HealthCheck { id }) => {
                 (client.last_active, client.has_called) = (now, true);
                 let healthy = self.has_endpoint_list && self.shutdown_started.is_none();
-                self.write(connection, client::health(id, healthy));
+                self.write(connection, client::health_line(id, healthy));
             }
             // Noise on a connection that is given up has been answered once.
             Err(fault) if fault.id.is_none() && client.reading_stopped => {}
@@ -161,7 +161,7 @@
     }
 
     /// Answers what is no call. What bears no number cannot be told from noise, and what follows noise cannot be trusted.
-    pub(super) fn answer_fault(&mut self, connection: ConnectionId, fault: &Fault) {
+    pub(super) fn answer_fault(&mut self, connection: ConnectionId, fault: &RequestError) {
         debug!(front_end = self.name, connection, %fault, "no call");
         // An answer under the number of an open call would be taken for that call's.
         let open = self
@@ -171,7 +171,7 @@
         let id = fault.id.filter(|_| !open);
         self.write(
             connection,
-            client::error(id, fault.code, &fault.message, None),
+            client::error_line(id, fault.code, &fault.message, None),
         );
         if self
             .client_sessions
--- a/crates/pipithub-node/src/core/outputs.rs
+++ b/crates/pipithub-node/src/core/outputs.rs
@@ -52,30 +52,30 @@
                     "order"
                 );
                 let tag = self.next_reference();
-                let line = worker::pin(&tag, &name, copies);
+                let line = worker::load_function_line(&tag, &name, copies);
                 let request = WorkerRequest::new(
                     RequestKind::LoadFunction(function),
                     tag,
                     line,
                     now,
-                    now + self.site.transport.order_timeout,
+                    now + self.site.transport.load_command_timeout,
                 );
                 self.submit(now, &worker, request);
             }
             Output::EvictFunction { worker, name } => {
-                let line = worker::unpin(&name);
+                let line = worker::evict_function_line(&name);
                 let request = WorkerRequest::new(
                     RequestKind::EvictFunction,
                     name.to_string(),
                     line,
                     now,
-                    now + self.site.transport.order_timeout,
+                    now + self.site.transport.load_command_timeout,
                 );
                 self.submit(now, &worker, request);
             }
             Output::PollLoad(worker) => {
                 let tag = self.next_reference();
-                let line = worker::meter(&tag);
+                let line = worker::poll_load_line(&tag);
                 self.submit(
                     now,
                     &worker,
--- a/crates/pipithub-node/src/core/workers.rs
+++ b/crates/pipithub-node/src/core/workers.rs
@@ -4,7 +4,7 @@
 use pipithub_engine::{
     AttemptId, AttemptResult, Input, LoadCommandResult, LoadPollResult, Served, Time,
 };
-use pipithub_platform::worker::{self, Answer, Word};
+use pipithub_platform::worker::{self, Answer, AnswerStatus};
 use tracing::{debug, info};
 
 use super::Core;
@@ -49,7 +49,7 @@
             };
             let spoilt = match framer.next_line() {
                 Ok(None) => return,
-                Ok(Some(line)) => match worker::read(&line) {
+                Ok(Some(line)) => match worker::read_answer(&line) {
                     Ok(answer) => {
                         self.answer_received(now, connection, answer);
                         continue;
@@ -80,17 +80,22 @@
             );
         };
         let took = now.saturating_sub(request.began);
-        let outcome = match answer.word {
-            Word::Ok | Word::Ready | Word::Ailing => Outcome::Served,
-            Word::Absent => Outcome::NotLoaded,
-            Word::Full => Outcome::Rejected,
-            Word::Error => Outcome::Error,
-            Word::Over => Outcome::NotSent,
+        let outcome = match answer.status {
+            AnswerStatus::Served | AnswerStatus::Healthy | AnswerStatus::Unhealthy => {
+                Outcome::Served
+            }
+            AnswerStatus::NotLoaded => Outcome::NotLoaded,
+            AnswerStatus::Rejected => Outcome::Rejected,
+            AnswerStatus::Failed => Outcome::Error,
+            AnswerStatus::Expired => Outcome::NotSent,
         };
         match request.kind {
             RequestKind::Attempt(id) => {
                 // An answer to something else under this name proves nothing.
-                let outcome = if matches!(answer.word, Word::Ready | Word::Ailing) {
+                let outcome = if matches!(
+                    answer.status,
+                    AnswerStatus::Healthy | AnswerStatus::Unhealthy
+                ) {
                     Outcome::Error
                 } else {
                     outcome
@@ -102,21 +107,21 @@
                     body,
                 });
                 let told = matches!(outcome, Outcome::Served | Outcome::Rejected);
-                let alike = told.then_some(answer.alike);
+                let alike = told.then_some(answer.function_concurrency);
                 let end = AttemptResult {
                     id,
                     outcome,
                     elapsed: took,
                     replica_status: None,
                     function_concurrency: alike,
-                    load_report: answer.load,
+                    load_report: answer.load_report,
                     served,
                 };
                 self.attempt_ended(end);
                 self.settle(now);
             }
             RequestKind::LoadFunction(function) => {
-                let copies = answer.copies;
+                let copies = answer.replicas;
                 self.run(
                     now,
                     Input::LoadCommandFinished(LoadCommandResult {
@@ -129,13 +134,13 @@
                 );
             }
             RequestKind::PollLoad => {
-                let answered = answer.word == Word::Ready;
+                let answered = answer.status == AnswerStatus::Healthy;
                 self.run(
                     now,
                     Input::LoadPolled(LoadPollResult {
                         worker,
                         answered,
-                        load_report: answer.load,
+                        load_report: answer.load_report,
                     }),
                 );
             }
--- a/crates/pipithub-node/src/shell/runtime.rs
+++ b/crates/pipithub-node/src/shell/runtime.rs
@@ -176,7 +176,7 @@
             timer_due: Cell::new(Time::MAX),
             timer_changed: Notify::new(),
         });
-        let last = config.known.last().map_or(0, |e| e.index);
+        let last = config.known_updates.last().map_or(0, |e| e.index);
         let (coordinator, followed) = watch::channel(config.coordinator.clone());
         let names = config.site.names.clone();
         let told = shell.clone();
--- a/crates/pipithub-node/src/worker_pool/connection.rs
+++ b/crates/pipithub-node/src/worker_pool/connection.rs
@@ -5,7 +5,7 @@
 use pipithub_engine::Time;
 use pipithub_engine::policy::WorkerId;
 use pipithub_platform::line::LineFramer;
-use pipithub_platform::worker::{LINE_MOST, undo};
+use pipithub_platform::worker::{MAX_LINE_BYTES, cancel_line};
 
 use super::request::{RequestKind, WorkerRequest};
 use crate::effect::{ConnectionId, Effect};
@@ -71,7 +71,7 @@
             worker: worker.clone(),
             address: address.to_string(),
             established: false,
-            framer: LineFramer::new(LINE_MOST),
+            framer: LineFramer::new(MAX_LINE_BYTES),
             in_flight: BTreeMap::new(),
             recent_references: VecDeque::new(),
             queued_bytes: 0,
@@ -129,7 +129,7 @@
         if matches!(in_flight.request.kind, RequestKind::Attempt(_)) {
             self.remember_reference(reference);
             if cancel && !self.sealed {
-                let bytes = undo(reference);
+                let bytes = cancel_line(reference);
                 self.queued_bytes += bytes.len() as u64;
                 effects.push(Effect::Write {
                     connection: id,
--- a/crates/pipithub-node/tests/coordinator.rs
+++ b/crates/pipithub-node/tests/coordinator.rs
@@ -6,7 +6,7 @@
 
 use pipithub_node::coordinator::follow;
 use pipithub_platform::settings::Names;
-use pipithub_platform::sse::DATA_MOST;
+use pipithub_platform::sse::MAX_DATA_BYTES;
 use pipithub_standin::coordinator::{Behaviour, Coordinator, event};
 use tokio::sync::watch;
 use tokio::task::LocalSet;
@@ -111,7 +111,7 @@
 async fn events_that_cannot_be_used_are_counted_and_logged_with_place_and_reason() {
     let good = serde_json::json!({"host": "w1", "dial": "127.0.0.1:1", "health": "SERVING"});
     let odd = serde_json::json!({"host": "w2", "dial": "127.0.0.1:1", "health": "ODD"});
-    let long = "x".repeat(DATA_MOST + 1);
+    let long = "x".repeat(MAX_DATA_BYTES + 1);
     let cases = [
         (
             event(2, false, &[good.clone(), odd]),
--- a/crates/pipithub-node/tests/crossings.rs
+++ b/crates/pipithub-node/tests/crossings.rs
@@ -325,7 +325,7 @@
             _list,
         } = blocked_worker("non_idempotent").await;
         // The client whose call has left in part: its later calls can be taken back.
-        let line = pipithub_platform::worker::run(
+        let line = pipithub_platform::worker::run_line(
             &"0".repeat(16),
             "c0",
             &"0".repeat(16),
--- a/crates/pipithub-node/tests/start_times.rs
+++ b/crates/pipithub-node/tests/start_times.rs
@@ -6,7 +6,7 @@
 use pipithub_engine::Time;
 use pipithub_engine::policy::WorkerId;
 use pipithub_node::start_times::StartTimes;
-use pipithub_platform::list::{self, ListEvent};
+use pipithub_platform::list::{self, EndpointEvent};
 use pipithub_platform::settings::Names;
 
 const SECOND: Time = 1_000 * MS;
@@ -16,7 +16,7 @@
 const CALLS: u64 = 24;
 
 /// A list that holds one worker alone, which started at this time of the wall clock.
-fn only_worker(index: u64, started: Time) -> ListEvent {
+fn only_worker(index: u64, started: Time) -> EndpointEvent {
     let born_ms = started / MS;
     let text = format!(
         r#"{{"index":{index},"endpoints":{{"seq":{index},"whole":true,"hosts":[{{"host":"w9","dial":"10.0.0.1:9","site":"a",
--- a/crates/pipithub-node/tests/trouble.rs
+++ b/crates/pipithub-node/tests/trouble.rs
@@ -20,11 +20,11 @@
 }
 
 /// Has one client ask, and the trouble come; how long after it each call had its answer, in milliseconds.
-fn answers(class: &str, open_most: usize, trouble: Trouble) -> BTreeMap<u64, u64> {
+fn answers(class: &str, max_pending_requests: usize, trouble: Trouble) -> BTreeMap<u64, u64> {
     let mut config = config();
-    config.site.transport.open_most = open_most;
+    config.site.transport.max_pending_requests = max_pending_requests;
     // One connection to each worker.
-    config.sockets = 32;
+    config.max_descriptors = 32;
     let mut b = Bench::of(&config);
     let client = b.client();
     let mut answers = BTreeMap::new();
@@ -111,9 +111,9 @@
         ("faults of other clients", 20_000, others_faults),
         ("all connections break", 20_000, all_break),
     ];
-    for (name, open_most, trouble) in troubles {
+    for (name, max_pending_requests, trouble) in troubles {
         for class in ["view", "assign"] {
-            let answers = answers(class, open_most, trouble);
+            let answers = answers(class, max_pending_requests, trouble);
             let missing: Vec<u64> = (1..=CALLS).filter(|id| !answers.contains_key(id)).collect();
             assert!(
                 missing.is_empty(),
--- a/crates/pipithub-platform/src/client.rs
+++ b/crates/pipithub-platform/src/client.rs
@@ -12,13 +12,13 @@
 use pipithub_policy::api::{Idempotency, Time};
 
 /// The most bytes of a call's body.
-pub const BODY_MOST: usize = 16 << 10;
+pub const MAX_BODY_BYTES: usize = 16 << 10;
 /// The most bytes of a line: the body in base64 and room for all other fields.
-pub const LINE_MOST: usize = 32 << 10;
+pub const MAX_LINE_BYTES: usize = 32 << 10;
 /// The most bytes of an idempotency key.
-const KEY_MOST: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 /// A call whose client states more than this many times its class's time makes no sense.
-const TTL_MOST: f64 = 2.0;
+const MAX_TTL_FACTOR: f64 = 2.0;
 /// The method by which a client says that it has ceased to wait.
 const FORGET: &str = "forget";
 /// The method that asks whether calls are taken here.
@@ -26,17 +26,17 @@
 /// Methods that are no classes.
 pub const METHODS: [&str; 2] = [FORGET, IS_WELL];
 /// The code of a refusal: another try is harmless.
-pub const REFUSED: i64 = -32050;
+pub const REJECTED: i64 = -32050;
 /// The code of any other end without an answer: nothing is promised.
 pub const FAILED: i64 = -32000;
 /// The line cannot be read.
-pub const PARSE: i64 = -32700;
+pub const PARSE_ERROR: i64 = -32700;
 /// It is no request.
-pub const INVALID: i64 = -32600;
+pub const INVALID_REQUEST: i64 = -32600;
 /// Its method is no class.
-pub const NO_METHOD: i64 = -32601;
+pub const METHOD_NOT_FOUND: i64 = -32601;
 /// Its figures cannot be used.
-pub const BAD_PARAMS: i64 = -32602;
+pub const INVALID_PARAMS: i64 = -32602;
 
 /// A call as a client states it.
 #[derive(Clone, Debug, PartialEq)]
@@ -44,21 +44,21 @@
     /// The number that its answer bears.
     pub id: u64,
     /// Names it to workers: 16 hex digits, exactly as sent.
-    pub call: String,
+    pub name: String,
     /// Its class, as an index into the settings.
     pub class: usize,
     /// How long the client waits: its class's time at the most.
-    pub ttl: Time,
+    pub client_timeout: Time,
     /// The function: 16 hex digits, exactly as sent.
     pub function: String,
     /// Memory of one loaded copy, in MB; 0 where not told.
     pub memory_mb: f64,
     /// Calls that one copy runs at a time.
-    pub lanes: u32,
+    pub replica_concurrency: u32,
     /// The usual time of a load, where told.
     pub load_time: Option<Time>,
     /// The idempotency key, exactly as sent: workers drop repeats under it.
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
     /// The body.
     pub body: Bytes,
 }
@@ -69,14 +69,14 @@
     /// Run this.
     Call(Box<ClientCall>),
     /// The client has ceased to wait for the call with this number, or of this name.
-    Forget {
+    Cancel {
         /// The number of the call, where given so.
         id: Option<u64>,
         /// The name of the call, where given so.
         call: Option<String>,
     },
     /// Whether this front end takes calls.
-    IsWell {
+    HealthCheck {
         /// The number that the answer bears.
         id: u64,
     },
@@ -85,7 +85,7 @@
 /// What is wrong with a line.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{message} ({code})")]
-pub struct Fault {
+pub struct RequestError {
     /// The number of the request, where it could be read.
     pub id: Option<u64>,
     /// The JSON-RPC code.
@@ -94,9 +94,9 @@
     pub message: String,
 }
 
-impl Fault {
+impl RequestError {
     fn new(id: Option<u64>, code: i64, message: impl Into<String>) -> Self {
-        Fault {
+        RequestError {
             id,
             code,
             message: message.into(),
@@ -107,34 +107,38 @@
 /// Reads one line.
 ///
 /// # Errors
-/// [`Fault`] where it is no request of this protocol; a fault without an id cannot be told from noise.
-pub fn read(line: &[u8], site: &SiteSettings) -> Result<ClientLine, Fault> {
-    let all: Value =
-        serde_json::from_slice(line).map_err(|e| Fault::new(None, PARSE, format!("line: {e}")))?;
+/// [`RequestError`] where it is no request of this protocol; a fault without an id cannot be told from noise.
+pub fn read_line(line: &[u8], site: &SiteSettings) -> Result<ClientLine, RequestError> {
+    let all: Value = serde_json::from_slice(line)
+        .map_err(|e| RequestError::new(None, PARSE_ERROR, format!("line: {e}")))?;
     let Some(all) = all.as_object() else {
-        return Err(Fault::new(None, INVALID, "line: not an object"));
+        return Err(RequestError::new(
+            None,
+            INVALID_REQUEST,
+            "line: not an object",
+        ));
     };
     let id = match all.get("id") {
         None => None,
         Some(id) => match id.as_u64().filter(|id| *id > 0) {
             Some(id) => Some(id),
             None => {
-                return Err(Fault::new(
+                return Err(RequestError::new(
                     None,
-                    INVALID,
+                    INVALID_REQUEST,
                     "id: not a whole number from 1 on",
                 ));
             }
         },
     };
-    let bad = |code, message: &str| Fault::new(id, code, message);
+    let bad = |code, message: &str| RequestError::new(id, code, message);
     if all.get("jsonrpc").and_then(Value::as_str) != Some("2.0") {
-        return Err(bad(INVALID, "jsonrpc: not 2.0"));
+        return Err(bad(INVALID_REQUEST, "jsonrpc: not 2.0"));
     }
     let method = all
         .get("method")
         .and_then(Value::as_str)
-        .ok_or_else(|| bad(INVALID, "method: missing"))?;
+        .ok_or_else(|| bad(INVALID_REQUEST, "method: missing"))?;
     let none = Value::Null;
     let params = all.get("params").unwrap_or(&none);
     if method == FORGET {
@@ -144,15 +148,15 @@
             .and_then(Value::as_str)
             .map(str::to_string);
         if number.is_none() && call.is_none() {
-            return Err(bad(BAD_PARAMS, "forget: names no call"));
+            return Err(bad(INVALID_PARAMS, "forget: names no call"));
         }
-        return Ok(ClientLine::Forget { id: number, call });
+        return Ok(ClientLine::Cancel { id: number, call });
     }
     let Some(id) = id else {
-        return Err(bad(INVALID, "id: missing"));
+        return Err(bad(INVALID_REQUEST, "id: missing"));
     };
     if method == IS_WELL {
-        return Ok(ClientLine::IsWell { id });
+        return Ok(ClientLine::HealthCheck { id });
     }
     let call = call(id, method, params, site).map_err(|(code, message)| bad(code, &message))?;
     Ok(ClientLine::Call(Box::new(call)))
@@ -164,10 +168,10 @@
     params: &Value,
     site: &SiteSettings,
 ) -> Result<ClientCall, (i64, String)> {
-    let bad = |message: &str| (BAD_PARAMS, message.to_string());
+    let bad = |message: &str| (INVALID_PARAMS, message.to_string());
     let names: &Names = &site.names;
     let class = names.classes.iter().position(|n| n == method);
-    let class = class.ok_or_else(|| (NO_METHOD, "method: no such class".to_string()))?;
+    let class = class.ok_or_else(|| (METHOD_NOT_FOUND, "method: no such class".to_string()))?;
     let name = |field: &str| {
         let text = params
             .get(field)
@@ -187,7 +191,7 @@
         .ok_or_else(|| bad("ttl: not a number"))?;
     // A client that is late by itself states somewhat more than its class's time, which holds all the same: such a call
     // must not be lost to a strict bound. Far beyond it lies nothing but nonsense.
-    if !(ttl > 0.0 && ttl <= TTL_MOST * give_up as f64 / 1e6) {
+    if !(ttl > 0.0 && ttl <= MAX_TTL_FACTOR * give_up as f64 / 1e6) {
         return Err(bad(&format!(
             "ttl: {ttl} is not above 0 and near {} at most",
             give_up as f64 / 1e6
@@ -195,14 +199,14 @@
     }
     let mut read = ClientCall {
         id,
-        call: name("call")?,
+        name: name("call")?,
         class,
-        ttl: ((ttl * 1e6) as Time).min(give_up),
+        client_timeout: ((ttl * 1e6) as Time).min(give_up),
         function: name("row")?,
         memory_mb: 0.0,
-        lanes: 1,
+        replica_concurrency: 1,
         load_time: None,
-        key: None,
+        idempotency_key: None,
         body: Bytes::new(),
     };
     match params.get("props") {
@@ -221,8 +225,8 @@
             return Err(bad("dedupe: missing, and this class is keyed"));
         }
         None | Some(Value::Null) => {}
-        Some(Value::String(key)) if !key.is_empty() && key.len() <= KEY_MOST => {
-            read.key = Some(key.clone());
+        Some(Value::String(key)) if !key.is_empty() && key.len() <= MAX_KEY_BYTES => {
+            read.idempotency_key = Some(key.clone());
         }
         Some(_) => return Err(bad("dedupe: not a text of 1 to 256 bytes")),
     }
@@ -232,7 +236,7 @@
             let body = STANDARD
                 .decode(text)
                 .map_err(|e| bad(&format!("body: {e}")))?;
-            if body.len() > BODY_MOST {
+            if body.len() > MAX_BODY_BYTES {
                 return Err(bad("body: too long"));
             }
             read.body = body.into();
@@ -263,7 +267,7 @@
                 "lanes" if !(1.0..=1_000.0).contains(&f) || f.fract() != 0.0 => {
                     return Err("props: lanes: out of range".to_string());
                 }
-                "lanes" => call.lanes = f as u32,
+                "lanes" => call.replica_concurrency = f as u32,
                 "load_ms" if f > 3_600_000.0 => {
                     return Err("props: load_ms: out of range".to_string());
                 }
@@ -281,7 +285,7 @@
 }
 
 /// The line of an answer that a worker gave.
-pub fn served(id: u64, body: &[u8]) -> Bytes {
+pub fn result_line(id: u64, body: &[u8]) -> Bytes {
     let mut line = format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"result\":{{\"body\":\"");
     STANDARD.encode_string(body, &mut line);
     line.push_str("\"}}\n");
@@ -289,7 +293,7 @@
 }
 
 /// The line of an error; `pushback` in milliseconds, with refusals alone.
-pub fn error(id: Option<u64>, code: i64, message: &str, pushback: Option<u64>) -> Bytes {
+pub fn error_line(id: Option<u64>, code: i64, message: &str, pushback: Option<u64>) -> Bytes {
     let id = id.map_or_else(|| "null".to_string(), |id| id.to_string());
     let mut line =
         format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"error\":{{\"code\":{code},\"message\":");
@@ -303,6 +307,6 @@
 }
 
 /// The line that answers `isWell`.
-pub fn health(id: u64, healthy: bool) -> Bytes {
+pub fn health_line(id: u64, healthy: bool) -> Bytes {
     format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"result\":{{\"healthy\":{healthy}}}}}\n").into()
 }
--- a/crates/pipithub-platform/src/config.rs
+++ b/crates/pipithub-platform/src/config.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 
 use crate::client::METHODS;
-use crate::list::{self, ListEvent};
+use crate::list::{self, EndpointEvent};
 use crate::settings::{self, SiteSettings};
 
 /// One front end's configuration.
@@ -21,18 +21,18 @@
     /// Memory that it may take, in MB.
     pub memory_mb: u64,
     /// File descriptors that it may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Address of the coordinator.
     pub coordinator: String,
     /// Changes of the worker list up to the start.
-    pub known: Vec<ListEvent>,
+    pub known_updates: Vec<EndpointEvent>,
     /// What the module and the transport are told.
     pub site: SiteSettings,
 }
 
 /// The place of the first name that stands before it too. Each name is looked up once: a comparison with all that stand
 /// before it would hold up the calls of a front end that reads a long configuration again.
-pub fn first_repeat<T: Eq + Hash>(names: &[T]) -> Option<usize> {
+pub fn first_duplicate<T: Eq + Hash>(names: &[T]) -> Option<usize> {
     let mut seen = HashSet::with_capacity(names.len());
     names.iter().position(|name| !seen.insert(name))
 }
@@ -43,7 +43,7 @@
     if names.is_empty() {
         return Err("settings.Grades: no class".to_string());
     }
-    let repeat = first_repeat(names);
+    let repeat = first_duplicate(names);
     for (i, (name, class)) in names.iter().zip(&site.policy.classes).enumerate() {
         let place = format!("settings.Grades[{i}]");
         if name.is_empty() || METHODS.contains(&name.as_str()) {
@@ -104,9 +104,9 @@
             listen: string("listen")?,
             seed,
             memory_mb: limit("memory_mb", 128)?,
-            sockets: limit("sockets", 256)? as usize,
+            max_descriptors: limit("sockets", 256)? as usize,
             coordinator: string("coordinator")?,
-            known,
+            known_updates: known,
             site,
         })
     }
--- a/crates/pipithub-platform/src/line.rs
+++ b/crates/pipithub-platform/src/line.rs
@@ -3,14 +3,14 @@
 use bytes::{Bytes, BytesMut};
 
 /// A buffer that has grown beyond this is let go once it is empty, so that one long line does not stay paid for.
-const KEPT: usize = 8 << 10;
+const MAX_IDLE_BUFFER: usize = 8 << 10;
 
 /// A line is longer than allowed; nothing more can be read from its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("line of more than {most} bytes")]
+#[error("line of more than {max_bytes} bytes")]
 pub struct TooLong {
     /// The bound, in bytes.
-    pub most: usize,
+    pub max_bytes: usize,
 }
 
 /// Cuts a stream of bytes into lines at line feeds.
@@ -19,16 +19,16 @@
     buffer: BytesMut,
     /// Bytes at the front of the buffer that hold no line feed.
     scanned: usize,
-    most: usize,
+    max_bytes: usize,
 }
 
 impl LineFramer {
     /// Lines of at most so many bytes, the line feed not counted.
-    pub fn new(most: usize) -> Self {
+    pub fn new(max_bytes: usize) -> Self {
         LineFramer {
             buffer: BytesMut::new(),
             scanned: 0,
-            most,
+            max_bytes,
         }
     }
 
@@ -48,17 +48,21 @@
             .map(|at| at + self.scanned);
         let Some(end) = found else {
             self.scanned = self.buffer.len();
-            if self.buffer.is_empty() && self.buffer.capacity() > KEPT {
+            if self.buffer.is_empty() && self.buffer.capacity() > MAX_IDLE_BUFFER {
                 self.buffer = BytesMut::new();
             }
-            return if self.scanned > self.most {
-                Err(TooLong { most: self.most })
+            return if self.scanned > self.max_bytes {
+                Err(TooLong {
+                    max_bytes: self.max_bytes,
+                })
             } else {
                 Ok(None)
             };
         };
-        if end > self.most {
-            return Err(TooLong { most: self.most });
+        if end > self.max_bytes {
+            return Err(TooLong {
+                max_bytes: self.max_bytes,
+            });
         }
         self.scanned = 0;
         let mut line = self.buffer.split_to(end + 1).freeze();
--- a/crates/pipithub-platform/src/list.rs
+++ b/crates/pipithub-platform/src/list.rs
@@ -7,55 +7,59 @@
 
 /// The most workers in one event: twice the 16,000 of the largest site that is planned for, so that all of them may be
 /// replaced side by side.
-pub const HOSTS_MOST: usize = 32_000;
+pub const MAX_ENDPOINTS: usize = 32_000;
 /// The most bytes that a worker takes of an event, over all in it: one with a name of 60 bytes and an address of as many
 /// takes about 200.
-pub const HOST_BYTES_MOST: usize = 256;
+pub const MAX_ENDPOINT_BYTES: usize = 256;
 
 /// One change of the list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ListEvent {
+pub struct EndpointEvent {
     /// Its number.
     pub index: u64,
     /// Whether it holds every worker.
-    pub kind: EndpointUpdate,
+    pub update: EndpointUpdate,
     /// The workers in it, by id, with the address of each.
-    pub hosts: Vec<(Endpoint, String)>,
+    pub endpoints: Vec<(Endpoint, String)>,
 }
 
 /// Reads one event.
 ///
 /// # Errors
 /// Place and reason where it cannot be used; nothing of it may be used then.
-pub fn read(value: &Value, names: &Names) -> Result<ListEvent, String> {
+pub fn read(value: &Value, names: &Names) -> Result<EndpointEvent, String> {
     let index = value["index"].as_u64().ok_or("index: not a whole number")?;
     let endpoints = &value["endpoints"];
     let hosts = endpoints["hosts"]
         .as_array()
         .ok_or("endpoints.hosts: not a list")?;
-    if hosts.len() > HOSTS_MOST {
-        return Err(format!("endpoints.hosts: more than {HOSTS_MOST}"));
+    if hosts.len() > MAX_ENDPOINTS {
+        return Err(format!("endpoints.hosts: more than {MAX_ENDPOINTS}"));
     }
-    let kind = if endpoints["whole"].as_bool() == Some(true) {
+    let update = if endpoints["whole"].as_bool() == Some(true) {
         EndpointUpdate::Snapshot
     } else {
         EndpointUpdate::Delta
     };
     let read =
         |(i, h): (usize, &Value)| host(h, names).map_err(|e| format!("endpoints.hosts[{i}].{e}"));
-    let hosts = hosts
+    let endpoints = hosts
         .iter()
         .enumerate()
         .map(read)
         .collect::<Result<_, _>>()?;
-    Ok(ListEvent { index, kind, hosts })
+    Ok(EndpointEvent {
+        index,
+        update,
+        endpoints,
+    })
 }
 
 /// Reads one event from its text.
 ///
 /// # Errors
 /// As [`read`].
-pub fn parse(text: &str, names: &Names) -> Result<ListEvent, String> {
+pub fn parse(text: &str, names: &Names) -> Result<EndpointEvent, String> {
     let value: Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
     read(&value, names)
 }
--- a/crates/pipithub-platform/src/settings.rs
+++ b/crates/pipithub-platform/src/settings.rs
@@ -21,13 +21,13 @@
     /// A connection that is not up by then counts as failed.
     pub connect_timeout: Time,
     /// Connections that stay idle for so long are closed; 0: never.
-    pub idle_close: Time,
+    pub idle_timeout: Time,
     /// Requests that one connection carries at a time.
-    pub streams: usize,
+    pub max_requests_per_connection: usize,
     /// Requests that a front end may hold open.
-    pub open_most: usize,
+    pub max_pending_requests: usize,
     /// An order without an answer by then has come to nothing.
-    pub order_timeout: Time,
+    pub load_command_timeout: Time,
 }
 
 /// All that the settings tell.
@@ -119,10 +119,10 @@
     let or = |told: &Value, unless: Time| Some(time(told)).filter(|t| *t > 0).unwrap_or(unless);
     let transport = Transport {
         connect_timeout: or(&limits["ConnectTimeout"], 250_000_000),
-        idle_close: time(&limits["IdleClose"]),
-        streams: or(&limits["StreamsPerConn"], 1) as usize,
-        open_most: or(&limits["OpenCap"], 4096) as usize,
-        order_timeout: or(&family["OrderTimeout"], 10_000_000_000),
+        idle_timeout: time(&limits["IdleClose"]),
+        max_requests_per_connection: or(&limits["StreamsPerConn"], 1) as usize,
+        max_pending_requests: or(&limits["OpenCap"], 4096) as usize,
+        load_command_timeout: or(&family["OrderTimeout"], 10_000_000_000),
     };
     Ok(SiteSettings {
         policy: settings,
--- a/crates/pipithub-platform/src/sse.rs
+++ b/crates/pipithub-platform/src/sse.rs
@@ -3,18 +3,18 @@
 use bytes::Bytes;
 
 use crate::line::LineFramer;
-use crate::list::{HOST_BYTES_MOST, HOSTS_MOST};
+use crate::list::{MAX_ENDPOINT_BYTES, MAX_ENDPOINTS};
 
 /// The most bytes of one event's data: the list reader's most workers, each of its most bytes. A reader holds them twice at
 /// most, in its buffer and in the event.
-pub const DATA_MOST: usize = HOSTS_MOST * HOST_BYTES_MOST;
+pub const MAX_DATA_BYTES: usize = MAX_ENDPOINTS * MAX_ENDPOINT_BYTES;
 /// What stands before the data on its line.
 const FIELD: usize = "data: ".len();
 
 /// An event is longer than allowed; nothing more can be read from its stream.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "event {}: data: more than {DATA_MOST} bytes, which are {HOSTS_MOST} workers of {HOST_BYTES_MOST} bytes",
+    "event {}: data: more than {MAX_DATA_BYTES} bytes, which are {MAX_ENDPOINTS} workers of {MAX_ENDPOINT_BYTES} bytes",
     id.as_deref().unwrap_or("without an id")
 )]
 pub struct EventTooLong {
@@ -43,7 +43,7 @@
 impl Default for SseReader {
     fn default() -> Self {
         SseReader {
-            lines: LineFramer::new(DATA_MOST + FIELD),
+            lines: LineFramer::new(MAX_DATA_BYTES + FIELD),
             event: SseEvent::default(),
             begun: false,
         }
@@ -77,7 +77,7 @@
         match field {
             "id" => self.event.id = Some(value.to_string()),
             "data" => {
-                if self.event.data.len() + value.len() > DATA_MOST {
+                if self.event.data.len() + value.len() > MAX_DATA_BYTES {
                     return Err(self.too_long());
                 }
                 if self.begun {
--- a/crates/pipithub-platform/src/worker.rs
+++ b/crates/pipithub-platform/src/worker.rs
@@ -9,10 +9,10 @@
 use serde_json::Value;
 
 /// The most bytes of an answer's line: well beyond any body that clients may send, far below a front end's memory.
-pub const LINE_MOST: usize = 128 << 10;
+pub const MAX_LINE_BYTES: usize = 128 << 10;
 
 /// The line that asks for a run; `patience` is how long the front end will wait, `key` the call's idempotency key.
-pub fn run(
+pub fn run_line(
     call: &str,
     class: &str,
     function: &str,
@@ -49,7 +49,7 @@
 impl RunRequest {
     /// The line, for a front end that will wait so long.
     pub fn line(&self, patience: Time) -> Bytes {
-        run(
+        run_line(
             &self.call,
             &self.class,
             &self.function,
@@ -61,43 +61,43 @@
 }
 
 /// The line that gives a run up.
-pub fn undo(call: &str) -> Bytes {
+pub fn cancel_line(call: &str) -> Bytes {
     format!("{{\"cmd\":\"UNDO\",\"ref\":\"{call}\"}}\n").into()
 }
 
 /// The line that asks for a worker's load.
-pub fn meter(tag: &str) -> Bytes {
+pub fn poll_load_line(tag: &str) -> Bytes {
     format!("{{\"cmd\":\"METER\",\"ref\":\"{tag}\"}}\n").into()
 }
 
 /// The line that orders copies to be held; 0 only asks.
-pub fn pin(tag: &str, function: &str, copies: u32) -> Bytes {
+pub fn load_function_line(tag: &str, function: &str, copies: u32) -> Bytes {
     format!("{{\"cmd\":\"PIN\",\"ref\":\"{tag}\",\"opts\":{{\"asset\":\"{function}\",\"n\":{copies}}}}}\n")
         .into()
 }
 
 /// The line that has idle copies unloaded.
-pub fn unpin(function: &str) -> Bytes {
+pub fn evict_function_line(function: &str) -> Bytes {
     format!("{{\"cmd\":\"UNPIN\",\"ref\":\"{function}\"}}\n").into()
 }
 
 /// The word of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum AnswerStatus {
     /// Done.
-    Ok,
+    Served,
     /// The function is not there: it never ran.
-    Absent,
+    NotLoaded,
     /// Full: it never ran.
-    Full,
+    Rejected,
     /// An error: it may have run.
-    Error,
+    Failed,
     /// The request was over already: it never ran.
-    Over,
+    Expired,
     /// The worker is well.
-    Ready,
+    Healthy,
     /// The worker is not well.
-    Ailing,
+    Unhealthy,
 }
 
 /// An answer.
@@ -106,43 +106,43 @@
     /// What it answers: a call's name or a tag.
     pub reference: String,
     /// Its word.
-    pub word: Word,
+    pub status: AnswerStatus,
     /// Calls of the function that the worker held when this one came.
-    pub alike: u32,
+    pub function_concurrency: u32,
     /// The worker's report.
-    pub load: LoadReport,
+    pub load_report: LoadReport,
     /// Copies that stand loaded; with answers to orders.
-    pub copies: u32,
-    /// The body; with [`Word::Ok`].
+    pub replicas: u32,
+    /// The body; with [`AnswerStatus::Served`].
     pub body: Bytes,
 }
 
 /// An answer that cannot be read: its connection is of no further use.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("answer: {0}")]
-pub struct Spoilt(pub String);
+pub struct MalformedAnswer(pub String);
 
 /// Reads one line.
 ///
 /// # Errors
-/// [`Spoilt`] where it is no whole answer of this protocol.
-pub fn read(line: &[u8]) -> Result<Answer, Spoilt> {
-    let spoilt = |what: &str| Spoilt(what.to_string());
-    let all: Value = serde_json::from_slice(line).map_err(|e| Spoilt(e.to_string()))?;
+/// [`MalformedAnswer`] where it is no whole answer of this protocol.
+pub fn read_answer(line: &[u8]) -> Result<Answer, MalformedAnswer> {
+    let malformed = |what: &str| MalformedAnswer(what.to_string());
+    let all: Value = serde_json::from_slice(line).map_err(|e| MalformedAnswer(e.to_string()))?;
     let word = match all.get("cmd").and_then(Value::as_str) {
-        Some("ACK") => Word::Ok,
-        Some("NOENT") => Word::Absent,
-        Some("AGAIN") => Word::Full,
-        Some("EIO") => Word::Error,
-        Some("STALE") => Word::Over,
-        Some("READY") => Word::Ready,
-        Some("AILING") => Word::Ailing,
-        _ => return Err(spoilt("cmd: no word of an answer")),
+        Some("ACK") => AnswerStatus::Served,
+        Some("NOENT") => AnswerStatus::NotLoaded,
+        Some("AGAIN") => AnswerStatus::Rejected,
+        Some("EIO") => AnswerStatus::Failed,
+        Some("STALE") => AnswerStatus::Expired,
+        Some("READY") => AnswerStatus::Healthy,
+        Some("AILING") => AnswerStatus::Unhealthy,
+        _ => return Err(malformed("cmd: no word of an answer")),
     };
     let reference = match all.get("ref") {
         Some(Value::String(text)) => text.clone(),
         Some(Value::Number(number)) => number.to_string(),
-        _ => return Err(spoilt("ref: missing")),
+        _ => return Err(malformed("ref: missing")),
     };
     let opts = all.get("opts");
     let option = |name: &str| opts.and_then(|o| o.get(name));
@@ -150,19 +150,19 @@
         None | Some(Value::Null) => Bytes::new(),
         Some(Value::String(text)) => STANDARD
             .decode(text)
-            .map_err(|e| Spoilt(format!("payload: {e}")))?
+            .map_err(|e| MalformedAnswer(format!("payload: {e}")))?
             .into(),
-        Some(_) => return Err(spoilt("payload: not a string")),
+        Some(_) => return Err(malformed("payload: not a string")),
     };
     Ok(Answer {
         reference,
-        word,
-        alike: option("same").and_then(figure).unwrap_or(0.0) as u32,
-        load: option("l")
+        status: word,
+        function_concurrency: option("same").and_then(figure).unwrap_or(0.0) as u32,
+        load_report: option("l")
             .and_then(Value::as_str)
-            .map(load)
+            .map(read_load_report)
             .unwrap_or_default(),
-        copies: option("n").and_then(figure).unwrap_or(0.0) as u32,
+        replicas: option("n").and_then(figure).unwrap_or(0.0) as u32,
         body,
     })
 }
@@ -175,7 +175,7 @@
 
 /// A load report: `name:figure` pairs set apart by semicolons, under the short or the settings' names. What cannot be
 /// read counts as not told.
-pub fn load(text: &str) -> LoadReport {
+pub fn read_load_report(text: &str) -> LoadReport {
     let mut load = LoadReport::default();
     for (name, value) in text.split(';').filter_map(|pair| pair.split_once(':')) {
         let slot = match name {
--- a/crates/pipithub-platform/tests/growth.rs
+++ b/crates/pipithub-platform/tests/growth.rs
@@ -4,7 +4,7 @@
 use std::hash::{Hash, Hasher};
 use std::rc::Rc;
 
-use pipithub_platform::config::{NodeConfig, first_repeat};
+use pipithub_platform::config::{NodeConfig, first_duplicate};
 use serde_json::{Value, json};
 
 /// Four times the entries may take so many times as much: a quadratic takes sixteen times.
@@ -91,7 +91,7 @@
     let looks = SIZES.map(|n| {
         let counter = Rc::new(Cell::new(0));
         let names: Vec<Counted> = (0..n).map(|i| Counted(i, counter.clone())).collect();
-        assert_eq!(first_repeat(&names), None);
+        assert_eq!(first_duplicate(&names), None);
         counter.get() as f64
     });
     linear("looks", &looks);
@@ -99,8 +99,8 @@
 
 #[test]
 fn the_first_repeat_is_found_where_it_stands() {
-    assert_eq!(first_repeat::<&str>(&[]), None);
-    assert_eq!(first_repeat(&["a", "b", "a", "b"]), Some(2));
+    assert_eq!(first_duplicate::<&str>(&[]), None);
+    assert_eq!(first_duplicate(&["a", "b", "a", "b"]), Some(2));
     let place =
         NodeConfig::parse(&text(1, 3).replace("c00002", "c00000")).expect_err("it names one twice");
     assert_eq!(
--- a/crates/pipithub-platform/tests/protocol.rs
+++ b/crates/pipithub-platform/tests/protocol.rs
@@ -2,9 +2,9 @@
 
 use pipithub_platform::client::{self, ClientLine};
 use pipithub_platform::line::LineFramer;
-use pipithub_platform::list::{HOST_BYTES_MOST, HOSTS_MOST};
+use pipithub_platform::list::{MAX_ENDPOINT_BYTES, MAX_ENDPOINTS};
 use pipithub_platform::settings::SiteSettings;
-use pipithub_platform::sse::{DATA_MOST, SseEvent, SseReader};
+use pipithub_platform::sse::{MAX_DATA_BYTES, SseEvent, SseReader};
 use pipithub_platform::{config::NodeConfig, list, worker};
 use pipithub_policy::api::{Class, Idempotency, Settings};
 use proptest::prelude::*;
@@ -52,23 +52,23 @@
 
     #[test]
     fn no_bytes_make_a_reader_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        let _ = client::read(&bytes, &site());
-        let _ = worker::read(&bytes);
+        let _ = client::read_line(&bytes, &site());
+        let _ = worker::read_answer(&bytes);
         let _ = SseReader::default().push(&bytes, &mut Vec::new());
         let text = String::from_utf8_lossy(&bytes);
         let _ = list::parse(&text, &site().names);
         let _ = NodeConfig::parse(&text);
-        let _ = worker::load(&text);
+        let _ = worker::read_load_report(&text);
     }
 
     #[test]
     fn any_body_passes_unchanged(body in prop::collection::vec(any::<u8>(), 0..600)) {
-        let line = worker::run("9b1f03aa5c7e2d41", "view", "7f3a9c21e0b4d655", 1_500_000_000, None, &body);
+        let line = worker::run_line("9b1f03aa5c7e2d41", "view", "7f3a9c21e0b4d655", 1_500_000_000, None, &body);
         let sent: serde_json::Value = serde_json::from_slice(&line).unwrap();
         let text = sent["payload"].as_str().unwrap();
-        let back = worker::read(format!(r#"{{"cmd":"ACK","ref":1,"payload":"{text}"}}"#).as_bytes()).unwrap();
+        let back = worker::read_answer(format!(r#"{{"cmd":"ACK","ref":1,"payload":"{text}"}}"#).as_bytes()).unwrap();
         prop_assert_eq!(&back.body[..], &body[..]);
-        let answer: serde_json::Value = serde_json::from_slice(&client::served(3, &back.body)).unwrap();
+        let answer: serde_json::Value = serde_json::from_slice(&client::result_line(3, &back.body)).unwrap();
         prop_assert_eq!(answer["result"]["body"].as_str().unwrap(), text);
     }
 }
@@ -104,16 +104,20 @@
 #[test]
 fn answers_come_with_figures_as_numbers_or_text() {
     let line = br#"{"cmd":"ACK","ref":"t1","opts":{"n":"2","same":3,"l":"inflight:7;util:0.61;x0:nan;new:1"},"payload":""}"#;
-    let answer = worker::read(line).unwrap();
+    let answer = worker::read_answer(line).unwrap();
     assert_eq!(
-        (answer.copies, answer.alike, answer.reference.as_str()),
+        (
+            answer.replicas,
+            answer.function_concurrency,
+            answer.reference.as_str()
+        ),
         (2, 3, "t1")
     );
     assert_eq!(
         (
-            answer.load.in_flight,
-            answer.load.cpu_utilization,
-            answer.load.pinned_memory
+            answer.load_report.in_flight,
+            answer.load_report.cpu_utilization,
+            answer.load_report.pinned_memory
         ),
         (Some(7.0), Some(0.61), None)
     );
@@ -124,7 +128,7 @@
         r#"{"cmd":"ACK"}"#,
         r#"{"cmd":"ACK","ref":"a","payload":"%"}"#,
     ] {
-        assert!(worker::read(spoilt.as_bytes()).is_err(), "{spoilt}");
+        assert!(worker::read_answer(spoilt.as_bytes()).is_err(), "{spoilt}");
     }
 }
 
@@ -146,7 +150,7 @@
         &site().names,
     )
     .unwrap();
-    assert_eq!(good.hosts[0].0.started_at, Some(5_000_000));
+    assert_eq!(good.endpoints[0].0.started_at, Some(5_000_000));
 }
 
 /// A worker drops repeats under the key: without it, or with another, a repeat is a second effect.
@@ -163,31 +167,32 @@
             r#"{{"jsonrpc":"2.0","id":1,"method":"view","params":{{"call":"9b1f03aa5c7e2d41","ttl":1500,"row":"7f3a9c21e0b4d655"{key}}}}}"#
         )
     };
-    let read = client::read(line(r#","dedupe":"40bf \"e3\"""#).as_bytes(), &site).expect("a call");
+    let read =
+        client::read_line(line(r#","dedupe":"40bf \"e3\"""#).as_bytes(), &site).expect("a call");
     let ClientLine::Call(call) = read else {
         panic!("{read:?}")
     };
-    let sent = worker::run(
-        &call.call,
+    let sent = worker::run_line(
+        &call.name,
         "view",
         &call.function,
-        call.ttl,
-        call.key.as_deref(),
+        call.client_timeout,
+        call.idempotency_key.as_deref(),
         &call.body,
     );
     let sent: serde_json::Value = serde_json::from_slice(&sent).expect("a line");
     assert_eq!(sent["opts"]["op"], "40bf \"e3\"");
     for key in ["", r#","dedupe":"""#, r#","dedupe":7"#, r#","dedupe":null"#] {
-        let fault = client::read(line(key).as_bytes(), &site).expect_err("no key");
+        let fault = client::read_line(line(key).as_bytes(), &site).expect_err("no key");
         assert!(
-            fault.id == Some(1) && fault.code != client::REFUSED,
+            fault.id == Some(1) && fault.code != client::REJECTED,
             "{key}: {fault}"
         );
     }
     // Other classes need none, and their lines bear none.
     site.policy.classes[0].idempotency = Idempotency::NonIdempotent;
-    assert!(client::read(line("").as_bytes(), &site).is_ok());
-    let plain = worker::run(
+    assert!(client::read_line(line("").as_bytes(), &site).is_ok());
+    let plain = worker::run_line(
         "9b1f03aa5c7e2d41",
         "view",
         "7f3a9c21e0b4d655",
@@ -244,18 +249,18 @@
 #[test]
 fn a_list_at_the_bound_is_read_and_one_worker_more_is_an_error_with_place_and_reason() {
     let names = site().names;
-    let read = list::parse(&tier(HOSTS_MOST), &names).expect("at the bound");
+    let read = list::parse(&tier(MAX_ENDPOINTS), &names).expect("at the bound");
     assert_eq!(
-        (read.hosts.len(), HOSTS_MOST >= 2 * 16_000),
-        (HOSTS_MOST, true)
+        (read.endpoints.len(), MAX_ENDPOINTS >= 2 * 16_000),
+        (MAX_ENDPOINTS, true)
     );
-    let fault = list::parse(&tier(HOSTS_MOST + 1), &names).expect_err("beyond it");
-    assert_eq!(fault, format!("endpoints.hosts: more than {HOSTS_MOST}"));
+    let fault = list::parse(&tier(MAX_ENDPOINTS + 1), &names).expect_err("beyond it");
+    assert_eq!(fault, format!("endpoints.hosts: more than {MAX_ENDPOINTS}"));
 }
 
 #[test]
 fn an_event_at_the_bound_is_read_whole_and_a_byte_more_is_an_error_with_place_and_reason() {
-    assert_eq!(DATA_MOST, HOSTS_MOST * HOST_BYTES_MOST);
+    assert_eq!(MAX_DATA_BYTES, MAX_ENDPOINTS * MAX_ENDPOINT_BYTES);
     let read = |text: &str| {
         let mut events = Vec::new();
         // In pieces, as they come.
@@ -265,21 +270,21 @@
             .try_for_each(|piece| reader.push(piece, &mut events))
             .map(|()| events)
     };
-    let events = read(&"x".repeat(DATA_MOST)).expect("at the bound");
+    let events = read(&"x".repeat(MAX_DATA_BYTES)).expect("at the bound");
     assert_eq!(
         events.iter().map(|e| e.data.len()).collect::<Vec<_>>(),
-        [DATA_MOST]
+        [MAX_DATA_BYTES]
     );
     let says = |text: &str| read(text).expect_err("beyond the bound").to_string();
     let expected = "event 7: data: more than 8192000 bytes, which are 32000 workers of 256 bytes";
-    assert_eq!(says(&"x".repeat(DATA_MOST + 1)), expected);
+    assert_eq!(says(&"x".repeat(MAX_DATA_BYTES + 1)), expected);
     assert_eq!(
-        says(&format!("{}\ndata: x", "x".repeat(DATA_MOST))),
+        says(&format!("{}\ndata: x", "x".repeat(MAX_DATA_BYTES))),
         expected,
         "several lines count together"
     );
     // A hundred thousand workers of few bytes pass here, and the list's own bound holds.
-    assert!(tier(100_000).len() < DATA_MOST);
+    assert!(tier(100_000).len() < MAX_DATA_BYTES);
     let fault = list::parse(&tier(100_000), &site().names).expect_err("beyond the bound");
     assert_eq!(fault, "endpoints.hosts: more than 32000");
 }
