--- a/crates/pipithub-node/src/client_sessions.rs
+++ b/crates/pipithub-node/src/client_sessions.rs
@@ -1,12 +1,13 @@
 //! Clients: their connections, what is open on each, and what makes one be turned away.
 
-use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
+use std::collections::{BTreeMap, HashMap};
 
 use pipithub_engine::Time;
 use pipithub_platform::client::MAX_LINE_BYTES;
 use pipithub_platform::line::LineFramer;
 
 use crate::effect::ConnectionId;
+use crate::executed_calls::ExecutedCalls;
 
 /// Calls that may be open on one connection.
 pub const MAX_PENDING_CALLS: usize = 32;
@@ -22,9 +23,6 @@
 /// all descriptors.
 const SILENCE_TIMEOUT: Time = 2_000_000_000;
 
-/// Ended calls that are remembered against repeats: some seconds of them at the most that a front end takes.
-const MAX_EXECUTED_CALLS: usize = 4096;
-
 /// One client's connection.
 #[derive(Debug)]
 pub struct ClientSession {
@@ -58,6 +56,29 @@
     pub non_idempotent: bool,
 }
 
+/// Why a call is not begun.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub(crate) enum CallRejection {
+    /// The connection has ended meanwhile; nobody waits for an answer.
+    #[error("the connection has ended")]
+    Disconnected,
+    /// A pending call of the connection bears its number.
+    #[error("id: in use")]
+    IdInUse,
+    /// A pending call bears its name. That one may be running: to call a retry harmless would be wrong.
+    #[error("call: open already")]
+    AlreadyPending,
+    /// It must not run twice, and an earlier call of its name may have run.
+    #[error("call: has ended, and may have run")]
+    MayHaveExecuted,
+    /// The client may count a call as over whose end has not come here yet; this one has not run.
+    #[error("too many calls open on this connection")]
+    TooManyPending,
+    /// The client has sent too much that cannot be used; this call has not run.
+    #[error("this connection is about to be closed")]
+    ReadingStopped,
+}
+
 /// All clients.
 #[derive(Debug)]
 pub struct ClientSessions {
@@ -65,9 +86,7 @@
     sessions: BTreeMap<ConnectionId, ClientSession>,
     pending_calls: BTreeMap<u64, PendingCall>,
     tickets: HashMap<String, u64>,
-    /// Calls that must not run twice and may have run, each until when it is remembered; and in that order.
-    executed: HashSet<String>,
-    executed_order: VecDeque<(Time, String)>,
+    executed_calls: ExecutedCalls,
     next_ticket: u64,
 }
 
@@ -79,8 +98,7 @@
             sessions: BTreeMap::new(),
             pending_calls: BTreeMap::new(),
             tickets: HashMap::new(),
-            executed: HashSet::new(),
-            executed_order: VecDeque::new(),
+            executed_calls: ExecutedCalls::default(),
             next_ticket: 1,
         }
     }
@@ -136,35 +154,42 @@
         self.sessions.is_empty()
     }
 
-    /// Whether a call of this name is open here, from whomever.
-    pub fn is_pending(&self, call: &str) -> bool {
-        self.tickets.contains_key(call)
+    /// Remembers a call that may have run and must not run again, until the given time.
+    pub(crate) fn record_executed(&mut self, until: Time, call: &str) {
+        self.executed_calls.record(until, call);
     }
 
-    /// Remembers a call that has ended, may have run and must not run again, until the given time.
-    pub fn record_executed(&mut self, until: Time, call: &str) {
-        if self.executed_order.len() >= MAX_EXECUTED_CALLS
-            && let Some((_, oldest)) = self.executed_order.pop_front()
-        {
-            self.executed.remove(&oldest);
+    /// Whether a call of this number and name may begin on a connection.
+    ///
+    /// # Errors
+    /// [`CallRejection`] says why not.
+    pub(crate) fn check_call(
+        &mut self,
+        now: Time,
+        connection: ConnectionId,
+        id: u64,
+        name: &str,
+    ) -> Result<(), CallRejection> {
+        let client = self
+            .sessions
+            .get(&connection)
+            .ok_or(CallRejection::Disconnected)?;
+        if client.pending_calls.contains_key(&id) {
+            return Err(CallRejection::IdInUse);
         }
-        if self.executed.insert(call.to_string()) {
-            self.executed_order.push_back((until, call.to_string()));
+        if self.tickets.contains_key(name) {
+            return Err(CallRejection::AlreadyPending);
         }
-    }
-
-    /// Whether a call of this name has ended here lately, may have run and must not run again.
-    pub fn may_have_executed(&mut self, now: Time, call: &str) -> bool {
-        while self
-            .executed_order
-            .front()
-            .is_some_and(|(until, _)| *until < now)
-        {
-            if let Some((_, oldest)) = self.executed_order.pop_front() {
-                self.executed.remove(&oldest);
-            }
+        if self.executed_calls.contains(now, name) {
+            return Err(CallRejection::MayHaveExecuted);
+        }
+        if client.pending_calls.len() >= MAX_PENDING_CALLS {
+            return Err(CallRejection::TooManyPending);
+        }
+        if client.reading_stopped {
+            return Err(CallRejection::ReadingStopped);
         }
-        self.executed.contains(call)
+        Ok(())
     }
 
     /// Notes a call; its ticket.
--- a/crates/pipithub-node/src/core.rs
+++ b/crates/pipithub-node/src/core.rs
@@ -21,6 +21,8 @@
 use crate::start_times::StartTimes;
 use crate::worker_pool::WorkerPool;
 
+/// Clients and workers are told times in milliseconds.
+const NANOSECONDS_PER_MILLISECOND: Time = 1_000_000;
 /// How often overdue jobs and idle connections are looked for.
 const SWEEP_INTERVAL: Time = 10_000_000;
 /// How often silent clients are.
--- a/crates/pipithub-node/src/core/calls.rs
+++ b/crates/pipithub-node/src/core/calls.rs
@@ -1,5 +1,7 @@
 //! Calls of clients, from the line that asks for one to its answer.
 
+use crate::client_sessions::CallRejection;
+use crate::core::NANOSECONDS_PER_MILLISECOND;
 use std::sync::Arc;
 
 use pipithub_engine::policy::{Idempotency, Outcome, RequestId};
@@ -9,7 +11,7 @@
 
 use super::Core;
 use super::workers::unanswered;
-use crate::client_sessions::{EXCESS_CALL_SCORE, MAX_PENDING_CALLS, PendingCall};
+use crate::client_sessions::{EXCESS_CALL_SCORE, PendingCall};
 use crate::effect::ConnectionId;
 
 /// All clients are one source to the engine: each call's ticket is its own.
@@ -48,99 +50,94 @@
         }
     }
 
+    /// Begins a call of a client, or says why not.
     pub(super) fn begin_call(&mut self, now: Time, connection: ConnectionId, call: ClientCall) {
-        let Some(client) = self.client_sessions.client(connection) else {
-            return;
-        };
-        let invalid = |message: &str| RequestError {
-            id: Some(call.id),
-            code: client::INVALID_REQUEST,
-            message: message.into(),
-        };
-        if client.pending_calls.contains_key(&call.id) {
-            return self.answer_fault(connection, &invalid("id: in use"));
+        let checked = self
+            .client_sessions
+            .check_call(now, connection, call.id, &call.name);
+        if let Err(rejection) = checked {
+            return self.reject_call(connection, &call, rejection);
         }
-        let (many, reading_stopped) = (
-            client.pending_calls.len() >= MAX_PENDING_CALLS,
-            client.reading_stopped,
-        );
-        if self.client_sessions.is_pending(&call.name) {
-            // Its namesake may be running: to call a further try harmless would be wrong.
-            return self.answer_fault(connection, &invalid("call: open already"));
-        }
-        if self.client_sessions.may_have_executed(now, &call.name) {
-            // The same again of what must not run twice.
-            return self.answer_fault(connection, &invalid("call: has ended, and may have run"));
+        if let Some(client) = self.client_sessions.client(connection) {
+            client.last_active = now;
+            client.has_called = true;
         }
-        if many || reading_stopped {
-            // A client may count a call as over whose end has not come here yet, or be given up for what it sent before;
-            // this one has not run.
-            let limits = &self.site.policy.limits;
-            let pushback =
-                Some(limits.max_retry_after / 1_000_000).filter(|t| limits.retry_after && *t > 0);
-            let message = if many {
-                "too many calls open on this connection"
-            } else {
-                "this connection is about to be closed"
-            };
-            debug!(
-                front_end = self.name,
-                connection,
-                call = call.name,
-                message,
-                "no call"
-            );
-            self.write(
-                connection,
-                client::error_line(Some(call.id), client::REJECTED, message, pushback),
-            );
-            if self
-                .client_sessions
-                .add_fault_score(connection, EXCESS_CALL_SCORE)
-            {
-                self.stop_reading(connection);
+        let trigger = self.trigger(connection, call);
+        self.run(now, Input::Trigger(trigger));
+    }
+
+    fn reject_call(
+        &mut self,
+        connection: ConnectionId,
+        call: &ClientCall,
+        rejection: CallRejection,
+    ) {
+        match rejection {
+            CallRejection::Disconnected => {}
+            CallRejection::IdInUse
+            | CallRejection::AlreadyPending
+            | CallRejection::MayHaveExecuted => {
+                let error = RequestError {
+                    id: Some(call.id),
+                    code: client::INVALID_REQUEST,
+                    message: rejection.to_string(),
+                };
+                self.answer_fault(connection, &error);
+            }
+            CallRejection::TooManyPending | CallRejection::ReadingStopped => {
+                self.shed_call(connection, call, rejection);
             }
-            return;
         }
-        if let Some(client) = self.client_sessions.client(connection) {
-            (client.last_active, client.has_called) = (now, true);
+    }
+
+    /// Answers a call that has not run and may be retried.
+    fn shed_call(&mut self, connection: ConnectionId, call: &ClientCall, rejection: CallRejection) {
+        let limits = &self.site.policy.limits;
+        let retry_after = Some(limits.max_retry_after / NANOSECONDS_PER_MILLISECOND)
+            .filter(|milliseconds| limits.retry_after && *milliseconds > 0);
+        let message = rejection.to_string();
+        debug!(
+            front_end = self.name,
+            connection,
+            call = call.name,
+            message,
+            "no call"
+        );
+        let line = client::error_line(Some(call.id), client::REJECTED, &message, retry_after);
+        self.write(connection, line);
+        if self
+            .client_sessions
+            .add_fault_score(connection, EXCESS_CALL_SCORE)
+        {
+            self.stop_reading(connection);
         }
+    }
+
+    /// Notes a call as pending; what the engine is told of it.
+    fn trigger(&mut self, connection: ConnectionId, call: ClientCall) -> Trigger {
         let non_idempotent = self
             .site
             .policy
             .classes
             .get(call.class)
-            .is_some_and(|c| c.idempotency == Idempotency::NonIdempotent);
+            .is_some_and(|class| class.idempotency == Idempotency::NonIdempotent);
         let number = self.client_sessions.begin_call(PendingCall {
             connection,
             id: call.id,
             name: call.name.clone(),
             non_idempotent,
         });
-        let call = Call {
-            function: Arc::from(call.function),
-            class: call.class,
-            timeout: Some(call.client_timeout),
-            memory_mb: call.memory_mb,
-            replica_concurrency: call.replica_concurrency,
-            load_time: call.load_time,
-            label: Some(Arc::from(call.name)),
-            idempotency_key: call.idempotency_key.map(Arc::from),
-            body: call.body,
-            ..Call::default()
-        };
         let ticket = Ticket {
             source: CLIENTS,
             number,
         };
-        let trigger = Trigger {
+        Trigger {
             ticket,
             identity: None,
             redelivered: false,
             deliveries: 0,
-            call,
-        };
-        self.run(now, Input::Trigger(trigger));
+            call: engine_call(call),
+        }
     }
 
     pub(super) fn answer_client(&mut self, now: Time, ticket: u64, reply: &Arc<Reply>) {
@@ -164,13 +161,11 @@
         let line = match (reply.verdict, &reply.served) {
             (Verdict::Served, Some(served)) => client::result_line(pending.id, &served.body),
             (Verdict::Rejected, _) => {
-                let pushback = reply.retry_after.map(|t| t / 1_000_000);
-                client::error_line(
-                    Some(pending.id),
-                    client::REJECTED,
-                    reply.cause.as_str(),
-                    pushback,
-                )
+                let retry_after = reply
+                    .retry_after
+                    .map(|time| time / NANOSECONDS_PER_MILLISECOND);
+                let cause = reply.cause.as_str();
+                client::error_line(Some(pending.id), client::REJECTED, cause, retry_after)
             }
             _ => client::error_line(Some(pending.id), client::FAILED, reply.cause.as_str(), None),
         };
@@ -178,3 +173,19 @@
         self.close_if_answered(pending.connection);
     }
 }
+
+/// A client's call as the engine takes it.
+fn engine_call(call: ClientCall) -> Call {
+    Call {
+        function: Arc::from(call.function),
+        class: call.class,
+        timeout: Some(call.client_timeout),
+        memory_mb: call.memory_mb,
+        replica_concurrency: call.replica_concurrency,
+        load_time: call.load_time,
+        label: Some(Arc::from(call.name)),
+        idempotency_key: call.idempotency_key.map(Arc::from),
+        body: call.body,
+        ..Call::default()
+    }
+}
--- a/crates/pipithub-node/src/core/clients.rs
+++ b/crates/pipithub-node/src/core/clients.rs
@@ -1,5 +1,9 @@
 //! The client side: connections, their lines, and the answers to their calls.
 
+use crate::client_sessions::ClientSession;
+use pipithub_platform::client::ClientCall;
+use pipithub_platform::line::TooLong;
+use pipithub_platform::settings::SiteSettings;
 use std::collections::BTreeSet;
 
 use bytes::Bytes;
@@ -64,62 +68,44 @@
         let Some(client) = self
             .client_sessions
             .client(connection)
-            .filter(|c| !c.unreadable)
+            .filter(|client| !client.unreadable)
         else {
             return;
         };
-        client.framer.push(bytes);
-        let mut lines = Vec::new();
-        let long = loop {
-            match client.framer.next_line() {
-                Ok(Some(line)) => lines.push(client::read_line(&line, &self.site)),
-                Ok(None) => break None,
-                Err(long) => break Some(long),
-            }
-        };
-        let partial = client.framer.partial();
-        client.partial_line_since = if partial {
-            client
-                .partial_line_since
-                .filter(|_| lines.is_empty())
-                .or(Some(now))
-        } else {
-            None
-        };
-        // What was asked and taken back in one breath has nobody who waits for it: it is not begun.
-        let (mut ids, mut names) = (BTreeSet::new(), BTreeSet::new());
-        for line in &lines {
-            if let Ok(ClientLine::Cancel { id, call }) = line {
-                ids.extend(*id);
-                names.extend(call.clone());
-            }
-        }
-        for line in lines {
+        let received = receive(client, now, bytes, &self.site);
+        let cancelled = CancelledCalls::among(&received.lines);
+        for line in received.lines {
             match line {
-                Ok(ClientLine::Call(call))
-                    if ids.contains(&call.id) || names.contains(&call.name) =>
-                {
+                Ok(ClientLine::Call(call)) if cancelled.contains(&call) => {
                     debug!(
                         front_end = self.name,
                         connection,
                         call = call.name,
-                        "forgotten before it began"
+                        "cancelled before it began"
                     );
                 }
                 line => self.client_line(now, connection, line),
             }
         }
-        if let (Some(long), Some(client)) = (long, self.client_sessions.client(connection)) {
-            client.unreadable = true;
-            let fault = RequestError {
-                id: None,
-                code: client::PARSE_ERROR,
-                message: long.to_string(),
-            };
-            self.answer_fault(connection, &fault);
+        if let Some(error) = received.error {
+            self.end_of_readable_lines(connection, error);
         }
     }
 
+    /// A line of a client is too long: nothing behind it can be read.
+    fn end_of_readable_lines(&mut self, connection: ConnectionId, error: TooLong) {
+        let Some(client) = self.client_sessions.client(connection) else {
+            return;
+        };
+        client.unreadable = true;
+        let error = RequestError {
+            id: None,
+            code: client::PARSE_ERROR,
+            message: error.to_string(),
+        };
+        self.answer_fault(connection, &error);
+    }
+
     fn client_line(
         &mut self,
         now: Time,
@@ -133,31 +119,38 @@
             Ok(ClientLine::Call(call)) => self.begin_call(now, connection, *call),
             Ok(ClientLine::Cancel { id, call }) => {
                 client.last_active = now;
-                if let Some(ticket) =
-                    self.client_sessions
-                        .find_ticket(connection, id, call.as_deref())
-                {
-                    if let Some(pending) = self
-                        .client_sessions
-                        .end_call(now, ticket)
-                        .filter(|c| c.non_idempotent)
-                    {
-                        self.client_sessions
-                            .record_executed(now + self.max_client_timeout, &pending.name);
-                    }
-                    self.cancel_call(now, ticket);
-                    self.close_if_answered(connection);
-                }
+                self.cancel_requested(now, connection, id, call.as_deref());
             }
             Ok(ClientLine::HealthCheck { id }) => {
-                (client.last_active, client.has_called) = (now, true);
+                client.last_active = now;
+                client.has_called = true;
                 let healthy = self.has_endpoint_list && self.shutdown_started.is_none();
                 self.write(connection, client::health_line(id, healthy));
             }
-            // Noise on a connection that is given up has been answered once.
-            Err(fault) if fault.id.is_none() && client.reading_stopped => {}
-            Err(fault) => self.answer_fault(connection, &fault),
+            // Noise on a connection that is no longer read has been answered once.
+            Err(error) if error.id.is_none() && client.reading_stopped => {}
+            Err(error) => self.answer_fault(connection, &error),
+        }
+    }
+
+    /// A client has said that it does not wait any more for a call, named by its number or its name.
+    fn cancel_requested(
+        &mut self,
+        now: Time,
+        connection: ConnectionId,
+        id: Option<u64>,
+        name: Option<&str>,
+    ) {
+        let Some(ticket) = self.client_sessions.find_ticket(connection, id, name) else {
+            return;
+        };
+        let ended = self.client_sessions.end_call(now, ticket);
+        if let Some(pending) = ended.filter(|pending| pending.non_idempotent) {
+            self.client_sessions
+                .record_executed(now + self.max_client_timeout, &pending.name);
         }
+        self.cancel_call(now, ticket);
+        self.close_if_answered(connection);
     }
 
     /// Answers what is no call. What bears no number cannot be told from noise, and what follows noise cannot be trusted.
@@ -216,3 +209,63 @@
         self.effects.push(Effect::Write { connection, bytes });
     }
 }
+
+/// The lines that a client's bytes complete.
+struct ReceivedLines {
+    lines: Vec<Result<ClientLine, RequestError>>,
+    /// What ended them, where the client cannot be read any further.
+    error: Option<TooLong>,
+}
+
+/// Cuts what a client has sent into lines and reads them.
+fn receive(
+    client: &mut ClientSession,
+    now: Time,
+    bytes: &[u8],
+    site: &SiteSettings,
+) -> ReceivedLines {
+    client.framer.push(bytes);
+    let mut lines = Vec::new();
+    let error = loop {
+        match client.framer.next_line() {
+            Ok(Some(line)) => lines.push(client::read_line(&line, site)),
+            Ok(None) => break None,
+            Err(error) => break Some(error),
+        }
+    };
+    client.partial_line_since = if client.framer.partial() {
+        client
+            .partial_line_since
+            .filter(|_| lines.is_empty())
+            .or(Some(now))
+    } else {
+        None
+    };
+    ReceivedLines { lines, error }
+}
+
+/// Calls that are cancelled by the same bytes that ask for them. Nobody waits for such a call: it is not begun.
+struct CancelledCalls {
+    ids: BTreeSet<u64>,
+    names: BTreeSet<String>,
+}
+
+impl CancelledCalls {
+    fn among(lines: &[Result<ClientLine, RequestError>]) -> Self {
+        let mut cancelled = CancelledCalls {
+            ids: BTreeSet::new(),
+            names: BTreeSet::new(),
+        };
+        for line in lines {
+            if let Ok(ClientLine::Cancel { id, call }) = line {
+                cancelled.ids.extend(*id);
+                cancelled.names.extend(call.clone());
+            }
+        }
+        cancelled
+    }
+
+    fn contains(&self, call: &ClientCall) -> bool {
+        self.ids.contains(&call.id) || self.names.contains(&call.name)
+    }
+}
--- a/crates/pipithub-node/src/core/outputs.rs
+++ b/crates/pipithub-node/src/core/outputs.rs
@@ -1,5 +1,6 @@
 //! Carries out what the engine asks for.
 
+use pipithub_engine::policy::FunctionId;
 use pipithub_engine::policy::{Outcome, WorkerId};
 use pipithub_engine::{AttemptId, Call, Input, Output, Time};
 use pipithub_platform::worker::{self, RunRequest};
@@ -13,6 +14,7 @@
 const LOAD_POLL_TIMEOUT: Time = 250_000_000;
 
 impl Core {
+    /// Carries out one thing that the engine asks for.
     pub(super) fn perform(&mut self, now: Time, output: Output) {
         match output {
             Output::Forward {
@@ -21,84 +23,88 @@
                 call,
                 deadline,
             } => self.forward(now, id, worker, &call, deadline),
-            Output::Cancel(id) => {
-                let Some(worker) = self.in_flight.get(&id).cloned() else {
-                    return;
-                };
-                let (took, back) = self
-                    .worker_pool
-                    .cancel(now, &worker, id)
-                    .map_or((0, false), |(request, back)| {
-                        (now.saturating_sub(request.began), back)
-                    });
-                let outcome = if back {
-                    Outcome::NotSent
-                } else {
-                    Outcome::Cancelled
-                };
-                self.attempt_ended(unanswered(id, outcome, took));
-            }
+            Output::Cancel(id) => self.cancel_attempt(now, id),
             Output::LoadFunction {
                 worker,
                 function,
                 name,
-                replicas: copies,
-            } => {
-                debug!(
-                    front_end = self.name,
-                    worker = &*worker.0,
-                    function = &*name,
-                    copies,
-                    "order"
-                );
-                let tag = self.next_reference();
-                let line = worker::load_function_line(&tag, &name, copies);
-                let request = WorkerRequest::new(
-                    RequestKind::LoadFunction(function),
-                    tag,
-                    line,
-                    now,
-                    now + self.site.transport.load_command_timeout,
-                );
-                self.submit(now, &worker, request);
-            }
-            Output::EvictFunction { worker, name } => {
-                let line = worker::evict_function_line(&name);
-                let request = WorkerRequest::new(
-                    RequestKind::EvictFunction,
-                    name.to_string(),
-                    line,
-                    now,
-                    now + self.site.transport.load_command_timeout,
-                );
-                self.submit(now, &worker, request);
-            }
-            Output::PollLoad(worker) => {
-                let tag = self.next_reference();
-                let line = worker::poll_load_line(&tag);
-                self.submit(
-                    now,
-                    &worker,
-                    WorkerRequest::new(
-                        RequestKind::PollLoad,
-                        tag,
-                        line,
-                        now,
-                        now + LOAD_POLL_TIMEOUT,
-                    ),
-                );
-            }
+                replicas,
+            } => self.load_function(now, &worker, function, &name, replicas),
+            Output::EvictFunction { worker, name } => self.evict_function(now, &worker, &name),
+            Output::PollLoad(worker) => self.poll_load(now, &worker),
             Output::Answer { ticket, reply } => {
                 let request = self.engine.request(ticket);
                 self.abandon_attempts(now, request);
                 self.answer_client(now, ticket.number, &reply);
                 self.inputs.push_back(Input::Settled(ticket));
             }
-            // Nothing is delivered twice here, and the list is followed from the start.
+            // Nothing is delivered twice here, and the endpoint list is watched from the start.
             Output::Forget(_) | Output::WatchEndpoints => {}
         }
     }
 
+    fn cancel_attempt(&mut self, now: Time, id: AttemptId) {
+        let Some(worker) = self.in_flight.get(&id).cloned() else {
+            return;
+        };
+        let (elapsed, outcome) = match self.worker_pool.cancel(now, &worker, id) {
+            Some((request, not_sent)) => {
+                let outcome = if not_sent {
+                    Outcome::NotSent
+                } else {
+                    Outcome::Cancelled
+                };
+                (now.saturating_sub(request.began), outcome)
+            }
+            None => (0, Outcome::Cancelled),
+        };
+        self.attempt_ended(unanswered(id, outcome, elapsed));
+    }
+
+    fn load_function(
+        &mut self,
+        now: Time,
+        worker: &WorkerId,
+        function: FunctionId,
+        name: &str,
+        replicas: u32,
+    ) {
+        debug!(
+            front_end = self.name,
+            worker = &*worker.0,
+            function = name,
+            replicas,
+            "load command"
+        );
+        let reference = self.next_reference();
+        let line = worker::load_function_line(&reference, name, replicas);
+        let kind = RequestKind::LoadFunction(function);
+        let deadline = now + self.site.transport.load_command_timeout;
+        let request = WorkerRequest::new(kind, reference, line, now, deadline);
+        self.submit(now, worker, request);
+    }
+
+    fn evict_function(&mut self, now: Time, worker: &WorkerId, name: &str) {
+        let line = worker::evict_function_line(name);
+        let deadline = now + self.site.transport.load_command_timeout;
+        let request = WorkerRequest::new(
+            RequestKind::EvictFunction,
+            name.to_string(),
+            line,
+            now,
+            deadline,
+        );
+        self.submit(now, worker, request);
+    }
+
+    fn poll_load(&mut self, now: Time, worker: &WorkerId) {
+        let reference = self.next_reference();
+        let line = worker::poll_load_line(&reference);
+        let deadline = now + LOAD_POLL_TIMEOUT;
+        let request = WorkerRequest::new(RequestKind::PollLoad, reference, line, now, deadline);
+        self.submit(now, worker, request);
+    }
+
     fn forward(&mut self, now: Time, id: AttemptId, worker: WorkerId, call: &Call, deadline: Time) {
         let name = call.label.as_deref().unwrap_or_default();
         let class = self
--- a/crates/pipithub-node/src/core/workers.rs
+++ b/crates/pipithub-node/src/core/workers.rs
@@ -4,6 +4,8 @@
 use pipithub_engine::{
     AttemptId, AttemptResult, Input, LoadCommandResult, LoadPollResult, Served, Time,
 };
+use pipithub_platform::line::{LineFramer, TooLong};
+use pipithub_platform::worker::MalformedAnswer;
 use pipithub_platform::worker::{self, Answer, AnswerStatus};
 use tracing::{debug, info};
 
@@ -43,35 +45,34 @@
             return;
         };
         framer.push(bytes);
-        loop {
-            let Some(framer) = self.worker_pool.framer(connection) else {
-                return;
-            };
-            let spoilt = match framer.next_line() {
+        // An answer may close its connection, and the framer goes with it.
+        while let Some(framer) = self.worker_pool.framer(connection) {
+            match next_answer(framer) {
+                Ok(Some(answer)) => self.answer_received(now, connection, answer),
                 Ok(None) => return,
-                Ok(Some(line)) => match worker::read_answer(&line) {
-                    Ok(answer) => {
-                        self.answer_received(now, connection, answer);
-                        continue;
-                    }
-                    Err(spoilt) => spoilt.to_string(),
-                },
-                Err(long) => long.to_string(),
-            };
-            info!(
-                front_end = self.name,
-                connection, spoilt, "answer cannot be read; connection closed"
-            );
-            self.worker_pool.close_malformed(now, connection);
-            return self.settle_failures(now);
+                Err(error) => return self.close_malformed(now, connection, &error),
+            }
         }
     }
 
+    /// Closes a connection on which something came that cannot be read.
+    fn close_malformed(&mut self, now: Time, connection: ConnectionId, error: &AnswerError) {
+        info!(
+            front_end = self.name,
+            connection,
+            %error,
+            "answer cannot be read; connection closed"
+        );
+        self.worker_pool.close_malformed(now, connection);
+        self.settle_failures(now);
+    }
+
+    /// A worker has answered: what was asked of it has ended.
     fn answer_received(&mut self, now: Time, connection: ConnectionId, answer: Answer) {
-        let found = self
+        let answered = self
             .worker_pool
             .answered(now, connection, &answer.reference);
-        let Some((worker, request)) = found else {
+        let Some((worker, request)) = answered else {
             return debug!(
                 front_end = self.name,
                 connection,
@@ -79,70 +80,29 @@
                 "answer to nothing open"
             );
         };
-        let took = now.saturating_sub(request.began);
-        let outcome = match answer.status {
-            AnswerStatus::Served | AnswerStatus::Healthy | AnswerStatus::Unhealthy => {
-                Outcome::Served
-            }
-            AnswerStatus::NotLoaded => Outcome::NotLoaded,
-            AnswerStatus::Rejected => Outcome::Rejected,
-            AnswerStatus::Failed => Outcome::Error,
-            AnswerStatus::Expired => Outcome::NotSent,
-        };
+        let elapsed = now.saturating_sub(request.began);
         match request.kind {
             RequestKind::Attempt(id) => {
-                // An answer to something else under this name proves nothing.
-                let outcome = if matches!(
-                    answer.status,
-                    AnswerStatus::Healthy | AnswerStatus::Unhealthy
-                ) {
-                    Outcome::Error
-                } else {
-                    outcome
-                };
-                let body = answer.body;
-                let served = (outcome == Outcome::Served).then(|| Served {
-                    status: 200,
-                    content_type: None,
-                    body,
-                });
-                let told = matches!(outcome, Outcome::Served | Outcome::Rejected);
-                let alike = told.then_some(answer.function_concurrency);
-                let end = AttemptResult {
-                    id,
-                    outcome,
-                    elapsed: took,
-                    replica_status: None,
-                    function_concurrency: alike,
-                    load_report: answer.load_report,
-                    served,
-                };
-                self.attempt_ended(end);
+                self.attempt_ended(attempt_result(id, elapsed, answer));
                 self.settle(now);
             }
             RequestKind::LoadFunction(function) => {
-                let copies = answer.replicas;
-                self.run(
-                    now,
-                    Input::LoadCommandFinished(LoadCommandResult {
-                        worker,
-                        function,
-                        outcome,
-                        elapsed: took,
-                        replicas: copies,
-                    }),
-                );
+                let result = LoadCommandResult {
+                    worker,
+                    function,
+                    outcome: outcome(answer.status),
+                    elapsed,
+                    replicas: answer.replicas,
+                };
+                self.run(now, Input::LoadCommandFinished(result));
             }
             RequestKind::PollLoad => {
-                let answered = answer.status == AnswerStatus::Healthy;
-                self.run(
-                    now,
-                    Input::LoadPolled(LoadPollResult {
-                        worker,
-                        answered,
-                        load_report: answer.load_report,
-                    }),
-                );
+                let result = LoadPollResult {
+                    worker,
+                    answered: answer.status == AnswerStatus::Healthy,
+                    load_report: answer.load_report,
+                };
+                self.run(now, Input::LoadPolled(result));
             }
             RequestKind::EvictFunction => {}
         }
@@ -218,3 +178,57 @@
         served: None,
     }
 }
+
+/// Why what a worker sent cannot be read.
+#[derive(Debug, thiserror::Error)]
+enum AnswerError {
+    /// A line is longer than any answer.
+    #[error(transparent)]
+    TooLong(#[from] TooLong),
+    /// A line is no answer.
+    #[error(transparent)]
+    Malformed(#[from] MalformedAnswer),
+}
+
+/// The next whole answer of what a worker has sent.
+fn next_answer(framer: &mut LineFramer) -> Result<Option<Answer>, AnswerError> {
+    let Some(line) = framer.next_line()? else {
+        return Ok(None);
+    };
+    Ok(Some(worker::read_answer(&line)?))
+}
+
+/// What an answer says of the request that it ends.
+fn outcome(status: AnswerStatus) -> Outcome {
+    match status {
+        AnswerStatus::Served | AnswerStatus::Healthy | AnswerStatus::Unhealthy => Outcome::Served,
+        AnswerStatus::NotLoaded => Outcome::NotLoaded,
+        AnswerStatus::Rejected => Outcome::Rejected,
+        AnswerStatus::Failed => Outcome::Error,
+        AnswerStatus::Expired => Outcome::NotSent,
+    }
+}
+
+/// What the engine is told of an attempt that a worker has answered.
+fn attempt_result(id: AttemptId, elapsed: Time, answer: Answer) -> AttemptResult {
+    let outcome = match answer.status {
+        // An answer to something else under the call's name proves nothing.
+        AnswerStatus::Healthy | AnswerStatus::Unhealthy => Outcome::Error,
+        status => outcome(status),
+    };
+    let reports_concurrency = matches!(outcome, Outcome::Served | Outcome::Rejected);
+    let served = (outcome == Outcome::Served).then_some(Served {
+        status: 200,
+        content_type: None,
+        body: answer.body,
+    });
+    AttemptResult {
+        id,
+        outcome,
+        elapsed,
+        replica_status: None,
+        function_concurrency: reports_concurrency.then_some(answer.function_concurrency),
+        load_report: answer.load_report,
+        served,
+    }
+}
--- a/crates/pipithub-node/src/lib.rs
+++ b/crates/pipithub-node/src/lib.rs
@@ -9,6 +9,7 @@
 pub mod coordinator;
 pub mod core;
 pub mod effect;
+mod executed_calls;
 pub mod idle_timeout;
 pub mod shell;
 pub mod sockets;
