--- a/crates/pipithub-node/src/shell.rs
+++ b/crates/pipithub-node/src/shell.rs
@@ -102,20 +102,7 @@
 
     fn execute(self: &Rc<Self>, effect: Effect) {
         match effect {
-            Effect::Write { connection, bytes } => {
-                if let Some(socket) = self.sockets.borrow().get(&connection) {
-                    if socket.side == Side::Worker {
-                        if socket.peer_closed() {
-                            // Whatever is written now would be lost, and nobody could say whether it ran.
-                            socket.broken.set(true);
-                        }
-                        self.written_workers.borrow_mut().push(connection);
-                    } else {
-                        self.last_client_activity.set(self.clock.now());
-                    }
-                    socket.write(&bytes);
-                }
-            }
+            Effect::Write { connection, bytes } => self.write(connection, &bytes),
             Effect::CancelWrite {
                 connection,
                 offset,
@@ -138,35 +125,53 @@
                 address,
                 within,
             } => {
-                let shell = self.clone();
-                tokio::task::spawn_local(async move {
-                    let within = Duration::from_nanos(within);
-                    let most = shell.core.borrow().max_worker_connections() + MAX_CLOSING;
-                    let dial = async |dialled: &Cell<bool>| {
-                        shell.workers.wait_below(most).await;
-                        dialled.set(true);
-                        let slot = shell.workers.take();
-                        TcpStream::connect(&*address)
-                            .await
-                            .map(|stream| (stream, slot))
-                    };
-                    match sockets::connect(within, dial, &shell.local_faults).await {
-                        Ok((stream, slot)) => {
-                            let socket = Socket::new(stream, Side::Worker, slot);
-                            shell
-                                .sockets
-                                .borrow_mut()
-                                .insert(connection, socket.clone());
-                            shell.update_core(|core, now| core.worker_connected(now, connection));
-                            shell.serve_connection(connection, socket).await;
-                        }
-                        Err(error) => {
-                            debug!(connection, %error, "cannot connect");
-                            let own = matches!(error, ConnectError::Local);
-                            shell.update_core(|core, now| core.worker_failed(now, connection, own));
-                        }
-                    }
-                });
+                let connect = self.clone().connect(connection, address, within);
+                tokio::task::spawn_local(connect);
+            }
+        }
+    }
+
+    fn write(&self, connection: ConnectionId, bytes: &[u8]) {
+        let sockets = self.sockets.borrow();
+        let Some(socket) = sockets.get(&connection) else {
+            return;
+        };
+        match socket.side {
+            Side::Worker => {
+                if socket.peer_closed() {
+                    // Whatever is written now would be lost, and nobody could say whether it ran.
+                    socket.broken.set(true);
+                }
+                self.written_workers.borrow_mut().push(connection);
+            }
+            Side::Client => self.last_client_activity.set(self.clock.now()),
+        }
+        socket.write(bytes);
+    }
+
+    /// Connects to a worker, and serves the connection until it ends.
+    async fn connect(self: Rc<Self>, connection: ConnectionId, address: String, within: Time) {
+        let max_in_use = self.core.borrow().max_worker_connections() + MAX_CLOSING;
+        let dial = async |dialled: &Cell<bool>| {
+            self.workers.wait_below(max_in_use).await;
+            dialled.set(true);
+            let slot = self.workers.take();
+            TcpStream::connect(&*address)
+                .await
+                .map(|stream| (stream, slot))
+        };
+        let within = Duration::from_nanos(within);
+        match sockets::connect(within, dial, &self.local_faults).await {
+            Ok((stream, slot)) => {
+                let socket = Socket::new(stream, Side::Worker, slot);
+                self.sockets.borrow_mut().insert(connection, socket.clone());
+                self.update_core(|core, now| core.worker_connected(now, connection));
+                self.serve_connection(connection, socket).await;
+            }
+            Err(error) => {
+                debug!(connection, %error, "cannot connect");
+                let local_fault = matches!(error, ConnectError::Local);
+                self.update_core(|core, now| core.worker_failed(now, connection, local_fault));
             }
         }
     }
--- a/crates/pipithub-node/src/shell/connection.rs
+++ b/crates/pipithub-node/src/shell/connection.rs
@@ -58,13 +58,27 @@
         connection: ConnectionId,
         socket: Rc<Socket>,
     ) {
+        self.transfer_until_end(connection, &socket).await;
+        if socket.closing.get() {
+            // The core has let go of it.
+            return self.linger_if_owed(&socket).await;
+        }
+        self.sockets.borrow_mut().remove(&connection);
+        self.update_core(|core, now| match socket.side {
+            Side::Client => core.client_closed(now, connection),
+            Side::Worker => core.worker_closed(now, connection, socket.written.get()),
+        });
+    }
+
+    /// Reads and writes until the connection has ended, cannot be written any more or is to be closed.
+    async fn transfer_until_end(self: &Rc<Self>, connection: ConnectionId, socket: &Socket) {
         loop {
-            let empty = socket.unwritten.borrow().is_empty();
+            let nothing_to_write = socket.unwritten.borrow().is_empty();
             if socket.closing.get() || socket.broken.get() {
-                break;
+                return;
             }
-            self.wait_for_local_resources(&socket).await;
-            let interest = if empty {
+            self.wait_for_local_resources(socket).await;
+            let interest = if nothing_to_write {
                 Interest::READABLE
             } else {
                 Interest::READABLE | Interest::WRITABLE
@@ -73,40 +87,41 @@
                 ready = socket.stream.ready(interest) => ready,
                 () = socket.wake.notified() => continue,
             };
-            let Ok(ready) = ready else { break };
+            let Ok(ready) = ready else { return };
             if ready.is_readable() {
-                match self.read(connection, &socket) {
-                    Progress::Ended => break,
+                match self.read(connection, socket) {
+                    Progress::Ended => return,
                     Progress::Drained => {}
                     // Whoever writes without end must not keep the others' closes from being seen.
                     Progress::More => tokio::task::yield_now().await,
                 }
             }
-            if ready.is_writable() && !empty {
-                socket.flush(&mut socket.unwritten.borrow_mut());
-                if socket.side == Side::Worker {
-                    self.update_core(|_, _| self.written_workers.borrow_mut().push(connection));
-                } else {
-                    self.last_client_activity.set(self.clock.now());
-                }
+            if ready.is_writable() && !nothing_to_write {
+                self.flush(connection, socket);
             }
         }
-        if socket.closing.get() {
-            // The core has let go of it.
-            let told = socket.written.get() > 0 || !socket.unwritten.borrow().is_empty();
-            let room = self.shutting_down.get() || self.lingering.get() < MAX_LINGERING;
-            if socket.side == Side::Client && told && room {
-                self.lingering.set(self.lingering.get() + 1);
-                let _ = tokio::time::timeout(LINGER_TIMEOUT, self.linger(&socket)).await;
-                self.lingering.set(self.lingering.get() - 1);
+    }
+
+    /// Writes what waits to be written.
+    fn flush(self: &Rc<Self>, connection: ConnectionId, socket: &Socket) {
+        socket.flush(&mut socket.unwritten.borrow_mut());
+        match socket.side {
+            Side::Worker => {
+                self.update_core(|_, _| self.written_workers.borrow_mut().push(connection));
             }
-            return;
+            Side::Client => self.last_client_activity.set(self.clock.now()),
+        }
+    }
+
+    /// Lets a client that was told something read it, unless too many do so already.
+    async fn linger_if_owed(&self, socket: &Socket) {
+        let was_told = socket.written.get() > 0 || !socket.unwritten.borrow().is_empty();
+        let may_linger = self.shutting_down.get() || self.lingering.get() < MAX_LINGERING;
+        if socket.side == Side::Client && was_told && may_linger {
+            self.lingering.set(self.lingering.get() + 1);
+            let _ = tokio::time::timeout(LINGER_TIMEOUT, self.linger(socket)).await;
+            self.lingering.set(self.lingering.get() - 1);
         }
-        self.sockets.borrow_mut().remove(&connection);
-        self.update_core(|core, now| match socket.side {
-            Side::Client => core.client_closed(now, connection),
-            Side::Worker => core.worker_closed(now, connection, socket.written.get()),
-        });
     }
 
     /// Waits for a moment where this machine lacked something when a connection was last read or written: that is tried
--- a/crates/pipithub-node/src/shell/runtime.rs
+++ b/crates/pipithub-node/src/shell/runtime.rs
@@ -10,13 +10,13 @@
 use pipithub_clock::{Clock, wall_ns};
 use pipithub_engine::Time;
 use pipithub_platform::config::NodeConfig;
+use pipithub_platform::list::EndpointEvent;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::{Notify, watch};
-use tokio::time::Instant;
-use tracing::{error, info};
+use tracing::info;
 
-use super::reload::{MAX_RELOAD_RETRIES, RELOAD_BACKOFF, at, load};
+use super::reload::{ConfigReloader, load};
 use super::slots::Slots;
 use super::socket::Side;
 use super::{READ_BUFFER_BYTES, Shell};
@@ -55,6 +55,53 @@
 }
 
 impl Shell {
+    /// A shell around a new core.
+    fn new(config: &NodeConfig) -> Self {
+        let clock = Clock::unix();
+        let max_unwritten = ((config.memory_mb as usize) << 20) / UNWRITTEN_MEMORY_DIVISOR;
+        Shell {
+            core: Rc::new(RefCell::new(Core::new(clock.now(), config))),
+            sockets: RefCell::default(),
+            clients: Slots::new(max_unwritten),
+            workers: Slots::new(max_unwritten),
+            lingering: Cell::new(0),
+            local_faults: LocalFaults::default(),
+            shutting_down: Cell::new(false),
+            last_client_activity: Cell::new(clock.now()),
+            written_workers: RefCell::default(),
+            closing_clients: RefCell::default(),
+            clock,
+            read_buffer: RefCell::new(vec![0; READ_BUFFER_BYTES]),
+            timer_due: Cell::new(Time::MAX),
+            timer_changed: Notify::new(),
+        }
+    }
+
+    /// Hands the coordinator's events to the core; through what is returned the coordinator's address may be changed.
+    fn follow_coordinator(self: &Rc<Self>, config: &NodeConfig) -> watch::Sender<String> {
+        let last = config.known_updates.last().map_or(0, |event| event.index);
+        let (sender, address) = watch::channel(config.coordinator.clone());
+        let shell = self.clone();
+        let apply = move |event: EndpointEvent| {
+            shell.update_core(|core, now| core.update_endpoints_at(now, wall_ns(), &event));
+        };
+        let names = config.site.names.clone();
+        let follow = coordinator::follow(address, last, names, config.seed, apply);
+        tokio::task::spawn_local(follow);
+        sender
+    }
+
+    fn log_end(&self, name: &str) {
+        let core = self.core.borrow();
+        info!(
+            front_end = name,
+            open = core.pending_requests(),
+            stats = ?core.stats(),
+            local_faults = self.local_faults.count(),
+            "front end down"
+        );
+    }
+
     /// Whether the process may end: all that was taken is answered and written, and for a while nothing new was seen on
     /// any socket, so that no request stands unread in the system.
     fn is_finished(&self) -> bool {
@@ -99,7 +146,7 @@
 /// A front end that listens and has not begun to serve.
 pub struct Node {
     config: NodeConfig,
-    place: PathBuf,
+    path: PathBuf,
     listener: TcpListener,
     terminate: Signal,
     interrupt: Signal,
@@ -124,7 +171,7 @@
         let listener = listener.map_err(|reason| StartError::Listen { address, reason })?;
         Ok(Node {
             config,
-            place: path.to_path_buf(),
+            path: path.to_path_buf(),
             listener,
             terminate,
             interrupt,
@@ -150,48 +197,19 @@
     pub async fn serve_sharing(self, share: impl FnOnce(Rc<RefCell<Core>>)) {
         let Node {
             config,
-            place,
+            path,
             listener,
             mut terminate,
             mut interrupt,
             mut reload,
         } = self;
-        let clock = Clock::unix();
-        let max_unwritten = ((config.memory_mb as usize) << 20) / UNWRITTEN_MEMORY_DIVISOR;
-        let core = Rc::new(RefCell::new(Core::new(clock.now(), &config)));
-        share(core.clone());
-        let shell = Rc::new(Shell {
-            core,
-            sockets: RefCell::default(),
-            clients: Slots::new(max_unwritten),
-            workers: Slots::new(max_unwritten),
-            lingering: Cell::new(0),
-            local_faults: LocalFaults::default(),
-            shutting_down: Cell::new(false),
-            last_client_activity: Cell::new(clock.now()),
-            written_workers: RefCell::default(),
-            closing_clients: RefCell::default(),
-            clock,
-            read_buffer: RefCell::new(vec![0; READ_BUFFER_BYTES]),
-            timer_due: Cell::new(Time::MAX),
-            timer_changed: Notify::new(),
-        });
-        let last = config.known_updates.last().map_or(0, |e| e.index);
-        let (coordinator, followed) = watch::channel(config.coordinator.clone());
-        let names = config.site.names.clone();
-        let told = shell.clone();
-        tokio::task::spawn_local(coordinator::follow(
-            followed,
-            last,
-            names,
-            config.seed,
-            move |event| {
-                told.update_core(|core, now| core.update_endpoints_at(now, wall_ns(), &event));
-            },
-        ));
+        let shell = Rc::new(Shell::new(&config));
+        share(shell.core.clone());
+        let coordinator = shell.follow_coordinator(&config);
+        let mut reloader = ConfigReloader::new(path, coordinator);
         let address = listener
             .local_addr()
-            .map_or_else(|e| e.to_string(), |a| a.to_string());
+            .map_or_else(|error| error.to_string(), |address| address.to_string());
         let accepting = tokio::task::spawn_local(shell.clone().accept(listener));
         info!(
             front_end = config.name,
@@ -199,54 +217,19 @@
             coordinator = config.coordinator,
             "front end up"
         );
-        let over = shell.run_timer();
-        tokio::pin!(over);
-        // How often a configuration that could not be read was looked at, and when to look again.
-        let (mut looks, mut again) = (0, None);
+        let finished = shell.run_timer();
+        tokio::pin!(finished);
         loop {
-            let look = tokio::select! {
-                () = &mut over => break,
-                _ = terminate.recv() => { shell.update_core(Core::begin_shutdown); false }
-                _ = interrupt.recv() => { shell.update_core(Core::begin_shutdown); false }
-                _ = reload.recv() => { looks = 0; true }
-                () = at(again) => true,
-            };
-            if !look {
-                continue;
-            }
-            again = None;
-            match load(&place) {
-                Ok(fresh) => {
-                    info!(coordinator = fresh.coordinator, "configuration read again");
-                    // One that has not moved is not asked anew: each call for the list costs the fleet.
-                    coordinator.send_if_modified(|now| {
-                        let moved = *now != fresh.coordinator;
-                        *now = fresh.coordinator;
-                        moved
-                    });
-                }
-                Err(reason) => {
-                    error!(%reason, looks, "previous configuration stays in force");
-                    if looks < MAX_RELOAD_RETRIES {
-                        again = Some(Instant::now() + RELOAD_BACKOFF * 2u32.pow(looks));
-                        looks += 1;
-                    }
-                }
+            tokio::select! {
+                () = &mut finished => break,
+                _ = terminate.recv() => shell.update_core(Core::begin_shutdown),
+                _ = interrupt.recv() => shell.update_core(Core::begin_shutdown),
+                _ = reload.recv() => reloader.reload(),
+                () = reloader.retry() => {}
             }
         }
         accepting.abort();
         shell.close_clients().await;
-        let (stats, open) = (
-            shell.core.borrow().stats(),
-            shell.core.borrow().pending_requests(),
-        );
-        let local_faults = shell.local_faults.count();
-        info!(
-            front_end = config.name,
-            open,
-            ?stats,
-            local_faults,
-            "front end down"
-        );
+        shell.log_end(&config.name);
     }
 }
