--- a/crates/pipithub-node/src/core/outputs.rs
+++ b/crates/pipithub-node/src/core/outputs.rs
@@ -8,7 +8,7 @@
 
 use super::Core;
 use super::workers::unanswered;
-use crate::worker_pool::{Payload, RequestKind, WorkerRequest};
+use crate::worker_pool::{CancelledRequest, Payload, RequestKind, WorkerRequest};
 
 /// A probe without an answer by then is none.
 const LOAD_POLL_TIMEOUT: Time = 250_000_000;
@@ -48,7 +48,7 @@
             return;
         };
         let (elapsed, outcome) = match self.worker_pool.cancel(now, &worker, id) {
-            Some((request, not_sent)) => {
+            Some(CancelledRequest { request, not_sent }) => {
                 let outcome = if not_sent {
                     Outcome::NotSent
                 } else {
--- a/crates/pipithub-node/src/core/workers.rs
+++ b/crates/pipithub-node/src/core/workers.rs
@@ -11,7 +11,7 @@
 
 use super::Core;
 use crate::effect::ConnectionId;
-use crate::worker_pool::{RequestKind, SendFailure};
+use crate::worker_pool::{AnsweredRequest, FailedRequest, RequestKind, SendFailure};
 
 impl Core {
     /// A connection to a worker is up.
@@ -72,7 +72,7 @@
         let answered = self
             .worker_pool
             .answered(now, connection, &answer.reference);
-        let Some((worker, request)) = answered else {
+        let Some(AnsweredRequest { worker, request }) = answered else {
             return debug!(
                 front_end = self.name,
                 connection,
@@ -125,36 +125,35 @@
         self.inputs.push_back(Input::AttemptFinished(end));
     }
 
-    /// Notes the ends of jobs that got no answer.
+    /// Notes the ends of requests that got no answer, for the engine to hear after the present input.
     pub(super) fn record_failures(&mut self, now: Time) {
-        for (worker, request, how) in self.worker_pool.take_failures() {
-            let outcome = match how {
-                SendFailure::Unreachable => Outcome::Unreachable,
-                SendFailure::NeverSent => Outcome::NotSent,
-                SendFailure::ConnectionLost => Outcome::ConnectionLost,
-                SendFailure::Malformed => Outcome::Error,
-                SendFailure::TimedOut => Outcome::TimedOut,
-            };
-            let took = now.saturating_sub(request.began);
+        for failed in self.worker_pool.take_failures() {
+            let FailedRequest {
+                worker,
+                request,
+                failure,
+            } = failed;
+            let outcome = failure_outcome(failure);
+            let elapsed = now.saturating_sub(request.began);
             match request.kind {
-                RequestKind::Attempt(id) => self.attempt_ended(unanswered(id, outcome, took)),
+                RequestKind::Attempt(id) => self.attempt_ended(unanswered(id, outcome, elapsed)),
                 RequestKind::LoadFunction(function) => {
-                    let end = LoadCommandResult {
+                    let result = LoadCommandResult {
                         worker,
                         function,
                         outcome,
-                        elapsed: took,
+                        elapsed,
                         replicas: 0,
                     };
-                    self.inputs.push_back(Input::LoadCommandFinished(end));
+                    self.inputs.push_back(Input::LoadCommandFinished(result));
                 }
                 RequestKind::PollLoad => {
-                    let end = LoadPollResult {
+                    let result = LoadPollResult {
                         worker,
                         answered: false,
                         load_report: LoadReport::default(),
                     };
-                    self.inputs.push_back(Input::LoadPolled(end));
+                    self.inputs.push_back(Input::LoadPolled(result));
                 }
                 RequestKind::EvictFunction => {}
             }
@@ -232,3 +231,14 @@
         served,
     }
 }
+
+/// What the engine is told of a request that got no answer.
+fn failure_outcome(failure: SendFailure) -> Outcome {
+    match failure {
+        SendFailure::Unreachable => Outcome::Unreachable,
+        SendFailure::NeverSent => Outcome::NotSent,
+        SendFailure::ConnectionLost => Outcome::ConnectionLost,
+        SendFailure::Malformed => Outcome::Error,
+        SendFailure::TimedOut => Outcome::TimedOut,
+    }
+}
--- a/crates/pipithub-node/src/worker_pool.rs
+++ b/crates/pipithub-node/src/worker_pool.rs
@@ -10,7 +10,10 @@
 mod selection;
 mod sweep;
 
-pub use self::request::{Payload, RequestKind, SendFailure, WorkerRequest};
+pub use self::request::{
+    AnsweredRequest, CancelledRequest, FailedRequest, Payload, RequestKind, SendFailure,
+    WorkerRequest,
+};
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -51,7 +54,7 @@
     connections: BTreeMap<ConnectionId, Connection>,
     next: ConnectionId,
     effects: Vec<Effect>,
-    failures: Vec<(WorkerId, WorkerRequest, SendFailure)>,
+    failures: Vec<FailedRequest>,
     idle_timeout: IdleTimeout,
 }
 
@@ -93,7 +96,7 @@
     }
 
     /// Requests that ended without an answer since this was asked last; their ends are owed.
-    pub fn take_failures(&mut self) -> Vec<(WorkerId, WorkerRequest, SendFailure)> {
+    pub fn take_failures(&mut self) -> Vec<FailedRequest> {
         std::mem::take(&mut self.failures)
     }
 
@@ -154,6 +157,15 @@
             .for_each(|worker| self.set_removed(worker, true));
     }
 
+    /// Notes that a request has ended without an answer.
+    fn fail(&mut self, worker: &WorkerId, request: WorkerRequest, failure: SendFailure) {
+        self.failures.push(FailedRequest {
+            worker: worker.clone(),
+            request,
+            failure,
+        });
+    }
+
     /// Takes a request for a worker; a request that cannot be sent is lost at once.
     pub fn submit(&mut self, now: Time, worker: &WorkerId, request: WorkerRequest) {
         match self.workers.get_mut(worker) {
@@ -162,9 +174,7 @@
                 self.watched.insert(worker.clone());
                 self.dispatch(now, worker);
             }
-            _ => self
-                .failures
-                .push((worker.clone(), request, SendFailure::Unreachable)),
+            _ => self.fail(worker, request, SendFailure::Unreachable),
         }
     }
 
@@ -180,8 +190,7 @@
             };
             let Some(line) = request.line(now) else {
                 // Its time ran out between two sweeps: nobody waits for it.
-                self.failures
-                    .push((worker.clone(), request, SendFailure::Unreachable));
+                self.fail(worker, request, SendFailure::Unreachable);
                 continue;
             };
             let Some(connection) = self.connections.get_mut(&id) else {
--- a/crates/pipithub-node/src/worker_pool/connection.rs
+++ b/crates/pipithub-node/src/worker_pool/connection.rs
@@ -38,7 +38,7 @@
 pub(super) struct Withdrawn {
     pub(super) request: WorkerRequest,
     /// It is certain that it did not arrive whole.
-    pub(super) unsent: bool,
+    pub(super) not_sent: bool,
     /// Requests whose lines could not stay behind it; they have not left either.
     pub(super) displaced: Vec<WorkerRequest>,
 }
@@ -82,9 +82,9 @@
         }
     }
 
-    /// Takes out a request of which the answer is not waited for any more. One that has not left whole is taken back: an UNDO
-    /// behind it would not keep it from beginning once the worker reads again. Otherwise the worker is told to give a run
-    /// up, where the settings let us.
+    /// Takes out a request whose answer is not waited for any more. One that has not left whole is taken back: to cancel it
+    /// behind its line would not keep it from beginning once the worker reads again. Otherwise the worker is told to cancel
+    /// an attempt, where the settings let us.
     pub(super) fn give_up(
         &mut self,
         id: ConnectionId,
@@ -93,57 +93,84 @@
         effects: &mut Vec<Effect>,
     ) -> Option<Withdrawn> {
         let in_flight = self.in_flight.remove(reference)?;
-        match self.progress(&in_flight) {
+        let (not_sent, displaced) = match self.progress(&in_flight) {
             Progress::None => {
-                let len = in_flight.end_offset - in_flight.start_offset;
-                self.queued_bytes -= len;
-                for other in self
-                    .in_flight
-                    .values_mut()
-                    .filter(|c| c.end_offset > in_flight.end_offset)
-                {
-                    other.start_offset -= len;
-                    other.end_offset -= len;
-                }
-                effects.push(Effect::CancelWrite {
-                    connection: id,
-                    offset: in_flight.start_offset,
-                    length: len,
-                });
-                return Some(Withdrawn {
-                    request: in_flight.request,
-                    unsent: true,
-                    displaced: Vec::new(),
-                });
-            }
-            Progress::Part(written) => {
-                let displaced = self.seal(id, written, effects);
-                return Some(Withdrawn {
-                    request: in_flight.request,
-                    unsent: true,
-                    displaced,
-                });
+                self.take_back(id, &in_flight, effects);
+                (true, Vec::new())
             }
-            Progress::Whole => {}
-        }
-        if matches!(in_flight.request.kind, RequestKind::Attempt(_)) {
-            self.remember_reference(reference);
-            if cancel && !self.sealed {
-                let bytes = cancel_line(reference);
-                self.queued_bytes += bytes.len() as u64;
-                effects.push(Effect::Write {
-                    connection: id,
-                    bytes,
-                });
+            Progress::Part(written) => (true, self.seal(id, written, effects)),
+            Progress::Whole => {
+                if matches!(in_flight.request.kind, RequestKind::Attempt(_)) {
+                    self.end_attempt(id, reference, cancel, effects);
+                }
+                (false, Vec::new())
             }
-        }
+        };
         Some(Withdrawn {
             request: in_flight.request,
-            unsent: false,
-            displaced: Vec::new(),
+            not_sent,
+            displaced,
         })
     }
 
+    /// Takes back a line of which the system has taken nothing; those behind it move up.
+    fn take_back(&mut self, id: ConnectionId, taken: &InFlight, effects: &mut Vec<Effect>) {
+        let length = taken.end_offset - taken.start_offset;
+        self.queued_bytes -= length;
+        let behind = self
+            .in_flight
+            .values_mut()
+            .filter(|other| other.end_offset > taken.end_offset);
+        for other in behind {
+            other.start_offset -= length;
+            other.end_offset -= length;
+        }
+        effects.push(Effect::CancelWrite {
+            connection: id,
+            offset: taken.start_offset,
+            length,
+        });
+    }
+
+    /// Ends an attempt whose line has left: its answer may still come, and the worker may be told to cancel it.
+    fn end_attempt(
+        &mut self,
+        id: ConnectionId,
+        reference: &str,
+        cancel: bool,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.remember_reference(reference);
+        if cancel && !self.sealed {
+            let bytes = cancel_line(reference);
+            self.queued_bytes += bytes.len() as u64;
+            effects.push(Effect::Write {
+                connection: id,
+                bytes,
+            });
+        }
+    }
+
+    /// Whether a request of this reference may be put on it now. `idle_limit`: how long it may have been idle.
+    pub(super) fn can_carry(
+        &self,
+        now: Time,
+        reference: &String,
+        idle_limit: Option<Time>,
+        max_requests: usize,
+    ) -> bool {
+        let was_idle = self.in_flight.is_empty() && self.uses > 0;
+        let is_stale = was_idle && idle_limit.is_some_and(|limit| now >= self.last_used + limit);
+        let reference_is_used =
+            self.in_flight.contains_key(reference) || self.recent_references.contains(reference);
+        self.established
+            && !is_stale
+            && !reference_is_used
+            && self.blocked.is_none()
+            && !self.sealed
+            && self.in_flight.len() < max_requests
+    }
+
     /// Takes back all that the system has not taken, within a line: nothing may follow. The requests that stood behind it.
     fn seal(
         &mut self,
@@ -156,7 +183,8 @@
             offset: written,
             length: self.queued_bytes - written,
         });
-        (self.sealed, self.queued_bytes) = (true, written);
+        self.sealed = true;
+        self.queued_bytes = written;
         let displaced: Vec<String> = self
             .in_flight
             .iter()
--- a/crates/pipithub-node/src/worker_pool/endings.rs
+++ b/crates/pipithub-node/src/worker_pool/endings.rs
@@ -4,7 +4,9 @@
 use pipithub_engine::{AttemptId, Time};
 
 use super::connection::{InFlight, Progress, Withdrawn};
-use super::request::{RequestKind, SendFailure, WorkerRequest};
+use super::request::{
+    AnsweredRequest, CancelledRequest, FailedRequest, RequestKind, SendFailure, WorkerRequest,
+};
 use super::{MAX_WAITING, WorkerPool};
 use crate::effect::{ConnectionId, Effect};
 
@@ -32,13 +34,16 @@
             let Some(request) = entry.waiting.pop_front() else {
                 break;
             };
-            let how = if local_fault {
+            let failure = if local_fault {
                 SendFailure::NeverSent
             } else {
                 SendFailure::Unreachable
             };
-            self.failures
-                .push((connection.worker.clone(), request, how));
+            self.failures.push(FailedRequest {
+                worker: connection.worker.clone(),
+                request,
+                failure,
+            });
         }
     }
 
@@ -48,20 +53,20 @@
         now: Time,
         id: ConnectionId,
         reference: &str,
-    ) -> Option<(WorkerId, WorkerRequest)> {
+    ) -> Option<AnsweredRequest> {
         let connection = self.connections.get_mut(&id)?;
-        let in_flight = connection.in_flight.remove(reference)?;
+        let InFlight { request, idle, .. } = connection.in_flight.remove(reference)?;
         connection.last_used = now;
-        if matches!(in_flight.request.kind, RequestKind::Attempt(_)) {
+        if matches!(request.kind, RequestKind::Attempt(_)) {
             connection.remember_reference(reference);
         }
-        if let Some(idle) = in_flight.idle {
+        if let Some(idle) = idle {
             self.idle_timeout.record_use(now, idle, false);
         }
         let worker = connection.worker.clone();
         self.close_sealed(now, id);
         self.dispatch(now, &worker);
-        Some((worker, in_flight.request))
+        Some(AnsweredRequest { worker, request })
     }
 
     /// A connection has ended, or is ended for what came on it. `written`: the bytes that the system took; what it did not
@@ -87,8 +92,7 @@
                     .record_use(now, idle, how == SendFailure::ConnectionLost);
             }
             if end_offset <= written {
-                self.failures
-                    .push((connection.worker.clone(), request, how));
+                self.fail(&connection.worker, request, how);
             } else {
                 unsent.push(request);
             }
@@ -102,17 +106,14 @@
             let waiting = self.workers.get_mut(worker).map(|entry| &mut entry.waiting);
             match waiting.filter(|waiting| waiting.len() < MAX_WAITING) {
                 _ if request.abandoned => {
-                    self.failures
-                        .push((worker.clone(), request, SendFailure::NeverSent));
+                    self.fail(worker, request, SendFailure::NeverSent);
                 }
                 Some(waiting) if request.rewrites < MAX_REWRITES => {
                     request.rewrites += 1;
                     waiting.push_back(request);
                     self.watched.insert(worker.clone());
                 }
-                _ => self
-                    .failures
-                    .push((worker.clone(), request, SendFailure::Unreachable)),
+                _ => self.fail(worker, request, SendFailure::Unreachable),
             }
         }
         self.dispatch(now, worker);
@@ -126,18 +127,18 @@
         id: ConnectionId,
         name: &str,
         cancel: bool,
-    ) -> Option<(WorkerRequest, bool)> {
+    ) -> Option<CancelledRequest> {
         let connection = self.connections.get_mut(&id)?;
         let Withdrawn {
             request,
-            unsent,
+            not_sent,
             displaced,
         } = connection.give_up(id, name, cancel, &mut self.effects)?;
         if !displaced.is_empty() {
             self.resend(now, worker, displaced);
         }
         self.close_sealed(now, id);
-        Some((request, unsent))
+        Some(CancelledRequest { request, not_sent })
     }
 
     /// Closes a sealed connection that carries nothing any more.
@@ -179,9 +180,12 @@
         now: Time,
         worker: &WorkerId,
         attempt: AttemptId,
-    ) -> Option<(WorkerRequest, bool)> {
+    ) -> Option<CancelledRequest> {
         if let Some(request) = self.take_waiting(worker, attempt) {
-            return Some((request, true));
+            return Some(CancelledRequest {
+                request,
+                not_sent: true,
+            });
         }
         let (id, name) = self.find_attempt(worker, attempt)?;
         self.give_up(now, worker, id, &name, self.cancel)
@@ -208,7 +212,7 @@
             return None;
         }
         self.give_up(now, worker, id, &name, false)
-            .map(|(request, _)| request)
+            .map(|cancelled| cancelled.request)
     }
 
     fn take_waiting(&mut self, worker: &WorkerId, attempt: AttemptId) -> Option<WorkerRequest> {
--- a/crates/pipithub-node/src/worker_pool/request.rs
+++ b/crates/pipithub-node/src/worker_pool/request.rs
@@ -1,7 +1,7 @@
 //! What is asked of a worker, and how it may end without an answer.
 
 use bytes::Bytes;
-use pipithub_engine::policy::FunctionId;
+use pipithub_engine::policy::{FunctionId, WorkerId};
 use pipithub_engine::{AttemptId, Time};
 use pipithub_platform::worker::RunRequest;
 
@@ -100,3 +100,32 @@
     /// No answer in time: it may have run.
     TimedOut,
 }
+
+/// A request that ended without an answer.
+#[derive(Clone, Debug)]
+pub struct FailedRequest {
+    /// The worker that it was for.
+    pub worker: WorkerId,
+    /// What was asked.
+    pub request: WorkerRequest,
+    /// How it ended.
+    pub failure: SendFailure,
+}
+
+/// A request that was withdrawn.
+#[derive(Clone, Debug)]
+pub struct CancelledRequest {
+    /// What was asked.
+    pub request: WorkerRequest,
+    /// It is certain that it did not arrive whole.
+    pub not_sent: bool,
+}
+
+/// A request that a worker has answered.
+#[derive(Clone, Debug)]
+pub struct AnsweredRequest {
+    /// The worker.
+    pub worker: WorkerId,
+    /// What was asked.
+    pub request: WorkerRequest,
+}
--- a/crates/pipithub-node/src/worker_pool/selection.rs
+++ b/crates/pipithub-node/src/worker_pool/selection.rs
@@ -9,70 +9,78 @@
 
 impl WorkerPool {
     /// The connection for the first request that waits for a worker: the free one that was used last, so that the others may
-    /// be let go. Else each request that waits is to have a new one; where there is no room for that many, the one that
-    /// carries least.
+    /// be closed as idle. Else each waiting request is to have a new one; where there is no room for that many, the one
+    /// that carries least.
     pub(super) fn select_connection(
         &mut self,
         now: Time,
         worker: &WorkerId,
     ) -> Option<ConnectionId> {
-        let limit = self.idle_timeout.limit();
-        let live = self.listed.max(1);
-        let entry = self.workers.get_mut(worker)?;
+        let idle_limit = self.idle_timeout.limit();
+        let entry = self.workers.get(worker)?;
         let reference = &entry.waiting.front()?.reference;
-        let connections = entry
+        let max_requests = self.max_requests_per_connection;
+        let usable = entry
             .connections
             .iter()
-            .filter_map(|id| self.connections.get(id).map(|l| (*id, l)));
-        let here = connections.filter(|(_, l)| l.address == entry.address);
-        let fits = |l: &Connection| {
-            let stale = l.in_flight.is_empty()
-                && l.uses > 0
-                && limit.is_some_and(|t| now >= l.last_used + t);
-            let used =
-                l.in_flight.contains_key(reference) || l.recent_references.contains(reference);
-            l.established
-                && !stale
-                && !used
-                && l.blocked.is_none()
-                && !l.sealed
-                && l.in_flight.len() < self.max_requests_per_connection
-        };
-        let free = here
+            .filter_map(|id| self.connections.get(id).map(|connection| (*id, connection)))
+            .filter(|(_, connection)| {
+                connection.address == entry.address
+                    && connection.can_carry(now, reference, idle_limit, max_requests)
+            });
+        let free = usable
             .clone()
-            .filter(|(_, l)| fits(l) && l.in_flight.is_empty())
-            .max_by_key(|(_, l)| l.last_used);
+            .filter(|(_, connection)| connection.in_flight.is_empty())
+            .max_by_key(|(_, connection)| connection.last_used);
         if let Some((id, _)) = free {
             return Some(id);
         }
-        let shared = here
-            .clone()
-            .filter(|(_, l)| fits(l))
-            .min_by_key(|(_, l)| l.in_flight.len())
+        let least_loaded = usable
+            .min_by_key(|(_, connection)| connection.in_flight.len())
             .map(|(id, _)| id);
-        let mut coming = here.clone().filter(|(_, l)| !l.established).count();
-        // One more where all that are up have carried this name before.
-        let spent = here.clone().any(|(_, l)| l.established)
-            && here
-                .filter(|(_, l)| l.established)
-                .all(|(_, l)| l.recent_references.contains(reference));
-        let part = (self.max_connections / live).max(1) + usize::from(spent);
-        while coming < entry.waiting.len()
-            && entry.connections.len() < part
+        let waiting = entry.waiting.len();
+        let connecting = self.open_connections(now, worker);
+        least_loaded.filter(|_| connecting < waiting)
+    }
+
+    /// Opens a connection for each waiting request that has none under way, as far as there is room; how many are under way
+    /// then.
+    fn open_connections(&mut self, now: Time, worker: &WorkerId) -> usize {
+        let fair_part = (self.max_connections / self.listed.max(1)).max(1);
+        let Some(entry) = self.workers.get_mut(worker) else {
+            return 0;
+        };
+        let Some(first) = entry.waiting.front() else {
+            return 0;
+        };
+        let current = entry
+            .connections
+            .iter()
+            .filter_map(|id| self.connections.get(id))
+            .filter(|connection| connection.address == entry.address);
+        let mut connecting = current.clone().filter(|c| !c.established).count();
+        let mut established = current.filter(|c| c.established).peekable();
+        // One more where all that are established have carried this reference before.
+        let reference_used_on_all = established.peek().is_some()
+            && established.all(|c| c.recent_references.contains(&first.reference));
+        let max_here = fair_part + usize::from(reference_used_on_all);
+        while connecting < entry.waiting.len()
+            && entry.connections.len() < max_here
             && self.connections.len() < self.max_connections
         {
-            let (id, address) = (self.next, entry.address.clone());
+            let id = self.next;
             self.next += 1;
-            self.connections
-                .insert(id, Connection::new(worker, &address, now));
+            let address = entry.address.clone();
+            let connection = Connection::new(worker, &address, now);
+            self.connections.insert(id, connection);
             entry.connections.push(id);
             self.effects.push(Effect::Connect {
                 connection: id,
                 address,
                 within: self.connect_timeout,
             });
-            coming += 1;
+            connecting += 1;
         }
-        shared.filter(|_| coming < entry.waiting.len())
+        connecting
     }
 }
--- a/crates/pipithub-node/tests/bench/mod.rs
+++ b/crates/pipithub-node/tests/bench/mod.rs
@@ -96,14 +96,14 @@
             for effect in effects {
                 match effect {
                     Effect::Connect { connection, .. } => {
-                        self.core.worker_connected(self.now, connection)
+                        self.core.worker_connected(self.now, connection);
                     }
                     Effect::Write { connection, bytes } => {
                         written
                             .push((connection, String::from_utf8(bytes.to_vec()).expect("text")));
                     }
                     Effect::Close { connection } => {
-                        written.push((connection, "closed".to_string()))
+                        written.push((connection, "closed".to_string()));
                     }
                     Effect::Retire { connection } => {
                         if let Some(unread) = self.unread.remove(&connection) {
--- a/crates/pipithub-node/tests/worker_pool.rs
+++ b/crates/pipithub-node/tests/worker_pool.rs
@@ -6,7 +6,9 @@
 use pipithub_engine::policy::WorkerId;
 use pipithub_engine::{AttemptId, Time};
 use pipithub_node::effect::{ConnectionId, Effect};
-use pipithub_node::worker_pool::{Payload, RequestKind, SendFailure, WorkerPool, WorkerRequest};
+use pipithub_node::worker_pool::{
+    CancelledRequest, Payload, RequestKind, SendFailure, WorkerPool, WorkerRequest,
+};
 use pipithub_platform::worker::RunRequest;
 
 const MS: Time = 1_000_000;
@@ -71,7 +73,7 @@
         self.pool
             .take_failures()
             .iter()
-            .map(|(_, request, how)| (number(&request.kind), *how))
+            .map(|failed| (number(&failed.request.kind), failed.failure))
             .collect()
     }
 
@@ -355,11 +357,11 @@
     b.pool.set_blocked(MS, connection, Some(9));
     b.ask(MS, 5);
     assert_eq!(b.effects(), [], "nothing more is put behind");
-    let (_, back) = b
+    let CancelledRequest { not_sent, .. } = b
         .pool
         .cancel(MS, &b.worker.clone(), attempt(3))
         .expect("open");
-    assert!(back, "it is certain that it was not sent");
+    assert!(not_sent, "it is certain that it was not sent");
     assert_eq!(
         b.effects(),
         [Effect::CancelWrite {
@@ -369,11 +371,11 @@
         }]
     );
     // The one behind has moved up, and the one that has begun cannot be taken back.
-    let (_, back) = b
+    let CancelledRequest { not_sent, .. } = b
         .pool
         .cancel(MS, &b.worker.clone(), attempt(4))
         .expect("open");
-    assert!(back);
+    assert!(not_sent);
     assert_eq!(
         b.effects(),
         [Effect::CancelWrite {
@@ -383,11 +385,11 @@
         }]
     );
     // The one that has begun to leave never becomes whole: nothing may follow its half.
-    let (_, back) = b
+    let CancelledRequest { not_sent, .. } = b
         .pool
         .cancel(MS, &b.worker.clone(), attempt(2))
         .expect("open");
-    assert!(back, "half a line does not run");
+    assert!(not_sent, "half a line does not run");
     assert_eq!(
         b.effects(),
         [Effect::CancelWrite {
