--- a/crates/pipithub-node/src/coordinator.rs
+++ b/crates/pipithub-node/src/coordinator.rs
@@ -16,7 +16,7 @@
 use tokio::sync::watch;
 use tracing::{error, info, warn};
 
-use self::stream::{Ended, stream};
+use self::stream::{StreamError, follow_stream};
 
 /// Each wait is stretched by a factor drawn from this: what loses its coordinator together must not ask in step.
 const JITTER: std::ops::Range<f64> = 0.5..1.5;
@@ -40,8 +40,8 @@
     loop {
         let place = address.borrow_and_update().clone();
         let mut took = false;
-        let ended = tokio::select! {
-            ended = stream(&place, &mut sequence, &names, |event| { took = true; take(event) }) => ended,
+        let error = tokio::select! {
+            error = follow_stream(&place, &mut sequence, &names, |event| { took = true; take(event) }) => error,
             moved = address.changed() => {
                 if moved.is_err() {
                     return;
@@ -51,20 +51,10 @@
                 continue;
             }
         };
-        let last = sequence.last();
-        match ended {
-            Ended::Stream(reason) => warn!(
-                coordinator = place,
-                last, reason, "coordinator stream ended"
-            ),
-            Ended::Unusable(reason) => {
-                unusable += 1;
-                error!(
-                    coordinator = place,
-                    last, unusable, reason, "coordinator stream ended, former list stays"
-                );
-            }
+        if error.is_unusable_event() {
+            unusable += 1;
         }
+        log_end(&error, &place, sequence.last(), unusable);
         if took {
             wait = MIN_BACKOFF;
         }
@@ -75,3 +65,18 @@
         }
     }
 }
+
+/// Logs why a stream ended; `unusable`: how often that was an event that cannot be used.
+fn log_end(error: &StreamError, coordinator: &str, last: u64, unusable: u64) {
+    if error.is_unusable_event() {
+        error!(
+            coordinator,
+            last,
+            unusable,
+            reason = %error,
+            "coordinator stream ended, former list stays"
+        );
+    } else {
+        warn!(coordinator, last, reason = %error, "coordinator stream ended");
+    }
+}
--- a/crates/pipithub-node/src/coordinator/stream.rs
+++ b/crates/pipithub-node/src/coordinator/stream.rs
@@ -1,14 +1,19 @@
 //! One connection to the coordinator, from the request to the end of its stream.
 
+use std::convert::Infallible;
+use std::io;
 use std::time::Duration;
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
-use hyper::Request;
+use hyper::body::Incoming;
+use hyper::client::conn::http1::{self, SendRequest};
+use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use pipithub_platform::list::{self, EndpointEvent};
+use pipithub_engine::policy::EndpointUpdate;
+use pipithub_platform::list::{self, EndpointEvent, EndpointEventError};
 use pipithub_platform::settings::Names;
-use pipithub_platform::sse::SseReader;
+use pipithub_platform::sse::{EventTooLong, SseReader};
 use tokio::net::TcpStream;
 
 use super::sequence::{Sequence, Step};
@@ -20,74 +25,95 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Why a stream ended.
-pub(super) enum Ended {
-    /// Something was wrong with the connection, or events are missing.
-    Stream(String),
-    /// An event cannot be used, and nothing of it is.
-    Unusable(String),
+#[derive(Debug, thiserror::Error)]
+pub(super) enum StreamError {
+    /// No connection could be made.
+    #[error("cannot connect: {0}")]
+    Connect(io::Error),
+    /// The connection speaks no HTTP.
+    #[error("handshake: {0}")]
+    Handshake(hyper::Error),
+    /// The address cannot be asked.
+    #[error("request: {0}")]
+    InvalidRequest(#[from] hyper::http::Error),
+    /// The request got no answer.
+    #[error("request: {0}")]
+    Request(hyper::Error),
+    /// The head of the answer did not come in time.
+    #[error("no answer")]
+    NoAnswer,
+    /// The answer is no stream.
+    #[error("status {0}")]
+    Status(StatusCode),
+    /// Nothing came for longer than the coordinator is ever silent.
+    #[error("silent")]
+    Silent,
+    /// The coordinator has ended it.
+    #[error("closed")]
+    Closed,
+    /// The connection broke.
+    #[error("broke off: {0}")]
+    Broken(hyper::Error),
+    /// Events are missing: those after `last` and before `next`.
+    #[error("events between {last} and {next} are missing")]
+    MissingEvents {
+        /// The last event that was taken.
+        last: u64,
+        /// The event that came instead of the one after it.
+        next: u64,
+    },
+    /// An event is longer than any list.
+    #[error(transparent)]
+    EventTooLong(#[from] EventTooLong),
+    /// An event cannot be read.
+    #[error("event cannot be read: {0}")]
+    InvalidEvent(EndpointEventError),
 }
 
-/// One connection, until it ends; why it did.
-pub(super) async fn stream(
+impl StreamError {
+    /// Whether an event came whole and cannot be used; nothing of it is.
+    pub(super) fn is_unusable_event(&self) -> bool {
+        matches!(
+            self,
+            StreamError::EventTooLong(_) | StreamError::InvalidEvent(_)
+        )
+    }
+}
+
+/// Follows one connection until it ends; why it did.
+pub(super) async fn follow_stream(
     address: &str,
     sequence: &mut Sequence,
     names: &Names,
     mut take: impl FnMut(EndpointEvent),
-) -> Ended {
-    let head = async {
-        let stream = TcpStream::connect(address)
-            .await
-            .map_err(|e| format!("cannot connect: {e}"))?;
-        let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
-            .await
-            .map_err(|e| format!("handshake: {e}"))?;
-        let task = Connection(tokio::task::spawn_local(
-            async move { drop(connection.await) },
-        ));
-        let request = Request::get("/v2/stream")
-            .header("host", address)
-            .header("accept", "text/event-stream")
-            .header("last-event-id", sequence.last())
-            .body(Empty::<Bytes>::new())
-            .map_err(|e| format!("request: {e}"))?;
-        let response = sender
-            .send_request(request)
-            .await
-            .map_err(|e| format!("request: {e}"))?;
-        Ok::<_, String>((response, sender, task))
-    };
-    let (response, _sender, _task) = match tokio::time::timeout(CONNECT_TIMEOUT, head).await {
-        Ok(Ok(up)) => up,
-        Ok(Err(reason)) => return Ended::Stream(reason),
-        Err(_) => return Ended::Stream("no answer".to_string()),
-    };
-    if !response.status().is_success() {
-        return Ended::Stream(format!("status {}", response.status()));
+) -> StreamError {
+    match try_stream(address, sequence, names, &mut take).await {
+        Ok(never) => match never {},
+        Err(error) => error,
+    }
+}
+
+async fn try_stream(
+    address: &str,
+    sequence: &mut Sequence,
+    names: &Names,
+    take: &mut impl FnMut(EndpointEvent),
+) -> Result<Infallible, StreamError> {
+    let opened = tokio::time::timeout(CONNECT_TIMEOUT, open(address, sequence.last())).await;
+    let mut stream = opened.map_err(|_| StreamError::NoAnswer)??;
+    if !stream.response.status().is_success() {
+        return Err(StreamError::Status(stream.response.status()));
     }
-    let mut body = response.into_body();
-    let (mut reader, mut events) = (SseReader::default(), Vec::new());
+    let body = stream.response.body_mut();
+    let mut reader = SseReader::default();
+    let mut events = Vec::new();
     loop {
-        let frame = match tokio::time::timeout(SILENCE_TIMEOUT, body.frame()).await {
-            Err(_) => return Ended::Stream("silent".to_string()),
-            Ok(None) => return Ended::Stream("closed".to_string()),
-            Ok(Some(Err(error))) => return Ended::Stream(format!("broke off: {error}")),
-            Ok(Some(Ok(frame))) => frame,
-        };
-        let Some(data) = frame.data_ref() else {
-            continue;
-        };
-        if let Err(long) = reader.push(data, &mut events) {
-            return Ended::Unusable(long.to_string());
-        }
+        let data = next_data(body).await?;
+        reader.push(&data, &mut events)?;
         for event in events.drain(..) {
-            let event = match list::parse(&event.data, names) {
-                Ok(event) => event,
-                Err(reason) => return Ended::Unusable(format!("event cannot be read: {reason}")),
-            };
-            match sequence.step(
-                event.index,
-                event.update != pipithub_engine::policy::EndpointUpdate::Delta,
-            ) {
+            let event = list::parse(&event.data, names).map_err(StreamError::InvalidEvent)?;
+            let is_complete = event.update != EndpointUpdate::Delta;
+            match sequence.step(event.index, is_complete) {
                 Step::Take => {
                     take(event);
                     // However many events came at once, calls and closes of clients are seen between any two.
@@ -95,21 +121,70 @@
                 }
                 Step::Skip => {}
                 Step::Reconnect => {
-                    let last = sequence.last();
-                    return Ended::Stream(format!(
-                        "events between {last} and {} are missing",
-                        event.index
-                    ));
+                    return Err(StreamError::MissingEvents {
+                        last: sequence.last(),
+                        next: event.index,
+                    });
                 }
             }
         }
     }
 }
 
+/// A stream whose head has come. It is closed when this is dropped.
+struct OpenStream {
+    response: Response<Incoming>,
+    /// The request ends with its sender.
+    _sender: SendRequest<Empty<Bytes>>,
+    _connection: ConnectionTask,
+}
+
+/// Asks for the events after the last one that was taken.
+async fn open(address: &str, last: u64) -> Result<OpenStream, StreamError> {
+    let stream = TcpStream::connect(address)
+        .await
+        .map_err(StreamError::Connect)?;
+    let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
+        .await
+        .map_err(StreamError::Handshake)?;
+    let connection = ConnectionTask(tokio::task::spawn_local(async move {
+        drop(connection.await);
+    }));
+    let request = Request::get("/v2/stream")
+        .header("host", address)
+        .header("accept", "text/event-stream")
+        .header("last-event-id", last)
+        .body(Empty::<Bytes>::new())?;
+    let response = sender
+        .send_request(request)
+        .await
+        .map_err(StreamError::Request)?;
+    Ok(OpenStream {
+        response,
+        _sender: sender,
+        _connection: connection,
+    })
+}
+
+/// The next bytes of a stream.
+async fn next_data(body: &mut Incoming) -> Result<Bytes, StreamError> {
+    loop {
+        let frame = match tokio::time::timeout(SILENCE_TIMEOUT, body.frame()).await {
+            Err(_) => return Err(StreamError::Silent),
+            Ok(None) => return Err(StreamError::Closed),
+            Ok(Some(frame)) => frame.map_err(StreamError::Broken)?,
+        };
+        // Trailers bear no events.
+        if let Ok(data) = frame.into_data() {
+            return Ok(data);
+        }
+    }
+}
+
 /// The task that moves a connection's bytes; it ends with its owner, so that the socket is closed.
-struct Connection(tokio::task::JoinHandle<()>);
+struct ConnectionTask(tokio::task::JoinHandle<()>);
 
-impl Drop for Connection {
+impl Drop for ConnectionTask {
     fn drop(&mut self) {
         self.0.abort();
     }
