--- a/crates/pipithub-adapter/src/main.rs
+++ b/crates/pipithub-adapter/src/main.rs
@@ -59,7 +59,7 @@
             let (end, name) = wire::addressee(&lines.text).map_err(|e| lines.at(&e))?;
             if name == "attach" {
                 let (seed, text) = wire::attach(&lines.text).map_err(|e| lines.at(&e))?;
-                let site = settings::parse(text).map_err(|e| lines.at(&e))?;
+                let site = settings::parse(text).map_err(|e| lines.at(&e.to_string()))?;
                 hosted.insert(
                     end,
                     Hosted {
--- a/crates/pipithub-adapter/src/wire.rs
+++ b/crates/pipithub-adapter/src/wire.rs
@@ -271,14 +271,7 @@
             },
             zone: p.text("Dc")?.to_string(),
             cell: p.maybe("Block")?.unwrap_or(0),
-            memory_mb: {
-                let kind = p.text("FamilyType")?;
-                names
-                    .kinds
-                    .iter()
-                    .find(|(name, _)| name == kind)
-                    .map_or(0.0, |(_, memory)| *memory)
-            },
+            memory_mb: names.memory_mb(p.text("FamilyType")?),
             started_at: p.maybe::<Time>("StartTime")?.filter(|&t| t > 0),
         })
     };
--- a/crates/pipithub-node/src/core/endpoint_list.rs
+++ b/crates/pipithub-node/src/core/endpoint_list.rs
@@ -4,7 +4,7 @@
 
 use pipithub_engine::policy::{Endpoint, EndpointState, EndpointUpdate, WorkerId};
 use pipithub_engine::{Input, Time};
-use pipithub_platform::list::EndpointEvent;
+use pipithub_platform::list::{EndpointEvent, ListedEndpoint};
 use tracing::debug;
 
 use super::Core;
@@ -19,45 +19,48 @@
     /// states when workers started.
     pub fn update_endpoints_at(&mut self, now: Time, wall: Time, event: &EndpointEvent) {
         if event.update != EndpointUpdate::Delta {
-            let named: BTreeSet<&WorkerId> =
-                event.endpoints.iter().map(|(e, _)| &e.worker).collect();
+            let named: BTreeSet<&WorkerId> = event
+                .endpoints
+                .iter()
+                .map(|listed| &listed.endpoint.worker)
+                .collect();
             self.worker_pool.retain_workers(&named);
             self.start_times
                 .retain_workers(|worker| named.contains(worker));
         }
-        for (entry, address) in &event.endpoints {
-            debug!(front_end = self.name, worker = &*entry.worker.0, state = ?entry.state, address, "list");
+        for ListedEndpoint { endpoint, address } in &event.endpoints {
+            debug!(front_end = self.name, worker = &*endpoint.worker.0, state = ?endpoint.state, address, "endpoint listed");
             self.worker_pool.set_address(
-                &entry.worker,
+                &endpoint.worker,
                 address,
-                entry.state == EndpointState::Removed,
+                endpoint.state == EndpointState::Removed,
             );
         }
         self.has_endpoint_list = true;
-        let entries = event
+        let endpoints = event
             .endpoints
             .iter()
-            .map(|(entry, _)| self.with_start_time(entry, now, wall))
+            .map(|listed| self.with_start_time(&listed.endpoint, now, wall))
             .collect();
         self.run(
             now,
             Input::Endpoints {
                 update: event.update,
-                endpoints: entries,
+                endpoints,
             },
         );
     }
 
-    /// An entry whose start is told by this process's clock.
-    fn with_start_time(&mut self, entry: &Endpoint, now: Time, wall: Time) -> Endpoint {
-        if entry.state == EndpointState::Removed {
-            self.start_times.forget(&entry.worker);
+    /// An endpoint whose start is told by this process's clock.
+    fn with_start_time(&mut self, endpoint: &Endpoint, now: Time, wall: Time) -> Endpoint {
+        if endpoint.state == EndpointState::Removed {
+            self.start_times.forget(&endpoint.worker);
         }
-        let resolve = |stamp| self.start_times.resolve(&entry.worker, stamp, now, wall);
-        let started = entry.started_at.map(resolve);
+        let resolve = |stamp| self.start_times.resolve(&endpoint.worker, stamp, now, wall);
+        let started_at = endpoint.started_at.map(resolve);
         Endpoint {
-            started_at: started,
-            ..entry.clone()
+            started_at,
+            ..endpoint.clone()
         }
     }
 }
--- a/crates/pipithub-node/src/shell/reload.rs
+++ b/crates/pipithub-node/src/shell/reload.rs
@@ -15,13 +15,16 @@
 const RELOAD_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_RELOAD_RETRIES: u32 = 6;
 
+/// Reads a configuration file.
 pub(super) fn load(path: &Path) -> Result<NodeConfig, StartError> {
-    let fault = |reason: String| StartError::Config {
-        place: path.to_path_buf(),
-        reason,
-    };
-    let text = std::fs::read_to_string(path).map_err(|e| fault(e.to_string()))?;
-    NodeConfig::parse(&text).map_err(fault)
+    let text = std::fs::read_to_string(path).map_err(|error| StartError::ReadConfig {
+        path: path.to_path_buf(),
+        error,
+    })?;
+    NodeConfig::parse(&text).map_err(|error| StartError::InvalidConfig {
+        path: path.to_path_buf(),
+        error,
+    })
 }
 
 /// Reads the configuration again on SIGHUP, and retries where it cannot be read.
--- a/crates/pipithub-node/src/shell/runtime.rs
+++ b/crates/pipithub-node/src/shell/runtime.rs
@@ -9,7 +9,7 @@
 
 use pipithub_clock::{Clock, wall_ns};
 use pipithub_engine::Time;
-use pipithub_platform::config::NodeConfig;
+use pipithub_platform::config::{ConfigError, NodeConfig};
 use pipithub_platform::list::EndpointEvent;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -33,13 +33,21 @@
 /// Why a front end could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The configuration cannot be read.
-    #[error("configuration {place}: {reason}")]
-    Config {
+    /// The configuration's file cannot be read.
+    #[error("configuration {path}: {error}")]
+    ReadConfig {
         /// The file.
-        place: PathBuf,
+        path: PathBuf,
+        /// The system's reason.
+        error: io::Error,
+    },
+    /// The configuration cannot be used.
+    #[error("configuration {path}: {error}")]
+    InvalidConfig {
+        /// The file.
+        path: PathBuf,
         /// Place in it and reason.
-        reason: String,
+        error: ConfigError,
     },
     /// The address cannot be listened at.
     #[error("cannot listen at {address}: {reason}")]
--- a/crates/pipithub-platform/src/client.rs
+++ b/crates/pipithub-platform/src/client.rs
@@ -8,8 +8,9 @@
 use bytes::Bytes;
 use serde_json::Value;
 
-use crate::settings::{Names, SiteSettings};
-use pipithub_policy::api::{Idempotency, Time};
+use pipithub_policy::api::{Class, Idempotency, Time};
+
+use crate::settings::SiteSettings;
 
 /// The most bytes of a call's body.
 pub const MAX_BODY_BYTES: usize = 16 << 10;
@@ -19,6 +20,11 @@
 const MAX_KEY_BYTES: usize = 256;
 /// A call whose client states more than this many times its class's time makes no sense.
 const MAX_TTL_FACTOR: f64 = 2.0;
+const NANOSECONDS_PER_MILLISECOND: f64 = 1e6;
+/// The most calls that one replica may be said to run at a time.
+const MAX_REPLICA_CONCURRENCY: f64 = 1_000.0;
+/// The longest time that a load may be said to take, in milliseconds.
+const MAX_LOAD_MS: f64 = 3_600_000.0;
 /// The method by which a client says that it has ceased to wait.
 const FORGET: &str = "forget";
 /// The method that asks whether calls are taken here.
@@ -107,176 +113,221 @@
 /// Reads one line.
 ///
 /// # Errors
-/// [`RequestError`] where it is no request of this protocol; a fault without an id cannot be told from noise.
+/// [`RequestError`] where it is no request of this protocol; one without an id cannot be told from noise.
 pub fn read_line(line: &[u8], site: &SiteSettings) -> Result<ClientLine, RequestError> {
     let all: Value = serde_json::from_slice(line)
-        .map_err(|e| RequestError::new(None, PARSE_ERROR, format!("line: {e}")))?;
-    let Some(all) = all.as_object() else {
-        return Err(RequestError::new(
-            None,
-            INVALID_REQUEST,
-            "line: not an object",
-        ));
-    };
-    let id = match all.get("id") {
-        None => None,
-        Some(id) => match id.as_u64().filter(|id| *id > 0) {
-            Some(id) => Some(id),
-            None => {
-                return Err(RequestError::new(
-                    None,
-                    INVALID_REQUEST,
-                    "id: not a whole number from 1 on",
-                ));
-            }
-        },
-    };
-    let bad = |code, message: &str| RequestError::new(id, code, message);
-    if all.get("jsonrpc").and_then(Value::as_str) != Some("2.0") {
-        return Err(bad(INVALID_REQUEST, "jsonrpc: not 2.0"));
+        .map_err(|error| RequestError::new(None, PARSE_ERROR, format!("line: {error}")))?;
+    if !all.is_object() {
+        let message = "line: not an object";
+        return Err(RequestError::new(None, INVALID_REQUEST, message));
+    }
+    let id = request_id(&all)?;
+    let invalid = |message: &str| RequestError::new(id, INVALID_REQUEST, message);
+    if all["jsonrpc"].as_str() != Some("2.0") {
+        return Err(invalid("jsonrpc: not 2.0"));
     }
-    let method = all
-        .get("method")
-        .and_then(Value::as_str)
-        .ok_or_else(|| bad(INVALID_REQUEST, "method: missing"))?;
-    let none = Value::Null;
-    let params = all.get("params").unwrap_or(&none);
+    let method = all["method"]
+        .as_str()
+        .ok_or_else(|| invalid("method: missing"))?;
+    let params = &all["params"];
     if method == FORGET {
-        let number = params.get("id").and_then(Value::as_u64).or(id);
-        let call = params
-            .get("call")
-            .and_then(Value::as_str)
-            .map(str::to_string);
-        if number.is_none() && call.is_none() {
-            return Err(bad(INVALID_PARAMS, "forget: names no call"));
-        }
-        return Ok(ClientLine::Cancel { id: number, call });
+        return cancel(id, params);
     }
     let Some(id) = id else {
-        return Err(bad(INVALID_REQUEST, "id: missing"));
+        return Err(invalid("id: missing"));
     };
     if method == IS_WELL {
         return Ok(ClientLine::HealthCheck { id });
     }
-    let call = call(id, method, params, site).map_err(|(code, message)| bad(code, &message))?;
+    let call = call(id, method, params, site)?;
     Ok(ClientLine::Call(Box::new(call)))
 }
 
+fn request_id(all: &Value) -> Result<Option<u64>, RequestError> {
+    let Some(value) = all.get("id") else {
+        return Ok(None);
+    };
+    match value.as_u64() {
+        Some(id) if id > 0 => Ok(Some(id)),
+        _ => {
+            let message = "id: not a whole number from 1 on";
+            Err(RequestError::new(None, INVALID_REQUEST, message))
+        }
+    }
+}
+
+fn cancel(id: Option<u64>, params: &Value) -> Result<ClientLine, RequestError> {
+    let number = params["id"].as_u64().or(id);
+    let call = params["call"].as_str().map(str::to_string);
+    if number.is_none() && call.is_none() {
+        let message = "forget: names no call";
+        return Err(RequestError::new(id, INVALID_PARAMS, message));
+    }
+    Ok(ClientLine::Cancel { id: number, call })
+}
+
 fn call(
     id: u64,
     method: &str,
     params: &Value,
     site: &SiteSettings,
-) -> Result<ClientCall, (i64, String)> {
-    let bad = |message: &str| (INVALID_PARAMS, message.to_string());
-    let names: &Names = &site.names;
-    let class = names.classes.iter().position(|n| n == method);
-    let class = class.ok_or_else(|| (METHOD_NOT_FOUND, "method: no such class".to_string()))?;
-    let name = |field: &str| {
-        let text = params
-            .get(field)
-            .and_then(Value::as_str)
-            .filter(|t| is_name(t));
-        text.map(str::to_string)
-            .ok_or_else(|| bad(&format!("{field}: not 16 hex digits")))
+) -> Result<ClientCall, RequestError> {
+    let Some(class) = site.names.classes.iter().position(|name| name == method) else {
+        let message = "method: no such class";
+        return Err(RequestError::new(Some(id), METHOD_NOT_FOUND, message));
     };
-    let give_up = site
-        .policy
-        .classes
-        .get(class)
-        .map_or(0, |c| c.client_timeout);
-    let ttl = params
-        .get("ttl")
-        .and_then(Value::as_f64)
-        .ok_or_else(|| bad("ttl: not a number"))?;
-    // A client that is late by itself states somewhat more than its class's time, which holds all the same: such a call
-    // must not be lost to a strict bound. Far beyond it lies nothing but nonsense.
-    if !(ttl > 0.0 && ttl <= MAX_TTL_FACTOR * give_up as f64 / 1e6) {
-        return Err(bad(&format!(
-            "ttl: {ttl} is not above 0 and near {} at most",
-            give_up as f64 / 1e6
-        )));
+    call_of_class(id, class, params, site)
+        .map_err(|message| RequestError::new(Some(id), INVALID_PARAMS, message.0))
+}
+
+/// What is wrong with the parameters of a call: place and reason.
+struct ParamError(String);
+
+impl From<&str> for ParamError {
+    fn from(message: &str) -> Self {
+        ParamError(message.to_string())
     }
-    let mut read = ClientCall {
+}
+
+fn call_of_class(
+    id: u64,
+    class: usize,
+    params: &Value,
+    site: &SiteSettings,
+) -> Result<ClientCall, ParamError> {
+    let settings = site.policy.classes.get(class);
+    let client_timeout = client_timeout(params, settings)?;
+    let name = hex_name(params, "call")?;
+    let function = hex_name(params, "row")?;
+    let props = match &params["props"] {
+        Value::Null => Props::default(),
+        Value::String(pairs) => props(pairs, site.names.max_memory_mb())?,
+        _ => return Err("props: not a string".into()),
+    };
+    let idempotency_key = idempotency_key(params, settings)?;
+    let body = body(params)?;
+    Ok(ClientCall {
         id,
-        name: name("call")?,
+        name,
         class,
-        client_timeout: ((ttl * 1e6) as Time).min(give_up),
-        function: name("row")?,
-        memory_mb: 0.0,
-        replica_concurrency: 1,
-        load_time: None,
-        idempotency_key: None,
-        body: Bytes::new(),
-    };
-    match params.get("props") {
-        None | Some(Value::Null) => {}
-        Some(Value::String(pairs)) => props(pairs, names, &mut read).map_err(|e| bad(&e))?,
-        Some(_) => return Err(bad("props: not a string")),
+        client_timeout,
+        function,
+        memory_mb: props.memory_mb,
+        replica_concurrency: props.replica_concurrency,
+        load_time: props.load_time,
+        idempotency_key,
+        body,
+    })
+}
+
+/// How long the client waits: the class's time at the most.
+fn client_timeout(params: &Value, class: Option<&Class>) -> Result<Time, ParamError> {
+    let class_timeout = class.map_or(0, |class| class.client_timeout);
+    let class_ms = class_timeout as f64 / NANOSECONDS_PER_MILLISECOND;
+    let ttl = params["ttl"].as_f64().ok_or("ttl: not a number")?;
+    // A client that is late by itself states somewhat more than its class's time, which holds all the same: such a call
+    // must not be lost to a strict bound. Far beyond it lies nothing but nonsense.
+    if !(ttl > 0.0 && ttl <= MAX_TTL_FACTOR * class_timeout as f64 / NANOSECONDS_PER_MILLISECOND) {
+        let message = format!("ttl: {ttl} is not above 0 and near {class_ms} at most");
+        return Err(ParamError(message));
     }
-    // A keyed call is repeated on the strength of its key: without one a repeat would be a second effect.
-    let keyed = site
-        .policy
-        .classes
-        .get(class)
-        .is_some_and(|c| c.idempotency == Idempotency::WithKey);
-    match params.get("dedupe") {
-        None | Some(Value::Null) if keyed => {
-            return Err(bad("dedupe: missing, and this class is keyed"));
-        }
-        None | Some(Value::Null) => {}
-        Some(Value::String(key)) if !key.is_empty() && key.len() <= MAX_KEY_BYTES => {
-            read.idempotency_key = Some(key.clone());
+    Ok(((ttl * NANOSECONDS_PER_MILLISECOND) as Time).min(class_timeout))
+}
+
+fn hex_name(params: &Value, field: &str) -> Result<String, ParamError> {
+    params[field]
+        .as_str()
+        .filter(|text| is_name(text))
+        .map(str::to_string)
+        .ok_or_else(|| ParamError(format!("{field}: not 16 hex digits")))
+}
+
+/// The idempotency key. A call with one is retried on its strength: without it a retry would be a second effect.
+fn idempotency_key(params: &Value, class: Option<&Class>) -> Result<Option<String>, ParamError> {
+    let needs_key = class.is_some_and(|class| class.idempotency == Idempotency::WithKey);
+    match &params["dedupe"] {
+        Value::Null if needs_key => Err("dedupe: missing, and this class is keyed".into()),
+        Value::Null => Ok(None),
+        Value::String(key) if !key.is_empty() && key.len() <= MAX_KEY_BYTES => {
+            Ok(Some(key.clone()))
         }
-        Some(_) => return Err(bad("dedupe: not a text of 1 to 256 bytes")),
+        _ => Err("dedupe: not a text of 1 to 256 bytes".into()),
+    }
+}
+
+fn body(params: &Value) -> Result<Bytes, ParamError> {
+    let text = match &params["body"] {
+        Value::Null => return Ok(Bytes::new()),
+        Value::String(text) => text,
+        _ => return Err("body: not a string".into()),
+    };
+    let body = STANDARD
+        .decode(text)
+        .map_err(|error| ParamError(format!("body: {error}")))?;
+    if body.len() > MAX_BODY_BYTES {
+        return Err("body: too long".into());
     }
-    match params.get("body") {
-        None | Some(Value::Null) => {}
-        Some(Value::String(text)) => {
-            let body = STANDARD
-                .decode(text)
-                .map_err(|e| bad(&format!("body: {e}")))?;
-            if body.len() > MAX_BODY_BYTES {
-                return Err(bad("body: too long"));
-            }
-            read.body = body.into();
+    Ok(body.into())
+}
+
+/// What a call states of its function.
+struct Props {
+    memory_mb: f64,
+    replica_concurrency: u32,
+    load_time: Option<Time>,
+}
+
+impl Default for Props {
+    fn default() -> Self {
+        Props {
+            memory_mb: 0.0,
+            replica_concurrency: 1,
+            load_time: None,
         }
-        Some(_) => return Err(bad("body: not a string")),
     }
-    Ok(read)
 }
 
 /// Reads `name:figure` pairs set apart by semicolons. Unknown names are passed over: new ones may show up.
-fn props(pairs: &str, names: &Names, call: &mut ClientCall) -> Result<(), String> {
-    let most = names.kinds.iter().map(|k| k.1).fold(0.0, f64::max);
-    for pair in pairs.split(';').filter(|p| !p.is_empty()) {
+fn props(pairs: &str, max_memory_mb: f64) -> Result<Props, ParamError> {
+    let mut props = Props::default();
+    for pair in pairs.split(';').filter(|pair| !pair.is_empty()) {
         let (name, value) = pair.split_once(':').ok_or("props: a pair without ':'")?;
-        let known = matches!(name, "memory_mb" | "lanes" | "load_ms");
-        let figure = value
-            .parse::<f64>()
-            .ok()
-            .filter(|f| f.is_finite() && *f >= 0.0);
-        match figure {
-            None if known => return Err(format!("props: {name}: not a figure from 0 on")),
-            None => {}
-            Some(f) => match name {
-                "memory_mb" if most > 0.0 && f > most => {
-                    return Err("props: memory_mb: more than any worker has".to_string());
-                }
-                "memory_mb" => call.memory_mb = f,
-                "lanes" if !(1.0..=1_000.0).contains(&f) || f.fract() != 0.0 => {
-                    return Err("props: lanes: out of range".to_string());
-                }
-                "lanes" => call.replica_concurrency = f as u32,
-                "load_ms" if f > 3_600_000.0 => {
-                    return Err("props: load_ms: out of range".to_string());
-                }
-                "load_ms" => call.load_time = Some((f * 1e6) as Time),
-                _ => {}
-            },
+        let number = || {
+            value
+                .parse::<f64>()
+                .ok()
+                .filter(|number| number.is_finite() && *number >= 0.0)
+                .ok_or_else(|| ParamError(format!("props: {name}: not a figure from 0 on")))
+        };
+        match name {
+            "memory_mb" => props.memory_mb = memory_mb(number()?, max_memory_mb)?,
+            "lanes" => props.replica_concurrency = replica_concurrency(number()?)?,
+            "load_ms" => props.load_time = Some(load_time(number()?)?),
+            _ => {}
         }
     }
-    Ok(())
+    Ok(props)
+}
+
+fn memory_mb(stated: f64, max: f64) -> Result<f64, ParamError> {
+    if max > 0.0 && stated > max {
+        return Err("props: memory_mb: more than any worker has".into());
+    }
+    Ok(stated)
+}
+
+fn replica_concurrency(stated: f64) -> Result<u32, ParamError> {
+    if !(1.0..=MAX_REPLICA_CONCURRENCY).contains(&stated) || stated.fract() != 0.0 {
+        return Err("props: lanes: out of range".into());
+    }
+    Ok(stated as u32)
+}
+
+fn load_time(stated_ms: f64) -> Result<Time, ParamError> {
+    if stated_ms > MAX_LOAD_MS {
+        return Err("props: load_ms: out of range".into());
+    }
+    Ok((stated_ms * NANOSECONDS_PER_MILLISECOND) as Time)
 }
 
 /// Whether a text is a name of this protocol: 16 hex digits.
--- a/crates/pipithub-platform/src/list.rs
+++ b/crates/pipithub-platform/src/list.rs
@@ -5,6 +5,8 @@
 
 use crate::settings::Names;
 
+const NANOSECONDS_PER_MILLISECOND: u64 = 1_000_000;
+
 /// The most workers in one event: twice the 16,000 of the largest site that is planned for, so that all of them may be
 /// replaced side by side.
 pub const MAX_ENDPOINTS: usize = 32_000;
@@ -12,6 +14,15 @@
 /// takes about 200.
 pub const MAX_ENDPOINT_BYTES: usize = 256;
 
+/// A worker in an event.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ListedEndpoint {
+    /// The worker and its state.
+    pub endpoint: Endpoint,
+    /// Where it listens; may be empty for one that has been removed.
+    pub address: String,
+}
+
 /// One change of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEvent {
@@ -19,35 +30,72 @@
     pub index: u64,
     /// Whether it holds every worker.
     pub update: EndpointUpdate,
-    /// The workers in it, by id, with the address of each.
-    pub endpoints: Vec<(Endpoint, String)>,
+    /// The workers in it.
+    pub endpoints: Vec<ListedEndpoint>,
+}
+
+/// Why an event cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum EndpointEventError {
+    /// It is no JSON.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// It bears no number.
+    #[error("index: not a whole number")]
+    MissingIndex,
+    /// It holds no list of workers.
+    #[error("endpoints.hosts: not a list")]
+    MissingHosts,
+    /// It holds more workers than any site has.
+    #[error("endpoints.hosts: more than {MAX_ENDPOINTS}")]
+    TooManyEndpoints,
+    /// One of its workers cannot be used.
+    #[error("endpoints.hosts[{index}].{error}")]
+    InvalidEndpoint {
+        /// The worker's place in the event.
+        index: usize,
+        /// What is wrong with it.
+        error: EndpointError,
+    },
+}
+
+/// Why a worker in an event cannot be used.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum EndpointError {
+    /// A field is missing or empty.
+    #[error("{0}: missing")]
+    Missing(&'static str),
+    /// Its `health` is none that is known.
+    #[error("health: unknown {0:?}")]
+    UnknownHealth(Option<String>),
 }
 
 /// Reads one event.
 ///
 /// # Errors
-/// Place and reason where it cannot be used; nothing of it may be used then.
-pub fn read(value: &Value, names: &Names) -> Result<EndpointEvent, String> {
-    let index = value["index"].as_u64().ok_or("index: not a whole number")?;
-    let endpoints = &value["endpoints"];
-    let hosts = endpoints["hosts"]
+/// [`EndpointEventError`] where it cannot be used; nothing of it may be used then.
+pub fn read(value: &Value, names: &Names) -> Result<EndpointEvent, EndpointEventError> {
+    let index = value["index"]
+        .as_u64()
+        .ok_or(EndpointEventError::MissingIndex)?;
+    let body = &value["endpoints"];
+    let hosts = body["hosts"]
         .as_array()
-        .ok_or("endpoints.hosts: not a list")?;
+        .ok_or(EndpointEventError::MissingHosts)?;
     if hosts.len() > MAX_ENDPOINTS {
-        return Err(format!("endpoints.hosts: more than {MAX_ENDPOINTS}"));
+        return Err(EndpointEventError::TooManyEndpoints);
     }
-    let update = if endpoints["whole"].as_bool() == Some(true) {
+    let update = if body["whole"].as_bool() == Some(true) {
         EndpointUpdate::Snapshot
     } else {
         EndpointUpdate::Delta
     };
-    let read =
-        |(i, h): (usize, &Value)| host(h, names).map_err(|e| format!("endpoints.hosts[{i}].{e}"));
-    let endpoints = hosts
-        .iter()
-        .enumerate()
-        .map(read)
-        .collect::<Result<_, _>>()?;
+    let mut endpoints = Vec::with_capacity(hosts.len());
+    for (index, host) in hosts.iter().enumerate() {
+        let endpoint = listed_endpoint(host, names)
+            .map_err(|error| EndpointEventError::InvalidEndpoint { index, error })?;
+        endpoints.push(endpoint);
+    }
     Ok(EndpointEvent {
         index,
         update,
@@ -59,49 +107,44 @@
 ///
 /// # Errors
 /// As [`read`].
-pub fn parse(text: &str, names: &Names) -> Result<EndpointEvent, String> {
-    let value: Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
+pub fn parse(text: &str, names: &Names) -> Result<EndpointEvent, EndpointEventError> {
+    let value: Value = serde_json::from_str(text)?;
     read(&value, names)
 }
 
-fn host(host: &Value, names: &Names) -> Result<(Endpoint, String), String> {
-    let text = |field: &str| {
-        host[field]
-            .as_str()
-            .filter(|t| !t.is_empty())
-            .ok_or(format!("{field}: missing"))
-    };
-    let kind = host["class"].as_str().unwrap_or_default();
+fn listed_endpoint(host: &Value, names: &Names) -> Result<ListedEndpoint, EndpointError> {
     let state = match host["health"].as_str() {
         Some("SERVING") => EndpointState::Ready,
         Some("DRAINING") => EndpointState::Draining,
         Some("DELETED") => EndpointState::Removed,
-        other => return Err(format!("health: unknown {other:?}")),
+        other => return Err(EndpointError::UnknownHealth(other.map(str::to_string))),
     };
-    // One that is gone needs no address any more.
+    // One that has been removed needs no address any more.
     let address = if state == EndpointState::Removed {
         host["dial"].as_str().unwrap_or_default()
     } else {
-        text("dial")?
+        required(host, "dial")?
     };
-    let entry = Endpoint {
-        worker: WorkerId::new(text("host")?),
-        weight: host["share"]
-            .as_f64()
-            .filter(|s| s.is_finite())
-            .unwrap_or(0.0),
+    let weight = host["share"].as_f64().filter(|share| share.is_finite());
+    let born_ms = host["born_ms"].as_u64().filter(|born_ms| *born_ms > 0);
+    let endpoint = Endpoint {
+        worker: WorkerId::new(required(host, "host")?),
+        weight: weight.unwrap_or(0.0),
         state,
         zone: host["site"].as_str().unwrap_or_default().to_string(),
         cell: host["block"].as_u64().unwrap_or(0),
-        memory_mb: names
-            .kinds
-            .iter()
-            .find(|(name, _)| name == kind)
-            .map_or(0.0, |(_, memory)| *memory),
-        started_at: host["born_ms"]
-            .as_u64()
-            .filter(|ms| *ms > 0)
-            .map(|ms| ms.saturating_mul(1_000_000)),
+        memory_mb: names.memory_mb(host["class"].as_str().unwrap_or_default()),
+        started_at: born_ms.map(|born_ms| born_ms.saturating_mul(NANOSECONDS_PER_MILLISECOND)),
     };
-    Ok((entry, address.to_string()))
+    Ok(ListedEndpoint {
+        endpoint,
+        address: address.to_string(),
+    })
+}
+
+fn required<'a>(host: &'a Value, field: &'static str) -> Result<&'a str, EndpointError> {
+    host[field]
+        .as_str()
+        .filter(|text| !text.is_empty())
+        .ok_or(EndpointError::Missing(field))
 }
--- a/crates/pipithub-platform/src/settings.rs
+++ b/crates/pipithub-platform/src/settings.rs
@@ -6,13 +6,47 @@
 };
 use serde_json::Value;
 
+/// How long a connection may take to be established where the settings do not say.
+const DEFAULT_CONNECT_TIMEOUT: Time = 250_000_000;
+/// Requests that may be pending where the settings do not say.
+const DEFAULT_MAX_PENDING_REQUESTS: u64 = 4096;
+/// How long a load command may take where the settings do not say.
+const DEFAULT_LOAD_COMMAND_TIMEOUT: Time = 10_000_000_000;
+
 /// The names that the lines of one front end use.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
     /// The classes, in the settings' order.
     pub classes: Vec<String>,
-    /// Machine kinds, with the memory of each in MB.
-    pub kinds: Vec<(String, f64)>,
+    /// The kinds of machines that workers run on.
+    pub machine_kinds: Vec<MachineKind>,
+}
+
+/// A kind of machine.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct MachineKind {
+    /// Its name in the endpoint list.
+    pub name: String,
+    /// Its memory, in MB.
+    pub memory_mb: f64,
+}
+
+impl Names {
+    /// The memory of a kind of machine in MB; 0 where the kind is unknown.
+    pub fn memory_mb(&self, kind: &str) -> f64 {
+        self.machine_kinds
+            .iter()
+            .find(|machine| machine.name == kind)
+            .map_or(0.0, |machine| machine.memory_mb)
+    }
+
+    /// The memory of the largest kind of machine in MB; 0 where none is known.
+    pub fn max_memory_mb(&self) -> f64 {
+        self.machine_kinds
+            .iter()
+            .map(|machine| machine.memory_mb)
+            .fold(0.0, f64::max)
+    }
 }
 
 /// What the transport is told; all times in nanoseconds.
@@ -44,94 +78,139 @@
 /// Reads the settings from their text.
 ///
 /// # Errors
-/// Place and reason of what is wrong.
-pub fn parse(text: &str) -> Result<SiteSettings, String> {
-    read(&serde_json::from_str(text).map_err(|e| format!("settings: {e}"))?)
+/// [`SettingsError`] says what is wrong.
+pub fn parse(text: &str) -> Result<SiteSettings, SettingsError> {
+    read(&serde_json::from_str(text)?)
+}
+
+/// Why settings cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum SettingsError {
+    /// They are no JSON.
+    #[error("settings: {0}")]
+    Json(#[from] serde_json::Error),
+    /// They are no JSON object.
+    #[error("settings: not an object")]
+    NotAnObject,
+    /// A class's `Effect` is none that is known.
+    #[error("settings: unknown Effect {0:?}")]
+    UnknownEffect(Option<String>),
+    /// A class's `Group` is none that is known.
+    #[error("settings: unknown Group {0:?}")]
+    UnknownGroup(Option<String>),
 }
 
 /// Reads the settings.
 ///
 /// # Errors
-/// As [`parse`].
-pub fn read(all: &Value) -> Result<SiteSettings, String> {
+/// [`SettingsError`] says what is wrong.
+pub fn read(all: &Value) -> Result<SiteSettings, SettingsError> {
     if !all.is_object() {
-        return Err("settings: not an object".to_string());
+        return Err(SettingsError::NotAnObject);
     }
-    let limits = &all["Limits"];
-    let rules = &all["Rules"];
-    let family = &all["FamilyInfo"];
-    let grades = all["Grades"]
-        .as_array()
-        .map(Vec::as_slice)
-        .unwrap_or_default();
-    let kinds = all["Models"]
-        .as_array()
-        .map(Vec::as_slice)
-        .unwrap_or_default();
-    let memory = |i: usize| number(&family["KindMemoryMb"][i]).max(0.0);
-    let names = Names {
-        kinds: kinds
-            .iter()
-            .enumerate()
-            .map(|(i, kind)| (string(kind), memory(i)))
-            .collect(),
-        classes: grades.iter().map(|g| string(&g["Name"])).collect(),
-    };
-    let window = time(&family["LoadSpan"]);
-    let settings = Settings {
+    Ok(SiteSettings {
+        policy: policy(all)?,
+        names: names(all),
+        transport: transport(all),
+    })
+}
+
+fn policy(all: &Value) -> Result<Settings, SettingsError> {
+    Ok(Settings {
         front_ends: time(&all["PeersTotal"]).clamp(1, u64::from(u32::MAX)) as u32,
         tick: time(&all["Granularity"]),
-        classes: grades.iter().map(class).collect::<Result<_, _>>()?,
-        limits: Limits {
-            max_attempts: time(&limits["MostTries"]).clamp(1, u64::from(u32::MAX)) as u32,
-            cancel: flag(&limits["MayCancel"]),
-            load_polls: flag(&limits["Probes"])
-                && all["Report"]["How"]
-                    .as_str()
-                    .is_some_and(|how| how != "none"),
-            retry_after: flag(&limits["RetryAfter"]),
-            max_retry_after: time(&limits["MaxRetryAfter"]),
-        },
-        slow_start: SlowStart {
-            initial_weight: rules["ColdFrom"].as_f64().unwrap_or(1.0),
-            window: time(&rules["RampTime"]),
-            overload_factor: number(&rules["FallMultiple"]),
-            overload_window: time(&rules["OverloadFor"]),
-        },
-        loading: FunctionLoading {
-            load_commands: flag(&family["Orders"]),
-            loads_on_request: family["WhenAbsent"].as_str() != Some("miss"),
-            keep_alive: time(&family["StaysLoaded"]),
-            reports_cold_starts: flag(&family["MarksCold"]),
-            reports_concurrency: flag(&family["CountsAlike"]),
-            rate_limit: (window > 0).then(|| LoadRateLimit {
-                window,
-                burst: number(&family["LoadsAnyway"]),
-                per_request: number(&family["LoadsPerRequest"]),
-            }),
-        },
+        classes: array(&all["Grades"])
+            .iter()
+            .map(class)
+            .collect::<Result<_, _>>()?,
+        limits: limits(all),
+        slow_start: slow_start(&all["Rules"]),
+        loading: loading(&all["FamilyInfo"]),
         costs: Costs {
             load_poll: number(&all["Prices"]["Probe"]).max(0.0),
         },
         zone: string(&all["Zone"]),
         watch_on_request: all["RegistryMode"].as_str() == Some("on_request"),
+    })
+}
+
+fn limits(all: &Value) -> Limits {
+    let limits = &all["Limits"];
+    let workers_report_load = all["Report"]["How"]
+        .as_str()
+        .is_some_and(|how| how != "none");
+    Limits {
+        max_attempts: time(&limits["MostTries"]).clamp(1, u64::from(u32::MAX)) as u32,
+        cancel: flag(&limits["MayCancel"]),
+        load_polls: flag(&limits["Probes"]) && workers_report_load,
+        retry_after: flag(&limits["RetryAfter"]),
+        max_retry_after: time(&limits["MaxRetryAfter"]),
+    }
+}
+
+fn slow_start(rules: &Value) -> SlowStart {
+    SlowStart {
+        initial_weight: rules["ColdFrom"].as_f64().unwrap_or(1.0),
+        window: time(&rules["RampTime"]),
+        overload_factor: number(&rules["FallMultiple"]),
+        overload_window: time(&rules["OverloadFor"]),
+    }
+}
+
+fn loading(family: &Value) -> FunctionLoading {
+    let window = time(&family["LoadSpan"]);
+    FunctionLoading {
+        load_commands: flag(&family["Orders"]),
+        loads_on_request: family["WhenAbsent"].as_str() != Some("miss"),
+        keep_alive: time(&family["StaysLoaded"]),
+        reports_cold_starts: flag(&family["MarksCold"]),
+        reports_concurrency: flag(&family["CountsAlike"]),
+        rate_limit: (window > 0).then(|| LoadRateLimit {
+            window,
+            burst: number(&family["LoadsAnyway"]),
+            per_request: number(&family["LoadsPerRequest"]),
+        }),
+    }
+}
+
+fn names(all: &Value) -> Names {
+    let memory_mb = &all["FamilyInfo"]["KindMemoryMb"];
+    let machine_kind = |(index, name): (usize, &Value)| MachineKind {
+        name: string(name),
+        memory_mb: number(&memory_mb[index]).max(0.0),
     };
-    let or = |told: &Value, unless: Time| Some(time(told)).filter(|t| *t > 0).unwrap_or(unless);
-    let transport = Transport {
-        connect_timeout: or(&limits["ConnectTimeout"], 250_000_000),
-        idle_timeout: time(&limits["IdleClose"]),
-        max_requests_per_connection: or(&limits["StreamsPerConn"], 1) as usize,
-        max_pending_requests: or(&limits["OpenCap"], 4096) as usize,
-        load_command_timeout: or(&family["OrderTimeout"], 10_000_000_000),
+    Names {
+        classes: array(&all["Grades"])
+            .iter()
+            .map(|class| string(&class["Name"]))
+            .collect(),
+        machine_kinds: array(&all["Models"])
+            .iter()
+            .enumerate()
+            .map(machine_kind)
+            .collect(),
+    }
+}
+
+fn transport(all: &Value) -> Transport {
+    let limits = &all["Limits"];
+    let positive = |value: &Value, default: Time| match time(value) {
+        0 => default,
+        stated => stated,
     };
-    Ok(SiteSettings {
-        policy: settings,
-        names,
-        transport,
-    })
+    Transport {
+        connect_timeout: positive(&limits["ConnectTimeout"], DEFAULT_CONNECT_TIMEOUT),
+        idle_timeout: time(&limits["IdleClose"]),
+        max_requests_per_connection: positive(&limits["StreamsPerConn"], 1) as usize,
+        max_pending_requests: positive(&limits["OpenCap"], DEFAULT_MAX_PENDING_REQUESTS) as usize,
+        load_command_timeout: positive(
+            &all["FamilyInfo"]["OrderTimeout"],
+            DEFAULT_LOAD_COMMAND_TIMEOUT,
+        ),
+    }
 }
 
-fn class(grade: &Value) -> Result<Class, String> {
+fn class(grade: &Value) -> Result<Class, SettingsError> {
     Ok(Class {
         latency_objective: time(&grade["Aim"]),
         objective_per_work: number(&grade["AimStretch"]),
@@ -141,18 +220,22 @@
             Some("read_like") => Idempotency::Idempotent,
             Some("idempotency_key") => Idempotency::WithKey,
             Some("non_idempotent") => Idempotency::NonIdempotent,
-            other => return Err(format!("settings: unknown Effect {other:?}")),
+            other => return Err(SettingsError::UnknownEffect(other.map(str::to_string))),
         },
         deduplication_scope: match grade["Group"].as_str() {
             Some("all") | None => DeduplicationScope::All,
             Some("zone") => DeduplicationScope::Zone,
             Some("cell") => DeduplicationScope::Cell,
-            other => return Err(format!("settings: unknown Group {other:?}")),
+            other => return Err(SettingsError::UnknownGroup(other.map(str::to_string))),
         },
         deduplication_window: time(&grade["DedupWindow"]),
     })
 }
 
+fn array(value: &Value) -> &[Value] {
+    value.as_array().map(Vec::as_slice).unwrap_or_default()
+}
+
 fn string(value: &Value) -> String {
     value.as_str().unwrap_or_default().to_string()
 }
--- a/crates/pipithub-platform/tests/growth.rs
+++ b/crates/pipithub-platform/tests/growth.rs
@@ -104,7 +104,7 @@
     let place =
         NodeConfig::parse(&text(1, 3).replace("c00002", "c00000")).expect_err("it names one twice");
     assert_eq!(
-        place,
+        place.to_string(),
         "settings.Grades[2].Name: \"c00000\" names an earlier class too"
     );
 }
--- a/crates/pipithub-platform/tests/protocol.rs
+++ b/crates/pipithub-platform/tests/protocol.rs
@@ -136,7 +136,11 @@
 fn a_list_names_what_is_wrong_in_it() {
     let event =
         |host: &str| format!(r#"{{"index":3,"endpoints":{{"whole":true,"hosts":[{host}]}}}}"#);
-    let fault = |host: &str| list::parse(&event(host), &site().names).unwrap_err();
+    let fault = |host: &str| {
+        list::parse(&event(host), &site().names)
+            .unwrap_err()
+            .to_string()
+    };
     assert_eq!(
         fault(r#"{"host":"w","dial":"a:1","health":"ODD"}"#),
         "endpoints.hosts[0].health: unknown Some(\"ODD\")"
@@ -150,7 +154,7 @@
         &site().names,
     )
     .unwrap();
-    assert_eq!(good.endpoints[0].0.started_at, Some(5_000_000));
+    assert_eq!(good.endpoints[0].endpoint.started_at, Some(5_000_000));
 }
 
 /// A worker drops repeats under the key: without it, or with another, a repeat is a second effect.
@@ -209,7 +213,9 @@
     let fault = |grades: serde_json::Value| {
         let all = serde_json::json!({"name": "n", "listen": "127.0.0.1:0", "seed": "1", "coordinator": "127.0.0.1:1",
             "settings": {"Grades": grades}});
-        NodeConfig::parse(&all.to_string()).err()
+        NodeConfig::parse(&all.to_string())
+            .err()
+            .map(|error| error.to_string())
     };
     let says = |grades, what: &str| assert_eq!(fault(grades).as_deref(), Some(what));
     says(serde_json::json!([]), "settings.Grades: no class");
@@ -255,7 +261,10 @@
         (MAX_ENDPOINTS, true)
     );
     let fault = list::parse(&tier(MAX_ENDPOINTS + 1), &names).expect_err("beyond it");
-    assert_eq!(fault, format!("endpoints.hosts: more than {MAX_ENDPOINTS}"));
+    assert_eq!(
+        fault.to_string(),
+        format!("endpoints.hosts: more than {MAX_ENDPOINTS}")
+    );
 }
 
 #[test]
@@ -286,5 +295,5 @@
     // A hundred thousand workers of few bytes pass here, and the list's own bound holds.
     assert!(tier(100_000).len() < MAX_DATA_BYTES);
     let fault = list::parse(&tier(100_000), &site().names).expect_err("beyond the bound");
-    assert_eq!(fault, "endpoints.hosts: more than 32000");
+    assert_eq!(fault.to_string(), "endpoints.hosts: more than 32000");
 }
