--- a/crates/pipithub-node/src/client_sessions.rs
+++ b/crates/pipithub-node/src/client_sessions.rs
@@ -1,4 +1,4 @@
-//! Clients: their connections, what is open on each, and what makes one be turned away.
+//! Connections of clients, their pending calls, and when a connection is closed or a call rejected.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -11,12 +11,12 @@
 
 /// Calls that may be open on one connection.
 pub const MAX_PENDING_CALLS: usize = 32;
-/// What a connection may ask amiss in a row, each time with an answer, before it is given up: it costs more than it is
-/// worth. A proper call begins the count anew: connections live for days, and the odd slip must not add up on them.
+/// Once its faults in a row add up to this, a connection is no longer read and is closed after its last answer. A
+/// proper call resets the score: connections live for days, and occasional mistakes must not add up on them.
 const MAX_FAULT_SCORE: u32 = 32;
-/// How much a faulty line counts.
+/// What a line that is no request adds to the score.
 pub const MALFORMED_LINE_SCORE: u32 = 8;
-/// How much a call beyond those that may be open counts: client and front end may for a moment differ on what is over.
+/// What a call above [`MAX_PENDING_CALLS`] adds: client and front end may briefly differ on which calls have ended.
 pub const EXCESS_CALL_SCORE: u32 = 1;
 /// A connection that has sent no whole line for so long after it was made, or holds one half sent for so long, is
 /// closed, well before the 3 s within which the platform owes a bad client an end. Silent connections would else take
@@ -192,7 +192,7 @@
         Ok(())
     }
 
-    /// Notes a call; its ticket.
+    /// Records a pending call and returns its ticket.
     pub fn begin_call(&mut self, pending: PendingCall) -> u64 {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
@@ -240,7 +240,7 @@
         })
     }
 
-    /// Counts what was asked amiss; whether the connection is to be given up for it.
+    /// Adds to a connection's fault score; returns whether the connection must no longer be read.
     pub fn add_fault_score(&mut self, connection: ConnectionId, counts: u32) -> bool {
         self.sessions.get_mut(&connection).is_none_or(|client| {
             client.fault_score += counts;
@@ -248,8 +248,8 @@
         })
     }
 
-    /// A connection has ended; the tickets that were open on it, none of them owed an answer any more. What of it must not
-    /// run twice is remembered until the given time.
+    /// A connection has ended; the tickets that were open on it, none of them owed an answer any more. What of it must
+    /// not run twice is remembered until the given time.
     pub fn disconnected(&mut self, connection: ConnectionId, until: Time) -> Vec<u64> {
         let Some(client) = self.sessions.remove(&connection) else {
             return Vec::new();
@@ -269,7 +269,7 @@
         tickets
     }
 
-    /// Connections that hold a descriptor for nothing.
+    /// Connections that have sent no call, or half a line, for longer than [`SILENCE_TIMEOUT`].
     pub fn silent_connections(&self, now: Time) -> Vec<ConnectionId> {
         let over = |since: Time| now >= since + SILENCE_TIMEOUT;
         let silent = |c: &ClientSession| {
--- a/crates/pipithub-node/src/coordinator/stream.rs
+++ b/crates/pipithub-node/src/coordinator/stream.rs
@@ -71,7 +71,7 @@
 }
 
 impl StreamError {
-    /// Whether an event came whole and cannot be used; nothing of it is.
+    /// Whether the stream ended because of an event that cannot be used; no part of such an event is applied.
     pub(super) fn is_unusable_event(&self) -> bool {
         matches!(
             self,
--- a/crates/pipithub-node/src/core.rs
+++ b/crates/pipithub-node/src/core.rs
@@ -1,4 +1,4 @@
-//! The front end without sockets: bytes, list events and time in, effects out.
+//! The front end without sockets: bytes, endpoint events and time go in, effects come out.
 
 mod calls;
 mod clients;
@@ -23,13 +23,13 @@
 
 /// Clients and workers are told times in milliseconds.
 const NANOSECONDS_PER_MILLISECOND: Time = 1_000_000;
-/// How often overdue jobs and idle connections are looked for.
+/// How often overdue requests and idle connections are looked for.
 const SWEEP_INTERVAL: Time = 10_000_000;
-/// How often silent clients are.
+/// How often silent clients are looked for.
 const SILENCE_SWEEP_INTERVAL: Time = 100_000_000;
 /// Descriptors kept for the listener, logs, signals, the poller, the coordinator and connections that are closing.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Answers leave so long before the client's time is up, for their own way back.
+/// An answer leaves so long before the client's timeout, so that it arrives in time.
 const ANSWER_MARGIN: Time = 5_000_000;
 
 /// One front end.
@@ -57,7 +57,7 @@
 }
 
 impl Core {
-    /// A front end with the configuration's list of workers.
+    /// A front end with the endpoint list of its configuration.
     pub fn new(now: Time, config: &NodeConfig) -> Self {
         let site = &config.site;
         let usable = config
@@ -121,7 +121,7 @@
         self.worker_pool.next_connection_id()
     }
 
-    /// Appends what is to be done.
+    /// Moves the effects that are due to `effects`.
     pub fn take_effects(&mut self, effects: &mut Vec<Effect>) {
         effects.append(&mut self.effects);
         self.worker_pool.take_effects(effects);
@@ -188,13 +188,13 @@
         self.worker_pool.max_connections()
     }
 
-    /// Hands an input to the engine, and all that comes of it at once.
+    /// Hands an input to the engine and carries out what it asks for.
     fn run(&mut self, now: Time, input: Input) {
         self.inputs.push_back(input);
         self.settle(now);
     }
 
-    /// Hands over what is noted for the engine, until nothing more comes of it.
+    /// Hands queued inputs to the engine until none is left and all that it asked for is carried out.
     fn settle(&mut self, now: Time) {
         while let Some(input) = self.inputs.pop_front() {
             let mut outputs = std::mem::take(&mut self.outputs);
--- a/crates/pipithub-node/src/core/calls.rs
+++ b/crates/pipithub-node/src/core/calls.rs
@@ -18,7 +18,8 @@
 const CLIENTS: SourceId = SourceId(1);
 
 impl Core {
-    /// A client has ceased to wait. Whatever the settings say of cancelling, what has not left yet does not leave any more.
+    /// A client has ceased to wait. Whatever the settings say of cancelling, what has not left yet does not leave any
+    /// more.
     pub(super) fn cancel_call(&mut self, now: Time, ticket: u64) {
         let ticket = Ticket {
             source: CLIENTS,
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Notes a call as pending; what the engine is told of it.
+    /// Records a call as pending and returns its trigger for the engine.
     fn trigger(&mut self, connection: ConnectionId, call: ClientCall) -> Trigger {
         let non_idempotent = self
             .site
--- a/crates/pipithub-node/src/core/clients.rs
+++ b/crates/pipithub-node/src/core/clients.rs
@@ -153,7 +153,8 @@
         self.close_if_answered(connection);
     }
 
-    /// Answers what is no call. What bears no number cannot be told from noise, and what follows noise cannot be trusted.
+    /// Answers a line that is no request. One without an id cannot be told from noise, and nothing behind noise is
+    /// read.
     pub(super) fn answer_fault(&mut self, connection: ConnectionId, fault: &RequestError) {
         debug!(front_end = self.name, connection, %fault, "no call");
         // An answer under the number of an open call would be taken for that call's.
@@ -194,7 +195,8 @@
         self.close_if_answered(connection);
     }
 
-    /// Has the shell look once more at a client that is given up and has no call open, and then close it.
+    /// Has the shell read a client that is no longer served once more and then close it, if none of its calls is
+    /// pending.
     pub(super) fn close_if_answered(&mut self, connection: ConnectionId) {
         if self
             .client_sessions
--- a/crates/pipithub-node/src/core/endpoint_list.rs
+++ b/crates/pipithub-node/src/core/endpoint_list.rs
@@ -10,13 +10,13 @@
 use super::Core;
 
 impl Core {
-    /// Takes a change of the worker list while the wall clock agrees with `now`.
+    /// Applies an update of the endpoint list while the wall clock agrees with `now`.
     pub fn update_endpoints(&mut self, now: Time, event: &EndpointEvent) {
         self.update_endpoints_at(now, now, event);
     }
 
-    /// Takes a change of the worker list; `wall`: the wall clock at this moment, in Unix nanoseconds, by which the list
-    /// states when workers started.
+    /// Applies an update of the endpoint list; `wall`: the wall clock at this moment, in Unix nanoseconds, by which
+    /// the list states when workers started.
     pub fn update_endpoints_at(&mut self, now: Time, wall: Time, event: &EndpointEvent) {
         if event.update != EndpointUpdate::Delta {
             let named: BTreeSet<&WorkerId> = event
--- a/crates/pipithub-node/src/core/shutdown.rs
+++ b/crates/pipithub-node/src/core/shutdown.rs
@@ -6,9 +6,9 @@
 use super::Core;
 use crate::effect::Effect;
 
-/// After SIGTERM clients go on sending for up to 0.6 s, as the platform states; what comes later is refused.
+/// After SIGTERM clients go on sending for up to 0.6 s, as the platform states; what comes later is rejected.
 pub(super) const ACCEPT_AFTER_SIGTERM: Time = 700_000_000;
-/// What a stop waits for at the least: clients that were late by themselves are still to find somebody here.
+/// A shutdown takes at least so long: clients that send late must still be answered.
 const MIN_SHUTDOWN_TIME: Time = 1_000_000_000;
 /// SIGKILL comes no earlier than the longest deadline, counted as the first of these at most, and the second after
 /// SIGTERM. What has no answer a little before that gets it then.
@@ -20,7 +20,7 @@
 const FINAL_READ_TIME: Time = 20_000_000;
 
 impl Core {
-    /// The platform asked for an end.
+    /// Begins the graceful shutdown; later calls of this change nothing.
     pub fn begin_shutdown(&mut self, now: Time) {
         if self.shutdown_started.is_none() {
             info!(front_end = self.name, open = self.engine.open(), "stopping");
--- a/crates/pipithub-node/src/core/workers.rs
+++ b/crates/pipithub-node/src/core/workers.rs
@@ -20,9 +20,9 @@
         self.settle_failures(now);
     }
 
-    /// A connection to a worker did not come up; `own`: for want of something here.
-    pub fn worker_failed(&mut self, now: Time, connection: ConnectionId, own: bool) {
-        self.worker_pool.connect_failed(connection, own);
+    /// A connection to a worker did not come up; `local_fault`: because this machine lacked a resource.
+    pub fn worker_failed(&mut self, now: Time, connection: ConnectionId, local_fault: bool) {
+        self.worker_pool.connect_failed(connection, local_fault);
         self.settle_failures(now);
     }
 
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Notes the end of an attempt, for the engine to hear after the present input.
+    /// Queues the end of an attempt as an input that the engine gets after the present one.
     pub(super) fn attempt_ended(&mut self, end: AttemptResult) {
         debug!(
             front_end = self.name,
@@ -125,7 +125,7 @@
         self.inputs.push_back(Input::AttemptFinished(end));
     }
 
-    /// Notes the ends of requests that got no answer, for the engine to hear after the present input.
+    /// Queues the ends of requests without an answer as inputs that the engine gets after the present one.
     pub(super) fn record_failures(&mut self, now: Time) {
         for failed in self.worker_pool.take_failures() {
             let FailedRequest {
--- a/crates/pipithub-node/src/effect.rs
+++ b/crates/pipithub-node/src/effect.rs
@@ -16,15 +16,15 @@
         /// What.
         bytes: Bytes,
     },
-    /// Close a connection: a client's once all is written, a worker's at once, for what is left unwritten must not begin
-    /// there any more. The core has forgotten it.
+    /// Close a connection: a client's once all is written, a worker's at once, for what is left unwritten must not
+    /// begin there any more. The core has forgotten it.
     Close {
         /// The connection.
         connection: ConnectionId,
     },
     /// Hand over what a client has sent by now, then say
-    /// [`Core::close_client_if_idle`](crate::core::Core::close_client_if_idle): a request may come in the very moment in
-    /// which its connection is to be closed.
+    /// [`Core::close_client_if_idle`](crate::core::Core::close_client_if_idle): a request may come in the very moment
+    /// in which its connection is to be closed.
     Retire {
         /// The connection.
         connection: ConnectionId,
--- a/crates/pipithub-node/src/executed_calls.rs
+++ b/crates/pipithub-node/src/executed_calls.rs
@@ -1,4 +1,4 @@
-//! Calls that must not run twice and may have run, remembered so that their repeats are turned down.
+//! Calls that must not run twice and may have run, remembered so that their retries are rejected.
 
 use std::collections::{HashSet, VecDeque};
 
--- a/crates/pipithub-node/src/idle_timeout.rs
+++ b/crates/pipithub-node/src/idle_timeout.rs
@@ -1,19 +1,20 @@
 //! How long an idle connection may be trusted, learnt from those that broke when they were used again.
 //!
-//! Something on the way may forget a connection that stays idle, well before the time that the settings state, and reset
-//! it when the next line comes. Whether that line was read cannot be told, so a call that must not run twice is lost with
-//! it, and a sound worker looks broken. A new connection costs a round trip or two: the cheaper choice by far.
+//! Something on the way may forget a connection that stays idle, well before the time that the settings state, and
+//! reset it when the next line comes. Whether that line was read cannot be told, so a call that must not run twice is
+//! lost with it, and a sound worker looks broken. A new connection costs a round trip or two: the cheaper choice by
+//! far.
 
 use pipithub_engine::Time;
 
-/// Lengths of idle time are told apart by powers of two of this, in nanoseconds.
+/// Idle times are sorted into buckets by powers of two of this, in nanoseconds.
 const BUCKET_UNIT: Time = 1_000_000;
 /// Their number; the last holds all that is longer.
 const BUCKETS: usize = 18;
 /// So many breaks, and this share of the uses, make a length of idle time too long.
 const MIN_BREAKS: f64 = 1.5;
 const MIN_BREAK_RATIO: f64 = 0.1;
-/// What was seen counts half after this time: whatever stood in the way may be gone.
+/// Observations count half after this time: whatever broke the connections may have been removed.
 const HALF_LIFE: Time = 20_000_000_000;
 
 /// What became of connections that were used again, by how long they had been idle.
--- a/crates/pipithub-node/src/shell.rs
+++ b/crates/pipithub-node/src/shell.rs
@@ -26,9 +26,9 @@
 use crate::effect::{ConnectionId, Effect};
 use crate::sockets::{self, ConnectError, LocalFaults};
 
-/// What is read at a time: more than a usual client sends in one breath, so that its close behind that is seen with it.
+/// What is read at a time: more than a usual client sends at once, so that a close behind it is seen in the same read.
 const READ_BUFFER_BYTES: usize = 64 << 10;
-/// A buffer that has grown beyond this is let go once it is empty.
+/// A buffer that has grown beyond this is released once it is empty.
 const MAX_IDLE_BUFFER: usize = 16 << 10;
 /// Connections of clients that may linger so at a time, beyond those that clients may have; newcomers beyond both, for
 /// which others are about to be closed; and connections to workers that are about to be. All are among the descriptors
@@ -59,7 +59,7 @@
 }
 
 impl Shell {
-    /// Lets the core take something in and does what comes of it.
+    /// Updates the core and carries out the effects that follow.
     fn update_core(self: &Rc<Self>, act: impl FnOnce(&mut Core, Time)) {
         let now = self.clock.now();
         let mut effects = Vec::new();
@@ -69,7 +69,7 @@
             for effect in effects.drain(..) {
                 self.execute(effect);
             }
-            // Only now is the buffers' state one that the core can reckon with.
+            // The core must be told the buffers' state only after all effects have been carried out.
             let (written_workers, closing_clients) =
                 (self.written_workers.take(), self.closing_clients.take());
             if written_workers.is_empty() && closing_clients.is_empty() {
--- a/crates/pipithub-node/src/shell/connection.rs
+++ b/crates/pipithub-node/src/shell/connection.rs
@@ -60,7 +60,7 @@
     ) {
         self.transfer_until_end(connection, &socket).await;
         if socket.closing.get() {
-            // The core has let go of it.
+            // The core has removed it already.
             return self.linger_if_owed(&socket).await;
         }
         self.sockets.borrow_mut().remove(&connection);
@@ -92,7 +92,7 @@
                 match self.read(connection, socket) {
                     Progress::Ended => return,
                     Progress::Drained => {}
-                    // Whoever writes without end must not keep the others' closes from being seen.
+                    // One peer that writes without end must not delay the detection of other peers' closes.
                     Progress::More => tokio::task::yield_now().await,
                 }
             }
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Sends a client its last answers, says that no more follow, and reads on until it has closed too: a close with input
-    /// unread is a reset, which would destroy answers that the client has not read yet.
+    /// Sends a client its last answers, says that no more follow, and reads on until it has closed too: a close with
+    /// input unread is a reset, which would destroy answers that the client has not read yet.
     async fn linger(&self, socket: &Socket) {
         while !socket.unwritten.borrow().is_empty() && !socket.broken.get() {
             self.wait_for_local_resources(socket).await;
@@ -179,8 +179,8 @@
         if end == TransferEnd::Exhausted {
             socket.exhausted.set(true);
         }
-        // A client that has closed has gone: nothing that it asked for before is begun for nobody. What a worker said
-        // before its close counts.
+        // Nothing that a client asked for before its close is begun: nobody waits for it. What a worker answered before
+        // its close counts.
         if end == TransferEnd::Ended && (socket.side == Side::Client || filled == 0) {
             return Progress::Ended;
         }
--- a/crates/pipithub-node/src/shell/listener.rs
+++ b/crates/pipithub-node/src/shell/listener.rs
@@ -9,9 +9,11 @@
 use crate::core::Core;
 use crate::sockets;
 
+/// Clients that may be connected beyond those that may stay, while others are being closed for them.
 const MAX_NEWCOMERS: usize = 3;
 
 impl Shell {
+    /// Accepts clients until the listener fails, and begins the shutdown then.
     pub(super) async fn accept(self: Rc<Self>, listener: TcpListener) {
         let most = self.core.borrow().max_client_connections() + MAX_LINGERING + MAX_NEWCOMERS;
         let accept = async || {
@@ -30,7 +32,7 @@
             );
         };
         sockets::accept_all(accept, take, &self.local_faults).await;
-        // Nobody reaches this process any more: what it has taken is finished, and it ends.
+        // No client can connect any more: pending calls are finished, and the process ends.
         self.update_core(Core::begin_shutdown);
     }
 }
--- a/crates/pipithub-node/src/shell/reload.rs
+++ b/crates/pipithub-node/src/shell/reload.rs
@@ -10,8 +10,8 @@
 
 use super::runtime::StartError;
 
-/// A configuration that cannot be read is looked at again after this, doubling, so often: somebody may be writing it. All
-/// of it lies within the 4 s after SIGHUP in which the new coordinator is to be followed.
+/// A configuration that cannot be read is looked at again after this, doubling, so often: somebody may be writing it.
+/// All of it lies within the 4 s after SIGHUP in which the new coordinator is to be followed.
 const RELOAD_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_RELOAD_RETRIES: u32 = 6;
 
@@ -52,7 +52,8 @@
         self.read();
     }
 
-    /// Waits until a retry is due, for ever where there is none, and reads the file then. Only the wait may be cancelled.
+    /// Waits until a retry is due, for ever where there is none, and reads the file then. Only the wait may be
+    /// cancelled.
     pub(super) async fn retry(&mut self) {
         match self.retry_at {
             Some(time) => tokio::time::sleep_until(time).await,
--- a/crates/pipithub-node/src/shell/runtime.rs
+++ b/crates/pipithub-node/src/shell/runtime.rs
@@ -24,6 +24,8 @@
 use crate::core::Core;
 use crate::sockets::LocalFaults;
 
+/// Bytes that wait to be written on one side may take this part of the memory: many peers that do not read must not
+/// fill it.
 const UNWRITTEN_MEMORY_DIVISOR: usize = 8;
 /// Before it ends, the process must have seen nothing new on its sockets for so long: long beside a turn of the loop.
 const QUIET_TIME: Time = 20_000_000;
--- a/crates/pipithub-node/src/shell/socket.rs
+++ b/crates/pipithub-node/src/shell/socket.rs
@@ -14,8 +14,9 @@
 use super::slots::Slot;
 use crate::sockets::{self, TransferEnd};
 
-/// The most that waits to be written on a connection: who does not read is cut off. So is who has more than [`MAX_IDLE_BUFFER`]
-/// waiting while all together have more than this part of the memory: many that do not read must not fill it.
+/// The most bytes that wait to be written on one connection: a peer that does not read is cut off beyond it. A peer
+/// with more than [`MAX_IDLE_BUFFER`] waiting is cut off too while all of its side together exceed their part of the
+/// memory.
 const MAX_UNWRITTEN: usize = 1 << 20;
 
 /// Which side a connection is of.
@@ -37,7 +38,7 @@
     pub(super) broken: Cell<bool>,
     /// This machine lacked something when it was last read or written.
     pub(super) exhausted: Cell<bool>,
-    /// What the core was last told of a worker that does not read.
+    /// What was last reported to the core of a worker that does not read.
     pub(super) blocked: Cell<Option<u64>>,
     pub(super) wake: Notify,
     pub(super) slot: Slot,
@@ -92,8 +93,8 @@
         }
     }
 
-    /// Writes at once what the system takes, and keeps the rest. Behind what is kept nothing leaves here: the core takes
-    /// back by what it was told of that, and a line that left meanwhile would count as never sent.
+    /// Writes at once what the system takes, and keeps the rest. Behind what is kept nothing leaves here: the core
+    /// takes back by what it was told of that, and a line that left meanwhile would count as never sent.
     pub(super) fn write(&self, bytes: &[u8]) {
         let mut unwritten = self.unwritten.borrow_mut();
         let first = unwritten.is_empty();
--- a/crates/pipithub-node/src/sockets.rs
+++ b/crates/pipithub-node/src/sockets.rs
@@ -1,5 +1,5 @@
-//! Accepts and makes connections, retrying by whose fault an error is: what this machine lacks for a moment tells nothing
-//! of a worker and must not hold up more than it has to.
+//! Accepts and makes connections, retrying by whose fault an error is: what this machine lacks for a moment tells
+//! nothing of a worker and must not hold up more than it has to.
 
 use std::cell::Cell;
 use std::io;
@@ -9,10 +9,10 @@
 use tokio::time::{sleep, timeout};
 use tracing::{debug, error, warn};
 
-/// How long to wait before trying again what failed for want of something here.
+/// How long to wait before retrying what failed because this machine lacked a resource.
 pub const LOCAL_RETRY: Duration = Duration::from_millis(10);
 
-/// Counts the system calls that failed for want of something on this machine.
+/// Counts the system calls that failed because this machine lacked a resource.
 #[derive(Debug, Default)]
 pub struct LocalFaults(Cell<u64>);
 
@@ -67,7 +67,7 @@
     Local,
 }
 
-/// Makes a connection within a time. What fails for want of something here is tried again; what fails by the peer is not.
+/// Makes a connection within a time. A failure by a fault of this machine is retried; one by the peer is not.
 ///
 /// # Errors
 /// [`ConnectError`] says whose fault it is.
--- a/crates/pipithub-node/src/worker_pool.rs
+++ b/crates/pipithub-node/src/worker_pool.rs
@@ -1,6 +1,6 @@
 //! Connections to workers: which one carries what, and what became of it when one ends.
 //!
-//! Workers are known by their id: a new one may bear the address of one that has gone. One connection carries many
+//! Workers are known by their id: a new one may have the address of a removed one. One connection carries many
 //! requests, yet a broken one takes all of them with it; so a free connection is preferred, then a new one while there
 //! are descriptors, and only then one that carries others already.
 
@@ -44,12 +44,12 @@
     max_requests_per_connection: usize,
     connect_timeout: Time,
     idle_close: Time,
-    /// Workers may be told to give a run up.
+    /// Workers may be told to cancel an attempt.
     cancel: bool,
     workers: BTreeMap<WorkerId, WorkerConnections>,
-    /// How many workers are not gone: nothing on the way of a call, and no sweep, may go through all of them.
+    /// How many workers have not been removed; counted, as neither a call nor a sweep may iterate over all of them.
     listed: usize,
-    /// Workers with requests that may wait, and those that are gone: all that a sweep looks at.
+    /// Workers with waiting requests, and removed ones: all that a sweep looks at.
     watched: BTreeSet<WorkerId>,
     connections: BTreeMap<ConnectionId, Connection>,
     next: ConnectionId,
@@ -59,7 +59,8 @@
 }
 
 impl WorkerPool {
-    /// At most so many connections, each carrying so many requests. `cancel`: workers may be told to give a run up.
+    /// At most so many connections, each carrying so many requests. `cancel`: workers may be told to cancel
+    /// an attempt.
     pub fn new(
         max_connections: usize,
         max_requests_per_connection: usize,
@@ -110,7 +111,7 @@
         self.max_connections
     }
 
-    /// How many workers a sweep looks at: those with requests that may wait, and those that are gone.
+    /// How many workers a sweep looks at: those with waiting requests, and removed ones.
     pub fn watched(&self) -> usize {
         self.watched.len()
     }
@@ -120,7 +121,7 @@
         self.connections.is_empty()
     }
 
-    /// Notes where a worker is to be found, or that it is gone.
+    /// Sets a worker's address, or records that it has been removed.
     pub fn set_address(&mut self, worker: &WorkerId, address: &str, gone: bool) {
         let new = || WorkerConnections {
             removed: true,
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Notes that all workers but these are gone.
+    /// Records that all workers but these have been removed.
     pub fn retain_workers(&mut self, named: &BTreeSet<&WorkerId>) {
         let lost: Vec<WorkerId> = self
             .workers
@@ -166,7 +167,7 @@
         });
     }
 
-    /// Takes a request for a worker; a request that cannot be sent is lost at once.
+    /// Queues a request for a worker; a request that cannot be sent fails at once.
     pub fn submit(&mut self, now: Time, worker: &WorkerId, request: WorkerRequest) {
         match self.workers.get_mut(worker) {
             Some(entry) if !entry.address.is_empty() && entry.waiting.len() < MAX_WAITING => {
@@ -241,8 +242,8 @@
         self.dispatch(now, &worker);
     }
 
-    /// The worker behind a connection does not read, or reads again: the bytes that the system has taken so far. Meanwhile
-    /// nothing more is put on it.
+    /// The worker behind a connection does not read, or reads again: the bytes that the system has taken so far.
+    /// Meanwhile nothing more is put on it.
     pub fn set_blocked(&mut self, now: Time, id: ConnectionId, written: Option<u64>) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
--- a/crates/pipithub-node/src/worker_pool/connection.rs
+++ b/crates/pipithub-node/src/worker_pool/connection.rs
@@ -34,7 +34,7 @@
     Whole,
 }
 
-/// A request that was given up.
+/// A request that was taken off its connection.
 pub(super) struct Withdrawn {
     pub(super) request: WorkerRequest,
     /// It is certain that it did not arrive whole.
@@ -82,9 +82,9 @@
         }
     }
 
-    /// Takes out a request whose answer is not waited for any more. One that has not left whole is taken back: to cancel it
-    /// behind its line would not keep it from beginning once the worker reads again. Otherwise the worker is told to cancel
-    /// an attempt, where the settings let us.
+    /// Takes out a request whose answer is not waited for any more. One that has not left whole is taken back: to
+    /// cancel it behind its line would not keep it from beginning once the worker reads again. Otherwise the worker is
+    /// told to cancel an attempt, where the settings let us.
     pub(super) fn give_up(
         &mut self,
         id: ConnectionId,
@@ -171,7 +171,8 @@
             && self.in_flight.len() < max_requests
     }
 
-    /// Takes back all that the system has not taken, within a line: nothing may follow. The requests that stood behind it.
+    /// Takes back all that the system has not taken, within a line: nothing may follow. The requests that stood behind
+    /// it.
     fn seal(
         &mut self,
         id: ConnectionId,
@@ -207,7 +208,7 @@
         }
     }
 
-    /// Notes that a name was used here: a late second answer must not be taken for that of its next use.
+    /// Remembers a reference: a late second answer to it must not be taken for the answer to its next use.
     pub(super) fn remember_reference(&mut self, reference: &str) {
         if self.recent_references.len() >= MAX_RECENT_REFERENCES {
             self.recent_references.pop_front();
--- a/crates/pipithub-node/src/worker_pool/endings.rs
+++ b/crates/pipithub-node/src/worker_pool/endings.rs
@@ -14,8 +14,8 @@
 const MAX_REWRITES: u32 = 2;
 
 impl WorkerPool {
-    /// A connection did not come up: nothing that waits for it was sent. `local_fault`: for want of something here, so that the
-    /// worker is not to blame.
+    /// A connection could not be established: nothing that waits for it was sent. `local_fault`: because this machine
+    /// lacked a resource, so that the worker is not at fault.
     pub fn connect_failed(&mut self, id: ConnectionId, local_fault: bool) {
         let Some(connection) = self.connections.remove(&id) else {
             return;
@@ -69,8 +69,8 @@
         Some(AnsweredRequest { worker, request })
     }
 
-    /// A connection has ended, or is ended for what came on it. `written`: the bytes that the system took; what it did not
-    /// take whole never arrived and goes out again on another connection.
+    /// A connection has ended, or is ended for what came on it. `written`: the bytes that the system took; what it did
+    /// not take whole never arrived and goes out again on another connection.
     pub fn closed(&mut self, now: Time, id: ConnectionId, written: u64, how: SendFailure) {
         let Some(connection) = self.connections.remove(&id) else {
             return;
@@ -153,8 +153,8 @@
         }
     }
 
-    /// What came on a connection cannot be read: it is closed. What the shell was not handed yet did not leave, and must
-    /// not count as run: an unsafe call would be lost for nothing.
+    /// What came on a connection cannot be read: it is closed. What the shell was not handed yet did not leave, and
+    /// must not count as run: a non-idempotent call would fail without need.
     pub fn close_malformed(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(&id) else {
             return;
@@ -191,8 +191,8 @@
         self.give_up(now, worker, id, &name, self.cancel)
     }
 
-    /// Nobody waits for an attempt any more, whatever the settings say of cancelling: it is given back if it has not left
-    /// whole, and is not written again if its connection ends.
+    /// Nobody waits for an attempt any more, whatever the settings say of cancelling: it is given back if it has not
+    /// left whole, and is not written again if its connection ends.
     pub fn abandon(
         &mut self,
         now: Time,
--- a/crates/pipithub-node/src/worker_pool/request.rs
+++ b/crates/pipithub-node/src/worker_pool/request.rs
@@ -13,11 +13,11 @@
 pub enum RequestKind {
     /// To run a call.
     Attempt(AttemptId),
-    /// To hold copies.
+    /// To load replicas of a function.
     LoadFunction(FunctionId),
-    /// To tell its load.
+    /// To report its load.
     PollLoad,
-    /// To unload copies; no answer comes.
+    /// To evict idle replicas of a function; no answer comes.
     EvictFunction,
 }
 
@@ -91,7 +91,8 @@
 pub enum SendFailure {
     /// The worker could not be reached, or the request never arrived whole: it did not run.
     Unreachable,
-    /// It never left, for reasons of this front end's own: it did not run, and the worker is not to blame.
+    /// It never left, because of a fault on this machine or because nobody waited for it: it did not run, and the
+    /// worker is not at fault.
     NeverSent,
     /// Its connection broke: it may have run.
     ConnectionLost,
--- a/crates/pipithub-node/src/worker_pool/selection.rs
+++ b/crates/pipithub-node/src/worker_pool/selection.rs
@@ -8,9 +8,9 @@
 use crate::effect::{ConnectionId, Effect};
 
 impl WorkerPool {
-    /// The connection for the first request that waits for a worker: the free one that was used last, so that the others may
-    /// be closed as idle. Else each waiting request is to have a new one; where there is no room for that many, the one
-    /// that carries least.
+    /// The connection for the first request that waits for a worker: the free one that was used last, so that the
+    /// others may be closed as idle. Else each waiting request is to have a new one; where there is no room for that
+    /// many, the one that carries least.
     pub(super) fn select_connection(
         &mut self,
         now: Time,
@@ -43,8 +43,8 @@
         least_loaded.filter(|_| connecting < waiting)
     }
 
-    /// Opens a connection for each waiting request that has none under way, as far as there is room; how many are under way
-    /// then.
+    /// Opens a connection for each waiting request that has none under way, as far as there is room; how many are
+    /// under way then.
     fn open_connections(&mut self, now: Time, worker: &WorkerId) -> usize {
         let fair_part = (self.max_connections / self.listed.max(1)).max(1);
         let Some(entry) = self.workers.get_mut(worker) else {
