--- a/crates/pipithub-node/src/core/calls.rs
+++ b/crates/pipithub-node/src/core/calls.rs
@@ -102,7 +102,7 @@
             connection,
             call = call.name,
             message,
-            "no call"
+            "request rejected"
         );
         let line = client::error_line(Some(call.id), client::REJECTED, &message, retry_after);
         self.write(connection, line);
--- a/crates/pipithub-node/src/core/clients.rs
+++ b/crates/pipithub-node/src/core/clients.rs
@@ -49,8 +49,8 @@
             debug!(
                 front_end = self.name,
                 connection,
-                open = tickets.len(),
-                "client has left calls open"
+                pending = tickets.len(),
+                "client disconnected with pending calls"
             );
         }
         for ticket in tickets {
@@ -156,7 +156,7 @@
     /// Answers a line that is no request. One without an id cannot be told from noise, and nothing behind noise is
     /// read.
     pub(super) fn answer_fault(&mut self, connection: ConnectionId, fault: &RequestError) {
-        debug!(front_end = self.name, connection, %fault, "no call");
+        debug!(front_end = self.name, connection, %fault, "request rejected");
         // An answer under the number of an open call would be taken for that call's.
         let open = self
             .client_sessions
@@ -189,8 +189,8 @@
         debug!(
             front_end = self.name,
             connection,
-            open = client.pending_calls.len(),
-            "client given up"
+            pending = client.pending_calls.len(),
+            "client is no longer read"
         );
         self.close_if_answered(connection);
     }
--- a/crates/pipithub-node/src/core/outputs.rs
+++ b/crates/pipithub-node/src/core/outputs.rs
@@ -121,7 +121,7 @@
             function = &*call.function,
             worker = &*worker.0,
             attempt = id.number,
-            "send"
+            "forward"
         );
         let payload = Payload::Run(RunRequest {
             call: name.to_string(),
--- a/crates/pipithub-node/src/core/shutdown.rs
+++ b/crates/pipithub-node/src/core/shutdown.rs
@@ -23,7 +23,11 @@
     /// Begins the graceful shutdown; later calls of this change nothing.
     pub fn begin_shutdown(&mut self, now: Time) {
         if self.shutdown_started.is_none() {
-            info!(front_end = self.name, open = self.engine.open(), "stopping");
+            info!(
+                front_end = self.name,
+                pending = self.engine.open(),
+                "shutting down"
+            );
             self.shutdown_started = Some(now);
         }
     }
--- a/crates/pipithub-node/tests/endings.rs
+++ b/crates/pipithub-node/tests/answers_before_close.rs
@@ -1,8 +1,8 @@
 //! Whatever parses as a request gets one answer before its connection is closed, however that comes about.
 
-mod bench;
+mod core_harness;
 
-use bench::{Bench, MS, config};
+use core_harness::{CoreHarness, MS, config};
 use pipithub_engine::Time;
 use pipithub_node::effect::ConnectionId;
 
@@ -21,10 +21,10 @@
 struct Ending {
     name: &'static str,
     /// Brings it about on a new connection, on which the given text has come, read or not.
-    play: fn(&mut Bench, &str) -> ConnectionId,
+    play: fn(&mut CoreHarness, &str) -> ConnectionId,
 }
 
-fn read(b: &mut Bench, connection: ConnectionId, text: &str) {
+fn read(b: &mut CoreHarness, connection: ConnectionId, text: &str) {
     b.core.client_bytes(b.now, connection, text.as_bytes());
 }
 
@@ -160,7 +160,7 @@
     ];
     for Ending { name, play } in ENDINGS {
         for (content, text, asked) in &contents {
-            let mut b = Bench::new();
+            let mut b = CoreHarness::new();
             let connection = play(&mut b, text);
             let mut written = b.written();
             for _ in 0..400 {
@@ -203,7 +203,7 @@
             .classes
             .iter_mut()
             .for_each(|c| c.client_timeout = longest * MS);
-        let mut b = Bench::of(&config);
+        let mut b = CoreHarness::of(&config);
         let clients: Vec<ConnectionId> = (0..4).map(|_| b.client()).collect();
         let call = |id: u64| {
             let class = if id.is_multiple_of(3) {
@@ -216,7 +216,7 @@
                 .replace("\"ttl\":1500", &format!("\"ttl\":{longest}"))
         };
         let (mut sent, mut written) = (0, Vec::new());
-        let mut send = |b: &mut Bench, unread: bool| {
+        let mut send = |b: &mut CoreHarness, unread: bool| {
             for connection in &clients {
                 sent += 1;
                 if unread {
--- a/crates/pipithub-node/tests/retire.rs
+++ b/crates/pipithub-node/tests/close_race.rs
@@ -1,13 +1,13 @@
 //! A request comes at the moment at which its connection is closed to make room for another: at each turn of the one
 //! thread that the front end and the test share, it is either too late, as the close has been told, or answered.
 
-mod rig;
+mod socket_harness;
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
 
-use rig::{Peer, call, config, event, listener, start};
+use socket_harness::{Peer, call, config, event, listener, start};
 use tokio::task::{LocalSet, yield_now};
 
 /// Clients that may be connected with 44 descriptors.
--- a/crates/pipithub-node/tests/closes.rs
+++ b/crates/pipithub-node/tests/closes.rs
@@ -1,7 +1,7 @@
 //! A client's close is seen while the front end is busy with something else: each test counts turns of the one thread
 //! that the front end and the test share, and no time.
 
-mod rig;
+mod socket_harness;
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 
 use pipithub_node::coordinator;
 use pipithub_platform::settings::Names;
-use rig::{Peer, call, config, event, held_by_the_system, listener, served, start};
+use socket_harness::{Peer, call, config, event, held_by_the_system, listener, served, start};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
--- a/crates/pipithub-node/tests/core.rs
+++ b/crates/pipithub-node/tests/core.rs
@@ -1,8 +1,8 @@
 //! The front end without sockets: what clients and workers send, and what goes back.
 
-mod bench;
+mod core_harness;
 
-use bench::{Bench, MS, config};
+use core_harness::{CoreHarness, MS, config};
 use pipithub_node::effect::{ConnectionId, Effect};
 use pipithub_platform::list;
 
@@ -10,7 +10,7 @@
 
 #[test]
 fn a_call_is_answered_once_with_what_the_worker_gave() {
-    let mut b = Bench::new();
+    let mut b = CoreHarness::new();
     let (client, worker) = b.sent("assign");
     // An answer to nothing open comes first, and the answer twice.
     b.core.worker_bytes(
@@ -32,7 +32,7 @@
         "{\"cmd\":\"ACK\",\"ref\":\"0000000000000007\",\"payload\":\"!!\"}\n",
         "noise\n",
     ] {
-        let mut b = Bench::new();
+        let mut b = CoreHarness::new();
         let (client, worker) = b.sent("assign");
         b.core.worker_bytes(b.now, worker, spoilt.as_bytes());
         let written = b.written();
@@ -47,7 +47,7 @@
         );
     }
     // A line without end is spoilt too, within a bound.
-    let mut b = Bench::new();
+    let mut b = CoreHarness::new();
     let (_, worker) = b.sent("assign");
     (0..20).for_each(|_| b.core.worker_bytes(b.now, worker, &[b'x'; 16 << 10]));
     assert!(b.written().contains(&(worker, "closed".to_string())));
@@ -55,7 +55,7 @@
 
 #[test]
 fn a_safe_call_whose_connection_breaks_runs_elsewhere() {
-    let mut b = Bench::new();
+    let mut b = CoreHarness::new();
     let (client, worker) = b.sent("view");
     b.core.worker_closed(b.now, worker, u64::MAX);
     let written = b.written();
@@ -97,7 +97,7 @@
         "x".repeat(200_000),
     ];
     for line in bad {
-        let mut b = Bench::new();
+        let mut b = CoreHarness::new();
         let client = b.client();
         b.say(client, &line);
         let written = b.written();
@@ -114,7 +114,7 @@
 
 #[test]
 fn a_name_in_use_is_not_called_harmless_and_its_owner_keeps_its_answer() {
-    let mut b = Bench::new();
+    let mut b = CoreHarness::new();
     let (client, worker) = b.sent("assign");
     let other = b.client();
     b.call(other, 7, "assign");
@@ -134,7 +134,7 @@
 #[test]
 fn a_client_that_leaves_or_forgets_has_its_call_withdrawn() {
     for forgets in [true, false] {
-        let mut b = Bench::new();
+        let mut b = CoreHarness::new();
         let (client, worker) = b.sent("view");
         if forgets {
             b.say(
@@ -153,7 +153,7 @@
 
 #[test]
 fn a_call_that_no_worker_answers_ends_before_its_time_and_says_when_to_come_back() {
-    let mut b = Bench::new();
+    let mut b = CoreHarness::new();
     let (client, _) = b.sent("view");
     b.pass(1_500 * MS);
     let answers: Vec<_> = b
@@ -170,7 +170,7 @@
 
 #[test]
 fn silent_clients_and_too_many_are_closed_and_one_with_an_open_call_is_not() {
-    let mut b = Bench::new();
+    let mut b = CoreHarness::new();
     let (client, _) = b.sent("view");
     let silent = b.client();
     let half = b.client();
@@ -186,7 +186,7 @@
         closed.contains(&silent) && closed.contains(&half) && !closed.contains(&client),
         "{closed:?}"
     );
-    let mut b = Bench::new();
+    let mut b = CoreHarness::new();
     let (client, _) = b.sent("view");
     for _ in 0..200 {
         b.client();
@@ -200,7 +200,7 @@
 
 #[test]
 fn a_stop_finishes_what_is_open_and_takes_calls_while_clients_still_send() {
-    let mut b = Bench::new();
+    let mut b = CoreHarness::new();
     let (client, worker) = b.sent("view");
     b.core.begin_shutdown(b.now);
     b.say(client, r#"{"jsonrpc":"2.0","id":8,"method":"isWell"}"#);
@@ -229,7 +229,7 @@
 
 #[test]
 fn nothing_new_goes_to_a_worker_that_drains() {
-    let mut b = Bench::new();
+    let mut b = CoreHarness::new();
     let (_, worker) = b.sent("view");
     b.core.worker_bytes(b.now, worker, SERVED);
     b.written();
@@ -258,7 +258,7 @@
 /// A close would lose the calls that are open on the connection: what was taken is owed its answer.
 #[test]
 fn a_client_that_sends_noise_still_gets_the_answers_it_is_owed_and_then_a_close() {
-    let mut b = Bench::new();
+    let mut b = CoreHarness::new();
     let (client, worker) = b.sent("assign");
     b.say(client, "noise");
     b.call(client, 8, "view");
@@ -288,9 +288,9 @@
 
 #[test]
 fn slips_on_a_long_connection_do_not_add_up_but_in_a_row_they_end_it() {
-    let mut b = Bench::new();
+    let mut b = CoreHarness::new();
     let client = b.client();
-    let closed = |b: &mut Bench| {
+    let closed = |b: &mut CoreHarness| {
         b.written()
             .iter()
             .any(|(connection, l)| *connection == client && l == "closed")
@@ -321,7 +321,7 @@
 
 #[test]
 fn a_call_beyond_those_that_may_be_open_is_refused_and_the_others_go_on() {
-    let mut b = Bench::new();
+    let mut b = CoreHarness::new();
     let hosts: Vec<_> = (0..40)
         .map(|n| serde_json::json!({"host": format!("h{n}"), "dial": format!("10.0.0.2:{n}"), "health": "SERVING"}))
         .collect();
@@ -360,7 +360,7 @@
         ("-5", false),
         ("1e23", false),
     ] {
-        let mut b = Bench::new();
+        let mut b = CoreHarness::new();
         let client = b.client();
         b.say(
             client,
@@ -392,7 +392,7 @@
         FORGET,
         r#"{"jsonrpc":"2.0","method":"forget","params":{"call":"0000000000000007"}}"#,
     ] {
-        let mut b = Bench::new();
+        let mut b = CoreHarness::new();
         let client = b.client();
         let call = r#"{"jsonrpc":"2.0","id":7,"method":"view","params":{"call":"0000000000000007","ttl":1500,"row":"00000000000000aa"}}"#;
         b.say(client, &format!("{call}\n{forget}"));
@@ -408,7 +408,7 @@
 /// A request may come in the very moment in which its connection is to be closed as silent, or to make room.
 #[test]
 fn a_silent_client_whose_request_comes_as_it_is_to_be_closed_is_served() {
-    let mut b = Bench::new();
+    let mut b = CoreHarness::new();
     let silent = b.client();
     b.pass(2_100 * MS);
     assert!(
@@ -432,7 +432,7 @@
 #[test]
 fn a_call_that_may_have_run_is_not_run_again_under_its_name() {
     for how in ["answered", "closed", "forgotten"] {
-        let mut b = Bench::new();
+        let mut b = CoreHarness::new();
         let (client, worker) = b.sent("assign");
         match how {
             "answered" => b.core.worker_bytes(b.now, worker, SERVED),
@@ -457,7 +457,7 @@
         );
     }
     // What may be repeated is.
-    let mut b = Bench::new();
+    let mut b = CoreHarness::new();
     let (client, worker) = b.sent("view");
     b.core.worker_bytes(b.now, worker, SERVED);
     b.call(client, 7, "view");
@@ -468,7 +468,7 @@
 /// taken for one that never ran.
 #[test]
 fn a_second_copy_of_an_answer_does_not_end_a_later_call_of_the_same_name() {
-    let mut b = Bench::new();
+    let mut b = CoreHarness::new();
     let (client, worker) = b.sent("view");
     b.core.worker_bytes(b.now, worker, SERVED);
     b.written();
@@ -494,7 +494,7 @@
         .classes
         .iter_mut()
         .for_each(|c| c.client_timeout = 60_000 * MS);
-    let mut b = Bench::of(&config);
+    let mut b = CoreHarness::of(&config);
     let client = b.client();
     let line = r#"{"jsonrpc":"2.0","id":7,"method":"assign","params":{"call":"0000000000000007","ttl":60000,"row":"00000000000000aa"}}"#;
     b.say(client, line);
@@ -520,7 +520,7 @@
 #[test]
 fn a_worker_that_turns_a_call_away_after_its_client_has_gone_does_not_send_it_on() {
     for forgets in [true, false] {
-        let mut b = Bench::new();
+        let mut b = CoreHarness::new();
         let (client, worker) = b.sent("view");
         if forgets {
             b.say(client, FORGET);
@@ -545,7 +545,7 @@
 fn a_call_whose_client_has_gone_while_it_waited_for_a_load_is_not_sent() {
     let mut config = config();
     config.site.policy.loading.loads_on_request = false;
-    let mut b = Bench::of(&config);
+    let mut b = CoreHarness::of(&config);
     // Nothing stands anywhere: found missing at its home, it is ordered there.
     let (client, home) = b.sent("view");
     b.core.worker_bytes(
@@ -583,7 +583,7 @@
     unwritten: Vec<(ConnectionId, u64, u64)>,
 }
 
-impl Bench {
+impl CoreHarness {
     fn asked(&mut self) -> Asked {
         let mut asked = Asked::default();
         for effect in self.effects() {
@@ -609,7 +609,7 @@
 /// A call of 1,500 ms ends 5 ms before that here; a worker is told what is left of it when its line is written.
 #[test]
 fn a_worker_is_told_the_time_that_is_left_when_its_connection_comes_up() {
-    let mut b = Bench::new();
+    let mut b = CoreHarness::new();
     let client = b.client();
     b.call(client, 7, "view");
     let connects = b.asked().connects;
@@ -621,7 +621,7 @@
 
 #[test]
 fn a_worker_is_told_the_time_that_is_left_when_a_call_is_written_again() {
-    let mut b = Bench::new();
+    let mut b = CoreHarness::new();
     let client = b.client();
     b.call(client, 7, "view");
     let first = b.asked().connects[0];
@@ -641,7 +641,7 @@
 #[test]
 fn a_call_that_a_worker_does_not_read_is_taken_back_and_states_the_time_left_elsewhere() {
     for taken in [0, 5] {
-        let mut b = Bench::new();
+        let mut b = CoreHarness::new();
         let client = b.client();
         b.call(client, 7, "view");
         let first = b.asked().connects[0];
--- a/crates/pipithub-node/tests/bench/mod.rs
+++ b/crates/pipithub-node/tests/core_harness/mod.rs
@@ -41,20 +41,20 @@
 }
 
 /// A front end, with clients and workers played by hand.
-pub(crate) struct Bench {
+pub(crate) struct CoreHarness {
     pub core: Core,
     pub now: Time,
     /// What the system holds of a client: the shell reads it when its connection is to be closed.
     pub unread: BTreeMap<ConnectionId, Vec<u8>>,
 }
 
-impl Bench {
+impl CoreHarness {
     pub(crate) fn new() -> Self {
-        Bench::of(&config())
+        CoreHarness::of(&config())
     }
 
     pub(crate) fn of(config: &NodeConfig) -> Self {
-        Bench {
+        CoreHarness {
             core: Core::new(START, config),
             now: START,
             unread: BTreeMap::new(),
--- a/crates/pipithub-node/tests/stop.rs
+++ b/crates/pipithub-node/tests/graceful_shutdown.rs
@@ -1,11 +1,11 @@
 //! SIGTERM to a front end whose worker hangs, while a client goes on asking. Alone in its process, which gets the signal.
 
-mod rig;
+mod socket_harness;
 
 use std::process::Command;
 use std::time::Duration;
 
-use rig::{Peer, call, config, event, listener, start};
+use socket_harness::{Peer, call, config, event, listener, start};
 use tokio::task::LocalSet;
 
 #[tokio::test]
--- a/crates/pipithub-node/tests/crossings.rs
+++ b/crates/pipithub-node/tests/races.rs
@@ -1,7 +1,7 @@
 //! What may come between any two lines: a close, an end of file, a reset, an answer. Each crossing is forced on real
-//! sockets, see `rig`.
+//! sockets, see `socket_harness`.
 
-mod rig;
+mod socket_harness;
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -9,8 +9,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rig::{Peer, call, config, event, listener, served, start};
 use serde_json::json;
+use socket_harness::{Peer, call, config, event, listener, served, start};
 use socket2::{Domain, SockRef, Socket, Type};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, Interest};
 use tokio::net::{TcpListener, TcpStream};
@@ -288,7 +288,7 @@
             .local_addr()
             .and_then(|at| Ok((at.port(), at_worker.write.peer_addr()?.port())));
         let (port, peer) = ports.expect("connected");
-        let held = rig::held_by_the_system(port, peer);
+        let held = socket_harness::held_by_the_system(port, peer);
         // It reads again, to the connection's end: the line of which the system held a part never becomes whole.
         let (mut began, mut half) = (0, false);
         while let Some(line) = at_worker.lines.next_line().await.expect("no reset") {
--- a/crates/pipithub-node/tests/start_times.rs
+++ b/crates/pipithub-node/tests/start_times.rs
@@ -1,8 +1,8 @@
 //! Slow start holds across steps of the wall clock, by which the list states when workers started.
 
-mod bench;
+mod core_harness;
 
-use bench::{Bench, MS};
+use core_harness::{CoreHarness, MS};
 use pipithub_engine::Time;
 use pipithub_engine::policy::WorkerId;
 use pipithub_node::start_times::StartTimes;
@@ -27,7 +27,7 @@
 
 /// How many of a burst of calls go to a worker that started `age` ago, the wall clock standing at `wall`.
 fn sent_in_a_burst(wall: Time, age: Time) -> usize {
-    let mut b = Bench::new();
+    let mut b = CoreHarness::new();
     b.core
         .update_endpoints_at(b.now, wall, &only_worker(2, wall - age));
     let client = b.client();
@@ -45,7 +45,12 @@
         starting < warm,
         "slow start binds in this test: {starting} of {warm}"
     );
-    for wall in [WALL - HOUR, WALL + HOUR, bench::START, bench::START + HOUR] {
+    for wall in [
+        WALL - HOUR,
+        WALL + HOUR,
+        core_harness::START,
+        core_harness::START + HOUR,
+    ] {
         assert_eq!(
             sent_in_a_burst(wall, 0),
             starting,
--- a/crates/pipithub-node/tests/trouble.rs
+++ b/crates/pipithub-node/tests/worker_faults.rs
@@ -1,17 +1,17 @@
 //! Trouble at workers or with other clients: every request has its one final answer all the same.
 
-mod bench;
+mod core_harness;
 
 use std::collections::BTreeMap;
 
-use bench::{Bench, MS, config};
+use core_harness::{CoreHarness, MS, config};
 use pipithub_node::effect::ConnectionId;
 
 const CALLS: u64 = 24;
 const FLOOD: &str = "{\"cmd\":\"ACK\",\"ref\":\"ffffffffffffffff\",\"payload\":\"\"}\n";
 
 /// A trouble, with the front end, the client whose calls are open, and what was written to which worker for them.
-type Trouble = fn(&mut Bench, &BTreeMap<ConnectionId, Vec<String>>);
+type Trouble = fn(&mut CoreHarness, &BTreeMap<ConnectionId, Vec<String>>);
 
 fn line(id: u64, class: &str) -> String {
     format!(
@@ -25,7 +25,7 @@
     config.site.transport.max_pending_requests = max_pending_requests;
     // One connection to each worker.
     config.max_descriptors = 32;
-    let mut b = Bench::of(&config);
+    let mut b = CoreHarness::of(&config);
     let client = b.client();
     let mut answers = BTreeMap::new();
     let mut asked: BTreeMap<ConnectionId, Vec<String>> = BTreeMap::new();
@@ -57,7 +57,7 @@
     answers
 }
 
-fn noise_on_all(b: &mut Bench, asked: &BTreeMap<ConnectionId, Vec<String>>) {
+fn noise_on_all(b: &mut CoreHarness, asked: &BTreeMap<ConnectionId, Vec<String>>) {
     assert!(
         asked.values().any(|lines| lines.len() > 1),
         "some connection is shared: {asked:?}"
@@ -67,7 +67,7 @@
     }
 }
 
-fn flood(b: &mut Bench, asked: &BTreeMap<ConnectionId, Vec<String>>) {
+fn flood(b: &mut CoreHarness, asked: &BTreeMap<ConnectionId, Vec<String>>) {
     for connection in asked.keys() {
         (0..200).for_each(|_| {
             b.core
@@ -76,7 +76,7 @@
     }
 }
 
-fn others_faults(b: &mut Bench, _: &BTreeMap<ConnectionId, Vec<String>>) {
+fn others_faults(b: &mut CoreHarness, _: &BTreeMap<ConnectionId, Vec<String>>) {
     // Names of the first client's calls, cancels for them, noise, a line too long, and a close.
     let other = b.client();
     for id in 1..=CALLS {
@@ -92,7 +92,7 @@
     b.core.client_closed(b.now, third);
 }
 
-fn all_break(b: &mut Bench, asked: &BTreeMap<ConnectionId, Vec<String>>) {
+fn all_break(b: &mut CoreHarness, asked: &BTreeMap<ConnectionId, Vec<String>>) {
     for connection in asked.keys() {
         b.core.worker_closed(b.now, *connection, u64::MAX);
     }
--- a/crates/pipithub-node/tests/worker_pool.rs
+++ b/crates/pipithub-node/tests/worker_pool.rs
@@ -19,25 +19,25 @@
     WorkerRequest::new(task, format!("{request:016x}"), line, now, now + 5_000 * MS)
 }
 
-struct Bench {
+struct PoolHarness {
     pool: WorkerPool,
     worker: WorkerId,
     effects: Vec<Effect>,
 }
 
-impl Bench {
+impl PoolHarness {
     fn new(most: usize) -> Self {
         let mut pool = WorkerPool::new(most, 4, 250 * MS, 30_000 * MS, true);
         let worker = WorkerId::new("w");
         pool.set_address(&worker, "10.0.0.1:1", false);
-        Bench {
+        PoolHarness {
             pool,
             worker,
             effects: Vec::new(),
         }
     }
 
-    fn ask(&mut self, now: Time, request: u64) {
+    fn submit(&mut self, now: Time, request: u64) {
         self.pool
             .submit(now, &self.worker, worker_request(now, request));
     }
@@ -62,7 +62,7 @@
             .collect()
     }
 
-    fn lost(&mut self) -> Vec<(u64, SendFailure)> {
+    fn failures(&mut self) -> Vec<(u64, SendFailure)> {
         let number = |t: &RequestKind| {
             if let RequestKind::Attempt(id) = t {
                 id.request
@@ -79,7 +79,7 @@
 
     /// One call over one connection, answered after a millisecond.
     fn call(&mut self, now: Time, request: u64) -> Option<ConnectionId> {
-        self.ask(now, request);
+        self.submit(now, request);
         let mut wrote = None;
         for effect in self.effects() {
             match effect {
@@ -97,8 +97,8 @@
 
 #[test]
 fn each_call_gets_a_connection_of_its_own_while_there_are_descriptors() {
-    let mut b = Bench::new(2);
-    (1..=3).for_each(|request| b.ask(0, request));
+    let mut b = PoolHarness::new(2);
+    (1..=3).for_each(|request| b.submit(0, request));
     let connections = b.connected();
     assert_eq!(connections.len(), 2, "one each, as far as they go");
     connections.iter().for_each(|c| b.pool.connected(MS, *c));
@@ -107,7 +107,7 @@
         .into_iter()
         .filter(|e| matches!(e, Effect::Write { .. }))
         .count();
-    b.ask(2 * MS, 4);
+    b.submit(2 * MS, 4);
     writes += b
         .effects()
         .iter()
@@ -121,7 +121,7 @@
         u64::MAX,
         SendFailure::ConnectionLost,
     );
-    let lost = b.lost();
+    let lost = b.failures();
     assert!(
         lost.len() == 2
             && lost
@@ -133,22 +133,22 @@
 
 #[test]
 fn what_was_not_written_whole_goes_out_again_and_else_did_not_run() {
-    let mut b = Bench::new(4);
-    b.ask(0, 1);
+    let mut b = PoolHarness::new(4);
+    b.submit(0, 1);
     for _ in 0..3 {
         let connection = b.connected()[0];
         b.pool.connected(0, connection);
-        assert!(b.lost().is_empty());
+        assert!(b.failures().is_empty());
         // All but the line feed was taken.
         b.pool.closed(0, connection, 6, SendFailure::ConnectionLost);
     }
-    assert_eq!(b.lost(), [(1, SendFailure::Unreachable)]);
-    b.ask(0, 2);
+    assert_eq!(b.failures(), [(1, SendFailure::Unreachable)]);
+    b.submit(0, 2);
     let connection = b.connected()[0];
     b.pool.connected(0, connection);
     b.pool.closed(0, connection, 7, SendFailure::ConnectionLost);
     assert_eq!(
-        b.lost(),
+        b.failures(),
         [(2, SendFailure::ConnectionLost)],
         "a whole line may have been read"
     );
@@ -156,17 +156,17 @@
 
 #[test]
 fn a_refused_connection_gives_back_what_waits_for_it() {
-    let mut b = Bench::new(4);
-    b.ask(0, 1);
+    let mut b = PoolHarness::new(4);
+    b.submit(0, 1);
     let connection = b.connected()[0];
     b.pool.connect_failed(connection, false);
-    assert_eq!(b.lost(), [(1, SendFailure::Unreachable)]);
+    assert_eq!(b.failures(), [(1, SendFailure::Unreachable)]);
     assert!(b.pool.is_empty());
 }
 
 #[test]
 fn connections_that_break_after_some_idle_time_are_not_used_again_so_late() {
-    let mut b = Bench::new(4);
+    let mut b = PoolHarness::new(4);
     let (mut now, mut broken) = (0, 0);
     for request in 0..40 {
         let fresh = b.pool.is_empty();
@@ -196,7 +196,7 @@
 
 #[test]
 fn a_withdrawn_call_is_undone_and_its_answer_belongs_to_nothing() {
-    let mut b = Bench::new(4);
+    let mut b = PoolHarness::new(4);
     let connection = b.call(0, 1).expect("written");
     b.effects();
     let id = AttemptId {
@@ -221,7 +221,7 @@
 
 #[test]
 fn a_worker_under_the_address_of_one_that_has_gone_gets_connections_of_its_own() {
-    let mut b = Bench::new(4);
+    let mut b = PoolHarness::new(4);
     let old = b.call(0, 1).expect("written");
     b.pool.answered(0, old, &format!("{:016x}", 1));
     let next = WorkerId::new("next");
@@ -241,13 +241,13 @@
     let mut pool = WorkerPool::new(1, 1, 250 * MS, 30_000 * MS, true);
     let worker = WorkerId::new("w");
     pool.set_address(&worker, "10.0.0.1:1", false);
-    let mut b = Bench {
+    let mut b = PoolHarness {
         pool,
         worker,
         effects: Vec::new(),
     };
     let connection = b.call(0, 1).expect("written");
-    b.ask(0, 2);
+    b.submit(0, 2);
     b.effects();
     // One read brings the first answer, on which the second call is put, and then noise.
     assert!(
@@ -256,7 +256,7 @@
             .is_some()
     );
     b.pool.close_malformed(MS, connection);
-    assert!(b.lost().is_empty(), "it goes out again");
+    assert!(b.failures().is_empty(), "it goes out again");
     let effects = b.effects();
     assert!(
         effects.contains(&Effect::Close { connection })
@@ -275,12 +275,12 @@
     b.pool.connected(MS, connection);
     b.effects();
     b.pool.close_malformed(MS, connection);
-    assert_eq!(b.lost(), [(2, SendFailure::Malformed)]);
+    assert_eq!(b.failures(), [(2, SendFailure::Malformed)]);
 }
 
 /// A pool that may not tell workers to give runs up.
-fn uncancelled() -> Bench {
-    let mut b = Bench::new(4);
+fn uncancelled() -> PoolHarness {
+    let mut b = PoolHarness::new(4);
     b.pool = WorkerPool::new(4, 4, 250 * MS, 30_000 * MS, false);
     b.pool.set_address(&b.worker, "10.0.0.1:1", false);
     b
@@ -296,7 +296,7 @@
     let connection = b.call(0, 1).expect("written");
     b.effects();
     b.pool.sweep(5_000 * MS);
-    assert_eq!(b.lost(), [(1, SendFailure::TimedOut)]);
+    assert_eq!(b.failures(), [(1, SendFailure::TimedOut)]);
     assert_eq!(b.effects(), [], "no UNDO");
     assert!(
         b.pool
@@ -310,7 +310,7 @@
 #[test]
 fn what_nobody_waits_for_is_not_sent_where_cancelling_is_forbidden_either() {
     let mut b = uncancelled();
-    b.ask(0, 1);
+    b.submit(0, 1);
     let connection = b.connected()[0];
     assert!(
         b.pool.abandon(MS, &b.worker.clone(), attempt(1)).is_some(),
@@ -323,7 +323,7 @@
         "nothing is written on the connection that comes up late"
     );
 
-    b.ask(200 * MS, 2);
+    b.submit(200 * MS, 2);
     assert!(matches!(&b.effects()[..], [Effect::Write { .. }]));
     assert!(
         b.pool.abandon(MS, &b.worker.clone(), attempt(2)).is_none(),
@@ -332,7 +332,7 @@
     b.pool
         .closed(201 * MS, connection, 3, SendFailure::ConnectionLost);
     assert_eq!(
-        (b.lost(), b.effects()),
+        (b.failures(), b.effects()),
         (vec![(2, SendFailure::NeverSent)], vec![]),
         "not written again"
     );
@@ -344,18 +344,18 @@
     let mut pool = WorkerPool::new(1, 8, 250 * MS, 30_000 * MS, true);
     let worker = WorkerId::new("w");
     pool.set_address(&worker, "10.0.0.1:1", false);
-    let mut b = Bench {
+    let mut b = PoolHarness {
         pool,
         worker,
         effects: Vec::new(),
     };
     let connection = b.call(0, 1).expect("written");
     b.effects();
-    (2..=4).for_each(|request| b.ask(0, request));
+    (2..=4).for_each(|request| b.submit(0, request));
     assert_eq!(b.effects().len(), 3, "each line has seven bytes");
     // The system took the first line and a part of the second.
     b.pool.set_blocked(MS, connection, Some(9));
-    b.ask(MS, 5);
+    b.submit(MS, 5);
     assert_eq!(b.effects(), [], "nothing more is put behind");
     let CancelledRequest { not_sent, .. } = b
         .pool
@@ -419,7 +419,7 @@
     assert_eq!(closed, connection);
     b.pool.connected(4 * MS, next);
     assert!(matches!(&b.effects()[..], [Effect::Write { .. }]));
-    assert_eq!(b.lost(), []);
+    assert_eq!(b.failures(), []);
 }
 
 /// A line states the time that its client had left when it was made: it must not reach the worker much later.
@@ -428,18 +428,18 @@
     let mut pool = WorkerPool::new(1, 8, 250 * MS, 30_000 * MS, true);
     let worker = WorkerId::new("w");
     pool.set_address(&worker, "10.0.0.1:1", false);
-    let mut b = Bench {
+    let mut b = PoolHarness {
         pool,
         worker,
         effects: Vec::new(),
     };
     let connection = b.call(0, 1).expect("written");
-    (2..=4).for_each(|request| b.ask(0, request));
+    (2..=4).for_each(|request| b.submit(0, request));
     b.effects();
     b.pool.set_blocked(MS, connection, Some(9));
     b.pool.sweep(100 * MS - 1);
     assert_eq!(
-        (b.effects(), b.lost()),
+        (b.effects(), b.failures()),
         (vec![], vec![]),
         "it is within the slack"
     );
@@ -454,7 +454,7 @@
         [cancel_write(21, 7), cancel_write(14, 7), cancel_write(9, 5)]
     );
     assert_eq!(
-        b.lost(),
+        b.failures(),
         [
             (4, SendFailure::Unreachable),
             (3, SendFailure::Unreachable),
@@ -473,9 +473,9 @@
 /// A request that has stood behind half a line for a moment only goes out again on another connection.
 #[test]
 fn what_stands_behind_half_a_line_goes_out_again() {
-    let mut b = Bench::new(1);
+    let mut b = PoolHarness::new(1);
     let connection = b.call(0, 1).expect("written");
-    b.ask(0, 2);
+    b.submit(0, 2);
     b.effects();
     b.pool.set_blocked(MS, connection, Some(3));
     assert!(
@@ -501,14 +501,14 @@
     };
     b.pool.connected(3 * MS, next);
     assert!(matches!(&b.effects()[..], [Effect::Write { connection, .. }] if *connection == next));
-    assert_eq!(b.lost(), []);
+    assert_eq!(b.failures(), []);
 }
 
 /// Workers are told whole milliseconds: below one nothing is left to tell.
 #[test]
 fn a_run_with_no_time_left_is_not_written() {
     for (up, written) in [(49 * MS, true), (49 * MS + 1, false), (60 * MS, false)] {
-        let mut b = Bench::new(4);
+        let mut b = PoolHarness::new(4);
         let request = Payload::Run(RunRequest {
             call: "0000000000000001".to_string(),
             class: "view".to_string(),
@@ -527,20 +527,20 @@
         let connection = b.connected()[0];
         b.pool.connected(up, connection);
         assert_eq!(b.effects().len(), usize::from(written), "up at {up}");
-        assert_eq!(b.lost().is_empty(), written, "up at {up}");
+        assert_eq!(b.failures().is_empty(), written, "up at {up}");
     }
 }
 
 #[test]
 fn a_call_whose_time_ran_out_before_its_connection_came_up_is_not_sent() {
-    let mut b = Bench::new(4);
+    let mut b = PoolHarness::new(4);
     let mut late = worker_request(0, 1);
     late.deadline = 50 * MS;
     b.pool.submit(0, &b.worker.clone(), late);
     let connection = b.connected()[0];
     b.pool.connected(50 * MS, connection);
     assert_eq!(
-        (b.effects(), b.lost()),
+        (b.effects(), b.failures()),
         (vec![], vec![(1, SendFailure::Unreachable)])
     );
 }
@@ -548,7 +548,7 @@
 /// An answer may come twice. The name is used again, by a further attempt or by a client that repeats itself.
 #[test]
 fn a_name_that_is_used_again_is_not_answered_by_a_second_copy_of_the_first_answer() {
-    let mut b = Bench::new(4);
+    let mut b = PoolHarness::new(4);
     let first = b.call(0, 1).expect("written");
     b.pool
         .answered(MS, first, "0000000000000001")
@@ -567,15 +567,15 @@
     let fourth = b.call(6 * MS, 2).expect("written");
     assert_ne!(third, fourth);
     // Where a worker may have one connection only, a further one is made for that.
-    let mut b = Bench::new(1);
+    let mut b = PoolHarness::new(1);
     let first = b.call(0, 1).expect("written");
     b.pool
         .answered(MS, first, "0000000000000001")
         .expect("open");
-    b.ask(2 * MS, 1);
+    b.submit(2 * MS, 1);
     b.pool.sweep(20_000 * MS);
     assert_eq!(
-        b.lost(),
+        b.failures(),
         [(1, SendFailure::Unreachable)],
         "or it is given back unsent"
     );
@@ -583,18 +583,18 @@
 
 #[test]
 fn a_connection_that_fails_for_want_of_descriptors_here_is_not_the_workers_fault() {
-    let mut b = Bench::new(4);
-    b.ask(0, 1);
+    let mut b = PoolHarness::new(4);
+    b.submit(0, 1);
     let connection = b.connected()[0];
     b.pool.connect_failed(connection, true);
-    assert_eq!(b.lost(), [(1, SendFailure::NeverSent)]);
+    assert_eq!(b.failures(), [(1, SendFailure::NeverSent)]);
 }
 
 /// A sweep comes a hundred times a second: going through all workers each time was most of an idle front end's work.
 #[test]
 fn a_sweep_looks_at_workers_with_something_to_be_done_whatever_the_size_of_the_tier() {
     for workers in [10, 10_000] {
-        let mut bench = Bench::new(50);
+        let mut bench = PoolHarness::new(50);
         let name = |n: u32| WorkerId::new(&format!("w{n}"));
         (1..workers).for_each(|n| bench.pool.set_address(&name(n), "10.0.0.2:1", false));
         bench.pool.sweep(0);
@@ -603,7 +603,7 @@
             0,
             "nothing is to be done at any of {workers}"
         );
-        bench.ask(MS, 1);
+        bench.submit(MS, 1);
         assert_eq!(
             bench.pool.watched(),
             1,
@@ -619,10 +619,10 @@
             .pool
             .submit(4 * MS, &name(3), worker_request(4 * MS, 2));
         bench.pool.sweep(5 * MS);
-        assert_eq!((bench.pool.watched(), bench.lost()), (1, vec![]));
+        assert_eq!((bench.pool.watched(), bench.failures()), (1, vec![]));
         bench.pool.sweep(600 * MS);
         assert_eq!(
-            (bench.pool.watched(), bench.lost()),
+            (bench.pool.watched(), bench.failures()),
             (0, vec![(2, SendFailure::Unreachable)])
         );
         bench.pool.set_address(&name(7), "", true);
@@ -641,10 +641,10 @@
 fn a_workers_part_of_the_connections_follows_those_that_come_and_go() {
     let other = WorkerId::new("other");
     let connections = |change: &dyn Fn(&mut WorkerPool)| {
-        let mut bench = Bench::new(8);
+        let mut bench = PoolHarness::new(8);
         bench.pool.set_address(&other, "10.0.0.2:1", false);
         change(&mut bench.pool);
-        (0..10).for_each(|request| bench.ask(MS, request));
+        (0..10).for_each(|request| bench.submit(MS, request));
         bench.connected().len()
     };
     let here = WorkerId::new("w");
