--- a/crates/pipithub-adapter/src/main.rs
+++ b/crates/pipithub-adapter/src/main.rs
@@ -104,7 +104,7 @@
     /// Starts a front end.
     fn attach(&mut self, id: u64) -> Result<(), String> {
         let (seed, text) = wire::attach(&self.lines.text).map_err(|e| self.lines.at(&e))?;
-        let site = settings::parse(text).map_err(|e| self.lines.at(&e))?;
+        let site = settings::parse(text).map_err(|e| self.lines.at(&e.to_string()))?;
         let hosted = Hosted {
             front_end: FrontEnd::new(site.policy, seed),
             names: site.names,
--- a/crates/pipithub-hollow/src/lib.rs
+++ b/crates/pipithub-hollow/src/lib.rs
@@ -10,7 +10,8 @@
 
 use pipithub_clock::{Clock, Time, wall_ns};
 use pipithub_node::coordinator;
-use pipithub_node::core::{Core, Effect};
+use pipithub_node::core::Core;
+use pipithub_node::effect::Effect;
 use pipithub_platform::config::NodeConfig;
 use tokio::sync::{Notify, watch};
 use tokio::task::JoinHandle;
@@ -40,7 +41,7 @@
     /// called within a [`tokio::task::LocalSet`].
     pub fn start(config: &NodeConfig, taken: impl Fn(u64) + 'static) -> Self {
         let clock = Clock::unix();
-        let last = config.known.last().map_or(0, |e| e.index);
+        let last = config.known_updates.last().map_or(0, |e| e.index);
         let inner = Rc::new(Inner {
             core: RefCell::new(Core::new(clock.now(), config)),
             clock,
@@ -55,7 +56,7 @@
         let told = inner.clone();
         let names = config.site.names.clone();
         let follow = coordinator::follow(followed, last, names, config.seed, move |event| {
-            told.with(|core, now| core.list_at(now, wall_ns(), &event));
+            told.with(|core, now| core.update_endpoints_at(now, wall_ns(), &event));
             told.last.set(event.index);
             told.events.set(told.events.get() + 1);
             (told.taken)(event.index);
@@ -106,14 +107,14 @@
         act(&mut core, now);
         let mut effects = Vec::new();
         loop {
-            core.effects(&mut effects);
+            core.take_effects(&mut effects);
             if effects.is_empty() {
                 break;
             }
             self.wanted.set(self.wanted.get() + effects.len() as u64);
             for effect in effects.drain(..) {
-                if let Effect::Connect { conn, .. } = effect {
-                    core.worker_failed(now, conn, true);
+                if let Effect::Connect { connection, .. } = effect {
+                    core.worker_failed(now, connection, true);
                 }
             }
         }
--- /dev/null
+++ b/crates/pipithub-node/src/coordinator/stream.rs
@@ -0,0 +1,191 @@
+//! One connection to the coordinator, from the request to the end of its stream.
+
+use std::convert::Infallible;
+use std::io;
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::{BodyExt, Empty};
+use hyper::body::Incoming;
+use hyper::client::conn::http1::{self, SendRequest};
+use hyper::{Request, Response, StatusCode};
+use hyper_util::rt::TokioIo;
+use pipithub_engine::policy::EndpointUpdate;
+use pipithub_platform::list::{self, EndpointEvent, EndpointEventError};
+use pipithub_platform::settings::Names;
+use pipithub_platform::sse::{EventTooLong, SseReader};
+use tokio::net::TcpStream;
+
+use super::sequence::{Sequence, Step};
+
+/// A comment comes each second: after so long without a byte the stream is dead, though it may look open. What it would
+/// have told counts as told 4 s after it fell silent, which leaves time for two further tries.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_600);
+/// A connection and the head of its answer must come within this: many round trips, and a small part of those 4 s.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Why a stream ended.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum StreamError {
+    /// No connection could be made.
+    #[error("cannot connect: {0}")]
+    Connect(io::Error),
+    /// The connection speaks no HTTP.
+    #[error("handshake: {0}")]
+    Handshake(hyper::Error),
+    /// The address cannot be asked.
+    #[error("request: {0}")]
+    InvalidRequest(#[from] hyper::http::Error),
+    /// The request got no answer.
+    #[error("request: {0}")]
+    Request(hyper::Error),
+    /// The head of the answer did not come in time.
+    #[error("no answer")]
+    NoAnswer,
+    /// The answer is no stream.
+    #[error("status {0}")]
+    Status(StatusCode),
+    /// Nothing came for longer than the coordinator is ever silent.
+    #[error("silent")]
+    Silent,
+    /// The coordinator has ended it.
+    #[error("closed")]
+    Closed,
+    /// The connection broke.
+    #[error("broke off: {0}")]
+    Broken(hyper::Error),
+    /// Events are missing: those after `last` and before `next`.
+    #[error("events between {last} and {next} are missing")]
+    MissingEvents {
+        /// The last event that was taken.
+        last: u64,
+        /// The event that came instead of the one after it.
+        next: u64,
+    },
+    /// An event is longer than any list.
+    #[error(transparent)]
+    EventTooLong(#[from] EventTooLong),
+    /// An event cannot be read.
+    #[error("event cannot be read: {0}")]
+    InvalidEvent(EndpointEventError),
+}
+
+impl StreamError {
+    /// Whether the stream ended because of an event that cannot be used; no part of such an event is applied.
+    pub(super) fn is_unusable_event(&self) -> bool {
+        matches!(
+            self,
+            StreamError::EventTooLong(_) | StreamError::InvalidEvent(_)
+        )
+    }
+}
+
+/// Follows one connection until it ends; why it did.
+pub(super) async fn follow_stream(
+    address: &str,
+    sequence: &mut Sequence,
+    names: &Names,
+    mut take: impl FnMut(EndpointEvent),
+) -> StreamError {
+    match try_stream(address, sequence, names, &mut take).await {
+        Ok(never) => match never {},
+        Err(error) => error,
+    }
+}
+
+async fn try_stream(
+    address: &str,
+    sequence: &mut Sequence,
+    names: &Names,
+    take: &mut impl FnMut(EndpointEvent),
+) -> Result<Infallible, StreamError> {
+    let opened = tokio::time::timeout(CONNECT_TIMEOUT, open(address, sequence.last())).await;
+    let mut stream = opened.map_err(|_| StreamError::NoAnswer)??;
+    if !stream.response.status().is_success() {
+        return Err(StreamError::Status(stream.response.status()));
+    }
+    let body = stream.response.body_mut();
+    let mut reader = SseReader::default();
+    let mut events = Vec::new();
+    loop {
+        let data = next_data(body).await?;
+        reader.push(&data, &mut events)?;
+        for event in events.drain(..) {
+            let event = list::parse(&event.data, names).map_err(StreamError::InvalidEvent)?;
+            let is_complete = event.update != EndpointUpdate::Delta;
+            match sequence.step(event.index, is_complete) {
+                Step::Take => {
+                    take(event);
+                    // However many events came at once, calls and closes of clients are seen between any two.
+                    tokio::task::yield_now().await;
+                }
+                Step::Skip => {}
+                Step::Reconnect => {
+                    return Err(StreamError::MissingEvents {
+                        last: sequence.last(),
+                        next: event.index,
+                    });
+                }
+            }
+        }
+    }
+}
+
+/// A stream whose head has come. It is closed when this is dropped.
+struct OpenStream {
+    response: Response<Incoming>,
+    /// The request ends with its sender.
+    _sender: SendRequest<Empty<Bytes>>,
+    _connection: ConnectionTask,
+}
+
+/// Asks for the events after the last one that was taken.
+async fn open(address: &str, last: u64) -> Result<OpenStream, StreamError> {
+    let stream = TcpStream::connect(address)
+        .await
+        .map_err(StreamError::Connect)?;
+    let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
+        .await
+        .map_err(StreamError::Handshake)?;
+    let connection = ConnectionTask(tokio::task::spawn_local(async move {
+        drop(connection.await);
+    }));
+    let request = Request::get("/v2/stream")
+        .header("host", address)
+        .header("accept", "text/event-stream")
+        .header("last-event-id", last)
+        .body(Empty::<Bytes>::new())?;
+    let response = sender
+        .send_request(request)
+        .await
+        .map_err(StreamError::Request)?;
+    Ok(OpenStream {
+        response,
+        _sender: sender,
+        _connection: connection,
+    })
+}
+
+/// The next bytes of a stream.
+async fn next_data(body: &mut Incoming) -> Result<Bytes, StreamError> {
+    loop {
+        let frame = match tokio::time::timeout(SILENCE_TIMEOUT, body.frame()).await {
+            Err(_) => return Err(StreamError::Silent),
+            Ok(None) => return Err(StreamError::Closed),
+            Ok(Some(frame)) => frame.map_err(StreamError::Broken)?,
+        };
+        // Trailers bear no events.
+        if let Ok(data) = frame.into_data() {
+            return Ok(data);
+        }
+    }
+}
+
+/// The task that moves a connection's bytes; it ends with its owner, so that the socket is closed.
+struct ConnectionTask(tokio::task::JoinHandle<()>);
+
+impl Drop for ConnectionTask {
+    fn drop(&mut self) {
+        self.0.abort();
+    }
+}
--- /dev/null
+++ b/crates/pipithub-node/src/core/calls.rs
@@ -0,0 +1,192 @@
+//! Calls of clients, from the line that asks for one to its answer.
+
+use crate::client_sessions::CallRejection;
+use crate::core::NANOSECONDS_PER_MILLISECOND;
+use std::sync::Arc;
+
+use pipithub_engine::policy::{Idempotency, Outcome, RequestId};
+use pipithub_engine::{AttemptId, Call, Input, Reply, SourceId, Ticket, Time, Trigger, Verdict};
+use pipithub_platform::client::{self, ClientCall, RequestError};
+use tracing::debug;
+
+use super::Core;
+use super::workers::unanswered;
+use crate::client_sessions::{EXCESS_CALL_SCORE, PendingCall};
+use crate::effect::ConnectionId;
+
+/// All clients are one source to the engine: each call's ticket is its own.
+const CLIENTS: SourceId = SourceId(1);
+
+impl Core {
+    /// A client has ceased to wait. Whatever the settings say of cancelling, what has not left yet does not leave any
+    /// more.
+    pub(super) fn cancel_call(&mut self, now: Time, ticket: u64) {
+        let ticket = Ticket {
+            source: CLIENTS,
+            number: ticket,
+        };
+        let request = self.engine.request(ticket);
+        self.run(now, Input::CallerCancelled(ticket));
+        self.abandon_attempts(now, request);
+        self.settle(now);
+    }
+
+    /// Nobody waits for a request any more: attempts that have not left are taken back.
+    pub(super) fn abandon_attempts(&mut self, now: Time, request: Option<RequestId>) {
+        let Some(request) = request else { return };
+        let of = AttemptId { request, number: 0 }..=AttemptId {
+            request,
+            number: u32::MAX,
+        };
+        let out: Vec<_> = self
+            .in_flight
+            .range(of)
+            .map(|(id, worker)| (*id, worker.clone()))
+            .collect();
+        for (id, worker) in out {
+            if let Some(request) = self.worker_pool.abandon(now, &worker, id) {
+                let took = now.saturating_sub(request.began);
+                self.attempt_ended(unanswered(id, Outcome::NotSent, took));
+            }
+        }
+    }
+
+    /// Begins a call of a client, or says why not.
+    pub(super) fn begin_call(&mut self, now: Time, connection: ConnectionId, call: ClientCall) {
+        let checked = self
+            .client_sessions
+            .check_call(now, connection, call.id, &call.name);
+        if let Err(rejection) = checked {
+            return self.reject_call(connection, &call, rejection);
+        }
+        if let Some(client) = self.client_sessions.client(connection) {
+            client.last_active = now;
+            client.has_called = true;
+        }
+        let trigger = self.trigger(connection, call);
+        self.run(now, Input::Trigger(trigger));
+    }
+
+    fn reject_call(
+        &mut self,
+        connection: ConnectionId,
+        call: &ClientCall,
+        rejection: CallRejection,
+    ) {
+        match rejection {
+            CallRejection::Disconnected => {}
+            CallRejection::IdInUse
+            | CallRejection::AlreadyPending
+            | CallRejection::MayHaveExecuted => {
+                let error = RequestError {
+                    id: Some(call.id),
+                    code: client::INVALID_REQUEST,
+                    message: rejection.to_string(),
+                };
+                self.answer_fault(connection, &error);
+            }
+            CallRejection::TooManyPending | CallRejection::ReadingStopped => {
+                self.shed_call(connection, call, rejection);
+            }
+        }
+    }
+
+    /// Answers a call that has not run and may be retried.
+    fn shed_call(&mut self, connection: ConnectionId, call: &ClientCall, rejection: CallRejection) {
+        let limits = &self.site.policy.limits;
+        let retry_after = Some(limits.max_retry_after / NANOSECONDS_PER_MILLISECOND)
+            .filter(|milliseconds| limits.retry_after && *milliseconds > 0);
+        let message = rejection.to_string();
+        debug!(
+            front_end = self.name,
+            connection,
+            call = call.name,
+            message,
+            "request rejected"
+        );
+        let line = client::error_line(Some(call.id), client::REJECTED, &message, retry_after);
+        self.write(connection, line);
+        if self
+            .client_sessions
+            .add_fault_score(connection, EXCESS_CALL_SCORE)
+        {
+            self.stop_reading(connection);
+        }
+    }
+
+    /// Records a call as pending and returns its trigger for the engine.
+    fn trigger(&mut self, connection: ConnectionId, call: ClientCall) -> Trigger {
+        let non_idempotent = self
+            .site
+            .policy
+            .classes
+            .get(call.class)
+            .is_some_and(|class| class.idempotency == Idempotency::NonIdempotent);
+        let number = self.client_sessions.begin_call(PendingCall {
+            connection,
+            id: call.id,
+            name: call.name.clone(),
+            non_idempotent,
+        });
+        let ticket = Ticket {
+            source: CLIENTS,
+            number,
+        };
+        Trigger {
+            ticket,
+            identity: None,
+            redelivered: false,
+            deliveries: 0,
+            call: engine_call(call),
+        }
+    }
+
+    pub(super) fn answer_client(&mut self, now: Time, ticket: u64, reply: &Arc<Reply>) {
+        let Some(pending) = self.client_sessions.end_call(now, ticket) else {
+            return;
+        };
+        if pending.non_idempotent && reply.attempts > 0 && reply.verdict != Verdict::Rejected {
+            self.client_sessions
+                .record_executed(now + self.max_client_timeout, &pending.name);
+        }
+        debug!(
+            front_end = self.name,
+            call = pending.name,
+            verdict = reply.verdict.as_str(),
+            cause = reply.cause.as_str(),
+            attempts = reply.attempts,
+            worker = reply.worker.as_ref().map(|w| &*w.0),
+            last = ?reply.last_outcome,
+            "answer"
+        );
+        let line = match (reply.verdict, &reply.served) {
+            (Verdict::Served, Some(served)) => client::result_line(pending.id, &served.body),
+            (Verdict::Rejected, _) => {
+                let retry_after = reply
+                    .retry_after
+                    .map(|time| time / NANOSECONDS_PER_MILLISECOND);
+                let cause = reply.cause.as_str();
+                client::error_line(Some(pending.id), client::REJECTED, cause, retry_after)
+            }
+            _ => client::error_line(Some(pending.id), client::FAILED, reply.cause.as_str(), None),
+        };
+        self.write(pending.connection, line);
+        self.close_if_answered(pending.connection);
+    }
+}
+
+/// A client's call as the engine takes it.
+fn engine_call(call: ClientCall) -> Call {
+    Call {
+        function: Arc::from(call.function),
+        class: call.class,
+        timeout: Some(call.client_timeout),
+        memory_mb: call.memory_mb,
+        replica_concurrency: call.replica_concurrency,
+        load_time: call.load_time,
+        label: Some(Arc::from(call.name)),
+        idempotency_key: call.idempotency_key.map(Arc::from),
+        body: call.body,
+        ..Call::default()
+    }
+}
--- /dev/null
+++ b/crates/pipithub-node/src/core/clients.rs
@@ -0,0 +1,273 @@
+//! The client side: connections, their lines, and the answers to their calls.
+
+use crate::client_sessions::ClientSession;
+use pipithub_platform::client::ClientCall;
+use pipithub_platform::line::TooLong;
+use pipithub_platform::settings::SiteSettings;
+use std::collections::BTreeSet;
+
+use bytes::Bytes;
+use pipithub_engine::Time;
+use pipithub_platform::client::{self, ClientLine, RequestError};
+use tracing::debug;
+
+use super::Core;
+use crate::client_sessions::MALFORMED_LINE_SCORE;
+use crate::effect::{ConnectionId, Effect};
+
+impl Core {
+    /// A client has connected.
+    pub fn client_connected(&mut self, now: Time, connection: ConnectionId) {
+        if let Some(other) = self.client_sessions.connected(now, connection) {
+            debug!(
+                front_end = self.name,
+                connection = other,
+                "too many clients"
+            );
+            self.effects.push(Effect::Retire { connection: other });
+        }
+    }
+
+    /// All that a client has sent by now is handed over: its connection is closed, unless that was a request.
+    pub fn close_client_if_idle(&mut self, now: Time, connection: ConnectionId) {
+        if self
+            .client_sessions
+            .client(connection)
+            .is_some_and(|c| c.pending_calls.is_empty())
+        {
+            debug!(front_end = self.name, connection, "client closed");
+            self.close_client(now, connection);
+        }
+    }
+
+    /// A client's connection has ended.
+    pub fn client_closed(&mut self, now: Time, connection: ConnectionId) {
+        let tickets = self
+            .client_sessions
+            .disconnected(connection, now + self.max_client_timeout);
+        if !tickets.is_empty() {
+            debug!(
+                front_end = self.name,
+                connection,
+                pending = tickets.len(),
+                "client disconnected with pending calls"
+            );
+        }
+        for ticket in tickets {
+            self.cancel_call(now, ticket);
+        }
+    }
+
+    fn close_client(&mut self, now: Time, connection: ConnectionId) {
+        self.effects.push(Effect::Close { connection });
+        self.client_closed(now, connection);
+    }
+
+    /// Bytes came from a client.
+    pub fn client_bytes(&mut self, now: Time, connection: ConnectionId, bytes: &[u8]) {
+        let Some(client) = self
+            .client_sessions
+            .client(connection)
+            .filter(|client| !client.unreadable)
+        else {
+            return;
+        };
+        let received = receive(client, now, bytes, &self.site);
+        let cancelled = CancelledCalls::among(&received.lines);
+        for line in received.lines {
+            match line {
+                Ok(ClientLine::Call(call)) if cancelled.contains(&call) => {
+                    debug!(
+                        front_end = self.name,
+                        connection,
+                        call = call.name,
+                        "cancelled before it began"
+                    );
+                }
+                line => self.client_line(now, connection, line),
+            }
+        }
+        if let Some(error) = received.error {
+            self.end_of_readable_lines(connection, error);
+        }
+    }
+
+    /// A line of a client is too long: nothing behind it can be read.
+    fn end_of_readable_lines(&mut self, connection: ConnectionId, error: TooLong) {
+        let Some(client) = self.client_sessions.client(connection) else {
+            return;
+        };
+        client.unreadable = true;
+        let error = RequestError {
+            id: None,
+            code: client::PARSE_ERROR,
+            message: error.to_string(),
+        };
+        self.answer_fault(connection, &error);
+    }
+
+    fn client_line(
+        &mut self,
+        now: Time,
+        connection: ConnectionId,
+        line: Result<ClientLine, RequestError>,
+    ) {
+        let Some(client) = self.client_sessions.client(connection) else {
+            return;
+        };
+        match line {
+            Ok(ClientLine::Call(call)) => self.begin_call(now, connection, *call),
+            Ok(ClientLine::Cancel { id, call }) => {
+                client.last_active = now;
+                self.cancel_requested(now, connection, id, call.as_deref());
+            }
+            Ok(ClientLine::HealthCheck { id }) => {
+                client.last_active = now;
+                client.has_called = true;
+                let healthy = self.has_endpoint_list && self.shutdown_started.is_none();
+                self.write(connection, client::health_line(id, healthy));
+            }
+            // Noise on a connection that is no longer read has been answered once.
+            Err(error) if error.id.is_none() && client.reading_stopped => {}
+            Err(error) => self.answer_fault(connection, &error),
+        }
+    }
+
+    /// A client has said that it does not wait any more for a call, named by its number or its name.
+    fn cancel_requested(
+        &mut self,
+        now: Time,
+        connection: ConnectionId,
+        id: Option<u64>,
+        name: Option<&str>,
+    ) {
+        let Some(ticket) = self.client_sessions.find_ticket(connection, id, name) else {
+            return;
+        };
+        let ended = self.client_sessions.end_call(now, ticket);
+        if let Some(pending) = ended.filter(|pending| pending.non_idempotent) {
+            self.client_sessions
+                .record_executed(now + self.max_client_timeout, &pending.name);
+        }
+        self.cancel_call(now, ticket);
+        self.close_if_answered(connection);
+    }
+
+    /// Answers a line that is no request. One without an id cannot be told from noise, and nothing behind noise is
+    /// read.
+    pub(super) fn answer_fault(&mut self, connection: ConnectionId, fault: &RequestError) {
+        debug!(front_end = self.name, connection, %fault, "request rejected");
+        // An answer under the number of an open call would be taken for that call's.
+        let open = self
+            .client_sessions
+            .client(connection)
+            .is_some_and(|c| fault.id.is_some_and(|id| c.pending_calls.contains_key(&id)));
+        let id = fault.id.filter(|_| !open);
+        self.write(
+            connection,
+            client::error_line(id, fault.code, &fault.message, None),
+        );
+        if self
+            .client_sessions
+            .add_fault_score(connection, MALFORMED_LINE_SCORE)
+            || id.is_none()
+        {
+            self.stop_reading(connection);
+        }
+    }
+
+    /// Begins no further call of a client, and closes its connection once all that came on it is answered.
+    pub(super) fn stop_reading(&mut self, connection: ConnectionId) {
+        let Some(client) = self
+            .client_sessions
+            .client(connection)
+            .filter(|c| !c.reading_stopped)
+        else {
+            return;
+        };
+        client.reading_stopped = true;
+        debug!(
+            front_end = self.name,
+            connection,
+            pending = client.pending_calls.len(),
+            "client is no longer read"
+        );
+        self.close_if_answered(connection);
+    }
+
+    /// Has the shell read a client that is no longer served once more and then close it, if none of its calls is
+    /// pending.
+    pub(super) fn close_if_answered(&mut self, connection: ConnectionId) {
+        if self
+            .client_sessions
+            .client(connection)
+            .is_some_and(|c| c.reading_stopped && c.pending_calls.is_empty())
+        {
+            self.effects.push(Effect::Retire { connection });
+        }
+    }
+
+    pub(super) fn write(&mut self, connection: ConnectionId, bytes: Bytes) {
+        self.effects.push(Effect::Write { connection, bytes });
+    }
+}
+
+/// The lines that a client's bytes complete.
+struct ReceivedLines {
+    lines: Vec<Result<ClientLine, RequestError>>,
+    /// What ended them, where the client cannot be read any further.
+    error: Option<TooLong>,
+}
+
+/// Cuts what a client has sent into lines and reads them.
+fn receive(
+    client: &mut ClientSession,
+    now: Time,
+    bytes: &[u8],
+    site: &SiteSettings,
+) -> ReceivedLines {
+    client.framer.push(bytes);
+    let mut lines = Vec::new();
+    let error = loop {
+        match client.framer.next_line() {
+            Ok(Some(line)) => lines.push(client::read_line(&line, site)),
+            Ok(None) => break None,
+            Err(error) => break Some(error),
+        }
+    };
+    client.partial_line_since = if client.framer.partial() {
+        client
+            .partial_line_since
+            .filter(|_| lines.is_empty())
+            .or(Some(now))
+    } else {
+        None
+    };
+    ReceivedLines { lines, error }
+}
+
+/// Calls that are cancelled by the same bytes that ask for them. Nobody waits for such a call: it is not begun.
+struct CancelledCalls {
+    ids: BTreeSet<u64>,
+    names: BTreeSet<String>,
+}
+
+impl CancelledCalls {
+    fn among(lines: &[Result<ClientLine, RequestError>]) -> Self {
+        let mut cancelled = CancelledCalls {
+            ids: BTreeSet::new(),
+            names: BTreeSet::new(),
+        };
+        for line in lines {
+            if let Ok(ClientLine::Cancel { id, call }) = line {
+                cancelled.ids.extend(*id);
+                cancelled.names.extend(call.clone());
+            }
+        }
+        cancelled
+    }
+
+    fn contains(&self, call: &ClientCall) -> bool {
+        self.ids.contains(&call.id) || self.names.contains(&call.name)
+    }
+}
--- /dev/null
+++ b/crates/pipithub-node/src/core/endpoint_list.rs
@@ -0,0 +1,66 @@
+//! Updates of the endpoint list.
+
+use std::collections::BTreeSet;
+
+use pipithub_engine::policy::{Endpoint, EndpointState, EndpointUpdate, WorkerId};
+use pipithub_engine::{Input, Time};
+use pipithub_platform::list::{EndpointEvent, ListedEndpoint};
+use tracing::debug;
+
+use super::Core;
+
+impl Core {
+    /// Applies an update of the endpoint list while the wall clock agrees with `now`.
+    pub fn update_endpoints(&mut self, now: Time, event: &EndpointEvent) {
+        self.update_endpoints_at(now, now, event);
+    }
+
+    /// Applies an update of the endpoint list; `wall`: the wall clock at this moment, in Unix nanoseconds, by which
+    /// the list states when workers started.
+    pub fn update_endpoints_at(&mut self, now: Time, wall: Time, event: &EndpointEvent) {
+        if event.update != EndpointUpdate::Delta {
+            let named: BTreeSet<&WorkerId> = event
+                .endpoints
+                .iter()
+                .map(|listed| &listed.endpoint.worker)
+                .collect();
+            self.worker_pool.retain_workers(&named);
+            self.start_times
+                .retain_workers(|worker| named.contains(worker));
+        }
+        for ListedEndpoint { endpoint, address } in &event.endpoints {
+            debug!(front_end = self.name, worker = &*endpoint.worker.0, state = ?endpoint.state, address, "endpoint listed");
+            self.worker_pool.set_address(
+                &endpoint.worker,
+                address,
+                endpoint.state == EndpointState::Removed,
+            );
+        }
+        self.has_endpoint_list = true;
+        let endpoints = event
+            .endpoints
+            .iter()
+            .map(|listed| self.with_start_time(&listed.endpoint, now, wall))
+            .collect();
+        self.run(
+            now,
+            Input::Endpoints {
+                update: event.update,
+                endpoints,
+            },
+        );
+    }
+
+    /// An endpoint whose start is told by this process's clock.
+    fn with_start_time(&mut self, endpoint: &Endpoint, now: Time, wall: Time) -> Endpoint {
+        if endpoint.state == EndpointState::Removed {
+            self.start_times.forget(&endpoint.worker);
+        }
+        let resolve = |stamp| self.start_times.resolve(&endpoint.worker, stamp, now, wall);
+        let started_at = endpoint.started_at.map(resolve);
+        Endpoint {
+            started_at,
+            ..endpoint.clone()
+        }
+    }
+}
--- /dev/null
+++ b/crates/pipithub-node/src/core/outputs.rs
@@ -0,0 +1,154 @@
+//! Carries out what the engine asks for.
+
+use pipithub_engine::policy::FunctionId;
+use pipithub_engine::policy::{Outcome, WorkerId};
+use pipithub_engine::{AttemptId, Call, Input, Output, Time};
+use pipithub_platform::worker::{self, RunRequest};
+use tracing::debug;
+
+use super::Core;
+use super::workers::unanswered;
+use crate::worker_pool::{CancelledRequest, Payload, RequestKind, WorkerRequest};
+
+/// A probe without an answer by then is none.
+const LOAD_POLL_TIMEOUT: Time = 250_000_000;
+
+impl Core {
+    /// Carries out one thing that the engine asks for.
+    pub(super) fn perform(&mut self, now: Time, output: Output) {
+        match output {
+            Output::Forward {
+                id,
+                worker,
+                call,
+                deadline,
+            } => self.forward(now, id, worker, &call, deadline),
+            Output::Cancel(id) => self.cancel_attempt(now, id),
+            Output::LoadFunction {
+                worker,
+                function,
+                name,
+                replicas,
+            } => self.load_function(now, &worker, function, &name, replicas),
+            Output::EvictFunction { worker, name } => self.evict_function(now, &worker, &name),
+            Output::PollLoad(worker) => self.poll_load(now, &worker),
+            Output::Answer { ticket, reply } => {
+                let request = self.engine.request(ticket);
+                self.abandon_attempts(now, request);
+                self.answer_client(now, ticket.number, &reply);
+                self.inputs.push_back(Input::Settled(ticket));
+            }
+            // Nothing is delivered twice here, and the endpoint list is watched from the start.
+            Output::Forget(_) | Output::WatchEndpoints => {}
+        }
+    }
+
+    fn cancel_attempt(&mut self, now: Time, id: AttemptId) {
+        let Some(worker) = self.in_flight.get(&id).cloned() else {
+            return;
+        };
+        let (elapsed, outcome) = match self.worker_pool.cancel(now, &worker, id) {
+            Some(CancelledRequest { request, not_sent }) => {
+                let outcome = if not_sent {
+                    Outcome::NotSent
+                } else {
+                    Outcome::Cancelled
+                };
+                (now.saturating_sub(request.began), outcome)
+            }
+            None => (0, Outcome::Cancelled),
+        };
+        self.attempt_ended(unanswered(id, outcome, elapsed));
+    }
+
+    fn load_function(
+        &mut self,
+        now: Time,
+        worker: &WorkerId,
+        function: FunctionId,
+        name: &str,
+        replicas: u32,
+    ) {
+        debug!(
+            front_end = self.name,
+            worker = &*worker.0,
+            function = name,
+            replicas,
+            "load command"
+        );
+        let reference = self.next_reference();
+        let line = worker::load_function_line(&reference, name, replicas);
+        let kind = RequestKind::LoadFunction(function);
+        let deadline = now + self.site.transport.load_command_timeout;
+        let request = WorkerRequest::new(kind, reference, line, now, deadline);
+        self.submit(now, worker, request);
+    }
+
+    fn evict_function(&mut self, now: Time, worker: &WorkerId, name: &str) {
+        let line = worker::evict_function_line(name);
+        let deadline = now + self.site.transport.load_command_timeout;
+        let request = WorkerRequest::new(
+            RequestKind::EvictFunction,
+            name.to_string(),
+            line,
+            now,
+            deadline,
+        );
+        self.submit(now, worker, request);
+    }
+
+    fn poll_load(&mut self, now: Time, worker: &WorkerId) {
+        let reference = self.next_reference();
+        let line = worker::poll_load_line(&reference);
+        let deadline = now + LOAD_POLL_TIMEOUT;
+        let request = WorkerRequest::new(RequestKind::PollLoad, reference, line, now, deadline);
+        self.submit(now, worker, request);
+    }
+
+    fn forward(&mut self, now: Time, id: AttemptId, worker: WorkerId, call: &Call, deadline: Time) {
+        let name = call.label.as_deref().unwrap_or_default();
+        let class = self
+            .site
+            .names
+            .classes
+            .get(call.class)
+            .map_or("", String::as_str);
+        debug!(
+            front_end = self.name,
+            request = id.request,
+            call = name,
+            class,
+            function = &*call.function,
+            worker = &*worker.0,
+            attempt = id.number,
+            "forward"
+        );
+        let payload = Payload::Run(RunRequest {
+            call: name.to_string(),
+            class: class.to_string(),
+            function: call.function.clone(),
+            key: call.idempotency_key.clone(),
+            body: call.body.clone(),
+        });
+        let request = WorkerRequest::new(
+            RequestKind::Attempt(id),
+            name.to_string(),
+            payload,
+            now,
+            deadline,
+        );
+        self.in_flight.insert(id, worker.clone());
+        self.submit(now, &worker, request);
+    }
+
+    /// Hands a request to the pool; what cannot be sent is told to the engine after the present input.
+    fn submit(&mut self, now: Time, worker: &WorkerId, request: WorkerRequest) {
+        self.worker_pool.submit(now, worker, request);
+        self.record_failures(now);
+    }
+
+    fn next_reference(&mut self) -> String {
+        self.next_tag += 1;
+        format!("t{}", self.next_tag)
+    }
+}
--- /dev/null
+++ b/crates/pipithub-node/src/core/workers.rs
@@ -0,0 +1,244 @@
+//! The worker side: connections, answers, and attempts that end without one.
+
+use pipithub_engine::policy::{LoadReport, Outcome};
+use pipithub_engine::{
+    AttemptId, AttemptResult, Input, LoadCommandResult, LoadPollResult, Served, Time,
+};
+use pipithub_platform::line::{LineFramer, TooLong};
+use pipithub_platform::worker::MalformedAnswer;
+use pipithub_platform::worker::{self, Answer, AnswerStatus};
+use tracing::{debug, info};
+
+use super::Core;
+use crate::effect::ConnectionId;
+use crate::worker_pool::{AnsweredRequest, FailedRequest, RequestKind, SendFailure};
+
+impl Core {
+    /// A connection to a worker is up.
+    pub fn worker_connected(&mut self, now: Time, connection: ConnectionId) {
+        self.worker_pool.connected(now, connection);
+        self.settle_failures(now);
+    }
+
+    /// A connection to a worker did not come up; `local_fault`: because this machine lacked a resource.
+    pub fn worker_failed(&mut self, now: Time, connection: ConnectionId, local_fault: bool) {
+        self.worker_pool.connect_failed(connection, local_fault);
+        self.settle_failures(now);
+    }
+
+    /// A worker does not read, the system having taken so many bytes for it so far; or, with `None`, it reads again.
+    pub fn worker_blocked(&mut self, now: Time, connection: ConnectionId, written: Option<u64>) {
+        self.worker_pool.set_blocked(now, connection, written);
+        self.settle_failures(now);
+    }
+
+    /// A connection to a worker has ended, with so many bytes written on it.
+    pub fn worker_closed(&mut self, now: Time, connection: ConnectionId, written: u64) {
+        self.worker_pool
+            .closed(now, connection, written, SendFailure::ConnectionLost);
+        self.settle_failures(now);
+    }
+
+    /// Bytes came from a worker.
+    pub fn worker_bytes(&mut self, now: Time, connection: ConnectionId, bytes: &[u8]) {
+        let Some(framer) = self.worker_pool.framer(connection) else {
+            return;
+        };
+        framer.push(bytes);
+        // An answer may close its connection, and the framer goes with it.
+        while let Some(framer) = self.worker_pool.framer(connection) {
+            match next_answer(framer) {
+                Ok(Some(answer)) => self.answer_received(now, connection, answer),
+                Ok(None) => return,
+                Err(error) => return self.close_malformed(now, connection, &error),
+            }
+        }
+    }
+
+    /// Closes a connection on which something came that cannot be read.
+    fn close_malformed(&mut self, now: Time, connection: ConnectionId, error: &AnswerError) {
+        info!(
+            front_end = self.name,
+            connection,
+            %error,
+            "answer cannot be read; connection closed"
+        );
+        self.worker_pool.close_malformed(now, connection);
+        self.settle_failures(now);
+    }
+
+    /// A worker has answered: what was asked of it has ended.
+    fn answer_received(&mut self, now: Time, connection: ConnectionId, answer: Answer) {
+        let answered = self
+            .worker_pool
+            .answered(now, connection, &answer.reference);
+        let Some(AnsweredRequest { worker, request }) = answered else {
+            return debug!(
+                front_end = self.name,
+                connection,
+                reference = answer.reference,
+                "answer to nothing open"
+            );
+        };
+        let elapsed = now.saturating_sub(request.began);
+        match request.kind {
+            RequestKind::Attempt(id) => {
+                self.attempt_ended(attempt_result(id, elapsed, answer));
+                self.settle(now);
+            }
+            RequestKind::LoadFunction(function) => {
+                let result = LoadCommandResult {
+                    worker,
+                    function,
+                    outcome: outcome(answer.status),
+                    elapsed,
+                    replicas: answer.replicas,
+                };
+                self.run(now, Input::LoadCommandFinished(result));
+            }
+            RequestKind::PollLoad => {
+                let result = LoadPollResult {
+                    worker,
+                    answered: answer.status == AnswerStatus::Healthy,
+                    load_report: answer.load_report,
+                };
+                self.run(now, Input::LoadPolled(result));
+            }
+            RequestKind::EvictFunction => {}
+        }
+    }
+
+    /// Queues the end of an attempt as an input that the engine gets after the present one.
+    pub(super) fn attempt_ended(&mut self, end: AttemptResult) {
+        debug!(
+            front_end = self.name,
+            request = end.id.request,
+            attempt = end.id.number,
+            worker = self.in_flight.get(&end.id).map(|w| &*w.0),
+            outcome = ?end.outcome,
+            took_us = end.elapsed / 1000,
+            alike = end.function_concurrency,
+            load = ?end.load_report,
+            "attempt ended"
+        );
+        self.in_flight.remove(&end.id);
+        self.inputs.push_back(Input::AttemptFinished(end));
+    }
+
+    /// Queues the ends of requests without an answer as inputs that the engine gets after the present one.
+    pub(super) fn record_failures(&mut self, now: Time) {
+        for failed in self.worker_pool.take_failures() {
+            let FailedRequest {
+                worker,
+                request,
+                failure,
+            } = failed;
+            let outcome = failure_outcome(failure);
+            let elapsed = now.saturating_sub(request.began);
+            match request.kind {
+                RequestKind::Attempt(id) => self.attempt_ended(unanswered(id, outcome, elapsed)),
+                RequestKind::LoadFunction(function) => {
+                    let result = LoadCommandResult {
+                        worker,
+                        function,
+                        outcome,
+                        elapsed,
+                        replicas: 0,
+                    };
+                    self.inputs.push_back(Input::LoadCommandFinished(result));
+                }
+                RequestKind::PollLoad => {
+                    let result = LoadPollResult {
+                        worker,
+                        answered: false,
+                        load_report: LoadReport::default(),
+                    };
+                    self.inputs.push_back(Input::LoadPolled(result));
+                }
+                RequestKind::EvictFunction => {}
+            }
+        }
+    }
+
+    pub(super) fn settle_failures(&mut self, now: Time) {
+        self.record_failures(now);
+        self.settle(now);
+    }
+}
+
+pub(super) fn unanswered(id: AttemptId, outcome: Outcome, took: Time) -> AttemptResult {
+    AttemptResult {
+        id,
+        outcome,
+        elapsed: took,
+        replica_status: None,
+        function_concurrency: None,
+        load_report: LoadReport::default(),
+        served: None,
+    }
+}
+
+/// Why what a worker sent cannot be read.
+#[derive(Debug, thiserror::Error)]
+enum AnswerError {
+    /// A line is longer than any answer.
+    #[error(transparent)]
+    TooLong(#[from] TooLong),
+    /// A line is no answer.
+    #[error(transparent)]
+    Malformed(#[from] MalformedAnswer),
+}
+
+/// The next whole answer of what a worker has sent.
+fn next_answer(framer: &mut LineFramer) -> Result<Option<Answer>, AnswerError> {
+    let Some(line) = framer.next_line()? else {
+        return Ok(None);
+    };
+    Ok(Some(worker::read_answer(&line)?))
+}
+
+/// What an answer says of the request that it ends.
+fn outcome(status: AnswerStatus) -> Outcome {
+    match status {
+        AnswerStatus::Served | AnswerStatus::Healthy | AnswerStatus::Unhealthy => Outcome::Served,
+        AnswerStatus::NotLoaded => Outcome::NotLoaded,
+        AnswerStatus::Rejected => Outcome::Rejected,
+        AnswerStatus::Failed => Outcome::Error,
+        AnswerStatus::Expired => Outcome::NotSent,
+    }
+}
+
+/// What the engine is told of an attempt that a worker has answered.
+fn attempt_result(id: AttemptId, elapsed: Time, answer: Answer) -> AttemptResult {
+    let outcome = match answer.status {
+        // An answer to something else under the call's name proves nothing.
+        AnswerStatus::Healthy | AnswerStatus::Unhealthy => Outcome::Error,
+        status => outcome(status),
+    };
+    let reports_concurrency = matches!(outcome, Outcome::Served | Outcome::Rejected);
+    let served = (outcome == Outcome::Served).then_some(Served {
+        status: 200,
+        content_type: None,
+        body: answer.body,
+    });
+    AttemptResult {
+        id,
+        outcome,
+        elapsed,
+        replica_status: None,
+        function_concurrency: reports_concurrency.then_some(answer.function_concurrency),
+        load_report: answer.load_report,
+        served,
+    }
+}
+
+/// What the engine is told of a request that got no answer.
+fn failure_outcome(failure: SendFailure) -> Outcome {
+    match failure {
+        SendFailure::Unreachable => Outcome::Unreachable,
+        SendFailure::NeverSent => Outcome::NotSent,
+        SendFailure::ConnectionLost => Outcome::ConnectionLost,
+        SendFailure::Malformed => Outcome::Error,
+        SendFailure::TimedOut => Outcome::TimedOut,
+    }
+}
--- /dev/null
+++ b/crates/pipithub-node/src/shell/listener.rs
@@ -0,0 +1,38 @@
+//! Accepts clients.
+
+use std::rc::Rc;
+
+use tokio::net::TcpListener;
+
+use super::socket::{Side, Socket};
+use super::{MAX_LINGERING, Shell};
+use crate::core::Core;
+use crate::sockets;
+
+/// Clients that may be connected beyond those that may stay, while others are being closed for them.
+const MAX_NEWCOMERS: usize = 3;
+
+impl Shell {
+    /// Accepts clients until the listener fails, and begins the shutdown then.
+    pub(super) async fn accept(self: Rc<Self>, listener: TcpListener) {
+        let most = self.core.borrow().max_client_connections() + MAX_LINGERING + MAX_NEWCOMERS;
+        let accept = async || {
+            self.clients.wait_below(most).await;
+            listener.accept().await
+        };
+        let take = |(stream, _)| {
+            let connection = self.core.borrow_mut().next_connection_id();
+            let socket = Socket::new(stream, Side::Client, self.clients.take());
+            self.last_client_activity.set(self.clock.now());
+            self.sockets.borrow_mut().insert(connection, socket.clone());
+            self.update_core(|core, now| core.client_connected(now, connection));
+            let shell = self.clone();
+            tokio::task::spawn_local(
+                async move { shell.serve_connection(connection, socket).await },
+            );
+        };
+        sockets::accept_all(accept, take, &self.local_faults).await;
+        // No client can connect any more: pending calls are finished, and the process ends.
+        self.update_core(Core::begin_shutdown);
+    }
+}
--- /dev/null
+++ b/crates/pipithub-node/src/worker_pool.rs
@@ -0,0 +1,263 @@
+//! Connections to workers: which one carries what, and what became of it when one ends.
+//!
+//! Workers are known by their id: a new one may have the address of a removed one. One connection carries many
+//! requests, yet a broken one takes all of them with it; so a free connection is preferred, then a new one while there
+//! are descriptors, and only then one that carries others already.
+
+mod connection;
+mod endings;
+mod request;
+mod selection;
+mod sweep;
+
+pub use self::request::{
+    AnsweredRequest, CancelledRequest, FailedRequest, Payload, RequestKind, SendFailure,
+    WorkerRequest,
+};
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+use pipithub_engine::Time;
+use pipithub_engine::policy::WorkerId;
+use pipithub_platform::line::LineFramer;
+use tracing::debug;
+
+use self::connection::{Connection, InFlight};
+use crate::effect::{ConnectionId, Effect};
+use crate::idle_timeout::IdleTimeout;
+
+/// The most requests to wait for a connection to one worker.
+const MAX_WAITING: usize = 256;
+
+#[derive(Debug, Default)]
+struct WorkerConnections {
+    address: String,
+    removed: bool,
+    connections: Vec<ConnectionId>,
+    waiting: VecDeque<WorkerRequest>,
+}
+
+/// All connections to workers.
+#[derive(Debug)]
+pub struct WorkerPool {
+    max_connections: usize,
+    max_requests_per_connection: usize,
+    connect_timeout: Time,
+    idle_close: Time,
+    /// Workers may be told to cancel an attempt.
+    cancel: bool,
+    workers: BTreeMap<WorkerId, WorkerConnections>,
+    /// How many workers have not been removed; counted, as neither a call nor a sweep may iterate over all of them.
+    listed: usize,
+    /// Workers with waiting requests, and removed ones: all that a sweep looks at.
+    watched: BTreeSet<WorkerId>,
+    connections: BTreeMap<ConnectionId, Connection>,
+    next: ConnectionId,
+    effects: Vec<Effect>,
+    failures: Vec<FailedRequest>,
+    idle_timeout: IdleTimeout,
+}
+
+impl WorkerPool {
+    /// At most so many connections, each carrying so many requests. `cancel`: workers may be told to cancel
+    /// an attempt.
+    pub fn new(
+        max_connections: usize,
+        max_requests_per_connection: usize,
+        connect_timeout: Time,
+        idle_close: Time,
+        cancel: bool,
+    ) -> Self {
+        WorkerPool {
+            max_connections: max_connections.max(1),
+            max_requests_per_connection: max_requests_per_connection.max(1),
+            connect_timeout,
+            idle_close,
+            cancel,
+            workers: BTreeMap::new(),
+            listed: 0,
+            watched: BTreeSet::new(),
+            connections: BTreeMap::new(),
+            next: 1,
+            effects: Vec::new(),
+            failures: Vec::new(),
+            idle_timeout: IdleTimeout::default(),
+        }
+    }
+
+    /// A number for a connection, of whichever side; never used twice.
+    pub fn next_connection_id(&mut self) -> ConnectionId {
+        self.next += 1;
+        self.next - 1
+    }
+
+    /// Appends what is to be done on connections.
+    pub fn take_effects(&mut self, effects: &mut Vec<Effect>) {
+        effects.append(&mut self.effects);
+    }
+
+    /// Requests that ended without an answer since this was asked last; their ends are owed.
+    pub fn take_failures(&mut self) -> Vec<FailedRequest> {
+        std::mem::take(&mut self.failures)
+    }
+
+    /// Connections, those under way included.
+    pub fn len(&self) -> usize {
+        self.connections.len()
+    }
+
+    /// Connections that there may be, those under way included.
+    pub fn max_connections(&self) -> usize {
+        self.max_connections
+    }
+
+    /// How many workers a sweep looks at: those with waiting requests, and removed ones.
+    pub fn watched(&self) -> usize {
+        self.watched.len()
+    }
+
+    /// Whether there is none.
+    pub fn is_empty(&self) -> bool {
+        self.connections.is_empty()
+    }
+
+    /// Sets a worker's address, or records that it has been removed.
+    pub fn set_address(&mut self, worker: &WorkerId, address: &str, gone: bool) {
+        let new = || WorkerConnections {
+            removed: true,
+            ..WorkerConnections::default()
+        };
+        let entry = self.workers.entry(worker.clone()).or_insert_with(new);
+        if !address.is_empty() {
+            entry.address = address.to_string();
+        }
+        self.set_removed(worker, gone);
+    }
+
+    fn set_removed(&mut self, worker: &WorkerId, gone: bool) {
+        let Some(entry) = self.workers.get_mut(worker) else {
+            return;
+        };
+        self.listed -= usize::from(!entry.removed);
+        self.listed += usize::from(!gone);
+        entry.removed = gone;
+        if gone {
+            self.watched.insert(worker.clone());
+        }
+    }
+
+    /// Records that all workers but these have been removed.
+    pub fn retain_workers(&mut self, named: &BTreeSet<&WorkerId>) {
+        let lost: Vec<WorkerId> = self
+            .workers
+            .keys()
+            .filter(|w| !named.contains(w))
+            .cloned()
+            .collect();
+        lost.iter()
+            .for_each(|worker| self.set_removed(worker, true));
+    }
+
+    /// Notes that a request has ended without an answer.
+    fn fail(&mut self, worker: &WorkerId, request: WorkerRequest, failure: SendFailure) {
+        self.failures.push(FailedRequest {
+            worker: worker.clone(),
+            request,
+            failure,
+        });
+    }
+
+    /// Queues a request for a worker; a request that cannot be sent fails at once.
+    pub fn submit(&mut self, now: Time, worker: &WorkerId, request: WorkerRequest) {
+        match self.workers.get_mut(worker) {
+            Some(entry) if !entry.address.is_empty() && entry.waiting.len() < MAX_WAITING => {
+                entry.waiting.push_back(request);
+                self.watched.insert(worker.clone());
+                self.dispatch(now, worker);
+            }
+            _ => self.fail(worker, request, SendFailure::Unreachable),
+        }
+    }
+
+    /// Puts waiting requests on connections, and asks for new connections.
+    fn dispatch(&mut self, now: Time, worker: &WorkerId) {
+        while let Some(id) = self.select_connection(now, worker) {
+            let Some(request) = self
+                .workers
+                .get_mut(worker)
+                .and_then(|p| p.waiting.pop_front())
+            else {
+                return;
+            };
+            let Some(line) = request.line(now) else {
+                // Its time ran out between two sweeps: nobody waits for it.
+                self.fail(worker, request, SendFailure::Unreachable);
+                continue;
+            };
+            let Some(connection) = self.connections.get_mut(&id) else {
+                return;
+            };
+            let idle = now.saturating_sub(connection.last_used);
+            debug!(
+                connection = id,
+                reference = request.reference,
+                worker = &*worker.0,
+                uses = connection.uses,
+                idle_us = idle / 1000,
+                beside = connection.in_flight.len(),
+                "written"
+            );
+            let idle = (connection.uses > 0 && connection.in_flight.is_empty()).then_some(idle);
+            let start_offset = connection.queued_bytes;
+            connection.queued_bytes += line.len() as u64;
+            (connection.uses, connection.last_used) = (connection.uses + 1, now);
+            self.effects.push(Effect::Write {
+                connection: id,
+                bytes: line,
+            });
+            if request.kind != RequestKind::EvictFunction {
+                let (end_offset, queued_at) = (connection.queued_bytes, now);
+                let in_flight = InFlight {
+                    request,
+                    start_offset,
+                    end_offset,
+                    queued_at,
+                    idle,
+                };
+                connection
+                    .in_flight
+                    .insert(in_flight.request.reference.clone(), in_flight);
+            }
+        }
+    }
+
+    /// A connection is up.
+    pub fn connected(&mut self, now: Time, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(&id) else {
+            // Given up meanwhile.
+            return self.effects.push(Effect::Close { connection: id });
+        };
+        (connection.established, connection.last_used) = (true, now);
+        let worker = connection.worker.clone();
+        self.dispatch(now, &worker);
+    }
+
+    /// The worker behind a connection does not read, or reads again: the bytes that the system has taken so far.
+    /// Meanwhile nothing more is put on it.
+    pub fn set_blocked(&mut self, now: Time, id: ConnectionId, written: Option<u64>) {
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
+        let clear = connection.blocked.is_some() && written.is_none();
+        connection.blocked = written;
+        if clear {
+            let worker = connection.worker.clone();
+            self.dispatch(now, &worker);
+        }
+    }
+
+    /// The framer of a connection.
+    pub fn framer(&mut self, id: ConnectionId) -> Option<&mut LineFramer> {
+        self.connections.get_mut(&id).map(|l| &mut l.framer)
+    }
+}
--- a/crates/pipithub-node/tests/start_times.rs
+++ b/crates/pipithub-node/tests/start_times.rs
@@ -1,12 +1,12 @@
 //! Slow start holds across steps of the wall clock, by which the list states when workers started.
 
-mod bench;
+mod core_harness;
 
-use bench::{Bench, MS};
+use core_harness::{CoreHarness, MS};
 use pipithub_engine::Time;
 use pipithub_engine::policy::WorkerId;
 use pipithub_node::start_times::StartTimes;
-use pipithub_platform::list::{self, ListEvent};
+use pipithub_platform::list::{self, EndpointEvent};
 use pipithub_platform::settings::Names;
 
 const SECOND: Time = 1_000 * MS;
@@ -16,7 +16,7 @@
 const CALLS: u64 = 24;
 
 /// A list that holds one worker alone, which started at this time of the wall clock.
-fn only_worker(index: u64, started: Time) -> ListEvent {
+fn only_worker(index: u64, started: Time) -> EndpointEvent {
     let born_ms = started / MS;
     let text = format!(
         r#"{{"index":{index},"endpoints":{{"seq":{index},"whole":true,"hosts":[{{"host":"w9","dial":"10.0.0.1:9","site":"a",
@@ -27,8 +27,9 @@
 
 /// How many of a burst of calls go to a worker that started `age` ago, the wall clock standing at `wall`.
 fn sent_in_a_burst(wall: Time, age: Time) -> usize {
-    let mut b = Bench::new();
-    b.core.list_at(b.now, wall, &only_worker(2, wall - age));
+    let mut b = CoreHarness::new();
+    b.core
+        .update_endpoints_at(b.now, wall, &only_worker(2, wall - age));
     let client = b.client();
     (1..=CALLS).for_each(|id| b.call(client, id, "view"));
     b.written()
@@ -44,7 +45,12 @@
         starting < warm,
         "slow start binds in this test: {starting} of {warm}"
     );
-    for wall in [WALL - HOUR, WALL + HOUR, bench::START, bench::START + HOUR] {
+    for wall in [
+        WALL - HOUR,
+        WALL + HOUR,
+        core_harness::START,
+        core_harness::START + HOUR,
+    ] {
         assert_eq!(
             sent_in_a_burst(wall, 0),
             starting,
@@ -80,7 +86,7 @@
         starts.resolve(&worker, WALL, 400 * SECOND, WALL + SECOND),
         399 * SECOND
     );
-    starts.keep_only(|_| false);
+    starts.retain_workers(|_| false);
     assert_eq!(
         starts.resolve(&worker, WALL, 500 * SECOND, WALL),
         500 * SECOND
