--- a/crates/pipithub-admission/src/lib.rs
+++ b/crates/pipithub-admission/src/lib.rs
@@ -1,14 +1,19 @@
-//! What happens to a call before the decision module sees it, without I/O.
+//! What happens to a request before the decision module sees it, without I/O.
 //!
-//! A [`Gate`] ties a call to its user's tenant, has it wait a bounded time where nobody knows the user yet, and hands it to
-//! [`Shares`], which hold each tenant to its rate and share and lend what others leave idle. The gate refuses, delays and
-//! lets in; it never sends, and where a call runs is the module's matter alone.
+//! An [`Admission`] ties a request to its user's tenant, has it wait a bounded time where nobody knows the user yet, and
+//! holds each tenant to its rate and quota, lending what others leave idle. It rejects, delays and admits; it never sends,
+//! and where a request runs is the module's matter alone.
 
-mod gate;
-mod shares;
+mod admission;
+mod outputs;
+mod quotas;
 
-pub use gate::{Admitted, Arrival, Gate, GateSettings, Output, Why};
-pub use shares::{End, Held, Shares, SharesSettings, Start, TenantShare};
+pub use admission::{Admission, AdmissionSettings};
+pub use outputs::{Admitted, Arrival, Completion, Output, RejectReason, ServiceResult};
+pub use quotas::{LimitRange, QuotaSettings, RateLimit, TenantQuota};
 
 /// Nanoseconds on the caller's clock.
 pub type Time = u64;
+
+const MS: Time = 1_000_000;
+const SECOND: Time = 1_000 * MS;
--- a/crates/pipithub-admission/tests/hard_cases.rs
+++ b/crates/pipithub-admission/tests/hard_cases.rs
@@ -1,9 +1,10 @@
-//! Gate and directory core together in simulated time, against scripted directory servers: what a morning can bring.
+//! Admission and directory core together in simulated time, against scripted directory servers: what a morning can bring.
 
 use std::collections::{BTreeMap, HashMap};
 
 use pipithub_admission::{
-    Arrival, End, Gate, GateSettings, Output as Out, SharesSettings, TenantShare, Why,
+    Admission, AdmissionSettings, Arrival, Completion, LimitRange, Output as AdmissionOutput,
+    QuotaSettings, RejectReason, ServiceResult, TenantQuota,
 };
 use pipithub_directory::{
     Answer, Directory, DirectorySettings, Failure, Found, Input, Lifetimes, Output, Person,
@@ -55,14 +56,14 @@
 struct World {
     now: Time,
     core: Directory,
-    gate: Gate<u64>,
+    admission: Admission<u64>,
     servers: Vec<Vec<Server>>,
     due: BTreeMap<(Time, u64), (SearchId, Result<Answer, Failure>)>,
     number: u64,
     came: HashMap<u64, Time>,
     /// Calls let in: tenant, and how long they waited.
     admitted: BTreeMap<u64, (TenantId, Time)>,
-    refused: BTreeMap<u64, (Why, Time)>,
+    refused: BTreeMap<u64, (RejectReason, Time)>,
     changed: Vec<(Time, User)>,
     /// Told in place of whatever was asked for.
     wrong: Option<(User, Vec<(Dn, u64)>)>,
@@ -114,24 +115,27 @@
             seed,
             wall_ms: 1_800_000_000_000,
         };
-        let shares = SharesSettings {
+        let quotas = QuotaSettings {
             tenants: vec![
-                TenantShare {
-                    queue: 100,
-                    ..TenantShare::default()
+                TenantQuota {
+                    max_queued: 100,
+                    ..TenantQuota::default()
                 };
                 2
             ],
-            worths: vec![1.0],
-            limit: (8.0, 10_000.0),
-            wait_most: 20 * MS,
+            class_weights: vec![1.0],
+            limit: LimitRange {
+                min: 8.0,
+                max: 10_000.0,
+            },
+            max_queue_wait: 20 * MS,
         };
         World {
             now: 0,
             core: Directory::new(settings),
-            gate: Gate::new(GateSettings {
-                shares,
-                identity_wait: 40 * MS,
+            admission: Admission::new(AdmissionSettings {
+                quotas,
+                max_identity_wait: 40 * MS,
                 max_waiting: 4_096,
             }),
             servers: servers.iter().map(|n| vec![Server::new(); *n]).collect(),
@@ -159,9 +163,9 @@
                 Output::GiveUp(id) => self.due.retain(|_, (due, _)| *due != id),
                 Output::News(user) => {
                     let mut out = Vec::new();
-                    self.gate
-                        .news(self.now, self.core.roster(), &user, &mut out);
-                    self.gate_said(out);
+                    self.admission
+                        .user_updated(self.now, self.core.roster(), &user, &mut out);
+                    self.handle_admission(out);
                 }
                 Output::Changed(user) => self.changed.push((self.now, user)),
             }
@@ -217,10 +221,13 @@
             .insert((self.now + server.takes, self.number), (id, outcome));
     }
 
-    fn gate_said(&mut self, out: Vec<Out<u64>>) {
+    fn handle_admission(&mut self, out: Vec<AdmissionOutput<u64>>) {
         for out in out {
             match out {
-                Out::Admit(call, admitted) => {
+                AdmissionOutput::Admit {
+                    request: call,
+                    admitted,
+                } => {
                     assert_eq!(admitted.waited, self.now - self.came[&call]);
                     assert!(
                         self.admitted
@@ -228,14 +235,20 @@
                             .is_none()
                     );
                 }
-                Out::Refuse(call, why, _) => {
+                AdmissionOutput::Reject {
+                    request: call,
+                    reason,
+                    ..
+                } => {
                     assert!(
                         self.refused
-                            .insert(call, (why, self.now - self.came[&call]))
+                            .insert(call, (reason, self.now - self.came[&call]))
                             .is_none()
                     );
                 }
-                Out::Want(user, urgent) => self.core(Input::Wanted { user, urgent }),
+                AdmissionOutput::LookUp { user, urgent } => {
+                    self.core(Input::Wanted { user, urgent });
+                }
             }
         }
     }
@@ -243,23 +256,27 @@
     fn call(&mut self, call: u64, user: &str) {
         self.came.insert(call, self.now);
         let arrival = Arrival {
-            call,
+            request: call,
             user: Some(user.into()),
-            route: None,
+            route_tenant: None,
             class: 0,
-            left: 2 * S,
+            remaining: 2 * S,
         };
         let mut out = Vec::new();
-        self.gate
+        self.admission
             .arrive(self.now, self.core.roster(), arrival, &mut out);
-        self.gate_said(out);
+        self.handle_admission(out);
     }
 
     /// Everything that is due up to then happens.
     fn run(&mut self, until: Time) {
         loop {
             let answer = self.due.keys().next().map(|k| k.0);
-            let due = [answer, self.core.next_due(self.now), self.gate.next_due()];
+            let due = [
+                answer,
+                self.core.next_due(self.now),
+                self.admission.next_due(),
+            ];
             let Some(next) = due.into_iter().flatten().min().filter(|t| *t <= until) else {
                 break;
             };
@@ -271,8 +288,8 @@
             } else {
                 self.core(Input::Tick);
                 let mut out = Vec::new();
-                self.gate.tick(self.now, self.core.roster(), &mut out);
-                self.gate_said(out);
+                self.admission.tick(self.now, self.core.roster(), &mut out);
+                self.handle_admission(out);
             }
         }
         self.now = until;
@@ -344,7 +361,10 @@
             "{name}: every call is answered"
         );
         assert!(
-            world.refused.values().all(|r| r.0 == Why::Unknown),
+            world
+                .refused
+                .values()
+                .all(|r| r.0 == RejectReason::UnknownUser),
             "{name}"
         );
     }
@@ -489,14 +509,20 @@
     world.run(S);
     world.call(2, "mai");
     // The first answer may have come alone: from the second on nobody chooses.
-    assert_eq!(world.refused.get(&2), Some(&(Why::ClaimedTwice, 0)));
+    assert_eq!(
+        world.refused.get(&2),
+        Some(&(RejectReason::ClaimedTwice, 0))
+    );
     assert_eq!(world.admitted.get(&1).map(|a| a.0), Some(TenantId(1)));
     // One directory out of reach does not make the other's claim the only one.
     world.all(0, |s| s.answers = false);
     world.run(300 * S);
     world.call(3, "mai");
     world.run(world.now + S);
-    assert_eq!(world.refused.get(&3).map(|r| r.0), Some(Why::ClaimedTwice));
+    assert_eq!(
+        world.refused.get(&3).map(|r| r.0),
+        Some(RejectReason::ClaimedTwice)
+    );
 }
 
 /// A server that restarts answers for a while that nobody exists. Nobody must lose their tenant by that, and no newcomer
@@ -595,25 +621,36 @@
     );
 }
 
+fn completion(tenant: TenantId, result: ServiceResult, service_time: Time) -> Completion {
+    Completion {
+        tenant,
+        result,
+        service_time,
+    }
+}
+
 /// A fleet of places that each serve a call in 50 ms; the module refuses what would wait longer than 100 ms. Half of it is
 /// lost at 12 s. Returns the share of the first tenant's calls that were served, and of the second's.
 fn fleet_day(shared: bool, storm: usize) -> [f64; 2] {
     let mut world = World::new(&[1], |_, _| {});
-    let settings = SharesSettings {
+    let quotas = QuotaSettings {
         tenants: vec![
-            TenantShare {
-                queue: 64,
-                ..TenantShare::default()
+            TenantQuota {
+                max_queued: 64,
+                ..TenantQuota::default()
             };
             2
         ],
-        worths: vec![1.0],
-        limit: (8.0, 400.0),
-        wait_most: 20 * MS,
+        class_weights: vec![1.0],
+        limit: LimitRange {
+            min: 8.0,
+            max: 400.0,
+        },
+        max_queue_wait: 20 * MS,
     };
-    world.gate = Gate::new(GateSettings {
-        shares: settings,
-        identity_wait: 40 * MS,
+    world.admission = Admission::new(AdmissionSettings {
+        quotas,
+        max_identity_wait: 40 * MS,
         max_waiting: 4_096,
     });
     world.all(0, |s| {
@@ -659,16 +696,16 @@
         for (key, tenant) in ended {
             held.remove(&key);
             if shared {
-                world.gate.ended(
+                world.admission.completed(
                     now,
                     world.core.roster(),
-                    (tenant, End::Served, 50 * MS),
+                    completion(tenant, ServiceResult::Served, 50 * MS),
                     &mut out,
                 );
             }
             served[usize::from(tenant.0)] += 1;
         }
-        world.gate_said(std::mem::take(&mut out));
+        world.handle_admission(std::mem::take(&mut out));
         while let Some((call, (tenant, _))) =
             world.admitted.range(10..).next().map(|(c, a)| (*c, *a))
         {
@@ -679,10 +716,10 @@
             let begins = (*place).max(now);
             if begins > now + 100 * MS {
                 if shared {
-                    world.gate.ended(
+                    world.admission.completed(
                         now,
                         world.core.roster(),
-                        (tenant, End::NoWorkerInTime, 0),
+                        completion(tenant, ServiceResult::NoWorkerInTime, 0),
                         &mut out,
                     );
                 }
@@ -690,7 +727,7 @@
                 *place = begins + 50 * MS;
                 held.insert((*place, call), tenant);
             }
-            world.gate_said(std::mem::take(&mut out));
+            world.handle_admission(std::mem::take(&mut out));
         }
     }
     [0, 1].map(|t| served[t] as f64 / offered[t] as f64)
--- a/crates/pipithub-bench/src/roster.rs
+++ b/crates/pipithub-bench/src/roster.rs
@@ -7,7 +7,8 @@
 
 use arc_swap::ArcSwap;
 use pipithub_admission::{
-    Arrival, Gate, GateSettings, Output as Out, SharesSettings, TenantShare, Why,
+    Admission, AdmissionSettings, Arrival, LimitRange, Output as Out, QuotaSettings, RejectReason,
+    TenantQuota,
 };
 use pipithub_directory::{
     Answer, Claim, Directory, DirectorySettings, Found, Input, Lifetimes, News, Output, Peak,
@@ -290,14 +291,14 @@
         ..DirectorySettings::default()
     };
     let mut core = core(asking, 100_000, front * 7919 + 1);
-    let mut gate: Gate<u64> = Gate::new(GateSettings {
-        shares: SharesSettings {
-            tenants: vec![TenantShare::default(); TENANTS],
-            worths: vec![1.0],
-            limit: (1e6, 1e6),
-            wait_most: 0,
+    let mut admission: Admission<u64> = Admission::new(AdmissionSettings {
+        quotas: QuotaSettings {
+            tenants: vec![TenantQuota::default(); TENANTS],
+            class_weights: vec![1.0],
+            limit: LimitRange { min: 1e6, max: 1e6 },
+            max_queue_wait: 0,
         },
-        identity_wait: 40 * MS,
+        max_identity_wait: 40 * MS,
         max_waiting: 4_096,
     });
     let mut answers: BTreeMap<(Time, u64), (SearchId, Answer)> = BTreeMap::new();
@@ -311,7 +312,7 @@
             calls.peek().map(|c| c.0),
             answers.keys().next().map(|k| k.0),
             core.next_due(now),
-            gate.next_due(),
+            admission.next_due(),
         ];
         let Some(next) = due.into_iter().flatten().min() else {
             break;
@@ -332,25 +333,28 @@
             );
         } else if let Some((at, user)) = calls.next_if(|c| c.0 <= now) {
             let arrival = Arrival {
-                call: *at,
+                request: *at,
                 user: Some(name(*user)),
-                route: None,
+                route_tenant: None,
                 class: 0,
-                left: 4 * S,
+                remaining: 4 * S,
             };
-            gate.arrive(now, core.roster(), arrival, &mut said);
+            admission.arrive(now, core.roster(), arrival, &mut said);
         } else {
             core.handle(now, Input::Tick, &mut out);
-            gate.tick(now, core.roster(), &mut said);
+            admission.tick(now, core.roster(), &mut said);
         }
         loop {
             let mut wants = Vec::new();
             for one in said.drain(..) {
                 match one {
-                    Out::Admit(_, a) => waited += u64::from(a.waited > 0),
-                    Out::Refuse(_, Why::Unknown, _) => refused += 1,
-                    Out::Refuse(..) => {}
-                    Out::Want(user, urgent) => wants.push(Input::Wanted { user, urgent }),
+                    Out::Admit { admitted, .. } => waited += u64::from(admitted.waited > 0),
+                    Out::Reject {
+                        reason: RejectReason::UnknownUser,
+                        ..
+                    } => refused += 1,
+                    Out::Reject { .. } => {}
+                    Out::LookUp { user, urgent } => wants.push(Input::Wanted { user, urgent }),
                 }
             }
             wants
@@ -388,7 +392,9 @@
                         };
                         answers.insert((now + 5 * MS, number), (id, answer));
                     }
-                    Output::News(user) => gate.news(now, core.roster(), &user, &mut said),
+                    Output::News(user) => {
+                        admission.user_updated(now, core.roster(), &user, &mut said)
+                    }
                     Output::GiveUp(_) | Output::Changed(_) => {}
                 }
             }
--- a/crates/pipithub-consumer/src/backoff.rs
+++ b/crates/pipithub-consumer/src/backoff.rs
@@ -2,7 +2,16 @@
 
 use pipithub_engine::Time;
 
-/// Waits between tries that fail.
+/// Bounds of the wait between attempts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct BackoffRange {
+    /// The wait after the first failure; it doubles with each further one.
+    pub initial: Time,
+    /// It grows no further.
+    pub max: Time,
+}
+
+/// Waits between attempts that fail.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     first: Time,
--- a/crates/pipithub-consumer/src/consumer.rs
+++ b/crates/pipithub-consumer/src/consumer.rs
@@ -9,10 +9,10 @@
 };
 use pipithub_engine::{Call, Reply, SourceId, Ticket, Time, Trigger};
 
-use crate::backoff::Backoff;
+use crate::backoff::{Backoff, BackoffRange};
 use crate::identity::{self, Identity};
 use crate::latest_wall::LatestWall;
-use crate::message::{self, Address, ArrivalTime, Route, Unreadable};
+use crate::message::{self, Address, ArrivalTime, ClassName, Route, Unreadable};
 
 const MS: Time = 1_000_000;
 /// Bytes that wait to be written before no further transaction is begun.
@@ -32,6 +32,15 @@
     Consumer,
 }
 
+/// Where copies of unreadable messages go.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct DeadLetterTarget {
+    /// The exchange; empty: the default one.
+    pub exchange: String,
+    /// The routing key.
+    pub routing_key: String,
+}
+
 /// How a consumer is set up.
 #[derive(Clone, Debug)]
 pub struct ConsumerSettings {
@@ -49,17 +58,17 @@
     pub declare: bool,
     /// What holds for its messages.
     pub route: Route,
-    /// Names of the classes, and whether a call of each needs a key.
-    pub classes: Vec<(String, bool)>,
+    /// The classes, by their number.
+    pub classes: Vec<ClassName>,
     /// Most deliveries held at a time.
     pub prefetch: u16,
     /// How the limit is set.
     pub qos: Qos,
-    /// Where copies of unreadable messages go: exchange and routing key. Without it they are rejected, and the
-    /// queue's own dead-letter exchange gets them.
-    pub dead_letter: Option<(String, String)>,
-    /// Waits between tries to connect: the first and the longest.
-    pub retry: (Time, Time),
+    /// Where copies of unreadable messages go. Without it they are rejected, and the queue's own dead-letter exchange
+    /// gets them.
+    pub dead_letter: Option<DeadLetterTarget>,
+    /// Waits between attempts to connect.
+    pub reconnect_backoff: BackoffRange,
     /// How its messages prove whose they are.
     pub identity: identity::Rule,
 }
@@ -167,9 +176,9 @@
 impl Consumer {
     /// A consumer that wants a transport at once.
     pub fn new(settings: ConsumerSettings, now: Time, seed: u64) -> Self {
-        let (first, most) = settings.retry;
+        let BackoffRange { initial, max } = settings.reconnect_backoff;
         Consumer {
-            backoff: Backoff::new(first, most, 10_000 * MS, seed),
+            backoff: Backoff::new(initial, max, 10_000 * MS, seed),
             tag: ShortStr::truncated(&settings.front_end),
             room: usize::from(settings.prefetch),
             identity: Identity::new(settings.identity.clone()),
@@ -677,8 +686,11 @@
                         .as_ref()
                         .filter(|_| !self.no_dead_letters)
                     {
-                        Some((exchange, key)) => {
-                            let (exchange, key) = (exchange.clone(), key.clone());
+                        Some(target) => {
+                            let DeadLetterTarget {
+                                exchange,
+                                routing_key: key,
+                            } = target.clone();
                             let queue = &self.settings.queue;
                             let properties = message::dead_letter(&content.properties, queue, &why);
                             self.publish(channel, &exchange, &key, properties, &content.body);
--- a/crates/pipithub-consumer/src/lib.rs
+++ b/crates/pipithub-consumer/src/lib.rs
@@ -12,5 +12,5 @@
 pub mod message;
 pub mod replay;
 
-pub use consumer::{Consumer, ConsumerSettings, Notice, Phase, Qos};
+pub use consumer::{Consumer, ConsumerSettings, DeadLetterTarget, Notice, Phase, Qos};
 pub use latest_wall::LatestWall;
--- a/crates/pipithub-consumer/src/message.rs
+++ b/crates/pipithub-consumer/src/message.rs
@@ -50,6 +50,15 @@
     pub tenant: Option<Tenant>,
 }
 
+/// A class of requests, as messages name it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ClassName {
+    /// Its name.
+    pub name: String,
+    /// Whether each of its requests needs an idempotency key.
+    pub needs_key: bool,
+}
+
 /// A message that is no call; it never ran.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
@@ -129,12 +138,12 @@
     }
 }
 
-/// Reads a message. `classes` are the names of the classes in their order, each with whether its calls need a key.
+/// Reads a message. `classes` are in the order of their numbers.
 pub fn read(
     content: &Content,
     queue: &str,
     route: &Route,
-    classes: &[(String, bool)],
+    classes: &[ClassName],
     arrival: ArrivalTime,
 ) -> Result<Read, Unreadable> {
     let properties = &content.properties;
@@ -145,7 +154,7 @@
     let sent = SendTime::read(properties, headers)?;
     let waited = sent.latest_ms.map_or(0, |sent_ms| arrival.since(sent_ms));
     let message_id = message_id(properties);
-    let needs_key = classes[class].1;
+    let needs_key = classes[class].needs_key;
     let key = key(headers, message_id, needs_key)?;
     let lanes = headers
         .number("pipithub-lanes")?
@@ -190,7 +199,7 @@
     properties: &Properties,
     headers: Headers<'_>,
     route: &Route,
-    classes: &[(String, bool)],
+    classes: &[ClassName],
 ) -> Result<usize, Unreadable> {
     let Some(name) = headers
         .text("pipithub-class")?
@@ -200,7 +209,7 @@
             .class
             .ok_or_else(|| Unreadable("no class: header pipithub-class is missing".into()));
     };
-    if let Some(class) = classes.iter().position(|(known, _)| known == name) {
+    if let Some(class) = classes.iter().position(|known| known.name == name) {
         return Ok(class);
     }
     // The property `type` may be used for something else where the route gives the class.
--- a/crates/pipithub-consumer/tests/message.rs
+++ b/crates/pipithub-consumer/tests/message.rs
@@ -4,7 +4,7 @@
 use pipithub_amqp::{Content, FieldTable, FieldValue, Properties, ShortStr};
 use pipithub_clock::ManualClock;
 use pipithub_consumer::LatestWall;
-use pipithub_consumer::message::{ArrivalTime, Read, Route, Unreadable, read};
+use pipithub_consumer::message::{ArrivalTime, ClassName, Read, Route, Unreadable, read};
 use pipithub_engine::Time;
 
 const MS: Time = 1_000_000;
@@ -15,8 +15,12 @@
     latest_wall_ms: WALL,
 };
 
-fn classes() -> Vec<(String, bool)> {
-    vec![("view".into(), false), ("change".into(), true)]
+fn classes() -> Vec<ClassName> {
+    let class = |name: &str, needs_key| ClassName {
+        name: name.into(),
+        needs_key,
+    };
+    vec![class("view", false), class("change", true)]
 }
 
 fn content(change: impl FnOnce(&mut Properties)) -> Content {
--- a/crates/pipithub-consumer/tests/with_broker.rs
+++ b/crates/pipithub-consumer/tests/with_broker.rs
@@ -7,8 +7,9 @@
 use pipithub_amqp::{
     Endpoint, Event, FieldTable, FieldValue, Login, Method, Properties, ShortStr, Tuning,
 };
-use pipithub_consumer::message::Route;
-use pipithub_consumer::{Consumer, ConsumerSettings, Notice, Phase, Qos};
+use pipithub_consumer::backoff::BackoffRange;
+use pipithub_consumer::message::{ClassName, Route};
+use pipithub_consumer::{Consumer, ConsumerSettings, DeadLetterTarget, Notice, Phase, Qos};
 use pipithub_engine::policy::{
     Class, Endpoint as WorkerEndpoint, EndpointUpdate, Idempotency, Limits, LoadReport, Outcome,
     Settings, WorkerId,
@@ -184,14 +185,20 @@
                 ..Route::default()
             },
             classes: vec![
-                ("safe".into(), false),
-                ("keyed".into(), true),
-                ("unsafe".into(), false),
+                class_name("safe", false),
+                class_name("keyed", true),
+                class_name("unsafe", false),
             ],
             prefetch: self.prefetch,
             qos: self.qos,
-            dead_letter: Some((String::new(), "dead".into())),
-            retry: (10 * MS, 100 * MS),
+            dead_letter: Some(DeadLetterTarget {
+                exchange: String::new(),
+                routing_key: "dead".into(),
+            }),
+            reconnect_backoff: BackoffRange {
+                initial: 10 * MS,
+                max: 100 * MS,
+            },
             identity: Default::default(),
         };
         Front {
@@ -430,6 +437,13 @@
     }
 }
 
+fn class_name(name: &str, needs_key: bool) -> ClassName {
+    ClassName {
+        name: name.into(),
+        needs_key,
+    }
+}
+
 fn end(id: AttemptId, outcome: Outcome) -> AttemptResult {
     let served = (outcome == Outcome::Served).then(|| Served {
         status: 200,
--- a/crates/pipithub-gateway/src/amqp.rs
+++ b/crates/pipithub-gateway/src/amqp.rs
@@ -41,7 +41,7 @@
         prefetch: queue.prefetch,
         qos: queue.qos,
         dead_letter: queue.dead_letter.clone(),
-        retry: broker.retry,
+        reconnect_backoff: broker.reconnect_backoff,
         identity: queue.identity.clone(),
     }
 }
--- a/crates/pipithub-gateway/src/directory.rs
+++ b/crates/pipithub-gateway/src/directory.rs
@@ -69,7 +69,7 @@
         directories: config
             .directories
             .iter()
-            .map(|d| d.asking.clone())
+            .map(|d| d.lookups.clone())
             .collect(),
         tenants: config.tenants.iter().map(|t| t.place.clone()).collect(),
         max_users: config.max_users,
@@ -81,7 +81,7 @@
 
 fn fingerprint(config: &TenantsConfig) -> [u8; 32] {
     let directories = config.directories.iter().flat_map(|d| {
-        let realms = d.asking.realms.iter().map(String::as_str);
+        let realms = d.lookups.realms.iter().map(String::as_str);
         ["directory", &d.name, &d.base, &d.user_attribute]
             .into_iter()
             .chain(realms)
@@ -146,7 +146,7 @@
         config
             .directories
             .get(usize::from(d))
-            .map(|d| d.asking.lifetimes.stale_most)
+            .map(|d| d.lookups.lifetimes.stale_most)
     };
     match snapshot::read(
         &bytes,
@@ -393,7 +393,7 @@
             let bind = directory
                 .bind
                 .clone()
-                .map(|(name, password)| (name, Bytes::from(password)));
+                .map(|bind| (bind.name, Bytes::from(bind.password)));
             let mut client = Client::new(ClientSettings {
                 bind,
                 ..ClientSettings::default()
@@ -462,14 +462,14 @@
 
 /// The name that a directory has for a user: without the realm where the directory has just one.
 fn local<'a>(directory: &DirectoryConfig, user: &'a str) -> &'a str {
-    match (directory.asking.realms.len(), user.rsplit_once('@')) {
+    match (directory.lookups.realms.len(), user.rsplit_once('@')) {
         (1, Some((name, _))) => name,
         _ => user,
     }
 }
 
 fn whole(directory: &DirectoryConfig, name: &str) -> String {
-    match &directory.asking.realms[..] {
+    match &directory.lookups.realms[..] {
         [realm] => format!("{}@{}", dn::fold(name), dn::fold(realm)),
         _ => dn::fold(name),
     }
@@ -524,7 +524,7 @@
             "modifyTimestamp".into(),
         ],
         size_limit: 0,
-        time_limit: u32::try_from(directory.asking.timeout / 1_000_000_000)
+        time_limit: u32::try_from(directory.lookups.timeout / 1_000_000_000)
             .unwrap_or(0)
             .saturating_add(1),
         controls: vec![sync::paged(PAGE, page)],
@@ -737,7 +737,7 @@
             connection.read().await?;
         }
     };
-    let most = Duration::from_nanos(directory.asking.timeout);
+    let most = Duration::from_nanos(directory.lookups.timeout);
     tokio::time::timeout(most, asking)
         .await
         .unwrap_or_else(|_| Err("no answer in time".into()))
@@ -981,13 +981,13 @@
                 cookie = None;
             }
             server = (server + 1) % self.directory.servers.len();
-            let first = Duration::from_nanos(self.directory.asking.wait.0);
+            let first = Duration::from_nanos(self.directory.lookups.wait.0);
             tokio::time::sleep(first).await;
         }
     }
 
     fn alive(&self) -> Duration {
-        let lifetimes = self.directory.asking.lifetimes;
+        let lifetimes = self.directory.lookups.lifetimes;
         let shortest = lifetimes.fresh.min(lifetimes.negative);
         Duration::from_nanos(shortest / ALIVE_PART).clamp(Duration::from_millis(100), ALIVE_MOST)
     }
--- a/crates/pipithub-gateway/src/front.rs
+++ b/crates/pipithub-gateway/src/front.rs
@@ -6,9 +6,10 @@
 
 use pipithub_baselines::{Baseline, Policy};
 use pipithub_clock::Clock;
+use pipithub_consumer::message::ClassName;
 use pipithub_engine::policy::{Endpoint, EndpointUpdate, WorkerId};
 use pipithub_engine::{AttemptId, Engine, Input, Output, Reply, SourceId, Ticket, Time, Verdict};
-use pipithub_settings::Config;
+use pipithub_settings::{Config, FixedWorker};
 use tokio::sync::{mpsc, oneshot, watch};
 use tracing::{debug, info, warn};
 
@@ -44,7 +45,7 @@
 
 pub(crate) struct Front {
     name: String,
-    classes: Vec<(String, bool)>,
+    classes: Vec<ClassName>,
     clock: Clock,
     engine: Engine,
     drain: Time,
@@ -115,11 +116,11 @@
         self.snapshot.subscribe()
     }
 
-    pub(crate) fn fixed_workers(&mut self, workers: &[(String, String, f64)]) {
-        let entry = |(address, zone, memory_mb): &(String, String, f64)| Endpoint {
-            worker: WorkerId::new(address),
-            zone: zone.clone(),
-            memory_mb: *memory_mb,
+    pub(crate) fn fixed_workers(&mut self, workers: &[FixedWorker]) {
+        let entry = |worker: &FixedWorker| Endpoint {
+            worker: WorkerId::new(&worker.address),
+            zone: worker.zone.clone(),
+            memory_mb: worker.memory_mb,
             ..Endpoint::default()
         };
         self.first(Input::Endpoints {
@@ -277,7 +278,7 @@
                     front_end = self.name,
                     request = id.request,
                     label = call.label.as_deref(),
-                    class = self.classes.get(call.class).map(|c| c.0.as_str()),
+                    class = self.classes.get(call.class).map(|c| c.name.as_str()),
                     tenant = self.tenancy.as_ref().and_then(|t| t.name(call.tenant)),
                     user = call.user.as_deref(),
                     function = &*call.function,
--- a/crates/pipithub-gateway/src/lib.rs
+++ b/crates/pipithub-gateway/src/lib.rs
@@ -123,12 +123,12 @@
         }
         match &config.workers {
             WorkersConfig::Fixed(workers) => front.fixed_workers(workers),
-            WorkersConfig::Slices {
+            WorkersConfig::EndpointSlices {
                 url,
                 namespace,
                 service,
                 port,
-                remember,
+                cache: remember,
             } => {
                 let settings = list::ListSettings {
                     url: url.clone(),
--- a/crates/pipithub-gateway/src/tenancy.rs
+++ b/crates/pipithub-gateway/src/tenancy.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use arc_swap::ArcSwap;
-use pipithub_admission::{Arrival, End, Gate, Output, Why};
+use pipithub_admission::{Admission, Arrival, Completion, Output, RejectReason, ServiceResult};
 use pipithub_directory::{Input as Wanted, Roster, TenantId, User, View};
 use pipithub_engine::policy::Class;
 use pipithub_engine::{Cause, Input, Reply, SourceId, Tenant, Ticket, Time, Trigger, Verdict};
@@ -28,7 +28,7 @@
     config: Arc<TenantsConfig>,
     front_end: String,
     classes: Vec<Class>,
-    gate: Gate<Box<Trigger>>,
+    admission: Admission<Box<Trigger>>,
     roster: Arc<ArcSwap<Roster>>,
     wants: mpsc::Sender<Wanted>,
     words: mpsc::Receiver<Word>,
@@ -36,15 +36,15 @@
     out: Vec<Output<Box<Trigger>>>,
 }
 
-fn cause(why: Why) -> Cause {
-    match why {
-        Why::NoUser => Cause::NoUser,
-        Why::Unknown => Cause::UserUnknown,
-        Why::Nobody => Cause::NoTenant,
-        Why::ClaimedTwice => Cause::AmbiguousTenant,
-        Why::OtherRoute => Cause::OtherTenant,
-        Why::OverShare => Cause::OverQuota,
-        Why::OverRate => Cause::OverRate,
+fn cause(reason: RejectReason) -> Cause {
+    match reason {
+        RejectReason::NoUser => Cause::NoUser,
+        RejectReason::UnknownUser => Cause::UserUnknown,
+        RejectReason::NoTenant => Cause::NoTenant,
+        RejectReason::ClaimedTwice => Cause::AmbiguousTenant,
+        RejectReason::OtherTenant => Cause::OtherTenant,
+        RejectReason::OverQuota => Cause::OverQuota,
+        RejectReason::OverRate => Cause::OverRate,
     }
 }
 
@@ -61,7 +61,7 @@
             words,
         } = handle;
         Tenancy {
-            gate: Gate::new(config.gate.clone()),
+            admission: Admission::new(config.admission.clone()),
             config,
             front_end: front_end.to_string(),
             classes: classes.to_vec(),
@@ -79,11 +79,11 @@
     }
 
     pub(crate) fn next_due(&self) -> Option<Time> {
-        self.gate.next_due()
+        self.admission.next_due()
     }
 
     pub(crate) fn pending(&self) -> usize {
-        self.gate.pending()
+        self.admission.pending()
     }
 
     /// The names of a call's tenant and user, for logs.
@@ -109,19 +109,20 @@
         let rest = give_up.saturating_sub(call.waited);
         let arrival = Arrival {
             user: call.user.clone(),
-            route: call.tenant.map(|t| TenantId(t.0)),
+            route_tenant: call.tenant.map(|t| TenantId(t.0)),
             class: call.class,
-            left: call.timeout.map_or(rest, |b| b.min(rest)),
-            call: Box::new(trigger),
+            remaining: call.timeout.map_or(rest, |b| b.min(rest)),
+            request: Box::new(trigger),
         };
-        self.gate
+        self.admission
             .arrive(now, &self.roster.load(), arrival, &mut self.out);
         self.carry_out(now, inputs);
     }
 
     /// A source is gone with all that it brought.
     pub(crate) fn lost(&mut self, now: Time, source: SourceId, inputs: &mut Vec<Input>) {
-        self.gate.forget(|trigger| trigger.ticket.source == source);
+        self.admission
+            .cancel(|trigger| trigger.ticket.source == source);
         let gone: Vec<Ticket> = self
             .let_in
             .keys()
@@ -129,7 +130,7 @@
             .copied()
             .collect();
         for ticket in gone {
-            self.over(now, ticket, End::Other, inputs);
+            self.over(now, ticket, ServiceResult::Other, inputs);
         }
     }
 
@@ -142,20 +143,24 @@
         inputs: &mut Vec<Input>,
     ) {
         let end = match reply.map(|r| (r.verdict, r.cause)) {
-            Some((Verdict::Served, _)) => End::Served,
-            Some((_, Cause::NoWorkerInTime)) => End::NoWorkerInTime,
-            _ => End::Other,
+            Some((Verdict::Served, _)) => ServiceResult::Served,
+            Some((_, Cause::NoWorkerInTime)) => ServiceResult::NoWorkerInTime,
+            _ => ServiceResult::Other,
         };
         self.over(now, ticket, end, inputs);
     }
 
-    fn over(&mut self, now: Time, ticket: Ticket, end: End, inputs: &mut Vec<Input>) {
+    fn over(&mut self, now: Time, ticket: Ticket, end: ServiceResult, inputs: &mut Vec<Input>) {
         if let Some(call) = self.let_in.remove(&ticket) {
             let took = now.saturating_sub(call.since);
-            self.gate.ended(
+            self.admission.completed(
                 now,
                 &self.roster.load(),
-                (call.tenant, end, took),
+                Completion {
+                    tenant: call.tenant,
+                    result: end,
+                    service_time: took,
+                },
                 &mut self.out,
             );
             self.carry_out(now, inputs);
@@ -165,9 +170,10 @@
     /// The directories have said something.
     pub(crate) fn told(&mut self, now: Time, word: Word, inputs: &mut Vec<Input>) {
         match word {
-            Word::News(user) => self
-                .gate
-                .news(now, &self.roster.load(), &user, &mut self.out),
+            Word::News(user) => {
+                self.admission
+                    .user_updated(now, &self.roster.load(), &user, &mut self.out);
+            }
             Word::Changed(user) => {
                 let side = match self.roster.load().look(&user, now) {
                     View::Tenant { tenant, person, .. } => Some((Tenant(tenant.0), person.0)),
@@ -181,7 +187,7 @@
 
     /// Time has passed.
     pub(crate) fn tick(&mut self, now: Time, open: usize, inputs: &mut Vec<Input>) {
-        self.gate.tick(now, &self.roster.load(), &mut self.out);
+        self.admission.tick(now, &self.roster.load(), &mut self.out);
         self.carry_out(now, inputs);
         if self.let_in.len() > open + SLACK {
             // A ticket that was replaced by a later delivery of its message is answered under that one.
@@ -200,14 +206,17 @@
                 .map(|(t, _)| *t)
                 .collect();
             gone.into_iter()
-                .for_each(|ticket| self.over(now, ticket, End::Other, inputs));
+                .for_each(|ticket| self.over(now, ticket, ServiceResult::Other, inputs));
         }
     }
 
     fn carry_out(&mut self, now: Time, inputs: &mut Vec<Input>) {
         for output in self.out.drain(..) {
             match output {
-                Output::Admit(mut trigger, admitted) => {
+                Output::Admit {
+                    request: mut trigger,
+                    admitted,
+                } => {
                     trigger.call.tenant = Some(Tenant(admitted.tenant.0));
                     trigger.call.person = admitted.person.map_or(0, |p| p.0);
                     trigger.call.timeout = trigger
@@ -226,24 +235,28 @@
                     );
                     inputs.push(Input::Trigger(*trigger));
                 }
-                Output::Refuse(trigger, why, after) => {
+                Output::Reject {
+                    request: trigger,
+                    reason,
+                    retry_after: after,
+                } => {
                     let label = trigger.call.label.as_deref();
                     let user = trigger.call.user.as_deref();
                     debug!(
                         front_end = self.front_end,
                         request = label,
                         user,
-                        ?why,
+                        why = ?reason,
                         "not let in"
                     );
                     let retry_after = (after > 0).then_some(after);
                     inputs.push(Input::Reject {
                         trigger: *trigger,
-                        cause: cause(why),
+                        cause: cause(reason),
                         retry_after,
                     });
                 }
-                Output::Want(user, urgent) => {
+                Output::LookUp { user, urgent } => {
                     // With no room the call waits its time and is judged by what is known.
                     let _ = self.wants.try_send(Wanted::Wanted { user, urgent });
                 }
--- a/crates/pipithub-gateway/src/workers.rs
+++ b/crates/pipithub-gateway/src/workers.rs
@@ -102,7 +102,7 @@
     fn put(&self, worker: &WorkerId, connection: Connection) {
         let mut idle = self.idle();
         let connections = idle.entry(worker.0.clone()).or_default();
-        if connections.len() < self.config.idle && !connection.sender.is_closed() {
+        if connections.len() < self.config.max_idle_connections && !connection.sender.is_closed() {
             connections.push(connection);
         }
     }
@@ -249,7 +249,7 @@
     ) -> LoadCommandResult {
         let began = self.clock.now();
         let request = pipithub_inference::order(name, copies, &self.front_end);
-        let most = std::time::Duration::from_nanos(self.config.order_timeout);
+        let most = std::time::Duration::from_nanos(self.config.load_command_timeout);
         let answer =
             tokio::time::timeout(most, self.exchange(&worker, request, Bytes::new(), None)).await;
         let (outcome, copies) = match answer {
@@ -273,14 +273,14 @@
     /// Has a worker unload idle copies; nobody waits for the reply.
     pub(crate) async fn unload(&self, worker: WorkerId, name: &str) {
         let request = pipithub_inference::order(name, 0, &self.front_end);
-        let most = std::time::Duration::from_nanos(self.config.order_timeout);
+        let most = std::time::Duration::from_nanos(self.config.load_command_timeout);
         let _ =
             tokio::time::timeout(most, self.exchange(&worker, request, Bytes::new(), None)).await;
     }
 
     /// Asks a worker for its load.
     pub(crate) async fn probe(&self, worker: WorkerId) -> LoadPollResult {
-        let most = std::time::Duration::from_nanos(self.config.probe_timeout);
+        let most = std::time::Duration::from_nanos(self.config.load_poll_timeout);
         let request = pipithub_inference::probe(&self.front_end);
         let answer =
             tokio::time::timeout(most, self.exchange(&worker, request, Bytes::new(), None)).await;
--- a/crates/pipithub-settings/src/lib.rs
+++ b/crates/pipithub-settings/src/lib.rs
@@ -14,12 +14,14 @@
 pub use fleet::FleetSettings;
 use miette::{Diagnostic, NamedSource, SourceSpan};
 use pipithub_amqp::Login;
-use pipithub_consumer::Qos;
+use pipithub_consumer::backoff::BackoffRange;
 use pipithub_consumer::identity::Rule;
-use pipithub_consumer::message::Route;
+use pipithub_consumer::message::{ClassName, Route};
+use pipithub_consumer::{DeadLetterTarget, Qos};
 use pipithub_engine::{EngineSettings, Time};
 pub use tenants::{
-    DirectoryConfig, ServerConfig, SnapshotConfig, TenantConfig, TenantsConfig, Tls,
+    BindCredentials, DirectoryConfig, ServerConfig, SnapshotConfig, TenantConfig, TenantsConfig,
+    Tls,
 };
 
 /// One fault of a settings file.
@@ -89,7 +91,7 @@
     /// What holds for its messages.
     pub route: Route,
     /// Where copies of unreadable messages go.
-    pub dead_letter: Option<(String, String)>,
+    pub dead_letter: Option<DeadLetterTarget>,
     /// How its messages prove whose they are.
     pub identity: Rule,
 }
@@ -105,8 +107,8 @@
     pub login: Login,
     /// Seconds between heartbeats.
     pub heartbeat: u16,
-    /// Waits between tries: first and longest.
-    pub retry: (Time, Time),
+    /// Waits between attempts to connect.
+    pub reconnect_backoff: BackoffRange,
     /// The queues.
     pub queues: Vec<QueueConfig>,
 }
@@ -124,11 +126,22 @@
     pub body: String,
 }
 
+/// A worker that is listed in the settings.
+#[derive(Clone, Debug, PartialEq)]
+pub struct FixedWorker {
+    /// `host:port`.
+    pub address: String,
+    /// Its zone.
+    pub zone: String,
+    /// Its memory for functions, in MB.
+    pub memory_mb: f64,
+}
+
 /// Where workers are found.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkersConfig {
     /// From `EndpointSlices`.
-    Slices {
+    EndpointSlices {
         /// `http://host:port` of the API server, or of a proxy that logs in to it.
         url: String,
         /// Namespace.
@@ -137,11 +150,11 @@
         service: String,
         /// The port's name; `None`: the first.
         port: Option<String>,
-        /// Where the list is kept for a restart.
-        remember: Option<PathBuf>,
+        /// Where the list is cached for a restart.
+        cache: Option<PathBuf>,
     },
-    /// As listed: address, zone, memory in MB.
-    Fixed(Vec<(String, String, f64)>),
+    /// As listed.
+    Fixed(Vec<FixedWorker>),
 }
 
 /// How workers are reached.
@@ -149,14 +162,14 @@
 pub struct HttpConfig {
     /// A connection that is not up by then counts as refused.
     pub connect_timeout: Time,
-    /// Idle connections kept for each worker.
-    pub idle: usize,
+    /// Idle connections kept open to each worker.
+    pub max_idle_connections: usize,
     /// Answers are taken up to this size.
     pub max_body: usize,
-    /// An order without an answer by then has failed.
-    pub order_timeout: Time,
-    /// A probe without an answer by then has failed.
-    pub probe_timeout: Time,
+    /// A load or evict command without an answer by then has failed.
+    pub load_command_timeout: Time,
+    /// A poll of a worker's load without an answer by then has failed.
+    pub load_poll_timeout: Time,
 }
 
 /// How logs are written.
@@ -175,8 +188,8 @@
     pub name: String,
     /// Front ends in this process; each shares nothing with the others.
     pub instances: u32,
-    /// Names of the classes, and whether a call of each needs a key.
-    pub classes: Vec<(String, bool)>,
+    /// The classes, by their number.
+    pub classes: Vec<ClassName>,
     /// The engine's settings, the module's included.
     pub engine: EngineSettings,
     /// The tenants and their directories; `None`: there are none, and every call may run every function.
@@ -202,11 +215,6 @@
     pub fn parse(name: &str, text: &str) -> Result<Config, Box<Faults>> {
         read::config(text).map_err(|faults| Box::new(Faults::new(name, text, faults)))
     }
-
-    /// The index of a class.
-    pub fn class(&self, name: &str) -> Option<usize> {
-        self.classes.iter().position(|(n, _)| n == name)
-    }
 }
 
 /// A length of time as written in settings: `250ms`, `1.5s`, `10m`, `2h`.
--- a/crates/pipithub-settings/src/read.rs
+++ b/crates/pipithub-settings/src/read.rs
@@ -8,8 +8,9 @@
 use kdl::{KdlDocument, KdlNode, KdlValue};
 use miette::SourceSpan;
 use pipithub_amqp::Login;
-use pipithub_consumer::Qos;
-use pipithub_consumer::message::Route;
+use pipithub_consumer::backoff::BackoffRange;
+use pipithub_consumer::message::{ClassName, Route};
+use pipithub_consumer::{DeadLetterTarget, Qos};
 use pipithub_engine::policy::{
     Class, DeduplicationScope, FunctionLoading, Idempotency, Limits, LoadRateLimit, Settings,
     SlowStart,
@@ -18,8 +19,8 @@
 
 use crate::tenants::{self, Tenants};
 use crate::{
-    AmqpConfig, Config, CronConfig, Fault, HttpConfig, LogConfig, QueueConfig, WorkersConfig, arc,
-    duration,
+    AmqpConfig, Config, CronConfig, Fault, FixedWorker, HttpConfig, LogConfig, QueueConfig,
+    WorkersConfig, arc, duration,
 };
 
 pub(crate) const MS: Time = 1_000_000;
@@ -304,10 +305,10 @@
 
     let mut classes = Vec::new();
     let mut worths = Vec::new();
-    let mut names: Vec<(String, bool)> = Vec::new();
+    let mut names: Vec<ClassName> = Vec::new();
     for node in root.all("class") {
         let name = node.name();
-        if names.iter().any(|(n, _)| *n == name) {
+        if names.iter().any(|known| known.name == name) {
             root.faults.add(
                 node.node.span(),
                 format!("class '{name}' is given twice"),
@@ -316,7 +317,10 @@
         }
         worths.push(node.number("worth", 1.0, 0.0, 1e6));
         let class = class(&node);
-        names.push((name, class.idempotency == Idempotency::WithKey));
+        names.push(ClassName {
+            name,
+            needs_key: class.idempotency == Idempotency::WithKey,
+        });
         classes.push(class);
         node.finish();
     }
@@ -327,7 +331,10 @@
             Some("class \"view\" { effect \"safe\" }"),
         );
         classes.push(Class::default());
-        names.push((String::new(), false));
+        names.push(ClassName {
+            name: String::new(),
+            needs_key: false,
+        });
         worths.push(1.0);
     }
     let longest = classes
@@ -440,10 +447,10 @@
     let node = root.one("http").unwrap_or_else(nothing);
     let http = HttpConfig {
         connect_timeout: node.time("connect-timeout", 250 * MS, MS, 60 * SECOND),
-        idle: node.whole("idle", 64, 0, 10_000) as usize,
+        max_idle_connections: node.whole("idle", 64, 0, 10_000) as usize,
         max_body: node.whole("max-mb", 64, 1, 4_096) as usize * (1 << 20),
-        order_timeout: node.time("order-timeout", 10 * SECOND, 100 * MS, 600 * SECOND),
-        probe_timeout: node.time("probe-timeout", 250 * MS, MS, 60 * SECOND),
+        load_command_timeout: node.time("order-timeout", 10 * SECOND, 100 * MS, 600 * SECOND),
+        load_poll_timeout: node.time("probe-timeout", 250 * MS, MS, 60 * SECOND),
     };
     node.finish();
     let fleet = crate::fleet::read(root, instances);
@@ -533,13 +540,13 @@
 }
 
 /// What holds for the calls of a queue or timer.
-fn route(node: &Reader<'_>, classes: &[(String, bool)]) -> Route {
+fn route(node: &Reader<'_>, classes: &[ClassName]) -> Route {
     let class = node.value("class").and_then(|(value, span)| {
         let found = value
             .as_string()
-            .and_then(|name| classes.iter().position(|(n, _)| n == name));
+            .and_then(|name| classes.iter().position(|class| class.name == name));
         if found.is_none() {
-            let known: Vec<&str> = classes.iter().map(|(n, _)| n.as_str()).collect();
+            let known: Vec<&str> = classes.iter().map(|class| class.name.as_str()).collect();
             let help = format!("classes are {}", known.join(", "));
             node.faults
                 .add(span, format!("there is no class {value}"), Some(&help));
@@ -560,7 +567,7 @@
 
 fn broker(
     node: &Reader<'_>,
-    classes: &[(String, bool)],
+    classes: &[ClassName],
     engine: &EngineSettings,
     tenants: &Tenants,
 ) -> AmqpConfig {
@@ -584,10 +591,10 @@
         login.virtual_host = l.text("vhost").unwrap_or(login.virtual_host);
         l.finish();
     }
-    let retry = (
-        node.time("retry-first", 100 * MS, MS, 60 * SECOND),
-        node.time("retry-most", 5 * SECOND, 10 * MS, 600 * SECOND),
-    );
+    let reconnect_backoff = BackoffRange {
+        initial: node.time("retry-first", 100 * MS, MS, 60 * SECOND),
+        max: node.time("retry-most", 5 * SECOND, 10 * MS, 600 * SECOND),
+    };
     let heartbeat = node.whole("heartbeat", 10, 0, 3_600) as u16;
     let queue = |q: Reader<'_>| {
         let prefetch = q.whole("prefetch", 100, 1, 65_535) as u16;
@@ -599,10 +606,10 @@
             q.faults.add(q.node.span(), text, None);
         }
         let dead_letter = q.one("dead-letter").map(|d| {
-            let target = (
-                d.text("exchange").unwrap_or_default(),
-                d.text("key").unwrap_or_default(),
-            );
+            let target = DeadLetterTarget {
+                exchange: d.text("exchange").unwrap_or_default(),
+                routing_key: d.text("key").unwrap_or_default(),
+            };
             d.finish();
             target
         });
@@ -639,7 +646,7 @@
         addresses,
         login,
         heartbeat,
-        retry,
+        reconnect_backoff,
         queues,
     }
 }
@@ -662,7 +669,7 @@
     text.to_string()
 }
 
-fn timer(node: &Reader<'_>, classes: &[(String, bool)], tenants: &Tenants) -> CronConfig {
+fn timer(node: &Reader<'_>, classes: &[ClassName], tenants: &Tenants) -> CronConfig {
     let name = node.name();
     let schedule = node.value("schedule").map(|(value, span)| {
         let text = value.as_string().unwrap_or_default();
@@ -740,22 +747,22 @@
                 Some(help),
             );
         }
-        let config = WorkersConfig::Slices {
+        let config = WorkersConfig::EndpointSlices {
             url,
             namespace: list.text("namespace").unwrap_or_else(|| "default".into()),
             service: list.text("service").unwrap_or_else(|| "workers".into()),
             port: list.text("port"),
-            remember,
+            cache: remember,
         };
         list.finish();
         config
     } else {
         let read = |w: &Reader<'_>| {
-            let worker = (
-                address(w, w.argument()),
-                w.text("zone").unwrap_or_default(),
-                w.number("memory-mb", 0.0, 0.0, 1e9),
-            );
+            let worker = FixedWorker {
+                address: address(w, w.argument()),
+                zone: w.text("zone").unwrap_or_default(),
+                memory_mb: w.number("memory-mb", 0.0, 0.0, 1e9),
+            };
             w.finish();
             worker
         };
--- a/crates/pipithub-settings/src/tenants.rs
+++ b/crates/pipithub-settings/src/tenants.rs
@@ -4,8 +4,9 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-use pipithub_admission::{GateSettings, SharesSettings, TenantShare};
+use pipithub_admission::{AdmissionSettings, LimitRange, QuotaSettings, RateLimit, TenantQuota};
 use pipithub_consumer::identity::{Keys, Rule};
+use pipithub_consumer::message::ClassName;
 use pipithub_directory::{DirectorySettings, Lifetimes, Peak, TenantBase};
 use pipithub_engine::{Owner, Owners, Tenant, Time};
 use pipithub_ldap::{Dn, filter};
@@ -32,6 +33,15 @@
     pub name: String,
 }
 
+/// What a connection to a directory binds as (RFC 4513, simple authentication).
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct BindCredentials {
+    /// The distinguished name.
+    pub name: String,
+    /// The password.
+    pub password: String,
+}
+
 /// A directory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DirectoryConfig {
@@ -44,7 +54,7 @@
     /// Certificates of the authorities that are trusted, PEM.
     pub ca: Option<PathBuf>,
     /// What to bind as; `None`: anonymous.
-    pub bind: Option<(String, String)>,
+    pub bind: Option<BindCredentials>,
     /// Where searches begin.
     pub base: String,
     /// The attribute that holds the user's name.
@@ -57,8 +67,8 @@
     pub follow: bool,
     /// Connections to each server.
     pub connections: usize,
-    /// How it is asked.
-    pub asking: DirectorySettings,
+    /// How users are looked up in it.
+    pub lookups: DirectorySettings,
 }
 
 /// A tenant.
@@ -100,8 +110,8 @@
     pub tenants: Vec<TenantConfig>,
     /// The directories.
     pub directories: Vec<DirectoryConfig>,
-    /// The gate.
-    pub gate: GateSettings,
+    /// Admission of their requests.
+    pub admission: AdmissionSettings,
     /// Users kept.
     pub max_users: usize,
     /// The snapshot.
@@ -284,7 +294,10 @@
             b.faults
                 .add(b.node.span(), "an empty password binds nobody", None);
         }
-        (written, String::from_utf8_lossy(&password).into_owned())
+        BindCredentials {
+            name: written,
+            password: String::from_utf8_lossy(&password).into_owned(),
+        }
     });
     let filter = node.value("filter").map(|(value, span)| {
         let text = value.as_string().unwrap_or_default().to_string();
@@ -336,7 +349,7 @@
         node.time("retry-first", defaults.wait.0, 10 * MS, 600 * SECOND),
         node.time("retry-most", defaults.wait.1, 10 * MS, 3_600 * SECOND),
     );
-    let asking = DirectorySettings {
+    let lookups = DirectorySettings {
         servers: servers.len(),
         realms: node.all("realm").iter().map(Reader::name).collect(),
         lifetimes,
@@ -363,7 +376,7 @@
         mark_attribute: node.text("mark-attribute"),
         follow: node.flag("follow", false),
         connections: node.whole("connections", 2, 1, 16) as usize,
-        asking,
+        lookups,
         servers,
         name,
     };
@@ -392,7 +405,7 @@
 #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
 pub(crate) fn read(
     root: &Reader<'_>,
-    classes: &[(String, bool)],
+    classes: &[ClassName],
     worths: Vec<f64>,
 ) -> (Tenants, Owners) {
     let keys = keys(root);
@@ -480,14 +493,17 @@
                 });
             let burst = r.number("burst", rate.max(1.0), 1.0, 1e6);
             r.finish();
-            (rate, burst)
+            RateLimit {
+                per_second: rate,
+                burst,
+            }
         });
-        let defaults = TenantShare::default();
-        shares.push(TenantShare {
+        let defaults = TenantQuota::default();
+        shares.push(TenantQuota {
             weight: node.number("weight", 1.0, 0.001, 1e6),
             rate,
-            most: node.whole("most", 1_000_000, 1, 1_000_000) as usize,
-            queue: node.whole("queue", defaults.queue as u64, 0, 100_000) as usize,
+            max_in_flight: node.whole("most", 1_000_000, 1, 1_000_000) as usize,
+            max_queued: node.whole("queue", defaults.max_queued as u64, 0, 100_000) as usize,
         });
         node.finish();
         tenants.push(TenantConfig {
@@ -510,25 +526,25 @@
     let node = root.one("admission");
     let empty = kdl::KdlNode::new("admission");
     let node = node.unwrap_or_else(|| Reader::new(&empty, root.faults));
-    let limit = (
-        node.number("limit-least", 8.0, 1.0, 1e6),
-        node.number("limit-most", 1_024.0, 1.0, 1e6),
-    );
-    if limit.0 > limit.1 {
+    let limit = LimitRange {
+        min: node.number("limit-least", 8.0, 1.0, 1e6),
+        max: node.number("limit-most", 1_024.0, 1.0, 1e6),
+    };
+    if limit.min > limit.max {
         node.faults.add(
             node.node.span(),
             "'limit-least' is above 'limit-most'",
             None,
         );
     }
-    let gate = GateSettings {
-        shares: SharesSettings {
+    let admission = AdmissionSettings {
+        quotas: QuotaSettings {
             tenants: shares,
-            worths,
+            class_weights: worths,
             limit,
-            wait_most: node.time("wait", 20 * MS, 0, 10 * SECOND),
+            max_queue_wait: node.time("wait", 20 * MS, 0, 10 * SECOND),
         },
-        identity_wait: node.time("identity-wait", 40 * MS, 0, 10 * SECOND),
+        max_identity_wait: node.time("identity-wait", 40 * MS, 0, 10 * SECOND),
         max_waiting: node.whole("max-waiting", 4_096, 0, 1_000_000) as usize,
     };
     let max_users = node.whole("max-users", 2_000_000, 1, 100_000_000) as usize;
@@ -560,12 +576,12 @@
         root.faults
             .add((0, 0).into(), "there is a directory and no tenant", None);
     }
-    debug_assert_eq!(classes.len(), gate.shares.worths.len());
+    debug_assert_eq!(classes.len(), admission.quotas.class_weights.len());
     let any = !tenants.is_empty();
     let config = any.then_some(TenantsConfig {
         tenants,
         directories,
-        gate,
+        admission,
         max_users,
         snapshot,
     });
--- a/crates/pipithub-settings/tests/settings.rs
+++ b/crates/pipithub-settings/tests/settings.rs
@@ -66,7 +66,10 @@
         ),
         (200, Some(0))
     );
-    assert!(matches!(config.workers, WorkersConfig::Slices { .. }));
+    assert!(matches!(
+        config.workers,
+        WorkersConfig::EndpointSlices { .. }
+    ));
 }
 
 #[test]
--- a/crates/pipithub/src/tenants.rs
+++ b/crates/pipithub/src/tenants.rs
@@ -63,19 +63,25 @@
 }
 
 fn show(config: &TenantsConfig) {
-    let weights: f64 = config.gate.shares.tenants.iter().map(|t| t.weight).sum();
+    let weights: f64 = config
+        .admission
+        .quotas
+        .tenants
+        .iter()
+        .map(|t| t.weight)
+        .sum();
     println!(
         "{:<16} {:>6} {:>12} {:>8}  {:<12} functions",
         "tenant", "share", "rate", "most", "directory"
     );
-    for (tenant, share) in config.tenants.iter().zip(&config.gate.shares.tenants) {
-        let rate = share.rate.map_or("-".to_string(), |(rate, burst)| {
-            format!("{rate}/s +{burst}")
+    for (tenant, share) in config.tenants.iter().zip(&config.admission.quotas.tenants) {
+        let rate = share.rate.map_or("-".to_string(), |rate| {
+            format!("{}/s +{}", rate.per_second, rate.burst)
         });
-        let most = if share.most >= 1_000_000 {
+        let most = if share.max_in_flight >= 1_000_000 {
             "-".to_string()
         } else {
-            share.most.to_string()
+            share.max_in_flight.to_string()
         };
         println!(
             "{:<16} {:>5.1}% {rate:>12} {most:>8}  {:<12} {}",
@@ -144,7 +150,7 @@
         directories: tenants
             .directories
             .iter()
-            .map(|d| d.asking.clone())
+            .map(|d| d.lookups.clone())
             .collect(),
         tenants: tenants.tenants.iter().map(|t| t.place.clone()).collect(),
         max_users: 16,
@@ -226,7 +232,7 @@
         View::Unknown => {
             println!(
                 "{user}: not known; calls wait {} ms and are refused (user-unknown)",
-                tenants.gate.identity_wait / 1_000_000
+                tenants.admission.max_identity_wait / 1_000_000
             );
             None
         }
