--- a/crates/pipithub-admission/src/admission.rs
+++ b/crates/pipithub-admission/src/admission.rs
@@ -6,55 +6,88 @@
 
 use crate::outputs::{Admitted, Arrival, Completion, Output, RejectReason, ServiceResult};
 use crate::quotas::{Candidate, Decision, QuotaSettings, Quotas};
-use crate::{MS, Time};
+use crate::{SECOND, Time};
 
-/// What a gate is given at its start.
+/// A user's refresh is asked for again after this at the soonest.
+const MIN_REFRESH_INTERVAL: Time = SECOND;
+/// Users that are remembered for that.
+const MAX_REFRESHES: usize = 4_096;
+/// The client of an unknown user should not retry sooner: by then the directories may have answered.
+const UNKNOWN_USER_RETRY_AFTER: Time = SECOND;
+/// A request may spend this part of its time on waiting for its user to be known.
+const IDENTITY_WAIT_DIVISOR: Time = 4;
+
+/// What admission is given at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionSettings {
-    /// Shares and classes.
+    /// Quotas and classes.
     pub quotas: QuotaSettings,
-    /// A call waits no longer than this for its user to be known, nor than a quarter of its time.
+    /// A request waits no longer than this for its user to be known, nor than a quarter of its time.
     pub max_identity_wait: Time,
-    /// Calls that may wait for that.
+    /// Requests that may wait for that.
     pub max_waiting: usize,
 }
 
-/// A call and what is known of it.
+/// A request that is neither admitted nor rejected yet.
 #[derive(Debug)]
 struct Pending<T> {
     arrival: Arrival<T>,
     arrived_at: Time,
+    /// Known once its user's tenant is.
     person: Option<Person>,
 }
 
 impl<T> Pending<T> {
-    fn still_belongs_to(&self, roster: &Roster, now: Time, tenant: usize) -> bool {
-        let (Some(user), Some(person)) = (&self.arrival.user, self.person) else {
+    /// Whether its user is still the person and the tenant's that it was judged by.
+    fn still_belongs_to(&self, tenant: usize, roster: &Roster, now: Time) -> bool {
+        let (Some(user), Some(expected)) = (&self.arrival.user, self.person) else {
             return true;
         };
-        matches!(roster.look(user, now),
-            View::Tenant { tenant: t, person: p, .. } if usize::from(t.0) == tenant && p == person)
+        match roster.look(user, now) {
+            View::Tenant {
+                tenant: current,
+                person,
+                ..
+            } => usize::from(current.0) == tenant && person == expected,
+            _ => false,
+        }
+    }
+
+    fn reject(self, reason: RejectReason, retry_after: Time) -> Output<T> {
+        Output::Reject {
+            request: self.arrival.request,
+            reason,
+            retry_after,
+        }
+    }
+
+    fn admit(self, tenant: usize, now: Time) -> Output<T> {
+        Output::Admit {
+            request: self.arrival.request,
+            admitted: Admitted {
+                tenant: TenantId(tenant as u16),
+                person: self.person,
+                waited: now.saturating_sub(self.arrived_at),
+            },
+        }
     }
 }
 
-/// A front end's gate.
+/// The admission control of a front end.
 #[derive(Debug)]
 pub struct Admission<T> {
     settings: AdmissionSettings,
     waiting: Waiting<Pending<T>>,
     quotas: Quotas<Pending<T>>,
-    /// Users asked for behind their calls, and when: a busy user wants a refresh once, not with each call.
+    /// When a user that is known already was last asked for again: a busy user's refresh is wanted once, not with each
+    /// request.
     refreshes: BTreeMap<User, Time>,
+    /// Used again for each step, so that it is allocated once.
     decisions: Vec<Decision<Pending<T>>>,
 }
 
-/// A user's refresh is wanted again after this at the soonest.
-const MIN_REFRESH_INTERVAL: Time = 1_000 * MS;
-/// Users that are remembered for that.
-const MAX_REFRESHES: usize = 4_096;
-
 impl<T> Admission<T> {
-    /// A gate that has let nothing in.
+    /// One that has admitted nothing.
     pub fn new(settings: AdmissionSettings) -> Self {
         Admission {
             waiting: Waiting::new(settings.max_waiting),
@@ -65,12 +98,12 @@
         }
     }
 
-    /// Calls that wait for anything here.
+    /// Requests that wait for anything here.
     pub fn pending(&self) -> usize {
         self.waiting.len() + self.quotas.queued()
     }
 
-    /// When [`Gate::tick`] is due next.
+    /// When [`Admission::tick`] is due next.
     pub fn next_due(&self) -> Option<Time> {
         [self.waiting.next_due(), self.quotas.next_due()]
             .into_iter()
@@ -78,13 +111,13 @@
             .min()
     }
 
-    /// A call comes in.
+    /// A request arrives.
     pub fn arrive(
         &mut self,
         now: Time,
         roster: &Roster,
         arrival: Arrival<T>,
-        out: &mut Vec<Output<T>>,
+        outputs: &mut Vec<Output<T>>,
     ) {
         let pending = Pending {
             arrived_at: now,
@@ -92,63 +125,67 @@
             arrival,
         };
         let Some(user) = pending.arrival.user.clone() else {
-            return match pending.arrival.route_tenant {
-                // A route that takes calls without users speaks for its tenant: a timer's, a desk's own queue.
-                Some(tenant) => self.offer(now, roster, pending, tenant, out),
-                None => out.push(Output::Reject {
-                    request: pending.arrival.request,
-                    reason: RejectReason::NoUser,
-                    retry_after: 0,
-                }),
-            };
+            return self.arrive_without_user(now, roster, pending, outputs);
         };
         let view = roster.look(&user, now);
-        let wait = match view {
+        if !self.needs_lookup(now, &user, view, outputs) {
+            return self.judge(now, roster, view, pending, outputs);
+        }
+        let max_wait = pending.arrival.remaining / IDENTITY_WAIT_DIVISOR;
+        let until = now + self.settings.max_identity_wait.min(max_wait);
+        match self.waiting.add(now, until, user.clone(), pending) {
+            Ok(()) => outputs.push(Output::LookUp { user, urgent: true }),
+            // As many wait as may: it is judged by what is known.
+            Err(pending) => self.judge(now, roster, view, pending, outputs),
+        }
+    }
+
+    /// A route that takes requests without users speaks for its tenant: a timer's, a desk's own queue.
+    fn arrive_without_user(
+        &mut self,
+        now: Time,
+        roster: &Roster,
+        pending: Pending<T>,
+        outputs: &mut Vec<Output<T>>,
+    ) {
+        match pending.arrival.route_tenant {
+            Some(tenant) => self.offer(now, roster, pending, tenant, outputs),
+            None => outputs.push(pending.reject(RejectReason::NoUser, 0)),
+        }
+    }
+
+    /// Whether a request has to wait for its user to be looked up; a refresh that it need not wait for is asked for here.
+    fn needs_lookup(
+        &mut self,
+        now: Time,
+        user: &User,
+        view: View,
+        outputs: &mut Vec<Output<T>>,
+    ) -> bool {
+        match view {
             View::Unknown => true,
-            View::Tenant {
-                refresh: Refresh::Behind,
-                ..
-            } => {
-                if self.may_refresh(now, &user) {
-                    out.push(Output::LookUp {
-                        user: user.clone(),
+            View::Tenant { refresh, .. } => {
+                if refresh == Refresh::Behind && self.may_refresh(now, user) {
+                    let user = user.clone();
+                    outputs.push(Output::LookUp {
+                        user,
                         urgent: false,
                     });
                 }
-                false
+                refresh == Refresh::First
             }
-            View::Tenant {
-                refresh: Refresh::First,
-                ..
-            } => true,
-            View::Tenant { .. } | View::Nobody | View::Twice => false,
-        };
-        if !wait {
-            return self.judge(now, roster, view, pending, out);
-        }
-        let until = now
-            + self
-                .settings
-                .max_identity_wait
-                .min(pending.arrival.remaining / 4);
-        match self.waiting.add(now, until, user.clone(), pending) {
-            Ok(()) => out.push(Output::LookUp { user, urgent: true }),
-            // As many wait as may: it is judged by what is known.
-            Err(pending) => self.judge(now, roster, view, pending, out),
+            View::Nobody | View::Twice => false,
         }
     }
 
+    /// Whether a user's refresh was not asked for a moment ago; from now on it was.
     fn may_refresh(&mut self, now: Time, user: &User) -> bool {
-        if self
-            .refreshes
-            .get(user)
-            .is_some_and(|at| now < *at + MIN_REFRESH_INTERVAL)
-        {
+        let is_recent = |at: Time| now < at + MIN_REFRESH_INTERVAL;
+        if self.refreshes.get(user).is_some_and(|at| is_recent(*at)) {
             return false;
         }
         if self.refreshes.len() >= MAX_REFRESHES {
-            self.refreshes
-                .retain(|_, at| now < *at + MIN_REFRESH_INTERVAL);
+            self.refreshes.retain(|_, at| is_recent(*at));
         }
         if self.refreshes.len() < MAX_REFRESHES {
             self.refreshes.insert(user.clone(), now);
@@ -156,42 +193,29 @@
         true
     }
 
+    /// Decides by what is known of a request's user.
     fn judge(
         &mut self,
         now: Time,
         roster: &Roster,
         view: View,
-        pending: Pending<T>,
-        out: &mut Vec<Output<T>>,
+        mut pending: Pending<T>,
+        outputs: &mut Vec<Output<T>>,
     ) {
-        let refuse = |pending: Pending<T>, reason, retry_after| Output::Reject {
-            request: pending.arrival.request,
-            reason,
-            retry_after,
-        };
         match view {
             View::Tenant { tenant, person, .. } => {
-                if pending
-                    .arrival
-                    .route_tenant
-                    .is_some_and(|route| route != tenant)
-                {
-                    return out.push(refuse(pending, RejectReason::OtherTenant, 0));
+                let route_tenant = pending.arrival.route_tenant;
+                if route_tenant.is_some_and(|expected| expected != tenant) {
+                    return outputs.push(pending.reject(RejectReason::OtherTenant, 0));
                 }
-                self.offer(
-                    now,
-                    roster,
-                    Pending {
-                        person: Some(person),
-                        ..pending
-                    },
-                    tenant,
-                    out,
-                );
+                pending.person = Some(person);
+                self.offer(now, roster, pending, tenant, outputs);
+            }
+            View::Nobody => outputs.push(pending.reject(RejectReason::NoTenant, 0)),
+            View::Twice => outputs.push(pending.reject(RejectReason::ClaimedTwice, 0)),
+            View::Unknown => {
+                outputs.push(pending.reject(RejectReason::UnknownUser, UNKNOWN_USER_RETRY_AFTER));
             }
-            View::Nobody => out.push(refuse(pending, RejectReason::NoTenant, 0)),
-            View::Twice => out.push(refuse(pending, RejectReason::ClaimedTwice, 0)),
-            View::Unknown => out.push(refuse(pending, RejectReason::UnknownUser, 1_000 * MS)),
         }
     }
 
@@ -201,138 +225,106 @@
         roster: &Roster,
         pending: Pending<T>,
         tenant: TenantId,
-        out: &mut Vec<Output<T>>,
+        outputs: &mut Vec<Output<T>>,
     ) {
-        let remaining = pending
-            .arrival
-            .remaining
-            .saturating_sub(now - pending.arrived_at);
-        let class = pending.arrival.class;
+        let waited = now - pending.arrived_at;
+        let remaining = pending.arrival.remaining.saturating_sub(waited);
         let candidate = Candidate {
-            request: pending,
             tenant: usize::from(tenant.0),
-            class,
+            class: pending.arrival.class,
+            request: pending,
         };
         self.quotas
             .offer(now, candidate, remaining, &mut self.decisions);
-        self.carry_out(now, roster, out);
+        self.apply_decisions(now, roster, outputs);
     }
 
-    fn carry_out(&mut self, now: Time, roster: &Roster, out: &mut Vec<Output<T>>) {
+    fn apply_decisions(&mut self, now: Time, roster: &Roster, outputs: &mut Vec<Output<T>>) {
         // Taken from the end: those that were given their places first go first.
         self.decisions.reverse();
-        while let Some(start) = self.decisions.pop() {
-            let start = match start {
-                // It may have waited for its place while its user moved.
-                Decision::Admit(candidate)
-                    if !candidate
-                        .request
-                        .still_belongs_to(roster, now, candidate.tenant) =>
-                {
-                    self.quotas.completed(
-                        now,
-                        candidate.tenant,
-                        ServiceResult::Other,
-                        0,
-                        &mut self.decisions,
-                    );
-                    let view = candidate
-                        .request
-                        .arrival
-                        .user
-                        .as_deref()
-                        .map_or(View::Unknown, |u| roster.look(u, now));
-                    let why = if view == View::Twice {
-                        RejectReason::ClaimedTwice
-                    } else {
-                        RejectReason::UnknownUser
-                    };
-                    out.push(Output::Reject {
-                        request: candidate.request.arrival.request,
-                        reason: why,
-                        retry_after: 0,
-                    });
-                    continue;
-                }
-                start => start,
-            };
-            let (candidate, refused) = match start {
-                Decision::Admit(candidate) => (candidate, None),
+        while let Some(decision) = self.decisions.pop() {
+            outputs.push(match decision {
+                Decision::Admit(Candidate {
+                    request, tenant, ..
+                }) => self.admit(now, roster, request, tenant),
                 Decision::Reject {
                     candidate,
                     reason,
                     retry_after,
-                } => (candidate, Some((reason, retry_after))),
-            };
-            let pending = candidate.request;
-            let waited = now.saturating_sub(pending.arrived_at);
-            let tenant = TenantId(candidate.tenant as u16);
-            out.push(match refused {
-                None => Output::Admit {
-                    request: pending.arrival.request,
-                    admitted: Admitted {
-                        tenant,
-                        person: pending.person,
-                        waited,
-                    },
-                },
-                Some((reason, retry_after)) => Output::Reject {
-                    request: pending.arrival.request,
-                    reason,
-                    retry_after,
-                },
+                } => candidate.request.reject(reason, retry_after),
             });
         }
     }
 
-    /// There is news of a user: whoever waits for it is judged by what is known now.
+    /// Admits a request that has a place, unless its user moved while it waited for that.
+    fn admit(
+        &mut self,
+        now: Time,
+        roster: &Roster,
+        pending: Pending<T>,
+        tenant: usize,
+    ) -> Output<T> {
+        if pending.still_belongs_to(tenant, roster, now) {
+            return pending.admit(tenant, now);
+        }
+        let result = ServiceResult::Other;
+        self.quotas
+            .completed(now, tenant, result, 0, &mut self.decisions);
+        let user = pending.arrival.user.as_deref();
+        let view = user.map_or(View::Unknown, |user| roster.look(user, now));
+        let reason = if view == View::Twice {
+            RejectReason::ClaimedTwice
+        } else {
+            RejectReason::UnknownUser
+        };
+        pending.reject(reason, 0)
+    }
+
+    /// More is known of a user: whoever waits for it is judged by what is known now.
     pub fn user_updated(
         &mut self,
         now: Time,
         roster: &Roster,
         user: &str,
-        out: &mut Vec<Output<T>>,
+        outputs: &mut Vec<Output<T>>,
     ) {
         for woken in self.waiting.wake(user) {
             let view = roster.look(user, now);
-            self.judge(now, roster, view, woken.call, out);
+            self.judge(now, roster, view, woken.call, outputs);
         }
     }
 
-    /// A call that was let in has had its final answer, `took` after it was.
+    /// An admitted request has had its final answer.
     pub fn completed(
         &mut self,
         now: Time,
         roster: &Roster,
-        Completion {
-            tenant,
-            result,
-            service_time,
-        }: Completion,
-        out: &mut Vec<Output<T>>,
+        completion: Completion,
+        outputs: &mut Vec<Output<T>>,
     ) {
-        self.quotas.completed(
-            now,
-            usize::from(tenant.0),
+        let Completion {
+            tenant,
             result,
             service_time,
-            &mut self.decisions,
-        );
-        self.carry_out(now, roster, out);
+        } = completion;
+        let tenant = usize::from(tenant.0);
+        self.quotas
+            .completed(now, tenant, result, service_time, &mut self.decisions);
+        self.apply_decisions(now, roster, outputs);
     }
 
     /// Time has passed.
-    pub fn tick(&mut self, now: Time, roster: &Roster, out: &mut Vec<Output<T>>) {
+    pub fn tick(&mut self, now: Time, roster: &Roster, outputs: &mut Vec<Output<T>>) {
         for woken in self.waiting.due(now) {
-            // What is known and past its best is still better than a refusal, up to its hard bound.
+            // What is known and past its best is still better than a rejection, up to its hard bound.
             let view = roster.look(&woken.user, now);
-            self.judge(now, roster, view, woken.call, out);
+            self.judge(now, roster, view, woken.call, outputs);
         }
         self.quotas.tick(now, &mut self.decisions);
-        self.carry_out(now, roster, out);
+        self.apply_decisions(now, roster, outputs);
     }
 
-    /// Calls that their source took back; nothing is owed for them any more.
+    /// Drops requests that their source took back; nothing is owed for them any more.
     pub fn cancel(&mut self, mut is_cancelled: impl FnMut(&T) -> bool) {
         self.waiting
             .forget(|pending| is_cancelled(&pending.arrival.request));
--- a/crates/pipithub-admission/src/quotas/tests.rs
+++ b/crates/pipithub-admission/src/quotas/tests.rs
@@ -2,10 +2,8 @@
 
 use std::collections::VecDeque;
 
-use super::{
-    CUT_FACTOR_WITHIN_QUOTA, Candidate, Decision, LimitRange, QuotaSettings, Quotas, RateLimit,
-    TenantQuota,
-};
+use super::limit::CUT_FACTOR_WITHIN_QUOTA;
+use super::{Candidate, Decision, LimitRange, QuotaSettings, Quotas, RateLimit, TenantQuota};
 use crate::outputs::{RejectReason, ServiceResult};
 use crate::{MS, SECOND, Time};
 
@@ -228,7 +226,7 @@
             &mut decisions,
         );
     }
-    assert_eq!(quotas.limit, 100.0);
+    assert_eq!(quotas.limit.current(), 100.0);
 }
 
 /// Whatever the limit has come to, a tenant has its part of the requests that are being served.
@@ -261,16 +259,16 @@
     let mut decisions = Vec::new();
     quotas.completed(MS, 1, ServiceResult::NoWorkerInTime, MS, &mut decisions);
     assert!(
-        (quotas.limit - 21.0 * CUT_FACTOR_WITHIN_QUOTA).abs() < 1e-9,
+        (quotas.limit.current() - 21.0 * CUT_FACTOR_WITHIN_QUOTA).abs() < 1e-9,
         "{}",
-        quotas.limit
+        quotas.limit.current()
     );
     quotas.completed(2 * MS, 0, ServiceResult::NoWorkerInTime, MS, &mut decisions);
     assert!(
-        (quotas.limit - 21.0 * CUT_FACTOR_WITHIN_QUOTA).abs() < 1e-9,
+        (quotas.limit.current() - 21.0 * CUT_FACTOR_WITHIN_QUOTA).abs() < 1e-9,
         "one cut at a time"
     );
     quotas.tick(60 * SECOND, &mut decisions);
     quotas.tick(120 * SECOND, &mut decisions);
-    assert!(quotas.limit > 90.0, "{}", quotas.limit);
+    assert!(quotas.limit.current() > 90.0, "{}", quotas.limit.current());
 }
