--- a/crates/pipithub-consumer/src/backoff.rs
+++ b/crates/pipithub-consumer/src/backoff.rs
@@ -14,8 +14,8 @@
 /// Waits between attempts that fail.
 #[derive(Clone, Debug)]
 pub struct Backoff {
-    first: Time,
-    longest: Time,
+    initial: Time,
+    max: Time,
     /// Health that lasts so long forgets the failures before it.
     healthy: Time,
     failures: u32,
@@ -24,11 +24,11 @@
 }
 
 impl Backoff {
-    /// Waits from `first`, doubling to `longest`; equal seeds wait equally.
-    pub fn new(first: Time, longest: Time, healthy: Time, seed: u64) -> Self {
+    /// Waits from `initial`, doubling to `max`; equal seeds wait equally.
+    pub fn new(initial: Time, max: Time, healthy: Time, seed: u64) -> Self {
         Backoff {
-            first,
-            longest,
+            initial,
+            max,
             healthy,
             failures: 0,
             up_since: None,
@@ -53,9 +53,9 @@
             self.failures = 0;
         }
         let wait = self
-            .first
+            .initial
             .saturating_mul(1 << self.failures.min(20))
-            .min(self.longest);
+            .min(self.max);
         self.failures = self.failures.saturating_add(1);
         // xorshift64: chance enough for jitter.
         self.random ^= self.random << 13;
--- a/crates/pipithub-consumer/src/consumer.rs
+++ b/crates/pipithub-consumer/src/consumer.rs
@@ -20,7 +20,7 @@
 /// Answers and acks in one transaction.
 const MAX_BATCH: usize = 128;
 /// The limit on deliveries is changed no more often: each change is a round trip.
-const QOS_GAP: Time = 50 * MS;
+const MIN_QOS_INTERVAL: Time = 50 * MS;
 
 /// How the limit on deliveries is set at the broker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -138,7 +138,7 @@
 
 /// A limit on deliveries, and when the broker was sent it.
 #[derive(Clone, Copy, Debug, Default)]
-struct SentLimit {
+struct AppliedLimit {
     count: u16,
     at: Time,
 }
@@ -151,17 +151,17 @@
     phase: Phase,
     backoff: Backoff,
     tag: ShortStr,
-    tags: u64,
+    tag_count: u64,
     next_ticket: u64,
     in_flight: BTreeMap<u64, InFlight>,
     pending: VecDeque<(u64, PendingAnswer)>,
     /// Tickets of the transaction that is under way.
     committing: Vec<u64>,
     blocked: bool,
-    room: usize,
+    capacity: usize,
     /// The limit on deliveries as last sent.
-    sent_limit: SentLimit,
-    stopping: bool,
+    applied_limit: AppliedLimit,
+    shutting_down: bool,
     /// The exchange for dead letters is not there: a message that cannot be read must not end the channel again and
     /// again, so it is rejected instead.
     no_dead_letters: bool,
@@ -180,19 +180,19 @@
         Consumer {
             backoff: Backoff::new(initial, max, 10_000 * MS, seed),
             tag: ShortStr::truncated(&settings.front_end),
-            room: usize::from(settings.prefetch),
+            capacity: usize::from(settings.prefetch),
             identity: Identity::new(settings.identity.clone()),
             settings,
             endpoint: None,
             phase: Phase::Idle(now),
-            tags: 0,
+            tag_count: 0,
             next_ticket: 1,
             in_flight: BTreeMap::new(),
             pending: VecDeque::new(),
             committing: Vec::new(),
             blocked: false,
-            sent_limit: SentLimit::default(),
-            stopping: false,
+            applied_limit: AppliedLimit::default(),
+            shutting_down: false,
             no_dead_letters: false,
             notices: VecDeque::new(),
             wall_ms: 0,
@@ -208,7 +208,7 @@
     }
 
     /// Deliveries that are not settled.
-    pub fn held(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
@@ -242,7 +242,7 @@
     fn lost(&mut self, why: &str) {
         self.endpoint = None;
         self.void(why);
-        self.phase = if self.stopping {
+        self.phase = if self.shutting_down {
             Phase::Stopped
         } else {
             Phase::Idle(self.now + self.backoff.down(self.now))
@@ -265,15 +265,15 @@
         if let Some(endpoint) = &mut self.endpoint {
             endpoint.receive(now, bytes);
         }
-        self.events();
+        self.handle_events();
     }
 
     /// When [`Consumer::on_time`] is due; while idle, when a transport is wanted.
     pub fn next_timeout(&self) -> Option<Time> {
         let own = match self.phase {
             Phase::Paused(_, at) => at,
-            Phase::Consuming(_) if self.limit() != self.sent_limit.count => {
-                Some(self.sent_limit.at + QOS_GAP)
+            Phase::Consuming(_) if self.delivery_limit() != self.applied_limit.count => {
+                Some(self.applied_limit.at + MIN_QOS_INTERVAL)
             }
             _ => None,
         };
@@ -289,13 +289,13 @@
         if let Some(endpoint) = &mut self.endpoint {
             endpoint.on_time(now);
         }
-        self.events();
+        self.handle_events();
         if let Phase::Paused(channel, Some(at)) = self.phase
             && now >= at
         {
             self.phase = Phase::Paused(channel, None);
         }
-        self.apply_room();
+        self.apply_capacity();
     }
 
     /// Takes the bytes to write.
@@ -316,9 +316,9 @@
     }
 
     /// How many more deliveries the engine has room for.
-    pub fn set_room(&mut self, now: Time, room: usize) {
-        (self.now, self.room) = (now, room);
-        self.apply_room();
+    pub fn set_capacity(&mut self, now: Time, capacity: usize) {
+        (self.now, self.capacity) = (now, capacity);
+        self.apply_capacity();
     }
 
     /// Gives a trigger its final answer. Void tickets are passed over.
@@ -328,25 +328,26 @@
     }
 
     /// Settles a trigger without an answer.
-    pub fn forget(&mut self, now: Time, ticket: Ticket) {
+    pub fn acknowledge(&mut self, now: Time, ticket: Ticket) {
         self.now = now;
         self.enqueue_answer(ticket.number, PendingAnswer::Nothing);
     }
 
     /// Takes no more deliveries; once all are settled the connection is closed.
-    pub fn stop(&mut self, now: Time) {
+    pub fn shutdown(&mut self, now: Time) {
         self.now = now;
-        self.stopping = true;
+        self.shutting_down = true;
         match self.phase {
             Phase::Idle(_) => self.phase = Phase::Stopped,
             Phase::Consuming(channel) => self.pause(channel, None),
             _ => {}
         }
-        self.finish_stop();
+        self.finish_shutdown();
     }
 
-    fn finish_stop(&mut self) {
-        if self.stopping && self.in_flight.is_empty() && !matches!(self.phase, Phase::Stopped) {
+    fn finish_shutdown(&mut self) {
+        if self.shutting_down && self.in_flight.is_empty() && !matches!(self.phase, Phase::Stopped)
+        {
             if let Some(endpoint) = &mut self.endpoint {
                 endpoint.close(Fault::new(Code::Success, "done"));
             }
@@ -383,34 +384,34 @@
     // ---- the limit on deliveries ----
 
     /// Deliveries to hold at most: those held, and as many more as there is room for.
-    fn limit(&self) -> u16 {
+    fn delivery_limit(&self) -> u16 {
         let most = usize::from(self.settings.prefetch.max(1));
-        (self.in_flight.len() + self.room).clamp(1, most) as u16
+        (self.in_flight.len() + self.capacity).clamp(1, most) as u16
     }
 
-    fn apply_room(&mut self) {
+    fn apply_capacity(&mut self) {
         match self.phase {
             Phase::Consuming(channel) => {
-                if self.room == 0 {
+                if self.capacity == 0 {
                     return self.pause(channel, None);
                 }
-                let limit = self.limit();
+                let limit = self.delivery_limit();
                 // Small steps up are not worth a round trip; each step down is.
-                let worth = limit < self.sent_limit.count
+                let worth = limit < self.applied_limit.count
                     || limit == self.settings.prefetch
-                    || limit >= self.sent_limit.count * 2;
+                    || limit >= self.applied_limit.count * 2;
                 if self.settings.qos == Qos::Channel
-                    && limit != self.sent_limit.count
+                    && limit != self.applied_limit.count
                     && worth
-                    && self.now >= self.sent_limit.at + QOS_GAP
+                    && self.now >= self.applied_limit.at + MIN_QOS_INTERVAL
                 {
                     self.send_limit(limit);
                 }
             }
             // Begun again only with some room, or each message would begin and end a consumer.
-            Phase::Paused(channel, None) if !self.stopping => {
+            Phase::Paused(channel, None) if !self.shutting_down => {
                 let enough = (usize::from(self.settings.prefetch) / 4).max(1);
-                if self.room >= enough || self.in_flight.is_empty() && self.room > 0 {
+                if self.capacity >= enough || self.in_flight.is_empty() && self.capacity > 0 {
                     self.consume(channel);
                 }
             }
@@ -419,7 +420,7 @@
     }
 
     fn send_limit(&mut self, limit: u16) {
-        self.sent_limit = SentLimit {
+        self.applied_limit = AppliedLimit {
             count: limit,
             at: self.now,
         };
@@ -441,12 +442,12 @@
     }
 
     fn consume(&mut self, channel: u16) {
-        let limit = self.limit();
+        let limit = self.delivery_limit();
         self.phase = Phase::Setup(channel);
         self.send_limit(limit);
         // A new tag each time: a delivery for the last one may still be on its way.
-        self.tags += 1;
-        self.tag = ShortStr::truncated(&format!("{}-{}", self.settings.front_end, self.tags));
+        self.tag_count += 1;
+        self.tag = ShortStr::truncated(&format!("{}-{}", self.settings.front_end, self.tag_count));
         self.send(Method::BasicConsume {
             queue: ShortStr::truncated(&self.settings.queue),
             consumer_tag: self.tag.clone(),
@@ -460,7 +461,7 @@
 
     // ---- events ----
 
-    fn events(&mut self) {
+    fn handle_events(&mut self) {
         while let Some(event) = self.endpoint.as_mut().and_then(Endpoint::poll_event) {
             match event {
                 Event::Connected => {
@@ -484,7 +485,7 @@
                 }
                 Event::Method {
                     method, content, ..
-                } => self.method(method, content),
+                } => self.handle_method(method, content),
                 Event::Blocked(reason) => {
                     self.blocked = reason.is_some();
                     self.notices.push_back(Notice::Blocked(reason));
@@ -510,7 +511,7 @@
                     self.void(&fault.to_string());
                     // The shell writes what is left and then tells that the transport is gone.
                     let next = self.now + self.backoff.down(self.now);
-                    self.phase = if self.stopping {
+                    self.phase = if self.shutting_down {
                         Phase::Stopped
                     } else {
                         Phase::Idle(next)
@@ -521,16 +522,16 @@
         }
     }
 
-    fn method(&mut self, method: Method, content: Option<Box<Content>>) {
+    fn handle_method(&mut self, method: Method, content: Option<Box<Content>>) {
         let Some(channel) = self.channel() else {
             return;
         };
         match (method, content) {
             (Method::TxSelectOk {}, _) => {
-                if self.stopping {
-                    return self.finish_stop();
+                if self.shutting_down {
+                    return self.finish_shutdown();
                 }
-                if self.room == 0 {
+                if self.capacity == 0 {
                     self.backoff.up(self.now);
                     self.phase = Phase::Paused(channel, None);
                 } else {
@@ -541,7 +542,7 @@
                 self.phase = Phase::Consuming(channel);
                 self.backoff.up(self.now);
                 self.notices.push_back(Notice::Consuming);
-                if self.stopping || self.room == 0 {
+                if self.shutting_down || self.capacity == 0 {
                     self.pause(channel, None);
                 }
             }
@@ -558,7 +559,7 @@
                 },
                 Some(content),
             ) => {
-                self.delivered(delivery_tag, redelivered, *content);
+                self.handle_delivery(delivery_tag, redelivered, *content);
             }
             (Method::BasicReturn { routing_key, .. }, Some(content)) => {
                 let correlation_id = content
@@ -582,14 +583,14 @@
                     }
                 }
                 self.begin_commit();
-                self.apply_room();
-                self.finish_stop();
+                self.apply_capacity();
+                self.finish_shutdown();
             }
             _ => {}
         }
     }
 
-    fn delivered(&mut self, tag: u64, redelivered: bool, content: Content) {
+    fn handle_delivery(&mut self, tag: u64, redelivered: bool, content: Content) {
         let number = self.next_ticket;
         self.next_ticket += 1;
         self.in_flight.insert(
--- a/crates/pipithub-consumer/src/message.rs
+++ b/crates/pipithub-consumer/src/message.rs
@@ -150,7 +150,7 @@
     let headers = Headers(properties.headers.as_ref());
     let class = class(properties, headers, route, classes)?;
     let function = function(headers, route)?;
-    let client_wait = client_wait(properties, headers, route)?;
+    let client_timeout = client_timeout(properties, headers, route)?;
     let sent = SendTime::read(properties, headers)?;
     let waited = sent.latest_ms.map_or(0, |sent_ms| arrival.since(sent_ms));
     let message_id = message_id(properties);
@@ -162,7 +162,7 @@
     let call = Call {
         function,
         class,
-        timeout: client_wait.map(|wait| wait.saturating_sub(waited)),
+        timeout: client_timeout.map(|timeout| timeout.saturating_sub(waited)),
         waited,
         age: sent
             .earliest_ms
@@ -233,7 +233,7 @@
 }
 
 /// How long the client waits, from its sending on.
-fn client_wait(
+fn client_timeout(
     properties: &Properties,
     headers: Headers<'_>,
     route: &Route,
--- a/crates/pipithub-consumer/tests/with_broker.rs
+++ b/crates/pipithub-consumer/tests/with_broker.rs
@@ -332,7 +332,7 @@
                     front.attempts.push((id, label));
                 }
                 Output::Answer { ticket, reply } => front.consumer.answer(now, ticket, reply),
-                Output::Forget(ticket) => front.consumer.forget(now, ticket),
+                Output::Forget(ticket) => front.consumer.acknowledge(now, ticket),
                 Output::Cancel(id) => {
                     front.attempts.retain(|(a, _)| *a != id);
                     let end = end(id, Outcome::Cancelled);
@@ -343,7 +343,7 @@
                 _ => {}
             }
         }
-        front.consumer.set_room(now, front.engine.room());
+        front.consumer.set_capacity(now, front.engine.room());
         moved
     }
 
@@ -470,7 +470,10 @@
     assert_eq!(bed.verdicts(), [("a", vec!["served"])]);
     assert_eq!(bed.broker.depth("calls"), Some((0, 0)));
     assert_eq!(
-        (bed.fronts[0].engine.open(), bed.fronts[0].consumer.held()),
+        (
+            bed.fronts[0].engine.open(),
+            bed.fronts[0].consumer.in_flight()
+        ),
         (0, 0)
     );
 }
@@ -631,7 +634,7 @@
         }
         bed.settle();
         for _ in 0..50 {
-            let held = bed.fronts[0].consumer.held();
+            let held = bed.fronts[0].consumer.in_flight();
             assert!(held <= 8, "{held} held");
             bed.serve(Outcome::Served);
             bed.pass(60 * MS);
@@ -702,13 +705,13 @@
     (0..8).for_each(|n| bed.publish(&format!("{n}"), |_| {}));
     bed.settle();
     let now = bed.now;
-    bed.fronts[0].consumer.stop(now);
+    bed.fronts[0].consumer.shutdown(now);
     bed.settle();
-    let mine = bed.fronts[0].consumer.held();
+    let mine = bed.fronts[0].consumer.in_flight();
     assert!(mine > 0);
     bed.publish("late", |_| {});
     bed.settle();
-    assert_eq!(bed.fronts[0].consumer.held(), mine, "nothing new");
+    assert_eq!(bed.fronts[0].consumer.in_flight(), mine, "nothing new");
     bed.serve(Outcome::Served);
     assert_eq!(bed.fronts[0].consumer.phase(), Phase::Stopped);
     assert_eq!(bed.answers.len(), 9);
--- a/crates/pipithub-gateway/src/amqp.rs
+++ b/crates/pipithub-gateway/src/amqp.rs
@@ -139,9 +139,9 @@
         let now = self.clock.now();
         match order {
             Some(Order::Answer(ticket, reply)) => self.consumer.answer(now, ticket, reply),
-            Some(Order::Forget(ticket)) => self.consumer.forget(now, ticket),
+            Some(Order::Forget(ticket)) => self.consumer.acknowledge(now, ticket),
             // The front end is gone: nobody could be handed anything any more.
-            Some(Order::Stop) | None => self.consumer.stop(now),
+            Some(Order::Stop) | None => self.consumer.shutdown(now),
         }
     }
 
@@ -153,7 +153,7 @@
         let mut stopped = false;
         loop {
             let room = *self.handle.room.borrow_and_update();
-            self.consumer.set_room(self.clock.now(), room);
+            self.consumer.set_capacity(self.clock.now(), room);
             self.notices().await;
             output.extend_from_slice(&self.consumer.take_output(self.clock.now()));
             let over = matches!(self.consumer.phase(), Phase::Idle(_));
@@ -231,7 +231,7 @@
             // Waits while the engine is behind: the broker then waits in turn.
             if self.inputs.send(input).await.is_err() {
                 let now = self.clock.now();
-                return self.consumer.stop(now);
+                return self.consumer.shutdown(now);
             }
         }
     }
