--- /dev/null
+++ b/crates/pipithub-consumer/src/consumer/commit.rs
@@ -0,0 +1,148 @@
+//! Answers and acknowledgements, which are committed together: one transaction does both or neither.
+
+use std::sync::Arc;
+
+use pipithub_amqp::{Code, Content, Fault, Method, Properties, ShortStr};
+use pipithub_engine::Reply;
+
+use super::{Consumer, DeadLetterTarget};
+use crate::message::{self, Address, Unreadable};
+
+/// Bytes that wait to be written before no further transaction is begun.
+const MAX_OUTPUT: usize = 4 << 20;
+/// Answers and acknowledgements in one transaction.
+const MAX_BATCH: usize = 128;
+
+/// What settles a delivery, until it is committed.
+#[derive(Debug)]
+pub(super) enum PendingAnswer {
+    Answer(Arc<Reply>),
+    Unreadable(Unreadable, Box<Content>),
+    Nothing,
+}
+
+impl Consumer {
+    pub(super) fn enqueue_answer(&mut self, ticket: u64, pending: PendingAnswer) {
+        if self.in_flight.contains_key(&ticket) {
+            self.pending.push_back((ticket, pending));
+            self.begin_commit();
+        }
+    }
+
+    /// Publishes what is pending and acknowledges its messages.
+    pub(super) fn begin_commit(&mut self) {
+        let Some(channel) = self.channel() else {
+            return;
+        };
+        if !self.may_begin_commit() {
+            return;
+        }
+        while self.committing.len() < MAX_BATCH {
+            let Some((ticket, pending)) = self.pending.pop_front() else {
+                break;
+            };
+            let Some(delivery) = self.in_flight.get(&ticket) else {
+                continue;
+            };
+            let (tag, address) = (delivery.tag, delivery.address.clone());
+            let settle = self.publish_pending(channel, tag, &address, pending);
+            self.send(settle);
+            self.committing.push(ticket);
+        }
+        if !self.committing.is_empty() {
+            self.send(Method::TxCommit {});
+        }
+    }
+
+    fn may_begin_commit(&self) -> bool {
+        let has_output_room = self
+            .endpoint
+            .as_ref()
+            .is_some_and(|endpoint| endpoint.output_len() <= MAX_OUTPUT);
+        has_output_room && !self.blocked && self.committing.is_empty() && !self.pending.is_empty()
+    }
+
+    /// Publishes what a delivery is answered with; what settles the delivery itself.
+    fn publish_pending(
+        &mut self,
+        channel: u16,
+        tag: u64,
+        address: &Address,
+        pending: PendingAnswer,
+    ) -> Method {
+        let acknowledge = Method::BasicAck {
+            delivery_tag: tag,
+            multiple: false,
+        };
+        match pending {
+            PendingAnswer::Nothing => acknowledge,
+            PendingAnswer::Answer(reply) => {
+                let (properties, body) = message::answer(address, &reply);
+                self.publish_answer(channel, address, properties, &body);
+                acknowledge
+            }
+            PendingAnswer::Unreadable(why, content) => {
+                let properties = message::answer_unreadable(address, &why);
+                self.publish_answer(channel, address, properties, &[]);
+                if self.publish_dead_letter(channel, &why, &content) {
+                    return acknowledge;
+                }
+                Method::BasicReject {
+                    delivery_tag: tag,
+                    requeue: false,
+                }
+            }
+        }
+    }
+
+    /// Publishes a copy of an unreadable message, where there is a target for it.
+    fn publish_dead_letter(&mut self, channel: u16, why: &Unreadable, content: &Content) -> bool {
+        if self.no_dead_letters {
+            return false;
+        }
+        let Some(target) = self.settings.dead_letter.clone() else {
+            return false;
+        };
+        let DeadLetterTarget {
+            exchange,
+            routing_key,
+        } = target;
+        let queue = &self.settings.queue;
+        let properties = message::dead_letter(&content.properties, queue, why);
+        self.publish(channel, &exchange, &routing_key, properties, &content.body);
+        true
+    }
+
+    fn publish_answer(
+        &mut self,
+        channel: u16,
+        address: &Address,
+        properties: Properties,
+        body: &[u8],
+    ) {
+        if let Some(reply_to) = &address.reply_to {
+            self.publish(channel, "", reply_to, properties, body);
+        }
+    }
+
+    fn publish(
+        &mut self,
+        channel: u16,
+        exchange: &str,
+        routing_key: &str,
+        properties: Properties,
+        body: &[u8],
+    ) {
+        let method = Method::BasicPublish {
+            exchange: ShortStr::truncated(exchange),
+            routing_key: ShortStr::truncated(routing_key),
+            mandatory: true,
+            immediate: false,
+        };
+        if let Some(endpoint) = &mut self.endpoint
+            && let Err(error) = endpoint.send_content(channel, method, properties, body)
+        {
+            endpoint.close(Fault::new(Code::InternalError, error.to_string()));
+        }
+    }
+}
--- /dev/null
+++ b/crates/pipithub-consumer/src/consumer/delivery_limit.rs
@@ -0,0 +1,100 @@
+//! The limit on deliveries: as many as are in flight, and as many more as the engine can take.
+
+use pipithub_amqp::{FieldTable, Method, ShortStr};
+use pipithub_engine::Time;
+
+use super::{Consumer, MS, Phase, Qos};
+
+/// The limit on deliveries is changed no more often: each change is a round trip.
+pub(super) const MIN_QOS_INTERVAL: Time = 50 * MS;
+/// A paused consumer begins again once this part of its prefetch count is free, or each message would begin and end one.
+const RESUME_DIVISOR: usize = 4;
+
+/// A limit on deliveries, and when the broker was sent it.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct AppliedLimit {
+    pub(super) count: u16,
+    pub(super) at: Time,
+}
+
+impl Consumer {
+    /// Deliveries to have in flight at most.
+    pub(super) fn delivery_limit(&self) -> u16 {
+        let max = usize::from(self.settings.prefetch.max(1));
+        (self.in_flight.len() + self.capacity).clamp(1, max) as u16
+    }
+
+    /// Begins, pauses or limits consuming by the engine's capacity.
+    pub(super) fn apply_capacity(&mut self) {
+        match self.phase {
+            Phase::Consuming(channel) if self.capacity == 0 => self.pause(channel, None),
+            Phase::Consuming(_) => {
+                let limit = self.delivery_limit();
+                if self.should_send_limit(limit) {
+                    self.send_limit(limit);
+                }
+            }
+            Phase::Paused(channel, None) if !self.shutting_down && self.may_resume() => {
+                self.consume(channel);
+            }
+            _ => {}
+        }
+    }
+
+    /// Small steps up are not worth a round trip; each step down is.
+    fn should_send_limit(&self, limit: u16) -> bool {
+        let applied = self.applied_limit;
+        let is_worth_sending =
+            limit < applied.count || limit == self.settings.prefetch || limit >= applied.count * 2;
+        self.settings.qos == Qos::Channel
+            && limit != applied.count
+            && is_worth_sending
+            && self.now >= applied.at + MIN_QOS_INTERVAL
+    }
+
+    fn may_resume(&self) -> bool {
+        let enough = (usize::from(self.settings.prefetch) / RESUME_DIVISOR).max(1);
+        self.capacity >= enough || self.in_flight.is_empty() && self.capacity > 0
+    }
+
+    fn send_limit(&mut self, limit: u16) {
+        self.applied_limit = AppliedLimit {
+            count: limit,
+            at: self.now,
+        };
+        let global = self.settings.qos == Qos::Channel;
+        self.send(Method::BasicQos {
+            prefetch_size: 0,
+            prefetch_count: limit,
+            global,
+        });
+    }
+
+    pub(super) fn pause(&mut self, channel: u16, until: Option<Time>) {
+        let consumer_tag = self.tag.clone();
+        self.send(Method::BasicCancel {
+            consumer_tag,
+            no_wait: false,
+        });
+        self.phase = Phase::Paused(channel, until);
+    }
+
+    pub(super) fn consume(&mut self, channel: u16) {
+        let limit = self.delivery_limit();
+        self.phase = Phase::Setup(channel);
+        self.send_limit(limit);
+        // A new tag each time: a delivery for the last one may still be on its way.
+        self.tag_count += 1;
+        let tag = format!("{}-{}", self.settings.front_end, self.tag_count);
+        self.tag = ShortStr::truncated(&tag);
+        self.send(Method::BasicConsume {
+            queue: ShortStr::truncated(&self.settings.queue),
+            consumer_tag: self.tag.clone(),
+            no_local: false,
+            no_ack: false,
+            exclusive: false,
+            no_wait: false,
+            arguments: FieldTable::new(),
+        });
+    }
+}
--- /dev/null
+++ b/crates/pipithub-consumer/src/consumer/events.rs
@@ -0,0 +1,198 @@
+//! What the broker sends: the connection's events, and the methods of the channel.
+
+use pipithub_amqp::{Code, Content, Endpoint, Event, Fault, FieldTable, Method, ShortStr};
+use pipithub_engine::{Call, Ticket, Trigger};
+
+use super::commit::PendingAnswer;
+use super::{Consumer, ConsumerSettings, InFlight, Notice, Phase};
+use crate::message::{self, Address, ArrivalTime};
+
+/// Class and method numbers of AMQP 0-9-1 that faults name.
+const QUEUE_CLASS: u16 = 50;
+const QUEUE_DECLARE: u16 = 10;
+const BASIC_CLASS: u16 = 60;
+const BASIC_PUBLISH: u16 = 40;
+
+impl Consumer {
+    pub(super) fn handle_events(&mut self) {
+        while let Some(event) = self.endpoint.as_mut().and_then(Endpoint::poll_event) {
+            match event {
+                Event::Connected => {
+                    if let Some(Ok(channel)) = self.endpoint.as_mut().map(Endpoint::open_channel) {
+                        self.phase = Phase::Setup(channel);
+                    }
+                }
+                Event::ChannelOpened { .. } => self.set_up_channel(),
+                Event::Method {
+                    method, content, ..
+                } => self.handle_method(method, content),
+                Event::Blocked(reason) => {
+                    self.blocked = reason.is_some();
+                    self.notices.push_back(Notice::Blocked(reason));
+                    self.begin_commit();
+                }
+                Event::ChannelClosed { fault, .. } => self.handle_channel_closed(fault),
+                // The shell writes what is left and then tells that the transport is gone.
+                Event::Closed { fault, .. } if self.phase != Phase::Stopped => {
+                    self.lose_tickets(&fault.to_string());
+                }
+                Event::Closed { .. }
+                | Event::Login { .. }
+                | Event::OpenRequested { .. }
+                | Event::Flow { .. } => {}
+            }
+        }
+    }
+
+    fn set_up_channel(&mut self) {
+        if self.settings.declare {
+            self.send(Method::QueueDeclare {
+                queue: ShortStr::truncated(&self.settings.queue),
+                passive: false,
+                durable: true,
+                exclusive: false,
+                auto_delete: false,
+                no_wait: false,
+                arguments: FieldTable::new(),
+            });
+        }
+        self.send(Method::TxSelect {});
+    }
+
+    fn handle_channel_closed(&mut self, fault: Fault) {
+        let failed_method = (fault.class_id, fault.method_id);
+        if fault.code == Code::NotFound as u16 && failed_method == (BASIC_CLASS, BASIC_PUBLISH) {
+            self.no_dead_letters = true;
+        }
+        // The queue is there with other properties than the plain ones: it is taken as it is.
+        let is_mismatch = fault.code == Code::PreconditionFailed as u16;
+        if is_mismatch && failed_method == (QUEUE_CLASS, QUEUE_DECLARE) {
+            self.settings.declare = false;
+        }
+        // What goes wrong on this channel goes wrong on the next: the connection is begun anew, after a wait.
+        if let Some(endpoint) = &mut self.endpoint {
+            endpoint.close(fault);
+        }
+    }
+
+    fn handle_method(&mut self, method: Method, content: Option<Box<Content>>) {
+        let Some(channel) = self.channel() else {
+            return;
+        };
+        match (method, content) {
+            (Method::TxSelectOk {}, _) => self.handle_transactions_selected(channel),
+            (Method::BasicConsumeOk { .. }, _) if matches!(self.phase, Phase::Setup(_)) => {
+                self.handle_consuming(channel);
+            }
+            (Method::BasicCancel { consumer_tag, .. }, _) if consumer_tag == self.tag => {
+                // Its queue is gone, or its node: what is in flight stays good. The queue may come back.
+                self.notices.push_back(Notice::Cancelled);
+                self.phase = Phase::Paused(channel, Some(self.now + self.backoff.down(self.now)));
+            }
+            (
+                Method::BasicDeliver {
+                    delivery_tag,
+                    redelivered,
+                    ..
+                },
+                Some(content),
+            ) => self.handle_delivery(delivery_tag, redelivered, *content),
+            (Method::BasicReturn { routing_key, .. }, Some(content)) => {
+                let correlation_id = content.properties.correlation_id.as_deref();
+                self.notices.push_back(Notice::Returned {
+                    reply_to: routing_key.to_string(),
+                    correlation_id: correlation_id.map(str::to_string),
+                });
+            }
+            (Method::TxCommitOk {}, _) => self.handle_committed(),
+            _ => {}
+        }
+    }
+
+    fn handle_transactions_selected(&mut self, channel: u16) {
+        if self.shutting_down {
+            return self.finish_shutdown();
+        }
+        if self.capacity == 0 {
+            self.backoff.up(self.now);
+            self.phase = Phase::Paused(channel, None);
+        } else {
+            self.consume(channel);
+        }
+    }
+
+    fn handle_consuming(&mut self, channel: u16) {
+        self.phase = Phase::Consuming(channel);
+        self.backoff.up(self.now);
+        self.notices.push_back(Notice::Consuming);
+        if self.shutting_down || self.capacity == 0 {
+            self.pause(channel, None);
+        }
+    }
+
+    fn handle_delivery(&mut self, tag: u64, redelivered: bool, content: Content) {
+        let number = self.next_ticket;
+        self.next_ticket += 1;
+        let address = Address::of(&content.properties);
+        self.in_flight.insert(number, InFlight { tag, address });
+        match self.read_trigger(number, redelivered, &content) {
+            Ok(trigger) => self.notices.push_back(Notice::Trigger(Box::new(trigger))),
+            Err(why) => {
+                let message_id = content.properties.message_id.as_deref().map(str::to_string);
+                self.notices.push_back(Notice::Unreadable {
+                    message_id,
+                    why: why.clone(),
+                });
+                self.enqueue_answer(number, PendingAnswer::Unreadable(why, Box::new(content)));
+            }
+        }
+    }
+
+    /// Reads a delivery as a request and proves whose it is.
+    fn read_trigger(
+        &mut self,
+        number: u64,
+        redelivered: bool,
+        content: &Content,
+    ) -> Result<Trigger, message::Unreadable> {
+        let ConsumerSettings {
+            source,
+            queue,
+            route,
+            classes,
+            ..
+        } = &self.settings;
+        let arrival = ArrivalTime {
+            wall_ms: self.wall_ms,
+            latest_wall_ms: self.latest_wall_ms,
+        };
+        let read = message::read(content, queue, route, classes, arrival)?;
+        let user = self
+            .identity
+            .user(content, queue, redelivered, self.now, self.wall_ms)?;
+        Ok(Trigger {
+            ticket: Ticket {
+                source: *source,
+                number,
+            },
+            identity: read.identity,
+            redelivered,
+            deliveries: read.deliveries,
+            call: Call { user, ..read.call },
+        })
+    }
+
+    /// The broker has what was published, and the messages are settled.
+    fn handle_committed(&mut self) {
+        for number in std::mem::take(&mut self.committing) {
+            if self.in_flight.remove(&number).is_some() {
+                let source = self.settings.source;
+                self.notices
+                    .push_back(Notice::Settled(Ticket { source, number }));
+            }
+        }
+        self.begin_commit();
+        self.apply_capacity();
+        self.finish_shutdown();
+    }
+}
--- a/crates/pipithub-consumer/src/identity.rs
+++ b/crates/pipithub-consumer/src/identity.rs
@@ -21,7 +21,7 @@
 use pipithub_engine::Time;
 use sha2::{Digest, Sha256};
 
-use crate::message::Unreadable;
+use crate::message::{Unreadable, message_id};
 use crate::replay::{ReplayMemory, Tolerance};
 
 const MS: Time = 1_000_000;
@@ -68,34 +68,28 @@
     replays: ReplayMemory,
 }
 
-fn text<'a>(content: &'a Content, name: &str) -> Option<&'a str> {
+fn header_text<'a>(content: &'a Content, name: &str) -> Option<&'a str> {
     content.properties.headers.as_ref()?.get(name)?.as_str()
 }
 
 /// The text that a signature is over: each part with its length before it, so that no two messages have the same.
 pub fn signed_text(content: &Content, queue: &str) -> Vec<u8> {
-    let p = &content.properties;
-    let header = |name| text(content, name).unwrap_or_default();
-    let sent = p
-        .headers
-        .as_ref()
-        .and_then(|h| h.get("pipithub-sent-ms"))
-        .and_then(pipithub_amqp::FieldValue::as_i64)
-        .unwrap_or(-1);
-    let sent = sent.to_string();
+    let properties = &content.properties;
+    let header = |name| header_text(content, name).unwrap_or_default();
+    let sent = sent_ms(content).unwrap_or(-1).to_string();
     let parts = [
         "pipithub-v1",
         header("pipithub-key-id"),
         header("pipithub-user"),
         sent.as_str(),
         queue,
-        p.message_id.as_deref().unwrap_or_default(),
+        properties.message_id.as_deref().unwrap_or_default(),
         header("pipithub-class"),
-        p.kind.as_deref().unwrap_or_default(),
+        properties.kind.as_deref().unwrap_or_default(),
         header("pipithub-function"),
         header("pipithub-key"),
-        p.reply_to.as_deref().unwrap_or_default(),
-        p.correlation_id.as_deref().unwrap_or_default(),
+        properties.reply_to.as_deref().unwrap_or_default(),
+        properties.correlation_id.as_deref().unwrap_or_default(),
     ];
     let mut all = Vec::new();
     for part in parts {
@@ -122,7 +116,7 @@
         .collect()
 }
 
-fn unhex(text: &str) -> Option<Vec<u8>> {
+fn decode_hex(text: &str) -> Option<Vec<u8>> {
     if !text.is_ascii() || !text.len().is_multiple_of(2) || text.len() > 128 {
         return None;
     }
@@ -141,88 +135,132 @@
         }
     }
 
-    /// The user of a message, folded; `None` where none is asked for. `again`: the broker says that it delivers it again.
-    /// `now` is monotonic time, `wall_ms` the Unix time that it stands for.
+    /// The user of a message, folded; `None` where none is asked for. `redelivered`: the broker says that it delivers it
+    /// again. `now` is monotonic time, `wall_ms` the Unix time that it stands for.
     pub fn user(
         &mut self,
         content: &Content,
         queue: &str,
-        again: bool,
+        redelivered: bool,
         now: Time,
         wall_ms: u64,
     ) -> Result<Option<Arc<str>>, Unreadable> {
-        let no = |why: &str| Err(Unreadable(why.to_string()));
-        let named = text(content, "pipithub-user");
+        let delivery = Delivery {
+            content,
+            queue,
+            redelivered,
+            now,
+            wall_ms,
+        };
         let user = match &self.rule {
-            Rule::None if named.is_some() => {
-                return no("this queue takes no word on users: header pipithub-user");
+            Rule::None if delivery.named_user().is_some() => {
+                return Err(unproved(
+                    "this queue takes no word on users: header pipithub-user",
+                ));
             }
             Rule::None => return Ok(None),
-            Rule::Broker => match content
-                .properties
-                .user_id
-                .as_deref()
-                .filter(|u| !u.is_empty())
-            {
-                None => return no("no user: property user_id is missing"),
-                Some(user) if named.is_some_and(|n| n != user) => {
-                    return no("header pipithub-user is not the user_id that the broker checked");
-                }
-                Some(user) => user,
-            },
-            Rule::Signed(keys) => {
-                let Some(user) = named else {
-                    return no("no user: header pipithub-user is missing");
-                };
-                let key = text(content, "pipithub-key-id").and_then(|id| keys.keys.get(id));
-                let signature = text(content, "pipithub-signature").and_then(unhex);
-                let (Some(key), Some(signature)) = (key, signature) else {
-                    return no(
-                        "no signature under a known key: pipithub-key-id, pipithub-signature",
-                    );
-                };
-                let fits =
-                    mac(key, content, queue).is_some_and(|m| m.verify_slice(&signature).is_ok());
-                if !fits {
-                    return no("the signature does not fit the message");
-                }
-                let headers = content.properties.headers.as_ref();
-                let sent = headers
-                    .and_then(|h| h.get("pipithub-sent-ms"))
-                    .and_then(pipithub_amqp::FieldValue::as_i64);
-                let Some(sent) = sent.and_then(|s| u64::try_from(s).ok()) else {
-                    return no("a signed call needs header pipithub-sent-ms");
-                };
-                let tolerance = Tolerance {
-                    behind_ms: keys.max_age / MS,
-                    ahead_ms: MAX_AHEAD_MS,
-                };
-                if !tolerance.accepts(sent, wall_ms) {
-                    return no("the signature is too old, or from the future");
-                }
-                let Some(id) = content
-                    .properties
-                    .message_id
-                    .as_deref()
-                    .filter(|id| !id.is_empty())
-                else {
-                    return no("a signed call needs a message_id");
-                };
-                if !self.replays.is_new(id, sent, now, wall_ms, tolerance) && !again {
-                    return no(
-                        "a signed call came a second time, and not from the broker's own doing",
-                    );
-                }
-                user
-            }
+            Rule::Broker => broker_user(&delivery)?,
+            Rule::Signed(keys) => signed_user(&delivery, keys, &mut self.replays)?,
         };
         if user.len() > MAX_USER_LEN || user.chars().any(char::is_control) {
-            return no("a user's name has up to 256 bytes and no control characters");
+            return Err(unproved(
+                "a user's name has up to 256 bytes and no control characters",
+            ));
         }
         Ok(Some(fold(user).into()))
     }
 }
 
+/// A message as it was delivered.
+struct Delivery<'a> {
+    content: &'a Content,
+    queue: &'a str,
+    redelivered: bool,
+    now: Time,
+    wall_ms: u64,
+}
+
+impl<'a> Delivery<'a> {
+    /// The user that its header names.
+    fn named_user(&self) -> Option<&'a str> {
+        header_text(self.content, "pipithub-user")
+    }
+}
+
+/// A message that does not prove whose it is.
+fn unproved(why: &str) -> Unreadable {
+    Unreadable(why.to_string())
+}
+
+/// The user that the broker has checked.
+fn broker_user<'a>(delivery: &Delivery<'a>) -> Result<&'a str, Unreadable> {
+    let checked = delivery.content.properties.user_id.as_deref();
+    let Some(user) = checked.filter(|user| !user.is_empty()) else {
+        return Err(unproved("no user: property user_id is missing"));
+    };
+    if delivery.named_user().is_some_and(|named| named != user) {
+        return Err(unproved(
+            "header pipithub-user is not the user_id that the broker checked",
+        ));
+    }
+    Ok(user)
+}
+
+/// The user that a signature stands for.
+fn signed_user<'a>(
+    delivery: &Delivery<'a>,
+    keys: &Keys,
+    replays: &mut ReplayMemory,
+) -> Result<&'a str, Unreadable> {
+    let Some(user) = delivery.named_user() else {
+        return Err(unproved("no user: header pipithub-user is missing"));
+    };
+    check_signature(delivery, keys)?;
+    let Some(sent_ms) = sent_ms(delivery.content).and_then(|ms| u64::try_from(ms).ok()) else {
+        return Err(unproved("a signed call needs header pipithub-sent-ms"));
+    };
+    let tolerance = Tolerance {
+        behind_ms: keys.max_age / MS,
+        ahead_ms: MAX_AHEAD_MS,
+    };
+    if !tolerance.accepts(sent_ms, delivery.wall_ms) {
+        return Err(unproved("the signature is too old, or from the future"));
+    }
+    let Some(id) = message_id(&delivery.content.properties) else {
+        return Err(unproved("a signed call needs a message_id"));
+    };
+    let is_new = replays.is_new(id, sent_ms, delivery.now, delivery.wall_ms, tolerance);
+    if !is_new && !delivery.redelivered {
+        return Err(unproved(
+            "a signed call came a second time, and not from the broker's own doing",
+        ));
+    }
+    Ok(user)
+}
+
+fn check_signature(delivery: &Delivery<'_>, keys: &Keys) -> Result<(), Unreadable> {
+    let content = delivery.content;
+    let key = header_text(content, "pipithub-key-id").and_then(|id| keys.keys.get(id));
+    let signature = header_text(content, "pipithub-signature").and_then(decode_hex);
+    let (Some(key), Some(signature)) = (key, signature) else {
+        return Err(unproved(
+            "no signature under a known key: pipithub-key-id, pipithub-signature",
+        ));
+    };
+    let mac = mac(key, content, delivery.queue);
+    if mac.is_some_and(|mac| mac.verify_slice(&signature).is_ok()) {
+        Ok(())
+    } else {
+        Err(unproved("the signature does not fit the message"))
+    }
+}
+
+/// When a message was sent, as its header says it in Unix milliseconds.
+fn sent_ms(content: &Content) -> Option<i64> {
+    let headers = content.properties.headers.as_ref()?;
+    headers.get("pipithub-sent-ms")?.as_i64()
+}
+
 /// As directories compare names: case and runs of spaces do not count.
 fn fold(user: &str) -> String {
     let words: Vec<&str> = user.split(' ').filter(|w| !w.is_empty()).collect();
--- a/crates/pipithub-consumer/src/message.rs
+++ b/crates/pipithub-consumer/src/message.rs
@@ -280,7 +280,7 @@
     }
 }
 
-fn message_id(properties: &Properties) -> Option<&str> {
+pub(crate) fn message_id(properties: &Properties) -> Option<&str> {
     properties.message_id.as_deref().filter(|id| !id.is_empty())
 }
 
