--- a/crates/pipithub-settings/src/fleet.rs
+++ b/crates/pipithub-settings/src/fleet.rs
@@ -6,7 +6,8 @@
 
 use pipithub_members::{Settings, Wrong};
 
-use crate::read::{MS, Reader, SECOND};
+use crate::duration::{DAY, MS, SECOND};
+use crate::reader::Reader;
 
 /// A front end's part in a fleet. Without it a front end shares nothing.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -25,129 +26,137 @@
     pub via: BTreeMap<SocketAddr, SocketAddr>,
 }
 
+/// Reads the node, if it is there. The settings are whole unless a fault has been reported.
+pub(crate) fn read(root: &Reader<'_>, instances: u32) -> Option<FleetSettings> {
+    let node = root.child("fleet")?;
+    let cluster = node.name();
+    let listen = read_listen(&node);
+    let advertise = read_child_address(&node, "advertise");
+    check_reachable(&node, listen, advertise);
+    let data = read_data_folder(&node);
+    let seeds = read_seeds(&node);
+    let via = read_via(&node);
+    let members = read_members(&node, cluster, seeds);
+    check_members(&node, &members);
+    if instances > 1 {
+        let help =
+            "one front end for each process, so that a name stands for one process and one folder";
+        node.fault_with_help(format!("fleet with {instances} instances"), help);
+    }
+    let zone = node.text("zone").unwrap_or_default();
+    node.finish();
+    Some(FleetSettings {
+        members,
+        listen: listen?,
+        advertise,
+        zone,
+        data: data?,
+        via,
+    })
+}
+
 /// An address of numbers: names would have to be looked up while others wait.
-fn address(node: &Reader<'_>) -> Option<SocketAddr> {
-    let (value, span) = node.argument()?;
-    let address = value.as_string().and_then(|text| text.parse().ok());
+fn read_address(node: &Reader<'_>) -> Option<SocketAddr> {
+    let given = node.argument()?;
+    let address = given.value.as_string().and_then(|text| text.parse().ok());
     if address.is_none() {
-        node.faults.add(
-            span,
-            format!("{value} is no address"),
-            Some("\"10.0.0.4:7100\": numbers, with a port"),
-        );
+        let message = format!("{} is no address", given.value);
+        let help = "\"10.0.0.4:7100\": numbers, with a port";
+        node.fault_at(given.span, message, Some(help));
     }
     address
 }
 
-fn child(node: &Reader<'_>, name: &str) -> Option<SocketAddr> {
-    let child = node.one(name)?;
+fn read_child_address(node: &Reader<'_>, name: &str) -> Option<SocketAddr> {
+    let child = node.child(name)?;
     child.finish();
-    address(&child)
+    read_address(&child)
 }
 
-#[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
-pub(crate) fn read(root: &Reader<'_>, instances: u32) -> Option<FleetSettings> {
-    let node = root.one("fleet")?;
-    let span = node.node.span();
-    let cluster = node.name();
-    let listen = child(&node, "listen");
-    if listen.is_none()
-        && node
-            .node
-            .children()
-            .is_none_or(|c| c.get("listen").is_none())
-    {
-        node.faults.add(
-            span,
-            "fleet needs 'listen'",
-            Some("listen \"10.0.0.4:7100\""),
-        );
+fn read_listen(node: &Reader<'_>) -> Option<SocketAddr> {
+    let listen = read_child_address(node, "listen");
+    if listen.is_none() && !node.has_child("listen") {
+        node.fault_with_help("fleet needs 'listen'", "listen \"10.0.0.4:7100\"");
     }
-    let advertise = child(&node, "advertise");
-    let told = advertise.or(listen);
-    if let Some(told) =
-        told.filter(|a| a.ip().is_unspecified() || advertise.is_some() && a.port() == 0)
-    {
+    listen
+}
+
+/// The address that others are told must be one that they can send to.
+fn check_reachable(node: &Reader<'_>, listen: Option<SocketAddr>, advertise: Option<SocketAddr>) {
+    let Some(public_address) = advertise.or(listen) else {
+        return;
+    };
+    let lacks_port = advertise.is_some() && public_address.port() == 0;
+    if public_address.ip().is_unspecified() || lacks_port {
         let help = "advertise \"10.0.0.4:7100\": where the others find this front end";
-        node.faults
-            .add(span, format!("others cannot reach {told}"), Some(help));
+        node.fault_with_help(format!("others cannot reach {public_address}"), help);
     }
+}
+
+fn read_data_folder(node: &Reader<'_>) -> Option<PathBuf> {
     let data = node.text("data").map(PathBuf::from);
     if data.is_none() {
         let help = "data \"/var/lib/pipithub/front-1\": a folder of its own for each front end";
-        node.faults.add(span, "fleet needs 'data'", Some(help));
+        node.fault_with_help("fleet needs 'data'", help);
     }
+    data
+}
+
+fn read_seeds(node: &Reader<'_>) -> Vec<SocketAddr> {
     let mut seeds = Vec::new();
-    for seed in node.all("seed") {
-        if let Some(address) = address(&seed) {
-            if seeds.contains(&address) {
-                seed.faults.add(
-                    seed.node.span(),
-                    format!("seed {address} is given twice"),
-                    None,
-                );
-            } else {
-                seeds.push(address);
+    for seed in node.children("seed") {
+        match read_address(&seed) {
+            Some(address) if seeds.contains(&address) => {
+                seed.fault(format!("seed {address} is given twice"));
             }
+            Some(address) => seeds.push(address),
+            None => {}
         }
         seed.finish();
     }
+    seeds
+}
+
+fn read_via(node: &Reader<'_>) -> BTreeMap<SocketAddr, SocketAddr> {
     let mut via = BTreeMap::new();
-    for route in node.all("via") {
-        let to = route.text("to").and_then(|t| t.parse().ok());
-        match (address(&route), to) {
+    for route in node.children("via") {
+        let target = route.text("to").and_then(|text| text.parse().ok());
+        match (read_address(&route), target) {
             (Some(address), Some(_)) if via.contains_key(&address) => {
-                route.faults.add(
-                    route.node.span(),
-                    format!("'via' of {address} is given twice"),
-                    None,
-                );
+                route.fault(format!("'via' of {address} is given twice"));
             }
-            (Some(address), Some(to)) => drop(via.insert(address, to)),
-            (Some(_), None) => {
-                route
-                    .faults
-                    .add(route.node.span(), "'via' needs 'to' with an address", None);
+            (Some(address), Some(target)) => {
+                via.insert(address, target);
             }
-            _ => {}
+            (Some(_), None) => route.fault("'via' needs 'to' with an address"),
+            (None, _) => {}
         }
         route.finish();
     }
-    let usual = Settings::default();
-    let members = Settings {
+    via
+}
+
+fn read_members(node: &Reader<'_>, cluster: String, seeds: Vec<SocketAddr>) -> Settings {
+    let defaults = Settings::default();
+    let max_members = defaults.max_members as u64;
+    Settings {
         cluster,
         seeds,
-        probe_period: node.time("probe-period", usual.probe_period, 50 * MS, 60 * SECOND),
-        probe_wait: node.time("probe-wait", usual.probe_wait, MS, 30 * SECOND),
-        suspicion: node.whole("suspicion", u64::from(usual.suspicion), 1, 100) as u32,
-        max_members: node.whole("max-members", usual.max_members as u64, 2, 10_000) as usize,
-        remember: node.whole("remember-days", 7, 1, 365) * 86_400 * SECOND,
-    };
-    match members.check() {
-        Err(wrong @ Wrong::Waits) => {
-            let at = node.one("probe-wait").map_or(span, |n| n.node.span());
-            node.faults.add(at, wrong.to_string(), None);
-        }
-        Err(wrong) => node.faults.add(span, wrong.to_string(), None),
-        Ok(()) => {}
+        probe_period: node.duration("probe-period", defaults.probe_period, 50 * MS..=60 * SECOND),
+        probe_wait: node.duration("probe-wait", defaults.probe_wait, MS..=30 * SECOND),
+        suspicion: node.integer("suspicion", u64::from(defaults.suspicion), 1..=100) as u32,
+        max_members: node.integer("max-members", max_members, 2..=10_000) as usize,
+        remember: node.integer("remember-days", 7, 1..=365) * DAY,
     }
-    if instances > 1 {
-        let help =
-            "one front end for each process, so that a name stands for one process and one folder";
-        node.faults.add(
-            span,
-            format!("fleet with {instances} instances"),
-            Some(help),
-        );
-    }
-    let zone = node.text("zone").unwrap_or_default();
-    node.finish();
-    Some(FleetSettings {
-        members,
-        listen: listen?,
-        advertise,
-        zone,
-        data: data?,
-        via,
-    })
+}
+
+fn check_members(node: &Reader<'_>, members: &Settings) {
+    let Err(wrong) = members.check() else {
+        return;
+    };
+    let span = match wrong {
+        Wrong::Waits => node.child("probe-wait").map(|child| child.span()),
+        _ => None,
+    };
+    node.fault_at(span.unwrap_or(node.span()), wrong.to_string(), None);
 }
--- /dev/null
+++ b/crates/pipithub-settings/src/tenants/directory.rs
@@ -0,0 +1,182 @@
+//! The node `directory`: an LDAP directory and how users are looked up in it.
+
+use std::path::PathBuf;
+
+use pipithub_directory::{DirectorySettings, Lifetimes, Peak};
+use pipithub_ldap::{Dn, filter};
+
+use crate::address;
+use crate::duration::{DAY, HOUR, MS, SECOND};
+use crate::reader::Reader;
+use crate::tenants::secret;
+use crate::tenants::{BindCredentials, DirectoryConfig, ServerConfig, Tls};
+
+const MAX_SERVERS: usize = 32;
+const MINUTE_MS: i64 = 60_000;
+
+pub(super) fn read(node: &Reader<'_>) -> DirectoryConfig {
+    let name = node.name();
+    let servers = read_servers(node, &name);
+    let (tls, ca) = read_tls(node, &name);
+    let bind = node.child("bind").map(|bind| read_bind(&bind));
+    let filter = read_filter(node);
+    let lookups = read_lookups(node, servers.len());
+    let config = DirectoryConfig {
+        tls,
+        ca,
+        bind,
+        base: read_dn(node, "base").text,
+        user_attribute: node.text("user-attribute").unwrap_or_else(|| "uid".into()),
+        filter,
+        mark_attribute: node.text("mark-attribute"),
+        follow: node.flag("follow", false),
+        connections: node.integer("connections", 2, 1..=16) as usize,
+        lookups,
+        servers,
+        name,
+    };
+    node.finish();
+    config
+}
+
+/// A distinguished name, as written and as parsed.
+#[derive(Default)]
+pub(super) struct WrittenDn {
+    pub(super) text: String,
+    pub(super) dn: Dn,
+}
+
+pub(super) fn read_dn(node: &Reader<'_>, name: &str) -> WrittenDn {
+    let Some(given) = node.value(name) else {
+        let help = "a distinguished name, as \"ou=north,dc=example\"";
+        node.fault_with_help(format!("'{}' needs '{name}'", node.node_name()), help);
+        return WrittenDn::default();
+    };
+    let text = given.text().to_string();
+    let dn = Dn::parse(&text).unwrap_or_else(|error| {
+        node.fault_at(given.span, error.to_string(), None);
+        Dn::default()
+    });
+    WrittenDn { text, dn }
+}
+
+fn read_servers(node: &Reader<'_>, directory: &str) -> Vec<ServerConfig> {
+    let servers: Vec<ServerConfig> = node.children("server").iter().map(read_server).collect();
+    if servers.is_empty() || servers.len() > MAX_SERVERS {
+        node.fault(format!("directory '{directory}' needs one to 32 'server'"));
+    }
+    servers
+}
+
+fn read_server(node: &Reader<'_>) -> ServerConfig {
+    let address = address::read(node);
+    let host = address.rsplit_once(':').map_or("", |(host, _)| host);
+    let server = ServerConfig {
+        name: node.text("name").unwrap_or_else(|| host.to_string()),
+        address,
+    };
+    node.finish();
+    server
+}
+
+fn read_tls(node: &Reader<'_>, directory: &str) -> (Tls, Option<PathBuf>) {
+    let ways = [
+        ("none", Tls::None),
+        ("start", Tls::Start),
+        ("ldaps", Tls::Ldaps),
+    ];
+    let tls = node.choice("tls", Tls::Start, &ways);
+    let ca = node.text("ca").map(PathBuf::from);
+    if tls != Tls::None && ca.is_none() {
+        let message = format!("directory '{directory}' needs 'ca' for TLS");
+        let help = "the file of the authority that signed the servers' certificates";
+        node.fault_with_help(message, help);
+    }
+    (tls, ca)
+}
+
+fn read_bind(node: &Reader<'_>) -> BindCredentials {
+    let name = read_dn(node, "as").text;
+    let password = secret::read(node, "the bind's password").unwrap_or_default();
+    node.finish();
+    // An empty password is an anonymous bind that succeeds (RFC 4513, 5.1.2): it must not pass for a login.
+    if password.is_empty() {
+        node.fault("an empty password binds nobody");
+    }
+    let password = String::from_utf8_lossy(&password).into_owned();
+    BindCredentials { name, password }
+}
+
+fn read_filter(node: &Reader<'_>) -> Option<String> {
+    let given = node.value("filter")?;
+    let text = given.text();
+    if let Err(error) = filter::parse(text) {
+        let help = "as \"(objectClass=person)\"";
+        node.fault_at(given.span, error.to_string(), Some(help));
+    }
+    Some(text.to_string())
+}
+
+fn read_lookups(node: &Reader<'_>, servers: usize) -> DirectorySettings {
+    let defaults = DirectorySettings::default();
+    let lifetimes = read_lifetimes(node, &defaults.lifetimes);
+    let peak = node.child("peak").map(|peak| read_peak(&peak));
+    let first_wait = node.duration("retry-first", defaults.wait.0, 10 * MS..=600 * SECOND);
+    let max_wait = node.duration("retry-most", defaults.wait.1, 10 * MS..=HOUR);
+    DirectorySettings {
+        servers,
+        realms: node.children("realm").iter().map(Reader::name).collect(),
+        lifetimes,
+        timeout: node.duration("time-out", defaults.timeout, 10 * MS..=60 * SECOND),
+        hedge_after: node.duration("hedge-after", defaults.hedge_after, MS..=60 * SECOND),
+        batch: node.integer("batch", defaults.batch as u64, 1..=500) as usize,
+        at_once: node.integer("at-once", defaults.at_once as u64, 1..=64) as usize,
+        rate: node.number("rate", defaults.rate, 0.1..=100_000.0),
+        failures: node.integer("failures", u64::from(defaults.failures), 1..=100) as u32,
+        wait: (first_wait.min(max_wait), max_wait),
+        doubt: node.duration("doubt", defaults.doubt, 0..=600 * SECOND),
+        peak,
+        poll: node.optional_duration("poll", SECOND..=DAY).unwrap_or(0),
+    }
+}
+
+fn read_lifetimes(node: &Reader<'_>, defaults: &Lifetimes) -> Lifetimes {
+    let fresh = node.duration("fresh", defaults.fresh, 100 * MS..=DAY);
+    let default_stale = defaults.stale_most.max(2 * fresh);
+    let stale_most = node.duration("stale-most", default_stale, 200 * MS..=DAY);
+    let negative = node.duration("negative", defaults.negative, 100 * MS..=HOUR);
+    if stale_most < 2 * fresh {
+        let help =
+            "a fact is used while it is asked for again: the bound is at least twice 'fresh'";
+        node.fault_with_help("'stale-most' is less than twice 'fresh'", help);
+    }
+    Lifetimes {
+        fresh,
+        stale_most,
+        negative,
+    }
+}
+
+fn read_peak(node: &Reader<'_>) -> Peak {
+    let given = node.argument();
+    let text = given.map_or("", |given| given.text());
+    let at = parse_time_of_day(text).unwrap_or_else(|| {
+        let span = given.map_or(node.span(), |given| given.span);
+        node.fault_at(span, "no time of day", Some("as \"05:30\", in UTC"));
+        0
+    });
+    let ahead = node.duration("ahead", 2 * HOUR, 60 * SECOND..=12 * HOUR);
+    node.finish();
+    Peak {
+        at,
+        ahead: (ahead / MS) as i64,
+    }
+}
+
+/// Milliseconds from midnight to a time written as `05:30`.
+fn parse_time_of_day(text: &str) -> Option<i64> {
+    let (hours, minutes) = text.split_once(':')?;
+    let (hours, minutes): (i64, i64) = (hours.parse().ok()?, minutes.parse().ok()?);
+    let is_valid = (0..24).contains(&hours) && (0..60).contains(&minutes);
+    is_valid.then_some((hours * 60 + minutes) * MINUTE_MS)
+}
