--- /dev/null
+++ b/crates/pipithub-endpoints/src/cache.rs
@@ -0,0 +1,85 @@
+//! The endpoint list as a text that is cached for a restart.
+
+use pipithub_clock::Reading;
+use pipithub_engine::Time;
+use pipithub_engine::policy::{Endpoint, EndpointState, EndpointUpdate, WorkerId};
+use serde::{Deserialize, Serialize};
+
+use crate::{ListError, MAX_ENDPOINTS, NANOS_PER_MS};
+
+/// The format that is written.
+pub(crate) const FORMAT: u32 = 1;
+
+/// The list as it is written down; field names are those of the file.
+#[derive(Debug, Serialize, Deserialize)]
+pub(crate) struct CachedList {
+    pub(crate) format: u32,
+    pub(crate) wall_ms: u64,
+    pub(crate) workers: Vec<CachedWorker>,
+}
+
+/// A worker of the list.
+#[derive(Debug, Serialize, Deserialize)]
+pub(crate) struct CachedWorker {
+    pub(crate) address: String,
+    pub(crate) draining: bool,
+    pub(crate) zone: String,
+    pub(crate) memory_mb: f64,
+    pub(crate) started_ms: Option<u64>,
+}
+
+impl CachedWorker {
+    /// The worker as it counts now; `written_ms` is the wall time at which it was written down.
+    fn into_endpoint(self, written_ms: u64, reading: Reading) -> Endpoint {
+        let age_ms = self
+            .started_ms
+            .and_then(|started_ms| age_across_restart(started_ms, written_ms, reading.wall_ms));
+        let started_at = age_ms.map(|age_ms| {
+            let age = age_ms.saturating_mul(NANOS_PER_MS);
+            reading.now.saturating_sub(age).max(1)
+        });
+        let state = if self.draining {
+            EndpointState::Draining
+        } else {
+            EndpointState::Ready
+        };
+        Endpoint {
+            worker: WorkerId::new(&self.address),
+            weight: 0.0,
+            state,
+            zone: self.zone,
+            cell: 0,
+            memory_mb: self.memory_mb.max(0.0),
+            started_at,
+        }
+    }
+}
+
+/// Reads a cached list; to be handed to the engine as [`EndpointUpdate::Cached`].
+pub fn recall(
+    text: &str,
+    now: Time,
+    wall_ms: u64,
+) -> Result<(EndpointUpdate, Vec<Endpoint>), ListError> {
+    let json = |source| ListError::Json {
+        what: "remembered list",
+        source,
+    };
+    let cached: CachedList = serde_json::from_str(text).map_err(json)?;
+    if cached.workers.len() > MAX_ENDPOINTS {
+        return Err(ListError::TooMany(cached.workers.len()));
+    }
+    let written_ms = cached.wall_ms;
+    let reading = Reading { now, wall_ms };
+    let endpoints = cached.workers.into_iter();
+    let endpoints = endpoints.map(|worker| worker.into_endpoint(written_ms, reading));
+    Ok((EndpointUpdate::Cached, endpoints.collect()))
+}
+
+/// A worker's age by now, in milliseconds: what it was when the list was written, and the wall time since. A list from
+/// the future adds nothing, as the wall clock was stepped back by an unknown time; no worker is younger than it was. A
+/// start after the writing is unknown, and counts as long ago.
+fn age_across_restart(started_ms: u64, written_ms: u64, wall_ms: u64) -> Option<u64> {
+    let age_then = written_ms.checked_sub(started_ms)?;
+    Some(age_then.saturating_add(wall_ms.saturating_sub(written_ms)))
+}
--- a/crates/pipithub-endpoints/src/lib.rs
+++ b/crates/pipithub-endpoints/src/lib.rs
@@ -8,15 +8,18 @@
 //! number: `pipithub.dev/started-ms` (Unix time of its start) and `pipithub.dev/memory-mb`. Without the first, an
 //! endpoint first seen in a watch counts as started then, one found in a list as started long ago.
 
+mod cache;
 pub mod object;
 
 use std::collections::BTreeMap;
 
+pub use cache::recall;
 use object::{EndpointSlice, EndpointSliceList, SliceEndpoint, WatchEvent};
 use pipithub_clock::Reading;
 use pipithub_engine::Time;
-use pipithub_engine::policy::{Endpoint, EndpointState, EndpointUpdate, WorkerId};
-use serde::{Deserialize, Serialize};
+use pipithub_engine::policy::{Endpoint, EndpointState, WorkerId};
+
+use crate::cache::{CachedList, CachedWorker, FORMAT};
 
 /// The group, version and kind that a watch brings.
 pub const API: &str = "discovery.k8s.io/v1";
@@ -25,6 +28,8 @@
 /// Annotation: memory in MB, by uid.
 pub const MEMORY: &str = "pipithub.dev/memory-mb";
 const NANOS_PER_MS: Time = 1_000_000;
+/// The status of a version that is too old to watch from.
+const GONE: u16 = 410;
 /// More endpoints than this are refused: a broken list must not fill the memory.
 pub const MAX_ENDPOINTS: usize = 20_000;
 
@@ -65,7 +70,7 @@
 
 /// One endpoint as it stands.
 #[derive(Clone, Debug, PartialEq)]
-struct Known {
+struct KnownEndpoint {
     state: EndpointState,
     uid: String,
     zone: String,
@@ -79,7 +84,7 @@
     port: Option<String>,
     version: Option<String>,
     slices: BTreeMap<String, EndpointSlice>,
-    known: BTreeMap<String, Known>,
+    known: BTreeMap<String, KnownEndpoint>,
     listed: bool,
 }
 
@@ -129,7 +134,7 @@
         Ok(self
             .known
             .iter()
-            .map(|(address, k)| k.entry(address))
+            .map(|(address, k)| k.to_endpoint(address))
             .collect())
     }
 
@@ -143,57 +148,71 @@
         match event.kind.as_str() {
             "ADDED" | "MODIFIED" | "DELETED" => {
                 let slice: EndpointSlice = serde_json::from_value(event.object).map_err(json)?;
-                let name = slice.metadata.name.clone();
-                if !slice.metadata.resource_version.is_empty() {
-                    self.version = Some(slice.metadata.resource_version.clone());
-                }
-                if event.kind == "DELETED" {
-                    self.slices.remove(&name);
-                } else {
-                    let others = self.slices.iter().filter(|(n, _)| **n != name);
-                    let count = others.map(|(_, s)| s.endpoints.len()).sum::<usize>()
-                        + slice.endpoints.len();
-                    if count > MAX_ENDPOINTS {
-                        return Err(ListError::TooMany(count));
-                    }
-                    self.slices.insert(name, slice);
-                }
-                let changes = self.refresh(Reading { now, wall_ms });
-                Ok(if changes.is_empty() {
-                    Step::Nothing
-                } else {
-                    Step::Changes(changes)
-                })
+                let is_deleted = event.kind == "DELETED";
+                self.apply_slice(slice, is_deleted, Reading { now, wall_ms })
             }
             "BOOKMARK" => {
-                let version = event.object["metadata"]["resourceVersion"]
-                    .as_str()
-                    .unwrap_or_default();
-                if !version.is_empty() {
-                    self.version = Some(version.to_string());
-                }
+                self.apply_bookmark(&event.object);
                 Ok(Step::Nothing)
             }
-            "ERROR" => {
-                let code = event.object["code"].as_u64().unwrap_or(0) as u16;
-                if code == 410 {
-                    self.version = None;
-                    return Ok(Step::Expired);
-                }
-                let message = event.object["message"]
-                    .as_str()
-                    .unwrap_or("no message")
-                    .to_string();
-                Err(ListError::Status { code, message })
-            }
+            "ERROR" => self.apply_error(&event.object),
             // A kind of event that later servers may send changes nothing here.
             _ => Ok(Step::Nothing),
         }
     }
 
+    fn apply_slice(
+        &mut self,
+        slice: EndpointSlice,
+        is_deleted: bool,
+        reading: Reading,
+    ) -> Result<Step, ListError> {
+        let name = slice.metadata.name.clone();
+        if !slice.metadata.resource_version.is_empty() {
+            self.version = Some(slice.metadata.resource_version.clone());
+        }
+        if is_deleted {
+            self.slices.remove(&name);
+        } else {
+            let others = self.slices.iter().filter(|(other, _)| **other != name);
+            let others_count: usize = others.map(|(_, other)| other.endpoints.len()).sum();
+            let count = others_count + slice.endpoints.len();
+            if count > MAX_ENDPOINTS {
+                return Err(ListError::TooMany(count));
+            }
+            self.slices.insert(name, slice);
+        }
+        let changes = self.refresh(reading);
+        Ok(if changes.is_empty() {
+            Step::Nothing
+        } else {
+            Step::Changes(changes)
+        })
+    }
+
+    fn apply_bookmark(&mut self, object: &serde_json::Value) {
+        let version = object["metadata"]["resourceVersion"].as_str();
+        if let Some(version) = version.filter(|version| !version.is_empty()) {
+            self.version = Some(version.to_string());
+        }
+    }
+
+    fn apply_error(&mut self, status: &serde_json::Value) -> Result<Step, ListError> {
+        let code = status["code"].as_u64().unwrap_or(0) as u16;
+        if code == GONE {
+            self.version = None;
+            return Ok(Step::Expired);
+        }
+        let message = status["message"].as_str().unwrap_or("no message");
+        Err(ListError::Status {
+            code,
+            message: message.to_string(),
+        })
+    }
+
     /// Works out the workers anew from all slices; what changed.
     fn refresh(&mut self, reading: Reading) -> Vec<Endpoint> {
-        let mut next: BTreeMap<String, Known> = BTreeMap::new();
+        let mut next: BTreeMap<String, KnownEndpoint> = BTreeMap::new();
         for slice in self.slices.values() {
             let Some(port) = slice.port(self.port.as_deref()) else {
                 continue;
@@ -202,7 +221,7 @@
                 let Some(address) = endpoint.address(port) else {
                     continue;
                 };
-                let found = self.known_of(slice, endpoint, &address, reading);
+                let found = self.describe(slice, endpoint, &address, reading);
                 // While an endpoint moves between slices it may stand in two; the careful word counts.
                 let careful = next
                     .get(&address)
@@ -212,35 +231,36 @@
                 }
             }
         }
-        let mut changes = Vec::new();
-        for (address, old) in &self.known {
-            if !next.contains_key(address) {
-                changes.push(
-                    Known {
-                        state: EndpointState::Removed,
-                        ..old.clone()
-                    }
-                    .entry(address),
-                );
-            }
-        }
-        for (address, new) in &next {
-            if self.known.get(address) != Some(new) {
-                changes.push(new.entry(address));
-            }
-        }
+        let changes = self.changes_to(&next);
         self.known = next;
         changes
     }
 
-    fn known_of(
+    /// What differs from the workers as they were.
+    fn changes_to(&self, next: &BTreeMap<String, KnownEndpoint>) -> Vec<Endpoint> {
+        let removed = self
+            .known
+            .iter()
+            .filter(|(address, _)| !next.contains_key(*address));
+        let removed = removed.map(|(address, old)| Endpoint {
+            state: EndpointState::Removed,
+            ..old.to_endpoint(address)
+        });
+        let changed = next
+            .iter()
+            .filter(|(address, new)| self.known.get(*address) != Some(*new));
+        let changed = changed.map(|(address, new)| new.to_endpoint(address));
+        removed.chain(changed).collect()
+    }
+
+    fn describe(
         &self,
         slice: &EndpointSlice,
-        e: &SliceEndpoint,
+        endpoint: &SliceEndpoint,
         address: &str,
         reading: Reading,
-    ) -> Known {
-        let uid = e
+    ) -> KnownEndpoint {
+        let uid = endpoint
             .target_ref
             .as_ref()
             .map(|t| t.uid.clone())
@@ -263,10 +283,10 @@
             None => told.or(self.listed.then_some(reading.now.max(1))),
         };
         let memory_mb = number(MEMORY).unwrap_or(0.0);
-        Known {
-            state: e.state(),
+        KnownEndpoint {
+            state: endpoint.state(),
             uid,
-            zone: e.zone.clone().unwrap_or_default(),
+            zone: endpoint.zone.clone().unwrap_or_default(),
             memory_mb,
             started,
         }
@@ -280,31 +300,31 @@
             .count()
     }
 
-    /// The list as a text to keep for a restart.
+    /// The list as a text to cache for a restart.
     pub fn remembered(&self, now: Time, wall_ms: u64) -> String {
         let started_ms = |t: Time| wall_ms.saturating_sub(now.saturating_sub(t) / NANOS_PER_MS);
         let workers = self
             .known
             .iter()
             .filter(|(_, k)| k.state != EndpointState::Removed)
-            .map(|(address, k)| Kept {
+            .map(|(address, k)| CachedWorker {
                 address: address.clone(),
                 draining: k.state == EndpointState::Draining,
                 zone: k.zone.clone(),
                 memory_mb: k.memory_mb,
                 started_ms: k.started.map(started_ms),
             });
-        let kept = KeptList {
-            format: 1,
+        let cached = CachedList {
+            format: FORMAT,
             wall_ms,
             workers: workers.collect(),
         };
-        serde_json::to_string_pretty(&kept).unwrap_or_default()
+        serde_json::to_string_pretty(&cached).unwrap_or_default()
     }
 }
 
-impl Known {
-    fn entry(&self, address: &str) -> Endpoint {
+impl KnownEndpoint {
+    fn to_endpoint(&self, address: &str) -> Endpoint {
         Endpoint {
             worker: WorkerId::new(address),
             weight: 0.0,
@@ -316,66 +336,3 @@
         }
     }
 }
-
-#[derive(Debug, Serialize, Deserialize)]
-struct KeptList {
-    format: u32,
-    wall_ms: u64,
-    workers: Vec<Kept>,
-}
-
-#[derive(Debug, Serialize, Deserialize)]
-struct Kept {
-    address: String,
-    draining: bool,
-    zone: String,
-    memory_mb: f64,
-    started_ms: Option<u64>,
-}
-
-/// Reads a remembered list; to be handed to the engine as [`EndpointUpdate::Cached`].
-pub fn recall(
-    text: &str,
-    now: Time,
-    wall_ms: u64,
-) -> Result<(EndpointUpdate, Vec<Endpoint>), ListError> {
-    let json = |source| ListError::Json {
-        what: "remembered list",
-        source,
-    };
-    let kept: KeptList = serde_json::from_str(text).map_err(json)?;
-    if kept.workers.len() > MAX_ENDPOINTS {
-        return Err(ListError::TooMany(kept.workers.len()));
-    }
-    let entry = |worker: Kept| Endpoint {
-        worker: WorkerId::new(&worker.address),
-        weight: 0.0,
-        state: if worker.draining {
-            EndpointState::Draining
-        } else {
-            EndpointState::Ready
-        },
-        zone: worker.zone,
-        cell: 0,
-        memory_mb: worker.memory_mb.max(0.0),
-        started_at: worker.started_ms.and_then(|started_ms| {
-            let age_ms = age_across_restart(started_ms, kept.wall_ms, wall_ms)?;
-            Some(
-                now.saturating_sub(age_ms.saturating_mul(NANOS_PER_MS))
-                    .max(1),
-            )
-        }),
-    };
-    Ok((
-        EndpointUpdate::Cached,
-        kept.workers.into_iter().map(entry).collect(),
-    ))
-}
-
-/// A worker's age by now, in milliseconds: what it was when the list was written, and the wall time since. A list from
-/// the future adds nothing, as the wall clock was stepped back by an unknown time; no worker is younger than it was. A
-/// start after the writing is unknown, and counts as long ago.
-fn age_across_restart(started_ms: u64, written_ms: u64, wall_ms: u64) -> Option<u64> {
-    let age_then = written_ms.checked_sub(started_ms)?;
-    Some(age_then.saturating_add(wall_ms.saturating_sub(written_ms)))
-}
