--- /dev/null
+++ b/crates/pipithub-inference/src/reply.rs
@@ -0,0 +1,95 @@
+//! Replies of workers, as the decision module takes them.
+
+use pipithub_engine::policy::{LoadReport, Outcome, ReplicaStatus};
+use serde::{Deserialize, Serialize};
+
+use crate::{header, orca};
+
+/// One line of the repository's index.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct IndexEntry {
+    /// The model.
+    pub name: String,
+    /// `READY`, `LOADING` or `UNAVAILABLE`.
+    pub state: String,
+    /// Why it is not ready.
+    #[serde(default)]
+    pub reason: String,
+}
+
+/// What a reply tells of an attempt.
+#[derive(Clone, Debug, PartialEq)]
+pub struct AttemptReply {
+    /// How it ended.
+    pub outcome: Outcome,
+    /// What it met there.
+    pub note: Option<ReplicaStatus>,
+    /// Calls of the model that the worker held.
+    pub alike: Option<u32>,
+    /// The worker's load.
+    pub load: LoadReport,
+}
+
+/// Reads the status and headers of a reply to a call.
+///
+/// | reply | outcome |
+/// | --- | --- |
+/// | 2xx | served |
+/// | 404 with `pipithub-ran: no` | the model is not there: never ran |
+/// | 429, or any error with `pipithub-ran: no` | turned away: never ran |
+/// | 400, 405 to 407, 410 to 422, 431 | served: the worker's word on the call itself, no other worker would say else |
+/// | everything else | an error; it may have run |
+pub fn outcome<'a>(status: u16, headers: impl Fn(&str) -> Option<&'a str>) -> AttemptReply {
+    let note = match headers(header::COPY) {
+        Some("warm") => Some(ReplicaStatus::Warm),
+        Some("began") => Some(ReplicaStatus::LoadStarted),
+        Some("waited") => Some(ReplicaStatus::LoadAwaited),
+        Some("failed") => Some(ReplicaStatus::LoadFailed),
+        _ => None,
+    };
+    let not_run = headers(header::RAN) == Some("no");
+    let outcome = match status {
+        200..=299 => Outcome::Served,
+        404 if not_run => Outcome::NotLoaded,
+        // A load that failed under the call: it never ran, and the copy is not there.
+        500..=599 if not_run && note == Some(ReplicaStatus::LoadFailed) => Outcome::NotLoaded,
+        429 => Outcome::Rejected,
+        _ if not_run => Outcome::Rejected,
+        400 | 405..=407 | 410..=422 | 431 => Outcome::Served,
+        _ => Outcome::Error,
+    };
+    AttemptReply {
+        outcome,
+        note,
+        alike: headers(header::ALIKE).and_then(|v| v.parse().ok()),
+        load: headers(header::LOAD).map(load).unwrap_or_default(),
+    }
+}
+
+/// Reads the status of a reply to an order, and the copies that stand. Only a load that failed is an error: it is what
+/// the module shuts the store for, and want of room at one worker must not do that.
+pub fn order_outcome<'a>(status: u16, headers: impl Fn(&str) -> Option<&'a str>) -> (Outcome, u32) {
+    let copies = headers(header::COPIES).and_then(|v| v.parse().ok());
+    // The extension itself tells no number; a load that was done has left one at least.
+    let outcome = match status {
+        200..=299 => return (Outcome::Served, copies.unwrap_or(1)),
+        429 => Outcome::Rejected,
+        _ if headers(header::COPY) == Some("failed") => Outcome::Error,
+        _ if headers(header::RAN) == Some("no") => Outcome::Rejected,
+        _ => Outcome::Error,
+    };
+    (outcome, copies.unwrap_or(0))
+}
+
+/// The module's view of an ORCA report. What cannot be read counts as not told.
+pub fn load(report: &str) -> LoadReport {
+    let Ok(report) = orca::Report::parse(report) else {
+        return LoadReport::default();
+    };
+    LoadReport {
+        in_flight: report.get("named_metrics.inflight"),
+        cpu_utilization: report.get("cpu_utilization"),
+        pinned_memory: report.get("mem_utilization"),
+        pending_loads: report.get("named_metrics.loading"),
+    }
+}
--- /dev/null
+++ b/crates/pipithub-inference/src/request.rs
@@ -0,0 +1,97 @@
+//! Requests to workers: attempts, load and evict commands, and polls of their load.
+
+use pipithub_engine::{AttemptId, Call, Time};
+
+use crate::escape::{content_type, header_value, segment};
+use crate::header;
+
+const NANOSECONDS_PER_MILLISECOND: Time = 1_000_000;
+
+/// A request to a worker. Its method is always `POST` but for probes.
+#[derive(Clone, Debug, PartialEq)]
+pub struct WorkerRequest {
+    /// `GET` instead of `POST`.
+    pub get: bool,
+    /// Path, percent-encoded.
+    pub path: String,
+    /// Headers beside host and content length.
+    pub headers: Vec<(&'static str, String)>,
+}
+
+/// Too little of the call's time is left to be told to a worker: its request must not be sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("the call's deadline is reached")]
+pub struct DeadlineReached;
+
+impl WorkerRequest {
+    /// Sets [`header::TIMEOUT`] from the time that is left, rounded down to whole milliseconds.
+    ///
+    /// To be called each time the request is put on a connection: what is left shrinks while it waits for one.
+    pub fn set_timeout(&mut self, left: Time) -> Result<(), DeadlineReached> {
+        let milliseconds = left / NANOSECONDS_PER_MILLISECOND;
+        if milliseconds == 0 {
+            return Err(DeadlineReached);
+        }
+        self.headers.retain(|(name, _)| *name != header::TIMEOUT);
+        self.headers
+            .push((header::TIMEOUT, milliseconds.to_string()));
+        Ok(())
+    }
+}
+
+/// The request of an attempt; [`WorkerRequest::set_timeout`] is due before it is written.
+pub fn infer(call: &Call, id: AttemptId, front_end: &str) -> WorkerRequest {
+    let mut headers = vec![
+        (header::ATTEMPT, id.number.to_string()),
+        (header::FRONT_END, header_value(front_end)),
+        (header::MEMORY, call.memory_mb.to_string()),
+        (header::LANES, call.replica_concurrency.to_string()),
+        (
+            "content-type",
+            call.content_type
+                .as_deref()
+                .map_or("application/json".into(), content_type),
+        ),
+    ];
+    match &call.label {
+        Some(label) => headers.push((header::REQUEST, header_value(label))),
+        None => headers.push((
+            header::REQUEST,
+            format!("{}-{}", header_value(front_end), id.request),
+        )),
+    }
+    headers.extend(
+        call.idempotency_key
+            .as_ref()
+            .map(|key| (header::KEY, header_value(key))),
+    );
+    WorkerRequest {
+        get: false,
+        path: format!("/v2/models/{}/infer", segment(&call.function)),
+        headers,
+    }
+}
+
+/// The request of an order; 0 copies unload the idle ones.
+pub fn order(model: &str, copies: u32, front_end: &str) -> WorkerRequest {
+    let verb = if copies > 0 { "load" } else { "unload" };
+    WorkerRequest {
+        get: false,
+        path: format!("/v2/repository/models/{}/{verb}", segment(model)),
+        headers: vec![
+            (header::FRONT_END, header_value(front_end)),
+            (header::COPIES, copies.to_string()),
+            ("content-type", "application/json".into()),
+        ],
+    }
+}
+
+/// The request of a probe.
+pub fn probe(front_end: &str) -> WorkerRequest {
+    let headers = vec![(header::FRONT_END, header_value(front_end))];
+    WorkerRequest {
+        get: true,
+        path: "/v2/health/ready".into(),
+        headers,
+    }
+}
