--- a/crates/pipithub-consumer/src/consumer.rs
+++ b/crates/pipithub-consumer/src/consumer.rs
@@ -16,14 +16,14 @@
 use pipithub_amqp::{Code, Endpoint, Fault, Method, ShortStr};
 use pipithub_engine::{Reply, Ticket, Time};
 
-use self::commit::PendingAnswer;
+use self::commit::{Answer, PendingAnswer};
 use self::delivery_limit::{AppliedLimit, MIN_QOS_INTERVAL};
 pub use self::notice::{Notice, Phase};
 pub use self::settings::{ConsumerSettings, DeadLetterTarget, Qos};
 use crate::backoff::{Backoff, BackoffRange};
 use crate::identity::Identity;
 use crate::latest_wall::LatestWall;
-use crate::message::Address;
+use crate::message::ReplyAddress;
 
 const MS: Time = 1_000_000;
 /// A connection that has been up for so long was healthy: the next failure is the first again.
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 struct InFlight {
     tag: u64,
-    address: Address,
+    address: ReplyAddress,
 }
 
 /// One queue at one broker.
@@ -48,7 +48,7 @@
     tag_count: u64,
     next_ticket: u64,
     in_flight: BTreeMap<u64, InFlight>,
-    pending: VecDeque<(u64, PendingAnswer)>,
+    pending: VecDeque<PendingAnswer>,
     /// Tickets of the transaction that is under way.
     committing: Vec<u64>,
     /// The broker takes no publishes for now.
@@ -215,13 +215,13 @@
     /// Gives a trigger its final answer. Void tickets are passed over.
     pub fn answer(&mut self, now: Time, ticket: Ticket, reply: Arc<Reply>) {
         self.now = now;
-        self.enqueue_answer(ticket.number, PendingAnswer::Answer(reply));
+        self.enqueue_answer(ticket.number, Answer::Reply(reply));
     }
 
     /// Settles a trigger without an answer.
     pub fn acknowledge(&mut self, now: Time, ticket: Ticket) {
         self.now = now;
-        self.enqueue_answer(ticket.number, PendingAnswer::Nothing);
+        self.enqueue_answer(ticket.number, Answer::Nothing);
     }
 
     /// Takes no more deliveries; once all are settled the connection is closed.
--- a/crates/pipithub-consumer/src/consumer/commit.rs
+++ b/crates/pipithub-consumer/src/consumer/commit.rs
@@ -6,25 +6,32 @@
 use pipithub_engine::Reply;
 
 use super::{Consumer, DeadLetterTarget};
-use crate::message::{self, Address, Unreadable};
+use crate::message::{self, ReplyAddress, Unreadable};
 
 /// Bytes that wait to be written before no further transaction is begun.
 const MAX_OUTPUT: usize = 4 << 20;
 /// Answers and acknowledgements in one transaction.
 const MAX_BATCH: usize = 128;
 
-/// What settles a delivery, until it is committed.
+/// What settles a delivery.
 #[derive(Debug)]
-pub(super) enum PendingAnswer {
-    Answer(Arc<Reply>),
+pub(super) enum Answer {
+    Reply(Arc<Reply>),
     Unreadable(Unreadable, Box<Content>),
     Nothing,
 }
 
+/// An answer that is not committed yet.
+#[derive(Debug)]
+pub(super) struct PendingAnswer {
+    ticket: u64,
+    answer: Answer,
+}
+
 impl Consumer {
-    pub(super) fn enqueue_answer(&mut self, ticket: u64, pending: PendingAnswer) {
+    pub(super) fn enqueue_answer(&mut self, ticket: u64, answer: Answer) {
         if self.in_flight.contains_key(&ticket) {
-            self.pending.push_back((ticket, pending));
+            self.pending.push_back(PendingAnswer { ticket, answer });
             self.begin_commit();
         }
     }
@@ -38,14 +45,14 @@
             return;
         }
         while self.committing.len() < MAX_BATCH {
-            let Some((ticket, pending)) = self.pending.pop_front() else {
+            let Some(PendingAnswer { ticket, answer }) = self.pending.pop_front() else {
                 break;
             };
             let Some(delivery) = self.in_flight.get(&ticket) else {
                 continue;
             };
             let (tag, address) = (delivery.tag, delivery.address.clone());
-            let settle = self.publish_pending(channel, tag, &address, pending);
+            let settle = self.publish_pending(channel, tag, &address, answer);
             self.send(settle);
             self.committing.push(ticket);
         }
@@ -67,21 +74,21 @@
         &mut self,
         channel: u16,
         tag: u64,
-        address: &Address,
-        pending: PendingAnswer,
+        address: &ReplyAddress,
+        answer: Answer,
     ) -> Method {
         let acknowledge = Method::BasicAck {
             delivery_tag: tag,
             multiple: false,
         };
-        match pending {
-            PendingAnswer::Nothing => acknowledge,
-            PendingAnswer::Answer(reply) => {
+        match answer {
+            Answer::Nothing => acknowledge,
+            Answer::Reply(reply) => {
                 let (properties, body) = message::answer(address, &reply);
                 self.publish_answer(channel, address, properties, &body);
                 acknowledge
             }
-            PendingAnswer::Unreadable(why, content) => {
+            Answer::Unreadable(why, content) => {
                 let properties = message::answer_unreadable(address, &why);
                 self.publish_answer(channel, address, properties, &[]);
                 if self.publish_dead_letter(channel, &why, &content) {
@@ -116,7 +123,7 @@
     fn publish_answer(
         &mut self,
         channel: u16,
-        address: &Address,
+        address: &ReplyAddress,
         properties: Properties,
         body: &[u8],
     ) {
--- a/crates/pipithub-consumer/src/consumer/events.rs
+++ b/crates/pipithub-consumer/src/consumer/events.rs
@@ -3,9 +3,9 @@
 use pipithub_amqp::{Code, Content, Endpoint, Event, Fault, FieldTable, Method, ShortStr};
 use pipithub_engine::{Call, Ticket, Trigger};
 
-use super::commit::PendingAnswer;
+use super::commit::Answer;
 use super::{Consumer, ConsumerSettings, InFlight, Notice, Phase};
-use crate::message::{self, Address, ArrivalTime};
+use crate::message::{self, ArrivalTime, ReplyAddress};
 
 /// Class and method numbers of AMQP 0-9-1 that faults name.
 const QUEUE_CLASS: u16 = 50;
@@ -133,7 +133,7 @@
     fn handle_delivery(&mut self, tag: u64, redelivered: bool, content: Content) {
         let number = self.next_ticket;
         self.next_ticket += 1;
-        let address = Address::of(&content.properties);
+        let address = ReplyAddress::from_properties(&content.properties);
         self.in_flight.insert(number, InFlight { tag, address });
         match self.read_trigger(number, redelivered, &content) {
             Ok(trigger) => self.notices.push_back(Notice::Trigger(Box::new(trigger))),
@@ -143,7 +143,7 @@
                     message_id,
                     why: why.clone(),
                 });
-                self.enqueue_answer(number, PendingAnswer::Unreadable(why, Box::new(content)));
+                self.enqueue_answer(number, Answer::Unreadable(why, Box::new(content)));
             }
         }
     }
--- a/crates/pipithub-consumer/src/latest_wall.rs
+++ b/crates/pipithub-consumer/src/latest_wall.rs
@@ -9,20 +9,31 @@
 /// Follows the wall clock forward at once, and back only after a day.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LatestWall {
-    /// The greatest distance between wall and monotonic time, and when it was last seen.
-    lead: Option<(i64, Time)>,
+    greatest: Option<Lead>,
+}
+
+/// By how much the wall clock is ahead of monotonic time.
+#[derive(Clone, Copy, Debug)]
+struct Lead {
+    ms: i64,
+    /// When it was last seen.
+    seen_at: Time,
 }
 
 impl LatestWall {
     /// Takes a reading of both clocks; the wall time now by the latest of the readings, in Unix milliseconds.
     pub fn observe(&mut self, now: Time, wall_ms: u64) -> u64 {
         let now_ms = to_signed(now / NANOS_PER_MS);
-        let lead = to_signed(wall_ms).saturating_sub(now_ms);
-        let held = self
-            .lead
-            .filter(|(held, seen)| *held > lead && now.saturating_sub(*seen) <= STEP_BACK_WINDOW);
-        let (greatest, _) = *self.lead.insert(held.unwrap_or((lead, now)));
-        u64::try_from(now_ms.saturating_add(greatest)).unwrap_or(0)
+        let current = Lead {
+            ms: to_signed(wall_ms).saturating_sub(now_ms),
+            seen_at: now,
+        };
+        let is_valid = |earlier: &Lead| {
+            earlier.ms > current.ms && now.saturating_sub(earlier.seen_at) <= STEP_BACK_WINDOW
+        };
+        let greatest = self.greatest.filter(is_valid).unwrap_or(current);
+        self.greatest = Some(greatest);
+        u64::try_from(now_ms.saturating_add(greatest.ms)).unwrap_or(0)
     }
 }
 
--- a/crates/pipithub-consumer/src/message.rs
+++ b/crates/pipithub-consumer/src/message.rs
@@ -1,8 +1,8 @@
-//! A message as a call, and a final answer as a message.
+//! A message as a request, and a final answer as a message.
 //!
 //! | property or header | meaning |
 //! | --- | --- |
-//! | `reply_to`, `correlation_id` | where the answer goes, and what ties it to the call |
+//! | `reply_to`, `correlation_id` | where the answer goes, and what ties it to the request |
 //! | `message_id` | names the message; without it `reply_to` with `correlation_id` does, else nothing |
 //! | `type` or `pipithub-class` | the class |
 //! | `pipithub-function` | the function or model to run |
@@ -26,7 +26,7 @@
 const MAX_SKEW_MS: u64 = 1_000;
 /// A function's name has at most so many bytes.
 const MAX_FUNCTION_LEN: usize = 200;
-/// A copy runs at most so many calls at a time.
+/// A replica runs at most so many requests at a time.
 const MAX_LANES: f64 = 65_536.0;
 
 /// What holds for the messages of a queue where they do not say otherwise.
@@ -36,13 +36,13 @@
     pub class: Option<usize>,
     /// The function.
     pub function: Option<Arc<str>>,
-    /// Memory of one copy, in MB.
+    /// Memory of one replica, in MB.
     pub memory_mb: f64,
-    /// Calls that one copy runs at a time; 0 counts as 1.
+    /// Requests that one replica runs at a time; 0 counts as 1.
     pub lanes: u32,
     /// The usual time of a load.
     pub load_time: Option<Time>,
-    /// The work that a call is expected to take.
+    /// The work that a request is expected to take.
     pub expected: Option<Time>,
     /// How long clients wait.
     pub budget: Option<Time>,
@@ -59,15 +59,15 @@
     pub needs_key: bool,
 }
 
-/// A message that is no call; it never ran.
+/// A message that is no request; it never ran.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct Unreadable(pub String);
 
-/// What a message says.
+/// A message that was read as a request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Read {
-    /// The call.
+pub struct ParsedMessage {
+    /// The request.
     pub call: Call,
     /// Names the message in each delivery.
     pub identity: Option<Arc<str>>,
@@ -145,7 +145,7 @@
     route: &Route,
     classes: &[ClassName],
     arrival: ArrivalTime,
-) -> Result<Read, Unreadable> {
+) -> Result<ParsedMessage, Unreadable> {
     let properties = &content.properties;
     let headers = Headers(properties.headers.as_ref());
     let class = class(properties, headers, route, classes)?;
@@ -188,7 +188,7 @@
         .and_then(FieldValue::as_i64)
         .unwrap_or(0);
     let deliveries = deliveries.clamp(0, i64::from(u32::MAX)) as u32;
-    Ok(Read {
+    Ok(ParsedMessage {
         call,
         identity: identity(properties, queue),
         deliveries,
@@ -313,24 +313,27 @@
     message_id.map(|id| Some(id.into())).ok_or_else(missing)
 }
 
-/// What is kept of a message until its answer goes out.
+/// Where the answer to a message goes; kept until it is published.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Address {
+pub struct ReplyAddress {
     /// Where the answer goes; `None`: nowhere.
     pub reply_to: Option<ShortStr>,
-    /// What ties it to the call.
+    /// What ties it to the request.
     pub correlation_id: Option<ShortStr>,
-    /// Whether the answer is to outlive the broker, as the call was.
+    /// Whether the answer is to outlive the broker, as the request was.
     pub delivery_mode: Option<u8>,
 }
 
-impl Address {
-    /// From the call's properties.
-    pub fn of(p: &Properties) -> Self {
-        Address {
-            reply_to: p.reply_to.clone().filter(|r| !r.is_empty()),
-            correlation_id: p.correlation_id.clone().or(p.message_id.clone()),
-            delivery_mode: p.delivery_mode,
+impl ReplyAddress {
+    /// From the properties of the request's message.
+    pub fn from_properties(properties: &Properties) -> Self {
+        ReplyAddress {
+            reply_to: properties.reply_to.clone().filter(|r| !r.is_empty()),
+            correlation_id: properties
+                .correlation_id
+                .clone()
+                .or(properties.message_id.clone()),
+            delivery_mode: properties.delivery_mode,
         }
     }
 }
@@ -343,7 +346,7 @@
 }
 
 /// The answer as a message.
-pub fn answer(address: &Address, reply: &Reply) -> (Properties, Bytes) {
+pub fn answer(address: &ReplyAddress, reply: &Reply) -> (Properties, Bytes) {
     let mut headers = headers(reply.verdict.as_str(), reply.cause.as_str(), reply.attempts);
     if let Some(after) = reply.retry_after {
         headers = headers.with(
@@ -367,14 +370,14 @@
     (properties(address, headers, content_type), body)
 }
 
-/// The answer to a message that is no call: a refusal, for it never ran.
-pub fn answer_unreadable(address: &Address, why: &Unreadable) -> Properties {
+/// The answer to a message that is no request: a rejection, for it never ran.
+pub fn answer_unreadable(address: &ReplyAddress, why: &Unreadable) -> Properties {
     let headers = headers("refused", "unreadable", 0).with("pipithub-reason", why.0.as_str());
     properties(address, headers, None)
 }
 
 fn properties(
-    address: &Address,
+    address: &ReplyAddress,
     headers: FieldTable,
     content_type: Option<ShortStr>,
 ) -> Properties {
--- a/crates/pipithub-consumer/tests/message.rs
+++ b/crates/pipithub-consumer/tests/message.rs
@@ -4,7 +4,7 @@
 use pipithub_amqp::{Content, FieldTable, FieldValue, Properties, ShortStr};
 use pipithub_clock::ManualClock;
 use pipithub_consumer::LatestWall;
-use pipithub_consumer::message::{ArrivalTime, ClassName, Read, Route, Unreadable, read};
+use pipithub_consumer::message::{ArrivalTime, ClassName, ParsedMessage, Route, Unreadable, read};
 use pipithub_engine::Time;
 
 const MS: Time = 1_000_000;
@@ -42,7 +42,7 @@
     p.headers = Some(p.headers.take().unwrap_or_default().with(name, value));
 }
 
-fn read_it(change: impl FnOnce(&mut Properties)) -> Result<Read, Unreadable> {
+fn read_it(change: impl FnOnce(&mut Properties)) -> Result<ParsedMessage, Unreadable> {
     read(
         &content(change),
         "q",
