--- a/crates/pipithub-admission/src/quotas.rs
+++ b/crates/pipithub-admission/src/quotas.rs
@@ -258,10 +258,7 @@
         self.in_flight = self.in_flight.saturating_sub(1);
         match result {
             ServiceResult::Served => self.record_served(now, service_time),
-            ServiceResult::NoWorkerInTime => {
-                let is_within_quota = in_flight_before as f64 <= self.guaranteed(tenant, now);
-                self.record_no_worker(now, is_within_quota);
-            }
+            ServiceResult::NoWorkerInTime => self.record_no_worker(now, tenant, in_flight_before),
             ServiceResult::Other => {}
         }
         self.fill(now, decisions);
@@ -279,12 +276,13 @@
         self.served.record(now);
     }
 
-    fn record_no_worker(&mut self, now: Time, is_within_quota: bool) {
+    fn record_no_worker(&mut self, now: Time, tenant: usize, in_flight_before: usize) {
         if !self.has_noisy_neighbor(now) {
             return;
         }
         self.congested_at = Some(now);
         if self.limit.may_cut(now) {
+            let is_within_quota = in_flight_before as f64 <= self.guaranteed(tenant, now);
             self.limit.cut(now, self.in_flight + 1, is_within_quota);
         }
     }
--- a/crates/pipithub-inference/src/header.rs
+++ b/crates/pipithub-inference/src/header.rs
@@ -2,25 +2,25 @@
 
 /// To the worker: whole milliseconds that an answer is of use for.
 pub const TIMEOUT: &str = "pipithub-timeout-ms";
-/// To the worker: which attempt of the call this is, from 0.
+/// To the worker: which attempt of the request this is, from 0.
 pub const ATTEMPT: &str = "pipithub-attempt";
-/// To the worker: the front end that asks.
+/// To the worker: the front end that sends the request.
 pub const FRONT_END: &str = "pipithub-front-end";
-/// To the worker: the call's own name.
+/// To the worker: the request's own name.
 pub const REQUEST: &str = "x-request-id";
-/// To the worker: the key under which it drops repeats (the IETF draft's header).
+/// To the worker: the idempotency key, under which it drops repeats (the IETF draft's header).
 pub const KEY: &str = "idempotency-key";
-/// To the worker: memory in MB and lanes of one copy of the model.
+/// To the worker: memory in MB of one replica of the model.
 pub const MEMORY: &str = "pipithub-model-memory-mb";
-/// To the worker: calls that one copy runs at a time.
+/// To the worker: requests that one replica runs at a time.
 pub const LANES: &str = "pipithub-model-lanes";
-/// From the worker: `no` proves that the call did not run.
+/// From the worker: `no` proves that the request did not run.
 pub const RAN: &str = "pipithub-ran";
-/// From the worker: `warm`, `began`, `waited` or `failed`.
+/// From the worker: the state in which the request met its replica, as `warm`, `began`, `waited` or `failed`.
 pub const COPY: &str = "pipithub-copy";
-/// From the worker: calls of the same model that it held when this one came.
+/// From the worker: requests of the same model in flight when this one came.
 pub const ALIKE: &str = "pipithub-alike";
-/// From the worker: copies that stand loaded, after an order.
+/// From the worker: replicas that are loaded, after a load command.
 pub const COPIES: &str = "pipithub-copies";
 /// From the worker: its load, by ORCA.
 pub const LOAD: &str = "endpoint-load-metrics";
--- a/crates/pipithub-inference/src/lib.rs
+++ b/crates/pipithub-inference/src/lib.rs
@@ -1,8 +1,8 @@
-//! What workers are told and tell over HTTP/1.1, without I/O.
+//! Requests to workers and their replies over HTTP/1.1, without I/O.
 //!
-//! Calls follow the Open Inference Protocol (V2), orders its model repository extension, load reports the ORCA header
-//! `endpoint-load-metrics`. The headers of this project's own are listed in [`header`]. [`outcome`] is where a reply
-//! becomes an outcome of the decision module; it never claims that a call did not run unless the worker said so.
+//! Requests follow the Open Inference Protocol (V2), load commands its model repository extension, load reports the ORCA
+//! header `endpoint-load-metrics`. The headers of this project's own are listed in [`header`]. [`outcome`] is where a reply
+//! becomes an outcome of the decision module; it never claims that a request did not run unless the worker said so.
 
 mod escape;
 pub mod header;
--- a/crates/pipithub-inference/src/reply.rs
+++ b/crates/pipithub-inference/src/reply.rs
@@ -17,27 +17,27 @@
     pub reason: String,
 }
 
-/// What a reply tells of an attempt.
+/// What a reply reports of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptReply {
     /// How it ended.
     pub outcome: Outcome,
-    /// What it met there.
+    /// The state in which it met its replica.
     pub note: Option<ReplicaStatus>,
-    /// Calls of the model that the worker held.
+    /// Requests of the model that were in flight at the worker.
     pub alike: Option<u32>,
     /// The worker's load.
     pub load: LoadReport,
 }
 
-/// Reads the status and headers of a reply to a call.
+/// Reads the status and headers of a reply to a request.
 ///
 /// | reply | outcome |
 /// | --- | --- |
 /// | 2xx | served |
 /// | 404 with `pipithub-ran: no` | the model is not there: never ran |
-/// | 429, or any error with `pipithub-ran: no` | turned away: never ran |
-/// | 400, 405 to 407, 410 to 422, 431 | served: the worker's word on the call itself, no other worker would say else |
+/// | 429, or any error with `pipithub-ran: no` | rejected: never ran |
+/// | 400, 405 to 407, 410 to 422, 431 | served: the answer to the request itself, which no other worker would change |
 /// | everything else | an error; it may have run |
 pub fn outcome<'a>(status: u16, headers: impl Fn(&str) -> Option<&'a str>) -> AttemptReply {
     let note = match headers(header::COPY) {
@@ -51,7 +51,7 @@
     let outcome = match status {
         200..=299 => Outcome::Served,
         404 if not_run => Outcome::NotLoaded,
-        // A load that failed under the call: it never ran, and the copy is not there.
+        // A load that failed under the request: it never ran, and the replica is not there.
         500..=599 if not_run && note == Some(ReplicaStatus::LoadFailed) => Outcome::NotLoaded,
         429 => Outcome::Rejected,
         _ if not_run => Outcome::Rejected,
@@ -66,11 +66,11 @@
     }
 }
 
-/// Reads the status of a reply to an order, and the copies that stand. Only a load that failed is an error: it is what
-/// the module shuts the store for, and want of room at one worker must not do that.
+/// Reads the status of a reply to a load command, and the replicas that are loaded. Only a load that failed is an error:
+/// it is what the module stops loading for, and one worker at capacity must not do that.
 pub fn order_outcome<'a>(status: u16, headers: impl Fn(&str) -> Option<&'a str>) -> (Outcome, u32) {
     let copies = headers(header::COPIES).and_then(|v| v.parse().ok());
-    // The extension itself tells no number; a load that was done has left one at least.
+    // The extension itself reports no number; a load that was done has left one at least.
     let outcome = match status {
         200..=299 => return (Outcome::Served, copies.unwrap_or(1)),
         429 => Outcome::Rejected,
@@ -81,7 +81,7 @@
     (outcome, copies.unwrap_or(0))
 }
 
-/// The module's view of an ORCA report. What cannot be read counts as not told.
+/// The module's view of an ORCA report. What cannot be read counts as not reported.
 pub fn load(report: &str) -> LoadReport {
     let Ok(report) = orca::Report::parse(report) else {
         return LoadReport::default();
--- a/crates/pipithub-inference/src/request.rs
+++ b/crates/pipithub-inference/src/request.rs
@@ -7,7 +7,7 @@
 
 const NANOSECONDS_PER_MILLISECOND: Time = 1_000_000;
 
-/// A request to a worker. Its method is always `POST` but for probes.
+/// A request to a worker. Its method is always `POST` but for polls of the load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerRequest {
     /// `GET` instead of `POST`.
@@ -18,7 +18,7 @@
     pub headers: Vec<(&'static str, String)>,
 }
 
-/// Too little of the call's time is left to be told to a worker: its request must not be sent.
+/// Too little of the request's time is left to be told to a worker: its request must not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the call's deadline is reached")]
 pub struct DeadlineReached;
@@ -72,7 +72,7 @@
     }
 }
 
-/// The request of an order; 0 copies unload the idle ones.
+/// A load command; with 0 replicas it is an evict command, which unloads the idle ones.
 pub fn order(model: &str, copies: u32, front_end: &str) -> WorkerRequest {
     let verb = if copies > 0 { "load" } else { "unload" };
     WorkerRequest {
@@ -86,7 +86,7 @@
     }
 }
 
-/// The request of a probe.
+/// A poll of a worker's load.
 pub fn probe(front_end: &str) -> WorkerRequest {
     let headers = vec![(header::FRONT_END, header_value(front_end))];
     WorkerRequest {
