--- a/crates/pipithub-consumer/src/consumer/notice.rs
+++ b/crates/pipithub-consumer/src/consumer/notice.rs
@@ -7,7 +7,7 @@
 /// What happened, for the engine and the logs.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
-    /// A call came in.
+    /// A request came in.
     Trigger(Box<Trigger>),
     /// Its answer is safe at the broker.
     Settled(Ticket),
@@ -23,10 +23,10 @@
     Returned {
         /// The queue.
         reply_to: String,
-        /// What ties the answer to its call.
+        /// What ties the answer to its request.
         correlation_id: Option<String>,
     },
-    /// A message was no call.
+    /// A message was no request.
     Unreadable {
         /// Its id.
         message_id: Option<String>,
--- a/crates/pipithub-consumer/src/identity.rs
+++ b/crates/pipithub-consumer/src/identity.rs
@@ -1,8 +1,8 @@
-//! Whose call a message is, and how that is proved.
+//! Whose request a message is, and how that is proved.
 //!
 //! Two ways are offered. Under [`Rule::Broker`] the property `user_id` counts: a broker that checks it against the
-//! connection's user, as `RabbitMQ` does, lets nobody publish under another's name. Under [`Rule::Signed`] a desk that
-//! publishes for many users signs each call:
+//! connection's user, as `RabbitMQ` does, lets nobody publish under another's name. Under [`Rule::Signed`] a publisher
+//! that sends for many users signs each request:
 //!
 //! | header | meaning |
 //! | --- | --- |
@@ -25,7 +25,7 @@
 use crate::replay::{ReplayMemory, Tolerance};
 
 const MS: Time = 1_000_000;
-/// How far a desk's clock may be ahead of ours.
+/// How far a publisher's clock may be ahead of ours.
 const MAX_AHEAD_MS: u64 = 30_000;
 /// Names that a user may have, in bytes.
 const MAX_USER_LEN: usize = 256;
@@ -35,7 +35,7 @@
 pub struct Keys {
     /// The keys.
     pub keys: BTreeMap<String, Vec<u8>>,
-    /// A call signed longer ago is refused.
+    /// A request signed longer ago is rejected.
     pub max_age: Time,
 }
 
--- a/crates/pipithub-consumer/src/message.rs
+++ b/crates/pipithub-consumer/src/message.rs
@@ -27,7 +27,7 @@
 /// A function's name has at most so many bytes.
 const MAX_FUNCTION_LEN: usize = 200;
 /// A replica runs at most so many requests at a time.
-const MAX_LANES: f64 = 65_536.0;
+const MAX_REPLICA_CONCURRENCY: f64 = 65_536.0;
 
 /// What holds for the messages of a queue where they do not say otherwise.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -156,9 +156,7 @@
     let message_id = message_id(properties);
     let needs_key = classes[class].needs_key;
     let key = key(headers, message_id, needs_key)?;
-    let lanes = headers
-        .number("pipithub-lanes")?
-        .map_or(route.lanes, |lanes| lanes.min(MAX_LANES) as u32);
+    let replica_concurrency = replica_concurrency(headers, route)?;
     let call = Call {
         function,
         class,
@@ -171,7 +169,7 @@
         memory_mb: headers
             .number("pipithub-memory-mb")?
             .unwrap_or(route.memory_mb),
-        replica_concurrency: lanes.max(1),
+        replica_concurrency,
         load_time: headers.span("pipithub-load-ms")?.or(route.load_time),
         label: message_id
             .or(properties.correlation_id.as_deref())
@@ -183,18 +181,28 @@
         user: None,
         person: 0,
     };
-    let deliveries = headers
-        .get("x-delivery-count")
-        .and_then(FieldValue::as_i64)
-        .unwrap_or(0);
-    let deliveries = deliveries.clamp(0, i64::from(u32::MAX)) as u32;
     Ok(ParsedMessage {
         call,
         identity: identity(properties, queue),
-        deliveries,
+        deliveries: deliveries(headers),
     })
 }
 
+/// Requests that one replica runs at a time.
+fn replica_concurrency(headers: Headers<'_>, route: &Route) -> Result<u32, Unreadable> {
+    let given = headers.number("pipithub-lanes")?;
+    let concurrency = given.map_or(route.lanes, |given| {
+        given.min(MAX_REPLICA_CONCURRENCY) as u32
+    });
+    Ok(concurrency.max(1))
+}
+
+/// Earlier deliveries, where the broker counts them.
+fn deliveries(headers: Headers<'_>) -> u32 {
+    let count = headers.get("x-delivery-count").and_then(FieldValue::as_i64);
+    count.unwrap_or(0).clamp(0, i64::from(u32::MAX)) as u32
+}
+
 fn class(
     properties: &Properties,
     headers: Headers<'_>,
