--- a/crates/pipithub-bench/src/roster.rs
+++ b/crates/pipithub-bench/src/roster.rs
@@ -393,7 +393,7 @@
                         answers.insert((now + 5 * MS, number), (id, answer));
                     }
                     Output::News(user) => {
-                        admission.user_updated(now, core.roster(), &user, &mut said)
+                        admission.user_updated(now, core.roster(), &user, &mut said);
                     }
                     Output::GiveUp(_) | Output::Changed(_) => {}
                 }
