--- /dev/null
+++ b/crates/pipithub-admission/src/admission.rs
@@ -0,0 +1,334 @@
+//! From a request to its tenant, and on to the tenant's quota.
+
+use std::collections::BTreeMap;
+
+use pipithub_directory::{Person, Refresh, Roster, TenantId, User, View, Waiting};
+
+use crate::outputs::{Admitted, Arrival, Completion, Output, RejectReason, ServiceResult};
+use crate::quotas::{Candidate, Decision, QuotaSettings, Quotas};
+use crate::{SECOND, Time};
+
+/// A user's refresh is asked for again after this at the soonest.
+const MIN_REFRESH_INTERVAL: Time = SECOND;
+/// Users that are remembered for that.
+const MAX_REFRESHES: usize = 4_096;
+/// The client of an unknown user should not retry sooner: by then the directories may have answered.
+const UNKNOWN_USER_RETRY_AFTER: Time = SECOND;
+/// A request may spend this part of its time on waiting for its user to be known.
+const IDENTITY_WAIT_DIVISOR: Time = 4;
+
+/// What admission is given at its start.
+#[derive(Clone, Debug, PartialEq)]
+pub struct AdmissionSettings {
+    /// Quotas and classes.
+    pub quotas: QuotaSettings,
+    /// A request waits no longer than this for its user to be known, nor than a quarter of its time.
+    pub max_identity_wait: Time,
+    /// Requests that may wait for that.
+    pub max_waiting: usize,
+}
+
+/// A request that is neither admitted nor rejected yet.
+#[derive(Debug)]
+struct Pending<T> {
+    arrival: Arrival<T>,
+    arrived_at: Time,
+    /// Known once its user's tenant is.
+    person: Option<Person>,
+}
+
+impl<T> Pending<T> {
+    /// Whether its user is still the person and the tenant's that it was judged by.
+    fn still_belongs_to(&self, tenant: usize, roster: &Roster, now: Time) -> bool {
+        let (Some(user), Some(expected)) = (&self.arrival.user, self.person) else {
+            return true;
+        };
+        match roster.look(user, now) {
+            View::Tenant {
+                tenant: current,
+                person,
+                ..
+            } => usize::from(current.0) == tenant && person == expected,
+            _ => false,
+        }
+    }
+
+    fn reject(self, reason: RejectReason, retry_after: Time) -> Output<T> {
+        Output::Reject {
+            request: self.arrival.request,
+            reason,
+            retry_after,
+        }
+    }
+
+    fn admit(self, tenant: usize, now: Time) -> Output<T> {
+        Output::Admit {
+            request: self.arrival.request,
+            admitted: Admitted {
+                tenant: TenantId(tenant as u16),
+                person: self.person,
+                waited: now.saturating_sub(self.arrived_at),
+            },
+        }
+    }
+}
+
+/// The admission control of a front end.
+#[derive(Debug)]
+pub struct Admission<T> {
+    settings: AdmissionSettings,
+    waiting: Waiting<Pending<T>>,
+    quotas: Quotas<Pending<T>>,
+    /// When a user that is known already was last asked for again: a busy user's refresh is wanted once, not with each
+    /// request.
+    refreshes: BTreeMap<User, Time>,
+    /// Used again for each step, so that it is allocated once.
+    decisions: Vec<Decision<Pending<T>>>,
+}
+
+impl<T> Admission<T> {
+    /// One that has admitted nothing.
+    pub fn new(settings: AdmissionSettings) -> Self {
+        Admission {
+            waiting: Waiting::new(settings.max_waiting),
+            quotas: Quotas::new(settings.quotas.clone()),
+            refreshes: BTreeMap::new(),
+            decisions: Vec::new(),
+            settings,
+        }
+    }
+
+    /// Requests that wait for anything here.
+    pub fn pending(&self) -> usize {
+        self.waiting.len() + self.quotas.queued()
+    }
+
+    /// When [`Admission::tick`] is due next.
+    pub fn next_due(&self) -> Option<Time> {
+        [self.waiting.next_due(), self.quotas.next_due()]
+            .into_iter()
+            .flatten()
+            .min()
+    }
+
+    /// A request arrives.
+    pub fn arrive(
+        &mut self,
+        now: Time,
+        roster: &Roster,
+        arrival: Arrival<T>,
+        outputs: &mut Vec<Output<T>>,
+    ) {
+        let pending = Pending {
+            arrived_at: now,
+            person: None,
+            arrival,
+        };
+        let Some(user) = pending.arrival.user.clone() else {
+            return self.arrive_without_user(now, roster, pending, outputs);
+        };
+        let view = roster.look(&user, now);
+        if !self.needs_lookup(now, &user, view, outputs) {
+            return self.judge(now, roster, view, pending, outputs);
+        }
+        let max_wait = pending.arrival.remaining / IDENTITY_WAIT_DIVISOR;
+        let until = now + self.settings.max_identity_wait.min(max_wait);
+        match self.waiting.add(now, until, user.clone(), pending) {
+            Ok(()) => outputs.push(Output::LookUp { user, urgent: true }),
+            // As many wait as may: it is judged by what is known.
+            Err(pending) => self.judge(now, roster, view, pending, outputs),
+        }
+    }
+
+    /// A route that takes requests without users speaks for its tenant: a timer's, a desk's own queue.
+    fn arrive_without_user(
+        &mut self,
+        now: Time,
+        roster: &Roster,
+        pending: Pending<T>,
+        outputs: &mut Vec<Output<T>>,
+    ) {
+        match pending.arrival.route_tenant {
+            Some(tenant) => self.offer(now, roster, pending, tenant, outputs),
+            None => outputs.push(pending.reject(RejectReason::NoUser, 0)),
+        }
+    }
+
+    /// Whether a request has to wait for its user to be looked up; a refresh that it need not wait for is asked for here.
+    fn needs_lookup(
+        &mut self,
+        now: Time,
+        user: &User,
+        view: View,
+        outputs: &mut Vec<Output<T>>,
+    ) -> bool {
+        match view {
+            View::Unknown => true,
+            View::Tenant { refresh, .. } => {
+                if refresh == Refresh::Behind && self.may_refresh(now, user) {
+                    let user = user.clone();
+                    outputs.push(Output::LookUp {
+                        user,
+                        urgent: false,
+                    });
+                }
+                refresh == Refresh::First
+            }
+            View::Nobody | View::Twice => false,
+        }
+    }
+
+    /// Whether a user's refresh was not asked for a moment ago; from now on it was.
+    fn may_refresh(&mut self, now: Time, user: &User) -> bool {
+        let is_recent = |at: Time| now < at + MIN_REFRESH_INTERVAL;
+        if self.refreshes.get(user).is_some_and(|at| is_recent(*at)) {
+            return false;
+        }
+        if self.refreshes.len() >= MAX_REFRESHES {
+            self.refreshes.retain(|_, at| is_recent(*at));
+        }
+        if self.refreshes.len() < MAX_REFRESHES {
+            self.refreshes.insert(user.clone(), now);
+        }
+        true
+    }
+
+    /// Decides by what is known of a request's user.
+    fn judge(
+        &mut self,
+        now: Time,
+        roster: &Roster,
+        view: View,
+        mut pending: Pending<T>,
+        outputs: &mut Vec<Output<T>>,
+    ) {
+        match view {
+            View::Tenant { tenant, person, .. } => {
+                let route_tenant = pending.arrival.route_tenant;
+                if route_tenant.is_some_and(|expected| expected != tenant) {
+                    return outputs.push(pending.reject(RejectReason::OtherTenant, 0));
+                }
+                pending.person = Some(person);
+                self.offer(now, roster, pending, tenant, outputs);
+            }
+            View::Nobody => outputs.push(pending.reject(RejectReason::NoTenant, 0)),
+            View::Twice => outputs.push(pending.reject(RejectReason::ClaimedTwice, 0)),
+            View::Unknown => {
+                outputs.push(pending.reject(RejectReason::UnknownUser, UNKNOWN_USER_RETRY_AFTER));
+            }
+        }
+    }
+
+    fn offer(
+        &mut self,
+        now: Time,
+        roster: &Roster,
+        pending: Pending<T>,
+        tenant: TenantId,
+        outputs: &mut Vec<Output<T>>,
+    ) {
+        let waited = now - pending.arrived_at;
+        let remaining = pending.arrival.remaining.saturating_sub(waited);
+        let candidate = Candidate {
+            tenant: usize::from(tenant.0),
+            class: pending.arrival.class,
+            request: pending,
+        };
+        self.quotas
+            .offer(now, candidate, remaining, &mut self.decisions);
+        self.apply_decisions(now, roster, outputs);
+    }
+
+    fn apply_decisions(&mut self, now: Time, roster: &Roster, outputs: &mut Vec<Output<T>>) {
+        // Taken from the end: those that were given their places first go first.
+        self.decisions.reverse();
+        while let Some(decision) = self.decisions.pop() {
+            outputs.push(match decision {
+                Decision::Admit(Candidate {
+                    request, tenant, ..
+                }) => self.admit(now, roster, request, tenant),
+                Decision::Reject {
+                    candidate,
+                    reason,
+                    retry_after,
+                } => candidate.request.reject(reason, retry_after),
+            });
+        }
+    }
+
+    /// Admits a request that has a place, unless its user moved while it waited for that.
+    fn admit(
+        &mut self,
+        now: Time,
+        roster: &Roster,
+        pending: Pending<T>,
+        tenant: usize,
+    ) -> Output<T> {
+        if pending.still_belongs_to(tenant, roster, now) {
+            return pending.admit(tenant, now);
+        }
+        let result = ServiceResult::Other;
+        self.quotas
+            .completed(now, tenant, result, 0, &mut self.decisions);
+        let user = pending.arrival.user.as_deref();
+        let view = user.map_or(View::Unknown, |user| roster.look(user, now));
+        let reason = if view == View::Twice {
+            RejectReason::ClaimedTwice
+        } else {
+            RejectReason::UnknownUser
+        };
+        pending.reject(reason, 0)
+    }
+
+    /// More is known of a user: whoever waits for it is judged by what is known now.
+    pub fn user_updated(
+        &mut self,
+        now: Time,
+        roster: &Roster,
+        user: &str,
+        outputs: &mut Vec<Output<T>>,
+    ) {
+        for woken in self.waiting.wake(user) {
+            let view = roster.look(user, now);
+            self.judge(now, roster, view, woken.call, outputs);
+        }
+    }
+
+    /// An admitted request has had its final answer.
+    pub fn completed(
+        &mut self,
+        now: Time,
+        roster: &Roster,
+        completion: Completion,
+        outputs: &mut Vec<Output<T>>,
+    ) {
+        let Completion {
+            tenant,
+            result,
+            service_time,
+        } = completion;
+        let tenant = usize::from(tenant.0);
+        self.quotas
+            .completed(now, tenant, result, service_time, &mut self.decisions);
+        self.apply_decisions(now, roster, outputs);
+    }
+
+    /// Time has passed.
+    pub fn tick(&mut self, now: Time, roster: &Roster, outputs: &mut Vec<Output<T>>) {
+        for woken in self.waiting.due(now) {
+            // What is known and past its best is still better than a rejection, up to its hard bound.
+            let view = roster.look(&woken.user, now);
+            self.judge(now, roster, view, woken.call, outputs);
+        }
+        self.quotas.tick(now, &mut self.decisions);
+        self.apply_decisions(now, roster, outputs);
+    }
+
+    /// Drops requests that their source took back; nothing is owed for them any more.
+    pub fn cancel(&mut self, mut is_cancelled: impl FnMut(&T) -> bool) {
+        self.waiting
+            .forget(|pending| is_cancelled(&pending.arrival.request));
+        self.quotas
+            .cancel(|pending| is_cancelled(&pending.arrival.request));
+    }
+}
--- a/crates/pipithub-admission/tests/hard_cases.rs
+++ b/crates/pipithub-admission/tests/hard_cases/main.rs
@@ -1,303 +1,16 @@
-//! Gate and directory core together in simulated time, against scripted directory servers: what a morning can bring.
+//! Admission and directory core together in simulated time, against scripted directory servers: what a morning can bring.
 
-use std::collections::{BTreeMap, HashMap};
+mod world;
+
+use std::collections::BTreeMap;
 
 use pipithub_admission::{
-    Arrival, End, Gate, GateSettings, Output as Out, SharesSettings, TenantShare, Why,
-};
-use pipithub_directory::{
-    Answer, Directory, DirectorySettings, Failure, Found, Input, Lifetimes, Output, Person,
-    SearchId, Settings, TenantBase, TenantId, Time, User, View, What,
+    Admission, AdmissionSettings, Completion, LimitRange, QuotaSettings, RejectReason,
+    ServiceResult, TenantQuota,
 };
-use pipithub_ldap::Dn;
-
-const MS: Time = 1_000_000;
-const S: Time = 1_000 * MS;
-
-fn dn(text: &str) -> Dn {
-    Dn::parse(text).expect(text)
-}
-
-/// One scripted server: its tree, how far it has come, how it behaves.
-#[derive(Clone)]
-struct Server {
-    tree: HashMap<String, Vec<(Dn, u64)>>,
-    mark: Option<u64>,
-    takes: Time,
-    answers: bool,
-    loaded: bool,
-    refuses: bool,
-    asked: Vec<(Time, usize)>,
-}
-
-impl Server {
-    fn new() -> Self {
-        let (tree, asked) = (HashMap::new(), Vec::new());
-        Server {
-            tree,
-            mark: None,
-            takes: 2 * MS,
-            answers: true,
-            loaded: true,
-            refuses: false,
-            asked,
-        }
-    }
-
-    fn put(&mut self, user: &str, ou: &str, person: u64) {
-        self.tree.insert(
-            user.into(),
-            vec![(dn(&format!("uid={user},ou={ou},dc=example")), person)],
-        );
-    }
-}
-
-struct World {
-    now: Time,
-    core: Directory,
-    gate: Gate<u64>,
-    servers: Vec<Vec<Server>>,
-    due: BTreeMap<(Time, u64), (SearchId, Result<Answer, Failure>)>,
-    number: u64,
-    came: HashMap<u64, Time>,
-    /// Calls let in: tenant, and how long they waited.
-    admitted: BTreeMap<u64, (TenantId, Time)>,
-    refused: BTreeMap<u64, (Why, Time)>,
-    changed: Vec<(Time, User)>,
-    /// Told in place of whatever was asked for.
-    wrong: Option<(User, Vec<(Dn, u64)>)>,
-}
-
-fn lifetimes() -> Lifetimes {
-    Lifetimes {
-        fresh: 60 * S,
-        stale_most: 3_600 * S,
-        negative: 10 * S,
-    }
-}
-
-impl World {
-    fn new(servers: &[usize], change: impl Fn(usize, &mut DirectorySettings)) -> World {
-        Self::seeded(servers, 7, change)
-    }
-
-    fn seeded(
-        servers: &[usize],
-        seed: u64,
-        change: impl Fn(usize, &mut DirectorySettings),
-    ) -> World {
-        let directory = |(n, count): (usize, &usize)| {
-            let mut settings = DirectorySettings {
-                servers: *count,
-                lifetimes: lifetimes(),
-                ..DirectorySettings::default()
-            };
-            change(n, &mut settings);
-            settings
-        };
-        let bases = |n| {
-            ["north", "south"].map(|ou| TenantBase {
-                directory: n,
-                base: dn(&format!("ou={ou},dc=example")),
-            })
-        };
-        let settings = Settings {
-            directories: servers.iter().enumerate().map(directory).collect(),
-            // With one directory both tenants are in it; with two, each has its own.
-            tenants: if servers.len() == 1 {
-                bases(0).to_vec()
-            } else {
-                vec![bases(0)[0].clone(), bases(1)[1].clone()]
-            },
-            max_users: 100_000,
-            max_queue: 10_000,
-            seed,
-            wall_ms: 1_800_000_000_000,
-        };
-        let shares = SharesSettings {
-            tenants: vec![
-                TenantShare {
-                    queue: 100,
-                    ..TenantShare::default()
-                };
-                2
-            ],
-            worths: vec![1.0],
-            limit: (8.0, 10_000.0),
-            wait_most: 20 * MS,
-        };
-        World {
-            now: 0,
-            core: Directory::new(settings),
-            gate: Gate::new(GateSettings {
-                shares,
-                identity_wait: 40 * MS,
-                max_waiting: 4_096,
-            }),
-            servers: servers.iter().map(|n| vec![Server::new(); *n]).collect(),
-            due: BTreeMap::new(),
-            number: 0,
-            came: HashMap::new(),
-            admitted: BTreeMap::new(),
-            refused: BTreeMap::new(),
-            changed: Vec::new(),
-            wrong: None,
-        }
-    }
-
-    fn core(&mut self, input: Input) {
-        let mut outputs = Vec::new();
-        self.core.handle(self.now, input, &mut outputs);
-        for output in outputs {
-            match output {
-                Output::Search {
-                    id,
-                    directory,
-                    server,
-                    what,
-                } => self.search(id, directory, server, what),
-                Output::GiveUp(id) => self.due.retain(|_, (due, _)| *due != id),
-                Output::News(user) => {
-                    let mut out = Vec::new();
-                    self.gate
-                        .news(self.now, self.core.roster(), &user, &mut out);
-                    self.gate_said(out);
-                }
-                Output::Changed(user) => self.changed.push((self.now, user)),
-            }
-        }
-    }
-
-    fn search(&mut self, id: SearchId, directory: usize, server: usize, what: What) {
-        let server = &mut self.servers[directory][server];
-        let users = if let What::Users(users) = &what {
-            users.clone()
-        } else {
-            Vec::new()
-        };
-        server.asked.push((self.now, users.len()));
-        if !server.answers {
-            return;
-        }
-        let entries = |user: &User| {
-            let found = server.tree.get(&**user).cloned().unwrap_or_default();
-            let user = user.clone();
-            found.into_iter().map(move |(dn, person)| Found {
-                user: user.clone(),
-                dn,
-                person: Person(person),
-            })
-        };
-        let mut found: Vec<Found> = if server.loaded {
-            users.iter().flat_map(entries).collect()
-        } else {
-            Vec::new()
-        };
-        if let Some((user, entries)) = &self.wrong {
-            let told = |(dn, person): &(Dn, u64)| Found {
-                user: user.clone(),
-                dn: dn.clone(),
-                person: Person(*person),
-            };
-            found = entries.iter().map(told).collect();
-        }
-        let answer = Answer {
-            found,
-            mark: server.mark,
-            loaded: server.loaded,
-            newest: None,
-        };
-        let outcome = if server.refuses {
-            Err(Failure::Unable)
-        } else {
-            Ok(answer)
-        };
-        self.number += 1;
-        self.due
-            .insert((self.now + server.takes, self.number), (id, outcome));
-    }
+use pipithub_directory::{TenantId, Time, View};
 
-    fn gate_said(&mut self, out: Vec<Out<u64>>) {
-        for out in out {
-            match out {
-                Out::Admit(call, admitted) => {
-                    assert_eq!(admitted.waited, self.now - self.came[&call]);
-                    assert!(
-                        self.admitted
-                            .insert(call, (admitted.tenant, admitted.waited))
-                            .is_none()
-                    );
-                }
-                Out::Refuse(call, why, _) => {
-                    assert!(
-                        self.refused
-                            .insert(call, (why, self.now - self.came[&call]))
-                            .is_none()
-                    );
-                }
-                Out::Want(user, urgent) => self.core(Input::Wanted { user, urgent }),
-            }
-        }
-    }
-
-    fn call(&mut self, call: u64, user: &str) {
-        self.came.insert(call, self.now);
-        let arrival = Arrival {
-            call,
-            user: Some(user.into()),
-            route: None,
-            class: 0,
-            left: 2 * S,
-        };
-        let mut out = Vec::new();
-        self.gate
-            .arrive(self.now, self.core.roster(), arrival, &mut out);
-        self.gate_said(out);
-    }
-
-    /// Everything that is due up to then happens.
-    fn run(&mut self, until: Time) {
-        loop {
-            let answer = self.due.keys().next().map(|k| k.0);
-            let due = [answer, self.core.next_due(self.now), self.gate.next_due()];
-            let Some(next) = due.into_iter().flatten().min().filter(|t| *t <= until) else {
-                break;
-            };
-            self.now = self.now.max(next);
-            if answer.is_some_and(|a| a <= self.now) {
-                if let Some((_, (search, outcome))) = self.due.pop_first() {
-                    self.core(Input::Ended { search, outcome });
-                }
-            } else {
-                self.core(Input::Tick);
-                let mut out = Vec::new();
-                self.gate.tick(self.now, self.core.roster(), &mut out);
-                self.gate_said(out);
-            }
-        }
-        self.now = until;
-        self.core(Input::Tick);
-    }
-
-    fn all(&mut self, directory: usize, change: impl FnMut(&mut Server)) {
-        self.servers[directory].iter_mut().for_each(change);
-    }
-
-    fn tenant(&self, user: &str) -> Option<u16> {
-        match self.core.roster().look(user, self.now) {
-            View::Tenant { tenant, .. } => Some(tenant.0),
-            _ => None,
-        }
-    }
-
-    fn longest_wait(&self) -> Time {
-        let admitted = self.admitted.values().map(|a| a.1);
-        admitted
-            .chain(self.refused.values().map(|r| r.1))
-            .max()
-            .unwrap_or(0)
-    }
-}
+use crate::world::{MS, S, Server, World, dn, lifetimes};
 
 /// The morning peak with 3 of 10 users unknown, the directory up, slow just under its time-out, silent, refusing, or
 /// loading: no call waits longer than 50 ms, no known user is refused.
@@ -344,7 +57,10 @@
             "{name}: every call is answered"
         );
         assert!(
-            world.refused.values().all(|r| r.0 == Why::Unknown),
+            world
+                .refused
+                .values()
+                .all(|r| r.0 == RejectReason::UnknownUser),
             "{name}"
         );
     }
@@ -489,14 +205,20 @@
     world.run(S);
     world.call(2, "mai");
     // The first answer may have come alone: from the second on nobody chooses.
-    assert_eq!(world.refused.get(&2), Some(&(Why::ClaimedTwice, 0)));
+    assert_eq!(
+        world.refused.get(&2),
+        Some(&(RejectReason::ClaimedTwice, 0))
+    );
     assert_eq!(world.admitted.get(&1).map(|a| a.0), Some(TenantId(1)));
     // One directory out of reach does not make the other's claim the only one.
     world.all(0, |s| s.answers = false);
     world.run(300 * S);
     world.call(3, "mai");
     world.run(world.now + S);
-    assert_eq!(world.refused.get(&3).map(|r| r.0), Some(Why::ClaimedTwice));
+    assert_eq!(
+        world.refused.get(&3).map(|r| r.0),
+        Some(RejectReason::ClaimedTwice)
+    );
 }
 
 /// A server that restarts answers for a while that nobody exists. Nobody must lose their tenant by that, and no newcomer
@@ -595,25 +317,36 @@
     );
 }
 
+fn completion(tenant: TenantId, result: ServiceResult, service_time: Time) -> Completion {
+    Completion {
+        tenant,
+        result,
+        service_time,
+    }
+}
+
 /// A fleet of places that each serve a call in 50 ms; the module refuses what would wait longer than 100 ms. Half of it is
 /// lost at 12 s. Returns the share of the first tenant's calls that were served, and of the second's.
 fn fleet_day(shared: bool, storm: usize) -> [f64; 2] {
     let mut world = World::new(&[1], |_, _| {});
-    let settings = SharesSettings {
+    let quotas = QuotaSettings {
         tenants: vec![
-            TenantShare {
-                queue: 64,
-                ..TenantShare::default()
+            TenantQuota {
+                max_queued: 64,
+                ..TenantQuota::default()
             };
             2
         ],
-        worths: vec![1.0],
-        limit: (8.0, 400.0),
-        wait_most: 20 * MS,
+        class_weights: vec![1.0],
+        limit: LimitRange {
+            min: 8.0,
+            max: 400.0,
+        },
+        max_queue_wait: 20 * MS,
     };
-    world.gate = Gate::new(GateSettings {
-        shares: settings,
-        identity_wait: 40 * MS,
+    world.admission = Admission::new(AdmissionSettings {
+        quotas,
+        max_identity_wait: 40 * MS,
         max_waiting: 4_096,
     });
     world.all(0, |s| {
@@ -659,16 +392,16 @@
         for (key, tenant) in ended {
             held.remove(&key);
             if shared {
-                world.gate.ended(
+                world.admission.completed(
                     now,
                     world.core.roster(),
-                    (tenant, End::Served, 50 * MS),
+                    completion(tenant, ServiceResult::Served, 50 * MS),
                     &mut out,
                 );
             }
             served[usize::from(tenant.0)] += 1;
         }
-        world.gate_said(std::mem::take(&mut out));
+        world.handle_admission(std::mem::take(&mut out));
         while let Some((call, (tenant, _))) =
             world.admitted.range(10..).next().map(|(c, a)| (*c, *a))
         {
@@ -679,10 +412,10 @@
             let begins = (*place).max(now);
             if begins > now + 100 * MS {
                 if shared {
-                    world.gate.ended(
+                    world.admission.completed(
                         now,
                         world.core.roster(),
-                        (tenant, End::NoWorkerInTime, 0),
+                        completion(tenant, ServiceResult::NoWorkerInTime, 0),
                         &mut out,
                     );
                 }
@@ -690,7 +423,7 @@
                 *place = begins + 50 * MS;
                 held.insert((*place, call), tenant);
             }
-            world.gate_said(std::mem::take(&mut out));
+            world.handle_admission(std::mem::take(&mut out));
         }
     }
     [0, 1].map(|t| served[t] as f64 / offered[t] as f64)
