--- a/crates/pipithub-bench/src/members.rs
+++ b/crates/pipithub-bench/src/members.rs
@@ -131,7 +131,7 @@
             match &told.event {
                 Event::Suspected(member) if lives(&member.identity.name) => self.suspected += 1.0,
                 Event::Down { member, .. } if lives(&member.identity.name) => self.deaths += 1.0,
-                Event::Full(_) => self.full += 1.0,
+                Event::MemberLimitReached(_) => self.full += 1.0,
                 _ => {}
             }
         }
@@ -226,7 +226,12 @@
         let zones = if self.day == Day::TwentyFirst { 21 } else { 7 };
         let empty = crate::usage(std::process::id()).1;
         let mut fleet = Fleet::new(size, zones, 3, self.seed, settings, usual);
-        fleet.keep = |e| matches!(e, Event::Suspected(_) | Event::Down { .. } | Event::Full(_));
+        fleet.keep = |e| {
+            matches!(
+                e,
+                Event::Suspected(_) | Event::Down { .. } | Event::MemberLimitReached(_)
+            )
+        };
         (0..size)
             .filter(|n| fleet.start(*n).is_err())
             .for_each(|n| eprintln!("member {n} did not start"));
--- a/crates/pipithub-characterization/tests/file_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/file_driver/mod.rs
@@ -11,7 +11,7 @@
 use pipithub_engine::policy::{Endpoint, EndpointState, EndpointUpdate};
 use pipithub_fleet::{Folder, Happening, MemberReport, Report};
 use pipithub_ldap::Dn;
-use pipithub_members::Record;
+use pipithub_members::GenerationRecord;
 use pipithub_storage::SystemFiles;
 
 const HOUR: u64 = 3_600 * 1_000_000_000;
@@ -20,17 +20,17 @@
 
 /// The text of a generation record.
 pub(crate) fn generation_text(cluster: &str, name: &str, generation: u64) -> String {
-    Record {
+    GenerationRecord {
         cluster: cluster.into(),
         name: name.into(),
         generation,
     }
-    .write()
+    .encode()
 }
 
 /// Cluster, name and generation of a record's text.
 pub(crate) fn read_generation(text: &str) -> Result<(String, String, u64), String> {
-    let record = Record::read(text).map_err(|error| error.to_string())?;
+    let record = GenerationRecord::decode(text).map_err(|error| error.to_string())?;
     Ok((record.cluster, record.name, record.generation))
 }
 
@@ -40,8 +40,9 @@
     cluster: &str,
     name: &str,
 ) -> Result<(String, bool), String> {
-    let (record, empty) = Record::start(found, cluster, name).map_err(|error| error.to_string())?;
-    Ok((record.write(), empty))
+    let (record, empty) =
+        GenerationRecord::next(found, cluster, name).map_err(|error| error.to_string())?;
+    Ok((record.encode(), empty))
 }
 
 /// Writes the record of a data folder.
--- a/crates/pipithub-drill/src/fleet/run.rs
+++ b/crates/pipithub-drill/src/fleet/run.rs
@@ -11,7 +11,7 @@
 use pipithub_check::fleet::{Breach, Claim, Disk, History, Run, check};
 use pipithub_clock::{Clock, wall_ns};
 use pipithub_fleet::{Folder, Report};
-use pipithub_members::{Record, speaker};
+use pipithub_members::{GenerationRecord, sender_identity};
 use pipithub_standin::relay::{Relay, Way};
 use tracing::info;
 
@@ -185,7 +185,7 @@
         let name = self.slots[slot].name.clone();
         let record = std::fs::read_to_string(self.data(slot).join("generation")).ok();
         let number = record
-            .and_then(|text| Record::read(&text).ok())
+            .and_then(|text| GenerationRecord::decode(&text).ok())
             .map_or(0, |r| r.generation)
             + 1;
         self.history.runs.push(Run {
@@ -255,15 +255,15 @@
             Disk::Empty => std::fs::remove_dir_all(self.data(slot)),
             Disk::Old => {
                 let text = std::fs::read_to_string(&path)?;
-                let record = Record::read(&text).map_err(std::io::Error::other)?;
+                let record = GenerationRecord::decode(&text).map_err(std::io::Error::other)?;
                 let generation = record.generation.saturating_sub(1);
                 std::fs::write(
                     &path,
-                    Record {
+                    GenerationRecord {
                         generation,
                         ..record
                     }
-                    .write(),
+                    .encode(),
                 )
             }
         }
@@ -315,15 +315,15 @@
                 std::fs::create_dir_all(&to)?;
                 // The copy of a folder whose process is under way: both count on from the same number.
                 let text = std::fs::read_to_string(from).unwrap_or_default();
-                if let Ok(record) = Record::read(&text) {
+                if let Ok(record) = GenerationRecord::decode(&text) {
                     let generation = record.generation.saturating_sub(1);
                     std::fs::write(
                         to.join("generation"),
-                        Record {
+                        GenerationRecord {
                             generation,
                             ..record
                         }
-                        .write(),
+                        .encode(),
                     )?;
                 }
                 self.slots[slot].name = self.slots[of].name.clone();
@@ -443,15 +443,15 @@
     {
         let spoken = spoken.clone();
         let seen = move |bytes: &[u8]| {
-            let Some(me) = speaker(bytes, CLUSTER) else {
+            let Some(me) = sender_identity(bytes, CLUSTER) else {
                 return;
             };
             let mut spoken = spoken.lock().unwrap_or_else(PoisonError::into_inner);
             // What still lay in a buffer belongs to the run that drew this number.
-            let Some(run) = spoken.boots.get(&me.boot).copied().or(spoken.runs[from]) else {
+            let Some(run) = spoken.boots.get(&me.boot_id).copied().or(spoken.runs[from]) else {
                 return;
             };
-            spoken.boots.insert(me.boot, run);
+            spoken.boots.insert(me.boot_id, run);
             spoken
                 .spoken
                 .entry((run, me.generation))
--- a/crates/pipithub-fleet/src/report.rs
+++ b/crates/pipithub-fleet/src/report.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use pipithub_members::{Event, Standing, State, Time, View};
+use pipithub_members::{Event, JoinState, MemberState, Time, View};
 use serde::{Deserialize, Serialize};
 
 /// The latest happenings that are kept.
@@ -67,24 +67,31 @@
     time / 1_000_000
 }
 
-fn disk(disk: pipithub_members::Disk) -> String {
-    format!("{disk:?}").to_lowercase()
+fn disk(disk: pipithub_members::DiskState) -> String {
+    match disk {
+        pipithub_members::DiskState::Intact => "kept",
+        pipithub_members::DiskState::Empty => "empty",
+        pipithub_members::DiskState::Stale => "old",
+    }
+    .to_string()
 }
 
 /// How a process stands, in a word.
-pub(crate) fn standing(standing: &Standing) -> String {
+pub(crate) fn standing(standing: &JoinState) -> String {
     match standing {
-        Standing::Saving => "saving".into(),
-        Standing::Alone => "alone".into(),
-        Standing::Joined => "joined".into(),
-        Standing::Barred(by) => format!("barred by {} (generation {})", by.address, by.generation),
-        Standing::Left => "left".into(),
+        JoinState::SavingGeneration => "saving".into(),
+        JoinState::Alone => "alone".into(),
+        JoinState::Joined => "joined".into(),
+        JoinState::DuplicateIdentity(by) => {
+            format!("barred by {} (generation {})", by.address, by.generation)
+        }
+        JoinState::Left => "left".into(),
     }
 }
 
 /// An event as a happening; `None` for what is only of use in the log.
 pub(crate) fn happening(event: &Event, me: &str, at_ms: u64, now: Time) -> Happening {
-    let heard = |m: &pipithub_members::Member| match m.heard {
+    let heard = |m: &pipithub_members::Member| match m.last_heard {
         Some(heard) => format!("last heard {} ms ago", ms(now.saturating_sub(heard))),
         None => "never heard by this process itself".to_string(),
     };
@@ -123,25 +130,29 @@
                 disk(now.disk)
             ),
         ),
-        Event::Standing(s) => (me.to_string(), format!("stands {}", standing(s))),
-        Event::Overslept { by } => (
+        Event::JoinStateChanged(s) => (me.to_string(), format!("stands {}", standing(s))),
+        Event::Stalled { by } => (
             me.to_string(),
             format!(
                 "was held up for {} ms: what it knew is that much older",
                 ms(*by)
             ),
         ),
-        Event::DiskBehind { disk, seen } => (
+        Event::StaleDisk { disk, seen } => (
             me.to_string(),
             format!(
                 "its disk says generation {disk}, the fleet has seen {seen}: the disk is old or empty"
             ),
         ),
-        Event::Refused { from, why, count } => (
+        Event::DatagramsRejected {
+            from,
+            reason: why,
+            count,
+        } => (
             from.to_string(),
             format!("{count} datagrams turned away: {why}"),
         ),
-        Event::Full(who) => (
+        Event::MemberLimitReached(who) => (
             who.name.clone(),
             "not let in: as many members as max-members allows".to_string(),
         ),
@@ -166,30 +177,30 @@
     }
 
     pub(crate) fn report(&self, cluster: &str, listen: &str, view: &View, at_ms: u64) -> Report {
-        let state = |s: State| match s {
-            State::Alive => "alive",
-            State::Suspect => "suspect",
-            State::Down => "down",
+        let state = |s: MemberState| match s {
+            MemberState::Alive => "alive",
+            MemberState::Suspect => "suspect",
+            MemberState::Down => "down",
         };
         let member = |m: &pipithub_members::Member| MemberReport {
             name: m.identity.name.clone(),
             address: m.identity.address.to_string(),
             zone: m.identity.zone.clone(),
             state: state(m.state).to_string(),
-            for_ms: ms(view.at.saturating_sub(m.since)),
-            heard_ms: m.heard.map(|h| ms(view.at.saturating_sub(h))),
+            for_ms: ms(view.taken_at.saturating_sub(m.since)),
+            heard_ms: m.last_heard.map(|h| ms(view.taken_at.saturating_sub(h))),
             generation: m.identity.generation,
             disk: disk(m.identity.disk),
         };
         let me = MemberReport {
-            name: view.me.name.clone(),
-            address: view.me.address.to_string(),
-            zone: view.me.zone.clone(),
-            state: standing(&view.standing),
+            name: view.local.name.clone(),
+            address: view.local.address.to_string(),
+            zone: view.local.zone.clone(),
+            state: standing(&view.join_state),
             for_ms: 0,
             heard_ms: None,
-            generation: view.me.generation,
-            disk: disk(view.me.disk),
+            generation: view.local.generation,
+            disk: disk(view.local.disk),
         };
         Report {
             at_ms,
@@ -197,7 +208,7 @@
             process: std::process::id(),
             listen: listen.to_string(),
             me,
-            doubt: view.doubt,
+            doubt: view.health_score,
             age_ms: view.age().map(ms),
             members: view.members.iter().map(member).collect(),
             happenings: self.0.clone(),
--- a/crates/pipithub-fleet/src/shell.rs
+++ b/crates/pipithub-fleet/src/shell.rs
@@ -5,7 +5,9 @@
 use std::sync::Arc;
 
 use pipithub_clock::{Clock, wall_ms};
-use pipithub_members::{Damaged, Event, Input, Members, Output, Record, Time, View, Wrong};
+use pipithub_members::{
+    Event, GenerationRecord, Input, Membership, Output, RecordError, SettingsError, Time, View,
+};
 use pipithub_settings::FleetSettings;
 use pipithub_storage::{FileSystem, Saver, SystemFiles};
 use rand::TryRng;
@@ -33,11 +35,11 @@
         /// Which file.
         path: PathBuf,
         /// What is wrong.
-        source: Damaged,
+        source: RecordError,
     },
     /// Its settings.
     #[error(transparent)]
-    Settings(#[from] Wrong),
+    Settings(#[from] SettingsError),
     /// Its socket.
     #[error("{address}: {source}")]
     Socket {
@@ -74,11 +76,13 @@
     ) -> Result<Fleet, FleetError> {
         let folder = Folder::take(&config.data)?;
         let found = folder.generation()?;
-        let (record, empty) = Record::start(found.as_deref(), &config.members.cluster, name)
-            .map_err(|source| FleetError::Record {
-                path: config.data.join("generation"),
-                source,
-            })?;
+        let (record, empty) =
+            GenerationRecord::next(found.as_deref(), &config.members.cluster, name).map_err(
+                |source| FleetError::Record {
+                    path: config.data.join("generation"),
+                    source,
+                },
+            )?;
         let socket = |source| FleetError::Socket {
             address: config.listen,
             source,
@@ -92,7 +96,7 @@
                 .map_err(|e| FleetError::Random(e.to_string()))
         };
         let me = (name.to_string(), address, config.zone.clone());
-        let core = Members::new(config.members.clone(), me, &record, empty, draw()?, draw()?)?;
+        let core = Membership::new(config.members.clone(), me, &record, empty, draw()?, draw()?)?;
         let (view, watched) = watch::channel(None);
         let (stop, stopped) = watch::channel(false);
         let generation_saver = folder.start_generation_saver(files);
@@ -143,7 +147,7 @@
     name: String,
     config: FleetSettings,
     folder: Folder,
-    core: Members,
+    core: Membership,
     udp: UdpSocket,
     clock: Clock,
     view: watch::Sender<Option<View>>,
@@ -192,7 +196,7 @@
                 },
                 Ok(()) = saved.changed() => {
                     if let Some(generation) = *saved.borrow_and_update() {
-                        self.core.handle(self.clock.now(), Input::Saved(generation), &mut self.out);
+                        self.core.handle(self.clock.now(), Input::GenerationSaved(generation), &mut self.out);
                     }
                 }
                 () = self.clock.sleep_until(Some(due)) => {
@@ -223,16 +227,16 @@
                         debug!(front_end = self.name, %to, %error, "datagram not sent");
                     }
                 }
-                Output::Save(record) => self.save(&record),
+                Output::SaveGeneration(record) => self.save(&record),
                 Output::Event(event) => self.event(&event),
             }
         }
     }
 
     /// Saves beside the loop, until it is done: a full disk keeps this process out of the fleet, and nothing else.
-    fn save(&self, record: &Record) {
+    fn save(&self, record: &GenerationRecord) {
         self.generation_saver
-            .save(record.generation, record.write().into_bytes());
+            .save(record.generation, record.encode().into_bytes());
     }
 
     fn event(&mut self, event: &Event) {
@@ -258,7 +262,7 @@
                     "members"
                 );
             }
-            Event::Overslept { .. } | Event::DiskBehind { .. } | Event::Full(_) => {
+            Event::Stalled { .. } | Event::StaleDisk { .. } | Event::MemberLimitReached(_) => {
                 warn!(front_end, member, what, "members");
             }
             _ => info!(front_end, member, what, "members"),
--- a/crates/pipithub-fleet/tests/failing_disk.rs
+++ b/crates/pipithub-fleet/tests/failing_disk.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use pipithub_fleet::{Fleet, Folder};
-use pipithub_members::{Record, Settings, Standing};
+use pipithub_members::{GenerationRecord, JoinState, Settings};
 use pipithub_settings::FleetSettings;
 use pipithub_storage::{FileSystem, Step, SystemFiles, WritableFile};
 use tokio::net::UdpSocket;
@@ -95,18 +95,18 @@
 
 fn generation_on_disk(data: &Path) -> Option<u64> {
     let text = std::fs::read_to_string(data.join("generation")).ok()?;
-    Some(Record::read(&text).expect("whole").generation)
+    Some(GenerationRecord::decode(&text).expect("whole").generation)
 }
 
 async fn a_process_stays_out_while_this_step_fails(step: Step) {
     let root = tempfile::tempdir().expect("a folder");
     let seed = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
-    let before = Record {
+    let before = GenerationRecord {
         cluster: "campus".into(),
         name: "front-1".into(),
         generation: 4,
     };
-    std::fs::write(root.path().join("generation"), before.write()).expect("written");
+    std::fs::write(root.path().join("generation"), before.encode()).expect("written");
     let (heal, healthy) = watch::channel(false);
     let (failures, mut failed) = mpsc::unbounded_channel();
     let files = Arc::new(FailingFiles {
@@ -132,8 +132,11 @@
         Err(ErrorKind::WouldBlock),
         "{step:?}: nothing is sent before"
     );
-    let standing = fleet.view().borrow().as_ref().map(|v| v.standing.clone());
-    assert!(standing.is_none_or(|s| s == Standing::Saving), "{step:?}");
+    let standing = fleet.view().borrow().as_ref().map(|v| v.join_state.clone());
+    assert!(
+        standing.is_none_or(|s| s == JoinState::SavingGeneration),
+        "{step:?}"
+    );
     heal.send(true).expect("it runs");
     seed.recv(&mut buffer).await.expect("it asks its seed");
     assert_eq!(
--- a/crates/pipithub-fleetsim/src/lib.rs
+++ b/crates/pipithub-fleetsim/src/lib.rs
@@ -6,7 +6,9 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use pipithub_members::{Event, Input, Members, Output, Record, Settings, Standing, State, View};
+use pipithub_members::{
+    Event, GenerationRecord, Input, JoinState, MemberState, Membership, Output, Settings, View,
+};
 use pipithub_simnet::{Link, Net, Next, Time};
 use rand::RngExt;
 
@@ -14,7 +16,7 @@
 struct Process {
     name: String,
     zone: String,
-    core: Option<Members>,
+    core: Option<Membership>,
     /// What stands on its disk, synced.
     disk: Option<String>,
     /// Saves are lost from here on: the disk is full or gone.
@@ -127,14 +129,16 @@
     }
 
     /// Starts a process from what stands on its disk. A record that cannot be used keeps it from starting.
-    pub fn start(&mut self, process: usize) -> Result<(), pipithub_members::Damaged> {
+    pub fn start(&mut self, process: usize) -> Result<(), pipithub_members::RecordError> {
         let now = self.net.now();
         self.boots += 1;
         let (boot, seed) = (self.net.rng.random(), self.net.rng.random());
         let p = &mut self.processes[process];
-        let (record, empty) = Record::start(p.disk.as_deref(), &self.settings.cluster, &p.name)?;
+        let (record, empty) =
+            GenerationRecord::next(p.disk.as_deref(), &self.settings.cluster, &p.name)?;
         let me = (p.name.clone(), address(process), p.zone.clone());
-        if let Ok(mut core) = Members::new(self.settings.clone(), me, &record, empty, boot, seed) {
+        if let Ok(mut core) = Membership::new(self.settings.clone(), me, &record, empty, boot, seed)
+        {
             core.start(now, &mut self.out);
             p.core = Some(core);
         }
@@ -161,7 +165,7 @@
 
     /// How often the running processes compared their whole membership, in all.
     pub fn comparisons(&self) -> u64 {
-        self.cores().map(Members::comparisons).sum()
+        self.cores().map(Membership::full_comparisons).sum()
     }
 
     /// What a process believes now.
@@ -195,13 +199,17 @@
                             self.net.send(process, to, bytes);
                         }
                     }
-                    Output::Save(record) => {
+                    Output::SaveGeneration(record) => {
                         let now = self.net.now();
                         let p = &mut self.processes[process];
                         if !p.stuck {
-                            p.disk = Some(record.write());
+                            p.disk = Some(record.encode());
                             if let Some(core) = &mut p.core {
-                                core.handle(now, Input::Saved(record.generation), &mut self.out);
+                                core.handle(
+                                    now,
+                                    Input::GenerationSaved(record.generation),
+                                    &mut self.out,
+                                );
                             }
                         }
                     }
@@ -217,7 +225,7 @@
         let due = self.processes[process]
             .core
             .as_ref()
-            .and_then(Members::next_due);
+            .and_then(Membership::next_due);
         self.net.wake_at(process, due);
     }
 
@@ -244,7 +252,7 @@
         self.run_until(self.net.now() + time);
     }
 
-    fn cores(&self) -> impl Iterator<Item = &Members> {
+    fn cores(&self) -> impl Iterator<Item = &Membership> {
         self.processes.iter().filter_map(|p| p.core.as_ref())
     }
 
@@ -254,17 +262,17 @@
         let running = self.processes.iter().filter(|p| p.core.is_some());
         let mut names: Vec<&str> = running.map(|p| p.name.as_str()).collect();
         names.sort_unstable();
-        let knows = |core: &Members| {
+        let knows = |core: &Membership| {
             let active = core
-                .others()
-                .filter(|m| m.state != State::Down)
+                .members()
+                .filter(|m| m.state != MemberState::Down)
                 .map(|m| m.identity.name.as_str());
             // Rows come by name; of its own name it knows itself, and another process may bear it.
-            let own = names.partition_point(|n| *n < core.me().name.as_str());
+            let own = names.partition_point(|n| *n < core.identity().name.as_str());
             let others = names[..own]
                 .iter()
                 .chain(names.get(own + 1..).unwrap_or_default());
-            *core.standing() == Standing::Joined && active.eq(others.copied())
+            *core.join_state() == JoinState::Joined && active.eq(others.copied())
         };
         !names.is_empty() && self.cores().all(knows)
     }
@@ -275,8 +283,8 @@
         let others = self.processes.iter().enumerate().filter(|(n, _)| *n != of);
         let (mut dead, mut there) = (0, 0);
         for core in others.filter_map(|(_, p)| p.core.as_ref()) {
-            match core.other(name).map(|m| m.state) {
-                Some(State::Down) => dead += 1,
+            match core.member(name).map(|m| m.state) {
+                Some(MemberState::Down) => dead += 1,
                 Some(_) => there += 1,
                 None => {}
             }
--- a/crates/pipithub-members/src/core.rs
+++ b/crates/pipithub-members/src/core.rs
@@ -11,12 +11,12 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::envelope::{Envelope, Refused, mark, swim_sender};
-use crate::generation::Record;
+use crate::envelope::{Envelope, RejectReason, mark, swim_sender};
+use crate::generation::GenerationRecord;
 use crate::health::Health;
-use crate::identity::{Disk, Identity};
-use crate::settings::{Settings, Wrong};
-use crate::view::{Member, Standing, State, Table, View};
+use crate::identity::{DiskState, Identity};
+use crate::settings::{Settings, SettingsError};
+use crate::view::{JoinState, Member, MemberState, Table, View};
 use crate::{MS, Time};
 
 /// Datagrams stay under what any usual path carries whole; the envelope takes a part of it.
@@ -34,7 +34,7 @@
 const LET_IN: usize = 32;
 /// Known members that are asked beside the seeds: all seeds may be stale.
 const ASK_MEMBERS: usize = 4;
-/// Refused datagrams are told of once in this time, or strangers could flood the log.
+/// RejectReason datagrams are told of once in this time, or strangers could flood the log.
 const REFUSED_EVERY: Time = 1_000 * MS;
 
 /// What comes in.
@@ -48,7 +48,7 @@
         bytes: &'a [u8],
     },
     /// The record of this generation is on disk, synced.
-    Saved(u64),
+    GenerationSaved(u64),
     /// Time has passed.
     Tick,
     /// Leave for good.
@@ -65,8 +65,8 @@
         /// All of it.
         bytes: Vec<u8>,
     },
-    /// Write this record to disk, sync it, and say [`Input::Saved`]. Nothing is sent under its number before.
-    Save(Record),
+    /// Write this record to disk, sync it, and say [`Input::GenerationSaved`]. Nothing is sent under its number before.
+    SaveGeneration(GenerationRecord),
     /// Something changed that others may want to know.
     Event(Event),
 }
@@ -93,30 +93,30 @@
         now: Identity,
     },
     /// This process stands otherwise.
-    Standing(Standing),
+    JoinStateChanged(JoinState),
     /// This process was held up for so long beyond its time: what it knew is that much older.
-    Overslept {
+    Stalled {
         /// How long.
         by: Time,
     },
     /// The fleet knows a generation of this name that the own disk does not: the disk came back old or empty.
-    DiskBehind {
+    StaleDisk {
         /// What the disk said.
         disk: u64,
         /// What the fleet has seen.
         seen: u64,
     },
     /// Datagrams were turned away.
-    Refused {
+    DatagramsRejected {
         /// Where the last of them came from.
         from: SocketAddr,
         /// Why.
-        why: Refused,
+        reason: RejectReason,
         /// How many since the last such event.
         count: u64,
     },
     /// A newcomer was not let in, since as many members are known as the settings allow.
-    Full(Identity),
+    MemberLimitReached(Identity),
 }
 
 #[derive(Debug)]
@@ -153,11 +153,11 @@
 }
 
 /// The membership of one process: no clock, socket, file or thread; equal inputs give equal outputs.
-pub struct Members {
+pub struct Membership {
     settings: Settings,
     mark: [u8; 8],
     me: Identity,
-    standing: Standing,
+    standing: JoinState,
     engine: Option<Engine>,
     table: Table,
     health: Health,
@@ -185,38 +185,42 @@
     refused: (Time, u64),
 }
 
-impl Members {
+impl Membership {
     /// A process that starts: its name, address and zone, the record its disk gave, whether that disk was empty, a
     /// number drawn for this start, and a seed for its choices.
     pub fn new(
         settings: Settings,
         me: (String, SocketAddr, String),
-        record: &Record,
+        record: &GenerationRecord,
         empty: bool,
         boot: u64,
         seed: u64,
-    ) -> Result<Members, Wrong> {
-        settings.check()?;
+    ) -> Result<Membership, SettingsError> {
+        settings.validate()?;
         let (name, address, zone) = me;
         if name.is_empty() || name.len() > 200 || name.contains('\n') {
-            return Err(Wrong::Name);
+            return Err(SettingsError::InvalidMemberName);
         }
-        let disk = if empty { Disk::Empty } else { Disk::Kept };
+        let disk = if empty {
+            DiskState::Empty
+        } else {
+            DiskState::Intact
+        };
         let generation = record.generation;
         let me = Identity {
             name,
             address,
             zone,
             generation,
-            boot,
+            boot_id: boot,
             renewal: 0,
             disk,
         };
-        Ok(Members {
+        Ok(Membership {
             mark: mark(&settings.cluster),
             settings,
             me,
-            standing: Standing::Saving,
+            standing: JoinState::SavingGeneration,
             engine: None,
             table: Table::default(),
             health: Health::default(),
@@ -239,11 +243,11 @@
     /// The first thing to do: the generation goes to disk.
     pub fn start(&mut self, now: Time, out: &mut Vec<Output>) {
         self.now = now;
-        out.push(Output::Save(self.record()));
+        out.push(Output::SaveGeneration(self.record()));
     }
 
-    fn record(&self) -> Record {
-        Record {
+    fn record(&self) -> GenerationRecord {
+        GenerationRecord {
             cluster: self.settings.cluster.clone(),
             name: self.me.name.clone(),
             generation: self.me.generation,
@@ -258,37 +262,37 @@
     /// What is believed now.
     pub fn view(&self, now: Time) -> View {
         View {
-            at: now,
-            me: self.me.clone(),
-            standing: self.standing.clone(),
-            touched: self.table.touched,
-            doubt: self.health.score(),
+            taken_at: now,
+            local: self.me.clone(),
+            join_state: self.standing.clone(),
+            last_heard: self.table.touched,
+            health_score: self.health.score(),
             members: self.table.rows().cloned().collect(),
         }
     }
 
     /// How this process itself stands.
-    pub fn standing(&self) -> &Standing {
+    pub fn join_state(&self) -> &JoinState {
         &self.standing
     }
 
     /// Which run of which name this process is.
-    pub fn me(&self) -> &Identity {
+    pub fn identity(&self) -> &Identity {
         &self.me
     }
 
-    /// The others, by name, as [`Members::view`] has them, without a copy.
-    pub fn others(&self) -> impl Iterator<Item = &Member> {
+    /// The others, by name, as [`Membership::view`] has them, without a copy.
+    pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.table.rows()
     }
 
     /// One of the others, without a copy.
-    pub fn other(&self, name: &str) -> Option<&Member> {
+    pub fn member(&self, name: &str) -> Option<&Member> {
         self.table.get(name)
     }
 
     /// How often the whole membership was compared with the table: work that grows with the fleet, so it must be rare.
-    pub fn comparisons(&self) -> u64 {
+    pub fn full_comparisons(&self) -> u64 {
         self.comparisons
     }
 
@@ -298,18 +302,19 @@
         self.wake(now, out);
         self.now = now;
         match input {
-            Input::Datagram { from, bytes } => match Envelope::read(bytes, self.mark) {
+            Input::Datagram { from, bytes } => match Envelope::decode(bytes, self.mark) {
                 Ok(envelope) => self.envelope(envelope, out),
                 Err(why) => self.refuse(from, why, out),
             },
-            Input::Saved(generation) => {
-                if self.standing == Standing::Saving && generation == self.me.generation {
-                    self.stand(Standing::Alone, out);
+            Input::GenerationSaved(generation) => {
+                if self.standing == JoinState::SavingGeneration && generation == self.me.generation
+                {
+                    self.stand(JoinState::Alone, out);
                     self.build();
                     self.cleared = self.settings.seeds.iter().all(|s| *s == self.me.address);
                     self.asked = 0;
                     self.at(now, Due::Ask);
-                    self.at(now + self.settings.remember / 8, Due::Forget);
+                    self.at(now + self.settings.dead_retention / 8, Due::Forget);
                 }
             }
             Input::Leave => {
@@ -320,7 +325,7 @@
                 }
                 self.engine = None;
                 self.due.clear();
-                self.stand(Standing::Left, out);
+                self.stand(JoinState::Left, out);
             }
             Input::Tick => {}
         }
@@ -333,9 +338,9 @@
                 Due::Join => self.join(out),
                 Due::Learn => self.learn(out),
                 Due::Forget => {
-                    self.table.forget(now, self.settings.remember);
+                    self.table.forget(now, self.settings.dead_retention);
                     self.taken_in = None;
-                    self.at(now + self.settings.remember / 8, Due::Forget);
+                    self.at(now + self.settings.dead_retention / 8, Due::Forget);
                 }
             }
         }
@@ -355,7 +360,7 @@
             return;
         }
         self.health.overslept();
-        out.push(Output::Event(Event::Overslept { by }));
+        out.push(Output::Event(Event::Stalled { by }));
         let due = std::mem::take(&mut self.due);
         self.due = due
             .into_iter()
@@ -363,19 +368,23 @@
             .collect();
     }
 
-    fn stand(&mut self, standing: Standing, out: &mut Vec<Output>) {
+    fn stand(&mut self, standing: JoinState, out: &mut Vec<Output>) {
         if self.standing != standing {
             self.standing = standing.clone();
-            out.push(Output::Event(Event::Standing(standing)));
+            out.push(Output::Event(Event::JoinStateChanged(standing)));
         }
     }
 
-    fn refuse(&mut self, from: SocketAddr, why: Refused, out: &mut Vec<Output>) {
+    fn refuse(&mut self, from: SocketAddr, why: RejectReason, out: &mut Vec<Output>) {
         self.refused.1 += 1;
         if self.now >= self.refused.0 {
             let count = std::mem::take(&mut self.refused.1);
             self.refused.0 = self.now + REFUSED_EVERY;
-            out.push(Output::Event(Event::Refused { from, why, count }));
+            out.push(Output::Event(Event::DatagramsRejected {
+                from,
+                reason: why,
+                count,
+            }));
         }
     }
 
@@ -392,12 +401,12 @@
         let three = NonZeroUsize::new(3).unwrap_or(NonZeroUsize::MIN);
         let config = foca::Config {
             probe_period: period,
-            probe_rtt: Duration::from_nanos(self.settings.probe_wait),
+            probe_rtt: Duration::from_nanos(self.settings.probe_timeout),
             num_indirect_probes: three,
             max_transmissions: NonZeroU8::new(10).unwrap_or(NonZeroU8::MIN),
             // Stretched further where the timer is taken.
-            suspect_to_down_after: period * self.settings.suspicion,
-            remove_down_after: Some(Duration::from_nanos(self.settings.remember)),
+            suspect_to_down_after: period * self.settings.suspicion_multiplier,
+            remove_down_after: Some(Duration::from_nanos(self.settings.dead_retention)),
             max_packet_size: NonZeroUsize::new(PACKET).unwrap_or(NonZeroUsize::MIN),
             notify_down_members: true,
             periodic_announce: seldom(30, 1),
@@ -423,7 +432,7 @@
         }
         asked.sort_unstable();
         asked.dedup();
-        if let Some(bytes) = Envelope::Hello(self.me.clone()).write(self.mark) {
+        if let Some(bytes) = Envelope::JoinRequest(self.me.clone()).encode(self.mark) {
             for to in asked.into_iter().filter(|a| *a != self.me.address) {
                 out.push(Output::Send {
                     to,
@@ -440,15 +449,18 @@
 
     fn envelope(&mut self, envelope: Envelope, out: &mut Vec<Output>) {
         match envelope {
-            Envelope::Hello(newcomer) => self.hello(newcomer, out),
-            Envelope::Welcome(seed) => {
+            Envelope::JoinRequest(newcomer) => self.hello(newcomer, out),
+            Envelope::JoinAccepted(seed) => {
                 if seed.name == self.me.name
-                    || !matches!(self.standing, Standing::Alone | Standing::Barred(_))
+                    || !matches!(
+                        self.standing,
+                        JoinState::Alone | JoinState::DuplicateIdentity(_)
+                    )
                 {
                     return;
                 }
                 // What it knows of that name may be later than what that name's disk said.
-                if let Some(taken @ Envelope::Taken { .. }) = self.answer(&seed) {
+                if let Some(taken @ Envelope::NameTaken { .. }) = self.answer(&seed) {
                     return self.tell(seed.address, &taken, out);
                 }
                 if self.welcomes.is_empty() {
@@ -458,12 +470,12 @@
                     self.welcomes.push(seed);
                 }
             }
-            Envelope::Taken { known, active } => self.taken(known, active, out),
+            Envelope::NameTaken { known, active } => self.taken(known, active, out),
             Envelope::Swim(data) => {
                 let from =
                     || swim_sender(&data).is_some_and(|from| self.let_in.contains(&from.name));
                 let may = self.cleared || from();
-                if may && matches!(self.standing, Standing::Alone | Standing::Joined) {
+                if may && matches!(self.standing, JoinState::Alone | JoinState::Joined) {
                     self.swim(out, |engine, wants| engine.handle_data(&data, wants));
                 }
             }
@@ -473,7 +485,12 @@
     /// Joins through those who welcomed it, since nobody has said that its name is taken.
     fn join(&mut self, out: &mut Vec<Output>) {
         let welcomes = std::mem::take(&mut self.welcomes);
-        if welcomes.is_empty() || !matches!(self.standing, Standing::Alone | Standing::Barred(_)) {
+        if welcomes.is_empty()
+            || !matches!(
+                self.standing,
+                JoinState::Alone | JoinState::DuplicateIdentity(_)
+            )
+        {
             return;
         }
         if self.engine.is_none() {
@@ -481,7 +498,7 @@
             self.build();
         }
         self.cleared = true;
-        self.stand(Standing::Alone, out);
+        self.stand(JoinState::Alone, out);
         for seed in welcomes {
             self.swim(out, |engine, wants| engine.announce(seed, wants));
         }
@@ -499,14 +516,14 @@
             (names, self.learnt.1 + 1)
         };
         if self.learnt.1 >= LEARN_IN_VAIN
-            || !matches!(self.standing, Standing::Alone | Standing::Joined)
+            || !matches!(self.standing, JoinState::Alone | JoinState::Joined)
         {
             return;
         }
         let there: Vec<&Identity> = self
             .table
             .rows()
-            .filter(|m| m.state == State::Alive)
+            .filter(|m| m.state == MemberState::Alive)
             .map(|m| &m.identity)
             .collect();
         if !there.is_empty() {
@@ -519,13 +536,13 @@
     /// A process asks who is here. It is told of a run of its name that is not older than itself: that is a twin, or
     /// its own later self, of which its disk knows nothing.
     fn hello(&mut self, newcomer: Identity, out: &mut Vec<Output>) {
-        if !matches!(self.standing, Standing::Alone | Standing::Joined) {
+        if !matches!(self.standing, JoinState::Alone | JoinState::Joined) {
             return;
         }
         match self.answer(&newcomer) {
             Some(answer) => {
                 // Once for each name: who asks again and again must not fill the list that others need.
-                let welcome = matches!(answer, Envelope::Welcome(_));
+                let welcome = matches!(answer, Envelope::JoinAccepted(_));
                 if !self.cleared && welcome && !self.let_in.contains(&newcomer.name) {
                     self.let_in.push_back(newcomer.name.clone());
                     if self.let_in.len() > LET_IN {
@@ -535,7 +552,7 @@
                 // Told where it says that it is: what stands between may show another address.
                 self.tell(newcomer.address, &answer, out);
             }
-            None => out.push(Output::Event(Event::Full(newcomer))),
+            None => out.push(Output::Event(Event::MemberLimitReached(newcomer))),
         }
     }
 
@@ -545,17 +562,19 @@
             _ if run.name == self.me.name => Some((self.me.clone(), true)),
             Some(row) => Some((
                 row.identity.clone(),
-                row.state != State::Down && self.in_touch(),
+                row.state != MemberState::Down && self.in_touch(),
             )),
             None => None,
         };
         match known {
-            Some((known, _)) if known.same_run(run) => Some(Envelope::Welcome(self.me.clone())),
+            Some((known, _)) if known.same_run(run) => {
+                Some(Envelope::JoinAccepted(self.me.clone()))
+            }
             Some((known, active)) if known.generation >= run.generation => {
-                Some(Envelope::Taken { known, active })
+                Some(Envelope::NameTaken { known, active })
             }
             None if self.table.len() + 1 >= self.settings.max_members => None,
-            _ => Some(Envelope::Welcome(self.me.clone())),
+            _ => Some(Envelope::JoinAccepted(self.me.clone())),
         }
     }
 
@@ -563,7 +582,7 @@
     /// runs that are long dead.
     fn in_touch(&self) -> bool {
         let fresh = 4 * self.settings.probe_period;
-        self.standing == Standing::Joined
+        self.standing == JoinState::Joined
             && self
                 .table
                 .touched
@@ -571,18 +590,18 @@
     }
 
     fn tell(&self, to: SocketAddr, envelope: &Envelope, out: &mut Vec<Output>) {
-        if let Some(bytes) = envelope.write(self.mark) {
+        if let Some(bytes) = envelope.encode(self.mark) {
             out.push(Output::Send { to, bytes });
         }
     }
 
     fn taken(&mut self, known: Identity, active: bool, out: &mut Vec<Output>) {
         let ours = known.name == self.me.name && !known.same_run(&self.me);
-        if !ours || known.generation < self.me.generation || self.standing == Standing::Left {
+        if !ours || known.generation < self.me.generation || self.standing == JoinState::Left {
             return;
         }
         // Who is there stays before who comes; of twins that both take part the higher draw stays.
-        if active && self.standing == Standing::Joined && known.rank() < self.me.rank() {
+        if active && self.standing == JoinState::Joined && known.rank() < self.me.rank() {
             return;
         }
         self.welcomes.clear();
@@ -594,29 +613,29 @@
                 self.asked = 0;
                 self.at(self.now + ASK_FIRST, Due::Ask);
             }
-            self.stand(Standing::Barred(known), out);
+            self.stand(JoinState::DuplicateIdentity(known), out);
             return;
         }
         let Some(next) = known
             .generation
             .checked_add(1)
-            .filter(|_| self.standing != Standing::Saving)
+            .filter(|_| self.standing != JoinState::SavingGeneration)
         else {
             return;
         };
-        out.push(Output::Event(Event::DiskBehind {
+        out.push(Output::Event(Event::StaleDisk {
             disk: self.me.generation,
             seen: known.generation,
         }));
         self.me.generation = next;
         self.me.renewal = 0;
-        if self.me.disk == Disk::Kept {
-            self.me.disk = Disk::Old;
+        if self.me.disk == DiskState::Intact {
+            self.me.disk = DiskState::Stale;
         }
         self.engine = None;
         self.due.clear();
-        self.stand(Standing::Saving, out);
-        out.push(Output::Save(self.record()));
+        self.stand(JoinState::SavingGeneration, out);
+        out.push(Output::SaveGeneration(self.record()));
     }
 
     /// Has the engine do something, then carries out what it wants and takes in what it found.
@@ -637,7 +656,7 @@
 
     fn carry(&mut self, wants: Wants, out: &mut Vec<Output>) {
         for (to, data) in wants.sends {
-            if let Some(bytes) = Envelope::Swim(data).write(self.mark) {
+            if let Some(bytes) = Envelope::Swim(data).encode(self.mark) {
                 out.push(Output::Send { to, bytes });
             }
         }
@@ -681,11 +700,11 @@
                 if !self.unsure {
                     self.due.retain(|_, due| !matches!(due, Due::Ask));
                 }
-                self.stand(Standing::Joined, out);
+                self.stand(JoinState::Joined, out);
             }
             OwnedNotification::Idle => {
                 // All are gone, or this process is: it asks until somebody is there.
-                self.stand(Standing::Alone, out);
+                self.stand(JoinState::Alone, out);
                 self.asked = 0;
                 self.at(self.now + ASK_FIRST, Due::Ask);
             }
@@ -696,7 +715,7 @@
                 // asking elsewhere a run that slept through the others' restarts would stay by itself for ever.
                 // It may also be another run of its name that is held for the later one, against which no renewal helps.
                 self.unsure = true;
-                self.stand(Standing::Alone, out);
+                self.stand(JoinState::Alone, out);
                 self.asked = 0;
                 self.at(self.now + ASK_FIRST, Due::Ask);
             }
@@ -704,7 +723,7 @@
                 self.engine = None;
                 self.cleared = false;
                 self.due.retain(|_, due| !matches!(due, Due::Swim(_)));
-                self.stand(Standing::Alone, out);
+                self.stand(JoinState::Alone, out);
                 self.asked = 0;
                 self.at(self.now + ASK_FIRST, Due::Ask);
             }
@@ -726,9 +745,9 @@
         self.comparisons += 1;
         for member in engine.iter_membership_state() {
             let state = match member.state() {
-                foca::State::Alive => State::Alive,
-                foca::State::Suspect => State::Suspect,
-                foca::State::Down => State::Down,
+                foca::State::Alive => MemberState::Alive,
+                foca::State::Suspect => MemberState::Suspect,
+                foca::State::Down => MemberState::Down,
             };
             let identity = member.id();
             let Some(before) = self.table.set(identity, state, self.now) else {
@@ -744,16 +763,16 @@
             }
             let was = known.map(|b| b.state);
             let event = match (was, state) {
-                (Some(State::Suspect | State::Alive), State::Alive) => continue,
-                (_, State::Alive) => Event::Up(row.clone()),
-                (Some(State::Suspect), State::Suspect) => continue,
-                (_, State::Suspect) => Event::Suspected(row.clone()),
-                (Some(State::Down), State::Down) => continue,
+                (Some(MemberState::Suspect | MemberState::Alive), MemberState::Alive) => continue,
+                (_, MemberState::Alive) => Event::Up(row.clone()),
+                (Some(MemberState::Suspect), MemberState::Suspect) => continue,
+                (_, MemberState::Suspect) => Event::Suspected(row.clone()),
+                (Some(MemberState::Down), MemberState::Down) => continue,
                 // Who was never known to be there is no news when dead.
-                (None, State::Down) => continue,
-                (Some(was), State::Down) => Event::Down {
+                (None, MemberState::Down) => continue,
+                (Some(was), MemberState::Down) => Event::Down {
                     member: row.clone(),
-                    suspected: was == State::Suspect,
+                    suspected: was == MemberState::Suspect,
                 },
             };
             out.push(Output::Event(event));
@@ -776,7 +795,7 @@
     };
     let small = (u64::from(id.renewal) << 32) | (u64::from(id.address.port()) << 4) | state;
     // SplitMix64's last steps, over each part in turn.
-    [id.boot, id.generation, ip, small]
+    [id.boot_id, id.generation, ip, small]
         .into_iter()
         .fold(0, |sum: u64, part| {
             let x = (sum ^ part).wrapping_add(0x9e37_79b9_7f4a_7c15);
--- a/crates/pipithub-members/src/envelope.rs
+++ b/crates/pipithub-members/src/envelope.rs
@@ -7,9 +7,9 @@
 use crate::identity::Identity;
 
 /// The newest form that this program writes.
-pub const WIRE_NEWEST: u8 = 1;
+pub const WIRE_VERSION: u8 = 1;
 /// The oldest form that it reads: versions that differ by one get along.
-pub const WIRE_OLDEST: u8 = 0;
+pub const MIN_WIRE_VERSION: u8 = 0;
 
 const MAGIC: [u8; 2] = *b"pm";
 /// Bytes before what is carried.
@@ -19,11 +19,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Envelope {
     /// A process that knows nobody asks a seed who it is, and whether its own name is free.
-    Hello(Identity),
+    JoinRequest(Identity),
     /// A seed's answer: itself.
-    Welcome(Identity),
+    JoinAccepted(Identity),
     /// A seed's other answer: under this name it knows a run that is not older, and whether that one is there now.
-    Taken {
+    NameTaken {
         /// The run that is known.
         known: Identity,
         /// It is not known to be down.
@@ -35,19 +35,19 @@
 
 /// Why a datagram was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum RejectReason {
     /// It is none of ours.
     #[error("no datagram of a fleet")]
-    Unknown,
+    ForeignProtocol,
     /// It is of another cluster.
     #[error("of another cluster")]
-    Stranger,
+    OtherCluster,
     /// Its version is not read here.
     #[error("of version {0}, which is not read here")]
-    Version(u8),
+    UnsupportedVersion(u8),
     /// It cannot be read.
     #[error("damaged")]
-    Damaged,
+    Malformed,
 }
 
 /// The mark of a cluster's name.
@@ -60,38 +60,38 @@
 
 impl Envelope {
     /// As bytes; `None` where it has no form, which only happens to what was never read from outside.
-    pub(crate) fn write(&self, mark: [u8; 8]) -> Option<Vec<u8>> {
+    pub(crate) fn encode(&self, mark: [u8; 8]) -> Option<Vec<u8>> {
         let mut bytes = Vec::with_capacity(256);
         bytes.extend(MAGIC);
-        bytes.push(WIRE_NEWEST);
+        bytes.push(WIRE_VERSION);
         bytes.extend(mark);
         postcard::to_extend(self, bytes).ok()
     }
 
     /// Reads a datagram of this cluster.
-    pub(crate) fn read(bytes: &[u8], mark: [u8; 8]) -> Result<Envelope, Refused> {
+    pub(crate) fn decode(bytes: &[u8], mark: [u8; 8]) -> Result<Envelope, RejectReason> {
         if bytes.len() < HEAD || bytes[..2] != MAGIC {
-            return Err(Refused::Unknown);
+            return Err(RejectReason::ForeignProtocol);
         }
         if bytes[3..HEAD] != mark {
-            return Err(Refused::Stranger);
+            return Err(RejectReason::OtherCluster);
         }
-        if !(WIRE_OLDEST..=WIRE_NEWEST + 1).contains(&bytes[2]) {
-            return Err(Refused::Version(bytes[2]));
+        if !(MIN_WIRE_VERSION..=WIRE_VERSION + 1).contains(&bytes[2]) {
+            return Err(RejectReason::UnsupportedVersion(bytes[2]));
         }
         // A newer version may only add at the end, or kinds that are not understood here.
         postcard::take_from_bytes(&bytes[HEAD..])
             .map(|(e, _)| e)
-            .map_err(|_| Refused::Damaged)
+            .map_err(|_| RejectReason::Malformed)
     }
 }
 
 /// Which run a datagram says that it takes part as: for judges that watch links. `None` where it is none of the
 /// cluster's, cannot be read, or only asks.
-pub fn speaker(bytes: &[u8], cluster: &str) -> Option<Identity> {
-    match Envelope::read(bytes, mark(cluster)).ok()? {
-        Envelope::Welcome(me) => Some(me),
-        Envelope::Hello(_) | Envelope::Taken { .. } => None,
+pub fn sender_identity(bytes: &[u8], cluster: &str) -> Option<Identity> {
+    match Envelope::decode(bytes, mark(cluster)).ok()? {
+        Envelope::JoinAccepted(me) => Some(me),
+        Envelope::JoinRequest(_) | Envelope::NameTaken { .. } => None,
         Envelope::Swim(data) => swim_sender(&data),
     }
 }
@@ -109,38 +109,40 @@
 
     #[test]
     fn strangers_and_distant_versions_are_told_apart() {
-        let bytes = Envelope::Swim(vec![1, 2, 3]).write(mark("campus")).unwrap();
+        let bytes = Envelope::Swim(vec![1, 2, 3])
+            .encode(mark("campus"))
+            .unwrap();
         assert_eq!(
-            Envelope::read(&bytes, mark("campus")),
+            Envelope::decode(&bytes, mark("campus")),
             Ok(Envelope::Swim(vec![1, 2, 3]))
         );
         assert_eq!(
-            Envelope::read(&bytes, mark("other")),
-            Err(Refused::Stranger)
+            Envelope::decode(&bytes, mark("other")),
+            Err(RejectReason::OtherCluster)
         );
         let mut newer = bytes.clone();
-        newer[2] = WIRE_NEWEST + 1;
+        newer[2] = WIRE_VERSION + 1;
         newer.push(9);
-        assert!(Envelope::read(&newer, mark("campus")).is_ok());
-        newer[2] = WIRE_NEWEST + 2;
+        assert!(Envelope::decode(&newer, mark("campus")).is_ok());
+        newer[2] = WIRE_VERSION + 2;
         assert_eq!(
-            Envelope::read(&newer, mark("campus")),
-            Err(Refused::Version(WIRE_NEWEST + 2))
+            Envelope::decode(&newer, mark("campus")),
+            Err(RejectReason::UnsupportedVersion(WIRE_VERSION + 2))
         );
         assert_eq!(
-            Envelope::read(b"GET / HTTP", mark("campus")),
-            Err(Refused::Unknown)
+            Envelope::decode(b"GET / HTTP", mark("campus")),
+            Err(RejectReason::ForeignProtocol)
         );
     }
 
     proptest! {
         #[test]
         fn no_bytes_bring_it_down(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-            let _ = Envelope::read(&bytes, mark("campus"));
-            let mut ours = Envelope::Swim(vec![]).write(mark("campus")).unwrap();
+            let _ = Envelope::decode(&bytes, mark("campus"));
+            let mut ours = Envelope::Swim(vec![]).encode(mark("campus")).unwrap();
             ours.truncate(HEAD);
             ours.extend(&bytes);
-            let _ = Envelope::read(&ours, mark("campus"));
+            let _ = Envelope::decode(&ours, mark("campus"));
         }
     }
 }
--- a/crates/pipithub-members/src/identity.rs
+++ b/crates/pipithub-members/src/identity.rs
@@ -7,13 +7,13 @@
 
 /// What a process knows of the disk that it started with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Disk {
+pub enum DiskState {
     /// It holds what the process before wrote last, as far as anybody knows.
-    Kept,
+    Intact,
     /// It was empty: whatever stood on it is gone.
     Empty,
     /// It is an older copy, for the fleet has seen a later generation: nothing on it may be believed.
-    Old,
+    Stale,
 }
 
 /// One run of a process of the fleet. Two runs never share one: each start takes a new generation, written to disk
@@ -29,23 +29,25 @@
     /// Counts the starts of this name.
     pub generation: u64,
     /// Drawn at the start.
-    pub boot: u64,
+    pub boot_id: u64,
     /// Counts how often this run came back after others held it for dead.
     pub renewal: u32,
     /// What it knows of its disk.
-    pub disk: Disk,
+    pub disk: DiskState,
 }
 
 impl Identity {
     /// Its rank among runs of the same name: of two the higher one is kept. A twin's renewals never win against the
     /// other's boot number, or two runs of one name would push each other out for ever.
     pub(crate) fn rank(&self) -> (u64, u64, u32) {
-        (self.generation, self.boot, self.renewal)
+        (self.generation, self.boot_id, self.renewal)
     }
 
     /// Whether it is the same run, renewed or not.
     pub fn same_run(&self, other: &Identity) -> bool {
-        self.name == other.name && self.generation == other.generation && self.boot == other.boot
+        self.name == other.name
+            && self.generation == other.generation
+            && self.boot_id == other.boot_id
     }
 }
 
@@ -74,7 +76,7 @@
     use super::*;
     use foca::Identity as _;
 
-    fn run(generation: u64, boot: u64) -> Identity {
+    fn run(generation: u64, boot_id: u64) -> Identity {
         let address = SocketAddr::from(([127, 0, 0, 1], 7000));
         let (name, zone) = ("front-1".into(), "a".into());
         Identity {
@@ -82,9 +84,9 @@
             address,
             zone,
             generation,
-            boot,
+            boot_id,
             renewal: 0,
-            disk: Disk::Kept,
+            disk: DiskState::Intact,
         }
     }
 
--- a/crates/pipithub-members/src/lib.rs
+++ b/crates/pipithub-members/src/lib.rs
@@ -1,6 +1,6 @@
 //! Who is in the fleet, without I/O.
 //!
-//! [`Members`] takes datagrams, time and the word that a generation is on disk, and gives datagrams, what to write to
+//! [`Membership`] takes datagrams, time and the word that a generation is on disk, and gives datagrams, what to write to
 //! disk and events. Around the SWIM engine of `foca` it adds what a front end needs: a cluster name that keeps
 //! strangers out, joins by several seeds, a *generation* on disk so that a restarted process is never taken for its
 //! former self, local health as in Lifeguard, the finding of a process whose disk came back old or that runs twice
@@ -17,12 +17,14 @@
 mod settings;
 mod view;
 
-pub use crate::core::{Event, Input, Members, Output};
-pub use crate::envelope::{Envelope, Refused, WIRE_NEWEST, WIRE_OLDEST, speaker};
-pub use crate::generation::{Damaged, Record};
-pub use crate::identity::{Disk, Identity};
-pub use crate::settings::{Settings, Wrong};
-pub use crate::view::{Member, Standing, State, View};
+pub use crate::core::{Event, Input, Membership, Output};
+pub use crate::envelope::{
+    Envelope, MIN_WIRE_VERSION, RejectReason, WIRE_VERSION, sender_identity,
+};
+pub use crate::generation::{GenerationRecord, RecordError};
+pub use crate::identity::{DiskState, Identity};
+pub use crate::settings::{Settings, SettingsError};
+pub use crate::view::{JoinState, Member, MemberState, View};
 
 /// A point in time or a length of it, in nanoseconds.
 pub type Time = u64;
--- a/crates/pipithub-members/src/view.rs
+++ b/crates/pipithub-members/src/view.rs
@@ -7,7 +7,7 @@
 
 /// How a member stands, as far as is known here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum State {
+pub enum MemberState {
     /// It speaks, or others say that it does.
     Alive,
     /// Somebody got no answer from it; it has time to speak up.
@@ -22,25 +22,25 @@
     /// Which run of which name.
     pub identity: Identity,
     /// How it stands.
-    pub state: State,
+    pub state: MemberState,
     /// Since when it stands so.
     pub since: Time,
     /// When it last spoke to us itself; `None`: it never did, others told of it.
-    pub heard: Option<Time>,
+    pub last_heard: Option<Time>,
 }
 
 /// How this process itself stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum JoinState {
     /// A new generation is on its way to disk; nothing is sent before it is there.
-    Saving,
+    SavingGeneration,
     /// No seed has answered yet, or there is none.
     Alone,
     /// It takes part.
     Joined,
     /// Another run of its name is there, so it holds back: it may be a twin, or its own former run that has not been
     /// found dead yet. It asks again and again.
-    Barred(Identity),
+    DuplicateIdentity(Identity),
     /// It left on its own wish.
     Left,
 }
@@ -49,15 +49,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
     /// When it was taken.
-    pub at: Time,
+    pub taken_at: Time,
     /// This process.
-    pub me: Identity,
+    pub local: Identity,
     /// How it stands.
-    pub standing: Standing,
+    pub join_state: JoinState,
     /// When any other member last spoke to it. A view without fresh word says how things stood then.
-    pub touched: Option<Time>,
+    pub last_heard: Option<Time>,
     /// Local health: 0 is sound, 8 the worst.
-    pub doubt: u32,
+    pub health_score: u32,
     /// The others, by name.
     pub members: Vec<Member>,
 }
@@ -65,12 +65,12 @@
 impl View {
     /// How old the newest word in it is; `None`: there never was any.
     pub fn age(&self) -> Option<Time> {
-        self.touched.map(|t| self.at.saturating_sub(t))
+        self.last_heard.map(|t| self.taken_at.saturating_sub(t))
     }
 
     /// Those who are not held for dead.
     pub fn active(&self) -> impl Iterator<Item = &Member> {
-        self.members.iter().filter(|m| m.state != State::Down)
+        self.members.iter().filter(|m| m.state != MemberState::Down)
     }
 }
 
@@ -97,7 +97,7 @@
     pub(crate) fn active(&self) -> usize {
         self.rows
             .values()
-            .filter(|m| m.state != State::Down)
+            .filter(|m| m.state != MemberState::Down)
             .count()
     }
 
@@ -105,7 +105,7 @@
     pub(crate) fn set(
         &mut self,
         identity: &Identity,
-        state: State,
+        state: MemberState,
         now: Time,
     ) -> Option<Option<Member>> {
         match self.rows.get_mut(&identity.name) {
@@ -113,12 +113,12 @@
             Some(row) => {
                 let before = row.clone();
                 // Another run was never heard by us; a renewed one is the same process.
-                let heard = row.heard.filter(|_| row.identity.same_run(identity));
+                let heard = row.last_heard.filter(|_| row.identity.same_run(identity));
                 *row = Member {
                     identity: identity.clone(),
                     state,
                     since: now,
-                    heard,
+                    last_heard: heard,
                 };
                 Some(Some(before))
             }
@@ -127,7 +127,7 @@
                     identity: identity.clone(),
                     state,
                     since: now,
-                    heard: None,
+                    last_heard: None,
                 };
                 self.rows.insert(identity.name.clone(), row);
                 Some(None)
@@ -143,13 +143,13 @@
             .get_mut(&identity.name)
             .filter(|r| r.identity.same_run(identity))
         {
-            row.heard = Some(now);
+            row.last_heard = Some(now);
         }
     }
 
     /// Forgets the dead that have been so for long.
     pub(crate) fn forget(&mut self, now: Time, after: Time) {
         self.rows
-            .retain(|_, m| m.state != State::Down || now.saturating_sub(m.since) < after);
+            .retain(|_, m| m.state != MemberState::Down || now.saturating_sub(m.since) < after);
     }
 }
--- a/crates/pipithub-members/tests/fleet.rs
+++ b/crates/pipithub-members/tests/fleet.rs
@@ -2,7 +2,7 @@
 //! links fail. Truth is known to the simulation, not taken from the cores.
 
 use pipithub_fleetsim::Fleet;
-use pipithub_members::{Disk, Event, Settings, Standing, State, Time};
+use pipithub_members::{DiskState, Event, JoinState, MemberState, Settings, Time};
 use pipithub_simnet::Link;
 
 const SECOND: Time = 1_000_000_000;
@@ -68,14 +68,14 @@
 #[test]
 fn a_restarted_process_is_another_run_for_everybody() {
     let mut fleet = started(7, 3, Link::default());
-    let before = fleet.view(3).unwrap().me;
+    let before = fleet.view(3).unwrap().local;
     fleet.kill(3);
     fleet.start(3).unwrap();
     fleet.run_for(15 * SECOND);
-    let after = fleet.view(3).unwrap().me;
+    let after = fleet.view(3).unwrap().local;
     assert_eq!(
         (after.generation, after.disk),
-        (before.generation + 1, Disk::Kept)
+        (before.generation + 1, DiskState::Intact)
     );
     assert!(fleet.agreed());
     for n in (0..7).filter(|n| *n != 3) {
@@ -85,7 +85,7 @@
             .iter()
             .find(|m| m.identity.name == "front-3")
             .unwrap();
-        assert!(row.identity.same_run(&after) && row.state == State::Alive);
+        assert!(row.identity.same_run(&after) && row.state == MemberState::Alive);
     }
 }
 
@@ -98,18 +98,18 @@
         fleet.start(3).unwrap();
         fleet.run_for(10 * SECOND);
     }
-    let last = fleet.view(3).unwrap().me.generation;
+    let last = fleet.view(3).unwrap().local.generation;
     fleet.kill(3);
     fleet.run_for(40 * SECOND);
     *fleet.disk(3) = old;
     fleet.history.clear();
     fleet.start(3).unwrap();
     fleet.run_for(10 * SECOND);
-    let me = fleet.view(3).unwrap().me;
-    assert_eq!((me.generation, me.disk), (last + 1, Disk::Old));
+    let me = fleet.view(3).unwrap().local;
+    assert_eq!((me.generation, me.disk), (last + 1, DiskState::Stale));
     assert!(fleet.history.iter().any(|t| t.by == 3
         && t.event
-            == Event::DiskBehind {
+            == Event::StaleDisk {
                 disk: 2,
                 seen: last
             }));
@@ -119,7 +119,7 @@
     assert!(
         view.members
             .iter()
-            .any(|m| m.identity.name == "front-3" && m.identity.disk == Disk::Old)
+            .any(|m| m.identity.name == "front-3" && m.identity.disk == DiskState::Stale)
     );
 }
 
@@ -131,12 +131,12 @@
         let mut fleet = started(5, seed, Link::default());
         let old = fleet.disk(4).clone().map(|_| {
             let generation = 0;
-            pipithub_members::Record {
+            pipithub_members::GenerationRecord {
                 cluster: "campus".into(),
                 name: "front-4".into(),
                 generation,
             }
-            .write()
+            .encode()
         });
         fleet.kill(4);
         fleet.run_for(40 * SECOND);
@@ -146,14 +146,18 @@
         fleet.start(4).unwrap();
         fleet.run_for(30 * SECOND);
         assert_ne!(
-            fleet.view(4).unwrap().standing,
-            Standing::Joined,
+            fleet.view(4).unwrap().join_state,
+            JoinState::Joined,
             "seed {seed}: drawn in"
         );
         (0..5).for_each(|n| fleet.net.link(4, n).cut = false);
         fleet.run_for(20 * SECOND);
-        let me = fleet.view(4).unwrap().me;
-        assert_eq!((me.generation, me.disk), (2, Disk::Old), "seed {seed}");
+        let me = fleet.view(4).unwrap().local;
+        assert_eq!(
+            (me.generation, me.disk),
+            (2, DiskState::Stale),
+            "seed {seed}"
+        );
         assert!(fleet.agreed(), "seed {seed}");
     }
 }
@@ -166,8 +170,8 @@
     *fleet.disk(2) = None;
     fleet.start(2).unwrap();
     fleet.run_for(10 * SECOND);
-    let me = fleet.view(2).unwrap().me;
-    assert_eq!((me.generation, me.disk), (2, Disk::Empty));
+    let me = fleet.view(2).unwrap().local;
+    assert_eq!((me.generation, me.disk), (2, DiskState::Empty));
     assert!(fleet.agreed());
 }
 
@@ -182,24 +186,27 @@
         *fleet.disk(6) = None;
         fleet.start(6).unwrap();
         fleet.run_for(60 * SECOND);
-        let joined = |n: usize| fleet.view(n).unwrap().standing == Standing::Joined;
+        let joined = |n: usize| fleet.view(n).unwrap().join_state == JoinState::Joined;
         assert!(
             joined(1) != joined(6),
             "seed {seed}: both take part, or none"
         );
         let (stays, waits) = if joined(1) { (1, 6) } else { (6, 1) };
         assert!(
-            matches!(fleet.view(waits).unwrap().standing, Standing::Barred(_)),
+            matches!(
+                fleet.view(waits).unwrap().join_state,
+                JoinState::DuplicateIdentity(_)
+            ),
             "seed {seed}"
         );
         fleet.kill(stays);
         fleet.run_for(60 * SECOND);
         let view = fleet.view(waits).unwrap();
-        assert_eq!(view.standing, Standing::Joined, "seed {seed}");
+        assert_eq!(view.join_state, JoinState::Joined, "seed {seed}");
         assert!(
-            view.me.generation > 1 && view.me.disk != Disk::Kept,
+            view.local.generation > 1 && view.local.disk != DiskState::Intact,
             "seed {seed}: {:?}",
-            view.me
+            view.local
         );
     }
 }
@@ -217,13 +224,13 @@
         fleet.net.pause(2, false);
         fleet.run_for(20 * SECOND);
         let told = |n: usize| fleet.history.iter().filter(move |t| t.by == n);
-        assert!(told(2).any(|t| t.at == at && matches!(t.event, Event::Overslept { .. })));
+        assert!(told(2).any(|t| t.at == at && matches!(t.event, Event::Stalled { .. })));
         assert!(
             !told(2).any(|t| matches!(t.event, Event::Down { .. })),
             "seed {seed}: it held others for dead"
         );
         assert!(fleet.agreed(), "seed {seed}: it did not come back");
-        assert!(fleet.view(2).unwrap().me.renewal > 0);
+        assert!(fleet.view(2).unwrap().local.renewal > 0);
     }
 }
 
@@ -304,8 +311,8 @@
     let refused = |e: &Event| {
         matches!(
             e,
-            Event::Refused {
-                why: pipithub_members::Refused::Stranger,
+            Event::DatagramsRejected {
+                reason: pipithub_members::RejectReason::OtherCluster,
                 ..
             }
         )
@@ -322,10 +329,10 @@
     let mut fleet = Fleet::new(6, 2, 5, 11, settings("campus"), Link::default());
     fleet.start(5).unwrap();
     fleet.run_for(60 * SECOND);
-    assert_eq!(fleet.view(5).unwrap().standing, Standing::Alone);
+    assert_eq!(fleet.view(5).unwrap().join_state, JoinState::Alone);
     fleet.start(3).unwrap();
     fleet.run_for(12 * SECOND);
-    assert!(fleet.agreed() && fleet.view(5).unwrap().standing == Standing::Joined);
+    assert!(fleet.agreed() && fleet.view(5).unwrap().join_state == JoinState::Joined);
 }
 
 #[test]
@@ -336,7 +343,10 @@
     fleet.start(3).unwrap();
     fleet.run_for(30 * SECOND);
     assert_eq!(fleet.bytes[3], 0);
-    assert_eq!(fleet.view(3).unwrap().standing, Standing::Saving);
+    assert_eq!(
+        fleet.view(3).unwrap().join_state,
+        JoinState::SavingGeneration
+    );
     assert_eq!(fleet.opinions(3), (0, 0));
 }
 
@@ -421,10 +431,10 @@
         let wait = fleet.net.rng.random_range(1..9u64);
         fleet.run_for(wait * SECOND);
         for (n, seen) in numbers.iter_mut().enumerate() {
-            let Some(view) = fleet.view(n).filter(|v| v.standing == Standing::Joined) else {
+            let Some(view) = fleet.view(n).filter(|v| v.join_state == JoinState::Joined) else {
                 continue;
             };
-            let run = (view.me.generation, view.me.boot);
+            let run = (view.local.generation, view.local.boot_id);
             if !seen.contains(&run) {
                 seen.push(run);
             }
@@ -442,7 +452,7 @@
         let stands = |n| {
             fleet
                 .view(n)
-                .map(|v| (v.standing.clone(), v.active().count()))
+                .map(|v| (v.join_state.clone(), v.active().count()))
         };
         return Err(format!(
             "not one fleet again: {:?}",
@@ -452,16 +462,16 @@
     let joined = |n: &usize| {
         fleet
             .view(*n)
-            .is_some_and(|v| v.standing == Standing::Joined)
+            .is_some_and(|v| v.join_state == JoinState::Joined)
     };
     if let Some(n) = (0..size).find(|n| !joined(n)) {
         return Err(format!(
             "{n} stands {:?}",
-            fleet.view(n).map(|v| v.standing)
+            fleet.view(n).map(|v| v.join_state)
         ));
     }
     for n in 0..size {
-        let me = fleet.view(n).map(|v| v.me).ok_or("gone")?;
+        let me = fleet.view(n).map(|v| v.local).ok_or("gone")?;
         let wrong = |v: &pipithub_members::View| {
             v.active()
                 .any(|m| m.identity.name == me.name && !m.identity.same_run(&me))
--- a/crates/pipithub-settings/src/fleet.rs
+++ b/crates/pipithub-settings/src/fleet.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use pipithub_members::{Settings, Wrong};
+use pipithub_members::{Settings, SettingsError};
 
 use crate::read::{MS, Reader, SECOND};
 
@@ -118,17 +118,18 @@
         cluster,
         seeds,
         probe_period: node.time("probe-period", usual.probe_period, 50 * MS, 60 * SECOND),
-        probe_wait: node.time("probe-wait", usual.probe_wait, MS, 30 * SECOND),
-        suspicion: node.whole("suspicion", u64::from(usual.suspicion), 1, 100) as u32,
+        probe_timeout: node.time("probe-wait", usual.probe_timeout, MS, 30 * SECOND),
+        suspicion_multiplier: node.whole("suspicion", u64::from(usual.suspicion_multiplier), 1, 100)
+            as u32,
         max_members: node.whole("max-members", usual.max_members as u64, 2, 10_000) as usize,
-        remember: node.whole("remember-days", 7, 1, 365) * 86_400 * SECOND,
+        dead_retention: node.whole("remember-days", 7, 1, 365) * 86_400 * SECOND,
     };
-    match members.check() {
-        Err(wrong @ Wrong::Waits) => {
+    match members.validate() {
+        Err(error @ SettingsError::InvalidProbeTimeout) => {
             let at = node.one("probe-wait").map_or(span, |n| n.node.span());
-            node.faults.add(at, wrong.to_string(), None);
+            node.faults.add(at, error.to_string(), None);
         }
-        Err(wrong) => node.faults.add(span, wrong.to_string(), None),
+        Err(error) => node.faults.add(span, error.to_string(), None),
         Ok(()) => {}
     }
     if instances > 1 {
