--- a/crates/pipithub-bench/src/members.rs
+++ b/crates/pipithub-bench/src/members.rs
@@ -108,7 +108,7 @@
 
 impl Meter {
     fn new(fleet: &Fleet, patience: Time) -> Meter {
-        let before = (fleet.bytes.clone(), fleet.net.now());
+        let before = (fleet.sent_bytes.clone(), fleet.network.now());
         Meter {
             before,
             worst: (0.0, 0.0),
@@ -126,7 +126,7 @@
             let lives = |name: &str| {
                 name.strip_prefix("front-")
                     .and_then(|n| n.parse().ok())
-                    .is_some_and(|n| fleet.runs(n))
+                    .is_some_and(|n| fleet.is_running(n))
             };
             match &told.event {
                 Event::Suspected(member) if lives(&member.identity.name) => self.suspected += 1.0,
@@ -135,11 +135,11 @@
                 _ => {}
             }
         }
-        if fleet.net.now() >= self.before.1 + SECOND {
-            let span = seconds(fleet.net.now() - self.before.1);
+        if fleet.network.now() >= self.before.1 + SECOND {
+            let span = seconds(fleet.network.now() - self.before.1);
             let rates = || {
                 fleet
-                    .bytes
+                    .sent_bytes
                     .iter()
                     .zip(&self.before.0)
                     .map(|(now, then)| (now - then) as f64 / span)
@@ -149,23 +149,23 @@
                 self.worst.0.max(mean),
                 self.worst.1.max(rates().fold(0.0, f64::max)),
             );
-            self.before = (fleet.bytes.clone(), fleet.net.now());
+            self.before = (fleet.sent_bytes.clone(), fleet.network.now());
         }
     }
 
     fn pass(&mut self, fleet: &mut Fleet, time: Time) {
-        let until = fleet.net.now() + time;
-        while fleet.net.now() < until {
+        let until = fleet.network.now() + time;
+        while fleet.network.now() < until {
             self.step(fleet);
         }
     }
 
     /// Seconds until something is so; -1 where it never was.
     fn until(&mut self, fleet: &mut Fleet, so: impl Fn(&Fleet) -> bool) -> f64 {
-        let begun = fleet.net.now();
-        while fleet.net.now() < begun + self.patience {
+        let begun = fleet.network.now();
+        while fleet.network.now() < begun + self.patience {
             if so(fleet) {
-                return seconds(fleet.net.now() - begun);
+                return seconds(fleet.network.now() - begun);
             }
             self.step(fleet);
         }
@@ -185,7 +185,7 @@
         let used = crate::usage(std::process::id()).0;
         Cpu(
             used,
-            fleet.cores_took.as_secs_f64(),
+            fleet.membership_time.as_secs_f64(),
             std::time::Instant::now(),
         )
     }
@@ -226,7 +226,7 @@
         let zones = if self.day == Day::TwentyFirst { 21 } else { 7 };
         let empty = crate::usage(std::process::id()).1;
         let mut fleet = Fleet::new(size, zones, 3, self.seed, settings, usual);
-        fleet.keep = |e| {
+        fleet.event_filter = |e| {
             matches!(
                 e,
                 Event::Suspected(_) | Event::Down { .. } | Event::MemberLimitReached(_)
@@ -237,12 +237,12 @@
             .for_each(|n| eprintln!("member {n} did not start"));
         let mut meter = Meter::new(&fleet, self.patience.min(86_400) * SECOND);
         let cpu = Cpu::read(&fleet);
-        let begun = fleet.net.now();
+        let begun = fleet.network.now();
         let mut row = Row {
-            together: meter.until(&mut fleet, Fleet::agreed),
+            together: meter.until(&mut fleet, Fleet::has_converged),
             ..Row::default()
         };
-        row.cpu_start = cpu.since(&fleet, seconds(fleet.net.now() - begun)).0;
+        row.cpu_start = cpu.since(&fleet, seconds(fleet.network.now() - begun)).0;
         row.memory = (crate::usage(std::process::id()).1 - empty) * 1_048_576.0 / size as f64;
         row.bytes_start = meter.worst.0;
         row.full = meter.full;
@@ -254,8 +254,8 @@
         meter.pass(&mut fleet, 10 * SECOND);
         let mut meter = Meter::new(&fleet, self.patience.min(86_400) * SECOND);
         let (bytes, datagrams, cpu) = (
-            fleet.bytes.clone(),
-            fleet.datagrams.clone(),
+            fleet.sent_bytes.clone(),
+            fleet.sent_datagrams.clone(),
             Cpu::read(&fleet),
         );
         let rest = self.rest.max(1) as f64;
@@ -272,8 +272,8 @@
                 each().fold(0.0, f64::max),
             )
         };
-        (row.bytes, row.bytes_worst) = rate(&fleet.bytes, &bytes);
-        (row.messages, row.messages_worst) = rate(&fleet.datagrams, &datagrams);
+        (row.bytes, row.bytes_worst) = rate(&fleet.sent_bytes, &bytes);
+        (row.messages, row.messages_worst) = rate(&fleet.sent_datagrams, &datagrams);
         meter.worst = (0.0, 0.0);
         (row.first, row.all) = self.blow(&mut fleet, &mut meter);
         (row.bytes_blow, row.bytes_blow_worst) = meter.worst;
@@ -299,20 +299,20 @@
                         .collect::<Vec<_>>()
                 };
                 for (a, b) in [(0, 1), (0, 2), (1, 2)] {
-                    fleet.net.split(&of(a), &of(b), true);
+                    fleet.network.set_partition(&of(a), &of(b), true);
                 }
                 meter.pass(fleet, 60 * SECOND);
-                fleet.net.heal();
-                (0.0, meter.until(fleet, Fleet::agreed))
+                fleet.network.heal();
+                (0.0, meter.until(fleet, Fleet::has_converged))
             }
             Day::Restart => {
                 let mut times: Vec<(Time, usize)> = (0..size)
-                    .map(|n| (fleet.net.rng.random_range(0..60 * SECOND), n))
+                    .map(|n| (fleet.network.rng.random_range(0..60 * SECOND), n))
                     .collect();
                 times.sort_unstable();
-                let begun = fleet.net.now();
+                let begun = fleet.network.now();
                 for (at, n) in times {
-                    while fleet.net.now() + STEP < begun + at {
+                    while fleet.network.now() + STEP < begun + at {
                         meter.step(fleet);
                     }
                     fleet.kill(n);
@@ -320,14 +320,14 @@
                         eprintln!("member {n} did not start");
                     }
                 }
-                (0.0, meter.until(fleet, Fleet::agreed))
+                (0.0, meter.until(fleet, Fleet::has_converged))
             }
             _ => {
                 let dead: Vec<usize> = (0..size).filter(dies).collect();
                 dead.iter().for_each(|n| fleet.kill(*n));
                 let first =
                     meter.until(fleet, |fleet| dead.iter().any(|n| fleet.opinions(*n).0 > 0));
-                let all = meter.until(fleet, Fleet::agreed);
+                let all = meter.until(fleet, Fleet::has_converged);
                 (
                     first,
                     if all < 0.0 || first < 0.0 {
--- a/crates/pipithub-bench/src/scale/council.rs
+++ b/crates/pipithub-bench/src/scale/council.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use pipithub_council::{Asked, Command, Disk, Input, Output, Stamped, State, Voter, VoterSettings};
-use pipithub_simnet::{Link, Net, Next, Time};
+use pipithub_simnet::{Link, Network, NetworkEvent, Time};
 
 use super::{Plan, Series};
 use crate::Result;
@@ -135,16 +135,16 @@
 
 /// Simulated seconds from a leader's death until another leads, over links of 1 to 1.5 ms.
 fn election(voters: usize, seed: u64) -> Result<Option<f64>> {
-    let mut net: Net<Vec<u8>> = Net::new(seed, Link::default());
+    let mut net: Network<Vec<u8>> = Network::new(seed, Link::default());
     let mut all: Vec<Option<Voter>> = (1..=voters as u64)
         .map(|id| voter(id, voters, seed * 64 + id).map(Some))
         .collect::<Result<_>>()?;
-    (0..voters).for_each(|n| net.wake_at(n, Some(TICK)));
+    (0..voters).for_each(|n| net.set_timer(n, Some(TICK)));
     let mut died: Option<Time> = None;
-    while let Some(next) = net.next(60_000 * MS) {
+    while let Some(next) = net.next_event(60_000 * MS) {
         let (n, input) = match next {
-            Next::Arrival { to, message, .. } => (to, Input::Raft(message)),
-            Next::Wake(n) => (n, Input::Tick),
+            NetworkEvent::Delivery { to, message, .. } => (to, Input::Raft(message)),
+            NetworkEvent::Timer(n) => (n, Input::Tick),
         };
         let now = net.now();
         let Some(core) = &mut all[n] else { continue };
@@ -163,13 +163,13 @@
             }
         }
         let leads = core.leads().0;
-        net.wake_at(n, Some(core.next_due().max(now + 1)));
+        net.set_timer(n, Some(core.next_due().max(now + 1)));
         match died {
             Some(at) if leads => return Ok(Some((now - at) as f64 / 1e9)),
             // Two seconds on, all follow it.
             None if leads && now > 2_000 * MS => {
                 all[n] = None;
-                net.dead(n);
+                net.crash(n);
                 died = Some(now);
             }
             _ => {}
--- a/crates/pipithub-characterization/tests/file_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/file_driver/mod.rs
@@ -9,7 +9,7 @@
 };
 use pipithub_endpoints::{Step, Watcher};
 use pipithub_engine::policy::{Endpoint, EndpointState, EndpointUpdate};
-use pipithub_fleet::{Folder, Happening, MemberReport, Report};
+use pipithub_fleet::{DataFolder, MemberReport, Report, ReportedEvent};
 use pipithub_ldap::Dn;
 use pipithub_members::GenerationRecord;
 use pipithub_storage::SystemFiles;
@@ -51,7 +51,7 @@
         .build()
         .expect("a runtime");
     runtime.block_on(async {
-        let folder = Folder::take(folder).expect("the folder is free");
+        let folder = DataFolder::lock(folder).expect("the folder is free");
         let saver = folder.start_generation_saver(Arc::new(SystemFiles));
         saver.save(1, text.as_bytes());
         saver
@@ -64,9 +64,9 @@
 
 /// The record of a data folder as a start finds it.
 pub(crate) fn load_generation(folder: &Path) -> Option<String> {
-    Folder::take(folder)
+    DataFolder::lock(folder)
         .expect("the folder is free")
-        .generation()
+        .read_generation()
         .expect("the record is read")
 }
 
@@ -87,7 +87,7 @@
 
 /// Writes a membership report into a data folder.
 pub(crate) fn save_report(folder: &Path) {
-    let happening = |member: &str, what: &str| Happening {
+    let happening = |member: &str, what: &str| ReportedEvent {
         at_ms: 1_800_000_000_000,
         member: member.into(),
         what: what.into(),
@@ -111,12 +111,12 @@
         .into(),
     };
     let text = serde_json::to_vec(&report).expect("the report is text");
-    Folder::save_report(folder, &text).expect("the report is written");
+    DataFolder::save_report(folder, &text).expect("the report is written");
 }
 
 /// The report of a data folder, a line each for the head, the members and what happened.
 pub(crate) fn load_report(folder: &Path) -> Vec<String> {
-    let text = Folder::read_report(folder).expect("the report is read");
+    let text = DataFolder::read_report(folder).expect("the report is read");
     let report: Report = serde_json::from_slice(&text).expect("the report is understood");
     let member = |m: &MemberReport| {
         format!(
--- a/crates/pipithub-council/tests/seeds.rs
+++ b/crates/pipithub-council/tests/seeds.rs
@@ -6,7 +6,7 @@
 use pipithub_council::{
     Answer, Batch, Client, Command, Disk, Input, Output, Told, Voter, VoterSettings, Wire,
 };
-use pipithub_simnet::{Link, Net, Next, Time};
+use pipithub_simnet::{Link, Network, NetworkEvent, Time};
 use rand::RngExt;
 
 const MS: Time = 1_000_000;
@@ -46,7 +46,7 @@
 }
 
 struct World {
-    net: Net<Mail>,
+    net: Network<Mail>,
     seats: Vec<Seat>,
     askers: Vec<Asker>,
     planted: Planted,
@@ -66,10 +66,10 @@
             delay: MS,
             jitter: 4 * MS,
             loss: 0.01,
-            twice: 0.01,
+            duplication: 0.01,
             ..Link::default()
         };
-        let mut net = Net::new(seed, usual);
+        let mut net = Network::new(seed, usual);
         let size = voters + askers;
         let mut clock = || {
             (
@@ -103,7 +103,7 @@
             paused: vec![false; size],
         };
         (0..voters).for_each(|n| world.start(n));
-        (0..askers).for_each(|n| world.net.wake_at(voters + n, Some(500 * MS)));
+        (0..askers).for_each(|n| world.net.set_timer(voters + n, Some(500 * MS)));
         world
     }
 
@@ -131,7 +131,7 @@
             Ok(core) => {
                 let due = self.global(n, core.next_due());
                 self.seats[n].core = Some(core);
-                self.net.wake_at(n, Some(due));
+                self.net.set_timer(n, Some(due));
             }
             Err(error) => self
                 .breaches
@@ -142,8 +142,8 @@
     fn crash(&mut self, n: usize) {
         self.seats[n].core = None;
         // What the disk had not said yet is lost with what was under way.
-        self.net.dead(n);
-        self.net.pause(n, false);
+        self.net.crash(n);
+        self.net.set_paused(n, false);
         self.paused[n] = false;
         match self.planted {
             Planted::ForgottenVotes => self.seats[n].disk.hard = None,
@@ -205,7 +205,7 @@
         }
         let _ = term;
         let due = self.global(n, due);
-        self.net.wake_at(n, Some(due));
+        self.net.set_timer(n, Some(due));
     }
 
     fn asker(&mut self, a: usize, heard: Option<Wire>) {
@@ -246,7 +246,7 @@
         let due = due
             .map_or(self.askers[a].next, |d| d.min(self.askers[a].next))
             .max(real + 1);
-        self.net.wake_at(process, Some(due));
+        self.net.set_timer(process, Some(due));
     }
 
     /// Nobody may rely on a lease that another relies on.
@@ -273,26 +273,26 @@
 
     fn run_for(&mut self, time: Time) {
         let until = self.net.now() + time;
-        while let Some(next) = self.net.next(until) {
+        while let Some(next) = self.net.next_event(until) {
             match next {
-                Next::Wake(p) if p < self.seats.len() => self.voter(p, Input::Tick),
-                Next::Wake(p) => self.asker(p - self.seats.len(), None),
-                Next::Arrival {
+                NetworkEvent::Timer(p) if p < self.seats.len() => self.voter(p, Input::Tick),
+                NetworkEvent::Timer(p) => self.asker(p - self.seats.len(), None),
+                NetworkEvent::Delivery {
                     to,
                     message: Mail::Raft(bytes),
                     ..
                 } => self.voter(to, Input::Raft(bytes)),
-                Next::Arrival {
+                NetworkEvent::Delivery {
                     to,
                     message: Mail::Wire(Wire::Ask(asked)),
                     ..
                 } => self.voter(to, Input::Ask(asked)),
-                Next::Arrival {
+                NetworkEvent::Delivery {
                     to,
                     message: Mail::Wire(wire),
                     ..
                 } => self.asker(to - self.seats.len(), Some(wire)),
-                Next::Arrival {
+                NetworkEvent::Delivery {
                     to,
                     message: Mail::Stored(starts, batch),
                     ..
@@ -327,12 +327,12 @@
             4 if p != other => self.net.link(p, other).cut = true,
             5 => {
                 let (one, rest): (Vec<usize>, Vec<usize>) = (0..size).partition(|x| x % 2 == n % 2);
-                self.net.split(&one, &rest, true);
+                self.net.set_partition(&one, &rest, true);
             }
             6 | 7 => self.net.heal(),
             8 if !self.paused[p] => {
                 self.paused[p] = true;
-                self.net.pause(p, true);
+                self.net.set_paused(p, true);
             }
             9 if p >= voters => {
                 // A front end restarts under its name: a new run, which takes a new epoch.
@@ -344,7 +344,7 @@
             }
             _ => {
                 self.paused[p] = false;
-                self.net.pause(p, false);
+                self.net.set_paused(p, false);
             }
         }
     }
@@ -362,7 +362,7 @@
     }
     world.net.heal();
     for p in 0..world.clocks.len() {
-        world.net.pause(p, false);
+        world.net.set_paused(p, false);
     }
     for n in 0..voters {
         if world.seats[n].core.is_none() {
--- a/crates/pipithub-drill/src/fleet/run.rs
+++ b/crates/pipithub-drill/src/fleet/run.rs
@@ -10,7 +10,7 @@
 use nix::unistd::Pid;
 use pipithub_check::fleet::{Breach, Claim, Disk, History, Run, check};
 use pipithub_clock::{Clock, wall_ns};
-use pipithub_fleet::{Folder, Report};
+use pipithub_fleet::{DataFolder, Report};
 use pipithub_members::{GenerationRecord, sender_identity};
 use pipithub_standin::relay::{Relay, Way};
 use tracing::info;
@@ -341,7 +341,7 @@
             let (Some(process), Some(run), None) = (&s.process, s.run, s.paused) else {
                 continue;
             };
-            let Ok(bytes) = Folder::read_report(&data) else {
+            let Ok(bytes) = DataFolder::read_report(&data) else {
                 continue;
             };
             let Ok(report) = serde_json::from_slice::<Report>(&bytes) else {
--- a/crates/pipithub-fleet/src/folder.rs
+++ b/crates/pipithub-fleet/src/folder.rs
@@ -14,7 +14,7 @@
 
 /// Why a data folder cannot be used.
 #[derive(Debug, thiserror::Error)]
-pub enum FolderError {
+pub enum DataFolderError {
     /// Another process runs with it.
     #[error("{0}: another process runs with this folder")]
     InUse(PathBuf),
@@ -33,21 +33,21 @@
 
 /// A data folder that this process holds. The lock ends with the process, however it ends.
 #[derive(Debug)]
-pub struct Folder {
+pub struct DataFolder {
     path: PathBuf,
     _lock: File,
 }
 
-fn io(path: &Path) -> impl FnOnce(std::io::Error) -> FolderError + '_ {
-    move |source| FolderError::Io {
+fn io(path: &Path) -> impl FnOnce(std::io::Error) -> DataFolderError + '_ {
+    move |source| DataFolderError::Io {
         path: path.to_path_buf(),
         source,
     }
 }
 
-impl Folder {
+impl DataFolder {
     /// Takes a folder, which is made where it is missing.
-    pub fn take(path: &Path) -> Result<Folder, FolderError> {
+    pub fn lock(path: &Path) -> Result<DataFolder, DataFolderError> {
         std::fs::create_dir_all(path).map_err(io(path))?;
         let file = path.join("lock");
         let lock = OpenOptions::new()
@@ -57,12 +57,12 @@
             .open(&file)
             .map_err(io(&file))?;
         match lock.try_lock() {
-            Ok(()) => Ok(Folder {
+            Ok(()) => Ok(DataFolder {
                 path: path.to_path_buf(),
                 _lock: lock,
             }),
-            Err(TryLockError::WouldBlock) => Err(FolderError::InUse(path.to_path_buf())),
-            Err(TryLockError::Error(source)) => Err(FolderError::Io { path: file, source }),
+            Err(TryLockError::WouldBlock) => Err(DataFolderError::InUse(path.to_path_buf())),
+            Err(TryLockError::Error(source)) => Err(DataFolderError::Io { path: file, source }),
         }
     }
 
@@ -73,12 +73,12 @@
 
     /// The generation record's text; `None` where there is none. What cannot be read as text counts as damaged, not as
     /// missing.
-    pub fn generation(&self) -> Result<Option<String>, FolderError> {
+    pub fn read_generation(&self) -> Result<Option<String>, DataFolderError> {
         let path = self.path.join(GENERATION_FILE);
         let file = match File::open(&path) {
             Ok(file) => file,
             Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
-            Err(source) => return Err(FolderError::Io { path, source }),
+            Err(source) => return Err(DataFolderError::Io { path, source }),
         };
         let mut bytes = Vec::new();
         file.take(RECORD_MOST)
@@ -97,13 +97,13 @@
     }
 
     /// Writes the report. It need not outlive a crash.
-    pub fn save_report(path: &Path, text: &[u8]) -> Result<(), FolderError> {
+    pub fn save_report(path: &Path, text: &[u8]) -> Result<(), DataFolderError> {
         let target = Target::new(path.join(REPORT_FILE), Durability::Unsynced);
         Ok(replace(&SystemFiles, &target, text)?)
     }
 
     /// The report as a running process wrote it last.
-    pub fn read_report(path: &Path) -> Result<Vec<u8>, FolderError> {
+    pub fn read_report(path: &Path) -> Result<Vec<u8>, DataFolderError> {
         let file = path.join(REPORT_FILE);
         std::fs::read(&file).map_err(io(&file))
     }
--- a/crates/pipithub-fleet/src/lib.rs
+++ b/crates/pipithub-fleet/src/lib.rs
@@ -7,6 +7,6 @@
 mod report;
 mod shell;
 
-pub use folder::{Folder, FolderError};
-pub use report::{Happening, MemberReport, Report};
-pub use shell::{Fleet, FleetError};
+pub use folder::{DataFolder, DataFolderError};
+pub use report::{MemberReport, Report, ReportedEvent};
+pub use shell::{MembershipRuntime, RuntimeError};
--- a/crates/pipithub-fleet/src/report.rs
+++ b/crates/pipithub-fleet/src/report.rs
@@ -10,7 +10,7 @@
 
 /// A change of view with its evidence.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Happening {
+pub struct ReportedEvent {
     /// When, in Unix milliseconds.
     pub at_ms: u64,
     /// Whom it is about; the own name where it is this process.
@@ -60,7 +60,7 @@
     /// The others.
     pub members: Vec<MemberReport>,
     /// What happened lately, oldest first.
-    pub happenings: VecDeque<Happening>,
+    pub happenings: VecDeque<ReportedEvent>,
 }
 
 fn ms(time: Time) -> u64 {
@@ -90,7 +90,7 @@
 }
 
 /// An event as a happening; `None` for what is only of use in the log.
-pub(crate) fn happening(event: &Event, me: &str, at_ms: u64, now: Time) -> Happening {
+pub(crate) fn happening(event: &Event, me: &str, at_ms: u64, now: Time) -> ReportedEvent {
     let heard = |m: &pipithub_members::Member| match m.last_heard {
         Some(heard) => format!("last heard {} ms ago", ms(now.saturating_sub(heard))),
         None => "never heard by this process itself".to_string(),
@@ -157,7 +157,7 @@
             "not let in: as many members as max-members allows".to_string(),
         ),
     };
-    Happening {
+    ReportedEvent {
         at_ms,
         member,
         what,
@@ -166,10 +166,10 @@
 
 /// Keeps the latest happenings.
 #[derive(Debug, Default)]
-pub(crate) struct Happenings(VecDeque<Happening>);
+pub(crate) struct Happenings(VecDeque<ReportedEvent>);
 
 impl Happenings {
-    pub(crate) fn push(&mut self, happening: Happening) {
+    pub(crate) fn push(&mut self, happening: ReportedEvent) {
         if self.0.len() == HAPPENINGS {
             self.0.pop_front();
         }
--- a/crates/pipithub-fleet/src/shell.rs
+++ b/crates/pipithub-fleet/src/shell.rs
@@ -16,7 +16,7 @@
 use tokio::sync::watch;
 use tracing::{debug, info, warn};
 
-use crate::folder::{Folder, FolderError};
+use crate::folder::{DataFolder, DataFolderError};
 use crate::report::{Happenings, happening};
 
 /// Reports are written at most this often, and at least each [`REPORT_LEAST`].
@@ -25,10 +25,10 @@
 
 /// Why a process cannot take part.
 #[derive(Debug, thiserror::Error)]
-pub enum FleetError {
+pub enum RuntimeError {
     /// Its data folder.
     #[error(transparent)]
-    Folder(#[from] FolderError),
+    DataFolder(#[from] DataFolderError),
     /// Its generation record.
     #[error("{path}: {source}")]
     Record {
@@ -55,35 +55,38 @@
 
 /// A process's part in the fleet, running.
 #[derive(Debug)]
-pub struct Fleet {
+pub struct MembershipRuntime {
     view: watch::Receiver<Option<View>>,
     address: SocketAddr,
     stop: watch::Sender<bool>,
     task: tokio::task::JoinHandle<()>,
 }
 
-impl Fleet {
+impl MembershipRuntime {
     /// Takes the data folder and the socket, then runs until it is stopped or dropped.
-    pub async fn start(name: &str, config: FleetSettings) -> Result<Fleet, FleetError> {
-        Fleet::start_on(name, config, Arc::new(SystemFiles)).await
+    pub async fn start(
+        name: &str,
+        config: FleetSettings,
+    ) -> Result<MembershipRuntime, RuntimeError> {
+        MembershipRuntime::start_with_files(name, config, Arc::new(SystemFiles)).await
     }
 
-    /// As [`Fleet::start`], with the generation record saved on a given file system.
-    pub async fn start_on(
+    /// As [`MembershipRuntime::start`], with the generation record saved on a given file system.
+    pub async fn start_with_files(
         name: &str,
         config: FleetSettings,
         files: Arc<dyn FileSystem>,
-    ) -> Result<Fleet, FleetError> {
-        let folder = Folder::take(&config.data)?;
-        let found = folder.generation()?;
+    ) -> Result<MembershipRuntime, RuntimeError> {
+        let folder = DataFolder::lock(&config.data)?;
+        let found = folder.read_generation()?;
         let (record, empty) =
             GenerationRecord::next(found.as_deref(), &config.members.cluster, name).map_err(
-                |source| FleetError::Record {
+                |source| RuntimeError::Record {
                     path: config.data.join("generation"),
                     source,
                 },
             )?;
-        let socket = |source| FleetError::Socket {
+        let socket = |source| RuntimeError::Socket {
             address: config.listen,
             source,
         };
@@ -93,7 +96,7 @@
         let draw = || {
             SysRng
                 .try_next_u64()
-                .map_err(|e| FleetError::Random(e.to_string()))
+                .map_err(|e| RuntimeError::Random(e.to_string()))
         };
         let me = (name.to_string(), address, config.zone.clone());
         let core = Membership::new(config.members.clone(), me, &record, empty, draw()?, draw()?)?;
@@ -116,7 +119,7 @@
             out: Vec::new(),
         };
         let task = tokio::spawn(shell.run(stopped));
-        Ok(Fleet {
+        Ok(MembershipRuntime {
             view: watched,
             address: bound,
             stop,
@@ -135,7 +138,7 @@
     }
 
     /// Leaves the fleet, so that nobody has to find out.
-    pub async fn stop(self) {
+    pub async fn shutdown(self) {
         let _ = self.stop.send(true);
         if let Err(error) = self.task.await {
             warn!(%error, "the fleet's task did not end by itself");
@@ -146,7 +149,7 @@
 struct Shell {
     name: String,
     config: FleetSettings,
-    folder: Folder,
+    folder: DataFolder,
     core: Membership,
     udp: UdpSocket,
     clock: Clock,
@@ -155,7 +158,7 @@
     generation_saver: Saver,
     reported: Time,
     changed: bool,
-    reporting: Option<tokio::task::JoinHandle<Result<(), FolderError>>>,
+    reporting: Option<tokio::task::JoinHandle<Result<(), DataFolderError>>>,
     out: Vec<Output>,
 }
 
@@ -304,7 +307,7 @@
     }
 }
 
-fn write(folder: &Path, report: &crate::report::Report) -> Result<(), FolderError> {
+fn write(folder: &Path, report: &crate::report::Report) -> Result<(), DataFolderError> {
     let text = serde_json::to_vec(report).unwrap_or_default();
-    Folder::save_report(folder, &text)
+    DataFolder::save_report(folder, &text)
 }
--- a/crates/pipithub-fleet/tests/failing_disk.rs
+++ b/crates/pipithub-fleet/tests/failing_disk.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::sync::Arc;
 
-use pipithub_fleet::{Fleet, Folder};
+use pipithub_fleet::{DataFolder, MembershipRuntime};
 use pipithub_members::{GenerationRecord, JoinState, Settings};
 use pipithub_settings::FleetSettings;
 use pipithub_storage::{FileSystem, Step, SystemFiles, WritableFile};
@@ -115,7 +115,7 @@
         failures,
     });
     let config = settings(root.path(), seed.local_addr().expect("its address"));
-    let fleet = Fleet::start_on("front-1", config, files)
+    let fleet = MembershipRuntime::start_with_files("front-1", config, files)
         .await
         .expect("it starts all the same");
     for _ in 0..3 {
@@ -144,9 +144,9 @@
         Some(5),
         "{step:?}: on disk before anything is sent"
     );
-    fleet.stop().await;
-    let folder = Folder::take(root.path()).expect("given back");
-    assert!(folder.generation().expect("readable").is_some());
+    fleet.shutdown().await;
+    let folder = DataFolder::lock(root.path()).expect("given back");
+    assert!(folder.read_generation().expect("readable").is_some());
 }
 
 #[tokio::test]
--- a/crates/pipithub-fleet/tests/folder.rs
+++ b/crates/pipithub-fleet/tests/folder.rs
@@ -3,11 +3,11 @@
 use std::path::Path;
 use std::sync::Arc;
 
-use pipithub_fleet::{Folder, FolderError};
+use pipithub_fleet::{DataFolder, DataFolderError};
 use pipithub_storage::SystemFiles;
 
 async fn save(path: &Path, text: &str) {
-    let folder = Folder::take(path).expect("free");
+    let folder = DataFolder::lock(path).expect("free");
     let saver = folder.start_generation_saver(Arc::new(SystemFiles));
     let mut saved = saver.saved();
     saver.save(1, text.as_bytes());
@@ -18,17 +18,20 @@
 async fn a_folder_has_one_holder_and_keeps_its_record() {
     let root = tempfile::tempdir().expect("a folder");
     let path = root.path().join("front-1");
-    let folder = Folder::take(&path).expect("free");
-    assert!(folder.generation().expect("readable").is_none());
-    assert!(matches!(Folder::take(&path), Err(FolderError::InUse(_))));
-    assert!(Folder::in_use(&path));
+    let folder = DataFolder::lock(&path).expect("free");
+    assert!(folder.read_generation().expect("readable").is_none());
+    assert!(matches!(
+        DataFolder::lock(&path),
+        Err(DataFolderError::InUse(_))
+    ));
+    assert!(DataFolder::in_use(&path));
     drop(folder);
-    assert!(!Folder::in_use(&path));
+    assert!(!DataFolder::in_use(&path));
     save(&path, "one").await;
     assert_eq!(
-        Folder::take(&path)
+        DataFolder::lock(&path)
             .expect("free")
-            .generation()
+            .read_generation()
             .expect("readable")
             .as_deref(),
         Some("one")
@@ -41,9 +44,9 @@
     save(root.path(), "good").await;
     std::fs::write(root.path().join("generation.new"), "ha").expect("written");
     let read = || {
-        Folder::take(root.path())
+        DataFolder::lock(root.path())
             .expect("free")
-            .generation()
+            .read_generation()
             .expect("readable")
     };
     assert_eq!(read().as_deref(), Some("good"));
@@ -59,9 +62,12 @@
 fn a_report_is_replaced_and_read() {
     let root = tempfile::tempdir().expect("a folder");
     for text in [&b"one"[..], b"two"] {
-        Folder::save_report(root.path(), text).expect("saved");
-        assert_eq!(Folder::read_report(root.path()).expect("readable"), text);
+        DataFolder::save_report(root.path(), text).expect("saved");
+        assert_eq!(
+            DataFolder::read_report(root.path()).expect("readable"),
+            text
+        );
     }
-    let missing = Folder::save_report(&root.path().join("none"), b"x");
-    assert!(matches!(missing, Err(FolderError::NotReplaced(_))));
+    let missing = DataFolder::save_report(&root.path().join("none"), b"x");
+    assert!(matches!(missing, Err(DataFolderError::NotReplaced(_))));
 }
--- a/crates/pipithub-fleetsim/src/lib.rs
+++ b/crates/pipithub-fleetsim/src/lib.rs
@@ -9,7 +9,7 @@
 use pipithub_members::{
     Event, GenerationRecord, Input, JoinState, MemberState, Membership, Output, Settings, View,
 };
-use pipithub_simnet::{Link, Net, Next, Time};
+use pipithub_simnet::{Link, Network, NetworkEvent, Time};
 use rand::RngExt;
 
 /// One process and its disk.
@@ -20,16 +20,16 @@
     /// What stands on its disk, synced.
     disk: Option<String>,
     /// Saves are lost from here on: the disk is full or gone.
-    stuck: bool,
+    disk_failed: bool,
 }
 
 /// An event with its time and the process that told it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct ObservedEvent {
     /// When.
     pub at: Time,
     /// By which process.
-    pub by: usize,
+    pub observer: usize,
     /// What.
     pub event: Event,
 }
@@ -37,20 +37,20 @@
 /// The fleet.
 pub struct Fleet {
     /// The network and the clock.
-    pub net: Net<Vec<u8>>,
+    pub network: Network<Vec<u8>>,
     settings: Settings,
     processes: Vec<Process>,
     /// All that was told, in order, as far as it is kept.
-    pub history: Vec<Told>,
+    pub history: Vec<ObservedEvent>,
     /// Which events go into the history; all by default. In a fleet of n that starts each tells of all others, and n²
     /// copies would be most of the memory.
-    pub keep: fn(&Event) -> bool,
+    pub event_filter: fn(&Event) -> bool,
     /// Bytes that each process sent.
-    pub bytes: Vec<u64>,
+    pub sent_bytes: Vec<u64>,
     /// Datagrams that each process sent.
-    pub datagrams: Vec<u64>,
+    pub sent_datagrams: Vec<u64>,
     /// What the cores' own work took by the wall clock; the rest is the simulation's. It decides nothing.
-    pub cores_took: Duration,
+    pub membership_time: Duration,
     boots: u64,
     out: Vec<Output>,
 }
@@ -92,17 +92,17 @@
             zone: format!("zone-{}", n % zones.max(1)),
             core: None,
             disk: None,
-            stuck: false,
+            disk_failed: false,
         };
         Fleet {
-            net: Net::new(seed, usual),
+            network: Network::new(seed, usual),
             settings,
             processes: (0..size).map(process).collect(),
             history: Vec::new(),
-            keep: |_| true,
-            bytes: vec![0; size],
-            datagrams: vec![0; size],
-            cores_took: Duration::ZERO,
+            event_filter: |_| true,
+            sent_bytes: vec![0; size],
+            sent_datagrams: vec![0; size],
+            membership_time: Duration::ZERO,
             boots: 0,
             out: Vec::new(),
         }
@@ -119,8 +119,8 @@
     }
 
     /// Whether saves to a disk come to nothing.
-    pub fn stick(&mut self, process: usize, stuck: bool) {
-        self.processes[process].stuck = stuck;
+    pub fn set_disk_failed(&mut self, process: usize, disk_failed: bool) {
+        self.processes[process].disk_failed = disk_failed;
     }
 
     /// Has a further process bear the name of another, as when an operator starts one twice.
@@ -130,9 +130,9 @@
 
     /// Starts a process from what stands on its disk. A record that cannot be used keeps it from starting.
     pub fn start(&mut self, process: usize) -> Result<(), pipithub_members::RecordError> {
-        let now = self.net.now();
+        let now = self.network.now();
         self.boots += 1;
-        let (boot, seed) = (self.net.rng.random(), self.net.rng.random());
+        let (boot, seed) = (self.network.rng.random(), self.network.rng.random());
         let p = &mut self.processes[process];
         let (record, empty) =
             GenerationRecord::next(p.disk.as_deref(), &self.settings.cluster, &p.name)?;
@@ -149,22 +149,22 @@
     /// Kills a process outright.
     pub fn kill(&mut self, process: usize) {
         self.processes[process].core = None;
-        self.net.dead(process);
+        self.network.crash(process);
     }
 
     /// Has a process leave, then end.
     pub fn leave(&mut self, process: usize) {
-        self.input(process, Input::Leave);
+        self.handle(process, Input::Leave);
         self.kill(process);
     }
 
     /// Whether it runs.
-    pub fn runs(&self, process: usize) -> bool {
+    pub fn is_running(&self, process: usize) -> bool {
         self.processes[process].core.is_some()
     }
 
     /// How often the running processes compared their whole membership, in all.
-    pub fn comparisons(&self) -> u64 {
+    pub fn full_comparisons(&self) -> u64 {
         self.cores().map(Membership::full_comparisons).sum()
     }
 
@@ -173,16 +173,16 @@
         self.processes[process]
             .core
             .as_ref()
-            .map(|core| core.view(self.net.now()))
+            .map(|core| core.view(self.network.now()))
     }
 
     /// Hands an input to a process.
-    pub fn input(&mut self, process: usize, input: Input<'_>) {
-        let now = self.net.now();
+    pub fn handle(&mut self, process: usize, input: Input<'_>) {
+        let now = self.network.now();
         if let Some(core) = &mut self.processes[process].core {
             let begun = Instant::now();
             core.handle(now, input, &mut self.out);
-            self.cores_took += begun.elapsed();
+            self.membership_time += begun.elapsed();
         }
         self.carry_out(process);
     }
@@ -193,16 +193,16 @@
                 match output {
                     Output::Send { to, bytes } => {
                         // Bytes of the network's own headers count as well.
-                        self.bytes[process] += bytes.len() as u64 + 28;
-                        self.datagrams[process] += 1;
+                        self.sent_bytes[process] += bytes.len() as u64 + 28;
+                        self.sent_datagrams[process] += 1;
                         if let Some(to) = process_at(to).filter(|to| *to < self.processes.len()) {
-                            self.net.send(process, to, bytes);
+                            self.network.send(process, to, bytes);
                         }
                     }
                     Output::SaveGeneration(record) => {
-                        let now = self.net.now();
+                        let now = self.network.now();
                         let p = &mut self.processes[process];
-                        if !p.stuck {
+                        if !p.disk_failed {
                             p.disk = Some(record.encode());
                             if let Some(core) = &mut p.core {
                                 core.handle(
@@ -213,11 +213,13 @@
                             }
                         }
                     }
-                    Output::Event(event) if (self.keep)(&event) => self.history.push(Told {
-                        at: self.net.now(),
-                        by: process,
-                        event,
-                    }),
+                    Output::Event(event) if (self.event_filter)(&event) => {
+                        self.history.push(ObservedEvent {
+                            at: self.network.now(),
+                            observer: process,
+                            event,
+                        })
+                    }
                     Output::Event(_) => {}
                 }
             }
@@ -226,15 +228,15 @@
             .core
             .as_ref()
             .and_then(Membership::next_due);
-        self.net.wake_at(process, due);
+        self.network.set_timer(process, due);
     }
 
     /// Lets time pass until then.
     pub fn run_until(&mut self, until: Time) {
-        while let Some(next) = self.net.next(until) {
+        while let Some(next) = self.network.next_event(until) {
             match next {
-                Next::Arrival { from, to, message } => {
-                    self.input(
+                NetworkEvent::Delivery { from, to, message } => {
+                    self.handle(
                         to,
                         Input::Datagram {
                             from: address(from),
@@ -242,14 +244,14 @@
                         },
                     );
                 }
-                Next::Wake(process) => self.input(process, Input::Tick),
+                NetworkEvent::Timer(process) => self.handle(process, Input::Tick),
             }
         }
     }
 
     /// Lets so much time pass.
     pub fn run_for(&mut self, time: Time) {
-        self.run_until(self.net.now() + time);
+        self.run_until(self.network.now() + time);
     }
 
     fn cores(&self) -> impl Iterator<Item = &Membership> {
@@ -258,7 +260,7 @@
 
     /// Whether each process that runs takes part and believes exactly those to be there that do. The first that does not
     /// ends the look, and nothing is copied: n tables of n rows are compared.
-    pub fn agreed(&self) -> bool {
+    pub fn has_converged(&self) -> bool {
         let running = self.processes.iter().filter(|p| p.core.is_some());
         let mut names: Vec<&str> = running.map(|p| p.name.as_str()).collect();
         names.sort_unstable();
--- a/crates/pipithub-members/tests/fleet.rs
+++ b/crates/pipithub-members/tests/fleet.rs
@@ -22,7 +22,7 @@
     let mut fleet = fleet(size, seed, usual);
     (0..size).for_each(|n| fleet.start(n).unwrap());
     fleet.run_for(20 * SECOND);
-    assert!(fleet.agreed(), "seed {seed}: not joined");
+    assert!(fleet.has_converged(), "seed {seed}: not joined");
     fleet
 }
 
@@ -38,7 +38,7 @@
     fleet.kill(5);
     fleet.run_for(30 * SECOND);
     assert_eq!(fleet.opinions(5), (11, 0));
-    assert!(fleet.agreed());
+    assert!(fleet.has_converged());
     assert!(
         (0..12)
             .filter(|n| *n != 5)
@@ -77,7 +77,7 @@
         (after.generation, after.disk),
         (before.generation + 1, DiskState::Intact)
     );
-    assert!(fleet.agreed());
+    assert!(fleet.has_converged());
     for n in (0..7).filter(|n| *n != 3) {
         let view = fleet.view(n).unwrap();
         let row = view
@@ -107,13 +107,13 @@
     fleet.run_for(10 * SECOND);
     let me = fleet.view(3).unwrap().local;
     assert_eq!((me.generation, me.disk), (last + 1, DiskState::Stale));
-    assert!(fleet.history.iter().any(|t| t.by == 3
+    assert!(fleet.history.iter().any(|t| t.observer == 3
         && t.event
             == Event::StaleDisk {
                 disk: 2,
                 seen: last
             }));
-    assert!(fleet.agreed());
+    assert!(fleet.has_converged());
     // Others know it too: whoever asks this member for what it once held must not believe its disk.
     let view = fleet.view(0).unwrap();
     assert!(
@@ -142,7 +142,7 @@
         fleet.run_for(40 * SECOND);
         *fleet.disk(4) = old;
         // Its question comes late; what the others say to its former self does not.
-        (0..5).for_each(|n| fleet.net.link(4, n).cut = true);
+        (0..5).for_each(|n| fleet.network.link(4, n).cut = true);
         fleet.start(4).unwrap();
         fleet.run_for(30 * SECOND);
         assert_ne!(
@@ -150,7 +150,7 @@
             JoinState::Joined,
             "seed {seed}: drawn in"
         );
-        (0..5).for_each(|n| fleet.net.link(4, n).cut = false);
+        (0..5).for_each(|n| fleet.network.link(4, n).cut = false);
         fleet.run_for(20 * SECOND);
         let me = fleet.view(4).unwrap().local;
         assert_eq!(
@@ -158,7 +158,7 @@
             (2, DiskState::Stale),
             "seed {seed}"
         );
-        assert!(fleet.agreed(), "seed {seed}");
+        assert!(fleet.has_converged(), "seed {seed}");
     }
 }
 
@@ -172,7 +172,7 @@
     fleet.run_for(10 * SECOND);
     let me = fleet.view(2).unwrap().local;
     assert_eq!((me.generation, me.disk), (2, DiskState::Empty));
-    assert!(fleet.agreed());
+    assert!(fleet.has_converged());
 }
 
 #[test]
@@ -215,21 +215,21 @@
 fn a_process_that_froze_holds_nobody_for_dead_when_it_wakes() {
     for seed in 0..5 {
         let mut fleet = started(8, seed, Link::default());
-        fleet.net.pause(2, true);
+        fleet.network.set_paused(2, true);
         fleet.run_for(40 * SECOND);
         assert_eq!(fleet.opinions(2), (7, 0), "the others did not find it dead");
-        let at = fleet.net.now();
+        let at = fleet.network.now();
         // What had arrived is lost, as from a buffer that overflowed: only its timers are left.
         fleet.history.clear();
-        fleet.net.pause(2, false);
+        fleet.network.set_paused(2, false);
         fleet.run_for(20 * SECOND);
-        let told = |n: usize| fleet.history.iter().filter(move |t| t.by == n);
+        let told = |n: usize| fleet.history.iter().filter(move |t| t.observer == n);
         assert!(told(2).any(|t| t.at == at && matches!(t.event, Event::Stalled { .. })));
         assert!(
             !told(2).any(|t| matches!(t.event, Event::Down { .. })),
             "seed {seed}: it held others for dead"
         );
-        assert!(fleet.agreed(), "seed {seed}: it did not come back");
+        assert!(fleet.has_converged(), "seed {seed}: it did not come back");
         assert!(fleet.view(2).unwrap().local.renewal > 0);
     }
 }
@@ -239,7 +239,7 @@
     let mut fleet = started(6, 7, Link::default());
     let others: Vec<usize> = (1..6).collect();
     for n in &others {
-        fleet.net.link(*n, 0).cut = true;
+        fleet.network.link(*n, 0).cut = true;
     }
     fleet.run_for(30 * SECOND);
     assert!(fleet.view(0).unwrap().age().unwrap() > 29 * SECOND);
@@ -251,13 +251,13 @@
     for seed in 0..4 {
         let mut fleet = started(10, seed, Link::default());
         let (one, other): (Vec<usize>, Vec<usize>) = ((0..5).collect(), (5..10).collect());
-        fleet.net.split(&one, &other, true);
+        fleet.network.set_partition(&one, &other, true);
         fleet.run_for(60 * SECOND);
         assert_eq!(fleet.view(0).unwrap().active().count(), 4);
         assert_eq!(fleet.view(9).unwrap().active().count(), 4);
-        fleet.net.split(&one, &other, false);
+        fleet.network.set_partition(&one, &other, false);
         fleet.run_for(60 * SECOND);
-        assert!(fleet.agreed(), "seed {seed}: not one fleet again");
+        assert!(fleet.has_converged(), "seed {seed}: not one fleet again");
     }
 }
 
@@ -265,10 +265,10 @@
 fn a_link_cut_one_way_or_flapping_brings_nobody_down() {
     for seed in 0..4 {
         let mut fleet = started(8, seed, Link::default());
-        fleet.net.link(1, 2).cut = true;
-        fleet.net.link(4, 5).cut = true;
+        fleet.network.link(1, 2).cut = true;
+        fleet.network.link(4, 5).cut = true;
         for round in 0..20 {
-            fleet.net.split(&[6], &[7], round % 2 == 0);
+            fleet.network.set_partition(&[6], &[7], round % 2 == 0);
             fleet.run_for(2 * SECOND);
         }
         assert!((0..8).all(|n| down_events(&fleet, n) == 0), "seed {seed}");
@@ -285,11 +285,11 @@
         let mut asking = Fleet::new(2, 1, 1, 9, settings("elsewhere"), Link::default());
         asking.start(1).unwrap();
         let mut messages = Vec::new();
-        while let Some(next) = asking.net.next(SECOND) {
-            if let pipithub_simnet::Next::Arrival { message, .. } = next {
+        while let Some(next) = asking.network.next_event(SECOND) {
+            if let pipithub_simnet::NetworkEvent::Delivery { message, .. } = next {
                 messages.push(message);
             } else {
-                asking.input(1, pipithub_members::Input::Tick);
+                asking.handle(1, pipithub_members::Input::Tick);
             }
         }
         messages
@@ -297,7 +297,7 @@
     assert!(!hello.is_empty());
     let from = pipithub_fleetsim::address(40);
     for bytes in &hello {
-        fleet.input(0, pipithub_members::Input::Datagram { from, bytes });
+        fleet.handle(0, pipithub_members::Input::Datagram { from, bytes });
     }
     fleet.run_for(5 * SECOND);
     assert!(
@@ -332,17 +332,17 @@
     assert_eq!(fleet.view(5).unwrap().join_state, JoinState::Alone);
     fleet.start(3).unwrap();
     fleet.run_for(12 * SECOND);
-    assert!(fleet.agreed() && fleet.view(5).unwrap().join_state == JoinState::Joined);
+    assert!(fleet.has_converged() && fleet.view(5).unwrap().join_state == JoinState::Joined);
 }
 
 #[test]
 fn nothing_is_said_under_a_generation_that_is_not_on_disk() {
     let mut fleet = fleet(4, 12, Link::default());
     (0..3).for_each(|n| fleet.start(n).unwrap());
-    fleet.stick(3, true);
+    fleet.set_disk_failed(3, true);
     fleet.start(3).unwrap();
     fleet.run_for(30 * SECOND);
-    assert_eq!(fleet.bytes[3], 0);
+    assert_eq!(fleet.sent_bytes[3], 0);
     assert_eq!(
         fleet.view(3).unwrap().join_state,
         JoinState::SavingGeneration
@@ -356,7 +356,7 @@
     (0..7).for_each(|n| fleet.kill(n));
     (0..7).for_each(|n| fleet.start(n).unwrap());
     fleet.run_for(30 * SECOND);
-    assert!(fleet.agreed());
+    assert!(fleet.has_converged());
 }
 
 /// Seed 1258 of the drawn days.
@@ -364,16 +364,16 @@
 fn a_member_that_slept_while_all_others_were_restarted_finds_them_again() {
     for seed in 0..10 {
         let mut fleet = started(6, seed, Link::default());
-        fleet.net.pause(5, true);
+        fleet.network.set_paused(5, true);
         fleet.run_for(8 * SECOND);
         // It wakes to word that it was held for dead, comes back, and those whom it then tells are gone.
         (0..5).for_each(|n| fleet.kill(n));
         (0..5).for_each(|n| *fleet.disk(n) = None);
-        fleet.net.pause(5, false);
+        fleet.network.set_paused(5, false);
         fleet.run_for(2 * SECOND);
         (0..5).for_each(|n| fleet.start(n).unwrap());
         fleet.run_for(90 * SECOND);
-        assert!(fleet.agreed(), "seed {seed}");
+        assert!(fleet.has_converged(), "seed {seed}");
     }
 }
 
@@ -381,7 +381,7 @@
 fn lost_datagrams_bring_nobody_down() {
     let lossy = Link {
         loss: 0.05,
-        twice: 0.02,
+        duplication: 0.02,
         jitter: 20_000_000,
         ..Link::default()
     };
@@ -408,7 +408,7 @@
     let mut numbers: Vec<Vec<(u64, u64)>> = vec![Vec::new(); size];
     for _ in 0..25 {
         let (n, other, what) = {
-            let rng = &mut fleet.net.rng;
+            let rng = &mut fleet.network.rng;
             (
                 rng.random_range(0..size),
                 rng.random_range(0..size),
@@ -417,18 +417,18 @@
         };
         match what {
             0 | 1 => fleet.kill(n),
-            2 if !fleet.runs(n) => fleet.start(n).unwrap(),
-            3 if !fleet.runs(n) => {
+            2 if !fleet.is_running(n) => fleet.start(n).unwrap(),
+            3 if !fleet.is_running(n) => {
                 *fleet.disk(n) = kept[n].clone();
                 fleet.start(n).unwrap();
             }
             4 => kept[n] = fleet.disk(n).clone(),
-            5 => fleet.net.link(n, other).cut = true,
-            6 => fleet.net.heal(),
-            7 => fleet.net.pause(n, true),
-            _ => fleet.net.pause(n, false),
+            5 => fleet.network.link(n, other).cut = true,
+            6 => fleet.network.heal(),
+            7 => fleet.network.set_paused(n, true),
+            _ => fleet.network.set_paused(n, false),
         }
-        let wait = fleet.net.rng.random_range(1..9u64);
+        let wait = fleet.network.rng.random_range(1..9u64);
         fleet.run_for(wait * SECOND);
         for (n, seen) in numbers.iter_mut().enumerate() {
             let Some(view) = fleet.view(n).filter(|v| v.join_state == JoinState::Joined) else {
@@ -440,15 +440,15 @@
             }
         }
     }
-    fleet.net.heal();
+    fleet.network.heal();
     for n in 0..size {
-        fleet.net.pause(n, false);
-        if !fleet.runs(n) {
+        fleet.network.set_paused(n, false);
+        if !fleet.is_running(n) {
             fleet.start(n).unwrap();
         }
     }
     fleet.run_for(120 * SECOND);
-    if !fleet.agreed() {
+    if !fleet.has_converged() {
         let stands = |n| {
             fleet
                 .view(n)
--- a/crates/pipithub-members/tests/growth.rs
+++ b/crates/pipithub-members/tests/growth.rs
@@ -25,15 +25,18 @@
         ..Settings::default()
     };
     let mut fleet = Fleet::new(size, 3, 3, 21, settings, Link::default());
-    fleet.keep = |_| false;
+    fleet.event_filter = |_| false;
     (0..size).for_each(|n| fleet.start(n).unwrap());
     // Beside coming together: what is new is passed on for some seconds more.
     fleet.run_for(30 * SECOND);
-    assert!(fleet.agreed(), "{size} did not come together in 30 s");
+    assert!(
+        fleet.has_converged(),
+        "{size} did not come together in 30 s"
+    );
     let (bytes, datagrams, compared) = (
-        fleet.bytes.clone(),
-        fleet.datagrams.clone(),
-        fleet.comparisons(),
+        fleet.sent_bytes.clone(),
+        fleet.sent_datagrams.clone(),
+        fleet.full_comparisons(),
     );
     fleet.run_for(REST * SECOND);
     let each = (size as u64 * REST) as f64;
@@ -43,12 +46,12 @@
             .map(|(n, t)| n - t)
             .collect::<Vec<u64>>()
     };
-    let bytes = sent(&fleet.bytes, &bytes);
-    let datagrams = sent(&fleet.datagrams, &datagrams);
-    let comparisons = (fleet.comparisons() - compared) as f64 / each;
+    let bytes = sent(&fleet.sent_bytes, &bytes);
+    let datagrams = sent(&fleet.sent_datagrams, &datagrams);
+    let comparisons = (fleet.full_comparisons() - compared) as f64 / each;
     fleet.kill(size - 1);
-    let died = fleet.net.now();
-    while fleet.opinions(size - 1).1 > 0 && fleet.net.now() < died + 120 * SECOND {
+    let died = fleet.network.now();
+    while fleet.opinions(size - 1).1 > 0 && fleet.network.now() < died + 120 * SECOND {
         fleet.run_for(SECOND / 10);
     }
     Seen {
@@ -56,7 +59,7 @@
         datagrams: datagrams.iter().sum::<u64>() as f64 / each,
         worst: bytes.iter().max().copied().unwrap_or(0) as f64 / REST as f64,
         comparisons,
-        known: (fleet.net.now() - died) as f64 / SECOND as f64,
+        known: (fleet.network.now() - died) as f64 / SECOND as f64,
     }
 }
 
--- a/crates/pipithub-simnet/src/lib.rs
+++ b/crates/pipithub-simnet/src/lib.rs
@@ -22,7 +22,7 @@
     /// The share that gets lost.
     pub loss: f64,
     /// The share that comes twice.
-    pub twice: f64,
+    pub duplication: f64,
 }
 
 impl Default for Link {
@@ -32,16 +32,16 @@
             delay: 1_000_000,
             jitter: 500_000,
             loss: 0.0,
-            twice: 0.0,
+            duplication: 0.0,
         }
     }
 }
 
 /// What happens next.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Next<M> {
+pub enum NetworkEvent<M> {
     /// A message arrives.
-    Arrival {
+    Delivery {
         /// Whose it is.
         from: usize,
         /// Where it arrives.
@@ -50,31 +50,31 @@
         message: M,
     },
     /// A process wants to be woken.
-    Wake(usize),
+    Timer(usize),
 }
 
 /// The network and the clock of a simulated fleet.
-pub struct Net<M> {
+pub struct Network<M> {
     now: Time,
     usual: Link,
     links: BTreeMap<(usize, usize), Link>,
-    queue: BTreeMap<(Time, u64), Next<M>>,
+    queue: BTreeMap<(Time, u64), NetworkEvent<M>>,
     wakes: BTreeMap<usize, (Time, u64)>,
     paused: BTreeSet<usize>,
-    held: Vec<Next<M>>,
+    held: Vec<NetworkEvent<M>>,
     number: u64,
     /// Draws of the simulation, for whoever plays it as well.
     pub rng: SmallRng,
     /// Messages handed in, and those that got lost.
     pub sent: u64,
-    /// See [`Net::sent`].
+    /// See [`Network::sent`].
     pub lost: u64,
 }
 
-impl<M: Clone> Net<M> {
+impl<M: Clone> Network<M> {
     /// A network in which every link is like `usual`.
     pub fn new(seed: u64, usual: Link) -> Self {
-        Net {
+        Network {
             now: 1,
             usual,
             links: BTreeMap::new(),
@@ -106,14 +106,14 @@
     }
 
     /// Cuts both directions between two groups, or mends them.
-    pub fn split(&mut self, one: &[usize], other: &[usize], cut: bool) {
+    pub fn set_partition(&mut self, one: &[usize], other: &[usize], cut: bool) {
         for (a, b) in one.iter().flat_map(|a| other.iter().map(move |b| (*a, *b))) {
             self.link(a, b).cut = cut;
             self.link(b, a).cut = cut;
         }
     }
 
-    fn push(&mut self, at: Time, next: Next<M>) -> (Time, u64) {
+    fn push(&mut self, at: Time, next: NetworkEvent<M>) -> (Time, u64) {
         self.number += 1;
         let key = (at.max(self.now), self.number);
         self.queue.insert(key, next);
@@ -128,7 +128,7 @@
             self.lost += 1;
             return;
         }
-        let copies = 1 + usize::from(self.rng.random::<f64>() < link.twice);
+        let copies = 1 + usize::from(self.rng.random::<f64>() < link.duplication);
         for _ in 0..copies {
             let jitter = if link.jitter > 0 {
                 self.rng.random_range(0..link.jitter)
@@ -137,7 +137,7 @@
             };
             self.push(
                 self.now + link.delay + jitter,
-                Next::Arrival {
+                NetworkEvent::Delivery {
                     from,
                     to,
                     message: message.clone(),
@@ -147,25 +147,27 @@
     }
 
     /// Wakes a process then; an earlier wish is forgotten.
-    pub fn wake_at(&mut self, process: usize, at: Option<Time>) {
+    pub fn set_timer(&mut self, process: usize, at: Option<Time>) {
         if let Some(key) = self.wakes.remove(&process) {
             self.queue.remove(&key);
         }
         if let Some(at) = at {
-            let key = self.push(at, Next::Wake(process));
+            let key = self.push(at, NetworkEvent::Timer(process));
             self.wakes.insert(process, key);
         }
     }
 
     /// A paused process gets nothing until it goes on; what arrives meanwhile waits for it, as in a socket's buffer.
-    pub fn pause(&mut self, process: usize, paused: bool) {
+    pub fn set_paused(&mut self, process: usize, paused: bool) {
         if paused {
             self.paused.insert(process);
         } else if self.paused.remove(&process) {
             for next in std::mem::take(&mut self.held) {
                 match next {
-                    Next::Arrival { to, .. } if to == process => drop(self.push(self.now, next)),
-                    Next::Wake(p) if p == process => drop(self.push(self.now, next)),
+                    NetworkEvent::Delivery { to, .. } if to == process => {
+                        drop(self.push(self.now, next))
+                    }
+                    NetworkEvent::Timer(p) if p == process => drop(self.push(self.now, next)),
                     other => self.held.push(other),
                 }
             }
@@ -173,10 +175,10 @@
     }
 
     /// What was under way to a process that died is lost, and so are its wishes.
-    pub fn dead(&mut self, process: usize) {
-        let to_it = |next: &Next<M>| match next {
-            Next::Arrival { to, .. } => *to == process,
-            Next::Wake(p) => *p == process,
+    pub fn crash(&mut self, process: usize) {
+        let to_it = |next: &NetworkEvent<M>| match next {
+            NetworkEvent::Delivery { to, .. } => *to == process,
+            NetworkEvent::Timer(p) => *p == process,
         };
         self.queue.retain(|_, next| !to_it(next));
         self.held.retain(|next| !to_it(next));
@@ -185,13 +187,13 @@
     }
 
     /// The next thing that happens before or at `until`; the clock moves on to it, or to `until` where none does.
-    pub fn next(&mut self, until: Time) -> Option<Next<M>> {
+    pub fn next_event(&mut self, until: Time) -> Option<NetworkEvent<M>> {
         while let Some(entry) = self.queue.first_entry().filter(|e| e.key().0 <= until) {
             let ((at, number), next) = entry.remove_entry();
             self.now = self.now.max(at);
             let who = match &next {
-                Next::Arrival { to, .. } => *to,
-                Next::Wake(process) => {
+                NetworkEvent::Delivery { to, .. } => *to,
+                NetworkEvent::Timer(process) => {
                     if self.wakes.get(process).is_some_and(|key| key.1 == number) {
                         self.wakes.remove(process);
                     }
--- a/crates/pipithub/src/main.rs
+++ b/crates/pipithub/src/main.rs
@@ -167,7 +167,7 @@
             asked_to_stop().await?;
             gateway.stop().await;
             if let Some(fleet) = fleet {
-                fleet.stop().await;
+                fleet.shutdown().await;
             }
             Ok(ExitCode::SUCCESS)
         }
--- a/crates/pipithub/src/members.rs
+++ b/crates/pipithub/src/members.rs
@@ -6,7 +6,7 @@
 use clap::Subcommand;
 use miette::{IntoDiagnostic, Result, WrapErr, miette};
 use pipithub_clock::wall_ms;
-use pipithub_fleet::{Fleet, Folder, MemberReport, Report};
+use pipithub_fleet::{DataFolder, MemberReport, MembershipRuntime, Report};
 use pipithub_settings::Config;
 
 #[derive(Subcommand)]
@@ -34,11 +34,11 @@
 }
 
 /// Takes part in the fleet where the settings say so.
-pub(crate) async fn start(config: &Config) -> Result<Option<Fleet>> {
+pub(crate) async fn start(config: &Config) -> Result<Option<MembershipRuntime>> {
     let Some(fleet) = &config.fleet else {
         return Ok(None);
     };
-    let fleet = Fleet::start(&config.name, fleet.clone())
+    let fleet = MembershipRuntime::start(&config.name, fleet.clone())
         .await
         .into_diagnostic()?;
     Ok(Some(fleet))
@@ -49,13 +49,13 @@
     let fleet = config
         .fleet
         .ok_or_else(|| miette!("these settings have no fleet: the front end shares nothing"))?;
-    let bytes = Folder::read_report(&fleet.data)
+    let bytes = DataFolder::read_report(&fleet.data)
         .into_diagnostic()
         .wrap_err("no report: was this front end ever started?")?;
     let report = serde_json::from_slice(&bytes)
         .into_diagnostic()
         .wrap_err("the report cannot be read")?;
-    Ok((report, Folder::in_use(&fleet.data)))
+    Ok((report, DataFolder::in_use(&fleet.data)))
 }
 
 pub(crate) fn run(command: Members) -> Result<ExitCode> {
