--- a/crates/pipithub-bench/src/scale/council.rs
+++ b/crates/pipithub-bench/src/scale/council.rs
@@ -3,7 +3,9 @@
 use std::collections::VecDeque;
 use std::time::Instant;
 
-use pipithub_council::{Asked, Command, Disk, Input, Output, Stamped, State, Voter, VoterSettings};
+use pipithub_council::{
+    Command, Input, Output, Request, State, StoredLog, TimestampedRequest, Voter, VoterSettings,
+};
 use pipithub_simnet::{Link, Network, NetworkEvent, Time};
 
 use super::{Plan, Series};
@@ -26,7 +28,7 @@
         voters: (1..=voters as u64).collect(),
         tick: TICK,
     };
-    Ok(Voter::new(settings, &Disk::default(), 0, seed)?)
+    Ok(Voter::new(settings, &StoredLog::default(), 0, seed)?)
 }
 
 /// Voters whose messages arrive at once and in order, and whose disks store at once and keep nothing.
@@ -82,19 +84,19 @@
                         self.sent += bytes.len() as u64;
                         self.queue.push_back((to as usize - 1, Input::Raft(bytes)));
                     }
-                    Output::Store(batch) => {
+                    Output::Persist(batch) => {
                         self.stored += batch
                             .entries
                             .iter()
                             .map(|e| e.bytes.len() as u64)
                             .sum::<u64>();
-                        self.stored += batch.hard.as_ref().map_or(0, |b| b.len() as u64);
+                        self.stored += batch.hard_state.as_ref().map_or(0, |b| b.len() as u64);
                         self.snapshots += batch.snapshot.as_ref().map_or(0, |b| b.len() as u64);
-                        if batch.compact.is_none() {
-                            self.queue.push_back((to, Input::Stored(batch.number)));
+                        if batch.compact_to.is_none() {
+                            self.queue.push_back((to, Input::Persisted(batch.number)));
                         }
                     }
-                    Output::Tell { .. } => self.answers += 1,
+                    Output::Reply { .. } => self.answers += 1,
                     _ => {}
                 }
             }
@@ -110,18 +112,18 @@
             let now = batch.min(left);
             for _ in 0..now {
                 self.number += 1;
-                let command = Command::Settings {
+                let command = Command::SetSettings {
                     version: self.number,
                     digest: u64::MAX - self.number,
                 };
                 let name = format!("front-{}", self.number % 1_700);
-                let asked = Asked {
+                let asked = Request {
                     name,
                     boot: 1,
                     number: self.number,
                     command,
                 };
-                self.queue.push_back((leader, Input::Ask(asked)));
+                self.queue.push_back((leader, Input::Request(asked)));
             }
             self.pump();
             left -= now;
@@ -155,8 +157,8 @@
             for output in out {
                 match output {
                     Output::Send { to, bytes } => net.send(n, to as usize - 1, bytes),
-                    Output::Store(batch) if batch.compact.is_none() => {
-                        inputs.insert(0, Input::Stored(batch.number));
+                    Output::Persist(batch) if batch.compact_to.is_none() => {
+                        inputs.insert(0, Input::Persisted(batch.number));
                     }
                     _ => {}
                 }
@@ -186,25 +188,25 @@
         let name = format!("front-{n}");
         number += 1;
         let apply = |state: &mut State, number, command| {
-            let asked = Asked {
+            let asked = Request {
                 name: name.clone(),
                 boot: u64::MAX / (n + 1),
                 number,
                 command,
             };
-            state.apply(&Stamped { at: number, asked });
+            state.apply(&TimestampedRequest { at: number, asked });
         };
-        apply(&mut state, number, Command::Epoch);
+        apply(&mut state, number, Command::NewEpoch);
         let epoch = state.epoch(&name).ok_or("no epoch")?;
         let lease = format!("lease-{n}");
         number += 1;
         apply(
             &mut state,
             number,
-            Command::Acquire {
+            Command::AcquireLease {
                 lease,
                 epoch,
-                length: 30_000 * MS,
+                duration: 30_000 * MS,
             },
         );
     }
--- a/crates/pipithub-council/src/client.rs
+++ b/crates/pipithub-council/src/client.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::Time;
-use crate::state::{Answer, Asked, Command};
-use crate::voter::Wire;
+use crate::state::{Command, Request, Response};
+use crate::voter::WireMessage;
 
 /// Questions that wait; further ones are not taken.
 const WAITING: usize = 1_024;
@@ -13,7 +13,7 @@
 
 /// A lease as its holder may rely on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldLease {
     /// Under which epoch it was granted.
     pub epoch: u64,
     /// Until when, by the holder's own clock.
@@ -22,9 +22,9 @@
 
 /// What a client is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum Notification {
     /// The answer to a question, by its number.
-    Answer(u64, Answer),
+    Response(u64, Response),
     /// The epoch is over: stop acting at once.
     Fenced,
 }
@@ -42,7 +42,7 @@
     asked: Option<(Time, Time)>,
     again: Time,
     epoch: Option<u64>,
-    leases: BTreeMap<String, Held>,
+    leases: BTreeMap<String, HeldLease>,
 }
 
 impl Client {
@@ -84,7 +84,7 @@
 
     /// A lease, where it still holds. It is to be asked right before acting: whoever sleeps between the two acts late,
     /// which only the epoch that goes with the act can tell.
-    pub fn holds(&self, lease: &str, now: Time) -> Option<Held> {
+    pub fn holds(&self, lease: &str, now: Time) -> Option<HeldLease> {
         self.leases
             .get(lease)
             .copied()
@@ -98,7 +98,7 @@
     }
 
     /// What to send now, and to which voter.
-    pub fn turn(&mut self, now: Time) -> Option<(u64, Wire)> {
+    pub fn turn(&mut self, now: Time) -> Option<(u64, WireMessage)> {
         let (number, command) = self.waiting.front().cloned()?;
         match self.asked {
             Some((_, again)) if now < again => return None,
@@ -110,19 +110,19 @@
             None => self.asked = Some((now, now + self.again)),
         }
         let to = *self.voters.get(self.leader)?;
-        let asked = Asked {
+        let asked = Request {
             name: self.name.clone(),
             boot: self.boot,
             number,
             command,
         };
-        Some((to, Wire::Ask(asked)))
+        Some((to, WireMessage::Request(asked)))
     }
 
     /// Takes what a voter says.
-    pub fn hear(&mut self, now: Time, wire: Wire) -> Option<Told> {
+    pub fn hear(&mut self, now: Time, wire: WireMessage) -> Option<Notification> {
         match wire {
-            Wire::Answer {
+            WireMessage::Response {
                 name,
                 boot,
                 number,
@@ -136,7 +136,7 @@
                 let (first, _) = self.asked.take().unwrap_or((now, now));
                 Some(self.answered(first, number, command, answer))
             }
-            Wire::Elsewhere {
+            WireMessage::NotLeader {
                 name,
                 number,
                 leader,
@@ -155,50 +155,56 @@
         }
     }
 
-    fn answered(&mut self, first: Time, number: u64, command: Command, answer: Answer) -> Told {
+    fn answered(
+        &mut self,
+        first: Time,
+        number: u64,
+        command: Command,
+        answer: Response,
+    ) -> Notification {
         match (&command, &answer) {
-            (Command::Epoch, Answer::Epoch(epoch)) => self.epoch = Some(*epoch),
+            (Command::NewEpoch, Response::Epoch(epoch)) => self.epoch = Some(*epoch),
             (
-                Command::Acquire {
+                Command::AcquireLease {
                     lease,
                     epoch,
-                    length,
+                    duration,
                 },
-                Answer::Granted,
+                Response::Granted,
             ) => {
                 // What is to be given back is not relied on: the log may give it to another before we hear of it.
                 let back =
-                    |c: &Command| matches!(c, Command::Release { lease: l, .. } if l == lease);
+                    |c: &Command| matches!(c, Command::ReleaseLease { lease: l, .. } if l == lease);
                 if self.waiting.iter().any(|(_, c)| back(c)) {
-                    return Told::Answer(number, answer);
+                    return Notification::Response(number, answer);
                 }
                 // From when it was first asked: the log took it in then at the earliest.
-                let until = first + length - length / DRIFT;
+                let until = first + duration - duration / DRIFT;
                 self.leases.insert(
                     lease.clone(),
-                    Held {
+                    HeldLease {
                         epoch: *epoch,
                         until,
                     },
                 );
             }
-            (Command::Release { lease, .. }, _) => drop(self.leases.remove(lease)),
-            (Command::Acquire { epoch, .. }, Answer::Fenced { .. })
+            (Command::ReleaseLease { lease, .. }, _) => drop(self.leases.remove(lease)),
+            (Command::AcquireLease { epoch, .. }, Response::Fenced { .. })
                 if self.epoch == Some(*epoch) =>
             {
                 self.epoch = None;
                 self.leases.clear();
-                return Told::Fenced;
+                return Notification::Fenced;
             }
             _ => {}
         }
-        Told::Answer(number, answer)
+        Notification::Response(number, answer)
     }
 
     /// Gives a lease back: it is not relied on from now on.
     pub fn release(&mut self, lease: &str) -> Option<u64> {
         let held = self.leases.remove(lease)?;
-        self.ask(Command::Release {
+        self.ask(Command::ReleaseLease {
             lease: lease.to_string(),
             epoch: held.epoch,
         })
@@ -209,10 +215,15 @@
 mod tests {
     use super::*;
 
-    fn answer(client: &mut Client, now: Time, number: u64, answer: Answer) -> Option<Told> {
+    fn answer(
+        client: &mut Client,
+        now: Time,
+        number: u64,
+        answer: Response,
+    ) -> Option<Notification> {
         client.hear(
             now,
-            Wire::Answer {
+            WireMessage::Response {
                 name: "a".into(),
                 boot: 7,
                 number,
@@ -223,17 +234,17 @@
 
     fn with_epoch() -> Client {
         let mut client = Client::new("a", 7, vec![1, 2, 3], 100);
-        client.ask(Command::Epoch);
+        client.ask(Command::NewEpoch);
         client.turn(0);
-        answer(&mut client, 5, 1, Answer::Epoch(4));
+        answer(&mut client, 5, 1, Response::Epoch(4));
         client
     }
 
     fn acquire() -> Command {
-        Command::Acquire {
+        Command::AcquireLease {
             lease: "l".into(),
             epoch: 4,
-            length: 6_400,
+            duration: 6_400,
         }
     }
 
@@ -245,10 +256,10 @@
         assert!(client.turn(1_050).is_none());
         assert_eq!(client.turn(1_100).unwrap().0, 2, "no answer: another voter");
         assert!(client.holds("l", 1_100).is_none());
-        answer(&mut client, 2_000, number, Answer::Granted);
+        answer(&mut client, 2_000, number, Response::Granted);
         assert_eq!(
             client.holds("l", 7_299),
-            Some(Held {
+            Some(HeldLease {
                 epoch: 4,
                 until: 7_300
             })
@@ -262,11 +273,11 @@
         let mut client = with_epoch();
         let first = client.ask(acquire()).unwrap();
         client.turn(0);
-        answer(&mut client, 10, first, Answer::Granted);
+        answer(&mut client, 10, first, Response::Granted);
         let more = client.ask(acquire()).unwrap();
         client.turn(20);
         client.release("l");
-        answer(&mut client, 30, more, Answer::Granted);
+        answer(&mut client, 30, more, Response::Granted);
         assert!(client.holds("l", 40).is_none());
     }
 
@@ -275,12 +286,12 @@
         let mut client = with_epoch();
         let first = client.ask(acquire()).unwrap();
         client.turn(0);
-        answer(&mut client, 10, first, Answer::Granted);
+        answer(&mut client, 10, first, Response::Granted);
         let more = client.ask(acquire()).unwrap();
         client.turn(20);
         assert_eq!(
-            answer(&mut client, 30, more, Answer::Fenced { epoch: 9 }),
-            Some(Told::Fenced)
+            answer(&mut client, 30, more, Response::Fenced { epoch: 9 }),
+            Some(Notification::Fenced)
         );
         assert!(client.holds("l", 40).is_none() && client.epoch().is_none());
     }
@@ -290,12 +301,12 @@
         let mut client = with_epoch();
         let number = client.ask(acquire()).unwrap();
         client.turn(0);
-        assert!(answer(&mut client, 5, number + 1, Answer::Granted).is_none());
-        let wire = Wire::Answer {
+        assert!(answer(&mut client, 5, number + 1, Response::Granted).is_none());
+        let wire = WireMessage::Response {
             name: "a".into(),
             boot: 6,
             number,
-            answer: Answer::Granted,
+            answer: Response::Granted,
         };
         assert!(client.hear(5, wire).is_none());
         assert!(client.holds("l", 6).is_none());
--- a/crates/pipithub-council/src/lib.rs
+++ b/crates/pipithub-council/src/lib.rs
@@ -13,10 +13,10 @@
 mod state;
 mod voter;
 
-pub use client::{Client, Held, Told};
-pub use log::{Batch, Disk, LogEntry};
-pub use state::{Answer, Asked, Command, Lease, Stamped, State};
-pub use voter::{Input, Output, Unfit, Voter, VoterSettings, Wire};
+pub use client::{Client, HeldLease, Notification};
+pub use log::{LogEntry, StoredLog, WriteBatch};
+pub use state::{Command, Lease, Request, Response, State, TimestampedRequest};
+pub use voter::{Input, Output, Voter, VoterError, VoterSettings, WireMessage};
 
 /// A point in time or a length of it, in nanoseconds.
 pub type Time = u64;
--- a/crates/pipithub-council/src/log.rs
+++ b/crates/pipithub-council/src/log.rs
@@ -14,9 +14,9 @@
     pub bytes: Vec<u8>,
 }
 
-/// What has to be on disk, synced, before [`crate::Input::Stored`] is said. Batches are stored in order.
+/// What has to be on disk, synced, before [`crate::Input::Persisted`] is said. Batches are stored in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Batch {
+pub struct WriteBatch {
     /// Its number within this run.
     pub number: u64,
     /// A snapshot, in place of the whole log before it.
@@ -24,28 +24,28 @@
     /// Entries; whatever stood from the first one's place on gives way.
     pub entries: Vec<LogEntry>,
     /// The vote and term.
-    pub hard: Option<Vec<u8>>,
+    pub hard_state: Option<Vec<u8>>,
     /// Entries up to here may be dropped; the snapshot holds them.
-    pub compact: Option<u64>,
+    pub compact_to: Option<u64>,
 }
 
 /// What a voter's disk holds: batches taken in one after the other.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Disk {
+pub struct StoredLog {
     /// The last snapshot.
     pub snapshot: Option<Vec<u8>>,
     /// Entries after it.
     pub entries: Vec<LogEntry>,
     /// The vote and term.
-    pub hard: Option<Vec<u8>>,
+    pub hard_state: Option<Vec<u8>>,
 }
 
-impl Disk {
+impl StoredLog {
     /// Takes in a batch.
-    pub fn store(&mut self, batch: &Batch) {
+    pub fn apply(&mut self, batch: &WriteBatch) {
         if let Some(snapshot) = &batch.snapshot {
             self.snapshot = Some(snapshot.clone());
-            if batch.compact.is_none() {
+            if batch.compact_to.is_none() {
                 // From another voter: what was here is not its continuation.
                 self.entries.clear();
             }
@@ -54,11 +54,11 @@
             self.entries.retain(|e| e.index < first.index);
             self.entries.extend(batch.entries.iter().cloned());
         }
-        if let Some(compact) = batch.compact {
+        if let Some(compact) = batch.compact_to {
             self.entries.retain(|e| e.index > compact);
         }
-        if let Some(hard) = &batch.hard {
-            self.hard = Some(hard.clone());
+        if let Some(hard) = &batch.hard_state {
+            self.hard_state = Some(hard.clone());
         }
     }
 }
@@ -68,37 +68,39 @@
 pub(crate) struct Log {
     pub(crate) snapshot: Snapshot,
     pub(crate) entries: Vec<Entry>,
-    pub(crate) hard: HardState,
-    pub(crate) conf: ConfState,
+    pub(crate) hard_state: HardState,
+    pub(crate) conf_state: ConfState,
 }
 
-pub(crate) fn parse<M: protobuf::Message>(bytes: &[u8]) -> std::result::Result<M, String> {
+pub(crate) fn decode<M: protobuf::Message>(bytes: &[u8]) -> std::result::Result<M, String> {
     M::parse_from_bytes(bytes).map_err(|e| e.to_string())
 }
 
 impl Log {
     /// What a disk holds; `voters` count where it is empty.
-    pub(crate) fn load(disk: &Disk, voters: &[u64]) -> std::result::Result<Log, String> {
+    pub(crate) fn load(disk: &StoredLog, voters: &[u64]) -> std::result::Result<Log, String> {
         let mut log = Log::default();
-        log.conf.set_voters(voters.to_vec());
+        log.conf_state.set_voters(voters.to_vec());
         if let Some(bytes) = &disk.snapshot {
-            log.snapshot = parse(bytes)?;
-            log.conf = log.snapshot.get_metadata().get_conf_state().clone();
+            log.snapshot = decode(bytes)?;
+            log.conf_state = log.snapshot.get_metadata().get_conf_state().clone();
         } else {
             // All start from one first snapshot, so that each log begins at the same place.
-            log.snapshot.mut_metadata().set_conf_state(log.conf.clone());
+            log.snapshot
+                .mut_metadata()
+                .set_conf_state(log.conf_state.clone());
             (
                 log.snapshot.mut_metadata().index,
                 log.snapshot.mut_metadata().term,
             ) = (1, 1);
         }
-        if let Some(bytes) = &disk.hard {
-            log.hard = parse(bytes)?;
+        if let Some(bytes) = &disk.hard_state {
+            log.hard_state = decode(bytes)?;
         }
-        log.hard.commit = log.hard.commit.max(log.snapshot.get_metadata().index);
-        log.hard.term = log.hard.term.max(log.snapshot.get_metadata().term);
+        log.hard_state.commit = log.hard_state.commit.max(log.snapshot.get_metadata().index);
+        log.hard_state.term = log.hard_state.term.max(log.snapshot.get_metadata().term);
         for entry in &disk.entries {
-            let parsed: Entry = parse(&entry.bytes)?;
+            let parsed: Entry = decode(&entry.bytes)?;
             let next = log.last() + 1;
             if parsed.index != next {
                 return Err(format!(
@@ -108,10 +110,10 @@
             }
             log.entries.push(parsed);
         }
-        if log.hard.commit > log.last() {
+        if log.hard_state.commit > log.last() {
             return Err(format!(
                 "{} entries were agreed, {} are here",
-                log.hard.commit,
+                log.hard_state.commit,
                 log.last()
             ));
         }
@@ -138,9 +140,9 @@
 
     /// Begins anew from a snapshot of another voter.
     pub(crate) fn restore(&mut self, snapshot: Snapshot) {
-        self.conf = snapshot.get_metadata().get_conf_state().clone();
-        self.hard.commit = self.hard.commit.max(snapshot.get_metadata().index);
-        self.hard.term = self.hard.term.max(snapshot.get_metadata().term);
+        self.conf_state = snapshot.get_metadata().get_conf_state().clone();
+        self.hard_state.commit = self.hard_state.commit.max(snapshot.get_metadata().index);
+        self.hard_state.term = self.hard_state.term.max(snapshot.get_metadata().term);
         self.entries.clear();
         self.snapshot = snapshot;
     }
@@ -153,11 +155,11 @@
     }
 }
 
-pub(crate) fn written(message: &impl protobuf::Message) -> Vec<u8> {
+pub(crate) fn encode(message: &impl protobuf::Message) -> Vec<u8> {
     message.write_to_bytes().unwrap_or_default()
 }
 
-pub(crate) fn entry_bytes(entry: &Entry) -> LogEntry {
+pub(crate) fn encode_entry(entry: &Entry) -> LogEntry {
     LogEntry {
         index: entry.index,
         bytes: entry.write_to_bytes().unwrap_or_default(),
@@ -167,8 +169,8 @@
 impl Storage for Log {
     fn initial_state(&self) -> Result<RaftState> {
         Ok(RaftState {
-            hard_state: self.hard.clone(),
-            conf_state: self.conf.clone(),
+            hard_state: self.hard_state.clone(),
+            conf_state: self.conf_state.clone(),
         })
     }
 
--- a/crates/pipithub-council/src/state.rs
+++ b/crates/pipithub-council/src/state.rs
@@ -7,46 +7,46 @@
 use crate::Time;
 
 /// Bounds of the state; what does not fit is answered as such, by every voter alike.
-const NAMES_MOST: usize = 10_000;
-const LEASES_MOST: usize = 100_000;
+const MAX_CLIENTS: usize = 10_000;
+const MAX_LEASES: usize = 100_000;
 /// No lease is longer: whoever dies keeps others waiting for so long.
-const LEASE_MOST: Time = 600_000_000_000;
+const MAX_LEASE_DURATION: Time = 600_000_000_000;
 
 /// What is asked of the council.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
     /// A new epoch for a front end; whatever was done under an earlier one of this name is fenced off.
-    Epoch,
+    NewEpoch,
     /// A lease, or more time on it.
-    Acquire {
+    AcquireLease {
         /// Which.
         lease: String,
         /// Under which epoch of the asking front end.
         epoch: u64,
         /// For how long, from when the log takes it in.
-        length: Time,
+        duration: Time,
     },
     /// A lease is given back before its time.
-    Release {
+    ReleaseLease {
         /// Which.
         lease: String,
         /// Under which epoch.
         epoch: u64,
     },
     /// The version of the settings that the fleet is to use; it only grows.
-    Settings {
+    SetSettings {
         /// Its number.
         version: u64,
         /// What the file's text sums to.
         digest: u64,
     },
     /// Time passes: leaders say so now and then, or leases would only end when somebody asks.
-    Clock,
+    AdvanceClock,
 }
 
 /// A command with who asks it. The number grows with each new command of a run, so a repeat is known as one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Asked {
+pub struct Request {
     /// The front end.
     pub name: String,
     /// Its run.
@@ -59,26 +59,26 @@
 
 /// A command as the log holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stamped {
+pub struct TimestampedRequest {
     /// The log's time, as its leader stamped it.
     pub at: Time,
     /// The command.
-    pub asked: Asked,
+    pub asked: Request,
 }
 
 /// What became of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum Response {
     /// The epoch that the front end acts under from now on.
     Epoch(u64),
     /// The lease is the asker's for the time it asked, counted from when it asked.
     Granted,
     /// It is another's, for so long at the most.
-    Taken {
+    HeldByOther {
         /// Whose.
         holder: String,
         /// How long.
-        left: Time,
+        remaining: Time,
     },
     /// The epoch is over: the name has a later one.
     Fenced {
@@ -88,14 +88,14 @@
     /// It is done.
     Done,
     /// The settings stand at this version, which is not older.
-    Newer {
+    NotNewer {
         /// That version.
         version: u64,
     },
     /// The state holds as much as it may.
-    Full,
+    LimitReached,
     /// A later command of this run was answered already; this one is a repeat that came too late to matter.
-    Past,
+    Superseded,
 }
 
 /// A lease as agreed.
@@ -106,7 +106,7 @@
     /// Under which epoch.
     pub epoch: u64,
     /// Until when, by the log's time.
-    pub until: Time,
+    pub expires_at: Time,
 }
 
 /// The agreed state.
@@ -118,7 +118,7 @@
     leases: BTreeMap<String, Lease>,
     settings: (u64, u64),
     /// The last command of each name that was answered: run, number, answer.
-    answered: BTreeMap<String, (u64, u64, Answer)>,
+    answered: BTreeMap<String, (u64, u64, Response)>,
 }
 
 impl State {
@@ -134,7 +134,7 @@
 
     /// A lease that is not over.
     pub fn lease(&self, lease: &str) -> Option<&Lease> {
-        self.leases.get(lease).filter(|l| l.until > self.clock)
+        self.leases.get(lease).filter(|l| l.expires_at > self.clock)
     }
 
     /// The settings' version and digest.
@@ -143,19 +143,19 @@
     }
 
     /// Takes in the next entry of the log.
-    pub fn apply(&mut self, entry: &Stamped) -> Answer {
+    pub fn apply(&mut self, entry: &TimestampedRequest) -> Response {
         // A leader that was just elected may stamp less than the one before: time never goes back.
         self.clock = self.clock.max(entry.at);
-        let Asked {
+        let Request {
             name,
             boot,
             number,
             command,
         } = &entry.asked;
-        if *command == Command::Clock {
+        if *command == Command::AdvanceClock {
             let clock = self.clock;
-            self.leases.retain(|_, l| l.until > clock);
-            return Answer::Done;
+            self.leases.retain(|_, l| l.expires_at > clock);
+            return Response::Done;
         }
         if let Some((b, n, answer)) = self.answered.get(name)
             && b == boot
@@ -164,11 +164,11 @@
             return if number == n {
                 answer.clone()
             } else {
-                Answer::Past
+                Response::Superseded
             };
         }
-        if !self.answered.contains_key(name) && self.answered.len() >= NAMES_MOST {
-            return Answer::Full;
+        if !self.answered.contains_key(name) && self.answered.len() >= MAX_CLIENTS {
+            return Response::LimitReached;
         }
         let answer = self.change(name, command);
         self.answered
@@ -176,39 +176,40 @@
         answer
     }
 
-    fn change(&mut self, name: &str, command: &Command) -> Answer {
+    fn change(&mut self, name: &str, command: &Command) -> Response {
         match command {
-            Command::Epoch => {
+            Command::NewEpoch => {
                 self.next_epoch += 1;
                 self.epochs.insert(name.to_string(), self.next_epoch);
-                Answer::Epoch(self.next_epoch)
+                Response::Epoch(self.next_epoch)
             }
-            Command::Acquire {
+            Command::AcquireLease {
                 lease,
                 epoch,
-                length,
+                duration,
             } => {
                 if let Some(fence) = self.fence(name, *epoch) {
                     return fence;
                 }
-                let until = self.clock + (*length).min(LEASE_MOST);
-                let (clock, full) = (self.clock, self.leases.len() >= LEASES_MOST);
+                let until = self.clock + (*duration).min(MAX_LEASE_DURATION);
+                let (clock, full) = (self.clock, self.leases.len() >= MAX_LEASES);
                 match self.leases.get_mut(lease) {
                     // An earlier run of the same name is another holder: it may still act.
                     Some(held)
-                        if held.until > clock && (held.holder != *name || held.epoch != *epoch) =>
+                        if held.expires_at > clock
+                            && (held.holder != *name || held.epoch != *epoch) =>
                     {
-                        Answer::Taken {
+                        Response::HeldByOther {
                             holder: held.holder.clone(),
-                            left: held.until - clock,
+                            remaining: held.expires_at - clock,
                         }
                     }
-                    None if full => Answer::Full,
+                    None if full => Response::LimitReached,
                     held => {
                         // Own time left is never cut; another's is over.
                         let own = held.map_or(0, |h| {
                             if h.holder == *name && h.epoch == *epoch {
-                                h.until
+                                h.expires_at
                             } else {
                                 0
                             }
@@ -216,14 +217,14 @@
                         let held = Lease {
                             holder: name.to_string(),
                             epoch: *epoch,
-                            until: until.max(own),
+                            expires_at: until.max(own),
                         };
                         self.leases.insert(lease.clone(), held);
-                        Answer::Granted
+                        Response::Granted
                     }
                 }
             }
-            Command::Release { lease, epoch } => {
+            Command::ReleaseLease { lease, epoch } => {
                 if self
                     .leases
                     .get(lease)
@@ -231,24 +232,24 @@
                 {
                     self.leases.remove(lease);
                 }
-                Answer::Done
+                Response::Done
             }
-            Command::Settings { version, digest } => {
+            Command::SetSettings { version, digest } => {
                 if *version <= self.settings.0 {
-                    return Answer::Newer {
+                    return Response::NotNewer {
                         version: self.settings.0,
                     };
                 }
                 self.settings = (*version, *digest);
-                Answer::Done
+                Response::Done
             }
-            Command::Clock => Answer::Done,
+            Command::AdvanceClock => Response::Done,
         }
     }
 
-    fn fence(&self, name: &str, epoch: u64) -> Option<Answer> {
+    fn fence(&self, name: &str, epoch: u64) -> Option<Response> {
         let now = self.epochs.get(name).copied().unwrap_or(0);
-        (now != epoch).then_some(Answer::Fenced { epoch: now })
+        (now != epoch).then_some(Response::Fenced { epoch: now })
     }
 }
 
@@ -256,10 +257,10 @@
 mod tests {
     use super::*;
 
-    fn ask(state: &mut State, at: Time, name: &str, number: u64, command: Command) -> Answer {
-        state.apply(&Stamped {
+    fn ask(state: &mut State, at: Time, name: &str, number: u64, command: Command) -> Response {
+        state.apply(&TimestampedRequest {
             at,
-            asked: Asked {
+            asked: Request {
                 name: name.into(),
                 boot: 1,
                 number,
@@ -269,32 +270,38 @@
     }
 
     fn acquire(epoch: u64) -> Command {
-        Command::Acquire {
+        Command::AcquireLease {
             lease: "l".into(),
             epoch,
-            length: 10,
+            duration: 10,
         }
     }
 
     #[test]
     fn a_lease_has_one_holder_until_it_is_over_or_given_back() {
         let mut s = State::default();
-        assert_eq!(ask(&mut s, 1, "a", 1, Command::Epoch), Answer::Epoch(1));
-        assert_eq!(ask(&mut s, 1, "b", 1, Command::Epoch), Answer::Epoch(2));
-        assert_eq!(ask(&mut s, 5, "a", 2, acquire(1)), Answer::Granted);
+        assert_eq!(
+            ask(&mut s, 1, "a", 1, Command::NewEpoch),
+            Response::Epoch(1)
+        );
+        assert_eq!(
+            ask(&mut s, 1, "b", 1, Command::NewEpoch),
+            Response::Epoch(2)
+        );
+        assert_eq!(ask(&mut s, 5, "a", 2, acquire(1)), Response::Granted);
         assert_eq!(
             ask(&mut s, 14, "b", 2, acquire(2)),
-            Answer::Taken {
+            Response::HeldByOther {
                 holder: "a".into(),
-                left: 1
+                remaining: 1
             }
         );
-        assert_eq!(ask(&mut s, 15, "b", 3, acquire(2)), Answer::Granted);
+        assert_eq!(ask(&mut s, 15, "b", 3, acquire(2)), Response::Granted);
         assert_eq!(
             ask(&mut s, 16, "a", 3, acquire(1)),
-            Answer::Taken {
+            Response::HeldByOther {
                 holder: "b".into(),
-                left: 9
+                remaining: 9
             }
         );
         ask(
@@ -302,41 +309,56 @@
             16,
             "b",
             4,
-            Command::Release {
+            Command::ReleaseLease {
                 lease: "l".into(),
                 epoch: 2,
             },
         );
-        assert_eq!(ask(&mut s, 16, "a", 4, acquire(1)), Answer::Granted);
+        assert_eq!(ask(&mut s, 16, "a", 4, acquire(1)), Response::Granted);
     }
 
     #[test]
     fn a_new_epoch_fences_the_old_one_but_its_lease_runs_out_by_itself() {
         let mut s = State::default();
-        ask(&mut s, 1, "a", 1, Command::Epoch);
+        ask(&mut s, 1, "a", 1, Command::NewEpoch);
         ask(&mut s, 1, "a", 2, acquire(1));
-        assert_eq!(ask(&mut s, 2, "a", 3, Command::Epoch), Answer::Epoch(2));
+        assert_eq!(
+            ask(&mut s, 2, "a", 3, Command::NewEpoch),
+            Response::Epoch(2)
+        );
         assert_eq!(
             ask(&mut s, 3, "a", 4, acquire(1)),
-            Answer::Fenced { epoch: 2 }
+            Response::Fenced { epoch: 2 }
         );
         assert_eq!(
             ask(&mut s, 3, "a", 5, acquire(2)),
-            Answer::Taken {
+            Response::HeldByOther {
                 holder: "a".into(),
-                left: 8
+                remaining: 8
             }
         );
-        assert_eq!(ask(&mut s, 11, "a", 6, acquire(2)), Answer::Granted);
+        assert_eq!(ask(&mut s, 11, "a", 6, acquire(2)), Response::Granted);
     }
 
     #[test]
     fn a_repeat_changes_nothing_and_gets_the_same_answer() {
         let mut s = State::default();
-        assert_eq!(ask(&mut s, 1, "a", 1, Command::Epoch), Answer::Epoch(1));
-        assert_eq!(ask(&mut s, 9, "a", 1, Command::Epoch), Answer::Epoch(1));
-        assert_eq!(ask(&mut s, 9, "a", 2, Command::Epoch), Answer::Epoch(2));
-        assert_eq!(ask(&mut s, 9, "a", 1, Command::Epoch), Answer::Past);
+        assert_eq!(
+            ask(&mut s, 1, "a", 1, Command::NewEpoch),
+            Response::Epoch(1)
+        );
+        assert_eq!(
+            ask(&mut s, 9, "a", 1, Command::NewEpoch),
+            Response::Epoch(1)
+        );
+        assert_eq!(
+            ask(&mut s, 9, "a", 2, Command::NewEpoch),
+            Response::Epoch(2)
+        );
+        assert_eq!(
+            ask(&mut s, 9, "a", 1, Command::NewEpoch),
+            Response::Superseded
+        );
     }
 
     #[test]
@@ -347,7 +369,7 @@
             100,
             "a",
             1,
-            Command::Settings {
+            Command::SetSettings {
                 version: 3,
                 digest: 7,
             },
@@ -358,12 +380,12 @@
                 50,
                 "b",
                 1,
-                Command::Settings {
+                Command::SetSettings {
                     version: 3,
                     digest: 8
                 }
             ),
-            Answer::Newer { version: 3 }
+            Response::NotNewer { version: 3 }
         );
         assert_eq!((s.clock(), s.settings()), (100, (3, 7)));
     }
--- a/crates/pipithub-council/src/voter.rs
+++ b/crates/pipithub-council/src/voter.rs
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Time;
-use crate::log::{Batch, Disk, Log, entry_bytes, parse, written};
-use crate::state::{Answer, Asked, Command, Stamped, State};
+use crate::log::{Log, StoredLog, WriteBatch, decode, encode, encode_entry};
+use crate::state::{Command, Request, Response, State, TimestampedRequest};
 
 /// Ticks without word of a leader before a voter stands, at the least; up to twice as many are drawn.
 const ELECTION: usize = 10;
@@ -35,13 +35,13 @@
 
 /// Why a voter cannot start.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unfit {
+pub enum VoterError {
     /// Settings.
     #[error("{0}")]
-    Settings(&'static str),
+    InvalidSettings(&'static str),
     /// What its disk holds is no log. It must not start as an empty one: it would vote again where it has voted.
     #[error("the council's log is damaged: {0}; replace this voter under a new number")]
-    Disk(String),
+    DamagedLog(String),
     /// The engine refuses.
     #[error("the council's engine cannot start: {0}")]
     Engine(String),
@@ -49,13 +49,13 @@
 
 /// What goes between voters and those who ask.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Wire {
+pub enum WireMessage {
     /// The engine's.
     Raft(Vec<u8>),
     /// A question.
-    Ask(Asked),
+    Request(Request),
     /// Its answer.
-    Answer {
+    Response {
         /// Whose question.
         name: String,
         /// Of which run.
@@ -63,10 +63,10 @@
         /// Which.
         number: u64,
         /// The answer.
-        answer: Answer,
+        answer: Response,
     },
     /// Not here: this voter leads nothing; who does, as far as it knows.
-    Elsewhere {
+    NotLeader {
         /// Whose question.
         name: String,
         /// Which.
@@ -82,9 +82,9 @@
     /// A message of another voter's engine.
     Raft(Vec<u8>),
     /// A question of a front end.
-    Ask(Asked),
+    Request(Request),
     /// A batch is on disk, synced, and so are all before it.
-    Stored(u64),
+    Persisted(u64),
     /// Time has passed.
     Tick,
 }
@@ -100,14 +100,14 @@
         bytes: Vec<u8>,
     },
     /// Send to a front end, by its name.
-    Tell {
+    Reply {
         /// Which.
         name: String,
         /// What.
-        wire: Wire,
+        wire: WireMessage,
     },
     /// Store, in order, and say so.
-    Store(Batch),
+    Persist(WriteBatch),
     /// An entry was agreed and taken in here.
     Applied {
         /// Its place.
@@ -115,15 +115,15 @@
         /// Its term.
         term: u64,
         /// The entry; `None` where the engine put it there.
-        entry: Option<Stamped>,
+        entry: Option<TimestampedRequest>,
     },
     /// The state was taken from another voter's snapshot.
-    Restored {
+    SnapshotRestored {
         /// It holds all up to this place.
         index: u64,
     },
     /// This voter leads, or does no longer.
-    Leads {
+    LeadershipChanged {
         /// Whether.
         leads: bool,
         /// In which term.
@@ -154,24 +154,31 @@
 
 impl Voter {
     /// A voter that starts from what its disk holds.
-    pub fn new(settings: VoterSettings, disk: &Disk, now: Time, seed: u64) -> Result<Voter, Unfit> {
+    pub fn new(
+        settings: VoterSettings,
+        disk: &StoredLog,
+        now: Time,
+        seed: u64,
+    ) -> Result<Voter, VoterError> {
         if ![1, 3, 5].contains(&settings.voters.len()) {
-            return Err(Unfit::Settings(
+            return Err(VoterError::InvalidSettings(
                 "a council has three or five voters (one for trying out)",
             ));
         }
         if settings.id == 0 || !settings.voters.contains(&settings.id) {
-            return Err(Unfit::Settings("this voter is not in the list of voters"));
+            return Err(VoterError::InvalidSettings(
+                "this voter is not in the list of voters",
+            ));
         }
         if settings.tick == 0 {
-            return Err(Unfit::Settings("a tick must last"));
+            return Err(VoterError::InvalidSettings("a tick must last"));
         }
-        let log = Log::load(disk, &settings.voters).map_err(Unfit::Disk)?;
+        let log = Log::load(disk, &settings.voters).map_err(VoterError::DamagedLog)?;
         let data = log.snapshot.get_data();
         let state = if data.is_empty() {
             State::default()
         } else {
-            postcard::from_bytes(data).map_err(|e| Unfit::Disk(e.to_string()))?
+            postcard::from_bytes(data).map_err(|e| VoterError::DamagedLog(e.to_string()))?
         };
         let applied = log.snapshot.get_metadata().index;
         let config = Config {
@@ -188,7 +195,8 @@
             ..Config::default()
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let node = RawNode::new(&config, log, &logger).map_err(|e| Unfit::Engine(e.to_string()))?;
+        let node =
+            RawNode::new(&config, log, &logger).map_err(|e| VoterError::Engine(e.to_string()))?;
         let mut voter = Voter {
             settings,
             node,
@@ -249,14 +257,14 @@
         match input {
             Input::Raft(bytes) => {
                 // A message that cannot be read, or is not for us, is as good as lost.
-                if let Ok(message) = parse::<Message>(&bytes)
+                if let Ok(message) = decode::<Message>(&bytes)
                     && message.to == self.settings.id
                 {
                     let _ = self.node.step(message);
                 }
             }
-            Input::Ask(asked) => self.ask(asked, out),
-            Input::Stored(number) => {
+            Input::Request(asked) => self.ask(asked, out),
+            Input::Persisted(number) => {
                 self.node.on_persist_ready(number);
                 if self.restoring.is_some_and(|n| n <= number) {
                     self.restoring = None;
@@ -277,11 +285,11 @@
                     self.node.tick();
                     self.idle += 1;
                     if self.leads && self.idle >= CLOCK_TICKS {
-                        let asked = Asked {
+                        let asked = Request {
                             name: String::new(),
                             boot: 0,
                             number: 0,
-                            command: Command::Clock,
+                            command: Command::AdvanceClock,
                         };
                         self.propose(asked);
                     }
@@ -291,9 +299,9 @@
         self.turn(out);
     }
 
-    fn propose(&mut self, asked: Asked) -> bool {
+    fn propose(&mut self, asked: Request) -> bool {
         self.idle = 0;
-        let stamped = Stamped {
+        let stamped = TimestampedRequest {
             at: self.log_time(),
             asked,
         };
@@ -305,17 +313,17 @@
         taken
     }
 
-    fn ask(&mut self, asked: Asked, out: &mut Vec<Output>) {
+    fn ask(&mut self, asked: Request, out: &mut Vec<Output>) {
         let (name, number) = (asked.name.clone(), asked.number);
         // Clock entries are leaders' own.
-        if asked.command == Command::Clock || self.leads && self.propose(asked) {
+        if asked.command == Command::AdvanceClock || self.leads && self.propose(asked) {
             return;
         }
         let leader =
             Some(self.node.raft.leader_id).filter(|id| *id != 0 && *id != self.settings.id);
-        out.push(Output::Tell {
+        out.push(Output::Reply {
             name: name.clone(),
-            wire: Wire::Elsewhere {
+            wire: WireMessage::NotLeader {
                 name,
                 number,
                 leader,
@@ -331,13 +339,13 @@
             for message in ready.take_messages() {
                 send(&message, out);
             }
-            let mut batch = Batch {
+            let mut batch = WriteBatch {
                 number: ready.number(),
-                ..Batch::default()
+                ..WriteBatch::default()
             };
             if !ready.snapshot().is_empty() {
                 let snapshot = ready.snapshot().clone();
-                batch.snapshot = Some(written(&snapshot));
+                batch.snapshot = Some(encode(&snapshot));
                 self.restoring = Some(batch.number);
                 self.restore(snapshot, out);
             }
@@ -345,19 +353,19 @@
                 self.apply(&entry, out);
             }
             if !ready.entries().is_empty() {
-                batch.entries = ready.entries().iter().map(entry_bytes).collect();
+                batch.entries = ready.entries().iter().map(encode_entry).collect();
                 self.node.mut_store().append(ready.entries());
             }
             if let Some(hard) = ready.hs() {
-                batch.hard = Some(written(hard));
-                self.node.mut_store().hard = hard.clone();
+                batch.hard_state = Some(encode(hard));
+                self.node.mut_store().hard_state = hard.clone();
             }
             let held = ready.take_persisted_messages();
             let number = ready.number();
             self.node.advance_append_async(ready);
             // Even an empty one is stored in turn: the engine counts them all.
             self.held.insert(number, held);
-            out.push(Output::Store(batch));
+            out.push(Output::Persist(batch));
             if self.restoring.is_none() {
                 self.node.advance_apply_to(self.applied);
             }
@@ -371,7 +379,8 @@
         if leads != self.leads {
             self.leads = leads;
             // All that was ever stamped and may be agreed on stands in this log.
-            let stamped = |e: &Entry| postcard::from_bytes::<Stamped>(&e.data).map_or(0, |s| s.at);
+            let stamped =
+                |e: &Entry| postcard::from_bytes::<TimestampedRequest>(&e.data).map_or(0, |s| s.at);
             let newest = self
                 .node
                 .store()
@@ -382,7 +391,7 @@
                 .unwrap_or(0);
             self.stamp = (newest.max(self.state.clock()), self.now);
             self.under_way = 0;
-            out.push(Output::Leads {
+            out.push(Output::LeadershipChanged {
                 leads,
                 term: self.node.raft.term,
             });
@@ -393,7 +402,7 @@
         self.applied = self.applied.max(entry.index);
         let stamped = match entry.get_entry_type() {
             EntryType::EntryNormal if !entry.data.is_empty() => {
-                postcard::from_bytes::<Stamped>(&entry.data).ok()
+                postcard::from_bytes::<TimestampedRequest>(&entry.data).ok()
             }
             _ => None,
         };
@@ -405,20 +414,20 @@
         let Some(stamped) = stamped else { return };
         let answer = self.state.apply(&stamped);
         self.under_way = self.under_way.saturating_sub(1);
-        let Asked {
+        let Request {
             name,
             boot,
             number,
             command,
         } = stamped.asked;
-        if self.leads && command != Command::Clock {
-            let wire = Wire::Answer {
+        if self.leads && command != Command::AdvanceClock {
+            let wire = WireMessage::Response {
                 name: name.clone(),
                 boot,
                 number,
                 answer,
             };
-            out.push(Output::Tell { name, wire });
+            out.push(Output::Reply { name, wire });
         }
     }
 
@@ -429,7 +438,7 @@
         }
         self.applied = self.applied.max(index);
         self.node.mut_store().restore(snapshot);
-        out.push(Output::Restored { index });
+        out.push(Output::SnapshotRestored { index });
     }
 
     /// Puts a snapshot in place of a long log.
@@ -449,15 +458,15 @@
         snapshot.set_data(data.into());
         snapshot
             .mut_metadata()
-            .set_conf_state(self.node.store().conf.clone());
+            .set_conf_state(self.node.store().conf_state.clone());
         (snapshot.mut_metadata().index, snapshot.mut_metadata().term) = (self.applied, term);
-        let bytes = written(&snapshot);
+        let bytes = encode(&snapshot);
         self.node.mut_store().compact(snapshot);
-        out.push(Output::Store(Batch {
+        out.push(Output::Persist(WriteBatch {
             number: 0,
             snapshot: Some(bytes),
-            compact: Some(self.applied),
-            ..Batch::default()
+            compact_to: Some(self.applied),
+            ..WriteBatch::default()
         }));
     }
 }
@@ -465,6 +474,6 @@
 fn send(message: &Message, out: &mut Vec<Output>) {
     out.push(Output::Send {
         to: message.to,
-        bytes: written(message),
+        bytes: encode(message),
     });
 }
--- a/crates/pipithub-council/tests/growth.rs
+++ b/crates/pipithub-council/tests/growth.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use pipithub_council::{Asked, Command, Input, Output, Voter, VoterSettings};
+use pipithub_council::{Command, Input, Output, Request, Voter, VoterSettings};
 
 const TICK: u64 = 20_000_000;
 
@@ -27,7 +27,7 @@
                 voters: ids.clone(),
                 tick: TICK,
             };
-            Voter::new(settings, &pipithub_council::Disk::default(), 0, id).unwrap()
+            Voter::new(settings, &pipithub_council::StoredLog::default(), 0, id).unwrap()
         };
         let voters = ids.iter().map(|id| voter(*id)).collect();
         let mut council = Council {
@@ -66,15 +66,15 @@
                         self.bytes += bytes.len() as u64;
                         queue.push_back((to as usize - 1, Input::Raft(bytes)));
                     }
-                    Output::Store(batch) => {
+                    Output::Persist(batch) => {
                         if let Some(snapshot) = batch.snapshot.as_ref().filter(|_| to == 0) {
                             self.snapshot = snapshot.len();
                         }
-                        if batch.compact.is_none() {
-                            queue.push_back((to, Input::Stored(batch.number)));
+                        if batch.compact_to.is_none() {
+                            queue.push_back((to, Input::Persisted(batch.number)));
                         }
                     }
-                    Output::Tell { .. } => self.answers += 1,
+                    Output::Reply { .. } => self.answers += 1,
                     _ => {}
                 }
             }
@@ -86,7 +86,7 @@
         let before = (self.messages, self.bytes, self.answers);
         for _ in 0..entries {
             self.number += 1;
-            let command = Command::Settings {
+            let command = Command::SetSettings {
                 version: self.number,
                 digest: 7,
             };
@@ -94,7 +94,7 @@
             let leader = self.leader().unwrap();
             self.input(
                 leader,
-                Input::Ask(Asked {
+                Input::Request(Request {
                     name,
                     boot: 1,
                     number: self.number,
--- a/crates/pipithub-council/tests/seeds.rs
+++ b/crates/pipithub-council/tests/seeds.rs
@@ -4,7 +4,8 @@
 use std::collections::BTreeMap;
 
 use pipithub_council::{
-    Answer, Batch, Client, Command, Disk, Input, Output, Told, Voter, VoterSettings, Wire,
+    Client, Command, Input, Notification, Output, Response, StoredLog, Voter, VoterSettings,
+    WireMessage, WriteBatch,
 };
 use pipithub_simnet::{Link, Network, NetworkEvent, Time};
 use rand::RngExt;
@@ -27,14 +28,14 @@
 #[derive(Clone)]
 enum Mail {
     Raft(Vec<u8>),
-    Wire(Wire),
+    Wire(WireMessage),
     /// A disk says that a batch is stored; of which start of the voter.
-    Stored(u64, Batch),
+    Stored(u64, WriteBatch),
 }
 
 struct Seat {
     core: Option<Voter>,
-    disk: Disk,
+    disk: StoredLog,
     starts: u64,
 }
 
@@ -80,7 +81,7 @@
         let clocks = (0..size).map(|_| clock()).collect();
         let seat = |_| Seat {
             core: None,
-            disk: Disk::default(),
+            disk: StoredLog::default(),
             starts: 0,
         };
         let ids: Vec<u64> = (1..=voters as u64).collect();
@@ -146,12 +147,12 @@
         self.net.set_paused(n, false);
         self.paused[n] = false;
         match self.planted {
-            Planted::ForgottenVotes => self.seats[n].disk.hard = None,
+            Planted::ForgottenVotes => self.seats[n].disk.hard_state = None,
             Planted::LostEntries => {
                 let disk = &mut self.seats[n].disk;
                 let half = disk.entries.len() / 2;
                 disk.entries.truncate(half);
-                disk.hard = None;
+                disk.hard_state = None;
             }
             _ => {}
         }
@@ -169,11 +170,11 @@
         for output in out {
             match output {
                 Output::Send { to, bytes } => self.net.send(n, to as usize - 1, Mail::Raft(bytes)),
-                Output::Tell { name, wire } => {
+                Output::Reply { name, wire } => {
                     let asker: usize = name[6..].parse().unwrap();
                     self.net.send(n, self.seats.len() + asker, Mail::Wire(wire));
                 }
-                Output::Store(batch) => {
+                Output::Persist(batch) => {
                     // The disk takes its time, in order; a link to oneself that loses nothing.
                     let starts = self.seats[n].starts;
                     *self.net.link(n, n) = Link {
@@ -193,14 +194,14 @@
                         ));
                     }
                 }
-                Output::Leads { leads: true, term } => {
+                Output::LeadershipChanged { leads: true, term } => {
                     let first = *self.leaders.entry(term).or_insert(n);
                     if first != n {
                         self.breaches
                             .push(format!("voters {first} and {n} both lead in term {term}"));
                     }
                 }
-                Output::Leads { .. } | Output::Restored { .. } => {}
+                Output::LeadershipChanged { .. } | Output::SnapshotRestored { .. } => {}
             }
         }
         let _ = term;
@@ -208,13 +209,13 @@
         self.net.set_timer(n, Some(due));
     }
 
-    fn asker(&mut self, a: usize, heard: Option<Wire>) {
+    fn asker(&mut self, a: usize, heard: Option<WireMessage>) {
         let process = self.seats.len() + a;
         let (now, real) = (self.local(process), self.net.now());
         if let Some(wire) = heard {
             match self.askers[a].core.hear(now, wire) {
-                Some(Told::Answer(_, Answer::Granted)) => self.granted += 1,
-                Some(Told::Fenced) => drop(self.askers[a].core.ask(Command::Epoch)),
+                Some(Notification::Response(_, Response::Granted)) => self.granted += 1,
+                Some(Notification::Fenced) => drop(self.askers[a].core.ask(Command::NewEpoch)),
                 _ => {}
             }
         }
@@ -226,12 +227,12 @@
             asker.next = real + pause;
             if asker.core.waiting() < 3 {
                 match asker.core.epoch() {
-                    None => drop(asker.core.ask(Command::Epoch)),
+                    None => drop(asker.core.ask(Command::NewEpoch)),
                     Some(_) if give_back => drop(asker.core.release(&lease)),
-                    Some(epoch) => drop(asker.core.ask(Command::Acquire {
+                    Some(epoch) => drop(asker.core.ask(Command::AcquireLease {
                         lease,
                         epoch,
-                        length: LENGTH,
+                        duration: LENGTH,
                     })),
                 }
             }
@@ -284,9 +285,9 @@
                 } => self.voter(to, Input::Raft(bytes)),
                 NetworkEvent::Delivery {
                     to,
-                    message: Mail::Wire(Wire::Ask(asked)),
+                    message: Mail::Wire(WireMessage::Request(asked)),
                     ..
-                } => self.voter(to, Input::Ask(asked)),
+                } => self.voter(to, Input::Request(asked)),
                 NetworkEvent::Delivery {
                     to,
                     message: Mail::Wire(wire),
@@ -298,8 +299,8 @@
                     ..
                 } => {
                     if self.seats[to].starts == starts {
-                        self.seats[to].disk.store(&batch);
-                        self.voter(to, Input::Stored(batch.number));
+                        self.seats[to].disk.apply(&batch);
+                        self.voter(to, Input::Persisted(batch.number));
                     }
                 }
             }
@@ -453,7 +454,7 @@
     // While one is away the others agree on more than a log may hold.
     for _ in 0..900 {
         for asker in &mut world.askers {
-            let _ = asker.core.ask(Command::Settings {
+            let _ = asker.core.ask(Command::SetSettings {
                 version: 1,
                 digest: 0,
             });
--- a/crates/pipithub-simnet/src/lib.rs
+++ b/crates/pipithub-simnet/src/lib.rs
@@ -165,9 +165,11 @@
             for next in std::mem::take(&mut self.held) {
                 match next {
                     NetworkEvent::Delivery { to, .. } if to == process => {
-                        drop(self.push(self.now, next))
+                        self.push(self.now, next);
+                    }
+                    NetworkEvent::Timer(p) if p == process => {
+                        self.push(self.now, next);
                     }
-                    NetworkEvent::Timer(p) if p == process => drop(self.push(self.now, next)),
                     other => self.held.push(other),
                 }
             }
