--- a/crates/pipithub-fleetsim/src/lib.rs
+++ b/crates/pipithub-fleetsim/src/lib.rs
@@ -218,7 +218,7 @@
                             at: self.network.now(),
                             observer: process,
                             event,
-                        })
+                        });
                     }
                     Output::Event(_) => {}
                 }
--- a/crates/pipithub-members/src/envelope.rs
+++ b/crates/pipithub-members/src/envelope.rs
@@ -1,4 +1,4 @@
-//! What every datagram is wrapped in: a version range, the cluster's mark, and what it carries.
+//! What every datagram is wrapped in: a version range, the cluster's tag, and what it carries.
 
 use foca::{Codec, PostcardCodec};
 use serde::{Deserialize, Serialize};
@@ -50,30 +50,30 @@
     Malformed,
 }
 
-/// The mark of a cluster's name.
-pub(crate) fn mark(cluster: &str) -> [u8; 8] {
+/// The tag of a cluster's name.
+pub(crate) fn cluster_tag(cluster: &str) -> [u8; 8] {
     let sum = Sha256::digest(cluster.as_bytes());
-    let mut mark = [0; 8];
-    mark.copy_from_slice(&sum[..8]);
-    mark
+    let mut cluster_tag = [0; 8];
+    cluster_tag.copy_from_slice(&sum[..8]);
+    cluster_tag
 }
 
 impl Envelope {
     /// As bytes; `None` where it has no form, which only happens to what was never read from outside.
-    pub(crate) fn encode(&self, mark: [u8; 8]) -> Option<Vec<u8>> {
+    pub(crate) fn encode(&self, cluster_tag: [u8; 8]) -> Option<Vec<u8>> {
         let mut bytes = Vec::with_capacity(256);
         bytes.extend(MAGIC);
         bytes.push(WIRE_VERSION);
-        bytes.extend(mark);
+        bytes.extend(cluster_tag);
         postcard::to_extend(self, bytes).ok()
     }
 
     /// Reads a datagram of this cluster.
-    pub(crate) fn decode(bytes: &[u8], mark: [u8; 8]) -> Result<Envelope, RejectReason> {
+    pub(crate) fn decode(bytes: &[u8], cluster_tag: [u8; 8]) -> Result<Envelope, RejectReason> {
         if bytes.len() < HEAD || bytes[..2] != MAGIC {
             return Err(RejectReason::ForeignProtocol);
         }
-        if bytes[3..HEAD] != mark {
+        if bytes[3..HEAD] != cluster_tag {
             return Err(RejectReason::OtherCluster);
         }
         if !(MIN_WIRE_VERSION..=WIRE_VERSION + 1).contains(&bytes[2]) {
@@ -89,7 +89,7 @@
 /// Which run a datagram says that it takes part as: for judges that watch links. `None` where it is none of the
 /// cluster's, cannot be read, or only asks.
 pub fn sender_identity(bytes: &[u8], cluster: &str) -> Option<Identity> {
-    match Envelope::decode(bytes, mark(cluster)).ok()? {
+    match Envelope::decode(bytes, cluster_tag(cluster)).ok()? {
         Envelope::JoinAccepted(me) => Some(me),
         Envelope::JoinRequest(_) | Envelope::NameTaken { .. } => None,
         Envelope::Swim(data) => swim_sender(&data),
@@ -110,27 +110,27 @@
     #[test]
     fn strangers_and_distant_versions_are_told_apart() {
         let bytes = Envelope::Swim(vec![1, 2, 3])
-            .encode(mark("campus"))
+            .encode(cluster_tag("campus"))
             .unwrap();
         assert_eq!(
-            Envelope::decode(&bytes, mark("campus")),
+            Envelope::decode(&bytes, cluster_tag("campus")),
             Ok(Envelope::Swim(vec![1, 2, 3]))
         );
         assert_eq!(
-            Envelope::decode(&bytes, mark("other")),
+            Envelope::decode(&bytes, cluster_tag("other")),
             Err(RejectReason::OtherCluster)
         );
         let mut newer = bytes.clone();
         newer[2] = WIRE_VERSION + 1;
         newer.push(9);
-        assert!(Envelope::decode(&newer, mark("campus")).is_ok());
+        assert!(Envelope::decode(&newer, cluster_tag("campus")).is_ok());
         newer[2] = WIRE_VERSION + 2;
         assert_eq!(
-            Envelope::decode(&newer, mark("campus")),
+            Envelope::decode(&newer, cluster_tag("campus")),
             Err(RejectReason::UnsupportedVersion(WIRE_VERSION + 2))
         );
         assert_eq!(
-            Envelope::decode(b"GET / HTTP", mark("campus")),
+            Envelope::decode(b"GET / HTTP", cluster_tag("campus")),
             Err(RejectReason::ForeignProtocol)
         );
     }
@@ -138,11 +138,11 @@
     proptest! {
         #[test]
         fn no_bytes_bring_it_down(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-            let _ = Envelope::decode(&bytes, mark("campus"));
-            let mut ours = Envelope::Swim(vec![]).encode(mark("campus")).unwrap();
+            let _ = Envelope::decode(&bytes, cluster_tag("campus"));
+            let mut ours = Envelope::Swim(vec![]).encode(cluster_tag("campus")).unwrap();
             ours.truncate(HEAD);
             ours.extend(&bytes);
-            let _ = Envelope::decode(&ours, mark("campus"));
+            let _ = Envelope::decode(&ours, cluster_tag("campus"));
         }
     }
 }
--- a/crates/pipithub-members/src/health.rs
+++ b/crates/pipithub-members/src/health.rs
@@ -3,15 +3,15 @@
 use crate::Time;
 
 /// The worst score.
-const WORST: u32 = 8;
+const MAX_SCORE: u32 = 8;
 
 /// How far this process should doubt its own probes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Health {
+pub(crate) struct LocalHealth {
     score: u32,
 }
 
-impl Health {
+impl LocalHealth {
     /// 0 is sound; each point stretches own probes and suspicions by their usual length.
     pub(crate) fn score(self) -> u32 {
         self.score
@@ -19,7 +19,7 @@
 
     /// A probe of ours got no answer, nor through others.
     pub(crate) fn probe_failed(&mut self) {
-        self.score = (self.score + 1).min(WORST);
+        self.score = (self.score + 1).min(MAX_SCORE);
     }
 
     /// A probe of ours was answered.
@@ -28,17 +28,17 @@
     }
 
     /// Others held us for dead, wrongly.
-    pub(crate) fn was_doubted(&mut self) {
-        self.score = (self.score + 1).min(WORST);
+    pub(crate) fn declared_dead(&mut self) {
+        self.score = (self.score + 1).min(MAX_SCORE);
     }
 
     /// We slept when we should not have: what we missed meanwhile says nothing of others.
-    pub(crate) fn overslept(&mut self) {
-        self.score = (self.score + 2).min(WORST);
+    pub(crate) fn stalled(&mut self) {
+        self.score = (self.score + 2).min(MAX_SCORE);
     }
 
     /// A usual length of time as it holds now.
-    pub(crate) fn stretched(self, usual: Time) -> Time {
+    pub(crate) fn scaled(self, usual: Time) -> Time {
         usual.saturating_mul(Time::from(self.score) + 1)
     }
 }
@@ -49,12 +49,12 @@
 
     #[test]
     fn the_score_is_bounded_both_ways_and_stretches() {
-        let mut health = Health::default();
+        let mut health = LocalHealth::default();
         health.probe_answered();
-        assert_eq!(health.stretched(100), 100);
-        (0..100).for_each(|_| health.overslept());
-        assert_eq!(health.stretched(100), 900);
+        assert_eq!(health.scaled(100), 100);
+        (0..100).for_each(|_| health.stalled());
+        assert_eq!(health.scaled(100), 900);
         (0..100).for_each(|_| health.probe_answered());
-        assert_eq!(health, Health::default());
+        assert_eq!(health, LocalHealth::default());
     }
 }
--- a/crates/pipithub-members/src/view.rs
+++ b/crates/pipithub-members/src/view.rs
@@ -76,17 +76,17 @@
 
 /// The table behind views.
 #[derive(Debug, Default)]
-pub(crate) struct Table {
+pub(crate) struct MemberTable {
     rows: BTreeMap<String, Member>,
-    pub(crate) touched: Option<Time>,
+    pub(crate) last_heard: Option<Time>,
 }
 
-impl Table {
+impl MemberTable {
     pub(crate) fn get(&self, name: &str) -> Option<&Member> {
         self.rows.get(name)
     }
 
-    pub(crate) fn rows(&self) -> impl Iterator<Item = &Member> {
+    pub(crate) fn members(&self) -> impl Iterator<Item = &Member> {
         self.rows.values()
     }
 
@@ -94,7 +94,7 @@
         self.rows.len()
     }
 
-    pub(crate) fn active(&self) -> usize {
+    pub(crate) fn active_count(&self) -> usize {
         self.rows
             .values()
             .filter(|m| m.state != MemberState::Down)
@@ -102,7 +102,7 @@
     }
 
     /// Takes in how a member stands; tells what it was before where that changed.
-    pub(crate) fn set(
+    pub(crate) fn update(
         &mut self,
         identity: &Identity,
         state: MemberState,
@@ -136,8 +136,8 @@
     }
 
     /// A member spoke to us itself.
-    pub(crate) fn heard(&mut self, identity: &Identity, now: Time) {
-        self.touched = Some(now);
+    pub(crate) fn record_heard(&mut self, identity: &Identity, now: Time) {
+        self.last_heard = Some(now);
         if let Some(row) = self
             .rows
             .get_mut(&identity.name)
@@ -148,7 +148,7 @@
     }
 
     /// Forgets the dead that have been so for long.
-    pub(crate) fn forget(&mut self, now: Time, after: Time) {
+    pub(crate) fn expire_dead(&mut self, now: Time, after: Time) {
         self.rows
             .retain(|_, m| m.state != MemberState::Down || now.saturating_sub(m.since) < after);
     }
