--- a/crates/pipithub-fleet/src/folder.rs
+++ b/crates/pipithub-fleet/src/data_folder.rs
@@ -1,4 +1,4 @@
-//! The data folder: a lock, the generation record, the report.
+//! The data folder: a lock, the generation record and the report.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{ErrorKind, Read};
@@ -7,10 +7,11 @@
 
 use pipithub_storage::{Durability, FileSystem, ReplaceError, Saver, SystemFiles, Target, replace};
 
-const GENERATION_FILE: &str = "generation";
+pub(crate) const GENERATION_FILE: &str = "generation";
 const REPORT_FILE: &str = "members.json";
-/// A record is a few lines; anything larger is none.
-const RECORD_MOST: u64 = 4 << 10;
+const LOCK_FILE: &str = "lock";
+/// A record has a few lines; anything larger is damaged.
+const MAX_RECORD_BYTES: u64 = 4 << 10;
 
 /// Why a data folder cannot be used.
 #[derive(Debug, thiserror::Error)]
@@ -18,12 +19,12 @@
     /// Another process runs with it.
     #[error("{0}: another process runs with this folder")]
     InUse(PathBuf),
-    /// The system says no.
+    /// An operation on a file failed.
     #[error("{path}: {source}")]
     Io {
-        /// Which file.
+        /// The file.
         path: PathBuf,
-        /// What it said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// A file was not replaced.
@@ -31,14 +32,14 @@
     NotReplaced(#[from] ReplaceError),
 }
 
-/// A data folder that this process holds. The lock ends with the process, however it ends.
+/// A data folder that this process has locked. The lock ends with the process, however it ends.
 #[derive(Debug)]
 pub struct DataFolder {
     path: PathBuf,
     _lock: File,
 }
 
-fn io(path: &Path) -> impl FnOnce(std::io::Error) -> DataFolderError + '_ {
+fn io_error(path: &Path) -> impl FnOnce(std::io::Error) -> DataFolderError + '_ {
     move |source| DataFolderError::Io {
         path: path.to_path_buf(),
         source,
@@ -46,33 +47,36 @@
 }
 
 impl DataFolder {
-    /// Takes a folder, which is made where it is missing.
+    /// Locks a folder, which is created where it is missing.
     pub fn lock(path: &Path) -> Result<DataFolder, DataFolderError> {
-        std::fs::create_dir_all(path).map_err(io(path))?;
-        let file = path.join("lock");
+        std::fs::create_dir_all(path).map_err(io_error(path))?;
+        let lock_path = path.join(LOCK_FILE);
         let lock = OpenOptions::new()
             .create(true)
             .truncate(false)
             .write(true)
-            .open(&file)
-            .map_err(io(&file))?;
+            .open(&lock_path)
+            .map_err(io_error(&lock_path))?;
         match lock.try_lock() {
             Ok(()) => Ok(DataFolder {
                 path: path.to_path_buf(),
                 _lock: lock,
             }),
             Err(TryLockError::WouldBlock) => Err(DataFolderError::InUse(path.to_path_buf())),
-            Err(TryLockError::Error(source)) => Err(DataFolderError::Io { path: file, source }),
+            Err(TryLockError::Error(source)) => Err(DataFolderError::Io {
+                path: lock_path,
+                source,
+            }),
         }
     }
 
-    /// Where it is.
+    /// The path of the folder.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// The generation record's text; `None` where there is none. What cannot be read as text counts as damaged, not as
-    /// missing.
+    /// The text of the generation record; `None` where there is none. Bytes that are not text are kept as a damaged text,
+    /// so that they do not count as missing.
     pub fn read_generation(&self) -> Result<Option<String>, DataFolderError> {
         let path = self.path.join(GENERATION_FILE);
         let file = match File::open(&path) {
@@ -81,14 +85,14 @@
             Err(source) => return Err(DataFolderError::Io { path, source }),
         };
         let mut bytes = Vec::new();
-        file.take(RECORD_MOST)
+        file.take(MAX_RECORD_BYTES)
             .read_to_end(&mut bytes)
-            .map_err(io(&path))?;
+            .map_err(io_error(&path))?;
         Ok(Some(String::from_utf8_lossy(&bytes).into_owned()))
     }
 
-    /// Starts the task that saves generation records. A crash at any moment leaves the record before or the new one,
-    /// whole; what it reports as saved outlives a power cut.
+    /// Starts the task that saves generation records. A crash at any moment leaves either the former record or the new
+    /// one, complete; a record that is reported as saved survives a power failure.
     pub fn start_generation_saver(&self, files: Arc<dyn FileSystem>) -> Saver {
         Saver::start(
             files,
@@ -96,21 +100,21 @@
         )
     }
 
-    /// Writes the report. It need not outlive a crash.
+    /// Writes the report. It need not survive a crash.
     pub fn save_report(path: &Path, text: &[u8]) -> Result<(), DataFolderError> {
         let target = Target::new(path.join(REPORT_FILE), Durability::Unsynced);
         Ok(replace(&SystemFiles, &target, text)?)
     }
 
-    /// The report as a running process wrote it last.
+    /// The last report that a running process wrote.
     pub fn read_report(path: &Path) -> Result<Vec<u8>, DataFolderError> {
         let file = path.join(REPORT_FILE);
-        std::fs::read(&file).map_err(io(&file))
+        std::fs::read(&file).map_err(io_error(&file))
     }
 
-    /// Whether a process runs with a folder.
+    /// Whether a process runs with the folder.
     pub fn in_use(path: &Path) -> bool {
-        let Ok(lock) = OpenOptions::new().write(true).open(path.join("lock")) else {
+        let Ok(lock) = OpenOptions::new().write(true).open(path.join(LOCK_FILE)) else {
             return false;
         };
         matches!(lock.try_lock(), Err(TryLockError::WouldBlock))
--- a/crates/pipithub-fleet/src/lib.rs
+++ b/crates/pipithub-fleet/src/lib.rs
@@ -1,12 +1,14 @@
-//! The shell around membership: one UDP socket, the generation on disk, and a report that operators read.
+//! The runtime around membership: one UDP socket, the generation on disk, and a report for operators.
 //!
-//! All decisions are [`pipithub_members`]'s; here bytes, files and time are moved. A data folder belongs to one
+//! All decisions are made by [`pipithub_members`]; this crate moves bytes, files and time. A data folder belongs to one
 //! running process, which holds a lock on it.
 
-mod folder;
+mod data_folder;
+mod driver;
+mod event_text;
 mod report;
-mod shell;
+mod runtime;
 
-pub use folder::{DataFolder, DataFolderError};
+pub use data_folder::{DataFolder, DataFolderError};
 pub use report::{MemberReport, Report, ReportedEvent};
-pub use shell::{MembershipRuntime, RuntimeError};
+pub use runtime::{MembershipRuntime, RuntimeError};
--- a/crates/pipithub-fleet/src/report.rs
+++ b/crates/pipithub-fleet/src/report.rs
@@ -1,40 +1,45 @@
-//! What operators are told: the view, and why it became so. Bounded, and written whole.
+//! The report for operators: the current view, and the latest events that led to it. Its size is bounded.
+//!
+//! The names of the fields are the keys of the JSON text, which other programs read.
 
 use std::collections::VecDeque;
 
-use pipithub_members::{Event, JoinState, MemberState, Time, View};
+use pipithub_members::{Identity, Member, MemberState, Time, View};
 use serde::{Deserialize, Serialize};
 
-/// The latest happenings that are kept.
-const HAPPENINGS: usize = 200;
+use crate::event_text::{disk_text, join_state_text};
 
-/// A change of view with its evidence.
+/// Most events that are kept.
+const MAX_EVENTS: usize = 200;
+const NANOSECONDS_PER_MILLISECOND: Time = 1_000_000;
+
+/// A change of the view with its evidence.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportedEvent {
-    /// When, in Unix milliseconds.
+    /// When it happened, in Unix milliseconds.
     pub at_ms: u64,
-    /// Whom it is about; the own name where it is this process.
+    /// Name of the member that it is about; the own name where it is about this process.
     pub member: String,
-    /// What was seen, as a sentence.
+    /// What happened, as a sentence.
     pub what: String,
 }
 
-/// A member as reported.
+/// A member in the report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberReport {
     /// Its name.
     pub name: String,
-    /// Where it is.
+    /// Its address.
     pub address: String,
     /// Its zone.
     pub zone: String,
-    /// `alive`, `suspect` or `down`.
+    /// `alive`, `suspect` or `down`; for this process, how far it has joined.
     pub state: String,
-    /// For how long it has stood so, in milliseconds.
+    /// For how long it has been in that state, in milliseconds.
     pub for_ms: u64,
-    /// How long ago it spoke to this process itself; `None`: it never did.
+    /// How long ago this process itself heard from it, in milliseconds; `None` where it never did.
     pub heard_ms: Option<u64>,
-    /// Which start of its name.
+    /// Counts the starts of its name.
     pub generation: u64,
     /// `kept`, `empty` or `old`.
     pub disk: String,
@@ -45,172 +50,85 @@
 pub struct Report {
     /// When it was written, in Unix milliseconds.
     pub at_ms: u64,
-    /// The cluster.
+    /// Name of the cluster.
     pub cluster: String,
-    /// The process that wrote it.
+    /// Id of the process that wrote it.
     pub process: u32,
-    /// Where it listens.
+    /// Address that the process listens on.
     pub listen: String,
-    /// This process, whose `state` is how it stands.
+    /// This process.
     pub me: MemberReport,
-    /// Local health: 0 is sound, 8 the worst.
+    /// Local health score: 0 is healthy, 8 the worst.
     pub doubt: u32,
-    /// How old the newest word in it was then; `None`: there never was any.
+    /// Time since any member was last heard from, in milliseconds; `None` where none ever was.
     pub age_ms: Option<u64>,
-    /// The others.
+    /// The other members.
     pub members: Vec<MemberReport>,
-    /// What happened lately, oldest first.
+    /// The latest events, oldest first.
     pub happenings: VecDeque<ReportedEvent>,
 }
 
-fn ms(time: Time) -> u64 {
-    time / 1_000_000
+/// Nanoseconds as whole milliseconds.
+pub(crate) fn milliseconds(time: Time) -> u64 {
+    time / NANOSECONDS_PER_MILLISECOND
 }
 
-fn disk(disk: pipithub_members::DiskState) -> String {
-    match disk {
-        pipithub_members::DiskState::Intact => "kept",
-        pipithub_members::DiskState::Empty => "empty",
-        pipithub_members::DiskState::Stale => "old",
-    }
-    .to_string()
-}
-
-/// How a process stands, in a word.
-pub(crate) fn standing(standing: &JoinState) -> String {
-    match standing {
-        JoinState::SavingGeneration => "saving".into(),
-        JoinState::Alone => "alone".into(),
-        JoinState::Joined => "joined".into(),
-        JoinState::DuplicateIdentity(by) => {
-            format!("barred by {} (generation {})", by.address, by.generation)
+impl MemberReport {
+    fn of_member(member: &Member, now: Time) -> MemberReport {
+        let ago = |at: Time| milliseconds(now.saturating_sub(at));
+        let state = match member.state {
+            MemberState::Alive => "alive",
+            MemberState::Suspect => "suspect",
+            MemberState::Down => "down",
+        };
+        MemberReport {
+            for_ms: ago(member.since),
+            heard_ms: member.last_heard.map(ago),
+            ..MemberReport::of_identity(&member.identity, state.to_string())
         }
-        JoinState::Left => "left".into(),
     }
-}
 
-/// An event as a happening; `None` for what is only of use in the log.
-pub(crate) fn happening(event: &Event, me: &str, at_ms: u64, now: Time) -> ReportedEvent {
-    let heard = |m: &pipithub_members::Member| match m.last_heard {
-        Some(heard) => format!("last heard {} ms ago", ms(now.saturating_sub(heard))),
-        None => "never heard by this process itself".to_string(),
-    };
-    let (member, what) = match event {
-        Event::Up(m) => (
-            m.identity.name.clone(),
-            format!(
-                "there, generation {} at {}",
-                m.identity.generation, m.identity.address
-            ),
-        ),
-        Event::Suspected(m) => (
-            m.identity.name.clone(),
-            format!("suspected: a probe got no answer; {}", heard(m)),
-        ),
-        Event::Down {
-            member,
-            suspected: true,
-        } => (
-            member.identity.name.clone(),
-            format!("held for dead: it did not speak up; {}", heard(member)),
-        ),
-        Event::Down {
-            member,
-            suspected: false,
-        } => (
-            member.identity.name.clone(),
-            format!("gone: it left, or others found it dead; {}", heard(member)),
-        ),
-        Event::Replaced { before, now } => (
-            now.name.clone(),
-            format!(
-                "another run: generation {} after {}, disk {}",
-                now.generation,
-                before.generation,
-                disk(now.disk)
-            ),
-        ),
-        Event::JoinStateChanged(s) => (me.to_string(), format!("stands {}", standing(s))),
-        Event::Stalled { by } => (
-            me.to_string(),
-            format!(
-                "was held up for {} ms: what it knew is that much older",
-                ms(*by)
-            ),
-        ),
-        Event::StaleDisk { disk, seen } => (
-            me.to_string(),
-            format!(
-                "its disk says generation {disk}, the fleet has seen {seen}: the disk is old or empty"
-            ),
-        ),
-        Event::DatagramsRejected {
-            from,
-            reason: why,
-            count,
-        } => (
-            from.to_string(),
-            format!("{count} datagrams turned away: {why}"),
-        ),
-        Event::MemberLimitReached(who) => (
-            who.name.clone(),
-            "not let in: as many members as max-members allows".to_string(),
-        ),
-    };
-    ReportedEvent {
-        at_ms,
-        member,
-        what,
+    fn of_identity(identity: &Identity, state: String) -> MemberReport {
+        MemberReport {
+            name: identity.name.clone(),
+            address: identity.address.to_string(),
+            zone: identity.zone.clone(),
+            state,
+            for_ms: 0,
+            heard_ms: None,
+            generation: identity.generation,
+            disk: disk_text(identity.disk).to_string(),
+        }
     }
 }
 
-/// Keeps the latest happenings.
+/// The latest events.
 #[derive(Debug, Default)]
-pub(crate) struct Happenings(VecDeque<ReportedEvent>);
+pub(crate) struct EventHistory(VecDeque<ReportedEvent>);
 
-impl Happenings {
-    pub(crate) fn push(&mut self, happening: ReportedEvent) {
-        if self.0.len() == HAPPENINGS {
+impl EventHistory {
+    /// Adds an event; the oldest is dropped where there are too many.
+    pub(crate) fn push(&mut self, event: ReportedEvent) {
+        if self.0.len() == MAX_EVENTS {
             self.0.pop_front();
         }
-        self.0.push_back(happening);
+        self.0.push_back(event);
     }
 
+    /// The report of a view, with these events.
     pub(crate) fn report(&self, cluster: &str, listen: &str, view: &View, at_ms: u64) -> Report {
-        let state = |s: MemberState| match s {
-            MemberState::Alive => "alive",
-            MemberState::Suspect => "suspect",
-            MemberState::Down => "down",
-        };
-        let member = |m: &pipithub_members::Member| MemberReport {
-            name: m.identity.name.clone(),
-            address: m.identity.address.to_string(),
-            zone: m.identity.zone.clone(),
-            state: state(m.state).to_string(),
-            for_ms: ms(view.taken_at.saturating_sub(m.since)),
-            heard_ms: m.last_heard.map(|h| ms(view.taken_at.saturating_sub(h))),
-            generation: m.identity.generation,
-            disk: disk(m.identity.disk),
-        };
-        let me = MemberReport {
-            name: view.local.name.clone(),
-            address: view.local.address.to_string(),
-            zone: view.local.zone.clone(),
-            state: standing(&view.join_state),
-            for_ms: 0,
-            heard_ms: None,
-            generation: view.local.generation,
-            disk: disk(view.local.disk),
-        };
+        let members = view.members.iter();
         Report {
             at_ms,
             cluster: cluster.to_string(),
             process: std::process::id(),
             listen: listen.to_string(),
-            me,
+            me: MemberReport::of_identity(&view.local, join_state_text(&view.join_state)),
             doubt: view.health_score,
-            age_ms: view.age().map(ms),
-            members: view.members.iter().map(member).collect(),
+            age_ms: view.age().map(milliseconds),
+            members: members
+                .map(|member| MemberReport::of_member(member, view.taken_at))
+                .collect(),
             happenings: self.0.clone(),
         }
     }
--- /dev/null
+++ b/crates/pipithub-fleet/src/runtime.rs
@@ -0,0 +1,139 @@
+//! Starting and stopping the membership of this process.
+
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::sync::Arc;
+
+use pipithub_members::{GenerationRecord, Identity, Membership, RecordError, SettingsError, View};
+use pipithub_settings::FleetSettings;
+use pipithub_storage::{FileSystem, SystemFiles};
+use rand::TryRng;
+use rand::rngs::SysRng;
+use tokio::net::UdpSocket;
+use tokio::sync::watch;
+use tracing::warn;
+
+use crate::data_folder::{DataFolder, DataFolderError, GENERATION_FILE};
+use crate::driver::Driver;
+
+/// Why a process cannot take part.
+#[derive(Debug, thiserror::Error)]
+pub enum RuntimeError {
+    /// The data folder cannot be used.
+    #[error(transparent)]
+    DataFolder(#[from] DataFolderError),
+    /// The generation record cannot be used.
+    #[error("{path}: {source}")]
+    Record {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with it.
+        source: RecordError,
+    },
+    /// The settings are invalid.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// The socket cannot be opened.
+    #[error("{address}: {source}")]
+    Socket {
+        /// The address to listen on.
+        address: SocketAddr,
+        /// The error of the operating system.
+        source: std::io::Error,
+    },
+    /// The operating system supplies no random numbers.
+    #[error("no random number to be had: {0}")]
+    Random(String),
+}
+
+/// The running membership of a process. It stops when it is dropped or shut down.
+#[derive(Debug)]
+pub struct MembershipRuntime {
+    view: watch::Receiver<Option<View>>,
+    address: SocketAddr,
+    stop: watch::Sender<bool>,
+    task: tokio::task::JoinHandle<()>,
+}
+
+impl MembershipRuntime {
+    /// Locks the data folder, opens the socket and starts.
+    pub async fn start(
+        name: &str,
+        config: FleetSettings,
+    ) -> Result<MembershipRuntime, RuntimeError> {
+        MembershipRuntime::start_with_files(name, config, Arc::new(SystemFiles)).await
+    }
+
+    /// As [`MembershipRuntime::start`], with the generation record saved on the given file system.
+    pub async fn start_with_files(
+        name: &str,
+        config: FleetSettings,
+        files: Arc<dyn FileSystem>,
+    ) -> Result<MembershipRuntime, RuntimeError> {
+        let folder = DataFolder::lock(&config.data)?;
+        let stored = folder.read_generation()?;
+        let next = GenerationRecord::next(stored.as_deref(), &config.members.cluster, name)
+            .map_err(|source| RuntimeError::Record {
+                path: config.data.join(GENERATION_FILE),
+                source,
+            })?;
+        let socket_error = |source| RuntimeError::Socket {
+            address: config.listen,
+            source,
+        };
+        let socket = UdpSocket::bind(config.listen).await.map_err(socket_error)?;
+        let address = socket.local_addr().map_err(socket_error)?;
+        let identity = Identity {
+            name: name.to_string(),
+            address: config.advertise.unwrap_or(address),
+            zone: config.zone.clone(),
+            generation: next.record.generation,
+            boot_id: random_number()?,
+            renewal: 0,
+            disk: next.disk,
+        };
+        let membership = Membership::new(config.members.clone(), identity, random_number()?)?;
+        let (view_sender, view) = watch::channel(None);
+        let (stop, stopped) = watch::channel(false);
+        let generation_saver = folder.start_generation_saver(files);
+        let driver = Driver::new(
+            membership,
+            config,
+            folder,
+            socket,
+            generation_saver,
+            view_sender,
+        );
+        let task = tokio::spawn(driver.run(stopped));
+        Ok(MembershipRuntime {
+            view,
+            address,
+            stop,
+            task,
+        })
+    }
+
+    /// The address that it listens on.
+    pub fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    /// The current view of the cluster, as it changes; `None` until the first one is taken.
+    pub fn view(&self) -> watch::Receiver<Option<View>> {
+        self.view.clone()
+    }
+
+    /// Leaves the cluster, so that the others need not detect it.
+    pub async fn shutdown(self) {
+        let _ = self.stop.send(true);
+        if let Err(error) = self.task.await {
+            warn!(%error, "membership task did not end by itself");
+        }
+    }
+}
+
+fn random_number() -> Result<u64, RuntimeError> {
+    SysRng
+        .try_next_u64()
+        .map_err(|error| RuntimeError::Random(error.to_string()))
+}
