--- a/crates/pipithub-bench/src/members.rs
+++ b/crates/pipithub-bench/src/members.rs
@@ -325,8 +325,9 @@
             _ => {
                 let dead: Vec<usize> = (0..size).filter(dies).collect();
                 dead.iter().for_each(|n| fleet.kill(*n));
-                let first =
-                    meter.until(fleet, |fleet| dead.iter().any(|n| fleet.opinions(*n).0 > 0));
+                let first = meter.until(fleet, |fleet| {
+                    dead.iter().any(|n| fleet.opinions(*n).down > 0)
+                });
                 let all = meter.until(fleet, Fleet::has_converged);
                 (
                     first,
--- a/crates/pipithub-members/tests/fleet.rs
+++ b/crates/pipithub-members/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Fleets of membership cores in simulated time: what is believed while processes die, sleep, lose their disks and
 //! links fail. Truth is known to the simulation, not taken from the cores.
 
-use pipithub_fleetsim::Fleet;
+use pipithub_fleetsim::{Fleet, Opinions};
 use pipithub_members::{DiskState, Event, JoinState, MemberState, Settings, Time};
 use pipithub_simnet::Link;
 
@@ -26,6 +26,10 @@
     fleet
 }
 
+fn opinions(down: usize, active: usize) -> Opinions {
+    Opinions { down, active }
+}
+
 fn down_events(fleet: &Fleet, of: usize) -> usize {
     let name = format!("front-{of}");
     let down = |e: &Event| matches!(e, Event::Down { member, .. } if member.identity.name == name);
@@ -37,7 +41,7 @@
     let mut fleet = started(12, 1, Link::default());
     fleet.kill(5);
     fleet.run_for(30 * SECOND);
-    assert_eq!(fleet.opinions(5), (11, 0));
+    assert_eq!(fleet.opinions(5), opinions(11, 0));
     assert!(fleet.has_converged());
     assert!(
         (0..12)
@@ -52,7 +56,7 @@
     let mut fleet = started(9, 2, Link::default());
     fleet.leave(4);
     fleet.run_for(3 * SECOND);
-    assert_eq!(fleet.opinions(4), (8, 0));
+    assert_eq!(fleet.opinions(4), opinions(8, 0));
     let suspected = |e: &Event| {
         matches!(
             e,
@@ -217,7 +221,11 @@
         let mut fleet = started(8, seed, Link::default());
         fleet.network.set_paused(2, true);
         fleet.run_for(40 * SECOND);
-        assert_eq!(fleet.opinions(2), (7, 0), "the others did not find it dead");
+        assert_eq!(
+            fleet.opinions(2),
+            opinions(7, 0),
+            "the others did not find it dead"
+        );
         let at = fleet.network.now();
         // What had arrived is lost, as from a buffer that overflowed: only its timers are left.
         fleet.history.clear();
@@ -347,7 +355,7 @@
         fleet.view(3).unwrap().join_state,
         JoinState::SavingGeneration
     );
-    assert_eq!(fleet.opinions(3), (0, 0));
+    assert_eq!(fleet.opinions(3), opinions(0, 0));
 }
 
 #[test]
--- a/crates/pipithub-members/tests/growth.rs
+++ b/crates/pipithub-members/tests/growth.rs
@@ -51,7 +51,7 @@
     let comparisons = (fleet.full_comparisons() - compared) as f64 / each;
     fleet.kill(size - 1);
     let died = fleet.network.now();
-    while fleet.opinions(size - 1).1 > 0 && fleet.network.now() < died + 120 * SECOND {
+    while fleet.opinions(size - 1).active > 0 && fleet.network.now() < died + 120 * SECOND {
         fleet.run_for(SECOND / 10);
     }
     Seen {
