--- a/crates/pipithub-bench/src/scale/council.rs
+++ b/crates/pipithub-bench/src/scale/council.rs
@@ -118,9 +118,9 @@
                 };
                 let name = format!("front-{}", self.number % 1_700);
                 let asked = Request {
-                    name,
-                    boot: 1,
-                    number: self.number,
+                    client: name,
+                    boot_id: 1,
+                    sequence: self.number,
                     command,
                 };
                 self.queue.push_back((leader, Input::Request(asked)));
@@ -189,12 +189,15 @@
         number += 1;
         let apply = |state: &mut State, number, command| {
             let asked = Request {
-                name: name.clone(),
-                boot: u64::MAX / (n + 1),
-                number,
+                client: name.clone(),
+                boot_id: u64::MAX / (n + 1),
+                sequence: number,
                 command,
             };
-            state.apply(&TimestampedRequest { at: number, asked });
+            state.apply(&TimestampedRequest {
+                at: number,
+                request: asked,
+            });
         };
         apply(&mut state, number, Command::NewEpoch);
         let epoch = state.epoch(&name).ok_or("no epoch")?;
--- a/crates/pipithub-council/src/client.rs
+++ b/crates/pipithub-council/src/client.rs
@@ -17,7 +17,7 @@
     /// Under which epoch it was granted.
     pub epoch: u64,
     /// Until when, by the holder's own clock.
-    pub until: Time,
+    pub expires_at: Time,
 }
 
 /// What a client is told.
@@ -63,7 +63,7 @@
     }
 
     /// Takes a question and gives its number; `None` where too many wait.
-    pub fn ask(&mut self, command: Command) -> Option<u64> {
+    pub fn submit(&mut self, command: Command) -> Option<u64> {
         if self.waiting.len() >= WAITING {
             return None;
         }
@@ -78,27 +78,27 @@
     }
 
     /// Questions that are not answered.
-    pub fn waiting(&self) -> usize {
+    pub fn pending_requests(&self) -> usize {
         self.waiting.len()
     }
 
     /// A lease, where it still holds. It is to be asked right before acting: whoever sleeps between the two acts late,
     /// which only the epoch that goes with the act can tell.
-    pub fn holds(&self, lease: &str, now: Time) -> Option<HeldLease> {
+    pub fn held_lease(&self, lease: &str, now: Time) -> Option<HeldLease> {
         self.leases
             .get(lease)
             .copied()
-            .filter(|held| now < held.until && self.epoch == Some(held.epoch))
+            .filter(|held| now < held.expires_at && self.epoch == Some(held.epoch))
     }
 
-    /// When [`Client::turn`] is wanted.
+    /// When [`Client::next_message`] is wanted.
     pub fn next_due(&self, now: Time) -> Option<Time> {
         self.waiting.front()?;
         Some(self.asked.map_or(now, |(_, again)| again))
     }
 
     /// What to send now, and to which voter.
-    pub fn turn(&mut self, now: Time) -> Option<(u64, WireMessage)> {
+    pub fn next_message(&mut self, now: Time) -> Option<(u64, WireMessage)> {
         let (number, command) = self.waiting.front().cloned()?;
         match self.asked {
             Some((_, again)) if now < again => return None,
@@ -111,22 +111,22 @@
         }
         let to = *self.voters.get(self.leader)?;
         let asked = Request {
-            name: self.name.clone(),
-            boot: self.boot,
-            number,
+            client: self.name.clone(),
+            boot_id: self.boot,
+            sequence: number,
             command,
         };
         Some((to, WireMessage::Request(asked)))
     }
 
     /// Takes what a voter says.
-    pub fn hear(&mut self, now: Time, wire: WireMessage) -> Option<Notification> {
+    pub fn handle_message(&mut self, now: Time, wire: WireMessage) -> Option<Notification> {
         match wire {
             WireMessage::Response {
-                name,
-                boot,
-                number,
-                answer,
+                client: name,
+                boot_id: boot,
+                sequence: number,
+                response: answer,
             } if name == self.name && boot == self.boot => {
                 let (front, command) = self.waiting.front().cloned()?;
                 if front != number {
@@ -137,8 +137,8 @@
                 Some(self.answered(first, number, command, answer))
             }
             WireMessage::NotLeader {
-                name,
-                number,
+                client: name,
+                sequence: number,
                 leader,
             } if name == self.name => {
                 if self.waiting.front().map(|w| w.0) == Some(number)
@@ -184,7 +184,7 @@
                     lease.clone(),
                     HeldLease {
                         epoch: *epoch,
-                        until,
+                        expires_at: until,
                     },
                 );
             }
@@ -204,7 +204,7 @@
     /// Gives a lease back: it is not relied on from now on.
     pub fn release(&mut self, lease: &str) -> Option<u64> {
         let held = self.leases.remove(lease)?;
-        self.ask(Command::ReleaseLease {
+        self.submit(Command::ReleaseLease {
             lease: lease.to_string(),
             epoch: held.epoch,
         })
@@ -221,21 +221,21 @@
         number: u64,
         answer: Response,
     ) -> Option<Notification> {
-        client.hear(
+        client.handle_message(
             now,
             WireMessage::Response {
-                name: "a".into(),
-                boot: 7,
-                number,
-                answer,
+                client: "a".into(),
+                boot_id: 7,
+                sequence: number,
+                response: answer,
             },
         )
     }
 
     fn with_epoch() -> Client {
         let mut client = Client::new("a", 7, vec![1, 2, 3], 100);
-        client.ask(Command::NewEpoch);
-        client.turn(0);
+        client.submit(Command::NewEpoch);
+        client.next_message(0);
         answer(&mut client, 5, 1, Response::Epoch(4));
         client
     }
@@ -251,64 +251,68 @@
     #[test]
     fn a_lease_counts_from_when_it_was_first_asked_less_what_clocks_may_differ() {
         let mut client = with_epoch();
-        let number = client.ask(acquire()).unwrap();
-        assert_eq!(client.turn(1_000).unwrap().0, 1);
-        assert!(client.turn(1_050).is_none());
-        assert_eq!(client.turn(1_100).unwrap().0, 2, "no answer: another voter");
-        assert!(client.holds("l", 1_100).is_none());
+        let number = client.submit(acquire()).unwrap();
+        assert_eq!(client.next_message(1_000).unwrap().0, 1);
+        assert!(client.next_message(1_050).is_none());
+        assert_eq!(
+            client.next_message(1_100).unwrap().0,
+            2,
+            "no answer: another voter"
+        );
+        assert!(client.held_lease("l", 1_100).is_none());
         answer(&mut client, 2_000, number, Response::Granted);
         assert_eq!(
-            client.holds("l", 7_299),
+            client.held_lease("l", 7_299),
             Some(HeldLease {
                 epoch: 4,
-                until: 7_300
+                expires_at: 7_300
             })
         );
-        assert!(client.holds("l", 7_300).is_none());
+        assert!(client.held_lease("l", 7_300).is_none());
     }
 
     /// Seed 1593 of the drawn days: given back while a question for more time on it was under way.
     #[test]
     fn a_lease_that_is_to_be_given_back_is_not_relied_on_again() {
         let mut client = with_epoch();
-        let first = client.ask(acquire()).unwrap();
-        client.turn(0);
+        let first = client.submit(acquire()).unwrap();
+        client.next_message(0);
         answer(&mut client, 10, first, Response::Granted);
-        let more = client.ask(acquire()).unwrap();
-        client.turn(20);
+        let more = client.submit(acquire()).unwrap();
+        client.next_message(20);
         client.release("l");
         answer(&mut client, 30, more, Response::Granted);
-        assert!(client.holds("l", 40).is_none());
+        assert!(client.held_lease("l", 40).is_none());
     }
 
     #[test]
     fn a_fenced_run_holds_nothing_any_more() {
         let mut client = with_epoch();
-        let first = client.ask(acquire()).unwrap();
-        client.turn(0);
+        let first = client.submit(acquire()).unwrap();
+        client.next_message(0);
         answer(&mut client, 10, first, Response::Granted);
-        let more = client.ask(acquire()).unwrap();
-        client.turn(20);
+        let more = client.submit(acquire()).unwrap();
+        client.next_message(20);
         assert_eq!(
             answer(&mut client, 30, more, Response::Fenced { epoch: 9 }),
             Some(Notification::Fenced)
         );
-        assert!(client.holds("l", 40).is_none() && client.epoch().is_none());
+        assert!(client.held_lease("l", 40).is_none() && client.epoch().is_none());
     }
 
     #[test]
     fn an_answer_to_another_run_or_question_is_passed_over() {
         let mut client = with_epoch();
-        let number = client.ask(acquire()).unwrap();
-        client.turn(0);
+        let number = client.submit(acquire()).unwrap();
+        client.next_message(0);
         assert!(answer(&mut client, 5, number + 1, Response::Granted).is_none());
         let wire = WireMessage::Response {
-            name: "a".into(),
-            boot: 6,
-            number,
-            answer: Response::Granted,
+            client: "a".into(),
+            boot_id: 6,
+            sequence: number,
+            response: Response::Granted,
         };
-        assert!(client.hear(5, wire).is_none());
-        assert!(client.holds("l", 6).is_none());
+        assert!(client.handle_message(5, wire).is_none());
+        assert!(client.held_lease("l", 6).is_none());
     }
 }
--- a/crates/pipithub-council/src/state.rs
+++ b/crates/pipithub-council/src/state.rs
@@ -48,11 +48,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
     /// The front end.
-    pub name: String,
+    pub client: String,
     /// Its run.
-    pub boot: u64,
+    pub boot_id: u64,
     /// Counts its commands.
-    pub number: u64,
+    pub sequence: u64,
     /// What it asks.
     pub command: Command,
 }
@@ -63,7 +63,7 @@
     /// The log's time, as its leader stamped it.
     pub at: Time,
     /// The command.
-    pub asked: Request,
+    pub request: Request,
 }
 
 /// What became of a command.
@@ -147,11 +147,11 @@
         // A leader that was just elected may stamp less than the one before: time never goes back.
         self.clock = self.clock.max(entry.at);
         let Request {
-            name,
-            boot,
-            number,
+            client: name,
+            boot_id: boot,
+            sequence: number,
             command,
-        } = &entry.asked;
+        } = &entry.request;
         if *command == Command::AdvanceClock {
             let clock = self.clock;
             self.leases.retain(|_, l| l.expires_at > clock);
@@ -260,10 +260,10 @@
     fn ask(state: &mut State, at: Time, name: &str, number: u64, command: Command) -> Response {
         state.apply(&TimestampedRequest {
             at,
-            asked: Request {
-                name: name.into(),
-                boot: 1,
-                number,
+            request: Request {
+                client: name.into(),
+                boot_id: 1,
+                sequence: number,
                 command,
             },
         })
--- a/crates/pipithub-council/src/voter.rs
+++ b/crates/pipithub-council/src/voter.rs
@@ -57,20 +57,20 @@
     /// Its answer.
     Response {
         /// Whose question.
-        name: String,
+        client: String,
         /// Of which run.
-        boot: u64,
+        boot_id: u64,
         /// Which.
-        number: u64,
+        sequence: u64,
         /// The answer.
-        answer: Response,
+        response: Response,
     },
     /// Not here: this voter leads nothing; who does, as far as it knows.
     NotLeader {
         /// Whose question.
-        name: String,
+        client: String,
         /// Which.
-        number: u64,
+        sequence: u64,
         /// The leader.
         leader: Option<u64>,
     },
@@ -102,9 +102,9 @@
     /// Send to a front end, by its name.
     Reply {
         /// Which.
-        name: String,
+        client: String,
         /// What.
-        wire: WireMessage,
+        message: WireMessage,
     },
     /// Store, in order, and say so.
     Persist(WriteBatch),
@@ -115,7 +115,7 @@
         /// Its term.
         term: u64,
         /// The entry; `None` where the engine put it there.
-        entry: Option<TimestampedRequest>,
+        request: Option<TimestampedRequest>,
     },
     /// The state was taken from another voter's snapshot.
     SnapshotRestored {
@@ -125,7 +125,7 @@
     /// This voter leads, or does no longer.
     LeadershipChanged {
         /// Whether.
-        leads: bool,
+        is_leader: bool,
         /// In which term.
         term: u64,
     },
@@ -286,9 +286,9 @@
                     self.idle += 1;
                     if self.leads && self.idle >= CLOCK_TICKS {
                         let asked = Request {
-                            name: String::new(),
-                            boot: 0,
-                            number: 0,
+                            client: String::new(),
+                            boot_id: 0,
+                            sequence: 0,
                             command: Command::AdvanceClock,
                         };
                         self.propose(asked);
@@ -303,7 +303,7 @@
         self.idle = 0;
         let stamped = TimestampedRequest {
             at: self.log_time(),
-            asked,
+            request: asked,
         };
         let Ok(data) = postcard::to_stdvec(&stamped) else {
             return false;
@@ -314,7 +314,7 @@
     }
 
     fn ask(&mut self, asked: Request, out: &mut Vec<Output>) {
-        let (name, number) = (asked.name.clone(), asked.number);
+        let (name, number) = (asked.client.clone(), asked.sequence);
         // Clock entries are leaders' own.
         if asked.command == Command::AdvanceClock || self.leads && self.propose(asked) {
             return;
@@ -322,10 +322,10 @@
         let leader =
             Some(self.node.raft.leader_id).filter(|id| *id != 0 && *id != self.settings.id);
         out.push(Output::Reply {
-            name: name.clone(),
-            wire: WireMessage::NotLeader {
-                name,
-                number,
+            client: name.clone(),
+            message: WireMessage::NotLeader {
+                client: name,
+                sequence: number,
                 leader,
             },
         });
@@ -392,7 +392,7 @@
             self.stamp = (newest.max(self.state.clock()), self.now);
             self.under_way = 0;
             out.push(Output::LeadershipChanged {
-                leads,
+                is_leader: leads,
                 term: self.node.raft.term,
             });
         }
@@ -409,25 +409,28 @@
         out.push(Output::Applied {
             index: entry.index,
             term: entry.term,
-            entry: stamped.clone(),
+            request: stamped.clone(),
         });
         let Some(stamped) = stamped else { return };
         let answer = self.state.apply(&stamped);
         self.under_way = self.under_way.saturating_sub(1);
         let Request {
-            name,
-            boot,
-            number,
+            client: name,
+            boot_id: boot,
+            sequence: number,
             command,
-        } = stamped.asked;
+        } = stamped.request;
         if self.leads && command != Command::AdvanceClock {
             let wire = WireMessage::Response {
-                name: name.clone(),
-                boot,
-                number,
-                answer,
+                client: name.clone(),
+                boot_id: boot,
+                sequence: number,
+                response: answer,
             };
-            out.push(Output::Reply { name, wire });
+            out.push(Output::Reply {
+                client: name,
+                message: wire,
+            });
         }
     }
 
--- a/crates/pipithub-council/tests/growth.rs
+++ b/crates/pipithub-council/tests/growth.rs
@@ -95,9 +95,9 @@
             self.input(
                 leader,
                 Input::Request(Request {
-                    name,
-                    boot: 1,
-                    number: self.number,
+                    client: name,
+                    boot_id: 1,
+                    sequence: self.number,
                     command,
                 }),
             );
--- a/crates/pipithub-council/tests/seeds.rs
+++ b/crates/pipithub-council/tests/seeds.rs
@@ -170,7 +170,10 @@
         for output in out {
             match output {
                 Output::Send { to, bytes } => self.net.send(n, to as usize - 1, Mail::Raft(bytes)),
-                Output::Reply { name, wire } => {
+                Output::Reply {
+                    client: name,
+                    message: wire,
+                } => {
                     let asker: usize = name[6..].parse().unwrap();
                     self.net.send(n, self.seats.len() + asker, Mail::Wire(wire));
                 }
@@ -184,7 +187,11 @@
                     };
                     self.net.send(n, n, Mail::Stored(starts, batch));
                 }
-                Output::Applied { index, term, entry } => {
+                Output::Applied {
+                    index,
+                    term,
+                    request: entry,
+                } => {
                     self.applied += 1;
                     let told = format!("{term} {entry:?}");
                     let first = self.agreed.entry(index).or_insert_with(|| told.clone());
@@ -194,7 +201,10 @@
                         ));
                     }
                 }
-                Output::LeadershipChanged { leads: true, term } => {
+                Output::LeadershipChanged {
+                    is_leader: true,
+                    term,
+                } => {
                     let first = *self.leaders.entry(term).or_insert(n);
                     if first != n {
                         self.breaches
@@ -213,9 +223,9 @@
         let process = self.seats.len() + a;
         let (now, real) = (self.local(process), self.net.now());
         if let Some(wire) = heard {
-            match self.askers[a].core.hear(now, wire) {
+            match self.askers[a].core.handle_message(now, wire) {
                 Some(Notification::Response(_, Response::Granted)) => self.granted += 1,
-                Some(Notification::Fenced) => drop(self.askers[a].core.ask(Command::NewEpoch)),
+                Some(Notification::Fenced) => drop(self.askers[a].core.submit(Command::NewEpoch)),
                 _ => {}
             }
         }
@@ -225,11 +235,11 @@
             let give_back = self.net.rng.random::<f64>() < 0.1;
             let asker = &mut self.askers[a];
             asker.next = real + pause;
-            if asker.core.waiting() < 3 {
+            if asker.core.pending_requests() < 3 {
                 match asker.core.epoch() {
-                    None => drop(asker.core.ask(Command::NewEpoch)),
+                    None => drop(asker.core.submit(Command::NewEpoch)),
                     Some(_) if give_back => drop(asker.core.release(&lease)),
-                    Some(epoch) => drop(asker.core.ask(Command::AcquireLease {
+                    Some(epoch) => drop(asker.core.submit(Command::AcquireLease {
                         lease,
                         epoch,
                         duration: LENGTH,
@@ -237,7 +247,7 @@
                 }
             }
         }
-        while let Some((to, wire)) = self.askers[a].core.turn(now) {
+        while let Some((to, wire)) = self.askers[a].core.next_message(now) {
             self.net.send(process, to as usize - 1, Mail::Wire(wire));
         }
         let due = self.askers[a]
@@ -260,7 +270,7 @@
             };
             let holds = |n: &usize| {
                 let now = self.local(self.seats.len() + n).saturating_sub(late);
-                self.askers[*n].core.holds(lease, now).is_some()
+                self.askers[*n].core.held_lease(lease, now).is_some()
             };
             let holders: Vec<usize> = (0..self.askers.len()).filter(holds).collect();
             if holders.len() > 1 && self.breaches.len() < 50 {
@@ -454,7 +464,7 @@
     // While one is away the others agree on more than a log may hold.
     for _ in 0..900 {
         for asker in &mut world.askers {
-            let _ = asker.core.ask(Command::SetSettings {
+            let _ = asker.core.submit(Command::SetSettings {
                 version: 1,
                 digest: 0,
             });
