--- a/crates/pipithub-bench/src/scale/council.rs
+++ b/crates/pipithub-bench/src/scale/council.rs
@@ -71,7 +71,7 @@
     }
 
     fn leader(&self) -> Option<usize> {
-        self.voters.iter().position(|v| v.leads().0)
+        self.voters.iter().position(|v| v.leadership().is_leader)
     }
 
     fn pump(&mut self) {
@@ -164,7 +164,7 @@
                 }
             }
         }
-        let leads = core.leads().0;
+        let leads = core.leadership().is_leader;
         net.set_timer(n, Some(core.next_due().max(now + 1)));
         match died {
             Some(at) if leads => return Ok(Some((now - at) as f64 / 1e9)),
--- a/crates/pipithub-council/src/client.rs
+++ b/crates/pipithub-council/src/client.rs
@@ -1,75 +1,113 @@
-//! A front end's side: questions that are repeated until answered once, and leases by its own clock.
+//! The client of a front end: requests that are retried until they have a response, and leases by the local clock.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::Time;
-use crate::state::{Command, Request, Response};
-use crate::voter::WireMessage;
+use crate::command::{Command, Request, Response};
+use crate::message::WireMessage;
 
-/// Questions that wait; further ones are not taken.
-const WAITING: usize = 1_024;
-/// Of a lease's time so much is not used: clocks of two machines differ in rate, by far less.
-const DRIFT: u64 = 64;
+/// Most requests without a response; further ones are rejected.
+const MAX_PENDING: usize = 1_024;
+/// One part in so many of a lease's duration is not used, because the clocks of two machines differ in rate, by far less.
+const DRIFT_DIVISOR: u64 = 64;
 
 /// A lease as its holder may rely on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldLease {
-    /// Under which epoch it was granted.
+    /// Epoch that it was granted under.
     pub epoch: u64,
-    /// Until when, by the holder's own clock.
+    /// When it expires, by the holder's own clock.
     pub expires_at: Time,
 }
 
-/// What a client is told.
+/// A message to one voter.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct OutgoingMessage {
+    /// Id of the voter.
+    pub voter: u64,
+    /// The message.
+    pub message: WireMessage,
+}
+
+/// What a client reports to its front end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notification {
-    /// The answer to a question, by its number.
-    Response(u64, Response),
-    /// The epoch is over: stop acting at once.
+    /// A request has its response.
+    Response {
+        /// Sequence number of the request.
+        sequence: u64,
+        /// The response.
+        response: Response,
+    },
+    /// The epoch is over: the front end must stop acting at once.
     Fenced,
 }
 
-/// One front end's questions. They are asked one at a time, in order, so that the council can tell repeats.
+/// A request without a response.
+#[derive(Clone, Debug)]
+struct PendingRequest {
+    sequence: u64,
+    command: Command,
+}
+
+/// The request that was sent last.
+#[derive(Clone, Copy, Debug)]
+struct InFlight {
+    first_sent: Time,
+    retry_at: Time,
+}
+
+/// The client of one front end. Requests are sent one at a time, in order, so that the consensus group recognises retries.
 #[derive(Debug)]
 pub struct Client {
     name: String,
-    boot: u64,
+    boot_id: u64,
     voters: Vec<u64>,
-    leader: usize,
-    number: u64,
-    waiting: VecDeque<(u64, Command)>,
-    /// The question under way: when it was first asked, and when it is asked again.
-    asked: Option<(Time, Time)>,
-    again: Time,
+    /// Index of the voter that requests are sent to.
+    target: usize,
+    last_sequence: u64,
+    pending: VecDeque<PendingRequest>,
+    in_flight: Option<InFlight>,
+    retry_interval: Time,
     epoch: Option<u64>,
     leases: BTreeMap<String, HeldLease>,
 }
 
 impl Client {
-    /// A run of a front end that knows the voters.
-    pub fn new(name: &str, boot: u64, voters: Vec<u64>, again: Time) -> Client {
+    /// The client of one run of a front end.
+    pub fn new(name: &str, boot_id: u64, voters: Vec<u64>, retry_interval: Time) -> Client {
         Client {
             name: name.to_string(),
-            boot,
+            boot_id,
             voters,
-            leader: 0,
-            number: 0,
-            waiting: VecDeque::new(),
-            asked: None,
-            again: again.max(1),
+            target: 0,
+            last_sequence: 0,
+            pending: VecDeque::new(),
+            in_flight: None,
+            retry_interval: retry_interval.max(1),
             epoch: None,
             leases: BTreeMap::new(),
         }
     }
 
-    /// Takes a question and gives its number; `None` where too many wait.
+    /// Submits a command and returns its sequence number; `None` where too many are pending.
     pub fn submit(&mut self, command: Command) -> Option<u64> {
-        if self.waiting.len() >= WAITING {
+        if self.pending.len() >= MAX_PENDING {
             return None;
         }
-        self.number += 1;
-        self.waiting.push_back((self.number, command));
-        Some(self.number)
+        self.last_sequence += 1;
+        let sequence = self.last_sequence;
+        self.pending.push_back(PendingRequest { sequence, command });
+        Some(sequence)
+    }
+
+    /// Releases a lease: it is not relied on from now on.
+    pub fn release(&mut self, lease: &str) -> Option<u64> {
+        let held = self.leases.remove(lease)?;
+        self.submit(Command::ReleaseLease {
+            lease: lease.to_string(),
+            epoch: held.epoch,
+        })
     }
 
     /// The epoch that this run acts under; `None` before it has one, and once it is fenced off.
@@ -77,92 +115,106 @@
         self.epoch
     }
 
-    /// Questions that are not answered.
+    /// How many requests have no response.
     pub fn pending_requests(&self) -> usize {
-        self.waiting.len()
+        self.pending.len()
     }
 
-    /// A lease, where it still holds. It is to be asked right before acting: whoever sleeps between the two acts late,
-    /// which only the epoch that goes with the act can tell.
+    /// A lease, where it is still held. It is to be checked right before acting: a process that is stalled between the two
+    /// acts late, which only the epoch that is sent with the act can reveal.
     pub fn held_lease(&self, lease: &str, now: Time) -> Option<HeldLease> {
-        self.leases
-            .get(lease)
-            .copied()
-            .filter(|held| now < held.expires_at && self.epoch == Some(held.epoch))
+        let held = *self.leases.get(lease)?;
+        let is_valid = now < held.expires_at && self.epoch == Some(held.epoch);
+        is_valid.then_some(held)
     }
 
     /// When [`Client::next_message`] is wanted.
     pub fn next_due(&self, now: Time) -> Option<Time> {
-        self.waiting.front()?;
-        Some(self.asked.map_or(now, |(_, again)| again))
+        self.pending.front()?;
+        Some(self.in_flight.map_or(now, |request| request.retry_at))
     }
 
-    /// What to send now, and to which voter.
-    pub fn next_message(&mut self, now: Time) -> Option<(u64, WireMessage)> {
-        let (number, command) = self.waiting.front().cloned()?;
-        match self.asked {
-            Some((_, again)) if now < again => return None,
-            // No answer: another voter may know more.
-            Some((first, _)) => {
-                self.leader = (self.leader + 1) % self.voters.len().max(1);
-                self.asked = Some((first, now + self.again));
+    /// The message to send now, if any.
+    pub fn next_message(&mut self, now: Time) -> Option<OutgoingMessage> {
+        let PendingRequest { sequence, command } = self.pending.front().cloned()?;
+        let retry_at = now + self.retry_interval;
+        let first_sent = match self.in_flight {
+            Some(request) if now < request.retry_at => return None,
+            Some(request) => {
+                // No response: another voter may know the leader.
+                self.target = (self.target + 1) % self.voters.len().max(1);
+                request.first_sent
             }
-            None => self.asked = Some((now, now + self.again)),
-        }
-        let to = *self.voters.get(self.leader)?;
-        let asked = Request {
+            None => now,
+        };
+        self.in_flight = Some(InFlight {
+            first_sent,
+            retry_at,
+        });
+        let voter = *self.voters.get(self.target)?;
+        let request = Request {
             client: self.name.clone(),
-            boot_id: self.boot,
-            sequence: number,
+            boot_id: self.boot_id,
+            sequence,
             command,
         };
-        Some((to, WireMessage::Request(asked)))
+        Some(OutgoingMessage {
+            voter,
+            message: WireMessage::Request(request),
+        })
     }
 
-    /// Takes what a voter says.
-    pub fn handle_message(&mut self, now: Time, wire: WireMessage) -> Option<Notification> {
-        match wire {
+    /// Handles a message of a voter.
+    pub fn handle_message(&mut self, now: Time, message: WireMessage) -> Option<Notification> {
+        match message {
             WireMessage::Response {
-                client: name,
-                boot_id: boot,
-                sequence: number,
-                response: answer,
-            } if name == self.name && boot == self.boot => {
-                let (front, command) = self.waiting.front().cloned()?;
-                if front != number {
-                    return None;
-                }
-                self.waiting.pop_front();
-                let (first, _) = self.asked.take().unwrap_or((now, now));
-                Some(self.answered(first, number, command, answer))
+                client,
+                boot_id,
+                sequence,
+                response,
+            } if client == self.name && boot_id == self.boot_id => {
+                self.on_response(now, sequence, response)
             }
             WireMessage::NotLeader {
-                client: name,
-                sequence: number,
+                client,
+                sequence,
                 leader,
-            } if name == self.name => {
-                if self.waiting.front().map(|w| w.0) == Some(number)
-                    && let Some((first, _)) = self.asked
-                    && let Some(at) = leader.and_then(|l| self.voters.iter().position(|v| *v == l))
-                {
-                    // The turn goes one further before it asks.
-                    self.leader = (at + self.voters.len() - 1) % self.voters.len();
-                    self.asked = Some((first, now));
-                }
+            } if client == self.name => {
+                self.on_not_leader(now, sequence, leader);
                 None
             }
             _ => None,
         }
     }
 
-    fn answered(
+    /// Sends the request to the leader next, without waiting for the retry.
+    fn on_not_leader(&mut self, now: Time, sequence: u64, leader: Option<u64>) {
+        if self.pending.front().map(|request| request.sequence) != Some(sequence) {
+            return;
+        }
+        let index = leader.and_then(|id| self.voters.iter().position(|voter| *voter == id));
+        if let Some(index) = index
+            && let Some(request) = &mut self.in_flight
+        {
+            // A retry goes to the next voter, so the target is set to the one before the leader.
+            self.target = (index + self.voters.len() - 1) % self.voters.len();
+            request.retry_at = now;
+        }
+    }
+
+    fn on_response(
         &mut self,
-        first: Time,
-        number: u64,
-        command: Command,
-        answer: Response,
-    ) -> Notification {
-        match (&command, &answer) {
+        now: Time,
+        sequence: u64,
+        response: Response,
+    ) -> Option<Notification> {
+        if self.pending.front()?.sequence != sequence {
+            return None;
+        }
+        let request = self.pending.pop_front()?;
+        let in_flight = self.in_flight.take();
+        let first_sent = in_flight.map_or(now, |request| request.first_sent);
+        match (request.command, &response) {
             (Command::NewEpoch, Response::Epoch(epoch)) => self.epoch = Some(*epoch),
             (
                 Command::AcquireLease {
@@ -171,148 +223,36 @@
                     duration,
                 },
                 Response::Granted,
-            ) => {
-                // What is to be given back is not relied on: the log may give it to another before we hear of it.
-                let back =
-                    |c: &Command| matches!(c, Command::ReleaseLease { lease: l, .. } if l == lease);
-                if self.waiting.iter().any(|(_, c)| back(c)) {
-                    return Notification::Response(number, answer);
-                }
-                // From when it was first asked: the log took it in then at the earliest.
-                let until = first + duration - duration / DRIFT;
-                self.leases.insert(
-                    lease.clone(),
-                    HeldLease {
-                        epoch: *epoch,
-                        expires_at: until,
-                    },
-                );
+            ) => self.record_lease(lease, epoch, first_sent, duration),
+            (Command::ReleaseLease { lease, .. }, _) => {
+                self.leases.remove(&lease);
             }
-            (Command::ReleaseLease { lease, .. }, _) => drop(self.leases.remove(lease)),
             (Command::AcquireLease { epoch, .. }, Response::Fenced { .. })
-                if self.epoch == Some(*epoch) =>
+                if self.epoch == Some(epoch) =>
             {
                 self.epoch = None;
                 self.leases.clear();
-                return Notification::Fenced;
+                return Some(Notification::Fenced);
             }
             _ => {}
         }
-        Notification::Response(number, answer)
+        Some(Notification::Response { sequence, response })
     }
 
-    /// Gives a lease back: it is not relied on from now on.
-    pub fn release(&mut self, lease: &str) -> Option<u64> {
-        let held = self.leases.remove(lease)?;
-        self.submit(Command::ReleaseLease {
-            lease: lease.to_string(),
-            epoch: held.epoch,
-        })
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn answer(
-        client: &mut Client,
-        now: Time,
-        number: u64,
-        answer: Response,
-    ) -> Option<Notification> {
-        client.handle_message(
-            now,
-            WireMessage::Response {
-                client: "a".into(),
-                boot_id: 7,
-                sequence: number,
-                response: answer,
-            },
-        )
-    }
-
-    fn with_epoch() -> Client {
-        let mut client = Client::new("a", 7, vec![1, 2, 3], 100);
-        client.submit(Command::NewEpoch);
-        client.next_message(0);
-        answer(&mut client, 5, 1, Response::Epoch(4));
-        client
-    }
-
-    fn acquire() -> Command {
-        Command::AcquireLease {
-            lease: "l".into(),
-            epoch: 4,
-            duration: 6_400,
+    /// A lease counts from when it was first requested, because the log applied the request then at the earliest.
+    fn record_lease(&mut self, lease: String, epoch: u64, first_sent: Time, duration: Time) {
+        // A lease that is about to be released is not relied on: the log may grant it to another before this run hears of
+        // the release.
+        if self.is_release_pending(&lease) {
+            return;
         }
+        let expires_at = first_sent + duration - duration / DRIFT_DIVISOR;
+        self.leases.insert(lease, HeldLease { epoch, expires_at });
     }
 
-    #[test]
-    fn a_lease_counts_from_when_it_was_first_asked_less_what_clocks_may_differ() {
-        let mut client = with_epoch();
-        let number = client.submit(acquire()).unwrap();
-        assert_eq!(client.next_message(1_000).unwrap().0, 1);
-        assert!(client.next_message(1_050).is_none());
-        assert_eq!(
-            client.next_message(1_100).unwrap().0,
-            2,
-            "no answer: another voter"
-        );
-        assert!(client.held_lease("l", 1_100).is_none());
-        answer(&mut client, 2_000, number, Response::Granted);
-        assert_eq!(
-            client.held_lease("l", 7_299),
-            Some(HeldLease {
-                epoch: 4,
-                expires_at: 7_300
-            })
-        );
-        assert!(client.held_lease("l", 7_300).is_none());
-    }
-
-    /// Seed 1593 of the drawn days: given back while a question for more time on it was under way.
-    #[test]
-    fn a_lease_that_is_to_be_given_back_is_not_relied_on_again() {
-        let mut client = with_epoch();
-        let first = client.submit(acquire()).unwrap();
-        client.next_message(0);
-        answer(&mut client, 10, first, Response::Granted);
-        let more = client.submit(acquire()).unwrap();
-        client.next_message(20);
-        client.release("l");
-        answer(&mut client, 30, more, Response::Granted);
-        assert!(client.held_lease("l", 40).is_none());
-    }
-
-    #[test]
-    fn a_fenced_run_holds_nothing_any_more() {
-        let mut client = with_epoch();
-        let first = client.submit(acquire()).unwrap();
-        client.next_message(0);
-        answer(&mut client, 10, first, Response::Granted);
-        let more = client.submit(acquire()).unwrap();
-        client.next_message(20);
-        assert_eq!(
-            answer(&mut client, 30, more, Response::Fenced { epoch: 9 }),
-            Some(Notification::Fenced)
-        );
-        assert!(client.held_lease("l", 40).is_none() && client.epoch().is_none());
-    }
-
-    #[test]
-    fn an_answer_to_another_run_or_question_is_passed_over() {
-        let mut client = with_epoch();
-        let number = client.submit(acquire()).unwrap();
-        client.next_message(0);
-        assert!(answer(&mut client, 5, number + 1, Response::Granted).is_none());
-        let wire = WireMessage::Response {
-            client: "a".into(),
-            boot_id: 6,
-            sequence: number,
-            response: Response::Granted,
-        };
-        assert!(client.handle_message(5, wire).is_none());
-        assert!(client.held_lease("l", 6).is_none());
+    fn is_release_pending(&self, name: &str) -> bool {
+        self.pending.iter().any(|request| {
+            matches!(&request.command, Command::ReleaseLease { lease, .. } if lease == name)
+        })
     }
 }
--- a/crates/pipithub-council/src/lib.rs
+++ b/crates/pipithub-council/src/lib.rs
@@ -1,22 +1,29 @@
-//! What a fleet agrees on, without I/O.
+//! A consensus group without I/O: what a cluster agrees on.
 //!
-//! Three or five voters keep one log ([`Voter`], around the engine of `raft`); what it says becomes one small typed state
-//! ([`State`]): epochs of front ends, leases, versions of settings. Any front end asks through a [`Client`], which repeats a
-//! question until it is answered once. Time in the state is the log's own: it advances with what leaders stamp, never
-//! faster than real time, so that a lease ends for its holder, by the holder's own clock, before another can get it.
+//! Three or five voters replicate one log with Raft ([`Voter`], around the engine of `raft`). The log is applied to a small
+//! typed state ([`State`]): epochs of front ends, leases, versions of settings. Any front end sends its commands through a
+//! [`Client`], which retries a request until it has one response. Time in the state is the log's own: it advances with the
+//! timestamps of leaders and never faster than real time, so that a lease expires for its holder, by the holder's own
+//! clock, before another can acquire it.
 //!
 //! Sources: Ongaro, *Consensus: Bridging Theory and Practice* (2014); Gray and Cheriton, *Leases* (SOSP 1989). What was
-//! weighed, and what is promised, stands in `docs/council.md`.
+//! considered and what is guaranteed is described in `docs/council.md`.
 
 mod client;
+mod command;
 mod log;
+mod message;
 mod state;
+mod storage;
 mod voter;
 
-pub use client::{Client, HeldLease, Notification};
-pub use log::{LogEntry, StoredLog, WriteBatch};
-pub use state::{Command, Lease, Request, Response, State, TimestampedRequest};
-pub use voter::{Input, Output, Voter, VoterError, VoterSettings, WireMessage};
+pub use client::{Client, HeldLease, Notification, OutgoingMessage};
+pub use command::{Command, Request, Response, TimestampedRequest};
+pub use log::LogError;
+pub use message::{Input, Output, WireMessage};
+pub use state::{Lease, SettingsVersion, State};
+pub use storage::{LogEntry, StoredLog, WriteBatch};
+pub use voter::{Leadership, Voter, VoterError, VoterSettings};
 
-/// A point in time or a length of it, in nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Time = u64;
--- a/crates/pipithub-council/src/voter.rs
+++ b/crates/pipithub-council/src/voter.rs
@@ -1,482 +1,312 @@
-//! One voter: the engine, the log and the state that comes of it.
+//! One voter: the Raft engine, the log, and the state that results from it.
+
+mod ready;
 
 use std::collections::BTreeMap;
 
-use raft::eraftpb::{Entry, EntryType, Message, Snapshot};
-use raft::{Config, RawNode, StateRole};
+use raft::eraftpb::Message;
+use raft::{Config, RawNode};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use serde::{Deserialize, Serialize};
 
 use crate::Time;
-use crate::log::{Log, StoredLog, WriteBatch, decode, encode, encode_entry};
-use crate::state::{Command, Request, Response, State, TimestampedRequest};
+use crate::command::{Command, Request, TimestampedRequest};
+use crate::log::{Log, LogError, decode};
+use crate::message::{Input, Output, WireMessage};
+use crate::state::State;
+use crate::storage::StoredLog;
 
-/// Ticks without word of a leader before a voter stands, at the least; up to twice as many are drawn.
-const ELECTION: usize = 10;
-const HEARTBEAT: usize = 2;
-/// A snapshot is made after so many entries.
-const COMPACT: u64 = 1_000;
-/// Proposals under way at a leader; further ones are turned away.
-const UNDER_WAY: usize = 4_096;
-/// A leader stamps the time into the log after so many ticks without any entry.
+/// Sizes of a consensus group; one voter is for trials.
+const GROUP_SIZES: [usize; 3] = [1, 3, 5];
+/// Ticks without a message of a leader before a voter starts an election, at least; up to twice as many are drawn.
+const MIN_ELECTION_TICKS: usize = 10;
+/// Ticks between two heartbeats of a leader.
+const HEARTBEAT_TICKS: usize = 2;
+/// Largest message that carries entries.
+const MAX_MESSAGE_BYTES: u64 = 1 << 20;
+/// Most messages with entries in flight to one voter.
+const MAX_MESSAGES_IN_FLIGHT: usize = 64;
+/// Most bytes of entries that a leader holds uncommitted.
+const MAX_UNCOMMITTED_BYTES: u64 = 16 << 20;
+/// Most proposals in flight at a leader; further ones are rejected.
+const MAX_PROPOSALS_IN_FLIGHT: usize = 4_096;
+/// Ticks without a proposal after which a leader advances the log's time.
 const CLOCK_TICKS: u32 = 10;
+/// The election timeout is drawn anew every 2 to the power of this many ticks.
+const REDRAW_TICKS_LOG2: u32 = 6;
 
-/// How a voter is set up.
+/// Configuration of a voter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VoterSettings {
-    /// Its number, never used for another disk.
+    /// Its id, never reused for another disk.
     pub id: u64,
-    /// All voters at the start, this one included; three or five.
+    /// Ids of all voters at the start, this one included; three or five.
     pub voters: Vec<u64>,
-    /// How long a tick lasts.
+    /// Duration of a tick.
     pub tick: Time,
 }
 
+impl VoterSettings {
+    fn validate(&self) -> Result<(), VoterError> {
+        if !GROUP_SIZES.contains(&self.voters.len()) {
+            return Err(VoterError::InvalidSettings(
+                "a council has three or five voters (one for trying out)",
+            ));
+        }
+        if self.id == 0 || !self.voters.contains(&self.id) {
+            return Err(VoterError::InvalidSettings(
+                "this voter is not in the list of voters",
+            ));
+        }
+        if self.tick == 0 {
+            return Err(VoterError::InvalidSettings("a tick must last"));
+        }
+        Ok(())
+    }
+}
+
 /// Why a voter cannot start.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum VoterError {
-    /// Settings.
+    /// Its settings are invalid.
     #[error("{0}")]
     InvalidSettings(&'static str),
-    /// What its disk holds is no log. It must not start as an empty one: it would vote again where it has voted.
+    /// Its disk holds a damaged log. It must not start with an empty one: it could vote twice in one term.
     #[error("the council's log is damaged: {0}; replace this voter under a new number")]
-    DamagedLog(String),
-    /// The engine refuses.
+    DamagedLog(LogError),
+    /// The Raft engine does not start.
     #[error("the council's engine cannot start: {0}")]
     Engine(String),
 }
 
-/// What goes between voters and those who ask.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum WireMessage {
-    /// The engine's.
-    Raft(Vec<u8>),
-    /// A question.
-    Request(Request),
-    /// Its answer.
-    Response {
-        /// Whose question.
-        client: String,
-        /// Of which run.
-        boot_id: u64,
-        /// Which.
-        sequence: u64,
-        /// The answer.
-        response: Response,
-    },
-    /// Not here: this voter leads nothing; who does, as far as it knows.
-    NotLeader {
-        /// Whose question.
-        client: String,
-        /// Which.
-        sequence: u64,
-        /// The leader.
-        leader: Option<u64>,
-    },
+/// Whether a voter is the leader, as far as it knows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Leadership {
+    /// Whether it is the leader.
+    pub is_leader: bool,
+    /// The current term.
+    pub term: u64,
 }
 
-/// What comes in.
-#[derive(Clone, Debug)]
-pub enum Input {
-    /// A message of another voter's engine.
-    Raft(Vec<u8>),
-    /// A question of a front end.
-    Request(Request),
-    /// A batch is on disk, synced, and so are all before it.
-    Persisted(u64),
-    /// Time has passed.
-    Tick,
+/// The log's time at a moment of the local clock.
+#[derive(Clone, Copy, Debug)]
+struct ClockBase {
+    log_time: Time,
+    local_time: Time,
 }
 
-/// What to do.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Output {
-    /// Send to another voter.
-    Send {
-        /// Which.
-        to: u64,
-        /// What.
-        bytes: Vec<u8>,
-    },
-    /// Send to a front end, by its name.
-    Reply {
-        /// Which.
-        client: String,
-        /// What.
-        message: WireMessage,
-    },
-    /// Store, in order, and say so.
-    Persist(WriteBatch),
-    /// An entry was agreed and taken in here.
-    Applied {
-        /// Its place.
-        index: u64,
-        /// Its term.
-        term: u64,
-        /// The entry; `None` where the engine put it there.
-        request: Option<TimestampedRequest>,
-    },
-    /// The state was taken from another voter's snapshot.
-    SnapshotRestored {
-        /// It holds all up to this place.
-        index: u64,
-    },
-    /// This voter leads, or does no longer.
-    LeadershipChanged {
-        /// Whether.
-        is_leader: bool,
-        /// In which term.
-        term: u64,
-    },
-}
-
-/// One voter: no clock, socket, file or thread.
+/// One voter. It has no clock, socket, file or thread.
 pub struct Voter {
     settings: VoterSettings,
     node: RawNode<Log>,
     state: State,
     applied: u64,
-    /// Messages that may go only once a batch is stored.
-    held: BTreeMap<u64, Vec<Message>>,
-    /// The batch whose snapshot must be stored before the engine may count it as taken in.
-    restoring: Option<u64>,
+    /// Messages that may only be sent once the batch of that number is on disk.
+    awaiting_persistence: BTreeMap<u64, Vec<Message>>,
+    /// The batch with a received snapshot; until it is on disk the engine may not count the snapshot as applied.
+    restoring_batch: Option<u64>,
     seed: u64,
     ticks: u64,
-    leads: bool,
-    ticked: Time,
+    is_leader: bool,
+    last_tick: Time,
     now: Time,
-    /// The log's time as this leader has it: its base, and the own time that belongs to it.
-    stamp: (Time, Time),
-    idle: u32,
-    under_way: usize,
+    /// Where the log's time began when this voter's role last changed.
+    clock_base: ClockBase,
+    ticks_since_proposal: u32,
+    proposals_in_flight: usize,
 }
 
 impl Voter {
-    /// A voter that starts from what its disk holds.
+    /// A voter that starts from what is on its disk. `seed` determines its election timeouts.
     pub fn new(
         settings: VoterSettings,
-        disk: &StoredLog,
+        stored: &StoredLog,
         now: Time,
         seed: u64,
     ) -> Result<Voter, VoterError> {
-        if ![1, 3, 5].contains(&settings.voters.len()) {
-            return Err(VoterError::InvalidSettings(
-                "a council has three or five voters (one for trying out)",
-            ));
-        }
-        if settings.id == 0 || !settings.voters.contains(&settings.id) {
-            return Err(VoterError::InvalidSettings(
-                "this voter is not in the list of voters",
-            ));
-        }
-        if settings.tick == 0 {
-            return Err(VoterError::InvalidSettings("a tick must last"));
-        }
-        let log = Log::load(disk, &settings.voters).map_err(VoterError::DamagedLog)?;
-        let data = log.snapshot.get_data();
-        let state = if data.is_empty() {
-            State::default()
-        } else {
-            postcard::from_bytes(data).map_err(|e| VoterError::DamagedLog(e.to_string()))?
-        };
+        settings.validate()?;
+        let log = Log::load(stored, &settings.voters).map_err(VoterError::DamagedLog)?;
+        let state = decode_state(log.snapshot.get_data())?;
         let applied = log.snapshot.get_metadata().index;
-        let config = Config {
-            id: settings.id,
-            election_tick: ELECTION,
-            heartbeat_tick: HEARTBEAT,
-            applied,
-            max_size_per_msg: 1 << 20,
-            max_inflight_msgs: 64,
-            // A leader that cannot reach a majority stands down; one that was away disturbs no one when it comes back.
-            check_quorum: true,
-            pre_vote: true,
-            max_uncommitted_size: 16 << 20,
-            ..Config::default()
-        };
+        let config = engine_config(settings.id, applied);
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let node =
-            RawNode::new(&config, log, &logger).map_err(|e| VoterError::Engine(e.to_string()))?;
+        let node = RawNode::new(&config, log, &logger)
+            .map_err(|error| VoterError::Engine(error.to_string()))?;
         let mut voter = Voter {
             settings,
             node,
             state,
             applied,
-            held: BTreeMap::new(),
-            restoring: None,
+            awaiting_persistence: BTreeMap::new(),
+            restoring_batch: None,
             seed,
             ticks: 0,
-            leads: false,
-            ticked: now,
+            is_leader: false,
+            last_tick: now,
             now,
-            stamp: (0, now),
-            idle: 0,
-            under_way: 0,
+            clock_base: ClockBase {
+                log_time: 0,
+                local_time: now,
+            },
+            ticks_since_proposal: 0,
+            proposals_in_flight: 0,
         };
-        voter.draw();
+        voter.draw_election_timeout();
         Ok(voter)
     }
 
-    /// The engine draws its patience from the system, anew at each change of its role; drawn here instead, from the
-    /// seed, the term and the ticks, equal seeds give equal runs.
-    fn draw(&mut self) {
-        let from = self.seed ^ self.node.raft.term.rotate_left(32) ^ (self.ticks >> 6);
-        let drawn = SmallRng::seed_from_u64(from).random_range(ELECTION..2 * ELECTION);
-        self.node.raft.set_randomized_election_timeout(drawn);
+    /// The engine draws its election timeout from the operating system at each change of its role. Drawn here instead, from
+    /// the seed, the term and the ticks, equal seeds give equal runs.
+    fn draw_election_timeout(&mut self) {
+        let term = self.node.raft.term;
+        let seed = self.seed ^ term.rotate_left(32) ^ (self.ticks >> REDRAW_TICKS_LOG2);
+        let timeout =
+            SmallRng::seed_from_u64(seed).random_range(MIN_ELECTION_TICKS..2 * MIN_ELECTION_TICKS);
+        self.node.raft.set_randomized_election_timeout(timeout);
     }
 
-    /// The state as taken in so far. It may be older than what the majority has.
+    /// The state as applied here. It may be older than the majority's.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// Whether this voter believes to lead, and in which term.
-    pub fn leads(&self) -> (bool, u64) {
-        (self.leads, self.node.raft.term)
+    /// Whether this voter believes that it is the leader, and in which term.
+    pub fn leadership(&self) -> Leadership {
+        Leadership {
+            is_leader: self.is_leader,
+            term: self.node.raft.term,
+        }
     }
 
-    /// How many entries were taken in.
+    /// Index of the last entry that was applied.
     pub fn applied(&self) -> u64 {
         self.applied
     }
 
     /// When [`Input::Tick`] is wanted.
     pub fn next_due(&self) -> Time {
-        self.ticked + self.settings.tick
+        self.last_tick + self.settings.tick
     }
 
-    /// The log's time now, as this leader has it: what stood in the log when it was elected, and what has passed
-    /// since by its own clock. So it never runs faster than real time, whoever leads.
+    /// The log's time now, as this leader computes it: what was in the log when it was elected, and what has passed since
+    /// by its own clock. So it never runs faster than real time, whoever leads.
     fn log_time(&self) -> Time {
-        self.stamp.0 + self.now.saturating_sub(self.stamp.1)
+        let elapsed = self.now.saturating_sub(self.clock_base.local_time);
+        self.clock_base.log_time + elapsed
     }
 
-    /// Takes one input and appends what to do about it.
+    /// Handles one input and appends the effects to `out`.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         match input {
-            Input::Raft(bytes) => {
-                // A message that cannot be read, or is not for us, is as good as lost.
-                if let Ok(message) = decode::<Message>(&bytes)
-                    && message.to == self.settings.id
-                {
-                    let _ = self.node.step(message);
-                }
-            }
-            Input::Request(asked) => self.ask(asked, out),
-            Input::Persisted(number) => {
-                self.node.on_persist_ready(number);
-                if self.restoring.is_some_and(|n| n <= number) {
-                    self.restoring = None;
-                    self.node.advance_apply_to(self.applied);
-                }
-                let done: Vec<u64> = self.held.range(..=number).map(|(n, _)| *n).collect();
-                for number in done {
-                    for message in self.held.remove(&number).unwrap_or_default() {
-                        send(&message, out);
-                    }
-                }
-            }
-            Input::Tick => {
-                // One tick for a call: a voter that slept must not believe that all its ticks were silence.
-                if self.now >= self.next_due() {
-                    self.ticked = self.now;
-                    self.ticks += 1;
-                    self.node.tick();
-                    self.idle += 1;
-                    if self.leads && self.idle >= CLOCK_TICKS {
-                        let asked = Request {
-                            client: String::new(),
-                            boot_id: 0,
-                            sequence: 0,
-                            command: Command::AdvanceClock,
-                        };
-                        self.propose(asked);
-                    }
-                }
-            }
+            Input::Raft(bytes) => self.on_raft_message(&bytes),
+            Input::Request(request) => self.on_request(request, out),
+            Input::Persisted(number) => self.on_persisted(number, out),
+            Input::Tick => self.on_tick(),
         }
-        self.turn(out);
+        self.process_ready(out);
     }
 
-    fn propose(&mut self, asked: Request) -> bool {
-        self.idle = 0;
-        let stamped = TimestampedRequest {
-            at: self.log_time(),
-            request: asked,
-        };
-        let Ok(data) = postcard::to_stdvec(&stamped) else {
-            return false;
-        };
-        let taken = self.under_way < UNDER_WAY && self.node.propose(Vec::new(), data).is_ok();
-        self.under_way += usize::from(taken);
-        taken
+    /// A message that cannot be decoded, or is for another voter, counts as lost.
+    fn on_raft_message(&mut self, bytes: &[u8]) {
+        if let Ok(message) = decode::<Message>(bytes)
+            && message.to == self.settings.id
+        {
+            let _ = self.node.step(message);
+        }
     }
 
-    fn ask(&mut self, asked: Request, out: &mut Vec<Output>) {
-        let (name, number) = (asked.client.clone(), asked.sequence);
-        // Clock entries are leaders' own.
-        if asked.command == Command::AdvanceClock || self.leads && self.propose(asked) {
+    fn on_request(&mut self, request: Request, out: &mut Vec<Output>) {
+        // Clock entries are proposed by leaders alone.
+        if request.command == Command::AdvanceClock {
             return;
         }
-        let leader =
-            Some(self.node.raft.leader_id).filter(|id| *id != 0 && *id != self.settings.id);
-        out.push(Output::Reply {
-            client: name.clone(),
-            message: WireMessage::NotLeader {
-                client: name,
-                sequence: number,
-                leader,
-            },
-        });
-    }
-
-    /// Carries out what the engine has ready.
-    fn turn(&mut self, out: &mut Vec<Output>) {
-        self.draw();
-        while self.node.has_ready() {
-            let mut ready = self.node.ready();
-            for message in ready.take_messages() {
-                send(&message, out);
-            }
-            let mut batch = WriteBatch {
-                number: ready.number(),
-                ..WriteBatch::default()
-            };
-            if !ready.snapshot().is_empty() {
-                let snapshot = ready.snapshot().clone();
-                batch.snapshot = Some(encode(&snapshot));
-                self.restoring = Some(batch.number);
-                self.restore(snapshot, out);
-            }
-            for entry in ready.take_committed_entries() {
-                self.apply(&entry, out);
-            }
-            if !ready.entries().is_empty() {
-                batch.entries = ready.entries().iter().map(encode_entry).collect();
-                self.node.mut_store().append(ready.entries());
-            }
-            if let Some(hard) = ready.hs() {
-                batch.hard_state = Some(encode(hard));
-                self.node.mut_store().hard_state = hard.clone();
-            }
-            let held = ready.take_persisted_messages();
-            let number = ready.number();
-            self.node.advance_append_async(ready);
-            // Even an empty one is stored in turn: the engine counts them all.
-            self.held.insert(number, held);
-            out.push(Output::Persist(batch));
-            if self.restoring.is_none() {
-                self.node.advance_apply_to(self.applied);
-            }
+        let (client, sequence) = (request.client.clone(), request.sequence);
+        if self.is_leader && self.propose(request) {
+            return;
         }
-        self.lead(out);
-        self.compact(out);
+        let known_leader = Some(self.node.raft.leader_id);
+        let leader = known_leader.filter(|id| *id != 0 && *id != self.settings.id);
+        let message = WireMessage::NotLeader {
+            client: client.clone(),
+            sequence,
+            leader,
+        };
+        out.push(Output::Reply { client, message });
     }
 
-    fn lead(&mut self, out: &mut Vec<Output>) {
-        let leads = self.node.raft.state == StateRole::Leader;
-        if leads != self.leads {
-            self.leads = leads;
-            // All that was ever stamped and may be agreed on stands in this log.
-            let stamped =
-                |e: &Entry| postcard::from_bytes::<TimestampedRequest>(&e.data).map_or(0, |s| s.at);
-            let newest = self
-                .node
-                .store()
-                .entries
-                .iter()
-                .map(stamped)
-                .max()
-                .unwrap_or(0);
-            self.stamp = (newest.max(self.state.clock()), self.now);
-            self.under_way = 0;
-            out.push(Output::LeadershipChanged {
-                is_leader: leads,
-                term: self.node.raft.term,
-            });
+    fn on_persisted(&mut self, number: u64, out: &mut Vec<Output>) {
+        self.node.on_persist_ready(number);
+        if self.restoring_batch.is_some_and(|batch| batch <= number) {
+            self.restoring_batch = None;
+            self.node.advance_apply_to(self.applied);
         }
-    }
-
-    fn apply(&mut self, entry: &Entry, out: &mut Vec<Output>) {
-        self.applied = self.applied.max(entry.index);
-        let stamped = match entry.get_entry_type() {
-            EntryType::EntryNormal if !entry.data.is_empty() => {
-                postcard::from_bytes::<TimestampedRequest>(&entry.data).ok()
+        while let Some(entry) = self.awaiting_persistence.first_entry()
+            && *entry.key() <= number
+        {
+            for message in entry.remove() {
+                out.push(ready::send(&message));
             }
-            _ => None,
-        };
-        out.push(Output::Applied {
-            index: entry.index,
-            term: entry.term,
-            request: stamped.clone(),
-        });
-        let Some(stamped) = stamped else { return };
-        let answer = self.state.apply(&stamped);
-        self.under_way = self.under_way.saturating_sub(1);
-        let Request {
-            client: name,
-            boot_id: boot,
-            sequence: number,
-            command,
-        } = stamped.request;
-        if self.leads && command != Command::AdvanceClock {
-            let wire = WireMessage::Response {
-                client: name.clone(),
-                boot_id: boot,
-                sequence: number,
-                response: answer,
-            };
-            out.push(Output::Reply {
-                client: name,
-                message: wire,
-            });
         }
     }
 
-    fn restore(&mut self, snapshot: Snapshot, out: &mut Vec<Output>) {
-        let index = snapshot.get_metadata().index;
-        if let Ok(state) = postcard::from_bytes(snapshot.get_data()) {
-            self.state = state;
+    /// One tick for each call: a voter that was stalled must not take all ticks since then for silence of the leader.
+    fn on_tick(&mut self) {
+        if self.now < self.next_due() {
+            return;
+        }
+        self.last_tick = self.now;
+        self.ticks += 1;
+        self.node.tick();
+        self.ticks_since_proposal += 1;
+        if self.is_leader && self.ticks_since_proposal >= CLOCK_TICKS {
+            self.propose(Request {
+                client: String::new(),
+                boot_id: 0,
+                sequence: 0,
+                command: Command::AdvanceClock,
+            });
         }
-        self.applied = self.applied.max(index);
-        self.node.mut_store().restore(snapshot);
-        out.push(Output::SnapshotRestored { index });
     }
 
-    /// Puts a snapshot in place of a long log.
-    fn compact(&mut self, out: &mut Vec<Output>) {
-        let from = self.node.store().snapshot.get_metadata().index;
-        // What is not stored yet must not be dropped from the disk by a batch in front of it.
-        if self.applied < from + COMPACT || !self.held.is_empty() {
-            return;
-        }
-        let Ok(term) = raft::Storage::term(self.node.store(), self.applied) else {
-            return;
+    /// Proposes a request; returns whether the engine accepted it.
+    fn propose(&mut self, request: Request) -> bool {
+        self.ticks_since_proposal = 0;
+        let entry = TimestampedRequest {
+            at: self.log_time(),
+            request,
         };
-        let Ok(data) = postcard::to_stdvec(&self.state) else {
-            return;
+        let Ok(data) = postcard::to_stdvec(&entry) else {
+            return false;
         };
-        let mut snapshot = Snapshot::default();
-        snapshot.set_data(data.into());
-        snapshot
-            .mut_metadata()
-            .set_conf_state(self.node.store().conf_state.clone());
-        (snapshot.mut_metadata().index, snapshot.mut_metadata().term) = (self.applied, term);
-        let bytes = encode(&snapshot);
-        self.node.mut_store().compact(snapshot);
-        out.push(Output::Persist(WriteBatch {
-            number: 0,
-            snapshot: Some(bytes),
-            compact_to: Some(self.applied),
-            ..WriteBatch::default()
-        }));
+        let accepted = self.proposals_in_flight < MAX_PROPOSALS_IN_FLIGHT
+            && self.node.propose(Vec::new(), data).is_ok();
+        self.proposals_in_flight += usize::from(accepted);
+        accepted
     }
 }
 
-fn send(message: &Message, out: &mut Vec<Output>) {
-    out.push(Output::Send {
-        to: message.to,
-        bytes: encode(message),
-    });
+fn engine_config(id: u64, applied: u64) -> Config {
+    Config {
+        id,
+        election_tick: MIN_ELECTION_TICKS,
+        heartbeat_tick: HEARTBEAT_TICKS,
+        applied,
+        max_size_per_msg: MAX_MESSAGE_BYTES,
+        max_inflight_msgs: MAX_MESSAGES_IN_FLIGHT,
+        // A leader that cannot reach a majority steps down; a voter that was away does not disturb the others.
+        check_quorum: true,
+        pre_vote: true,
+        max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
+        ..Config::default()
+    }
+}
+
+/// The state in a snapshot; the first snapshot is empty.
+fn decode_state(data: &[u8]) -> Result<State, VoterError> {
+    if data.is_empty() {
+        return Ok(State::default());
+    }
+    postcard::from_bytes(data)
+        .map_err(|error| VoterError::DamagedLog(LogError::Undecodable(error.to_string())))
 }
--- a/crates/pipithub-council/tests/growth.rs
+++ b/crates/pipithub-council/tests/growth.rs
@@ -1,4 +1,4 @@
-//! What an agreed entry costs must not depend on how many there were before it; in counted messages and bytes.
+//! The cost of a committed entry must not depend on how many there were before it; in counted messages and bytes.
 
 use std::collections::VecDeque;
 
@@ -7,19 +7,19 @@
 const TICK: u64 = 20_000_000;
 
 /// Three voters whose messages arrive in order and whose disks store at once.
-struct Council {
+struct Group {
     voters: Vec<Voter>,
     now: u64,
     messages: u64,
     bytes: u64,
-    answers: u64,
+    responses: u64,
     /// Bytes of the last snapshot of the first voter.
     snapshot: usize,
-    number: u64,
+    last_sequence: u64,
 }
 
-impl Council {
-    fn new() -> Council {
+impl Group {
+    fn new() -> Group {
         let ids = vec![1, 2, 3];
         let voter = |id: u64| {
             let settings = VoterSettings {
@@ -30,23 +30,25 @@
             Voter::new(settings, &pipithub_council::StoredLog::default(), 0, id).unwrap()
         };
         let voters = ids.iter().map(|id| voter(*id)).collect();
-        let mut council = Council {
+        let mut group = Group {
             voters,
             now: 0,
             messages: 0,
             bytes: 0,
-            answers: 0,
+            responses: 0,
             snapshot: 0,
-            number: 0,
+            last_sequence: 0,
         };
-        while council.leader().is_none() {
-            council.tick();
+        while group.leader().is_none() {
+            group.tick();
         }
-        council
+        group
     }
 
     fn leader(&self) -> Option<usize> {
-        self.voters.iter().position(|v| v.leads().0)
+        self.voters
+            .iter()
+            .position(|voter| voter.leadership().is_leader)
     }
 
     fn tick(&mut self) {
@@ -74,35 +76,39 @@
                             queue.push_back((to, Input::Persisted(batch.number)));
                         }
                     }
-                    Output::Reply { .. } => self.answers += 1,
+                    Output::Reply { .. } => self.responses += 1,
                     _ => {}
                 }
             }
         }
     }
 
-    /// Agrees on so many entries, of ten front ends; messages and bytes between voters for each.
-    fn agree(&mut self, entries: u64) -> (f64, f64) {
-        let before = (self.messages, self.bytes, self.answers);
+    /// Commits entries of ten front ends; returns the messages and bytes between voters for each.
+    fn commit(&mut self, entries: u64) -> (f64, f64) {
+        let before = (self.messages, self.bytes, self.responses);
         for _ in 0..entries {
-            self.number += 1;
+            self.last_sequence += 1;
             let command = Command::SetSettings {
-                version: self.number,
+                version: self.last_sequence,
                 digest: 7,
             };
-            let name = format!("front-{}", self.number % 10);
+            let client = format!("front-{}", self.last_sequence % 10);
             let leader = self.leader().unwrap();
             self.input(
                 leader,
                 Input::Request(Request {
-                    client: name,
+                    client,
                     boot_id: 1,
-                    sequence: self.number,
+                    sequence: self.last_sequence,
                     command,
                 }),
             );
         }
-        assert_eq!(self.answers - before.2, entries, "not all were answered");
+        assert_eq!(
+            self.responses - before.2,
+            entries,
+            "not all have a response"
+        );
         let each = |now: u64, then: u64| (now - then) as f64 / entries as f64;
         (each(self.messages, before.0), each(self.bytes, before.1))
     }
@@ -110,18 +116,18 @@
 
 #[test]
 fn an_entry_costs_the_same_after_thousands_and_a_snapshot_does_not_hold_them() {
-    let mut council = Council::new();
-    council.agree(100);
-    let (messages, bytes) = council.agree(200);
+    let mut group = Group::new();
+    group.commit(100);
+    let (messages, bytes) = group.commit(200);
     // The first snapshot is of 1,000 entries or so.
-    council.agree(1_000);
-    let snapshot = council.snapshot;
+    group.commit(1_000);
+    let snapshot = group.snapshot;
     assert!(
         snapshot > 100 && messages >= 2.0 && bytes > 50.0,
         "{snapshot} {messages} {bytes}"
     );
-    council.agree(3_000);
-    let (messages_late, bytes_late) = council.agree(200);
+    group.commit(3_000);
+    let (messages_late, bytes_late) = group.commit(200);
     assert!(
         messages_late <= messages * 1.01,
         "messages an entry: {messages} and {messages_late}"
@@ -132,8 +138,8 @@
         "bytes an entry: {bytes} and {bytes_late}"
     );
     assert!(
-        council.snapshot <= snapshot + snapshot / 5,
+        group.snapshot <= snapshot + snapshot / 5,
         "bytes of a snapshot: {snapshot} and {}",
-        council.snapshot
+        group.snapshot
     );
 }
--- a/crates/pipithub-council/tests/seeds.rs
+++ b/crates/pipithub-council/tests/seeds.rs
@@ -1,5 +1,5 @@
 //! Councils in simulated time: cuts, delays, crashes that lose what was not synced, pauses, clocks that differ in offset
-//! and rate. What was agreed and who could rely on a lease is recorded here, outside the cores.
+//! and rate. What was committed and who could rely on a lease is recorded here, outside the cores.
 
 use std::collections::BTreeMap;
 
@@ -11,12 +11,12 @@
 use rand::RngExt;
 
 const MS: Time = 1_000_000;
-const LENGTH: Time = 1_500 * MS;
+const LEASE_DURATION: Time = 1_500 * MS;
 
 /// What may be wrong on purpose, to show that the checks find it.
 #[derive(Clone, Copy, PartialEq)]
-enum Planted {
-    Nothing,
+enum InjectedFault {
+    None,
     /// A crash forgets what was synced of votes and terms.
     ForgottenVotes,
     /// A crash loses log entries that were synced.
@@ -26,43 +26,43 @@
 }
 
 #[derive(Clone)]
-enum Mail {
+enum Message {
     Raft(Vec<u8>),
-    Wire(WireMessage),
+    Client(WireMessage),
     /// A disk says that a batch is stored; of which start of the voter.
     Stored(u64, WriteBatch),
 }
 
-struct Seat {
+struct VoterProcess {
     core: Option<Voter>,
     disk: StoredLog,
     starts: u64,
 }
 
-struct Asker {
+struct ClientProcess {
     core: Client,
     /// When its next question comes.
     next: Time,
     boot: u64,
 }
 
-struct World {
-    net: Network<Mail>,
-    seats: Vec<Seat>,
-    askers: Vec<Asker>,
-    planted: Planted,
+struct Simulation {
+    net: Network<Message>,
+    voters: Vec<VoterProcess>,
+    clients: Vec<ClientProcess>,
+    injected: InjectedFault,
     /// Offset and rate of each process's clock.
     clocks: Vec<(Time, f64)>,
     leaders: BTreeMap<u64, usize>,
-    agreed: BTreeMap<u64, String>,
+    committed: BTreeMap<u64, String>,
     applied: u64,
     granted: u64,
-    breaches: Vec<String>,
+    violations: Vec<String>,
     paused: Vec<bool>,
 }
 
-impl World {
-    fn new(seed: u64, voters: usize, askers: usize, planted: Planted) -> World {
+impl Simulation {
+    fn new(seed: u64, voters: usize, clients: usize, injected: InjectedFault) -> Simulation {
         let usual = Link {
             delay: MS,
             jitter: 4 * MS,
@@ -71,7 +71,7 @@
             ..Link::default()
         };
         let mut net = Network::new(seed, usual);
-        let size = voters + askers;
+        let size = voters + clients;
         let mut clock = || {
             (
                 net.rng.random_range(0..1_000_000 * MS),
@@ -79,33 +79,33 @@
             )
         };
         let clocks = (0..size).map(|_| clock()).collect();
-        let seat = |_| Seat {
+        let voter = |_| VoterProcess {
             core: None,
             disk: StoredLog::default(),
             starts: 0,
         };
         let ids: Vec<u64> = (1..=voters as u64).collect();
-        let asker = |n: usize| Asker {
+        let client = |n: usize| ClientProcess {
             core: Client::new(&format!("front-{n}"), 1, ids.clone(), 150 * MS),
             next: 500 * MS,
             boot: 1,
         };
-        let mut world = World {
+        let mut simulation = Simulation {
             net,
-            seats: (0..voters).map(seat).collect(),
-            askers: (0..askers).map(asker).collect(),
-            planted,
+            voters: (0..voters).map(voter).collect(),
+            clients: (0..clients).map(client).collect(),
+            injected,
             clocks,
             leaders: BTreeMap::new(),
-            agreed: BTreeMap::new(),
+            committed: BTreeMap::new(),
             applied: 0,
             granted: 0,
-            breaches: Vec::new(),
+            violations: Vec::new(),
             paused: vec![false; size],
         };
-        (0..voters).for_each(|n| world.start(n));
-        (0..askers).for_each(|n| world.net.set_timer(voters + n, Some(500 * MS)));
-        world
+        (0..voters).for_each(|n| simulation.start(n));
+        (0..clients).for_each(|n| simulation.net.set_timer(voters + n, Some(500 * MS)));
+        simulation
     }
 
     fn local(&self, process: usize) -> Time {
@@ -120,36 +120,36 @@
     }
 
     fn start(&mut self, n: usize) {
-        let voters: Vec<u64> = (1..=self.seats.len() as u64).collect();
+        let voters: Vec<u64> = (1..=self.voters.len() as u64).collect();
         let settings = VoterSettings {
             id: n as u64 + 1,
             voters,
             tick: 20 * MS,
         };
         let (now, seed) = (self.local(n), self.net.rng.random());
-        self.seats[n].starts += 1;
-        match Voter::new(settings, &self.seats[n].disk, now, seed) {
+        self.voters[n].starts += 1;
+        match Voter::new(settings, &self.voters[n].disk, now, seed) {
             Ok(core) => {
                 let due = self.global(n, core.next_due());
-                self.seats[n].core = Some(core);
+                self.voters[n].core = Some(core);
                 self.net.set_timer(n, Some(due));
             }
             Err(error) => self
-                .breaches
+                .violations
                 .push(format!("voter {n} does not start: {error}")),
         }
     }
 
     fn crash(&mut self, n: usize) {
-        self.seats[n].core = None;
+        self.voters[n].core = None;
         // What the disk had not said yet is lost with what was under way.
         self.net.crash(n);
         self.net.set_paused(n, false);
         self.paused[n] = false;
-        match self.planted {
-            Planted::ForgottenVotes => self.seats[n].disk.hard_state = None,
-            Planted::LostEntries => {
-                let disk = &mut self.seats[n].disk;
+        match self.injected {
+            InjectedFault::ForgottenVotes => self.voters[n].disk.hard_state = None,
+            InjectedFault::LostEntries => {
+                let disk = &mut self.voters[n].disk;
                 let half = disk.entries.len() / 2;
                 disk.entries.truncate(half);
                 disk.hard_state = None;
@@ -161,42 +161,41 @@
     fn voter(&mut self, n: usize, input: Input) {
         let now = self.local(n);
         let mut out = Vec::new();
-        let Some(core) = &mut self.seats[n].core else {
+        let Some(core) = &mut self.voters[n].core else {
             return;
         };
         core.handle(now, input, &mut out);
         let due = core.next_due();
-        let term = core.leads().1;
         for output in out {
             match output {
-                Output::Send { to, bytes } => self.net.send(n, to as usize - 1, Mail::Raft(bytes)),
-                Output::Reply {
-                    client: name,
-                    message: wire,
-                } => {
-                    let asker: usize = name[6..].parse().unwrap();
-                    self.net.send(n, self.seats.len() + asker, Mail::Wire(wire));
+                Output::Send { to, bytes } => {
+                    self.net.send(n, to as usize - 1, Message::Raft(bytes));
+                }
+                Output::Reply { client, message } => {
+                    let client: usize = client["front-".len()..].parse().unwrap();
+                    self.net
+                        .send(n, self.voters.len() + client, Message::Client(message));
                 }
                 Output::Persist(batch) => {
                     // The disk takes its time, in order; a link to oneself that loses nothing.
-                    let starts = self.seats[n].starts;
+                    let starts = self.voters[n].starts;
                     *self.net.link(n, n) = Link {
                         delay: 2 * MS,
                         jitter: 0,
                         ..Link::default()
                     };
-                    self.net.send(n, n, Mail::Stored(starts, batch));
+                    self.net.send(n, n, Message::Stored(starts, batch));
                 }
                 Output::Applied {
                     index,
                     term,
-                    request: entry,
+                    request,
                 } => {
                     self.applied += 1;
-                    let told = format!("{term} {entry:?}");
-                    let first = self.agreed.entry(index).or_insert_with(|| told.clone());
+                    let told = format!("{term} {request:?}");
+                    let first = self.committed.entry(index).or_insert_with(|| told.clone());
                     if *first != told {
-                        self.breaches.push(format!(
+                        self.violations.push(format!(
                             "entry {index} is {first} and, at voter {n}, {told}"
                         ));
                     }
@@ -207,74 +206,78 @@
                 } => {
                     let first = *self.leaders.entry(term).or_insert(n);
                     if first != n {
-                        self.breaches
+                        self.violations
                             .push(format!("voters {first} and {n} both lead in term {term}"));
                     }
                 }
                 Output::LeadershipChanged { .. } | Output::SnapshotRestored { .. } => {}
             }
         }
-        let _ = term;
         let due = self.global(n, due);
         self.net.set_timer(n, Some(due));
     }
 
-    fn asker(&mut self, a: usize, heard: Option<WireMessage>) {
-        let process = self.seats.len() + a;
+    fn client(&mut self, a: usize, heard: Option<WireMessage>) {
+        let process = self.voters.len() + a;
         let (now, real) = (self.local(process), self.net.now());
         if let Some(wire) = heard {
-            match self.askers[a].core.handle_message(now, wire) {
-                Some(Notification::Response(_, Response::Granted)) => self.granted += 1,
-                Some(Notification::Fenced) => drop(self.askers[a].core.submit(Command::NewEpoch)),
+            match self.clients[a].core.handle_message(now, wire) {
+                Some(Notification::Response {
+                    response: Response::Granted,
+                    ..
+                }) => self.granted += 1,
+                Some(Notification::Fenced) => drop(self.clients[a].core.submit(Command::NewEpoch)),
                 _ => {}
             }
         }
-        if real >= self.askers[a].next {
+        if real >= self.clients[a].next {
             let pause = self.net.rng.random_range(50..800) * MS;
             let lease = format!("lease-{}", self.net.rng.random_range(0..2));
             let give_back = self.net.rng.random::<f64>() < 0.1;
-            let asker = &mut self.askers[a];
-            asker.next = real + pause;
-            if asker.core.pending_requests() < 3 {
-                match asker.core.epoch() {
-                    None => drop(asker.core.submit(Command::NewEpoch)),
-                    Some(_) if give_back => drop(asker.core.release(&lease)),
-                    Some(epoch) => drop(asker.core.submit(Command::AcquireLease {
+            let client = &mut self.clients[a];
+            client.next = real + pause;
+            if client.core.pending_requests() < 3 {
+                match client.core.epoch() {
+                    None => drop(client.core.submit(Command::NewEpoch)),
+                    Some(_) if give_back => drop(client.core.release(&lease)),
+                    Some(epoch) => drop(client.core.submit(Command::AcquireLease {
                         lease,
                         epoch,
-                        duration: LENGTH,
+                        duration: LEASE_DURATION,
                     })),
                 }
             }
         }
-        while let Some((to, wire)) = self.askers[a].core.next_message(now) {
-            self.net.send(process, to as usize - 1, Mail::Wire(wire));
+        while let Some(outgoing) = self.clients[a].core.next_message(now) {
+            let voter = outgoing.voter as usize - 1;
+            self.net
+                .send(process, voter, Message::Client(outgoing.message));
         }
-        let due = self.askers[a]
+        let due = self.clients[a]
             .core
             .next_due(now)
             .map(|at| self.global(process, at));
         let due = due
-            .map_or(self.askers[a].next, |d| d.min(self.askers[a].next))
+            .map_or(self.clients[a].next, |d| d.min(self.clients[a].next))
             .max(real + 1);
         self.net.set_timer(process, Some(due));
     }
 
     /// Nobody may rely on a lease that another relies on.
-    fn leases(&mut self) {
+    fn check_leases(&mut self) {
         for lease in ["lease-0", "lease-1"] {
-            let late = if self.planted == Planted::LongLeases {
-                LENGTH / 3
+            let late = if self.injected == InjectedFault::LongLeases {
+                LEASE_DURATION / 3
             } else {
                 0
             };
             let holds = |n: &usize| {
-                let now = self.local(self.seats.len() + n).saturating_sub(late);
-                self.askers[*n].core.held_lease(lease, now).is_some()
+                let now = self.local(self.voters.len() + n).saturating_sub(late);
+                self.clients[*n].core.held_lease(lease, now).is_some()
             };
-            let holders: Vec<usize> = (0..self.askers.len()).filter(holds).collect();
-            if holders.len() > 1 && self.breaches.len() < 50 {
-                self.breaches.push(format!(
+            let holders: Vec<usize> = (0..self.clients.len()).filter(holds).collect();
+            if holders.len() > 1 && self.violations.len() < 50 {
+                self.violations.push(format!(
                     "{lease} is relied on by {holders:?} at {}",
                     self.net.now() / MS
                 ));
@@ -286,40 +289,40 @@
         let until = self.net.now() + time;
         while let Some(next) = self.net.next_event(until) {
             match next {
-                NetworkEvent::Timer(p) if p < self.seats.len() => self.voter(p, Input::Tick),
-                NetworkEvent::Timer(p) => self.asker(p - self.seats.len(), None),
+                NetworkEvent::Timer(p) if p < self.voters.len() => self.voter(p, Input::Tick),
+                NetworkEvent::Timer(p) => self.client(p - self.voters.len(), None),
                 NetworkEvent::Delivery {
                     to,
-                    message: Mail::Raft(bytes),
+                    message: Message::Raft(bytes),
                     ..
                 } => self.voter(to, Input::Raft(bytes)),
                 NetworkEvent::Delivery {
                     to,
-                    message: Mail::Wire(WireMessage::Request(asked)),
+                    message: Message::Client(WireMessage::Request(asked)),
                     ..
                 } => self.voter(to, Input::Request(asked)),
                 NetworkEvent::Delivery {
                     to,
-                    message: Mail::Wire(wire),
+                    message: Message::Client(wire),
                     ..
-                } => self.asker(to - self.seats.len(), Some(wire)),
+                } => self.client(to - self.voters.len(), Some(wire)),
                 NetworkEvent::Delivery {
                     to,
-                    message: Mail::Stored(starts, batch),
+                    message: Message::Stored(starts, batch),
                     ..
                 } => {
-                    if self.seats[to].starts == starts {
-                        self.seats[to].disk.apply(&batch);
+                    if self.voters[to].starts == starts {
+                        self.voters[to].disk.apply(&batch);
                         self.voter(to, Input::Persisted(batch.number));
                     }
                 }
             }
-            self.leases();
+            self.check_leases();
         }
     }
 
-    fn trouble(&mut self) {
-        let (voters, size) = (self.seats.len(), self.clocks.len());
+    fn inject_random_fault(&mut self) {
+        let (voters, size) = (self.voters.len(), self.clocks.len());
         let (n, p, other) = {
             let rng = &mut self.net.rng;
             (
@@ -331,7 +334,7 @@
         match self.net.rng.random_range(0..10u32) {
             0 | 1 => self.crash(n),
             2 | 3 => {
-                if self.seats[n].core.is_none() {
+                if self.voters[n].core.is_none() {
                     self.start(n);
                 }
             }
@@ -349,9 +352,9 @@
                 // A front end restarts under its name: a new run, which takes a new epoch.
                 let a = p - voters;
                 let ids: Vec<u64> = (1..=voters as u64).collect();
-                self.askers[a].boot += 1;
-                let boot = self.askers[a].boot;
-                self.askers[a].core = Client::new(&format!("front-{a}"), boot, ids, 150 * MS);
+                self.clients[a].boot += 1;
+                let boot = self.clients[a].boot;
+                self.clients[a].core = Client::new(&format!("front-{a}"), boot, ids, 150 * MS);
             }
             _ => {
                 self.paused[p] = false;
@@ -361,33 +364,33 @@
     }
 }
 
-/// One drawn day; what it agreed, and what was broken.
-fn day(seed: u64, planted: Planted) -> (World, Vec<String>) {
+/// One drawn day; what it committed, and what was broken.
+fn day(seed: u64, injected: InjectedFault) -> (Simulation, Vec<String>) {
     let voters = if seed.is_multiple_of(2) { 3 } else { 5 };
-    let mut world = World::new(seed, voters, 4, planted);
-    world.run_for(2_000 * MS);
+    let mut simulation = Simulation::new(seed, voters, 4, injected);
+    simulation.run_for(2_000 * MS);
     for _ in 0..30 {
-        world.trouble();
-        let wait = world.net.rng.random_range(50..1_200) * MS;
-        world.run_for(wait);
+        simulation.inject_random_fault();
+        let wait = simulation.net.rng.random_range(50..1_200) * MS;
+        simulation.run_for(wait);
     }
-    world.net.heal();
-    for p in 0..world.clocks.len() {
-        world.net.set_paused(p, false);
+    simulation.net.heal();
+    for p in 0..simulation.clocks.len() {
+        simulation.net.set_paused(p, false);
     }
     for n in 0..voters {
-        if world.seats[n].core.is_none() {
-            world.start(n);
+        if simulation.voters[n].core.is_none() {
+            simulation.start(n);
         }
     }
-    let before = world.granted;
-    world.run_for(12_000 * MS);
-    let mut breaches = std::mem::take(&mut world.breaches);
-    if world.granted == before {
-        breaches.push("once all was mended nothing was granted".into());
+    let before = simulation.granted;
+    simulation.run_for(12_000 * MS);
+    let mut violations = std::mem::take(&mut simulation.violations);
+    if simulation.granted == before {
+        violations.push("once all was mended nothing was granted".into());
     }
-    let states: Vec<_> = world
-        .seats
+    let states: Vec<_> = simulation
+        .voters
         .iter()
         .filter_map(|s| s.core.as_ref())
         .map(Voter::applied)
@@ -397,18 +400,18 @@
         states.iter().max().copied().unwrap_or(0),
     );
     if states.len() < voters || least + 50 < most {
-        breaches.push(format!("voters stand at {states:?}"));
+        violations.push(format!("voters stand at {states:?}"));
     }
-    (world, breaches)
+    (simulation, violations)
 }
 
 #[test]
 fn whatever_fails_one_leads_a_term_nothing_agreed_changes_and_no_lease_has_two_holders() {
     let mut granted = 0;
     for seed in 0..40 {
-        let (world, breaches) = day(seed, Planted::Nothing);
-        assert!(breaches.is_empty(), "seed {seed}: {breaches:?}");
-        granted += world.granted;
+        let (simulation, violations) = day(seed, InjectedFault::None);
+        assert!(violations.is_empty(), "seed {seed}: {violations:?}");
+        granted += simulation.granted;
     }
     assert!(
         granted > 500,
@@ -416,71 +419,77 @@
     );
 }
 
-fn found(planted: Planted, what: &str) -> bool {
+fn found(injected: InjectedFault, what: &str) -> bool {
     (0..60).any(|seed| {
-        let run = std::panic::catch_unwind(|| day(seed, planted).1);
+        let run = std::panic::catch_unwind(|| day(seed, injected).1);
         // The engine itself gives up where it meets what cannot be.
-        run.map_or(true, |breaches| breaches.iter().any(|b| b.contains(what)))
+        run.map_or(true, |violations| {
+            violations.iter().any(|b| b.contains(what))
+        })
     })
 }
 
 #[test]
 fn forgotten_votes_are_found() {
-    assert!(found(Planted::ForgottenVotes, "both lead in term"));
+    assert!(found(InjectedFault::ForgottenVotes, "both lead in term"));
 }
 
 #[test]
 fn lost_entries_are_found() {
-    assert!(found(Planted::LostEntries, "and, at voter"));
+    assert!(found(InjectedFault::LostEntries, "and, at voter"));
 }
 
 #[test]
 fn a_lease_that_is_relied_on_for_too_long_is_found() {
-    assert!(found(Planted::LongLeases, "is relied on by"));
+    assert!(found(InjectedFault::LongLeases, "is relied on by"));
 }
 
 #[test]
 fn equal_seeds_give_equal_runs() {
-    let told = |seed| day(seed, Planted::Nothing).0.agreed;
+    let told = |seed| day(seed, InjectedFault::None).0.committed;
     assert!(told(3) == told(3), "two runs of one seed differ");
 }
 
 #[test]
 fn a_minority_answers_nothing_new_and_a_long_log_is_replaced_by_a_snapshot() {
-    let mut world = World::new(5, 3, 4, Planted::Nothing);
-    world.run_for(3_000 * MS);
-    let granted = world.granted;
+    let mut simulation = Simulation::new(5, 3, 4, InjectedFault::None);
+    simulation.run_for(3_000 * MS);
+    let granted = simulation.granted;
     assert!(granted > 0);
     // Two of three are gone: nothing is granted, and what was granted runs out.
-    world.crash(0);
-    world.crash(1);
-    world.run_for(2_000 * MS);
-    let left = world.granted;
-    world.run_for(5_000 * MS);
-    assert_eq!(world.granted, left, "a minority granted leases");
-    world.start(0);
-    world.run_for(2_000 * MS);
-    assert!(world.granted > left);
+    simulation.crash(0);
+    simulation.crash(1);
+    simulation.run_for(2_000 * MS);
+    let left = simulation.granted;
+    simulation.run_for(5_000 * MS);
+    assert_eq!(simulation.granted, left, "a minority granted leases");
+    simulation.start(0);
+    simulation.run_for(2_000 * MS);
+    assert!(simulation.granted > left);
     // While one is away the others agree on more than a log may hold.
     for _ in 0..900 {
-        for asker in &mut world.askers {
-            let _ = asker.core.submit(Command::SetSettings {
+        for client in &mut simulation.clients {
+            let _ = client.core.submit(Command::SetSettings {
                 version: 1,
                 digest: 0,
             });
         }
-        world.run_for(100 * MS);
+        simulation.run_for(100 * MS);
     }
-    let entries: Vec<usize> = world.seats.iter().map(|s| s.disk.entries.len()).collect();
+    let entries: Vec<usize> = simulation
+        .voters
+        .iter()
+        .map(|s| s.disk.entries.len())
+        .collect();
     assert!(
-        world.applied > 3_000 && entries.iter().all(|e| *e < 2_000),
+        simulation.applied > 3_000 && entries.iter().all(|e| *e < 2_000),
         "{} {entries:?}",
-        world.applied
+        simulation.applied
     );
-    world.start(1);
-    world.run_for(5_000 * MS);
-    let at: Vec<u64> = world
-        .seats
+    simulation.start(1);
+    simulation.run_for(5_000 * MS);
+    let at: Vec<u64> = simulation
+        .voters
         .iter()
         .map(|s| s.core.as_ref().unwrap().applied())
         .collect();
@@ -488,7 +497,11 @@
         at.iter().max().unwrap() - at.iter().min().unwrap() < 50,
         "{at:?}"
     );
-    assert!(world.breaches.is_empty(), "{:?}", world.breaches);
+    assert!(
+        simulation.violations.is_empty(),
+        "{:?}",
+        simulation.violations
+    );
 }
 
 /// A long run, by hand: `PIPITHUB_SEEDS=1000 cargo test --release -p pipithub-council -- --ignored`.
@@ -500,7 +513,7 @@
         .and_then(|s| s.parse().ok())
         .unwrap_or(1_000);
     for seed in 1_000..1_000 + seeds {
-        let breaches = day(seed, Planted::Nothing).1;
-        assert!(breaches.is_empty(), "seed {seed}: {breaches:?}");
+        let violations = day(seed, InjectedFault::None).1;
+        assert!(violations.is_empty(), "seed {seed}: {violations:?}");
     }
 }
