--- a/crates/pipithub-members/tests/fleet.rs
+++ b/crates/pipithub-members/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Fleets of membership cores in simulated time: what is believed while processes die, sleep, lose their disks and
-//! links fail. Truth is known to the simulation, not taken from the cores.
+//! Simulated clusters: what is believed while processes die, stall, lose their disks and links fail. The true state is
+//! known to the simulation, not taken from the processes under test.
 
 use pipithub_fleetsim::{Fleet, Opinions};
 use pipithub_members::{DiskState, Event, JoinState, MemberState, Settings, Time};
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn all_that_start_at_once_find_each_other_and_a_death_is_found_by_all() {
+fn all_that_start_at_once_converge_and_detect_a_death() {
     let mut fleet = started(12, 1, Link::default());
     fleet.kill(5);
     fleet.run_for(30 * SECOND);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn who_leaves_is_gone_at_once_and_was_never_suspected() {
+fn a_member_that_leaves_is_down_at_once_and_was_never_suspected() {
     let mut fleet = started(9, 2, Link::default());
     fleet.leave(4);
     fleet.run_for(3 * SECOND);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_disk_that_came_back_old_is_recognised_and_its_number_is_not_used_again() {
+fn a_stale_disk_is_recognised_and_its_generation_is_not_used_again() {
     let mut fleet = started(7, 4, Link::default());
     let old = fleet.disk(3).clone();
     for _ in 0..3 {
@@ -118,7 +118,7 @@
                 seen: last
             }));
     assert!(fleet.has_converged());
-    // Others know it too: whoever asks this member for what it once held must not believe its disk.
+    // The others know it too: nobody may rely on what this member once stored.
     let view = fleet.view(0).unwrap();
     assert!(
         view.members
@@ -127,10 +127,10 @@
     );
 }
 
-/// Seed 5 of `drills/members.kdl`: the fleet still spoke to the dead run's address, and the run from the old disk that
-/// listened there was drawn in before any seed could say that its number was used.
+/// Seed 5 of `drills/members.kdl`: the cluster still sent to the dead run's address, and the run from the stale disk that
+/// listened there became a member before any seed could say that its generation was used.
 #[test]
-fn a_run_from_an_old_disk_is_not_drawn_in_by_word_to_its_dead_former_self() {
+fn a_run_from_a_stale_disk_does_not_join_through_messages_to_its_former_run() {
     for seed in 0..5 {
         let mut fleet = started(5, seed, Link::default());
         let old = fleet.disk(4).clone().map(|_| {
@@ -145,7 +145,7 @@
         fleet.kill(4);
         fleet.run_for(40 * SECOND);
         *fleet.disk(4) = old;
-        // Its question comes late; what the others say to its former self does not.
+        // Its join request is delayed; what the others send to its former run is not.
         (0..5).for_each(|n| fleet.network.link(4, n).cut = true);
         fleet.start(4).unwrap();
         fleet.run_for(30 * SECOND);
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn an_empty_disk_is_told_apart_from_an_old_one() {
+fn an_empty_disk_is_distinguished_from_a_stale_one() {
     let mut fleet = started(5, 5, Link::default());
     fleet.kill(2);
     fleet.run_for(40 * SECOND);
@@ -180,13 +180,13 @@
 }
 
 #[test]
-fn of_two_processes_under_one_name_one_holds_back_until_the_other_is_gone() {
+fn of_two_processes_with_one_name_one_waits_until_the_other_is_gone() {
     for seed in 0..6 {
         let mut fleet = fleet(7, seed, Link::default());
         fleet.rename(6, "front-1");
         (0..6).for_each(|n| fleet.start(n).unwrap());
         fleet.run_for(20 * SECOND);
-        // A copy of the folder as it was before the first start took its number: both take the same.
+        // A copy of the folder from before the first start took its generation: both take the same one.
         *fleet.disk(6) = None;
         fleet.start(6).unwrap();
         fleet.run_for(60 * SECOND);
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_process_that_froze_holds_nobody_for_dead_when_it_wakes() {
+fn a_stalled_process_declares_nobody_dead_when_it_resumes() {
     for seed in 0..5 {
         let mut fleet = started(8, seed, Link::default());
         fleet.network.set_paused(2, true);
@@ -227,7 +227,7 @@
             "the others did not find it dead"
         );
         let at = fleet.network.now();
-        // What had arrived is lost, as from a buffer that overflowed: only its timers are left.
+        // What had arrived is lost, as from a buffer that overflowed: only the timers are left.
         fleet.history.clear();
         fleet.network.set_paused(2, false);
         fleet.run_for(20 * SECOND);
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn a_view_tells_how_old_its_newest_word_is() {
+fn a_view_shows_when_any_member_was_last_heard() {
     let mut fleet = started(6, 7, Link::default());
     let others: Vec<usize> = (1..6).collect();
     for n in &others {
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn both_halves_of_a_split_fleet_hold_the_other_dead_and_find_back() {
+fn both_halves_of_a_partition_see_the_other_down_and_reunite() {
     for seed in 0..4 {
         let mut fleet = started(10, seed, Link::default());
         let (one, other): (Vec<usize>, Vec<usize>) = ((0..5).collect(), (5..10).collect());
@@ -284,11 +284,11 @@
 }
 
 #[test]
-fn strangers_stay_out() {
+fn datagrams_of_another_cluster_are_rejected() {
     let mut fleet = started(4, 8, Link::default());
     let mut other = Fleet::new(1, 1, 0, 9, settings("elsewhere"), Link::default());
     other.start(0).unwrap();
-    // The other fleet's process asks a seed of this one.
+    // A process of the other cluster asks a seed of this one.
     let hello = {
         let mut asking = Fleet::new(2, 1, 1, 9, settings("elsewhere"), Link::default());
         asking.start(1).unwrap();
@@ -333,7 +333,7 @@
 }
 
 #[test]
-fn seeds_that_are_all_dead_are_asked_until_one_is_back() {
+fn dead_seeds_are_asked_until_one_is_back() {
     let mut fleet = Fleet::new(6, 2, 5, 11, settings("campus"), Link::default());
     fleet.start(5).unwrap();
     fleet.run_for(60 * SECOND);
@@ -344,7 +344,7 @@
 }
 
 #[test]
-fn nothing_is_said_under_a_generation_that_is_not_on_disk() {
+fn nothing_is_sent_under_a_generation_that_is_not_on_disk() {
     let mut fleet = fleet(4, 12, Link::default());
     (0..3).for_each(|n| fleet.start(n).unwrap());
     fleet.set_disk_failed(3, true);
@@ -367,14 +367,14 @@
     assert!(fleet.has_converged());
 }
 
-/// Seed 1258 of the drawn days.
+/// Seed 1258 of the random scenarios.
 #[test]
-fn a_member_that_slept_while_all_others_were_restarted_finds_them_again() {
+fn a_member_that_stalled_while_all_others_restarted_finds_them_again() {
     for seed in 0..10 {
         let mut fleet = started(6, seed, Link::default());
         fleet.network.set_paused(5, true);
         fleet.run_for(8 * SECOND);
-        // It wakes to word that it was held for dead, comes back, and those whom it then tells are gone.
+        // It resumes, learns that it was declared dead, and renews its identity; those whom it then tells are gone.
         (0..5).for_each(|n| fleet.kill(n));
         (0..5).for_each(|n| *fleet.disk(n) = None);
         fleet.network.set_paused(5, false);
@@ -398,8 +398,8 @@
     assert!((0..10).all(|n| down_events(&fleet, n) == 0));
 }
 
-/// One drawn day: cuts, pauses, kills, restarts with good, old and empty disks; then all is mended.
-fn drawn_day(seed: u64) -> Result<(), String> {
+/// Random cuts, pauses, kills and restarts with intact, stale and empty disks; then all faults end.
+fn random_fault_scenario(seed: u64) -> Result<(), String> {
     use rand::RngExt;
     let size = 7;
     let mut fleet = fleet(
@@ -492,21 +492,21 @@
 }
 
 #[test]
-fn drawn_days_end_as_one_fleet() {
+fn random_fault_scenarios_end_as_one_cluster() {
     for seed in 0..15 {
-        drawn_day(seed).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
+        random_fault_scenario(seed).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
     }
 }
 
 /// A long run, by hand: `PIPITHUB_SEEDS=1000 cargo test --release -p pipithub-members -- --ignored`.
 #[test]
 #[ignore = "long: a command, not part of CI"]
-fn many_drawn_days_end_as_one_fleet() {
+fn many_random_fault_scenarios_end_as_one_cluster() {
     let seeds = std::env::var("PIPITHUB_SEEDS")
         .ok()
         .and_then(|s| s.parse().ok())
         .unwrap_or(1_000);
     for seed in 1_000..1_000 + seeds {
-        drawn_day(seed).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
+        random_fault_scenario(seed).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
     }
 }
