--- a/crates/pipithub-members/src/envelope.rs
+++ b/crates/pipithub-members/src/envelope.rs
@@ -7,9 +7,9 @@
 use crate::identity::Identity;
 
 /// The version that this program writes.
-pub const WIRE_VERSION: u8 = 1;
+const WIRE_VERSION: u8 = 1;
 /// The oldest version that it reads: versions that differ by one are compatible.
-pub const MIN_WIRE_VERSION: u8 = 0;
+const MIN_WIRE_VERSION: u8 = 0;
 /// The newest version that it reads.
 const MAX_WIRE_VERSION: u8 = WIRE_VERSION + 1;
 
@@ -26,7 +26,7 @@
 
 /// The message in a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Envelope {
+pub(crate) enum Envelope {
     /// A process that knows nobody asks who is there, and whether its own name is free.
     JoinRequest(Identity),
     /// The answer of a member that accepts the process: the member's own identity.
--- a/crates/pipithub-members/src/lib.rs
+++ b/crates/pipithub-members/src/lib.rs
@@ -21,9 +21,7 @@
 mod timers;
 mod view;
 
-pub use crate::envelope::{
-    Envelope, MIN_WIRE_VERSION, RejectReason, WIRE_VERSION, sender_identity,
-};
+pub use crate::envelope::{RejectReason, sender_identity};
 pub use crate::event::{Event, Input, Output};
 pub use crate::generation::{GenerationRecord, NextGeneration, RecordError};
 pub use crate::identity::{DiskState, Identity};
