--- a/crates/pipithub-bench/src/scale/council.rs
+++ b/crates/pipithub-bench/src/scale/council.rs
@@ -3,8 +3,10 @@
 use std::collections::VecDeque;
 use std::time::Instant;
 
-use pipithub_council::{Asked, Command, Disk, Input, Output, Stamped, State, Voter, VoterSettings};
-use pipithub_simnet::{Link, Net, Next, Time};
+use pipithub_council::{
+    Command, Input, Output, Request, State, StoredLog, TimestampedRequest, Voter, VoterSettings,
+};
+use pipithub_simnet::{Link, Network, NetworkEvent, Time};
 
 use super::{Plan, Series};
 use crate::Result;
@@ -26,7 +28,7 @@
         voters: (1..=voters as u64).collect(),
         tick: TICK,
     };
-    Ok(Voter::new(settings, &Disk::default(), 0, seed)?)
+    Ok(Voter::new(settings, &StoredLog::default(), 0, seed)?)
 }
 
 /// Voters whose messages arrive at once and in order, and whose disks store at once and keep nothing.
@@ -69,7 +71,7 @@
     }
 
     fn leader(&self) -> Option<usize> {
-        self.voters.iter().position(|v| v.leads().0)
+        self.voters.iter().position(|v| v.leadership().is_leader)
     }
 
     fn pump(&mut self) {
@@ -82,19 +84,19 @@
                         self.sent += bytes.len() as u64;
                         self.queue.push_back((to as usize - 1, Input::Raft(bytes)));
                     }
-                    Output::Store(batch) => {
+                    Output::Persist(batch) => {
                         self.stored += batch
                             .entries
                             .iter()
                             .map(|e| e.bytes.len() as u64)
                             .sum::<u64>();
-                        self.stored += batch.hard.as_ref().map_or(0, |b| b.len() as u64);
+                        self.stored += batch.hard_state.as_ref().map_or(0, |b| b.len() as u64);
                         self.snapshots += batch.snapshot.as_ref().map_or(0, |b| b.len() as u64);
-                        if batch.compact.is_none() {
-                            self.queue.push_back((to, Input::Stored(batch.number)));
+                        if batch.compact_to.is_none() {
+                            self.queue.push_back((to, Input::Persisted(batch.number)));
                         }
                     }
-                    Output::Tell { .. } => self.answers += 1,
+                    Output::Reply { .. } => self.answers += 1,
                     _ => {}
                 }
             }
@@ -110,18 +112,18 @@
             let now = batch.min(left);
             for _ in 0..now {
                 self.number += 1;
-                let command = Command::Settings {
+                let command = Command::SetSettings {
                     version: self.number,
                     digest: u64::MAX - self.number,
                 };
                 let name = format!("front-{}", self.number % 1_700);
-                let asked = Asked {
-                    name,
-                    boot: 1,
-                    number: self.number,
+                let asked = Request {
+                    client: name,
+                    boot_id: 1,
+                    sequence: self.number,
                     command,
                 };
-                self.queue.push_back((leader, Input::Ask(asked)));
+                self.queue.push_back((leader, Input::Request(asked)));
             }
             self.pump();
             left -= now;
@@ -135,16 +137,16 @@
 
 /// Simulated seconds from a leader's death until another leads, over links of 1 to 1.5 ms.
 fn election(voters: usize, seed: u64) -> Result<Option<f64>> {
-    let mut net: Net<Vec<u8>> = Net::new(seed, Link::default());
+    let mut net: Network<Vec<u8>> = Network::new(seed, Link::default());
     let mut all: Vec<Option<Voter>> = (1..=voters as u64)
         .map(|id| voter(id, voters, seed * 64 + id).map(Some))
         .collect::<Result<_>>()?;
-    (0..voters).for_each(|n| net.wake_at(n, Some(TICK)));
+    (0..voters).for_each(|n| net.set_timer(n, Some(TICK)));
     let mut died: Option<Time> = None;
-    while let Some(next) = net.next(60_000 * MS) {
+    while let Some(next) = net.next_event(60_000 * MS) {
         let (n, input) = match next {
-            Next::Arrival { to, message, .. } => (to, Input::Raft(message)),
-            Next::Wake(n) => (n, Input::Tick),
+            NetworkEvent::Delivery { to, message, .. } => (to, Input::Raft(message)),
+            NetworkEvent::Timer(n) => (n, Input::Tick),
         };
         let now = net.now();
         let Some(core) = &mut all[n] else { continue };
@@ -155,21 +157,21 @@
             for output in out {
                 match output {
                     Output::Send { to, bytes } => net.send(n, to as usize - 1, bytes),
-                    Output::Store(batch) if batch.compact.is_none() => {
-                        inputs.insert(0, Input::Stored(batch.number));
+                    Output::Persist(batch) if batch.compact_to.is_none() => {
+                        inputs.insert(0, Input::Persisted(batch.number));
                     }
                     _ => {}
                 }
             }
         }
-        let leads = core.leads().0;
-        net.wake_at(n, Some(core.next_due().max(now + 1)));
+        let leads = core.leadership().is_leader;
+        net.set_timer(n, Some(core.next_due().max(now + 1)));
         match died {
             Some(at) if leads => return Ok(Some((now - at) as f64 / 1e9)),
             // Two seconds on, all follow it.
             None if leads && now > 2_000 * MS => {
                 all[n] = None;
-                net.dead(n);
+                net.crash(n);
                 died = Some(now);
             }
             _ => {}
@@ -186,25 +188,28 @@
         let name = format!("front-{n}");
         number += 1;
         let apply = |state: &mut State, number, command| {
-            let asked = Asked {
-                name: name.clone(),
-                boot: u64::MAX / (n + 1),
-                number,
+            let asked = Request {
+                client: name.clone(),
+                boot_id: u64::MAX / (n + 1),
+                sequence: number,
                 command,
             };
-            state.apply(&Stamped { at: number, asked });
+            state.apply(&TimestampedRequest {
+                at: number,
+                request: asked,
+            });
         };
-        apply(&mut state, number, Command::Epoch);
+        apply(&mut state, number, Command::NewEpoch);
         let epoch = state.epoch(&name).ok_or("no epoch")?;
         let lease = format!("lease-{n}");
         number += 1;
         apply(
             &mut state,
             number,
-            Command::Acquire {
+            Command::AcquireLease {
                 lease,
                 epoch,
-                length: 30_000 * MS,
+                duration: 30_000 * MS,
             },
         );
     }
--- a/crates/pipithub-council/src/client.rs
+++ b/crates/pipithub-council/src/client.rs
@@ -1,75 +1,113 @@
-//! A front end's side: questions that are repeated until answered once, and leases by its own clock.
+//! The client of a front end: requests that are retried until they have a response, and leases by the local clock.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::Time;
-use crate::state::{Answer, Asked, Command};
-use crate::voter::Wire;
+use crate::command::{Command, Request, Response};
+use crate::message::WireMessage;
 
-/// Questions that wait; further ones are not taken.
-const WAITING: usize = 1_024;
-/// Of a lease's time so much is not used: clocks of two machines differ in rate, by far less.
-const DRIFT: u64 = 64;
+/// Most requests without a response; further ones are rejected.
+const MAX_PENDING: usize = 1_024;
+/// One part in so many of a lease's duration is not used, because the clocks of two machines differ in rate, by far less.
+const DRIFT_DIVISOR: u64 = 64;
 
 /// A lease as its holder may rely on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Held {
-    /// Under which epoch it was granted.
+pub struct HeldLease {
+    /// Epoch that it was granted under.
     pub epoch: u64,
-    /// Until when, by the holder's own clock.
-    pub until: Time,
+    /// When it expires, by the holder's own clock.
+    pub expires_at: Time,
 }
 
-/// What a client is told.
+/// A message to one voter.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
-    /// The answer to a question, by its number.
-    Answer(u64, Answer),
-    /// The epoch is over: stop acting at once.
+pub struct OutgoingMessage {
+    /// Id of the voter.
+    pub voter: u64,
+    /// The message.
+    pub message: WireMessage,
+}
+
+/// What a client reports to its front end.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Notification {
+    /// A request has its response.
+    Response {
+        /// Sequence number of the request.
+        sequence: u64,
+        /// The response.
+        response: Response,
+    },
+    /// The epoch is over: the front end must stop acting at once.
     Fenced,
 }
 
-/// One front end's questions. They are asked one at a time, in order, so that the council can tell repeats.
+/// A request without a response.
+#[derive(Clone, Debug)]
+struct PendingRequest {
+    sequence: u64,
+    command: Command,
+}
+
+/// The request that was sent last.
+#[derive(Clone, Copy, Debug)]
+struct InFlight {
+    first_sent: Time,
+    retry_at: Time,
+}
+
+/// The client of one front end. Requests are sent one at a time, in order, so that the consensus group recognises retries.
 #[derive(Debug)]
 pub struct Client {
     name: String,
-    boot: u64,
+    boot_id: u64,
     voters: Vec<u64>,
-    leader: usize,
-    number: u64,
-    waiting: VecDeque<(u64, Command)>,
-    /// The question under way: when it was first asked, and when it is asked again.
-    asked: Option<(Time, Time)>,
-    again: Time,
+    /// Index of the voter that requests are sent to.
+    target: usize,
+    last_sequence: u64,
+    pending: VecDeque<PendingRequest>,
+    in_flight: Option<InFlight>,
+    retry_interval: Time,
     epoch: Option<u64>,
-    leases: BTreeMap<String, Held>,
+    leases: BTreeMap<String, HeldLease>,
 }
 
 impl Client {
-    /// A run of a front end that knows the voters.
-    pub fn new(name: &str, boot: u64, voters: Vec<u64>, again: Time) -> Client {
+    /// The client of one run of a front end.
+    pub fn new(name: &str, boot_id: u64, voters: Vec<u64>, retry_interval: Time) -> Client {
         Client {
             name: name.to_string(),
-            boot,
+            boot_id,
             voters,
-            leader: 0,
-            number: 0,
-            waiting: VecDeque::new(),
-            asked: None,
-            again: again.max(1),
+            target: 0,
+            last_sequence: 0,
+            pending: VecDeque::new(),
+            in_flight: None,
+            retry_interval: retry_interval.max(1),
             epoch: None,
             leases: BTreeMap::new(),
         }
     }
 
-    /// Takes a question and gives its number; `None` where too many wait.
-    pub fn ask(&mut self, command: Command) -> Option<u64> {
-        if self.waiting.len() >= WAITING {
+    /// Submits a command and returns its sequence number; `None` where too many are pending.
+    pub fn submit(&mut self, command: Command) -> Option<u64> {
+        if self.pending.len() >= MAX_PENDING {
             return None;
         }
-        self.number += 1;
-        self.waiting.push_back((self.number, command));
-        Some(self.number)
+        self.last_sequence += 1;
+        let sequence = self.last_sequence;
+        self.pending.push_back(PendingRequest { sequence, command });
+        Some(sequence)
+    }
+
+    /// Releases a lease: it is not relied on from now on.
+    pub fn release(&mut self, lease: &str) -> Option<u64> {
+        let held = self.leases.remove(lease)?;
+        self.submit(Command::ReleaseLease {
+            lease: lease.to_string(),
+            epoch: held.epoch,
+        })
     }
 
     /// The epoch that this run acts under; `None` before it has one, and once it is fenced off.
@@ -77,227 +115,144 @@
         self.epoch
     }
 
-    /// Questions that are not answered.
-    pub fn waiting(&self) -> usize {
-        self.waiting.len()
+    /// How many requests have no response.
+    pub fn pending_requests(&self) -> usize {
+        self.pending.len()
     }
 
-    /// A lease, where it still holds. It is to be asked right before acting: whoever sleeps between the two acts late,
-    /// which only the epoch that goes with the act can tell.
-    pub fn holds(&self, lease: &str, now: Time) -> Option<Held> {
-        self.leases
-            .get(lease)
-            .copied()
-            .filter(|held| now < held.until && self.epoch == Some(held.epoch))
+    /// A lease, where it is still held. It is to be checked right before acting: a process that is stalled between the two
+    /// acts late, which only the epoch that is sent with the act can reveal.
+    pub fn held_lease(&self, lease: &str, now: Time) -> Option<HeldLease> {
+        let held = *self.leases.get(lease)?;
+        let is_valid = now < held.expires_at && self.epoch == Some(held.epoch);
+        is_valid.then_some(held)
     }
 
-    /// When [`Client::turn`] is wanted.
+    /// When [`Client::next_message`] is wanted.
     pub fn next_due(&self, now: Time) -> Option<Time> {
-        self.waiting.front()?;
-        Some(self.asked.map_or(now, |(_, again)| again))
+        self.pending.front()?;
+        Some(self.in_flight.map_or(now, |request| request.retry_at))
     }
 
-    /// What to send now, and to which voter.
-    pub fn turn(&mut self, now: Time) -> Option<(u64, Wire)> {
-        let (number, command) = self.waiting.front().cloned()?;
-        match self.asked {
-            Some((_, again)) if now < again => return None,
-            // No answer: another voter may know more.
-            Some((first, _)) => {
-                self.leader = (self.leader + 1) % self.voters.len().max(1);
-                self.asked = Some((first, now + self.again));
+    /// The message to send now, if any.
+    pub fn next_message(&mut self, now: Time) -> Option<OutgoingMessage> {
+        let PendingRequest { sequence, command } = self.pending.front().cloned()?;
+        let retry_at = now + self.retry_interval;
+        let first_sent = match self.in_flight {
+            Some(request) if now < request.retry_at => return None,
+            Some(request) => {
+                // No response: another voter may know the leader.
+                self.target = (self.target + 1) % self.voters.len().max(1);
+                request.first_sent
             }
-            None => self.asked = Some((now, now + self.again)),
-        }
-        let to = *self.voters.get(self.leader)?;
-        let asked = Asked {
-            name: self.name.clone(),
-            boot: self.boot,
-            number,
+            None => now,
+        };
+        self.in_flight = Some(InFlight {
+            first_sent,
+            retry_at,
+        });
+        let voter = *self.voters.get(self.target)?;
+        let request = Request {
+            client: self.name.clone(),
+            boot_id: self.boot_id,
+            sequence,
             command,
         };
-        Some((to, Wire::Ask(asked)))
+        Some(OutgoingMessage {
+            voter,
+            message: WireMessage::Request(request),
+        })
     }
 
-    /// Takes what a voter says.
-    pub fn hear(&mut self, now: Time, wire: Wire) -> Option<Told> {
-        match wire {
-            Wire::Answer {
-                name,
-                boot,
-                number,
-                answer,
-            } if name == self.name && boot == self.boot => {
-                let (front, command) = self.waiting.front().cloned()?;
-                if front != number {
-                    return None;
-                }
-                self.waiting.pop_front();
-                let (first, _) = self.asked.take().unwrap_or((now, now));
-                Some(self.answered(first, number, command, answer))
+    /// Handles a message of a voter.
+    pub fn handle_message(&mut self, now: Time, message: WireMessage) -> Option<Notification> {
+        match message {
+            WireMessage::Response {
+                client,
+                boot_id,
+                sequence,
+                response,
+            } if client == self.name && boot_id == self.boot_id => {
+                self.on_response(now, sequence, response)
             }
-            Wire::Elsewhere {
-                name,
-                number,
+            WireMessage::NotLeader {
+                client,
+                sequence,
                 leader,
-            } if name == self.name => {
-                if self.waiting.front().map(|w| w.0) == Some(number)
-                    && let Some((first, _)) = self.asked
-                    && let Some(at) = leader.and_then(|l| self.voters.iter().position(|v| *v == l))
-                {
-                    // The turn goes one further before it asks.
-                    self.leader = (at + self.voters.len() - 1) % self.voters.len();
-                    self.asked = Some((first, now));
-                }
+            } if client == self.name => {
+                self.on_not_leader(now, sequence, leader);
                 None
             }
             _ => None,
         }
     }
 
-    fn answered(&mut self, first: Time, number: u64, command: Command, answer: Answer) -> Told {
-        match (&command, &answer) {
-            (Command::Epoch, Answer::Epoch(epoch)) => self.epoch = Some(*epoch),
+    /// Sends the request to the leader next, without waiting for the retry.
+    fn on_not_leader(&mut self, now: Time, sequence: u64, leader: Option<u64>) {
+        if self.pending.front().map(|request| request.sequence) != Some(sequence) {
+            return;
+        }
+        let index = leader.and_then(|id| self.voters.iter().position(|voter| *voter == id));
+        if let Some(index) = index
+            && let Some(request) = &mut self.in_flight
+        {
+            // A retry goes to the next voter, so the target is set to the one before the leader.
+            self.target = (index + self.voters.len() - 1) % self.voters.len();
+            request.retry_at = now;
+        }
+    }
+
+    fn on_response(
+        &mut self,
+        now: Time,
+        sequence: u64,
+        response: Response,
+    ) -> Option<Notification> {
+        if self.pending.front()?.sequence != sequence {
+            return None;
+        }
+        let request = self.pending.pop_front()?;
+        let in_flight = self.in_flight.take();
+        let first_sent = in_flight.map_or(now, |request| request.first_sent);
+        match (request.command, &response) {
+            (Command::NewEpoch, Response::Epoch(epoch)) => self.epoch = Some(*epoch),
             (
-                Command::Acquire {
+                Command::AcquireLease {
                     lease,
                     epoch,
-                    length,
+                    duration,
                 },
-                Answer::Granted,
-            ) => {
-                // What is to be given back is not relied on: the log may give it to another before we hear of it.
-                let back =
-                    |c: &Command| matches!(c, Command::Release { lease: l, .. } if l == lease);
-                if self.waiting.iter().any(|(_, c)| back(c)) {
-                    return Told::Answer(number, answer);
-                }
-                // From when it was first asked: the log took it in then at the earliest.
-                let until = first + length - length / DRIFT;
-                self.leases.insert(
-                    lease.clone(),
-                    Held {
-                        epoch: *epoch,
-                        until,
-                    },
-                );
+                Response::Granted,
+            ) => self.record_lease(lease, epoch, first_sent, duration),
+            (Command::ReleaseLease { lease, .. }, _) => {
+                self.leases.remove(&lease);
             }
-            (Command::Release { lease, .. }, _) => drop(self.leases.remove(lease)),
-            (Command::Acquire { epoch, .. }, Answer::Fenced { .. })
-                if self.epoch == Some(*epoch) =>
+            (Command::AcquireLease { epoch, .. }, Response::Fenced { .. })
+                if self.epoch == Some(epoch) =>
             {
                 self.epoch = None;
                 self.leases.clear();
-                return Told::Fenced;
+                return Some(Notification::Fenced);
             }
             _ => {}
         }
-        Told::Answer(number, answer)
-    }
-
-    /// Gives a lease back: it is not relied on from now on.
-    pub fn release(&mut self, lease: &str) -> Option<u64> {
-        let held = self.leases.remove(lease)?;
-        self.ask(Command::Release {
-            lease: lease.to_string(),
-            epoch: held.epoch,
-        })
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn answer(client: &mut Client, now: Time, number: u64, answer: Answer) -> Option<Told> {
-        client.hear(
-            now,
-            Wire::Answer {
-                name: "a".into(),
-                boot: 7,
-                number,
-                answer,
-            },
-        )
-    }
-
-    fn with_epoch() -> Client {
-        let mut client = Client::new("a", 7, vec![1, 2, 3], 100);
-        client.ask(Command::Epoch);
-        client.turn(0);
-        answer(&mut client, 5, 1, Answer::Epoch(4));
-        client
+        Some(Notification::Response { sequence, response })
     }
 
-    fn acquire() -> Command {
-        Command::Acquire {
-            lease: "l".into(),
-            epoch: 4,
-            length: 6_400,
+    /// A lease counts from when it was first requested, because the log applied the request then at the earliest.
+    fn record_lease(&mut self, lease: String, epoch: u64, first_sent: Time, duration: Time) {
+        // A lease that is about to be released is not relied on: the log may grant it to another before this run hears of
+        // the release.
+        if self.is_release_pending(&lease) {
+            return;
         }
+        let expires_at = first_sent + duration - duration / DRIFT_DIVISOR;
+        self.leases.insert(lease, HeldLease { epoch, expires_at });
     }
 
-    #[test]
-    fn a_lease_counts_from_when_it_was_first_asked_less_what_clocks_may_differ() {
-        let mut client = with_epoch();
-        let number = client.ask(acquire()).unwrap();
-        assert_eq!(client.turn(1_000).unwrap().0, 1);
-        assert!(client.turn(1_050).is_none());
-        assert_eq!(client.turn(1_100).unwrap().0, 2, "no answer: another voter");
-        assert!(client.holds("l", 1_100).is_none());
-        answer(&mut client, 2_000, number, Answer::Granted);
-        assert_eq!(
-            client.holds("l", 7_299),
-            Some(Held {
-                epoch: 4,
-                until: 7_300
-            })
-        );
-        assert!(client.holds("l", 7_300).is_none());
-    }
-
-    /// Seed 1593 of the drawn days: given back while a question for more time on it was under way.
-    #[test]
-    fn a_lease_that_is_to_be_given_back_is_not_relied_on_again() {
-        let mut client = with_epoch();
-        let first = client.ask(acquire()).unwrap();
-        client.turn(0);
-        answer(&mut client, 10, first, Answer::Granted);
-        let more = client.ask(acquire()).unwrap();
-        client.turn(20);
-        client.release("l");
-        answer(&mut client, 30, more, Answer::Granted);
-        assert!(client.holds("l", 40).is_none());
-    }
-
-    #[test]
-    fn a_fenced_run_holds_nothing_any_more() {
-        let mut client = with_epoch();
-        let first = client.ask(acquire()).unwrap();
-        client.turn(0);
-        answer(&mut client, 10, first, Answer::Granted);
-        let more = client.ask(acquire()).unwrap();
-        client.turn(20);
-        assert_eq!(
-            answer(&mut client, 30, more, Answer::Fenced { epoch: 9 }),
-            Some(Told::Fenced)
-        );
-        assert!(client.holds("l", 40).is_none() && client.epoch().is_none());
-    }
-
-    #[test]
-    fn an_answer_to_another_run_or_question_is_passed_over() {
-        let mut client = with_epoch();
-        let number = client.ask(acquire()).unwrap();
-        client.turn(0);
-        assert!(answer(&mut client, 5, number + 1, Answer::Granted).is_none());
-        let wire = Wire::Answer {
-            name: "a".into(),
-            boot: 6,
-            number,
-            answer: Answer::Granted,
-        };
-        assert!(client.hear(5, wire).is_none());
-        assert!(client.holds("l", 6).is_none());
+    fn is_release_pending(&self, name: &str) -> bool {
+        self.pending.iter().any(|request| {
+            matches!(&request.command, Command::ReleaseLease { lease, .. } if lease == name)
+        })
     }
 }
--- a/crates/pipithub-members/src/settings.rs
+++ b/crates/pipithub-members/src/settings.rs
@@ -1,26 +1,37 @@
-//! Settings of membership, with what is wrong with them.
+//! Settings of the membership, and their validation.
 
 use std::net::SocketAddr;
 
 use crate::{MS, Time};
 
-/// How a front end takes part in the fleet.
+/// Longest name of a cluster, in bytes.
+const MAX_CLUSTER_BYTES: usize = 100;
+/// Most seeds.
+const MAX_SEEDS: usize = 32;
+/// Longest probe period.
+const MAX_PROBE_PERIOD: Time = 600_000 * MS;
+/// Largest suspicion multiplier.
+const MAX_SUSPICION_MULTIPLIER: u32 = 100;
+/// Largest bound on the number of members.
+const MAX_MEMBERS: usize = 10_000;
+
+/// How a front end takes part in the cluster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The cluster's name: who says another is a stranger.
+    /// Name of the cluster; datagrams of other clusters are rejected.
     pub cluster: String,
-    /// Addresses that may know others; one that answers is enough.
+    /// Addresses of processes that may know others; one that answers is enough.
     pub seeds: Vec<SocketAddr>,
-    /// One member is probed in each such time.
+    /// One member is probed in each such period.
     pub probe_period: Time,
-    /// A direct answer is awaited for so long before others are asked.
-    pub probe_wait: Time,
-    /// A suspected member has so many probe periods to speak up, times the logarithm of the fleet's size.
-    pub suspicion: u32,
-    /// The most members that are kept track of; further ones are passed over, with an event.
+    /// How long a direct answer is awaited before other members probe as well.
+    pub probe_timeout: Time,
+    /// Probe periods in which a suspected member may refute the suspicion, times the logarithm of the cluster's size.
+    pub suspicion_multiplier: u32,
+    /// Most members that are known; further ones are not admitted, with an event.
     pub max_members: usize,
-    /// How long the dead are remembered: for so long an old disk is recognised.
-    pub remember: Time,
+    /// How long dead members are remembered: for so long a stale disk is recognised.
+    pub dead_retention: Time,
 }
 
 impl Default for Settings {
@@ -29,65 +40,76 @@
             cluster: String::new(),
             seeds: Vec::new(),
             probe_period: 1_000 * MS,
-            probe_wait: 300 * MS,
-            suspicion: 4,
+            probe_timeout: 300 * MS,
+            suspicion_multiplier: 4,
             max_members: 1_000,
-            remember: 7 * 24 * 3_600_000 * MS,
+            dead_retention: 7 * 24 * 3_600_000 * MS,
         }
     }
 }
 
-/// What is wrong with settings.
+/// Why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Wrong {
-    /// A cluster has a name, so that two never mix.
+pub enum SettingsError {
+    /// A cluster needs a name, so that two never mix.
     #[error("the cluster has no name, or one over 100 bytes")]
-    Cluster,
-    /// A name has 1 to 200 bytes and no line break.
+    InvalidClusterName,
+    /// A member's name has 1 to 200 bytes and no line break.
     #[error("the front end's name is empty, over 200 bytes or has a line break")]
-    Name,
-    /// One seed twice is one seed.
+    InvalidMemberName,
+    /// A seed is listed twice.
     #[error("seed {0} is given twice")]
-    SeedTwice(SocketAddr),
-    /// Too many seeds.
+    DuplicateSeed(SocketAddr),
+    /// There are too many seeds.
     #[error("{0} seeds; 32 at most")]
-    Seeds(usize),
-    /// The wait must leave time for others to be asked.
+    TooManySeeds(usize),
+    /// The timeout must leave time for others to probe.
     #[error("probe-wait must be over 0 and under half of probe-period")]
-    Waits,
-    /// Out of its range.
+    InvalidProbeTimeout,
+    /// The setting of this name is out of its range.
     #[error("'{0}' is out of its range")]
-    Range(&'static str),
+    OutOfRange(&'static str),
 }
 
 impl Settings {
-    /// Tells what is wrong first.
-    pub fn check(&self) -> Result<(), Wrong> {
-        if self.cluster.is_empty() || self.cluster.len() > 100 || self.cluster.contains('\n') {
-            return Err(Wrong::Cluster);
+    /// Returns the first fault.
+    pub fn validate(&self) -> Result<(), SettingsError> {
+        self.validate_cluster()?;
+        self.validate_seeds()?;
+        if !(MS..=MAX_PROBE_PERIOD).contains(&self.probe_period) {
+            return Err(SettingsError::OutOfRange("probe-period"));
         }
-        if self.seeds.len() > 32 {
-            return Err(Wrong::Seeds(self.seeds.len()));
+        if self.probe_timeout == 0 || self.probe_timeout.saturating_mul(2) >= self.probe_period {
+            return Err(SettingsError::InvalidProbeTimeout);
         }
-        for (n, seed) in self.seeds.iter().enumerate() {
-            if self.seeds[..n].contains(seed) {
-                return Err(Wrong::SeedTwice(*seed));
-            }
+        if !(1..=MAX_SUSPICION_MULTIPLIER).contains(&self.suspicion_multiplier) {
+            return Err(SettingsError::OutOfRange("suspicion"));
         }
-        if !(MS..=600_000 * MS).contains(&self.probe_period) {
-            return Err(Wrong::Range("probe-period"));
+        if !(2..=MAX_MEMBERS).contains(&self.max_members) {
+            return Err(SettingsError::OutOfRange("max-members"));
         }
-        if self.probe_wait == 0 || self.probe_wait.saturating_mul(2) >= self.probe_period {
-            return Err(Wrong::Waits);
+        if self.dead_retention < self.probe_period {
+            return Err(SettingsError::OutOfRange("remember"));
         }
-        if !(1..=100).contains(&self.suspicion) {
-            return Err(Wrong::Range("suspicion"));
+        Ok(())
+    }
+
+    fn validate_cluster(&self) -> Result<(), SettingsError> {
+        let name = &self.cluster;
+        if name.is_empty() || name.len() > MAX_CLUSTER_BYTES || name.contains('\n') {
+            return Err(SettingsError::InvalidClusterName);
         }
-        if !(2..=10_000).contains(&self.max_members) {
-            return Err(Wrong::Range("max-members"));
+        Ok(())
+    }
+
+    fn validate_seeds(&self) -> Result<(), SettingsError> {
+        if self.seeds.len() > MAX_SEEDS {
+            return Err(SettingsError::TooManySeeds(self.seeds.len()));
         }
-        if self.remember < self.probe_period {
-            return Err(Wrong::Range("remember"));
+        for (index, seed) in self.seeds.iter().enumerate() {
+            if self.seeds[..index].contains(seed) {
+                return Err(SettingsError::DuplicateSeed(*seed));
+            }
         }
         Ok(())
     }
--- a/crates/pipithub-settings/src/fleet.rs
+++ b/crates/pipithub-settings/src/fleet.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use pipithub_members::{Settings, Wrong};
+use pipithub_members::{Settings, SettingsError};
 
 use crate::duration::{DAY, MS, SECOND};
 use crate::reader::Reader;
@@ -143,20 +143,20 @@
         cluster,
         seeds,
         probe_period: node.duration("probe-period", defaults.probe_period, 50 * MS..=60 * SECOND),
-        probe_wait: node.duration("probe-wait", defaults.probe_wait, MS..=30 * SECOND),
-        suspicion: node.integer("suspicion", u64::from(defaults.suspicion), 1..=100) as u32,
+        probe_timeout: node.duration("probe-wait", defaults.probe_timeout, MS..=30 * SECOND),
+        suspicion_multiplier: node.integer("suspicion", u64::from(defaults.suspicion_multiplier), 1..=100) as u32,
         max_members: node.integer("max-members", max_members, 2..=10_000) as usize,
-        remember: node.integer("remember-days", 7, 1..=365) * DAY,
+        dead_retention: node.integer("remember-days", 7, 1..=365) * DAY,
     }
 }
 
 fn check_members(node: &Reader<'_>, members: &Settings) {
-    let Err(wrong) = members.check() else {
+    let Err(error) = members.validate() else {
         return;
     };
-    let span = match wrong {
-        Wrong::Waits => node.child("probe-wait").map(|child| child.span()),
+    let span = match error {
+        SettingsError::InvalidProbeTimeout => node.child("probe-wait").map(|child| child.span()),
         _ => None,
     };
-    node.fault_at(span.unwrap_or(node.span()), wrong.to_string(), None);
+    node.fault_at(span.unwrap_or(node.span()), error.to_string(), None);
 }
