--- a/crates/pipithub-engine/src/decide.rs
+++ b/crates/pipithub-engine/src/decide.rs
@@ -1,7 +1,7 @@
 //! Who decides where calls run.
 
-use pipithub_policy::api::{Action, Event, Time};
 use pipithub_policy::FrontEnd;
+use pipithub_policy::api::{Action, Event, Time};
 
 /// What decides for an engine: the decision module, or in drills a policy to compare it with.
 pub trait Decide: std::fmt::Debug + Send {
--- a/crates/pipithub-engine/src/engine.rs
+++ b/crates/pipithub-engine/src/engine.rs
@@ -10,8 +10,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use pipithub_policy::api::{Action, Class, Event, RequestId, Time, WorkerId};
 use pipithub_policy::FrontEnd;
+use pipithub_policy::api::{Action, Class, Event, RequestId, Time, WorkerId};
 
 use crate::call::{AttemptId, Ticket};
 use crate::decide::Decide;
--- a/crates/pipithub-hollow/tests/same.rs
+++ b/crates/pipithub-hollow/tests/same.rs
@@ -18,12 +18,13 @@
     let (before, timers) = text
         .split_once("timers: Timers {")
         .expect("the engine has timers");
-    let (timers, after) = timers.split_once('}').expect("they end");
-    let asked = timers.split_once("asked: ").expect("their number").1.trim();
-    let heap = without_points(timers).replace(&format!("(T, {asked}, "), "(T, N, ");
-    let heap = heap.replace(&format!("asked: {asked}"), "asked: N");
+    let (timers, after) = timers
+        .split_once("last_sequence: ")
+        .expect("the number of the last timer");
+    let (last, after) = after.split_once(' ').expect("it ends");
+    let heap = without_points(timers).replace(&format!("sequence: {last},"), "sequence: N,");
     format!(
-        "{}timers: Timers {{{heap}}}{}",
+        "{}timers: Timers {{{heap}last_sequence: N {}",
         without_points(before),
         without_points(after)
     )
@@ -78,12 +79,15 @@
 
 /// The names of the workers that the core knows, by the Debug text of its connections' table, sorted.
 fn known(text: &str) -> Vec<String> {
-    let peers = text.split_once("peers: {").map_or("", |(_, rest)| rest);
-    let peers = peers
-        .split_once("links: {")
-        .map_or(peers, |(peers, _)| peers);
-    let names = peers
-        .split("Worker(\"")
+    let pool = text
+        .split_once("WorkerPool { max_connections")
+        .map_or("", |(_, pool)| pool);
+    let workers = pool
+        .split_once("workers: {")
+        .and_then(|(_, rest)| rest.split_once("listed: "))
+        .map_or("", |(workers, _)| workers);
+    let names = workers
+        .split("WorkerId(\"")
         .skip(1)
         .filter_map(|t| Some(t.split_once('"')?.0.to_string()));
     names.collect()
--- a/crates/pipithub-node/src/core/endpoint_list.rs
+++ b/crates/pipithub-node/src/core/endpoint_list.rs
@@ -53,11 +53,11 @@
 
     /// An endpoint whose start is told by this process's clock.
     fn with_start_time(&mut self, endpoint: &Endpoint, now: Time, wall: Time) -> Endpoint {
+        let resolve = |stamp| self.start_times.resolve(&endpoint.worker, stamp, now, wall);
+        let started_at = endpoint.started_at.map(resolve);
         if endpoint.state == EndpointState::Removed {
             self.start_times.forget(&endpoint.worker);
         }
-        let resolve = |stamp| self.start_times.resolve(&endpoint.worker, stamp, now, wall);
-        let started_at = endpoint.started_at.map(resolve);
         Endpoint {
             started_at,
             ..endpoint.clone()
--- a/crates/pipithub-node/src/start_times.rs
+++ b/crates/pipithub-node/src/start_times.rs
@@ -9,6 +9,10 @@
 use pipithub_engine::Time;
 use pipithub_engine::policy::WorkerId;
 
+/// The clocks are read one after the other, and slewing moves them apart a little: below this difference the wall clock
+/// was not stepped, and a stamp counts as it is stated.
+const MAX_CLOCK_DIFFERENCE: Time = 100_000_000;
+
 /// A start as it was stated and as it counts here.
 #[derive(Clone, Copy, Debug)]
 struct Start {
@@ -24,13 +28,17 @@
 
 impl StartTimes {
     /// The monotonic time of a start that the list states as `stamp`, with both clocks at this moment: `now` and
-    /// `wall`, Unix nanoseconds. A stamp in the future counts as now.
+    /// `wall`, Unix nanoseconds. Where the wall clock was stepped, a stamp in the future counts as now.
     pub fn resolve(&mut self, worker: &WorkerId, stamp: Time, now: Time, wall: Time) -> Time {
         if let Some(start) = self.starts.get(worker).filter(|start| start.stamp == stamp) {
             return start.time;
         }
-        let age = wall.saturating_sub(stamp);
-        let time = now.saturating_sub(age).max(1);
+        let time = if wall.abs_diff(now) <= MAX_CLOCK_DIFFERENCE {
+            stamp
+        } else {
+            let age = wall.saturating_sub(stamp);
+            now.saturating_sub(age).max(1)
+        };
         self.starts.insert(worker.clone(), Start { stamp, time });
         time
     }
--- a/crates/pipithub-node/tests/start_times.rs
+++ b/crates/pipithub-node/tests/start_times.rs
@@ -92,3 +92,15 @@
         500 * SECOND
     );
 }
+
+#[test]
+fn clocks_that_differ_by_their_readings_alone_leave_a_stamp_as_it_is_stated() {
+    let (worker, mut starts) = (WorkerId::new("w9"), StartTimes::default());
+    for difference in [0, MS, 100 * MS] {
+        let stamp = WALL - 7 * SECOND - difference;
+        assert_eq!(
+            starts.resolve(&worker, stamp, WALL, WALL + difference),
+            stamp
+        );
+    }
+}
--- a/crates/pipithub-settings/src/fleet.rs
+++ b/crates/pipithub-settings/src/fleet.rs
@@ -144,7 +144,11 @@
         seeds,
         probe_period: node.duration("probe-period", defaults.probe_period, 50 * MS..=60 * SECOND),
         probe_timeout: node.duration("probe-wait", defaults.probe_timeout, MS..=30 * SECOND),
-        suspicion_multiplier: node.integer("suspicion", u64::from(defaults.suspicion_multiplier), 1..=100) as u32,
+        suspicion_multiplier: node.integer(
+            "suspicion",
+            u64::from(defaults.suspicion_multiplier),
+            1..=100,
+        ) as u32,
         max_members: node.integer("max-members", max_members, 2..=10_000) as usize,
         dead_retention: node.integer("remember-days", 7, 1..=365) * DAY,
     }
