--- a/crates/pipithub-hollow/tests/same.rs
+++ b/crates/pipithub-hollow/tests/same.rs
@@ -78,11 +78,16 @@
 
 /// The names of the workers that the core knows, by the Debug text of its connections' table, sorted.
 fn known(text: &str) -> Vec<String> {
-    let peers = text.split_once("peers: {").map_or("", |(_, rest)| rest);
-    let peers = peers
-        .split_once("links: {")
-        .map_or(peers, |(peers, _)| peers);
-    let names = peers
+    let pool = text
+        .split_once("worker_pool: WorkerPool {")
+        .map_or("", |(_, pool)| pool);
+    let workers = pool
+        .split_once(" workers: {")
+        .map_or("", |(_, workers)| workers);
+    let workers = workers
+        .split_once(" connections: {")
+        .map_or(workers, |(workers, _)| workers);
+    let names = workers
         .split("Worker(\"")
         .skip(1)
         .filter_map(|t| Some(t.split_once('"')?.0.to_string()));
