--- a/crates/pipithub-hollow/tests/same.rs
+++ b/crates/pipithub-hollow/tests/same.rs
@@ -88,7 +88,7 @@
         .split_once(" connections: {")
         .map_or(workers, |(workers, _)| workers);
     let names = workers
-        .split("Worker(\"")
+        .split("WorkerId(\"")
         .skip(1)
         .filter_map(|t| Some(t.split_once('"')?.0.to_string()));
     names.collect()
