--- a/crates/pipithub/tests/restarts.rs
+++ b/crates/pipithub/tests/restarts.rs
@@ -88,7 +88,7 @@
     let first = at_worker.next().expect("a call");
     assert!(other.is_well(1));
     front_end.signal("TERM");
-    front_end.says("stopping");
+    front_end.says("shutting down");
     assert!(!other.is_well(2));
     // On an open connection, on a new one, and on one whose client has gone by the time of its answer.
     open.send(&call(2, "assign"));
