--- a/crates/pipithub-os-error/src/lib.rs
+++ b/crates/pipithub-os-error/src/lib.rs
@@ -24,7 +24,7 @@
 
 /// Errors of `accept(2)` that belong to the one connection that was to be accepted: the peer left before, or its
 /// network reported an error. The next connection may be accepted at once.
-const CONNECTION_ERRORS: [Errno; 13] = [
+const CONNECTION_ERRORS: [Errno; 12] = [
     Errno::CONNABORTED,
     Errno::CONNRESET,
     Errno::PROTO,
@@ -32,7 +32,6 @@
     Errno::HOSTDOWN,
     Errno::NONET,
     Errno::HOSTUNREACH,
-    Errno::OPNOTSUPP,
     Errno::NETUNREACH,
     Errno::NETDOWN,
     Errno::TIMEDOUT,
--- a/crates/pipithub-os-error/tests/classes.rs
+++ b/crates/pipithub-os-error/tests/classes.rs
@@ -87,3 +87,12 @@
     let unknown = io::Error::other("who knows");
     assert_eq!(accept_failure(&unknown), AcceptFailure::Exhausted);
 }
+
+#[test]
+fn an_error_that_every_accept_may_give_makes_no_listener_spin() {
+    // A listener of a kind that cannot accept gives it each time.
+    assert_eq!(
+        accept_failure(&error(Errno::OPNOTSUPP)),
+        AcceptFailure::Exhausted
+    );
+}
