--- a/crates/pipithub-bench/src/hollow.rs
+++ b/crates/pipithub-bench/src/hollow.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use pipithub_clock::wall_ns;
-use pipithub_hollow::Hollow;
+use pipithub_hollow_node::Hollow;
 use pipithub_platform::config::NodeConfig;
 use serde_json::json;
 use tokio::io::{AsyncBufReadExt, BufReader};
--- a/crates/pipithub-bench/src/main.rs
+++ b/crates/pipithub-bench/src/main.rs
@@ -16,8 +16,8 @@
 use hdrhistogram::Histogram;
 use pipithub_amqp::Login;
 use pipithub_clock::Clock;
-use pipithub_drill::client::{Publish, QueueClient, Signed, consumers};
-use pipithub_drill::process::Process;
+use pipithub_scenario::client::{Publish, QueueClient, Signed, consumers};
+use pipithub_scenario::process::Process;
 
 type Result<T> = std::result::Result<T, Box<dyn Error + Send + Sync>>;
 
--- a/crates/pipithub-bench/src/members.rs
+++ b/crates/pipithub-bench/src/members.rs
@@ -1,8 +1,8 @@
 //! One day of a fleet's membership in simulated time, over the very cores: what it costs and how soon it knows.
 
 use clap::{Args, ValueEnum};
-use pipithub_fleetsim::Fleet;
-use pipithub_members::{Event, Settings, Time};
+use pipithub_membership::{Event, Settings, Time};
+use pipithub_membership_sim::Fleet;
 use pipithub_simnet::Link;
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
--- a/crates/pipithub-bench/src/roster.rs
+++ b/crates/pipithub-bench/src/roster.rs
@@ -15,8 +15,8 @@
     Person, Publisher, Roster, SearchId, Settings, TenantBase, TenantId, Time, Told, User, View,
     What,
 };
-use pipithub_drill::load::Chance;
 use pipithub_ldap::Dn;
+use pipithub_scenario::load::Chance;
 
 const TENANTS: usize = 50;
 const DAYS: u64 = 5;
--- a/crates/pipithub-bench/src/scale/council.rs
+++ b/crates/pipithub-bench/src/scale/council.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Instant;
 
-use pipithub_council::{
+use pipithub_consensus::{
     Command, Input, Output, Request, State, StoredLog, TimestampedRequest, Voter, VoterSettings,
 };
 use pipithub_simnet::{Link, Network, NetworkEvent, Time};
--- a/crates/pipithub-bench/src/scale/front_ends/fleet.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/fleet.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use pipithub_clock::wall_ns;
-use pipithub_standin::coordinator::{Behaviour, Coordinator, Counts, Tier};
+use pipithub_emulator::coordinator::{Behaviour, Coordinator, Counts, Tier};
 
 use super::rig::{Crowd, configure, cpu, memory, until};
 use super::{FRONT_ENDS, Table, ZONES};
--- a/crates/pipithub-bench/src/scale/front_ends/lists.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/lists.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use pipithub_standin::coordinator::{Behaviour, Coordinator, Tier, event};
+use pipithub_emulator::coordinator::{Behaviour, Coordinator, Tier, event};
 
 use super::rig::{Real, configure, cpu, memory, until};
 use super::{Table, WORKERS, ZONES};
--- a/crates/pipithub-bench/src/scale/front_ends/processes.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/processes.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use pipithub_standin::coordinator::{Behaviour, Coordinator, Tier};
+use pipithub_emulator::coordinator::{Behaviour, Coordinator, Tier};
 
 use super::rig::{Memory, Real, configure, cpu, memory, until};
 use super::{FRONT_ENDS, Table, ZONES};
--- a/crates/pipithub-bench/src/scale/front_ends/rig.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/rig.rs
@@ -4,7 +4,7 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-use pipithub_standin::coordinator::{Coordinator, Counts};
+use pipithub_emulator::coordinator::{Coordinator, Counts};
 use serde_json::{Value, json};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader, Lines};
 use tokio::process::{Child, ChildStdin, ChildStdout, Command};
--- a/crates/pipithub-characterization/tests/file_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/file_driver/mod.rs
@@ -9,9 +9,9 @@
 };
 use pipithub_endpoints::{Step, Watcher};
 use pipithub_engine::policy::{Endpoint, EndpointState, EndpointUpdate};
-use pipithub_fleet::{DataFolder, MemberReport, Report, ReportedEvent};
 use pipithub_ldap::Dn;
-use pipithub_members::{DiskState, GenerationRecord};
+use pipithub_membership::{DiskState, GenerationRecord};
+use pipithub_membership_runtime::{DataFolder, MemberReport, Report, ReportedEvent};
 use pipithub_storage::SystemFiles;
 
 const HOUR: u64 = 3_600 * 1_000_000_000;
--- a/crates/pipithub-check/tests/planted.rs
+++ b/crates/pipithub-conformance/tests/planted.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use pipithub_check::record::{Record, Seen};
-use pipithub_check::rules::{ClassRules, Effect, Rule, RuleBook, check};
+use pipithub_conformance::record::{Record, Seen};
+use pipithub_conformance::rules::{ClassRules, Effect, Rule, RuleBook, check};
 
 const MS: u64 = 1_000_000;
 
@@ -345,7 +345,7 @@
             move_bound: Some(200 * MS),
             ..book()
         };
-        let all = pipithub_check::rules::check(&records, &book);
+        let all = pipithub_conformance::rules::check(&records, &book);
         all.iter().filter(|b| b.rule == Rule::TenantsApart).count()
     };
     assert_eq!(crossed(400, "north-map", "mai"), 0);
--- a/crates/pipithub-council/tests/client.rs
+++ b/crates/pipithub-consensus/tests/client.rs
@@ -1,6 +1,6 @@
 //! Leases as their holder may rely on them, and retries.
 
-use pipithub_council::{Client, Command, HeldLease, Notification, Response, Time, WireMessage};
+use pipithub_consensus::{Client, Command, HeldLease, Notification, Response, Time, WireMessage};
 
 fn respond(
     client: &mut Client,
--- a/crates/pipithub-council/tests/growth.rs
+++ b/crates/pipithub-consensus/tests/growth.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use pipithub_council::{Command, Input, Output, Request, Voter, VoterSettings};
+use pipithub_consensus::{Command, Input, Output, Request, Voter, VoterSettings};
 
 const TICK: u64 = 20_000_000;
 
@@ -27,7 +27,7 @@
                 voters: ids.clone(),
                 tick: TICK,
             };
-            Voter::new(settings, &pipithub_council::StoredLog::default(), 0, id).unwrap()
+            Voter::new(settings, &pipithub_consensus::StoredLog::default(), 0, id).unwrap()
         };
         let voters = ids.iter().map(|id| voter(*id)).collect();
         let mut group = Group {
--- a/crates/pipithub-council/tests/seeds.rs
+++ b/crates/pipithub-consensus/tests/seeds.rs
@@ -3,7 +3,7 @@
 
 mod simulation;
 
-use pipithub_council::{Command, Voter};
+use pipithub_consensus::{Command, Voter};
 use rand::RngExt;
 
 use simulation::{InjectedFault, MS, Simulation};
@@ -148,7 +148,7 @@
     );
 }
 
-/// A long run, by hand: `PIPITHUB_SEEDS=1000 cargo test --release -p pipithub-council -- --ignored`.
+/// A long run, by hand: `PIPITHUB_SEEDS=1000 cargo test --release -p pipithub-consensus -- --ignored`.
 #[test]
 #[ignore = "long: a command, not part of CI"]
 fn many_days() {
--- a/crates/pipithub-council/tests/simulation/mod.rs
+++ b/crates/pipithub-consensus/tests/simulation/mod.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use pipithub_council::{
+use pipithub_consensus::{
     Client, Command, Input, Notification, Output, Response, StoredLog, Voter, VoterSettings,
     WireMessage, WriteBatch,
 };
--- a/crates/pipithub-council/tests/state.rs
+++ b/crates/pipithub-consensus/tests/state.rs
@@ -1,6 +1,6 @@
 //! How commands change the replicated state.
 
-use pipithub_council::{
+use pipithub_consensus::{
     Command, Request, Response, SettingsVersion, State, Time, TimestampedRequest,
 };
 
--- a/crates/pipithub-consumer/tests/with_broker/bed.rs
+++ b/crates/pipithub-consumer/tests/with_broker/bed.rs
@@ -9,6 +9,7 @@
 use pipithub_consumer::backoff::BackoffRange;
 use pipithub_consumer::message::{ClassName, Route};
 use pipithub_consumer::{Consumer, ConsumerSettings, DeadLetterTarget, Notice, Phase, Qos};
+use pipithub_emulator::broker::{Broker, ConnId, Out};
 use pipithub_engine::policy::{
     Class, Endpoint as WorkerEndpoint, EndpointUpdate, Idempotency, Limits, LoadReport, Outcome,
     Settings, WorkerId,
@@ -16,7 +17,6 @@
 use pipithub_engine::{
     AttemptId, AttemptResult, Engine, EngineSettings, Input, Output, Served, SourceId, Time,
 };
-use pipithub_standin::broker::{Broker, ConnId, Out};
 
 pub(crate) const MS: Time = 1_000_000;
 pub(crate) const WALL: u64 = 1_800_000_000_000;
--- a/crates/pipithub-standin/src/broker/core.rs
+++ b/crates/pipithub-emulator/src/broker/core.rs
@@ -10,7 +10,7 @@
 use pipithub_amqp::{
     Code, Content, Event, Fault, FieldTable, FieldValue, Method, Properties, ShortStr, Time,
 };
-use pipithub_check::record::Seen;
+use pipithub_conformance::record::Seen;
 
 /// A connection, as the shell numbers it.
 pub type ConnId = u64;
--- a/crates/pipithub-standin/src/list.rs
+++ b/crates/pipithub-emulator/src/list.rs
@@ -14,7 +14,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use pipithub_check::record::Seen;
+use pipithub_conformance::record::Seen;
 use pipithub_endpoints::object::{
     Conditions, EndpointPort, EndpointSlice, EndpointSliceList, ListMeta, ObjectMeta,
     SliceEndpoint, TargetRef,
--- a/crates/pipithub-standin/src/recorder.rs
+++ b/crates/pipithub-emulator/src/recorder.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex, PoisonError};
 
-use pipithub_check::record::{Record, Seen};
+use pipithub_conformance::record::{Record, Seen};
 
 use crate::clock::wall_ns;
 
--- a/crates/pipithub-standin/src/worker/server.rs
+++ b/crates/pipithub-emulator/src/worker/server.rs
@@ -10,7 +10,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use pipithub_check::record::Seen;
+use pipithub_conformance::record::Seen;
 use pipithub_inference::orca::Report;
 use pipithub_inference::{IndexEntry, header, unescape};
 use tokio::net::TcpListener;
--- a/crates/pipithub-standin/tests/accept.rs
+++ b/crates/pipithub-emulator/tests/accept.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::time::Duration;
 
-use pipithub_standin::accept::next_connection;
+use pipithub_emulator::accept::next_connection;
 use rustix::io::Errno;
 use tokio::time::Instant;
 
--- a/crates/pipithub-standin/tests/lapin.rs
+++ b/crates/pipithub-emulator/tests/lapin.rs
@@ -7,7 +7,7 @@
 use lapin::options::*;
 use lapin::types::{AMQPValue, FieldTable, ShortString};
 use lapin::{BasicProperties, Channel, Connection, ConnectionProperties, Consumer};
-use pipithub_standin::broker::{BrokerServer, BrokerSettings};
+use pipithub_emulator::broker::{BrokerServer, BrokerSettings};
 
 async fn broker() -> BrokerServer {
     BrokerServer::start(
--- a/crates/pipithub-gateway/tests/deadline.rs
+++ b/crates/pipithub-gateway/tests/deadline.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 
 use pipithub_amqp::{FieldTable, Login};
-use pipithub_drill::client::{Publish, QueueClient};
+use pipithub_emulator::broker::{BrokerServer, BrokerSettings};
+use pipithub_emulator::recorder::Recorder;
 use pipithub_gateway::Gateway;
+use pipithub_scenario::client::{Publish, QueueClient};
 use pipithub_settings::Config;
-use pipithub_standin::broker::{BrokerServer, BrokerSettings};
-use pipithub_standin::recorder::Recorder;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
 
--- a/crates/pipithub-gateway/tests/remembered_list.rs
+++ b/crates/pipithub-gateway/tests/remembered_list.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use pipithub_emulator::list::{ListServer, Listed};
+use pipithub_emulator::recorder::Recorder;
 use pipithub_gateway::Gateway;
 use pipithub_settings::Config;
-use pipithub_standin::list::{ListServer, Listed};
-use pipithub_standin::recorder::Recorder;
 
 async fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let end = tokio::time::Instant::now() + Duration::from_secs(60);
--- a/crates/pipithub-gateway/tests/sockets.rs
+++ b/crates/pipithub-gateway/tests/sockets.rs
@@ -5,15 +5,15 @@
 use std::time::Duration;
 
 use pipithub_amqp::{FieldTable, Login};
-use pipithub_check::record::Seen;
-use pipithub_drill::client::{Answer, Publish, QueueClient};
+use pipithub_conformance::record::Seen;
+use pipithub_emulator::broker::{BrokerServer, BrokerSettings};
+use pipithub_emulator::list::{ListServer, Listed};
+use pipithub_emulator::proxy::{Damage, Proxy};
+use pipithub_emulator::recorder::Recorder;
+use pipithub_emulator::worker::{WorkerServer, WorkerSettings};
 use pipithub_gateway::Gateway;
+use pipithub_scenario::client::{Answer, Publish, QueueClient};
 use pipithub_settings::Config;
-use pipithub_standin::broker::{BrokerServer, BrokerSettings};
-use pipithub_standin::list::{ListServer, Listed};
-use pipithub_standin::proxy::{Damage, Proxy};
-use pipithub_standin::recorder::Recorder;
-use pipithub_standin::worker::{WorkerServer, WorkerSettings};
 
 fn any() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
--- a/crates/pipithub-gateway/tests/tenants.rs
+++ b/crates/pipithub-gateway/tests/tenants.rs
@@ -6,16 +6,16 @@
 use std::time::Duration;
 
 use pipithub_amqp::{FieldTable, Login};
-use pipithub_check::record::Seen;
-use pipithub_drill::client::{Answer, Publish, QueueClient, Signed};
-use pipithub_drill::load::Chance;
+use pipithub_conformance::record::Seen;
+use pipithub_emulator::broker::{BrokerServer, BrokerSettings};
+use pipithub_emulator::clock::wall_ns;
+use pipithub_emulator::directory::{DirectoryServer, DirectorySettings};
+use pipithub_emulator::recorder::Recorder;
+use pipithub_emulator::worker::{WorkerServer, WorkerSettings};
 use pipithub_gateway::Gateway;
+use pipithub_scenario::client::{Answer, Publish, QueueClient, Signed};
+use pipithub_scenario::load::Chance;
 use pipithub_settings::Config;
-use pipithub_standin::broker::{BrokerServer, BrokerSettings};
-use pipithub_standin::clock::wall_ns;
-use pipithub_standin::directory::{DirectoryServer, DirectorySettings};
-use pipithub_standin::recorder::Recorder;
-use pipithub_standin::worker::{WorkerServer, WorkerSettings};
 
 const KEY: &[u8] = b"a key of sixteen bytes and more";
 
@@ -128,7 +128,7 @@
 
     /// Calls that reached a worker: when, of which function.
     fn sent(&self) -> Vec<(u64, String, String)> {
-        let call = |r: pipithub_check::record::Record| match r.seen {
+        let call = |r: pipithub_conformance::record::Record| match r.seen {
             Seen::Call {
                 request, function, ..
             } => Some((r.t, request, function)),
--- a/crates/pipithub-hollow/tests/growth.rs
+++ b/crates/pipithub-hollow-node/tests/growth.rs
@@ -2,9 +2,9 @@
 
 mod rig;
 
-use pipithub_hollow::Hollow;
+use pipithub_emulator::coordinator::{Counts, Tier};
+use pipithub_hollow_node::Hollow;
 use pipithub_platform::list::MAX_ENDPOINTS;
-use pipithub_standin::coordinator::{Counts, Tier};
 use tokio::task::LocalSet;
 
 const SIZES: [usize; 3] = [10, 100, 1_000];
--- a/crates/pipithub-hollow/tests/rig/mod.rs
+++ b/crates/pipithub-hollow-node/tests/rig/mod.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use pipithub_hollow::Hollow;
+use pipithub_emulator::coordinator::{Behaviour, Coordinator, Tier};
+use pipithub_hollow_node::Hollow;
 use pipithub_platform::config::NodeConfig;
-use pipithub_standin::coordinator::{Behaviour, Coordinator, Tier};
 use serde_json::{Value, json};
 
 /// A front end of this coordinator.
--- a/crates/pipithub-hollow/tests/same.rs
+++ b/crates/pipithub-hollow-node/tests/same.rs
@@ -5,11 +5,11 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use pipithub_hollow::Hollow;
+use pipithub_emulator::coordinator::{Coordinator, Tier};
+use pipithub_hollow_node::Hollow;
 use pipithub_node::core::Core;
 use pipithub_node::shell::Node;
 use pipithub_platform::config::NodeConfig;
-use pipithub_standin::coordinator::{Coordinator, Tier};
 use tokio::task::{LocalSet, spawn_local};
 
 /// The text without what only tells how long a front end has run, which two cannot share: points in Unix time, and how
--- a/crates/pipithub-fleet/src/driver.rs
+++ b/crates/pipithub-membership-runtime/src/driver.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use pipithub_clock::{Clock, wall_ms};
-use pipithub_members::{Event, Input, Membership, Output, Time, View};
+use pipithub_membership::{Event, Input, Membership, Output, Time, View};
 use pipithub_settings::FleetSettings;
 use pipithub_storage::Saver;
 use tokio::net::UdpSocket;
--- a/crates/pipithub-fleet/src/event_text.rs
+++ b/crates/pipithub-membership-runtime/src/event_text.rs
@@ -1,6 +1,6 @@
 //! Events as sentences for operators, in the report, in `pipithub members explain` and in the log.
 
-use pipithub_members::{DiskState, Event, JoinState, Member, Time};
+use pipithub_membership::{DiskState, Event, JoinState, Member, Time};
 
 use crate::report::{ReportedEvent, milliseconds};
 
--- a/crates/pipithub-fleet/src/lib.rs
+++ b/crates/pipithub-membership-runtime/src/lib.rs
@@ -1,6 +1,6 @@
 //! The runtime around membership: one UDP socket, the generation on disk, and a report for operators.
 //!
-//! All decisions are made by [`pipithub_members`]; this crate moves bytes, files and time. A data folder belongs to one
+//! All decisions are made by [`pipithub_membership`]; this crate moves bytes, files and time. A data folder belongs to one
 //! running process, which holds a lock on it.
 
 mod data_folder;
--- a/crates/pipithub-fleet/src/report.rs
+++ b/crates/pipithub-membership-runtime/src/report.rs
@@ -4,7 +4,7 @@
 
 use std::collections::VecDeque;
 
-use pipithub_members::{Identity, Member, MemberState, Time, View};
+use pipithub_membership::{Identity, Member, MemberState, Time, View};
 use serde::{Deserialize, Serialize};
 
 use crate::event_text::{disk_text, join_state_text};
--- a/crates/pipithub-fleet/src/runtime.rs
+++ b/crates/pipithub-membership-runtime/src/runtime.rs
@@ -4,7 +4,9 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-use pipithub_members::{GenerationRecord, Identity, Membership, RecordError, SettingsError, View};
+use pipithub_membership::{
+    GenerationRecord, Identity, Membership, RecordError, SettingsError, View,
+};
 use pipithub_settings::FleetSettings;
 use pipithub_storage::{FileSystem, SystemFiles};
 use rand::TryRng;
--- a/crates/pipithub-fleet/tests/data_folder.rs
+++ b/crates/pipithub-membership-runtime/tests/data_folder.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::sync::Arc;
 
-use pipithub_fleet::{DataFolder, DataFolderError};
+use pipithub_membership_runtime::{DataFolder, DataFolderError};
 use pipithub_storage::SystemFiles;
 
 async fn save(path: &Path, text: &str) {
--- a/crates/pipithub-fleet/tests/failing_disk.rs
+++ b/crates/pipithub-membership-runtime/tests/failing_disk.rs
@@ -7,8 +7,8 @@
 use std::path::Path;
 use std::sync::Arc;
 
-use pipithub_fleet::{DataFolder, MembershipRuntime};
-use pipithub_members::{GenerationRecord, JoinState, Settings};
+use pipithub_membership::{GenerationRecord, JoinState, Settings};
+use pipithub_membership_runtime::{DataFolder, MembershipRuntime};
 use pipithub_settings::FleetSettings;
 use pipithub_storage::{FileSystem, Step, SystemFiles, WritableFile};
 use tokio::net::UdpSocket;
--- a/crates/pipithub-fleetsim/src/fleet.rs
+++ b/crates/pipithub-membership-sim/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use pipithub_members::{
+use pipithub_membership::{
     Event, GenerationRecord, Identity, Input, JoinState, MemberState, Membership, Output,
     RecordError, Settings, View,
 };
--- a/crates/pipithub-members/tests/fleet.rs
+++ b/crates/pipithub-membership/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! Simulated clusters: what is believed while processes die, stall, lose their disks and links fail. The true state is
 //! known to the simulation, not taken from the processes under test.
 
-use pipithub_fleetsim::{Fleet, Opinions};
-use pipithub_members::{DiskState, Event, JoinState, MemberState, Settings, Time};
+use pipithub_membership::{DiskState, Event, JoinState, MemberState, Settings, Time};
+use pipithub_membership_sim::{Fleet, Opinions};
 use pipithub_simnet::Link;
 
 const SECOND: Time = 1_000_000_000;
@@ -135,7 +135,7 @@
         let mut fleet = started(5, seed, Link::default());
         let old = fleet.disk(4).clone().map(|_| {
             let generation = 0;
-            pipithub_members::GenerationRecord {
+            pipithub_membership::GenerationRecord {
                 cluster: "campus".into(),
                 name: "front-4".into(),
                 generation,
@@ -297,15 +297,15 @@
             if let pipithub_simnet::NetworkEvent::Delivery { message, .. } = next {
                 messages.push(message);
             } else {
-                asking.handle(1, pipithub_members::Input::Tick);
+                asking.handle(1, pipithub_membership::Input::Tick);
             }
         }
         messages
     };
     assert!(!hello.is_empty());
-    let from = pipithub_fleetsim::address(40);
+    let from = pipithub_membership_sim::address(40);
     for bytes in &hello {
-        fleet.handle(0, pipithub_members::Input::Datagram { from, bytes });
+        fleet.handle(0, pipithub_membership::Input::Datagram { from, bytes });
     }
     fleet.run_for(5 * SECOND);
     assert!(
@@ -320,7 +320,7 @@
         matches!(
             e,
             Event::DatagramsRejected {
-                reason: pipithub_members::RejectReason::OtherCluster,
+                reason: pipithub_membership::RejectReason::OtherCluster,
                 ..
             }
         )
--- a/crates/pipithub-members/tests/growth.rs
+++ b/crates/pipithub-membership/tests/growth.rs
@@ -1,7 +1,7 @@
 //! How membership grows with the fleet, in counted bytes, datagrams, comparisons and simulated time; never in real time.
 
-use pipithub_fleetsim::Fleet;
-use pipithub_members::{Settings, Time};
+use pipithub_membership::{Settings, Time};
+use pipithub_membership_sim::Fleet;
 use pipithub_simnet::Link;
 
 const SECOND: Time = 1_000_000_000;
--- a/crates/pipithub-members/tests/random_faults.rs
+++ b/crates/pipithub-membership/tests/random_faults.rs
@@ -1,7 +1,7 @@
 //! Random faults in simulated clusters, which must end as one cluster once all faults are gone.
 
-use pipithub_fleetsim::Fleet;
-use pipithub_members::{JoinState, Settings, Time, View};
+use pipithub_membership::{JoinState, Settings, Time, View};
+use pipithub_membership_sim::Fleet;
 use pipithub_simnet::Link;
 use rand::RngExt;
 
@@ -114,7 +114,7 @@
     }
 }
 
-/// A long run, by hand: `PIPITHUB_SEEDS=1000 cargo test --release -p pipithub-members -- --ignored`.
+/// A long run, by hand: `PIPITHUB_SEEDS=1000 cargo test --release -p pipithub-membership -- --ignored`.
 #[test]
 #[ignore = "long: a command, not part of CI"]
 fn many_random_fault_scenarios_end_as_one_cluster() {
--- a/crates/pipithub-node/tests/coordinator.rs
+++ b/crates/pipithub-node/tests/coordinator.rs
@@ -4,10 +4,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
+use pipithub_emulator::coordinator::{Behaviour, Coordinator, event};
 use pipithub_node::coordinator::follow;
 use pipithub_platform::settings::Names;
 use pipithub_platform::sse::MAX_DATA_BYTES;
-use pipithub_standin::coordinator::{Behaviour, Coordinator, event};
 use tokio::sync::watch;
 use tokio::task::LocalSet;
 use tokio::time::Instant;
--- a/crates/pipithub-node/tests/sockets.rs
+++ b/crates/pipithub-node/tests/sockets.rs
@@ -1,8 +1,8 @@
 //! A front end on loopback sockets, with a worker and a coordinator of its own.
 
+use pipithub_emulator::coordinator::{self, Behaviour, Coordinator};
 use pipithub_node::coordinator::{Sequence, Step};
 use pipithub_node::shell::Node;
-use pipithub_standin::coordinator::{self, Behaviour, Coordinator};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
--- a/crates/pipithub-drill/src/fleet/day.rs
+++ b/crates/pipithub-scenario/src/fleet/day.rs
@@ -4,7 +4,7 @@
 
 use kdl::KdlDocument;
 use miette::NamedSource;
-use pipithub_check::fleet::{Bounds, Disk};
+use pipithub_conformance::fleet::{Bounds, Disk};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
--- a/crates/pipithub-drill/src/fleet/run.rs
+++ b/crates/pipithub-scenario/src/fleet/run.rs
@@ -8,11 +8,11 @@
 
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
-use pipithub_check::fleet::{Breach, Claim, Disk, History, Run, check};
 use pipithub_clock::{Clock, wall_ns};
-use pipithub_fleet::{DataFolder, Report};
-use pipithub_members::{GenerationRecord, sender_identity};
-use pipithub_standin::relay::{Relay, Way};
+use pipithub_conformance::fleet::{Breach, Claim, Disk, History, Run, check};
+use pipithub_emulator::relay::{Relay, Way};
+use pipithub_membership::{GenerationRecord, sender_identity};
+use pipithub_membership_runtime::{DataFolder, Report};
 use tracing::info;
 
 use super::day::{FleetDay, FleetTrouble};
--- a/crates/pipithub-drill/src/run.rs
+++ b/crates/pipithub-scenario/src/run.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 
 use pipithub_amqp::Login;
-use pipithub_check::record::{Record, Seen};
-use pipithub_check::report::{Report, report};
-use pipithub_check::rules::{Breach, ClassRules, Effect, RuleBook, check};
 use pipithub_clock::{Clock, wall_ms, wall_ns};
-use pipithub_standin::directory::{DirectoryServer, DirectorySettings};
-use pipithub_standin::list::{ListServer, Listed};
-use pipithub_standin::recorder::Recorder;
-use pipithub_standin::store::{StoreServer, StoreSettings};
+use pipithub_conformance::record::{Record, Seen};
+use pipithub_conformance::report::{Report, report};
+use pipithub_conformance::rules::{Breach, ClassRules, Effect, RuleBook, check};
+use pipithub_emulator::directory::{DirectoryServer, DirectorySettings};
+use pipithub_emulator::list::{ListServer, Listed};
+use pipithub_emulator::recorder::Recorder;
+use pipithub_emulator::store::{StoreServer, StoreSettings};
 use tracing::info;
 
 use crate::client::{QueueClient, consumers};
@@ -560,7 +560,7 @@
     stage.broker.kill().await;
     let records = records(&judged_folder)?;
     let book = rule_book(day);
-    let published = pipithub_check::rules::stories(&records, &book).len();
+    let published = pipithub_conformance::rules::stories(&records, &book).len();
     let breaches = check(&records, &book);
     let since = |t: u64| t.saturating_sub(began) as f64 / 1e9;
     Ok(Judged {
--- a/crates/pipithub-settings/src/fleet.rs
+++ b/crates/pipithub-settings/src/fleet.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use pipithub_members::{Settings, SettingsError};
+use pipithub_membership::{Settings, SettingsError};
 
 use crate::duration::{DAY, MS, SECOND};
 use crate::reader::Reader;
--- a/crates/pipithub/src/demo.rs
+++ b/crates/pipithub/src/demo.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 
 use miette::{IntoDiagnostic, Result, miette};
-use pipithub_drill::scenario::Scenario;
+use pipithub_scenario::scenario::Scenario;
 
 const DAY: &str = include_str!("../demo.kdl");
 
@@ -21,7 +21,7 @@
     let folder = std::env::temp_dir().join(format!("pipithub-demo-{}", std::process::id()));
     let binary = std::env::current_exe().into_diagnostic()?;
     let judged =
-        pipithub_drill::run::run(&day, 1, &binary, &folder, None, |second, sent, verdicts| {
+        pipithub_scenario::run::run(&day, 1, &binary, &folder, None, |second, sent, verdicts| {
             let of = |v: &str| verdicts.get(v).copied().unwrap_or(0);
             println!(
                 "{second:>4.0} s  sent {sent:>5}  served {:>5}  refused {:>4}  failed {:>4}",
--- a/crates/pipithub/src/main.rs
+++ b/crates/pipithub/src/main.rs
@@ -11,12 +11,12 @@
 
 use clap::{Parser, Subcommand};
 use miette::{IntoDiagnostic, Result, WrapErr, miette};
-use pipithub_check::rules::Rule;
-use pipithub_drill::fleet::FleetDay;
-use pipithub_drill::run::Judged;
-use pipithub_drill::scenario::Scenario;
+use pipithub_conformance::rules::Rule;
 use pipithub_gateway::{Gateway, Policy};
 use pipithub_node::shell::Node;
+use pipithub_scenario::fleet::FleetDay;
+use pipithub_scenario::run::Judged;
+use pipithub_scenario::scenario::Scenario;
 use pipithub_settings::Config;
 use tracing::info;
 use tracing_subscriber::EnvFilter;
@@ -223,7 +223,7 @@
             let binary = std::env::current_exe().into_diagnostic()?;
             let baseline = baseline.map(Baseline::name);
             let judged =
-                pipithub_drill::run::run(&day, seed, &binary, &folder, baseline, |_, _, _| {})
+                pipithub_scenario::run::run(&day, seed, &binary, &folder, baseline, |_, _, _| {})
                     .await;
             let judged = judged.map_err(|e| miette!("{e}; logs are in {}", folder.display()))?;
             if json {
@@ -252,7 +252,7 @@
     json: bool,
     folder: Option<PathBuf>,
 ) -> Result<ExitCode> {
-    use pipithub_check::fleet::Rule;
+    use pipithub_conformance::fleet::Rule;
     let day =
         FleetDay::parse(&file.display().to_string(), text).map_err(|e| miette::Report::new(*e))?;
     let given = folder.is_some();
@@ -260,7 +260,7 @@
         std::env::temp_dir().join(format!("pipithub-fleet-{}-{seed}", std::process::id()))
     });
     let binary = std::env::current_exe().into_diagnostic()?;
-    let judged = pipithub_drill::fleet::run(&day, seed, &binary, &folder).await;
+    let judged = pipithub_scenario::fleet::run(&day, seed, &binary, &folder).await;
     let judged = judged.map_err(|e| miette!("{e}; logs are in {}", folder.display()))?;
     let (history, broken) = (&judged.history, judged.breaches.len());
     let of = |rule: Rule| {
@@ -352,7 +352,7 @@
         "{:>7} {:>6} {:>8} {:>6} {:>8} {:>7} {:>8}",
         "from", "calls", "in time", "late", "refused", "failed", "service"
     );
-    let line = |name: String, w: &pipithub_check::report::Window| {
+    let line = |name: String, w: &pipithub_conformance::report::Window| {
         let (calls, in_time, late, refused, failed) =
             (w.calls, w.in_time, w.late, w.refused, w.failed);
         println!(
--- a/crates/pipithub/src/members.rs
+++ b/crates/pipithub/src/members.rs
@@ -6,7 +6,7 @@
 use clap::Subcommand;
 use miette::{IntoDiagnostic, Result, WrapErr, miette};
 use pipithub_clock::wall_ms;
-use pipithub_fleet::{DataFolder, MemberReport, MembershipRuntime, Report};
+use pipithub_membership_runtime::{DataFolder, MemberReport, MembershipRuntime, Report};
 use pipithub_settings::Config;
 
 #[derive(Subcommand)]
--- a/crates/pipithub/src/publish.rs
+++ b/crates/pipithub/src/publish.rs
@@ -6,7 +6,7 @@
 use clap::Args;
 use miette::{IntoDiagnostic, Result};
 use pipithub_amqp::Login;
-use pipithub_drill::client::{Publish as Call, QueueClient, Signed};
+use pipithub_scenario::client::{Publish as Call, QueueClient, Signed};
 
 /// Publishes calls to a queue and shows their answers.
 #[derive(Args)]
--- a/crates/pipithub/src/standin.rs
+++ b/crates/pipithub/src/standin.rs
@@ -8,13 +8,13 @@
 use clap::{Args, Subcommand};
 use miette::{IntoDiagnostic, Result, miette};
 use pipithub_amqp::FieldTable;
-use pipithub_standin::broker::{BrokerServer, BrokerSettings};
-use pipithub_standin::directory::{DirectoryServer, DirectorySettings};
-use pipithub_standin::list::ListServer;
-use pipithub_standin::proxy::{Damage, Proxy};
-use pipithub_standin::recorder::Recorder;
-use pipithub_standin::store::{StoreServer, StoreSettings};
-use pipithub_standin::worker::{WorkerServer, WorkerSettings};
+use pipithub_emulator::broker::{BrokerServer, BrokerSettings};
+use pipithub_emulator::directory::{DirectoryServer, DirectorySettings};
+use pipithub_emulator::list::ListServer;
+use pipithub_emulator::proxy::{Damage, Proxy};
+use pipithub_emulator::recorder::Recorder;
+use pipithub_emulator::store::{StoreServer, StoreSettings};
+use pipithub_emulator::worker::{WorkerServer, WorkerSettings};
 use tokio::io::{AsyncBufReadExt, BufReader};
 
 #[derive(Subcommand)]
