--- a/crates/pipithub-consensus/src/lib.rs
+++ b/crates/pipithub-consensus/src/lib.rs
@@ -7,7 +7,7 @@
 //! clock, before another can acquire it.
 //!
 //! Sources: Ongaro, *Consensus: Bridging Theory and Practice* (2014); Gray and Cheriton, *Leases* (SOSP 1989). What was
-//! considered and what is guaranteed is described in `docs/council.md`.
+//! considered and what is guaranteed is described in `docs/consensus.md`.
 
 mod client;
 mod command;
--- a/crates/pipithub-membership/src/lib.rs
+++ b/crates/pipithub-membership/src/lib.rs
@@ -7,7 +7,7 @@
 //! old each part of it is. The view is evidence, never an order.
 //!
 //! Sources: Das, Gupta, Motivala, *SWIM* (DSN 2002); Dadgar, Phillips, Currey, *Lifeguard* (DSN-W 2018). The options that
-//! were considered are listed in `docs/members.md`.
+//! were considered are listed in `docs/membership.md`.
 
 mod envelope;
 mod event;
