--- a/crates/pipithub-node/src/sockets.rs
+++ b/crates/pipithub-node/src/sockets.rs
@@ -114,34 +114,51 @@
     Ended,
 }
 
-/// Writes as much as the system takes: the bytes taken, and what ended it.
-pub fn write_now(
-    bytes: &[u8],
-    mut write: impl FnMut(&[u8]) -> io::Result<usize>,
-) -> (usize, TransferEnd) {
+/// A series of reads or writes that does not wait.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Transfer {
+    /// The bytes moved.
+    pub count: usize,
+    /// What ended the series.
+    pub end: TransferEnd,
+}
+
+/// Writes as much as the system takes.
+pub fn write_now(bytes: &[u8], mut write: impl FnMut(&[u8]) -> io::Result<usize>) -> Transfer {
     let mut written = 0;
     while written < bytes.len() {
         match transferred(write(&bytes[written..])) {
             Ok(count) => written += count,
-            Err(end) => return (written, end),
+            Err(end) => {
+                return Transfer {
+                    count: written,
+                    end,
+                };
+            }
         }
     }
-    (written, TransferEnd::Complete)
+    Transfer {
+        count: written,
+        end: TransferEnd::Complete,
+    }
 }
 
-/// Reads as much as there is and fits: the bytes read, and what ended it.
+/// Reads as much as there is and fits.
 pub fn read_now(
     buffer: &mut [u8],
     mut read: impl FnMut(&mut [u8]) -> io::Result<usize>,
-) -> (usize, TransferEnd) {
+) -> Transfer {
     let mut filled = 0;
     while filled < buffer.len() {
         match transferred(read(&mut buffer[filled..])) {
             Ok(count) => filled += count,
-            Err(end) => return (filled, end),
+            Err(end) => return Transfer { count: filled, end },
         }
     }
-    (filled, TransferEnd::Complete)
+    Transfer {
+        count: filled,
+        end: TransferEnd::Complete,
+    }
 }
 
 /// The bytes that one call moved, none where it was interrupted; or what ends the series.
--- a/crates/pipithub-node/src/worker_pool.rs
+++ b/crates/pipithub-node/src/worker_pool.rs
@@ -37,6 +37,21 @@
     waiting: VecDeque<WorkerRequest>,
 }
 
+/// The bounds of a [`WorkerPool`] and the times of its connections.
+#[derive(Clone, Copy, Debug)]
+pub struct WorkerPoolSettings {
+    /// The most connections to all workers, connections being made included; at least one is allowed.
+    pub max_connections: usize,
+    /// The most requests in flight on one connection; at least one is allowed.
+    pub max_requests_per_connection: usize,
+    /// How long a connection may take to come up, in nanoseconds.
+    pub connect_timeout: Time,
+    /// How long a connection may stay idle before it is closed, in nanoseconds.
+    pub idle_close: Time,
+    /// Whether a worker may be asked to cancel an attempt.
+    pub cancel: bool,
+}
+
 /// All connections to workers.
 #[derive(Debug)]
 pub struct WorkerPool {
@@ -59,21 +74,14 @@
 }
 
 impl WorkerPool {
-    /// At most so many connections, each carrying so many requests. `cancel`: workers may be told to cancel
-    /// an attempt.
-    pub fn new(
-        max_connections: usize,
-        max_requests_per_connection: usize,
-        connect_timeout: Time,
-        idle_close: Time,
-        cancel: bool,
-    ) -> Self {
+    /// A pool without workers and connections.
+    pub fn new(settings: WorkerPoolSettings) -> Self {
         WorkerPool {
-            max_connections: max_connections.max(1),
-            max_requests_per_connection: max_requests_per_connection.max(1),
-            connect_timeout,
-            idle_close,
-            cancel,
+            max_connections: settings.max_connections.max(1),
+            max_requests_per_connection: settings.max_requests_per_connection.max(1),
+            connect_timeout: settings.connect_timeout,
+            idle_close: settings.idle_close,
+            cancel: settings.cancel,
             workers: BTreeMap::new(),
             listed: 0,
             watched: BTreeSet::new(),
--- a/crates/pipithub-node/src/worker_pool/endings.rs
+++ b/crates/pipithub-node/src/worker_pool/endings.rs
@@ -13,6 +13,13 @@
 /// How often what never arrived is written again, on another connection.
 const MAX_REWRITES: u32 = 2;
 
+/// An attempt that was put on a connection.
+struct SentAttempt {
+    connection: ConnectionId,
+    /// The request's name on that connection.
+    name: String,
+}
+
 impl WorkerPool {
     /// A connection could not be established: nothing that waits for it was sent. `local_fault`: because this machine
     /// lacked a resource, so that the worker is not at fault.
@@ -187,8 +194,8 @@
                 not_sent: true,
             });
         }
-        let (id, name) = self.find_attempt(worker, attempt)?;
-        self.give_up(now, worker, id, &name, self.cancel)
+        let sent = self.find_attempt(worker, attempt)?;
+        self.give_up(now, worker, sent.connection, &sent.name, self.cancel)
     }
 
     /// Nobody waits for an attempt any more, whatever the settings say of cancelling: it is given back if it has not
@@ -202,16 +209,16 @@
         if let Some(request) = self.take_waiting(worker, attempt) {
             return Some(request);
         }
-        let (id, name) = self.find_attempt(worker, attempt)?;
-        let connection = self.connections.get_mut(&id)?;
-        connection.in_flight.get_mut(&name)?.request.abandoned = true;
+        let sent = self.find_attempt(worker, attempt)?;
+        let connection = self.connections.get_mut(&sent.connection)?;
+        connection.in_flight.get_mut(&sent.name)?.request.abandoned = true;
         if matches!(
-            connection.progress(connection.in_flight.get(&name)?),
+            connection.progress(connection.in_flight.get(&sent.name)?),
             Progress::Whole
         ) {
             return None;
         }
-        self.give_up(now, worker, id, &name, false)
+        self.give_up(now, worker, sent.connection, &sent.name, false)
             .map(|cancelled| cancelled.request)
     }
 
@@ -223,18 +230,17 @@
         waiting.remove(at)
     }
 
-    /// The connection that carries an attempt, and its name there.
-    fn find_attempt(
-        &self,
-        worker: &WorkerId,
-        attempt: AttemptId,
-    ) -> Option<(ConnectionId, String)> {
+    /// Where an attempt was put on a connection, if it was.
+    fn find_attempt(&self, worker: &WorkerId, attempt: AttemptId) -> Option<SentAttempt> {
         self.workers.get(worker)?.connections.iter().find_map(|id| {
             let in_flight = &self.connections.get(id)?.in_flight;
             let (name, _) = in_flight
                 .iter()
                 .find(|(_, c)| c.request.kind == RequestKind::Attempt(attempt))?;
-            Some((*id, name.clone()))
+            Some(SentAttempt {
+                connection: *id,
+                name: name.clone(),
+            })
         })
     }
 }
