--- a/crates/pipithub-membership/tests/random_faults.rs
+++ b/crates/pipithub-membership/tests/random_faults.rs
@@ -43,10 +43,10 @@
             0 | 1 => fleet.kill(n),
             2 if !fleet.is_running(n) => fleet.start(n).unwrap(),
             3 if !fleet.is_running(n) => {
-                *fleet.disk(n) = kept[n].clone();
+                fleet.disk(n).clone_from(&kept[n]);
                 fleet.start(n).unwrap();
             }
-            4 => kept[n] = fleet.disk(n).clone(),
+            4 => kept[n].clone_from(fleet.disk(n)),
             5 => fleet.network.link(n, other).cut = true,
             6 => fleet.network.heal(),
             7 => fleet.network.set_paused(n, true),
--- a/crates/pipithub-node/tests/worker_faults.rs
+++ b/crates/pipithub-node/tests/worker_faults.rs
@@ -88,7 +88,7 @@
     }
     b.say(other, "noise");
     let third = b.client();
-    b.core.client_bytes(b.now, third, &[b'x'; 40_000]);
+    b.core.client_bytes(b.now, third, &vec![b'x'; 40_000]);
     b.core.client_closed(b.now, third);
 }
 
--- a/crates/pipithub-policy/src/attempts.rs
+++ b/crates/pipithub-policy/src/attempts.rs
@@ -295,7 +295,7 @@
         let position = self
             .in_flight
             .iter()
-            .position(|a| a.request == end.request && a.attempt == end.attempt)?;
+            .position(|a| a.request == end.request && a.number == end.attempt)?;
         let attempt = &mut self.in_flight[position];
         if end.outcome == Outcome::Cancelled && attempt.predicted_finish > now {
             attempt.cancelled = true;
--- a/crates/pipithub-policy/src/outlier.rs
+++ b/crates/pipithub-policy/src/outlier.rs
@@ -78,7 +78,7 @@
     fn recall(&self) -> RecalledAttempt {
         RecalledAttempt {
             request: self.request,
-            attempt: self.attempt,
+            attempt: self.number,
         }
     }
 }
--- a/crates/pipithub-policy/src/requests.rs
+++ b/crates/pipithub-policy/src/requests.rs
@@ -209,7 +209,7 @@
     let prediction = &chosen.prediction;
     Attempt {
         request: pending.request.id,
-        attempt: pending.attempts,
+        number: pending.attempts,
         function,
         class: pending.request.class,
         sent_at: now,
--- a/crates/pipithub-policy/src/state.rs
+++ b/crates/pipithub-policy/src/state.rs
@@ -10,7 +10,8 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub(crate) request: RequestId,
-    pub(crate) attempt: u32,
+    /// Which attempt of the request it is, from 0.
+    pub(crate) number: u32,
     pub(crate) function: FunctionId,
     pub(crate) class: usize,
     pub(crate) sent_at: Time,
--- a/crates/pipithub-policy/src/work.rs
+++ b/crates/pipithub-policy/src/work.rs
@@ -10,11 +10,16 @@
 
 /// Notes that so many workers were looked at.
 #[inline]
-pub fn looked(_workers: u64) {
-    #[cfg(feature = "count")]
-    LOOKED.with(|n| n.set(n.get() + _workers));
+#[cfg(feature = "count")]
+pub fn looked(workers: u64) {
+    LOOKED.with(|n| n.set(n.get() + workers));
 }
 
+/// Notes nothing in a build that does not count.
+#[inline]
+#[cfg(not(feature = "count"))]
+pub fn looked(_: u64) {}
+
 /// How many were looked at on this thread since this was asked last; 0 in builds that do not count.
 pub fn taken() -> u64 {
     #[cfg(feature = "count")]
--- a/crates/pipithub-policy/src/worker_pool/tests.rs
+++ b/crates/pipithub-policy/src/worker_pool/tests.rs
@@ -141,7 +141,7 @@
 fn attempt(marks: LoadMarks) -> Attempt {
     Attempt {
         request: 1,
-        attempt: 0,
+        number: 0,
         function: FunctionId(1),
         class: 0,
         sent_at: 0,
--- a/crates/pipithub-settings/src/fault.rs
+++ b/crates/pipithub-settings/src/fault.rs
@@ -61,7 +61,7 @@
     fn line_of(&self, fault: &Fault) -> usize {
         let end = fault.span.offset().min(self.text.len());
         let before = &self.text.as_bytes()[..end];
-        before.iter().filter(|byte| **byte == b'\n').count() + 1
+        before.split(|byte| *byte == b'\n').count()
     }
 }
 
