--- a/crates/pipithub-ldap/src/ldif.rs
+++ b/crates/pipithub-ldap/src/ldif.rs
@@ -126,38 +126,3 @@
     }
     Some(out)
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn records_are_read() {
-        let text = "version: 1\n# a comment\n#  that goes on\n\ndn: uid=mai,\n dc=example\r\nuid: mai\nsn:: TMO8\ncn:\n\n\ndn: dc=example\n";
-        let records = read(text).expect("LDIF");
-        assert_eq!(records.len(), 2);
-        assert_eq!(
-            records[0].dn,
-            Dn::parse("uid=mai,dc=example").expect("a name")
-        );
-        let [uid, sn, cn] = &records[0].attributes[..] else {
-            panic!("{records:?}")
-        };
-        assert_eq!(
-            (uid.1.as_slice(), sn.1.as_slice(), cn.1.as_slice()),
-            (&b"mai"[..], "Lü".as_bytes(), &b""[..])
-        );
-    }
-
-    #[test]
-    fn faults_name_their_line() {
-        let line = |text: &str| read(text).expect_err("a fault").line;
-        assert_eq!(line("dn: a=1\nx"), 2);
-        assert_eq!(line(" x"), 1);
-        assert_eq!(line("uid: x"), 1);
-        assert_eq!(line("dn: a=1\n\ndn: b"), 3);
-        assert_eq!(line("dn: a=1\njpeg:< file:///x"), 2);
-        assert_eq!(line("dn: a=1\nx:: A"), 2);
-        assert_eq!(line("dn: a=1\nchangetype: add"), 2);
-    }
-}
--- /dev/null
+++ b/crates/pipithub-ldap/tests/sync.rs
@@ -0,0 +1,45 @@
+//! Values of the controls for paged results and content synchronisation.
+
+use bytes::Bytes;
+use pipithub_ldap::sync::{
+    Info, State, paged, read_info, read_paged, read_request, read_state, refresh_present, request,
+    state,
+};
+
+#[test]
+fn values_come_back_as_they_went() {
+    let cookie = Bytes::from_static(b"c");
+    assert_eq!(
+        read_paged(Some(&vec![paged(7, cookie.clone())])),
+        Some((7, cookie.clone()))
+    );
+    assert_eq!(
+        read_request(Some(&vec![request(Some(cookie.clone()))])),
+        Some((Some(cookie.clone()), true))
+    );
+    let told = read_state(Some(&vec![state(
+        State::Delete,
+        Bytes::from_static(&[7; 16]),
+        None,
+    )]));
+    assert_eq!(
+        told.map(|t| (t.state, t.uuid.len())),
+        Some((State::Delete, 16))
+    );
+    let Some(Info::RefreshPresent(phase)) = read_info(&refresh_present(Some(cookie.clone())))
+    else {
+        panic!()
+    };
+    assert!(phase.refresh_done && phase.cookie == Some(cookie.into()));
+    assert_eq!(read_info(b"\x30\x00"), None);
+}
+
+/// Bytes worked out by hand from RFC 4533: refreshAndPersist (3) without a cookie.
+#[test]
+fn a_sync_request_is_as_the_rfc_writes_it() {
+    let control = request(None);
+    assert_eq!(
+        control.control_value.as_deref(),
+        Some(&[0x30, 3, 0x0a, 1, 3][..])
+    );
+}
