--- a/crates/pipithub-emulator/src/directory.rs
+++ b/crates/pipithub-emulator/src/directory.rs
@@ -197,7 +197,7 @@
     }
 
     /// Adds entries, or replaces those of their names.
-    pub fn add(&self, text: &str) -> Result<(), ldif::NoLdif> {
+    pub fn add(&self, text: &str) -> Result<(), ldif::InvalidLdif> {
         for record in ldif::read(text)? {
             let dn = record.dn.clone();
             self.tree().insert(record);
--- a/crates/pipithub-gateway/src/directory.rs
+++ b/crates/pipithub-gateway/src/directory.rs
@@ -447,7 +447,7 @@
         while let Some(event) = client.poll() {
             match event {
                 event if until(&event) => return Ok(()),
-                Event::Over(why) => return Err(why),
+                Event::Closed(why) => return Err(why),
                 _ => {}
             }
         }
@@ -725,7 +725,7 @@
                             format!("{f:?}: {:?} {}", outcome.code, outcome.message)
                         })?;
                     }
-                    Event::Over(why) => return Err(why),
+                    Event::Closed(why) => return Err(why),
                     _ => {}
                 }
             }
@@ -884,7 +884,7 @@
                     Event::Reference(..) | Event::Info(..) | Event::Ready | Event::BeginTls => {
                         continue;
                     }
-                    Event::Over(why) => return why,
+                    Event::Closed(why) => return why,
                 };
                 let Some(id) = questions
                     .iter()
@@ -1108,7 +1108,7 @@
                             Vec::new()
                         }
                     }
-                    Event::Over(why) => return why,
+                    Event::Closed(why) => return why,
                     _ => Vec::new(),
                 };
                 for news in news {
--- a/crates/pipithub-ldap/src/client.rs
+++ b/crates/pipithub-ldap/src/client.rs
@@ -63,7 +63,7 @@
     pub controls: Vec<Control>,
 }
 
-/// An entry as it was told.
+/// An entry as the server reported it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// Its name.
@@ -122,7 +122,7 @@
     /// A search is over.
     Done(SearchId, Outcome),
     /// The connection is of no use any more.
-    Over(String),
+    Closed(String),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -131,7 +131,7 @@
     Handshake,
     Binding(u32),
     Ready,
-    Over,
+    Closed,
 }
 
 /// A connection.
@@ -142,8 +142,8 @@
     framer: Framer,
     output: BytesMut,
     events: VecDeque<Event>,
-    searches: BTreeMap<u32, ()>,
-    next: u32,
+    pending_searches: BTreeMap<u32, ()>,
+    next_message_id: u32,
 }
 
 impl Client {
@@ -155,8 +155,8 @@
             phase: Phase::Handshake,
             output: BytesMut::new(),
             events: VecDeque::new(),
-            searches: BTreeMap::new(),
-            next: 1,
+            pending_searches: BTreeMap::new(),
+            next_message_id: 1,
             settings,
         };
         if client.settings.start_tls {
@@ -173,9 +173,9 @@
     }
 
     fn send(&mut self, op: ProtocolOp, controls: Vec<Control>) -> u32 {
-        let id = self.next;
+        let id = self.next_message_id;
         // Ids are never 0, and far from each other in time when they come again.
-        self.next = if id >= i32::MAX as u32 { 1 } else { id + 1 };
+        self.next_message_id = if id >= i32::MAX as u32 { 1 } else { id + 1 };
         let mut message = LdapMessage::new(id, op);
         message.controls = (!controls.is_empty()).then_some(controls);
         self.output.extend_from_slice(&encode(&message));
@@ -196,11 +196,11 @@
         self.phase = Phase::Binding(id);
     }
 
-    fn over(&mut self, why: impl Into<String>) {
-        if self.phase != Phase::Over {
-            self.phase = Phase::Over;
-            self.searches.clear();
-            self.events.push_back(Event::Over(why.into()));
+    fn close(&mut self, reason: impl Into<String>) {
+        if self.phase != Phase::Closed {
+            self.phase = Phase::Closed;
+            self.pending_searches.clear();
+            self.events.push_back(Event::Closed(reason.into()));
         }
     }
 
@@ -217,13 +217,13 @@
     }
 
     /// Searches that are not over.
-    pub fn searching(&self) -> usize {
-        self.searches.len()
+    pub fn pending_searches(&self) -> usize {
+        self.pending_searches.len()
     }
 
     /// Begins a search; `None`: the connection is not ready, or as many are under way as may be.
     pub fn search(&mut self, search: Search) -> Option<SearchId> {
-        if self.phase != Phase::Ready || self.searches.len() >= self.settings.max_searches {
+        if self.phase != Phase::Ready || self.pending_searches.len() >= self.settings.max_searches {
             return None;
         }
         let request = SearchRequest::new(
@@ -241,13 +241,13 @@
                 .collect(),
         );
         let id = self.send(ProtocolOp::SearchRequest(request), search.controls);
-        self.searches.insert(id, ());
+        self.pending_searches.insert(id, ());
         Some(SearchId(id))
     }
 
     /// Gives a search up: nothing more is told of it.
     pub fn abandon(&mut self, id: SearchId) {
-        if self.searches.remove(&id.0).is_some() {
+        if self.pending_searches.remove(&id.0).is_some() {
             self.send(ProtocolOp::AbandonRequest(AbandonRequest(id.0)), Vec::new());
         }
     }
@@ -257,7 +257,7 @@
         if matches!(self.phase, Phase::Ready | Phase::Binding(_)) {
             self.send(ProtocolOp::UnbindRequest(UnbindRequest), Vec::new());
         }
-        self.phase = Phase::Over;
+        self.phase = Phase::Closed;
     }
 
     /// Bytes to write.
@@ -272,21 +272,21 @@
 
     /// Bytes have come.
     pub fn receive(&mut self, bytes: &[u8]) {
-        if self.phase == Phase::Over {
+        if self.phase == Phase::Closed {
             return;
         }
         self.framer.push(bytes);
-        while self.phase != Phase::Over {
+        while self.phase != Phase::Closed {
             if self.phase == Phase::Handshake {
                 if self.framer.waiting() > 0 {
-                    self.over("bytes in the clear between StartTLS and its handshake");
+                    self.close("bytes in the clear between StartTLS and its handshake");
                 }
                 return;
             }
             match self.framer.take() {
                 Ok(Some(message)) => self.message(message),
                 Ok(None) => return,
-                Err(error) => self.over(error.to_string()),
+                Err(error) => self.close(error.to_string()),
             }
         }
     }
@@ -303,73 +303,75 @@
                 } else {
                     "an unsolicited message"
                 };
-                self.over(format!("{what}: {:?} {words}", r.result_code));
+                self.close(format!("{what}: {:?} {words}", r.result_code));
             }
-            (ProtocolOp::ExtendedResp(r), Phase::StartTls(asked)) if id == asked => {
+            (ProtocolOp::ExtendedResp(r), Phase::StartTls(request_id)) if id == request_id => {
                 match r.result_code {
                     ResultCode::Success => {
                         self.phase = Phase::Handshake;
                         self.events.push_back(Event::BeginTls);
                     }
-                    code => self.over(format!(
+                    code => self.close(format!(
                         "StartTLS refused: {code:?} {}",
                         r.diagnostic_message.0
                     )),
                 }
             }
-            (ProtocolOp::BindResponse(r), Phase::Binding(asked)) if id == asked => {
+            (ProtocolOp::BindResponse(r), Phase::Binding(request_id)) if id == request_id => {
                 match r.result_code {
                     ResultCode::Success => {
                         self.phase = Phase::Ready;
                         self.events.push_back(Event::Ready);
                     }
-                    code => self.over(format!("bind refused: {code:?} {}", r.diagnostic_message.0)),
+                    code => {
+                        self.close(format!("bind refused: {code:?} {}", r.diagnostic_message.0));
+                    }
                 }
             }
             (ProtocolOp::SearchResEntry(entry), Phase::Ready) => {
-                if self.searches.contains_key(&id) {
-                    match self::entry(entry, controls.as_ref()) {
+                if self.pending_searches.contains_key(&id) {
+                    match read_entry(entry, controls.as_ref()) {
                         Ok(entry) => self
                             .events
                             .push_back(Event::Entry(SearchId(id), Box::new(entry))),
-                        Err(why) => self.over(why),
+                        Err(reason) => self.close(reason),
                     }
                 }
             }
             (ProtocolOp::SearchResRef(reference), Phase::Ready) => {
-                if self.searches.contains_key(&id) {
+                if self.pending_searches.contains_key(&id) {
                     let urls = reference.0.into_iter().map(|u| u.0).collect();
                     self.events.push_back(Event::Reference(SearchId(id), urls));
                 }
             }
             (ProtocolOp::IntermediateResponse(news), Phase::Ready) => {
                 let sync = news.response_name.as_deref() == Some(oid::SYNC_INFO);
-                if sync && self.searches.contains_key(&id) {
+                if sync && self.pending_searches.contains_key(&id) {
                     match news.response_value.as_deref().and_then(sync::read_info) {
                         Some(info) => self.events.push_back(Event::Info(SearchId(id), info)),
-                        None => self.over("a sync info message that cannot be read"),
+                        None => self.close("a sync info message that cannot be read"),
                     }
                 }
             }
             (ProtocolOp::SearchResDone(done), Phase::Ready) => {
                 // An answer to a search that was given up may still come: it is passed over.
-                if self.searches.remove(&id).is_some() {
-                    let outcome = outcome(done.0, controls.as_ref());
+                if self.pending_searches.remove(&id).is_some() {
+                    let outcome = read_outcome(done.0, controls.as_ref());
                     self.events.push_back(Event::Done(SearchId(id), outcome));
                 }
             }
             (op, phase) => {
                 let kind = format!("{op:?}");
                 let kind = kind.split('(').next().unwrap_or_default();
-                self.over(format!("{kind} with id {id} is not expected in {phase:?}"));
+                self.close(format!("{kind} with id {id} is not expected in {phase:?}"));
             }
         }
     }
 }
 
-fn entry(told: SearchResultEntry, controls: Option<&Vec<Control>>) -> Result<Entry, String> {
-    let dn = Dn::parse(&told.object_name.0).map_err(|e| e.to_string())?;
-    let attributes = told.attributes.into_iter();
+fn read_entry(result: SearchResultEntry, controls: Option<&Vec<Control>>) -> Result<Entry, String> {
+    let dn = Dn::parse(&result.object_name.0).map_err(|e| e.to_string())?;
+    let attributes = result.attributes.into_iter();
     let attributes = attributes.map(|a| {
         (
             a.r#type.0.clone(),
@@ -387,7 +389,7 @@
     })
 }
 
-fn outcome(result: LdapResult, controls: Option<&Vec<Control>>) -> Outcome {
+fn read_outcome(result: LdapResult, controls: Option<&Vec<Control>>) -> Outcome {
     Outcome {
         code: result.result_code,
         message: result.diagnostic_message.0.chars().take(200).collect(),
--- a/crates/pipithub-ldap/src/dn.rs
+++ b/crates/pipithub-ldap/src/dn.rs
@@ -8,18 +8,18 @@
 use winnow::token::{any, one_of, take_while};
 
 /// Bytes that a name may have.
-pub const LONGEST: usize = 8192;
+pub const MAX_LENGTH: usize = 8192;
 /// Parts that a name may have.
-pub const PARTS_MOST: usize = 128;
+pub const MAX_RDNS: usize = 128;
 
 /// Why a text is no name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("'{text}' is no distinguished name: {why}")]
-pub struct NoDn {
+#[error("'{text}' is no distinguished name: {reason}")]
+pub struct InvalidDn {
     /// Its beginning.
     pub text: String,
     /// What is wrong.
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
 /// A name: its parts from the innermost to the root, each as sorted `type=value` pairs, types and values in lower case,
@@ -29,13 +29,13 @@
 
 impl Dn {
     /// Reads a name.
-    pub fn parse(text: &str) -> Result<Dn, NoDn> {
-        let no = |why| NoDn {
+    pub fn parse(text: &str) -> Result<Dn, InvalidDn> {
+        let invalid = |reason| InvalidDn {
             text: text.chars().take(80).collect(),
-            why,
+            reason,
         };
-        if text.len() > LONGEST {
-            return Err(no("it is too long"));
+        if text.len() > MAX_LENGTH {
+            return Err(invalid("it is too long"));
         }
         if text.trim().is_empty() {
             return Ok(Dn::default());
@@ -43,10 +43,10 @@
         let parts: Vec<Vec<(String, String)>> = separated(1.., rdn, separator(','))
             .parse(text.trim_start_matches(' '))
             .map_err(|_| {
-                no("parts are 'type=value', set apart by commas, special characters escaped")
+                invalid("parts are 'type=value', set apart by commas, special characters escaped")
             })?;
-        if parts.len() > PARTS_MOST {
-            return Err(no("it has too many parts"));
+        if parts.len() > MAX_RDNS {
+            return Err(invalid("it has too many parts"));
         }
         let part = |pairs: Vec<(String, String)>| {
             let mut pairs: Vec<String> = pairs
@@ -114,18 +114,18 @@
 
 /// A value as it may stand in a name (RFC 4514, 2.4).
 pub fn escaped(value: &str) -> String {
-    let mut out = String::with_capacity(value.len());
+    let mut escaped = String::with_capacity(value.len());
     let last = value.chars().count().saturating_sub(1);
     for (n, c) in value.chars().enumerate() {
         match c {
-            '"' | '+' | ',' | ';' | '<' | '>' | '\\' | '=' => out.extend(['\\', c]),
-            '#' if n == 0 => out.push_str("\\#"),
-            ' ' if n == 0 || n == last => out.push_str("\\20"),
-            '\0' => out.push_str("\\00"),
-            _ => out.push(c),
+            '"' | '+' | ',' | ';' | '<' | '>' | '\\' | '=' => escaped.extend(['\\', c]),
+            '#' if n == 0 => escaped.push_str("\\#"),
+            ' ' if n == 0 || n == last => escaped.push_str("\\20"),
+            '\0' => escaped.push_str("\\00"),
+            _ => escaped.push(c),
         }
     }
-    out
+    escaped
 }
 
 fn separator(c: char) -> impl FnMut(&mut &str) -> Result<(), ContextError> {
@@ -137,17 +137,17 @@
 }
 
 fn rdn(input: &mut &str) -> Result<Vec<(String, String)>, ContextError> {
-    separated(1..=16, pair, separator('+')).parse_next(input)
+    separated(1..=16, attribute, separator('+')).parse_next(input)
 }
 
-fn pair(input: &mut &str) -> Result<(String, String), ContextError> {
-    let kind: &str = take_while(1.., |c: char| {
+fn attribute(input: &mut &str) -> Result<(String, String), ContextError> {
+    let attribute_type: &str = take_while(1.., |c: char| {
         c.is_ascii_alphanumeric() || c == '-' || c == '.'
     })
     .parse_next(input)?;
     separator('=')(input)?;
     let value = alt((hex_string, value)).parse_next(input)?;
-    Ok((kind.to_string(), value))
+    Ok((attribute_type.to_string(), value))
 }
 
 /// `#` and the BER encoding in hexadecimal; kept as it is written.
@@ -159,9 +159,9 @@
 }
 
 fn value(input: &mut &str) -> Result<String, ContextError> {
-    let mut bytes: Vec<u8> = repeat(0.., piece)
-        .fold(Vec::new, |mut all: Vec<u8>, piece: Vec<u8>| {
-            all.extend(piece);
+    let mut bytes: Vec<u8> = repeat(0.., segment)
+        .fold(Vec::new, |mut all: Vec<u8>, segment: Vec<u8>| {
+            all.extend(segment);
             all
         })
         .parse_next(input)?;
@@ -173,7 +173,7 @@
 }
 
 /// Bytes of a value: a character as it is, or an escaped one.
-fn piece(input: &mut &str) -> Result<Vec<u8>, ContextError> {
+fn segment(input: &mut &str) -> Result<Vec<u8>, ContextError> {
     let escape = ('\\', alt((hex_pair, special)));
     let plain =
         any.verify(|c: &char| !matches!(c, '"' | '+' | ',' | ';' | '<' | '>' | '\\' | '\0'));
--- a/crates/pipithub-ldap/src/filter.rs
+++ b/crates/pipithub-ldap/src/filter.rs
@@ -12,14 +12,14 @@
 use winnow::token::{any, take_while};
 
 /// Filters within each other that a text may have.
-const DEPTH_MOST: usize = 16;
+const MAX_DEPTH: usize = 16;
 /// Bytes that a text may have.
-const LONGEST: usize = 8192;
+const MAX_LENGTH: usize = 8192;
 
 /// Why a text is no filter.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("'{0}' is no filter as in RFC 4515 of up to {DEPTH_MOST} levels")]
-pub struct NoFilter(pub String);
+#[error("'{0}' is no filter as in RFC 4515 of up to {MAX_DEPTH} levels")]
+pub struct InvalidFilter(pub String);
 
 /// `attribute=value`.
 pub fn equal(attribute: &str, value: &str) -> Filter {
@@ -45,7 +45,7 @@
 pub fn any_of<'a>(
     attribute: &str,
     names: impl Iterator<Item = &'a str>,
-    also: Option<&Filter>,
+    extra: Option<&Filter>,
 ) -> Filter {
     let mut names: Vec<Filter> = names.map(|name| equal(attribute, name)).collect();
     let names = if names.len() == 1 {
@@ -53,8 +53,8 @@
     } else {
         Filter::Or(SetOf::from_vec(names))
     };
-    match also {
-        Some(also) => and(vec![also.clone(), names]),
+    match extra {
+        Some(extra) => and(vec![extra.clone(), names]),
         None => names,
     }
 }
@@ -64,26 +64,31 @@
 }
 
 /// Reads an operator's filter.
-pub fn parse(text: &str) -> Result<Filter, NoFilter> {
-    let no = || NoFilter(text.chars().take(80).collect());
-    if text.len() > LONGEST {
-        return Err(no());
+pub fn parse(text: &str) -> Result<Filter, InvalidFilter> {
+    let invalid = || InvalidFilter(text.chars().take(80).collect());
+    if text.len() > MAX_LENGTH {
+        return Err(invalid());
     }
-    (|input: &mut &str| whole(input, DEPTH_MOST))
+    (|input: &mut &str| filter(input, MAX_DEPTH))
         .parse(text.trim())
-        .map_err(|_| no())
+        .map_err(|_| invalid())
 }
 
-fn whole(input: &mut &str, depth: usize) -> Result<Filter, ContextError> {
+fn filter(input: &mut &str, depth: usize) -> Result<Filter, ContextError> {
     if depth == 0 {
         return Err(ContextError::new());
     }
-    delimited('(', |input: &mut &str| inner(input, depth - 1), ')').parse_next(input)
+    delimited(
+        '(',
+        |input: &mut &str| filter_component(input, depth - 1),
+        ')',
+    )
+    .parse_next(input)
 }
 
-fn inner(input: &mut &str, depth: usize) -> Result<Filter, ContextError> {
+fn filter_component(input: &mut &str, depth: usize) -> Result<Filter, ContextError> {
     let list = |input: &mut &str| -> Result<Vec<Filter>, ContextError> {
-        repeat(1..=256, |input: &mut &str| whole(input, depth)).parse_next(input)
+        repeat(1..=256, |input: &mut &str| filter(input, depth)).parse_next(input)
     };
     match input.chars().next() {
         Some('&') => ('&', list).map(|(_, l)| and(l)).parse_next(input),
@@ -91,7 +96,7 @@
             .map(|(_, l)| Filter::Or(SetOf::from_vec(l)))
             .parse_next(input),
         Some('!') => {
-            let negated = |input: &mut &str| whole(input, depth);
+            let negated = |input: &mut &str| filter(input, depth);
             ('!', negated)
                 .map(|(_, f)| Filter::Not(Box::new(f)))
                 .parse_next(input)
@@ -104,10 +109,10 @@
     let kind = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '.' | ';');
     let attribute: &str = take_while(1.., kind).parse_next(input)?;
     let relation = alt(("=", ">=", "<=", "~=")).parse_next(input)?;
-    let pieces: Vec<Vec<u8>> =
+    let segments: Vec<Vec<u8>> =
         winnow::combinator::separated(1..=64, value, '*').parse_next(input)?;
-    if pieces.len() == 1 {
-        let assertion = assertion(attribute, &pieces[0]);
+    if segments.len() == 1 {
+        let assertion = assertion(attribute, &segments[0]);
         return Ok(match relation {
             ">=" => Filter::GreaterOrEqual(assertion),
             "<=" => Filter::LessOrEqual(assertion),
@@ -118,21 +123,25 @@
     if relation != "=" {
         return Err(ContextError::new());
     }
-    if pieces.iter().all(Vec::is_empty) {
-        return if pieces.len() == 2 {
+    if segments.iter().all(Vec::is_empty) {
+        return if segments.len() == 2 {
             Ok(Filter::Present(attribute.into()))
         } else {
             Err(ContextError::new())
         };
     }
-    let last = pieces.len() - 1;
-    let choice = |(n, piece): (usize, Vec<u8>)| match n {
-        _ if piece.is_empty() => None,
-        0 => Some(SubstringChoice::Initial(piece.into())),
-        n if n == last => Some(SubstringChoice::Final(piece.into())),
-        _ => Some(SubstringChoice::Any(piece.into())),
+    let last = segments.len() - 1;
+    let choice = |(index, segment): (usize, Vec<u8>)| match index {
+        _ if segment.is_empty() => None,
+        0 => Some(SubstringChoice::Initial(segment.into())),
+        index if index == last => Some(SubstringChoice::Final(segment.into())),
+        _ => Some(SubstringChoice::Any(segment.into())),
     };
-    let choices = pieces.into_iter().enumerate().filter_map(choice).collect();
+    let choices = segments
+        .into_iter()
+        .enumerate()
+        .filter_map(choice)
+        .collect();
     Ok(Filter::Substrings(SubstringFilter::new(
         attribute.into(),
         choices,
@@ -146,8 +155,8 @@
         .verify(|c: &char| !matches!(c, '(' | ')' | '*' | '\\' | '\0'))
         .map(|c: char| c.to_string().into_bytes());
     repeat(0.., alt((escape, plain)))
-        .fold(Vec::new, |mut all: Vec<u8>, piece: Vec<u8>| {
-            all.extend(piece);
+        .fold(Vec::new, |mut all: Vec<u8>, segment: Vec<u8>| {
+            all.extend(segment);
             all
         })
         .parse_next(input)
--- a/crates/pipithub-ldap/src/frame.rs
+++ b/crates/pipithub-ldap/src/frame.rs
@@ -5,7 +5,7 @@
 
 /// Constructed values within each other that a message may have. A filter of the deepest kind we send has six; the
 /// decoder recurses, so that a message of nothing but opening tags would use up the stack without this.
-pub const DEPTH_MOST: usize = 48;
+pub const MAX_DEPTH: usize = 48;
 
 /// Bytes that are no message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -17,15 +17,15 @@
     #[error("the length of a message or value is not in the form that LDAP uses")]
     Length,
     /// It claims to be too long.
-    #[error("a message of {claimed} bytes; {most} are taken")]
+    #[error("a message of {claimed} bytes; {limit} are taken")]
     TooLong {
         /// What it claims.
         claimed: usize,
         /// What is taken.
-        most: usize,
+        limit: usize,
     },
     /// Values are nested too deep.
-    #[error("values are nested more than {DEPTH_MOST} deep")]
+    #[error("values are nested more than {MAX_DEPTH} deep")]
     TooDeep,
     /// A value reaches past the one that it is in.
     #[error("a value is longer than what it stands in")]
@@ -36,73 +36,73 @@
 }
 
 /// A tag and length: bytes of both, the content's length, and whether it holds further values.
-struct Head {
-    size: usize,
-    length: usize,
+struct Header {
+    header_length: usize,
+    content_length: usize,
     constructed: bool,
 }
 
 /// Reads a head; `None`: there are not enough bytes yet.
-fn head(bytes: &[u8]) -> Result<Option<Head>, Malformed> {
+fn read_header(bytes: &[u8]) -> Result<Option<Header>, Malformed> {
     let Some(&first) = bytes.first() else {
         return Ok(None);
     };
-    let mut at = 1;
+    let mut position = 1;
     if first & 0x1f == 0x1f {
         // No tag of LDAP needs this form with more than one byte.
         match bytes.get(1) {
             None => return Ok(None),
             Some(b) if b & 0x80 != 0 => return Err(Malformed::Length),
-            Some(_) => at = 2,
+            Some(_) => position = 2,
         }
     }
-    let Some(&short) = bytes.get(at) else {
+    let Some(&short) = bytes.get(position) else {
         return Ok(None);
     };
-    at += 1;
+    position += 1;
     let mut length = usize::from(short);
     if short & 0x80 != 0 {
         let count = usize::from(short & 0x7f);
         if count == 0 || count > 4 {
             return Err(Malformed::Length);
         }
-        let Some(rest) = bytes.get(at..at + count) else {
+        let Some(rest) = bytes.get(position..position + count) else {
             return Ok(None);
         };
         length = rest.iter().fold(0, |n, b| n << 8 | usize::from(*b));
-        at += count;
+        position += count;
     }
-    Ok(Some(Head {
-        size: at,
-        length,
+    Ok(Some(Header {
+        header_length: position,
+        content_length: length,
         constructed: first & 0x20 != 0,
     }))
 }
 
 /// Walks all values of a message without recursion.
-fn nesting(message: &[u8]) -> Result<(), Malformed> {
-    let mut ends: Vec<usize> = Vec::with_capacity(8);
-    let mut at = 0;
-    while at < message.len() {
-        while ends.last() == Some(&at) {
-            ends.pop();
+fn check_nesting(message: &[u8]) -> Result<(), Malformed> {
+    let mut open_ends: Vec<usize> = Vec::with_capacity(8);
+    let mut position = 0;
+    while position < message.len() {
+        while open_ends.last() == Some(&position) {
+            open_ends.pop();
         }
-        let end = ends.last().copied().unwrap_or(message.len());
-        let Some(head) = head(&message[at..end])? else {
+        let end = open_ends.last().copied().unwrap_or(message.len());
+        let Some(header) = read_header(&message[position..end])? else {
             return Err(Malformed::Overrun);
         };
-        let content = at + head.size;
-        if head.length > end - content {
+        let content = position + header.header_length;
+        if header.content_length > end - content {
             return Err(Malformed::Overrun);
         }
-        if head.constructed {
-            if ends.len() >= DEPTH_MOST {
+        if header.constructed {
+            if open_ends.len() >= MAX_DEPTH {
                 return Err(Malformed::TooDeep);
             }
-            ends.push(content + head.length);
-            at = content;
+            open_ends.push(content + header.content_length);
+            position = content;
         } else {
-            at = content + head.length;
+            position = content + header.content_length;
         }
     }
     Ok(())
@@ -112,15 +112,15 @@
 #[derive(Debug)]
 pub struct Framer {
     buffer: BytesMut,
-    most: usize,
+    limit: usize,
 }
 
 impl Framer {
     /// Takes messages of up to this many bytes.
-    pub fn new(most: usize) -> Self {
+    pub fn new(limit: usize) -> Self {
         Framer {
             buffer: BytesMut::new(),
-            most,
+            limit,
         }
     }
 
@@ -134,31 +134,31 @@
         self.buffer.len()
     }
 
-    /// The next whole message.
+    /// The next complete message.
     pub fn take(&mut self) -> Result<Option<LdapMessage>, Malformed> {
         match self.buffer.first() {
             None => return Ok(None),
             Some(0x30) => {}
             Some(other) => return Err(Malformed::Start(*other)),
         }
-        let Some(head) = head(&self.buffer)? else {
+        let Some(header) = read_header(&self.buffer)? else {
             return Ok(None);
         };
         // Before it is all here: nothing is kept for a length that is only claimed.
-        if head.length > self.most {
+        if header.content_length > self.limit {
             return Err(Malformed::TooLong {
-                claimed: head.length,
-                most: self.most,
+                claimed: header.content_length,
+                limit: self.limit,
             });
         }
-        let whole = head.size + head.length;
-        if self.buffer.len() < whole {
+        let message_length = header.header_length + header.content_length;
+        if self.buffer.len() < message_length {
             return Ok(None);
         }
-        let message = &self.buffer[..whole];
-        nesting(message)?;
+        let message = &self.buffer[..message_length];
+        check_nesting(message)?;
         let decoded = rasn::ber::decode(message).map_err(|e| Malformed::Content(e.to_string()));
-        self.buffer.advance(whole);
+        self.buffer.advance(message_length);
         decoded.map(Some)
     }
 }
--- a/crates/pipithub-ldap/src/ldif.rs
+++ b/crates/pipithub-ldap/src/ldif.rs
@@ -3,16 +3,16 @@
 use crate::dn::Dn;
 
 /// Bytes that a file may have.
-const LONGEST: usize = 256 << 20;
+const MAX_LENGTH: usize = 256 << 20;
 
 /// A line that is not as LDIF has it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("line {line}: {why}")]
-pub struct NoLdif {
+#[error("line {line}: {reason}")]
+pub struct InvalidLdif {
     /// Which, from 1.
     pub line: usize,
     /// What is wrong.
-    pub why: String,
+    pub reason: String,
 }
 
 /// An entry.
@@ -27,11 +27,11 @@
 }
 
 /// Reads all entries of a file. Values by URL (`:<`) are refused: a tree must not have other files read.
-pub fn read(text: &str) -> Result<Vec<Record>, NoLdif> {
-    if text.len() > LONGEST {
-        return Err(NoLdif {
+pub fn read(text: &str) -> Result<Vec<Record>, InvalidLdif> {
+    if text.len() > MAX_LENGTH {
+        return Err(InvalidLdif {
             line: 1,
-            why: format!("a file has up to {LONGEST} bytes"),
+            reason: format!("a file has up to {MAX_LENGTH} bytes"),
         });
     }
     let mut lines: Vec<(usize, String)> = Vec::new();
@@ -41,9 +41,9 @@
             // A line that begins with a space goes on with the one before it; a comment may go on too.
             (Some(rest), Some((_, before))) if !before.is_empty() => before.push_str(rest),
             (Some(_), _) => {
-                return Err(NoLdif {
+                return Err(InvalidLdif {
                     line: n + 1,
-                    why: "nothing to go on with".into(),
+                    reason: "nothing to go on with".into(),
                 });
             }
             (None, _) => lines.push((n + 1, line.to_string())),
@@ -51,30 +51,35 @@
     }
     lines.retain(|(_, l)| !l.starts_with('#'));
     let mut records: Vec<Record> = Vec::new();
-    let mut open = false;
+    let mut in_record = false;
     for (number, line) in lines {
-        let no = |why: String| NoLdif { line: number, why };
+        let invalid = |reason: String| InvalidLdif {
+            line: number,
+            reason,
+        };
         if line.is_empty() {
-            open = false;
+            in_record = false;
             continue;
         }
         let (name, rest) = line
             .split_once(':')
-            .ok_or_else(|| no("neither 'name: value' nor empty".into()))?;
+            .ok_or_else(|| invalid("neither 'name: value' nor empty".into()))?;
         let value = match (rest.strip_prefix(':'), rest.strip_prefix('<')) {
-            (Some(encoded), _) => base64(encoded.trim()).ok_or_else(|| no("no base64".into()))?,
-            (_, Some(_)) => return Err(no("values by URL are not read".into())),
+            (Some(encoded), _) => {
+                decode_base64(encoded.trim()).ok_or_else(|| invalid("no base64".into()))?
+            }
+            (_, Some(_)) => return Err(invalid("values by URL are not read".into())),
             _ => rest.trim_start_matches(' ').as_bytes().to_vec(),
         };
         if name.eq_ignore_ascii_case("version") && records.is_empty() {
             if value != b"1" {
-                return Err(no("version 1 is read".into()));
+                return Err(invalid("version 1 is read".into()));
             }
             continue;
         }
-        if open {
+        if in_record {
             if name.eq_ignore_ascii_case("changetype") {
-                return Err(no("records of changes are not read".into()));
+                return Err(invalid("records of changes are not read".into()));
             }
             if let Some(record) = records.last_mut() {
                 record.attributes.push((name.to_string(), value));
@@ -82,22 +87,24 @@
             continue;
         }
         if !name.eq_ignore_ascii_case("dn") {
-            return Err(no(format!("an entry begins with 'dn', not with '{name}'")));
+            return Err(invalid(format!(
+                "an entry begins with 'dn', not with '{name}'"
+            )));
         }
-        let written = String::from_utf8(value).map_err(|_| no("a name is UTF-8".into()))?;
-        let dn = Dn::parse(&written).map_err(|e| no(e.to_string()))?;
+        let written = String::from_utf8(value).map_err(|_| invalid("a name is UTF-8".into()))?;
+        let dn = Dn::parse(&written).map_err(|e| invalid(e.to_string()))?;
         records.push(Record {
             dn,
             written,
             attributes: Vec::new(),
         });
-        open = true;
+        in_record = true;
     }
     Ok(records)
 }
 
 /// Decodes base64 (RFC 4648, 4), padding needed.
-fn base64(text: &str) -> Option<Vec<u8>> {
+fn decode_base64(text: &str) -> Option<Vec<u8>> {
     let digit = |b: u8| match b {
         b'A'..=b'Z' => Some(b - b'A'),
         b'a'..=b'z' => Some(b - b'a' + 26),
@@ -114,7 +121,7 @@
     if padding > 2 {
         return None;
     }
-    let mut out = Vec::with_capacity(bytes.len() / 4 * 3);
+    let mut decoded = Vec::with_capacity(bytes.len() / 4 * 3);
     for (n, group) in bytes.chunks(4).enumerate() {
         let last = (n + 1) * 4 == bytes.len();
         let keep = if last { 4 - padding } else { 4 };
@@ -122,7 +129,7 @@
         for (at, b) in group.iter().enumerate() {
             word = word << 6 | if at < keep { u32::from(digit(*b)?) } else { 0 };
         }
-        out.extend(&word.to_be_bytes()[1..keep]);
+        decoded.extend(&word.to_be_bytes()[1..keep]);
     }
-    Some(out)
+    Some(decoded)
 }
--- a/crates/pipithub-ldap/src/sync.rs
+++ b/crates/pipithub-ldap/src/sync.rs
@@ -14,14 +14,14 @@
 
 #[derive(AsnType, Encode, Decode, Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[rasn(enumerated)]
-enum Mode {
+enum RequestMode {
     RefreshOnly = 1,
     RefreshAndPersist = 3,
 }
 
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq, Eq)]
 struct RequestValue {
-    mode: Mode,
+    mode: RequestMode,
     cookie: Option<OctetString>,
     #[rasn(default)]
     reload_hint: bool,
@@ -64,7 +64,7 @@
     pub refresh_deletes: bool,
 }
 
-fn truth() -> bool {
+fn default_true() -> bool {
     true
 }
 
@@ -75,7 +75,7 @@
     /// Where the synchronisation stands.
     pub cookie: Option<OctetString>,
     /// The refresh is over: what follows are changes as they happen.
-    #[rasn(default = "truth")]
+    #[rasn(default = "default_true")]
     pub refresh_done: bool,
 }
 
@@ -111,7 +111,7 @@
     Ids(IdSet),
 }
 
-fn control(oid: &[u8], critical: bool, value: &impl Encode) -> Control {
+fn encode_control(oid: &[u8], critical: bool, value: &impl Encode) -> Control {
     let value = rasn::ber::encode(value).unwrap_or_default();
     Control::new(
         Bytes::copy_from_slice(oid).into(),
@@ -120,14 +120,14 @@
     )
 }
 
-fn find<T: Decode>(controls: Option<&Vec<Control>>, oid: &[u8]) -> Option<T> {
+fn find_control_value<T: Decode>(controls: Option<&Vec<Control>>, oid: &[u8]) -> Option<T> {
     let control = controls?.iter().find(|c| &c.control_type[..] == oid)?;
     rasn::ber::decode(control.control_value.as_deref()?).ok()
 }
 
 /// A paged results control: page size in requests, an estimate of the total in answers.
 pub fn paged(size: u32, cookie: Bytes) -> Control {
-    control(
+    encode_control(
         oid::PAGED,
         false,
         &PagedValue {
@@ -139,16 +139,17 @@
 
 /// The size and cookie of a paged results control.
 pub fn read_paged(controls: Option<&Vec<Control>>) -> Option<(u32, Bytes)> {
-    find::<PagedValue>(controls, oid::PAGED).map(|p| (p.size, Bytes::copy_from_slice(&p.cookie)))
+    find_control_value::<PagedValue>(controls, oid::PAGED)
+        .map(|p| (p.size, Bytes::copy_from_slice(&p.cookie)))
 }
 
 /// A sync request that goes on with changes as they happen.
 pub fn request(cookie: Option<Bytes>) -> Control {
-    control(
+    encode_control(
         oid::SYNC_REQUEST,
         true,
         &RequestValue {
-            mode: Mode::RefreshAndPersist,
+            mode: RequestMode::RefreshAndPersist,
             cookie: cookie.map(Into::into),
             reload_hint: false,
         },
@@ -157,16 +158,16 @@
 
 /// The cookie of a sync request, and whether changes are wanted as they happen.
 pub fn read_request(controls: Option<&Vec<Control>>) -> Option<(Option<Bytes>, bool)> {
-    let value: RequestValue = find(controls, oid::SYNC_REQUEST)?;
+    let value: RequestValue = find_control_value(controls, oid::SYNC_REQUEST)?;
     Some((
         value.cookie.map(|c| Bytes::copy_from_slice(&c)),
-        value.mode == Mode::RefreshAndPersist,
+        value.mode == RequestMode::RefreshAndPersist,
     ))
 }
 
 /// A sync state control.
 pub fn state(state: State, uuid: Bytes, cookie: Option<Bytes>) -> Control {
-    control(
+    encode_control(
         oid::SYNC_STATE,
         false,
         &StateValue {
@@ -179,12 +180,12 @@
 
 /// The sync state control of an entry.
 pub fn read_state(controls: Option<&Vec<Control>>) -> Option<StateValue> {
-    find(controls, oid::SYNC_STATE)
+    find_control_value(controls, oid::SYNC_STATE)
 }
 
 /// The sync done control of a result.
 pub fn read_done(controls: Option<&Vec<Control>>) -> Option<DoneValue> {
-    find(controls, oid::SYNC_DONE)
+    find_control_value(controls, oid::SYNC_DONE)
 }
 
 /// The value of a sync info message: the end of a refresh in which everything present was told.
--- a/crates/pipithub-ldap/tests/connection.rs
+++ b/crates/pipithub-ldap/tests/connection.rs
@@ -17,7 +17,7 @@
     }
 }
 
-fn asked(client: &mut Client) -> Vec<LdapMessage> {
+fn sent_messages(client: &mut Client) -> Vec<LdapMessage> {
     let mut framer = Framer::new(1 << 20);
     framer.push(&client.take_output());
     std::iter::from_fn(|| framer.take().expect("what a client writes is well formed")).collect()
@@ -67,14 +67,14 @@
         client.search(search("early")).is_none(),
         "nothing is asked before the bind is over"
     );
-    let id = asked(&mut client)[0].message_id;
+    let id = sent_messages(&mut client)[0].message_id;
     answer(&mut client, id, bound(ResultCode::Success));
     assert_eq!(client.poll(), Some(Event::Ready));
     client
 }
 
 #[test]
-fn a_search_gets_its_entries_and_its_end() {
+fn a_search_gets_its_entries_and_its_result() {
     let mut client = ready();
     let one = client.search(search("mai")).expect("ready");
     let two = client.search(search("lan")).expect("ready");
@@ -82,23 +82,23 @@
     answer(&mut client, one.0, entry("uid=mai,dc=example"));
     answer(&mut client, one.0, done(ResultCode::Success));
     assert!(matches!(client.poll(), Some(Event::Done(id, _)) if id == two));
-    let Some(Event::Entry(id, told)) = client.poll() else {
+    let Some(Event::Entry(id, found)) = client.poll() else {
         panic!("an entry")
     };
-    assert_eq!((id, told.text("uid")), (one, Some("mai")));
-    assert_eq!(Some(told.dn), Dn::parse("uid=mai,dc=example").ok());
+    assert_eq!((id, found.text("uid")), (one, Some("mai")));
+    assert_eq!(Some(found.dn), Dn::parse("uid=mai,dc=example").ok());
     assert!(matches!(client.poll(), Some(Event::Done(id, _)) if id == one));
-    assert_eq!((client.poll(), client.searching()), (None, 0));
+    assert_eq!((client.poll(), client.pending_searches()), (None, 0));
 }
 
 /// An answer that was under way when its search was given up belongs to nobody; it must not end the connection either.
 #[test]
-fn what_comes_for_an_abandoned_search_is_passed_over() {
+fn results_of_an_abandoned_search_are_ignored() {
     let mut client = ready();
     let id = client.search(search("mai")).expect("ready");
     client.abandon(id);
     assert!(
-        matches!(asked(&mut client).last().map(|m| &m.protocol_op), Some(ProtocolOp::AbandonRequest(a)) if a.0 == id.0)
+        matches!(sent_messages(&mut client).last().map(|m| &m.protocol_op), Some(ProtocolOp::AbandonRequest(a)) if a.0 == id.0)
     );
     answer(&mut client, id.0, entry("uid=mai,dc=example"));
     answer(&mut client, id.0, done(ResultCode::Success));
@@ -109,26 +109,25 @@
 /// Whoever sits between can add bytes in the clear that would be read as if they had come over TLS (CVE-2011-0411 is
 /// the like of it in another protocol).
 #[test]
-fn bytes_before_the_handshake_end_the_connection() {
+fn bytes_before_the_handshake_close_the_connection() {
     let ok = |id| {
         let response = ExtendedResponseOk(id);
         encode(&response.message())
     };
     let mut client = Client::new(settings(true));
-    let asked_now = asked(&mut client);
+    let sent = sent_messages(&mut client);
     assert!(
-        asked_now
-            .iter()
+        sent.iter()
             .all(|m| matches!(m.protocol_op, ProtocolOp::ExtendedReq(_))),
         "no password in the clear"
     );
-    let mut bytes = ok(asked_now[0].message_id);
+    let mut bytes = ok(sent[0].message_id);
     bytes.extend(encode(&LdapMessage::new(2, bound(ResultCode::Success))));
     client.receive(&bytes);
     assert_eq!(client.poll(), Some(Event::BeginTls));
-    assert!(matches!(client.poll(), Some(Event::Over(_))));
+    assert!(matches!(client.poll(), Some(Event::Closed(_))));
     let mut client = Client::new(settings(true));
-    let id = asked(&mut client)[0].message_id;
+    let id = sent_messages(&mut client)[0].message_id;
     client.receive(&ok(id));
     assert_eq!(client.poll(), Some(Event::BeginTls));
     assert!(
@@ -137,7 +136,7 @@
     );
     client.secured();
     assert!(matches!(
-        asked(&mut client)[0].protocol_op,
+        sent_messages(&mut client)[0].protocol_op,
         ProtocolOp::BindRequest(_)
     ));
 }
@@ -155,13 +154,15 @@
 }
 
 #[test]
-fn a_refused_bind_and_answers_out_of_turn_end_it() {
+fn a_rejected_bind_and_unexpected_responses_close_the_connection() {
     let mut client = Client::new(settings(false));
     answer(&mut client, 1, bound(ResultCode::InvalidCredentials));
-    assert!(matches!(client.poll(), Some(Event::Over(why)) if why.contains("InvalidCredentials")));
+    assert!(
+        matches!(client.poll(), Some(Event::Closed(reason)) if reason.contains("InvalidCredentials"))
+    );
     let mut client = ready();
     answer(&mut client, 9, bound(ResultCode::Success));
-    assert!(matches!(client.poll(), Some(Event::Over(_))));
+    assert!(matches!(client.poll(), Some(Event::Closed(_))));
     assert!(client.search(search("mai")).is_none());
 }
 
@@ -182,7 +183,7 @@
     /// Any bytes, and any damage to good ones, end in messages or in an error; nothing panics or waits for more than
     /// the bound.
     #[test]
-    fn any_bytes_are_borne(noise in proptest::collection::vec(any::<u8>(), 0..300), at in 0usize..200, byte: u8) {
+    fn any_bytes_are_tolerated(noise in proptest::collection::vec(any::<u8>(), 0..300), at in 0usize..200, byte: u8) {
         let mut framer = Framer::new(4096);
         framer.push(&noise);
         while let Ok(Some(_)) = framer.take() {}
@@ -202,13 +203,13 @@
     fn names_stay_values(name in "\\PC{0,40}") {
         let mut client = ready();
         client.search(search(&name)).expect("ready");
-        let asked = asked(&mut client);
-        let Some(ProtocolOp::SearchRequest(request)) = asked.last().map(|m| &m.protocol_op) else { panic!("a search") };
+        let sent_messages = sent_messages(&mut client);
+        let Some(ProtocolOp::SearchRequest(request)) = sent_messages.last().map(|m| &m.protocol_op) else { panic!("a search") };
         prop_assert_eq!(&request.filter, &filter::equal("uid", &name));
     }
 
     #[test]
-    fn any_text_is_borne_as_name_and_filter(text in "[a-z=,+\\\\()&|!*# \"\\x00é]{0,60}") {
+    fn any_text_is_tolerated_as_name_and_filter(text in "[a-z=,+\\\\()&|!*# \"\\x00é]{0,60}") {
         if let Ok(dn) = Dn::parse(&text) {
             // What a name is written as reads as the same name.
             prop_assert_eq!(Dn::parse(&dn.to_string()), Ok(dn));
@@ -217,7 +218,7 @@
     }
 
     #[test]
-    fn escaped_values_come_back(value in "\\PC{1,30}") {
+    fn escaped_values_round_trip(value in "\\PC{1,30}") {
         let text = format!("cn={},ou=north", pipithub_ldap::dn::escaped(&value));
         let dn = Dn::parse(&text).expect("an escaped value");
         prop_assert_eq!(dn.depth(), 2);
--- a/crates/pipithub-ldap/tests/dn.rs
+++ b/crates/pipithub-ldap/tests/dn.rs
@@ -1,7 +1,7 @@
 //! Distinguished names: equality, containment, parts that are not well formed, renaming.
 
 use pipithub_ldap::Dn;
-use pipithub_ldap::dn::LONGEST;
+use pipithub_ldap::dn::MAX_LENGTH;
 
 fn dn(text: &str) -> Dn {
     Dn::parse(text).expect(text)
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn within_is_by_parts_not_by_letters() {
+fn containment_compares_rdns_not_text() {
     let north = dn("ou=north,dc=example");
     assert!(dn("uid=a,ou=north,dc=example").is_within(&north) && north.is_within(&north));
     assert!(!dn("uid=a,ou=south-ou=north,dc=example").is_within(&north));
@@ -40,18 +40,18 @@
 }
 
 #[test]
-fn what_is_no_name_is_refused() {
+fn malformed_names_are_rejected() {
     for bad in [
         "x", "=x", "a=1,", "a=1,,b=2", "a=\\", "a=\\zz", "a=b\"c", "a=\\ff", ",a=1",
     ] {
         assert!(Dn::parse(bad).is_err(), "{bad}");
     }
-    assert!(Dn::parse(&format!("a={}", "x".repeat(LONGEST))).is_err());
+    assert!(Dn::parse(&format!("a={}", "x".repeat(MAX_LENGTH))).is_err());
     assert!(Dn::parse(&vec!["a=1"; 200].join(",")).is_err());
 }
 
 #[test]
-fn moves() {
+fn an_entry_is_renamed_and_moved() {
     let from = dn("uid=mai,ou=north,dc=example");
     assert_eq!(
         from.moved(None, Some(&dn("ou=south,dc=example"))),
--- a/crates/pipithub-ldap/tests/filter.rs
+++ b/crates/pipithub-ldap/tests/filter.rs
@@ -4,7 +4,7 @@
 use pipithub_ldap::message::Filter;
 
 #[test]
-fn operators_filters_are_read() {
+fn filter_texts_are_parsed() {
     assert_eq!(parse("(uid=mai)"), Ok(equal("uid", "mai")));
     assert_eq!(parse("(cn=a\\2ab\\28)"), Ok(equal("cn", "a*b(")));
     assert_eq!(parse("(objectClass=*)"), Ok(all()));
--- a/crates/pipithub-ldap/tests/frame.rs
+++ b/crates/pipithub-ldap/tests/frame.rs
@@ -3,7 +3,7 @@
 use pipithub_ldap::frame::{Framer, Malformed};
 
 #[test]
-fn nothing_is_kept_for_a_claimed_length() {
+fn nothing_is_buffered_for_a_claimed_length() {
     let mut framer = Framer::new(1 << 20);
     framer.push(&[0x30, 0x84, 0x7f, 0xff, 0xff, 0xff, 2]);
     assert!(matches!(framer.take(), Err(Malformed::TooLong { .. })));
@@ -14,7 +14,7 @@
 
 /// The decoder recurses for filters: without the walk before it a message of 200 kB ended the process.
 #[test]
-fn deep_nesting_is_refused_before_it_is_decoded() {
+fn deep_nesting_is_rejected_before_it_is_decoded() {
     // A search whose filter is `not` within `not`, 100,000 deep, each as long as its length says.
     let mut filter = vec![0x87, 1, b'x'];
     for _ in 0..100_000 {
--- a/crates/pipithub-ldap/tests/ldif.rs
+++ b/crates/pipithub-ldap/tests/ldif.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn faults_name_their_line() {
+fn errors_name_their_line() {
     let line = |text: &str| read(text).expect_err("a fault").line;
     assert_eq!(line("dn: a=1\nx"), 2);
     assert_eq!(line(" x"), 1);
--- a/crates/pipithub-ldap/tests/sync.rs
+++ b/crates/pipithub-ldap/tests/sync.rs
@@ -7,7 +7,7 @@
 };
 
 #[test]
-fn values_come_back_as_they_went() {
+fn control_values_round_trip() {
     let cookie = Bytes::from_static(b"c");
     assert_eq!(
         read_paged(Some(&vec![paged(7, cookie.clone())])),
@@ -17,13 +17,13 @@
         read_request(Some(&vec![request(Some(cookie.clone()))])),
         Some((Some(cookie.clone()), true))
     );
-    let told = read_state(Some(&vec![state(
+    let entry_state = read_state(Some(&vec![state(
         State::Delete,
         Bytes::from_static(&[7; 16]),
         None,
     )]));
     assert_eq!(
-        told.map(|t| (t.state, t.uuid.len())),
+        entry_state.map(|t| (t.state, t.uuid.len())),
         Some((State::Delete, 16))
     );
     let Some(Info::RefreshPresent(phase)) = read_info(&refresh_present(Some(cookie.clone())))
@@ -36,7 +36,7 @@
 
 /// Bytes worked out by hand from RFC 4533: refreshAndPersist (3) without a cookie.
 #[test]
-fn a_sync_request_is_as_the_rfc_writes_it() {
+fn a_sync_request_is_encoded_as_in_the_rfc() {
     let control = request(None);
     assert_eq!(
         control.control_value.as_deref(),
