--- a/crates/pipithub-emulator/src/directory.rs
+++ b/crates/pipithub-emulator/src/directory.rs
@@ -299,7 +299,11 @@
         );
         let entry = Entry {
             written: record.written,
-            attributes: record.attributes,
+            attributes: record
+                .attributes
+                .into_iter()
+                .map(|attribute| (attribute.name, attribute.value))
+                .collect(),
             uuid,
             changed: timestamp(),
         };
@@ -484,7 +488,12 @@
         let page = sync::read_paged(controls);
         let from = page
             .as_ref()
-            .and_then(|(_, c)| std::str::from_utf8(c).ok()?.parse::<usize>().ok())
+            .and_then(|page| {
+                std::str::from_utf8(&page.cookie)
+                    .ok()?
+                    .parse::<usize>()
+                    .ok()
+            })
             .unwrap_or(0);
         let inside = |dn: &Dn| match request.scope {
             SearchRequestScope::SingleLevel => dn.parent().as_ref() == Some(&base),
@@ -504,7 +513,7 @@
         if let Some(Some((_, entry))) = wrong {
             found = vec![entry];
         }
-        let limit = page.as_ref().map_or(usize::MAX, |(size, _)| *size as usize);
+        let limit = page.as_ref().map_or(usize::MAX, |page| page.size as usize);
         let all = found.len();
         let mut messages: Vec<LdapMessage> = Vec::new();
         for entry in found.into_iter().skip(from).take(limit) {
@@ -515,15 +524,15 @@
             }
             messages.push(message);
         }
-        if let Some((_, true)) = sync {
+        if sync.is_some_and(|request| request.persist) {
             // No history is kept: each refresh tells everything (RFC 4533, 3.3.2).
             let cookie = Bytes::from(tree.mark.to_string());
             messages.push(info(id, sync::refresh_present(Some(cookie))));
             return messages;
         }
         let mut end = done(ResultCode::Success);
-        if let Some((size, _)) = page {
-            let next = from.saturating_add(size as usize);
+        if let Some(page) = page {
+            let next = from.saturating_add(page.size as usize);
             let cookie = if next < all {
                 Bytes::from(next.to_string())
             } else {
@@ -628,7 +637,7 @@
                 ProtocolOp::SearchRequest(request) => {
                     let controls = message.controls.as_ref();
                     answers = shared.search(id, request, controls);
-                    if matches!(sync::read_request(controls), Some((_, true))) {
+                    if sync::read_request(controls).is_some_and(|request| request.persist) {
                         persistent.insert(id, request.clone());
                     }
                     if shared.dropped() {
--- a/crates/pipithub-gateway/src/directory.rs
+++ b/crates/pipithub-gateway/src/directory.rs
@@ -15,7 +15,9 @@
 use pipithub_ldap::client::Entry;
 use pipithub_ldap::message::{Filter, ResultCode, SearchRequestScope};
 use pipithub_ldap::sync::{self, Info, State};
-use pipithub_ldap::{Client, ClientSettings, Event, Search, SearchId as Asked, dn, filter};
+use pipithub_ldap::{
+    Client, ClientSettings, Event, Search, SearchId as Asked, SimpleBind, dn, filter,
+};
 use pipithub_settings::{DirectoryConfig, TenantsConfig, Tls};
 use pipithub_storage::{Durability, Saver, SystemFiles, Target};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
@@ -390,10 +392,10 @@
                 }
                 _ => Box::new(plain),
             };
-            let bind = directory
-                .bind
-                .clone()
-                .map(|bind| (bind.name, Bytes::from(bind.password)));
+            let bind = directory.bind.clone().map(|bind| SimpleBind {
+                name: bind.name,
+                password: Bytes::from(bind.password),
+            });
             let mut client = Client::new(ClientSettings {
                 bind,
                 ..ClientSettings::default()
--- a/crates/pipithub-ldap/src/filter.rs
+++ b/crates/pipithub-ldap/src/filter.rs
@@ -1,47 +1,53 @@
-//! Filters: built from values for searches, read from an operator's text for settings (RFC 4515).
+//! Search filters: built from values for searches, parsed from an operator's text for settings (RFC 4515).
 //!
-//! A user's name goes into a filter as a value of its own and never passes through text: whatever characters it has, it
-//! can only be compared.
+//! A user's name goes into a filter as an assertion value and is never part of a filter's text: whatever characters it
+//! has, it can only be compared.
 
 use bytes::Bytes;
 use rasn::types::SetOf;
 use rasn_ldap::{AttributeValueAssertion, Filter, SubstringChoice, SubstringFilter};
-use winnow::combinator::{alt, delimited, repeat};
+use winnow::combinator::{alt, delimited, repeat, separated};
 use winnow::error::ContextError;
 use winnow::prelude::*;
 use winnow::token::{any, take_while};
 
-/// Filters within each other that a text may have.
+/// The deepest nesting of filters that a text may have.
 const MAX_DEPTH: usize = 16;
-/// Bytes that a text may have.
+/// The longest text, in bytes.
 const MAX_LENGTH: usize = 8192;
+/// The most filters that one `and` or `or` may join.
+const MAX_OPERANDS: usize = 256;
+/// The most segments, separated by asterisks, that an assertion value may have.
+const MAX_SEGMENTS: usize = 64;
+/// Characters of an invalid text that its error repeats.
+const MAX_QUOTED_LENGTH: usize = 80;
 
-/// Why a text is no filter.
+/// A text that is not a filter; its beginning.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("'{0}' is no filter as in RFC 4515 of up to {MAX_DEPTH} levels")]
 pub struct InvalidFilter(pub String);
 
-/// `attribute=value`.
+/// Matches entries by `attribute=value`.
 pub fn equal(attribute: &str, value: &str) -> Filter {
     Filter::EqualityMatch(assertion(attribute, value.as_bytes()))
 }
 
-/// `attribute>=value`.
+/// Matches entries by `attribute>=value`.
 pub fn at_least(attribute: &str, value: &str) -> Filter {
     Filter::GreaterOrEqual(assertion(attribute, value.as_bytes()))
 }
 
-/// Everything that has an object class: all entries.
+/// Matches every entry, since each has an object class.
 pub fn all() -> Filter {
     Filter::Present("objectClass".into())
 }
 
-/// All of these.
+/// Matches entries that match all of these.
 pub fn and(filters: Vec<Filter>) -> Filter {
     Filter::And(SetOf::from_vec(filters))
 }
 
-/// Any of these names, and the operator's own filter where there is one.
+/// Matches entries that have any of these names and match the operator's own filter, where there is one.
 pub fn any_of<'a>(
     attribute: &str,
     names: impl Iterator<Item = &'a str>,
@@ -63,9 +69,9 @@
     AttributeValueAssertion::new(attribute.into(), Bytes::copy_from_slice(value).into())
 }
 
-/// Reads an operator's filter.
+/// Parses an operator's filter.
 pub fn parse(text: &str) -> Result<Filter, InvalidFilter> {
-    let invalid = || InvalidFilter(text.chars().take(80).collect());
+    let invalid = || InvalidFilter(text.chars().take(MAX_QUOTED_LENGTH).collect());
     if text.len() > MAX_LENGTH {
         return Err(invalid());
     }
@@ -74,6 +80,7 @@
         .map_err(|_| invalid())
 }
 
+/// The rule `filter` of RFC 4515.
 fn filter(input: &mut &str, depth: usize) -> Result<Filter, ContextError> {
     if depth == 0 {
         return Err(ContextError::new());
@@ -86,33 +93,36 @@
     .parse_next(input)
 }
 
+/// The rule `filtercomp` of RFC 4515.
 fn filter_component(input: &mut &str, depth: usize) -> Result<Filter, ContextError> {
     let list = |input: &mut &str| -> Result<Vec<Filter>, ContextError> {
-        repeat(1..=256, |input: &mut &str| filter(input, depth)).parse_next(input)
+        repeat(1..=MAX_OPERANDS, |input: &mut &str| filter(input, depth)).parse_next(input)
     };
     match input.chars().next() {
-        Some('&') => ('&', list).map(|(_, l)| and(l)).parse_next(input),
+        Some('&') => ('&', list)
+            .map(|(_, operands)| and(operands))
+            .parse_next(input),
         Some('|') => ('|', list)
-            .map(|(_, l)| Filter::Or(SetOf::from_vec(l)))
+            .map(|(_, operands)| Filter::Or(SetOf::from_vec(operands)))
             .parse_next(input),
         Some('!') => {
             let negated = |input: &mut &str| filter(input, depth);
             ('!', negated)
-                .map(|(_, f)| Filter::Not(Box::new(f)))
+                .map(|(_, operand)| Filter::Not(Box::new(operand)))
                 .parse_next(input)
         }
         _ => item(input),
     }
 }
 
+/// The rule `item` of RFC 4515, without extensible matches.
 fn item(input: &mut &str) -> Result<Filter, ContextError> {
-    let kind = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '.' | ';');
-    let attribute: &str = take_while(1.., kind).parse_next(input)?;
+    let is_attribute = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '.' | ';');
+    let attribute: &str = take_while(1.., is_attribute).parse_next(input)?;
     let relation = alt(("=", ">=", "<=", "~=")).parse_next(input)?;
-    let segments: Vec<Vec<u8>> =
-        winnow::combinator::separated(1..=64, value, '*').parse_next(input)?;
-    if segments.len() == 1 {
-        let assertion = assertion(attribute, &segments[0]);
+    let segments: Vec<Vec<u8>> = separated(1..=MAX_SEGMENTS, value, '*').parse_next(input)?;
+    if let [value] = &segments[..] {
+        let assertion = assertion(attribute, value);
         return Ok(match relation {
             ">=" => Filter::GreaterOrEqual(assertion),
             "<=" => Filter::LessOrEqual(assertion),
@@ -123,13 +133,19 @@
     if relation != "=" {
         return Err(ContextError::new());
     }
-    if segments.iter().all(Vec::is_empty) {
-        return if segments.len() == 2 {
-            Ok(Filter::Present(attribute.into()))
-        } else {
-            Err(ContextError::new())
-        };
+    if !segments.iter().all(Vec::is_empty) {
+        return Ok(substrings(attribute, segments));
+    }
+    // `attribute=*` asks for presence; more asterisks without text between them have no meaning.
+    if segments.len() == 2 {
+        Ok(Filter::Present(attribute.into()))
+    } else {
+        Err(ContextError::new())
     }
+}
+
+/// The filter of segments that asterisks separate; an empty one stands for an asterisk at the beginning or the end.
+fn substrings(attribute: &str, segments: Vec<Vec<u8>>) -> Filter {
     let last = segments.len() - 1;
     let choice = |(index, segment): (usize, Vec<u8>)| match index {
         _ if segment.is_empty() => None,
@@ -142,15 +158,14 @@
         .enumerate()
         .filter_map(choice)
         .collect();
-    Ok(Filter::Substrings(SubstringFilter::new(
-        attribute.into(),
-        choices,
-    )))
+    Filter::Substrings(SubstringFilter::new(attribute.into(), choices))
 }
 
+/// An assertion value, its escapes decoded.
 fn value(input: &mut &str) -> Result<Vec<u8>, ContextError> {
-    let escape = ('\\', take_while(2..=2, |c: char| c.is_ascii_hexdigit()))
-        .verify_map(|(_, hex): (char, &str)| u8::from_str_radix(hex, 16).ok().map(|b| vec![b]));
+    let escape = ('\\', take_while(2..=2, |c: char| c.is_ascii_hexdigit())).verify_map(
+        |(_, hex): (char, &str)| u8::from_str_radix(hex, 16).ok().map(|byte| vec![byte]),
+    );
     let plain = any
         .verify(|c: &char| !matches!(c, '(' | ')' | '*' | '\\' | '\0'))
         .map(|c: char| c.to_string().into_bytes());
--- a/crates/pipithub-ldap/src/frame.rs
+++ b/crates/pipithub-ldap/src/frame.rs
@@ -1,75 +1,80 @@
-//! From bytes to messages, within bounds that are checked before anything is decoded or allocated.
+//! Splits a byte stream into messages, within limits that are checked before anything is decoded or allocated.
 
 use bytes::{Buf, BytesMut};
 use rasn_ldap::LdapMessage;
 
-/// Constructed values within each other that a message may have. A filter of the deepest kind we send has six; the
-/// decoder recurses, so that a message of nothing but opening tags would use up the stack without this.
+/// The deepest nesting of constructed values that a message may have. The deepest filter that is sent has six levels.
+/// The decoder is recursive, so that without this limit a message of nothing but opening tags would exhaust the stack.
 pub const MAX_DEPTH: usize = 48;
 
-/// Bytes that are no message.
+/// Why bytes are not a message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
-    /// It does not begin as a message does.
+    /// The first byte is not the tag of a message.
     #[error("no LDAP message begins with byte {0:#04x}")]
     Start(u8),
-    /// Its length is not in the definite form, or takes too many bytes (RFC 4511, 5.1).
+    /// A length is not in the definite form, or takes too many bytes (RFC 4511, 5.1).
     #[error("the length of a message or value is not in the form that LDAP uses")]
     Length,
-    /// It claims to be too long.
+    /// The length that the message claims is over the limit.
     #[error("a message of {claimed} bytes; {limit} are taken")]
     TooLong {
-        /// What it claims.
+        /// The length claimed.
         claimed: usize,
-        /// What is taken.
+        /// The largest length accepted.
         limit: usize,
     },
-    /// Values are nested too deep.
+    /// Values are nested too deeply.
     #[error("values are nested more than {MAX_DEPTH} deep")]
     TooDeep,
-    /// A value reaches past the one that it is in.
+    /// A value reaches past the end of the one that contains it.
     #[error("a value is longer than what it stands in")]
     Overrun,
-    /// The decoder says so.
+    /// The decoder rejected the content, for the reason given.
     #[error("{0}")]
     Content(String),
 }
 
-/// A tag and length: bytes of both, the content's length, and whether it holds further values.
+/// The tag and length that precede a value's content.
 struct Header {
+    /// Bytes of the tag and the length.
     header_length: usize,
+    /// Bytes of the content.
     content_length: usize,
+    /// Whether the content consists of further values.
     constructed: bool,
 }
 
-/// Reads a head; `None`: there are not enough bytes yet.
+/// Reads a header; `None`: there are not enough bytes yet.
 fn read_header(bytes: &[u8]) -> Result<Option<Header>, Malformed> {
     let Some(&first) = bytes.first() else {
         return Ok(None);
     };
     let mut position = 1;
     if first & 0x1f == 0x1f {
-        // No tag of LDAP needs this form with more than one byte.
+        // The long form of a tag; no tag of LDAP needs more than one byte in it.
         match bytes.get(1) {
             None => return Ok(None),
-            Some(b) if b & 0x80 != 0 => return Err(Malformed::Length),
+            Some(byte) if byte & 0x80 != 0 => return Err(Malformed::Length),
             Some(_) => position = 2,
         }
     }
-    let Some(&short) = bytes.get(position) else {
+    let Some(&first_length) = bytes.get(position) else {
         return Ok(None);
     };
     position += 1;
-    let mut length = usize::from(short);
-    if short & 0x80 != 0 {
-        let count = usize::from(short & 0x7f);
+    let mut length = usize::from(first_length);
+    if first_length & 0x80 != 0 {
+        let count = usize::from(first_length & 0x7f);
         if count == 0 || count > 4 {
             return Err(Malformed::Length);
         }
         let Some(rest) = bytes.get(position..position + count) else {
             return Ok(None);
         };
-        length = rest.iter().fold(0, |n, b| n << 8 | usize::from(*b));
+        length = rest
+            .iter()
+            .fold(0, |length, byte| length << 8 | usize::from(*byte));
         position += count;
     }
     Ok(Some(Header {
@@ -79,8 +84,9 @@
     }))
 }
 
-/// Walks all values of a message without recursion.
+/// Checks that values are nested within the limit and within each other, without recursion.
 fn check_nesting(message: &[u8]) -> Result<(), Malformed> {
+    // Where each constructed value around the present position ends.
     let mut open_ends: Vec<usize> = Vec::with_capacity(8);
     let mut position = 0;
     while position < message.len() {
@@ -108,7 +114,7 @@
     Ok(())
 }
 
-/// Cuts a stream into messages.
+/// Splits a stream into messages.
 #[derive(Debug)]
 pub struct Framer {
     buffer: BytesMut,
@@ -116,7 +122,7 @@
 }
 
 impl Framer {
-    /// Takes messages of up to this many bytes.
+    /// Accepts messages whose content has up to this many bytes.
     pub fn new(limit: usize) -> Self {
         Framer {
             buffer: BytesMut::new(),
@@ -124,12 +130,12 @@
         }
     }
 
-    /// More bytes have come.
+    /// Adds bytes from the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Bytes that wait for the rest of their message.
+    /// The number of bytes buffered that belong to messages not taken yet.
     pub fn waiting(&self) -> usize {
         self.buffer.len()
     }
@@ -144,7 +150,7 @@
         let Some(header) = read_header(&self.buffer)? else {
             return Ok(None);
         };
-        // Before it is all here: nothing is kept for a length that is only claimed.
+        // Checked before the whole message has arrived: nothing is buffered for a length that is only claimed.
         if header.content_length > self.limit {
             return Err(Malformed::TooLong {
                 claimed: header.content_length,
@@ -157,13 +163,14 @@
         }
         let message = &self.buffer[..message_length];
         check_nesting(message)?;
-        let decoded = rasn::ber::decode(message).map_err(|e| Malformed::Content(e.to_string()));
+        let decoded =
+            rasn::ber::decode(message).map_err(|error| Malformed::Content(error.to_string()));
         self.buffer.advance(message_length);
         decoded.map(Some)
     }
 }
 
-/// A message's bytes. What we build always has an encoding; an empty answer would be a fault of this crate.
+/// Encodes a message. Every message that this crate builds has an encoding; an empty result would be a fault in it.
 pub fn encode(message: &LdapMessage) -> Vec<u8> {
     rasn::ber::encode(message).unwrap_or_default()
 }
--- a/crates/pipithub-ldap/src/ldif.rs
+++ b/crates/pipithub-ldap/src/ldif.rs
@@ -1,32 +1,41 @@
-//! LDIF content records (RFC 2849): trees for stand-ins and for checks by hand.
+//! LDIF content records (RFC 2849): directory trees for emulators and for checks by hand.
 
 use crate::dn::Dn;
 
-/// Bytes that a file may have.
+/// The largest file that is read, in bytes.
 const MAX_LENGTH: usize = 256 << 20;
 
-/// A line that is not as LDIF has it.
+/// A line that is not valid LDIF.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {reason}")]
 pub struct InvalidLdif {
-    /// Which, from 1.
+    /// The number of the line, from 1.
     pub line: usize,
-    /// What is wrong.
+    /// What is wrong with it.
     pub reason: String,
 }
 
+/// One value of an attribute.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Attribute {
+    /// The attribute description, as written.
+    pub name: String,
+    /// The value, decoded.
+    pub value: Vec<u8>,
+}
+
 /// An entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Its name.
+    /// The distinguished name, normalised.
     pub dn: Dn,
-    /// Its name as written.
+    /// The distinguished name as written.
     pub written: String,
     /// Attributes and values in their order.
-    pub attributes: Vec<(String, Vec<u8>)>,
+    pub attributes: Vec<Attribute>,
 }
 
-/// Reads all entries of a file. Values by URL (`:<`) are refused: a tree must not have other files read.
+/// Reads all entries of a file. Values by URL (`:<`) are rejected: a tree must not have other files read.
 pub fn read(text: &str) -> Result<Vec<Record>, InvalidLdif> {
     if text.len() > MAX_LENGTH {
         return Err(InvalidLdif {
@@ -34,81 +43,144 @@
             reason: format!("a file has up to {MAX_LENGTH} bytes"),
         });
     }
-    let mut lines: Vec<(usize, String)> = Vec::new();
-    for (n, line) in text.lines().enumerate() {
+    let mut parser = Parser::default();
+    for line in unfold(text)? {
+        if !line.is_comment() {
+            parser.parse_line(&line)?;
+        }
+    }
+    Ok(parser.records)
+}
+
+/// A logical line: its continuation lines are joined to it.
+struct Line {
+    number: usize,
+    text: String,
+}
+
+impl Line {
+    fn is_comment(&self) -> bool {
+        self.text.starts_with('#')
+    }
+
+    fn invalid(&self, reason: impl Into<String>) -> InvalidLdif {
+        InvalidLdif {
+            line: self.number,
+            reason: reason.into(),
+        }
+    }
+
+    /// Splits the line into a name and its value, which is decoded where it is in base64.
+    fn attribute(&self) -> Result<Attribute, InvalidLdif> {
+        let (name, rest) = self
+            .text
+            .split_once(':')
+            .ok_or_else(|| self.invalid("neither 'name: value' nor empty"))?;
+        let value = if let Some(encoded) = rest.strip_prefix(':') {
+            decode_base64(encoded.trim()).ok_or_else(|| self.invalid("no base64"))?
+        } else if rest.starts_with('<') {
+            return Err(self.invalid("values by URL are not read"));
+        } else {
+            rest.trim_start_matches(' ').as_bytes().to_vec()
+        };
+        Ok(Attribute {
+            name: name.to_string(),
+            value,
+        })
+    }
+}
+
+/// Joins continuation lines, which begin with a space, to the line before them; a comment may be continued too.
+fn unfold(text: &str) -> Result<Vec<Line>, InvalidLdif> {
+    let mut lines: Vec<Line> = Vec::new();
+    for (index, line) in text.lines().enumerate() {
+        let number = index + 1;
         let line = line.strip_suffix('\r').unwrap_or(line);
-        match (line.strip_prefix(' '), lines.last_mut()) {
-            // A line that begins with a space goes on with the one before it; a comment may go on too.
-            (Some(rest), Some((_, before))) if !before.is_empty() => before.push_str(rest),
-            (Some(_), _) => {
+        let Some(continuation) = line.strip_prefix(' ') else {
+            lines.push(Line {
+                number,
+                text: line.to_string(),
+            });
+            continue;
+        };
+        match lines.last_mut() {
+            Some(previous) if !previous.text.is_empty() => previous.text.push_str(continuation),
+            _ => {
                 return Err(InvalidLdif {
-                    line: n + 1,
+                    line: number,
                     reason: "nothing to go on with".into(),
                 });
             }
-            (None, _) => lines.push((n + 1, line.to_string())),
         }
     }
-    lines.retain(|(_, l)| !l.starts_with('#'));
-    let mut records: Vec<Record> = Vec::new();
-    let mut in_record = false;
-    for (number, line) in lines {
-        let invalid = |reason: String| InvalidLdif {
-            line: number,
-            reason,
-        };
-        if line.is_empty() {
-            in_record = false;
-            continue;
+    Ok(lines)
+}
+
+/// The records read so far.
+#[derive(Default)]
+struct Parser {
+    records: Vec<Record>,
+    /// Whether further attributes belong to the last record; an empty line ends it.
+    in_record: bool,
+}
+
+impl Parser {
+    fn parse_line(&mut self, line: &Line) -> Result<(), InvalidLdif> {
+        if line.text.is_empty() {
+            self.in_record = false;
+            return Ok(());
         }
-        let (name, rest) = line
-            .split_once(':')
-            .ok_or_else(|| invalid("neither 'name: value' nor empty".into()))?;
-        let value = match (rest.strip_prefix(':'), rest.strip_prefix('<')) {
-            (Some(encoded), _) => {
-                decode_base64(encoded.trim()).ok_or_else(|| invalid("no base64".into()))?
-            }
-            (_, Some(_)) => return Err(invalid("values by URL are not read".into())),
-            _ => rest.trim_start_matches(' ').as_bytes().to_vec(),
-        };
-        if name.eq_ignore_ascii_case("version") && records.is_empty() {
-            if value != b"1" {
-                return Err(invalid("version 1 is read".into()));
-            }
-            continue;
+        let attribute = line.attribute()?;
+        if attribute.name.eq_ignore_ascii_case("version") && self.records.is_empty() {
+            return check_version(line, &attribute);
         }
-        if in_record {
-            if name.eq_ignore_ascii_case("changetype") {
-                return Err(invalid("records of changes are not read".into()));
-            }
-            if let Some(record) = records.last_mut() {
-                record.attributes.push((name.to_string(), value));
-            }
-            continue;
+        if self.in_record {
+            return self.add_attribute(line, attribute);
+        }
+        self.begin_record(line, attribute)
+    }
+
+    fn add_attribute(&mut self, line: &Line, attribute: Attribute) -> Result<(), InvalidLdif> {
+        if attribute.name.eq_ignore_ascii_case("changetype") {
+            return Err(line.invalid("records of changes are not read"));
+        }
+        if let Some(record) = self.records.last_mut() {
+            record.attributes.push(attribute);
         }
+        Ok(())
+    }
+
+    fn begin_record(&mut self, line: &Line, attribute: Attribute) -> Result<(), InvalidLdif> {
+        let Attribute { name, value } = attribute;
         if !name.eq_ignore_ascii_case("dn") {
-            return Err(invalid(format!(
-                "an entry begins with 'dn', not with '{name}'"
-            )));
+            return Err(line.invalid(format!("an entry begins with 'dn', not with '{name}'")));
         }
-        let written = String::from_utf8(value).map_err(|_| invalid("a name is UTF-8".into()))?;
-        let dn = Dn::parse(&written).map_err(|e| invalid(e.to_string()))?;
-        records.push(Record {
+        let written = String::from_utf8(value).map_err(|_| line.invalid("a name is UTF-8"))?;
+        let dn = Dn::parse(&written).map_err(|error| line.invalid(error.to_string()))?;
+        self.records.push(Record {
             dn,
             written,
             attributes: Vec::new(),
         });
-        in_record = true;
+        self.in_record = true;
+        Ok(())
+    }
+}
+
+fn check_version(line: &Line, attribute: &Attribute) -> Result<(), InvalidLdif> {
+    if attribute.value == b"1" {
+        Ok(())
+    } else {
+        Err(line.invalid("version 1 is read"))
     }
-    Ok(records)
 }
 
-/// Decodes base64 (RFC 4648, 4), padding needed.
+/// Decodes base64 (RFC 4648, 4); the padding is required.
 fn decode_base64(text: &str) -> Option<Vec<u8>> {
-    let digit = |b: u8| match b {
-        b'A'..=b'Z' => Some(b - b'A'),
-        b'a'..=b'z' => Some(b - b'a' + 26),
-        b'0'..=b'9' => Some(b - b'0' + 52),
+    let digit = |byte: u8| match byte {
+        b'A'..=b'Z' => Some(byte - b'A'),
+        b'a'..=b'z' => Some(byte - b'a' + 26),
+        b'0'..=b'9' => Some(byte - b'0' + 52),
         b'+' => Some(62),
         b'/' => Some(63),
         _ => None,
@@ -117,19 +189,24 @@
     if !bytes.len().is_multiple_of(4) {
         return None;
     }
-    let padding = bytes.iter().rev().take_while(|b| **b == b'=').count();
+    let padding = bytes.iter().rev().take_while(|byte| **byte == b'=').count();
     if padding > 2 {
         return None;
     }
     let mut decoded = Vec::with_capacity(bytes.len() / 4 * 3);
-    for (n, group) in bytes.chunks(4).enumerate() {
-        let last = (n + 1) * 4 == bytes.len();
-        let keep = if last { 4 - padding } else { 4 };
+    for (index, group) in bytes.chunks(4).enumerate() {
+        let is_last = (index + 1) * 4 == bytes.len();
+        let kept_digits = if is_last { 4 - padding } else { 4 };
         let mut word = 0u32;
-        for (at, b) in group.iter().enumerate() {
-            word = word << 6 | if at < keep { u32::from(digit(*b)?) } else { 0 };
+        for (place, byte) in group.iter().enumerate() {
+            let bits = if place < kept_digits {
+                u32::from(digit(*byte)?)
+            } else {
+                0
+            };
+            word = word << 6 | bits;
         }
-        decoded.extend(&word.to_be_bytes()[1..keep]);
+        decoded.extend(&word.to_be_bytes()[1..kept_digits]);
     }
     Some(decoded)
 }
--- a/crates/pipithub-ldap/src/lib.rs
+++ b/crates/pipithub-ldap/src/lib.rs
@@ -1,9 +1,10 @@
-//! LDAP v3 without I/O (RFC 4511): what a gateway needs to ask directories, and what a stand-in needs to play one.
+//! LDAP v3 without I/O (RFC 4511): what a gateway needs to search directories, and what an emulator needs to serve one.
 //!
-//! Messages are `rasn-ldap`'s. Ours is what stands around them: [`frame`] cuts a byte stream into messages within a
-//! bound on size and nesting before anything is decoded, [`Dn`] compares names (RFC 4514), [`filter`] builds searches
-//! from values that never become filter text (RFC 4515), [`Client`] is one connection as a state machine, [`sync`]
-//! holds the controls of content synchronisation (RFC 4533), and [`ldif`] reads trees (RFC 2849).
+//! The message types are those of `rasn-ldap`. This crate adds what surrounds them: [`frame`] splits a byte stream into
+//! messages, with limits on size and nesting that are checked before anything is decoded; [`Dn`] compares distinguished
+//! names (RFC 4514); [`filter`] builds search filters from values that never become filter text (RFC 4515); [`Client`]
+//! is one connection as a state machine; [`sync`] holds the controls of paged results (RFC 2696) and content
+//! synchronisation (RFC 4533); [`ldif`] reads directory trees (RFC 2849).
 
 pub mod client;
 pub mod dn;
@@ -12,11 +13,11 @@
 pub mod ldif;
 pub mod sync;
 
-pub use client::{Client, ClientSettings, Event, Outcome, Search, SearchId};
+pub use client::{Client, ClientSettings, Event, Outcome, Search, SearchId, SimpleBind};
 pub use dn::Dn;
 pub use rasn_ldap as message;
 
-/// OIDs of what is used beside the core of the protocol.
+/// Object identifiers of the extensions and controls in use.
 pub mod oid {
     /// `StartTLS` (RFC 4511, 4.14).
     pub const START_TLS: &[u8] = b"1.3.6.1.4.1.1466.20037";
--- a/crates/pipithub-ldap/src/sync.rs
+++ b/crates/pipithub-ldap/src/sync.rs
@@ -27,17 +27,17 @@
     reload_hint: bool,
 }
 
-/// What an entry in a synchronisation is.
+/// How an entry of a synchronisation differs from what the client has.
 #[derive(AsnType, Encode, Decode, Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[rasn(enumerated)]
 pub enum State {
-    /// It has not changed.
+    /// The entry has not changed.
     Present = 0,
-    /// It is new.
+    /// The entry is new.
     Add = 1,
-    /// It has changed.
+    /// The entry has changed.
     Modify = 2,
-    /// It is gone.
+    /// The entry was deleted.
     Delete = 3,
 }
 
@@ -45,11 +45,11 @@
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq, Eq)]
 #[non_exhaustive]
 pub struct StateValue {
-    /// What it is.
+    /// How the entry differs.
     pub state: State,
-    /// Its `entryUUID`.
+    /// The `entryUUID` of the entry.
     pub uuid: OctetString,
-    /// Where the synchronisation stands after it.
+    /// The state of the synchronisation after this entry.
     pub cookie: Option<OctetString>,
 }
 
@@ -57,9 +57,9 @@
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq, Eq)]
 #[non_exhaustive]
 pub struct DoneValue {
-    /// Where the synchronisation stands.
+    /// The state of the synchronisation.
     pub cookie: Option<OctetString>,
-    /// Entries that were not told stay; otherwise they are gone.
+    /// Whether entries that the server did not mention are still present; otherwise they were deleted.
     #[rasn(default)]
     pub refresh_deletes: bool,
 }
@@ -72,23 +72,23 @@
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq, Eq)]
 #[non_exhaustive]
 pub struct PhaseValue {
-    /// Where the synchronisation stands.
+    /// The state of the synchronisation.
     pub cookie: Option<OctetString>,
-    /// The refresh is over: what follows are changes as they happen.
+    /// Whether the refresh is complete: what follows are changes as they happen.
     #[rasn(default = "default_true")]
     pub refresh_done: bool,
 }
 
-/// Entries by their ids.
+/// A set of entries, named by their ids alone.
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq, Eq)]
 #[non_exhaustive]
 pub struct IdSet {
-    /// Where the synchronisation stands.
+    /// The state of the synchronisation.
     pub cookie: Option<OctetString>,
-    /// They are gone; otherwise they are present.
+    /// Whether they were deleted; otherwise they are present.
     #[rasn(default)]
     pub refresh_deletes: bool,
-    /// Their `entryUUID`s.
+    /// The `entryUUID`s.
     pub uuids: SetOf<OctetString>,
 }
 
@@ -103,10 +103,10 @@
     /// The end of a delete phase.
     #[rasn(tag(1))]
     RefreshDelete(PhaseValue),
-    /// The end of a present phase: what was not told is gone.
+    /// The end of a present phase: entries that the server did not mention were deleted.
     #[rasn(tag(2))]
     RefreshPresent(PhaseValue),
-    /// Entries by their ids.
+    /// A set of entries, named by their ids alone.
     #[rasn(tag(3))]
     Ids(IdSet),
 }
@@ -121,74 +121,88 @@
 }
 
 fn find_control_value<T: Decode>(controls: Option<&Vec<Control>>, oid: &[u8]) -> Option<T> {
-    let control = controls?.iter().find(|c| &c.control_type[..] == oid)?;
+    let control = controls?
+        .iter()
+        .find(|control| &control.control_type[..] == oid)?;
     rasn::ber::decode(control.control_value.as_deref()?).ok()
 }
 
-/// A paged results control: page size in requests, an estimate of the total in answers.
+/// The value of a paged results control.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct PagedResults {
+    /// The page size in requests, an estimate of the total in responses.
+    pub size: u32,
+    /// The server's place in the results; empty before the first page and after the last.
+    pub cookie: Bytes,
+}
+
+/// A paged results control: page size in requests, an estimate of the total in responses.
 pub fn paged(size: u32, cookie: Bytes) -> Control {
-    encode_control(
-        oid::PAGED,
-        false,
-        &PagedValue {
-            size,
-            cookie: cookie.into(),
-        },
-    )
+    let value = PagedValue {
+        size,
+        cookie: cookie.into(),
+    };
+    encode_control(oid::PAGED, false, &value)
+}
+
+/// Reads a paged results control.
+pub fn read_paged(controls: Option<&Vec<Control>>) -> Option<PagedResults> {
+    let value: PagedValue = find_control_value(controls, oid::PAGED)?;
+    Some(PagedResults {
+        size: value.size,
+        cookie: Bytes::copy_from_slice(&value.cookie),
+    })
 }
 
-/// The size and cookie of a paged results control.
-pub fn read_paged(controls: Option<&Vec<Control>>) -> Option<(u32, Bytes)> {
-    find_control_value::<PagedValue>(controls, oid::PAGED)
-        .map(|p| (p.size, Bytes::copy_from_slice(&p.cookie)))
+/// The value of a sync request control (RFC 4533, 2.2).
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SyncRequest {
+    /// The state that the client has; `None`: it has nothing yet.
+    pub cookie: Option<Bytes>,
+    /// Whether the search stays open after the refresh, for changes as they happen.
+    pub persist: bool,
 }
 
-/// A sync request that goes on with changes as they happen.
+/// A sync request whose search stays open after the refresh, for changes as they happen.
 pub fn request(cookie: Option<Bytes>) -> Control {
-    encode_control(
-        oid::SYNC_REQUEST,
-        true,
-        &RequestValue {
-            mode: RequestMode::RefreshAndPersist,
-            cookie: cookie.map(Into::into),
-            reload_hint: false,
-        },
-    )
+    let value = RequestValue {
+        mode: RequestMode::RefreshAndPersist,
+        cookie: cookie.map(Into::into),
+        reload_hint: false,
+    };
+    encode_control(oid::SYNC_REQUEST, true, &value)
 }
 
-/// The cookie of a sync request, and whether changes are wanted as they happen.
-pub fn read_request(controls: Option<&Vec<Control>>) -> Option<(Option<Bytes>, bool)> {
+/// Reads a sync request control.
+pub fn read_request(controls: Option<&Vec<Control>>) -> Option<SyncRequest> {
     let value: RequestValue = find_control_value(controls, oid::SYNC_REQUEST)?;
-    Some((
-        value.cookie.map(|c| Bytes::copy_from_slice(&c)),
-        value.mode == RequestMode::RefreshAndPersist,
-    ))
+    Some(SyncRequest {
+        cookie: value.cookie.map(|cookie| Bytes::copy_from_slice(&cookie)),
+        persist: value.mode == RequestMode::RefreshAndPersist,
+    })
 }
 
 /// A sync state control.
 pub fn state(state: State, uuid: Bytes, cookie: Option<Bytes>) -> Control {
-    encode_control(
-        oid::SYNC_STATE,
-        false,
-        &StateValue {
-            state,
-            uuid: uuid.into(),
-            cookie: cookie.map(Into::into),
-        },
-    )
+    let value = StateValue {
+        state,
+        uuid: uuid.into(),
+        cookie: cookie.map(Into::into),
+    };
+    encode_control(oid::SYNC_STATE, false, &value)
 }
 
-/// The sync state control of an entry.
+/// Reads the sync state control of an entry.
 pub fn read_state(controls: Option<&Vec<Control>>) -> Option<StateValue> {
     find_control_value(controls, oid::SYNC_STATE)
 }
 
-/// The sync done control of a result.
+/// Reads the sync done control of a result.
 pub fn read_done(controls: Option<&Vec<Control>>) -> Option<DoneValue> {
     find_control_value(controls, oid::SYNC_DONE)
 }
 
-/// The value of a sync info message: the end of a refresh in which everything present was told.
+/// The value of a sync info message that ends a refresh in which the server named every entry that is present.
 pub fn refresh_present(cookie: Option<Bytes>) -> Bytes {
     let info = Info::RefreshPresent(PhaseValue {
         cookie: cookie.map(Into::into),
--- a/crates/pipithub-ldap/tests/connection.rs
+++ b/crates/pipithub-ldap/tests/connection.rs
@@ -1,4 +1,4 @@
-//! The client against a scripted server: order of its steps, answers out of turn, bytes that are no answers.
+//! The client against a scripted server: the order of its steps, unexpected responses, malformed bytes.
 
 use bytes::Bytes;
 use pipithub_ldap::frame::{Framer, encode};
@@ -6,13 +6,16 @@
     BindResponse, ExtendedResponse, LdapMessage, LdapResult, PartialAttribute, ProtocolOp,
     ResultCode, SearchRequestScope, SearchResultDone, SearchResultEntry,
 };
-use pipithub_ldap::{Client, ClientSettings, Dn, Event, Search, SearchId, filter};
+use pipithub_ldap::{Client, ClientSettings, Dn, Event, Search, SearchId, SimpleBind, filter};
 use proptest::prelude::*;
 
 fn settings(start_tls: bool) -> ClientSettings {
     ClientSettings {
         start_tls,
-        bind: Some(("cn=gateway".into(), Bytes::from_static(b"secret"))),
+        bind: Some(SimpleBind {
+            name: "cn=gateway".into(),
+            password: Bytes::from_static(b"secret"),
+        }),
         ..ClientSettings::default()
     }
 }
@@ -91,7 +94,7 @@
     assert_eq!((client.poll(), client.pending_searches()), (None, 0));
 }
 
-/// An answer that was under way when its search was given up belongs to nobody; it must not end the connection either.
+/// A result that was under way when its search was abandoned is not reported; it must not end the connection either.
 #[test]
 fn results_of_an_abandoned_search_are_ignored() {
     let mut client = ready();
@@ -106,8 +109,8 @@
     assert!(client.is_ready());
 }
 
-/// Whoever sits between can add bytes in the clear that would be read as if they had come over TLS (CVE-2011-0411 is
-/// the like of it in another protocol).
+/// An attacker on the path could insert bytes in the clear that would be read as if they had come over TLS (CVE-2011-0411
+/// is the same fault in another protocol).
 #[test]
 fn bytes_before_the_handshake_close_the_connection() {
     let ok = |id| {
@@ -180,8 +183,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
-    /// Any bytes, and any damage to good ones, end in messages or in an error; nothing panics or waits for more than
-    /// the bound.
+    /// Any bytes, and any damage to valid ones, end in messages or in an error; nothing panics or buffers more than the
+    /// limit.
     #[test]
     fn any_bytes_are_tolerated(noise in proptest::collection::vec(any::<u8>(), 0..300), at in 0usize..200, byte: u8) {
         let mut framer = Framer::new(4096);
@@ -198,7 +201,7 @@
         while client.poll().is_some() {}
     }
 
-    /// Whatever a user is called, the filter compares that name and nothing else, and comes back from its bytes whole.
+    /// Whatever a user is called, the filter compares that name and nothing else, and survives its encoding.
     #[test]
     fn names_stay_values(name in "\\PC{0,40}") {
         let mut client = ready();
@@ -211,7 +214,7 @@
     #[test]
     fn any_text_is_tolerated_as_name_and_filter(text in "[a-z=,+\\\\()&|!*# \"\\x00é]{0,60}") {
         if let Ok(dn) = Dn::parse(&text) {
-            // What a name is written as reads as the same name.
+            // The text of a name parses to the same name.
             prop_assert_eq!(Dn::parse(&dn.to_string()), Ok(dn));
         }
         let _ = filter::parse(&text);
--- a/crates/pipithub-ldap/tests/frame.rs
+++ b/crates/pipithub-ldap/tests/frame.rs
@@ -12,10 +12,10 @@
     assert_eq!(framer.take(), Err(Malformed::Length));
 }
 
-/// The decoder recurses for filters: without the walk before it a message of 200 kB ended the process.
+/// The decoder is recursive for filters: without the check before it a message of 200 kB ended the process.
 #[test]
 fn deep_nesting_is_rejected_before_it_is_decoded() {
-    // A search whose filter is `not` within `not`, 100,000 deep, each as long as its length says.
+    // Filters of `not` within `not`, thousands of levels deep, each as long as its length says.
     let mut filter = vec![0x87, 1, b'x'];
     for _ in 0..100_000 {
         let length = filter.len() as u32;
--- a/crates/pipithub-ldap/tests/ldif.rs
+++ b/crates/pipithub-ldap/tests/ldif.rs
@@ -15,10 +15,9 @@
     let [uid, sn, cn] = &records[0].attributes[..] else {
         panic!("{records:?}")
     };
-    assert_eq!(
-        (uid.1.as_slice(), sn.1.as_slice(), cn.1.as_slice()),
-        (&b"mai"[..], "Lü".as_bytes(), &b""[..])
-    );
+    assert_eq!(uid.value, b"mai");
+    assert_eq!(sn.value, "Lü".as_bytes());
+    assert_eq!(cn.value, b"");
 }
 
 #[test]
--- a/crates/pipithub-ldap/tests/sync.rs
+++ b/crates/pipithub-ldap/tests/sync.rs
@@ -2,8 +2,8 @@
 
 use bytes::Bytes;
 use pipithub_ldap::sync::{
-    Info, State, paged, read_info, read_paged, read_request, read_state, refresh_present, request,
-    state,
+    Info, PagedResults, State, SyncRequest, paged, read_info, read_paged, read_request, read_state,
+    refresh_present, request, state,
 };
 
 #[test]
@@ -11,11 +11,17 @@
     let cookie = Bytes::from_static(b"c");
     assert_eq!(
         read_paged(Some(&vec![paged(7, cookie.clone())])),
-        Some((7, cookie.clone()))
+        Some(PagedResults {
+            size: 7,
+            cookie: cookie.clone()
+        })
     );
     assert_eq!(
         read_request(Some(&vec![request(Some(cookie.clone()))])),
-        Some((Some(cookie.clone()), true))
+        Some(SyncRequest {
+            cookie: Some(cookie.clone()),
+            persist: true
+        })
     );
     let entry_state = read_state(Some(&vec![state(
         State::Delete,
