--- a/crates/pipithub-amqp/src/endpoint.rs
+++ b/crates/pipithub-amqp/src/endpoint.rs
@@ -1,6 +1,6 @@
 //! One connection and its channels, for either end (specification 2.2, 4.2, 4.9 and 4.10).
 //!
-//! The caller moves bytes: what came goes to [`Endpoint::receive`], what [`Endpoint::take_output`] returns goes out.
+//! The caller moves bytes: what came goes to [`Endpoint::receive`], what [`Endpoint::take_output`] returns is to be written.
 //! [`Endpoint::poll_event`] tells what happened, [`Endpoint::next_timeout`] when [`Endpoint::on_time`] is due.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -16,9 +16,9 @@
 
 const SECOND: Time = 1_000_000_000;
 /// A handshake that takes longer is given up: a peer that says nothing must not hold a connection for ever.
-const HANDSHAKE_MOST: Time = 10 * SECOND;
+const HANDSHAKE_TIMEOUT: Time = 10 * SECOND;
 /// How long `close-ok` is waited for.
-const CLOSE_MOST: Time = 5 * SECOND;
+const CLOSE_TIMEOUT: Time = 5 * SECOND;
 
 /// Which end this is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -92,7 +92,7 @@
 /// What happened on the connection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Server: a client logs in; answer with [`Endpoint::accept_login`] or [`Endpoint::refuse_login`].
+    /// Server: a client logs in; answer with [`Endpoint::accept_login`] or [`Endpoint::reject_login`].
     Login {
         /// The user.
         user: String,
@@ -100,7 +100,7 @@
         password: String,
     },
     /// Server: the client asks for a virtual host; answer with [`Endpoint::accept_open`] or
-    /// [`Endpoint::refuse_open`].
+    /// [`Endpoint::reject_open`].
     OpenRequested {
         /// Its name.
         virtual_host: ShortStr,
@@ -168,21 +168,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     /// Server: the protocol header is awaited.
-    Header,
+    AwaitingHeader,
     /// The peer's next method of the handshake is awaited.
-    Start,
-    StartOk,
-    Tune,
-    TuneOk,
-    Open,
-    OpenOk,
+    AwaitingStart,
+    AwaitingStartOk,
+    AwaitingTune,
+    AwaitingTuneOk,
+    AwaitingOpen,
+    AwaitingOpenOk,
     /// Server: the application decides on the login, on the virtual host.
-    LoginDecision,
-    OpenDecision,
-    Up,
+    AwaitingLoginDecision,
+    AwaitingOpenDecision,
+    Open,
     /// `close` was sent.
     Closing,
-    Over,
+    Closed,
 }
 
 #[derive(Debug)]
@@ -210,10 +210,10 @@
     tuning: Tuning,
     state: State,
     decoder: FrameDecoder,
-    out: BytesMut,
+    output: BytesMut,
     channels: BTreeMap<u16, Channel>,
     events: VecDeque<Event>,
-    began: Time,
+    phase_started: Time,
     now: Time,
     last_sent: Time,
     last_received: Time,
@@ -224,14 +224,20 @@
 impl Endpoint {
     /// The client's end: it writes the protocol header at once.
     pub fn client(login: Login, tuning: Tuning, now: Time) -> Self {
-        let mut endpoint = Self::new(Role::Client, login, tuning, State::Start, now);
-        endpoint.out.extend_from_slice(&PROTOCOL_HEADER);
+        let mut endpoint = Self::new(Role::Client, login, tuning, State::AwaitingStart, now);
+        endpoint.output.extend_from_slice(&PROTOCOL_HEADER);
         endpoint
     }
 
     /// The server's end.
     pub fn server(tuning: Tuning, now: Time) -> Self {
-        Self::new(Role::Server, Login::default(), tuning, State::Header, now)
+        Self::new(
+            Role::Server,
+            Login::default(),
+            tuning,
+            State::AwaitingHeader,
+            now,
+        )
     }
 
     fn new(role: Role, login: Login, mut tuning: Tuning, state: State, now: Time) -> Self {
@@ -242,10 +248,10 @@
             tuning,
             state,
             decoder: FrameDecoder::new(tuning.frame_max),
-            out: BytesMut::new(),
+            output: BytesMut::new(),
             channels: BTreeMap::new(),
             events: VecDeque::new(),
-            began: now,
+            phase_started: now,
             now,
             last_sent: now,
             last_received: now,
@@ -272,25 +278,25 @@
 
     /// Whether the connection is open for methods.
     pub fn is_open(&self) -> bool {
-        self.state == State::Up
+        self.state == State::Open
     }
 
     /// Whether nothing more will come or go: the socket may be closed once the output is written.
-    pub fn is_over(&self) -> bool {
-        self.state == State::Over
+    pub fn is_closed(&self) -> bool {
+        self.state == State::Closed
     }
 
     /// Bytes that wait to be written; at a bound of the caller's own it should stop making more.
     pub fn output_len(&self) -> usize {
-        self.out.len()
+        self.output.len()
     }
 
     /// Takes the bytes to write.
     pub fn take_output(&mut self, now: Time) -> Bytes {
-        if !self.out.is_empty() {
+        if !self.output.is_empty() {
             self.last_sent = now;
         }
-        self.out.split().freeze()
+        self.output.split().freeze()
     }
 
     /// The next event.
@@ -301,14 +307,14 @@
     /// When [`Endpoint::on_time`] is due next.
     pub fn next_timeout(&self) -> Option<Time> {
         match self.state {
-            State::Over => None,
-            State::Up if self.tuning.heartbeat == 0 => None,
-            State::Up => {
-                let beat = Time::from(self.tuning.heartbeat) * SECOND;
-                Some((self.last_sent + beat / 2).min(self.last_received + 2 * beat))
+            State::Closed => None,
+            State::Open if self.tuning.heartbeat == 0 => None,
+            State::Open => {
+                let interval = Time::from(self.tuning.heartbeat) * SECOND;
+                Some((self.last_sent + interval / 2).min(self.last_received + 2 * interval))
             }
-            State::Closing => Some(self.began + CLOSE_MOST),
-            _ => Some(self.began + HANDSHAKE_MOST),
+            State::Closing => Some(self.phase_started + CLOSE_TIMEOUT),
+            _ => Some(self.phase_started + HANDSHAKE_TIMEOUT),
         }
     }
 
@@ -316,32 +322,32 @@
     pub fn on_time(&mut self, now: Time) {
         self.now = now;
         match self.state {
-            State::Over => {}
-            State::Up => {
-                let beat = Time::from(self.tuning.heartbeat) * SECOND;
-                if beat > 0 && now >= self.last_received + 2 * beat {
-                    return self.over(
+            State::Closed => {}
+            State::Open => {
+                let interval = Time::from(self.tuning.heartbeat) * SECOND;
+                if interval > 0 && now >= self.last_received + 2 * interval {
+                    return self.finish(
                         Fault::new(Code::ConnectionForced, "no heartbeat came"),
                         false,
                     );
                 }
-                if beat > 0 && now >= self.last_sent + beat / 2 {
+                if interval > 0 && now >= self.last_sent + interval / 2 {
                     self.last_sent = now;
                     Frame {
                         channel: 0,
                         payload: Payload::Heartbeat,
                     }
-                    .write(&mut self.out);
+                    .write(&mut self.output);
                 }
             }
             State::Closing => {
-                if now >= self.began + CLOSE_MOST {
-                    self.state = State::Over;
+                if now >= self.phase_started + CLOSE_TIMEOUT {
+                    self.state = State::Closed;
                 }
             }
             _ => {
-                if now >= self.began + HANDSHAKE_MOST {
-                    self.over(
+                if now >= self.phase_started + HANDSHAKE_TIMEOUT {
+                    self.finish(
                         Fault::new(Code::ConnectionForced, "the handshake took too long"),
                         false,
                     );
@@ -350,23 +356,23 @@
         }
     }
 
-    fn over(&mut self, fault: Fault, by_peer: bool) {
-        self.state = State::Over;
+    fn finish(&mut self, fault: Fault, by_peer: bool) {
+        self.state = State::Closed;
         self.channels.clear();
         self.events.push_back(Event::Closed { fault, by_peer });
     }
 
     /// Ends the connection from this end.
     pub fn close(&mut self, fault: Fault) {
-        if matches!(self.state, State::Closing | State::Over) {
+        if matches!(self.state, State::Closing | State::Closed) {
             return;
         }
-        if self.role == Role::Client && self.state == State::Start {
-            return self.over(fault, false);
+        if self.role == Role::Client && self.state == State::AwaitingStart {
+            return self.finish(fault, false);
         }
         self.write(0, close_method(&fault));
         self.state = State::Closing;
-        self.began = self.now;
+        self.phase_started = self.now;
         self.channels.clear();
         self.events.push_back(Event::Closed {
             fault,
@@ -397,15 +403,15 @@
 
     /// Client: opens a channel; [`Event::ChannelOpened`] follows.
     pub fn open_channel(&mut self) -> Result<u16, SendError> {
-        if self.state != State::Up || self.role != Role::Client {
+        if self.state != State::Open || self.role != Role::Client {
             return Err(SendError::NotOpen);
         }
-        let most = if self.tuning.channel_max == 0 {
+        let max = if self.tuning.channel_max == 0 {
             u16::MAX
         } else {
             self.tuning.channel_max
         };
-        let free = (1..=most)
+        let free = (1..=max)
             .find(|c| !self.channels.contains_key(c))
             .ok_or(SendError::NoFreeChannel)?;
         self.channels.insert(free, Channel::Opening);
@@ -415,7 +421,7 @@
 
     /// Sends a method without content.
     pub fn send(&mut self, channel: u16, method: Method) -> Result<(), SendError> {
-        self.check(channel, &method, false)?;
+        self.check_sendable(channel, &method, false)?;
         self.write(channel, method);
         Ok(())
     }
@@ -428,7 +434,7 @@
         properties: Properties,
         body: &[u8],
     ) -> Result<(), SendError> {
-        self.check(channel, &method, true)?;
+        self.check_sendable(channel, &method, true)?;
         let (class_id, _) = method.ids();
         self.write(channel, method);
         let header = Payload::Header {
@@ -440,18 +446,23 @@
             channel,
             payload: header,
         }
-        .write(&mut self.out);
+        .write(&mut self.output);
         for part in body.chunks(self.tuning.frame_max as usize - OVERHEAD) {
             Frame {
                 channel,
                 payload: Payload::Body(Bytes::copy_from_slice(part)),
             }
-            .write(&mut self.out);
+            .write(&mut self.output);
         }
         Ok(())
     }
 
-    fn check(&self, channel: u16, method: &Method, content: bool) -> Result<(), SendError> {
+    fn check_sendable(
+        &self,
+        channel: u16,
+        method: &Method,
+        content: bool,
+    ) -> Result<(), SendError> {
         let ours = match method.sender() {
             Sender::Both => true,
             Sender::Client => self.role == Role::Client,
@@ -461,12 +472,14 @@
             return Err(SendError::Misused(method.name()));
         }
         match (self.state, channel) {
-            (State::Up, 0) if method.ids().0 == 10 => Ok(()),
-            (State::Up, 0) => Err(SendError::NoChannel(0)),
-            (State::Up, _) if matches!(self.channels.get(&channel), Some(Channel::Open { .. })) => {
+            (State::Open, 0) if method.ids().0 == 10 => Ok(()),
+            (State::Open, 0) => Err(SendError::NoChannel(0)),
+            (State::Open, _)
+                if matches!(self.channels.get(&channel), Some(Channel::Open { .. })) =>
+            {
                 Ok(())
             }
-            (State::Up, _) => Err(SendError::NoChannel(channel)),
+            (State::Open, _) => Err(SendError::NoChannel(channel)),
             _ => Err(SendError::NotOpen),
         }
     }
@@ -476,14 +489,14 @@
             channel,
             payload: Payload::Method(method),
         }
-        .write(&mut self.out);
+        .write(&mut self.output);
     }
 
     // ---- server's decisions ----
 
     /// The login is good.
     pub fn accept_login(&mut self) {
-        if self.state == State::LoginDecision {
+        if self.state == State::AwaitingLoginDecision {
             let Tuning {
                 channel_max,
                 frame_max,
@@ -498,30 +511,30 @@
                     heartbeat,
                 },
             );
-            self.state = State::TuneOk;
+            self.state = State::AwaitingTuneOk;
         }
     }
 
     /// The login is refused, with 403.
-    pub fn refuse_login(&mut self, text: &str) {
+    pub fn reject_login(&mut self, text: &str) {
         self.close(Fault::new(Code::AccessRefused, text));
     }
 
     /// The virtual host is there: the connection is open.
     pub fn accept_open(&mut self) {
-        if self.state == State::OpenDecision {
+        if self.state == State::AwaitingOpenDecision {
             self.write(0, Method::ConnectionOpenOk {});
-            self.up();
+            self.connected();
         }
     }
 
     /// The virtual host is refused.
-    pub fn refuse_open(&mut self, fault: Fault) {
+    pub fn reject_open(&mut self, fault: Fault) {
         self.close(fault);
     }
 
-    fn up(&mut self) {
-        self.state = State::Up;
+    fn connected(&mut self) {
+        self.state = State::Open;
         self.events.push_back(Event::Connected);
     }
 
@@ -531,52 +544,52 @@
     pub fn receive(&mut self, now: Time, bytes: &[u8]) {
         self.now = now;
         self.last_received = now;
-        if self.state == State::Over {
+        if self.state == State::Closed {
             return;
         }
         self.decoder.push(bytes);
-        if self.state == State::Header && !self.header() {
+        if self.state == State::AwaitingHeader && !self.receive_protocol_header() {
             return;
         }
-        if self.state == State::Start && self.decoder.could_begin_with(b"AMQP") {
+        if self.state == State::AwaitingStart && self.decoder.could_begin_with(b"AMQP") {
             // A server that speaks another version answers with its own header.
-            if self.decoder.raw(8).is_some() {
-                self.over(
+            if self.decoder.take_raw(8).is_some() {
+                self.finish(
                     Fault::new(Code::NotImplemented, "the server does not speak AMQP 0-9-1"),
                     true,
                 );
             }
             return;
         }
-        while self.state != State::Over {
+        while self.state != State::Closed {
             match self.decoder.next_frame() {
                 Ok(Some(frame)) => {
-                    if let Err(fault) = self.frame(frame) {
+                    if let Err(fault) = self.receive_frame(frame) {
                         self.close(fault);
                     }
                 }
                 Ok(None) => return,
-                Err(_) if self.state == State::Closing => return self.state = State::Over,
+                Err(_) if self.state == State::Closing => return self.state = State::Closed,
                 Err(fault) => {
                     // What follows cannot be read: the close goes out, nothing more is taken in.
                     self.close(fault);
-                    self.state = State::Over;
+                    self.state = State::Closed;
                 }
             }
         }
     }
 
     /// Reads the protocol header; false where more bytes are needed or it was wrong.
-    fn header(&mut self) -> bool {
+    fn receive_protocol_header(&mut self) -> bool {
         if !self.decoder.could_begin_with(&PROTOCOL_HEADER) {
-            self.out.extend_from_slice(&PROTOCOL_HEADER);
-            self.over(
+            self.output.extend_from_slice(&PROTOCOL_HEADER);
+            self.finish(
                 Fault::new(Code::NotImplemented, "unknown protocol header"),
                 false,
             );
             return false;
         }
-        if self.decoder.raw(PROTOCOL_HEADER.len()).is_none() {
+        if self.decoder.take_raw(PROTOCOL_HEADER.len()).is_none() {
             return false;
         }
         let capabilities = [
@@ -586,8 +599,8 @@
             "consumer_cancel_notify",
         ]
         .iter()
-        .fold(FieldTable::new(), |t, name| {
-            t.with(name, FieldValue::Bool(true))
+        .fold(FieldTable::new(), |table, name| {
+            table.with(name, FieldValue::Bool(true))
         });
         self.write(
             0,
@@ -601,19 +614,19 @@
                 locales: Bytes::from_static(b"en_US"),
             },
         );
-        self.state = State::StartOk;
+        self.state = State::AwaitingStartOk;
         true
     }
 
-    fn frame(&mut self, frame: Frame) -> Result<(), Fault> {
+    fn receive_frame(&mut self, frame: Frame) -> Result<(), Fault> {
         let Frame { channel, payload } = frame;
         if self.state == State::Closing {
             match payload {
                 Payload::Method(Method::ConnectionClose { .. }) => {
                     self.write(0, Method::ConnectionCloseOk {});
-                    self.state = State::Over;
+                    self.state = State::Closed;
                 }
-                Payload::Method(Method::ConnectionCloseOk {}) => self.state = State::Over,
+                Payload::Method(Method::ConnectionCloseOk {}) => self.state = State::Closed,
                 _ => {}
             }
             return Ok(());
@@ -631,32 +644,32 @@
                     return Err(Fault::new(Code::CommandInvalid, text).caused_by(&method));
                 }
                 match (channel, method.ids().0) {
-                    (0, 10) => self.connection(method),
+                    (0, 10) => self.handle_connection_method(method),
                     (0, _) | (_, 10) => {
                         let text = format!("{} on channel {channel}", method.name());
                         Err(Fault::new(Code::CommandInvalid, text).caused_by(&method))
                     }
-                    _ if self.state != State::Up => {
+                    _ if self.state != State::Open => {
                         let text = format!("{} before the connection is open", method.name());
                         Err(Fault::new(Code::CommandInvalid, text).caused_by(&method))
                     }
-                    _ => self.channel(channel, method),
+                    _ => self.handle_channel_method(channel, method),
                 }
             }
             Payload::Header {
                 class_id,
                 body_size,
                 properties,
-            } => self.content_header(channel, class_id, body_size, *properties),
-            Payload::Body(bytes) => self.content_body(channel, &bytes),
+            } => self.receive_content_header(channel, class_id, body_size, *properties),
+            Payload::Body(bytes) => self.receive_content_body(channel, &bytes),
         }
     }
 
     #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
-    fn connection(&mut self, method: Method) -> Result<(), Fault> {
+    fn handle_connection_method(&mut self, method: Method) -> Result<(), Fault> {
         match (self.state, method) {
             (
-                State::Start,
+                State::AwaitingStart,
                 Method::ConnectionStart {
                     version_major,
                     version_minor,
@@ -685,8 +698,8 @@
                     "publisher_confirms",
                 ]
                 .iter()
-                .fold(FieldTable::new(), |t, name| {
-                    t.with(name, FieldValue::Bool(true))
+                .fold(FieldTable::new(), |table, name| {
+                    table.with(name, FieldValue::Bool(true))
                 });
                 let client_properties = FieldTable::new()
                     .with(
@@ -705,10 +718,10 @@
                         locale: ShortStr::truncated("en_US"),
                     },
                 );
-                self.state = State::Tune;
+                self.state = State::AwaitingTune;
             }
             (
-                State::StartOk,
+                State::AwaitingStartOk,
                 Method::ConnectionStartOk {
                     client_properties,
                     mechanism,
@@ -729,20 +742,21 @@
                         "only a PLAIN login is taken",
                     ));
                 };
-                self.state = State::LoginDecision;
+                self.state = State::AwaitingLoginDecision;
                 self.events.push_back(Event::Login { user, password });
             }
             (
-                State::Tune,
+                State::AwaitingTune,
                 Method::ConnectionTune {
                     channel_max,
                     frame_max,
                     heartbeat,
                 },
             ) => {
-                self.tuning.channel_max = least(self.tuning.channel_max, channel_max);
-                self.tuning.frame_max = least(self.tuning.frame_max, frame_max).max(FRAME_MIN_SIZE);
-                self.tuning.heartbeat = least(self.tuning.heartbeat, heartbeat);
+                self.tuning.channel_max = negotiated_limit(self.tuning.channel_max, channel_max);
+                self.tuning.frame_max =
+                    negotiated_limit(self.tuning.frame_max, frame_max).max(FRAME_MIN_SIZE);
+                self.tuning.heartbeat = negotiated_limit(self.tuning.heartbeat, heartbeat);
                 self.decoder.set_frame_max(self.tuning.frame_max);
                 let Tuning {
                     channel_max,
@@ -760,10 +774,10 @@
                 );
                 let virtual_host = ShortStr::truncated(&self.login.virtual_host);
                 self.write(0, Method::ConnectionOpen { virtual_host });
-                self.state = State::OpenOk;
+                self.state = State::AwaitingOpenOk;
             }
             (
-                State::TuneOk,
+                State::AwaitingTuneOk,
                 Method::ConnectionTuneOk {
                     channel_max,
                     frame_max,
@@ -788,13 +802,13 @@
                     ..self.tuning
                 };
                 self.decoder.set_frame_max(frame_max);
-                self.state = State::Open;
+                self.state = State::AwaitingOpen;
             }
-            (State::Open, Method::ConnectionOpen { virtual_host }) => {
-                self.state = State::OpenDecision;
+            (State::AwaitingOpen, Method::ConnectionOpen { virtual_host }) => {
+                self.state = State::AwaitingOpenDecision;
                 self.events.push_back(Event::OpenRequested { virtual_host });
             }
-            (State::OpenOk, Method::ConnectionOpenOk {}) => self.up(),
+            (State::AwaitingOpenOk, Method::ConnectionOpenOk {}) => self.connected(),
             (
                 _,
                 Method::ConnectionClose {
@@ -811,13 +825,13 @@
                     class_id,
                     method_id,
                 };
-                self.over(fault, true);
+                self.finish(fault, true);
             }
-            (State::Up, Method::ConnectionBlocked { reason }) => {
+            (State::Open, Method::ConnectionBlocked { reason }) => {
                 self.events
                     .push_back(Event::Blocked(Some(reason.to_string())));
             }
-            (State::Up, Method::ConnectionUnblocked {}) => {
+            (State::Open, Method::ConnectionUnblocked {}) => {
                 self.events.push_back(Event::Blocked(None));
             }
             (_, method) => {
@@ -828,7 +842,7 @@
         Ok(())
     }
 
-    fn channel(&mut self, channel: u16, method: Method) -> Result<(), Fault> {
+    fn handle_channel_method(&mut self, channel: u16, method: Method) -> Result<(), Fault> {
         let fault = |code, text: &str| Err(Fault::new(code, text).caused_by(&method));
         match (self.channels.get_mut(&channel), &method) {
             (None, Method::ChannelOpen {}) => {
@@ -914,12 +928,12 @@
         Ok(())
     }
 
-    fn content_header(
+    fn receive_content_header(
         &mut self,
         channel: u16,
-        class: u16,
-        size: u64,
-        p: Properties,
+        class_id: u16,
+        body_size: u64,
+        properties: Properties,
     ) -> Result<(), Fault> {
         let max_body = self.tuning.max_body;
         match self.channels.get_mut(&channel) {
@@ -927,20 +941,20 @@
             Some(Channel::Open {
                 assembly: Some(assembly),
             }) if assembly.header.is_none() => {
-                if assembly.method.ids().0 != class {
+                if assembly.method.ids().0 != class_id {
                     return Err(Fault::new(
                         Code::UnexpectedFrame,
                         "content header of another class",
                     ));
                 }
-                if size > max_body {
-                    let text = format!("a body of {size} bytes is beyond {max_body}");
+                if body_size > max_body {
+                    let text = format!("a body of {body_size} bytes is beyond {max_body}");
                     let fault = Fault::new(Code::ContentTooLarge, text).caused_by(&assembly.method);
                     self.close_channel(channel, fault);
                     return Ok(());
                 }
-                assembly.header = Some((size, p));
-                self.assembled(channel);
+                assembly.header = Some((body_size, properties));
+                self.deliver_if_complete(channel);
                 Ok(())
             }
             _ => Err(Fault::new(
@@ -950,7 +964,7 @@
         }
     }
 
-    fn content_body(&mut self, channel: u16, bytes: &[u8]) -> Result<(), Fault> {
+    fn receive_content_body(&mut self, channel: u16, bytes: &[u8]) -> Result<(), Fault> {
         match self.channels.get_mut(&channel) {
             Some(Channel::Closing) => Ok(()),
             Some(Channel::Open {
@@ -969,7 +983,7 @@
                     ));
                 }
                 assembly.body.extend_from_slice(bytes);
-                self.assembled(channel);
+                self.deliver_if_complete(channel);
                 Ok(())
             }
             _ => Err(Fault::new(
@@ -980,7 +994,7 @@
     }
 
     /// Hands out a content that is whole.
-    fn assembled(&mut self, channel: u16) {
+    fn deliver_if_complete(&mut self, channel: u16) {
         let Some(Channel::Open { assembly }) = self.channels.get_mut(&channel) else {
             return;
         };
@@ -1012,7 +1026,7 @@
 }
 
 /// The lesser of two limits where 0 stands for none.
-fn least<T: Ord + Default + Copy>(a: T, b: T) -> T {
+fn negotiated_limit<T: Ord + Default + Copy>(a: T, b: T) -> T {
     let none = T::default();
     if a == none {
         b
--- a/crates/pipithub-amqp/src/frame.rs
+++ b/crates/pipithub-amqp/src/frame.rs
@@ -11,7 +11,7 @@
 pub const OVERHEAD: usize = 8;
 /// The least frame-max that may be negotiated.
 pub const FRAME_MIN_SIZE: u32 = 4096;
-const END: u8 = 0xce;
+const FRAME_END: u8 = 0xce;
 
 /// What a frame carries.
 #[derive(Clone, Debug, PartialEq)]
@@ -44,36 +44,36 @@
 
 impl Frame {
     /// Appends the frame's bytes.
-    pub fn write(&self, out: &mut BytesMut) {
-        let kind = match self.payload {
+    pub fn write(&self, output: &mut BytesMut) {
+        let frame_type = match self.payload {
             Payload::Method(_) => 1,
             Payload::Header { .. } => 2,
             Payload::Body(_) => 3,
             Payload::Heartbeat => 8,
         };
-        out.put_u8(kind);
-        out.put_u16(self.channel);
-        out.put_u32(0);
-        let start = out.len();
+        output.put_u8(frame_type);
+        output.put_u16(self.channel);
+        output.put_u32(0);
+        let start = output.len();
         match &self.payload {
-            Payload::Method(method) => method.write(&mut Writer::new(out)),
+            Payload::Method(method) => method.write(&mut Writer::new(output)),
             Payload::Header {
                 class_id,
                 body_size,
                 properties,
             } => {
-                let mut w = Writer::new(out);
-                w.u16(*class_id);
-                w.u16(0);
-                w.u64(*body_size);
-                properties.write(&mut w);
+                let mut writer = Writer::new(output);
+                writer.u16(*class_id);
+                writer.u16(0);
+                writer.u64(*body_size);
+                properties.write(&mut writer);
             }
-            Payload::Body(bytes) => out.put_slice(bytes),
+            Payload::Body(bytes) => output.put_slice(bytes),
             Payload::Heartbeat => {}
         }
-        let size = (out.len() - start) as u32;
-        out[start - 4..start].copy_from_slice(&size.to_be_bytes());
-        out.put_u8(END);
+        let size = (output.len() - start) as u32;
+        output[start - 4..start].copy_from_slice(&size.to_be_bytes());
+        output.put_u8(FRAME_END);
     }
 }
 
@@ -109,7 +109,7 @@
     }
 
     /// Takes `count` raw bytes, where they have come: the protocol header.
-    pub fn raw(&mut self, count: usize) -> Option<BytesMut> {
+    pub fn take_raw(&mut self, count: usize) -> Option<BytesMut> {
         (self.buffer.len() >= count).then(|| self.buffer.split_to(count))
     }
 
@@ -120,16 +120,16 @@
 
     /// The next whole frame. Any fault ends the connection: no later byte can be trusted.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, Fault> {
-        let Some(head) = self.buffer.first_chunk::<7>() else {
+        let Some(header) = self.buffer.first_chunk::<7>() else {
             return Ok(None);
         };
-        let [kind, c0, c1, s0, s1, s2, s3] = *head;
+        let [frame_type, c0, c1, s0, s1, s2, s3] = *header;
         let channel = u16::from_be_bytes([c0, c1]);
         let size = u32::from_be_bytes([s0, s1, s2, s3]) as usize;
-        if !matches!(kind, 1 | 2 | 3 | 8) {
+        if !matches!(frame_type, 1 | 2 | 3 | 8) {
             return Err(Fault::new(
                 Code::FrameError,
-                format!("unknown frame type {kind}"),
+                format!("unknown frame type {frame_type}"),
             ));
         }
         // Checked before the bytes have come: no peer can make this end buffer more than a frame.
@@ -145,17 +145,17 @@
         }
         self.buffer.advance(7);
         let payload = self.buffer.split_to(size).freeze();
-        if self.buffer.get_u8() != END {
+        if self.buffer.get_u8() != FRAME_END {
             return Err(Fault::new(Code::FrameError, "frame end octet is missing"));
         }
         Ok(Some(Frame {
             channel,
-            payload: Self::payload(kind, channel, payload)?,
+            payload: Self::decode_payload(frame_type, channel, payload)?,
         }))
     }
 
-    fn payload(kind: u8, channel: u16, bytes: Bytes) -> Result<Payload, Fault> {
-        Ok(match kind {
+    fn decode_payload(frame_type: u8, channel: u16, bytes: Bytes) -> Result<Payload, Fault> {
+        Ok(match frame_type {
             1 => Payload::Method(Method::read(&bytes).map_err(|e| match e {
                 MethodError::Unknown(class_id, method_id) => Fault {
                     class_id,
@@ -165,13 +165,13 @@
                 MethodError::Syntax(..) => Fault::new(Code::SyntaxError, e.to_string()),
             })?),
             2 => {
-                let mut r = Reader::new(&bytes);
+                let mut reader = Reader::new(&bytes);
                 let mut read = || {
-                    let class_id = r.u16()?;
-                    r.u16()?;
-                    let body_size = r.u64()?;
-                    let properties = Box::new(Properties::read(&mut r)?);
-                    r.finish()?;
+                    let class_id = reader.u16()?;
+                    reader.u16()?;
+                    let body_size = reader.u64()?;
+                    let properties = Box::new(Properties::read(&mut reader)?);
+                    reader.finish()?;
                     Ok(Payload::Header {
                         class_id,
                         body_size,
--- a/crates/pipithub-amqp/src/method.rs
+++ b/crates/pipithub-amqp/src/method.rs
@@ -64,35 +64,35 @@
 
             /// Reads the payload of a method frame, to its last byte.
             pub fn read(payload: &[u8]) -> Result<Self, MethodError> {
-                let mut r = Reader::new(payload);
+                let mut reader = Reader::new(payload);
                 let syntax = |e| MethodError::Syntax("header", e);
-                let ids = (r.u16().map_err(syntax)?, r.u16().map_err(syntax)?);
+                let ids = (reader.u16().map_err(syntax)?, reader.u16().map_err(syntax)?);
                 match ids {
                     $(($class, $id) => {
-                        let r = &mut r;
-                        let body = |r: &mut Reader<'_>| -> Result<Self, SyntaxError> {
-                            $(let _: $lead = Field::read(r)?;)*
-                            $(let $field: $ty = Field::read(r)?;)*
-                            $(let _: $trail = Field::read(r)?;)*
-                            r.finish()?;
+                        let reader = &mut reader;
+                        let body = |reader: &mut Reader<'_>| -> Result<Self, SyntaxError> {
+                            $(let _: $lead = Field::read(reader)?;)*
+                            $(let $field: $ty = Field::read(reader)?;)*
+                            $(let _: $trail = Field::read(reader)?;)*
+                            reader.finish()?;
                             Ok(Method::$name { $($field),* })
                         };
-                        body(r).map_err(|e| MethodError::Syntax($text, e))
+                        body(reader).map_err(|e| MethodError::Syntax($text, e))
                     })*
                     (class, id) => Err(MethodError::Unknown(class, id)),
                 }
             }
 
             /// Writes the payload of a method frame.
-            pub fn write(&self, w: &mut Writer<'_>) {
+            pub fn write(&self, writer: &mut Writer<'_>) {
                 let (class, id) = self.ids();
-                w.u16(class);
-                w.u16(id);
+                writer.u16(class);
+                writer.u16(id);
                 match self {
                     $(Method::$name { $($field),* } => {
-                        $(<$lead as Default>::default().write(w);)*
-                        $($field.write(w);)*
-                        $(<$trail as Default>::default().write(w);)*
+                        $(<$lead as Default>::default().write(writer);)*
+                        $($field.write(writer);)*
+                        $(<$trail as Default>::default().write(writer);)*
                     })*
                 }
             }
--- a/crates/pipithub-amqp/src/properties.rs
+++ b/crates/pipithub-amqp/src/properties.rs
@@ -13,25 +13,25 @@
 
         impl Properties {
             /// Reads the flags and the properties that they name. Further flag words are read and must be empty.
-            pub fn read(r: &mut Reader<'_>) -> Result<Self, SyntaxError> {
-                let flags = r.u16()?;
+            pub fn read(reader: &mut Reader<'_>) -> Result<Self, SyntaxError> {
+                let flags = reader.u16()?;
                 let mut more = flags & 1 == 1;
                 while more {
-                    more = r.u16()? & 1 == 1;
+                    more = reader.u16()? & 1 == 1;
                 }
                 Ok(Properties {
-                    $($name: if flags >> $bit & 1 == 1 { Some(r.$read()?) } else { None },)*
+                    $($name: if flags >> $bit & 1 == 1 { Some(reader.$read()?) } else { None },)*
                 })
             }
 
             /// Writes the flags and the properties that are present.
-            pub fn write(&self, w: &mut Writer<'_>) {
+            pub fn write(&self, writer: &mut Writer<'_>) {
                 let mut flags = 0u16;
                 $(if self.$name.is_some() { flags |= 1 << $bit; })*
-                w.u16(flags);
+                writer.u16(flags);
                 $(if let Some(value) = &self.$name {
                     let write: fn(&mut Writer<'_>, &$ty) = $write;
-                    write(w, value);
+                    write(writer, value);
                 })*
             }
         }
@@ -40,31 +40,31 @@
 
 properties! {
     /// MIME type.
-    15 content_type: ShortStr = short_str, |w, v| w.short_str(v);
+    15 content_type: ShortStr = short_str, |writer, value| writer.short_str(value);
     /// MIME encoding.
-    14 content_encoding: ShortStr = short_str, |w, v| w.short_str(v);
+    14 content_encoding: ShortStr = short_str, |writer, value| writer.short_str(value);
     /// Headers of the application.
-    13 headers: FieldTable = table, |w, v| w.table(v);
+    13 headers: FieldTable = table, |writer, value| writer.table(value);
     /// 1 transient, 2 persistent.
-    12 delivery_mode: u8 = u8, |w, v| w.u8(*v);
+    12 delivery_mode: u8 = u8, |writer, value| writer.u8(*value);
     /// 0 to 9.
-    11 priority: u8 = u8, |w, v| w.u8(*v);
+    11 priority: u8 = u8, |writer, value| writer.u8(*value);
     /// Ties an answer to its question.
-    10 correlation_id: ShortStr = short_str, |w, v| w.short_str(v);
+    10 correlation_id: ShortStr = short_str, |writer, value| writer.short_str(value);
     /// The queue that an answer goes to.
-    9 reply_to: ShortStr = short_str, |w, v| w.short_str(v);
+    9 reply_to: ShortStr = short_str, |writer, value| writer.short_str(value);
     /// Time to live, in milliseconds, as a text.
-    8 expiration: ShortStr = short_str, |w, v| w.short_str(v);
+    8 expiration: ShortStr = short_str, |writer, value| writer.short_str(value);
     /// The application's id of the message.
-    7 message_id: ShortStr = short_str, |w, v| w.short_str(v);
+    7 message_id: ShortStr = short_str, |writer, value| writer.short_str(value);
     /// Seconds since 1970.
-    6 timestamp: u64 = u64, |w, v| w.u64(*v);
+    6 timestamp: u64 = u64, |writer, value| writer.u64(*value);
     /// The name of the message's type.
-    5 kind: ShortStr = short_str, |w, v| w.short_str(v);
+    5 kind: ShortStr = short_str, |writer, value| writer.short_str(value);
     /// The user that published it; a broker checks it.
-    4 user_id: ShortStr = short_str, |w, v| w.short_str(v);
+    4 user_id: ShortStr = short_str, |writer, value| writer.short_str(value);
     /// The application that published it.
-    3 app_id: ShortStr = short_str, |w, v| w.short_str(v);
+    3 app_id: ShortStr = short_str, |writer, value| writer.short_str(value);
     /// Not used any more.
-    2 cluster_id: ShortStr = short_str, |w, v| w.short_str(v);
+    2 cluster_id: ShortStr = short_str, |writer, value| writer.short_str(value);
 }
--- a/crates/pipithub-amqp/src/wire.rs
+++ b/crates/pipithub-amqp/src/wire.rs
@@ -27,7 +27,7 @@
     TooDeep,
     /// Bytes are left after the last value.
     #[error("{0} bytes left over")]
-    LeftOver(usize),
+    TrailingBytes(usize),
 }
 
 /// Tables and arrays may be nested so deep; deeper ones could exhaust the stack.
@@ -186,7 +186,7 @@
         if self.input.is_empty() {
             Ok(())
         } else {
-            Err(SyntaxError::LeftOver(self.input.len()))
+            Err(SyntaxError::TrailingBytes(self.input.len()))
         }
     }
 }
@@ -194,114 +194,114 @@
 /// Appends values to a buffer; adjacent bits share bytes.
 #[derive(Debug)]
 pub struct Writer<'a> {
-    out: &'a mut BytesMut,
+    output: &'a mut BytesMut,
     /// How many bits of the last byte are used.
     bits: Option<u8>,
 }
 
 impl<'a> Writer<'a> {
     /// Appends to this buffer.
-    pub fn new(out: &'a mut BytesMut) -> Self {
-        Writer { out, bits: None }
+    pub fn new(output: &'a mut BytesMut) -> Self {
+        Writer { output, bits: None }
     }
 
     /// The buffer, after a value that is no bit.
-    fn plain(&mut self) -> &mut BytesMut {
+    fn octets(&mut self) -> &mut BytesMut {
         self.bits = None;
-        self.out
+        self.output
     }
 
     /// An octet.
-    pub fn u8(&mut self, v: u8) {
-        self.plain().put_u8(v);
+    pub fn u8(&mut self, value: u8) {
+        self.octets().put_u8(value);
     }
 
     /// A short.
-    pub fn u16(&mut self, v: u16) {
-        self.plain().put_u16(v);
+    pub fn u16(&mut self, value: u16) {
+        self.octets().put_u16(value);
     }
 
     /// A long.
-    pub fn u32(&mut self, v: u32) {
-        self.plain().put_u32(v);
+    pub fn u32(&mut self, value: u32) {
+        self.octets().put_u32(value);
     }
 
     /// A long-long.
-    pub fn u64(&mut self, v: u64) {
-        self.plain().put_u64(v);
+    pub fn u64(&mut self, value: u64) {
+        self.octets().put_u64(value);
     }
 
     /// One bit.
-    pub fn bit(&mut self, v: bool) {
+    pub fn bit(&mut self, value: bool) {
         let used = self.bits.filter(|used| *used < 8).unwrap_or_else(|| {
-            self.out.put_u8(0);
+            self.output.put_u8(0);
             0
         });
-        if let Some(last) = self.out.last_mut() {
-            *last |= u8::from(v) << used;
+        if let Some(last) = self.output.last_mut() {
+            *last |= u8::from(value) << used;
         }
         self.bits = Some(used + 1);
     }
 
     /// A short string.
-    pub fn short_str(&mut self, v: &ShortStr) {
-        self.u8(v.len() as u8);
-        self.plain().put_slice(v.as_bytes());
+    pub fn short_str(&mut self, value: &ShortStr) {
+        self.u8(value.len() as u8);
+        self.octets().put_slice(value.as_bytes());
     }
 
     /// A long string.
-    pub fn long_str(&mut self, v: &[u8]) {
-        self.u32(v.len() as u32);
-        self.plain().put_slice(v);
+    pub fn long_str(&mut self, value: &[u8]) {
+        self.u32(value.len() as u32);
+        self.octets().put_slice(value);
     }
 
     /// Writes with a length of four bytes before it.
     fn nested(&mut self, write: impl FnOnce(&mut Self)) {
         self.u32(0);
-        let start = self.out.len();
+        let start = self.output.len();
         write(self);
-        let length = (self.out.len() - start) as u32;
-        self.out[start - 4..start].copy_from_slice(&length.to_be_bytes());
+        let length = (self.output.len() - start) as u32;
+        self.output[start - 4..start].copy_from_slice(&length.to_be_bytes());
         self.bits = None;
     }
 
     /// A field table.
-    pub fn table(&mut self, v: &FieldTable) {
-        self.nested(|w| {
-            for (name, value) in v.iter() {
-                w.short_str(name);
-                w.value(value);
+    pub fn table(&mut self, value: &FieldTable) {
+        self.nested(|writer| {
+            for (name, value) in value.iter() {
+                writer.short_str(name);
+                writer.value(value);
             }
         });
     }
 
     /// A field value with its type octet.
-    pub fn value(&mut self, v: &FieldValue) {
-        let out = self.plain();
-        match v {
-            FieldValue::Bool(v) => out.put_slice(&[b't', u8::from(*v)]),
-            FieldValue::I8(v) => out.put_slice(&[b'b', *v as u8]),
-            FieldValue::U8(v) => out.put_slice(&[b'B', *v]),
-            FieldValue::I16(v) => (out.put_u8(b's'), out.put_i16(*v)).1,
-            FieldValue::U16(v) => (out.put_u8(b'u'), out.put_u16(*v)).1,
-            FieldValue::I32(v) => (out.put_u8(b'I'), out.put_i32(*v)).1,
-            FieldValue::U32(v) => (out.put_u8(b'i'), out.put_u32(*v)).1,
-            FieldValue::I64(v) => (out.put_u8(b'l'), out.put_i64(*v)).1,
-            FieldValue::F32(v) => (out.put_u8(b'f'), out.put_f32(*v)).1,
-            FieldValue::F64(v) => (out.put_u8(b'd'), out.put_f64(*v)).1,
+    pub fn value(&mut self, value: &FieldValue) {
+        let output = self.octets();
+        match value {
+            FieldValue::Bool(value) => output.put_slice(&[b't', u8::from(*value)]),
+            FieldValue::I8(value) => output.put_slice(&[b'b', *value as u8]),
+            FieldValue::U8(value) => output.put_slice(&[b'B', *value]),
+            FieldValue::I16(value) => (output.put_u8(b's'), output.put_i16(*value)).1,
+            FieldValue::U16(value) => (output.put_u8(b'u'), output.put_u16(*value)).1,
+            FieldValue::I32(value) => (output.put_u8(b'I'), output.put_i32(*value)).1,
+            FieldValue::U32(value) => (output.put_u8(b'i'), output.put_u32(*value)).1,
+            FieldValue::I64(value) => (output.put_u8(b'l'), output.put_i64(*value)).1,
+            FieldValue::F32(value) => (output.put_u8(b'f'), output.put_f32(*value)).1,
+            FieldValue::F64(value) => (output.put_u8(b'd'), output.put_f64(*value)).1,
             FieldValue::Decimal { scale, value } => {
-                out.put_slice(&[b'D', *scale]);
-                out.put_i32(*value);
+                output.put_slice(&[b'D', *scale]);
+                output.put_i32(*value);
             }
-            FieldValue::LongStr(v) => (out.put_u8(b'S'), self.long_str(v)).1,
-            FieldValue::Bytes(v) => (out.put_u8(b'x'), self.long_str(v)).1,
-            FieldValue::Timestamp(v) => (out.put_u8(b'T'), out.put_u64(*v)).1,
+            FieldValue::LongStr(value) => (output.put_u8(b'S'), self.long_str(value)).1,
+            FieldValue::Bytes(value) => (output.put_u8(b'x'), self.long_str(value)).1,
+            FieldValue::Timestamp(value) => (output.put_u8(b'T'), output.put_u64(*value)).1,
             FieldValue::Array(values) => {
-                out.put_u8(b'A');
-                self.nested(|w| values.iter().for_each(|v| w.value(v)));
+                output.put_u8(b'A');
+                self.nested(|writer| values.iter().for_each(|value| writer.value(value)));
             }
-            FieldValue::Table(v) => (out.put_u8(b'F'), self.table(v)).1,
-            FieldValue::Void => out.put_u8(b'V'),
+            FieldValue::Table(value) => (output.put_u8(b'F'), self.table(value)).1,
+            FieldValue::Void => output.put_u8(b'V'),
         }
     }
 }
@@ -309,32 +309,32 @@
 /// A value that a method's argument may have.
 pub trait Field: Sized {
     /// Reads it.
-    fn read(r: &mut Reader<'_>) -> Result<Self, SyntaxError>;
+    fn read(reader: &mut Reader<'_>) -> Result<Self, SyntaxError>;
     /// Writes it.
-    fn write(&self, w: &mut Writer<'_>);
+    fn write(&self, writer: &mut Writer<'_>);
 }
 
 macro_rules! fields {
     ($($ty:ty: $name:ident, $deref:expr;)*) => {
         $(impl Field for $ty {
-            fn read(r: &mut Reader<'_>) -> Result<Self, SyntaxError> {
-                r.$name()
+            fn read(reader: &mut Reader<'_>) -> Result<Self, SyntaxError> {
+                reader.$name()
             }
-            fn write(&self, w: &mut Writer<'_>) {
+            fn write(&self, writer: &mut Writer<'_>) {
                 let pass: fn(&$ty, &mut Writer<'_>) = $deref;
-                pass(self, w);
+                pass(self, writer);
             }
         })*
     };
 }
 
 fields! {
-    u8: u8, |v, w| w.u8(*v);
-    u16: u16, |v, w| w.u16(*v);
-    u32: u32, |v, w| w.u32(*v);
-    u64: u64, |v, w| w.u64(*v);
-    bool: bit, |v, w| w.bit(*v);
-    ShortStr: short_str, |v, w| w.short_str(v);
-    Bytes: long_str, |v, w| w.long_str(v);
-    FieldTable: table, |v, w| w.table(v);
+    u8: u8, |value, writer| writer.u8(*value);
+    u16: u16, |value, writer| writer.u16(*value);
+    u32: u32, |value, writer| writer.u32(*value);
+    u64: u64, |value, writer| writer.u64(*value);
+    bool: bit, |value, writer| writer.bit(*value);
+    ShortStr: short_str, |value, writer| writer.short_str(value);
+    Bytes: long_str, |value, writer| writer.long_str(value);
+    FieldTable: table, |value, writer| writer.table(value);
 }
--- a/crates/pipithub-amqp/tests/codec.rs
+++ b/crates/pipithub-amqp/tests/codec.rs
@@ -10,9 +10,9 @@
 use proptest::prelude::*;
 
 fn bytes_of(frame: &Frame) -> BytesMut {
-    let mut out = BytesMut::new();
-    frame.write(&mut out);
-    out
+    let mut output = BytesMut::new();
+    frame.write(&mut output);
+    output
 }
 
 fn decode(bytes: &[u8]) -> Result<Option<Frame>, pipithub_amqp::Fault> {
@@ -21,8 +21,8 @@
     decoder.next_frame()
 }
 
-/// The least payload that reads as this method: all arguments zero or empty.
-fn least(class: u16, id: u16) -> Method {
+/// The shortest payload that reads as this method: all arguments zero or empty.
+fn minimal_method(class: u16, id: u16) -> Method {
     (0..64)
         .find_map(|zeros| {
             let mut payload = Vec::from(class.to_be_bytes());
@@ -146,7 +146,8 @@
                 locales: Bytes::from_static(b"en_US"),
             }
         }),
-        prop::sample::select(Method::ALL.to_vec()).prop_map(|(class, id, ..)| least(class, id)),
+        prop::sample::select(Method::ALL.to_vec())
+            .prop_map(|(class, id, ..)| minimal_method(class, id)),
     ]
 }
 
@@ -164,10 +165,10 @@
 }
 
 #[test]
-fn every_method_reads_back_as_it_was_written() {
+fn every_method_round_trips() {
     assert_eq!(Method::ALL.len(), 64);
     for (class, id, name, ..) in Method::ALL {
-        let method = least(*class, *id);
+        let method = minimal_method(*class, *id);
         assert_eq!((method.ids(), method.name()), ((*class, *id), *name));
         let frame = Frame {
             channel: 1,
@@ -179,7 +180,7 @@
 
 proptest! {
     #[test]
-    fn frames_read_back_as_they_were_written(frame in frame()) {
+    fn frames_round_trip(frame in frame()) {
         prop_assert_eq!(decode(&bytes_of(&frame)), Ok(Some(frame)));
     }
 
@@ -197,7 +198,7 @@
 
     /// No damage panics, and each that is found has one of the three codes for what cannot be read.
     #[test]
-    fn damage_is_told_by_its_code(frame in frame(), at in any::<prop::sample::Index>(), bit in 0..8u8) {
+    fn damage_is_reported_by_its_code(frame in frame(), at in any::<prop::sample::Index>(), bit in 0..8u8) {
         let mut bytes = bytes_of(&frame);
         let at = at.index(bytes.len());
         bytes[at] ^= 1 << bit;
@@ -219,8 +220,8 @@
         let bytes = bytes_of(&frame);
         let (rest, theirs) = amq_protocol::frame::parse_frame(&bytes[..]).expect("it reads our frame");
         prop_assert!(rest.is_empty());
-        let out = amq_protocol::frame::gen_frame(&theirs)(cookie_factory::WriteContext::from(Vec::new()));
-        let (again, _) = out.expect("it writes the frame").into_inner();
+        let output = amq_protocol::frame::gen_frame(&theirs)(cookie_factory::WriteContext::from(Vec::new()));
+        let (again, _) = output.expect("it writes the frame").into_inner();
         prop_assert_eq!(&again[..], &bytes[..]);
         prop_assert_eq!(decode(&again), Ok(Some(frame)));
     }
@@ -231,12 +232,12 @@
     for (class, id, name, ..) in Method::ALL {
         let bytes = bytes_of(&Frame {
             channel: 1,
-            payload: Payload::Method(least(*class, *id)),
+            payload: Payload::Method(minimal_method(*class, *id)),
         });
         let (_, theirs) = amq_protocol::frame::parse_frame(&bytes[..]).expect(name);
-        let out =
+        let output =
             amq_protocol::frame::gen_frame(&theirs)(cookie_factory::WriteContext::from(Vec::new()));
-        assert_eq!(out.expect(name).into_inner().0, bytes, "{name}");
+        assert_eq!(output.expect(name).into_inner().0, bytes, "{name}");
     }
 }
 
@@ -287,7 +288,7 @@
 
 /// A peer that announces a huge frame must not make this end wait for it, let alone buffer it.
 #[test]
-fn a_frame_beyond_the_limit_is_refused_at_its_head() {
+fn a_frame_beyond_the_limit_is_rejected_at_its_header() {
     let mut decoder = FrameDecoder::new(4096);
     decoder.push(&[3, 0, 1]);
     decoder.push(&(4096 - OVERHEAD as u32 + 1).to_be_bytes());
@@ -299,7 +300,7 @@
 
 /// Nested tables could exhaust the stack.
 #[test]
-fn tables_nested_too_deep_are_refused() {
+fn tables_nested_too_deeply_are_rejected() {
     let mut table = FieldTable::new();
     for _ in 0..=MAX_DEPTH {
         table = FieldTable::new().with("t", FieldValue::Table(table));
--- a/crates/pipithub-amqp/tests/endpoints.rs
+++ b/crates/pipithub-amqp/tests/endpoints.rs
@@ -35,13 +35,13 @@
                     Event::Login { user, password } if user == "guest" && password == "guest" => {
                         self.server.accept_login();
                     }
-                    Event::Login { .. } => self.server.refuse_login("unknown user"),
+                    Event::Login { .. } => self.server.reject_login("unknown user"),
                     Event::OpenRequested { virtual_host } if &**virtual_host == "/" => {
                         self.server.accept_open();
                     }
                     Event::OpenRequested { .. } => {
                         self.server
-                            .refuse_open(Fault::new(Code::NotAllowed, "no such virtual host"));
+                            .reject_open(Fault::new(Code::NotAllowed, "no such virtual host"));
                     }
                     _ => {}
                 }
@@ -76,7 +76,7 @@
     }
 
     /// Sends raw frames to the server; the fault with which it closes the connection.
-    fn breach(mut self, frames: &[Frame]) -> u16 {
+    fn violate(mut self, frames: &[Frame]) -> u16 {
         let mut bytes = BytesMut::new();
         frames.iter().for_each(|f| f.write(&mut bytes));
         self.server.receive(1, &bytes);
@@ -87,9 +87,12 @@
             } = event
             {
                 let (client, _) = self.settle();
-                let told = |e: &Event| matches!(e, Event::Closed { fault: f, by_peer: true } if *f == fault);
-                assert!(client.iter().any(told), "the peer is told: {client:?}");
-                assert!(self.server.is_over() || self.client.is_over());
+                let is_reported = |e: &Event| matches!(e, Event::Closed { fault: f, by_peer: true } if *f == fault);
+                assert!(
+                    client.iter().any(is_reported),
+                    "the peer is told: {client:?}"
+                );
+                assert!(self.server.is_closed() || self.client.is_closed());
                 return fault.code;
             }
         }
@@ -122,7 +125,7 @@
 }
 
 #[test]
-fn limits_are_negotiated_to_the_lesser() {
+fn the_lower_limit_is_negotiated() {
     let mut pair = Pair::new(
         Tuning {
             channel_max: 0,
@@ -151,7 +154,7 @@
 }
 
 #[test]
-fn contents_of_any_size_come_whole() {
+fn contents_of_any_size_are_delivered_complete() {
     for size in [0usize, 1, 4088, 131_064, 131_065, 16 << 20] {
         let mut pair = Pair::with_channel();
         let body = vec![7u8; size];
@@ -211,7 +214,7 @@
 }
 
 #[test]
-fn wrong_logins_and_hosts_are_told() {
+fn wrong_logins_and_virtual_hosts_are_rejected() {
     let login = |password: &str, host: &str| {
         let login = Login {
             password: password.into(),
@@ -238,14 +241,14 @@
     let mut server = Endpoint::server(Tuning::default(), 0);
     server.receive(0, b"GET / HT");
     assert_eq!(&server.take_output(0)[..], b"AMQP\x00\x00\x09\x01");
-    assert!(server.is_over());
+    assert!(server.is_closed());
     let mut client = Endpoint::client(Login::default(), Tuning::default(), 0);
     client.receive(0, b"AMQP\x00\x01\x00\x00");
     assert!(matches!(client.poll_event(), Some(Event::Closed { fault, .. }) if fault.code == 540));
 }
 
 #[test]
-fn breaches_get_the_codes_of_the_specification() {
+fn protocol_violations_get_the_codes_of_the_specification() {
     let method = |m: Method| on(1, Payload::Method(m));
     let body = |n: usize| on(1, Payload::Body(Bytes::from(vec![0; n])));
     let deliver = Method::BasicCancelOk {
@@ -321,8 +324,8 @@
             )],
         ),
     ];
-    for (what, code, frames) in cases {
-        assert_eq!(Pair::with_channel().breach(&frames), code, "{what}");
+    for (violation, code, frames) in cases {
+        assert_eq!(Pair::with_channel().violate(&frames), code, "{violation}");
     }
     // `basic.cancel-ok` may come from both ends, so it is handed on.
     let mut pair = Pair::with_channel();
@@ -350,7 +353,7 @@
 }
 
 #[test]
-fn silence_ends_a_connection_and_heartbeats_keep_it() {
+fn heartbeats_keep_a_connection_open_and_silence_closes_it() {
     let mut pair = Pair::open();
     let mut now = 0;
     // Kept for a minute by heartbeats alone.
@@ -383,16 +386,16 @@
 }
 
 #[test]
-fn a_handshake_that_stalls_is_given_up() {
+fn a_stalled_handshake_times_out() {
     let mut server = Endpoint::server(Tuning::default(), 0);
     server.receive(0, b"AMQP");
     let due = server.next_timeout().expect("a handshake has an end");
     server.on_time(due);
-    assert!(server.is_over());
+    assert!(server.is_closed());
 }
 
 #[test]
-fn a_channel_closed_by_both_at_once_is_closed() {
+fn a_channel_closed_by_both_ends_at_once_is_closed() {
     let mut pair = Pair::with_channel();
     pair.client
         .close_channel(1, Fault::new(Code::Success, "done"));
--- a/crates/pipithub-emulator/src/broker/server.rs
+++ b/crates/pipithub-emulator/src/broker/server.rs
@@ -264,7 +264,7 @@
                     self.endpoint.accept_login();
                 } else {
                     self.endpoint
-                        .refuse_login("ACCESS_REFUSED - login was refused");
+                        .reject_login("ACCESS_REFUSED - login was refused");
                 }
             }
             Event::OpenRequested { virtual_host } => {
@@ -273,7 +273,7 @@
                 } else {
                     let text = format!("NOT_ALLOWED - vhost {virtual_host} not found");
                     self.endpoint
-                        .refuse_open(Fault::new(Code::NotAllowed, text));
+                        .reject_open(Fault::new(Code::NotAllowed, text));
                 }
             }
             Event::Connected => {
@@ -353,12 +353,12 @@
                 self.shared
                     .act(|broker, now| broker.set_congested(now, self.id, false));
             }
-            if self.endpoint.is_over() && output.is_empty() {
+            if self.endpoint.is_closed() && output.is_empty() {
                 return writer.shutdown().await;
             }
             let held = self.publisher && self.shared.lock().broker.is_blocked();
             tokio::select! {
-                read = reader.read_buf(&mut input), if !held && !self.endpoint.is_over() => {
+                read = reader.read_buf(&mut input), if !held && !self.endpoint.is_closed() => {
                     if read? == 0 {
                         return Ok(());
                     }
