--- a/crates/pipithub-consumer/src/consumer.rs
+++ b/crates/pipithub-consumer/src/consumer.rs
@@ -203,7 +203,7 @@
 
     /// Whether the transport may be closed.
     pub fn is_over(&self) -> bool {
-        self.endpoint.as_ref().is_none_or(Endpoint::is_over)
+        self.endpoint.as_ref().is_none_or(Endpoint::is_closed)
     }
 
     /// How many more deliveries the engine can take.
