--- a/crates/pipithub-amqp/src/endpoint.rs
+++ b/crates/pipithub-amqp/src/endpoint.rs
@@ -1,7 +1,7 @@
 //! One connection and its channels, for either end (specification 2.2, 4.2, 4.9 and 4.10).
 //!
-//! The caller moves bytes: what came goes to [`Endpoint::receive`], what [`Endpoint::take_output`] returns is to be written.
-//! [`Endpoint::poll_event`] tells what happened, [`Endpoint::next_timeout`] when [`Endpoint::on_time`] is due.
+//! The caller moves the bytes: it passes what it read to [`Endpoint::receive`] and writes what [`Endpoint::take_output`]
+//! returns. [`Endpoint::poll_event`] reports what happened, [`Endpoint::next_timeout`] when [`Endpoint::on_time`] is due.
 
 mod channels;
 mod event;
@@ -17,7 +17,7 @@
 
 use bytes::{Bytes, BytesMut};
 
-use crate::frame::{FRAME_MIN_SIZE, Frame, FrameDecoder, Payload};
+use crate::frame::{FRAME_MIN_SIZE, FrameDecoder, Payload};
 use crate::method::Method;
 use crate::reply::{Code, Fault};
 use crate::value::{FieldTable, ShortStr};
@@ -25,25 +25,27 @@
 use channels::Channel;
 
 const SECOND: Time = 1_000_000_000;
-/// A handshake that takes longer is given up: a peer that says nothing must not hold a connection for ever.
+/// A handshake that takes longer is aborted: a peer that sends nothing must not hold a connection for ever.
 const HANDSHAKE_TIMEOUT: Time = 10 * SECOND;
-/// How long `close-ok` is waited for.
+/// How long to wait for `close-ok`.
 const CLOSE_TIMEOUT: Time = 5 * SECOND;
 
+/// The step that a connection has reached; each `Awaiting` step of the handshake names the peer's next method.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     /// Server: the protocol header is awaited.
     AwaitingHeader,
-    /// The peer's next method of the handshake is awaited.
     AwaitingStart,
     AwaitingStartOk,
     AwaitingTune,
     AwaitingTuneOk,
     AwaitingOpen,
     AwaitingOpenOk,
-    /// Server: the application decides on the login, on the virtual host.
+    /// Server: the caller decides on the login.
     AwaitingLoginDecision,
+    /// Server: the caller decides on the virtual host.
     AwaitingOpenDecision,
+    /// Methods may be sent and received.
     Open,
     /// `close` was sent.
     Closing,
@@ -61,16 +63,19 @@
     output: BytesMut,
     channels: BTreeMap<u16, Channel>,
     events: VecDeque<Event>,
+    /// When the handshake or the closing began; their time-outs count from here.
     phase_started: Time,
+    /// The time of the last call that told it.
     now: Time,
     last_sent: Time,
     last_received: Time,
     peer_properties: FieldTable,
+    /// Client: the name that the server shows for the connection.
     name: Option<String>,
 }
 
 impl Endpoint {
-    /// The client's end: it writes the protocol header at once.
+    /// The client's end; the protocol header is in its output at once.
     pub fn client(login: Login, tuning: Tuning, now: Time) -> Self {
         let mut endpoint = Self::new(Role::Client, login, tuning, State::AwaitingStart, now);
         endpoint.output.extend_from_slice(&PROTOCOL_HEADER);
@@ -108,7 +113,7 @@
         }
     }
 
-    /// Client: the name that the connection is told under.
+    /// Client: sets the name that the server shows for the connection.
     pub fn named(mut self, name: &str) -> Self {
         self.name = Some(name.to_string());
         self
@@ -119,7 +124,7 @@
         self.tuning
     }
 
-    /// What the peer told of itself.
+    /// The properties that the peer sent in the handshake.
     pub fn peer_properties(&self) -> &FieldTable {
         &self.peer_properties
     }
@@ -129,12 +134,12 @@
         self.state == State::Open
     }
 
-    /// Whether nothing more will come or go: the socket may be closed once the output is written.
+    /// Whether the connection has ended: the socket may be closed once the output is written.
     pub fn is_closed(&self) -> bool {
         self.state == State::Closed
     }
 
-    /// Bytes that wait to be written; at a bound of the caller's own it should stop making more.
+    /// The number of bytes that wait to be written. The caller bounds it: above its limit it should send nothing more.
     pub fn output_len(&self) -> usize {
         self.output.len()
     }
@@ -156,38 +161,23 @@
     pub fn next_timeout(&self) -> Option<Time> {
         match self.state {
             State::Closed => None,
-            State::Open if self.tuning.heartbeat == 0 => None,
             State::Open => {
-                let interval = Time::from(self.tuning.heartbeat) * SECOND;
-                Some((self.last_sent + interval / 2).min(self.last_received + 2 * interval))
+                let interval = self.heartbeat_interval()?;
+                let send_due = self.last_sent + interval / 2;
+                let silence_due = self.last_received + 2 * interval;
+                Some(send_due.min(silence_due))
             }
             State::Closing => Some(self.phase_started + CLOSE_TIMEOUT),
             _ => Some(self.phase_started + HANDSHAKE_TIMEOUT),
         }
     }
 
-    /// Sends heartbeats, and gives up a peer that is silent for two intervals (specification 4.2.7).
+    /// Sends heartbeats, and closes a connection that is silent for two intervals (specification 4.2.7).
     pub fn on_time(&mut self, now: Time) {
         self.now = now;
         match self.state {
             State::Closed => {}
-            State::Open => {
-                let interval = Time::from(self.tuning.heartbeat) * SECOND;
-                if interval > 0 && now >= self.last_received + 2 * interval {
-                    return self.finish(
-                        Fault::new(Code::ConnectionForced, "no heartbeat came"),
-                        false,
-                    );
-                }
-                if interval > 0 && now >= self.last_sent + interval / 2 {
-                    self.last_sent = now;
-                    Frame {
-                        channel: 0,
-                        payload: Payload::Heartbeat,
-                    }
-                    .write(&mut self.output);
-                }
-            }
+            State::Open => self.check_heartbeat(),
             State::Closing => {
                 if now >= self.phase_started + CLOSE_TIMEOUT {
                     self.state = State::Closed;
@@ -195,22 +185,41 @@
             }
             _ => {
                 if now >= self.phase_started + HANDSHAKE_TIMEOUT {
-                    self.finish(
-                        Fault::new(Code::ConnectionForced, "the handshake took too long"),
-                        false,
-                    );
+                    let fault = Fault::new(Code::ConnectionForced, "the handshake took too long");
+                    self.finish(fault, false);
                 }
             }
         }
     }
 
+    /// The negotiated interval; `None`: heartbeats are off.
+    fn heartbeat_interval(&self) -> Option<Time> {
+        let seconds = self.tuning.heartbeat;
+        (seconds > 0).then(|| Time::from(seconds) * SECOND)
+    }
+
+    fn check_heartbeat(&mut self) {
+        let Some(interval) = self.heartbeat_interval() else {
+            return;
+        };
+        if self.now >= self.last_received + 2 * interval {
+            let fault = Fault::new(Code::ConnectionForced, "no heartbeat came");
+            return self.finish(fault, false);
+        }
+        if self.now >= self.last_sent + interval / 2 {
+            self.last_sent = self.now;
+            self.write_payload(0, Payload::Heartbeat);
+        }
+    }
+
+    /// Closes the connection at once, without the exchange of `close` and `close-ok`.
     fn finish(&mut self, fault: Fault, by_peer: bool) {
         self.state = State::Closed;
         self.channels.clear();
         self.events.push_back(Event::Closed { fault, by_peer });
     }
 
-    /// Ends the connection from this end.
+    /// Closes the connection: `close` is sent, and [`Event::Closed`] follows at once.
     pub fn close(&mut self, fault: Fault) {
         if matches!(self.state, State::Closing | State::Closed) {
             return;
--- a/crates/pipithub-amqp/src/endpoint/channels.rs
+++ b/crates/pipithub-amqp/src/endpoint/channels.rs
@@ -7,20 +7,45 @@
 use crate::properties::Properties;
 use crate::reply::{Code, Fault};
 
+/// What a content header frame holds, beside the class of its method.
+#[derive(Debug)]
+pub(super) struct ContentHeader {
+    pub(super) body_size: u64,
+    pub(super) properties: Properties,
+}
+
+/// A method whose content has not arrived completely.
 #[derive(Debug)]
 pub(super) struct Assembly {
     method: Method,
-    header: Option<(u64, Properties)>,
+    header: Option<ContentHeader>,
     body: BytesMut,
 }
 
+impl Assembly {
+    fn new(method: Method) -> Self {
+        Assembly {
+            method,
+            header: None,
+            body: BytesMut::new(),
+        }
+    }
+
+    fn is_complete(&self) -> bool {
+        self.header
+            .as_ref()
+            .is_some_and(|header| self.body.len() as u64 == header.body_size)
+    }
+}
+
+/// The state of a channel; a channel that is not open has none.
 #[derive(Debug)]
 pub(super) enum Channel {
+    /// Client: `channel.open` was sent.
     Opening,
-    Open {
-        assembly: Option<Box<Assembly>>,
-    },
-    /// `close` was sent; all but `close` and `close-ok` is dropped.
+    /// Methods may be sent and received.
+    Open { assembly: Option<Box<Assembly>> },
+    /// `channel.close` was sent; everything but `close` and `close-ok` is ignored.
     Closing,
 }
 
@@ -30,81 +55,109 @@
         channel: u16,
         method: Method,
     ) -> Result<(), Fault> {
-        let fault = |code, text: &str| Err(Fault::new(code, text).caused_by(&method));
-        match (self.channels.get_mut(&channel), &method) {
-            (None, Method::ChannelOpen {}) => {
-                if self.tuning.channel_max != 0 && channel > self.tuning.channel_max {
-                    return fault(Code::ChannelError, "channel beyond channel-max");
-                }
-                self.channels
-                    .insert(channel, Channel::Open { assembly: None });
-                self.write(channel, Method::ChannelOpenOk {});
-                self.events.push_back(Event::ChannelOpened { channel });
-            }
-            (Some(_), Method::ChannelOpen {}) => {
-                return fault(Code::ChannelError, "the channel is open already");
-            }
-            (None, _) => return fault(Code::ChannelError, "the channel is not open"),
-            (Some(state @ Channel::Opening), Method::ChannelOpenOk {}) => {
-                *state = Channel::Open { assembly: None };
-                self.events.push_back(Event::ChannelOpened { channel });
+        let Some(state) = self.channels.get(&channel) else {
+            return self.handle_method_without_channel(channel, &method);
+        };
+        if matches!(method, Method::ChannelOpen {}) {
+            return Err(
+                Fault::new(Code::ChannelError, "the channel is open already").caused_by(&method),
+            );
+        }
+        match state {
+            Channel::Opening => self.handle_method_while_opening(channel, &method),
+            Channel::Closing => {
+                self.handle_method_while_closing(channel, &method);
+                Ok(())
             }
-            (Some(Channel::Closing), Method::ChannelCloseOk {}) => {
+            Channel::Open { assembly: Some(_) } => Err(Fault::new(
+                Code::UnexpectedFrame,
+                "a method where a content was to come",
+            )
+            .caused_by(&method)),
+            Channel::Open { assembly: None } => self.handle_method_while_open(channel, method),
+        }
+    }
+
+    fn handle_method_without_channel(
+        &mut self,
+        channel: u16,
+        method: &Method,
+    ) -> Result<(), Fault> {
+        if !matches!(method, Method::ChannelOpen {}) {
+            return Err(Fault::new(Code::ChannelError, "the channel is not open").caused_by(method));
+        }
+        if self.tuning.channel_max != 0 && channel > self.tuning.channel_max {
+            return Err(
+                Fault::new(Code::ChannelError, "channel beyond channel-max").caused_by(method)
+            );
+        }
+        self.write(channel, Method::ChannelOpenOk {});
+        self.channel_opened(channel);
+        Ok(())
+    }
+
+    fn handle_method_while_opening(&mut self, channel: u16, method: &Method) -> Result<(), Fault> {
+        if !matches!(method, Method::ChannelOpenOk {}) {
+            return Err(
+                Fault::new(Code::ChannelError, "the channel is not open yet").caused_by(method),
+            );
+        }
+        self.channel_opened(channel);
+        Ok(())
+    }
+
+    fn channel_opened(&mut self, channel: u16) {
+        self.channels
+            .insert(channel, Channel::Open { assembly: None });
+        self.events.push_back(Event::ChannelOpened { channel });
+    }
+
+    fn handle_method_while_closing(&mut self, channel: u16, method: &Method) {
+        match method {
+            Method::ChannelCloseOk {} => {
                 self.channels.remove(&channel);
             }
-            (Some(Channel::Closing), Method::ChannelClose { .. }) => {
-                // Both ends closed at once; the peer's close-ok is still to come.
+            // Both ends closed at once; the peer's close-ok is still to come.
+            Method::ChannelClose { .. } => self.write(channel, Method::ChannelCloseOk {}),
+            _ => {}
+        }
+    }
+
+    fn handle_method_while_open(&mut self, channel: u16, method: Method) -> Result<(), Fault> {
+        match method {
+            Method::ChannelClose {
+                reply_code,
+                reply_text,
+                class_id,
+                method_id,
+            } => {
+                self.channels.remove(&channel);
                 self.write(channel, Method::ChannelCloseOk {});
-            }
-            (Some(Channel::Closing), _) => {}
-            (Some(Channel::Opening), _) => {
-                return fault(Code::ChannelError, "the channel is not open yet");
-            }
-            (Some(Channel::Open { assembly: Some(_) }), _) => {
-                return fault(
-                    Code::UnexpectedFrame,
-                    "a method where a content was to come",
-                );
-            }
-            (
-                Some(Channel::Open { .. }),
-                Method::ChannelClose {
-                    reply_code,
-                    reply_text,
-                    class_id,
-                    method_id,
-                },
-            ) => {
                 let fault = Fault {
-                    code: *reply_code,
+                    code: reply_code,
                     text: reply_text.to_string(),
-                    class_id: *class_id,
-                    method_id: *method_id,
+                    class_id,
+                    method_id,
                 };
-                self.channels.remove(&channel);
-                self.write(channel, Method::ChannelCloseOk {});
                 self.events.push_back(Event::ChannelClosed {
                     channel,
                     fault,
                     by_peer: true,
                 });
             }
-            (Some(Channel::Open { .. }), Method::ChannelFlow { active }) => {
-                let active = *active;
+            Method::ChannelFlow { active } => {
                 self.write(channel, Method::ChannelFlowOk { active });
                 self.events.push_back(Event::Flow { channel, active });
             }
-            (Some(Channel::Open { .. }), Method::ChannelOpenOk {} | Method::ChannelCloseOk {}) => {
-                return fault(Code::CommandInvalid, "not expected on an open channel");
+            Method::ChannelOpenOk {} | Method::ChannelCloseOk {} => {
+                let fault = Fault::new(Code::CommandInvalid, "not expected on an open channel");
+                return Err(fault.caused_by(&method));
             }
-            (Some(Channel::Open { assembly }), _) if method.has_content() => {
-                *assembly = Some(Box::new(Assembly {
-                    method,
-                    header: None,
-                    body: BytesMut::new(),
-                }));
+            method if method.has_content() => {
+                let assembly = Some(Box::new(Assembly::new(method)));
+                self.channels.insert(channel, Channel::Open { assembly });
             }
-            (Some(Channel::Open { .. }), _) => {
+            method => {
                 self.events.push_back(Event::Method {
                     channel,
                     method,
@@ -119,95 +172,89 @@
         &mut self,
         channel: u16,
         class_id: u16,
-        body_size: u64,
-        properties: Properties,
+        header: ContentHeader,
     ) -> Result<(), Fault> {
-        let max_body = self.tuning.max_body;
-        match self.channels.get_mut(&channel) {
-            Some(Channel::Closing) => Ok(()),
+        let assembly = match self.channels.get_mut(&channel) {
+            Some(Channel::Closing) => return Ok(()),
             Some(Channel::Open {
                 assembly: Some(assembly),
-            }) if assembly.header.is_none() => {
-                if assembly.method.ids().0 != class_id {
-                    return Err(Fault::new(
-                        Code::UnexpectedFrame,
-                        "content header of another class",
-                    ));
-                }
-                if body_size > max_body {
-                    let text = format!("a body of {body_size} bytes is beyond {max_body}");
-                    let fault = Fault::new(Code::ContentTooLarge, text).caused_by(&assembly.method);
-                    self.close_channel(channel, fault);
-                    return Ok(());
-                }
-                assembly.header = Some((body_size, properties));
-                self.deliver_if_complete(channel);
-                Ok(())
+            }) if assembly.header.is_none() => assembly,
+            _ => {
+                return Err(Fault::new(
+                    Code::UnexpectedFrame,
+                    "a content header that no method announced",
+                ));
             }
-            _ => Err(Fault::new(
+        };
+        if assembly.method.id().class_id != class_id {
+            return Err(Fault::new(
                 Code::UnexpectedFrame,
-                "a content header that no method announced",
-            )),
+                "content header of another class",
+            ));
         }
+        let (body_size, max_body) = (header.body_size, self.tuning.max_body);
+        if body_size > max_body {
+            let text = format!("a body of {body_size} bytes is beyond {max_body}");
+            let fault = Fault::new(Code::ContentTooLarge, text).caused_by(&assembly.method);
+            self.close_channel(channel, fault);
+            return Ok(());
+        }
+        assembly.header = Some(header);
+        self.deliver_if_complete(channel);
+        Ok(())
     }
 
     pub(super) fn receive_content_body(&mut self, channel: u16, bytes: &[u8]) -> Result<(), Fault> {
-        match self.channels.get_mut(&channel) {
-            Some(Channel::Closing) => Ok(()),
+        let assembly = match self.channels.get_mut(&channel) {
+            Some(Channel::Closing) => return Ok(()),
             Some(Channel::Open {
                 assembly: Some(assembly),
-            }) => {
-                let Some((size, _)) = &assembly.header else {
-                    return Err(Fault::new(
-                        Code::UnexpectedFrame,
-                        "a body before its header",
-                    ));
-                };
-                if assembly.body.len() as u64 + bytes.len() as u64 > *size {
-                    return Err(Fault::new(
-                        Code::FrameError,
-                        "a body longer than its header says",
-                    ));
-                }
-                assembly.body.extend_from_slice(bytes);
-                self.deliver_if_complete(channel);
-                Ok(())
+            }) => assembly,
+            _ => {
+                return Err(Fault::new(
+                    Code::UnexpectedFrame,
+                    "a body that no method announced",
+                ));
             }
-            _ => Err(Fault::new(
+        };
+        let Some(header) = &assembly.header else {
+            return Err(Fault::new(
                 Code::UnexpectedFrame,
-                "a body that no method announced",
-            )),
+                "a body before its header",
+            ));
+        };
+        if assembly.body.len() as u64 + bytes.len() as u64 > header.body_size {
+            return Err(Fault::new(
+                Code::FrameError,
+                "a body longer than its header says",
+            ));
         }
+        assembly.body.extend_from_slice(bytes);
+        self.deliver_if_complete(channel);
+        Ok(())
     }
 
-    /// Hands out a content that is whole.
+    /// Reports a method once its content is complete.
     fn deliver_if_complete(&mut self, channel: u16) {
         let Some(Channel::Open { assembly }) = self.channels.get_mut(&channel) else {
             return;
         };
-        let whole = |a: &Assembly| {
-            a.header
-                .as_ref()
-                .is_some_and(|(size, _)| a.body.len() as u64 == *size)
+        let Some(complete) = assembly.take_if(|assembly| assembly.is_complete()) else {
+            return;
         };
-        if assembly.as_ref().is_some_and(|a| whole(a))
-            && let Some(whole) = assembly.take()
-        {
-            let Assembly {
-                method,
-                header,
-                body,
-            } = *whole;
-            let properties = header.map(|(_, p)| p).unwrap_or_default();
-            let content = Some(Box::new(Content {
-                properties,
-                body: body.freeze(),
-            }));
-            self.events.push_back(Event::Method {
-                channel,
-                method,
-                content,
-            });
-        }
+        let Assembly {
+            method,
+            header,
+            body,
+        } = *complete;
+        let content = Content {
+            properties: header.map(|header| header.properties).unwrap_or_default(),
+            body: body.freeze(),
+        };
+        self.events.push_back(Event::Method {
+            channel,
+            method,
+            content: Some(Box::new(content)),
+        });
     }
 }
--- a/crates/pipithub-amqp/src/endpoint/event.rs
+++ b/crates/pipithub-amqp/src/endpoint/event.rs
@@ -10,26 +10,26 @@
 /// The properties and body that follow some methods.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Content {
-    /// Its properties.
+    /// The properties of the content header.
     pub properties: Properties,
-    /// Its body.
+    /// The body, of all its frames.
     pub body: Bytes,
 }
 
-/// What happened on the connection.
+/// What happened on a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Server: a client logs in; answer with [`Endpoint::accept_login`] or [`Endpoint::reject_login`].
+    /// Server: a client logs in; the caller decides with [`Endpoint::accept_login`] or [`Endpoint::reject_login`].
     Login {
         /// The user.
         user: String,
         /// The password.
         password: String,
     },
-    /// Server: the client asks for a virtual host; answer with [`Endpoint::accept_open`] or
+    /// Server: the client asks for a virtual host; the caller decides with [`Endpoint::accept_open`] or
     /// [`Endpoint::reject_open`].
     OpenRequested {
-        /// Its name.
+        /// The name of the virtual host.
         virtual_host: ShortStr,
     },
     /// The connection is open.
@@ -39,38 +39,38 @@
         /// The channel.
         channel: u16,
     },
-    /// The peer's method, with its content.
+    /// The peer sent a method, and the content that belongs to it.
     Method {
         /// The channel.
         channel: u16,
         /// The method.
         method: Method,
-        /// The content, of those methods that carry one.
+        /// The content, for the methods that carry one.
         content: Option<Box<Content>>,
     },
-    /// The peer asks to stop or go on sending content on a channel; it has been told that this is done.
+    /// The peer asked to pause or resume sending content on a channel; the endpoint has confirmed it.
     Flow {
         /// The channel.
         channel: u16,
-        /// Go on.
+        /// Whether content may be sent.
         active: bool,
     },
-    /// Client: the server takes no publishes for now (`Some`), or takes them again.
+    /// Client: the server accepts no publishes for now, for the reason given, or accepts them again (`None`).
     Blocked(Option<String>),
-    /// A channel is closed.
+    /// A channel was closed.
     ChannelClosed {
         /// The channel.
         channel: u16,
         /// Why.
         fault: Fault,
-        /// The peer closed it.
+        /// Whether the peer closed it.
         by_peer: bool,
     },
-    /// The connection is over; no event follows.
+    /// The connection has ended; no event follows.
     Closed {
         /// Why.
         fault: Fault,
-        /// The peer closed it.
+        /// Whether the peer closed it.
         by_peer: bool,
     },
 }
@@ -84,10 +84,10 @@
     /// The channel is not open.
     #[error("channel {0} is not open")]
     NoChannel(u16),
-    /// All channel numbers are taken.
+    /// All channel numbers are in use.
     #[error("all channels are taken")]
     NoFreeChannel,
-    /// The method may not be sent by this end, or lacks its content, or has one too many.
+    /// The method may not be sent by this end, lacks its content, or must not have one.
     #[error("{0} may not be sent so")]
     Misused(&'static str),
 }
--- a/crates/pipithub-amqp/src/endpoint/handshake.rs
+++ b/crates/pipithub-amqp/src/endpoint/handshake.rs
@@ -2,40 +2,54 @@
 
 use bytes::Bytes;
 
-use super::{Endpoint, Event, State, Tuning};
+use super::{Endpoint, Event, Role, State, Tuning};
 use crate::frame::FRAME_MIN_SIZE;
 use crate::method::Method;
 use crate::reply::{Code, Fault};
 use crate::value::{FieldTable, FieldValue, ShortStr};
 
+/// The only authentication mechanism that is offered and used.
+const MECHANISM: &str = "PLAIN";
+/// The only locale that is offered and used; the specification requires it.
+const LOCALE: &str = "en_US";
+/// The version in `connection.start` (specification 4.2.2).
+const VERSION_MAJOR: u8 = 0;
+const VERSION_MINOR: u8 = 9;
+
+const CLIENT_CAPABILITIES: [&str; 3] = [
+    "connection.blocked",
+    "consumer_cancel_notify",
+    "publisher_confirms",
+];
+const SERVER_CAPABILITIES: [&str; 4] = [
+    "basic.nack",
+    "publisher_confirms",
+    "connection.blocked",
+    "consumer_cancel_notify",
+];
+
 impl Endpoint {
-    /// The login is good.
+    /// Server: accepts the login that [`Event::Login`] reported.
     pub fn accept_login(&mut self) {
         if self.state == State::AwaitingLoginDecision {
-            let Tuning {
-                channel_max,
-                frame_max,
-                heartbeat,
-                ..
-            } = self.tuning;
             self.write(
                 0,
                 Method::ConnectionTune {
-                    channel_max,
-                    frame_max,
-                    heartbeat,
+                    channel_max: self.tuning.channel_max,
+                    frame_max: self.tuning.frame_max,
+                    heartbeat: self.tuning.heartbeat,
                 },
             );
             self.state = State::AwaitingTuneOk;
         }
     }
 
-    /// The login is refused, with 403.
+    /// Server: rejects the login, which closes the connection with 403.
     pub fn reject_login(&mut self, text: &str) {
         self.close(Fault::new(Code::AccessRefused, text));
     }
 
-    /// The virtual host is there: the connection is open.
+    /// Server: accepts the virtual host that [`Event::OpenRequested`] reported; the connection is open.
     pub fn accept_open(&mut self) {
         if self.state == State::AwaitingOpenDecision {
             self.write(0, Method::ConnectionOpenOk {});
@@ -43,7 +57,7 @@
         }
     }
 
-    /// The virtual host is refused.
+    /// Server: rejects the virtual host, which closes the connection.
     pub fn reject_open(&mut self, fault: Fault) {
         self.close(fault);
     }
@@ -53,8 +67,63 @@
         self.events.push_back(Event::Connected);
     }
 
-    #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
+    /// Server: answers the protocol header of the client.
+    pub(super) fn send_start(&mut self) {
+        let server_properties = FieldTable::new()
+            .with("product", "pipithub stand-in")
+            .with("capabilities", capabilities(&SERVER_CAPABILITIES));
+        self.write(
+            0,
+            Method::ConnectionStart {
+                version_major: VERSION_MAJOR,
+                version_minor: VERSION_MINOR,
+                server_properties,
+                mechanisms: Bytes::from_static(MECHANISM.as_bytes()),
+                locales: Bytes::from_static(LOCALE.as_bytes()),
+            },
+        );
+        self.state = State::AwaitingStartOk;
+    }
+
     pub(super) fn handle_connection_method(&mut self, method: Method) -> Result<(), Fault> {
+        match (self.state, method) {
+            (
+                _,
+                Method::ConnectionClose {
+                    reply_code,
+                    reply_text,
+                    class_id,
+                    method_id,
+                },
+            ) => {
+                self.write(0, Method::ConnectionCloseOk {});
+                let fault = Fault {
+                    code: reply_code,
+                    text: reply_text.to_string(),
+                    class_id,
+                    method_id,
+                };
+                self.finish(fault, true);
+                Ok(())
+            }
+            (State::Open, Method::ConnectionBlocked { reason }) => {
+                let reason = reason.to_string();
+                self.events.push_back(Event::Blocked(Some(reason)));
+                Ok(())
+            }
+            (State::Open, Method::ConnectionUnblocked {}) => {
+                self.events.push_back(Event::Blocked(None));
+                Ok(())
+            }
+            (_, method) => match self.role {
+                Role::Client => self.handle_server_handshake(method),
+                Role::Server => self.handle_client_handshake(method),
+            },
+        }
+    }
+
+    /// Client: handles the server's methods of the handshake.
+    fn handle_server_handshake(&mut self, method: Method) -> Result<(), Fault> {
         match (self.state, method) {
             (
                 State::AwaitingStart,
@@ -66,48 +135,34 @@
                     ..
                 },
             ) => {
-                if (version_major, version_minor) != (0, 9) {
-                    return Err(Fault::new(
-                        Code::NotImplemented,
-                        "the server does not speak AMQP 0-9-1",
-                    ));
-                }
-                if !mechanisms.split(|b| *b == b' ').any(|m| m == b"PLAIN") {
-                    return Err(Fault::new(
-                        Code::AccessRefused,
-                        "the server does not offer PLAIN",
-                    ));
-                }
+                check_version(version_major, version_minor)?;
+                check_mechanisms(&mechanisms)?;
                 self.peer_properties = server_properties;
-                let response = format!("\0{}\0{}", self.login.user, self.login.password);
-                let capabilities = [
-                    "connection.blocked",
-                    "consumer_cancel_notify",
-                    "publisher_confirms",
-                ]
-                .iter()
-                .fold(FieldTable::new(), |table, name| {
-                    table.with(name, FieldValue::Bool(true))
-                });
-                let client_properties = FieldTable::new()
-                    .with(
-                        "connection_name",
-                        self.name.as_deref().unwrap_or("pipithub"),
-                    )
-                    .with("product", "pipithub")
-                    .with("version", env!("CARGO_PKG_VERSION"))
-                    .with("capabilities", FieldValue::Table(capabilities));
-                self.write(
-                    0,
-                    Method::ConnectionStartOk {
-                        client_properties,
-                        mechanism: ShortStr::truncated("PLAIN"),
-                        response: Bytes::from(response),
-                        locale: ShortStr::truncated("en_US"),
-                    },
-                );
-                self.state = State::AwaitingTune;
+                self.send_start_ok();
+                Ok(())
+            }
+            (
+                State::AwaitingTune,
+                Method::ConnectionTune {
+                    channel_max,
+                    frame_max,
+                    heartbeat,
+                },
+            ) => {
+                self.handle_tune(channel_max, frame_max, heartbeat);
+                Ok(())
             }
+            (State::AwaitingOpenOk, Method::ConnectionOpenOk {}) => {
+                self.connected();
+                Ok(())
+            }
+            (_, method) => Err(not_expected(&method)),
+        }
+    }
+
+    /// Server: handles the client's methods of the handshake.
+    fn handle_client_handshake(&mut self, method: Method) -> Result<(), Fault> {
+        match (self.state, method) {
             (
                 State::AwaitingStartOk,
                 Method::ConnectionStartOk {
@@ -118,51 +173,7 @@
                 },
             ) => {
                 self.peer_properties = client_properties;
-                let mut parts = response
-                    .split(|b| *b == 0)
-                    .map(|p| String::from_utf8_lossy(p).into_owned());
-                let (_, user, password) = (parts.next(), parts.next(), parts.next());
-                let (true, Some(user), Some(password), None) =
-                    (&*mechanism == "PLAIN", user, password, parts.next())
-                else {
-                    return Err(Fault::new(
-                        Code::AccessRefused,
-                        "only a PLAIN login is taken",
-                    ));
-                };
-                self.state = State::AwaitingLoginDecision;
-                self.events.push_back(Event::Login { user, password });
-            }
-            (
-                State::AwaitingTune,
-                Method::ConnectionTune {
-                    channel_max,
-                    frame_max,
-                    heartbeat,
-                },
-            ) => {
-                self.tuning.channel_max = negotiated_limit(self.tuning.channel_max, channel_max);
-                self.tuning.frame_max =
-                    negotiated_limit(self.tuning.frame_max, frame_max).max(FRAME_MIN_SIZE);
-                self.tuning.heartbeat = negotiated_limit(self.tuning.heartbeat, heartbeat);
-                self.decoder.set_frame_max(self.tuning.frame_max);
-                let Tuning {
-                    channel_max,
-                    frame_max,
-                    heartbeat,
-                    ..
-                } = self.tuning;
-                self.write(
-                    0,
-                    Method::ConnectionTuneOk {
-                        channel_max,
-                        frame_max,
-                        heartbeat,
-                    },
-                );
-                let virtual_host = ShortStr::truncated(&self.login.virtual_host);
-                self.write(0, Method::ConnectionOpen { virtual_host });
-                self.state = State::AwaitingOpenOk;
+                self.handle_login(&mechanism, &response)
             }
             (
                 State::AwaitingTuneOk,
@@ -171,74 +182,152 @@
                     frame_max,
                     heartbeat,
                 },
-            ) => {
-                let fits =
-                    |asked: u32, offered: u32| offered == 0 || asked != 0 && asked <= offered;
-                if !fits(u32::from(channel_max), u32::from(self.tuning.channel_max))
-                    || !fits(frame_max, self.tuning.frame_max)
-                    || frame_max < FRAME_MIN_SIZE
-                {
-                    return Err(Fault::new(
-                        Code::NotAllowed,
-                        "tune-ok beyond what tune offered",
-                    ));
-                }
-                self.tuning = Tuning {
-                    channel_max,
-                    frame_max,
-                    heartbeat,
-                    ..self.tuning
-                };
-                self.decoder.set_frame_max(frame_max);
-                self.state = State::AwaitingOpen;
-            }
+            ) => self.handle_tune_ok(channel_max, frame_max, heartbeat),
             (State::AwaitingOpen, Method::ConnectionOpen { virtual_host }) => {
                 self.state = State::AwaitingOpenDecision;
                 self.events.push_back(Event::OpenRequested { virtual_host });
+                Ok(())
             }
-            (State::AwaitingOpenOk, Method::ConnectionOpenOk {}) => self.connected(),
-            (
-                _,
-                Method::ConnectionClose {
-                    reply_code,
-                    reply_text,
-                    class_id,
-                    method_id,
-                },
-            ) => {
-                self.write(0, Method::ConnectionCloseOk {});
-                let fault = Fault {
-                    code: reply_code,
-                    text: reply_text.to_string(),
-                    class_id,
-                    method_id,
-                };
-                self.finish(fault, true);
-            }
-            (State::Open, Method::ConnectionBlocked { reason }) => {
-                self.events
-                    .push_back(Event::Blocked(Some(reason.to_string())));
-            }
-            (State::Open, Method::ConnectionUnblocked {}) => {
-                self.events.push_back(Event::Blocked(None));
-            }
-            (_, method) => {
-                let text = format!("{} is not expected now", method.name());
-                return Err(Fault::new(Code::CommandInvalid, text).caused_by(&method));
-            }
+            (_, method) => Err(not_expected(&method)),
+        }
+    }
+
+    /// Client: logs in.
+    fn send_start_ok(&mut self) {
+        let name = self.name.as_deref().unwrap_or("pipithub");
+        let client_properties = FieldTable::new()
+            .with("connection_name", name)
+            .with("product", "pipithub")
+            .with("version", env!("CARGO_PKG_VERSION"))
+            .with("capabilities", capabilities(&CLIENT_CAPABILITIES));
+        // The response of PLAIN (RFC 4616): an empty authorization identity, the user, the password.
+        let response = format!("\0{}\0{}", self.login.user, self.login.password);
+        self.write(
+            0,
+            Method::ConnectionStartOk {
+                client_properties,
+                mechanism: ShortStr::truncated(MECHANISM),
+                response: Bytes::from(response),
+                locale: ShortStr::truncated(LOCALE),
+            },
+        );
+        self.state = State::AwaitingTune;
+    }
+
+    /// Server: reads the response of PLAIN (RFC 4616); the authorization identity is ignored.
+    fn handle_login(&mut self, mechanism: &str, response: &[u8]) -> Result<(), Fault> {
+        let mut parts = response
+            .split(|byte| *byte == 0)
+            .map(|part| String::from_utf8_lossy(part).into_owned());
+        let (_, user, password) = (parts.next(), parts.next(), parts.next());
+        let (true, Some(user), Some(password), None) =
+            (mechanism == MECHANISM, user, password, parts.next())
+        else {
+            return Err(Fault::new(
+                Code::AccessRefused,
+                "only a PLAIN login is taken",
+            ));
+        };
+        self.state = State::AwaitingLoginDecision;
+        self.events.push_back(Event::Login { user, password });
+        Ok(())
+    }
+
+    /// Client: takes the lower of each limit and the server's, and asks for the virtual host.
+    fn handle_tune(&mut self, channel_max: u16, frame_max: u32, heartbeat: u16) {
+        self.tuning = Tuning {
+            channel_max: negotiated_limit(self.tuning.channel_max, channel_max),
+            frame_max: negotiated_limit(self.tuning.frame_max, frame_max).max(FRAME_MIN_SIZE),
+            heartbeat: negotiated_limit(self.tuning.heartbeat, heartbeat),
+            ..self.tuning
+        };
+        self.decoder.set_frame_max(self.tuning.frame_max);
+        self.write(
+            0,
+            Method::ConnectionTuneOk {
+                channel_max: self.tuning.channel_max,
+                frame_max: self.tuning.frame_max,
+                heartbeat: self.tuning.heartbeat,
+            },
+        );
+        let virtual_host = ShortStr::truncated(&self.login.virtual_host);
+        self.write(0, Method::ConnectionOpen { virtual_host });
+        self.state = State::AwaitingOpenOk;
+    }
+
+    /// Server: takes the client's limits, which must not exceed those that it was offered.
+    fn handle_tune_ok(
+        &mut self,
+        channel_max: u16,
+        frame_max: u32,
+        heartbeat: u16,
+    ) -> Result<(), Fault> {
+        let fits = |asked: u32, offered: u32| offered == 0 || asked != 0 && asked <= offered;
+        if !fits(u32::from(channel_max), u32::from(self.tuning.channel_max))
+            || !fits(frame_max, self.tuning.frame_max)
+            || frame_max < FRAME_MIN_SIZE
+        {
+            return Err(Fault::new(
+                Code::NotAllowed,
+                "tune-ok beyond what tune offered",
+            ));
         }
+        self.tuning = Tuning {
+            channel_max,
+            frame_max,
+            heartbeat,
+            ..self.tuning
+        };
+        self.decoder.set_frame_max(frame_max);
+        self.state = State::AwaitingOpen;
         Ok(())
     }
 }
 
-/// The lesser of two limits where 0 stands for none.
-fn negotiated_limit<T: Ord + Default + Copy>(a: T, b: T) -> T {
-    let none = T::default();
-    if a == none {
-        b
-    } else if b == none {
-        a
+fn not_expected(method: &Method) -> Fault {
+    let text = format!("{} is not expected now", method.name());
+    Fault::new(Code::CommandInvalid, text).caused_by(method)
+}
+
+/// Client: checks that the server speaks this version of the protocol.
+fn check_version(major: u8, minor: u8) -> Result<(), Fault> {
+    if (major, minor) == (VERSION_MAJOR, VERSION_MINOR) {
+        return Ok(());
+    }
+    Err(Fault::new(
+        Code::NotImplemented,
+        "the server does not speak AMQP 0-9-1",
+    ))
+}
+
+/// Client: checks that the mechanism is among those that the server offers, which spaces separate.
+fn check_mechanisms(mechanisms: &[u8]) -> Result<(), Fault> {
+    let mut offered = mechanisms.split(|byte| *byte == b' ');
+    if !offered.any(|mechanism| mechanism == MECHANISM.as_bytes()) {
+        return Err(Fault::new(
+            Code::AccessRefused,
+            "the server does not offer PLAIN",
+        ));
+    }
+    Ok(())
+}
+
+fn capabilities(names: &[&str]) -> FieldValue {
+    let mut table = FieldTable::new();
+    for name in names {
+        table = table.with(name, FieldValue::Bool(true));
+    }
+    FieldValue::Table(table)
+}
+
+/// The lower of two limits, where 0 stands for no limit.
+fn negotiated_limit<T: Ord + Default + Copy>(ours: T, theirs: T) -> T {
+    let no_limit = T::default();
+    if ours == no_limit {
+        theirs
+    } else if theirs == no_limit {
+        ours
     } else {
-        a.min(b)
+        ours.min(theirs)
     }
 }
--- a/crates/pipithub-amqp/src/endpoint/receiving.rs
+++ b/crates/pipithub-amqp/src/endpoint/receiving.rs
@@ -1,16 +1,17 @@
-//! What the peer sends: bytes, the protocol header, frames, and which part of the state machine each goes to.
-
-use bytes::Bytes;
+//! What the peer sends: bytes, the protocol header and frames, each handed to the part that handles it.
 
+use super::channels::ContentHeader;
 use super::{Endpoint, Role, State};
 use crate::frame::{Frame, Payload};
-use crate::method::{Method, Sender};
+use crate::method::{CONNECTION_CLASS, Method, Sender};
 use crate::reply::{Code, Fault};
-use crate::value::{FieldTable, FieldValue};
 use crate::{PROTOCOL_HEADER, Time};
 
+/// What every protocol header begins with, of whatever version.
+const PROTOCOL_NAME: &[u8] = b"AMQP";
+
 impl Endpoint {
-    /// Takes bytes as they came.
+    /// Takes bytes from the transport; what they amount to is handed out by [`Endpoint::poll_event`].
     pub fn receive(&mut self, now: Time, bytes: &[u8]) {
         self.now = now;
         self.last_received = now;
@@ -21,15 +22,8 @@
         if self.state == State::AwaitingHeader && !self.receive_protocol_header() {
             return;
         }
-        if self.state == State::AwaitingStart && self.decoder.could_begin_with(b"AMQP") {
-            // A server that speaks another version answers with its own header.
-            if self.decoder.take_raw(8).is_some() {
-                self.finish(
-                    Fault::new(Code::NotImplemented, "the server does not speak AMQP 0-9-1"),
-                    true,
-                );
-            }
-            return;
+        if self.state == State::AwaitingStart && self.decoder.could_begin_with(PROTOCOL_NAME) {
+            return self.receive_other_version();
         }
         while self.state != State::Closed {
             match self.decoder.next_frame() {
@@ -39,9 +33,9 @@
                     }
                 }
                 Ok(None) => return,
-                Err(_) if self.state == State::Closing => return self.state = State::Closed,
+                Err(_) if self.state == State::Closing => self.state = State::Closed,
                 Err(fault) => {
-                    // What follows cannot be read: the close goes out, nothing more is taken in.
+                    // What follows cannot be decoded: `close` is sent, nothing more is read.
                     self.close(fault);
                     self.state = State::Closed;
                 }
@@ -49,7 +43,7 @@
         }
     }
 
-    /// Reads the protocol header; false where more bytes are needed or it was wrong.
+    /// Server: reads the protocol header; false where more bytes are needed or it was wrong.
     fn receive_protocol_header(&mut self) -> bool {
         if !self.decoder.could_begin_with(&PROTOCOL_HEADER) {
             self.output.extend_from_slice(&PROTOCOL_HEADER);
@@ -62,76 +56,75 @@
         if self.decoder.take_raw(PROTOCOL_HEADER.len()).is_none() {
             return false;
         }
-        let capabilities = [
-            "basic.nack",
-            "publisher_confirms",
-            "connection.blocked",
-            "consumer_cancel_notify",
-        ]
-        .iter()
-        .fold(FieldTable::new(), |table, name| {
-            table.with(name, FieldValue::Bool(true))
-        });
-        self.write(
-            0,
-            Method::ConnectionStart {
-                version_major: 0,
-                version_minor: 9,
-                server_properties: FieldTable::new()
-                    .with("product", "pipithub stand-in")
-                    .with("capabilities", FieldValue::Table(capabilities)),
-                mechanisms: Bytes::from_static(b"PLAIN"),
-                locales: Bytes::from_static(b"en_US"),
-            },
-        );
-        self.state = State::AwaitingStartOk;
+        self.send_start();
         true
     }
 
+    /// Client: a server that speaks another version answers with its own protocol header and no frame.
+    fn receive_other_version(&mut self) {
+        if self.decoder.take_raw(PROTOCOL_HEADER.len()).is_some() {
+            self.finish(
+                Fault::new(Code::NotImplemented, "the server does not speak AMQP 0-9-1"),
+                true,
+            );
+        }
+    }
+
     fn receive_frame(&mut self, frame: Frame) -> Result<(), Fault> {
         let Frame { channel, payload } = frame;
         if self.state == State::Closing {
-            match payload {
-                Payload::Method(Method::ConnectionClose { .. }) => {
-                    self.write(0, Method::ConnectionCloseOk {});
-                    self.state = State::Closed;
-                }
-                Payload::Method(Method::ConnectionCloseOk {}) => self.state = State::Closed,
-                _ => {}
-            }
+            self.receive_while_closing(&payload);
             return Ok(());
         }
         match payload {
             Payload::Heartbeat => Ok(()),
-            Payload::Method(method) => {
-                let theirs = match method.sender() {
-                    Sender::Both => true,
-                    Sender::Client => self.role == Role::Server,
-                    Sender::Server => self.role == Role::Client,
-                };
-                if !theirs {
-                    let text = format!("{} may not come from this end", method.name());
-                    return Err(Fault::new(Code::CommandInvalid, text).caused_by(&method));
-                }
-                match (channel, method.ids().0) {
-                    (0, 10) => self.handle_connection_method(method),
-                    (0, _) | (_, 10) => {
-                        let text = format!("{} on channel {channel}", method.name());
-                        Err(Fault::new(Code::CommandInvalid, text).caused_by(&method))
-                    }
-                    _ if self.state != State::Open => {
-                        let text = format!("{} before the connection is open", method.name());
-                        Err(Fault::new(Code::CommandInvalid, text).caused_by(&method))
-                    }
-                    _ => self.handle_channel_method(channel, method),
-                }
-            }
+            Payload::Method(method) => self.receive_method(channel, method),
             Payload::Header {
                 class_id,
                 body_size,
                 properties,
-            } => self.receive_content_header(channel, class_id, body_size, *properties),
+            } => {
+                let header = ContentHeader {
+                    body_size,
+                    properties: *properties,
+                };
+                self.receive_content_header(channel, class_id, header)
+            }
             Payload::Body(bytes) => self.receive_content_body(channel, &bytes),
         }
     }
+
+    /// After `close` was sent, everything but `close` and `close-ok` is ignored.
+    fn receive_while_closing(&mut self, payload: &Payload) {
+        match payload {
+            Payload::Method(Method::ConnectionClose { .. }) => {
+                self.write(0, Method::ConnectionCloseOk {});
+                self.state = State::Closed;
+            }
+            Payload::Method(Method::ConnectionCloseOk {}) => self.state = State::Closed,
+            _ => {}
+        }
+    }
+
+    fn receive_method(&mut self, channel: u16, method: Method) -> Result<(), Fault> {
+        let invalid = |text| Err(Fault::new(Code::CommandInvalid, text).caused_by(&method));
+        let is_theirs = match method.sender() {
+            Sender::Both => true,
+            Sender::Client => self.role == Role::Server,
+            Sender::Server => self.role == Role::Client,
+        };
+        if !is_theirs {
+            return invalid(format!("{} may not come from this end", method.name()));
+        }
+        match (channel, method.id().class_id) {
+            (0, CONNECTION_CLASS) => self.handle_connection_method(method),
+            (0, _) | (_, CONNECTION_CLASS) => {
+                invalid(format!("{} on channel {channel}", method.name()))
+            }
+            _ if self.state != State::Open => {
+                invalid(format!("{} before the connection is open", method.name()))
+            }
+            _ => self.handle_channel_method(channel, method),
+        }
+    }
 }
--- a/crates/pipithub-amqp/src/endpoint/sending.rs
+++ b/crates/pipithub-amqp/src/endpoint/sending.rs
@@ -5,25 +5,27 @@
 use super::channels::Channel;
 use super::{Endpoint, Event, Role, SendError, State};
 use crate::frame::{Frame, OVERHEAD, Payload};
-use crate::method::{Method, Sender};
+use crate::method::{CONNECTION_CLASS, Method, Sender};
 use crate::properties::Properties;
 use crate::reply::Fault;
 use crate::value::ShortStr;
 
 impl Endpoint {
-    /// Ends a channel from this end.
+    /// Closes a channel; it does nothing where the channel is not open.
     pub fn close_channel(&mut self, channel: u16, fault: Fault) {
         if let Some(state @ (Channel::Open { .. } | Channel::Opening)) =
             self.channels.get_mut(&channel)
         {
             *state = Channel::Closing;
-            let method = Method::ChannelClose {
-                reply_code: fault.code,
-                reply_text: ShortStr::truncated(&fault.text),
-                class_id: fault.class_id,
-                method_id: fault.method_id,
-            };
-            self.write(channel, method);
+            self.write(
+                channel,
+                Method::ChannelClose {
+                    reply_code: fault.code,
+                    reply_text: ShortStr::truncated(&fault.text),
+                    class_id: fault.class_id,
+                    method_id: fault.method_id,
+                },
+            );
             self.events.push_back(Event::ChannelClosed {
                 channel,
                 fault,
@@ -37,17 +39,17 @@
         if self.state != State::Open || self.role != Role::Client {
             return Err(SendError::NotOpen);
         }
-        let max = if self.tuning.channel_max == 0 {
+        let channel_max = if self.tuning.channel_max == 0 {
             u16::MAX
         } else {
             self.tuning.channel_max
         };
-        let free = (1..=max)
-            .find(|c| !self.channels.contains_key(c))
+        let channel = (1..=channel_max)
+            .find(|number| !self.channels.contains_key(number))
             .ok_or(SendError::NoFreeChannel)?;
-        self.channels.insert(free, Channel::Opening);
-        self.write(free, Method::ChannelOpen {});
-        Ok(free)
+        self.channels.insert(channel, Channel::Opening);
+        self.write(channel, Method::ChannelOpen {});
+        Ok(channel)
     }
 
     /// Sends a method without content.
@@ -66,24 +68,15 @@
         body: &[u8],
     ) -> Result<(), SendError> {
         self.check_sendable(channel, &method, true)?;
-        let (class_id, _) = method.ids();
-        self.write(channel, method);
         let header = Payload::Header {
-            class_id,
+            class_id: method.id().class_id,
             body_size: body.len() as u64,
             properties: Box::new(properties),
         };
-        Frame {
-            channel,
-            payload: header,
-        }
-        .write(&mut self.output);
+        self.write(channel, method);
+        self.write_payload(channel, header);
         for part in body.chunks(self.tuning.frame_max as usize - OVERHEAD) {
-            Frame {
-                channel,
-                payload: Payload::Body(Bytes::copy_from_slice(part)),
-            }
-            .write(&mut self.output);
+            self.write_payload(channel, Payload::Body(Bytes::copy_from_slice(part)));
         }
         Ok(())
     }
@@ -92,18 +85,18 @@
         &self,
         channel: u16,
         method: &Method,
-        content: bool,
+        has_content: bool,
     ) -> Result<(), SendError> {
-        let ours = match method.sender() {
+        let is_ours = match method.sender() {
             Sender::Both => true,
             Sender::Client => self.role == Role::Client,
             Sender::Server => self.role == Role::Server,
         };
-        if !ours || method.has_content() != content {
+        if !is_ours || method.has_content() != has_content {
             return Err(SendError::Misused(method.name()));
         }
         match (self.state, channel) {
-            (State::Open, 0) if method.ids().0 == 10 => Ok(()),
+            (State::Open, 0) if method.id().class_id == CONNECTION_CLASS => Ok(()),
             (State::Open, 0) => Err(SendError::NoChannel(0)),
             (State::Open, _)
                 if matches!(self.channels.get(&channel), Some(Channel::Open { .. })) =>
@@ -116,10 +109,10 @@
     }
 
     pub(super) fn write(&mut self, channel: u16, method: Method) {
-        Frame {
-            channel,
-            payload: Payload::Method(method),
-        }
-        .write(&mut self.output);
+        self.write_payload(channel, Payload::Method(method));
+    }
+
+    pub(super) fn write_payload(&mut self, channel: u16, payload: Payload) {
+        Frame { channel, payload }.write(&mut self.output);
     }
 }
--- a/crates/pipithub-amqp/src/endpoint/settings.rs
+++ b/crates/pipithub-amqp/src/endpoint/settings.rs
@@ -3,13 +3,13 @@
 /// Which end this is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Opens the connection.
+    /// The end that opens the connection.
     Client,
-    /// Takes it.
+    /// The end that accepts it.
     Server,
 }
 
-/// The limits that are negotiated, and the largest body taken.
+/// The limits that are negotiated, and the largest body accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tuning {
     /// The highest channel number; 0: any.
@@ -18,7 +18,7 @@
     pub frame_max: u32,
     /// Seconds between heartbeats; 0: none.
     pub heartbeat: u16,
-    /// The largest message body taken, in bytes. It is not negotiated: a larger one closes its channel with 311.
+    /// The largest message body accepted, in bytes. It is not negotiated: a larger one closes its channel with 311.
     pub max_body: u64,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// What a client logs in with; only `PLAIN` is offered.
+/// The credentials and virtual host of a client; the mechanism is always `PLAIN`.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Login {
     /// The user.
--- a/crates/pipithub-amqp/src/frame.rs
+++ b/crates/pipithub-amqp/src/frame.rs
@@ -5,31 +5,43 @@
 use crate::method::{Method, MethodError};
 use crate::properties::Properties;
 use crate::reply::{Code, Fault};
-use crate::wire::{Reader, Writer};
+use crate::wire::{Reader, SyntaxError, Writer};
 
-/// Bytes of a frame beside its payload.
+/// Bytes of a frame beside its payload: header and end octet.
 pub const OVERHEAD: usize = 8;
-/// The least frame-max that may be negotiated.
+/// The smallest frame-max that may be negotiated.
 pub const FRAME_MIN_SIZE: u32 = 4096;
+/// The octet that ends every frame.
 const FRAME_END: u8 = 0xce;
+/// Bytes before the payload: type, channel and size.
+const HEADER_SIZE: usize = 7;
+/// Bytes of the size field, which is the last of the header.
+const SIZE_LENGTH: usize = 4;
+/// The limit on frames in place of a negotiated one of 0, which stands for no limit.
+const UNLIMITED_FRAME_MAX: usize = 16 << 20;
+
+const METHOD: u8 = 1;
+const HEADER: u8 = 2;
+const BODY: u8 = 3;
+const HEARTBEAT: u8 = 8;
 
 /// What a frame carries.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Payload {
     /// A method.
     Method(Method),
-    /// The header of a content.
+    /// The content header of a method.
     Header {
         /// The class of the method that it follows.
         class_id: u16,
         /// Bytes of body to come.
         body_size: u64,
-        /// Its properties.
+        /// The properties of the content.
         properties: Box<Properties>,
     },
-    /// A part of a body.
+    /// A part of the body of a content.
     Body(Bytes),
-    /// A sign of life.
+    /// A heartbeat, which only shows that the peer is alive.
     Heartbeat,
 }
 
@@ -38,21 +50,22 @@
 pub struct Frame {
     /// The channel; 0 is the connection itself.
     pub channel: u16,
-    /// What it carries.
+    /// What the frame carries.
     pub payload: Payload,
 }
 
 impl Frame {
-    /// Appends the frame's bytes.
+    /// Appends the bytes of the frame.
     pub fn write(&self, output: &mut BytesMut) {
         let frame_type = match self.payload {
-            Payload::Method(_) => 1,
-            Payload::Header { .. } => 2,
-            Payload::Body(_) => 3,
-            Payload::Heartbeat => 8,
+            Payload::Method(_) => METHOD,
+            Payload::Header { .. } => HEADER,
+            Payload::Body(_) => BODY,
+            Payload::Heartbeat => HEARTBEAT,
         };
         output.put_u8(frame_type);
         output.put_u16(self.channel);
+        // The size is not known yet and is filled in at the end.
         output.put_u32(0);
         let start = output.len();
         match &self.payload {
@@ -72,21 +85,21 @@
             Payload::Heartbeat => {}
         }
         let size = (output.len() - start) as u32;
-        output[start - 4..start].copy_from_slice(&size.to_be_bytes());
+        output[start - SIZE_LENGTH..start].copy_from_slice(&size.to_be_bytes());
         output.put_u8(FRAME_END);
     }
 }
 
-/// Cuts a stream of bytes into frames.
+/// Splits a stream of bytes into frames.
 #[derive(Debug)]
 pub struct FrameDecoder {
     buffer: BytesMut,
-    /// The largest frame taken, all of its bytes counted.
+    /// The largest frame accepted, including its header and end octet.
     frame_max: usize,
 }
 
 impl FrameDecoder {
-    /// Takes frames of at most so many bytes.
+    /// Accepts frames of at most so many bytes.
     pub fn new(frame_max: u32) -> Self {
         FrameDecoder {
             buffer: BytesMut::new(),
@@ -94,45 +107,45 @@
         }
     }
 
-    /// Sets the negotiated limit; 0 stands for none and is taken as 16 MiB.
+    /// Sets the negotiated limit; 0 stands for no limit and is treated as 16 MiB.
     pub fn set_frame_max(&mut self, frame_max: u32) {
         self.frame_max = if frame_max == 0 {
-            16 << 20
+            UNLIMITED_FRAME_MAX
         } else {
             frame_max as usize
         };
     }
 
-    /// Adds bytes as they came.
+    /// Adds bytes from the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes `count` raw bytes, where they have come: the protocol header.
+    /// Takes `count` bytes that are no frame, once they have arrived: the protocol header.
     pub fn take_raw(&mut self, count: usize) -> Option<BytesMut> {
         (self.buffer.len() >= count).then(|| self.buffer.split_to(count))
     }
 
-    /// Whether the bytes that wait could still begin with these.
+    /// Whether the buffered bytes, and those still to arrive, could begin with these.
     pub fn could_begin_with(&self, expected: &[u8]) -> bool {
         self.buffer.iter().zip(expected).all(|(a, b)| a == b)
     }
 
-    /// The next whole frame. Any fault ends the connection: no later byte can be trusted.
+    /// The next complete frame. Any fault ends the connection: no later byte can be trusted.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, Fault> {
-        let Some(header) = self.buffer.first_chunk::<7>() else {
+        let Some(header) = self.buffer.first_chunk::<HEADER_SIZE>() else {
             return Ok(None);
         };
         let [frame_type, c0, c1, s0, s1, s2, s3] = *header;
         let channel = u16::from_be_bytes([c0, c1]);
         let size = u32::from_be_bytes([s0, s1, s2, s3]) as usize;
-        if !matches!(frame_type, 1 | 2 | 3 | 8) {
+        if !matches!(frame_type, METHOD | HEADER | BODY | HEARTBEAT) {
             return Err(Fault::new(
                 Code::FrameError,
                 format!("unknown frame type {frame_type}"),
             ));
         }
-        // Checked before the bytes have come: no peer can make this end buffer more than a frame.
+        // Checked before the payload has arrived: no peer can make this end buffer more than a frame.
         if size.saturating_add(OVERHEAD) > self.frame_max {
             let text = format!(
                 "frame of {size} bytes is beyond frame-max {}",
@@ -143,7 +156,7 @@
         if self.buffer.len() < size + OVERHEAD {
             return Ok(None);
         }
-        self.buffer.advance(7);
+        self.buffer.advance(HEADER_SIZE);
         let payload = self.buffer.split_to(size).freeze();
         if self.buffer.get_u8() != FRAME_END {
             return Err(Fault::new(Code::FrameError, "frame end octet is missing"));
@@ -155,40 +168,45 @@
     }
 
     fn decode_payload(frame_type: u8, channel: u16, bytes: Bytes) -> Result<Payload, Fault> {
-        Ok(match frame_type {
-            1 => Payload::Method(Method::read(&bytes).map_err(|e| match e {
-                MethodError::Unknown(class_id, method_id) => Fault {
-                    class_id,
-                    method_id,
-                    ..Fault::new(Code::NotImplemented, e.to_string())
-                },
-                MethodError::Syntax(..) => Fault::new(Code::SyntaxError, e.to_string()),
-            })?),
-            2 => {
-                let mut reader = Reader::new(&bytes);
-                let mut read = || {
-                    let class_id = reader.u16()?;
-                    reader.u16()?;
-                    let body_size = reader.u64()?;
-                    let properties = Box::new(Properties::read(&mut reader)?);
-                    reader.finish()?;
-                    Ok(Payload::Header {
-                        class_id,
-                        body_size,
-                        properties,
-                    })
-                };
-                let read: Result<Payload, crate::wire::SyntaxError> = read();
-                read.map_err(|e| Fault::new(Code::SyntaxError, format!("content header: {e}")))?
-            }
-            3 => Payload::Body(bytes),
-            _ if channel != 0 => {
-                return Err(Fault::new(Code::CommandInvalid, "heartbeat on a channel"));
-            }
+        match frame_type {
+            METHOD => decode_method(&bytes),
+            HEADER => decode_content_header(&bytes)
+                .map_err(|error| Fault::new(Code::SyntaxError, format!("content header: {error}"))),
+            BODY => Ok(Payload::Body(bytes)),
+            _ if channel != 0 => Err(Fault::new(Code::CommandInvalid, "heartbeat on a channel")),
             _ if !bytes.is_empty() => {
-                return Err(Fault::new(Code::SyntaxError, "heartbeat with a payload"));
+                Err(Fault::new(Code::SyntaxError, "heartbeat with a payload"))
             }
-            _ => Payload::Heartbeat,
-        })
+            _ => Ok(Payload::Heartbeat),
+        }
+    }
+}
+
+fn decode_method(bytes: &[u8]) -> Result<Payload, Fault> {
+    match Method::read(bytes) {
+        Ok(method) => Ok(Payload::Method(method)),
+        Err(error @ MethodError::Unknown(id)) => Err(Fault {
+            class_id: id.class_id,
+            method_id: id.method_id,
+            ..Fault::new(Code::NotImplemented, error.to_string())
+        }),
+        Err(error @ MethodError::Syntax { .. }) => {
+            Err(Fault::new(Code::SyntaxError, error.to_string()))
+        }
     }
 }
+
+fn decode_content_header(bytes: &[u8]) -> Result<Payload, SyntaxError> {
+    let mut reader = Reader::new(bytes);
+    let class_id = reader.u16()?;
+    // The weight, which the specification reserves.
+    reader.u16()?;
+    let body_size = reader.u64()?;
+    let properties = Box::new(Properties::read(&mut reader)?);
+    reader.finish()?;
+    Ok(Payload::Header {
+        class_id,
+        body_size,
+        properties,
+    })
+}
--- a/crates/pipithub-amqp/src/lib.rs
+++ b/crates/pipithub-amqp/src/lib.rs
@@ -1,10 +1,10 @@
 //! AMQP 0-9-1 without I/O, by the public specification and its errata.
 //!
-//! [`frame`] splits bytes into frames, [`method`] holds every method, [`properties`] the content header, [`value`]
-//! the field tables. [`endpoint`] is the state machine of one connection and its channels, for either end: bytes,
-//! calls and the time go in; bytes, events and the next time-out come out. It never panics on what a peer sends:
-//! each breach ends the channel or the connection with the reply code that the specification names
-//! ([`reply::Code`]).
+//! [`frame`] splits bytes into frames, [`method`] holds every method, [`properties`] the properties of the content
+//! header, [`value`] the field tables. [`endpoint`] is the state machine of one connection and its channels, for either
+//! end: bytes, calls and the time go in; bytes, events and the next time-out come out. It never panics on what a peer
+//! sends: each violation of the protocol closes the channel or the connection with the reply code that the specification
+//! names ([`reply::Code`]).
 //!
 //! Where the specification's table types and their errata differ (`s`, `l`), the errata are followed, as all
 //! brokers and clients in use do.
@@ -24,7 +24,7 @@
 pub use reply::{Code, Fault};
 pub use value::{FieldTable, FieldValue, ShortStr};
 
-/// A point in time or a length of it, in nanoseconds on the caller's clock.
+/// A point in time or a duration, in nanoseconds on the caller's clock.
 pub type Time = u64;
 
 /// The protocol header that a client opens with (specification 4.2.2).
--- a/crates/pipithub-amqp/src/method.rs
+++ b/crates/pipithub-amqp/src/method.rs
@@ -5,26 +5,56 @@
 use crate::value::{FieldTable, ShortStr};
 use crate::wire::{Field, Reader, SyntaxError, Writer};
 
-/// Which end may send a method.
+/// Which end of a connection may send a method.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sender {
     /// The client alone.
     Client,
     /// The server alone.
     Server,
-    /// Both.
+    /// Either end.
     Both,
 }
 
 /// Why a method frame could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MethodError {
-    /// No such class or method.
-    #[error("no method {1} in class {0}")]
-    Unknown(u16, u16),
-    /// Its arguments could not be read.
-    #[error("{1} in method {0}")]
-    Syntax(&'static str, SyntaxError),
+    /// The specification has no such class or method.
+    #[error("no method {} in class {}", .0.method_id, .0.class_id)]
+    Unknown(MethodId),
+    /// The arguments could not be read.
+    #[error("{error} in method {method}")]
+    Syntax {
+        /// The name of the method.
+        method: &'static str,
+        /// What is wrong with its arguments.
+        error: SyntaxError,
+    },
+}
+
+/// The class of the methods that belong to the connection itself.
+pub const CONNECTION_CLASS: u16 = 10;
+
+/// The numbers by which a method is known on the wire.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct MethodId {
+    /// The class.
+    pub class_id: u16,
+    /// The method within its class.
+    pub method_id: u16,
+}
+
+/// What the specification says of a method, whatever its arguments.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MethodInfo {
+    /// The numbers of the method.
+    pub id: MethodId,
+    /// The name, as `basic.publish`.
+    pub name: &'static str,
+    /// Which end may send it.
+    pub sender: Sender,
+    /// Whether a content header and body follow it.
+    pub has_content: bool,
 }
 
 macro_rules! methods {
@@ -38,26 +68,32 @@
         }
 
         impl Method {
-            /// Every method: class, method, name, who may send it, whether content follows.
-            pub const ALL: &'static [(u16, u16, &'static str, Sender, bool)] =
-                &[$(($class, $id, $text, Sender::$sender, $content)),*];
-
-            /// The numbers of its class and itself.
-            pub fn ids(&self) -> (u16, u16) {
-                match self { $(Method::$name { .. } => ($class, $id),)* }
+            /// Every method of the specification.
+            pub const ALL: &'static [MethodInfo] = &[$(MethodInfo {
+                id: MethodId { class_id: $class, method_id: $id },
+                name: $text,
+                sender: Sender::$sender,
+                has_content: $content,
+            }),*];
+
+            /// The numbers by which the method is known on the wire.
+            pub fn id(&self) -> MethodId {
+                match self {
+                    $(Method::$name { .. } => MethodId { class_id: $class, method_id: $id },)*
+                }
             }
 
-            /// Its name, as `basic.publish`.
+            /// The name, as `basic.publish`.
             pub fn name(&self) -> &'static str {
                 match self { $(Method::$name { .. } => $text,)* }
             }
 
-            /// Who may send it.
+            /// Which end may send the method.
             pub fn sender(&self) -> Sender {
                 match self { $(Method::$name { .. } => Sender::$sender,)* }
             }
 
-            /// Whether a content header and body follow it.
+            /// Whether a content header and body follow the method.
             pub fn has_content(&self) -> bool {
                 match self { $(Method::$name { .. } => $content,)* }
             }
@@ -65,9 +101,10 @@
             /// Reads the payload of a method frame, to its last byte.
             pub fn read(payload: &[u8]) -> Result<Self, MethodError> {
                 let mut reader = Reader::new(payload);
-                let syntax = |e| MethodError::Syntax("header", e);
-                let ids = (reader.u16().map_err(syntax)?, reader.u16().map_err(syntax)?);
-                match ids {
+                let syntax = |method, error| MethodError::Syntax { method, error };
+                let class_id = reader.u16().map_err(|error| syntax("header", error))?;
+                let method_id = reader.u16().map_err(|error| syntax("header", error))?;
+                match (class_id, method_id) {
                     $(($class, $id) => {
                         let reader = &mut reader;
                         let body = |reader: &mut Reader<'_>| -> Result<Self, SyntaxError> {
@@ -77,17 +114,17 @@
                             reader.finish()?;
                             Ok(Method::$name { $($field),* })
                         };
-                        body(reader).map_err(|e| MethodError::Syntax($text, e))
+                        body(reader).map_err(|error| syntax($text, error))
                     })*
-                    (class, id) => Err(MethodError::Unknown(class, id)),
+                    _ => Err(MethodError::Unknown(MethodId { class_id, method_id })),
                 }
             }
 
             /// Writes the payload of a method frame.
             pub fn write(&self, writer: &mut Writer<'_>) {
-                let (class, id) = self.ids();
-                writer.u16(class);
-                writer.u16(id);
+                let id = self.id();
+                writer.u16(id.class_id);
+                writer.u16(id.method_id);
                 match self {
                     $(Method::$name { $($field),* } => {
                         $(<$lead as Default>::default().write(writer);)*
--- a/crates/pipithub-amqp/src/properties.rs
+++ b/crates/pipithub-amqp/src/properties.rs
@@ -43,28 +43,28 @@
     15 content_type: ShortStr = short_str, |writer, value| writer.short_str(value);
     /// MIME encoding.
     14 content_encoding: ShortStr = short_str, |writer, value| writer.short_str(value);
-    /// Headers of the application.
+    /// The headers of the application.
     13 headers: FieldTable = table, |writer, value| writer.table(value);
-    /// 1 transient, 2 persistent.
+    /// 1: transient; 2: persistent.
     12 delivery_mode: u8 = u8, |writer, value| writer.u8(*value);
-    /// 0 to 9.
+    /// The priority, 0 to 9.
     11 priority: u8 = u8, |writer, value| writer.u8(*value);
-    /// Ties an answer to its question.
+    /// Correlates a reply with its request.
     10 correlation_id: ShortStr = short_str, |writer, value| writer.short_str(value);
-    /// The queue that an answer goes to.
+    /// The queue for replies.
     9 reply_to: ShortStr = short_str, |writer, value| writer.short_str(value);
     /// Time to live, in milliseconds, as a text.
     8 expiration: ShortStr = short_str, |writer, value| writer.short_str(value);
-    /// The application's id of the message.
+    /// The identifier that the application gave the message.
     7 message_id: ShortStr = short_str, |writer, value| writer.short_str(value);
     /// Seconds since 1970.
     6 timestamp: u64 = u64, |writer, value| writer.u64(*value);
-    /// The name of the message's type.
+    /// The application's name for the type of the message (`type` in the specification).
     5 kind: ShortStr = short_str, |writer, value| writer.short_str(value);
-    /// The user that published it; a broker checks it.
+    /// The user that published the message; a broker checks it.
     4 user_id: ShortStr = short_str, |writer, value| writer.short_str(value);
-    /// The application that published it.
+    /// The application that published the message.
     3 app_id: ShortStr = short_str, |writer, value| writer.short_str(value);
-    /// Not used any more.
+    /// Deprecated by the specification.
     2 cluster_id: ShortStr = short_str, |writer, value| writer.short_str(value);
 }
--- a/crates/pipithub-amqp/src/reply.rs
+++ b/crates/pipithub-amqp/src/reply.rs
@@ -6,7 +6,7 @@
 pub enum Code {
     /// The operation succeeded.
     Success = 200,
-    /// The content is larger than this end takes; channel error.
+    /// The content is larger than this end accepts; channel error.
     ContentTooLarge = 311,
     /// A mandatory message could not be routed; carried by `basic.return`.
     NoRoute = 312,
@@ -75,7 +75,7 @@
             InternalError,
         ]
         .into_iter()
-        .find(|c| *c as u16 == number)
+        .find(|code| *code as u16 == number)
     }
 }
 
@@ -85,16 +85,16 @@
 pub struct Fault {
     /// The reply code, as its number: a peer may send one that is not in the specification.
     pub code: u16,
-    /// What went wrong, for a person.
+    /// What went wrong, for people.
     pub text: String,
-    /// The class of the method that caused it; 0 for none.
+    /// The class of the method that caused it; 0: none did.
     pub class_id: u16,
-    /// The method that caused it; 0 for none.
+    /// The method that caused it; 0: none did.
     pub method_id: u16,
 }
 
 impl Fault {
-    /// A fault that no method caused.
+    /// Creates a fault that no method caused.
     pub fn new(code: Code, text: impl Into<String>) -> Self {
         Fault {
             code: code as u16,
@@ -104,9 +104,11 @@
         }
     }
 
-    /// Names the method that caused it.
+    /// Adds the method that caused the fault.
     pub fn caused_by(mut self, method: &crate::Method) -> Self {
-        (self.class_id, self.method_id) = method.ids();
+        let id = method.id();
+        self.class_id = id.class_id;
+        self.method_id = id.method_id;
         self
     }
 }
--- a/crates/pipithub-amqp/src/value.rs
+++ b/crates/pipithub-amqp/src/value.rs
@@ -6,28 +6,31 @@
 
 use bytes::Bytes;
 
+/// The longest short string, in bytes; its length is one octet on the wire.
+const MAX_SHORT_STR: usize = 255;
+
 /// At most 255 bytes of UTF-8.
 #[derive(Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ShortStr(Box<str>);
 
-/// A text is too long for a short string.
+/// A text that is too long for a short string; its length in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0} bytes do not fit a short string (255 at most)")]
 pub struct TooLong(pub usize);
 
 impl ShortStr {
-    /// Takes a text that fits.
+    /// Creates a short string from a text that fits.
     pub fn new(text: &str) -> Result<Self, TooLong> {
-        if text.len() > 255 {
+        if text.len() > MAX_SHORT_STR {
             Err(TooLong(text.len()))
         } else {
             Ok(ShortStr(text.into()))
         }
     }
 
-    /// Takes as much of a text as fits, cut between characters.
+    /// Creates a short string from as much of a text as fits, cut between characters.
     pub fn truncated(text: &str) -> Self {
-        let mut end = text.len().min(255);
+        let mut end = text.len().min(MAX_SHORT_STR);
         while !text.is_char_boundary(end) {
             end -= 1;
         }
@@ -99,7 +102,7 @@
 }
 
 impl FieldValue {
-    /// The text of a string.
+    /// The text of a long string that is valid UTF-8.
     pub fn as_str(&self) -> Option<&str> {
         match self {
             FieldValue::LongStr(bytes) => std::str::from_utf8(bytes).ok(),
@@ -110,14 +113,14 @@
     /// The value of any whole number.
     pub fn as_i64(&self) -> Option<i64> {
         Some(match self {
-            FieldValue::I8(v) => i64::from(*v),
-            FieldValue::U8(v) => i64::from(*v),
-            FieldValue::I16(v) => i64::from(*v),
-            FieldValue::U16(v) => i64::from(*v),
-            FieldValue::I32(v) => i64::from(*v),
-            FieldValue::U32(v) => i64::from(*v),
-            FieldValue::I64(v) => *v,
-            FieldValue::Timestamp(v) => i64::try_from(*v).ok()?,
+            FieldValue::I8(value) => i64::from(*value),
+            FieldValue::U8(value) => i64::from(*value),
+            FieldValue::I16(value) => i64::from(*value),
+            FieldValue::U16(value) => i64::from(*value),
+            FieldValue::I32(value) => i64::from(*value),
+            FieldValue::U32(value) => i64::from(*value),
+            FieldValue::I64(value) => *value,
+            FieldValue::Timestamp(value) => i64::try_from(*value).ok()?,
             _ => return None,
         })
     }
@@ -125,12 +128,12 @@
     /// The value of any number.
     pub fn as_f64(&self) -> Option<f64> {
         match self {
-            FieldValue::F32(v) => Some(f64::from(*v)),
-            FieldValue::F64(v) => Some(*v),
+            FieldValue::F32(value) => Some(f64::from(*value)),
+            FieldValue::F64(value) => Some(*value),
             FieldValue::Decimal { scale, value } => {
                 Some(f64::from(*value) / 10f64.powi(i32::from(*scale)))
             }
-            other => other.as_i64().map(|v| v as f64),
+            other => other.as_i64().map(|value| value as f64),
         }
     }
 }
@@ -142,12 +145,12 @@
 }
 
 impl From<i64> for FieldValue {
-    fn from(v: i64) -> Self {
-        FieldValue::I64(v)
+    fn from(value: i64) -> Self {
+        FieldValue::I64(value)
     }
 }
 
-/// A field table; names are kept in order, so that equal tables give equal bytes.
+/// A field table. Its names are sorted, so that equal tables have equal encodings.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FieldTable(BTreeMap<ShortStr, FieldValue>);
 
@@ -178,12 +181,12 @@
         self.0.iter()
     }
 
-    /// How many fields there are.
+    /// The number of fields.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no fields.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/pipithub-amqp/src/wire.rs
+++ b/crates/pipithub-amqp/src/wire.rs
@@ -25,20 +25,26 @@
     /// Tables or arrays nested deeper than [`MAX_DEPTH`].
     #[error("tables nested too deep")]
     TooDeep,
-    /// Bytes are left after the last value.
+    /// Bytes follow the last value.
     #[error("{0} bytes left over")]
     TrailingBytes(usize),
 }
 
-/// Tables and arrays may be nested so deep; deeper ones could exhaust the stack.
+/// The deepest nesting of tables and arrays; deeper ones could exhaust the stack.
 pub const MAX_DEPTH: usize = 32;
 
-/// Reads values off the front of a slice; adjacent bits share bytes.
+/// An octet that adjacent bits share, and how many of them were read.
+#[derive(Clone, Copy, Debug)]
+struct BitOctet {
+    octet: u8,
+    used: u8,
+}
+
+/// Reads values from the front of a slice; adjacent bits share octets.
 #[derive(Clone, Debug)]
 pub struct Reader<'a> {
     input: &'a [u8],
-    /// The byte that bits are taken from, and how many were.
-    bits: Option<(u8, u8)>,
+    bits: Option<BitOctet>,
     depth: usize,
 }
 
@@ -54,7 +60,7 @@
 }
 
 impl<'a> Reader<'a> {
-    /// Reads from these bytes.
+    /// Creates a reader of these bytes.
     pub fn new(input: &'a [u8]) -> Self {
         Reader {
             input,
@@ -88,12 +94,18 @@
 
     /// One bit; up to eight adjacent ones share an octet, lowest first.
     pub fn bit(&mut self) -> Result<bool, SyntaxError> {
-        let (byte, used) = match self.bits {
-            Some((byte, used)) if used < 8 => (byte, used),
-            _ => (self.u8()?, 0),
+        let BitOctet { octet, used } = match self.bits {
+            Some(bits) if bits.used < 8 => bits,
+            _ => BitOctet {
+                octet: self.u8()?,
+                used: 0,
+            },
         };
-        self.bits = Some((byte, used + 1));
-        Ok(byte >> used & 1 == 1)
+        self.bits = Some(BitOctet {
+            octet,
+            used: used + 1,
+        });
+        Ok(octet >> used & 1 == 1)
     }
 
     fn take(&mut self, length: usize, what: &'static str) -> Result<&'a [u8], SyntaxError> {
@@ -175,13 +187,13 @@
         })
     }
 
-    /// All bytes that are left.
+    /// Takes all remaining bytes.
     pub fn rest(&mut self) -> &'a [u8] {
         self.bits = None;
         std::mem::take(&mut self.input)
     }
 
-    /// Errors unless all bytes were read.
+    /// Checks that all bytes were read.
     pub fn finish(&self) -> Result<(), SyntaxError> {
         if self.input.is_empty() {
             Ok(())
@@ -191,21 +203,21 @@
     }
 }
 
-/// Appends values to a buffer; adjacent bits share bytes.
+/// Appends values to a buffer; adjacent bits share octets.
 #[derive(Debug)]
 pub struct Writer<'a> {
     output: &'a mut BytesMut,
-    /// How many bits of the last byte are used.
+    /// How many bits of the last octet are used, where a bit was the last value.
     bits: Option<u8>,
 }
 
 impl<'a> Writer<'a> {
-    /// Appends to this buffer.
+    /// Creates a writer that appends to this buffer.
     pub fn new(output: &'a mut BytesMut) -> Self {
         Writer { output, bits: None }
     }
 
-    /// The buffer, after a value that is no bit.
+    /// The buffer, for a value that is not a bit and so begins on an octet of its own.
     fn octets(&mut self) -> &mut BytesMut {
         self.bits = None;
         self.output
@@ -255,7 +267,7 @@
         self.octets().put_slice(value);
     }
 
-    /// Writes with a length of four bytes before it.
+    /// Writes values with their length, in four octets, before them.
     fn nested(&mut self, write: impl FnOnce(&mut Self)) {
         self.u32(0);
         let start = self.output.len();
@@ -266,9 +278,9 @@
     }
 
     /// A field table.
-    pub fn table(&mut self, value: &FieldTable) {
+    pub fn table(&mut self, table: &FieldTable) {
         self.nested(|writer| {
-            for (name, value) in value.iter() {
+            for (name, value) in table.iter() {
                 writer.short_str(name);
                 writer.value(value);
             }
@@ -277,52 +289,73 @@
 
     /// A field value with its type octet.
     pub fn value(&mut self, value: &FieldValue) {
-        let output = self.octets();
+        self.u8(type_octet(value));
         match value {
-            FieldValue::Bool(value) => output.put_slice(&[b't', u8::from(*value)]),
-            FieldValue::I8(value) => output.put_slice(&[b'b', *value as u8]),
-            FieldValue::U8(value) => output.put_slice(&[b'B', *value]),
-            FieldValue::I16(value) => (output.put_u8(b's'), output.put_i16(*value)).1,
-            FieldValue::U16(value) => (output.put_u8(b'u'), output.put_u16(*value)).1,
-            FieldValue::I32(value) => (output.put_u8(b'I'), output.put_i32(*value)).1,
-            FieldValue::U32(value) => (output.put_u8(b'i'), output.put_u32(*value)).1,
-            FieldValue::I64(value) => (output.put_u8(b'l'), output.put_i64(*value)).1,
-            FieldValue::F32(value) => (output.put_u8(b'f'), output.put_f32(*value)).1,
-            FieldValue::F64(value) => (output.put_u8(b'd'), output.put_f64(*value)).1,
+            FieldValue::Bool(value) => self.u8(u8::from(*value)),
+            FieldValue::I8(value) => self.octets().put_i8(*value),
+            FieldValue::U8(value) => self.u8(*value),
+            FieldValue::I16(value) => self.octets().put_i16(*value),
+            FieldValue::U16(value) => self.u16(*value),
+            FieldValue::I32(value) => self.octets().put_i32(*value),
+            FieldValue::U32(value) => self.u32(*value),
+            FieldValue::I64(value) => self.octets().put_i64(*value),
+            FieldValue::F32(value) => self.octets().put_f32(*value),
+            FieldValue::F64(value) => self.octets().put_f64(*value),
             FieldValue::Decimal { scale, value } => {
-                output.put_slice(&[b'D', *scale]);
-                output.put_i32(*value);
+                self.u8(*scale);
+                self.octets().put_i32(*value);
             }
-            FieldValue::LongStr(value) => (output.put_u8(b'S'), self.long_str(value)).1,
-            FieldValue::Bytes(value) => (output.put_u8(b'x'), self.long_str(value)).1,
-            FieldValue::Timestamp(value) => (output.put_u8(b'T'), output.put_u64(*value)).1,
+            FieldValue::LongStr(bytes) | FieldValue::Bytes(bytes) => self.long_str(bytes),
+            FieldValue::Timestamp(seconds) => self.u64(*seconds),
             FieldValue::Array(values) => {
-                output.put_u8(b'A');
                 self.nested(|writer| values.iter().for_each(|value| writer.value(value)));
             }
-            FieldValue::Table(value) => (output.put_u8(b'F'), self.table(value)).1,
-            FieldValue::Void => output.put_u8(b'V'),
+            FieldValue::Table(table) => self.table(table),
+            FieldValue::Void => {}
         }
     }
 }
 
-/// A value that a method's argument may have.
+/// The octet that stands for the type of a value in tables and arrays.
+fn type_octet(value: &FieldValue) -> u8 {
+    match value {
+        FieldValue::Bool(_) => b't',
+        FieldValue::I8(_) => b'b',
+        FieldValue::U8(_) => b'B',
+        FieldValue::I16(_) => b's',
+        FieldValue::U16(_) => b'u',
+        FieldValue::I32(_) => b'I',
+        FieldValue::U32(_) => b'i',
+        FieldValue::I64(_) => b'l',
+        FieldValue::F32(_) => b'f',
+        FieldValue::F64(_) => b'd',
+        FieldValue::Decimal { .. } => b'D',
+        FieldValue::LongStr(_) => b'S',
+        FieldValue::Bytes(_) => b'x',
+        FieldValue::Timestamp(_) => b'T',
+        FieldValue::Array(_) => b'A',
+        FieldValue::Table(_) => b'F',
+        FieldValue::Void => b'V',
+    }
+}
+
+/// A type that a method's argument may have.
 pub trait Field: Sized {
-    /// Reads it.
+    /// Reads an argument of this type.
     fn read(reader: &mut Reader<'_>) -> Result<Self, SyntaxError>;
-    /// Writes it.
+    /// Writes an argument of this type.
     fn write(&self, writer: &mut Writer<'_>);
 }
 
 macro_rules! fields {
-    ($($ty:ty: $name:ident, $deref:expr;)*) => {
+    ($($ty:ty: $name:ident, $write:expr;)*) => {
         $(impl Field for $ty {
             fn read(reader: &mut Reader<'_>) -> Result<Self, SyntaxError> {
                 reader.$name()
             }
             fn write(&self, writer: &mut Writer<'_>) {
-                let pass: fn(&$ty, &mut Writer<'_>) = $deref;
-                pass(self, writer);
+                let write: fn(&$ty, &mut Writer<'_>) = $write;
+                write(self, writer);
             }
         })*
     };
--- a/crates/pipithub-amqp/tests/codec.rs
+++ b/crates/pipithub-amqp/tests/codec.rs
@@ -3,6 +3,7 @@
 
 use bytes::{Bytes, BytesMut};
 use pipithub_amqp::frame::OVERHEAD;
+use pipithub_amqp::method::{MethodId, MethodInfo};
 use pipithub_amqp::wire::MAX_DEPTH;
 use pipithub_amqp::{
     Code, FieldTable, FieldValue, Frame, FrameDecoder, Method, Payload, Properties, ShortStr,
@@ -22,15 +23,15 @@
 }
 
 /// The shortest payload that reads as this method: all arguments zero or empty.
-fn minimal_method(class: u16, id: u16) -> Method {
+fn minimal_method(id: MethodId) -> Method {
     (0..64)
         .find_map(|zeros| {
-            let mut payload = Vec::from(class.to_be_bytes());
-            payload.extend(id.to_be_bytes());
+            let mut payload = Vec::from(id.class_id.to_be_bytes());
+            payload.extend(id.method_id.to_be_bytes());
             payload.extend(std::iter::repeat_n(0, zeros));
             Method::read(&payload).ok()
         })
-        .unwrap_or_else(|| panic!("method {class}.{id} cannot be read from zeros"))
+        .unwrap_or_else(|| panic!("{id:?} cannot be read from zeros"))
 }
 
 fn short() -> impl Strategy<Value = ShortStr> {
@@ -146,8 +147,7 @@
                 locales: Bytes::from_static(b"en_US"),
             }
         }),
-        prop::sample::select(Method::ALL.to_vec())
-            .prop_map(|(class, id, ..)| minimal_method(class, id)),
+        prop::sample::select(Method::ALL.to_vec()).prop_map(|info| minimal_method(info.id)),
     ]
 }
 
@@ -167,9 +167,9 @@
 #[test]
 fn every_method_round_trips() {
     assert_eq!(Method::ALL.len(), 64);
-    for (class, id, name, ..) in Method::ALL {
-        let method = minimal_method(*class, *id);
-        assert_eq!((method.ids(), method.name()), ((*class, *id), *name));
+    for MethodInfo { id, name, .. } in Method::ALL {
+        let method = minimal_method(*id);
+        assert_eq!((method.id(), method.name()), (*id, *name));
         let frame = Frame {
             channel: 1,
             payload: Payload::Method(method),
@@ -229,10 +229,10 @@
 
 #[test]
 fn an_independent_codec_agrees_on_every_method() {
-    for (class, id, name, ..) in Method::ALL {
+    for MethodInfo { id, name, .. } in Method::ALL {
         let bytes = bytes_of(&Frame {
             channel: 1,
-            payload: Payload::Method(minimal_method(*class, *id)),
+            payload: Payload::Method(minimal_method(*id)),
         });
         let (_, theirs) = amq_protocol::frame::parse_frame(&bytes[..]).expect(name);
         let output =
@@ -325,11 +325,11 @@
     );
 }
 
-/// The page for queue users tells of each method how it is met.
+/// The page for users of queues says of each method how it is supported.
 #[test]
 fn the_page_names_every_method() {
     let page = include_str!("../../../docs/amqp.md");
-    for (_, _, name, ..) in Method::ALL {
+    for MethodInfo { name, .. } in Method::ALL {
         assert!(
             page.contains(&format!("`{name}`")),
             "docs/amqp.md does not name {name}"
