--- a/crates/pipithub-baselines/src/lib.rs
+++ b/crates/pipithub-baselines/src/lib.rs
@@ -19,15 +19,15 @@
 }
 
 #[derive(Debug)]
-struct Open {
-    call: Request,
+struct PendingRequest {
+    request: Request,
     deadline: Time,
     attempts: u32,
-    out: bool,
+    in_flight: bool,
     /// When it was first sent in a way that may have run.
     may_have_run: Option<Time>,
-    sent: Time,
-    tried: Vec<WorkerId>,
+    last_attempt_at: Time,
+    attempted_workers: Vec<WorkerId>,
 }
 
 /// A textbook policy.
@@ -36,8 +36,8 @@
     policy: Policy,
     settings: Settings,
     workers: BTreeMap<WorkerId, (EndpointState, u32)>,
-    open: BTreeMap<RequestId, Open>,
-    turn: usize,
+    pending_requests: BTreeMap<RequestId, PendingRequest>,
+    round_robin_turn: usize,
 }
 
 impl Baseline {
@@ -47,25 +47,25 @@
             policy,
             settings,
             workers: BTreeMap::new(),
-            open: BTreeMap::new(),
-            turn: 0,
+            pending_requests: BTreeMap::new(),
+            round_robin_turn: 0,
         }
     }
 
-    fn effect(&self, open: &Open) -> Idempotency {
+    fn idempotency(&self, pending: &PendingRequest) -> Idempotency {
         self.settings
             .classes
-            .get(open.call.class)
+            .get(pending.request.class)
             .map_or(Idempotency::NonIdempotent, |c| c.idempotency)
     }
 
-    fn may_repeat(&self, now: Time, open: &Open) -> bool {
-        let Some(first) = open.may_have_run else {
+    fn may_retry(&self, now: Time, pending: &PendingRequest) -> bool {
+        let Some(first) = pending.may_have_run else {
             return true;
         };
         match (
-            self.effect(open),
-            self.settings.classes.get(open.call.class),
+            self.idempotency(pending),
+            self.settings.classes.get(pending.request.class),
         ) {
             (Idempotency::Idempotent, _) => true,
             (Idempotency::WithKey, Some(c)) => {
@@ -76,45 +76,50 @@
         }
     }
 
-    fn pick(&mut self, tried: &[WorkerId]) -> Option<WorkerId> {
-        let live: Vec<(&WorkerId, u32)> = self
+    fn choose_worker(&mut self, attempted_workers: &[WorkerId]) -> Option<WorkerId> {
+        let ready_workers: Vec<(&WorkerId, u32)> = self
             .workers
             .iter()
-            .filter(|(w, (s, _))| *s == EndpointState::Ready && !tried.contains(w))
-            .map(|(w, (_, held))| (w, *held))
+            .filter(|(w, (s, _))| *s == EndpointState::Ready && !attempted_workers.contains(w))
+            .map(|(w, (_, in_flight))| (w, *in_flight))
             .collect();
-        self.turn += 1;
+        self.round_robin_turn += 1;
         match self.policy {
-            _ if live.is_empty() => None,
-            Policy::RoundRobin => Some(live[self.turn % live.len()].0.clone()),
-            Policy::LeastLoaded => live
+            _ if ready_workers.is_empty() => None,
+            Policy::RoundRobin => Some(
+                ready_workers[self.round_robin_turn % ready_workers.len()]
+                    .0
+                    .clone(),
+            ),
+            Policy::LeastLoaded => ready_workers
                 .into_iter()
-                .min_by_key(|(_, held)| *held)
+                .min_by_key(|(_, in_flight)| *in_flight)
                 .map(|(w, _)| w.clone()),
         }
     }
 
-    fn place(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.get(&id) else {
+    fn forward_or_end(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(pending) = self.pending_requests.get(&id) else {
             return;
         };
-        let late = now + 2 * self.settings.tick >= open.deadline;
-        let spent = open.attempts >= self.settings.limits.max_attempts;
-        let tried = open.tried.clone();
-        if late || spent || !self.may_repeat(now, open) {
-            return self.end(id, actions);
+        let is_late = now + 2 * self.settings.tick >= pending.deadline;
+        let is_exhausted = pending.attempts >= self.settings.limits.max_attempts;
+        let attempted_workers = pending.attempted_workers.clone();
+        if is_late || is_exhausted || !self.may_retry(now, pending) {
+            return self.reject_or_fail(id, actions);
         }
-        let Some(worker) = self.pick(&tried) else {
-            return self.end(id, actions);
+        let Some(worker) = self.choose_worker(&attempted_workers) else {
+            return self.reject_or_fail(id, actions);
         };
-        if let Some((_, held)) = self.workers.get_mut(&worker) {
-            *held += 1;
+        if let Some((_, in_flight)) = self.workers.get_mut(&worker) {
+            *in_flight += 1;
         }
-        let Some(open) = self.open.get_mut(&id) else {
+        let Some(pending) = self.pending_requests.get_mut(&id) else {
             return;
         };
-        (open.attempts, open.out, open.sent) = (open.attempts + 1, true, now);
-        open.tried.push(worker.clone());
+        (pending.attempts, pending.in_flight, pending.last_attempt_at) =
+            (pending.attempts + 1, true, now);
+        pending.attempted_workers.push(worker.clone());
         actions.push(Action::Forward {
             request: id,
             worker,
@@ -122,19 +127,19 @@
         });
     }
 
-    fn end(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.remove(&id) else {
+    fn reject_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(pending) = self.pending_requests.remove(&id) else {
             return;
         };
-        if open.out && self.settings.limits.cancel {
+        if pending.in_flight && self.settings.limits.cancel {
             actions.push(Action::Cancel {
                 request: id,
-                attempt: open.attempts - 1,
+                attempt: pending.attempts - 1,
             });
         }
-        let harmless = self.effect(&open) == Idempotency::Idempotent
-            || open.may_have_run.is_none() && !open.out;
-        actions.push(if harmless {
+        let is_safe_to_reject = self.idempotency(&pending) == Idempotency::Idempotent
+            || pending.may_have_run.is_none() && !pending.in_flight;
+        actions.push(if is_safe_to_reject {
             Action::Reject {
                 request: id,
                 retry_after: None,
@@ -148,81 +153,78 @@
 impl Decide for Baseline {
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Endpoints {
-                update: kind,
-                endpoints: entries,
-            } => {
-                if matches!(kind, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
+            Event::Endpoints { update, endpoints } => {
+                if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
                     self.workers
-                        .retain(|w, _| entries.iter().any(|e| e.worker == *w));
+                        .retain(|w, _| endpoints.iter().any(|e| e.worker == *w));
                 }
-                for entry in entries {
-                    match entry.state {
-                        EndpointState::Removed => drop(self.workers.remove(&entry.worker)),
-                        state => self.workers.entry(entry.worker).or_default().0 = state,
+                for endpoint in endpoints {
+                    match endpoint.state {
+                        EndpointState::Removed => drop(self.workers.remove(&endpoint.worker)),
+                        state => self.workers.entry(endpoint.worker).or_default().0 = state,
                     }
                 }
             }
-            Event::Arrived(call) => {
-                let give_up = self
+            Event::Arrived(request) => {
+                let client_timeout = self
                     .settings
                     .classes
-                    .get(call.class)
+                    .get(request.class)
                     .map_or(0, |c| c.client_timeout);
-                let budget = call.timeout.unwrap_or(give_up);
-                let (id, deadline) = (call.id, now + budget);
-                let after = budget.saturating_sub(2 * self.settings.tick);
+                let timeout = request.timeout.unwrap_or(client_timeout);
+                let (id, deadline) = (request.id, now + timeout);
+                let after = timeout.saturating_sub(2 * self.settings.tick);
                 actions.push(Action::SetTimer { after, token: id });
-                let (may_have_run, tried) = (None, Vec::new());
-                self.open.insert(
+                let (may_have_run, attempted_workers) = (None, Vec::new());
+                self.pending_requests.insert(
                     id,
-                    Open {
-                        call,
+                    PendingRequest {
+                        request,
                         deadline,
                         attempts: 0,
-                        out: false,
+                        in_flight: false,
                         may_have_run,
-                        sent: now,
-                        tried,
+                        last_attempt_at: now,
+                        attempted_workers,
                     },
                 );
-                self.place(now, id, actions);
+                self.forward_or_end(now, id, actions);
             }
             Event::AttemptFinished(end) => {
-                if let Some((_, held)) = self.workers.get_mut(&end.worker) {
-                    *held = held.saturating_sub(1);
+                if let Some((_, in_flight)) = self.workers.get_mut(&end.worker) {
+                    *in_flight = in_flight.saturating_sub(1);
                 }
                 if end.settled {
-                    self.open.remove(&end.request);
+                    self.pending_requests.remove(&end.request);
                     return;
                 }
-                let Some(open) = self.open.get_mut(&end.request) else {
+                let Some(pending) = self.pending_requests.get_mut(&end.request) else {
                     return;
                 };
-                open.out = false;
+                pending.in_flight = false;
                 if !end.outcome.never_ran() && end.outcome != Outcome::Served {
-                    open.may_have_run.get_or_insert(open.sent);
+                    pending.may_have_run.get_or_insert(pending.last_attempt_at);
                 }
-                self.place(now, end.request, actions);
+                self.forward_or_end(now, end.request, actions);
             }
             Event::ClientCancelled { request } => {
-                if let Some(open) = self.open.remove(&request)
-                    && open.out
+                if let Some(pending) = self.pending_requests.remove(&request)
+                    && pending.in_flight
                     && self.settings.limits.cancel
                 {
                     actions.push(Action::Cancel {
                         request,
-                        attempt: open.attempts - 1,
+                        attempt: pending.attempts - 1,
                     });
                 }
             }
             Event::Timer { token } => {
                 if self
-                    .open
+                    .pending_requests
                     .get(&token)
                     .is_some_and(|o| now + 3 * self.settings.tick >= o.deadline)
                 {
-                    self.end(token, actions);
+                    self.reject_or_fail(token, actions);
                 }
             }
             Event::Streaming { .. }
