--- a/crates/pipithub-baselines/src/lib.rs
+++ b/crates/pipithub-baselines/src/lib.rs
@@ -1,47 +1,62 @@
-//! Textbook policies in the module's place, for comparison in drills alone: they take the same events and give the same
-//! actions. Both keep what a caller is promised (one answer, no effect twice, drains); neither foresees anything.
+//! Textbook load-balancing policies in place of the decision module, for comparison in scenarios alone.
+//!
+//! They take the same events and return the same actions. Both keep what a client is promised: one answer, no repeated
+//! effect of a request that is not idempotent, no new requests for draining workers. Neither predicts anything.
 
 use std::collections::BTreeMap;
 
 use pipithub_engine::Decide;
 use pipithub_engine::policy::{
-    Action, DeduplicationScope, EndpointState, EndpointUpdate, Event, Idempotency, Outcome,
-    Request, RequestId, Settings, Time, WorkerId,
+    Action, AttemptFinished, Class, DeduplicationScope, Endpoint, EndpointState, EndpointUpdate,
+    Event, Idempotency, Outcome, Request, RequestId, Settings, Time, WorkerId,
 };
 
+/// No request is forwarded this many ticks before its deadline or later.
+const FORWARD_MARGIN_TICKS: Time = 2;
+/// A timer ends a request that is at most this many ticks before its deadline.
+const TIMER_MARGIN_TICKS: Time = 3;
+/// No request with an idempotency key is retried this many ticks before its deduplication window ends or later.
+const DEDUPLICATION_MARGIN_TICKS: Time = 10;
+
 /// Which policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// Workers in turn.
+    /// Each request goes to the next worker in turn.
     RoundRobin,
-    /// The worker with the fewest own sends out.
+    /// Each request goes to the worker with the fewest requests of this front end in flight.
     LeastLoaded,
 }
 
+#[derive(Debug)]
+struct Worker {
+    state: EndpointState,
+    in_flight: u32,
+}
+
 #[derive(Debug)]
 struct PendingRequest {
     request: Request,
     deadline: Time,
     attempts: u32,
     in_flight: bool,
-    /// When it was first sent in a way that may have run.
+    /// When the first attempt was sent that may have run.
     may_have_run: Option<Time>,
     last_attempt_at: Time,
     attempted_workers: Vec<WorkerId>,
 }
 
-/// A textbook policy.
+/// A front end that decides by a textbook policy.
 #[derive(Debug)]
 pub struct Baseline {
     policy: Policy,
     settings: Settings,
-    workers: BTreeMap<WorkerId, (EndpointState, u32)>,
+    workers: BTreeMap<WorkerId, Worker>,
     pending_requests: BTreeMap<RequestId, PendingRequest>,
     round_robin_turn: usize,
 }
 
 impl Baseline {
-    /// One that knows nothing but its settings.
+    /// Creates a front end without workers and requests.
     pub fn new(policy: Policy, settings: Settings) -> Self {
         Baseline {
             policy,
@@ -52,73 +67,78 @@
         }
     }
 
-    fn idempotency(&self, pending: &PendingRequest) -> Idempotency {
-        self.settings
-            .classes
-            .get(pending.request.class)
-            .map_or(Idempotency::NonIdempotent, |c| c.idempotency)
+    fn class(&self, request: &Request) -> Option<&Class> {
+        self.settings.classes.get(request.class)
+    }
+
+    fn idempotency(&self, request: &Request) -> Idempotency {
+        self.class(request)
+            .map_or(Idempotency::NonIdempotent, |class| class.idempotency)
     }
 
     fn may_retry(&self, now: Time, pending: &PendingRequest) -> bool {
-        let Some(first) = pending.may_have_run else {
+        let Some(first_attempt) = pending.may_have_run else {
             return true;
         };
-        match (
-            self.idempotency(pending),
-            self.settings.classes.get(pending.request.class),
-        ) {
-            (Idempotency::Idempotent, _) => true,
-            (Idempotency::WithKey, Some(c)) => {
-                c.deduplication_scope == DeduplicationScope::All
-                    && now + 10 * self.settings.tick < first + c.deduplication_window
+        let Some(class) = self.class(&pending.request) else {
+            return false;
+        };
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::WithKey => {
+                let margin = DEDUPLICATION_MARGIN_TICKS * self.settings.tick;
+                class.deduplication_scope == DeduplicationScope::All
+                    && now + margin < first_attempt + class.deduplication_window
             }
-            _ => false,
+            Idempotency::NonIdempotent => false,
         }
     }
 
     fn choose_worker(&mut self, attempted_workers: &[WorkerId]) -> Option<WorkerId> {
-        let ready_workers: Vec<(&WorkerId, u32)> = self
-            .workers
-            .iter()
-            .filter(|(w, (s, _))| *s == EndpointState::Ready && !attempted_workers.contains(w))
-            .map(|(w, (_, in_flight))| (w, *in_flight))
-            .collect();
         self.round_robin_turn += 1;
-        match self.policy {
-            _ if ready_workers.is_empty() => None,
-            Policy::RoundRobin => Some(
-                ready_workers[self.round_robin_turn % ready_workers.len()]
-                    .0
-                    .clone(),
-            ),
-            Policy::LeastLoaded => ready_workers
-                .into_iter()
-                .min_by_key(|(_, in_flight)| *in_flight)
-                .map(|(w, _)| w.clone()),
-        }
+        let is_candidate = |(id, worker): &(&WorkerId, &Worker)| {
+            worker.state == EndpointState::Ready && !attempted_workers.contains(id)
+        };
+        let mut candidates = self.workers.iter().filter(is_candidate);
+        let chosen = match self.policy {
+            Policy::RoundRobin => {
+                let count = candidates.clone().count();
+                let turn = self.round_robin_turn.checked_rem(count)?;
+                candidates.nth(turn)
+            }
+            Policy::LeastLoaded => candidates.min_by_key(|(_, worker)| worker.in_flight),
+        };
+        chosen.map(|(id, _)| id.clone())
     }
 
+    /// Sends the next attempt of a request, or ends the request where none may be sent.
     fn forward_or_end(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending_requests.get(&id) else {
             return;
         };
-        let is_late = now + 2 * self.settings.tick >= pending.deadline;
+        let margin = FORWARD_MARGIN_TICKS * self.settings.tick;
+        let is_late = now + margin >= pending.deadline;
         let is_exhausted = pending.attempts >= self.settings.limits.max_attempts;
-        let attempted_workers = pending.attempted_workers.clone();
         if is_late || is_exhausted || !self.may_retry(now, pending) {
             return self.reject_or_fail(id, actions);
         }
+        let attempted_workers = pending.attempted_workers.clone();
         let Some(worker) = self.choose_worker(&attempted_workers) else {
             return self.reject_or_fail(id, actions);
         };
-        if let Some((_, in_flight)) = self.workers.get_mut(&worker) {
-            *in_flight += 1;
+        self.forward(now, id, worker, actions);
+    }
+
+    fn forward(&mut self, now: Time, id: RequestId, worker: WorkerId, actions: &mut Vec<Action>) {
+        if let Some(state) = self.workers.get_mut(&worker) {
+            state.in_flight += 1;
         }
         let Some(pending) = self.pending_requests.get_mut(&id) else {
             return;
         };
-        (pending.attempts, pending.in_flight, pending.last_attempt_at) =
-            (pending.attempts + 1, true, now);
+        pending.attempts += 1;
+        pending.in_flight = true;
+        pending.last_attempt_at = now;
         pending.attempted_workers.push(worker.clone());
         actions.push(Action::Forward {
             request: id,
@@ -127,19 +147,15 @@
         });
     }
 
+    /// Ends a request without a response: rejects it where the client may safely retry, and fails it otherwise.
     fn reject_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending_requests.remove(&id) else {
             return;
         };
-        if pending.in_flight && self.settings.limits.cancel {
-            actions.push(Action::Cancel {
-                request: id,
-                attempt: pending.attempts - 1,
-            });
-        }
-        let is_safe_to_reject = self.idempotency(&pending) == Idempotency::Idempotent
-            || pending.may_have_run.is_none() && !pending.in_flight;
-        actions.push(if is_safe_to_reject {
+        self.cancel_attempt(&pending, actions);
+        let never_ran = pending.may_have_run.is_none() && !pending.in_flight;
+        let is_idempotent = self.idempotency(&pending.request) == Idempotency::Idempotent;
+        actions.push(if is_idempotent || never_ran {
             Action::Reject {
                 request: id,
                 retry_after: None,
@@ -148,85 +164,98 @@
             Action::Fail { request: id }
         });
     }
+
+    fn cancel_attempt(&self, pending: &PendingRequest, actions: &mut Vec<Action>) {
+        if pending.in_flight && self.settings.limits.cancel {
+            actions.push(Action::Cancel {
+                request: pending.request.id,
+                attempt: pending.attempts - 1,
+            });
+        }
+    }
+
+    fn update_endpoints(&mut self, update: EndpointUpdate, endpoints: Vec<Endpoint>) {
+        if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
+            self.workers
+                .retain(|id, _| endpoints.iter().any(|endpoint| endpoint.worker == *id));
+        }
+        for endpoint in endpoints {
+            if endpoint.state == EndpointState::Removed {
+                self.workers.remove(&endpoint.worker);
+                continue;
+            }
+            let worker = self.workers.entry(endpoint.worker).or_insert(Worker {
+                state: endpoint.state,
+                in_flight: 0,
+            });
+            worker.state = endpoint.state;
+        }
+    }
+
+    fn receive_request(&mut self, now: Time, request: Request, actions: &mut Vec<Action>) {
+        let client_timeout = self.class(&request).map_or(0, |class| class.client_timeout);
+        let timeout = request.timeout.unwrap_or(client_timeout);
+        let id = request.id;
+        actions.push(Action::SetTimer {
+            after: timeout.saturating_sub(FORWARD_MARGIN_TICKS * self.settings.tick),
+            token: id,
+        });
+        let pending = PendingRequest {
+            request,
+            deadline: now + timeout,
+            attempts: 0,
+            in_flight: false,
+            may_have_run: None,
+            last_attempt_at: now,
+            attempted_workers: Vec::new(),
+        };
+        self.pending_requests.insert(id, pending);
+        self.forward_or_end(now, id, actions);
+    }
+
+    fn finish_attempt(&mut self, now: Time, attempt: &AttemptFinished, actions: &mut Vec<Action>) {
+        if let Some(worker) = self.workers.get_mut(&attempt.worker) {
+            worker.in_flight = worker.in_flight.saturating_sub(1);
+        }
+        if attempt.settled {
+            self.pending_requests.remove(&attempt.request);
+            return;
+        }
+        let Some(pending) = self.pending_requests.get_mut(&attempt.request) else {
+            return;
+        };
+        pending.in_flight = false;
+        if !attempt.outcome.never_ran() && attempt.outcome != Outcome::Served {
+            pending.may_have_run.get_or_insert(pending.last_attempt_at);
+        }
+        self.forward_or_end(now, attempt.request, actions);
+    }
+
+    /// Ends a request whose deadline is near; the timer of a request that has ended does nothing.
+    fn check_deadline(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
+        let margin = TIMER_MARGIN_TICKS * self.settings.tick;
+        let is_due = self
+            .pending_requests
+            .get(&id)
+            .is_some_and(|pending| now + margin >= pending.deadline);
+        if is_due {
+            self.reject_or_fail(id, actions);
+        }
+    }
 }
 
 impl Decide for Baseline {
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Endpoints { update, endpoints } => {
-                if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
-                    self.workers
-                        .retain(|w, _| endpoints.iter().any(|e| e.worker == *w));
-                }
-                for endpoint in endpoints {
-                    match endpoint.state {
-                        EndpointState::Removed => drop(self.workers.remove(&endpoint.worker)),
-                        state => self.workers.entry(endpoint.worker).or_default().0 = state,
-                    }
-                }
-            }
-            Event::Arrived(request) => {
-                let client_timeout = self
-                    .settings
-                    .classes
-                    .get(request.class)
-                    .map_or(0, |c| c.client_timeout);
-                let timeout = request.timeout.unwrap_or(client_timeout);
-                let (id, deadline) = (request.id, now + timeout);
-                let after = timeout.saturating_sub(2 * self.settings.tick);
-                actions.push(Action::SetTimer { after, token: id });
-                let (may_have_run, attempted_workers) = (None, Vec::new());
-                self.pending_requests.insert(
-                    id,
-                    PendingRequest {
-                        request,
-                        deadline,
-                        attempts: 0,
-                        in_flight: false,
-                        may_have_run,
-                        last_attempt_at: now,
-                        attempted_workers,
-                    },
-                );
-                self.forward_or_end(now, id, actions);
-            }
-            Event::AttemptFinished(end) => {
-                if let Some((_, in_flight)) = self.workers.get_mut(&end.worker) {
-                    *in_flight = in_flight.saturating_sub(1);
-                }
-                if end.settled {
-                    self.pending_requests.remove(&end.request);
-                    return;
-                }
-                let Some(pending) = self.pending_requests.get_mut(&end.request) else {
-                    return;
-                };
-                pending.in_flight = false;
-                if !end.outcome.never_ran() && end.outcome != Outcome::Served {
-                    pending.may_have_run.get_or_insert(pending.last_attempt_at);
-                }
-                self.forward_or_end(now, end.request, actions);
-            }
+            Event::Endpoints { update, endpoints } => self.update_endpoints(update, endpoints),
+            Event::Arrived(request) => self.receive_request(now, request, actions),
+            Event::AttemptFinished(attempt) => self.finish_attempt(now, &attempt, actions),
             Event::ClientCancelled { request } => {
-                if let Some(pending) = self.pending_requests.remove(&request)
-                    && pending.in_flight
-                    && self.settings.limits.cancel
-                {
-                    actions.push(Action::Cancel {
-                        request,
-                        attempt: pending.attempts - 1,
-                    });
-                }
-            }
-            Event::Timer { token } => {
-                if self
-                    .pending_requests
-                    .get(&token)
-                    .is_some_and(|o| now + 3 * self.settings.tick >= o.deadline)
-                {
-                    self.reject_or_fail(token, actions);
+                if let Some(pending) = self.pending_requests.remove(&request) {
+                    self.cancel_attempt(&pending, actions);
                 }
             }
+            Event::Timer { token } => self.check_deadline(now, token, actions),
             Event::Streaming { .. }
             | Event::LoadPolled { .. }
             | Event::LoadFinished(_)
