--- a/crates/pipithub-characterization/src/adapter_scenario/discovery.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/discovery.rs
@@ -1,7 +1,7 @@
 //! What front ends are told of the workers, and how their lives begin and end.
 
 use super::MILLISECOND;
-use super::tier::Listed;
+use super::tier::EndpointState;
 use super::world::{Event, FrontEnd, World};
 
 impl World<'_> {
@@ -16,14 +16,15 @@
         self.emit(&format!("backends_changed {kind}"), head);
         for number in workers {
             let worker = &self.workers[*number];
-            self.lines.push(worker.entry());
-            self.by_address.insert(worker.address.clone(), *number);
+            self.lines.push(worker.entry_line());
+            self.workers_by_address
+                .insert(worker.address.clone(), *number);
         }
     }
 
-    pub(super) fn listed(&self) -> Vec<usize> {
+    pub(super) fn present_workers(&self) -> Vec<usize> {
         (0..self.workers.len())
-            .filter(|n| self.workers[*n].listed != Listed::Gone)
+            .filter(|n| self.workers[*n].state != EndpointState::Removed)
             .collect()
     }
 
@@ -41,10 +42,10 @@
     }
 
     pub(super) fn notify_all(&mut self, kind: &str) {
-        let listed = self.listed();
+        let present = self.present_workers();
         for front_end in 0..self.front_ends.len() {
             if self.front_ends[front_end].subscribed {
-                self.emit_endpoints(front_end, kind, &listed);
+                self.emit_endpoints(front_end, kind, &present);
             }
         }
     }
@@ -54,13 +55,13 @@
             return self.emit_endpoints(front_end, "lost", &[]);
         }
         self.front_ends[front_end].subscribed = true;
-        let listed = self.listed();
-        self.emit_endpoints(front_end, "total", &listed);
+        let present = self.present_workers();
+        self.emit_endpoints(front_end, "total", &present);
     }
 
     pub(super) fn lose_subscription(&mut self) {
         let front_end = self.random.between(0, self.front_ends.len() as u64 - 1) as usize;
-        if self.settings.list_on_request && self.front_ends[front_end].subscribed {
+        if self.settings.watch_on_request && self.front_ends[front_end].subscribed {
             self.front_ends[front_end].subscribed = false;
             self.emit_endpoints(front_end, "lost", &[]);
         }
@@ -70,11 +71,11 @@
 
     /// A front end begins, with a list that may be stale.
     pub(super) fn attach(&mut self, number: usize) {
-        self.withdraw_all(number);
-        let life = self.front_ends[number].life + 1;
-        let subscribed = !self.settings.list_on_request;
+        self.release_attempts(number);
+        let incarnation = self.front_ends[number].incarnation + 1;
+        let subscribed = !self.settings.watch_on_request;
         self.front_ends[number] = FrontEnd {
-            life,
+            incarnation,
             subscribed,
             ..FrontEnd::default()
         };
@@ -82,7 +83,7 @@
         let text = self.settings.text(number as u64);
         self.emit("attach", format!("attach {number} {seed} {text}"));
         let stale: Vec<_> = self
-            .listed()
+            .present_workers()
             .into_iter()
             .filter(|_| !self.random.per_mille(100))
             .collect();
@@ -93,21 +94,21 @@
                 at,
                 Event::SubscriptionAnswer {
                     front_end: number,
-                    life,
+                    incarnation,
                 },
             );
         }
     }
 
-    /// What a front end that ends has out is held by the workers no more.
-    pub(super) fn withdraw_all(&mut self, front_end: usize) {
+    /// Attempts of a front end that ends are no longer in flight at the workers.
+    pub(super) fn release_attempts(&mut self, front_end: usize) {
         let attempts = self.front_ends[front_end]
             .requests
             .values()
             .flat_map(|request| &request.attempts);
         for attempt in attempts.filter(|attempt| !attempt.ended) {
             let worker = &mut self.workers[attempt.worker];
-            worker.held = worker.held.saturating_sub(1);
+            worker.in_flight = worker.in_flight.saturating_sub(1);
         }
     }
 
--- a/crates/pipithub-characterization/src/adapter_scenario/incidents.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/incidents.rs
@@ -1,7 +1,7 @@
 //! What befalls workers and front ends in the course of a scenario.
 
 use super::settings::ZONES;
-use super::tier::{Condition, Listed, Worker};
+use super::tier::{Condition, EndpointState, Worker};
 use super::world::{Event, World};
 use super::{MILLISECOND, SECOND};
 
@@ -15,30 +15,30 @@
             0 => self.drain(worker),
             1 => self.crash(worker),
             2 => self.zone_outage(),
-            3 => self.strike(worker, Condition::Slow),
-            4 => self.strike(worker, Condition::Failing),
-            5 => self.strike(worker, Condition::Full),
-            6 => self.strike(worker, Condition::Silent),
+            3 => self.impair(worker, Condition::Slow),
+            4 => self.impair(worker, Condition::Failing),
+            5 => self.impair(worker, Condition::AtCapacity),
+            6 => self.impair(worker, Condition::Unresponsive),
             7 => self.loads_fail_until = self.now + self.random.between(300, 2_500) * MILLISECOND,
-            8 | 9 => self.workers[worker].copies.clear(),
+            8 | 9 => self.workers[worker].replicas.clear(),
             10 => self.add_worker(),
             11 => self.notify_all("total"),
             12 => self.lose_subscription(),
             13 => self.restart_front_end(),
             14 => self.emit_peer_message(),
-            15 => self.errors_everywhere(),
+            15 => self.errors_on_all_workers(),
             _ => self.burst(),
         }
     }
 
     fn drain(&mut self, worker: usize) {
-        self.publish_state(worker, Listed::Draining);
+        self.publish_state(worker, EndpointState::Draining);
         let gone = self.now + self.random.between(300, 2_000) * MILLISECOND;
         self.schedule.add(
             gone,
-            Event::Listed {
+            Event::StateChanges {
                 worker,
-                state: Listed::Gone,
+                state: EndpointState::Removed,
             },
         );
         self.schedule.add(
@@ -49,13 +49,13 @@
 
     fn crash(&mut self, worker: usize) {
         self.workers[worker].condition = Condition::Crashed;
-        self.workers[worker].copies.clear();
+        self.workers[worker].replicas.clear();
         let told = self.now + self.random.between(50, 1_500) * MILLISECOND;
         self.schedule.add(
             told,
-            Event::Listed {
+            Event::StateChanges {
                 worker,
-                state: Listed::Gone,
+                state: EndpointState::Removed,
             },
         );
         self.schedule.add(
@@ -71,13 +71,13 @@
             if self.workers[worker].zone == zone
                 && self.workers[worker].condition != Condition::Crashed
             {
-                self.workers[worker].condition = Condition::Silent;
+                self.workers[worker].condition = Condition::Unresponsive;
                 self.schedule.add(until, Event::Recovered { worker });
             }
         }
     }
 
-    fn strike(&mut self, worker: usize, condition: Condition) {
+    fn impair(&mut self, worker: usize, condition: Condition) {
         if self.workers[worker].condition != Condition::Crashed {
             self.workers[worker].condition = condition;
             let until = self.now + self.random.between(300, 4_000) * MILLISECOND;
@@ -85,10 +85,10 @@
         }
     }
 
-    /// A worker that was struck is sound again.
+    /// A worker that was impaired is healthy again.
     pub(super) fn recovered(&mut self, worker: usize) {
         if self.workers[worker].condition != Condition::Crashed {
-            self.workers[worker].condition = Condition::Sound;
+            self.workers[worker].condition = Condition::Healthy;
         }
     }
 
@@ -96,14 +96,14 @@
     pub(super) fn restarted(&mut self, worker: usize) {
         let now = self.now;
         let back = &mut self.workers[worker];
-        (back.condition, back.started, back.held) = (Condition::Sound, Some(now), 0);
-        back.copies.clear();
-        self.publish_state(worker, Listed::Live);
+        (back.condition, back.started, back.in_flight) = (Condition::Healthy, Some(now), 0);
+        back.replicas.clear();
+        self.publish_state(worker, EndpointState::Ready);
     }
 
     /// Discovery tells of a worker's state.
-    pub(super) fn publish_state(&mut self, worker: usize, state: Listed) {
-        self.workers[worker].listed = state;
+    pub(super) fn publish_state(&mut self, worker: usize, state: EndpointState) {
+        self.workers[worker].state = state;
         self.notify_changes(&[worker]);
     }
 
@@ -116,21 +116,21 @@
         }
     }
 
-    fn errors_everywhere(&mut self) {
+    fn errors_on_all_workers(&mut self) {
         let errors = self.random.between(100, 600);
-        self.errors_everywhere = (errors, self.now + self.random.between(1, 6) * SECOND);
+        self.errors_on_all_workers = (errors, self.now + self.random.between(1, 6) * SECOND);
     }
 
     /// Many requests at once, of one function or of any.
     fn burst(&mut self) {
-        let one = self.random.per_mille(500).then(|| self.any_function());
+        let function = self.random.per_mille(500).then(|| self.any_function());
         for _ in 0..self.random.between(3, 25) {
             let at = self.now + self.random.between(0, 30) * MILLISECOND;
             self.schedule.add(
                 at,
                 Event::Arrival {
-                    again: false,
-                    function: one,
+                    recurring: false,
+                    function,
                 },
             );
         }
--- a/crates/pipithub-characterization/src/adapter_scenario/mod.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/mod.rs
@@ -1,7 +1,7 @@
 //! A scripted scenario on the adapter's line protocol.
 //!
 //! One to three front ends share a tier of workers. Each action is answered after a drawn time with a drawn outcome;
-//! incidents (crashes, drains, outages of a zone, failing loads, evictions, restarts) strike at drawn times.
+//! incidents (crashes, drains, outages of a zone, failing loads, evictions, restarts) happen at drawn times.
 
 mod actions;
 mod discovery;
--- a/crates/pipithub-characterization/src/adapter_scenario/settings.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/settings.rs
@@ -16,9 +16,9 @@
 #[derive(Debug)]
 pub(super) struct Class {
     pub(super) name: String,
-    effect: &'static str,
-    group: &'static str,
-    aim: u64,
+    idempotency: &'static str,
+    deduplication_scope: &'static str,
+    latency_objective: u64,
     pub(super) deadline: u64,
     pub(super) stream: bool,
 }
@@ -28,22 +28,22 @@
 pub(super) struct Settings {
     pub(super) classes: Vec<Class>,
     pub(super) granularity: u64,
-    pub(super) most_tries: usize,
+    pub(super) max_attempts: usize,
     pub(super) connect_timeout: u64,
-    pub(super) order_timeout: u64,
-    pub(super) requests_load: bool,
-    pub(super) marks_cold: bool,
-    pub(super) counts_alike: bool,
-    pub(super) reports: &'static str,
-    pub(super) list_on_request: bool,
+    pub(super) load_command_timeout: u64,
+    pub(super) loads_on_request: bool,
+    pub(super) reports_cold_starts: bool,
+    pub(super) reports_concurrency: bool,
+    pub(super) load_reports: &'static str,
+    pub(super) watch_on_request: bool,
     front_ends: u64,
-    may_cancel: bool,
-    probes: bool,
+    cancel: bool,
+    load_polls: bool,
     retry_after: bool,
-    orders: bool,
-    stays_loaded: u64,
-    load_span: u64,
-    ramp: u64,
+    load_commands: bool,
+    keep_alive: u64,
+    load_limit_window: u64,
+    slow_start_window: u64,
     zone: &'static str,
 }
 
@@ -55,22 +55,22 @@
         Settings {
             classes,
             granularity: random.pick(&[MILLISECOND, 2 * MILLISECOND, 5 * MILLISECOND]),
-            most_tries: random.between(2, 5) as usize,
+            max_attempts: random.between(2, 5) as usize,
             connect_timeout: random.pick(&[100 * MILLISECOND, 250 * MILLISECOND]),
-            order_timeout: random.pick(&[SECOND, 4 * SECOND]),
-            requests_load: random.per_mille(400),
-            marks_cold: random.per_mille(600),
-            counts_alike: random.per_mille(600),
-            reports: random.pick(&["answers", "answers", "probe", "none"]),
-            list_on_request: random.per_mille(300),
+            load_command_timeout: random.pick(&[SECOND, 4 * SECOND]),
+            loads_on_request: random.per_mille(400),
+            reports_cold_starts: random.per_mille(600),
+            reports_concurrency: random.per_mille(600),
+            load_reports: random.pick(&["answers", "answers", "probe", "none"]),
+            watch_on_request: random.per_mille(300),
             front_ends: random.pick(&[1, 2, 6, 40, 200]),
-            may_cancel: random.per_mille(750),
-            probes: random.per_mille(800),
+            cancel: random.per_mille(750),
+            load_polls: random.per_mille(800),
             retry_after: random.per_mille(700),
-            orders: random.per_mille(900),
-            stays_loaded: random.pick(&[SECOND, 2 * SECOND, 8 * SECOND]),
-            load_span: random.pick(&[0, 0, 2 * SECOND]),
-            ramp: random.pick(&[2 * SECOND, 10 * SECOND]),
+            load_commands: random.per_mille(900),
+            keep_alive: random.pick(&[SECOND, 2 * SECOND, 8 * SECOND]),
+            load_limit_window: random.pick(&[0, 0, 2 * SECOND]),
+            slow_start_window: random.pick(&[2 * SECOND, 10 * SECOND]),
             zone: random.pick(&ZONES),
         }
     }
@@ -91,14 +91,14 @@
         let _ = write!(
             text,
             "\"RegistryMode\":\"{}\",\"Models\":[\"{}\",\"{}\"],\"Report\":{{\"How\":\"{}\"}},",
-            if self.list_on_request {
+            if self.watch_on_request {
                 "on_request"
             } else {
                 "pushed"
             },
             MACHINE_KINDS[0],
             MACHINE_KINDS[1],
-            self.reports
+            self.load_reports
         );
         let _ = write!(
             text,
@@ -107,25 +107,29 @@
              \"LoadsPerRequest\":0.2}},",
             MEMORY[0],
             MEMORY[1],
-            self.orders,
-            if self.requests_load { "load" } else { "miss" },
-            self.stays_loaded,
-            self.marks_cold,
-            self.counts_alike,
-            self.order_timeout,
-            self.load_span
+            self.load_commands,
+            if self.loads_on_request {
+                "load"
+            } else {
+                "miss"
+            },
+            self.keep_alive,
+            self.reports_cold_starts,
+            self.reports_concurrency,
+            self.load_command_timeout,
+            self.load_limit_window
         );
         let _ = write!(
             text,
             "\"Limits\":{{\"MostTries\":{},\"MayCancel\":{},\"Probes\":{},\"RetryAfter\":{},\
              \"MaxRetryAfter\":500000000,\"ConnectTimeout\":{},\"OpenCap\":20000,\"StreamsPerConn\":32}},",
-            self.most_tries, self.may_cancel, self.probes, self.retry_after, self.connect_timeout
+            self.max_attempts, self.cancel, self.load_polls, self.retry_after, self.connect_timeout
         );
         let _ = write!(
             text,
             "\"Prices\":{{\"Probe\":0.01}},\"Rules\":{{\"AnswerSlack\":8000000,\"ColdFrom\":0.16,\
              \"DrainGrace\":1000000000,\"FallMultiple\":3.0,\"OverloadFor\":2000000000,\"RampTime\":{}}}}}",
-            self.ramp
+            self.slow_start_window
         );
         text
     }
@@ -136,14 +140,14 @@
         let deadline = random.pick(&[800 * MILLISECOND, 2 * SECOND, 5 * SECOND]);
         Class {
             name: format!("class-{number}"),
-            effect: random.pick(&[
+            idempotency: random.pick(&[
                 "read_like",
                 "read_like",
                 "idempotency_key",
                 "non_idempotent",
             ]),
-            group: random.pick(&["all", "zone", "cell"]),
-            aim: deadline / random.between(2, 5),
+            deduplication_scope: random.pick(&["all", "zone", "cell"]),
+            latency_objective: deadline / random.between(2, 5),
             deadline,
             stream: random.per_mille(200),
         }
@@ -153,7 +157,12 @@
         format!(
             "{{\"Name\":\"{}\",\"Effect\":\"{}\",\"Group\":\"{}\",\"Aim\":{},\"GiveUp\":{},\"Stream\":{},\
              \"DedupWindow\":3000000000,\"LateWorth\":0.3,\"Worth\":2.0}}",
-            self.name, self.effect, self.group, self.aim, self.deadline, self.stream
+            self.name,
+            self.idempotency,
+            self.deduplication_scope,
+            self.latency_objective,
+            self.deadline,
+            self.stream
         )
     }
 }
--- a/crates/pipithub-characterization/src/adapter_scenario/world.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/world.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::settings::Settings;
-use super::tier::{Condition, Listed, Worker};
+use super::tier::{Condition, EndpointState, Worker};
 use super::{MILLISECOND, SECOND};
 use crate::random::Random;
 use crate::recording::Transcript;
@@ -26,13 +26,13 @@
 #[derive(Debug)]
 pub(super) enum Event {
     Arrival {
-        again: bool,
+        recurring: bool,
         function: Option<usize>,
     },
     Incident,
-    Listed {
+    StateChanges {
         worker: usize,
-        state: Listed,
+        state: EndpointState,
     },
     Restarted {
         worker: usize,
@@ -40,49 +40,49 @@
     Recovered {
         worker: usize,
     },
-    /// A line for a front end in this life of it.
+    /// A line for a front end in this incarnation of it.
     Line {
         front_end: usize,
-        life: u64,
+        incarnation: u64,
         line: String,
     },
     SubscriptionAnswer {
         front_end: usize,
-        life: u64,
+        incarnation: u64,
     },
     StreamBegins {
         front_end: usize,
-        life: u64,
+        incarnation: u64,
         request: u64,
         attempt: usize,
     },
     AttemptEnds {
         front_end: usize,
-        life: u64,
+        incarnation: u64,
         request: u64,
         attempt: usize,
-        ending: &'static str,
+        status: &'static str,
         detail: u32,
     },
     Deadline {
         front_end: usize,
-        life: u64,
+        incarnation: u64,
         request: u64,
     },
     ClientCancels {
         front_end: usize,
-        life: u64,
+        incarnation: u64,
         request: u64,
     },
-    ProbeEnds {
+    HealthCheckEnds {
         front_end: usize,
-        life: u64,
+        incarnation: u64,
         worker: String,
         sent: u64,
     },
-    OrderEnds {
+    LoadCommandEnds {
         front_end: usize,
-        life: u64,
+        incarnation: u64,
         worker: String,
         function: u64,
         sent: u64,
@@ -109,7 +109,7 @@
 
 #[derive(Debug, Default)]
 pub(super) struct FrontEnd {
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
     pub(super) requests: BTreeMap<u64, Request>,
     pub(super) subscribed: bool,
     pub(super) revision: u64,
@@ -119,7 +119,7 @@
 pub(super) struct Function {
     name: u64,
     memory: u64,
-    lanes: u64,
+    replica_concurrency: u64,
     load: Option<u64>,
     class: usize,
 }
@@ -134,12 +134,12 @@
     pub(super) settings: Settings,
     pub(super) functions: Vec<Function>,
     pub(super) front_ends: Vec<FrontEnd>,
-    pub(super) by_address: BTreeMap<String, usize>,
+    pub(super) workers_by_address: BTreeMap<String, usize>,
     pub(super) next_request: u64,
-    /// Errors of all workers alike, in a thousand attempts, and until when there are any.
-    pub(super) errors_everywhere: (u64, u64),
-    pub(super) length: u64,
-    pub(super) gap: u64,
+    /// Errors of all workers, in a thousand attempts, and until when there are any.
+    pub(super) errors_on_all_workers: (u64, u64),
+    pub(super) duration: u64,
+    pub(super) mean_arrival_gap: u64,
     pub(super) lines: Vec<String>,
     pub(super) actions: u64,
     pub(super) transcript: &'a mut Transcript,
@@ -148,15 +148,15 @@
 /// Runs the scenario of a seed against the program under test.
 pub fn run(seed: u64, program: &mut impl LineProtocol, transcript: &mut Transcript) {
     let mut world = World::draw(seed, transcript);
-    let end = world.now + world.length;
+    let end = world.now + world.duration;
     for front_end in 0..world.front_ends.len() {
         world.attach(front_end);
     }
     while world.now < end {
-        world.collect();
-        let batch = world.batch();
+        world.handle_due_events();
+        let batch = world.take_batch();
         let reply = program.exchange(&batch);
-        world.act_on(&reply);
+        world.perform_reply(&reply);
         let granularity = world.settings.granularity;
         let due = world
             .schedule
@@ -187,7 +187,7 @@
             .map(|_| Function::draw(&mut random, &settings))
             .collect();
         // A few scenarios are long, with less in each second.
-        let (length, gap) = if random.per_mille(120) {
+        let (seconds, gap) = if random.per_mille(120) {
             (random.between(25, 40), random.between(20, 50))
         } else {
             (random.between(6, 14), random.between(4, 40))
@@ -200,11 +200,11 @@
             front_ends: (0..random.between(1, 3))
                 .map(|_| FrontEnd::default())
                 .collect(),
-            by_address: BTreeMap::new(),
+            workers_by_address: BTreeMap::new(),
             next_request: 1,
-            errors_everywhere: (0, 0),
-            length: length * SECOND,
-            gap: gap * MILLISECOND,
+            errors_on_all_workers: (0, 0),
+            duration: seconds * SECOND,
+            mean_arrival_gap: gap * MILLISECOND,
             lines: Vec::new(),
             actions: 0,
             random,
@@ -215,7 +215,7 @@
         world.schedule.add(
             world.now + MILLISECOND,
             Event::Arrival {
-                again: true,
+                recurring: true,
                 function: None,
             },
         );
@@ -228,13 +228,13 @@
     // ---- batches ----
 
     /// Turns all that is due into lines.
-    fn collect(&mut self) {
+    fn handle_due_events(&mut self) {
         while let Some(event) = self.schedule.take_due(self.now) {
             self.handle(event);
         }
     }
 
-    fn batch(&mut self) -> String {
+    fn take_batch(&mut self) -> String {
         let mut batch = format!("sync {}\n", self.now);
         for line in std::mem::take(&mut self.lines) {
             batch.push_str(&line);
@@ -245,13 +245,13 @@
         batch
     }
 
-    fn act_on(&mut self, reply: &str) {
+    fn perform_reply(&mut self, reply: &str) {
         for line in reply.lines() {
             self.transcript.output(line);
             if line != "end" {
                 self.actions += 1;
                 assert!(self.actions < MAX_ACTIONS, "the program acts without end");
-                self.act(line);
+                self.perform(line);
             }
         }
     }
@@ -264,92 +264,103 @@
 
     // ---- what comes due ----
 
-    fn alive(&self, front_end: usize, life: u64) -> bool {
-        self.front_ends[front_end].life == life
+    fn is_current(&self, front_end: usize, incarnation: u64) -> bool {
+        self.front_ends[front_end].incarnation == incarnation
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrival { again, function } => self.arrival(again, function),
+            Event::Arrival {
+                recurring,
+                function,
+            } => self.request_arrives(recurring, function),
             Event::Incident => self.incident(),
-            Event::Listed { worker, state } => self.publish_state(worker, state),
+            Event::StateChanges { worker, state } => self.publish_state(worker, state),
             Event::Restarted { worker } => self.restarted(worker),
             Event::Recovered { worker } => self.recovered(worker),
             Event::Line {
                 front_end,
-                life,
+                incarnation,
                 line,
-            } if self.alive(front_end, life) => {
+            } if self.is_current(front_end, incarnation) => {
                 self.emit(line.split(' ').next().unwrap_or_default(), line.clone());
             }
-            Event::SubscriptionAnswer { front_end, life } if self.alive(front_end, life) => {
+            Event::SubscriptionAnswer {
+                front_end,
+                incarnation,
+            } if self.is_current(front_end, incarnation) => {
                 self.subscription_answer(front_end);
             }
             Event::StreamBegins {
                 front_end,
-                life,
+                incarnation,
                 request,
                 attempt,
-            } if self.alive(front_end, life) => {
+            } if self.is_current(front_end, incarnation) => {
                 self.stream_begins(front_end, request, attempt);
             }
             Event::AttemptEnds {
                 front_end,
-                life,
+                incarnation,
                 request,
                 attempt,
-                ending,
+                status,
                 detail,
-            } if self.alive(front_end, life) => {
-                self.attempt_ends(front_end, request, attempt, ending, detail);
+            } if self.is_current(front_end, incarnation) => {
+                self.attempt_ends(front_end, request, attempt, status, detail);
             }
             Event::Deadline {
                 front_end,
-                life,
+                incarnation,
                 request,
-            } if self.alive(front_end, life) => {
+            } if self.is_current(front_end, incarnation) => {
                 self.deadline(front_end, request);
             }
             Event::ClientCancels {
                 front_end,
-                life,
+                incarnation,
                 request,
-            } if self.alive(front_end, life) => {
+            } if self.is_current(front_end, incarnation) => {
                 self.client_cancels(front_end, request);
             }
-            Event::ProbeEnds {
+            Event::HealthCheckEnds {
                 front_end,
-                life,
+                incarnation,
                 worker,
                 sent,
-            } if self.alive(front_end, life) => {
-                self.probe_ends(front_end, &worker, sent);
+            } if self.is_current(front_end, incarnation) => {
+                self.health_check_ends(front_end, &worker, sent);
             }
-            Event::OrderEnds {
+            Event::LoadCommandEnds {
                 front_end,
-                life,
+                incarnation,
                 worker,
                 function,
                 sent,
                 status,
-            } if self.alive(front_end, life) => {
-                let copies = u64::from(status == "S");
-                let took = self.now - sent;
+            } if self.is_current(front_end, incarnation) => {
+                let replicas = u64::from(status == "S");
+                let elapsed = self.now - sent;
                 let line = format!(
-                    "brought_up {front_end} {worker} {function:016x} {status} {took} {copies}"
+                    "brought_up {front_end} {worker} {function:016x} {status} {elapsed} {replicas}"
                 );
                 self.emit(&format!("brought_up {status}"), line);
             }
-            // Meant for an earlier life of the front end.
+            // Meant for an earlier incarnation of the front end.
             _ => {}
         }
     }
 
-    fn arrival(&mut self, again: bool, function: Option<usize>) {
-        if again {
-            let gap = self.random.between(MILLISECOND, 2 * self.gap);
-            self.schedule
-                .add(self.now + gap, Event::Arrival { again, function });
+    fn request_arrives(&mut self, recurring: bool, function: Option<usize>) {
+        if recurring {
+            let gap = self.random.between(MILLISECOND, 2 * self.mean_arrival_gap);
+            self.schedule.add(
+                self.now + gap,
+                Event::Arrival {
+                    recurring,
+                    function,
+                },
+            );
         }
         let front_end = self.random.between(0, self.front_ends.len() as u64 - 1) as usize;
         // Low numbers are asked for more often.
@@ -360,8 +371,8 @@
             .min(self.random.between(0, last));
         let function = self.functions[function.unwrap_or(drawn as usize)].clone();
         let class = &self.settings.classes[function.class];
-        let budget = class.deadline * self.random.between(4, 10) / 10;
-        let (id, life) = (self.next_request, self.front_ends[front_end].life);
+        let timeout = class.deadline * self.random.between(4, 10) / 10;
+        let (id, incarnation) = (self.next_request, self.front_ends[front_end].incarnation);
         self.next_request += 1;
         let expected = if self.random.per_mille(300) {
             "-".into()
@@ -372,12 +383,12 @@
             .load
             .map_or_else(|| "-".to_string(), |load| load.to_string());
         let line = format!(
-            "query {front_end} {id} {expected} - {} {} {} {load} {:016x} 1 {budget}",
-            function.memory, function.lanes, class.name, function.name
+            "query {front_end} {id} {expected} - {} {} {} {load} {:016x} 1 {timeout}",
+            function.memory, function.replica_concurrency, class.name, function.name
         );
         let request = Request {
             function: function.name,
-            deadline: self.now + budget,
+            deadline: self.now + timeout,
             stream: class.stream,
             streaming: false,
             settled: false,
@@ -386,26 +397,26 @@
         self.emit("query", line);
         self.front_ends[front_end].requests.insert(id, request);
         self.schedule.add(
-            self.now + budget,
+            self.now + timeout,
             Event::Deadline {
                 front_end,
-                life,
+                incarnation,
                 request: id,
             },
         );
         if self.random.per_mille(50) {
-            // Some leave at once: what is sent for them then is moot.
+            // Some cancel at once: attempts that are sent for them afterwards are moot.
             let left = self.now
                 + if self.random.per_mille(200) {
                     0
                 } else {
-                    self.random.between(1, budget)
+                    self.random.between(1, timeout)
                 };
             self.schedule.add(
                 left,
                 Event::ClientCancels {
                     front_end,
-                    life,
+                    incarnation,
                     request: id,
                 },
             );
@@ -421,12 +432,12 @@
             return;
         }
         request.streaming = true;
-        let (worker, took) = (
+        let (worker, elapsed) = (
             request.attempts[attempt].worker,
             now - request.attempts[attempt].sent,
         );
         let address = &self.workers[worker].address;
-        let line = format!("head_received {front_end} {id} {attempt} {address} {took}");
+        let line = format!("head_received {front_end} {id} {attempt} {address} {elapsed}");
         self.emit("head_received", line);
     }
 
@@ -435,7 +446,7 @@
         front_end: usize,
         id: u64,
         number: usize,
-        ending: &'static str,
+        status: &'static str,
         detail: u32,
     ) {
         let now = self.now;
@@ -447,11 +458,11 @@
             return;
         }
         attempt.ended = true;
-        request.settled |= ending == "S" || request.streaming;
-        let (settled, took) = (u8::from(request.settled), now - attempt.sent);
+        request.settled |= status == "S" || request.streaming;
+        let (settled, elapsed) = (u8::from(request.settled), now - attempt.sent);
         let worker = &mut self.workers[attempt.worker];
-        worker.held = worker.held.saturating_sub(1);
-        let told = matches!(ending, "S" | "F" | "E") && self.settings.reports == "answers";
+        worker.in_flight = worker.in_flight.saturating_sub(1);
+        let told = matches!(status, "S" | "F" | "E") && self.settings.load_reports == "answers";
         let load = if told {
             worker.report(&mut self.random)
         } else {
@@ -459,14 +470,14 @@
         };
         let address = &worker.address;
         let line = format!(
-            "completed {front_end} {id} {number} {address} {ending} {took} {settled} {detail} {load}"
+            "completed {front_end} {id} {number} {address} {status} {elapsed} {settled} {detail} {load}"
         );
-        self.emit(&format!("completed {ending}"), line);
+        self.emit(&format!("completed {status}"), line);
     }
 
     /// The client's time is over: what is out times out, and an owed answer is given up a little later.
     fn deadline(&mut self, front_end: usize, id: u64) {
-        let life = self.front_ends[front_end].life;
+        let incarnation = self.front_ends[front_end].incarnation;
         let Some(request) = self.front_ends[front_end].requests.get(&id) else {
             return;
         };
@@ -483,7 +494,7 @@
             self.now + 8 * MILLISECOND,
             Event::ClientCancels {
                 front_end,
-                life,
+                incarnation,
                 request: id,
             },
         );
@@ -491,7 +502,7 @@
 
     /// The client leaves; the front end is told a little later.
     fn client_cancels(&mut self, front_end: usize, id: u64) {
-        let life = self.front_ends[front_end].life;
+        let incarnation = self.front_ends[front_end].incarnation;
         let Some(request) = self.front_ends[front_end].requests.get_mut(&id) else {
             return;
         };
@@ -503,24 +514,27 @@
                 told,
                 Event::Line {
                     front_end,
-                    life,
+                    incarnation,
                     line,
                 },
             );
         }
     }
 
-    fn probe_ends(&mut self, front_end: usize, address: &str, sent: u64) {
-        let worker = &self.workers[self.by_address[address]];
-        let sound = !matches!(worker.condition, Condition::Crashed | Condition::Silent);
-        let status = if sound { "S" } else { "C" };
-        let load = if sound {
+    fn health_check_ends(&mut self, front_end: usize, address: &str, sent: u64) {
+        let worker = &self.workers[self.workers_by_address[address]];
+        let is_healthy = !matches!(
+            worker.condition,
+            Condition::Crashed | Condition::Unresponsive
+        );
+        let status = if is_healthy { "S" } else { "C" };
+        let load = if is_healthy {
             worker.report(&mut self.random)
         } else {
             "-".to_string()
         };
-        let took = self.now - sent;
-        let line = format!("health_result {front_end} {took} {status} {address} {load}");
+        let elapsed = self.now - sent;
+        let line = format!("health_result {front_end} {elapsed} {status} {address} {load}");
         self.emit(&format!("health_result {status}"), line);
     }
 }
@@ -530,7 +544,7 @@
         Function {
             name: random.number(),
             memory: random.between(64, 1_200),
-            lanes: random.between(1, 4),
+            replica_concurrency: random.between(1, 4),
             load: random.per_mille(500).then(|| random.between(50, 900)),
             class: random.between(0, settings.classes.len() as u64 - 1) as usize,
         }
--- a/crates/pipithub-characterization/src/node_scenario/clients.rs
+++ b/crates/pipithub-characterization/src/node_scenario/clients.rs
@@ -3,23 +3,23 @@
 use super::world::{Event, World};
 use super::{MILLISECOND, Node};
 
-/// The most calls of one burst; more than a connection may have open.
-const BURST: u64 = 45;
-/// Longer than any line may be.
+/// The most calls of one burst; more than a connection may have pending.
+const MAX_BURST: u64 = 45;
+/// The length of a line that is too long.
 const LONG_LINE: usize = 40_000;
 
 /// A client's connection.
 #[derive(Debug, Default)]
 pub(super) struct Client {
-    /// Numbers of its calls without an answer yet, with the name of each.
-    pub(super) open: Vec<(u64, String)>,
+    /// Calls without a response.
+    pub(super) pending: Vec<(u64, String)>,
     next_id: u64,
 }
 
 impl<N: Node> World<'_, N> {
-    /// One client does something; the next one follows after a drawn time.
+    /// One client acts; the next action follows after a drawn time.
     pub(super) fn client_acts(&mut self) {
-        let gap = self.random.between(1, 2 * self.gap);
+        let gap = self.random.between(1, 2 * self.mean_client_gap);
         self.schedule.add(self.now + gap, Event::ClientActs);
         if self.clients.is_empty() || self.random.per_mille(60) {
             return self.connect_client();
@@ -28,33 +28,33 @@
         let connection = self.random.pick(&connections);
         match self.random.between(0, 199) {
             0..=1 => self.close_client(connection),
-            2..=12 => self.forget(connection, true),
-            13..=20 => self.forget(connection, false),
+            2..=12 => self.cancel_call(connection, true),
+            13..=20 => self.cancel_call(connection, false),
             21..=23 => {
                 let id = self.fresh_id(connection);
                 let line = format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"isWell\"}}\n");
-                self.client_says("isWell", connection, line.as_bytes());
+                self.client_sends("isWell", connection, line.as_bytes());
             }
-            24 => self.client_says("noise", connection, b"noise\n"),
-            25 => self.client_says("long line", connection, &[b'x'; LONG_LINE]),
-            26 => self.client_says("half a line", connection, b"{\"json"),
+            24 => self.client_sends("noise", connection, b"noise\n"),
+            25 => self.client_sends("long line", connection, &[b'x'; LONG_LINE]),
+            26 => self.client_sends("half a line", connection, b"{\"json"),
             27..=28 => self.invalid_calls(connection),
             29..=40 => self.retry(connection),
-            41..=44 => self.call_and_forget(connection),
+            41..=44 => self.call_and_cancel(connection),
             45..=50 => self.call_in_pieces(connection),
             51 => self.burst(connection),
-            52 => self.pause(),
+            52 => self.pause_clients(),
             _ => self.call(connection),
         }
     }
 
     fn connect_client(&mut self) {
         let connection = self.node.client_connected(self.now);
-        self.note("client connected", format!("client connected {connection}"));
+        self.record_input("client connected", format!("client connected {connection}"));
         self.clients.insert(
             connection,
             Client {
-                open: Vec::new(),
+                pending: Vec::new(),
                 next_id: 1,
             },
         );
@@ -62,17 +62,17 @@
 
     fn close_client(&mut self, connection: u64) {
         self.clients.remove(&connection);
-        self.note("client closed", format!("client closed {connection}"));
+        self.record_input("client closed", format!("client closed {connection}"));
         self.node.client_closed(self.now, connection);
     }
 
-    /// Nobody sends for a while, so that silent connections are noticed.
-    fn pause(&mut self) {
+    /// No client sends for a while, so that the node sees idle connections.
+    fn pause_clients(&mut self) {
         self.silent_until = self.now + self.random.between(500, 2_600) * MILLISECOND;
     }
 
-    pub(super) fn client_says(&mut self, kind: &str, connection: u64, bytes: &[u8]) {
-        self.note(
+    pub(super) fn client_sends(&mut self, kind: &str, connection: u64, bytes: &[u8]) {
+        self.record_input(
             kind,
             format!("client {connection} {}", bytes.escape_ascii()),
         );
@@ -88,7 +88,7 @@
         client.next_id - 1
     }
 
-    /// A call's line, noted as open.
+    /// The line of a new call, which is pending from here on.
     fn call_line(&mut self, connection: u64) -> String {
         let id = self.fresh_id(connection);
         let name = format!("{:016x}", self.random.number());
@@ -104,7 +104,7 @@
         let function = &self.functions[drawn as usize];
         let class = &self.configuration.classes[function.class];
         let wait = class.time_to_live * self.random.between(4, 14).min(10) / 10;
-        let key = if class.keyed {
+        let key = if class.has_idempotency_key {
             format!(",\"dedupe\":\"key-{name}\"")
         } else {
             String::new()
@@ -119,7 +119,7 @@
             .clients
             .get_mut(&connection)
             .expect("a connected client");
-        client.open.push((id, name.to_string()));
+        client.pending.push((id, name.to_string()));
         format!(
             "{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"{}\",\"params\":{{\"call\":\"{name}\",\"ttl\":{wait},\
              \"row\":\"{:016x}\",\"props\":\"{}\",\"body\":\"{body}\"{key}}}}}\n",
@@ -129,45 +129,45 @@
 
     fn call(&mut self, connection: u64) {
         let line = self.call_line(connection);
-        self.client_says("call", connection, line.as_bytes());
+        self.client_sends("call", connection, line.as_bytes());
     }
 
     fn call_in_pieces(&mut self, connection: u64) {
         let line = self.call_line(connection);
         let (first, second) = line.as_bytes().split_at(line.len() / 2);
-        self.client_says("call in two pieces", connection, first);
-        self.client_says("call in two pieces", connection, second);
+        self.client_sends("call in two pieces", connection, first);
+        self.client_sends("call in two pieces", connection, second);
     }
 
-    fn call_and_forget(&mut self, connection: u64) {
+    fn call_and_cancel(&mut self, connection: u64) {
         let call = self.call_line(connection);
         let Some((id, _)) = self
             .clients
             .get_mut(&connection)
-            .and_then(|client| client.open.pop())
+            .and_then(|client| client.pending.pop())
         else {
             return;
         };
         let forget =
             format!("{{\"jsonrpc\":\"2.0\",\"method\":\"forget\",\"params\":{{\"id\":{id}}}}}\n");
-        self.client_says(
+        self.client_sends(
             "call and forget at once",
             connection,
             format!("{call}{forget}").as_bytes(),
         );
     }
 
-    /// The name of an earlier call again, on whichever connection that was.
+    /// Sends the name of an earlier call again, whichever connection that was on.
     fn retry(&mut self, connection: u64) {
-        let open: Vec<String> = self
+        let pending: Vec<String> = self
             .clients
             .values()
-            .flat_map(|client| &client.open)
+            .flat_map(|client| &client.pending)
             .map(|(_, name)| name.clone())
             .collect();
-        let ended: Vec<String> = self.ended.iter().cloned().collect();
+        let ended: Vec<String> = self.ended_calls.iter().cloned().collect();
         let names = if self.random.per_mille(300) {
-            open
+            pending
         } else {
             ended
         };
@@ -175,37 +175,37 @@
             let name = &names[self.random.between(0, names.len() as u64 - 1) as usize];
             let id = self.fresh_id(connection);
             let line = self.line_of(connection, id, name);
-            self.client_says("call repeated", connection, line.as_bytes());
+            self.client_sends("call repeated", connection, line.as_bytes());
         }
     }
 
     fn burst(&mut self, connection: u64) {
         let mut lines = String::new();
-        for _ in 0..self.random.between(2, BURST) {
+        for _ in 0..self.random.between(2, MAX_BURST) {
             lines.push_str(&self.call_line(connection));
         }
-        let beyond = self
+        let is_beyond_limit = self
             .clients
             .get(&connection)
-            .is_some_and(|client| client.open.len() > 32);
-        let kind = if beyond {
+            .is_some_and(|client| client.pending.len() > 32);
+        let kind = if is_beyond_limit {
             "call beyond those that may be open"
         } else {
             "call"
         };
-        self.client_says(kind, connection, lines.as_bytes());
+        self.client_sends(kind, connection, lines.as_bytes());
     }
 
-    fn forget(&mut self, connection: u64, by_id: bool) {
+    fn cancel_call(&mut self, connection: u64, by_id: bool) {
         let Some(client) = self.clients.get_mut(&connection) else {
             return;
         };
-        if client.open.is_empty() {
+        if client.pending.is_empty() {
             return;
         }
         let (id, name) = client
-            .open
-            .remove(self.random.between(0, client.open.len() as u64 - 1) as usize);
+            .pending
+            .remove(self.random.between(0, client.pending.len() as u64 - 1) as usize);
         let (kind, what) = if by_id {
             ("forget by id", format!("\"id\":{id}"))
         } else {
@@ -213,10 +213,10 @@
         };
         let line = format!("{{\"jsonrpc\":\"2.0\",\"method\":\"forget\",\"params\":{{{what}}}}}\n");
         self.remember_ended(name);
-        self.client_says(kind, connection, line.as_bytes());
+        self.client_sends(kind, connection, line.as_bytes());
     }
 
-    /// One bad call, or several in a row.
+    /// Sends one invalid call, or several in a row.
     fn invalid_calls(&mut self, connection: u64) {
         for _ in 0..self.random.between(1, 6) {
             if self.clients.contains_key(&connection) {
@@ -239,6 +239,6 @@
                 self.line_of(connection, earlier, &name)
             }
         };
-        self.client_says("call", connection, line.as_bytes());
+        self.client_sends("call", connection, line.as_bytes());
     }
 }
--- a/crates/pipithub-characterization/src/node_scenario/configuration.rs
+++ b/crates/pipithub-characterization/src/node_scenario/configuration.rs
@@ -12,33 +12,33 @@
 #[derive(Debug)]
 pub(super) struct Class {
     pub(super) name: String,
-    pub(super) keyed: bool,
+    pub(super) has_idempotency_key: bool,
     /// The longest that a client waits, in milliseconds.
     pub(super) time_to_live: u64,
-    effect: &'static str,
+    idempotency: &'static str,
 }
 
-/// The configuration, as far as the world needs it, and the rest for the text.
+/// The configuration of the node. Fields that only its text needs are private.
 #[derive(Debug)]
 pub(super) struct Configuration {
     pub(super) classes: Vec<Class>,
     seed: u64,
-    sockets: u64,
+    max_sockets: u64,
     front_ends: u64,
-    requests_load: bool,
-    orders: bool,
-    may_cancel: bool,
-    probes: bool,
+    loads_on_request: bool,
+    load_commands: bool,
+    cancel: bool,
+    load_polls: bool,
     retry_after: bool,
-    counts_alike: bool,
-    stays_loaded: u64,
-    idle_close: u64,
-    streams: u64,
+    reports_concurrency: bool,
+    keep_alive: u64,
+    idle_timeout: u64,
+    streams_per_connection: u64,
 }
 
-/// A worker as the list tells of it.
+/// A worker as the endpoint list has it.
 #[derive(Clone, Debug)]
-pub(super) struct Host {
+pub(super) struct ListedWorker {
     pub(super) id: String,
     pub(super) address: String,
     pub(super) health: &'static str,
@@ -48,9 +48,9 @@
     cell: u64,
 }
 
-impl Host {
+impl ListedWorker {
     pub(super) fn draw(random: &mut Random, number: u64) -> Self {
-        Host {
+        ListedWorker {
             id: format!("s-{number:04x}"),
             address: format!("10.0.{}.{}:8080", number / 256, number % 256),
             health: "SERVING",
@@ -70,16 +70,16 @@
     }
 }
 
-/// An event of the list.
+/// An event of the endpoint list.
 pub(super) fn endpoint_event<'a>(
     index: u64,
-    whole: bool,
-    hosts: impl Iterator<Item = &'a Host>,
+    is_snapshot: bool,
+    workers: impl Iterator<Item = &'a ListedWorker>,
 ) -> String {
-    let hosts: Vec<String> = hosts.map(Host::text).collect();
+    let workers: Vec<String> = workers.map(ListedWorker::text).collect();
     format!(
-        "{{\"index\":{index},\"endpoints\":{{\"seq\":{index},\"whole\":{whole},\"hosts\":[{}]}}}}",
-        hosts.join(",")
+        "{{\"index\":{index},\"endpoints\":{{\"seq\":{index},\"whole\":{is_snapshot},\"hosts\":[{}]}}}}",
+        workers.join(",")
     )
 }
 
@@ -90,22 +90,22 @@
                 .map(|number| Class::draw(random, number))
                 .collect(),
             seed: random.number(),
-            sockets: random.pick(&[34, 40, 64, 256]),
+            max_sockets: random.pick(&[34, 40, 64, 256]),
             front_ends: random.pick(&[1, 2, 6, 40]),
-            requests_load: random.per_mille(400),
-            orders: random.per_mille(900),
-            may_cancel: random.per_mille(750),
-            probes: random.per_mille(800),
+            loads_on_request: random.per_mille(400),
+            load_commands: random.per_mille(900),
+            cancel: random.per_mille(750),
+            load_polls: random.per_mille(800),
             retry_after: random.per_mille(700),
-            counts_alike: random.per_mille(600),
-            stays_loaded: random.pick(&[SECOND, 2 * SECOND, 3 * SECOND, 8 * SECOND]),
-            idle_close: random.pick(&[0, 2 * SECOND, 30 * SECOND]),
-            streams: random.pick(&[1, 4, 32]),
+            reports_concurrency: random.per_mille(600),
+            keep_alive: random.pick(&[SECOND, 2 * SECOND, 3 * SECOND, 8 * SECOND]),
+            idle_timeout: random.pick(&[0, 2 * SECOND, 30 * SECOND]),
+            streams_per_connection: random.pick(&[1, 4, 32]),
         }
     }
 
-    /// The text with the events that are known at the start. Written by hand: the order of keys must not hang on a
-    /// library.
+    /// The text with the events that are known at the start. It is formatted by hand, so that no library can change the
+    /// order of its keys.
     pub(super) fn text(&self, known: &[String]) -> String {
         let classes: Vec<String> = self.classes.iter().map(Class::text).collect();
         let mut text = String::new();
@@ -116,7 +116,7 @@
              \"limits\":{{\"cores\":0.5,\"memory_mb\":48,\"sockets\":{}}},\
              \"known\":{{\"index\":{},\"updates\":[{}]}},",
             self.seed,
-            self.sockets,
+            self.max_sockets,
             known.len(),
             known.join(",")
         );
@@ -134,17 +134,25 @@
             text,
             "\"FamilyInfo\":{{\"KindMemoryMb\":[4096.0,8192.0],\"Orders\":{},\"WhenAbsent\":\"{}\",\
              \"StaysLoaded\":{},\"CountsAlike\":{},\"OrderTimeout\":2000000000}},",
-            self.orders,
-            if self.requests_load { "load" } else { "miss" },
-            self.stays_loaded,
-            self.counts_alike
+            self.load_commands,
+            if self.loads_on_request {
+                "load"
+            } else {
+                "miss"
+            },
+            self.keep_alive,
+            self.reports_concurrency
         );
         let _ = write!(
             text,
             "\"Limits\":{{\"MostTries\":4,\"MayCancel\":{},\"Probes\":{},\"RetryAfter\":{},\
              \"MaxRetryAfter\":500000000,\"ConnectTimeout\":250000000,\"IdleClose\":{},\"StreamsPerConn\":{},\
              \"OpenCap\":20000}},",
-            self.may_cancel, self.probes, self.retry_after, self.idle_close, self.streams
+            self.cancel,
+            self.load_polls,
+            self.retry_after,
+            self.idle_timeout,
+            self.streams_per_connection
         );
         text.push_str(
             "\"Rules\":{\"ColdFrom\":0.2,\"RampTime\":5000000000,\"FallMultiple\":3.0,\"OverloadFor\":2000000000}}}",
@@ -155,7 +163,7 @@
 
 impl Class {
     fn draw(random: &mut Random, number: u64) -> Self {
-        let effect = random.pick(&[
+        let idempotency = random.pick(&[
             "read_like",
             "read_like",
             "idempotency_key",
@@ -163,9 +171,9 @@
         ]);
         Class {
             name: format!("class-{number}"),
-            keyed: effect == "idempotency_key",
+            has_idempotency_key: idempotency == "idempotency_key",
             time_to_live: random.pick(&[800, 1_500, 3_000]),
-            effect,
+            idempotency,
         }
     }
 
@@ -175,7 +183,7 @@
             "{{\"Name\":\"{}\",\"Effect\":\"{}\",\"Aim\":{},\"GiveUp\":{deadline},\"LateWorth\":0.3,\
              \"Group\":\"all\",\"DedupWindow\":3000000000}}",
             self.name,
-            self.effect,
+            self.idempotency,
             deadline / 3
         )
     }
--- a/crates/pipithub-characterization/src/node_scenario/mod.rs
+++ b/crates/pipithub-characterization/src/node_scenario/mod.rs
@@ -1,7 +1,7 @@
 //! A scripted scenario for a node without sockets: bytes, worker lists and time go in, effects come out.
 //!
-//! Clients call, retry, forget, hang up, send noise or nothing; workers answer with every word, late, twice, in pieces or
-//! not at all; connections fail, break and block; the list changes; at the end the node is told to stop.
+//! Clients call, retry, cancel, disconnect, send noise or nothing; workers send every response, late, twice, in pieces
+//! or not at all; connections fail, break and block; the list changes; at the end the node is shut down.
 
 mod clients;
 mod configuration;
@@ -17,7 +17,7 @@
     Write {
         /// The connection.
         connection: u64,
-        /// What.
+        /// The bytes.
         bytes: Vec<u8>,
     },
     /// Close a connection.
@@ -25,25 +25,25 @@
         /// The connection.
         connection: u64,
     },
-    /// Hand over what a client has sent by now, then say that the connection may be retired.
+    /// Hand over what a client has sent by now, then report that the connection may be retired.
     Retire {
         /// The connection.
         connection: u64,
     },
-    /// Take back bytes that the system has not taken.
-    Unwrite {
+    /// Take back bytes that the system has not accepted.
+    CancelWrite {
         /// The connection.
         connection: u64,
-        /// Where they begin.
+        /// The offset of the first one in all bytes written to the connection.
         at: u64,
-        /// How many they are.
+        /// The number of bytes.
         length: u64,
     },
     /// Connect to a worker.
     Connect {
         /// The new connection.
         connection: u64,
-        /// Where to.
+        /// The address of the worker.
         address: String,
         /// The connect timeout in nanoseconds.
         within: u64,
@@ -51,7 +51,7 @@
 }
 
 impl Effect {
-    /// Its kind and its canonical text.
+    /// The kind of the effect and its canonical text.
     fn render(&self) -> (&'static str, String) {
         match self {
             Effect::Write { connection, bytes } => (
@@ -60,7 +60,7 @@
             ),
             Effect::Close { connection } => ("close", format!("close {connection}")),
             Effect::Retire { connection } => ("retire", format!("retire {connection}")),
-            Effect::Unwrite {
+            Effect::CancelWrite {
                 connection,
                 at,
                 length,
@@ -79,39 +79,39 @@
 
 /// The program under test; all times in nanoseconds.
 pub trait Node {
-    /// When time must be told next.
+    /// When [`Node::tick`] is due next.
     fn next_due(&self) -> u64;
     /// Time has passed.
     fn tick(&mut self, now: u64);
-    /// A client has connected; the number of its connection.
+    /// A client has connected; returns the number of its connection.
     fn client_connected(&mut self, now: u64) -> u64;
     /// Bytes came from a client.
     fn client_bytes(&mut self, now: u64, connection: u64, bytes: &[u8]);
     /// A client's connection has ended.
     fn client_closed(&mut self, now: u64, connection: u64);
-    /// All that a client had sent is handed over.
+    /// Everything that a client had sent is handed over.
     fn client_retired(&mut self, now: u64, connection: u64);
     /// A connection to a worker is up.
     fn worker_connected(&mut self, now: u64, connection: u64);
-    /// A connection to a worker did not come up; `own`: for want of something here.
-    fn worker_failed(&mut self, now: u64, connection: u64, own: bool);
-    /// A worker does not read, so many bytes having been taken by the system; or it reads again.
+    /// A connection to a worker was not established; `local_cause`: for lack of a resource here.
+    fn worker_failed(&mut self, now: u64, connection: u64, local_cause: bool);
+    /// A worker does not read, after the system has accepted so many bytes; `None`: it reads again.
     fn worker_blocked(&mut self, now: u64, connection: u64, written: Option<u64>);
-    /// A connection to a worker has ended, so many bytes having been taken by the system.
+    /// A connection to a worker has ended, after the system has accepted so many bytes.
     fn worker_closed(&mut self, now: u64, connection: u64, written: u64);
     /// Bytes came from a worker.
     fn worker_bytes(&mut self, now: u64, connection: u64, bytes: &[u8]);
-    /// An event of the worker list, as text.
-    fn list(&mut self, now: u64, event: &str);
-    /// The node is to stop.
+    /// Receives an event of the worker list, as text.
+    fn update_endpoints(&mut self, now: u64, event: &str);
+    /// Begins the shutdown.
     fn stop(&mut self, now: u64);
-    /// Whether it has stopped.
+    /// Whether the shutdown is complete.
     fn stopped(&self, now: u64) -> bool;
-    /// Whether there is no time left for what it has not finished.
+    /// Whether the time limit of the shutdown has passed.
     fn deadline_passed(&self, now: u64) -> bool;
-    /// Figures that tell of its state, as a line.
-    fn figures(&self) -> String;
-    /// What is to be done since this was asked last.
+    /// Counters of the node, as a line.
+    fn statistics(&self) -> String;
+    /// Takes the effects since the last call.
     fn effects(&mut self) -> Vec<Effect>;
 }
 
--- a/crates/pipithub-characterization/src/node_scenario/world.rs
+++ b/crates/pipithub-characterization/src/node_scenario/world.rs
@@ -1,22 +1,22 @@
-//! The world of a scenario: what is due is told to the node, and its effects become what is due.
+//! The world of a scenario: events that are due become inputs of the node, and its effects become further events.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use super::clients::Client;
-use super::configuration::{Configuration, Host, endpoint_event};
-use super::workers::Link;
+use super::configuration::{Configuration, ListedWorker, endpoint_event};
+use super::workers::WorkerConnection;
 use super::{Effect, MILLISECOND, Node, SECOND};
 use crate::random::Random;
 use crate::recording::Transcript;
 use crate::schedule::Schedule;
 
-/// Names of ended calls that clients may repeat.
+/// The number of names of ended calls that clients may retry.
 const MAX_ENDED_CALLS: usize = 32;
-/// A node that has more effects than this in a scenario is a runaway.
+/// A node with more effects than this in a scenario does not terminate.
 const MAX_EFFECTS: u64 = 200_000;
-/// No node needs longer than this to stop.
+/// No node needs longer than this to shut down.
 const MAX_STOP_TIME: u64 = 10 * SECOND;
-/// After the stop calls are still taken for a while: workers fall silent shortly before the end of that.
+/// Calls are still accepted for a while after the shutdown begins: workers stop responding shortly before that ends.
 const SILENT_AFTER_STOP: u64 = 600 * MILLISECOND;
 
 /// What comes due in a scenario.
@@ -24,30 +24,30 @@
 pub(super) enum Event {
     ClientActs,
     EndpointsChange,
-    Figures,
-    HostSpeaks {
+    Statistics,
+    AddressResponds {
         address: String,
     },
-    LinkUp {
+    WorkerConnected {
         connection: u64,
     },
-    LinkFailed {
+    ConnectFailed {
         connection: u64,
-        own: bool,
+        local_cause: bool,
     },
-    LinkBreaks {
+    ConnectionBreaks {
         connection: u64,
     },
-    LinkBlocked {
+    WriteBlocked {
         connection: u64,
-        taken: u64,
+        written: u64,
     },
-    LinkUnblocked {
+    WriteUnblocked {
         connection: u64,
     },
-    WorkerAnswers {
+    WorkerResponds {
         connection: u64,
-        word: &'static str,
+        response: &'static str,
         reference: String,
     },
 }
@@ -59,7 +59,7 @@
     pub(super) properties: String,
 }
 
-/// All that a scenario consists of.
+/// The state of a scenario.
 pub(super) struct World<'a, N> {
     pub(super) random: Random,
     pub(super) schedule: Schedule<Event>,
@@ -68,39 +68,39 @@
     pub(super) configuration: Configuration,
     pub(super) functions: Vec<Function>,
     pub(super) clients: BTreeMap<u64, Client>,
-    pub(super) links: BTreeMap<u64, Link>,
-    /// Addresses from which nothing comes.
-    pub(super) silent_hosts: BTreeSet<String>,
+    pub(super) worker_connections: BTreeMap<u64, WorkerConnection>,
+    /// Addresses of workers that do not respond.
+    pub(super) unresponsive_addresses: BTreeSet<String>,
     pub(super) silent_until: u64,
     /// Names of calls that have ended.
-    pub(super) ended: VecDeque<String>,
-    /// The mean time between two acts of clients.
-    pub(super) gap: u64,
+    pub(super) ended_calls: VecDeque<String>,
+    /// The mean time between two actions of clients.
+    pub(super) mean_client_gap: u64,
     pub(super) transcript: &'a mut Transcript,
-    /// Connections that were idle for so long break when they are used again.
-    pub(super) idle_breaks: u64,
-    length: u64,
-    hosts: Vec<Host>,
-    list_index: u64,
+    /// Connections that were idle for this long break when they are used again.
+    pub(super) idle_break_after: u64,
+    duration: u64,
+    listed_workers: Vec<ListedWorker>,
+    list_version: u64,
     effects: u64,
 }
 
-/// Runs the scenario of a seed against the node that `start` makes of a time and a configuration's text.
+/// Runs the scenario of a seed against the node that `start` creates from a time and a configuration.
 pub fn run<N: Node>(seed: u64, start: impl FnOnce(u64, &str) -> N, transcript: &mut Transcript) {
     let mut world = World::draw(seed, start, transcript);
-    let stop = world.now + world.length;
-    world.pass(stop, |_| false);
-    world.note("stop", "stop".to_string());
+    let stop = world.now + world.duration;
+    world.run_until(stop, |_| false);
+    world.record_input("stop", "stop".to_string());
     world.node.stop(world.now);
-    let most = world.now + MAX_STOP_TIME;
-    world.pass(world.now + SILENT_AFTER_STOP, |_| false);
+    let latest_stop = world.now + MAX_STOP_TIME;
+    world.run_until(world.now + SILENT_AFTER_STOP, |_| false);
     if world.random.per_mille(500) {
-        world.silence_all_hosts();
+        world.make_all_unresponsive();
     }
-    world.pass(most, |world| {
+    world.run_until(latest_stop, |world| {
         world.node.stopped(world.now) || world.node.deadline_passed(world.now)
     });
-    world.figures();
+    world.statistics();
     if world.node.stopped(world.now) {
         world.transcript.count("scenario stopped in time");
     }
@@ -120,23 +120,23 @@
             (40, 100),
             (520, 600),
         ]);
-        let hosts: Vec<_> = (0..random.between(low, high))
-            .map(|number| Host::draw(&mut random, number))
+        let workers: Vec<_> = (0..random.between(low, high))
+            .map(|number| ListedWorker::draw(&mut random, number))
             .collect();
         let (low, high) = random.pick(&[(1, 20), (20, 60), (60, 150)]);
         let functions = (0..random.between(low, high))
             .map(|_| Function::draw(&mut random, &configuration))
             .collect();
         let now = 1_000_000 * SECOND + random.between(0, 999) * MILLISECOND;
-        let (mut known, mut list_index) = (vec![endpoint_event(1, true, hosts.iter())], 1);
+        let (mut known, mut list_version) = (vec![endpoint_event(1, true, workers.iter())], 1);
         if random.per_mille(300) {
-            known.push(endpoint_event(2, false, hosts.iter().take(1)));
-            list_index = 2;
+            known.push(endpoint_event(2, false, workers.iter().take(1)));
+            list_version = 2;
         }
         let text = configuration.text(&known);
         transcript.input(&format!("{now} {text}"));
         // A few scenarios are long, with less in each second.
-        let (length, gap) = if random.per_mille(120) {
+        let (seconds, gap) = if random.per_mille(120) {
             (random.between(25, 45), random.between(20, 50))
         } else {
             (random.between(6, 14), random.between(4, 30))
@@ -148,22 +148,22 @@
             configuration,
             functions,
             clients: BTreeMap::new(),
-            links: BTreeMap::new(),
-            silent_hosts: BTreeSet::new(),
+            worker_connections: BTreeMap::new(),
+            unresponsive_addresses: BTreeSet::new(),
             silent_until: 0,
-            ended: VecDeque::new(),
-            idle_breaks: random.pick(&[
+            ended_calls: VecDeque::new(),
+            idle_break_after: random.pick(&[
                 100 * MILLISECOND,
                 700 * MILLISECOND,
                 u64::MAX,
                 u64::MAX,
                 u64::MAX,
             ]),
-            length: length * SECOND,
-            gap: gap * MILLISECOND,
+            duration: seconds * SECOND,
+            mean_client_gap: gap * MILLISECOND,
             transcript,
-            hosts,
-            list_index,
+            listed_workers: workers,
+            list_version,
             effects: 0,
             random,
         };
@@ -171,13 +171,15 @@
         world
             .schedule
             .add(now + 300 * MILLISECOND, Event::EndpointsChange);
-        world.schedule.add(now + 500 * MILLISECOND, Event::Figures);
+        world
+            .schedule
+            .add(now + 500 * MILLISECOND, Event::Statistics);
         world
     }
 
-    /// Time passes until then, or until it is enough.
-    fn pass(&mut self, until: u64, enough: impl Fn(&Self) -> bool) {
-        while self.now < until && !enough(self) {
+    /// Lets time pass until then, or until the condition holds.
+    fn run_until(&mut self, until: u64, is_finished: impl Fn(&Self) -> bool) {
+        while self.now < until && !is_finished(self) {
             let scheduled = self.schedule.next_due().unwrap_or(u64::MAX);
             let due = scheduled.min(self.node.next_due()).max(self.now).min(until);
             self.now = due;
@@ -193,8 +195,8 @@
         }
     }
 
-    /// Notes an input and counts it under a kind.
-    pub(super) fn note(&mut self, kind: &str, text: String) {
+    /// Records an input and counts it under a kind.
+    pub(super) fn record_input(&mut self, kind: &str, text: String) {
         self.transcript.count(&format!("in {kind}"));
         self.transcript.input(&format!("{} {text}", self.now));
     }
@@ -206,31 +208,39 @@
             }
             Event::ClientActs => self.client_acts(),
             Event::EndpointsChange => self.change_endpoints(),
-            Event::Figures => {
+            Event::Statistics => {
                 self.schedule
-                    .add(self.now + 500 * MILLISECOND, Event::Figures);
-                self.figures();
+                    .add(self.now + 500 * MILLISECOND, Event::Statistics);
+                self.statistics();
+            }
+            Event::AddressResponds { address } => {
+                self.unresponsive_addresses.remove(&address);
             }
-            Event::HostSpeaks { address } => drop(self.silent_hosts.remove(&address)),
-            Event::LinkUp { connection } => self.link_up(connection),
-            Event::LinkFailed { connection, own } => self.link_failed(connection, own),
-            Event::LinkBreaks { connection } => self.link_breaks(connection),
-            Event::LinkBlocked { connection, taken } => self.link_blocked(connection, taken),
-            Event::LinkUnblocked { connection } => self.link_unblocked(connection),
-            Event::WorkerAnswers {
+            Event::WorkerConnected { connection } => self.connected(connection),
+            Event::ConnectFailed {
+                connection,
+                local_cause,
+            } => self.connect_failed(connection, local_cause),
+            Event::ConnectionBreaks { connection } => self.connection_breaks(connection),
+            Event::WriteBlocked {
+                connection,
+                written,
+            } => self.write_blocked(connection, written),
+            Event::WriteUnblocked { connection } => self.write_unblocked(connection),
+            Event::WorkerResponds {
                 connection,
-                word,
+                response,
                 reference,
             } => {
-                self.worker_answers(connection, word, &reference);
+                self.worker_responds(connection, response, &reference);
             }
         }
     }
 
-    fn figures(&mut self) {
-        let figures = self.node.figures();
+    fn statistics(&mut self) {
+        let statistics = self.node.statistics();
         self.transcript
-            .output(&format!("{} figures {figures}", self.now));
+            .output(&format!("{} figures {statistics}", self.now));
     }
 
     // ---- effects ----
@@ -260,26 +270,26 @@
                 within,
             } => self.connect(connection, address, within),
             Effect::Write { connection, bytes } if self.clients.contains_key(&connection) => {
-                self.client_hears(connection, &bytes);
+                self.client_receives(connection, &bytes);
             }
             Effect::Write { connection, bytes } => self.write_to_worker(connection, &bytes),
-            Effect::Unwrite {
+            Effect::CancelWrite {
                 connection,
                 at,
                 length,
-            } => self.unwrite(connection, at, length),
+            } => self.cancel_write(connection, at, length),
             Effect::Close { connection } => {
                 self.clients.remove(&connection);
-                self.links.remove(&connection);
+                self.worker_connections.remove(&connection);
             }
             Effect::Retire { connection } => {
-                self.note("client retired", format!("client retired {connection}"));
+                self.record_input("client retired", format!("client retired {connection}"));
                 self.node.client_retired(self.now, connection);
             }
         }
     }
 
-    fn client_hears(&mut self, connection: u64, bytes: &[u8]) {
+    fn client_receives(&mut self, connection: u64, bytes: &[u8]) {
         let text = String::from_utf8_lossy(bytes).into_owned();
         let kind = if text.contains("\"body\"") {
             "served"
@@ -303,17 +313,17 @@
         let Some(client) = self.clients.get_mut(&connection) else {
             return;
         };
-        if let Some(place) = client.open.iter().position(|(open, _)| *open == id) {
-            let (_, name) = client.open.remove(place);
+        if let Some(place) = client.pending.iter().position(|(open, _)| *open == id) {
+            let (_, name) = client.pending.remove(place);
             self.remember_ended(name);
         }
     }
 
     pub(super) fn remember_ended(&mut self, name: String) {
-        if self.ended.len() >= MAX_ENDED_CALLS {
-            self.ended.pop_front();
+        if self.ended_calls.len() >= MAX_ENDED_CALLS {
+            self.ended_calls.pop_front();
         }
-        self.ended.push_back(name);
+        self.ended_calls.push_back(name);
     }
 
     // ---- the list of workers ----
@@ -321,83 +331,94 @@
     fn change_endpoints(&mut self) {
         let next = self.random.between(50, 900) * MILLISECOND;
         self.schedule.add(self.now + next, Event::EndpointsChange);
-        let host = self.random.between(0, self.hosts.len() as u64 - 1) as usize;
+        let worker = self.random.between(0, self.listed_workers.len() as u64 - 1) as usize;
         match self.random.between(0, 9) {
-            0 => self.set_health(host, "DRAINING"),
-            1 => self.set_health(host, "DELETED"),
-            2 | 3 => self.restart_host(host),
-            4 => self.add_host(),
+            0 => self.set_health(worker, "DRAINING"),
+            1 => self.set_health(worker, "DELETED"),
+            2 | 3 => self.restart_worker(worker),
+            4 => self.add_worker(),
             5 => self.publish_all(),
             6 => {
-                // The events of a new configuration begin anew.
-                self.list_index = 0;
+                // The versions of a new configuration count from the beginning.
+                self.list_version = 0;
                 self.publish_all();
             }
             7 => {
-                let address = self.hosts[host].address.clone();
+                let address = self.listed_workers[worker].address.clone();
                 let until = self.now + self.random.between(200, 2_500) * MILLISECOND;
-                self.silent_hosts.insert(address.clone());
-                self.schedule.add(until, Event::HostSpeaks { address });
+                self.unresponsive_addresses.insert(address.clone());
+                self.schedule.add(until, Event::AddressResponds { address });
             }
             8 => {
-                let address = self.hosts[host].address.clone();
-                self.host_breaks(&address);
+                let address = self.listed_workers[worker].address.clone();
+                self.break_connections(&address);
             }
-            _ => self.readdress_host(host),
+            _ => self.change_address(worker),
         }
     }
 
-    fn set_health(&mut self, host: usize, health: &'static str) {
-        self.hosts[host].health = health;
-        self.publish_change(host);
+    fn set_health(&mut self, worker: usize, health: &'static str) {
+        self.listed_workers[worker].health = health;
+        self.publish_change(worker);
         if health == "DELETED" {
-            let address = self.hosts[host].address.clone();
-            self.host_breaks(&address);
+            let address = self.listed_workers[worker].address.clone();
+            self.break_connections(&address);
         }
     }
 
-    fn restart_host(&mut self, host: usize) {
-        let address = self.hosts[host].address.clone();
-        self.host_breaks(&address);
-        self.hosts[host].health = "SERVING";
-        self.hosts[host].started = self.now / MILLISECOND;
-        self.publish_change(host);
+    fn restart_worker(&mut self, worker: usize) {
+        let address = self.listed_workers[worker].address.clone();
+        self.break_connections(&address);
+        self.listed_workers[worker].health = "SERVING";
+        self.listed_workers[worker].started = self.now / MILLISECOND;
+        self.publish_change(worker);
     }
 
-    fn add_host(&mut self) {
-        let number = self.hosts.len() as u64;
-        let mut host = Host::draw(&mut self.random, number);
-        host.started = self.now / MILLISECOND;
-        self.hosts.push(host);
+    fn add_worker(&mut self) {
+        let number = self.listed_workers.len() as u64;
+        let mut worker = ListedWorker::draw(&mut self.random, number);
+        worker.started = self.now / MILLISECOND;
+        self.listed_workers.push(worker);
         self.publish_change(number as usize);
     }
 
-    /// Nothing comes from any worker any more.
-    fn silence_all_hosts(&mut self) {
-        self.silent_hosts
-            .extend(self.hosts.iter().map(|host| host.address.clone()));
+    /// No worker responds any more.
+    fn make_all_unresponsive(&mut self) {
+        self.unresponsive_addresses.extend(
+            self.listed_workers
+                .iter()
+                .map(|worker| worker.address.clone()),
+        );
     }
 
-    /// A worker is found at another address.
-    fn readdress_host(&mut self, host: usize) {
+    /// A worker moves to another address.
+    fn change_address(&mut self, worker: usize) {
         let number = self.random.between(0, 60_000);
-        self.hosts[host].address = format!("10.1.{}.{}:8080", number / 256, number % 256);
-        self.publish_change(host);
+        self.listed_workers[worker].address =
+            format!("10.1.{}.{}:8080", number / 256, number % 256);
+        self.publish_change(worker);
     }
 
-    fn publish_change(&mut self, host: usize) {
-        self.list_index += 1;
-        let event = endpoint_event(self.list_index, false, self.hosts[host..=host].iter());
-        self.note("list change", event.clone());
-        self.node.list(self.now, &event);
+    fn publish_change(&mut self, worker: usize) {
+        self.list_version += 1;
+        let event = endpoint_event(
+            self.list_version,
+            false,
+            self.listed_workers[worker..=worker].iter(),
+        );
+        self.record_input("list change", event.clone());
+        self.node.update_endpoints(self.now, &event);
     }
 
     fn publish_all(&mut self) {
-        self.list_index += 1;
-        let listed = self.hosts.iter().filter(|host| host.health != "DELETED");
-        let event = endpoint_event(self.list_index, true, listed);
-        self.note("list whole", event.clone());
-        self.node.list(self.now, &event);
+        self.list_version += 1;
+        let listed = self
+            .listed_workers
+            .iter()
+            .filter(|worker| worker.health != "DELETED");
+        let event = endpoint_event(self.list_version, true, listed);
+        self.record_input("list whole", event.clone());
+        self.node.update_endpoints(self.now, &event);
     }
 }
 
--- a/crates/pipithub-characterization/tests/node_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/node_driver/mod.rs
@@ -54,8 +54,8 @@
         self.core.worker_connected(now, connection);
     }
 
-    fn worker_failed(&mut self, now: u64, connection: u64, own: bool) {
-        self.core.worker_failed(now, connection, own);
+    fn worker_failed(&mut self, now: u64, connection: u64, local_cause: bool) {
+        self.core.worker_failed(now, connection, local_cause);
     }
 
     fn worker_blocked(&mut self, now: u64, connection: u64, written: Option<u64>) {
@@ -70,7 +70,7 @@
         self.core.worker_bytes(now, connection, bytes);
     }
 
-    fn list(&mut self, now: u64, event: &str) {
+    fn update_endpoints(&mut self, now: u64, event: &str) {
         let event = list::parse(event, &self.config.site.names).expect("the event can be read");
         self.core.update_endpoints(now, &event);
     }
@@ -87,7 +87,7 @@
         self.core.shutdown_overdue(now)
     }
 
-    fn figures(&self) -> String {
+    fn statistics(&self) -> String {
         let (clients, workers) = self.core.connections();
         format!(
             "open {} clients {clients} workers {workers}",
@@ -114,7 +114,7 @@
             connection,
             offset,
             length,
-        } => node_scenario::Effect::Unwrite {
+        } => node_scenario::Effect::CancelWrite {
             connection,
             at: offset,
             length,
