--- a/crates/pipithub-characterization/src/adapter_scenario/actions.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/actions.rs
@@ -1,8 +1,10 @@
 //! What the actions of a front end bring about.
 
 use super::MILLISECOND;
+use super::event::Event;
+use super::requests::Attempt;
 use super::tier::{Condition, EndpointState};
-use super::world::{Attempt, Event, World};
+use super::world::World;
 
 impl World<'_> {
     pub(super) fn perform(&mut self, line: &str) {
--- a/crates/pipithub-characterization/src/adapter_scenario/discovery.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/discovery.rs
@@ -1,8 +1,9 @@
 //! What front ends are told of the workers, and how their lives begin and end.
 
 use super::MILLISECOND;
+use super::event::Event;
 use super::tier::EndpointState;
-use super::world::{Event, FrontEnd, World};
+use super::world::{FrontEnd, World};
 
 impl World<'_> {
     pub(super) fn emit_endpoints(&mut self, front_end: usize, kind: &str, workers: &[usize]) {
--- a/crates/pipithub-characterization/src/adapter_scenario/incidents.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/incidents.rs
@@ -1,8 +1,9 @@
 //! What befalls workers and front ends in the course of a scenario.
 
+use super::event::Event;
 use super::settings::ZONES;
 use super::tier::{Condition, EndpointState, Worker};
-use super::world::{Event, World};
+use super::world::World;
 use super::{MILLISECOND, SECOND};
 
 impl World<'_> {
--- a/crates/pipithub-characterization/src/adapter_scenario/mod.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/mod.rs
@@ -5,7 +5,9 @@
 
 mod actions;
 mod discovery;
+mod event;
 mod incidents;
+mod requests;
 mod settings;
 mod tier;
 mod world;
