--- a/crates/pipithub-characterization/src/adapter_scenario/actions.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/actions.rs
@@ -1,91 +1,79 @@
 //! What the actions of a front end bring about.
 
 use super::MILLISECOND;
-use super::event::Event;
+use super::event::FrontEndEvent;
 use super::requests::Attempt;
-use super::tier::{Condition, EndpointState};
+use super::tier::{AttemptResult, Condition, EndpointState};
 use super::world::World;
 
 impl World<'_> {
+    /// Performs the action of one line of a reply.
     pub(super) fn perform(&mut self, line: &str) {
         let parts: Vec<&str> = line.split(' ').collect();
         let number = |place: usize| parts[place].parse::<u64>().expect("a number in an action");
         let front_end = number(1) as usize;
-        let incarnation = self.front_ends[front_end].incarnation;
-        let kind = match parts[0] {
-            "reject" if parts[3] == "-" => "reject without a time",
-            "reject" => "reject with a time",
-            other => other,
-        };
-        self.transcript.count(&format!("out {kind}"));
+        self.transcript
+            .count(&format!("out {}", action_kind(&parts)));
         match parts[0] {
             "hand_off" => self.begin_attempt(front_end, number(2), parts[3], parts[4]),
-            "recall" => {
-                let (request, attempt) = (number(2), number(3) as usize);
-                let at = self.now + self.settings.granularity;
-                let ended = Event::AttemptEnds {
-                    front_end,
-                    incarnation,
-                    request,
-                    attempt,
-                    status: "X",
-                    detail: 0,
-                };
-                self.schedule.add(at, ended);
-            }
-            "reject" | "abort" => {
-                if let Some(request) = self.front_ends[front_end].requests.get_mut(&number(2)) {
-                    request.settled = true;
-                }
-            }
-            "touch" => {
-                let at = self.now + self.random.between(1, 40) * MILLISECOND;
-                let (worker, sent) = (parts[2].to_string(), self.now);
-                self.schedule.add(
-                    at,
-                    Event::HealthCheckEnds {
-                        front_end,
-                        incarnation,
-                        worker,
-                        sent,
-                    },
-                );
-            }
+            "recall" => self.cancel_attempt(front_end, number(2), number(3) as usize),
+            "reject" | "abort" => self.settle(front_end, number(2)),
+            "touch" => self.begin_health_check(front_end, parts[2]),
             "bring_up" => self.begin_load(front_end, parts[2], parts[3]),
-            "shelve" => {
-                let function = u64::from_str_radix(parts[2], 16).expect("a function");
-                let worker = self.workers_by_address[parts[3]];
-                self.workers[worker].replicas.remove(&function);
-            }
-            "remind" => {
-                let line = format!("wake {front_end} {}", parts[3]);
-                self.schedule.add(
-                    self.now + number(2).max(1),
-                    Event::Line {
-                        front_end,
-                        incarnation,
-                        line,
-                    },
-                );
-            }
-            "tail" => {
-                let at = self.now + self.random.between(1, 60) * MILLISECOND;
-                self.schedule.add(
-                    at,
-                    Event::SubscriptionAnswer {
-                        front_end,
-                        incarnation,
-                    },
-                );
-            }
+            "shelve" => self.evict(parts[2], parts[3]),
+            "remind" => self.set_timer(front_end, number(2), parts[3]),
+            "tail" => self.subscribe(front_end),
             other => panic!("an unknown action: {other}"),
         }
     }
 
-    fn begin_attempt(&mut self, front_end: usize, id: u64, address: &str, most: &str) {
+    fn cancel_attempt(&mut self, front_end: usize, request: u64, attempt: usize) {
+        let at = self.now + self.settings.granularity;
+        let ended = FrontEndEvent::AttemptEnds {
+            request,
+            attempt,
+            status: "X",
+            detail: 0,
+        };
+        self.schedule_for(front_end, at, ended);
+    }
+
+    fn settle(&mut self, front_end: usize, request: u64) {
+        if let Some(request) = self.front_ends[front_end].requests.get_mut(&request) {
+            request.settled = true;
+        }
+    }
+
+    fn begin_health_check(&mut self, front_end: usize, address: &str) {
+        let at = self.now + self.random.between(1, 40) * MILLISECOND;
+        let ended = FrontEndEvent::HealthCheckEnds {
+            worker: address.to_string(),
+            sent: self.now,
+        };
+        self.schedule_for(front_end, at, ended);
+    }
+
+    fn evict(&mut self, function: &str, address: &str) {
+        let worker = self.workers_by_address[address];
+        self.workers[worker]
+            .replicas
+            .remove(&function_name(function));
+    }
+
+    fn set_timer(&mut self, front_end: usize, after: u64, token: &str) {
+        let line = format!("wake {front_end} {token}");
+        let at = self.now + after.max(1);
+        self.schedule_for(front_end, at, FrontEndEvent::Line { line });
+    }
+
+    fn subscribe(&mut self, front_end: usize) {
+        let at = self.now + self.random.between(1, 60) * MILLISECOND;
+        self.schedule_for(front_end, at, FrontEndEvent::SubscriptionAnswer);
+    }
+
+    fn begin_attempt(&mut self, front_end: usize, id: u64, address: &str, timeout: &str) {
         let worker = self.workers_by_address[address];
-        let (incarnation, now) = (self.front_ends[front_end].incarnation, self.now);
-        let loads_fail = now < self.loads_fail_until;
+        let now = self.now;
         // An action that was written just before the front end was killed names a request of its earlier incarnation.
         let Some(request) = self.front_ends[front_end].requests.get_mut(&id) else {
             return;
@@ -97,83 +85,92 @@
             ended: false,
         });
         let is_moot = request.settled || request.streaming || attempt >= self.settings.max_attempts;
-        let (mut status, mut after, mut detail) = ("N", self.settings.granularity, 0);
-        let (errors, errors_until) = self.errors_on_all_workers;
-        if !is_moot && now < errors_until && self.random.per_mille(errors) {
-            (status, after) = ("E", 5 * MILLISECOND);
-        } else if !is_moot {
-            let drawn = self.workers[worker].attempt(
-                &mut self.random,
-                &self.settings,
-                now,
-                request.function,
-                loads_fail,
-            );
-            (status, after, detail) = (drawn.status, drawn.after, drawn.detail);
-        }
+        let (function, is_streamed, deadline) =
+            (request.function, request.stream, request.deadline);
+        let mut result = if is_moot {
+            AttemptResult::new("N", self.settings.granularity, 0)
+        } else {
+            self.draw_result(worker, function)
+        };
         self.workers[worker].in_flight += 1;
-        if let Some(most) = most.parse().ok().filter(|most| *most < after) {
-            (status, after, detail) = ("T", most, 0);
+        let timeout: Option<u64> = timeout.parse().ok();
+        if let Some(timeout) = timeout.filter(|timeout| *timeout < result.after) {
+            result = AttemptResult::new("T", timeout, 0);
         }
-        if request.stream && status == "S" {
-            let begins = now + after / 2;
-            if begins < request.deadline {
-                let event = Event::StreamBegins {
-                    front_end,
-                    incarnation,
+        if is_streamed && result.status == "S" {
+            let begins = now + result.after / 2;
+            if begins < deadline {
+                let event = FrontEndEvent::StreamBegins {
                     request: id,
                     attempt,
                 };
-                self.schedule.add(begins, event);
+                self.schedule_for(front_end, begins, event);
             }
             if self.random.per_mille(100) {
-                (status, detail) = ("R", 0);
+                result = AttemptResult::new("R", result.after, 0);
             }
         }
-        let ends = Event::AttemptEnds {
-            front_end,
-            incarnation,
+        let ended = FrontEndEvent::AttemptEnds {
             request: id,
             attempt,
-            status,
-            detail,
+            status: result.status,
+            detail: result.detail,
         };
-        self.schedule.add(now + after, ends);
+        self.schedule_for(front_end, now + result.after, ended);
+    }
+
+    /// How an attempt ends that reaches its worker.
+    fn draw_result(&mut self, worker: usize, function: u64) -> AttemptResult {
+        let errors = self.errors_on_all_workers;
+        if self.now < errors.until && self.random.per_mille(errors.per_mille) {
+            return AttemptResult::new("E", 5 * MILLISECOND, 0);
+        }
+        let loads_fail = self.now < self.loads_fail_until;
+        self.workers[worker].attempt(
+            &mut self.random,
+            &self.settings,
+            self.now,
+            function,
+            loads_fail,
+        )
     }
 
     fn begin_load(&mut self, front_end: usize, function: &str, address: &str) {
-        let function = u64::from_str_radix(function, 16).expect("a function");
+        let function = function_name(function);
         let index = self.workers_by_address[address];
-        let trip = self.random.between(1, 5) * MILLISECOND;
+        let round_trip = self.random.between(1, 5) * MILLISECOND;
         let fails = self.now < self.loads_fail_until;
         let worker = &mut self.workers[index];
         let (status, after) = match worker.condition {
-            Condition::Crashed => ("C", trip),
+            Condition::Crashed => ("C", round_trip),
             Condition::Unresponsive => ("T", self.settings.load_command_timeout),
-            _ if worker.state != EndpointState::Ready => ("F", trip),
-            Condition::AtCapacity => ("F", trip),
-            _ if fails => ("E", trip * 20),
-            _ => (
-                "S",
-                worker
-                    .load(&mut self.random, self.now, function)
-                    .saturating_sub(self.now)
-                    + trip,
-            ),
+            _ if worker.state != EndpointState::Ready => ("F", round_trip),
+            Condition::AtCapacity => ("F", round_trip),
+            _ if fails => ("E", round_trip * 20),
+            _ => {
+                let loaded_at = worker.load(&mut self.random, self.now, function);
+                ("S", loaded_at.saturating_sub(self.now) + round_trip)
+            }
         };
-        let (incarnation, sent, worker) = (
-            self.front_ends[front_end].incarnation,
-            self.now,
-            address.to_string(),
-        );
-        let ends = Event::LoadCommandEnds {
-            front_end,
-            incarnation,
-            worker,
+        let ended = FrontEndEvent::LoadCommandEnds {
+            worker: address.to_string(),
             function,
-            sent,
+            sent: self.now,
             status,
         };
-        self.schedule.add(self.now + after, ends);
+        self.schedule_for(front_end, self.now + after, ended);
     }
 }
+
+/// The kind that an action is counted under.
+fn action_kind<'a>(parts: &[&'a str]) -> &'a str {
+    match parts[0] {
+        "reject" if parts[3] == "-" => "reject without a time",
+        "reject" => "reject with a time",
+        other => other,
+    }
+}
+
+fn function_name(text: &str) -> u64 {
+    u64::from_str_radix(text, 16).expect("a function")
+}
--- a/crates/pipithub-characterization/src/adapter_scenario/discovery.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/discovery.rs
@@ -1,15 +1,15 @@
-//! What front ends are told of the workers, and how their lives begin and end.
+//! The endpoint lists that front ends receive, and how front ends start and end.
 
 use super::MILLISECOND;
-use super::event::Event;
+use super::event::FrontEndEvent;
 use super::tier::EndpointState;
 use super::world::{FrontEnd, World};
 
 impl World<'_> {
     pub(super) fn emit_endpoints(&mut self, front_end: usize, kind: &str, workers: &[usize]) {
-        let told = &mut self.front_ends[front_end];
-        told.revision += 1;
-        let revision = told.revision;
+        let recipient = &mut self.front_ends[front_end];
+        recipient.revision += 1;
+        let revision = recipient.revision;
         let head = format!(
             "backends_changed {front_end} {revision} {kind} {}",
             workers.len()
@@ -23,13 +23,14 @@
         }
     }
 
+    /// The workers that the endpoint list holds.
     pub(super) fn present_workers(&self) -> Vec<usize> {
         (0..self.workers.len())
-            .filter(|n| self.workers[*n].state != EndpointState::Removed)
+            .filter(|worker| self.workers[*worker].state != EndpointState::Removed)
             .collect()
     }
 
-    /// The place of a function that is asked for seldom or often.
+    /// The index of a function; rare and common ones are equally likely.
     pub(super) fn any_function(&mut self) -> usize {
         self.random.between(0, self.functions.len() as u64 - 1) as usize
     }
@@ -68,9 +69,7 @@
         }
     }
 
-    // ---- front ends ----
-
-    /// A front end begins, with a list that may be stale.
+    /// Starts a front end, with an endpoint list that may be stale.
     pub(super) fn attach(&mut self, number: usize) {
         self.release_attempts(number);
         let incarnation = self.front_ends[number].incarnation + 1;
@@ -91,13 +90,7 @@
         self.emit_endpoints(number, "warm_copy", &stale);
         if subscribed {
             let at = self.now + self.random.between(0, 200) * MILLISECOND;
-            self.schedule.add(
-                at,
-                Event::SubscriptionAnswer {
-                    front_end: number,
-                    incarnation,
-                },
-            );
+            self.schedule_for(number, at, FrontEndEvent::SubscriptionAnswer);
         }
     }
 
@@ -115,7 +108,7 @@
 
     pub(super) fn restart_front_end(&mut self) {
         let number = self.random.between(0, self.front_ends.len() as u64 - 1) as usize;
-        // What is already in the batch for it stays: it came before the end.
+        // Lines for it that are already in the batch stay: they came before its end.
         self.emit("killed", format!("killed {number}"));
         self.attach(number);
     }
--- a/crates/pipithub-characterization/src/adapter_scenario/incidents.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/incidents.rs
@@ -1,9 +1,9 @@
-//! What befalls workers and front ends in the course of a scenario.
+//! Incidents: what happens to workers and front ends in the course of a scenario.
 
 use super::event::Event;
 use super::settings::ZONES;
 use super::tier::{Condition, EndpointState, Worker};
-use super::world::World;
+use super::world::{ErrorBurst, MAX_WORKERS, World};
 use super::{MILLISECOND, SECOND};
 
 impl World<'_> {
@@ -34,35 +34,24 @@
 
     fn drain(&mut self, worker: usize) {
         self.publish_state(worker, EndpointState::Draining);
-        let gone = self.now + self.random.between(300, 2_000) * MILLISECOND;
-        self.schedule.add(
-            gone,
-            Event::StateChanges {
-                worker,
-                state: EndpointState::Removed,
-            },
-        );
-        self.schedule.add(
-            gone + self.random.between(1, 3) * SECOND,
-            Event::Restarted { worker },
-        );
+        let removed_at = self.now + self.random.between(300, 2_000) * MILLISECOND;
+        self.schedule_removal(worker, removed_at);
+        let restarted_at = removed_at + self.random.between(1, 3) * SECOND;
+        self.schedule.add(restarted_at, Event::Restarted { worker });
     }
 
     fn crash(&mut self, worker: usize) {
         self.workers[worker].condition = Condition::Crashed;
         self.workers[worker].replicas.clear();
-        let told = self.now + self.random.between(50, 1_500) * MILLISECOND;
-        self.schedule.add(
-            told,
-            Event::StateChanges {
-                worker,
-                state: EndpointState::Removed,
-            },
-        );
-        self.schedule.add(
-            told + self.random.between(200, 3_000) * MILLISECOND,
-            Event::Restarted { worker },
-        );
+        let removed_at = self.now + self.random.between(50, 1_500) * MILLISECOND;
+        self.schedule_removal(worker, removed_at);
+        let restarted_at = removed_at + self.random.between(200, 3_000) * MILLISECOND;
+        self.schedule.add(restarted_at, Event::Restarted { worker });
+    }
+
+    fn schedule_removal(&mut self, worker: usize, at: u64) {
+        let state = EndpointState::Removed;
+        self.schedule.add(at, Event::StateChanges { worker, state });
     }
 
     fn zone_outage(&mut self) {
@@ -96,20 +85,22 @@
     /// A worker is back as another process.
     pub(super) fn restarted(&mut self, worker: usize) {
         let now = self.now;
-        let back = &mut self.workers[worker];
-        (back.condition, back.started, back.in_flight) = (Condition::Healthy, Some(now), 0);
-        back.replicas.clear();
+        let restarted = &mut self.workers[worker];
+        restarted.condition = Condition::Healthy;
+        restarted.started = Some(now);
+        restarted.in_flight = 0;
+        restarted.replicas.clear();
         self.publish_state(worker, EndpointState::Ready);
     }
 
-    /// Discovery tells of a worker's state.
+    /// Discovery publishes a state of a worker.
     pub(super) fn publish_state(&mut self, worker: usize, state: EndpointState) {
         self.workers[worker].state = state;
         self.notify_changes(&[worker]);
     }
 
     fn add_worker(&mut self) {
-        if self.workers.len() < super::world::MAX_WORKERS {
+        if self.workers.len() < MAX_WORKERS {
             let mut worker = Worker::draw(&mut self.random, self.workers.len() as u64);
             worker.started = Some(self.now);
             self.workers.push(worker);
@@ -118,8 +109,10 @@
     }
 
     fn errors_on_all_workers(&mut self) {
-        let errors = self.random.between(100, 600);
-        self.errors_on_all_workers = (errors, self.now + self.random.between(1, 6) * SECOND);
+        self.errors_on_all_workers = ErrorBurst {
+            per_mille: self.random.between(100, 600),
+            until: self.now + self.random.between(1, 6) * SECOND,
+        };
     }
 
     /// Many requests at once, of one function or of any.
--- a/crates/pipithub-characterization/src/adapter_scenario/requests.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/requests.rs
@@ -1,12 +1,13 @@
-//! Requests and health checks: how they begin, what becomes of them, and what the front end is told.
+//! Requests and health checks: how they begin and end, and the lines that report it to the front end.
 
 use super::MILLISECOND;
-use super::event::Event;
+use super::event::{Event, FrontEndEvent};
 use super::settings::Settings;
 use super::tier::Condition;
 use super::world::World;
 use crate::random::Random;
 
+/// An attempt of a front end at a request.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub(super) worker: usize,
@@ -14,49 +15,85 @@
     pub(super) ended: bool,
 }
 
+/// A request of a client.
 #[derive(Debug)]
 pub(super) struct Request {
     pub(super) function: u64,
     pub(super) deadline: u64,
+    /// Whether its response is streamed.
     pub(super) stream: bool,
+    /// Whether its response has begun.
     pub(super) streaming: bool,
+    /// Whether it has ended.
     pub(super) settled: bool,
     pub(super) attempts: Vec<Attempt>,
 }
 
+/// A function that clients request.
 #[derive(Clone, Debug)]
 pub(super) struct Function {
     name: u64,
+    /// Memory of one replica, in MB.
     memory: u64,
     replica_concurrency: u64,
+    /// The usual time of a load in milliseconds, where it is known.
     load: Option<u64>,
+    /// The index of its class in the settings.
     class: usize,
 }
 
 impl World<'_> {
+    /// A client sends a request to one of the front ends.
     pub(super) fn request_arrives(&mut self, recurring: bool, function: Option<usize>) {
         if recurring {
             let gap = self.random.between(MILLISECOND, 2 * self.mean_arrival_gap);
-            self.schedule.add(
-                self.now + gap,
-                Event::Arrival {
-                    recurring,
-                    function,
-                },
-            );
+            let next = Event::Arrival {
+                recurring,
+                function,
+            };
+            self.schedule.add(self.now + gap, next);
         }
         let front_end = self.random.between(0, self.front_ends.len() as u64 - 1) as usize;
-        // Low numbers are asked for more often.
-        let last = self.functions.len() as u64 - 1;
-        let drawn = self
-            .random
-            .between(0, last)
-            .min(self.random.between(0, last));
-        let function = self.functions[function.unwrap_or(drawn as usize)].clone();
+        // It is drawn in any case, so that the numbers drawn afterwards do not depend on `function`.
+        let popular = self.popular_function();
+        let function = self.functions[function.unwrap_or(popular)].clone();
         let class = &self.settings.classes[function.class];
         let timeout = class.deadline * self.random.between(4, 10) / 10;
-        let (id, incarnation) = (self.next_request, self.front_ends[front_end].incarnation);
+        let request = Request {
+            function: function.name,
+            deadline: self.now + timeout,
+            stream: class.stream,
+            streaming: false,
+            settled: false,
+            attempts: Vec::new(),
+        };
+        let id = self.next_request;
         self.next_request += 1;
+        self.emit_query(front_end, id, &function, timeout);
+        self.front_ends[front_end].requests.insert(id, request);
+        let deadline = self.now + timeout;
+        self.schedule_for(front_end, deadline, FrontEndEvent::Deadline { request: id });
+        if self.random.per_mille(50) {
+            // Some cancel at once: attempts that are sent for them afterwards are moot.
+            let after = if self.random.per_mille(200) {
+                0
+            } else {
+                self.random.between(1, timeout)
+            };
+            let cancels = FrontEndEvent::ClientCancels { request: id };
+            self.schedule_for(front_end, self.now + after, cancels);
+        }
+    }
+
+    /// The index of a function; low numbers are requested more often.
+    fn popular_function(&mut self) -> usize {
+        let last = self.functions.len() as u64 - 1;
+        let first_draw = self.random.between(0, last);
+        let second_draw = self.random.between(0, last);
+        first_draw.min(second_draw) as usize
+    }
+
+    fn emit_query(&mut self, front_end: usize, id: u64, function: &Function, timeout: u64) {
         let expected = if self.random.per_mille(300) {
             "-".into()
         } else {
@@ -65,45 +102,12 @@
         let load = function
             .load
             .map_or_else(|| "-".to_string(), |load| load.to_string());
+        let class = &self.settings.classes[function.class];
         let line = format!(
             "query {front_end} {id} {expected} - {} {} {} {load} {:016x} 1 {timeout}",
             function.memory, function.replica_concurrency, class.name, function.name
         );
-        let request = Request {
-            function: function.name,
-            deadline: self.now + timeout,
-            stream: class.stream,
-            streaming: false,
-            settled: false,
-            attempts: Vec::new(),
-        };
         self.emit("query", line);
-        self.front_ends[front_end].requests.insert(id, request);
-        self.schedule.add(
-            self.now + timeout,
-            Event::Deadline {
-                front_end,
-                incarnation,
-                request: id,
-            },
-        );
-        if self.random.per_mille(50) {
-            // Some cancel at once: attempts that are sent for them afterwards are moot.
-            let left = self.now
-                + if self.random.per_mille(200) {
-                    0
-                } else {
-                    self.random.between(1, timeout)
-                };
-            self.schedule.add(
-                left,
-                Event::ClientCancels {
-                    front_end,
-                    incarnation,
-                    request: id,
-                },
-            );
-        }
     }
 
     pub(super) fn stream_begins(&mut self, front_end: usize, id: u64, attempt: usize) {
@@ -115,11 +119,9 @@
             return;
         }
         request.streaming = true;
-        let (worker, elapsed) = (
-            request.attempts[attempt].worker,
-            now - request.attempts[attempt].sent,
-        );
-        let address = &self.workers[worker].address;
+        let begun = &request.attempts[attempt];
+        let elapsed = now - begun.sent;
+        let address = &self.workers[begun.worker].address;
         let line = format!("head_received {front_end} {id} {attempt} {address} {elapsed}");
         self.emit("head_received", line);
     }
@@ -145,8 +147,9 @@
         let (settled, elapsed) = (u8::from(request.settled), now - attempt.sent);
         let worker = &mut self.workers[attempt.worker];
         worker.in_flight = worker.in_flight.saturating_sub(1);
-        let told = matches!(status, "S" | "F" | "E") && self.settings.load_reports == "answers";
-        let load = if told {
+        let is_reported =
+            matches!(status, "S" | "F" | "E") && self.settings.load_reports == "answers";
+        let load = if is_reported {
             worker.report(&mut self.random)
         } else {
             "-".to_string()
@@ -158,49 +161,34 @@
         self.emit(&format!("completed {status}"), line);
     }
 
-    /// The client's time is over: what is out times out, and an owed answer is given up a little later.
+    /// The client's time is over: attempts in flight time out, and a pending request is cancelled a little later.
     pub(super) fn deadline(&mut self, front_end: usize, id: u64) {
-        let incarnation = self.front_ends[front_end].incarnation;
         let Some(request) = self.front_ends[front_end].requests.get(&id) else {
             return;
         };
         if request.streaming {
             return;
         }
-        let out: Vec<_> = (0..request.attempts.len())
-            .filter(|n| !request.attempts[*n].ended)
+        let in_flight: Vec<_> = (0..request.attempts.len())
+            .filter(|number| !request.attempts[*number].ended)
             .collect();
-        for number in out {
+        for number in in_flight {
             self.attempt_ends(front_end, id, number, "T", 0);
         }
-        self.schedule.add(
-            self.now + 8 * MILLISECOND,
-            Event::ClientCancels {
-                front_end,
-                incarnation,
-                request: id,
-            },
-        );
+        let cancels = FrontEndEvent::ClientCancels { request: id };
+        self.schedule_for(front_end, self.now + 8 * MILLISECOND, cancels);
     }
 
-    /// The client leaves; the front end is told a little later.
+    /// The client cancels; the front end learns of it a little later.
     pub(super) fn client_cancels(&mut self, front_end: usize, id: u64) {
-        let incarnation = self.front_ends[front_end].incarnation;
         let Some(request) = self.front_ends[front_end].requests.get_mut(&id) else {
             return;
         };
         if !request.settled && !request.streaming {
             request.settled = true;
             let line = format!("lapsed {front_end} {id}");
-            let told = self.now + self.random.between(0, 20) * MILLISECOND;
-            self.schedule.add(
-                told,
-                Event::Line {
-                    front_end,
-                    incarnation,
-                    line,
-                },
-            );
+            let reported_at = self.now + self.random.between(0, 20) * MILLISECOND;
+            self.schedule_for(front_end, reported_at, FrontEndEvent::Line { line });
         }
     }
 
--- a/crates/pipithub-characterization/src/adapter_scenario/settings.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/settings.rs
@@ -23,7 +23,7 @@
     pub(super) stream: bool,
 }
 
-/// What the world needs to know of the settings, and the rest for the text.
+/// The settings of a front end. Fields that only their text needs are private.
 #[derive(Debug)]
 pub(super) struct Settings {
     pub(super) classes: Vec<Class>,
@@ -75,7 +75,8 @@
         }
     }
 
-    /// The text for the front end of this number. Written by hand: the order of keys must not hang on a library.
+    /// The text for the front end of this number. It is formatted by hand, so that no library can change the order of its
+    /// keys.
     pub(super) fn text(&self, number: u64) -> String {
         let classes: Vec<String> = self.classes.iter().map(Class::text).collect();
         let mut text = String::new();
--- a/crates/pipithub-characterization/src/adapter_scenario/tier.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/tier.rs
@@ -6,12 +6,12 @@
 use super::{MILLISECOND, SECOND};
 use crate::random::Random;
 
-/// Requests that a worker holds before it turns others away.
+/// Requests that a worker has in flight before it rejects others.
 const CAPACITY: u32 = 12;
-/// Functions of which a worker holds replicas at a time.
+/// Functions of which a worker has replicas at a time.
 const MAX_REPLICAS: usize = 6;
 
-/// The state that discovery tells of a worker.
+/// The state of a worker in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EndpointState {
     Ready,
@@ -19,7 +19,7 @@
     Removed,
 }
 
-/// What a worker does with what it is sent.
+/// How a worker treats what it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Condition {
     Healthy,
@@ -28,7 +28,7 @@
     AtCapacity,
     /// Connections to it fail at once.
     Crashed,
-    /// Nothing ever comes back.
+    /// It never responds.
     Unresponsive,
 }
 
@@ -40,7 +40,7 @@
     pub(super) state: EndpointState,
     pub(super) condition: Condition,
     pub(super) started: Option<u64>,
-    /// Functions that it holds, with the time at which the copy is loaded.
+    /// Functions of which it has a replica, with the time at which that is loaded.
     pub(super) replicas: BTreeMap<u64, u64>,
     pub(super) in_flight: u32,
     cell: u64,
@@ -57,7 +57,7 @@
 }
 
 impl AttemptResult {
-    fn new(status: &'static str, after: u64, detail: u32) -> Self {
+    pub(super) fn new(status: &'static str, after: u64, detail: u32) -> Self {
         AttemptResult {
             status,
             after,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Its line in a list.
+    /// The line of the worker in an endpoint list.
     pub(super) fn entry_line(&self) -> String {
         let state = match self.state {
             EndpointState::Ready => "live",
@@ -113,7 +113,7 @@
         )
     }
 
-    /// A load report.
+    /// A load report, as the protocol writes it.
     pub(super) fn report(&self, random: &mut Random) -> String {
         let busy = random
             .between(0, 100)
@@ -126,7 +126,7 @@
         )
     }
 
-    /// Makes the worker hold a function; when its copy will stand loaded.
+    /// Loads a replica of a function, unless there is one; returns the time at which it is loaded.
     pub(super) fn load(&mut self, random: &mut Random, now: u64, function: u64) -> u64 {
         if let Some(ready) = self.replicas.get(&function) {
             return *ready;
@@ -140,7 +140,29 @@
         ready
     }
 
-    /// How an attempt at a function ends here, but for time-outs.
+    /// How an attempt fails at a worker that cannot serve any; `None`: it does not.
+    fn fail(
+        &self,
+        random: &mut Random,
+        settings: &Settings,
+        round_trip: u64,
+    ) -> Option<AttemptResult> {
+        match self.condition {
+            Condition::Crashed => Some(AttemptResult::new("C", round_trip, 0)),
+            Condition::Unresponsive if random.per_mille(500) => {
+                Some(AttemptResult::new("C", settings.connect_timeout, 0))
+            }
+            Condition::Unresponsive => Some(AttemptResult::new("T", 3_600 * SECOND, 0)),
+            Condition::Failing if random.per_mille(700) => {
+                Some(AttemptResult::new("E", round_trip, 0))
+            }
+            Condition::Healthy | Condition::Slow | Condition::Failing | Condition::AtCapacity => {
+                None
+            }
+        }
+    }
+
+    /// How an attempt at a function ends at this worker, apart from time-outs.
     pub(super) fn attempt(
         &mut self,
         random: &mut Random,
@@ -149,37 +171,31 @@
         function: u64,
         loads_fail: bool,
     ) -> AttemptResult {
-        let trip = random.between(1, 4) * MILLISECOND;
-        match self.condition {
-            Condition::Crashed => return AttemptResult::new("C", trip, 0),
-            Condition::Unresponsive if random.per_mille(500) => {
-                return AttemptResult::new("C", settings.connect_timeout, 0);
-            }
-            Condition::Unresponsive => return AttemptResult::new("T", 3_600 * SECOND, 0),
-            Condition::Failing if random.per_mille(700) => return AttemptResult::new("E", trip, 0),
-            Condition::Healthy | Condition::Slow | Condition::Failing | Condition::AtCapacity => {}
+        let round_trip = random.between(1, 4) * MILLISECOND;
+        if let Some(failure) = self.fail(random, settings, round_trip) {
+            return failure;
         }
         let concurrency = if settings.reports_concurrency {
             8 * random.between(0, 2).min(u64::from(self.in_flight)) as u32
         } else {
             0
         };
-        let full = self.condition == Condition::AtCapacity && random.per_mille(800);
-        if full || self.in_flight >= CAPACITY || self.state != EndpointState::Ready {
-            return AttemptResult::new("F", trip, concurrency);
+        let is_full = self.condition == Condition::AtCapacity && random.per_mille(800);
+        if is_full || self.in_flight >= CAPACITY || self.state != EndpointState::Ready {
+            return AttemptResult::new("F", round_trip, concurrency);
         }
         if random.per_mille(8) {
-            return AttemptResult::new("R", trip * 3, 0);
+            return AttemptResult::new("R", round_trip * 3, 0);
         }
         let loaded = self.replicas.get(&function).copied();
         if loaded.is_none() && !settings.loads_on_request {
-            return AttemptResult::new("M", trip, 0);
+            return AttemptResult::new("M", round_trip, 0);
         }
         let awaits_load = loaded.is_none_or(|ready| ready > now);
         if awaits_load && loads_fail {
             self.replicas.remove(&function);
             let status = if settings.loads_on_request { "E" } else { "M" };
-            return AttemptResult::new(status, trip * 10, 4);
+            return AttemptResult::new(status, round_trip * 10, 4);
         }
         let ready = self.load(random, now, function);
         let replica_status = match loaded {
@@ -194,12 +210,12 @@
         };
         let run =
             random.between(5, 60) * MILLISECOND * slowdown * u64::from(2 + self.in_flight / 4) / 2;
-        let detail = concurrency
-            + if settings.reports_cold_starts {
-                replica_status
-            } else {
-                0
-            };
-        AttemptResult::new("S", trip + ready.saturating_sub(now) + run, detail)
+        let reported_status = if settings.reports_cold_starts {
+            replica_status
+        } else {
+            0
+        };
+        let detail = concurrency + reported_status;
+        AttemptResult::new("S", round_trip + ready.saturating_sub(now) + run, detail)
     }
 }
--- a/crates/pipithub-characterization/src/adapter_scenario/world.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/world.rs
@@ -1,8 +1,8 @@
-//! The world of a scenario: what is due becomes event lines, the actions of the reply become what is due.
+//! The world of a scenario: events that are due become lines of a batch, the actions of the reply become further events.
 
 use std::collections::BTreeMap;
 
-use super::event::Event;
+use super::event::{Event, FrontEndEvent};
 use super::requests::{Function, Request};
 use super::settings::Settings;
 use super::tier::Worker;
@@ -15,24 +15,42 @@
 pub(super) const MAX_WORKERS: usize = 700;
 /// The largest tier of which a front end considers every worker.
 const MAX_CONSIDERED: usize = 512;
-/// Replies with more actions than this in a whole scenario are a runaway.
+/// A program with more actions than this in a scenario does not terminate.
 const MAX_ACTIONS: u64 = 400_000;
 
 /// The program under test.
 pub trait LineProtocol {
-    /// Hands over one batch, its `end` line included; the reply up to and with its `end` line.
+    /// Sends one batch, with its `end` line, and returns the reply, with its `end` line.
     fn exchange(&mut self, batch: &str) -> String;
 }
 
+/// What the scenario knows of a front end.
 #[derive(Debug, Default)]
 pub(super) struct FrontEnd {
+    /// Counts the starts of the front end.
     pub(super) incarnation: u64,
     pub(super) requests: BTreeMap<u64, Request>,
+    /// Whether it receives changes of the endpoint list.
     pub(super) subscribed: bool,
+    /// The number of its last update of the endpoint list.
     pub(super) revision: u64,
 }
 
-/// All that a scenario consists of.
+/// A time in which attempts fail at every worker.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct ErrorBurst {
+    /// How many of a thousand attempts fail.
+    pub(super) per_mille: u64,
+    pub(super) until: u64,
+}
+
+/// How long a scenario is and how densely requests arrive.
+struct Timing {
+    duration: u64,
+    mean_arrival_gap: u64,
+}
+
+/// The state of a scenario.
 pub(super) struct World<'a> {
     pub(super) random: Random,
     pub(super) schedule: Schedule<Event>,
@@ -44,8 +62,7 @@
     pub(super) front_ends: Vec<FrontEnd>,
     pub(super) workers_by_address: BTreeMap<String, usize>,
     pub(super) next_request: u64,
-    /// Errors of all workers, in a thousand attempts, and until when there are any.
-    pub(super) errors_on_all_workers: (u64, u64),
+    pub(super) errors_on_all_workers: ErrorBurst,
     pub(super) duration: u64,
     pub(super) mean_arrival_gap: u64,
     pub(super) lines: Vec<String>,
@@ -84,8 +101,8 @@
         let workers: Vec<_> = (0..random.between(low, high))
             .map(|number| Worker::draw(&mut random, number))
             .collect();
-        let considered = workers.len() <= MAX_CONSIDERED;
-        transcript.count(if considered {
+        let is_small = workers.len() <= MAX_CONSIDERED;
+        transcript.count(if is_small {
             "scenario with at most 512 workers"
         } else {
             "scenario with more than 512 workers"
@@ -94,12 +111,7 @@
         let functions = (0..random.between(low, high))
             .map(|_| Function::draw(&mut random, &settings))
             .collect();
-        // A few scenarios are long, with less in each second.
-        let (seconds, gap) = if random.per_mille(120) {
-            (random.between(25, 40), random.between(20, 50))
-        } else {
-            (random.between(6, 14), random.between(4, 40))
-        };
+        let timing = Timing::draw(&mut random);
         let mut world = World {
             schedule: Schedule::default(),
             now: 1_000 * SECOND + random.between(0, 50) * SECOND,
@@ -110,9 +122,9 @@
                 .collect(),
             workers_by_address: BTreeMap::new(),
             next_request: 1,
-            errors_on_all_workers: (0, 0),
-            duration: seconds * SECOND,
-            mean_arrival_gap: gap * MILLISECOND,
+            errors_on_all_workers: ErrorBurst::default(),
+            duration: timing.duration,
+            mean_arrival_gap: timing.mean_arrival_gap,
             lines: Vec::new(),
             actions: 0,
             random,
@@ -133,9 +145,7 @@
         world
     }
 
-    // ---- batches ----
-
-    /// Turns all that is due into lines.
+    /// Handles all events that are due, most of which add lines to the batch.
     fn handle_due_events(&mut self) {
         while let Some(event) = self.schedule.take_due(self.now) {
             self.handle(event);
@@ -164,16 +174,21 @@
         }
     }
 
-    /// Notes an event line and counts it under a kind.
+    /// Adds a line to the batch and counts it under a kind.
     pub(super) fn emit(&mut self, kind: &str, line: String) {
         self.transcript.count(&format!("in {kind}"));
         self.lines.push(line);
     }
 
-    // ---- what comes due ----
-
-    fn is_current(&self, front_end: usize, incarnation: u64) -> bool {
-        self.front_ends[front_end].incarnation == incarnation
+    /// Schedules an event for the present incarnation of a front end.
+    pub(super) fn schedule_for(&mut self, front_end: usize, at: u64, event: FrontEndEvent) {
+        let incarnation = self.front_ends[front_end].incarnation;
+        let event = Event::FrontEnd {
+            front_end,
+            incarnation,
+            event,
+        };
+        self.schedule.add(at, event);
     }
 
     fn handle(&mut self, event: Event) {
@@ -186,67 +201,44 @@
             Event::StateChanges { worker, state } => self.publish_state(worker, state),
             Event::Restarted { worker } => self.restarted(worker),
             Event::Recovered { worker } => self.recovered(worker),
-            Event::Line {
+            Event::FrontEnd {
                 front_end,
                 incarnation,
-                line,
-            } if self.is_current(front_end, incarnation) => {
-                self.emit(line.split(' ').next().unwrap_or_default(), line.clone());
+                event,
+            } => {
+                if self.front_ends[front_end].incarnation == incarnation {
+                    self.handle_front_end_event(front_end, event);
+                }
             }
-            Event::SubscriptionAnswer {
-                front_end,
-                incarnation,
-            } if self.is_current(front_end, incarnation) => {
-                self.subscription_answer(front_end);
+        }
+    }
+
+    fn handle_front_end_event(&mut self, front_end: usize, event: FrontEndEvent) {
+        match event {
+            FrontEndEvent::Line { line } => {
+                self.emit(line.split(' ').next().unwrap_or_default(), line.clone());
             }
-            Event::StreamBegins {
-                front_end,
-                incarnation,
-                request,
-                attempt,
-            } if self.is_current(front_end, incarnation) => {
+            FrontEndEvent::SubscriptionAnswer => self.subscription_answer(front_end),
+            FrontEndEvent::StreamBegins { request, attempt } => {
                 self.stream_begins(front_end, request, attempt);
             }
-            Event::AttemptEnds {
-                front_end,
-                incarnation,
+            FrontEndEvent::AttemptEnds {
                 request,
                 attempt,
                 status,
                 detail,
-            } if self.is_current(front_end, incarnation) => {
-                self.attempt_ends(front_end, request, attempt, status, detail);
-            }
-            Event::Deadline {
-                front_end,
-                incarnation,
-                request,
-            } if self.is_current(front_end, incarnation) => {
-                self.deadline(front_end, request);
-            }
-            Event::ClientCancels {
-                front_end,
-                incarnation,
-                request,
-            } if self.is_current(front_end, incarnation) => {
-                self.client_cancels(front_end, request);
-            }
-            Event::HealthCheckEnds {
-                front_end,
-                incarnation,
-                worker,
-                sent,
-            } if self.is_current(front_end, incarnation) => {
+            } => self.attempt_ends(front_end, request, attempt, status, detail),
+            FrontEndEvent::Deadline { request } => self.deadline(front_end, request),
+            FrontEndEvent::ClientCancels { request } => self.client_cancels(front_end, request),
+            FrontEndEvent::HealthCheckEnds { worker, sent } => {
                 self.health_check_ends(front_end, &worker, sent);
             }
-            Event::LoadCommandEnds {
-                front_end,
-                incarnation,
+            FrontEndEvent::LoadCommandEnds {
                 worker,
                 function,
                 sent,
                 status,
-            } if self.is_current(front_end, incarnation) => {
+            } => {
                 let replicas = u64::from(status == "S");
                 let elapsed = self.now - sent;
                 let line = format!(
@@ -254,8 +246,23 @@
                 );
                 self.emit(&format!("brought_up {status}"), line);
             }
-            // Meant for an earlier incarnation of the front end.
-            _ => {}
+        }
+    }
+}
+
+impl Timing {
+    /// A few scenarios are long, with less in each second.
+    fn draw(random: &mut Random) -> Self {
+        if random.per_mille(120) {
+            Timing {
+                duration: random.between(25, 40) * SECOND,
+                mean_arrival_gap: random.between(20, 50) * MILLISECOND,
+            }
+        } else {
+            Timing {
+                duration: random.between(6, 14) * SECOND,
+                mean_arrival_gap: random.between(4, 40) * MILLISECOND,
+            }
         }
     }
 }
--- a/crates/pipithub-characterization/src/lib.rs
+++ b/crates/pipithub-characterization/src/lib.rs
@@ -1,11 +1,12 @@
-//! Support for characterization tests: they hold observable behavior still while the code is restructured.
+//! Support for characterization tests, which check that restructured code behaves as it did before.
 //!
-//! A *scenario* is a seeded, scripted world that reacts to what the program under test does. All that goes in and comes
-//! out is written to a [`recording::Transcript`]; its digest is compared with the one that is stored in the repository.
-//! This library knows bytes and no type of the other crates: each test brings a small driver for the program under test.
+//! A *scenario* is a seeded, scripted environment that reacts to what the program under test does. All inputs and outputs
+//! are written to a [`recording::Transcript`], whose digest is compared with the one stored in the repository. This
+//! library works with bytes and uses no type of the other crates: each test has a small driver for the program under test.
 //!
-//! - [`adapter_scenario`] speaks the line protocol of `pipithub-adapter`; the test stands in that crate.
-//! - [`node_scenario`] plays clients, workers and worker lists for the socketless node; the test stands in this crate.
+//! - [`adapter_scenario`] uses the line protocol of `pipithub-adapter`; its test belongs to that crate.
+//! - [`node_scenario`] simulates clients, workers and worker lists for the node without sockets; its test belongs to this
+//!   crate.
 
 pub mod adapter_scenario;
 pub mod node_scenario;
--- a/crates/pipithub-characterization/src/node_scenario/clients.rs
+++ b/crates/pipithub-characterization/src/node_scenario/clients.rs
@@ -8,11 +8,20 @@
 /// The length of a line that is too long.
 const LONG_LINE: usize = 40_000;
 
+/// A call without a response.
+#[derive(Debug)]
+pub(super) struct PendingCall {
+    /// The id of its JSON-RPC request, which is the client's own count.
+    pub(super) id: u64,
+    /// The name of the call, by which it can be retried on any connection.
+    pub(super) name: String,
+}
+
 /// A client's connection.
 #[derive(Debug, Default)]
 pub(super) struct Client {
     /// Calls without a response.
-    pub(super) pending: Vec<(u64, String)>,
+    pub(super) pending: Vec<PendingCall>,
     next_id: u64,
 }
 
@@ -119,7 +128,10 @@
             .clients
             .get_mut(&connection)
             .expect("a connected client");
-        client.pending.push((id, name.to_string()));
+        client.pending.push(PendingCall {
+            id,
+            name: name.to_string(),
+        });
         format!(
             "{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"{}\",\"params\":{{\"call\":\"{name}\",\"ttl\":{wait},\
              \"row\":\"{:016x}\",\"props\":\"{}\",\"body\":\"{body}\"{key}}}}}\n",
@@ -141,7 +153,7 @@
 
     fn call_and_cancel(&mut self, connection: u64) {
         let call = self.call_line(connection);
-        let Some((id, _)) = self
+        let Some(PendingCall { id, .. }) = self
             .clients
             .get_mut(&connection)
             .and_then(|client| client.pending.pop())
@@ -163,7 +175,7 @@
             .clients
             .values()
             .flat_map(|client| &client.pending)
-            .map(|(_, name)| name.clone())
+            .map(|call| call.name.clone())
             .collect();
         let ended: Vec<String> = self.ended_calls.iter().cloned().collect();
         let names = if self.random.per_mille(300) {
@@ -203,9 +215,9 @@
         if client.pending.is_empty() {
             return;
         }
-        let (id, name) = client
-            .pending
-            .remove(self.random.between(0, client.pending.len() as u64 - 1) as usize);
+        let last = client.pending.len() as u64 - 1;
+        let index = self.random.between(0, last) as usize;
+        let PendingCall { id, name } = client.pending.remove(index);
         let (kind, what) = if by_id {
             ("forget by id", format!("\"id\":{id}"))
         } else {
--- a/crates/pipithub-characterization/src/node_scenario/mod.rs
+++ b/crates/pipithub-characterization/src/node_scenario/mod.rs
@@ -51,28 +51,37 @@
 }
 
 impl Effect {
-    /// The kind of the effect and its canonical text.
-    fn render(&self) -> (&'static str, String) {
+    /// The kind that the effect is counted under.
+    fn kind(&self) -> &'static str {
         match self {
-            Effect::Write { connection, bytes } => (
-                "write",
-                format!("write {connection} {}", bytes.escape_ascii()),
-            ),
-            Effect::Close { connection } => ("close", format!("close {connection}")),
-            Effect::Retire { connection } => ("retire", format!("retire {connection}")),
+            Effect::Write { .. } => "write",
+            Effect::Close { .. } => "close",
+            Effect::Retire { .. } => "retire",
+            Effect::CancelWrite { .. } => "unwrite",
+            Effect::Connect { .. } => "connect",
+        }
+    }
+
+    /// The text of the effect in a transcript.
+    fn text(&self) -> String {
+        let kind = self.kind();
+        match self {
+            Effect::Write { connection, bytes } => {
+                format!("{kind} {connection} {}", bytes.escape_ascii())
+            }
+            Effect::Close { connection } | Effect::Retire { connection } => {
+                format!("{kind} {connection}")
+            }
             Effect::CancelWrite {
                 connection,
                 at,
                 length,
-            } => ("unwrite", format!("unwrite {connection} {at} {length}")),
+            } => format!("{kind} {connection} {at} {length}"),
             Effect::Connect {
                 connection,
                 address,
                 within,
-            } => (
-                "connect",
-                format!("connect {connection} {address} {within}"),
-            ),
+            } => format!("{kind} {connection} {address} {within}"),
         }
     }
 }
--- a/crates/pipithub-characterization/src/node_scenario/workers.rs
+++ b/crates/pipithub-characterization/src/node_scenario/workers.rs
@@ -27,50 +27,28 @@
 }
 
 impl<N: Node> World<'_, N> {
-    // ---- connections ----
-
     pub(super) fn connect(&mut self, connection: u64, address: String, within: u64) {
-        let silent = self.unresponsive_addresses.contains(&address);
+        let is_unresponsive = self.unresponsive_addresses.contains(&address);
         let link = WorkerConnection {
             address,
             ..WorkerConnection::default()
         };
         self.worker_connections.insert(connection, link);
-        let event = match self.random.between(0, 99) {
-            _ if silent => (
-                within,
-                Event::ConnectFailed {
-                    connection,
-                    local_cause: false,
-                },
-            ),
-            0..=2 => (
-                MILLISECOND,
-                Event::ConnectFailed {
-                    connection,
-                    local_cause: true,
-                },
-            ),
-            3..=6 => (
-                MILLISECOND,
-                Event::ConnectFailed {
-                    connection,
-                    local_cause: false,
-                },
-            ),
-            7 => (
-                within,
-                Event::ConnectFailed {
-                    connection,
-                    local_cause: false,
-                },
-            ),
+        let failed = |local_cause| Event::ConnectFailed {
+            connection,
+            local_cause,
+        };
+        let (after, event) = match self.random.between(0, 99) {
+            _ if is_unresponsive => (within, failed(false)),
+            0..=2 => (MILLISECOND, failed(true)),
+            3..=6 => (MILLISECOND, failed(false)),
+            7 => (within, failed(false)),
             _ => (
                 self.random.between(0, 3) * MILLISECOND,
                 Event::WorkerConnected { connection },
             ),
         };
-        self.schedule.add(self.now + event.0, event.1);
+        self.schedule.add(self.now + after, event);
     }
 
     pub(super) fn connected(&mut self, connection: u64) {
@@ -107,16 +85,15 @@
     }
 
     pub(super) fn break_connections(&mut self, address: &str) {
-        let worker_connections = self
+        let connections: Vec<u64> = self
             .worker_connections
             .iter()
-            .filter(|(_, link)| link.connected && link.address == address);
-        let connections: Vec<u64> = worker_connections
-            .map(|(connection, _)| *connection)
+            .filter(|(_, connection)| connection.connected && connection.address == address)
+            .map(|(id, _)| *id)
             .collect();
-        connections
-            .into_iter()
-            .for_each(|connection| self.connection_breaks(connection));
+        for connection in connections {
+            self.connection_breaks(connection);
+        }
     }
 
     /// The node writes; the system accepts all of it, some of it, or none while the worker does not read.
@@ -235,8 +212,6 @@
             .for_each(|line| self.receive_command(connection, line));
     }
 
-    // ---- requests and answers ----
-
     fn receive_command(&mut self, connection: u64, line: &str) {
         let line: Value = serde_json::from_str(line).expect("the node writes JSON");
         let command = line["cmd"].as_str().expect("a command").to_string();
@@ -280,15 +255,15 @@
             .worker_connections
             .get(&connection)
             .map_or(0, |link| link.running.len() as u32);
-        let trip = self.random.between(1, 4) * MILLISECOND;
+        let round_trip = self.random.between(1, 4) * MILLISECOND;
         let run = self.random.between(5, 120) * MILLISECOND;
         let (response, after) = match self.random.between(0, 199) {
-            _ if in_flight > CAPACITY => ("AGAIN", trip),
-            0..=7 => ("NOENT", trip),
-            8..=13 => ("AGAIN", trip),
+            _ if in_flight > CAPACITY => ("AGAIN", round_trip),
+            0..=7 => ("NOENT", round_trip),
+            8..=13 => ("AGAIN", round_trip),
             14..=19 => ("EIO", run),
-            20..=22 => ("STALE", trip),
-            23 => ("READY", trip),
+            20..=22 => ("STALE", round_trip),
+            23 => ("READY", round_trip),
             24 => {
                 return self
                     .schedule
@@ -330,12 +305,11 @@
         };
         let in_flight = link.running.len();
         let is_poll_or_load_command = reference.starts_with('t');
-        let position = link.running.iter().position(|name| name == reference);
-        match position {
-            Some(position) => drop(link.running.remove(position)),
+        if let Some(index) = link.running.iter().position(|name| name == reference) {
+            link.running.remove(index);
+        } else if !is_poll_or_load_command {
             // The node has cancelled it meanwhile.
-            None if !is_poll_or_load_command => return,
-            None => {}
+            return;
         }
         let line = self.response_line(response, reference, in_flight);
         match self.random.between(0, 199) {
--- a/crates/pipithub-characterization/src/node_scenario/world.rs
+++ b/crates/pipithub-characterization/src/node_scenario/world.rs
@@ -19,6 +19,15 @@
 /// Calls are still accepted for a while after the shutdown begins: workers stop responding shortly before that ends.
 const SILENT_AFTER_STOP: u64 = 600 * MILLISECOND;
 
+/// Times after which idle connections break when they are used again; in most scenarios they never do.
+const IDLE_BREAK_TIMES: [u64; 5] = [
+    100 * MILLISECOND,
+    700 * MILLISECOND,
+    u64::MAX,
+    u64::MAX,
+    u64::MAX,
+];
+
 /// What comes due in a scenario.
 #[derive(Debug)]
 pub(super) enum Event {
@@ -59,6 +68,12 @@
     pub(super) properties: String,
 }
 
+/// How long a scenario is and how densely clients act.
+struct Timing {
+    duration: u64,
+    mean_client_gap: u64,
+}
+
 /// The state of a scenario.
 pub(super) struct World<'a, N> {
     pub(super) random: Random,
@@ -110,37 +125,16 @@
     fn draw(seed: u64, start: impl FnOnce(u64, &str) -> N, transcript: &'a mut Transcript) -> Self {
         let mut random = Random::new(seed);
         let configuration = Configuration::draw(&mut random);
-        let (low, high) = random.pick(&[
-            (1, 2),
-            (2, 8),
-            (2, 8),
-            (3, 15),
-            (8, 40),
-            (8, 40),
-            (40, 100),
-            (520, 600),
-        ]);
-        let workers: Vec<_> = (0..random.between(low, high))
-            .map(|number| ListedWorker::draw(&mut random, number))
-            .collect();
-        let (low, high) = random.pick(&[(1, 20), (20, 60), (60, 150)]);
-        let functions = (0..random.between(low, high))
-            .map(|_| Function::draw(&mut random, &configuration))
-            .collect();
+        let listed_workers = draw_workers(&mut random);
+        let functions = draw_functions(&mut random, &configuration);
         let now = 1_000_000 * SECOND + random.between(0, 999) * MILLISECOND;
-        let (mut known, mut list_version) = (vec![endpoint_event(1, true, workers.iter())], 1);
+        let mut known_events = vec![endpoint_event(1, true, listed_workers.iter())];
         if random.per_mille(300) {
-            known.push(endpoint_event(2, false, workers.iter().take(1)));
-            list_version = 2;
+            known_events.push(endpoint_event(2, false, listed_workers.iter().take(1)));
         }
-        let text = configuration.text(&known);
+        let text = configuration.text(&known_events);
         transcript.input(&format!("{now} {text}"));
-        // A few scenarios are long, with less in each second.
-        let (seconds, gap) = if random.per_mille(120) {
-            (random.between(25, 45), random.between(20, 50))
-        } else {
-            (random.between(6, 14), random.between(4, 30))
-        };
+        let timing = Timing::draw(&mut random);
         let mut world = World {
             schedule: Schedule::default(),
             node: start(now, &text),
@@ -152,18 +146,12 @@
             unresponsive_addresses: BTreeSet::new(),
             silent_until: 0,
             ended_calls: VecDeque::new(),
-            idle_break_after: random.pick(&[
-                100 * MILLISECOND,
-                700 * MILLISECOND,
-                u64::MAX,
-                u64::MAX,
-                u64::MAX,
-            ]),
-            duration: seconds * SECOND,
-            mean_client_gap: gap * MILLISECOND,
+            idle_break_after: random.pick(&IDLE_BREAK_TIMES),
+            duration: timing.duration,
+            mean_client_gap: timing.mean_client_gap,
             transcript,
-            listed_workers: workers,
-            list_version,
+            listed_workers,
+            list_version: known_events.len() as u64,
             effects: 0,
             random,
         };
@@ -243,8 +231,6 @@
             .output(&format!("{} figures {statistics}", self.now));
     }
 
-    // ---- effects ----
-
     fn perform_effects(&mut self) {
         loop {
             let effects = self.node.effects();
@@ -254,9 +240,8 @@
             for effect in effects {
                 self.effects += 1;
                 assert!(self.effects < MAX_EFFECTS, "the node acts without end");
-                let (kind, text) = effect.render();
-                self.transcript.count(&format!("out {kind}"));
-                self.transcript.output(&text);
+                self.transcript.count(&format!("out {}", effect.kind()));
+                self.transcript.output(&effect.text());
                 self.perform(effect);
             }
         }
@@ -291,19 +276,7 @@
 
     fn client_receives(&mut self, connection: u64, bytes: &[u8]) {
         let text = String::from_utf8_lossy(bytes).into_owned();
-        let kind = if text.contains("\"body\"") {
-            "served"
-        } else if text.contains("\"healthy\"") {
-            "health"
-        } else if text.contains("-32050") && text.contains("pushback") {
-            "refused with a time"
-        } else if text.contains("-32050") {
-            "refused without a time"
-        } else if text.contains("-32000") {
-            "failed"
-        } else {
-            "other error"
-        };
+        let kind = response_kind(&text);
         self.transcript.count(&format!("client answer {kind}"));
         let line: serde_json::Value =
             serde_json::from_str(&text).expect("the node writes JSON to clients");
@@ -313,9 +286,9 @@
         let Some(client) = self.clients.get_mut(&connection) else {
             return;
         };
-        if let Some(place) = client.pending.iter().position(|(open, _)| *open == id) {
-            let (_, name) = client.pending.remove(place);
-            self.remember_ended(name);
+        if let Some(index) = client.pending.iter().position(|call| call.id == id) {
+            let call = client.pending.remove(index);
+            self.remember_ended(call.name);
         }
     }
 
@@ -326,8 +299,6 @@
         self.ended_calls.push_back(name);
     }
 
-    // ---- the list of workers ----
-
     fn change_endpoints(&mut self) {
         let next = self.random.between(50, 900) * MILLISECOND;
         self.schedule.add(self.now + next, Event::EndpointsChange);
@@ -422,6 +393,63 @@
     }
 }
 
+/// The kind that a response to a client is counted under.
+fn response_kind(text: &str) -> &'static str {
+    if text.contains("\"body\"") {
+        "served"
+    } else if text.contains("\"healthy\"") {
+        "health"
+    } else if text.contains("-32050") && text.contains("pushback") {
+        "refused with a time"
+    } else if text.contains("-32050") {
+        "refused without a time"
+    } else if text.contains("-32000") {
+        "failed"
+    } else {
+        "other error"
+    }
+}
+
+fn draw_workers(random: &mut Random) -> Vec<ListedWorker> {
+    let (low, high) = random.pick(&[
+        (1, 2),
+        (2, 8),
+        (2, 8),
+        (3, 15),
+        (8, 40),
+        (8, 40),
+        (40, 100),
+        (520, 600),
+    ]);
+    (0..random.between(low, high))
+        .map(|number| ListedWorker::draw(random, number))
+        .collect()
+}
+
+fn draw_functions(random: &mut Random, configuration: &Configuration) -> Vec<Function> {
+    let (low, high) = random.pick(&[(1, 20), (20, 60), (60, 150)]);
+    (0..random.between(low, high))
+        .map(|_| Function::draw(random, configuration))
+        .collect()
+}
+
+impl Timing {
+    /// A few scenarios are long, with less in each second.
+    fn draw(random: &mut Random) -> Self {
+        if random.per_mille(120) {
+            Timing {
+                duration: random.between(25, 45) * SECOND,
+                mean_client_gap: random.between(20, 50) * MILLISECOND,
+            }
+        } else {
+            Timing {
+                duration: random.between(6, 14) * SECOND,
+                mean_client_gap: random.between(4, 30) * MILLISECOND,
+            }
+        }
+    }
+}
+
 impl Function {
     fn draw(random: &mut Random, configuration: &Configuration) -> Self {
         let load = if random.per_mille(500) {
--- a/crates/pipithub-characterization/src/random.rs
+++ b/crates/pipithub-characterization/src/random.rs
@@ -1,13 +1,13 @@
-//! A small generator of pseudo-random numbers whose sequence never changes with a dependency.
+//! A small pseudo-random number generator of this crate's own, so that no dependency can change its sequence.
 
-/// `SplitMix64`.
+/// The generator `SplitMix64`.
 #[derive(Clone, Debug)]
 pub struct Random {
     state: u64,
 }
 
 impl Random {
-    /// A generator for this seed.
+    /// Creates a generator with this seed.
     pub fn new(seed: u64) -> Self {
         Random { state: seed }
     }
@@ -26,7 +26,7 @@
         low + self.number() % (high - low + 1)
     }
 
-    /// Whether something happens that happens in so many of a thousand cases.
+    /// True in so many of a thousand cases.
     pub fn per_mille(&mut self, cases: u64) -> bool {
         self.number() % 1_000 < cases
     }
--- a/crates/pipithub-characterization/src/recording.rs
+++ b/crates/pipithub-characterization/src/recording.rs
@@ -9,10 +9,10 @@
 
 /// Set to `1`, it makes the tests write the recorded files instead of comparing with them.
 pub const RECORD_VARIABLE: &str = "RECORD_BEHAVIOR";
-/// Names a folder into which the whole transcripts of scenarios that differ are written.
+/// Names a folder into which the complete transcripts of scenarios that differ are written.
 pub const TRANSCRIPT_VARIABLE: &str = "BEHAVIOR_TRANSCRIPTS";
 
-/// All that went in and came out during one scenario, and how often each kind of it occurred.
+/// All inputs and outputs of one scenario, and how often each kind of them occurred.
 #[derive(Clone, Debug, Default)]
 pub struct Transcript {
     text: String,
@@ -20,12 +20,12 @@
 }
 
 impl Transcript {
-    /// Notes one line that went in.
+    /// Records one line of input.
     pub fn input(&mut self, line: &str) {
         self.line('>', line);
     }
 
-    /// Notes one line that came out.
+    /// Records one line of output.
     pub fn output(&mut self, line: &str) {
         self.line('<', line);
     }
@@ -62,14 +62,14 @@
     recording
 }
 
-/// Says something past the test harness, which hides the output of tests that pass.
+/// Prints a line past the test harness, which hides the output of tests that pass.
 fn announce(text: &str) {
     let mut standard_error = std::io::stderr().lock();
-    // Where standard error is closed there is nobody to tell.
+    // Where standard error is closed, nobody reads the line.
     let _ = writeln!(standard_error, "{text}");
 }
 
-/// Runs a scenario for each seed below `seeds` on so many threads.
+/// Runs the scenario of each seed below `seeds` on the given number of threads.
 ///
 /// # Panics
 /// Where a scenario panics, naming its seed.
@@ -100,7 +100,7 @@
     transcripts.into_values().collect()
 }
 
-/// Compares the digests of all scenarios with the recorded ones, or records them; the place of a scenario is its seed.
+/// Compares the digests of all scenarios with the recorded ones, or records them. The index of a scenario is its seed.
 ///
 /// # Panics
 /// Where a digest differs from the recorded one, naming its seed, or where one of `kinds` never occurred.
--- a/crates/pipithub-characterization/src/schedule.rs
+++ b/crates/pipithub-characterization/src/schedule.rs
@@ -1,18 +1,26 @@
-//! A queue of what is to happen, ordered by time and then by insertion.
+//! A queue of events, ordered by time and then by insertion.
 
 use std::collections::BTreeMap;
 
+/// The place of an event in the queue. The derived order compares the time first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Place {
+    due: u64,
+    /// Counts insertions, so that events due at the same time keep their order.
+    sequence: u64,
+}
+
 /// Events by the time in nanoseconds at which they are due.
 #[derive(Debug)]
 pub struct Schedule<T> {
-    due: BTreeMap<(u64, u64), T>,
+    events: BTreeMap<Place, T>,
     inserted: u64,
 }
 
 impl<T> Default for Schedule<T> {
     fn default() -> Self {
         Schedule {
-            due: BTreeMap::new(),
+            events: BTreeMap::new(),
             inserted: 0,
         }
     }
@@ -20,22 +28,23 @@
 
 impl<T> Schedule<T> {
     /// Adds an event.
-    pub fn add(&mut self, at: u64, event: T) {
+    pub fn add(&mut self, due: u64, event: T) {
         self.inserted += 1;
-        self.due.insert((at, self.inserted), event);
+        let sequence = self.inserted;
+        self.events.insert(Place { due, sequence }, event);
     }
 
     /// When the first event is due.
     pub fn next_due(&self) -> Option<u64> {
-        self.due.keys().next().map(|(at, _)| *at)
+        self.events.keys().next().map(|place| place.due)
     }
 
     /// Takes the first event that is due by `now`.
     pub fn take_due(&mut self, now: u64) -> Option<T> {
         let entry = self
-            .due
+            .events
             .first_entry()
-            .filter(|entry| entry.key().0 <= now)?;
+            .filter(|entry| entry.key().due <= now)?;
         Some(entry.remove())
     }
 }
