--- a/crates/pipithub-characterization/tests/node_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/node_driver/mod.rs
@@ -88,10 +88,12 @@
     }
 
     fn statistics(&self) -> String {
-        let (clients, workers) = self.core.connections();
+        let connections = self.core.connections();
         format!(
-            "open {} clients {clients} workers {workers}",
-            self.core.pending_requests()
+            "open {} clients {} workers {}",
+            self.core.pending_requests(),
+            connections.clients,
+            connections.workers
         )
     }
 
--- a/crates/pipithub-node/src/core.rs
+++ b/crates/pipithub-node/src/core.rs
@@ -19,7 +19,7 @@
 use crate::client_sessions::{ClientSessions, MAX_PENDING_CALLS};
 use crate::effect::{ConnectionId, Effect};
 use crate::start_times::StartTimes;
-use crate::worker_pool::WorkerPool;
+use crate::worker_pool::{WorkerPool, WorkerPoolSettings};
 
 /// Clients and workers are told times in milliseconds.
 const NANOSECONDS_PER_MILLISECOND: Time = 1_000_000;
@@ -32,6 +32,15 @@
 /// An answer leaves so long before the client's timeout, so that it arrives in time.
 const ANSWER_MARGIN: Time = 5_000_000;
 
+/// How many connections a front end has, those under way included.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ConnectionCounts {
+    /// Connections of clients.
+    pub clients: usize,
+    /// Connections to workers.
+    pub workers: usize,
+}
+
 /// One front end.
 #[derive(Debug)]
 pub struct Core {
@@ -76,15 +85,13 @@
             ..EngineSettings::default()
         };
         let transport = &site.transport;
-        let cancel = site.policy.limits.cancel;
-        let (connect, idle) = (transport.connect_timeout, transport.idle_timeout);
-        let worker_pool = WorkerPool::new(
-            workers,
-            transport.max_requests_per_connection,
-            connect,
-            idle,
-            cancel,
-        );
+        let worker_pool = WorkerPool::new(WorkerPoolSettings {
+            max_connections: workers,
+            max_requests_per_connection: transport.max_requests_per_connection,
+            connect_timeout: transport.connect_timeout,
+            idle_timeout: transport.idle_timeout,
+            cancel: site.policy.limits.cancel,
+        });
         let mut core = Core {
             name: config.name.clone(),
             engine: Engine::new(settings, config.seed),
@@ -140,9 +147,12 @@
         self.engine.pending_requests()
     }
 
-    /// Connections of clients and to workers.
-    pub fn connections(&self) -> (usize, usize) {
-        (self.client_sessions.len(), self.worker_pool.len())
+    /// How many connections there are of each side.
+    pub fn connections(&self) -> ConnectionCounts {
+        ConnectionCounts {
+            clients: self.client_sessions.len(),
+            workers: self.worker_pool.len(),
+        }
     }
 
     /// What was done so far.
--- a/crates/pipithub-node/src/shell/connection.rs
+++ b/crates/pipithub-node/src/shell/connection.rs
@@ -12,7 +12,7 @@
 use super::socket::{Side, Socket};
 use super::{MAX_IDLE_BUFFER, MAX_LINGERING, READ_BUFFER_BYTES, Shell};
 use crate::effect::ConnectionId;
-use crate::sockets::{self, LOCAL_RETRY, TransferEnd};
+use crate::sockets::{self, LOCAL_RETRY, Transfer, TransferEnd};
 
 /// How often a client whose connection is to be closed is read once more: all that it may have open, and some more.
 const MAX_FINAL_READS: usize = 16;
@@ -39,7 +39,8 @@
         // From the system itself: the poller may not have told of the last bytes yet.
         let system = SockRef::from(&socket.stream);
         for _ in 0..MAX_FINAL_READS {
-            let (count, end) = sockets::read_now(&mut bytes, |buffer| (&*system).read(buffer));
+            let Transfer { count, end } =
+                sockets::read_now(&mut bytes, |buffer| (&*system).read(buffer));
             if socket.peer_closed() || end == TransferEnd::Ended {
                 // Nobody waits for what it asked.
                 break;
@@ -174,20 +175,20 @@
             return Progress::Ended;
         }
         let mut read_buffer = self.read_buffer.borrow_mut();
-        let (filled, end) =
+        let Transfer { count, end } =
             sockets::read_now(&mut read_buffer, |buffer| socket.stream.try_read(buffer));
         if end == TransferEnd::Exhausted {
             socket.exhausted.set(true);
         }
         // Nothing that a client asked for before its close is begun: nobody waits for it. What a worker answered before
         // its close counts.
-        if end == TransferEnd::Ended && (socket.side == Side::Client || filled == 0) {
+        if end == TransferEnd::Ended && (socket.side == Side::Client || count == 0) {
             return Progress::Ended;
         }
-        if filled == 0 {
+        if count == 0 {
             return Progress::Drained;
         }
-        let bytes = &read_buffer[..filled];
+        let bytes = &read_buffer[..count];
         self.update_core(|core, now| match socket.side {
             Side::Client => core.client_bytes(now, connection, bytes),
             Side::Worker => core.worker_bytes(now, connection, bytes),
--- a/crates/pipithub-node/src/shell/socket.rs
+++ b/crates/pipithub-node/src/shell/socket.rs
@@ -12,7 +12,7 @@
 
 use super::MAX_IDLE_BUFFER;
 use super::slots::Slot;
-use crate::sockets::{self, TransferEnd};
+use crate::sockets::{self, Transfer, TransferEnd};
 
 /// The most bytes that wait to be written on one connection: a peer that does not read is cut off beyond it. A peer
 /// with more than [`MAX_IDLE_BUFFER`] waiting is cut off too while all of its side together exceed their part of the
@@ -120,7 +120,8 @@
         if self.broken.get() {
             return;
         }
-        let (count, end) = sockets::write_now(unwritten, |bytes| self.stream.try_write(bytes));
+        let Transfer { count, end } =
+            sockets::write_now(unwritten, |bytes| self.stream.try_write(bytes));
         self.written.set(self.written.get() + count as u64);
         unwritten.advance(count);
         self.slot
--- a/crates/pipithub-node/src/sockets.rs
+++ b/crates/pipithub-node/src/sockets.rs
@@ -114,34 +114,42 @@
     Ended,
 }
 
-/// Writes as much as the system takes: the bytes taken, and what ended it.
-pub fn write_now(
-    bytes: &[u8],
-    mut write: impl FnMut(&[u8]) -> io::Result<usize>,
-) -> (usize, TransferEnd) {
-    let mut written = 0;
-    while written < bytes.len() {
-        match transferred(write(&bytes[written..])) {
-            Ok(count) => written += count,
-            Err(end) => return (written, end),
+/// A series of reads or writes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Transfer {
+    /// The bytes read or written.
+    pub count: usize,
+    /// What ended the series.
+    pub end: TransferEnd,
+}
+
+/// Writes as much as the system accepts now.
+pub fn write_now(bytes: &[u8], mut write: impl FnMut(&[u8]) -> io::Result<usize>) -> Transfer {
+    let mut count = 0;
+    while count < bytes.len() {
+        match transferred(write(&bytes[count..])) {
+            Ok(written) => count += written,
+            Err(end) => return Transfer { count, end },
         }
     }
-    (written, TransferEnd::Complete)
+    let end = TransferEnd::Complete;
+    Transfer { count, end }
 }
 
-/// Reads as much as there is and fits: the bytes read, and what ended it.
+/// Reads as much as there is now and fits into the buffer.
 pub fn read_now(
     buffer: &mut [u8],
     mut read: impl FnMut(&mut [u8]) -> io::Result<usize>,
-) -> (usize, TransferEnd) {
-    let mut filled = 0;
-    while filled < buffer.len() {
-        match transferred(read(&mut buffer[filled..])) {
-            Ok(count) => filled += count,
-            Err(end) => return (filled, end),
+) -> Transfer {
+    let mut count = 0;
+    while count < buffer.len() {
+        match transferred(read(&mut buffer[count..])) {
+            Ok(filled) => count += filled,
+            Err(end) => return Transfer { count, end },
         }
     }
-    (filled, TransferEnd::Complete)
+    let end = TransferEnd::Complete;
+    Transfer { count, end }
 }
 
 /// The bytes that one call moved, none where it was interrupted; or what ends the series.
--- a/crates/pipithub-node/src/worker_pool.rs
+++ b/crates/pipithub-node/src/worker_pool.rs
@@ -37,6 +37,21 @@
     waiting: VecDeque<WorkerRequest>,
 }
 
+/// The limits of a [`WorkerPool`].
+#[derive(Clone, Copy, Debug)]
+pub struct WorkerPoolSettings {
+    /// The most connections, those under way included; 0 counts as 1.
+    pub max_connections: usize,
+    /// The most requests in flight on one connection; 0 counts as 1.
+    pub max_requests_per_connection: usize,
+    /// How long a connection may take to be established.
+    pub connect_timeout: Time,
+    /// After how long without requests a connection is closed; 0: never.
+    pub idle_timeout: Time,
+    /// Whether workers may be told to cancel an attempt.
+    pub cancel: bool,
+}
+
 /// All connections to workers.
 #[derive(Debug)]
 pub struct WorkerPool {
@@ -59,21 +74,14 @@
 }
 
 impl WorkerPool {
-    /// At most so many connections, each carrying so many requests. `cancel`: workers may be told to cancel
-    /// an attempt.
-    pub fn new(
-        max_connections: usize,
-        max_requests_per_connection: usize,
-        connect_timeout: Time,
-        idle_close: Time,
-        cancel: bool,
-    ) -> Self {
+    /// Creates a pool without workers.
+    pub fn new(settings: WorkerPoolSettings) -> Self {
         WorkerPool {
-            max_connections: max_connections.max(1),
-            max_requests_per_connection: max_requests_per_connection.max(1),
-            connect_timeout,
-            idle_close,
-            cancel,
+            max_connections: settings.max_connections.max(1),
+            max_requests_per_connection: settings.max_requests_per_connection.max(1),
+            connect_timeout: settings.connect_timeout,
+            idle_close: settings.idle_timeout,
+            cancel: settings.cancel,
             workers: BTreeMap::new(),
             listed: 0,
             watched: BTreeSet::new(),
--- a/crates/pipithub-node/src/worker_pool/endings.rs
+++ b/crates/pipithub-node/src/worker_pool/endings.rs
@@ -13,6 +13,12 @@
 /// How often what never arrived is written again, on another connection.
 const MAX_REWRITES: u32 = 2;
 
+/// An attempt that is in flight: the connection that carries it, and its reference there.
+struct CarriedAttempt {
+    connection: ConnectionId,
+    reference: String,
+}
+
 impl WorkerPool {
     /// A connection could not be established: nothing that waits for it was sent. `local_fault`: because this machine
     /// lacked a resource, so that the worker is not at fault.
@@ -187,8 +193,14 @@
                 not_sent: true,
             });
         }
-        let (id, name) = self.find_attempt(worker, attempt)?;
-        self.give_up(now, worker, id, &name, self.cancel)
+        let carried = self.find_attempt(worker, attempt)?;
+        self.give_up(
+            now,
+            worker,
+            carried.connection,
+            &carried.reference,
+            self.cancel,
+        )
     }
 
     /// Nobody waits for an attempt any more, whatever the settings say of cancelling: it is given back if it has not
@@ -202,16 +214,15 @@
         if let Some(request) = self.take_waiting(worker, attempt) {
             return Some(request);
         }
-        let (id, name) = self.find_attempt(worker, attempt)?;
-        let connection = self.connections.get_mut(&id)?;
-        connection.in_flight.get_mut(&name)?.request.abandoned = true;
-        if matches!(
-            connection.progress(connection.in_flight.get(&name)?),
-            Progress::Whole
-        ) {
+        let carried = self.find_attempt(worker, attempt)?;
+        let connection = self.connections.get_mut(&carried.connection)?;
+        let in_flight = connection.in_flight.get_mut(&carried.reference)?;
+        in_flight.request.abandoned = true;
+        let in_flight = connection.in_flight.get(&carried.reference)?;
+        if matches!(connection.progress(in_flight), Progress::Whole) {
             return None;
         }
-        self.give_up(now, worker, id, &name, false)
+        self.give_up(now, worker, carried.connection, &carried.reference, false)
             .map(|cancelled| cancelled.request)
     }
 
@@ -223,18 +234,16 @@
         waiting.remove(at)
     }
 
-    /// The connection that carries an attempt, and its name there.
-    fn find_attempt(
-        &self,
-        worker: &WorkerId,
-        attempt: AttemptId,
-    ) -> Option<(ConnectionId, String)> {
+    fn find_attempt(&self, worker: &WorkerId, attempt: AttemptId) -> Option<CarriedAttempt> {
         self.workers.get(worker)?.connections.iter().find_map(|id| {
             let in_flight = &self.connections.get(id)?.in_flight;
-            let (name, _) = in_flight
+            let (reference, _) = in_flight
                 .iter()
-                .find(|(_, c)| c.request.kind == RequestKind::Attempt(attempt))?;
-            Some((*id, name.clone()))
+                .find(|(_, in_flight)| in_flight.request.kind == RequestKind::Attempt(attempt))?;
+            Some(CarriedAttempt {
+                connection: *id,
+                reference: reference.clone(),
+            })
         })
     }
 }
--- a/crates/pipithub-node/tests/answers_before_close.rs
+++ b/crates/pipithub-node/tests/answers_before_close.rs
@@ -254,6 +254,6 @@
                 .count();
             assert_eq!(answers, 1, "deadlines of {longest} ms: call {id} of {sent}");
         }
-        assert_eq!(b.core.connections().0, 0, "all are closed");
+        assert_eq!(b.core.connections().clients, 0, "all are closed");
     }
 }
--- a/crates/pipithub-node/tests/core.rs
+++ b/crates/pipithub-node/tests/core.rs
@@ -192,7 +192,7 @@
         b.client();
         assert!(!b.written().contains(&(client, "closed".to_string())));
         assert!(
-            b.core.connections().0 <= 24,
+            b.core.connections().clients <= 24,
             "the descriptors of 64 suffice"
         );
     }
--- a/crates/pipithub-node/tests/faults.rs
+++ b/crates/pipithub-node/tests/faults.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use pipithub_node::sockets::{
-    ConnectError, LOCAL_RETRY, LocalFaults, TransferEnd, accept_all, connect, read_now, write_now,
+    ConnectError, LOCAL_RETRY, LocalFaults, Transfer, TransferEnd, accept_all, connect, read_now,
+    write_now,
 };
 use rustix::io::Errno;
 use tokio::time::Instant;
@@ -136,8 +137,8 @@
             .expect("no call after the last")
             .map_err(io::Error::from)
     };
-    let (written, end) = write_now(b"hello", |_| next());
-    assert_eq!(written, 3, "{last}: what the system took counts");
+    let Transfer { count, end } = write_now(b"hello", |_| next());
+    assert_eq!(count, 3, "{last}: what the system took counts");
     let mut calls = script.iter();
     let mut next = || {
         calls
@@ -146,8 +147,8 @@
             .expect("no call after the last")
             .map_err(io::Error::from)
     };
-    let (read, read_end) = read_now(&mut [0; 5], |_| next());
-    assert_eq!((read, read_end), (3, end), "{last}");
+    let read = read_now(&mut [0; 5], |_| next());
+    assert_eq!(read, Transfer { count: 3, end }, "{last}");
     end
 }
 
@@ -166,12 +167,12 @@
         assert_eq!(transfer_end(errno), TransferEnd::Ended, "{errno}");
     }
     let mut calls = 0;
-    let (written, end) = write_now(b"hello", |bytes| {
+    let Transfer { count, end } = write_now(b"hello", |bytes| {
         calls += 1;
         Ok(bytes.len().min(2))
     });
     assert_eq!(
-        (written, end, calls),
+        (count, end, calls),
         (5, TransferEnd::Complete, 3),
         "short writes go on"
     );
--- a/crates/pipithub-node/tests/worker_pool.rs
+++ b/crates/pipithub-node/tests/worker_pool.rs
@@ -7,7 +7,8 @@
 use pipithub_engine::{AttemptId, Time};
 use pipithub_node::effect::{ConnectionId, Effect};
 use pipithub_node::worker_pool::{
-    CancelledRequest, Payload, RequestKind, SendFailure, WorkerPool, WorkerRequest,
+    CancelledRequest, Payload, RequestKind, SendFailure, WorkerPool, WorkerPoolSettings,
+    WorkerRequest,
 };
 use pipithub_platform::worker::RunRequest;
 
@@ -19,6 +20,20 @@
     WorkerRequest::new(task, format!("{request:016x}"), line, now, now + 5_000 * MS)
 }
 
+fn worker_pool(
+    max_connections: usize,
+    max_requests_per_connection: usize,
+    cancel: bool,
+) -> WorkerPool {
+    WorkerPool::new(WorkerPoolSettings {
+        max_connections,
+        max_requests_per_connection,
+        connect_timeout: 250 * MS,
+        idle_timeout: 30_000 * MS,
+        cancel,
+    })
+}
+
 struct PoolHarness {
     pool: WorkerPool,
     worker: WorkerId,
@@ -27,7 +42,7 @@
 
 impl PoolHarness {
     fn new(most: usize) -> Self {
-        let mut pool = WorkerPool::new(most, 4, 250 * MS, 30_000 * MS, true);
+        let mut pool = worker_pool(most, 4, true);
         let worker = WorkerId::new("w");
         pool.set_address(&worker, "10.0.0.1:1", false);
         PoolHarness {
@@ -238,7 +253,7 @@
 
 #[test]
 fn what_was_not_handed_over_when_an_answer_is_spoilt_did_not_run() {
-    let mut pool = WorkerPool::new(1, 1, 250 * MS, 30_000 * MS, true);
+    let mut pool = worker_pool(1, 1, true);
     let worker = WorkerId::new("w");
     pool.set_address(&worker, "10.0.0.1:1", false);
     let mut b = PoolHarness {
@@ -281,7 +296,7 @@
 /// A pool that may not tell workers to give runs up.
 fn uncancelled() -> PoolHarness {
     let mut b = PoolHarness::new(4);
-    b.pool = WorkerPool::new(4, 4, 250 * MS, 30_000 * MS, false);
+    b.pool = worker_pool(4, 4, false);
     b.pool.set_address(&b.worker, "10.0.0.1:1", false);
     b
 }
@@ -341,7 +356,7 @@
 /// A worker stops reading: what lies behind in the shell's own buffer begins whenever it reads again, UNDO or not.
 #[test]
 fn what_waits_behind_a_worker_that_does_not_read_is_taken_back() {
-    let mut pool = WorkerPool::new(1, 8, 250 * MS, 30_000 * MS, true);
+    let mut pool = worker_pool(1, 8, true);
     let worker = WorkerId::new("w");
     pool.set_address(&worker, "10.0.0.1:1", false);
     let mut b = PoolHarness {
@@ -425,7 +440,7 @@
 /// A line states the time that its client had left when it was made: it must not reach the worker much later.
 #[test]
 fn what_a_worker_does_not_read_within_a_tenth_of_a_second_is_taken_back() {
-    let mut pool = WorkerPool::new(1, 8, 250 * MS, 30_000 * MS, true);
+    let mut pool = worker_pool(1, 8, true);
     let worker = WorkerId::new("w");
     pool.set_address(&worker, "10.0.0.1:1", false);
     let mut b = PoolHarness {
