--- a/crates/pipithub-amqp/src/wire.rs
+++ b/crates/pipithub-amqp/src/wire.rs
@@ -25,20 +25,26 @@
     /// Tables or arrays nested deeper than [`MAX_DEPTH`].
     #[error("tables nested too deep")]
     TooDeep,
-    /// Bytes are left after the last value.
+    /// Bytes follow the last value.
     #[error("{0} bytes left over")]
-    LeftOver(usize),
+    TrailingBytes(usize),
 }
 
-/// Tables and arrays may be nested so deep; deeper ones could exhaust the stack.
+/// The deepest nesting of tables and arrays; deeper ones could exhaust the stack.
 pub const MAX_DEPTH: usize = 32;
 
-/// Reads values off the front of a slice; adjacent bits share bytes.
+/// An octet that adjacent bits share, and how many of them were read.
+#[derive(Clone, Copy, Debug)]
+struct BitOctet {
+    octet: u8,
+    used: u8,
+}
+
+/// Reads values from the front of a slice; adjacent bits share octets.
 #[derive(Clone, Debug)]
 pub struct Reader<'a> {
     input: &'a [u8],
-    /// The byte that bits are taken from, and how many were.
-    bits: Option<(u8, u8)>,
+    bits: Option<BitOctet>,
     depth: usize,
 }
 
@@ -54,7 +60,7 @@
 }
 
 impl<'a> Reader<'a> {
-    /// Reads from these bytes.
+    /// Creates a reader of these bytes.
     pub fn new(input: &'a [u8]) -> Self {
         Reader {
             input,
@@ -88,12 +94,18 @@
 
     /// One bit; up to eight adjacent ones share an octet, lowest first.
     pub fn bit(&mut self) -> Result<bool, SyntaxError> {
-        let (byte, used) = match self.bits {
-            Some((byte, used)) if used < 8 => (byte, used),
-            _ => (self.u8()?, 0),
+        let BitOctet { octet, used } = match self.bits {
+            Some(bits) if bits.used < 8 => bits,
+            _ => BitOctet {
+                octet: self.u8()?,
+                used: 0,
+            },
         };
-        self.bits = Some((byte, used + 1));
-        Ok(byte >> used & 1 == 1)
+        self.bits = Some(BitOctet {
+            octet,
+            used: used + 1,
+        });
+        Ok(octet >> used & 1 == 1)
     }
 
     fn take(&mut self, length: usize, what: &'static str) -> Result<&'a [u8], SyntaxError> {
@@ -175,166 +187,187 @@
         })
     }
 
-    /// All bytes that are left.
+    /// Takes all remaining bytes.
     pub fn rest(&mut self) -> &'a [u8] {
         self.bits = None;
         std::mem::take(&mut self.input)
     }
 
-    /// Errors unless all bytes were read.
+    /// Checks that all bytes were read.
     pub fn finish(&self) -> Result<(), SyntaxError> {
         if self.input.is_empty() {
             Ok(())
         } else {
-            Err(SyntaxError::LeftOver(self.input.len()))
+            Err(SyntaxError::TrailingBytes(self.input.len()))
         }
     }
 }
 
-/// Appends values to a buffer; adjacent bits share bytes.
+/// Appends values to a buffer; adjacent bits share octets.
 #[derive(Debug)]
 pub struct Writer<'a> {
-    out: &'a mut BytesMut,
-    /// How many bits of the last byte are used.
+    output: &'a mut BytesMut,
+    /// How many bits of the last octet are used, where a bit was the last value.
     bits: Option<u8>,
 }
 
 impl<'a> Writer<'a> {
-    /// Appends to this buffer.
-    pub fn new(out: &'a mut BytesMut) -> Self {
-        Writer { out, bits: None }
+    /// Creates a writer that appends to this buffer.
+    pub fn new(output: &'a mut BytesMut) -> Self {
+        Writer { output, bits: None }
     }
 
-    /// The buffer, after a value that is no bit.
-    fn plain(&mut self) -> &mut BytesMut {
+    /// The buffer, for a value that is not a bit and so begins on an octet of its own.
+    fn octets(&mut self) -> &mut BytesMut {
         self.bits = None;
-        self.out
+        self.output
     }
 
     /// An octet.
-    pub fn u8(&mut self, v: u8) {
-        self.plain().put_u8(v);
+    pub fn u8(&mut self, value: u8) {
+        self.octets().put_u8(value);
     }
 
     /// A short.
-    pub fn u16(&mut self, v: u16) {
-        self.plain().put_u16(v);
+    pub fn u16(&mut self, value: u16) {
+        self.octets().put_u16(value);
     }
 
     /// A long.
-    pub fn u32(&mut self, v: u32) {
-        self.plain().put_u32(v);
+    pub fn u32(&mut self, value: u32) {
+        self.octets().put_u32(value);
     }
 
     /// A long-long.
-    pub fn u64(&mut self, v: u64) {
-        self.plain().put_u64(v);
+    pub fn u64(&mut self, value: u64) {
+        self.octets().put_u64(value);
     }
 
     /// One bit.
-    pub fn bit(&mut self, v: bool) {
+    pub fn bit(&mut self, value: bool) {
         let used = self.bits.filter(|used| *used < 8).unwrap_or_else(|| {
-            self.out.put_u8(0);
+            self.output.put_u8(0);
             0
         });
-        if let Some(last) = self.out.last_mut() {
-            *last |= u8::from(v) << used;
+        if let Some(last) = self.output.last_mut() {
+            *last |= u8::from(value) << used;
         }
         self.bits = Some(used + 1);
     }
 
     /// A short string.
-    pub fn short_str(&mut self, v: &ShortStr) {
-        self.u8(v.len() as u8);
-        self.plain().put_slice(v.as_bytes());
+    pub fn short_str(&mut self, value: &ShortStr) {
+        self.u8(value.len() as u8);
+        self.octets().put_slice(value.as_bytes());
     }
 
     /// A long string.
-    pub fn long_str(&mut self, v: &[u8]) {
-        self.u32(v.len() as u32);
-        self.plain().put_slice(v);
+    pub fn long_str(&mut self, value: &[u8]) {
+        self.u32(value.len() as u32);
+        self.octets().put_slice(value);
     }
 
-    /// Writes with a length of four bytes before it.
+    /// Writes values with their length, in four octets, before them.
     fn nested(&mut self, write: impl FnOnce(&mut Self)) {
         self.u32(0);
-        let start = self.out.len();
+        let start = self.output.len();
         write(self);
-        let length = (self.out.len() - start) as u32;
-        self.out[start - 4..start].copy_from_slice(&length.to_be_bytes());
+        let length = (self.output.len() - start) as u32;
+        self.output[start - 4..start].copy_from_slice(&length.to_be_bytes());
         self.bits = None;
     }
 
     /// A field table.
-    pub fn table(&mut self, v: &FieldTable) {
-        self.nested(|w| {
-            for (name, value) in v.iter() {
-                w.short_str(name);
-                w.value(value);
+    pub fn table(&mut self, table: &FieldTable) {
+        self.nested(|writer| {
+            for (name, value) in table.iter() {
+                writer.short_str(name);
+                writer.value(value);
             }
         });
     }
 
     /// A field value with its type octet.
-    pub fn value(&mut self, v: &FieldValue) {
-        let out = self.plain();
-        match v {
-            FieldValue::Bool(v) => out.put_slice(&[b't', u8::from(*v)]),
-            FieldValue::I8(v) => out.put_slice(&[b'b', *v as u8]),
-            FieldValue::U8(v) => out.put_slice(&[b'B', *v]),
-            FieldValue::I16(v) => (out.put_u8(b's'), out.put_i16(*v)).1,
-            FieldValue::U16(v) => (out.put_u8(b'u'), out.put_u16(*v)).1,
-            FieldValue::I32(v) => (out.put_u8(b'I'), out.put_i32(*v)).1,
-            FieldValue::U32(v) => (out.put_u8(b'i'), out.put_u32(*v)).1,
-            FieldValue::I64(v) => (out.put_u8(b'l'), out.put_i64(*v)).1,
-            FieldValue::F32(v) => (out.put_u8(b'f'), out.put_f32(*v)).1,
-            FieldValue::F64(v) => (out.put_u8(b'd'), out.put_f64(*v)).1,
+    pub fn value(&mut self, value: &FieldValue) {
+        self.u8(type_octet(value));
+        match value {
+            FieldValue::Bool(value) => self.u8(u8::from(*value)),
+            FieldValue::I8(value) => self.octets().put_i8(*value),
+            FieldValue::U8(value) => self.u8(*value),
+            FieldValue::I16(value) => self.octets().put_i16(*value),
+            FieldValue::U16(value) => self.u16(*value),
+            FieldValue::I32(value) => self.octets().put_i32(*value),
+            FieldValue::U32(value) => self.u32(*value),
+            FieldValue::I64(value) => self.octets().put_i64(*value),
+            FieldValue::F32(value) => self.octets().put_f32(*value),
+            FieldValue::F64(value) => self.octets().put_f64(*value),
             FieldValue::Decimal { scale, value } => {
-                out.put_slice(&[b'D', *scale]);
-                out.put_i32(*value);
+                self.u8(*scale);
+                self.octets().put_i32(*value);
             }
-            FieldValue::LongStr(v) => (out.put_u8(b'S'), self.long_str(v)).1,
-            FieldValue::Bytes(v) => (out.put_u8(b'x'), self.long_str(v)).1,
-            FieldValue::Timestamp(v) => (out.put_u8(b'T'), out.put_u64(*v)).1,
+            FieldValue::LongStr(bytes) | FieldValue::Bytes(bytes) => self.long_str(bytes),
+            FieldValue::Timestamp(seconds) => self.u64(*seconds),
             FieldValue::Array(values) => {
-                out.put_u8(b'A');
-                self.nested(|w| values.iter().for_each(|v| w.value(v)));
+                self.nested(|writer| values.iter().for_each(|value| writer.value(value)));
             }
-            FieldValue::Table(v) => (out.put_u8(b'F'), self.table(v)).1,
-            FieldValue::Void => out.put_u8(b'V'),
+            FieldValue::Table(table) => self.table(table),
+            FieldValue::Void => {}
         }
     }
 }
 
-/// A value that a method's argument may have.
+/// The octet that stands for the type of a value in tables and arrays.
+fn type_octet(value: &FieldValue) -> u8 {
+    match value {
+        FieldValue::Bool(_) => b't',
+        FieldValue::I8(_) => b'b',
+        FieldValue::U8(_) => b'B',
+        FieldValue::I16(_) => b's',
+        FieldValue::U16(_) => b'u',
+        FieldValue::I32(_) => b'I',
+        FieldValue::U32(_) => b'i',
+        FieldValue::I64(_) => b'l',
+        FieldValue::F32(_) => b'f',
+        FieldValue::F64(_) => b'd',
+        FieldValue::Decimal { .. } => b'D',
+        FieldValue::LongStr(_) => b'S',
+        FieldValue::Bytes(_) => b'x',
+        FieldValue::Timestamp(_) => b'T',
+        FieldValue::Array(_) => b'A',
+        FieldValue::Table(_) => b'F',
+        FieldValue::Void => b'V',
+    }
+}
+
+/// A type that a method's argument may have.
 pub trait Field: Sized {
-    /// Reads it.
-    fn read(r: &mut Reader<'_>) -> Result<Self, SyntaxError>;
-    /// Writes it.
-    fn write(&self, w: &mut Writer<'_>);
+    /// Reads an argument of this type.
+    fn read(reader: &mut Reader<'_>) -> Result<Self, SyntaxError>;
+    /// Writes an argument of this type.
+    fn write(&self, writer: &mut Writer<'_>);
 }
 
 macro_rules! fields {
-    ($($ty:ty: $name:ident, $deref:expr;)*) => {
+    ($($ty:ty: $name:ident, $write:expr;)*) => {
         $(impl Field for $ty {
-            fn read(r: &mut Reader<'_>) -> Result<Self, SyntaxError> {
-                r.$name()
+            fn read(reader: &mut Reader<'_>) -> Result<Self, SyntaxError> {
+                reader.$name()
             }
-            fn write(&self, w: &mut Writer<'_>) {
-                let pass: fn(&$ty, &mut Writer<'_>) = $deref;
-                pass(self, w);
+            fn write(&self, writer: &mut Writer<'_>) {
+                let write: fn(&$ty, &mut Writer<'_>) = $write;
+                write(self, writer);
             }
         })*
     };
 }
 
 fields! {
-    u8: u8, |v, w| w.u8(*v);
-    u16: u16, |v, w| w.u16(*v);
-    u32: u32, |v, w| w.u32(*v);
-    u64: u64, |v, w| w.u64(*v);
-    bool: bit, |v, w| w.bit(*v);
-    ShortStr: short_str, |v, w| w.short_str(v);
-    Bytes: long_str, |v, w| w.long_str(v);
-    FieldTable: table, |v, w| w.table(v);
+    u8: u8, |value, writer| writer.u8(*value);
+    u16: u16, |value, writer| writer.u16(*value);
+    u32: u32, |value, writer| writer.u32(*value);
+    u64: u64, |value, writer| writer.u64(*value);
+    bool: bit, |value, writer| writer.bit(*value);
+    ShortStr: short_str, |value, writer| writer.short_str(value);
+    Bytes: long_str, |value, writer| writer.long_str(value);
+    FieldTable: table, |value, writer| writer.table(value);
 }
--- a/crates/pipithub-gateway/src/directory.rs
+++ b/crates/pipithub-gateway/src/directory.rs
@@ -15,7 +15,9 @@
 use pipithub_ldap::client::Entry;
 use pipithub_ldap::message::{Filter, ResultCode, SearchRequestScope};
 use pipithub_ldap::sync::{self, Info, State};
-use pipithub_ldap::{Client, ClientSettings, Event, Search, SearchId as Asked, dn, filter};
+use pipithub_ldap::{
+    Client, ClientSettings, Event, Search, SearchId as Asked, SimpleBind, dn, filter,
+};
 use pipithub_settings::{DirectoryConfig, TenantsConfig, Tls};
 use pipithub_storage::{Durability, Saver, SystemFiles, Target};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
@@ -390,10 +392,10 @@
                 }
                 _ => Box::new(plain),
             };
-            let bind = directory
-                .bind
-                .clone()
-                .map(|bind| (bind.name, Bytes::from(bind.password)));
+            let bind = directory.bind.clone().map(|bind| SimpleBind {
+                name: bind.name,
+                password: Bytes::from(bind.password),
+            });
             let mut client = Client::new(ClientSettings {
                 bind,
                 ..ClientSettings::default()
@@ -447,7 +449,7 @@
         while let Some(event) = client.poll() {
             match event {
                 event if until(&event) => return Ok(()),
-                Event::Over(why) => return Err(why),
+                Event::Closed(why) => return Err(why),
                 _ => {}
             }
         }
@@ -725,7 +727,7 @@
                             format!("{f:?}: {:?} {}", outcome.code, outcome.message)
                         })?;
                     }
-                    Event::Over(why) => return Err(why),
+                    Event::Closed(why) => return Err(why),
                     _ => {}
                 }
             }
@@ -884,7 +886,7 @@
                     Event::Reference(..) | Event::Info(..) | Event::Ready | Event::BeginTls => {
                         continue;
                     }
-                    Event::Over(why) => return why,
+                    Event::Closed(why) => return why,
                 };
                 let Some(id) = questions
                     .iter()
@@ -1108,7 +1110,7 @@
                             Vec::new()
                         }
                     }
-                    Event::Over(why) => return why,
+                    Event::Closed(why) => return why,
                     _ => Vec::new(),
                 };
                 for news in news {
