--- a/crates/pipithub-node/tests/socket_harness/mod.rs
+++ b/crates/pipithub-node/tests/socket_harness/mod.rs
@@ -127,18 +127,49 @@
     format!("{answer}\n")
 }
 
-/// What the system holds between these two ports: unacknowledged and unread bytes, from its tables.
+/// What the system holds between these two ports: bytes that are not sent yet, and unread ones. A segment that has come
+/// and is not acknowledged yet stands in both queues, so the table is read until no segment is on its way and two
+/// readings agree.
 #[cfg(target_os = "linux")]
 pub(crate) fn held_by_the_system(one: u16, other: u16) -> usize {
+    let mut before = None;
+    loop {
+        let queues = queues_between(one, other);
+        let is_settled = queues.iter().all(|queue| !queue.has_unacknowledged);
+        let held = queues.iter().map(|queue| queue.bytes).sum();
+        if is_settled && before == Some(held) {
+            return held;
+        }
+        before = Some(held).filter(|_| is_settled);
+    }
+}
+
+/// One end of a connection in the system's table.
+#[cfg(target_os = "linux")]
+struct Queue {
+    /// Bytes that are not acknowledged or not read.
+    bytes: usize,
+    /// Its retransmission timer runs: a segment is on its way.
+    has_unacknowledged: bool,
+}
+
+#[cfg(target_os = "linux")]
+fn queues_between(one: u16, other: u16) -> Vec<Queue> {
+    /// The timer's kind in the table, see proc_pid_net(5).
+    const RETRANSMISSION_TIMER: &str = "01";
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the table");
-    let of = |line: &str| -> Option<usize> {
+    let queue = |line: &str| -> Option<Queue> {
         let fields: Vec<&str> = line.split_whitespace().collect();
         let port_of = |field: &str| u16::from_str_radix(field.split(':').nth(1)?, 16).ok();
         let ports = (port_of(fields.get(1)?)?, port_of(fields.get(2)?)?);
         let (unacknowledged, unread) = fields.get(4)?.split_once(':')?;
+        let (timer, _) = fields.get(5)?.split_once(':')?;
         let bytes = |hex: &str| usize::from_str_radix(hex, 16).ok();
-        let held = bytes(unacknowledged)? + bytes(unread)?;
-        Some(held).filter(|_| ports == (one, other) || ports == (other, one))
+        let queue = Queue {
+            bytes: bytes(unacknowledged)? + bytes(unread)?,
+            has_unacknowledged: timer == RETRANSMISSION_TIMER,
+        };
+        Some(queue).filter(|_| ports == (one, other) || ports == (other, one))
     };
-    table.lines().filter_map(of).sum()
+    table.lines().filter_map(queue).collect()
 }
