--- a/crates/pipithub-gateway/src/amqp.rs
+++ b/crates/pipithub-gateway/src/amqp.rs
@@ -1,4 +1,4 @@
-//! A consumer on its socket.
+//! AMQP consumers: connects each consumer to its broker and moves bytes, commands and notices.
 
 use std::time::Duration;
 
@@ -13,13 +13,13 @@
 use tokio::sync::mpsc;
 use tracing::{info, warn};
 
-use crate::front::{Order, SourceHandle};
+use crate::front_end::{SourceCommand, SourceHandle};
 
-/// A broker that takes no connection for so long is not there.
-const CONNECT_MOST: Duration = Duration::from_secs(5);
+/// A broker that accepts no connection within this time counts as unreachable.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a consumer is given.
-pub(crate) fn settings(
+/// A consumer's settings, from those of its broker and its queue.
+pub(crate) fn consumer_settings(
     config: &Config,
     broker: &AmqpConfig,
     queue: &QueueConfig,
@@ -46,7 +46,7 @@
     }
 }
 
-struct Shell {
+struct ConsumerTask {
     consumer: Consumer,
     source: SourceId,
     queue: String,
@@ -71,7 +71,7 @@
         settings.front_end.clone(),
     );
     let consumer = Consumer::new(settings, clock.now(), seed);
-    let mut shell = Shell {
+    let mut task = ConsumerTask {
         consumer,
         source,
         queue,
@@ -80,53 +80,52 @@
         inputs,
         clock,
     };
-    let mut turn = 0;
+    let mut attempts = 0;
     loop {
-        match shell.consumer.phase() {
+        match task.consumer.phase() {
             Phase::Stopped => return,
             Phase::Idle(at) => {
-                if !shell.wait(at).await {
+                if !task.wait_until(at).await {
                     continue;
                 }
-                let address = &addresses[turn % addresses.len().max(1)];
-                turn += 1;
-                let tried = tokio::time::timeout(CONNECT_MOST, TcpStream::connect(address)).await;
-                match tried.unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into())) {
+                let address = &addresses[attempts % addresses.len().max(1)];
+                attempts += 1;
+                let connected =
+                    tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
+                match connected.unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into())) {
                     Ok(stream) => {
                         let _ = stream.set_nodelay(true);
-                        let now = shell.clock.now();
-                        shell.consumer.connected(now);
-                        if let Err(error) = shell.connected(stream).await {
-                            shell
-                                .consumer
-                                .transport_lost(shell.clock.now(), &error.to_string());
+                        let now = task.clock.now();
+                        task.consumer.connected(now);
+                        if let Err(error) = task.run_connection(stream).await {
+                            task.consumer
+                                .transport_lost(task.clock.now(), &error.to_string());
                         }
-                        shell.notices().await;
+                        task.forward_notices().await;
                     }
                     Err(error) => {
-                        warn!(front_end = shell.front_end, queue = shell.queue, address, %error, "broker not reached");
-                        shell
-                            .consumer
-                            .transport_lost(shell.clock.now(), &error.to_string());
+                        warn!(front_end = task.front_end, queue = task.queue, address, %error, "broker not reached");
+                        task.consumer
+                            .transport_lost(task.clock.now(), &error.to_string());
                     }
                 }
             }
             // Only a connection that is up has another phase.
-            _ => shell
+            _ => task
                 .consumer
-                .transport_lost(shell.clock.now(), "no transport"),
+                .transport_lost(task.clock.now(), "no transport"),
         }
     }
 }
 
-impl Shell {
-    /// Waits until then while orders come; false where the consumer was stopped meanwhile.
-    async fn wait(&mut self, at: u64) -> bool {
+impl ConsumerTask {
+    /// Waits until the given time while handling commands; false where the consumer was stopped meanwhile.
+    async fn wait_until(&mut self, at: u64) -> bool {
         loop {
             tokio::select! {
                 () = self.clock.sleep_until(Some(at)) => return true,
-                order = self.handle.orders.recv() => {
-                    self.order(order);
+                command = self.handle.commands.recv() => {
+                    self.handle_command(command);
                     if self.consumer.phase() == Phase::Stopped {
                         return false;
                     }
@@ -135,34 +134,34 @@
         }
     }
 
-    fn order(&mut self, order: Option<Order>) {
+    fn handle_command(&mut self, command: Option<SourceCommand>) {
         let now = self.clock.now();
-        match order {
-            Some(Order::Answer(ticket, reply)) => self.consumer.answer(now, ticket, reply),
-            Some(Order::Forget(ticket)) => self.consumer.acknowledge(now, ticket),
+        match command {
+            Some(SourceCommand::Answer(ticket, reply)) => self.consumer.answer(now, ticket, reply),
+            Some(SourceCommand::Settle(ticket)) => self.consumer.acknowledge(now, ticket),
             // The front end is gone: nobody could be handed anything any more.
-            Some(Order::Stop) | None => self.consumer.shutdown(now),
+            Some(SourceCommand::Shutdown) | None => self.consumer.shutdown(now),
         }
     }
 
-    /// Moves bytes until the connection is over.
-    async fn connected(&mut self, mut stream: TcpStream) -> std::io::Result<()> {
+    /// Moves bytes until the connection ends.
+    async fn run_connection(&mut self, mut stream: TcpStream) -> std::io::Result<()> {
         let (mut reader, mut writer) = stream.split();
         let mut input = BytesMut::with_capacity(256 << 10);
         let mut output = BytesMut::new();
         let mut stopped = false;
         loop {
-            let room = *self.handle.room.borrow_and_update();
-            self.consumer.set_capacity(self.clock.now(), room);
-            self.notices().await;
+            let capacity = *self.handle.capacity.borrow_and_update();
+            self.consumer.set_capacity(self.clock.now(), capacity);
+            self.forward_notices().await;
             output.extend_from_slice(&self.consumer.take_output(self.clock.now()));
-            let over = matches!(self.consumer.phase(), Phase::Idle(_));
-            if output.is_empty() && (over || self.consumer.is_over()) {
+            let closing = matches!(self.consumer.phase(), Phase::Idle(_));
+            if output.is_empty() && (closing || self.consumer.is_over()) {
                 let _ = writer.shutdown().await;
                 return Ok(());
             }
             tokio::select! {
-                read = reader.read_buf(&mut input), if !over => {
+                read = reader.read_buf(&mut input), if !closing => {
                     if read? == 0 {
                         return Err(std::io::ErrorKind::UnexpectedEof.into());
                     }
@@ -170,14 +169,14 @@
                     input.clear();
                 }
                 wrote = writer.write(&output), if !output.is_empty() => output.advance(wrote?),
-                order = self.handle.orders.recv(), if !stopped => {
-                    stopped = order.is_none();
-                    self.order(order);
-                    while let Ok(order) = self.handle.orders.try_recv() {
-                        self.order(Some(order));
+                command = self.handle.commands.recv(), if !stopped => {
+                    stopped = command.is_none();
+                    self.handle_command(command);
+                    while let Ok(command) = self.handle.commands.try_recv() {
+                        self.handle_command(Some(command));
                     }
                 }
-                changed = self.handle.room.changed(), if !stopped => stopped |= changed.is_err(),
+                changed = self.handle.capacity.changed(), if !stopped => stopped |= changed.is_err(),
                 () = self.clock.sleep_until(self.consumer.next_timeout()) => {
                     self.consumer.on_time(self.clock.now());
                 }
@@ -185,7 +184,7 @@
         }
     }
 
-    async fn notices(&mut self) {
+    async fn forward_notices(&mut self) {
         while let Some(notice) = self.consumer.poll() {
             let (front_end, queue) = (&self.front_end, &self.queue);
             let input = match notice {
@@ -207,7 +206,12 @@
                     continue;
                 }
                 Notice::Blocked(reason) => {
-                    warn!(front_end, queue, ?reason, "the broker's word on publishes");
+                    warn!(
+                        front_end,
+                        queue,
+                        ?reason,
+                        "the broker has blocked or unblocked publishing"
+                    );
                     continue;
                 }
                 Notice::Returned {
--- a/crates/pipithub-gateway/src/connect.rs
+++ b/crates/pipithub-gateway/src/connect.rs
@@ -1,4 +1,4 @@
-//! Connecting in spite of faults of this machine that pass.
+//! Connecting to a peer, with retries while this machine lacks descriptors, memory, ports or a route.
 
 use std::future::Future;
 use std::io;
@@ -8,8 +8,8 @@
 use tokio::time::Instant;
 use tracing::warn;
 
-/// Wait after a fault of this machine: it lacks descriptors, memory, ports or a route.
-const LOCAL_FAULT_WAIT: Duration = Duration::from_millis(10);
+/// Backoff after a fault of this machine.
+const LOCAL_FAULT_BACKOFF: Duration = Duration::from_millis(10);
 
 /// Why there is no connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -22,16 +22,17 @@
     Local,
 }
 
-/// Calls `connect` until it gives a connection, the peer refuses or the time is over. Faults of this machine are retried.
+/// Calls `connect` until it returns a connection, the peer refuses or the deadline is reached. Only faults of this
+/// machine are retried.
 pub async fn connect_by<C, F>(
-    give_up: Instant,
+    deadline: Instant,
     mut connect: impl FnMut() -> F,
 ) -> Result<C, ConnectFailure>
 where
     F: Future<Output = io::Result<C>>,
 {
     loop {
-        let error = match tokio::time::timeout_at(give_up, connect()).await {
+        let error = match tokio::time::timeout_at(deadline, connect()).await {
             Ok(Ok(connection)) => return Ok(connection),
             Ok(Err(error)) => error,
             Err(_) => return Err(ConnectFailure::Peer),
@@ -40,9 +41,9 @@
             return Err(ConnectFailure::Peer);
         }
         warn!(%error, "this machine cannot connect for a moment");
-        if Instant::now() + LOCAL_FAULT_WAIT >= give_up {
+        if Instant::now() + LOCAL_FAULT_BACKOFF >= deadline {
             return Err(ConnectFailure::Local);
         }
-        tokio::time::sleep(LOCAL_FAULT_WAIT).await;
+        tokio::time::sleep(LOCAL_FAULT_BACKOFF).await;
     }
 }
--- a/crates/pipithub-gateway/src/cron.rs
+++ b/crates/pipithub-gateway/src/cron.rs
@@ -1,6 +1,6 @@
-//! Timers as a second source: in memory, fired by this front end alone.
+//! Timers as a source of calls: in memory, fired by this front end alone.
 //!
-//! What fires when, also across steps of the wall clock, is decided by [`Schedule`].
+//! [`Schedule`] decides what fires when, also across steps of the wall clock.
 
 use std::str::FromStr;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use tokio::sync::mpsc;
 use tracing::{error, info, warn};
 
-use crate::front::{Order, SourceHandle};
+use crate::front_end::{SourceCommand, SourceHandle};
 use crate::schedule::{Occurrence, Schedule};
 
 /// The front end's timers as a source of calls.
@@ -50,10 +50,10 @@
         }
     }
 
-    /// Fires timers until the front end is gone.
+    /// Fires timers until the front end has ended.
     pub(crate) async fn run(mut self) {
         loop {
-            let wait = self.schedule.wait(wall_time());
+            let wait = self.schedule.time_until_check(wall_time());
             let waited = async {
                 match wait {
                     Some(wait) => tokio::time::sleep(wait).await,
@@ -66,31 +66,31 @@
                         return;
                     }
                 }
-                order = self.handle.orders.recv() => {
-                    let Some(order) = order else { return };
-                    self.obey(order).await;
+                command = self.handle.commands.recv() => {
+                    let Some(command) = command else { return };
+                    self.handle_command(command).await;
                 }
             }
         }
     }
 
-    async fn obey(&mut self, order: Order) {
-        match order {
-            Order::Answer(ticket, reply) => {
+    async fn handle_command(&mut self, command: SourceCommand) {
+        match command {
+            SourceCommand::Answer(ticket, reply) => {
                 log_answer(ticket, &reply);
                 self.settle(ticket).await;
             }
-            Order::Forget(ticket) => self.settle(ticket).await,
-            Order::Stop => self.schedule.stop(),
+            SourceCommand::Settle(ticket) => self.settle(ticket).await,
+            SourceCommand::Shutdown => self.schedule.stop(),
         }
     }
 
     async fn settle(&self, ticket: Ticket) {
-        // A front end that is gone has no use for it.
+        // A front end that has ended needs no settlement.
         let _ = self.inputs.send(Input::Settled(ticket)).await;
     }
 
-    /// Whether the front end is still there.
+    /// Fires what is due; false where the front end has ended.
     async fn fire_due(&mut self) -> bool {
         for Occurrence { timer, planned } in self.schedule.due(wall_time()) {
             self.tickets += 1;
--- a/crates/pipithub-gateway/src/directory.rs
+++ b/crates/pipithub-gateway/src/directory.rs
@@ -49,18 +49,18 @@
 
 /// What a front end is told of its directories.
 #[derive(Debug)]
-pub(crate) enum Word {
+pub(crate) enum DirectoryEvent {
     /// There is news of a user who was wanted.
-    News(User),
+    UserUpdated(User),
     /// A user is not whose they were.
-    Changed(User),
+    UserMigrated(User),
 }
 
 /// A front end's end of its directories.
 pub(crate) struct Handle {
     pub(crate) roster: Arc<ArcSwap<Roster>>,
-    pub(crate) wants: mpsc::Sender<Input>,
-    pub(crate) words: mpsc::Receiver<Word>,
+    pub(crate) lookups: mpsc::Sender<Input>,
+    pub(crate) events: mpsc::Receiver<DirectoryEvent>,
 }
 
 /// The core's settings.
@@ -131,8 +131,8 @@
     tasks.spawn(shell.run(inputs, wants.clone(), front_end.to_string()));
     Handle {
         roster,
-        wants,
-        words: heard,
+        lookups: wants,
+        events: heard,
     }
 }
 
@@ -171,7 +171,7 @@
     config: Arc<TenantsConfig>,
     clock: Clock,
     publisher: Publisher,
-    words: mpsc::Sender<Word>,
+    words: mpsc::Sender<DirectoryEvent>,
     links: BTreeMap<(usize, usize), mpsc::Sender<Command>>,
     /// Saves snapshots, where there are any.
     saver: Option<Arc<Saver>>,
@@ -292,10 +292,10 @@
                         }
                         continue;
                     }
-                    Output::News(user) => Word::News(user),
+                    Output::News(user) => DirectoryEvent::UserUpdated(user),
                     Output::Changed(user) => {
                         info!(front_end, user = &*user, "a user is not whose they were");
-                        Word::Changed(user)
+                        DirectoryEvent::UserMigrated(user)
                     }
                 };
                 if self.words.send(word).await.is_err() {
--- a/crates/pipithub-gateway/src/front.rs
+++ b/crates/pipithub-gateway/src/front_end.rs
@@ -15,62 +15,62 @@
 
 use crate::Snapshot;
 use crate::tenancy::Tenancy;
-use crate::workers::Pool;
+use crate::workers::WorkerClient;
 
-/// Inputs that wait for the engine; sources and workers wait in turn when it is full.
-const INPUTS: usize = 4096;
+/// Inputs queued for the engine; senders wait while the queue is full.
+const MAX_QUEUED_INPUTS: usize = 4096;
 
-/// What a source is told.
+/// A command from the front end to one of its sources.
 #[derive(Debug)]
-pub(crate) enum Order {
+pub(crate) enum SourceCommand {
     /// Give the final answer and settle, both or neither.
     Answer(Ticket, Arc<Reply>),
     /// Settle without an answer.
-    Forget(Ticket),
-    /// Take nothing new; end when all is settled.
-    Stop,
+    Settle(Ticket),
+    /// Take no new triggers; end when all are settled.
+    Shutdown,
 }
 
-/// A source's end of its channels.
+/// A source's end of its channels with the front end.
 pub(crate) struct SourceHandle {
-    /// Not bounded by itself: the engine holds no more triggers than `max-open`, and owes each one order.
-    pub(crate) orders: mpsc::UnboundedReceiver<Order>,
-    pub(crate) room: watch::Receiver<usize>,
+    /// Unbounded, but limited in effect: the engine holds at most `max-open` triggers and owes each one command.
+    pub(crate) commands: mpsc::UnboundedReceiver<SourceCommand>,
+    pub(crate) capacity: watch::Receiver<usize>,
 }
 
 struct Source {
-    orders: mpsc::UnboundedSender<Order>,
-    room: watch::Sender<usize>,
+    commands: mpsc::UnboundedSender<SourceCommand>,
+    capacity: watch::Sender<usize>,
 }
 
-pub(crate) struct Front {
+pub(crate) struct FrontEnd {
     name: String,
     classes: Vec<ClassName>,
     clock: Clock,
     engine: Engine,
     drain: Time,
-    pool: Arc<Pool>,
+    workers: Arc<WorkerClient>,
     inputs: mpsc::Receiver<Input>,
-    sender: mpsc::Sender<Input>,
+    inputs_sender: mpsc::Sender<Input>,
     sources: BTreeMap<SourceId, Source>,
-    cancels: BTreeMap<AttemptId, oneshot::Sender<()>>,
+    cancellations: BTreeMap<AttemptId, oneshot::Sender<()>>,
     snapshot: watch::Sender<Snapshot>,
-    out: Vec<Output>,
+    outputs: Vec<Output>,
     tenancy: Option<Tenancy>,
-    /// What the gate hands to the engine.
-    inward: Vec<Input>,
+    /// Inputs from the admission for the engine.
+    engine_inputs: Vec<Input>,
 }
 
-impl Front {
+impl FrontEnd {
     pub(crate) fn new(
         name: &str,
         config: &Config,
         clock: Clock,
         seed: u64,
-        pool: Arc<Pool>,
+        workers: Arc<WorkerClient>,
         baseline: Option<Policy>,
     ) -> (Self, mpsc::Sender<Input>) {
-        let (sender, inputs) = mpsc::channel(INPUTS);
+        let (inputs_sender, inputs) = mpsc::channel(MAX_QUEUED_INPUTS);
         let settings = config.engine.clone();
         let engine = match baseline {
             None => Engine::new(settings, seed),
@@ -79,95 +79,97 @@
                 Engine::deciding_by(Box::new(baseline), settings)
             }
         };
-        let front = Front {
+        let front_end = FrontEnd {
             name: name.to_string(),
             classes: config.classes.clone(),
             clock,
             engine,
             drain: config.drain,
-            pool,
+            workers,
             inputs,
-            sender: sender.clone(),
+            inputs_sender: inputs_sender.clone(),
             sources: BTreeMap::new(),
-            cancels: BTreeMap::new(),
+            cancellations: BTreeMap::new(),
             snapshot: watch::channel(Snapshot::default()).0,
-            out: Vec::new(),
+            outputs: Vec::new(),
             tenancy: None,
-            inward: Vec::new(),
+            engine_inputs: Vec::new(),
         };
-        (front, sender)
+        (front_end, inputs_sender)
     }
 
-    pub(crate) fn keep_tenants(&mut self, tenancy: Tenancy) {
+    pub(crate) fn set_tenancy(&mut self, tenancy: Tenancy) {
         self.tenancy = Some(tenancy);
     }
 
     pub(crate) fn add_source(&mut self, id: SourceId) -> SourceHandle {
-        let (orders, receiver) = mpsc::unbounded_channel();
-        let (room, watched) = watch::channel(self.engine.capacity());
-        self.sources.insert(id, Source { orders, room });
+        let (commands, receiver) = mpsc::unbounded_channel();
+        let (capacity, watched) = watch::channel(self.engine.capacity());
+        self.sources.insert(id, Source { commands, capacity });
         SourceHandle {
-            orders: receiver,
-            room: watched,
+            commands: receiver,
+            capacity: watched,
         }
     }
 
-    pub(crate) fn snapshot(&self) -> watch::Receiver<Snapshot> {
+    pub(crate) fn snapshots(&self) -> watch::Receiver<Snapshot> {
         self.snapshot.subscribe()
     }
 
-    pub(crate) fn fixed_workers(&mut self, workers: &[FixedWorker]) {
-        let entry = |worker: &FixedWorker| Endpoint {
+    pub(crate) fn set_fixed_workers(&mut self, workers: &[FixedWorker]) {
+        let endpoint = |worker: &FixedWorker| Endpoint {
             worker: WorkerId::new(&worker.address),
             zone: worker.zone.clone(),
             memory_mb: worker.memory_mb,
             ..Endpoint::default()
         };
-        self.first(Input::Endpoints {
+        self.handle_before_start(Input::Endpoints {
             update: EndpointUpdate::Snapshot,
-            endpoints: workers.iter().map(entry).collect(),
+            endpoints: workers.iter().map(endpoint).collect(),
         });
     }
 
-    /// An input before anything runs.
-    pub(crate) fn first(&mut self, input: Input) {
-        self.engine.handle(self.clock.now(), input, &mut self.out);
+    /// Handles an input before the front end runs.
+    pub(crate) fn handle_before_start(&mut self, input: Input) {
+        self.engine
+            .handle(self.clock.now(), input, &mut self.outputs);
     }
 
-    pub(crate) async fn run(mut self, mut stopped: watch::Receiver<bool>) {
+    pub(crate) async fn run(mut self, mut shutdown: watch::Receiver<bool>) {
         info!(
             front_end = self.name,
             workers = self.engine.ready_workers(),
             "front end up"
         );
         let mut batch = Vec::with_capacity(256);
-        let mut end = None;
+        let mut drain_deadline = None;
         loop {
-            self.carry_out();
-            self.tell();
-            let pending = self.tenancy.as_ref().map_or(0, Tenancy::pending);
-            if end.is_some_and(|end| {
-                self.engine.pending_requests() + pending == 0 || self.clock.now() >= end
+            self.execute_outputs();
+            self.publish_state();
+            let pending_admissions = self.tenancy.as_ref().map_or(0, Tenancy::pending);
+            if drain_deadline.is_some_and(|deadline| {
+                self.engine.pending_requests() + pending_admissions == 0
+                    || self.clock.now() >= deadline
             }) {
                 break;
             }
-            let gate_due = self.tenancy.as_ref().and_then(Tenancy::next_due);
-            let due = [self.engine.next_due(), end, gate_due]
+            let admission_due = self.tenancy.as_ref().and_then(Tenancy::next_due);
+            let due = [self.engine.next_due(), drain_deadline, admission_due]
                 .into_iter()
                 .flatten()
                 .min();
-            let word = async {
+            let event = async {
                 match &mut self.tenancy {
-                    Some(tenancy) => tenancy.word().await,
+                    Some(tenancy) => tenancy.next_event().await,
                     None => std::future::pending().await,
                 }
             };
             tokio::select! {
-                word = word => {
-                    let Some(word) = word else { break };
+                event = event => {
+                    let Some(event) = event else { break };
                     let now = self.clock.now();
                     if let Some(tenancy) = &mut self.tenancy {
-                        tenancy.told(now, word, &mut self.inward);
+                        tenancy.handle_directory_event(now, event, &mut self.engine_inputs);
                     }
                 }
                 count = self.inputs.recv_many(&mut batch, 256) => {
@@ -176,27 +178,28 @@
                     }
                 }
                 () = self.clock.sleep_until(due) => batch.push(Input::Tick),
-                _ = stopped.wait_for(|s| *s), if end.is_none() => {
+                _ = shutdown.wait_for(|asked| *asked), if drain_deadline.is_none() => {
                     info!(front_end = self.name, open = self.engine.pending_requests(), "stopping");
-                    end = Some(self.clock.now() + self.drain);
-                    self.sources.values().for_each(|s| drop(s.orders.send(Order::Stop)));
+                    drain_deadline = Some(self.clock.now() + self.drain);
+                    self.sources.values().for_each(|s| drop(s.commands.send(SourceCommand::Shutdown)));
                     batch.push(Input::Drain);
                 }
             }
             for input in batch.drain(..) {
                 if let Input::AttemptFinished(done) = &input {
-                    self.cancels.remove(&done.id);
+                    self.cancellations.remove(&done.id);
                 }
                 self.input(input);
-                // Carried out at once: an answer must not wait for the rest of the batch.
-                self.carry_out();
+                // Executed at once: an answer must not wait for the rest of the batch.
+                self.execute_outputs();
             }
         }
-        let left = self.engine.pending_requests();
-        if left > 0 {
+        let pending = self.engine.pending_requests();
+        if pending > 0 {
             warn!(
                 front_end = self.name,
-                left, "stopped with calls that are not settled; their sources deliver them again"
+                left = pending,
+                "stopped with calls that are not settled; their sources deliver them again"
             );
         }
         info!(front_end = self.name, "front end down");
@@ -204,14 +207,14 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 
-    /// Hands an input to the engine, a new call to the gate first.
+    /// Hands an input to the engine; new triggers pass the admission first.
     fn input(&mut self, input: Input) {
         let now = self.clock.now();
         let Some(tenancy) = &mut self.tenancy else {
-            return self.engine.handle(now, input, &mut self.out);
+            return self.engine.handle(now, input, &mut self.outputs);
         };
         match input {
-            // What is open or was settled here is decided by that: the gate must not refuse what runs.
+            // A redelivery of a request that the engine knows is not admitted again: admission must not reject what runs.
             Input::Trigger(trigger)
                 if !(trigger.redelivered
                     && trigger
@@ -219,56 +222,58 @@
                         .as_ref()
                         .is_some_and(|i| self.engine.knows(i, now))) =>
             {
-                tenancy.arrive(now, trigger, &mut self.inward);
+                tenancy.arrive(now, trigger, &mut self.engine_inputs);
             }
             Input::SourceLost(source) => {
-                tenancy.lost(now, source, &mut self.inward);
+                tenancy.source_lost(now, source, &mut self.engine_inputs);
                 self.engine
-                    .handle(now, Input::SourceLost(source), &mut self.out);
+                    .handle(now, Input::SourceLost(source), &mut self.outputs);
             }
             other => {
-                tenancy.tick(now, self.engine.pending_requests(), &mut self.inward);
-                self.engine.handle(now, other, &mut self.out);
+                tenancy.tick(now, self.engine.pending_requests(), &mut self.engine_inputs);
+                self.engine.handle(now, other, &mut self.outputs);
             }
         }
     }
 
-    /// Tells sources how much room there is, and whoever looks how things stand.
-    fn tell(&mut self) {
-        let waiting = self.tenancy.as_ref().map_or(0, Tenancy::pending);
-        let room = self.engine.capacity().saturating_sub(waiting);
+    /// Publishes the remaining capacity to the sources, and a snapshot to observers.
+    fn publish_state(&mut self) {
+        let pending_admissions = self.tenancy.as_ref().map_or(0, Tenancy::pending);
+        let capacity = self.engine.capacity().saturating_sub(pending_admissions);
         for source in self.sources.values() {
             source
-                .room
-                .send_if_modified(|known| std::mem::replace(known, room) != room);
+                .capacity
+                .send_if_modified(|known| std::mem::replace(known, capacity) != capacity);
         }
         let snapshot = Snapshot {
             stats: self.engine.stats(),
-            open: self.engine.pending_requests(),
-            bytes: self.engine.body_bytes(),
-            workers: self.engine.ready_workers(),
-            waiting,
+            pending_requests: self.engine.pending_requests(),
+            body_bytes: self.engine.body_bytes(),
+            ready_workers: self.engine.ready_workers(),
+            pending_admissions,
         };
         self.snapshot
             .send_if_modified(|known| std::mem::replace(known, snapshot) != snapshot);
     }
 
-    fn carry_out(&mut self) {
-        while !self.out.is_empty() || !self.inward.is_empty() {
-            for input in std::mem::take(&mut self.inward) {
-                self.engine.handle(self.clock.now(), input, &mut self.out);
+    fn execute_outputs(&mut self) {
+        while !self.outputs.is_empty() || !self.engine_inputs.is_empty() {
+            for input in std::mem::take(&mut self.engine_inputs) {
+                self.engine
+                    .handle(self.clock.now(), input, &mut self.outputs);
             }
-            let mut out = std::mem::take(&mut self.out);
-            for output in out.drain(..) {
-                self.one(output);
+            let mut outputs = std::mem::take(&mut self.outputs);
+            for output in outputs.drain(..) {
+                self.execute(output);
             }
-            if self.out.is_empty() {
-                self.out = out;
+            if self.outputs.is_empty() {
+                self.outputs = outputs;
             }
         }
     }
 
-    fn one(&mut self, output: Output) {
+    fn execute(&mut self, output: Output) {
+        let tenancy = self.tenancy.as_ref();
         match output {
             Output::Forward {
                 id,
@@ -281,24 +286,24 @@
                     request = id.request,
                     label = call.label.as_deref(),
                     class = self.classes.get(call.class).map(|c| c.name.as_str()),
-                    tenant = self.tenancy.as_ref().and_then(|t| t.name(call.tenant)),
+                    tenant = tenancy.and_then(|t| t.tenant_name(call.tenant)),
                     user = call.user.as_deref(),
                     function = &*call.function,
                     worker = &*worker.0,
                     attempt = id.number,
-                    "send"
+                    "forward"
                 );
                 let (cancel, cancelled) = oneshot::channel();
-                self.cancels.insert(id, cancel);
-                let (pool, sender) = (self.pool.clone(), self.sender.clone());
+                self.cancellations.insert(id, cancel);
+                let (pool, inputs) = (self.workers.clone(), self.inputs_sender.clone());
                 tokio::spawn(async move {
-                    let end = pool.attempt(id, &worker, &call, deadline, cancelled).await;
-                    let _ = sender.send(Input::AttemptFinished(end)).await;
+                    let result = pool.attempt(id, &worker, &call, deadline, cancelled).await;
+                    let _ = inputs.send(Input::AttemptFinished(result)).await;
                 });
             }
             Output::Cancel(id) => {
                 // The attempt ends as withdrawn, unless its outcome is on its way already.
-                if let Some(cancel) = self.cancels.remove(&id) {
+                if let Some(cancel) = self.cancellations.remove(&id) {
                     let _ = cancel.send(());
                 }
             }
@@ -306,34 +311,34 @@
                 worker,
                 function,
                 name,
-                replicas: copies,
+                replicas,
             } => {
                 debug!(
                     front_end = self.name,
                     worker = &*worker.0,
                     function = &*name,
-                    copies,
-                    "order"
+                    replicas,
+                    "load command"
                 );
-                let (pool, sender) = (self.pool.clone(), self.sender.clone());
+                let (pool, inputs) = (self.workers.clone(), self.inputs_sender.clone());
                 tokio::spawn(async move {
-                    let end = pool.order(worker, function, &name, copies).await;
-                    let _ = sender.send(Input::LoadCommandFinished(end)).await;
+                    let result = pool.load_function(worker, function, &name, replicas).await;
+                    let _ = inputs.send(Input::LoadCommandFinished(result)).await;
                 });
             }
             Output::EvictFunction { worker, name } => {
-                let pool = self.pool.clone();
-                tokio::spawn(async move { pool.unload(worker, &name).await });
+                let pool = self.workers.clone();
+                tokio::spawn(async move { pool.evict_function(worker, &name).await });
             }
             Output::PollLoad(worker) => {
-                let (pool, sender) = (self.pool.clone(), self.sender.clone());
+                let (pool, inputs) = (self.workers.clone(), self.inputs_sender.clone());
                 tokio::spawn(async move {
-                    let end = pool.probe(worker).await;
-                    let _ = sender.send(Input::LoadPolled(end)).await;
+                    let result = pool.poll_load(worker).await;
+                    let _ = inputs.send(Input::LoadPolled(result)).await;
                 });
             }
             Output::Answer { ticket, reply } => {
-                let (tenant, user) = self.tenancy.as_ref().map_or((None, None), |t| t.of(ticket));
+                let (tenant, user) = tenancy.map_or((None, None), |t| t.caller_names(ticket));
                 let worker = reply.worker.as_ref().map(|w| &*w.0);
                 if reply.verdict == Verdict::Failed {
                     info!(front_end = self.name, source = ticket.source.0, ticket = ticket.number,
@@ -355,25 +360,25 @@
                 }
                 let now = self.clock.now();
                 if let Some(tenancy) = &mut self.tenancy {
-                    tenancy.answered(now, ticket, Some(&reply), &mut self.inward);
+                    tenancy.answered(now, ticket, Some(&reply), &mut self.engine_inputs);
                 }
-                self.order(ticket.source, Order::Answer(ticket, reply));
+                self.send_command(ticket.source, SourceCommand::Answer(ticket, reply));
             }
             Output::Forget(ticket) => {
                 let now = self.clock.now();
                 if let Some(tenancy) = &mut self.tenancy {
-                    tenancy.answered(now, ticket, None, &mut self.inward);
+                    tenancy.answered(now, ticket, None, &mut self.engine_inputs);
                 }
-                self.order(ticket.source, Order::Forget(ticket));
+                self.send_command(ticket.source, SourceCommand::Settle(ticket));
             }
-            // Lists are followed from the start here.
+            // The endpoint list is watched from the start here.
             Output::WatchEndpoints => {}
         }
     }
 
-    fn order(&self, source: SourceId, order: Order) {
+    fn send_command(&self, source: SourceId, command: SourceCommand) {
         if let Some(source) = self.sources.get(&source) {
-            let _ = source.orders.send(order);
+            let _ = source.commands.send(command);
         }
     }
 }
--- a/crates/pipithub-gateway/src/lib.rs
+++ b/crates/pipithub-gateway/src/lib.rs
@@ -2,13 +2,13 @@
 //!
 //! A [`Gateway`] runs one or more front ends; each owns an engine and shares nothing with the others. Sources
 //! ([`amqp`], [`cron`]), workers ([`workers`]) and the worker list ([`list`]) are tasks that hand the engine what
-//! happened and carry out what it says. They decide nothing.
+//! happened and execute its outputs. They decide nothing.
 
 mod amqp;
 pub mod connect;
 mod cron;
 pub mod directory;
-mod front;
+mod front_end;
 mod list;
 pub mod schedule;
 pub mod seed;
@@ -24,24 +24,24 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// What a front end holds and has done, as last looked at.
+/// The state of a front end at its last turn.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
     /// Counters.
     pub stats: Stats,
     /// Requests that are not settled.
-    pub open: usize,
-    /// Bytes of bodies held.
-    pub bytes: usize,
-    /// Live workers, as told.
-    pub workers: usize,
-    /// Calls that wait for their user to be known or for their tenant's turn.
-    pub waiting: usize,
+    pub pending_requests: usize,
+    /// Bytes of the request bodies in memory.
+    pub body_bytes: usize,
+    /// Ready workers of the endpoint list.
+    pub ready_workers: usize,
+    /// Requests that wait for the look-up of their user or for their tenant's quota.
+    pub pending_admissions: usize,
 }
 
-/// A running gateway. Dropped, it ends at once, as if killed.
+/// A running gateway. When dropped it ends at once, as if killed.
 pub struct Gateway {
-    stop: watch::Sender<bool>,
+    shutdown: watch::Sender<bool>,
     snapshots: Vec<watch::Receiver<Snapshot>>,
     tasks: JoinSet<()>,
 }
@@ -52,11 +52,11 @@
         Self::start_deciding_by(config, None)
     }
 
-    /// Starts all front ends with a textbook policy in the module's place: for comparison in drills alone.
+    /// Starts all front ends with a textbook policy in place of the decision module, for comparison in scenarios alone.
     pub fn start_deciding_by(config: &Config, baseline: Option<Policy>) -> Gateway {
-        let (stop, stopped) = watch::channel(false);
+        let (shutdown, shutdown_asked) = watch::channel(false);
         let mut gateway = Gateway {
-            stop,
+            shutdown,
             snapshots: Vec::new(),
             tasks: JoinSet::new(),
         };
@@ -66,27 +66,27 @@
             } else {
                 format!("{}-{instance}", config.name)
             };
-            gateway.start_front(config, &name, &stopped, baseline);
+            gateway.start_front_end(config, &name, &shutdown_asked, baseline);
         }
         gateway
     }
 
-    fn start_front(
+    fn start_front_end(
         &mut self,
         config: &Config,
         name: &str,
-        stopped: &watch::Receiver<bool>,
+        shutdown_asked: &watch::Receiver<bool>,
         baseline: Option<Policy>,
     ) {
         let clock = Clock::default();
-        let pool = Arc::new(workers::Pool::new(name, config.http, clock));
+        let workers = Arc::new(workers::WorkerClient::new(name, config.http, clock));
         let seed = seed::random_seed();
-        let (mut front, inputs) =
-            front::Front::new(name, config, clock, seed, pool.clone(), baseline);
+        let (mut front_end, inputs) =
+            front_end::FrontEnd::new(name, config, clock, seed, workers.clone(), baseline);
         if let Some(tenants) = &config.tenants {
             let tenants = Arc::new(tenants.clone());
             let handle = directory::start(tenants.clone(), name, clock, seed, &mut self.tasks);
-            front.keep_tenants(tenancy::Tenancy::new(
+            front_end.set_tenancy(tenancy::Tenancy::new(
                 tenants,
                 handle,
                 &config.engine.policy.classes,
@@ -101,8 +101,8 @@
         for broker in &config.amqp {
             for queue in &broker.queues {
                 let id = source();
-                let handle = front.add_source(id);
-                let consumer = amqp::settings(config, broker, queue, id, name);
+                let handle = front_end.add_source(id);
+                let consumer = amqp::consumer_settings(config, broker, queue, id, name);
                 let addresses = broker.addresses.clone();
                 let task = amqp::run(
                     consumer,
@@ -117,49 +117,50 @@
         }
         if !config.cron.is_empty() {
             let id = source();
-            let handle = front.add_source(id);
+            let handle = front_end.add_source(id);
             let timers = cron::CronSource::new(config.cron.clone(), id, handle, inputs.clone());
             self.tasks.spawn(timers.run());
         }
         match &config.workers {
-            WorkersConfig::Fixed(workers) => front.fixed_workers(workers),
+            WorkersConfig::Fixed(fixed) => front_end.set_fixed_workers(fixed),
             WorkersConfig::EndpointSlices {
                 url,
                 namespace,
                 service,
                 port,
-                cache: remember,
+                cache,
             } => {
-                let settings = list::ListSettings {
+                let settings = list::EndpointListSettings {
                     url: url.clone(),
                     namespace: namespace.clone(),
                     service: service.clone(),
                     port: port.clone(),
-                    remember: remember.clone(),
+                    cache: cache.clone(),
                     front_end: name.to_string(),
                 };
-                if let Some(remembered) = list::recall(&settings, clock) {
-                    front.first(Input::Endpoints {
-                        update: remembered.0,
-                        endpoints: remembered.1,
+                if let Some(cached) = list::load_cached(&settings, clock) {
+                    front_end.handle_before_start(Input::Endpoints {
+                        update: cached.0,
+                        endpoints: cached.1,
                     });
                 }
                 self.tasks
                     .spawn(list::run(settings, inputs.clone(), clock, seed));
             }
         }
-        self.snapshots.push(front.snapshot());
-        self.tasks.spawn(front.run(stopped.clone()));
+        self.snapshots.push(front_end.snapshots());
+        self.tasks.spawn(front_end.run(shutdown_asked.clone()));
     }
 
-    /// How each front end stands.
+    /// The latest snapshot of each front end.
     pub fn snapshots(&self) -> Vec<Snapshot> {
         self.snapshots.iter().map(|s| *s.borrow()).collect()
     }
 
-    /// Takes nothing new, waits until all that is held is settled, or as long as the settings give.
+    /// Shuts down gracefully: takes no new requests and waits until all pending ones are settled, for the drain time of
+    /// the settings at most.
     pub async fn stop(mut self) {
-        let _ = self.stop.send(true);
+        let _ = self.shutdown.send(true);
         for snapshot in &mut self.snapshots {
             // A front end that is done drops its sender.
             while snapshot.changed().await.is_ok() {}
--- a/crates/pipithub-gateway/src/list.rs
+++ b/crates/pipithub-gateway/src/list.rs
@@ -1,4 +1,4 @@
-//! The worker list over HTTP: list, then watch, and again.
+//! The endpoint list from the Kubernetes API over HTTP: one list request, then watches from its version on.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -19,45 +19,46 @@
 use tokio::sync::mpsc;
 use tracing::{info, warn};
 
-/// A watch is asked to end after so many seconds, and taken for dead a little later: a connection that was cut without
-/// a word must not leave the list stale for ever.
+/// The server is asked to end a watch after this time. A watch that lasts longer counts as dead: a connection that was cut
+/// silently must not leave the list stale for ever.
 const WATCH_SECONDS: u64 = 60;
-const BODY_MOST: usize = 64 << 20;
+const MAX_BODY_BYTES: usize = 64 << 20;
 const MS: u64 = 1_000_000;
 
-pub(crate) struct ListSettings {
+pub(crate) struct EndpointListSettings {
     pub(crate) url: String,
     pub(crate) namespace: String,
     pub(crate) service: String,
     pub(crate) port: Option<String>,
-    pub(crate) remember: Option<PathBuf>,
+    pub(crate) cache: Option<PathBuf>,
     pub(crate) front_end: String,
 }
 
-/// The list as it was when the process last ran.
-pub(crate) fn recall(
-    settings: &ListSettings,
+/// Reads the cached list of an earlier run.
+pub(crate) fn load_cached(
+    settings: &EndpointListSettings,
     clock: Clock,
 ) -> Option<(EndpointUpdate, Vec<Endpoint>)> {
-    let path = settings.remember.as_ref()?;
+    let path = settings.cache.as_ref()?;
     let text = std::fs::read_to_string(path).ok()?;
     match pipithub_endpoints::recall(&text, clock.now(), wall_ms()) {
         Ok(recalled) => Some(recalled),
         Err(error) => {
-            warn!(path = %path.display(), %error, "the remembered list is not read");
+            warn!(path = %path.display(), %error, "the cached endpoint list cannot be read");
             None
         }
     }
 }
 
-/// Saves the remembered list. All front ends of a process write the same file, each by a temporary file of its own.
-fn start_saver(settings: &ListSettings) -> Option<Saver> {
-    let path = settings.remember.as_ref()?;
+/// Starts the saver of the cached list. All front ends of a process write the same file, each by a temporary file of its
+/// own.
+fn start_saver(settings: &EndpointListSettings) -> Option<Saver> {
+    let path = settings.cache.as_ref()?;
     let target = Target::shared(path, &settings.front_end, Durability::Synced);
     Some(Saver::start(Arc::new(SystemFiles), target))
 }
 
-async fn get(settings: &ListSettings, query: &str) -> Result<Response<Incoming>, String> {
+async fn get(settings: &EndpointListSettings, query: &str) -> Result<Response<Incoming>, String> {
     let host = settings
         .url
         .trim_start_matches("http://")
@@ -80,22 +81,23 @@
         .header("user-agent", format!("pipithub/{}", settings.front_end))
         .body(Empty::<Bytes>::new())
         .map_err(|e| e.to_string())?;
-    let answer = tokio::time::timeout(Duration::from_secs(30), sender.send_request(request)).await;
-    let answer = answer
+    let response =
+        tokio::time::timeout(Duration::from_secs(30), sender.send_request(request)).await;
+    let response = response
         .map_err(|_| "no answer".to_string())?
         .map_err(|e| e.to_string())?;
-    if answer.status() == 410 {
+    if response.status() == 410 {
         return Err("410".into());
     }
-    if !answer.status().is_success() {
-        return Err(format!("the server answers {}", answer.status()));
+    if !response.status().is_success() {
+        return Err(format!("the server answers {}", response.status()));
     }
-    Ok(answer)
+    Ok(response)
 }
 
-/// Follows the list for ever. What is known stays while the server cannot be reached.
+/// Follows the list for ever. The last known list stays in force while the server cannot be reached.
 pub(crate) async fn run(
-    settings: ListSettings,
+    settings: EndpointListSettings,
     inputs: mpsc::Sender<Input>,
     clock: Clock,
     seed: u64,
@@ -106,45 +108,45 @@
     let mut backoff = Backoff::new(100 * MS, 5_000 * MS, 2_000 * MS, seed);
     loop {
         let ended = if watcher.version().is_none() {
-            list(&settings, &mut watcher, &inputs, saver, clock).await
+            fetch_endpoints(&settings, &mut watcher, &inputs, saver, clock).await
         } else {
             backoff.up(clock.now());
-            watch(&settings, &mut watcher, &inputs, saver, clock).await
+            watch_endpoints(&settings, &mut watcher, &inputs, saver, clock).await
         };
         if inputs.is_closed() {
             return;
         }
         if let Err(why) = ended {
-            let wait = backoff.down(clock.now());
+            let pause = backoff.down(clock.now());
             warn!(
                 front_end = settings.front_end,
                 why,
-                wait_ms = wait / MS,
+                wait_ms = pause / MS,
                 "worker list not followed"
             );
-            tokio::time::sleep(Duration::from_nanos(wait)).await;
+            tokio::time::sleep(Duration::from_nanos(pause)).await;
         }
     }
 }
 
-async fn list(
-    settings: &ListSettings,
+async fn fetch_endpoints(
+    settings: &EndpointListSettings,
     watcher: &mut Watcher,
     inputs: &mpsc::Sender<Input>,
     saver: Option<&Saver>,
     clock: Clock,
 ) -> Result<(), String> {
-    let answer = get(settings, "").await?;
+    let response = get(settings, "").await?;
     let read = tokio::time::timeout(
         Duration::from_secs(30),
-        Limited::new(answer.into_body(), BODY_MOST).collect(),
+        Limited::new(response.into_body(), MAX_BODY_BYTES).collect(),
     );
     let body = read
         .await
         .map_err(|_| "the list stalls".to_string())?
         .map_err(|e| e.to_string())?
         .to_bytes();
-    let entries = watcher
+    let endpoints = watcher
         .list(clock.now(), wall_ms(), &body)
         .map_err(|e| e.to_string())?;
     if watcher.version().is_none() {
@@ -152,36 +154,31 @@
     }
     info!(
         front_end = settings.front_end,
-        workers = entries.len(),
-        live = watcher.live(),
+        workers = endpoints.len(),
+        ready = watcher.live(),
         "worker list"
     );
-    told(
+    publish(
         watcher,
         inputs,
         saver,
         clock,
         EndpointUpdate::Snapshot,
-        entries,
+        endpoints,
     )
     .await;
     Ok(())
 }
 
-async fn told(
+async fn publish(
     watcher: &Watcher,
     inputs: &mpsc::Sender<Input>,
     saver: Option<&Saver>,
     clock: Clock,
-    kind: EndpointUpdate,
-    entries: Vec<Endpoint>,
+    update: EndpointUpdate,
+    endpoints: Vec<Endpoint>,
 ) {
-    let _ = inputs
-        .send(Input::Endpoints {
-            update: kind,
-            endpoints: entries,
-        })
-        .await;
+    let _ = inputs.send(Input::Endpoints { update, endpoints }).await;
     if let Some(saver) = saver {
         saver.save(
             clock.now(),
@@ -190,8 +187,8 @@
     }
 }
 
-async fn watch(
-    settings: &ListSettings,
+async fn watch_endpoints(
+    settings: &EndpointListSettings,
     watcher: &mut Watcher,
     inputs: &mpsc::Sender<Input>,
     saver: Option<&Saver>,
@@ -201,21 +198,21 @@
     let query = format!(
         "&watch=1&allowWatchBookmarks=true&timeoutSeconds={WATCH_SECONDS}&resourceVersion={version}"
     );
-    let answer = match get(settings, &query).await {
+    let response = match get(settings, &query).await {
         Err(why) if why == "410" => {
             watcher.forget_version();
             return Ok(());
         }
         other => other?,
     };
-    let mut body = answer.into_body();
+    let mut body = response.into_body();
     let mut buffer = BytesMut::new();
     let end = tokio::time::Instant::now() + Duration::from_secs(WATCH_SECONDS + 10);
     loop {
         let frame = match tokio::time::timeout_at(end, body.frame()).await {
             Ok(Some(frame)) => frame.map_err(|e| e.to_string())?,
-            // Its time is over, as asked: the next one goes on from the version reached, at once. One that ends
-            // early is a server in trouble, not to be asked without a pause.
+            // The watch ended after the time that was asked for: the next one continues from the version reached, at
+            // once. One that ends early points to a fault of the server, which is not asked again without a backoff.
             Ok(None) if tokio::time::Instant::now() + Duration::from_secs(15) >= end => {
                 return Ok(());
             }
@@ -225,7 +222,7 @@
         let Some(data) = frame.data_ref() else {
             continue;
         };
-        if buffer.len() + data.len() > BODY_MOST {
+        if buffer.len() + data.len() > MAX_BODY_BYTES {
             return Err("a watch event is too long".into());
         }
         buffer.extend_from_slice(data);
@@ -237,7 +234,7 @@
             }
             match watcher.line(clock.now(), wall_ms(), &line) {
                 Ok(Step::Changes(changes)) => {
-                    told(
+                    publish(
                         watcher,
                         inputs,
                         saver,
@@ -250,7 +247,7 @@
                 Ok(Step::Nothing) => {}
                 Ok(Step::Expired) => return Ok(()),
                 Err(error) => {
-                    // A line that is not understood may have been a drain: all is asked anew.
+                    // A line that cannot be read may have been a drain: the list is fetched anew.
                     watcher.forget_version();
                     return Err(error.to_string());
                 }
--- a/crates/pipithub-gateway/src/schedule.rs
+++ b/crates/pipithub-gateway/src/schedule.rs
@@ -1,14 +1,14 @@
 //! When timers fire: schedules in wall time (UTC), without I/O.
 //!
 //! A schedule names occurrences in wall time, and the wall clock may be stepped. [`Schedule::due`] is given the wall time
-//! and tells which timers fire; [`Schedule::wait`] gives a span of real time after which to ask again, [`LONGEST_WAIT`] at
+//! and tells which timers fire; [`Schedule::time_until_check`] gives a span of real time after which to ask again, [`MAX_CHECK_INTERVAL`] at
 //! the most, so that a step is noticed within that span.
 //!
 //! | the wall clock | what fires |
 //! | --- | --- |
 //! | runs on | each occurrence once, at its time |
 //! | is stepped forward | what was passed fires once, late: one call for each timer, not one for each occurrence missed |
-//! | is stepped back, by [`LONGEST_STEP_BACK`] at the most | nothing that lies before the latest wall time seen: no occurrence fires a second time; the next one after it fires at its time |
+//! | is stepped back, by [`MAX_STEP_BACK`] at the most | nothing that lies before the latest wall time seen: no occurrence fires a second time; the next one after it fires at its time |
 //! | is stepped back further | the time before the step is taken for a fault of the clock; the schedule begins anew from the wall time now |
 //!
 //! A process held up past an occurrence is the same as a step forward. Nothing is kept across a restart: occurrences that
@@ -20,10 +20,10 @@
 use croner::Cron;
 
 /// The wall clock is looked at again after this span, however far ahead the next occurrence lies.
-pub const LONGEST_WAIT: Duration = Duration::from_secs(1);
+pub const MAX_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A clock set back further than this had been wrong before: waiting for it to catch up would silence the timers.
-pub const LONGEST_STEP_BACK: TimeDelta = TimeDelta::hours(24);
+pub const MAX_STEP_BACK: TimeDelta = TimeDelta::hours(24);
 
 /// A timer that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -83,7 +83,7 @@
     /// Takes what is due at this wall time; each occurrence is given out once.
     pub fn due(&mut self, wall: DateTime<Utc>) -> Vec<Occurrence> {
         let behind = self.covered_until.signed_duration_since(wall);
-        if behind > LONGEST_STEP_BACK {
+        if behind > MAX_STEP_BACK {
             self.begin_from(wall);
             return Vec::new();
         }
@@ -102,14 +102,14 @@
     }
 
     /// After which span of real time to ask again; `None` where nothing will ever be due.
-    pub fn wait(&self, wall: DateTime<Utc>) -> Option<Duration> {
+    pub fn time_until_check(&self, wall: DateTime<Utc>) -> Option<Duration> {
         let next = self.timers.iter().filter_map(|timer| timer.next).min()?;
         // An occurrence that is due already waits no longer.
         let until_next = next
             .signed_duration_since(wall)
             .to_std()
             .unwrap_or_default();
-        Some(until_next.min(LONGEST_WAIT))
+        Some(until_next.min(MAX_CHECK_INTERVAL))
     }
 
     /// Lets nothing fire any more.
--- a/crates/pipithub-gateway/src/tenancy.rs
+++ b/crates/pipithub-gateway/src/tenancy.rs
@@ -1,11 +1,11 @@
-//! The gate and the directories of a front end, between its sources and its engine.
+//! Admission by tenant, between the sources of a front end and its engine.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use arc_swap::ArcSwap;
 use pipithub_admission::{Admission, Arrival, Completion, Output, RejectReason, ServiceResult};
-use pipithub_directory::{Input as Wanted, Roster, TenantId, User, View};
+use pipithub_directory::{Input as DirectoryInput, Roster, TenantId, User, View};
 use pipithub_engine::policy::Class;
 use pipithub_engine::{
     Cause, Input, Reply, SourceId, Tenant, TenantUser, Ticket, Time, Trigger, Verdict,
@@ -14,13 +14,13 @@
 use tokio::sync::mpsc;
 use tracing::debug;
 
-use crate::directory::{Handle, Word};
+use crate::directory::{DirectoryEvent, Handle};
 
-/// Calls let in beyond those that are open before the list of them is looked through for ones that were lost sight of.
-const SLACK: usize = 1_024;
+/// How many more admitted calls than pending requests there may be before those that expired are removed.
+const MAX_UNMATCHED_CALLS: usize = 1_024;
 
-/// A call that was let in and has no answer yet.
-struct Let {
+/// An admitted call without a final answer.
+struct AdmittedCall {
     tenant: TenantId,
     user: Option<User>,
     since: Time,
@@ -32,13 +32,13 @@
     classes: Vec<Class>,
     admission: Admission<Box<Trigger>>,
     roster: Arc<ArcSwap<Roster>>,
-    wants: mpsc::Sender<Wanted>,
-    words: mpsc::Receiver<Word>,
-    let_in: BTreeMap<Ticket, Let>,
-    out: Vec<Output<Box<Trigger>>>,
+    lookups: mpsc::Sender<DirectoryInput>,
+    events: mpsc::Receiver<DirectoryEvent>,
+    admitted_calls: BTreeMap<Ticket, AdmittedCall>,
+    outputs: Vec<Output<Box<Trigger>>>,
 }
 
-fn cause(reason: RejectReason) -> Cause {
+fn rejection_cause(reason: RejectReason) -> Cause {
     match reason {
         RejectReason::NoUser => Cause::NoUser,
         RejectReason::UnknownUser => Cause::UserUnknown,
@@ -59,8 +59,8 @@
     ) -> Self {
         let Handle {
             roster,
-            wants,
-            words,
+            lookups,
+            events,
         } = handle;
         Tenancy {
             admission: Admission::new(config.admission.clone()),
@@ -68,16 +68,16 @@
             front_end: front_end.to_string(),
             classes: classes.to_vec(),
             roster,
-            wants,
-            words,
-            let_in: BTreeMap::new(),
-            out: Vec::new(),
+            lookups,
+            events,
+            admitted_calls: BTreeMap::new(),
+            outputs: Vec::new(),
         }
     }
 
-    /// What the directories have to say next.
-    pub(crate) async fn word(&mut self) -> Option<Word> {
-        self.words.recv().await
+    /// The next event of the directories.
+    pub(crate) async fn next_event(&mut self) -> Option<DirectoryEvent> {
+        self.events.recv().await
     }
 
     pub(crate) fn next_due(&self) -> Option<Time> {
@@ -88,55 +88,57 @@
         self.admission.pending()
     }
 
-    /// The names of a call's tenant and user, for logs.
-    pub(crate) fn name(&self, tenant: Option<Tenant>) -> Option<&str> {
+    /// A tenant's name, for logs.
+    pub(crate) fn tenant_name(&self, tenant: Option<Tenant>) -> Option<&str> {
         tenant
             .and_then(|t| self.config.tenants.get(usize::from(t.0)))
             .map(|t| t.name.as_str())
     }
 
-    /// The tenant and user of a call that was let in, for logs.
-    pub(crate) fn of(&self, ticket: Ticket) -> (Option<&str>, Option<&str>) {
-        let call = self.let_in.get(&ticket);
+    /// The names of the tenant and user of an admitted call, for logs.
+    pub(crate) fn caller_names(&self, ticket: Ticket) -> (Option<&str>, Option<&str>) {
+        let call = self.admitted_calls.get(&ticket);
         (
-            call.and_then(|c| self.name(Some(Tenant(c.tenant.0)))),
+            call.and_then(|c| self.tenant_name(Some(Tenant(c.tenant.0)))),
             call.and_then(|c| c.user.as_deref()),
         )
     }
 
-    /// A call has come in.
+    /// Handles the arrival of a call.
     pub(crate) fn arrive(&mut self, now: Time, trigger: Trigger, inputs: &mut Vec<Input>) {
         let call = &trigger.call;
-        let give_up = self.classes.get(call.class).map_or(0, |c| c.client_timeout);
-        let rest = give_up.saturating_sub(call.waited);
+        let client_timeout = self.classes.get(call.class).map_or(0, |c| c.client_timeout);
+        let remaining = client_timeout.saturating_sub(call.waited);
         let arrival = Arrival {
             user: call.user.clone(),
             route_tenant: call.tenant.map(|t| TenantId(t.0)),
             class: call.class,
-            remaining: call.timeout.map_or(rest, |b| b.min(rest)),
+            remaining: call
+                .timeout
+                .map_or(remaining, |budget| budget.min(remaining)),
             request: Box::new(trigger),
         };
         self.admission
-            .arrive(now, &self.roster.load(), arrival, &mut self.out);
-        self.carry_out(now, inputs);
+            .arrive(now, &self.roster.load(), arrival, &mut self.outputs);
+        self.apply_outputs(now, inputs);
     }
 
-    /// A source is gone with all that it brought.
-    pub(crate) fn lost(&mut self, now: Time, source: SourceId, inputs: &mut Vec<Input>) {
+    /// Handles the loss of a source, with all its calls.
+    pub(crate) fn source_lost(&mut self, now: Time, source: SourceId, inputs: &mut Vec<Input>) {
         self.admission
             .cancel(|trigger| trigger.ticket.source == source);
         let gone: Vec<Ticket> = self
-            .let_in
+            .admitted_calls
             .keys()
             .filter(|t| t.source == source)
             .copied()
             .collect();
         for ticket in gone {
-            self.over(now, ticket, ServiceResult::Other, inputs);
+            self.finish(now, ticket, ServiceResult::Other, inputs);
         }
     }
 
-    /// A call has had its final answer; without one it was settled as one that had it before.
+    /// Handles the final answer of a call; without a reply it was settled as one that had been answered before.
     pub(crate) fn answered(
         &mut self,
         now: Time,
@@ -144,57 +146,72 @@
         reply: Option<&Reply>,
         inputs: &mut Vec<Input>,
     ) {
-        let end = match reply.map(|r| (r.verdict, r.cause)) {
+        let result = match reply.map(|r| (r.verdict, r.cause)) {
             Some((Verdict::Served, _)) => ServiceResult::Served,
             Some((_, Cause::NoWorkerInTime)) => ServiceResult::NoWorkerInTime,
             _ => ServiceResult::Other,
         };
-        self.over(now, ticket, end, inputs);
+        self.finish(now, ticket, result, inputs);
     }
 
-    fn over(&mut self, now: Time, ticket: Ticket, end: ServiceResult, inputs: &mut Vec<Input>) {
-        if let Some(call) = self.let_in.remove(&ticket) {
-            let took = now.saturating_sub(call.since);
+    fn finish(
+        &mut self,
+        now: Time,
+        ticket: Ticket,
+        result: ServiceResult,
+        inputs: &mut Vec<Input>,
+    ) {
+        if let Some(call) = self.admitted_calls.remove(&ticket) {
+            let service_time = now.saturating_sub(call.since);
             self.admission.completed(
                 now,
                 &self.roster.load(),
                 Completion {
                     tenant: call.tenant,
-                    result: end,
-                    service_time: took,
+                    result,
+                    service_time,
                 },
-                &mut self.out,
+                &mut self.outputs,
             );
-            self.carry_out(now, inputs);
+            self.apply_outputs(now, inputs);
         }
     }
 
-    /// The directories have said something.
-    pub(crate) fn told(&mut self, now: Time, word: Word, inputs: &mut Vec<Input>) {
-        match word {
-            Word::News(user) => {
+    /// Handles an event of the directories.
+    pub(crate) fn handle_directory_event(
+        &mut self,
+        now: Time,
+        event: DirectoryEvent,
+        inputs: &mut Vec<Input>,
+    ) {
+        match event {
+            DirectoryEvent::UserUpdated(user) => {
                 self.admission
-                    .user_updated(now, &self.roster.load(), &user, &mut self.out);
+                    .user_updated(now, &self.roster.load(), &user, &mut self.outputs);
             }
-            Word::Changed(user) => {
-                let side = match self.roster.load().look(&user, now) {
+            DirectoryEvent::UserMigrated(user) => {
+                let migrated_to = match self.roster.load().look(&user, now) {
                     View::Tenant { tenant, person, .. } => Some(TenantUser {
                         tenant: Tenant(tenant.0),
                         person: person.0,
                     }),
                     _ => None,
                 };
-                inputs.push(Input::UserMigrated { user, now: side });
+                inputs.push(Input::UserMigrated {
+                    user,
+                    now: migrated_to,
+                });
             }
         }
-        self.carry_out(now, inputs);
+        self.apply_outputs(now, inputs);
     }
 
-    /// Time has passed.
-    pub(crate) fn tick(&mut self, now: Time, open: usize, inputs: &mut Vec<Input>) {
-        self.admission.tick(now, &self.roster.load(), &mut self.out);
-        self.carry_out(now, inputs);
-        if self.let_in.len() > open + SLACK {
+    /// Handles the passing of time.
+    pub(crate) fn tick(&mut self, now: Time, pending_requests: usize, inputs: &mut Vec<Input>) {
+        self.admission
+            .tick(now, &self.roster.load(), &mut self.outputs);
+        self.apply_outputs(now, inputs);
+        if self.admitted_calls.len() > pending_requests + MAX_UNMATCHED_CALLS {
             // A ticket that was replaced by a later delivery of its message is answered under that one.
             let longest = self
                 .classes
@@ -203,20 +220,20 @@
                 .max()
                 .unwrap_or(0)
                 .saturating_mul(2);
-            let old = |c: &Let| now.saturating_sub(c.since) > longest;
+            let old = |c: &AdmittedCall| now.saturating_sub(c.since) > longest;
             let gone: Vec<Ticket> = self
-                .let_in
+                .admitted_calls
                 .iter()
                 .filter(|(_, c)| old(c))
                 .map(|(t, _)| *t)
                 .collect();
             gone.into_iter()
-                .for_each(|ticket| self.over(now, ticket, ServiceResult::Other, inputs));
+                .for_each(|ticket| self.finish(now, ticket, ServiceResult::Other, inputs));
         }
     }
 
-    fn carry_out(&mut self, now: Time, inputs: &mut Vec<Input>) {
-        for output in self.out.drain(..) {
+    fn apply_outputs(&mut self, now: Time, inputs: &mut Vec<Input>) {
+        for output in self.outputs.drain(..) {
             match output {
                 Output::Admit {
                     request: mut trigger,
@@ -230,9 +247,9 @@
                         .map(|b| b.saturating_sub(admitted.waited));
                     trigger.call.waited = trigger.call.waited.saturating_add(admitted.waited);
                     let user = trigger.call.user.clone();
-                    self.let_in.insert(
+                    self.admitted_calls.insert(
                         trigger.ticket,
-                        Let {
+                        AdmittedCall {
                             tenant: admitted.tenant,
                             user,
                             since: now,
@@ -243,7 +260,7 @@
                 Output::Reject {
                     request: trigger,
                     reason,
-                    retry_after: after,
+                    retry_after,
                 } => {
                     let label = trigger.call.label.as_deref();
                     let user = trigger.call.user.as_deref();
@@ -252,18 +269,20 @@
                         request = label,
                         user,
                         why = ?reason,
-                        "not let in"
+                        "not admitted"
                     );
-                    let retry_after = (after > 0).then_some(after);
+                    let retry_after = (retry_after > 0).then_some(retry_after);
                     inputs.push(Input::Reject {
                         trigger: *trigger,
-                        cause: cause(reason),
+                        cause: rejection_cause(reason),
                         retry_after,
                     });
                 }
                 Output::LookUp { user, urgent } => {
-                    // With no room the call waits its time and is judged by what is known.
-                    let _ = self.wants.try_send(Wanted::Wanted { user, urgent });
+                    // If the queue is full, the call waits its time and is decided by what is known then.
+                    let _ = self
+                        .lookups
+                        .try_send(DirectoryInput::Wanted { user, urgent });
                 }
             }
         }
--- a/crates/pipithub-gateway/src/workers.rs
+++ b/crates/pipithub-gateway/src/workers.rs
@@ -1,4 +1,4 @@
-//! Workers over HTTP/1.1: pooled connections, attempts with their deadlines, orders and probes.
+//! Workers over HTTP/1.1: pooled connections, attempts with their deadlines, load commands and load polls.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -32,50 +32,51 @@
     }
 }
 
-/// All connections of a front end to its workers.
-pub(crate) struct Pool {
+/// Sends requests to the workers of a front end, over pooled connections.
+pub(crate) struct WorkerClient {
     front_end: String,
     config: HttpConfig,
     clock: Clock,
     idle: Mutex<HashMap<Arc<str>, Vec<Connection>>>,
 }
 
-/// How an exchange failed.
+/// How an exchange with a worker failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Failed {
-    /// The worker took no connection, or none that lasted: nothing of it was sent.
+enum ExchangeError {
+    /// The worker accepted no connection, or none that lasted: nothing of the request was sent.
     Unreachable,
-    /// This machine could not make a connection, or the deadline was reached before: nothing of it was sent, and nothing
-    /// is known of the worker.
+    /// This machine could not make a connection, or the deadline was reached before: nothing of the request was sent, and
+    /// nothing is known of the worker.
     NotSent,
-    /// It was sent, at least in part.
+    /// The connection broke after the request was sent, at least in part.
     Broken,
 }
 
-impl From<ConnectFailure> for Failed {
+impl From<ConnectFailure> for ExchangeError {
     fn from(failure: ConnectFailure) -> Self {
         match failure {
-            ConnectFailure::Peer => Failed::Unreachable,
-            ConnectFailure::Local => Failed::NotSent,
+            ConnectFailure::Peer => ExchangeError::Unreachable,
+            ConnectFailure::Local => ExchangeError::NotSent,
         }
     }
 }
 
-struct Answer {
+/// The response of a worker.
+struct WorkerResponse {
     status: u16,
     headers: hyper::HeaderMap,
     body: Bytes,
 }
 
-impl Answer {
+impl WorkerResponse {
     fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|v| v.to_str().ok())
     }
 }
 
-impl Pool {
+impl WorkerClient {
     pub(crate) fn new(front_end: &str, config: HttpConfig, clock: Clock) -> Self {
-        Pool {
+        WorkerClient {
             front_end: front_end.to_string(),
             config,
             clock,
@@ -87,7 +88,7 @@
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn take(&self, worker: &WorkerId) -> Option<Connection> {
+    fn take_idle(&self, worker: &WorkerId) -> Option<Connection> {
         let mut idle = self.idle();
         let connections = idle.get_mut(&worker.0)?;
         while let Some(connection) = connections.pop() {
@@ -99,7 +100,7 @@
         None
     }
 
-    fn put(&self, worker: &WorkerId, connection: Connection) {
+    fn put_idle(&self, worker: &WorkerId, connection: Connection) {
         let mut idle = self.idle();
         let connections = idle.entry(worker.0.clone()).or_default();
         if connections.len() < self.config.max_idle_connections && !connection.sender.is_closed() {
@@ -107,19 +108,21 @@
         }
     }
 
-    async fn connect(&self, worker: &WorkerId) -> Result<Connection, Failed> {
-        let most = std::time::Duration::from_nanos(self.config.connect_timeout);
-        let give_up = tokio::time::Instant::now() + most;
-        let stream = connect_by(give_up, || TcpStream::connect(&*worker.0)).await?;
-        stream.set_nodelay(true).map_err(|_| Failed::Unreachable)?;
+    async fn connect(&self, worker: &WorkerId) -> Result<Connection, ExchangeError> {
+        let timeout = std::time::Duration::from_nanos(self.config.connect_timeout);
+        let deadline = tokio::time::Instant::now() + timeout;
+        let stream = connect_by(deadline, || TcpStream::connect(&*worker.0)).await?;
+        stream
+            .set_nodelay(true)
+            .map_err(|_| ExchangeError::Unreachable)?;
         let (sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
             .await
-            .map_err(|_| Failed::Unreachable)?;
+            .map_err(|_| ExchangeError::Unreachable)?;
         let task = tokio::spawn(async move { drop(connection.await) });
         Ok(Connection { sender, task })
     }
 
-    /// One exchange. A pooled connection that its worker had closed before anything was sent is passed over; what may
+    /// Sends one request and reads its response. A pooled connection that its worker had closed before anything was sent is passed over; what may
     /// have been sent is never sent again here.
     ///
     /// Where there is a deadline, the worker is told what is left of it when the request is put on a connection.
@@ -129,9 +132,9 @@
         mut request: WorkerRequest,
         body: Bytes,
         deadline: Option<Time>,
-    ) -> Result<Answer, Failed> {
+    ) -> Result<WorkerResponse, ExchangeError> {
         loop {
-            let pooled = self.take(worker);
+            let pooled = self.take_idle(worker);
             let fresh = pooled.is_none();
             let mut connection = match pooled {
                 Some(connection) => connection,
@@ -139,13 +142,15 @@
             };
             if connection.sender.ready().await.is_err() {
                 if fresh {
-                    return Err(Failed::Unreachable);
+                    return Err(ExchangeError::Unreachable);
                 }
                 continue;
             }
             if let Some(deadline) = deadline {
-                let left = deadline.saturating_sub(self.clock.now());
-                request.set_timeout(left).map_err(|_| Failed::NotSent)?;
+                let remaining = deadline.saturating_sub(self.clock.now());
+                request
+                    .set_timeout(remaining)
+                    .map_err(|_| ExchangeError::NotSent)?;
             }
             let mut builder = Request::builder()
                 .method(if request.get { "GET" } else { "POST" })
@@ -156,26 +161,26 @@
             }
             let built = builder
                 .body(Full::new(body.clone()))
-                .map_err(|_| Failed::NotSent)?;
-            let response: Response<hyper::body::Incoming> =
+                .map_err(|_| ExchangeError::NotSent)?;
+            let reply: Response<hyper::body::Incoming> =
                 match connection.sender.try_send_request(built).await {
-                    Ok(response) => response,
+                    Ok(reply) => reply,
                     // The message comes back only where no byte of it was written.
                     Err(mut error) => match error.take_message() {
-                        Some(_) if fresh => return Err(Failed::Unreachable),
+                        Some(_) if fresh => return Err(ExchangeError::Unreachable),
                         Some(_) => continue,
-                        None => return Err(Failed::Broken),
+                        None => return Err(ExchangeError::Broken),
                     },
                 };
-            let (parts, incoming) = response.into_parts();
+            let (parts, incoming) = reply.into_parts();
             let limited = Limited::new(incoming, self.config.max_body);
             let body = limited
                 .collect()
                 .await
-                .map_err(|_| Failed::Broken)?
+                .map_err(|_| ExchangeError::Broken)?
                 .to_bytes();
-            self.put(worker, connection);
-            return Ok(Answer {
+            self.put_idle(worker, connection);
+            return Ok(WorkerResponse {
                 status: parts.status.as_u16(),
                 headers: parts.headers,
                 body,
@@ -183,7 +188,7 @@
         }
     }
 
-    /// Makes an attempt; it ends by its answer, its deadline or its withdrawal.
+    /// Makes an attempt; it ends with the worker's response, at its deadline or when it is cancelled.
     pub(crate) async fn attempt(
         &self,
         id: AttemptId,
@@ -192,35 +197,37 @@
         deadline: Time,
         cancelled: oneshot::Receiver<()>,
     ) -> AttemptResult {
-        let began = self.clock.now();
+        let started = self.clock.now();
         let request = pipithub_inference::infer(call, id, &self.front_end);
         let exchange = self.exchange(worker, request, call.body.clone(), Some(deadline));
         let ended = tokio::select! {
             biased;
-            answer = exchange => match answer {
-                Ok(answer) => Ok(answer),
-                Err(Failed::Unreachable) => Err(Outcome::Unreachable),
-                Err(Failed::NotSent) => Err(Outcome::NotSent),
-                Err(Failed::Broken) => Err(Outcome::ConnectionLost),
+            response = exchange => match response {
+                Ok(response) => Ok(response),
+                Err(ExchangeError::Unreachable) => Err(Outcome::Unreachable),
+                Err(ExchangeError::NotSent) => Err(Outcome::NotSent),
+                Err(ExchangeError::Broken) => Err(Outcome::ConnectionLost),
             },
             () = self.clock.sleep_until(Some(deadline)) => Err(Outcome::TimedOut),
             _ = cancelled => Err(Outcome::Cancelled),
         };
-        let took = self.clock.now() - began;
+        let elapsed = self.clock.now() - started;
         match ended {
-            Ok(answer) => {
-                let told = pipithub_inference::outcome(answer.status, |name| answer.header(name));
-                let content_type = answer.header("content-type").map(Arc::from);
-                let served = (told.outcome == Outcome::Served).then(|| Served {
-                    status: answer.status,
+            Ok(response) => {
+                let reply =
+                    pipithub_inference::outcome(response.status, |name| response.header(name));
+                let content_type = response.header("content-type").map(Arc::from);
+                let served = (reply.outcome == Outcome::Served).then(|| Served {
+                    status: response.status,
                     content_type,
-                    body: answer.body.clone(),
+                    body: response.body.clone(),
                 });
-                let (outcome, note, alike, load) = (told.outcome, told.note, told.alike, told.load);
+                let (outcome, note, alike, load) =
+                    (reply.outcome, reply.note, reply.alike, reply.load);
                 AttemptResult {
                     id,
                     outcome,
-                    elapsed: took,
+                    elapsed,
                     replica_status: note,
                     function_concurrency: alike,
                     load_report: load,
@@ -230,7 +237,7 @@
             Err(outcome) => AttemptResult {
                 id,
                 outcome,
-                elapsed: took,
+                elapsed,
                 replica_status: None,
                 function_concurrency: None,
                 load_report: LoadReport::default(),
@@ -239,54 +246,56 @@
         }
     }
 
-    /// Has a worker hold copies.
-    pub(crate) async fn order(
+    /// Has a worker load replicas of a function.
+    pub(crate) async fn load_function(
         &self,
         worker: WorkerId,
         function: FunctionId,
         name: &str,
-        copies: u32,
+        replicas: u32,
     ) -> LoadCommandResult {
-        let began = self.clock.now();
-        let request = pipithub_inference::order(name, copies, &self.front_end);
-        let most = std::time::Duration::from_nanos(self.config.load_command_timeout);
-        let answer =
-            tokio::time::timeout(most, self.exchange(&worker, request, Bytes::new(), None)).await;
-        let (outcome, copies) = match answer {
+        let started = self.clock.now();
+        let request = pipithub_inference::order(name, replicas, &self.front_end);
+        let timeout = std::time::Duration::from_nanos(self.config.load_command_timeout);
+        let response =
+            tokio::time::timeout(timeout, self.exchange(&worker, request, Bytes::new(), None))
+                .await;
+        let (outcome, replicas) = match response {
             Err(_) => (Outcome::TimedOut, 0),
-            Ok(Err(Failed::Unreachable)) => (Outcome::Unreachable, 0),
-            Ok(Err(Failed::NotSent)) => (Outcome::NotSent, 0),
-            Ok(Err(Failed::Broken)) => (Outcome::ConnectionLost, 0),
-            Ok(Ok(answer)) => {
-                pipithub_inference::order_outcome(answer.status, |name| answer.header(name))
+            Ok(Err(ExchangeError::Unreachable)) => (Outcome::Unreachable, 0),
+            Ok(Err(ExchangeError::NotSent)) => (Outcome::NotSent, 0),
+            Ok(Err(ExchangeError::Broken)) => (Outcome::ConnectionLost, 0),
+            Ok(Ok(response)) => {
+                pipithub_inference::order_outcome(response.status, |name| response.header(name))
             }
         };
         LoadCommandResult {
             worker,
             function,
             outcome,
-            elapsed: self.clock.now() - began,
-            replicas: copies,
+            elapsed: self.clock.now() - started,
+            replicas,
         }
     }
 
-    /// Has a worker unload idle copies; nobody waits for the reply.
-    pub(crate) async fn unload(&self, worker: WorkerId, name: &str) {
+    /// Has a worker evict idle replicas of a function; nobody waits for the reply.
+    pub(crate) async fn evict_function(&self, worker: WorkerId, name: &str) {
         let request = pipithub_inference::order(name, 0, &self.front_end);
-        let most = std::time::Duration::from_nanos(self.config.load_command_timeout);
-        let _ =
-            tokio::time::timeout(most, self.exchange(&worker, request, Bytes::new(), None)).await;
+        let timeout = std::time::Duration::from_nanos(self.config.load_command_timeout);
+        let _ = tokio::time::timeout(timeout, self.exchange(&worker, request, Bytes::new(), None))
+            .await;
     }
 
-    /// Asks a worker for its load.
-    pub(crate) async fn probe(&self, worker: WorkerId) -> LoadPollResult {
-        let most = std::time::Duration::from_nanos(self.config.load_poll_timeout);
+    /// Polls a worker for its load report.
+    pub(crate) async fn poll_load(&self, worker: WorkerId) -> LoadPollResult {
+        let timeout = std::time::Duration::from_nanos(self.config.load_poll_timeout);
         let request = pipithub_inference::probe(&self.front_end);
-        let answer =
-            tokio::time::timeout(most, self.exchange(&worker, request, Bytes::new(), None)).await;
-        match answer {
-            Ok(Ok(answer)) if answer.status == 200 => {
-                let load = answer
+        let response =
+            tokio::time::timeout(timeout, self.exchange(&worker, request, Bytes::new(), None))
+                .await;
+        match response {
+            Ok(Ok(response)) if response.status == 200 => {
+                let load = response
                     .header(header::LOAD)
                     .map(pipithub_inference::load)
                     .unwrap_or_default();
--- a/crates/pipithub-gateway/tests/connect.rs
+++ b/crates/pipithub-gateway/tests/connect.rs
@@ -26,9 +26,9 @@
             Ok("connection")
         })
     };
-    let give_up = Instant::now() + Duration::from_secs(1);
-    let connected = connect_by(give_up, connect).await;
-    assert!(Instant::now() <= give_up, "{errno}: within the time given");
+    let deadline = Instant::now() + Duration::from_secs(1);
+    let connected = connect_by(deadline, connect).await;
+    assert!(Instant::now() <= deadline, "{errno}: within the time given");
     (connected, calls.get())
 }
 
--- a/crates/pipithub-gateway/tests/remembered_list.rs
+++ b/crates/pipithub-gateway/tests/remembered_list.rs
@@ -48,7 +48,7 @@
     let config = Config::parse("test", &text).unwrap_or_else(|f| panic!("{:?}", f.lines()));
     let gateway = Gateway::start(&config);
     until("the worker is known", || {
-        gateway.snapshots()[0].workers == 1
+        gateway.snapshots()[0].ready_workers == 1
     })
     .await;
     assert!(!remembered.exists());
--- a/crates/pipithub-gateway/tests/schedule.rs
+++ b/crates/pipithub-gateway/tests/schedule.rs
@@ -7,7 +7,7 @@
 use croner::Cron;
 use pipithub_clock::ManualClock;
 use pipithub_gateway::directory::first_poll_since;
-use pipithub_gateway::schedule::{LONGEST_WAIT, Schedule};
+use pipithub_gateway::schedule::{MAX_CHECK_INTERVAL, Schedule};
 
 /// 2027-01-15 08:00:00 UTC, a whole hour.
 const START_MS: u64 = 1_800_000_000_000;
@@ -43,9 +43,12 @@
             let now = self.clock.read().now;
             let wait = self
                 .schedule
-                .wait(wall(&self.clock))
+                .time_until_check(wall(&self.clock))
                 .expect("it has occurrences");
-            assert!(wait <= LONGEST_WAIT, "a step would be seen {wait:?} late");
+            assert!(
+                wait <= MAX_CHECK_INTERVAL,
+                "a step would be seen {wait:?} late"
+            );
             if now + wait.as_nanos() as u64 > end {
                 self.clock.advance(end - now);
                 return self.planned[first..].to_vec();
@@ -167,10 +170,10 @@
 fn stopped_or_without_occurrences_nothing_is_waited_for() {
     let mut run = Run::new("* * * * * *");
     run.schedule.stop();
-    assert_eq!(run.schedule.wait(wall(&run.clock)), None);
+    assert_eq!(run.schedule.time_until_check(wall(&run.clock)), None);
     assert_eq!(run.schedule.due(wall(&run.clock) + TimeDelta::hours(1)), []);
     let none = Schedule::new([], wall(&run.clock));
-    assert_eq!(none.wait(wall(&run.clock)), None);
+    assert_eq!(none.time_until_check(wall(&run.clock)), None);
 }
 
 /// Asked from now on by a clock an hour ahead, a directory would tell no change for an hour.
--- a/crates/pipithub-gateway/tests/sockets.rs
+++ b/crates/pipithub-gateway/tests/sockets.rs
@@ -183,7 +183,10 @@
             .entry(answer(&mut client).await.verdict)
             .or_default() += 1;
         let held = gateway.snapshots()[0];
-        assert!(held.open <= 300 && held.bytes <= 8 << 20, "{held:?}");
+        assert!(
+            held.pending_requests <= 300 && held.body_bytes <= 8 << 20,
+            "{held:?}"
+        );
     }
     assert_eq!(
         verdicts,
@@ -192,7 +195,7 @@
     );
     list.set(listed(&worker, "back"));
     until("the worker is known", || {
-        gateway.snapshots()[0].workers == 1
+        gateway.snapshots()[0].ready_workers == 1
     })
     .await;
     client
