--- a/crates/pipithub-gateway/src/front_end.rs
+++ b/crates/pipithub-gateway/src/front_end.rs
@@ -14,7 +14,7 @@
 use tracing::{debug, info, warn};
 
 use crate::Snapshot;
-use crate::tenancy::Tenancy;
+use crate::tenancy::{CallerNames, Tenancy};
 use crate::workers::WorkerClient;
 
 /// Inputs queued for the engine; senders wait while the queue is full.
@@ -338,7 +338,8 @@
                 });
             }
             Output::Answer { ticket, reply } => {
-                let (tenant, user) = tenancy.map_or((None, None), |t| t.caller_names(ticket));
+                let CallerNames { tenant, user } =
+                    tenancy.map_or_else(CallerNames::default, |t| t.caller_names(ticket));
                 let worker = reply.worker.as_ref().map(|w| &*w.0);
                 if reply.verdict == Verdict::Failed {
                     info!(front_end = self.name, source = ticket.source.0, ticket = ticket.number,
--- a/crates/pipithub-gateway/src/tenancy.rs
+++ b/crates/pipithub-gateway/src/tenancy.rs
@@ -4,7 +4,9 @@
 use std::sync::Arc;
 
 use arc_swap::ArcSwap;
-use pipithub_admission::{Admission, Arrival, Completion, Output, RejectReason, ServiceResult};
+use pipithub_admission::{
+    Admission, Admitted, Arrival, Completion, Output, RejectReason, ServiceResult,
+};
 use pipithub_directory::{Input as DirectoryInput, Roster, TenantId, User, View};
 use pipithub_engine::policy::Class;
 use pipithub_engine::{
@@ -26,6 +28,14 @@
     since: Time,
 }
 
+/// The names of the tenant and user of a call, for logs.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct CallerNames<'a> {
+    pub(crate) tenant: Option<&'a str>,
+    pub(crate) user: Option<&'a str>,
+}
+
+/// The admission of a front end, with its end of the directories' channels.
 pub(crate) struct Tenancy {
     config: Arc<TenantsConfig>,
     front_end: String,
@@ -38,6 +48,7 @@
     outputs: Vec<Output<Box<Trigger>>>,
 }
 
+/// The cause that the client is given for a rejection.
 fn rejection_cause(reason: RejectReason) -> Cause {
     match reason {
         RejectReason::NoUser => Cause::NoUser,
@@ -51,6 +62,7 @@
 }
 
 impl Tenancy {
+    /// An admission that has admitted nothing yet.
     pub(crate) fn new(
         config: Arc<TenantsConfig>,
         handle: Handle,
@@ -80,10 +92,12 @@
         self.events.recv().await
     }
 
+    /// When the admission is to be handed a tick.
     pub(crate) fn next_due(&self) -> Option<Time> {
         self.admission.next_due()
     }
 
+    /// Calls that are neither admitted nor rejected yet.
     pub(crate) fn pending(&self) -> usize {
         self.admission.pending()
     }
@@ -96,18 +110,21 @@
     }
 
     /// The names of the tenant and user of an admitted call, for logs.
-    pub(crate) fn caller_names(&self, ticket: Ticket) -> (Option<&str>, Option<&str>) {
-        let call = self.admitted_calls.get(&ticket);
-        (
-            call.and_then(|c| self.tenant_name(Some(Tenant(c.tenant.0)))),
-            call.and_then(|c| c.user.as_deref()),
-        )
+    pub(crate) fn caller_names(&self, ticket: Ticket) -> CallerNames<'_> {
+        let Some(call) = self.admitted_calls.get(&ticket) else {
+            return CallerNames::default();
+        };
+        CallerNames {
+            tenant: self.tenant_name(Some(Tenant(call.tenant.0))),
+            user: call.user.as_deref(),
+        }
     }
 
     /// Handles the arrival of a call.
     pub(crate) fn arrive(&mut self, now: Time, trigger: Trigger, inputs: &mut Vec<Input>) {
         let call = &trigger.call;
-        let client_timeout = self.classes.get(call.class).map_or(0, |c| c.client_timeout);
+        let class = self.classes.get(call.class);
+        let client_timeout = class.map_or(0, |class| class.client_timeout);
         let remaining = client_timeout.saturating_sub(call.waited);
         let arrival = Arrival {
             user: call.user.clone(),
@@ -154,6 +171,7 @@
         self.finish(now, ticket, result, inputs);
     }
 
+    /// Reports the end of an admitted call to the admission, once.
     fn finish(
         &mut self,
         now: Time,
@@ -161,20 +179,17 @@
         result: ServiceResult,
         inputs: &mut Vec<Input>,
     ) {
-        if let Some(call) = self.admitted_calls.remove(&ticket) {
-            let service_time = now.saturating_sub(call.since);
-            self.admission.completed(
-                now,
-                &self.roster.load(),
-                Completion {
-                    tenant: call.tenant,
-                    result,
-                    service_time,
-                },
-                &mut self.outputs,
-            );
-            self.apply_outputs(now, inputs);
-        }
+        let Some(call) = self.admitted_calls.remove(&ticket) else {
+            return;
+        };
+        let completion = Completion {
+            tenant: call.tenant,
+            result,
+            service_time: now.saturating_sub(call.since),
+        };
+        self.admission
+            .completed(now, &self.roster.load(), completion, &mut self.outputs);
+        self.apply_outputs(now, inputs);
     }
 
     /// Handles an event of the directories.
@@ -190,94 +205,65 @@
                     .user_updated(now, &self.roster.load(), &user, &mut self.outputs);
             }
             DirectoryEvent::UserMigrated(user) => {
-                let migrated_to = match self.roster.load().look(&user, now) {
-                    View::Tenant { tenant, person, .. } => Some(TenantUser {
-                        tenant: Tenant(tenant.0),
-                        person: person.0,
-                    }),
-                    _ => None,
-                };
+                let tenant_user = self.tenant_user(&user, now);
                 inputs.push(Input::UserMigrated {
                     user,
-                    now: migrated_to,
+                    now: tenant_user,
                 });
             }
         }
         self.apply_outputs(now, inputs);
     }
 
+    /// Whose a user is, by what the directories said last.
+    fn tenant_user(&self, user: &str, now: Time) -> Option<TenantUser> {
+        match self.roster.load().look(user, now) {
+            View::Tenant { tenant, person, .. } => Some(TenantUser {
+                tenant: Tenant(tenant.0),
+                person: person.0,
+            }),
+            _ => None,
+        }
+    }
+
     /// Handles the passing of time.
     pub(crate) fn tick(&mut self, now: Time, pending_requests: usize, inputs: &mut Vec<Input>) {
         self.admission
             .tick(now, &self.roster.load(), &mut self.outputs);
         self.apply_outputs(now, inputs);
         if self.admitted_calls.len() > pending_requests + MAX_UNMATCHED_CALLS {
-            // A ticket that was replaced by a later delivery of its message is answered under that one.
-            let longest = self
-                .classes
-                .iter()
-                .map(|c| c.client_timeout)
-                .max()
-                .unwrap_or(0)
-                .saturating_mul(2);
-            let old = |c: &AdmittedCall| now.saturating_sub(c.since) > longest;
-            let gone: Vec<Ticket> = self
-                .admitted_calls
-                .iter()
-                .filter(|(_, c)| old(c))
-                .map(|(t, _)| *t)
-                .collect();
-            gone.into_iter()
-                .for_each(|ticket| self.finish(now, ticket, ServiceResult::Other, inputs));
+            self.finish_expired_calls(now, inputs);
+        }
+    }
+
+    /// Finishes calls that are long past their clients' timeouts. A ticket that was replaced by a later delivery of its
+    /// message is answered under that one, and would stay here for ever.
+    fn finish_expired_calls(&mut self, now: Time, inputs: &mut Vec<Input>) {
+        let longest_timeout = self.classes.iter().map(|class| class.client_timeout).max();
+        let lifetime = longest_timeout.unwrap_or(0).saturating_mul(2);
+        let expired: Vec<Ticket> = self
+            .admitted_calls
+            .iter()
+            .filter(|(_, call)| now.saturating_sub(call.since) > lifetime)
+            .map(|(ticket, _)| *ticket)
+            .collect();
+        for ticket in expired {
+            self.finish(now, ticket, ServiceResult::Other, inputs);
         }
     }
 
     fn apply_outputs(&mut self, now: Time, inputs: &mut Vec<Input>) {
-        for output in self.outputs.drain(..) {
+        let mut outputs = std::mem::take(&mut self.outputs);
+        for output in outputs.drain(..) {
             match output {
-                Output::Admit {
-                    request: mut trigger,
-                    admitted,
-                } => {
-                    trigger.call.tenant = Some(Tenant(admitted.tenant.0));
-                    trigger.call.person = admitted.person.map_or(0, |p| p.0);
-                    trigger.call.timeout = trigger
-                        .call
-                        .timeout
-                        .map(|b| b.saturating_sub(admitted.waited));
-                    trigger.call.waited = trigger.call.waited.saturating_add(admitted.waited);
-                    let user = trigger.call.user.clone();
-                    self.admitted_calls.insert(
-                        trigger.ticket,
-                        AdmittedCall {
-                            tenant: admitted.tenant,
-                            user,
-                            since: now,
-                        },
-                    );
-                    inputs.push(Input::Trigger(*trigger));
+                Output::Admit { request, admitted } => {
+                    inputs.push(self.admit(now, *request, &admitted));
                 }
                 Output::Reject {
-                    request: trigger,
+                    request,
                     reason,
                     retry_after,
-                } => {
-                    let label = trigger.call.label.as_deref();
-                    let user = trigger.call.user.as_deref();
-                    debug!(
-                        front_end = self.front_end,
-                        request = label,
-                        user,
-                        why = ?reason,
-                        "not admitted"
-                    );
-                    let retry_after = (retry_after > 0).then_some(retry_after);
-                    inputs.push(Input::Reject {
-                        trigger: *trigger,
-                        cause: rejection_cause(reason),
-                        retry_after,
-                    });
-                }
+                } => inputs.push(self.reject(*request, reason, retry_after)),
                 Output::LookUp { user, urgent } => {
                     // If the queue is full, the call waits its time and is decided by what is known then.
                     let _ = self
@@ -286,5 +272,39 @@
                 }
             }
         }
+        // The buffer is used again.
+        self.outputs = outputs;
+    }
+
+    fn admit(&mut self, now: Time, mut trigger: Trigger, admitted: &Admitted) -> Input {
+        let call = &mut trigger.call;
+        call.tenant = Some(Tenant(admitted.tenant.0));
+        call.person = admitted.person.map_or(0, |person| person.0);
+        call.timeout = call
+            .timeout
+            .map(|timeout| timeout.saturating_sub(admitted.waited));
+        call.waited = call.waited.saturating_add(admitted.waited);
+        let admitted_call = AdmittedCall {
+            tenant: admitted.tenant,
+            user: call.user.clone(),
+            since: now,
+        };
+        self.admitted_calls.insert(trigger.ticket, admitted_call);
+        Input::Trigger(trigger)
+    }
+
+    fn reject(&self, trigger: Trigger, reason: RejectReason, retry_after: Time) -> Input {
+        debug!(
+            front_end = self.front_end,
+            request = trigger.call.label.as_deref(),
+            user = trigger.call.user.as_deref(),
+            why = ?reason,
+            "not admitted"
+        );
+        Input::Reject {
+            trigger,
+            cause: rejection_cause(reason),
+            retry_after: (retry_after > 0).then_some(retry_after),
+        }
     }
 }
