--- a/crates/pipithub-gateway/src/amqp.rs
+++ b/crates/pipithub-gateway/src/amqp.rs
@@ -1,12 +1,13 @@
 //! AMQP consumers: connects each consumer to its broker and moves bytes, commands and notices.
 
+use std::io;
 use std::time::Duration;
 
 use bytes::{Buf, BytesMut};
 use pipithub_amqp::Tuning;
 use pipithub_clock::{Clock, wall_ms};
 use pipithub_consumer::{Consumer, ConsumerSettings, Notice, Phase};
-use pipithub_engine::{Input, SourceId};
+use pipithub_engine::{Input, SourceId, Time};
 use pipithub_settings::{AmqpConfig, Config, QueueConfig};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -17,6 +18,8 @@
 
 /// A broker that accepts no connection within this time counts as unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Bytes that the buffer for input has room for at first.
+const INPUT_BUFFER_BYTES: usize = 256 << 10;
 
 /// A consumer's settings, from those of its broker and its queue.
 pub(crate) fn consumer_settings(
@@ -46,7 +49,8 @@
     }
 }
 
-struct ConsumerTask {
+/// A consumer with its end of the front end's channels.
+pub(crate) struct ConsumerTask {
     consumer: Consumer,
     source: SourceId,
     queue: String,
@@ -56,71 +60,56 @@
     clock: Clock,
 }
 
-/// Runs a consumer until it is stopped.
-pub(crate) async fn run(
-    settings: ConsumerSettings,
-    addresses: Vec<String>,
-    handle: SourceHandle,
-    inputs: mpsc::Sender<Input>,
-    clock: Clock,
-    seed: u64,
-) {
-    let (source, queue, front_end) = (
-        settings.source,
-        settings.queue.clone(),
-        settings.front_end.clone(),
-    );
-    let consumer = Consumer::new(settings, clock.now(), seed);
-    let mut task = ConsumerTask {
-        consumer,
-        source,
-        queue,
-        front_end,
-        handle,
-        inputs,
-        clock,
-    };
-    let mut attempts = 0;
-    loop {
-        match task.consumer.phase() {
-            Phase::Stopped => return,
-            Phase::Idle(at) => {
-                if !task.wait_until(at).await {
-                    continue;
-                }
-                let address = &addresses[attempts % addresses.len().max(1)];
-                attempts += 1;
-                let connected =
-                    tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
-                match connected.unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into())) {
-                    Ok(stream) => {
-                        let _ = stream.set_nodelay(true);
-                        let now = task.clock.now();
-                        task.consumer.connected(now);
-                        if let Err(error) = task.run_connection(stream).await {
-                            task.consumer
-                                .transport_lost(task.clock.now(), &error.to_string());
-                        }
-                        task.forward_notices().await;
-                    }
-                    Err(error) => {
-                        warn!(front_end = task.front_end, queue = task.queue, address, %error, "broker not reached");
-                        task.consumer
-                            .transport_lost(task.clock.now(), &error.to_string());
+async fn connect(address: &str) -> io::Result<TcpStream> {
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
+        .await
+        .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))?;
+    let _ = stream.set_nodelay(true);
+    Ok(stream)
+}
+
+impl ConsumerTask {
+    /// A consumer without a connection.
+    pub(crate) fn new(
+        settings: ConsumerSettings,
+        handle: SourceHandle,
+        inputs: mpsc::Sender<Input>,
+        clock: Clock,
+        seed: u64,
+    ) -> Self {
+        ConsumerTask {
+            source: settings.source,
+            queue: settings.queue.clone(),
+            front_end: settings.front_end.clone(),
+            consumer: Consumer::new(settings, clock.now(), seed),
+            handle,
+            inputs,
+            clock,
+        }
+    }
+
+    /// Runs the consumer until it is shut down, at one address of the broker after the other.
+    pub(crate) async fn run(mut self, addresses: Vec<String>) {
+        let mut attempts = 0;
+        loop {
+            match self.consumer.phase() {
+                Phase::Stopped => return,
+                Phase::Idle(at) => {
+                    if !self.wait_until(at).await {
+                        continue;
                     }
+                    let address = &addresses[attempts % addresses.len().max(1)];
+                    attempts += 1;
+                    self.connect_and_run(address).await;
                 }
+                // Only a connection that is up has another phase.
+                _ => self.transport_lost("no transport"),
             }
-            // Only a connection that is up has another phase.
-            _ => task
-                .consumer
-                .transport_lost(task.clock.now(), "no transport"),
         }
     }
-}
 
-impl ConsumerTask {
     /// Waits until the given time while handling commands; false where the consumer was stopped meanwhile.
-    async fn wait_until(&mut self, at: u64) -> bool {
+    async fn wait_until(&mut self, at: Time) -> bool {
         loop {
             tokio::select! {
                 () = self.clock.sleep_until(Some(at)) => return true,
@@ -134,22 +123,42 @@
         }
     }
 
+    async fn connect_and_run(&mut self, address: &str) {
+        match connect(address).await {
+            Ok(stream) => {
+                self.consumer.connected(self.clock.now());
+                if let Err(error) = self.run_connection(stream).await {
+                    self.transport_lost(&error.to_string());
+                }
+                self.forward_notices().await;
+            }
+            Err(error) => {
+                warn!(front_end = self.front_end, queue = self.queue, address, %error, "broker not reached");
+                self.transport_lost(&error.to_string());
+            }
+        }
+    }
+
+    fn transport_lost(&mut self, why: &str) {
+        self.consumer.transport_lost(self.clock.now(), why);
+    }
+
     fn handle_command(&mut self, command: Option<SourceCommand>) {
         let now = self.clock.now();
         match command {
             Some(SourceCommand::Answer(ticket, reply)) => self.consumer.answer(now, ticket, reply),
             Some(SourceCommand::Settle(ticket)) => self.consumer.acknowledge(now, ticket),
-            // The front end is gone: nobody could be handed anything any more.
+            // Without a front end there is nobody to hand a trigger to.
             Some(SourceCommand::Shutdown) | None => self.consumer.shutdown(now),
         }
     }
 
     /// Moves bytes until the connection ends.
-    async fn run_connection(&mut self, mut stream: TcpStream) -> std::io::Result<()> {
+    async fn run_connection(&mut self, mut stream: TcpStream) -> io::Result<()> {
         let (mut reader, mut writer) = stream.split();
-        let mut input = BytesMut::with_capacity(256 << 10);
+        let mut input = BytesMut::with_capacity(INPUT_BUFFER_BYTES);
         let mut output = BytesMut::new();
-        let mut stopped = false;
+        let mut front_end_gone = false;
         loop {
             let capacity = *self.handle.capacity.borrow_and_update();
             self.consumer.set_capacity(self.clock.now(), capacity);
@@ -163,20 +172,22 @@
             tokio::select! {
                 read = reader.read_buf(&mut input), if !closing => {
                     if read? == 0 {
-                        return Err(std::io::ErrorKind::UnexpectedEof.into());
+                        return Err(io::ErrorKind::UnexpectedEof.into());
                     }
                     self.consumer.receive(self.clock.now(), wall_ms(), &input);
                     input.clear();
                 }
-                wrote = writer.write(&output), if !output.is_empty() => output.advance(wrote?),
-                command = self.handle.commands.recv(), if !stopped => {
-                    stopped = command.is_none();
+                written = writer.write(&output), if !output.is_empty() => output.advance(written?),
+                command = self.handle.commands.recv(), if !front_end_gone => {
+                    front_end_gone = command.is_none();
                     self.handle_command(command);
                     while let Ok(command) = self.handle.commands.try_recv() {
                         self.handle_command(Some(command));
                     }
                 }
-                changed = self.handle.capacity.changed(), if !stopped => stopped |= changed.is_err(),
+                changed = self.handle.capacity.changed(), if !front_end_gone => {
+                    front_end_gone |= changed.is_err();
+                }
                 () = self.clock.sleep_until(self.consumer.next_timeout()) => {
                     self.consumer.on_time(self.clock.now());
                 }
@@ -184,53 +195,15 @@
         }
     }
 
+    /// Hands what the consumer reports to the engine or to the log.
     async fn forward_notices(&mut self) {
         while let Some(notice) = self.consumer.poll() {
-            let (front_end, queue) = (&self.front_end, &self.queue);
+            self.log_notice(&notice);
             let input = match notice {
                 Notice::Trigger(trigger) => Input::Trigger(*trigger),
                 Notice::Settled(ticket) => Input::Settled(ticket),
-                Notice::Lost(why) => {
-                    warn!(front_end, queue, why, "connection to the broker lost");
-                    Input::SourceLost(self.source)
-                }
-                Notice::Consuming => {
-                    info!(front_end, queue, "consuming");
-                    continue;
-                }
-                Notice::Cancelled => {
-                    warn!(
-                        front_end,
-                        queue, "the broker ended the consumer: is the queue gone?"
-                    );
-                    continue;
-                }
-                Notice::Blocked(reason) => {
-                    warn!(
-                        front_end,
-                        queue,
-                        ?reason,
-                        "the broker has blocked or unblocked publishing"
-                    );
-                    continue;
-                }
-                Notice::Returned {
-                    reply_to,
-                    correlation_id,
-                } => {
-                    warn!(
-                        front_end,
-                        queue,
-                        reply_to,
-                        ?correlation_id,
-                        "an answer could not be delivered"
-                    );
-                    continue;
-                }
-                Notice::Unreadable { message_id, why } => {
-                    warn!(front_end, queue, ?message_id, %why, "a message that is no call");
-                    continue;
-                }
+                Notice::Lost(_) => Input::SourceLost(self.source),
+                _ => continue,
             };
             // Waits while the engine is behind: the broker then waits in turn.
             if self.inputs.send(input).await.is_err() {
@@ -239,4 +212,44 @@
             }
         }
     }
+
+    fn log_notice(&self, notice: &Notice) {
+        let (front_end, queue) = (&self.front_end, &self.queue);
+        match notice {
+            Notice::Trigger(_) | Notice::Settled(_) => {}
+            Notice::Lost(why) => {
+                warn!(front_end, queue, why, "connection to the broker lost");
+            }
+            Notice::Consuming => info!(front_end, queue, "consuming"),
+            Notice::Cancelled => {
+                warn!(
+                    front_end,
+                    queue, "the broker ended the consumer: is the queue gone?"
+                );
+            }
+            Notice::Blocked(reason) => {
+                warn!(
+                    front_end,
+                    queue,
+                    ?reason,
+                    "the broker has blocked or unblocked publishing"
+                );
+            }
+            Notice::Returned {
+                reply_to,
+                correlation_id,
+            } => {
+                warn!(
+                    front_end,
+                    queue,
+                    reply_to,
+                    ?correlation_id,
+                    "an answer could not be delivered"
+                );
+            }
+            Notice::Unreadable { message_id, why } => {
+                warn!(front_end, queue, ?message_id, %why, "a message that is no call");
+            }
+        }
+    }
 }
--- a/crates/pipithub-gateway/src/front_end.rs
+++ b/crates/pipithub-gateway/src/front_end.rs
@@ -1,4 +1,7 @@
-//! One front end: a task that owns the engine, and the channels around it.
+//! One front end: the task that owns an engine, and hands it what sources, workers and directories report.
+
+mod outputs;
+mod source;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,114 +11,117 @@
 use pipithub_clock::Clock;
 use pipithub_consumer::message::ClassName;
 use pipithub_engine::policy::{Endpoint, EndpointUpdate, WorkerId};
-use pipithub_engine::{AttemptId, Engine, Input, Output, Reply, SourceId, Ticket, Time, Verdict};
+use pipithub_engine::{AttemptId, Engine, Input, Output, SourceId, Time, Trigger};
 use pipithub_settings::{Config, FixedWorker};
 use tokio::sync::{mpsc, oneshot, watch};
-use tracing::{debug, info, warn};
+use tracing::{info, warn};
 
+use self::source::Source;
+pub(crate) use self::source::{SourceCommand, SourceHandle};
 use crate::Snapshot;
-use crate::tenancy::{CallerNames, Tenancy};
+use crate::directory::DirectoryEvent;
+use crate::tenancy::Tenancy;
 use crate::workers::WorkerClient;
 
 /// Inputs queued for the engine; senders wait while the queue is full.
 const MAX_QUEUED_INPUTS: usize = 4096;
+/// Inputs that the engine is given in one turn, at the most.
+const MAX_INPUT_BATCH: usize = 256;
+/// How long sources have to close their connections once the last trigger is settled.
+const SOURCE_CLOSE_TIME: Duration = Duration::from_millis(20);
 
-/// A command from the front end to one of its sources.
-#[derive(Debug)]
-pub(crate) enum SourceCommand {
-    /// Give the final answer and settle, both or neither.
-    Answer(Ticket, Arc<Reply>),
-    /// Settle without an answer.
-    Settle(Ticket),
-    /// Take no new triggers; end when all are settled.
-    Shutdown,
-}
-
-/// A source's end of its channels with the front end.
-pub(crate) struct SourceHandle {
-    /// Unbounded, but limited in effect: the engine holds at most `max-open` triggers and owes each one command.
-    pub(crate) commands: mpsc::UnboundedReceiver<SourceCommand>,
-    pub(crate) capacity: watch::Receiver<usize>,
-}
-
-struct Source {
-    commands: mpsc::UnboundedSender<SourceCommand>,
-    capacity: watch::Sender<usize>,
-}
-
+/// An engine with the channels around it.
 pub(crate) struct FrontEnd {
     name: String,
     classes: Vec<ClassName>,
     clock: Clock,
     engine: Engine,
+    /// How long a shutdown waits for pending requests.
     drain: Time,
     workers: Arc<WorkerClient>,
     inputs: mpsc::Receiver<Input>,
     inputs_sender: mpsc::Sender<Input>,
     sources: BTreeMap<SourceId, Source>,
+    /// Cancels attempts under way.
     cancellations: BTreeMap<AttemptId, oneshot::Sender<()>>,
     snapshot: watch::Sender<Snapshot>,
+    /// Outputs of the engine that are not executed yet.
     outputs: Vec<Output>,
     tenancy: Option<Tenancy>,
     /// Inputs from the admission for the engine.
     engine_inputs: Vec<Input>,
 }
 
+fn new_engine(config: &Config, seed: u64, baseline: Option<Policy>) -> Engine {
+    let settings = config.engine.clone();
+    match baseline {
+        None => Engine::new(settings, seed),
+        Some(policy) => {
+            let baseline = Baseline::new(policy, settings.policy.clone());
+            Engine::deciding_by(Box::new(baseline), settings)
+        }
+    }
+}
+
+/// The next event of the directories; never one where there are no tenants.
+async fn next_directory_event(tenancy: &mut Option<Tenancy>) -> Option<DirectoryEvent> {
+    match tenancy {
+        Some(tenancy) => tenancy.next_event().await,
+        None => std::future::pending().await,
+    }
+}
+
 impl FrontEnd {
+    /// A front end without sources, tenants and endpoints.
     pub(crate) fn new(
         name: &str,
         config: &Config,
         clock: Clock,
         seed: u64,
-        workers: Arc<WorkerClient>,
         baseline: Option<Policy>,
-    ) -> (Self, mpsc::Sender<Input>) {
+    ) -> Self {
         let (inputs_sender, inputs) = mpsc::channel(MAX_QUEUED_INPUTS);
-        let settings = config.engine.clone();
-        let engine = match baseline {
-            None => Engine::new(settings, seed),
-            Some(policy) => {
-                let baseline = Baseline::new(policy, settings.policy.clone());
-                Engine::deciding_by(Box::new(baseline), settings)
-            }
-        };
-        let front_end = FrontEnd {
+        FrontEnd {
             name: name.to_string(),
             classes: config.classes.clone(),
             clock,
-            engine,
+            engine: new_engine(config, seed, baseline),
             drain: config.drain,
-            workers,
+            workers: Arc::new(WorkerClient::new(name, config.http, clock)),
             inputs,
-            inputs_sender: inputs_sender.clone(),
+            inputs_sender,
             sources: BTreeMap::new(),
             cancellations: BTreeMap::new(),
             snapshot: watch::channel(Snapshot::default()).0,
             outputs: Vec::new(),
             tenancy: None,
             engine_inputs: Vec::new(),
-        };
-        (front_end, inputs_sender)
+        }
     }
 
+    /// Has all calls pass the admission by tenant.
     pub(crate) fn set_tenancy(&mut self, tenancy: Tenancy) {
         self.tenancy = Some(tenancy);
     }
 
+    /// Adds a source; the handle is its end of the channels.
     pub(crate) fn add_source(&mut self, id: SourceId) -> SourceHandle {
-        let (commands, receiver) = mpsc::unbounded_channel();
-        let (capacity, watched) = watch::channel(self.engine.capacity());
-        self.sources.insert(id, Source { commands, capacity });
-        SourceHandle {
-            commands: receiver,
-            capacity: watched,
-        }
+        let (source, handle) = Source::new(self.engine.capacity());
+        self.sources.insert(id, source);
+        handle
+    }
+
+    /// Where sources and other tasks send what happened.
+    pub(crate) fn inputs(&self) -> mpsc::Sender<Input> {
+        self.inputs_sender.clone()
     }
 
+    /// Watches the state of this front end; the sender is dropped when the front end has ended.
     pub(crate) fn snapshots(&self) -> watch::Receiver<Snapshot> {
         self.snapshot.subscribe()
     }
 
+    /// Sets the workers of the settings as the endpoint list.
     pub(crate) fn set_fixed_workers(&mut self, workers: &[FixedWorker]) {
         let endpoint = |worker: &FixedWorker| Endpoint {
             worker: WorkerId::new(&worker.address),
@@ -135,65 +141,82 @@
             .handle(self.clock.now(), input, &mut self.outputs);
     }
 
+    /// Runs until a shutdown is asked for and all requests are settled or the drain time is over.
     pub(crate) async fn run(mut self, mut shutdown: watch::Receiver<bool>) {
         info!(
             front_end = self.name,
             workers = self.engine.ready_workers(),
             "front end up"
         );
-        let mut batch = Vec::with_capacity(256);
+        let mut batch = Vec::with_capacity(MAX_INPUT_BATCH);
         let mut drain_deadline = None;
         loop {
             self.execute_outputs();
             self.publish_state();
-            let pending_admissions = self.tenancy.as_ref().map_or(0, Tenancy::pending);
-            if drain_deadline.is_some_and(|deadline| {
-                self.engine.pending_requests() + pending_admissions == 0
-                    || self.clock.now() >= deadline
-            }) {
+            if drain_deadline.is_some_and(|deadline| self.is_drained_by(deadline)) {
                 break;
             }
-            let admission_due = self.tenancy.as_ref().and_then(Tenancy::next_due);
-            let due = [self.engine.next_due(), drain_deadline, admission_due]
-                .into_iter()
-                .flatten()
-                .min();
-            let event = async {
-                match &mut self.tenancy {
-                    Some(tenancy) => tenancy.next_event().await,
-                    None => std::future::pending().await,
-                }
-            };
+            let due = self.next_due(drain_deadline);
             tokio::select! {
-                event = event => {
+                event = next_directory_event(&mut self.tenancy) => {
                     let Some(event) = event else { break };
-                    let now = self.clock.now();
-                    if let Some(tenancy) = &mut self.tenancy {
-                        tenancy.handle_directory_event(now, event, &mut self.engine_inputs);
-                    }
+                    self.handle_directory_event(event);
                 }
-                count = self.inputs.recv_many(&mut batch, 256) => {
+                count = self.inputs.recv_many(&mut batch, MAX_INPUT_BATCH) => {
                     if count == 0 {
                         break;
                     }
                 }
                 () = self.clock.sleep_until(due) => batch.push(Input::Tick),
                 _ = shutdown.wait_for(|asked| *asked), if drain_deadline.is_none() => {
-                    info!(front_end = self.name, open = self.engine.pending_requests(), "stopping");
-                    drain_deadline = Some(self.clock.now() + self.drain);
-                    self.sources.values().for_each(|s| drop(s.commands.send(SourceCommand::Shutdown)));
+                    drain_deadline = Some(self.begin_drain());
                     batch.push(Input::Drain);
                 }
             }
             for input in batch.drain(..) {
-                if let Input::AttemptFinished(done) = &input {
-                    self.cancellations.remove(&done.id);
-                }
-                self.input(input);
+                self.handle_input(input);
                 // Executed at once: an answer must not wait for the rest of the batch.
                 self.execute_outputs();
             }
         }
+        self.log_end();
+        // A last answer has been settled; its source closes its connection in its own time.
+        tokio::time::sleep(SOURCE_CLOSE_TIME).await;
+    }
+
+    /// Whether a drain has ended: nothing is pending, or its deadline is reached.
+    fn is_drained_by(&self, deadline: Time) -> bool {
+        self.engine.pending_requests() + self.pending_admissions() == 0
+            || self.clock.now() >= deadline
+    }
+
+    fn pending_admissions(&self) -> usize {
+        self.tenancy.as_ref().map_or(0, Tenancy::pending)
+    }
+
+    /// When the engine or the admission has to be handed a tick, or the drain ends.
+    fn next_due(&self, drain_deadline: Option<Time>) -> Option<Time> {
+        let admission_due = self.tenancy.as_ref().and_then(Tenancy::next_due);
+        [self.engine.next_due(), drain_deadline, admission_due]
+            .into_iter()
+            .flatten()
+            .min()
+    }
+
+    /// Has the sources take no new triggers; returns the deadline for those that are pending.
+    fn begin_drain(&mut self) -> Time {
+        info!(
+            front_end = self.name,
+            pending_requests = self.engine.pending_requests(),
+            "stopping"
+        );
+        for source in self.sources.values() {
+            source.send(SourceCommand::Shutdown);
+        }
+        self.clock.now() + self.drain
+    }
+
+    fn log_end(&self) {
         let pending = self.engine.pending_requests();
         if pending > 0 {
             warn!(
@@ -203,25 +226,26 @@
             );
         }
         info!(front_end = self.name, "front end down");
-        // A last answer has been settled; its source closes its connection in its own time.
-        tokio::time::sleep(Duration::from_millis(20)).await;
+    }
+
+    fn handle_directory_event(&mut self, event: DirectoryEvent) {
+        let now = self.clock.now();
+        if let Some(tenancy) = &mut self.tenancy {
+            tenancy.handle_directory_event(now, event, &mut self.engine_inputs);
+        }
     }
 
     /// Hands an input to the engine; new triggers pass the admission first.
-    fn input(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
+        if let Input::AttemptFinished(result) = &input {
+            self.cancellations.remove(&result.id);
+        }
         let now = self.clock.now();
         let Some(tenancy) = &mut self.tenancy else {
             return self.engine.handle(now, input, &mut self.outputs);
         };
         match input {
-            // A redelivery of a request that the engine knows is not admitted again: admission must not reject what runs.
-            Input::Trigger(trigger)
-                if !(trigger.redelivered
-                    && trigger
-                        .identity
-                        .as_ref()
-                        .is_some_and(|i| self.engine.knows(i, now))) =>
-            {
+            Input::Trigger(trigger) if !is_known_redelivery(&self.engine, &trigger, now) => {
                 tenancy.arrive(now, trigger, &mut self.engine_inputs);
             }
             Input::SourceLost(source) => {
@@ -238,12 +262,10 @@
 
     /// Publishes the remaining capacity to the sources, and a snapshot to observers.
     fn publish_state(&mut self) {
-        let pending_admissions = self.tenancy.as_ref().map_or(0, Tenancy::pending);
+        let pending_admissions = self.pending_admissions();
         let capacity = self.engine.capacity().saturating_sub(pending_admissions);
         for source in self.sources.values() {
-            source
-                .capacity
-                .send_if_modified(|known| std::mem::replace(known, capacity) != capacity);
+            source.set_capacity(capacity);
         }
         let snapshot = Snapshot {
             stats: self.engine.stats(),
@@ -255,131 +277,11 @@
         self.snapshot
             .send_if_modified(|known| std::mem::replace(known, snapshot) != snapshot);
     }
+}
 
-    fn execute_outputs(&mut self) {
-        while !self.outputs.is_empty() || !self.engine_inputs.is_empty() {
-            for input in std::mem::take(&mut self.engine_inputs) {
-                self.engine
-                    .handle(self.clock.now(), input, &mut self.outputs);
-            }
-            let mut outputs = std::mem::take(&mut self.outputs);
-            for output in outputs.drain(..) {
-                self.execute(output);
-            }
-            if self.outputs.is_empty() {
-                self.outputs = outputs;
-            }
-        }
-    }
-
-    fn execute(&mut self, output: Output) {
-        let tenancy = self.tenancy.as_ref();
-        match output {
-            Output::Forward {
-                id,
-                worker,
-                call,
-                deadline,
-            } => {
-                debug!(
-                    front_end = self.name,
-                    request = id.request,
-                    label = call.label.as_deref(),
-                    class = self.classes.get(call.class).map(|c| c.name.as_str()),
-                    tenant = tenancy.and_then(|t| t.tenant_name(call.tenant)),
-                    user = call.user.as_deref(),
-                    function = &*call.function,
-                    worker = &*worker.0,
-                    attempt = id.number,
-                    "forward"
-                );
-                let (cancel, cancelled) = oneshot::channel();
-                self.cancellations.insert(id, cancel);
-                let (pool, inputs) = (self.workers.clone(), self.inputs_sender.clone());
-                tokio::spawn(async move {
-                    let result = pool.attempt(id, &worker, &call, deadline, cancelled).await;
-                    let _ = inputs.send(Input::AttemptFinished(result)).await;
-                });
-            }
-            Output::Cancel(id) => {
-                // The attempt ends as withdrawn, unless its outcome is on its way already.
-                if let Some(cancel) = self.cancellations.remove(&id) {
-                    let _ = cancel.send(());
-                }
-            }
-            Output::LoadFunction {
-                worker,
-                function,
-                name,
-                replicas,
-            } => {
-                debug!(
-                    front_end = self.name,
-                    worker = &*worker.0,
-                    function = &*name,
-                    replicas,
-                    "load command"
-                );
-                let (pool, inputs) = (self.workers.clone(), self.inputs_sender.clone());
-                tokio::spawn(async move {
-                    let result = pool.load_function(worker, function, &name, replicas).await;
-                    let _ = inputs.send(Input::LoadCommandFinished(result)).await;
-                });
-            }
-            Output::EvictFunction { worker, name } => {
-                let pool = self.workers.clone();
-                tokio::spawn(async move { pool.evict_function(worker, &name).await });
-            }
-            Output::PollLoad(worker) => {
-                let (pool, inputs) = (self.workers.clone(), self.inputs_sender.clone());
-                tokio::spawn(async move {
-                    let result = pool.poll_load(worker).await;
-                    let _ = inputs.send(Input::LoadPolled(result)).await;
-                });
-            }
-            Output::Answer { ticket, reply } => {
-                let CallerNames { tenant, user } =
-                    tenancy.map_or_else(CallerNames::default, |t| t.caller_names(ticket));
-                let worker = reply.worker.as_ref().map(|w| &*w.0);
-                if reply.verdict == Verdict::Failed {
-                    info!(front_end = self.name, source = ticket.source.0, ticket = ticket.number,
-                        tenant, user, cause = reply.cause.as_str(), attempts = reply.attempts, worker, last = ?reply.last_outcome,
-                        "failed");
-                } else {
-                    debug!(
-                        front_end = self.name,
-                        source = ticket.source.0,
-                        ticket = ticket.number,
-                        tenant,
-                        user,
-                        verdict = reply.verdict.as_str(),
-                        cause = reply.cause.as_str(),
-                        attempts = reply.attempts,
-                        worker,
-                        "answer"
-                    );
-                }
-                let now = self.clock.now();
-                if let Some(tenancy) = &mut self.tenancy {
-                    tenancy.answered(now, ticket, Some(&reply), &mut self.engine_inputs);
-                }
-                self.send_command(ticket.source, SourceCommand::Answer(ticket, reply));
-            }
-            Output::Forget(ticket) => {
-                let now = self.clock.now();
-                if let Some(tenancy) = &mut self.tenancy {
-                    tenancy.answered(now, ticket, None, &mut self.engine_inputs);
-                }
-                self.send_command(ticket.source, SourceCommand::Settle(ticket));
-            }
-            // The endpoint list is watched from the start here.
-            Output::WatchEndpoints => {}
-        }
-    }
-
-    fn send_command(&self, source: SourceId, command: SourceCommand) {
-        if let Some(source) = self.sources.get(&source) {
-            let _ = source.commands.send(command);
-        }
-    }
+/// Whether a trigger is another delivery of a request that the engine knows. It is not admitted a second time: the
+/// admission must not reject what runs.
+fn is_known_redelivery(engine: &Engine, trigger: &Trigger, now: Time) -> bool {
+    let is_known = |identity| engine.knows(identity, now);
+    trigger.redelivered && trigger.identity.as_ref().is_some_and(is_known)
 }
--- /dev/null
+++ b/crates/pipithub-gateway/src/front_end/outputs.rs
@@ -0,0 +1,183 @@
+//! Executing the outputs of the engine: requests to workers, commands to sources.
+
+use std::future::Future;
+use std::sync::Arc;
+
+use pipithub_engine::policy::{FunctionId, WorkerId};
+use pipithub_engine::{AttemptId, Call, Input, Output, Reply, SourceId, Ticket, Time, Verdict};
+use tokio::sync::oneshot;
+use tracing::{debug, info};
+
+use super::{FrontEnd, SourceCommand};
+use crate::tenancy::CallerNames;
+
+impl FrontEnd {
+    /// Executes outputs until neither the engine nor the admission has any more.
+    pub(super) fn execute_outputs(&mut self) {
+        while !self.outputs.is_empty() || !self.engine_inputs.is_empty() {
+            for input in std::mem::take(&mut self.engine_inputs) {
+                self.engine
+                    .handle(self.clock.now(), input, &mut self.outputs);
+            }
+            let mut outputs = std::mem::take(&mut self.outputs);
+            for output in outputs.drain(..) {
+                self.execute(output);
+            }
+            // The buffer is used again.
+            if self.outputs.is_empty() {
+                self.outputs = outputs;
+            }
+        }
+    }
+
+    fn execute(&mut self, output: Output) {
+        match output {
+            Output::Forward {
+                id,
+                worker,
+                call,
+                deadline,
+            } => self.forward(id, worker, call, deadline),
+            Output::Cancel(id) => self.cancel(id),
+            Output::LoadFunction {
+                worker,
+                function,
+                name,
+                replicas,
+            } => self.load_function(worker, function, name, replicas),
+            Output::EvictFunction { worker, name } => self.evict_function(worker, name),
+            Output::PollLoad(worker) => self.poll_load(worker),
+            Output::Answer { ticket, reply } => self.answer(ticket, reply),
+            Output::Forget(ticket) => self.settle(ticket),
+            // The endpoint list is watched from the start here.
+            Output::WatchEndpoints => {}
+        }
+    }
+
+    fn forward(&mut self, id: AttemptId, worker: WorkerId, call: Arc<Call>, deadline: Time) {
+        let tenancy = self.tenancy.as_ref();
+        debug!(
+            front_end = self.name,
+            request = id.request,
+            label = call.label.as_deref(),
+            class = self.classes.get(call.class).map(|c| c.name.as_str()),
+            tenant = tenancy.and_then(|tenancy| tenancy.tenant_name(call.tenant)),
+            user = call.user.as_deref(),
+            function = &*call.function,
+            worker = &*worker.0,
+            attempt = id.number,
+            "forward"
+        );
+        let (cancel, cancelled) = oneshot::channel();
+        self.cancellations.insert(id, cancel);
+        let workers = self.workers.clone();
+        self.spawn_for_input(async move {
+            let result = workers
+                .attempt(id, &worker, &call, deadline, cancelled)
+                .await;
+            Input::AttemptFinished(result)
+        });
+    }
+
+    /// Cancels an attempt. It ends as cancelled, unless its outcome is on its way already.
+    fn cancel(&mut self, id: AttemptId) {
+        if let Some(cancel) = self.cancellations.remove(&id) {
+            let _ = cancel.send(());
+        }
+    }
+
+    fn load_function(&self, worker: WorkerId, function: FunctionId, name: Arc<str>, replicas: u32) {
+        debug!(
+            front_end = self.name,
+            worker = &*worker.0,
+            function = &*name,
+            replicas,
+            "load command"
+        );
+        let workers = self.workers.clone();
+        self.spawn_for_input(async move {
+            let result = workers
+                .load_function(worker, function, &name, replicas)
+                .await;
+            Input::LoadCommandFinished(result)
+        });
+    }
+
+    fn evict_function(&self, worker: WorkerId, name: Arc<str>) {
+        let workers = self.workers.clone();
+        tokio::spawn(async move { workers.evict_function(worker, &name).await });
+    }
+
+    fn poll_load(&self, worker: WorkerId) {
+        let workers = self.workers.clone();
+        self.spawn_for_input(async move { Input::LoadPolled(workers.poll_load(worker).await) });
+    }
+
+    fn answer(&mut self, ticket: Ticket, reply: Arc<Reply>) {
+        self.log_answer(ticket, &reply);
+        self.finish_admission(ticket, Some(&reply));
+        self.send_command(ticket.source, SourceCommand::Answer(ticket, reply));
+    }
+
+    /// Settles a trigger that was answered before.
+    fn settle(&mut self, ticket: Ticket) {
+        self.finish_admission(ticket, None);
+        self.send_command(ticket.source, SourceCommand::Settle(ticket));
+    }
+
+    fn log_answer(&self, ticket: Ticket, reply: &Reply) {
+        let tenancy = self.tenancy.as_ref();
+        let CallerNames { tenant, user } =
+            tenancy.map_or_else(CallerNames::default, |tenancy| tenancy.caller_names(ticket));
+        let worker = reply.worker.as_ref().map(|worker| &*worker.0);
+        if reply.verdict == Verdict::Failed {
+            info!(
+                front_end = self.name,
+                source = ticket.source.0,
+                ticket = ticket.number,
+                tenant,
+                user,
+                cause = reply.cause.as_str(),
+                attempts = reply.attempts,
+                worker,
+                last = ?reply.last_outcome,
+                "failed"
+            );
+        } else {
+            debug!(
+                front_end = self.name,
+                source = ticket.source.0,
+                ticket = ticket.number,
+                tenant,
+                user,
+                verdict = reply.verdict.as_str(),
+                cause = reply.cause.as_str(),
+                attempts = reply.attempts,
+                worker,
+                "answer"
+            );
+        }
+    }
+
+    fn finish_admission(&mut self, ticket: Ticket, reply: Option<&Reply>) {
+        let now = self.clock.now();
+        if let Some(tenancy) = &mut self.tenancy {
+            tenancy.answered(now, ticket, reply, &mut self.engine_inputs);
+        }
+    }
+
+    fn send_command(&self, source: SourceId, command: SourceCommand) {
+        if let Some(source) = self.sources.get(&source) {
+            source.send(command);
+        }
+    }
+
+    /// Runs a task whose result is an input for the engine.
+    fn spawn_for_input(&self, task: impl Future<Output = Input> + Send + 'static) {
+        let inputs = self.inputs_sender.clone();
+        tokio::spawn(async move {
+            let input = task.await;
+            let _ = inputs.send(input).await;
+        });
+    }
+}
--- /dev/null
+++ b/crates/pipithub-gateway/src/front_end/source.rs
@@ -0,0 +1,55 @@
+//! The channels between a front end and its sources of triggers.
+
+use std::sync::Arc;
+
+use pipithub_engine::{Reply, Ticket};
+use tokio::sync::{mpsc, watch};
+
+/// A command from the front end to one of its sources.
+#[derive(Debug)]
+pub(crate) enum SourceCommand {
+    /// Give the final answer and settle, both or neither.
+    Answer(Ticket, Arc<Reply>),
+    /// Settle without an answer.
+    Settle(Ticket),
+    /// Take no new triggers; end when all are settled.
+    Shutdown,
+}
+
+/// A source's end of its channels with the front end.
+pub(crate) struct SourceHandle {
+    /// Unbounded, but limited in effect: the engine holds at most `max-open` triggers and owes each one command.
+    pub(crate) commands: mpsc::UnboundedReceiver<SourceCommand>,
+    /// How many more triggers the front end takes.
+    pub(crate) capacity: watch::Receiver<usize>,
+}
+
+/// The front end's end of its channels with a source.
+pub(super) struct Source {
+    commands: mpsc::UnboundedSender<SourceCommand>,
+    capacity: watch::Sender<usize>,
+}
+
+impl Source {
+    /// Both ends of the channels of a new source.
+    pub(super) fn new(capacity: usize) -> (Source, SourceHandle) {
+        let (commands, commands_receiver) = mpsc::unbounded_channel();
+        let (capacity, capacity_receiver) = watch::channel(capacity);
+        let handle = SourceHandle {
+            commands: commands_receiver,
+            capacity: capacity_receiver,
+        };
+        (Source { commands, capacity }, handle)
+    }
+
+    /// Sends a command; a source that has ended needs none.
+    pub(super) fn send(&self, command: SourceCommand) {
+        let _ = self.commands.send(command);
+    }
+
+    /// Publishes how many more triggers the front end takes.
+    pub(super) fn set_capacity(&self, capacity: usize) {
+        self.capacity
+            .send_if_modified(|known| std::mem::replace(known, capacity) != capacity);
+    }
+}
