--- /dev/null
+++ b/crates/pipithub-gateway/tests/tenants/rig.rs
@@ -0,0 +1,178 @@
+//! What the tests run against: a broker, a worker and directory servers on loopback, and a client.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use pipithub_amqp::{FieldTable, Login};
+use pipithub_conformance::record::Seen;
+use pipithub_emulator::broker::{BrokerServer, BrokerSettings};
+use pipithub_emulator::directory::{DirectoryServer, DirectorySettings};
+use pipithub_emulator::recorder::Recorder;
+use pipithub_emulator::worker::{WorkerServer, WorkerSettings};
+use pipithub_scenario::client::{Answer, Publish, QueueClient, Signed};
+use pipithub_settings::Config;
+
+const KEY: &[u8] = b"a key of sixteen bytes and more";
+
+fn any() -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], 0))
+}
+
+pub(crate) fn tree(users: &[(String, &str)]) -> String {
+    let mut text = String::from("dn: dc=example\nobjectClass: domain\n\n");
+    for ou in ["north", "south"] {
+        text += &format!("dn: ou={ou},dc=example\nobjectClass: organizationalUnit\n\n");
+    }
+    for (user, ou) in users {
+        text += &format!("dn: uid={user},ou={ou},dc=example\nobjectClass: person\nuid: {user}\n\n");
+    }
+    text
+}
+
+pub(crate) async fn directory(tree: &str, ldaps: bool) -> DirectoryServer {
+    let login = Some(("cn=gateway,dc=example".to_string(), "secret".to_string()));
+    let settings = DirectorySettings {
+        tree: tree.into(),
+        base: None,
+        login,
+        ldaps,
+    };
+    DirectoryServer::start(any(), settings)
+        .await
+        .expect("a directory")
+}
+
+/// Calls wait for their user's look-up for as long as it may take on a busy machine: by default they would be rejected
+/// after 40 ms, and what these tests are about is who the user is, not how soon that is known.
+pub(crate) const PATIENT_ADMISSION: &str = "admission { identity-wait \"3s\" }";
+
+pub(crate) struct Stage {
+    pub(crate) broker: BrokerServer,
+    _worker: WorkerServer,
+    seen: Recorder,
+    pub(crate) folder: std::path::PathBuf,
+}
+
+impl Stage {
+    pub(crate) async fn new(name: &str) -> Stage {
+        let queues = vec![("calls".to_string(), FieldTable::new())];
+        let settings = BrokerSettings {
+            queues,
+            recorder: Recorder::memory(),
+            logins: vec![("mai".into(), "m".into())],
+            ..BrokerSettings::default()
+        };
+        let broker = BrokerServer::start(any(), settings)
+            .await
+            .expect("a broker");
+        let seen = Recorder::memory();
+        let settings = WorkerSettings {
+            cores: 8.0,
+            run: 5_000_000,
+            load: 1_000_000,
+            cold_from: 1.0,
+            ..WorkerSettings::default()
+        };
+        let worker = WorkerServer::start(any(), settings, None, seen.clone())
+            .await
+            .expect("a worker");
+        let folder =
+            std::env::temp_dir().join(format!("pipithub-tenants-{}-{name}", std::process::id()));
+        std::fs::create_dir_all(&folder).expect("a folder");
+        Stage {
+            broker,
+            _worker: worker,
+            seen,
+            folder,
+        }
+    }
+
+    pub(crate) fn config(
+        &self,
+        servers: &[&DirectoryServer],
+        directory: &str,
+        more: &str,
+    ) -> Config {
+        let ca = self.folder.join("ca.pem");
+        std::fs::write(&ca, servers.iter().map(|s| s.ca()).collect::<String>()).expect("written");
+        let servers: String = servers
+            .iter()
+            .map(|s| format!("server \"{}\"; ", s.address()))
+            .collect();
+        let text = format!(
+            "front-end \"fe\"\n\
+             class \"view\" effect=\"safe\" aim=\"2s\" give-up=\"4s\"\n\
+             signatures {{ key \"desk\" text=\"{key}\"; max-age \"60s\" }}\n\
+             directory \"campus\" {{ {servers} ca {ca:?}; bind as=\"cn=gateway,dc=example\" text=\"secret\"; \
+             base \"dc=example\"; filter \"(objectClass=person)\"; {directory} }}\n\
+             tenant \"north\" {{ directory \"campus\" base=\"ou=north,dc=example\"; function \"north-*\" }}\n\
+             tenant \"south\" {{ directory \"campus\" base=\"ou=south,dc=example\"; function \"south-*\" }}\n\
+             shared-function \"holidays\"\n\
+             amqp \"b\" {{ address \"{broker}\"; retry-first \"10ms\"; retry-most \"50ms\"; heartbeat 1; \
+             queue \"calls\" {{ prefetch 300; lanes 8; identity \"signed\" }} }}\n\
+             workers {{ worker \"{worker}\" }}\n{more}\n",
+            key = String::from_utf8_lossy(KEY),
+            broker = self.broker.address(),
+            worker = self._worker.address(),
+        );
+        Config::parse("test", &text).unwrap_or_else(|f| panic!("{:?}", f.lines()))
+    }
+
+    pub(crate) fn client(&self) -> QueueClient {
+        QueueClient::start(
+            &self.broker.address().to_string(),
+            Login::default(),
+            "answers",
+        )
+    }
+
+    /// Calls that reached a worker: when, of which function.
+    pub(crate) fn sent(&self) -> Vec<(u64, String, String)> {
+        let call = |r: pipithub_conformance::record::Record| match r.seen {
+            Seen::Call {
+                request, function, ..
+            } => Some((r.t, request, function)),
+            _ => None,
+        };
+        self.seen.records().into_iter().filter_map(call).collect()
+    }
+}
+
+impl Drop for Stage {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.folder);
+    }
+}
+
+pub(crate) fn call(id: &str, user: &str, function: &str) -> Publish {
+    Publish {
+        id: id.into(),
+        queue: "calls".into(),
+        class: "view".into(),
+        function: function.into(),
+        body: b"{\"inputs\":[]}".to_vec(),
+        signed: Some(Signed {
+            user: user.into(),
+            key_id: "desk".into(),
+            key: KEY.to_vec(),
+        }),
+        ..Publish::default()
+    }
+}
+
+pub(crate) async fn answer(client: &mut QueueClient) -> Answer {
+    let answer = tokio::time::timeout(Duration::from_secs(60), client.answers.recv()).await;
+    answer
+        .expect("an answer in its time")
+        .expect("the client runs")
+}
+
+pub(crate) async fn one(client: &mut QueueClient, call: Publish) -> (String, String) {
+    client.calls.send(call).await.expect("running");
+    let answer = answer(client).await;
+    (answer.verdict, answer.cause)
+}
+
+pub(crate) fn pair(verdict: &str, cause: &str) -> (String, String) {
+    (verdict.into(), cause.into())
+}
