--- a/crates/pipithub-gateway/tests/tenants/changes.rs
+++ b/crates/pipithub-gateway/tests/tenants/changes.rs
@@ -4,7 +4,7 @@
 
 use pipithub_gateway::Gateway;
 
-use crate::rig::{PATIENT_ADMISSION, Stage, call, directory, one, pair, tree};
+use crate::rig::{PATIENT_ADMISSION, Stage, answer_to, call, directory, tree, verdict};
 
 /// A followed directory tells of a move as it happens: the next call is on the new side, and a call that waits is not run.
 #[tokio::test(flavor = "multi_thread")]
@@ -23,28 +23,28 @@
     let _gateway = Gateway::start(&config);
     let mut client = stage.client();
     assert_eq!(
-        one(&mut client, call("1", "mai", "north-map")).await,
-        pair("served", "answered")
+        answer_to(&mut client, call("1", "mai", "north-map")).await,
+        verdict("served", "answered")
     );
     assert!(server.move_to("uid=mai,ou=north,dc=example", "ou=south,dc=example"));
     let mut n = 2;
     let end = tokio::time::Instant::now() + Duration::from_secs(30);
     loop {
-        let told = one(&mut client, call(&n.to_string(), "mai", "south-map")).await;
+        let told = answer_to(&mut client, call(&n.to_string(), "mai", "south-map")).await;
         n += 1;
-        if told == pair("served", "answered") {
+        if told == verdict("served", "answered") {
             break;
         }
-        assert_eq!(told, pair("refused", "other-tenant"));
+        assert_eq!(told, verdict("refused", "other-tenant"));
         assert!(tokio::time::Instant::now() < end, "never on the new side");
     }
     assert_eq!(
-        one(&mut client, call("last", "mai", "north-map")).await,
-        pair("refused", "other-tenant")
+        answer_to(&mut client, call("last", "mai", "north-map")).await,
+        verdict("refused", "other-tenant")
     );
     assert!(server.delete("uid=lan,ou=south,dc=example"));
-    while one(&mut client, call(&format!("lan{n}"), "lan", "south-map")).await
-        != pair("refused", "no-tenant")
+    while answer_to(&mut client, call(&format!("lan{n}"), "lan", "south-map")).await
+        != verdict("refused", "no-tenant")
     {
         n += 1;
         assert!(tokio::time::Instant::now() < end, "never gone");
@@ -60,14 +60,14 @@
     let _gateway = Gateway::start(&stage.config(&[&server], directory, PATIENT_ADMISSION));
     let mut client = stage.client();
     assert_eq!(
-        one(&mut client, call("1", "mai", "north-map")).await,
-        pair("served", "answered")
+        answer_to(&mut client, call("1", "mai", "north-map")).await,
+        verdict("served", "answered")
     );
     assert!(server.move_to("uid=mai,ou=north,dc=example", "ou=south,dc=example"));
     let end = tokio::time::Instant::now() + Duration::from_secs(60);
     let mut n = 2;
-    while one(&mut client, call(&n.to_string(), "mai", "south-map")).await
-        != pair("served", "answered")
+    while answer_to(&mut client, call(&n.to_string(), "mai", "south-map")).await
+        != verdict("served", "answered")
     {
         n += 1;
         assert!(
@@ -77,7 +77,7 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     assert_eq!(
-        one(&mut client, call("last", "mai", "north-map")).await,
-        pair("refused", "other-tenant")
+        answer_to(&mut client, call("last", "mai", "north-map")).await,
+        verdict("refused", "other-tenant")
     );
 }
--- a/crates/pipithub-gateway/tests/tenants/identity.rs
+++ b/crates/pipithub-gateway/tests/tenants/identity.rs
@@ -6,7 +6,7 @@
 use pipithub_gateway::Gateway;
 use pipithub_scenario::client::{Publish, QueueClient};
 
-use crate::rig::{PATIENT_ADMISSION, Stage, call, directory, one, pair, tree};
+use crate::rig::{PATIENT_ADMISSION, Stage, answer_to, call, directory, tree, verdict};
 
 #[tokio::test(flavor = "multi_thread")]
 async fn calls_run_for_their_users_tenant_alone_over_each_kind_of_tls() {
@@ -25,43 +25,43 @@
         let _gateway = Gateway::start(&config);
         let mut client = stage.client();
         assert_eq!(
-            one(&mut client, call("1", "Mai", "north-map")).await,
-            pair("served", "answered"),
+            answer_to(&mut client, call("1", "Mai", "north-map")).await,
+            verdict("served", "answered"),
             "{tls}"
         );
         assert_eq!(
-            one(&mut client, call("2", "mai", "south-map")).await,
-            pair("refused", "other-tenant")
+            answer_to(&mut client, call("2", "mai", "south-map")).await,
+            verdict("refused", "other-tenant")
         );
         assert_eq!(
-            one(&mut client, call("3", "lan", "south-map")).await,
-            pair("served", "answered")
+            answer_to(&mut client, call("3", "lan", "south-map")).await,
+            verdict("served", "answered")
         );
         assert_eq!(
-            one(&mut client, call("4", "lan", "holidays")).await,
-            pair("served", "answered")
+            answer_to(&mut client, call("4", "lan", "holidays")).await,
+            verdict("served", "answered")
         );
         assert_eq!(
-            one(&mut client, call("5", "lan", "unnamed")).await,
-            pair("refused", "other-tenant")
+            answer_to(&mut client, call("5", "lan", "unnamed")).await,
+            verdict("refused", "other-tenant")
         );
         assert_eq!(
-            one(&mut client, call("6", "nobody", "north-map")).await,
-            pair("refused", "no-tenant")
+            answer_to(&mut client, call("6", "nobody", "north-map")).await,
+            verdict("refused", "no-tenant")
         );
         // A name that is a filter's text is nobody's name.
         assert_eq!(
-            one(&mut client, call("7", "*)(uid=*", "north-map")).await,
-            pair("refused", "no-tenant")
+            answer_to(&mut client, call("7", "*)(uid=*", "north-map")).await,
+            verdict("refused", "no-tenant")
         );
         let mut spoofed = call("8", "mai", "north-map");
         spoofed.signed.as_mut().expect("signed").key = b"another key of some length".to_vec();
         assert_eq!(
-            one(&mut client, spoofed).await,
-            pair("refused", "unreadable")
+            answer_to(&mut client, spoofed).await,
+            verdict("refused", "unreadable")
         );
         assert_eq!(
-            one(
+            answer_to(
                 &mut client,
                 Publish {
                     signed: None,
@@ -72,11 +72,7 @@
             .1,
             "unreadable"
         );
-        let ran: Vec<String> = stage
-            .sent()
-            .into_iter()
-            .map(|(_, request, _)| request)
-            .collect();
+        let ran: Vec<String> = stage.sent().into_iter().map(|run| run.request).collect();
         assert_eq!(ran, ["1", "3", "4"], "{tls}");
     }
 }
@@ -105,16 +101,16 @@
         ..call(id, "", function)
     };
     assert_eq!(
-        one(&mut client, by("1", Some("mai"), "north-map")).await,
-        pair("served", "answered")
+        answer_to(&mut client, by("1", Some("mai"), "north-map")).await,
+        verdict("served", "answered")
     );
     assert_eq!(
-        one(&mut client, by("2", Some("mai"), "south-map")).await,
-        pair("refused", "other-tenant")
+        answer_to(&mut client, by("2", Some("mai"), "south-map")).await,
+        verdict("refused", "other-tenant")
     );
     assert_eq!(
-        one(&mut client, by("3", None, "north-map")).await,
-        pair("refused", "unreadable")
+        answer_to(&mut client, by("3", None, "north-map")).await,
+        verdict("refused", "unreadable")
     );
     // The broker takes no message under another's name: the channel ends, and the client's next call comes on a new one.
     client
@@ -139,7 +135,7 @@
             _ => assert!(tokio::time::Instant::now() < end, "no answer"),
         }
     }
-    assert!(stage.sent().iter().all(|(_, request, _)| request != "4"));
+    assert!(stage.sent().iter().all(|run| run.request != "4"));
 }
 
 /// A certificate that the settings do not trust is no directory: nothing is asked, nobody is let in.
@@ -155,8 +151,8 @@
     let _gateway = Gateway::start(&config);
     let mut client = stage.client();
     assert_eq!(
-        one(&mut client, call("1", "mai", "north-map")).await,
-        pair("refused", "user-unknown")
+        answer_to(&mut client, call("1", "mai", "north-map")).await,
+        verdict("refused", "user-unknown")
     );
     assert_eq!((other.searches(), stage.sent().len()), (0, 0));
 }
--- a/crates/pipithub-gateway/tests/tenants/random_days.rs
+++ b/crates/pipithub-gateway/tests/tenants/random_days.rs
@@ -1,124 +1,236 @@
 //! Days of moves, faults of directories and stale replicas, from seeds: no call may run for another tenant.
 
 use std::collections::BTreeMap;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 use pipithub_emulator::clock::wall_ns;
+use pipithub_emulator::directory::DirectoryServer;
 use pipithub_gateway::Gateway;
+use pipithub_scenario::client::{Publish, QueueClient};
 use pipithub_scenario::load::Chance;
 
 use crate::rig::{Stage, answer, call, directory, tree};
 
-/// A day of moves, directory faults and a stale replica, from a seed. Returns calls, calls sent, and crossings: sends to a
-/// side on which the user had not been for longer than the bound.
-#[allow(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
-async fn day(seed: u64, length: Duration) -> (usize, usize, Vec<String>) {
-    let stage = Stage::new(&format!("day{seed}")).await;
-    let mut chance = Chance::new(seed);
-    let sides = ["north", "south"];
-    let mut users: Vec<(String, &str)> = (0..40).map(|n| (format!("u{n}"), sides[n % 2])).collect();
-    let text = tree(&users);
-    let servers = [directory(&text, false).await, directory(&text, false).await];
-    let config = stage.config(
-        &[&servers[0], &servers[1]],
-        "tls \"none\"; mark-attribute \"contextCSN\"; fresh \"200ms\"; stale-most \"1s\"; negative \"300ms\"; \
-         time-out \"300ms\"; retry-first \"100ms\"; retry-most \"400ms\"; failures 2; rate 200",
-        "",
-    );
-    let _gateway = Gateway::start(&config);
-    let mut client = stage.client();
-    let began = std::time::Instant::now();
-    // When each user was on which side, by the newest server's word.
-    let mut history: BTreeMap<String, Vec<(u64, &str)>> = users
-        .iter()
-        .map(|(u, side)| (u.clone(), vec![(0, *side)]))
-        .collect();
-    let mut wanted: BTreeMap<String, (String, String)> = BTreeMap::new();
-    let (mut sent, mut answered) = (0usize, 0usize);
-    let mut stale = 0;
-    let mut next_fault = 0.5;
-    let mut pause = tokio::time::interval(Duration::from_millis(4));
-    while began.elapsed() < length {
-        pause.tick().await;
-        while client.answers.try_recv().is_ok() {
-            answered += 1;
+const SIDES: [&str; 2] = ["north", "south"];
+const USERS: usize = 40;
+const CALL_INTERVAL: Duration = Duration::from_millis(4);
+/// Seconds between two changes of the directories' faults.
+const FAULT_INTERVAL: f64 = 0.4;
+/// Seconds until the first fault.
+const FIRST_FAULT: f64 = 0.5;
+/// The part of the calls that name a side by chance instead of their user's.
+const RANDOM_SIDE_PART: f64 = 0.1;
+/// The part of the calls after which their user moves.
+const MOVE_PART: f64 = 0.02;
+/// How long after a move a call may still be sent to the side that was left.
+///
+/// The bound that the settings state is the hard one, 1 s, counted from when a server that can be reached knows: half of
+/// `fresh` until it is heard, after up to 400 ms of a fault and 600 ms of its breaker. Then the way to a worker, on a
+/// machine that is busy.
+const CROSSING_BOUND: Duration = Duration::from_secs(4);
+
+/// A user on a side, from a time on.
+struct Stay {
+    from: u64,
+    side: &'static str,
+}
+
+struct User {
+    name: String,
+    side: &'static str,
+    /// By the newest server's entries, in the order of time.
+    stays: Vec<Stay>,
+}
+
+impl User {
+    fn new(number: usize) -> Self {
+        let side = SIDES[number % SIDES.len()];
+        User {
+            name: format!("u{number}"),
+            side,
+            stays: vec![Stay { from: 0, side }],
         }
-        let user = chance.below(users.len());
-        let side = if chance.unit() < 0.1 {
-            sides[chance.below(2)]
-        } else {
-            users[user].1
-        };
-        let id = format!("{seed}-{sent}");
-        wanted.insert(id.clone(), (users[user].0.clone(), side.to_string()));
-        client
-            .calls
-            .send(call(&id, &users[user].0, &format!("{side}-map")))
-            .await
-            .expect("running");
-        sent += 1;
-        if chance.unit() < 0.02 {
-            // Moved at one server; the other may not hear of it until its fault is over.
-            let to = if users[user].1 == "north" {
-                "south"
-            } else {
-                "north"
-            };
-            let name = |side: &str| format!("uid={},ou={side},dc=example", users[user].0);
-            for (n, server) in servers.iter().enumerate() {
-                if n != stale {
-                    server.move_to(&name(users[user].1), &format!("ou={to},dc=example"));
-                }
-            }
-            users[user].1 = to;
-            history
-                .entry(users[user].0.clone())
-                .or_default()
-                .push((wall_ns(), to));
+    }
+
+    /// Whether the user was on this side at this time, or had left it no longer before than the bound.
+    fn was_on(&self, side: &str, at: u64) -> bool {
+        let bound = CROSSING_BOUND.as_nanos() as u64;
+        self.stays.iter().enumerate().any(|(number, stay)| {
+            let until = self
+                .stays
+                .get(number + 1)
+                .map_or(u64::MAX, |next| next.from);
+            stay.side == side && stay.from <= at && until.saturating_add(bound) >= at
+        })
+    }
+
+    fn dn(&self) -> String {
+        format!("uid={},ou={},dc=example", self.name, self.side)
+    }
+}
+
+/// What a call asked for.
+struct Wanted {
+    user: usize,
+    side: &'static str,
+}
+
+struct DayResult {
+    calls: usize,
+    runs: usize,
+    /// Calls that ran on a side on which their user had not been for longer than the bound.
+    crossings: Vec<String>,
+}
+
+struct Day {
+    seed: u64,
+    chance: Chance,
+    users: Vec<User>,
+    /// The server that hears of no moves.
+    stale: usize,
+    wanted: BTreeMap<String, Wanted>,
+    answered: usize,
+    client: QueueClient,
+    _gateway: Gateway,
+    servers: [DirectoryServer; 2],
+    stage: Stage,
+}
+
+impl Day {
+    async fn start(seed: u64) -> Day {
+        let stage = Stage::new(&format!("day{seed}")).await;
+        let users: Vec<User> = (0..USERS).map(User::new).collect();
+        let entries: Vec<(String, &str)> = users.iter().map(|u| (u.name.clone(), u.side)).collect();
+        let text = tree(&entries);
+        let servers = [directory(&text, false).await, directory(&text, false).await];
+        let config = stage.config(
+            &[&servers[0], &servers[1]],
+            "tls \"none\"; mark-attribute \"contextCSN\"; fresh \"200ms\"; stale-most \"1s\"; negative \"300ms\"; \
+             time-out \"300ms\"; retry-first \"100ms\"; retry-most \"400ms\"; failures 2; rate 200",
+            "",
+        );
+        Day {
+            seed,
+            chance: Chance::new(seed),
+            users,
+            stale: 0,
+            wanted: BTreeMap::new(),
+            answered: 0,
+            _gateway: Gateway::start(&config),
+            client: stage.client(),
+            servers,
+            stage,
         }
-        if began.elapsed().as_secs_f64() > next_fault {
-            next_fault += 0.4;
-            for server in &servers {
-                server.set_faults(|f| *f = Default::default());
+    }
+
+    /// Sends calls for this long, and waits until all are answered.
+    async fn run(mut self, length: Duration) -> DayResult {
+        let began = Instant::now();
+        let mut next_fault = FIRST_FAULT;
+        let mut pause = tokio::time::interval(CALL_INTERVAL);
+        while began.elapsed() < length {
+            pause.tick().await;
+            while self.client.answers.try_recv().is_ok() {
+                self.answered += 1;
+            }
+            let user = self.chance.below(self.users.len());
+            let call = self.draw_call(user);
+            self.client.calls.send(call).await.expect("running");
+            if self.chance.unit() < MOVE_PART {
+                self.move_user(user);
             }
-            let one = &servers[chance.below(2)];
-            match chance.below(8) {
-                0 => one.set_faults(|f| f.silent = true),
-                1 => one.set_faults(|f| f.delay = Duration::from_millis(290)),
-                2 => one.set_faults(|f| f.drop_every = 2),
-                3 => one.set_faults(|f| f.wrong = true),
-                4 => one.set_faults(|f| f.loading = true),
-                5 => one.cut(),
-                6 => servers.iter().for_each(|s| s.set_faults(|f| f.busy = true)),
-                _ => {
-                    // The stale one hears of everything it missed, and the other falls behind.
-                    servers[stale].copy_from(&servers[1 - stale]);
-                    stale = 1 - stale;
-                }
+            if began.elapsed().as_secs_f64() > next_fault {
+                next_fault += FAULT_INTERVAL;
+                self.change_faults();
             }
         }
+        while self.answered < self.wanted.len() {
+            answer(&mut self.client).await;
+            self.answered += 1;
+        }
+        DayResult {
+            calls: self.wanted.len(),
+            runs: self.stage.sent().len(),
+            crossings: self.crossings(),
+        }
     }
-    while answered < sent {
-        answer(&mut client).await;
-        answered += 1;
+
+    fn draw_call(&mut self, user: usize) -> Publish {
+        let side = if self.chance.unit() < RANDOM_SIDE_PART {
+            SIDES[self.chance.below(2)]
+        } else {
+            self.users[user].side
+        };
+        let id = format!("{}-{}", self.seed, self.wanted.len());
+        let call = call(&id, &self.users[user].name, &format!("{side}-map"));
+        self.wanted.insert(id, Wanted { user, side });
+        call
     }
-    // The bound that the settings state is the hard one, 1 s, counted from when a server that can be reached knows: half
-    // of `fresh` until it is heard, after up to 400 ms of a fault and 600 ms of its breaker. Then the way to a worker, on a machine that is busy.
-    let bound = Duration::from_secs(4).as_nanos() as u64;
-    let mut crossings = Vec::new();
-    for (at, request, function) in stage.sent() {
-        let (user, asked) = &wanted[&request];
-        let side = function.strip_suffix("-map").unwrap_or_default();
-        let spans = &history[user];
-        let was_there = spans.iter().enumerate().any(|(n, (from, s))| {
-            let until = spans.get(n + 1).map_or(u64::MAX, |next| next.0);
-            *s == side && *from <= at && until.saturating_add(bound) >= at
+
+    /// Moves a user to the other side at one server; the other may not hear of it until its fault is over.
+    fn move_user(&mut self, user: usize) {
+        let user = &mut self.users[user];
+        let to = if user.side == "north" {
+            "south"
+        } else {
+            "north"
+        };
+        for (number, server) in self.servers.iter().enumerate() {
+            if number != self.stale {
+                server.move_to(&user.dn(), &format!("ou={to},dc=example"));
+            }
+        }
+        user.side = to;
+        user.stays.push(Stay {
+            from: wall_ns(),
+            side: to,
         });
-        if !was_there || asked != side {
-            crossings.push(format!("{request} of {user} ran {function}"));
+    }
+
+    /// Ends the faults of the directory servers, and begins another one.
+    fn change_faults(&mut self) {
+        for server in &self.servers {
+            server.set_faults(|f| *f = Default::default());
+        }
+        let one = &self.servers[self.chance.below(2)];
+        match self.chance.below(8) {
+            0 => one.set_faults(|f| f.silent = true),
+            1 => one.set_faults(|f| f.delay = Duration::from_millis(290)),
+            2 => one.set_faults(|f| f.drop_every = 2),
+            3 => one.set_faults(|f| f.wrong = true),
+            4 => one.set_faults(|f| f.loading = true),
+            5 => one.cut(),
+            6 => self
+                .servers
+                .iter()
+                .for_each(|s| s.set_faults(|f| f.busy = true)),
+            _ => {
+                // The stale one hears of everything it missed, and the other falls behind.
+                self.servers[self.stale].copy_from(&self.servers[1 - self.stale]);
+                self.stale = 1 - self.stale;
+            }
         }
     }
-    (sent, stage.sent().len(), crossings)
+
+    fn crossings(&self) -> Vec<String> {
+        let mut crossings = Vec::new();
+        for run in self.stage.sent() {
+            let wanted = &self.wanted[&run.request];
+            let user = &self.users[wanted.user];
+            let side = run.function.strip_suffix("-map").unwrap_or_default();
+            if !user.was_on(side, run.at) || wanted.side != side {
+                crossings.push(format!(
+                    "{} of {} ran {}",
+                    run.request, user.name, run.function
+                ));
+            }
+        }
+        crossings
+    }
+}
+
+async fn run_day(seed: u64) -> DayResult {
+    Day::start(seed).await.run(Duration::from_secs(8)).await
 }
 
 /// `PIPITHUB_SEEDS` sets how many days are run.
@@ -129,22 +241,32 @@
         .and_then(|s| s.parse().ok())
         .unwrap_or(4);
     let mut days = tokio::task::JoinSet::new();
-    let (mut calls, mut runs) = (0, 0);
-    let mut crossings = Vec::new();
+    let mut total = DayResult {
+        calls: 0,
+        runs: 0,
+        crossings: Vec::new(),
+    };
+    let mut add = |day: DayResult| {
+        total.calls += day.calls;
+        total.runs += day.runs;
+        total.crossings.extend(day.crossings);
+    };
     for seed in 0..seeds {
         if days.len() >= 4
-            && let Some(Ok((sent, ran, crossed))) = days.join_next().await
+            && let Some(day) = days.join_next().await
         {
-            (calls, runs) = (calls + sent, runs + ran);
-            crossings.extend::<Vec<String>>(crossed);
+            add(day.expect("a day ends"));
         }
-        days.spawn(day(seed, Duration::from_secs(8)));
+        days.spawn(run_day(seed));
     }
     while let Some(day) = days.join_next().await {
-        let (sent, ran, crossed) = day.expect("a day ends");
-        (calls, runs) = (calls + sent, runs + ran);
-        crossings.extend(crossed);
+        add(day.expect("a day ends"));
     }
+    let DayResult {
+        calls,
+        runs,
+        crossings,
+    } = total;
     println!(
         "{seeds} days, {calls} calls, {runs} sent, {} crossings",
         crossings.len()
--- a/crates/pipithub-gateway/tests/tenants/rig.rs
+++ b/crates/pipithub-gateway/tests/tenants/rig.rs
@@ -14,7 +14,7 @@
 
 const KEY: &[u8] = b"a key of sixteen bytes and more";
 
-fn any() -> SocketAddr {
+fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -37,7 +37,7 @@
         login,
         ldaps,
     };
-    DirectoryServer::start(any(), settings)
+    DirectoryServer::start(loopback(), settings)
         .await
         .expect("a directory")
 }
@@ -46,6 +46,15 @@
 /// after 40 ms, and what these tests are about is who the user is, not how soon that is known.
 pub(crate) const PATIENT_ADMISSION: &str = "admission { identity-wait \"3s\" }";
 
+/// A call that reached the worker.
+pub(crate) struct SentCall {
+    /// Unix time in nanoseconds.
+    pub(crate) at: u64,
+    pub(crate) request: String,
+    pub(crate) function: String,
+}
+
+/// A broker and a worker, and a folder for files.
 pub(crate) struct Stage {
     pub(crate) broker: BrokerServer,
     _worker: WorkerServer,
@@ -62,7 +71,7 @@
             logins: vec![("mai".into(), "m".into())],
             ..BrokerSettings::default()
         };
-        let broker = BrokerServer::start(any(), settings)
+        let broker = BrokerServer::start(loopback(), settings)
             .await
             .expect("a broker");
         let seen = Recorder::memory();
@@ -73,7 +82,7 @@
             cold_from: 1.0,
             ..WorkerSettings::default()
         };
-        let worker = WorkerServer::start(any(), settings, None, seen.clone())
+        let worker = WorkerServer::start(loopback(), settings, None, seen.clone())
             .await
             .expect("a worker");
         let folder =
@@ -126,12 +135,16 @@
         )
     }
 
-    /// Calls that reached a worker: when, of which function.
-    pub(crate) fn sent(&self) -> Vec<(u64, String, String)> {
+    /// Calls that reached the worker.
+    pub(crate) fn sent(&self) -> Vec<SentCall> {
         let call = |r: pipithub_conformance::record::Record| match r.seen {
             Seen::Call {
                 request, function, ..
-            } => Some((r.t, request, function)),
+            } => Some(SentCall {
+                at: r.t,
+                request,
+                function,
+            }),
             _ => None,
         };
         self.seen.records().into_iter().filter_map(call).collect()
@@ -160,6 +173,7 @@
     }
 }
 
+/// The next answer.
 pub(crate) async fn answer(client: &mut QueueClient) -> Answer {
     let answer = tokio::time::timeout(Duration::from_secs(60), client.answers.recv()).await;
     answer
@@ -167,12 +181,13 @@
         .expect("the client runs")
 }
 
-pub(crate) async fn one(client: &mut QueueClient, call: Publish) -> (String, String) {
+/// Sends a call; the verdict and the cause of its answer.
+pub(crate) async fn answer_to(client: &mut QueueClient, call: Publish) -> (String, String) {
     client.calls.send(call).await.expect("running");
     let answer = answer(client).await;
     (answer.verdict, answer.cause)
 }
 
-pub(crate) fn pair(verdict: &str, cause: &str) -> (String, String) {
+pub(crate) fn verdict(verdict: &str, cause: &str) -> (String, String) {
     (verdict.into(), cause.into())
 }
--- a/crates/pipithub-gateway/tests/tenants/snapshots.rs
+++ b/crates/pipithub-gateway/tests/tenants/snapshots.rs
@@ -4,7 +4,7 @@
 
 use pipithub_gateway::Gateway;
 
-use crate::rig::{Stage, call, directory, one, pair, tree};
+use crate::rig::{Stage, answer_to, call, directory, tree, verdict};
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_restart_in_an_outage_serves_with_what_was_known() {
@@ -18,8 +18,8 @@
     let gateway = Gateway::start(&config);
     let mut client = stage.client();
     assert_eq!(
-        one(&mut client, call("1", "mai", "north-map")).await,
-        pair("served", "answered")
+        answer_to(&mut client, call("1", "mai", "north-map")).await,
+        verdict("served", "answered")
     );
     let written = file.with_extension("fe");
     let end = tokio::time::Instant::now() + Duration::from_secs(30);
@@ -32,8 +32,8 @@
     server.set_faults(|f| f.silent = true);
     let gateway = Gateway::start(&config);
     assert_eq!(
-        one(&mut client, call("2", "mai", "north-map")).await,
-        pair("served", "answered")
+        answer_to(&mut client, call("2", "mai", "north-map")).await,
+        verdict("served", "answered")
     );
     gateway.stop().await;
     let mut bytes = std::fs::read(&written).expect("a snapshot");
@@ -42,7 +42,7 @@
     std::fs::write(&written, bytes).expect("written");
     let _gateway = Gateway::start(&config);
     assert_eq!(
-        one(&mut client, call("3", "mai", "north-map")).await,
-        pair("refused", "user-unknown")
+        answer_to(&mut client, call("3", "mai", "north-map")).await,
+        verdict("refused", "user-unknown")
     );
 }
