--- a/crates/pipithub-admission/src/admission.rs
+++ b/crates/pipithub-admission/src/admission.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use pipithub_directory::{Person, Refresh, Roster, TenantId, User, View, Waiting};
+use pipithub_directory::{PendingLookups, PersonId, Refresh, Resolution, Roster, TenantId, User};
 
 use crate::outputs::{Admitted, Arrival, Completion, Output, RejectReason, ServiceResult};
 use crate::quotas::{Candidate, Decision, QuotaSettings, Quotas};
@@ -34,7 +34,7 @@
     arrival: Arrival<T>,
     arrived_at: Time,
     /// Known once its user's tenant is.
-    person: Option<Person>,
+    person: Option<PersonId>,
 }
 
 impl<T> Pending<T> {
@@ -43,8 +43,8 @@
         let (Some(user), Some(expected)) = (&self.arrival.user, self.person) else {
             return true;
         };
-        match roster.look(user, now) {
-            View::Tenant {
+        match roster.resolve(user, now) {
+            Resolution::Tenant {
                 tenant: current,
                 person,
                 ..
@@ -77,7 +77,7 @@
 #[derive(Debug)]
 pub struct Admission<T> {
     settings: AdmissionSettings,
-    waiting: Waiting<Pending<T>>,
+    waiting: PendingLookups<Pending<T>>,
     quotas: Quotas<Pending<T>>,
     /// When a user that is known already was last asked for again: a busy user's refresh is wanted once, not with each
     /// request.
@@ -90,7 +90,7 @@
     /// One that has admitted nothing.
     pub fn new(settings: AdmissionSettings) -> Self {
         Admission {
-            waiting: Waiting::new(settings.max_waiting),
+            waiting: PendingLookups::new(settings.max_waiting),
             quotas: Quotas::new(settings.quotas.clone()),
             refreshes: BTreeMap::new(),
             decisions: Vec::new(),
@@ -127,7 +127,7 @@
         let Some(user) = pending.arrival.user.clone() else {
             return self.arrive_without_user(now, roster, pending, outputs);
         };
-        let view = roster.look(&user, now);
+        let view = roster.resolve(&user, now);
         if !self.needs_lookup(now, &user, view, outputs) {
             return self.judge(now, roster, view, pending, outputs);
         }
@@ -159,22 +159,22 @@
         &mut self,
         now: Time,
         user: &User,
-        view: View,
+        view: Resolution,
         outputs: &mut Vec<Output<T>>,
     ) -> bool {
         match view {
-            View::Unknown => true,
-            View::Tenant { refresh, .. } => {
-                if refresh == Refresh::Behind && self.may_refresh(now, user) {
+            Resolution::Unknown => true,
+            Resolution::Tenant { refresh, .. } => {
+                if refresh == Refresh::InBackground && self.may_refresh(now, user) {
                     let user = user.clone();
                     outputs.push(Output::LookUp {
                         user,
                         urgent: false,
                     });
                 }
-                refresh == Refresh::First
+                refresh == Refresh::BeforeUse
             }
-            View::Nobody | View::Twice => false,
+            Resolution::NoTenant | Resolution::Ambiguous => false,
         }
     }
 
@@ -198,12 +198,12 @@
         &mut self,
         now: Time,
         roster: &Roster,
-        view: View,
+        view: Resolution,
         mut pending: Pending<T>,
         outputs: &mut Vec<Output<T>>,
     ) {
         match view {
-            View::Tenant { tenant, person, .. } => {
+            Resolution::Tenant { tenant, person, .. } => {
                 let route_tenant = pending.arrival.route_tenant;
                 if route_tenant.is_some_and(|expected| expected != tenant) {
                     return outputs.push(pending.reject(RejectReason::OtherTenant, 0));
@@ -211,9 +211,9 @@
                 pending.person = Some(person);
                 self.offer(now, roster, pending, tenant, outputs);
             }
-            View::Nobody => outputs.push(pending.reject(RejectReason::NoTenant, 0)),
-            View::Twice => outputs.push(pending.reject(RejectReason::ClaimedTwice, 0)),
-            View::Unknown => {
+            Resolution::NoTenant => outputs.push(pending.reject(RejectReason::NoTenant, 0)),
+            Resolution::Ambiguous => outputs.push(pending.reject(RejectReason::ClaimedTwice, 0)),
+            Resolution::Unknown => {
                 outputs.push(pending.reject(RejectReason::UnknownUser, UNKNOWN_USER_RETRY_AFTER));
             }
         }
@@ -271,8 +271,8 @@
         self.quotas
             .completed(now, tenant, result, 0, &mut self.decisions);
         let user = pending.arrival.user.as_deref();
-        let view = user.map_or(View::Unknown, |user| roster.look(user, now));
-        let reason = if view == View::Twice {
+        let view = user.map_or(Resolution::Unknown, |user| roster.resolve(user, now));
+        let reason = if view == Resolution::Ambiguous {
             RejectReason::ClaimedTwice
         } else {
             RejectReason::UnknownUser
@@ -288,9 +288,9 @@
         user: &str,
         outputs: &mut Vec<Output<T>>,
     ) {
-        for woken in self.waiting.wake(user) {
-            let view = roster.look(user, now);
-            self.judge(now, roster, view, woken.call, outputs);
+        for ended in self.waiting.finish(user) {
+            let view = roster.resolve(user, now);
+            self.judge(now, roster, view, ended.request, outputs);
         }
     }
 
@@ -315,10 +315,10 @@
 
     /// Time has passed.
     pub fn tick(&mut self, now: Time, roster: &Roster, outputs: &mut Vec<Output<T>>) {
-        for woken in self.waiting.due(now) {
+        for ended in self.waiting.expire(now) {
             // What is known and past its best is still better than a rejection, up to its hard bound.
-            let view = roster.look(&woken.user, now);
-            self.judge(now, roster, view, woken.call, outputs);
+            let view = roster.resolve(&ended.user, now);
+            self.judge(now, roster, view, ended.request, outputs);
         }
         self.quotas.tick(now, &mut self.decisions);
         self.apply_decisions(now, roster, outputs);
@@ -327,7 +327,7 @@
     /// Drops requests that their source took back; nothing is owed for them any more.
     pub fn cancel(&mut self, mut is_cancelled: impl FnMut(&T) -> bool) {
         self.waiting
-            .forget(|pending| is_cancelled(&pending.arrival.request));
+            .cancel(|pending| is_cancelled(&pending.arrival.request));
         self.quotas
             .cancel(|pending| is_cancelled(&pending.arrival.request));
     }
--- a/crates/pipithub-admission/src/outputs.rs
+++ b/crates/pipithub-admission/src/outputs.rs
@@ -1,6 +1,6 @@
 //! What admission is told of requests, and what it says of them.
 
-use pipithub_directory::{Person, TenantId, User};
+use pipithub_directory::{PersonId, TenantId, User};
 
 use crate::Time;
 
@@ -44,7 +44,7 @@
     /// Its tenant.
     pub tenant: TenantId,
     /// Its user's person, where its user decided.
-    pub person: Option<Person>,
+    pub person: Option<PersonId>,
     /// How long it waited here.
     pub waited: Time,
 }
--- a/crates/pipithub-admission/tests/hard_cases/main.rs
+++ b/crates/pipithub-admission/tests/hard_cases/main.rs
@@ -8,7 +8,7 @@
     Admission, AdmissionSettings, Completion, LimitRange, QuotaSettings, RejectReason,
     ServiceResult, TenantQuota,
 };
-use pipithub_directory::{TenantId, Time, View};
+use pipithub_directory::{Resolution, TenantId, Time};
 
 use crate::world::{MS, S, Server, World, dn, lifetimes};
 
@@ -81,8 +81,8 @@
     let waited = world.admitted.values().filter(|a| a.1 > 0).count();
     assert_eq!(world.admitted.len(), 2_000);
     assert!(waited <= 2, "{waited} calls waited");
-    let age = match world.core.roster().look("mai", world.now) {
-        View::Tenant { age, .. } => age,
+    let age = match world.core.roster().resolve("mai", world.now) {
+        Resolution::Tenant { age, .. } => age,
         _ => Time::MAX,
     };
     assert!(
@@ -294,7 +294,7 @@
             }
             world.run(world.now + S / 2);
         }
-        assert!(world.core.is_up(0));
+        assert!(world.core.is_reachable(0));
         asked.extend(world.servers[0][0].asked.iter().filter(|a| a.0 >= 720 * S));
     }
     let mut seconds: BTreeMap<Time, usize> = BTreeMap::new();
--- a/crates/pipithub-admission/tests/hard_cases/world.rs
+++ b/crates/pipithub-admission/tests/hard_cases/world.rs
@@ -7,8 +7,8 @@
     RejectReason, TenantQuota,
 };
 use pipithub_directory::{
-    Answer, Directory, DirectorySettings, Failure, Found, Input, Lifetimes, Output, Person,
-    SearchId, Settings, TenantBase, TenantId, Time, User, View, What,
+    Directory, DirectoryEntry, DirectorySettings, Input, Lifetimes, Output, PersonId, Query,
+    Resolution, SearchError, SearchId, SearchResponse, Settings, TenantBase, TenantId, Time, User,
 };
 use pipithub_ldap::Dn;
 
@@ -58,7 +58,7 @@
     pub(crate) core: Directory,
     pub(crate) admission: Admission<u64>,
     pub(crate) servers: Vec<Vec<Server>>,
-    pub(crate) due: BTreeMap<(Time, u64), (SearchId, Result<Answer, Failure>)>,
+    pub(crate) due: BTreeMap<(Time, u64), (SearchId, Result<SearchResponse, SearchError>)>,
     pub(crate) number: u64,
     pub(crate) came: HashMap<u64, Time>,
     /// Calls let in: tenant, and how long they waited.
@@ -72,7 +72,7 @@
 pub(crate) fn lifetimes() -> Lifetimes {
     Lifetimes {
         fresh: 60 * S,
-        stale_most: 3_600 * S,
+        max_stale: 3_600 * S,
         negative: 10 * S,
     }
 }
@@ -89,7 +89,7 @@
     ) -> World {
         let directory = |(n, count): (usize, &usize)| {
             let mut settings = DirectorySettings {
-                servers: *count,
+                server_count: *count,
                 lifetimes: lifetimes(),
                 ..DirectorySettings::default()
             };
@@ -113,7 +113,7 @@
             max_users: 100_000,
             max_queue: 10_000,
             seed,
-            wall_ms: 1_800_000_000_000,
+            wall_clock_offset_ms: 1_800_000_000_000,
         };
         let quotas = QuotaSettings {
             tenants: vec![
@@ -158,23 +158,23 @@
                     id,
                     directory,
                     server,
-                    what,
-                } => self.search(id, directory, server, what),
-                Output::GiveUp(id) => self.due.retain(|_, (due, _)| *due != id),
-                Output::News(user) => {
+                    query,
+                } => self.search(id, directory, server, query),
+                Output::CancelSearch(id) => self.due.retain(|_, (due, _)| *due != id),
+                Output::LookupFinished(user) => {
                     let mut out = Vec::new();
                     self.admission
                         .user_updated(self.now, self.core.roster(), &user, &mut out);
                     self.handle_admission(out);
                 }
-                Output::Changed(user) => self.changed.push((self.now, user)),
+                Output::UserMigrated(user) => self.changed.push((self.now, user)),
             }
         }
     }
 
-    pub(crate) fn search(&mut self, id: SearchId, directory: usize, server: usize, what: What) {
+    pub(crate) fn search(&mut self, id: SearchId, directory: usize, server: usize, query: Query) {
         let server = &mut self.servers[directory][server];
-        let users = if let What::Users(users) = &what {
+        let users = if let Query::Users(users) = &query {
             users.clone()
         } else {
             Vec::new()
@@ -186,33 +186,33 @@
         let entries = |user: &User| {
             let found = server.tree.get(&**user).cloned().unwrap_or_default();
             let user = user.clone();
-            found.into_iter().map(move |(dn, person)| Found {
+            found.into_iter().map(move |(dn, person)| DirectoryEntry {
                 user: user.clone(),
                 dn,
-                person: Person(person),
+                person: PersonId(person),
             })
         };
-        let mut found: Vec<Found> = if server.loaded {
+        let mut found: Vec<DirectoryEntry> = if server.loaded {
             users.iter().flat_map(entries).collect()
         } else {
             Vec::new()
         };
         if let Some((user, entries)) = &self.wrong {
-            let told = |(dn, person): &(Dn, u64)| Found {
+            let told = |(dn, person): &(Dn, u64)| DirectoryEntry {
                 user: user.clone(),
                 dn: dn.clone(),
-                person: Person(*person),
+                person: PersonId(*person),
             };
             found = entries.iter().map(told).collect();
         }
-        let answer = Answer {
-            found,
-            mark: server.mark,
-            loaded: server.loaded,
-            newest: None,
+        let answer = SearchResponse {
+            entries: found,
+            change_number: server.mark,
+            base_exists: server.loaded,
+            newest_modify_timestamp: None,
         };
         let outcome = if server.refuses {
-            Err(Failure::Unable)
+            Err(SearchError::Unavailable)
         } else {
             Ok(answer)
         };
@@ -247,7 +247,7 @@
                     );
                 }
                 AdmissionOutput::LookUp { user, urgent } => {
-                    self.core(Input::Wanted { user, urgent });
+                    self.core(Input::LookUp { user, urgent });
                 }
             }
         }
@@ -283,7 +283,7 @@
             self.now = self.now.max(next);
             if answer.is_some_and(|a| a <= self.now) {
                 if let Some((_, (search, outcome))) = self.due.pop_first() {
-                    self.core(Input::Ended { search, outcome });
+                    self.core(Input::SearchEnded { search, outcome });
                 }
             } else {
                 self.core(Input::Tick);
@@ -301,8 +301,8 @@
     }
 
     pub(crate) fn tenant(&self, user: &str) -> Option<u16> {
-        match self.core.roster().look(user, self.now) {
-            View::Tenant { tenant, .. } => Some(tenant.0),
+        match self.core.roster().resolve(user, self.now) {
+            Resolution::Tenant { tenant, .. } => Some(tenant.0),
             _ => None,
         }
     }
--- a/crates/pipithub-bench/src/roster.rs
+++ b/crates/pipithub-bench/src/roster.rs
@@ -10,10 +10,11 @@
     Admission, AdmissionSettings, Arrival, LimitRange, Output as Out, QuotaSettings, RejectReason,
     TenantQuota,
 };
+use pipithub_directory::snapshot::StoredRecord;
 use pipithub_directory::{
-    Answer, Claim, Directory, DirectorySettings, Found, Input, Lifetimes, News, Output, Peak,
-    Person, Publisher, Roster, SearchId, Settings, TenantBase, TenantId, Time, Told, User, View,
-    What,
+    DailyPeak, Directory, DirectoryEntry, DirectorySettings, Input, Lifetimes, LookupRecord,
+    LookupResult, Output, PersonId, Publisher, Query, Resolution, Roster, SearchId, SearchResponse,
+    Settings, SyncEvent, TenantBase, TenantId, Time, User,
 };
 use pipithub_ldap::Dn;
 use pipithub_scenario::load::Chance;
@@ -43,7 +44,7 @@
         max_users,
         max_queue: 65_536,
         seed,
-        wall_ms: 0,
+        wall_clock_offset_ms: 0,
     })
 }
 
@@ -72,7 +73,7 @@
     while times.len() < count && stop.is_none_or(|s| !s.load(Ordering::Relaxed)) {
         let user = &names[chance.below(names.len())];
         let began = Instant::now();
-        let view = shared.load().look(user, S);
+        let view = shared.load().resolve(user, S);
         times.push(began.elapsed().as_nanos().min(u128::from(u32::MAX)) as u32);
         black_box(view);
     }
@@ -101,19 +102,19 @@
     let mut core = core(DirectorySettings::default(), 2 * users, 1);
     // Names of their own, as they come from a directory, so that what they take is counted.
     let facts = (0..users).map(|n| {
-        let told = Told::Tenant(TenantId((n % TENANTS) as u16));
-        (
-            name(n),
-            Claim {
+        let result = LookupResult::Tenant(TenantId((n % TENANTS) as u16));
+        StoredRecord {
+            user: name(n),
+            record: LookupRecord {
                 directory: 0,
-                told,
-                person: Person(n as u64 + 1),
-                confirmed: 0,
-                mark: 1,
-                spread: n as u8,
-                seen: 0,
+                result,
+                person: PersonId(n as u64 + 1),
+                confirmed_at_ms: 0,
+                change_number: 1,
+                refresh_jitter: n as u8,
+                last_wanted_day: 0,
             },
-        )
+        }
     });
     core.restore(0, facts.collect());
     let bytes = (resident() - before) / users as f64;
@@ -127,7 +128,7 @@
     let roster = shared.load();
     let began = Instant::now();
     for n in &order {
-        black_box(roster.look(&names[*n], S));
+        black_box(roster.resolve(&names[*n], S));
     }
     let all = began.elapsed().as_nanos() as f64 / order.len() as f64;
     // A call has its user's name at hand; here each is fetched from memory first.
@@ -156,9 +157,9 @@
         let mut published = Instant::now();
         core.handle(
             S,
-            Input::Told {
+            Input::Synchronization {
                 directory: 0,
-                news: News::Begun { whole: true },
+                event: SyncEvent::RefreshStarted { full: true },
             },
             &mut out,
         );
@@ -166,16 +167,16 @@
             let user = name(n);
             let rdn = Dn::parse(&format!("uid={user}")).ok();
             let dn = bases[n % TENANTS].moved(rdn.as_ref(), Some(&bases[n % TENANTS]));
-            let found = Found {
+            let found = DirectoryEntry {
                 user,
                 dn,
-                person: Person(n as u64 + 1),
+                person: PersonId(n as u64 + 1),
             };
             core.handle(
                 2 * S,
-                Input::Told {
+                Input::Synchronization {
                     directory: 0,
-                    news: News::Entry(found),
+                    event: SyncEvent::Entry(found),
                 },
                 &mut out,
             );
@@ -188,9 +189,9 @@
         }
         core.handle(
             3 * S,
-            Input::Told {
+            Input::Synchronization {
                 directory: 0,
-                news: News::Complete,
+                event: SyncEvent::RefreshDone,
             },
             &mut out,
         );
@@ -281,12 +282,12 @@
     let asking = DirectorySettings {
         lifetimes: Lifetimes {
             fresh: 7_200 * S,
-            stale_most: 30 * 3_600 * S,
+            max_stale: 30 * 3_600 * S,
             negative: 30 * S,
         },
-        peak: Some(Peak {
-            at: (peak / MS) as i64,
-            ahead: 1_800_000,
+        daily_peak: Some(DailyPeak {
+            starts_at_ms: (peak / MS) as i64,
+            lead_ms: 1_800_000,
         }),
         ..DirectorySettings::default()
     };
@@ -301,7 +302,7 @@
         max_identity_wait: 40 * MS,
         max_waiting: 4_096,
     });
-    let mut answers: BTreeMap<(Time, u64), (SearchId, Answer)> = BTreeMap::new();
+    let mut answers: BTreeMap<(Time, u64), (SearchId, SearchResponse)> = BTreeMap::new();
     let (mut waited, mut refused, mut number) = (0, 0, 0u64);
     let (mut out, mut said) = (Vec::new(), Vec::new());
     let mut now = 0;
@@ -325,7 +326,7 @@
         {
             core.handle(
                 now,
-                Input::Ended {
+                Input::SearchEnded {
                     search,
                     outcome: Ok(answer),
                 },
@@ -354,7 +355,7 @@
                         ..
                     } => refused += 1,
                     Out::Reject { .. } => {}
-                    Out::LookUp { user, urgent } => wants.push(Input::Wanted { user, urgent }),
+                    Out::LookUp { user, urgent } => wants.push(Input::LookUp { user, urgent }),
                 }
             }
             wants
@@ -365,9 +366,9 @@
             }
             for one in out.drain(..) {
                 match one {
-                    Output::Search { id, what, .. } => {
+                    Output::Search { id, query, .. } => {
                         note(now);
-                        let users = if let What::Users(users) = what {
+                        let users = if let Query::Users(users) = query {
                             users
                         } else {
                             Vec::new()
@@ -376,30 +377,33 @@
                         let found = |user: User| {
                             let n: usize =
                                 user.trim_start_matches("caregiver").parse().unwrap_or(0);
-                            Found {
+                            DirectoryEntry {
                                 user,
                                 dn: entry(n),
-                                person: Person(n as u64 + 1),
+                                person: PersonId(n as u64 + 1),
                             }
                         };
-                        let found = users.into_iter().map(found).collect();
+                        let entries = users.into_iter().map(found).collect();
                         number += 1;
-                        let answer = Answer {
-                            found,
-                            mark: Some(1),
-                            loaded: true,
-                            newest: None,
+                        let answer = SearchResponse {
+                            entries,
+                            change_number: Some(1),
+                            base_exists: true,
+                            newest_modify_timestamp: None,
                         };
                         answers.insert((now + 5 * MS, number), (id, answer));
                     }
-                    Output::News(user) => {
+                    Output::LookupFinished(user) => {
                         admission.user_updated(now, core.roster(), &user, &mut said);
                     }
-                    Output::GiveUp(_) | Output::Changed(_) => {}
+                    Output::CancelSearch(_) | Output::UserMigrated(_) => {}
                 }
             }
         }
     }
-    debug_assert!(matches!(core.roster().look("nobody", now), View::Unknown));
+    debug_assert!(matches!(
+        core.roster().resolve("nobody", now),
+        Resolution::Unknown
+    ));
     (waited, refused)
 }
--- a/crates/pipithub-characterization/tests/file_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/file_driver/mod.rs
@@ -3,9 +3,10 @@
 use std::path::Path;
 use std::sync::Arc;
 
+use pipithub_directory::snapshot::StoredRecord;
 use pipithub_directory::{
-    Claim, Directory, DirectorySettings, Lifetimes, Person, Settings, TenantBase, TenantId, Told,
-    snapshot,
+    Directory, DirectorySettings, Lifetimes, LookupRecord, LookupResult, PersonId, Settings,
+    TenantBase, TenantId, snapshot,
 };
 use pipithub_endpoints::{Step, Watcher};
 use pipithub_engine::policy::{Endpoint, EndpointState, EndpointUpdate};
@@ -203,7 +204,7 @@
     };
     let lifetimes = Lifetimes {
         fresh: HOUR,
-        stale_most: 12 * HOUR,
+        max_stale: 12 * HOUR,
         negative: HOUR / 60,
     };
     let mut directory = Directory::new(Settings {
@@ -215,21 +216,24 @@
         max_users: 100,
         max_queue: 100,
         seed: 3,
-        wall_ms: 0,
+        wall_clock_offset_ms: 0,
     });
-    let claims = facts.iter().map(|(user, tenant, person, mark, confirmed)| {
-        let claim = Claim {
+    let records = facts.iter().map(|(user, tenant, person, mark, confirmed)| {
+        let record = LookupRecord {
             directory: 0,
-            told: Told::Tenant(TenantId(*tenant)),
-            person: Person(*person),
-            confirmed: *confirmed,
-            mark: *mark,
-            spread: 0,
-            seen: 0,
+            result: LookupResult::Tenant(TenantId(*tenant)),
+            person: PersonId(*person),
+            confirmed_at_ms: *confirmed,
+            change_number: *mark,
+            refresh_jitter: 0,
+            last_wanted_day: 0,
         };
-        (user.as_str().into(), claim)
+        StoredRecord {
+            user: user.as_str().into(),
+            record,
+        }
     });
-    directory.restore(now, claims.collect());
+    directory.restore(now, records.collect());
     snapshot::write(directory.roster(), now, wall_ms, fingerprint, key)
 }
 
@@ -241,19 +245,18 @@
     fingerprint: [u8; 32],
     key: &[u8],
 ) -> Result<Vec<Fact>, String> {
-    let stale_most = |directory: u16| (directory == 0).then_some(12 * HOUR);
-    let facts = snapshot::read(bytes, now, wall_ms, fingerprint, key, stale_most);
-    let fact = |(user, claim): &(_, Claim)| {
-        let user: &pipithub_directory::User = user;
-        let Told::Tenant(tenant) = claim.told else {
+    let max_stale = |directory: u16| (directory == 0).then_some(12 * HOUR);
+    let facts = snapshot::read(bytes, now, wall_ms, fingerprint, key, max_stale);
+    let fact = |StoredRecord { user, record }: &StoredRecord| {
+        let LookupResult::Tenant(tenant) = record.result else {
             panic!("a fact without a tenant")
         };
         (
             user.to_string(),
             tenant.0,
-            claim.person.0,
-            claim.mark,
-            claim.confirmed,
+            record.person.0,
+            record.change_number,
+            record.confirmed_at_ms,
         )
     };
     let mut facts: Vec<Fact> = facts
--- a/crates/pipithub-directory/src/core.rs
+++ b/crates/pipithub-directory/src/core.rs
@@ -8,11 +8,13 @@
 
 use crate::Time;
 use crate::facts::{
-    Claim, Claims, Facts, Lifetimes, Person, Roster, TenantId, Told, User, View, ms, share,
+    Facts, Lifetimes, LookupRecord, LookupRecords, LookupResult, PersonId, Resolution, Roster,
+    TenantId, User, ms, share,
 };
 use crate::map::Map;
-use crate::peak::{DAY, Peak};
+use crate::peak::{DAY, DailyPeak};
 use crate::servers::{Breaker, Limits, Server};
+use crate::snapshot::StoredRecord;
 
 const MS: Time = 1_000_000;
 /// Names that a user may have, in bytes.
@@ -39,11 +41,20 @@
     pub base: Dn,
 }
 
+/// How long a server that fails is left alone, before jitter: twice as long after each further failure.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Backoff {
+    /// After the first failure.
+    pub initial: Time,
+    /// At the longest.
+    pub max: Time,
+}
+
 /// How a directory is asked.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DirectorySettings {
     /// How many servers it has.
-    pub servers: usize,
+    pub server_count: usize,
     /// Realms of the names that it knows; none: names without a realm.
     pub realms: Vec<String>,
     /// For how long what it says counts.
@@ -53,44 +64,47 @@
     /// After this long without an answer a second server is asked too.
     pub hedge_after: Time,
     /// Users in one search.
-    pub batch: usize,
+    pub max_users_per_search: usize,
     /// Searches at a time at one server.
-    pub at_once: usize,
+    pub max_searches_per_server: usize,
     /// Searches a second at all its servers.
-    pub rate: f64,
+    pub max_searches_per_second: f64,
     /// Failures in a row after which a server is left alone.
-    pub failures: u32,
-    /// For how long it is, at first and at the longest.
-    pub wait: (Time, Time),
+    pub failure_threshold: u32,
+    /// For how long it is left alone.
+    pub backoff: Backoff,
     /// A server that tells no mark must say a change twice, this far apart.
-    pub doubt: Time,
+    pub change_confirmation_delay: Time,
     /// A daily peak ahead of which facts are refreshed.
-    pub peak: Option<Peak>,
+    pub daily_peak: Option<DailyPeak>,
     /// Every so often, ask for what was changed since; 0: never.
-    pub poll: Time,
+    pub poll_interval: Time,
 }
 
 impl Default for DirectorySettings {
     fn default() -> Self {
         const S: Time = 1_000 * MS;
         DirectorySettings {
-            servers: 1,
+            server_count: 1,
             realms: Vec::new(),
             lifetimes: Lifetimes {
                 fresh: 600 * S,
-                stale_most: 12 * 3_600 * S,
+                max_stale: 12 * 3_600 * S,
                 negative: 30 * S,
             },
             timeout: 2 * S,
             hedge_after: 50 * MS,
-            batch: 64,
-            at_once: 4,
-            rate: 50.0,
-            failures: 3,
-            wait: (S, 30 * S),
-            doubt: S,
-            peak: None,
-            poll: 0,
+            max_users_per_search: 64,
+            max_searches_per_server: 4,
+            max_searches_per_second: 50.0,
+            failure_threshold: 3,
+            backoff: Backoff {
+                initial: S,
+                max: 30 * S,
+            },
+            change_confirmation_delay: S,
+            daily_peak: None,
+            poll_interval: 0,
         }
     }
 }
@@ -109,7 +123,7 @@
     /// Its only chance: sets this front end's times apart from others'.
     pub seed: u64,
     /// Unix milliseconds at time 0.
-    pub wall_ms: i64,
+    pub wall_clock_offset_ms: i64,
 }
 
 /// Names a search.
@@ -118,86 +132,92 @@
 
 /// What is asked.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum Query {
     /// These users. The server's mark is to be read before them, on the same connection.
     Users(Vec<User>),
     /// How the server stands: whether its tree is there, and its mark.
-    State,
+    ServerState,
     /// What was changed since this `modifyTimestamp`; `None`: how far its timestamps have come.
-    Since(Option<String>),
+    ChangedSince(Option<String>),
 }
 
-impl What {
-    fn is_answered_wrongly(&self, answer: &Answer) -> bool {
-        let What::Users(users) = self else {
+impl Query {
+    fn is_answered_wrongly(&self, answer: &SearchResponse) -> bool {
+        let Query::Users(users) = self else {
             return false;
         };
         let asked: HashSet<&User> = users.iter().collect();
-        answer.found.iter().any(|f| !asked.contains(&f.user))
+        answer.entries.iter().any(|f| !asked.contains(&f.user))
     }
 }
 
 /// An entry that a directory told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Found {
+pub struct DirectoryEntry {
     /// Its user's name, folded, with the realm as users give it.
     pub user: User,
     /// Where it stands.
     pub dn: Dn,
     /// Who it is.
-    pub person: Person,
+    pub person: PersonId,
 }
 
 /// A whole answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Answer {
+pub struct SearchResponse {
     /// The entries.
-    pub found: Vec<Found>,
+    pub entries: Vec<DirectoryEntry>,
     /// How far the server's copy had come before it searched, where it tells.
-    pub mark: Option<u64>,
+    pub change_number: Option<u64>,
     /// The base of the tree is there. A server that is still loading answers that nobody exists.
-    pub loaded: bool,
+    pub base_exists: bool,
     /// The newest `modifyTimestamp` in it.
-    pub newest: Option<String>,
+    pub newest_modify_timestamp: Option<String>,
 }
 
-/// Why there is no answer.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
+/// Why there is no answer. The texts are part of what `pipithub tenants` prints, and stay.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SearchError {
     /// None came in time.
+    #[error("TimedOut")]
     TimedOut,
     /// The server could not be reached, or the connection ended.
-    Lost,
+    #[error("Lost")]
+    ConnectionLost,
     /// The server says that it cannot now: busy, unavailable, limits.
-    Unable,
+    #[error("Unable")]
+    Unavailable,
     /// It refuses us: the bind, the rights.
+    #[error("Denied")]
     Denied,
     /// What it said is no answer.
-    Nonsense,
+    #[error("Nonsense")]
+    InvalidResponse,
     /// It says to ask elsewhere: at this one of the directory's servers, or at one that we do not know.
-    Elsewhere(Option<usize>),
+    #[error("Elsewhere({0:?})")]
+    Referral(Option<usize>),
 }
 
 /// What a followed directory says.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum SyncEvent {
     /// Everything is told from here on, or what changed since the last time.
-    Begun {
+    RefreshStarted {
         /// Everything.
-        whole: bool,
+        full: bool,
     },
     /// An entry is there, new or as it was.
-    Entry(Found),
+    Entry(DirectoryEntry),
     /// An entry is gone.
-    Gone(Person),
+    Deleted(PersonId),
     /// An entry has not changed.
-    Kept(Person),
+    Unchanged(PersonId),
     /// What was to be told is told; the connection was good just now.
-    Complete,
+    RefreshDone,
     /// The connection was good just now.
-    Alive,
+    Heartbeat,
     /// The connection is gone.
-    Lost,
+    ConnectionLost,
 }
 
 /// What happened.
@@ -206,32 +226,32 @@
     /// Only time has passed; every other input does this too.
     Tick,
     /// A call's user is to be known, or known anew.
-    Wanted {
+    LookUp {
         /// The user.
         user: User,
         /// Somebody waits.
         urgent: bool,
     },
     /// A search ended.
-    Ended {
+    SearchEnded {
         /// Which.
         search: SearchId,
         /// How.
-        outcome: Result<Answer, Failure>,
+        outcome: Result<SearchResponse, SearchError>,
     },
     /// News of a directory that is followed.
-    Told {
+    Synchronization {
         /// The directory.
         directory: usize,
         /// What it says.
-        news: News,
+        event: SyncEvent,
     },
 }
 
 /// What to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Ask a server; one [`Input::Ended`] is owed unless it is given up.
+    /// Ask a server; one [`Input::SearchEnded`] is owed unless it is given up.
     Search {
         /// Its id.
         id: SearchId,
@@ -240,14 +260,14 @@
         /// Which of its servers.
         server: usize,
         /// What.
-        what: What,
+        query: Query,
     },
     /// Its answer is of no use any more.
-    GiveUp(SearchId),
+    CancelSearch(SearchId),
     /// There is news of a user that was asked for: the roster holds it, or nobody can say.
-    News(User),
+    LookupFinished(User),
     /// A user is another tenant's now, or nobody's, or another person: what runs for them must end.
-    Changed(User),
+    UserMigrated(User),
 }
 
 /// What was done so far.
@@ -256,21 +276,21 @@
     /// Searches for users.
     pub searches: u64,
     /// Users in them.
-    pub asked: u64,
+    pub searched_users: u64,
     /// Of the searches, second ones for the same users.
-    pub hedges: u64,
+    pub hedged_searches: u64,
     /// Searches for a server's state, and for what changed.
     pub probes: u64,
     /// Searches that failed.
-    pub failures: u64,
+    pub failed_searches: u64,
     /// Wants for which there was no room.
-    pub dropped: u64,
+    pub dropped_lookups: u64,
     /// Entries told that were not asked for, or are below no tenant's base.
-    pub odd: u64,
+    pub unexpected_entries: u64,
     /// Answers older than what was known.
-    pub behind: u64,
+    pub outdated_results: u64,
     /// Users who changed.
-    pub changed: u64,
+    pub migrated_users: u64,
 }
 
 /// A refresh of a followed directory that is over: who was not told in it is looked for, some at a time.
@@ -278,14 +298,14 @@
     directory: usize,
     began: i64,
     /// Everybody, as long as those who were not told are not gathered.
-    all: Option<Map<CompactString, Claims>>,
+    all: Option<Map<CompactString, LookupRecords>>,
     missed: Vec<User>,
 }
 
 struct Out {
     directory: usize,
     server: usize,
-    what: What,
+    what: Query,
     began: Time,
     deadline: Time,
     /// When a second server is asked; `None`: it was, or is not.
@@ -313,7 +333,7 @@
     /// Marks from the oldest to the newest, and when each was first seen.
     marks: VecDeque<(u64, i64)>,
     /// Changes told once by a server without marks.
-    doubts: BTreeMap<User, (Told, Time)>,
+    doubts: BTreeMap<User, (LookupResult, Time)>,
     later: BTreeSet<(Time, User)>,
     poll_due: Option<Time>,
     /// When each server is asked how it stands, if it is not asked for anything else: one that is never the fastest is
@@ -321,7 +341,7 @@
     state_due: Vec<Time>,
     newest: Option<String>,
     /// Of a followed directory: whose entry is whose, and when the telling under way began.
-    persons: HashMap<Person, User>,
+    persons: HashMap<PersonId, User>,
     telling: Option<(i64, bool)>,
 }
 
@@ -331,7 +351,7 @@
     max_users: usize,
     max_queue: usize,
     seed: u64,
-    wall_ms: i64,
+    wall_clock_offset_ms: i64,
     sites: Vec<Site>,
     roster: Roster,
     out: BTreeMap<SearchId, Out>,
@@ -366,21 +386,22 @@
             slow: false,
         };
         let site = |(n, d): (usize, &DirectorySettings)| Site {
-            servers: vec![Server::new(); d.servers.max(1)],
+            servers: vec![Server::new(); d.server_count.max(1)],
             queues: Default::default(),
             calm_due: 0,
             pending: HashSet::new(),
             missed: HashSet::new(),
-            tokens: (d.rate / 4.0).max(1.0),
+            tokens: (d.max_searches_per_second / 4.0).max(1.0),
             filled: 0,
             hedges: 1.0,
             marks: VecDeque::new(),
             doubts: BTreeMap::new(),
             later: BTreeSet::new(),
             // Front ends that start together do not poll together.
-            poll_due: (d.poll > 0)
-                .then(|| (d.poll as f64 * share("poll", settings.seed ^ n as u64)) as Time),
-            state_due: (0..d.servers.max(1))
+            poll_due: (d.poll_interval > 0).then(|| {
+                (d.poll_interval as f64 * share("poll", settings.seed ^ n as u64)) as Time
+            }),
+            state_due: (0..d.server_count.max(1))
                 .map(|s| {
                     (state_gap(d) as f64 * share("state", settings.seed ^ (n * 64 + s) as u64))
                         as Time
@@ -403,7 +424,7 @@
             max_users: settings.max_users.max(1),
             max_queue: settings.max_queue.max(1),
             seed: settings.seed,
-            wall_ms: settings.wall_ms,
+            wall_clock_offset_ms: settings.wall_clock_offset_ms,
             out: BTreeMap::new(),
             next: 0,
             chance: settings.seed | 1,
@@ -424,22 +445,29 @@
     }
 
     /// Whether a server of the directory is being asked.
-    pub fn is_up(&self, directory: usize) -> bool {
+    pub fn is_reachable(&self, directory: usize) -> bool {
         self.sites
             .get(directory)
             .is_some_and(|s| s.servers.iter().any(|s| s.breaker == Breaker::Closed))
     }
 
     /// Searches under way.
-    pub fn searching(&self) -> usize {
+    pub fn searches_in_flight(&self) -> usize {
         self.out.len()
     }
 
     /// Takes what a snapshot holds. Facts past their bound were left out of it; none of them is asked for at once.
-    pub fn restore(&mut self, now: Time, facts: Vec<(User, Claim)>) {
+    pub fn restore(&mut self, now: Time, facts: Vec<StoredRecord>) {
         let seen = self.day(now);
-        for (user, claim) in facts {
-            let claim = Claim { seen, ..claim };
+        for StoredRecord {
+            user,
+            record: claim,
+        } in facts
+        {
+            let claim = LookupRecord {
+                last_wanted_day: seen,
+                ..claim
+            };
             if usize::from(claim.directory) < self.sites.len()
                 && self.roster.users.len() < self.max_users
             {
@@ -472,7 +500,7 @@
                 && site.tokens < 1.0
                 && site.servers.iter().any(|s| s.has_room(&limits))
             {
-                let missing = (1.0 - site.tokens) / site.settings.rate.max(0.01);
+                let missing = (1.0 - site.tokens) / site.settings.max_searches_per_second.max(0.01);
                 due.push(site.filled.saturating_add((missing * 1e9) as Time + MS));
             }
         }
@@ -500,12 +528,12 @@
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Tick => {}
-            Input::Wanted { user, urgent } => self.wanted(now, user, urgent, out),
-            Input::Ended { search, outcome } => self.ended(now, search, outcome, out),
-            Input::Told { directory, news } if directory < self.sites.len() => {
-                self.told(now, directory, news, out);
+            Input::LookUp { user, urgent } => self.wanted(now, user, urgent, out),
+            Input::SearchEnded { search, outcome } => self.ended(now, search, outcome, out),
+            Input::Synchronization { directory, event } if directory < self.sites.len() => {
+                self.told(now, directory, event, out);
             }
-            Input::Told { .. } => {}
+            Input::Synchronization { .. } => {}
         }
         self.overdue(now, out);
         self.turn_wheel(now);
@@ -524,34 +552,43 @@
     /// Takes the wall time that `now` stands for, as the wall clock may have been stepped. Only days and daily peaks
     /// follow it; how old facts are is counted in monotonic time. Users whose next look is planned keep their place, so
     /// that a step moves the refreshes ahead of the next peak, and none after it.
-    pub fn set_wall(&mut self, now: Time, wall_ms: i64) {
-        self.wall_ms = wall_ms.saturating_sub(ms(now));
+    pub fn set_wall_clock(&mut self, now: Time, wall_ms: i64) {
+        self.wall_clock_offset_ms = wall_ms.saturating_sub(ms(now));
     }
 
     // ---- wants ----
 
     fn day(&self, now: Time) -> u8 {
-        self.wall_ms
+        self.wall_clock_offset_ms
             .saturating_add(ms(now))
             .div_euclid(DAY)
             .rem_euclid(256) as u8
     }
 
     fn wanted(&mut self, now: Time, user: User, urgent: bool, out: &mut Vec<Output>) {
-        let relevant: Vec<u16> = self.roster.relevant(&user).to_vec();
+        let relevant: Vec<u16> = self.roster.directories_for(&user).to_vec();
         if relevant.is_empty() || user.is_empty() || user.len() > NAME_MOST {
-            return out.push(Output::News(user));
+            return out.push(Output::LookupFinished(user));
         }
         let day = self.day(now);
-        let seen = |claims: &Claims| claims.as_slice().first().filter(|c| c.seen != day).copied();
+        let seen = |claims: &LookupRecords| {
+            claims
+                .as_slice()
+                .first()
+                .filter(|c| c.last_wanted_day != day)
+                .copied()
+        };
         if let Some(claims) = self.roster.users.get(&*user)
             && let Some(claim) = seen(claims)
         {
-            let claims = claims.with(Claim { seen: day, ..claim });
+            let claims = claims.with(LookupRecord {
+                last_wanted_day: day,
+                ..claim
+            });
             self.roster.users.insert((&*user).into(), claims);
         }
-        let queue = match (urgent, self.roster.look(&user, now)) {
-            (true, View::Unknown) => 0,
+        let queue = match (urgent, self.roster.resolve(&user, now)) {
+            (true, Resolution::Unknown) => 0,
             (true, _) => 1,
             (false, _) => 2,
         };
@@ -561,7 +598,7 @@
         }
         if !asked {
             // Nobody will ask: whoever waits must not.
-            out.push(Output::News(user));
+            out.push(Output::LookupFinished(user));
         }
     }
 
@@ -581,7 +618,7 @@
             return true;
         }
         if site.queues[queue].len() >= most {
-            self.stats.dropped += 1;
+            self.stats.dropped_lookups += 1;
             return false;
         }
         if queue == 2 && site.queues[2].is_empty() {
@@ -597,8 +634,8 @@
     /// Tells of a user when no directory is being asked for them any more: an answer from one of several is not yet one.
     fn tell(&self, user: User, out: &mut Vec<Output>) {
         let pending = |d: &u16| self.sites[usize::from(*d)].pending.contains(&user);
-        if !self.roster.relevant(&user).iter().any(pending) {
-            out.push(Output::News(user));
+        if !self.roster.directories_for(&user).iter().any(pending) {
+            out.push(Output::LookupFinished(user));
         }
     }
 
@@ -608,8 +645,8 @@
         let site = &mut self.sites[directory];
         let passed = now.saturating_sub(site.filled) as f64 / 1e9;
         site.filled = site.filled.max(now);
-        let burst = (site.settings.rate / 4.0).max(1.0);
-        site.tokens = (site.tokens + passed * site.settings.rate).min(burst);
+        let burst = (site.settings.max_searches_per_second / 4.0).max(1.0);
+        site.tokens = (site.tokens + passed * site.settings.max_searches_per_second).min(burst);
         while let Some((_, user)) = self.sites[directory]
             .later
             .first()
@@ -654,7 +691,7 @@
             };
             let mut users = Vec::new();
             let mut tries = 0;
-            while users.len() < site.settings.batch.max(1) {
+            while users.len() < site.settings.max_users_per_search.max(1) {
                 // Those that were tried before go without others: what failed may be of their making.
                 let Some(queue) = site.queues.iter_mut().find(|q| !q.is_empty()) else {
                     break;
@@ -668,8 +705,8 @@
             site.tokens -= 1.0;
             site.hedges = (site.hedges + HEDGE_SHARE).min(4.0);
             self.stats.searches += 1;
-            self.stats.asked += users.len() as u64;
-            self.begin(now, directory, server, What::Users(users), tries, out);
+            self.stats.searched_users += users.len() as u64;
+            self.begin(now, directory, server, Query::Users(users), tries, out);
         }
     }
 
@@ -678,7 +715,7 @@
         now: Time,
         directory: usize,
         server: usize,
-        what: What,
+        what: Query,
         tries: u8,
         out: &mut Vec<Output>,
     ) -> SearchId {
@@ -698,7 +735,7 @@
             server,
             began: now,
             deadline: now.saturating_add(site.settings.timeout),
-            hedge: matches!(what, What::Users(_)).then_some(hedge),
+            hedge: matches!(what, Query::Users(_)).then_some(hedge),
             twin: None,
             tries,
             what: what.clone(),
@@ -708,7 +745,7 @@
             id,
             directory,
             server,
-            what,
+            query: what,
         });
         id
     }
@@ -720,7 +757,7 @@
                 && now >= until
             {
                 self.stats.probes += 1;
-                let probe = self.begin(now, directory, server, What::State, 0, out);
+                let probe = self.begin(now, directory, server, Query::ServerState, 0, out);
                 self.sites[directory].servers[server].breaker = Breaker::Trying { probe, wait };
             }
             let site = &mut self.sites[directory];
@@ -736,17 +773,17 @@
                     && site.servers[server].breaker == Breaker::Closed
                 {
                     self.stats.probes += 1;
-                    self.begin(now, directory, server, What::State, 0, out);
+                    self.begin(now, directory, server, Query::ServerState, 0, out);
                 }
             }
         }
         let site = &mut self.sites[directory];
         if site.poll_due.is_some_and(|due| now >= due) {
-            site.poll_due = Some(now + site.settings.poll);
+            site.poll_due = Some(now + site.settings.poll_interval);
             if let Some(server) = site.choose(None) {
                 let since = site.newest.clone();
                 self.stats.probes += 1;
-                self.begin(now, directory, server, What::Since(since), 0, out);
+                self.begin(now, directory, server, Query::ChangedSince(since), 0, out);
             }
         }
     }
@@ -761,8 +798,8 @@
             .collect();
         for id in late {
             if self.out.contains_key(&id) {
-                out.push(Output::GiveUp(id));
-                self.ended(now, id, Err(Failure::TimedOut), out);
+                out.push(Output::CancelSearch(id));
+                self.ended(now, id, Err(SearchError::TimedOut), out);
             }
         }
         let slow = self
@@ -789,7 +826,7 @@
                 continue;
             };
             site.hedges -= 1.0;
-            self.stats.hedges += 1;
+            self.stats.hedged_searches += 1;
             let twin = self.begin(now, directory, other, what, tries, out);
             if let Some(twin) = self.out.get_mut(&twin) {
                 (twin.hedge, twin.twin) = (None, Some(id));
@@ -805,7 +842,7 @@
         &mut self,
         now: Time,
         id: SearchId,
-        outcome: Result<Answer, Failure>,
+        outcome: Result<SearchResponse, SearchError>,
         out: &mut Vec<Output>,
     ) {
         // One that was given up has ended before.
@@ -820,42 +857,45 @@
         server.out = server.out.saturating_sub(1);
         let outcome = match outcome {
             // Without its base it is still loading: that it knows nobody means nothing.
-            Ok(answer) if !answer.loaded => Err(Failure::Unable),
+            Ok(answer) if !answer.base_exists => Err(SearchError::Unavailable),
             // Entries that nobody asked for: what it says of those who were asked for is worth as little.
             Ok(answer) if search.what.is_answered_wrongly(&answer) => {
-                self.stats.odd += 1;
-                Err(Failure::Nonsense)
+                self.stats.unexpected_entries += 1;
+                Err(SearchError::InvalidResponse)
             }
             other => other,
         };
         let answer = match outcome {
             Ok(answer) => answer,
             Err(failure) => {
-                self.stats.failures += 1;
+                self.stats.failed_searches += 1;
                 let hard = matches!(
                     failure,
-                    Failure::Unable | Failure::Denied | Failure::Nonsense | Failure::Elsewhere(_)
+                    SearchError::Unavailable
+                        | SearchError::Denied
+                        | SearchError::InvalidResponse
+                        | SearchError::Referral(_)
                 );
                 server.failed(now, hard, jitter, &limits);
                 if let Some(twin) = search.twin.and_then(|t| self.out.get_mut(&t)) {
                     twin.twin = None;
-                } else if let What::Users(users) = search.what {
+                } else if let Query::Users(users) = search.what {
                     self.again(directory, users, search.tries, out);
                 }
                 return;
             }
         };
         server.answered(now, now.saturating_sub(search.began), &limits);
-        let current = site.heard(search.server, answer.mark, ms(search.began));
+        let current = site.heard(search.server, answer.change_number, ms(search.began));
         // What is told is as of before the question was asked, or as of when this copy was the newest there was.
         let confirmed = current.unwrap_or(ms(search.began));
         if current.is_some() {
-            self.stats.behind += 1;
+            self.stats.outdated_results += 1;
         }
         match search.what {
-            What::State => {}
-            What::Since(_) => {
-                for found in answer.found {
+            Query::ServerState => {}
+            Query::ChangedSince(_) => {
+                for found in answer.entries {
                     // Only of those that are known: who was never here is asked for when they are.
                     if self.roster.users.contains_key(&*found.user) {
                         let told = self.place(directory, &found.dn);
@@ -866,36 +906,36 @@
                             told,
                             found.person,
                             confirmed,
-                            answer.mark,
+                            answer.change_number,
                             out,
                         );
                     }
                 }
                 let site = &mut self.sites[directory];
-                site.newest = answer.newest.max(site.newest.take());
+                site.newest = answer.newest_modify_timestamp.max(site.newest.take());
             }
-            What::Users(users) => {
+            Query::Users(users) => {
                 if let Some(twin) = search.twin
                     && let Some(other) = self.out.remove(&twin)
                 {
                     let site = &mut self.sites[directory];
                     let server = &mut site.servers[other.server];
                     server.out = server.out.saturating_sub(1);
-                    out.push(Output::GiveUp(twin));
+                    out.push(Output::CancelSearch(twin));
                 }
-                let mut told: HashMap<&User, Vec<&Found>> = HashMap::new();
-                for found in &answer.found {
+                let mut told: HashMap<&User, Vec<&DirectoryEntry>> = HashMap::new();
+                for found in &answer.entries {
                     told.entry(&found.user).or_default().push(found);
                 }
                 let mut unsure = Vec::new();
                 for user in &users {
                     let (told, person) = match told.get(user).map(Vec::as_slice) {
-                        None | Some([]) => (Told::Absent, Person::default()),
+                        None | Some([]) => (LookupResult::Absent, PersonId::default()),
                         Some([one]) => (self.place(directory, &one.dn), one.person),
-                        Some(_) => (Told::Twice, Person::default()),
+                        Some(_) => (LookupResult::Ambiguous, PersonId::default()),
                     };
                     // That a copy which is behind does not know somebody says nothing of now.
-                    if current.is_some() && told == Told::Absent {
+                    if current.is_some() && told == LookupResult::Absent {
                         unsure.push(user.clone());
                         continue;
                     }
@@ -907,7 +947,7 @@
                         told,
                         person,
                         confirmed,
-                        answer.mark,
+                        answer.change_number,
                         out,
                     );
                     self.tell(user.clone(), out);
@@ -936,7 +976,7 @@
 
     // ---- facts ----
 
-    fn place(&mut self, directory: usize, dn: &Dn) -> Told {
+    fn place(&mut self, directory: usize, dn: &Dn) -> LookupResult {
         let within =
             |(_, t): &(usize, &TenantBase)| t.directory == directory && dn.is_within(&t.base);
         let found = self
@@ -946,10 +986,10 @@
             .filter(within)
             .max_by_key(|(_, t)| t.base.depth());
         if let Some((n, _)) = found {
-            Told::Tenant(TenantId(n as u16))
+            LookupResult::Tenant(TenantId(n as u16))
         } else {
-            self.stats.odd += 1;
-            Told::Absent
+            self.stats.unexpected_entries += 1;
+            LookupResult::Absent
         }
     }
 
@@ -960,21 +1000,21 @@
         now: Time,
         directory: usize,
         user: &User,
-        told: Told,
-        person: Person,
+        told: LookupResult,
+        person: PersonId,
         confirmed: i64,
         mark: Option<u64>,
         out: &mut Vec<Output>,
     ) {
         let spread = (self.chance() * 256.0) as u8;
-        let claim = Claim {
+        let claim = LookupRecord {
             directory: directory as u16,
-            told,
+            result: told,
             person,
-            confirmed,
-            mark: mark.unwrap_or(0),
-            spread,
-            seen: 0,
+            confirmed_at_ms: confirmed,
+            change_number: mark.unwrap_or(0),
+            refresh_jitter: spread,
+            last_wanted_day: 0,
         };
         let old = self
             .roster
@@ -982,24 +1022,26 @@
             .get(&**user)
             .and_then(|c| c.of(claim.directory))
             .copied();
-        let claim = Claim {
-            seen: old.map_or_else(|| self.day(now), |o| o.seen),
+        let claim = LookupRecord {
+            last_wanted_day: old.map_or_else(|| self.day(now), |o| o.last_wanted_day),
             ..claim
         };
         if let Some(old) = old {
             // A copy that is behind what was said before, or an answer that was overtaken by a later one.
-            if claim.mark < old.mark || claim.confirmed < old.confirmed {
-                self.stats.behind += 1;
+            if claim.change_number < old.change_number
+                || claim.confirmed_at_ms < old.confirmed_at_ms
+            {
+                self.stats.outdated_results += 1;
                 return;
             }
-            let differs = old.told != told || old.person != person;
-            let positive = matches!(old.told, Told::Tenant(_)) && self.is_held(&old, now);
+            let differs = old.result != told || old.person != person;
+            let positive = matches!(old.result, LookupResult::Tenant(_)) && self.is_held(&old, now);
             let site = &mut self.sites[directory];
             if !differs {
                 site.doubts.remove(user);
             } else if positive && mark.is_none() {
                 // Nothing tells whether this server is behind: it must say so twice.
-                let doubt = site.settings.doubt;
+                let doubt = site.settings.change_confirmation_delay;
                 match site.doubts.get(user) {
                     Some((before, at)) if *before == told && now >= at.saturating_add(doubt) => {
                         site.doubts.remove(user);
@@ -1015,54 +1057,56 @@
                 }
             }
         }
-        let before = self.roster.look(user, now);
+        let before = self.roster.resolve(user, now);
         self.set(now, user, claim);
-        let after = self.roster.look(user, now);
-        let side = |v: &View| match v {
-            View::Tenant { tenant, person, .. } => Some((*tenant, *person)),
+        let after = self.roster.resolve(user, now);
+        let side = |v: &Resolution| match v {
+            Resolution::Tenant { tenant, person, .. } => Some((*tenant, *person)),
             _ => None,
         };
         if side(&before).is_some() && side(&before) != side(&after) {
-            self.stats.changed += 1;
-            out.push(Output::Changed(user.clone()));
+            self.stats.migrated_users += 1;
+            out.push(Output::UserMigrated(user.clone()));
         }
     }
 
-    fn is_held(&self, claim: &Claim, now: Time) -> bool {
+    fn is_held(&self, claim: &LookupRecord, now: Time) -> bool {
         let most = self.sites[usize::from(claim.directory)]
             .settings
             .lifetimes
-            .stale_most;
-        ms(now).saturating_sub(claim.confirmed) < ms(most)
+            .max_stale;
+        ms(now).saturating_sub(claim.confirmed_at_ms) < ms(most)
     }
 
-    fn set(&mut self, now: Time, user: &User, claim: Claim) {
+    fn set(&mut self, now: Time, user: &User, claim: LookupRecord) {
         let claims = if let Some(claims) = self.roster.users.get(&**user) {
             claims.with(claim)
         } else {
             while self.roster.users.len() >= self.max_users && self.evict() {}
             let due = self.look_again(now, user, &claim);
             self.wheel.entry(due).or_default().push((&**user).into());
-            Claims::One(claim)
+            LookupRecords::One(claim)
         };
         self.roster.users.insert((&**user).into(), claims);
     }
 
     /// The second at which a user is looked at again: to be asked for ahead of the peak, or to go.
-    fn look_again(&self, now: Time, user: &str, claim: &Claim) -> i64 {
+    fn look_again(&self, now: Time, user: &str, claim: &LookupRecord) -> i64 {
         let settings = &self.sites[usize::from(claim.directory)].settings;
-        let most = match claim.told {
-            Told::Tenant(_) => settings.lifetimes.stale_most,
-            Told::Absent | Told::Twice => settings.lifetimes.negative,
+        let most = match claim.result {
+            LookupResult::Tenant(_) => settings.lifetimes.max_stale,
+            LookupResult::Absent | LookupResult::Ambiguous => settings.lifetimes.negative,
         };
-        let gone = claim.confirmed.saturating_add(ms(most));
-        let slot = settings.peak.map(|peak| {
-            let confirmed = self.wall_ms.saturating_add(claim.confirmed);
-            peak.slot(confirmed, share(user, self.seed))
-                .saturating_sub(self.wall_ms)
+        let gone = claim.confirmed_at_ms.saturating_add(ms(most));
+        let slot = settings.daily_peak.map(|peak| {
+            let confirmed = self
+                .wall_clock_offset_ms
+                .saturating_add(claim.confirmed_at_ms);
+            peak.refresh_time(confirmed, share(user, self.seed))
+                .saturating_sub(self.wall_clock_offset_ms)
         });
         let due = slot
-            .filter(|_| matches!(claim.told, Told::Tenant(_)))
+            .filter(|_| matches!(claim.result, LookupResult::Tenant(_)))
             .map_or(gone, |s| s.min(gone));
         due.max(ms(now).saturating_add(1000))
             .div_euclid(1000)
@@ -1109,41 +1153,44 @@
                 continue;
             };
             let claims = claims.as_slice().to_vec();
-            let held = |c: &Claim| {
+            let held = |c: &LookupRecord| {
                 let site = &self.sites[usize::from(c.directory)];
                 let followed = self.roster.directories[usize::from(c.directory)]
                     .followed
                     .is_some();
-                let most = match c.told {
-                    Told::Tenant(_) => site.settings.lifetimes.stale_most,
+                let most = match c.result {
+                    LookupResult::Tenant(_) => site.settings.lifetimes.max_stale,
                     _ => site.settings.lifetimes.negative,
                 };
-                followed || ms(now).saturating_sub(c.confirmed) < ms(most)
+                followed || ms(now).saturating_sub(c.confirmed_at_ms) < ms(most)
             };
             if !claims.iter().any(held) {
                 self.forget(&user);
                 continue;
             }
             let day = self.day(now);
-            let recent = claims.iter().any(|c| day.wrapping_sub(c.seen) <= SEEN_DAYS);
+            let recent = claims
+                .iter()
+                .any(|c| day.wrapping_sub(c.last_wanted_day) <= SEEN_DAYS);
             for claim in &claims {
                 let directory = usize::from(claim.directory);
                 let settings = &self.sites[directory].settings;
                 let followed = self.roster.directories[directory].followed.is_some();
-                let old = ms(now).saturating_sub(claim.confirmed) >= ms(settings.lifetimes.fresh);
+                let old =
+                    ms(now).saturating_sub(claim.confirmed_at_ms) >= ms(settings.lifetimes.fresh);
                 if recent
                     && !followed
                     && old
-                    && settings.peak.is_some()
-                    && matches!(claim.told, Told::Tenant(_))
+                    && settings.daily_peak.is_some()
+                    && matches!(claim.result, LookupResult::Tenant(_))
                 {
                     self.queue(now, directory, user.as_str().into(), 2);
                 }
             }
             // As if confirmed now, so that the next place is in the next window, unless it goes before.
             let due = claims.iter().map(|c| {
-                let again = Claim {
-                    confirmed: ms(now),
+                let again = LookupRecord {
+                    confirmed_at_ms: ms(now),
                     ..*c
                 };
                 let gone = self.look_again(now, &user, c);
@@ -1161,11 +1208,13 @@
 
     // ---- followed directories ----
 
-    fn told(&mut self, now: Time, directory: usize, news: News, out: &mut Vec<Output>) {
+    fn told(&mut self, now: Time, directory: usize, news: SyncEvent, out: &mut Vec<Output>) {
         let now_ms = ms(now);
         match news {
-            News::Begun { whole } => self.sites[directory].telling = Some((now_ms, whole)),
-            News::Entry(found) => {
+            SyncEvent::RefreshStarted { full } => {
+                self.sites[directory].telling = Some((now_ms, full));
+            }
+            SyncEvent::Entry(found) => {
                 let told = self.place(directory, &found.dn);
                 let renamed = self.sites[directory]
                     .persons
@@ -1175,7 +1224,7 @@
                 if let Some(old) = renamed {
                     self.gone(now, directory, &old, out);
                 }
-                if told == Told::Absent {
+                if told == LookupResult::Absent {
                     if self.roster.users.contains_key(&*found.user) {
                         self.gone(now, directory, &found.user, out);
                     }
@@ -1184,7 +1233,7 @@
                 if self.roster.users.len() < self.max_users
                     || self.roster.users.contains_key(&*found.user)
                 {
-                    if found.person != Person::default() {
+                    if found.person != PersonId::default() {
                         self.sites[directory]
                             .persons
                             .insert(found.person, found.user.clone());
@@ -1203,12 +1252,12 @@
                     );
                 }
             }
-            News::Gone(person) => {
+            SyncEvent::Deleted(person) => {
                 if let Some(user) = self.sites[directory].persons.get(&person).cloned() {
                     self.gone(now, directory, &user, out);
                 }
             }
-            News::Kept(person) => {
+            SyncEvent::Unchanged(person) => {
                 let Some(user) = self.sites[directory].persons.get(&person).cloned() else {
                     return;
                 };
@@ -1222,14 +1271,14 @@
                     self.set(
                         now,
                         &user,
-                        Claim {
-                            confirmed: now_ms,
+                        LookupRecord {
+                            confirmed_at_ms: now_ms,
                             ..old
                         },
                     );
                 }
             }
-            News::Complete => {
+            SyncEvent::RefreshDone => {
                 if let Some((began, true)) = self.sites[directory].telling.take() {
                     // Who was not told is not there. They are looked for in turns; readers see the old until then.
                     let all = Some(self.roster.users.clone());
@@ -1244,12 +1293,12 @@
                 }
                 self.follow(directory, Some(now_ms));
             }
-            News::Alive => {
+            SyncEvent::Heartbeat => {
                 if self.roster.directories[directory].followed.is_some() {
                     self.follow(directory, Some(now_ms));
                 }
             }
-            News::Lost => {
+            SyncEvent::ConnectionLost => {
                 // What was known is as of the last good moment: each claim gets that age, then ages like any other.
                 self.sites[directory].telling = None;
             }
@@ -1262,7 +1311,7 @@
             .users
             .get(&**user)
             .and_then(|c| c.of(directory as u16));
-        claim.map_or(0, |c| c.mark)
+        claim.map_or(0, |c| c.change_number)
     }
 
     fn gone(&mut self, now: Time, directory: usize, user: &User, out: &mut Vec<Output>) {
@@ -1279,8 +1328,8 @@
             now,
             directory,
             user,
-            Told::Absent,
-            Person::default(),
+            LookupResult::Absent,
+            PersonId::default(),
             ms(now),
             Some(mark),
             out,
@@ -1301,9 +1350,11 @@
         let (directory, began) = (sweep.directory, sweep.began);
         if let Some(all) = sweep.all.take() {
             // Walking a shared map copies nothing and changes nothing.
-            let missed = |(_, c): &(&CompactString, &Claims)| {
+            let missed = |(_, c): &(&CompactString, &LookupRecords)| {
                 let claim = c.of(directory as u16);
-                claim.is_some_and(|c| c.confirmed < began && matches!(c.told, Told::Tenant(_)))
+                claim.is_some_and(|c| {
+                    c.confirmed_at_ms < began && matches!(c.result, LookupResult::Tenant(_))
+                })
             };
             sweep.missed = all
                 .iter()
@@ -1320,7 +1371,7 @@
                 .users
                 .get(&*user)
                 .and_then(|c| c.of(directory as u16));
-            if still.is_some_and(|c| c.confirmed < began) {
+            if still.is_some_and(|c| c.confirmed_at_ms < began) {
                 self.gone(now, directory, &user, out);
             }
         }
@@ -1339,16 +1390,17 @@
     /// Whether somebody is to be asked for now.
     fn waits(&self, now: Time) -> bool {
         let [unknown, confirm, calm] = &self.queues;
-        let calm = calm.len() >= self.settings.batch || (!calm.is_empty() && now >= self.calm_due);
+        let calm = calm.len() >= self.settings.max_users_per_search
+            || (!calm.is_empty() && now >= self.calm_due);
         calm || !unknown.is_empty() || !confirm.is_empty()
     }
 
     fn limits(&self) -> Limits {
         let s = &self.settings;
         Limits {
-            failures: s.failures.max(1),
-            wait: s.wait,
-            at_once: s.at_once,
+            failure_threshold: s.failure_threshold.max(1),
+            backoff: s.backoff,
+            max_searches: s.max_searches_per_server,
         }
     }
 
--- a/crates/pipithub-directory/src/facts.rs
+++ b/crates/pipithub-directory/src/facts.rs
@@ -18,15 +18,15 @@
 
 /// Tells a person from another of the same name: their entry's `entryUUID`, hashed; 0: not told.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Person(pub u64);
+pub struct PersonId(pub u64);
 
-impl Person {
+impl PersonId {
     /// From the entry's id.
-    pub fn of(uuid: &[u8]) -> Person {
+    pub fn from_uuid(uuid: &[u8]) -> PersonId {
         let hash = uuid.iter().fold(0xcbf2_9ce4_8422_2325u64, |h, b| {
             (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3)
         });
-        Person(
+        PersonId(
             (hash ^ hash >> 29)
                 .wrapping_mul(0xbf58_476d_1ce4_e5b9)
                 .max(1),
@@ -36,64 +36,66 @@
 
 /// What a directory says of a user.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum LookupResult {
     /// One entry, below this tenant's base.
     Tenant(TenantId),
     /// No entry below any tenant's base.
     Absent,
     /// Several entries of the name.
-    Twice,
+    Ambiguous,
 }
 
 /// What a directory said of a user, and as of when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Claim {
+pub struct LookupRecord {
     /// Which directory.
     pub directory: u16,
     /// What it said.
-    pub told: Told,
+    pub result: LookupResult,
     /// Of whom.
-    pub person: Person,
+    pub person: PersonId,
     /// As of when it is true, in milliseconds on the caller's clock; what is older than the process is negative.
-    pub confirmed: i64,
+    pub confirmed_at_ms: i64,
     /// How far the server's own copy had come; 0: it does not tell.
-    pub mark: u64,
+    pub change_number: u64,
     /// By chance: facts that were told together are not asked for anew together.
-    pub spread: u8,
+    pub refresh_jitter: u8,
     /// The day on which the user was last wanted, modulo 256.
-    pub seen: u8,
+    pub last_wanted_day: u8,
 }
 
 /// All claims on one user.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Claims {
-    One(Claim),
-    More(Box<[Claim]>),
+pub(crate) enum LookupRecords {
+    One(LookupRecord),
+    More(Box<[LookupRecord]>),
 }
 
-impl Claims {
-    pub(crate) fn as_slice(&self) -> &[Claim] {
+impl LookupRecords {
+    pub(crate) fn as_slice(&self) -> &[LookupRecord] {
         match self {
-            Claims::One(claim) => std::slice::from_ref(claim),
-            Claims::More(claims) => claims,
+            LookupRecords::One(claim) => std::slice::from_ref(claim),
+            LookupRecords::More(claims) => claims,
         }
     }
 
-    pub(crate) fn of(&self, directory: u16) -> Option<&Claim> {
+    pub(crate) fn of(&self, directory: u16) -> Option<&LookupRecord> {
         self.as_slice().iter().find(|c| c.directory == directory)
     }
 
     /// The same with this claim in place of the directory's earlier one.
-    pub(crate) fn with(&self, claim: Claim) -> Claims {
+    pub(crate) fn with(&self, claim: LookupRecord) -> LookupRecords {
         match self {
-            Claims::One(old) if old.directory == claim.directory => Claims::One(claim),
+            LookupRecords::One(old) if old.directory == claim.directory => {
+                LookupRecords::One(claim)
+            }
             _ => {
                 let others = self
                     .as_slice()
                     .iter()
                     .filter(|c| c.directory != claim.directory)
                     .copied();
-                Claims::More(others.chain([claim]).collect())
+                LookupRecords::More(others.chain([claim]).collect())
             }
         }
     }
@@ -106,7 +108,7 @@
     /// it is used while it is asked for again, and from twice this age on a call waits a little for the answer.
     pub fresh: Time,
     /// The hard bound: from this age on a positive fact is as if it were not there.
-    pub stale_most: Time,
+    pub max_stale: Time,
     /// The same for `Absent` and `Twice`: there is nothing between.
     pub negative: Time,
 }
@@ -115,31 +117,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refresh {
     /// Nothing.
-    No,
+    NotNeeded,
     /// Ask again, without waiting.
-    Behind,
+    InBackground,
     /// Ask again and wait for the answer as long as may be; then use the fact.
-    First,
+    BeforeUse,
 }
 
 /// What a user is, as far as is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum View {
+pub enum Resolution {
     /// A tenant's.
     Tenant {
         /// Whose.
         tenant: TenantId,
         /// Which person.
-        person: Person,
+        person: PersonId,
         /// The age of the fact.
         age: Time,
         /// What to do beside using it.
         refresh: Refresh,
     },
     /// No tenant's.
-    Nobody,
+    NoTenant,
     /// More than one tenant's, or several people's of one name: nobody may choose between them.
-    Twice,
+    Ambiguous,
     /// Not known: to be asked.
     Unknown,
 }
@@ -148,7 +150,7 @@
 #[derive(Clone, Debug)]
 pub struct Roster {
     /// Names of up to 24 bytes stand in their place: to look one up fetches nothing more from memory.
-    pub(crate) users: Map<CompactString, Claims>,
+    pub(crate) users: Map<CompactString, LookupRecords>,
     pub(crate) directories: Arc<[Facts]>,
     pub(crate) realms: Arc<HashMap<Box<str>, Vec<u16>>>,
     /// Directories for names without a realm that any directory has.
@@ -184,7 +186,7 @@
 
     /// The directories that may know a user: by realm where the name has one (`mai@north.example`), else those that take
     /// names without.
-    pub fn relevant(&self, user: &str) -> &[u16] {
+    pub fn directories_for(&self, user: &str) -> &[u16] {
         match user
             .rsplit_once('@')
             .and_then(|(_, realm)| self.realms.get(realm))
@@ -195,12 +197,12 @@
         }
     }
 
-    fn age(&self, claim: &Claim, now_ms: i64) -> Time {
+    fn age(&self, claim: &LookupRecord, now_ms: i64) -> Time {
         let followed = self
             .directories
             .get(usize::from(claim.directory))
             .and_then(|d| d.followed);
-        let confirmed = claim.confirmed.max(followed.unwrap_or(i64::MIN));
+        let confirmed = claim.confirmed_at_ms.max(followed.unwrap_or(i64::MIN));
         u64::try_from(now_ms.saturating_sub(confirmed))
             .unwrap_or(0)
             .saturating_mul(MS)
@@ -212,44 +214,49 @@
     /// directory that is down must not stall those that are up. Two claims that are not past it decide for nobody, however
     /// old one of them is: its directory may merely be out of reach, and to choose would let whoever creates an entry in
     /// the other have the user's calls.
-    pub fn look(&self, user: &str, now: Time) -> View {
+    pub fn resolve(&self, user: &str, now: Time) -> Resolution {
         let now_ms = ms(now);
-        let claims = self.users.get(user).map_or(&[][..], Claims::as_slice);
-        let mut found: Option<(Claim, TenantId, Time, Facts)> = None;
+        let claims = self
+            .users
+            .get(user)
+            .map_or(&[][..], LookupRecords::as_slice);
+        let mut found: Option<(LookupRecord, TenantId, Time, Facts)> = None;
         let mut absent = 0;
         for claim in claims {
             let Some(facts) = self.directories.get(usize::from(claim.directory)) else {
                 continue;
             };
             let age = self.age(claim, now_ms);
-            match claim.told {
-                Told::Tenant(tenant) if age < facts.lifetimes.stale_most => match found {
-                    Some((_, other, ..)) if other != tenant => return View::Twice,
+            match claim.result {
+                LookupResult::Tenant(tenant) if age < facts.lifetimes.max_stale => match found {
+                    Some((_, other, ..)) if other != tenant => return Resolution::Ambiguous,
                     Some((.., known, _)) if known <= age => {}
                     _ => found = Some((*claim, tenant, age, *facts)),
                 },
-                Told::Twice if age < facts.lifetimes.negative => return View::Twice,
-                Told::Absent if age < facts.lifetimes.negative => absent += 1,
+                LookupResult::Ambiguous if age < facts.lifetimes.negative => {
+                    return Resolution::Ambiguous;
+                }
+                LookupResult::Absent if age < facts.lifetimes.negative => absent += 1,
                 _ => {}
             }
         }
         if let Some((claim, tenant, age, facts)) = found {
             let lifetimes = facts.lifetimes;
             let person = claim.person;
-            let early = lifetimes.fresh / 1024 * u64::from(claim.spread);
+            let early = lifetimes.fresh / 1024 * u64::from(claim.refresh_jitter);
             let refresh = match age {
-                a if a < lifetimes.fresh / 4 * 3 + early => Refresh::No,
-                a if a < lifetimes.fresh.saturating_mul(2) || facts.slow => Refresh::Behind,
-                _ => Refresh::First,
+                a if a < lifetimes.fresh / 4 * 3 + early => Refresh::NotNeeded,
+                a if a < lifetimes.fresh.saturating_mul(2) || facts.slow => Refresh::InBackground,
+                _ => Refresh::BeforeUse,
             };
-            return View::Tenant {
+            return Resolution::Tenant {
                 tenant,
                 person,
                 age,
                 refresh,
             };
         }
-        let relevant = self.relevant(user);
+        let relevant = self.directories_for(user);
         // A directory that is followed and complete knows of everybody whom it does not name that they are not there.
         let complete = |d: &u16| {
             let facts = &self.directories[usize::from(*d)];
@@ -265,15 +272,18 @@
         };
         let known = absent + relevant.iter().filter(|d| complete(d)).count();
         if known >= relevant.len() {
-            View::Nobody
+            Resolution::NoTenant
         } else {
-            View::Unknown
+            Resolution::Unknown
         }
     }
 
     /// All claims on a user, with their ages, for operators.
-    pub fn explain(&self, user: &str, now: Time) -> Vec<(Claim, Time)> {
-        let claims = self.users.get(user).map_or(&[][..], Claims::as_slice);
+    pub fn explain(&self, user: &str, now: Time) -> Vec<(LookupRecord, Time)> {
+        let claims = self
+            .users
+            .get(user)
+            .map_or(&[][..], LookupRecords::as_slice);
         claims.iter().map(|c| (*c, self.age(c, ms(now)))).collect()
     }
 }
--- a/crates/pipithub-directory/src/peak.rs
+++ b/crates/pipithub-directory/src/peak.rs
@@ -2,22 +2,22 @@
 
 /// A daily peak, in milliseconds of the day (UTC).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Peak {
+pub struct DailyPeak {
     /// When it begins.
-    pub at: i64,
+    pub starts_at_ms: i64,
     /// Over how long before that refreshes are spread.
-    pub ahead: i64,
+    pub lead_ms: i64,
 }
 
 /// A day in milliseconds.
 pub(crate) const DAY: i64 = 86_400_000;
 
-impl Peak {
+impl DailyPeak {
     /// When, in Unix milliseconds, a fact confirmed then is to be asked for again: in the first window that begins after
     /// it, at a place in the window that `share` (0 to 1) gives.
-    pub fn slot(self, confirmed: i64, share: f64) -> i64 {
-        let ahead = self.ahead.clamp(1, DAY - 1);
-        let opens = self.at - ahead;
+    pub fn refresh_time(self, confirmed: i64, share: f64) -> i64 {
+        let ahead = self.lead_ms.clamp(1, DAY - 1);
+        let opens = self.starts_at_ms - ahead;
         let begun = confirmed.saturating_sub(opens).div_euclid(DAY);
         let next = opens.saturating_add(begun.saturating_add(1).saturating_mul(DAY));
         next.saturating_add((share.clamp(0.0, 1.0) * ahead as f64) as i64)
@@ -32,24 +32,27 @@
 
     #[test]
     fn slots_are_spread_over_the_next_window() {
-        let peak = Peak {
-            at: 6 * HOUR,
-            ahead: 2 * HOUR,
+        let peak = DailyPeak {
+            starts_at_ms: 6 * HOUR,
+            lead_ms: 2 * HOUR,
         };
         let day = 20_000 * DAY;
-        assert_eq!(peak.slot(day + HOUR, 0.0), day + 4 * HOUR);
-        assert_eq!(peak.slot(day + HOUR, 0.5), day + 5 * HOUR);
+        assert_eq!(peak.refresh_time(day + HOUR, 0.0), day + 4 * HOUR);
+        assert_eq!(peak.refresh_time(day + HOUR, 0.5), day + 5 * HOUR);
         // Confirmed within the window or in the peak: the next day's.
-        assert_eq!(peak.slot(day + 5 * HOUR, 0.0), day + DAY + 4 * HOUR);
-        assert_eq!(peak.slot(day + 4 * HOUR, 0.0), day + DAY + 4 * HOUR);
-        assert_eq!(peak.slot(day + 23 * HOUR, 1.0), day + DAY + 6 * HOUR);
+        assert_eq!(peak.refresh_time(day + 5 * HOUR, 0.0), day + DAY + 4 * HOUR);
+        assert_eq!(peak.refresh_time(day + 4 * HOUR, 0.0), day + DAY + 4 * HOUR);
+        assert_eq!(
+            peak.refresh_time(day + 23 * HOUR, 1.0),
+            day + DAY + 6 * HOUR
+        );
         // A window over midnight.
-        let early = Peak {
-            at: HOUR,
-            ahead: 3 * HOUR,
+        let early = DailyPeak {
+            starts_at_ms: HOUR,
+            lead_ms: 3 * HOUR,
         };
-        assert_eq!(early.slot(day + 21 * HOUR, 0.0), day + 22 * HOUR);
-        assert_eq!(early.slot(day, 0.0), day + 22 * HOUR);
-        let _ = peak.slot(i64::MIN, f64::NAN) + early.slot(i64::MAX - 3 * DAY, 2.0);
+        assert_eq!(early.refresh_time(day + 21 * HOUR, 0.0), day + 22 * HOUR);
+        assert_eq!(early.refresh_time(day, 0.0), day + 22 * HOUR);
+        let _ = peak.refresh_time(i64::MIN, f64::NAN) + early.refresh_time(i64::MAX - 3 * DAY, 2.0);
     }
 }
--- a/crates/pipithub-directory/src/publish.rs
+++ b/crates/pipithub-directory/src/publish.rs
@@ -62,7 +62,7 @@
             max_users: 1,
             max_queue: 1,
             seed: 1,
-            wall_ms: 0,
+            wall_clock_offset_ms: 0,
         };
         let core = Directory::new(settings);
         let mut publisher = Publisher::new(core.roster());
--- a/crates/pipithub-directory/src/servers.rs
+++ b/crates/pipithub-directory/src/servers.rs
@@ -1,6 +1,6 @@
 //! Which of a directory's servers is asked: a breaker for each, a window that grows with success, shares by pace.
 
-use crate::{SearchId, Time};
+use crate::{Backoff, SearchId, Time};
 
 /// A server counts as slower by this for each search that it has under way.
 const OWN_WEIGHT: f64 = 1.0;
@@ -21,11 +21,11 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Limits {
     /// Failures in a row that open the breaker.
-    pub failures: u32,
+    pub failure_threshold: u32,
     /// The first and the longest wait.
-    pub wait: (Time, Time),
+    pub backoff: Backoff,
     /// Searches at a time.
-    pub at_once: usize,
+    pub max_searches: usize,
 }
 
 #[derive(Clone, Debug)]
@@ -59,7 +59,7 @@
 
     pub(crate) fn has_room(&self, limits: &Limits) -> bool {
         self.breaker == Breaker::Closed
-            && self.out < (self.window as usize).clamp(1, limits.at_once.max(1))
+            && self.out < (self.window as usize).clamp(1, limits.max_searches.max(1))
     }
 
     /// The less, the sooner it is asked.
@@ -77,7 +77,7 @@
         self.heard = Some(now);
         self.fails = 0;
         self.breaker = Breaker::Closed;
-        self.window = (self.window + 1.0).min(limits.at_once.max(1) as f64);
+        self.window = (self.window + 1.0).min(limits.max_searches.max(1) as f64);
         let took = took as f64;
         self.pace = Some(self.pace.map_or(took, |p| p + NEWEST * (took - p)));
     }
@@ -87,14 +87,14 @@
         self.fails = self.fails.saturating_add(1);
         self.window = (self.window / 2.0).max(1.0);
         let before = match self.breaker {
-            Breaker::Closed if !hard && self.fails < limits.failures => return,
+            Breaker::Closed if !hard && self.fails < limits.failure_threshold => return,
             Breaker::Closed => None,
             Breaker::Open { .. } => return,
             Breaker::Trying { wait, .. } => Some(wait),
         };
         let wait = before
-            .map_or(limits.wait.0, |w| w.saturating_mul(2))
-            .clamp(limits.wait.0, limits.wait.1);
+            .map_or(limits.backoff.initial, |w| w.saturating_mul(2))
+            .clamp(limits.backoff.initial, limits.backoff.max);
         let spread = (wait as f64 * (0.5 + jitter.clamp(0.0, 1.0))) as Time;
         self.breaker = Breaker::Open {
             until: now.saturating_add(spread),
@@ -112,9 +112,12 @@
 
     fn limits() -> Limits {
         Limits {
-            failures: 3,
-            wait: (S, 8 * S),
-            at_once: 4,
+            failure_threshold: 3,
+            backoff: Backoff {
+                initial: S,
+                max: 8 * S,
+            },
+            max_searches: 4,
         }
     }
 
--- a/crates/pipithub-directory/src/snapshot.rs
+++ b/crates/pipithub-directory/src/snapshot.rs
@@ -9,7 +9,7 @@
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::{Digest, Sha256};
 
-use crate::facts::{Claim, Person, TenantId, Told, User, ms};
+use crate::facts::{LookupRecord, LookupResult, PersonId, TenantId, User, ms};
 use crate::{Roster, Time};
 
 const MAGIC: &[u8; 8] = b"pphroste";
@@ -19,21 +19,30 @@
 /// A snapshot from further ahead than this is refused, and one from less far ahead is taken to be as old.
 const AHEAD_MOST_MS: i64 = 60_000;
 
+/// A user's record as a snapshot holds it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct StoredRecord {
+    /// The user.
+    pub user: User,
+    /// What a directory said of them.
+    pub record: LookupRecord,
+}
+
 /// Why a snapshot is not taken.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum SnapshotError {
     /// It is none.
     #[error("this is no snapshot of version {VERSION}")]
-    NoSnapshot,
+    NotASnapshot,
     /// Its seal does not fit.
     #[error("its seal does not fit: it was changed, cut off, or written under another key")]
-    Tampered,
+    SealMismatch,
     /// It is of other directories or tenants.
     #[error("it was written for other directories or tenants")]
-    Foreign,
+    OtherDirectories,
     /// It is from the future.
     #[error("it was written {0} ms ahead of now: a clock was set")]
-    Future(i64),
+    FromFuture(i64),
 }
 
 /// Tells one set of directories and tenants from another.
@@ -69,12 +78,14 @@
             let Some(facts) = roster.directories.get(usize::from(claim.directory)) else {
                 continue;
             };
-            let Told::Tenant(tenant) = claim.told else {
+            let LookupResult::Tenant(tenant) = claim.result else {
                 continue;
             };
-            let confirmed = claim.confirmed.max(facts.followed.unwrap_or(i64::MIN));
+            let confirmed = claim
+                .confirmed_at_ms
+                .max(facts.followed.unwrap_or(i64::MIN));
             let age = ms(now).saturating_sub(confirmed);
-            if age >= ms(facts.lifetimes.stale_most) {
+            if age >= ms(facts.lifetimes.max_stale) {
                 continue;
             }
             count += 1;
@@ -83,7 +94,7 @@
             out.extend(claim.directory.to_be_bytes());
             out.extend(tenant.0.to_be_bytes());
             out.extend(claim.person.0.to_be_bytes());
-            out.extend(claim.mark.to_be_bytes());
+            out.extend(claim.change_number.to_be_bytes());
             out.extend(age.max(0).to_be_bytes());
         }
     }
@@ -111,10 +122,10 @@
 }
 
 /// The milliseconds that have passed since a snapshot was written.
-fn time_since(written_ms: i64, wall_ms: i64) -> Result<i64, Refused> {
+fn time_since(written_ms: i64, wall_ms: i64) -> Result<i64, SnapshotError> {
     let passed = wall_ms.saturating_sub(written_ms);
     if passed < -AHEAD_MOST_MS {
-        return Err(Refused::Future(passed.saturating_neg()));
+        return Err(SnapshotError::FromFuture(passed.saturating_neg()));
     }
     Ok(if passed < 0 { AHEAD_MOST_MS } else { passed })
 }
@@ -128,21 +139,21 @@
     of: [u8; 32],
     key: &[u8],
     most: impl Fn(u16) -> Option<Time>,
-) -> Result<Vec<(User, Claim)>, Refused> {
+) -> Result<Vec<StoredRecord>, SnapshotError> {
     if bytes.len() < HEAD + SEAL || &bytes[..8] != MAGIC || bytes[8..10] != VERSION.to_be_bytes() {
-        return Err(Refused::NoSnapshot);
+        return Err(SnapshotError::NotASnapshot);
     }
     let (body, tag) = bytes.split_at(bytes.len() - SEAL);
     seal(key, body)
         .verify_slice(tag)
-        .map_err(|_| Refused::Tampered)?;
+        .map_err(|_| SnapshotError::SealMismatch)?;
     let mut rest = Bytes(&body[10..]);
     let (Some(written_for), Some(at), Some(count)) = (rest.take::<32>(), rest.take(), rest.take())
     else {
-        return Err(Refused::NoSnapshot);
+        return Err(SnapshotError::NotASnapshot);
     };
     if written_for != of {
-        return Err(Refused::Foreign);
+        return Err(SnapshotError::OtherDirectories);
     }
     let passed = time_since(i64::from_be_bytes(at), wall_ms)?;
     let mut facts = Vec::new();
@@ -150,27 +161,30 @@
         let fact = (|| {
             let user = rest.text()?;
             let directory = u16::from_be_bytes(rest.take()?);
-            let told = Told::Tenant(TenantId(u16::from_be_bytes(rest.take()?)));
-            let person = Person(u64::from_be_bytes(rest.take()?));
+            let told = LookupResult::Tenant(TenantId(u16::from_be_bytes(rest.take()?)));
+            let person = PersonId(u64::from_be_bytes(rest.take()?));
             let mark = u64::from_be_bytes(rest.take()?);
             let age = i64::from_be_bytes(rest.take()?).saturating_add(passed);
             Some((
                 user,
-                Claim {
+                LookupRecord {
                     directory,
-                    told,
+                    result: told,
                     person,
-                    mark,
-                    confirmed: ms(now).saturating_sub(age),
-                    spread: number as u8,
-                    seen: 0,
+                    change_number: mark,
+                    confirmed_at_ms: ms(now).saturating_sub(age),
+                    refresh_jitter: number as u8,
+                    last_wanted_day: 0,
                 },
                 age,
             ))
         })();
-        let (user, claim, age) = fact.ok_or(Refused::NoSnapshot)?;
+        let (user, claim, age) = fact.ok_or(SnapshotError::NotASnapshot)?;
         if most(claim.directory).is_some_and(|most| age < ms(most)) {
-            facts.push((user, claim));
+            facts.push(StoredRecord {
+                user,
+                record: claim,
+            });
         }
     }
     Ok(facts)
--- a/crates/pipithub-directory/src/waiting.rs
+++ b/crates/pipithub-directory/src/waiting.rs
@@ -6,15 +6,15 @@
 
 /// A call that waits no longer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Woken<T> {
+pub struct EndedLookup<T> {
     /// The call.
-    pub call: T,
+    pub request: T,
     /// Its user.
     pub user: User,
     /// When it began to wait.
-    pub since: Time,
+    pub waiting_since: Time,
     /// Its time was up; else there is news of its user.
-    pub in_vain: bool,
+    pub timed_out: bool,
 }
 
 #[derive(Debug)]
@@ -26,19 +26,19 @@
 }
 
 impl<T> Held<T> {
-    fn woken(self, in_vain: bool) -> Woken<T> {
-        Woken {
-            call: self.call,
+    fn woken(self, in_vain: bool) -> EndedLookup<T> {
+        EndedLookup {
+            request: self.call,
             user: self.user,
-            since: self.since,
-            in_vain,
+            waiting_since: self.since,
+            timed_out: in_vain,
         }
     }
 }
 
 /// Calls that wait.
 #[derive(Debug)]
-pub struct Waiting<T> {
+pub struct PendingLookups<T> {
     most: usize,
     calls: BTreeMap<u64, Held<T>>,
     by_user: HashMap<User, Vec<u64>>,
@@ -46,10 +46,10 @@
     next: u64,
 }
 
-impl<T> Waiting<T> {
+impl<T> PendingLookups<T> {
     /// At most so many.
     pub fn new(most: usize) -> Self {
-        Waiting {
+        PendingLookups {
             most,
             calls: BTreeMap::new(),
             by_user: HashMap::new(),
@@ -95,7 +95,7 @@
     }
 
     /// There is news of a user.
-    pub fn wake(&mut self, user: &str) -> Vec<Woken<T>> {
+    pub fn finish(&mut self, user: &str) -> Vec<EndedLookup<T>> {
         let numbers = self.by_user.remove(user).unwrap_or_default();
         let mut woken = Vec::with_capacity(numbers.len());
         for number in numbers {
@@ -108,7 +108,7 @@
     }
 
     /// Those whose time is up.
-    pub fn due(&mut self, now: Time) -> Vec<Woken<T>> {
+    pub fn expire(&mut self, now: Time) -> Vec<EndedLookup<T>> {
         let mut woken = Vec::new();
         while let Some(&(at, number)) = self.due.first().filter(|d| d.0 <= now) {
             self.due.remove(&(at, number));
@@ -122,7 +122,7 @@
     }
 
     /// Takes out all calls that are not wanted any more.
-    pub fn forget(&mut self, mut gone: impl FnMut(&T) -> bool) {
+    pub fn cancel(&mut self, mut gone: impl FnMut(&T) -> bool) {
         let numbers: Vec<u64> = self
             .calls
             .iter()
@@ -153,30 +153,30 @@
 
     #[test]
     fn each_waits_until_news_or_its_time() {
-        let mut waiting = Waiting::new(3);
+        let mut waiting = PendingLookups::new(3);
         let (mai, lan): (User, User) = ("mai".into(), "lan".into());
         waiting.add(0, 40, mai.clone(), 1).expect("room");
         waiting.add(10, 50, mai.clone(), 2).expect("room");
         waiting.add(10, 45, lan.clone(), 3).expect("room");
         assert_eq!(waiting.add(10, 45, lan, 4), Err(4), "no more than may wait");
         assert_eq!(waiting.next_due(), Some(40));
-        let due = waiting.due(40);
+        let due = waiting.expire(40);
         assert_eq!(
             due.iter()
-                .map(|w| (w.call, w.in_vain, w.since))
+                .map(|w| (w.request, w.timed_out, w.waiting_since))
                 .collect::<Vec<_>>(),
             [(1, true, 0)]
         );
         assert_eq!(
             waiting
-                .wake("mai")
+                .finish("mai")
                 .iter()
-                .map(|w| (w.call, w.in_vain))
+                .map(|w| (w.request, w.timed_out))
                 .collect::<Vec<_>>(),
             [(2, false)]
         );
-        assert!(waiting.wake("mai").is_empty());
-        waiting.forget(|call| *call == 3);
+        assert!(waiting.finish("mai").is_empty());
+        waiting.cancel(|call| *call == 3);
         assert!(waiting.is_empty() && waiting.next_due().is_none());
     }
 }
--- a/crates/pipithub-gateway/src/directory.rs
+++ b/crates/pipithub-gateway/src/directory.rs
@@ -9,8 +9,8 @@
 use bytes::Bytes;
 use pipithub_clock::{Clock, wall_ms};
 use pipithub_directory::{
-    Answer, Directory, Failure, Found, Input, News, Output, Person, Publisher, Roster, SearchId,
-    Settings, User, What, snapshot,
+    Directory, DirectoryEntry, Input, Output, PersonId, Publisher, Query, Roster, SearchError,
+    SearchId, SearchResponse, Settings, SyncEvent, User, snapshot,
 };
 use pipithub_ldap::client::Entry;
 use pipithub_ldap::message::{Filter, ResultCode, SearchRequestScope};
@@ -75,7 +75,7 @@
         max_users: config.max_users,
         max_queue: 65_536,
         seed,
-        wall_ms: (wall_ms() as i64).saturating_sub((clock.now() / 1_000_000) as i64),
+        wall_clock_offset_ms: (wall_ms() as i64).saturating_sub((clock.now() / 1_000_000) as i64),
     }
 }
 
@@ -146,7 +146,7 @@
         config
             .directories
             .get(usize::from(d))
-            .map(|d| d.lookups.lifetimes.stale_most)
+            .map(|d| d.lookups.lifetimes.max_stale)
     };
     match snapshot::read(
         &bytes,
@@ -178,7 +178,7 @@
 }
 
 enum Command {
-    Search(SearchId, What),
+    Search(SearchId, Query),
     GiveUp(SearchId),
 }
 
@@ -249,7 +249,8 @@
                 }
             }
             let reading = self.clock.read();
-            self.core.set_wall(reading.now, reading.wall_ms as i64);
+            self.core
+                .set_wall_clock(reading.now, reading.wall_ms as i64);
             // Each version that is published costs copies of what changes next: while more waits, a while's is one version.
             let began = self.clock.now();
             loop {
@@ -274,26 +275,26 @@
                         id,
                         directory,
                         server,
-                        what,
+                        query: what,
                     } => {
                         let link = self.links.get(&(directory, server));
                         if link.is_none_or(|l| l.try_send(Command::Search(id, what)).is_err()) {
-                            let ended = Input::Ended {
+                            let ended = Input::SearchEnded {
                                 search: id,
-                                outcome: Err(Failure::Lost),
+                                outcome: Err(SearchError::ConnectionLost),
                             };
                             let _ = inputs_in.try_send(ended);
                         }
                         continue;
                     }
-                    Output::GiveUp(id) => {
+                    Output::CancelSearch(id) => {
                         for link in self.links.values() {
                             let _ = link.try_send(Command::GiveUp(id));
                         }
                         continue;
                     }
-                    Output::News(user) => Word::News(user),
-                    Output::Changed(user) => {
+                    Output::LookupFinished(user) => Word::News(user),
+                    Output::UserMigrated(user) => {
                         info!(front_end, user = &*user, "a user is not whose they were");
                         Word::Changed(user)
                     }
@@ -496,15 +497,15 @@
     }
 }
 
-fn main_search(directory: &DirectoryConfig, what: &What, page: Bytes) -> Option<Search> {
+fn main_search(directory: &DirectoryConfig, what: &Query, page: Bytes) -> Option<Search> {
     let filter = match what {
-        What::State => return None,
-        What::Users(users) => {
+        Query::ServerState => return None,
+        Query::Users(users) => {
             let names = users.iter().map(|u| local(directory, u));
             filter::any_of(&directory.user_attribute, names, also(directory).as_ref())
         }
-        What::Since(None) => return None,
-        What::Since(Some(since)) => {
+        Query::ChangedSince(None) => return None,
+        Query::ChangedSince(Some(since)) => {
             let changed = filter::at_least("modifyTimestamp", since);
             filter::and(
                 [also(directory), Some(changed)]
@@ -547,10 +548,14 @@
     }
 }
 
-fn found(directory: &DirectoryConfig, entry: &Entry, asked: Option<&BTreeSet<&str>>) -> Vec<Found> {
+fn found(
+    directory: &DirectoryConfig,
+    entry: &Entry,
+    asked: Option<&BTreeSet<&str>>,
+) -> Vec<DirectoryEntry> {
     let person = entry
         .text("entryUUID")
-        .map_or(Person::default(), |id| Person::of(id.as_bytes()));
+        .map_or(PersonId::default(), |id| PersonId::from_uuid(id.as_bytes()));
     let names = entry
         .values(&directory.user_attribute)
         .filter_map(|v| std::str::from_utf8(v).ok());
@@ -563,7 +568,7 @@
     users.truncate(16);
     users
         .into_iter()
-        .map(|user| Found {
+        .map(|user| DirectoryEntry {
             user: user.into(),
             dn: entry.dn.clone(),
             person,
@@ -585,15 +590,15 @@
 
 /// One question under way: the state first, then what was asked.
 struct Question {
-    what: What,
+    what: Query,
     state: Option<Asked>,
     main: Option<Asked>,
-    answer: Answer,
+    answer: SearchResponse,
     entries: usize,
 }
 
 impl Question {
-    fn begin(directory: &DirectoryConfig, client: &mut Client, what: What) -> Option<Question> {
+    fn begin(directory: &DirectoryConfig, client: &mut Client, what: Query) -> Option<Question> {
         let state = client.search(state_search(directory))?;
         let main = match main_search(directory, &what, Bytes::new()) {
             Some(search) => {
@@ -606,10 +611,10 @@
             }
             None => None,
         };
-        let newest = matches!(what, What::Since(None)).then(|| first_poll_since(wall_ms()));
-        let answer = Answer {
-            newest,
-            ..Answer::default()
+        let newest = matches!(what, Query::ChangedSince(None)).then(|| first_poll_since(wall_ms()));
+        let answer = SearchResponse {
+            newest_modify_timestamp: newest,
+            ..SearchResponse::default()
         };
         Some(Question {
             what,
@@ -633,31 +638,32 @@
         directory: &DirectoryConfig,
         id: Asked,
         entry: &Entry,
-    ) -> Result<(), Failure> {
+    ) -> Result<(), SearchError> {
         self.entries += 1;
         if self.entries > ENTRIES_MOST {
-            return Err(Failure::Nonsense);
+            return Err(SearchError::InvalidResponse);
         }
         if self.state == Some(id) {
-            self.answer.loaded = true;
+            self.answer.base_exists = true;
             let marks = directory
                 .mark_attribute
                 .iter()
                 .flat_map(|a| entry.values(a));
-            self.answer.mark = marks
+            self.answer.change_number = marks
                 .filter_map(|v| mark(std::str::from_utf8(v).ok()?))
                 .max();
             return Ok(());
         }
         let asked = match &self.what {
-            What::Users(users) => Some(users.iter().map(|u| &**u).collect()),
+            Query::Users(users) => Some(users.iter().map(|u| &**u).collect()),
             _ => None,
         };
         if let Some(changed) = entry.text("modifyTimestamp").filter(|_| asked.is_none()) {
-            self.answer.newest = Some(changed.to_string()).max(self.answer.newest.take());
+            self.answer.newest_modify_timestamp =
+                Some(changed.to_string()).max(self.answer.newest_modify_timestamp.take());
         }
         self.answer
-            .found
+            .entries
             .extend(found(directory, entry, asked.as_ref()));
         Ok(())
     }
@@ -668,10 +674,10 @@
         client: &mut Client,
         id: Asked,
         outcome: &pipithub_ldap::Outcome,
-    ) -> Result<(), Failure> {
+    ) -> Result<(), SearchError> {
         match outcome.code {
             ResultCode::Success => {}
-            // Without its base the tree is not there: told by `loaded`.
+            // Without its base the tree is not there: told by `base_exists`.
             ResultCode::NoSuchObject => {}
             ResultCode::Referral => {
                 let host = |url: &String| {
@@ -681,13 +687,15 @@
                     let host = rest.split(['/', '?']).next()?;
                     directory.servers.iter().position(|s| s.address == host)
                 };
-                return Err(Failure::Elsewhere(outcome.referrals.iter().find_map(host)));
+                return Err(SearchError::Referral(
+                    outcome.referrals.iter().find_map(host),
+                ));
             }
             ResultCode::InsufficientAccessRights
             | ResultCode::InvalidCredentials
             | ResultCode::StrongerAuthRequired
-            | ResultCode::ConfidentialityRequired => return Err(Failure::Denied),
-            _ => return Err(Failure::Unable),
+            | ResultCode::ConfidentialityRequired => return Err(SearchError::Denied),
+            _ => return Err(SearchError::Unavailable),
         }
         if self.state == Some(id) {
             self.state = None;
@@ -697,14 +705,18 @@
         if let Some(cookie) = outcome.page.clone().filter(|c| !c.is_empty())
             && let Some(next) = main_search(directory, &self.what, cookie)
         {
-            self.main = Some(client.search(next).ok_or(Failure::Unable)?);
+            self.main = Some(client.search(next).ok_or(SearchError::Unavailable)?);
         }
         Ok(())
     }
 }
 
 /// Asks a server once, on a connection of its own.
-pub async fn ask(directory: &DirectoryConfig, server: usize, what: What) -> Result<Answer, String> {
+pub async fn ask(
+    directory: &DirectoryConfig,
+    server: usize,
+    what: Query,
+) -> Result<SearchResponse, String> {
     let tls = connector(directory).map_err(|e| e.to_string())?;
     let mut connection = Connection::open(directory, server, tls.as_ref()).await?;
     let mut question =
@@ -717,13 +729,12 @@
                     Event::Entry(id, entry) => {
                         question
                             .entry(directory, id, &entry)
-                            .map_err(|f| format!("{f:?}"))?;
+                            .map_err(|f| f.to_string())?;
                     }
                     Event::Done(id, outcome) => {
                         let ended = question.done(directory, &mut connection.client, id, &outcome);
-                        ended.map_err(|f| {
-                            format!("{f:?}: {:?} {}", outcome.code, outcome.message)
-                        })?;
+                        ended
+                            .map_err(|f| format!("{f}: {:?} {}", outcome.code, outcome.message))?;
                     }
                     Event::Over(why) => return Err(why),
                     _ => {}
@@ -774,9 +785,9 @@
                         .try_send(Command::Search(id, what))
                         .is_err()
                     {
-                        let _ = inputs.try_send(Input::Ended {
+                        let _ = inputs.try_send(Input::SearchEnded {
                             search: id,
-                            outcome: Err(Failure::Lost),
+                            outcome: Err(SearchError::ConnectionLost),
                         });
                     }
                 }
@@ -814,9 +825,9 @@
                 }
                 Err(why) => {
                     let _ = inputs
-                        .send(Input::Ended {
+                        .send(Input::SearchEnded {
                             search: id,
-                            outcome: Err(Failure::Lost),
+                            outcome: Err(SearchError::ConnectionLost),
                         })
                         .await;
                     why
@@ -831,9 +842,9 @@
             );
             for id in questions.into_keys() {
                 let _ = inputs
-                    .send(Input::Ended {
+                    .send(Input::SearchEnded {
                         search: id,
-                        outcome: Err(Failure::Lost),
+                        outcome: Err(SearchError::ConnectionLost),
                     })
                     .await;
             }
@@ -904,7 +915,7 @@
                     }
                     let outcome = outcome.map(|()| question.answer);
                     if inputs
-                        .send(Input::Ended {
+                        .send(Input::SearchEnded {
                             search: id,
                             outcome,
                         })
@@ -930,7 +941,7 @@
                     Some(Command::Search(id, what)) => {
                         match Question::begin(directory, &mut connection.client, what) {
                             Some(question) => drop(questions.insert(id, question)),
-                            None => drop(inputs.send(Input::Ended { search: id, outcome: Err(Failure::Unable) }).await),
+                            None => drop(inputs.send(Input::SearchEnded { search: id, outcome: Err(SearchError::Unavailable) }).await),
                         }
                     }
                     Some(Command::GiveUp(id)) => {
@@ -972,7 +983,7 @@
                 directory = name,
                 server, why, "a directory is not followed any more"
             );
-            if !self.tell(News::Lost).await {
+            if !self.tell(SyncEvent::ConnectionLost).await {
                 return;
             }
             // What a server says about a synchronisation that it cannot go on with is not one code of the core
@@ -981,7 +992,7 @@
                 cookie = None;
             }
             server = (server + 1) % self.directory.servers.len();
-            let first = Duration::from_nanos(self.directory.lookups.wait.0);
+            let first = Duration::from_nanos(self.directory.lookups.backoff.initial);
             tokio::time::sleep(first).await;
         }
     }
@@ -992,11 +1003,11 @@
         Duration::from_nanos(shortest / ALIVE_PART).clamp(Duration::from_millis(100), ALIVE_MOST)
     }
 
-    async fn tell(&self, news: News) -> bool {
+    async fn tell(&self, news: SyncEvent) -> bool {
         self.inputs
-            .send(Input::Told {
+            .send(Input::Synchronization {
                 directory: self.number,
-                news,
+                event: news,
             })
             .await
             .is_ok()
@@ -1023,8 +1034,8 @@
             return "not begun".into();
         };
         if !self
-            .tell(News::Begun {
-                whole: cookie.is_none(),
+            .tell(SyncEvent::RefreshStarted {
+                full: cookie.is_none(),
             })
             .await
         {
@@ -1044,17 +1055,19 @@
                         let Some(state) = entry.state.clone() else {
                             return "an entry without its state".into();
                         };
-                        let person = Person::of(uuid_text(&state.uuid).as_bytes());
+                        let person = PersonId::from_uuid(uuid_text(&state.uuid).as_bytes());
                         *cookie = state
                             .cookie
                             .map(|c| Bytes::copy_from_slice(&c))
                             .or(cookie.take());
                         match state.state {
-                            State::Delete => vec![News::Gone(person)],
-                            State::Present => vec![News::Kept(person)],
+                            State::Delete => vec![SyncEvent::Deleted(person)],
+                            State::Present => vec![SyncEvent::Unchanged(person)],
                             _ => {
                                 let found = found(directory, &entry, None).into_iter();
-                                found.map(|f| News::Entry(Found { person, ..f })).collect()
+                                found
+                                    .map(|f| SyncEvent::Entry(DirectoryEntry { person, ..f }))
+                                    .collect()
                             }
                         }
                     }
@@ -1066,19 +1079,19 @@
                                 (
                                     p.cookie,
                                     if p.refresh_done {
-                                        vec![News::Complete]
+                                        vec![SyncEvent::RefreshDone]
                                     } else {
                                         Vec::new()
                                     },
                                 )
                             }
                             Info::Ids(ids) => {
-                                let person = |u: &_| Person::of(uuid_text(u).as_bytes());
+                                let person = |u: &_| PersonId::from_uuid(uuid_text(u).as_bytes());
                                 let news = |u| {
                                     if ids.refresh_deletes {
-                                        News::Gone(u)
+                                        SyncEvent::Deleted(u)
                                     } else {
-                                        News::Kept(u)
+                                        SyncEvent::Unchanged(u)
                                     }
                                 };
                                 let all = ids
@@ -1103,7 +1116,7 @@
                     Event::Done(of, outcome) if alive == Some(of) => {
                         alive = None;
                         if outcome.code == ResultCode::Success && complete {
-                            vec![News::Alive]
+                            vec![SyncEvent::Heartbeat]
                         } else {
                             Vec::new()
                         }
--- a/crates/pipithub-gateway/src/tenancy.rs
+++ b/crates/pipithub-gateway/src/tenancy.rs
@@ -5,7 +5,7 @@
 
 use arc_swap::ArcSwap;
 use pipithub_admission::{Admission, Arrival, Completion, Output, RejectReason, ServiceResult};
-use pipithub_directory::{Input as Wanted, Roster, TenantId, User, View};
+use pipithub_directory::{Input as Wanted, Resolution, Roster, TenantId, User};
 use pipithub_engine::policy::Class;
 use pipithub_engine::{
     Cause, Input, Reply, SourceId, Tenant, TenantUser, Ticket, Time, Trigger, Verdict,
@@ -177,8 +177,8 @@
                     .user_updated(now, &self.roster.load(), &user, &mut self.out);
             }
             Word::Changed(user) => {
-                let side = match self.roster.load().look(&user, now) {
-                    View::Tenant { tenant, person, .. } => Some(TenantUser {
+                let side = match self.roster.load().resolve(&user, now) {
+                    Resolution::Tenant { tenant, person, .. } => Some(TenantUser {
                         tenant: Tenant(tenant.0),
                         person: person.0,
                     }),
@@ -263,7 +263,7 @@
                 }
                 Output::LookUp { user, urgent } => {
                     // With no room the call waits its time and is judged by what is known.
-                    let _ = self.wants.try_send(Wanted::Wanted { user, urgent });
+                    let _ = self.wants.try_send(Wanted::LookUp { user, urgent });
                 }
             }
         }
--- a/crates/pipithub-settings/src/tenants/directory.rs
+++ b/crates/pipithub-settings/src/tenants/directory.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use pipithub_directory::{DirectorySettings, Lifetimes, Peak};
+use pipithub_directory::{Backoff, DailyPeak, DirectorySettings, Lifetimes};
 use pipithub_ldap::{Dn, filter};
 
 use crate::address;
@@ -117,59 +117,80 @@
     Some(text.to_string())
 }
 
-fn read_lookups(node: &Reader<'_>, servers: usize) -> DirectorySettings {
+fn read_lookups(node: &Reader<'_>, server_count: usize) -> DirectorySettings {
     let defaults = DirectorySettings::default();
     let lifetimes = read_lifetimes(node, &defaults.lifetimes);
-    let peak = node.child("peak").map(|peak| read_peak(&peak));
-    let first_wait = node.duration("retry-first", defaults.wait.0, 10 * MS..=600 * SECOND);
-    let max_wait = node.duration("retry-most", defaults.wait.1, 10 * MS..=HOUR);
+    let daily_peak = node.child("peak").map(|peak| read_peak(&peak));
+    let initial_backoff = node.duration(
+        "retry-first",
+        defaults.backoff.initial,
+        10 * MS..=600 * SECOND,
+    );
+    let max_backoff = node.duration("retry-most", defaults.backoff.max, 10 * MS..=HOUR);
     DirectorySettings {
-        servers,
+        server_count,
         realms: node.children("realm").iter().map(Reader::name).collect(),
         lifetimes,
         timeout: node.duration("time-out", defaults.timeout, 10 * MS..=60 * SECOND),
         hedge_after: node.duration("hedge-after", defaults.hedge_after, MS..=60 * SECOND),
-        batch: node.integer("batch", defaults.batch as u64, 1..=500) as usize,
-        at_once: node.integer("at-once", defaults.at_once as u64, 1..=64) as usize,
-        rate: node.number("rate", defaults.rate, 0.1..=100_000.0),
-        failures: node.integer("failures", u64::from(defaults.failures), 1..=100) as u32,
-        wait: (first_wait.min(max_wait), max_wait),
-        doubt: node.duration("doubt", defaults.doubt, 0..=600 * SECOND),
-        peak,
-        poll: node.optional_duration("poll", SECOND..=DAY).unwrap_or(0),
+        max_users_per_search: node.integer("batch", defaults.max_users_per_search as u64, 1..=500)
+            as usize,
+        max_searches_per_server: node.integer(
+            "at-once",
+            defaults.max_searches_per_server as u64,
+            1..=64,
+        ) as usize,
+        max_searches_per_second: node.number(
+            "rate",
+            defaults.max_searches_per_second,
+            0.1..=100_000.0,
+        ),
+        failure_threshold: node.integer("failures", u64::from(defaults.failure_threshold), 1..=100)
+            as u32,
+        backoff: Backoff {
+            initial: initial_backoff.min(max_backoff),
+            max: max_backoff,
+        },
+        change_confirmation_delay: node.duration(
+            "doubt",
+            defaults.change_confirmation_delay,
+            0..=600 * SECOND,
+        ),
+        daily_peak,
+        poll_interval: node.optional_duration("poll", SECOND..=DAY).unwrap_or(0),
     }
 }
 
 fn read_lifetimes(node: &Reader<'_>, defaults: &Lifetimes) -> Lifetimes {
     let fresh = node.duration("fresh", defaults.fresh, 100 * MS..=DAY);
-    let default_stale = defaults.stale_most.max(2 * fresh);
-    let stale_most = node.duration("stale-most", default_stale, 200 * MS..=DAY);
+    let default_stale = defaults.max_stale.max(2 * fresh);
+    let max_stale = node.duration("stale-most", default_stale, 200 * MS..=DAY);
     let negative = node.duration("negative", defaults.negative, 100 * MS..=HOUR);
-    if stale_most < 2 * fresh {
+    if max_stale < 2 * fresh {
         let help =
             "a fact is used while it is asked for again: the bound is at least twice 'fresh'";
         node.fault_with_help("'stale-most' is less than twice 'fresh'", help);
     }
     Lifetimes {
         fresh,
-        stale_most,
+        max_stale,
         negative,
     }
 }
 
-fn read_peak(node: &Reader<'_>) -> Peak {
+fn read_peak(node: &Reader<'_>) -> DailyPeak {
     let given = node.argument();
     let text = given.map_or("", |given| given.text());
-    let at = parse_time_of_day(text).unwrap_or_else(|| {
+    let starts_at_ms = parse_time_of_day(text).unwrap_or_else(|| {
         let span = given.map_or(node.span(), |given| given.span);
         node.fault_at(span, "no time of day", Some("as \"05:30\", in UTC"));
         0
     });
-    let ahead = node.duration("ahead", 2 * HOUR, 60 * SECOND..=12 * HOUR);
+    let lead = node.duration("ahead", 2 * HOUR, 60 * SECOND..=12 * HOUR);
     node.finish();
-    Peak {
-        at,
-        ahead: (ahead / MS) as i64,
+    DailyPeak {
+        starts_at_ms,
+        lead_ms: (lead / MS) as i64,
     }
 }
 
--- a/crates/pipithub/src/tenants.rs
+++ b/crates/pipithub/src/tenants.rs
@@ -6,7 +6,7 @@
 
 use clap::Subcommand;
 use miette::{Result, miette};
-use pipithub_directory::{Answer, Directory, Input, Output, Settings, View, What};
+use pipithub_directory::{Directory, Input, Output, Query, Resolution, SearchResponse, Settings};
 use pipithub_gateway::directory::ask;
 use pipithub_settings::TenantsConfig;
 
@@ -105,9 +105,9 @@
         let mut lines = Vec::new();
         for (n, server) in directory.servers.iter().enumerate() {
             let began = Instant::now();
-            let answer = ask(directory, n, What::State).await;
+            let answer = ask(directory, n, Query::ServerState).await;
             let took = format!("{:.1} ms", began.elapsed().as_secs_f64() * 1e3);
-            let mark = answer.as_ref().ok().and_then(|a| a.mark);
+            let mark = answer.as_ref().ok().and_then(|a| a.change_number);
             marks.extend(mark);
             lines.push((server.address.clone(), took, answer, mark));
         }
@@ -115,7 +115,9 @@
         for (address, took, answer, mark) in lines {
             let state = match answer {
                 Err(why) => why,
-                Ok(Answer { loaded: false, .. }) => {
+                Ok(SearchResponse {
+                    base_exists: false, ..
+                }) => {
                     format!(
                         "nothing at {}: still loading, or a wrong base",
                         directory.base
@@ -156,18 +158,18 @@
         max_users: 16,
         max_queue: 16,
         seed: 1,
-        wall_ms: 0,
+        wall_clock_offset_ms: 0,
     });
-    let relevant = core.roster().relevant(&user).to_vec();
+    let relevant = core.roster().directories_for(&user).to_vec();
     if relevant.is_empty() {
         println!("{user}: no directory has the realm of this name");
     }
     for directory in &relevant {
         let directory = &tenants.directories[usize::from(*directory)];
         for (n, server) in directory.servers.iter().enumerate() {
-            match ask(directory, n, What::Users(vec![user.clone()])).await {
+            match ask(directory, n, Query::Users(vec![user.clone()])).await {
                 Err(why) => println!("{} {}: no answer: {why}", directory.name, server.address),
-                Ok(answer) if !answer.loaded => {
+                Ok(answer) if !answer.base_exists => {
                     println!(
                         "{} {}: its tree is not there",
                         directory.name, server.address
@@ -175,10 +177,10 @@
                 }
                 Ok(answer) => {
                     let mark = answer
-                        .mark
+                        .change_number
                         .map_or("no mark".to_string(), |m| format!("mark {m}"));
                     let names: Vec<String> =
-                        answer.found.iter().map(|f| f.dn.to_string()).collect();
+                        answer.entries.iter().map(|f| f.dn.to_string()).collect();
                     let told = if names.is_empty() {
                         "nobody of this name".to_string()
                     } else {
@@ -193,7 +195,7 @@
     let mut out = Vec::new();
     core.handle(
         0,
-        Input::Wanted {
+        Input::LookUp {
             user: user.clone(),
             urgent: true,
         },
@@ -204,14 +206,14 @@
             id,
             directory,
             server,
-            what,
+            query,
         } = output
         {
-            let asked = ask(&tenants.directories[directory], server, what).await;
-            let outcome = asked.map_err(|_| pipithub_directory::Failure::Lost);
+            let asked = ask(&tenants.directories[directory], server, query).await;
+            let outcome = asked.map_err(|_| pipithub_directory::SearchError::ConnectionLost);
             core.handle(
                 1,
-                Input::Ended {
+                Input::SearchEnded {
                     search: id,
                     outcome,
                 },
@@ -219,17 +221,17 @@
             );
         }
     }
-    let tenant = match core.roster().look(&user, 1) {
-        View::Tenant { tenant, .. } => Some(usize::from(tenant.0)),
-        View::Nobody => {
+    let tenant = match core.roster().resolve(&user, 1) {
+        Resolution::Tenant { tenant, .. } => Some(usize::from(tenant.0)),
+        Resolution::NoTenant => {
             println!("{user}: no tenant's; calls are refused (no-tenant)");
             None
         }
-        View::Twice => {
+        Resolution::Ambiguous => {
             println!("{user}: claimed more than once; calls are refused (claimed-twice)");
             None
         }
-        View::Unknown => {
+        Resolution::Unknown => {
             println!(
                 "{user}: not known; calls wait {} ms and are refused (user-unknown)",
                 tenants.admission.max_identity_wait / 1_000_000
