--- a/crates/pipithub-gateway/src/tenancy.rs
+++ b/crates/pipithub-gateway/src/tenancy.rs
@@ -7,7 +7,7 @@
 use pipithub_admission::{
     Admission, Admitted, Arrival, Completion, Output, RejectReason, ServiceResult,
 };
-use pipithub_directory::{Input as DirectoryInput, Roster, TenantId, User, View};
+use pipithub_directory::{Input as DirectoryInput, Resolution, Roster, TenantId, User};
 use pipithub_engine::policy::Class;
 use pipithub_engine::{
     Cause, Input, Reply, SourceId, Tenant, TenantUser, Ticket, Time, Trigger, Verdict,
@@ -217,8 +217,8 @@
 
     /// Whose a user is, by what the directories said last.
     fn tenant_user(&self, user: &str, now: Time) -> Option<TenantUser> {
-        match self.roster.load().look(user, now) {
-            View::Tenant { tenant, person, .. } => Some(TenantUser {
+        match self.roster.load().resolve(user, now) {
+            Resolution::Tenant { tenant, person, .. } => Some(TenantUser {
                 tenant: Tenant(tenant.0),
                 person: person.0,
             }),
@@ -268,7 +268,7 @@
                     // If the queue is full, the call waits its time and is decided by what is known then.
                     let _ = self
                         .lookups
-                        .try_send(DirectoryInput::Wanted { user, urgent });
+                        .try_send(DirectoryInput::LookUp { user, urgent });
                 }
             }
         }
