--- a/crates/pipithub-gateway/src/directory.rs
+++ b/crates/pipithub-gateway/src/directory.rs
@@ -15,7 +15,7 @@
 use pipithub_ldap::client::Entry;
 use pipithub_ldap::message::{Filter, ResultCode, SearchRequestScope};
 use pipithub_ldap::sync::{self, Info, State};
-use pipithub_ldap::{Client, ClientSettings, Event, Search, SearchId as Asked, dn, filter};
+use pipithub_ldap::{Client, ClientSettings, Event, Search, SearchId as LdapSearchId, dn, filter};
 use pipithub_settings::{DirectoryConfig, TenantsConfig, Tls};
 use pipithub_storage::{Durability, Saver, SystemFiles, Target};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
@@ -28,43 +28,43 @@
 use tracing::{debug, info, warn};
 
 /// Wants that wait for the core; a call whose want finds no room waits its time and is judged by what is known.
-const WANTS: usize = 8_192;
+const EVENT_QUEUE: usize = 8_192;
 /// Inputs taken in one go.
-const BATCH: usize = 256;
+const MAX_INPUT_BATCH: usize = 256;
 /// How long inputs are taken before what came of them is published.
-const TURN: u64 = 20_000_000;
+const MAX_TURN: u64 = 20_000_000;
 /// Commands and events between core and links.
-const COMMANDS: usize = 1_024;
+const COMMAND_QUEUE: usize = 1_024;
 /// A connection that is not up by then counts as lost.
-const CONNECT_MOST: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// How often a followed connection is tried, and how long it may stay silent: at the most, and of a fact's lifetime.
-const ALIVE_MOST: Duration = Duration::from_secs(30);
-const ALIVE_PART: u64 = 4;
+const MAX_KEEPALIVE: Duration = Duration::from_secs(30);
+const KEEPALIVE_PART: u64 = 4;
 /// Entries of one answer; more cannot be an answer to what was asked.
-const ENTRIES_MOST: usize = 100_000;
+const MAX_ENTRIES: usize = 100_000;
 /// How far before now the first search for changes reaches: a stepped clock is an hour ahead, and a little more.
 const FIRST_POLL_REACH: chrono::TimeDelta = chrono::TimeDelta::seconds(3_600 + 2);
 /// Page of a search that has no bound of its own.
-const PAGE: u32 = 500;
+const PAGE_SIZE: u32 = 500;
 
 /// What a front end is told of its directories.
 #[derive(Debug)]
 pub(crate) enum DirectoryEvent {
     /// There is news of a user who was wanted.
-    UserUpdated(User),
+    LookupFinished(User),
     /// A user is not whose they were.
     UserMigrated(User),
 }
 
 /// A front end's end of its directories.
-pub(crate) struct Handle {
+pub(crate) struct DirectoryHandle {
     pub(crate) roster: Arc<ArcSwap<Roster>>,
     pub(crate) lookups: mpsc::Sender<Input>,
     pub(crate) events: mpsc::Receiver<DirectoryEvent>,
 }
 
 /// The core's settings.
-pub(crate) fn settings(config: &TenantsConfig, seed: u64, clock: Clock) -> Settings {
+fn core_settings(config: &TenantsConfig, seed: u64, clock: Clock) -> Settings {
     Settings {
         directories: config
             .directories
@@ -100,43 +100,43 @@
     clock: Clock,
     seed: u64,
     tasks: &mut tokio::task::JoinSet<()>,
-) -> Handle {
-    let mut core = Directory::new(settings(&config, seed, clock));
+) -> DirectoryHandle {
+    let mut core = Directory::new(core_settings(&config, seed, clock));
     let file = config
         .snapshot
         .as_ref()
         .map(|s| s.path.with_extension(front_end));
     if let (Some(snapshot), Some(file)) = (&config.snapshot, &file) {
-        recall(&config, &mut core, file, &snapshot.key, clock);
+        restore(&config, &mut core, file, &snapshot.key, clock);
     }
     let publisher = Publisher::new(core.roster());
     let roster = publisher.newest();
-    let (wants, inputs) = mpsc::channel(WANTS);
-    let (words, heard) = mpsc::channel(WANTS);
+    let (wants, inputs) = mpsc::channel(EVENT_QUEUE);
+    let (events, heard) = mpsc::channel(EVENT_QUEUE);
     let saver = file.map(|file| {
         Arc::new(Saver::start(
             Arc::new(SystemFiles),
             Target::new(file, Durability::Synced),
         ))
     });
-    let shell = Shell {
+    let task = DirectoryTask {
         core,
         config,
         clock,
         publisher,
-        words,
-        links: BTreeMap::new(),
+        events,
+        servers: BTreeMap::new(),
         saver,
     };
-    tasks.spawn(shell.run(inputs, wants.clone(), front_end.to_string()));
-    Handle {
+    tasks.spawn(task.run(inputs, wants.clone(), front_end.to_string()));
+    DirectoryHandle {
         roster,
         lookups: wants,
         events: heard,
     }
 }
 
-fn recall(config: &TenantsConfig, core: &mut Directory, file: &Path, key: &[u8], clock: Clock) {
+fn restore(config: &TenantsConfig, core: &mut Directory, file: &Path, key: &[u8], clock: Clock) {
     let bytes = match std::fs::read(file) {
         Ok(bytes) => bytes,
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => return,
@@ -166,23 +166,23 @@
     }
 }
 
-struct Shell {
+struct DirectoryTask {
     core: Directory,
     config: Arc<TenantsConfig>,
     clock: Clock,
     publisher: Publisher,
-    words: mpsc::Sender<DirectoryEvent>,
-    links: BTreeMap<(usize, usize), mpsc::Sender<Command>>,
+    events: mpsc::Sender<DirectoryEvent>,
+    servers: BTreeMap<(usize, usize), mpsc::Sender<ServerCommand>>,
     /// Saves snapshots, where there are any.
     saver: Option<Arc<Saver>>,
 }
 
-enum Command {
+enum ServerCommand {
     Search(SearchId, Query),
-    GiveUp(SearchId),
+    Cancel(SearchId),
 }
 
-impl Shell {
+impl DirectoryTask {
     #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
     async fn run(
         mut self,
@@ -192,7 +192,7 @@
     ) {
         let mut tasks = tokio::task::JoinSet::new();
         for (n, directory) in self.config.directories.iter().enumerate() {
-            let tls = match connector(directory) {
+            let tls = match tls_connector(directory) {
                 Ok(tls) => tls,
                 Err(error) => {
                     warn!(directory = directory.name, %error, "TLS cannot be set up; the directory is not asked");
@@ -201,9 +201,9 @@
             };
             let directory = Arc::new(directory.clone());
             for server in 0..directory.servers.len() {
-                let (commands, receiver) = mpsc::channel(COMMANDS);
-                self.links.insert((n, server), commands);
-                let link = Link {
+                let (commands, receiver) = mpsc::channel(COMMAND_QUEUE);
+                self.servers.insert((n, server), commands);
+                let link = ServerLink {
                     directory: directory.clone(),
                     server,
                     tls: tls.clone(),
@@ -229,14 +229,14 @@
         let mut write = tokio::time::interval(every.unwrap_or(Duration::from_secs(3600)));
         write.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         write.tick().await;
-        let mut out = Vec::new();
-        let mut batch = Vec::with_capacity(BATCH);
+        let mut outputs = Vec::new();
+        let mut batch = Vec::with_capacity(MAX_INPUT_BATCH);
         let mut writing: Option<tokio::task::JoinHandle<()>> = None;
         loop {
             let now = self.clock.now();
             let due = self.core.next_due(now);
             tokio::select! {
-                count = inputs.recv_many(&mut batch, BATCH) => {
+                count = inputs.recv_many(&mut batch, MAX_INPUT_BATCH) => {
                     if count == 0 {
                         return;
                     }
@@ -244,7 +244,7 @@
                 () = self.clock.sleep_until(due) => batch.push(Input::Tick),
                 _ = write.tick(), if every.is_some() => {
                     if writing.as_ref().is_none_or(tokio::task::JoinHandle::is_finished) {
-                        writing = self.keep();
+                        writing = self.write_snapshot();
                     }
                 }
             }
@@ -256,12 +256,12 @@
             loop {
                 let now = self.clock.now();
                 for input in batch.drain(..) {
-                    self.core.handle(now, input, &mut out);
+                    self.core.handle(now, input, &mut outputs);
                 }
                 match inputs.try_recv() {
-                    Ok(input) if now < began + TURN => batch.push(input),
+                    Ok(input) if now < began + MAX_TURN => batch.push(input),
                     Ok(input) => {
-                        self.core.handle(now, input, &mut out);
+                        self.core.handle(now, input, &mut outputs);
                         break;
                     }
                     Err(_) => break,
@@ -269,16 +269,18 @@
             }
             // Readers see the new facts before anybody is told that there are any.
             self.publisher.publish(self.core.roster());
-            for output in out.drain(..) {
-                let word = match output {
+            for output in outputs.drain(..) {
+                let event = match output {
                     Output::Search {
                         id,
                         directory,
                         server,
-                        query: what,
+                        query,
                     } => {
-                        let link = self.links.get(&(directory, server));
-                        if link.is_none_or(|l| l.try_send(Command::Search(id, what)).is_err()) {
+                        let link = self.servers.get(&(directory, server));
+                        if link
+                            .is_none_or(|l| l.try_send(ServerCommand::Search(id, query)).is_err())
+                        {
                             let ended = Input::SearchEnded {
                                 search: id,
                                 outcome: Err(SearchError::ConnectionLost),
@@ -288,18 +290,18 @@
                         continue;
                     }
                     Output::CancelSearch(id) => {
-                        for link in self.links.values() {
-                            let _ = link.try_send(Command::GiveUp(id));
+                        for link in self.servers.values() {
+                            let _ = link.try_send(ServerCommand::Cancel(id));
                         }
                         continue;
                     }
-                    Output::LookupFinished(user) => DirectoryEvent::UserUpdated(user),
+                    Output::LookupFinished(user) => DirectoryEvent::LookupFinished(user),
                     Output::UserMigrated(user) => {
-                        info!(front_end, user = &*user, "a user is not whose they were");
+                        info!(front_end, user = &*user, "a user's tenant has changed");
                         DirectoryEvent::UserMigrated(user)
                     }
                 };
-                if self.words.send(word).await.is_err() {
+                if self.events.send(event).await.is_err() {
                     return;
                 }
             }
@@ -307,7 +309,7 @@
     }
 
     /// Writes a snapshot off the path: the roster is shared, not copied.
-    fn keep(&self) -> Option<tokio::task::JoinHandle<()>> {
+    fn write_snapshot(&self) -> Option<tokio::task::JoinHandle<()>> {
         let (saver, config) = (self.saver.clone()?, self.config.clone());
         let (roster, now) = (self.core.roster().clone(), self.clock.now());
         Some(tokio::task::spawn_blocking(move || {
@@ -331,7 +333,7 @@
 trait Transport: AsyncRead + AsyncWrite + Unpin + Send {}
 impl<T: AsyncRead + AsyncWrite + Unpin + Send> Transport for T {}
 
-fn connector(directory: &DirectoryConfig) -> std::io::Result<Option<TlsConnector>> {
+fn tls_connector(directory: &DirectoryConfig) -> std::io::Result<Option<TlsConnector>> {
     if directory.tls == Tls::None {
         return Ok(None);
     }
@@ -406,7 +408,7 @@
                 buffer: vec![0; 32 << 10],
             })
         };
-        match tokio::time::timeout(CONNECT_MOST, opening).await {
+        match tokio::time::timeout(CONNECT_TIMEOUT, opening).await {
             Ok(opened) => opened,
             Err(_) => Err("not up in time".into()),
         }
@@ -462,21 +464,21 @@
 // ---- what is asked, as searches ----
 
 /// The name that a directory has for a user: without the realm where the directory has just one.
-fn local<'a>(directory: &DirectoryConfig, user: &'a str) -> &'a str {
+fn local_name<'a>(directory: &DirectoryConfig, user: &'a str) -> &'a str {
     match (directory.lookups.realms.len(), user.rsplit_once('@')) {
         (1, Some((name, _))) => name,
         _ => user,
     }
 }
 
-fn whole(directory: &DirectoryConfig, name: &str) -> String {
+fn full_name(directory: &DirectoryConfig, name: &str) -> String {
     match &directory.lookups.realms[..] {
         [realm] => format!("{}@{}", dn::fold(name), dn::fold(realm)),
         _ => dn::fold(name),
     }
 }
 
-fn also(directory: &DirectoryConfig) -> Option<Filter> {
+fn configured_filter(directory: &DirectoryConfig) -> Option<Filter> {
     directory
         .filter
         .as_deref()
@@ -497,18 +499,22 @@
     }
 }
 
-fn main_search(directory: &DirectoryConfig, what: &Query, page: Bytes) -> Option<Search> {
-    let filter = match what {
+fn entry_search(directory: &DirectoryConfig, query: &Query, page: Bytes) -> Option<Search> {
+    let filter = match query {
         Query::ServerState => return None,
         Query::Users(users) => {
-            let names = users.iter().map(|u| local(directory, u));
-            filter::any_of(&directory.user_attribute, names, also(directory).as_ref())
+            let names = users.iter().map(|u| local_name(directory, u));
+            filter::any_of(
+                &directory.user_attribute,
+                names,
+                configured_filter(directory).as_ref(),
+            )
         }
         Query::ChangedSince(None) => return None,
         Query::ChangedSince(Some(since)) => {
             let changed = filter::at_least("modifyTimestamp", since);
             filter::and(
-                [also(directory), Some(changed)]
+                [configured_filter(directory), Some(changed)]
                     .into_iter()
                     .flatten()
                     .collect(),
@@ -528,12 +534,12 @@
         time_limit: u32::try_from(directory.lookups.timeout / 1_000_000_000)
             .unwrap_or(0)
             .saturating_add(1),
-        controls: vec![sync::paged(PAGE, page)],
+        controls: vec![sync::paged(PAGE_SIZE, page)],
     })
 }
 
 /// A mark from a `contextCSN`, or from a number that only grows.
-fn mark(text: &str) -> Option<u64> {
+fn parse_mark(text: &str) -> Option<u64> {
     let digits: String = text
         .split(['Z', '#'])
         .next()?
@@ -548,7 +554,7 @@
     }
 }
 
-fn found(
+fn users_of_entry(
     directory: &DirectoryConfig,
     entry: &Entry,
     asked: Option<&BTreeSet<&str>>,
@@ -559,7 +565,7 @@
     let names = entry
         .values(&directory.user_attribute)
         .filter_map(|v| std::str::from_utf8(v).ok());
-    let mut users: Vec<String> = names.map(|name| whole(directory, name)).collect();
+    let mut users: Vec<String> = names.map(|name| full_name(directory, name)).collect();
     if let Some(asked) = asked
         && users.iter().any(|u| asked.contains(u.as_str()))
     {
@@ -588,19 +594,23 @@
     start.format("%Y%m%d%H%M%SZ").to_string()
 }
 
-/// One question under way: the state first, then what was asked.
-struct Question {
-    what: Query,
-    state: Option<Asked>,
-    main: Option<Asked>,
+/// One search under way: the state first, then what was asked.
+struct PendingSearch {
+    query: Query,
+    state: Option<LdapSearchId>,
+    main: Option<LdapSearchId>,
     answer: SearchResponse,
     entries: usize,
 }
 
-impl Question {
-    fn begin(directory: &DirectoryConfig, client: &mut Client, what: Query) -> Option<Question> {
+impl PendingSearch {
+    fn begin(
+        directory: &DirectoryConfig,
+        client: &mut Client,
+        query: Query,
+    ) -> Option<PendingSearch> {
         let state = client.search(state_search(directory))?;
-        let main = match main_search(directory, &what, Bytes::new()) {
+        let main = match entry_search(directory, &query, Bytes::new()) {
             Some(search) => {
                 if let Some(id) = client.search(search) {
                     Some(id)
@@ -611,13 +621,14 @@
             }
             None => None,
         };
-        let newest = matches!(what, Query::ChangedSince(None)).then(|| first_poll_since(wall_ms()));
+        let newest =
+            matches!(query, Query::ChangedSince(None)).then(|| first_poll_since(wall_ms()));
         let answer = SearchResponse {
             newest_modify_timestamp: newest,
             ..SearchResponse::default()
         };
-        Some(Question {
-            what,
+        Some(PendingSearch {
+            query,
             state: Some(state),
             main,
             answer,
@@ -625,22 +636,22 @@
         })
     }
 
-    fn has(&self, id: Asked) -> bool {
+    fn has(&self, id: LdapSearchId) -> bool {
         self.state == Some(id) || self.main == Some(id)
     }
 
-    fn is_over(&self) -> bool {
+    fn is_complete(&self) -> bool {
         self.state.is_none() && self.main.is_none()
     }
 
     fn entry(
         &mut self,
         directory: &DirectoryConfig,
-        id: Asked,
+        id: LdapSearchId,
         entry: &Entry,
     ) -> Result<(), SearchError> {
         self.entries += 1;
-        if self.entries > ENTRIES_MOST {
+        if self.entries > MAX_ENTRIES {
             return Err(SearchError::InvalidResponse);
         }
         if self.state == Some(id) {
@@ -650,11 +661,11 @@
                 .iter()
                 .flat_map(|a| entry.values(a));
             self.answer.change_number = marks
-                .filter_map(|v| mark(std::str::from_utf8(v).ok()?))
+                .filter_map(|v| parse_mark(std::str::from_utf8(v).ok()?))
                 .max();
             return Ok(());
         }
-        let asked = match &self.what {
+        let asked = match &self.query {
             Query::Users(users) => Some(users.iter().map(|u| &**u).collect()),
             _ => None,
         };
@@ -664,7 +675,7 @@
         }
         self.answer
             .entries
-            .extend(found(directory, entry, asked.as_ref()));
+            .extend(users_of_entry(directory, entry, asked.as_ref()));
         Ok(())
     }
 
@@ -672,7 +683,7 @@
         &mut self,
         directory: &DirectoryConfig,
         client: &mut Client,
-        id: Asked,
+        id: LdapSearchId,
         outcome: &pipithub_ldap::Outcome,
     ) -> Result<(), SearchError> {
         match outcome.code {
@@ -703,7 +714,7 @@
         }
         self.main = None;
         if let Some(cookie) = outcome.page.clone().filter(|c| !c.is_empty())
-            && let Some(next) = main_search(directory, &self.what, cookie)
+            && let Some(next) = entry_search(directory, &self.query, cookie)
         {
             self.main = Some(client.search(next).ok_or(SearchError::Unavailable)?);
         }
@@ -715,24 +726,24 @@
 pub async fn ask(
     directory: &DirectoryConfig,
     server: usize,
-    what: Query,
+    query: Query,
 ) -> Result<SearchResponse, String> {
-    let tls = connector(directory).map_err(|e| e.to_string())?;
+    let tls = tls_connector(directory).map_err(|e| e.to_string())?;
     let mut connection = Connection::open(directory, server, tls.as_ref()).await?;
-    let mut question =
-        Question::begin(directory, &mut connection.client, what).ok_or("not begun")?;
+    let mut search =
+        PendingSearch::begin(directory, &mut connection.client, query).ok_or("not begun")?;
     let asking = async {
         loop {
             connection.flush().await?;
             while let Some(event) = connection.client.poll() {
                 match event {
                     Event::Entry(id, entry) => {
-                        question
+                        search
                             .entry(directory, id, &entry)
                             .map_err(|f| f.to_string())?;
                     }
                     Event::Done(id, outcome) => {
-                        let ended = question.done(directory, &mut connection.client, id, &outcome);
+                        let ended = search.done(directory, &mut connection.client, id, &outcome);
                         ended
                             .map_err(|f| format!("{f}: {:?} {}", outcome.code, outcome.message))?;
                     }
@@ -740,10 +751,10 @@
                     _ => {}
                 }
             }
-            if question.is_over() {
+            if search.is_complete() {
                 connection.client.unbind();
                 let _ = connection.flush().await;
-                return Ok(question.answer);
+                return Ok(search.answer);
             }
             connection.read().await?;
         }
@@ -757,32 +768,32 @@
 // ---- links ----
 
 /// One server's connections.
-struct Link {
+struct ServerLink {
     directory: Arc<DirectoryConfig>,
     server: usize,
     tls: Option<TlsConnector>,
     front_end: String,
 }
 
-impl Link {
+impl ServerLink {
     /// Hands each command to one of the connections; each is opened when it is first needed.
-    async fn run(self, mut commands: mpsc::Receiver<Command>, inputs: mpsc::Sender<Input>) {
+    async fn run(self, mut commands: mpsc::Receiver<ServerCommand>, inputs: mpsc::Sender<Input>) {
         let link = Arc::new(self);
         let count = link.directory.connections;
         let mut tasks = tokio::task::JoinSet::new();
-        let mut lines = Vec::new();
+        let mut connections = Vec::new();
         for _ in 0..count {
-            let (line, receiver) = mpsc::channel(COMMANDS);
-            lines.push(line);
-            tasks.spawn(link.clone().connection(receiver, inputs.clone()));
+            let (connection, receiver) = mpsc::channel(COMMAND_QUEUE);
+            connections.push(connection);
+            tasks.spawn(link.clone().run_connection(receiver, inputs.clone()));
         }
         let mut turn = 0;
         while let Some(command) = commands.recv().await {
             match command {
-                Command::Search(id, what) => {
+                ServerCommand::Search(id, query) => {
                     turn += 1;
-                    if lines[turn % count]
-                        .try_send(Command::Search(id, what))
+                    if connections[turn % count]
+                        .try_send(ServerCommand::Search(id, query))
                         .is_err()
                     {
                         let _ = inputs.try_send(Input::SearchEnded {
@@ -791,25 +802,25 @@
                         });
                     }
                 }
-                Command::GiveUp(id) => lines
+                ServerCommand::Cancel(id) => connections
                     .iter()
-                    .for_each(|l| drop(l.try_send(Command::GiveUp(id)))),
+                    .for_each(|l| drop(l.try_send(ServerCommand::Cancel(id)))),
             }
         }
     }
 
-    async fn connection(
+    async fn run_connection(
         self: Arc<Self>,
-        mut commands: mpsc::Receiver<Command>,
+        mut commands: mpsc::Receiver<ServerCommand>,
         inputs: mpsc::Sender<Input>,
     ) {
         let directory = &*self.directory;
         let address = &directory.servers[self.server].address;
         while let Some(first) = commands.recv().await {
-            let Command::Search(id, what) = first else {
+            let ServerCommand::Search(id, query) = first else {
                 continue;
             };
-            let mut questions: BTreeMap<SearchId, Question> = BTreeMap::new();
+            let mut searches: BTreeMap<SearchId, PendingSearch> = BTreeMap::new();
             let why = match Connection::open(directory, self.server, self.tls.as_ref()).await {
                 Ok(mut connection) => {
                     debug!(
@@ -818,9 +829,9 @@
                         address,
                         "directory server reached"
                     );
-                    let begun = Question::begin(directory, &mut connection.client, what);
-                    questions.extend(begun.map(|q| (id, q)));
-                    self.talk(&mut connection, &mut commands, &inputs, &mut questions)
+                    let begun = PendingSearch::begin(directory, &mut connection.client, query);
+                    searches.extend(begun.map(|q| (id, q)));
+                    self.run_session(&mut connection, &mut commands, &inputs, &mut searches)
                         .await
                 }
                 Err(why) => {
@@ -840,7 +851,7 @@
                 why,
                 "directory server lost"
             );
-            for id in questions.into_keys() {
+            for id in searches.into_keys() {
                 let _ = inputs
                     .send(Input::SearchEnded {
                         search: id,
@@ -852,12 +863,12 @@
     }
 
     /// Until the connection is over; the reason.
-    async fn talk(
+    async fn run_session(
         &self,
         connection: &mut Connection,
-        commands: &mut mpsc::Receiver<Command>,
+        commands: &mut mpsc::Receiver<ServerCommand>,
         inputs: &mpsc::Sender<Input>,
-        questions: &mut BTreeMap<SearchId, Question>,
+        searches: &mut BTreeMap<SearchId, PendingSearch>,
     ) -> String {
         let directory = &*self.directory;
         loop {
@@ -867,15 +878,15 @@
             while let Some(event) = connection.client.poll() {
                 let (asked, step) = match event {
                     Event::Entry(asked, entry) => {
-                        let question = questions.values_mut().find(|q| q.has(asked));
+                        let search = searches.values_mut().find(|q| q.has(asked));
                         (
                             asked,
-                            question.map_or(Ok(()), |q| q.entry(directory, asked, &entry)),
+                            search.map_or(Ok(()), |q| q.entry(directory, asked, &entry)),
                         )
                     }
                     Event::Done(asked, outcome) => {
-                        let question = questions.values_mut().find(|q| q.has(asked));
-                        let step = question.map_or(Ok(()), |q| {
+                        let search = searches.values_mut().find(|q| q.has(asked));
+                        let step = search.map_or(Ok(()), |q| {
                             q.done(directory, &mut connection.client, asked, &outcome)
                         });
                         if step.is_err() {
@@ -897,23 +908,23 @@
                     }
                     Event::Over(why) => return why,
                 };
-                let Some(id) = questions
+                let Some(id) = searches
                     .iter()
-                    .find(|(_, q)| q.has(asked) || q.is_over())
+                    .find(|(_, q)| q.has(asked) || q.is_complete())
                     .map(|(id, _)| *id)
                 else {
                     continue;
                 };
                 let outcome = match step {
                     Err(failure) => Err(failure),
-                    Ok(()) if questions[&id].is_over() => Ok(()),
+                    Ok(()) if searches[&id].is_complete() => Ok(()),
                     Ok(()) => continue,
                 };
-                if let Some(question) = questions.remove(&id) {
-                    for left in [question.state, question.main].into_iter().flatten() {
+                if let Some(search) = searches.remove(&id) {
+                    for left in [search.state, search.main].into_iter().flatten() {
                         connection.client.abandon(left);
                     }
-                    let outcome = outcome.map(|()| question.answer);
+                    let outcome = outcome.map(|()| search.answer);
                     if inputs
                         .send(Input::SearchEnded {
                             search: id,
@@ -938,19 +949,19 @@
                         let _ = connection.flush().await;
                         return "not needed any more".into();
                     }
-                    Some(Command::Search(id, what)) => {
-                        match Question::begin(directory, &mut connection.client, what) {
-                            Some(question) => drop(questions.insert(id, question)),
+                    Some(ServerCommand::Search(id, query)) => {
+                        match PendingSearch::begin(directory, &mut connection.client, query) {
+                            Some(search) => drop(searches.insert(id, search)),
                             None => drop(inputs.send(Input::SearchEnded { search: id, outcome: Err(SearchError::Unavailable) }).await),
                         }
                     }
-                    Some(Command::GiveUp(id)) => {
-                        if let Some(question) = questions.remove(&id) {
-                            for left in [question.state, question.main].into_iter().flatten() {
+                    Some(ServerCommand::Cancel(id)) => {
+                        if let Some(search) = searches.remove(&id) {
+                            for left in [search.state, search.main].into_iter().flatten() {
                                 connection.client.abandon(left);
                             }
                             // A server that stays silent here may be half open: the next search tries a new connection.
-                            if questions.is_empty() {
+                            if searches.is_empty() {
                                 return "it does not answer in time".into();
                             }
                         }
@@ -983,12 +994,12 @@
                 directory = name,
                 server, why, "a directory is not followed any more"
             );
-            if !self.tell(SyncEvent::ConnectionLost).await {
+            if !self.report(SyncEvent::ConnectionLost).await {
                 return;
             }
             // What a server says about a synchronisation that it cannot go on with is not one code of the core
             // protocol: whatever ended it, the next one begins anew where this one was short.
-            if began.elapsed() < self.alive() {
+            if began.elapsed() < self.keepalive() {
                 cookie = None;
             }
             server = (server + 1) % self.directory.servers.len();
@@ -997,17 +1008,18 @@
         }
     }
 
-    fn alive(&self) -> Duration {
+    fn keepalive(&self) -> Duration {
         let lifetimes = self.directory.lookups.lifetimes;
         let shortest = lifetimes.fresh.min(lifetimes.negative);
-        Duration::from_nanos(shortest / ALIVE_PART).clamp(Duration::from_millis(100), ALIVE_MOST)
+        Duration::from_nanos(shortest / KEEPALIVE_PART)
+            .clamp(Duration::from_millis(100), MAX_KEEPALIVE)
     }
 
-    async fn tell(&self, news: SyncEvent) -> bool {
+    async fn report(&self, event: SyncEvent) -> bool {
         self.inputs
             .send(Input::Synchronization {
                 directory: self.number,
-                event: news,
+                event,
             })
             .await
             .is_ok()
@@ -1023,7 +1035,7 @@
         let search = Search {
             base: directory.base.clone(),
             scope: SearchRequestScope::WholeSubtree,
-            filter: also(directory)
+            filter: configured_filter(directory)
                 .unwrap_or_else(|| Filter::Present(directory.user_attribute.as_str().into())),
             attributes: vec![directory.user_attribute.clone(), "entryUUID".into()],
             size_limit: 0,
@@ -1034,7 +1046,7 @@
             return "not begun".into();
         };
         if !self
-            .tell(SyncEvent::RefreshStarted {
+            .report(SyncEvent::RefreshStarted {
                 full: cookie.is_none(),
             })
             .await
@@ -1042,9 +1054,9 @@
             return "the front end is gone".into();
         }
         let mut complete = false;
-        let mut alive: Option<Asked> = None;
-        let mut beat = tokio::time::interval(self.alive());
-        beat.tick().await;
+        let mut keepalive_search: Option<LdapSearchId> = None;
+        let mut keepalive = tokio::time::interval(self.keepalive());
+        keepalive.tick().await;
         loop {
             if let Err(why) = connection.flush().await {
                 return why;
@@ -1064,7 +1076,7 @@
                             State::Delete => vec![SyncEvent::Deleted(person)],
                             State::Present => vec![SyncEvent::Unchanged(person)],
                             _ => {
-                                let found = found(directory, &entry, None).into_iter();
+                                let found = users_of_entry(directory, &entry, None).into_iter();
                                 found
                                     .map(|f| SyncEvent::Entry(DirectoryEntry { person, ..f }))
                                     .collect()
@@ -1113,8 +1125,8 @@
                             outcome.code, outcome.message
                         );
                     }
-                    Event::Done(of, outcome) if alive == Some(of) => {
-                        alive = None;
+                    Event::Done(of, outcome) if keepalive_search == Some(of) => {
+                        keepalive_search = None;
                         if outcome.code == ResultCode::Success && complete {
                             vec![SyncEvent::Heartbeat]
                         } else {
@@ -1125,7 +1137,7 @@
                     _ => Vec::new(),
                 };
                 for news in news {
-                    if !self.tell(news).await {
+                    if !self.report(news).await {
                         return "the front end is gone".into();
                     }
                 }
@@ -1136,11 +1148,11 @@
                         return why;
                     }
                 }
-                _ = beat.tick() => {
-                    if alive.is_some() {
+                _ = keepalive.tick() => {
+                    if keepalive_search.is_some() {
                         return "silent".into();
                     }
-                    alive = connection.client.search(state_search(directory));
+                    keepalive_search = connection.client.search(state_search(directory));
                 }
             }
         }
@@ -1169,10 +1181,11 @@
 
     #[test]
     fn marks_grow_with_their_texts() {
-        let csn = |micros: u32| mark(&format!("20261201133000.{micros:06}Z#000000#001#000000"));
+        let csn =
+            |micros: u32| parse_mark(&format!("20261201133000.{micros:06}Z#000000#001#000000"));
         assert!(csn(2) > csn(1) && csn(1).is_some());
-        assert!(mark("20261201133001.000000Z#000000#000#000000") > csn(999_999));
-        assert_eq!(mark("4711"), Some(4711));
-        assert_eq!(mark("none"), None);
+        assert!(parse_mark("20261201133001.000000Z#000000#000#000000") > csn(999_999));
+        assert_eq!(parse_mark("4711"), Some(4711));
+        assert_eq!(parse_mark("none"), None);
     }
 }
--- a/crates/pipithub-gateway/src/tenancy.rs
+++ b/crates/pipithub-gateway/src/tenancy.rs
@@ -16,7 +16,7 @@
 use tokio::sync::mpsc;
 use tracing::debug;
 
-use crate::directory::{DirectoryEvent, Handle};
+use crate::directory::{DirectoryEvent, DirectoryHandle};
 
 /// How many more admitted calls than pending requests there may be before those that expired are removed.
 const MAX_UNMATCHED_CALLS: usize = 1_024;
@@ -65,11 +65,11 @@
     /// An admission that has admitted nothing yet.
     pub(crate) fn new(
         config: Arc<TenantsConfig>,
-        handle: Handle,
+        handle: DirectoryHandle,
         classes: &[Class],
         front_end: &str,
     ) -> Self {
-        let Handle {
+        let DirectoryHandle {
             roster,
             lookups,
             events,
@@ -200,7 +200,7 @@
         inputs: &mut Vec<Input>,
     ) {
         match event {
-            DirectoryEvent::UserUpdated(user) => {
+            DirectoryEvent::LookupFinished(user) => {
                 self.admission
                     .user_updated(now, &self.roster.load(), &user, &mut self.outputs);
             }
