--- /dev/null
+++ b/crates/pipithub-gateway/src/directory/pending_search.rs
@@ -0,0 +1,178 @@
+//! One search of the core under way on a connection.
+
+use std::collections::BTreeSet;
+
+use bytes::Bytes;
+use pipithub_clock::wall_ms;
+use pipithub_directory::{Query, SearchError, SearchResponse};
+use pipithub_ldap::client::Entry;
+use pipithub_ldap::message::ResultCode;
+use pipithub_ldap::{Client, Outcome, SearchId as LdapSearchId};
+use pipithub_settings::DirectoryConfig;
+
+use super::searches::{
+    MODIFY_TIMESTAMP, entry_search, first_poll_since, parse_mark, state_search, users_of_entry,
+};
+
+/// Entries of one answer; more cannot be an answer to the query.
+const MAX_ENTRIES: usize = 100_000;
+
+/// A search of the core as two LDAP searches: the server's state first, then the entries, page by page.
+pub(super) struct PendingSearch {
+    query: Query,
+    state_search: Option<LdapSearchId>,
+    entry_search: Option<LdapSearchId>,
+    response: SearchResponse,
+    entries: usize,
+}
+
+impl PendingSearch {
+    /// Begins both searches; `None` where the client takes no more.
+    pub(super) fn begin(
+        directory: &DirectoryConfig,
+        client: &mut Client,
+        query: Query,
+    ) -> Option<Self> {
+        let state_id = client.search(state_search(directory))?;
+        let mut entry_id = None;
+        if let Some(search) = entry_search(directory, &query, Bytes::new()) {
+            entry_id = client.search(search);
+            if entry_id.is_none() {
+                client.abandon(state_id);
+                return None;
+            }
+        }
+        let newest_modify_timestamp =
+            matches!(query, Query::ChangedSince(None)).then(|| first_poll_since(wall_ms()));
+        Some(PendingSearch {
+            query,
+            state_search: Some(state_id),
+            entry_search: entry_id,
+            response: SearchResponse {
+                newest_modify_timestamp,
+                ..SearchResponse::default()
+            },
+            entries: 0,
+        })
+    }
+
+    /// Whether this LDAP search belongs to it.
+    pub(super) fn has(&self, id: LdapSearchId) -> bool {
+        self.state_search == Some(id) || self.entry_search == Some(id)
+    }
+
+    /// Whether both LDAP searches have ended.
+    pub(super) fn is_complete(&self) -> bool {
+        self.state_search.is_none() && self.entry_search.is_none()
+    }
+
+    /// The response to the query.
+    pub(super) fn into_response(self) -> SearchResponse {
+        self.response
+    }
+
+    /// Has the server end what is still under way.
+    pub(super) fn abandon(&self, client: &mut Client) {
+        for id in [self.state_search, self.entry_search].into_iter().flatten() {
+            client.abandon(id);
+        }
+    }
+
+    /// Handles an entry of one of its searches.
+    pub(super) fn handle_entry(
+        &mut self,
+        directory: &DirectoryConfig,
+        id: LdapSearchId,
+        entry: &Entry,
+    ) -> Result<(), SearchError> {
+        self.entries += 1;
+        if self.entries > MAX_ENTRIES {
+            return Err(SearchError::InvalidResponse);
+        }
+        if self.state_search == Some(id) {
+            self.handle_base_entry(directory, entry);
+        } else {
+            self.handle_user_entry(directory, entry);
+        }
+        Ok(())
+    }
+
+    fn handle_base_entry(&mut self, directory: &DirectoryConfig, entry: &Entry) {
+        self.response.base_exists = true;
+        let marks = directory
+            .mark_attribute
+            .iter()
+            .flat_map(|attribute| entry.values(attribute));
+        self.response.change_number = marks
+            .filter_map(|value| parse_mark(std::str::from_utf8(value).ok()?))
+            .max();
+    }
+
+    fn handle_user_entry(&mut self, directory: &DirectoryConfig, entry: &Entry) {
+        let asked: Option<BTreeSet<&str>> = match &self.query {
+            Query::Users(users) => Some(users.iter().map(|user| &**user).collect()),
+            _ => None,
+        };
+        let changed = entry.text(MODIFY_TIMESTAMP).filter(|_| asked.is_none());
+        if let Some(changed) = changed {
+            self.response.newest_modify_timestamp =
+                Some(changed.to_string()).max(self.response.newest_modify_timestamp.take());
+        }
+        let users = users_of_entry(directory, entry, asked.as_ref());
+        self.response.entries.extend(users);
+    }
+
+    /// Handles the end of one of its searches, and begins the next page where there is one.
+    pub(super) fn handle_done(
+        &mut self,
+        directory: &DirectoryConfig,
+        client: &mut Client,
+        id: LdapSearchId,
+        outcome: &Outcome,
+    ) -> Result<(), SearchError> {
+        check_result(directory, outcome)?;
+        if self.state_search == Some(id) {
+            self.state_search = None;
+            return Ok(());
+        }
+        self.entry_search = None;
+        let cookie = outcome.page.clone().filter(|cookie| !cookie.is_empty());
+        if let Some(cookie) = cookie
+            && let Some(next) = entry_search(directory, &self.query, cookie)
+        {
+            self.entry_search = Some(client.search(next).ok_or(SearchError::Unavailable)?);
+        }
+        Ok(())
+    }
+}
+
+/// Sorts the result of an LDAP search by what the core makes of it.
+fn check_result(directory: &DirectoryConfig, outcome: &Outcome) -> Result<(), SearchError> {
+    match outcome.code {
+        ResultCode::Success => Ok(()),
+        // Without its base the tree is not there: `base_exists` of the response shows it.
+        ResultCode::NoSuchObject => Ok(()),
+        ResultCode::Referral => {
+            let mut urls = outcome.referrals.iter();
+            let server = urls.find_map(|url| server_of_url(directory, url));
+            Err(SearchError::Referral(server))
+        }
+        ResultCode::InsufficientAccessRights
+        | ResultCode::InvalidCredentials
+        | ResultCode::StrongerAuthRequired
+        | ResultCode::ConfidentialityRequired => Err(SearchError::Denied),
+        _ => Err(SearchError::Unavailable),
+    }
+}
+
+/// The server of the directory that a URL names.
+fn server_of_url(directory: &DirectoryConfig, url: &str) -> Option<usize> {
+    let rest = url
+        .strip_prefix("ldap://")
+        .or(url.strip_prefix("ldaps://"))?;
+    let host = rest.split(['/', '?']).next()?;
+    directory
+        .servers
+        .iter()
+        .position(|server| server.address == host)
+}
--- /dev/null
+++ b/crates/pipithub-gateway/src/directory/searches/tests.rs
@@ -0,0 +1,10 @@
+use super::parse_mark;
+
+#[test]
+fn marks_grow_with_their_texts() {
+    let csn = |micros: u32| parse_mark(&format!("20261201133000.{micros:06}Z#000000#001#000000"));
+    assert!(csn(2) > csn(1) && csn(1).is_some());
+    assert!(parse_mark("20261201133001.000000Z#000000#000#000000") > csn(999_999));
+    assert_eq!(parse_mark("4711"), Some(4711));
+    assert_eq!(parse_mark("none"), None);
+}
--- /dev/null
+++ b/crates/pipithub-gateway/src/directory/session.rs
@@ -0,0 +1,213 @@
+//! The searches on one connection to a directory server.
+
+use std::collections::BTreeMap;
+
+use pipithub_directory::{Input, Query, SearchError, SearchId};
+use pipithub_ldap::{Event, Outcome, SearchId as LdapSearchId};
+use pipithub_settings::DirectoryConfig;
+use tokio::sync::mpsc;
+use tracing::warn;
+
+use super::connection::{Connection, ConnectionError};
+use super::pending_search::PendingSearch;
+use super::server_link::{ServerCommand, ServerLink, failed_search};
+
+/// Why a session ended.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum SessionEnd {
+    #[error(transparent)]
+    Connection(#[from] ConnectionError),
+    #[error("the front end is gone")]
+    FrontEndGone,
+    #[error("not needed any more")]
+    Unneeded,
+    #[error("it does not answer in time")]
+    Silent,
+}
+
+/// What is left of a session.
+pub(super) struct EndedSession {
+    pub(super) reason: SessionEnd,
+    /// Searches that were under way.
+    pub(super) unanswered: Vec<SearchId>,
+}
+
+/// A connection that is up, with the searches on it.
+pub(super) struct Session<'a> {
+    link: &'a ServerLink,
+    connection: Connection,
+    inputs: &'a mpsc::Sender<Input>,
+    searches: BTreeMap<SearchId, PendingSearch>,
+}
+
+impl<'a> Session<'a> {
+    /// A session without searches.
+    pub(super) fn new(
+        link: &'a ServerLink,
+        connection: Connection,
+        inputs: &'a mpsc::Sender<Input>,
+    ) -> Self {
+        Session {
+            link,
+            connection,
+            inputs,
+            searches: BTreeMap::new(),
+        }
+    }
+
+    /// Begins the search for which the connection was opened.
+    pub(super) fn begin_first(&mut self, id: SearchId, query: Query) {
+        let client = &mut self.connection.client;
+        let search = PendingSearch::begin(&self.link.directory, client, query);
+        self.searches.extend(search.map(|search| (id, search)));
+    }
+
+    /// Runs until the connection ends, and closes it.
+    pub(super) async fn run(
+        mut self,
+        commands: &mut mpsc::Receiver<ServerCommand>,
+    ) -> EndedSession {
+        let reason = loop {
+            if let Err(reason) = self.step(commands).await {
+                break reason;
+            }
+        };
+        EndedSession {
+            reason,
+            unanswered: self.searches.into_keys().collect(),
+        }
+    }
+
+    async fn step(
+        &mut self,
+        commands: &mut mpsc::Receiver<ServerCommand>,
+    ) -> Result<(), SessionEnd> {
+        self.connection.flush().await?;
+        while let Some(event) = self.connection.client.poll() {
+            self.handle_event(event).await?;
+        }
+        tokio::select! {
+            read = self.connection.read() => Ok(read?),
+            command = commands.recv() => self.handle_command(command).await,
+        }
+    }
+
+    fn directory(&self) -> &'a DirectoryConfig {
+        &self.link.directory
+    }
+
+    async fn handle_event(&mut self, event: Event) -> Result<(), SessionEnd> {
+        let directory = self.directory();
+        let (ldap_id, handled) = match event {
+            Event::Entry(ldap_id, entry) => {
+                let search = self.search_of(ldap_id);
+                let handled = search.map_or(Ok(()), |s| s.handle_entry(directory, ldap_id, &entry));
+                (ldap_id, handled)
+            }
+            Event::Done(ldap_id, outcome) => (ldap_id, self.handle_done(ldap_id, outcome)),
+            // Referrals to other places are not followed: only servers of the settings are asked.
+            Event::Reference(..) | Event::Info(..) | Event::Ready | Event::BeginTls => {
+                return Ok(());
+            }
+            Event::Over(why) => return Err(ConnectionError::Protocol(why).into()),
+        };
+        let affected = self
+            .searches
+            .iter()
+            .find(|(_, search)| search.has(ldap_id) || search.is_complete())
+            .map(|(id, search)| (*id, search.is_complete()));
+        match (affected, handled) {
+            (Some((id, _)), Err(error)) => self.finish(id, Err(error)).await,
+            (Some((id, true)), Ok(())) => self.finish(id, Ok(())).await,
+            _ => Ok(()),
+        }
+    }
+
+    fn search_of(&mut self, ldap_id: LdapSearchId) -> Option<&mut PendingSearch> {
+        self.searches
+            .values_mut()
+            .find(|search| search.has(ldap_id))
+    }
+
+    fn handle_done(&mut self, ldap_id: LdapSearchId, outcome: Outcome) -> Result<(), SearchError> {
+        let directory = self.directory();
+        let search = self
+            .searches
+            .values_mut()
+            .find(|search| search.has(ldap_id));
+        let Some(search) = search else {
+            return Ok(());
+        };
+        let handled = search.handle_done(directory, &mut self.connection.client, ldap_id, &outcome);
+        if handled.is_err() {
+            warn!(
+                front_end = self.link.front_end,
+                directory = directory.name,
+                server = self.link.server,
+                code = ?outcome.code,
+                words = outcome.message,
+                "a directory server does not answer"
+            );
+        }
+        handled
+    }
+
+    /// Removes a search and reports its end.
+    async fn finish(
+        &mut self,
+        id: SearchId,
+        ended: Result<(), SearchError>,
+    ) -> Result<(), SessionEnd> {
+        let Some(search) = self.searches.remove(&id) else {
+            return Ok(());
+        };
+        search.abandon(&mut self.connection.client);
+        let ended = Input::SearchEnded {
+            search: id,
+            outcome: ended.map(|()| search.into_response()),
+        };
+        let sent = self.inputs.send(ended).await;
+        sent.map_err(|_| SessionEnd::FrontEndGone)
+    }
+
+    async fn handle_command(&mut self, command: Option<ServerCommand>) -> Result<(), SessionEnd> {
+        match command {
+            None => {
+                self.connection.unbind().await;
+                Err(SessionEnd::Unneeded)
+            }
+            Some(ServerCommand::Search { id, query }) => {
+                self.begin(id, query).await;
+                Ok(())
+            }
+            Some(ServerCommand::Cancel(id)) => self.cancel(id),
+        }
+    }
+
+    async fn begin(&mut self, id: SearchId, query: Query) {
+        let client = &mut self.connection.client;
+        match PendingSearch::begin(&self.link.directory, client, query) {
+            Some(search) => {
+                self.searches.insert(id, search);
+            }
+            None => {
+                let _ = self
+                    .inputs
+                    .send(failed_search(id, SearchError::Unavailable))
+                    .await;
+            }
+        }
+    }
+
+    fn cancel(&mut self, id: SearchId) -> Result<(), SessionEnd> {
+        let Some(search) = self.searches.remove(&id) else {
+            return Ok(());
+        };
+        search.abandon(&mut self.connection.client);
+        // A server that stays silent here may be half open: the next search tries a new connection.
+        if self.searches.is_empty() {
+            return Err(SessionEnd::Silent);
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/pipithub-gateway/src/directory/snapshots.rs
@@ -0,0 +1,132 @@
+//! Snapshots of what is known of users: read at the start, written from time to time.
+
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+use std::time::Duration;
+
+use pipithub_clock::{Clock, wall_ms};
+use pipithub_directory::{Directory, Roster, snapshot};
+use pipithub_settings::{SnapshotConfig, TenantsConfig};
+use pipithub_storage::{Durability, Saver, SystemFiles, Target};
+use tokio::task::JoinHandle;
+use tokio::time::{Instant, Interval, MissedTickBehavior, interval_at};
+use tracing::{info, warn};
+
+/// The file of a front end; each has one of its own.
+fn snapshot_file(settings: &SnapshotConfig, front_end: &str) -> PathBuf {
+    settings.path.with_extension(front_end)
+}
+
+/// Identifies the settings: a snapshot of other directories or tenants must not be read.
+fn fingerprint(config: &TenantsConfig) -> [u8; 32] {
+    let directories = config.directories.iter().flat_map(|directory| {
+        let realms = directory.lookups.realms.iter().map(String::as_str);
+        [
+            "directory",
+            &directory.name,
+            &directory.base,
+            &directory.user_attribute,
+        ]
+        .into_iter()
+        .chain(realms)
+    });
+    let tenants = config
+        .tenants
+        .iter()
+        .flat_map(|tenant| ["tenant", &tenant.name, &tenant.base]);
+    snapshot::fingerprint(directories.chain(tenants))
+}
+
+/// Hands the facts of the snapshot to the core, where there is a snapshot that can be read.
+pub(super) fn restore(config: &TenantsConfig, front_end: &str, core: &mut Directory, clock: Clock) {
+    let Some(settings) = &config.snapshot else {
+        return;
+    };
+    let file = snapshot_file(settings, front_end);
+    match std::fs::read(&file) {
+        Ok(bytes) => restore_from(&bytes, config, settings, &file, core, clock),
+        Err(error) if error.kind() == std::io::ErrorKind::NotFound => {}
+        Err(error) => warn!(file = %file.display(), %error, "snapshot not read"),
+    }
+}
+
+fn restore_from(
+    bytes: &[u8],
+    config: &TenantsConfig,
+    settings: &SnapshotConfig,
+    file: &Path,
+    core: &mut Directory,
+    clock: Clock,
+) {
+    let max_age = |directory: u16| {
+        let directory = config.directories.get(usize::from(directory))?;
+        Some(directory.lookups.lifetimes.max_stale)
+    };
+    match snapshot::read(
+        bytes,
+        clock.now(),
+        wall_ms() as i64,
+        fingerprint(config),
+        &settings.key,
+        max_age,
+    ) {
+        Ok(facts) => {
+            info!(file = %file.display(), users = facts.len(), "snapshot taken");
+            core.restore(clock.now(), facts);
+        }
+        Err(error) => {
+            warn!(file = %file.display(), %error, "snapshot refused; users are asked for anew");
+        }
+    }
+}
+
+/// Writes snapshots at the interval of the settings.
+pub(super) struct SnapshotWriter {
+    config: Arc<TenantsConfig>,
+    settings: SnapshotConfig,
+    saver: Arc<Saver>,
+    clock: Clock,
+    interval: Interval,
+    writing: Option<JoinHandle<()>>,
+}
+
+impl SnapshotWriter {
+    /// `None` where the settings want no snapshots.
+    pub(super) fn new(config: &Arc<TenantsConfig>, front_end: &str, clock: Clock) -> Option<Self> {
+        let settings = config.snapshot.clone()?;
+        let target = Target::new(snapshot_file(&settings, front_end), Durability::Synced);
+        let period = Duration::from_nanos(settings.every);
+        let mut interval = interval_at(Instant::now() + period, period);
+        interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        Some(SnapshotWriter {
+            config: config.clone(),
+            settings,
+            saver: Arc::new(Saver::start(Arc::new(SystemFiles), target)),
+            clock,
+            interval,
+            writing: None,
+        })
+    }
+
+    /// Waits until the next snapshot is due.
+    pub(super) async fn due(&mut self) {
+        self.interval.tick().await;
+    }
+
+    /// Writes a snapshot in the background, unless the one before is still being written.
+    pub(super) fn write(&mut self, roster: &Roster) {
+        let is_idle = self.writing.as_ref().is_none_or(JoinHandle::is_finished);
+        if !is_idle {
+            return;
+        }
+        let (saver, config) = (self.saver.clone(), self.config.clone());
+        let key = self.settings.key.clone();
+        // A clone shares the facts.
+        let (roster, now) = (roster.clone(), self.clock.now());
+        self.writing = Some(tokio::task::spawn_blocking(move || {
+            let wall = wall_ms() as i64;
+            let bytes = snapshot::write(&roster, now, wall, fingerprint(&config), &key);
+            saver.save(now, bytes);
+        }));
+    }
+}
--- /dev/null
+++ b/crates/pipithub-gateway/src/directory/sync_session.rs
@@ -0,0 +1,209 @@
+//! One content synchronisation (RFC 4533) with a directory server: the refresh, then changes as they happen.
+
+use bytes::Bytes;
+use pipithub_directory::{DirectoryEntry, PersonId, SyncEvent};
+use pipithub_ldap::client::Entry;
+use pipithub_ldap::message::ResultCode;
+use pipithub_ldap::sync::{IdSet, Info, PhaseValue, State};
+use pipithub_ldap::{Event, Outcome, SearchId as LdapSearchId};
+use tokio::time::Interval;
+
+use super::connection::{Connection, ConnectionError};
+use super::follower::Follower;
+use super::searches::{state_search, sync_search, users_of_entry};
+
+/// Why a directory is not followed any more.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum FollowError {
+    #[error(transparent)]
+    Connection(#[from] ConnectionError),
+    #[error("not begun")]
+    NotBegun,
+    #[error("the front end is gone")]
+    FrontEndGone,
+    #[error("an entry without its state")]
+    EntryWithoutState,
+    #[error("the synchronisation ended: {code:?} {message}")]
+    Ended { code: ResultCode, message: String },
+    #[error("silent")]
+    Silent,
+}
+
+/// A synchronisation under way.
+pub(super) struct SyncSession<'a> {
+    follower: &'a Follower,
+    connection: Connection,
+    search: LdapSearchId,
+    cookie: &'a mut Option<Bytes>,
+    /// The refresh is over: the server has reported all that there is.
+    refreshed: bool,
+    keepalive: Interval,
+    /// The search by which the connection is checked, until it is answered.
+    keepalive_search: Option<LdapSearchId>,
+}
+
+impl<'a> SyncSession<'a> {
+    /// Connects to a server and begins the synchronisation from the cookie on.
+    pub(super) async fn begin(
+        follower: &'a Follower,
+        server: usize,
+        cookie: &'a mut Option<Bytes>,
+    ) -> Result<Self, FollowError> {
+        let directory = &*follower.directory;
+        let mut connection = Connection::open(directory, server, follower.tls.as_ref()).await?;
+        let request = sync_search(directory, cookie.clone());
+        let search = connection
+            .client
+            .search(request)
+            .ok_or(FollowError::NotBegun)?;
+        let full = cookie.is_none();
+        follower.report(SyncEvent::RefreshStarted { full }).await?;
+        let mut keepalive = tokio::time::interval(follower.keepalive());
+        keepalive.tick().await;
+        Ok(SyncSession {
+            follower,
+            connection,
+            search,
+            cookie,
+            refreshed: false,
+            keepalive,
+            keepalive_search: None,
+        })
+    }
+
+    /// Runs until the synchronisation or the connection ends.
+    pub(super) async fn run(&mut self) -> FollowError {
+        loop {
+            if let Err(error) = self.step().await {
+                return error;
+            }
+        }
+    }
+
+    async fn step(&mut self) -> Result<(), FollowError> {
+        self.connection.flush().await?;
+        while let Some(event) = self.connection.client.poll() {
+            for event in self.handle_event(event)? {
+                self.follower.report(event).await?;
+            }
+        }
+        tokio::select! {
+            read = self.connection.read() => Ok(read?),
+            _ = self.keepalive.tick() => self.check_connection(),
+        }
+    }
+
+    /// Begins a search that shows whether the connection is good; the one before must have been answered.
+    fn check_connection(&mut self) -> Result<(), FollowError> {
+        if self.keepalive_search.is_some() {
+            return Err(FollowError::Silent);
+        }
+        let search = state_search(&self.follower.directory);
+        self.keepalive_search = self.connection.client.search(search);
+        Ok(())
+    }
+
+    fn handle_event(&mut self, event: Event) -> Result<Vec<SyncEvent>, FollowError> {
+        match event {
+            Event::Entry(id, entry) if id == self.search => self.handle_entry(&entry),
+            Event::Info(id, info) if id == self.search => Ok(self.handle_info(info)),
+            Event::Done(id, outcome) if id == self.search => Err(FollowError::Ended {
+                code: outcome.code,
+                message: outcome.message,
+            }),
+            Event::Done(id, outcome) if self.keepalive_search == Some(id) => {
+                Ok(self.handle_keepalive(&outcome))
+            }
+            Event::Over(why) => Err(ConnectionError::Protocol(why).into()),
+            _ => Ok(Vec::new()),
+        }
+    }
+
+    fn handle_keepalive(&mut self, outcome: &Outcome) -> Vec<SyncEvent> {
+        self.keepalive_search = None;
+        if outcome.code == ResultCode::Success && self.refreshed {
+            vec![SyncEvent::Heartbeat]
+        } else {
+            Vec::new()
+        }
+    }
+
+    fn handle_entry(&mut self, entry: &Entry) -> Result<Vec<SyncEvent>, FollowError> {
+        let state = entry.state.clone().ok_or(FollowError::EntryWithoutState)?;
+        let person = person_of(&state.uuid);
+        self.advance_cookie(state.cookie.as_deref());
+        Ok(match state.state {
+            State::Delete => vec![SyncEvent::Deleted(person)],
+            State::Present => vec![SyncEvent::Unchanged(person)],
+            State::Add | State::Modify => users_of_entry(&self.follower.directory, entry, None)
+                .into_iter()
+                .map(|found| SyncEvent::Entry(DirectoryEntry { person, ..found }))
+                .collect(),
+        })
+    }
+
+    fn handle_info(&mut self, info: Info) -> Vec<SyncEvent> {
+        match info {
+            Info::Cookie(cookie) => {
+                self.advance_cookie(Some(&cookie));
+                Vec::new()
+            }
+            Info::RefreshDelete(phase) | Info::RefreshPresent(phase) => self.end_phase(&phase),
+            Info::Ids(ids) => self.handle_ids(&ids),
+            _ => Vec::new(),
+        }
+    }
+
+    fn end_phase(&mut self, phase: &PhaseValue) -> Vec<SyncEvent> {
+        self.advance_cookie(phase.cookie.as_deref());
+        self.refreshed |= phase.refresh_done;
+        if phase.refresh_done {
+            vec![SyncEvent::RefreshDone]
+        } else {
+            Vec::new()
+        }
+    }
+
+    fn handle_ids(&mut self, ids: &IdSet) -> Vec<SyncEvent> {
+        self.advance_cookie(ids.cookie.as_deref());
+        let sync_event = |person| {
+            if ids.refresh_deletes {
+                SyncEvent::Deleted(person)
+            } else {
+                SyncEvent::Unchanged(person)
+            }
+        };
+        ids.uuids
+            .to_vec()
+            .into_iter()
+            .map(|uuid| sync_event(person_of(uuid)))
+            .collect()
+    }
+
+    /// Takes over a new cookie, where there is one.
+    fn advance_cookie(&mut self, cookie: Option<&[u8]>) {
+        if let Some(cookie) = cookie {
+            *self.cookie = Some(Bytes::copy_from_slice(cookie));
+        }
+    }
+}
+
+fn person_of(uuid: &[u8]) -> PersonId {
+    PersonId::from_uuid(uuid_text(uuid).as_bytes())
+}
+
+/// Writes an `entryUUID` as a directory does.
+fn uuid_text(uuid: &[u8]) -> String {
+    let hex: String = uuid.iter().map(|byte| format!("{byte:02x}")).collect();
+    if hex.len() != 32 {
+        return hex;
+    }
+    format!(
+        "{}-{}-{}-{}-{}",
+        &hex[..8],
+        &hex[8..12],
+        &hex[12..16],
+        &hex[16..20],
+        &hex[20..]
+    )
+}
