--- a/crates/pipithub-gateway/tests/connect.rs
+++ b/crates/pipithub-gateway/tests/connect.rs
@@ -52,7 +52,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_fault_of_the_peer_is_told_at_once() {
+async fn a_fault_of_the_peer_is_reported_at_once() {
     for errno in [
         Errno::CONNREFUSED,
         Errno::CONNRESET,
--- a/crates/pipithub-gateway/tests/deadline.rs
+++ b/crates/pipithub-gateway/tests/deadline.rs
@@ -1,4 +1,4 @@
-//! What a worker is told of a call's deadline.
+//! What a worker is sent of a call's deadline.
 
 use std::net::SocketAddr;
 
@@ -11,10 +11,10 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
 
-const GIVE_UP_MS: u64 = 20_000;
+const CLIENT_TIMEOUT_MS: u64 = 20_000;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_worker_is_told_once_no_more_than_is_left() {
+async fn a_worker_is_sent_the_remaining_time_once() {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let queues = vec![("calls".to_string(), FieldTable::new())];
     let settings = BrokerSettings {
@@ -50,18 +50,18 @@
             head.push(stream.read_u8().await.expect("a whole request"));
         }
         let head = String::from_utf8(head).expect("text").to_lowercase();
-        // Probes and orders have no deadline.
+        // Load polls and load commands have no deadline.
         if !head.starts_with("post /v2/models/f/infer ") {
             continue;
         }
-        let told: Vec<u64> = head
+        let timeouts: Vec<u64> = head
             .lines()
             .filter_map(|line| line.strip_prefix("pipithub-timeout-ms: "))
             .map(|value| value.parse().expect("a number"))
             .collect();
         assert!(
-            matches!(told[..], [left] if (1..=GIVE_UP_MS).contains(&left)),
-            "{told:?}"
+            matches!(timeouts[..], [left] if (1..=CLIENT_TIMEOUT_MS).contains(&left)),
+            "{timeouts:?}"
         );
         return;
     }
--- a/crates/pipithub-gateway/tests/tenants/changes.rs
+++ b/crates/pipithub-gateway/tests/tenants/changes.rs
@@ -53,7 +53,7 @@
 
 /// A directory that is asked for what changed: a move is heard long before the fact would be asked for again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_polled_directory_tells_of_moves() {
+async fn a_polled_directory_reports_moves() {
     let stage = Stage::new("poll").await;
     let server = directory(&tree(&[("mai".into(), "north")]), false).await;
     let directory = "tls \"none\"; poll \"1s\"; fresh \"10m\"; mark-attribute \"contextCSN\"";
