--- a/crates/pipithub-gateway/src/cron.rs
+++ b/crates/pipithub-gateway/src/cron.rs
@@ -4,6 +4,7 @@
 
 use std::str::FromStr;
 use std::sync::Arc;
+use std::time::Duration;
 
 use bytes::Bytes;
 use chrono::{DateTime, Utc};
@@ -53,15 +54,9 @@
     /// Fires timers until the front end has ended.
     pub(crate) async fn run(mut self) {
         loop {
-            let wait = self.schedule.time_until_check(wall_time());
-            let waited = async {
-                match wait {
-                    Some(wait) => tokio::time::sleep(wait).await,
-                    None => std::future::pending().await,
-                }
-            };
+            let next_check = self.schedule.time_until_check(wall_time());
             tokio::select! {
-                () = waited => {
+                () = wait(next_check) => {
                     if !self.fire_due().await {
                         return;
                     }
@@ -109,6 +104,14 @@
     }
 }
 
+/// Waits for a span; for ever where there is none.
+async fn wait(span: Option<Duration>) {
+    match span {
+        Some(span) => tokio::time::sleep(span).await,
+        None => std::future::pending().await,
+    }
+}
+
 fn wall_time() -> DateTime<Utc> {
     let millis = i64::try_from(wall_ms()).unwrap_or(i64::MAX);
     DateTime::from_timestamp_millis(millis).unwrap_or(DateTime::<Utc>::MAX_UTC)
--- a/crates/pipithub-gateway/src/directory.rs
+++ b/crates/pipithub-gateway/src/directory.rs
@@ -1,4 +1,4 @@
-//! The directories of a front end: the core's task, connections to directory servers, snapshots. Nothing is decided here.
+//! The directories of a front end: the core's task, connections to directory servers, snapshots. The core decides.
 //!
 //! [`start`] runs the core of `pipithub-directory` as a task. Its searches go to the servers over connections that are
 //! kept open; a directory that is followed reports its changes by itself.
--- a/crates/pipithub-gateway/src/directory/searches.rs
+++ b/crates/pipithub-gateway/src/directory/searches.rs
@@ -168,8 +168,9 @@
 
 /// From which `modifyTimestamp` on a directory is first asked for changes, as a generalized time (RFC 4517, 3.3.13).
 ///
-/// It lies an hour and two seconds before now, as this machine's wall clock may be ahead of the server's: a start in the
-/// server's future would miss every change until then. Entries that are reported though they had not changed do no harm.
+/// It lies an hour and two seconds before now, as this machine's wall clock may be ahead of the server's: a start in
+/// the server's future would miss every change until then. Entries that are reported though they had not changed do no
+/// harm.
 pub fn first_poll_since(wall_ms: u64) -> String {
     let start_ms = i64::try_from(wall_ms)
         .unwrap_or(i64::MAX)
--- a/crates/pipithub-gateway/src/directory/session.rs
+++ b/crates/pipithub-gateway/src/directory/session.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use pipithub_directory::{Input, Query, SearchError, SearchId};
+use pipithub_ldap::client::Entry;
 use pipithub_ldap::{Event, Outcome, SearchId as LdapSearchId};
-use pipithub_settings::DirectoryConfig;
 use tokio::sync::mpsc;
 use tracing::warn;
 
@@ -92,18 +92,9 @@
         }
     }
 
-    fn directory(&self) -> &'a DirectoryConfig {
-        &self.link.directory
-    }
-
     async fn handle_event(&mut self, event: Event) -> Result<(), SessionEnd> {
-        let directory = self.directory();
         let (ldap_id, handled) = match event {
-            Event::Entry(ldap_id, entry) => {
-                let search = self.search_of(ldap_id);
-                let handled = search.map_or(Ok(()), |s| s.handle_entry(directory, ldap_id, &entry));
-                (ldap_id, handled)
-            }
+            Event::Entry(ldap_id, entry) => (ldap_id, self.handle_entry(ldap_id, &entry)),
             Event::Done(ldap_id, outcome) => (ldap_id, self.handle_done(ldap_id, outcome)),
             // Referrals to other places are not followed: only servers of the settings are asked.
             Event::Reference(..) | Event::Info(..) | Event::Ready | Event::BeginTls => {
@@ -123,19 +114,18 @@
         }
     }
 
-    fn search_of(&mut self, ldap_id: LdapSearchId) -> Option<&mut PendingSearch> {
-        self.searches
-            .values_mut()
-            .find(|search| search.has(ldap_id))
+    fn handle_entry(&mut self, ldap_id: LdapSearchId, entry: &Entry) -> Result<(), SearchError> {
+        let mut searches = self.searches.values_mut();
+        match searches.find(|search| search.has(ldap_id)) {
+            Some(search) => search.handle_entry(&self.link.directory, ldap_id, entry),
+            None => Ok(()),
+        }
     }
 
     fn handle_done(&mut self, ldap_id: LdapSearchId, outcome: Outcome) -> Result<(), SearchError> {
-        let directory = self.directory();
-        let search = self
-            .searches
-            .values_mut()
-            .find(|search| search.has(ldap_id));
-        let Some(search) = search else {
+        let directory = &self.link.directory;
+        let mut searches = self.searches.values_mut();
+        let Some(search) = searches.find(|search| search.has(ldap_id)) else {
             return Ok(());
         };
         let handled = search.handle_done(directory, &mut self.connection.client, ldap_id, &outcome);
--- a/crates/pipithub-gateway/src/list.rs
+++ b/crates/pipithub-gateway/src/list.rs
@@ -45,8 +45,8 @@
     }
 }
 
-/// Starts the saver of the cached list. All front ends of a process write the same file, each by a temporary file of its
-/// own.
+/// Starts the saver of the cached list. All front ends of a process write the same file, each by a temporary file of
+/// its own.
 fn start_saver(settings: &EndpointListSettings) -> Option<Saver> {
     let path = settings.cache.as_ref()?;
     let target = Target::shared(path, &settings.front_end, Durability::Synced);
--- a/crates/pipithub-gateway/src/schedule.rs
+++ b/crates/pipithub-gateway/src/schedule.rs
@@ -1,8 +1,8 @@
 //! When timers fire: schedules in wall time (UTC), without I/O.
 //!
-//! A schedule names occurrences in wall time, and the wall clock may be stepped. [`Schedule::due`] is given the wall time
-//! and tells which timers fire; [`Schedule::time_until_check`] gives a span of real time after which to ask again, [`MAX_CHECK_INTERVAL`] at
-//! the most, so that a step is noticed within that span.
+//! A schedule names occurrences in wall time, and the wall clock may be stepped. [`Schedule::due`] takes the wall time
+//! and returns the timers that fire; [`Schedule::time_until_check`] returns the span of real time after which to ask
+//! again, [`MAX_CHECK_INTERVAL`] at the most, so that a step is noticed within that span.
 //!
 //! | the wall clock | what fires |
 //! | --- | --- |
@@ -11,8 +11,8 @@
 //! | is stepped back, by [`MAX_STEP_BACK`] at the most | nothing that lies before the latest wall time seen: no occurrence fires a second time; the next one after it fires at its time |
 //! | is stepped back further | the time before the step is taken for a fault of the clock; the schedule begins anew from the wall time now |
 //!
-//! A process held up past an occurrence is the same as a step forward. Nothing is kept across a restart: occurrences that
-//! passed while the process was down don't fire.
+//! A process held up past an occurrence is the same as a step forward. Nothing is stored across a restart: occurrences
+//! that passed while the process was down do not fire.
 
 use std::time::Duration;
 
--- a/crates/pipithub-gateway/src/workers/connections.rs
+++ b/crates/pipithub-gateway/src/workers/connections.rs
@@ -25,8 +25,8 @@
 pub(super) enum ExchangeError {
     /// The worker accepted no connection, or none that lasted: nothing of the request was sent.
     Unreachable,
-    /// This machine could not make a connection, or the deadline was reached before: nothing of the request was sent, and
-    /// nothing is known of the worker.
+    /// This machine could not make a connection, or the deadline was reached before: nothing of the request was sent,
+    /// and nothing is known of the worker.
     NotSent,
     /// The connection broke after the request was sent, at least in part.
     Broken,
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Sends one request and reads its response. A pooled connection that its worker had closed before anything was sent
-    /// is passed over; what may have been sent is never sent again here.
+    /// Sends one request and reads its response. A pooled connection that its worker had closed before anything was
+    /// sent is passed over; what may have been sent is never sent again here.
     ///
     /// Where there is a deadline, the worker is sent the remaining time as of when the request is put on a connection.
     pub(super) async fn exchange(
