--- a/crates/pipithub-gateway/src/cron.rs
+++ b/crates/pipithub-gateway/src/cron.rs
@@ -1,9 +1,10 @@
-//! Timers as a second source: in memory, fired by this front end alone.
+//! Timers as a source of calls: in memory, fired by this front end alone.
 //!
-//! What fires when, also across steps of the wall clock, is decided by [`Schedule`].
+//! [`Schedule`] decides what fires when, also across steps of the wall clock.
 
 use std::str::FromStr;
 use std::sync::Arc;
+use std::time::Duration;
 
 use bytes::Bytes;
 use chrono::{DateTime, Utc};
@@ -14,7 +15,7 @@
 use tokio::sync::mpsc;
 use tracing::{error, info, warn};
 
-use crate::front::{Order, SourceHandle};
+use crate::front_end::{SourceCommand, SourceHandle};
 use crate::schedule::{Occurrence, Schedule};
 
 /// The front end's timers as a source of calls.
@@ -50,47 +51,41 @@
         }
     }
 
-    /// Fires timers until the front end is gone.
+    /// Fires timers until the front end has ended.
     pub(crate) async fn run(mut self) {
         loop {
-            let wait = self.schedule.wait(wall_time());
-            let waited = async {
-                match wait {
-                    Some(wait) => tokio::time::sleep(wait).await,
-                    None => std::future::pending().await,
-                }
-            };
+            let next_check = self.schedule.time_until_check(wall_time());
             tokio::select! {
-                () = waited => {
+                () = wait(next_check) => {
                     if !self.fire_due().await {
                         return;
                     }
                 }
-                order = self.handle.orders.recv() => {
-                    let Some(order) = order else { return };
-                    self.obey(order).await;
+                command = self.handle.commands.recv() => {
+                    let Some(command) = command else { return };
+                    self.handle_command(command).await;
                 }
             }
         }
     }
 
-    async fn obey(&mut self, order: Order) {
-        match order {
-            Order::Answer(ticket, reply) => {
+    async fn handle_command(&mut self, command: SourceCommand) {
+        match command {
+            SourceCommand::Answer(ticket, reply) => {
                 log_answer(ticket, &reply);
                 self.settle(ticket).await;
             }
-            Order::Forget(ticket) => self.settle(ticket).await,
-            Order::Stop => self.schedule.stop(),
+            SourceCommand::Settle(ticket) => self.settle(ticket).await,
+            SourceCommand::Shutdown => self.schedule.stop(),
         }
     }
 
     async fn settle(&self, ticket: Ticket) {
-        // A front end that is gone has no use for it.
+        // A front end that has ended needs no settlement.
         let _ = self.inputs.send(Input::Settled(ticket)).await;
     }
 
-    /// Whether the front end is still there.
+    /// Fires what is due; false where the front end has ended.
     async fn fire_due(&mut self) -> bool {
         for Occurrence { timer, planned } in self.schedule.due(wall_time()) {
             self.tickets += 1;
@@ -109,6 +104,14 @@
     }
 }
 
+/// Waits for a span; for ever where there is none.
+async fn wait(span: Option<Duration>) {
+    match span {
+        Some(span) => tokio::time::sleep(span).await,
+        None => std::future::pending().await,
+    }
+}
+
 fn wall_time() -> DateTime<Utc> {
     let millis = i64::try_from(wall_ms()).unwrap_or(i64::MAX);
     DateTime::from_timestamp_millis(millis).unwrap_or(DateTime::<Utc>::MAX_UTC)
--- /dev/null
+++ b/crates/pipithub-gateway/src/front_end.rs
@@ -0,0 +1,287 @@
+//! One front end: the task that owns an engine, and hands it what sources, workers and directories report.
+
+mod outputs;
+mod source;
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+use pipithub_baselines::{Baseline, Policy};
+use pipithub_clock::Clock;
+use pipithub_consumer::message::ClassName;
+use pipithub_engine::policy::{Endpoint, EndpointUpdate, WorkerId};
+use pipithub_engine::{AttemptId, Engine, Input, Output, SourceId, Time, Trigger};
+use pipithub_settings::{Config, FixedWorker};
+use tokio::sync::{mpsc, oneshot, watch};
+use tracing::{info, warn};
+
+use self::source::Source;
+pub(crate) use self::source::{SourceCommand, SourceHandle};
+use crate::Snapshot;
+use crate::directory::DirectoryEvent;
+use crate::tenancy::Tenancy;
+use crate::workers::WorkerClient;
+
+/// Inputs queued for the engine; senders wait while the queue is full.
+const MAX_QUEUED_INPUTS: usize = 4096;
+/// Inputs that the engine is given in one turn, at the most.
+const MAX_INPUT_BATCH: usize = 256;
+/// How long sources have to close their connections once the last trigger is settled.
+const SOURCE_CLOSE_TIME: Duration = Duration::from_millis(20);
+
+/// An engine with the channels around it.
+pub(crate) struct FrontEnd {
+    name: String,
+    classes: Vec<ClassName>,
+    clock: Clock,
+    engine: Engine,
+    /// How long a shutdown waits for pending requests.
+    drain: Time,
+    workers: Arc<WorkerClient>,
+    inputs: mpsc::Receiver<Input>,
+    inputs_sender: mpsc::Sender<Input>,
+    sources: BTreeMap<SourceId, Source>,
+    /// Cancels attempts under way.
+    cancellations: BTreeMap<AttemptId, oneshot::Sender<()>>,
+    snapshot: watch::Sender<Snapshot>,
+    /// Outputs of the engine that are not executed yet.
+    outputs: Vec<Output>,
+    tenancy: Option<Tenancy>,
+    /// Inputs from the admission for the engine.
+    engine_inputs: Vec<Input>,
+}
+
+fn new_engine(config: &Config, seed: u64, baseline: Option<Policy>) -> Engine {
+    let settings = config.engine.clone();
+    match baseline {
+        None => Engine::new(settings, seed),
+        Some(policy) => {
+            let baseline = Baseline::new(policy, settings.policy.clone());
+            Engine::deciding_by(Box::new(baseline), settings)
+        }
+    }
+}
+
+/// The next event of the directories; never one where there are no tenants.
+async fn next_directory_event(tenancy: &mut Option<Tenancy>) -> Option<DirectoryEvent> {
+    match tenancy {
+        Some(tenancy) => tenancy.next_event().await,
+        None => std::future::pending().await,
+    }
+}
+
+impl FrontEnd {
+    /// A front end without sources, tenants and endpoints.
+    pub(crate) fn new(
+        name: &str,
+        config: &Config,
+        clock: Clock,
+        seed: u64,
+        baseline: Option<Policy>,
+    ) -> Self {
+        let (inputs_sender, inputs) = mpsc::channel(MAX_QUEUED_INPUTS);
+        FrontEnd {
+            name: name.to_string(),
+            classes: config.classes.clone(),
+            clock,
+            engine: new_engine(config, seed, baseline),
+            drain: config.drain,
+            workers: Arc::new(WorkerClient::new(name, config.http, clock)),
+            inputs,
+            inputs_sender,
+            sources: BTreeMap::new(),
+            cancellations: BTreeMap::new(),
+            snapshot: watch::channel(Snapshot::default()).0,
+            outputs: Vec::new(),
+            tenancy: None,
+            engine_inputs: Vec::new(),
+        }
+    }
+
+    /// Has all calls pass the admission by tenant.
+    pub(crate) fn set_tenancy(&mut self, tenancy: Tenancy) {
+        self.tenancy = Some(tenancy);
+    }
+
+    /// Adds a source; the handle is its end of the channels.
+    pub(crate) fn add_source(&mut self, id: SourceId) -> SourceHandle {
+        let (source, handle) = Source::new(self.engine.capacity());
+        self.sources.insert(id, source);
+        handle
+    }
+
+    /// Where sources and other tasks send what happened.
+    pub(crate) fn inputs(&self) -> mpsc::Sender<Input> {
+        self.inputs_sender.clone()
+    }
+
+    /// Watches the state of this front end; the sender is dropped when the front end has ended.
+    pub(crate) fn snapshots(&self) -> watch::Receiver<Snapshot> {
+        self.snapshot.subscribe()
+    }
+
+    /// Sets the workers of the settings as the endpoint list.
+    pub(crate) fn set_fixed_workers(&mut self, workers: &[FixedWorker]) {
+        let endpoint = |worker: &FixedWorker| Endpoint {
+            worker: WorkerId::new(&worker.address),
+            zone: worker.zone.clone(),
+            memory_mb: worker.memory_mb,
+            ..Endpoint::default()
+        };
+        self.handle_before_start(Input::Endpoints {
+            update: EndpointUpdate::Snapshot,
+            endpoints: workers.iter().map(endpoint).collect(),
+        });
+    }
+
+    /// Handles an input before the front end runs.
+    pub(crate) fn handle_before_start(&mut self, input: Input) {
+        self.engine
+            .handle(self.clock.now(), input, &mut self.outputs);
+    }
+
+    /// Runs until a shutdown is asked for and all requests are settled or the drain time is over.
+    pub(crate) async fn run(mut self, mut shutdown: watch::Receiver<bool>) {
+        info!(
+            front_end = self.name,
+            workers = self.engine.ready_workers(),
+            "front end up"
+        );
+        let mut batch = Vec::with_capacity(MAX_INPUT_BATCH);
+        let mut drain_deadline = None;
+        loop {
+            self.execute_outputs();
+            self.publish_state();
+            if drain_deadline.is_some_and(|deadline| self.is_drained_by(deadline)) {
+                break;
+            }
+            let due = self.next_due(drain_deadline);
+            tokio::select! {
+                event = next_directory_event(&mut self.tenancy) => {
+                    let Some(event) = event else { break };
+                    self.handle_directory_event(event);
+                }
+                count = self.inputs.recv_many(&mut batch, MAX_INPUT_BATCH) => {
+                    if count == 0 {
+                        break;
+                    }
+                }
+                () = self.clock.sleep_until(due) => batch.push(Input::Tick),
+                _ = shutdown.wait_for(|asked| *asked), if drain_deadline.is_none() => {
+                    drain_deadline = Some(self.begin_drain());
+                    batch.push(Input::Drain);
+                }
+            }
+            for input in batch.drain(..) {
+                self.handle_input(input);
+                // Executed at once: an answer must not wait for the rest of the batch.
+                self.execute_outputs();
+            }
+        }
+        self.log_end();
+        // A last answer has been settled; its source closes its connection in its own time.
+        tokio::time::sleep(SOURCE_CLOSE_TIME).await;
+    }
+
+    /// Whether a drain has ended: nothing is pending, or its deadline is reached.
+    fn is_drained_by(&self, deadline: Time) -> bool {
+        self.engine.pending_requests() + self.pending_admissions() == 0
+            || self.clock.now() >= deadline
+    }
+
+    fn pending_admissions(&self) -> usize {
+        self.tenancy.as_ref().map_or(0, Tenancy::pending)
+    }
+
+    /// When the engine or the admission has to be handed a tick, or the drain ends.
+    fn next_due(&self, drain_deadline: Option<Time>) -> Option<Time> {
+        let admission_due = self.tenancy.as_ref().and_then(Tenancy::next_due);
+        [self.engine.next_due(), drain_deadline, admission_due]
+            .into_iter()
+            .flatten()
+            .min()
+    }
+
+    /// Has the sources take no new triggers; returns the deadline for those that are pending.
+    fn begin_drain(&mut self) -> Time {
+        info!(
+            front_end = self.name,
+            pending_requests = self.engine.pending_requests(),
+            "stopping"
+        );
+        for source in self.sources.values() {
+            source.send(SourceCommand::Shutdown);
+        }
+        self.clock.now() + self.drain
+    }
+
+    fn log_end(&self) {
+        let pending = self.engine.pending_requests();
+        if pending > 0 {
+            warn!(
+                front_end = self.name,
+                left = pending,
+                "stopped with calls that are not settled; their sources deliver them again"
+            );
+        }
+        info!(front_end = self.name, "front end down");
+    }
+
+    fn handle_directory_event(&mut self, event: DirectoryEvent) {
+        let now = self.clock.now();
+        if let Some(tenancy) = &mut self.tenancy {
+            tenancy.handle_directory_event(now, event, &mut self.engine_inputs);
+        }
+    }
+
+    /// Hands an input to the engine; new triggers pass the admission first.
+    fn handle_input(&mut self, input: Input) {
+        if let Input::AttemptFinished(result) = &input {
+            self.cancellations.remove(&result.id);
+        }
+        let now = self.clock.now();
+        let Some(tenancy) = &mut self.tenancy else {
+            return self.engine.handle(now, input, &mut self.outputs);
+        };
+        match input {
+            Input::Trigger(trigger) if !is_known_redelivery(&self.engine, &trigger, now) => {
+                tenancy.arrive(now, trigger, &mut self.engine_inputs);
+            }
+            Input::SourceLost(source) => {
+                tenancy.source_lost(now, source, &mut self.engine_inputs);
+                self.engine
+                    .handle(now, Input::SourceLost(source), &mut self.outputs);
+            }
+            other => {
+                tenancy.tick(now, self.engine.pending_requests(), &mut self.engine_inputs);
+                self.engine.handle(now, other, &mut self.outputs);
+            }
+        }
+    }
+
+    /// Publishes the remaining capacity to the sources, and a snapshot to observers.
+    fn publish_state(&mut self) {
+        let pending_admissions = self.pending_admissions();
+        let capacity = self.engine.capacity().saturating_sub(pending_admissions);
+        for source in self.sources.values() {
+            source.set_capacity(capacity);
+        }
+        let snapshot = Snapshot {
+            stats: self.engine.stats(),
+            pending_requests: self.engine.pending_requests(),
+            body_bytes: self.engine.body_bytes(),
+            ready_workers: self.engine.ready_workers(),
+            pending_admissions,
+        };
+        self.snapshot
+            .send_if_modified(|known| std::mem::replace(known, snapshot) != snapshot);
+    }
+}
+
+/// Whether a trigger is another delivery of a request that the engine knows. It is not admitted a second time: the
+/// admission must not reject what runs.
+fn is_known_redelivery(engine: &Engine, trigger: &Trigger, now: Time) -> bool {
+    let is_known = |identity| engine.knows(identity, now);
+    trigger.redelivered && trigger.identity.as_ref().is_some_and(is_known)
+}
--- a/crates/pipithub-gateway/src/list.rs
+++ b/crates/pipithub-gateway/src/list.rs
@@ -1,260 +1,196 @@
-//! The worker list over HTTP: list, then watch, and again.
+//! The endpoint list from the Kubernetes API over HTTP: one list request, then watches from its version on.
 
+mod api;
+
+use std::ops::ControlFlow;
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::Duration;
 
-use bytes::{Buf, Bytes, BytesMut};
-use http_body_util::{BodyExt, Empty, Limited};
-use hyper::body::Incoming;
-use hyper::{Request, Response};
-use hyper_util::rt::TokioIo;
+use bytes::{Buf, BytesMut};
 use pipithub_clock::{Clock, wall_ms};
 use pipithub_consumer::backoff::Backoff;
 use pipithub_endpoints::{Step, Watcher};
 use pipithub_engine::Input;
 use pipithub_engine::policy::{Endpoint, EndpointUpdate};
 use pipithub_storage::{Durability, Saver, SystemFiles, Target};
-use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 use tracing::{info, warn};
 
-/// A watch is asked to end after so many seconds, and taken for dead a little later: a connection that was cut without
-/// a word must not leave the list stale for ever.
-const WATCH_SECONDS: u64 = 60;
-const BODY_MOST: usize = 64 << 20;
+use self::api::{FollowError, MAX_BODY_BYTES, Watch};
+
+/// Nanoseconds of a millisecond.
 const MS: u64 = 1_000_000;
 
-pub(crate) struct ListSettings {
+/// Where the endpoint list is found and cached.
+pub(crate) struct EndpointListSettings {
     pub(crate) url: String,
     pub(crate) namespace: String,
     pub(crate) service: String,
     pub(crate) port: Option<String>,
-    pub(crate) remember: Option<PathBuf>,
+    pub(crate) cache: Option<PathBuf>,
     pub(crate) front_end: String,
 }
 
-/// The list as it was when the process last ran.
-pub(crate) fn recall(
-    settings: &ListSettings,
-    clock: Clock,
-) -> Option<(EndpointUpdate, Vec<Endpoint>)> {
-    let path = settings.remember.as_ref()?;
+/// Reads the cached list of an earlier run, as an input for the engine.
+pub(crate) fn load_cached(settings: &EndpointListSettings, clock: Clock) -> Option<Input> {
+    let path = settings.cache.as_ref()?;
     let text = std::fs::read_to_string(path).ok()?;
     match pipithub_endpoints::recall(&text, clock.now(), wall_ms()) {
-        Ok(recalled) => Some(recalled),
+        Ok((update, endpoints)) => Some(Input::Endpoints { update, endpoints }),
         Err(error) => {
-            warn!(path = %path.display(), %error, "the remembered list is not read");
+            warn!(path = %path.display(), %error, "the cached endpoint list cannot be read");
             None
         }
     }
 }
 
-/// Saves the remembered list. All front ends of a process write the same file, each by a temporary file of its own.
-fn start_saver(settings: &ListSettings) -> Option<Saver> {
-    let path = settings.remember.as_ref()?;
+/// Starts the saver of the cached list. All front ends of a process write the same file, each by a temporary file of
+/// its own.
+fn start_saver(settings: &EndpointListSettings) -> Option<Saver> {
+    let path = settings.cache.as_ref()?;
     let target = Target::shared(path, &settings.front_end, Durability::Synced);
     Some(Saver::start(Arc::new(SystemFiles), target))
 }
 
-async fn get(settings: &ListSettings, query: &str) -> Result<Response<Incoming>, String> {
-    let host = settings
-        .url
-        .trim_start_matches("http://")
-        .trim_end_matches('/');
-    let connect = tokio::time::timeout(Duration::from_secs(5), TcpStream::connect(host)).await;
-    let stream = connect
-        .map_err(|_| "connecting takes too long".to_string())?
-        .map_err(|e| e.to_string())?;
-    let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
-        .await
-        .map_err(|e| e.to_string())?;
-    tokio::spawn(connection);
-    let path = format!(
-        "/apis/discovery.k8s.io/v1/namespaces/{}/endpointslices?labelSelector=kubernetes.io%2Fservice-name%3D{}{query}",
-        settings.namespace, settings.service
-    );
-    let request = Request::get(path)
-        .header("host", host)
-        .header("accept", "application/json")
-        .header("user-agent", format!("pipithub/{}", settings.front_end))
-        .body(Empty::<Bytes>::new())
-        .map_err(|e| e.to_string())?;
-    let answer = tokio::time::timeout(Duration::from_secs(30), sender.send_request(request)).await;
-    let answer = answer
-        .map_err(|_| "no answer".to_string())?
-        .map_err(|e| e.to_string())?;
-    if answer.status() == 410 {
-        return Err("410".into());
-    }
-    if !answer.status().is_success() {
-        return Err(format!("the server answers {}", answer.status()));
-    }
-    Ok(answer)
-}
-
-/// Follows the list for ever. What is known stays while the server cannot be reached.
-pub(crate) async fn run(
-    settings: ListSettings,
+/// Follows the endpoint list and hands its changes to a front end.
+pub(crate) struct EndpointListTask {
+    settings: EndpointListSettings,
+    watcher: Watcher,
     inputs: mpsc::Sender<Input>,
+    saver: Option<Saver>,
     clock: Clock,
-    seed: u64,
-) {
-    let mut watcher = Watcher::new(settings.port.clone());
-    let saver = start_saver(&settings);
-    let saver = saver.as_ref();
-    let mut backoff = Backoff::new(100 * MS, 5_000 * MS, 2_000 * MS, seed);
-    loop {
-        let ended = if watcher.version().is_none() {
-            list(&settings, &mut watcher, &inputs, saver, clock).await
-        } else {
-            backoff.up(clock.now());
-            watch(&settings, &mut watcher, &inputs, saver, clock).await
-        };
-        if inputs.is_closed() {
-            return;
-        }
-        if let Err(why) = ended {
-            let wait = backoff.down(clock.now());
-            warn!(
-                front_end = settings.front_end,
-                why,
-                wait_ms = wait / MS,
-                "worker list not followed"
-            );
-            tokio::time::sleep(Duration::from_nanos(wait)).await;
+    backoff: Backoff,
+}
+
+impl EndpointListTask {
+    /// Nothing is requested before it runs.
+    pub(crate) fn new(
+        settings: EndpointListSettings,
+        inputs: mpsc::Sender<Input>,
+        clock: Clock,
+        seed: u64,
+    ) -> Self {
+        EndpointListTask {
+            watcher: Watcher::new(settings.port.clone()),
+            saver: start_saver(&settings),
+            settings,
+            inputs,
+            clock,
+            backoff: Backoff::new(100 * MS, 5_000 * MS, 2_000 * MS, seed),
         }
     }
-}
 
-async fn list(
-    settings: &ListSettings,
-    watcher: &mut Watcher,
-    inputs: &mpsc::Sender<Input>,
-    saver: Option<&Saver>,
-    clock: Clock,
-) -> Result<(), String> {
-    let answer = get(settings, "").await?;
-    let read = tokio::time::timeout(
-        Duration::from_secs(30),
-        Limited::new(answer.into_body(), BODY_MOST).collect(),
-    );
-    let body = read
-        .await
-        .map_err(|_| "the list stalls".to_string())?
-        .map_err(|e| e.to_string())?
-        .to_bytes();
-    let entries = watcher
-        .list(clock.now(), wall_ms(), &body)
-        .map_err(|e| e.to_string())?;
-    if watcher.version().is_none() {
-        return Err("the list has no resourceVersion to watch from".into());
+    /// Follows the list until the front end has ended. The last known list stays in force while the server cannot be
+    /// reached.
+    pub(crate) async fn run(mut self) {
+        loop {
+            let ended = if self.watcher.version().is_none() {
+                self.fetch_endpoints().await
+            } else {
+                self.backoff.up(self.clock.now());
+                self.watch_endpoints().await
+            };
+            if self.inputs.is_closed() {
+                return;
+            }
+            if let Err(error) = ended {
+                self.back_off(&error).await;
+            }
+        }
     }
-    info!(
-        front_end = settings.front_end,
-        workers = entries.len(),
-        live = watcher.live(),
-        "worker list"
-    );
-    told(
-        watcher,
-        inputs,
-        saver,
-        clock,
-        EndpointUpdate::Snapshot,
-        entries,
-    )
-    .await;
-    Ok(())
-}
 
-async fn told(
-    watcher: &Watcher,
-    inputs: &mpsc::Sender<Input>,
-    saver: Option<&Saver>,
-    clock: Clock,
-    kind: EndpointUpdate,
-    entries: Vec<Endpoint>,
-) {
-    let _ = inputs
-        .send(Input::Endpoints {
-            update: kind,
-            endpoints: entries,
-        })
-        .await;
-    if let Some(saver) = saver {
-        saver.save(
-            clock.now(),
-            watcher.remembered(clock.now(), wall_ms()).into_bytes(),
+    async fn back_off(&mut self, error: &FollowError) {
+        let pause = self.backoff.down(self.clock.now());
+        warn!(
+            front_end = self.settings.front_end,
+            why = error.to_string(),
+            wait_ms = pause / MS,
+            "worker list not followed"
         );
+        tokio::time::sleep(Duration::from_nanos(pause)).await;
     }
-}
 
-async fn watch(
-    settings: &ListSettings,
-    watcher: &mut Watcher,
-    inputs: &mpsc::Sender<Input>,
-    saver: Option<&Saver>,
-    clock: Clock,
-) -> Result<(), String> {
-    let version = watcher.version().unwrap_or_default();
-    let query = format!(
-        "&watch=1&allowWatchBookmarks=true&timeoutSeconds={WATCH_SECONDS}&resourceVersion={version}"
-    );
-    let answer = match get(settings, &query).await {
-        Err(why) if why == "410" => {
-            watcher.forget_version();
-            return Ok(());
+    async fn fetch_endpoints(&mut self) -> Result<(), FollowError> {
+        let body = api::get_list(&self.settings).await?;
+        let endpoints = self.watcher.list(self.clock.now(), wall_ms(), &body)?;
+        if self.watcher.version().is_none() {
+            return Err(FollowError::NoVersion);
         }
-        other => other?,
-    };
-    let mut body = answer.into_body();
-    let mut buffer = BytesMut::new();
-    let end = tokio::time::Instant::now() + Duration::from_secs(WATCH_SECONDS + 10);
-    loop {
-        let frame = match tokio::time::timeout_at(end, body.frame()).await {
-            Ok(Some(frame)) => frame.map_err(|e| e.to_string())?,
-            // Its time is over, as asked: the next one goes on from the version reached, at once. One that ends
-            // early is a server in trouble, not to be asked without a pause.
-            Ok(None) if tokio::time::Instant::now() + Duration::from_secs(15) >= end => {
+        info!(
+            front_end = self.settings.front_end,
+            workers = endpoints.len(),
+            ready = self.watcher.live(),
+            "worker list"
+        );
+        self.publish(EndpointUpdate::Snapshot, endpoints).await;
+        Ok(())
+    }
+
+    async fn watch_endpoints(&mut self) -> Result<(), FollowError> {
+        let version = self.watcher.version().unwrap_or_default();
+        let mut watch = match Watch::begin(&self.settings, version).await {
+            Ok(watch) => watch,
+            Err(FollowError::VersionExpired) => {
+                self.watcher.forget_version();
                 return Ok(());
             }
-            Ok(None) => return Err("the watch has ended".into()),
-            Err(_) => return Ok(()),
+            Err(error) => return Err(error),
         };
-        let Some(data) = frame.data_ref() else {
-            continue;
-        };
-        if buffer.len() + data.len() > BODY_MOST {
-            return Err("a watch event is too long".into());
-        }
-        buffer.extend_from_slice(data);
-        while let Some(end) = buffer.iter().position(|b| *b == b'\n') {
-            let line = buffer.split_to(end);
-            buffer.advance(1);
-            if line.iter().all(u8::is_ascii_whitespace) {
+        let mut buffer = BytesMut::new();
+        while let Some(frame) = watch.next_frame().await? {
+            let Some(data) = frame.data_ref() else {
                 continue;
+            };
+            if buffer.len() + data.len() > MAX_BODY_BYTES {
+                return Err(FollowError::EventTooLong);
             }
-            match watcher.line(clock.now(), wall_ms(), &line) {
-                Ok(Step::Changes(changes)) => {
-                    told(
-                        watcher,
-                        inputs,
-                        saver,
-                        clock,
-                        EndpointUpdate::Delta,
-                        changes,
-                    )
-                    .await;
-                }
-                Ok(Step::Nothing) => {}
-                Ok(Step::Expired) => return Ok(()),
-                Err(error) => {
-                    // A line that is not understood may have been a drain: all is asked anew.
-                    watcher.forget_version();
-                    return Err(error.to_string());
+            buffer.extend_from_slice(data);
+            while let Some(line) = take_line(&mut buffer) {
+                if self.handle_line(&line).await?.is_break() {
+                    return Ok(());
                 }
             }
         }
+        Ok(())
+    }
+
+    /// Handles one line of a watch; a break where its version is too old to go on from.
+    async fn handle_line(&mut self, line: &[u8]) -> Result<ControlFlow<()>, FollowError> {
+        if line.iter().all(u8::is_ascii_whitespace) {
+            return Ok(ControlFlow::Continue(()));
+        }
+        match self.watcher.line(self.clock.now(), wall_ms(), line) {
+            Ok(Step::Changes(changes)) => self.publish(EndpointUpdate::Delta, changes).await,
+            Ok(Step::Nothing) => {}
+            Ok(Step::Expired) => return Ok(ControlFlow::Break(())),
+            Err(error) => {
+                // A line that cannot be read may have been a drain: the list is fetched anew.
+                self.watcher.forget_version();
+                return Err(error.into());
+            }
+        }
+        Ok(ControlFlow::Continue(()))
     }
+
+    /// Hands an update to the front end, and saves the list as it is now.
+    async fn publish(&self, update: EndpointUpdate, endpoints: Vec<Endpoint>) {
+        let _ = self
+            .inputs
+            .send(Input::Endpoints { update, endpoints })
+            .await;
+        if let Some(saver) = &self.saver {
+            let now = self.clock.now();
+            let text = self.watcher.remembered(now, wall_ms());
+            saver.save(now, text.into_bytes());
+        }
+    }
+}
+
+/// Takes the next line from the buffer, without its end; `None` where there is no complete one.
+fn take_line(buffer: &mut BytesMut) -> Option<BytesMut> {
+    let end = buffer.iter().position(|byte| *byte == b'\n')?;
+    let line = buffer.split_to(end);
+    buffer.advance(1);
+    Some(line)
 }
--- a/crates/pipithub-gateway/src/tenancy.rs
+++ b/crates/pipithub-gateway/src/tenancy.rs
@@ -1,11 +1,13 @@
-//! The gate and the directories of a front end, between its sources and its engine.
+//! Admission by tenant, between the sources of a front end and its engine.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use arc_swap::ArcSwap;
-use pipithub_admission::{Admission, Arrival, Completion, Output, RejectReason, ServiceResult};
-use pipithub_directory::{Input as Wanted, Roster, TenantId, User, View};
+use pipithub_admission::{
+    Admission, Admitted, Arrival, Completion, Output, RejectReason, ServiceResult,
+};
+use pipithub_directory::{Input as DirectoryInput, Resolution, Roster, TenantId, User};
 use pipithub_engine::policy::Class;
 use pipithub_engine::{
     Cause, Input, Reply, SourceId, Tenant, TenantUser, Ticket, Time, Trigger, Verdict,
@@ -14,31 +16,40 @@
 use tokio::sync::mpsc;
 use tracing::debug;
 
-use crate::directory::{Handle, Word};
+use crate::directory::{DirectoryEvent, DirectoryHandle};
 
-/// Calls let in beyond those that are open before the list of them is looked through for ones that were lost sight of.
-const SLACK: usize = 1_024;
+/// How many more admitted calls than pending requests there may be before those that expired are removed.
+const MAX_UNMATCHED_CALLS: usize = 1_024;
 
-/// A call that was let in and has no answer yet.
-struct Let {
+/// An admitted call without a final answer.
+struct AdmittedCall {
     tenant: TenantId,
     user: Option<User>,
     since: Time,
 }
 
+/// The names of the tenant and user of a call, for logs.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct CallerNames<'a> {
+    pub(crate) tenant: Option<&'a str>,
+    pub(crate) user: Option<&'a str>,
+}
+
+/// The admission of a front end, with its end of the directories' channels.
 pub(crate) struct Tenancy {
     config: Arc<TenantsConfig>,
     front_end: String,
     classes: Vec<Class>,
     admission: Admission<Box<Trigger>>,
     roster: Arc<ArcSwap<Roster>>,
-    wants: mpsc::Sender<Wanted>,
-    words: mpsc::Receiver<Word>,
-    let_in: BTreeMap<Ticket, Let>,
-    out: Vec<Output<Box<Trigger>>>,
+    lookups: mpsc::Sender<DirectoryInput>,
+    events: mpsc::Receiver<DirectoryEvent>,
+    admitted_calls: BTreeMap<Ticket, AdmittedCall>,
+    outputs: Vec<Output<Box<Trigger>>>,
 }
 
-fn cause(reason: RejectReason) -> Cause {
+/// The cause that the client is given for a rejection.
+fn rejection_cause(reason: RejectReason) -> Cause {
     match reason {
         RejectReason::NoUser => Cause::NoUser,
         RejectReason::UnknownUser => Cause::UserUnknown,
@@ -51,16 +62,17 @@
 }
 
 impl Tenancy {
+    /// An admission that has admitted nothing yet.
     pub(crate) fn new(
         config: Arc<TenantsConfig>,
-        handle: Handle,
+        handle: DirectoryHandle,
         classes: &[Class],
         front_end: &str,
     ) -> Self {
-        let Handle {
+        let DirectoryHandle {
             roster,
-            wants,
-            words,
+            lookups,
+            events,
         } = handle;
         Tenancy {
             admission: Admission::new(config.admission.clone()),
@@ -68,75 +80,82 @@
             front_end: front_end.to_string(),
             classes: classes.to_vec(),
             roster,
-            wants,
-            words,
-            let_in: BTreeMap::new(),
-            out: Vec::new(),
+            lookups,
+            events,
+            admitted_calls: BTreeMap::new(),
+            outputs: Vec::new(),
         }
     }
 
-    /// What the directories have to say next.
-    pub(crate) async fn word(&mut self) -> Option<Word> {
-        self.words.recv().await
+    /// The next event of the directories.
+    pub(crate) async fn next_event(&mut self) -> Option<DirectoryEvent> {
+        self.events.recv().await
     }
 
+    /// When the admission is to be handed a tick.
     pub(crate) fn next_due(&self) -> Option<Time> {
         self.admission.next_due()
     }
 
+    /// Calls that are neither admitted nor rejected yet.
     pub(crate) fn pending(&self) -> usize {
         self.admission.pending()
     }
 
-    /// The names of a call's tenant and user, for logs.
-    pub(crate) fn name(&self, tenant: Option<Tenant>) -> Option<&str> {
+    /// A tenant's name, for logs.
+    pub(crate) fn tenant_name(&self, tenant: Option<Tenant>) -> Option<&str> {
         tenant
             .and_then(|t| self.config.tenants.get(usize::from(t.0)))
             .map(|t| t.name.as_str())
     }
 
-    /// The tenant and user of a call that was let in, for logs.
-    pub(crate) fn of(&self, ticket: Ticket) -> (Option<&str>, Option<&str>) {
-        let call = self.let_in.get(&ticket);
-        (
-            call.and_then(|c| self.name(Some(Tenant(c.tenant.0)))),
-            call.and_then(|c| c.user.as_deref()),
-        )
+    /// The names of the tenant and user of an admitted call, for logs.
+    pub(crate) fn caller_names(&self, ticket: Ticket) -> CallerNames<'_> {
+        let Some(call) = self.admitted_calls.get(&ticket) else {
+            return CallerNames::default();
+        };
+        CallerNames {
+            tenant: self.tenant_name(Some(Tenant(call.tenant.0))),
+            user: call.user.as_deref(),
+        }
     }
 
-    /// A call has come in.
+    /// Handles the arrival of a call.
     pub(crate) fn arrive(&mut self, now: Time, trigger: Trigger, inputs: &mut Vec<Input>) {
         let call = &trigger.call;
-        let give_up = self.classes.get(call.class).map_or(0, |c| c.client_timeout);
-        let rest = give_up.saturating_sub(call.waited);
+        let class = self.classes.get(call.class);
+        let client_timeout = class.map_or(0, |class| class.client_timeout);
+        let remaining = client_timeout.saturating_sub(call.waited);
         let arrival = Arrival {
             user: call.user.clone(),
             route_tenant: call.tenant.map(|t| TenantId(t.0)),
             class: call.class,
-            remaining: call.timeout.map_or(rest, |b| b.min(rest)),
+            remaining: call
+                .timeout
+                .map_or(remaining, |budget| budget.min(remaining)),
             request: Box::new(trigger),
         };
         self.admission
-            .arrive(now, &self.roster.load(), arrival, &mut self.out);
-        self.carry_out(now, inputs);
+            .arrive(now, &self.roster.load(), arrival, &mut self.outputs);
+        self.apply_outputs(now, inputs);
     }
 
-    /// A source is gone with all that it brought.
-    pub(crate) fn lost(&mut self, now: Time, source: SourceId, inputs: &mut Vec<Input>) {
+    /// Handles the loss of a source, with all its calls.
+    pub(crate) fn source_lost(&mut self, now: Time, source: SourceId, inputs: &mut Vec<Input>) {
         self.admission
             .cancel(|trigger| trigger.ticket.source == source);
         let gone: Vec<Ticket> = self
-            .let_in
+            .admitted_calls
             .keys()
             .filter(|t| t.source == source)
             .copied()
             .collect();
         for ticket in gone {
-            self.over(now, ticket, ServiceResult::Other, inputs);
+            self.finish(now, ticket, ServiceResult::Other, inputs);
         }
     }
 
-    /// A call has had its final answer; without one it was settled as one that had it before.
+    /// Handles the final answer of a call; without a reply it was settled as one that had been answered before.
     pub(crate) fn answered(
         &mut self,
         now: Time,
@@ -144,128 +163,148 @@
         reply: Option<&Reply>,
         inputs: &mut Vec<Input>,
     ) {
-        let end = match reply.map(|r| (r.verdict, r.cause)) {
+        let result = match reply.map(|r| (r.verdict, r.cause)) {
             Some((Verdict::Served, _)) => ServiceResult::Served,
             Some((_, Cause::NoWorkerInTime)) => ServiceResult::NoWorkerInTime,
             _ => ServiceResult::Other,
         };
-        self.over(now, ticket, end, inputs);
+        self.finish(now, ticket, result, inputs);
     }
 
-    fn over(&mut self, now: Time, ticket: Ticket, end: ServiceResult, inputs: &mut Vec<Input>) {
-        if let Some(call) = self.let_in.remove(&ticket) {
-            let took = now.saturating_sub(call.since);
-            self.admission.completed(
-                now,
-                &self.roster.load(),
-                Completion {
-                    tenant: call.tenant,
-                    result: end,
-                    service_time: took,
-                },
-                &mut self.out,
-            );
-            self.carry_out(now, inputs);
-        }
+    /// Reports the end of an admitted call to the admission, once.
+    fn finish(
+        &mut self,
+        now: Time,
+        ticket: Ticket,
+        result: ServiceResult,
+        inputs: &mut Vec<Input>,
+    ) {
+        let Some(call) = self.admitted_calls.remove(&ticket) else {
+            return;
+        };
+        let completion = Completion {
+            tenant: call.tenant,
+            result,
+            service_time: now.saturating_sub(call.since),
+        };
+        self.admission
+            .completed(now, &self.roster.load(), completion, &mut self.outputs);
+        self.apply_outputs(now, inputs);
     }
 
-    /// The directories have said something.
-    pub(crate) fn told(&mut self, now: Time, word: Word, inputs: &mut Vec<Input>) {
-        match word {
-            Word::News(user) => {
+    /// Handles an event of the directories.
+    pub(crate) fn handle_directory_event(
+        &mut self,
+        now: Time,
+        event: DirectoryEvent,
+        inputs: &mut Vec<Input>,
+    ) {
+        match event {
+            DirectoryEvent::LookupFinished(user) => {
                 self.admission
-                    .user_updated(now, &self.roster.load(), &user, &mut self.out);
+                    .user_updated(now, &self.roster.load(), &user, &mut self.outputs);
             }
-            Word::Changed(user) => {
-                let side = match self.roster.load().look(&user, now) {
-                    View::Tenant { tenant, person, .. } => Some(TenantUser {
-                        tenant: Tenant(tenant.0),
-                        person: person.0,
-                    }),
-                    _ => None,
-                };
-                inputs.push(Input::UserMigrated { user, now: side });
+            DirectoryEvent::UserMigrated(user) => {
+                let tenant_user = self.tenant_user(&user, now);
+                inputs.push(Input::UserMigrated {
+                    user,
+                    now: tenant_user,
+                });
             }
         }
-        self.carry_out(now, inputs);
+        self.apply_outputs(now, inputs);
     }
 
-    /// Time has passed.
-    pub(crate) fn tick(&mut self, now: Time, open: usize, inputs: &mut Vec<Input>) {
-        self.admission.tick(now, &self.roster.load(), &mut self.out);
-        self.carry_out(now, inputs);
-        if self.let_in.len() > open + SLACK {
-            // A ticket that was replaced by a later delivery of its message is answered under that one.
-            let longest = self
-                .classes
-                .iter()
-                .map(|c| c.client_timeout)
-                .max()
-                .unwrap_or(0)
-                .saturating_mul(2);
-            let old = |c: &Let| now.saturating_sub(c.since) > longest;
-            let gone: Vec<Ticket> = self
-                .let_in
-                .iter()
-                .filter(|(_, c)| old(c))
-                .map(|(t, _)| *t)
-                .collect();
-            gone.into_iter()
-                .for_each(|ticket| self.over(now, ticket, ServiceResult::Other, inputs));
+    /// Whose a user is, by what the directories said last.
+    fn tenant_user(&self, user: &str, now: Time) -> Option<TenantUser> {
+        match self.roster.load().resolve(user, now) {
+            Resolution::Tenant { tenant, person, .. } => Some(TenantUser {
+                tenant: Tenant(tenant.0),
+                person: person.0,
+            }),
+            _ => None,
+        }
+    }
+
+    /// Handles the passing of time.
+    pub(crate) fn tick(&mut self, now: Time, pending_requests: usize, inputs: &mut Vec<Input>) {
+        self.admission
+            .tick(now, &self.roster.load(), &mut self.outputs);
+        self.apply_outputs(now, inputs);
+        if self.admitted_calls.len() > pending_requests + MAX_UNMATCHED_CALLS {
+            self.finish_expired_calls(now, inputs);
+        }
+    }
+
+    /// Finishes calls that are long past their clients' timeouts. A ticket that was replaced by a later delivery of its
+    /// message is answered under that one, and would stay here for ever.
+    fn finish_expired_calls(&mut self, now: Time, inputs: &mut Vec<Input>) {
+        let longest_timeout = self.classes.iter().map(|class| class.client_timeout).max();
+        let lifetime = longest_timeout.unwrap_or(0).saturating_mul(2);
+        let expired: Vec<Ticket> = self
+            .admitted_calls
+            .iter()
+            .filter(|(_, call)| now.saturating_sub(call.since) > lifetime)
+            .map(|(ticket, _)| *ticket)
+            .collect();
+        for ticket in expired {
+            self.finish(now, ticket, ServiceResult::Other, inputs);
         }
     }
 
-    fn carry_out(&mut self, now: Time, inputs: &mut Vec<Input>) {
-        for output in self.out.drain(..) {
+    fn apply_outputs(&mut self, now: Time, inputs: &mut Vec<Input>) {
+        let mut outputs = std::mem::take(&mut self.outputs);
+        for output in outputs.drain(..) {
             match output {
-                Output::Admit {
-                    request: mut trigger,
-                    admitted,
-                } => {
-                    trigger.call.tenant = Some(Tenant(admitted.tenant.0));
-                    trigger.call.person = admitted.person.map_or(0, |p| p.0);
-                    trigger.call.timeout = trigger
-                        .call
-                        .timeout
-                        .map(|b| b.saturating_sub(admitted.waited));
-                    trigger.call.waited = trigger.call.waited.saturating_add(admitted.waited);
-                    let user = trigger.call.user.clone();
-                    self.let_in.insert(
-                        trigger.ticket,
-                        Let {
-                            tenant: admitted.tenant,
-                            user,
-                            since: now,
-                        },
-                    );
-                    inputs.push(Input::Trigger(*trigger));
+                Output::Admit { request, admitted } => {
+                    inputs.push(self.admit(now, *request, &admitted));
                 }
                 Output::Reject {
-                    request: trigger,
+                    request,
                     reason,
-                    retry_after: after,
-                } => {
-                    let label = trigger.call.label.as_deref();
-                    let user = trigger.call.user.as_deref();
-                    debug!(
-                        front_end = self.front_end,
-                        request = label,
-                        user,
-                        why = ?reason,
-                        "not let in"
-                    );
-                    let retry_after = (after > 0).then_some(after);
-                    inputs.push(Input::Reject {
-                        trigger: *trigger,
-                        cause: cause(reason),
-                        retry_after,
-                    });
-                }
+                    retry_after,
+                } => inputs.push(self.reject(*request, reason, retry_after)),
                 Output::LookUp { user, urgent } => {
-                    // With no room the call waits its time and is judged by what is known.
-                    let _ = self.wants.try_send(Wanted::Wanted { user, urgent });
+                    // If the queue is full, the call waits its time and is decided by what is known then.
+                    let _ = self
+                        .lookups
+                        .try_send(DirectoryInput::LookUp { user, urgent });
                 }
             }
         }
+        // The buffer is used again.
+        self.outputs = outputs;
+    }
+
+    fn admit(&mut self, now: Time, mut trigger: Trigger, admitted: &Admitted) -> Input {
+        let call = &mut trigger.call;
+        call.tenant = Some(Tenant(admitted.tenant.0));
+        call.person = admitted.person.map_or(0, |person| person.0);
+        call.timeout = call
+            .timeout
+            .map(|timeout| timeout.saturating_sub(admitted.waited));
+        call.waited = call.waited.saturating_add(admitted.waited);
+        let admitted_call = AdmittedCall {
+            tenant: admitted.tenant,
+            user: call.user.clone(),
+            since: now,
+        };
+        self.admitted_calls.insert(trigger.ticket, admitted_call);
+        Input::Trigger(trigger)
+    }
+
+    fn reject(&self, trigger: Trigger, reason: RejectReason, retry_after: Time) -> Input {
+        debug!(
+            front_end = self.front_end,
+            request = trigger.call.label.as_deref(),
+            user = trigger.call.user.as_deref(),
+            why = ?reason,
+            "not admitted"
+        );
+        Input::Reject {
+            trigger,
+            cause: rejection_cause(reason),
+            retry_after: (retry_after > 0).then_some(retry_after),
+        }
     }
 }
--- a/crates/pipithub-gateway/tests/connect.rs
+++ b/crates/pipithub-gateway/tests/connect.rs
@@ -26,9 +26,9 @@
             Ok("connection")
         })
     };
-    let give_up = Instant::now() + Duration::from_secs(1);
-    let connected = connect_by(give_up, connect).await;
-    assert!(Instant::now() <= give_up, "{errno}: within the time given");
+    let deadline = Instant::now() + Duration::from_secs(1);
+    let connected = connect_by(deadline, connect).await;
+    assert!(Instant::now() <= deadline, "{errno}: within the time given");
     (connected, calls.get())
 }
 
@@ -52,7 +52,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_fault_of_the_peer_is_told_at_once() {
+async fn a_fault_of_the_peer_is_reported_at_once() {
     for errno in [
         Errno::CONNREFUSED,
         Errno::CONNRESET,
