--- a/crates/pipithub-consumer/src/consumer.rs
+++ b/crates/pipithub-consumer/src/consumer.rs
@@ -164,8 +164,8 @@
     /// When [`Consumer::on_time`] is due; while idle, when a transport is wanted.
     pub fn next_timeout(&self) -> Option<Time> {
         let own = match self.phase {
-            Phase::Paused(_, until) => until,
-            Phase::Consuming(_) if self.delivery_limit() != self.applied_limit.count => {
+            Phase::Paused { resume_at, .. } => resume_at,
+            Phase::Consuming { .. } if self.delivery_limit() != self.applied_limit.count => {
                 Some(self.applied_limit.at + MIN_QOS_INTERVAL)
             }
             _ => None,
@@ -181,10 +181,8 @@
             endpoint.on_time(now);
         }
         self.handle_events();
-        if let Phase::Paused(channel, Some(until)) = self.phase
-            && now >= until
-        {
-            self.phase = Phase::Paused(channel, None);
+        if let Phase::Paused { resume_at, .. } = &mut self.phase {
+            *resume_at = resume_at.filter(|at| now < *at);
         }
         self.apply_capacity();
     }
@@ -230,7 +228,7 @@
         self.shutting_down = true;
         match self.phase {
             Phase::Idle(_) => self.phase = Phase::Stopped,
-            Phase::Consuming(channel) => self.pause(channel, None),
+            Phase::Consuming { channel } => self.pause(channel, None),
             _ => {}
         }
         self.finish_shutdown();
@@ -247,9 +245,9 @@
 
     fn channel(&self) -> Option<u16> {
         match self.phase {
-            Phase::Setup(channel) | Phase::Consuming(channel) | Phase::Paused(channel, _) => {
-                Some(channel)
-            }
+            Phase::SettingUp { channel }
+            | Phase::Consuming { channel }
+            | Phase::Paused { channel, .. } => Some(channel),
             _ => None,
         }
     }
--- a/crates/pipithub-consumer/src/consumer/delivery_limit.rs
+++ b/crates/pipithub-consumer/src/consumer/delivery_limit.rs
@@ -27,14 +27,17 @@
     /// Begins, pauses or limits consuming by the engine's capacity.
     pub(super) fn apply_capacity(&mut self) {
         match self.phase {
-            Phase::Consuming(channel) if self.capacity == 0 => self.pause(channel, None),
-            Phase::Consuming(_) => {
+            Phase::Consuming { channel } if self.capacity == 0 => self.pause(channel, None),
+            Phase::Consuming { .. } => {
                 let limit = self.delivery_limit();
                 if self.should_send_limit(limit) {
                     self.send_limit(limit);
                 }
             }
-            Phase::Paused(channel, None) if !self.shutting_down && self.may_resume() => {
+            Phase::Paused {
+                channel,
+                resume_at: None,
+            } if !self.shutting_down && self.may_resume() => {
                 self.consume(channel);
             }
             _ => {}
@@ -70,18 +73,18 @@
         });
     }
 
-    pub(super) fn pause(&mut self, channel: u16, until: Option<Time>) {
+    pub(super) fn pause(&mut self, channel: u16, resume_at: Option<Time>) {
         let consumer_tag = self.tag.clone();
         self.send(Method::BasicCancel {
             consumer_tag,
             no_wait: false,
         });
-        self.phase = Phase::Paused(channel, until);
+        self.phase = Phase::Paused { channel, resume_at };
     }
 
     pub(super) fn consume(&mut self, channel: u16) {
         let limit = self.delivery_limit();
-        self.phase = Phase::Setup(channel);
+        self.phase = Phase::SettingUp { channel };
         self.send_limit(limit);
         // A new tag each time: a delivery for the last one may still be on its way.
         self.tag_count += 1;
--- a/crates/pipithub-consumer/src/consumer/events.rs
+++ b/crates/pipithub-consumer/src/consumer/events.rs
@@ -19,7 +19,7 @@
             match event {
                 Event::Connected => {
                     if let Some(Ok(channel)) = self.endpoint.as_mut().map(Endpoint::open_channel) {
-                        self.phase = Phase::Setup(channel);
+                        self.phase = Phase::SettingUp { channel };
                     }
                 }
                 Event::ChannelOpened { .. } => self.set_up_channel(),
@@ -81,13 +81,14 @@
         };
         match (method, content) {
             (Method::TxSelectOk {}, _) => self.handle_transactions_selected(channel),
-            (Method::BasicConsumeOk { .. }, _) if matches!(self.phase, Phase::Setup(_)) => {
+            (Method::BasicConsumeOk { .. }, _) if matches!(self.phase, Phase::SettingUp { .. }) => {
                 self.handle_consuming(channel);
             }
             (Method::BasicCancel { consumer_tag, .. }, _) if consumer_tag == self.tag => {
                 // Its queue is gone, or its node: what is in flight stays good. The queue may come back.
                 self.notices.push_back(Notice::Cancelled);
-                self.phase = Phase::Paused(channel, Some(self.now + self.backoff.down(self.now)));
+                let resume_at = Some(self.now + self.backoff.down(self.now));
+                self.phase = Phase::Paused { channel, resume_at };
             }
             (
                 Method::BasicDeliver {
@@ -115,14 +116,17 @@
         }
         if self.capacity == 0 {
             self.backoff.up(self.now);
-            self.phase = Phase::Paused(channel, None);
+            self.phase = Phase::Paused {
+                channel,
+                resume_at: None,
+            };
         } else {
             self.consume(channel);
         }
     }
 
     fn handle_consuming(&mut self, channel: u16) {
-        self.phase = Phase::Consuming(channel);
+        self.phase = Phase::Consuming { channel };
         self.backoff.up(self.now);
         self.notices.push_back(Notice::Consuming);
         if self.shutting_down || self.capacity == 0 {
--- a/crates/pipithub-consumer/src/consumer/notice.rs
+++ b/crates/pipithub-consumer/src/consumer/notice.rs
@@ -35,19 +35,30 @@
     },
 }
 
-/// Where the consumer stands.
+/// The step that a consumer has reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// No transport; one is wanted at this time.
+    /// There is no transport; one is to be opened at this time.
     Idle(Time),
-    /// The transport is up, the connection not yet.
+    /// The transport is open, the AMQP connection not yet.
     Connecting,
-    /// The channel is being set up.
-    Setup(u16),
-    /// Deliveries come.
-    Consuming(u16),
-    /// The channel is up, nothing is consumed: there is no room, or the queue is missing until then.
-    Paused(u16, Option<Time>),
+    /// The channel is being set up, or the consumer on it.
+    SettingUp {
+        /// The channel.
+        channel: u16,
+    },
+    /// The broker delivers messages.
+    Consuming {
+        /// The channel.
+        channel: u16,
+    },
+    /// The channel is open, but nothing is consumed: the engine has no capacity, or the queue is missing.
+    Paused {
+        /// The channel.
+        channel: u16,
+        /// Nothing is consumed before this time.
+        resume_at: Option<Time>,
+    },
     /// Stopped for good.
     Stopped,
 }
