--- a/crates/pipithub-endpoints/src/cache.rs
+++ b/crates/pipithub-endpoints/src/cache.rs
@@ -5,12 +5,12 @@
 use pipithub_engine::policy::{Endpoint, EndpointState, EndpointUpdate, WorkerId};
 use serde::{Deserialize, Serialize};
 
-use crate::{ListError, MAX_ENDPOINTS, NANOS_PER_MS};
+use crate::{EndpointListError, MAX_ENDPOINTS, NANOS_PER_MS};
 
-/// The format that is written.
+/// The version of the file format.
 pub(crate) const FORMAT: u32 = 1;
 
-/// The list as it is written down; field names are those of the file.
+/// The list in the file; the field names are those of its JSON.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct CachedList {
     pub(crate) format: u32,
@@ -18,7 +18,7 @@
     pub(crate) workers: Vec<CachedWorker>,
 }
 
-/// A worker of the list.
+/// A worker in the file.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct CachedWorker {
     pub(crate) address: String,
@@ -29,7 +29,7 @@
 }
 
 impl CachedWorker {
-    /// The worker as it counts now; `written_ms` is the wall time at which it was written down.
+    /// The worker as an endpoint; `written_ms` is the wall time at which the file was written.
     fn into_endpoint(self, written_ms: u64, reading: Reading) -> Endpoint {
         let age_ms = self
             .started_ms
@@ -55,19 +55,19 @@
     }
 }
 
-/// Reads a cached list; to be handed to the engine as [`EndpointUpdate::Cached`].
+/// Reads a cached list, for the engine as an [`EndpointUpdate::Cached`].
 pub fn recall(
     text: &str,
     now: Time,
     wall_ms: u64,
-) -> Result<(EndpointUpdate, Vec<Endpoint>), ListError> {
-    let json = |source| ListError::Json {
+) -> Result<(EndpointUpdate, Vec<Endpoint>), EndpointListError> {
+    let json = |source| EndpointListError::Json {
         what: "remembered list",
         source,
     };
     let cached: CachedList = serde_json::from_str(text).map_err(json)?;
     if cached.workers.len() > MAX_ENDPOINTS {
-        return Err(ListError::TooMany(cached.workers.len()));
+        return Err(EndpointListError::TooMany(cached.workers.len()));
     }
     let written_ms = cached.wall_ms;
     let reading = Reading { now, wall_ms };
@@ -76,9 +76,9 @@
     Ok((EndpointUpdate::Cached, endpoints.collect()))
 }
 
-/// A worker's age by now, in milliseconds: what it was when the list was written, and the wall time since. A list from
-/// the future adds nothing, as the wall clock was stepped back by an unknown time; no worker is younger than it was. A
-/// start after the writing is unknown, and counts as long ago.
+/// A worker's present age in milliseconds: its age when the list was written and the wall time since. A list from the
+/// future adds nothing, as the wall clock was stepped back by an unknown time, and no worker is younger than it was. A
+/// start after the list was written is not known and counts as long ago.
 fn age_across_restart(started_ms: u64, written_ms: u64, wall_ms: u64) -> Option<u64> {
     let age_then = written_ms.checked_sub(started_ms)?;
     Some(age_then.saturating_add(wall_ms.saturating_sub(written_ms)))
--- a/crates/pipithub-endpoints/src/lib.rs
+++ b/crates/pipithub-endpoints/src/lib.rs
@@ -1,10 +1,10 @@
 //! The worker list from Kubernetes `EndpointSlice` objects (`discovery.k8s.io/v1`), without I/O.
 //!
-//! A [`Watcher`] takes the bodies of a list and the lines of a watch and tells what changed for the engine. It keeps the
-//! `resourceVersion` to watch from, notices a version that is too old (`410 Gone`), and can be written down and read
-//! back for a restart ([`Watcher::remembered`], [`recall`]).
+//! A [`Watcher`] reads the bodies of lists and the lines of a watch and returns the changes for the engine. It keeps the
+//! `resourceVersion` to watch from, detects a version that is too old (`410 Gone`), and can be cached for a restart
+//! ([`Watcher::remembered`], [`recall`]).
 //!
-//! Two annotations on a slice tell what Kubernetes has no field for; both map an endpoint's `targetRef.uid` to a
+//! Two annotations on a slice hold what Kubernetes has no field for; both map an endpoint's `targetRef.uid` to a
 //! number: `pipithub.dev/started-ms` (Unix time of its start) and `pipithub.dev/memory-mb`. Without the first, an
 //! endpoint first seen in a watch counts as started then, one found in a list as started long ago.
 
@@ -21,7 +21,7 @@
 
 use crate::cache::{CachedList, CachedWorker, FORMAT};
 
-/// The group, version and kind that a watch brings.
+/// The API group and version of the slices.
 pub const API: &str = "discovery.k8s.io/v1";
 /// Annotation: start times in Unix milliseconds, by uid.
 pub const STARTED: &str = "pipithub.dev/started-ms";
@@ -30,45 +30,45 @@
 const NANOS_PER_MS: Time = 1_000_000;
 /// The status of a version that is too old to watch from.
 const GONE: u16 = 410;
-/// More endpoints than this are refused: a broken list must not fill the memory.
+/// The most endpoints that a list may have: a broken one must not fill the memory.
 pub const MAX_ENDPOINTS: usize = 20_000;
 
-/// Why a body or line could not be taken; what was known stays.
+/// Why a list or an event of the watch could not be read; the workers known before stay.
 #[derive(Debug, thiserror::Error)]
-pub enum ListError {
-    /// It is not JSON of the expected shape.
+pub enum EndpointListError {
+    /// The text is not JSON of the expected shape.
     #[error("cannot read the {what}: {source}")]
     Json {
-        /// What it should have been.
+        /// What the text should have been.
         what: &'static str,
-        /// Where and why.
+        /// Where the text is wrong, and why.
         source: serde_json::Error,
     },
-    /// It holds more endpoints than are taken.
+    /// The list has more endpoints than the limit.
     #[error("{0} endpoints are more than the {MAX_ENDPOINTS} taken")]
     TooMany(usize),
     /// The server answered with a status object.
     #[error("the server answers {code}: {message}")]
     Status {
-        /// Its code.
+        /// The code of the status.
         code: u16,
-        /// Its message.
+        /// The message of the status.
         message: String,
     },
 }
 
-/// What a line of a watch brought.
+/// The effect of one line of a watch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Workers changed.
     Changes(Vec<Endpoint>),
-    /// Nothing of note; the version to go on from moved.
+    /// No worker changed; the version to continue from did.
     Nothing,
-    /// The version is too old: list anew.
+    /// The version is too old: the list is to be read again.
     Expired,
 }
 
-/// One endpoint as it stands.
+/// The present state of one endpoint.
 #[derive(Clone, Debug, PartialEq)]
 struct KnownEndpoint {
     state: EndpointState,
@@ -78,7 +78,7 @@
     started: Option<Time>,
 }
 
-/// Follows the slices of one service.
+/// Follows the endpoint slices of one service.
 #[derive(Debug, Default)]
 pub struct Watcher {
     port: Option<String>,
@@ -89,7 +89,7 @@
 }
 
 impl Watcher {
-    /// Follows the port of this name, or the first of each slice.
+    /// Creates a watcher of the port of this name, or of the first port of each slice.
     pub fn new(port: Option<String>) -> Self {
         Watcher {
             port,
@@ -97,50 +97,55 @@
         }
     }
 
-    /// The version to watch from; `None`: list first.
+    /// The version to watch from; `None`: the list is to be read first.
     pub fn version(&self) -> Option<&str> {
         self.version.as_deref()
     }
 
-    /// The version to watch from is not known any more: list anew.
+    /// Discards the version to watch from, so that the list is read again.
     pub fn forget_version(&mut self) {
         self.version = None;
     }
 
-    /// Takes the body of a list; all workers there are. `wall_ms` is the Unix time that `now` stands for.
+    /// Reads the body of a list and returns all workers. `wall_ms` is the Unix time of `now`.
     pub fn list(
         &mut self,
         now: Time,
         wall_ms: u64,
         body: &[u8],
-    ) -> Result<Vec<Endpoint>, ListError> {
-        let json = |source| ListError::Json {
+    ) -> Result<Vec<Endpoint>, EndpointListError> {
+        let json = |source| EndpointListError::Json {
             what: "EndpointSliceList",
             source,
         };
         let list: EndpointSliceList = serde_json::from_slice(body).map_err(json)?;
-        let count = list.items.iter().map(|s| s.endpoints.len()).sum();
+        let count = list.items.iter().map(|slice| slice.endpoints.len()).sum();
         if count > MAX_ENDPOINTS {
-            return Err(ListError::TooMany(count));
+            return Err(EndpointListError::TooMany(count));
         }
         self.slices = list
             .items
             .into_iter()
-            .map(|s| (s.metadata.name.clone(), s))
+            .map(|slice| (slice.metadata.name.clone(), slice))
             .collect();
-        self.version = Some(list.metadata.resource_version).filter(|v| !v.is_empty());
+        self.version = Some(list.metadata.resource_version).filter(|version| !version.is_empty());
         self.refresh(Reading { now, wall_ms });
         self.listed = true;
         Ok(self
             .known
             .iter()
-            .map(|(address, k)| k.to_endpoint(address))
+            .map(|(address, known)| known.to_endpoint(address))
             .collect())
     }
 
-    /// Takes one line of a watch.
-    pub fn line(&mut self, now: Time, wall_ms: u64, line: &[u8]) -> Result<Step, ListError> {
-        let json = |source| ListError::Json {
+    /// Reads one line of a watch.
+    pub fn line(
+        &mut self,
+        now: Time,
+        wall_ms: u64,
+        line: &[u8],
+    ) -> Result<Step, EndpointListError> {
+        let json = |source| EndpointListError::Json {
             what: "watch event",
             source,
         };
@@ -166,7 +171,7 @@
         slice: EndpointSlice,
         is_deleted: bool,
         reading: Reading,
-    ) -> Result<Step, ListError> {
+    ) -> Result<Step, EndpointListError> {
         let name = slice.metadata.name.clone();
         if !slice.metadata.resource_version.is_empty() {
             self.version = Some(slice.metadata.resource_version.clone());
@@ -178,7 +183,7 @@
             let others_count: usize = others.map(|(_, other)| other.endpoints.len()).sum();
             let count = others_count + slice.endpoints.len();
             if count > MAX_ENDPOINTS {
-                return Err(ListError::TooMany(count));
+                return Err(EndpointListError::TooMany(count));
             }
             self.slices.insert(name, slice);
         }
@@ -197,20 +202,20 @@
         }
     }
 
-    fn apply_error(&mut self, status: &serde_json::Value) -> Result<Step, ListError> {
+    fn apply_error(&mut self, status: &serde_json::Value) -> Result<Step, EndpointListError> {
         let code = status["code"].as_u64().unwrap_or(0) as u16;
         if code == GONE {
             self.version = None;
             return Ok(Step::Expired);
         }
         let message = status["message"].as_str().unwrap_or("no message");
-        Err(ListError::Status {
+        Err(EndpointListError::Status {
             code,
             message: message.to_string(),
         })
     }
 
-    /// Works out the workers anew from all slices; what changed.
+    /// Derives the workers from all slices and returns those that changed.
     fn refresh(&mut self, reading: Reading) -> Vec<Endpoint> {
         let mut next: BTreeMap<String, KnownEndpoint> = BTreeMap::new();
         for slice in self.slices.values() {
@@ -222,11 +227,11 @@
                     continue;
                 };
                 let found = self.describe(slice, endpoint, &address, reading);
-                // While an endpoint moves between slices it may stand in two; the careful word counts.
-                let careful = next
+                // While an endpoint moves between slices it may be in two of them; if one says draining, that counts.
+                let is_draining = next
                     .get(&address)
-                    .is_some_and(|k| k.state == EndpointState::Draining);
-                if !careful {
+                    .is_some_and(|known| known.state == EndpointState::Draining);
+                if !is_draining {
                     next.insert(address, found);
                 }
             }
@@ -236,7 +241,7 @@
         changes
     }
 
-    /// What differs from the workers as they were.
+    /// The workers that differ from those known before.
     fn changes_to(&self, next: &BTreeMap<String, KnownEndpoint>) -> Vec<Endpoint> {
         let removed = self
             .known
@@ -263,24 +268,24 @@
         let uid = endpoint
             .target_ref
             .as_ref()
-            .map(|t| t.uid.clone())
+            .map(|target| target.uid.clone())
             .unwrap_or_default();
-        let before = self.known.get(address).filter(|k| k.uid == uid);
+        let before = self.known.get(address).filter(|known| known.uid == uid);
         let number = |name: &str| -> Option<f64> {
             let text = slice.metadata.annotations.as_ref()?.get(name)?;
             let by_uid: BTreeMap<String, f64> = serde_json::from_str(text).ok()?;
             by_uid
                 .get(&uid)
                 .copied()
-                .filter(|v| v.is_finite() && *v >= 0.0)
+                .filter(|number| number.is_finite() && *number >= 0.0)
         };
         // A start in the future, by a clock that was stepped back, counts as now: it is taken for cold no longer than
         // a worker's ramp.
-        let told = number(STARTED).map(|stamp_ms| reading.time_of_stamp(stamp_ms as u64));
+        let annotated = number(STARTED).map(|stamp_ms| reading.time_of_stamp(stamp_ms as u64));
         let started = match before {
             // A start once known stays: clocks that drift or are stepped must not look like restarts.
             Some(known) => known.started,
-            None => told.or(self.listed.then_some(reading.now.max(1))),
+            None => annotated.or(self.listed.then_some(reading.now.max(1))),
         };
         let memory_mb = number(MEMORY).unwrap_or(0.0);
         KnownEndpoint {
@@ -292,27 +297,30 @@
         }
     }
 
-    /// How many workers are live.
+    /// The number of workers that are ready.
     pub fn live(&self) -> usize {
         self.known
             .values()
-            .filter(|k| k.state == EndpointState::Ready)
+            .filter(|known| known.state == EndpointState::Ready)
             .count()
     }
 
     /// The list as a text to cache for a restart.
     pub fn remembered(&self, now: Time, wall_ms: u64) -> String {
-        let started_ms = |t: Time| wall_ms.saturating_sub(now.saturating_sub(t) / NANOS_PER_MS);
+        let started_ms = |started: Time| {
+            let age = now.saturating_sub(started);
+            wall_ms.saturating_sub(age / NANOS_PER_MS)
+        };
         let workers = self
             .known
             .iter()
-            .filter(|(_, k)| k.state != EndpointState::Removed)
-            .map(|(address, k)| CachedWorker {
+            .filter(|(_, known)| known.state != EndpointState::Removed)
+            .map(|(address, known)| CachedWorker {
                 address: address.clone(),
-                draining: k.state == EndpointState::Draining,
-                zone: k.zone.clone(),
-                memory_mb: k.memory_mb,
-                started_ms: k.started.map(started_ms),
+                draining: known.state == EndpointState::Draining,
+                zone: known.zone.clone(),
+                memory_mb: known.memory_mb,
+                started_ms: known.started.map(started_ms),
             });
         let cached = CachedList {
             format: FORMAT,
