--- a/crates/pipithub-amqp/src/endpoint.rs
+++ b/crates/pipithub-amqp/src/endpoint.rs
@@ -65,7 +65,7 @@
     events: VecDeque<Event>,
     /// When the handshake or the closing began; their time-outs count from here.
     phase_started: Time,
-    /// The time of the last call that told it.
+    /// The time of the last call that was given it.
     now: Time,
     last_sent: Time,
     last_received: Time,
--- a/crates/pipithub-amqp/tests/codec.rs
+++ b/crates/pipithub-amqp/tests/codec.rs
@@ -259,7 +259,7 @@
     // Unknown class or method.
     assert_eq!(damaged(&|b| b[8] = 99), 540);
     assert_eq!(damaged(&|b| b[10] = 99), 540);
-    // Bytes left over in the method, a string that ends too early.
+    // Bytes after the last argument of a method, a string that is truncated.
     assert_eq!(
         damaged(&|b| {
             b[6] += 1;
--- a/crates/pipithub-amqp/tests/endpoints.rs
+++ b/crates/pipithub-amqp/tests/endpoints.rs
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Moves bytes both ways, in small pieces, until none are left; the server takes every login.
+    /// Moves bytes both ways, in small pieces, until none are left; the server accepts the login `guest` alone.
     fn settle(&mut self) -> (Vec<Event>, Vec<Event>) {
         let (mut at_client, mut at_server) = (Vec::new(), Vec::new());
         loop {
--- a/crates/pipithub-characterization/src/node_scenario/world.rs
+++ b/crates/pipithub-characterization/src/node_scenario/world.rs
@@ -28,7 +28,7 @@
     u64::MAX,
 ];
 
-/// What comes due in a scenario.
+/// An event of the scenario.
 #[derive(Debug)]
 pub(super) enum Event {
     ClientActs,
