--- a/crates/pipithub-bench/src/scale/front_ends/beyond.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/beyond.rs
@@ -85,7 +85,7 @@
     let held = memory(real.pid());
     real.kill().await;
     let connections = (now.connections - counts.connections) as f64;
-    let rate = (now.told_bytes - counts.told_bytes) as f64 / took;
+    let rate = (now.sent_bytes - counts.sent_bytes) as f64 / took;
     let values = [
         f64::from(u8::from(well)),
         connections,
--- a/crates/pipithub-bench/src/scale/front_ends/fleet.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/fleet.rs
@@ -101,10 +101,10 @@
             seconds: (now.0 - then.0).as_secs_f64(),
             counts: Counts {
                 connections: b.connections - a.connections,
-                refused: b.refused - a.refused,
+                rejected: b.rejected - a.rejected,
                 open: b.open,
-                asked_bytes: b.asked_bytes - a.asked_bytes,
-                told_bytes: b.told_bytes - a.told_bytes,
+                received_bytes: b.received_bytes - a.received_bytes,
+                sent_bytes: b.sent_bytes - a.sent_bytes,
                 events: b.events - a.events,
                 comments: b.comments - a.comments,
             },
@@ -138,7 +138,7 @@
 
 /// Bytes without those of comments.
 fn told(counts: &Counts) -> f64 {
-    (counts.told_bytes - 3 * counts.comments) as f64
+    (counts.sent_bytes - 3 * counts.comments) as f64
 }
 
 #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
@@ -204,14 +204,14 @@
     fleet.coordinator.forget();
     let (then, before) = (wall_ns(), fleet.now());
     fleet.coordinator.behave(|b| b.cut = false);
-    let (mut peak, mut last, mut written) = (0.0f64, before.1.told_bytes, 0.0);
+    let (mut peak, mut last, mut written) = (0.0f64, before.1.sent_bytes, 0.0);
     let waited = async {
         let mut at = Instant::now();
         loop {
             tokio::time::sleep(LOOK).await;
             let counts = fleet.coordinator.counts();
-            peak = peak.max((counts.told_bytes - last) as f64 / at.elapsed().as_secs_f64());
-            (last, at) = (counts.told_bytes, Instant::now());
+            peak = peak.max((counts.sent_bytes - last) as f64 / at.elapsed().as_secs_f64());
+            (last, at) = (counts.sent_bytes, Instant::now());
             if counts.events - before.1.events >= count as u64 {
                 written = before.0.elapsed().as_secs_f64() * 1e3;
                 return;
@@ -228,8 +228,8 @@
         start,
         quiet.fronts / quiet.seconds * 100.0,
         quiet.own / quiet.seconds * 100.0,
-        quiet.counts.told_bytes as f64 / quiet.seconds / count as f64,
-        quiet.counts.asked_bytes as f64 / quiet.seconds / count as f64,
+        quiet.counts.sent_bytes as f64 / quiet.seconds / count as f64,
+        quiet.counts.received_bytes as f64 / quiet.seconds / count as f64,
         replaced,
         cost,
         bytes,
@@ -237,7 +237,7 @@
         told(&one_spent.counts),
         more,
         told(&more_spent.counts),
-        cut.counts.refused as f64 / cut.seconds,
+        cut.counts.rejected as f64 / cut.seconds,
         cut.fronts / cut.seconds * 100.0,
         cut.own / cut.seconds * 100.0,
         all,
--- a/crates/pipithub-bench/src/scale/front_ends/lists.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/lists.rs
@@ -88,7 +88,7 @@
     tokio::time::sleep(Duration::from_millis(100)).await;
     let each = (cpu(pid) - before - began.elapsed().as_secs_f64() * idle) / EVENTS as f64;
     let now = coordinator.counts();
-    let told = now.told_bytes - counts.told_bytes - 3 * (now.comments - counts.comments);
+    let told = now.sent_bytes - counts.sent_bytes - 3 * (now.comments - counts.comments);
     let held = memory(pid);
     println!(
         "  {workers} workers: quiet without any list {:.2} % of a core, then {:.2} %",
--- a/crates/pipithub-bench/src/scale/front_ends/processes.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/processes.rs
@@ -71,9 +71,9 @@
         each(held.iter().map(|m| m.rss).sum()) / 1024.0,
         each(held.iter().map(|m| m.pss).sum()) / 1024.0,
         each(after - before) / took * 100.0,
-        each((now.told_bytes - counts.told_bytes) as f64) / took,
+        each((now.sent_bytes - counts.sent_bytes) as f64) / took,
         each((now.comments + now.events - counts.comments - counts.events) as f64) / took,
-        each((now.asked_bytes - counts.asked_bytes) as f64) / took,
+        each((now.received_bytes - counts.received_bytes) as f64) / took,
         own / took * 100.0,
     ];
     if !real[0].is_well().await? {
--- a/crates/pipithub-consumer/tests/with_broker/bed.rs
+++ b/crates/pipithub-consumer/tests/with_broker/bed.rs
@@ -9,7 +9,7 @@
 use pipithub_consumer::backoff::BackoffRange;
 use pipithub_consumer::message::{ClassName, Route};
 use pipithub_consumer::{Consumer, ConsumerSettings, DeadLetterTarget, Notice, Phase, Qos};
-use pipithub_emulator::broker::{Broker, ConnId, Out};
+use pipithub_emulator::broker::{Broker, BrokerOutput, ConnectionId};
 use pipithub_engine::policy::{
     Class, Endpoint as WorkerEndpoint, EndpointUpdate, Idempotency, Limits, LoadReport, Outcome,
     Settings, WorkerId,
@@ -27,7 +27,7 @@
 
 /// The server's end of a connection.
 pub(crate) struct Line {
-    pub(crate) id: ConnId,
+    pub(crate) id: ConnectionId,
     pub(crate) endpoint: Endpoint,
 }
 
@@ -45,18 +45,18 @@
         }
     }
 
-    pub(crate) fn out(&mut self, out: Out) {
+    pub(crate) fn out(&mut self, out: BrokerOutput) {
         let _ = match out {
-            Out::Method(channel, m, Some(c)) => {
+            BrokerOutput::Method(channel, m, Some(c)) => {
                 self.endpoint
                     .send_content(channel, m, c.properties, &c.body)
             }
-            Out::Method(channel, m, None) => self.endpoint.send(channel, m),
-            Out::CloseChannel(channel, fault) => {
+            BrokerOutput::Method(channel, m, None) => self.endpoint.send(channel, m),
+            BrokerOutput::CloseChannel(channel, fault) => {
                 self.endpoint.close_channel(channel, fault);
                 Ok(())
             }
-            Out::Close(fault) => {
+            BrokerOutput::Close(fault) => {
                 self.endpoint.close(fault);
                 Ok(())
             }
@@ -78,7 +78,7 @@
     /// By how much the fronts' wall clock was stepped.
     pub(crate) wall_step_ms: i64,
     pub(crate) broker: Broker,
-    pub(crate) next: ConnId,
+    pub(crate) next: ConnectionId,
     pub(crate) fronts: Vec<Front>,
     pub(crate) client: Endpoint,
     pub(crate) client_line: Line,
@@ -250,7 +250,7 @@
             for which in 0..self.fronts.len() {
                 moved |= self.move_front(which);
             }
-            for (id, out) in self.broker.take_out() {
+            for (id, out) in self.broker.take_outputs() {
                 moved = true;
                 if id == 1 {
                     self.client_line.out(out);
--- a/crates/pipithub-emulator/src/broker/core.rs
+++ b/crates/pipithub-emulator/src/broker/core.rs
@@ -13,11 +13,11 @@
 use pipithub_conformance::record::Seen;
 
 /// A connection, as the shell numbers it.
-pub type ConnId = u64;
+pub type ConnectionId = u64;
 
 /// What goes out on a connection.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum BrokerOutput {
     /// A method, with its content.
     Method(u16, Method, Option<Box<Content>>),
     /// The channel ends.
@@ -94,11 +94,11 @@
 struct Queue {
     durable: bool,
     auto_delete: bool,
-    owner: Option<ConnId>,
+    owner: Option<ConnectionId>,
     arguments: QueueArguments,
     messages: VecDeque<Message>,
     /// In the order of their turns.
-    consumers: VecDeque<(ConnId, u16, ShortStr)>,
+    consumers: VecDeque<(ConnectionId, u16, ShortStr)>,
     had_consumers: bool,
     unused_since: Time,
 }
@@ -166,11 +166,11 @@
     now: Time,
     exchanges: BTreeMap<ShortStr, Exchange>,
     queues: BTreeMap<ShortStr, Queue>,
-    connections: BTreeMap<ConnId, Connection>,
+    connections: BTreeMap<ConnectionId, Connection>,
     names: u64,
     numbers: u64,
     blocked: Option<String>,
-    out: Vec<(ConnId, Out)>,
+    out: Vec<(ConnectionId, BrokerOutput)>,
     seen: Vec<Seen>,
     /// Queues that may have something for their consumers.
     stirred: BTreeSet<ShortStr>,
@@ -225,7 +225,7 @@
     }
 
     /// What goes out.
-    pub fn take_out(&mut self) -> Vec<(ConnId, Out)> {
+    pub fn take_outputs(&mut self) -> Vec<(ConnectionId, BrokerOutput)> {
         std::mem::take(&mut self.out)
     }
 
@@ -264,7 +264,7 @@
     }
 
     /// A connection is open; `client` is its name for the records, `user` whom it logged in as.
-    pub fn connect(&mut self, id: ConnId, client: &str, user: &str) {
+    pub fn connect(&mut self, id: ConnectionId, client: &str, user: &str) {
         let connection = Connection {
             client: client.to_string(),
             user: user.to_string(),
@@ -275,12 +275,12 @@
             let method = Method::ConnectionBlocked {
                 reason: name(reason),
             };
-            self.out.push((id, Out::Method(0, method, None)));
+            self.out.push((id, BrokerOutput::Method(0, method, None)));
         }
     }
 
     /// Its output waits to be written, or no longer does.
-    pub fn set_congested(&mut self, now: Time, id: ConnId, congested: bool) {
+    pub fn set_congested(&mut self, now: Time, id: ConnectionId, congested: bool) {
         self.now = now;
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -305,7 +305,7 @@
                 },
                 None => Method::ConnectionUnblocked {},
             };
-            self.out.push((*id, Out::Method(0, method, None)));
+            self.out.push((*id, BrokerOutput::Method(0, method, None)));
         }
     }
 
@@ -315,7 +315,7 @@
     }
 
     /// A connection is gone: all that it had not acknowledged goes back.
-    pub fn disconnect(&mut self, now: Time, id: ConnId) {
+    pub fn disconnect(&mut self, now: Time, id: ConnectionId) {
         self.now = now;
         let Some(connection) = self.connections.get(&id) else {
             return;
@@ -383,7 +383,7 @@
     }
 
     /// Takes an event of a connection that is open.
-    pub fn handle(&mut self, now: Time, id: ConnId, event: Event) {
+    pub fn handle(&mut self, now: Time, id: ConnectionId, event: Event) {
         self.now = now;
         match event {
             Event::ChannelOpened { channel } => {
@@ -416,13 +416,13 @@
                     // Faults of these codes end the connection, all others the channel alone (specification 1.2).
                     let hard = [503u16, 530, 540, 501, 502, 504, 505, 541];
                     let out = if hard.contains(&fault.code) {
-                        Out::Close(fault)
+                        BrokerOutput::Close(fault)
                     } else {
                         self.channel_gone(id, channel);
                         if let Some(c) = self.connections.get_mut(&id) {
                             c.channels.remove(&channel);
                         }
-                        Out::CloseChannel(channel, fault)
+                        BrokerOutput::CloseChannel(channel, fault)
                     };
                     self.out.push((id, out));
                 }
@@ -436,19 +436,20 @@
         self.deliver();
     }
 
-    fn channel(&mut self, id: ConnId, channel: u16) -> Option<&mut Channel> {
+    fn channel(&mut self, id: ConnectionId, channel: u16) -> Option<&mut Channel> {
         self.connections.get_mut(&id)?.channels.get_mut(&channel)
     }
 
-    fn send(&mut self, id: ConnId, channel: u16, method: Method) {
-        self.out.push((id, Out::Method(channel, method, None)));
+    fn send(&mut self, id: ConnectionId, channel: u16, method: Method) {
+        self.out
+            .push((id, BrokerOutput::Method(channel, method, None)));
     }
 
     // ---- methods ----
 
     fn method(
         &mut self,
-        id: ConnId,
+        id: ConnectionId,
         channel: u16,
         m: Method,
         content: Option<Content>,
@@ -478,7 +479,7 @@
     }
 
     #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
-    fn exchange_method(&mut self, id: ConnId, channel: u16, m: Method) -> Result<(), Fault> {
+    fn exchange_method(&mut self, id: ConnectionId, channel: u16, m: Method) -> Result<(), Fault> {
         match &m {
             Method::ExchangeDeclare {
                 exchange,
@@ -684,7 +685,7 @@
     }
 
     /// The queue, where this connection may use it.
-    fn usable(&self, id: ConnId, queue: &ShortStr, m: &Method) -> Result<&Queue, Fault> {
+    fn usable(&self, id: ConnectionId, queue: &ShortStr, m: &Method) -> Result<&Queue, Fault> {
         let Some(found) = self.queues.get(queue) else {
             return Err(fault(Code::NotFound, format!("no queue '{queue}'"), m));
         };
@@ -696,7 +697,7 @@
     }
 
     #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
-    fn queue_method(&mut self, id: ConnId, channel: u16, m: Method) -> Result<(), Fault> {
+    fn queue_method(&mut self, id: ConnectionId, channel: u16, m: Method) -> Result<(), Fault> {
         match &m {
             Method::QueueDeclare {
                 queue,
@@ -852,7 +853,7 @@
 
     fn publish_method(
         &mut self,
-        id: ConnId,
+        id: ConnectionId,
         channel: u16,
         m: Method,
         content: Content,
@@ -930,7 +931,7 @@
         Ok(())
     }
 
-    fn publish(&mut self, id: ConnId, channel: u16, m: Method, content: Content) {
+    fn publish(&mut self, id: ConnectionId, channel: u16, m: Method, content: Content) {
         let Method::BasicPublish {
             exchange,
             routing_key,
@@ -951,7 +952,8 @@
                 routing_key,
             };
             let content = Some(Box::new(Content { properties, body }));
-            self.out.push((id, Out::Method(channel, method, content)));
+            self.out
+                .push((id, BrokerOutput::Method(channel, method, content)));
             return;
         }
         self.numbers += 1;
@@ -972,7 +974,7 @@
 
     fn note_published(
         &mut self,
-        id: ConnId,
+        id: ConnectionId,
         queues: &BTreeSet<ShortStr>,
         key: &str,
         p: &Properties,
@@ -1132,7 +1134,7 @@
     // ---- consuming ----
 
     #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
-    fn consume_method(&mut self, id: ConnId, channel: u16, m: Method) -> Result<(), Fault> {
+    fn consume_method(&mut self, id: ConnectionId, channel: u16, m: Method) -> Result<(), Fault> {
         match &m {
             Method::BasicQos {
                 prefetch_size,
@@ -1261,7 +1263,8 @@
                     message_count,
                 };
                 let content = Some(Box::new(Content { properties, body }));
-                self.out.push((id, Out::Method(channel, got, content)));
+                self.out
+                    .push((id, BrokerOutput::Method(channel, got, content)));
             }
             Method::BasicRecover { requeue } | Method::BasicRecoverAsync { requeue } => {
                 if !requeue {
@@ -1288,7 +1291,7 @@
         Ok(())
     }
 
-    fn end_consumer(&mut self, id: ConnId, channel: u16, tag: &ShortStr) {
+    fn end_consumer(&mut self, id: ConnectionId, channel: u16, tag: &ShortStr) {
         let Some(consumer) = self
             .channel(id, channel)
             .and_then(|c| c.consumers.remove(tag))
@@ -1308,7 +1311,7 @@
         }
     }
 
-    fn settle_method(&mut self, id: ConnId, channel: u16, m: Method) -> Result<(), Fault> {
+    fn settle_method(&mut self, id: ConnectionId, channel: u16, m: Method) -> Result<(), Fault> {
         let (tag, multiple, settle) = match &m {
             Method::BasicAck {
                 delivery_tag,
@@ -1375,7 +1378,7 @@
         Ok(())
     }
 
-    fn settle(&mut self, id: ConnId, channel: u16, tag: u64, settle: Settle) {
+    fn settle(&mut self, id: ConnectionId, channel: u16, tag: u64, settle: Settle) {
         let client = self
             .connections
             .get(&id)
@@ -1424,7 +1427,7 @@
         self.stirred.insert(queue.clone());
     }
 
-    fn requeue_all(&mut self, id: ConnId, channel: u16) {
+    fn requeue_all(&mut self, id: ConnectionId, channel: u16) {
         let Some(c) = self.channel(id, channel) else {
             return;
         };
@@ -1434,7 +1437,7 @@
         }
     }
 
-    fn channel_gone(&mut self, id: ConnId, channel: u16) {
+    fn channel_gone(&mut self, id: ConnectionId, channel: u16) {
         self.requeue_all(id, channel);
         let tags: Vec<_> = self
             .channel(id, channel)
@@ -1446,7 +1449,7 @@
 
     // ---- transactions and confirms ----
 
-    fn mode_method(&mut self, id: ConnId, channel: u16, m: Method) -> Result<(), Fault> {
+    fn mode_method(&mut self, id: ConnectionId, channel: u16, m: Method) -> Result<(), Fault> {
         let Some(c) = self.channel(id, channel) else {
             return Ok(());
         };
@@ -1584,7 +1587,8 @@
                 routing_key,
             };
             let content = Some(Box::new(Content { properties, body }));
-            self.out.push((id, Out::Method(channel, method, content)));
+            self.out
+                .push((id, BrokerOutput::Method(channel, method, content)));
             return true;
         }
         false
--- a/crates/pipithub-emulator/src/broker/mod.rs
+++ b/crates/pipithub-emulator/src/broker/mod.rs
@@ -3,5 +3,5 @@
 pub mod core;
 pub mod server;
 
-pub use core::{Bounds, Broker, ConnId, Out};
+pub use core::{Bounds, Broker, BrokerOutput, ConnectionId};
 pub use server::{BrokerServer, BrokerSettings};
--- a/crates/pipithub-emulator/src/broker/server.rs
+++ b/crates/pipithub-emulator/src/broker/server.rs
@@ -11,7 +11,7 @@
 use tokio::sync::Notify;
 use tracing::{debug, info};
 
-use super::core::{Bounds, Broker, ConnId, Out};
+use super::core::{Bounds, Broker, BrokerOutput, ConnectionId};
 use crate::accept::next_connection;
 use crate::clock::Clock;
 use crate::recorder::Recorder;
@@ -55,7 +55,7 @@
 }
 
 struct Mail {
-    waiting: VecDeque<Out>,
+    waiting: VecDeque<BrokerOutput>,
     bytes: usize,
     notify: Arc<Notify>,
     /// Ends the connection at once, without a word.
@@ -64,8 +64,8 @@
 
 struct State {
     broker: Broker,
-    mail: HashMap<ConnId, Mail>,
-    next: ConnId,
+    mail: HashMap<ConnectionId, Mail>,
+    next: ConnectionId,
 }
 
 struct Shared {
@@ -174,7 +174,7 @@
                 .take_seen()
                 .into_iter()
                 .for_each(|seen| self.settings.recorder.note(&self.at, seen));
-            let out = state.broker.take_out();
+            let out = state.broker.take_outputs();
             if out.is_empty() {
                 return;
             }
@@ -182,7 +182,7 @@
                 let Some(mail) = state.mail.get_mut(&id) else {
                     continue;
                 };
-                if let Out::Method(_, _, content) = &out {
+                if let BrokerOutput::Method(_, _, content) = &out {
                     mail.bytes += 256 + content.as_ref().map_or(0, |c| c.body.len());
                 }
                 mail.waiting.push_back(out);
@@ -235,7 +235,7 @@
 
 struct Connection<'a> {
     shared: &'a Shared,
-    id: ConnId,
+    id: ConnectionId,
     endpoint: Endpoint,
     /// It has published: it is held back while the broker is blocked.
     publisher: bool,
@@ -243,7 +243,7 @@
 }
 
 impl<'a> Connection<'a> {
-    fn new(shared: &'a Shared, id: ConnId) -> Self {
+    fn new(shared: &'a Shared, id: ConnectionId) -> Self {
         let endpoint = Endpoint::server(shared.settings.tuning, shared.clock.now());
         Connection {
             shared,
@@ -317,16 +317,16 @@
         for out in std::mem::take(&mut mail.waiting) {
             // A channel that its peer has closed meanwhile takes nothing more: what was on its way is void.
             let sent = match out {
-                Out::Method(channel, method, Some(content)) => {
+                BrokerOutput::Method(channel, method, Some(content)) => {
                     self.endpoint
                         .send_content(channel, method, content.properties, &content.body)
                 }
-                Out::Method(channel, method, None) => self.endpoint.send(channel, method),
-                Out::CloseChannel(channel, fault) => {
+                BrokerOutput::Method(channel, method, None) => self.endpoint.send(channel, method),
+                BrokerOutput::CloseChannel(channel, fault) => {
                     self.endpoint.close_channel(channel, fault);
                     Ok(())
                 }
-                Out::Close(fault) => {
+                BrokerOutput::Close(fault) => {
                     self.endpoint.close(fault);
                     Ok(())
                 }
--- a/crates/pipithub-emulator/src/coordinator.rs
+++ b/crates/pipithub-emulator/src/coordinator.rs
@@ -108,13 +108,13 @@
     /// Connections accepted, those turned away during a cut not included.
     pub connections: u64,
     /// Connections closed unanswered during a cut.
-    pub refused: u64,
+    pub rejected: u64,
     /// Streams that are open now.
     pub open: u64,
     /// Bytes that front ends sent.
-    pub asked_bytes: u64,
+    pub received_bytes: u64,
     /// Bytes that front ends were sent.
-    pub told_bytes: u64,
+    pub sent_bytes: u64,
     /// Events that were written whole.
     pub events: u64,
     /// Comments.
@@ -124,10 +124,10 @@
 #[derive(Default)]
 struct Counters {
     connections: AtomicU64,
-    refused: AtomicU64,
+    rejected: AtomicU64,
     open: AtomicU64,
-    asked_bytes: AtomicU64,
-    told_bytes: AtomicU64,
+    received_bytes: AtomicU64,
+    sent_bytes: AtomicU64,
     events: AtomicU64,
     comments: AtomicU64,
 }
@@ -298,10 +298,10 @@
         let c = &self.shared.counters;
         Counts {
             connections: c.connections.load(Relaxed),
-            refused: c.refused.load(Relaxed),
+            rejected: c.rejected.load(Relaxed),
             open: c.open.load(Relaxed),
-            asked_bytes: c.asked_bytes.load(Relaxed),
-            told_bytes: c.told_bytes.load(Relaxed),
+            received_bytes: c.received_bytes.load(Relaxed),
+            sent_bytes: c.sent_bytes.load(Relaxed),
             events: c.events.load(Relaxed),
             comments: c.comments.load(Relaxed),
         }
@@ -339,7 +339,7 @@
 async fn accept(listener: TcpListener, shared: Arc<Shared>) {
     while let Some(stream) = next_stream(&listener).await {
         if shared.behaviour.borrow().cut {
-            shared.counters.refused.fetch_add(1, Relaxed);
+            shared.counters.rejected.fetch_add(1, Relaxed);
             continue;
         }
         shared.counters.connections.fetch_add(1, Relaxed);
@@ -367,7 +367,7 @@
     }
     shared
         .counters
-        .asked_bytes
+        .received_bytes
         .fetch_add(request.len() as u64, Relaxed);
     let text = String::from_utf8_lossy(&request).into_owned();
     let id = text.lines().find_map(|l| {
@@ -394,7 +394,7 @@
     write.write_all(HEAD.as_bytes()).await?;
     shared
         .counters
-        .told_bytes
+        .sent_bytes
         .fetch_add(HEAD.len() as u64, Relaxed);
     let mut first = true;
     let mut waste = [0; 512];
@@ -423,7 +423,7 @@
             _ = comments.tick() => if interval.is_some() { comment(&mut write, shared).await? },
             got = read.read(&mut waste) => match got? {
                 0 => return Ok(()),
-                n => { shared.counters.asked_bytes.fetch_add(n as u64, Relaxed); }
+                n => { shared.counters.received_bytes.fetch_add(n as u64, Relaxed); }
             },
         }
     }
@@ -463,7 +463,7 @@
         write.write_all(piece).await?;
         shared
             .counters
-            .told_bytes
+            .sent_bytes
             .fetch_add(piece.len() as u64, Relaxed);
         if rate.is_some() {
             tokio::time::sleep(SLOW_STEP).await;
--- a/crates/pipithub-emulator/src/relay.rs
+++ b/crates/pipithub-emulator/src/relay.rs
@@ -17,11 +17,11 @@
 
 /// What is done to datagrams on their way.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Way {
+pub struct LinkConditions {
     /// Nothing passes.
     pub cut: bool,
     /// Nothing passes, but all of it comes once this ends.
-    pub held: bool,
+    pub paused: bool,
     /// What everything takes.
     pub delay: Duration,
     /// What may come on top, drawn evenly.
@@ -29,13 +29,13 @@
     /// The share that gets lost.
     pub loss: f64,
     /// The share that comes twice.
-    pub twice: f64,
+    pub duplication: f64,
     /// Bytes a second that pass; 0: any number.
     pub rate: u64,
 }
 
 struct Shared {
-    way: watch::Sender<Way>,
+    way: watch::Sender<LinkConditions>,
     to: Mutex<Option<SocketAddr>>,
     under_way: AtomicUsize,
 }
@@ -59,7 +59,7 @@
     pub async fn start(seed: u64, seen: impl Fn(&[u8]) + Send + 'static) -> std::io::Result<Relay> {
         let socket = Arc::new(UdpSocket::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?);
         let address = socket.local_addr()?;
-        let way = watch::channel(Way::default()).0;
+        let way = watch::channel(LinkConditions::default()).0;
         let shared = Arc::new(Shared {
             way,
             to: Mutex::default(),
@@ -84,7 +84,7 @@
     }
 
     /// Where they go from now on; `None`: nowhere.
-    pub fn lead_to(&self, to: Option<SocketAddr>) {
+    pub fn forward_to(&self, to: Option<SocketAddr>) {
         *self
             .shared
             .to
@@ -93,7 +93,7 @@
     }
 
     /// Changes what is done to them; what is under way keeps its time.
-    pub fn change(&self, change: impl FnOnce(&mut Way)) {
+    pub fn change(&self, change: impl FnOnce(&mut LinkConditions)) {
         self.shared.way.send_modify(change);
     }
 }
@@ -121,7 +121,7 @@
             free = free.max(at) + Duration::from_nanos(takes);
             at = free;
         }
-        let copies = 1 + usize::from(rng.random::<f64>() < way.twice);
+        let copies = 1 + usize::from(rng.random::<f64>() < way.duplication);
         for _ in 0..copies {
             if shared.under_way.fetch_add(1, Ordering::Relaxed) >= UNDER_WAY {
                 shared.under_way.fetch_sub(1, Ordering::Relaxed);
@@ -132,7 +132,7 @@
             tokio::spawn(async move {
                 let mut watched = shared.way.subscribe();
                 tokio::time::sleep_until(late).await;
-                let open = watched.wait_for(|w| !w.held).await.is_ok();
+                let open = watched.wait_for(|w| !w.paused).await.is_ok();
                 let to = *shared.to.lock().unwrap_or_else(PoisonError::into_inner);
                 if let Some(to) = to.filter(|_| open) {
                     let _ = socket.send_to(&bytes, to).await;
@@ -157,7 +157,7 @@
         .unwrap();
         let to = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let from = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-        relay.lead_to(Some(to.local_addr().unwrap()));
+        relay.forward_to(Some(to.local_addr().unwrap()));
         (relay, from, to, seen)
     }
 
@@ -167,10 +167,10 @@
         relay.change(|w| w.cut = true);
         from.send_to(b"cut", relay.address()).await.unwrap();
         assert_eq!(seen.recv().await, Some(3));
-        relay.change(|w| (w.cut, w.held) = (false, true));
+        relay.change(|w| (w.cut, w.paused) = (false, true));
         from.send_to(b"held!", relay.address()).await.unwrap();
         assert_eq!(seen.recv().await, Some(5));
-        relay.change(|w| w.held = false);
+        relay.change(|w| w.paused = false);
         let mut buffer = [0; 16];
         let count = to.recv(&mut buffer).await.unwrap();
         assert_eq!(&buffer[..count], b"held!");
@@ -182,7 +182,7 @@
         relay.change(|w| w.loss = 1.0);
         from.send_to(b"lost", relay.address()).await.unwrap();
         seen.recv().await;
-        relay.change(|w| (w.loss, w.twice) = (0.0, 1.0));
+        relay.change(|w| (w.loss, w.duplication) = (0.0, 1.0));
         from.send_to(b"two", relay.address()).await.unwrap();
         let mut buffer = [0; 16];
         for _ in 0..2 {
--- a/crates/pipithub-emulator/src/worker/core.rs
+++ b/crates/pipithub-emulator/src/worker/core.rs
@@ -16,9 +16,9 @@
     /// Memory for copies, in MB.
     pub memory_mb: f64,
     /// Memory of a copy and calls that it runs at a time, where a call does not say.
-    pub copy_mb: f64,
+    pub replica_mb: f64,
     /// Calls at a time of one copy.
-    pub lanes: u32,
+    pub replica_concurrency: u32,
     /// Work of a call, where it does not say.
     pub run: Time,
     /// Time of a load beside its fetch from the store; all of it where there is no store.
@@ -30,15 +30,15 @@
     /// Calls that may wait; more are turned away.
     pub queue: usize,
     /// Repeats of a key are dropped for so long.
-    pub dedup_window: Time,
+    pub deduplication_window: Time,
     /// Share of its capacity that it starts with, and when it is warm.
-    pub cold_from: f64,
+    pub initial_weight: f64,
     /// When it is warm.
-    pub ramp: Time,
+    pub slow_start_window: Time,
     /// Sent more than this multiple of its present capacity over the span, it falls over; 0: never.
-    pub fall_multiple: f64,
+    pub overload_factor: f64,
     /// The span.
-    pub fall_span: Time,
+    pub overload_window: Time,
 }
 
 impl Default for WorkerSettings {
@@ -47,18 +47,18 @@
             cores: 2.0,
             speed: 1.0,
             memory_mb: 24_000.0,
-            copy_mb: 4_000.0,
-            lanes: 4,
+            replica_mb: 4_000.0,
+            replica_concurrency: 4,
             run: 60 * MS,
             load: 500 * MS,
             loads_at_once: 4,
             keep_alive: 10_000 * MS,
             queue: 64,
-            dedup_window: 5_000 * MS,
-            cold_from: 0.3,
-            ramp: 5_000 * MS,
-            fall_multiple: 0.0,
-            fall_span: 2_000 * MS,
+            deduplication_window: 5_000 * MS,
+            initial_weight: 0.3,
+            slow_start_window: 5_000 * MS,
+            overload_factor: 0.0,
+            overload_window: 2_000 * MS,
         }
     }
 }
@@ -80,9 +80,9 @@
     /// The key under which repeats are dropped.
     pub key: Option<String>,
     /// What its header says of the model; 0: nothing.
-    pub copy_mb: f64,
+    pub replica_mb: f64,
     /// Calls at a time of one copy; 0: nothing said.
-    pub lanes: u32,
+    pub replica_concurrency: u32,
     /// Its work.
     pub work: Option<Time>,
     /// Its effect was done at another worker: it is dropped.
@@ -176,8 +176,8 @@
     loading: Vec<Option<Time>>,
     queued_loads: u32,
     running: u32,
-    lanes: u32,
-    copy_mb: f64,
+    replica_concurrency: u32,
+    replica_mb: f64,
     idle_since: Time,
     orders: Vec<(u64, u32)>,
 }
@@ -230,14 +230,16 @@
     /// Its share of its capacity now.
     pub fn warmth(&self) -> f64 {
         let WorkerSettings {
-            cold_from, ramp, ..
+            initial_weight,
+            slow_start_window,
+            ..
         } = self.settings;
-        let age = self.now.saturating_sub(self.started) as f64 / ramp.max(1) as f64;
-        cold_from + (1.0 - cold_from) * age.min(1.0)
+        let age = self.now.saturating_sub(self.started) as f64 / slow_start_window.max(1) as f64;
+        initial_weight + (1.0 - initial_weight) * age.min(1.0)
     }
 
     /// Calls it holds, running and waiting.
-    pub fn held(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
@@ -257,8 +259,8 @@
     /// The share of its memory in copies that cannot be freed.
     pub fn memory_tied(&self) -> f64 {
         let tied = |m: &Model| {
-            let used = m.running.div_ceil(m.lanes.max(1)) + m.loading.len() as u32;
-            f64::from(used) * m.copy_mb
+            let used = m.running.div_ceil(m.replica_concurrency.max(1)) + m.loading.len() as u32;
+            f64::from(used) * m.replica_mb
         };
         self.models.values().map(tied).sum::<f64>() / self.settings.memory_mb.max(1.0)
     }
@@ -312,7 +314,7 @@
                 model.ready += loaded;
                 model.idle_since = now;
             }
-            let used = model.running.div_ceil(model.lanes.max(1));
+            let used = model.running.div_ceil(model.replica_concurrency.max(1));
             if used < model.ready && now >= model.idle_since + self.settings.keep_alive {
                 model.ready = used;
             }
@@ -321,7 +323,7 @@
         self.models
             .retain(|_, m| m.copies() > 0 || m.running > 0 || !m.orders.is_empty());
         self.keys
-            .retain(|_, t| *t + self.settings.dedup_window > now);
+            .retain(|_, t| *t + self.settings.deduplication_window > now);
         self.begin();
     }
 
@@ -334,7 +336,8 @@
             .map(|r| self.now + (r.left.max(0.0) / rate) as Time + 1)
             .min();
         // While the worker warms up its pace changes: looked at again before long.
-        let ramp = (self.warmth() < 1.0 && !self.running.is_empty()).then_some(self.now + 20 * MS);
+        let warming =
+            (self.warmth() < 1.0 && !self.running.is_empty()).then_some(self.now + 20 * MS);
         let loads = self
             .models
             .values()
@@ -344,11 +347,11 @@
         let idle = self
             .models
             .values()
-            .filter(|m| m.ready > m.running.div_ceil(m.lanes.max(1)));
+            .filter(|m| m.ready > m.running.div_ceil(m.replica_concurrency.max(1)));
         let idle = idle
             .map(|m| (m.idle_since + self.settings.keep_alive).max(self.now + MS))
             .min();
-        [run, ramp, loads, idle].into_iter().flatten().min()
+        [run, warming, loads, idle].into_iter().flatten().min()
     }
 
     /// A call comes.
@@ -371,21 +374,27 @@
         if self.waiting.len() >= self.settings.queue {
             return self.out.push(refuse(Refused::Full));
         }
-        let (copy_mb, lanes) = (self.settings.copy_mb, self.settings.lanes);
+        let (replica_mb, replica_concurrency) =
+            (self.settings.replica_mb, self.settings.replica_concurrency);
         let model = self.models.entry(call.function.clone()).or_default();
-        model.copy_mb = if call.copy_mb > 0.0 {
-            call.copy_mb
+        model.replica_mb = if call.replica_mb > 0.0 {
+            call.replica_mb
+        } else {
+            replica_mb
+        };
+        model.replica_concurrency = if call.replica_concurrency > 0 {
+            call.replica_concurrency
         } else {
-            copy_mb
+            replica_concurrency
         };
-        model.lanes = if call.lanes > 0 { call.lanes } else { lanes };
         let waiting = self
             .waiting
             .iter()
             .filter(|w| w.call.function == call.function)
             .count() as u32;
-        let free = (model.ready * model.lanes).saturating_sub(model.running + waiting);
-        let coming = (model.copies() - model.ready) * model.lanes;
+        let free =
+            (model.ready * model.replica_concurrency).saturating_sub(model.running + waiting);
+        let coming = (model.copies() - model.ready) * model.replica_concurrency;
         let met = if free > 0 {
             Met::Warm
         } else if coming > waiting || coming > 0 && model.ready > 0 {
@@ -405,21 +414,26 @@
     /// What has been sent while the worker is cold may push it over.
     fn pressure(&mut self) {
         let WorkerSettings {
-            fall_multiple,
-            fall_span,
-            ramp,
+            overload_factor,
+            overload_window,
+            slow_start_window,
             ..
         } = self.settings;
         let now = self.now;
         self.sent.push_back(now);
-        while self.sent.front().is_some_and(|t| t + fall_span <= now) {
+        while self
+            .sent
+            .front()
+            .is_some_and(|t| t + overload_window <= now)
+        {
             self.sent.pop_front();
         }
-        if fall_multiple <= 0.0 || self.fallen || now >= self.started + ramp {
+        if overload_factor <= 0.0 || self.fallen || now >= self.started + slow_start_window {
             return;
         }
         let bound =
-            fall_multiple * self.settings.capacity() * self.warmth() * fall_span as f64 / 1e9;
+            overload_factor * self.settings.capacity() * self.warmth() * overload_window as f64
+                / 1e9;
         let sent = self.sent.len() as f64;
         // A little slack for chance, as one call more or less is no herd.
         if sent > bound + 2.0 {
@@ -433,9 +447,9 @@
         let need = self
             .models
             .get(function)
-            .map_or(self.settings.copy_mb, |m| m.copy_mb);
+            .map_or(self.settings.replica_mb, |m| m.replica_mb);
         while self.memory_used() + need > self.settings.memory_mb {
-            let idle = |m: &Model| m.ready > m.running.div_ceil(m.lanes.max(1));
+            let idle = |m: &Model| m.ready > m.running.div_ceil(m.replica_concurrency.max(1));
             let oldest = self
                 .models
                 .iter()
@@ -460,7 +474,7 @@
     fn memory_used(&self) -> f64 {
         self.models
             .values()
-            .map(|m| f64::from(m.copies()) * m.copy_mb)
+            .map(|m| f64::from(m.copies()) * m.replica_mb)
             .sum()
     }
 
@@ -532,7 +546,7 @@
             let free = self
                 .models
                 .get(function)
-                .is_some_and(|m| m.running < m.ready * m.lanes);
+                .is_some_and(|m| m.running < m.ready * m.replica_concurrency);
             let Some(Waiting { call, met, alike }) = free.then(|| self.waiting.remove(n)).flatten()
             else {
                 n += 1;
@@ -584,7 +598,10 @@
         }
         if copies == 0 {
             if let Some(model) = self.models.get_mut(function) {
-                model.ready = model.running.div_ceil(model.lanes.max(1)).min(model.ready);
+                model.ready = model
+                    .running
+                    .div_ceil(model.replica_concurrency.max(1))
+                    .min(model.ready);
             }
             let copies = self.models.get(function).map_or(0, |m| m.ready);
             self.models.retain(|_, m| m.copies() > 0 || m.running > 0);
@@ -594,13 +611,14 @@
                 result: Ok(()),
             });
         }
-        let (copy_mb, lanes) = (self.settings.copy_mb, self.settings.lanes);
+        let (replica_mb, replica_concurrency) =
+            (self.settings.replica_mb, self.settings.replica_concurrency);
         let model = self
             .models
             .entry(function.to_string())
             .or_insert_with(|| Model {
-                lanes,
-                copy_mb,
+                replica_concurrency,
+                replica_mb,
                 ..Model::default()
             });
         model.idle_since = now;
@@ -672,7 +690,7 @@
 
     fn warm() -> WorkerSettings {
         WorkerSettings {
-            cold_from: 1.0,
+            initial_weight: 1.0,
             ..WorkerSettings::default()
         }
     }
@@ -771,7 +789,7 @@
     #[test]
     fn a_cold_worker_is_slow_and_falls_over_when_it_is_sent_too_much() {
         let cold = WorkerSettings {
-            fall_multiple: 2.0,
+            overload_factor: 2.0,
             queue: 1_000,
             ..WorkerSettings::default()
         };
--- a/crates/pipithub-emulator/src/worker/server.rs
+++ b/crates/pipithub-emulator/src/worker/server.rs
@@ -50,7 +50,7 @@
     recorder: Recorder,
     at: String,
     store: Option<String>,
-    dedup_window: std::time::Duration,
+    deduplication_window: std::time::Duration,
 }
 
 /// A worker that is running; it ends when dropped.
@@ -73,11 +73,11 @@
         let clock = Clock::default();
         let up = Seen::WorkerUp {
             capacity: settings.capacity(),
-            cold_from: settings.cold_from,
-            ramp_ms: settings.ramp / 1_000_000,
+            cold_from: settings.initial_weight,
+            ramp_ms: settings.slow_start_window / 1_000_000,
         };
         recorder.note(&address.to_string(), up);
-        let dedup_window = std::time::Duration::from_nanos(settings.dedup_window);
+        let deduplication_window = std::time::Duration::from_nanos(settings.deduplication_window);
         let core = WorkerCore::new(settings, store.is_some(), clock.now());
         let state = State {
             core,
@@ -94,7 +94,7 @@
             recorder,
             at: address.to_string(),
             store,
-            dedup_window,
+            deduplication_window,
         });
         let mut tasks = tokio::task::JoinSet::new();
         tasks.spawn(accept(listener, shared.clone()));
@@ -117,13 +117,13 @@
     }
 
     /// Waits until it falls over.
-    pub async fn fallen(&self) {
+    pub async fn overloaded(&self) {
         self.shared.fell.notified().await;
     }
 
     /// Calls that it holds.
-    pub fn held(&self) -> usize {
-        self.shared.lock().core.held()
+    pub fn in_flight(&self) -> usize {
+        self.shared.lock().core.in_flight()
     }
 
     /// Ends it and all its connections at once.
@@ -185,7 +185,7 @@
         let mut report = Report::default();
         report.set("cpu_utilization", state.core.busy());
         report.set("mem_utilization", state.core.memory_tied());
-        report.set("named_metrics.inflight", state.core.held() as f64);
+        report.set("named_metrics.inflight", state.core.in_flight() as f64);
         report.set("named_metrics.loading", state.core.loads() as f64);
         report.to_text()
     }
@@ -376,7 +376,7 @@
             // The workers of one store drop each other's repeats: the key is claimed there before the call may run.
             let claimed = match (&shared.store, &key) {
                 (Some(store), Some(key)) => {
-                    crate::store::claim(store, key, shared.dedup_window).await
+                    crate::store::claim(store, key, shared.deduplication_window).await
                 }
                 _ => true,
             };
@@ -385,8 +385,8 @@
                 id: 0,
                 function: model.clone(),
                 key: key.clone(),
-                copy_mb: number(header::MEMORY),
-                lanes: number(header::LANES) as u32,
+                replica_mb: number(header::MEMORY),
+                replica_concurrency: number(header::LANES) as u32,
                 work: work.map(|ms| (ms.min(600_000.0) * 1e6) as u64),
             };
             let told_key = key.clone();
--- a/crates/pipithub-gateway/tests/sockets.rs
+++ b/crates/pipithub-gateway/tests/sockets.rs
@@ -37,7 +37,7 @@
         cores: 8.0,
         run: run_ms * 1_000_000,
         load: 1_000_000,
-        cold_from: 1.0,
+        initial_weight: 1.0,
         ..WorkerSettings::default()
     };
     (
@@ -239,7 +239,7 @@
             .await
             .expect("running");
         if n % 50 == 25 {
-            until("some calls are there", || worker.held() > 0).await;
+            until("some calls are there", || worker.in_flight() > 0).await;
             broker.cut_all();
         }
     }
@@ -416,7 +416,7 @@
             .await
             .expect("running");
     }
-    until("calls run", || worker.held() > 0).await;
+    until("calls run", || worker.in_flight() > 0).await;
     let taken = gateway.snapshots()[0].stats.triggers;
     gateway.stop().await;
     assert!(
--- a/crates/pipithub-gateway/tests/tenants.rs
+++ b/crates/pipithub-gateway/tests/tenants.rs
@@ -75,7 +75,7 @@
             cores: 8.0,
             run: 5_000_000,
             load: 1_000_000,
-            cold_from: 1.0,
+            initial_weight: 1.0,
             ..WorkerSettings::default()
         };
         let worker = WorkerServer::start(any(), settings, None, seen.clone())
--- a/crates/pipithub-hollow-node/tests/growth.rs
+++ b/crates/pipithub-hollow-node/tests/growth.rs
@@ -13,7 +13,7 @@
 fn asked(before: Counts, after: Counts) -> (u64, u64) {
     (
         after.connections - before.connections,
-        after.asked_bytes - before.asked_bytes,
+        after.received_bytes - before.received_bytes,
     )
 }
 
@@ -76,7 +76,7 @@
                 coordinator.behave(|b| b.cut = false);
                 rig::until(|| front.last() == index).await;
                 let end = coordinator.counts();
-                (end.told_bytes - 3 * end.comments) - (start.told_bytes - 3 * start.comments)
+                (end.sent_bytes - 3 * end.comments) - (start.sent_bytes - 3 * start.comments)
             });
             seen.push((changes, told.await));
         }
--- a/crates/pipithub-scenario/src/fleet/run.rs
+++ b/crates/pipithub-scenario/src/fleet/run.rs
@@ -10,7 +10,7 @@
 use nix::unistd::Pid;
 use pipithub_clock::{Clock, wall_ns};
 use pipithub_conformance::fleet::{Breach, Claim, Disk, History, Run, check};
-use pipithub_emulator::relay::{Relay, Way};
+use pipithub_emulator::relay::{LinkConditions, Relay};
 use pipithub_membership::{GenerationRecord, sender_identity};
 use pipithub_membership_runtime::{DataFolder, Report};
 use tracing::info;
@@ -217,7 +217,7 @@
         }
         for ((_, to), relay) in &self.relays {
             if *to == slot {
-                relay.lead_to(None);
+                relay.forward_to(None);
             }
         }
     }
@@ -270,7 +270,7 @@
     }
 
     /// Changes what is done on each link.
-    fn links(&mut self, change: impl Fn(usize, usize, &mut Way)) {
+    fn links(&mut self, change: impl Fn(usize, usize, &mut LinkConditions)) {
         for ((from, to), relay) in &self.relays {
             relay.change(|way| change(*from, *to, way));
         }
@@ -295,7 +295,7 @@
             }),
             Act::Hold(a, b, held) => self.links(|f, t, w| {
                 if (f, t) == (a, b) {
-                    w.held = held;
+                    w.paused = held;
                 }
             }),
             Act::Split(zone, cut) => {
@@ -309,7 +309,9 @@
             Act::Slow(delay, jitter) => self.links(|_, _, w| {
                 (w.delay, w.jitter) = (Duration::from_nanos(delay), Duration::from_nanos(jitter));
             }),
-            Act::Loss(share) => self.links(|_, _, w| (w.loss, w.twice) = (share, share / 2.0)),
+            Act::Loss(share) => {
+                self.links(|_, _, w| (w.loss, w.duplication) = (share, share / 2.0))
+            }
             Act::Twin(slot, of) => {
                 let (from, to) = (self.data(of).join("generation"), self.data(slot));
                 std::fs::create_dir_all(&to)?;
@@ -354,7 +356,7 @@
                 s.led = true;
                 let to = report.listen.parse().ok();
                 let led = self.relays.iter().filter(|((_, t), _)| *t == slot);
-                led.for_each(|(_, relay)| relay.lead_to(to));
+                led.for_each(|(_, relay)| relay.forward_to(to));
             }
             let at = report.at_ms * 1_000_000;
             if self
@@ -507,7 +509,7 @@
             break;
         }
     }
-    stage.links(|_, _, way| *way = Way::default());
+    stage.links(|_, _, way| *way = LinkConditions::default());
     for n in 0..size {
         stage.pause(n, false);
         if n >= day.members {
--- a/crates/pipithub/src/standin.rs
+++ b/crates/pipithub/src/standin.rs
@@ -202,11 +202,11 @@
                 load: ms(worker.load_ms),
                 queue: worker.queue,
                 keep_alive: ms(worker.keep_ms),
-                cold_from: worker.cold_from.clamp(0.01, 1.0),
-                ramp: ms(worker.ramp_ms),
-                fall_multiple: worker.fall_multiple,
-                fall_span: ms(worker.fall_span_ms),
-                dedup_window: ms(worker.dedup_ms),
+                initial_weight: worker.cold_from.clamp(0.01, 1.0),
+                slow_start_window: ms(worker.ramp_ms),
+                overload_factor: worker.fall_multiple,
+                overload_window: ms(worker.fall_span_ms),
+                deduplication_window: ms(worker.dedup_ms),
                 ..WorkerSettings::default()
             };
             let started =
@@ -221,7 +221,7 @@
             };
             tokio::select! {
                 stopped = stop_or(commands(worker.common.commands, act)) => stopped,
-                () = fallen.fallen() => Err(miette!("it fell over: it was sent too much while cold")),
+                () = fallen.overloaded() => Err(miette!("it fell over: it was sent too much while cold")),
             }
         }
         Standin::Store {
