--- a/crates/pipithub-emulator/src/broker/core.rs
+++ b/crates/pipithub-emulator/src/broker/core.rs
@@ -1617,24 +1617,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::topic_fits;
-
-    #[test]
-    fn topics_fit_as_the_specification_says() {
-        for (pattern, key, fits) in [
-            ("*.stock.#", "usd.stock", true),
-            ("*.stock.#", "eur.stock.db", true),
-            ("*.stock.#", "stock.nasdaq", false),
-            ("#", "", true),
-            ("#", "a", true),
-            ("#", "a.b.c", true),
-            ("a.*", "a", false),
-            ("a.#.b", "a.b", true),
-            ("a.#.b", "a.x.y.b", true),
-            ("a.#.b", "a.x.y.c", false),
-        ] {
-            assert_eq!(topic_fits(pattern, key), fits, "{pattern} {key}");
-        }
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/pipithub-emulator/src/broker/core/tests.rs
@@ -0,0 +1,21 @@
+//! Topic patterns against the examples of the specification.
+
+use super::topic_fits;
+
+#[test]
+fn topics_fit_as_the_specification_says() {
+    for (pattern, key, fits) in [
+        ("*.stock.#", "usd.stock", true),
+        ("*.stock.#", "eur.stock.db", true),
+        ("*.stock.#", "stock.nasdaq", false),
+        ("#", "", true),
+        ("#", "a", true),
+        ("#", "a.b.c", true),
+        ("a.*", "a", false),
+        ("a.#.b", "a.b", true),
+        ("a.#.b", "a.x.y.b", true),
+        ("a.#.b", "a.x.y.c", false),
+    ] {
+        assert_eq!(topic_fits(pattern, key), fits, "{pattern} {key}");
+    }
+}
--- /dev/null
+++ b/crates/pipithub-emulator/src/relay/tests.rs
@@ -0,0 +1,47 @@
+//! Datagrams that are paused, cut, lost or duplicated.
+
+use super::*;
+use tokio::sync::mpsc;
+
+async fn pair() -> (Relay, UdpSocket, UdpSocket, mpsc::UnboundedReceiver<usize>) {
+    let (told, seen) = mpsc::unbounded_channel();
+    let relay = Relay::start(1, move |b| {
+        assert!(told.send(b.len()).is_ok() || b.is_empty());
+    })
+    .await
+    .unwrap();
+    let to = UdpSocket::bind("127.0.0.1:0").await.unwrap();
+    let from = UdpSocket::bind("127.0.0.1:0").await.unwrap();
+    relay.forward_to(Some(to.local_addr().unwrap()));
+    (relay, from, to, seen)
+}
+
+#[tokio::test]
+async fn what_is_held_comes_when_the_silence_ends_and_what_is_cut_never() {
+    let (relay, from, to, mut seen) = pair().await;
+    relay.change(|w| w.cut = true);
+    from.send_to(b"cut", relay.address()).await.unwrap();
+    assert_eq!(seen.recv().await, Some(3));
+    relay.change(|w| (w.cut, w.paused) = (false, true));
+    from.send_to(b"held!", relay.address()).await.unwrap();
+    assert_eq!(seen.recv().await, Some(5));
+    relay.change(|w| w.paused = false);
+    let mut buffer = [0; 16];
+    let count = to.recv(&mut buffer).await.unwrap();
+    assert_eq!(&buffer[..count], b"held!");
+}
+
+#[tokio::test]
+async fn all_of_it_may_come_twice_or_be_lost() {
+    let (relay, from, to, mut seen) = pair().await;
+    relay.change(|w| w.loss = 1.0);
+    from.send_to(b"lost", relay.address()).await.unwrap();
+    seen.recv().await;
+    relay.change(|w| (w.loss, w.duplication) = (0.0, 1.0));
+    from.send_to(b"two", relay.address()).await.unwrap();
+    let mut buffer = [0; 16];
+    for _ in 0..2 {
+        let count = to.recv(&mut buffer).await.unwrap();
+        assert_eq!(&buffer[..count], b"two");
+    }
+}
