--- a/crates/pipithub-consumer/tests/with_broker/bed.rs
+++ b/crates/pipithub-consumer/tests/with_broker/bed.rs
@@ -9,7 +9,7 @@
 use pipithub_consumer::backoff::BackoffRange;
 use pipithub_consumer::message::{ClassName, Route};
 use pipithub_consumer::{Consumer, ConsumerSettings, DeadLetterTarget, Notice, Phase, Qos};
-use pipithub_emulator::broker::{Broker, BrokerOutput, ConnectionId};
+use pipithub_emulator::broker::{Broker, BrokerOutput, ConnectionId, Outgoing};
 use pipithub_engine::policy::{
     Class, Endpoint as WorkerEndpoint, EndpointUpdate, Idempotency, Limits, LoadReport, Outcome,
     Settings, WorkerId,
@@ -45,18 +45,26 @@
         }
     }
 
-    pub(crate) fn out(&mut self, out: BrokerOutput) {
-        let _ = match out {
-            BrokerOutput::Method(channel, m, Some(c)) => {
-                self.endpoint
-                    .send_content(channel, m, c.properties, &c.body)
-            }
-            BrokerOutput::Method(channel, m, None) => self.endpoint.send(channel, m),
-            BrokerOutput::CloseChannel(channel, fault) => {
+    /// Sends what the broker has for this connection.
+    pub(crate) fn send(&mut self, output: BrokerOutput) {
+        let _ = match output {
+            BrokerOutput::Method {
+                channel,
+                method,
+                content: Some(content),
+            } => self
+                .endpoint
+                .send_content(channel, method, content.properties, &content.body),
+            BrokerOutput::Method {
+                channel,
+                method,
+                content: None,
+            } => self.endpoint.send(channel, method),
+            BrokerOutput::CloseChannel { channel, fault } => {
                 self.endpoint.close_channel(channel, fault);
                 Ok(())
             }
-            BrokerOutput::Close(fault) => {
+            BrokerOutput::CloseConnection(fault) => {
                 self.endpoint.close(fault);
                 Ok(())
             }
@@ -250,17 +258,17 @@
             for which in 0..self.fronts.len() {
                 moved |= self.move_front(which);
             }
-            for (id, out) in self.broker.take_outputs() {
+            for Outgoing { connection, output } in self.broker.take_outputs() {
                 moved = true;
-                if id == 1 {
-                    self.client_line.out(out);
+                if connection == 1 {
+                    self.client_line.send(output);
                 } else if let Some(line) = self
                     .fronts
                     .iter_mut()
                     .filter_map(|f| f.line.as_mut())
-                    .find(|l| l.id == id)
+                    .find(|l| l.id == connection)
                 {
-                    line.out(out);
+                    line.send(output);
                 }
             }
             if !moved {
--- a/crates/pipithub-emulator/src/broker/server.rs
+++ b/crates/pipithub-emulator/src/broker/server.rs
@@ -1,25 +1,27 @@
-//! The broker on sockets.
+//! Serves the broker on a socket: accepts connections, hands their outputs to them, keeps its timer.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use bytes::{Buf, BytesMut};
-use pipithub_amqp::{Code, Endpoint, Event, Fault, FieldTable, Method, Time, Tuning};
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{TcpListener, TcpStream};
+use pipithub_amqp::{FieldTable, Time, Tuning};
+use tokio::net::TcpListener;
 use tokio::sync::Notify;
 use tracing::{debug, info};
 
-use super::core::{Bounds, Broker, BrokerOutput, ConnectionId};
+use super::connection::BrokerConnection;
+use super::core::{Bounds, Broker, BrokerOutput, Outgoing};
+use super::entities::ConnectionId;
 use crate::accept::next_connection;
 use crate::clock::Clock;
 use crate::recorder::Recorder;
 
 /// A connection with more bytes than this to write gets no further messages until they are out.
-const CONGESTED: usize = 4 << 20;
-/// More connections than this are turned away.
-const MOST_CONNECTIONS: usize = 4096;
+const CONGESTION_BYTES: usize = 4 << 20;
+/// What a method counts towards that, beside its content.
+const METHOD_BYTES: usize = 256;
+/// More connections than this are rejected.
+const MAX_CONNECTIONS: usize = 4096;
 
 /// How a broker is set up.
 #[derive(Clone)]
@@ -54,26 +56,50 @@
     }
 }
 
-struct Mail {
-    waiting: VecDeque<BrokerOutput>,
-    bytes: usize,
+/// What a connection has to be sent.
+pub(super) struct Outbox {
+    pub(super) outputs: VecDeque<BrokerOutput>,
+    pub(super) bytes: usize,
     notify: Arc<Notify>,
-    /// Ends the connection at once, without a word.
-    cut: bool,
+    /// The connection is to end at once, without closing it properly.
+    pub(super) cut: bool,
 }
 
-struct State {
-    broker: Broker,
-    mail: HashMap<ConnectionId, Mail>,
-    next: ConnectionId,
+impl Outbox {
+    fn new(notify: Arc<Notify>) -> Self {
+        Outbox {
+            outputs: VecDeque::new(),
+            bytes: 0,
+            notify,
+            cut: false,
+        }
+    }
+
+    fn push(&mut self, output: BrokerOutput) {
+        if let BrokerOutput::Method { content, .. } = &output {
+            let body_bytes = content.as_ref().map_or(0, |content| content.body.len());
+            self.bytes += METHOD_BYTES + body_bytes;
+        }
+        self.outputs.push_back(output);
+        self.notify.notify_one();
+    }
 }
 
-struct Shared {
-    settings: BrokerSettings,
-    clock: Clock,
+/// What the broker's tasks share under one lock.
+pub(super) struct State {
+    pub(super) broker: Broker,
+    pub(super) outboxes: HashMap<ConnectionId, Outbox>,
+    next_connection: ConnectionId,
+}
+
+/// What the broker's tasks share.
+pub(super) struct Shared {
+    pub(super) settings: BrokerSettings,
+    pub(super) clock: Clock,
     state: Mutex<State>,
     timer: Notify,
-    at: String,
+    /// The broker's address, as it stands in the records.
+    address: String,
 }
 
 /// A broker that is running; it ends when dropped.
@@ -91,29 +117,28 @@
 }
 
 impl BrokerServer {
-    /// Starts one.
+    /// Starts a broker that listens on this address.
     pub async fn start(listen: SocketAddr, settings: BrokerSettings) -> std::io::Result<Self> {
         let listener = TcpListener::bind(listen).await?;
         let address = listener.local_addr()?;
         let mut broker = Broker::new(settings.bounds);
-        settings
-            .queues
-            .iter()
-            .for_each(|(queue, arguments)| broker.declare(queue, arguments));
+        for (queue, arguments) in &settings.queues {
+            broker.declare(queue, arguments);
+        }
         let state = State {
             broker,
-            mail: HashMap::new(),
-            next: 1,
+            outboxes: HashMap::new(),
+            next_connection: 1,
         };
         let shared = Arc::new(Shared {
             settings,
             clock: Clock::default(),
             state: Mutex::new(state),
             timer: Notify::new(),
-            at: address.to_string(),
+            address: address.to_string(),
         });
         let accept = tokio::spawn(accept(listener, shared.clone()));
-        let timer = tokio::spawn(timer(shared.clone()));
+        let timer = tokio::spawn(run_timer(shared.clone()));
         Ok(BrokerServer {
             address,
             shared,
@@ -126,24 +151,24 @@
         self.address
     }
 
-    /// Messages ready and not acknowledged in a queue.
+    /// The numbers of messages ready and not acknowledged in a queue.
     pub fn depth(&self, queue: &str) -> Option<(usize, usize)> {
         self.shared.lock().broker.depth(queue)
     }
 
-    /// Drops all connections without a word, as a broker that dies does.
+    /// Drops all connections without closing them properly, as a broker that crashes does.
     pub fn cut_all(&self) {
-        for mail in self.shared.lock().mail.values_mut() {
-            mail.cut = true;
-            mail.notify.notify_one();
+        for outbox in self.shared.lock().outboxes.values_mut() {
+            outbox.cut = true;
+            outbox.notify.notify_one();
         }
     }
 
-    /// Tells clients that publishes are not taken, or are again.
+    /// Tells clients that publishes are not taken for now (`Some`), or are taken again.
     pub fn set_blocked(&self, reason: Option<&str>) {
         let mut state = self.shared.lock();
         state.broker.set_blocked(reason);
-        self.shared.route(&mut state);
+        self.shared.distribute(&mut state);
     }
 
     /// Where records go.
@@ -153,53 +178,66 @@
 }
 
 impl Shared {
-    fn lock(&self) -> MutexGuard<'_, State> {
+    pub(super) fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lets the broker act and hands out what it says.
-    fn act(&self, what: impl FnOnce(&mut Broker, Time)) {
+    /// Lets the broker act, then writes its records and hands out its outputs.
+    pub(super) fn act(&self, action: impl FnOnce(&mut Broker, Time)) {
         let now = self.clock.now();
         let mut state = self.lock();
-        what(&mut state.broker, now);
-        self.route(&mut state);
+        action(&mut state.broker, now);
+        self.distribute(&mut state);
         drop(state);
         self.timer.notify_one();
     }
 
-    fn route(&self, state: &mut State) {
+    fn distribute(&self, state: &mut State) {
         loop {
-            state
-                .broker
-                .take_seen()
-                .into_iter()
-                .for_each(|seen| self.settings.recorder.note(&self.at, seen));
-            let out = state.broker.take_outputs();
-            if out.is_empty() {
+            for seen in state.broker.take_records() {
+                self.settings.recorder.note(&self.address, seen);
+            }
+            let outputs = state.broker.take_outputs();
+            if outputs.is_empty() {
                 return;
             }
-            for (id, out) in out {
-                let Some(mail) = state.mail.get_mut(&id) else {
-                    continue;
-                };
-                if let BrokerOutput::Method(_, _, content) = &out {
-                    mail.bytes += 256 + content.as_ref().map_or(0, |c| c.body.len());
-                }
-                mail.waiting.push_back(out);
-                mail.notify.notify_one();
-                if mail.bytes > CONGESTED {
-                    state.broker.set_congested(self.clock.now(), id, true);
-                }
+            for outgoing in outputs {
+                self.put_into_outbox(state, outgoing);
             }
         }
     }
+
+    fn put_into_outbox(&self, state: &mut State, outgoing: Outgoing) {
+        let Outgoing { connection, output } = outgoing;
+        let Some(outbox) = state.outboxes.get_mut(&connection) else {
+            return;
+        };
+        outbox.push(output);
+        if outbox.bytes > CONGESTION_BYTES {
+            state
+                .broker
+                .set_congested(self.clock.now(), connection, true);
+        }
+    }
+
+    /// Enters a new connection; `None` where there are too many.
+    fn register(&self, notify: &Arc<Notify>) -> Option<ConnectionId> {
+        let mut state = self.lock();
+        if state.outboxes.len() >= MAX_CONNECTIONS {
+            return None;
+        }
+        let id = state.next_connection;
+        state.next_connection += 1;
+        state.outboxes.insert(id, Outbox::new(notify.clone()));
+        Some(id)
+    }
 }
 
-async fn timer(shared: Arc<Shared>) {
+async fn run_timer(shared: Arc<Shared>) {
     loop {
         let due = shared.lock().broker.next_timeout();
         tokio::select! {
-            () = shared.clock.sleep_until(due) => shared.act(super::core::Broker::on_time),
+            () = shared.clock.sleep_until(due) => shared.act(Broker::on_time),
             () = shared.timer.notified() => {}
         }
     }
@@ -207,168 +245,19 @@
 
 async fn accept(listener: TcpListener, shared: Arc<Shared>) {
     while let Some((stream, peer)) = next_connection(|| listener.accept()).await {
-        let mut state = shared.lock();
-        if state.mail.len() >= MOST_CONNECTIONS {
+        let notify = Arc::new(Notify::new());
+        let Some(id) = shared.register(&notify) else {
             info!(%peer, "turned away: too many connections");
             continue;
-        }
-        let id = state.next;
-        state.next += 1;
-        let notify = Arc::new(Notify::new());
-        let mail = Mail {
-            waiting: VecDeque::new(),
-            bytes: 0,
-            notify: notify.clone(),
-            cut: false,
         };
-        state.mail.insert(id, mail);
-        drop(state);
         let shared = shared.clone();
         tokio::spawn(async move {
-            let ended = Connection::new(&shared, id).serve(stream, &notify).await;
+            let ended = BrokerConnection::new(&shared, id)
+                .serve(stream, &notify)
+                .await;
             debug!(%peer, ?ended, "connection over");
             shared.act(|broker, now| broker.disconnect(now, id));
-            shared.lock().mail.remove(&id);
+            shared.lock().outboxes.remove(&id);
         });
     }
 }
-
-struct Connection<'a> {
-    shared: &'a Shared,
-    id: ConnectionId,
-    endpoint: Endpoint,
-    /// It has published: it is held back while the broker is blocked.
-    publisher: bool,
-    user: String,
-}
-
-impl<'a> Connection<'a> {
-    fn new(shared: &'a Shared, id: ConnectionId) -> Self {
-        let endpoint = Endpoint::server(shared.settings.tuning, shared.clock.now());
-        Connection {
-            shared,
-            id,
-            endpoint,
-            publisher: false,
-            user: String::new(),
-        }
-    }
-
-    fn event(&mut self, event: Event) {
-        let settings = &self.shared.settings;
-        match event {
-            Event::Login { user, password } => {
-                let mut known = std::iter::once(&settings.login).chain(&settings.logins);
-                if known.any(|(u, p)| (&user, &password) == (u, p)) {
-                    self.user = user;
-                    self.endpoint.accept_login();
-                } else {
-                    self.endpoint
-                        .refuse_login("ACCESS_REFUSED - login was refused");
-                }
-            }
-            Event::OpenRequested { virtual_host } => {
-                if *virtual_host == *settings.virtual_host {
-                    self.endpoint.accept_open();
-                } else {
-                    let text = format!("NOT_ALLOWED - vhost {virtual_host} not found");
-                    self.endpoint
-                        .refuse_open(Fault::new(Code::NotAllowed, text));
-                }
-            }
-            Event::Connected => {
-                let told = self.endpoint.peer_properties();
-                let name = told
-                    .get("connection_name")
-                    .or(told.get("product"))
-                    .and_then(|v| v.as_str());
-                let client = format!("{}#{}", name.unwrap_or("client"), self.id);
-                self.shared
-                    .act(|broker, _| broker.connect(self.id, &client, &self.user));
-            }
-            event => {
-                let publishes = matches!(
-                    &event,
-                    Event::Method {
-                        method: Method::BasicPublish { .. },
-                        ..
-                    }
-                );
-                self.publisher |= publishes;
-                self.shared
-                    .act(|broker, now| broker.handle(now, self.id, event));
-            }
-        }
-    }
-
-    /// Moves the broker's words into the endpoint; false where the connection is cut.
-    fn collect(&mut self) -> bool {
-        while let Some(event) = self.endpoint.poll_event() {
-            self.event(event);
-        }
-        let mut state = self.shared.lock();
-        let Some(mail) = state.mail.get_mut(&self.id) else {
-            return false;
-        };
-        if mail.cut {
-            return false;
-        }
-        mail.bytes = 0;
-        for out in std::mem::take(&mut mail.waiting) {
-            // A channel that its peer has closed meanwhile takes nothing more: what was on its way is void.
-            let sent = match out {
-                BrokerOutput::Method(channel, method, Some(content)) => {
-                    self.endpoint
-                        .send_content(channel, method, content.properties, &content.body)
-                }
-                BrokerOutput::Method(channel, method, None) => self.endpoint.send(channel, method),
-                BrokerOutput::CloseChannel(channel, fault) => {
-                    self.endpoint.close_channel(channel, fault);
-                    Ok(())
-                }
-                BrokerOutput::Close(fault) => {
-                    self.endpoint.close(fault);
-                    Ok(())
-                }
-            };
-            if let Err(error) = sent {
-                debug!(%error, "not sent");
-            }
-        }
-        true
-    }
-
-    async fn serve(&mut self, mut stream: TcpStream, notify: &Notify) -> std::io::Result<()> {
-        stream.set_nodelay(true)?;
-        let (mut reader, mut writer) = stream.split();
-        let mut input = BytesMut::with_capacity(64 << 10);
-        let mut output = BytesMut::new();
-        loop {
-            if !self.collect() {
-                return Ok(());
-            }
-            let clock = self.shared.clock;
-            output.extend_from_slice(&self.endpoint.take_output(clock.now()));
-            if output.is_empty() {
-                self.shared
-                    .act(|broker, now| broker.set_congested(now, self.id, false));
-            }
-            if self.endpoint.is_over() && output.is_empty() {
-                return writer.shutdown().await;
-            }
-            let held = self.publisher && self.shared.lock().broker.is_blocked();
-            tokio::select! {
-                read = reader.read_buf(&mut input), if !held && !self.endpoint.is_over() => {
-                    if read? == 0 {
-                        return Ok(());
-                    }
-                    self.endpoint.receive(clock.now(), &input);
-                    input.clear();
-                }
-                wrote = writer.write(&output), if !output.is_empty() => output.advance(wrote?),
-                () = notify.notified() => {}
-                () = clock.sleep_until(self.endpoint.next_timeout()) => self.endpoint.on_time(clock.now()),
-            }
-        }
-    }
-}
--- a/crates/pipithub-emulator/src/broker/core/tests.rs
+++ b/crates/pipithub-emulator/src/broker/topic/tests.rs
@@ -1,6 +1,6 @@
 //! Topic patterns against the examples of the specification.
 
-use super::topic_fits;
+use super::topic_matches;
 
 #[test]
 fn topics_fit_as_the_specification_says() {
@@ -16,6 +16,6 @@
         ("a.#.b", "a.x.y.b", true),
         ("a.#.b", "a.x.y.c", false),
     ] {
-        assert_eq!(topic_fits(pattern, key), fits, "{pattern} {key}");
+        assert_eq!(topic_matches(pattern, key), fits, "{pattern} {key}");
     }
 }
