--- a/crates/pipithub-emulator/src/worker/core/tests.rs
+++ b/crates/pipithub-emulator/src/worker/core/tests.rs
@@ -1,29 +1,36 @@
 //! Replicas, memory, loads, duplicates and slow start of a worker, in simulated time.
 
-use super::*;
+use pipithub_amqp::Time;
 
-fn call(id: u64, function: &str) -> Incoming {
-    Incoming {
+use super::super::settings::{NANOS_PER_MS, WorkerSettings};
+use super::{InferenceRequest, Placement, Rejection, WorkerCore, WorkerEvent};
+
+fn request(id: u64, function: &str) -> InferenceRequest {
+    InferenceRequest {
         id,
         function: function.into(),
-        ..Incoming::default()
+        ..InferenceRequest::default()
     }
 }
 
-fn run(worker: &mut WorkerCore, until: Time) -> Vec<(Time, Happened)> {
-    let mut all: Vec<_> = worker.take().into_iter().map(|h| (worker.now, h)).collect();
+fn run(worker: &mut WorkerCore, until: Time) -> Vec<(Time, WorkerEvent)> {
+    let mut all: Vec<_> = worker
+        .take_events()
+        .into_iter()
+        .map(|h| (worker.now, h))
+        .collect();
     while let Some(due) = worker.next_due().filter(|d| *d <= until) {
         worker.on_time(due);
-        all.extend(worker.take().into_iter().map(|h| (due, h)));
+        all.extend(worker.take_events().into_iter().map(|h| (due, h)));
     }
     worker.on_time(until);
-    all.extend(worker.take().into_iter().map(|h| (until, h)));
+    all.extend(worker.take_events().into_iter().map(|h| (until, h)));
     all
 }
 
-fn done(all: &[(Time, Happened)], wanted: u64) -> Option<(Time, Result<Met, Refused>)> {
+fn done(all: &[(Time, WorkerEvent)], wanted: u64) -> Option<(Time, Result<Placement, Rejection>)> {
     all.iter().find_map(|(t, h)| match h {
-        Happened::Done { id, result, .. } if *id == wanted => Some((*t, *result)),
+        WorkerEvent::Finished { id, result, .. } if *id == wanted => Some((*t, *result)),
         _ => None,
     })
 }
@@ -36,29 +43,29 @@
 }
 
 #[test]
-fn a_call_loads_its_model_and_the_next_finds_it() {
-    let mut w = WorkerCore::new(warm(), false, 0);
-    w.call(0, call(1, "f"));
-    w.call(100 * MS, call(2, "f"));
-    let all = run(&mut w, 1_000 * MS);
+fn a_request_loads_its_model_and_the_next_finds_it() {
+    let mut worker = WorkerCore::new(warm(), false, 0);
+    worker.receive(0, request(1, "f"));
+    worker.receive(100 * NANOS_PER_MS, request(2, "f"));
+    let all = run(&mut worker, 1_000 * NANOS_PER_MS);
     assert_eq!(
-        done(&all, 1).map(|d| (d.0 / MS, d.1)),
-        Some((560, Ok(Met::Began)))
+        done(&all, 1).map(|d| (d.0 / NANOS_PER_MS, d.1)),
+        Some((560, Ok(Placement::BeganLoad)))
     );
-    assert_eq!(done(&all, 2).map(|d| d.1), Some(Ok(Met::Waited)));
-    w.call(1_000 * MS, call(3, "f"));
-    let all = run(&mut w, 2_000 * MS);
+    assert_eq!(done(&all, 2).map(|d| d.1), Some(Ok(Placement::AwaitedLoad)));
+    worker.receive(1_000 * NANOS_PER_MS, request(3, "f"));
+    let all = run(&mut worker, 2_000 * NANOS_PER_MS);
     assert_eq!(
-        done(&all, 3).map(|d| (d.0 / MS, d.1)),
-        Some((1_060, Ok(Met::Warm)))
+        done(&all, 3).map(|d| (d.0 / NANOS_PER_MS, d.1)),
+        Some((1_060, Ok(Placement::Warm)))
     );
-    run(&mut w, 12_000 * MS);
-    assert_eq!(w.index(), []);
+    run(&mut worker, 12_000 * NANOS_PER_MS);
+    assert_eq!(worker.index(), []);
 }
 
 #[test]
-fn memory_is_bounded_and_idle_copies_give_way() {
-    let mut w = WorkerCore::new(
+fn memory_is_bounded_and_idle_replicas_are_unloaded() {
+    let mut worker = WorkerCore::new(
         WorkerSettings {
             memory_mb: 8_000.0,
             ..warm()
@@ -66,89 +73,101 @@
         false,
         0,
     );
-    w.call(0, call(1, "a"));
-    w.call(0, call(2, "b"));
-    w.call(0, call(3, "c"));
+    worker.receive(0, request(1, "a"));
+    worker.receive(0, request(2, "b"));
+    worker.receive(0, request(3, "c"));
     assert_eq!(
-        done(&run(&mut w, MS), 3).map(|d| d.1),
-        Some(Err(Refused::NoMemory))
+        done(&run(&mut worker, NANOS_PER_MS), 3).map(|d| d.1),
+        Some(Err(Rejection::OutOfMemory))
     );
-    run(&mut w, 1_000 * MS);
-    w.call(1_000 * MS, call(4, "c"));
-    let all = run(&mut w, 2_000 * MS);
-    assert_eq!(done(&all, 4).map(|d| d.1), Some(Ok(Met::Began)));
-    assert!(w.memory_used() <= 8_000.0);
+    run(&mut worker, 1_000 * NANOS_PER_MS);
+    worker.receive(1_000 * NANOS_PER_MS, request(4, "c"));
+    let all = run(&mut worker, 2_000 * NANOS_PER_MS);
+    assert_eq!(done(&all, 4).map(|d| d.1), Some(Ok(Placement::BeganLoad)));
+    assert!(worker.used_memory_mb() <= 8_000.0);
 }
 
 #[test]
-fn a_failed_load_is_told_as_failed() {
-    let mut w = WorkerCore::new(warm(), true, 0);
-    w.call(0, call(1, "f"));
-    w.order(0, 9, "f", 1);
-    assert_eq!(w.take(), [Happened::Fetch("f".into())]);
-    w.fetched(MS, "f", false);
-    let all = w.take();
+fn a_failed_load_fails_what_waits_for_it() {
+    let mut worker = WorkerCore::new(warm(), true, 0);
+    worker.receive(0, request(1, "f"));
+    worker.load(0, 9, "f", 1);
+    assert_eq!(worker.take_events(), [WorkerEvent::Fetch("f".into())]);
+    worker.fetched(NANOS_PER_MS, "f", false);
+    let all = worker.take_events();
     assert!(
-        all.contains(&Happened::Done {
+        all.contains(&WorkerEvent::Finished {
             id: 1,
-            result: Err(Refused::LoadFailed),
-            alike: 0
+            result: Err(Rejection::LoadFailed),
+            concurrency: 0
         }),
         "{all:?}"
     );
-    assert!(all.contains(&Happened::Ordered {
+    assert!(all.contains(&WorkerEvent::CommandFinished {
         id: 9,
-        copies: 0,
-        result: Err(Refused::LoadFailed)
+        replicas: 0,
+        result: Err(Rejection::LoadFailed)
     }));
 }
 
 #[test]
-fn repeats_of_a_key_are_dropped_for_a_while() {
-    let mut w = WorkerCore::new(warm(), false, 0);
-    let keyed = |id| Incoming {
+fn duplicates_of_a_key_are_dropped_within_the_window() {
+    let mut worker = WorkerCore::new(warm(), false, 0);
+    let keyed = |id| InferenceRequest {
         key: Some("k".into()),
-        ..call(id, "f")
+        ..request(id, "f")
     };
-    w.call(0, keyed(1));
-    run(&mut w, 1_000 * MS);
-    w.call(1_000 * MS, keyed(2));
-    assert!(run(&mut w, 2_000 * MS).iter().any(|(_, h)| *h
-        == Happened::Ran {
-            id: 2,
-            dropped: true
-        }));
-    w.call(9_000 * MS, keyed(3));
-    assert!(run(&mut w, 10_000 * MS).iter().any(|(_, h)| *h
-        == Happened::Ran {
-            id: 3,
-            dropped: false
-        }));
+    worker.receive(0, keyed(1));
+    run(&mut worker, 1_000 * NANOS_PER_MS);
+    worker.receive(1_000 * NANOS_PER_MS, keyed(2));
+    assert!(
+        run(&mut worker, 2_000 * NANOS_PER_MS)
+            .iter()
+            .any(|(_, h)| *h
+                == WorkerEvent::Running {
+                    id: 2,
+                    dropped: true
+                })
+    );
+    worker.receive(9_000 * NANOS_PER_MS, keyed(3));
+    assert!(
+        run(&mut worker, 10_000 * NANOS_PER_MS)
+            .iter()
+            .any(|(_, h)| *h
+                == WorkerEvent::Running {
+                    id: 3,
+                    dropped: false
+                })
+    );
 }
 
 #[test]
-fn a_cold_worker_is_slow_and_falls_over_when_it_is_sent_too_much() {
+fn a_worker_that_warms_up_is_slow_and_can_be_overloaded() {
     let cold = WorkerSettings {
         overload_factor: 2.0,
         queue: 1_000,
         ..WorkerSettings::default()
     };
-    let mut w = WorkerCore::new(cold.clone(), false, 0);
+    let mut worker = WorkerCore::new(cold.clone(), false, 0);
     // 33 calls a second when warm, 0.3 of it cold: 2 x 10 x 2 s = 40 calls, and slack.
-    (0..40).for_each(|n| w.call(n * MS, call(n, "f")));
+    (0..40).for_each(|n| worker.receive(n * NANOS_PER_MS, request(n, "f")));
     assert!(
-        !w.take()
+        !worker
+            .take_events()
             .iter()
-            .any(|h| matches!(h, Happened::FellOver { .. }))
+            .any(|h| matches!(h, WorkerEvent::Overloaded { .. }))
     );
-    (40..50).for_each(|n| w.call(n * MS, call(n, "f")));
+    (40..50).for_each(|n| worker.receive(n * NANOS_PER_MS, request(n, "f")));
     assert!(
-        w.take()
+        worker
+            .take_events()
             .iter()
-            .any(|h| matches!(h, Happened::FellOver { .. }))
+            .any(|h| matches!(h, WorkerEvent::Overloaded { .. }))
     );
-    let mut w = WorkerCore::new(cold, false, 0);
-    w.call(0, call(1, "f"));
-    let at = done(&run(&mut w, 5_000 * MS), 1).expect("served").0;
-    assert!(at > 600 * MS, "{at}");
+    let mut worker = WorkerCore::new(cold, false, 0);
+    worker.receive(0, request(1, "f"));
+    let at = done(&run(&mut worker, 5_000 * NANOS_PER_MS), 1)
+        .expect("served")
+        .0;
+    assert!(at > 600 * NANOS_PER_MS, "{at}");
 }
--- /dev/null
+++ b/crates/pipithub-emulator/src/worker/inference.rs
@@ -0,0 +1,312 @@
+//! The worker's HTTP interface: Open Inference Protocol, repository extension, ORCA load reports.
+
+use std::io;
+use std::sync::Arc;
+
+use bytes::Bytes;
+use http_body_util::{BodyExt, Full, Limited};
+use hyper::body::Incoming;
+use hyper::http::response::Builder;
+use hyper::{HeaderMap, Method, Request, Response, StatusCode};
+use pipithub_amqp::Time;
+use pipithub_conformance::record::Seen;
+use pipithub_inference::{IndexEntry, header, unescape};
+use serde_json::{Value, json};
+use tokio::sync::oneshot;
+
+use super::core::{InferenceRequest, Placement, Rejection};
+use super::server::{CancelGuard, QueuedName, Reply, Shared};
+use super::settings::NANOS_PER_MS;
+
+/// Bodies are taken up to this size.
+const MAX_BODY_BYTES: usize = 64 << 20;
+/// A request states no more work than this, in milliseconds.
+const MAX_WORK_MS: f64 = 600_000.0;
+
+type HttpResponse = Response<Full<Bytes>>;
+
+/// Answers a request; an error ends the connection without an answer.
+pub(super) async fn handle_request(
+    shared: Arc<Shared>,
+    request: Request<Incoming>,
+) -> io::Result<HttpResponse> {
+    let (parts, body) = request.into_parts();
+    let caller = Caller {
+        shared,
+        headers: parts.headers,
+    };
+    let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
+        return Ok(caller.empty_response(StatusCode::PAYLOAD_TOO_LARGE));
+    };
+    let path: Vec<&str> = parts.uri.path().trim_matches('/').split('/').collect();
+    match (&parts.method, &path[..]) {
+        (&Method::GET, ["v2", "health", "ready" | "live"]) => Ok(caller.health()),
+        (&Method::POST, ["v2", "repository", "index"]) => Ok(caller.index()),
+        (&Method::POST, ["v2", "repository", "models", model, "load"]) => {
+            let replicas = (caller.number(header::COPIES) as u32).max(1);
+            caller.command(model, replicas).await
+        }
+        (&Method::POST, ["v2", "repository", "models", model, "unload"]) => {
+            caller.command(model, 0).await
+        }
+        (&Method::POST, ["v2", "models", model, "infer"]) => {
+            caller.infer(model, body.to_bytes()).await
+        }
+        _ => Ok(caller.empty_response(StatusCode::NOT_FOUND)),
+    }
+}
+
+/// Who sent a request, and what its headers say.
+struct Caller {
+    shared: Arc<Shared>,
+    headers: HeaderMap,
+}
+
+impl Caller {
+    fn text(&self, name: &str) -> Option<String> {
+        let value = self.headers.get(name)?.to_str().ok()?;
+        Some(value.to_string())
+    }
+
+    /// A header that is a number; 0 where it is missing or no number that can be used.
+    fn number(&self, name: &str) -> f64 {
+        self.text(name)
+            .and_then(|value| value.parse::<f64>().ok())
+            .filter(|number| *number >= 0.0)
+            .unwrap_or(0.0)
+    }
+
+    fn front_end(&self) -> String {
+        self.text(header::FRONT_END).unwrap_or_default()
+    }
+
+    /// A response with the present load report.
+    fn response(&self, status: StatusCode) -> Builder {
+        Response::builder()
+            .status(status)
+            .header(header::LOAD, self.shared.load_report())
+    }
+
+    fn empty_response(&self, status: StatusCode) -> HttpResponse {
+        finish(self.response(status), Bytes::new())
+    }
+
+    fn health(&self) -> HttpResponse {
+        let front_end = self.front_end();
+        self.shared.record(Seen::Probe { front_end });
+        self.empty_response(StatusCode::OK)
+    }
+
+    fn index(&self) -> HttpResponse {
+        let index = self.shared.lock().core.index();
+        let entry = |(name, state): (String, &str)| IndexEntry {
+            name,
+            state: state.into(),
+            reason: String::new(),
+        };
+        let entries: Vec<IndexEntry> = index.into_iter().map(entry).collect();
+        let body = serde_json::to_vec(&entries).unwrap_or_default();
+        finish(self.response(StatusCode::OK), Bytes::from(body))
+    }
+
+    /// A command to load replicas of a model; 0 replicas: to unload the idle ones.
+    async fn command(&self, escaped_model: &str, replicas: u32) -> io::Result<HttpResponse> {
+        let Some(model) = unescape(escaped_model) else {
+            return Ok(self.empty_response(StatusCode::BAD_REQUEST));
+        };
+        self.shared.record(Seen::Order {
+            front_end: self.front_end(),
+            function: model.clone(),
+            copies: replicas,
+        });
+        let (id, receiver) = self.shared.act(|state, now| {
+            let (id, receiver) = state.register();
+            if replicas == 0 {
+                state.core.unload(now, id, &model);
+            } else {
+                state.core.load(now, id, &model, replicas);
+            }
+            (id, receiver)
+        });
+        let Some(Reply::Command { replicas, result }) = self.reply(id, receiver).await else {
+            return Err(io::ErrorKind::Other.into());
+        };
+        let status = match result {
+            Ok(()) => StatusCode::OK,
+            Err(Rejection::LoadFailed) => StatusCode::SERVICE_UNAVAILABLE,
+            Err(_) => StatusCode::TOO_MANY_REQUESTS,
+        };
+        let mut response = self
+            .response(status)
+            .header(header::COPIES, replicas)
+            .header(header::RAN, "no");
+        if result == Err(Rejection::LoadFailed) {
+            response = response.header(header::COPY, "failed");
+        }
+        Ok(finish(response, Bytes::new()))
+    }
+
+    async fn infer(&self, escaped_model: &str, body: Bytes) -> io::Result<HttpResponse> {
+        let Some(model) = unescape(escaped_model) else {
+            return Ok(self.empty_response(StatusCode::BAD_REQUEST));
+        };
+        let request = self.text(header::REQUEST).unwrap_or_default();
+        let key = self.text(header::KEY);
+        let attempt = self.number(header::ATTEMPT) as u32;
+        self.shared.record(Seen::Call {
+            front_end: self.front_end(),
+            request: request.clone(),
+            attempt,
+            function: model.clone(),
+            key: key.clone(),
+        });
+        let document: Option<Value> = serde_json::from_slice(&body).ok();
+        let claimed = self.claim(key.as_deref()).await;
+        let inference = InferenceRequest {
+            id: 0,
+            function: model.clone(),
+            key: key.clone(),
+            replica_mb: self.number(header::MEMORY),
+            replica_concurrency: self.number(header::LANES) as u32,
+            work: stated_work(document.as_ref()),
+            is_duplicate: !claimed,
+        };
+        let reply = self.run(inference, request.clone()).await;
+        let Some(Reply::Inference {
+            result,
+            concurrency,
+        }) = reply
+        else {
+            return Err(io::ErrorKind::Other.into());
+        };
+        if result.is_err() && claimed {
+            self.release(key.as_deref()).await;
+        }
+        if self.shared.is_silent() {
+            // The work is done, the answer never leaves.
+            std::future::pending::<()>().await;
+        }
+        let status = inference_status(result);
+        self.shared.record(Seen::Replied {
+            front_end: self.front_end(),
+            request,
+            attempt,
+            status: status.as_u16(),
+            not_run: result.is_err(),
+        });
+        let response = self.inference_response(status, result, concurrency);
+        if result.is_err() {
+            let response = response.header(header::RAN, "no");
+            return Ok(finish(response, Bytes::new()));
+        }
+        Ok(finish(response, echo(&model, document, body)))
+    }
+
+    /// The workers of one store drop each other's duplicates: the key is claimed there before the request may run.
+    async fn claim(&self, key: Option<&str>) -> bool {
+        match (&self.shared.store, key) {
+            (Some(store), Some(key)) => {
+                crate::store::claim(store, key, self.shared.deduplication_window).await
+            }
+            _ => true,
+        }
+    }
+
+    /// Gives back the key of a request that did not run.
+    async fn release(&self, key: Option<&str>) {
+        if let (Some(store), Some(key)) = (&self.shared.store, key) {
+            crate::store::give_back(store, key).await;
+        }
+    }
+
+    /// Hands a request to the core and waits until it is over; `name` stands in the records.
+    async fn run(&self, inference: InferenceRequest, name: String) -> Option<Reply> {
+        let (id, receiver) = self.shared.act(|state, now| {
+            let (id, receiver) = state.register();
+            let queued = QueuedName {
+                request: name,
+                key: inference.key.clone(),
+            };
+            state.queued_names.insert(id, queued);
+            state
+                .core
+                .receive(now, InferenceRequest { id, ..inference });
+            (id, receiver)
+        });
+        self.reply(id, receiver).await
+    }
+
+    /// Waits for the core's reply; a caller that goes meanwhile cancels its request.
+    async fn reply(&self, id: u64, receiver: oneshot::Receiver<Reply>) -> Option<Reply> {
+        let guard = CancelGuard::new(self.shared.clone(), id);
+        let reply = receiver.await.ok();
+        guard.disarm();
+        reply
+    }
+
+    fn inference_response(
+        &self,
+        status: StatusCode,
+        result: Result<Placement, Rejection>,
+        concurrency: u32,
+    ) -> Builder {
+        let mut response = self.response(status).header(header::ALIKE, concurrency);
+        if let Some(placement) = placement_header(result) {
+            response = response.header(header::COPY, placement);
+        }
+        let content_type = self.headers.get("content-type");
+        if let Some(content_type) = content_type.filter(|_| result.is_ok()) {
+            response = response.header("content-type", content_type);
+        }
+        response
+    }
+}
+
+fn inference_status(result: Result<Placement, Rejection>) -> StatusCode {
+    match result {
+        Ok(_) => StatusCode::OK,
+        Err(Rejection::LoadFailed) => StatusCode::SERVICE_UNAVAILABLE,
+        Err(Rejection::QueueFull | Rejection::OutOfMemory | Rejection::Overloaded) => {
+            StatusCode::TOO_MANY_REQUESTS
+        }
+    }
+}
+
+/// What the response says of the replica that the request found.
+fn placement_header(result: Result<Placement, Rejection>) -> Option<&'static str> {
+    match result {
+        Ok(Placement::Warm) => Some("warm"),
+        Ok(Placement::BeganLoad) => Some("began"),
+        Ok(Placement::AwaitedLoad) => Some("waited"),
+        Err(Rejection::LoadFailed) => Some("failed"),
+        Err(Rejection::QueueFull | Rejection::OutOfMemory | Rejection::Overloaded) => None,
+    }
+}
+
+/// The work that a request states among its parameters.
+fn stated_work(document: Option<&Value>) -> Option<Time> {
+    let ms = document?["parameters"]["work_ms"].as_f64()?;
+    (ms >= 0.0).then(|| (ms.min(MAX_WORK_MS) * NANOS_PER_MS as f64) as Time)
+}
+
+/// A V2 request's inputs as outputs; any other body as it is.
+fn echo(model: &str, document: Option<Value>, body: Bytes) -> Bytes {
+    match document {
+        Some(document) if document.get("inputs").is_some() => {
+            let mut answer = json!({"model_name": model, "outputs": document["inputs"]});
+            if let Some(id) = document.get("id") {
+                answer["id"] = id.clone();
+            }
+            Bytes::from(answer.to_string())
+        }
+        _ => body,
+    }
+}
+
+fn finish(response: Builder, body: Bytes) -> HttpResponse {
+    response.body(Full::new(body)).unwrap_or_else(|_| {
+        let mut response = Response::new(Full::default());
+        *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
+        response
+    })
+}
--- a/crates/pipithub-emulator/src/worker/mod.rs
+++ b/crates/pipithub-emulator/src/worker/mod.rs
@@ -1,7 +1,9 @@
-//! A stand-in for a worker that loads models on demand: [`core`] decides, [`server`] serves it.
+//! An emulated worker that loads models on demand: the core decides without I/O, [`WorkerServer`] serves it on a socket.
 
-pub mod core;
-pub mod server;
+mod core;
+mod inference;
+mod server;
+mod settings;
 
-pub use core::{WorkerCore, WorkerSettings};
 pub use server::WorkerServer;
+pub use settings::WorkerSettings;
