--- /dev/null
+++ b/crates/pipithub-emulator/src/directory/mod.rs
@@ -0,0 +1,293 @@
+//! An emulated LDAP directory server: a tree from LDIF, searched over the protocol, with faults on demand.
+//!
+//! It offers what a gateway may meet: simple binds, `StartTLS` and TLS from the first byte, filters, paging, content
+//! synchronisation (RFC 4533) with changes as they happen, `contextCSN` at the base, `modifyTimestamp` and `entryUUID` at
+//! each entry. Replicas are several servers, each with a tree of its own.
+
+mod filter;
+mod search;
+mod session;
+mod tree;
+
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+
+use pipithub_ldap::{Dn, ldif};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::broadcast;
+use tokio_rustls::TlsAcceptor;
+use tokio_rustls::rustls::ServerConfig;
+use tokio_rustls::rustls::pki_types::PrivateKeyDer;
+
+use self::session::SessionEnd;
+use self::tree::{EntryUuid, Tree};
+use crate::accept::next_stream;
+
+/// Changes that a slow session may have yet to read; further ones end it.
+const MAX_UNREAD_CHANGES: usize = 4096;
+
+/// How a server is set up.
+#[derive(Clone, Debug, Default)]
+pub struct DirectorySettings {
+    /// The tree, as LDIF.
+    pub tree: String,
+    /// The base, whose `contextCSN` tells the server's state; by default the shortest name of the tree.
+    pub base: Option<String>,
+    /// Name and password that a client must bind with; `None`: anybody may search.
+    pub login: Option<(String, String)>,
+    /// TLS from the first byte. `StartTLS` is offered otherwise.
+    pub ldaps: bool,
+}
+
+/// What the server does wrong.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Faults {
+    /// Answers come so much later.
+    pub delay: Duration,
+    /// Takes connections and never says anything.
+    pub silent: bool,
+    /// Every so many answers to searches are not given; 0: none.
+    pub drop_every: u32,
+    /// Answers with the wrong entry.
+    pub wrong: bool,
+    /// Its tree is not there yet: no entry exists.
+    pub loading: bool,
+    /// Says that it is busy.
+    pub busy: bool,
+}
+
+/// What sessions are told of.
+#[derive(Clone, Debug)]
+enum Change {
+    Updated(Dn),
+    Deleted(EntryUuid),
+    /// All connections are to end.
+    Disconnect,
+}
+
+/// What the server's tasks share.
+struct Shared {
+    settings: DirectorySettings,
+    tree: Mutex<Tree>,
+    changes: broadcast::Sender<Change>,
+    acceptor: TlsAcceptor,
+    /// Its certificate, as PEM.
+    certificate: String,
+}
+
+impl Shared {
+    fn tree(&self) -> MutexGuard<'_, Tree> {
+        self.tree.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn announce(&self, change: Change) {
+        // Without sessions nobody listens.
+        let _ = self.changes.send(change);
+    }
+}
+
+/// A server that is running; it ends when dropped.
+pub struct DirectoryServer {
+    address: SocketAddr,
+    shared: Arc<Shared>,
+    task: tokio::task::JoinHandle<()>,
+}
+
+impl Drop for DirectoryServer {
+    fn drop(&mut self) {
+        self.task.abort();
+        self.cut();
+    }
+}
+
+fn invalid(error: impl std::fmt::Display) -> std::io::Error {
+    std::io::Error::new(std::io::ErrorKind::InvalidInput, error.to_string())
+}
+
+impl DirectoryServer {
+    /// Starts a server that listens on this address.
+    pub async fn start(listen: SocketAddr, settings: DirectorySettings) -> std::io::Result<Self> {
+        let tree = read_tree(&settings)?;
+        let certified =
+            rcgen::generate_simple_self_signed(["localhost".to_string(), "127.0.0.1".to_string()])
+                .map_err(invalid)?;
+        let acceptor = tls_acceptor(&certified)?;
+        let listener = TcpListener::bind(listen).await?;
+        let address = listener.local_addr()?;
+        let shared = Arc::new(Shared {
+            settings,
+            tree: Mutex::new(tree),
+            changes: broadcast::channel(MAX_UNREAD_CHANGES).0,
+            acceptor,
+            certificate: certified.cert.pem(),
+        });
+        let task = tokio::spawn(accept(listener, shared.clone()));
+        Ok(DirectoryServer {
+            address,
+            shared,
+            task,
+        })
+    }
+
+    /// Where it listens.
+    pub fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    /// Its certificate, which is its own authority, as PEM.
+    pub fn ca(&self) -> &str {
+        &self.shared.certificate
+    }
+
+    fn tree(&self) -> MutexGuard<'_, Tree> {
+        self.shared.tree()
+    }
+
+    /// Changes what it does wrong.
+    pub fn set_faults(&self, change: impl FnOnce(&mut Faults)) {
+        change(&mut self.tree().faults);
+    }
+
+    /// Searches that it was asked for so far.
+    pub fn searches(&self) -> u64 {
+        self.tree().searches
+    }
+
+    /// Ends all connections.
+    pub fn cut(&self) {
+        self.shared.announce(Change::Disconnect);
+    }
+
+    /// Adds entries, or replaces those of the same names.
+    pub fn add(&self, text: &str) -> Result<(), ldif::NoLdif> {
+        for record in ldif::read(text)? {
+            let dn = record.dn.clone();
+            self.tree().insert(record);
+            self.shared.announce(Change::Updated(dn));
+        }
+        Ok(())
+    }
+
+    /// Deletes an entry; whether it was there.
+    pub fn delete(&self, name: &str) -> bool {
+        let Ok(dn) = Dn::parse(name) else {
+            return false;
+        };
+        let mut tree = self.tree();
+        let Some(uuid) = tree.remove(&dn) else {
+            return false;
+        };
+        self.shared.announce(Change::Deleted(uuid));
+        true
+    }
+
+    /// Moves an entry below another one; whether it was there.
+    pub fn move_to(&self, name: &str, superior: &str) -> bool {
+        let (Ok(dn), Ok(superior)) = (Dn::parse(name), Dn::parse(superior)) else {
+            return false;
+        };
+        let mut tree = self.tree();
+        let Some(moved) = tree.move_entry(&dn, &superior) else {
+            return false;
+        };
+        self.shared.announce(Change::Updated(moved));
+        true
+    }
+
+    /// Takes over the whole tree of another server at once, as a replica that catches up.
+    pub fn copy_from(&self, other: &DirectoryServer) {
+        let (entries, change_number) = {
+            let tree = other.tree();
+            (tree.entries.clone(), tree.change_number)
+        };
+        let mut tree = self.tree();
+        tree.entries = entries;
+        tree.change_number = change_number;
+    }
+
+    /// Does what a line says: `delay MS`, `silent on|off`, `drop N`, `wrong on|off`, `loading on|off`, `busy on|off`, `cut`,
+    /// `move DN > DN`, `delete DN`, `good`; false where it was not understood or there is no such entry.
+    pub fn command(&self, line: &str) -> bool {
+        let (verb, argument) = line.split_once(' ').unwrap_or((line, ""));
+        match verb {
+            "cut" => {
+                self.cut();
+                true
+            }
+            "delete" => self.delete(argument),
+            "move" => argument
+                .split_once(" > ")
+                .is_some_and(|(from, to)| self.move_to(from, to)),
+            _ => self.tree().faults.set(verb, argument),
+        }
+    }
+}
+
+impl Faults {
+    /// Does what a line says of faults; false where it is not understood.
+    fn set(&mut self, verb: &str, argument: &str) -> bool {
+        let on = argument == "on";
+        match verb {
+            "delay" => self.delay = Duration::from_millis(argument.parse().unwrap_or(100)),
+            "silent" => self.silent = on,
+            "drop" => self.drop_every = argument.parse().unwrap_or(2),
+            "wrong" => self.wrong = on,
+            "loading" => self.loading = on,
+            "busy" => self.busy = on,
+            "good" => *self = Faults::default(),
+            _ => return false,
+        }
+        true
+    }
+}
+
+fn read_tree(settings: &DirectorySettings) -> std::io::Result<Tree> {
+    let records = ldif::read(&settings.tree).map_err(invalid)?;
+    let base = match &settings.base {
+        Some(base) => Dn::parse(base).map_err(invalid)?,
+        None => records
+            .iter()
+            .map(|record| &record.dn)
+            .min_by_key(|dn| dn.depth())
+            .cloned()
+            .unwrap_or_default(),
+    };
+    let mut tree = Tree::new(base);
+    for record in records {
+        tree.insert(record);
+    }
+    Ok(tree)
+}
+
+fn tls_acceptor(certified: &rcgen::CertifiedKey<rcgen::KeyPair>) -> std::io::Result<TlsAcceptor> {
+    let key = PrivateKeyDer::try_from(certified.signing_key.serialize_der()).map_err(invalid)?;
+    let provider = Arc::new(tokio_rustls::rustls::crypto::ring::default_provider());
+    let config = ServerConfig::builder_with_provider(provider)
+        .with_safe_default_protocol_versions()
+        .map_err(invalid)?
+        .with_no_client_auth()
+        .with_single_cert(vec![certified.cert.der().clone()], key)
+        .map_err(invalid)?;
+    Ok(TlsAcceptor::from(Arc::new(config)))
+}
+
+async fn accept(listener: TcpListener, shared: Arc<Shared>) {
+    while let Some(stream) = next_stream(&listener).await {
+        let _ = stream.set_nodelay(true);
+        tokio::spawn(serve(stream, shared.clone()));
+    }
+}
+
+/// Serves a connection, in plain text until TLS begins.
+async fn serve(mut stream: TcpStream, shared: Arc<Shared>) {
+    if !shared.settings.ldaps {
+        let ended = session::serve(&mut stream, &shared, false).await;
+        if !matches!(ended, Ok(SessionEnd::StartTls)) {
+            return;
+        }
+    }
+    if let Ok(secured) = shared.acceptor.accept(stream).await {
+        let _ = session::serve(secured, &shared, true).await;
+    }
+}
