--- /dev/null
+++ b/crates/pipithub-emulator/src/coordinator/mod.rs
@@ -0,0 +1,312 @@
+//! An emulated coordinator that streams the worker list to thousands of front ends, on one thread of its own.
+//!
+//! `GET /v2/stream` is answered with server-sent events: first what was missed since `last-event-id`, or every worker
+//! where that is not known any more; then each event, and a comment each second. It counts connections, bytes, messages
+//! and its own CPU time, and can be cut off, slow, forgetful or break off. It is an emulation and not the users'
+//! coordinator: its figures say nothing of theirs.
+
+mod stream;
+mod tier;
+
+use std::collections::VecDeque;
+use std::io;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::thread::JoinHandle;
+use std::time::Duration;
+
+use bytes::Bytes;
+use serde_json::Value;
+use tokio::net::{TcpListener, TcpSocket};
+use tokio::runtime::Runtime;
+use tokio::sync::{oneshot, watch};
+
+pub use self::tier::{Tier, event};
+
+/// Events kept for those who missed them; who missed more gets every worker.
+const MAX_HISTORY: usize = 1024;
+/// Requests kept for comparison.
+const MAX_REQUESTS: usize = 16_384;
+/// Connections that may wait to be accepted: all of a site may come at once.
+const BACKLOG: u32 = 4096;
+
+/// What was counted since the start.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Counts {
+    /// Connections accepted, those rejected during a cut not included.
+    pub connections: u64,
+    /// Connections closed unanswered during a cut.
+    pub rejected: u64,
+    /// Streams that are open now.
+    pub open: u64,
+    /// Bytes that front ends sent.
+    pub received_bytes: u64,
+    /// Bytes that front ends were sent.
+    pub sent_bytes: u64,
+    /// Events that were written completely.
+    pub events: u64,
+    /// Comments.
+    pub comments: u64,
+}
+
+/// The same, while they are counted.
+#[derive(Default)]
+struct Counters {
+    connections: AtomicU64,
+    rejected: AtomicU64,
+    open: AtomicU64,
+    received_bytes: AtomicU64,
+    sent_bytes: AtomicU64,
+    events: AtomicU64,
+    comments: AtomicU64,
+}
+
+/// How the coordinator behaves.
+#[derive(Clone, Copy, Debug)]
+pub struct Behaviour {
+    /// How often a comment comes; `None`: never by itself.
+    pub comments: Option<Duration>,
+    /// Bytes a second on each stream; `None`: as fast as they go.
+    pub rate: Option<u64>,
+    /// Every stream ends, and new connections are closed unanswered, so that connection attempts are counted.
+    pub cut: bool,
+}
+
+impl Default for Behaviour {
+    fn default() -> Self {
+        Behaviour {
+            comments: Some(Duration::from_secs(1)),
+            rate: None,
+            cut: false,
+        }
+    }
+}
+
+/// An event as it goes onto the streams.
+#[derive(Clone, Debug)]
+struct FramedEvent {
+    index: u64,
+    bytes: Bytes,
+}
+
+impl FramedEvent {
+    fn new(index: u64, text: &str) -> Self {
+        FramedEvent {
+            index,
+            bytes: Bytes::from(format!("id: {index}\ndata: {text}\n\n")),
+        }
+    }
+}
+
+/// What the streams have to send.
+#[derive(Default)]
+struct EventLog {
+    /// The index of the last event.
+    last: u64,
+    /// The event with every worker.
+    snapshot: Bytes,
+    history: VecDeque<FramedEvent>,
+    /// Comments that were asked for by [`Coordinator::comment`].
+    comments: u64,
+    /// The next stream breaks off after so many bytes behind its head.
+    break_off: Option<usize>,
+    requests: Vec<String>,
+}
+
+impl EventLog {
+    fn append(&mut self, event: FramedEvent, snapshot: FramedEvent) {
+        self.last = event.index;
+        self.snapshot = snapshot.bytes;
+        if self.history.len() >= MAX_HISTORY {
+            self.history.pop_front();
+        }
+        self.history.push_back(event);
+    }
+
+    /// The events behind this one; every worker, where some of them are forgotten or a new stream knows none.
+    fn since(&self, last: u64, is_new: bool) -> Vec<FramedEvent> {
+        if last >= self.last {
+            return Vec::new();
+        }
+        let oldest = self.history.front().map_or(u64::MAX, |event| event.index);
+        if is_new && last == 0 || oldest > last + 1 {
+            return vec![FramedEvent {
+                index: self.last,
+                bytes: self.snapshot.clone(),
+            }];
+        }
+        self.history
+            .iter()
+            .filter(|event| event.index > last)
+            .cloned()
+            .collect()
+    }
+}
+
+/// What the coordinator's tasks share.
+struct Shared {
+    counters: Counters,
+    log: Mutex<EventLog>,
+    behaviour: watch::Sender<Behaviour>,
+    /// Counts changes of the log.
+    changes: watch::Sender<u64>,
+}
+
+impl Shared {
+    fn log(&self) -> MutexGuard<'_, EventLog> {
+        self.log.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn announce_change(&self) {
+        self.changes.send_modify(|count| *count += 1);
+    }
+}
+
+/// A coordinator that is running; it ends when dropped.
+pub struct Coordinator {
+    shared: Arc<Shared>,
+    address: SocketAddr,
+    stop: Option<oneshot::Sender<()>>,
+    thread: Option<JoinHandle<()>>,
+    /// The file in which the system states the CPU time of the thread.
+    schedstat: String,
+}
+
+impl Coordinator {
+    /// Listens on loopback at a port of the system's choice.
+    ///
+    /// # Errors
+    /// As the system says.
+    pub fn start(behaviour: Behaviour) -> io::Result<Self> {
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
+        let listener = listen(&runtime)?;
+        let address = listener.local_addr()?;
+        let shared = Arc::new(Shared {
+            counters: Counters::default(),
+            log: Mutex::default(),
+            behaviour: watch::Sender::new(behaviour),
+            changes: watch::Sender::new(0),
+        });
+        let (stop, stopped) = oneshot::channel();
+        let (ready, started) = std::sync::mpsc::channel();
+        let serving = shared.clone();
+        let thread = std::thread::Builder::new()
+            .name("coordinator".into())
+            .spawn(move || {
+                let _ = ready.send(own_schedstat());
+                runtime.block_on(async {
+                    tokio::select! {
+                        () = stream::accept(listener, serving) => {}
+                        _ = stopped => {}
+                    }
+                });
+            })?;
+        Ok(Coordinator {
+            shared,
+            address,
+            stop: Some(stop),
+            thread: Some(thread),
+            schedstat: started.recv().unwrap_or_default(),
+        })
+    }
+
+    /// Where it listens.
+    pub fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    /// Hands out an event with these workers, beside the list that it leaves; its index. `complete`: it names every
+    /// worker.
+    pub fn publish(&self, complete: bool, hosts: &[Value], tier: &Tier) -> u64 {
+        let index = self.shared.log().last + 1;
+        let text = event(index, complete, hosts);
+        let snapshot = event(index, true, tier.hosts());
+        self.publish_text(index, &text, &snapshot);
+        index
+    }
+
+    /// Hands out an event by its text; `snapshot` is the event with every worker, for those who missed too much.
+    pub fn publish_text(&self, index: u64, text: &str, snapshot: &str) {
+        let event = FramedEvent::new(index, text);
+        let snapshot = FramedEvent::new(index, snapshot);
+        self.shared.log().append(event, snapshot);
+        self.shared.announce_change();
+    }
+
+    /// Forgets past events, as after a restart: who asks anew gets every worker.
+    pub fn forget(&self) {
+        self.shared.log().history.clear();
+    }
+
+    /// Sends a comment on every stream, now.
+    pub fn comment(&self) {
+        self.shared.log().comments += 1;
+        self.shared.announce_change();
+    }
+
+    /// The next stream breaks off after so many bytes behind its head.
+    pub fn break_off(&self, after: usize) {
+        self.shared.log().break_off = Some(after);
+    }
+
+    /// Changes how it behaves.
+    pub fn behave(&self, change: impl FnOnce(&mut Behaviour)) {
+        self.shared.behaviour.send_modify(change);
+    }
+
+    /// What was counted.
+    pub fn counts(&self) -> Counts {
+        let counters = &self.shared.counters;
+        Counts {
+            connections: counters.connections.load(Relaxed),
+            rejected: counters.rejected.load(Relaxed),
+            open: counters.open.load(Relaxed),
+            received_bytes: counters.received_bytes.load(Relaxed),
+            sent_bytes: counters.sent_bytes.load(Relaxed),
+            events: counters.events.load(Relaxed),
+            comments: counters.comments.load(Relaxed),
+        }
+    }
+
+    /// The requests that came, as they were sent, in their order; the first 16,384 of them.
+    pub fn requests(&self) -> Vec<String> {
+        self.shared.log().requests.clone()
+    }
+
+    /// CPU time of its thread, in nanoseconds; 0 where the system does not state it.
+    pub fn cpu_ns(&self) -> u64 {
+        std::fs::read_to_string(&self.schedstat)
+            .unwrap_or_default()
+            .split_whitespace()
+            .next()
+            .and_then(|nanoseconds| nanoseconds.parse().ok())
+            .unwrap_or(0)
+    }
+}
+
+impl Drop for Coordinator {
+    fn drop(&mut self) {
+        drop(self.stop.take());
+        if let Some(thread) = self.thread.take() {
+            let _ = thread.join();
+        }
+    }
+}
+
+fn listen(runtime: &Runtime) -> io::Result<TcpListener> {
+    let _in_runtime = runtime.enter();
+    let socket = TcpSocket::new_v4()?;
+    socket.bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
+    socket.listen(BACKLOG)
+}
+
+/// The file in which the system states the CPU time of the calling thread.
+fn own_schedstat() -> String {
+    let thread = std::fs::read_link("/proc/thread-self").unwrap_or_default();
+    let file = Path::new("/proc").join(thread).join("schedstat");
+    file.display().to_string()
+}
--- /dev/null
+++ b/crates/pipithub-emulator/src/coordinator/stream.rs
@@ -0,0 +1,194 @@
+//! The coordinator's streams of server-sent events, one for each front end.
+
+use std::io;
+use std::sync::Arc;
+use std::sync::atomic::Ordering::Relaxed;
+use std::time::Duration;
+
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+
+use super::{MAX_REQUESTS, Shared};
+use crate::accept::next_stream;
+
+const MAX_REQUEST_BYTES: usize = 4096;
+/// A slow coordinator writes so often.
+const SLOW_STEP: Duration = Duration::from_millis(50);
+/// The timer of a stream without comments; its ticks do nothing.
+const NO_COMMENTS: Duration = Duration::from_secs(3600);
+const HEAD: &str =
+    "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\nconnection: close\r\n\r\n";
+const COMMENT: &[u8] = b":\n\n";
+
+pub(super) async fn accept(listener: TcpListener, shared: Arc<Shared>) {
+    while let Some(stream) = next_stream(&listener).await {
+        if shared.behaviour.borrow().cut {
+            shared.counters.rejected.fetch_add(1, Relaxed);
+            continue;
+        }
+        shared.counters.connections.fetch_add(1, Relaxed);
+        let shared = shared.clone();
+        tokio::spawn(async move {
+            shared.counters.open.fetch_add(1, Relaxed);
+            let mut behaviour = shared.behaviour.subscribe();
+            tokio::select! {
+                _ = serve(stream, &shared) => {}
+                _ = behaviour.wait_for(|behaviour| behaviour.cut) => {}
+            }
+            shared.counters.open.fetch_sub(1, Relaxed);
+        });
+    }
+}
+
+/// One stream, until its front end goes or it breaks off.
+async fn serve(mut stream: TcpStream, shared: &Shared) -> io::Result<()> {
+    stream.set_nodelay(true)?;
+    let Some(request) = read_request(&mut stream, shared).await? else {
+        return Ok(());
+    };
+    let mut progress = Progress {
+        last: last_event_id(&request).unwrap_or(0),
+        is_new: true,
+        comments: 0,
+        bytes_left: None,
+    };
+    let mut changes = {
+        let mut log = shared.log();
+        if log.requests.len() < MAX_REQUESTS {
+            log.requests.push(request);
+        }
+        progress.comments = log.comments;
+        progress.bytes_left = log.break_off.take();
+        shared.changes.subscribe()
+    };
+    let interval = shared.behaviour.borrow().comments;
+    let mut comments = tokio::time::interval(interval.unwrap_or(NO_COMMENTS));
+    comments.tick().await;
+    let (mut reader, mut writer) = stream.split();
+    writer.write_all(HEAD.as_bytes()).await?;
+    count_sent(shared, HEAD.len());
+    let mut discarded = [0; 512];
+    loop {
+        if progress.send_news(&mut writer, shared).await? == Stream::BrokenOff {
+            return Ok(());
+        }
+        tokio::select! {
+            changed = changes.changed() => if changed.is_err() { return Ok(()) },
+            _ = comments.tick() => if interval.is_some() { send_comment(&mut writer, shared).await? },
+            read = reader.read(&mut discarded) => match read? {
+                0 => return Ok(()),
+                count => count_received(shared, count),
+            },
+        }
+    }
+}
+
+#[derive(PartialEq, Eq)]
+enum Stream {
+    Open,
+    BrokenOff,
+}
+
+/// How far a stream has come.
+struct Progress {
+    /// The index of the last event that was sent.
+    last: u64,
+    /// Nothing was sent yet.
+    is_new: bool,
+    /// Comments of the log that were sent.
+    comments: u64,
+    /// The stream breaks off after so many bytes more.
+    bytes_left: Option<usize>,
+}
+
+impl Progress {
+    /// Sends the events and comments that came since the last call.
+    async fn send_news(
+        &mut self,
+        writer: &mut (impl AsyncWriteExt + Unpin),
+        shared: &Shared,
+    ) -> io::Result<Stream> {
+        let (events, comments) = {
+            let log = shared.log();
+            (log.since(self.last, self.is_new), log.comments)
+        };
+        self.is_new = false;
+        for event in events {
+            let size = event.bytes.len();
+            if let Some(left) = self.bytes_left.filter(|left| *left < size) {
+                send(writer, &event.bytes[..left], shared).await?;
+                return Ok(Stream::BrokenOff);
+            }
+            self.bytes_left = self.bytes_left.map(|left| left - size);
+            send(writer, &event.bytes, shared).await?;
+            shared.counters.events.fetch_add(1, Relaxed);
+            self.last = self.last.max(event.index);
+        }
+        for _ in self.comments..comments {
+            send_comment(writer, shared).await?;
+        }
+        self.comments = comments;
+        Ok(Stream::Open)
+    }
+}
+
+/// The head of the request; `None` where it does not end, or not soon enough.
+async fn read_request(stream: &mut TcpStream, shared: &Shared) -> io::Result<Option<String>> {
+    let mut request = Vec::new();
+    while !request.ends_with(b"\r\n\r\n") {
+        if request.len() >= MAX_REQUEST_BYTES || stream.read_buf(&mut request).await? == 0 {
+            return Ok(None);
+        }
+    }
+    count_received(shared, request.len());
+    Ok(Some(String::from_utf8_lossy(&request).into_owned()))
+}
+
+fn last_event_id(request: &str) -> Option<u64> {
+    request.lines().find_map(|line| {
+        line.to_ascii_lowercase()
+            .strip_prefix("last-event-id:")?
+            .trim()
+            .parse()
+            .ok()
+    })
+}
+
+async fn send_comment(
+    writer: &mut (impl AsyncWriteExt + Unpin),
+    shared: &Shared,
+) -> io::Result<()> {
+    shared.counters.comments.fetch_add(1, Relaxed);
+    send(writer, COMMENT, shared).await
+}
+
+/// Writes bytes, at the rate that is set.
+async fn send(
+    writer: &mut (impl AsyncWriteExt + Unpin),
+    bytes: &[u8],
+    shared: &Shared,
+) -> io::Result<()> {
+    let rate = shared.behaviour.borrow().rate;
+    let step = rate.map_or(usize::MAX, |rate| {
+        (rate as usize * SLOW_STEP.as_millis() as usize / 1000).max(1)
+    });
+    for piece in bytes.chunks(step.min(bytes.len().max(1))) {
+        writer.write_all(piece).await?;
+        count_sent(shared, piece.len());
+        if rate.is_some() {
+            tokio::time::sleep(SLOW_STEP).await;
+        }
+    }
+    Ok(())
+}
+
+fn count_sent(shared: &Shared, bytes: usize) {
+    shared.counters.sent_bytes.fetch_add(bytes as u64, Relaxed);
+}
+
+fn count_received(shared: &Shared, bytes: usize) {
+    shared
+        .counters
+        .received_bytes
+        .fetch_add(bytes as u64, Relaxed);
+}
--- /dev/null
+++ b/crates/pipithub-emulator/src/coordinator/tier.rs
@@ -0,0 +1,87 @@
+//! A made-up site of workers, as the coordinator's events name them.
+
+use serde_json::{Value, json};
+
+/// Workers that share a block.
+const BLOCK_WORKERS: usize = 16;
+/// The first worker's birth, in Unix milliseconds.
+const FIRST_BIRTH_MS: u64 = 1_790_000_000_000;
+
+/// The workers of a site, as the list names them.
+#[derive(Clone, Debug)]
+pub struct Tier {
+    hosts: Vec<Value>,
+    /// Workers that were ever made.
+    made: u64,
+}
+
+impl Tier {
+    /// So many workers, in zones by turns.
+    pub fn new(workers: usize, zones: usize) -> Self {
+        let mut tier = Tier {
+            hosts: Vec::new(),
+            made: 0,
+        };
+        for index in 0..workers {
+            let host = tier.make_host(index, index % zones.max(1));
+            tier.hosts.push(host);
+        }
+        tier
+    }
+
+    /// A new worker at this place, with a name and a birth of its own.
+    fn make_host(&mut self, index: usize, zone: usize) -> Value {
+        self.made += 1;
+        let made = self.made;
+        let [high, middle, low] = [index >> 14 & 63, index >> 7 & 127, index & 127];
+        json!({
+            "host": format!("worker-{index:05}-{made:06}"),
+            "dial": format!("10.{high}.{middle}.{low}:30012"),
+            "site": format!("zone-{zone}"),
+            "block": index / BLOCK_WORKERS,
+            "class": "big",
+            "health": "SERVING",
+            "share": 1.0,
+            "born_ms": FIRST_BIRTH_MS + made,
+        })
+    }
+
+    /// Every worker.
+    pub fn hosts(&self) -> &[Value] {
+        &self.hosts
+    }
+
+    /// Replaces a worker by a new one; what changed.
+    pub fn replace(&mut self, index: usize) -> Vec<Value> {
+        let Some(old) = self.hosts.get(index).cloned() else {
+            return Vec::new();
+        };
+        let mut new = self.make_host(index, 0);
+        new["site"] = old["site"].clone();
+        self.hosts[index] = new.clone();
+        vec![deleted(&old), new]
+    }
+
+    /// Takes away one zone's workers; what changed.
+    pub fn lose(&mut self, zone: usize) -> Vec<Value> {
+        let site = format!("zone-{zone}");
+        let (lost, left): (Vec<Value>, Vec<Value>) = self
+            .hosts
+            .drain(..)
+            .partition(|host| host["site"].as_str() == Some(&site));
+        self.hosts = left;
+        lost.iter().map(deleted).collect()
+    }
+}
+
+fn deleted(host: &Value) -> Value {
+    let mut host = host.clone();
+    host["health"] = "DELETED".into();
+    host
+}
+
+/// The text of a list event; `complete`: it names every worker.
+pub fn event(index: u64, complete: bool, hosts: &[Value]) -> String {
+    json!({"index": index, "endpoints": {"seq": index, "whole": complete, "hosts": hosts}})
+        .to_string()
+}
