--- a/crates/pipithub-emulator/src/accept.rs
+++ b/crates/pipithub-emulator/src/accept.rs
@@ -8,8 +8,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tracing::{debug, error, warn};
 
-/// Wait while this machine lacks descriptors or memory.
-const EXHAUSTED_WAIT: Duration = Duration::from_millis(10);
+/// The pause between calls while this machine lacks descriptors or memory.
+const EXHAUSTED_BACKOFF: Duration = Duration::from_millis(10);
 
 /// The next connection of a listener; `None` where the listener is of no use any more.
 pub(crate) async fn next_stream(listener: &TcpListener) -> Option<TcpStream> {
@@ -21,7 +21,7 @@
 /// Calls `accept` until it gives a connection; `None` after an error that no further call can mend.
 ///
 /// A connection that was lost before it was accepted holds up no other; while this machine lacks descriptors or
-/// memory, there is a short wait between calls.
+/// memory, there is a short pause between calls.
 pub async fn next_connection<C, F>(mut accept: impl FnMut() -> F) -> Option<C>
 where
     F: Future<Output = io::Result<C>>,
@@ -37,7 +37,7 @@
             }
             AcceptFailure::Exhausted => {
                 warn!(%error, "no connection can be accepted for a moment");
-                tokio::time::sleep(EXHAUSTED_WAIT).await;
+                tokio::time::sleep(EXHAUSTED_BACKOFF).await;
             }
             AcceptFailure::Fatal => {
                 error!(%error, "the listener ends");
--- a/crates/pipithub-emulator/src/lib.rs
+++ b/crates/pipithub-emulator/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for what the gateway meets in service, each a core without I/O and a thin shell on loopback sockets:
-//! an AMQP broker ([`broker`]), workers that load models on demand ([`worker`]), their shared model store ([`store`]),
-//! the worker list ([`list`]), the coordinator that streams it to front ends ([`coordinator`]), an LDAP directory server
-//! ([`directory`]), a proxy that does damage between them ([`proxy`]), and one direction of a link for datagrams
-//! ([`relay`]).
+//! Emulations of what the gateway meets in service, each on loopback sockets: an AMQP broker ([`broker`]), workers that
+//! load models on demand ([`worker`]), their shared model store ([`store`]), the worker list ([`list`]), the coordinator
+//! that streams it to front ends ([`coordinator`]), an LDAP directory server ([`directory`]), a proxy that injects faults
+//! between them ([`proxy`]), and one direction of a link for datagrams ([`relay`]). The broker and the worker decide in a
+//! core without I/O.
 //!
 //! They are test tools: they keep nothing on disk and trust whoever reaches them, so they listen on loopback alone.
 
@@ -17,4 +17,5 @@
 pub mod store;
 pub mod worker;
 
+/// The clock that all emulations use.
 pub use pipithub_clock as clock;
--- a/crates/pipithub-emulator/src/proxy.rs
+++ b/crates/pipithub-emulator/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy for TCP that does damage on its way: it delays, cuts, half-closes, swallows answers, corrupts.
+//! A proxy for TCP that injects faults on its way: it delays, cuts, half-closes, swallows answers, corrupts.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,7 +12,11 @@
 
 use crate::accept::next_stream;
 
-/// What is done to bytes that pass.
+const BUFFER_BYTES: usize = 64 << 10;
+/// The bit that a corrupted byte has turned.
+const CORRUPTED_BIT: u8 = 0x40;
+
+/// What happens to bytes that pass.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Damage {
     /// Nothing.
@@ -20,19 +24,34 @@
     None,
     /// Each piece is held back for so long, both ways.
     Delay(Duration),
-    /// What comes back is closed, what goes there stays open.
+    /// The direction to the client is closed, that to the server stays open.
     HalfClose,
-    /// What comes back never arrives.
+    /// What the server sends never arrives.
     Swallow,
-    /// A bit of each piece that comes back is turned.
+    /// A bit of each piece that the server sends is turned.
     Corrupt,
 }
 
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Direction {
+    ToServer,
+    ToClient,
+}
+
+/// What the proxy's tasks share.
 struct Shared {
-    to: String,
+    /// The server's address.
+    upstream: String,
     damage: Mutex<Damage>,
+    /// Raised to cut all connections.
     cuts: watch::Sender<u64>,
-    met: AtomicU64,
+    damaged: AtomicU64,
+}
+
+impl Shared {
+    fn damage(&self) -> Damage {
+        *self.damage.lock().unwrap_or_else(PoisonError::into_inner)
+    }
 }
 
 /// A proxy that is running; it ends when dropped.
@@ -50,28 +69,17 @@
 }
 
 impl Proxy {
-    /// Starts one in front of an address.
+    /// Starts a proxy in front of the server at the address `to`.
     pub async fn start(listen: SocketAddr, to: String) -> std::io::Result<Self> {
         let listener = TcpListener::bind(listen).await?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
-            to,
+            upstream: to,
             damage: Mutex::default(),
             cuts: watch::channel(0).0,
-            met: AtomicU64::new(0),
-        });
-        let all = shared.clone();
-        let task = tokio::spawn(async move {
-            while let Some(stream) = next_stream(&listener).await {
-                let (shared, mut cut) = (all.clone(), all.cuts.subscribe());
-                tokio::spawn(async move {
-                    tokio::select! {
-                        _ = pass(stream, shared) => {}
-                        _ = cut.changed() => {}
-                    }
-                });
-            }
+            damaged: AtomicU64::new(0),
         });
+        let task = tokio::spawn(accept(listener, shared.clone()));
         Ok(Proxy {
             address,
             shared,
@@ -93,56 +101,71 @@
             .unwrap_or_else(PoisonError::into_inner) = damage;
     }
 
-    /// How often bytes, or a new connection's, have met damage so far.
+    /// How many pieces from the server have met damage so far.
     pub fn met(&self) -> u64 {
-        self.shared.met.load(Ordering::Relaxed)
+        self.shared.damaged.load(Ordering::Relaxed)
     }
 
     /// Cuts all connections.
     pub fn cut(&self) {
-        self.shared.cuts.send_modify(|n| *n += 1);
+        self.shared.cuts.send_modify(|cuts| *cuts += 1);
     }
 }
 
-async fn pass(stream: TcpStream, shared: Arc<Shared>) -> std::io::Result<()> {
-    let onward = TcpStream::connect(&shared.to).await?;
-    stream.set_nodelay(true)?;
-    onward.set_nodelay(true)?;
-    let (client_read, client_write) = stream.into_split();
-    let (server_read, server_write) = onward.into_split();
-    let there = one_way(client_read, server_write, shared.clone(), false);
-    let back = one_way(server_read, client_write, shared, true);
-    // One way may end while the other goes on, as in a half-closed connection.
-    let (there, back) = tokio::join!(there, back);
-    there.and(back)
+async fn accept(listener: TcpListener, shared: Arc<Shared>) {
+    while let Some(stream) = next_stream(&listener).await {
+        let shared = shared.clone();
+        let mut cuts = shared.cuts.subscribe();
+        tokio::spawn(async move {
+            tokio::select! {
+                _ = pass(stream, shared) => {}
+                _ = cuts.changed() => {}
+            }
+        });
+    }
 }
 
-async fn one_way(
+/// Passes bytes both ways. One way may end while the other goes on, as in a half-closed connection.
+async fn pass(client: TcpStream, shared: Arc<Shared>) -> std::io::Result<()> {
+    let server = TcpStream::connect(&shared.upstream).await?;
+    client.set_nodelay(true)?;
+    server.set_nodelay(true)?;
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    let (to_server, to_client) = tokio::join!(
+        pass_one_way(client_read, server_write, &shared, Direction::ToServer),
+        pass_one_way(server_read, client_write, &shared, Direction::ToClient),
+    );
+    to_server.and(to_client)
+}
+
+async fn pass_one_way(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    shared: Arc<Shared>,
-    back: bool,
+    shared: &Shared,
+    direction: Direction,
 ) -> std::io::Result<()> {
-    let mut buffer = vec![0; 64 << 10];
+    let is_to_client = direction == Direction::ToClient;
+    let mut buffer = vec![0; BUFFER_BYTES];
     loop {
         let count = from.read(&mut buffer).await?;
         if count == 0 {
             return to.shutdown().await;
         }
-        let damage = *shared.damage.lock().unwrap_or_else(PoisonError::into_inner);
-        if back && damage != Damage::None {
-            shared.met.fetch_add(1, Ordering::Relaxed);
+        let damage = shared.damage();
+        if is_to_client && damage != Damage::None {
+            shared.damaged.fetch_add(1, Ordering::Relaxed);
         }
         match damage {
             Damage::Delay(by) => tokio::time::sleep(by).await,
-            Damage::HalfClose if back => {
+            Damage::HalfClose if is_to_client => {
                 to.shutdown().await?;
                 // What still comes is read and dropped, so that its sender does not notice.
                 while from.read(&mut buffer).await? > 0 {}
                 return Ok(());
             }
-            Damage::Swallow if back => continue,
-            Damage::Corrupt if back => buffer[count / 2] ^= 0x40,
+            Damage::Swallow if is_to_client => continue,
+            Damage::Corrupt if is_to_client => buffer[count / 2] ^= CORRUPTED_BIT,
             _ => {}
         }
         to.write_all(&buffer[..count]).await?;
--- a/crates/pipithub-emulator/src/recorder.rs
+++ b/crates/pipithub-emulator/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Where the stand-ins write down what they see.
+//! Where the emulations write down what they see.
 
 use std::io::Write;
 use std::path::Path;
@@ -53,7 +53,7 @@
         };
         match &mut *sink.lock().unwrap_or_else(PoisonError::into_inner) {
             Sink::File(file) => {
-                // A full disk must not stop the stand-in; the checker sees that records are missing.
+                // A full disk must not stop the emulation; the checker sees that records are missing.
                 let _ = file.write_all(record.line().as_bytes());
             }
             Sink::Memory(records) => records.push(record),
--- a/crates/pipithub-emulator/src/relay.rs
+++ b/crates/pipithub-emulator/src/relay.rs
@@ -1,5 +1,5 @@
 //! One direction of a link between two processes that speak in datagrams: what is handed in goes on to one address,
-//! late, slowly, twice, after a silence, or not at all.
+//! late, slowly, twice, after a pause, or not at all.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -13,9 +13,11 @@
 use tokio::time::Instant;
 
 /// Datagrams under way at most; further ones are lost, as in any buffer.
-const UNDER_WAY: usize = 1_000;
+const MAX_UNDER_WAY: usize = 1_000;
+const MAX_DATAGRAM_BYTES: usize = 65_536;
+const NANOS_PER_SECOND: u64 = 1_000_000_000;
 
-/// What is done to datagrams on their way.
+/// What happens to datagrams on their way.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkConditions {
     /// Nothing passes.
@@ -34,12 +36,35 @@
     pub rate: u64,
 }
 
+/// What the relay's tasks share.
 struct Shared {
-    way: watch::Sender<LinkConditions>,
-    to: Mutex<Option<SocketAddr>>,
+    conditions: watch::Sender<LinkConditions>,
+    destination: Mutex<Option<SocketAddr>>,
     under_way: AtomicUsize,
 }
 
+impl Shared {
+    fn destination(&self) -> Option<SocketAddr> {
+        *self
+            .destination
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Counts one more datagram under way; false where there are too many.
+    fn take_place(&self) -> bool {
+        if self.under_way.fetch_add(1, Ordering::Relaxed) < MAX_UNDER_WAY {
+            return true;
+        }
+        self.release_place();
+        false
+    }
+
+    fn release_place(&self) {
+        self.under_way.fetch_sub(1, Ordering::Relaxed);
+    }
+}
+
 /// A relay that is running; it ends when dropped.
 pub struct Relay {
     address: SocketAddr,
@@ -54,15 +79,14 @@
 }
 
 impl Relay {
-    /// Starts one on loopback that leads nowhere yet. `seen` is shown every datagram that is handed in, before anything
-    /// is done to it.
+    /// Starts a relay on loopback without a destination yet. `seen` is shown every datagram that is handed in, before
+    /// anything happens to it.
     pub async fn start(seed: u64, seen: impl Fn(&[u8]) + Send + 'static) -> std::io::Result<Relay> {
         let socket = Arc::new(UdpSocket::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?);
         let address = socket.local_addr()?;
-        let way = watch::channel(LinkConditions::default()).0;
         let shared = Arc::new(Shared {
-            way,
-            to: Mutex::default(),
+            conditions: watch::channel(LinkConditions::default()).0,
+            destination: Mutex::default(),
             under_way: AtomicUsize::new(0),
         });
         let task = tokio::spawn(relay(
@@ -84,17 +108,17 @@
     }
 
     /// Where they go from now on; `None`: nowhere.
-    pub fn forward_to(&self, to: Option<SocketAddr>) {
+    pub fn forward_to(&self, destination: Option<SocketAddr>) {
         *self
             .shared
-            .to
+            .destination
             .lock()
-            .unwrap_or_else(PoisonError::into_inner) = to;
+            .unwrap_or_else(PoisonError::into_inner) = destination;
     }
 
-    /// Changes what is done to them; what is under way keeps its time.
+    /// Changes the conditions; what is under way keeps its time.
     pub fn change(&self, change: impl FnOnce(&mut LinkConditions)) {
-        self.shared.way.send_modify(change);
+        self.shared.conditions.send_modify(change);
     }
 }
 
@@ -104,7 +128,8 @@
     mut rng: SmallRng,
     seen: impl Fn(&[u8]),
 ) {
-    let mut buffer = vec![0; 65_536];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
+    // When the link is free again, at the rate that is set.
     let mut free = Instant::now();
     loop {
         let Ok((count, _)) = socket.recv_from(&mut buffer).await else {
@@ -112,36 +137,37 @@
         };
         let bytes = &buffer[..count];
         seen(bytes);
-        let way = *shared.way.borrow();
-        if way.cut || rng.random::<f64>() < way.loss {
+        let conditions = *shared.conditions.borrow();
+        if conditions.cut || rng.random::<f64>() < conditions.loss {
             continue;
         }
-        let mut at = Instant::now();
-        if let Some(takes) = (bytes.len() as u64 * 1_000_000_000).checked_div(way.rate) {
-            free = free.max(at) + Duration::from_nanos(takes);
-            at = free;
+        let mut sent = Instant::now();
+        let transmission = (bytes.len() as u64 * NANOS_PER_SECOND).checked_div(conditions.rate);
+        if let Some(nanoseconds) = transmission {
+            free = free.max(sent) + Duration::from_nanos(nanoseconds);
+            sent = free;
         }
-        let copies = 1 + usize::from(rng.random::<f64>() < way.duplication);
+        let copies = 1 + usize::from(rng.random::<f64>() < conditions.duplication);
         for _ in 0..copies {
-            if shared.under_way.fetch_add(1, Ordering::Relaxed) >= UNDER_WAY {
-                shared.under_way.fetch_sub(1, Ordering::Relaxed);
+            if !shared.take_place() {
                 continue;
             }
-            let late = at + way.delay + way.jitter.mul_f64(rng.random());
-            let (socket, shared, bytes) = (socket.clone(), shared.clone(), bytes.to_vec());
-            tokio::spawn(async move {
-                let mut watched = shared.way.subscribe();
-                tokio::time::sleep_until(late).await;
-                let open = watched.wait_for(|w| !w.paused).await.is_ok();
-                let to = *shared.to.lock().unwrap_or_else(PoisonError::into_inner);
-                if let Some(to) = to.filter(|_| open) {
-                    let _ = socket.send_to(&bytes, to).await;
-                }
-                shared.under_way.fetch_sub(1, Ordering::Relaxed);
-            });
+            let due = sent + conditions.delay + conditions.jitter.mul_f64(rng.random());
+            tokio::spawn(forward(socket.clone(), shared.clone(), bytes.to_vec(), due));
         }
     }
 }
 
-#[cfg(test)]
-mod tests;
+/// Sends a datagram on at its time, or once a pause ends.
+async fn forward(socket: Arc<UdpSocket>, shared: Arc<Shared>, bytes: Vec<u8>, due: Instant) {
+    let mut conditions = shared.conditions.subscribe();
+    tokio::time::sleep_until(due).await;
+    let is_open = conditions
+        .wait_for(|conditions| !conditions.paused)
+        .await
+        .is_ok();
+    if let Some(destination) = shared.destination().filter(|_| is_open) {
+        let _ = socket.send_to(&bytes, destination).await;
+    }
+    shared.release_place();
+}
--- a/crates/pipithub-emulator/src/store.rs
+++ b/crates/pipithub-emulator/src/store.rs
@@ -1,10 +1,10 @@
-//! A stand-in for the model store that all workers share: it slows down when crowded, turns fetches away past a limit,
-//! and can be slowed or halted.
+//! An emulation of the model store that all workers share: it slows down when crowded, rejects fetches past a limit, and
+//! can be slowed or halted.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
@@ -12,14 +12,23 @@
 
 use crate::accept::next_stream;
 
+/// Keys that are remembered at most.
+const MAX_KEYS: usize = 1_000_000;
+/// No client sends more than this on one connection.
+const MAX_CONNECTION_BYTES: u64 = 1 << 20;
+/// The answer to what was done.
+const OK: &str = "ok";
+/// The answer to what was rejected or not understood.
+const NO: &str = "no";
+
 /// How a store is built.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreSettings {
     /// Time of a fetch when the store is not crowded.
     pub fetch: Duration,
-    /// Fetches at a time that it serves at full pace.
+    /// Fetches at a time that it serves at full speed.
     pub at_once: usize,
-    /// Fetches at a time that it takes; more are turned away.
+    /// Fetches at a time that it takes; more are rejected.
     pub limit: usize,
 }
 
@@ -39,47 +48,93 @@
     /// Fetches take so many thousandths of their usual time.
     slowness: AtomicU64,
     halted: AtomicBool,
+    /// Fetches under way.
     active: AtomicUsize,
     settings: StoreSettings,
-    /// Keys that workers claimed, and until when: the workers of one store drop each other's repeats.
+    /// Keys that workers claimed, and until when: the workers of one store drop each other's duplicates.
     keys: Mutex<HashMap<String, Instant>>,
 }
 
-/// Keys that are remembered at most.
-const KEYS_MOST: usize = 1_000_000;
-
 impl StoreControl {
-    /// Slows it down by this factor; 1 is its usual pace.
+    fn new(settings: StoreSettings) -> Self {
+        StoreControl {
+            slowness: AtomicU64::new(1000),
+            halted: AtomicBool::new(false),
+            active: AtomicUsize::new(0),
+            settings,
+            keys: Mutex::default(),
+        }
+    }
+
+    /// Slows it down by this factor; 1 is its usual speed.
     pub fn slow(&self, factor: f64) {
-        self.slowness
-            .store((factor.clamp(0.0, 1e6) * 1000.0) as u64, Ordering::Relaxed);
+        let thousandths = (factor.clamp(0.0, 1e6) * 1000.0) as u64;
+        self.slowness.store(thousandths, Ordering::Relaxed);
     }
 
-    /// Turns every fetch away, or serves them again.
+    /// Rejects every fetch, or serves them again.
     pub fn halt(&self, halted: bool) {
         self.halted.store(halted, Ordering::Relaxed);
     }
 
+    fn is_halted(&self) -> bool {
+        self.halted.load(Ordering::Relaxed)
+    }
+
+    fn keys(&self) -> MutexGuard<'_, HashMap<String, Instant>> {
+        self.keys.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
     /// Claims a key for so long; false where it is claimed already.
     fn claim(&self, key: &str, window: Duration) -> bool {
-        let mut keys = self.keys.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut keys = self.keys();
         let now = Instant::now();
         if keys.get(key).is_some_and(|until| *until > now) {
             return false;
         }
-        if keys.len() >= KEYS_MOST {
+        if keys.len() >= MAX_KEYS {
             keys.retain(|_, until| *until > now);
         }
         keys.insert(key.to_string(), now + window);
         true
     }
 
-    /// Gives a key back: its call did not run.
+    /// Gives a key back: its request did not run.
     fn give_back(&self, key: &str) {
-        self.keys
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .remove(key);
+        self.keys().remove(key);
+    }
+
+    /// Carries out a fetch; whether it succeeded.
+    async fn fetch(&self) -> bool {
+        let settings = self.settings;
+        let active = self.active.fetch_add(1, Ordering::Relaxed) + 1;
+        let is_taken = active <= settings.limit && !self.is_halted();
+        if is_taken {
+            let crowding = (active as f64 / settings.at_once.max(1) as f64).max(1.0);
+            let slowness = self.slowness.load(Ordering::Relaxed) as f64 / 1000.0;
+            tokio::time::sleep(settings.fetch.mul_f64(crowding * slowness)).await;
+        }
+        self.active.fetch_sub(1, Ordering::Relaxed);
+        is_taken && !self.is_halted()
+    }
+
+    /// Does what a line says; false where that was rejected or not understood.
+    async fn execute(&self, line: &str) -> bool {
+        let (verb, argument) = line.split_once(' ').unwrap_or((line, ""));
+        match verb {
+            "GET" => return self.fetch().await,
+            "KEY" => {
+                let (ms, key) = argument.split_once(' ').unwrap_or(("0", argument));
+                let window = Duration::from_millis(ms.parse().unwrap_or(0));
+                return self.claim(key, window);
+            }
+            "UNKEY" => self.give_back(argument),
+            "SLOW" => self.slow(argument.parse().unwrap_or(1.0)),
+            "HALT" => self.halt(true),
+            "GO" => self.halt(false),
+            _ => return false,
+        }
+        true
     }
 }
 
@@ -97,18 +152,12 @@
 }
 
 impl StoreServer {
-    /// Starts one. It speaks a line each way, answered by `ok` or `no`: `GET name`, `KEY ms key`,
+    /// Starts a store. It speaks a line each way, answered by `ok` or `no`: `GET name`, `KEY ms key`,
     /// `UNKEY key`, `SLOW factor`, `HALT`, `GO`.
     pub async fn start(listen: SocketAddr, settings: StoreSettings) -> std::io::Result<Self> {
         let listener = TcpListener::bind(listen).await?;
         let address = listener.local_addr()?;
-        let control = Arc::new(StoreControl {
-            slowness: AtomicU64::new(1000),
-            halted: AtomicBool::new(false),
-            active: AtomicUsize::new(0),
-            settings,
-            keys: Mutex::default(),
-        });
+        let control = Arc::new(StoreControl::new(settings));
         let shared = control.clone();
         let task = tokio::spawn(async move {
             while let Some(stream) = next_stream(&listener).await {
@@ -134,53 +183,13 @@
 }
 
 async fn serve(stream: TcpStream, control: Arc<StoreControl>) -> std::io::Result<()> {
-    let mut stream = BufReader::new(stream.take_limit());
+    let mut stream = BufReader::new(AsyncReadExt::take(stream, MAX_CONNECTION_BYTES));
     let mut line = String::new();
     while stream.read_line(&mut line).await? > 0 {
-        let (verb, rest) = line.trim().split_once(' ').unwrap_or((line.trim(), ""));
-        let answer = match verb {
-            "GET" => {
-                let settings = control.settings;
-                let active = control.active.fetch_add(1, Ordering::Relaxed) + 1;
-                let taken = active <= settings.limit && !control.halted.load(Ordering::Relaxed);
-                if taken {
-                    let crowd = (active as f64 / settings.at_once.max(1) as f64).max(1.0);
-                    let slowness = control.slowness.load(Ordering::Relaxed) as f64 / 1000.0;
-                    tokio::time::sleep(settings.fetch.mul_f64(crowd * slowness)).await;
-                }
-                control.active.fetch_sub(1, Ordering::Relaxed);
-                if taken && !control.halted.load(Ordering::Relaxed) {
-                    "ok"
-                } else {
-                    "no"
-                }
-            }
-            "KEY" => {
-                let (ms, key) = rest.split_once(' ').unwrap_or(("0", rest));
-                let window = Duration::from_millis(ms.parse().unwrap_or(0));
-                if control.claim(key, window) {
-                    "ok"
-                } else {
-                    "no"
-                }
-            }
-            "UNKEY" => {
-                control.give_back(rest);
-                "ok"
-            }
-            "SLOW" => {
-                control.slow(rest.parse().unwrap_or(1.0));
-                "ok"
-            }
-            "HALT" => {
-                control.halt(true);
-                "ok"
-            }
-            "GO" => {
-                control.halt(false);
-                "ok"
-            }
-            _ => "no",
+        let answer = if control.execute(line.trim()).await {
+            OK
+        } else {
+            NO
         };
         line.clear();
         stream
@@ -192,19 +201,8 @@
     Ok(())
 }
 
-trait TakeLimit {
-    fn take_limit(self) -> tokio::io::Take<TcpStream>;
-}
-
-impl TakeLimit for TcpStream {
-    /// No peer sends more than this in one connection's life.
-    fn take_limit(self) -> tokio::io::Take<TcpStream> {
-        AsyncReadExt::take(self, 1 << 20)
-    }
-}
-
-/// Says one line to a store; its answer.
-pub async fn say(address: &str, line: &str) -> std::io::Result<String> {
+/// Sends one line to a store; its answer.
+async fn ask(address: &str, line: &str) -> std::io::Result<String> {
     let mut stream = BufReader::new(TcpStream::connect(address).await?);
     stream
         .get_mut()
@@ -215,28 +213,24 @@
     Ok(answer.trim().to_string())
 }
 
-/// Fetches a model; whether it came.
-pub async fn fetch(address: &str, model: &str) -> bool {
-    matches!(
-        say(address, &format!("GET {}", one_line(model)))
-            .await
-            .as_deref(),
-        Ok("ok")
-    )
-}
-
 /// A text with a line's end in it would be two lines.
 fn one_line(text: &str) -> String {
     text.replace(['\n', '\r'], "?")
 }
 
-/// Claims a key for a call; false where its effect was done, or is being done, elsewhere.
+/// Fetches a model; whether that succeeded.
+pub async fn fetch(address: &str, model: &str) -> bool {
+    let line = format!("GET {}", one_line(model));
+    matches!(ask(address, &line).await.as_deref(), Ok(OK))
+}
+
+/// Claims a key for a request; false where its effect was had, or is being had, elsewhere.
 pub async fn claim(address: &str, key: &str, window: Duration) -> bool {
     let line = format!("KEY {} {}", window.as_millis(), one_line(key));
-    !matches!(say(address, &line).await.as_deref(), Ok("no"))
+    !matches!(ask(address, &line).await.as_deref(), Ok(NO))
 }
 
-/// Gives a key back: its call did not run.
+/// Gives a key back: its request did not run.
 pub async fn give_back(address: &str, key: &str) {
-    let _ = say(address, &format!("UNKEY {}", one_line(key))).await;
+    let _ = ask(address, &format!("UNKEY {}", one_line(key))).await;
 }
--- a/crates/pipithub-emulator/tests/accept.rs
+++ b/crates/pipithub-emulator/tests/accept.rs
@@ -1,4 +1,4 @@
-//! What a listener of a stand-in does after each kind of error.
+//! What a listener does after each kind of error.
 
 use std::collections::VecDeque;
 use std::io;
--- a/crates/pipithub-emulator/tests/lapin.rs
+++ b/crates/pipithub-emulator/tests/lapin.rs
@@ -1,4 +1,4 @@
-//! The broker stand-in as an independent client (lapin) sees it.
+//! The emulated broker as an independent client (lapin) sees it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/pipithub-emulator/tests/relay.rs
+++ b/crates/pipithub-emulator/tests/relay.rs
@@ -1,12 +1,13 @@
 //! Datagrams that are paused, cut, lost or duplicated.
 
-use super::*;
+use pipithub_emulator::relay::Relay;
+use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
 async fn pair() -> (Relay, UdpSocket, UdpSocket, mpsc::UnboundedReceiver<usize>) {
-    let (told, seen) = mpsc::unbounded_channel();
+    let (sender, seen) = mpsc::unbounded_channel();
     let relay = Relay::start(1, move |b| {
-        assert!(told.send(b.len()).is_ok() || b.is_empty());
+        assert!(sender.send(b.len()).is_ok() || b.is_empty());
     })
     .await
     .unwrap();
@@ -17,7 +18,7 @@
 }
 
 #[tokio::test]
-async fn what_is_held_comes_when_the_silence_ends_and_what_is_cut_never() {
+async fn paused_datagrams_arrive_after_the_pause_and_cut_ones_never() {
     let (relay, from, to, mut seen) = pair().await;
     relay.change(|w| w.cut = true);
     from.send_to(b"cut", relay.address()).await.unwrap();
