--- a/crates/pipithub-emulator/src/broker/arguments.rs
+++ b/crates/pipithub-emulator/src/broker/arguments.rs
@@ -17,7 +17,7 @@
 impl QueueArguments {
     /// Reads the table; the error is the text that the client is sent.
     pub(super) fn parse(table: &FieldTable) -> Result<Self, String> {
-        let max_length = whole_number(table, "x-max-length")?;
+        let max_length = non_negative(table, "x-max-length")?;
         Ok(QueueArguments {
             message_ttl: duration(table, "x-message-ttl")?,
             dead_letter_exchange: text(table, "x-dead-letter-exchange")?,
@@ -28,7 +28,7 @@
     }
 }
 
-fn whole_number(table: &FieldTable, key: &str) -> Result<Option<u64>, String> {
+fn non_negative(table: &FieldTable, key: &str) -> Result<Option<u64>, String> {
     let Some(value) = table.get(key) else {
         return Ok(None);
     };
@@ -38,7 +38,7 @@
 }
 
 fn duration(table: &FieldTable, key: &str) -> Result<Option<Time>, String> {
-    let ms = whole_number(table, key)?;
+    let ms = non_negative(table, key)?;
     Ok(ms.map(|ms| ms.saturating_mul(NANOS_PER_MS)))
 }
 
--- a/crates/pipithub-emulator/src/broker/entities.rs
+++ b/crates/pipithub-emulator/src/broker/entities.rs
@@ -70,6 +70,15 @@
     pub(super) target: BindingTarget,
 }
 
+impl Binding {
+    pub(super) fn new(routing_key: ShortStr, target: BindingTarget) -> Self {
+        Binding {
+            routing_key,
+            target,
+        }
+    }
+}
+
 #[derive(Debug)]
 pub(super) struct Exchange {
     pub(super) properties: ExchangeProperties,
--- a/crates/pipithub-emulator/src/broker/exchange.rs
+++ b/crates/pipithub-emulator/src/broker/exchange.rs
@@ -40,6 +40,12 @@
                 self.delete_exchange(exchange, if_unused)?;
                 Ok((!no_wait).then_some(Method::ExchangeDeleteOk {}))
             }
+            method => self.exchange_binding_method(method),
+        }
+    }
+
+    fn exchange_binding_method(&mut self, method: Method) -> Reply {
+        match method {
             Method::ExchangeBind {
                 destination,
                 source,
@@ -49,13 +55,7 @@
             } => {
                 self.require_exchange(&destination)?;
                 let target = BindingTarget::Exchange(destination);
-                self.bind(
-                    &source,
-                    Binding {
-                        routing_key,
-                        target,
-                    },
-                )?;
+                self.bind(&source, Binding::new(routing_key, target))?;
                 Ok((!no_wait).then_some(Method::ExchangeBindOk {}))
             }
             Method::ExchangeUnbind {
@@ -66,13 +66,7 @@
                 ..
             } => {
                 let target = BindingTarget::Exchange(destination);
-                self.unbind(
-                    &source,
-                    &Binding {
-                        routing_key,
-                        target,
-                    },
-                );
+                self.unbind(&source, &Binding::new(routing_key, target));
                 Ok((!no_wait).then_some(Method::ExchangeUnbindOk {}))
             }
             method => Err(not_offered(&method)),
--- a/crates/pipithub-emulator/src/broker/queue.rs
+++ b/crates/pipithub-emulator/src/broker/queue.rs
@@ -40,6 +40,26 @@
                 let reply = self.declare_queue(at.connection, declaration)?;
                 Ok((!no_wait).then_some(reply))
             }
+            Method::QueuePurge { queue, no_wait } => {
+                let message_count = self.purge_queue(at.connection, &queue)?;
+                Ok((!no_wait).then_some(Method::QueuePurgeOk { message_count }))
+            }
+            Method::QueueDelete {
+                queue,
+                if_unused,
+                if_empty,
+                no_wait,
+            } => {
+                self.require_deletable(at.connection, &queue, if_unused, if_empty)?;
+                let message_count = self.delete_queue(&queue);
+                Ok((!no_wait).then_some(Method::QueueDeleteOk { message_count }))
+            }
+            method => self.queue_binding_method(at, method),
+        }
+    }
+
+    fn queue_binding_method(&mut self, at: ChannelKey, method: Method) -> Reply {
+        match method {
             Method::QueueBind {
                 queue,
                 exchange,
@@ -49,13 +69,7 @@
             } => {
                 self.usable_queue(at.connection, &queue)?;
                 let target = BindingTarget::Queue(queue);
-                self.bind(
-                    &exchange,
-                    Binding {
-                        routing_key,
-                        target,
-                    },
-                )?;
+                self.bind(&exchange, Binding::new(routing_key, target))?;
                 Ok((!no_wait).then_some(Method::QueueBindOk {}))
             }
             Method::QueueUnbind {
@@ -65,29 +79,9 @@
                 ..
             } => {
                 let target = BindingTarget::Queue(queue);
-                self.unbind(
-                    &exchange,
-                    &Binding {
-                        routing_key,
-                        target,
-                    },
-                );
+                self.unbind(&exchange, &Binding::new(routing_key, target));
                 Ok(Some(Method::QueueUnbindOk {}))
             }
-            Method::QueuePurge { queue, no_wait } => {
-                let message_count = self.purge_queue(at.connection, &queue)?;
-                Ok((!no_wait).then_some(Method::QueuePurgeOk { message_count }))
-            }
-            Method::QueueDelete {
-                queue,
-                if_unused,
-                if_empty,
-                no_wait,
-            } => {
-                self.require_deletable(at.connection, &queue, if_unused, if_empty)?;
-                let message_count = self.delete_queue(&queue);
-                Ok((!no_wait).then_some(Method::QueueDeleteOk { message_count }))
-            }
             method => Err(not_offered(&method)),
         }
     }
--- a/crates/pipithub-emulator/src/coordinator/stream.rs
+++ b/crates/pipithub-emulator/src/coordinator/stream.rs
@@ -50,7 +50,7 @@
         last: last_event_id(&request).unwrap_or(0),
         is_new: true,
         comments: 0,
-        bytes_left: None,
+        remaining_bytes: None,
     };
     let mut changes = {
         let mut log = shared.log();
@@ -58,7 +58,7 @@
             log.requests.push(request);
         }
         progress.comments = log.comments;
-        progress.bytes_left = log.break_off.take();
+        progress.remaining_bytes = log.break_off.take();
         shared.changes.subscribe()
     };
     let interval = shared.behaviour.borrow().comments;
@@ -69,7 +69,7 @@
     count_sent(shared, HEAD.len());
     let mut discarded = [0; 512];
     loop {
-        if progress.send_news(&mut writer, shared).await? == Stream::BrokenOff {
+        if progress.send_updates(&mut writer, shared).await? == Stream::BrokenOff {
             return Ok(());
         }
         tokio::select! {
@@ -98,12 +98,12 @@
     /// Comments of the log that were sent.
     comments: u64,
     /// The stream breaks off after so many bytes more.
-    bytes_left: Option<usize>,
+    remaining_bytes: Option<usize>,
 }
 
 impl Progress {
     /// Sends the events and comments that came since the last call.
-    async fn send_news(
+    async fn send_updates(
         &mut self,
         writer: &mut (impl AsyncWriteExt + Unpin),
         shared: &Shared,
@@ -115,11 +115,11 @@
         self.is_new = false;
         for event in events {
             let size = event.bytes.len();
-            if let Some(left) = self.bytes_left.filter(|left| *left < size) {
+            if let Some(left) = self.remaining_bytes.filter(|left| *left < size) {
                 send(writer, &event.bytes[..left], shared).await?;
                 return Ok(Stream::BrokenOff);
             }
-            self.bytes_left = self.bytes_left.map(|left| left - size);
+            self.remaining_bytes = self.remaining_bytes.map(|left| left - size);
             send(writer, &event.bytes, shared).await?;
             shared.counters.events.fetch_add(1, Relaxed);
             self.last = self.last.max(event.index);
--- a/crates/pipithub-emulator/src/list/watch.rs
+++ b/crates/pipithub-emulator/src/list/watch.rs
@@ -37,7 +37,7 @@
 }
 
 /// What the list has for a watch.
-enum News {
+enum Update {
     /// All watches are to end.
     Broken,
     /// Changes behind the watch's version are not known any more.
@@ -64,19 +64,19 @@
         let shared = self.shared.clone();
         loop {
             let changed = shared.changed.notified();
-            match self.news() {
-                News::Broken => return,
-                News::Expired => {
+            match self.next_update() {
+                Update::Broken => return,
+                Update::Expired => {
                     self.send(&expired(self.version)).await;
                     return;
                 }
-                News::Changes { changes, .. } if changes.is_empty() => {
+                Update::Changes { changes, .. } if changes.is_empty() => {
                     tokio::select! {
                         () = changed => {}
                         () = self.sender.closed() => return,
                     }
                 }
-                News::Changes { changes, delay } => {
+                Update::Changes { changes, delay } => {
                     tokio::time::sleep(delay).await;
                     if !self.send_changes(changes).await {
                         return;
@@ -86,17 +86,17 @@
         }
     }
 
-    fn news(&self) -> News {
+    fn next_update(&self) -> Update {
         let state = self.shared.lock();
         if state.breaks != self.breaks {
-            return News::Broken;
+            return Update::Broken;
         }
         let oldest = state
             .history
             .front()
             .map_or(state.version + 1, |change| change.version);
         if self.version + 1 < oldest && self.version < state.version {
-            return News::Expired;
+            return Update::Expired;
         }
         let changes = state
             .history
@@ -104,7 +104,7 @@
             .filter(|change| change.version > self.version)
             .cloned()
             .collect();
-        News::Changes {
+        Update::Changes {
             changes,
             delay: state.delay,
         }
--- a/crates/pipithub-emulator/src/store.rs
+++ b/crates/pipithub-emulator/src/store.rs
@@ -202,7 +202,7 @@
 }
 
 /// Sends one line to a store; its answer.
-async fn ask(address: &str, line: &str) -> std::io::Result<String> {
+async fn send_line(address: &str, line: &str) -> std::io::Result<String> {
     let mut stream = BufReader::new(TcpStream::connect(address).await?);
     stream
         .get_mut()
@@ -219,18 +219,18 @@
 }
 
 /// Fetches a model; whether that succeeded.
-pub async fn fetch(address: &str, model: &str) -> bool {
+pub(crate) async fn fetch(address: &str, model: &str) -> bool {
     let line = format!("GET {}", one_line(model));
-    matches!(ask(address, &line).await.as_deref(), Ok(OK))
+    matches!(send_line(address, &line).await.as_deref(), Ok(OK))
 }
 
 /// Claims a key for a request; false where its effect was had, or is being had, elsewhere.
-pub async fn claim(address: &str, key: &str, window: Duration) -> bool {
+pub(crate) async fn claim(address: &str, key: &str, window: Duration) -> bool {
     let line = format!("KEY {} {}", window.as_millis(), one_line(key));
-    !matches!(ask(address, &line).await.as_deref(), Ok(NO))
+    !matches!(send_line(address, &line).await.as_deref(), Ok(NO))
 }
 
 /// Gives a key back: its request did not run.
-pub async fn give_back(address: &str, key: &str) {
-    let _ = ask(address, &format!("UNKEY {}", one_line(key))).await;
+pub(crate) async fn give_back(address: &str, key: &str) {
+    let _ = send_line(address, &format!("UNKEY {}", one_line(key))).await;
 }
--- a/crates/pipithub-emulator/src/worker/core.rs
+++ b/crates/pipithub-emulator/src/worker/core.rs
@@ -10,6 +10,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use pipithub_amqp::Time;
+use pipithub_inference::IndexEntry;
 
 use self::function::{FunctionState, Load};
 use self::requests::{RunningRequest, WaitingRequest};
@@ -92,19 +93,21 @@
             .sum()
     }
 
-    /// The models with replicas, by name, and the state of each in the words of the repository index.
-    pub(super) fn index(&self) -> Vec<(String, &'static str)> {
-        let state = |function: &FunctionState| {
-            if function.ready > 0 {
-                "READY"
+    /// The models with replicas, by name, as the repository index lists them.
+    pub(super) fn index(&self) -> Vec<IndexEntry> {
+        let entry = |name: &String, function: &FunctionState| IndexEntry {
+            name: name.clone(),
+            state: if function.ready > 0 {
+                "READY".into()
             } else {
-                "LOADING"
-            }
+                "LOADING".into()
+            },
+            reason: String::new(),
         };
         self.functions
             .iter()
             .filter(|(_, function)| function.replicas() > 0)
-            .map(|(name, function)| (name.clone(), state(function)))
+            .map(|(name, function)| entry(name, function))
             .collect()
     }
 
--- a/crates/pipithub-emulator/src/worker/inference.rs
+++ b/crates/pipithub-emulator/src/worker/inference.rs
@@ -10,12 +10,11 @@
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use pipithub_amqp::Time;
 use pipithub_conformance::record::Seen;
-use pipithub_inference::{IndexEntry, header, unescape};
+use pipithub_inference::{header, unescape};
 use serde_json::{Value, json};
-use tokio::sync::oneshot;
 
 use super::core::{InferenceRequest, Placement, Rejection};
-use super::server::{CancelGuard, QueuedName, Reply, Shared};
+use super::server::{CancelGuard, PendingReply, QueuedName, Reply, Shared};
 use super::settings::NANOS_PER_MS;
 
 /// Bodies are taken up to this size.
@@ -31,38 +30,38 @@
     request: Request<Incoming>,
 ) -> io::Result<HttpResponse> {
     let (parts, body) = request.into_parts();
-    let caller = Caller {
+    let context = RequestContext {
         shared,
         headers: parts.headers,
     };
     let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
-        return Ok(caller.empty_response(StatusCode::PAYLOAD_TOO_LARGE));
+        return Ok(context.empty_response(StatusCode::PAYLOAD_TOO_LARGE));
     };
     let path: Vec<&str> = parts.uri.path().trim_matches('/').split('/').collect();
     match (&parts.method, &path[..]) {
-        (&Method::GET, ["v2", "health", "ready" | "live"]) => Ok(caller.health()),
-        (&Method::POST, ["v2", "repository", "index"]) => Ok(caller.index()),
+        (&Method::GET, ["v2", "health", "ready" | "live"]) => Ok(context.health()),
+        (&Method::POST, ["v2", "repository", "index"]) => Ok(context.index()),
         (&Method::POST, ["v2", "repository", "models", model, "load"]) => {
-            let replicas = (caller.number(header::COPIES) as u32).max(1);
-            caller.command(model, replicas).await
+            let replicas = (context.number(header::COPIES) as u32).max(1);
+            context.command(model, replicas).await
         }
         (&Method::POST, ["v2", "repository", "models", model, "unload"]) => {
-            caller.command(model, 0).await
+            context.command(model, 0).await
         }
         (&Method::POST, ["v2", "models", model, "infer"]) => {
-            caller.infer(model, body.to_bytes()).await
+            context.infer(model, body.to_bytes()).await
         }
-        _ => Ok(caller.empty_response(StatusCode::NOT_FOUND)),
+        _ => Ok(context.empty_response(StatusCode::NOT_FOUND)),
     }
 }
 
-/// Who sent a request, and what its headers say.
-struct Caller {
+/// The headers of a request, and the worker that answers it.
+struct RequestContext {
     shared: Arc<Shared>,
     headers: HeaderMap,
 }
 
-impl Caller {
+impl RequestContext {
     fn text(&self, name: &str) -> Option<String> {
         let value = self.headers.get(name)?.to_str().ok()?;
         Some(value.to_string())
@@ -98,13 +97,7 @@
     }
 
     fn index(&self) -> HttpResponse {
-        let index = self.shared.lock().core.index();
-        let entry = |(name, state): (String, &str)| IndexEntry {
-            name,
-            state: state.into(),
-            reason: String::new(),
-        };
-        let entries: Vec<IndexEntry> = index.into_iter().map(entry).collect();
+        let entries = self.shared.lock().core.index();
         let body = serde_json::to_vec(&entries).unwrap_or_default();
         finish(self.response(StatusCode::OK), Bytes::from(body))
     }
@@ -119,16 +112,16 @@
             function: model.clone(),
             copies: replicas,
         });
-        let (id, receiver) = self.shared.act(|state, now| {
-            let (id, receiver) = state.register();
+        let pending = self.shared.act(|state, now| {
+            let pending = state.register();
             if replicas == 0 {
-                state.core.unload(now, id, &model);
+                state.core.unload(now, pending.id, &model);
             } else {
-                state.core.load(now, id, &model, replicas);
+                state.core.load(now, pending.id, &model, replicas);
             }
-            (id, receiver)
+            pending
         });
-        let Some(Reply::Command { replicas, result }) = self.reply(id, receiver).await else {
+        let Some(Reply::Command { replicas, result }) = self.reply(pending).await else {
             return Err(io::ErrorKind::Other.into());
         };
         let status = match result {
@@ -221,8 +214,9 @@
 
     /// Hands a request to the core and waits until it is over; `name` stands in the records.
     async fn run(&self, inference: InferenceRequest, name: String) -> Option<Reply> {
-        let (id, receiver) = self.shared.act(|state, now| {
-            let (id, receiver) = state.register();
+        let pending = self.shared.act(|state, now| {
+            let pending = state.register();
+            let id = pending.id;
             let queued = QueuedName {
                 request: name,
                 key: inference.key.clone(),
@@ -231,15 +225,15 @@
             state
                 .core
                 .receive(now, InferenceRequest { id, ..inference });
-            (id, receiver)
+            pending
         });
-        self.reply(id, receiver).await
+        self.reply(pending).await
     }
 
-    /// Waits for the core's reply; a caller that goes meanwhile cancels its request.
-    async fn reply(&self, id: u64, receiver: oneshot::Receiver<Reply>) -> Option<Reply> {
-        let guard = CancelGuard::new(self.shared.clone(), id);
-        let reply = receiver.await.ok();
+    /// Waits for the core's reply; if the client disconnects meanwhile, its request is cancelled.
+    async fn reply(&self, pending: PendingReply) -> Option<Reply> {
+        let guard = CancelGuard::new(self.shared.clone(), pending.id);
+        let reply = pending.receiver.await.ok();
         guard.disarm();
         reply
     }
--- a/crates/pipithub-emulator/src/worker/server.rs
+++ b/crates/pipithub-emulator/src/worker/server.rs
@@ -36,6 +36,12 @@
     },
 }
 
+/// A request or a command that the core has not answered yet.
+pub(super) struct PendingReply {
+    pub(super) id: u64,
+    pub(super) receiver: oneshot::Receiver<Reply>,
+}
+
 /// A request that has not begun to run, for the records.
 pub(super) struct QueuedName {
     pub(super) request: String,
@@ -53,13 +59,13 @@
 }
 
 impl State {
-    /// Enters a request or a command; its id, and where the reply comes.
-    pub(super) fn register(&mut self) -> (u64, oneshot::Receiver<Reply>) {
+    /// Registers a request or a command.
+    pub(super) fn register(&mut self) -> PendingReply {
         let (sender, receiver) = oneshot::channel();
         let id = self.next_id;
         self.next_id += 1;
         self.repliers.insert(id, sender);
-        (id, receiver)
+        PendingReply { id, receiver }
     }
 
     fn reply(&mut self, id: u64, reply: Reply) {
