--- a/crates/pipithub-emulator/src/broker/connection.rs
+++ b/crates/pipithub-emulator/src/broker/connection.rs
@@ -132,7 +132,7 @@
         }
     }
 
-    /// The client's name in the records: what it calls itself, with the connection's number.
+    /// The client's name in the records: the name in its properties, with the connection's number.
     fn client_name(&self) -> String {
         let properties = self.endpoint.peer_properties();
         let name = properties
@@ -174,7 +174,7 @@
             Ok(())
         }
     };
-    // A channel that its peer has closed meanwhile takes nothing more: what was on its way is void.
+    // A channel that its peer has closed in the meantime accepts no output, which is then void.
     if let Err(error) = sent {
         debug!(%error, "not sent");
     }
--- a/crates/pipithub-emulator/src/broker/consume.rs
+++ b/crates/pipithub-emulator/src/broker/consume.rs
@@ -144,7 +144,7 @@
         Ok(())
     }
 
-    /// Ends a consumer; a queue that deletes itself goes with its last one.
+    /// Ends a consumer; an auto-delete queue is deleted with its last one.
     pub(super) fn end_consumer(&mut self, at: ChannelKey, tag: &ShortStr) {
         let Some(consumer) = self
             .channel(at)
--- a/crates/pipithub-emulator/src/broker/core.rs
+++ b/crates/pipithub-emulator/src/broker/core.rs
@@ -1,4 +1,4 @@
-//! The state of a virtual host, its queues' expiry, and what it has to send.
+//! The state of a virtual host, the expiry of its queues, and its outputs.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -72,7 +72,7 @@
     pub(super) exchanges: BTreeMap<ShortStr, Exchange>,
     pub(super) queues: BTreeMap<ShortStr, Queue>,
     pub(super) connections: BTreeMap<ConnectionId, Connection>,
-    /// Queues that may have something for their consumers.
+    /// Queues that may have messages for their consumers.
     pub(super) pending_delivery: BTreeSet<ShortStr>,
     /// Why publishers are held back, while they are.
     pub(super) blocked: Option<String>,
@@ -106,12 +106,12 @@
         }
     }
 
-    /// Takes what is to be sent, in order.
+    /// Takes the outputs since the last call, in order.
     pub fn take_outputs(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// Takes the records of what the broker did.
+    /// Takes the records since the last call.
     pub fn take_records(&mut self) -> Vec<Seen> {
         std::mem::take(&mut self.records)
     }
--- a/crates/pipithub-emulator/src/broker/dead_letter.rs
+++ b/crates/pipithub-emulator/src/broker/dead_letter.rs
@@ -63,7 +63,7 @@
         Some(FieldValue::Array(deaths)) => deaths.clone(),
         _ => Vec::new(),
     };
-    // A message that goes round in a circle by itself is dropped, as RabbitMQ does.
+    // A message that cycles between queues without a rejection is dropped, as RabbitMQ does.
     let is_cycle = reason != REJECTED && deaths.iter().any(|death| is_death(death, queue, reason));
     if is_cycle || deaths.len() >= MAX_DEATHS {
         return false;
--- a/crates/pipithub-emulator/src/broker/entities.rs
+++ b/crates/pipithub-emulator/src/broker/entities.rs
@@ -57,7 +57,7 @@
     pub(super) internal: bool,
 }
 
-/// Where a binding leads.
+/// The destination of a binding.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum BindingTarget {
     Queue(ShortStr),
--- a/crates/pipithub-emulator/src/broker/exchange.rs
+++ b/crates/pipithub-emulator/src/broker/exchange.rs
@@ -106,7 +106,7 @@
             let text = "the exchange is the broker's own";
             return Err(Fault::new(Code::AccessRefused, text));
         }
-        // To delete what is not there is no fault (RabbitMQ; the specification says 404).
+        // Deleting an unknown exchange succeeds, as in RabbitMQ; the specification asks for 404.
         let in_use = self
             .exchanges
             .get(&name)
--- a/crates/pipithub-emulator/src/broker/queue.rs
+++ b/crates/pipithub-emulator/src/broker/queue.rs
@@ -159,7 +159,7 @@
         Ok(purged.unwrap_or(0) as u32)
     }
 
-    /// Checks a `queue.delete`; to delete a queue that is not there is no fault, as in `RabbitMQ`.
+    /// Checks a `queue.delete`; deleting an unknown queue succeeds, as in `RabbitMQ`.
     fn require_deletable(
         &self,
         connection: ConnectionId,
--- a/crates/pipithub-emulator/src/broker/server.rs
+++ b/crates/pipithub-emulator/src/broker/server.rs
@@ -38,7 +38,7 @@
     pub bounds: Bounds,
     /// Queues declared beforehand, with their arguments.
     pub queues: Vec<(String, FieldTable)>,
-    /// Where records go.
+    /// Receives the records.
     pub recorder: Recorder,
 }
 
@@ -98,7 +98,7 @@
     pub(super) clock: Clock,
     state: Mutex<State>,
     timer: Notify,
-    /// The broker's address, as it stands in the records.
+    /// The broker's address, as the records name it.
     address: String,
 }
 
@@ -146,7 +146,7 @@
         })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -171,7 +171,7 @@
         self.shared.distribute(&mut state);
     }
 
-    /// Where records go.
+    /// Receives the records.
     pub fn recorder(&self) -> &Recorder {
         &self.shared.settings.recorder
     }
--- a/crates/pipithub-emulator/src/broker/session.rs
+++ b/crates/pipithub-emulator/src/broker/session.rs
@@ -147,7 +147,7 @@
         self.pending_delivery.extend(queues);
     }
 
-    /// Closes what a fault ends: the connection or the channel.
+    /// Closes the connection or the channel, whichever the fault ends.
     fn close_after(&mut self, at: ChannelKey, fault: Fault) {
         let output = if CONNECTION_FAULTS.contains(&fault.code) {
             BrokerOutput::CloseConnection(fault)
@@ -161,7 +161,7 @@
         self.output(at.connection, output);
     }
 
-    /// Requeues what a channel had not acknowledged and ends its consumers.
+    /// Requeues the unacknowledged messages of a channel and ends its consumers.
     fn release_channel(&mut self, at: ChannelKey) {
         self.requeue_all(at);
         let tags: Vec<ShortStr> = self
--- a/crates/pipithub-emulator/src/broker/transaction.rs
+++ b/crates/pipithub-emulator/src/broker/transaction.rs
@@ -64,7 +64,7 @@
         Ok(Some(Method::TxRollbackOk {}))
     }
 
-    /// Publishes and settlements take effect together: nothing can come between them here.
+    /// Publishes and settlements take effect together, since no other event is handled in between.
     fn commit(&mut self, at: ChannelKey) -> Reply {
         let transaction = self.take_transaction(at)?;
         for publication in transaction.publications {
--- a/crates/pipithub-emulator/src/coordinator/mod.rs
+++ b/crates/pipithub-emulator/src/coordinator/mod.rs
@@ -3,7 +3,7 @@
 //! `GET /v2/stream` is answered with server-sent events: first what was missed since `last-event-id`, or every worker
 //! where that is not known any more; then each event, and a comment each second. It counts connections, bytes, messages
 //! and its own CPU time, and can be cut off, slow, forgetful or break off. It is an emulation and not the users'
-//! coordinator: its figures say nothing of theirs.
+//! coordinator: its measurements do not apply to theirs.
 
 mod stream;
 mod tier;
@@ -51,7 +51,7 @@
     pub comments: u64,
 }
 
-/// The same, while they are counted.
+/// The counters behind [`Counts`].
 #[derive(Default)]
 struct Counters {
     connections: AtomicU64,
@@ -84,7 +84,7 @@
     }
 }
 
-/// An event as it goes onto the streams.
+/// An event as it is written to the streams.
 #[derive(Clone, Debug)]
 struct FramedEvent {
     index: u64,
@@ -178,7 +178,7 @@
     /// Listens on loopback at a port of the system's choice.
     ///
     /// # Errors
-    /// As the system says.
+    /// The errors of the system calls that create the runtime, the socket and the thread.
     pub fn start(behaviour: Behaviour) -> io::Result<Self> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -214,7 +214,7 @@
         })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
--- a/crates/pipithub-emulator/src/coordinator/stream.rs
+++ b/crates/pipithub-emulator/src/coordinator/stream.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// One stream, until its front end goes or it breaks off.
+/// Serves one stream until its front end disconnects or the stream breaks off.
 async fn serve(mut stream: TcpStream, shared: &Shared) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let Some(request) = read_request(&mut stream, shared).await? else {
@@ -89,11 +89,11 @@
     BrokenOff,
 }
 
-/// How far a stream has come.
+/// The position of one stream in the log.
 struct Progress {
     /// The index of the last event that was sent.
     last: u64,
-    /// Nothing was sent yet.
+    /// No event was sent yet.
     is_new: bool,
     /// Comments of the log that were sent.
     comments: u64,
--- a/crates/pipithub-emulator/src/coordinator/tier.rs
+++ b/crates/pipithub-emulator/src/coordinator/tier.rs
@@ -1,4 +1,4 @@
-//! A made-up site of workers, as the coordinator's events name them.
+//! A synthetic site of workers, as the coordinator's events name them.
 
 use serde_json::{Value, json};
 
@@ -11,12 +11,12 @@
 #[derive(Clone, Debug)]
 pub struct Tier {
     hosts: Vec<Value>,
-    /// Workers that were ever made.
+    /// Number of workers created so far.
     made: u64,
 }
 
 impl Tier {
-    /// So many workers, in zones by turns.
+    /// Creates this number of workers, distributed over the zones in turn.
     pub fn new(workers: usize, zones: usize) -> Self {
         let mut tier = Tier {
             hosts: Vec::new(),
@@ -51,7 +51,7 @@
         &self.hosts
     }
 
-    /// Replaces a worker by a new one; what changed.
+    /// Replaces a worker by a new one and returns both changes for an event.
     pub fn replace(&mut self, index: usize) -> Vec<Value> {
         let Some(old) = self.hosts.get(index).cloned() else {
             return Vec::new();
@@ -62,7 +62,7 @@
         vec![deleted(&old), new]
     }
 
-    /// Takes away one zone's workers; what changed.
+    /// Removes the workers of one zone and returns the changes for an event.
     pub fn lose(&mut self, zone: usize) -> Vec<Value> {
         let site = format!("zone-{zone}");
         let (lost, left): (Vec<Value>, Vec<Value>) = self
--- a/crates/pipithub-emulator/src/directory/filter.rs
+++ b/crates/pipithub-emulator/src/directory/filter.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// Finds a piece in what is left of a value and takes it off.
+/// Matches a piece against the rest of a value and consumes it.
 fn take_substring(rest: &mut &str, substring: &SubstringChoice) -> bool {
     match substring {
         SubstringChoice::Initial(piece) => match rest.strip_prefix(folded(piece).as_str()) {
--- a/crates/pipithub-emulator/src/directory/mod.rs
+++ b/crates/pipithub-emulator/src/directory/mod.rs
@@ -32,7 +32,7 @@
 pub struct DirectorySettings {
     /// The tree, as LDIF.
     pub tree: String,
-    /// The base, whose `contextCSN` tells the server's state; by default the shortest name of the tree.
+    /// The base, whose `contextCSN` states how current the server is; by default the shortest name of the tree.
     pub base: Option<String>,
     /// Name and password that a client must bind with; `None`: anybody may search.
     pub login: Option<(String, String)>,
@@ -40,14 +40,14 @@
     pub ldaps: bool,
 }
 
-/// What the server does wrong.
+/// The faults that the server simulates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Answers come so much later.
+    /// The delay of every answer.
     pub delay: Duration,
-    /// Takes connections and never says anything.
+    /// Accepts connections and never answers.
     pub silent: bool,
-    /// Every so many answers to searches are not given; 0: none.
+    /// Every n-th answer to a search is dropped; 0: none.
     pub drop_every: u32,
     /// Answers with the wrong entry.
     pub wrong: bool,
@@ -57,7 +57,7 @@
     pub busy: bool,
 }
 
-/// What sessions are told of.
+/// A change that the sessions are notified of.
 #[derive(Clone, Debug)]
 enum Change {
     Updated(Dn),
@@ -130,7 +130,7 @@
         })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -144,7 +144,7 @@
         self.shared.tree()
     }
 
-    /// Changes what it does wrong.
+    /// Changes the faults that it simulates.
     pub fn set_faults(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut self.tree().faults);
     }
@@ -206,8 +206,8 @@
         tree.change_number = change_number;
     }
 
-    /// Does what a line says: `delay MS`, `silent on|off`, `drop N`, `wrong on|off`, `loading on|off`, `busy on|off`, `cut`,
-    /// `move DN > DN`, `delete DN`, `good`; false where it was not understood or there is no such entry.
+    /// Carries out a command line: `delay MS`, `silent on|off`, `drop N`, `wrong on|off`, `loading on|off`, `busy on|off`, `cut`,
+    /// `move DN > DN`, `delete DN`, `good`; false if it was not understood or there is no such entry.
     pub fn command(&self, line: &str) -> bool {
         let (verb, argument) = line.split_once(' ').unwrap_or((line, ""));
         match verb {
@@ -225,7 +225,7 @@
 }
 
 impl Faults {
-    /// Does what a line says of faults; false where it is not understood.
+    /// Carries out a command that sets faults; false if it is not understood.
     fn set(&mut self, verb: &str, argument: &str) -> bool {
         let on = argument == "on";
         match verb {
--- a/crates/pipithub-emulator/src/directory/search.rs
+++ b/crates/pipithub-emulator/src/directory/search.rs
@@ -201,7 +201,7 @@
     )
 }
 
-/// The control that says what an entry is to a synchronised client (RFC 4533, 2.3).
+/// The control that states what happened to an entry (RFC 4533, 2.3).
 pub(super) fn state_control(state: sync::State, uuid: &EntryUuid) -> Control {
     sync::state(state, Bytes::copy_from_slice(uuid), None)
 }
--- a/crates/pipithub-emulator/src/directory/session.rs
+++ b/crates/pipithub-emulator/src/directory/session.rs
@@ -167,7 +167,7 @@
         BindResponse::new(code, "".into(), "".into(), None, None)
     }
 
-    /// Agrees to `StartTLS` in a session without TLS, and to nothing else.
+    /// Accepts `StartTLS` in a session without TLS, and no other extended request.
     fn extended(&self, message_id: u32, request: &ExtendedRequest) -> std::io::Result<Step> {
         let starts_tls = !self.is_secured && request.request_name[..] == *oid::START_TLS;
         let code = if starts_tls {
@@ -203,7 +203,7 @@
         answers
     }
 
-    /// What a change is to the persistent searches; `None`: the session ends.
+    /// The messages that a change causes for the persistent searches; `None`: the session ends.
     fn follow(&self, change: Result<Change, RecvError>) -> Option<Vec<LdapMessage>> {
         let change = change.ok()?;
         let tree = self.shared.tree();
--- a/crates/pipithub-emulator/src/lib.rs
+++ b/crates/pipithub-emulator/src/lib.rs
@@ -1,10 +1,10 @@
-//! Emulations of what the gateway meets in service, each on loopback sockets: an AMQP broker ([`broker`]), workers that
+//! Emulations of the services around the gateway, each on loopback sockets: an AMQP broker ([`broker`]), workers that
 //! load models on demand ([`worker`]), their shared model store ([`store`]), the worker list ([`list`]), the coordinator
 //! that streams it to front ends ([`coordinator`]), an LDAP directory server ([`directory`]), a proxy that injects faults
 //! between them ([`proxy`]), and one direction of a link for datagrams ([`relay`]). The broker and the worker decide in a
 //! core without I/O.
 //!
-//! They are test tools: they keep nothing on disk and trust whoever reaches them, so they listen on loopback alone.
+//! They are test tools: they store nothing on disk and trust every client, so they listen on loopback only.
 
 pub mod accept;
 pub mod broker;
--- a/crates/pipithub-emulator/src/list/api.rs
+++ b/crates/pipithub-emulator/src/list/api.rs
@@ -81,7 +81,7 @@
     }
 }
 
-/// The whole list. One that is late shows how things stood then: it is made now and sent later.
+/// The complete list. It is made now and sent after the delay, so that a late list shows an old state.
 async fn list(shared: &Shared, front_end: &str) -> HttpResponse {
     let (list, workers, delay) = {
         let state = shared.lock();
--- a/crates/pipithub-emulator/src/list/mod.rs
+++ b/crates/pipithub-emulator/src/list/mod.rs
@@ -49,7 +49,7 @@
     state: Mutex<State>,
     changed: Notify,
     recorder: Recorder,
-    /// The server's address, as it stands in the records.
+    /// The server's address, as the records name it.
     address: String,
 }
 
@@ -58,7 +58,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets how a worker stands.
+    /// Sets the state of a worker.
     fn set(&self, worker: Listed) {
         let mut state = self.lock();
         state.version += 1;
@@ -88,7 +88,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Records that a front end is sent how a worker stands.
+    /// Records that a front end is sent the state of a worker.
     fn record_sent(&self, front_end: &str, worker: &Listed) {
         let seen = Seen::Told {
             front_end: front_end.to_string(),
@@ -141,12 +141,12 @@
         })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets how a worker stands; `gone` removes it.
+    /// Sets the state of a worker; `gone` removes it.
     pub fn set(&self, worker: Listed) {
         self.shared.set(worker);
     }
--- a/crates/pipithub-emulator/src/list/watch.rs
+++ b/crates/pipithub-emulator/src/list/watch.rs
@@ -36,7 +36,7 @@
     Response::new(StreamBody::new(Events(receiver)).boxed_unsync())
 }
 
-/// What the list has for a watch.
+/// The next step of a watch.
 enum Update {
     /// All watches are to end.
     Broken,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Sends changes; false where the client has gone.
+    /// Sends changes; false if the client has disconnected.
     async fn send_changes(&mut self, changes: Vec<VersionedWorker>) -> bool {
         for VersionedWorker { version, worker } in changes {
             self.version = version;
@@ -129,7 +129,7 @@
         true
     }
 
-    /// Sends an event; false where the client has gone.
+    /// Sends an event; false if the client has disconnected.
     async fn send(&self, event: &Value) -> bool {
         let line = Bytes::from(format!("{event}\n"));
         self.sender.send(line).await.is_ok()
--- a/crates/pipithub-emulator/src/proxy.rs
+++ b/crates/pipithub-emulator/src/proxy.rs
@@ -16,7 +16,7 @@
 /// The bit that a corrupted byte has turned.
 const CORRUPTED_BIT: u8 = 0x40;
 
-/// What happens to bytes that pass.
+/// The fault that the proxy injects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Damage {
     /// Nothing.
@@ -87,7 +87,7 @@
         })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
--- a/crates/pipithub-emulator/src/recorder.rs
+++ b/crates/pipithub-emulator/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Where the emulations write down what they see.
+//! Records of what the emulations observe on their sockets, for the conformance checks.
 
 use std::io::Write;
 use std::path::Path;
@@ -8,7 +8,7 @@
 
 use crate::clock::wall_ns;
 
-/// Writes records, each whole and at once: a killed process loses none that was seen.
+/// Writes each record completely and at once, so that a killed process loses none.
 #[derive(Clone, Default)]
 pub struct Recorder {
     sink: Option<Arc<Mutex<Sink>>>,
@@ -20,12 +20,12 @@
 }
 
 impl Recorder {
-    /// Writes nothing down.
+    /// Discards all records.
     pub fn none() -> Self {
         Recorder::default()
     }
 
-    /// Appends to a file.
+    /// Appends the records to a file, one per line.
     pub fn file(path: &Path) -> std::io::Result<Self> {
         let file = std::fs::OpenOptions::new()
             .create(true)
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Writes one thing down.
+    /// Writes one record.
     pub fn note(&self, at: &str, seen: Seen) {
         let Some(sink) = &self.sink else { return };
         let record = Record {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// What was written down so far, where it is kept in memory.
+    /// The records so far, if they are kept in memory.
     pub fn records(&self) -> Vec<Record> {
         let Some(sink) = &self.sink else {
             return Vec::new();
--- a/crates/pipithub-emulator/src/relay.rs
+++ b/crates/pipithub-emulator/src/relay.rs
@@ -1,5 +1,5 @@
-//! One direction of a link between two processes that speak in datagrams: what is handed in goes on to one address,
-//! late, slowly, twice, after a pause, or not at all.
+//! One direction of a link between two processes that speak in datagrams: each
+//! datagram is forwarded to one address, late, slowly, twice, after a pause, or not at all.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -20,19 +20,19 @@
 /// What happens to datagrams on their way.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkConditions {
-    /// Nothing passes.
+    /// All datagrams are lost.
     pub cut: bool,
-    /// Nothing passes, but all of it comes once this ends.
+    /// Datagrams are held back until this ends.
     pub paused: bool,
-    /// What everything takes.
+    /// The delay of every datagram.
     pub delay: Duration,
-    /// What may come on top, drawn evenly.
+    /// The largest additional delay, drawn from a uniform distribution.
     pub jitter: Duration,
-    /// The share that gets lost.
+    /// The probability that a datagram is lost.
     pub loss: f64,
-    /// The share that comes twice.
+    /// The probability that a datagram is sent twice.
     pub duplication: f64,
-    /// Bytes a second that pass; 0: any number.
+    /// Bytes per second that pass; 0: no limit.
     pub rate: u64,
 }
 
@@ -79,8 +79,8 @@
 }
 
 impl Relay {
-    /// Starts a relay on loopback without a destination yet. `seen` is shown every datagram that is handed in, before
-    /// anything happens to it.
+    /// Starts a relay on loopback without a destination yet. `seen` is called with every datagram that arrives,
+    /// before the conditions apply to it.
     pub async fn start(seed: u64, seen: impl Fn(&[u8]) + Send + 'static) -> std::io::Result<Relay> {
         let socket = Arc::new(UdpSocket::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?);
         let address = socket.local_addr()?;
@@ -102,12 +102,12 @@
         })
     }
 
-    /// Where datagrams are handed in.
+    /// The address that accepts datagrams.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where they go from now on; `None`: nowhere.
+    /// Sets the destination; `None`: datagrams are dropped.
     pub fn forward_to(&self, destination: Option<SocketAddr>) {
         *self
             .shared
@@ -116,7 +116,7 @@
             .unwrap_or_else(PoisonError::into_inner) = destination;
     }
 
-    /// Changes the conditions; what is under way keeps its time.
+    /// Changes the conditions; datagrams under way keep their due times.
     pub fn change(&self, change: impl FnOnce(&mut LinkConditions)) {
         self.shared.conditions.send_modify(change);
     }
--- a/crates/pipithub-emulator/src/store.rs
+++ b/crates/pipithub-emulator/src/store.rs
@@ -16,9 +16,9 @@
 const MAX_KEYS: usize = 1_000_000;
 /// No client sends more than this on one connection.
 const MAX_CONNECTION_BYTES: u64 = 1 << 20;
-/// The answer to what was done.
+/// The answer to a command that was carried out.
 const OK: &str = "ok";
-/// The answer to what was rejected or not understood.
+/// The answer to a command that was rejected or not understood.
 const NO: &str = "no";
 
 /// How a store is built.
@@ -118,7 +118,7 @@
         is_taken && !self.is_halted()
     }
 
-    /// Does what a line says; false where that was rejected or not understood.
+    /// Carries out a command; false if it was rejected or not understood.
     async fn execute(&self, line: &str) -> bool {
         let (verb, argument) = line.split_once(' ').unwrap_or((line, ""));
         match verb {
@@ -171,7 +171,7 @@
         })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
--- a/crates/pipithub-emulator/src/worker/core.rs
+++ b/crates/pipithub-emulator/src/worker/core.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Takes what happened since the last call.
+    /// Takes the events since the last call.
     pub(super) fn take_events(&mut self) -> Vec<WorkerEvent> {
         std::mem::take(&mut self.events)
     }
--- a/crates/pipithub-emulator/src/worker/core/events.rs
+++ b/crates/pipithub-emulator/src/worker/core/events.rs
@@ -1,4 +1,4 @@
-//! What goes into the worker's core and what comes out of it.
+//! The inputs and the events of the worker's core.
 
 use pipithub_amqp::Time;
 
--- a/crates/pipithub-emulator/src/worker/core/function.rs
+++ b/crates/pipithub-emulator/src/worker/core/function.rs
@@ -68,7 +68,7 @@
         f64::from(pinned) * self.replica_mb
     }
 
-    /// Whether there is nothing left to know about it.
+    /// Whether it has neither replicas nor running requests.
     pub(super) fn is_unused(&self) -> bool {
         self.replicas() == 0 && self.running == 0
     }
--- a/crates/pipithub-emulator/src/worker/core/loads.rs
+++ b/crates/pipithub-emulator/src/worker/core/loads.rs
@@ -80,7 +80,7 @@
         self.begin_loads();
     }
 
-    /// Rejects all that waited for the model: nothing is tried again here.
+    /// Rejects all requests and commands that wait for the model; the worker does not retry a load.
     fn fail_load(&mut self, function: &str) {
         let (failed, waiting) = std::mem::take(&mut self.waiting)
             .into_iter()
--- a/crates/pipithub-emulator/src/worker/core/requests.rs
+++ b/crates/pipithub-emulator/src/worker/core/requests.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The caller has gone: a waiting request is dropped, a running one goes on.
+    /// The client has disconnected: a waiting request is dropped, a running one continues.
     pub(in crate::worker) fn cancel(&mut self, now: Time, id: u64) {
         self.on_time(now);
         self.waiting.retain(|waiting| waiting.request.id != id);
@@ -77,7 +77,7 @@
         Ok(())
     }
 
-    /// Takes over what a request states of its model.
+    /// Applies the memory and concurrency that a request states for its model.
     fn configure_function(&mut self, request: &InferenceRequest) {
         let settings = &self.settings;
         let function = self.functions.entry(request.function.clone()).or_default();
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Begins what can run, in the order in which it came.
+    /// Starts the waiting requests that can run, in order of arrival.
     pub(super) fn begin_waiting(&mut self) {
         self.begin_loads();
         let mut position = 0;
--- a/crates/pipithub-emulator/src/worker/inference.rs
+++ b/crates/pipithub-emulator/src/worker/inference.rs
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Hands a request to the core and waits until it is over; `name` stands in the records.
+    /// Hands a request to the core and waits until it is over; the records name it `name`.
     async fn run(&self, inference: InferenceRequest, name: String) -> Option<Reply> {
         let pending = self.shared.act(|state, now| {
             let pending = state.register();
@@ -266,7 +266,7 @@
     }
 }
 
-/// What the response says of the replica that the request found.
+/// The value of the response header that states how the request found a replica.
 fn placement_header(result: Result<Placement, Rejection>) -> Option<&'static str> {
     match result {
         Ok(Placement::Warm) => Some("warm"),
--- a/crates/pipithub-emulator/src/worker/server.rs
+++ b/crates/pipithub-emulator/src/worker/server.rs
@@ -70,7 +70,7 @@
 
     fn reply(&mut self, id: u64, reply: Reply) {
         if let Some(sender) = self.repliers.remove(&id) {
-            // The caller may have gone.
+            // The client may have disconnected.
             let _ = sender.send(reply);
         }
     }
@@ -83,7 +83,7 @@
     timer: Notify,
     overloaded: Notify,
     recorder: Recorder,
-    /// The worker's address, as it stands in the records.
+    /// The worker's address, as the records name it.
     address: String,
     /// The address of the store, where there is one.
     pub(super) store: Option<String>,
@@ -142,7 +142,7 @@
         })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -181,7 +181,7 @@
         self.recorder.note(&self.address, seen);
     }
 
-    /// Lets the core act and handles what came of it.
+    /// Runs an action on the core, then handles the events that it caused.
     pub(super) fn act<T>(self: &Arc<Self>, action: impl FnOnce(&mut State, Time) -> T) -> T {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -248,7 +248,7 @@
     }
 }
 
-/// Cancels a request or a command whose caller has gone.
+/// Cancels a request or a command whose client has disconnected.
 pub(super) struct CancelGuard {
     shared: Arc<Shared>,
     id: u64,
@@ -264,7 +264,7 @@
         }
     }
 
-    /// The reply is there: nothing is left to cancel.
+    /// The reply has arrived: nothing is left to cancel.
     pub(super) fn disarm(mut self) {
         self.armed = false;
     }
