--- a/crates/pipithub-gateway/src/list/api.rs
+++ b/crates/pipithub-gateway/src/list/api.rs
@@ -48,7 +48,7 @@
     #[error(transparent)]
     ListBody(Box<dyn std::error::Error + Send + Sync>),
     #[error(transparent)]
-    Unreadable(#[from] pipithub_endpoints::ListError),
+    Unreadable(#[from] pipithub_endpoints::EndpointListError),
     #[error("the list has no resourceVersion to watch from")]
     NoVersion,
     #[error("the watch has ended")]
