--- /dev/null
+++ b/crates/pipithub-directory/src/publish/tests.rs
@@ -0,0 +1,27 @@
+//! How long replaced versions are retained.
+
+use std::sync::Arc;
+
+use super::Publisher;
+use crate::{Directory, Settings};
+
+#[test]
+fn a_version_outlives_its_readers_and_no_more() {
+    let settings = Settings {
+        directories: Vec::new(),
+        tenants: Vec::new(),
+        max_users: 1,
+        max_queue: 1,
+        seed: 1,
+        wall_clock_offset_ms: 0,
+    };
+    let core = Directory::new(settings);
+    let mut publisher = Publisher::new(core.roster());
+    let read = publisher.newest().load_full();
+    publisher.publish(core.roster());
+    publisher.publish(core.roster());
+    assert_eq!(Arc::strong_count(&read), 2, "the writer has it still");
+    drop(read);
+    publisher.publish(core.roster());
+    assert_eq!(publisher.kept.len(), 0);
+}
