--- a/crates/pipithub-directory/src/lib.rs
+++ b/crates/pipithub-directory/src/lib.rs
@@ -8,24 +8,29 @@
 //! Every fact has an age, and every decision weighs it: see [`Roster::resolve`].
 
 mod core;
-mod facts;
+mod jitter;
 mod map;
+mod messages;
 mod peak;
 mod publish;
+mod record;
+mod roster;
+mod search;
 mod servers;
+mod settings;
 pub mod snapshot;
+mod stats;
+mod time;
 mod waiting;
 
-pub use core::{
-    Backoff, Directory, DirectoryEntry, DirectorySettings, Input, Output, Query, SearchError,
-    SearchId, SearchResponse, Settings, Stats, SyncEvent, TenantBase,
-};
-pub use facts::{
-    Lifetimes, LookupRecord, LookupResult, PersonId, Refresh, Resolution, Roster, TenantId, User,
-};
+pub use core::Directory;
+pub use messages::{Input, Output, SyncEvent};
 pub use peak::DailyPeak;
 pub use publish::Publisher;
+pub use record::{LookupRecord, LookupResult, PersonId, TenantId, User};
+pub use roster::{Refresh, Resolution, Roster};
+pub use search::{DirectoryEntry, Query, SearchError, SearchId, SearchResponse};
+pub use settings::{Backoff, DirectorySettings, Lifetimes, Settings, TenantBase};
+pub use stats::Stats;
+pub use time::Time;
 pub use waiting::{EndedLookup, PendingLookups};
-
-/// Nanoseconds on the caller's clock.
-pub type Time = u64;
--- a/crates/pipithub-directory/src/snapshot.rs
+++ b/crates/pipithub-directory/src/snapshot.rs
@@ -9,8 +9,9 @@
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::{Digest, Sha256};
 
-use crate::facts::{LookupRecord, LookupResult, PersonId, TenantId, User, ms};
-use crate::{Roster, Time};
+use crate::record::{LookupRecord, LookupResult, PersonId, TenantId, User};
+use crate::roster::Roster;
+use crate::time::{Time, ms};
 
 const MAGIC: &[u8; 8] = b"pphroste";
 const VERSION: u16 = 1;
--- /dev/null
+++ b/crates/pipithub-directory/src/time.rs
@@ -0,0 +1,10 @@
+//! Times of the caller's clock.
+
+/// Nanoseconds on the caller's clock.
+pub type Time = u64;
+
+pub(crate) const MS: Time = 1_000_000;
+
+pub(crate) fn ms(now: Time) -> i64 {
+    i64::try_from(now / MS).unwrap_or(i64::MAX)
+}
