--- a/crates/pipithub-directory/src/jitter.rs
+++ b/crates/pipithub-directory/src/jitter.rs
@@ -3,7 +3,7 @@
 use std::hash::BuildHasher;
 
 /// A place between 0 and 1 for a user that no other front end gives them.
-pub(crate) fn share(user: &str, seed: u64) -> f64 {
+pub(crate) fn stable_fraction(user: &str, seed: u64) -> f64 {
     struct Fixed;
     impl BuildHasher for Fixed {
         type Hasher = std::hash::DefaultHasher;
--- a/crates/pipithub-directory/src/lib.rs
+++ b/crates/pipithub-directory/src/lib.rs
@@ -7,30 +7,30 @@
 //!
 //! Every fact has an age, and every decision weighs it: see [`Roster::resolve`].
 
-mod core;
+mod daily_peak;
+mod directory;
 mod jitter;
-mod map;
 mod messages;
-mod peak;
-mod publish;
+mod pending_lookups;
+mod persistent_map;
+mod publisher;
 mod record;
 mod roster;
 mod search;
-mod servers;
+mod server;
 mod settings;
 pub mod snapshot;
 mod stats;
 mod time;
-mod waiting;
 
-pub use core::Directory;
+pub use daily_peak::DailyPeak;
+pub use directory::Directory;
 pub use messages::{Input, Output, SyncEvent};
-pub use peak::DailyPeak;
-pub use publish::Publisher;
+pub use pending_lookups::{EndedLookup, PendingLookups};
+pub use publisher::Publisher;
 pub use record::{LookupRecord, LookupResult, PersonId, TenantId, User};
 pub use roster::{Refresh, Resolution, Roster};
 pub use search::{DirectoryEntry, Query, SearchError, SearchId, SearchResponse};
 pub use settings::{Backoff, DirectorySettings, Lifetimes, Settings, TenantBase};
 pub use stats::Stats;
 pub use time::Time;
-pub use waiting::{EndedLookup, PendingLookups};
--- a/crates/pipithub-directory/src/waiting.rs
+++ b/crates/pipithub-directory/src/pending_lookups.rs
@@ -18,20 +18,20 @@
 }
 
 #[derive(Debug)]
-struct Held<T> {
-    call: T,
+struct PendingLookup<T> {
+    request: T,
     user: User,
-    since: Time,
-    until: Time,
+    waiting_since: Time,
+    deadline: Time,
 }
 
-impl<T> Held<T> {
-    fn woken(self, in_vain: bool) -> EndedLookup<T> {
+impl<T> PendingLookup<T> {
+    fn end(self, timed_out: bool) -> EndedLookup<T> {
         EndedLookup {
-            request: self.call,
+            request: self.request,
             user: self.user,
-            waiting_since: self.since,
-            timed_out: in_vain,
+            waiting_since: self.waiting_since,
+            timed_out,
         }
     }
 }
@@ -39,56 +39,56 @@
 /// Calls that wait.
 #[derive(Debug)]
 pub struct PendingLookups<T> {
-    most: usize,
-    calls: BTreeMap<u64, Held<T>>,
+    max_pending: usize,
+    lookups: BTreeMap<u64, PendingLookup<T>>,
     by_user: HashMap<User, Vec<u64>>,
-    due: BTreeSet<(Time, u64)>,
-    next: u64,
+    deadlines: BTreeSet<(Time, u64)>,
+    next_number: u64,
 }
 
 impl<T> PendingLookups<T> {
     /// At most so many.
-    pub fn new(most: usize) -> Self {
+    pub fn new(max_pending: usize) -> Self {
         PendingLookups {
-            most,
-            calls: BTreeMap::new(),
+            max_pending,
+            lookups: BTreeMap::new(),
             by_user: HashMap::new(),
-            due: BTreeSet::new(),
-            next: 0,
+            deadlines: BTreeSet::new(),
+            next_number: 0,
         }
     }
 
     /// How many wait.
     pub fn len(&self) -> usize {
-        self.calls.len()
+        self.lookups.len()
     }
 
     /// Whether none does.
     pub fn is_empty(&self) -> bool {
-        self.calls.is_empty()
+        self.lookups.is_empty()
     }
 
     /// When the next one's time is up.
     pub fn next_due(&self) -> Option<Time> {
-        self.due.first().map(|d| d.0)
+        self.deadlines.first().map(|d| d.0)
     }
 
     /// Has a call wait until then; the call itself where as many wait as may.
-    pub fn add(&mut self, now: Time, until: Time, user: User, call: T) -> Result<(), T> {
-        if self.calls.len() >= self.most {
-            return Err(call);
+    pub fn add(&mut self, now: Time, deadline: Time, user: User, request: T) -> Result<(), T> {
+        if self.lookups.len() >= self.max_pending {
+            return Err(request);
         }
-        let number = self.next;
-        self.next += 1;
+        let number = self.next_number;
+        self.next_number += 1;
         self.by_user.entry(user.clone()).or_default().push(number);
-        self.due.insert((until, number));
-        self.calls.insert(
+        self.deadlines.insert((deadline, number));
+        self.lookups.insert(
             number,
-            Held {
-                call,
+            PendingLookup {
+                request,
                 user,
-                since: now,
-                until,
+                waiting_since: now,
+                deadline,
             },
         );
         Ok(())
@@ -97,47 +97,47 @@
     /// There is news of a user.
     pub fn finish(&mut self, user: &str) -> Vec<EndedLookup<T>> {
         let numbers = self.by_user.remove(user).unwrap_or_default();
-        let mut woken = Vec::with_capacity(numbers.len());
+        let mut ended = Vec::with_capacity(numbers.len());
         for number in numbers {
-            if let Some(held) = self.calls.remove(&number) {
-                self.due.remove(&(held.until, number));
-                woken.push(held.woken(false));
+            if let Some(lookup) = self.lookups.remove(&number) {
+                self.deadlines.remove(&(lookup.deadline, number));
+                ended.push(lookup.end(false));
             }
         }
-        woken
+        ended
     }
 
     /// Those whose time is up.
     pub fn expire(&mut self, now: Time) -> Vec<EndedLookup<T>> {
-        let mut woken = Vec::new();
-        while let Some(&(at, number)) = self.due.first().filter(|d| d.0 <= now) {
-            self.due.remove(&(at, number));
-            let Some(held) = self.calls.remove(&number) else {
+        let mut ended = Vec::new();
+        while let Some(&(at, number)) = self.deadlines.first().filter(|d| d.0 <= now) {
+            self.deadlines.remove(&(at, number));
+            let Some(lookup) = self.lookups.remove(&number) else {
                 continue;
             };
-            self.unlist(&held.user, number);
-            woken.push(held.woken(true));
+            self.remove_from_user(&lookup.user, number);
+            ended.push(lookup.end(true));
         }
-        woken
+        ended
     }
 
     /// Takes out all calls that are not wanted any more.
     pub fn cancel(&mut self, mut gone: impl FnMut(&T) -> bool) {
         let numbers: Vec<u64> = self
-            .calls
+            .lookups
             .iter()
-            .filter(|(_, c)| gone(&c.call))
+            .filter(|(_, c)| gone(&c.request))
             .map(|(n, _)| *n)
             .collect();
         for number in numbers {
-            if let Some(held) = self.calls.remove(&number) {
-                self.due.remove(&(held.until, number));
-                self.unlist(&held.user, number);
+            if let Some(lookup) = self.lookups.remove(&number) {
+                self.deadlines.remove(&(lookup.deadline, number));
+                self.remove_from_user(&lookup.user, number);
             }
         }
     }
 
-    fn unlist(&mut self, user: &User, number: u64) {
+    fn remove_from_user(&mut self, user: &User, number: u64) {
         if let Some(numbers) = self.by_user.get_mut(user) {
             numbers.retain(|n| *n != number);
             if numbers.is_empty() {
--- a/crates/pipithub-directory/src/map.rs
+++ b/crates/pipithub-directory/src/persistent_map.rs
@@ -15,23 +15,23 @@
 const TABLES: usize = 256;
 
 type Table<K, V> = HashMap<K, V, RandomState>;
-type List<K, V> = Arc<[Arc<Table<K, V>>]>;
+type TableList<K, V> = Arc<[Arc<Table<K, V>>]>;
 
 /// The map.
 #[derive(Clone, Debug)]
-pub(crate) struct Map<K, V> {
-    lists: Arc<[List<K, V>]>,
+pub(crate) struct PersistentMap<K, V> {
+    lists: Arc<[TableList<K, V>]>,
     len: usize,
     /// Keyed by chance: nobody can choose names that all fall into one table.
     hasher: RandomState,
 }
 
-impl<K: Clone + Eq + Hash, V: Clone> Map<K, V> {
+impl<K: Clone + Eq + Hash, V: Clone> PersistentMap<K, V> {
     pub(crate) fn new() -> Self {
         let hasher = RandomState::new();
         let empty = Arc::new(Table::with_hasher(hasher.clone()));
-        let list: List<K, V> = (0..TABLES).map(|_| empty.clone()).collect();
-        Map {
+        let list: TableList<K, V> = (0..TABLES).map(|_| empty.clone()).collect();
+        PersistentMap {
             lists: (0..LISTS).map(|_| list.clone()).collect(),
             len: 0,
             hasher,
--- a/crates/pipithub-directory/src/map/tests.rs
+++ b/crates/pipithub-directory/src/persistent_map/tests.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::{ProptestConfig, any, prop_assert, prop_assert_eq, proptest};
 
-use super::Map;
+use super::PersistentMap;
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
@@ -12,7 +12,7 @@
     /// As a plain map; and what was shared before a change never shows it.
     #[test]
     fn versions_stay_as_they_were(steps in proptest::collection::vec((0u16..300, any::<Option<u8>>()), 0..400)) {
-        let (mut map, mut model) = (Map::new(), BTreeMap::new());
+        let (mut map, mut model) = (PersistentMap::new(), BTreeMap::new());
         let mut versions = Vec::new();
         for (n, (key, value)) in steps.into_iter().enumerate() {
             if n % 50 == 0 {
--- a/crates/pipithub-directory/src/publish.rs
+++ b/crates/pipithub-directory/src/publisher.rs
@@ -8,7 +8,7 @@
 use crate::Roster;
 
 /// Versions that are kept after their time.
-const KEPT_MOST: usize = 1_024;
+const MAX_RETIRED: usize = 1_024;
 
 /// Where readers find the newest version.
 ///
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub struct Publisher {
     newest: Arc<ArcSwap<Roster>>,
-    kept: VecDeque<Arc<Roster>>,
+    retired: VecDeque<Arc<Roster>>,
 }
 
 impl Publisher {
@@ -25,7 +25,7 @@
     pub fn new(roster: &Roster) -> Self {
         Publisher {
             newest: Arc::new(ArcSwap::from_pointee(roster.clone())),
-            kept: VecDeque::new(),
+            retired: VecDeque::new(),
         }
     }
 
@@ -36,15 +36,15 @@
 
     /// Puts a version in place of the one before.
     pub fn publish(&mut self, roster: &Roster) {
-        self.kept
+        self.retired
             .push_back(self.newest.swap(Arc::new(roster.clone())));
         while self
-            .kept
+            .retired
             .front()
             .is_some_and(|old| Arc::strong_count(old) == 1)
-            || self.kept.len() > KEPT_MOST
+            || self.retired.len() > MAX_RETIRED
         {
-            self.kept.pop_front();
+            self.retired.pop_front();
         }
     }
 }
--- a/crates/pipithub-directory/src/publish/tests.rs
+++ b/crates/pipithub-directory/src/publisher/tests.rs
@@ -23,5 +23,5 @@
     assert_eq!(Arc::strong_count(&read), 2, "the writer has it still");
     drop(read);
     publisher.publish(core.roster());
-    assert_eq!(publisher.kept.len(), 0);
+    assert_eq!(publisher.retired.len(), 0);
 }
--- a/crates/pipithub-directory/src/record.rs
+++ b/crates/pipithub-directory/src/record.rs
@@ -61,14 +61,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum LookupRecords {
     One(LookupRecord),
-    More(Box<[LookupRecord]>),
+    Several(Box<[LookupRecord]>),
 }
 
 impl LookupRecords {
     pub(crate) fn as_slice(&self) -> &[LookupRecord] {
         match self {
-            LookupRecords::One(claim) => std::slice::from_ref(claim),
-            LookupRecords::More(claims) => claims,
+            LookupRecords::One(record) => std::slice::from_ref(record),
+            LookupRecords::Several(records) => records,
         }
     }
 
@@ -77,18 +77,18 @@
     }
 
     /// The same with this claim in place of the directory's earlier one.
-    pub(crate) fn with(&self, claim: LookupRecord) -> LookupRecords {
+    pub(crate) fn with(&self, record: LookupRecord) -> LookupRecords {
         match self {
-            LookupRecords::One(old) if old.directory == claim.directory => {
-                LookupRecords::One(claim)
+            LookupRecords::One(old) if old.directory == record.directory => {
+                LookupRecords::One(record)
             }
             _ => {
                 let others = self
                     .as_slice()
                     .iter()
-                    .filter(|c| c.directory != claim.directory)
+                    .filter(|c| c.directory != record.directory)
                     .copied();
-                LookupRecords::More(others.chain([claim]).collect())
+                LookupRecords::Several(others.chain([record]).collect())
             }
         }
     }
--- a/crates/pipithub-directory/src/roster.rs
+++ b/crates/pipithub-directory/src/roster.rs
@@ -5,10 +5,10 @@
 
 use compact_str::CompactString;
 
-use crate::map::Map;
+use crate::persistent_map::PersistentMap;
 use crate::record::{LookupRecord, LookupRecords, LookupResult, PersonId, TenantId};
 use crate::settings::Lifetimes;
-use crate::time::{MS, Time, ms};
+use crate::time::{MILLISECOND, Time, to_ms};
 
 /// What to do about a fact beside using it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,8 +47,8 @@
 #[derive(Clone, Debug)]
 pub struct Roster {
     /// Names of up to 24 bytes stand in their place: to look one up fetches nothing more from memory.
-    pub(crate) users: Map<CompactString, LookupRecords>,
-    pub(crate) directories: Arc<[Facts]>,
+    pub(crate) users: PersistentMap<CompactString, LookupRecords>,
+    pub(crate) directories: Arc<[DirectoryStatus]>,
     pub(crate) realms: Arc<HashMap<Box<str>, Vec<u16>>>,
     /// Directories for names without a realm that any directory has.
     pub(crate) others: Arc<[u16]>,
@@ -56,12 +56,12 @@
 
 /// What a roster knows of a directory itself.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Facts {
+pub(crate) struct DirectoryStatus {
     pub(crate) lifetimes: Lifetimes,
     /// It is followed, and what is known of it was complete then, in milliseconds.
-    pub(crate) followed: Option<i64>,
+    pub(crate) synchronized_at_ms: Option<i64>,
     /// None of its servers answers at its usual pace: to wait for one would be in vain.
-    pub(crate) slow: bool,
+    pub(crate) is_slow: bool,
 }
 
 impl Roster {
@@ -88,15 +88,17 @@
         }
     }
 
-    fn age(&self, claim: &LookupRecord, now_ms: i64) -> Time {
-        let followed = self
+    fn age(&self, record: &LookupRecord, now_ms: i64) -> Time {
+        let synchronized_at_ms = self
             .directories
-            .get(usize::from(claim.directory))
-            .and_then(|d| d.followed);
-        let confirmed = claim.confirmed_at_ms.max(followed.unwrap_or(i64::MIN));
+            .get(usize::from(record.directory))
+            .and_then(|d| d.synchronized_at_ms);
+        let confirmed = record
+            .confirmed_at_ms
+            .max(synchronized_at_ms.unwrap_or(i64::MIN));
         u64::try_from(now_ms.saturating_sub(confirmed))
             .unwrap_or(0)
-            .saturating_mul(MS)
+            .saturating_mul(MILLISECOND)
     }
 
     /// What a user is now.
@@ -106,38 +108,40 @@
     /// old one of them is: its directory may merely be out of reach, and to choose would let whoever creates an entry in
     /// the other have the user's calls.
     pub fn resolve(&self, user: &str, now: Time) -> Resolution {
-        let now_ms = ms(now);
-        let claims = self
+        let now_ms = to_ms(now);
+        let records = self
             .users
             .get(user)
             .map_or(&[][..], LookupRecords::as_slice);
-        let mut found: Option<(LookupRecord, TenantId, Time, Facts)> = None;
+        let mut found: Option<(LookupRecord, TenantId, Time, DirectoryStatus)> = None;
         let mut absent = 0;
-        for claim in claims {
-            let Some(facts) = self.directories.get(usize::from(claim.directory)) else {
+        for record in records {
+            let Some(status) = self.directories.get(usize::from(record.directory)) else {
                 continue;
             };
-            let age = self.age(claim, now_ms);
-            match claim.result {
-                LookupResult::Tenant(tenant) if age < facts.lifetimes.max_stale => match found {
+            let age = self.age(record, now_ms);
+            match record.result {
+                LookupResult::Tenant(tenant) if age < status.lifetimes.max_stale => match found {
                     Some((_, other, ..)) if other != tenant => return Resolution::Ambiguous,
                     Some((.., known, _)) if known <= age => {}
-                    _ => found = Some((*claim, tenant, age, *facts)),
+                    _ => found = Some((*record, tenant, age, *status)),
                 },
-                LookupResult::Ambiguous if age < facts.lifetimes.negative => {
+                LookupResult::Ambiguous if age < status.lifetimes.negative => {
                     return Resolution::Ambiguous;
                 }
-                LookupResult::Absent if age < facts.lifetimes.negative => absent += 1,
+                LookupResult::Absent if age < status.lifetimes.negative => absent += 1,
                 _ => {}
             }
         }
-        if let Some((claim, tenant, age, facts)) = found {
-            let lifetimes = facts.lifetimes;
-            let person = claim.person;
-            let early = lifetimes.fresh / 1024 * u64::from(claim.refresh_jitter);
+        if let Some((record, tenant, age, status)) = found {
+            let lifetimes = status.lifetimes;
+            let person = record.person;
+            let early = lifetimes.fresh / 1024 * u64::from(record.refresh_jitter);
             let refresh = match age {
                 a if a < lifetimes.fresh / 4 * 3 + early => Refresh::NotNeeded,
-                a if a < lifetimes.fresh.saturating_mul(2) || facts.slow => Refresh::InBackground,
+                a if a < lifetimes.fresh.saturating_mul(2) || status.is_slow => {
+                    Refresh::InBackground
+                }
                 _ => Refresh::BeforeUse,
             };
             return Resolution::Tenant {
@@ -150,16 +154,16 @@
         let relevant = self.directories_for(user);
         // A directory that is followed and complete knows of everybody whom it does not name that they are not there.
         let complete = |d: &u16| {
-            let facts = &self.directories[usize::from(*d)];
+            let status = &self.directories[usize::from(*d)];
             let age = |at: i64| {
                 u64::try_from(now_ms.saturating_sub(at))
                     .unwrap_or(0)
-                    .saturating_mul(MS)
+                    .saturating_mul(MILLISECOND)
             };
-            facts
-                .followed
-                .is_some_and(|at| age(at) < facts.lifetimes.negative)
-                && !claims.iter().any(|c| c.directory == *d)
+            status
+                .synchronized_at_ms
+                .is_some_and(|at| age(at) < status.lifetimes.negative)
+                && !records.iter().any(|c| c.directory == *d)
         };
         let known = absent + relevant.iter().filter(|d| complete(d)).count();
         if known >= relevant.len() {
@@ -171,10 +175,13 @@
 
     /// All claims on a user, with their ages, for operators.
     pub fn explain(&self, user: &str, now: Time) -> Vec<(LookupRecord, Time)> {
-        let claims = self
+        let records = self
             .users
             .get(user)
             .map_or(&[][..], LookupRecords::as_slice);
-        claims.iter().map(|c| (*c, self.age(c, ms(now)))).collect()
+        records
+            .iter()
+            .map(|c| (*c, self.age(c, to_ms(now))))
+            .collect()
     }
 }
--- a/crates/pipithub-directory/src/settings.rs
+++ b/crates/pipithub-directory/src/settings.rs
@@ -2,8 +2,8 @@
 
 use pipithub_ldap::Dn;
 
-use crate::peak::DailyPeak;
-use crate::time::{MS, Time};
+use crate::daily_peak::DailyPeak;
+use crate::time::{MILLISECOND, Time};
 
 /// A tenant's place in a directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -56,7 +56,7 @@
 
 impl Default for DirectorySettings {
     fn default() -> Self {
-        const S: Time = 1_000 * MS;
+        const S: Time = 1_000 * MILLISECOND;
         DirectorySettings {
             server_count: 1,
             realms: Vec::new(),
@@ -66,7 +66,7 @@
                 negative: 30 * S,
             },
             timeout: 2 * S,
-            hedge_after: 50 * MS,
+            hedge_after: 50 * MILLISECOND,
             max_users_per_search: 64,
             max_searches_per_server: 4,
             max_searches_per_second: 50.0,
--- a/crates/pipithub-directory/src/snapshot.rs
+++ b/crates/pipithub-directory/src/snapshot.rs
@@ -11,14 +11,14 @@
 
 use crate::record::{LookupRecord, LookupResult, PersonId, TenantId, User};
 use crate::roster::Roster;
-use crate::time::{Time, ms};
+use crate::time::{Time, to_ms};
 
 const MAGIC: &[u8; 8] = b"pphroste";
 const VERSION: u16 = 1;
-const SEAL: usize = 32;
-const HEAD: usize = 8 + 2 + 32 + 8 + 8;
+const SEAL_LENGTH: usize = 32;
+const HEADER_LENGTH: usize = 8 + 2 + 32 + 8 + 8;
 /// A snapshot from further ahead than this is refused, and one from less far ahead is taken to be as old.
-const AHEAD_MOST_MS: i64 = 60_000;
+const MAX_AHEAD_MS: i64 = 60_000;
 
 /// A user's record as a snapshot holds it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -65,37 +65,43 @@
 }
 
 /// Writes what is known and not past its bound.
-pub fn write(roster: &Roster, now: Time, wall_ms: i64, of: [u8; 32], key: &[u8]) -> Vec<u8> {
-    let mut out = Vec::with_capacity(HEAD + roster.len() * 64 + SEAL);
+pub fn write(
+    roster: &Roster,
+    now: Time,
+    wall_ms: i64,
+    fingerprint: [u8; 32],
+    key: &[u8],
+) -> Vec<u8> {
+    let mut out = Vec::with_capacity(HEADER_LENGTH + roster.len() * 64 + SEAL_LENGTH);
     out.extend(MAGIC);
     out.extend(VERSION.to_be_bytes());
-    out.extend(of);
+    out.extend(fingerprint);
     out.extend(wall_ms.to_be_bytes());
     let count_at = out.len();
     out.extend(0u64.to_be_bytes());
     let mut count = 0u64;
-    for (user, claims) in roster.users.iter() {
-        for claim in claims.as_slice() {
-            let Some(facts) = roster.directories.get(usize::from(claim.directory)) else {
+    for (user, records) in roster.users.iter() {
+        for record in records.as_slice() {
+            let Some(status) = roster.directories.get(usize::from(record.directory)) else {
                 continue;
             };
-            let LookupResult::Tenant(tenant) = claim.result else {
+            let LookupResult::Tenant(tenant) = record.result else {
                 continue;
             };
-            let confirmed = claim
+            let confirmed = record
                 .confirmed_at_ms
-                .max(facts.followed.unwrap_or(i64::MIN));
-            let age = ms(now).saturating_sub(confirmed);
-            if age >= ms(facts.lifetimes.max_stale) {
+                .max(status.synchronized_at_ms.unwrap_or(i64::MIN));
+            let age = to_ms(now).saturating_sub(confirmed);
+            if age >= to_ms(status.lifetimes.max_stale) {
                 continue;
             }
             count += 1;
             out.extend((user.len() as u16).to_be_bytes());
             out.extend(user.as_bytes());
-            out.extend(claim.directory.to_be_bytes());
+            out.extend(record.directory.to_be_bytes());
             out.extend(tenant.0.to_be_bytes());
-            out.extend(claim.person.0.to_be_bytes());
-            out.extend(claim.change_number.to_be_bytes());
+            out.extend(record.person.0.to_be_bytes());
+            out.extend(record.change_number.to_be_bytes());
             out.extend(age.max(0).to_be_bytes());
         }
     }
@@ -105,9 +111,9 @@
     out
 }
 
-struct Bytes<'a>(&'a [u8]);
+struct SnapshotReader<'a>(&'a [u8]);
 
-impl Bytes<'_> {
+impl SnapshotReader<'_> {
     fn take<const N: usize>(&mut self) -> Option<[u8; N]> {
         let (head, rest) = self.0.split_first_chunk::<N>()?;
         self.0 = rest;
@@ -123,46 +129,49 @@
 }
 
 /// The milliseconds that have passed since a snapshot was written.
-fn time_since(written_ms: i64, wall_ms: i64) -> Result<i64, SnapshotError> {
+fn elapsed_ms(written_ms: i64, wall_ms: i64) -> Result<i64, SnapshotError> {
     let passed = wall_ms.saturating_sub(written_ms);
-    if passed < -AHEAD_MOST_MS {
+    if passed < -MAX_AHEAD_MS {
         return Err(SnapshotError::FromFuture(passed.saturating_neg()));
     }
-    Ok(if passed < 0 { AHEAD_MOST_MS } else { passed })
+    Ok(if passed < 0 { MAX_AHEAD_MS } else { passed })
 }
 
 /// Reads a snapshot: facts with their age by now. `tenants` and `directories` bound what it may name; facts older than
-/// `most` are left out.
+/// `max_age` are left out.
 pub fn read(
     bytes: &[u8],
     now: Time,
     wall_ms: i64,
-    of: [u8; 32],
+    fingerprint: [u8; 32],
     key: &[u8],
-    most: impl Fn(u16) -> Option<Time>,
+    max_age: impl Fn(u16) -> Option<Time>,
 ) -> Result<Vec<StoredRecord>, SnapshotError> {
-    if bytes.len() < HEAD + SEAL || &bytes[..8] != MAGIC || bytes[8..10] != VERSION.to_be_bytes() {
+    if bytes.len() < HEADER_LENGTH + SEAL_LENGTH
+        || &bytes[..8] != MAGIC
+        || bytes[8..10] != VERSION.to_be_bytes()
+    {
         return Err(SnapshotError::NotASnapshot);
     }
-    let (body, tag) = bytes.split_at(bytes.len() - SEAL);
+    let (body, tag) = bytes.split_at(bytes.len() - SEAL_LENGTH);
     seal(key, body)
         .verify_slice(tag)
         .map_err(|_| SnapshotError::SealMismatch)?;
-    let mut rest = Bytes(&body[10..]);
+    let mut rest = SnapshotReader(&body[10..]);
     let (Some(written_for), Some(at), Some(count)) = (rest.take::<32>(), rest.take(), rest.take())
     else {
         return Err(SnapshotError::NotASnapshot);
     };
-    if written_for != of {
+    if written_for != fingerprint {
         return Err(SnapshotError::OtherDirectories);
     }
-    let passed = time_since(i64::from_be_bytes(at), wall_ms)?;
-    let mut facts = Vec::new();
+    let passed = elapsed_ms(i64::from_be_bytes(at), wall_ms)?;
+    let mut status = Vec::new();
     for number in 0..u64::from_be_bytes(count) {
         let fact = (|| {
             let user = rest.text()?;
             let directory = u16::from_be_bytes(rest.take()?);
-            let told = LookupResult::Tenant(TenantId(u16::from_be_bytes(rest.take()?)));
+            let result = LookupResult::Tenant(TenantId(u16::from_be_bytes(rest.take()?)));
             let person = PersonId(u64::from_be_bytes(rest.take()?));
             let mark = u64::from_be_bytes(rest.take()?);
             let age = i64::from_be_bytes(rest.take()?).saturating_add(passed);
@@ -170,23 +179,20 @@
                 user,
                 LookupRecord {
                     directory,
-                    result: told,
+                    result,
                     person,
                     change_number: mark,
-                    confirmed_at_ms: ms(now).saturating_sub(age),
+                    confirmed_at_ms: to_ms(now).saturating_sub(age),
                     refresh_jitter: number as u8,
                     last_wanted_day: 0,
                 },
                 age,
             ))
         })();
-        let (user, claim, age) = fact.ok_or(SnapshotError::NotASnapshot)?;
-        if most(claim.directory).is_some_and(|most| age < ms(most)) {
-            facts.push(StoredRecord {
-                user,
-                record: claim,
-            });
+        let (user, record, age) = fact.ok_or(SnapshotError::NotASnapshot)?;
+        if max_age(record.directory).is_some_and(|max_age| age < to_ms(max_age)) {
+            status.push(StoredRecord { user, record });
         }
     }
-    Ok(facts)
+    Ok(status)
 }
