--- a/crates/pipithub-directory/src/pending_lookups.rs
+++ b/crates/pipithub-directory/src/pending_lookups.rs
@@ -1,22 +1,24 @@
-//! Calls whose user is not known yet, each waiting for a bounded time.
+//! Requests whose user is not known yet, each waiting for a bounded time.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use crate::{Time, User};
+use crate::record::User;
+use crate::time::Time;
 
-/// A call that waits no longer.
+/// A request that waits no longer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedLookup<T> {
-    /// The call.
+    /// The request.
     pub request: T,
     /// Its user.
     pub user: User,
     /// When it began to wait.
     pub waiting_since: Time,
-    /// Its time was up; else there is news of its user.
+    /// Its time was up; otherwise the look-up of its user finished.
     pub timed_out: bool,
 }
 
+/// A request that waits.
 #[derive(Debug)]
 struct PendingLookup<T> {
     request: T,
@@ -36,18 +38,26 @@
     }
 }
 
-/// Calls that wait.
+/// When a request's time is up.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Deadline {
+    at: Time,
+    number: u64,
+}
+
+/// Requests that wait for the look-up of their user.
 #[derive(Debug)]
 pub struct PendingLookups<T> {
     max_pending: usize,
+    /// By a number that grows with each request.
     lookups: BTreeMap<u64, PendingLookup<T>>,
     by_user: HashMap<User, Vec<u64>>,
-    deadlines: BTreeSet<(Time, u64)>,
+    deadlines: BTreeSet<Deadline>,
     next_number: u64,
 }
 
 impl<T> PendingLookups<T> {
-    /// At most so many.
+    /// None yet; at most so many.
     pub fn new(max_pending: usize) -> Self {
         PendingLookups {
             max_pending,
@@ -63,17 +73,17 @@
         self.lookups.len()
     }
 
-    /// Whether none does.
+    /// Whether none waits.
     pub fn is_empty(&self) -> bool {
         self.lookups.is_empty()
     }
 
     /// When the next one's time is up.
     pub fn next_due(&self) -> Option<Time> {
-        self.deadlines.first().map(|d| d.0)
+        self.deadlines.first().map(|deadline| deadline.at)
     }
 
-    /// Has a call wait until then; the call itself where as many wait as may.
+    /// Has a request wait until a deadline; gives it back where as many wait as may.
     pub fn add(&mut self, now: Time, deadline: Time, user: User, request: T) -> Result<(), T> {
         if self.lookups.len() >= self.max_pending {
             return Err(request);
@@ -81,38 +91,35 @@
         let number = self.next_number;
         self.next_number += 1;
         self.by_user.entry(user.clone()).or_default().push(number);
-        self.deadlines.insert((deadline, number));
-        self.lookups.insert(
+        self.deadlines.insert(Deadline {
+            at: deadline,
             number,
-            PendingLookup {
-                request,
-                user,
-                waiting_since: now,
-                deadline,
-            },
-        );
+        });
+        let lookup = PendingLookup {
+            request,
+            user,
+            waiting_since: now,
+            deadline,
+        };
+        self.lookups.insert(number, lookup);
         Ok(())
     }
 
-    /// There is news of a user.
+    /// The look-up of a user finished: takes out all requests that wait for it.
     pub fn finish(&mut self, user: &str) -> Vec<EndedLookup<T>> {
         let numbers = self.by_user.remove(user).unwrap_or_default();
-        let mut ended = Vec::with_capacity(numbers.len());
-        for number in numbers {
-            if let Some(lookup) = self.lookups.remove(&number) {
-                self.deadlines.remove(&(lookup.deadline, number));
-                ended.push(lookup.end(false));
-            }
-        }
-        ended
+        numbers
+            .into_iter()
+            .filter_map(|number| self.remove(number))
+            .map(|lookup| lookup.end(false))
+            .collect()
     }
 
-    /// Those whose time is up.
+    /// Takes out the requests whose time is up.
     pub fn expire(&mut self, now: Time) -> Vec<EndedLookup<T>> {
         let mut ended = Vec::new();
-        while let Some(&(at, number)) = self.deadlines.first().filter(|d| d.0 <= now) {
-            self.deadlines.remove(&(at, number));
-            let Some(lookup) = self.lookups.remove(&number) else {
+        while let Some(number) = self.pop_expired(now) {
+            let Some(lookup) = self.remove(number) else {
                 continue;
             };
             self.remove_from_user(&lookup.user, number);
@@ -121,25 +128,43 @@
         ended
     }
 
-    /// Takes out all calls that are not wanted any more.
-    pub fn cancel(&mut self, mut gone: impl FnMut(&T) -> bool) {
+    /// Drops all requests that are not wanted any more.
+    pub fn cancel(&mut self, mut is_cancelled: impl FnMut(&T) -> bool) {
         let numbers: Vec<u64> = self
             .lookups
             .iter()
-            .filter(|(_, c)| gone(&c.request))
-            .map(|(n, _)| *n)
+            .filter(|(_, lookup)| is_cancelled(&lookup.request))
+            .map(|(number, _)| *number)
             .collect();
         for number in numbers {
-            if let Some(lookup) = self.lookups.remove(&number) {
-                self.deadlines.remove(&(lookup.deadline, number));
+            if let Some(lookup) = self.remove(number) {
                 self.remove_from_user(&lookup.user, number);
             }
         }
     }
 
+    /// Takes out the first deadline that is over; the number of its request.
+    fn pop_expired(&mut self, now: Time) -> Option<u64> {
+        let first = self.deadlines.first()?;
+        if first.at > now {
+            return None;
+        }
+        self.deadlines.pop_first().map(|deadline| deadline.number)
+    }
+
+    /// Takes a request out with its deadline; its user still lists it.
+    fn remove(&mut self, number: u64) -> Option<PendingLookup<T>> {
+        let lookup = self.lookups.remove(&number)?;
+        self.deadlines.remove(&Deadline {
+            at: lookup.deadline,
+            number,
+        });
+        Some(lookup)
+    }
+
     fn remove_from_user(&mut self, user: &User, number: u64) {
         if let Some(numbers) = self.by_user.get_mut(user) {
-            numbers.retain(|n| *n != number);
+            numbers.retain(|other| *other != number);
             if numbers.is_empty() {
                 self.by_user.remove(user);
             }
--- a/crates/pipithub-directory/src/persistent_map.rs
+++ b/crates/pipithub-directory/src/persistent_map.rs
@@ -1,28 +1,36 @@
-//! A persistent map of users: cloning shares everything, a change copies what it touches.
+//! A persistent map: cloning shares everything, a change copies what it touches.
 //!
 //! `imbl`'s hash trie was used first. With a million users it took 301 bytes an entry and 698 ns a look-up: its nodes have
-//! room for many more entries than they hold. Here the users are dealt out over a fixed number of tables, listed on two
-//! levels; a change copies one small table, and each of the two lists once for each version that was shared. With one
-//! list of 4,096 larger tables a refresh of everybody took 32 s, nearly all of it copying. See `docs/measurements.md`.
+//! capacity for many more entries than they hold. Here the entries are distributed over a fixed number of tables, listed
+//! on two levels; a change copies one small table, and each of the two lists once for each version that was shared. With
+//! one list of 4,096 larger tables a refresh of all users took 32 s, nearly all of it copying. See `docs/measurements.md`.
 
 use std::borrow::Borrow;
 use std::collections::HashMap;
 use std::hash::{BuildHasher, Hash, RandomState};
 use std::sync::Arc;
 
-/// Lists of tables, and tables in a list. At a million users each holds some sixteen.
+/// Lists of tables.
 const LISTS: usize = 256;
+/// Tables in a list. At a million users each holds some sixteen.
 const TABLES: usize = 256;
 
 type Table<K, V> = HashMap<K, V, RandomState>;
 type TableList<K, V> = Arc<[Arc<Table<K, V>>]>;
 
-/// The map.
+/// Where the table of a key is.
+#[derive(Clone, Copy)]
+struct Position {
+    list: usize,
+    table: usize,
+}
+
+/// A persistent hash map.
 #[derive(Clone, Debug)]
 pub(crate) struct PersistentMap<K, V> {
     lists: Arc<[TableList<K, V>]>,
     len: usize,
-    /// Keyed by chance: nobody can choose names that all fall into one table.
+    /// Keyed at random: nobody can choose keys that all fall into one table.
     hasher: RandomState,
 }
 
@@ -38,15 +46,19 @@
         }
     }
 
-    fn place<Q: Hash + ?Sized>(&self, key: &Q) -> (usize, usize) {
+    fn position<Q: Hash + ?Sized>(&self, key: &Q) -> Position {
         // The tables themselves use the same hash: its highest and lowest bits sort within a table, these choose it.
         let hash = self.hasher.hash_one(key) >> 24;
-        (hash as usize % LISTS, (hash >> 8) as usize % TABLES)
+        Position {
+            list: hash as usize % LISTS,
+            table: (hash >> 8) as usize % TABLES,
+        }
     }
 
-    fn table_mut(&mut self, (list, table): (usize, usize)) -> &mut Table<K, V> {
-        let list = &mut Arc::make_mut(&mut self.lists)[list];
-        Arc::make_mut(&mut Arc::make_mut(list)[table])
+    fn table_mut(&mut self, position: Position) -> &mut Table<K, V> {
+        let lists = Arc::make_mut(&mut self.lists);
+        let tables = Arc::make_mut(&mut lists[position.list]);
+        Arc::make_mut(&mut tables[position.table])
     }
 
     pub(crate) fn len(&self) -> usize {
@@ -62,8 +74,8 @@
         K: Borrow<Q>,
         Q: Hash + Eq + ?Sized,
     {
-        let (list, table) = self.place(key);
-        self.lists[list][table].get(key)
+        let position = self.position(key);
+        self.lists[position.list][position.table].get(key)
     }
 
     pub(crate) fn contains_key<Q>(&self, key: &Q) -> bool
@@ -75,8 +87,8 @@
     }
 
     pub(crate) fn insert(&mut self, key: K, value: V) {
-        let place = self.place(&key);
-        if self.table_mut(place).insert(key, value).is_none() {
+        let position = self.position(&key);
+        if self.table_mut(position).insert(key, value).is_none() {
             self.len += 1;
         }
     }
@@ -86,11 +98,12 @@
         K: Borrow<Q>,
         Q: Hash + Eq + ?Sized,
     {
+        // A key that is not there must not copy its table.
         if !self.contains_key(key) {
             return None;
         }
-        let place = self.place(key);
-        let removed = self.table_mut(place).remove(key);
+        let position = self.position(key);
+        let removed = self.table_mut(position).remove(key);
         self.len -= usize::from(removed.is_some());
         removed
     }
@@ -98,7 +111,7 @@
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&K, &V)> {
         self.lists
             .iter()
-            .flat_map(|list| list.iter())
+            .flat_map(|tables| tables.iter())
             .flat_map(|table| table.iter())
     }
 }
--- a/crates/pipithub-directory/src/persistent_map/tests.rs
+++ b/crates/pipithub-directory/src/persistent_map/tests.rs
@@ -21,7 +21,9 @@
             if let Some(value) = value {
                 map.insert(key, value);
                 model.insert(key, value);
-            } else { prop_assert_eq!(map.remove(&key), model.remove(&key)) }
+            } else {
+                prop_assert_eq!(map.remove(&key), model.remove(&key));
+            }
         }
         versions.push((map, model));
         for (map, model) in versions {
--- a/crates/pipithub-directory/src/publisher.rs
+++ b/crates/pipithub-directory/src/publisher.rs
@@ -5,18 +5,19 @@
 
 use arc_swap::ArcSwap;
 
-use crate::Roster;
+use crate::roster::Roster;
 
-/// Versions that are kept after their time.
+/// Versions that are retained after they were replaced.
 const MAX_RETIRED: usize = 1_024;
 
-/// Where readers find the newest version.
+/// Where readers find the newest version of a roster.
 ///
-/// A reader that holds a version when the next one takes its place must not be the one that frees it: that took over a
-/// millisecond on the path of a call. The writer keeps each until nobody else has it, and frees it itself.
+/// A reader that holds a version when the next one replaces it must not be the one that frees it: that took over a
+/// millisecond on the path of a request. The writer retains each until nobody else has it, and frees it itself.
 #[derive(Debug)]
 pub struct Publisher {
     newest: Arc<ArcSwap<Roster>>,
+    /// Replaced versions, the oldest first.
     retired: VecDeque<Arc<Roster>>,
 }
 
@@ -29,24 +30,26 @@
         }
     }
 
-    /// Where readers look.
+    /// Where readers load the newest version.
     pub fn newest(&self) -> Arc<ArcSwap<Roster>> {
         self.newest.clone()
     }
 
-    /// Puts a version in place of the one before.
+    /// Replaces the newest version.
     pub fn publish(&mut self, roster: &Roster) {
-        self.retired
-            .push_back(self.newest.swap(Arc::new(roster.clone())));
-        while self
-            .retired
-            .front()
-            .is_some_and(|old| Arc::strong_count(old) == 1)
-            || self.retired.len() > MAX_RETIRED
-        {
+        let replaced = self.newest.swap(Arc::new(roster.clone()));
+        self.retired.push_back(replaced);
+        while self.retired.len() > MAX_RETIRED || self.oldest_is_unused() {
             self.retired.pop_front();
         }
     }
+
+    /// Whether no reader has the oldest of the replaced versions any more.
+    fn oldest_is_unused(&self) -> bool {
+        self.retired
+            .front()
+            .is_some_and(|oldest| Arc::strong_count(oldest) == 1)
+    }
 }
 
 #[cfg(test)]
--- a/crates/pipithub-directory/src/publisher/tests.rs
+++ b/crates/pipithub-directory/src/publisher/tests.rs
@@ -15,13 +15,13 @@
         seed: 1,
         wall_clock_offset_ms: 0,
     };
-    let core = Directory::new(settings);
-    let mut publisher = Publisher::new(core.roster());
+    let directory = Directory::new(settings);
+    let mut publisher = Publisher::new(directory.roster());
     let read = publisher.newest().load_full();
-    publisher.publish(core.roster());
-    publisher.publish(core.roster());
+    publisher.publish(directory.roster());
+    publisher.publish(directory.roster());
     assert_eq!(Arc::strong_count(&read), 2, "the writer has it still");
     drop(read);
-    publisher.publish(core.roster());
+    publisher.publish(directory.roster());
     assert_eq!(publisher.retired.len(), 0);
 }
