--- /dev/null
+++ b/crates/pipithub-directory/src/directory/dispatch.rs
@@ -0,0 +1,119 @@
+//! From queued users to searches, and what becomes of searches that are not answered in time.
+
+use crate::directory::Directory;
+use crate::messages::Output;
+use crate::search::{Query, SearchError, SearchId, SearchInFlight, SearchRequest};
+use crate::state::Priority;
+use crate::time::Time;
+
+impl Directory {
+    /// Starts the searches of a directory that may be started now.
+    pub(super) fn dispatch(&mut self, now: Time, directory: usize, outputs: &mut Vec<Output>) {
+        self.directories[directory].search_tokens.refill(now);
+        self.recheck_unconfirmed_changes(now, directory);
+        self.start_checks(now, directory, outputs);
+        if !self.directories[directory].is_reachable() {
+            return self.defer_lookups(directory, outputs);
+        }
+        self.resume_deferred_lookups(now, directory);
+        while let Some(search) = self.directories[directory].take_user_search(now) {
+            self.stats.searches += 1;
+            if let Query::Users(users) = &search.query {
+                self.stats.searched_users += users.len() as u64;
+            }
+            self.start_search(now, search, outputs);
+        }
+    }
+
+    /// Users with an unconfirmed change are searched for again.
+    fn recheck_unconfirmed_changes(&mut self, now: Time, directory: usize) {
+        while let Some(user) = self.directories[directory].unconfirmed.pop_due_recheck(now) {
+            self.enqueue(now, directory, user, Priority::Background);
+        }
+    }
+
+    /// No server can be searched at: requests that wait are told so at once, and all users are searched for when a server
+    /// is back.
+    fn defer_lookups(&mut self, directory: usize, outputs: &mut Vec<Output>) {
+        let state = &mut self.directories[directory];
+        let users = state.queues.drain();
+        for user in &users {
+            if state.deferred.len() < self.max_queue {
+                state.deferred.insert(user.clone());
+            }
+        }
+        self.finish_lookups(users, outputs);
+    }
+
+    /// A server is back: who was looked up meanwhile is searched for in few searches, not each at their next request.
+    fn resume_deferred_lookups(&mut self, now: Time, directory: usize) {
+        for user in std::mem::take(&mut self.directories[directory].deferred) {
+            self.enqueue(now, directory, user, Priority::Background);
+        }
+    }
+
+    /// Starts a search.
+    pub(super) fn start_search(
+        &mut self,
+        now: Time,
+        request: SearchRequest,
+        outputs: &mut Vec<Output>,
+    ) -> SearchId {
+        let id = SearchId(self.next_search);
+        self.next_search += 1;
+        outputs.push(Output::Search {
+            id,
+            directory: request.directory,
+            server: request.server,
+            query: request.query.clone(),
+        });
+        let search = self.directories[request.directory].begin_search(now, request);
+        self.searches.insert(id, search);
+        id
+    }
+
+    /// Ends the searches whose time is up.
+    pub(super) fn expire_searches(&mut self, now: Time, outputs: &mut Vec<Output>) {
+        for id in self.searches_where(|search| search.deadline <= now) {
+            if self.searches.contains_key(&id) {
+                outputs.push(Output::CancelSearch(id));
+                self.end_search(now, id, Err(SearchError::TimedOut), outputs);
+            }
+        }
+    }
+
+    /// Hedges the searches that wait for longer than usual.
+    pub(super) fn hedge_searches(&mut self, now: Time, outputs: &mut Vec<Output>) {
+        for id in self.searches_where(|search| search.hedge_at.is_some_and(|at| at <= now)) {
+            self.hedge_search(now, id, outputs);
+        }
+    }
+
+    fn hedge_search(&mut self, now: Time, id: SearchId, outputs: &mut Vec<Output>) {
+        let Some(search) = self.searches.get_mut(&id) else {
+            return;
+        };
+        search.hedge_at = None;
+        let state = &mut self.directories[search.request.directory];
+        let Some(hedge) = state.take_hedge(&search.request) else {
+            return;
+        };
+        self.stats.hedged_searches += 1;
+        let hedge_id = self.start_search(now, hedge, outputs);
+        if let Some(hedge) = self.searches.get_mut(&hedge_id) {
+            hedge.hedge_at = None;
+            hedge.hedge_partner = Some(id);
+        }
+        if let Some(search) = self.searches.get_mut(&id) {
+            search.hedge_partner = Some(hedge_id);
+        }
+    }
+
+    fn searches_where(&self, condition: impl Fn(&SearchInFlight) -> bool) -> Vec<SearchId> {
+        self.searches
+            .iter()
+            .filter(|(_, search)| condition(search))
+            .map(|(id, _)| *id)
+            .collect()
+    }
+}
--- /dev/null
+++ b/crates/pipithub-directory/src/directory/lookups.rs
@@ -0,0 +1,103 @@
+//! Look-ups of users: into which queue they go, and when their end is told.
+
+use crate::directory::Directory;
+use crate::messages::Output;
+use crate::record::{LookupRecord, User};
+use crate::roster::Resolution;
+use crate::state::{Enqueued, Priority};
+use crate::time::Time;
+
+/// Bytes of a user's name; longer ones are not looked up.
+const MAX_NAME_LENGTH: usize = 256;
+
+impl Directory {
+    /// Looks a user up in all directories that may know them.
+    pub(super) fn look_up(
+        &mut self,
+        now: Time,
+        user: User,
+        urgent: bool,
+        outputs: &mut Vec<Output>,
+    ) {
+        let relevant = self.roster.directories_for(&user).to_vec();
+        if relevant.is_empty() || user.is_empty() || user.len() > MAX_NAME_LENGTH {
+            return outputs.push(Output::LookupFinished(user));
+        }
+        self.mark_wanted(now, &user);
+        let priority = if !urgent {
+            Priority::Background
+        } else if self.roster.resolve(&user, now) == Resolution::Unknown {
+            Priority::Unknown
+        } else {
+            Priority::Confirmation
+        };
+        let mut is_pending = false;
+        for directory in relevant {
+            is_pending |= self.enqueue(now, usize::from(directory), user.clone(), priority);
+        }
+        if !is_pending {
+            // No search will come of it: no request may wait for one.
+            outputs.push(Output::LookupFinished(user));
+        }
+    }
+
+    /// Notes that a user is wanted today.
+    fn mark_wanted(&mut self, now: Time, user: &User) {
+        let today = self.day(now);
+        let Some(records) = self.roster.users.get(&**user) else {
+            return;
+        };
+        let first = records.as_slice().first().copied();
+        let Some(record) = first.filter(|record| record.last_wanted_day != today) else {
+            return;
+        };
+        let updated = records.with(LookupRecord {
+            last_wanted_day: today,
+            ..record
+        });
+        self.roster.users.insert((&**user).into(), updated);
+    }
+
+    /// Queues a user at a directory. Whether a search for them is to come.
+    pub(super) fn enqueue(
+        &mut self,
+        now: Time,
+        directory: usize,
+        user: User,
+        priority: Priority,
+    ) -> bool {
+        let state = &mut self.directories[directory];
+        let background_due = now.saturating_add(state.settings.background_delay());
+        let enqueued = state
+            .queues
+            .enqueue(user, priority, self.max_queue, background_due);
+        if enqueued == Enqueued::QueueFull {
+            self.stats.dropped_lookups += 1;
+        }
+        enqueued != Enqueued::QueueFull
+    }
+
+    /// Tells that a user's look-up has finished, unless a directory is still searched for them: the result of one of
+    /// several does not decide yet.
+    pub(super) fn finish_lookup(&self, user: User, outputs: &mut Vec<Output>) {
+        let is_pending = self
+            .roster
+            .directories_for(&user)
+            .iter()
+            .any(|directory| self.is_pending(usize::from(*directory), &user));
+        if !is_pending {
+            outputs.push(Output::LookupFinished(user));
+        }
+    }
+
+    fn is_pending(&self, directory: usize, user: &User) -> bool {
+        self.directories[directory].queues.is_pending(user)
+    }
+
+    /// Tells the end of several look-ups.
+    pub(super) fn finish_lookups(&self, users: Vec<User>, outputs: &mut Vec<Output>) {
+        for user in users {
+            self.finish_lookup(user, outputs);
+        }
+    }
+}
--- /dev/null
+++ b/crates/pipithub-directory/src/directory/records.rs
@@ -0,0 +1,144 @@
+//! Which of a directory's reports become records, and which records are cached.
+
+use pipithub_ldap::Dn;
+
+use crate::directory::Directory;
+use crate::messages::Output;
+use crate::record::{LookupRecord, LookupRecords, LookupResult, PersonId, TenantId, User};
+use crate::state::ObservedChange;
+use crate::time::{Time, to_ms};
+
+/// What a directory reports of a user, and as of when.
+pub(super) struct Observation<'a> {
+    pub(super) directory: usize,
+    pub(super) user: &'a User,
+    pub(super) result: LookupResult,
+    pub(super) person: PersonId,
+    pub(super) confirmed_at_ms: i64,
+    /// `None`: the server gives none, so that nothing shows whether its copy is outdated.
+    pub(super) change_number: Option<u64>,
+}
+
+impl Observation<'_> {
+    /// Whether it says something else of the user than a record.
+    fn differs_from(&self, record: &LookupRecord) -> bool {
+        record.result != self.result || record.person != self.person
+    }
+}
+
+impl Directory {
+    /// The tenant below whose base an entry is.
+    pub(super) fn find_tenant(&mut self, directory: usize, dn: &Dn) -> LookupResult {
+        let innermost = self
+            .tenants
+            .iter()
+            .enumerate()
+            .filter(|(_, tenant)| tenant.directory == directory && dn.is_within(&tenant.base))
+            .max_by_key(|(_, tenant)| tenant.base.depth());
+        if let Some((number, _)) = innermost {
+            LookupResult::Tenant(TenantId(number as u16))
+        } else {
+            self.stats.unexpected_entries += 1;
+            LookupResult::Absent
+        }
+    }
+
+    /// Weighs a report against what is known, and caches it if it is the better.
+    pub(super) fn observe(
+        &mut self,
+        now: Time,
+        observation: &Observation<'_>,
+        outputs: &mut Vec<Output>,
+    ) {
+        let user = observation.user;
+        let refresh_jitter = (self.jitter.next_fraction() * 256.0) as u8;
+        let known = self.roster.record(user, observation.directory).copied();
+        if known.is_some_and(|known| !self.supersedes(now, observation, &known)) {
+            return;
+        }
+        let last_wanted_day = known.map_or_else(|| self.day(now), |known| known.last_wanted_day);
+        let record = LookupRecord {
+            directory: observation.directory as u16,
+            result: observation.result,
+            person: observation.person,
+            confirmed_at_ms: observation.confirmed_at_ms,
+            change_number: observation.change_number.unwrap_or(0),
+            refresh_jitter,
+            last_wanted_day,
+        };
+        let before = self.roster.resolve(user, now).identity();
+        self.store(now, user, record);
+        let after = self.roster.resolve(user, now).identity();
+        if before.is_some() && before != after {
+            self.stats.migrated_users += 1;
+            outputs.push(Output::UserMigrated(user.clone()));
+        }
+    }
+
+    /// Whether a report replaces what the same directory reported before.
+    fn supersedes(
+        &mut self,
+        now: Time,
+        observation: &Observation<'_>,
+        known: &LookupRecord,
+    ) -> bool {
+        let change_number = observation.change_number.unwrap_or(0);
+        if change_number < known.change_number
+            || observation.confirmed_at_ms < known.confirmed_at_ms
+        {
+            // The copy is behind what was reported before, or a later response has overtaken this one.
+            self.stats.outdated_results += 1;
+            return false;
+        }
+        let state = &mut self.directories[observation.directory];
+        if !observation.differs_from(known) {
+            state.unconfirmed.discard(observation.user);
+            return true;
+        }
+        let max_age_ms = to_ms(state.settings.lifetimes.max_stale);
+        let is_valid_tenant = known.result.is_tenant() && known.age_ms(now) < max_age_ms;
+        if !is_valid_tenant || observation.change_number.is_some() {
+            return true;
+        }
+        let change = ObservedChange {
+            user: observation.user,
+            result: observation.result,
+            confirmation_delay: state.settings.change_confirmation_delay,
+        };
+        state.unconfirmed.accept(now, &change, self.max_queue)
+    }
+
+    /// Caches a record. A user that is not cached yet may take the place of another.
+    pub(super) fn store(&mut self, now: Time, user: &User, record: LookupRecord) {
+        let records = if let Some(records) = self.roster.users.get(&**user) {
+            records.with(record)
+        } else {
+            while self.roster.len() >= self.max_users && self.evict_user() {}
+            let next_check = self.next_check(now, user, &record);
+            self.wheel.schedule(next_check, (&**user).into());
+            LookupRecords::One(record)
+        };
+        self.roster.users.insert((&**user).into(), records);
+    }
+
+    /// Removes the user who would be checked next: the one with the oldest records, or one who is no tenant's. Whether
+    /// there was one.
+    fn evict_user(&mut self) -> bool {
+        let Some(user) = self.wheel.pop_first() else {
+            return false;
+        };
+        self.remove_user(&user);
+        true
+    }
+
+    /// Removes all records of a user.
+    pub(super) fn remove_user(&mut self, user: &str) {
+        let Some(records) = self.roster.users.remove(user) else {
+            return;
+        };
+        for record in records.as_slice() {
+            let state = &mut self.directories[record.directory_index()];
+            state.sync.users.remove(&record.person);
+        }
+    }
+}
--- /dev/null
+++ b/crates/pipithub-directory/src/directory/refresh.rs
@@ -0,0 +1,131 @@
+//! Cached users that are due on the wheel: refreshed ahead of the daily peak, or removed.
+
+use crate::directory::{Directory, MAX_USERS_PER_TURN};
+use crate::jitter::stable_fraction;
+use crate::record::{LookupRecord, LookupRecords};
+use crate::refresh_wheel::WheelSecond;
+use crate::state::Priority;
+use crate::time::{Time, to_ms};
+
+/// Days after which a user who was not wanted is not refreshed ahead of a peak.
+const MAX_UNWANTED_DAYS: u8 = 14;
+/// A user is checked again after this at the soonest, in milliseconds.
+const MIN_CHECK_DELAY_MS: i64 = 1_000;
+/// A record that expires within so many seconds does not decide when its user is checked next.
+const IMMINENT_EXPIRY_SECONDS: i64 = 2;
+/// When a user is checked again for whom no record gives a time.
+const DEFAULT_CHECK_SECONDS: i64 = 60;
+
+impl Directory {
+    /// Checks the users that are due, so many in a turn.
+    pub(super) fn check_due_users(&mut self, now: Time) {
+        let second = WheelSecond::of_ms(to_ms(now));
+        for _ in 0..MAX_USERS_PER_TURN {
+            let Some(user) = self.wheel.pop_due(second) else {
+                return;
+            };
+            self.check_user(now, &user);
+        }
+    }
+
+    /// Removes a user without a valid record; otherwise refreshes them if they are to be, and plans their next check.
+    fn check_user(&mut self, now: Time, user: &str) {
+        let records = self.roster.users.get(user).map(LookupRecords::as_slice);
+        let Some(records) = records.map(<[LookupRecord]>::to_vec) else {
+            return;
+        };
+        if !records.iter().any(|record| self.is_valid(now, record)) {
+            return self.remove_user(user);
+        }
+        if self.was_wanted_recently(now, &records) {
+            self.refresh_ahead_of_peak(now, user, &records);
+        }
+        let second = WheelSecond::of_ms(to_ms(now));
+        let next_checks = records
+            .iter()
+            .map(|record| self.next_check_after_refresh(now, user, record));
+        let next_check = next_checks
+            .min()
+            .unwrap_or(second.plus(DEFAULT_CHECK_SECONDS));
+        self.wheel.schedule(next_check, user.into());
+    }
+
+    /// Whether a record is not past its bound, or of a directory that is followed.
+    fn is_valid(&self, now: Time, record: &LookupRecord) -> bool {
+        let max_age = self.directories[record.directory_index()]
+            .settings
+            .lifetimes
+            .max_age(record.result);
+        self.is_followed(record) || record.age_ms(now) < to_ms(max_age)
+    }
+
+    fn is_followed(&self, record: &LookupRecord) -> bool {
+        self.roster.directories[record.directory_index()]
+            .synchronized_at_ms
+            .is_some()
+    }
+
+    fn was_wanted_recently(&self, now: Time, records: &[LookupRecord]) -> bool {
+        let today = self.day(now);
+        records
+            .iter()
+            .any(|record| today.wrapping_sub(record.last_wanted_day) <= MAX_UNWANTED_DAYS)
+    }
+
+    /// Looks a user up again in the directories that have a daily peak and whose record is not fresh any more.
+    fn refresh_ahead_of_peak(&mut self, now: Time, user: &str, records: &[LookupRecord]) {
+        for record in records {
+            let directory = record.directory_index();
+            let settings = &self.directories[directory].settings;
+            let is_refreshed = settings.daily_peak.is_some()
+                && record.result.is_tenant()
+                && record.age_ms(now) >= to_ms(settings.lifetimes.fresh)
+                && !self.is_followed(record);
+            if is_refreshed {
+                self.enqueue(now, directory, user.into(), Priority::Background);
+            }
+        }
+    }
+
+    /// The second in which a user is checked by a record: to be refreshed ahead of the peak, or to be removed.
+    pub(super) fn next_check(&self, now: Time, user: &str, record: &LookupRecord) -> WheelSecond {
+        let settings = &self.directories[record.directory_index()].settings;
+        let max_age = settings.lifetimes.max_age(record.result);
+        let expires_ms = record.confirmed_at_ms.saturating_add(to_ms(max_age));
+        let refresh_ms = settings
+            .daily_peak
+            .filter(|_| record.result.is_tenant())
+            .map(|peak| {
+                let confirmed_at_ms = self
+                    .wall_clock_offset_ms
+                    .saturating_add(record.confirmed_at_ms);
+                peak.refresh_time(confirmed_at_ms, stable_fraction(user, self.seed))
+                    .saturating_sub(self.wall_clock_offset_ms)
+            });
+        let due_ms = refresh_ms.map_or(expires_ms, |refresh_ms| refresh_ms.min(expires_ms));
+        let soonest_ms = to_ms(now).saturating_add(MIN_CHECK_DELAY_MS);
+        WheelSecond::after_ms(due_ms.max(soonest_ms))
+    }
+
+    /// The same for a record whose refresh was due just now: as if it were confirmed, so that the next refresh is in the
+    /// next window, unless it expires before.
+    fn next_check_after_refresh(
+        &self,
+        now: Time,
+        user: &str,
+        record: &LookupRecord,
+    ) -> WheelSecond {
+        let refreshed = LookupRecord {
+            confirmed_at_ms: to_ms(now),
+            ..*record
+        };
+        let expiry = self.next_check(now, user, record);
+        let next_refresh = self.next_check(now, user, &refreshed);
+        let second = WheelSecond::of_ms(to_ms(now));
+        if expiry > second.plus(IMMINENT_EXPIRY_SECONDS) {
+            expiry.min(next_refresh)
+        } else {
+            next_refresh
+        }
+    }
+}
--- a/crates/pipithub-directory/src/jitter.rs
+++ b/crates/pipithub-directory/src/jitter.rs
@@ -1,15 +1,42 @@
-//! Chance that no other front end has.
+//! Fractions that spread what many front ends would otherwise do at the same moment.
 
-use std::hash::BuildHasher;
+use std::hash::{BuildHasher, DefaultHasher};
 
-/// A place between 0 and 1 for a user that no other front end gives them.
-pub(crate) fn stable_fraction(user: &str, seed: u64) -> f64 {
-    struct Fixed;
-    impl BuildHasher for Fixed {
-        type Hasher = std::hash::DefaultHasher;
-        fn build_hasher(&self) -> Self::Hasher {
-            std::hash::DefaultHasher::new()
+/// A fraction from 0 to 1 that is always the same for a key and a seed; front ends differ by their seeds.
+pub(crate) fn stable_fraction(key: &str, seed: u64) -> f64 {
+    struct UnkeyedHasher;
+    impl BuildHasher for UnkeyedHasher {
+        type Hasher = DefaultHasher;
+
+        fn build_hasher(&self) -> DefaultHasher {
+            DefaultHasher::new()
         }
     }
-    (Fixed.hash_one((user, seed)) >> 11) as f64 / (1u64 << 53) as f64
+    to_fraction(UnkeyedHasher.hash_one((key, seed)))
+}
+
+/// A sequence of pseudo-random fractions (xorshift64*). Nothing depends on its quality, only that front ends differ.
+#[derive(Debug)]
+pub(crate) struct Jitter {
+    state: u64,
+}
+
+impl Jitter {
+    pub(crate) fn new(seed: u64) -> Self {
+        // The generator would stay at zero.
+        Jitter { state: seed | 1 }
+    }
+
+    /// The next fraction, from 0 to 1.
+    pub(crate) fn next_fraction(&mut self) -> f64 {
+        self.state ^= self.state >> 12;
+        self.state ^= self.state << 25;
+        self.state ^= self.state >> 27;
+        to_fraction(self.state.wrapping_mul(0x2545_f491_4f6c_dd1d))
+    }
+}
+
+/// The highest 53 bits, as many as an `f64` holds, as a fraction.
+fn to_fraction(bits: u64) -> f64 {
+    (bits >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/pipithub-directory/src/lib.rs
+++ b/crates/pipithub-directory/src/lib.rs
@@ -1,11 +1,11 @@
-//! Who is which tenant's, without I/O.
+//! Finds out which tenant a user belongs to, without I/O.
 //!
-//! A [`Directory`] turns what is wanted and what directory servers answer into searches to make and facts to keep; it
-//! knows no socket, clock or thread. Readers look users up in a [`Roster`], a persistent map that is replaced as a
-//! whole: a reader never waits for a refresh, however many entries it changes. [`PendingLookups`] holds the calls of users that
-//! nobody knows yet, each for a bounded time. [`snapshot`] keeps what is known over a restart.
+//! A [`Directory`] turns look-ups and the responses of LDAP servers into searches to make and records to cache; it knows
+//! no socket, clock or thread. Readers resolve users in a [`Roster`], a persistent map that is replaced as a whole: a
+//! reader never waits for a refresh, however many entries it changes. [`PendingLookups`] holds the requests of users that
+//! are not known yet, each for a bounded time. [`snapshot`] keeps the cached records over a restart.
 //!
-//! Every fact has an age, and every decision weighs it: see [`Roster::resolve`].
+//! Every record has an age, and every decision weighs it: see [`Roster::resolve`].
 
 mod daily_peak;
 mod directory;
@@ -15,11 +15,12 @@
 mod persistent_map;
 mod publisher;
 mod record;
+mod refresh_wheel;
 mod roster;
 mod search;
-mod server;
 mod settings;
 pub mod snapshot;
+mod state;
 mod stats;
 mod time;
 
--- a/crates/pipithub-directory/src/messages.rs
+++ b/crates/pipithub-directory/src/messages.rs
@@ -1,40 +1,18 @@
-//! What happens to a directory core, and what it says is to be done.
+//! What happens to a [`crate::Directory`], and what it asks its caller to do.
 
 use crate::record::{PersonId, User};
 use crate::search::{DirectoryEntry, Query, SearchError, SearchId, SearchResponse};
 
-/// What a followed directory says.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum SyncEvent {
-    /// Everything is told from here on, or what changed since the last time.
-    RefreshStarted {
-        /// Everything.
-        full: bool,
-    },
-    /// An entry is there, new or as it was.
-    Entry(DirectoryEntry),
-    /// An entry is gone.
-    Deleted(PersonId),
-    /// An entry has not changed.
-    Unchanged(PersonId),
-    /// What was to be told is told; the connection was good just now.
-    RefreshDone,
-    /// The connection was good just now.
-    Heartbeat,
-    /// The connection is gone.
-    ConnectionLost,
-}
-
 /// What happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// Only time has passed; every other input does this too.
+    /// Only time has passed; every other input implies this too.
     Tick,
-    /// A call's user is to be known, or known anew.
+    /// The user of a request is to be looked up, or refreshed.
     LookUp {
         /// The user.
         user: User,
-        /// Somebody waits.
+        /// Whether a request waits for the result.
         urgent: bool,
     },
     /// A search ended.
@@ -44,19 +22,41 @@
         /// How.
         outcome: Result<SearchResponse, SearchError>,
     },
-    /// News of a directory that is followed.
+    /// An event of a directory that is followed by content synchronization.
     Synchronization {
         /// The directory.
         directory: usize,
-        /// What it says.
+        /// The event.
         event: SyncEvent,
     },
 }
 
+/// An event of content synchronization (RFC 4533) with a followed directory.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum SyncEvent {
+    /// The refresh stage has started.
+    RefreshStarted {
+        /// Whether all entries follow, or those alone that have changed since the last time.
+        full: bool,
+    },
+    /// An entry exists, new, changed or as it was.
+    Entry(DirectoryEntry),
+    /// An entry was deleted.
+    Deleted(PersonId),
+    /// An entry has not changed.
+    Unchanged(PersonId),
+    /// The refresh stage is done; the connection was up just now.
+    RefreshDone,
+    /// The connection was up just now.
+    Heartbeat,
+    /// The connection is lost.
+    ConnectionLost,
+}
+
 /// What to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Ask a server; one [`Input::SearchEnded`] is owed unless it is given up.
+    /// Search at a server; one [`Input::SearchEnded`] is owed unless the search is cancelled.
     Search {
         /// Its id.
         id: SearchId,
@@ -64,13 +64,13 @@
         directory: usize,
         /// Which of its servers.
         server: usize,
-        /// What.
+        /// What to search for.
         query: Query,
     },
-    /// Its answer is of no use any more.
+    /// The response of a search is not needed any more.
     CancelSearch(SearchId),
-    /// There is news of a user that was asked for: the roster holds it, or nobody can say.
+    /// The look-up of a user has ended: the roster holds its result, or there is none to be had.
     LookupFinished(User),
-    /// A user is another tenant's now, or nobody's, or another person: what runs for them must end.
+    /// A user is another tenant's now, or none's, or another person: what runs for them must end.
     UserMigrated(User),
 }
--- a/crates/pipithub-directory/src/roster.rs
+++ b/crates/pipithub-directory/src/roster.rs
@@ -1,23 +1,26 @@
-//! What is known of users, and how it is weighed.
+//! The cached records of all users, and what a user is resolved to by them.
+
+mod realms;
 
-use std::collections::HashMap;
 use std::sync::Arc;
 
 use compact_str::CompactString;
 
 use crate::persistent_map::PersistentMap;
 use crate::record::{LookupRecord, LookupRecords, LookupResult, PersonId, TenantId};
-use crate::settings::Lifetimes;
-use crate::time::{MILLISECOND, Time, to_ms};
+use crate::settings::{DirectorySettings, Lifetimes};
+use crate::time::{Time, from_ms, to_ms};
+
+pub(crate) use self::realms::Realms;
 
-/// What to do about a fact beside using it.
+/// What to do about a record beside using it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refresh {
     /// Nothing.
     NotNeeded,
-    /// Ask again, without waiting.
+    /// Look the user up again, without waiting for it.
     InBackground,
-    /// Ask again and wait for the answer as long as may be; then use the fact.
+    /// Look the user up again and wait for the result as long as may be; then use the record.
     BeforeUse,
 }
 
@@ -30,7 +33,7 @@
         tenant: TenantId,
         /// Which person.
         person: PersonId,
-        /// The age of the fact.
+        /// The age of the record that decides.
         age: Time,
         /// What to do beside using it.
         refresh: Refresh,
@@ -39,32 +42,103 @@
     NoTenant,
     /// More than one tenant's, or several people's of one name: nobody may choose between them.
     Ambiguous,
-    /// Not known: to be asked.
+    /// Not known: to be looked up.
     Unknown,
 }
 
-/// What is known, at one time. Cloning shares everything.
-#[derive(Clone, Debug)]
-pub struct Roster {
-    /// Names of up to 24 bytes stand in their place: to look one up fetches nothing more from memory.
-    pub(crate) users: PersistentMap<CompactString, LookupRecords>,
-    pub(crate) directories: Arc<[DirectoryStatus]>,
-    pub(crate) realms: Arc<HashMap<Box<str>, Vec<u16>>>,
-    /// Directories for names without a realm that any directory has.
-    pub(crate) others: Arc<[u16]>,
+/// The tenant that a user belongs to, and the person that they are.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct Identity {
+    tenant: TenantId,
+    person: PersonId,
+}
+
+impl Resolution {
+    /// The identity of a tenant's user.
+    pub(crate) fn identity(&self) -> Option<Identity> {
+        match self {
+            Resolution::Tenant { tenant, person, .. } => Some(Identity {
+                tenant: *tenant,
+                person: *person,
+            }),
+            Resolution::NoTenant | Resolution::Ambiguous | Resolution::Unknown => None,
+        }
+    }
 }
 
 /// What a roster knows of a directory itself.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DirectoryStatus {
     pub(crate) lifetimes: Lifetimes,
-    /// It is followed, and what is known of it was complete then, in milliseconds.
+    /// The directory is followed, and its records were complete then, in milliseconds.
     pub(crate) synchronized_at_ms: Option<i64>,
-    /// None of its servers answers at its usual pace: to wait for one would be in vain.
+    /// None of its servers responds as fast as usual: to wait for one would be in vain.
     pub(crate) is_slow: bool,
 }
 
+impl DirectoryStatus {
+    fn new(settings: &DirectorySettings) -> Self {
+        DirectoryStatus {
+            lifetimes: settings.lifetimes,
+            synchronized_at_ms: None,
+            is_slow: false,
+        }
+    }
+
+    /// As of when a record is true: a followed directory confirms all of its records together.
+    pub(crate) fn confirmed_at_ms(&self, record: &LookupRecord) -> i64 {
+        let synchronized_at_ms = self.synchronized_at_ms.unwrap_or(i64::MIN);
+        record.confirmed_at_ms.max(synchronized_at_ms)
+    }
+
+    /// What is to be done about a tenant's record of this age.
+    fn refresh(&self, age: Time, jitter: u8) -> Refresh {
+        let fresh = self.lifetimes.fresh;
+        let used_as_it_is = fresh / 4 * 3 + fresh / 1024 * u64::from(jitter);
+        if age < used_as_it_is {
+            Refresh::NotNeeded
+        } else if age < fresh.saturating_mul(2) || self.is_slow {
+            Refresh::InBackground
+        } else {
+            Refresh::BeforeUse
+        }
+    }
+}
+
+/// All records at one time. Cloning shares everything.
+#[derive(Clone, Debug)]
+pub struct Roster {
+    /// Names of up to 24 bytes are stored in their place: to look one up fetches nothing more from memory.
+    pub(crate) users: PersistentMap<CompactString, LookupRecords>,
+    pub(crate) directories: Arc<[DirectoryStatus]>,
+    realms: Arc<Realms>,
+}
+
+/// A tenant's record that is valid.
+struct ValidRecord {
+    tenant: TenantId,
+    person: PersonId,
+    age: Time,
+    refresh: Refresh,
+}
+
+/// What a user's records add up to when they do not contradict each other.
+struct Evidence {
+    /// The newest valid record of a tenant.
+    tenant: Option<ValidRecord>,
+    /// How many directories have reported that the user is absent.
+    absent: usize,
+}
+
 impl Roster {
+    pub(crate) fn new(directories: &[DirectorySettings]) -> Self {
+        Roster {
+            users: PersistentMap::new(),
+            directories: directories.iter().map(DirectoryStatus::new).collect(),
+            realms: Arc::new(Realms::new(directories)),
+        }
+    }
+
     /// How many users it holds.
     pub fn len(&self) -> usize {
         self.users.len()
@@ -78,110 +152,106 @@
     /// The directories that may know a user: by realm where the name has one (`mai@north.example`), else those that take
     /// names without.
     pub fn directories_for(&self, user: &str) -> &[u16] {
-        match user
-            .rsplit_once('@')
-            .and_then(|(_, realm)| self.realms.get(realm))
-        {
-            Some(directories) => directories,
-            None if user.contains('@') => &[],
-            None => &self.others,
-        }
-    }
-
-    fn age(&self, record: &LookupRecord, now_ms: i64) -> Time {
-        let synchronized_at_ms = self
-            .directories
-            .get(usize::from(record.directory))
-            .and_then(|d| d.synchronized_at_ms);
-        let confirmed = record
-            .confirmed_at_ms
-            .max(synchronized_at_ms.unwrap_or(i64::MIN));
-        u64::try_from(now_ms.saturating_sub(confirmed))
-            .unwrap_or(0)
-            .saturating_mul(MILLISECOND)
+        self.realms.directories_for(user)
     }
 
     /// What a user is now.
     ///
-    /// One tenant's claim that is not past the hard bound decides, also while other directories have not answered: a
-    /// directory that is down must not stall those that are up. Two claims that are not past it decide for nobody, however
-    /// old one of them is: its directory may merely be out of reach, and to choose would let whoever creates an entry in
-    /// the other have the user's calls.
+    /// One tenant's record that is not past the hard bound decides, also while other directories have not responded: a
+    /// directory that is down must not stall those that are up. Two tenants' records that are not past it are ambiguous,
+    /// however old one of them is: its directory may merely be out of reach, and to choose would let whoever creates an
+    /// entry in the other take over the user's requests.
     pub fn resolve(&self, user: &str, now: Time) -> Resolution {
         let now_ms = to_ms(now);
-        let records = self
-            .users
-            .get(user)
-            .map_or(&[][..], LookupRecords::as_slice);
-        let mut found: Option<(LookupRecord, TenantId, Time, DirectoryStatus)> = None;
-        let mut absent = 0;
-        for record in records {
-            let Some(status) = self.directories.get(usize::from(record.directory)) else {
-                continue;
-            };
-            let age = self.age(record, now_ms);
-            match record.result {
-                LookupResult::Tenant(tenant) if age < status.lifetimes.max_stale => match found {
-                    Some((_, other, ..)) if other != tenant => return Resolution::Ambiguous,
-                    Some((.., known, _)) if known <= age => {}
-                    _ => found = Some((*record, tenant, age, *status)),
-                },
-                LookupResult::Ambiguous if age < status.lifetimes.negative => {
-                    return Resolution::Ambiguous;
-                }
-                LookupResult::Absent if age < status.lifetimes.negative => absent += 1,
-                _ => {}
-            }
-        }
-        if let Some((record, tenant, age, status)) = found {
-            let lifetimes = status.lifetimes;
-            let person = record.person;
-            let early = lifetimes.fresh / 1024 * u64::from(record.refresh_jitter);
-            let refresh = match age {
-                a if a < lifetimes.fresh / 4 * 3 + early => Refresh::NotNeeded,
-                a if a < lifetimes.fresh.saturating_mul(2) || status.is_slow => {
-                    Refresh::InBackground
-                }
-                _ => Refresh::BeforeUse,
-            };
+        let records = self.records(user);
+        let Some(evidence) = self.weigh(records, now_ms) else {
+            return Resolution::Ambiguous;
+        };
+        if let Some(record) = evidence.tenant {
             return Resolution::Tenant {
-                tenant,
-                person,
-                age,
-                refresh,
+                tenant: record.tenant,
+                person: record.person,
+                age: record.age,
+                refresh: record.refresh,
             };
         }
         let relevant = self.directories_for(user);
-        // A directory that is followed and complete knows of everybody whom it does not name that they are not there.
-        let complete = |d: &u16| {
-            let status = &self.directories[usize::from(*d)];
-            let age = |at: i64| {
-                u64::try_from(now_ms.saturating_sub(at))
-                    .unwrap_or(0)
-                    .saturating_mul(MILLISECOND)
-            };
-            status
-                .synchronized_at_ms
-                .is_some_and(|at| age(at) < status.lifetimes.negative)
-                && !records.iter().any(|c| c.directory == *d)
-        };
-        let known = absent + relevant.iter().filter(|d| complete(d)).count();
-        if known >= relevant.len() {
+        let implied = relevant
+            .iter()
+            .filter(|directory| self.implies_absence(usize::from(**directory), records, now_ms));
+        if evidence.absent + implied.count() >= relevant.len() {
             Resolution::NoTenant
         } else {
             Resolution::Unknown
         }
     }
 
-    /// All claims on a user, with their ages, for operators.
-    pub fn explain(&self, user: &str, now: Time) -> Vec<(LookupRecord, Time)> {
-        let records = self
-            .users
+    /// The record that a directory has of a user.
+    pub(crate) fn record(&self, user: &str, directory: usize) -> Option<&LookupRecord> {
+        self.users
             .get(user)
-            .map_or(&[][..], LookupRecords::as_slice);
-        records
-            .iter()
-            .map(|c| (*c, self.age(c, to_ms(now))))
-            .collect()
+            .and_then(|records| records.of_directory(directory))
+    }
+
+    /// The status of a directory, replaced as a whole where it is changed.
+    pub(crate) fn update_directory(
+        &mut self,
+        directory: usize,
+        update: impl FnOnce(&mut DirectoryStatus),
+    ) {
+        let mut directories = self.directories.to_vec();
+        update(&mut directories[directory]);
+        self.directories = directories.into();
+    }
+
+    fn records(&self, user: &str) -> &[LookupRecord] {
+        self.users
+            .get(user)
+            .map_or(&[][..], LookupRecords::as_slice)
+    }
+
+    /// What records add up to; `None` where they are ambiguous.
+    fn weigh(&self, records: &[LookupRecord], now_ms: i64) -> Option<Evidence> {
+        let mut tenant: Option<ValidRecord> = None;
+        let mut absent = 0;
+        for record in records {
+            let Some(status) = self.directories.get(record.directory_index()) else {
+                continue;
+            };
+            let age = from_ms(now_ms.saturating_sub(status.confirmed_at_ms(record)));
+            if age >= status.lifetimes.max_age(record.result) {
+                continue;
+            }
+            match record.result {
+                LookupResult::Ambiguous => return None,
+                LookupResult::Absent => absent += 1,
+                LookupResult::Tenant(found) => match &tenant {
+                    Some(other) if other.tenant != found => return None,
+                    Some(newer) if newer.age <= age => {}
+                    _ => {
+                        tenant = Some(ValidRecord {
+                            tenant: found,
+                            person: record.person,
+                            age,
+                            refresh: status.refresh(age, record.refresh_jitter),
+                        });
+                    }
+                },
+            }
+        }
+        Some(Evidence { tenant, absent })
+    }
+
+    /// Whether a directory that has no record of a user knows that there is no entry: one that is followed and complete
+    /// knows of all its entries.
+    fn implies_absence(&self, directory: usize, records: &[LookupRecord], now_ms: i64) -> bool {
+        let status = &self.directories[directory];
+        let is_complete = status
+            .synchronized_at_ms
+            .is_some_and(|at_ms| from_ms(now_ms.saturating_sub(at_ms)) < status.lifetimes.negative);
+        is_complete
+            && !records
+                .iter()
+                .any(|record| record.directory_index() == directory)
     }
 }
--- /dev/null
+++ b/crates/pipithub-directory/src/roster/realms.rs
@@ -0,0 +1,42 @@
+//! Which directories know a user's realm.
+
+use std::collections::HashMap;
+
+use crate::settings::DirectorySettings;
+
+/// The directories by the realms of the names that they know.
+#[derive(Debug)]
+pub(crate) struct Realms {
+    directories: HashMap<Box<str>, Vec<u16>>,
+    /// Those that know names without a realm.
+    without_realm: Vec<u16>,
+}
+
+impl Realms {
+    pub(crate) fn new(settings: &[DirectorySettings]) -> Self {
+        let mut directories: HashMap<Box<str>, Vec<u16>> = HashMap::new();
+        let mut without_realm = Vec::new();
+        for (number, directory) in settings.iter().enumerate() {
+            let number = number as u16;
+            if directory.realms.is_empty() {
+                without_realm.push(number);
+            }
+            for realm in &directory.realms {
+                let realm = pipithub_ldap::dn::fold(realm);
+                directories.entry(realm.into()).or_default().push(number);
+            }
+        }
+        Realms {
+            directories,
+            without_realm,
+        }
+    }
+
+    /// The directories that may know a user.
+    pub(crate) fn directories_for(&self, user: &str) -> &[u16] {
+        let Some((_, realm)) = user.rsplit_once('@') else {
+            return &self.without_realm;
+        };
+        self.directories.get(realm).map_or(&[], Vec::as_slice)
+    }
+}
--- a/crates/pipithub-directory/src/search.rs
+++ b/crates/pipithub-directory/src/search.rs
@@ -1,61 +1,66 @@
-//! What servers are asked, and what they answer.
+//! Searches at a directory's servers: what is searched for, what comes back, and those that are in flight.
 
 use std::collections::HashSet;
 
 use pipithub_ldap::Dn;
 
 use crate::record::{PersonId, User};
+use crate::time::Time;
 
-/// Names a search.
+/// Identifies a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SearchId(pub u64);
 
-/// What is asked.
+/// What is searched for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Query {
-    /// These users. The server's mark is to be read before them, on the same connection.
+    /// These users. The server's change number is to be read before them, on the same connection.
     Users(Vec<User>),
-    /// How the server stands: whether its tree is there, and its mark.
+    /// The server's state: whether the base of its tree exists, and its change number.
     ServerState,
     /// What was changed since this `modifyTimestamp`; `None`: how far its timestamps have come.
     ChangedSince(Option<String>),
 }
 
 impl Query {
-    pub(crate) fn is_answered_wrongly(&self, answer: &SearchResponse) -> bool {
+    /// Whether a response holds no entry of a user that was not searched for.
+    pub(crate) fn is_answered_by(&self, response: &SearchResponse) -> bool {
         let Query::Users(users) = self else {
-            return false;
+            return true;
         };
-        let asked: HashSet<&User> = users.iter().collect();
-        answer.entries.iter().any(|f| !asked.contains(&f.user))
+        let requested: HashSet<&User> = users.iter().collect();
+        response
+            .entries
+            .iter()
+            .all(|entry| requested.contains(&entry.user))
     }
 }
 
-/// An entry that a directory told.
+/// A user's entry in a directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DirectoryEntry {
-    /// Its user's name, folded, with the realm as users give it.
+    /// The user's name, folded, with the realm as users give it.
     pub user: User,
-    /// Where it stands.
+    /// The entry's distinguished name.
     pub dn: Dn,
-    /// Who it is.
+    /// Whose entry it is.
     pub person: PersonId,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SearchResponse {
-    /// The entries.
+    /// The entries that were found.
     pub entries: Vec<DirectoryEntry>,
-    /// How far the server's copy had come before it searched, where it tells.
+    /// The newest change that the server's copy held before it searched, where the server gives it.
     pub change_number: Option<u64>,
-    /// The base of the tree is there. A server that is still loading answers that nobody exists.
+    /// The base of the tree exists. A server that is still loading responds that no user exists.
     pub base_exists: bool,
-    /// The newest `modifyTimestamp` in it.
+    /// The newest `modifyTimestamp` of the entries.
     pub newest_modify_timestamp: Option<String>,
 }
 
-/// Why there is no answer. The texts are part of what `pipithub tenants` prints, and stay.
+/// Why a search has no response. The texts are part of what `pipithub tenants` prints, and stay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SearchError {
     /// None came in time.
@@ -64,16 +69,50 @@
     /// The server could not be reached, or the connection ended.
     #[error("Lost")]
     ConnectionLost,
-    /// The server says that it cannot now: busy, unavailable, limits.
+    /// The server reports that it cannot respond now: busy, unavailable, limits.
     #[error("Unable")]
     Unavailable,
-    /// It refuses us: the bind, the rights.
+    /// The server denies the bind or the rights.
     #[error("Denied")]
     Denied,
-    /// What it said is no answer.
+    /// The response does not fit the query.
     #[error("Nonsense")]
     InvalidResponse,
-    /// It says to ask elsewhere: at this one of the directory's servers, or at one that we do not know.
+    /// The server refers to another one: of the directory's servers, or one that is not in the settings.
     #[error("Elsewhere({0:?})")]
     Referral(Option<usize>),
 }
+
+impl SearchError {
+    /// Whether the server itself shows that it is of no use now, so that its circuit breaker opens at once.
+    pub(crate) fn opens_breaker(self) -> bool {
+        match self {
+            SearchError::TimedOut | SearchError::ConnectionLost => false,
+            SearchError::Unavailable
+            | SearchError::Denied
+            | SearchError::InvalidResponse
+            | SearchError::Referral(_) => true,
+        }
+    }
+}
+
+/// A search that is to be started.
+#[derive(Clone)]
+pub(crate) struct SearchRequest {
+    pub(crate) directory: usize,
+    pub(crate) server: usize,
+    pub(crate) query: Query,
+    /// How often its users were searched for before.
+    pub(crate) attempts: u8,
+}
+
+/// A search that has not ended yet.
+pub(crate) struct SearchInFlight {
+    pub(crate) request: SearchRequest,
+    pub(crate) started_at: Time,
+    pub(crate) deadline: Time,
+    /// When it is hedged at a second server; `None`: it was, or is not to be.
+    pub(crate) hedge_at: Option<Time>,
+    /// The other search for the same users, where one of both is a hedge.
+    pub(crate) hedge_partner: Option<SearchId>,
+}
--- a/crates/pipithub-directory/src/settings.rs
+++ b/crates/pipithub-directory/src/settings.rs
@@ -1,9 +1,33 @@
-//! What a directory core is given at its start.
+//! Settings of the directories and of the look-ups made in them.
 
 use pipithub_ldap::Dn;
 
 use crate::daily_peak::DailyPeak;
-use crate::time::{MILLISECOND, Time};
+use crate::record::LookupResult;
+use crate::time::{MILLISECOND, SECOND, Time};
+
+/// Users whom no request waits for are gathered into one search for no longer than this.
+const MAX_BACKGROUND_DELAY: Time = 30 * SECOND;
+/// Bounds of the interval at which a server's state is checked.
+const MIN_STATE_CHECK_INTERVAL: Time = 50 * MILLISECOND;
+const MAX_STATE_CHECK_INTERVAL: Time = 300 * SECOND;
+
+/// What a [`crate::Directory`] is given at its start.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Settings {
+    /// The directories.
+    pub directories: Vec<DirectorySettings>,
+    /// The tenants, by [`crate::TenantId`].
+    pub tenants: Vec<TenantBase>,
+    /// Users that are cached at most.
+    pub max_users: usize,
+    /// Users that wait to be searched for at most, in each queue of each directory.
+    pub max_queue: usize,
+    /// Sets this front end's times apart from those of others; nothing else here is random.
+    pub seed: u64,
+    /// Unix milliseconds at time 0.
+    pub wall_clock_offset_ms: i64,
+}
 
 /// A tenant's place in a directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -14,99 +38,104 @@
     pub base: Dn,
 }
 
-/// How long a server that fails is left alone, before jitter: twice as long after each further failure.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Backoff {
-    /// After the first failure.
-    pub initial: Time,
-    /// At the longest.
-    pub max: Time,
-}
-
-/// How a directory is asked.
+/// How users are looked up in a directory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DirectorySettings {
     /// How many servers it has.
     pub server_count: usize,
     /// Realms of the names that it knows; none: names without a realm.
     pub realms: Vec<String>,
-    /// For how long what it says counts.
+    /// For how long its results are valid.
     pub lifetimes: Lifetimes,
-    /// A search without an answer by then has failed.
+    /// A search without a response by then has failed.
     pub timeout: Time,
-    /// After this long without an answer a second server is asked too.
+    /// After this long without a response the search is hedged at a second server.
     pub hedge_after: Time,
     /// Users in one search.
     pub max_users_per_search: usize,
-    /// Searches at a time at one server.
+    /// Searches in flight at one server.
     pub max_searches_per_server: usize,
-    /// Searches a second at all its servers.
+    /// Searches a second at all its servers together.
     pub max_searches_per_second: f64,
-    /// Failures in a row after which a server is left alone.
+    /// Consecutive failures that open a server's circuit breaker.
     pub failure_threshold: u32,
-    /// For how long it is left alone.
+    /// For how long the breaker stays open.
     pub backoff: Backoff,
-    /// A server that tells no mark must say a change twice, this far apart.
+    /// A server that gives no change number must report a change twice, this far apart.
     pub change_confirmation_delay: Time,
-    /// A daily peak ahead of which facts are refreshed.
+    /// A daily peak ahead of which records are refreshed.
     pub daily_peak: Option<DailyPeak>,
-    /// Every so often, ask for what was changed since; 0: never.
+    /// Changes are polled for at this interval; 0: never.
     pub poll_interval: Time,
 }
 
+impl DirectorySettings {
+    /// For how long users whom no request waits for are gathered into one search.
+    pub(crate) fn background_delay(&self) -> Time {
+        (self.lifetimes.fresh / 16).min(MAX_BACKGROUND_DELAY)
+    }
+
+    /// How often a server's state is checked that is not searched for anything else.
+    pub(crate) fn state_check_interval(&self) -> Time {
+        (self.lifetimes.fresh / 2).clamp(MIN_STATE_CHECK_INTERVAL, MAX_STATE_CHECK_INTERVAL)
+    }
+}
+
 impl Default for DirectorySettings {
     fn default() -> Self {
-        const S: Time = 1_000 * MILLISECOND;
         DirectorySettings {
             server_count: 1,
             realms: Vec::new(),
             lifetimes: Lifetimes {
-                fresh: 600 * S,
-                max_stale: 12 * 3_600 * S,
-                negative: 30 * S,
+                fresh: 600 * SECOND,
+                max_stale: 12 * 3_600 * SECOND,
+                negative: 30 * SECOND,
             },
-            timeout: 2 * S,
+            timeout: 2 * SECOND,
             hedge_after: 50 * MILLISECOND,
             max_users_per_search: 64,
             max_searches_per_server: 4,
             max_searches_per_second: 50.0,
             failure_threshold: 3,
             backoff: Backoff {
-                initial: S,
-                max: 30 * S,
+                initial: SECOND,
+                max: 30 * SECOND,
             },
-            change_confirmation_delay: S,
+            change_confirmation_delay: SECOND,
             daily_peak: None,
             poll_interval: 0,
         }
     }
 }
 
-/// What a directory core is given at its start.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Settings {
-    /// The directories.
-    pub directories: Vec<DirectorySettings>,
-    /// The tenants, by [`TenantId`].
-    pub tenants: Vec<TenantBase>,
-    /// Users kept.
-    pub max_users: usize,
-    /// Users that wait to be asked for, at each directory.
-    pub max_queue: usize,
-    /// Its only chance: sets this front end's times apart from others'.
-    pub seed: u64,
-    /// Unix milliseconds at time 0.
-    pub wall_clock_offset_ms: i64,
+/// For how long a server that fails is not used, before jitter: twice as long after each further failure.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Backoff {
+    /// After the first failure.
+    pub initial: Time,
+    /// At the longest.
+    pub max: Time,
 }
 
-/// For how long what a directory said counts.
+/// For how long a directory's results are valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lifetimes {
-    /// A positive fact is used up to three quarters of this age without more ado. From some age between that and the whole
-    /// it is used while it is asked for again, and from twice this age on a call waits a little for the answer.
+    /// A tenant's record is used as it is up to three quarters of this age. From some age between that and the whole it
+    /// is used while it is refreshed in the background, and from twice this age on a request waits a little for the
+    /// refresh.
     pub fresh: Time,
-    /// The hard bound: from this age on a positive fact is as if it were not there.
+    /// The hard bound: from this age on a tenant's record is as if it were not there.
     pub max_stale: Time,
-    /// The same for `Absent` and `Twice`: there is nothing between.
+    /// The bound of results that name no tenant: absent and ambiguous ones. They are never refreshed before it.
     pub negative: Time,
 }
+
+impl Lifetimes {
+    /// The age from which on a result is not valid any more.
+    pub(crate) fn max_age(&self, result: LookupResult) -> Time {
+        match result {
+            LookupResult::Tenant(_) => self.max_stale,
+            LookupResult::Absent | LookupResult::Ambiguous => self.negative,
+        }
+    }
+}
--- a/crates/pipithub-directory/src/snapshot.rs
+++ b/crates/pipithub-directory/src/snapshot.rs
@@ -1,23 +1,39 @@
-//! What is known, kept over a restart.
+//! The cached records, kept over a restart.
 //!
 //! A snapshot is sealed with HMAC-SHA256 over everything in it: one that was changed, was written under another key, or
-//! belongs to other directories is refused whole. Facts carry their age when written; the time since then is added, so
-//! that nothing becomes younger by a restart. That time is wall time, the only one that outlives a process: where the wall
-//! clock was stepped meanwhile it is wrong by the step. A snapshot from the future shows a step back. One from up to a
-//! minute ahead is taken as a minute old; one from further ahead is refused.
+//! belongs to other directories is rejected as a whole. Records carry their age when written; the time since then is
+//! added, so that nothing becomes younger by a restart. That time is wall time, the only one that outlives a process:
+//! where the wall clock was stepped meanwhile it is wrong by the step. A snapshot from the future shows a step back. One
+//! from up to a minute ahead is taken as a minute old; one from further ahead is rejected.
+//!
+//! All numbers are big-endian. The header is the magic, the version, the fingerprint of the directories, the Unix
+//! milliseconds at which it was written, and the number of records. Each record is the length of the user's name in two
+//! bytes, the name, directory and tenant in two bytes each, then person, change number and age in milliseconds in eight
+//! bytes each. The seal is at the end.
+
+mod reader;
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::{Digest, Sha256};
 
-use crate::record::{LookupRecord, LookupResult, PersonId, TenantId, User};
-use crate::roster::Roster;
+use crate::record::{LookupRecord, LookupResult, User};
+use crate::roster::{DirectoryStatus, Roster};
 use crate::time::{Time, to_ms};
 
+use self::reader::SnapshotReader;
+
 const MAGIC: &[u8; 8] = b"pphroste";
 const VERSION: u16 = 1;
 const SEAL_LENGTH: usize = 32;
-const HEADER_LENGTH: usize = 8 + 2 + 32 + 8 + 8;
-/// A snapshot from further ahead than this is refused, and one from less far ahead is taken to be as old.
+const FINGERPRINT_LENGTH: usize = 32;
+/// The magic and the version.
+const PREFIX_LENGTH: usize = 8 + 2;
+/// The header up to the number of records.
+const COUNT_OFFSET: usize = PREFIX_LENGTH + FINGERPRINT_LENGTH + 8;
+const HEADER_LENGTH: usize = COUNT_OFFSET + 8;
+/// What a record takes, roughly: enough memory for nearly all snapshots at the first allocation.
+const TYPICAL_RECORD_LENGTH: usize = 64;
+/// A snapshot from further ahead than this is rejected, and one from less far ahead is taken to be as old.
 const MAX_AHEAD_MS: i64 = 60_000;
 
 /// A user's record as a snapshot holds it.
@@ -25,14 +41,14 @@
 pub struct StoredRecord {
     /// The user.
     pub user: User,
-    /// What a directory said of them.
+    /// What a directory reported of them.
     pub record: LookupRecord,
 }
 
-/// Why a snapshot is not taken.
+/// Why a snapshot is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// It is none.
+    /// The bytes are none.
     #[error("this is no snapshot of version {VERSION}")]
     NotASnapshot,
     /// Its seal does not fit.
@@ -41,13 +57,13 @@
     /// It is of other directories or tenants.
     #[error("it was written for other directories or tenants")]
     OtherDirectories,
-    /// It is from the future.
+    /// It is from the future, by so many milliseconds.
     #[error("it was written {0} ms ahead of now: a clock was set")]
     FromFuture(i64),
 }
 
 /// Tells one set of directories and tenants from another.
-pub fn fingerprint<'a>(parts: impl Iterator<Item = &'a str>) -> [u8; 32] {
+pub fn fingerprint<'a>(parts: impl Iterator<Item = &'a str>) -> [u8; FINGERPRINT_LENGTH] {
     let mut hash = Sha256::new();
     for part in parts {
         hash.update((part.len() as u64).to_be_bytes());
@@ -56,143 +72,129 @@
     hash.finalize().into()
 }
 
-fn seal(key: &[u8], bytes: &[u8]) -> Hmac<Sha256> {
-    // Keys of any length are taken (RFC 2104); the error is for other kinds of MAC.
-    let mut mac =
-        Hmac::<Sha256>::new_from_slice(key).unwrap_or_else(|_| Hmac::new(&Default::default()));
-    mac.update(bytes);
-    mac
-}
-
-/// Writes what is known and not past its bound.
+/// Writes the records of tenants' users that are not past their bound.
 pub fn write(
     roster: &Roster,
     now: Time,
     wall_ms: i64,
-    fingerprint: [u8; 32],
+    fingerprint: [u8; FINGERPRINT_LENGTH],
     key: &[u8],
 ) -> Vec<u8> {
-    let mut out = Vec::with_capacity(HEADER_LENGTH + roster.len() * 64 + SEAL_LENGTH);
-    out.extend(MAGIC);
-    out.extend(VERSION.to_be_bytes());
-    out.extend(fingerprint);
-    out.extend(wall_ms.to_be_bytes());
-    let count_at = out.len();
-    out.extend(0u64.to_be_bytes());
+    let expected_length = HEADER_LENGTH + roster.len() * TYPICAL_RECORD_LENGTH + SEAL_LENGTH;
+    let mut bytes = Vec::with_capacity(expected_length);
+    bytes.extend(MAGIC);
+    bytes.extend(VERSION.to_be_bytes());
+    bytes.extend(fingerprint);
+    bytes.extend(wall_ms.to_be_bytes());
+    bytes.extend(0u64.to_be_bytes());
     let mut count = 0u64;
     for (user, records) in roster.users.iter() {
         for record in records.as_slice() {
-            let Some(status) = roster.directories.get(usize::from(record.directory)) else {
-                continue;
-            };
-            let LookupResult::Tenant(tenant) = record.result else {
-                continue;
-            };
-            let confirmed = record
-                .confirmed_at_ms
-                .max(status.synchronized_at_ms.unwrap_or(i64::MIN));
-            let age = to_ms(now).saturating_sub(confirmed);
-            if age >= to_ms(status.lifetimes.max_stale) {
-                continue;
+            let status = roster.directories.get(record.directory_index());
+            if status.is_some_and(|status| write_record(&mut bytes, status, now, user, record)) {
+                count += 1;
             }
-            count += 1;
-            out.extend((user.len() as u16).to_be_bytes());
-            out.extend(user.as_bytes());
-            out.extend(record.directory.to_be_bytes());
-            out.extend(tenant.0.to_be_bytes());
-            out.extend(record.person.0.to_be_bytes());
-            out.extend(record.change_number.to_be_bytes());
-            out.extend(age.max(0).to_be_bytes());
         }
     }
-    out[count_at..count_at + 8].copy_from_slice(&count.to_be_bytes());
-    let tag = seal(key, &out).finalize().into_bytes();
-    out.extend(tag);
-    out
+    bytes[COUNT_OFFSET..HEADER_LENGTH].copy_from_slice(&count.to_be_bytes());
+    let seal = seal(key, &bytes).finalize().into_bytes();
+    bytes.extend(seal);
+    bytes
 }
 
-struct SnapshotReader<'a>(&'a [u8]);
-
-impl SnapshotReader<'_> {
-    fn take<const N: usize>(&mut self) -> Option<[u8; N]> {
-        let (head, rest) = self.0.split_first_chunk::<N>()?;
-        self.0 = rest;
-        Some(*head)
-    }
-
-    fn text(&mut self) -> Option<User> {
-        let length = usize::from(u16::from_be_bytes(self.take()?));
-        let (head, rest) = self.0.split_at_checked(length)?;
-        self.0 = rest;
-        std::str::from_utf8(head).ok().map(Into::into)
-    }
-}
-
-/// The milliseconds that have passed since a snapshot was written.
-fn elapsed_ms(written_ms: i64, wall_ms: i64) -> Result<i64, SnapshotError> {
-    let passed = wall_ms.saturating_sub(written_ms);
-    if passed < -MAX_AHEAD_MS {
-        return Err(SnapshotError::FromFuture(passed.saturating_neg()));
+/// Appends a record if it is of a tenant's user and not past its bound. Whether it is.
+fn write_record(
+    bytes: &mut Vec<u8>,
+    status: &DirectoryStatus,
+    now: Time,
+    user: &str,
+    record: &LookupRecord,
+) -> bool {
+    let LookupResult::Tenant(tenant) = record.result else {
+        return false;
+    };
+    let age_ms = to_ms(now).saturating_sub(status.confirmed_at_ms(record));
+    if age_ms >= to_ms(status.lifetimes.max_stale) {
+        return false;
     }
-    Ok(if passed < 0 { MAX_AHEAD_MS } else { passed })
+    bytes.extend((user.len() as u16).to_be_bytes());
+    bytes.extend(user.as_bytes());
+    bytes.extend(record.directory.to_be_bytes());
+    bytes.extend(tenant.0.to_be_bytes());
+    bytes.extend(record.person.0.to_be_bytes());
+    bytes.extend(record.change_number.to_be_bytes());
+    bytes.extend(age_ms.max(0).to_be_bytes());
+    true
 }
 
-/// Reads a snapshot: facts with their age by now. `tenants` and `directories` bound what it may name; facts older than
-/// `max_age` are left out.
+/// Reads a snapshot: records with their age by now. `max_age` gives the bound of a directory's records, and `None` for a
+/// directory that there is not; records past their bound are left out.
 pub fn read(
     bytes: &[u8],
     now: Time,
     wall_ms: i64,
-    fingerprint: [u8; 32],
+    fingerprint: [u8; FINGERPRINT_LENGTH],
     key: &[u8],
     max_age: impl Fn(u16) -> Option<Time>,
 ) -> Result<Vec<StoredRecord>, SnapshotError> {
-    if bytes.len() < HEADER_LENGTH + SEAL_LENGTH
-        || &bytes[..8] != MAGIC
-        || bytes[8..10] != VERSION.to_be_bytes()
-    {
-        return Err(SnapshotError::NotASnapshot);
-    }
-    let (body, tag) = bytes.split_at(bytes.len() - SEAL_LENGTH);
-    seal(key, body)
-        .verify_slice(tag)
-        .map_err(|_| SnapshotError::SealMismatch)?;
-    let mut rest = SnapshotReader(&body[10..]);
-    let (Some(written_for), Some(at), Some(count)) = (rest.take::<32>(), rest.take(), rest.take())
-    else {
-        return Err(SnapshotError::NotASnapshot);
-    };
-    if written_for != fingerprint {
+    let contents = verify(bytes, key)?;
+    let mut reader = SnapshotReader::new(contents);
+    let header = reader.read_header().ok_or(SnapshotError::NotASnapshot)?;
+    if header.fingerprint != fingerprint {
         return Err(SnapshotError::OtherDirectories);
     }
-    let passed = elapsed_ms(i64::from_be_bytes(at), wall_ms)?;
-    let mut status = Vec::new();
-    for number in 0..u64::from_be_bytes(count) {
-        let fact = (|| {
-            let user = rest.text()?;
-            let directory = u16::from_be_bytes(rest.take()?);
-            let result = LookupResult::Tenant(TenantId(u16::from_be_bytes(rest.take()?)));
-            let person = PersonId(u64::from_be_bytes(rest.take()?));
-            let mark = u64::from_be_bytes(rest.take()?);
-            let age = i64::from_be_bytes(rest.take()?).saturating_add(passed);
-            Some((
-                user,
-                LookupRecord {
-                    directory,
-                    result,
-                    person,
-                    change_number: mark,
-                    confirmed_at_ms: to_ms(now).saturating_sub(age),
+    let elapsed_ms = elapsed_ms(header.written_at_ms, wall_ms)?;
+    let mut stored = Vec::new();
+    for number in 0..header.record_count {
+        let written = reader.read_record().ok_or(SnapshotError::NotASnapshot)?;
+        let age_ms = written.age_ms.saturating_add(elapsed_ms);
+        let max_age = max_age(written.directory);
+        if max_age.is_some_and(|max_age| age_ms < to_ms(max_age)) {
+            stored.push(StoredRecord {
+                record: LookupRecord {
+                    directory: written.directory,
+                    result: LookupResult::Tenant(written.tenant),
+                    person: written.person,
+                    confirmed_at_ms: to_ms(now).saturating_sub(age_ms),
+                    change_number: written.change_number,
                     refresh_jitter: number as u8,
                     last_wanted_day: 0,
                 },
-                age,
-            ))
-        })();
-        let (user, record, age) = fact.ok_or(SnapshotError::NotASnapshot)?;
-        if max_age(record.directory).is_some_and(|max_age| age < to_ms(max_age)) {
-            status.push(StoredRecord { user, record });
+                user: written.user,
+            });
         }
     }
-    Ok(status)
+    Ok(stored)
+}
+
+/// What is between the prefix and the seal, if both are right.
+fn verify<'a>(bytes: &'a [u8], key: &[u8]) -> Result<&'a [u8], SnapshotError> {
+    let has_prefix =
+        bytes.starts_with(MAGIC) && bytes[MAGIC.len()..].starts_with(&VERSION.to_be_bytes());
+    if bytes.len() < HEADER_LENGTH + SEAL_LENGTH || !has_prefix {
+        return Err(SnapshotError::NotASnapshot);
+    }
+    let (sealed, expected) = bytes.split_at(bytes.len() - SEAL_LENGTH);
+    seal(key, sealed)
+        .verify_slice(expected)
+        .map_err(|_| SnapshotError::SealMismatch)?;
+    Ok(&sealed[PREFIX_LENGTH..])
+}
+
+fn seal(key: &[u8], bytes: &[u8]) -> Hmac<Sha256> {
+    // Keys of any length are taken (RFC 2104); the error is for other kinds of MAC.
+    let mut mac =
+        Hmac::<Sha256>::new_from_slice(key).unwrap_or_else(|_| Hmac::new(&Default::default()));
+    mac.update(bytes);
+    mac
+}
+
+/// The milliseconds that have passed since a snapshot was written.
+fn elapsed_ms(written_at_ms: i64, wall_ms: i64) -> Result<i64, SnapshotError> {
+    let elapsed_ms = wall_ms.saturating_sub(written_at_ms);
+    if elapsed_ms < -MAX_AHEAD_MS {
+        return Err(SnapshotError::FromFuture(elapsed_ms.saturating_neg()));
+    }
+    let is_ahead = elapsed_ms < 0;
+    Ok(if is_ahead { MAX_AHEAD_MS } else { elapsed_ms })
 }
--- /dev/null
+++ b/crates/pipithub-directory/src/state.rs
@@ -0,0 +1,266 @@
+//! The state that is kept for each directory: its servers, its queues, and what was learnt of its changes.
+
+mod lookup_queues;
+mod rate_limit;
+mod replication;
+mod server;
+mod synchronization;
+mod unconfirmed_changes;
+
+use std::collections::HashSet;
+
+use crate::jitter::stable_fraction;
+use crate::record::User;
+use crate::search::{Query, SearchInFlight, SearchRequest};
+use crate::settings::DirectorySettings;
+use crate::time::{MILLISECOND, Time, to_ms};
+
+pub(crate) use self::lookup_queues::{Batch, Enqueued, LookupQueues, Priority};
+use self::rate_limit::{HedgeBudget, TokenBucket};
+use self::replication::ReplicationProgress;
+pub(crate) use self::server::Server;
+use self::server::ServerLimits;
+pub(crate) use self::synchronization::{RefreshStage, SyncState};
+pub(crate) use self::unconfirmed_changes::{ObservedChange, UnconfirmedChanges};
+
+/// Servers of a directory that have a number of their own in the seeds of their jitter.
+const SEEDED_SERVERS: usize = 64;
+
+/// A directory's state.
+pub(crate) struct DirectoryState {
+    /// Its place in the settings.
+    number: usize,
+    pub(crate) settings: DirectorySettings,
+    pub(crate) servers: Vec<Server>,
+    pub(crate) queues: LookupQueues,
+    /// Users looked up while no server could be reached: searched for together when one can.
+    pub(crate) deferred: HashSet<User>,
+    pub(crate) search_tokens: TokenBucket,
+    hedge_budget: HedgeBudget,
+    replication: ReplicationProgress,
+    /// Changes reported by servers that give no change number.
+    pub(crate) unconfirmed: UnconfirmedChanges,
+    /// When changes are polled for next.
+    poll_due: Option<Time>,
+    /// When each server's state is checked, unless it responds to something else before. One that is never the fastest
+    /// is heard of all the same, and only by comparing them is a copy that lags behind found.
+    state_check_due: Vec<Time>,
+    /// The newest `modifyTimestamp` that a poll has returned.
+    newest_modify_timestamp: Option<String>,
+    /// Content synchronization, where the directory is followed.
+    pub(crate) sync: SyncState,
+}
+
+impl DirectoryState {
+    /// The state of the directory with this place in the settings, of which nothing is known yet.
+    pub(crate) fn new(number: usize, settings: &DirectorySettings, seed: u64) -> Self {
+        let server_count = settings.server_count.max(1);
+        let state_check_interval = settings.state_check_interval() as f64;
+        let first_state_check = |server: usize| {
+            let server_seed = seed ^ (number * SEEDED_SERVERS + server) as u64;
+            (state_check_interval * stable_fraction("state", server_seed)) as Time
+        };
+        // Front ends that start together do not poll together.
+        let first_poll = || {
+            let fraction = stable_fraction("poll", seed ^ number as u64);
+            (settings.poll_interval as f64 * fraction) as Time
+        };
+        DirectoryState {
+            number,
+            servers: vec![Server::new(); server_count],
+            queues: LookupQueues::default(),
+            deferred: HashSet::new(),
+            search_tokens: TokenBucket::new(settings.max_searches_per_second),
+            hedge_budget: HedgeBudget::default(),
+            replication: ReplicationProgress::default(),
+            unconfirmed: UnconfirmedChanges::default(),
+            poll_due: (settings.poll_interval > 0).then(first_poll),
+            state_check_due: (0..server_count).map(first_state_check).collect(),
+            newest_modify_timestamp: None,
+            sync: SyncState::default(),
+            settings: settings.clone(),
+        }
+    }
+
+    pub(crate) fn server_limits(&self) -> ServerLimits {
+        ServerLimits {
+            failure_threshold: self.settings.failure_threshold.max(1),
+            backoff: self.settings.backoff,
+            max_searches: self.settings.max_searches_per_server,
+        }
+    }
+
+    /// Whether a server may be searched at.
+    pub(crate) fn is_reachable(&self) -> bool {
+        self.servers.iter().any(Server::is_closed)
+    }
+
+    /// Whether no server can be expected to respond while a request waits.
+    pub(crate) fn is_slow(&self) -> bool {
+        let hedge_after = self.settings.hedge_after;
+        !self
+            .servers
+            .iter()
+            .any(|server| server.is_closed() && server.usually_responds_within(hedge_after))
+    }
+
+    /// The server to search at, if there is one with capacity.
+    fn choose_server(&self) -> Option<usize> {
+        self.choose_server_except(None)
+    }
+
+    /// The server to search at that is not this one, if there is one with capacity.
+    fn choose_server_except(&self, except: Option<usize>) -> Option<usize> {
+        let limits = self.server_limits();
+        self.servers
+            .iter()
+            .enumerate()
+            .filter(|(number, server)| Some(*number) != except && server.has_capacity(&limits))
+            .min_by(|(_, left), (_, right)| left.cost().total_cmp(&right.cost()))
+            .map(|(number, _)| number)
+    }
+
+    /// Whether users are to be searched for now, if a server has capacity.
+    fn has_due_lookups(&self, now: Time) -> bool {
+        self.queues.has_due(now, self.settings.max_users_per_search)
+    }
+
+    /// The next search for queued users, if there may be one now.
+    pub(crate) fn take_user_search(&mut self, now: Time) -> Option<SearchRequest> {
+        if !self.search_tokens.has_token() || !self.has_due_lookups(now) {
+            return None;
+        }
+        let server = self.choose_server()?;
+        let batch = self.queues.take_batch(self.settings.max_users_per_search);
+        self.search_tokens.take();
+        self.hedge_budget.add_search();
+        Some(SearchRequest {
+            directory: self.number,
+            server,
+            query: Query::Users(batch.users),
+            attempts: batch.attempts,
+        })
+    }
+
+    /// The same search at another server, if the budget allows a hedge and one has capacity.
+    pub(crate) fn take_hedge(&mut self, search: &SearchRequest) -> Option<SearchRequest> {
+        if !self.hedge_budget.allows_hedge() {
+            return None;
+        }
+        let server = self.choose_server_except(Some(search.server))?;
+        self.hedge_budget.take_hedge();
+        Some(SearchRequest {
+            server,
+            ..search.clone()
+        })
+    }
+
+    /// Begins a search at a server: when it has failed, and when it is hedged.
+    pub(crate) fn begin_search(&mut self, now: Time, request: SearchRequest) -> SearchInFlight {
+        let server = &mut self.servers[request.server];
+        server.in_flight += 1;
+        let hedge_delay = server.hedge_delay(self.settings.hedge_after, self.settings.timeout);
+        let is_hedged = matches!(request.query, Query::Users(_));
+        SearchInFlight {
+            started_at: now,
+            deadline: now.saturating_add(self.settings.timeout),
+            hedge_at: is_hedged.then_some(now.saturating_add(hedge_delay)),
+            hedge_partner: None,
+            request,
+        }
+    }
+
+    /// Notes the response to a search. If another server's copy was ahead of this one's before, since when, in
+    /// milliseconds.
+    pub(crate) fn record_response(
+        &mut self,
+        now: Time,
+        search: &SearchInFlight,
+        change_number: Option<u64>,
+    ) -> Option<i64> {
+        let limits = self.server_limits();
+        let server = &mut self.servers[search.request.server];
+        let response_time = now.saturating_sub(search.started_at);
+        server.record_response(now, response_time, &limits);
+        let started_at_ms = to_ms(search.started_at);
+        let outdated_since = change_number
+            .and_then(|change_number| self.replication.observe(change_number, started_at_ms));
+        server.is_lagging = outdated_since.is_some();
+        outdated_since
+    }
+
+    /// Whether a server's state is to be checked now; if so, or if it is known, the next check is later.
+    pub(crate) fn take_due_state_check(&mut self, now: Time, server: usize) -> bool {
+        if now < self.state_check_due[server] {
+            return false;
+        }
+        let interval = self.settings.state_check_interval();
+        let is_only_server = self.servers.len() == 1;
+        let state = &self.servers[server];
+        // A server that has just responded is known as it is, and one alone never lags behind another.
+        let responded_at = state
+            .last_response_at
+            .filter(|at| now < at.saturating_add(interval));
+        self.state_check_due[server] = responded_at.unwrap_or(now).saturating_add(interval);
+        responded_at.is_none() && !is_only_server && state.is_closed()
+    }
+
+    /// The search that checks a server's state.
+    pub(crate) fn state_check(&self, server: usize) -> SearchRequest {
+        SearchRequest {
+            directory: self.number,
+            server,
+            query: Query::ServerState,
+            attempts: 0,
+        }
+    }
+
+    /// The search that polls for changes, if it is due and a server has capacity.
+    pub(crate) fn take_due_poll(&mut self, now: Time) -> Option<SearchRequest> {
+        self.poll_due.filter(|due| now >= *due)?;
+        self.poll_due = Some(now + self.settings.poll_interval);
+        let server = self.choose_server()?;
+        Some(SearchRequest {
+            directory: self.number,
+            server,
+            query: Query::ChangedSince(self.newest_modify_timestamp.clone()),
+            attempts: 0,
+        })
+    }
+
+    /// Notes how far the timestamps of a poll have come.
+    pub(crate) fn record_poll(&mut self, newest_modify_timestamp: Option<String>) {
+        self.newest_modify_timestamp =
+            newest_modify_timestamp.max(self.newest_modify_timestamp.take());
+    }
+
+    /// When time alone has an effect next.
+    pub(crate) fn next_due(&self, now: Time) -> Option<Time> {
+        let breakers = self.servers.iter().filter_map(Server::probe_due);
+        let state_check = self.state_check_due.iter().min().copied();
+        let background = self
+            .queues
+            .background_due()
+            .map(|due| due.max(now + MILLISECOND));
+        breakers
+            .chain(self.poll_due)
+            .chain(state_check)
+            .chain(self.unconfirmed.next_due())
+            .chain(background)
+            .chain(self.next_token_due(now))
+            .min()
+    }
+
+    /// When there is a token again, if that is all that a search waits for.
+    fn next_token_due(&self, now: Time) -> Option<Time> {
+        let limits = self.server_limits();
+        let has_capacity = self
+            .servers
+            .iter()
+            .any(|server| server.has_capacity(&limits));
+        let waits_for_token = self.has_due_lookups(now) && has_capacity;
+        self.search_tokens
+            .next_token_at()
+            .filter(|_| waits_for_token)
+    }
+}
--- /dev/null
+++ b/crates/pipithub-directory/src/state/rate_limit.rs
@@ -0,0 +1,87 @@
+//! Bounds on how often a directory is searched, and on how many searches are hedged.
+
+use crate::time::{MILLISECOND, SECOND, Time};
+
+/// A bucket holds the tokens of this part of a second, and one at least.
+const BURST_DIVISOR: f64 = 4.0;
+/// The slowest refill that a due time is computed for.
+const MIN_RATE: f64 = 0.01;
+/// Of all searches, those that may be hedged.
+const HEDGED_FRACTION: f64 = 0.1;
+/// Hedges that may be saved up.
+const MAX_SAVED_HEDGES: f64 = 4.0;
+
+/// A token bucket: each search takes a token, and tokens come back at a steady rate.
+pub(crate) struct TokenBucket {
+    tokens_per_second: f64,
+    tokens: f64,
+    last_refill: Time,
+}
+
+impl TokenBucket {
+    /// A full bucket.
+    pub(crate) fn new(tokens_per_second: f64) -> Self {
+        let mut bucket = TokenBucket {
+            tokens_per_second,
+            tokens: 0.0,
+            last_refill: 0,
+        };
+        bucket.tokens = bucket.capacity();
+        bucket
+    }
+
+    fn capacity(&self) -> f64 {
+        (self.tokens_per_second / BURST_DIVISOR).max(1.0)
+    }
+
+    /// Adds the tokens of the time that has passed.
+    pub(crate) fn refill(&mut self, now: Time) {
+        let passed = now.saturating_sub(self.last_refill) as f64 / SECOND as f64;
+        self.last_refill = self.last_refill.max(now);
+        self.tokens = (self.tokens + passed * self.tokens_per_second).min(self.capacity());
+    }
+
+    pub(crate) fn has_token(&self) -> bool {
+        self.tokens >= 1.0
+    }
+
+    pub(crate) fn take(&mut self) {
+        self.tokens -= 1.0;
+    }
+
+    /// When there is a token again; `None`: there is one now.
+    pub(crate) fn next_token_at(&self) -> Option<Time> {
+        if self.has_token() {
+            return None;
+        }
+        let seconds = (1.0 - self.tokens) / self.tokens_per_second.max(MIN_RATE);
+        let delay = (seconds * SECOND as f64) as Time + MILLISECOND;
+        Some(self.last_refill.saturating_add(delay))
+    }
+}
+
+/// Bounds hedges to a fraction of all searches.
+pub(crate) struct HedgeBudget {
+    hedges: f64,
+}
+
+impl Default for HedgeBudget {
+    fn default() -> Self {
+        HedgeBudget { hedges: 1.0 }
+    }
+}
+
+impl HedgeBudget {
+    /// A search was started: it adds its fraction of a hedge.
+    pub(crate) fn add_search(&mut self) {
+        self.hedges = (self.hedges + HEDGED_FRACTION).min(MAX_SAVED_HEDGES);
+    }
+
+    pub(crate) fn allows_hedge(&self) -> bool {
+        self.hedges >= 1.0
+    }
+
+    pub(crate) fn take_hedge(&mut self) {
+        self.hedges -= 1.0;
+    }
+}
--- a/crates/pipithub-directory/src/server/tests.rs
+++ b/crates/pipithub-directory/src/state/server/tests.rs
@@ -1,23 +1,22 @@
-//! When the circuit breaker opens and closes, and how the window grows.
+//! When the circuit breaker opens and closes, and how the concurrency limit grows.
 
 use super::{Breaker, Server, ServerLimits};
-use crate::{Backoff, SearchId, Time};
-
-const S: Time = 1_000_000_000;
+use crate::settings::Backoff;
+use crate::time::SECOND;
 
 fn limits() -> ServerLimits {
     ServerLimits {
         failure_threshold: 3,
         backoff: Backoff {
-            initial: S,
-            max: 8 * S,
+            initial: SECOND,
+            max: 8 * SECOND,
         },
         max_searches: 4,
     }
 }
 
 #[test]
-fn failures_in_a_row_open_it_and_waits_double_up_to_the_longest() {
+fn consecutive_failures_open_the_breaker_and_backoffs_double_up_to_the_longest() {
     let limits = limits();
     let mut server = Server::new();
     server.record_failure(0, false, 0.5, &limits);
@@ -26,18 +25,15 @@
     server.record_response(0, 1, &limits);
     server.record_failure(0, false, 0.5, &limits);
     server.record_failure(0, false, 0.5, &limits);
-    assert_eq!(server.breaker, Breaker::Closed, "an answer between counts");
+    assert_eq!(server.breaker, Breaker::Closed, "a response between counts");
     server.record_failure(0, false, 0.5, &limits);
     let mut backoffs = Vec::new();
-    for probe in 0..6 {
-        let Breaker::Open { until, backoff } = server.breaker else {
+    for _ in 0..6 {
+        let Breaker::Open { until, .. } = server.breaker else {
             panic!("open")
         };
-        backoffs.push(until / S);
-        server.breaker = Breaker::HalfOpen {
-            probe: SearchId(probe),
-            backoff,
-        };
+        backoffs.push(until / SECOND);
+        server.half_open();
         assert!(!server.has_capacity(&limits), "one probe, nothing else");
         server.record_failure(0, false, 0.5, &limits);
     }
@@ -45,13 +41,13 @@
 }
 
 #[test]
-fn a_server_that_is_back_is_asked_little_by_little() {
+fn the_concurrency_limit_of_a_server_that_is_back_grows_by_one() {
     let limits = limits();
     let mut server = Server::new();
     server.record_failure(0, true, 0.0, &limits);
     assert!(
         matches!(server.breaker, Breaker::Open { .. }),
-        "its own word opens it at once"
+        "its own report opens it at once"
     );
     server.record_response(0, 1, &limits);
     server.in_flight = 2;
