--- a/crates/pipithub-directory/src/daily_peak.rs
+++ b/crates/pipithub-directory/src/daily_peak.rs
@@ -26,6 +26,3 @@
         next_window.saturating_add((fraction.clamp(0.0, 1.0) * lead_ms as f64) as i64)
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/pipithub-directory/src/pending_lookups.rs
+++ b/crates/pipithub-directory/src/pending_lookups.rs
@@ -171,6 +171,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests;
--- /dev/null
+++ b/crates/pipithub-directory/tests/directory/daily_peak.rs
@@ -0,0 +1,108 @@
+//! Refreshes ahead of a daily peak.
+
+use pipithub_directory::{DailyPeak, Directory, Resolution};
+
+use crate::support::{
+    HOUR, HOUR_MS, MINUTE, MadeSearch, Responder, SECOND, directory_with, numbered_user,
+};
+
+const DAY_MS: i64 = 24 * HOUR_MS;
+
+/// A directory with a peak at six, whose users are refreshed from five on.
+fn directory_with_peak() -> Directory {
+    directory_with(10_000, |settings| {
+        settings.daily_peak = Some(DailyPeak {
+            starts_at_ms: 6 * HOUR_MS,
+            lead_ms: HOUR_MS,
+        });
+    })
+}
+
+#[test]
+fn slots_are_spread_over_the_next_window() {
+    let peak = DailyPeak {
+        starts_at_ms: 6 * HOUR_MS,
+        lead_ms: 2 * HOUR_MS,
+    };
+    let day = 20_000 * DAY_MS;
+    assert_eq!(peak.refresh_time(day + HOUR_MS, 0.0), day + 4 * HOUR_MS);
+    assert_eq!(peak.refresh_time(day + HOUR_MS, 0.5), day + 5 * HOUR_MS);
+    // Confirmed within the window or in the peak: the next day's.
+    let next_day = day + DAY_MS;
+    assert_eq!(
+        peak.refresh_time(day + 5 * HOUR_MS, 0.0),
+        next_day + 4 * HOUR_MS
+    );
+    assert_eq!(
+        peak.refresh_time(day + 4 * HOUR_MS, 0.0),
+        next_day + 4 * HOUR_MS
+    );
+    assert_eq!(
+        peak.refresh_time(day + 23 * HOUR_MS, 1.0),
+        next_day + 6 * HOUR_MS
+    );
+    // A window over midnight.
+    let early = DailyPeak {
+        starts_at_ms: HOUR_MS,
+        lead_ms: 3 * HOUR_MS,
+    };
+    assert_eq!(
+        early.refresh_time(day + 21 * HOUR_MS, 0.0),
+        day + 22 * HOUR_MS
+    );
+    assert_eq!(early.refresh_time(day, 0.0), day + 22 * HOUR_MS);
+    // No time and no fraction overflows.
+    let _ = peak.refresh_time(i64::MIN, f64::NAN) + early.refresh_time(i64::MAX - 3 * DAY_MS, 2.0);
+}
+
+#[test]
+fn known_users_are_asked_for_ahead_of_the_peak_in_few_searches() {
+    let mut responder = Responder::new(directory_with_peak(), 0);
+    for number in 0..500 {
+        responder.look_up(&numbered_user(number));
+    }
+    responder.run(SECOND);
+    let searches = responder.run(6 * HOUR);
+    let users: usize = searches.iter().map(|search| search.users).sum();
+    assert!(users >= 490, "{users} of 500 were refreshed");
+    assert!(
+        searches
+            .iter()
+            .filter(|search| search.users > 0)
+            .all(|search| search.at >= 5 * HOUR),
+        "within the hour before"
+    );
+    assert!(searches.len() <= 500 / 3, "{} searches", searches.len());
+    let is_fresh = |number: &u64| {
+        let resolution = responder
+            .core
+            .roster()
+            .resolve(&numbered_user(*number), responder.now);
+        matches!(resolution, Resolution::Tenant { age, .. } if age <= HOUR + MINUTE)
+    };
+    assert!((0..500).filter(is_fresh).count() >= 490);
+}
+
+/// The peak is in wall time: it had been counted from the wall time at the start for good.
+#[test]
+fn after_a_step_of_the_wall_clock_the_peak_is_where_the_wall_has_it() {
+    let mut core = directory_with_peak();
+    core.set_wall_clock(SECOND, 3 * HOUR_MS + 1_000);
+    let mut responder = Responder::new(core, SECOND);
+    for number in 0..100 {
+        responder.look_up(&numbered_user(number));
+    }
+    responder.run(2 * SECOND);
+    let searches: Vec<MadeSearch> = responder
+        .run(5 * HOUR)
+        .into_iter()
+        .filter(|search| search.users > 0)
+        .collect();
+    let users: usize = searches.iter().map(|search| search.users).sum();
+    assert!(users >= 98, "{searches:?}");
+    let window = 2 * HOUR..=3 * HOUR + MINUTE;
+    assert!(
+        searches.iter().all(|search| window.contains(&search.at)),
+        "{searches:?}"
+    );
+}
