--- a/crates/pipithub-directory/tests/directory/daily_peak.rs
+++ b/crates/pipithub-directory/tests/directory/daily_peak.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn slots_are_spread_over_the_next_window() {
+fn refreshes_are_spread_over_the_next_window() {
     let peak = DailyPeak {
         starts_at_ms: 6 * HOUR_MS,
         lead_ms: 2 * HOUR_MS,
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn known_users_are_asked_for_ahead_of_the_peak_in_few_searches() {
+fn cached_users_are_refreshed_ahead_of_the_peak_in_few_searches() {
     let mut responder = Responder::new(directory_with_peak(), 0);
     for number in 0..500 {
         responder.look_up(&numbered_user(number));
@@ -85,7 +85,7 @@
 
 /// The peak is in wall time: it had been counted from the wall time at the start for good.
 #[test]
-fn after_a_step_of_the_wall_clock_the_peak_is_where_the_wall_has_it() {
+fn after_a_step_of_the_wall_clock_refreshes_precede_the_peak_of_the_wall_clock() {
     let mut core = directory_with_peak();
     core.set_wall_clock(SECOND, 3 * HOUR_MS + 1_000);
     let mut responder = Responder::new(core, SECOND);
--- a/crates/pipithub-directory/tests/directory/pending_lookups.rs
+++ b/crates/pipithub-directory/tests/directory/pending_lookups.rs
@@ -3,7 +3,7 @@
 use pipithub_directory::{EndedLookup, PendingLookups, User};
 
 #[test]
-fn each_waits_until_news_or_its_time() {
+fn each_waits_until_its_look_up_finishes_or_its_time_is_up() {
     let mut pending = PendingLookups::new(3);
     let (mai, lan): (User, User) = ("mai".into(), "lan".into());
     pending.add(0, 40, mai.clone(), 1).expect("capacity");
--- a/crates/pipithub-directory/tests/directory/snapshots.rs
+++ b/crates/pipithub-directory/tests/directory/snapshots.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn snapshots_are_taken_by_their_age_and_refused_where_they_are_not_ours() {
+fn snapshots_keep_ages_and_are_rejected_where_they_do_not_fit() {
     let core = restored(vec![stored("mai", 0), stored("lan", -11 * HOUR_MS)]);
     let bytes = snapshot::write(core.roster(), SECOND, WALL_MS, FINGERPRINT, KEY);
     let now = read(&bytes, WALL_MS, FINGERPRINT, KEY).expect("ours");
@@ -86,7 +86,7 @@
 
 /// A step back between the writing and the restart must not make records look as fresh as when they were written.
 #[test]
-fn facts_from_a_snapshot_of_the_future_are_old() {
+fn records_of_a_snapshot_from_the_future_are_old() {
     let core = restored(vec![stored("mai", 0)]);
     let bytes = snapshot::write(core.roster(), SECOND, WALL_MS, FINGERPRINT, KEY);
     let age = |wall_ms| {
--- a/crates/pipithub-directory/tests/directory/synchronization.rs
+++ b/crates/pipithub-directory/tests/directory/synchronization.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_followed_directory_is_known_whole() {
+fn a_followed_directory_is_known_completely() {
     let mut core = directory_with(100, |_| {});
     synchronize(&mut core, 0, 0, SyncEvent::RefreshStarted { full: true });
     synchronize(&mut core, 0, 0, SyncEvent::Entry(entry("mai", "north", 1)));
@@ -69,7 +69,7 @@
 
 /// A user that is not part of a full refresh has no entry any more, though no event ever says so.
 #[test]
-fn what_a_refresh_does_not_name_is_gone() {
+fn users_that_a_full_refresh_does_not_name_are_removed() {
     let north = |number| entry(&numbered_user(number), "north", number + 1);
     let mut core = directory_with(10_000, |_| {});
     synchronize(&mut core, 0, 0, SyncEvent::RefreshStarted { full: true });
