--- a/crates/pipithub-directory/src/refresh_wheel.rs
+++ b/crates/pipithub-directory/src/refresh_wheel.rs
@@ -65,3 +65,6 @@
         Some(from_ms(first.0.saturating_mul(SECOND_MS)))
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/pipithub-directory/src/state/lookup_queues.rs
+++ b/crates/pipithub-directory/src/state/lookup_queues.rs
@@ -193,3 +193,6 @@
         users
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/pipithub-directory/src/state/rate_limit.rs
+++ b/crates/pipithub-directory/src/state/rate_limit.rs
@@ -85,3 +85,6 @@
         self.hedges -= 1.0;
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/pipithub-directory/src/state/replication.rs
+++ b/crates/pipithub-directory/src/state/replication.rs
@@ -37,3 +37,6 @@
             .map(|observed| observed.first_seen_ms)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/pipithub-directory/src/state/unconfirmed_changes.rs
+++ b/crates/pipithub-directory/src/state/unconfirmed_changes.rs
@@ -95,3 +95,6 @@
         self.rechecks.first().map(|recheck| recheck.due)
     }
 }
+
+#[cfg(test)]
+mod tests;
