--- a/crates/pipithub-directory/src/directory.rs
+++ b/crates/pipithub-directory/src/directory.rs
@@ -28,7 +28,7 @@
 
 /// Users looked at in one turn when a followed directory's refresh is done, or when old records are removed.
 const MAX_USERS_PER_TURN: usize = 2_048;
-/// The days that records tell apart.
+/// Records hold days modulo this.
 const RECORDED_DAYS: i64 = 256;
 
 /// The directories of a front end, and what is known through them.
@@ -74,7 +74,7 @@
         }
     }
 
-    /// What is known now; it shares everything with what is kept here.
+    /// What is known now. Cloning it shares everything.
     pub fn roster(&self) -> &Roster {
         &self.roster
     }
@@ -172,7 +172,7 @@
             .rem_euclid(RECORDED_DAYS) as u8
     }
 
-    /// Tells readers whether the servers of a directory respond while a request waits.
+    /// Publishes in the roster whether the servers of a directory respond while a request waits.
     fn update_slowness(&mut self, directory: usize) {
         let is_slow = self.directories[directory].is_slow();
         if self.roster.directories[directory].is_slow != is_slow {
--- a/crates/pipithub-directory/src/directory/checks.rs
+++ b/crates/pipithub-directory/src/directory/checks.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Checks the state of a server that was not heard of for long.
+    /// Checks the state of a server that has not responded for long.
     fn check_server(
         &mut self,
         now: Time,
--- a/crates/pipithub-directory/src/directory/dispatch.rs
+++ b/crates/pipithub-directory/src/directory/dispatch.rs
@@ -32,8 +32,8 @@
         }
     }
 
-    /// No server can be searched at: requests that wait are told so at once, and all users are searched for when a server
-    /// is back.
+    /// No server is reachable: look-ups are reported as finished at once, so that no request waits in vain, and the users
+    /// are searched for when a server is back.
     fn defer_lookups(&mut self, directory: usize, outputs: &mut Vec<Output>) {
         let state = &mut self.directories[directory];
         let users = state.queues.drain();
--- a/crates/pipithub-directory/src/directory/followed.rs
+++ b/crates/pipithub-directory/src/directory/followed.rs
@@ -99,8 +99,8 @@
         self.report(now, directory, user, result, person, outputs);
     }
 
-    /// Reports what a followed directory says of a user now. Its changes come in their order, so that none needs to be
-    /// confirmed: it has the change number of what is known.
+    /// Reports the present result of a followed directory for a user. Its changes come in their order, so that none needs
+    /// to be confirmed: it has the change number of the known record.
     fn report(
         &mut self,
         now: Time,
--- a/crates/pipithub-directory/src/directory/lookups.rs
+++ b/crates/pipithub-directory/src/directory/lookups.rs
@@ -1,4 +1,4 @@
-//! Look-ups of users: into which queue they go, and when their end is told.
+//! Look-ups of users: into which queue they go, and when they are reported as finished.
 
 use crate::directory::Directory;
 use crate::messages::Output;
@@ -77,7 +77,7 @@
         enqueued != Enqueued::QueueFull
     }
 
-    /// Tells that a user's look-up has finished, unless a directory is still searched for them: the result of one of
+    /// Reports that a user's look-up has finished, unless a directory is still searched for them: the result of one of
     /// several does not decide yet.
     pub(super) fn finish_lookup(&self, user: User, outputs: &mut Vec<Output>) {
         let is_pending = self
@@ -94,7 +94,7 @@
         self.directories[directory].queues.is_pending(user)
     }
 
-    /// Tells the end of several look-ups.
+    /// The same for several users.
     pub(super) fn finish_lookups(&self, users: Vec<User>, outputs: &mut Vec<Output>) {
         for user in users {
             self.finish_lookup(user, outputs);
--- a/crates/pipithub-directory/src/directory/records.rs
+++ b/crates/pipithub-directory/src/directory/records.rs
@@ -20,7 +20,7 @@
 }
 
 impl Observation<'_> {
-    /// Whether it says something else of the user than a record.
+    /// Whether its result or person is another than a record's.
     fn differs_from(&self, record: &LookupRecord) -> bool {
         record.result != self.result || record.person != self.person
     }
--- a/crates/pipithub-directory/src/directory/results.rs
+++ b/crates/pipithub-directory/src/directory/results.rs
@@ -19,7 +19,7 @@
     is_outdated: bool,
 }
 
-/// What a response says of one user.
+/// The result of a response for one user.
 struct UserResult {
     result: LookupResult,
     person: PersonId,
@@ -188,7 +188,7 @@
             let entries = entries_of.get(&user).map_or(&[][..], Vec::as_slice);
             let UserResult { result, person } = self.user_result(directory, entries);
             if validity.is_outdated && result == LookupResult::Absent {
-                // That an outdated copy has no entry says nothing of now.
+                // An outdated copy without an entry does not prove that there is none now.
                 undecided.push(user);
                 continue;
             }
--- a/crates/pipithub-directory/src/messages.rs
+++ b/crates/pipithub-directory/src/messages.rs
@@ -1,4 +1,4 @@
-//! What happens to a [`crate::Directory`], and what it asks its caller to do.
+//! Inputs and outputs of a [`crate::Directory`].
 
 use crate::record::{PersonId, User};
 use crate::search::{DirectoryEntry, Query, SearchError, SearchId, SearchResponse};
--- a/crates/pipithub-directory/src/roster.rs
+++ b/crates/pipithub-directory/src/roster.rs
@@ -193,7 +193,7 @@
             .and_then(|records| records.of_directory(directory))
     }
 
-    /// The status of a directory, replaced as a whole where it is changed.
+    /// Changes the status of a directory. Versions that were cloned before do not show it.
     pub(crate) fn update_directory(
         &mut self,
         directory: usize,
--- a/crates/pipithub-directory/src/settings.rs
+++ b/crates/pipithub-directory/src/settings.rs
@@ -120,9 +120,9 @@
 /// For how long a directory's results are valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lifetimes {
-    /// A tenant's record is used as it is up to three quarters of this age. From some age between that and the whole it
-    /// is used while it is refreshed in the background, and from twice this age on a request waits a little for the
-    /// refresh.
+    /// A tenant's record is used as it is up to three quarters of this age. From a random age between that and this age
+    /// on it is refreshed in the background while it is used, and from twice this age on a request waits a little for
+    /// the refresh.
     pub fresh: Time,
     /// The hard bound: from this age on a tenant's record is as if it were not there.
     pub max_stale: Time,
--- a/crates/pipithub-directory/src/state.rs
+++ b/crates/pipithub-directory/src/state.rs
@@ -1,4 +1,4 @@
-//! The state that is kept for each directory: its servers, its queues, and what was learnt of its changes.
+//! The state of each directory: its servers, its queues, its budgets, and the progress of its replication.
 
 mod lookup_queues;
 mod rate_limit;
@@ -42,8 +42,8 @@
     pub(crate) unconfirmed: UnconfirmedChanges,
     /// When changes are polled for next.
     poll_due: Option<Time>,
-    /// When each server's state is checked, unless it responds to something else before. One that is never the fastest
-    /// is heard of all the same, and only by comparing them is a copy that lags behind found.
+    /// When each server's state is checked, unless it responds to something else before. A server that is never the
+    /// fastest must respond from time to time as well: only by comparing all of them is a lagging copy detected.
     state_check_due: Vec<Time>,
     /// The newest `modifyTimestamp` that a poll has returned.
     newest_modify_timestamp: Option<String>,
--- a/crates/pipithub-directory/src/state/lookup_queues.rs
+++ b/crates/pipithub-directory/src/state/lookup_queues.rs
@@ -51,7 +51,7 @@
     unknown: VecDeque<QueuedUser>,
     confirmation: VecDeque<QueuedUser>,
     background: VecDeque<QueuedUser>,
-    /// When the last of these is searched for, unless a search that is started before has room for it.
+    /// When the users of the background queue are searched for at the latest.
     background_due: Time,
     /// Users that are queued or in a search: nobody is searched for twice at a time.
     pending: HashSet<User>,
--- a/crates/pipithub-directory/src/state/synchronization.rs
+++ b/crates/pipithub-directory/src/state/synchronization.rs
@@ -15,6 +15,8 @@
 /// The state of the synchronization.
 #[derive(Default)]
 pub(crate) struct SyncState {
+    /// The users by the persons whose entries are theirs.
     pub(crate) users: HashMap<PersonId, User>,
+    /// The refresh stage in progress.
     pub(crate) refresh: Option<RefreshStage>,
 }
