--- a/crates/pipithub-characterization/tests/file_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/file_driver/mod.rs
@@ -8,7 +8,7 @@
     Directory, DirectorySettings, Lifetimes, LookupRecord, LookupResult, PersonId, Settings,
     TenantBase, TenantId, snapshot,
 };
-use pipithub_endpoints::{Step, Watcher};
+use pipithub_endpoints::{WatchStep, Watcher};
 use pipithub_engine::policy::{Endpoint, EndpointState, EndpointUpdate};
 use pipithub_ldap::Dn;
 use pipithub_membership::{DiskState, GenerationRecord};
@@ -151,17 +151,18 @@
         .line(now, wall_ms, change.as_bytes())
         .expect("the change is read");
     assert!(
-        matches!(step, Step::Changes(_)),
+        matches!(step, WatchStep::Changes(_)),
         "the change changes something"
     );
-    watcher.remembered(now, wall_ms)
+    watcher.to_cached_list(now, wall_ms)
 }
 
 /// The workers of a remembered list, a line each.
 pub(crate) fn recall_list(text: &str, now: u64, wall_ms: u64) -> Result<Vec<String>, String> {
-    let (kind, entries) =
-        pipithub_endpoints::recall(text, now, wall_ms).map_err(|error| error.to_string())?;
-    assert_eq!(kind, EndpointUpdate::Cached);
+    let cached = pipithub_endpoints::read_cached_list(text, now, wall_ms)
+        .map_err(|error| error.to_string())?;
+    assert_eq!(cached.update, EndpointUpdate::Cached);
+    let entries = cached.endpoints;
     let line = |entry: &Endpoint| {
         let state = match entry.state {
             EndpointState::Ready => "live",
--- a/crates/pipithub-emulator/src/list/slice.rs
+++ b/crates/pipithub-emulator/src/list/slice.rs
@@ -5,7 +5,7 @@
 use pipithub_endpoints::object::{
     Conditions, EndpointPort, EndpointSlice, ObjectMeta, SliceEndpoint, TargetRef,
 };
-use pipithub_endpoints::{MEMORY, STARTED};
+use pipithub_endpoints::{MEMORY_ANNOTATION, STARTED_ANNOTATION};
 use serde::{Deserialize, Serialize};
 
 /// A worker as the list's owner sees it.
@@ -69,9 +69,13 @@
 
     fn metadata(&self, version: u64) -> ObjectMeta {
         let by_uid = |value: f64| serde_json::json!({ self.uid.clone(): value }).to_string();
-        let mut annotations = BTreeMap::from([(MEMORY.to_string(), by_uid(self.memory_mb))]);
+        let mut annotations =
+            BTreeMap::from([(MEMORY_ANNOTATION.to_string(), by_uid(self.memory_mb))]);
         if self.started_ms > 0 {
-            annotations.insert(STARTED.to_string(), by_uid(self.started_ms as f64));
+            annotations.insert(
+                STARTED_ANNOTATION.to_string(),
+                by_uid(self.started_ms as f64),
+            );
         }
         let service = (
             "kubernetes.io/service-name".to_string(),
--- a/crates/pipithub-emulator/src/worker/inference.rs
+++ b/crates/pipithub-emulator/src/worker/inference.rs
@@ -42,7 +42,7 @@
         (&Method::GET, ["v2", "health", "ready" | "live"]) => Ok(context.health()),
         (&Method::POST, ["v2", "repository", "index"]) => Ok(context.index()),
         (&Method::POST, ["v2", "repository", "models", model, "load"]) => {
-            let replicas = (context.number(header::COPIES) as u32).max(1);
+            let replicas = (context.number(header::REPLICAS) as u32).max(1);
             context.command(model, replicas).await
         }
         (&Method::POST, ["v2", "repository", "models", model, "unload"]) => {
@@ -83,7 +83,7 @@
     fn response(&self, status: StatusCode) -> Builder {
         Response::builder()
             .status(status)
-            .header(header::LOAD, self.shared.load_report())
+            .header(header::LOAD_REPORT, self.shared.load_report())
     }
 
     fn empty_response(&self, status: StatusCode) -> HttpResponse {
@@ -131,10 +131,10 @@
         };
         let mut response = self
             .response(status)
-            .header(header::COPIES, replicas)
-            .header(header::RAN, "no");
+            .header(header::REPLICAS, replicas)
+            .header(header::HAS_RUN, "no");
         if result == Err(Rejection::LoadFailed) {
-            response = response.header(header::COPY, "failed");
+            response = response.header(header::REPLICA, "failed");
         }
         Ok(finish(response, Bytes::new()))
     }
@@ -144,7 +144,7 @@
             return Ok(self.empty_response(StatusCode::BAD_REQUEST));
         };
         let request = self.text(header::REQUEST).unwrap_or_default();
-        let key = self.text(header::KEY);
+        let key = self.text(header::IDEMPOTENCY_KEY);
         let attempt = self.number(header::ATTEMPT) as u32;
         self.shared.record(Seen::Call {
             front_end: self.front_end(),
@@ -159,8 +159,8 @@
             id: 0,
             function: model.clone(),
             key: key.clone(),
-            replica_mb: self.number(header::MEMORY),
-            replica_concurrency: self.number(header::LANES) as u32,
+            replica_mb: self.number(header::REPLICA_MEMORY),
+            replica_concurrency: self.number(header::REPLICA_CONCURRENCY) as u32,
             work: stated_work(document.as_ref()),
             is_duplicate: !claimed,
         };
@@ -189,7 +189,7 @@
         });
         let response = self.inference_response(status, result, concurrency);
         if result.is_err() {
-            let response = response.header(header::RAN, "no");
+            let response = response.header(header::HAS_RUN, "no");
             return Ok(finish(response, Bytes::new()));
         }
         Ok(finish(response, echo(&model, document, body)))
@@ -244,9 +244,11 @@
         result: Result<Placement, Rejection>,
         concurrency: u32,
     ) -> Builder {
-        let mut response = self.response(status).header(header::ALIKE, concurrency);
+        let mut response = self
+            .response(status)
+            .header(header::FUNCTION_CONCURRENCY, concurrency);
         if let Some(placement) = placement_header(result) {
-            response = response.header(header::COPY, placement);
+            response = response.header(header::REPLICA, placement);
         }
         let content_type = self.headers.get("content-type");
         if let Some(content_type) = content_type.filter(|_| result.is_ok()) {
--- a/crates/pipithub-endpoints/src/cache.rs
+++ b/crates/pipithub-endpoints/src/cache.rs
@@ -55,12 +55,21 @@
     }
 }
 
-/// Reads a cached list, for the engine as an [`EndpointUpdate::Cached`].
-pub fn recall(
+/// A cached list as it is handed to the engine.
+#[derive(Clone, Debug, PartialEq)]
+pub struct CachedEndpoints {
+    /// Always [`EndpointUpdate::Cached`]: the endpoints may be outdated.
+    pub update: EndpointUpdate,
+    /// The endpoints, with starts on this process's clock.
+    pub endpoints: Vec<Endpoint>,
+}
+
+/// Reads a cached list. `wall_ms` is the Unix time of `now`.
+pub fn read_cached_list(
     text: &str,
     now: Time,
     wall_ms: u64,
-) -> Result<(EndpointUpdate, Vec<Endpoint>), EndpointListError> {
+) -> Result<CachedEndpoints, EndpointListError> {
     let json = |source| EndpointListError::Json {
         what: "remembered list",
         source,
@@ -73,7 +82,10 @@
     let reading = Reading { now, wall_ms };
     let endpoints = cached.workers.into_iter();
     let endpoints = endpoints.map(|worker| worker.into_endpoint(written_ms, reading));
-    Ok((EndpointUpdate::Cached, endpoints.collect()))
+    Ok(CachedEndpoints {
+        update: EndpointUpdate::Cached,
+        endpoints: endpoints.collect(),
+    })
 }
 
 /// A worker's present age in milliseconds: its age when the list was written and the wall time since. A list from the
--- a/crates/pipithub-endpoints/src/lib.rs
+++ b/crates/pipithub-endpoints/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A [`Watcher`] reads the bodies of lists and the lines of a watch and returns the changes for the engine. It keeps the
 //! `resourceVersion` to watch from, detects a version that is too old (`410 Gone`), and can be cached for a restart
-//! ([`Watcher::remembered`], [`recall`]).
+//! ([`Watcher::to_cached_list`], [`read_cached_list`]).
 //!
 //! Two annotations on a slice hold what Kubernetes has no field for; both map an endpoint's `targetRef.uid` to a
 //! number: `pipithub.dev/started-ms` (Unix time of its start) and `pipithub.dev/memory-mb`. Without the first, an
@@ -13,7 +13,7 @@
 
 use std::collections::BTreeMap;
 
-pub use cache::recall;
+pub use cache::{CachedEndpoints, read_cached_list};
 use object::{EndpointSlice, EndpointSliceList, SliceEndpoint, WatchEvent};
 use pipithub_clock::Reading;
 use pipithub_engine::Time;
@@ -24,9 +24,9 @@
 /// The API group and version of the slices.
 pub const API: &str = "discovery.k8s.io/v1";
 /// Annotation: start times in Unix milliseconds, by uid.
-pub const STARTED: &str = "pipithub.dev/started-ms";
+pub const STARTED_ANNOTATION: &str = "pipithub.dev/started-ms";
 /// Annotation: memory in MB, by uid.
-pub const MEMORY: &str = "pipithub.dev/memory-mb";
+pub const MEMORY_ANNOTATION: &str = "pipithub.dev/memory-mb";
 const NANOS_PER_MS: Time = 1_000_000;
 /// The status of a version that is too old to watch from.
 const GONE: u16 = 410;
@@ -59,7 +59,7 @@
 
 /// The effect of one line of a watch.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum WatchStep {
     /// Workers changed.
     Changes(Vec<Endpoint>),
     /// No worker changed; the version to continue from did.
@@ -144,7 +144,7 @@
         now: Time,
         wall_ms: u64,
         line: &[u8],
-    ) -> Result<Step, EndpointListError> {
+    ) -> Result<WatchStep, EndpointListError> {
         let json = |source| EndpointListError::Json {
             what: "watch event",
             source,
@@ -158,11 +158,11 @@
             }
             "BOOKMARK" => {
                 self.apply_bookmark(&event.object);
-                Ok(Step::Nothing)
+                Ok(WatchStep::Nothing)
             }
             "ERROR" => self.apply_error(&event.object),
             // A kind of event that later servers may send changes nothing here.
-            _ => Ok(Step::Nothing),
+            _ => Ok(WatchStep::Nothing),
         }
     }
 
@@ -171,7 +171,7 @@
         slice: EndpointSlice,
         is_deleted: bool,
         reading: Reading,
-    ) -> Result<Step, EndpointListError> {
+    ) -> Result<WatchStep, EndpointListError> {
         let name = slice.metadata.name.clone();
         if !slice.metadata.resource_version.is_empty() {
             self.version = Some(slice.metadata.resource_version.clone());
@@ -189,9 +189,9 @@
         }
         let changes = self.refresh(reading);
         Ok(if changes.is_empty() {
-            Step::Nothing
+            WatchStep::Nothing
         } else {
-            Step::Changes(changes)
+            WatchStep::Changes(changes)
         })
     }
 
@@ -202,11 +202,11 @@
         }
     }
 
-    fn apply_error(&mut self, status: &serde_json::Value) -> Result<Step, EndpointListError> {
+    fn apply_error(&mut self, status: &serde_json::Value) -> Result<WatchStep, EndpointListError> {
         let code = status["code"].as_u64().unwrap_or(0) as u16;
         if code == GONE {
             self.version = None;
-            return Ok(Step::Expired);
+            return Ok(WatchStep::Expired);
         }
         let message = status["message"].as_str().unwrap_or("no message");
         Err(EndpointListError::Status {
@@ -281,13 +281,14 @@
         };
         // A start in the future, by a clock that was stepped back, counts as now: it is taken for cold no longer than
         // a worker's ramp.
-        let annotated = number(STARTED).map(|stamp_ms| reading.time_of_stamp(stamp_ms as u64));
+        let annotated =
+            number(STARTED_ANNOTATION).map(|stamp_ms| reading.time_of_stamp(stamp_ms as u64));
         let started = match before {
             // A start once known stays: clocks that drift or are stepped must not look like restarts.
             Some(known) => known.started,
             None => annotated.or(self.listed.then_some(reading.now.max(1))),
         };
-        let memory_mb = number(MEMORY).unwrap_or(0.0);
+        let memory_mb = number(MEMORY_ANNOTATION).unwrap_or(0.0);
         KnownEndpoint {
             state: endpoint.state(),
             uid,
@@ -298,7 +299,7 @@
     }
 
     /// The number of workers that are ready.
-    pub fn live(&self) -> usize {
+    pub fn ready_count(&self) -> usize {
         self.known
             .values()
             .filter(|known| known.state == EndpointState::Ready)
@@ -306,7 +307,7 @@
     }
 
     /// The list as a text to cache for a restart.
-    pub fn remembered(&self, now: Time, wall_ms: u64) -> String {
+    pub fn to_cached_list(&self, now: Time, wall_ms: u64) -> String {
         let started_ms = |started: Time| {
             let age = now.saturating_sub(started);
             wall_ms.saturating_sub(age / NANOS_PER_MS)
--- a/crates/pipithub-endpoints/tests/watch.rs
+++ b/crates/pipithub-endpoints/tests/watch.rs
@@ -1,6 +1,6 @@
 //! Lists and watches as an API server writes them.
 
-use pipithub_endpoints::{Step, Watcher, recall};
+use pipithub_endpoints::{WatchStep, Watcher, read_cached_list};
 use pipithub_engine::Time;
 use pipithub_engine::policy::{Endpoint, EndpointState, EndpointUpdate};
 use serde_json::{Value, json};
@@ -78,7 +78,7 @@
         (all[0].memory_mb, all[0].zone.as_str(), all[0].started_at),
         (8000.0, "a", None)
     );
-    assert_eq!((watcher.version(), watcher.live()), (Some("5"), 3));
+    assert_eq!((watcher.version(), watcher.ready_count()), (Some("5"), 3));
 }
 
 #[test]
@@ -100,7 +100,7 @@
             vec![endpoint(1, "a", up()), endpoint(2, "b", up())],
         ),
     );
-    let Ok(Step::Changes(changes)) = watcher.line(3 * SECOND, WALL, &line) else {
+    let Ok(WatchStep::Changes(changes)) = watcher.line(3 * SECOND, WALL, &line) else {
         panic!("changes")
     };
     assert_eq!(
@@ -115,10 +115,10 @@
     assert_eq!(watcher.version(), Some("6"));
     assert!(matches!(
         watcher.line(4 * SECOND, WALL, &line),
-        Ok(Step::Nothing)
+        Ok(WatchStep::Nothing)
     ));
     let gone = event("DELETED", slice("s", "7", vec![]));
-    let Ok(Step::Changes(changes)) = watcher.line(5 * SECOND, WALL, &gone) else {
+    let Ok(WatchStep::Changes(changes)) = watcher.line(5 * SECOND, WALL, &gone) else {
         panic!("changes")
     };
     assert!(changes.iter().all(|e| e.state == EndpointState::Removed) && changes.len() == 2);
@@ -132,7 +132,8 @@
     watcher
         .list(0, WALL, &list("5", vec![one("a")]))
         .expect("a list");
-    let Ok(Step::Changes(changes)) = watcher.line(9 * SECOND, WALL, &event("MODIFIED", one("b")))
+    let Ok(WatchStep::Changes(changes)) =
+        watcher.line(9 * SECOND, WALL, &event("MODIFIED", one("b")))
     else {
         panic!("changes")
     };
@@ -173,14 +174,17 @@
     let bookmark = event("BOOKMARK", json!({"metadata": {"resourceVersion": "77"}}));
     assert!(matches!(
         watcher.line(0, WALL, &bookmark),
-        Ok(Step::Nothing)
+        Ok(WatchStep::Nothing)
     ));
     assert_eq!(watcher.version(), Some("77"));
     let gone = event(
         "ERROR",
         json!({"kind": "Status", "code": 410, "reason": "Expired", "message": "too old"}),
     );
-    assert!(matches!(watcher.line(0, WALL, &gone), Ok(Step::Expired)));
+    assert!(matches!(
+        watcher.line(0, WALL, &gone),
+        Ok(WatchStep::Expired)
+    ));
     assert_eq!(watcher.version(), None);
     let other = event(
         "ERROR",
@@ -209,7 +213,7 @@
     ] {
         assert!(watcher.list(0, WALL, bad.as_bytes()).is_err(), "{bad}");
         assert!(watcher.line(0, WALL, bad.as_bytes()).is_err(), "{bad}");
-        assert_eq!((watcher.live(), watcher.version()), (1, Some("5")));
+        assert_eq!((watcher.ready_count(), watcher.version()), (1, Some("5")));
     }
     let many = vec![endpoint(1, "a", json!({})); pipithub_endpoints::MAX_ENDPOINTS + 1];
     assert!(
@@ -249,20 +253,23 @@
     watcher
         .line(10 * SECOND, WALL + 10_000, &line)
         .expect("changes");
-    let text = watcher.remembered(20 * SECOND, WALL + 20_000);
+    let text = watcher.to_cached_list(20 * SECOND, WALL + 20_000);
     // The new process counts its own time, 5 s on.
-    let (kind, entries) = recall(&text, 60 * SECOND, WALL + 25_000).expect("its own text");
-    assert_eq!(kind, EndpointUpdate::Cached);
+    let cached = read_cached_list(&text, 60 * SECOND, WALL + 25_000).expect("its own text");
+    assert_eq!(cached.update, EndpointUpdate::Cached);
+    let entries = cached.endpoints;
     assert_eq!(short(&entries)[1].1, EndpointState::Draining);
     assert_eq!(entries[2].started_at, Some(45 * SECOND), "started 15 s ago");
-    assert!(recall("nonsense", 0, 0).is_err());
+    assert!(read_cached_list("nonsense", 0, 0).is_err());
 }
 
 const HOUR_MS: u64 = 3_600_000;
 
 fn recalled_start(text: &str, wall_ms: u64) -> Option<Time> {
     let now = 3 * 3_600 * SECOND;
-    let (_, entries) = recall(text, now, wall_ms).expect("its own text");
+    let entries = read_cached_list(text, now, wall_ms)
+        .expect("its own text")
+        .endpoints;
     entries[0].started_at.map(|started| now - started)
 }
 
@@ -279,7 +286,7 @@
         .line(10 * SECOND, WALL + 10_000, &line)
         .expect("changes");
     let written_ms = WALL + 10_000 + HOUR_MS;
-    let text = watcher.remembered(10 * SECOND + 3_600 * SECOND, written_ms);
+    let text = watcher.to_cached_list(10 * SECOND + 3_600 * SECOND, written_ms);
     let age = 3_600 * SECOND;
     assert_eq!(
         recalled_start(&text, written_ms + 5_000),
@@ -339,7 +346,10 @@
     for wall_ms in [WALL + HOUR_MS, WALL - HOUR_MS] {
         let line = event("MODIFIED", stamped("6"));
         assert!(
-            matches!(watcher.line(61 * SECOND, wall_ms, &line), Ok(Step::Nothing)),
+            matches!(
+                watcher.line(61 * SECOND, wall_ms, &line),
+                Ok(WatchStep::Nothing)
+            ),
             "{wall_ms}"
         );
         let all = watcher
--- a/crates/pipithub-gateway/src/list.rs
+++ b/crates/pipithub-gateway/src/list.rs
@@ -10,7 +10,7 @@
 use bytes::{Buf, BytesMut};
 use pipithub_clock::{Clock, wall_ms};
 use pipithub_consumer::backoff::Backoff;
-use pipithub_endpoints::{Step, Watcher};
+use pipithub_endpoints::{WatchStep, Watcher};
 use pipithub_engine::Input;
 use pipithub_engine::policy::{Endpoint, EndpointUpdate};
 use pipithub_storage::{Durability, Saver, SystemFiles, Target};
@@ -36,8 +36,11 @@
 pub(crate) fn load_cached(settings: &EndpointListSettings, clock: Clock) -> Option<Input> {
     let path = settings.cache.as_ref()?;
     let text = std::fs::read_to_string(path).ok()?;
-    match pipithub_endpoints::recall(&text, clock.now(), wall_ms()) {
-        Ok((update, endpoints)) => Some(Input::Endpoints { update, endpoints }),
+    match pipithub_endpoints::read_cached_list(&text, clock.now(), wall_ms()) {
+        Ok(cached) => Some(Input::Endpoints {
+            update: cached.update,
+            endpoints: cached.endpoints,
+        }),
         Err(error) => {
             warn!(path = %path.display(), %error, "the cached endpoint list cannot be read");
             None
@@ -120,7 +123,7 @@
         info!(
             front_end = self.settings.front_end,
             workers = endpoints.len(),
-            ready = self.watcher.live(),
+            ready = self.watcher.ready_count(),
             "worker list"
         );
         self.publish(EndpointUpdate::Snapshot, endpoints).await;
@@ -161,9 +164,9 @@
             return Ok(ControlFlow::Continue(()));
         }
         match self.watcher.line(self.clock.now(), wall_ms(), line) {
-            Ok(Step::Changes(changes)) => self.publish(EndpointUpdate::Delta, changes).await,
-            Ok(Step::Nothing) => {}
-            Ok(Step::Expired) => return Ok(ControlFlow::Break(())),
+            Ok(WatchStep::Changes(changes)) => self.publish(EndpointUpdate::Delta, changes).await,
+            Ok(WatchStep::Nothing) => {}
+            Ok(WatchStep::Expired) => return Ok(ControlFlow::Break(())),
             Err(error) => {
                 // A line that cannot be read may have been a drain: the list is fetched anew.
                 self.watcher.forget_version();
@@ -181,7 +184,7 @@
             .await;
         if let Some(saver) = &self.saver {
             let now = self.clock.now();
-            let text = self.watcher.remembered(now, wall_ms());
+            let text = self.watcher.to_cached_list(now, wall_ms());
             saver.save(now, text.into_bytes());
         }
     }
--- a/crates/pipithub-gateway/src/workers.rs
+++ b/crates/pipithub-gateway/src/workers.rs
@@ -11,7 +11,7 @@
 use pipithub_engine::{
     AttemptId, AttemptResult, Call, LoadCommandResult, LoadPollResult, Served, Time,
 };
-use pipithub_inference::{WorkerRequest, header};
+use pipithub_inference::{LoadCommandReply, WorkerRequest, header};
 use pipithub_settings::HttpConfig;
 use tokio::sync::oneshot;
 use tokio::time::error::Elapsed;
@@ -73,19 +73,23 @@
         replicas: u32,
     ) -> LoadCommandResult {
         let started = self.clock.now();
-        let (outcome, replicas) = match self.send_load_command(&worker, name, replicas).await {
-            Err(_) => (Outcome::TimedOut, 0),
-            Ok(Err(error)) => (error.into(), 0),
-            Ok(Ok(response)) => {
-                pipithub_inference::order_outcome(response.status, |name| response.header(name))
-            }
+        let without_reply = |outcome| LoadCommandReply {
+            outcome,
+            replicas: 0,
+        };
+        let reply = match self.send_load_command(&worker, name, replicas).await {
+            Err(_) => without_reply(Outcome::TimedOut),
+            Ok(Err(error)) => without_reply(error.into()),
+            Ok(Ok(response)) => pipithub_inference::load_command_reply(response.status, |name| {
+                response.header(name)
+            }),
         };
         LoadCommandResult {
             worker,
             function,
-            outcome,
+            outcome: reply.outcome,
             elapsed: self.clock.now() - started,
-            replicas,
+            replicas: reply.replicas,
         }
     }
 
@@ -100,14 +104,14 @@
         name: &str,
         replicas: u32,
     ) -> Result<Result<WorkerResponse, ExchangeError>, Elapsed> {
-        let request = pipithub_inference::order(name, replicas, &self.front_end);
+        let request = pipithub_inference::load_command(name, replicas, &self.front_end);
         self.exchange_within(self.config.load_command_timeout, worker, request)
             .await
     }
 
     /// Polls a worker for its load report.
     pub(crate) async fn poll_load(&self, worker: WorkerId) -> LoadPollResult {
-        let request = pipithub_inference::probe(&self.front_end);
+        let request = pipithub_inference::load_poll(&self.front_end);
         let polled = self
             .exchange_within(self.config.load_poll_timeout, &worker, request)
             .await;
@@ -116,8 +120,8 @@
             _ => None,
         };
         let load_report = answered
-            .and_then(|response| response.header(header::LOAD))
-            .map(pipithub_inference::load)
+            .and_then(|response| response.header(header::LOAD_REPORT))
+            .map(pipithub_inference::parse_load_report)
             .unwrap_or_default();
         LoadPollResult {
             answered: answered.is_some(),
@@ -141,7 +145,7 @@
 }
 
 fn answered_attempt(id: AttemptId, elapsed: Time, response: &WorkerResponse) -> AttemptResult {
-    let reply = pipithub_inference::outcome(response.status, |name| response.header(name));
+    let reply = pipithub_inference::attempt_reply(response.status, |name| response.header(name));
     let served = (reply.outcome == Outcome::Served).then(|| Served {
         status: response.status,
         content_type: response.header("content-type").map(Arc::from),
@@ -151,9 +155,9 @@
         id,
         outcome: reply.outcome,
         elapsed,
-        replica_status: reply.note,
-        function_concurrency: reply.alike,
-        load_report: reply.load,
+        replica_status: reply.replica_status,
+        function_concurrency: reply.function_concurrency,
+        load_report: reply.load_report,
         served,
     }
 }
--- a/crates/pipithub-gateway/tests/remembered_list.rs
+++ b/crates/pipithub-gateway/tests/remembered_list.rs
@@ -56,7 +56,7 @@
     until("the list is saved", || remembered.exists()).await;
     let text = std::fs::read_to_string(&remembered).expect("readable");
     assert!(
-        pipithub_endpoints::recall(&text, 1, 1).is_ok(),
+        pipithub_endpoints::read_cached_list(&text, 1, 1).is_ok(),
         "whole: {text}"
     );
 }
--- a/crates/pipithub-inference/src/lib.rs
+++ b/crates/pipithub-inference/src/lib.rs
@@ -1,7 +1,7 @@
 //! Requests to workers and their replies over HTTP/1.1, without I/O.
 //!
 //! Requests follow the Open Inference Protocol (V2), load commands its model repository extension, load reports the ORCA
-//! header `endpoint-load-metrics`. The headers of this project's own are listed in [`header`]. [`outcome`] is where a reply
+//! header `endpoint-load-metrics`. The headers of this project's own are listed in [`header`]. [`attempt_reply`] is where a reply
 //! becomes an outcome of the decision module; it never claims that a request did not run unless the worker said so.
 
 mod escape;
@@ -11,5 +11,8 @@
 mod request;
 
 pub use escape::unescape;
-pub use reply::{AttemptReply, IndexEntry, load, order_outcome, outcome};
-pub use request::{DeadlineReached, WorkerRequest, infer, order, probe};
+pub use reply::{
+    AttemptReply, IndexEntry, LoadCommandReply, attempt_reply, load_command_reply,
+    parse_load_report,
+};
+pub use request::{DeadlineReached, WorkerRequest, infer, load_command, load_poll};
--- a/crates/pipithub-inference/src/reply.rs
+++ b/crates/pipithub-inference/src/reply.rs
@@ -23,11 +23,11 @@
     /// How it ended.
     pub outcome: Outcome,
     /// The state in which it met its replica.
-    pub note: Option<ReplicaStatus>,
+    pub replica_status: Option<ReplicaStatus>,
     /// Requests of the model that were in flight at the worker.
-    pub alike: Option<u32>,
+    pub function_concurrency: Option<u32>,
     /// The worker's load.
-    pub load: LoadReport,
+    pub load_report: LoadReport,
 }
 
 /// Reads the status and headers of a reply to a request.
@@ -39,20 +39,22 @@
 /// | 429, or any error with `pipithub-ran: no` | rejected: never ran |
 /// | 400, 405 to 407, 410 to 422, 431 | served: the answer to the request itself, which no other worker would change |
 /// | everything else | an error; it may have run |
-pub fn outcome<'a>(status: u16, headers: impl Fn(&str) -> Option<&'a str>) -> AttemptReply {
-    let note = match headers(header::COPY) {
+pub fn attempt_reply<'a>(status: u16, headers: impl Fn(&str) -> Option<&'a str>) -> AttemptReply {
+    let replica_status = match headers(header::REPLICA) {
         Some("warm") => Some(ReplicaStatus::Warm),
         Some("began") => Some(ReplicaStatus::LoadStarted),
         Some("waited") => Some(ReplicaStatus::LoadAwaited),
         Some("failed") => Some(ReplicaStatus::LoadFailed),
         _ => None,
     };
-    let not_run = headers(header::RAN) == Some("no");
+    let not_run = headers(header::HAS_RUN) == Some("no");
     let outcome = match status {
         200..=299 => Outcome::Served,
         404 if not_run => Outcome::NotLoaded,
         // A load that failed under the request: it never ran, and the replica is not there.
-        500..=599 if not_run && note == Some(ReplicaStatus::LoadFailed) => Outcome::NotLoaded,
+        500..=599 if not_run && replica_status == Some(ReplicaStatus::LoadFailed) => {
+            Outcome::NotLoaded
+        }
         429 => Outcome::Rejected,
         _ if not_run => Outcome::Rejected,
         400 | 405..=407 | 410..=422 | 431 => Outcome::Served,
@@ -60,29 +62,47 @@
     };
     AttemptReply {
         outcome,
-        note,
-        alike: headers(header::ALIKE).and_then(|v| v.parse().ok()),
-        load: headers(header::LOAD).map(load).unwrap_or_default(),
+        replica_status,
+        function_concurrency: headers(header::FUNCTION_CONCURRENCY).and_then(|v| v.parse().ok()),
+        load_report: headers(header::LOAD_REPORT)
+            .map(parse_load_report)
+            .unwrap_or_default(),
     }
 }
 
-/// Reads the status of a reply to a load command, and the replicas that are loaded. Only a load that failed is an error:
-/// it is what the module stops loading for, and one worker at capacity must not do that.
-pub fn order_outcome<'a>(status: u16, headers: impl Fn(&str) -> Option<&'a str>) -> (Outcome, u32) {
-    let copies = headers(header::COPIES).and_then(|v| v.parse().ok());
-    // The extension itself reports no number; a load that was done has left one at least.
+/// What a reply reports of a load or evict command.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LoadCommandReply {
+    /// How it ended.
+    pub outcome: Outcome,
+    /// The replicas that are loaded now.
+    pub replicas: u32,
+}
+
+/// Reads the status and headers of a reply to a load command. Only a load that failed is an error: it is what the module
+/// stops loading for, and one worker at capacity must not do that.
+pub fn load_command_reply<'a>(
+    status: u16,
+    headers: impl Fn(&str) -> Option<&'a str>,
+) -> LoadCommandReply {
+    let stated = headers(header::REPLICAS).and_then(|v| v.parse().ok());
     let outcome = match status {
-        200..=299 => return (Outcome::Served, copies.unwrap_or(1)),
+        200..=299 => Outcome::Served,
         429 => Outcome::Rejected,
-        _ if headers(header::COPY) == Some("failed") => Outcome::Error,
-        _ if headers(header::RAN) == Some("no") => Outcome::Rejected,
+        _ if headers(header::REPLICA) == Some("failed") => Outcome::Error,
+        _ if headers(header::HAS_RUN) == Some("no") => Outcome::Rejected,
         _ => Outcome::Error,
     };
-    (outcome, copies.unwrap_or(0))
+    // The extension itself reports no number; a load that was done has left one at least.
+    let at_least = u32::from(outcome == Outcome::Served);
+    LoadCommandReply {
+        outcome,
+        replicas: stated.unwrap_or(at_least),
+    }
 }
 
 /// The module's view of an ORCA report. What cannot be read counts as not reported.
-pub fn load(report: &str) -> LoadReport {
+pub fn parse_load_report(report: &str) -> LoadReport {
     let Ok(report) = orca::Report::parse(report) else {
         return LoadReport::default();
     };
--- a/crates/pipithub-inference/src/request.rs
+++ b/crates/pipithub-inference/src/request.rs
@@ -44,8 +44,11 @@
     let mut headers = vec![
         (header::ATTEMPT, id.number.to_string()),
         (header::FRONT_END, header_value(front_end)),
-        (header::MEMORY, call.memory_mb.to_string()),
-        (header::LANES, call.replica_concurrency.to_string()),
+        (header::REPLICA_MEMORY, call.memory_mb.to_string()),
+        (
+            header::REPLICA_CONCURRENCY,
+            call.replica_concurrency.to_string(),
+        ),
         (
             "content-type",
             call.content_type
@@ -63,7 +66,7 @@
     headers.extend(
         call.idempotency_key
             .as_ref()
-            .map(|key| (header::KEY, header_value(key))),
+            .map(|key| (header::IDEMPOTENCY_KEY, header_value(key))),
     );
     WorkerRequest {
         get: false,
@@ -73,21 +76,21 @@
 }
 
 /// A load command; with 0 replicas it is an evict command, which unloads the idle ones.
-pub fn order(model: &str, copies: u32, front_end: &str) -> WorkerRequest {
-    let verb = if copies > 0 { "load" } else { "unload" };
+pub fn load_command(model: &str, replicas: u32, front_end: &str) -> WorkerRequest {
+    let verb = if replicas > 0 { "load" } else { "unload" };
     WorkerRequest {
         get: false,
         path: format!("/v2/repository/models/{}/{verb}", segment(model)),
         headers: vec![
             (header::FRONT_END, header_value(front_end)),
-            (header::COPIES, copies.to_string()),
+            (header::REPLICAS, replicas.to_string()),
             ("content-type", "application/json".into()),
         ],
     }
 }
 
 /// A poll of a worker's load.
-pub fn probe(front_end: &str) -> WorkerRequest {
+pub fn load_poll(front_end: &str) -> WorkerRequest {
     let headers = vec![(header::FRONT_END, header_value(front_end))];
     WorkerRequest {
         get: true,
