--- a/crates/pipithub-scenario/src/fleet/run.rs
+++ b/crates/pipithub-scenario/src/fleet/run.rs
@@ -18,6 +18,9 @@
 use super::day::{FleetDay, FleetTrouble};
 use crate::process::Process;
 
+#[cfg(test)]
+mod tests;
+
 const CLUSTER: &str = "drill";
 const SAMPLE: Duration = Duration::from_millis(200);
 /// A process that has not told where it listens by then did not start.
@@ -62,6 +65,28 @@
     Twin(usize, usize),
 }
 
+/// The words under which reports and logs name an act; readers of reports rely on them.
+impl std::fmt::Display for Act {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        let disk_word = |disk: &Disk| match disk {
+            Disk::Kept => "Kept",
+            Disk::Empty => "Empty",
+            Disk::Old => "Old",
+        };
+        match self {
+            Act::Kill(member) => write!(f, "Kill({member})"),
+            Act::Start(member, disk) => write!(f, "Start({member}, {})", disk_word(disk)),
+            Act::Pause(member, paused) => write!(f, "Pause({member}, {paused})"),
+            Act::Cut(from, to, cut) => write!(f, "Cut({from}, {to}, {cut})"),
+            Act::Hold(from, to, held) => write!(f, "Hold({from}, {to}, {held})"),
+            Act::Split(zone, cut) => write!(f, "Split({zone}, {cut})"),
+            Act::Slow(delay, jitter) => write!(f, "Slow({delay}, {jitter})"),
+            Act::Loss(share) => write!(f, "Loss({share:?})"),
+            Act::Twin(slot, of) => write!(f, "Twin({slot}, {of})"),
+        }
+    }
+}
+
 /// Which run spoke under which generation, as relays saw it.
 #[derive(Default)]
 struct Spoken {
@@ -277,8 +302,8 @@
     }
 
     async fn act(&mut self, act: Act) -> std::io::Result<()> {
-        info!(act = format!("{act:?}"), "drill");
-        self.faults.push((wall_ns(), format!("{act:?}")));
+        info!(act = act.to_string(), "drill");
+        self.faults.push((wall_ns(), act.to_string()));
         match act {
             Act::Kill(slot) => self.kill(slot).await,
             Act::Start(slot, disk) => {
--- a/crates/pipithub-scenario/src/run.rs
+++ b/crates/pipithub-scenario/src/run.rs
@@ -20,6 +20,9 @@
 use crate::process::Process;
 use crate::scenario::{Scenario, Trouble};
 
+#[cfg(test)]
+mod tests;
+
 /// The queue that calls go to.
 pub const QUEUE: &str = "calls";
 const SECOND: u64 = 1_000_000_000;
@@ -59,6 +62,27 @@
     Move(usize, usize),
 }
 
+/// The words under which reports and logs name an act; readers of reports rely on them.
+impl std::fmt::Display for Act {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        match self {
+            Act::Kill(worker) => write!(f, "Kill({worker})"),
+            Act::Gone(worker) => write!(f, "Gone({worker})"),
+            Act::Start(worker) => write!(f, "Start({worker})"),
+            Act::Drain(worker) => write!(f, "Drain({worker})"),
+            Act::Say(worker, line) => write!(f, "Say({worker}, {line:?})"),
+            Act::Delay(by) => write!(f, "Delay({by})"),
+            Act::Store(line) => write!(f, "Store({line:?})"),
+            Act::KillFront(front) => write!(f, "KillFront({front})"),
+            Act::StartFront(front) => write!(f, "StartFront({front})"),
+            Act::CutBroker => write!(f, "CutBroker"),
+            Act::Directory(server, line) => write!(f, "Directory({server}, {line:?})"),
+            Act::Stale(server, stale) => write!(f, "Stale({server}, {stale})"),
+            Act::Move(user, side) => write!(f, "Move({user}, {side})"),
+        }
+    }
+}
+
 struct Slot {
     process: Option<Process>,
     listed: Option<Listed>,
@@ -206,7 +230,7 @@
     }
 
     async fn act(&mut self, act: Act) -> std::io::Result<()> {
-        let told = format!("{act:?}");
+        let told = act.to_string();
         match act {
             Act::Kill(n) => {
                 if let Some(process) = self.slots[n].process.take() {
