--- a/crates/pipithub-conformance/src/fleet.rs
+++ b/crates/pipithub-conformance/src/fleet.rs
@@ -12,11 +12,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disk {
     /// What the run before left.
-    Kept,
+    Current,
     /// Nothing.
     Empty,
     /// An older copy.
-    Old,
+    Stale,
 }
 
 /// One process, from start to end.
@@ -31,7 +31,7 @@
     /// From which disk.
     pub disk: Disk,
     /// The generation that this disk gives.
-    pub number: u64,
+    pub expected_generation: u64,
     /// When it was paused.
     pub paused: Vec<(Time, Time)>,
 }
@@ -61,9 +61,9 @@
     /// Claims, by time.
     pub claims: Vec<Claim>,
     /// Under which generation each run took part, and when first, from datagrams on their way.
-    pub spoken: Vec<(usize, u64, Time)>,
+    pub generations_used: Vec<(usize, u64, Time)>,
     /// When links were spoilt.
-    pub unrest: Vec<(Time, Time)>,
+    pub disturbances: Vec<(Time, Time)>,
     /// When all was over and settled.
     pub end: Time,
 }
@@ -72,48 +72,48 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// A death is known to all after this.
-    pub found: Time,
+    pub detection: Time,
     /// Whatever was wrong, all is known again after this.
-    pub settle: Time,
+    pub convergence: Time,
 }
 
 /// What must hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     /// No two runs spoke under one number of one name, where the fleet had time to know of the first.
-    OneNumber,
+    UniqueGeneration,
     /// A death is found by all.
-    DeadFound,
+    FailureDetected,
     /// Who was there and could be reached was held for dead by nobody.
-    LivingKept,
+    NoFalsePositive,
     /// A run that started from an old or empty disk says so, under a number that was never used.
-    DiskKnown,
+    StaleDiskReported,
     /// Of two runs under one name one takes part.
-    OneRun,
+    SingleRunPerName,
     /// In the end all believe what is true.
-    OneFleet,
+    Convergence,
 }
 
 impl Rule {
     /// All of them.
     pub const ALL: [Rule; 6] = [
-        Rule::OneNumber,
-        Rule::DeadFound,
-        Rule::LivingKept,
-        Rule::DiskKnown,
-        Rule::OneRun,
-        Rule::OneFleet,
+        Rule::UniqueGeneration,
+        Rule::FailureDetected,
+        Rule::NoFalsePositive,
+        Rule::StaleDiskReported,
+        Rule::SingleRunPerName,
+        Rule::Convergence,
     ];
 
     /// Its name.
     pub fn name(self) -> &'static str {
         match self {
-            Rule::OneNumber => "one run for each number",
-            Rule::DeadFound => "the dead are found",
-            Rule::LivingKept => "the living are kept",
-            Rule::DiskKnown => "old disks are known",
-            Rule::OneRun => "one run for each name",
-            Rule::OneFleet => "one fleet in the end",
+            Rule::UniqueGeneration => "one run for each number",
+            Rule::FailureDetected => "the dead are found",
+            Rule::NoFalsePositive => "the living are kept",
+            Rule::StaleDiskReported => "old disks are known",
+            Rule::SingleRunPerName => "one run for each name",
+            Rule::Convergence => "one fleet in the end",
         }
     }
 }
@@ -128,12 +128,15 @@
 }
 
 impl History {
-    fn quiet(&self, from: Time, to: Time) -> bool {
-        !self.unrest.iter().any(|(a, b)| *a <= to && *b >= from)
+    fn undisturbed(&self, from: Time, to: Time) -> bool {
+        !self
+            .disturbances
+            .iter()
+            .any(|(a, b)| *a <= to && *b >= from)
     }
 
     /// Whether a run was there and awake all the time.
-    fn awake(&self, run: usize, from: Time, to: Time) -> bool {
+    fn responsive(&self, run: usize, from: Time, to: Time) -> bool {
         let r = &self.runs[run];
         r.started <= from
             && r.ended.is_none_or(|e| e > to)
@@ -159,20 +162,20 @@
     let seconds =
         |t: Time| t.saturating_sub(history.runs.first().map_or(0, |r| r.started)) as f64 / 1e9;
 
-    let mut numbers: BTreeMap<(&str, u64), (usize, Time)> = BTreeMap::new();
-    let mut spoken = history.spoken.clone();
-    spoken.sort_unstable_by_key(|(_, _, at)| *at);
-    for (run, generation, at) in &spoken {
+    let mut first_uses: BTreeMap<(&str, u64), (usize, Time)> = BTreeMap::new();
+    let mut generations_used = history.generations_used.clone();
+    generations_used.sort_unstable_by_key(|(_, _, at)| *at);
+    for (run, generation, at) in &generations_used {
         let name = history.runs[*run].name.as_str();
-        let (first, since) = *numbers.entry((name, *generation)).or_insert((*run, *at));
+        let (first, since) = *first_uses.entry((name, *generation)).or_insert((*run, *at));
         // A number is known where word of it could spread: what two take within that time, or from both sides of a
         // cut, nobody can tell apart but those who agree on epochs.
-        let known = history.quiet(since.max(at.saturating_sub(bounds.settle)), *at)
-            && since + bounds.settle <= *at;
+        let known = history.undisturbed(since.max(at.saturating_sub(bounds.convergence)), *at)
+            && since + bounds.convergence <= *at;
         if first != *run && known {
             let what =
                 format!("{name}: runs {first} and {run} both spoke under generation {generation}");
-            breach(Rule::OneNumber, what);
+            breach(Rule::UniqueGeneration, what);
         }
     }
 
@@ -184,9 +187,9 @@
             .enumerate()
             .filter(|(_, r)| r.name != me.name)
         {
-            if let Some(ended) = run.ended.filter(|e| e + bounds.found <= at) {
-                let judged = history.quiet(ended, at)
-                    && history.awake(claim.run, ended.saturating_sub(bounds.settle), at)
+            if let Some(ended) = run.ended.filter(|e| e + bounds.detection <= at) {
+                let judged = history.undisturbed(ended, at)
+                    && history.responsive(claim.run, ended.saturating_sub(bounds.convergence), at)
                     && !history.other_run(n, ended, at);
                 if judged && claim.others.get(&run.name) == Some(&false) {
                     let what = format!(
@@ -196,13 +199,13 @@
                         run.name,
                         seconds(ended)
                     );
-                    breach(Rule::DeadFound, what);
+                    breach(Rule::FailureDetected, what);
                 }
             }
-            let since = at.saturating_sub(bounds.settle);
-            let judged = history.quiet(since, at)
-                && history.awake(claim.run, since, at)
-                && history.awake(n, since, at)
+            let since = at.saturating_sub(bounds.convergence);
+            let judged = history.undisturbed(since, at)
+                && history.responsive(claim.run, since, at)
+                && history.responsive(n, since, at)
                 && !history.other_run(n, since, at)
                 && !history.other_run(claim.run, since, at);
             if judged && claim.others.get(&run.name) != Some(&false) {
@@ -217,7 +220,7 @@
                     me.name,
                     run.name
                 );
-                breach(Rule::LivingKept, what);
+                breach(Rule::NoFalsePositive, what);
             }
         }
     }
@@ -226,7 +229,7 @@
         .runs
         .iter()
         .enumerate()
-        .filter(|(_, r)| r.disk != Disk::Kept)
+        .filter(|(_, r)| r.disk != Disk::Current)
     {
         let before = history.runs[..n]
             .iter()
@@ -235,9 +238,13 @@
         let used: Vec<u64> = before
             .flat_map(|(b, _)| {
                 let of = move |(r, _, at): &&(usize, u64, Time)| {
-                    *r == b && *at + bounds.settle < run.started
+                    *r == b && *at + bounds.convergence < run.started
                 };
-                history.spoken.iter().filter(of).map(|(_, g, _)| *g)
+                history
+                    .generations_used
+                    .iter()
+                    .filter(of)
+                    .map(|(_, g, _)| *g)
             })
             .collect();
         let (Some(most), Some(last)) = (
@@ -247,20 +254,20 @@
             continue;
         };
         // A number that the fleet had no time to know of cannot tell it.
-        if *most < run.number {
+        if *most < run.expected_generation {
             continue;
         }
         let said = match run.disk {
             Disk::Empty => "empty",
-            Disk::Old => "old",
-            Disk::Kept => "kept",
+            Disk::Stale => "old",
+            Disk::Current => "kept",
         };
         if last.disk != said || last.generation <= *most {
             let what = format!(
                 "{} started from a disk that was {said}, says {} and generation {}, {most} was in use before",
                 run.name, last.disk, last.generation
             );
-            breach(Rule::DiskKnown, what);
+            breach(Rule::StaleDiskReported, what);
         }
     }
 
@@ -272,7 +279,7 @@
             .skip(n + 1)
             .filter(|(_, r)| r.name == one.name)
         {
-            let from = one.started.max(other.started) + bounds.settle;
+            let from = one.started.max(other.started) + bounds.convergence;
             let joined = |run: usize| {
                 let mine = move |c: &&Claim| c.run == run && c.joined && c.at >= from;
                 history
@@ -285,7 +292,8 @@
             let (a, b) = (joined(n), joined(m));
             let both = a.iter().find(|t| {
                 let near = |u: &&Time| u.abs_diff(**t) < 1_000_000_000;
-                history.quiet(t.saturating_sub(bounds.settle), **t) && b.iter().any(|u| near(&u))
+                history.undisturbed(t.saturating_sub(bounds.convergence), **t)
+                    && b.iter().any(|u| near(&u))
             });
             if let Some(at) = both {
                 let what = format!(
@@ -293,7 +301,7 @@
                     seconds(*at),
                     one.name
                 );
-                breach(Rule::OneRun, what);
+                breach(Rule::SingleRunPerName, what);
             }
         }
     }
@@ -307,7 +315,7 @@
         .collect();
     for n in here.iter().copied() {
         let run = &history.runs[n];
-        let twin = here
+        let duplicate = here
             .iter()
             .any(|o| *o != n && history.runs[*o].name == run.name);
         match history
@@ -316,13 +324,13 @@
             .rfind(|c| c.run == n && c.at >= history.end)
         {
             None => breach(
-                Rule::OneFleet,
+                Rule::Convergence,
                 format!("{} (run {n}) claimed nothing in the end", run.name),
             ),
             Some(claim) if !claim.joined => {
-                if !twin {
+                if !duplicate {
                     breach(
-                        Rule::OneFleet,
+                        Rule::Convergence,
                         format!("{} (run {n}) takes no part in the end", run.name),
                     );
                 }
@@ -340,7 +348,7 @@
                         "{} believes {alive:?} to be there, there are {names:?}",
                         run.name
                     );
-                    breach(Rule::OneFleet, what);
+                    breach(Rule::Convergence, what);
                 }
             }
         }
@@ -354,8 +362,8 @@
 
     const SECOND: Time = 1_000_000_000;
     const BOUNDS: Bounds = Bounds {
-        found: 5 * SECOND,
-        settle: 5 * SECOND,
+        detection: 5 * SECOND,
+        convergence: 5 * SECOND,
     };
 
     fn run(name: &str, started: u64, ended: Option<u64>) -> Run {
@@ -364,8 +372,8 @@
             name: name.into(),
             started,
             ended,
-            disk: Disk::Kept,
-            number: 1,
+            disk: Disk::Current,
+            expected_generation: 1,
             paused: Vec::new(),
         }
     }
@@ -386,7 +394,7 @@
     fn good() -> History {
         let mut history = History {
             runs: vec![run("a", 0, None), run("b", 0, None), run("c", 0, Some(20))],
-            spoken: vec![(0, 1, 0), (1, 1, 0), (2, 1, 0)],
+            generations_used: vec![(0, 1, 0), (1, 1, 0), (2, 1, 0)],
             end: 40 * SECOND,
             ..History::default()
         };
@@ -417,43 +425,43 @@
     fn a_number_used_twice_is_found() {
         let mut history = good();
         history.runs.push(run("c", 22, Some(23)));
-        history.spoken.push((3, 1, 22 * SECOND));
-        assert!(broken(&history).contains(&Rule::OneNumber));
+        history.generations_used.push((3, 1, 22 * SECOND));
+        assert!(broken(&history).contains(&Rule::UniqueGeneration));
     }
 
     #[test]
     fn a_dead_member_believed_alive_is_found() {
         let mut history = good();
         history.claims[4].others.insert("c".into(), false);
-        assert_eq!(broken(&history), vec![Rule::DeadFound]);
+        assert_eq!(broken(&history), vec![Rule::FailureDetected]);
     }
 
     #[test]
     fn a_living_member_held_for_dead_is_found_but_not_while_links_are_spoilt() {
         let mut history = good();
         history.claims[2].others.insert("b".into(), true);
-        assert_eq!(broken(&history), vec![Rule::LivingKept]);
-        history.unrest.push((16 * SECOND, 17 * SECOND));
+        assert_eq!(broken(&history), vec![Rule::NoFalsePositive]);
+        history.disturbances.push((16 * SECOND, 17 * SECOND));
         assert_eq!(broken(&history), vec![]);
-        history.unrest = vec![(11 * SECOND, 12 * SECOND)];
-        assert_eq!(broken(&history), vec![Rule::LivingKept]);
+        history.disturbances = vec![(11 * SECOND, 12 * SECOND)];
+        assert_eq!(broken(&history), vec![Rule::NoFalsePositive]);
     }
 
     #[test]
     fn a_member_that_was_never_heard_of_is_found() {
         let mut history = good();
         history.claims[0].others.remove("b");
-        assert_eq!(broken(&history), vec![Rule::LivingKept]);
+        assert_eq!(broken(&history), vec![Rule::NoFalsePositive]);
     }
 
     #[test]
     fn an_old_disk_that_is_believed_is_found() {
         let mut history = good();
         history.runs.push(Run {
-            disk: Disk::Old,
+            disk: Disk::Stale,
             ..run("c", 31, None)
         });
-        history.spoken.push((3, 2, 32 * SECOND));
+        history.generations_used.push((3, 2, 32 * SECOND));
         history.claims.truncate(6);
         let mut back = claim(3, 40, &[("a", false), ("b", false)]);
         (back.generation, back.disk) = (2, "kept".into());
@@ -462,28 +470,28 @@
             claim(1, 40, &[("a", false), ("c", false)]),
         ]);
         history.claims.push(back);
-        assert_eq!(broken(&history), vec![Rule::DiskKnown]);
+        assert_eq!(broken(&history), vec![Rule::StaleDiskReported]);
         history.claims.last_mut().unwrap().disk = "old".into();
         assert_eq!(broken(&history), vec![]);
         history.claims.last_mut().unwrap().generation = 1;
-        assert_eq!(broken(&history), vec![Rule::DiskKnown]);
+        assert_eq!(broken(&history), vec![Rule::StaleDiskReported]);
     }
 
     #[test]
     fn two_runs_of_one_name_that_both_take_part_are_found() {
         let mut history = good();
         history.runs.push(run("a", 12, None));
-        history.spoken.push((3, 2, 12 * SECOND));
+        history.generations_used.push((3, 2, 12 * SECOND));
         history
             .claims
             .push(claim(3, 40, &[("b", false), ("c", true)]));
-        assert_eq!(broken(&history), vec![Rule::OneRun]);
+        assert_eq!(broken(&history), vec![Rule::SingleRunPerName]);
     }
 
     #[test]
     fn a_fleet_that_does_not_come_together_is_found() {
         let mut history = good();
         history.claims.last_mut().unwrap().joined = false;
-        assert_eq!(broken(&history), vec![Rule::OneFleet]);
+        assert_eq!(broken(&history), vec![Rule::Convergence]);
     }
 }
--- a/crates/pipithub-conformance/src/record.rs
+++ b/crates/pipithub-conformance/src/record.rs
@@ -8,9 +8,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     /// Unix time in nanoseconds; all stand-ins of a drill run on one machine and share its clock.
-    pub t: u64,
+    #[serde(rename = "t")]
+    pub time_ns: u64,
     /// The stand-in that saw it: the broker's or worker's address, or its name.
-    pub at: String,
+    #[serde(rename = "at")]
+    pub observer: String,
     /// What was seen.
     #[serde(flatten)]
     pub seen: Seen,
@@ -167,10 +169,10 @@
     }
 
     /// Reads a file of lines; a last line cut off by a killed process is passed over.
-    pub fn read_all(text: &str) -> Result<Vec<Record>, Unreadable> {
+    pub fn read_all(text: &str) -> Result<Vec<Record>, RecordError> {
         let whole = text.rfind('\n').map_or("", |end| &text[..end]);
         let read = |(n, line): (usize, &str)| {
-            serde_json::from_str(line).map_err(|source| Unreadable {
+            serde_json::from_str(line).map_err(|source| RecordError {
                 line: n + 1,
                 source,
             })
@@ -187,7 +189,7 @@
 /// A line that is no record.
 #[derive(Debug, thiserror::Error)]
 #[error("line {line}: {source}")]
-pub struct Unreadable {
+pub struct RecordError {
     /// Which, from 1.
     pub line: usize,
     /// Why.
--- a/crates/pipithub-conformance/src/report.rs
+++ b/crates/pipithub-conformance/src/report.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 
 use crate::record::Record;
-use crate::rules::{RuleBook, stories};
+use crate::rules::{RuleConfig, request_traces};
 
 /// What came of the calls of a window, or of all.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
@@ -40,30 +40,34 @@
 }
 
 /// Works out a report in windows of so many nanoseconds.
-pub fn report(records: &[Record], book: &RuleBook, window: u64) -> Report {
-    let stories = stories(records, book);
-    let Some(first) = stories.values().map(|s| s.published).min() else {
+pub fn report(records: &[Record], config: &RuleConfig, window: u64) -> Report {
+    let request_traces = request_traces(records, config);
+    let Some(first) = request_traces.values().map(|s| s.published).min() else {
         return Report::default();
     };
-    let last = stories.values().map(|s| s.published).max().unwrap_or(first);
+    let last = request_traces
+        .values()
+        .map(|s| s.published)
+        .max()
+        .unwrap_or(first);
     let count = ((last - first) / window.max(1) + 1) as usize;
     let mut windows = vec![(Window::default(), 0.0, 0.0); count];
     let mut whole = (Window::default(), 0.0, 0.0);
     let mut latencies = Vec::new();
     let mut attempts = 0;
-    for story in stories.values() {
-        let n = ((story.published - first) / window.max(1)) as usize;
-        let class = book.classes.get(&story.class);
-        let worth = class.map_or(1.0, |c| c.worth);
-        attempts += story.calls.len();
+    for trace in request_traces.values() {
+        let n = ((trace.published - first) / window.max(1)) as usize;
+        let class = config.classes.get(&trace.class);
+        let priority_weight = class.map_or(1.0, |c| c.priority_weight);
+        attempts += trace.calls.len();
         for (w, asked, earned) in [&mut windows[n], &mut whole] {
             w.calls += 1;
-            *asked += worth;
-            match story.answers.first() {
+            *asked += priority_weight;
+            match trace.answers.first() {
                 Some((at, verdict)) if verdict == "served" => {
-                    if class.is_none_or(|c| *at <= story.published + c.aim) {
+                    if class.is_none_or(|c| *at <= trace.published + c.latency_objective) {
                         w.in_time += 1;
-                        *earned += worth;
+                        *earned += priority_weight;
                     } else {
                         w.late += 1;
                     }
@@ -73,8 +77,8 @@
                 None => w.unanswered += 1,
             }
         }
-        if let Some((at, _)) = story.answers.first().filter(|a| a.1 == "served") {
-            latencies.push((at - story.published) as f64 / 1e6);
+        if let Some((at, _)) = trace.answers.first().filter(|a| a.1 == "served") {
+            latencies.push((at - trace.published) as f64 / 1e6);
         }
     }
     latencies.sort_by(f64::total_cmp);
@@ -96,6 +100,6 @@
             .map(|(n, w)| finish(w, n))
             .collect(),
         latency_ms: [quantile(0.5), quantile(0.99), quantile(0.999)],
-        attempts: attempts as f64 / stories.len().max(1) as f64,
+        attempts: attempts as f64 / request_traces.len().max(1) as f64,
     }
 }
--- a/crates/pipithub-conformance/src/rules.rs
+++ b/crates/pipithub-conformance/src/rules.rs
@@ -11,33 +11,33 @@
 
 /// How far a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Freely.
-    Safe,
+    Idempotent,
     /// Under its key, while workers remember it.
-    Keyed,
+    WithKey,
     /// Never once it may have run.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// What is checked of a class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassRules {
     /// Its effect.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// How long a client waits, in nanoseconds.
-    pub give_up: u64,
+    pub client_timeout: u64,
     /// An answer after this is late, in nanoseconds.
-    pub aim: u64,
+    pub latency_objective: u64,
     /// What a served call is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// For how long repeats of a key are dropped, in nanoseconds.
-    pub dedup_window: u64,
+    pub deduplication_window: u64,
 }
 
 /// The figures of the rules.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RuleBook {
+pub struct RuleConfig {
     /// Classes by name.
     pub classes: BTreeMap<String, ClassRules>,
     /// The queue that calls are published to.
@@ -47,51 +47,51 @@
     /// How long after it was told a front end may still send to a draining worker.
     pub drain_grace: u64,
     /// Orders to load: window in nanoseconds, base, share.
-    pub ration: Option<(u64, f64, f64)>,
+    pub load_rate_limit: Option<(u64, f64, f64)>,
     /// How long after a move a call may still reach the old side, in nanoseconds; `None`: there are no tenants. Functions
     /// are named after their tenants, as in `north-map`.
-    pub move_bound: Option<u64>,
+    pub migration_grace: Option<u64>,
     /// Messages whose answers are not expected any more when the records end: published after this.
-    pub until: Option<u64>,
+    pub published_until: Option<u64>,
 }
 
 /// A rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     /// One final answer to each request, in time.
-    OneAnswer,
+    OneFinalAnswer,
     /// No effect twice.
-    NoEffectTwice,
+    EffectAtMostOnce,
     /// Nothing new to a drained or gone worker.
-    DrainsKept,
+    DrainRespected,
     /// No cold worker pushed over.
-    ColdWorkers,
+    SlowStartRespected,
     /// Orders to load are rationed.
-    LoadsRationed,
+    LoadRateLimited,
     /// No call crosses tenants.
-    TenantsApart,
+    TenantIsolation,
 }
 
 impl Rule {
     /// All of them.
     pub const ALL: [Rule; 6] = [
-        Rule::OneAnswer,
-        Rule::NoEffectTwice,
-        Rule::DrainsKept,
-        Rule::ColdWorkers,
-        Rule::LoadsRationed,
-        Rule::TenantsApart,
+        Rule::OneFinalAnswer,
+        Rule::EffectAtMostOnce,
+        Rule::DrainRespected,
+        Rule::SlowStartRespected,
+        Rule::LoadRateLimited,
+        Rule::TenantIsolation,
     ];
 
     /// Its name in reports.
     pub fn name(self) -> &'static str {
         match self {
-            Rule::OneAnswer => "one final answer, in time",
-            Rule::NoEffectTwice => "no effect twice",
-            Rule::DrainsKept => "drains are kept",
-            Rule::ColdWorkers => "no cold worker pushed over",
-            Rule::LoadsRationed => "orders to load are rationed",
-            Rule::TenantsApart => "no call crosses tenants",
+            Rule::OneFinalAnswer => "one final answer, in time",
+            Rule::EffectAtMostOnce => "no effect twice",
+            Rule::DrainRespected => "drains are kept",
+            Rule::SlowStartRespected => "no cold worker pushed over",
+            Rule::LoadRateLimited => "orders to load are rationed",
+            Rule::TenantIsolation => "no call crosses tenants",
         }
     }
 }
@@ -109,13 +109,13 @@
 
 /// A call and all that was seen of it.
 #[derive(Clone, Debug, Default)]
-pub struct Story {
+pub struct RequestTrace {
     /// When it was published.
     pub published: u64,
     /// Its class.
     pub class: String,
     /// How long its client waits, in nanoseconds.
-    pub budget: u64,
+    pub timeout: u64,
     /// Deliveries: when, whether again, to which client.
     pub delivered: Vec<(u64, bool, String)>,
     /// Answers: when, verdict.
@@ -130,18 +130,25 @@
 
 /// What a worker is sent is a function of the tenant whose its user is, or was until no longer ago than the bound. What
 /// a message says of its user is its signer's word, which the front end must have checked.
-fn tenants_apart(records: &[Record], book: &RuleBook, bound: u64, breaches: &mut Vec<Breach>) {
+fn check_tenant_isolation(
+    records: &[Record],
+    config: &RuleConfig,
+    bound: u64,
+    breaches: &mut Vec<Breach>,
+) {
     let mut sides: BTreeMap<&str, Vec<(u64, &str)>> = BTreeMap::new();
     let mut users: BTreeMap<&str, &str> = BTreeMap::new();
     for r in records {
         match &r.seen {
-            Seen::Moved { user, tenant } => sides.entry(user).or_default().push((r.t, tenant)),
+            Seen::Moved { user, tenant } => {
+                sides.entry(user).or_default().push((r.time_ns, tenant));
+            }
             Seen::Published {
                 queues,
                 message_id: Some(id),
                 headers,
                 ..
-            } if queues.contains(&book.queue) => {
+            } if queues.contains(&config.queue) => {
                 if let Some(user) = headers.get("pipithub-user") {
                     users.insert(id, user);
                 }
@@ -163,17 +170,17 @@
         let there = spans.iter().enumerate().any(|(n, (from, side))| {
             let until = spans.get(n + 1).map_or(u64::MAX, |next| next.0);
             *side == tenant
-                && *from <= r.t
-                && r.t <= until.saturating_add(bound).saturating_add(book.slack)
+                && *from <= r.time_ns
+                && r.time_ns <= until.saturating_add(bound).saturating_add(config.slack)
         });
         if !there {
             let what = format!(
                 "{request} of user '{user}' reached {} with {function}",
-                r.at
+                r.observer
             );
             breaches.push(Breach {
-                rule: Rule::TenantsApart,
-                at: r.t,
+                rule: Rule::TenantIsolation,
+                at: r.time_ns,
                 what,
             });
         }
@@ -181,8 +188,8 @@
 }
 
 /// Puts records together by call.
-pub fn stories(records: &[Record], book: &RuleBook) -> BTreeMap<String, Story> {
-    let mut stories: BTreeMap<String, Story> = BTreeMap::new();
+pub fn request_traces(records: &[Record], config: &RuleConfig) -> BTreeMap<String, RequestTrace> {
+    let mut traces: BTreeMap<String, RequestTrace> = BTreeMap::new();
     // First the calls themselves: records of different stand-ins come in any order.
     for r in records {
         let Seen::Published {
@@ -195,36 +202,37 @@
         else {
             continue;
         };
-        if !queues.contains(&book.queue) {
+        if !queues.contains(&config.queue) {
             continue;
         }
         let class = headers.get("pipithub-class").cloned().unwrap_or_default();
-        let give_up = book.classes.get(&class).map_or(0, |c| c.give_up);
+        let client_timeout = config.classes.get(&class).map_or(0, |c| c.client_timeout);
         let asked = headers
             .get("pipithub-budget-ms")
             .and_then(|v| v.parse::<f64>().ok())
             .map(|ms| ms as u64);
         let asked = [asked, *expiration_ms].into_iter().flatten().min();
-        let budget = asked.map_or(give_up, |ms| give_up.min(ms * MS));
-        let story = Story {
-            published: r.t,
+        let timeout = asked.map_or(client_timeout, |ms| client_timeout.min(ms * MS));
+        let trace = RequestTrace {
+            published: r.time_ns,
             class,
-            budget,
-            ..Story::default()
+            timeout,
+            ..RequestTrace::default()
         };
-        stories.insert(id.clone(), story);
+        traces.insert(id.clone(), trace);
     }
     for r in records {
+        let (at, worker) = (r.time_ns, &r.observer);
         match &r.seen {
             Seen::Published {
                 correlation_id: Some(id),
                 headers,
                 ..
             } => {
-                if let (Some(verdict), Some(story)) =
-                    (headers.get("pipithub-verdict"), stories.get_mut(id))
+                if let (Some(verdict), Some(trace)) =
+                    (headers.get("pipithub-verdict"), traces.get_mut(id))
                 {
-                    story.answers.push((r.t, verdict.clone()));
+                    trace.answers.push((at, verdict.clone()));
                 }
             }
             Seen::Delivered {
@@ -233,9 +241,9 @@
                 redelivered,
                 client,
                 ..
-            } if *queue == book.queue => {
-                if let Some(story) = stories.get_mut(id) {
-                    story.delivered.push((r.t, *redelivered, client.clone()));
+            } if *queue == config.queue => {
+                if let Some(trace) = traces.get_mut(id) {
+                    trace.delivered.push((at, *redelivered, client.clone()));
                 }
             }
             Seen::Call {
@@ -244,10 +252,10 @@
                 attempt,
                 ..
             } => {
-                if let Some(story) = stories.get_mut(request) {
-                    story
+                if let Some(trace) = traces.get_mut(request) {
+                    trace
                         .calls
-                        .push((r.t, r.at.clone(), *attempt, front_end.clone()));
+                        .push((at, worker.clone(), *attempt, front_end.clone()));
                 }
             }
             Seen::Replied {
@@ -257,10 +265,10 @@
                 not_run,
                 ..
             } => {
-                if let Some(story) = stories.get_mut(request) {
-                    story
+                if let Some(trace) = traces.get_mut(request) {
+                    trace
                         .replies
-                        .push((r.t, r.at.clone(), *attempt, front_end.clone(), *not_run));
+                        .push((at, worker.clone(), *attempt, front_end.clone(), *not_run));
                 }
             }
             Seen::Ran {
@@ -268,73 +276,85 @@
                 dropped: false,
                 ..
             } => {
-                if let Some(story) = stories.get_mut(request) {
-                    story.effects.push(r.t);
+                if let Some(trace) = traces.get_mut(request) {
+                    trace.effects.push(at);
                 }
             }
             _ => {}
         }
     }
-    for story in stories.values_mut() {
-        story.delivered.sort();
-        story.answers.sort();
-        story.calls.sort();
-        story.effects.sort_unstable();
+    for trace in traces.values_mut() {
+        trace.delivered.sort();
+        trace.answers.sort();
+        trace.calls.sort();
+        trace.effects.sort_unstable();
     }
-    stories
+    traces
 }
 
 /// Decides all rules.
-pub fn check(records: &[Record], book: &RuleBook) -> Vec<Breach> {
+pub fn check(records: &[Record], config: &RuleConfig) -> Vec<Breach> {
     let mut breaches = Vec::new();
-    let stories = stories(records, book);
-    for (id, story) in &stories {
-        one_answer(id, story, book, &mut breaches);
-        no_effect_twice(id, story, book, &mut breaches);
+    let request_traces = request_traces(records, config);
+    for (id, trace) in &request_traces {
+        check_final_answer(id, trace, config, &mut breaches);
+        check_effects(id, trace, config, &mut breaches);
     }
-    drains(records, book, &mut breaches);
-    cold(records, &mut breaches);
-    rationed(records, book, &mut breaches);
-    if let Some(bound) = book.move_bound {
-        tenants_apart(records, book, bound, &mut breaches);
+    check_drains(records, config, &mut breaches);
+    check_slow_start(records, &mut breaches);
+    check_load_rate(records, config, &mut breaches);
+    if let Some(bound) = config.migration_grace {
+        check_tenant_isolation(records, config, bound, &mut breaches);
     }
     breaches.sort();
     breaches
 }
 
-fn one_answer(id: &str, story: &Story, book: &RuleBook, breaches: &mut Vec<Breach>) {
+fn check_final_answer(
+    id: &str,
+    trace: &RequestTrace,
+    config: &RuleConfig,
+    breaches: &mut Vec<Breach>,
+) {
     let mut add = |at, what: String| {
         breaches.push(Breach {
-            rule: Rule::OneAnswer,
+            rule: Rule::OneFinalAnswer,
             at,
             what,
         });
     };
-    if book.until.is_some_and(|until| story.published > until) {
+    if config
+        .published_until
+        .is_some_and(|until| trace.published > until)
+    {
         return;
     }
-    let deadline = story.published + story.budget;
-    match &story.answers[..] {
+    let deadline = trace.published + trace.timeout;
+    match &trace.answers[..] {
         [] => add(
             deadline,
             format!(
                 "call {id} has no answer; delivered {} times",
-                story.delivered.len()
+                trace.delivered.len()
             ),
         ),
         [(at, verdict)] => {
             // What a front end that died had held comes again and is answered then; what came too late, at once.
-            let last = story.delivered.last().map_or(story.published, |d| d.0);
-            let again = story.delivered.iter().any(|d| d.1);
-            let own = if again { last + story.budget } else { deadline };
-            if *at > own.max(last) + book.slack {
+            let last = trace.delivered.last().map_or(trace.published, |d| d.0);
+            let again = trace.delivered.iter().any(|d| d.1);
+            let own = if again {
+                last + trace.timeout
+            } else {
+                deadline
+            };
+            if *at > own.max(last) + config.slack {
                 let late = (*at - own.max(last)) / MS;
                 add(
                     *at,
                     format!("call {id} was {verdict} {late} ms after its time"),
                 );
             }
-            if let Some((t, worker, ..)) = story.calls.iter().find(|c| c.0 > at + book.slack) {
+            if let Some((t, worker, ..)) = trace.calls.iter().find(|c| c.0 > at + config.slack) {
                 let after = (t - at) / MS;
                 add(
                     *t,
@@ -349,48 +369,48 @@
     }
 }
 
-fn no_effect_twice(id: &str, story: &Story, book: &RuleBook, breaches: &mut Vec<Breach>) {
-    let Some(class) = book.classes.get(&story.class) else {
+fn check_effects(id: &str, trace: &RequestTrace, config: &RuleConfig, breaches: &mut Vec<Breach>) {
+    let Some(class) = config.classes.get(&trace.class) else {
         return;
     };
     let mut add = |at, what: String| {
         breaches.push(Breach {
-            rule: Rule::NoEffectTwice,
+            rule: Rule::EffectAtMostOnce,
             at,
             what,
         });
     };
-    if class.effect == Effect::Safe {
+    if class.idempotency == Idempotency::Idempotent {
         return;
     }
-    if let [_, second, ..] = story.effects[..] {
+    if let [_, second, ..] = trace.effects[..] {
         add(
             second,
             format!(
                 "call {id} of class {} took effect {} times",
-                story.class,
-                story.effects.len()
+                trace.class,
+                trace.effects.len()
             ),
         );
     }
-    let refused = story.answers.iter().find(|(_, v)| v == "refused");
-    if let (Effect::Unsafe, Some((at, _)), [first, ..]) =
-        (class.effect, refused, &story.effects[..])
+    let refused = trace.answers.iter().find(|(_, v)| v == "refused");
+    if let (Idempotency::NonIdempotent, Some((at, _)), [first, ..]) =
+        (class.idempotency, refused, &trace.effects[..])
     {
         // A refusal says that another try is harmless: of a call that ran it is a lie.
         add(*at.max(first), format!("call {id} ran and was refused"));
     }
     // Each further send needs proof that all before it did not run, or for a keyed one that its repeat is dropped.
-    for (n, (at, worker, ..)) in story.calls.iter().enumerate() {
-        for (earlier, w, attempt, front_end) in &story.calls[..n] {
+    for (n, (at, worker, ..)) in trace.calls.iter().enumerate() {
+        for (earlier, w, attempt, front_end) in &trace.calls[..n] {
             let proof = |r: &&(u64, String, u32, String, bool)| {
                 r.4 && (&r.1, r.2, &r.3) == (w, *attempt, front_end) && r.0 <= *at
             };
-            if story.replies.iter().any(|r| proof(&r)) {
+            if trace.replies.iter().any(|r| proof(&r)) {
                 continue;
             }
-            let within = *at < earlier + class.dedup_window;
-            if class.effect == Effect::Unsafe || !within {
+            let within = *at < earlier + class.deduplication_window;
+            if class.idempotency == Idempotency::NonIdempotent || !within {
                 add(
                     *at,
                     format!("call {id} was sent to {worker} though it may have run at {w}"),
@@ -402,14 +422,14 @@
 }
 
 /// A client's name without its connection.
-fn front_of(client: &str) -> &str {
+fn front_end_of(client: &str) -> &str {
     client.rsplit_once('#').map_or(client, |(name, _)| name)
 }
 
-fn drains(records: &[Record], book: &RuleBook, breaches: &mut Vec<Breach>) {
+fn check_drains(records: &[Record], config: &RuleConfig, breaches: &mut Vec<Breach>) {
     // Since when each front end knows that a worker takes nothing new.
     let mut ordered: Vec<&Record> = records.iter().collect();
-    ordered.sort_by_key(|r| r.t);
+    ordered.sort_by_key(|r| r.time_ns);
     let mut closed: BTreeMap<(&str, &str), u64> = BTreeMap::new();
     for r in ordered {
         let (front_end, what) = match &r.seen {
@@ -423,7 +443,7 @@
                 if state == "live" {
                     closed.remove(&key);
                 } else {
-                    closed.entry(key).or_insert(r.t);
+                    closed.entry(key).or_insert(r.time_ns);
                 }
                 continue;
             }
@@ -438,38 +458,41 @@
             } if *copies > 0 => (front_end, format!("an order to load {function}")),
             _ => continue,
         };
-        if let Some(since) = closed.get(&(front_end.as_str(), r.at.as_str()))
-            && r.t > since + book.drain_grace + book.slack
+        if let Some(since) = closed.get(&(front_end.as_str(), r.observer.as_str()))
+            && r.time_ns > since + config.drain_grace + config.slack
         {
-            let after = (r.t - since) / MS;
+            let after = (r.time_ns - since) / MS;
             let what = format!(
                 "{what} came to {} from {front_end} {after} ms after it was told",
-                r.at
+                r.observer
             );
             breaches.push(Breach {
-                rule: Rule::DrainsKept,
-                at: r.t,
+                rule: Rule::DrainRespected,
+                at: r.time_ns,
                 what,
             });
         }
     }
 }
 
-fn cold(records: &[Record], breaches: &mut Vec<Breach>) {
+fn check_slow_start(records: &[Record], breaches: &mut Vec<Breach>) {
     for r in records {
         if let Seen::FellOver { sent, bound } = &r.seen {
-            let what = format!("{} fell over: {sent} calls sent, {bound:.1} borne", r.at);
+            let what = format!(
+                "{} fell over: {sent} calls sent, {bound:.1} borne",
+                r.observer
+            );
             breaches.push(Breach {
-                rule: Rule::ColdWorkers,
-                at: r.t,
+                rule: Rule::SlowStartRespected,
+                at: r.time_ns,
                 what,
             });
         }
     }
 }
 
-fn rationed(records: &[Record], book: &RuleBook, breaches: &mut Vec<Breach>) {
-    let Some((window, base, share)) = book.ration else {
+fn check_load_rate(records: &[Record], config: &RuleConfig, breaches: &mut Vec<Breach>) {
+    let Some((window, base, share)) = config.load_rate_limit else {
         return;
     };
     let mut orders: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
@@ -478,9 +501,12 @@
         match &r.seen {
             Seen::Order {
                 front_end, copies, ..
-            } if *copies > 0 => orders.entry(front_end).or_default().push(r.t),
-            Seen::Delivered { queue, client, .. } if *queue == book.queue => {
-                taken.entry(front_of(client)).or_default().push(r.t);
+            } if *copies > 0 => orders.entry(front_end).or_default().push(r.time_ns),
+            Seen::Delivered { queue, client, .. } if *queue == config.queue => {
+                taken
+                    .entry(front_end_of(client))
+                    .or_default()
+                    .push(r.time_ns);
             }
             _ => {}
         }
@@ -491,18 +517,18 @@
         for (n, at) in times.iter().enumerate() {
             let within = times[..=n]
                 .iter()
-                .filter(|t| **t + window > at + book.slack)
+                .filter(|t| **t + window > at + config.slack)
                 .count() as f64;
             let came = calls
                 .iter()
-                .filter(|t| **t + window + book.slack > *at && **t <= at + book.slack)
+                .filter(|t| **t + window + config.slack > *at && **t <= at + config.slack)
                 .count();
             let allowed = base + share * came as f64;
             if within > allowed {
                 let what =
                     format!("{front_end}: {within} orders to load where {allowed:.2} are allowed");
                 breaches.push(Breach {
-                    rule: Rule::LoadsRationed,
+                    rule: Rule::LoadRateLimited,
                     at: *at,
                     what,
                 });
--- a/crates/pipithub-conformance/tests/planted.rs
+++ b/crates/pipithub-conformance/tests/planted.rs
@@ -3,23 +3,23 @@
 use std::collections::BTreeMap;
 
 use pipithub_conformance::record::{Record, Seen};
-use pipithub_conformance::rules::{ClassRules, Effect, Rule, RuleBook, check};
+use pipithub_conformance::rules::{ClassRules, Idempotency, Rule, RuleConfig, check};
 
 const MS: u64 = 1_000_000;
 
-fn book() -> RuleBook {
-    let class = |effect| ClassRules {
-        effect,
-        give_up: 2_000 * MS,
-        aim: 1_000 * MS,
-        worth: 1.0,
-        dedup_window: 1_000 * MS,
+fn config() -> RuleConfig {
+    let class = |idempotency| ClassRules {
+        idempotency,
+        client_timeout: 2_000 * MS,
+        latency_objective: 1_000 * MS,
+        priority_weight: 1.0,
+        deduplication_window: 1_000 * MS,
     };
-    RuleBook {
+    RuleConfig {
         classes: [
-            ("safe", Effect::Safe),
-            ("keyed", Effect::Keyed),
-            ("unsafe", Effect::Unsafe),
+            ("safe", Idempotency::Idempotent),
+            ("keyed", Idempotency::WithKey),
+            ("unsafe", Idempotency::NonIdempotent),
         ]
         .into_iter()
         .map(|(n, e)| (n.to_string(), class(e)))
@@ -27,16 +27,16 @@
         queue: "calls".into(),
         slack: 50 * MS,
         drain_grace: 500 * MS,
-        ration: Some((5_000 * MS, 1.0, 0.5)),
-        move_bound: None,
-        until: None,
+        load_rate_limit: Some((5_000 * MS, 1.0, 0.5)),
+        migration_grace: None,
+        published_until: None,
     }
 }
 
 fn at(ms: u64, place: &str, seen: Seen) -> Record {
     Record {
-        t: (1_000_000 + ms) * MS,
-        at: place.into(),
+        time_ns: (1_000_000 + ms) * MS,
+        observer: place.into(),
         seen,
     }
 }
@@ -175,7 +175,7 @@
 }
 
 fn broken(records: Vec<Record>) -> Vec<Rule> {
-    let mut rules: Vec<Rule> = check(&records, &book())
+    let mut rules: Vec<Rule> = check(&records, &config())
         .into_iter()
         .map(|b| b.rule)
         .collect();
@@ -196,11 +196,11 @@
 fn answers_that_lack_double_or_come_late_are_found() {
     assert_eq!(
         broken(with(vec![published(10, "b", "safe")])),
-        [Rule::OneAnswer]
+        [Rule::OneFinalAnswer]
     );
     assert_eq!(
         broken(with(vec![answered(200, "a", "failed")])),
-        [Rule::OneAnswer]
+        [Rule::OneFinalAnswer]
     );
     let late = |ms, again| {
         vec![
@@ -211,16 +211,16 @@
         ]
     };
     assert_eq!(broken(with(late(2_055, false))), []);
-    assert_eq!(broken(with(late(2_100, false))), [Rule::OneAnswer]);
+    assert_eq!(broken(with(late(2_100, false))), [Rule::OneFinalAnswer]);
     assert_eq!(
         broken(with(late(3_400, true))),
         [],
         "its first front end died"
     );
-    assert_eq!(broken(with(late(3_600, true))), [Rule::OneAnswer]);
+    assert_eq!(broken(with(late(3_600, true))), [Rule::OneFinalAnswer]);
     assert_eq!(
         broken(with(vec![call(200, "a", "w3", 2)])),
-        [Rule::OneAnswer, Rule::NoEffectTwice]
+        [Rule::OneFinalAnswer, Rule::EffectAtMostOnce]
     );
 }
 
@@ -239,17 +239,17 @@
     assert_eq!(broken(two("keyed", 200)), []);
     assert_eq!(
         broken(two("keyed", 1_200)),
-        [Rule::NoEffectTwice],
+        [Rule::EffectAtMostOnce],
         "forgotten by then"
     );
     assert_eq!(
         broken(two("unsafe", 200)),
-        [Rule::NoEffectTwice],
+        [Rule::EffectAtMostOnce],
         "it may have run, whether it did or not"
     );
     assert_eq!(
         broken(with(vec![ran(50, "a", "w3")])),
-        [Rule::NoEffectTwice]
+        [Rule::EffectAtMostOnce]
     );
     let refused = vec![
         published(0, "b", "unsafe"),
@@ -260,7 +260,7 @@
     ];
     assert_eq!(
         broken(refused),
-        [Rule::NoEffectTwice],
+        [Rule::EffectAtMostOnce],
         "a refusal of what ran is a lie"
     );
 }
@@ -278,8 +278,8 @@
         ])
     };
     assert_eq!(broken(after(600, "draining")), []);
-    assert_eq!(broken(after(800, "draining")), [Rule::DrainsKept]);
-    assert_eq!(broken(after(800, "gone")), [Rule::DrainsKept]);
+    assert_eq!(broken(after(800, "draining")), [Rule::DrainRespected]);
+    assert_eq!(broken(after(800, "gone")), [Rule::DrainRespected]);
     assert_eq!(broken(after(800, "live")), [], "it came back");
 }
 
@@ -294,7 +294,7 @@
                 bound: 4.0
             }
         )])),
-        [Rule::ColdWorkers]
+        [Rule::SlowStartRespected]
     );
 }
 
@@ -308,7 +308,7 @@
     );
     assert_eq!(
         broken(with(vec![order(2_000, "w2")])),
-        [Rule::LoadsRationed]
+        [Rule::LoadRateLimited]
     );
 }
 
@@ -341,12 +341,14 @@
             sent,
             answered(900, "b", "served"),
         ];
-        let book = RuleBook {
-            move_bound: Some(200 * MS),
-            ..book()
+        let config = RuleConfig {
+            migration_grace: Some(200 * MS),
+            ..config()
         };
-        let all = pipithub_conformance::rules::check(&records, &book);
-        all.iter().filter(|b| b.rule == Rule::TenantsApart).count()
+        let all = pipithub_conformance::rules::check(&records, &config);
+        all.iter()
+            .filter(|b| b.rule == Rule::TenantIsolation)
+            .count()
     };
     assert_eq!(crossed(400, "north-map", "mai"), 0);
     assert_eq!(crossed(650, "north-map", "mai"), 0, "within the bound");
--- a/crates/pipithub-emulator/src/recorder.rs
+++ b/crates/pipithub-emulator/src/recorder.rs
@@ -47,8 +47,8 @@
     pub fn note(&self, at: &str, seen: Seen) {
         let Some(sink) = &self.sink else { return };
         let record = Record {
-            t: wall_ns(),
-            at: at.to_string(),
+            time_ns: wall_ns(),
+            observer: at.to_string(),
             seen,
         };
         match &mut *sink.lock().unwrap_or_else(PoisonError::into_inner) {
--- a/crates/pipithub-gateway/tests/tenants.rs
+++ b/crates/pipithub-gateway/tests/tenants.rs
@@ -131,7 +131,7 @@
         let call = |r: pipithub_conformance::record::Record| match r.seen {
             Seen::Call {
                 request, function, ..
-            } => Some((r.t, request, function)),
+            } => Some((r.time_ns, request, function)),
             _ => None,
         };
         self.seen.records().into_iter().filter_map(call).collect()
--- a/crates/pipithub-scenario/src/fleet/day.rs
+++ b/crates/pipithub-scenario/src/fleet/day.rs
@@ -92,7 +92,7 @@
 pub struct FleetDay {
     /// Its name.
     pub name: String,
-    /// Nanoseconds until all is mended; the fleet then has [`Bounds::settle`] to become one.
+    /// Nanoseconds until all is mended; the fleet then has [`Bounds::convergence`] to become one.
     pub length: u64,
     /// Members.
     pub members: usize,
@@ -159,8 +159,8 @@
             probe_period: head.time("probe-period", Some(SECOND / 4))?,
             probe_wait: head.time("probe-wait", Some(SECOND / 12))?,
             bounds: Bounds {
-                found: head.time("found", Some(8 * SECOND))?,
-                settle: head.time("settle", Some(10 * SECOND))?,
+                detection: head.time("found", Some(8 * SECOND))?,
+                convergence: head.time("settle", Some(10 * SECOND))?,
             },
             drawn: (head.number("drawn", Some(0.0))? as usize).min(200),
             steps: Vec::new(),
@@ -187,7 +187,7 @@
                 rng.random_range(1..self.members),
             );
             let other = (member + other) % self.members;
-            let disk = [Disk::Kept, Disk::Empty, Disk::Old][rng.random_range(0..3usize)];
+            let disk = [Disk::Current, Disk::Empty, Disk::Stale][rng.random_range(0..3usize)];
             let trouble = match rng.random_range(0..10u32) {
                 0..3 => FleetTrouble::Kill { member, disk },
                 3 => FleetTrouble::Pause { member },
@@ -250,9 +250,9 @@
         "kill" => FleetTrouble::Kill {
             member: member("member")?,
             disk: match n.text_of("disk").unwrap_or("kept") {
-                "kept" => Disk::Kept,
+                "kept" => Disk::Current,
                 "empty" => Disk::Empty,
-                "old" => Disk::Old,
+                "old" => Disk::Stale,
                 _ => return n.fault("a disk is \"kept\", \"empty\" or \"old\""),
             },
         },
@@ -323,7 +323,7 @@
             day.steps[1].trouble,
             FleetTrouble::Kill {
                 member: 1,
-                disk: Disk::Old
+                disk: Disk::Stale
             }
         );
         for bad in [
--- a/crates/pipithub-scenario/src/fleet/run.rs
+++ b/crates/pipithub-scenario/src/fleet/run.rs
@@ -69,9 +69,9 @@
 impl std::fmt::Display for Act {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let disk_word = |disk: &Disk| match disk {
-            Disk::Kept => "Kept",
+            Disk::Current => "Kept",
             Disk::Empty => "Empty",
-            Disk::Old => "Old",
+            Disk::Stale => "Old",
         };
         match self {
             Act::Kill(member) => write!(f, "Kill({member})"),
@@ -209,7 +209,7 @@
         let run = self.history.runs.len();
         let name = self.slots[slot].name.clone();
         let record = std::fs::read_to_string(self.data(slot).join("generation")).ok();
-        let number = record
+        let expected_generation = record
             .and_then(|text| GenerationRecord::decode(&text).ok())
             .map_or(0, |r| r.generation)
             + 1;
@@ -218,7 +218,7 @@
             started: wall_ns(),
             ended: None,
             disk,
-            number,
+            expected_generation,
             paused: Vec::new(),
         });
         self.spoken
@@ -276,9 +276,9 @@
     fn spoil(&self, slot: usize, disk: Disk) -> std::io::Result<()> {
         let path = self.data(slot).join("generation");
         match disk {
-            Disk::Kept => Ok(()),
+            Disk::Current => Ok(()),
             Disk::Empty => std::fs::remove_dir_all(self.data(slot)),
-            Disk::Old => {
+            Disk::Stale => {
                 let text = std::fs::read_to_string(&path)?;
                 let record = GenerationRecord::decode(&text).map_err(std::io::Error::other)?;
                 let generation = record.generation.saturating_sub(1);
@@ -352,7 +352,7 @@
                     )?;
                 }
                 self.slots[slot].name = self.slots[of].name.clone();
-                self.start(slot, Disk::Old)?;
+                self.start(slot, Disk::Stale)?;
             }
         }
         Ok(())
@@ -496,7 +496,7 @@
         faults: Vec::new(),
     };
     for n in 0..day.members {
-        stage.start(n, Disk::Kept)?;
+        stage.start(n, Disk::Current)?;
     }
     let clock = Clock::default();
     let waited = tokio::time::Instant::now();
@@ -509,14 +509,14 @@
     }
     // The fleet has its time to come together before anything goes wrong.
     let (begin, first) = (wall_ns(), clock.now());
-    let offset = day.bounds.settle / 2;
+    let offset = day.bounds.convergence / 2;
     let mut left = acts
         .iter()
         .map(|(at, act)| (first + offset + at, act.clone()))
         .collect::<Vec<_>>()
         .into_iter()
         .peekable();
-    stage.history.unrest = unrest(&acts, begin + offset, day.length);
+    stage.history.disturbances = unrest(&acts, begin + offset, day.length);
     let mended = first + offset + day.length;
     loop {
         let due = left.peek().map_or(mended, |(at, _)| (*at).min(mended));
@@ -538,10 +538,10 @@
         if n >= day.members {
             stage.kill(n).await;
         } else if stage.slots[n].process.is_none() {
-            stage.start(n, Disk::Kept)?;
+            stage.start(n, Disk::Current)?;
         }
     }
-    let end = clock.now() + day.bounds.settle;
+    let end = clock.now() + day.bounds.convergence;
     while clock.now() < end {
         tokio::time::sleep(SAMPLE).await;
         stage.sample();
@@ -575,7 +575,7 @@
             .unwrap_or_else(PoisonError::into_inner)
             .spoken,
     );
-    stage.history.spoken = spoken
+    stage.history.generations_used = spoken
         .into_iter()
         .map(|((run, g), at)| (run, g, at))
         .collect();
--- a/crates/pipithub-scenario/src/fleet/run/tests.rs
+++ b/crates/pipithub-scenario/src/fleet/run/tests.rs
@@ -8,9 +8,9 @@
 fn acts_are_named_in_reports_by_these_words() {
     let words = [
         (Act::Kill(1), "Kill(1)"),
-        (Act::Start(2, Disk::Kept), "Start(2, Kept)"),
+        (Act::Start(2, Disk::Current), "Start(2, Kept)"),
         (Act::Start(2, Disk::Empty), "Start(2, Empty)"),
-        (Act::Start(2, Disk::Old), "Start(2, Old)"),
+        (Act::Start(2, Disk::Stale), "Start(2, Old)"),
         (Act::Pause(3, true), "Pause(3, true)"),
         (Act::Cut(0, 4, false), "Cut(0, 4, false)"),
         (Act::Hold(4, 0, true), "Hold(4, 0, true)"),
--- a/crates/pipithub-scenario/src/run.rs
+++ b/crates/pipithub-scenario/src/run.rs
@@ -8,7 +8,7 @@
 use pipithub_clock::{Clock, wall_ms, wall_ns};
 use pipithub_conformance::record::{Record, Seen};
 use pipithub_conformance::report::{Report, report};
-use pipithub_conformance::rules::{Breach, ClassRules, Effect, RuleBook, check};
+use pipithub_conformance::rules::{Breach, ClassRules, Idempotency, RuleConfig, check};
 use pipithub_emulator::directory::{DirectoryServer, DirectorySettings};
 use pipithub_emulator::list::{ListServer, Listed};
 use pipithub_emulator::recorder::Recorder;
@@ -370,18 +370,18 @@
 }
 
 /// The rules' figures of a day.
-pub fn rule_book(day: &Scenario) -> RuleBook {
-    let effect = |text: &str| match text {
-        "safe" => Effect::Safe,
-        "keyed" => Effect::Keyed,
-        _ => Effect::Unsafe,
+pub fn rule_config(day: &Scenario) -> RuleConfig {
+    let idempotency = |text: &str| match text {
+        "safe" => Idempotency::Idempotent,
+        "keyed" => Idempotency::WithKey,
+        _ => Idempotency::NonIdempotent,
     };
     let class = |c: &crate::scenario::ClassSpec| ClassRules {
-        effect: effect(&c.effect),
-        give_up: c.give_up,
-        aim: c.aim,
-        worth: c.worth,
-        dedup_window: c.dedup_window,
+        idempotency: idempotency(&c.effect),
+        client_timeout: c.give_up,
+        latency_objective: c.aim,
+        priority_weight: c.worth,
+        deduplication_window: c.dedup_window,
     };
     let config = pipithub_settings::Config::parse(
         "drill",
@@ -394,8 +394,8 @@
             &["127.0.0.1:1".into()],
         ),
     );
-    let ration = config.ok().and_then(|c| c.engine.policy.loading.rate_limit);
-    RuleBook {
+    let rate_limit = config.ok().and_then(|c| c.engine.policy.loading.rate_limit);
+    RuleConfig {
         classes: day
             .classes
             .iter()
@@ -404,9 +404,9 @@
         queue: QUEUE.into(),
         slack: day.slack,
         drain_grace: day.drain_grace,
-        ration: ration.map(|r| (r.window, r.burst, r.per_request)),
-        move_bound: day.tenants.as_ref().map(|t| t.bound),
-        until: None,
+        load_rate_limit: rate_limit.map(|r| (r.window, r.burst, r.per_request)),
+        migration_grace: day.tenants.as_ref().map(|t| t.bound),
+        published_until: None,
     }
 }
 
@@ -583,13 +583,13 @@
     }
     stage.broker.kill().await;
     let records = records(&judged_folder)?;
-    let book = rule_book(day);
-    let published = pipithub_conformance::rules::stories(&records, &book).len();
-    let breaches = check(&records, &book);
+    let config = rule_config(day);
+    let published = pipithub_conformance::rules::request_traces(&records, &config).len();
+    let breaches = check(&records, &config);
     let since = |t: u64| t.saturating_sub(began) as f64 / 1e9;
     Ok(Judged {
         breaches,
-        report: report(&records, &book, 2 * SECOND),
+        report: report(&records, &config, 2 * SECOND),
         faults: faults.into_iter().map(|(t, f)| (since(t), f)).collect(),
         calls: published,
         answered,
@@ -607,7 +607,7 @@
             all.extend(Record::read_all(&text).map_err(|e| format!("{}: {e}", path.display()))?);
         }
     }
-    all.sort_by_key(|r| r.t);
+    all.sort_by_key(|r| r.time_ns);
     // Nothing seen by any worker would make every rule easy to keep.
     if !all.iter().any(|r| matches!(r.seen, Seen::Call { .. })) {
         return Err("no call reached a worker".into());
