--- a/crates/pipithub-bench/src/main.rs
+++ b/crates/pipithub-bench/src/main.rs
@@ -205,7 +205,7 @@
             .iter()
             .map(std::string::ToString::to_string)
             .collect();
-        Ok(Process::standin(&self.binary, &arguments, &self.folder.join("log")).await?)
+        Ok(Process::start_emulator(&self.binary, &arguments, &self.folder.join("log")).await?)
     }
 
     async fn all(&self) -> Result<()> {
@@ -256,7 +256,7 @@
                 );
                 let path = self.folder.join("serve.kdl");
                 std::fs::write(&path, text)?;
-                Process::gateway(
+                Process::start_gateway(
                     &self.binary,
                     &[
                         "serve".into(),
@@ -274,7 +274,7 @@
                 addresses
                     .iter()
                     .for_each(|a| arguments.extend(["--worker".to_string(), a.clone()]));
-                Process::gateway(&self.me, &arguments, &log)?
+                Process::start_gateway(&self.me, &arguments, &log)?
             };
             self.part(which, &broker.address, &process, &direct, &mut cost)
                 .await?;
@@ -425,7 +425,8 @@
                 "--config".into(),
                 path.display().to_string(),
             ];
-            let process = Process::gateway(&self.binary, &arguments, &self.folder.join("log"))?;
+            let process =
+                Process::start_gateway(&self.binary, &arguments, &self.folder.join("log"))?;
             while consumers(&broker.address, Login::default(), "calls").await != Some(1) {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
@@ -433,7 +434,7 @@
             let users = |to: u64| if with { Some((0, to)) } else { None };
             load_by(&mut client, Load::Rate(200.0), 4, 1, users(70)).await?;
             if with {
-                server.say(trouble).await?;
+                server.send_line(trouble).await?;
             }
             let known = load_by(&mut client, Load::Rate(200.0), self.seconds, 2, users(70)).await?;
             show(&format!("{what}, known users"), &known.latency);
--- a/crates/pipithub-bench/src/roster.rs
+++ b/crates/pipithub-bench/src/roster.rs
@@ -16,7 +16,7 @@
     What,
 };
 use pipithub_ldap::Dn;
-use pipithub_scenario::load::Chance;
+use pipithub_scenario::load::SplitMix64;
 
 const TENANTS: usize = 50;
 const DAYS: u64 = 5;
@@ -67,7 +67,7 @@
     count: usize,
     stop: Option<&AtomicBool>,
 ) -> Vec<u32> {
-    let mut chance = Chance::new(7);
+    let mut chance = SplitMix64::new(7);
     let mut times = Vec::with_capacity(count.min(1 << 24));
     while times.len() < count && stop.is_none_or(|s| !s.load(Ordering::Relaxed)) {
         let user = &names[chance.below(names.len())];
@@ -122,7 +122,7 @@
     );
     let mut publisher = Publisher::new(core.roster());
     let shared = publisher.newest();
-    let mut chance = Chance::new(3);
+    let mut chance = SplitMix64::new(3);
     let order: Vec<usize> = (0..2_000_000).map(|_| chance.below(users)).collect();
     let roster = shared.load();
     let began = Instant::now();
@@ -215,7 +215,7 @@
     const HOUR: Time = 3_600 * S;
     // The peak begins three hours after the start, and a day later.
     let (peak, length) = (3 * HOUR, HOUR);
-    let mut chance = Chance::new(11);
+    let mut chance = SplitMix64::new(11);
     let mut calls: Vec<Vec<(Time, usize)>> = vec![Vec::new(); fronts as usize];
     for day in 0..DAYS {
         for user in 0..users {
--- a/crates/pipithub-gateway/tests/tenants.rs
+++ b/crates/pipithub-gateway/tests/tenants.rs
@@ -14,7 +14,7 @@
 use pipithub_emulator::worker::{WorkerServer, WorkerSettings};
 use pipithub_gateway::Gateway;
 use pipithub_scenario::client::{Answer, Publish, QueueClient, Signed};
-use pipithub_scenario::load::Chance;
+use pipithub_scenario::load::SplitMix64;
 use pipithub_settings::Config;
 
 const KEY: &[u8] = b"a key of sixteen bytes and more";
@@ -452,7 +452,7 @@
 #[allow(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
 async fn day(seed: u64, length: Duration) -> (usize, usize, Vec<String>) {
     let stage = Stage::new(&format!("day{seed}")).await;
-    let mut chance = Chance::new(seed);
+    let mut chance = SplitMix64::new(seed);
     let sides = ["north", "south"];
     let mut users: Vec<(String, &str)> = (0..40).map(|n| (format!("u{n}"), sides[n % 2])).collect();
     let text = tree(&users);
--- a/crates/pipithub-scenario/src/client.rs
+++ b/crates/pipithub-scenario/src/client.rs
@@ -93,7 +93,7 @@
         let (calls, waiting) = mpsc::channel(WAITING);
         let (sender, answers) = mpsc::channel(WAITING);
         let clock = Clock::default();
-        let shell = Shell {
+        let shell = Connector {
             address: address.into(),
             login,
             reply_queue: reply_queue.into(),
@@ -110,7 +110,7 @@
     }
 }
 
-struct Shell {
+struct Connector {
     address: String,
     login: Login,
     reply_queue: String,
@@ -135,12 +135,12 @@
     }
 }
 
-impl Shell {
+impl Connector {
     async fn run(self, mut waiting: mpsc::Receiver<Publish>) {
-        let mut held: VecDeque<Publish> = VecDeque::new();
+        let mut unsent: VecDeque<Publish> = VecDeque::new();
         while !waiting.is_closed() || !waiting.is_empty() {
             if let Ok(stream) = TcpStream::connect(&self.address).await {
-                let _ = self.connected(stream, &mut waiting, &mut held).await;
+                let _ = self.connected(stream, &mut waiting, &mut unsent).await;
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
@@ -150,7 +150,7 @@
         &self,
         mut stream: TcpStream,
         waiting: &mut mpsc::Receiver<Publish>,
-        held: &mut VecDeque<Publish>,
+        unsent: &mut VecDeque<Publish>,
     ) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
         let (mut reader, mut writer) = stream.split();
@@ -219,7 +219,7 @@
                 }
             }
             if let Some(channel) = ready {
-                while let Some(call) = held.pop_front() {
+                while let Some(call) = unsent.pop_front() {
                     self.publish(&mut endpoint, channel, call);
                 }
             }
@@ -233,8 +233,8 @@
                     input.clear();
                 }
                 wrote = writer.write(&output), if !output.is_empty() => output.advance(wrote?),
-                call = waiting.recv(), if held.is_empty() && output.len() < (1 << 20) => match call {
-                    Some(call) => held.push_back(call),
+                call = waiting.recv(), if unsent.is_empty() && output.len() < (1 << 20) => match call {
+                    Some(call) => unsent.push_back(call),
                     None => std::future::pending().await,
                 },
                 () = clock.sleep_until(endpoint.next_timeout()) => endpoint.on_time(clock.now()),
--- a/crates/pipithub-scenario/src/fleet/mod.rs
+++ b/crates/pipithub-scenario/src/fleet/mod.rs
@@ -1,8 +1,8 @@
 //! Days of a fleet of front ends that know each other: many processes of this program, each with a data folder of its
 //! own, and a relay on each direction of each link between two of them.
 
-pub mod day;
 pub mod run;
+pub mod scenario;
 
-pub use day::FleetDay;
-pub use run::{Judged, run};
+pub use run::{Outcome, run};
+pub use scenario::FleetScenario;
--- a/crates/pipithub-scenario/src/fleet/run.rs
+++ b/crates/pipithub-scenario/src/fleet/run.rs
@@ -15,7 +15,7 @@
 use pipithub_membership_runtime::{DataFolder, Report};
 use tracing::info;
 
-use super::day::{FleetDay, FleetTrouble};
+use super::scenario::{FleetFault, FleetScenario};
 use crate::process::Process;
 
 #[cfg(test)]
@@ -24,11 +24,11 @@
 const CLUSTER: &str = "drill";
 const SAMPLE: Duration = Duration::from_millis(200);
 /// A process that has not told where it listens by then did not start.
-const START_MOST: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What came of a day.
 #[derive(Debug)]
-pub struct Judged {
+pub struct Outcome {
     /// Broken rules.
     pub breaches: Vec<Breach>,
     /// All that was seen.
@@ -49,11 +49,11 @@
     run: Option<usize>,
     paused: Option<u64>,
     /// The run's report was seen, so relays lead to it.
-    led: bool,
+    relayed: bool,
 }
 
 #[derive(Clone, Debug)]
-enum Act {
+enum Action {
     Kill(usize),
     Start(usize, Disk),
     Pause(usize, bool),
@@ -62,11 +62,11 @@
     Split(usize, bool),
     Slow(u64, u64),
     Loss(f64),
-    Twin(usize, usize),
+    DuplicateIdentity(usize, usize),
 }
 
 /// The words under which reports and logs name an act; readers of reports rely on them.
-impl std::fmt::Display for Act {
+impl std::fmt::Display for Action {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let disk_word = |disk: &Disk| match disk {
             Disk::Current => "Kept",
@@ -74,15 +74,15 @@
             Disk::Stale => "Old",
         };
         match self {
-            Act::Kill(member) => write!(f, "Kill({member})"),
-            Act::Start(member, disk) => write!(f, "Start({member}, {})", disk_word(disk)),
-            Act::Pause(member, paused) => write!(f, "Pause({member}, {paused})"),
-            Act::Cut(from, to, cut) => write!(f, "Cut({from}, {to}, {cut})"),
-            Act::Hold(from, to, held) => write!(f, "Hold({from}, {to}, {held})"),
-            Act::Split(zone, cut) => write!(f, "Split({zone}, {cut})"),
-            Act::Slow(delay, jitter) => write!(f, "Slow({delay}, {jitter})"),
-            Act::Loss(share) => write!(f, "Loss({share:?})"),
-            Act::Twin(slot, of) => write!(f, "Twin({slot}, {of})"),
+            Action::Kill(member) => write!(f, "Kill({member})"),
+            Action::Start(member, disk) => write!(f, "Start({member}, {})", disk_word(disk)),
+            Action::Pause(member, paused) => write!(f, "Pause({member}, {paused})"),
+            Action::Cut(from, to, cut) => write!(f, "Cut({from}, {to}, {cut})"),
+            Action::Hold(from, to, held) => write!(f, "Hold({from}, {to}, {held})"),
+            Action::Split(zone, cut) => write!(f, "Split({zone}, {cut})"),
+            Action::Slow(delay, jitter) => write!(f, "Slow({delay}, {jitter})"),
+            Action::Loss(share) => write!(f, "Loss({share:?})"),
+            Action::DuplicateIdentity(slot, of) => write!(f, "Twin({slot}, {of})"),
         }
     }
 }
@@ -97,8 +97,8 @@
     runs: Vec<Option<usize>>,
 }
 
-struct Stage<'a> {
-    day: &'a FleetDay,
+struct Cluster<'a> {
+    scenario: &'a FleetScenario,
     binary: &'a Path,
     folder: PathBuf,
     slots: Vec<Slot>,
@@ -109,59 +109,66 @@
 }
 
 /// The acts of a day by time, and how many twins it has.
-fn acts(day: &FleetDay, seed: u64) -> (Vec<(u64, Act)>, usize) {
-    let (mut acts, mut twins) = (Vec::new(), 0);
-    for step in day.steps(seed) {
-        let (at, end) = (step.at, step.at + step.length);
-        let mut both = |from: Act, to: Act| acts.extend([(at, from), (end, to)]);
-        match step.trouble {
-            FleetTrouble::Kill { member, disk } => {
-                both(Act::Kill(member), Act::Start(member, disk));
+fn actions(scenario: &FleetScenario, seed: u64) -> (Vec<(u64, Action)>, usize) {
+    let (mut actions, mut duplicates) = (Vec::new(), 0);
+    for scheduled in scenario.faults_for_seed(seed) {
+        let (at, end) = (scheduled.at, scheduled.at + scheduled.duration);
+        let mut both = |from: Action, to: Action| actions.extend([(at, from), (end, to)]);
+        match scheduled.fault {
+            FleetFault::Kill { member, disk } => {
+                both(Action::Kill(member), Action::Start(member, disk));
             }
-            FleetTrouble::Pause { member } => {
-                both(Act::Pause(member, true), Act::Pause(member, false));
+            FleetFault::Pause { member } => {
+                both(Action::Pause(member, true), Action::Pause(member, false));
             }
-            FleetTrouble::Cut {
+            FleetFault::Cut {
                 from,
                 to,
                 both: ways,
             } => {
-                both(Act::Cut(from, to, true), Act::Cut(from, to, false));
+                both(Action::Cut(from, to, true), Action::Cut(from, to, false));
                 if ways {
-                    both(Act::Cut(to, from, true), Act::Cut(to, from, false));
+                    both(Action::Cut(to, from, true), Action::Cut(to, from, false));
                 }
             }
-            FleetTrouble::Flap { from, to, every } => {
+            FleetFault::Flap { from, to, every } => {
                 let (mut t, mut cut) = (at, true);
                 while t < end {
-                    acts.extend([(t, Act::Cut(from, to, cut)), (t, Act::Cut(to, from, cut))]);
+                    actions.extend([
+                        (t, Action::Cut(from, to, cut)),
+                        (t, Action::Cut(to, from, cut)),
+                    ]);
                     (t, cut) = (t + every, !cut);
                 }
-                acts.extend([
-                    (end, Act::Cut(from, to, false)),
-                    (end, Act::Cut(to, from, false)),
+                actions.extend([
+                    (end, Action::Cut(from, to, false)),
+                    (end, Action::Cut(to, from, false)),
                 ]);
             }
-            FleetTrouble::Hold { from, to } => {
-                both(Act::Hold(from, to, true), Act::Hold(from, to, false));
+            FleetFault::Hold { from, to } => {
+                both(Action::Hold(from, to, true), Action::Hold(from, to, false));
             }
-            FleetTrouble::Split { zone } => both(Act::Split(zone, true), Act::Split(zone, false)),
-            FleetTrouble::Slow { delay, jitter } => both(Act::Slow(delay, jitter), Act::Slow(0, 0)),
-            FleetTrouble::Loss { share } => both(Act::Loss(share), Act::Loss(0.0)),
-            FleetTrouble::Twin { member } => {
+            FleetFault::Split { zone } => {
+                both(Action::Split(zone, true), Action::Split(zone, false));
+            }
+            FleetFault::Slow { delay, jitter } => {
+                both(Action::Slow(delay, jitter), Action::Slow(0, 0));
+            }
+            FleetFault::Loss { share } => both(Action::Loss(share), Action::Loss(0.0)),
+            FleetFault::DuplicateIdentity { member } => {
                 both(
-                    Act::Twin(day.members + twins, member),
-                    Act::Kill(day.members + twins),
+                    Action::DuplicateIdentity(scenario.members + duplicates, member),
+                    Action::Kill(scenario.members + duplicates),
                 );
-                twins += 1;
+                duplicates += 1;
             }
         }
     }
-    acts.sort_by_key(|(at, _)| *at);
-    (acts, twins)
+    actions.sort_by_key(|(at, _)| *at);
+    (actions, duplicates)
 }
 
-impl Stage<'_> {
+impl Cluster<'_> {
     fn data(&self, slot: usize) -> PathBuf {
         self.folder.join(format!("data-{slot}"))
     }
@@ -169,7 +176,7 @@
     fn settings(&self, slot: usize) -> String {
         let s = &self.slots[slot];
         let ms = |ns: u64| ns as f64 / 1e6;
-        let seeds: String = (0..self.day.seeds)
+        let seeds: String = (0..self.scenario.seeds)
             .map(|n| format!("    seed \"{}\"\n", self.slots[n].advertise))
             .collect();
         let via: String = self
@@ -192,8 +199,8 @@
             s.advertise,
             s.zone,
             self.data(slot).display().to_string(),
-            ms(self.day.probe_period),
-            ms(self.day.probe_wait),
+            ms(self.scenario.probe_period),
+            ms(self.scenario.probe_wait),
         )
     }
 
@@ -225,9 +232,9 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .runs[slot] = Some(run);
-        let process = Process::gateway(self.binary, &arguments, &log)?;
+        let process = Process::start_gateway(self.binary, &arguments, &log)?;
         let s = &mut self.slots[slot];
-        (s.process, s.run, s.led, s.paused) = (Some(process), Some(run), false, None);
+        (s.process, s.run, s.relayed, s.paused) = (Some(process), Some(run), false, None);
         Ok(())
     }
 
@@ -301,29 +308,29 @@
         }
     }
 
-    async fn act(&mut self, act: Act) -> std::io::Result<()> {
-        info!(act = act.to_string(), "drill");
-        self.faults.push((wall_ns(), act.to_string()));
-        match act {
-            Act::Kill(slot) => self.kill(slot).await,
-            Act::Start(slot, disk) => {
+    async fn apply(&mut self, action: Action) -> std::io::Result<()> {
+        info!(act = action.to_string(), "drill");
+        self.faults.push((wall_ns(), action.to_string()));
+        match action {
+            Action::Kill(slot) => self.kill(slot).await,
+            Action::Start(slot, disk) => {
                 if self.slots[slot].process.is_none() {
                     self.spoil(slot, disk)?;
                     self.start(slot, disk)?;
                 }
             }
-            Act::Pause(slot, paused) => self.pause(slot, paused),
-            Act::Cut(a, b, cut) => self.links(|f, t, w| {
+            Action::Pause(slot, paused) => self.pause(slot, paused),
+            Action::Cut(a, b, cut) => self.links(|f, t, w| {
                 if (f, t) == (a, b) {
                     w.cut = cut;
                 }
             }),
-            Act::Hold(a, b, held) => self.links(|f, t, w| {
+            Action::Hold(a, b, held) => self.links(|f, t, w| {
                 if (f, t) == (a, b) {
                     w.held = held;
                 }
             }),
-            Act::Split(zone, cut) => {
+            Action::Split(zone, cut) => {
                 let zones: Vec<usize> = self.slots.iter().map(|s| s.zone).collect();
                 self.links(|f, t, w| {
                     if (zones[f] == zone) != (zones[t] == zone) {
@@ -331,11 +338,11 @@
                     }
                 });
             }
-            Act::Slow(delay, jitter) => self.links(|_, _, w| {
+            Action::Slow(delay, jitter) => self.links(|_, _, w| {
                 (w.delay, w.jitter) = (Duration::from_nanos(delay), Duration::from_nanos(jitter));
             }),
-            Act::Loss(share) => self.links(|_, _, w| (w.loss, w.twice) = (share, share / 2.0)),
-            Act::Twin(slot, of) => {
+            Action::Loss(share) => self.links(|_, _, w| (w.loss, w.twice) = (share, share / 2.0)),
+            Action::DuplicateIdentity(slot, of) => {
                 let (from, to) = (self.data(of).join("generation"), self.data(slot));
                 std::fs::create_dir_all(&to)?;
                 // The copy of a folder whose process is under way: both count on from the same number.
@@ -375,11 +382,11 @@
             if process.id() != Some(report.process) {
                 continue;
             }
-            if !s.led {
-                s.led = true;
+            if !s.relayed {
+                s.relayed = true;
                 let to = report.listen.parse().ok();
-                let led = self.relays.iter().filter(|((_, t), _)| *t == slot);
-                led.for_each(|(_, relay)| relay.lead_to(to));
+                let relayed = self.relays.iter().filter(|((_, t), _)| *t == slot);
+                relayed.for_each(|(_, relay)| relay.lead_to(to));
             }
             let at = report.at_ms * 1_000_000;
             if self
@@ -408,54 +415,53 @@
 }
 
 /// Times at which links were spoilt, from the acts.
-fn unrest(acts: &[(u64, Act)], begin: u64, length: u64) -> Vec<(u64, u64)> {
-    let spoils = |act: &Act| match act {
-        Act::Cut(_, _, on) | Act::Hold(_, _, on) | Act::Split(_, on) => *on,
-        Act::Slow(delay, jitter) => delay + jitter > 0,
-        Act::Loss(share) => *share > 0.0,
+fn disturbances(actions: &[(u64, Action)], begin: u64, duration: u64) -> Vec<(u64, u64)> {
+    let spoils = |action: &Action| match action {
+        Action::Cut(_, _, on) | Action::Hold(_, _, on) | Action::Split(_, on) => *on,
+        Action::Slow(delay, jitter) => delay + jitter > 0,
+        Action::Loss(share) => *share > 0.0,
         _ => false,
     };
     // From each spoiling to the last mending after it: links overlap, and one interval too wide only judges less.
-    let mut unrest: Vec<(u64, u64)> = Vec::new();
-    for (at, act) in acts.iter().filter(|(_, a)| spoils(a)) {
-        let same = |b: &Act| match (act, b) {
-            (Act::Cut(a, b, _), Act::Cut(c, d, on)) | (Act::Hold(a, b, _), Act::Hold(c, d, on)) => {
-                (a, b) == (c, d) && !on
-            }
-            (Act::Split(a, _), Act::Split(b, on)) => a == b && !on,
-            (Act::Slow(..), Act::Slow(d, j)) => d + j == 0,
-            (Act::Loss(_), Act::Loss(s)) => *s == 0.0,
+    let mut disturbances: Vec<(u64, u64)> = Vec::new();
+    for (at, action) in actions.iter().filter(|(_, a)| spoils(a)) {
+        let same = |b: &Action| match (action, b) {
+            (Action::Cut(a, b, _), Action::Cut(c, d, on))
+            | (Action::Hold(a, b, _), Action::Hold(c, d, on)) => (a, b) == (c, d) && !on,
+            (Action::Split(a, _), Action::Split(b, on)) => a == b && !on,
+            (Action::Slow(..), Action::Slow(d, j)) => d + j == 0,
+            (Action::Loss(_), Action::Loss(s)) => *s == 0.0,
             _ => false,
         };
-        let end = acts
+        let end = actions
             .iter()
             .rfind(|(t, b)| t >= at && same(b))
-            .map_or(length, |(t, _)| *t);
-        unrest.push((begin + at, begin + end));
+            .map_or(duration, |(t, _)| *t);
+        disturbances.push((begin + at, begin + end));
     }
-    unrest
+    disturbances
 }
 
 /// Runs a day from a seed.
 #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
 pub async fn run(
-    day: &FleetDay,
+    scenario: &FleetScenario,
     seed: u64,
     binary: &Path,
     folder: &Path,
-) -> Result<Judged, Box<dyn std::error::Error + Send + Sync>> {
+) -> Result<Outcome, Box<dyn std::error::Error + Send + Sync>> {
     std::fs::create_dir_all(folder)?;
-    let (acts, twins) = acts(day, seed);
-    let size = day.members + twins;
+    let (actions, duplicates) = actions(scenario, seed);
+    let size = scenario.members + duplicates;
     let slot = |n: usize| Slot {
         name: format!("front-{n}"),
-        zone: n % day.zones,
+        zone: n % scenario.zones,
         // In the loopback range, and nobody's: only relays stand for it.
         advertise: SocketAddr::from(([127, 0, 100, n as u8 + 1], 7100)),
         process: None,
         run: None,
         paused: None,
-        led: false,
+        relayed: false,
     };
     let spoken = Arc::new(Mutex::new(Spoken {
         runs: vec![None; size],
@@ -485,8 +491,8 @@
         let seed = seed.wrapping_mul(1_000_003) ^ ((from as u64) << 16) ^ to as u64;
         relays.insert((from, to), Relay::start(seed, seen).await?);
     }
-    let mut stage = Stage {
-        day,
+    let mut cluster = Cluster {
+        scenario,
         binary,
         folder: folder.to_path_buf(),
         slots: (0..size).map(slot).collect(),
@@ -495,99 +501,99 @@
         history: History::default(),
         faults: Vec::new(),
     };
-    for n in 0..day.members {
-        stage.start(n, Disk::Current)?;
+    for n in 0..scenario.members {
+        cluster.start(n, Disk::Current)?;
     }
     let clock = Clock::default();
     let waited = tokio::time::Instant::now();
-    while stage.slots[..day.members].iter().any(|s| !s.led) {
-        if waited.elapsed() > START_MOST {
+    while cluster.slots[..scenario.members].iter().any(|s| !s.relayed) {
+        if waited.elapsed() > START_TIMEOUT {
             return Err("not all members told where they listen".into());
         }
         tokio::time::sleep(SAMPLE / 4).await;
-        stage.sample();
+        cluster.sample();
     }
     // The fleet has its time to come together before anything goes wrong.
     let (begin, first) = (wall_ns(), clock.now());
-    let offset = day.bounds.convergence / 2;
-    let mut left = acts
+    let offset = scenario.bounds.convergence / 2;
+    let mut left = actions
         .iter()
-        .map(|(at, act)| (first + offset + at, act.clone()))
+        .map(|(at, action)| (first + offset + at, action.clone()))
         .collect::<Vec<_>>()
         .into_iter()
         .peekable();
-    stage.history.disturbances = unrest(&acts, begin + offset, day.length);
-    let mended = first + offset + day.length;
+    cluster.history.disturbances = disturbances(&actions, begin + offset, scenario.duration);
+    let mended = first + offset + scenario.duration;
     loop {
         let due = left.peek().map_or(mended, |(at, _)| (*at).min(mended));
         tokio::select! {
             () = clock.sleep_until(Some(due)) => {}
             () = tokio::time::sleep(SAMPLE) => {}
         }
-        while let Some((_, act)) = left.next_if(|(at, _)| *at <= clock.now()) {
-            stage.act(act).await?;
+        while let Some((_, action)) = left.next_if(|(at, _)| *at <= clock.now()) {
+            cluster.apply(action).await?;
         }
-        stage.sample();
+        cluster.sample();
         if clock.now() >= mended {
             break;
         }
     }
-    stage.links(|_, _, way| *way = Way::default());
+    cluster.links(|_, _, way| *way = Way::default());
     for n in 0..size {
-        stage.pause(n, false);
-        if n >= day.members {
-            stage.kill(n).await;
-        } else if stage.slots[n].process.is_none() {
-            stage.start(n, Disk::Current)?;
+        cluster.pause(n, false);
+        if n >= scenario.members {
+            cluster.kill(n).await;
+        } else if cluster.slots[n].process.is_none() {
+            cluster.start(n, Disk::Current)?;
         }
     }
-    let end = clock.now() + day.bounds.convergence;
+    let end = clock.now() + scenario.bounds.convergence;
     while clock.now() < end {
         tokio::time::sleep(SAMPLE).await;
-        stage.sample();
+        cluster.sample();
     }
-    stage.history.end = wall_ns();
-    let claimed = |stage: &Stage<'_>| {
-        let end = stage.history.end;
-        (0..day.members).all(|n| {
-            stage
+    cluster.history.end = wall_ns();
+    let claimed = |cluster: &Cluster<'_>| {
+        let end = cluster.history.end;
+        (0..scenario.members).all(|n| {
+            cluster
                 .history
                 .claims
                 .iter()
-                .any(|c| Some(c.run) == stage.slots[n].run && c.at >= end)
+                .any(|c| Some(c.run) == cluster.slots[n].run && c.at >= end)
         })
     };
     let waited = tokio::time::Instant::now();
-    while !claimed(&stage) && waited.elapsed() < START_MOST {
+    while !claimed(&cluster) && waited.elapsed() < START_TIMEOUT {
         tokio::time::sleep(SAMPLE).await;
-        stage.sample();
+        cluster.sample();
     }
     for n in 0..size {
         // Not an end within the day: what runs to its end has none.
-        if let Some(process) = stage.slots[n].process.take() {
+        if let Some(process) = cluster.slots[n].process.take() {
             process.kill().await;
         }
     }
     let spoken = std::mem::take(
-        &mut stage
+        &mut cluster
             .spoken
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .spoken,
     );
-    stage.history.generations_used = spoken
+    cluster.history.generations_used = spoken
         .into_iter()
         .map(|((run, g), at)| (run, g, at))
         .collect();
-    let breaches = check(&stage.history, day.bounds);
-    let faults = stage
+    let breaches = check(&cluster.history, scenario.bounds);
+    let faults = cluster
         .faults
         .iter()
         .map(|(at, what)| (at.saturating_sub(begin) as f64 / 1e9, what.clone()));
-    Ok(Judged {
+    Ok(Outcome {
         breaches,
         faults: faults.collect(),
-        history: stage.history,
-        folder: stage.folder,
+        history: cluster.history,
+        folder: cluster.folder,
     })
 }
--- a/crates/pipithub-scenario/src/fleet/day.rs
+++ b/crates/pipithub-scenario/src/fleet/scenario.rs
@@ -8,13 +8,13 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::scenario::{Node, Read, Unreadable};
+use crate::scenario::{Node, ParseResult, ScenarioError};
 
 const SECOND: u64 = 1_000_000_000;
 
 /// What goes wrong in a fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub enum FleetTrouble {
+pub enum FleetFault {
     /// A member is killed outright and started again from such a disk.
     Kill {
         /// Which, from 0.
@@ -70,7 +70,7 @@
         share: f64,
     },
     /// A second process is started under a member's name, from a copy of its folder.
-    Twin {
+    DuplicateIdentity {
         /// Whose name.
         member: usize,
     },
@@ -78,22 +78,22 @@
 
 /// A trouble with its time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct FleetStep {
+pub struct ScheduledFleetFault {
     /// Nanoseconds from the start.
     pub at: u64,
     /// For how long.
-    pub length: u64,
+    pub duration: u64,
     /// What.
-    pub trouble: FleetTrouble,
+    pub fault: FleetFault,
 }
 
 /// A fleet's day.
 #[derive(Clone, Debug, PartialEq)]
-pub struct FleetDay {
+pub struct FleetScenario {
     /// Its name.
     pub name: String,
     /// Nanoseconds until all is mended; the fleet then has [`Bounds::convergence`] to become one.
-    pub length: u64,
+    pub duration: u64,
     /// Members.
     pub members: usize,
     /// Zones; members take turns.
@@ -109,24 +109,24 @@
     /// Troubles that a seed draws, beside those written.
     pub drawn: usize,
     /// What goes wrong.
-    pub steps: Vec<FleetStep>,
+    pub faults: Vec<ScheduledFleetFault>,
 }
 
-impl FleetDay {
+impl FleetScenario {
     /// Whether a text is a fleet's day, and no day of calls.
-    pub fn is_one(text: &str) -> bool {
+    pub fn is_fleet_scenario(text: &str) -> bool {
         KdlDocument::from_str(text).is_ok_and(|d| d.get("fleet-day").is_some())
     }
 
     /// Reads a file.
-    pub fn parse(file: &str, text: &str) -> Read<FleetDay> {
+    pub fn parse(file: &str, text: &str) -> ParseResult<FleetScenario> {
         let source = || NamedSource::new(file, text.to_string());
         let document = KdlDocument::from_str(text).map_err(|error| {
             let first = error.diagnostics.first();
             let message = first
                 .and_then(|d| d.message.clone())
                 .unwrap_or_else(|| "this is not KDL".into());
-            Box::new(Unreadable::new(
+            Box::new(ScenarioError::new(
                 message,
                 source(),
                 first.map_or((0, 0).into(), |d| d.span),
@@ -134,7 +134,11 @@
         })?;
         let Some(head) = document.get("fleet-day") else {
             let message = "a fleet's day begins with 'fleet-day'".to_string();
-            return Err(Box::new(Unreadable::new(message, source(), (0, 0).into())));
+            return Err(Box::new(ScenarioError::new(
+                message,
+                source(),
+                (0, 0).into(),
+            )));
         };
         let head = Node::new(head, text, file);
         head.allow(&[
@@ -150,9 +154,9 @@
             "drawn",
         ])?;
         let members = (head.number("members", Some(7.0))? as usize).clamp(2, 32);
-        let mut day = FleetDay {
+        let mut scenario = FleetScenario {
             name: head.text_of("name").unwrap_or(file).to_string(),
-            length: head.time("length", Some(30 * SECOND))?,
+            duration: head.time("length", Some(30 * SECOND))?,
             members,
             zones: (head.number("zones", Some(3.0))? as usize).clamp(1, members),
             seeds: (head.number("seeds", Some(3.0))? as usize).clamp(1, members),
@@ -163,7 +167,7 @@
                 convergence: head.time("settle", Some(10 * SECOND))?,
             },
             drawn: (head.number("drawn", Some(0.0))? as usize).min(200),
-            steps: Vec::new(),
+            faults: Vec::new(),
         };
         for node in document
             .nodes()
@@ -171,16 +175,16 @@
             .filter(|n| n.name().value() != "fleet-day")
         {
             let n = Node::new(node, text, file);
-            day.steps.push(step(&n, &day)?);
+            scenario.faults.push(parse_fault(&n, &scenario)?);
         }
-        day.steps.sort_by_key(|s| s.at);
-        Ok(day)
+        scenario.faults.sort_by_key(|s| s.at);
+        Ok(scenario)
     }
 
     /// The troubles of a day: those written and those that the seed draws.
-    pub fn steps(&self, seed: u64) -> Vec<FleetStep> {
+    pub fn faults_for_seed(&self, seed: u64) -> Vec<ScheduledFleetFault> {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut steps = self.steps.clone();
+        let mut faults = self.faults.clone();
         for _ in 0..self.drawn {
             let (member, other) = (
                 rng.random_range(0..self.members),
@@ -188,66 +192,66 @@
             );
             let other = (member + other) % self.members;
             let disk = [Disk::Current, Disk::Empty, Disk::Stale][rng.random_range(0..3usize)];
-            let trouble = match rng.random_range(0..10u32) {
-                0..3 => FleetTrouble::Kill { member, disk },
-                3 => FleetTrouble::Pause { member },
-                4 => FleetTrouble::Cut {
+            let fault = match rng.random_range(0..10u32) {
+                0..3 => FleetFault::Kill { member, disk },
+                3 => FleetFault::Pause { member },
+                4 => FleetFault::Cut {
                     from: member,
                     to: other,
                     both: rng.random(),
                 },
-                5 => FleetTrouble::Flap {
+                5 => FleetFault::Flap {
                     from: member,
                     to: other,
                     every: rng.random_range(1..3u64) * SECOND,
                 },
-                6 => FleetTrouble::Hold {
+                6 => FleetFault::Hold {
                     from: member,
                     to: other,
                 },
-                7 => FleetTrouble::Split {
+                7 => FleetFault::Split {
                     zone: rng.random_range(0..self.zones),
                 },
-                8 => FleetTrouble::Slow {
+                8 => FleetFault::Slow {
                     delay: rng.random_range(5..40u64) * 1_000_000,
                     jitter: rng.random_range(1..30u64) * 1_000_000,
                 },
-                _ => FleetTrouble::Twin { member },
+                _ => FleetFault::DuplicateIdentity { member },
             };
-            let latest = self.length.saturating_sub(2 * SECOND).max(1);
+            let latest = self.duration.saturating_sub(2 * SECOND).max(1);
             let at = rng.random_range(0..latest);
-            let length = rng
+            let duration = rng
                 .random_range(SECOND..6 * SECOND)
-                .min(self.length.saturating_sub(at));
-            steps.push(FleetStep {
+                .min(self.duration.saturating_sub(at));
+            faults.push(ScheduledFleetFault {
                 at,
-                length,
-                trouble,
+                duration,
+                fault,
             });
         }
-        steps.sort_by_key(|s| s.at);
-        steps
+        faults.sort_by_key(|s| s.at);
+        faults
     }
 }
 
-fn step(n: &Node<'_>, day: &FleetDay) -> Read<FleetStep> {
+fn parse_fault(n: &Node<'_>, scenario: &FleetScenario) -> ParseResult<ScheduledFleetFault> {
     n.allow(&[
         "at", "for", "member", "disk", "from", "to", "both", "every", "zone", "delay", "jitter",
         "share",
     ])?;
-    let member = |name: &str| -> Read<usize> {
+    let member = |name: &str| -> ParseResult<usize> {
         let member = n.number(name, None)? as usize;
-        if member < day.members {
+        if member < scenario.members {
             Ok(member)
         } else {
             n.fault(format!(
                 "there are only {} members, counted from 0",
-                day.members
+                scenario.members
             ))
         }
     };
-    let trouble = match n.name() {
-        "kill" => FleetTrouble::Kill {
+    let fault = match n.name() {
+        "kill" => FleetFault::Kill {
             member: member("member")?,
             disk: match n.text_of("disk").unwrap_or("kept") {
                 "kept" => Disk::Current,
@@ -256,49 +260,49 @@
                 _ => return n.fault("a disk is \"kept\", \"empty\" or \"old\""),
             },
         },
-        "pause" => FleetTrouble::Pause {
+        "pause" => FleetFault::Pause {
             member: member("member")?,
         },
-        "cut" => FleetTrouble::Cut {
+        "cut" => FleetFault::Cut {
             from: member("from")?,
             to: member("to")?,
             both: n.flag("both"),
         },
-        "flap" => FleetTrouble::Flap {
+        "flap" => FleetFault::Flap {
             from: member("from")?,
             to: member("to")?,
             every: n.time("every", Some(2 * SECOND))?.max(10_000_000),
         },
-        "hold" => FleetTrouble::Hold {
+        "hold" => FleetFault::Hold {
             from: member("from")?,
             to: member("to")?,
         },
         "split" => {
             let zone = n.number("zone", None)? as usize;
-            if zone >= day.zones {
+            if zone >= scenario.zones {
                 return n.fault(format!(
                     "there are only {} zones, counted from 0",
-                    day.zones
+                    scenario.zones
                 ));
             }
-            FleetTrouble::Split { zone }
+            FleetFault::Split { zone }
         }
-        "slow" => FleetTrouble::Slow {
+        "slow" => FleetFault::Slow {
             delay: n.time("delay", None)?,
             jitter: n.time("jitter", Some(0))?,
         },
-        "loss" => FleetTrouble::Loss {
+        "loss" => FleetFault::Loss {
             share: n.number("share", None)?.min(1.0),
         },
-        "twin" => FleetTrouble::Twin {
+        "twin" => FleetFault::DuplicateIdentity {
             member: member("member")?,
         },
         other => return n.fault(format!("a fleet's day has no '{other}'")),
     };
-    Ok(FleetStep {
+    Ok(ScheduledFleetFault {
         at: n.time("at", None)?,
-        length: n.time("for", Some(3 * SECOND))?,
-        trouble,
+        duration: n.time("for", Some(3 * SECOND))?,
+        fault,
     })
 }
 
@@ -307,21 +311,21 @@
     use super::*;
 
     #[test]
-    fn a_day_is_read_and_its_faults_are_named() {
+    fn a_fleet_scenario_is_read_and_its_errors_are_named() {
         let text = "fleet-day name=\"x\" members=5 zones=2\nkill at=\"2s\" member=1 disk=\"old\"\ncut at=\"1s\" from=0 to=4 both=#true\n";
-        assert!(FleetDay::is_one(text));
-        let day = FleetDay::parse("x", text).unwrap();
+        assert!(FleetScenario::is_fleet_scenario(text));
+        let scenario = FleetScenario::parse("x", text).unwrap();
         assert_eq!(
-            day.steps[0].trouble,
-            FleetTrouble::Cut {
+            scenario.faults[0].fault,
+            FleetFault::Cut {
                 from: 0,
                 to: 4,
                 both: true
             }
         );
         assert_eq!(
-            day.steps[1].trouble,
-            FleetTrouble::Kill {
+            scenario.faults[1].fault,
+            FleetFault::Kill {
                 member: 1,
                 disk: Disk::Stale
             }
@@ -333,17 +337,23 @@
             "kill at=\"1s\" member=1 disk=\"new\"",
         ] {
             assert!(
-                FleetDay::parse("x", &format!("fleet-day members=5\n{bad}\n")).is_err(),
+                FleetScenario::parse("x", &format!("fleet-day members=5\n{bad}\n")).is_err(),
                 "{bad}"
             );
         }
     }
 
     #[test]
-    fn equal_seeds_draw_equal_troubles() {
-        let day = FleetDay::parse("x", "fleet-day members=5 drawn=20 length=\"20s\"\n").unwrap();
-        assert_eq!(day.steps(3), day.steps(3));
-        assert_ne!(day.steps(3), day.steps(4));
-        assert!(day.steps(3).iter().all(|s| s.at + s.length <= day.length));
+    fn equal_seeds_draw_equal_faults() {
+        let scenario =
+            FleetScenario::parse("x", "fleet-day members=5 drawn=20 length=\"20s\"\n").unwrap();
+        assert_eq!(scenario.faults_for_seed(3), scenario.faults_for_seed(3));
+        assert_ne!(scenario.faults_for_seed(3), scenario.faults_for_seed(4));
+        assert!(
+            scenario
+                .faults_for_seed(3)
+                .iter()
+                .all(|s| s.at + s.duration <= scenario.duration)
+        );
     }
 }
--- a/crates/pipithub-scenario/src/load.rs
+++ b/crates/pipithub-scenario/src/load.rs
@@ -1,16 +1,16 @@
 //! The calls of a day, drawn from its seed before it begins.
 
 use crate::client::{Publish, Signed};
-use crate::scenario::{Scenario, Trouble};
+use crate::scenario::{Fault, Scenario};
 
 /// Chance that is equal for equal seeds (splitmix64).
 #[derive(Clone, Debug)]
-pub struct Chance(u64);
+pub struct SplitMix64(u64);
 
-impl Chance {
+impl SplitMix64 {
     /// From a seed.
     pub fn new(seed: u64) -> Self {
-        Chance(seed)
+        SplitMix64(seed)
     }
 
     /// The next number.
@@ -38,52 +38,52 @@
 pub const KEY: &str = "the key of a day's desk";
 
 /// Moves of a day: when, which user, to which tenant.
-pub fn moves(day: &Scenario, seed: u64) -> Vec<(u64, usize, usize)> {
-    let Some(tenants) = &day.tenants else {
+pub fn migrations(scenario: &Scenario, seed: u64) -> Vec<(u64, usize, usize)> {
+    let Some(tenants) = &scenario.tenants else {
         return Vec::new();
     };
-    let mut chance = Chance::new(seed ^ 0x6d6f_7665);
+    let mut random = SplitMix64::new(seed ^ 0x6d6f_7665);
     let mut sides: Vec<usize> = (0..tenants.users).map(|n| n % 2).collect();
-    let mut moves = Vec::new();
-    for step in &day.steps {
-        let Trouble::MoveUsers { every } = step.trouble else {
+    let mut migrations = Vec::new();
+    for scheduled in &scenario.faults {
+        let Fault::MigrateUsers { every } = scheduled.fault else {
             continue;
         };
-        let mut at = step.at;
-        while at < step.at + step.length {
-            let user = chance.below(tenants.users);
+        let mut at = scheduled.at;
+        while at < scheduled.at + scheduled.duration {
+            let user = random.below(tenants.users);
             sides[user] = 1 - sides[user];
-            moves.push((at, user, sides[user]));
+            migrations.push((at, user, sides[user]));
             at += every;
         }
     }
-    moves.sort_unstable();
-    moves
+    migrations.sort_unstable();
+    migrations
 }
 
 /// The calls, each with its time in nanoseconds from the first.
 #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
-pub fn calls(day: &Scenario, seed: u64, queue: &str) -> Vec<(u64, Publish)> {
-    let mut chance = Chance::new(seed);
+pub fn calls(scenario: &Scenario, seed: u64, queue: &str) -> Vec<(u64, Publish)> {
+    let mut random = SplitMix64::new(seed);
     // Of its own chance, so that a day without tenants has the calls that it always had.
-    let mut whose = Chance::new(seed ^ 0x7573_6572);
-    let mut moves = moves(day, seed).into_iter().peekable();
-    let mut sides: Vec<usize> = (0..day.tenants.as_ref().map_or(0, |t| t.users))
+    let mut whose = SplitMix64::new(seed ^ 0x7573_6572);
+    let mut migrations = migrations(scenario, seed).into_iter().peekable();
+    let mut sides: Vec<usize> = (0..scenario.tenants.as_ref().map_or(0, |t| t.users))
         .map(|n| n % 2)
         .collect();
     let mut calls = Vec::new();
     let mut at = 0.0f64;
     // A few functions draw a large part of all calls.
-    let weights: Vec<f64> = (1..=day.functions).map(|n| 1.0 / n as f64).collect();
+    let weights: Vec<f64> = (1..=scenario.functions).map(|n| 1.0 / n as f64).collect();
     let total: f64 = weights.iter().sum();
-    let shares: f64 = day.classes.iter().map(|c| c.share).sum();
+    let shares: f64 = scenario.classes.iter().map(|c| c.share).sum();
     loop {
-        let storm = day
-            .steps
+        let storm = scenario
+            .faults
             .iter()
-            .filter(|s| s.at as f64 <= at && at < (s.at + s.length) as f64);
+            .filter(|s| s.at as f64 <= at && at < (s.at + s.duration) as f64);
         let storm = storm.filter_map(|s| {
-            if let Trouble::Storm { times } = s.trouble {
+            if let Fault::TenantSurge { times } = s.fault {
                 Some(times)
             } else {
                 None
@@ -91,63 +91,63 @@
         });
         // Half of the calls are the second tenant's as a rule.
         let storm = storm.fold(1.0, f64::max);
-        at += -(1.0 - chance.unit()).ln() / (day.rate * (1.0 + storm) / 2.0) * 1e9;
-        if at >= day.length as f64 {
+        at += -(1.0 - random.unit()).ln() / (scenario.rate * (1.0 + storm) / 2.0) * 1e9;
+        if at >= scenario.duration as f64 {
             return calls;
         }
         let now = at as u64;
-        while let Some((_, user, side)) = moves.next_if(|m| m.0 <= now) {
+        while let Some((_, user, side)) = migrations.next_if(|m| m.0 <= now) {
             sides[user] = side;
         }
-        let share = |pick: fn(&Trouble) -> Option<f64>| {
-            let active = day
-                .steps
+        let share = |pick: fn(&Fault) -> Option<f64>| {
+            let active = scenario
+                .faults
                 .iter()
-                .filter(|s| s.at <= now && now < s.at + s.length);
-            active.filter_map(|s| pick(&s.trouble)).fold(0.0, f64::max)
+                .filter(|s| s.at <= now && now < s.at + s.duration);
+            active.filter_map(|s| pick(&s.fault)).fold(0.0, f64::max)
         };
         let one_off = share(|t| {
-            if let Trouble::OneOff { share } = t {
+            if let Fault::OneTimeFunctions { share } = t {
                 Some(*share)
             } else {
                 None
             }
         });
         let hot = share(|t| {
-            if let Trouble::Hot { share } = t {
+            if let Fault::HotFunction { share } = t {
                 Some(*share)
             } else {
                 None
             }
         });
         let little = share(|t| {
-            if let Trouble::LittleTime { share } = t {
+            if let Fault::ShortTimeouts { share } = t {
                 Some(*share)
             } else {
                 None
             }
         });
-        let mut drawn = chance.unit() * shares;
-        let class = day.classes.iter().find(|c| {
+        let mut drawn = random.unit() * shares;
+        let class = scenario.classes.iter().find(|c| {
             drawn -= c.share;
             drawn < 0.0
         });
-        let class = class.unwrap_or(&day.classes[0]);
-        let mut pick = chance.unit() * total;
+        let class = class.unwrap_or(&scenario.classes[0]);
+        let mut pick = random.unit() * total;
         let function = weights.iter().position(|w| {
             pick -= w;
             pick < 0.0
         });
-        let (draw_one_off, draw_hot, draw_little) = (chance.unit(), chance.unit(), chance.unit());
+        let (draw_one_off, draw_hot, draw_little) = (random.unit(), random.unit(), random.unit());
         let number = calls.len();
         let function = if draw_one_off < one_off {
             format!("once-{number}")
         } else if draw_hot < hot {
-            format!("model-{}", day.functions - 1)
+            format!("model-{}", scenario.functions - 1)
         } else {
             format!("model-{}", function.unwrap_or(0))
         };
-        let (function, signed) = match &day.tenants {
+        let (function, signed) = match &scenario.tenants {
             None => (function, None),
             Some(tenants) => {
                 let wanted = usize::from(whose.unit() < storm / (1.0 + storm));
@@ -155,7 +155,7 @@
                     .map(|_| whose.below(tenants.users))
                     .find(|u| sides[*u] == wanted)
                     .unwrap_or(0);
-                let side = if whose.unit() < tenants.spies {
+                let side = if whose.unit() < tenants.cross_tenant_share {
                     1 - sides[user]
                 } else {
                     sides[user]
@@ -168,9 +168,9 @@
                 (format!("{}-{function}", TENANTS[side]), Some(signed))
             }
         };
-        let budget_ms = (draw_little < little).then(|| 5 + chance.below(60) as u64);
+        let budget_ms = (draw_little < little).then(|| 5 + random.below(60) as u64);
         // Half to one and a half times the class's mean.
-        let work_ms = class.work as f64 / 1e6 * (0.5 + chance.unit());
+        let work_ms = class.work as f64 / 1e6 * (0.5 + random.unit());
         calls.push((
             now,
             Publish {
--- a/crates/pipithub-scenario/src/process.rs
+++ b/crates/pipithub-scenario/src/process.rs
@@ -19,7 +19,7 @@
 impl Process {
     /// Starts `binary` with these arguments; its first line is awaited and must be `{"address": …}`. What it logs goes
     /// to a file.
-    pub async fn standin(
+    pub async fn start_emulator(
         binary: &Path,
         arguments: &[String],
         log: &Path,
@@ -45,7 +45,11 @@
     }
 
     /// Starts `binary` with these arguments.
-    pub fn gateway(binary: &Path, arguments: &[String], log: &Path) -> std::io::Result<Process> {
+    pub fn start_gateway(
+        binary: &Path,
+        arguments: &[String],
+        log: &Path,
+    ) -> std::io::Result<Process> {
         Self::start(binary, arguments, log, Stdio::null())
     }
 
@@ -75,7 +79,7 @@
     }
 
     /// Says a line on its standard input.
-    pub async fn say(&mut self, line: &str) -> std::io::Result<()> {
+    pub async fn send_line(&mut self, line: &str) -> std::io::Result<()> {
         match &mut self.stdin {
             Some(stdin) => {
                 stdin.write_all(format!("{line}\n").as_bytes()).await?;
--- a/crates/pipithub-scenario/src/run.rs
+++ b/crates/pipithub-scenario/src/run.rs
@@ -18,7 +18,7 @@
 use crate::client::{QueueClient, consumers};
 use crate::load;
 use crate::process::Process;
-use crate::scenario::{Scenario, Trouble};
+use crate::scenario::{Fault, Scenario};
 
 #[cfg(test)]
 mod tests;
@@ -29,7 +29,7 @@
 
 /// What came of a day.
 #[derive(Debug)]
-pub struct Judged {
+pub struct Outcome {
     /// Broken rules.
     pub breaches: Vec<Breach>,
     /// Service by window.
@@ -46,39 +46,39 @@
 
 /// What happens at a time.
 #[derive(Clone, Debug)]
-enum Act {
+enum Action {
     Kill(usize),
-    Gone(usize),
+    Remove(usize),
     Start(usize),
     Drain(usize),
-    Say(usize, &'static str),
-    Delay(u64),
-    Store(String),
-    KillFront(usize),
-    StartFront(usize),
-    CutBroker,
-    Directory(usize, String),
-    Stale(usize, bool),
-    Move(usize, usize),
+    SendCommand(usize, &'static str),
+    DelayEndpointList(u64),
+    StoreCommand(String),
+    KillFrontEnd(usize),
+    StartFrontEnd(usize),
+    DropBrokerConnections,
+    DirectoryFault(usize, String),
+    StaleDirectoryChange(usize, bool),
+    MigrateUser(usize, usize),
 }
 
 /// The words under which reports and logs name an act; readers of reports rely on them.
-impl std::fmt::Display for Act {
+impl std::fmt::Display for Action {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Act::Kill(worker) => write!(f, "Kill({worker})"),
-            Act::Gone(worker) => write!(f, "Gone({worker})"),
-            Act::Start(worker) => write!(f, "Start({worker})"),
-            Act::Drain(worker) => write!(f, "Drain({worker})"),
-            Act::Say(worker, line) => write!(f, "Say({worker}, {line:?})"),
-            Act::Delay(by) => write!(f, "Delay({by})"),
-            Act::Store(line) => write!(f, "Store({line:?})"),
-            Act::KillFront(front) => write!(f, "KillFront({front})"),
-            Act::StartFront(front) => write!(f, "StartFront({front})"),
-            Act::CutBroker => write!(f, "CutBroker"),
-            Act::Directory(server, line) => write!(f, "Directory({server}, {line:?})"),
-            Act::Stale(server, stale) => write!(f, "Stale({server}, {stale})"),
-            Act::Move(user, side) => write!(f, "Move({user}, {side})"),
+            Action::Kill(worker) => write!(f, "Kill({worker})"),
+            Action::Remove(worker) => write!(f, "Gone({worker})"),
+            Action::Start(worker) => write!(f, "Start({worker})"),
+            Action::Drain(worker) => write!(f, "Drain({worker})"),
+            Action::SendCommand(worker, line) => write!(f, "Say({worker}, {line:?})"),
+            Action::DelayEndpointList(by) => write!(f, "Delay({by})"),
+            Action::StoreCommand(line) => write!(f, "Store({line:?})"),
+            Action::KillFrontEnd(front_end) => write!(f, "KillFront({front_end})"),
+            Action::StartFrontEnd(front_end) => write!(f, "StartFront({front_end})"),
+            Action::DropBrokerConnections => write!(f, "CutBroker"),
+            Action::DirectoryFault(server, line) => write!(f, "Directory({server}, {line:?})"),
+            Action::StaleDirectoryChange(server, stale) => write!(f, "Stale({server}, {stale})"),
+            Action::MigrateUser(user, side) => write!(f, "Move({user}, {side})"),
         }
     }
 }
@@ -90,94 +90,97 @@
     dead: Vec<Listed>,
 }
 
-struct Stage<'a> {
-    day: &'a Scenario,
+struct Cluster<'a> {
+    scenario: &'a Scenario,
     binary: &'a Path,
     folder: PathBuf,
     list: ListServer,
     store: StoreServer,
     broker: Process,
     slots: Vec<Slot>,
-    fronts: Vec<Option<Process>>,
+    front_ends: Vec<Option<Process>>,
     baseline: Option<String>,
     started: u64,
     faults: Vec<(u64, String)>,
     directories: Vec<DirectoryServer>,
     /// Which of them hear of no moves.
     stale: Vec<bool>,
-    moved: Recorder,
+    migrations: Recorder,
 }
 
 /// The acts of a day, by time.
-fn acts(day: &Scenario, seed: u64) -> Vec<(u64, Act)> {
-    let moves = load::moves(day, seed).into_iter();
-    let mut acts: Vec<(u64, Act)> = moves
-        .map(|(at, user, side)| (at, Act::Move(user, side)))
+fn actions(scenario: &Scenario, seed: u64) -> Vec<(u64, Action)> {
+    let migrations = load::migrations(scenario, seed).into_iter();
+    let mut actions: Vec<(u64, Action)> = migrations
+        .map(|(at, user, side)| (at, Action::MigrateUser(user, side)))
         .collect();
-    let dies = |acts: &mut Vec<(u64, Act)>, worker: usize, at: u64, length: u64| {
-        acts.push((at, Act::Kill(worker)));
-        acts.push((at + day.list_lag, Act::Gone(worker)));
-        acts.push((at + length.max(day.list_lag + 1), Act::Start(worker)));
+    let dies = |actions: &mut Vec<(u64, Action)>, worker: usize, at: u64, duration: u64| {
+        actions.push((at, Action::Kill(worker)));
+        actions.push((at + scenario.endpoint_list_delay, Action::Remove(worker)));
+        actions.push((
+            at + duration.max(scenario.endpoint_list_delay + 1),
+            Action::Start(worker),
+        ));
     };
-    for step in &day.steps {
-        let (at, end) = (step.at, step.at + step.length);
-        match step.trouble {
-            Trouble::Crash { worker } => dies(&mut acts, worker, at, step.length),
-            Trouble::Deploy { every, count } => {
-                for n in 0..count.min(day.workers) {
+    for scheduled in &scenario.faults {
+        let (at, end) = (scheduled.at, scheduled.at + scheduled.duration);
+        match scheduled.fault {
+            Fault::Crash { worker } => dies(&mut actions, worker, at, scheduled.duration),
+            Fault::RollingDeploy { every, count } => {
+                for n in 0..count.min(scenario.workers) {
                     let at = at + every * n as u64;
                     // Drained, given time to finish, stopped; its successor comes up meanwhile.
-                    acts.push((at, Act::Drain(n)));
-                    acts.push((at + every.max(SECOND), Act::Kill(n)));
-                    acts.push((at + every.max(SECOND) + 1, Act::Gone(n)));
-                    acts.push((at + every.max(SECOND) + 2, Act::Start(n)));
+                    actions.push((at, Action::Drain(n)));
+                    actions.push((at + every.max(SECOND), Action::Kill(n)));
+                    actions.push((at + every.max(SECOND) + 1, Action::Remove(n)));
+                    actions.push((at + every.max(SECOND) + 2, Action::Start(n)));
                 }
             }
-            Trouble::LateList { by } => {
-                acts.push((at, Act::Delay(by)));
-                acts.push((end, Act::Delay(0)));
+            Fault::DelayEndpointList { by } => {
+                actions.push((at, Action::DelayEndpointList(by)));
+                actions.push((end, Action::DelayEndpointList(0)));
             }
-            Trouble::Silent { worker } => {
-                acts.push((at, Act::Say(worker, "silent on")));
-                acts.push((end, Act::Say(worker, "silent off")));
+            Fault::SilentWorker { worker } => {
+                actions.push((at, Action::SendCommand(worker, "silent on")));
+                actions.push((end, Action::SendCommand(worker, "silent off")));
             }
-            Trouble::SlowStore { factor } => {
-                acts.push((at, Act::Store(format!("SLOW {factor}"))));
-                acts.push((end, Act::Store("SLOW 1".into())));
+            Fault::SlowStore { factor } => {
+                actions.push((at, Action::StoreCommand(format!("SLOW {factor}"))));
+                actions.push((end, Action::StoreCommand("SLOW 1".into())));
             }
-            Trouble::HaltStore => {
-                acts.push((at, Act::Store("HALT".into())));
-                acts.push((end, Act::Store("GO".into())));
+            Fault::RejectStoreRequests => {
+                actions.push((at, Action::StoreCommand("HALT".into())));
+                actions.push((end, Action::StoreCommand("GO".into())));
             }
-            Trouble::KillFront { front } => {
-                acts.push((at, Act::KillFront(front)));
-                acts.push((end, Act::StartFront(front)));
+            Fault::KillFrontEnd { front_end } => {
+                actions.push((at, Action::KillFrontEnd(front_end)));
+                actions.push((end, Action::StartFrontEnd(front_end)));
             }
-            Trouble::CutBroker => acts.push((at, Act::CutBroker)),
-            Trouble::LoseZone { zone } => {
-                let lost = (0..day.workers).filter(|w| w % day.zones == zone);
-                lost.for_each(|worker| dies(&mut acts, worker, at, step.length));
+            Fault::DropBrokerConnections => actions.push((at, Action::DropBrokerConnections)),
+            Fault::ZoneOutage { zone } => {
+                let lost = (0..scenario.workers).filter(|w| w % scenario.zones == zone);
+                lost.for_each(|worker| dies(&mut actions, worker, at, scheduled.duration));
             }
-            Trouble::Directory { server, ref fault } => {
-                acts.push((at, Act::Directory(server, fault.clone())));
-                acts.push((end, Act::Directory(server, "good".into())));
+            Fault::DirectoryFault { server, ref fault } => {
+                actions.push((at, Action::DirectoryFault(server, fault.clone())));
+                actions.push((end, Action::DirectoryFault(server, "good".into())));
             }
-            Trouble::StaleDirectory { server } => {
-                acts.push((at, Act::Stale(server, true)));
-                acts.push((end, Act::Stale(server, false)));
+            Fault::StaleDirectory { server } => {
+                actions.push((at, Action::StaleDirectoryChange(server, true)));
+                actions.push((end, Action::StaleDirectoryChange(server, false)));
             }
-            Trouble::LittleTime { .. }
-            | Trouble::OneOff { .. }
-            | Trouble::Hot { .. }
-            | Trouble::MoveUsers { .. }
-            | Trouble::Storm { .. } => {}
+            Fault::ShortTimeouts { .. }
+            | Fault::OneTimeFunctions { .. }
+            | Fault::HotFunction { .. }
+            | Fault::MigrateUsers { .. }
+            | Fault::TenantSurge { .. } => {}
         }
     }
-    acts.sort_by_key(|(at, _)| *at);
-    acts
+    actions.sort_by_key(|(at, _)| *at);
+    actions
 }
 
-impl Stage<'_> {
+impl Cluster<'_> {
     fn path(&self, name: &str) -> String {
         self.folder.join(name).display().to_string()
     }
@@ -194,12 +197,13 @@
             "--record".into(),
             self.path(&format!("worker-{}.jsonl", self.started)),
         ]);
-        arguments.extend(self.day.worker_arguments.iter().cloned());
+        arguments.extend(self.scenario.worker_arguments.iter().cloned());
         if first {
             arguments.extend(["--cold-from".into(), "1".into()]);
         }
         let process =
-            Process::standin(self.binary, &arguments, &self.folder.join("workers.log")).await?;
+            Process::start_emulator(self.binary, &arguments, &self.folder.join("workers.log"))
+                .await?;
         let (ip, port) = process
             .address
             .rsplit_once(':')
@@ -208,7 +212,7 @@
             ip: ip.to_string(),
             port: port.parse().unwrap_or(0),
             uid: format!("worker-{n}-{}", self.started),
-            zone: format!("zone-{}", n % self.day.zones),
+            zone: format!("zone-{}", n % self.scenario.zones),
             state: "live".into(),
             memory_mb: 24_000.0,
             started_ms: if first { 0 } else { wall_ms() },
@@ -218,28 +222,28 @@
         Ok(())
     }
 
-    fn start_front(&mut self, n: usize) -> std::io::Result<()> {
+    fn start_front_end(&mut self, n: usize) -> std::io::Result<()> {
         let config = self.path(&format!("front-{n}.kdl"));
         let mut arguments = vec!["serve".to_string(), "--config".into(), config];
         if let Some(baseline) = &self.baseline {
             arguments.extend(["--baseline".to_string(), baseline.clone()]);
         }
         let log = self.folder.join(format!("front-{n}.log"));
-        self.fronts[n] = Some(Process::gateway(self.binary, &arguments, &log)?);
+        self.front_ends[n] = Some(Process::start_gateway(self.binary, &arguments, &log)?);
         Ok(())
     }
 
-    async fn act(&mut self, act: Act) -> std::io::Result<()> {
-        let told = act.to_string();
-        match act {
-            Act::Kill(n) => {
+    async fn apply(&mut self, action: Action) -> std::io::Result<()> {
+        let told = action.to_string();
+        match action {
+            Action::Kill(n) => {
                 if let Some(process) = self.slots[n].process.take() {
                     process.kill().await;
                 }
                 let dead = self.slots[n].listed.take();
                 self.slots[n].dead.extend(dead);
             }
-            Act::Gone(n) => {
+            Action::Remove(n) => {
                 for listed in std::mem::take(&mut self.slots[n].dead) {
                     self.list.set(Listed {
                         state: "gone".into(),
@@ -247,12 +251,12 @@
                     });
                 }
             }
-            Act::Start(n) => {
+            Action::Start(n) => {
                 if self.slots[n].process.is_none() {
                     self.start_worker(n, false).await?;
                 }
             }
-            Act::Drain(n) => {
+            Action::Drain(n) => {
                 if let Some(listed) = &self.slots[n].listed {
                     self.list.set(Listed {
                         state: "draining".into(),
@@ -260,29 +264,29 @@
                     });
                 }
             }
-            Act::Say(n, line) => {
+            Action::SendCommand(n, line) => {
                 if let Some(process) = &mut self.slots[n].process {
-                    let _ = process.say(line).await;
+                    let _ = process.send_line(line).await;
                 }
             }
-            Act::Delay(by) => self.list.set_delay(Duration::from_nanos(by)),
-            Act::Store(line) => match line.split_once(' ') {
+            Action::DelayEndpointList(by) => self.list.set_delay(Duration::from_nanos(by)),
+            Action::StoreCommand(line) => match line.split_once(' ') {
                 Some((_, factor)) => self.store.control().slow(factor.parse().unwrap_or(1.0)),
                 None => self.store.control().halt(line == "HALT"),
             },
-            Act::KillFront(n) => {
-                if let Some(process) = self.fronts[n].take() {
+            Action::KillFrontEnd(n) => {
+                if let Some(process) = self.front_ends[n].take() {
                     process.kill().await;
                 }
             }
-            Act::StartFront(n) => {
-                if self.fronts[n].is_none() {
-                    self.start_front(n)?;
+            Action::StartFrontEnd(n) => {
+                if self.front_ends[n].is_none() {
+                    self.start_front_end(n)?;
                 }
             }
-            Act::CutBroker => self.broker.say("cut").await?,
-            Act::Directory(server, line) => drop(self.directories[server].command(&line)),
-            Act::Stale(server, stale) => {
+            Action::DropBrokerConnections => self.broker.send_line("cut").await?,
+            Action::DirectoryFault(server, line) => drop(self.directories[server].command(&line)),
+            Action::StaleDirectoryChange(server, stale) => {
                 self.stale[server] = stale;
                 if let Some(current) =
                     (0..self.directories.len()).find(|n| !self.stale[*n] && *n != server)
@@ -291,10 +295,10 @@
                     self.directories[server].copy_from(&self.directories[current]);
                 }
             }
-            Act::Move(user, side) => {
+            Action::MigrateUser(user, side) => {
                 // Noted first: a front end may act on it before the next line runs.
                 let (name, tenant) = (format!("u{user}"), load::TENANTS[side].to_string());
-                self.moved
+                self.migrations
                     .note("directory", Seen::Moved { user: name, tenant });
                 let from = format!("uid=u{user},ou={},dc=example", load::TENANTS[1 - side]);
                 for (n, directory) in self.directories.iter().enumerate() {
@@ -313,33 +317,33 @@
 
 /// The settings of a front end.
 fn settings(
-    day: &Scenario,
+    scenario: &Scenario,
     n: usize,
     broker: &str,
     list: &str,
     remember: &str,
     directories: &[String],
 ) -> String {
-    let classes: String = day
+    let classes: String = scenario
         .classes
         .iter()
         .map(|c| {
             let ms = |ns: u64| ns as f64 / 1e6;
             let dedup = match c.effect.as_str() {
-                "keyed" => format!(" dedup-window=\"{}ms\"", ms(c.dedup_window)),
+                "keyed" => format!(" dedup-window=\"{}ms\"", ms(c.deduplication_window)),
                 _ => String::new(),
             };
             format!(
                 "class {:?} worth={} effect={:?} aim=\"{}ms\" give-up=\"{}ms\" late-worth=0.3{dedup}\n",
                 c.name,
-                c.worth,
+                c.priority_weight,
                 c.effect,
-                ms(c.aim),
-                ms(c.give_up)
+                ms(c.latency_objective),
+                ms(c.client_timeout)
             )
         })
         .collect();
-    let (tenants, identity) = match &day.tenants {
+    let (tenants, identity) = match &scenario.tenants {
         None => (String::new(), ""),
         Some(spec) => {
             let servers: String = directories
@@ -365,12 +369,12 @@
         "front-end \"front-{n}\" peers={}\n{classes}{tenants}amqp \"broker\" {{\n    address {broker:?}\n    retry-first \"20ms\"\n    \
          retry-most \"500ms\"\n    queue \"{QUEUE}\" {{ prefetch 100; lanes 4; memory-mb 4000{identity} }}\n}}\n\
          workers {{\n    list \"http://{list}\"\n    remember {remember:?}\n}}\nlog level=\"info\"\n{}\n",
-        day.fronts, day.settings
+        scenario.front_ends, scenario.settings
     )
 }
 
 /// The rules' figures of a day.
-pub fn rule_config(day: &Scenario) -> RuleConfig {
+pub fn rule_config(scenario: &Scenario) -> RuleConfig {
     let idempotency = |text: &str| match text {
         "safe" => Idempotency::Idempotent,
         "keyed" => Idempotency::WithKey,
@@ -378,15 +382,15 @@
     };
     let class = |c: &crate::scenario::ClassSpec| ClassRules {
         idempotency: idempotency(&c.effect),
-        client_timeout: c.give_up,
-        latency_objective: c.aim,
-        priority_weight: c.worth,
-        deduplication_window: c.dedup_window,
+        client_timeout: c.client_timeout,
+        latency_objective: c.latency_objective,
+        priority_weight: c.priority_weight,
+        deduplication_window: c.deduplication_window,
     };
     let config = pipithub_settings::Config::parse(
         "drill",
         &settings(
-            day,
+            scenario,
             0,
             "127.0.0.1:1",
             "127.0.0.1:1",
@@ -396,16 +400,16 @@
     );
     let rate_limit = config.ok().and_then(|c| c.engine.policy.loading.rate_limit);
     RuleConfig {
-        classes: day
+        classes: scenario
             .classes
             .iter()
             .map(|c| (c.name.clone(), class(c)))
             .collect(),
         queue: QUEUE.into(),
-        slack: day.slack,
-        drain_grace: day.drain_grace,
+        slack: scenario.slack,
+        drain_grace: scenario.drain_grace,
         load_rate_limit: rate_limit.map(|r| (r.window, r.burst, r.per_request)),
-        migration_grace: day.tenants.as_ref().map(|t| t.bound),
+        migration_grace: scenario.tenants.as_ref().map(|t| t.bound),
         published_until: None,
     }
 }
@@ -417,13 +421,13 @@
     reason = "not split yet; see the roadmap"
 )]
 pub async fn run(
-    day: &Scenario,
+    scenario: &Scenario,
     seed: u64,
     binary: &Path,
     folder: &Path,
     baseline: Option<&str>,
     mut progress: impl FnMut(f64, usize, &BTreeMap<String, usize>),
-) -> Result<Judged, Box<dyn std::error::Error + Send + Sync>> {
+) -> Result<Outcome, Box<dyn std::error::Error + Send + Sync>> {
     std::fs::create_dir_all(folder)?;
     let any = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
     let list = ListServer::start(any, Recorder::file(&folder.join("list.jsonl"))?).await?;
@@ -440,16 +444,16 @@
         "--record",
         &record,
     ];
-    let broker = Process::standin(
+    let broker = Process::start_emulator(
         binary,
         &arguments.map(String::from),
         &folder.join("broker.log"),
     )
     .await?;
     let address = broker.address.clone();
-    let moved = Recorder::file(&folder.join("directory.jsonl"))?;
+    let migrations = Recorder::file(&folder.join("directory.jsonl"))?;
     let mut directories = Vec::new();
-    if let Some(tenants) = &day.tenants {
+    if let Some(tenants) = &scenario.tenants {
         let mut tree = String::from("dn: dc=example\nobjectClass: domain\n\n");
         for tenant in load::TENANTS {
             tree += &format!("dn: ou={tenant},dc=example\nobjectClass: organizationalUnit\n\n");
@@ -459,7 +463,7 @@
             tree += &format!(
                 "dn: uid=u{user},ou={tenant},dc=example\nobjectClass: person\nuid: u{user}\n\n"
             );
-            moved.note(
+            migrations.note(
                 "directory",
                 Seen::Moved {
                     user: format!("u{user}"),
@@ -479,74 +483,79 @@
         .iter()
         .map(|d| d.address().to_string())
         .collect();
-    let slots = (0..day.workers)
+    let slots = (0..scenario.workers)
         .map(|_| Slot {
             process: None,
             listed: None,
             dead: Vec::new(),
         })
         .collect();
-    let mut stage = Stage {
-        day,
+    let mut cluster = Cluster {
+        scenario,
         binary,
         folder: folder.to_path_buf(),
         list,
         store,
         broker,
         slots,
-        fronts: (0..day.fronts).map(|_| None).collect(),
+        front_ends: (0..scenario.front_ends).map(|_| None).collect(),
         baseline: baseline.map(str::to_string),
         started: 0,
         faults: Vec::new(),
         stale: vec![false; directories.len()],
         directories,
-        moved,
+        migrations,
     };
-    for n in 0..day.workers {
-        stage.start_worker(n, true).await?;
+    for n in 0..scenario.workers {
+        cluster.start_worker(n, true).await?;
     }
-    for n in 0..day.fronts {
-        let remember = stage.path(&format!("front-{n}-list.json"));
+    for n in 0..scenario.front_ends {
+        let remember = cluster.path(&format!("front-{n}-list.json"));
         let text = settings(
-            day,
+            scenario,
             n,
             &address,
-            &stage.list.address().to_string(),
+            &cluster.list.address().to_string(),
             &remember,
             &addresses,
         );
         // A file with a fault would only show as a front end that never comes.
         pipithub_settings::Config::parse("drill settings", &text)
             .map_err(|f| format!("{f}: {:?}", f.lines()))?;
-        std::fs::write(stage.path(&format!("front-{n}.kdl")), text)?;
-        stage.start_front(n)?;
+        std::fs::write(cluster.path(&format!("front-{n}.kdl")), text)?;
+        cluster.start_front_end(n)?;
     }
     let clock = Clock::default();
-    while consumers(&address, Login::default(), QUEUE).await != Some(day.fronts as u32) {
+    while consumers(&address, Login::default(), QUEUE).await != Some(scenario.front_ends as u32) {
         if clock.now() > 30 * SECOND {
             return Err("the front ends do not consume".into());
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 
-    let calls = load::calls(day, seed, QUEUE);
+    let calls = load::calls(scenario, seed, QUEUE);
     let total = calls.len();
-    let acts = acts(day, seed);
+    let actions = actions(scenario, seed);
     let mut client = QueueClient::start(&address, Login::default(), "answers");
     let began = wall_ns();
     let start = Clock::default();
     let mut calls = calls.into_iter().peekable();
-    let mut acts = acts.into_iter().peekable();
+    let mut actions = actions.into_iter().peekable();
     let mut verdicts: BTreeMap<String, usize> = BTreeMap::new();
     let mut answered = 0;
     let mut sent = 0;
-    let longest = day.classes.iter().map(|c| c.give_up).max().unwrap_or(0);
-    let end = day.length + 2 * longest + 4 * SECOND;
+    let longest = scenario
+        .classes
+        .iter()
+        .map(|c| c.client_timeout)
+        .max()
+        .unwrap_or(0);
+    let end = scenario.duration + 2 * longest + 4 * SECOND;
     let mut second = SECOND;
-    while (sent < total || acts.peek().is_some() || answered < total) && start.now() < end {
+    while (sent < total || actions.peek().is_some() || answered < total) && start.now() < end {
         let next = [
             calls.peek().map(|c| c.0),
-            acts.peek().map(|a| a.0),
+            actions.peek().map(|a| a.0),
             Some(second),
         ];
         let due = next.into_iter().flatten().min();
@@ -556,8 +565,8 @@
                     client.calls.send(call).await?;
                     sent += 1;
                 }
-                if let Some((_, act)) = acts.next_if(|a| a.0 <= start.now()) {
-                    stage.act(act).await?;
+                if let Some((_, action)) = actions.next_if(|a| a.0 <= start.now()) {
+                    cluster.apply(action).await?;
                 }
                 if start.now() >= second {
                     progress(second as f64 / 1e9, sent, &verdicts);
@@ -571,23 +580,23 @@
             }
         }
     }
-    let faults = std::mem::take(&mut stage.faults);
-    let judged_folder = stage.folder.clone();
+    let faults = std::mem::take(&mut cluster.faults);
+    let judged_folder = cluster.folder.clone();
     drop(client);
     // All processes end here; what they saw is on disk.
-    for front in stage.fronts.into_iter().flatten() {
-        front.kill().await;
+    for front_end in cluster.front_ends.into_iter().flatten() {
+        front_end.kill().await;
     }
-    for process in stage.slots.into_iter().filter_map(|s| s.process) {
+    for process in cluster.slots.into_iter().filter_map(|s| s.process) {
         process.kill().await;
     }
-    stage.broker.kill().await;
+    cluster.broker.kill().await;
     let records = records(&judged_folder)?;
-    let config = rule_config(day);
+    let config = rule_config(scenario);
     let published = pipithub_conformance::rules::request_traces(&records, &config).len();
     let breaches = check(&records, &config);
     let since = |t: u64| t.saturating_sub(began) as f64 / 1e9;
-    Ok(Judged {
+    Ok(Outcome {
         breaches,
         report: report(&records, &config, 2 * SECOND),
         faults: faults.into_iter().map(|(t, f)| (since(t), f)).collect(),
--- a/crates/pipithub-scenario/src/scenario.rs
+++ b/crates/pipithub-scenario/src/scenario.rs
@@ -9,7 +9,7 @@
 /// A fault of a scenario file.
 #[derive(Debug, thiserror::Error, Diagnostic)]
 #[error("{message}")]
-pub struct Unreadable {
+pub struct ScenarioError {
     message: String,
     #[source_code]
     source_code: NamedSource<String>,
@@ -17,9 +17,9 @@
     span: SourceSpan,
 }
 
-impl Unreadable {
+impl ScenarioError {
     pub(crate) fn new(message: String, source_code: NamedSource<String>, span: SourceSpan) -> Self {
-        Unreadable {
+        ScenarioError {
             message,
             source_code,
             span,
@@ -35,41 +35,41 @@
     /// `safe`, `keyed` or `unsafe`.
     pub effect: String,
     /// Nanoseconds within which an answer is wanted.
-    pub aim: u64,
+    pub latency_objective: u64,
     /// Nanoseconds that a client waits.
-    pub give_up: u64,
+    pub client_timeout: u64,
     /// What a served call is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Its part of the calls.
     pub share: f64,
     /// Its work, in nanoseconds.
     pub work: u64,
     /// For how long workers drop repeats of a key, in nanoseconds.
-    pub dedup_window: u64,
+    pub deduplication_window: u64,
 }
 
 /// Something that goes wrong.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Trouble {
+pub enum Fault {
     /// A worker dies and comes back cold.
     Crash {
         /// Which, from 0.
         worker: usize,
     },
     /// Workers are replaced one by one, each drained first.
-    Deploy {
+    RollingDeploy {
         /// Nanoseconds between two.
         every: u64,
         /// How many.
         count: usize,
     },
     /// The list runs so far behind, in nanoseconds.
-    LateList {
+    DelayEndpointList {
         /// By how much.
         by: u64,
     },
     /// A worker takes calls and answers none.
-    Silent {
+    SilentWorker {
         /// Which.
         worker: usize,
     },
@@ -79,31 +79,31 @@
         factor: f64,
     },
     /// The store turns every fetch away.
-    HaltStore,
+    RejectStoreRequests,
     /// A front end is killed outright and started again.
-    KillFront {
+    KillFrontEnd {
         /// Which.
-        front: usize,
+        front_end: usize,
     },
     /// The broker drops all connections.
-    CutBroker,
+    DropBrokerConnections,
     /// All workers of a zone die.
-    LoseZone {
+    ZoneOutage {
         /// Which.
         zone: usize,
     },
     /// A share of the clients has almost no time.
-    LittleTime {
+    ShortTimeouts {
         /// The share.
         share: f64,
     },
     /// A share of the calls is for functions that are wanted once.
-    OneOff {
+    OneTimeFunctions {
         /// The share.
         share: f64,
     },
     /// A directory server does wrong, as its stand-in's line says; at the end it is good again.
-    Directory {
+    DirectoryFault {
         /// Which.
         server: usize,
         /// The line.
@@ -115,17 +115,17 @@
         server: usize,
     },
     /// Users move to the other tenant.
-    MoveUsers {
+    MigrateUsers {
         /// Nanoseconds between two.
         every: u64,
     },
     /// Of the second tenant come so many times its calls.
-    Storm {
+    TenantSurge {
         /// How many times.
         times: f64,
     },
     /// A share of the calls is for one function.
-    Hot {
+    HotFunction {
         /// The share.
         share: f64,
     },
@@ -139,7 +139,7 @@
     /// The directory's servers.
     pub servers: usize,
     /// Of the calls, those that ask for the other tenant's functions.
-    pub spies: f64,
+    pub cross_tenant_share: f64,
     /// Further lines of the directory's settings.
     pub settings: String,
     /// How long after a move a call may still reach the old side, in nanoseconds.
@@ -148,13 +148,13 @@
 
 /// A trouble with its time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Step {
+pub struct ScheduledFault {
     /// Nanoseconds from the first call.
     pub at: u64,
     /// How long it lasts, in nanoseconds.
-    pub length: u64,
+    pub duration: u64,
     /// What.
-    pub trouble: Trouble,
+    pub fault: Fault,
 }
 
 /// A day.
@@ -163,11 +163,11 @@
     /// Its name.
     pub name: String,
     /// How long calls are published, in nanoseconds.
-    pub length: u64,
+    pub duration: u64,
     /// Calls a second.
     pub rate: f64,
     /// Front ends, each a process.
-    pub fronts: usize,
+    pub front_ends: usize,
     /// Workers, each a process.
     pub workers: usize,
     /// Zones, over which workers are dealt out.
@@ -179,7 +179,7 @@
     /// Further lines of the front ends' settings.
     pub settings: String,
     /// Nanoseconds until the list tells of a death.
-    pub list_lag: u64,
+    pub endpoint_list_delay: u64,
     /// Grace of the drain rule, in nanoseconds.
     pub drain_grace: u64,
     /// Slack of the checker, in nanoseconds.
@@ -189,7 +189,7 @@
     /// The classes.
     pub classes: Vec<ClassSpec>,
     /// What goes wrong, by time.
-    pub steps: Vec<Step>,
+    pub faults: Vec<ScheduledFault>,
 }
 
 pub(crate) struct Node<'a> {
@@ -198,7 +198,7 @@
     file: &'a str,
 }
 
-pub(crate) type Read<T> = Result<T, Box<Unreadable>>;
+pub(crate) type ParseResult<T> = Result<T, Box<ScenarioError>>;
 
 impl<'a> Node<'a> {
     pub(crate) fn new(node: &'a KdlNode, text: &'a str, file: &'a str) -> Self {
@@ -216,9 +216,9 @@
             .unwrap_or(false)
     }
 
-    pub(crate) fn fault<T>(&self, message: impl Into<String>) -> Read<T> {
+    pub(crate) fn fault<T>(&self, message: impl Into<String>) -> ParseResult<T> {
         let source_code = NamedSource::new(self.file, self.text.to_string());
-        Err(Box::new(Unreadable {
+        Err(Box::new(ScenarioError {
             message: message.into(),
             source_code,
             span: self.node.span(),
@@ -229,7 +229,7 @@
         self.node.get(name).and_then(|v| v.as_string())
     }
 
-    pub(crate) fn time(&self, name: &str, default: Option<u64>) -> Read<u64> {
+    pub(crate) fn time(&self, name: &str, default: Option<u64>) -> ParseResult<u64> {
         match (self.node.get(name), default) {
             (None, Some(default)) => Ok(default),
             (Some(v), _) if v.as_string().and_then(duration).is_some() => {
@@ -242,7 +242,7 @@
         }
     }
 
-    pub(crate) fn number(&self, name: &str, default: Option<f64>) -> Read<f64> {
+    pub(crate) fn number(&self, name: &str, default: Option<f64>) -> ParseResult<f64> {
         let value = self.node.get(name);
         let number = value.and_then(|v| v.as_float().or(v.as_integer().map(|n| n as f64)));
         match (value, number.filter(|n| *n >= 0.0), default) {
@@ -255,7 +255,7 @@
         }
     }
 
-    pub(crate) fn allow(&self, names: &[&str]) -> Read<()> {
+    pub(crate) fn allow(&self, names: &[&str]) -> ParseResult<()> {
         let given = self
             .node
             .entries()
@@ -277,7 +277,7 @@
 impl Scenario {
     /// Reads a file.
     #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
-    pub fn parse(file: &str, text: &str) -> Result<Scenario, Box<Unreadable>> {
+    pub fn parse(file: &str, text: &str) -> Result<Scenario, Box<ScenarioError>> {
         let source = || NamedSource::new(file, text.to_string());
         let document = KdlDocument::from_str(text).map_err(|error| {
             let first = error.diagnostics.first();
@@ -285,28 +285,28 @@
                 .and_then(|d| d.message.clone())
                 .unwrap_or_else(|| "this is not KDL".into());
             let span = first.map_or((0, 0).into(), |d| d.span);
-            Box::new(Unreadable {
+            Box::new(ScenarioError {
                 message,
                 source_code: source(),
                 span,
             })
         })?;
-        let mut day = Scenario {
+        let mut scenario = Scenario {
             name: file.to_string(),
-            length: 20_000_000_000,
+            duration: 20_000_000_000,
             rate: 50.0,
-            fronts: 2,
+            front_ends: 2,
             workers: 6,
             zones: 2,
             functions: 12,
             worker_arguments: Vec::new(),
             settings: String::new(),
-            list_lag: 300_000_000,
+            endpoint_list_delay: 300_000_000,
             drain_grace: 1_000_000_000,
             slack: 300_000_000,
             tenants: None,
             classes: Vec::new(),
-            steps: Vec::new(),
+            faults: Vec::new(),
         };
         for node in document.nodes() {
             let n = Node { node, text, file };
@@ -324,16 +324,18 @@
                         "drain-grace",
                         "slack",
                     ])?;
-                    day.name = n.text_of("name").unwrap_or(file).to_string();
-                    day.length = n.time("length", Some(day.length))?;
-                    day.rate = n.number("rate", Some(day.rate))?.clamp(0.1, 100_000.0);
-                    day.fronts = (n.number("fronts", Some(2.0))? as usize).clamp(1, 64);
-                    day.workers = (n.number("workers", Some(6.0))? as usize).clamp(1, 256);
-                    day.zones = (n.number("zones", Some(2.0))? as usize).clamp(1, 16);
-                    day.functions = (n.number("functions", Some(12.0))? as usize).clamp(1, 10_000);
-                    day.list_lag = n.time("list-lag", Some(day.list_lag))?;
-                    day.drain_grace = n.time("drain-grace", Some(day.drain_grace))?;
-                    day.slack = n.time("slack", Some(day.slack))?;
+                    scenario.name = n.text_of("name").unwrap_or(file).to_string();
+                    scenario.duration = n.time("length", Some(scenario.duration))?;
+                    scenario.rate = n.number("rate", Some(scenario.rate))?.clamp(0.1, 100_000.0);
+                    scenario.front_ends = (n.number("fronts", Some(2.0))? as usize).clamp(1, 64);
+                    scenario.workers = (n.number("workers", Some(6.0))? as usize).clamp(1, 256);
+                    scenario.zones = (n.number("zones", Some(2.0))? as usize).clamp(1, 16);
+                    scenario.functions =
+                        (n.number("functions", Some(12.0))? as usize).clamp(1, 10_000);
+                    scenario.endpoint_list_delay =
+                        n.time("list-lag", Some(scenario.endpoint_list_delay))?;
+                    scenario.drain_grace = n.time("drain-grace", Some(scenario.drain_grace))?;
+                    scenario.slack = n.time("slack", Some(scenario.slack))?;
                 }
                 "class" => {
                     n.allow(&[
@@ -352,36 +354,36 @@
                     if !["safe", "keyed", "unsafe"].contains(&effect.as_str()) {
                         return n.fault("a class needs effect=\"safe\", \"keyed\" or \"unsafe\"");
                     }
-                    day.classes.push(ClassSpec {
+                    scenario.classes.push(ClassSpec {
                         name: name.to_string(),
                         effect,
-                        aim: n.time("aim", Some(1_000_000_000))?,
-                        give_up: n.time("give-up", Some(4_000_000_000))?,
-                        worth: n.number("worth", Some(1.0))?,
+                        latency_objective: n.time("aim", Some(1_000_000_000))?,
+                        client_timeout: n.time("give-up", Some(4_000_000_000))?,
+                        priority_weight: n.number("worth", Some(1.0))?,
                         share: n.number("share", Some(1.0))?,
                         work: n.time("work", Some(50_000_000))?,
-                        dedup_window: n.time("dedup-window", Some(5_000_000_000))?,
+                        deduplication_window: n.time("dedup-window", Some(5_000_000_000))?,
                     });
                 }
                 "worker" => {
-                    day.worker_arguments = node
+                    scenario.worker_arguments = node
                         .entries()
                         .iter()
                         .filter_map(|e| e.value().as_string().map(str::to_string))
                         .collect();
                 }
                 "settings" => {
-                    day.settings = node
+                    scenario.settings = node
                         .children()
                         .map(std::string::ToString::to_string)
                         .unwrap_or_default();
                 }
                 "tenants" => {
                     n.allow(&["users", "servers", "spies", "bound"])?;
-                    day.tenants = Some(TenantSpec {
+                    scenario.tenants = Some(TenantSpec {
                         users: (n.number("users", Some(60.0))? as usize).clamp(2, 1_000_000),
                         servers: (n.number("servers", Some(2.0))? as usize).clamp(1, 8),
-                        spies: n.number("spies", Some(0.05))?.min(1.0),
+                        cross_tenant_share: n.number("spies", Some(0.05))?.min(1.0),
                         settings: node
                             .children()
                             .map(std::string::ToString::to_string)
@@ -390,8 +392,8 @@
                     });
                 }
                 name => {
-                    let trouble = match name {
-                        "directory" => Trouble::Directory {
+                    let fault = match name {
+                        "directory" => Fault::DirectoryFault {
                             server: n.number("server", Some(0.0))? as usize,
                             fault: match n.text_of("fault") {
                                 Some(fault) => fault.to_string(),
@@ -401,46 +403,46 @@
                                 }
                             },
                         },
-                        "stale-directory" => Trouble::StaleDirectory {
+                        "stale-directory" => Fault::StaleDirectory {
                             server: n.number("server", Some(0.0))? as usize,
                         },
-                        "move-users" => Trouble::MoveUsers {
+                        "move-users" => Fault::MigrateUsers {
                             every: n.time("every", Some(200_000_000))?.max(1_000_000),
                         },
-                        "storm" => Trouble::Storm {
+                        "storm" => Fault::TenantSurge {
                             times: n.number("times", Some(10.0))?.clamp(1.0, 1_000.0),
                         },
-                        "crash" => Trouble::Crash {
+                        "crash" => Fault::Crash {
                             worker: n.number("worker", None)? as usize,
                         },
-                        "deploy" => Trouble::Deploy {
+                        "deploy" => Fault::RollingDeploy {
                             every: n.time("every", Some(1_500_000_000))?,
                             count: n.number("count", Some(3.0))? as usize,
                         },
-                        "late-list" => Trouble::LateList {
+                        "late-list" => Fault::DelayEndpointList {
                             by: n.time("by", None)?,
                         },
-                        "silent" => Trouble::Silent {
+                        "silent" => Fault::SilentWorker {
                             worker: n.number("worker", None)? as usize,
                         },
-                        "slow-store" => Trouble::SlowStore {
+                        "slow-store" => Fault::SlowStore {
                             factor: n.number("factor", None)?,
                         },
-                        "halt-store" => Trouble::HaltStore,
-                        "kill-front" => Trouble::KillFront {
-                            front: n.number("front", None)? as usize,
+                        "halt-store" => Fault::RejectStoreRequests,
+                        "kill-front" => Fault::KillFrontEnd {
+                            front_end: n.number("front", None)? as usize,
                         },
-                        "cut-broker" => Trouble::CutBroker,
-                        "lose-zone" => Trouble::LoseZone {
+                        "cut-broker" => Fault::DropBrokerConnections,
+                        "lose-zone" => Fault::ZoneOutage {
                             zone: n.number("zone", None)? as usize,
                         },
-                        "little-time" => Trouble::LittleTime {
+                        "little-time" => Fault::ShortTimeouts {
                             share: n.number("share", None)?,
                         },
-                        "one-off" => Trouble::OneOff {
+                        "one-off" => Fault::OneTimeFunctions {
                             share: n.number("share", None)?,
                         },
-                        "hot" => Trouble::Hot {
+                        "hot" => Fault::HotFunction {
                             share: n.number("share", None)?,
                         },
                         other => return n.fault(format!("a day has no '{other}'")),
@@ -449,51 +451,54 @@
                         "at", "for", "worker", "front", "zone", "share", "factor", "by", "every",
                         "count", "server", "fault", "times",
                     ])?;
-                    match trouble {
-                        Trouble::Crash { worker } | Trouble::Silent { worker }
-                            if worker >= day.workers =>
+                    match fault {
+                        Fault::Crash { worker } | Fault::SilentWorker { worker }
+                            if worker >= scenario.workers =>
                         {
                             return n.fault(format!(
                                 "there are only {} workers, counted from 0",
-                                day.workers
+                                scenario.workers
                             ));
                         }
-                        Trouble::Directory { server, .. } | Trouble::StaleDirectory { server }
-                            if day.tenants.as_ref().is_none_or(|t| server >= t.servers) =>
+                        Fault::DirectoryFault { server, .. } | Fault::StaleDirectory { server }
+                            if scenario
+                                .tenants
+                                .as_ref()
+                                .is_none_or(|t| server >= t.servers) =>
                         {
                             return n
                                 .fault("there is no such directory server; 'tenants' comes first");
                         }
-                        Trouble::MoveUsers { .. } | Trouble::Storm { .. }
-                            if day.tenants.is_none() =>
+                        Fault::MigrateUsers { .. } | Fault::TenantSurge { .. }
+                            if scenario.tenants.is_none() =>
                         {
                             return n.fault("this needs 'tenants', before it");
                         }
-                        Trouble::KillFront { front } if front >= day.fronts => {
+                        Fault::KillFrontEnd { front_end } if front_end >= scenario.front_ends => {
                             return n.fault(format!(
                                 "there are only {} front ends, counted from 0",
-                                day.fronts
+                                scenario.front_ends
                             ));
                         }
                         _ => {}
                     }
-                    day.steps.push(Step {
+                    scenario.faults.push(ScheduledFault {
                         at: n.time("at", None)?,
-                        length: n.time("for", Some(2_000_000_000))?,
-                        trouble,
+                        duration: n.time("for", Some(2_000_000_000))?,
+                        fault,
                     });
                 }
             }
         }
-        if day.classes.is_empty() {
+        if scenario.classes.is_empty() {
             let message = "a day needs a class".to_string();
-            return Err(Box::new(Unreadable {
+            return Err(Box::new(ScenarioError {
                 message,
                 source_code: source(),
                 span: (0, 0).into(),
             }));
         }
-        day.steps.sort_by_key(|s| s.at);
-        Ok(day)
+        scenario.faults.sort_by_key(|s| s.at);
+        Ok(scenario)
     }
 }
--- a/crates/pipithub/src/demo.rs
+++ b/crates/pipithub/src/demo.rs
@@ -12,11 +12,11 @@
     let day = Scenario::parse("demo.kdl", DAY).map_err(|e| miette::Report::new(*e))?;
     println!(
         "A broker, {} front ends, {} workers, a model store and a worker list, each on loopback; {} calls a second.",
-        day.fronts, day.workers, day.rate
+        day.front_ends, day.workers, day.rate
     );
     println!(
         "{} s, in which a worker crashes, a front end is killed and the broker drops all connections.",
-        day.length / 1_000_000_000
+        day.duration / 1_000_000_000
     );
     let folder = std::env::temp_dir().join(format!("pipithub-demo-{}", std::process::id()));
     let binary = std::env::current_exe().into_diagnostic()?;
--- a/crates/pipithub/src/main.rs
+++ b/crates/pipithub/src/main.rs
@@ -14,8 +14,8 @@
 use pipithub_conformance::rules::Rule;
 use pipithub_gateway::{Gateway, Policy};
 use pipithub_node::shell::Node;
-use pipithub_scenario::fleet::FleetDay;
-use pipithub_scenario::run::Judged;
+use pipithub_scenario::fleet::FleetScenario;
+use pipithub_scenario::run::Outcome;
 use pipithub_scenario::scenario::Scenario;
 use pipithub_settings::Config;
 use tracing::info;
@@ -211,7 +211,7 @@
             let text = std::fs::read_to_string(&file)
                 .into_diagnostic()
                 .wrap_err_with(|| file.display().to_string())?;
-            if FleetDay::is_one(&text) {
+            if FleetScenario::is_fleet_scenario(&text) {
                 return fleet_drill(&file, &text, seed, json, folder).await;
             }
             let day = Scenario::parse(&file.display().to_string(), &text)
@@ -253,8 +253,8 @@
     folder: Option<PathBuf>,
 ) -> Result<ExitCode> {
     use pipithub_conformance::fleet::Rule;
-    let day =
-        FleetDay::parse(&file.display().to_string(), text).map_err(|e| miette::Report::new(*e))?;
+    let day = FleetScenario::parse(&file.display().to_string(), text)
+        .map_err(|e| miette::Report::new(*e))?;
     let given = folder.is_some();
     let folder = folder.unwrap_or_else(|| {
         std::env::temp_dir().join(format!("pipithub-fleet-{}-{seed}", std::process::id()))
@@ -323,7 +323,7 @@
     Ok(())
 }
 
-fn json_of(day: &Scenario, seed: u64, judged: &Judged) -> serde_json::Value {
+fn json_of(day: &Scenario, seed: u64, judged: &Outcome) -> serde_json::Value {
     let rule = |r: &Rule| {
         let broken: Vec<&str> = judged
             .breaches
@@ -343,7 +343,7 @@
     })
 }
 
-fn show(day: &Scenario, seed: u64, judged: &Judged) {
+fn show(day: &Scenario, seed: u64, judged: &Outcome) {
     println!(
         "{}, seed {seed}: {} calls, {} answers at the client",
         day.name, judged.calls, judged.answered
