--- a/crates/pipithub-scenario/src/fleet/run.rs
+++ b/crates/pipithub-scenario/src/fleet/run.rs
@@ -16,6 +16,7 @@
 use tracing::info;
 
 use super::scenario::{FleetFault, FleetScenario};
+use crate::outcome::InjectedFault;
 use crate::process::Process;
 
 #[cfg(test)]
@@ -34,7 +35,7 @@
     /// All that was seen.
     pub history: History,
     /// What went wrong when, in seconds from the start.
-    pub faults: Vec<(f64, String)>,
+    pub faults: Vec<InjectedFault>,
     /// Where logs and data folders are.
     pub folder: PathBuf,
 }
@@ -589,7 +590,10 @@
     let faults = cluster
         .faults
         .iter()
-        .map(|(at, what)| (at.saturating_sub(begin) as f64 / 1e9, what.clone()));
+        .map(|(at, description)| InjectedFault {
+            at_s: at.saturating_sub(begin) as f64 / 1e9,
+            description: description.clone(),
+        });
     Ok(Outcome {
         breaches,
         faults: faults.collect(),
--- a/crates/pipithub-scenario/src/lib.rs
+++ b/crates/pipithub-scenario/src/lib.rs
@@ -7,6 +7,7 @@
 pub mod client;
 pub mod fleet;
 pub mod load;
+pub mod outcome;
 pub mod process;
 pub mod run;
 pub mod scenario;
--- a/crates/pipithub-scenario/src/run.rs
+++ b/crates/pipithub-scenario/src/run.rs
@@ -17,6 +17,7 @@
 
 use crate::client::{QueueClient, consumers};
 use crate::load;
+use crate::outcome::InjectedFault;
 use crate::process::Process;
 use crate::scenario::{Fault, Scenario};
 
@@ -35,7 +36,7 @@
     /// Service by window.
     pub report: Report,
     /// What went wrong when, in seconds from the first call.
-    pub faults: Vec<(f64, String)>,
+    pub faults: Vec<InjectedFault>,
     /// Calls published.
     pub calls: usize,
     /// Answers that the client itself got.
@@ -599,7 +600,13 @@
     Ok(Outcome {
         breaches,
         report: report(&records, &config, 2 * SECOND),
-        faults: faults.into_iter().map(|(t, f)| (since(t), f)).collect(),
+        faults: faults
+            .into_iter()
+            .map(|(at, description)| InjectedFault {
+                at_s: since(at),
+                description,
+            })
+            .collect(),
         calls: published,
         answered,
         folder: judged_folder,
--- a/crates/pipithub/src/main.rs
+++ b/crates/pipithub/src/main.rs
@@ -290,7 +290,7 @@
         judged
             .faults
             .iter()
-            .for_each(|(at, what)| println!("{at:>7.1} s {what}"));
+            .for_each(|fault| println!("{:>7.1} s {}", fault.at_s, fault.description));
         for rule in Rule::ALL {
             let count = of(rule).count();
             let word = if count == 0 {
@@ -363,8 +363,8 @@
     let mut faults = judged.faults.iter().peekable();
     for window in &judged.report.windows {
         line(format!("{:.0} s", window.from_s), window);
-        while let Some((at, what)) = faults.next_if(|f| f.0 < window.from_s + 2.0) {
-            println!("{:>7} {at:.1} s {what}", "");
+        while let Some(fault) = faults.next_if(|f| f.at_s < window.from_s + 2.0) {
+            println!("{:>7} {:.1} s {}", "", fault.at_s, fault.description);
         }
     }
     line("whole".into(), &judged.report.whole);
