--- a/crates/pipithub-bench/src/roster.rs
+++ b/crates/pipithub-bench/src/roster.rs
@@ -16,7 +16,7 @@
     What,
 };
 use pipithub_ldap::Dn;
-use pipithub_scenario::load::SplitMix64;
+use pipithub_scenario::random::SplitMix64;
 
 const TENANTS: usize = 50;
 const DAYS: u64 = 5;
--- a/crates/pipithub-gateway/tests/tenants.rs
+++ b/crates/pipithub-gateway/tests/tenants.rs
@@ -14,7 +14,7 @@
 use pipithub_emulator::worker::{WorkerServer, WorkerSettings};
 use pipithub_gateway::Gateway;
 use pipithub_scenario::client::{Answer, Publish, QueueClient, Signed};
-use pipithub_scenario::load::SplitMix64;
+use pipithub_scenario::random::SplitMix64;
 use pipithub_settings::Config;
 
 const KEY: &[u8] = b"a key of sixteen bytes and more";
--- a/crates/pipithub-scenario/src/lib.rs
+++ b/crates/pipithub-scenario/src/lib.rs
@@ -9,5 +9,6 @@
 pub mod load;
 pub mod outcome;
 pub mod process;
+pub mod random;
 pub mod run;
 pub mod scenario;
--- a/crates/pipithub-scenario/src/load.rs
+++ b/crates/pipithub-scenario/src/load.rs
@@ -1,37 +1,9 @@
 //! The calls of a day, drawn from its seed before it begins.
 
 use crate::client::{Publish, Signed};
+use crate::random::SplitMix64;
 use crate::scenario::{Fault, Scenario};
 
-/// Chance that is equal for equal seeds (splitmix64).
-#[derive(Clone, Debug)]
-pub struct SplitMix64(u64);
-
-impl SplitMix64 {
-    /// From a seed.
-    pub fn new(seed: u64) -> Self {
-        SplitMix64(seed)
-    }
-
-    /// The next number.
-    pub fn next_u64(&mut self) -> u64 {
-        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let x = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        x ^ (x >> 31)
-    }
-
-    /// From 0 to below 1.
-    pub fn unit(&mut self) -> f64 {
-        (self.next_u64() >> 11) as f64 / (1u64 << 53) as f64
-    }
-
-    /// Below a bound.
-    pub fn below(&mut self, bound: usize) -> usize {
-        (self.unit() * bound as f64) as usize
-    }
-}
-
 /// The tenants of a day.
 pub const TENANTS: [&str; 2] = ["north", "south"];
 /// The key that signs a day's calls.
