--- /dev/null
+++ b/crates/pipithub-conformance/src/fleet/convergence.rs
@@ -0,0 +1,48 @@
+//! In the end all members believe what is true.
+
+use std::collections::BTreeSet;
+
+use super::{Belief, Breach, Claim, History, Rule};
+
+/// Checks the last claim of each run that is still up.
+pub(super) fn check(history: &History, breaches: &mut Vec<Breach>) {
+    let running: Vec<usize> = (0..history.runs.len())
+        .filter(|run| history.runs[*run].ended.is_none())
+        .collect();
+    let name_of = |run: usize| history.runs[run].name.as_str();
+    let names: BTreeSet<&str> = running.iter().map(|run| name_of(*run)).collect();
+    for run in running.iter().copied() {
+        let name = name_of(run);
+        let last_claim = history
+            .claims
+            .iter()
+            .rfind(|claim| claim.run == run && claim.at >= history.end);
+        let fault = match last_claim {
+            None => Some(format!("{name} (run {run}) claimed nothing in the end")),
+            // Of two runs with one name, one may stay out.
+            Some(claim) if !claim.joined => {
+                let has_duplicate = running
+                    .iter()
+                    .any(|other| *other != run && name_of(*other) == name);
+                (!has_duplicate).then(|| format!("{name} (run {run}) takes no part in the end"))
+            }
+            Some(claim) => wrong_membership(name, claim, &names),
+        };
+        breaches.extend(fault.map(|what| Breach {
+            rule: Rule::Convergence,
+            what,
+        }));
+    }
+}
+
+/// What is wrong with the members that a claim believes to be alive, if anything is.
+fn wrong_membership(name: &str, claim: &Claim, names: &BTreeSet<&str>) -> Option<String> {
+    let mut alive: BTreeSet<&str> = claim
+        .others
+        .iter()
+        .filter(|(_, belief)| **belief == Belief::Alive)
+        .map(|(other, _)| other.as_str())
+        .collect();
+    alive.insert(name);
+    (alive != *names).then(|| format!("{name} believes {alive:?} to be there, there are {names:?}"))
+}
--- a/crates/pipithub-conformance/src/lib.rs
+++ b/crates/pipithub-conformance/src/lib.rs
@@ -1,7 +1,8 @@
-//! Traffic as the stand-ins saw it on their sockets, and the rules decided from it alone.
+//! Records of the traffic that emulated services saw on their sockets, and the checks that are decided from them.
 //!
-//! [`record`] is the form in which brokers, workers and list servers write down what came and went. [`rules`] reads
-//! such records and nothing else: no log and no counter of the gateway's.
+//! [`record`] is the form in which the emulated brokers, workers and endpoint lists write down what arrived and left.
+//! [`rules`] checks such records against the rules of request handling and reads nothing else: no log and no counter
+//! of the gateway. [`report`] sums them up. [`fleet`] checks what the members of a fleet claim of each other.
 
 pub mod fleet;
 pub mod record;
--- a/crates/pipithub-conformance/src/record.rs
+++ b/crates/pipithub-conformance/src/record.rs
@@ -1,16 +1,19 @@
-//! One line of JSON for each thing seen on a socket.
+//! The record format: one line of JSON for each event that an emulated service saw on a socket.
+//!
+//! Records are stored, so the names of variants and fields that stand in the files are part of the format: a name that
+//! changes in the code keeps its word in the files.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Something seen, when and where.
+/// An event, with its time and place.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Unix time in nanoseconds; all stand-ins of a drill run on one machine and share its clock.
+    /// Unix time in nanoseconds; all services of a scenario run on one machine and share its clock.
     #[serde(rename = "t")]
     pub time_ns: u64,
-    /// The stand-in that saw it: the broker's or worker's address, or its name.
+    /// The service that saw it: the address of a broker or worker, or a name.
     #[serde(rename = "at")]
     pub observer: String,
     /// What was seen.
@@ -18,45 +21,45 @@
     pub seen: Seen,
 }
 
-/// What was seen.
+/// The kinds of events.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "seen", rename_all = "kebab-case")]
 pub enum Seen {
-    /// A broker took a message, at the commit where it came in a transaction.
+    /// A broker accepted a message; within a transaction, at its commit.
     Published {
-        /// The queues that it reached.
+        /// The queues that it was routed to.
         queues: Vec<String>,
         /// Its routing key.
         routing_key: String,
         /// Its id.
         message_id: Option<String>,
-        /// Ties an answer to its question.
+        /// The message id of the request that this message answers.
         correlation_id: Option<String>,
-        /// Where the answer goes.
+        /// The queue for the answer.
         reply_to: Option<String>,
         /// The message's time to live, in milliseconds.
         expiration_ms: Option<u64>,
-        /// Its headers whose names begin with `pipithub-`.
+        /// The headers whose names begin with `pipithub-`.
         headers: BTreeMap<String, String>,
-        /// Bytes of its body.
+        /// The size of its body in bytes.
         size: u64,
-        /// The client that sent it, by its own word.
+        /// The client that sent it, by the name that it gave itself.
         client: String,
     },
-    /// A broker handed a message to a consumer.
+    /// A broker delivered a message to a consumer.
     Delivered {
         /// The queue.
         queue: String,
         /// The message's id.
         message_id: Option<String>,
-        /// Ties an answer to its question.
+        /// The correlation id of the message.
         correlation_id: Option<String>,
         /// It had been delivered before.
         redelivered: bool,
-        /// The client that got it.
+        /// The client that received it.
         client: String,
     },
-    /// A message was acknowledged, at the commit where this came in a transaction.
+    /// A client acknowledged a message; within a transaction, at its commit.
     Acked {
         /// The queue.
         queue: String,
@@ -65,77 +68,77 @@
         /// The client.
         client: String,
     },
-    /// A client's connection ended.
+    /// The connection of a client ended.
     ClientGone {
         /// The client.
         client: String,
     },
-    /// A worker process is up and takes connections; it holds nothing.
+    /// A worker process accepts connections; it has no function loaded.
     WorkerUp {
-        /// Calls that it can serve in a second when warm.
+        /// Requests that it can serve in a second once it has warmed up.
         capacity: f64,
-        /// The share of it that it starts with.
+        /// The fraction of the capacity that it starts with.
         cold_from: f64,
-        /// Milliseconds until it is warm.
+        /// Milliseconds until it has warmed up.
         ramp_ms: u64,
     },
-    /// A worker fell over: it was sent too much while cold.
+    /// A worker failed because it was overloaded while it warmed up.
     FellOver {
-        /// What was sent within the span, in calls.
+        /// Requests sent to it within its overload window.
         sent: f64,
-        /// What would have been borne.
+        /// Requests that it could have served within that window.
         bound: f64,
     },
-    /// A call reached a worker.
+    /// An attempt reached a worker.
     Call {
-        /// The front end that sent it.
+        /// The front end that made the attempt.
         front_end: String,
-        /// The call's own name.
+        /// The id of the request.
         request: String,
-        /// The attempt.
+        /// The number of the attempt.
         attempt: u32,
-        /// The model.
+        /// The function.
         function: String,
-        /// The key under which repeats are dropped.
+        /// The idempotency key.
         key: Option<String>,
     },
-    /// A worker ran a call, or found that its effect had been done before.
+    /// A worker ran a request, or recognised it as a duplicate.
     Ran {
-        /// The call's own name.
+        /// The id of the request.
         request: String,
-        /// The key.
+        /// The idempotency key.
         key: Option<String>,
-        /// Its effect had been done before: the repeat was dropped.
+        /// The request had taken effect before, so the worker dropped the duplicate.
         dropped: bool,
     },
-    /// A worker's reply to a call is written.
+    /// A worker wrote its reply to an attempt.
     Replied {
         /// The front end.
         front_end: String,
-        /// The call's own name.
+        /// The id of the request.
         request: String,
-        /// The attempt.
+        /// The number of the attempt.
         attempt: u32,
-        /// The status.
+        /// The HTTP status.
         status: u16,
-        /// The reply says that the call did not run.
+        /// The reply says that the request did not run.
         not_run: bool,
     },
-    /// An order reached a worker.
+    /// A load or evict command reached a worker.
     Order {
         /// The front end.
         front_end: String,
-        /// The model.
+        /// The function.
         function: String,
-        /// Copies to hold; 0: unload the idle ones.
+        /// The number of replicas to load; 0 evicts the idle ones.
         copies: u32,
     },
-    /// A probe reached a worker.
+    /// A poll of the load reached a worker.
     Probe {
         /// The front end.
         front_end: String,
     },
-    /// The list server wrote to a client how a worker stands.
+    /// The endpoint list notified a client of the state of a worker.
     Told {
         /// The front end.
         front_end: String,
@@ -143,41 +146,41 @@
         worker: String,
         /// `live`, `draining` or `gone`.
         state: String,
-        /// Unix milliseconds of its start, where told.
+        /// When it started, in Unix milliseconds, where the list says so.
         started_ms: Option<u64>,
     },
-    /// A user is this tenant's from now on, by the newest server of its directory.
+    /// From now on a user belongs to this tenant, according to the most current server of the directory.
     Moved {
         /// The user.
         user: String,
         /// The tenant.
         tenant: String,
     },
-    /// The drill did something, for the report alone: no rule is decided by it.
+    /// The scenario injected a fault. No rule depends on it.
     Fault {
-        /// What.
+        /// A description for the report.
         what: String,
     },
 }
 
 impl Record {
-    /// The line of this record, with its end.
+    /// The line of this record, with its line feed.
     pub fn line(&self) -> String {
         let mut line = serde_json::to_string(self).unwrap_or_default();
         line.push('\n');
         line
     }
 
-    /// Reads a file of lines; a last line cut off by a killed process is passed over.
+    /// Reads a file of lines. A last line without line feed was cut off by the end of a process and is skipped.
     pub fn read_all(text: &str) -> Result<Vec<Record>, RecordError> {
-        let whole = text.rfind('\n').map_or("", |end| &text[..end]);
+        let complete = text.rfind('\n').map_or("", |end| &text[..end]);
         let read = |(n, line): (usize, &str)| {
             serde_json::from_str(line).map_err(|source| RecordError {
                 line: n + 1,
                 source,
             })
         };
-        whole
+        complete
             .lines()
             .enumerate()
             .filter(|(_, l)| !l.is_empty())
@@ -186,12 +189,12 @@
     }
 }
 
-/// A line that is no record.
+/// The error for a line that is no record.
 #[derive(Debug, thiserror::Error)]
 #[error("line {line}: {source}")]
 pub struct RecordError {
-    /// Which, from 1.
+    /// The number of the line, from 1.
     pub line: usize,
-    /// Why.
+    /// The error of the parser.
     pub source: serde_json::Error,
 }
--- a/crates/pipithub-conformance/src/report.rs
+++ b/crates/pipithub-conformance/src/report.rs
@@ -1,105 +1,141 @@
-//! Service, refusals, failures and lateness by window of time.
+//! Served, rejected, failed and late requests by window of time.
+//!
+//! The names of the fields are the keys of the JSON report.
 
 use serde::Serialize;
 
 use crate::record::Record;
-use crate::rules::{RuleConfig, request_traces};
+use crate::rules::{Answer, ClassRules, RequestTrace, RuleConfig, request_traces};
 
-/// What came of the calls of a window, or of all.
+/// Nanoseconds of a millisecond.
+const NANOS_PER_MS: f64 = 1e6;
+/// Nanoseconds of a second.
+const NANOS_PER_SECOND: f64 = 1e9;
+
+/// The outcomes of the requests of a window, or of all requests.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Window {
-    /// Seconds from the first call to its beginning.
+    /// Seconds from the first request to its beginning.
     pub from_s: f64,
-    /// Calls published.
+    /// Requests published.
     pub calls: usize,
-    /// Served within the wanted time.
+    /// Served within their latency objective.
     pub in_time: usize,
     /// Served after it.
     pub late: usize,
-    /// Refused.
+    /// Rejected.
     pub refused: usize,
     /// Failed.
     pub failed: usize,
     /// Without an answer.
     pub unanswered: usize,
-    /// Worth answered within the wanted time over the worth asked for.
+    /// The part of the requests that was served within the latency objective, weighted by the weight of each class.
     pub service: f64,
 }
 
-/// All windows and the whole.
+/// All windows and the totals.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Report {
-    /// All calls.
+    /// All requests.
     pub whole: Window,
     /// By window.
     pub windows: Vec<Window>,
-    /// Milliseconds from publish to answer, of served calls: p50, p99, p99.9.
+    /// Milliseconds from publication to answer, of served requests: p50, p99, p99.9.
     pub latency_ms: [f64; 3],
-    /// Calls that reached workers, for each call published.
+    /// Attempts that reached workers, for each request published.
     pub attempts: f64,
 }
 
-/// Works out a report in windows of so many nanoseconds.
+/// Computes a report with windows of so many nanoseconds.
 pub fn report(records: &[Record], config: &RuleConfig, window: u64) -> Report {
-    let request_traces = request_traces(records, config);
-    let Some(first) = request_traces.values().map(|s| s.published).min() else {
+    let traces = request_traces(records, config);
+    let published = || traces.values().map(|trace| trace.published);
+    let (Some(first), Some(last)) = (published().min(), published().max()) else {
         return Report::default();
     };
-    let last = request_traces
-        .values()
-        .map(|s| s.published)
-        .max()
-        .unwrap_or(first);
-    let count = ((last - first) / window.max(1) + 1) as usize;
-    let mut windows = vec![(Window::default(), 0.0, 0.0); count];
-    let mut whole = (Window::default(), 0.0, 0.0);
-    let mut latencies = Vec::new();
-    let mut attempts = 0;
-    for trace in request_traces.values() {
-        let n = ((trace.published - first) / window.max(1)) as usize;
+    let index_of = |at: u64| ((at - first) / window.max(1)) as usize;
+    let mut windows = vec![WindowBuilder::default(); index_of(last) + 1];
+    let mut whole = WindowBuilder::default();
+    for trace in traces.values() {
         let class = config.classes.get(&trace.class);
-        let priority_weight = class.map_or(1.0, |c| c.priority_weight);
-        attempts += trace.calls.len();
-        for (w, asked, earned) in [&mut windows[n], &mut whole] {
-            w.calls += 1;
-            *asked += priority_weight;
-            match trace.answers.first() {
-                Some((at, verdict)) if verdict == "served" => {
-                    if class.is_none_or(|c| *at <= trace.published + c.latency_objective) {
-                        w.in_time += 1;
-                        *earned += priority_weight;
-                    } else {
-                        w.late += 1;
-                    }
-                }
-                Some((_, verdict)) if verdict == "refused" => w.refused += 1,
-                Some(_) => w.failed += 1,
-                None => w.unanswered += 1,
-            }
-        }
-        if let Some((at, _)) = trace.answers.first().filter(|a| a.1 == "served") {
-            latencies.push((at - trace.published) as f64 / 1e6);
-        }
+        windows[index_of(trace.published)].add(trace, class);
+        whole.add(trace, class);
     }
-    latencies.sort_by(f64::total_cmp);
-    let quantile = |q: f64| {
-        let at =
-            ((latencies.len() as f64 * q).ceil() as usize).clamp(1, latencies.len().max(1)) - 1;
-        latencies.get(at).copied().unwrap_or(0.0)
-    };
-    let finish = |(mut w, asked, earned): (Window, f64, f64), n: usize| {
-        w.from_s = n as f64 * window as f64 / 1e9;
-        w.service = if asked > 0.0 { earned / asked } else { 1.0 };
-        w
-    };
+    let attempts: usize = traces.values().map(|trace| trace.attempts.len()).sum();
     Report {
-        whole: finish(whole, 0),
+        whole: whole.finish(0.0),
         windows: windows
             .into_iter()
             .enumerate()
-            .map(|(n, w)| finish(w, n))
+            .map(|(index, builder)| builder.finish(index as f64 * window as f64 / NANOS_PER_SECOND))
             .collect(),
-        latency_ms: [quantile(0.5), quantile(0.99), quantile(0.999)],
-        attempts: attempts as f64 / request_traces.len().max(1) as f64,
+        latency_ms: latency_quantiles(traces.values()),
+        attempts: attempts as f64 / traces.len().max(1) as f64,
     }
 }
+
+/// A window that is being filled.
+#[derive(Clone, Default)]
+struct WindowBuilder {
+    window: Window,
+    /// The sum of the weights of all requests.
+    total_weight: f64,
+    /// The sum of the weights of those served within the latency objective.
+    served_weight: f64,
+}
+
+impl WindowBuilder {
+    fn add(&mut self, trace: &RequestTrace, class: Option<&ClassRules>) {
+        let weight = class.map_or(1.0, |class| class.priority_weight);
+        let window = &mut self.window;
+        window.calls += 1;
+        self.total_weight += weight;
+        match trace.answers.first() {
+            Some(answer) if is_served(answer) => {
+                let is_in_time =
+                    |class: &ClassRules| answer.at <= trace.published + class.latency_objective;
+                if class.is_none_or(is_in_time) {
+                    window.in_time += 1;
+                    self.served_weight += weight;
+                } else {
+                    window.late += 1;
+                }
+            }
+            Some(answer) if answer.verdict == "refused" => window.refused += 1,
+            Some(_) => window.failed += 1,
+            None => window.unanswered += 1,
+        }
+    }
+
+    fn finish(self, from_s: f64) -> Window {
+        let service = if self.total_weight > 0.0 {
+            self.served_weight / self.total_weight
+        } else {
+            1.0
+        };
+        Window {
+            from_s,
+            service,
+            ..self.window
+        }
+    }
+}
+
+fn is_served(answer: &Answer) -> bool {
+    answer.verdict == "served"
+}
+
+/// The p50, p99 and p99.9 of the latencies of served requests, in milliseconds.
+fn latency_quantiles<'a>(traces: impl Iterator<Item = &'a RequestTrace>) -> [f64; 3] {
+    let latency = |trace: &RequestTrace| {
+        let answer = trace.answers.first().filter(|answer| is_served(answer))?;
+        Some((answer.at - trace.published) as f64 / NANOS_PER_MS)
+    };
+    let mut latencies: Vec<f64> = traces.filter_map(latency).collect();
+    latencies.sort_by(f64::total_cmp);
+    [0.5, 0.99, 0.999].map(|quantile| {
+        let rank = (latencies.len() as f64 * quantile).ceil() as usize;
+        let index = rank.clamp(1, latencies.len().max(1)) - 1;
+        latencies.get(index).copied().unwrap_or(0.0)
+    })
+}
--- /dev/null
+++ b/crates/pipithub-conformance/src/rules/drains.rs
@@ -0,0 +1,75 @@
+//! A draining or removed worker gets nothing new.
+
+use std::collections::BTreeMap;
+
+use super::{Breach, MS, Rule, RuleConfig};
+use crate::record::{Record, Seen};
+
+/// A front end and a worker of which it was notified.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Notified<'a> {
+    front_end: &'a str,
+    worker: &'a str,
+}
+
+/// Checks that requests and load commands respect drains.
+pub(super) fn check(records: &[Record], config: &RuleConfig, breaches: &mut Vec<Breach>) {
+    let mut by_time: Vec<&Record> = records.iter().collect();
+    by_time.sort_by_key(|record| record.time_ns);
+    // Since when each front end has known that a worker takes nothing new.
+    let mut closed_since: BTreeMap<Notified<'_>, u64> = BTreeMap::new();
+    for record in by_time {
+        note_endpoint_state(&mut closed_since, record);
+        let Some((front_end, work)) = new_work(&record.seen) else {
+            continue;
+        };
+        let worker = record.observer.as_str();
+        let Some(since) = closed_since.get(&Notified { front_end, worker }) else {
+            continue;
+        };
+        if record.time_ns > since + config.drain_grace + config.slack {
+            let after = (record.time_ns - since) / MS;
+            breaches.push(Breach {
+                rule: Rule::DrainRespected,
+                at: record.time_ns,
+                what: format!(
+                    "{work} came to {worker} from {front_end} {after} ms after it was told"
+                ),
+            });
+        }
+    }
+}
+
+/// Follows the endpoint states that front ends are notified of.
+fn note_endpoint_state<'a>(closed_since: &mut BTreeMap<Notified<'a>, u64>, record: &'a Record) {
+    let Seen::Told {
+        front_end,
+        worker,
+        state,
+        ..
+    } = &record.seen
+    else {
+        return;
+    };
+    let key = Notified { front_end, worker };
+    if state == "live" {
+        closed_since.remove(&key);
+    } else {
+        closed_since.entry(key).or_insert(record.time_ns);
+    }
+}
+
+/// The front end that sent new work to a worker, and the words of reports for that work.
+fn new_work(seen: &Seen) -> Option<(&str, String)> {
+    match seen {
+        Seen::Call {
+            front_end, request, ..
+        } => Some((front_end, format!("call {request}"))),
+        Seen::Order {
+            front_end,
+            function,
+            copies,
+        } if *copies > 0 => Some((front_end, format!("an order to load {function}"))),
+        _ => None,
+    }
+}
--- /dev/null
+++ b/crates/pipithub-conformance/src/rules/final_answer.rs
@@ -0,0 +1,95 @@
+//! One final answer to each request, in time.
+
+use super::{Answer, Breach, MS, RequestTrace, Rule, RuleConfig};
+
+/// Checks the answers of one request.
+pub(super) fn check(
+    id: &str,
+    trace: &RequestTrace,
+    config: &RuleConfig,
+    breaches: &mut Vec<Breach>,
+) {
+    if config
+        .published_until
+        .is_some_and(|until| trace.published > until)
+    {
+        return;
+    }
+    let mut add = |at, what: String| {
+        breaches.push(Breach {
+            rule: Rule::OneFinalAnswer,
+            at,
+            what,
+        });
+    };
+    match &trace.answers[..] {
+        [] => add(
+            trace.published + trace.timeout,
+            format!(
+                "call {id} has no answer; delivered {} times",
+                trace.deliveries.len()
+            ),
+        ),
+        [answer] => {
+            check_lateness(id, answer, trace, config, &mut add);
+            check_later_attempts(id, answer, trace, config, &mut add);
+        }
+        [_, second, ..] => {
+            // Reports list the answers as pairs of time and verdict.
+            let pairs: Vec<(u64, &str)> = trace
+                .answers
+                .iter()
+                .map(|answer| (answer.at, answer.verdict.as_str()))
+                .collect();
+            let what = format!("call {id} has {} answers: {pairs:?}", pairs.len());
+            add(second.at, what);
+        }
+    }
+}
+
+/// The answer must come before the client stops waiting.
+fn check_lateness(
+    id: &str,
+    answer: &Answer,
+    trace: &RequestTrace,
+    config: &RuleConfig,
+    add: &mut impl FnMut(u64, String),
+) {
+    // A request that a front end held when it died is delivered again and has its full time from then on. A request
+    // that is delivered after its deadline is answered at once.
+    let last_delivery = trace.deliveries.last().map_or(trace.published, |d| d.at);
+    let redelivered = trace.deliveries.iter().any(|d| d.redelivered);
+    let start = if redelivered {
+        last_delivery
+    } else {
+        trace.published
+    };
+    let deadline = (start + trace.timeout).max(last_delivery);
+    if answer.at > deadline + config.slack {
+        let late = (answer.at - deadline) / MS;
+        let verdict = &answer.verdict;
+        add(
+            answer.at,
+            format!("call {id} was {verdict} {late} ms after its time"),
+        );
+    }
+}
+
+/// No attempt may be made once the request has been answered.
+fn check_later_attempts(
+    id: &str,
+    answer: &Answer,
+    trace: &RequestTrace,
+    config: &RuleConfig,
+    add: &mut impl FnMut(u64, String),
+) {
+    let is_later = |at: u64| at > answer.at + config.slack;
+    if let Some(attempt) = trace.attempts.iter().find(|a| is_later(a.at)) {
+        let after = (attempt.at - answer.at) / MS;
+        let worker = &attempt.id.worker;
+        add(
+            attempt.at,
+            format!("call {id} was sent to {worker} {after} ms after its answer"),
+        );
+    }
+}
--- /dev/null
+++ b/crates/pipithub-conformance/src/rules/slow_start.rs
@@ -0,0 +1,18 @@
+//! No worker that is warming up is overloaded.
+
+use super::{Breach, Rule};
+use crate::record::{Record, Seen};
+
+/// Reports each worker that was overloaded while it warmed up.
+pub(super) fn check(records: &[Record], breaches: &mut Vec<Breach>) {
+    for record in records {
+        if let Seen::FellOver { sent, bound } = &record.seen {
+            let worker = &record.observer;
+            breaches.push(Breach {
+                rule: Rule::SlowStartRespected,
+                at: record.time_ns,
+                what: format!("{worker} fell over: {sent} calls sent, {bound:.1} borne"),
+            });
+        }
+    }
+}
--- /dev/null
+++ b/crates/pipithub-conformance/src/rules/trace.rs
@@ -0,0 +1,192 @@
+//! Gathers the records of each request into one trace.
+
+use std::collections::BTreeMap;
+
+use super::{MS, RuleConfig};
+use crate::record::{Record, Seen};
+
+/// A delivery of a request to a front end. The order of the fields is the sort order.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Delivery {
+    /// When, in Unix nanoseconds.
+    pub at: u64,
+    /// The broker had delivered it before.
+    pub redelivered: bool,
+    /// The client that received it.
+    pub client: String,
+}
+
+/// An answer to a request. The order of the fields is the sort order.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Answer {
+    /// When it was published, in Unix nanoseconds.
+    pub at: u64,
+    /// `served`, `refused` or `failed`.
+    pub verdict: String,
+}
+
+/// Identifies an attempt of a request. The order of the fields is the sort order.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct AttemptId {
+    /// The worker's address.
+    pub worker: String,
+    /// The number of the attempt at its front end.
+    pub number: u32,
+    /// The front end that made it.
+    pub front_end: String,
+}
+
+/// An attempt that reached a worker. The order of the fields is the sort order.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Attempt {
+    /// When, in Unix nanoseconds.
+    pub at: u64,
+    /// Which.
+    pub id: AttemptId,
+}
+
+/// A worker's reply to an attempt.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Reply {
+    /// When, in Unix nanoseconds.
+    pub at: u64,
+    /// The attempt that it replies to.
+    pub attempt: AttemptId,
+    /// It says that the request did not run.
+    pub not_run: bool,
+}
+
+/// A request and everything that was seen of it.
+#[derive(Clone, Debug, Default)]
+pub struct RequestTrace {
+    /// When it was published, in Unix nanoseconds.
+    pub published: u64,
+    /// Its class.
+    pub class: String,
+    /// How long its client waits, in nanoseconds.
+    pub timeout: u64,
+    /// Its deliveries, by time.
+    pub deliveries: Vec<Delivery>,
+    /// Its answers, by time.
+    pub answers: Vec<Answer>,
+    /// Its attempts, by time.
+    pub attempts: Vec<Attempt>,
+    /// The replies of workers, as recorded.
+    pub replies: Vec<Reply>,
+    /// When it took effect, in Unix nanoseconds.
+    pub effects: Vec<u64>,
+}
+
+/// Gathers records by the id of their request.
+pub fn request_traces(records: &[Record], config: &RuleConfig) -> BTreeMap<String, RequestTrace> {
+    // The requests come first: the records of different services are in no common order.
+    let mut traces: BTreeMap<String, RequestTrace> = records
+        .iter()
+        .filter_map(|record| published_request(record, config))
+        .collect();
+    for record in records {
+        let id = request_id(&record.seen, config);
+        if let Some(trace) = id.and_then(|id| traces.get_mut(id)) {
+            trace.add(record);
+        }
+    }
+    for trace in traces.values_mut() {
+        trace.deliveries.sort();
+        trace.answers.sort();
+        trace.attempts.sort();
+        trace.effects.sort_unstable();
+    }
+    traces
+}
+
+/// The trace that begins with this record, by its id, where the record is the publication of a request.
+fn published_request(record: &Record, config: &RuleConfig) -> Option<(String, RequestTrace)> {
+    let Seen::Published {
+        queues,
+        message_id: Some(id),
+        headers,
+        expiration_ms,
+        ..
+    } = &record.seen
+    else {
+        return None;
+    };
+    if !queues.contains(&config.queue) {
+        return None;
+    }
+    let class = headers.get("pipithub-class").cloned().unwrap_or_default();
+    let requested_ms = headers
+        .get("pipithub-budget-ms")
+        .and_then(|value| value.parse::<f64>().ok())
+        .map(|ms| ms as u64);
+    let requested_ms = [requested_ms, *expiration_ms].into_iter().flatten().min();
+    let class_timeout = config.classes.get(&class).map_or(0, |c| c.client_timeout);
+    let trace = RequestTrace {
+        published: record.time_ns,
+        class,
+        timeout: requested_ms.map_or(class_timeout, |ms| class_timeout.min(ms * MS)),
+        ..RequestTrace::default()
+    };
+    Some((id.clone(), trace))
+}
+
+/// The id of the request that a record belongs to.
+fn request_id<'a>(seen: &'a Seen, config: &RuleConfig) -> Option<&'a str> {
+    match seen {
+        Seen::Published { correlation_id, .. } => correlation_id.as_deref(),
+        Seen::Delivered {
+            queue, message_id, ..
+        } if *queue == config.queue => message_id.as_deref(),
+        Seen::Call { request, .. } | Seen::Replied { request, .. } | Seen::Ran { request, .. } => {
+            Some(request)
+        }
+        _ => None,
+    }
+}
+
+impl RequestTrace {
+    /// Adds a record of this request.
+    fn add(&mut self, record: &Record) {
+        let at = record.time_ns;
+        let attempt_id = |number: u32, front_end: &str| AttemptId {
+            worker: record.observer.clone(),
+            number,
+            front_end: front_end.to_string(),
+        };
+        match &record.seen {
+            Seen::Published { headers, .. } => {
+                if let Some(verdict) = headers.get("pipithub-verdict") {
+                    let verdict = verdict.clone();
+                    self.answers.push(Answer { at, verdict });
+                }
+            }
+            Seen::Delivered {
+                redelivered,
+                client,
+                ..
+            } => self.deliveries.push(Delivery {
+                at,
+                redelivered: *redelivered,
+                client: client.clone(),
+            }),
+            Seen::Call {
+                front_end, attempt, ..
+            } => self.attempts.push(Attempt {
+                at,
+                id: attempt_id(*attempt, front_end),
+            }),
+            Seen::Replied {
+                front_end,
+                attempt,
+                not_run,
+                ..
+            } => self.replies.push(Reply {
+                at,
+                attempt: attempt_id(*attempt, front_end),
+                not_run: *not_run,
+            }),
+            Seen::Ran { dropped: false, .. } => self.effects.push(at),
+            _ => {}
+        }
+    }
+}
--- a/crates/pipithub-conformance/tests/fleet.rs
+++ b/crates/pipithub-conformance/tests/fleet.rs
@@ -1,6 +1,8 @@
 //! The checker of fleets against the history of a good day, and of each rule broken on purpose.
 
-use pipithub_conformance::fleet::{Bounds, Claim, Disk, History, Rule, Run, Time, check};
+use pipithub_conformance::fleet::{
+    Belief, Bounds, Claim, Disk, GenerationUse, History, Interval, Rule, Run, Time, check,
+};
 
 const SECOND: Time = 1_000_000_000;
 const BOUNDS: Bounds = Bounds {
@@ -20,8 +22,11 @@
     }
 }
 
-fn claim(run: usize, at: u64, others: &[(&str, bool)]) -> Claim {
-    let others = others.iter().map(|(n, d)| (n.to_string(), *d)).collect();
+fn claim(run: usize, at: u64, others: &[(&str, Belief)]) -> Claim {
+    let others = others
+        .iter()
+        .map(|(name, belief)| (name.to_string(), *belief))
+        .collect();
     Claim {
         at: at * SECOND,
         run,
@@ -32,22 +37,35 @@
     }
 }
 
+fn used(run: usize, generation: u64, first_seen: Time) -> GenerationUse {
+    GenerationUse {
+        run,
+        generation,
+        first_seen,
+    }
+}
+
+fn disturbed(from: Time, until: Time) -> Interval {
+    let (from, until) = (from * SECOND, until * SECOND);
+    Interval { from, until }
+}
+
 /// Two that run, a third that dies at 20 s; claims at 10, 18, 30 and 40 s.
 fn good() -> History {
     let mut history = History {
         runs: vec![run("a", 0, None), run("b", 0, None), run("c", 0, Some(20))],
-        generations_used: vec![(0, 1, 0), (1, 1, 0), (2, 1, 0)],
+        generations_used: vec![used(0, 1, 0), used(1, 1, 0), used(2, 1, 0)],
         end: 40 * SECOND,
         ..History::default()
     };
     for at in [10, 18, 30, 40] {
-        let dead = at > 20;
+        let c = if at > 20 { Belief::Dead } else { Belief::Alive };
         history
             .claims
-            .push(claim(0, at, &[("b", false), ("c", dead)]));
+            .push(claim(0, at, &[("b", Belief::Alive), ("c", c)]));
         history
             .claims
-            .push(claim(1, at, &[("a", false), ("c", dead)]));
+            .push(claim(1, at, &[("a", Belief::Alive), ("c", c)]));
     }
     history
 }
@@ -67,25 +85,25 @@
 fn a_number_used_twice_is_found() {
     let mut history = good();
     history.runs.push(run("c", 22, Some(23)));
-    history.generations_used.push((3, 1, 22 * SECOND));
+    history.generations_used.push(used(3, 1, 22 * SECOND));
     assert!(broken(&history).contains(&Rule::UniqueGeneration));
 }
 
 #[test]
 fn a_dead_member_believed_alive_is_found() {
     let mut history = good();
-    history.claims[4].others.insert("c".into(), false);
+    history.claims[4].others.insert("c".into(), Belief::Alive);
     assert_eq!(broken(&history), vec![Rule::FailureDetected]);
 }
 
 #[test]
 fn a_living_member_held_for_dead_is_found_but_not_while_links_are_spoilt() {
     let mut history = good();
-    history.claims[2].others.insert("b".into(), true);
+    history.claims[2].others.insert("b".into(), Belief::Dead);
     assert_eq!(broken(&history), vec![Rule::NoFalsePositive]);
-    history.disturbances.push((16 * SECOND, 17 * SECOND));
+    history.disturbances.push(disturbed(16, 17));
     assert_eq!(broken(&history), vec![]);
-    history.disturbances = vec![(11 * SECOND, 12 * SECOND)];
+    history.disturbances = vec![disturbed(11, 12)];
     assert_eq!(broken(&history), vec![Rule::NoFalsePositive]);
 }
 
@@ -103,13 +121,13 @@
         disk: Disk::Stale,
         ..run("c", 31, None)
     });
-    history.generations_used.push((3, 2, 32 * SECOND));
+    history.generations_used.push(used(3, 2, 32 * SECOND));
     history.claims.truncate(6);
-    let mut back = claim(3, 40, &[("a", false), ("b", false)]);
+    let mut back = claim(3, 40, &[("a", Belief::Alive), ("b", Belief::Alive)]);
     (back.generation, back.disk) = (2, "kept".into());
     history.claims.extend([
-        claim(0, 40, &[("b", false), ("c", false)]),
-        claim(1, 40, &[("a", false), ("c", false)]),
+        claim(0, 40, &[("b", Belief::Alive), ("c", Belief::Alive)]),
+        claim(1, 40, &[("a", Belief::Alive), ("c", Belief::Alive)]),
     ]);
     history.claims.push(back);
     assert_eq!(broken(&history), vec![Rule::StaleDiskReported]);
@@ -123,10 +141,10 @@
 fn two_runs_of_one_name_that_both_take_part_are_found() {
     let mut history = good();
     history.runs.push(run("a", 12, None));
-    history.generations_used.push((3, 2, 12 * SECOND));
+    history.generations_used.push(used(3, 2, 12 * SECOND));
     history
         .claims
-        .push(claim(3, 40, &[("b", false), ("c", true)]));
+        .push(claim(3, 40, &[("b", Belief::Alive), ("c", Belief::Dead)]));
     assert_eq!(broken(&history), vec![Rule::SingleRunPerName]);
 }
 
--- a/crates/pipithub-conformance/tests/planted.rs
+++ b/crates/pipithub-conformance/tests/planted.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 
 use pipithub_conformance::record::{Record, Seen};
-use pipithub_conformance::rules::{ClassRules, Idempotency, Rule, RuleConfig, check};
+use pipithub_conformance::rules::{
+    ClassRules, Idempotency, LoadRateLimit, Rule, RuleConfig, check,
+};
 
 const MS: u64 = 1_000_000;
 
@@ -27,7 +29,11 @@
         queue: "calls".into(),
         slack: 50 * MS,
         drain_grace: 500 * MS,
-        load_rate_limit: Some((5_000 * MS, 1.0, 0.5)),
+        load_rate_limit: Some(LoadRateLimit {
+            window: 5_000 * MS,
+            burst: 1.0,
+            per_request: 0.5,
+        }),
         migration_grace: None,
         published_until: None,
     }
--- a/crates/pipithub-scenario/src/fleet/run.rs
+++ b/crates/pipithub-scenario/src/fleet/run.rs
@@ -9,7 +9,9 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use pipithub_clock::{Clock, wall_ns};
-use pipithub_conformance::fleet::{Breach, Claim, Disk, History, Run, check};
+use pipithub_conformance::fleet::{
+    Belief, Breach, Claim, Disk, GenerationUse, History, Interval, Run, check,
+};
 use pipithub_emulator::relay::{Relay, Way};
 use pipithub_membership::{GenerationRecord, sender_identity};
 use pipithub_membership_runtime::{DataFolder, Report};
@@ -274,7 +276,10 @@
         match (paused, s.paused.take(), s.run) {
             (true, _, _) => s.paused = Some(wall_ns()),
             (false, Some(since), Some(run)) => {
-                self.history.runs[run].paused.push((since, wall_ns()));
+                self.history.runs[run].paused.push(Interval {
+                    from: since,
+                    until: wall_ns(),
+                });
             }
             _ => {}
         }
@@ -408,7 +413,13 @@
                 others: report
                     .members
                     .into_iter()
-                    .map(|m| (m.name, m.state == "down"))
+                    .map(|member| {
+                        let belief = match member.state.as_str() {
+                            "down" => Belief::Dead,
+                            _ => Belief::Alive,
+                        };
+                        (member.name, belief)
+                    })
                     .collect(),
             });
         }
@@ -416,7 +427,7 @@
 }
 
 /// Times at which links were spoilt, from the acts.
-fn disturbances(actions: &[(u64, Action)], begin: u64, duration: u64) -> Vec<(u64, u64)> {
+fn disturbances(actions: &[(u64, Action)], begin: u64, duration: u64) -> Vec<Interval> {
     let spoils = |action: &Action| match action {
         Action::Cut(_, _, on) | Action::Hold(_, _, on) | Action::Split(_, on) => *on,
         Action::Slow(delay, jitter) => delay + jitter > 0,
@@ -424,7 +435,7 @@
         _ => false,
     };
     // From each spoiling to the last mending after it: links overlap, and one interval too wide only judges less.
-    let mut disturbances: Vec<(u64, u64)> = Vec::new();
+    let mut disturbances: Vec<Interval> = Vec::new();
     for (at, action) in actions.iter().filter(|(_, a)| spoils(a)) {
         let same = |b: &Action| match (action, b) {
             (Action::Cut(a, b, _), Action::Cut(c, d, on))
@@ -438,7 +449,10 @@
             .iter()
             .rfind(|(t, b)| t >= at && same(b))
             .map_or(duration, |(t, _)| *t);
-        disturbances.push((begin + at, begin + end));
+        disturbances.push(Interval {
+            from: begin + at,
+            until: begin + end,
+        });
     }
     disturbances
 }
@@ -584,7 +598,11 @@
     );
     cluster.history.generations_used = spoken
         .into_iter()
-        .map(|((run, g), at)| (run, g, at))
+        .map(|((run, generation), first_seen)| GenerationUse {
+            run,
+            generation,
+            first_seen,
+        })
         .collect();
     let breaches = check(&cluster.history, scenario.bounds);
     let faults = cluster
--- a/crates/pipithub-scenario/src/run.rs
+++ b/crates/pipithub-scenario/src/run.rs
@@ -8,7 +8,9 @@
 use pipithub_clock::{Clock, wall_ms, wall_ns};
 use pipithub_conformance::record::{Record, Seen};
 use pipithub_conformance::report::{Report, report};
-use pipithub_conformance::rules::{Breach, ClassRules, Idempotency, RuleConfig, check};
+use pipithub_conformance::rules::{
+    Breach, ClassRules, Idempotency, LoadRateLimit, RuleConfig, check,
+};
 use pipithub_emulator::directory::{DirectoryServer, DirectorySettings};
 use pipithub_emulator::list::{ListServer, Listed};
 use pipithub_emulator::recorder::Recorder;
@@ -409,7 +411,11 @@
         queue: QUEUE.into(),
         slack: scenario.slack,
         drain_grace: scenario.drain_grace,
-        load_rate_limit: rate_limit.map(|r| (r.window, r.burst, r.per_request)),
+        load_rate_limit: rate_limit.map(|limit| LoadRateLimit {
+            window: limit.window,
+            burst: limit.burst,
+            per_request: limit.per_request,
+        }),
         migration_grace: scenario.tenants.as_ref().map(|t| t.bound),
         published_until: None,
     }
