--- a/crates/pipithub-conformance/tests/fleet.rs
+++ b/crates/pipithub-conformance/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The checker of fleets against the history of a good day, and of each rule broken on purpose.
+//! The checks against a compliant history, and against histories in which each rule is broken on purpose.
 
 use pipithub_conformance::fleet::{
     Belief, Bounds, Claim, Disk, GenerationUse, History, Interval, Rule, Run, Time, check,
@@ -51,7 +51,7 @@
 }
 
 /// Two that run, a third that dies at 20 s; claims at 10, 18, 30 and 40 s.
-fn good() -> History {
+fn compliant() -> History {
     let mut history = History {
         runs: vec![run("a", 0, None), run("b", 0, None), run("c", 0, Some(20))],
         generations_used: vec![used(0, 1, 0), used(1, 1, 0), used(2, 1, 0)],
@@ -77,28 +77,28 @@
 }
 
 #[test]
-fn a_good_day_is_found_good() {
-    assert_eq!(check(&good(), BOUNDS), vec![]);
+fn a_compliant_history_breaks_no_rule() {
+    assert_eq!(check(&compliant(), BOUNDS), vec![]);
 }
 
 #[test]
-fn a_number_used_twice_is_found() {
-    let mut history = good();
+fn a_generation_used_twice_is_found() {
+    let mut history = compliant();
     history.runs.push(run("c", 22, Some(23)));
     history.generations_used.push(used(3, 1, 22 * SECOND));
     assert!(broken(&history).contains(&Rule::UniqueGeneration));
 }
 
 #[test]
-fn a_dead_member_believed_alive_is_found() {
-    let mut history = good();
+fn an_undetected_failure_is_found() {
+    let mut history = compliant();
     history.claims[4].others.insert("c".into(), Belief::Alive);
     assert_eq!(broken(&history), vec![Rule::FailureDetected]);
 }
 
 #[test]
-fn a_living_member_held_for_dead_is_found_but_not_while_links_are_spoilt() {
-    let mut history = good();
+fn a_false_positive_is_found_but_not_while_links_are_disturbed() {
+    let mut history = compliant();
     history.claims[2].others.insert("b".into(), Belief::Dead);
     assert_eq!(broken(&history), vec![Rule::NoFalsePositive]);
     history.disturbances.push(disturbed(16, 17));
@@ -108,15 +108,15 @@
 }
 
 #[test]
-fn a_member_that_was_never_heard_of_is_found() {
-    let mut history = good();
+fn an_unknown_member_is_found() {
+    let mut history = compliant();
     history.claims[0].others.remove("b");
     assert_eq!(broken(&history), vec![Rule::NoFalsePositive]);
 }
 
 #[test]
-fn an_old_disk_that_is_believed_is_found() {
-    let mut history = good();
+fn a_stale_disk_that_is_not_reported_is_found() {
+    let mut history = compliant();
     history.runs.push(Run {
         disk: Disk::Stale,
         ..run("c", 31, None)
@@ -139,7 +139,7 @@
 
 #[test]
 fn two_runs_of_one_name_that_both_take_part_are_found() {
-    let mut history = good();
+    let mut history = compliant();
     history.runs.push(run("a", 12, None));
     history.generations_used.push(used(3, 2, 12 * SECOND));
     history
@@ -149,8 +149,8 @@
 }
 
 #[test]
-fn a_fleet_that_does_not_come_together_is_found() {
-    let mut history = good();
+fn a_fleet_that_does_not_converge_is_found() {
+    let mut history = compliant();
     history.claims.last_mut().unwrap().joined = false;
     assert_eq!(broken(&history), vec![Rule::Convergence]);
 }
--- a/crates/pipithub-conformance/tests/planted.rs
+++ b/crates/pipithub-conformance/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The checker against records of a good day, and of each rule broken on purpose.
+//! The checks against compliant traffic, and against traffic in which each rule is broken on purpose.
 
 use std::collections::BTreeMap;
 
@@ -138,7 +138,7 @@
     )
 }
 
-fn order(ms: u64, worker: &str) -> Record {
+fn load_command(ms: u64, worker: &str) -> Record {
     at(
         ms,
         worker,
@@ -150,7 +150,7 @@
     )
 }
 
-fn told(ms: u64, worker: &str, state: &str) -> Record {
+fn notified(ms: u64, worker: &str, state: &str) -> Record {
     let (front_end, worker, state) = ("fe".into(), worker.into(), state.into());
     at(
         ms,
@@ -165,7 +165,7 @@
 }
 
 /// A call that is turned away once, then served.
-fn good() -> Vec<Record> {
+fn compliant() -> Vec<Record> {
     vec![
         published(0, "a", "unsafe"),
         delivered(1, "a", false),
@@ -175,8 +175,8 @@
         ran(6, "a", "w2"),
         replied(90, "a", "w2", 1, false),
         answered(95, "a", "served"),
-        told(100, "w1", "draining"),
-        order(110, "w2"),
+        notified(100, "w1", "draining"),
+        load_command(110, "w2"),
     ]
 }
 
@@ -190,16 +190,16 @@
 }
 
 fn with(more: Vec<Record>) -> Vec<Record> {
-    good().into_iter().chain(more).collect()
+    compliant().into_iter().chain(more).collect()
 }
 
 #[test]
-fn a_good_day_breaks_nothing() {
-    assert_eq!(broken(good()), []);
+fn compliant_traffic_breaks_no_rule() {
+    assert_eq!(broken(compliant()), []);
 }
 
 #[test]
-fn answers_that_lack_double_or_come_late_are_found() {
+fn missing_duplicate_and_late_answers_are_found() {
     assert_eq!(
         broken(with(vec![published(10, "b", "safe")])),
         [Rule::OneFinalAnswer]
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn effects_that_double_are_found() {
+fn duplicate_effects_are_found() {
     let two = |class: &str, second: u64| {
         vec![
             published(0, "b", class),
@@ -272,13 +272,13 @@
 }
 
 #[test]
-fn work_for_drained_workers_is_found() {
+fn work_for_draining_and_removed_workers_is_found() {
     let after = |ms, state| {
         let (came, over) = (delivered(551, "b", false), answered(900, "b", "served"));
         with(vec![
             published(550, "b", "safe"),
             came,
-            told(700, "w1", state),
+            notified(700, "w1", state),
             call(ms, "b", "w1", 0),
             over,
         ])
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn a_worker_pushed_over_is_found() {
+fn a_worker_overloaded_during_slow_start_is_found() {
     assert_eq!(
         broken(with(vec![at(
             5,
@@ -305,21 +305,21 @@
 }
 
 #[test]
-fn loads_beyond_the_ration_are_found() {
+fn load_commands_beyond_the_rate_limit_are_found() {
     // One in any case and half of the one call taken: 1.5.
     assert_eq!(
-        broken(with(vec![order(6_000, "w2")])),
+        broken(with(vec![load_command(6_000, "w2")])),
         [],
         "the window has passed"
     );
     assert_eq!(
-        broken(with(vec![order(2_000, "w2")])),
+        broken(with(vec![load_command(2_000, "w2")])),
         [Rule::LoadRateLimited]
     );
 }
 
 #[test]
-fn calls_that_cross_tenants_are_found() {
+fn requests_that_cross_tenants_are_found() {
     let moved = |ms: u64, tenant: &str| {
         at(
             ms,
@@ -365,13 +365,13 @@
 }
 
 #[test]
-fn records_read_back_and_a_cut_line_is_passed_over() {
-    let text: String = good().iter().map(Record::line).collect();
-    assert_eq!(Record::read_all(&text).expect("own lines"), good());
+fn records_read_back_and_a_truncated_line_is_skipped() {
+    let text: String = compliant().iter().map(Record::line).collect();
+    assert_eq!(Record::read_all(&text).expect("own lines"), compliant());
     let cut = &text[..text.len() - 5];
     assert_eq!(
         Record::read_all(cut).expect("but the last").len(),
-        good().len() - 1
+        compliant().len() - 1
     );
     let error = Record::read_all("{\"t\":1}\n").expect_err("no record");
     assert_eq!(error.line, 1);
