--- a/crates/pipithub-scenario/src/process.rs
+++ b/crates/pipithub-scenario/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes of this program's own binary, ended when dropped.
+//! Child processes that run this program's own binary and are killed when dropped.
 
 use std::path::Path;
 use std::process::Stdio;
@@ -7,18 +7,21 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::process::{Child, ChildStdin, Command};
 
-/// A process that was started here.
+/// The longest that a process takes to print its address.
+const ADDRESS_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// A running child process.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
     stdin: Option<ChildStdin>,
-    /// Where it listens, where it says so.
+    /// The address that it listens on; empty for a gateway.
     pub address: String,
 }
 
 impl Process {
-    /// Starts `binary` with these arguments; its first line is awaited and must be `{"address": …}`. What it logs goes
-    /// to a file.
+    /// Starts an emulated service with these arguments, and waits for its first line, which must be
+    /// `{"address": …}`. Its log is appended to a file.
     pub async fn start_emulator(
         binary: &Path,
         arguments: &[String],
@@ -31,20 +34,23 @@
             .take()
             .ok_or(std::io::ErrorKind::BrokenPipe)?;
         let mut lines = BufReader::new(stdout).lines();
-        let first = tokio::time::timeout(Duration::from_secs(20), lines.next_line()).await;
+        let first = tokio::time::timeout(ADDRESS_TIMEOUT, lines.next_line()).await;
         let line = first
             .map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))??
             .unwrap_or_default();
-        let said: serde_json::Value = serde_json::from_str(&line).map_err(|_| {
+        let announced: serde_json::Value = serde_json::from_str(&line).map_err(|_| {
             std::io::Error::other(format!(
                 "{arguments:?} said {line:?} instead of its address"
             ))
         })?;
-        process.address = said["address"].as_str().unwrap_or_default().to_string();
+        process.address = announced["address"]
+            .as_str()
+            .unwrap_or_default()
+            .to_string();
         Ok(process)
     }
 
-    /// Starts `binary` with these arguments.
+    /// Starts a gateway with these arguments. Its log is appended to a file.
     pub fn start_gateway(
         binary: &Path,
         arguments: &[String],
@@ -78,7 +84,7 @@
         })
     }
 
-    /// Says a line on its standard input.
+    /// Writes a line to its standard input.
     pub async fn send_line(&mut self, line: &str) -> std::io::Result<()> {
         match &mut self.stdin {
             Some(stdin) => {
@@ -89,8 +95,9 @@
         }
     }
 
-    /// Kills it outright and waits until it is gone.
+    /// Kills it and waits for its end.
     pub async fn kill(mut self) {
+        // It fails only where the process has ended already.
         let _ = self.child.kill().await;
     }
 
