--- /dev/null
+++ b/crates/pipithub-scenario/src/document.rs
@@ -0,0 +1,185 @@
+//! Reads nodes of scenario files and reports errors at their place in the file.
+
+use std::str::FromStr;
+
+use kdl::{KdlDocument, KdlNode};
+use miette::{Diagnostic, NamedSource, SourceSpan};
+use pipithub_settings::duration;
+
+/// The error for a scenario file that cannot be read.
+#[derive(Debug, thiserror::Error, Diagnostic)]
+#[error("{message}")]
+pub struct ScenarioError {
+    message: String,
+    #[source_code]
+    source_code: NamedSource<String>,
+    #[label("here")]
+    span: SourceSpan,
+}
+
+/// The result of reading a part of a scenario file.
+pub(crate) type ParseResult<T> = Result<T, Box<ScenarioError>>;
+
+/// A scenario file.
+pub(crate) struct Document<'a> {
+    kdl: KdlDocument,
+    source: Source<'a>,
+}
+
+/// The name and text of a file, for errors.
+#[derive(Clone, Copy)]
+struct Source<'a> {
+    file: &'a str,
+    text: &'a str,
+}
+
+impl Source<'_> {
+    fn error<T>(&self, message: String, span: SourceSpan) -> ParseResult<T> {
+        Err(Box::new(ScenarioError {
+            message,
+            source_code: NamedSource::new(self.file, self.text.to_string()),
+            span,
+        }))
+    }
+}
+
+impl<'a> Document<'a> {
+    /// Parses a text; `file` is its name in errors.
+    pub(crate) fn parse(file: &'a str, text: &'a str) -> ParseResult<Self> {
+        let source = Source { file, text };
+        let kdl = KdlDocument::from_str(text).or_else(|error| {
+            let first = error.diagnostics.first();
+            let message = first
+                .and_then(|diagnostic| diagnostic.message.clone())
+                .unwrap_or_else(|| "this is not KDL".into());
+            let span = first.map_or((0, 0).into(), |diagnostic| diagnostic.span);
+            source.error(message, span)
+        })?;
+        Ok(Document { kdl, source })
+    }
+
+    /// Its nodes, in the order of the file.
+    pub(crate) fn nodes(&self) -> impl Iterator<Item = Node<'_>> {
+        self.kdl.nodes().iter().map(|node| self.wrap(node))
+    }
+
+    /// The first node of a name.
+    pub(crate) fn node(&self, name: &str) -> Option<Node<'_>> {
+        self.kdl.get(name).map(|node| self.wrap(node))
+    }
+
+    /// An error of the file as a whole.
+    pub(crate) fn error<T>(&self, message: &str) -> ParseResult<T> {
+        self.source.error(message.to_string(), (0, 0).into())
+    }
+
+    fn wrap<'b>(&'b self, node: &'b KdlNode) -> Node<'b> {
+        Node {
+            kdl: node,
+            source: self.source,
+        }
+    }
+}
+
+/// A node of a scenario file.
+pub(crate) struct Node<'a> {
+    kdl: &'a KdlNode,
+    source: Source<'a>,
+}
+
+impl<'a> Node<'a> {
+    /// Its name.
+    pub(crate) fn name(&self) -> &'a str {
+        self.kdl.name().value()
+    }
+
+    /// An error at this node.
+    pub(crate) fn error<T>(&self, message: impl Into<String>) -> ParseResult<T> {
+        self.source.error(message.into(), self.kdl.span())
+    }
+
+    /// Its first argument, where that is a string.
+    pub(crate) fn argument(&self) -> Option<&'a str> {
+        self.kdl.get(0).and_then(|value| value.as_string())
+    }
+
+    /// All values of it that are strings.
+    pub(crate) fn string_values(&self) -> Vec<String> {
+        self.kdl
+            .entries()
+            .iter()
+            .filter_map(|entry| entry.value().as_string().map(str::to_string))
+            .collect()
+    }
+
+    /// The text of its children.
+    pub(crate) fn children_text(&self) -> String {
+        self.kdl
+            .children()
+            .map(ToString::to_string)
+            .unwrap_or_default()
+    }
+
+    /// A property that is a string.
+    pub(crate) fn string(&self, name: &str) -> Option<&'a str> {
+        self.kdl.get(name).and_then(|value| value.as_string())
+    }
+
+    /// A property that is `#true` or `#false`; `#false` where it is missing.
+    pub(crate) fn flag(&self, name: &str) -> bool {
+        self.kdl
+            .get(name)
+            .and_then(kdl::KdlValue::as_bool)
+            .unwrap_or(false)
+    }
+
+    /// A property that is a duration such as `"2s"`, in nanoseconds.
+    pub(crate) fn duration(&self, name: &str, default: Option<u64>) -> ParseResult<u64> {
+        let value = self.kdl.get(name);
+        let parsed = value.and_then(|v| v.as_string()).and_then(duration);
+        match (value, parsed, default) {
+            (None, _, Some(default)) => Ok(default),
+            (Some(_), Some(parsed), _) => Ok(parsed),
+            _ => self.error(format!(
+                "'{}' needs a time '{name}', as {name}=\"2s\"",
+                self.name()
+            )),
+        }
+    }
+
+    /// A property that is a number of at least 0.
+    pub(crate) fn number(&self, name: &str, default: Option<f64>) -> ParseResult<f64> {
+        let value = self.kdl.get(name);
+        let number = value.and_then(|v| v.as_float().or(v.as_integer().map(|n| n as f64)));
+        match (value, number.filter(|n| *n >= 0.0), default) {
+            (None, _, Some(default)) => Ok(default),
+            (Some(_), Some(number), _) => Ok(number),
+            _ => self.error(format!("'{}' needs a number '{name}'", self.name())),
+        }
+    }
+
+    /// A property that counts or numbers something.
+    pub(crate) fn count(&self, name: &str, default: Option<usize>) -> ParseResult<usize> {
+        let default = default.map(|count| count as f64);
+        Ok(self.number(name, default)? as usize)
+    }
+
+    /// Fails where it has other properties than these.
+    pub(crate) fn allow(&self, names: &[&str]) -> ParseResult<()> {
+        let given = self
+            .kdl
+            .entries()
+            .iter()
+            .filter_map(|entry| entry.name().map(kdl::KdlIdentifier::value));
+        for name in given {
+            if !names.contains(&name) {
+                return self.error(format!(
+                    "'{}' takes {}, not '{name}'",
+                    self.name(),
+                    names.join(", ")
+                ));
+            }
+        }
+        Ok(())
+    }
+}
--- a/crates/pipithub-scenario/src/load.rs
+++ b/crates/pipithub-scenario/src/load.rs
@@ -1,31 +1,71 @@
-//! The calls of a day, drawn from its seed before it begins.
+//! The load of a scenario: requests and migrations of users, drawn from a seed before the scenario begins.
+
+use std::iter::Peekable;
 
 use crate::client::{Publish, Signed};
 use crate::random::SplitMix64;
-use crate::scenario::{Fault, Scenario};
+use crate::scenario::{ClassSpec, Fault, Scenario, TenantSpec};
+use crate::units::{SECOND, milliseconds};
 
-/// The tenants of a day.
+/// The tenants of a scenario.
 pub const TENANTS: [&str; 2] = ["north", "south"];
-/// The key that signs a day's calls.
-pub const KEY: &str = "the key of a day's desk";
+/// The key that signs the requests of a scenario.
+pub const SIGNING_KEY: &str = "the key of a day's desk";
+/// The name of that key in the settings.
+pub const SIGNING_KEY_ID: &str = "desk";
+
+/// Separates the draws of migrations from all other draws of a seed.
+const MIGRATION_STREAM: u64 = 0x6d6f_7665;
+/// Separates the draws of users from all other draws of a seed.
+const USER_STREAM: u64 = 0x7573_6572;
+/// Draws for a user of the wanted tenant before the first user is taken.
+const USER_DRAWS: usize = 64;
+/// Concurrency of a replica of each function.
+const REPLICA_CONCURRENCY: u32 = 4;
+
+/// The migration of a user to the other tenant. The order of the fields is the sort order.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Migration {
+    /// Nanoseconds from the first request.
+    pub at: u64,
+    /// The number of the user.
+    pub user: usize,
+    /// The new tenant, as an index into [`TENANTS`].
+    pub tenant: usize,
+}
+
+/// A request and when it is published.
+#[derive(Clone, Debug)]
+pub struct ScheduledRequest {
+    /// Nanoseconds from the first request.
+    pub at: u64,
+    /// The request.
+    pub publish: Publish,
+}
 
-/// Moves of a day: when, which user, to which tenant.
-pub fn migrations(scenario: &Scenario, seed: u64) -> Vec<(u64, usize, usize)> {
+/// The tenant that a user belongs to at first, as an index into [`TENANTS`].
+pub fn initial_tenant(user: usize) -> usize {
+    user % TENANTS.len()
+}
+
+/// The migrations of a scenario, by time.
+pub fn migrations(scenario: &Scenario, seed: u64) -> Vec<Migration> {
     let Some(tenants) = &scenario.tenants else {
         return Vec::new();
     };
-    let mut random = SplitMix64::new(seed ^ 0x6d6f_7665);
-    let mut sides: Vec<usize> = (0..tenants.users).map(|n| n % 2).collect();
+    let mut random = SplitMix64::new(seed ^ MIGRATION_STREAM);
+    let mut tenant_of: Vec<usize> = (0..tenants.users).map(initial_tenant).collect();
     let mut migrations = Vec::new();
     for scheduled in &scenario.faults {
         let Fault::MigrateUsers { every } = scheduled.fault else {
             continue;
         };
         let mut at = scheduled.at;
-        while at < scheduled.at + scheduled.duration {
+        while at < scheduled.end() {
             let user = random.below(tenants.users);
-            sides[user] = 1 - sides[user];
-            migrations.push((at, user, sides[user]));
+            let tenant = 1 - tenant_of[user];
+            tenant_of[user] = tenant;
+            migrations.push(Migration { at, user, tenant });
             at += every;
         }
     }
@@ -33,131 +73,192 @@
     migrations
 }
 
-/// The calls, each with its time in nanoseconds from the first.
-#[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
-pub fn calls(scenario: &Scenario, seed: u64, queue: &str) -> Vec<(u64, Publish)> {
-    let mut random = SplitMix64::new(seed);
-    // Of its own chance, so that a day without tenants has the calls that it always had.
-    let mut whose = SplitMix64::new(seed ^ 0x7573_6572);
-    let mut migrations = migrations(scenario, seed).into_iter().peekable();
-    let mut sides: Vec<usize> = (0..scenario.tenants.as_ref().map_or(0, |t| t.users))
-        .map(|n| n % 2)
-        .collect();
-    let mut calls = Vec::new();
-    let mut at = 0.0f64;
-    // A few functions draw a large part of all calls.
-    let weights: Vec<f64> = (1..=scenario.functions).map(|n| 1.0 / n as f64).collect();
-    let total: f64 = weights.iter().sum();
-    let shares: f64 = scenario.classes.iter().map(|c| c.share).sum();
-    loop {
-        let storm = scenario
-            .faults
-            .iter()
-            .filter(|s| s.at as f64 <= at && at < (s.at + s.duration) as f64);
-        let storm = storm.filter_map(|s| {
-            if let Fault::TenantSurge { times } = s.fault {
-                Some(times)
-            } else {
-                None
-            }
-        });
-        // Half of the calls are the second tenant's as a rule.
-        let storm = storm.fold(1.0, f64::max);
-        at += -(1.0 - random.unit()).ln() / (scenario.rate * (1.0 + storm) / 2.0) * 1e9;
-        if at >= scenario.duration as f64 {
-            return calls;
-        }
-        let now = at as u64;
-        while let Some((_, user, side)) = migrations.next_if(|m| m.0 <= now) {
-            sides[user] = side;
+/// The requests of a scenario, by time.
+pub fn requests(scenario: &Scenario, seed: u64, queue: &str) -> Vec<ScheduledRequest> {
+    LoadGenerator::new(scenario, seed, queue).collect()
+}
+
+/// Draws one request after the other. The order of the draws is fixed, so that a seed always gives the same load.
+struct LoadGenerator<'a> {
+    scenario: &'a Scenario,
+    seed: u64,
+    queue: &'a str,
+    random: SplitMix64,
+    /// A generator of its own for users, so that a scenario gives the same requests with and without tenants.
+    user_random: SplitMix64,
+    migrations: Peekable<std::vec::IntoIter<Migration>>,
+    /// The present tenant of each user.
+    tenant_of: Vec<usize>,
+    /// The popularity of each function: a few draw a large part of all requests.
+    function_weights: Vec<f64>,
+    /// The time of the last request.
+    at: f64,
+    /// Requests drawn so far.
+    count: usize,
+}
+
+/// The changes of the load that are active at a time.
+struct LoadChanges {
+    one_time_share: f64,
+    hot_share: f64,
+    short_timeout_share: f64,
+}
+
+impl<'a> LoadGenerator<'a> {
+    fn new(scenario: &'a Scenario, seed: u64, queue: &'a str) -> Self {
+        let users = scenario.tenants.as_ref().map_or(0, |spec| spec.users);
+        LoadGenerator {
+            scenario,
+            seed,
+            queue,
+            random: SplitMix64::new(seed),
+            user_random: SplitMix64::new(seed ^ USER_STREAM),
+            migrations: migrations(scenario, seed).into_iter().peekable(),
+            tenant_of: (0..users).map(initial_tenant).collect(),
+            function_weights: (1..=scenario.functions).map(|n| 1.0 / n as f64).collect(),
+            at: 0.0,
+            count: 0,
         }
-        let share = |pick: fn(&Fault) -> Option<f64>| {
-            let active = scenario
-                .faults
-                .iter()
-                .filter(|s| s.at <= now && now < s.at + s.duration);
-            active.filter_map(|s| pick(&s.fault)).fold(0.0, f64::max)
+    }
+
+    /// How many times its usual requests the second tenant sends at present.
+    fn surge(&self) -> f64 {
+        let active =
+            self.scenario.faults.iter().filter(|scheduled| {
+                scheduled.at as f64 <= self.at && self.at < scheduled.end() as f64
+            });
+        active
+            .filter_map(|scheduled| match scheduled.fault {
+                Fault::TenantSurge { times } => Some(times),
+                _ => None,
+            })
+            .fold(1.0, f64::max)
+    }
+
+    fn changes(&self, now: u64) -> LoadChanges {
+        let mut changes = LoadChanges {
+            one_time_share: 0.0,
+            hot_share: 0.0,
+            short_timeout_share: 0.0,
         };
-        let one_off = share(|t| {
-            if let Fault::OneTimeFunctions { share } = t {
-                Some(*share)
-            } else {
-                None
-            }
-        });
-        let hot = share(|t| {
-            if let Fault::HotFunction { share } = t {
-                Some(*share)
-            } else {
-                None
+        for scheduled in &self.scenario.faults {
+            if now < scheduled.at || now >= scheduled.end() {
+                continue;
             }
-        });
-        let little = share(|t| {
-            if let Fault::ShortTimeouts { share } = t {
-                Some(*share)
-            } else {
-                None
-            }
-        });
-        let mut drawn = random.unit() * shares;
-        let class = scenario.classes.iter().find(|c| {
-            drawn -= c.share;
-            drawn < 0.0
-        });
-        let class = class.unwrap_or(&scenario.classes[0]);
-        let mut pick = random.unit() * total;
-        let function = weights.iter().position(|w| {
-            pick -= w;
-            pick < 0.0
-        });
-        let (draw_one_off, draw_hot, draw_little) = (random.unit(), random.unit(), random.unit());
-        let number = calls.len();
-        let function = if draw_one_off < one_off {
-            format!("once-{number}")
-        } else if draw_hot < hot {
-            format!("model-{}", scenario.functions - 1)
+            let (changed, share) = match scheduled.fault {
+                Fault::OneTimeFunctions { share } => (&mut changes.one_time_share, share),
+                Fault::HotFunction { share } => (&mut changes.hot_share, share),
+                Fault::ShortTimeouts { share } => (&mut changes.short_timeout_share, share),
+                _ => continue,
+            };
+            *changed = changed.max(share);
+        }
+        changes
+    }
+
+    fn draw_class(&mut self) -> &'a ClassSpec {
+        let classes = &self.scenario.classes;
+        let total: f64 = classes.iter().map(|class| class.share).sum();
+        let drawn = self.random.unit() * total;
+        let index = pick_by_weight(classes.iter().map(|class| class.share), drawn);
+        &classes[index.unwrap_or(0)]
+    }
+
+    fn draw_function_index(&mut self) -> usize {
+        let total: f64 = self.function_weights.iter().sum();
+        let drawn = self.random.unit() * total;
+        pick_by_weight(self.function_weights.iter().copied(), drawn).unwrap_or(0)
+    }
+
+    /// Draws the user of a request; returns the tenant whose function is requested, and the signature.
+    fn draw_user(&mut self, tenants: &TenantSpec, surge: f64) -> (usize, Signed) {
+        // Without a surge half of the requests are those of the second tenant.
+        let wanted = usize::from(self.user_random.unit() < surge / (1.0 + surge));
+        let user = (0..USER_DRAWS)
+            .map(|_| self.user_random.below(tenants.users))
+            .find(|user| self.tenant_of[*user] == wanted)
+            .unwrap_or(0);
+        let own_tenant = self.tenant_of[user];
+        let tenant = if self.user_random.unit() < tenants.cross_tenant_share {
+            1 - own_tenant
         } else {
-            format!("model-{}", function.unwrap_or(0))
+            own_tenant
         };
-        let (function, signed) = match &scenario.tenants {
-            None => (function, None),
-            Some(tenants) => {
-                let wanted = usize::from(whose.unit() < storm / (1.0 + storm));
-                let user = (0..64)
-                    .map(|_| whose.below(tenants.users))
-                    .find(|u| sides[*u] == wanted)
-                    .unwrap_or(0);
-                let side = if whose.unit() < tenants.cross_tenant_share {
-                    1 - sides[user]
-                } else {
-                    sides[user]
-                };
-                let signed = Signed {
-                    user: format!("u{user}"),
-                    key_id: "desk".into(),
-                    key: KEY.into(),
-                };
-                (format!("{}-{function}", TENANTS[side]), Some(signed))
-            }
+        let signed = Signed {
+            user: format!("u{user}"),
+            key_id: SIGNING_KEY_ID.into(),
+            key: SIGNING_KEY.into(),
         };
-        let budget_ms = (draw_little < little).then(|| 5 + random.below(60) as u64);
-        // Half to one and a half times the class's mean.
-        let work_ms = class.work as f64 / 1e6 * (0.5 + random.unit());
-        calls.push((
-            now,
-            Publish {
-                id: format!("{seed}-{number}"),
-                queue: queue.to_string(),
-                class: class.name.clone(),
-                function,
-                budget_ms,
-                memory_mb: 0,
-                lanes: 4,
-                body: format!("{{\"inputs\":[],\"parameters\":{{\"work_ms\":{work_ms:.2}}}}}")
-                    .into_bytes(),
-                signed,
-                user_id: None,
-            },
-        ));
+        (tenant, signed)
     }
+
+    fn draw_request(&mut self, now: u64, surge: f64) -> Publish {
+        let changes = self.changes(now);
+        let class = self.draw_class();
+        let popular = self.draw_function_index();
+        let (one_time, hot, short_timeout) = (
+            self.random.unit() < changes.one_time_share,
+            self.random.unit() < changes.hot_share,
+            self.random.unit() < changes.short_timeout_share,
+        );
+        let number = self.count;
+        let mut function = if one_time {
+            format!("once-{number}")
+        } else if hot {
+            format!("model-{}", self.scenario.functions - 1)
+        } else {
+            format!("model-{popular}")
+        };
+        let mut signed = None;
+        if let Some(tenants) = &self.scenario.tenants {
+            let (tenant, signature) = self.draw_user(tenants, surge);
+            function = format!("{}-{function}", TENANTS[tenant]);
+            signed = Some(signature);
+        }
+        let budget_ms = short_timeout.then(|| 5 + self.random.below(60) as u64);
+        // Half to one and a half times the mean of the class.
+        let work_ms = milliseconds(class.work) * (0.5 + self.random.unit());
+        Publish {
+            id: format!("{}-{number}", self.seed),
+            queue: self.queue.to_string(),
+            class: class.name.clone(),
+            function,
+            budget_ms,
+            memory_mb: 0,
+            lanes: REPLICA_CONCURRENCY,
+            body: format!("{{\"inputs\":[],\"parameters\":{{\"work_ms\":{work_ms:.2}}}}}")
+                .into_bytes(),
+            signed,
+            user_id: None,
+        }
+    }
+}
+
+impl Iterator for LoadGenerator<'_> {
+    type Item = ScheduledRequest;
+
+    fn next(&mut self) -> Option<ScheduledRequest> {
+        let surge = self.surge();
+        let rate = self.scenario.rate * (1.0 + surge) / 2.0;
+        self.at += -(1.0 - self.random.unit()).ln() / rate * SECOND as f64;
+        if self.at >= self.scenario.duration as f64 {
+            return None;
+        }
+        let now = self.at as u64;
+        while let Some(migration) = self.migrations.next_if(|migration| migration.at <= now) {
+            self.tenant_of[migration.user] = migration.tenant;
+        }
+        let publish = self.draw_request(now, surge);
+        self.count += 1;
+        Some(ScheduledRequest { at: now, publish })
+    }
+}
+
+/// The index whose weight covers a number drawn from 0 to the sum of all weights.
+fn pick_by_weight(mut weights: impl Iterator<Item = f64>, drawn: f64) -> Option<usize> {
+    let mut rest = drawn;
+    weights.position(|weight| {
+        rest -= weight;
+        rest < 0.0
+    })
 }
--- /dev/null
+++ b/crates/pipithub-scenario/src/run/driver.rs
@@ -0,0 +1,131 @@
+//! Publishes the load of a scenario and carries out its actions, each at its time.
+
+use std::collections::BTreeMap;
+use std::iter::Peekable;
+
+use pipithub_amqp::Login;
+use pipithub_clock::{Clock, wall_ns};
+
+use super::QUEUE;
+use super::action::{ScheduledAction, schedule};
+use super::cluster::Cluster;
+use crate::client::{Answer, QueueClient};
+use crate::error::RunError;
+use crate::load::{ScheduledRequest, requests};
+use crate::scenario::Scenario;
+use crate::units::{SECOND, seconds};
+
+/// The time between two calls of the progress function, in nanoseconds.
+const PROGRESS_PERIOD: u64 = SECOND;
+/// How much longer than two client timeouts the last answers are awaited, in nanoseconds.
+const LAST_ANSWERS: u64 = 4 * SECOND;
+
+/// What the client saw.
+pub(super) struct Driven {
+    /// When the load began, in Unix nanoseconds.
+    pub(super) began: u64,
+    /// Answers received.
+    pub(super) answered: usize,
+}
+
+/// Runs until all requests are answered and all actions done, or until no more answers are to be expected.
+pub(super) async fn drive(
+    cluster: &mut Cluster<'_>,
+    seed: u64,
+    progress: impl FnMut(f64, usize, &BTreeMap<String, usize>),
+) -> Result<Driven, RunError> {
+    let scenario = cluster.scenario;
+    let requests = requests(scenario, seed, QUEUE);
+    let actions = schedule(scenario, seed);
+    let client = QueueClient::start(cluster.broker_address(), Login::default(), "answers");
+    let began = wall_ns();
+    let mut driver = Driver {
+        cluster,
+        client,
+        clock: Clock::default(),
+        total: requests.len(),
+        requests: requests.into_iter().peekable(),
+        actions: actions.into_iter().peekable(),
+        published: 0,
+        answered: 0,
+        verdicts: BTreeMap::new(),
+        next_progress: PROGRESS_PERIOD,
+        progress,
+    };
+    driver.run(latest_end(scenario)).await?;
+    let answered = driver.answered;
+    Ok(Driven { began, answered })
+}
+
+/// When no more answers are to be expected, in nanoseconds from the first request.
+fn latest_end(scenario: &Scenario) -> u64 {
+    let timeouts = scenario.classes.iter().map(|class| class.client_timeout);
+    scenario.duration + 2 * timeouts.max().unwrap_or(0) + LAST_ANSWERS
+}
+
+struct Driver<'a, 'b, P> {
+    cluster: &'a mut Cluster<'b>,
+    client: QueueClient,
+    clock: Clock,
+    requests: Peekable<std::vec::IntoIter<ScheduledRequest>>,
+    actions: Peekable<std::vec::IntoIter<ScheduledAction>>,
+    /// All requests of the scenario.
+    total: usize,
+    published: usize,
+    answered: usize,
+    /// The number of answers by verdict.
+    verdicts: BTreeMap<String, usize>,
+    next_progress: u64,
+    progress: P,
+}
+
+impl<P: FnMut(f64, usize, &BTreeMap<String, usize>)> Driver<'_, '_, P> {
+    async fn run(&mut self, latest_end: u64) -> Result<(), RunError> {
+        while !self.is_done() && self.clock.now() < latest_end {
+            let due = self.next_due();
+            tokio::select! {
+                () = self.clock.sleep_until(Some(due)) => self.do_what_is_due().await?,
+                answer = self.client.answers.recv() => match answer {
+                    Some(answer) => self.count(answer),
+                    None => return Err(RunError::ClientEnded),
+                },
+            }
+        }
+        Ok(())
+    }
+
+    fn is_done(&mut self) -> bool {
+        let has_actions = self.actions.peek().is_some();
+        self.published >= self.total && !has_actions && self.answered >= self.total
+    }
+
+    fn next_due(&mut self) -> u64 {
+        let request = self.requests.peek().map(|scheduled| scheduled.at);
+        let action = self.actions.peek().map(|scheduled| scheduled.at);
+        let soonest = request.into_iter().chain(action).min();
+        soonest.map_or(self.next_progress, |at| at.min(self.next_progress))
+    }
+
+    /// Publishes all requests that are due, and carries out one action, so that requests never wait for many actions.
+    async fn do_what_is_due(&mut self) -> Result<(), RunError> {
+        let clock = self.clock;
+        while let Some(scheduled) = self.requests.next_if(|s| s.at <= clock.now()) {
+            let sent = self.client.calls.send(scheduled.publish).await;
+            sent.map_err(|_| RunError::PublishChannelClosed)?;
+            self.published += 1;
+        }
+        if let Some(scheduled) = self.actions.next_if(|s| s.at <= clock.now()) {
+            self.cluster.apply(scheduled.action).await?;
+        }
+        if clock.now() >= self.next_progress {
+            (self.progress)(seconds(self.next_progress), self.published, &self.verdicts);
+            self.next_progress += PROGRESS_PERIOD;
+        }
+        Ok(())
+    }
+
+    fn count(&mut self, answer: Answer) {
+        *self.verdicts.entry(answer.verdict).or_default() += 1;
+        self.answered += 1;
+    }
+}
