--- a/crates/pipithub-node/tests/closes.rs
+++ b/crates/pipithub-node/tests/closes.rs
@@ -4,34 +4,14 @@
 mod socket_harness;
 
 use std::cell::{Cell, RefCell};
-use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Duration;
 
 use pipithub_node::coordinator;
 use pipithub_platform::settings::Names;
-use socket_harness::{Peer, call, config, event, held_by_the_system, listener, served, start};
+use socket_harness::{Peer, call, event, held_by_the_system, listener, one_worker, served, within};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::TcpListener;
 use tokio::sync::watch;
-use tokio::task::{LocalSet, spawn_local, yield_now};
-
-async fn within<T>(test: impl Future<Output = T>) -> T {
-    LocalSet::new()
-        .run_until(tokio::time::timeout(Duration::from_secs(60), test))
-        .await
-        .expect("it ends")
-}
-
-async fn one_worker() -> (TcpListener, TcpListener, SocketAddr) {
-    let ((worker, at), (list, list_at)) = (listener().await, listener().await);
-    let node = start(&config(
-        list_at,
-        &[event(1, true, &[("w1", at, "SERVING")])],
-    ))
-    .await;
-    (worker, list, node)
-}
+use tokio::task::{spawn_local, yield_now};
 
 /// Many list events come in one piece: something else has its turns in between.
 #[tokio::test]
--- a/crates/pipithub-node/tests/core_harness/mod.rs
+++ b/crates/pipithub-node/tests/core_harness/mod.rs
@@ -11,6 +11,12 @@
 pub(crate) const MS: Time = 1_000_000;
 pub(crate) const START: Time = 1_000_000 * MS;
 
+/// The answer of a worker that serves call 7.
+pub(crate) const SERVED: &[u8] = b"{\"cmd\":\"ACK\",\"ref\":\"0000000000000007\",\"opts\":{\"same\":\"2\",\"l\":\"inflight:1\"},\"payload\":\"d29ybGQ=\"}\n";
+
+/// The message with which a client withdraws call 7.
+pub(crate) const FORGET: &str = r#"{"jsonrpc":"2.0","method":"forget","params":{"id":7}}"#;
+
 pub(crate) fn config() -> NodeConfig {
     let class = |name: &str, effect: &str| {
         serde_json::json!({"Name": name, "Effect": effect, "Aim": 1_000_000_000u64, "GiveUp": 3_000_000_000u64,
--- /dev/null
+++ b/crates/pipithub-node/tests/pool_harness/mod.rs
@@ -0,0 +1,104 @@
+//! A pool of worker connections without sockets, with one worker played by hand.
+#![allow(dead_code)]
+
+use bytes::Bytes;
+use pipithub_engine::policy::WorkerId;
+use pipithub_engine::{AttemptId, Time};
+use pipithub_node::effect::{ConnectionId, Effect};
+use pipithub_node::worker_pool::{RequestKind, SendFailure, WorkerPool, WorkerRequest};
+
+pub(crate) const MS: Time = 1_000_000;
+
+pub(crate) fn worker_request(now: Time, request: u64) -> WorkerRequest {
+    let task = RequestKind::Attempt(AttemptId { request, number: 0 });
+    let line = Bytes::from(format!("line {request}\n"));
+    WorkerRequest::new(task, format!("{request:016x}"), line, now, now + 5_000 * MS)
+}
+
+pub(crate) struct PoolHarness {
+    pub(crate) pool: WorkerPool,
+    pub(crate) worker: WorkerId,
+    pub(crate) effects: Vec<Effect>,
+}
+
+impl PoolHarness {
+    pub(crate) fn new(most: usize) -> Self {
+        let mut pool = WorkerPool::new(most, 4, 250 * MS, 30_000 * MS, true);
+        let worker = WorkerId::new("w");
+        pool.set_address(&worker, "10.0.0.1:1", false);
+        PoolHarness {
+            pool,
+            worker,
+            effects: Vec::new(),
+        }
+    }
+
+    pub(crate) fn submit(&mut self, now: Time, request: u64) {
+        self.pool
+            .submit(now, &self.worker, worker_request(now, request));
+    }
+
+    pub(crate) fn effects(&mut self) -> Vec<Effect> {
+        self.effects.clear();
+        self.pool.take_effects(&mut self.effects);
+        self.effects.clone()
+    }
+
+    pub(crate) fn connected(&mut self) -> Vec<ConnectionId> {
+        let connects = self.effects();
+        connects
+            .iter()
+            .filter_map(|e| {
+                if let Effect::Connect { connection, .. } = e {
+                    Some(*connection)
+                } else {
+                    None
+                }
+            })
+            .collect()
+    }
+
+    pub(crate) fn failures(&mut self) -> Vec<(u64, SendFailure)> {
+        let number = |t: &RequestKind| {
+            if let RequestKind::Attempt(id) = t {
+                id.request
+            } else {
+                0
+            }
+        };
+        self.pool
+            .take_failures()
+            .iter()
+            .map(|failed| (number(&failed.request.kind), failed.failure))
+            .collect()
+    }
+
+    /// One call over one connection, answered after a millisecond.
+    pub(crate) fn call(&mut self, now: Time, request: u64) -> Option<ConnectionId> {
+        self.submit(now, request);
+        let mut wrote = None;
+        for effect in self.effects() {
+            match effect {
+                Effect::Connect { connection, .. } => {
+                    self.pool.connected(now, connection);
+                    wrote = Some(connection);
+                }
+                Effect::Write { connection, .. } => wrote = Some(connection),
+                Effect::Close { .. } | Effect::Retire { .. } | Effect::CancelWrite { .. } => {}
+            }
+        }
+        wrote
+    }
+}
+
+/// A pool that may not tell workers to give runs up.
+pub(crate) fn uncancelled() -> PoolHarness {
+    let mut b = PoolHarness::new(4);
+    b.pool = WorkerPool::new(4, 4, 250 * MS, 30_000 * MS, false);
+    b.pool.set_address(&b.worker, "10.0.0.1:1", false);
+    b
+}
+
+pub(crate) fn attempt(request: u64) -> AttemptId {
+    AttemptId { request, number: 0 }
+}
--- a/crates/pipithub-node/tests/socket_harness/mod.rs
+++ b/crates/pipithub-node/tests/socket_harness/mod.rs
@@ -6,12 +6,14 @@
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
+use std::time::Duration;
 
 use pipithub_node::shell::Node;
 use serde_json::{Value, json};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader, Lines};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
+use tokio::task::LocalSet;
 
 /// A listener on a port of the system's choice, and where it is.
 pub(crate) async fn listener() -> (TcpListener, SocketAddr) {
@@ -114,6 +116,24 @@
     }
 }
 
+pub(crate) async fn within<T>(test: impl Future<Output = T>) -> T {
+    LocalSet::new()
+        .run_until(tokio::time::timeout(Duration::from_secs(60), test))
+        .await
+        .expect("it ends")
+}
+
+/// A front end with one worker, whose list says no more.
+pub(crate) async fn one_worker() -> (TcpListener, TcpListener, SocketAddr) {
+    let ((worker, at), (list, list_at)) = (listener().await, listener().await);
+    let node = start(&config(
+        list_at,
+        &[event(1, true, &[("w1", at, "SERVING")])],
+    ))
+    .await;
+    (worker, list, node)
+}
+
 /// The line of a call.
 pub(crate) fn call(id: u64, class: &str, body: &str) -> String {
     let call = json!({"jsonrpc": "2.0", "id": id, "method": class, "params":
@@ -142,3 +162,20 @@
     };
     table.lines().filter_map(of).sum()
 }
+
+/// What the system holds of the connections with this port: unacknowledged and unread bytes, from its tables.
+#[cfg(target_os = "linux")]
+pub(crate) fn held_at_port(port: u16) -> usize {
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("the table");
+    let of = |line: &str| -> Option<usize> {
+        let fields: Vec<&str> = line.split_whitespace().collect();
+        let port_of = |field: &str| u16::from_str_radix(field.split(':').nth(1)?, 16).ok();
+        let ports = (port_of(fields.get(1)?)?, port_of(fields.get(2)?)?);
+        let (tx, rx) = fields.get(4)?.split_once(':')?;
+        let bytes = |hex: &str| usize::from_str_radix(hex, 16).ok();
+        // Established alone: a listener's figures mean something else.
+        let ours = fields.get(3) == Some(&"01") && (ports.0 == port || ports.1 == port);
+        Some(bytes(tx)? + bytes(rx)?).filter(|_| ours)
+    };
+    table.lines().filter_map(of).sum()
+}
