--- a/crates/pipithub-node/tests/closes.rs
+++ b/crates/pipithub-node/tests/closes.rs
@@ -8,7 +8,7 @@
 
 use pipithub_node::coordinator;
 use pipithub_platform::settings::Names;
-use socket_harness::{Peer, call, event, held_by_the_system, listener, one_worker, served, within};
+use socket_harness::{Peer, call, event, held_by_the_system, listener, one_worker, within};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::watch;
 use tokio::task::{spawn_local, yield_now};
@@ -79,9 +79,8 @@
         let (worker, _list, node) = one_worker().await;
         let mut client = Peer::connect(node).await;
         client.send(&call(1, "view", "")).await;
-        let mut at_worker = Peer::of(worker.accept().await.expect("a connection").0);
-        let asked = at_worker.next().await.expect("a call");
-        at_worker.send(&served(&asked)).await;
+        let mut at_worker = Peer::accept(&worker).await;
+        at_worker.serve_next().await;
         client.next().await.expect("an answer");
         // Answers to nothing open, until the system takes no more.
         let noise =
@@ -124,7 +123,7 @@
             let (worker, _list, node) = one_worker().await;
             let mut client = Peer::connect(node).await;
             client.send(&call(7, "view", "")).await;
-            let mut at_worker = Peer::of(worker.accept().await.expect("a connection").0);
+            let mut at_worker = Peer::accept(&worker).await;
             at_worker.next().await.expect("a call");
             client.send("noise\n").await;
             assert!(
@@ -158,16 +157,14 @@
         let mut stays = Peer::connect(node).await;
         let body = "A".repeat(21_844);
         gone.send(&call(1, "assign", &body)).await;
-        let mut at_worker = Peer::of(worker.accept().await.expect("a connection").0);
+        let mut at_worker = Peer::accept(&worker).await;
         // The system lets a connection hold more once much has passed over it.
         for id in 2..=200 {
-            let asked = at_worker.next().await.expect("a call");
-            at_worker.send(&served(&asked)).await;
+            at_worker.serve_next().await;
             gone.next().await.expect("an answer");
             gone.send(&call(id, "assign", &body)).await;
         }
-        let asked = at_worker.next().await.expect("a call");
-        at_worker.send(&served(&asked)).await;
+        at_worker.serve_next().await;
         gone.next().await.expect("an answer");
         assert!(stays.is_well(1).await);
         let calls: String = (301..=304).map(|id| call(id, "assign", &body)).collect();
--- a/crates/pipithub-node/tests/races.rs
+++ b/crates/pipithub-node/tests/races.rs
@@ -22,9 +22,8 @@
         assert!(gone.is_well(1).await && stays.is_well(1).await);
         // A connection to the worker stands ready: nothing holds the call back.
         stays.send(&call(6, "assign", "")).await;
-        let mut at_worker = Peer::of(worker.accept().await.expect("a connection").0);
-        let asked = at_worker.next().await.expect("a call");
-        at_worker.send(&served(&asked)).await;
+        let mut at_worker = Peer::accept(&worker).await;
+        at_worker.serve_next().await;
         stays.next().await.expect("an answer");
         // Both lie in the system before the front end reads any of it.
         gone.say(&call(7, "assign", ""));
@@ -47,9 +46,8 @@
         let (worker, _list, node) = one_worker().await;
         let mut client = Peer::connect(node).await;
         client.send(&call(7, "assign", "")).await;
-        let mut idle = Peer::of(worker.accept().await.expect("a connection").0);
-        let asked = idle.next().await.expect("a call");
-        idle.send(&served(&asked)).await;
+        let mut idle = Peer::accept(&worker).await;
+        idle.serve_next().await;
         assert!(client.next().await.expect("an answer")["result"].is_object());
         // The call first, so that it is handled first; the end of file is known by then, though nobody has read it.
         client.say(&call(8, "assign", ""));
@@ -73,7 +71,7 @@
         let (worker, _list, node) = one_worker().await;
         let mut client = Peer::connect(node).await;
         client.send(&call(7, "assign", "d29ybGQ=")).await;
-        let mut at_worker = Peer::of(worker.accept().await.expect("a connection").0);
+        let mut at_worker = Peer::accept(&worker).await;
         let asked = at_worker.next().await.expect("a call");
         client.send("noise\n").await;
         assert!(
@@ -98,7 +96,7 @@
         let (worker, _list, node) = one_worker().await;
         let mut client = Peer::connect(node).await;
         client.send(&call(7, "assign", "d29ybGQ=")).await;
-        let mut at_worker = Peer::of(worker.accept().await.expect("a connection").0);
+        let mut at_worker = Peer::accept(&worker).await;
         let asked = at_worker.next().await.expect("a call");
         let answer = served(&asked);
         at_worker.say(&answer[..answer.len() - 9]);
@@ -132,9 +130,8 @@
         let (worker, _list, node) = one_worker().await;
         let mut client = Peer::connect(node).await;
         client.send(&call(7, "view", "Zmlyc3Q=")).await;
-        let mut first = Peer::of(worker.accept().await.expect("a connection").0);
-        let asked = first.next().await.expect("a call");
-        first.send(&served(&asked)).await;
+        let mut first = Peer::accept(&worker).await;
+        let asked = first.serve_next().await;
         client.next().await.expect("an answer");
         client.send(&call(7, "view", "c2Vjb25k")).await;
         let mut second = Peer::of(worker.accept().await.expect("a connection of its own").0);
@@ -204,9 +201,8 @@
             id += 1;
         }
         client.send(&call(id + 1, "view", "")).await;
-        let mut at_worker = Peer::of(worker.accept().await.expect("a connection").0);
-        let asked = at_worker.next().await.expect("a call");
-        at_worker.send(&served(&asked)).await;
+        let mut at_worker = Peer::accept(&worker).await;
+        at_worker.serve_next().await;
         assert!(client.next().await.expect("an answer")["result"].is_object());
     })
     .await;
@@ -259,7 +255,7 @@
         };
         let serves = async {
             loop {
-                let mut peer = Peer::of(worker.accept().await.expect("a connection").0);
+                let mut peer = Peer::accept(&worker).await;
                 let seen = seen.clone();
                 tokio::task::spawn_local(async move {
                     while let Ok(Some(line)) = peer.lines.next_line().await {
--- a/crates/pipithub-node/tests/socket_harness/mod.rs
+++ b/crates/pipithub-node/tests/socket_harness/mod.rs
@@ -84,6 +84,18 @@
         Peer::of(TcpStream::connect(address).await.expect("connects"))
     }
 
+    /// The next connection that the front end makes to this listener.
+    pub(crate) async fn accept(listener: &TcpListener) -> Self {
+        Peer::of(listener.accept().await.expect("a connection").0)
+    }
+
+    /// As a worker, serves the next call; returns its line.
+    pub(crate) async fn serve_next(&mut self) -> Value {
+        let asked = self.next().await.expect("a call");
+        self.send(&served(&asked)).await;
+        asked
+    }
+
     /// The next line, as JSON; `None` at a clean end.
     pub(crate) async fn next(&mut self) -> Option<Value> {
         let line = self.lines.next_line().await.expect("no reset")?;
--- a/crates/pipithub-node/tests/unread_answers.rs
+++ b/crates/pipithub-node/tests/unread_answers.rs
@@ -16,9 +16,8 @@
         let node = start(&config).await;
         let mut watcher = Peer::connect(node).await;
         watcher.send(&call(1, "view", "")).await;
-        let mut at_worker = Peer::of(worker.accept().await.expect("a connection").0);
-        let asked = at_worker.next().await.expect("a call");
-        at_worker.send(&served(&asked)).await;
+        let mut at_worker = Peer::accept(&worker).await;
+        at_worker.serve_next().await;
         watcher.next().await.expect("an answer");
         let (mut clients, mut question) = (Vec::new(), 1);
         let body = "A".repeat(21_844);
--- a/crates/pipithub-node/tests/unread_calls.rs
+++ b/crates/pipithub-node/tests/unread_calls.rs
@@ -60,15 +60,13 @@
     // Some are served first, so that the module knows the function to stand there and to be quick.
     let mut watcher = Peer::connect(node).await;
     watcher.send(&class_call(1000, 8, "")).await;
-    let mut at_worker = Peer::of(worker.accept().await.expect("a connection").0);
+    let mut at_worker = Peer::accept(&worker).await;
     for id in 1001..1200 {
-        let asked = at_worker.next().await.expect("a call");
-        at_worker.send(&served(&asked)).await;
+        at_worker.serve_next().await;
         watcher.next().await.expect("an answer");
         watcher.send(&class_call(id, 8, "")).await;
     }
-    let asked = at_worker.next().await.expect("a call");
-    at_worker.send(&served(&asked)).await;
+    at_worker.serve_next().await;
     watcher.next().await.expect("an answer");
     let body = "A".repeat(21_844);
     let mut clients = Vec::new();
