--- a/crates/pipithub-conformance/tests/planted.rs
+++ b/crates/pipithub-conformance/tests/rules.rs
@@ -1,25 +1,27 @@
-//! The checker against records of a good day, and of each rule broken on purpose.
+//! The checks against compliant traffic, and against traffic in which each rule is broken on purpose.
 
 use std::collections::BTreeMap;
 
 use pipithub_conformance::record::{Record, Seen};
-use pipithub_conformance::rules::{ClassRules, Effect, Rule, RuleBook, check};
+use pipithub_conformance::rules::{
+    ClassRules, Idempotency, LoadRateLimit, Rule, RuleConfig, check,
+};
 
 const MS: u64 = 1_000_000;
 
-fn book() -> RuleBook {
-    let class = |effect| ClassRules {
-        effect,
-        give_up: 2_000 * MS,
-        aim: 1_000 * MS,
-        worth: 1.0,
-        dedup_window: 1_000 * MS,
+fn config() -> RuleConfig {
+    let class = |idempotency| ClassRules {
+        idempotency,
+        client_timeout: 2_000 * MS,
+        latency_objective: 1_000 * MS,
+        priority_weight: 1.0,
+        deduplication_window: 1_000 * MS,
     };
-    RuleBook {
+    RuleConfig {
         classes: [
-            ("safe", Effect::Safe),
-            ("keyed", Effect::Keyed),
-            ("unsafe", Effect::Unsafe),
+            ("safe", Idempotency::Idempotent),
+            ("keyed", Idempotency::WithKey),
+            ("unsafe", Idempotency::NonIdempotent),
         ]
         .into_iter()
         .map(|(n, e)| (n.to_string(), class(e)))
@@ -27,16 +29,20 @@
         queue: "calls".into(),
         slack: 50 * MS,
         drain_grace: 500 * MS,
-        ration: Some((5_000 * MS, 1.0, 0.5)),
-        move_bound: None,
-        until: None,
+        load_rate_limit: Some(LoadRateLimit {
+            window: 5_000 * MS,
+            burst: 1.0,
+            per_request: 0.5,
+        }),
+        migration_grace: None,
+        published_until: None,
     }
 }
 
 fn at(ms: u64, place: &str, seen: Seen) -> Record {
     Record {
-        t: (1_000_000 + ms) * MS,
-        at: place.into(),
+        time_ns: (1_000_000 + ms) * MS,
+        observer: place.into(),
         seen,
     }
 }
@@ -132,7 +138,7 @@
     )
 }
 
-fn order(ms: u64, worker: &str) -> Record {
+fn load_command(ms: u64, worker: &str) -> Record {
     at(
         ms,
         worker,
@@ -144,7 +150,7 @@
     )
 }
 
-fn told(ms: u64, worker: &str, state: &str) -> Record {
+fn notified(ms: u64, worker: &str, state: &str) -> Record {
     let (front_end, worker, state) = ("fe".into(), worker.into(), state.into());
     at(
         ms,
@@ -159,7 +165,7 @@
 }
 
 /// A call that is turned away once, then served.
-fn good() -> Vec<Record> {
+fn compliant() -> Vec<Record> {
     vec![
         published(0, "a", "unsafe"),
         delivered(1, "a", false),
@@ -169,13 +175,13 @@
         ran(6, "a", "w2"),
         replied(90, "a", "w2", 1, false),
         answered(95, "a", "served"),
-        told(100, "w1", "draining"),
-        order(110, "w2"),
+        notified(100, "w1", "draining"),
+        load_command(110, "w2"),
     ]
 }
 
 fn broken(records: Vec<Record>) -> Vec<Rule> {
-    let mut rules: Vec<Rule> = check(&records, &book())
+    let mut rules: Vec<Rule> = check(&records, &config())
         .into_iter()
         .map(|b| b.rule)
         .collect();
@@ -184,23 +190,23 @@
 }
 
 fn with(more: Vec<Record>) -> Vec<Record> {
-    good().into_iter().chain(more).collect()
+    compliant().into_iter().chain(more).collect()
 }
 
 #[test]
-fn a_good_day_breaks_nothing() {
-    assert_eq!(broken(good()), []);
+fn compliant_traffic_breaks_no_rule() {
+    assert_eq!(broken(compliant()), []);
 }
 
 #[test]
-fn answers_that_lack_double_or_come_late_are_found() {
+fn missing_duplicate_and_late_answers_are_found() {
     assert_eq!(
         broken(with(vec![published(10, "b", "safe")])),
-        [Rule::OneAnswer]
+        [Rule::OneFinalAnswer]
     );
     assert_eq!(
         broken(with(vec![answered(200, "a", "failed")])),
-        [Rule::OneAnswer]
+        [Rule::OneFinalAnswer]
     );
     let late = |ms, again| {
         vec![
@@ -211,21 +217,21 @@
         ]
     };
     assert_eq!(broken(with(late(2_055, false))), []);
-    assert_eq!(broken(with(late(2_100, false))), [Rule::OneAnswer]);
+    assert_eq!(broken(with(late(2_100, false))), [Rule::OneFinalAnswer]);
     assert_eq!(
         broken(with(late(3_400, true))),
         [],
         "its first front end died"
     );
-    assert_eq!(broken(with(late(3_600, true))), [Rule::OneAnswer]);
+    assert_eq!(broken(with(late(3_600, true))), [Rule::OneFinalAnswer]);
     assert_eq!(
         broken(with(vec![call(200, "a", "w3", 2)])),
-        [Rule::OneAnswer, Rule::NoEffectTwice]
+        [Rule::OneFinalAnswer, Rule::EffectAtMostOnce]
     );
 }
 
 #[test]
-fn effects_that_double_are_found() {
+fn duplicate_effects_are_found() {
     let two = |class: &str, second: u64| {
         vec![
             published(0, "b", class),
@@ -239,17 +245,17 @@
     assert_eq!(broken(two("keyed", 200)), []);
     assert_eq!(
         broken(two("keyed", 1_200)),
-        [Rule::NoEffectTwice],
+        [Rule::EffectAtMostOnce],
         "forgotten by then"
     );
     assert_eq!(
         broken(two("unsafe", 200)),
-        [Rule::NoEffectTwice],
+        [Rule::EffectAtMostOnce],
         "it may have run, whether it did or not"
     );
     assert_eq!(
         broken(with(vec![ran(50, "a", "w3")])),
-        [Rule::NoEffectTwice]
+        [Rule::EffectAtMostOnce]
     );
     let refused = vec![
         published(0, "b", "unsafe"),
@@ -260,31 +266,31 @@
     ];
     assert_eq!(
         broken(refused),
-        [Rule::NoEffectTwice],
+        [Rule::EffectAtMostOnce],
         "a refusal of what ran is a lie"
     );
 }
 
 #[test]
-fn work_for_drained_workers_is_found() {
+fn work_for_draining_and_removed_workers_is_found() {
     let after = |ms, state| {
         let (came, over) = (delivered(551, "b", false), answered(900, "b", "served"));
         with(vec![
             published(550, "b", "safe"),
             came,
-            told(700, "w1", state),
+            notified(700, "w1", state),
             call(ms, "b", "w1", 0),
             over,
         ])
     };
     assert_eq!(broken(after(600, "draining")), []);
-    assert_eq!(broken(after(800, "draining")), [Rule::DrainsKept]);
-    assert_eq!(broken(after(800, "gone")), [Rule::DrainsKept]);
+    assert_eq!(broken(after(800, "draining")), [Rule::DrainRespected]);
+    assert_eq!(broken(after(800, "gone")), [Rule::DrainRespected]);
     assert_eq!(broken(after(800, "live")), [], "it came back");
 }
 
 #[test]
-fn a_worker_pushed_over_is_found() {
+fn a_worker_overloaded_during_slow_start_is_found() {
     assert_eq!(
         broken(with(vec![at(
             5,
@@ -294,26 +300,26 @@
                 bound: 4.0
             }
         )])),
-        [Rule::ColdWorkers]
+        [Rule::SlowStartRespected]
     );
 }
 
 #[test]
-fn loads_beyond_the_ration_are_found() {
+fn load_commands_beyond_the_rate_limit_are_found() {
     // One in any case and half of the one call taken: 1.5.
     assert_eq!(
-        broken(with(vec![order(6_000, "w2")])),
+        broken(with(vec![load_command(6_000, "w2")])),
         [],
         "the window has passed"
     );
     assert_eq!(
-        broken(with(vec![order(2_000, "w2")])),
-        [Rule::LoadsRationed]
+        broken(with(vec![load_command(2_000, "w2")])),
+        [Rule::LoadRateLimited]
     );
 }
 
 #[test]
-fn calls_that_cross_tenants_are_found() {
+fn requests_that_cross_tenants_are_found() {
     let moved = |ms: u64, tenant: &str| {
         at(
             ms,
@@ -341,12 +347,14 @@
             sent,
             answered(900, "b", "served"),
         ];
-        let book = RuleBook {
-            move_bound: Some(200 * MS),
-            ..book()
+        let config = RuleConfig {
+            migration_grace: Some(200 * MS),
+            ..config()
         };
-        let all = pipithub_conformance::rules::check(&records, &book);
-        all.iter().filter(|b| b.rule == Rule::TenantsApart).count()
+        let all = pipithub_conformance::rules::check(&records, &config);
+        all.iter()
+            .filter(|b| b.rule == Rule::TenantIsolation)
+            .count()
     };
     assert_eq!(crossed(400, "north-map", "mai"), 0);
     assert_eq!(crossed(650, "north-map", "mai"), 0, "within the bound");
@@ -357,13 +365,13 @@
 }
 
 #[test]
-fn records_read_back_and_a_cut_line_is_passed_over() {
-    let text: String = good().iter().map(Record::line).collect();
-    assert_eq!(Record::read_all(&text).expect("own lines"), good());
+fn records_read_back_and_a_truncated_line_is_skipped() {
+    let text: String = compliant().iter().map(Record::line).collect();
+    assert_eq!(Record::read_all(&text).expect("own lines"), compliant());
     let cut = &text[..text.len() - 5];
     assert_eq!(
         Record::read_all(cut).expect("but the last").len(),
-        good().len() - 1
+        compliant().len() - 1
     );
     let error = Record::read_all("{\"t\":1}\n").expect_err("no record");
     assert_eq!(error.line, 1);
--- a/crates/pipithub-gateway/tests/tenants/random_days.rs
+++ b/crates/pipithub-gateway/tests/tenants/random_days.rs
@@ -7,7 +7,7 @@
 use pipithub_emulator::directory::DirectoryServer;
 use pipithub_gateway::Gateway;
 use pipithub_scenario::client::{Publish, QueueClient};
-use pipithub_scenario::load::Chance;
+use pipithub_scenario::random::SplitMix64;
 
 use crate::rig::{Stage, answer, call, directory, tree};
 
@@ -84,7 +84,7 @@
 
 struct Day {
     seed: u64,
-    chance: Chance,
+    random: SplitMix64,
     users: Vec<User>,
     /// The server that hears of no moves.
     stale: usize,
@@ -111,7 +111,7 @@
         );
         Day {
             seed,
-            chance: Chance::new(seed),
+            random: SplitMix64::new(seed),
             users,
             stale: 0,
             wanted: BTreeMap::new(),
@@ -133,10 +133,10 @@
             while self.client.answers.try_recv().is_ok() {
                 self.answered += 1;
             }
-            let user = self.chance.below(self.users.len());
+            let user = self.random.below(self.users.len());
             let call = self.draw_call(user);
             self.client.calls.send(call).await.expect("running");
-            if self.chance.unit() < MOVE_PART {
+            if self.random.unit() < MOVE_PART {
                 self.move_user(user);
             }
             if began.elapsed().as_secs_f64() > next_fault {
@@ -156,8 +156,8 @@
     }
 
     fn draw_call(&mut self, user: usize) -> Publish {
-        let side = if self.chance.unit() < RANDOM_SIDE_PART {
-            SIDES[self.chance.below(2)]
+        let side = if self.random.unit() < RANDOM_SIDE_PART {
+            SIDES[self.random.below(2)]
         } else {
             self.users[user].side
         };
@@ -192,8 +192,8 @@
         for server in &self.servers {
             server.set_faults(|f| *f = Default::default());
         }
-        let one = &self.servers[self.chance.below(2)];
-        match self.chance.below(8) {
+        let one = &self.servers[self.random.below(2)];
+        match self.random.below(8) {
             0 => one.set_faults(|f| f.silent = true),
             1 => one.set_faults(|f| f.delay = Duration::from_millis(290)),
             2 => one.set_faults(|f| f.drop_every = 2),
--- a/crates/pipithub-gateway/tests/tenants/rig.rs
+++ b/crates/pipithub-gateway/tests/tenants/rig.rs
@@ -141,7 +141,7 @@
             Seen::Call {
                 request, function, ..
             } => Some(SentCall {
-                at: r.t,
+                at: r.time_ns,
                 request,
                 function,
             }),
