--- a/crates/pipithub/src/standin.rs
+++ b/crates/pipithub/src/emulator.rs
@@ -1,4 +1,5 @@
-//! Stand-ins as processes: each prints its address first, and logs to standard error.
+//! `pipithub emulator`: emulated brokers, workers and other servers as processes. Each prints its address first and
+//! logs to standard error.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -17,8 +18,11 @@
 use pipithub_emulator::worker::{WorkerServer, WorkerSettings};
 use tokio::io::{AsyncBufReadExt, BufReader};
 
+/// The target of this module's log lines: filters and readers of logs know it by the command's first name.
+const LOG_TARGET: &str = "pipithub::standin";
+
 #[derive(Subcommand)]
-pub(crate) enum Standin {
+pub(crate) enum Emulator {
     /// An AMQP 0-9-1 broker; user guest, password guest, virtual host `/`.
     Broker {
         #[command(flatten)]
@@ -169,9 +173,9 @@
 }
 
 #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
-pub(crate) async fn run(standin: Standin) -> Result<()> {
-    match standin {
-        Standin::Broker { common, queue } => {
+pub(crate) async fn run(emulator: Emulator) -> Result<()> {
+    match emulator {
+        Emulator::Broker { common, queue } => {
             let recorder = common.check()?;
             let queues = queue.into_iter().map(|q| (q, FieldTable::new())).collect();
             let settings = BrokerSettings {
@@ -191,7 +195,7 @@
             };
             stop_or(commands(common.commands, act)).await
         }
-        Standin::Worker(worker) => {
+        Emulator::Worker(worker) => {
             let recorder = worker.common.check()?;
             let ms = |ms: u64| ms * 1_000_000;
             let settings = WorkerSettings {
@@ -224,7 +228,7 @@
                 () = fallen.fallen() => Err(miette!("it fell over: it was sent too much while cold")),
             }
         }
-        Standin::Store {
+        Emulator::Store {
             common,
             fetch_ms,
             at_once,
@@ -242,14 +246,14 @@
             say(store.address());
             stop_or(commands(common.commands, |_| {})).await
         }
-        Standin::List { common } => {
+        Emulator::List { common } => {
             let list = ListServer::start(common.listen, common.check()?)
                 .await
                 .into_diagnostic()?;
             say(list.address());
             stop_or(commands(common.commands, |_| {})).await
         }
-        Standin::Directory {
+        Emulator::Directory {
             common,
             tree,
             bind,
@@ -273,12 +277,12 @@
             say(server.address());
             let act = |line: &str| {
                 if !server.command(line) {
-                    tracing::warn!(line, "not done");
+                    tracing::warn!(target: LOG_TARGET, line, "not done");
                 }
             };
             stop_or(commands(common.commands, act)).await
         }
-        Standin::Proxy { common, to } => {
+        Emulator::Proxy { common, to } => {
             common.check()?;
             let proxy = Proxy::start(common.listen, to).await.into_diagnostic()?;
             say(proxy.address());
@@ -291,7 +295,7 @@
                 ("half-close", _) => proxy.set(Damage::HalfClose),
                 ("swallow", _) => proxy.set(Damage::Swallow),
                 ("corrupt", _) => proxy.set(Damage::Corrupt),
-                _ => tracing::warn!(line, "not understood"),
+                _ => tracing::warn!(target: LOG_TARGET, line, "not understood"),
             };
             stop_or(commands(common.commands, act)).await
         }
--- a/crates/pipithub/src/main.rs
+++ b/crates/pipithub/src/main.rs
@@ -1,9 +1,9 @@
 //! The command line.
 
 mod demo;
-mod members;
+mod emulator;
+mod membership;
 mod publish;
-mod standin;
 mod tenants;
 
 use std::path::{Path, PathBuf};
@@ -55,9 +55,10 @@
         command: ConfigCommand,
     },
     /// Runs a stand-in for something that the gateway meets.
-    Standin {
+    #[command(visible_alias = "standin")]
+    Emulator {
         #[command(subcommand)]
-        command: standin::Standin,
+        command: emulator::Emulator,
     },
     /// Shows tenants, checks their directories, explains whose a user is.
     Tenants {
@@ -65,16 +66,18 @@
         command: tenants::Tenants,
     },
     /// Shows who is in the fleet, as a running front end believes, and why.
-    Members {
+    #[command(visible_alias = "members")]
+    Membership {
         #[command(subcommand)]
-        command: members::Members,
+        command: membership::Membership,
     },
     /// Publishes calls to a queue and shows their answers.
     Publish(publish::Publish),
     /// Runs everything on loopback for some seconds and shows what comes of it.
     Demo,
     /// Runs a scripted day and has the rules checked; ends with 0 only where all were kept.
-    Drill {
+    #[command(visible_alias = "drill")]
+    Scenario {
         /// The day.
         file: PathBuf,
         /// Its seed.
@@ -162,7 +165,7 @@
         Command::Serve { config, baseline } => {
             let config = load(&config)?;
             log(config.log.json, &config.log.level);
-            let fleet = members::start(&config).await?;
+            let fleet = membership::start(&config).await?;
             let gateway = Gateway::start_deciding_by(&config, baseline.map(Baseline::policy));
             asked_to_stop().await?;
             gateway.stop().await;
@@ -191,16 +194,16 @@
             );
             Ok(ExitCode::SUCCESS)
         }
-        Command::Standin { command } => {
+        Command::Emulator { command } => {
             log(false, "info");
-            standin::run(command).await?;
+            emulator::run(command).await?;
             Ok(ExitCode::SUCCESS)
         }
-        Command::Members { command } => members::run(command),
+        Command::Membership { command } => membership::run(command),
         Command::Tenants { command } => tenants::run(command).await,
         Command::Publish(publish) => publish::run(publish).await,
         Command::Demo => demo::run().await,
-        Command::Drill {
+        Command::Scenario {
             file,
             seed,
             json,
@@ -212,7 +215,7 @@
                 .into_diagnostic()
                 .wrap_err_with(|| file.display().to_string())?;
             if FleetDay::is_one(&text) {
-                return fleet_drill(&file, &text, seed, json, folder).await;
+                return run_fleet_scenario(&file, &text, seed, json, folder).await;
             }
             let day = Scenario::parse(&file.display().to_string(), &text)
                 .map_err(|e| miette::Report::new(*e))?;
@@ -245,7 +248,7 @@
 }
 
 /// Plays a fleet's day.
-async fn fleet_drill(
+async fn run_fleet_scenario(
     file: &Path,
     text: &str,
     seed: u64,
--- a/crates/pipithub/src/members.rs
+++ b/crates/pipithub/src/membership.rs
@@ -1,4 +1,4 @@
-//! `pipithub members`: how a front end's part in the fleet stands, and why it believes what it does.
+//! `pipithub membership`: how a front end's part in the fleet stands, and why it believes what it does.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -10,7 +10,7 @@
 use pipithub_settings::Config;
 
 #[derive(Subcommand)]
-pub(crate) enum Members {
+pub(crate) enum Membership {
     /// Lists the members as the running front end believes them to be; ends with 0 only where it takes part.
     Status {
         /// The settings file.
@@ -58,9 +58,9 @@
     Ok((report, DataFolder::in_use(&fleet.data)))
 }
 
-pub(crate) fn run(command: Members) -> Result<ExitCode> {
+pub(crate) fn run(command: Membership) -> Result<ExitCode> {
     match command {
-        Members::Status { config, json } => {
+        Membership::Status { config, json } => {
             let (report, running) = report(&config)?;
             if json {
                 let mut value = serde_json::to_value(&report).into_diagnostic()?;
@@ -76,7 +76,7 @@
                 ExitCode::FAILURE
             })
         }
-        Members::Explain {
+        Membership::Explain {
             member,
             config,
             json,
--- a/crates/pipithub/tests/cli.rs
+++ b/crates/pipithub/tests/cli.rs
@@ -126,6 +126,50 @@
     assert!(String::from_utf8_lossy(&output.stderr).contains("loopback alone"));
 }
 
+/// Scripts and pages may use the former names of commands: both lead to the same code, with the same output.
+#[test]
+fn renamed_commands_accept_their_former_names() {
+    let no_fleet = file(
+        "no-fleet.kdl",
+        "class \"view\" effect=\"safe\"\nworkers { worker \"127.0.0.1:1\" }\n",
+    );
+    let unreadable = file("unreadable-scenario.kdl", "day length=\"soon\"\n");
+    let cases: [(&str, &str, &[&str], &str); 3] = [
+        (
+            "emulator",
+            "standin",
+            &["broker", "--listen", "0.0.0.0:0"],
+            "loopback alone",
+        ),
+        (
+            "membership",
+            "members",
+            &["status", "--config", &no_fleet],
+            "these settings have no fleet",
+        ),
+        (
+            "scenario",
+            "drill",
+            &[&unreadable],
+            "unreadable-scenario.kdl:1",
+        ),
+    ];
+    for (name, former_name, arguments, reason) in cases {
+        let output = run(&[&[name], arguments].concat());
+        let told = String::from_utf8_lossy(&output.stderr);
+        assert!(!output.status.success(), "{name}");
+        assert!(told.contains(reason), "{name}: {told}");
+        assert_eq!(
+            run(&[&[former_name], arguments].concat()),
+            output,
+            "{former_name}"
+        );
+        let help = run(&[name, "--help"]);
+        assert!(help.status.success(), "{name}");
+        assert_eq!(run(&[former_name, "--help"]), help, "{former_name}");
+    }
+}
+
 #[test]
 fn a_day_that_cannot_be_read_names_place_and_reason() {
     let bad = file(
