--- a/crates/pipithub/src/demo.rs
+++ b/crates/pipithub/src/demo.rs
@@ -1,27 +1,32 @@
-//! `pipithub demo`: a short day with troubles, watched live.
+//! `pipithub demo`: a short scenario with faults, watched live.
 
 use std::process::ExitCode;
 
 use miette::{IntoDiagnostic, Result, miette};
 use pipithub_scenario::scenario::Scenario;
 
-const DAY: &str = include_str!("../demo.kdl");
+const SCENARIO: &str = include_str!("../demo.kdl");
 
 pub(crate) async fn run() -> Result<ExitCode> {
-    crate::log(false, "warn");
-    let day = Scenario::parse("demo.kdl", DAY).map_err(|e| miette::Report::new(*e))?;
+    crate::init_logging(false, "warn");
+    let scenario = Scenario::parse("demo.kdl", SCENARIO).map_err(|e| miette::Report::new(*e))?;
     println!(
         "A broker, {} front ends, {} workers, a model store and a worker list, each on loopback; {} calls a second.",
-        day.fronts, day.workers, day.rate
+        scenario.fronts, scenario.workers, scenario.rate
     );
     println!(
         "{} s, in which a worker crashes, a front end is killed and the broker drops all connections.",
-        day.length / 1_000_000_000
+        scenario.length / 1_000_000_000
     );
     let folder = std::env::temp_dir().join(format!("pipithub-demo-{}", std::process::id()));
     let binary = std::env::current_exe().into_diagnostic()?;
-    let judged =
-        pipithub_scenario::run::run(&day, 1, &binary, &folder, None, |second, sent, verdicts| {
+    let judged = pipithub_scenario::run::run(
+        &scenario,
+        1,
+        &binary,
+        &folder,
+        None,
+        |second, sent, verdicts| {
             let of = |v: &str| verdicts.get(v).copied().unwrap_or(0);
             println!(
                 "{second:>4.0} s  sent {sent:>5}  served {:>5}  refused {:>4}  failed {:>4}",
@@ -29,11 +34,12 @@
                 of("refused"),
                 of("failed")
             );
-        });
+        },
+    );
     let judged = judged
         .await
         .map_err(|e| miette!("{e}; logs are in {}", folder.display()))?;
-    crate::show(&day, 1, &judged);
+    crate::print_tables(&scenario, 1, &judged);
     let kept = judged.breaches.is_empty();
     if kept {
         let _ = std::fs::remove_dir_all(&folder);
--- a/crates/pipithub/src/emulator.rs
+++ b/crates/pipithub/src/emulator.rs
@@ -157,12 +157,12 @@
     }
 }
 
-fn say(address: SocketAddr) {
+fn print_address(address: SocketAddr) {
     println!("{}", serde_json::json!({"address": address.to_string()}));
 }
 
 /// Does what the lines on standard input say, until asked to stop.
-async fn commands(ends: bool, mut command: impl FnMut(&str)) {
+async fn execute_commands(ends: bool, mut command: impl FnMut(&str)) {
     let mut lines = BufReader::new(tokio::io::stdin()).lines();
     while let Ok(Some(line)) = lines.next_line().await {
         command(line.trim());
@@ -186,14 +186,14 @@
             let broker = BrokerServer::start(common.listen, settings)
                 .await
                 .into_diagnostic()?;
-            say(broker.address());
-            let act = |line: &str| match line {
+            print_address(broker.address());
+            let execute = |line: &str| match line {
                 "cut" => broker.cut_all(),
                 "block" => broker.set_blocked(Some("asked for")),
                 "unblock" => broker.set_blocked(None),
                 _ => {}
             };
-            stop_or(commands(common.commands, act)).await
+            until_shutdown(execute_commands(common.commands, execute)).await
         }
         Emulator::Worker(worker) => {
             let recorder = worker.common.check()?;
@@ -216,16 +216,16 @@
             let started =
                 WorkerServer::start(worker.common.listen, settings, worker.store, recorder).await;
             let server = Arc::new(started.into_diagnostic()?);
-            say(server.address());
-            let fallen = server.clone();
-            let act = |line: &str| match line {
+            print_address(server.address());
+            let watched = server.clone();
+            let execute = |line: &str| match line {
                 "silent on" => server.set_silent(true),
                 "silent off" => server.set_silent(false),
                 _ => {}
             };
             tokio::select! {
-                stopped = stop_or(commands(worker.common.commands, act)) => stopped,
-                () = fallen.overloaded() => Err(miette!("it fell over: it was sent too much while cold")),
+                stopped = until_shutdown(execute_commands(worker.common.commands, execute)) => stopped,
+                () = watched.overloaded() => Err(miette!("it fell over: it was sent too much while cold")),
             }
         }
         Emulator::Store {
@@ -243,15 +243,15 @@
             let store = StoreServer::start(common.listen, settings)
                 .await
                 .into_diagnostic()?;
-            say(store.address());
-            stop_or(commands(common.commands, |_| {})).await
+            print_address(store.address());
+            until_shutdown(execute_commands(common.commands, |_| {})).await
         }
         Emulator::List { common } => {
             let list = ListServer::start(common.listen, common.check()?)
                 .await
                 .into_diagnostic()?;
-            say(list.address());
-            stop_or(commands(common.commands, |_| {})).await
+            print_address(list.address());
+            until_shutdown(execute_commands(common.commands, |_| {})).await
         }
         Emulator::Directory {
             common,
@@ -274,19 +274,19 @@
             if let Some(file) = ca_out {
                 std::fs::write(file, server.ca()).into_diagnostic()?;
             }
-            say(server.address());
-            let act = |line: &str| {
+            print_address(server.address());
+            let execute = |line: &str| {
                 if !server.command(line) {
                     tracing::warn!(target: LOG_TARGET, line, "not done");
                 }
             };
-            stop_or(commands(common.commands, act)).await
+            until_shutdown(execute_commands(common.commands, execute)).await
         }
         Emulator::Proxy { common, to } => {
             common.check()?;
             let proxy = Proxy::start(common.listen, to).await.into_diagnostic()?;
-            say(proxy.address());
-            let act = |line: &str| match line.split_once(' ').unwrap_or((line, "")) {
+            print_address(proxy.address());
+            let execute = |line: &str| match line.split_once(' ').unwrap_or((line, "")) {
                 ("pass", _) => proxy.set(Damage::None),
                 ("delay", ms) => proxy.set(Damage::Delay(Duration::from_millis(
                     ms.parse().unwrap_or(100),
@@ -297,14 +297,14 @@
                 ("corrupt", _) => proxy.set(Damage::Corrupt),
                 _ => tracing::warn!(target: LOG_TARGET, line, "not understood"),
             };
-            stop_or(commands(common.commands, act)).await
+            until_shutdown(execute_commands(common.commands, execute)).await
         }
     }
 }
 
-async fn stop_or(commands: impl Future<Output = ()>) -> Result<()> {
+async fn until_shutdown(commands: impl Future<Output = ()>) -> Result<()> {
     tokio::select! {
-        stopped = crate::asked_to_stop() => stopped,
+        stopped = crate::shutdown_requested() => stopped,
         () = commands => Ok(()),
     }
 }
--- a/crates/pipithub/src/main.rs
+++ b/crates/pipithub/src/main.rs
@@ -138,7 +138,7 @@
     runtime.block_on(run(arguments.command))
 }
 
-fn log(json: bool, level: &str) {
+fn init_logging(json: bool, level: &str) {
     let filter = EnvFilter::try_from_default_env()
         .or_else(|_| EnvFilter::try_new(level))
         .unwrap_or_default();
@@ -153,7 +153,7 @@
     };
 }
 
-fn load(path: &Path) -> Result<Config> {
+fn load_settings(path: &Path) -> Result<Config> {
     let text = std::fs::read_to_string(path)
         .into_diagnostic()
         .wrap_err_with(|| path.display().to_string())?;
@@ -163,19 +163,19 @@
 async fn run(command: Command) -> Result<ExitCode> {
     match command {
         Command::Serve { config, baseline } => {
-            let config = load(&config)?;
-            log(config.log.json, &config.log.level);
-            let fleet = membership::start(&config).await?;
+            let config = load_settings(&config)?;
+            init_logging(config.log.json, &config.log.level);
+            let membership = membership::start(&config).await?;
             let gateway = Gateway::start_deciding_by(&config, baseline.map(Baseline::policy));
-            asked_to_stop().await?;
+            shutdown_requested().await?;
             gateway.stop().await;
-            if let Some(fleet) = fleet {
-                fleet.shutdown().await;
+            if let Some(membership) = membership {
+                membership.shutdown().await;
             }
             Ok(ExitCode::SUCCESS)
         }
         Command::Node { config, listen } => {
-            log(false, "info");
+            init_logging(false, "info");
             let node = Node::bind(&config, listen).await.into_diagnostic()?;
             tokio::task::LocalSet::new().run_until(node.serve()).await;
             Ok(ExitCode::SUCCESS)
@@ -183,7 +183,7 @@
         Command::Config {
             command: ConfigCommand::Check { file },
         } => {
-            let config = load(&file)?;
+            let config = load_settings(&file)?;
             let queues: usize = config.amqp.iter().map(|a| a.queues.len()).sum();
             println!(
                 "{}: good; {} classes, {} brokers with {queues} queues, {} timers",
@@ -195,7 +195,7 @@
             Ok(ExitCode::SUCCESS)
         }
         Command::Emulator { command } => {
-            log(false, "info");
+            init_logging(false, "info");
             emulator::run(command).await?;
             Ok(ExitCode::SUCCESS)
         }
@@ -210,14 +210,14 @@
             folder,
             baseline,
         } => {
-            log(false, "warn");
+            init_logging(false, "warn");
             let text = std::fs::read_to_string(&file)
                 .into_diagnostic()
                 .wrap_err_with(|| file.display().to_string())?;
             if FleetDay::is_one(&text) {
                 return run_fleet_scenario(&file, &text, seed, json, folder).await;
             }
-            let day = Scenario::parse(&file.display().to_string(), &text)
+            let scenario = Scenario::parse(&file.display().to_string(), &text)
                 .map_err(|e| miette::Report::new(*e))?;
             let given = folder.is_some();
             let folder = folder.unwrap_or_else(|| {
@@ -225,14 +225,20 @@
             });
             let binary = std::env::current_exe().into_diagnostic()?;
             let baseline = baseline.map(Baseline::name);
-            let judged =
-                pipithub_scenario::run::run(&day, seed, &binary, &folder, baseline, |_, _, _| {})
-                    .await;
+            let judged = pipithub_scenario::run::run(
+                &scenario,
+                seed,
+                &binary,
+                &folder,
+                baseline,
+                |_, _, _| {},
+            )
+            .await;
             let judged = judged.map_err(|e| miette!("{e}; logs are in {}", folder.display()))?;
             if json {
-                println!("{}", json_of(&day, seed, &judged));
+                println!("{}", to_json(&scenario, seed, &judged));
             } else {
-                show(&day, seed, &judged);
+                print_tables(&scenario, seed, &judged);
             }
             if judged.breaches.is_empty() {
                 if !given {
@@ -247,7 +253,7 @@
     }
 }
 
-/// Plays a fleet's day.
+/// Runs a scenario of a fleet.
 async fn run_fleet_scenario(
     file: &Path,
     text: &str,
@@ -256,14 +262,14 @@
     folder: Option<PathBuf>,
 ) -> Result<ExitCode> {
     use pipithub_conformance::fleet::Rule;
-    let day =
+    let scenario =
         FleetDay::parse(&file.display().to_string(), text).map_err(|e| miette::Report::new(*e))?;
     let given = folder.is_some();
     let folder = folder.unwrap_or_else(|| {
         std::env::temp_dir().join(format!("pipithub-fleet-{}-{seed}", std::process::id()))
     });
     let binary = std::env::current_exe().into_diagnostic()?;
-    let judged = pipithub_scenario::fleet::run(&day, seed, &binary, &folder).await;
+    let judged = pipithub_scenario::fleet::run(&scenario, seed, &binary, &folder).await;
     let judged = judged.map_err(|e| miette!("{e}; logs are in {}", folder.display()))?;
     let (history, broken) = (&judged.history, judged.breaches.len());
     let of = |rule: Rule| {
@@ -279,14 +285,14 @@
             serde_json::json!({"rule": r.name(), "kept": breaches.is_empty(), "breaches": breaches})
         });
         let value = serde_json::json!({
-            "day": day.name, "seed": seed, "runs": history.runs.len(), "claims": history.claims.len(),
+            "day": scenario.name, "seed": seed, "runs": history.runs.len(), "claims": history.claims.len(),
             "rules": rules, "faults": judged.faults,
         });
         println!("{value}");
     } else {
         println!(
             "{}, seed {seed}: {} runs, {} claims",
-            day.name,
+            scenario.name,
             history.runs.len(),
             history.claims.len()
         );
@@ -315,7 +321,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-async fn asked_to_stop() -> Result<()> {
+async fn shutdown_requested() -> Result<()> {
     let mut terminate = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
         .into_diagnostic()?;
     tokio::select! {
@@ -326,7 +332,7 @@
     Ok(())
 }
 
-fn json_of(day: &Scenario, seed: u64, judged: &Judged) -> serde_json::Value {
+fn to_json(scenario: &Scenario, seed: u64, judged: &Judged) -> serde_json::Value {
     let rule = |r: &Rule| {
         let broken: Vec<&str> = judged
             .breaches
@@ -337,7 +343,7 @@
         serde_json::json!({"rule": r.name(), "kept": broken.is_empty(), "breaches": broken})
     };
     serde_json::json!({
-        "day": day.name,
+        "day": scenario.name,
         "seed": seed,
         "calls": judged.calls,
         "rules": Rule::ALL.iter().map(rule).collect::<Vec<_>>(),
@@ -346,10 +352,10 @@
     })
 }
 
-fn show(day: &Scenario, seed: u64, judged: &Judged) {
+fn print_tables(scenario: &Scenario, seed: u64, judged: &Judged) {
     println!(
         "{}, seed {seed}: {} calls, {} answers at the client",
-        day.name, judged.calls, judged.answered
+        scenario.name, judged.calls, judged.answered
     );
     println!(
         "{:>7} {:>6} {:>8} {:>6} {:>8} {:>7} {:>8}",
--- a/crates/pipithub/src/membership.rs
+++ b/crates/pipithub/src/membership.rs
@@ -45,7 +45,7 @@
 }
 
 fn report(config: &Path) -> Result<(Report, bool)> {
-    let config = crate::load(config)?;
+    let config = crate::load_settings(config)?;
     let fleet = config
         .fleet
         .ok_or_else(|| miette!("these settings have no fleet: the front end shares nothing"))?;
--- a/crates/pipithub/src/tenants.rs
+++ b/crates/pipithub/src/tenants.rs
@@ -38,7 +38,7 @@
 }
 
 fn tenants(config: &Path) -> Result<(pipithub_settings::Config, TenantsConfig)> {
-    let config = crate::load(config)?;
+    let config = crate::load_settings(config)?;
     let tenants = config
         .tenants
         .clone()
