--- a/crates/pipithub/src/demo.rs
+++ b/crates/pipithub/src/demo.rs
@@ -18,13 +18,13 @@
         "{} s, in which a worker crashes, a front end is killed and the broker drops all connections.",
         scenario.length / 1_000_000_000
     );
-    let folder = std::env::temp_dir().join(format!("pipithub-demo-{}", std::process::id()));
+    let folder = crate::RunFolder::new(None, "demo", None);
     let binary = std::env::current_exe().into_diagnostic()?;
     let judged = pipithub_scenario::run::run(
         &scenario,
         1,
         &binary,
-        &folder,
+        folder.path(),
         None,
         |second, sent, verdicts| {
             let of = |v: &str| verdicts.get(v).copied().unwrap_or(0);
@@ -38,11 +38,11 @@
     );
     let judged = judged
         .await
-        .map_err(|e| miette!("{e}; logs are in {}", folder.display()))?;
+        .map_err(|e| miette!("{e}; logs are in {}", folder.path().display()))?;
     crate::print_tables(&scenario, 1, &judged);
     let kept = judged.breaches.is_empty();
     if kept {
-        let _ = std::fs::remove_dir_all(&folder);
+        folder.remove_if_temporary();
     }
     Ok(if kept {
         ExitCode::SUCCESS
--- a/crates/pipithub/src/main.rs
+++ b/crates/pipithub/src/main.rs
@@ -21,6 +21,9 @@
 use tracing::info;
 use tracing_subscriber::EnvFilter;
 
+/// Breaches of one rule that the tables show; JSON holds all.
+const MAX_BREACHES_SHOWN: usize = 10;
+
 /// A gateway that runs calls on workers which load functions or models on demand.
 #[derive(Parser)]
 #[command(version)]
@@ -219,40 +222,92 @@
             }
             let scenario = Scenario::parse(&file.display().to_string(), &text)
                 .map_err(|e| miette::Report::new(*e))?;
-            let given = folder.is_some();
-            let folder = folder.unwrap_or_else(|| {
-                std::env::temp_dir().join(format!("pipithub-drill-{}-{seed}", std::process::id()))
-            });
+            let folder = RunFolder::new(folder, "drill", Some(seed));
             let binary = std::env::current_exe().into_diagnostic()?;
             let baseline = baseline.map(Baseline::name);
             let judged = pipithub_scenario::run::run(
                 &scenario,
                 seed,
                 &binary,
-                &folder,
+                folder.path(),
                 baseline,
                 |_, _, _| {},
             )
             .await;
-            let judged = judged.map_err(|e| miette!("{e}; logs are in {}", folder.display()))?;
+            let judged =
+                judged.map_err(|e| miette!("{e}; logs are in {}", folder.path().display()))?;
             if json {
                 println!("{}", to_json(&scenario, seed, &judged));
             } else {
                 print_tables(&scenario, seed, &judged);
             }
             if judged.breaches.is_empty() {
-                if !given {
-                    let _ = std::fs::remove_dir_all(&folder);
-                }
+                folder.remove_if_temporary();
                 Ok(ExitCode::SUCCESS)
             } else {
-                eprintln!("logs and records are in {}", folder.display());
+                eprintln!("logs and records are in {}", folder.path().display());
                 Ok(ExitCode::FAILURE)
             }
         }
     }
 }
 
+/// Where a run keeps its logs and records.
+pub(crate) struct RunFolder {
+    path: PathBuf,
+    temporary: bool,
+}
+
+impl RunFolder {
+    /// The folder that the user named, or else one for temporary files that bears this kind of run in its name.
+    pub(crate) fn new(named: Option<PathBuf>, kind: &str, seed: Option<u64>) -> Self {
+        if let Some(path) = named {
+            return RunFolder {
+                path,
+                temporary: false,
+            };
+        }
+        let process = std::process::id();
+        let name = match seed {
+            Some(seed) => format!("pipithub-{kind}-{process}-{seed}"),
+            None => format!("pipithub-{kind}-{process}"),
+        };
+        RunFolder {
+            path: std::env::temp_dir().join(name),
+            temporary: true,
+        }
+    }
+
+    /// Where it is.
+    pub(crate) fn path(&self) -> &Path {
+        &self.path
+    }
+
+    /// Removes the folder unless the user named it; what cannot be removed is left to the system.
+    pub(crate) fn remove_if_temporary(&self) {
+        if self.temporary {
+            let _ = std::fs::remove_dir_all(&self.path);
+        }
+    }
+}
+
+/// One rule with its breaches, as JSON.
+fn rule_to_json(name: &str, breaches: &[&str]) -> serde_json::Value {
+    serde_json::json!({"rule": name, "kept": breaches.is_empty(), "breaches": breaches})
+}
+
+/// Prints one rule with its first breaches.
+fn print_rule(name: &str, breaches: &[&str]) {
+    let verdict = match breaches.len() {
+        0 => "kept".to_string(),
+        count => format!("BROKEN {count} times"),
+    };
+    println!("{name:<30} {verdict}");
+    for breach in breaches.iter().take(MAX_BREACHES_SHOWN) {
+        println!("    {breach}");
+    }
+}
+
 /// Runs a scenario of a fleet.
 async fn run_fleet_scenario(
     file: &Path,
@@ -264,26 +319,21 @@
     use pipithub_conformance::fleet::Rule;
     let scenario =
         FleetDay::parse(&file.display().to_string(), text).map_err(|e| miette::Report::new(*e))?;
-    let given = folder.is_some();
-    let folder = folder.unwrap_or_else(|| {
-        std::env::temp_dir().join(format!("pipithub-fleet-{}-{seed}", std::process::id()))
-    });
+    let folder = RunFolder::new(folder, "fleet", Some(seed));
     let binary = std::env::current_exe().into_diagnostic()?;
-    let judged = pipithub_scenario::fleet::run(&scenario, seed, &binary, &folder).await;
-    let judged = judged.map_err(|e| miette!("{e}; logs are in {}", folder.display()))?;
+    let judged = pipithub_scenario::fleet::run(&scenario, seed, &binary, folder.path()).await;
+    let judged = judged.map_err(|e| miette!("{e}; logs are in {}", folder.path().display()))?;
     let (history, broken) = (&judged.history, judged.breaches.len());
-    let of = |rule: Rule| {
+    let of = |rule: Rule| -> Vec<&str> {
         judged
             .breaches
             .iter()
-            .filter(move |b| b.rule == rule)
-            .map(|b| b.what.as_str())
+            .filter(|breach| breach.rule == rule)
+            .map(|breach| breach.what.as_str())
+            .collect()
     };
     if json {
-        let rules = Rule::ALL.map(|r| {
-            let breaches: Vec<&str> = of(r).collect();
-            serde_json::json!({"rule": r.name(), "kept": breaches.is_empty(), "breaches": breaches})
-        });
+        let rules = Rule::ALL.map(|rule| rule_to_json(rule.name(), &of(rule)));
         let value = serde_json::json!({
             "day": scenario.name, "seed": seed, "runs": history.runs.len(), "claims": history.claims.len(),
             "rules": rules, "faults": judged.faults,
@@ -301,23 +351,14 @@
             .iter()
             .for_each(|(at, what)| println!("{at:>7.1} s {what}"));
         for rule in Rule::ALL {
-            let count = of(rule).count();
-            let word = if count == 0 {
-                "kept".to_string()
-            } else {
-                format!("BROKEN {count} times")
-            };
-            println!("{:<30} {word}", rule.name());
-            of(rule).take(10).for_each(|what| println!("    {what}"));
+            print_rule(rule.name(), &of(rule));
         }
     }
     if broken > 0 {
-        eprintln!("logs and data folders are in {}", folder.display());
+        eprintln!("logs and data folders are in {}", folder.path().display());
         return Ok(ExitCode::FAILURE);
     }
-    if !given {
-        let _ = std::fs::remove_dir_all(&folder);
-    }
+    folder.remove_if_temporary();
     Ok(ExitCode::SUCCESS)
 }
 
@@ -332,16 +373,17 @@
     Ok(())
 }
 
+fn breaches_of(judged: &Judged, rule: Rule) -> Vec<&str> {
+    judged
+        .breaches
+        .iter()
+        .filter(|breach| breach.rule == rule)
+        .map(|breach| breach.what.as_str())
+        .collect()
+}
+
 fn to_json(scenario: &Scenario, seed: u64, judged: &Judged) -> serde_json::Value {
-    let rule = |r: &Rule| {
-        let broken: Vec<&str> = judged
-            .breaches
-            .iter()
-            .filter(|b| b.rule == *r)
-            .map(|b| b.what.as_str())
-            .collect();
-        serde_json::json!({"rule": r.name(), "kept": broken.is_empty(), "breaches": broken})
-    };
+    let rule = |rule: &Rule| rule_to_json(rule.name(), &breaches_of(judged, *rule));
     serde_json::json!({
         "day": scenario.name,
         "seed": seed,
@@ -383,19 +425,6 @@
         judged.report.attempts
     );
     for rule in Rule::ALL {
-        let broken: Vec<_> = judged.breaches.iter().filter(|b| b.rule == rule).collect();
-        println!(
-            "{:<30} {}",
-            rule.name(),
-            if broken.is_empty() {
-                "kept".to_string()
-            } else {
-                format!("BROKEN {} times", broken.len())
-            }
-        );
-        broken
-            .iter()
-            .take(10)
-            .for_each(|b| println!("    {}", b.what));
+        print_rule(rule.name(), &breaches_of(judged, rule));
     }
 }
