--- a/crates/pipithub-scenario/src/lib.rs
+++ b/crates/pipithub-scenario/src/lib.rs
@@ -7,6 +7,8 @@
 pub mod client;
 pub mod fleet;
 pub mod load;
+pub mod outcome;
 pub mod process;
+pub mod random;
 pub mod run;
 pub mod scenario;
--- a/crates/pipithub/src/demo.rs
+++ b/crates/pipithub/src/demo.rs
@@ -12,11 +12,11 @@
     let scenario = Scenario::parse("demo.kdl", SCENARIO).map_err(|e| miette::Report::new(*e))?;
     println!(
         "A broker, {} front ends, {} workers, a model store and a worker list, each on loopback; {} calls a second.",
-        scenario.fronts, scenario.workers, scenario.rate
+        scenario.front_ends, scenario.workers, scenario.rate
     );
     println!(
         "{} s, in which a worker crashes, a front end is killed and the broker drops all connections.",
-        scenario.length / 1_000_000_000
+        scenario.duration / 1_000_000_000
     );
     let folder = crate::RunFolder::new(None, "demo", None);
     let binary = std::env::current_exe().into_diagnostic()?;
--- a/crates/pipithub/src/main.rs
+++ b/crates/pipithub/src/main.rs
@@ -14,8 +14,8 @@
 use pipithub_conformance::rules::Rule;
 use pipithub_gateway::{Gateway, Policy};
 use pipithub_node::shell::Node;
-use pipithub_scenario::fleet::FleetDay;
-use pipithub_scenario::run::Judged;
+use pipithub_scenario::fleet::FleetScenario;
+use pipithub_scenario::run::Outcome;
 use pipithub_scenario::scenario::Scenario;
 use pipithub_settings::Config;
 use tracing::info;
@@ -217,7 +217,7 @@
             let text = std::fs::read_to_string(&file)
                 .into_diagnostic()
                 .wrap_err_with(|| file.display().to_string())?;
-            if FleetDay::is_one(&text) {
+            if FleetScenario::is_fleet_scenario(&text) {
                 return run_fleet_scenario(&file, &text, seed, json, folder).await;
             }
             let scenario = Scenario::parse(&file.display().to_string(), &text)
@@ -317,8 +317,8 @@
     folder: Option<PathBuf>,
 ) -> Result<ExitCode> {
     use pipithub_conformance::fleet::Rule;
-    let scenario =
-        FleetDay::parse(&file.display().to_string(), text).map_err(|e| miette::Report::new(*e))?;
+    let scenario = FleetScenario::parse(&file.display().to_string(), text)
+        .map_err(|e| miette::Report::new(*e))?;
     let folder = RunFolder::new(folder, "fleet", Some(seed));
     let binary = std::env::current_exe().into_diagnostic()?;
     let judged = pipithub_scenario::fleet::run(&scenario, seed, &binary, folder.path()).await;
@@ -349,7 +349,7 @@
         judged
             .faults
             .iter()
-            .for_each(|(at, what)| println!("{at:>7.1} s {what}"));
+            .for_each(|fault| println!("{:>7.1} s {}", fault.at_s, fault.description));
         for rule in Rule::ALL {
             print_rule(rule.name(), &of(rule));
         }
@@ -373,7 +373,7 @@
     Ok(())
 }
 
-fn breaches_of(judged: &Judged, rule: Rule) -> Vec<&str> {
+fn breaches_of(judged: &Outcome, rule: Rule) -> Vec<&str> {
     judged
         .breaches
         .iter()
@@ -382,7 +382,7 @@
         .collect()
 }
 
-fn to_json(scenario: &Scenario, seed: u64, judged: &Judged) -> serde_json::Value {
+fn to_json(scenario: &Scenario, seed: u64, judged: &Outcome) -> serde_json::Value {
     let rule = |rule: &Rule| rule_to_json(rule.name(), &breaches_of(judged, *rule));
     serde_json::json!({
         "day": scenario.name,
@@ -394,7 +394,7 @@
     })
 }
 
-fn print_tables(scenario: &Scenario, seed: u64, judged: &Judged) {
+fn print_tables(scenario: &Scenario, seed: u64, judged: &Outcome) {
     println!(
         "{}, seed {seed}: {} calls, {} answers at the client",
         scenario.name, judged.calls, judged.answered
@@ -414,8 +414,8 @@
     let mut faults = judged.faults.iter().peekable();
     for window in &judged.report.windows {
         line(format!("{:.0} s", window.from_s), window);
-        while let Some((at, what)) = faults.next_if(|f| f.0 < window.from_s + 2.0) {
-            println!("{:>7} {at:.1} s {what}", "");
+        while let Some(fault) = faults.next_if(|f| f.at_s < window.from_s + 2.0) {
+            println!("{:>7} {:.1} s {}", "", fault.at_s, fault.description);
         }
     }
     line("whole".into(), &judged.report.whole);
