--- a/crates/pipithub/src/demo.rs
+++ b/crates/pipithub/src/demo.rs
@@ -2,51 +2,56 @@
 
 use std::process::ExitCode;
 
-use miette::{IntoDiagnostic, Result, miette};
+use miette::{IntoDiagnostic, Report, Result, miette};
 use pipithub_scenario::scenario::Scenario;
 
+use crate::logging;
+use crate::scenario::{RunFolder, print_tables};
+
 const SCENARIO: &str = include_str!("../demo.kdl");
+const SEED: u64 = 1;
+const NANOSECONDS_PER_SECOND: u64 = 1_000_000_000;
 
+/// Runs the scenario, prints the counts of each second and then the report.
 pub(crate) async fn run() -> Result<ExitCode> {
-    crate::init_logging(false, "warn");
-    let scenario = Scenario::parse("demo.kdl", SCENARIO).map_err(|e| miette::Report::new(*e))?;
-    println!(
-        "A broker, {} front ends, {} workers, a model store and a worker list, each on loopback; {} calls a second.",
-        scenario.front_ends, scenario.workers, scenario.rate
-    );
-    println!(
-        "{} s, in which a worker crashes, a front end is killed and the broker drops all connections.",
-        scenario.duration / 1_000_000_000
-    );
-    let folder = crate::RunFolder::new(None, "demo", None);
+    logging::init(false, "warn");
+    let scenario = Scenario::parse("demo.kdl", SCENARIO).map_err(|error| Report::new(*error))?;
+    print_introduction(&scenario);
+    let folder = RunFolder::new(None, "demo", None);
     let binary = std::env::current_exe().into_diagnostic()?;
-    let judged = pipithub_scenario::run::run(
+    let outcome = pipithub_scenario::run::run(
         &scenario,
-        1,
+        SEED,
         &binary,
         folder.path(),
         None,
         |second, sent, verdicts| {
-            let of = |v: &str| verdicts.get(v).copied().unwrap_or(0);
+            let count_of = |verdict: &str| verdicts.get(verdict).copied().unwrap_or(0);
             println!(
                 "{second:>4.0} s  sent {sent:>5}  served {:>5}  refused {:>4}  failed {:>4}",
-                of("served"),
-                of("refused"),
-                of("failed")
+                count_of("served"),
+                count_of("refused"),
+                count_of("failed")
             );
         },
-    );
-    let judged = judged
-        .await
-        .map_err(|e| miette!("{e}; logs are in {}", folder.path().display()))?;
-    crate::print_tables(&scenario, 1, &judged);
-    let kept = judged.breaches.is_empty();
-    if kept {
+    )
+    .await
+    .map_err(|error| miette!("{error}; logs are in {}", folder.path().display()))?;
+    print_tables(&scenario, SEED, &outcome);
+    if outcome.breaches.is_empty() {
         folder.remove_if_temporary();
+        return Ok(ExitCode::SUCCESS);
     }
-    Ok(if kept {
-        ExitCode::SUCCESS
-    } else {
-        ExitCode::FAILURE
-    })
+    Ok(ExitCode::FAILURE)
+}
+
+fn print_introduction(scenario: &Scenario) {
+    println!(
+        "A broker, {} front ends, {} workers, a model store and a worker list, each on loopback; {} calls a second.",
+        scenario.front_ends, scenario.workers, scenario.rate
+    );
+    println!(
+        "{} s, in which a worker crashes, a front end is killed and the broker drops all connections.",
+        scenario.duration / NANOSECONDS_PER_SECOND
+    );
 }
--- a/crates/pipithub/src/membership.rs
+++ b/crates/pipithub/src/membership.rs
@@ -9,6 +9,9 @@
 use pipithub_membership_runtime::{DataFolder, MemberReport, MembershipRuntime, Report};
 use pipithub_settings::Config;
 
+use crate::settings;
+
+/// What is shown of the membership.
 #[derive(Subcommand)]
 pub(crate) enum Membership {
     /// Lists the members as the running front end believes them to be; ends with 0 only where it takes part.
@@ -33,116 +36,143 @@
     },
 }
 
-/// Takes part in the fleet where the settings say so.
+/// Joins the fleet where the settings name one.
 pub(crate) async fn start(config: &Config) -> Result<Option<MembershipRuntime>> {
     let Some(fleet) = &config.fleet else {
         return Ok(None);
     };
-    let fleet = MembershipRuntime::start(&config.name, fleet.clone())
+    let runtime = MembershipRuntime::start(&config.name, fleet.clone())
         .await
         .into_diagnostic()?;
-    Ok(Some(fleet))
+    Ok(Some(runtime))
+}
+
+/// The report that a front end has written last, and whether that front end runs now.
+struct LatestReport {
+    report: Report,
+    running: bool,
 }
 
-fn report(config: &Path) -> Result<(Report, bool)> {
-    let config = crate::load_settings(config)?;
-    let fleet = config
-        .fleet
-        .ok_or_else(|| miette!("these settings have no fleet: the front end shares nothing"))?;
-    let bytes = DataFolder::read_report(&fleet.data)
-        .into_diagnostic()
-        .wrap_err("no report: was this front end ever started?")?;
-    let report = serde_json::from_slice(&bytes)
-        .into_diagnostic()
-        .wrap_err("the report cannot be read")?;
-    Ok((report, DataFolder::in_use(&fleet.data)))
+impl LatestReport {
+    fn read(config: &Path) -> Result<Self> {
+        let config = settings::load(config)?;
+        let fleet = config
+            .fleet
+            .ok_or_else(|| miette!("these settings have no fleet: the front end shares nothing"))?;
+        let bytes = DataFolder::read_report(&fleet.data)
+            .into_diagnostic()
+            .wrap_err("no report: was this front end ever started?")?;
+        let report = serde_json::from_slice(&bytes)
+            .into_diagnostic()
+            .wrap_err("the report cannot be read")?;
+        Ok(LatestReport {
+            report,
+            running: DataFolder::in_use(&fleet.data),
+        })
+    }
 }
 
+/// Shows the membership as the front end's last report has it.
 pub(crate) fn run(command: Membership) -> Result<ExitCode> {
     match command {
-        Membership::Status { config, json } => {
-            let (report, running) = report(&config)?;
-            if json {
-                let mut value = serde_json::to_value(&report).into_diagnostic()?;
-                value["running"] = running.into();
-                println!("{value}");
-            } else {
-                status(&report, running);
-            }
-            let part = running && report.me.state == "joined";
-            Ok(if part {
-                ExitCode::SUCCESS
-            } else {
-                ExitCode::FAILURE
-            })
-        }
+        Membership::Status { config, json } => show_status(&LatestReport::read(&config)?, json),
         Membership::Explain {
             member,
             config,
             json,
-        } => {
-            let (report, _) = report(&config)?;
-            let about = |name: &str| member.as_deref().is_none_or(|m| m == name);
-            let seen: Vec<_> = report
-                .happenings
-                .iter()
-                .filter(|h| about(&h.member))
-                .collect();
-            if json {
-                println!("{}", serde_json::to_value(&seen).into_diagnostic()?);
-            } else {
-                let now = wall_ms();
-                for happening in &seen {
-                    let ago = now.saturating_sub(happening.at_ms) as f64 / 1e3;
-                    println!(
-                        "{ago:>9.1} s ago  {:<20} {}",
-                        happening.member, happening.what
-                    );
-                }
-                if seen.is_empty() {
-                    println!(
-                        "nothing was seen of it among the last {} changes",
-                        report.happenings.len()
-                    );
-                }
-            }
-            Ok(ExitCode::SUCCESS)
-        }
+        } => explain(
+            &LatestReport::read(&config)?.report,
+            member.as_deref(),
+            json,
+        ),
+    }
+}
+
+fn show_status(latest: &LatestReport, json: bool) -> Result<ExitCode> {
+    if json {
+        let mut value = serde_json::to_value(&latest.report).into_diagnostic()?;
+        value["running"] = latest.running.into();
+        println!("{value}");
+    } else {
+        print_status(latest);
+    }
+    if latest.running && latest.report.me.state == "joined" {
+        Ok(ExitCode::SUCCESS)
+    } else {
+        Ok(ExitCode::FAILURE)
     }
 }
 
-fn status(report: &Report, running: bool) {
-    let seconds = |ms: u64| format!("{:.1} s", ms as f64 / 1e3);
+fn seconds(milliseconds: u64) -> String {
+    format!("{:.1} s", milliseconds as f64 / 1e3)
+}
+
+fn print_status(latest: &LatestReport) {
+    let report = &latest.report;
     let age = seconds(wall_ms().saturating_sub(report.at_ms));
-    let word = report
+    let last_gossip = report
         .age_ms
         .map_or("never".to_string(), |ms| format!("{} ago", seconds(ms)));
+    let not_running = if latest.running {
+        ""
+    } else {
+        " when it last ran; not running now"
+    };
     println!(
-        "{} of {}: {}{}; generation {}, disk {}, doubt {} of 8",
+        "{} of {}: {}{not_running}; generation {}, disk {}, doubt {} of 8",
         report.me.name,
         report.cluster,
         report.me.state,
-        if running {
-            ""
-        } else {
-            " when it last ran; not running now"
-        },
         report.me.generation,
         report.me.disk,
         report.doubt
     );
-    println!("as of {age} ago; last word of any other member {word}");
+    println!("as of {age} ago; last word of any other member {last_gossip}");
     println!(
         "{:<20} {:<10} {:<8} {:>10} {:>10} {:>6} {:<6} address",
         "member", "zone", "state", "for", "heard", "gen", "disk"
     );
-    let line = |m: &MemberReport| {
-        let heard = m.heard_ms.map_or("never".to_string(), seconds);
-        let (name, zone, state, held) = (&m.name, &m.zone, &m.state, seconds(m.for_ms));
+    report.members.iter().for_each(print_member);
+}
+
+fn print_member(member: &MemberReport) {
+    println!(
+        "{:<20} {:<10} {:<8} {:>10} {:>10} {:>6} {:<6} {}",
+        member.name,
+        member.zone,
+        member.state,
+        seconds(member.for_ms),
+        member.heard_ms.map_or("never".to_string(), seconds),
+        member.generation,
+        member.disk,
+        member.address
+    );
+}
+
+/// Shows what was seen of one member, or of all.
+fn explain(report: &Report, member: Option<&str>, json: bool) -> Result<ExitCode> {
+    let seen: Vec<_> = report
+        .happenings
+        .iter()
+        .filter(|event| member.is_none_or(|name| name == event.member))
+        .collect();
+    if json {
+        println!("{}", serde_json::to_value(&seen).into_diagnostic()?);
+        return Ok(ExitCode::SUCCESS);
+    }
+    let now = wall_ms();
+    for event in &seen {
+        let seconds_ago = now.saturating_sub(event.at_ms) as f64 / 1e3;
         println!(
-            "{name:<20} {zone:<10} {state:<8} {held:>10} {heard:>10} {:>6} {:<6} {}",
-            m.generation, m.disk, m.address
+            "{seconds_ago:>9.1} s ago  {:<20} {}",
+            event.member, event.what
         );
-    };
-    report.members.iter().for_each(line);
+    }
+    if seen.is_empty() {
+        println!(
+            "nothing was seen of it among the last {} changes",
+            report.happenings.len()
+        );
+    }
+    Ok(ExitCode::SUCCESS)
 }
--- /dev/null
+++ b/crates/pipithub/src/scenario.rs
@@ -0,0 +1,84 @@
+//! `pipithub scenario`: runs a scripted scenario over processes on loopback and checks its rules.
+
+mod fleet;
+mod report;
+mod run_folder;
+
+use std::path::PathBuf;
+use std::process::ExitCode;
+
+use clap::Args;
+use miette::{IntoDiagnostic, Report, Result, WrapErr, miette};
+use pipithub_scenario::fleet::FleetScenario;
+use pipithub_scenario::scenario::Scenario;
+
+pub(crate) use report::print_tables;
+pub(crate) use run_folder::RunFolder;
+
+use crate::baseline::Baseline;
+use crate::logging;
+
+/// Which scenario is run, and how its result is shown.
+#[derive(Args)]
+pub(crate) struct ScenarioArguments {
+    /// The day.
+    file: PathBuf,
+    /// Its seed.
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    /// Print JSON instead of tables.
+    #[arg(long)]
+    json: bool,
+    /// Where logs and records go; by default a folder for temporary files, removed where all rules were kept.
+    #[arg(long)]
+    folder: Option<PathBuf>,
+    /// Decide by a textbook policy instead, to compare with.
+    #[arg(long)]
+    baseline: Option<Baseline>,
+}
+
+/// Runs the scenario of a file, which is one of a gateway or one of a fleet.
+pub(crate) async fn run(arguments: ScenarioArguments) -> Result<ExitCode> {
+    logging::init(false, "warn");
+    let name = arguments.file.display().to_string();
+    let text = std::fs::read_to_string(&arguments.file)
+        .into_diagnostic()
+        .wrap_err_with(|| name.clone())?;
+    if FleetScenario::is_fleet_scenario(&text) {
+        let scenario = FleetScenario::parse(&name, &text).map_err(|error| Report::new(*error))?;
+        return fleet::run(&scenario, arguments).await;
+    }
+    let scenario = Scenario::parse(&name, &text).map_err(|error| Report::new(*error))?;
+    run_gateway_scenario(&scenario, arguments).await
+}
+
+async fn run_gateway_scenario(
+    scenario: &Scenario,
+    arguments: ScenarioArguments,
+) -> Result<ExitCode> {
+    let seed = arguments.seed;
+    let folder = RunFolder::new(arguments.folder, "drill", Some(seed));
+    let binary = std::env::current_exe().into_diagnostic()?;
+    let baseline = arguments.baseline.map(Baseline::name);
+    let outcome = pipithub_scenario::run::run(
+        scenario,
+        seed,
+        &binary,
+        folder.path(),
+        baseline,
+        |_, _, _| {},
+    )
+    .await
+    .map_err(|error| miette!("{error}; logs are in {}", folder.path().display()))?;
+    if arguments.json {
+        println!("{}", report::to_json(scenario, seed, &outcome));
+    } else {
+        report::print_tables(scenario, seed, &outcome);
+    }
+    if outcome.breaches.is_empty() {
+        folder.remove_if_temporary();
+        return Ok(ExitCode::SUCCESS);
+    }
+    eprintln!("logs and records are in {}", folder.path().display());
+    Ok(ExitCode::FAILURE)
+}
--- /dev/null
+++ b/crates/pipithub/src/settings.rs
@@ -0,0 +1,30 @@
+//! Settings files: reading them, and `pipithub config check`.
+
+use std::path::Path;
+use std::process::ExitCode;
+
+use miette::{IntoDiagnostic, Report, Result, WrapErr};
+use pipithub_settings::Config;
+
+/// Reads a settings file; the error names every fault with its place.
+pub(crate) fn load(path: &Path) -> Result<Config> {
+    let name = path.display().to_string();
+    let text = std::fs::read_to_string(path)
+        .into_diagnostic()
+        .wrap_err_with(|| name.clone())?;
+    Config::parse(&name, &text).map_err(|faults| Report::new(*faults))
+}
+
+/// Reads a settings file and prints what it holds.
+pub(crate) fn check(path: &Path) -> Result<ExitCode> {
+    let config = load(path)?;
+    let queues: usize = config.amqp.iter().map(|broker| broker.queues.len()).sum();
+    println!(
+        "{}: good; {} classes, {} brokers with {queues} queues, {} timers",
+        path.display(),
+        config.classes.len(),
+        config.amqp.len(),
+        config.cron.len()
+    );
+    Ok(ExitCode::SUCCESS)
+}
--- a/crates/pipithub/src/tenants.rs
+++ b/crates/pipithub/src/tenants.rs
@@ -10,6 +10,8 @@
 use pipithub_gateway::directory::ask;
 use pipithub_settings::TenantsConfig;
 
+use crate::settings;
+
 #[derive(Subcommand)]
 pub(crate) enum Tenants {
     /// Lists tenants with their places, functions and shares.
@@ -38,7 +40,7 @@
 }
 
 fn tenants(config: &Path) -> Result<(pipithub_settings::Config, TenantsConfig)> {
-    let config = crate::load_settings(config)?;
+    let config = settings::load(config)?;
     let tenants = config
         .tenants
         .clone()
