--- /dev/null
+++ b/crates/pipithub/src/tenants/show.rs
@@ -0,0 +1,34 @@
+//! `pipithub tenants show`: the tenants as the settings have them.
+
+use pipithub_settings::TenantsConfig;
+
+/// From this on a quota's bound counts as none and is not shown.
+const UNBOUNDED_IN_FLIGHT: usize = 1_000_000;
+
+/// Prints tenants with their quotas, directories and functions.
+pub(super) fn print(config: &TenantsConfig) {
+    let quotas = &config.admission.quotas.tenants;
+    let weights: f64 = quotas.iter().map(|quota| quota.weight).sum();
+    println!(
+        "{:<16} {:>6} {:>12} {:>8}  {:<12} functions",
+        "tenant", "share", "rate", "most", "directory"
+    );
+    for (tenant, quota) in config.tenants.iter().zip(quotas) {
+        let rate = quota.rate.map_or("-".to_string(), |rate| {
+            format!("{}/s +{}", rate.per_second, rate.burst)
+        });
+        let max_in_flight = if quota.max_in_flight >= UNBOUNDED_IN_FLIGHT {
+            "-".to_string()
+        } else {
+            quota.max_in_flight.to_string()
+        };
+        println!(
+            "{:<16} {:>5.1}% {rate:>12} {max_in_flight:>8}  {:<12} {}",
+            tenant.name,
+            quota.weight / weights * 100.0,
+            config.directories[tenant.place.directory].name,
+            tenant.functions.join(" ")
+        );
+        println!("{:<16} {}", "", tenant.base);
+    }
+}
