--- a/crates/pipithub-bench/src/baseline.rs
+++ b/crates/pipithub-bench/src/baseline.rs
@@ -18,11 +18,11 @@
 use pipithub_clock::Clock;
 use tokio::net::TcpStream;
 
-use crate::{Result, histogram};
+use crate::{Result, new_histogram};
 
-type Idle = Arc<Mutex<HashMap<String, Vec<SendRequest<Full<Bytes>>>>>>;
+type IdleConnections = Arc<Mutex<HashMap<String, Vec<SendRequest<Full<Bytes>>>>>>;
 
-async fn post(idle: &Idle, worker: &str, function: &str, body: Bytes) -> Result<Bytes> {
+async fn infer(idle: &IdleConnections, worker: &str, function: &str, body: Bytes) -> Result<Bytes> {
     let pooled = idle
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
@@ -77,8 +77,8 @@
             FieldTable::default(),
         )
         .await?;
-    let (idle, turn, workers) = (
-        Idle::default(),
+    let (idle, next_worker, workers) = (
+        IdleConnections::default(),
         Arc::new(AtomicUsize::new(0)),
         Arc::new(workers),
     );
@@ -89,8 +89,12 @@
             properties,
             ..
         } = delivery?;
-        let (channel, idle, turn, workers) =
-            (channel.clone(), idle.clone(), turn.clone(), workers.clone());
+        let (channel, idle, next_worker, workers) = (
+            channel.clone(),
+            idle.clone(),
+            next_worker.clone(),
+            workers.clone(),
+        );
         tokio::spawn(async move {
             let function = match properties
                 .headers()
@@ -100,8 +104,8 @@
                 Some(AMQPValue::LongString(name)) => name.to_string(),
                 _ => String::new(),
             };
-            let worker = &workers[turn.fetch_add(1, Ordering::Relaxed) % workers.len()];
-            let (verdict, body) = match post(&idle, worker, &function, Bytes::from(data)).await {
+            let worker = &workers[next_worker.fetch_add(1, Ordering::Relaxed) % workers.len()];
+            let (verdict, body) = match infer(&idle, worker, &function, Bytes::from(data)).await {
                 Ok(body) => ("served", body),
                 Err(_) => ("failed", Bytes::new()),
             };
@@ -138,8 +142,8 @@
 
 /// Calls workers without anything between.
 pub(crate) async fn direct(workers: &[String], rate: f64, seconds: u64) -> Result<Histogram<u64>> {
-    let (idle, clock) = (Idle::default(), Clock::default());
-    let all = Arc::new(Mutex::new(histogram()));
+    let (idle, clock) = (IdleConnections::default(), Clock::default());
+    let all = Arc::new(Mutex::new(new_histogram()));
     let mut tasks = tokio::task::JoinSet::new();
     let warm = rate as u64;
     for n in 0..(rate * seconds as f64) as u64 + warm {
@@ -155,7 +159,7 @@
             let began = clock.now();
             let body = Bytes::from_static(b"{\"inputs\":[],\"parameters\":{\"work_ms\":2}}");
             // The first second makes connections and loads models.
-            if post(&idle, &worker, &format!("m{}", n % 16), body)
+            if infer(&idle, &worker, &format!("m{}", n % 16), body)
                 .await
                 .is_ok()
                 && n >= warm
--- a/crates/pipithub-bench/src/main.rs
+++ b/crates/pipithub-bench/src/main.rs
@@ -3,7 +3,7 @@
 
 mod baseline;
 mod hollow;
-mod members;
+mod membership;
 mod roster;
 mod scale;
 
@@ -60,7 +60,7 @@
     /// What tenants add to a call, their directory being up, slow or dead.
     Directories,
     /// One day of a fleet's membership in simulated time, as JSON; `scale members` plays them at several sizes.
-    Members(members::Play),
+    Members(membership::MembershipArguments),
     /// How each part of a site grows: slopes over several sizes, and what they say of the planned one.
     Scale(scale::Scale),
     /// Hollow front ends, as a process.
@@ -107,7 +107,7 @@
 async fn run(arguments: Arguments) -> Result<()> {
     match arguments.command {
         Some(Command::Baseline { broker, worker }) => return baseline::run(&broker, worker).await,
-        Some(Command::Members(play)) => return play.run(),
+        Some(Command::Members(membership)) => return membership.run(),
         Some(Command::Roster { users }) => {
             roster::roster(users);
             return Ok(());
@@ -132,7 +132,7 @@
         .unwrap_or_else(|| me.with_file_name("pipithub"));
     let folder = std::env::temp_dir().join(format!("pipithub-bench-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
-    let bed = Bed {
+    let testbed = Testbed {
         me,
         binary,
         folder,
@@ -140,14 +140,14 @@
         workers: arguments.workers,
     };
     match arguments.command {
-        Some(Command::Directories) => bed.directories().await?,
-        _ => bed.all().await?,
+        Some(Command::Directories) => testbed.directories().await?,
+        _ => testbed.all().await?,
     }
-    std::fs::remove_dir_all(&bed.folder)?;
+    std::fs::remove_dir_all(&testbed.folder)?;
     Ok(())
 }
 
-struct Bed {
+struct Testbed {
     me: PathBuf,
     binary: PathBuf,
     folder: PathBuf,
@@ -183,12 +183,12 @@
     ((ticks(11) + ticks(12)) / 100.0, rss.unwrap_or(0.0) / 1024.0)
 }
 
-fn histogram() -> Histogram<u64> {
+fn new_histogram() -> Histogram<u64> {
     // A minute at most, to three digits; these bounds are always good.
     Histogram::new_with_bounds(1, 60_000_000, 3).expect("good bounds")
 }
 
-fn show(what: &str, h: &Histogram<u64>) {
+fn print_latencies(what: &str, h: &Histogram<u64>) {
     let ms = |q: f64| h.value_at_quantile(q) as f64 / 1000.0;
     println!(
         "{what:<28} p50 {:>8.3} ms  p99 {:>8.3} ms  p99.9 {:>8.3} ms  ({} calls)",
@@ -199,8 +199,8 @@
     );
 }
 
-impl Bed {
-    async fn standin(&self, arguments: &[&str]) -> Result<Process> {
+impl Testbed {
+    async fn start_emulator(&self, arguments: &[&str]) -> Result<Process> {
         let arguments: Vec<String> = arguments
             .iter()
             .map(std::string::ToString::to_string)
@@ -227,7 +227,7 @@
                 "--keep-ms",
                 "600000",
             ];
-            workers.push(self.standin(&worker).await?);
+            workers.push(self.start_emulator(&worker).await?);
         }
         let addresses: Vec<String> = workers.iter().map(|w| w.address.clone()).collect();
         println!(
@@ -235,11 +235,11 @@
             self.workers, self.seconds
         );
         let direct = baseline::direct(&addresses, 200.0, self.seconds).await?;
-        show("direct, 200 a second", &direct);
+        print_latencies("direct, 200 a second", &direct);
         let mut cost = Vec::new();
         for which in ["pass-through", "gateway"] {
             let broker = self
-                .standin(&["standin", "broker", "--commands", "--queue", "calls"])
+                .start_emulator(&["standin", "broker", "--commands", "--queue", "calls"])
                 .await?;
             let log = self.folder.join("log");
             let process = if which == "gateway" {
@@ -304,7 +304,7 @@
         let mut client = QueueClient::start(broker, Login::default(), "answers");
         load(&mut client, Load::Rate(100.0), 2, 0).await?;
         let paced = load(&mut client, Load::Rate(200.0), self.seconds, 2).await?;
-        show(&format!("{which}, 200 a second"), &paced.latency);
+        print_latencies(&format!("{which}, 200 a second"), &paced.latency);
         let added = |q: f64| {
             (paced.latency.value_at_quantile(q) as f64 - direct.value_at_quantile(q) as f64)
                 / 1000.0
@@ -317,33 +317,33 @@
             added(0.999)
         );
         let before = usage(pid).0;
-        let full = load(&mut client, Load::Held(64), self.seconds, 3).await?;
+        let full = load(&mut client, Load::Concurrency(64), self.seconds, 3).await?;
         let cpu = usage(pid).0 - before;
         let calls = full.latency.len() as f64;
-        show(&format!("{which}, 64 at a time"), &full.latency);
+        print_latencies(&format!("{which}, 64 at a time"), &full.latency);
         println!(
             "  {:.0} calls a second, {:.0} us of CPU a call, {} not served",
             calls / full.took,
             cpu / calls * 1e6,
-            full.other
+            full.not_served
         );
         cost.push((cpu / calls, calls / full.took));
         // Some thousand calls in flight, each 3 s long: memory is looked at in the middle.
         let idle = usage(pid).1;
-        let many = load(&mut client, Load::Long(1_250), 2, 4);
+        let many = load(&mut client, Load::LongCalls(1_250), 2, 4);
         let look = async {
             tokio::time::sleep(Duration::from_millis(1_800)).await;
             usage(pid).1
         };
         let (many, held) = tokio::join!(many, look);
         // What is refused is refused at once: it is not in flight.
-        let flying = 1_250 - many?.other;
+        let flying = 1_250 - many?.not_served;
         println!("  {idle:.1} MiB before, {held:.1} MiB with {flying} calls in flight");
         Ok(())
     }
 }
 
-impl Bed {
+impl Testbed {
     /// The gateway without tenants, then with them: 100 users, of whom 30 are unknown when the directory turns slow or dies.
     #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
     async fn directories(&self) -> Result<()> {
@@ -361,7 +361,7 @@
                 "1",
             ];
             workers.push(
-                self.standin(
+                self.start_emulator(
                     &[&worker[..], &["--queue", "100000", "--keep-ms", "600000"]].concat(),
                 )
                 .await?,
@@ -391,10 +391,10 @@
             ("dead", "silent on"),
         ] {
             let broker = self
-                .standin(&["standin", "broker", "--commands", "--queue", "calls"])
+                .start_emulator(&["standin", "broker", "--commands", "--queue", "calls"])
                 .await?;
             let mut server = self
-                .standin(&[
+                .start_emulator(&[
                     "standin",
                     "directory",
                     "--commands",
@@ -437,13 +437,17 @@
                 server.send_line(trouble).await?;
             }
             let known = load_by(&mut client, Load::Rate(200.0), self.seconds, 2, users(70)).await?;
-            show(&format!("{what}, known users"), &known.latency);
-            println!("  {} of {} not served", known.other, known.latency.len());
+            print_latencies(&format!("{what}, known users"), &known.latency);
+            println!(
+                "  {} of {} not served",
+                known.not_served,
+                known.latency.len()
+            );
             if with {
                 let all =
                     load_by(&mut client, Load::Rate(200.0), self.seconds, 3, users(100)).await?;
-                show(&format!("{what}, 3 of 10 unknown"), &all.latency);
-                println!("  {} of {} not served", all.other, all.latency.len());
+                print_latencies(&format!("{what}, 3 of 10 unknown"), &all.latency);
+                println!("  {} of {} not served", all.not_served, all.latency.len());
             }
             process.kill().await;
             server.kill().await;
@@ -459,18 +463,23 @@
     /// So many a second, answered or not.
     Rate(f64),
     /// So many at a time.
-    Held(usize),
+    Concurrency(usize),
     /// So many at once, each three seconds long.
-    Long(usize),
+    LongCalls(usize),
 }
 
-struct Loaded {
+struct LoadResult {
     latency: Histogram<u64>,
-    other: usize,
+    not_served: usize,
     took: f64,
 }
 
-async fn load(client: &mut QueueClient, load: Load, seconds: u64, part: usize) -> Result<Loaded> {
+async fn load(
+    client: &mut QueueClient,
+    load: Load,
+    seconds: u64,
+    part: usize,
+) -> Result<LoadResult> {
     load_by(client, load, seconds, part, None).await
 }
 
@@ -481,12 +490,12 @@
     seconds: u64,
     part: usize,
     users: Option<(u64, u64)>,
-) -> Result<Loaded> {
+) -> Result<LoadResult> {
     let clock = Clock::default();
     let mut sent: HashMap<String, u64> = HashMap::new();
-    let mut loaded = Loaded {
-        latency: histogram(),
-        other: 0,
+    let mut loaded = LoadResult {
+        latency: new_histogram(),
+        not_served: 0,
         took: 0.0,
     };
     let mut number = 0u64;
@@ -496,8 +505,8 @@
         let now = clock.now();
         let more = match load {
             Load::Rate(_) => now < end && now >= due,
-            Load::Held(most) => now < end && sent.len() < most,
-            Load::Long(most) => (number as usize) < most,
+            Load::Concurrency(most) => now < end && sent.len() < most,
+            Load::LongCalls(most) => (number as usize) < most,
         };
         if more {
             if let Load::Rate(rate) = load {
@@ -505,7 +514,7 @@
             }
             let id = format!("{part}-{number}");
             // Long ones are of a class of their own: among calls of 2 ms they would look like silent workers.
-            let (class, work) = if matches!(load, Load::Long(_)) {
+            let (class, work) = if matches!(load, Load::LongCalls(_)) {
                 ("long", 3_000)
             } else {
                 ("view", 2)
@@ -540,7 +549,7 @@
                 let answer = answer.ok_or("the client has ended")?;
                 let Some(at) = sent.remove(&answer.id) else { continue };
                 loaded.latency.saturating_record(((answer.at - at) / 1000).max(1));
-                loaded.other += usize::from(answer.verdict != "served");
+                loaded.not_served += usize::from(answer.verdict != "served");
             }
             () = clock.sleep_until(Some(due)), if waits => {}
             () = tokio::time::sleep(Duration::from_secs(30)) => return Err(format!("{} calls without an answer", sent.len()).into()),
--- a/crates/pipithub-bench/src/members.rs
+++ b/crates/pipithub-bench/src/membership.rs
@@ -15,7 +15,7 @@
 
 /// What happens in a day.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub(crate) enum Day {
+pub(crate) enum Scenario {
     /// All start at once; later one dies.
     Ordinary,
     /// The same, and each link loses 1% of the datagrams.
@@ -32,13 +32,18 @@
 
 /// A day to be played; its figures go to standard output as JSON.
 #[derive(Args)]
-pub(crate) struct Play {
+pub(crate) struct MembershipArguments {
     /// Members.
     #[arg(long, default_value_t = 60)]
     size: usize,
     /// The day.
-    #[arg(long, value_enum, default_value = "ordinary")]
-    day: Day,
+    #[arg(
+        long = "day",
+        value_name = "DAY",
+        value_enum,
+        default_value = "ordinary"
+    )]
+    scenario: Scenario,
     /// Seed of all that is drawn.
     #[arg(long, default_value_t = 1)]
     seed: u64,
@@ -46,8 +51,8 @@
     #[arg(long, default_value_t = 60)]
     rest: u64,
     /// `max-members`; by default as many as there are and one more.
-    #[arg(long)]
-    most: Option<usize>,
+    #[arg(long = "most", value_name = "MOST")]
+    max_members: Option<usize>,
     /// Seconds, in simulated time, after which a day has not come to what is awaited.
     #[arg(long, default_value_t = 600)]
     patience: u64,
@@ -55,13 +60,16 @@
 
 /// What a day showed. Times are simulated seconds; -1 where it did not come to that.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Row {
+pub(crate) struct Measurements {
     /// Until all knew all after the start.
-    pub together: f64,
+    #[serde(rename = "together")]
+    pub convergence: f64,
     /// From the blow (a death, a mended cut, the last restart) until the first knew of it, in the days with deaths.
-    pub first: f64,
+    #[serde(rename = "first")]
+    pub first_detection: f64,
     /// From the blow until each knew exactly who is there.
-    pub all: f64,
+    #[serde(rename = "all")]
+    pub full_detection: f64,
     /// Suspicions of the living, for each member, from the settled fleet on.
     pub suspected: f64,
     /// How often somebody that lived was held for dead, in all, from the settled fleet on.
@@ -77,9 +85,11 @@
     /// Bytes a second a member, mean, in the worst second while it came together.
     pub bytes_start: f64,
     /// The same from the blow on, for the mean, and for the single member that sent most in a second.
-    pub bytes_blow: f64,
-    /// See `bytes_blow`.
-    pub bytes_blow_worst: f64,
+    #[serde(rename = "bytes_blow")]
+    pub bytes_after_fault: f64,
+    /// See `bytes_after_fault`.
+    #[serde(rename = "bytes_blow_worst")]
+    pub bytes_after_fault_worst: f64,
     /// CPU of the cores at rest, for each member, as a share of a processor core.
     pub cpu: f64,
     /// The same while it came together.
@@ -89,7 +99,8 @@
     /// Resident bytes for each member once all knew all, the simulation's own part among them.
     pub memory: f64,
     /// Members that were not let in, in the eyes of whom they asked.
-    pub full: f64,
+    #[serde(rename = "full")]
+    pub rejected_members: f64,
     /// How many the least-knowing member knows at the end of the coming together, itself counted.
     pub least_known: f64,
 }
@@ -101,8 +112,8 @@
     /// The worst second so far: of the mean, and of any one.
     worst: (f64, f64),
     suspected: f64,
-    deaths: f64,
-    full: f64,
+    false_deaths: f64,
+    rejected_members: f64,
     patience: Time,
 }
 
@@ -113,8 +124,8 @@
             before,
             worst: (0.0, 0.0),
             suspected: 0.0,
-            deaths: 0.0,
-            full: 0.0,
+            false_deaths: 0.0,
+            rejected_members: 0.0,
             patience,
         }
     }
@@ -130,8 +141,10 @@
             };
             match &told.event {
                 Event::Suspected(member) if lives(&member.identity.name) => self.suspected += 1.0,
-                Event::Down { member, .. } if lives(&member.identity.name) => self.deaths += 1.0,
-                Event::MemberLimitReached(_) => self.full += 1.0,
+                Event::Down { member, .. } if lives(&member.identity.name) => {
+                    self.false_deaths += 1.0;
+                }
+                Event::MemberLimitReached(_) => self.rejected_members += 1.0,
                 _ => {}
             }
         }
@@ -201,29 +214,37 @@
     }
 }
 
-impl Play {
+impl MembershipArguments {
     /// Plays the day and prints its row.
     pub(crate) fn run(&self) -> crate::Result<()> {
         println!("{}", serde_json::to_string(&self.row())?);
         Ok(())
     }
 
-    fn row(&self) -> Row {
+    fn row(&self) -> Measurements {
         let size = self.size;
         // Beyond `max-members` nobody is let in, so the bound stands above what is measured unless it is what is measured.
-        let max_members = self.most.unwrap_or(size + 1).clamp(2, 10_000);
+        let max_members = self.max_members.unwrap_or(size + 1).clamp(2, 10_000);
         let settings = Settings {
             cluster: "bench".into(),
             max_members,
             ..Settings::default()
         };
-        let loss = if self.day == Day::Loss { 0.01 } else { 0.0 };
+        let loss = if self.scenario == Scenario::Loss {
+            0.01
+        } else {
+            0.0
+        };
         let usual = Link {
             loss,
             jitter: 3_000_000,
             ..Link::default()
         };
-        let zones = if self.day == Day::TwentyFirst { 21 } else { 7 };
+        let zones = if self.scenario == Scenario::TwentyFirst {
+            21
+        } else {
+            7
+        };
         let empty = crate::usage(std::process::id()).1;
         let mut fleet = Fleet::new(size, zones, 3, self.seed, settings, usual);
         fleet.event_filter = |e| {
@@ -238,17 +259,17 @@
         let mut meter = Meter::new(&fleet, self.patience.min(86_400) * SECOND);
         let cpu = Cpu::read(&fleet);
         let begun = fleet.network.now();
-        let mut row = Row {
-            together: meter.until(&mut fleet, Fleet::has_converged),
-            ..Row::default()
+        let mut row = Measurements {
+            convergence: meter.until(&mut fleet, Fleet::has_converged),
+            ..Measurements::default()
         };
         row.cpu_start = cpu.since(&fleet, seconds(fleet.network.now() - begun)).0;
         row.memory = (crate::usage(std::process::id()).1 - empty) * 1_048_576.0 / size as f64;
         row.bytes_start = meter.worst.0;
-        row.full = meter.full;
+        row.rejected_members = meter.rejected_members;
         let known = |n| fleet.view(n).map_or(0, |v| v.active().count() + 1);
         row.least_known = (0..size).map(known).min().unwrap_or(0) as f64;
-        if row.together < 0.0 {
+        if row.convergence < 0.0 {
             return row;
         }
         meter.pass(&mut fleet, 10 * SECOND);
@@ -275,24 +296,24 @@
         (row.bytes, row.bytes_worst) = rate(&fleet.sent_bytes, &bytes);
         (row.messages, row.messages_worst) = rate(&fleet.sent_datagrams, &datagrams);
         meter.worst = (0.0, 0.0);
-        (row.first, row.all) = self.blow(&mut fleet, &mut meter);
-        (row.bytes_blow, row.bytes_blow_worst) = meter.worst;
-        (row.suspected, row.false_deaths) = (meter.suspected / size as f64, meter.deaths);
+        (row.first_detection, row.full_detection) = self.inject_fault(&mut fleet, &mut meter);
+        (row.bytes_after_fault, row.bytes_after_fault_worst) = meter.worst;
+        (row.suspected, row.false_deaths) = (meter.suspected / size as f64, meter.false_deaths);
         row
     }
 
     /// What the day brings; when the first knew, and when all did.
-    fn blow(&self, fleet: &mut Fleet, meter: &mut Meter) -> (f64, f64) {
+    fn inject_fault(&self, fleet: &mut Fleet, meter: &mut Meter) -> (f64, f64) {
         let size = self.size;
-        let dies = |n: &usize| match self.day {
-            Day::Ordinary | Day::Loss => *n == size - 1,
+        let dies = |n: &usize| match self.scenario {
+            Scenario::Ordinary | Scenario::Loss => *n == size - 1,
             // The last zone: the seeds are the first members, in the first zones.
-            Day::Seventh => n % 7 == 6,
-            Day::TwentyFirst => n % 21 == 20,
-            Day::Regions | Day::Restart => false,
+            Scenario::Seventh => n % 7 == 6,
+            Scenario::TwentyFirst => n % 21 == 20,
+            Scenario::Regions | Scenario::Restart => false,
         };
-        match self.day {
-            Day::Regions => {
+        match self.scenario {
+            Scenario::Regions => {
                 let of = |region| {
                     (0..size)
                         .filter(|n| n % REGIONS == region)
@@ -305,7 +326,7 @@
                 fleet.network.heal();
                 (0.0, meter.until(fleet, Fleet::has_converged))
             }
-            Day::Restart => {
+            Scenario::Restart => {
                 let mut times: Vec<(Time, usize)> = (0..size)
                     .map(|n| (fleet.network.rng.random_range(0..60 * SECOND), n))
                     .collect();
--- a/crates/pipithub-bench/src/scale/council.rs
+++ b/crates/pipithub-bench/src/scale/consensus.rs
@@ -11,18 +11,18 @@
 use super::{Plan, Series};
 use crate::Result;
 
-const MS: Time = 1_000_000;
-const TICK: Time = 20 * MS;
+const MILLISECOND: Time = 1_000_000;
+const TICK: Time = 20 * MILLISECOND;
 /// Changes of configuration that are planned for, a day.
-const PLANNED: f64 = 1_500.0;
+const PLANNED_CHANGES_PER_DAY: f64 = 1_500.0;
 /// Entries of each measurement.
 const ENTRIES: u64 = 20_000;
 /// Seven are refused by the core.
-const VOTERS: [usize; 2] = [3, 5];
+const CLUSTER_SIZES: [usize; 2] = [3, 5];
 const BATCHES: [u64; 5] = [1, 3, 10, 30, 100];
-const HELD: [u64; 4] = [10, 100, 1_000, 10_000];
+const LEASE_COUNTS: [u64; 4] = [10, 100, 1_000, 10_000];
 
-fn voter(id: u64, voters: usize, seed: u64) -> Result<Voter> {
+fn new_voter(id: u64, voters: usize, seed: u64) -> Result<Voter> {
     let settings = VoterSettings {
         id,
         voters: (1..=voters as u64).collect(),
@@ -32,7 +32,7 @@
 }
 
 /// Voters whose messages arrive at once and in order, and whose disks store at once and keep nothing.
-struct Core {
+struct Cluster {
     voters: Vec<Voter>,
     now: Time,
     queue: VecDeque<(usize, Input)>,
@@ -43,13 +43,13 @@
     number: u64,
 }
 
-impl Core {
-    fn new(voters: usize, seed: u64) -> Result<Core> {
+impl Cluster {
+    fn new(voters: usize, seed: u64) -> Result<Cluster> {
         let all = (1..=voters as u64)
-            .map(|id| voter(id, voters, seed + id))
+            .map(|id| new_voter(id, voters, seed + id))
             .collect::<Result<_>>()?;
         let queue = VecDeque::new();
-        let mut core = Core {
+        let mut core = Cluster {
             voters: all,
             now: 0,
             queue,
@@ -65,7 +65,7 @@
             }
             core.now += TICK;
             core.queue.extend((0..voters).map(|n| (n, Input::Tick)));
-            core.pump();
+            core.deliver_all();
         }
         Err("no leader".into())
     }
@@ -74,7 +74,7 @@
         self.voters.iter().position(|v| v.leadership().is_leader)
     }
 
-    fn pump(&mut self) {
+    fn deliver_all(&mut self) {
         let mut out = Vec::new();
         while let Some((to, input)) = self.queue.pop_front() {
             self.voters[to].handle(self.now, input, &mut out);
@@ -104,7 +104,7 @@
     }
 
     /// Agrees on entries, so many asked at once, of 1,700 front ends in turn.
-    fn agree(&mut self, entries: u64, batch: u64) -> Result<()> {
+    fn commit_entries(&mut self, entries: u64, batch: u64) -> Result<()> {
         let before = self.answers;
         let mut left = entries;
         while left > 0 {
@@ -125,7 +125,7 @@
                 };
                 self.queue.push_back((leader, Input::Request(asked)));
             }
-            self.pump();
+            self.deliver_all();
             left -= now;
         }
         match self.answers - before {
@@ -139,11 +139,11 @@
 fn election(voters: usize, seed: u64) -> Result<Option<f64>> {
     let mut net: Network<Vec<u8>> = Network::new(seed, Link::default());
     let mut all: Vec<Option<Voter>> = (1..=voters as u64)
-        .map(|id| voter(id, voters, seed * 64 + id).map(Some))
+        .map(|id| new_voter(id, voters, seed * 64 + id).map(Some))
         .collect::<Result<_>>()?;
     (0..voters).for_each(|n| net.set_timer(n, Some(TICK)));
     let mut died: Option<Time> = None;
-    while let Some(next) = net.next_event(60_000 * MS) {
+    while let Some(next) = net.next_event(60_000 * MILLISECOND) {
         let (n, input) = match next {
             NetworkEvent::Delivery { to, message, .. } => (to, Input::Raft(message)),
             NetworkEvent::Timer(n) => (n, Input::Tick),
@@ -169,7 +169,7 @@
         match died {
             Some(at) if leads => return Ok(Some((now - at) as f64 / 1e9)),
             // Two seconds on, all follow it.
-            None if leads && now > 2_000 * MS => {
+            None if leads && now > 2_000 * MILLISECOND => {
                 all[n] = None;
                 net.crash(n);
                 died = Some(now);
@@ -181,7 +181,7 @@
 }
 
 /// The state with so many leases, each of a front end of its own.
-fn held(leases: u64) -> Result<State> {
+fn state_with_leases(leases: u64) -> Result<State> {
     let mut state = State::default();
     let mut number = 0;
     for n in 0..leases {
@@ -209,7 +209,7 @@
             Command::AcquireLease {
                 lease,
                 epoch,
-                duration: 30_000 * MS,
+                duration: 30_000 * MILLISECOND,
             },
         );
     }
@@ -224,7 +224,7 @@
         Series::new("council", what, unit, of, how, planned)
     };
     let mut all = Vec::new();
-    for voters in VOTERS {
+    for voters in CLUSTER_SIZES {
         let named = |what: &str| format!("{voters} voters: {what}");
         let mut rate = series(&named("entries agreed"), "1/s", "at once", 100);
         let mut cpu = series(
@@ -254,11 +254,11 @@
         for batch in plan.sizes_or(&BATCHES) {
             let mut values: [Vec<f64>; 4] = Default::default();
             for play in 0..plan.plays as u64 {
-                let mut core = Core::new(voters, plan.seed + play)?;
-                core.agree(2_000, batch)?;
+                let mut core = Cluster::new(voters, plan.seed + play)?;
+                core.commit_entries(2_000, batch)?;
                 let before = (core.sent, core.stored + core.snapshots);
                 let begun = Instant::now();
-                core.agree(ENTRIES, batch)?;
+                core.commit_entries(ENTRIES, batch)?;
                 let took = begun.elapsed().as_secs_f64().max(1e-9);
                 let each = |now: u64, then: u64| (now - then) as f64 / ENTRIES as f64;
                 values[0].push(ENTRIES as f64 / took);
@@ -268,7 +268,10 @@
             }
             factor.push(
                 batch,
-                values[0].iter().map(|v| v * 86_400.0 / PLANNED).collect(),
+                values[0]
+                    .iter()
+                    .map(|v| v * 86_400.0 / PLANNED_CHANGES_PER_DAY)
+                    .collect(),
             );
             for (one, values) in [&mut rate, &mut cpu, &mut sent, &mut stored]
                 .into_iter()
@@ -292,13 +295,13 @@
         "leases",
         10_000,
     );
-    for size in HELD {
-        let mut core = Core::new(3, plan.seed)?;
-        core.agree(size, 1)?;
+    for size in LEASE_COUNTS {
+        let mut core = Cluster::new(3, plan.seed)?;
+        core.commit_entries(size, 1)?;
         let then = core.sent;
-        core.agree(100, 1)?;
+        core.commit_entries(100, 1)?;
         before.push(size, vec![(core.sent - then) as f64 / 100.0]);
-        let state = held(size)?;
+        let state = state_with_leases(size)?;
         bytes.push(size, vec![postcard::to_stdvec(&state)?.len() as f64]);
         let mut times = Vec::new();
         for _ in 0..plan.plays {
@@ -316,7 +319,7 @@
         "simulated time",
         5,
     );
-    for voters in VOTERS {
+    for voters in CLUSTER_SIZES {
         let mut values = Vec::new();
         for seed in 0..20 {
             match election(voters, plan.seed + seed)? {
--- a/crates/pipithub-bench/src/scale/decisions.rs
+++ b/crates/pipithub-bench/src/scale/decisions.rs
@@ -33,10 +33,10 @@
 const WINDOW: usize = 10;
 /// A front end is stopped in a day once it took so many nanoseconds, but not before so many calls. The reference
 /// plays bad days up to a size, and a size from which on it plays once.
-const TIME_MOST: f64 = 3e9;
-const CALLS_LEAST: usize = 60;
-const PLAIN_BAD_MOST: u64 = 16_000;
-const PLAIN_ONCE: u64 = 4_000;
+const MAX_TIME_NS: f64 = 3e9;
+const MIN_CALLS: usize = 60;
+const MAX_PLAIN_SIZE_WITH_FAULTS: u64 = 16_000;
+const PLAIN_ONCE_FROM: u64 = 4_000;
 /// Calls before the state's memory is counted.
 const MEMORY_CALLS: u64 = 100;
 
@@ -118,7 +118,7 @@
         if play.calls.len() > before.0 && before.0 > 0 {
             self.spent += play.calls[before.0 - 1].time;
         }
-        self.over |= self.spent > TIME_MOST && play.calls.len() >= CALLS_LEAST;
+        self.over |= self.spent > MAX_TIME_NS && play.calls.len() >= MIN_CALLS;
     }
 
     fn note(&self, figures: &mut Figures, day: &str, code: &str, size: u64) {
@@ -235,8 +235,8 @@
                 // The reference goes through all that it holds for each call, and the module, in turns with it, finds
                 // the processor's caches filled with that: `--only module` plays it alone.
                 let plain = plan.wants("plain")
-                    && (!bad || size <= PLAIN_BAD_MOST)
-                    && (play == 0 || size < PLAIN_ONCE);
+                    && (!bad || size <= MAX_PLAIN_SIZE_WITH_FAULTS)
+                    && (play == 0 || size < PLAIN_ONCE_FROM);
                 let (old, mut new) = both(&day, plain);
                 new.note(&mut figures, name, "module", size);
                 if let Some(old) = &old {
--- a/crates/pipithub-bench/src/scale/front_ends.rs
+++ b/crates/pipithub-bench/src/scale/front_ends.rs
@@ -6,9 +6,9 @@
 
 mod beyond;
 mod fleet;
+mod front_end;
 mod lists;
 mod processes;
-mod rig;
 
 use super::{Plan, Series};
 use crate::Result;
--- a/crates/pipithub-bench/src/scale/front_ends/beyond.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/beyond.rs
@@ -5,7 +5,7 @@
 
 use pipithub_emulator::coordinator::{Behaviour, Coordinator, Tier, event};
 
-use super::rig::{Real, configure, cpu, memory, until};
+use super::front_end::{FrontEnd, configure, cpu, memory, wait_until};
 use super::{Table, WORKERS, ZONES};
 use crate::Result;
 use crate::scale::{Plan, Series};
@@ -55,11 +55,11 @@
         let tier = Tier::new(FORMER, ZONES);
         coordinator.publish(true, tier.hosts(), &tier);
     }
-    let real = Real::start(
+    let real = FrontEnd::start(
         &plan.binary,
         &configure(folder, &coordinator, "n0", plan.seed)?,
     )?;
-    until(&coordinator, |c| {
+    wait_until(&coordinator, |c| {
         c.open == 1 && c.events == u64::from(former)
     })
     .await?;
--- a/crates/pipithub-bench/src/scale/front_ends/fleet.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/fleet.rs
@@ -6,7 +6,7 @@
 use pipithub_clock::wall_ns;
 use pipithub_emulator::coordinator::{Behaviour, Coordinator, Counts, Tier};
 
-use super::rig::{Crowd, configure, cpu, memory, until};
+use super::front_end::{HollowProcess, configure, cpu, memory, wait_until};
 use super::{FRONT_ENDS, Table, ZONES};
 use crate::Result;
 use crate::scale::{Plan, Series};
@@ -15,12 +15,12 @@
 const WORKERS: usize = 1_000;
 /// Processes that share the front ends.
 const PROCESSES: usize = 5;
-const QUIET: Duration = Duration::from_secs(3);
-const EVENTS: usize = 10;
+const IDLE_TIME: Duration = Duration::from_secs(3);
+const REPLACEMENTS: usize = 10;
 /// Tries come at their slowest after 2 s of a cut: what comes later is as at the end of this.
-const CUT: Duration = Duration::from_secs(10);
+const CUT_TIME: Duration = Duration::from_secs(10);
 /// How often the rate is looked at.
-const LOOK: Duration = Duration::from_millis(50);
+const RATE_INTERVAL: Duration = Duration::from_millis(50);
 
 pub(super) async fn measure(plan: &Plan, folder: &Path) -> Result<Vec<Series>> {
     let mut table = Table::new(
@@ -71,33 +71,33 @@
 
 struct Fleet {
     coordinator: Coordinator,
-    crowds: Vec<Crowd>,
+    processes: Vec<HollowProcess>,
     count: f64,
 }
 
 /// What was spent between two points in time.
-struct Spent {
+struct ResourceUse {
     seconds: f64,
     counts: Counts,
     own: f64,
-    fronts: f64,
+    front_ends: f64,
 }
 
 impl Fleet {
     fn now(&self) -> (Instant, Counts, u64, f64) {
-        let fronts = self.crowds.iter().map(|c| cpu(c.pid())).sum();
+        let front_ends = self.processes.iter().map(|c| cpu(c.pid())).sum();
         (
             Instant::now(),
             self.coordinator.counts(),
             self.coordinator.cpu_ns(),
-            fronts,
+            front_ends,
         )
     }
 
-    fn since(&self, then: (Instant, Counts, u64, f64)) -> Spent {
+    fn since(&self, then: (Instant, Counts, u64, f64)) -> ResourceUse {
         let now = self.now();
         let (a, b) = (then.1, now.1);
-        Spent {
+        ResourceUse {
             seconds: (now.0 - then.0).as_secs_f64(),
             counts: Counts {
                 connections: b.connections - a.connections,
@@ -109,15 +109,15 @@
                 comments: b.comments - a.comments,
             },
             own: (now.2 - then.2) as f64 / 1e9,
-            fronts: (now.3 - then.3) / self.count,
+            front_ends: (now.3 - then.3) / self.count,
         }
     }
 
     /// Waits until all have this event; milliseconds since then, which is Unix time in nanoseconds.
-    async fn have(&mut self, index: u64, then: u64) -> Result<f64> {
+    async fn await_event(&mut self, index: u64, then: u64) -> Result<f64> {
         let mut last = 0;
-        for crowd in &mut self.crowds {
-            last = last.max(crowd.have(index).await?);
+        for process in &mut self.processes {
+            last = last.max(process.await_event(index).await?);
         }
         Ok(last.saturating_sub(then) as f64 / 1e6)
     }
@@ -127,17 +127,17 @@
         &mut self,
         tier: &mut Tier,
         change: impl FnOnce(&mut Tier) -> Vec<serde_json::Value>,
-    ) -> Result<(f64, Spent)> {
+    ) -> Result<(f64, ResourceUse)> {
         let changed = change(tier);
         let (then, before) = (wall_ns(), self.now());
         let index = self.coordinator.publish(false, &changed, tier);
-        let took = self.have(index, then).await?;
+        let took = self.await_event(index, then).await?;
         Ok((took, self.since(before)))
     }
 }
 
 /// Bytes without those of comments.
-fn told(counts: &Counts) -> f64 {
+fn event_bytes(counts: &Counts) -> f64 {
     (counts.sent_bytes - 3 * counts.comments) as f64
 }
 
@@ -148,27 +148,27 @@
     let mut tier = Tier::new(WORKERS, ZONES);
     let mut fleet = Fleet {
         coordinator,
-        crowds: Vec::new(),
+        processes: Vec::new(),
         count: count as f64,
     };
     let parts = PROCESSES.min(count);
     for n in 0..parts {
         let (from, to) = (count * n / parts, count * (n + 1) / parts);
         fleet
-            .crowds
-            .push(Crowd::start(&config, to - from, from).await?);
+            .processes
+            .push(HollowProcess::start(&config, to - from, from).await?);
     }
-    until(&fleet.coordinator, |c| c.open == count as u64).await?;
+    wait_until(&fleet.coordinator, |c| c.open == count as u64).await?;
     let then = wall_ns();
     let index = fleet.coordinator.publish(true, tier.hosts(), &tier);
-    let start = fleet.have(index, then).await?;
+    let start = fleet.await_event(index, then).await?;
     tokio::time::sleep(Duration::from_secs(1)).await;
 
     let before = fleet.now();
-    tokio::time::sleep(QUIET).await;
+    tokio::time::sleep(IDLE_TIME).await;
     let quiet = fleet.since(before);
     let memory = fleet
-        .crowds
+        .processes
         .iter()
         .map(|c| memory(c.pid()).pss)
         .sum::<f64>()
@@ -176,12 +176,12 @@
         / count as f64;
 
     let (mut times, mut cost, mut bytes) = (Vec::new(), Vec::new(), 0.0);
-    for at in 0..EVENTS {
+    for at in 0..REPLACEMENTS {
         let (took, spent) = fleet.change(&mut tier, |t| t.replace(at)).await?;
         // Without what the comments of that time take.
         cost.push((spent.own - quiet.own / quiet.seconds * spent.seconds).max(0.0) * 1e3);
         times.push(took);
-        bytes = told(&spent.counts);
+        bytes = event_bytes(&spent.counts);
     }
     let middle = |values: &mut Vec<f64>| {
         values.sort_by(f64::total_cmp);
@@ -195,9 +195,9 @@
         .await?;
 
     fleet.coordinator.behave(|b| b.cut = true);
-    tokio::time::sleep(CUT.checked_sub(QUIET).unwrap()).await;
+    tokio::time::sleep(CUT_TIME.checked_sub(IDLE_TIME).unwrap()).await;
     let before = fleet.now();
-    tokio::time::sleep(QUIET).await;
+    tokio::time::sleep(IDLE_TIME).await;
     let cut = fleet.since(before);
     tier.replace(20);
     let index = fleet.coordinator.publish(false, &[], &tier);
@@ -208,7 +208,7 @@
     let waited = async {
         let mut at = Instant::now();
         loop {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(RATE_INTERVAL).await;
             let counts = fleet.coordinator.counts();
             peak = peak.max((counts.sent_bytes - last) as f64 / at.elapsed().as_secs_f64());
             (last, at) = (counts.sent_bytes, Instant::now());
@@ -221,12 +221,12 @@
     tokio::time::timeout(Duration::from_secs(60), waited)
         .await
         .map_err(|_| "not all asked anew")?;
-    let all = fleet.have(index, then).await?;
+    let all = fleet.await_event(index, then).await?;
     let anew = fleet.since(before);
     let values = vec![
         memory,
         start,
-        quiet.fronts / quiet.seconds * 100.0,
+        quiet.front_ends / quiet.seconds * 100.0,
         quiet.own / quiet.seconds * 100.0,
         quiet.counts.sent_bytes as f64 / quiet.seconds / count as f64,
         quiet.counts.received_bytes as f64 / quiet.seconds / count as f64,
@@ -234,22 +234,22 @@
         cost,
         bytes,
         one,
-        told(&one_spent.counts),
+        event_bytes(&one_spent.counts),
         more,
-        told(&more_spent.counts),
+        event_bytes(&more_spent.counts),
         cut.counts.rejected as f64 / cut.seconds,
-        cut.fronts / cut.seconds * 100.0,
+        cut.front_ends / cut.seconds * 100.0,
         cut.own / cut.seconds * 100.0,
         all,
         written,
         anew.counts.connections as f64,
-        told(&anew.counts),
+        event_bytes(&anew.counts),
         peak,
         anew.own * 1e3,
-        anew.fronts * 1e3,
+        anew.front_ends * 1e3,
     ];
-    for crowd in fleet.crowds {
-        crowd.kill().await;
+    for process in fleet.processes {
+        process.kill().await;
     }
     Ok(values)
 }
--- a/crates/pipithub-bench/src/scale/front_ends/rig.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/front_end.rs
@@ -72,12 +72,12 @@
 }
 
 /// A real front end.
-pub(super) struct Real {
+pub(super) struct FrontEnd {
     child: Child,
     log: PathBuf,
 }
 
-impl Real {
+impl FrontEnd {
     /// Starts `pipithub node` by this configuration.
     pub(super) fn start(binary: &Path, config: &Path) -> Result<Self> {
         let log = config.with_extension("log");
@@ -92,7 +92,7 @@
             .stderr(std::fs::File::create(&log)?)
             .kill_on_drop(true)
             .spawn()?;
-        Ok(Real { child, log })
+        Ok(FrontEnd { child, log })
     }
 
     /// Its process id.
@@ -138,13 +138,13 @@
 }
 
 /// A process of many hollow front ends.
-pub(super) struct Crowd {
+pub(super) struct HollowProcess {
     child: Child,
     stdin: ChildStdin,
     lines: Lines<BufReader<ChildStdout>>,
 }
 
-impl Crowd {
+impl HollowProcess {
     /// Starts so many, numbered from `first`.
     pub(super) async fn start(config: &Path, count: usize, first: usize) -> Result<Self> {
         let mut child = Command::new(std::env::current_exe()?)
@@ -157,13 +157,13 @@
             .spawn()?;
         let stdin = child.stdin.take().ok_or("no pipe")?;
         let lines = BufReader::new(child.stdout.take().ok_or("no pipe")?).lines();
-        let mut crowd = Crowd {
+        let mut process = HollowProcess {
             child,
             stdin,
             lines,
         };
-        crowd.answer().await?;
-        Ok(crowd)
+        process.answer().await?;
+        Ok(process)
     }
 
     /// Its process id.
@@ -178,15 +178,15 @@
         )?)
     }
 
-    async fn ask(&mut self, line: &str) -> Result<Value> {
+    async fn request(&mut self, line: &str) -> Result<Value> {
         self.stdin.write_all(format!("{line}\n").as_bytes()).await?;
         self.stdin.flush().await?;
         self.answer().await
     }
 
     /// Waits until all have this event; the Unix time in nanoseconds at which the last one had it.
-    pub(super) async fn have(&mut self, index: u64) -> Result<u64> {
-        let told = self.ask(&format!("await {index}")).await?;
+    pub(super) async fn await_event(&mut self, index: u64) -> Result<u64> {
+        let told = self.request(&format!("await {index}")).await?;
         if told["wanted"] != 0 {
             return Err(format!("hollow front ends wanted connections: {told}").into());
         }
@@ -200,7 +200,10 @@
 }
 
 /// Waits until this holds of what the coordinator counts.
-pub(super) async fn until(coordinator: &Coordinator, holds: impl Fn(Counts) -> bool) -> Result<()> {
+pub(super) async fn wait_until(
+    coordinator: &Coordinator,
+    holds: impl Fn(Counts) -> bool,
+) -> Result<()> {
     let turns = async {
         while !holds(coordinator.counts()) {
             tokio::time::sleep(Duration::from_millis(5)).await;
--- a/crates/pipithub-bench/src/scale/front_ends/lists.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/lists.rs
@@ -5,12 +5,12 @@
 
 use pipithub_emulator::coordinator::{Behaviour, Coordinator, Tier, event};
 
-use super::rig::{Real, configure, cpu, memory, until};
+use super::front_end::{FrontEnd, configure, cpu, memory, wait_until};
 use super::{Table, WORKERS, ZONES};
 use crate::Result;
 use crate::scale::{Plan, Series};
 
-const QUIET: Duration = Duration::from_millis(1_500);
+const IDLE_TIME: Duration = Duration::from_millis(1_500);
 /// What a list may take to be worked in before it is looked at.
 const SETTLE: Duration = Duration::from_secs(2);
 const EVENTS: usize = 20;
@@ -44,16 +44,16 @@
 
 async fn play(plan: &Plan, folder: &Path, workers: usize) -> Result<Vec<f64>> {
     let coordinator = Coordinator::start(Behaviour::default())?;
-    let real = Real::start(
+    let real = FrontEnd::start(
         &plan.binary,
         &configure(folder, &coordinator, "n0", plan.seed)?,
     )?;
     let pid = real.pid();
-    until(&coordinator, |c| c.open == 1).await?;
+    wait_until(&coordinator, |c| c.open == 1).await?;
     let mut tier = Tier::new(workers, ZONES);
     let quiet = async || {
         let (before, began) = (cpu(pid), Instant::now());
-        tokio::time::sleep(QUIET).await;
+        tokio::time::sleep(IDLE_TIME).await;
         (cpu(pid) - before) / began.elapsed().as_secs_f64()
     };
     let empty = quiet().await;
@@ -61,7 +61,7 @@
     // CPU of what happens until all is quiet again, without what a quiet front end takes.
     let (before, began) = (cpu(pid), Instant::now());
     coordinator.publish(true, tier.hosts(), &tier);
-    until(&coordinator, |c| c.events == 1).await?;
+    wait_until(&coordinator, |c| c.events == 1).await?;
     tokio::time::sleep(SETTLE).await;
     if !real.is_well().await? {
         return Err(format!(
@@ -75,7 +75,7 @@
     let first = spent - took * idle;
     let (before, began) = (cpu(pid), Instant::now());
     coordinator.publish(true, tier.hosts(), &tier);
-    until(&coordinator, |c| c.events == 2).await?;
+    wait_until(&coordinator, |c| c.events == 2).await?;
     tokio::time::sleep(SETTLE).await;
     let later = cpu(pid) - before - began.elapsed().as_secs_f64() * idle;
     let (counts, before, began) = (coordinator.counts(), cpu(pid), Instant::now());
@@ -84,7 +84,7 @@
         coordinator.publish(false, &changed, &tier);
         tokio::time::sleep(Duration::from_millis(40)).await;
     }
-    until(&coordinator, |c| c.events == 2 + EVENTS as u64).await?;
+    wait_until(&coordinator, |c| c.events == 2 + EVENTS as u64).await?;
     tokio::time::sleep(Duration::from_millis(100)).await;
     let each = (cpu(pid) - before - began.elapsed().as_secs_f64() * idle) / EVENTS as f64;
     let now = coordinator.counts();
--- a/crates/pipithub-bench/src/scale/front_ends/processes.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/processes.rs
@@ -5,14 +5,14 @@
 
 use pipithub_emulator::coordinator::{Behaviour, Coordinator, Tier};
 
-use super::rig::{Memory, Real, configure, cpu, memory, until};
+use super::front_end::{FrontEnd, Memory, configure, cpu, memory, wait_until};
 use super::{FRONT_ENDS, Table, ZONES};
 use crate::Result;
 use crate::scale::{Plan, Series};
 
 /// Workers in the list.
 const WORKERS: usize = 1_000;
-const QUIET: Duration = Duration::from_secs(3);
+const IDLE_TIME: Duration = Duration::from_secs(3);
 
 pub(super) async fn measure(plan: &Plan, folder: &Path) -> Result<Vec<Series>> {
     let mut table = Table::new(
@@ -45,12 +45,12 @@
     coordinator.publish(true, tier.hosts(), &tier);
     let mut real = Vec::new();
     for n in 0..count {
-        real.push(Real::start(
+        real.push(FrontEnd::start(
             &plan.binary,
             &configure(folder, &coordinator, &format!("n{n}"), plan.seed + n as u64)?,
         )?);
     }
-    until(&coordinator, |c| {
+    wait_until(&coordinator, |c| {
         c.open >= count as u64 && c.events >= count as u64
     })
     .await?;
@@ -62,7 +62,7 @@
         coordinator.cpu_ns(),
         Instant::now(),
     );
-    tokio::time::sleep(QUIET).await;
+    tokio::time::sleep(IDLE_TIME).await;
     let (took, after, now) = (began.elapsed().as_secs_f64(), used(), coordinator.counts());
     let own = (coordinator.cpu_ns() - own) as f64 / 1e9;
     let held: Vec<Memory> = real.iter().map(|r| memory(r.pid())).collect();
--- a/crates/pipithub-bench/src/scale/members.rs
+++ b/crates/pipithub-bench/src/scale/membership.rs
@@ -5,227 +5,250 @@
 
 use super::{Plan, Series};
 use crate::Result;
-use crate::members::{Day, Row};
+use crate::membership::{Measurements, Scenario};
 
 /// Larger ones are for `--sizes`: from some 300 on a fleet may take minutes of simulated time to come together, which the
 /// simulation plays slower than they pass.
 const SIZES: [u64; 4] = [20, 60, 120, 200];
 const PLANNED: u64 = 1_700;
 /// Days that are played beside one another; those whose CPU counts run alone.
-const BESIDE: usize = 3;
+const PARALLEL_PLAYS: usize = 3;
 
 /// A figure of a day: which, in words, its unit, and what to make of the row's value.
-type Figure = (Day, &'static str, &'static str, fn(&Row) -> f64);
+type Figure = (
+    Scenario,
+    &'static str,
+    &'static str,
+    fn(&Measurements) -> f64,
+);
 
 const FIGURES: &[Figure] = &[
     (
-        Day::Ordinary,
+        Scenario::Ordinary,
         "start at once until all know all",
         "s",
-        |r| r.together,
+        |r| r.convergence,
     ),
-    (Day::Ordinary, "a death until the first knows", "s", |r| {
-        r.first
+    (
+        Scenario::Ordinary,
+        "a death until the first knows",
+        "s",
+        |r| r.first_detection,
+    ),
+    (Scenario::Ordinary, "a death until all know", "s", |r| {
+        r.full_detection
     }),
-    (Day::Ordinary, "a death until all know", "s", |r| r.all),
     (
-        Day::Ordinary,
+        Scenario::Ordinary,
         "suspicions of the living for each member",
         "",
         |r| r.suspected,
     ),
-    (Day::Ordinary, "false deaths in all", "", |r| r.false_deaths),
-    (Day::Ordinary, "bytes at rest, mean member", "B/s", |r| {
-        r.bytes
-    }),
-    (Day::Ordinary, "bytes at rest, worst member", "B/s", |r| {
-        r.bytes_worst
+    (Scenario::Ordinary, "false deaths in all", "", |r| {
+        r.false_deaths
     }),
     (
-        Day::Ordinary,
+        Scenario::Ordinary,
+        "bytes at rest, mean member",
+        "B/s",
+        |r| r.bytes,
+    ),
+    (
+        Scenario::Ordinary,
+        "bytes at rest, worst member",
+        "B/s",
+        |r| r.bytes_worst,
+    ),
+    (
+        Scenario::Ordinary,
         "datagrams at rest, mean member",
         "1/s",
         |r| r.messages,
     ),
     (
-        Day::Ordinary,
+        Scenario::Ordinary,
         "datagrams at rest, worst member",
         "1/s",
         |r| r.messages_worst,
     ),
     (
-        Day::Ordinary,
+        Scenario::Ordinary,
         "bytes in the worst second of the start, mean member",
         "B/s",
         |r| r.bytes_start,
     ),
     (
-        Day::Ordinary,
+        Scenario::Ordinary,
         "bytes in the worst second after a death, mean member",
         "B/s",
-        |r| r.bytes_blow,
+        |r| r.bytes_after_fault,
     ),
     (
-        Day::Ordinary,
+        Scenario::Ordinary,
         "CPU at rest for each member",
         "% of a core",
         |r| r.cpu * 100.0,
     ),
     (
-        Day::Ordinary,
+        Scenario::Ordinary,
         "CPU during the start for each member",
         "% of a core",
         |r| r.cpu_start * 100.0,
     ),
     (
-        Day::Ordinary,
+        Scenario::Ordinary,
         "CPU of the simulation for each member",
         "% of a core",
         |r| r.cpu_simulation * 100.0,
     ),
-    (Day::Ordinary, "memory for each member", "KiB", |r| {
+    (Scenario::Ordinary, "memory for each member", "KiB", |r| {
         r.memory / 1_024.0
     }),
     (
-        Day::Loss,
+        Scenario::Loss,
         "loss 1%: start at once until all know all",
         "s",
-        |r| r.together,
+        |r| r.convergence,
     ),
     (
-        Day::Loss,
+        Scenario::Loss,
         "loss 1%: a death until the first knows",
         "s",
-        |r| r.first,
+        |r| r.first_detection,
+    ),
+    (
+        Scenario::Loss,
+        "loss 1%: a death until all know",
+        "s",
+        |r| r.full_detection,
     ),
-    (Day::Loss, "loss 1%: a death until all know", "s", |r| r.all),
     (
-        Day::Loss,
+        Scenario::Loss,
         "loss 1%: suspicions of the living for each member",
         "",
         |r| r.suspected,
     ),
-    (Day::Loss, "loss 1%: false deaths in all", "", |r| {
+    (Scenario::Loss, "loss 1%: false deaths in all", "", |r| {
         r.false_deaths
     }),
     (
-        Day::Loss,
+        Scenario::Loss,
         "loss 1%: bytes at rest, mean member",
         "B/s",
         |r| r.bytes,
     ),
     (
-        Day::Loss,
+        Scenario::Loss,
         "loss 1%: bytes at rest, worst member",
         "B/s",
         |r| r.bytes_worst,
     ),
     (
-        Day::Seventh,
+        Scenario::Seventh,
         "a seventh dies: until the first knows",
         "s",
-        |r| r.first,
+        |r| r.first_detection,
     ),
     (
-        Day::Seventh,
+        Scenario::Seventh,
         "a seventh dies: until all know all",
         "s",
-        |r| r.all,
+        |r| r.full_detection,
     ),
     (
-        Day::Seventh,
+        Scenario::Seventh,
         "a seventh dies: suspicions of the living for each member",
         "",
         |r| r.suspected,
     ),
     (
-        Day::Seventh,
+        Scenario::Seventh,
         "a seventh dies: false deaths in all",
         "",
         |r| r.false_deaths,
     ),
     (
-        Day::Seventh,
+        Scenario::Seventh,
         "a seventh dies: bytes in the worst second, mean member",
         "B/s",
-        |r| r.bytes_blow,
+        |r| r.bytes_after_fault,
     ),
     (
-        Day::Seventh,
+        Scenario::Seventh,
         "a seventh dies: bytes in the worst second, worst member",
         "B/s",
-        |r| r.bytes_blow_worst,
+        |r| r.bytes_after_fault_worst,
     ),
     (
-        Day::TwentyFirst,
+        Scenario::TwentyFirst,
         "one in 21 dies: until the first knows",
         "s",
-        |r| r.first,
+        |r| r.first_detection,
     ),
     (
-        Day::TwentyFirst,
+        Scenario::TwentyFirst,
         "one in 21 dies: until all know all",
         "s",
-        |r| r.all,
+        |r| r.full_detection,
     ),
     (
-        Day::TwentyFirst,
+        Scenario::TwentyFirst,
         "one in 21 dies: false deaths in all",
         "",
         |r| r.false_deaths,
     ),
     (
-        Day::TwentyFirst,
+        Scenario::TwentyFirst,
         "one in 21 dies: bytes in the worst second, mean member",
         "B/s",
-        |r| r.bytes_blow,
+        |r| r.bytes_after_fault,
     ),
     (
-        Day::Regions,
+        Scenario::Regions,
         "three regions cut for 60 s: from the mend until all know all",
         "s",
-        |r| r.all,
+        |r| r.full_detection,
     ),
     (
-        Day::Regions,
+        Scenario::Regions,
         "three regions cut for 60 s: bytes in the worst second, mean member",
         "B/s",
-        |r| r.bytes_blow,
+        |r| r.bytes_after_fault,
     ),
     (
-        Day::Regions,
+        Scenario::Regions,
         "three regions cut for 60 s: bytes in the worst second, worst member",
         "B/s",
-        |r| r.bytes_blow_worst,
+        |r| r.bytes_after_fault_worst,
     ),
     (
-        Day::Restart,
+        Scenario::Restart,
         "all restarted in 60 s: from the last until all know all",
         "s",
-        |r| r.all,
+        |r| r.full_detection,
     ),
     (
-        Day::Restart,
+        Scenario::Restart,
         "all restarted in 60 s: false deaths in all",
         "",
         |r| r.false_deaths,
     ),
     (
-        Day::Restart,
+        Scenario::Restart,
         "all restarted in 60 s: bytes in the worst second, mean member",
         "B/s",
-        |r| r.bytes_blow,
+        |r| r.bytes_after_fault,
     ),
     (
-        Day::Restart,
+        Scenario::Restart,
         "all restarted in 60 s: bytes in the worst second, worst member",
         "B/s",
-        |r| r.bytes_blow_worst,
+        |r| r.bytes_after_fault_worst,
     ),
 ];
 
 /// Plays one day in a process of its own.
-fn play(day: Day, size: u64, seed: u64) -> Result<Row> {
+fn play(day: Scenario, size: u64, seed: u64) -> Result<Measurements> {
     let day = clap::ValueEnum::to_possible_value(&day).ok_or("a day without a name")?;
     let (size, seed) = (size.to_string(), seed.to_string());
     let arguments = [
@@ -252,12 +275,16 @@
     let series = |f: &Figure| Series::new("members", f.1, f.2, "members", how, PLANNED);
     let mut all: Vec<Series> = FIGURES.iter().map(series).collect();
     for size in plan.sizes_or(&SIZES) {
-        for day in <Day as clap::ValueEnum>::value_variants() {
+        for day in <Scenario as clap::ValueEnum>::value_variants() {
             let seeds: Vec<u64> = (0..plan.plays as u64).map(|n| plan.seed + n).collect();
-            let beside = if *day == Day::Ordinary { 1 } else { BESIDE };
+            let beside = if *day == Scenario::Ordinary {
+                1
+            } else {
+                PARALLEL_PLAYS
+            };
             let mut rows = Vec::new();
             for seeds in seeds.chunks(beside) {
-                let played: Vec<Result<Row>> = std::thread::scope(|scope| {
+                let played: Vec<Result<Measurements>> = std::thread::scope(|scope| {
                     let threads: Vec<_> = seeds
                         .iter()
                         .map(|seed| scope.spawn(|| play(*day, size, *seed)))
--- a/crates/pipithub-bench/src/scale/mod.rs
+++ b/crates/pipithub-bench/src/scale/mod.rs
@@ -1,10 +1,10 @@
 //! Scale tests: each part is measured at several sizes, and its slope says what a larger site would need.
 
-mod council;
+mod consensus;
 mod decisions;
 mod fit;
 mod front_ends;
-mod members;
+mod membership;
 mod plot;
 mod settings;
 mod workers;
@@ -55,9 +55,11 @@
     /// What a front end's process holds, reads and asks, and what hands out the list spends.
     FrontEnds,
     /// Membership, in simulated time.
-    Members,
+    #[value(name = "members")]
+    Membership,
     /// Agreed entries of the council's core.
-    Council,
+    #[value(name = "council")]
+    Consensus,
     /// How a change of configuration reaches all front ends.
     Settings,
     /// What a worker sees of all front ends, from the fleet test's own counts.
@@ -105,9 +107,11 @@
     /// The median of the plays.
     pub value: f64,
     /// The least and the greatest of them.
-    pub least: f64,
-    /// See `least`.
-    pub greatest: f64,
+    #[serde(rename = "least")]
+    pub min: f64,
+    /// See `min`.
+    #[serde(rename = "greatest")]
+    pub max: f64,
     /// How many plays there were.
     pub plays: usize,
 }
@@ -121,8 +125,8 @@
         Point {
             size,
             value: at(plays / 2),
-            least: at(0),
-            greatest: at(plays.saturating_sub(1)),
+            min: at(0),
+            max: at(plays.saturating_sub(1)),
             plays,
         }
     }
@@ -138,9 +142,11 @@
     /// The unit of the values.
     pub unit: String,
     /// What the sizes count.
-    pub of: String,
+    #[serde(rename = "of")]
+    pub size_unit: String,
     /// How it was run: `processes`, `hollow`, `simulated time` or `core`.
-    pub how: String,
+    #[serde(rename = "how")]
+    pub method: String,
     /// The points, by size.
     pub points: Vec<Point>,
     /// The size that is planned for.
@@ -155,17 +161,18 @@
         part: &str,
         what: &str,
         unit: &str,
-        of: &str,
-        how: &str,
+        size_unit: &str,
+        method: &str,
         planned: u64,
     ) -> Series {
-        let [part, what, unit, of, how] = [part, what, unit, of, how].map(str::to_string);
+        let [part, what, unit, size_unit, method] =
+            [part, what, unit, size_unit, method].map(str::to_string);
         Series {
             part,
             what,
             unit,
-            of,
-            how,
+            size_unit,
+            method,
             points: Vec::new(),
             planned,
             fit: None,
@@ -185,12 +192,12 @@
     fn print(&self) {
         println!(
             "\n{} / {} [{}], {}",
-            self.part, self.what, self.unit, self.how
+            self.part, self.what, self.unit, self.method
         );
         for p in &self.points {
             println!(
                 "  {:>8} {:<12} {:>14.3}   ({:.3} to {:.3}, {} plays)",
-                p.size, self.of, p.value, p.least, p.greatest, p.plays
+                p.size, self.size_unit, p.value, p.min, p.max, p.plays
             );
         }
         if let Some(fit) = &self.fit {
@@ -201,7 +208,7 @@
                 fit.residual * 100.0,
                 self.furthest(),
                 self.planned,
-                self.of,
+                self.size_unit,
                 self.planned as f64 / self.furthest().max(1) as f64
             );
         }
@@ -257,8 +264,8 @@
     match part {
         Part::Decisions => decisions::measure(plan).await,
         Part::FrontEnds => front_ends::measure(plan).await,
-        Part::Members => members::measure(plan).await,
-        Part::Council => council::measure(plan).await,
+        Part::Membership => membership::measure(plan).await,
+        Part::Consensus => consensus::measure(plan).await,
         Part::Settings => settings::measure(plan).await,
         Part::Workers => workers::measure(plan).await,
     }
--- a/crates/pipithub-bench/src/scale/plot.rs
+++ b/crates/pipithub-bench/src/scale/plot.rs
@@ -50,7 +50,7 @@
         .build_cartesian_2d(range(|p| p.0).log_scale(), range(|p| p.1).log_scale())?;
     chart
         .configure_mesh()
-        .x_desc(format!("{} ({})", series.of, series.how))
+        .x_desc(format!("{} ({})", series.size_unit, series.method))
         .y_desc(series.unit.as_str())
         .draw()?;
     chart.draw_series(LineSeries::new(slope.iter().copied(), &RED))?;
--- a/crates/pipithub-bench/src/scale/settings.rs
+++ b/crates/pipithub-bench/src/scale/settings.rs
@@ -15,8 +15,8 @@
 /// The front ends that are planned for.
 const PLANNED: u64 = 1_700;
 /// Changes of a day, and within what each is to be in force everywhere.
-const CHANGES_A_DAY: f64 = 1_500.0;
-const WITHIN: f64 = 4.0;
+const CHANGES_PER_DAY: f64 = 1_500.0;
+const SECONDS_PER_CHANGE: f64 = 4.0;
 /// Processes on one machine: the largest is a tenth of the plan.
 const FRONT_ENDS: [u64; 6] = [1, 3, 10, 30, 100, 200];
 
@@ -115,11 +115,11 @@
         "  anything else: the file, SIGTERM, wait for its end, start it, ask isWell (5 steps)"
     );
     println!(
-        "  {CHANGES_A_DAY} changes a day are one each {:.1} s; for {PLANNED} front ends {:.0} files and signals a second on \
-         average, {:.0} a second where each must be in force within {WITHIN} s",
-        86_400.0 / CHANGES_A_DAY,
-        CHANGES_A_DAY * PLANNED as f64 / 86_400.0,
-        PLANNED as f64 / WITHIN
+        "  {CHANGES_PER_DAY} changes a day are one each {:.1} s; for {PLANNED} front ends {:.0} files and signals a second on \
+         average, {:.0} a second where each must be in force within {SECONDS_PER_CHANGE} s",
+        86_400.0 / CHANGES_PER_DAY,
+        CHANGES_PER_DAY * PLANNED as f64 / 86_400.0,
+        PLANNED as f64 / SECONDS_PER_CHANGE
     );
     println!(
         "  not there: anything that hands a change out, a version that a front end can be asked for, a way back"
@@ -145,15 +145,15 @@
 }
 
 async fn one_change(site: &mut Site, play: &mut Play) -> Result<()> {
-    let (to, cpu) = (site.next(), site.cpu());
+    let (to, cpu) = (site.next_coordinator(), site.cpu());
     let begun = Instant::now();
     let mut signalled = Vec::new();
     for n in 0..site.size() {
         play.written += site.replace(n, to)? as f64;
         signalled.push(Instant::now());
-        site.hang_up(n)?;
+        site.reload(n)?;
     }
-    let asked = site.all_ask(to).await?;
+    let asked = site.requests_of_all(to).await?;
     let last = asked.iter().map(|a| a.at).max().unwrap_or(begun);
     let mut each: Vec<f64> = asked
         .iter()
@@ -169,38 +169,43 @@
 }
 
 async fn two_in_a_row(site: &mut Site) -> Result<f64> {
-    let (first, second) = (site.next(), site.next());
+    let (first, second) = (site.next_coordinator(), site.next_coordinator());
     let begun = Instant::now();
     for n in 0..site.size() {
         site.replace(n, first)?;
-        site.hang_up(n)?;
+        site.reload(n)?;
         site.replace(n, second)?;
-        site.hang_up(n)?;
+        site.reload(n)?;
     }
     settled(site, second, begun).await
 }
 
 /// The second change comes when half of the front ends were told of the first.
 async fn overtaken(site: &mut Site) -> Result<(f64, f64)> {
-    let (first, second) = (site.next(), site.next());
+    let (first, second) = (site.next_coordinator(), site.next_coordinator());
     let half = site.size() / 2;
     for n in 0..half {
         site.replace(n, first)?;
-        site.hang_up(n)?;
+        site.reload(n)?;
     }
     // The rest gets the second at once. Who was told of the first stays with it for as long as nobody starts again.
     let begun = Instant::now();
     for n in half..site.size() {
         site.replace(n, second)?;
-        site.hang_up(n)?;
+        site.reload(n)?;
     }
-    let on_first = site.ask(first, half).await?.len();
-    site.ask(second, site.size() - half).await?;
+    let on_first = site.requests(first, half).await?.len();
+    site.requests(second, site.size() - half).await?;
     for n in 0..half {
         site.replace(n, second)?;
-        site.hang_up(n)?;
+        site.reload(n)?;
     }
-    let last = site.ask(second, half).await?.iter().map(|a| a.at).max();
+    let last = site
+        .requests(second, half)
+        .await?
+        .iter()
+        .map(|a| a.at)
+        .max();
     Ok((
         (last.unwrap_or_else(Instant::now) - begun).as_secs_f64(),
         on_first as f64,
@@ -208,24 +213,25 @@
 }
 
 async fn half_written(site: &mut Site) -> Result<f64> {
-    let to = site.next();
+    let to = site.next_coordinator();
     for n in 0..site.size() {
         site.write_half(n, to)?;
-        site.hang_up(n)?;
+        site.reload(n)?;
     }
-    site.all_say(site::Said::Kept).await?;
+    site.all_log(site::LogEvent::Kept).await?;
     let begun = Instant::now();
     for n in 0..site.size() {
-        site.write_whole(n, to)?;
+        site.write_complete(n, to)?;
     }
     settled(site, to, begun).await
 }
 
 /// Waits until all front ends have asked a coordinator; fails where one asks an older one afterwards.
 async fn settled(site: &mut Site, to: Coordinator, begun: Instant) -> Result<f64> {
-    let asked = site.all_ask(to).await?;
+    let asked = site.requests_of_all(to).await?;
     let last = asked.iter().map(|a| a.at).max().unwrap_or(begun);
     // Long beside the time from a signal to the question.
-    site.nobody_asks_but(to, Duration::from_millis(200)).await?;
+    site.ensure_no_requests_to_others(to, Duration::from_millis(200))
+        .await?;
     Ok((last - begun).as_secs_f64())
 }
--- a/crates/pipithub-bench/src/scale/settings/reading.rs
+++ b/crates/pipithub-bench/src/scale/settings/reading.rs
@@ -6,7 +6,7 @@
 
 use pipithub_platform::config::NodeConfig;
 
-use super::site::{Said, Site, configuration, worker};
+use super::site::{LogEvent, Site, configuration, worker};
 use crate::Result;
 use crate::scale::{Plan, Series};
 
@@ -76,8 +76,8 @@
             started.push(site.cpu() * 1e3);
             let before = site.cpu();
             // The same file: what is spent is the reading, and nothing moves.
-            site.hang_up(0)?;
-            site.all_say(Said::Read).await?;
+            site.reload(0)?;
+            site.all_log(LogEvent::Read).await?;
             read_again.push((site.cpu() - before) * 1e3);
             held.push(site.peak_mb());
             site.stop().await;
--- a/crates/pipithub-bench/src/scale/settings/site.rs
+++ b/crates/pipithub-bench/src/scale/settings/site.rs
@@ -17,18 +17,18 @@
 /// The longest wait for front ends to do what they were told: many times the 4 s that are wanted.
 const PATIENCE: Duration = Duration::from_secs(30);
 /// How often a coordinator says that it is there; a front end takes 1.6 s without a byte for its end.
-const COMMENT: Duration = Duration::from_millis(500);
+const COMMENT_INTERVAL: Duration = Duration::from_millis(500);
 /// Coordinators, in turn: the one in force, the first and the second of two changes, with one to spare.
 const COORDINATORS: usize = 4;
 /// The longest head of a request for the list that is read.
-const HEAD_MOST: usize = 8 << 10;
+const MAX_HEAD_BYTES: usize = 8 << 10;
 
 /// One of the coordinators.
 pub(super) type Coordinator = usize;
 
 /// What a front end's log said.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Said {
+pub(super) enum LogEvent {
     /// It is up.
     Up,
     /// It has taken a configuration in.
@@ -39,7 +39,7 @@
 
 /// A front end's question for the list.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Asked {
+pub(super) struct ListRequest {
     /// Who asked.
     pub node: usize,
     /// Whom.
@@ -51,30 +51,30 @@
 }
 
 #[derive(Debug)]
-enum Heard {
-    Asked(Asked),
-    Said(usize, Said, Instant),
+enum Observation {
+    Asked(ListRequest),
+    Logged(usize, LogEvent, Instant),
 }
 
-struct Front {
+struct FrontEnd {
     child: Child,
-    place: PathBuf,
+    file: PathBuf,
 }
 
 /// Front ends, their files and their coordinators.
 pub(super) struct Site {
     binary: PathBuf,
     folder: PathBuf,
-    fronts: Vec<Front>,
+    front_ends: Vec<FrontEnd>,
     addresses: Vec<String>,
     /// What each configuration holds besides: workers known and classes.
     workers: Vec<Value>,
     classes: usize,
     in_force: Coordinator,
     /// Questions since the last change that nobody has waited for yet.
-    others: Vec<Asked>,
-    sender: mpsc::UnboundedSender<Heard>,
-    heard: mpsc::UnboundedReceiver<Heard>,
+    other_requests: Vec<ListRequest>,
+    sender: mpsc::UnboundedSender<Observation>,
+    observations: mpsc::UnboundedReceiver<Observation>,
 }
 
 impl Site {
@@ -87,7 +87,7 @@
         classes: usize,
     ) -> Result<Site> {
         // Bounded by what so few processes can ask and log.
-        let (sender, heard) = mpsc::unbounded_channel();
+        let (sender, observations) = mpsc::unbounded_channel();
         let (mut addresses, workers) = (Vec::new(), (0..workers).map(worker).collect::<Vec<_>>());
         let first = events(workers.len());
         for coordinator in 0..COORDINATORS {
@@ -96,37 +96,37 @@
             tokio::spawn(serve(listener, coordinator, first, sender.clone()));
         }
         let (binary, folder) = (binary.to_path_buf(), folder.to_path_buf());
-        let fronts = Vec::new();
+        let front_ends = Vec::new();
         let mut site = Site {
             binary,
             folder,
-            fronts,
+            front_ends,
             addresses,
             workers,
             classes,
             in_force: 0,
-            others: Vec::new(),
+            other_requests: Vec::new(),
             sender,
-            heard,
+            observations,
         };
         for n in 0..size {
-            let place = site.folder.join(format!("{n}.json"));
-            std::fs::write(&place, site.text(n, 0))?;
-            let child = site.spawn(n, &place)?;
-            site.fronts.push(Front { child, place });
+            let file = site.folder.join(format!("{n}.json"));
+            std::fs::write(&file, site.text(n, 0))?;
+            let child = site.spawn(n, &file)?;
+            site.front_ends.push(FrontEnd { child, file });
         }
-        site.all_ask(0).await?;
+        site.requests_of_all(0).await?;
         Ok(site)
     }
 
     /// How many there are.
     pub(super) fn size(&self) -> usize {
-        self.fronts.len()
+        self.front_ends.len()
     }
 
     /// The coordinator that the next change names.
-    pub(super) fn next(&mut self) -> Coordinator {
-        self.others.clear();
+    pub(super) fn next_coordinator(&mut self) -> Coordinator {
+        self.other_requests.clear();
         self.in_force = (self.in_force + 1) % COORDINATORS;
         self.in_force
     }
@@ -136,10 +136,10 @@
         configuration(n, &self.addresses[coordinator], &self.workers, self.classes).to_string()
     }
 
-    fn spawn(&self, n: usize, place: &Path) -> Result<Child> {
+    fn spawn(&self, n: usize, file: &Path) -> Result<Child> {
         let mut child = Command::new(&self.binary)
             .arg("node")
-            .env("LB_CONFIG", place)
+            .env("LB_CONFIG", file)
             .env("RUST_LOG", "info")
             .env("NO_COLOR", "1")
             .env_remove("LB_LISTEN")
@@ -153,12 +153,12 @@
             let mut lines = BufReader::new(log).lines();
             while let Ok(Some(line)) = lines.next_line().await {
                 let said = [
-                    ("front end up", Said::Up),
-                    ("configuration read again", Said::Read),
-                    ("previous configuration stays in force", Said::Kept),
+                    ("front end up", LogEvent::Up),
+                    ("configuration read again", LogEvent::Read),
+                    ("previous configuration stays in force", LogEvent::Kept),
                 ];
                 if let Some((_, said)) = said.iter().find(|(words, _)| line.contains(words)) {
-                    let _ = sender.send(Heard::Said(n, *said, Instant::now()));
+                    let _ = sender.send(Observation::Logged(n, *said, Instant::now()));
                 }
             }
         });
@@ -167,10 +167,10 @@
 
     /// Puts a new file in the place of the old one, so that nobody reads a part of it; its bytes.
     pub(super) fn replace(&self, n: usize, coordinator: Coordinator) -> Result<usize> {
-        let (text, place) = (self.text(n, coordinator), &self.fronts[n].place);
-        let beside = place.with_extension("fresh");
+        let (text, file) = (self.text(n, coordinator), &self.front_ends[n].file);
+        let beside = file.with_extension("fresh");
         std::fs::write(&beside, &text)?;
-        std::fs::rename(&beside, place)?;
+        std::fs::rename(&beside, file)?;
         Ok(text.len())
     }
 
@@ -178,27 +178,27 @@
     pub(super) fn write_half(&self, n: usize, coordinator: Coordinator) -> Result<()> {
         let text = self.text(n, coordinator);
         Ok(std::fs::write(
-            &self.fronts[n].place,
+            &self.front_ends[n].file,
             &text[..text.len() / 2],
         )?)
     }
 
     /// Writes the whole file over what is there.
-    pub(super) fn write_whole(&self, n: usize, coordinator: Coordinator) -> Result<()> {
+    pub(super) fn write_complete(&self, n: usize, coordinator: Coordinator) -> Result<()> {
         Ok(std::fs::write(
-            &self.fronts[n].place,
+            &self.front_ends[n].file,
             self.text(n, coordinator),
         )?)
     }
 
     /// Sends SIGHUP.
-    pub(super) fn hang_up(&self, n: usize) -> Result<()> {
-        signal(&self.fronts[n].child, Signal::HUP)
+    pub(super) fn reload(&self, n: usize) -> Result<()> {
+        signal(&self.front_ends[n].child, Signal::HUP)
     }
 
     /// The most memory that any of them ever held, in MB.
     pub(super) fn peak_mb(&self) -> f64 {
-        self.fronts
+        self.front_ends
             .iter()
             .map(|f| peak_mb(&f.child))
             .fold(0.0, f64::max)
@@ -206,38 +206,41 @@
 
     /// CPU of all, in seconds.
     pub(super) fn cpu(&self) -> f64 {
-        self.fronts.iter().map(|f| cpu(&f.child)).sum()
+        self.front_ends.iter().map(|f| cpu(&f.child)).sum()
     }
 
     /// Waits until each has asked this coordinator.
-    pub(super) async fn all_ask(&mut self, coordinator: Coordinator) -> Result<Vec<Asked>> {
-        self.ask(coordinator, self.size()).await
+    pub(super) async fn requests_of_all(
+        &mut self,
+        coordinator: Coordinator,
+    ) -> Result<Vec<ListRequest>> {
+        self.requests(coordinator, self.size()).await
     }
 
     /// Waits until so many front ends have asked this coordinator; the first question of each.
-    pub(super) async fn ask(
+    pub(super) async fn requests(
         &mut self,
         coordinator: Coordinator,
         many: usize,
-    ) -> Result<Vec<Asked>> {
+    ) -> Result<Vec<ListRequest>> {
         let (mut who, mut all) = (HashSet::new(), Vec::new());
         let end = tokio::time::Instant::now() + PATIENCE;
         // Those of the others are kept: one half of the front ends may be asked about after the other.
-        let mut before = std::mem::take(&mut self.others).into_iter();
+        let mut before = std::mem::take(&mut self.other_requests).into_iter();
         while all.len() < many {
             let next = match before.next() {
-                Some(asked) => Ok(Some(Heard::Asked(asked))),
-                None => tokio::time::timeout_at(end, self.heard.recv()).await,
+                Some(asked) => Ok(Some(Observation::Asked(asked))),
+                None => tokio::time::timeout_at(end, self.observations.recv()).await,
             };
             match next {
-                Ok(Some(Heard::Asked(asked))) => {
+                Ok(Some(Observation::Asked(asked))) => {
                     if asked.coordinator != coordinator {
-                        self.others.push(asked);
+                        self.other_requests.push(asked);
                     } else if who.insert(asked.node) {
                         all.push(asked);
                     }
                 }
-                Ok(Some(Heard::Said(..))) => {}
+                Ok(Some(Observation::Logged(..))) => {}
                 _ => {
                     return Err(format!(
                         "{} of {many} asked the coordinator in {PATIENCE:?}",
@@ -247,23 +250,23 @@
                 }
             }
         }
-        self.others.extend(before);
+        self.other_requests.extend(before);
         Ok(all)
     }
 
     /// Waits until each has said this; what is asked meanwhile is passed over.
-    pub(super) async fn all_say(&mut self, what: Said) -> Result<Instant> {
+    pub(super) async fn all_log(&mut self, what: LogEvent) -> Result<Instant> {
         let mut who = HashSet::new();
         let end = tokio::time::Instant::now() + PATIENCE;
         let mut last = Instant::now();
         while who.len() < self.size() {
-            match tokio::time::timeout_at(end, self.heard.recv()).await {
-                Ok(Some(Heard::Said(node, said, at))) => {
+            match tokio::time::timeout_at(end, self.observations.recv()).await {
+                Ok(Some(Observation::Logged(node, said, at))) => {
                     if said == what && who.insert(node) {
                         last = at;
                     }
                 }
-                Ok(Some(Heard::Asked(_))) => {}
+                Ok(Some(Observation::Asked(_))) => {}
                 _ => {
                     return Err(format!(
                         "{} of {} said {what:?} in {PATIENCE:?}",
@@ -278,14 +281,16 @@
     }
 
     /// Fails where another coordinator than this one is asked within a time.
-    pub(super) async fn nobody_asks_but(
+    pub(super) async fn ensure_no_requests_to_others(
         &mut self,
         coordinator: Coordinator,
         within: Duration,
     ) -> Result<()> {
         let end = tokio::time::Instant::now() + within;
-        while let Ok(Some(heard)) = tokio::time::timeout_at(end, self.heard.recv()).await {
-            if let Heard::Asked(asked) = heard
+        while let Ok(Some(observations)) =
+            tokio::time::timeout_at(end, self.observations.recv()).await
+        {
+            if let Observation::Asked(asked) = observations
                 && asked.coordinator != coordinator
             {
                 return Err(
@@ -298,24 +303,24 @@
 
     /// Stops all at once and starts each again when it has ended; seconds until the last one has asked.
     pub(super) async fn restart(&mut self) -> Result<f64> {
-        let to = self.next();
+        let to = self.next_coordinator();
         let begun = Instant::now();
         for n in 0..self.size() {
             self.replace(n, to)?;
-            signal(&self.fronts[n].child, Signal::TERM)?;
+            signal(&self.front_ends[n].child, Signal::TERM)?;
         }
         for n in 0..self.size() {
-            tokio::time::timeout(PATIENCE, self.fronts[n].child.wait()).await??;
-            let place = self.fronts[n].place.clone();
-            self.fronts[n].child = self.spawn(n, &place)?;
+            tokio::time::timeout(PATIENCE, self.front_ends[n].child.wait()).await??;
+            let file = self.front_ends[n].file.clone();
+            self.front_ends[n].child = self.spawn(n, &file)?;
         }
-        let asked = self.all_ask(to).await?;
+        let asked = self.requests_of_all(to).await?;
         Ok((asked.iter().map(|a| a.at).max().unwrap_or(begun) - begun).as_secs_f64())
     }
 
     /// Ends all.
     pub(super) async fn stop(mut self) {
-        for front in &mut self.fronts {
+        for front in &mut self.front_ends {
             let _ = front.child.kill().await;
         }
     }
@@ -368,11 +373,11 @@
 }
 
 /// The most workers that one event may hold.
-const EVENT_MOST: usize = 10_000;
+const MAX_EVENT_WORKERS: usize = 10_000;
 
 /// In how many events so many workers are told.
 fn events(workers: usize) -> usize {
-    workers.div_ceil(EVENT_MOST)
+    workers.div_ceil(MAX_EVENT_WORKERS)
 }
 
 /// The configuration of a front end, whose last known event bears its number beyond what the events need.
@@ -383,7 +388,7 @@
     classes: usize,
 ) -> Value {
     let updates: Vec<Value> = workers
-        .chunks(EVENT_MOST)
+        .chunks(MAX_EVENT_WORKERS)
         .enumerate()
         .map(|(i, hosts)| {
             let index = n + i + 1;
@@ -407,7 +412,7 @@
     listener: TcpListener,
     coordinator: Coordinator,
     first: usize,
-    sender: mpsc::UnboundedSender<Heard>,
+    sender: mpsc::UnboundedSender<Observation>,
 ) {
     while let Ok((stream, _)) = listener.accept().await {
         tokio::spawn(answer(stream, coordinator, first, sender.clone()));
@@ -420,10 +425,10 @@
     mut stream: TcpStream,
     coordinator: Coordinator,
     first: usize,
-    sender: mpsc::UnboundedSender<Heard>,
+    sender: mpsc::UnboundedSender<Observation>,
 ) -> std::io::Result<()> {
     let mut head = Vec::new();
-    while !head.ends_with(b"\r\n\r\n") && head.len() < HEAD_MOST {
+    while !head.ends_with(b"\r\n\r\n") && head.len() < MAX_HEAD_BYTES {
         if stream.read_buf(&mut head).await? == 0 {
             return Ok(());
         }
@@ -437,7 +442,7 @@
             .ok()
     });
     if let Some(node) = last.and_then(|last| last.checked_sub(first)) {
-        let _ = sender.send(Heard::Asked(Asked {
+        let _ = sender.send(Observation::Asked(ListRequest {
             node,
             coordinator,
             at,
@@ -449,6 +454,6 @@
         .await?;
     loop {
         stream.write_all(b": here\n\n").await?;
-        tokio::time::sleep(COMMENT).await;
+        tokio::time::sleep(COMMENT_INTERVAL).await;
     }
 }
--- a/crates/pipithub-bench/src/scale/workers.rs
+++ b/crates/pipithub-bench/src/scale/workers.rs
@@ -12,14 +12,14 @@
 
 /// What is planned for: front ends, calls of each in a second, workers.
 const PLANNED: u64 = 1_700;
-const CALLS_EACH: f64 = 100.0;
+const CALLS_PER_FRONT_END: f64 = 100.0;
 const WORKERS: f64 = 16_000.0;
 /// The longest record that is read.
-const RECORD_MOST: u64 = 16 << 20;
+const MAX_RECORD_BYTES: u64 = 16 << 20;
 
 /// One day as it was recorded: sums over all workers, and what they are divided by.
 #[derive(Clone, Debug)]
-struct Day {
+struct FleetRecord {
     kind: String,
     front_ends: u64,
     /// Workers and calls are drawn by the day's seed: both are reported, and figures divided by them.
@@ -44,7 +44,7 @@
         println!("\nworkers: skipped, as no records of the fleet test are given (--fleet DIR)");
         return Ok(Vec::new());
     };
-    let mut kinds: BTreeMap<String, BTreeMap<u64, Vec<Day>>> = BTreeMap::new();
+    let mut kinds: BTreeMap<String, BTreeMap<u64, Vec<FleetRecord>>> = BTreeMap::new();
     for day in read(folder)? {
         kinds
             .entry(day.kind.clone())
@@ -59,7 +59,7 @@
     println!(
         "  not told by its records: which worker got what, so a worker's figures are means over all workers"
     );
-    type Figure = (&'static str, &'static str, fn(&Day) -> f64);
+    type Figure = (&'static str, &'static str, fn(&FleetRecord) -> f64);
     let figures: [Figure; 17] = [
         ("workers, drawn by the seed", "workers", |d| d.workers),
         ("calls of the day, drawn by the seed", "calls", |d| d.calls),
@@ -132,12 +132,13 @@
 /// What each planned worker would see in a second by the ratios of the largest size. The fleet test plays few calls a
 /// second at a front end: connections that carry more of them are made less often, so those are an upper bound. It also
 /// plays more front ends than workers, where the plan has nine workers for each front end.
-fn extrapolate(kind: &str, size: u64, days: &[Day]) {
-    let calls = PLANNED as f64 * CALLS_EACH / WORKERS;
-    let median = |figure: fn(&Day) -> f64| Point::of(size, days.iter().map(figure).collect()).value;
+fn extrapolate(kind: &str, size: u64, days: &[FleetRecord]) {
+    let calls = PLANNED as f64 * CALLS_PER_FRONT_END / WORKERS;
+    let median =
+        |figure: fn(&FleetRecord) -> f64| Point::of(size, days.iter().map(figure).collect()).value;
     println!(
         "  {kind}: by the ratios at {size} front ends with {:.1} calls a second each, a worker of {WORKERS} under {PLANNED} \
-         front ends with {CALLS_EACH} each would see in a second (extrapolated): {:.1} requests, {:.1} new connections and \
+         front ends with {CALLS_PER_FRONT_END} each would see in a second (extrapolated): {:.1} requests, {:.1} new connections and \
          {:.1} handshakes at most, {:.3} probes, {:.2} loads begun",
         median(|d| d.calls / d.seconds / d.front_ends as f64),
         calls * median(|d| d.attempts / d.calls),
@@ -149,7 +150,7 @@
 }
 
 /// All records in a folder, in the order of their names.
-fn read(folder: &Path) -> Result<Vec<Day>> {
+fn read(folder: &Path) -> Result<Vec<FleetRecord>> {
     let mut places: Vec<_> = std::fs::read_dir(folder)?
         .filter_map(|entry| Some(entry.ok()?.path()))
         .filter(|path| path.extension().is_some_and(|e| e == "json"))
@@ -157,12 +158,12 @@
     places.sort();
     let mut days = Vec::new();
     for place in places {
-        if std::fs::metadata(&place)?.len() > RECORD_MOST {
+        if std::fs::metadata(&place)?.len() > MAX_RECORD_BYTES {
             return Err(format!("{}: too long for a record", place.display()).into());
         }
         let record: Value = serde_json::from_str(&std::fs::read_to_string(&place)?)?;
         days.push(
-            day(&record).map_err(|field| format!("{}: {field} is not told", place.display()))?,
+            parse(&record).map_err(|field| format!("{}: {field} is not told", place.display()))?,
         );
     }
     if days.is_empty() {
@@ -173,7 +174,7 @@
 }
 
 /// One record's figures; the place of the first that is missing.
-fn day(record: &Value) -> std::result::Result<Day, &'static str> {
+fn parse(record: &Value) -> std::result::Result<FleetRecord, &'static str> {
     let at = |place: &'static str| record.pointer(place).and_then(Value::as_f64).ok_or(place);
     let windows = record["windows"].as_array().ok_or("/windows")?;
     let sum = |field: &str| {
@@ -189,7 +190,7 @@
         .ok_or("/windows/1/from_s")?;
     let calls = at("/requests")?;
     let served = sum("in_time") + sum("late");
-    Ok(Day {
+    Ok(FleetRecord {
         kind: record["name"].as_str().ok_or("/name")?.to_string(),
         front_ends: at("/row/nodes")? as u64,
         workers: at("/row/servers")?,
