--- a/crates/pipithub-bench/src/main.rs
+++ b/crates/pipithub-bench/src/main.rs
@@ -4,6 +4,7 @@
 mod baseline;
 mod hollow;
 mod membership;
+mod process_usage;
 mod roster;
 mod scale;
 
@@ -19,6 +20,8 @@
 use pipithub_scenario::client::{Publish, QueueClient, Signed, consumers};
 use pipithub_scenario::process::Process;
 
+use process_usage::ProcessUsage;
+
 type Result<T> = std::result::Result<T, Box<dyn Error + Send + Sync>>;
 
 /// Measures the gateway beside a direct call and a plain pass-through.
@@ -155,34 +158,6 @@
     workers: usize,
 }
 
-/// What a process has used: CPU in seconds, resident memory in MiB.
-fn usage(pid: u32) -> (f64, f64) {
-    let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-    let fields: Vec<&str> = stat
-        .rsplit(')')
-        .next()
-        .unwrap_or_default()
-        .split_whitespace()
-        .collect();
-    let ticks = |n: usize| {
-        fields
-            .get(n)
-            .and_then(|v| v.parse::<f64>().ok())
-            .unwrap_or(0.0)
-    };
-    let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
-    let rss = status.lines().find_map(|l| {
-        l.strip_prefix("VmRSS:")?
-            .trim()
-            .split(' ')
-            .next()?
-            .parse::<f64>()
-            .ok()
-    });
-    // Linux counts in hundredths of a second here on all its common machines.
-    ((ticks(11) + ticks(12)) / 100.0, rss.unwrap_or(0.0) / 1024.0)
-}
-
 fn new_histogram() -> Histogram<u64> {
     // A minute at most, to three digits; these bounds are always good.
     Histogram::new_with_bounds(1, 60_000_000, 3).expect("good bounds")
@@ -208,27 +183,33 @@
         Ok(Process::start_emulator(&self.binary, &arguments, &self.folder.join("log")).await?)
     }
 
-    async fn all(&self) -> Result<()> {
+    /// Starts all workers. They have many cores and little work: what is measured is what stands between client and
+    /// worker.
+    async fn start_workers(&self) -> Result<Vec<Process>> {
+        let worker = [
+            "standin",
+            "worker",
+            "--commands",
+            "--cores",
+            "1000",
+            "--run-ms",
+            "2",
+            "--load-ms",
+            "1",
+            "--queue",
+            "100000",
+            "--keep-ms",
+            "600000",
+        ];
         let mut workers = Vec::new();
         for _ in 0..self.workers {
-            // Workers of many cores and little work: what is measured is what stands between client and worker.
-            let worker = [
-                "standin",
-                "worker",
-                "--commands",
-                "--cores",
-                "1000",
-                "--run-ms",
-                "2",
-                "--load-ms",
-                "1",
-                "--queue",
-                "100000",
-                "--keep-ms",
-                "600000",
-            ];
             workers.push(self.start_emulator(&worker).await?);
         }
+        Ok(workers)
+    }
+
+    async fn all(&self) -> Result<()> {
+        let workers = self.start_workers().await?;
         let addresses: Vec<String> = workers.iter().map(|w| w.address.clone()).collect();
         println!(
             "{} workers that take 2 ms a call; {} s a part",
@@ -316,9 +297,9 @@
             added(0.99),
             added(0.999)
         );
-        let before = usage(pid).0;
+        let before = ProcessUsage::of(pid).cpu_seconds;
         let full = load(&mut client, Load::Concurrency(64), self.seconds, 3).await?;
-        let cpu = usage(pid).0 - before;
+        let cpu = ProcessUsage::of(pid).cpu_seconds - before;
         let calls = full.latency.len() as f64;
         print_latencies(&format!("{which}, 64 at a time"), &full.latency);
         println!(
@@ -329,11 +310,11 @@
         );
         cost.push((cpu / calls, calls / full.took));
         // Some thousand calls in flight, each 3 s long: memory is looked at in the middle.
-        let idle = usage(pid).1;
+        let idle = ProcessUsage::of(pid).resident_mib;
         let many = load(&mut client, Load::LongCalls(1_250), 2, 4);
         let look = async {
             tokio::time::sleep(Duration::from_millis(1_800)).await;
-            usage(pid).1
+            ProcessUsage::of(pid).resident_mib
         };
         let (many, held) = tokio::join!(many, look);
         // What is refused is refused at once: it is not in flight.
@@ -345,28 +326,8 @@
 
 impl Testbed {
     /// The gateway without tenants, then with them: 100 users, of whom 30 are unknown when the directory turns slow or dies.
-    #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
     async fn directories(&self) -> Result<()> {
-        let mut workers = Vec::new();
-        for _ in 0..self.workers {
-            let worker = [
-                "standin",
-                "worker",
-                "--commands",
-                "--cores",
-                "1000",
-                "--run-ms",
-                "2",
-                "--load-ms",
-                "1",
-            ];
-            workers.push(
-                self.start_emulator(
-                    &[&worker[..], &["--queue", "100000", "--keep-ms", "600000"]].concat(),
-                )
-                .await?,
-            );
-        }
+        let workers = self.start_workers().await?;
         let list: String = workers
             .iter()
             .map(|w| format!("worker \"{}\"; ", w.address))
--- a/crates/pipithub-bench/src/membership.rs
+++ b/crates/pipithub-bench/src/membership.rs
@@ -7,6 +7,8 @@
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
 
+use crate::process_usage::ProcessUsage;
+
 const SECOND: Time = 1_000_000_000;
 /// How often the fleet's state is looked at: the step of all times told.
 const STEP: Time = SECOND / 10;
@@ -195,7 +197,7 @@
 
 impl Cpu {
     fn read(fleet: &Fleet) -> Cpu {
-        let used = crate::usage(std::process::id()).0;
+        let used = ProcessUsage::of_this_process().cpu_seconds;
         Cpu(
             used,
             fleet.membership_time.as_secs_f64(),
@@ -245,7 +247,7 @@
         } else {
             7
         };
-        let empty = crate::usage(std::process::id()).1;
+        let empty = ProcessUsage::of_this_process().resident_mib;
         let mut fleet = Fleet::new(size, zones, 3, self.seed, settings, usual);
         fleet.event_filter = |e| {
             matches!(
@@ -264,7 +266,8 @@
             ..Measurements::default()
         };
         row.cpu_start = cpu.since(&fleet, seconds(fleet.network.now() - begun)).0;
-        row.memory = (crate::usage(std::process::id()).1 - empty) * 1_048_576.0 / size as f64;
+        row.memory =
+            (ProcessUsage::of_this_process().resident_mib - empty) * 1_048_576.0 / size as f64;
         row.bytes_start = meter.worst.0;
         row.rejected_members = meter.rejected_members;
         let known = |n| fleet.view(n).map_or(0, |v| v.active().count() + 1);
--- a/crates/pipithub-bench/src/roster.rs
+++ b/crates/pipithub-bench/src/roster.rs
@@ -19,6 +19,8 @@
 use pipithub_ldap::Dn;
 use pipithub_scenario::random::SplitMix64;
 
+use crate::process_usage::ProcessUsage;
+
 const TENANTS: usize = 50;
 const DAYS: u64 = 5;
 const S: Time = 1_000_000_000;
@@ -48,17 +50,8 @@
     })
 }
 
-fn resident() -> f64 {
-    let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let kib = status.lines().find_map(|l| {
-        l.strip_prefix("VmRSS:")?
-            .trim()
-            .split(' ')
-            .next()?
-            .parse::<f64>()
-            .ok()
-    });
-    kib.unwrap_or(0.0) * 1024.0
+fn resident_bytes() -> f64 {
+    ProcessUsage::of_this_process().resident_mib * 1_048_576.0
 }
 
 /// Looks users up for a while; nanoseconds of each look, from the shortest.
@@ -98,7 +91,7 @@
 #[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
 pub(crate) fn roster(users: usize) {
     let names: Vec<User> = (0..users).map(name).collect();
-    let before = resident();
+    let before = resident_bytes();
     let mut core = core(DirectorySettings::default(), 2 * users, 1);
     // Names of their own, as they come from a directory, so that what they take is counted.
     let facts = (0..users).map(|n| {
@@ -117,7 +110,7 @@
         }
     });
     core.restore(0, facts.collect());
-    let bytes = (resident() - before) / users as f64;
+    let bytes = (resident_bytes() - before) / users as f64;
     println!(
         "{users} users of {TENANTS} tenants: {bytes:.0} bytes an entry, resident, the core's own indexes included"
     );
--- a/crates/pipithub-bench/src/scale/front_ends/beyond.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/beyond.rs
@@ -5,9 +5,10 @@
 
 use pipithub_emulator::coordinator::{Behaviour, Coordinator, Tier, event};
 
-use super::front_end::{FrontEnd, configure, cpu, memory, wait_until};
+use super::front_end::{FrontEnd, configure, wait_until};
 use super::{Table, WORKERS, ZONES};
 use crate::Result;
+use crate::process_usage::{MemoryUse, scheduled_cpu_seconds};
 use crate::scale::{Plan, Series};
 
 const WATCH: Duration = Duration::from_secs(6);
@@ -64,11 +65,15 @@
     })
     .await?;
     let tier = Tier::new(workers, ZONES);
-    let (counts, before, began) = (coordinator.counts(), cpu(real.pid()), Instant::now());
+    let (counts, before, began) = (
+        coordinator.counts(),
+        scheduled_cpu_seconds(real.pid()),
+        Instant::now(),
+    );
     let index = coordinator.publish(true, tier.hosts(), &tier);
     tokio::time::sleep(WATCH).await;
     let (now, took) = (coordinator.counts(), began.elapsed().as_secs_f64());
-    let spent = cpu(real.pid()) - before;
+    let spent = scheduled_cpu_seconds(real.pid()) - before;
     let well = real.is_well().await?;
     let reasons = real.logged("coordinator stream ended");
     println!(
@@ -82,7 +87,7 @@
         reasons.len(),
         reasons.last().map_or("-", String::as_str)
     );
-    let held = memory(real.pid());
+    let held = MemoryUse::of(real.pid());
     real.kill().await;
     let connections = (now.connections - counts.connections) as f64;
     let rate = (now.sent_bytes - counts.sent_bytes) as f64 / took;
@@ -91,7 +96,7 @@
         connections,
         rate,
         spent / took * 100.0,
-        held.peak / 1024.0,
+        held.peak_mib,
     ];
     Ok(values.to_vec())
 }
--- a/crates/pipithub-bench/src/scale/front_ends/fleet.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/fleet.rs
@@ -6,9 +6,10 @@
 use pipithub_clock::wall_ns;
 use pipithub_emulator::coordinator::{Behaviour, Coordinator, Counts, Tier};
 
-use super::front_end::{HollowProcess, configure, cpu, memory, wait_until};
+use super::front_end::{HollowProcess, configure, wait_until};
 use super::{FRONT_ENDS, Table, ZONES};
 use crate::Result;
+use crate::process_usage::{MemoryUse, scheduled_cpu_seconds};
 use crate::scale::{Plan, Series};
 
 /// Workers in the list: as many as all of the planned front ends hold in this machine's memory.
@@ -85,7 +86,11 @@
 
 impl Fleet {
     fn now(&self) -> (Instant, Counts, u64, f64) {
-        let front_ends = self.processes.iter().map(|c| cpu(c.pid())).sum();
+        let front_ends = self
+            .processes
+            .iter()
+            .map(|c| scheduled_cpu_seconds(c.pid()))
+            .sum();
         (
             Instant::now(),
             self.coordinator.counts(),
@@ -170,9 +175,8 @@
     let memory = fleet
         .processes
         .iter()
-        .map(|c| memory(c.pid()).pss)
+        .map(|c| MemoryUse::of(c.pid()).proportional_mib)
         .sum::<f64>()
-        / 1024.0
         / count as f64;
 
     let (mut times, mut cost, mut bytes) = (Vec::new(), Vec::new(), 0.0);
--- a/crates/pipithub-bench/src/scale/front_ends/front_end.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/front_end.rs
@@ -11,45 +11,6 @@
 
 use crate::Result;
 
-/// What a process holds, in KiB.
-#[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Memory {
-    /// Resident, pages shared with others counted whole.
-    pub rss: f64,
-    /// Resident, pages shared with others counted by shares.
-    pub pss: f64,
-    /// The most that was ever resident.
-    pub peak: f64,
-}
-
-/// What a process holds; zeros where it is gone.
-pub(super) fn memory(pid: u32) -> Memory {
-    let kib = |file: &str, field: &str| {
-        let text = std::fs::read_to_string(format!("/proc/{pid}/{file}")).unwrap_or_default();
-        let line = text.lines().find_map(|l| l.strip_prefix(field));
-        line.and_then(|l| l.split_whitespace().next()?.parse().ok())
-            .unwrap_or(0.0)
-    };
-    Memory {
-        rss: kib("status", "VmRSS:"),
-        pss: kib("smaps_rollup", "Pss:"),
-        peak: kib("status", "VmHWM:"),
-    }
-}
-
-/// CPU time of all threads of a process so far, in seconds.
-pub(super) fn cpu(pid: u32) -> f64 {
-    let tasks = std::fs::read_dir(format!("/proc/{pid}/task"))
-        .into_iter()
-        .flatten()
-        .flatten();
-    let ns = |task: std::fs::DirEntry| {
-        let told = std::fs::read_to_string(task.path().join("schedstat")).ok()?;
-        told.split_whitespace().next()?.parse::<f64>().ok()
-    };
-    tasks.filter_map(ns).sum::<f64>() / 1e9
-}
-
 /// A front end's configuration, in a file of this folder.
 pub(super) fn configure(
     folder: &Path,
--- a/crates/pipithub-bench/src/scale/front_ends/lists.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/lists.rs
@@ -5,9 +5,10 @@
 
 use pipithub_emulator::coordinator::{Behaviour, Coordinator, Tier, event};
 
-use super::front_end::{FrontEnd, configure, cpu, memory, wait_until};
+use super::front_end::{FrontEnd, configure, wait_until};
 use super::{Table, WORKERS, ZONES};
 use crate::Result;
+use crate::process_usage::{MemoryUse, scheduled_cpu_seconds};
 use crate::scale::{Plan, Series};
 
 const IDLE_TIME: Duration = Duration::from_millis(1_500);
@@ -52,14 +53,14 @@
     wait_until(&coordinator, |c| c.open == 1).await?;
     let mut tier = Tier::new(workers, ZONES);
     let quiet = async || {
-        let (before, began) = (cpu(pid), Instant::now());
+        let (before, began) = (scheduled_cpu_seconds(pid), Instant::now());
         tokio::time::sleep(IDLE_TIME).await;
-        (cpu(pid) - before) / began.elapsed().as_secs_f64()
+        (scheduled_cpu_seconds(pid) - before) / began.elapsed().as_secs_f64()
     };
     let empty = quiet().await;
     let bytes = event(1, true, tier.hosts()).len() as f64;
     // CPU of what happens until all is quiet again, without what a quiet front end takes.
-    let (before, began) = (cpu(pid), Instant::now());
+    let (before, began) = (scheduled_cpu_seconds(pid), Instant::now());
     coordinator.publish(true, tier.hosts(), &tier);
     wait_until(&coordinator, |c| c.events == 1).await?;
     tokio::time::sleep(SETTLE).await;
@@ -70,15 +71,22 @@
         )
         .into());
     }
-    let (spent, took) = (cpu(pid) - before, began.elapsed().as_secs_f64());
+    let (spent, took) = (
+        scheduled_cpu_seconds(pid) - before,
+        began.elapsed().as_secs_f64(),
+    );
     let idle = quiet().await;
     let first = spent - took * idle;
-    let (before, began) = (cpu(pid), Instant::now());
+    let (before, began) = (scheduled_cpu_seconds(pid), Instant::now());
     coordinator.publish(true, tier.hosts(), &tier);
     wait_until(&coordinator, |c| c.events == 2).await?;
     tokio::time::sleep(SETTLE).await;
-    let later = cpu(pid) - before - began.elapsed().as_secs_f64() * idle;
-    let (counts, before, began) = (coordinator.counts(), cpu(pid), Instant::now());
+    let later = scheduled_cpu_seconds(pid) - before - began.elapsed().as_secs_f64() * idle;
+    let (counts, before, began) = (
+        coordinator.counts(),
+        scheduled_cpu_seconds(pid),
+        Instant::now(),
+    );
     for at in 0..EVENTS {
         let changed = tier.replace(at);
         coordinator.publish(false, &changed, &tier);
@@ -86,10 +94,11 @@
     }
     wait_until(&coordinator, |c| c.events == 2 + EVENTS as u64).await?;
     tokio::time::sleep(Duration::from_millis(100)).await;
-    let each = (cpu(pid) - before - began.elapsed().as_secs_f64() * idle) / EVENTS as f64;
+    let each = (scheduled_cpu_seconds(pid) - before - began.elapsed().as_secs_f64() * idle)
+        / EVENTS as f64;
     let now = coordinator.counts();
     let told = now.sent_bytes - counts.sent_bytes - 3 * (now.comments - counts.comments);
-    let held = memory(pid);
+    let held = MemoryUse::of(pid);
     println!(
         "  {workers} workers: quiet without any list {:.2} % of a core, then {:.2} %",
         empty * 100.0,
@@ -103,8 +112,8 @@
         each * 1e3,
         told as f64 / EVENTS as f64,
         idle * 100.0,
-        held.rss / 1024.0,
-        held.pss / 1024.0,
-        held.peak / 1024.0,
+        held.resident_mib,
+        held.proportional_mib,
+        held.peak_mib,
     ])
 }
--- a/crates/pipithub-bench/src/scale/front_ends/processes.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/processes.rs
@@ -5,9 +5,10 @@
 
 use pipithub_emulator::coordinator::{Behaviour, Coordinator, Tier};
 
-use super::front_end::{FrontEnd, Memory, configure, cpu, memory, wait_until};
+use super::front_end::{FrontEnd, configure, wait_until};
 use super::{FRONT_ENDS, Table, ZONES};
 use crate::Result;
+use crate::process_usage::{MemoryUse, scheduled_cpu_seconds};
 use crate::scale::{Plan, Series};
 
 /// Workers in the list.
@@ -55,7 +56,11 @@
     })
     .await?;
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let used = || real.iter().map(|r| cpu(r.pid())).sum::<f64>();
+    let used = || {
+        real.iter()
+            .map(|r| scheduled_cpu_seconds(r.pid()))
+            .sum::<f64>()
+    };
     let (before, counts, own, began) = (
         used(),
         coordinator.counts(),
@@ -65,11 +70,11 @@
     tokio::time::sleep(IDLE_TIME).await;
     let (took, after, now) = (began.elapsed().as_secs_f64(), used(), coordinator.counts());
     let own = (coordinator.cpu_ns() - own) as f64 / 1e9;
-    let held: Vec<Memory> = real.iter().map(|r| memory(r.pid())).collect();
+    let held: Vec<MemoryUse> = real.iter().map(|r| MemoryUse::of(r.pid())).collect();
     let each = |total: f64| total / count as f64;
     let values = vec![
-        each(held.iter().map(|m| m.rss).sum()) / 1024.0,
-        each(held.iter().map(|m| m.pss).sum()) / 1024.0,
+        each(held.iter().map(|m| m.resident_mib).sum()),
+        each(held.iter().map(|m| m.proportional_mib).sum()),
         each(after - before) / took * 100.0,
         each((now.sent_bytes - counts.sent_bytes) as f64) / took,
         each((now.comments + now.events - counts.comments - counts.events) as f64) / took,
--- a/crates/pipithub-bench/src/scale/settings/site.rs
+++ b/crates/pipithub-bench/src/scale/settings/site.rs
@@ -13,6 +13,7 @@
 use tokio::sync::mpsc;
 
 use crate::Result;
+use crate::process_usage::{peak_mib, scheduled_cpu_seconds};
 
 /// The longest wait for front ends to do what they were told: many times the 4 s that are wanted.
 const PATIENCE: Duration = Duration::from_secs(30);
@@ -200,13 +201,16 @@
     pub(super) fn peak_mb(&self) -> f64 {
         self.front_ends
             .iter()
-            .map(|f| peak_mb(&f.child))
+            .map(|f| peak_mib(f.child.id().unwrap_or(0)))
             .fold(0.0, f64::max)
     }
 
     /// CPU of all, in seconds.
     pub(super) fn cpu(&self) -> f64 {
-        self.front_ends.iter().map(|f| cpu(&f.child)).sum()
+        self.front_ends
+            .iter()
+            .map(|f| scheduled_cpu_seconds(f.child.id().unwrap_or(0)))
+            .sum()
     }
 
     /// Waits until each has asked this coordinator.
@@ -335,38 +339,6 @@
     Ok(kill_process(id, signal)?)
 }
 
-/// CPU of a process in seconds: the scheduler's count, in nanoseconds, where ticks of 10 ms would say nothing.
-pub(super) fn cpu(child: &Child) -> f64 {
-    let Some(id) = child.id() else { return 0.0 };
-    let tasks = std::fs::read_dir(format!("/proc/{id}/task"))
-        .into_iter()
-        .flatten()
-        .flatten();
-    let used = |path: PathBuf| {
-        let text = std::fs::read_to_string(path.join("schedstat")).unwrap_or_default();
-        text.split_whitespace()
-            .next()
-            .and_then(|n| n.parse::<f64>().ok())
-            .unwrap_or(0.0)
-    };
-    tasks.map(|task| used(task.path())).sum::<f64>() / 1e9
-}
-
-/// The most memory that a process ever held, in MB.
-pub(super) fn peak_mb(child: &Child) -> f64 {
-    let status = child
-        .id()
-        .and_then(|id| std::fs::read_to_string(format!("/proc/{id}/status")).ok());
-    let kb = status
-        .as_deref()
-        .unwrap_or_default()
-        .lines()
-        .find_map(|l| l.strip_prefix("VmHWM:"));
-    kb.and_then(|kb| kb.trim().split(' ').next()?.parse::<f64>().ok())
-        .unwrap_or(0.0)
-        / 1024.0
-}
-
 /// A worker of the list.
 pub(super) fn worker(n: u64) -> Value {
     json!({"host": format!("w{n}"), "dial": format!("127.0.0.1:{}", 20_000 + n % 20_000), "site": "a", "health": "SERVING"})
