--- a/crates/pipithub-bench/src/baseline.rs
+++ b/crates/pipithub-bench/src/baseline.rs
@@ -14,29 +14,61 @@
 use lapin::message::Delivery;
 use lapin::options::{BasicAckOptions, BasicConsumeOptions, BasicPublishOptions, BasicQosOptions};
 use lapin::types::{AMQPValue, FieldTable, LongString, ShortString};
-use lapin::{BasicProperties, Connection, ConnectionProperties};
+use lapin::{BasicProperties, Channel, Connection, ConnectionProperties, Consumer};
 use pipithub_clock::Clock;
 use tokio::net::TcpStream;
 
-use crate::{Result, new_histogram};
+use crate::Result;
+use crate::latency::new_histogram;
+use crate::testbed::QUEUE;
 
-type IdleConnections = Arc<Mutex<HashMap<String, Vec<SendRequest<Full<Bytes>>>>>>;
+/// Messages that the pass-through takes before it has acknowledged any.
+const PREFETCH: u16 = 2_000;
+/// Functions that direct calls name in turn.
+const FUNCTIONS: u64 = 16;
+const NANOSECONDS_PER_SECOND: f64 = 1e9;
 
+/// A connection to a worker.
+type WorkerConnection = SendRequest<Full<Bytes>>;
+
+/// Connections to workers that no call uses now, by the worker's address.
+#[derive(Clone, Default)]
+struct IdleConnections {
+    by_worker: Arc<Mutex<HashMap<String, Vec<WorkerConnection>>>>,
+}
+
+impl IdleConnections {
+    fn take(&self, worker: &str) -> Option<WorkerConnection> {
+        self.by_worker
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .get_mut(worker)
+            .and_then(Vec::pop)
+    }
+
+    fn put_back(&self, worker: &str, connection: WorkerConnection) {
+        self.by_worker
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .entry(worker.to_string())
+            .or_default()
+            .push(connection);
+    }
+}
+
+async fn connect(worker: &str) -> Result<WorkerConnection> {
+    let stream = TcpStream::connect(worker).await?;
+    stream.set_nodelay(true)?;
+    let (sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
+    tokio::spawn(connection);
+    Ok(sender)
+}
+
+/// Calls a function on a worker and returns the body of the answer, whatever its status.
 async fn infer(idle: &IdleConnections, worker: &str, function: &str, body: Bytes) -> Result<Bytes> {
-    let pooled = idle
-        .lock()
-        .unwrap_or_else(PoisonError::into_inner)
-        .get_mut(worker)
-        .and_then(Vec::pop);
-    let mut sender = if let Some(sender) = pooled {
-        sender
-    } else {
-        let stream = TcpStream::connect(worker).await?;
-        stream.set_nodelay(true)?;
-        let (sender, connection) =
-            hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
-        tokio::spawn(connection);
-        sender
+    let mut sender = match idle.take(worker) {
+        Some(sender) => sender,
+        None => connect(worker).await?,
     };
     let request = Request::post(format!("/v2/models/{function}/infer"))
         .header("host", worker)
@@ -44,19 +76,19 @@
         .header("pipithub-model-lanes", "64")
         .body(Full::new(body))?;
     sender.ready().await?;
-    let answer = sender
-        .send_request(request)
-        .await?
-        .into_body()
-        .collect()
-        .await?
-        .to_bytes();
-    idle.lock()
-        .unwrap_or_else(PoisonError::into_inner)
-        .entry(worker.to_string())
-        .or_default()
-        .push(sender);
-    Ok(answer)
+    let answer = sender.send_request(request).await?;
+    let body = answer.into_body().collect().await?.to_bytes();
+    idle.put_back(worker, sender);
+    Ok(body)
+}
+
+/// The pass-through: each message goes to the next worker in turn.
+#[derive(Clone)]
+struct PassThrough {
+    channel: Channel,
+    workers: Arc<Vec<String>>,
+    next_worker: Arc<AtomicUsize>,
+    idle: IdleConnections,
 }
 
 /// Runs the pass-through until it is killed.
@@ -67,111 +99,127 @@
     )
     .await?;
     let channel = connection.create_channel().await?;
-    channel.basic_qos(2_000, BasicQosOptions::default()).await?;
-    let (queue, tag) = (ShortString::from("calls"), ShortString::from("baseline"));
-    let mut consumer = channel
+    let mut consumer = consume(&channel).await?;
+    let pass_through = PassThrough {
+        channel,
+        workers: Arc::new(workers),
+        next_worker: Arc::default(),
+        idle: IdleConnections::default(),
+    };
+    while let Some(delivery) = consumer.next().await {
+        let delivery = delivery?;
+        let pass_through = pass_through.clone();
+        tokio::spawn(async move { pass_through.forward(delivery).await });
+    }
+    Ok(())
+}
+
+async fn consume(channel: &Channel) -> Result<Consumer> {
+    channel
+        .basic_qos(PREFETCH, BasicQosOptions::default())
+        .await?;
+    let consumer = channel
         .basic_consume(
-            queue,
-            tag,
+            ShortString::from(QUEUE),
+            ShortString::from("baseline"),
             BasicConsumeOptions::default(),
             FieldTable::default(),
         )
         .await?;
-    let (idle, next_worker, workers) = (
-        IdleConnections::default(),
-        Arc::new(AtomicUsize::new(0)),
-        Arc::new(workers),
-    );
-    while let Some(delivery) = consumer.next().await {
+    Ok(consumer)
+}
+
+impl PassThrough {
+    /// Forwards a message to a worker, publishes the answer and acknowledges the message.
+    async fn forward(&self, delivery: Delivery) {
         let Delivery {
             delivery_tag,
             data,
             properties,
             ..
-        } = delivery?;
-        let (channel, idle, next_worker, workers) = (
-            channel.clone(),
-            idle.clone(),
-            next_worker.clone(),
-            workers.clone(),
-        );
-        tokio::spawn(async move {
-            let function = match properties
-                .headers()
-                .as_ref()
-                .and_then(|h| h.inner().get("pipithub-function"))
-            {
-                Some(AMQPValue::LongString(name)) => name.to_string(),
-                _ => String::new(),
-            };
-            let worker = &workers[next_worker.fetch_add(1, Ordering::Relaxed) % workers.len()];
-            let (verdict, body) = match infer(&idle, worker, &function, Bytes::from(data)).await {
-                Ok(body) => ("served", body),
-                Err(_) => ("failed", Bytes::new()),
-            };
-            let mut headers = FieldTable::default();
-            headers.insert(
-                "pipithub-verdict".into(),
-                AMQPValue::LongString(LongString::from(verdict)),
-            );
-            let answer = BasicProperties::default()
-                .with_headers(headers)
-                .with_correlation_id(
-                    properties
-                        .correlation_id()
-                        .clone()
-                        .unwrap_or_else(|| "".into()),
-                );
-            let reply = properties.reply_to().clone().unwrap_or_else(|| "".into());
-            let _ = channel
-                .basic_publish(
-                    "".into(),
-                    reply,
-                    BasicPublishOptions::default(),
-                    &body,
-                    answer,
-                )
-                .await;
-            let _ = channel
-                .basic_ack(delivery_tag, BasicAckOptions::default())
-                .await;
-        });
+        } = delivery;
+        let function = function_of(&properties);
+        let turn = self.next_worker.fetch_add(1, Ordering::Relaxed);
+        let worker = &self.workers[turn % self.workers.len()];
+        let (verdict, body) = match infer(&self.idle, worker, &function, Bytes::from(data)).await {
+            Ok(body) => ("served", body),
+            Err(_) => ("failed", Bytes::new()),
+        };
+        let reply_queue = properties.reply_to().clone().unwrap_or_else(|| "".into());
+        // A broker that is gone ends the consumer too; there is nobody else to tell.
+        let _ = self
+            .channel
+            .basic_publish(
+                "".into(),
+                reply_queue,
+                BasicPublishOptions::default(),
+                &body,
+                answer_properties(&properties, verdict),
+            )
+            .await;
+        let _ = self
+            .channel
+            .basic_ack(delivery_tag, BasicAckOptions::default())
+            .await;
+    }
+}
+
+/// The function that a message names in its headers; empty where it names none.
+fn function_of(properties: &BasicProperties) -> String {
+    let header = properties
+        .headers()
+        .as_ref()
+        .and_then(|headers| headers.inner().get("pipithub-function"));
+    match header {
+        Some(AMQPValue::LongString(name)) => name.to_string(),
+        _ => String::new(),
     }
-    Ok(())
 }
 
-/// Calls workers without anything between.
+fn answer_properties(request: &BasicProperties, verdict: &str) -> BasicProperties {
+    let mut headers = FieldTable::default();
+    headers.insert(
+        "pipithub-verdict".into(),
+        AMQPValue::LongString(LongString::from(verdict)),
+    );
+    let correlation_id = request
+        .correlation_id()
+        .clone()
+        .unwrap_or_else(|| "".into());
+    BasicProperties::default()
+        .with_headers(headers)
+        .with_correlation_id(correlation_id)
+}
+
+/// Calls workers in turn without anything between, at this rate; the latencies in microseconds.
 pub(crate) async fn direct(workers: &[String], rate: f64, seconds: u64) -> Result<Histogram<u64>> {
     let (idle, clock) = (IdleConnections::default(), Clock::default());
-    let all = Arc::new(Mutex::new(new_histogram()));
-    let mut tasks = tokio::task::JoinSet::new();
-    let warm = rate as u64;
-    for n in 0..(rate * seconds as f64) as u64 + warm {
-        clock
-            .sleep_until(Some((n as f64 * 1e9 / rate) as u64))
-            .await;
-        let (idle, all, worker) = (
-            idle.clone(),
-            all.clone(),
-            workers[n as usize % workers.len()].clone(),
-        );
-        tasks.spawn(async move {
+    let latencies = Arc::new(Mutex::new(new_histogram()));
+    let mut calls = tokio::task::JoinSet::new();
+    // The first second makes connections and loads models.
+    let warm_up = rate as u64;
+    let measured = (rate * seconds as f64) as u64;
+    for number in 0..measured + warm_up {
+        let due = (number as f64 * NANOSECONDS_PER_SECOND / rate) as u64;
+        clock.sleep_until(Some(due)).await;
+        let idle = idle.clone();
+        let latencies = latencies.clone();
+        let worker = workers[number as usize % workers.len()].clone();
+        calls.spawn(async move {
             let began = clock.now();
             let body = Bytes::from_static(b"{\"inputs\":[],\"parameters\":{\"work_ms\":2}}");
-            // The first second makes connections and loads models.
-            if infer(&idle, &worker, &format!("m{}", n % 16), body)
-                .await
-                .is_ok()
-                && n >= warm
-            {
-                let took = (clock.now() - began) / 1000;
-                all.lock()
+            let function = format!("m{}", number % FUNCTIONS);
+            let served = infer(&idle, &worker, &function, body).await.is_ok();
+            if served && number >= warm_up {
+                let latency_us = (clock.now() - began) / 1000;
+                latencies
+                    .lock()
                     .unwrap_or_else(PoisonError::into_inner)
-                    .saturating_record(took.max(1));
+                    .saturating_record(latency_us.max(1));
             }
         });
     }
-    while tasks.join_next().await.is_some() {}
-    let all = all.lock().unwrap_or_else(PoisonError::into_inner);
-    Ok(all.clone())
+    while calls.join_next().await.is_some() {}
+    let latencies = latencies.lock().unwrap_or_else(PoisonError::into_inner);
+    Ok(latencies.clone())
 }
--- a/crates/pipithub-bench/src/bin/decision_memory.rs
+++ b/crates/pipithub-bench/src/bin/decision_memory.rs
@@ -23,13 +23,13 @@
 mod world;
 
 /// Longer runs are given up.
-const LONGEST: Duration = Duration::from_secs(10);
+const MAX_DURATION: Duration = Duration::from_secs(10);
 /// Actions of one event that fit without growth, so that no list of actions is counted.
 const ACTIONS: usize = 100_000;
 /// Calls a second.
 const RATE: u64 = 700;
-/// Functions are forgotten after 60 s at the usual settings.
-const FORGET: Time = 75_000 * MS;
+/// How long the end is awaited: functions are forgotten after 60 s at the usual settings.
+const FORGETTING_TIME: Time = 75_000 * MS;
 
 impl Front for Plain {
     fn start(settings: Settings, seed: u64) -> Self {
@@ -41,34 +41,42 @@
     }
 }
 
-/// The most bytes held, and those at the end; `None` where it takes too long.
-fn count<F: Front>(mut day: Day, once: bool) -> Option<(i64, i64)> {
+/// Bytes that a front end held.
+struct HeldBytes {
+    /// The most at any time.
+    peak: i64,
+    /// At the end.
+    end: i64,
+}
+
+/// Counts what a front end holds in a day; `None` where it takes too long.
+fn count<F: Front>(mut day: Day, once: bool) -> Option<HeldBytes> {
     let began = Instant::now();
     day.once = once;
     let settings = day.settings.clone();
     let mut world = World::new(day);
     let mut actions = Vec::with_capacity(ACTIONS);
-    let mut front = None;
-    let mut held = measure(|| front = Some(F::start(settings.clone(), 1))).bytes_current;
-    let (mut front, mut most, mut stopped) = (front?, held, !once);
+    let mut front_end = None;
+    let mut held = measure(|| front_end = Some(F::start(settings.clone(), 1))).bytes_current;
+    let (mut front_end, mut peak, mut stopped) = (front_end?, held, !once);
     let mut next = Some((world.now(), world.complete()));
     while let Some((at, event)) = next {
         actions.clear();
         // The event is made within, as parts of it are kept.
-        held += measure(|| front.handle(at, event.clone(), &mut actions)).bytes_current;
-        most = most.max(held);
+        held += measure(|| front_end.handle(at, event.clone(), &mut actions)).bytes_current;
+        peak = peak.max(held);
         world.answer(&actions);
-        if began.elapsed() > LONGEST {
+        if began.elapsed() > MAX_DURATION {
             return None;
         }
         next = world.step();
         if next.is_none() && !stopped {
             stopped = true;
-            world.stop_calls(FORGET);
+            world.stop_calls(FORGETTING_TIME);
             next = world.step();
         }
     }
-    Some((most, held))
+    Some(HeldBytes { peak, end: held })
 }
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
@@ -94,7 +102,7 @@
         count::<Module>(day, once)
     };
     match counted {
-        Some((most, held)) => println!("{most} {held}"),
+        Some(held) => println!("{} {}", held.peak, held.end),
         None => println!("slow"),
     }
     Ok(())
--- a/crates/pipithub-bench/src/hollow.rs
+++ b/crates/pipithub-bench/src/hollow.rs
@@ -1,60 +1,88 @@
 //! Many hollow front ends as a process, told what to do by lines on standard input.
 
 use std::cell::Cell;
-use std::path::Path;
+use std::path::PathBuf;
 use std::rc::Rc;
 
+use clap::Args;
 use pipithub_clock::wall_ns;
 use pipithub_hollow_node::Hollow;
 use pipithub_platform::config::NodeConfig;
-use serde_json::json;
+use serde_json::{Value, json};
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::sync::Notify;
 use tokio::task::LocalSet;
 
 use crate::Result;
 
-/// Runs so many, numbered from `first`, until standard input ends. `await INDEX` is answered once all of them have that
-/// event, with the Unix time in nanoseconds at which the last one had it; `state` is answered at once.
-pub(crate) fn run(config: &Path, count: usize, first: usize) -> Result<()> {
-    let config = NodeConfig::parse(&std::fs::read_to_string(config)?)?;
+/// Which hollow front ends a process runs.
+#[derive(Args)]
+pub(crate) struct HollowArguments {
+    /// The configuration of one, from which the others differ by name and seed.
+    #[arg(long)]
+    config: PathBuf,
+    /// How many.
+    #[arg(long)]
+    count: usize,
+    /// The number of the first.
+    #[arg(long, default_value_t = 0)]
+    first: usize,
+}
+
+/// Runs hollow front ends until standard input ends. `await INDEX` is answered once all of them have that event, with
+/// the Unix time in nanoseconds at which the last one had it; any other line is answered at once.
+pub(crate) fn run(arguments: &HollowArguments) -> Result<()> {
+    let config = NodeConfig::parse(&std::fs::read_to_string(&arguments.config)?)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    runtime.block_on(LocalSet::new().run_until(serve(config, count, first)))
+    let serve = serve(&config, arguments.count, arguments.first);
+    runtime.block_on(LocalSet::new().run_until(serve))
 }
 
-/// What is waited for: an event, and how many do not have it.
+/// The event that is awaited, and how many front ends do not have it.
 #[derive(Default)]
-struct Awaited {
+struct AwaitedEvent {
+    /// Its index; 0 where none is awaited.
     index: Cell<u64>,
     behind: Cell<usize>,
+    /// When the last front end had it, in Unix nanoseconds.
     at: Cell<u64>,
-    all: Notify,
+    all_have_it: Notify,
 }
 
-async fn serve(config: NodeConfig, count: usize, first: usize) -> Result<()> {
-    let awaited = Rc::new(Awaited::default());
-    let mut fronts: Vec<Hollow> = Vec::new();
-    for n in first..first + count {
-        let one = NodeConfig {
-            name: format!("{}-{n}", config.name),
-            seed: config.seed.wrapping_add(n as u64),
-            ..config.clone()
-        };
-        let (awaited, had) = (awaited.clone(), Cell::new(0));
-        fronts.push(Hollow::start(&one, move |index| {
-            let before = had.replace(index);
-            let wanted = awaited.index.get();
-            if wanted > 0 && before < wanted && index >= wanted {
-                awaited.behind.set(awaited.behind.get().saturating_sub(1));
-                awaited.at.set(wall_ns());
-                if awaited.behind.get() == 0 {
-                    awaited.all.notify_one();
-                }
-            }
-        }));
+impl AwaitedEvent {
+    /// Notes that a front end has come from one event to a later one.
+    fn advanced(&self, from: u64, to: u64) {
+        let index = self.index.get();
+        if index == 0 || from >= index || to < index {
+            return;
+        }
+        self.behind.set(self.behind.get().saturating_sub(1));
+        self.at.set(wall_ns());
+        if self.behind.get() == 0 {
+            self.all_have_it.notify_one();
+        }
+    }
+
+    /// Waits until all have this event.
+    async fn wait(&self, index: u64, front_ends: &[Hollow]) {
+        self.index.set(index);
+        let behind = front_ends.iter().filter(|f| f.last() < index).count();
+        self.behind.set(behind);
+        self.at.set(wall_ns());
+        while self.behind.get() > 0 {
+            self.all_have_it.notified().await;
+        }
+        self.index.set(0);
     }
+}
+
+async fn serve(config: &NodeConfig, count: usize, first: usize) -> Result<()> {
+    let awaited = Rc::new(AwaitedEvent::default());
+    let front_ends: Vec<Hollow> = (first..first + count)
+        .map(|number| start(config, number, awaited.clone()))
+        .collect();
     println!("{}", json!({"front_ends": count}));
     let mut lines = BufReader::new(tokio::io::stdin()).lines();
     while let Some(line) = lines.next_line().await? {
@@ -62,21 +90,30 @@
             .strip_prefix("await ")
             .and_then(|index| index.trim().parse::<u64>().ok());
         if let Some(index) = index {
-            awaited.index.set(index);
-            awaited
-                .behind
-                .set(fronts.iter().filter(|f| f.last() < index).count());
-            awaited.at.set(wall_ns());
-            while awaited.behind.get() > 0 {
-                awaited.all.notified().await;
-            }
-            awaited.index.set(0);
+            awaited.wait(index, &front_ends).await;
         }
-        println!(
-            "{}",
-            json!({"at": awaited.at.get(), "events": fronts.iter().map(Hollow::events).sum::<u64>(),
-                "least": fronts.iter().map(Hollow::last).min(), "wanted": fronts.iter().map(Hollow::wanted).sum::<u64>()})
-        );
+        println!("{}", state(awaited.at.get(), &front_ends));
     }
     Ok(())
 }
+
+fn start(config: &NodeConfig, number: usize, awaited: Rc<AwaitedEvent>) -> Hollow {
+    let config = NodeConfig {
+        name: format!("{}-{number}", config.name),
+        seed: config.seed.wrapping_add(number as u64),
+        ..config.clone()
+    };
+    let latest = Cell::new(0);
+    Hollow::start(&config, move |index| {
+        awaited.advanced(latest.replace(index), index);
+    })
+}
+
+fn state(at: u64, front_ends: &[Hollow]) -> Value {
+    json!({
+        "at": at,
+        "events": front_ends.iter().map(Hollow::events).sum::<u64>(),
+        "least": front_ends.iter().map(Hollow::last).min(),
+        "wanted": front_ends.iter().map(Hollow::wanted).sum::<u64>(),
+    })
+}
--- /dev/null
+++ b/crates/pipithub-bench/src/latency.rs
@@ -0,0 +1,28 @@
+//! Latencies in microseconds, and how they are shown.
+
+use hdrhistogram::Histogram;
+
+/// The longest latency that is told apart from longer ones: a minute, in microseconds.
+const MAX_LATENCY_US: u64 = 60_000_000;
+const SIGNIFICANT_DIGITS: u8 = 3;
+
+/// An empty histogram of latencies.
+pub(crate) fn new_histogram() -> Histogram<u64> {
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS).expect("good bounds")
+}
+
+/// A quantile in milliseconds.
+pub(crate) fn quantile_ms(latencies: &Histogram<u64>, quantile: f64) -> f64 {
+    latencies.value_at_quantile(quantile) as f64 / 1000.0
+}
+
+/// Prints the quantiles and the number of calls.
+pub(crate) fn print(name: &str, latencies: &Histogram<u64>) {
+    println!(
+        "{name:<28} p50 {:>8.3} ms  p99 {:>8.3} ms  p99.9 {:>8.3} ms  ({} calls)",
+        quantile_ms(latencies, 0.5),
+        quantile_ms(latencies, 0.99),
+        quantile_ms(latencies, 0.999),
+        latencies.len()
+    );
+}
--- /dev/null
+++ b/crates/pipithub-bench/src/load.rs
@@ -0,0 +1,182 @@
+//! Calls that are published to a broker, and the answers that come back.
+
+use std::collections::HashMap;
+use std::time::Duration;
+
+use hdrhistogram::Histogram;
+use pipithub_clock::Clock;
+use pipithub_scenario::client::{Answer, Publish, QueueClient, Signed};
+
+use crate::testbed::QUEUE;
+use crate::{Result, latency};
+
+/// The key that signs calls, and its id in the gateway's settings.
+pub(crate) const KEY: &str = "a key of sixteen bytes and more";
+pub(crate) const KEY_ID: &str = "desk";
+
+/// Functions that calls name in turn.
+const FUNCTIONS: u64 = 16;
+/// Concurrent calls that a replica of a function takes.
+const REPLICA_CONCURRENCY: u32 = 64;
+/// Milliseconds of work of a call, and of a long one.
+const WORK_MS: u64 = 2;
+const LONG_WORK_MS: u64 = 3_000;
+/// Silence of the broker after which the load is given up.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
+const NANOSECONDS_PER_SECOND: u64 = 1_000_000_000;
+const NANOSECONDS_PER_MICROSECOND: u64 = 1_000;
+
+/// When calls are published.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum Arrivals {
+    /// So many a second, answered or not.
+    Rate(f64),
+    /// So many at a time.
+    Concurrency(usize),
+    /// So many at once, each three seconds long.
+    LongCalls(usize),
+}
+
+/// A load of calls.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Load {
+    /// When calls are published.
+    pub arrivals: Arrivals,
+    /// For how long they are.
+    pub seconds: u64,
+    /// The part of the measurement, which sets the ids of its calls apart from those of other parts.
+    pub part: usize,
+    /// The calls are signed for so many users in turn, or not signed.
+    pub users: Option<u64>,
+}
+
+/// What became of a load.
+pub(crate) struct LoadResult {
+    /// Latencies of all calls, in microseconds.
+    pub latency: Histogram<u64>,
+    /// Calls with another answer than a worker's.
+    pub not_served: usize,
+    /// Seconds until the last answer.
+    pub seconds: f64,
+}
+
+impl Load {
+    /// Publishes the calls and waits for all answers.
+    pub(crate) async fn run(self, client: &mut QueueClient) -> Result<LoadResult> {
+        let mut generator = LoadGenerator::new(self);
+        loop {
+            let now = generator.clock.now();
+            if generator.call_is_due(now) {
+                generator.publish(client).await?;
+                continue;
+            }
+            let more_to_come = generator.more_to_come(now);
+            if generator.unanswered.is_empty() && !more_to_come {
+                generator.result.seconds =
+                    generator.clock.now() as f64 / NANOSECONDS_PER_SECOND as f64;
+                return Ok(generator.result);
+            }
+            tokio::select! {
+                answer = client.answers.recv() => {
+                    generator.record(&answer.ok_or("the client has ended")?);
+                }
+                () = generator.clock.sleep_until(Some(generator.next_due)), if more_to_come => {}
+                () = tokio::time::sleep(ANSWER_TIMEOUT) => {
+                    let unanswered = generator.unanswered.len();
+                    return Err(format!("{unanswered} calls without an answer").into());
+                }
+            }
+        }
+    }
+}
+
+/// A load while it runs.
+struct LoadGenerator {
+    load: Load,
+    /// Starts with the load.
+    clock: Clock,
+    published: u64,
+    /// When the next call is due at the latest, where calls come at a rate.
+    next_due: u64,
+    /// Calls without an answer, by their id, with the time of the client's clock at which they were sent.
+    unanswered: HashMap<String, u64>,
+    result: LoadResult,
+}
+
+impl LoadGenerator {
+    fn new(load: Load) -> Self {
+        LoadGenerator {
+            load,
+            clock: Clock::default(),
+            published: 0,
+            next_due: 0,
+            unanswered: HashMap::new(),
+            result: LoadResult {
+                latency: latency::new_histogram(),
+                not_served: 0,
+                seconds: 0.0,
+            },
+        }
+    }
+
+    fn in_time(&self, now: u64) -> bool {
+        now < self.load.seconds * NANOSECONDS_PER_SECOND
+    }
+
+    fn call_is_due(&self, now: u64) -> bool {
+        match self.load.arrivals {
+            Arrivals::Rate(_) => self.in_time(now) && now >= self.next_due,
+            Arrivals::Concurrency(limit) => self.in_time(now) && self.unanswered.len() < limit,
+            Arrivals::LongCalls(count) => (self.published as usize) < count,
+        }
+    }
+
+    /// Whether calls come later without an answer being awaited.
+    fn more_to_come(&self, now: u64) -> bool {
+        matches!(self.load.arrivals, Arrivals::Rate(_)) && self.in_time(now)
+    }
+
+    async fn publish(&mut self, client: &QueueClient) -> Result<()> {
+        if let Arrivals::Rate(rate) = self.load.arrivals {
+            self.next_due += (NANOSECONDS_PER_SECOND as f64 / rate) as u64;
+        }
+        let id = format!("{}-{}", self.load.part, self.published);
+        self.published += 1;
+        client.calls.send(self.call(id.clone())).await?;
+        self.unanswered.insert(id, client.clock.now());
+        Ok(())
+    }
+
+    fn call(&self, id: String) -> Publish {
+        // Long ones are of a class of their own: among calls of 2 ms they would look like silent workers.
+        let (class, work_ms) = match self.load.arrivals {
+            Arrivals::LongCalls(_) => ("long", LONG_WORK_MS),
+            Arrivals::Rate(_) | Arrivals::Concurrency(_) => ("view", WORK_MS),
+        };
+        Publish {
+            id,
+            queue: QUEUE.into(),
+            class: class.into(),
+            function: format!("m{}", self.published % FUNCTIONS),
+            lanes: REPLICA_CONCURRENCY,
+            body: format!("{{\"inputs\":[],\"parameters\":{{\"work_ms\":{work_ms}}}}}")
+                .into_bytes(),
+            signed: self.load.users.map(|users| Signed {
+                user: format!("u{}", self.published % users),
+                key_id: KEY_ID.into(),
+                key: KEY.as_bytes().to_vec(),
+            }),
+            ..Publish::default()
+        }
+    }
+
+    /// Counts the first answer of a call; further ones are passed over.
+    fn record(&mut self, answer: &Answer) {
+        let Some(sent_at) = self.unanswered.remove(&answer.id) else {
+            return;
+        };
+        let latency_us = (answer.at - sent_at) / NANOSECONDS_PER_MICROSECOND;
+        self.result.latency.saturating_record(latency_us.max(1));
+        self.result.not_served += usize::from(answer.verdict != "served");
+    }
+}
--- a/crates/pipithub-bench/src/membership.rs
+++ b/crates/pipithub-bench/src/membership.rs
@@ -1,21 +1,47 @@
-//! One day of a fleet's membership in simulated time, over the very cores: what it costs and how soon it knows.
+//! A fleet's membership in simulated time, over the very cores: what it costs and how soon it knows of a fault.
+
+mod measurements;
+mod meter;
 
 use clap::{Args, ValueEnum};
 use pipithub_membership::{Event, Settings, Time};
 use pipithub_membership_sim::Fleet;
 use pipithub_simnet::Link;
 use rand::RngExt;
-use serde::{Deserialize, Serialize};
+
+pub(crate) use measurements::Measurements;
 
 use crate::process_usage::ProcessUsage;
+use meter::{CpuReading, Meter, seconds};
 
 const SECOND: Time = 1_000_000_000;
 /// How often the fleet's state is looked at: the step of all times told.
 const STEP: Time = SECOND / 10;
 /// Regions; zones and regions take turns over the members.
 const REGIONS: usize = 3;
+/// Zones of the usual fleet, and of the one that loses one in 21.
+const ZONES: usize = 7;
+const MANY_ZONES: usize = 21;
+/// Members that others ask to join by.
+const SEEDS: usize = 3;
+/// Datagrams that each link loses in the scenario of that name.
+const LOSS: f64 = 0.01;
+const JITTER: Time = 3_000_000;
+/// Rest between the convergence and what is measured after it.
+const SETTLING_TIME: Time = 10 * SECOND;
+/// How long regions lose each other, and over which time restarts are drawn.
+const PARTITION_TIME: Time = 60 * SECOND;
+const RESTART_TIME: Time = 60 * SECOND;
+/// The least and the most of `max-members` that the cores take.
+const MIN_MEMBER_LIMIT: usize = 2;
+const MAX_MEMBER_LIMIT: usize = 10_000;
+/// The longest patience, in seconds.
+const MAX_PATIENCE_SECONDS: u64 = 86_400;
+const BYTES_PER_MIB: f64 = 1_048_576.0;
+/// What stands for a time at which nothing came.
+const NEVER: f64 = -1.0;
 
-/// What happens in a day.
+/// What happens to the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub(crate) enum Scenario {
     /// All start at once; later one dies.
@@ -32,7 +58,7 @@
     Restart,
 }
 
-/// A day to be played; its figures go to standard output as JSON.
+/// A scenario to be run; its figures go to standard output as JSON.
 #[derive(Args)]
 pub(crate) struct MembershipArguments {
     /// Members.
@@ -60,308 +86,193 @@
     patience: u64,
 }
 
-/// What a day showed. Times are simulated seconds; -1 where it did not come to that.
-#[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Measurements {
-    /// Until all knew all after the start.
-    #[serde(rename = "together")]
-    pub convergence: f64,
-    /// From the blow (a death, a mended cut, the last restart) until the first knew of it, in the days with deaths.
-    #[serde(rename = "first")]
-    pub first_detection: f64,
-    /// From the blow until each knew exactly who is there.
-    #[serde(rename = "all")]
-    pub full_detection: f64,
-    /// Suspicions of the living, for each member, from the settled fleet on.
-    pub suspected: f64,
-    /// How often somebody that lived was held for dead, in all, from the settled fleet on.
-    pub false_deaths: f64,
-    /// Bytes a second a member at rest, with IP and UDP headers: mean over the members, and the one that sent most.
-    pub bytes: f64,
-    /// See `bytes`.
-    pub bytes_worst: f64,
-    /// Datagrams a second a member at rest: mean, and the one that sent most.
-    pub messages: f64,
-    /// See `messages`.
-    pub messages_worst: f64,
-    /// Bytes a second a member, mean, in the worst second while it came together.
-    pub bytes_start: f64,
-    /// The same from the blow on, for the mean, and for the single member that sent most in a second.
-    #[serde(rename = "bytes_blow")]
-    pub bytes_after_fault: f64,
-    /// See `bytes_after_fault`.
-    #[serde(rename = "bytes_blow_worst")]
-    pub bytes_after_fault_worst: f64,
-    /// CPU of the cores at rest, for each member, as a share of a processor core.
-    pub cpu: f64,
-    /// The same while it came together.
-    pub cpu_start: f64,
-    /// CPU of the simulation itself, in the same unit, at rest.
-    pub cpu_simulation: f64,
-    /// Resident bytes for each member once all knew all, the simulation's own part among them.
-    pub memory: f64,
-    /// Members that were not let in, in the eyes of whom they asked.
-    #[serde(rename = "full")]
-    pub rejected_members: f64,
-    /// How many the least-knowing member knows at the end of the coming together, itself counted.
-    pub least_known: f64,
-}
-
-/// Reads the meters once in each simulated second.
-struct Meter {
-    /// Bytes of each at the last reading, and when that was.
-    before: (Vec<u64>, Time),
-    /// The worst second so far: of the mean, and of any one.
-    worst: (f64, f64),
-    suspected: f64,
-    false_deaths: f64,
-    rejected_members: f64,
-    patience: Time,
-}
-
-impl Meter {
-    fn new(fleet: &Fleet, patience: Time) -> Meter {
-        let before = (fleet.sent_bytes.clone(), fleet.network.now());
-        Meter {
-            before,
-            worst: (0.0, 0.0),
-            suspected: 0.0,
-            false_deaths: 0.0,
-            rejected_members: 0.0,
-            patience,
-        }
-    }
-
-    /// Lets one step pass.
-    fn step(&mut self, fleet: &mut Fleet) {
-        fleet.run_for(STEP);
-        for told in std::mem::take(&mut fleet.history) {
-            let lives = |name: &str| {
-                name.strip_prefix("front-")
-                    .and_then(|n| n.parse().ok())
-                    .is_some_and(|n| fleet.is_running(n))
-            };
-            match &told.event {
-                Event::Suspected(member) if lives(&member.identity.name) => self.suspected += 1.0,
-                Event::Down { member, .. } if lives(&member.identity.name) => {
-                    self.false_deaths += 1.0;
-                }
-                Event::MemberLimitReached(_) => self.rejected_members += 1.0,
-                _ => {}
-            }
-        }
-        if fleet.network.now() >= self.before.1 + SECOND {
-            let span = seconds(fleet.network.now() - self.before.1);
-            let rates = || {
-                fleet
-                    .sent_bytes
-                    .iter()
-                    .zip(&self.before.0)
-                    .map(|(now, then)| (now - then) as f64 / span)
-            };
-            let mean = rates().sum::<f64>() / fleet.size() as f64;
-            self.worst = (
-                self.worst.0.max(mean),
-                self.worst.1.max(rates().fold(0.0, f64::max)),
-            );
-            self.before = (fleet.sent_bytes.clone(), fleet.network.now());
-        }
-    }
-
-    fn pass(&mut self, fleet: &mut Fleet, time: Time) {
-        let until = fleet.network.now() + time;
-        while fleet.network.now() < until {
-            self.step(fleet);
-        }
-    }
-
-    /// Seconds until something is so; -1 where it never was.
-    fn until(&mut self, fleet: &mut Fleet, so: impl Fn(&Fleet) -> bool) -> f64 {
-        let begun = fleet.network.now();
-        while fleet.network.now() < begun + self.patience {
-            if so(fleet) {
-                return seconds(fleet.network.now() - begun);
-            }
-            self.step(fleet);
-        }
-        -1.0
-    }
-}
-
-fn seconds(time: Time) -> f64 {
-    time as f64 / SECOND as f64
-}
-
-/// Process CPU and the cores' part of the time, to be told apart later.
-struct Cpu(f64, f64, std::time::Instant);
-
-impl Cpu {
-    fn read(fleet: &Fleet) -> Cpu {
-        let used = ProcessUsage::of_this_process().cpu_seconds;
-        Cpu(
-            used,
-            fleet.membership_time.as_secs_f64(),
-            std::time::Instant::now(),
-        )
-    }
-
-    /// CPU for each member and simulated second: of the cores, and of the simulation. The process has one thread, so
-    /// its CPU is shared out as its time was.
-    fn since(&self, fleet: &Fleet, simulated: f64) -> (f64, f64) {
-        let now = Cpu::read(fleet);
-        let (used, cores) = (now.0 - self.0, now.1 - self.1);
-        let share = cores / now.2.duration_since(self.2).as_secs_f64().max(1e-9);
-        let each = used / fleet.size() as f64 / simulated.max(1e-9);
-        (each * share, each * (1.0 - share))
-    }
+/// When the fleet knew of a fault, in seconds since the fault; `NEVER` where it did not.
+struct Detection {
+    first: f64,
+    all: f64,
 }
 
 impl MembershipArguments {
-    /// Plays the day and prints its row.
+    /// Runs the scenario and prints its measurements.
     pub(crate) fn run(&self) -> crate::Result<()> {
-        println!("{}", serde_json::to_string(&self.row())?);
+        println!("{}", serde_json::to_string(&self.measure())?);
         Ok(())
     }
 
-    fn row(&self) -> Measurements {
-        let size = self.size;
+    fn measure(&self) -> Measurements {
+        let mib_before = ProcessUsage::of_this_process().resident_mib;
+        let mut fleet = self.start_fleet();
+        let mut row = self.measure_start(&mut fleet, mib_before);
+        if row.convergence < 0.0 {
+            return row;
+        }
+        let mut meter = self.meter(&fleet);
+        meter.pass(&mut fleet, SETTLING_TIME);
+        let mut meter = self.meter(&fleet);
+        self.measure_rest(&mut fleet, &mut meter, &mut row);
+        meter.worst = meter::Rate::default();
+        let detection = self.inject_fault(&mut fleet, &mut meter);
+        (row.first_detection, row.full_detection) = (detection.first, detection.all);
+        row.bytes_after_fault = meter.worst.mean;
+        row.bytes_after_fault_worst = meter.worst.highest;
+        row.suspected = meter.suspected / self.size as f64;
+        row.false_deaths = meter.false_deaths;
+        row
+    }
+
+    fn start_fleet(&self) -> Fleet {
         // Beyond `max-members` nobody is let in, so the bound stands above what is measured unless it is what is measured.
-        let max_members = self.max_members.unwrap_or(size + 1).clamp(2, 10_000);
+        let max_members = self.max_members.unwrap_or(self.size + 1);
         let settings = Settings {
             cluster: "bench".into(),
-            max_members,
+            max_members: max_members.clamp(MIN_MEMBER_LIMIT, MAX_MEMBER_LIMIT),
             ..Settings::default()
         };
         let loss = if self.scenario == Scenario::Loss {
-            0.01
+            LOSS
         } else {
             0.0
         };
-        let usual = Link {
+        let link = Link {
             loss,
-            jitter: 3_000_000,
+            jitter: JITTER,
             ..Link::default()
         };
         let zones = if self.scenario == Scenario::TwentyFirst {
-            21
+            MANY_ZONES
         } else {
-            7
+            ZONES
         };
-        let empty = ProcessUsage::of_this_process().resident_mib;
-        let mut fleet = Fleet::new(size, zones, 3, self.seed, settings, usual);
-        fleet.event_filter = |e| {
+        let mut fleet = Fleet::new(self.size, zones, SEEDS, self.seed, settings, link);
+        fleet.event_filter = |event| {
             matches!(
-                e,
+                event,
                 Event::Suspected(_) | Event::Down { .. } | Event::MemberLimitReached(_)
             )
         };
-        (0..size)
-            .filter(|n| fleet.start(*n).is_err())
-            .for_each(|n| eprintln!("member {n} did not start"));
-        let mut meter = Meter::new(&fleet, self.patience.min(86_400) * SECOND);
-        let cpu = Cpu::read(&fleet);
+        for member in 0..self.size {
+            start_member(&mut fleet, member);
+        }
+        fleet
+    }
+
+    fn meter(&self, fleet: &Fleet) -> Meter {
+        Meter::new(fleet, self.patience.min(MAX_PATIENCE_SECONDS) * SECOND)
+    }
+
+    /// What it took until all members knew all.
+    fn measure_start(&self, fleet: &mut Fleet, mib_before: f64) -> Measurements {
+        let mut meter = self.meter(fleet);
+        let cpu = CpuReading::take(fleet);
         let begun = fleet.network.now();
         let mut row = Measurements {
-            convergence: meter.until(&mut fleet, Fleet::has_converged),
+            convergence: meter.until(fleet, Fleet::has_converged),
             ..Measurements::default()
         };
-        row.cpu_start = cpu.since(&fleet, seconds(fleet.network.now() - begun)).0;
-        row.memory =
-            (ProcessUsage::of_this_process().resident_mib - empty) * 1_048_576.0 / size as f64;
-        row.bytes_start = meter.worst.0;
+        row.cpu_start = cpu.since(fleet, seconds(fleet.network.now() - begun)).cores;
+        let mib = ProcessUsage::of_this_process().resident_mib - mib_before;
+        row.memory = mib * BYTES_PER_MIB / self.size as f64;
+        row.bytes_start = meter.worst.mean;
         row.rejected_members = meter.rejected_members;
-        let known = |n| fleet.view(n).map_or(0, |v| v.active().count() + 1);
-        row.least_known = (0..size).map(known).min().unwrap_or(0) as f64;
-        if row.convergence < 0.0 {
-            return row;
-        }
-        meter.pass(&mut fleet, 10 * SECOND);
-        let mut meter = Meter::new(&fleet, self.patience.min(86_400) * SECOND);
-        let (bytes, datagrams, cpu) = (
-            fleet.sent_bytes.clone(),
-            fleet.sent_datagrams.clone(),
-            Cpu::read(&fleet),
-        );
-        let rest = self.rest.max(1) as f64;
-        meter.pass(&mut fleet, self.rest.max(1) * SECOND);
-        (row.cpu, row.cpu_simulation) = cpu.since(&fleet, rest);
-        let rate = |now: &[u64], then: &[u64]| {
-            let each = || {
-                now.iter()
-                    .zip(then)
-                    .map(|(now, then)| (now - then) as f64 / rest)
-            };
-            (
-                each().sum::<f64>() / size as f64,
-                each().fold(0.0, f64::max),
-            )
+        let known = |member| {
+            fleet
+                .view(member)
+                .map_or(0, |view| view.active().count() + 1)
         };
-        (row.bytes, row.bytes_worst) = rate(&fleet.sent_bytes, &bytes);
-        (row.messages, row.messages_worst) = rate(&fleet.sent_datagrams, &datagrams);
-        meter.worst = (0.0, 0.0);
-        (row.first_detection, row.full_detection) = self.inject_fault(&mut fleet, &mut meter);
-        (row.bytes_after_fault, row.bytes_after_fault_worst) = meter.worst;
-        (row.suspected, row.false_deaths) = (meter.suspected / size as f64, meter.false_deaths);
+        row.least_known = (0..self.size).map(known).min().unwrap_or(0) as f64;
         row
     }
 
-    /// What the day brings; when the first knew, and when all did.
-    fn inject_fault(&self, fleet: &mut Fleet, meter: &mut Meter) -> (f64, f64) {
-        let size = self.size;
-        let dies = |n: &usize| match self.scenario {
-            Scenario::Ordinary | Scenario::Loss => *n == size - 1,
-            // The last zone: the seeds are the first members, in the first zones.
-            Scenario::Seventh => n % 7 == 6,
-            Scenario::TwentyFirst => n % 21 == 20,
-            Scenario::Regions | Scenario::Restart => false,
-        };
+    /// What the fleet costs while nothing happens.
+    fn measure_rest(&self, fleet: &mut Fleet, meter: &mut Meter, row: &mut Measurements) {
+        let bytes = fleet.sent_bytes.clone();
+        let datagrams = fleet.sent_datagrams.clone();
+        let cpu = CpuReading::take(fleet);
+        let rest = self.rest.max(1);
+        meter.pass(fleet, rest * SECOND);
+        let used = cpu.since(fleet, rest as f64);
+        (row.cpu, row.cpu_simulation) = (used.cores, used.simulation);
+        let byte_rate = meter::Rate::between(&bytes, &fleet.sent_bytes, rest as f64);
+        let datagram_rate = meter::Rate::between(&datagrams, &fleet.sent_datagrams, rest as f64);
+        (row.bytes, row.bytes_worst) = (byte_rate.mean, byte_rate.highest);
+        (row.messages, row.messages_worst) = (datagram_rate.mean, datagram_rate.highest);
+    }
+
+    /// Lets the scenario's fault happen and waits until the fleet knows of it.
+    fn inject_fault(&self, fleet: &mut Fleet, meter: &mut Meter) -> Detection {
         match self.scenario {
-            Scenario::Regions => {
-                let of = |region| {
-                    (0..size)
-                        .filter(|n| n % REGIONS == region)
-                        .collect::<Vec<_>>()
-                };
-                for (a, b) in [(0, 1), (0, 2), (1, 2)] {
-                    fleet.network.set_partition(&of(a), &of(b), true);
-                }
-                meter.pass(fleet, 60 * SECOND);
-                fleet.network.heal();
-                (0.0, meter.until(fleet, Fleet::has_converged))
-            }
-            Scenario::Restart => {
-                let mut times: Vec<(Time, usize)> = (0..size)
-                    .map(|n| (fleet.network.rng.random_range(0..60 * SECOND), n))
-                    .collect();
-                times.sort_unstable();
-                let begun = fleet.network.now();
-                for (at, n) in times {
-                    while fleet.network.now() + STEP < begun + at {
-                        meter.step(fleet);
-                    }
-                    fleet.kill(n);
-                    if fleet.start(n).is_err() {
-                        eprintln!("member {n} did not start");
-                    }
-                }
-                (0.0, meter.until(fleet, Fleet::has_converged))
-            }
-            _ => {
-                let dead: Vec<usize> = (0..size).filter(dies).collect();
-                dead.iter().for_each(|n| fleet.kill(*n));
-                let first = meter.until(fleet, |fleet| {
-                    dead.iter().any(|n| fleet.opinions(*n).down > 0)
-                });
-                let all = meter.until(fleet, Fleet::has_converged);
-                (
-                    first,
-                    if all < 0.0 || first < 0.0 {
-                        -1.0
-                    } else {
-                        first + all
-                    },
-                )
+            Scenario::Regions => self.partition_regions(fleet, meter),
+            Scenario::Restart => self.restart_all(fleet, meter),
+            _ => self.kill_members(fleet, meter),
+        }
+    }
+
+    fn partition_regions(&self, fleet: &mut Fleet, meter: &mut Meter) -> Detection {
+        let members_of = |region| -> Vec<usize> {
+            (0..self.size)
+                .filter(|member| member % REGIONS == region)
+                .collect()
+        };
+        for (a, b) in [(0, 1), (0, 2), (1, 2)] {
+            fleet
+                .network
+                .set_partition(&members_of(a), &members_of(b), true);
+        }
+        meter.pass(fleet, PARTITION_TIME);
+        fleet.network.heal();
+        Detection {
+            first: 0.0,
+            all: meter.until(fleet, Fleet::has_converged),
+        }
+    }
+
+    fn restart_all(&self, fleet: &mut Fleet, meter: &mut Meter) -> Detection {
+        let mut times: Vec<(Time, usize)> = (0..self.size)
+            .map(|member| (fleet.network.rng.random_range(0..RESTART_TIME), member))
+            .collect();
+        times.sort_unstable();
+        let begun = fleet.network.now();
+        for (at, member) in times {
+            while fleet.network.now() + STEP < begun + at {
+                meter.step(fleet);
             }
+            fleet.kill(member);
+            start_member(fleet, member);
+        }
+        Detection {
+            first: 0.0,
+            all: meter.until(fleet, Fleet::has_converged),
+        }
+    }
+
+    fn kill_members(&self, fleet: &mut Fleet, meter: &mut Meter) -> Detection {
+        let dead: Vec<usize> = (0..self.size).filter(|member| self.dies(*member)).collect();
+        dead.iter().for_each(|member| fleet.kill(*member));
+        let first = meter.until(fleet, |fleet| {
+            dead.iter().any(|member| fleet.opinions(*member).down > 0)
+        });
+        let all = meter.until(fleet, Fleet::has_converged);
+        let all = if all < 0.0 || first < 0.0 {
+            NEVER
+        } else {
+            first + all
+        };
+        Detection { first, all }
+    }
+
+    fn dies(&self, member: usize) -> bool {
+        match self.scenario {
+            Scenario::Ordinary | Scenario::Loss => member == self.size - 1,
+            // The last zone: the seeds are the first members, in the first zones.
+            Scenario::Seventh => member % ZONES == ZONES - 1,
+            Scenario::TwentyFirst => member % MANY_ZONES == MANY_ZONES - 1,
+            Scenario::Regions | Scenario::Restart => false,
         }
     }
 }
+
+fn start_member(fleet: &mut Fleet, member: usize) {
+    if fleet.start(member).is_err() {
+        eprintln!("member {member} did not start");
+    }
+}
--- /dev/null
+++ b/crates/pipithub-bench/src/membership/meter.rs
@@ -0,0 +1,162 @@
+//! Meters of a simulated fleet: what it sends, whom it suspects, and what CPU it takes.
+
+use std::time::Instant;
+
+use pipithub_membership::{Event, Time};
+use pipithub_membership_sim::Fleet;
+
+use super::{NEVER, SECOND, STEP};
+use crate::process_usage::ProcessUsage;
+
+/// A time in seconds.
+pub(super) fn seconds(time: Time) -> f64 {
+    time as f64 / SECOND as f64
+}
+
+/// A rate a second: its mean over the members, and that of the member with the highest.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct Rate {
+    pub mean: f64,
+    pub highest: f64,
+}
+
+impl Rate {
+    /// The rate by each member's count before and after a span of time.
+    pub(super) fn between(before: &[u64], after: &[u64], seconds: f64) -> Rate {
+        let rates = || {
+            after
+                .iter()
+                .zip(before)
+                .map(|(after, before)| (after - before) as f64 / seconds)
+        };
+        Rate {
+            mean: rates().sum::<f64>() / after.len() as f64,
+            highest: rates().fold(0.0, f64::max),
+        }
+    }
+}
+
+/// Reads the fleet's counts once in each simulated second.
+pub(super) struct Meter {
+    /// Bytes of each member at the last reading, and when that was.
+    bytes_before: Vec<u64>,
+    read_at: Time,
+    /// The highest rates of any second so far.
+    pub worst: Rate,
+    /// Suspicions of members that lived.
+    pub suspected: f64,
+    /// Members that lived and were held for dead.
+    pub false_deaths: f64,
+    /// Members that were not let in.
+    pub rejected_members: f64,
+    patience: Time,
+}
+
+impl Meter {
+    /// A meter that begins now, and waits for nothing longer than its patience.
+    pub(super) fn new(fleet: &Fleet, patience: Time) -> Meter {
+        Meter {
+            bytes_before: fleet.sent_bytes.clone(),
+            read_at: fleet.network.now(),
+            worst: Rate::default(),
+            suspected: 0.0,
+            false_deaths: 0.0,
+            rejected_members: 0.0,
+            patience,
+        }
+    }
+
+    /// Lets one step pass.
+    pub(super) fn step(&mut self, fleet: &mut Fleet) {
+        fleet.run_for(STEP);
+        for observed in std::mem::take(&mut fleet.history) {
+            self.count(fleet, &observed.event);
+        }
+        if fleet.network.now() >= self.read_at + SECOND {
+            self.read(fleet);
+        }
+    }
+
+    fn count(&mut self, fleet: &Fleet, event: &Event) {
+        let lives = |name: &str| {
+            name.strip_prefix("front-")
+                .and_then(|number| number.parse().ok())
+                .is_some_and(|number| fleet.is_running(number))
+        };
+        match event {
+            Event::Suspected(member) if lives(&member.identity.name) => self.suspected += 1.0,
+            Event::Down { member, .. } if lives(&member.identity.name) => self.false_deaths += 1.0,
+            Event::MemberLimitReached(_) => self.rejected_members += 1.0,
+            _ => {}
+        }
+    }
+
+    fn read(&mut self, fleet: &Fleet) {
+        let now = fleet.network.now();
+        let span = seconds(now - self.read_at);
+        let rate = Rate::between(&self.bytes_before, &fleet.sent_bytes, span);
+        self.worst.mean = self.worst.mean.max(rate.mean);
+        self.worst.highest = self.worst.highest.max(rate.highest);
+        self.bytes_before.clone_from(&fleet.sent_bytes);
+        self.read_at = now;
+    }
+
+    /// Lets a time pass.
+    pub(super) fn pass(&mut self, fleet: &mut Fleet, time: Time) {
+        let until = fleet.network.now() + time;
+        while fleet.network.now() < until {
+            self.step(fleet);
+        }
+    }
+
+    /// Seconds until the condition holds; `NEVER` where it did not in the time of the patience.
+    pub(super) fn until(&mut self, fleet: &mut Fleet, condition: impl Fn(&Fleet) -> bool) -> f64 {
+        let begun = fleet.network.now();
+        while fleet.network.now() < begun + self.patience {
+            if condition(fleet) {
+                return seconds(fleet.network.now() - begun);
+            }
+            self.step(fleet);
+        }
+        NEVER
+    }
+}
+
+/// CPU for each member and simulated second, as a share of a processor core.
+pub(super) struct CpuShares {
+    /// Of the membership cores.
+    pub cores: f64,
+    /// Of the simulation around them.
+    pub simulation: f64,
+}
+
+/// The process's CPU and the cores' part of the time at one moment, to be told apart later.
+pub(super) struct CpuReading {
+    cpu_seconds: f64,
+    core_seconds: f64,
+    at: Instant,
+}
+
+impl CpuReading {
+    /// Reads both now.
+    pub(super) fn take(fleet: &Fleet) -> CpuReading {
+        CpuReading {
+            cpu_seconds: ProcessUsage::of_this_process().cpu_seconds,
+            core_seconds: fleet.membership_time.as_secs_f64(),
+            at: Instant::now(),
+        }
+    }
+
+    /// What was used since this reading. The process has one thread, so its CPU is shared out as its time was.
+    pub(super) fn since(&self, fleet: &Fleet, simulated_seconds: f64) -> CpuShares {
+        let now = CpuReading::take(fleet);
+        let elapsed = now.at.duration_since(self.at).as_secs_f64().max(1e-9);
+        let share = (now.core_seconds - self.core_seconds) / elapsed;
+        let used = now.cpu_seconds - self.cpu_seconds;
+        let each = used / fleet.size() as f64 / simulated_seconds.max(1e-9);
+        CpuShares {
+            cores: each * share,
+            simulation: each * (1.0 - share),
+        }
+    }
+}
--- a/crates/pipithub-bench/src/roster.rs
+++ b/crates/pipithub-bench/src/roster.rs
@@ -1,402 +1,182 @@
-//! What a roster of a million users costs, and what a morning asks of a directory.
+//! What a roster of a million users costs: memory, look-ups, and a refresh of all users meanwhile.
 
-use std::collections::{BTreeMap, HashMap};
 use std::hint::black_box;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 use arc_swap::ArcSwap;
-use pipithub_admission::{
-    Admission, AdmissionSettings, Arrival, LimitRange, Output as Out, QuotaSettings, RejectReason,
-    TenantQuota,
-};
 use pipithub_directory::snapshot::StoredRecord;
 use pipithub_directory::{
-    DailyPeak, Directory, DirectoryEntry, DirectorySettings, Input, Lifetimes, LookupRecord,
-    LookupResult, Output, PersonId, Publisher, Query, Resolution, Roster, SearchId, SearchResponse,
-    Settings, SyncEvent, TenantBase, TenantId, Time, User,
+    Directory, DirectoryEntry, DirectorySettings, Input, LookupRecord, LookupResult, PersonId,
+    Publisher, Roster, SyncEvent, TenantId, Time, User,
 };
 use pipithub_ldap::Dn;
 use pipithub_scenario::random::SplitMix64;
 
+use crate::directory_core::{TENANTS, new_core, tenant_base, user_dn, user_name};
 use crate::process_usage::ProcessUsage;
 
-const TENANTS: usize = 50;
-const DAYS: u64 = 5;
-const S: Time = 1_000_000_000;
-const MS: Time = 1_000_000;
+const SECOND: Time = 1_000_000_000;
+const BYTES_PER_MIB: f64 = 1_048_576.0;
+/// Look-ups of each measurement; while users are refreshed there are as many as there is time for.
+const MEAN_LOOKUPS: usize = 2_000_000;
+const LOOKUPS: usize = 1_000_000;
+const MAX_LOOKUPS: usize = 1 << 27;
+/// The most times that room is made for beforehand.
+const MAX_TIMES_RESERVED: usize = 1 << 24;
+/// How often a changed roster is published while more changes are waiting, as the gateway does it.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(20);
+/// Seeds of the order in which users are looked up.
+const MEAN_SEED: u64 = 3;
+const TIMES_SEED: u64 = 7;
 
-fn base(tenant: usize) -> Dn {
-    Dn::parse(&format!("ou=t{tenant},dc=example")).unwrap_or_default()
+/// Measures a roster of so many users over all tenants.
+pub(crate) fn measure(users: usize) {
+    let names: Vec<User> = (0..users).map(user_name).collect();
+    let mut core = measure_memory(users);
+    let mut publisher = Publisher::new(core.roster());
+    let shared = publisher.newest();
+    measure_mean(&shared, &names);
+    let times = lookup_times(&shared, &names, LOOKUPS, None);
+    print_times("looks, nothing else", &times);
+    measure_refresh(&mut core, &mut publisher, &shared, &names);
 }
 
-fn name(n: usize) -> User {
-    format!("caregiver{n:07}").into()
+/// Fills a core with all users and prints the memory that each takes.
+fn measure_memory(users: usize) -> Directory {
+    let mib_before = ProcessUsage::of_this_process().resident_mib;
+    let mut core = new_core(DirectorySettings::default(), 2 * users, 1);
+    core.restore(0, (0..users).map(stored_record).collect());
+    let mib = ProcessUsage::of_this_process().resident_mib - mib_before;
+    println!(
+        "{users} users of {TENANTS} tenants: {:.0} bytes an entry, resident, the core's own indexes included",
+        mib * BYTES_PER_MIB / users as f64
+    );
+    core
 }
 
-fn core(asking: DirectorySettings, max_users: usize, seed: u64) -> Directory {
-    Directory::new(Settings {
-        directories: vec![asking],
-        tenants: (0..TENANTS)
-            .map(|t| TenantBase {
-                directory: 0,
-                base: base(t),
-            })
-            .collect(),
-        max_users,
-        max_queue: 65_536,
-        seed,
-        wall_clock_offset_ms: 0,
-    })
+/// A user as kept from an earlier run. It has a name of its own, as from a directory, so that what it takes is counted.
+fn stored_record(number: usize) -> StoredRecord {
+    StoredRecord {
+        user: user_name(number),
+        record: LookupRecord {
+            directory: 0,
+            result: LookupResult::Tenant(TenantId((number % TENANTS) as u16)),
+            person: PersonId(number as u64 + 1),
+            confirmed_at_ms: 0,
+            change_number: 1,
+            refresh_jitter: number as u8,
+            last_wanted_day: 0,
+        },
+    }
 }
 
-fn resident_bytes() -> f64 {
-    ProcessUsage::of_this_process().resident_mib * 1_048_576.0
+/// Prints the mean time of look-ups at random, and what of it is spent on the name that is looked for.
+fn measure_mean(shared: &ArcSwap<Roster>, names: &[User]) {
+    let mut random = SplitMix64::new(MEAN_SEED);
+    let order: Vec<usize> = (0..MEAN_LOOKUPS)
+        .map(|_| random.below(names.len()))
+        .collect();
+    let roster = shared.load();
+    let began = Instant::now();
+    for number in &order {
+        black_box(roster.resolve(&names[*number], SECOND));
+    }
+    let lookup = began.elapsed().as_nanos() as f64 / order.len() as f64;
+    // A call has its user's name at hand; here each is fetched from memory first.
+    let began = Instant::now();
+    let mut sum = 0;
+    for number in &order {
+        sum += usize::from(names[*number].as_bytes()[3]);
+    }
+    black_box(sum);
+    let fetch = began.elapsed().as_nanos() as f64 / order.len() as f64;
+    println!(
+        "a look-up at random: {lookup:.0} ns in the mean, of these {fetch:.0} to fetch the name that is looked for"
+    );
 }
 
-/// Looks users up for a while; nanoseconds of each look, from the shortest.
-fn looks(
+/// Looks users up, so many or until stopped; nanoseconds of each look-up, from the shortest.
+fn lookup_times(
     shared: &ArcSwap<Roster>,
     names: &[User],
     count: usize,
     stop: Option<&AtomicBool>,
 ) -> Vec<u32> {
-    let mut chance = SplitMix64::new(7);
-    let mut times = Vec::with_capacity(count.min(1 << 24));
-    while times.len() < count && stop.is_none_or(|s| !s.load(Ordering::Relaxed)) {
-        let user = &names[chance.below(names.len())];
+    let mut random = SplitMix64::new(TIMES_SEED);
+    let mut times = Vec::with_capacity(count.min(MAX_TIMES_RESERVED));
+    while times.len() < count && stop.is_none_or(|stop| !stop.load(Ordering::Relaxed)) {
+        let user = &names[random.below(names.len())];
         let began = Instant::now();
-        let view = shared.load().resolve(user, S);
+        let resolution = shared.load().resolve(user, SECOND);
         times.push(began.elapsed().as_nanos().min(u128::from(u32::MAX)) as u32);
-        black_box(view);
+        black_box(resolution);
     }
     times.sort_unstable();
     times
 }
 
-fn show(what: &str, times: &[u32]) {
-    let at = |q: f64| times[((times.len() - 1) as f64 * q) as usize];
+fn print_times(name: &str, times: &[u32]) {
+    let quantile = |q: f64| times[((times.len() - 1) as f64 * q) as usize];
     println!(
-        "{what:<34} p50 {:>6} ns  p99 {:>6} ns  p99.99 {:>7} ns  longest {:>8} ns  over 1 ms: {} of {}",
-        at(0.5),
-        at(0.99),
-        at(0.9999),
-        at(1.0),
+        "{name:<34} p50 {:>6} ns  p99 {:>6} ns  p99.99 {:>7} ns  longest {:>8} ns  over 1 ms: {} of {}",
+        quantile(0.5),
+        quantile(0.99),
+        quantile(0.9999),
+        quantile(1.0),
         times.iter().filter(|t| **t > 1_000_000).count(),
         times.len()
     );
 }
 
-/// A million users over 50 tenants.
-#[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
-pub(crate) fn roster(users: usize) {
-    let names: Vec<User> = (0..users).map(name).collect();
-    let before = resident_bytes();
-    let mut core = core(DirectorySettings::default(), 2 * users, 1);
-    // Names of their own, as they come from a directory, so that what they take is counted.
-    let facts = (0..users).map(|n| {
-        let result = LookupResult::Tenant(TenantId((n % TENANTS) as u16));
-        StoredRecord {
-            user: name(n),
-            record: LookupRecord {
-                directory: 0,
-                result,
-                person: PersonId(n as u64 + 1),
-                confirmed_at_ms: 0,
-                change_number: 1,
-                refresh_jitter: n as u8,
-                last_wanted_day: 0,
-            },
-        }
-    });
-    core.restore(0, facts.collect());
-    let bytes = (resident_bytes() - before) / users as f64;
-    println!(
-        "{users} users of {TENANTS} tenants: {bytes:.0} bytes an entry, resident, the core's own indexes included"
-    );
-    let mut publisher = Publisher::new(core.roster());
-    let shared = publisher.newest();
-    let mut chance = SplitMix64::new(3);
-    let order: Vec<usize> = (0..2_000_000).map(|_| chance.below(users)).collect();
-    let roster = shared.load();
-    let began = Instant::now();
-    for n in &order {
-        black_box(roster.resolve(&names[*n], S));
-    }
-    let all = began.elapsed().as_nanos() as f64 / order.len() as f64;
-    // A call has its user's name at hand; here each is fetched from memory first.
-    let began = Instant::now();
-    let mut sum = 0;
-    for n in &order {
-        sum += usize::from(names[*n].as_bytes()[3]);
-    }
-    black_box(sum);
-    let fetch = began.elapsed().as_nanos() as f64 / order.len() as f64;
-    println!(
-        "a look-up at random: {all:.0} ns in the mean, of these {fetch:.0} to fetch the name that is looked for"
-    );
-    drop(roster);
-    show(
-        "looks, nothing else",
-        &looks(&shared, &names, 1_000_000, None),
-    );
-    let bases: Vec<Dn> = (0..TENANTS).map(base).collect();
+/// Looks users up in one thread while another refreshes them all.
+fn measure_refresh(
+    core: &mut Directory,
+    publisher: &mut Publisher,
+    shared: &ArcSwap<Roster>,
+    names: &[User],
+) {
     let stop = AtomicBool::new(false);
-    let mut took = 0.0;
+    let mut seconds = 0.0;
     let times = std::thread::scope(|scope| {
-        let reader = scope.spawn(|| looks(&shared, &names, 1 << 27, Some(&stop)));
+        let reader = scope.spawn(|| lookup_times(shared, names, MAX_LOOKUPS, Some(&stop)));
         let began = Instant::now();
-        let mut out = Vec::new();
-        let mut published = Instant::now();
-        core.handle(
-            S,
-            Input::Synchronization {
-                directory: 0,
-                event: SyncEvent::RefreshStarted { full: true },
-            },
-            &mut out,
-        );
-        for n in 0..users {
-            let user = name(n);
-            let rdn = Dn::parse(&format!("uid={user}")).ok();
-            let dn = bases[n % TENANTS].moved(rdn.as_ref(), Some(&bases[n % TENANTS]));
-            let found = DirectoryEntry {
-                user,
-                dn,
-                person: PersonId(n as u64 + 1),
-            };
-            core.handle(
-                2 * S,
-                Input::Synchronization {
-                    directory: 0,
-                    event: SyncEvent::Entry(found),
-                },
-                &mut out,
-            );
-            // As the gateway's shell does while more is waiting.
-            if published.elapsed().as_millis() >= 20 {
-                publisher.publish(core.roster());
-                published = Instant::now();
-            }
-            out.clear();
-        }
-        core.handle(
-            3 * S,
-            Input::Synchronization {
-                directory: 0,
-                event: SyncEvent::RefreshDone,
-            },
-            &mut out,
-        );
-        publisher.publish(core.roster());
-        took = began.elapsed().as_secs_f64();
+        refresh_all(core, publisher, names.len());
+        seconds = began.elapsed().as_secs_f64();
         stop.store(true, Ordering::Relaxed);
         reader.join().unwrap_or_default()
     });
-    show("looks while all are refreshed", &times);
-    println!("the refresh took {took:.1} s");
-}
-
-fn entry(n: usize) -> Dn {
-    base(n % TENANTS).moved(
-        Dn::parse(&format!("uid=caregiver{n:07}")).ok().as_ref(),
-        Some(&base(n % TENANTS)),
-    )
+    print_times("looks while all are refreshed", &times);
+    println!("the refresh took {seconds:.1} s");
 }
 
-/// Two mornings of 130 front ends, at a directory that answers in 5 ms.
-pub(crate) fn morning(fronts: u64, users: usize, calls_each: usize) {
-    const HOUR: Time = 3_600 * S;
-    // The peak begins three hours after the start, and a day later.
-    let (peak, length) = (3 * HOUR, HOUR);
-    let mut chance = SplitMix64::new(11);
-    let mut calls: Vec<Vec<(Time, usize)>> = vec![Vec::new(); fronts as usize];
-    for day in 0..DAYS {
-        for user in 0..users {
-            for _ in 0..calls_each {
-                let at = day * 24 * HOUR + peak + (chance.unit() * length as f64) as Time;
-                calls[chance.below(fronts as usize)].push((at, user));
-            }
-        }
-    }
-    calls.iter_mut().for_each(|c| c.sort_unstable());
-    println!(
-        "{fronts} front ends, {users} users, {calls_each} calls each in an hour, {DAYS} days; facts fresh for two hours"
-    );
-    for (what, ours) in [("plain cache, two hours", false), ("directory core", true)] {
-        let mut seconds: BTreeMap<Time, u64> = BTreeMap::new();
-        let (mut waited, mut refused, mut asked) = (0u64, 0u64, 0u64);
-        for (front, calls) in calls.iter().enumerate() {
-            let mut note = |at: Time| *seconds.entry(at / S).or_default() += 1;
-            if ours {
-                let (w, r) = simulate(front as u64, calls, peak, &mut note, &mut asked);
-                (waited, refused) = (waited + w, refused + r);
-            } else {
-                let mut known: HashMap<usize, Time> = HashMap::new();
-                for (at, user) in calls {
-                    if known.get(user).is_none_or(|since| at - since >= 2 * HOUR) {
-                        known.insert(*user, *at);
-                        note(*at);
-                        asked += 1;
-                        waited += 1;
-                    }
-                }
-            }
-        }
-        let in_peak = |day: Time| {
-            let from = (day * 24 * HOUR + peak) / S;
-            let peak = seconds.range(from..from + length / S);
-            (
-                peak.clone().map(|s| *s.1).sum::<u64>(),
-                peak.map(|s| *s.1).max().unwrap_or(0),
-            )
+fn refresh_all(core: &mut Directory, publisher: &mut Publisher, users: usize) {
+    let bases: Vec<Dn> = (0..TENANTS).map(tenant_base).collect();
+    let mut outputs = Vec::new();
+    let mut synchronize = |core: &mut Directory, at: Time, event: SyncEvent| {
+        let input = Input::Synchronization {
+            directory: 0,
+            event,
         };
-        let all: u64 = seconds.values().sum();
-        let peaks: Vec<String> = (0..DAYS)
-            .map(in_peak)
-            .map(|(all, worst)| format!("{all} ({worst})"))
-            .collect();
-        println!(
-            "{what:<24} searches {all}, users asked for {asked}; in each peak, with the worst second: {}; calls that waited \
-             {waited}, refused {refused}",
-            peaks.join(", ")
-        );
-    }
-}
-
-#[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
-fn simulate(
-    front: u64,
-    calls: &[(Time, usize)],
-    peak: Time,
-    note: &mut impl FnMut(Time),
-    asked: &mut u64,
-) -> (u64, u64) {
-    let asking = DirectorySettings {
-        lifetimes: Lifetimes {
-            fresh: 7_200 * S,
-            max_stale: 30 * 3_600 * S,
-            negative: 30 * S,
-        },
-        daily_peak: Some(DailyPeak {
-            starts_at_ms: (peak / MS) as i64,
-            lead_ms: 1_800_000,
-        }),
-        ..DirectorySettings::default()
+        core.handle(at, input, &mut outputs);
+        outputs.clear();
     };
-    let mut core = core(asking, 100_000, front * 7919 + 1);
-    let mut admission: Admission<u64> = Admission::new(AdmissionSettings {
-        quotas: QuotaSettings {
-            tenants: vec![TenantQuota::default(); TENANTS],
-            class_weights: vec![1.0],
-            limit: LimitRange { min: 1e6, max: 1e6 },
-            max_queue_wait: 0,
-        },
-        max_identity_wait: 40 * MS,
-        max_waiting: 4_096,
-    });
-    let mut answers: BTreeMap<(Time, u64), (SearchId, SearchResponse)> = BTreeMap::new();
-    let (mut waited, mut refused, mut number) = (0, 0, 0u64);
-    let (mut out, mut said) = (Vec::new(), Vec::new());
-    let mut now = 0;
-    let mut calls = calls.iter().peekable();
-    let end = calls.clone().last().map_or(0, |c| c.0) + 10 * S;
-    while now < end {
-        let due = [
-            calls.peek().map(|c| c.0),
-            answers.keys().next().map(|k| k.0),
-            core.next_due(now),
-            admission.next_due(),
-        ];
-        let Some(next) = due.into_iter().flatten().min() else {
-            break;
+    let mut published = Instant::now();
+    synchronize(core, SECOND, SyncEvent::RefreshStarted { full: true });
+    for number in 0..users {
+        let user = user_name(number);
+        let dn = user_dn(&user, &bases[number % TENANTS]);
+        let entry = DirectoryEntry {
+            user,
+            dn,
+            person: PersonId(number as u64 + 1),
         };
-        now = now.max(next);
-        if let Some((_, (search, answer))) = answers
-            .first_entry()
-            .filter(|e| e.key().0 <= now)
-            .map(std::collections::btree_map::OccupiedEntry::remove_entry)
-        {
-            core.handle(
-                now,
-                Input::SearchEnded {
-                    search,
-                    outcome: Ok(answer),
-                },
-                &mut out,
-            );
-        } else if let Some((at, user)) = calls.next_if(|c| c.0 <= now) {
-            let arrival = Arrival {
-                request: *at,
-                user: Some(name(*user)),
-                route_tenant: None,
-                class: 0,
-                remaining: 4 * S,
-            };
-            admission.arrive(now, core.roster(), arrival, &mut said);
-        } else {
-            core.handle(now, Input::Tick, &mut out);
-            admission.tick(now, core.roster(), &mut said);
-        }
-        loop {
-            let mut wants = Vec::new();
-            for one in said.drain(..) {
-                match one {
-                    Out::Admit { admitted, .. } => waited += u64::from(admitted.waited > 0),
-                    Out::Reject {
-                        reason: RejectReason::UnknownUser,
-                        ..
-                    } => refused += 1,
-                    Out::Reject { .. } => {}
-                    Out::LookUp { user, urgent } => wants.push(Input::LookUp { user, urgent }),
-                }
-            }
-            wants
-                .into_iter()
-                .for_each(|w| core.handle(now, w, &mut out));
-            if out.is_empty() {
-                break;
-            }
-            for one in out.drain(..) {
-                match one {
-                    Output::Search { id, query, .. } => {
-                        note(now);
-                        let users = if let Query::Users(users) = query {
-                            users
-                        } else {
-                            Vec::new()
-                        };
-                        *asked += users.len() as u64;
-                        let found = |user: User| {
-                            let n: usize =
-                                user.trim_start_matches("caregiver").parse().unwrap_or(0);
-                            DirectoryEntry {
-                                user,
-                                dn: entry(n),
-                                person: PersonId(n as u64 + 1),
-                            }
-                        };
-                        let entries = users.into_iter().map(found).collect();
-                        number += 1;
-                        let answer = SearchResponse {
-                            entries,
-                            change_number: Some(1),
-                            base_exists: true,
-                            newest_modify_timestamp: None,
-                        };
-                        answers.insert((now + 5 * MS, number), (id, answer));
-                    }
-                    Output::LookupFinished(user) => {
-                        admission.user_updated(now, core.roster(), &user, &mut said);
-                    }
-                    Output::CancelSearch(_) | Output::UserMigrated(_) => {}
-                }
-            }
+        synchronize(core, 2 * SECOND, SyncEvent::Entry(entry));
+        if published.elapsed() >= PUBLISH_INTERVAL {
+            publisher.publish(core.roster());
+            published = Instant::now();
         }
     }
-    debug_assert!(matches!(
-        core.roster().resolve("nobody", now),
-        Resolution::Unknown
-    ));
-    (waited, refused)
+    synchronize(core, 3 * SECOND, SyncEvent::RefreshDone);
+    publisher.publish(core.roster());
 }
--- /dev/null
+++ b/crates/pipithub-bench/src/scale/decisions/figures.rs
@@ -0,0 +1,73 @@
+//! Values that plays add one by one, and the series that come of them.
+
+use std::collections::BTreeMap;
+
+use crate::scale::{Series, SizeAxis};
+
+use super::world::meter::{Spent, median};
+
+const NANOSECONDS_PER_MICROSECOND: f64 = 1e3;
+
+/// The values of one figure, by size.
+struct FigureValues {
+    what: String,
+    unit: &'static str,
+    by_size: BTreeMap<u64, Vec<f64>>,
+}
+
+/// Values by figure and size; figures stand in the order in which they first came.
+#[derive(Default)]
+pub(super) struct Figures {
+    figures: Vec<FigureValues>,
+}
+
+impl Figures {
+    /// Adds one value.
+    pub(super) fn add(&mut self, what: &str, unit: &'static str, size: u64, value: f64) {
+        let known = self.figures.iter().position(|figure| figure.what == what);
+        let index = known.unwrap_or_else(|| {
+            self.figures.push(FigureValues {
+                what: what.to_string(),
+                unit,
+                by_size: BTreeMap::new(),
+            });
+            self.figures.len() - 1
+        });
+        self.figures[index]
+            .by_size
+            .entry(size)
+            .or_default()
+            .push(value);
+    }
+
+    /// Adds the medians of what events cost; nothing where there were none.
+    pub(super) fn add_spent(&mut self, what: &str, size: u64, spent: &[Spent]) {
+        if spent.is_empty() {
+            return;
+        }
+        let time_us = spent
+            .iter()
+            .map(|one| one.time / NANOSECONDS_PER_MICROSECOND)
+            .collect();
+        let looked_at = spent.iter().map(|one| one.looked).collect();
+        self.add(&format!("{what}, time"), "us", size, median(time_us));
+        self.add(
+            &format!("{what}, looked at"),
+            "workers",
+            size,
+            median(looked_at),
+        );
+    }
+
+    /// One series for each figure.
+    pub(super) fn into_series(self, axis: SizeAxis) -> Vec<Series> {
+        let series_of = |figure: FigureValues| {
+            let mut series = axis.series(&figure.what, figure.unit);
+            for (size, values) in figure.by_size {
+                series.push(size, values);
+            }
+            series
+        };
+        self.figures.into_iter().map(series_of).collect()
+    }
+}
--- a/crates/pipithub-bench/src/scale/fit.rs
+++ b/crates/pipithub-bench/src/scale/fit.rs
@@ -18,29 +18,28 @@
 impl Fit {
     /// The slope through the points; `None` for fewer than two that are above zero.
     pub(crate) fn through(points: &[Point]) -> Option<Fit> {
-        let logs: Vec<(f64, f64)> = points
-            .iter()
-            .filter(|p| p.size > 0 && p.value > 0.0)
-            .map(|p| ((p.size as f64).ln(), p.value.ln()))
-            .collect();
-        let n = logs.len() as f64;
-        let (x, y) = (
-            logs.iter().map(|l| l.0).sum::<f64>() / n,
-            logs.iter().map(|l| l.1).sum::<f64>() / n,
-        );
-        let spread: f64 = logs.iter().map(|l| (l.0 - x).powi(2)).sum();
+        let logs: Vec<LogPoint> = points.iter().filter_map(LogPoint::of).collect();
+        let count = logs.len() as f64;
+        let mean_size = logs.iter().map(|log| log.size).sum::<f64>() / count;
+        let mean_value = logs.iter().map(|log| log.value).sum::<f64>() / count;
+        let spread: f64 = logs.iter().map(|log| (log.size - mean_size).powi(2)).sum();
         if logs.len() < 2 || spread <= 0.0 {
             return None;
         }
-        let exponent = logs.iter().map(|l| (l.0 - x) * (l.1 - y)).sum::<f64>() / spread;
-        let mut fit = Fit {
-            exponent,
-            factor: (y - exponent * x).exp(),
-            residual: 0.0,
+        let covariance: f64 = logs
+            .iter()
+            .map(|log| (log.size - mean_size) * (log.value - mean_value))
+            .sum();
+        let exponent = covariance / spread;
+        let deviation = |log: &LogPoint| {
+            let from_slope = log.value - mean_value - exponent * (log.size - mean_size);
+            (from_slope.exp() - 1.0).abs()
         };
-        let off = |l: &(f64, f64)| ((l.1 - y - exponent * (l.0 - x)).exp() - 1.0).abs();
-        fit.residual = logs.iter().map(off).fold(0.0, f64::max);
-        Some(fit)
+        Some(Fit {
+            exponent,
+            factor: (mean_value - exponent * mean_size).exp(),
+            residual: logs.iter().map(deviation).fold(0.0, f64::max),
+        })
     }
 
     /// What the slope says for a size.
@@ -48,3 +47,19 @@
         self.factor * (size as f64).powf(self.exponent)
     }
 }
+
+/// The logarithms of a point's size and value.
+struct LogPoint {
+    size: f64,
+    value: f64,
+}
+
+impl LogPoint {
+    /// `None` for a point that has no logarithms.
+    fn of(point: &Point) -> Option<LogPoint> {
+        (point.size > 0 && point.value > 0.0).then(|| LogPoint {
+            size: (point.size as f64).ln(),
+            value: point.value.ln(),
+        })
+    }
+}
--- a/crates/pipithub-bench/src/scale/front_ends.rs
+++ b/crates/pipithub-bench/src/scale/front_ends.rs
@@ -1,4 +1,4 @@
-//! What a front end's process holds, reads and asks, and what the coordinator's stand-in spends.
+//! What a front end's process holds, reads and asks, and what the emulated coordinator spends.
 //!
 //! Sections: `processes` and `lists` run real `pipithub node` processes, over their number and over the workers in the
 //! list; `fleet` runs hollow front ends through an ordinary day's events, the loss of a zone, and a cut after which all
@@ -7,10 +7,11 @@
 mod beyond;
 mod fleet;
 mod front_end;
+mod hollow;
 mod lists;
 mod processes;
 
-use super::{Plan, Series};
+use super::{Plan, Series, SizeAxis};
 use crate::Result;
 
 /// The planned numbers.
@@ -40,24 +41,12 @@
     Ok(all)
 }
 
-/// Series with values added by place.
-struct Table(Vec<Series>);
-
-impl Table {
-    /// Series by what they show and their units.
-    fn new(of: &str, how: &str, planned: u64, columns: &[(&str, &str)]) -> Self {
-        let series =
-            |(what, unit): &(&str, &str)| Series::new("front-ends", what, unit, of, how, planned);
-        Table(columns.iter().map(series).collect())
-    }
-
-    /// Adds the plays of one size, each with a value for each series.
-    fn push(&mut self, size: u64, plays: &[Vec<f64>]) {
-        for (i, series) in self.0.iter_mut().enumerate() {
-            series.push(
-                size,
-                plays.iter().filter_map(|p| p.get(i).copied()).collect(),
-            );
-        }
+/// The axis of what is measured on front ends.
+fn axis(size_unit: &'static str, method: &'static str, planned: u64) -> SizeAxis {
+    SizeAxis {
+        part: "front-ends",
+        size_unit,
+        method,
+        planned,
     }
 }
--- a/crates/pipithub-bench/src/scale/front_ends/beyond.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/beyond.rs
@@ -6,78 +6,101 @@
 use pipithub_emulator::coordinator::{Behaviour, Coordinator, Tier, event};
 
 use super::front_end::{FrontEnd, configure, wait_until};
-use super::{Table, WORKERS, ZONES};
+use super::{WORKERS, ZONES, axis};
 use crate::Result;
 use crate::process_usage::{MemoryUse, scheduled_cpu_seconds};
-use crate::scale::{Plan, Series};
+use crate::scale::{Figure, Plan, PlaysAtSize, Series};
 
-const WATCH: Duration = Duration::from_secs(6);
+/// For how long a front end is watched.
+const WATCH_TIME: Duration = Duration::from_secs(6);
 /// Workers in the list that went well before.
-const FORMER: usize = 100;
+const FORMER_WORKERS: usize = 100;
+const SIZES: [u64; 5] = [6_000, 8_000, 10_001, 16_000, 100_000];
 
+/// What became of one list.
+struct Outcome {
+    can_serve: bool,
+    connections: f64,
+    bytes_per_second: f64,
+    cpu_percent: f64,
+    peak_mib: f64,
+}
+
+/// What became of a list as the first one, and after another.
+struct Play {
+    at_start: Outcome,
+    after_former: Outcome,
+}
+
+const FIGURES: [Figure<Play>; 7] = [
+    Figure::new(
+        "a list at the start: whether it can serve after 6 s",
+        "0 or 1",
+        |play| f64::from(u8::from(play.at_start.can_serve)),
+    ),
+    Figure::new("a list at the start: connections in 6 s", "", |play| {
+        play.at_start.connections
+    }),
+    Figure::new("a list at the start: bytes a second", "B/s", |play| {
+        play.at_start.bytes_per_second
+    }),
+    Figure::new("a list at the start: CPU", "% of a core", |play| {
+        play.at_start.cpu_percent
+    }),
+    Figure::new("a list at the start: most resident memory", "MiB", |play| {
+        play.at_start.peak_mib
+    }),
+    Figure::new(
+        "a list after one of 100: whether it can serve after 6 s",
+        "0 or 1",
+        |play| f64::from(u8::from(play.after_former.can_serve)),
+    ),
+    Figure::new("a list after one of 100: connections in 6 s", "", |play| {
+        play.after_former.connections
+    }),
+];
+
+/// Shows what each size of list comes to. Nothing of this is drawn: one play shows what happens.
 pub(super) async fn measure(plan: &Plan, folder: &Path) -> Result<Vec<Series>> {
-    let mut table = Table::new(
-        "workers",
-        "processes",
-        WORKERS,
-        &[
-            (
-                "a list at the start: whether it can serve after 6 s",
-                "0 or 1",
-            ),
-            ("a list at the start: connections in 6 s", ""),
-            ("a list at the start: bytes a second", "B/s"),
-            ("a list at the start: CPU", "% of a core"),
-            ("a list at the start: most resident memory", "MiB"),
-            (
-                "a list after one of 100: whether it can serve after 6 s",
-                "0 or 1",
-            ),
-            ("a list after one of 100: connections in 6 s", ""),
-        ],
-    );
-    for size in plan.sizes_or(&[6_000, 8_000, 10_001, 16_000, 100_000]) {
-        // Nothing of this is drawn: one play shows what happens.
-        let mut values = one(plan, folder, size as usize, false).await?;
-        values.extend(
-            one(plan, folder, size as usize, true)
-                .await?
-                .into_iter()
-                .take(2),
-        );
-        table.push(size, &[values]);
+    let mut sizes = Vec::new();
+    for size in plan.sizes_or(&SIZES) {
+        let play = Play {
+            at_start: watch(plan, folder, size as usize, false).await?,
+            after_former: watch(plan, folder, size as usize, true).await?,
+        };
+        sizes.push(PlaysAtSize {
+            size,
+            plays: vec![play],
+        });
     }
-    Ok(table.0)
+    Ok(axis("workers", "processes", WORKERS).tabulate(&FIGURES, &sizes))
 }
 
-async fn one(plan: &Plan, folder: &Path, workers: usize, former: bool) -> Result<Vec<f64>> {
+async fn watch(plan: &Plan, folder: &Path, workers: usize, former: bool) -> Result<Outcome> {
     let coordinator = Coordinator::start(Behaviour::default())?;
     if former {
-        let tier = Tier::new(FORMER, ZONES);
+        let tier = Tier::new(FORMER_WORKERS, ZONES);
         coordinator.publish(true, tier.hosts(), &tier);
     }
-    let real = FrontEnd::start(
-        &plan.binary,
-        &configure(folder, &coordinator, "n0", plan.seed)?,
-    )?;
-    wait_until(&coordinator, |c| {
-        c.open == 1 && c.events == u64::from(former)
+    let config = configure(folder, &coordinator, "n0", plan.seed)?;
+    let front_end = FrontEnd::start(&plan.binary, &config)?;
+    wait_until(&coordinator, |counts| {
+        counts.open == 1 && counts.events == u64::from(former)
     })
     .await?;
     let tier = Tier::new(workers, ZONES);
-    let (counts, before, began) = (
-        coordinator.counts(),
-        scheduled_cpu_seconds(real.pid()),
-        Instant::now(),
-    );
+    let counts_before = coordinator.counts();
+    let cpu_before = scheduled_cpu_seconds(front_end.pid());
+    let began = Instant::now();
     let index = coordinator.publish(true, tier.hosts(), &tier);
-    tokio::time::sleep(WATCH).await;
-    let (now, took) = (coordinator.counts(), began.elapsed().as_secs_f64());
-    let spent = scheduled_cpu_seconds(real.pid()) - before;
-    let well = real.is_well().await?;
-    let reasons = real.logged("coordinator stream ended");
+    tokio::time::sleep(WATCH_TIME).await;
+    let counts = coordinator.counts();
+    let seconds = began.elapsed().as_secs_f64();
+    let cpu_seconds = scheduled_cpu_seconds(front_end.pid()) - cpu_before;
+    let can_serve = front_end.is_well().await?;
+    let reasons = front_end.logged("coordinator stream ended");
     println!(
-        "  {workers} workers, {} bytes, {}: can serve {well}; {} streams ended, the last: {}",
+        "  {workers} workers, {} bytes, {}: can serve {can_serve}; {} streams ended, the last: {}",
         event(index, true, tier.hosts()).len(),
         if former {
             "after a list of 100"
@@ -87,16 +110,13 @@
         reasons.len(),
         reasons.last().map_or("-", String::as_str)
     );
-    let held = MemoryUse::of(real.pid());
-    real.kill().await;
-    let connections = (now.connections - counts.connections) as f64;
-    let rate = (now.sent_bytes - counts.sent_bytes) as f64 / took;
-    let values = [
-        f64::from(u8::from(well)),
-        connections,
-        rate,
-        spent / took * 100.0,
-        held.peak_mib,
-    ];
-    Ok(values.to_vec())
+    let memory = MemoryUse::of(front_end.pid());
+    front_end.kill().await;
+    Ok(Outcome {
+        can_serve,
+        connections: (counts.connections - counts_before.connections) as f64,
+        bytes_per_second: (counts.sent_bytes - counts_before.sent_bytes) as f64 / seconds,
+        cpu_percent: cpu_seconds / seconds * 100.0,
+        peak_mib: memory.peak_mib,
+    })
 }
--- a/crates/pipithub-bench/src/scale/front_ends/fleet.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/fleet.rs
@@ -1,259 +1,358 @@
 //! Hollow front ends through an ordinary day's events, the loss of a zone, and a cut.
 
+mod resource_use;
+
 use std::path::Path;
 use std::time::{Duration, Instant};
 
 use pipithub_clock::wall_ns;
-use pipithub_emulator::coordinator::{Behaviour, Coordinator, Counts, Tier};
+use pipithub_emulator::coordinator::{Behaviour, Coordinator, Tier};
+use serde_json::Value;
 
-use super::front_end::{HollowProcess, configure, wait_until};
-use super::{FRONT_ENDS, Table, ZONES};
+use super::front_end::{configure, wait_until};
+use super::hollow::HollowProcess;
+use super::{FRONT_ENDS, ZONES, axis};
 use crate::Result;
 use crate::process_usage::{MemoryUse, scheduled_cpu_seconds};
-use crate::scale::{Plan, Series};
+use crate::scale::{Figure, Plan, PlaysAtSize, Series};
+use resource_use::{Reading, ResourceUse};
 
 /// Workers in the list: as many as all of the planned front ends hold in this machine's memory.
 const WORKERS: usize = 1_000;
 /// Processes that share the front ends.
 const PROCESSES: usize = 5;
+const SIZES: [u64; 4] = [10, 100, 566, 1_700];
+const SETTLING_TIME: Duration = Duration::from_secs(1);
+/// How long front ends idle while they are measured.
 const IDLE_TIME: Duration = Duration::from_secs(3);
+/// Events that replace one worker each.
 const REPLACEMENTS: usize = 10;
-/// Tries come at their slowest after 2 s of a cut: what comes later is as at the end of this.
+/// Connection attempts come at their slowest after 2 s of a cut: what comes later is as at the end of this.
 const CUT_TIME: Duration = Duration::from_secs(10);
 /// How often the rate is looked at.
 const RATE_INTERVAL: Duration = Duration::from_millis(50);
+/// The longest wait until all front ends have asked anew after the cut.
+const RECONNECT_PATIENCE: Duration = Duration::from_secs(60);
+
+/// What one play showed.
+struct Play {
+    front_ends: f64,
+    memory_mib: f64,
+    start_ms: f64,
+    idle: ResourceUse,
+    replacement: Replacement,
+    zone_lost: Change,
+    seventh_lost: Change,
+    cut: ResourceUse,
+    recovery: Recovery,
+}
+
+/// What a change of the list took until all had it.
+struct Change {
+    milliseconds: f64,
+    used: ResourceUse,
+}
 
+/// What the replacement of one worker took: medians, and the bytes of the last.
+struct Replacement {
+    milliseconds: f64,
+    coordinator_cpu_ms: f64,
+    bytes: f64,
+}
+
+/// What it took until all had every worker again after a cut.
+struct Recovery {
+    milliseconds: f64,
+    written_ms: f64,
+    peak_rate: f64,
+    used: ResourceUse,
+}
+
+const FIGURES: [Figure<Play>; 23] = [
+    Figure::new(
+        "proportional memory a hollow front end at 1000 workers",
+        "MiB",
+        |p| p.memory_mib,
+    ),
+    Figure::new("start: time until all have the list", "ms", |p| p.start_ms),
+    Figure::new("quiet: CPU a hollow front end", "% of a core", |p| {
+        p.idle.front_end_cpu_percent()
+    }),
+    Figure::new("quiet: CPU of the stand-in", "% of a core", |p| {
+        p.idle.coordinator_cpu_percent()
+    }),
+    Figure::new("quiet: bytes a second to a front end", "B/s", |p| {
+        p.idle.counts.sent_bytes as f64 / p.idle.seconds / p.front_ends
+    }),
+    Figure::new("quiet: bytes a second from a front end", "B/s", |p| {
+        p.idle.counts.received_bytes as f64 / p.idle.seconds / p.front_ends
+    }),
+    Figure::new("replacement: time until all have it", "ms", |p| {
+        p.replacement.milliseconds
+    }),
+    Figure::new("replacement: CPU of the stand-in", "ms", |p| {
+        p.replacement.coordinator_cpu_ms
+    }),
+    Figure::new("replacement: bytes to all", "B", |p| p.replacement.bytes),
+    Figure::new("zone of 21 lost: time until all have it", "ms", |p| {
+        p.zone_lost.milliseconds
+    }),
+    Figure::new("zone of 21 lost: bytes to all", "B", |p| {
+        p.zone_lost.used.event_bytes()
+    }),
+    Figure::new("seventh lost: time until all have it", "ms", |p| {
+        p.seventh_lost.milliseconds
+    }),
+    Figure::new("seventh lost: bytes to all", "B", |p| {
+        p.seventh_lost.used.event_bytes()
+    }),
+    Figure::new("cut: tries a second, all", "1/s", |p| {
+        p.cut.counts.rejected as f64 / p.cut.seconds
+    }),
+    Figure::new("cut: CPU a hollow front end", "% of a core", |p| {
+        p.cut.front_end_cpu_percent()
+    }),
+    Figure::new("cut: CPU of the stand-in", "% of a core", |p| {
+        p.cut.coordinator_cpu_percent()
+    }),
+    Figure::new(
+        "after the cut: time until all have every worker",
+        "ms",
+        |p| p.recovery.milliseconds,
+    ),
+    Figure::new(
+        "after the cut: time until the stand-in has written all",
+        "ms",
+        |p| p.recovery.written_ms,
+    ),
+    Figure::new("after the cut: connections", "", |p| {
+        p.recovery.used.counts.connections as f64
+    }),
+    Figure::new("after the cut: bytes to all", "B", |p| {
+        p.recovery.used.event_bytes()
+    }),
+    Figure::new("after the cut: peak rate to all, over 50 ms", "B/s", |p| {
+        p.recovery.peak_rate
+    }),
+    Figure::new("after the cut: CPU of the stand-in", "ms", |p| {
+        p.recovery.used.coordinator_cpu_seconds * 1e3
+    }),
+    Figure::new("after the cut: CPU a hollow front end", "ms", |p| {
+        p.recovery.used.front_end_cpu_seconds * 1e3
+    }),
+];
+
+/// Measures fleets of each size.
 pub(super) async fn measure(plan: &Plan, folder: &Path) -> Result<Vec<Series>> {
-    let mut table = Table::new(
-        "front ends",
-        "hollow",
-        FRONT_ENDS,
-        &[
-            (
-                "proportional memory a hollow front end at 1000 workers",
-                "MiB",
-            ),
-            ("start: time until all have the list", "ms"),
-            ("quiet: CPU a hollow front end", "% of a core"),
-            ("quiet: CPU of the stand-in", "% of a core"),
-            ("quiet: bytes a second to a front end", "B/s"),
-            ("quiet: bytes a second from a front end", "B/s"),
-            ("replacement: time until all have it", "ms"),
-            ("replacement: CPU of the stand-in", "ms"),
-            ("replacement: bytes to all", "B"),
-            ("zone of 21 lost: time until all have it", "ms"),
-            ("zone of 21 lost: bytes to all", "B"),
-            ("seventh lost: time until all have it", "ms"),
-            ("seventh lost: bytes to all", "B"),
-            ("cut: tries a second, all", "1/s"),
-            ("cut: CPU a hollow front end", "% of a core"),
-            ("cut: CPU of the stand-in", "% of a core"),
-            ("after the cut: time until all have every worker", "ms"),
-            (
-                "after the cut: time until the stand-in has written all",
-                "ms",
-            ),
-            ("after the cut: connections", ""),
-            ("after the cut: bytes to all", "B"),
-            ("after the cut: peak rate to all, over 50 ms", "B/s"),
-            ("after the cut: CPU of the stand-in", "ms"),
-            ("after the cut: CPU a hollow front end", "ms"),
-        ],
-    );
-    for size in plan.sizes_or(&[10, 100, 566, 1_700]) {
+    let mut sizes = Vec::new();
+    for size in plan.sizes_or(&SIZES) {
         let mut plays = Vec::new();
         for _ in 0..plan.plays {
             plays.push(play(plan, folder, size as usize).await?);
         }
-        table.push(size, &plays);
+        sizes.push(PlaysAtSize { size, plays });
     }
-    Ok(table.0)
+    Ok(axis("front ends", "hollow", FRONT_ENDS).tabulate(&FIGURES, &sizes))
 }
 
+async fn play(plan: &Plan, folder: &Path, count: usize) -> Result<Play> {
+    let mut fleet = Fleet::start(plan, folder, count).await?;
+    let start_ms = fleet.publish_first_list().await?;
+    tokio::time::sleep(SETTLING_TIME).await;
+    let idle = fleet.measure_idle().await;
+    let memory_mib = fleet.memory_mib();
+    let replacement = fleet.measure_replacements(&idle).await?;
+    let zone_lost = fleet.change(|tier| tier.lose(1)).await?;
+    // Two more of the other twenty.
+    let seventh_lost = fleet
+        .change(|tier| [tier.lose(2), tier.lose(3), tier.lose(4)].concat())
+        .await?;
+    let cut = fleet.measure_cut().await;
+    let recovery = fleet.measure_recovery().await?;
+    fleet.stop().await;
+    Ok(Play {
+        front_ends: count as f64,
+        memory_mib,
+        start_ms,
+        idle,
+        replacement,
+        zone_lost,
+        seventh_lost,
+        cut,
+        recovery,
+    })
+}
+
+/// Hollow front ends in several processes, and the coordinator that they ask.
 struct Fleet {
     coordinator: Coordinator,
+    tier: Tier,
     processes: Vec<HollowProcess>,
-    count: f64,
-}
-
-/// What was spent between two points in time.
-struct ResourceUse {
-    seconds: f64,
-    counts: Counts,
-    own: f64,
-    front_ends: f64,
+    count: usize,
 }
 
 impl Fleet {
-    fn now(&self) -> (Instant, Counts, u64, f64) {
-        let front_ends = self
+    /// Starts the front ends and waits until all are connected.
+    async fn start(plan: &Plan, folder: &Path, count: usize) -> Result<Fleet> {
+        let coordinator = Coordinator::start(Behaviour::default())?;
+        let config = configure(folder, &coordinator, "hollow", plan.seed)?;
+        let mut processes = Vec::new();
+        let parts = PROCESSES.min(count);
+        for part in 0..parts {
+            let first = count * part / parts;
+            let end = count * (part + 1) / parts;
+            processes.push(HollowProcess::start(&config, end - first, first).await?);
+        }
+        wait_until(&coordinator, |counts| counts.open == count as u64).await?;
+        Ok(Fleet {
+            coordinator,
+            tier: Tier::new(WORKERS, ZONES),
+            processes,
+            count,
+        })
+    }
+
+    async fn stop(self) {
+        for process in self.processes {
+            process.kill().await;
+        }
+    }
+
+    fn read(&self) -> Reading {
+        let front_end_cpu_seconds = self
             .processes
             .iter()
-            .map(|c| scheduled_cpu_seconds(c.pid()))
+            .map(|process| scheduled_cpu_seconds(process.pid()))
             .sum();
-        (
-            Instant::now(),
-            self.coordinator.counts(),
-            self.coordinator.cpu_ns(),
-            front_ends,
-        )
+        Reading {
+            at: Instant::now(),
+            counts: self.coordinator.counts(),
+            coordinator_cpu_ns: self.coordinator.cpu_ns(),
+            front_end_cpu_seconds,
+        }
     }
 
-    fn since(&self, then: (Instant, Counts, u64, f64)) -> ResourceUse {
-        let now = self.now();
-        let (a, b) = (then.1, now.1);
-        ResourceUse {
-            seconds: (now.0 - then.0).as_secs_f64(),
-            counts: Counts {
-                connections: b.connections - a.connections,
-                rejected: b.rejected - a.rejected,
-                open: b.open,
-                received_bytes: b.received_bytes - a.received_bytes,
-                sent_bytes: b.sent_bytes - a.sent_bytes,
-                events: b.events - a.events,
-                comments: b.comments - a.comments,
-            },
-            own: (now.2 - then.2) as f64 / 1e9,
-            front_ends: (now.3 - then.3) / self.count,
-        }
+    fn used_since(&self, before: &Reading) -> ResourceUse {
+        self.read().since(before, self.count)
     }
 
-    /// Waits until all have this event; milliseconds since then, which is Unix time in nanoseconds.
-    async fn await_event(&mut self, index: u64, then: u64) -> Result<f64> {
+    fn memory_mib(&self) -> f64 {
+        let all: f64 = self
+            .processes
+            .iter()
+            .map(|process| MemoryUse::of(process.pid()).proportional_mib)
+            .sum();
+        all / self.count as f64
+    }
+
+    /// Waits until all have this event; milliseconds since `published`, which is Unix time in nanoseconds.
+    async fn await_event(&mut self, index: u64, published: u64) -> Result<f64> {
         let mut last = 0;
         for process in &mut self.processes {
             last = last.max(process.await_event(index).await?);
         }
-        Ok(last.saturating_sub(then) as f64 / 1e6)
+        Ok(last.saturating_sub(published) as f64 / 1e6)
     }
 
-    /// Hands out a change and waits until all have it: milliseconds and what was spent.
-    async fn change(
-        &mut self,
-        tier: &mut Tier,
-        change: impl FnOnce(&mut Tier) -> Vec<serde_json::Value>,
-    ) -> Result<(f64, ResourceUse)> {
-        let changed = change(tier);
-        let (then, before) = (wall_ns(), self.now());
-        let index = self.coordinator.publish(false, &changed, tier);
-        let took = self.await_event(index, then).await?;
-        Ok((took, self.since(before)))
+    async fn publish_first_list(&mut self) -> Result<f64> {
+        let published = wall_ns();
+        let index = self
+            .coordinator
+            .publish(true, self.tier.hosts(), &self.tier);
+        self.await_event(index, published).await
     }
-}
 
-/// Bytes without those of comments.
-fn event_bytes(counts: &Counts) -> f64 {
-    (counts.sent_bytes - 3 * counts.comments) as f64
-}
+    /// Hands out a change and waits until all have it.
+    async fn change(&mut self, change: impl FnOnce(&mut Tier) -> Vec<Value>) -> Result<Change> {
+        let changed = change(&mut self.tier);
+        let published = wall_ns();
+        let before = self.read();
+        let index = self.coordinator.publish(false, &changed, &self.tier);
+        Ok(Change {
+            milliseconds: self.await_event(index, published).await?,
+            used: self.used_since(&before),
+        })
+    }
 
-#[expect(clippy::too_many_lines, reason = "not split yet; see the roadmap")]
-async fn play(plan: &Plan, folder: &Path, count: usize) -> Result<Vec<f64>> {
-    let coordinator = Coordinator::start(Behaviour::default())?;
-    let config = configure(folder, &coordinator, "hollow", plan.seed)?;
-    let mut tier = Tier::new(WORKERS, ZONES);
-    let mut fleet = Fleet {
-        coordinator,
-        processes: Vec::new(),
-        count: count as f64,
-    };
-    let parts = PROCESSES.min(count);
-    for n in 0..parts {
-        let (from, to) = (count * n / parts, count * (n + 1) / parts);
-        fleet
-            .processes
-            .push(HollowProcess::start(&config, to - from, from).await?);
+    async fn measure_idle(&self) -> ResourceUse {
+        let before = self.read();
+        tokio::time::sleep(IDLE_TIME).await;
+        self.used_since(&before)
     }
-    wait_until(&fleet.coordinator, |c| c.open == count as u64).await?;
-    let then = wall_ns();
-    let index = fleet.coordinator.publish(true, tier.hosts(), &tier);
-    let start = fleet.await_event(index, then).await?;
-    tokio::time::sleep(Duration::from_secs(1)).await;
 
-    let before = fleet.now();
-    tokio::time::sleep(IDLE_TIME).await;
-    let quiet = fleet.since(before);
-    let memory = fleet
-        .processes
-        .iter()
-        .map(|c| MemoryUse::of(c.pid()).proportional_mib)
-        .sum::<f64>()
-        / count as f64;
+    async fn measure_replacements(&mut self, idle: &ResourceUse) -> Result<Replacement> {
+        let (mut times, mut cpu_times, mut bytes) = (Vec::new(), Vec::new(), 0.0);
+        for worker in 0..REPLACEMENTS {
+            let change = self.change(|tier| tier.replace(worker)).await?;
+            // Without what the comments of that time take.
+            let comments = idle.coordinator_cpu_seconds / idle.seconds * change.used.seconds;
+            let cpu_seconds = change.used.coordinator_cpu_seconds - comments;
+            cpu_times.push(cpu_seconds.max(0.0) * 1e3);
+            times.push(change.milliseconds);
+            bytes = change.used.event_bytes();
+        }
+        Ok(Replacement {
+            milliseconds: median(times),
+            coordinator_cpu_ms: median(cpu_times),
+            bytes,
+        })
+    }
 
-    let (mut times, mut cost, mut bytes) = (Vec::new(), Vec::new(), 0.0);
-    for at in 0..REPLACEMENTS {
-        let (took, spent) = fleet.change(&mut tier, |t| t.replace(at)).await?;
-        // Without what the comments of that time take.
-        cost.push((spent.own - quiet.own / quiet.seconds * spent.seconds).max(0.0) * 1e3);
-        times.push(took);
-        bytes = event_bytes(&spent.counts);
+    /// Cuts off all front ends; what the end of a long cut takes.
+    async fn measure_cut(&self) -> ResourceUse {
+        self.coordinator.behave(|behaviour| behaviour.cut = true);
+        tokio::time::sleep(CUT_TIME.saturating_sub(IDLE_TIME)).await;
+        self.measure_idle().await
     }
-    let middle = |values: &mut Vec<f64>| {
-        values.sort_by(f64::total_cmp);
-        values[values.len() / 2]
-    };
-    let (replaced, cost) = (middle(&mut times), middle(&mut cost));
-    let (one, one_spent) = fleet.change(&mut tier, |t| t.lose(1)).await?;
-    // Two more of the other twenty.
-    let (more, more_spent) = fleet
-        .change(&mut tier, |t| [t.lose(2), t.lose(3), t.lose(4)].concat())
-        .await?;
 
-    fleet.coordinator.behave(|b| b.cut = true);
-    tokio::time::sleep(CUT_TIME.checked_sub(IDLE_TIME).unwrap()).await;
-    let before = fleet.now();
-    tokio::time::sleep(IDLE_TIME).await;
-    let cut = fleet.since(before);
-    tier.replace(20);
-    let index = fleet.coordinator.publish(false, &[], &tier);
-    fleet.coordinator.forget();
-    let (then, before) = (wall_ns(), fleet.now());
-    fleet.coordinator.behave(|b| b.cut = false);
-    let (mut peak, mut last, mut written) = (0.0f64, before.1.sent_bytes, 0.0);
-    let waited = async {
-        let mut at = Instant::now();
+    /// Ends the cut, after which all front ends ask for every worker anew.
+    async fn measure_recovery(&mut self) -> Result<Recovery> {
+        self.tier.replace(20);
+        let index = self.coordinator.publish(false, &[], &self.tier);
+        self.coordinator.forget();
+        let published = wall_ns();
+        let before = self.read();
+        self.coordinator.behave(|behaviour| behaviour.cut = false);
+        let writing = tokio::time::timeout(RECONNECT_PATIENCE, self.watch_writing(&before))
+            .await
+            .map_err(|_| "not all asked anew")?;
+        Ok(Recovery {
+            milliseconds: self.await_event(index, published).await?,
+            written_ms: writing.milliseconds,
+            peak_rate: writing.peak_rate,
+            used: self.used_since(&before),
+        })
+    }
+
+    /// Watches the coordinator until it has written an event for each front end.
+    async fn watch_writing(&self, before: &Reading) -> Writing {
+        let mut peak_rate = 0.0f64;
+        let mut last_bytes = before.counts.sent_bytes;
+        let mut last_at = Instant::now();
         loop {
             tokio::time::sleep(RATE_INTERVAL).await;
-            let counts = fleet.coordinator.counts();
-            peak = peak.max((counts.sent_bytes - last) as f64 / at.elapsed().as_secs_f64());
-            (last, at) = (counts.sent_bytes, Instant::now());
-            if counts.events - before.1.events >= count as u64 {
-                written = before.0.elapsed().as_secs_f64() * 1e3;
-                return;
+            let counts = self.coordinator.counts();
+            let written = (counts.sent_bytes - last_bytes) as f64;
+            peak_rate = peak_rate.max(written / last_at.elapsed().as_secs_f64());
+            last_bytes = counts.sent_bytes;
+            last_at = Instant::now();
+            if counts.events - before.counts.events >= self.count as u64 {
+                return Writing {
+                    milliseconds: before.at.elapsed().as_secs_f64() * 1e3,
+                    peak_rate,
+                };
             }
         }
-    };
-    tokio::time::timeout(Duration::from_secs(60), waited)
-        .await
-        .map_err(|_| "not all asked anew")?;
-    let all = fleet.await_event(index, then).await?;
-    let anew = fleet.since(before);
-    let values = vec![
-        memory,
-        start,
-        quiet.front_ends / quiet.seconds * 100.0,
-        quiet.own / quiet.seconds * 100.0,
-        quiet.counts.sent_bytes as f64 / quiet.seconds / count as f64,
-        quiet.counts.received_bytes as f64 / quiet.seconds / count as f64,
-        replaced,
-        cost,
-        bytes,
-        one,
-        event_bytes(&one_spent.counts),
-        more,
-        event_bytes(&more_spent.counts),
-        cut.counts.rejected as f64 / cut.seconds,
-        cut.front_ends / cut.seconds * 100.0,
-        cut.own / cut.seconds * 100.0,
-        all,
-        written,
-        anew.counts.connections as f64,
-        event_bytes(&anew.counts),
-        peak,
-        anew.own * 1e3,
-        anew.front_ends * 1e3,
-    ];
-    for process in fleet.processes {
-        process.kill().await;
     }
-    Ok(values)
+}
+
+/// How long the coordinator wrote, and its highest rate in bytes a second.
+struct Writing {
+    milliseconds: f64,
+    peak_rate: f64,
+}
+
+fn median(mut values: Vec<f64>) -> f64 {
+    values.sort_by(f64::total_cmp);
+    values[values.len() / 2]
 }
--- a/crates/pipithub-bench/src/scale/front_ends/front_end.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/front_end.rs
@@ -1,4 +1,4 @@
-//! Front ends as processes, real and hollow ones, and what the system says of them.
+//! Real front ends as processes, and the coordinators that they ask.
 
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
@@ -6,12 +6,17 @@
 
 use pipithub_emulator::coordinator::{Coordinator, Counts};
 use serde_json::{Value, json};
-use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader, Lines};
-use tokio::process::{Child, ChildStdin, ChildStdout, Command};
+use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
+use tokio::net::TcpStream;
+use tokio::process::{Child, Command};
 
 use crate::Result;
 
-/// A front end's configuration, in a file of this folder.
+/// The longest wait for what a coordinator is to see, and how often it is looked at.
+const PATIENCE: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// Writes a front end's configuration to a file of this folder.
 pub(super) fn configure(
     folder: &Path,
     coordinator: &Coordinator,
@@ -65,31 +70,33 @@
     pub(super) fn logged(&self, words: &str) -> Vec<String> {
         let text = std::fs::read_to_string(&self.log).unwrap_or_default();
         text.lines()
-            .filter(|l| l.contains(words))
+            .filter(|line| line.contains(words))
             .map(str::to_string)
             .collect()
     }
 
+    /// Where it listens, as its log says; `None` before it is up.
+    fn address(&self) -> Option<String> {
+        let lines = self.logged("front end up");
+        let address = lines.iter().find_map(|line| {
+            line.split_whitespace()
+                .find_map(|word| word.strip_prefix("address="))
+        })?;
+        Some(address.trim_matches('"').to_string())
+    }
+
     /// Whether it says that it can serve.
     pub(super) async fn is_well(&self) -> Result<bool> {
-        let up = self.logged("front end up");
-        let address = up.iter().find_map(|l| {
-            l.split_whitespace()
-                .find_map(|w| w.strip_prefix("address="))
-        });
-        let Some(address) = address else {
+        let Some(address) = self.address() else {
             return Ok(false);
         };
-        let mut stream = tokio::net::TcpStream::connect(address.trim_matches('"')).await?;
+        let mut stream = TcpStream::connect(address).await?;
         stream
             .write_all(b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"isWell\"}\n")
             .await?;
-        let line = BufReader::new(stream)
-            .lines()
-            .next_line()
-            .await?
-            .unwrap_or_default();
-        Ok(serde_json::from_str::<Value>(&line)?["result"]["healthy"] == true)
+        let mut lines = BufReader::new(stream).lines();
+        let answer = lines.next_line().await?.unwrap_or_default();
+        Ok(serde_json::from_str::<Value>(&answer)?["result"]["healthy"] == true)
     }
 
     /// Kills it and waits until it is gone.
@@ -98,79 +105,17 @@
     }
 }
 
-/// A process of many hollow front ends.
-pub(super) struct HollowProcess {
-    child: Child,
-    stdin: ChildStdin,
-    lines: Lines<BufReader<ChildStdout>>,
-}
-
-impl HollowProcess {
-    /// Starts so many, numbered from `first`.
-    pub(super) async fn start(config: &Path, count: usize, first: usize) -> Result<Self> {
-        let mut child = Command::new(std::env::current_exe()?)
-            .args(["hollow", "--config"])
-            .arg(config)
-            .args(["--count", &count.to_string(), "--first", &first.to_string()])
-            .stdin(Stdio::piped())
-            .stdout(Stdio::piped())
-            .kill_on_drop(true)
-            .spawn()?;
-        let stdin = child.stdin.take().ok_or("no pipe")?;
-        let lines = BufReader::new(child.stdout.take().ok_or("no pipe")?).lines();
-        let mut process = HollowProcess {
-            child,
-            stdin,
-            lines,
-        };
-        process.answer().await?;
-        Ok(process)
-    }
-
-    /// Its process id.
-    pub(super) fn pid(&self) -> u32 {
-        self.child.id().unwrap_or(0)
-    }
-
-    async fn answer(&mut self) -> Result<Value> {
-        let line = tokio::time::timeout(Duration::from_secs(120), self.lines.next_line()).await??;
-        Ok(serde_json::from_str(
-            &line.ok_or("hollow front ends have ended")?,
-        )?)
-    }
-
-    async fn request(&mut self, line: &str) -> Result<Value> {
-        self.stdin.write_all(format!("{line}\n").as_bytes()).await?;
-        self.stdin.flush().await?;
-        self.answer().await
-    }
-
-    /// Waits until all have this event; the Unix time in nanoseconds at which the last one had it.
-    pub(super) async fn await_event(&mut self, index: u64) -> Result<u64> {
-        let told = self.request(&format!("await {index}")).await?;
-        if told["wanted"] != 0 {
-            return Err(format!("hollow front ends wanted connections: {told}").into());
-        }
-        Ok(told["at"].as_u64().unwrap_or(0))
-    }
-
-    /// Ends it and waits until it is gone.
-    pub(super) async fn kill(mut self) {
-        let _ = self.child.kill().await;
-    }
-}
-
 /// Waits until this holds of what the coordinator counts.
 pub(super) async fn wait_until(
     coordinator: &Coordinator,
-    holds: impl Fn(Counts) -> bool,
+    condition: impl Fn(Counts) -> bool,
 ) -> Result<()> {
-    let turns = async {
-        while !holds(coordinator.counts()) {
-            tokio::time::sleep(Duration::from_millis(5)).await;
+    let polls = async {
+        while !condition(coordinator.counts()) {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(Duration::from_secs(60), turns)
+    tokio::time::timeout(PATIENCE, polls)
         .await
         .map_err(|_| "the coordinator never saw it")?;
     Ok(())
--- a/crates/pipithub-bench/src/scale/front_ends/lists.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/lists.rs
@@ -6,114 +6,200 @@
 use pipithub_emulator::coordinator::{Behaviour, Coordinator, Tier, event};
 
 use super::front_end::{FrontEnd, configure, wait_until};
-use super::{Table, WORKERS, ZONES};
+use super::{WORKERS, ZONES, axis};
 use crate::Result;
 use crate::process_usage::{MemoryUse, scheduled_cpu_seconds};
-use crate::scale::{Plan, Series};
+use crate::scale::{Figure, Plan, PlaysAtSize, Series};
 
+/// How long a front end idles while it is measured.
 const IDLE_TIME: Duration = Duration::from_millis(1_500);
 /// What a list may take to be worked in before it is looked at.
-const SETTLE: Duration = Duration::from_secs(2);
+const SETTLING_TIME: Duration = Duration::from_secs(2);
+/// Events that replace one worker each, the time between them and what the last one may take.
 const EVENTS: usize = 20;
+const EVENT_INTERVAL: Duration = Duration::from_millis(40);
+const EVENT_SETTLING_TIME: Duration = Duration::from_millis(100);
+/// Bytes of a comment on the stream.
+const COMMENT_BYTES: u64 = 3;
+const SIZES: [u64; 6] = [300, 1_000, 4_000, 6_000, 16_000, 32_000];
 
+/// What one play showed; CPU of events is without what an idle front end takes.
+struct Play {
+    list_bytes: f64,
+    first_list_cpu_ms: f64,
+    later_list_cpu_ms: f64,
+    event: EventCost,
+    idle_cpu_percent: f64,
+    memory: MemoryUse,
+}
+
+/// What an event that replaces one worker costs.
+struct EventCost {
+    cpu_ms: f64,
+    bytes: f64,
+}
+
+const FIGURES: [Figure<Play>; 9] = [
+    Figure::new("bytes of every worker in one event", "B", |play| {
+        play.list_bytes
+    }),
+    Figure::new("CPU of the first event with every worker", "ms", |play| {
+        play.first_list_cpu_ms
+    }),
+    Figure::new("CPU of a later event with every worker", "ms", |play| {
+        play.later_list_cpu_ms
+    }),
+    Figure::new("CPU of an event that replaces one worker", "ms", |play| {
+        play.event.cpu_ms
+    }),
+    Figure::new("bytes of an event that replaces one worker", "B", |play| {
+        play.event.bytes
+    }),
+    Figure::new("CPU of a quiet front end", "% of a core", |play| {
+        play.idle_cpu_percent
+    }),
+    Figure::new("resident memory of a front end", "MiB", |play| {
+        play.memory.resident_mib
+    }),
+    Figure::new("proportional memory of a front end", "MiB", |play| {
+        play.memory.proportional_mib
+    }),
+    Figure::new("most resident memory of a front end, ever", "MiB", |play| {
+        play.memory.peak_mib
+    }),
+];
+
+/// Measures one front end with lists of each size.
 pub(super) async fn measure(plan: &Plan, folder: &Path) -> Result<Vec<Series>> {
-    let mut table = Table::new(
-        "workers",
-        "processes",
-        WORKERS,
-        &[
-            ("bytes of every worker in one event", "B"),
-            ("CPU of the first event with every worker", "ms"),
-            ("CPU of a later event with every worker", "ms"),
-            ("CPU of an event that replaces one worker", "ms"),
-            ("bytes of an event that replaces one worker", "B"),
-            ("CPU of a quiet front end", "% of a core"),
-            ("resident memory of a front end", "MiB"),
-            ("proportional memory of a front end", "MiB"),
-            ("most resident memory of a front end, ever", "MiB"),
-        ],
-    );
-    for size in plan.sizes_or(&[300, 1_000, 4_000, 6_000, 16_000, 32_000]) {
+    let mut sizes = Vec::new();
+    for size in plan.sizes_or(&SIZES) {
         let mut plays = Vec::new();
         for _ in 0..plan.plays {
             plays.push(play(plan, folder, size as usize).await?);
         }
-        table.push(size, &plays);
+        sizes.push(PlaysAtSize { size, plays });
     }
-    Ok(table.0)
+    Ok(axis("workers", "processes", WORKERS).tabulate(&FIGURES, &sizes))
 }
 
-async fn play(plan: &Plan, folder: &Path, workers: usize) -> Result<Vec<f64>> {
+async fn play(plan: &Plan, folder: &Path, workers: usize) -> Result<Play> {
     let coordinator = Coordinator::start(Behaviour::default())?;
-    let real = FrontEnd::start(
-        &plan.binary,
-        &configure(folder, &coordinator, "n0", plan.seed)?,
-    )?;
-    let pid = real.pid();
-    wait_until(&coordinator, |c| c.open == 1).await?;
+    let config = configure(folder, &coordinator, "n0", plan.seed)?;
+    let front_end = FrontEnd::start(&plan.binary, &config)?;
+    let pid = front_end.pid();
+    wait_until(&coordinator, |counts| counts.open == 1).await?;
     let mut tier = Tier::new(workers, ZONES);
-    let quiet = async || {
-        let (before, began) = (scheduled_cpu_seconds(pid), Instant::now());
-        tokio::time::sleep(IDLE_TIME).await;
-        (scheduled_cpu_seconds(pid) - before) / began.elapsed().as_secs_f64()
-    };
-    let empty = quiet().await;
-    let bytes = event(1, true, tier.hosts()).len() as f64;
-    // CPU of what happens until all is quiet again, without what a quiet front end takes.
-    let (before, began) = (scheduled_cpu_seconds(pid), Instant::now());
-    coordinator.publish(true, tier.hosts(), &tier);
-    wait_until(&coordinator, |c| c.events == 1).await?;
-    tokio::time::sleep(SETTLE).await;
-    if !real.is_well().await? {
-        return Err(format!(
-            "cannot serve with {workers} workers: {:?}",
-            real.logged("WARN").last()
-        )
-        .into());
+    let idle_without_list = idle_cpu(pid).await;
+    let list_bytes = event(1, true, tier.hosts()).len() as f64;
+    let first = measure_list(&coordinator, &tier, pid, 1).await?;
+    if !front_end.is_well().await? {
+        let warnings = front_end.logged("WARN");
+        let last = warnings.last();
+        return Err(format!("cannot serve with {workers} workers: {last:?}").into());
     }
-    let (spent, took) = (
-        scheduled_cpu_seconds(pid) - before,
-        began.elapsed().as_secs_f64(),
-    );
-    let idle = quiet().await;
-    let first = spent - took * idle;
-    let (before, began) = (scheduled_cpu_seconds(pid), Instant::now());
-    coordinator.publish(true, tier.hosts(), &tier);
-    wait_until(&coordinator, |c| c.events == 2).await?;
-    tokio::time::sleep(SETTLE).await;
-    let later = scheduled_cpu_seconds(pid) - before - began.elapsed().as_secs_f64() * idle;
-    let (counts, before, began) = (
-        coordinator.counts(),
-        scheduled_cpu_seconds(pid),
-        Instant::now(),
-    );
-    for at in 0..EVENTS {
-        let changed = tier.replace(at);
-        coordinator.publish(false, &changed, &tier);
-        tokio::time::sleep(Duration::from_millis(40)).await;
-    }
-    wait_until(&coordinator, |c| c.events == 2 + EVENTS as u64).await?;
-    tokio::time::sleep(Duration::from_millis(100)).await;
-    let each = (scheduled_cpu_seconds(pid) - before - began.elapsed().as_secs_f64() * idle)
-        / EVENTS as f64;
-    let now = coordinator.counts();
-    let told = now.sent_bytes - counts.sent_bytes - 3 * (now.comments - counts.comments);
-    let held = MemoryUse::of(pid);
+    let first = first.ended();
+    let idle = idle_cpu(pid).await;
+    let later = measure_list(&coordinator, &tier, pid, 2).await?.ended();
+    let event = measure_events(&coordinator, &mut tier, pid, idle).await?;
+    let memory = MemoryUse::of(pid);
     println!(
         "  {workers} workers: quiet without any list {:.2} % of a core, then {:.2} %",
-        empty * 100.0,
+        idle_without_list * 100.0,
         idle * 100.0
     );
-    real.kill().await;
-    Ok(vec![
-        bytes,
-        first * 1e3,
-        later * 1e3,
-        each * 1e3,
-        told as f64 / EVENTS as f64,
-        idle * 100.0,
-        held.resident_mib,
-        held.proportional_mib,
-        held.peak_mib,
-    ])
+    front_end.kill().await;
+    Ok(Play {
+        list_bytes,
+        first_list_cpu_ms: first.beyond(idle) * 1e3,
+        later_list_cpu_ms: later.beyond(idle) * 1e3,
+        event,
+        idle_cpu_percent: idle * 100.0,
+        memory,
+    })
+}
+
+/// CPU of an idle front end, as a share of a core.
+async fn idle_cpu(pid: u32) -> f64 {
+    let reading = CpuReading::take(pid);
+    tokio::time::sleep(IDLE_TIME).await;
+    let span = reading.ended();
+    span.cpu_seconds / span.seconds
+}
+
+/// The CPU of a process at the beginning of a span of time.
+struct CpuReading {
+    pid: u32,
+    cpu_seconds: f64,
+    at: Instant,
+}
+
+/// What a process took in a span of time.
+struct CpuSpan {
+    cpu_seconds: f64,
+    seconds: f64,
+}
+
+impl CpuReading {
+    fn take(pid: u32) -> Self {
+        CpuReading {
+            pid,
+            cpu_seconds: scheduled_cpu_seconds(pid),
+            at: Instant::now(),
+        }
+    }
+
+    fn ended(&self) -> CpuSpan {
+        CpuSpan {
+            cpu_seconds: scheduled_cpu_seconds(self.pid) - self.cpu_seconds,
+            seconds: self.at.elapsed().as_secs_f64(),
+        }
+    }
+}
+
+impl CpuSpan {
+    /// Seconds of CPU beyond what an idle process takes in the same time.
+    fn beyond(&self, idle: f64) -> f64 {
+        self.cpu_seconds - self.seconds * idle
+    }
+}
+
+/// Hands out every worker and waits until the front end has worked them in; the reading is from before.
+async fn measure_list(
+    coordinator: &Coordinator,
+    tier: &Tier,
+    pid: u32,
+    events: u64,
+) -> Result<CpuReading> {
+    let before = CpuReading::take(pid);
+    coordinator.publish(true, tier.hosts(), tier);
+    wait_until(coordinator, |counts| counts.events == events).await?;
+    tokio::time::sleep(SETTLING_TIME).await;
+    Ok(before)
+}
+
+/// Replaces one worker after the other.
+async fn measure_events(
+    coordinator: &Coordinator,
+    tier: &mut Tier,
+    pid: u32,
+    idle: f64,
+) -> Result<EventCost> {
+    let counts_before = coordinator.counts();
+    let before = CpuReading::take(pid);
+    for worker in 0..EVENTS {
+        let changed = tier.replace(worker);
+        coordinator.publish(false, &changed, tier);
+        tokio::time::sleep(EVENT_INTERVAL).await;
+    }
+    let all_events = counts_before.events + EVENTS as u64;
+    wait_until(coordinator, |counts| counts.events == all_events).await?;
+    tokio::time::sleep(EVENT_SETTLING_TIME).await;
+    let cpu_seconds = before.ended().beyond(idle);
+    let counts = coordinator.counts();
+    let comments = counts.comments - counts_before.comments;
+    let bytes = counts.sent_bytes - counts_before.sent_bytes - COMMENT_BYTES * comments;
+    Ok(EventCost {
+        cpu_ms: cpu_seconds / EVENTS as f64 * 1e3,
+        bytes: bytes as f64 / EVENTS as f64,
+    })
 }
--- a/crates/pipithub-bench/src/scale/front_ends/processes.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/processes.rs
@@ -6,86 +6,130 @@
 use pipithub_emulator::coordinator::{Behaviour, Coordinator, Tier};
 
 use super::front_end::{FrontEnd, configure, wait_until};
-use super::{FRONT_ENDS, Table, ZONES};
+use super::{FRONT_ENDS, ZONES, axis};
 use crate::Result;
 use crate::process_usage::{MemoryUse, scheduled_cpu_seconds};
-use crate::scale::{Plan, Series};
+use crate::scale::{Figure, Plan, PlaysAtSize, Series};
 
 /// Workers in the list.
 const WORKERS: usize = 1_000;
+/// How long front ends settle, and then idle while they are measured.
+const SETTLING_TIME: Duration = Duration::from_secs(1);
 const IDLE_TIME: Duration = Duration::from_secs(3);
+const SIZES: [u64; 6] = [1, 3, 10, 30, 100, 200];
+const NANOSECONDS_PER_SECOND: f64 = 1e9;
 
+/// What one play showed; all but the coordinator's CPU is for each front end.
+struct Play {
+    resident_mib: f64,
+    proportional_mib: f64,
+    cpu_percent: f64,
+    received_bytes_per_second: f64,
+    messages_per_second: f64,
+    sent_bytes_per_second: f64,
+    coordinator_cpu_percent: f64,
+}
+
+const FIGURES: [Figure<Play>; 7] = [
+    Figure::new(
+        "resident memory a front end at 1000 workers",
+        "MiB",
+        |play| play.resident_mib,
+    ),
+    Figure::new(
+        "proportional memory a front end at 1000 workers",
+        "MiB",
+        |play| play.proportional_mib,
+    ),
+    Figure::new(
+        "CPU a front end, quiet, at 1000 workers",
+        "% of a core",
+        |play| play.cpu_percent,
+    ),
+    Figure::new("bytes a second to a front end, quiet", "B/s", |play| {
+        play.received_bytes_per_second
+    }),
+    Figure::new("messages a second to a front end, quiet", "1/s", |play| {
+        play.messages_per_second
+    }),
+    Figure::new("bytes a second from a front end, quiet", "B/s", |play| {
+        play.sent_bytes_per_second
+    }),
+    Figure::new("CPU of the stand-in, quiet", "% of a core", |play| {
+        play.coordinator_cpu_percent
+    }),
+];
+
+/// Measures idle front ends at each size.
 pub(super) async fn measure(plan: &Plan, folder: &Path) -> Result<Vec<Series>> {
-    let mut table = Table::new(
-        "front ends",
-        "processes",
-        FRONT_ENDS,
-        &[
-            ("resident memory a front end at 1000 workers", "MiB"),
-            ("proportional memory a front end at 1000 workers", "MiB"),
-            ("CPU a front end, quiet, at 1000 workers", "% of a core"),
-            ("bytes a second to a front end, quiet", "B/s"),
-            ("messages a second to a front end, quiet", "1/s"),
-            ("bytes a second from a front end, quiet", "B/s"),
-            ("CPU of the stand-in, quiet", "% of a core"),
-        ],
-    );
-    for size in plan.sizes_or(&[1, 3, 10, 30, 100, 200]) {
+    let mut sizes = Vec::new();
+    for size in plan.sizes_or(&SIZES) {
         let mut plays = Vec::new();
         for _ in 0..plan.plays {
             plays.push(play(plan, folder, size as usize).await?);
         }
-        table.push(size, &plays);
+        sizes.push(PlaysAtSize { size, plays });
     }
-    Ok(table.0)
+    Ok(axis("front ends", "processes", FRONT_ENDS).tabulate(&FIGURES, &sizes))
 }
 
-async fn play(plan: &Plan, folder: &Path, count: usize) -> Result<Vec<f64>> {
+async fn play(plan: &Plan, folder: &Path, count: usize) -> Result<Play> {
     let coordinator = Coordinator::start(Behaviour::default())?;
     let tier = Tier::new(WORKERS, ZONES);
     coordinator.publish(true, tier.hosts(), &tier);
-    let mut real = Vec::new();
-    for n in 0..count {
-        real.push(FrontEnd::start(
-            &plan.binary,
-            &configure(folder, &coordinator, &format!("n{n}"), plan.seed + n as u64)?,
-        )?);
+    let mut front_ends = Vec::new();
+    for number in 0..count {
+        let seed = plan.seed + number as u64;
+        let config = configure(folder, &coordinator, &format!("n{number}"), seed)?;
+        front_ends.push(FrontEnd::start(&plan.binary, &config)?);
     }
-    wait_until(&coordinator, |c| {
-        c.open >= count as u64 && c.events >= count as u64
+    wait_until(&coordinator, |counts| {
+        counts.open >= count as u64 && counts.events >= count as u64
     })
     .await?;
-    tokio::time::sleep(Duration::from_secs(1)).await;
-    let used = || {
-        real.iter()
-            .map(|r| scheduled_cpu_seconds(r.pid()))
-            .sum::<f64>()
-    };
-    let (before, counts, own, began) = (
-        used(),
-        coordinator.counts(),
-        coordinator.cpu_ns(),
-        Instant::now(),
-    );
-    tokio::time::sleep(IDLE_TIME).await;
-    let (took, after, now) = (began.elapsed().as_secs_f64(), used(), coordinator.counts());
-    let own = (coordinator.cpu_ns() - own) as f64 / 1e9;
-    let held: Vec<MemoryUse> = real.iter().map(|r| MemoryUse::of(r.pid())).collect();
-    let each = |total: f64| total / count as f64;
-    let values = vec![
-        each(held.iter().map(|m| m.resident_mib).sum()),
-        each(held.iter().map(|m| m.proportional_mib).sum()),
-        each(after - before) / took * 100.0,
-        each((now.sent_bytes - counts.sent_bytes) as f64) / took,
-        each((now.comments + now.events - counts.comments - counts.events) as f64) / took,
-        each((now.received_bytes - counts.received_bytes) as f64) / took,
-        own / took * 100.0,
-    ];
-    if !real[0].is_well().await? {
+    tokio::time::sleep(SETTLING_TIME).await;
+    let play = measure_idle(&coordinator, &front_ends).await;
+    if !front_ends[0].is_well().await? {
         return Err("a front end cannot serve".into());
     }
-    for one in real {
-        one.kill().await;
+    for front_end in front_ends {
+        front_end.kill().await;
+    }
+    Ok(play)
+}
+
+async fn measure_idle(coordinator: &Coordinator, front_ends: &[FrontEnd]) -> Play {
+    let cpu_seconds = || -> f64 {
+        front_ends
+            .iter()
+            .map(|front_end| scheduled_cpu_seconds(front_end.pid()))
+            .sum()
+    };
+    let cpu_before = cpu_seconds();
+    let counts_before = coordinator.counts();
+    let coordinator_before = coordinator.cpu_ns();
+    let began = Instant::now();
+    tokio::time::sleep(IDLE_TIME).await;
+    let seconds = began.elapsed().as_secs_f64();
+    let cpu = cpu_seconds() - cpu_before;
+    let counts = coordinator.counts();
+    let coordinator_cpu =
+        (coordinator.cpu_ns() - coordinator_before) as f64 / NANOSECONDS_PER_SECOND;
+    let memory: Vec<MemoryUse> = front_ends
+        .iter()
+        .map(|front_end| MemoryUse::of(front_end.pid()))
+        .collect();
+    let each = |total: f64| total / front_ends.len() as f64;
+    let messages = counts.comments + counts.events - counts_before.comments - counts_before.events;
+    Play {
+        resident_mib: each(memory.iter().map(|one| one.resident_mib).sum()),
+        proportional_mib: each(memory.iter().map(|one| one.proportional_mib).sum()),
+        cpu_percent: each(cpu) / seconds * 100.0,
+        received_bytes_per_second: each((counts.sent_bytes - counts_before.sent_bytes) as f64)
+            / seconds,
+        messages_per_second: each(messages as f64) / seconds,
+        sent_bytes_per_second: each((counts.received_bytes - counts_before.received_bytes) as f64)
+            / seconds,
+        coordinator_cpu_percent: coordinator_cpu / seconds * 100.0,
     }
-    Ok(values)
 }
--- a/crates/pipithub-bench/src/scale/mod.rs
+++ b/crates/pipithub-bench/src/scale/mod.rs
@@ -6,15 +6,16 @@
 mod front_ends;
 mod membership;
 mod plot;
+mod series;
 mod settings;
 mod workers;
 
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
 use clap::{Args, ValueEnum};
-use serde::Serialize;
 
 pub(crate) use fit::Fit;
+pub(crate) use series::{Figure, PlaysAtSize, Point, Series, SizeAxis};
 
 use crate::Result;
 
@@ -86,7 +87,7 @@
 impl Plan {
     /// Whether a section of a part is to be measured.
     pub(crate) fn wants(&self, section: &str) -> bool {
-        self.only.is_empty() || self.only.iter().any(|o| o == section)
+        self.only.is_empty() || self.only.iter().any(|named| named == section)
     }
 
     /// The sizes to measure, of which these are the usual ones.
@@ -99,139 +100,15 @@
     }
 }
 
-/// What was measured at one size.
-#[derive(Clone, Debug, Serialize)]
-pub(crate) struct Point {
-    /// The size.
-    pub size: u64,
-    /// The median of the plays.
-    pub value: f64,
-    /// The least and the greatest of them.
-    #[serde(rename = "least")]
-    pub min: f64,
-    /// See `min`.
-    #[serde(rename = "greatest")]
-    pub max: f64,
-    /// How many plays there were.
-    pub plays: usize,
-}
-
-impl Point {
-    /// The median of these values; 0 where there are none.
-    pub(crate) fn of(size: u64, mut values: Vec<f64>) -> Point {
-        values.sort_by(f64::total_cmp);
-        let at = |i: usize| values.get(i).copied().unwrap_or(0.0);
-        let plays = values.len();
-        Point {
-            size,
-            value: at(plays / 2),
-            min: at(0),
-            max: at(plays.saturating_sub(1)),
-            plays,
-        }
-    }
-}
-
-/// One figure over several sizes.
-#[derive(Clone, Debug, Serialize)]
-pub(crate) struct Series {
-    /// The part it belongs to.
-    pub part: String,
-    /// What was measured, in words.
-    pub what: String,
-    /// The unit of the values.
-    pub unit: String,
-    /// What the sizes count.
-    #[serde(rename = "of")]
-    pub size_unit: String,
-    /// How it was run: `processes`, `hollow`, `simulated time` or `core`.
-    #[serde(rename = "how")]
-    pub method: String,
-    /// The points, by size.
-    pub points: Vec<Point>,
-    /// The size that is planned for.
-    pub planned: u64,
-    /// The slope through the points.
-    pub fit: Option<Fit>,
-}
-
-impl Series {
-    /// A series and the slope through its points.
-    pub(crate) fn new(
-        part: &str,
-        what: &str,
-        unit: &str,
-        size_unit: &str,
-        method: &str,
-        planned: u64,
-    ) -> Series {
-        let [part, what, unit, size_unit, method] =
-            [part, what, unit, size_unit, method].map(str::to_string);
-        Series {
-            part,
-            what,
-            unit,
-            size_unit,
-            method,
-            points: Vec::new(),
-            planned,
-            fit: None,
-        }
-    }
-
-    /// Adds what was measured at one size.
-    pub(crate) fn push(&mut self, size: u64, values: Vec<f64>) {
-        self.points.push(Point::of(size, values));
-    }
-
-    /// The furthest size that was really run.
-    pub(crate) fn furthest(&self) -> u64 {
-        self.points.iter().map(|p| p.size).max().unwrap_or(0)
-    }
-
-    fn print(&self) {
-        println!(
-            "\n{} / {} [{}], {}",
-            self.part, self.what, self.unit, self.method
-        );
-        for p in &self.points {
-            println!(
-                "  {:>8} {:<12} {:>14.3}   ({:.3} to {:.3}, {} plays)",
-                p.size, self.size_unit, p.value, p.min, p.max, p.plays
-            );
-        }
-        if let Some(fit) = &self.fit {
-            let at = fit.at(self.planned);
-            println!(
-                "  grows as size^{:.2}, residual {:.0}%; furthest run {}; at {} {} it would be {at:.3} ({:.1} times the furthest)",
-                fit.exponent,
-                fit.residual * 100.0,
-                self.furthest(),
-                self.planned,
-                self.size_unit,
-                self.planned as f64 / self.furthest().max(1) as f64
-            );
-        }
-    }
-}
-
 /// Measures the parts and shows their slopes.
 pub(crate) async fn run(scale: Scale, binary: PathBuf) -> Result<()> {
-    let Scale {
-        sizes,
-        only,
-        seed,
-        plays,
-        fleet,
-        ..
-    } = scale;
     let plan = Plan {
-        sizes,
-        only,
-        seed,
-        plays: plays.max(1),
+        sizes: scale.sizes,
+        only: scale.only,
+        seed: scale.seed,
+        plays: scale.plays.max(1),
         binary,
-        fleet,
+        fleet: scale.fleet,
     };
     let parts = if scale.parts.is_empty() {
         Part::value_variants().to_vec()
@@ -240,18 +117,15 @@
     };
     let mut all = Vec::new();
     for part in parts {
-        let mut series: Vec<Series> = measure(part, &plan).await?;
-        for one in &mut series {
-            one.fit = Fit::through(&one.points);
-            one.print();
+        let mut measured = measure(part, &plan).await?;
+        for series in &mut measured {
+            series.fit = Fit::through(&series.points);
+            series.print();
         }
         if let Some(folder) = &scale.plot {
-            std::fs::create_dir_all(folder)?;
-            for one in &series {
-                plot::draw(one, folder)?;
-            }
+            draw_all(&measured, folder)?;
         }
-        all.append(&mut series);
+        all.append(&mut measured);
         // After each part: what was measured is kept where a later part fails.
         if let Some(path) = &scale.json {
             std::fs::write(path, serde_json::to_string_pretty(&all)?)?;
@@ -260,6 +134,14 @@
     Ok(())
 }
 
+fn draw_all(measured: &[Series], folder: &Path) -> Result<()> {
+    std::fs::create_dir_all(folder)?;
+    for series in measured {
+        plot::draw(series, folder)?;
+    }
+    Ok(())
+}
+
 async fn measure(part: Part, plan: &Plan) -> Result<Vec<Series>> {
     match part {
         Part::Decisions => decisions::measure(plan).await,
