--- a/crates/pipithub-admission/src/quotas/tests.rs
+++ b/crates/pipithub-admission/src/quotas/tests.rs
@@ -226,7 +226,8 @@
             &mut decisions,
         );
     }
-    assert_eq!(quotas.limit.current(), 100.0);
+    let limit = quotas.limit.current();
+    assert!((limit - 100.0).abs() < f64::EPSILON, "{limit}");
 }
 
 /// Whatever the limit has come to, a tenant has its part of the requests that are being served.
--- a/crates/pipithub-bench/src/scale/consensus.rs
+++ b/crates/pipithub-bench/src/scale/consensus.rs
@@ -57,7 +57,7 @@
 
 /// Measures entries, snapshots and elections. All of it is of one thread; CPU is the wall clock's time of it, so nothing
 /// else may run beside it.
-pub(super) async fn measure(plan: &Plan) -> Result<Vec<Series>> {
+pub(super) fn measure(plan: &Plan) -> Result<Vec<Series>> {
     let mut all = Vec::new();
     for voters in CLUSTER_SIZES {
         all.extend(measure_entries(plan, voters)?);
--- a/crates/pipithub-bench/src/scale/decisions.rs
+++ b/crates/pipithub-bench/src/scale/decisions.rs
@@ -72,7 +72,7 @@
 }
 
 /// Measures calls, lists and ticks by the number of workers, and memory by it and by the number of functions.
-pub(super) async fn measure(plan: &Plan) -> Result<Vec<Series>> {
+pub(super) fn measure(plan: &Plan) -> Result<Vec<Series>> {
     let sizes = plan.sizes_or(&SIZES);
     let mut by_workers = Figures::default();
     for &size in &sizes {
--- a/crates/pipithub-bench/src/scale/membership.rs
+++ b/crates/pipithub-bench/src/scale/membership.rs
@@ -25,7 +25,7 @@
 const PARALLEL_PLAYS: usize = 3;
 
 /// Scenarios from the settled fleet on take 60 s of rest and then the fault.
-pub(super) async fn measure(plan: &Plan) -> Result<Vec<Series>> {
+pub(super) fn measure(plan: &Plan) -> Result<Vec<Series>> {
     let mut all: Vec<Series> = FIGURES
         .iter()
         .map(|figure| AXIS.series(figure.what, figure.unit))
--- a/crates/pipithub-bench/src/scale/mod.rs
+++ b/crates/pipithub-bench/src/scale/mod.rs
@@ -144,11 +144,11 @@
 
 async fn measure(part: Part, plan: &Plan) -> Result<Vec<Series>> {
     match part {
-        Part::Decisions => decisions::measure(plan).await,
+        Part::Decisions => decisions::measure(plan),
         Part::FrontEnds => front_ends::measure(plan).await,
-        Part::Membership => membership::measure(plan).await,
-        Part::Consensus => consensus::measure(plan).await,
+        Part::Membership => membership::measure(plan),
+        Part::Consensus => consensus::measure(plan),
         Part::Settings => settings::measure(plan).await,
-        Part::Workers => workers::measure(plan).await,
+        Part::Workers => workers::measure(plan),
     }
 }
--- a/crates/pipithub-bench/src/scale/workers.rs
+++ b/crates/pipithub-bench/src/scale/workers.rs
@@ -68,7 +68,7 @@
 ];
 
 /// Reads the records, one series for each kind of day and figure.
-pub(super) async fn measure(plan: &Plan) -> Result<Vec<Series>> {
+pub(super) fn measure(plan: &Plan) -> Result<Vec<Series>> {
     let Some(folder) = &plan.fleet else {
         println!("\nworkers: skipped, as no records of the fleet test are given (--fleet DIR)");
         return Ok(Vec::new());
--- a/crates/pipithub-engine/tests/world.rs
+++ b/crates/pipithub-engine/tests/world.rs
@@ -147,7 +147,7 @@
         }
     }
 
-    fn message_of(&self, call: &Call) -> usize {
+    fn message_of(call: &Call) -> usize {
         call.idempotency_key
             .as_deref()
             .and_then(|k| k.parse().ok())
@@ -161,7 +161,7 @@
                 id, call, deadline, ..
             } => {
                 assert!(deadline > self.now, "sent after its time");
-                let message = self.message_of(&call);
+                let message = Self::message_of(&call);
                 let held = self.unacked.values().any(|held| *held == (which, message));
                 assert!(
                     held,
--- a/crates/pipithub-membership/src/membership/swim.rs
+++ b/crates/pipithub-membership/src/membership/swim.rs
@@ -75,11 +75,11 @@
     NonZeroUsize::new(count).unwrap_or(NonZeroUsize::MIN)
 }
 
-fn periodic(frequency: Duration, members: usize) -> Option<PeriodicParams> {
-    Some(PeriodicParams {
+fn periodic(frequency: Duration, members: usize) -> PeriodicParams {
+    PeriodicParams {
         frequency,
         num_members: non_zero(members),
-    })
+    }
 }
 
 impl Membership {
@@ -104,12 +104,12 @@
             remove_down_after: Some(Duration::from_nanos(self.settings.dead_retention)),
             max_packet_size: non_zero(MAX_PACKET_BYTES),
             notify_down_members: true,
-            periodic_announce: periodic(period * ANNOUNCE_PERIODS, 1),
-            periodic_announce_to_down_members: periodic(
+            periodic_announce: Some(periodic(period * ANNOUNCE_PERIODS, 1)),
+            periodic_announce_to_down_members: Some(periodic(
                 period * ANNOUNCE_TO_DOWN_PERIODS,
                 ANNOUNCED_DOWN_MEMBERS,
-            ),
-            periodic_gossip: periodic(period / GOSSIP_ROUNDS_PER_PERIOD, FANOUT),
+            )),
+            periodic_gossip: Some(periodic(period / GOSSIP_ROUNDS_PER_PERIOD, FANOUT)),
         }
     }
 
--- a/crates/pipithub-policy/tests/world/mod.rs
+++ b/crates/pipithub-policy/tests/world/mod.rs
@@ -284,13 +284,13 @@
                 let gap =
                     (mean as f64 * -(1.0 - self.calls.random_range(0.0..1.0f64)).ln()) as Time;
                 self.at(self.now + gap, What::Calls);
-                return self.arrive(call);
+                return Some(self.arrive(call));
             }
             What::Again(mut call) => {
                 call.id = self.next_id | 1 << 40;
                 self.next_id += 1;
                 self.count("asked again");
-                return self.arrive(call);
+                return Some(self.arrive(call));
             }
             What::Timer(token) => Event::Timer { token },
             What::Streaming(request) => {
@@ -383,7 +383,7 @@
         }
     }
 
-    fn arrive(&mut self, call: Request) -> Option<Event> {
+    fn arrive(&mut self, call: Request) -> Event {
         self.count("arrived");
         let mut dice = self.dice(5, call.id, 0);
         if dice.random_bool(self.day.leaves) {
@@ -397,7 +397,7 @@
             over: false,
         };
         self.clients.insert(call.id, client);
-        Some(Event::Arrived(call))
+        Event::Arrived(call)
     }
 
     /// The usual run of a function, and what a load of it takes.
--- a/crates/pipithub-settings/src/fault.rs
+++ b/crates/pipithub-settings/src/fault.rs
@@ -60,8 +60,9 @@
 
     fn line_of(&self, fault: &Fault) -> usize {
         let end = fault.span.offset().min(self.text.len());
+        // By bytes, as the fault need not begin at a character.
         let before = &self.text.as_bytes()[..end];
-        before.iter().filter(|byte| **byte == b'\n').count() + 1
+        before.split(|byte| *byte == b'\n').count()
     }
 }
 
