--- a/crates/pipithub-node/tests/socket_harness/mod.rs
+++ b/crates/pipithub-node/tests/socket_harness/mod.rs
@@ -155,7 +155,7 @@
 
 #[cfg(target_os = "linux")]
 fn queues_between(one: u16, other: u16) -> Vec<Queue> {
-    /// The timer's kind in the table, see proc_pid_net(5).
+    /// The timer's kind in the table, see `proc_pid_net(5)`.
     const RETRANSMISSION_TIMER: &str = "01";
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the table");
     let queue = |line: &str| -> Option<Queue> {
