--- a/crates/pipithub/tests/cli.rs
+++ b/crates/pipithub/tests/cli.rs
@@ -20,13 +20,16 @@
     path.display().to_string()
 }
 
-/// A stand-in that is ended when dropped.
-struct Standin(Child, String);
+/// An emulated server as a process, ended when dropped.
+struct Emulator {
+    process: Child,
+    address: String,
+}
 
-impl Standin {
+impl Emulator {
     fn start(arguments: &[&str]) -> Self {
         let mut child = Command::new(BINARY)
-            .args(["standin"])
+            .args(["emulator"])
             .args(arguments)
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
@@ -40,14 +43,17 @@
         let said: serde_json::Value = serde_json::from_str(&line).expect("JSON");
         let address = said["address"].as_str().expect("an address").to_string();
         assert!(address.starts_with("127.0.0.1:"));
-        Standin(child, address)
+        Emulator {
+            process: child,
+            address,
+        }
     }
 }
 
-impl Drop for Standin {
+impl Drop for Emulator {
     fn drop(&mut self) {
-        let _ = self.0.kill();
-        let _ = self.0.wait();
+        let _ = self.process.kill();
+        let _ = self.process.wait();
     }
 }
 
@@ -79,18 +85,18 @@
 }
 
 #[test]
-fn standins_run_with_defaults_alone_and_a_call_comes_back() {
-    let broker = Standin::start(&["broker", "--queue", "calls"]);
-    let worker = Standin::start(&["worker", "--load-ms", "5", "--run-ms", "5"]);
+fn emulators_run_with_defaults_alone_and_a_call_comes_back() {
+    let broker = Emulator::start(&["broker", "--queue", "calls"]);
+    let worker = Emulator::start(&["worker", "--load-ms", "5", "--run-ms", "5"]);
     for kind in ["list", "store"] {
-        Standin::start(&[kind]);
+        Emulator::start(&[kind]);
     }
-    let proxy = Standin::start(&["proxy", "--to", &broker.1]);
+    let proxy = Emulator::start(&["proxy", "--to", &broker.address]);
     let settings = format!(
         "class \"view\" effect=\"safe\" aim=\"5s\" give-up=\"20s\"\n\
          amqp \"b\" {{ address \"{}\"; retry-first \"10ms\"; queue \"calls\" {{ lanes 4 }} }}\n\
          workers {{ worker \"{}\" }}\n",
-        proxy.1, worker.1
+        proxy.address, worker.address
     );
     let config = file("serve.kdl", &settings);
     let mut gateway = Command::new(BINARY)
@@ -102,7 +108,7 @@
     let publish = [
         "publish",
         "--broker",
-        &broker.1,
+        &broker.address,
         "--class",
         "view",
         "--function",
@@ -120,8 +126,8 @@
 }
 
 #[test]
-fn standins_listen_on_loopback_alone() {
-    let output = run(&["standin", "broker", "--listen", "0.0.0.0:0"]);
+fn emulators_listen_on_loopback_alone() {
+    let output = run(&["emulator", "broker", "--listen", "0.0.0.0:0"]);
     assert!(!output.status.success());
     assert!(String::from_utf8_lossy(&output.stderr).contains("loopback alone"));
 }
@@ -171,12 +177,12 @@
 }
 
 #[test]
-fn a_day_that_cannot_be_read_names_place_and_reason() {
+fn a_scenario_that_cannot_be_read_names_place_and_reason() {
     let bad = file(
         "bad-day.kdl",
         "day length=\"2s\"\nclass \"a\" effect=\"safe\"\ncrash worker=99 at=\"1s\"\n",
     );
-    let output = run(&["drill", &bad]);
+    let output = run(&["scenario", &bad]);
     let told = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
         !output.status.success()
@@ -193,7 +199,7 @@
         "dn: dc=example\nobjectClass: domain\n\ndn: ou=north,dc=example\nobjectClass: organizationalUnit\n\n\
          dn: uid=mai,ou=north,dc=example\nobjectClass: person\nuid: mai\n",
     );
-    let directory = Standin::start(&["directory", "--tree", &tree]);
+    let directory = Emulator::start(&["directory", "--tree", &tree]);
     let settings = |server: &str| {
         format!(
             "class \"view\" effect=\"safe\"\nsignatures {{ key \"desk\" text=\"sixteen bytes....\" }}\n\
@@ -204,7 +210,7 @@
              workers {{ worker \"127.0.0.1:1\" }}\n"
         )
     };
-    let config = file("tenants.kdl", &settings(&directory.1));
+    let config = file("tenants.kdl", &settings(&directory.address));
     let told = |arguments: &[&str]| {
         let output = run(&[&["tenants"], arguments, &["--config", &config]].concat());
         (
@@ -244,21 +250,21 @@
     assert!(String::from_utf8_lossy(&output.stderr).contains("not within the directory's"));
 }
 
-/// The day with tenants: the five rules, and that no call crosses, with directory faults added.
+/// The scenario with tenants: the five rules, and that no call crosses, with directory faults added.
 #[test]
-fn the_day_with_tenants_keeps_all_rules() {
+fn the_scenario_with_tenants_keeps_all_rules() {
     keeps_all_rules("bad-day-tenants.kdl");
 }
 
-/// The small bad day over sockets and processes: all five rules, from the traffic.
+/// The small fault scenario over sockets and processes: all five rules, from the traffic.
 #[test]
-fn the_small_bad_day_keeps_all_rules() {
+fn the_small_fault_scenario_keeps_all_rules() {
     keeps_all_rules("bad-day-small.kdl");
 }
 
-fn keeps_all_rules(day: &str) {
-    let day = format!("{}/../../drills/{day}", env!("CARGO_MANIFEST_DIR"));
-    let output = run(&["drill", &day, "--seed", "7", "--json"]);
+fn keeps_all_rules(scenario: &str) {
+    let scenario = format!("{}/../../drills/{scenario}", env!("CARGO_MANIFEST_DIR"));
+    let output = run(&["scenario", &scenario, "--seed", "7", "--json"]);
     let told: serde_json::Value = serde_json::from_slice(&output.stdout)
         .unwrap_or_else(|_| panic!("no JSON: {}", String::from_utf8_lossy(&output.stderr)));
     assert!(
--- a/crates/pipithub/tests/fleet.rs
+++ b/crates/pipithub/tests/fleet.rs
@@ -47,7 +47,7 @@
 fn status(config: &str, wanted: impl Fn(&serde_json::Value) -> bool) -> serde_json::Value {
     let begun = Instant::now();
     loop {
-        let out = run(&["members", "status", "--json", "--config", config]);
+        let out = run(&["membership", "status", "--json", "--config", config]);
         let said: serde_json::Value = serde_json::from_slice(&out.stdout).unwrap_or_default();
         if wanted(&said) {
             return said;
@@ -83,7 +83,7 @@
     });
     drop(second);
     status(&one, |s| s["members"][0]["state"] == "down");
-    let out = run(&["members", "explain", "front-2", "--config", &one]);
+    let out = run(&["membership", "explain", "front-2", "--config", &one]);
     let text = String::from_utf8_lossy(&out.stdout);
     assert!(
         text.contains("suspected") && text.contains("held for dead"),
@@ -94,7 +94,7 @@
         s["members"][0]["state"] == "alive" && s["members"][0]["generation"] == 2
     });
     drop((first, again));
-    let out = run(&["members", "status", "--config", &one]);
+    let out = run(&["membership", "status", "--config", &one]);
     assert!(
         !out.status.success(),
         "a process that does not run takes no part"
@@ -153,14 +153,14 @@
     assert!(run(&["config", "check", &good]).status.success());
 }
 
-/// The small day over five processes: deaths, a frozen member, an old disk, a link cut one way. Judged from truth.
+/// The small scenario over five processes: deaths, a frozen member, an old disk, a link cut one way. Judged from truth.
 #[test]
-fn a_bad_day_of_a_fleet_keeps_all_its_rules() {
-    let day = concat!(
+fn a_fault_scenario_of_a_fleet_keeps_all_its_rules() {
+    let scenario = concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../drills/members-small.kdl"
     );
-    let out = run(&["drill", day, "--seed", "1", "--json"]);
+    let out = run(&["scenario", scenario, "--seed", "1", "--json"]);
     let text = String::from_utf8_lossy(&out.stdout);
     assert!(
         out.status.success(),
