--- /dev/null
+++ b/crates/pipithub-bench/src/scale/front_ends/front_end.rs
@@ -0,0 +1,122 @@
+//! Real front ends as processes, and the coordinators that they ask.
+
+use std::path::{Path, PathBuf};
+use std::process::Stdio;
+use std::time::Duration;
+
+use pipithub_emulator::coordinator::{Coordinator, Counts};
+use serde_json::{Value, json};
+use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
+use tokio::net::TcpStream;
+use tokio::process::{Child, Command};
+
+use crate::Result;
+
+/// The longest wait for what a coordinator is to see, and how often it is looked at.
+const PATIENCE: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// Writes a front end's configuration to a file of this folder.
+pub(super) fn configure(
+    folder: &Path,
+    coordinator: &Coordinator,
+    name: &str,
+    seed: u64,
+) -> Result<PathBuf> {
+    let class = |name: &str, effect: &str| json!({"Name": name, "Effect": effect, "Aim": 1_000_000_000u64, "GiveUp": 3_000_000_000u64, "LateWorth": 0.5});
+    let config = json!({
+        "name": name, "listen": "127.0.0.1:0", "seed": seed, "coordinator": coordinator.address().to_string(),
+        "limits": {"memory_mb": 256, "sockets": 256}, "known": {"index": 0, "updates": []},
+        "settings": {"PeersTotal": 1700, "Granularity": 2_000_000, "Zone": "zone-1", "Models": ["big"],
+            "FamilyInfo": {"KindMemoryMb": [16384]},
+            "Limits": {"MostTries": 4, "MayCancel": true, "StreamsPerConn": 1000},
+            "Grades": [class("view", "read_like"), class("assign", "non_idempotent")]}
+    });
+    let path = folder.join(format!("{name}.json"));
+    std::fs::write(&path, config.to_string())?;
+    Ok(path)
+}
+
+/// A real front end.
+pub(super) struct FrontEnd {
+    child: Child,
+    log: PathBuf,
+}
+
+impl FrontEnd {
+    /// Starts `pipithub node` by this configuration.
+    pub(super) fn start(binary: &Path, config: &Path) -> Result<Self> {
+        let log = config.with_extension("log");
+        let child = Command::new(binary)
+            .arg("node")
+            .env("LB_CONFIG", config)
+            .env_remove("LB_LISTEN")
+            .env_remove("RUST_LOG")
+            .env("NO_COLOR", "1")
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(std::fs::File::create(&log)?)
+            .kill_on_drop(true)
+            .spawn()?;
+        Ok(FrontEnd { child, log })
+    }
+
+    /// Its process id.
+    pub(super) fn pid(&self) -> u32 {
+        self.child.id().unwrap_or(0)
+    }
+
+    /// Lines of its log that hold these words.
+    pub(super) fn logged(&self, words: &str) -> Vec<String> {
+        let text = std::fs::read_to_string(&self.log).unwrap_or_default();
+        text.lines()
+            .filter(|line| line.contains(words))
+            .map(str::to_string)
+            .collect()
+    }
+
+    /// Where it listens, as its log says; `None` before it is up.
+    fn address(&self) -> Option<String> {
+        let lines = self.logged("front end up");
+        let address = lines.iter().find_map(|line| {
+            line.split_whitespace()
+                .find_map(|word| word.strip_prefix("address="))
+        })?;
+        Some(address.trim_matches('"').to_string())
+    }
+
+    /// Whether it says that it can serve.
+    pub(super) async fn is_well(&self) -> Result<bool> {
+        let Some(address) = self.address() else {
+            return Ok(false);
+        };
+        let mut stream = TcpStream::connect(address).await?;
+        stream
+            .write_all(b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"isWell\"}\n")
+            .await?;
+        let mut lines = BufReader::new(stream).lines();
+        let answer = lines.next_line().await?.unwrap_or_default();
+        Ok(serde_json::from_str::<Value>(&answer)?["result"]["healthy"] == true)
+    }
+
+    /// Kills it and waits until it is gone.
+    pub(super) async fn kill(mut self) {
+        let _ = self.child.kill().await;
+    }
+}
+
+/// Waits until this holds of what the coordinator counts.
+pub(super) async fn wait_until(
+    coordinator: &Coordinator,
+    condition: impl Fn(Counts) -> bool,
+) -> Result<()> {
+    let polls = async {
+        while !condition(coordinator.counts()) {
+            tokio::time::sleep(POLL_INTERVAL).await;
+        }
+    };
+    tokio::time::timeout(PATIENCE, polls)
+        .await
+        .map_err(|_| "the coordinator never saw it")?;
+    Ok(())
+}
--- /dev/null
+++ b/crates/pipithub-bench/src/scale/membership.rs
@@ -0,0 +1,119 @@
+//! Membership at several sizes: each play is a process of its own (`pipithub-bench members`), so that one's memory and
+//! CPU are not another's.
+
+mod figures;
+
+use std::process::Command;
+
+use clap::ValueEnum;
+
+use super::{Plan, Series, SizeAxis};
+use crate::Result;
+use crate::membership::{Measurements, Scenario};
+use figures::{FIGURES, ScenarioFigure};
+
+/// Larger ones are for `--sizes`: from some 300 on a fleet may take minutes of simulated time to converge, which the
+/// simulation plays slower than they pass.
+const SIZES: [u64; 4] = [20, 60, 120, 200];
+const AXIS: SizeAxis = SizeAxis {
+    part: "members",
+    size_unit: "members",
+    method: "simulated time",
+    planned: 1_700,
+};
+/// Scenarios that run beside one another; those whose CPU counts run alone.
+const PARALLEL_PLAYS: usize = 3;
+
+/// Scenarios from the settled fleet on take 60 s of rest and then the fault.
+pub(super) fn measure(plan: &Plan) -> Result<Vec<Series>> {
+    let mut all: Vec<Series> = FIGURES
+        .iter()
+        .map(|figure| AXIS.series(figure.what, figure.unit))
+        .collect();
+    for size in plan.sizes_or(&SIZES) {
+        for scenario in Scenario::value_variants() {
+            let rows = play_all(plan, *scenario, size)?;
+            eprintln!("{size} members, {scenario:?}: {} plays", rows.len());
+            for (figure, series) in FIGURES.iter().zip(&mut all) {
+                if figure.scenario == *scenario {
+                    add_values(figure, series, size, &rows);
+                }
+            }
+        }
+    }
+    Ok(all)
+}
+
+fn add_values(figure: &ScenarioFigure, series: &mut Series, size: u64, rows: &[Measurements]) {
+    // Below zero: it did not come to it, which is no value.
+    let values: Vec<f64> = rows
+        .iter()
+        .map(figure.value)
+        .filter(|value| *value >= 0.0)
+        .collect();
+    let missing = rows.len() - values.len();
+    if missing > 0 {
+        eprintln!("{size} members, {}: never in {missing} plays", figure.what);
+    }
+    if !values.is_empty() {
+        series.push(size, values);
+    }
+}
+
+/// Runs a scenario with each of the plan's seeds.
+fn play_all(plan: &Plan, scenario: Scenario, size: u64) -> Result<Vec<Measurements>> {
+    let seeds: Vec<u64> = (0..plan.plays as u64)
+        .map(|play| plan.seed + play)
+        .collect();
+    let parallel = if scenario == Scenario::Ordinary {
+        1
+    } else {
+        PARALLEL_PLAYS
+    };
+    let mut rows = Vec::new();
+    for seeds in seeds.chunks(parallel) {
+        for row in play_in_parallel(scenario, size, seeds) {
+            rows.push(row?);
+        }
+    }
+    Ok(rows)
+}
+
+fn play_in_parallel(scenario: Scenario, size: u64, seeds: &[u64]) -> Vec<Result<Measurements>> {
+    std::thread::scope(|scope| {
+        let threads: Vec<_> = seeds
+            .iter()
+            .map(|seed| scope.spawn(|| play(scenario, size, *seed)))
+            .collect();
+        threads
+            .into_iter()
+            .map(std::thread::ScopedJoinHandle::join)
+            .map(|joined| joined.unwrap_or_else(|_| Err("a play broke off".into())))
+            .collect()
+    })
+}
+
+/// Runs one scenario in a process of its own.
+fn play(scenario: Scenario, size: u64, seed: u64) -> Result<Measurements> {
+    let name = scenario
+        .to_possible_value()
+        .ok_or("a scenario without a name")?;
+    let (size, seed) = (size.to_string(), seed.to_string());
+    let arguments = [
+        "members",
+        "--day",
+        name.get_name(),
+        "--size",
+        &size,
+        "--seed",
+        &seed,
+    ];
+    let output = Command::new(std::env::current_exe()?)
+        .args(arguments)
+        .output()?;
+    if !output.status.success() {
+        let reason = String::from_utf8_lossy(&output.stderr);
+        return Err(format!("{arguments:?}: {reason}").into());
+    }
+    Ok(serde_json::from_slice(&output.stdout)?)
+}
--- a/crates/pipithub-settings/src/fault.rs
+++ b/crates/pipithub-settings/src/fault.rs
@@ -60,6 +60,7 @@
 
     fn line_of(&self, fault: &Fault) -> usize {
         let end = fault.span.offset().min(self.text.len());
+        // By bytes, as the fault need not begin at a character.
         let before = &self.text.as_bytes()[..end];
         before.split(|byte| *byte == b'\n').count()
     }
--- a/crates/pipithub/src/main.rs
+++ b/crates/pipithub/src/main.rs
@@ -1,25 +1,23 @@
-//! The command line.
+//! The command line of pipithub: its commands, and the module that runs each of them.
 
+mod baseline;
 mod demo;
-mod members;
+mod emulator;
+mod logging;
+mod membership;
+mod node;
 mod publish;
-mod standin;
+mod scenario;
+mod serve;
+mod settings;
+mod shutdown;
 mod tenants;
 
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use miette::{IntoDiagnostic, Result, WrapErr, miette};
-use pipithub_conformance::rules::Rule;
-use pipithub_gateway::{Gateway, Policy};
-use pipithub_node::shell::Node;
-use pipithub_scenario::fleet::FleetScenario;
-use pipithub_scenario::run::Outcome;
-use pipithub_scenario::scenario::Scenario;
-use pipithub_settings::Config;
-use tracing::info;
-use tracing_subscriber::EnvFilter;
+use miette::{IntoDiagnostic, Result};
 
 /// A gateway that runs calls on workers which load functions or models on demand.
 #[derive(Parser)]
@@ -32,32 +30,19 @@
 #[derive(Subcommand)]
 enum Command {
     /// Runs the gateway.
-    Serve {
-        /// The settings file.
-        #[arg(long)]
-        config: PathBuf,
-        /// A textbook policy in the module's place, to compare with in drills.
-        #[arg(long, hide = true)]
-        baseline: Option<Baseline>,
-    },
+    Serve(serve::Serve),
     /// Runs one front end of the platform: clients over JSON-RPC lines, its configuration in `LB_CONFIG`.
-    Node {
-        /// The configuration file.
-        #[arg(long, env = "LB_CONFIG")]
-        config: PathBuf,
-        /// Where to listen; by default as the configuration says.
-        #[arg(long, env = "LB_LISTEN")]
-        listen: Option<String>,
-    },
+    Node(node::NodeArguments),
     /// Works on settings files.
     Config {
         #[command(subcommand)]
         command: ConfigCommand,
     },
     /// Runs a stand-in for something that the gateway meets.
-    Standin {
+    #[command(visible_alias = "standin")]
+    Emulator {
         #[command(subcommand)]
-        command: standin::Standin,
+        command: emulator::Emulator,
     },
     /// Shows tenants, checks their directories, explains whose a user is.
     Tenants {
@@ -65,54 +50,18 @@
         command: tenants::Tenants,
     },
     /// Shows who is in the fleet, as a running front end believes, and why.
-    Members {
+    #[command(visible_alias = "members")]
+    Membership {
         #[command(subcommand)]
-        command: members::Members,
+        command: membership::Membership,
     },
     /// Publishes calls to a queue and shows their answers.
     Publish(publish::Publish),
     /// Runs everything on loopback for some seconds and shows what comes of it.
     Demo,
     /// Runs a scripted day and has the rules checked; ends with 0 only where all were kept.
-    Drill {
-        /// The day.
-        file: PathBuf,
-        /// Its seed.
-        #[arg(long, default_value_t = 1)]
-        seed: u64,
-        /// Print JSON instead of tables.
-        #[arg(long)]
-        json: bool,
-        /// Where logs and records go; by default a folder for temporary files, removed where all rules were kept.
-        #[arg(long)]
-        folder: Option<PathBuf>,
-        /// Decide by a textbook policy instead, to compare with.
-        #[arg(long)]
-        baseline: Option<Baseline>,
-    },
-}
-
-/// A policy to compare with.
-#[derive(Clone, Copy, clap::ValueEnum)]
-enum Baseline {
-    RoundRobin,
-    LeastLoaded,
-}
-
-impl Baseline {
-    fn policy(self) -> Policy {
-        match self {
-            Baseline::RoundRobin => Policy::RoundRobin,
-            Baseline::LeastLoaded => Policy::LeastLoaded,
-        }
-    }
-
-    fn name(self) -> &'static str {
-        match self {
-            Baseline::RoundRobin => "round-robin",
-            Baseline::LeastLoaded => "least-loaded",
-        }
-    }
+    #[command(visible_alias = "drill")]
+    Scenario(scenario::ScenarioArguments),
 }
 
 #[derive(Subcommand)]
@@ -127,266 +76,26 @@
 fn main() -> Result<ExitCode> {
     let arguments = Arguments::parse();
     let mut builder = match &arguments.command {
-        // One thread: its machine has part of one core.
-        Command::Node { .. } => tokio::runtime::Builder::new_current_thread(),
+        // The platform gives a front end a part of one core, so further threads would only compete for it.
+        Command::Node(_) => tokio::runtime::Builder::new_current_thread(),
         _ => tokio::runtime::Builder::new_multi_thread(),
     };
     let runtime = builder.enable_all().build().into_diagnostic()?;
     runtime.block_on(run(arguments.command))
 }
 
-fn log(json: bool, level: &str) {
-    let filter = EnvFilter::try_from_default_env()
-        .or_else(|_| EnvFilter::try_new(level))
-        .unwrap_or_default();
-    let builder = tracing_subscriber::fmt()
-        .with_env_filter(filter)
-        .with_writer(std::io::stderr);
-    // A second call, as in tests, changes nothing.
-    let _ = if json {
-        builder.json().try_init()
-    } else {
-        builder.with_ansi(false).try_init()
-    };
-}
-
-fn load(path: &Path) -> Result<Config> {
-    let text = std::fs::read_to_string(path)
-        .into_diagnostic()
-        .wrap_err_with(|| path.display().to_string())?;
-    Config::parse(&path.display().to_string(), &text).map_err(|faults| miette::Report::new(*faults))
-}
-
 async fn run(command: Command) -> Result<ExitCode> {
     match command {
-        Command::Serve { config, baseline } => {
-            let config = load(&config)?;
-            log(config.log.json, &config.log.level);
-            let fleet = members::start(&config).await?;
-            let gateway = Gateway::start_deciding_by(&config, baseline.map(Baseline::policy));
-            asked_to_stop().await?;
-            gateway.stop().await;
-            if let Some(fleet) = fleet {
-                fleet.shutdown().await;
-            }
-            Ok(ExitCode::SUCCESS)
-        }
-        Command::Node { config, listen } => {
-            log(false, "info");
-            let node = Node::bind(&config, listen).await.into_diagnostic()?;
-            tokio::task::LocalSet::new().run_until(node.serve()).await;
-            Ok(ExitCode::SUCCESS)
-        }
+        Command::Serve(arguments) => serve::run(arguments).await,
+        Command::Node(arguments) => node::run(arguments).await,
         Command::Config {
             command: ConfigCommand::Check { file },
-        } => {
-            let config = load(&file)?;
-            let queues: usize = config.amqp.iter().map(|a| a.queues.len()).sum();
-            println!(
-                "{}: good; {} classes, {} brokers with {queues} queues, {} timers",
-                file.display(),
-                config.classes.len(),
-                config.amqp.len(),
-                config.cron.len()
-            );
-            Ok(ExitCode::SUCCESS)
-        }
-        Command::Standin { command } => {
-            log(false, "info");
-            standin::run(command).await?;
-            Ok(ExitCode::SUCCESS)
-        }
-        Command::Members { command } => members::run(command),
+        } => settings::check(&file),
+        Command::Emulator { command } => emulator::run(command).await,
+        Command::Membership { command } => membership::run(command),
         Command::Tenants { command } => tenants::run(command).await,
-        Command::Publish(publish) => publish::run(publish).await,
+        Command::Publish(arguments) => publish::run(arguments).await,
         Command::Demo => demo::run().await,
-        Command::Drill {
-            file,
-            seed,
-            json,
-            folder,
-            baseline,
-        } => {
-            log(false, "warn");
-            let text = std::fs::read_to_string(&file)
-                .into_diagnostic()
-                .wrap_err_with(|| file.display().to_string())?;
-            if FleetScenario::is_fleet_scenario(&text) {
-                return fleet_drill(&file, &text, seed, json, folder).await;
-            }
-            let day = Scenario::parse(&file.display().to_string(), &text)
-                .map_err(|e| miette::Report::new(*e))?;
-            let given = folder.is_some();
-            let folder = folder.unwrap_or_else(|| {
-                std::env::temp_dir().join(format!("pipithub-drill-{}-{seed}", std::process::id()))
-            });
-            let binary = std::env::current_exe().into_diagnostic()?;
-            let baseline = baseline.map(Baseline::name);
-            let judged =
-                pipithub_scenario::run::run(&day, seed, &binary, &folder, baseline, |_, _, _| {})
-                    .await;
-            let judged = judged.map_err(|e| miette!("{e}; logs are in {}", folder.display()))?;
-            if json {
-                println!("{}", json_of(&day, seed, &judged));
-            } else {
-                show(&day, seed, &judged);
-            }
-            if judged.breaches.is_empty() {
-                if !given {
-                    let _ = std::fs::remove_dir_all(&folder);
-                }
-                Ok(ExitCode::SUCCESS)
-            } else {
-                eprintln!("logs and records are in {}", folder.display());
-                Ok(ExitCode::FAILURE)
-            }
-        }
-    }
-}
-
-/// Plays a fleet's day.
-async fn fleet_drill(
-    file: &Path,
-    text: &str,
-    seed: u64,
-    json: bool,
-    folder: Option<PathBuf>,
-) -> Result<ExitCode> {
-    use pipithub_conformance::fleet::Rule;
-    let day = FleetScenario::parse(&file.display().to_string(), text)
-        .map_err(|e| miette::Report::new(*e))?;
-    let given = folder.is_some();
-    let folder = folder.unwrap_or_else(|| {
-        std::env::temp_dir().join(format!("pipithub-fleet-{}-{seed}", std::process::id()))
-    });
-    let binary = std::env::current_exe().into_diagnostic()?;
-    let judged = pipithub_scenario::fleet::run(&day, seed, &binary, &folder).await;
-    let judged = judged.map_err(|e| miette!("{e}; logs are in {}", folder.display()))?;
-    let (history, broken) = (&judged.history, judged.breaches.len());
-    let of = |rule: Rule| {
-        judged
-            .breaches
-            .iter()
-            .filter(move |b| b.rule == rule)
-            .map(|b| b.what.as_str())
-    };
-    if json {
-        let rules = Rule::ALL.map(|r| {
-            let breaches: Vec<&str> = of(r).collect();
-            serde_json::json!({"rule": r.name(), "kept": breaches.is_empty(), "breaches": breaches})
-        });
-        let value = serde_json::json!({
-            "day": day.name, "seed": seed, "runs": history.runs.len(), "claims": history.claims.len(),
-            "rules": rules, "faults": judged.faults,
-        });
-        println!("{value}");
-    } else {
-        println!(
-            "{}, seed {seed}: {} runs, {} claims",
-            day.name,
-            history.runs.len(),
-            history.claims.len()
-        );
-        judged
-            .faults
-            .iter()
-            .for_each(|fault| println!("{:>7.1} s {}", fault.at_s, fault.description));
-        for rule in Rule::ALL {
-            let count = of(rule).count();
-            let word = if count == 0 {
-                "kept".to_string()
-            } else {
-                format!("BROKEN {count} times")
-            };
-            println!("{:<30} {word}", rule.name());
-            of(rule).take(10).for_each(|what| println!("    {what}"));
-        }
-    }
-    if broken > 0 {
-        eprintln!("logs and data folders are in {}", folder.display());
-        return Ok(ExitCode::FAILURE);
-    }
-    if !given {
-        let _ = std::fs::remove_dir_all(&folder);
-    }
-    Ok(ExitCode::SUCCESS)
-}
-
-async fn asked_to_stop() -> Result<()> {
-    let mut terminate = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
-        .into_diagnostic()?;
-    tokio::select! {
-        _ = terminate.recv() => {}
-        interrupted = tokio::signal::ctrl_c() => interrupted.into_diagnostic()?,
-    }
-    info!("asked to stop");
-    Ok(())
-}
-
-fn json_of(day: &Scenario, seed: u64, judged: &Outcome) -> serde_json::Value {
-    let rule = |r: &Rule| {
-        let broken: Vec<&str> = judged
-            .breaches
-            .iter()
-            .filter(|b| b.rule == *r)
-            .map(|b| b.what.as_str())
-            .collect();
-        serde_json::json!({"rule": r.name(), "kept": broken.is_empty(), "breaches": broken})
-    };
-    serde_json::json!({
-        "day": day.name,
-        "seed": seed,
-        "calls": judged.calls,
-        "rules": Rule::ALL.iter().map(rule).collect::<Vec<_>>(),
-        "report": judged.report,
-        "faults": judged.faults,
-    })
-}
-
-fn show(day: &Scenario, seed: u64, judged: &Outcome) {
-    println!(
-        "{}, seed {seed}: {} calls, {} answers at the client",
-        day.name, judged.calls, judged.answered
-    );
-    println!(
-        "{:>7} {:>6} {:>8} {:>6} {:>8} {:>7} {:>8}",
-        "from", "calls", "in time", "late", "refused", "failed", "service"
-    );
-    let line = |name: String, w: &pipithub_conformance::report::Window| {
-        let (calls, in_time, late, refused, failed) =
-            (w.calls, w.in_time, w.late, w.refused, w.failed);
-        println!(
-            "{name:>7} {calls:>6} {in_time:>8} {late:>6} {refused:>8} {failed:>7} {:>8.3}",
-            w.service
-        );
-    };
-    let mut faults = judged.faults.iter().peekable();
-    for window in &judged.report.windows {
-        line(format!("{:.0} s", window.from_s), window);
-        while let Some(fault) = faults.next_if(|f| f.at_s < window.from_s + 2.0) {
-            println!("{:>7} {:.1} s {}", "", fault.at_s, fault.description);
-        }
-    }
-    line("whole".into(), &judged.report.whole);
-    let [p50, p99, p999] = judged.report.latency_ms;
-    println!(
-        "served in p50 {p50:.1} ms, p99 {p99:.1} ms, p99.9 {p999:.1} ms; {:.3} attempts a call",
-        judged.report.attempts
-    );
-    for rule in Rule::ALL {
-        let broken: Vec<_> = judged.breaches.iter().filter(|b| b.rule == rule).collect();
-        println!(
-            "{:<30} {}",
-            rule.name(),
-            if broken.is_empty() {
-                "kept".to_string()
-            } else {
-                format!("BROKEN {} times", broken.len())
-            }
-        );
-        broken
-            .iter()
-            .take(10)
-            .for_each(|b| println!("    {}", b.what));
+        Command::Scenario(arguments) => scenario::run(arguments).await,
     }
 }
