--- a/crates/pipithub-characterization/src/node_scenario/clients.rs
+++ b/crates/pipithub-characterization/src/node_scenario/clients.rs
@@ -45,7 +45,7 @@
                 self.client_sends("isWell", connection, line.as_bytes());
             }
             24 => self.client_sends("noise", connection, b"noise\n"),
-            25 => self.client_sends("long line", connection, &[b'x'; LONG_LINE]),
+            25 => self.client_sends("long line", connection, &vec![b'x'; LONG_LINE]),
             26 => self.client_sends("half a line", connection, b"{\"json"),
             27..=28 => self.invalid_calls(connection),
             29..=40 => self.retry(connection),
--- a/crates/pipithub-characterization/src/recording.rs
+++ b/crates/pipithub-characterization/src/recording.rs
@@ -53,6 +53,9 @@
 }
 
 /// Whether the tests are to write the recorded files.
+///
+/// # Panics
+/// Where that is asked for in CI.
 pub fn recording() -> bool {
     let recording = std::env::var(RECORD_VARIABLE).is_ok_and(|value| value == "1");
     assert!(
--- a/crates/pipithub-gateway/tests/tenants/rig.rs
+++ b/crates/pipithub-gateway/tests/tenants/rig.rs
@@ -57,7 +57,7 @@
 /// A broker and a worker, and a folder for files.
 pub(crate) struct Stage {
     pub(crate) broker: BrokerServer,
-    _worker: WorkerServer,
+    worker_server: WorkerServer,
     seen: Recorder,
     pub(crate) folder: std::path::PathBuf,
 }
@@ -90,7 +90,7 @@
         std::fs::create_dir_all(&folder).expect("a folder");
         Stage {
             broker,
-            _worker: worker,
+            worker_server: worker,
             seen,
             folder,
         }
@@ -112,7 +112,7 @@
             "front-end \"fe\"\n\
              class \"view\" effect=\"safe\" aim=\"2s\" give-up=\"4s\"\n\
              signatures {{ key \"desk\" text=\"{key}\"; max-age \"60s\" }}\n\
-             directory \"campus\" {{ {servers} ca {ca:?}; bind as=\"cn=gateway,dc=example\" text=\"secret\"; \
+             directory \"campus\" {{ {servers} ca \"{ca}\"; bind as=\"cn=gateway,dc=example\" text=\"secret\"; \
              base \"dc=example\"; filter \"(objectClass=person)\"; {directory} }}\n\
              tenant \"north\" {{ directory \"campus\" base=\"ou=north,dc=example\"; function \"north-*\" }}\n\
              tenant \"south\" {{ directory \"campus\" base=\"ou=south,dc=example\"; function \"south-*\" }}\n\
@@ -120,9 +120,10 @@
              amqp \"b\" {{ address \"{broker}\"; retry-first \"10ms\"; retry-most \"50ms\"; heartbeat 1; \
              queue \"calls\" {{ prefetch 300; lanes 8; identity \"signed\" }} }}\n\
              workers {{ worker \"{worker}\" }}\n{more}\n",
+            ca = ca.display(),
             key = String::from_utf8_lossy(KEY),
             broker = self.broker.address(),
-            worker = self._worker.address(),
+            worker = self.worker_server.address(),
         );
         Config::parse("test", &text).unwrap_or_else(|f| panic!("{:?}", f.lines()))
     }
--- a/crates/pipithub-scenario/src/fleet/run/cluster.rs
+++ b/crates/pipithub-scenario/src/fleet/run/cluster.rs
@@ -289,7 +289,8 @@
         if let Some(record) = read_generation(&self.data_folder(of)) {
             write_previous_generation(&copy, record)?;
         }
-        self.slots[slot].name = self.slots[of].name.clone();
+        let name = self.slots[of].name.clone();
+        self.slots[slot].name = name;
         self.start(slot, Disk::Stale)
     }
 }
