--- a/crates/pipithub-amqp/src/endpoint/event.rs
+++ b/crates/pipithub-amqp/src/endpoint/event.rs
@@ -19,15 +19,16 @@
 /// What happened on a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Server: a client logs in; the caller decides with [`Endpoint::accept_login`] or [`Endpoint::reject_login`].
+    /// Server: a client logs in; the caller decides with [`accept_login`](super::Endpoint::accept_login) or
+    /// [`reject_login`](super::Endpoint::reject_login).
     Login {
         /// The user.
         user: String,
         /// The password.
         password: String,
     },
-    /// Server: the client asks for a virtual host; the caller decides with [`Endpoint::accept_open`] or
-    /// [`Endpoint::reject_open`].
+    /// Server: the client asks for a virtual host; the caller decides with [`accept_open`](super::Endpoint::accept_open) or
+    /// [`reject_open`](super::Endpoint::reject_open).
     OpenRequested {
         /// The name of the virtual host.
         virtual_host: ShortStr,
