--- a/crates/pipithub-conformance/tests/rules.rs
+++ b/crates/pipithub-conformance/tests/rules.rs
@@ -323,7 +323,7 @@
     let moved = |ms: u64, tenant: &str| {
         at(
             ms,
-            "drill",
+            "scenario",
             Seen::Moved {
                 user: "mai".into(),
                 tenant: tenant.into(),
--- a/crates/pipithub-engine/tests/engine/admission.rs
+++ b/crates/pipithub-engine/tests/engine/admission.rs
@@ -16,7 +16,7 @@
     }
 }
 
-/// Found by a drill: a call that had waited in its queue was given its class's whole time anew, and was answered when its
+/// Found by a scenario: a call that had waited in its queue was given its class's whole time anew, and was answered when its
 /// client had long gone.
 #[test]
 fn time_in_the_queue_counts() {
--- a/crates/pipithub-scenario/src/fleet/run/cluster.rs
+++ b/crates/pipithub-scenario/src/fleet/run/cluster.rs
@@ -21,7 +21,7 @@
 use crate::units::{milliseconds, seconds};
 
 /// The name of the fleet in the settings of its members.
-const CLUSTER_NAME: &str = "drill";
+const CLUSTER_NAME: &str = "scenario";
 /// The file in a data folder that holds the generation.
 const GENERATION_FILE: &str = "generation";
 /// The port of all advertised addresses.
@@ -238,7 +238,7 @@
     /// Carries out an action and notes it for the report.
     pub(super) async fn apply(&mut self, action: Action) -> std::io::Result<()> {
         let description = action.to_string();
-        info!(act = description, "drill");
+        info!(act = description, "scenario action");
         self.injected.push(InjectedAction {
             at: wall_ns(),
             description,
--- a/crates/pipithub-scenario/src/run/cluster.rs
+++ b/crates/pipithub-scenario/src/run/cluster.rs
@@ -162,7 +162,7 @@
         };
         let text = settings.text(self.scenario);
         // Invalid settings would otherwise only show as a front end that never consumes.
-        Config::parse("drill settings", &text)
+        Config::parse("scenario settings", &text)
             .map_err(|faults| RunError::Settings(format!("{faults}: {:?}", faults.lines())))?;
         std::fs::write(self.path(&format!("front-{front_end}.kdl")), text)?;
         Ok(())
@@ -286,7 +286,7 @@
                 return Ok(());
             }
         }
-        info!(act = description, "drill");
+        info!(act = description, "scenario action");
         self.injected.push(InjectedAction {
             at: wall_ns(),
             description,
--- a/crates/pipithub-scenario/src/run/settings.rs
+++ b/crates/pipithub-scenario/src/run/settings.rs
@@ -115,7 +115,7 @@
         cache_file: "x",
         directories: &[any_address.to_string()],
     };
-    let config = Config::parse("drill", &settings.text(scenario)).ok()?;
+    let config = Config::parse("scenario", &settings.text(scenario)).ok()?;
     let limit = config.engine.policy.loading.rate_limit?;
     Some(LoadRateLimit {
         window: limit.window,
--- a/crates/pipithub/src/emulator/arguments.rs
+++ b/crates/pipithub/src/emulator/arguments.rs
@@ -35,7 +35,7 @@
     /// Write what is seen on the sockets to this file.
     #[arg(long)]
     pub(super) record: Option<PathBuf>,
-    /// End when standard input does, so that no stand-in outlives a drill that is killed.
+    /// End when standard input does, so that no emulator outlives a scenario that is killed.
     #[arg(long)]
     pub(super) commands: bool,
 }
--- a/crates/pipithub/src/scenario.rs
+++ b/crates/pipithub/src/scenario.rs
@@ -57,7 +57,7 @@
     arguments: ScenarioArguments,
 ) -> Result<ExitCode> {
     let seed = arguments.seed;
-    let folder = RunFolder::new(arguments.folder, "drill", Some(seed));
+    let folder = RunFolder::new(arguments.folder, "scenario", Some(seed));
     let binary = std::env::current_exe().into_diagnostic()?;
     let baseline = arguments.baseline.map(Baseline::name);
     let outcome = pipithub_scenario::run::run(
--- a/crates/pipithub/src/serve.rs
+++ b/crates/pipithub/src/serve.rs
@@ -16,7 +16,7 @@
     /// The settings file.
     #[arg(long)]
     config: PathBuf,
-    /// A textbook policy in the module's place, to compare with in drills.
+    /// A textbook policy in the module's place, to compare with in scenarios.
     #[arg(long, hide = true)]
     baseline: Option<Baseline>,
 }
--- a/crates/pipithub/tests/cli.rs
+++ b/crates/pipithub/tests/cli.rs
@@ -263,7 +263,7 @@
 }
 
 fn keeps_all_rules(scenario: &str) {
-    let scenario = format!("{}/../../drills/{scenario}", env!("CARGO_MANIFEST_DIR"));
+    let scenario = format!("{}/../../scenarios/{scenario}", env!("CARGO_MANIFEST_DIR"));
     let output = run(&["scenario", &scenario, "--seed", "7", "--json"]);
     let told: serde_json::Value = serde_json::from_slice(&output.stdout)
         .unwrap_or_else(|_| panic!("no JSON: {}", String::from_utf8_lossy(&output.stderr)));
--- a/crates/pipithub/tests/fleet.rs
+++ b/crates/pipithub/tests/fleet.rs
@@ -158,7 +158,7 @@
 fn a_fault_scenario_of_a_fleet_keeps_all_its_rules() {
     let scenario = concat!(
         env!("CARGO_MANIFEST_DIR"),
-        "/../../drills/members-small.kdl"
+        "/../../scenarios/members-small.kdl"
     );
     let out = run(&["scenario", scenario, "--seed", "1", "--json"]);
     let text = String::from_utf8_lossy(&out.stdout);
