--- a/crates/pipithub-admission/src/lib.rs
+++ b/crates/pipithub-admission/src/lib.rs
@@ -12,8 +12,7 @@
 pub use outputs::{Admitted, Arrival, Completion, Output, RejectReason, ServiceResult};
 pub use quotas::{LimitRange, QuotaSettings, RateLimit, TenantQuota};
 
-/// Nanoseconds on the caller's clock.
-pub type Time = u64;
+pub use pipithub_clock::Time;
 
 const MS: Time = 1_000_000;
 const SECOND: Time = 1_000 * MS;
--- a/crates/pipithub-amqp/src/lib.rs
+++ b/crates/pipithub-amqp/src/lib.rs
@@ -24,8 +24,7 @@
 pub use reply::{Code, Fault};
 pub use value::{FieldTable, FieldValue, ShortStr};
 
-/// A point in time or a duration, in nanoseconds on the caller's clock.
-pub type Time = u64;
+pub use pipithub_clock::Time;
 
 /// The protocol header that a client opens with (specification 4.2.2).
 pub const PROTOCOL_HEADER: [u8; 8] = *b"AMQP\x00\x00\x09\x01";
--- a/crates/pipithub-clock/src/lib.rs
+++ b/crates/pipithub-clock/src/lib.rs
@@ -13,7 +13,11 @@
 
 const NANOS_PER_MS: Time = 1_000_000;
 
-/// A point in time or a length of it, in nanoseconds.
+/// A point in time or a duration, in nanoseconds; the one definition for all crates.
+///
+/// Where a point is counted from is said by what hands it out: a [`Clock`], a simulation, or a peer's protocol. It is a
+/// plain number, not a type of its own, as the decision module weighs times as numbers (quotients, means and rates) in most
+/// places where it uses them.
 pub type Time = u64;
 
 /// Both clocks, read together.
@@ -84,6 +88,7 @@
     }
 
     /// Sleeps until then; for ever where there is no then.
+    #[cfg(feature = "tokio")]
     pub async fn sleep_until(&self, time: Option<Time>) {
         match time {
             Some(time) => tokio::time::sleep_until(self.instant(time).into()).await,
--- a/crates/pipithub-conformance/src/fleet/history.rs
+++ b/crates/pipithub-conformance/src/fleet/history.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 /// Nanoseconds of Unix time.
-pub type Time = u64;
+pub use pipithub_clock::Time;
 
 /// The state of the disk that a run starts from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/pipithub-consensus/src/lib.rs
+++ b/crates/pipithub-consensus/src/lib.rs
@@ -25,5 +25,4 @@
 pub use storage::{LogEntry, StoredLog, WriteBatch};
 pub use voter::{Leadership, Voter, VoterError, VoterSettings};
 
-/// A point in time or a duration, in nanoseconds.
-pub type Time = u64;
+pub use pipithub_clock::Time;
--- a/crates/pipithub-directory/src/time.rs
+++ b/crates/pipithub-directory/src/time.rs
@@ -1,7 +1,6 @@
 //! Times of the caller's clock and their conversion to milliseconds.
 
-/// Nanoseconds on the caller's clock.
-pub type Time = u64;
+pub use pipithub_clock::Time;
 
 /// A millisecond.
 pub(crate) const MILLISECOND: Time = 1_000_000;
--- a/crates/pipithub-membership/src/lib.rs
+++ b/crates/pipithub-membership/src/lib.rs
@@ -29,8 +29,7 @@
 pub use crate::settings::{Settings, SettingsError};
 pub use crate::view::{JoinState, Member, MemberState, View};
 
-/// A point in time or a duration, in nanoseconds.
-pub type Time = u64;
+pub use pipithub_clock::Time;
 
 /// Nanoseconds in a millisecond.
 pub(crate) const MS: Time = 1_000_000;
--- a/crates/pipithub-policy/src/api.rs
+++ b/crates/pipithub-policy/src/api.rs
@@ -5,8 +5,7 @@
 
 use std::sync::Arc;
 
-/// A point on the caller's clock, or a length of time, in nanoseconds.
-pub type Time = u64;
+pub use pipithub_clock::Time;
 
 /// Identifies one attempt of a client at a request; never used twice.
 pub type RequestId = u64;
--- a/crates/pipithub-simnet/src/lib.rs
+++ b/crates/pipithub-simnet/src/lib.rs
@@ -8,5 +8,4 @@
 pub use link::Link;
 pub use network::{Network, NetworkEvent};
 
-/// A point in time or a duration, in nanoseconds.
-pub type Time = u64;
+pub use pipithub_clock::Time;
