--- a/crates/pipithub-bench/src/morning.rs
+++ b/crates/pipithub-bench/src/morning.rs
@@ -8,7 +8,7 @@
 use pipithub_directory::Time;
 use pipithub_scenario::random::SplitMix64;
 
-use front_end::FrontEnd;
+use front_end::SimulatedFrontEnd;
 
 const SECOND: Time = 1_000_000_000;
 const HOUR: Time = 3_600 * SECOND;
@@ -88,7 +88,7 @@
                 match strategy {
                     Strategy::PlainCache => simulate_cache(calls, &mut load),
                     Strategy::DirectoryCore => {
-                        FrontEnd::new(number as u64, &mut load).run(calls);
+                        SimulatedFrontEnd::new(number as u64, &mut load).run(calls);
                     }
                 }
             }
--- a/crates/pipithub-bench/src/morning/front_end.rs
+++ b/crates/pipithub-bench/src/morning/front_end.rs
@@ -48,7 +48,7 @@
 }
 
 /// One front end.
-pub(super) struct FrontEnd<'a> {
+pub(super) struct SimulatedFrontEnd<'a> {
     core: Directory,
     admission: Admission<u64>,
     answers: BTreeMap<AnswerTime, PendingAnswer>,
@@ -58,10 +58,10 @@
     load: &'a mut DirectoryLoad,
 }
 
-impl<'a> FrontEnd<'a> {
+impl<'a> SimulatedFrontEnd<'a> {
     /// A front end that knows nobody yet.
     pub(super) fn new(number: u64, load: &'a mut DirectoryLoad) -> Self {
-        FrontEnd {
+        SimulatedFrontEnd {
             core: new_core(directory_settings(), MAX_USERS, number * SEED_STEP + 1),
             admission: Admission::new(admission_settings()),
             answers: BTreeMap::new(),
--- a/crates/pipithub-bench/src/scale/front_ends/beyond.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/beyond.rs
@@ -5,7 +5,7 @@
 
 use pipithub_emulator::coordinator::{Behaviour, Coordinator, Tier, event};
 
-use super::front_end::{FrontEnd, configure, wait_until};
+use super::front_end::{FrontEndProcess, configure, wait_until};
 use super::{WORKERS, ZONES, axis};
 use crate::Result;
 use crate::process_usage::{MemoryUse, scheduled_cpu_seconds};
@@ -83,7 +83,7 @@
         coordinator.publish(true, tier.hosts(), &tier);
     }
     let config = configure(folder, &coordinator, "n0", plan.seed)?;
-    let front_end = FrontEnd::start(&plan.binary, &config)?;
+    let front_end = FrontEndProcess::start(&plan.binary, &config)?;
     wait_until(&coordinator, |counts| {
         counts.open == 1 && counts.events == u64::from(former)
     })
--- a/crates/pipithub-bench/src/scale/front_ends/front_end.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/front_end.rs
@@ -38,12 +38,12 @@
 }
 
 /// A real front end.
-pub(super) struct FrontEnd {
+pub(super) struct FrontEndProcess {
     child: Child,
     log: PathBuf,
 }
 
-impl FrontEnd {
+impl FrontEndProcess {
     /// Starts `pipithub node` by this configuration.
     pub(super) fn start(binary: &Path, config: &Path) -> Result<Self> {
         let log = config.with_extension("log");
@@ -58,7 +58,7 @@
             .stderr(std::fs::File::create(&log)?)
             .kill_on_drop(true)
             .spawn()?;
-        Ok(FrontEnd { child, log })
+        Ok(FrontEndProcess { child, log })
     }
 
     /// Its process id.
--- a/crates/pipithub-bench/src/scale/front_ends/lists.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/lists.rs
@@ -5,7 +5,7 @@
 
 use pipithub_emulator::coordinator::{Behaviour, Coordinator, Tier, event};
 
-use super::front_end::{FrontEnd, configure, wait_until};
+use super::front_end::{FrontEndProcess, configure, wait_until};
 use super::{WORKERS, ZONES, axis};
 use crate::Result;
 use crate::process_usage::{MemoryUse, scheduled_cpu_seconds};
@@ -85,7 +85,7 @@
 async fn play(plan: &Plan, folder: &Path, workers: usize) -> Result<Play> {
     let coordinator = Coordinator::start(Behaviour::default())?;
     let config = configure(folder, &coordinator, "n0", plan.seed)?;
-    let front_end = FrontEnd::start(&plan.binary, &config)?;
+    let front_end = FrontEndProcess::start(&plan.binary, &config)?;
     let pid = front_end.pid();
     wait_until(&coordinator, |counts| counts.open == 1).await?;
     let mut tier = Tier::new(workers, ZONES);
--- a/crates/pipithub-bench/src/scale/front_ends/processes.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/processes.rs
@@ -5,7 +5,7 @@
 
 use pipithub_emulator::coordinator::{Behaviour, Coordinator, Tier};
 
-use super::front_end::{FrontEnd, configure, wait_until};
+use super::front_end::{FrontEndProcess, configure, wait_until};
 use super::{FRONT_ENDS, ZONES, axis};
 use crate::Result;
 use crate::process_usage::{MemoryUse, scheduled_cpu_seconds};
@@ -81,7 +81,7 @@
     for number in 0..count {
         let seed = plan.seed + number as u64;
         let config = configure(folder, &coordinator, &format!("n{number}"), seed)?;
-        front_ends.push(FrontEnd::start(&plan.binary, &config)?);
+        front_ends.push(FrontEndProcess::start(&plan.binary, &config)?);
     }
     wait_until(&coordinator, |counts| {
         counts.open >= count as u64 && counts.events >= count as u64
@@ -98,7 +98,7 @@
     Ok(play)
 }
 
-async fn measure_idle(coordinator: &Coordinator, front_ends: &[FrontEnd]) -> Play {
+async fn measure_idle(coordinator: &Coordinator, front_ends: &[FrontEndProcess]) -> Play {
     let cpu_seconds = || -> f64 {
         front_ends
             .iter()
--- a/crates/pipithub-bench/src/scale/settings/site.rs
+++ b/crates/pipithub-bench/src/scale/settings/site.rs
@@ -64,12 +64,12 @@
 }
 
 /// A front end and the file of its configuration.
-struct FrontEnd {
+struct FrontEndProcess {
     child: Child,
     file: PathBuf,
 }
 
-impl FrontEnd {
+impl FrontEndProcess {
     fn pid(&self) -> u32 {
         self.child.id().unwrap_or(0)
     }
@@ -89,7 +89,7 @@
 pub(super) struct Site {
     binary: PathBuf,
     folder: PathBuf,
-    front_ends: Vec<FrontEnd>,
+    front_ends: Vec<FrontEndProcess>,
     coordinator_addresses: Vec<String>,
     /// What each configuration holds besides: workers known and classes.
     workers: Vec<Value>,
@@ -129,7 +129,7 @@
             let file = site.folder.join(format!("{front_end}.json"));
             std::fs::write(&file, site.text(front_end, 0))?;
             let child = site.spawn(front_end, &file)?;
-            site.front_ends.push(FrontEnd { child, file });
+            site.front_ends.push(FrontEndProcess { child, file });
         }
         site.requests_of_all(0).await?;
         Ok(site)
--- a/crates/pipithub-characterization/src/adapter_scenario/discovery.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/discovery.rs
@@ -3,7 +3,7 @@
 use super::MILLISECOND;
 use super::event::FrontEndEvent;
 use super::tier::EndpointState;
-use super::world::{FrontEnd, World};
+use super::world::{FrontEndModel, World};
 
 impl World<'_> {
     pub(super) fn emit_endpoints(&mut self, front_end: usize, kind: &str, workers: &[usize]) {
@@ -74,10 +74,10 @@
         self.release_attempts(number);
         let incarnation = self.front_ends[number].incarnation + 1;
         let subscribed = !self.settings.watch_on_request;
-        self.front_ends[number] = FrontEnd {
+        self.front_ends[number] = FrontEndModel {
             incarnation,
             subscribed,
-            ..FrontEnd::default()
+            ..FrontEndModel::default()
         };
         let seed = self.random.number() >> 1;
         let text = self.settings.text(number as u64);
--- a/crates/pipithub-characterization/src/adapter_scenario/world.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/world.rs
@@ -26,7 +26,7 @@
 
 /// What the scenario knows of a front end.
 #[derive(Debug, Default)]
-pub(super) struct FrontEnd {
+pub(super) struct FrontEndModel {
     /// Counts the starts of the front end.
     pub(super) incarnation: u64,
     pub(super) requests: BTreeMap<u64, Request>,
@@ -59,7 +59,7 @@
     pub(super) loads_fail_until: u64,
     pub(super) settings: Settings,
     pub(super) functions: Vec<Function>,
-    pub(super) front_ends: Vec<FrontEnd>,
+    pub(super) front_ends: Vec<FrontEndModel>,
     pub(super) workers_by_address: BTreeMap<String, usize>,
     pub(super) next_request: u64,
     pub(super) errors_on_all_workers: ErrorBurst,
@@ -118,7 +118,7 @@
             loads_fail_until: 0,
             functions,
             front_ends: (0..random.between(1, 3))
-                .map(|_| FrontEnd::default())
+                .map(|_| FrontEndModel::default())
                 .collect(),
             workers_by_address: BTreeMap::new(),
             next_request: 1,
--- a/crates/pipithub-gateway/src/front_end.rs
+++ b/crates/pipithub-gateway/src/front_end.rs
@@ -31,7 +31,7 @@
 const SOURCE_CLOSE_TIME: Duration = Duration::from_millis(20);
 
 /// An engine with the channels around it.
-pub(crate) struct FrontEnd {
+pub(crate) struct FrontEndTask {
     name: String,
     classes: Vec<ClassName>,
     clock: Clock,
@@ -71,7 +71,7 @@
     }
 }
 
-impl FrontEnd {
+impl FrontEndTask {
     /// A front end without sources, tenants and endpoints.
     pub(crate) fn new(
         name: &str,
@@ -81,7 +81,7 @@
         baseline: Option<Policy>,
     ) -> Self {
         let (inputs_sender, inputs) = mpsc::channel(MAX_QUEUED_INPUTS);
-        FrontEnd {
+        FrontEndTask {
             name: name.to_string(),
             classes: config.classes.clone(),
             clock,
--- a/crates/pipithub-gateway/src/front_end/outputs.rs
+++ b/crates/pipithub-gateway/src/front_end/outputs.rs
@@ -8,10 +8,10 @@
 use tokio::sync::oneshot;
 use tracing::{debug, info};
 
-use super::{FrontEnd, SourceCommand};
+use super::{FrontEndTask, SourceCommand};
 use crate::tenancy::CallerNames;
 
-impl FrontEnd {
+impl FrontEndTask {
     /// Executes outputs until neither the engine nor the admission has any more.
     pub(super) fn execute_outputs(&mut self) {
         while !self.outputs.is_empty() || !self.engine_inputs.is_empty() {
--- a/crates/pipithub-gateway/src/startup.rs
+++ b/crates/pipithub-gateway/src/startup.rs
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-use crate::front_end::{FrontEnd, SourceHandle};
+use crate::front_end::{FrontEndTask, SourceHandle};
 use crate::list::{EndpointListSettings, EndpointListTask};
 use crate::tenancy::Tenancy;
 use crate::{Snapshot, amqp, cron, directory, list, seed};
@@ -21,7 +21,7 @@
     clock: Clock,
     seed: u64,
     tasks: &'a mut JoinSet<()>,
-    front_end: FrontEnd,
+    front_end: FrontEndTask,
     /// Sources are numbered from 1.
     sources: u32,
 }
@@ -42,7 +42,7 @@
             clock,
             seed,
             tasks,
-            front_end: FrontEnd::new(name, config, clock, seed, baseline),
+            front_end: FrontEndTask::new(name, config, clock, seed, baseline),
             sources: 0,
         }
     }
--- a/crates/pipithub-hollow-node/tests/same.rs
+++ b/crates/pipithub-hollow-node/tests/same.rs
@@ -94,7 +94,7 @@
 /// The names of the workers that the core knows, by the Debug text of its connections' table, sorted.
 fn known(text: &str) -> Vec<String> {
     let pool = text
-        .split_once("WorkerPool { max_connections")
+        .split_once("ConnectionPool { max_connections")
         .map_or("", |(_, pool)| pool);
     let workers = pool
         .split_once("workers: {")
--- a/crates/pipithub-node/src/worker_pool.rs
+++ b/crates/pipithub-node/src/connection_pool.rs
@@ -37,9 +37,9 @@
     waiting: VecDeque<WorkerRequest>,
 }
 
-/// The bounds of a [`WorkerPool`] and the times of its connections.
+/// The bounds of a [`ConnectionPool`] and the times of its connections.
 #[derive(Clone, Copy, Debug)]
-pub struct WorkerPoolSettings {
+pub struct ConnectionPoolSettings {
     /// The most connections to all workers, connections being made included; at least one is allowed.
     pub max_connections: usize,
     /// The most requests in flight on one connection; at least one is allowed.
@@ -54,7 +54,7 @@
 
 /// All connections to workers.
 #[derive(Debug)]
-pub struct WorkerPool {
+pub struct ConnectionPool {
     max_connections: usize,
     max_requests_per_connection: usize,
     connect_timeout: Time,
@@ -73,10 +73,10 @@
     idle_timeout: IdleTimeout,
 }
 
-impl WorkerPool {
+impl ConnectionPool {
     /// A pool without workers and connections.
-    pub fn new(settings: WorkerPoolSettings) -> Self {
-        WorkerPool {
+    pub fn new(settings: ConnectionPoolSettings) -> Self {
+        ConnectionPool {
             max_connections: settings.max_connections.max(1),
             max_requests_per_connection: settings.max_requests_per_connection.max(1),
             connect_timeout: settings.connect_timeout,
--- a/crates/pipithub-node/src/worker_pool/endings.rs
+++ b/crates/pipithub-node/src/connection_pool/endings.rs
@@ -7,7 +7,7 @@
 use super::request::{
     AnsweredRequest, CancelledRequest, FailedRequest, RequestKind, SendFailure, WorkerRequest,
 };
-use super::{MAX_WAITING, WorkerPool};
+use super::{MAX_WAITING, ConnectionPool};
 use crate::effect::{ConnectionId, Effect};
 
 /// How often what never arrived is written again, on another connection.
@@ -20,7 +20,7 @@
     name: String,
 }
 
-impl WorkerPool {
+impl ConnectionPool {
     /// A connection could not be established: nothing that waits for it was sent. `local_fault`: because this machine
     /// lacked a resource, so that the worker is not at fault.
     pub fn connect_failed(&mut self, id: ConnectionId, local_fault: bool) {
--- a/crates/pipithub-node/src/worker_pool/selection.rs
+++ b/crates/pipithub-node/src/connection_pool/selection.rs
@@ -3,11 +3,11 @@
 use pipithub_engine::Time;
 use pipithub_engine::policy::WorkerId;
 
-use super::WorkerPool;
+use super::ConnectionPool;
 use super::connection::Connection;
 use crate::effect::{ConnectionId, Effect};
 
-impl WorkerPool {
+impl ConnectionPool {
     /// The connection for the first request that waits for a worker: the free one that was used last, so that the
     /// others may be closed as idle. Else each waiting request is to have a new one; where there is no room for that
     /// many, the one that carries least.
--- a/crates/pipithub-node/src/worker_pool/sweep.rs
+++ b/crates/pipithub-node/src/connection_pool/sweep.rs
@@ -5,7 +5,7 @@
 use pipithub_engine::Time;
 use pipithub_engine::policy::WorkerId;
 
-use super::WorkerPool;
+use super::ConnectionPool;
 use super::connection::Progress;
 use super::request::{CancelledRequest, FailedRequest, SendFailure};
 use crate::effect::{ConnectionId, Effect};
@@ -22,7 +22,7 @@
     reference: String,
 }
 
-impl WorkerPool {
+impl ConnectionPool {
     /// Ends requests whose time is up, and takes back those that a worker has not read for too long.
     fn end_overdue(&mut self, now: Time) {
         let mut overdue = Vec::new();
--- a/crates/pipithub-node/src/core.rs
+++ b/crates/pipithub-node/src/core.rs
@@ -19,7 +19,7 @@
 use crate::client_sessions::{ClientSessions, MAX_PENDING_CALLS};
 use crate::effect::{ConnectionId, Effect};
 use crate::start_times::StartTimes;
-use crate::worker_pool::{WorkerPool, WorkerPoolSettings};
+use crate::connection_pool::{ConnectionPool, ConnectionPoolSettings};
 
 /// Clients and workers are told times in milliseconds.
 const NANOSECONDS_PER_MILLISECOND: Time = 1_000_000;
@@ -49,7 +49,7 @@
     site: SiteSettings,
     max_client_timeout: Time,
     client_sessions: ClientSessions,
-    worker_pool: WorkerPool,
+    connection_pool: ConnectionPool,
     /// Workers that attempts went to, for as long as they are out.
     in_flight: BTreeMap<AttemptId, WorkerId>,
     next_tag: u64,
@@ -85,7 +85,7 @@
             ..EngineSettings::default()
         };
         let transport = &site.transport;
-        let worker_pool = WorkerPool::new(WorkerPoolSettings {
+        let connection_pool = ConnectionPool::new(ConnectionPoolSettings {
             max_connections: workers,
             max_requests_per_connection: transport.max_requests_per_connection,
             connect_timeout: transport.connect_timeout,
@@ -104,7 +104,7 @@
                 .max()
                 .unwrap_or(0),
             client_sessions: ClientSessions::new(clients),
-            worker_pool,
+            connection_pool,
             in_flight: BTreeMap::new(),
             next_tag: 1,
             last_sweep: now,
@@ -125,13 +125,13 @@
 
     /// A number for a connection that the shell accepted.
     pub fn next_connection_id(&mut self) -> ConnectionId {
-        self.worker_pool.next_connection_id()
+        self.connection_pool.next_connection_id()
     }
 
     /// Moves the effects that are due to `effects`.
     pub fn take_effects(&mut self, effects: &mut Vec<Effect>) {
         effects.append(&mut self.effects);
-        self.worker_pool.take_effects(effects);
+        self.connection_pool.take_effects(effects);
     }
 
     /// When [`Core::tick`] is due next.
@@ -151,7 +151,7 @@
     pub fn connections(&self) -> ConnectionCounts {
         ConnectionCounts {
             clients: self.client_sessions.len(),
-            workers: self.worker_pool.len(),
+            workers: self.connection_pool.len(),
         }
     }
 
@@ -164,7 +164,7 @@
     pub fn tick(&mut self, now: Time) {
         if now >= self.last_sweep + SWEEP_INTERVAL {
             self.last_sweep = now;
-            self.worker_pool.sweep(now);
+            self.connection_pool.sweep(now);
             self.settle_failures(now);
         }
         if now >= self.last_silence_sweep + SILENCE_SWEEP_INTERVAL {
@@ -195,7 +195,7 @@
 
     /// Connections that there may be to workers at a time.
     pub fn max_worker_connections(&self) -> usize {
-        self.worker_pool.max_connections()
+        self.connection_pool.max_connections()
     }
 
     /// Hands an input to the engine and carries out what it asks for.
--- a/crates/pipithub-node/src/core/calls.rs
+++ b/crates/pipithub-node/src/core/calls.rs
@@ -44,7 +44,7 @@
             .map(|(id, worker)| (*id, worker.clone()))
             .collect();
         for (id, worker) in out {
-            if let Some(request) = self.worker_pool.abandon(now, &worker, id) {
+            if let Some(request) = self.connection_pool.abandon(now, &worker, id) {
                 let took = now.saturating_sub(request.began);
                 self.attempt_ended(unanswered(id, Outcome::NotSent, took));
             }
--- a/crates/pipithub-node/src/core/endpoint_list.rs
+++ b/crates/pipithub-node/src/core/endpoint_list.rs
@@ -24,13 +24,13 @@
                 .iter()
                 .map(|listed| &listed.endpoint.worker)
                 .collect();
-            self.worker_pool.retain_workers(&named);
+            self.connection_pool.retain_workers(&named);
             self.start_times
                 .retain_workers(|worker| named.contains(worker));
         }
         for ListedEndpoint { endpoint, address } in &event.endpoints {
             debug!(front_end = self.name, worker = &*endpoint.worker.0, state = ?endpoint.state, address, "endpoint listed");
-            self.worker_pool.set_address(
+            self.connection_pool.set_address(
                 &endpoint.worker,
                 address,
                 endpoint.state == EndpointState::Removed,
--- a/crates/pipithub-node/src/core/outputs.rs
+++ b/crates/pipithub-node/src/core/outputs.rs
@@ -8,7 +8,7 @@
 
 use super::Core;
 use super::workers::unanswered;
-use crate::worker_pool::{CancelledRequest, Payload, RequestKind, WorkerRequest};
+use crate::connection_pool::{CancelledRequest, Payload, RequestKind, WorkerRequest};
 
 /// A probe without an answer by then is none.
 const LOAD_POLL_TIMEOUT: Time = 250_000_000;
@@ -47,7 +47,7 @@
         let Some(worker) = self.in_flight.get(&id).cloned() else {
             return;
         };
-        let (elapsed, outcome) = match self.worker_pool.cancel(now, &worker, id) {
+        let (elapsed, outcome) = match self.connection_pool.cancel(now, &worker, id) {
             Some(CancelledRequest { request, not_sent }) => {
                 let outcome = if not_sent {
                     Outcome::NotSent
@@ -143,7 +143,7 @@
 
     /// Hands a request to the pool; what cannot be sent is told to the engine after the present input.
     fn submit(&mut self, now: Time, worker: &WorkerId, request: WorkerRequest) {
-        self.worker_pool.submit(now, worker, request);
+        self.connection_pool.submit(now, worker, request);
         self.record_failures(now);
     }
 
--- a/crates/pipithub-node/src/core/workers.rs
+++ b/crates/pipithub-node/src/core/workers.rs
@@ -11,42 +11,42 @@
 
 use super::Core;
 use crate::effect::ConnectionId;
-use crate::worker_pool::{AnsweredRequest, FailedRequest, RequestKind, SendFailure};
+use crate::connection_pool::{AnsweredRequest, FailedRequest, RequestKind, SendFailure};
 
 impl Core {
     /// A connection to a worker is up.
     pub fn worker_connected(&mut self, now: Time, connection: ConnectionId) {
-        self.worker_pool.connected(now, connection);
+        self.connection_pool.connected(now, connection);
         self.settle_failures(now);
     }
 
     /// A connection to a worker did not come up; `local_fault`: because this machine lacked a resource.
     pub fn worker_failed(&mut self, now: Time, connection: ConnectionId, local_fault: bool) {
-        self.worker_pool.connect_failed(connection, local_fault);
+        self.connection_pool.connect_failed(connection, local_fault);
         self.settle_failures(now);
     }
 
     /// A worker does not read, the system having taken so many bytes for it so far; or, with `None`, it reads again.
     pub fn worker_blocked(&mut self, now: Time, connection: ConnectionId, written: Option<u64>) {
-        self.worker_pool.set_blocked(now, connection, written);
+        self.connection_pool.set_blocked(now, connection, written);
         self.settle_failures(now);
     }
 
     /// A connection to a worker has ended, with so many bytes written on it.
     pub fn worker_closed(&mut self, now: Time, connection: ConnectionId, written: u64) {
-        self.worker_pool
+        self.connection_pool
             .closed(now, connection, written, SendFailure::ConnectionLost);
         self.settle_failures(now);
     }
 
     /// Bytes came from a worker.
     pub fn worker_bytes(&mut self, now: Time, connection: ConnectionId, bytes: &[u8]) {
-        let Some(framer) = self.worker_pool.framer(connection) else {
+        let Some(framer) = self.connection_pool.framer(connection) else {
             return;
         };
         framer.push(bytes);
         // An answer may close its connection, and the framer goes with it.
-        while let Some(framer) = self.worker_pool.framer(connection) {
+        while let Some(framer) = self.connection_pool.framer(connection) {
             match next_answer(framer) {
                 Ok(Some(answer)) => self.answer_received(now, connection, answer),
                 Ok(None) => return,
@@ -63,14 +63,14 @@
             %error,
             "answer cannot be read; connection closed"
         );
-        self.worker_pool.close_malformed(now, connection);
+        self.connection_pool.close_malformed(now, connection);
         self.settle_failures(now);
     }
 
     /// A worker has answered: what was asked of it has ended.
     fn answer_received(&mut self, now: Time, connection: ConnectionId, answer: Answer) {
         let answered = self
-            .worker_pool
+            .connection_pool
             .answered(now, connection, &answer.reference);
         let Some(AnsweredRequest { worker, request }) = answered else {
             return debug!(
@@ -127,7 +127,7 @@
 
     /// Queues the ends of requests without an answer as inputs that the engine gets after the present one.
     pub(super) fn record_failures(&mut self, now: Time) {
-        for failed in self.worker_pool.take_failures() {
+        for failed in self.connection_pool.take_failures() {
             let FailedRequest {
                 worker,
                 request,
--- a/crates/pipithub-node/src/lib.rs
+++ b/crates/pipithub-node/src/lib.rs
@@ -1,7 +1,7 @@
 //! The platform's front end: clients over JSON-RPC, workers over lines, the coordinator over server-sent events.
 //!
 //! [`core`] is the front end without sockets, clock or threads: bytes and time go in, effects come out. It holds the
-//! engine, the clients ([`client_sessions`]) and the connections to workers ([`worker_pool`]). [`shell`] is a thin
+//! engine, the clients ([`client_sessions`]) and the connections to workers ([`connection_pool`]). [`shell`] is a thin
 //! layer on tokio, on one thread, that moves bytes and time; [`coordinator`] watches the endpoint list. The policy
 //! alone decides where a call runs, and whether; this crate bounds its own connections, memory and queues.
 
@@ -14,4 +14,4 @@
 pub mod shell;
 pub mod sockets;
 pub mod start_times;
-pub mod worker_pool;
+pub mod connection_pool;
--- a/crates/pipithub-node/tests/worker_pool.rs
+++ b/crates/pipithub-node/tests/connection_pool.rs
@@ -6,7 +6,7 @@
 
 use pipithub_engine::policy::WorkerId;
 use pipithub_node::effect::Effect;
-use pipithub_node::worker_pool::{SendFailure, WorkerPool};
+use pipithub_node::connection_pool::{SendFailure, ConnectionPool};
 use pool_harness::{MS, PoolHarness, worker_request};
 
 #[test]
@@ -161,7 +161,7 @@
 #[test]
 fn a_workers_part_of_the_connections_follows_those_that_come_and_go() {
     let other = WorkerId::new("other");
-    let connections = |change: &dyn Fn(&mut WorkerPool)| {
+    let connections = |change: &dyn Fn(&mut ConnectionPool)| {
         let mut bench = PoolHarness::new(8);
         bench.pool.set_address(&other, "10.0.0.2:1", false);
         change(&mut bench.pool);
@@ -184,7 +184,7 @@
         connections(&|pool| pool.retain_workers(&BTreeSet::from([&here]))),
         8
     );
-    let gone_and_back = |pool: &mut WorkerPool| {
+    let gone_and_back = |pool: &mut ConnectionPool| {
         pool.retain_workers(&BTreeSet::from([&here]));
         pool.sweep(0);
         pool.set_address(&other, "10.0.0.2:1", false);
--- a/crates/pipithub-node/tests/worker_pool_cancellation.rs
+++ b/crates/pipithub-node/tests/connection_pool_cancellation.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use pipithub_engine::AttemptId;
 use pipithub_node::effect::Effect;
-use pipithub_node::worker_pool::SendFailure;
+use pipithub_node::connection_pool::SendFailure;
 use pool_harness::{MS, PoolHarness, attempt, uncancelled};
 
 #[test]
--- a/crates/pipithub-node/tests/worker_pool_unread.rs
+++ b/crates/pipithub-node/tests/connection_pool_unread.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use pipithub_engine::policy::WorkerId;
 use pipithub_node::effect::Effect;
-use pipithub_node::worker_pool::{
-    CancelledRequest, Payload, RequestKind, SendFailure, WorkerPool, WorkerRequest,
+use pipithub_node::connection_pool::{
+    CancelledRequest, Payload, RequestKind, SendFailure, ConnectionPool, WorkerRequest,
 };
 use pipithub_platform::worker::RunRequest;
 use pool_harness::{MS, PoolHarness, attempt, settings, worker_request};
@@ -36,7 +36,7 @@
 
 #[test]
 fn what_was_not_handed_over_when_an_answer_is_spoilt_did_not_run() {
-    let mut pool = WorkerPool::new(settings(1, 1));
+    let mut pool = ConnectionPool::new(settings(1, 1));
     let worker = WorkerId::new("w");
     pool.set_address(&worker, "10.0.0.1:1", false);
     let mut b = PoolHarness {
@@ -79,7 +79,7 @@
 /// A worker stops reading: what lies behind in the shell's own buffer begins whenever it reads again, UNDO or not.
 #[test]
 fn what_waits_behind_a_worker_that_does_not_read_is_taken_back() {
-    let mut pool = WorkerPool::new(settings(1, 8));
+    let mut pool = ConnectionPool::new(settings(1, 8));
     let worker = WorkerId::new("w");
     pool.set_address(&worker, "10.0.0.1:1", false);
     let mut b = PoolHarness {
@@ -163,7 +163,7 @@
 /// A line states the time that its client had left when it was made: it must not reach the worker much later.
 #[test]
 fn what_a_worker_does_not_read_within_a_tenth_of_a_second_is_taken_back() {
-    let mut pool = WorkerPool::new(settings(1, 8));
+    let mut pool = ConnectionPool::new(settings(1, 8));
     let worker = WorkerId::new("w");
     pool.set_address(&worker, "10.0.0.1:1", false);
     let mut b = PoolHarness {
--- a/crates/pipithub-node/tests/pool_harness/mod.rs
+++ b/crates/pipithub-node/tests/pool_harness/mod.rs
@@ -5,8 +5,8 @@
 use pipithub_engine::policy::WorkerId;
 use pipithub_engine::{AttemptId, Time};
 use pipithub_node::effect::{ConnectionId, Effect};
-use pipithub_node::worker_pool::{
-    RequestKind, SendFailure, WorkerPool, WorkerPoolSettings, WorkerRequest,
+use pipithub_node::connection_pool::{
+    RequestKind, SendFailure, ConnectionPool, ConnectionPoolSettings, WorkerRequest,
 };
 
 pub(crate) const MS: Time = 1_000_000;
@@ -20,8 +20,8 @@
 pub(crate) fn settings(
     max_connections: usize,
     max_requests_per_connection: usize,
-) -> WorkerPoolSettings {
-    WorkerPoolSettings {
+) -> ConnectionPoolSettings {
+    ConnectionPoolSettings {
         max_connections,
         max_requests_per_connection,
         connect_timeout: 250 * MS,
@@ -33,22 +33,22 @@
 pub(crate) fn settings_without_cancel(
     max_connections: usize,
     max_requests_per_connection: usize,
-) -> WorkerPoolSettings {
-    WorkerPoolSettings {
+) -> ConnectionPoolSettings {
+    ConnectionPoolSettings {
         cancel: false,
         ..settings(max_connections, max_requests_per_connection)
     }
 }
 
 pub(crate) struct PoolHarness {
-    pub(crate) pool: WorkerPool,
+    pub(crate) pool: ConnectionPool,
     pub(crate) worker: WorkerId,
     pub(crate) effects: Vec<Effect>,
 }
 
 impl PoolHarness {
     pub(crate) fn new(most: usize) -> Self {
-        let mut pool = WorkerPool::new(settings(most, 4));
+        let mut pool = ConnectionPool::new(settings(most, 4));
         let worker = WorkerId::new("w");
         pool.set_address(&worker, "10.0.0.1:1", false);
         PoolHarness {
@@ -119,7 +119,7 @@
 /// A pool that may not tell workers to give runs up.
 pub(crate) fn uncancelled() -> PoolHarness {
     let mut b = PoolHarness::new(4);
-    b.pool = WorkerPool::new(settings_without_cancel(4, 4));
+    b.pool = ConnectionPool::new(settings_without_cancel(4, 4));
     b.pool.set_address(&b.worker, "10.0.0.1:1", false);
     b
 }
--- a/crates/pipithub-policy/src/attempts.rs
+++ b/crates/pipithub-policy/src/attempts.rs
@@ -12,7 +12,7 @@
 use crate::load_reports::REPORT_LIFETIME;
 use crate::state::{Answer, Attempt, FunctionState, PossibleExecution, WorkerState};
 use crate::time::MAX_DURATION;
-use crate::worker_pool::WorkerGuard;
+use crate::worker_table::WorkerGuard;
 
 /// Weight of a new sample in the number of preferred workers that a function needs in a large
 /// deployment.
--- a/crates/pipithub-policy/src/front_end.rs
+++ b/crates/pipithub-policy/src/front_end.rs
@@ -15,7 +15,7 @@
 use crate::state::{FunctionState, Health, PendingRequest};
 use crate::statistics::{EventTimes, RunningMean};
 use crate::time::{MAX_DURATION, MAX_TIME};
-use crate::worker_pool::WorkerPool;
+use crate::worker_table::WorkerTable;
 
 /// One front end.
 #[derive(Debug, Default)]
@@ -23,7 +23,7 @@
     pub(crate) settings: Settings,
     pub(crate) now: Time,
     pub(crate) seed: u64,
-    pub(crate) workers: WorkerPool,
+    pub(crate) workers: WorkerTable,
     pub(crate) functions: BTreeMap<FunctionId, FunctionState>,
     pub(crate) pending: BTreeMap<RequestId, PendingRequest>,
     /// Requests that wait for a load report, by worker; some may be over.
@@ -57,7 +57,7 @@
     pub fn new(settings: Settings, seed: u64) -> Self {
         let settings = bounded(settings);
         FrontEnd {
-            workers: WorkerPool::new(IN_FLIGHT_HALF_LIFE),
+            workers: WorkerTable::new(IN_FLIGHT_HALF_LIFE),
             estimates: Estimates::new(settings.classes.len()),
             settings,
             seed,
--- a/crates/pipithub-policy/src/lib.rs
+++ b/crates/pipithub-policy/src/lib.rs
@@ -50,7 +50,7 @@
 mod state;
 mod statistics;
 mod time;
-mod worker_pool;
+mod worker_table;
 
 pub use front_end::FrontEnd;
 
--- a/crates/pipithub-policy/src/outlier.rs
+++ b/crates/pipithub-policy/src/outlier.rs
@@ -13,7 +13,7 @@
 use crate::front_end::FrontEnd;
 use crate::state::{Attempt, Health, WorkerState};
 use crate::time::MILLISECOND;
-use crate::worker_pool::WorkerGuard;
+use crate::worker_table::WorkerGuard;
 
 /// An attempt is overdue at this multiple of the time that it was predicted to take.
 const OVERDUE_FACTOR: f64 = 3.0;
--- a/crates/pipithub-policy/src/requests.rs
+++ b/crates/pipithub-policy/src/requests.rs
@@ -10,7 +10,7 @@
 use crate::routing::Candidate;
 use crate::state::{Attempt, PendingRequest, Replicas, WorkerState};
 use crate::time::{MAX_DURATION, MILLISECOND};
-use crate::worker_pool::WorkerGuard;
+use crate::worker_table::WorkerGuard;
 
 /// Speculative attempts that each request adds; one for two requests, so that most go where a
 /// replica is.
--- a/crates/pipithub-policy/src/state.rs
+++ b/crates/pipithub-policy/src/state.rs
@@ -4,7 +4,7 @@
 
 use crate::api::{Endpoint, EndpointState, FunctionId, Request, RequestId, Time, WorkerId};
 use crate::hashing::hash_address;
-use crate::worker_pool::IndexedState;
+use crate::worker_table::IndexedState;
 
 /// An attempt that has no outcome yet.
 #[derive(Clone, Debug)]
--- a/crates/pipithub-policy/src/worker_pool.rs
+++ b/crates/pipithub-policy/src/worker_table.rs
@@ -23,7 +23,7 @@
 
 /// The workers by address. The hasher has fixed keys: equal events leave equal states.
 #[derive(Debug, Default)]
-pub(crate) struct WorkerPool {
+pub(crate) struct WorkerTable {
     workers: HashMap<WorkerId, WorkerState, BuildHasherDefault<DefaultHasher>>,
     index: WorkerIndex,
 }
@@ -69,7 +69,7 @@
     }
 }
 
-impl Index<&WorkerId> for WorkerPool {
+impl Index<&WorkerId> for WorkerTable {
     type Output = WorkerState;
 
     fn index(&self, worker: &WorkerId) -> &WorkerState {
@@ -78,10 +78,10 @@
     }
 }
 
-impl WorkerPool {
+impl WorkerTable {
     /// An empty pool in which reported requests in flight decay by half in this time.
     pub(crate) fn new(half_life: Time) -> Self {
-        WorkerPool {
+        WorkerTable {
             workers: HashMap::default(),
             index: WorkerIndex::new(half_life),
         }
--- a/crates/pipithub-policy/src/worker_pool/tests.rs
+++ b/crates/pipithub-policy/src/worker_table/tests.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 
-use super::{WorkerGuard, WorkerPool};
+use super::{WorkerGuard, WorkerTable};
 use crate::api::{Endpoint, EndpointState, FunctionId, Time, WorkerId};
 use crate::state::{Answer, Attempt, Health, ReportedLoad, WorkerState};
 
@@ -170,7 +170,7 @@
 
 /// The pool, and all workers in a naive form beside it.
 struct Both {
-    pool: WorkerPool,
+    pool: WorkerTable,
     naive: BTreeMap<WorkerId, NaiveWorker>,
     now: Time,
     /// The latest moment that was asked about: it never goes back.
@@ -419,7 +419,7 @@
         steps in proptest::collection::vec(step(), 1..120),
     ) {
         let mut both = Both {
-            pool: WorkerPool::new(HALF_LIFE),
+            pool: WorkerTable::new(HALF_LIFE),
             naive: BTreeMap::new(),
             now: 1,
             since: 0,
@@ -436,7 +436,7 @@
         from in any::<u64>(),
         max in 0usize..70,
     ) {
-        let mut pool = WorkerPool::new(HALF_LIFE);
+        let mut pool = WorkerTable::new(HALF_LIFE);
         let mut hashes = BTreeMap::new();
         for worker in 0..count {
             let state = if worker % 5 == 4 {
--- a/crates/pipithub-policy/tests/limits.rs
+++ b/crates/pipithub-policy/tests/limits.rs
@@ -13,9 +13,9 @@
     "statistics/tests.rs",
     "time.rs",
     "work.rs",
-    "worker_pool.rs",
-    "worker_pool/index.rs",
-    "worker_pool/tests.rs",
+    "worker_table.rs",
+    "worker_table/index.rs",
+    "worker_table/tests.rs",
 ];
 const MAX_COLUMNS: usize = 110;
 const MAX_LINES: usize = 500;
--- a/crates/pipithub-settings/src/document.rs
+++ b/crates/pipithub-settings/src/document.rs
@@ -77,14 +77,14 @@
 }
 
 /// The node `front-end`.
-struct FrontEnd {
+struct FrontEndSection {
     name: String,
     instances: u32,
     peers: u32,
     drain: Time,
 }
 
-fn read_front_end(root: &Reader<'_>) -> FrontEnd {
+fn read_front_end(root: &Reader<'_>) -> FrontEndSection {
     let node = root.child_or_missing("front-end");
     let name = if node.is_missing() {
         "front-end".to_string()
@@ -95,7 +95,7 @@
     let peers = node.integer("peers", u64::from(instances), 1..=1_000_000) as u32;
     let drain = node.duration("drain", 10 * SECOND, 0..=600 * SECOND);
     node.finish();
-    FrontEnd {
+    FrontEndSection {
         name,
         instances,
         peers,
--- a/crates/pipithub/tests/restarts.rs
+++ b/crates/pipithub/tests/restarts.rs
@@ -8,7 +8,7 @@
 use std::net::TcpListener;
 use std::process::Command;
 
-use rig::{FrontEnd, Peer, Place, call, config, event, listener, tell, worker};
+use rig::{FrontEndProcess, Peer, Place, call, config, event, listener, tell, worker};
 
 fn write(place: &Place, text: &str) {
     std::fs::write(&place.0, text).expect("written");
@@ -27,7 +27,7 @@
             .expect("runs")
             .success()
     );
-    let mut front_end = FrontEnd::spawn(&place.0, None);
+    let mut front_end = FrontEndProcess::spawn(&place.0, None);
     // Opens once the program has opened the other end.
     let mut pipe = std::fs::OpenOptions::new()
         .write(true)
@@ -53,7 +53,7 @@
     let ((second, second_at), (third, third_at)) = (listener(), listener());
     let place = Place::new("half");
     write(&place, &config(first_at, at).to_string());
-    let mut front_end = FrontEnd::spawn(&place.0, None);
+    let mut front_end = FrontEndProcess::spawn(&place.0, None);
     let address = front_end.up();
     let (_open, _) = tell(&first, &[]);
     let whole = config(second_at, at).to_string();
@@ -80,7 +80,7 @@
     let ((workers, at), (_list, list_at)) = (listener(), listener());
     let place = Place::new("stop");
     write(&place, &config(list_at, at).to_string());
-    let mut front_end = FrontEnd::spawn(&place.0, None);
+    let mut front_end = FrontEndProcess::spawn(&place.0, None);
     let address = front_end.up();
     let (mut open, mut other) = (Peer::connect(address), Peer::connect(address));
     open.send(&call(1, "assign"));
@@ -129,7 +129,7 @@
     let ((workers, at), (_list, list_at)) = (listener(), listener());
     let place = Place::new("hang");
     write(&place, &config(list_at, at).to_string());
-    let mut front_end = FrontEnd::spawn(&place.0, None);
+    let mut front_end = FrontEndProcess::spawn(&place.0, None);
     let mut client = Peer::connect(front_end.up());
     client.send(&call(1, "assign"));
     let mut hangs = Peer::of(workers.accept().expect("a connection").0);
@@ -154,7 +154,7 @@
     let place = Place::new("kill");
     write(&place, &config(list_at, at).to_string());
     for round in 0..2 {
-        let mut front_end = FrontEnd::spawn(&place.0, None);
+        let mut front_end = FrontEndProcess::spawn(&place.0, None);
         let mut client = Peer::connect(front_end.up());
         assert!(client.is_well(1));
         client.send(&call(2 + round, "assign"));
@@ -173,7 +173,7 @@
     std::thread::spawn(move || worker(workers));
     let place = Place::new("full");
     write(&place, &config(list_at, at).to_string());
-    let mut front_end = FrontEnd::spawn(&place.0, Some(64));
+    let mut front_end = FrontEndProcess::spawn(&place.0, Some(64));
     let address = front_end.up();
     let mut idle = Vec::new();
     for _ in 0..200 {
--- a/crates/pipithub/tests/rig/mod.rs
+++ b/crates/pipithub/tests/rig/mod.rs
@@ -80,12 +80,12 @@
 }
 
 /// A front end as a process.
-pub(crate) struct FrontEnd {
+pub(crate) struct FrontEndProcess {
     pub process: Running,
     pub log: Lines<BufReader<ChildStderr>>,
 }
 
-impl FrontEnd {
+impl FrontEndProcess {
     /// Starts it, with at most so many descriptors where that is told.
     pub(crate) fn spawn(config: &Path, descriptors: Option<u32>) -> Self {
         let mut command = match descriptors {
@@ -113,7 +113,7 @@
             .expect("starts");
         let mut process = Running(child);
         let log = BufReader::new(process.0.stderr.take().expect("piped")).lines();
-        FrontEnd { process, log }
+        FrontEndProcess { process, log }
     }
 
     /// Waits for a line of its log that holds these words.
