--- a/crates/pipithub-adapter/src/main.rs
+++ b/crates/pipithub-adapter/src/main.rs
@@ -8,8 +8,8 @@
 use std::process::ExitCode;
 
 use pipithub_platform::settings::{self, Names};
-use pipithub_policy::api::{Action, Endpoint, Event, Time};
 use pipithub_policy::FrontEnd;
+use pipithub_policy::api::{Action, Endpoint, Event, Time};
 use wire::Input;
 
 /// Buffered bytes of the input.
--- a/crates/pipithub-adapter/src/wire.rs
+++ b/crates/pipithub-adapter/src/wire.rs
@@ -6,7 +6,7 @@
 use pipithub_platform::settings::Names;
 use pipithub_policy::api::{
     Action, AttemptFinished, Endpoint, EndpointState, EndpointUpdate, Event, FunctionId,
-    LoadFinished, LoadReport, Outcome, ReplicaStatus, Request, Time, WorkerId,
+    LoadFinished, LoadReport, Outcome, ReplicaStatus, Request, RequestId, Time, WorkerId,
 };
 
 /// Nanoseconds in a millisecond.
@@ -172,11 +172,11 @@
         },
         "brought_up" => Event::LoadFinished(parts.load_finished()?),
         "lapsed" => Event::ClientCancelled {
-            request: parts.value("Req")?,
+            request: RequestId(parts.value("Req")?),
         },
         "completed" => Event::AttemptFinished(parts.attempt_finished()?),
         "head_received" => Event::Streaming {
-            request: parts.value("Req")?,
+            request: RequestId(parts.value("Req")?),
         },
         _ => return Err("unknown message".to_string()),
     };
@@ -201,7 +201,7 @@
     }
 
     fn request(&mut self, names: &Names) -> Result<Request, String> {
-        let id = self.value("Req")?;
+        let id = RequestId(self.value("Req")?);
         let expected_work = self.maybe("Expected")?;
         self.text("Owner")?;
         let memory_mb = self
@@ -247,7 +247,7 @@
     }
 
     fn attempt_finished(&mut self) -> Result<AttemptFinished, String> {
-        let request = self.value("Req")?;
+        let request = RequestId(self.value("Req")?);
         let attempt = self.value("N")?;
         let worker = self.worker()?;
         let outcome = self.outcome()?;
@@ -312,7 +312,7 @@
         return Ok(Vec::new());
     }
     let bad = || format!("Bytes: cannot read '{text}'");
-    if text.len() % 2 != 0 || !text.is_ascii() {
+    if !text.len().is_multiple_of(2) || !text.is_ascii() {
         return Err(bad());
     }
     (0..text.len())
--- a/crates/pipithub-adapter/tests/recorded.rs
+++ b/crates/pipithub-adapter/tests/recorded.rs
@@ -6,7 +6,7 @@
 
 use driver::Adapter;
 use pipithub_characterization::adapter_scenario::{self, KINDS};
-use pipithub_characterization::recording::{check_scenarios, run_scenarios, Transcript};
+use pipithub_characterization::recording::{Transcript, check_scenarios, run_scenarios};
 
 /// How many scenarios are run.
 const SCENARIOS: u64 = 120;
--- a/crates/pipithub-baselines/src/lib.rs
+++ b/crates/pipithub-baselines/src/lib.rs
@@ -198,7 +198,7 @@
         let id = request.id;
         actions.push(Action::SetTimer {
             after: timeout.saturating_sub(FORWARD_MARGIN_TICKS * self.settings.tick),
-            token: id,
+            token: id.0,
         });
         let pending = PendingRequest {
             request,
@@ -255,7 +255,7 @@
                     self.cancel_attempt(&pending, actions);
                 }
             }
-            Event::Timer { token } => self.check_deadline(now, token, actions),
+            Event::Timer { token } => self.check_deadline(now, RequestId(token), actions),
             Event::Streaming { .. }
             | Event::LoadPolled { .. }
             | Event::LoadFinished(_)
--- a/crates/pipithub-baselines/tests/policies.rs
+++ b/crates/pipithub-baselines/tests/policies.rs
@@ -4,7 +4,7 @@
 use pipithub_engine::Decide;
 use pipithub_engine::policy::{
     Action, AttemptFinished, Class, DeduplicationScope, Endpoint, EndpointState, EndpointUpdate,
-    Event, Idempotency, Limits, LoadReport, Outcome, Request, Settings, Time, WorkerId,
+    Event, Idempotency, Limits, LoadReport, Outcome, Request, RequestId, Settings, Time, WorkerId,
 };
 
 const TICK: Time = 1_000_000;
@@ -71,7 +71,7 @@
 
 fn arrive(baseline: &mut Baseline, now: Time, id: u64, class: usize) -> Vec<Action> {
     let request = Request {
-        id,
+        id: RequestId(id),
         class,
         ..Request::default()
     };
@@ -86,7 +86,7 @@
     outcome: Outcome,
 ) -> Vec<Action> {
     let attempt = AttemptFinished {
-        request: id,
+        request: RequestId(id),
         attempt: 0,
         worker: worker(name),
         outcome,
@@ -101,7 +101,7 @@
 
 fn forward(id: u64, name: &str) -> Action {
     Action::Forward {
-        request: id,
+        request: RequestId(id),
         worker: worker(name),
         timeout: None,
     }
@@ -109,7 +109,7 @@
 
 fn reject(id: u64) -> Action {
     Action::Reject {
-        request: id,
+        request: RequestId(id),
         retry_after: None,
     }
 }
@@ -204,7 +204,9 @@
     );
     assert_eq!(
         finish(&mut baseline, 2 * TICK, 1, "b", Outcome::TimedOut),
-        [Action::Fail { request: 1 }]
+        [Action::Fail {
+            request: RequestId(1)
+        }]
     );
 }
 
@@ -221,7 +223,9 @@
     arrive(&mut baseline, 0, 2, WITH_KEY);
     assert_eq!(
         finish(&mut baseline, last_moment + 1, 2, "a", Outcome::Error),
-        [Action::Fail { request: 2 }]
+        [Action::Fail {
+            request: RequestId(2)
+        }]
     );
 }
 
@@ -242,12 +246,17 @@
     let early = TIMEOUT - 3 * TICK - 1;
     assert_eq!(handle(&mut baseline, early, Event::Timer { token: 1 }), []);
     let cancel = Action::Cancel {
-        request: 1,
+        request: RequestId(1),
         attempt: 0,
     };
     assert_eq!(
         handle(&mut baseline, early + 1, Event::Timer { token: 1 }),
-        [cancel, Action::Fail { request: 1 }]
+        [
+            cancel,
+            Action::Fail {
+                request: RequestId(1)
+            }
+        ]
     );
     assert_eq!(
         handle(&mut baseline, early + 2, Event::Timer { token: 1 }),
@@ -260,9 +269,15 @@
     let mut baseline = with_workers(Policy::LeastLoaded, &["a"]);
     arrive(&mut baseline, 0, 1, IDEMPOTENT);
     assert_eq!(
-        handle(&mut baseline, TICK, Event::ClientCancelled { request: 1 }),
+        handle(
+            &mut baseline,
+            TICK,
+            Event::ClientCancelled {
+                request: RequestId(1)
+            }
+        ),
         [Action::Cancel {
-            request: 1,
+            request: RequestId(1),
             attempt: 0
         }]
     );
--- a/crates/pipithub-engine/benches/engine.rs
+++ b/crates/pipithub-engine/benches/engine.rs
@@ -5,7 +5,7 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use pipithub_engine::policy::{
     AttemptFinished, Class, Endpoint, EndpointUpdate, Event, Idempotency, Limits, LoadReport,
-    Outcome, ReplicaStatus, Request, Settings, WorkerId,
+    Outcome, ReplicaStatus, Request, RequestId, Settings, WorkerId,
 };
 use pipithub_engine::{
     AttemptResult, Call, Engine, EngineSettings, Input, Output, Served, SourceId, Ticket, Trigger,
@@ -133,7 +133,7 @@
                     out.clear();
                     let function = function_id(&format!("f{}", number % 16));
                     let call = Request {
-                        id: number,
+                        id: RequestId(number),
                         function,
                         replica_concurrency: 4,
                         timeout: Some(4_000_000_000),
@@ -149,7 +149,7 @@
                     });
                     if let Some(worker) = sent {
                         let end = AttemptFinished {
-                            request: number,
+                            request: RequestId(number),
                             attempt: 0,
                             worker,
                             outcome: Outcome::Served,
--- a/crates/pipithub-engine/src/engine/actions.rs
+++ b/crates/pipithub-engine/src/engine/actions.rs
@@ -25,8 +25,8 @@
             }
             self.actions = actions;
             // The token of a request's own timer is its id; tokens of maintenance timers name no request.
-            if let Some(request) = timer {
-                self.request_timer_expired(now, request, out);
+            if let Some(token) = timer {
+                self.request_timer_expired(now, RequestId(token), out);
             }
         }
     }
--- a/crates/pipithub-engine/src/engine/cancellation.rs
+++ b/crates/pipithub-engine/src/engine/cancellation.rs
@@ -26,7 +26,7 @@
             };
             match self.pending.get(request) {
                 Some(pending) if pending.identity.is_some() => {
-                    self.timers.set(pending.deadline.max(now), request);
+                    self.timers.set(pending.deadline.max(now), request.0);
                 }
                 _ => self.abandon(now, request, out),
             }
--- a/crates/pipithub-engine/src/pending.rs
+++ b/crates/pipithub-engine/src/pending.rs
@@ -46,7 +46,7 @@
         PendingRequests {
             requests: BTreeMap::new(),
             by_ticket: BTreeMap::new(),
-            next_id: 1,
+            next_id: RequestId(1),
             body_bytes: 0,
         }
     }
@@ -73,7 +73,7 @@
         deadline: Time,
     ) -> RequestId {
         let id = self.next_id;
-        self.next_id += 1;
+        self.next_id.0 += 1;
         let body_bytes = call.body.len();
         self.body_bytes += body_bytes;
         self.by_ticket.insert(ticket, id);
--- a/crates/pipithub-engine/tests/engine/answers.rs
+++ b/crates/pipithub-engine/tests/engine/answers.rs
@@ -1,6 +1,6 @@
 //! Calls that run, and their one final answer.
 
-use pipithub_engine::policy::Outcome;
+use pipithub_engine::policy::{Outcome, RequestId};
 use pipithub_engine::{AttemptId, Input, Output, Verdict};
 
 use crate::harness::{
@@ -76,7 +76,7 @@
     assert_eq!(
         harness.end(
             AttemptId {
-                request: 99,
+                request: RequestId(99),
                 number: 0
             },
             Outcome::Served
--- a/crates/pipithub-gateway/src/front_end/outputs.rs
+++ b/crates/pipithub-gateway/src/front_end/outputs.rs
@@ -58,7 +58,7 @@
         let tenancy = self.tenancy.as_ref();
         debug!(
             front_end = self.name,
-            request = id.request,
+            request = id.request.0,
             label = call.label.as_deref(),
             class = self.classes.get(call.class).map(|c| c.name.as_str()),
             tenant = tenancy.and_then(|tenancy| tenancy.tenant_name(call.tenant)),
--- a/crates/pipithub-inference/tests/request.rs
+++ b/crates/pipithub-inference/tests/request.rs
@@ -1,5 +1,6 @@
 //! Requests to workers.
 
+use pipithub_engine::policy::RequestId;
 use pipithub_engine::{AttemptId, Call};
 use pipithub_inference::{header, infer, unescape};
 
@@ -14,7 +15,7 @@
         let mut request = infer(
             &call,
             AttemptId {
-                request: 1,
+                request: RequestId(1),
                 number: 2,
             },
             "fe",
--- a/crates/pipithub-inference/tests/timeout.rs
+++ b/crates/pipithub-inference/tests/timeout.rs
@@ -1,5 +1,6 @@
 //! The timeout that a worker is told is made when the request is written, and never exceeds what is left.
 
+use pipithub_engine::policy::RequestId;
 use pipithub_engine::{AttemptId, Call};
 use pipithub_inference::{DeadlineReached, WorkerRequest, header, infer};
 
@@ -12,7 +13,7 @@
             ..Call::default()
         },
         AttemptId {
-            request: 1,
+            request: RequestId(1),
             number: 0,
         },
         "fe",
--- a/crates/pipithub-node/src/connection_pool/endings.rs
+++ b/crates/pipithub-node/src/connection_pool/endings.rs
@@ -7,7 +7,7 @@
 use super::request::{
     AnsweredRequest, CancelledRequest, FailedRequest, RequestKind, SendFailure, WorkerRequest,
 };
-use super::{MAX_WAITING, ConnectionPool};
+use super::{ConnectionPool, MAX_WAITING};
 use crate::effect::{ConnectionId, Effect};
 
 /// How often what never arrived is written again, on another connection.
--- a/crates/pipithub-node/src/core.rs
+++ b/crates/pipithub-node/src/core.rs
@@ -17,9 +17,9 @@
 
 use self::shutdown::ACCEPT_AFTER_SIGTERM;
 use crate::client_sessions::{ClientSessions, MAX_PENDING_CALLS};
+use crate::connection_pool::{ConnectionPool, ConnectionPoolSettings};
 use crate::effect::{ConnectionId, Effect};
 use crate::start_times::StartTimes;
-use crate::connection_pool::{ConnectionPool, ConnectionPoolSettings};
 
 /// Clients and workers are told times in milliseconds.
 const NANOSECONDS_PER_MILLISECOND: Time = 1_000_000;
--- a/crates/pipithub-node/src/core/outputs.rs
+++ b/crates/pipithub-node/src/core/outputs.rs
@@ -115,7 +115,7 @@
             .map_or("", String::as_str);
         debug!(
             front_end = self.name,
-            request = id.request,
+            request = id.request.0,
             call = name,
             class,
             function = &*call.function,
--- a/crates/pipithub-node/src/core/workers.rs
+++ b/crates/pipithub-node/src/core/workers.rs
@@ -10,8 +10,8 @@
 use tracing::{debug, info};
 
 use super::Core;
-use crate::effect::ConnectionId;
 use crate::connection_pool::{AnsweredRequest, FailedRequest, RequestKind, SendFailure};
+use crate::effect::ConnectionId;
 
 impl Core {
     /// A connection to a worker is up.
@@ -112,7 +112,7 @@
     pub(super) fn attempt_ended(&mut self, end: AttemptResult) {
         debug!(
             front_end = self.name,
-            request = end.id.request,
+            request = end.id.request.0,
             attempt = end.id.number,
             worker = self.in_flight.get(&end.id).map(|w| &*w.0),
             outcome = ?end.outcome,
--- a/crates/pipithub-node/src/lib.rs
+++ b/crates/pipithub-node/src/lib.rs
@@ -6,6 +6,7 @@
 //! alone decides where a call runs, and whether; this crate bounds its own connections, memory and queues.
 
 pub mod client_sessions;
+pub mod connection_pool;
 pub mod coordinator;
 pub mod core;
 pub mod effect;
@@ -14,4 +15,3 @@
 pub mod shell;
 pub mod sockets;
 pub mod start_times;
-pub mod connection_pool;
--- a/crates/pipithub-node/tests/connection_pool.rs
+++ b/crates/pipithub-node/tests/connection_pool.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeSet;
 
 use pipithub_engine::policy::WorkerId;
+use pipithub_node::connection_pool::{ConnectionPool, SendFailure};
 use pipithub_node::effect::Effect;
-use pipithub_node::connection_pool::{SendFailure, ConnectionPool};
 use pool_harness::{MS, PoolHarness, worker_request};
 
 #[test]
--- a/crates/pipithub-node/tests/connection_pool_cancellation.rs
+++ b/crates/pipithub-node/tests/connection_pool_cancellation.rs
@@ -4,8 +4,9 @@
 
 use bytes::Bytes;
 use pipithub_engine::AttemptId;
-use pipithub_node::effect::Effect;
+use pipithub_engine::policy::RequestId;
 use pipithub_node::connection_pool::SendFailure;
+use pipithub_node::effect::Effect;
 use pool_harness::{MS, PoolHarness, attempt, uncancelled};
 
 #[test]
@@ -14,7 +15,7 @@
     let connection = b.call(0, 1).expect("written");
     b.effects();
     let id = AttemptId {
-        request: 1,
+        request: RequestId(1),
         number: 0,
     };
     assert!(b.pool.cancel(MS, &b.worker.clone(), id).is_some());
--- a/crates/pipithub-node/tests/connection_pool_unread.rs
+++ b/crates/pipithub-node/tests/connection_pool_unread.rs
@@ -4,10 +4,10 @@
 
 use bytes::Bytes;
 use pipithub_engine::policy::WorkerId;
-use pipithub_node::effect::Effect;
 use pipithub_node::connection_pool::{
-    CancelledRequest, Payload, RequestKind, SendFailure, ConnectionPool, WorkerRequest,
+    CancelledRequest, ConnectionPool, Payload, RequestKind, SendFailure, WorkerRequest,
 };
+use pipithub_node::effect::Effect;
 use pipithub_platform::worker::RunRequest;
 use pool_harness::{MS, PoolHarness, attempt, settings, worker_request};
 
--- a/crates/pipithub-node/tests/pool_harness/mod.rs
+++ b/crates/pipithub-node/tests/pool_harness/mod.rs
@@ -2,17 +2,20 @@
 #![allow(dead_code)]
 
 use bytes::Bytes;
-use pipithub_engine::policy::WorkerId;
+use pipithub_engine::policy::{RequestId, WorkerId};
 use pipithub_engine::{AttemptId, Time};
-use pipithub_node::effect::{ConnectionId, Effect};
 use pipithub_node::connection_pool::{
-    RequestKind, SendFailure, ConnectionPool, ConnectionPoolSettings, WorkerRequest,
+    ConnectionPool, ConnectionPoolSettings, RequestKind, SendFailure, WorkerRequest,
 };
+use pipithub_node::effect::{ConnectionId, Effect};
 
 pub(crate) const MS: Time = 1_000_000;
 
 pub(crate) fn worker_request(now: Time, request: u64) -> WorkerRequest {
-    let task = RequestKind::Attempt(AttemptId { request, number: 0 });
+    let task = RequestKind::Attempt(AttemptId {
+        request: RequestId(request),
+        number: 0,
+    });
     let line = Bytes::from(format!("line {request}\n"));
     WorkerRequest::new(task, format!("{request:016x}"), line, now, now + 5_000 * MS)
 }
@@ -86,7 +89,7 @@
     pub(crate) fn failures(&mut self) -> Vec<(u64, SendFailure)> {
         let number = |t: &RequestKind| {
             if let RequestKind::Attempt(id) = t {
-                id.request
+                id.request.0
             } else {
                 0
             }
@@ -125,5 +128,8 @@
 }
 
 pub(crate) fn attempt(request: u64) -> AttemptId {
-    AttemptId { request, number: 0 }
+    AttemptId {
+        request: RequestId(request),
+        number: 0,
+    }
 }
--- a/crates/pipithub-policy/src/api.rs
+++ b/crates/pipithub-policy/src/api.rs
@@ -8,7 +8,16 @@
 pub use pipithub_clock::Time;
 
 /// Identifies one attempt of a client at a request; never used twice.
-pub type RequestId = u64;
+///
+/// Numbers are chosen by the caller. They stay under 2^61, as timers carry them in their tokens beside a mark.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct RequestId(pub u64);
+
+impl std::fmt::Display for RequestId {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        self.0.fmt(f)
+    }
+}
 
 /// The address of a worker, exactly as the endpoint list spells it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/pipithub-policy/src/estimates.rs
+++ b/crates/pipithub-policy/src/estimates.rs
@@ -7,7 +7,7 @@
 use crate::api::{FunctionId, Time};
 use crate::front_end::FrontEnd;
 use crate::state::{FunctionState, WorkerState};
-use crate::time::{decay, MILLISECOND};
+use crate::time::{MILLISECOND, decay};
 
 /// Run time, as a share of the latency objective, believed of a class before its first answer.
 const INITIAL_RUN_TIME: f64 = 0.15;
--- a/crates/pipithub-policy/src/front_end.rs
+++ b/crates/pipithub-policy/src/front_end.rs
@@ -110,9 +110,9 @@
         if token == MAINTENANCE_TOKEN {
             self.run_maintenance(actions);
         } else if token & POLL_TIMEOUT_TOKEN > 0 {
-            self.expire_poll(token & !POLL_TIMEOUT_TOKEN, actions);
+            self.expire_poll(RequestId(token & !POLL_TIMEOUT_TOKEN), actions);
         } else {
-            self.expire_request(token, actions);
+            self.expire_request(RequestId(token), actions);
         }
     }
 }
--- a/crates/pipithub-policy/src/function_loading.rs
+++ b/crates/pipithub-policy/src/function_loading.rs
@@ -202,10 +202,11 @@
         }
         let is_loaded = self.record_load_reply(reply);
         // A reply within a run's time met a replica that was there already.
-        if is_loaded && elapsed > run_time {
-            if let Some(function) = self.functions.get_mut(&reply.function) {
-                self.estimates.record_load_time(function, elapsed, self.now);
-            }
+        if is_loaded
+            && elapsed > run_time
+            && let Some(function) = self.functions.get_mut(&reply.function)
+        {
+            self.estimates.record_load_time(function, elapsed, self.now);
         }
         let waiting: Vec<_> = self
             .pending
@@ -216,10 +217,10 @@
             .map(|(id, _)| *id)
             .collect();
         for id in waiting {
-            if let Some(pending) = self.pending.get_mut(&id) {
-                if reply.outcome == Outcome::Served {
-                    pending.attempted_workers.pop();
-                }
+            if let Some(pending) = self.pending.get_mut(&id)
+                && reply.outcome == Outcome::Served
+            {
+                pending.attempted_workers.pop();
             }
             self.route(id, actions);
         }
--- a/crates/pipithub-policy/src/load_reports.rs
+++ b/crates/pipithub-policy/src/load_reports.rs
@@ -8,7 +8,7 @@
 use crate::api::{Action, LoadReport, RequestId, Time, WorkerId};
 use crate::front_end::FrontEnd;
 use crate::state::{ReportedLoad, WorkerState};
-use crate::time::{decay, MILLISECOND};
+use crate::time::{MILLISECOND, decay};
 
 /// Among more front ends than this, a front end's own attempts tell too little of the queues.
 const MAX_FRONT_ENDS_WITHOUT_REPORTS: u32 = 8;
@@ -55,7 +55,7 @@
         });
         actions.push(Action::SetTimer {
             after: POLL_TIMEOUT,
-            token: id | POLL_TIMEOUT_TOKEN,
+            token: id.0 | POLL_TIMEOUT_TOKEN,
         });
         self.awaiting_load_report
             .entry(worker.clone())
--- a/crates/pipithub-policy/src/requests.rs
+++ b/crates/pipithub-policy/src/requests.rs
@@ -44,7 +44,7 @@
         // Two ticks early: the answer must be out before the client's time is up.
         actions.push(Action::SetTimer {
             after: timeout.saturating_sub(2 * self.settings.tick),
-            token: id,
+            token: id.0,
         });
         let pending = PendingRequest {
             request,
--- a/crates/pipithub-policy/src/worker_table.rs
+++ b/crates/pipithub-policy/src/worker_table.rs
@@ -10,8 +10,8 @@
 #[cfg(test)]
 mod tests;
 
-use std::collections::hash_map::DefaultHasher;
 use std::collections::HashMap;
+use std::collections::hash_map::DefaultHasher;
 use std::hash::BuildHasherDefault;
 use std::ops::{Deref, DerefMut, Index};
 
@@ -179,8 +179,8 @@
 
     fn states<'a>(
         &'a self,
-        ids: impl Iterator<Item = &'a WorkerId> + 'a,
-    ) -> impl Iterator<Item = &'a WorkerState> + 'a {
+        ids: impl Iterator<Item = &'a WorkerId>,
+    ) -> impl Iterator<Item = &'a WorkerState> {
         ids.inspect(|_| looked(1))
             .filter_map(|id| self.workers.get(id))
     }
@@ -235,7 +235,10 @@
     }
 
     /// Workers of a zone with attempts in flight, by address.
-    pub(crate) fn busy_in(&self, zone: &str) -> impl Iterator<Item = &WorkerState> {
+    pub(crate) fn busy_in<'a>(
+        &'a self,
+        zone: &str,
+    ) -> impl Iterator<Item = &'a WorkerState> + use<'a> {
         self.states(self.index.busy_in(zone))
     }
 
--- a/crates/pipithub-policy/src/worker_table/index.rs
+++ b/crates/pipithub-policy/src/worker_table/index.rs
@@ -367,7 +367,10 @@
     }
 
     /// Workers of a zone with attempts in flight, by address.
-    pub(super) fn busy_in(&self, zone: &str) -> impl Iterator<Item = &WorkerId> {
+    pub(super) fn busy_in<'a>(
+        &'a self,
+        zone: &str,
+    ) -> impl Iterator<Item = &'a WorkerId> + use<'a> {
         self.busy.get(zone).into_iter().flatten()
     }
 
--- a/crates/pipithub-policy/src/worker_table/tests.rs
+++ b/crates/pipithub-policy/src/worker_table/tests.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 
 use super::{WorkerGuard, WorkerTable};
-use crate::api::{Endpoint, EndpointState, FunctionId, Time, WorkerId};
+use crate::api::{Endpoint, EndpointState, FunctionId, RequestId, Time, WorkerId};
 use crate::state::{Answer, Attempt, Health, ReportedLoad, WorkerState};
 
 const HALF_LIFE: Time = 20_000;
@@ -140,7 +140,7 @@
 /// An attempt that may be waiting for a load or not.
 fn attempt(marks: LoadMarks) -> Attempt {
     Attempt {
-        request: 1,
+        request: RequestId(1),
         number: 0,
         function: FunctionId(1),
         class: 0,
--- a/crates/pipithub-policy/tests/common/mod.rs
+++ b/crates/pipithub-policy/tests/common/mod.rs
@@ -3,12 +3,12 @@
 
 use std::collections::BTreeSet;
 
+use pipithub_policy::FrontEnd;
 use pipithub_policy::api::{
     Action, AttemptFinished, Class, Endpoint, EndpointUpdate, Event, FunctionId, FunctionLoading,
     Idempotency, Limits, LoadFinished, LoadReport, Outcome, ReplicaStatus, Request, RequestId,
     Settings, SlowStart, Time, WorkerId,
 };
-use pipithub_policy::FrontEnd;
 
 /// Nanoseconds in a millisecond.
 pub(crate) const MS: u64 = 1_000_000;
@@ -78,7 +78,7 @@
             now: 1_000_000 * MS,
             did,
             timers,
-            next_id: 1,
+            next_id: RequestId(1),
         };
         let entries = workers.iter().map(|w| entry(w)).collect();
         bench.event(Event::Endpoints {
@@ -122,7 +122,7 @@
 
     pub(crate) fn call_with(&mut self, request: Request) -> (RequestId, Vec<Action>) {
         let id = self.next_id;
-        self.next_id += 1;
+        self.next_id.0 += 1;
         let actions = self.event(Event::Arrived(Request { id, ..request }));
         (id, actions)
     }
--- a/crates/pipithub-policy/tests/fleet/simulation.rs
+++ b/crates/pipithub-policy/tests/fleet/simulation.rs
@@ -3,14 +3,14 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
+use pipithub_policy::FrontEnd;
 use pipithub_policy::api::{
     Action, AttemptFinished, Endpoint, EndpointState, EndpointUpdate, Event, FunctionId,
     Idempotency, LoadReport, Outcome, Request, RequestId, Settings, Time, WorkerId,
 };
-use pipithub_policy::FrontEnd;
 
-use crate::common::{entry, settings, MS};
-use crate::worker::{HeldCall, Reception, SimulatedWorker, CORES, LOAD_TIME, RUN_TIME};
+use crate::common::{MS, entry, settings};
+use crate::worker::{CORES, HeldCall, LOAD_TIME, RUN_TIME, Reception, SimulatedWorker};
 
 const START: Time = 1_000_000 * MS;
 /// One way between a front end and a worker.
@@ -162,7 +162,7 @@
         simulation.schedule_release(scenario);
         let last_call = simulation.schedule_calls(scenario);
         let end = last_call + GRACE_TIME;
-        while let Some(Reverse((at, number))) = simulation.due.pop().filter(|d| d.0 .0 <= end) {
+        while let Some(Reverse((at, number))) = simulation.due.pop().filter(|d| d.0.0 <= end) {
             simulation.now = at;
             let event = simulation.events.remove(&number).expect("scheduled");
             simulation.dispatch(event);
@@ -302,9 +302,9 @@
             function,
             attempts: 0,
         };
-        self.calls.insert(id, call);
+        self.calls.insert(RequestId(id), call);
         let request = Request {
-            id,
+            id: RequestId(id),
             function: FunctionId(function),
             replica_concurrency: 4,
             memory_mb: 100.0,
--- a/crates/pipithub-policy/tests/growth.rs
+++ b/crates/pipithub-policy/tests/growth.rs
@@ -3,9 +3,9 @@
 mod plain;
 mod world;
 
-use pipithub_policy::api::{Action, Event, Settings, Time};
 use pipithub_policy::FrontEnd;
-use world::meter::{median, Front, Play, Spent};
+use pipithub_policy::api::{Action, Event, Settings, Time};
+use world::meter::{Front, Play, Spent, median};
 use world::{Day, MS};
 
 impl Front for plain::decide::FrontEnd {
@@ -55,7 +55,7 @@
     let mut cut = false;
     while !cut && play.step() {
         cut = play.calls.len() >= 2 * WINDOW
-            && play.calls.len() % WINDOW == 0
+            && play.calls.len().is_multiple_of(WINDOW)
             && mean(&play.calls) > most;
     }
     let windows: Vec<f64> = play.windows(WINDOW).iter().map(|w| w.looked).collect();
--- a/crates/pipithub-policy/tests/let_go.rs
+++ b/crates/pipithub-policy/tests/let_go.rs
@@ -4,7 +4,7 @@
 
 use allocation_counter::measure;
 use pipithub_policy::FrontEnd;
-use world::{Day, World, MS};
+use world::{Day, MS, World};
 
 /// Bytes that a front end holds some time after so many functions were called once each.
 fn held_after(functions: u64) -> i64 {
--- a/crates/pipithub-policy/tests/loads.rs
+++ b/crates/pipithub-policy/tests/loads.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
-use common::{held, large_tier, sent_to, settings, Bench, MS, THREE};
+use common::{Bench, MS, THREE, held, large_tier, sent_to, settings};
 use pipithub_policy::api::{
-    FunctionId, Idempotency, Outcome, ReplicaStatus, Request, Settings, Time, WorkerId,
+    FunctionId, Idempotency, Outcome, ReplicaStatus, Request, RequestId, Settings, Time, WorkerId,
 };
 
 #[test]
@@ -219,7 +219,7 @@
     // As many loads as are allowed hang there when it is lost.
     functions[..14].iter().for_each(|f| drop(b.call(*f)));
     b.pass(700 * MS);
-    (1..=2).for_each(|id| drop(b.finish(id, 0, &home, Outcome::Unreachable)));
+    (1..=2).for_each(|id| drop(b.finish(RequestId(id), 0, &home, Outcome::Unreachable)));
     let (_, actions) = b.call(functions[16]);
     assert!(
         sent_to(&actions).is_some_and(|w| w != home),
--- a/crates/pipithub-policy/tests/outliers.rs
+++ b/crates/pipithub-policy/tests/outliers.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{entry, large_tier, play, sent_to, settings, Bench, MS, THREE};
+use common::{Bench, MS, THREE, entry, large_tier, play, sent_to, settings};
 use pipithub_policy::api::{
     Action, Endpoint, EndpointState, FunctionId, Idempotency, Outcome, ReplicaStatus, Request,
     WorkerId,
--- a/crates/pipithub-policy/tests/plain/decide.rs
+++ b/crates/pipithub-policy/tests/plain/decide.rs
@@ -5,7 +5,7 @@
 //! or I/O: equal events give equal actions. Plain data stands in `src/state.rs`.
 
 pub(crate) use super::state::FrontEnd;
-use super::state::{draw, mix, Copies, Foreseen, Health, Node, Open, Sent, Told};
+use super::state::{Copies, Foreseen, Health, Node, Open, Sent, Told, draw, mix};
 use pipithub_policy::api::{
     Action, AttemptFinished, Class, DeduplicationScope, Endpoint, EndpointState, EndpointUpdate,
     Event, FunctionId, Idempotency, LoadFinished, LoadReport, Outcome, ReplicaStatus, Request,
@@ -233,7 +233,7 @@
             Event::Timer { token } if token & ASK_TOKEN > 0 => {
                 if let Some(worker) = self
                     .open
-                    .get(&(token & !ASK_TOKEN))
+                    .get(&RequestId(token & !ASK_TOKEN))
                     .and_then(|o| o.asks.clone())
                 {
                     self.told(&worker, None, actions);
@@ -242,8 +242,8 @@
             Event::Timer { token } => {
                 // The client's time may be all but over.
                 let over = |o: &Open| !o.streaming && self.now + 3 * self.s.tick >= o.deadline;
-                if self.open.get(&token).is_some_and(over) {
-                    self.end(token, actions);
+                if self.open.get(&RequestId(token)).is_some_and(over) {
+                    self.end(RequestId(token), actions);
                 }
             }
             Event::Peer { .. } => {}
@@ -606,19 +606,18 @@
             .nodes
             .get_mut(worker)
             .and_then(|n| n.copies.get_mut(&function))
+            && std::mem::take(&mut copies.ordered)
         {
-            if std::mem::take(&mut copies.ordered) {
-                if reply.outcome == Outcome::Served && count > 0 {
-                    (copies.count, copies.proven, copies.placed) = (count, true, true);
-                    (copies.ready, copies.used) = (copies.ready.min(self.now), self.now);
-                    if took as f64 > run {
-                        self.learn_load(function, took as f64);
-                    }
-                } else if count == 0 && !copies.proven {
-                    self.nodes
-                        .get_mut(worker)
-                        .map(|n| n.copies.remove(&function));
+            if reply.outcome == Outcome::Served && count > 0 {
+                (copies.count, copies.proven, copies.placed) = (count, true, true);
+                (copies.ready, copies.used) = (copies.ready.min(self.now), self.now);
+                if took as f64 > run {
+                    self.learn_load(function, took as f64);
                 }
+            } else if count == 0 && !copies.proven {
+                self.nodes
+                    .get_mut(worker)
+                    .map(|n| n.copies.remove(&function));
             }
         }
         for id in self.waiting(|o| o.parked && o.call.function == function) {
@@ -980,7 +979,7 @@
             });
             actions.push(Action::SetTimer {
                 after: ASK_WAIT,
-                token: id | ASK_TOKEN,
+                token: id.0 | ASK_TOKEN,
             });
             self.open
                 .entry(id)
@@ -1048,7 +1047,7 @@
             .or(program.told_load);
         // Two ticks early: the answer must be out before the client's time is up.
         let (id, after) = (call.id, budget.saturating_sub(2 * self.s.tick));
-        actions.push(Action::SetTimer { after, token: id });
+        actions.push(Action::SetTimer { after, token: id.0 });
         self.open.insert(
             id,
             Open {
--- a/crates/pipithub-policy/tests/queues.rs
+++ b/crates/pipithub-policy/tests/queues.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{failed, large_tier, probed, refused, report, sent_to, settings, Bench, MS, THREE};
+use common::{Bench, MS, THREE, failed, large_tier, probed, refused, report, sent_to, settings};
 use pipithub_policy::api::{Action, Event, Idempotency, Limits, Outcome, ReplicaStatus, Settings};
 
 #[test]
--- a/crates/pipithub-policy/tests/random.rs
+++ b/crates/pipithub-policy/tests/random.rs
@@ -4,13 +4,13 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use common::{settings, MS};
+use common::{MS, settings};
+use pipithub_policy::FrontEnd;
 use pipithub_policy::api::{
     Action, AttemptFinished, Class, DeduplicationScope, Endpoint, EndpointState, EndpointUpdate,
     Event, FunctionId, Idempotency, LoadFinished, LoadRateLimit, LoadReport, Outcome,
     ReplicaStatus, Request, RequestId, Time, WorkerId,
 };
-use pipithub_policy::FrontEnd;
 
 /// A small generator of our own, so that the sequences never change.
 struct Dice(u64);
@@ -66,8 +66,8 @@
         late_answer_weight: 0.0,
         ..s.classes[0].clone()
     });
-    s.loading.loads_on_request = seed % 3 != 0;
-    s.loading.reports_concurrency = seed % 2 == 0;
+    s.loading.loads_on_request = !seed.is_multiple_of(3);
+    s.loading.reports_concurrency = seed.is_multiple_of(2);
     s.front_ends = 1 + (seed % 3) as u32;
     let ration = LoadRateLimit {
         window: 5_000 * MS,
@@ -77,7 +77,11 @@
     s.loading.rate_limit = (seed % 2 == 1).then(|| ration.clone());
     let slack = 8 * MS;
     let mut front = FrontEnd::new(s.clone(), seed);
-    let mut now: Time = if seed % 4 == 0 { 0 } else { 77_000_000 * MS };
+    let mut now: Time = if seed.is_multiple_of(4) {
+        0
+    } else {
+        77_000_000 * MS
+    };
     let mut states: BTreeMap<WorkerId, (EndpointState, u64)> = BTreeMap::new();
     let mut known: BTreeMap<RequestId, Known> = BTreeMap::new();
     let mut out: Vec<(RequestId, u32, WorkerId)> = Vec::new();
@@ -113,7 +117,7 @@
                 token: dice.roll(1 << 40),
             },
             4 => Event::ClientCancelled {
-                request: dice.roll(next + 5),
+                request: RequestId(dice.roll(next + 5)),
             },
             5 => Event::LoadFinished(LoadFinished {
                 worker: WorkerId::new(&format!("w{}", dice.roll(12))),
@@ -167,7 +171,7 @@
                 let class = dice.roll(3) as usize;
                 let budget = [0, MS, 50 * MS, 2_000 * MS, 4_000 * MS][dice.roll(5) as usize];
                 known.insert(
-                    next,
+                    RequestId(next),
                     Known {
                         class,
                         deadline: now + budget,
@@ -177,7 +181,7 @@
                 call_times.push(now);
                 next += 1;
                 Event::Arrived(Request {
-                    id: next - 1,
+                    id: RequestId(next - 1),
                     function: FunctionId(dice.roll(9)),
                     class,
                     replica_concurrency: dice.roll(4) as u32,
@@ -219,20 +223,17 @@
                             "seed {seed}: drained or gone"
                         );
                         let effect = s.classes[k.class].idempotency;
-                        if let Some((first, cell)) = k.may_have_run.or(ran.map(|(_, c)| (0, c))) {
-                            if ran.is_none_or(|(r, _)| r == *request) || k.may_have_run.is_some() {
-                                assert_ne!(
-                                    effect,
-                                    Idempotency::NonIdempotent,
-                                    "seed {seed}: an effect twice"
-                                );
-                                if effect == Idempotency::WithKey && k.may_have_run.is_some() {
-                                    assert!(at < first + s.classes[k.class].deduplication_window);
-                                    assert_eq!(
-                                        states[worker].1, cell,
-                                        "seed {seed}: out of the group"
-                                    );
-                                }
+                        if let Some((first, cell)) = k.may_have_run.or(ran.map(|(_, c)| (0, c)))
+                            && (ran.is_none_or(|(r, _)| r == *request) || k.may_have_run.is_some())
+                        {
+                            assert_ne!(
+                                effect,
+                                Idempotency::NonIdempotent,
+                                "seed {seed}: an effect twice"
+                            );
+                            if effect == Idempotency::WithKey && k.may_have_run.is_some() {
+                                assert!(at < first + s.classes[k.class].deduplication_window);
+                                assert_eq!(states[worker].1, cell, "seed {seed}: out of the group");
                             }
                         }
                         // Until its outcome proves otherwise it may have run.
--- a/crates/pipithub-policy/tests/restarts.rs
+++ b/crates/pipithub-policy/tests/restarts.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{entry, play, sent_to, settings, Bench, MS, THREE};
+use common::{Bench, MS, THREE, entry, play, sent_to, settings};
 use pipithub_policy::api::{Endpoint, EndpointState, Idempotency, Outcome, WorkerId};
 
 #[test]
--- a/crates/pipithub-policy/tests/ring.rs
+++ b/crates/pipithub-policy/tests/ring.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
+use pipithub_policy::FrontEnd;
 use pipithub_policy::api::{
     Action, AttemptFinished, Class, Endpoint, EndpointState, EndpointUpdate, Event, FunctionId,
-    LoadReport, Outcome, Request, Settings, Time, WorkerId,
+    LoadReport, Outcome, Request, RequestId, Settings, Time, WorkerId,
 };
-use pipithub_policy::FrontEnd;
 
 const MS: Time = 1_000_000;
 const WORKERS: u64 = 3_000;
@@ -67,7 +67,7 @@
         self.now += MS;
         let id = self.calls;
         let call = Request {
-            id,
+            id: RequestId(id),
             function: FunctionId(function),
             replica_concurrency: 1,
             ..Request::default()
@@ -80,7 +80,7 @@
         let worker = sent.expect("an idle tier takes the call");
         // It leaves nothing behind that the next call would meet.
         self.event(Event::AttemptFinished(AttemptFinished {
-            request: id,
+            request: RequestId(id),
             attempt: 0,
             worker: worker.clone(),
             outcome: Outcome::NotLoaded,
--- a/crates/pipithub-policy/tests/rules.rs
+++ b/crates/pipithub-policy/tests/rules.rs
@@ -2,10 +2,10 @@
 
 mod common;
 
-use common::{entry, failed, held, refused, sent_to, settings, Bench, MS};
+use common::{Bench, MS, entry, failed, held, refused, sent_to, settings};
 use pipithub_policy::api::{
     Action, DeduplicationScope, Endpoint, EndpointState, EndpointUpdate, Event, Idempotency,
-    LoadRateLimit, Outcome, Request, SlowStart, Time, WorkerId,
+    LoadRateLimit, Outcome, Request, RequestId, SlowStart, Time, WorkerId,
 };
 
 #[test]
@@ -35,7 +35,7 @@
     let mut b = Bench::new(settings(Idempotency::NonIdempotent), &[]);
     let (_, actions) = b.call(1);
     let wanted = Action::Reject {
-        request: 1,
+        request: RequestId(1),
         retry_after: Some(500 * MS),
     };
     assert!(actions.contains(&wanted));
@@ -313,7 +313,7 @@
     let mut worker = sent_to(&actions);
     let mut attempts = 0;
     while let Some(w) = worker {
-        let again = b.event(Event::Timer { token: id });
+        let again = b.event(Event::Timer { token: id.0 });
         assert!(sent_to(&again).is_none(), "the first attempt is still out");
         b.now += 10 * MS;
         worker = sent_to(&b.finish(id, attempts, &w, Outcome::Rejected));
@@ -333,7 +333,7 @@
         .collect();
     // A call a second at each front end, by 16 functions.
     let home = sent_to(&tier[0].call(1).1).unwrap();
-    tier[0].finish(1, 0, &home, Outcome::Served);
+    tier[0].finish(RequestId(1), 0, &home, Outcome::Served);
     for b in &mut tier {
         for i in 0..20 {
             let (id, actions) = b.call(10 + (i * 7 + b.now / MS) % 16);
--- a/crates/pipithub-policy/tests/same.rs
+++ b/crates/pipithub-policy/tests/same.rs
@@ -3,13 +3,13 @@
 mod plain;
 mod world;
 
-use std::panic::{catch_unwind, AssertUnwindSafe};
+use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Instant;
 
 use pipithub_policy::api::{
-    Action, Endpoint, EndpointUpdate, Event, FunctionId, Request, Settings, WorkerId,
+    Action, Endpoint, EndpointUpdate, Event, FunctionId, Request, RequestId, Settings, WorkerId,
 };
-use pipithub_policy::{work, FrontEnd};
+use pipithub_policy::{FrontEnd, work};
 use world::{Counts, Day, World};
 
 /// Days of each of the tests below, which run at the same time.
@@ -156,7 +156,7 @@
     };
     let entries: Vec<Endpoint> = (0..20).map(entry).collect();
     let call = Request {
-        id: 1,
+        id: RequestId(1),
         function: FunctionId(42),
         timeout: Some(2_000_000_000),
         ..Request::default()
@@ -173,7 +173,11 @@
     work::taken();
     reference.handle(1_000_000, Event::Arrived(call), &mut actions);
     assert!(work::taken() >= 20, "it looks at every worker");
-    assert!(actions
-        .iter()
-        .any(|a| matches!(a, Action::Forward { request: 1, .. })));
+    assert!(actions.iter().any(|a| matches!(
+        a,
+        Action::Forward {
+            request: RequestId(1),
+            ..
+        }
+    )));
 }
--- a/crates/pipithub-policy/tests/slow_start/fleet.rs
+++ b/crates/pipithub-policy/tests/slow_start/fleet.rs
@@ -2,18 +2,18 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
+use pipithub_policy::FrontEnd;
 use pipithub_policy::api::{
     Action, AttemptFinished, Endpoint, EndpointState, EndpointUpdate, Event, FunctionId,
     FunctionLoading, Idempotency, LoadReport, Outcome, ReplicaStatus, Request, RequestId, Settings,
     Time, WorkerId,
 };
-use pipithub_policy::FrontEnd;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::common::{self, entry, settings, MS};
-use crate::scenario::{max_survivable, Scenario, Summary};
 use crate::SECOND;
+use crate::common::{self, MS, entry, settings};
+use crate::scenario::{Scenario, Summary, max_survivable};
 
 /// Time between a start and the moment the last front end is notified of it.
 const MAX_UPDATE_DELAY: Time = SECOND / 2;
@@ -135,7 +135,7 @@
         let function = FunctionId(number);
         let mut actions = Vec::new();
         let call = Request {
-            id: number,
+            id: RequestId(number),
             function,
             replica_concurrency: 64,
             timeout: Some(4 * SECOND),
@@ -149,7 +149,7 @@
         );
         let worker = common::sent_to(&actions).expect("a probeing call is sent");
         let answer = AttemptFinished {
-            request: number,
+            request: RequestId(number),
             attempt: 0,
             worker: worker.clone(),
             outcome: Outcome::Served,
@@ -212,7 +212,7 @@
             turns: vec![0; scenario.warming_places],
             functions: functions_by_first_choice(&all),
             attempts: BTreeMap::new(),
-            next_request: 1,
+            next_request: RequestId(1),
             queue: BTreeMap::new(),
             queued: 0,
             summary: Summary::default(),
@@ -310,7 +310,7 @@
             .min(self.shares.len() - 1);
         let place = self.random.random_range(0..self.scenario.warming_places);
         let function = self.functions[&self.names[place][self.turns[place]]];
-        self.next_request += 1;
+        self.next_request.0 += 1;
         let call = Request {
             id: self.next_request,
             function,
--- a/crates/pipithub-policy/tests/slow_start/scenario.rs
+++ b/crates/pipithub-policy/tests/slow_start/scenario.rs
@@ -95,11 +95,7 @@
 
     /// The size of the workers in a warming place.
     pub(super) fn size(&self, place: usize) -> f64 {
-        if place % 2 == 1 {
-            self.small_size
-        } else {
-            1.0
-        }
+        if place % 2 == 1 { self.small_size } else { 1.0 }
     }
 
     /// How often each place gets a new worker.
--- a/crates/pipithub-policy/tests/unforeseen.rs
+++ b/crates/pipithub-policy/tests/unforeseen.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{sent_to, settings, Bench, MS};
+use common::{Bench, MS, sent_to, settings};
 use pipithub_policy::api::{Action, Event, Idempotency, LoadReport, Outcome, WorkerId};
 
 #[test]
--- a/crates/pipithub-policy/tests/world/meter.rs
+++ b/crates/pipithub-policy/tests/world/meter.rs
@@ -3,9 +3,9 @@
 use std::time::Instant;
 
 use pipithub_policy::api::{Action, Event, Settings, Time};
-use pipithub_policy::{work, FrontEnd};
+use pipithub_policy::{FrontEnd, work};
 
-use super::{Day, World, MS};
+use super::{Day, MS, World};
 
 /// From this on tokens name the housekeeping timer, not a call.
 const CHORES_TOKEN: u64 = 1 << 62;
--- a/crates/pipithub-policy/tests/world/mod.rs
+++ b/crates/pipithub-policy/tests/world/mod.rs
@@ -90,7 +90,7 @@
         let mut world = World {
             counts: Counts::new(),
             now: day.start,
-            next_id: 1,
+            next_id: RequestId(1),
             next_name: 0,
             next_once: 0,
             happenings: BTreeMap::new(),
@@ -275,7 +275,7 @@
             What::Calls => {
                 let call = self.draw_call();
                 // Some come at once, the others after a drawn while.
-                let together = self.day.burst > 1 && self.next_id % self.day.burst != 0;
+                let together = self.day.burst > 1 && !self.next_id.0.is_multiple_of(self.day.burst);
                 let mean = if together {
                     0
                 } else {
@@ -287,8 +287,8 @@
                 return Some(self.arrive(call));
             }
             What::Again(mut call) => {
-                call.id = self.next_id | 1 << 40;
-                self.next_id += 1;
+                call.id = RequestId(self.next_id.0 | 1 << 40);
+                self.next_id.0 += 1;
                 self.count("asked again");
                 return Some(self.arrive(call));
             }
@@ -369,8 +369,8 @@
             _ => Some(give_up),
         };
         let expected = self.calls.random_bool(0.5).then(|| self.run_of(function));
-        let id = self.next_id | 1 << 40;
-        self.next_id += 1;
+        let id = RequestId(self.next_id.0 | 1 << 40);
+        self.next_id.0 += 1;
         Request {
             id,
             expected_work: expected,
@@ -385,7 +385,7 @@
 
     fn arrive(&mut self, call: Request) -> Event {
         self.count("arrived");
-        let mut dice = self.dice(5, call.id, 0);
+        let mut dice = self.dice(5, call.id.0, 0);
         if dice.random_bool(self.day.leaves) {
             let after = dice.random_range(MS..=self.day.leaves_within.max(MS));
             self.at(self.now + after, What::Left(call.id));
@@ -464,7 +464,7 @@
         if attempt > 0 {
             self.count("sent again");
         }
-        let mut dice = self.dice(8, request, u64::from(attempt));
+        let mut dice = self.dice(8, request.0, u64::from(attempt));
         let (now, day) = (self.now, &self.day);
         let chance = |dice: &mut SmallRng, p: f64| dice.random_range(0.0..1.0) < p;
         let machine = &self.machines[i];
@@ -610,7 +610,7 @@
 
     fn cancelled(&mut self, request: RequestId, attempt: u32) {
         self.count("cancel");
-        let mut dice = self.dice(11, request, u64::from(attempt));
+        let mut dice = self.dice(11, request.0, u64::from(attempt));
         let machine = self
             .clients
             .get(&request)
@@ -644,7 +644,7 @@
         };
         client.over = true;
         let call = client.call.clone();
-        let mut dice = self.dice(12, request, 0);
+        let mut dice = self.dice(12, request.0, 0);
         if dice.random_bool(self.day.retries) && self.clients.len() < 400 {
             let after = away + dice.random_range(0..300) * MS;
             self.at(self.now + after, What::Again(call));
--- a/crates/pipithub-policy/tests/zones.rs
+++ b/crates/pipithub-policy/tests/zones.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{entry, large_tier, play, sent_to, Bench, MS};
+use common::{Bench, MS, entry, large_tier, play, sent_to};
 use pipithub_policy::api::{
     AttemptFinished, Endpoint, EndpointState, Event, LoadReport, Outcome, WorkerId,
 };
