--- a/crates/pipithub-gateway/tests/tenants/random_days.rs
+++ b/crates/pipithub-gateway/tests/tenants/random_days.rs
@@ -6,7 +6,7 @@
 use pipithub_emulator::clock::wall_ns;
 use pipithub_emulator::directory::DirectoryServer;
 use pipithub_gateway::Gateway;
-use pipithub_scenario::client::{Publish, QueueClient};
+use pipithub_scenario::client::{Answer, Publish, QueueClient};
 use pipithub_scenario::random::SplitMix64;
 
 use crate::rig::{Stage, answer, call, directory, tree};
@@ -22,16 +22,48 @@
 const RANDOM_SIDE_PART: f64 = 0.1;
 /// The part of the calls after which their user moves.
 const MOVE_PART: f64 = 0.02;
-/// How long after a move a call may still be sent to the side that was left.
+/// Days that run at the same time, at the most.
+const MAX_PARALLEL_DAYS: usize = 4;
+const NANOS_PER_SECOND: u64 = 1_000_000_000;
+/// Served calls after which a day ends.
+const SERVED_CALLS_PER_DAY: usize = 1_700;
+/// Calls after which a day ends all the same: it has shown too little, and the test fails.
+const MAX_CALLS_PER_DAY: usize = 10_000;
+/// How long after a migration a call may still be sent to the tenant that was left.
 ///
 /// The bound that the settings state is the hard one, 1 s, counted from when a server that can be reached knows: half of
 /// `fresh` until it is heard, after up to 400 ms of a fault and 600 ms of its breaker. Then the way to a worker, on a
 /// machine that is busy.
 const CROSSING_BOUND: Duration = Duration::from_secs(4);
 
-/// A user on a side, from a time on.
+/// When a directory was changed, in Unix nanoseconds. The thread that changes it may be put off before and after, so the
+/// instant itself lies between two readings of the clock.
+#[derive(Clone, Copy)]
+struct ChangeTime {
+    earliest: u64,
+    latest: u64,
+}
+
+impl ChangeTime {
+    const BEFORE_THE_DAY: ChangeTime = ChangeTime {
+        earliest: 0,
+        latest: 0,
+    };
+
+    /// The time of a change, taken around it.
+    fn of(change: impl FnOnce()) -> Self {
+        let earliest = wall_ns();
+        change();
+        ChangeTime {
+            earliest,
+            latest: wall_ns(),
+        }
+    }
+}
+
+/// A user on a side, from a change on.
 struct Stay {
-    from: u64,
+    from: ChangeTime,
     side: &'static str,
 }
 
@@ -48,22 +80,38 @@
         User {
             name: format!("u{number}"),
             side,
-            stays: vec![Stay { from: 0, side }],
+            stays: vec![Stay {
+                from: ChangeTime::BEFORE_THE_DAY,
+                side,
+            }],
         }
     }
 
-    /// Whether the user was on this side at this time, or had left it no longer before than the bound.
-    fn was_on(&self, side: &str, at: u64) -> bool {
+    /// Whether the user may have been on this side at this time, or had left it no longer before than the bound.
+    fn may_have_been_on(&self, side: &str, at: u64) -> bool {
         let bound = CROSSING_BOUND.as_nanos() as u64;
         self.stays.iter().enumerate().any(|(number, stay)| {
             let until = self
                 .stays
                 .get(number + 1)
-                .map_or(u64::MAX, |next| next.from);
-            stay.side == side && stay.from <= at && until.saturating_add(bound) >= at
+                .map_or(u64::MAX, |next| next.from.latest);
+            stay.side == side && stay.from.earliest <= at && until.saturating_add(bound) >= at
         })
     }
 
+    /// Moves the user to the other side; `migrate` is handed their name in the directory and that side.
+    fn migrate(&mut self, migrate: impl FnOnce(&str, &str)) {
+        let to = if self.side == SIDES[0] {
+            SIDES[1]
+        } else {
+            SIDES[0]
+        };
+        let dn = self.dn();
+        let from = ChangeTime::of(|| migrate(&dn, to));
+        self.side = to;
+        self.stays.push(Stay { from, side: to });
+    }
+
     fn dn(&self) -> String {
         format!("uid={},ou={},dc=example", self.name, self.side)
     }
@@ -75,9 +123,13 @@
     side: &'static str,
 }
 
+#[derive(Default)]
 struct DayResult {
     calls: usize,
+    /// Calls that reached a worker.
     runs: usize,
+    /// Calls that were answered as served.
+    served: usize,
     /// Calls that ran on a side on which their user had not been for longer than the bound.
     crossings: Vec<String>,
 }
@@ -90,6 +142,7 @@
     stale: usize,
     wanted: BTreeMap<String, Wanted>,
     answered: usize,
+    served: usize,
     client: QueueClient,
     _gateway: Gateway,
     servers: [DirectoryServer; 2],
@@ -116,6 +169,7 @@
             stale: 0,
             wanted: BTreeMap::new(),
             answered: 0,
+            served: 0,
             _gateway: Gateway::start(&config),
             client: stage.client(),
             servers,
@@ -123,21 +177,21 @@
         }
     }
 
-    /// Sends calls for this long, and waits until all are answered.
-    async fn run(mut self, length: Duration) -> DayResult {
+    /// Sends calls until enough were served, and waits until all are answered.
+    async fn run(mut self) -> DayResult {
         let began = Instant::now();
         let mut next_fault = FIRST_FAULT;
         let mut pause = tokio::time::interval(CALL_INTERVAL);
-        while began.elapsed() < length {
+        while self.served < SERVED_CALLS_PER_DAY && self.wanted.len() < MAX_CALLS_PER_DAY {
             pause.tick().await;
-            while self.client.answers.try_recv().is_ok() {
-                self.answered += 1;
+            while let Ok(answer) = self.client.answers.try_recv() {
+                self.count(&answer);
             }
             let user = self.random.below(self.users.len());
             let call = self.draw_call(user);
             self.client.calls.send(call).await.expect("running");
             if self.random.unit() < MOVE_PART {
-                self.move_user(user);
+                self.migrate_user(user);
             }
             if began.elapsed().as_secs_f64() > next_fault {
                 next_fault += FAULT_INTERVAL;
@@ -145,16 +199,22 @@
             }
         }
         while self.answered < self.wanted.len() {
-            answer(&mut self.client).await;
-            self.answered += 1;
+            let answer = answer(&mut self.client).await;
+            self.count(&answer);
         }
         DayResult {
             calls: self.wanted.len(),
             runs: self.stage.sent().len(),
+            served: self.served,
             crossings: self.crossings(),
         }
     }
 
+    fn count(&mut self, answer: &Answer) {
+        self.answered += 1;
+        self.served += usize::from(answer.verdict == "served");
+    }
+
     fn draw_call(&mut self, user: usize) -> Publish {
         let side = if self.random.unit() < RANDOM_SIDE_PART {
             SIDES[self.random.below(2)]
@@ -167,23 +227,11 @@
         call
     }
 
-    /// Moves a user to the other side at one server; the other may not hear of it until its fault is over.
-    fn move_user(&mut self, user: usize) {
-        let user = &mut self.users[user];
-        let to = if user.side == "north" {
-            "south"
-        } else {
-            "north"
-        };
-        for (number, server) in self.servers.iter().enumerate() {
-            if number != self.stale {
-                server.move_to(&user.dn(), &format!("ou={to},dc=example"));
-            }
-        }
-        user.side = to;
-        user.stays.push(Stay {
-            from: wall_ns(),
-            side: to,
+    /// Moves a user to the other side at one server; the other one hears of it when it next catches up.
+    fn migrate_user(&mut self, user: usize) {
+        let newest = &self.servers[1 - self.stale];
+        self.users[user].migrate(|dn, side| {
+            newest.move_to(dn, &format!("ou={side},dc=example"));
         });
     }
 
@@ -218,7 +266,7 @@
             let wanted = &self.wanted[&run.request];
             let user = &self.users[wanted.user];
             let side = run.function.strip_suffix("-map").unwrap_or_default();
-            if !user.was_on(side, run.at) || wanted.side != side {
+            if !user.may_have_been_on(side, run.at) || wanted.side != side {
                 crossings.push(format!(
                     "{} of {} ran {}",
                     run.request, user.name, run.function
@@ -230,29 +278,21 @@
 }
 
 async fn run_day(seed: u64) -> DayResult {
-    Day::start(seed).await.run(Duration::from_secs(8)).await
+    Day::start(seed).await.run().await
 }
 
-/// `PIPITHUB_SEEDS` sets how many days are run.
-#[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn no_call_crosses_tenants_on_days_of_moves_faults_and_stale_replicas() {
-    let seeds: u64 = std::env::var("PIPITHUB_SEEDS")
-        .ok()
-        .and_then(|s| s.parse().ok())
-        .unwrap_or(4);
+/// Runs the days of these seeds, four at a time at the most.
+async fn run_days(seeds: u64) -> DayResult {
     let mut days = tokio::task::JoinSet::new();
-    let mut total = DayResult {
-        calls: 0,
-        runs: 0,
-        crossings: Vec::new(),
-    };
+    let mut total = DayResult::default();
     let mut add = |day: DayResult| {
         total.calls += day.calls;
         total.runs += day.runs;
+        total.served += day.served;
         total.crossings.extend(day.crossings);
     };
     for seed in 0..seeds {
-        if days.len() >= 4
+        if days.len() >= MAX_PARALLEL_DAYS
             && let Some(day) = days.join_next().await
         {
             add(day.expect("a day ends"));
@@ -262,18 +302,60 @@
     while let Some(day) = days.join_next().await {
         add(day.expect("a day ends"));
     }
+    total
+}
+
+/// `PIPITHUB_SEEDS` sets how many days are run.
+#[tokio::test(flavor = "multi_thread", worker_threads = 4)]
+async fn no_call_crosses_tenants_on_days_of_migrations_faults_and_stale_replicas() {
+    let seeds: u64 = std::env::var("PIPITHUB_SEEDS")
+        .ok()
+        .and_then(|s| s.parse().ok())
+        .unwrap_or(4);
     let DayResult {
         calls,
         runs,
+        served,
         crossings,
-    } = total;
+    } = run_days(seeds).await;
     println!(
-        "{seeds} days, {calls} calls, {runs} sent, {} crossings",
+        "{seeds} days, {calls} calls, {runs} sent, {served} served, {} crossings",
         crossings.len()
     );
     assert!(crossings.is_empty(), "{crossings:?}");
     assert!(
-        runs * 2 > calls,
-        "only {runs} of {calls} were sent: the days show nothing"
+        served >= seeds as usize * SERVED_CALLS_PER_DAY,
+        "only {served} of {calls} were served: the days show nothing"
     );
 }
+
+/// A user who was moved from north to south between the seconds 10 and 11, as the clock was read.
+fn migrated_user() -> User {
+    let mut user = User::new(0);
+    user.stays.push(Stay {
+        from: ChangeTime {
+            earliest: 10 * NANOS_PER_SECOND,
+            latest: 11 * NANOS_PER_SECOND,
+        },
+        side: SIDES[1],
+    });
+    user
+}
+
+#[test]
+fn call_to_former_tenant_is_a_crossing_once_the_bound_after_the_latest_time_of_the_change_is_over()
+{
+    let bound = CROSSING_BOUND.as_nanos() as u64;
+    let latest = 11 * NANOS_PER_SECOND;
+    let user = migrated_user();
+    assert!(user.may_have_been_on(SIDES[0], latest + bound));
+    assert!(!user.may_have_been_on(SIDES[0], latest + bound + 1));
+}
+
+#[test]
+fn call_to_next_tenant_is_a_crossing_before_the_earliest_time_of_the_change() {
+    let earliest = 10 * NANOS_PER_SECOND;
+    let user = migrated_user();
+    assert!(!user.may_have_been_on(SIDES[1], earliest - 1));
+    assert!(user.may_have_been_on(SIDES[1], earliest));
+}
