--- a/crates/pipithub-policy/src/api.rs
+++ b/crates/pipithub-policy/src/api.rs
@@ -9,7 +9,7 @@
 
 /// Identifies one attempt of a client at a request; never used twice.
 ///
-/// Numbers are chosen by the caller. They stay under 2^61, as timers carry them in their tokens beside a mark.
+/// The caller chooses the numbers. They must stay under 2^61, as timer tokens carry them beside a mark.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
