--- a/crates/pipithub-membership/src/envelope.rs
+++ b/crates/pipithub-membership/src/envelope.rs
@@ -1,4 +1,4 @@
-//! The format of datagrams: magic, version, cluster tag, and a message.
+//! The datagram format: a magic number, the version, the cluster tag, and one message.
 
 use foca::{Codec, PostcardCodec};
 use serde::{Deserialize, Serialize};
@@ -6,11 +6,11 @@
 
 use crate::identity::Identity;
 
-/// The version that this program writes.
+/// Format version of the datagrams that are sent.
 const WIRE_VERSION: u8 = 1;
-/// The oldest version that it reads: versions that differ by one are compatible.
+/// Oldest format version that is accepted: versions that differ by one are compatible.
 const MIN_WIRE_VERSION: u8 = 0;
-/// The newest version that it reads.
+/// Newest format version that is accepted.
 const MAX_WIRE_VERSION: u8 = WIRE_VERSION + 1;
 
 const MAGIC: [u8; 2] = *b"pm";
@@ -18,24 +18,24 @@
 const TAG_OFFSET: usize = VERSION_OFFSET + 1;
 const TAG_LENGTH: usize = 8;
 const HEADER_LENGTH: usize = TAG_OFFSET + TAG_LENGTH;
-/// Most messages fit into it without another allocation.
+/// Initial size of the buffer for a datagram, in bytes; most datagrams fit into it.
 const INITIAL_CAPACITY: usize = 256;
 
-/// Marks the datagrams of one cluster; derived from its name.
+/// Identifies the cluster that a datagram belongs to: the first bytes of the SHA-256 digest of the cluster's name.
 pub(crate) type ClusterTag = [u8; TAG_LENGTH];
 
 /// The message in a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Envelope {
-    /// A process that knows nobody asks who is there, and whether its own name is free.
+    /// A process asks to join, and whether a run that is at least as recent already uses its name.
     JoinRequest(Identity),
-    /// The answer of a member that accepts the process: the member's own identity.
+    /// A member accepts the process and states its own identity.
     JoinAccepted(Identity),
-    /// The answer of a member that knows a run of that name which is not older.
+    /// A member rejects the process, because it knows a run of that name which is not older.
     NameTaken {
         /// The run that is known.
         known: Identity,
-        /// Whether that run is believed to take part now.
+        /// Whether that run is believed to be a member now.
         active: bool,
     },
     /// A message of the SWIM engine.
@@ -45,21 +45,21 @@
 /// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RejectReason {
-    /// It belongs to another protocol.
-    #[error("no datagram of a fleet")]
+    /// It does not begin with the header of this protocol.
+    #[error("not a membership datagram")]
     ForeignProtocol,
-    /// It belongs to another cluster.
+    /// Its cluster tag is another cluster's.
     #[error("of another cluster")]
     OtherCluster,
-    /// Its version is not supported.
-    #[error("of version {0}, which is not read here")]
+    /// Its format version is not supported.
+    #[error("unsupported version {0}")]
     UnsupportedVersion(u8),
-    /// It cannot be decoded.
-    #[error("damaged")]
+    /// Its message cannot be decoded.
+    #[error("malformed")]
     Malformed,
 }
 
-/// The tag of a cluster's name.
+/// Derives the tag of a cluster from its name.
 pub(crate) fn cluster_tag(cluster: &str) -> ClusterTag {
     let digest = Sha256::digest(cluster.as_bytes());
     let mut tag = ClusterTag::default();
@@ -68,8 +68,7 @@
 }
 
 impl Envelope {
-    /// Encodes a datagram; `None` where the message cannot be encoded, which only happens to values that were never
-    /// received.
+    /// Encodes a datagram. Returns `None` if the serializer fails, which no value of this type makes it do.
     pub(crate) fn encode(&self, tag: ClusterTag) -> Option<Vec<u8>> {
         let mut bytes = Vec::with_capacity(INITIAL_CAPACITY);
         bytes.extend(MAGIC);
@@ -78,7 +77,7 @@
         postcard::to_extend(self, bytes).ok()
     }
 
-    /// Decodes a datagram of this cluster.
+    /// Decodes a datagram of the cluster with this tag.
     pub(crate) fn decode(bytes: &[u8], tag: ClusterTag) -> Result<Envelope, RejectReason> {
         if bytes.len() < HEADER_LENGTH || !bytes.starts_with(&MAGIC) {
             return Err(RejectReason::ForeignProtocol);
@@ -90,15 +89,15 @@
         if !(MIN_WIRE_VERSION..=MAX_WIRE_VERSION).contains(&version) {
             return Err(RejectReason::UnsupportedVersion(version));
         }
-        // A newer version may only add fields at the end, or messages that are not understood here.
+        // A newer version may add fields at the end, which are ignored, or kinds of messages, which are malformed here.
         postcard::take_from_bytes(&bytes[HEADER_LENGTH..])
             .map(|(envelope, _)| envelope)
             .map_err(|_| RejectReason::Malformed)
     }
 }
 
-/// The run that a datagram says that it takes part as, for observers of the network. `None` where the datagram is not of
-/// this cluster, cannot be decoded, or comes from a process that only asks.
+/// The identity under which the sender of a datagram claims to be a member, for observers of the network. Returns
+/// `None` if the datagram belongs to another cluster, cannot be decoded, or makes no such claim.
 pub fn sender_identity(bytes: &[u8], cluster: &str) -> Option<Identity> {
     match Envelope::decode(bytes, cluster_tag(cluster)).ok()? {
         Envelope::JoinAccepted(member) => Some(member),
@@ -107,7 +106,7 @@
     }
 }
 
-/// The sender of a SWIM message.
+/// The sender that the header of a SWIM message states; `None` if the header cannot be decoded.
 pub(crate) fn swim_sender(data: &[u8]) -> Option<Identity> {
     let header: foca::Header<Identity> = PostcardCodec.decode_header(data).ok()?;
     Some(header.src)
--- a/crates/pipithub-membership/src/generation.rs
+++ b/crates/pipithub-membership/src/generation.rs
@@ -1,52 +1,53 @@
-//! The generation record: its text on disk, and which generation a start takes. Files are read and written by the caller.
+//! The generation record: its text format, and the rule by which a starting process takes its generation. The caller
+//! reads and writes the file.
 
 use sha2::{Digest, Sha256};
 
 use crate::identity::DiskState;
 
-/// First line of the text, with the version of its format.
+/// First line of the text, which includes the version of the format.
 const HEADER: &str = "pipithub generation 1";
-/// Bytes of the digest that the checksum shows.
+/// Bytes of the SHA-256 digest that the checksum consists of.
 const CHECKSUM_BYTES: usize = 8;
 
-/// What a front end's data folder says about its name.
+/// The last generation that a front end took, as stored in its data folder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GenerationRecord {
     /// The cluster that the folder belongs to.
     pub cluster: String,
-    /// The name that uses the folder.
+    /// The name of the front end that the folder belongs to.
     pub name: String,
-    /// The last generation that was taken.
+    /// The last generation that was taken; the first one is 1.
     pub generation: u64,
 }
 
-/// What a start takes from its data folder.
+/// The generation that a starting process takes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NextGeneration {
-    /// The record to save before anything is sent.
+    /// The record with the new generation, to be saved before anything is sent.
     pub record: GenerationRecord,
-    /// Whether there was a former record.
+    /// [`DiskState::Intact`] if there was a former record, [`DiskState::Empty`] if not.
     pub disk: DiskState,
 }
 
 /// Why a record cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// Its text is damaged. It must not count as empty, because a lost generation would be used twice.
+    /// Its text is damaged. It is not treated as empty, because generations would then be used twice.
     #[error(
         "the generation record is damaged ({0}); put back a good copy, or remove it to start as an empty disk"
     )]
     Malformed(&'static str),
-    /// It belongs to another front end.
+    /// It belongs to another front end or cluster.
     #[error("the folder belongs to front end '{name}' of cluster '{cluster}'")]
     OtherOwner {
-        /// Name of the owner.
+        /// Name of the front end in the record.
         name: String,
-        /// Cluster of the owner.
+        /// Cluster in the record.
         cluster: String,
     },
-    /// No generation is left.
-    #[error("generation {0} is the last that can be counted")]
+    /// The generation in the record is the largest that there is.
+    #[error("generation {0} has no successor")]
     Exhausted(u64),
 }
 
@@ -59,7 +60,7 @@
 }
 
 impl GenerationRecord {
-    /// The record as text.
+    /// Encodes the record as text: header, cluster, name, generation and checksum, one a line.
     pub fn encode(&self) -> String {
         let body = format!(
             "{HEADER}\n{}\n{}\n{}\n",
@@ -68,18 +69,21 @@
         format!("{body}{}\n", checksum(&body))
     }
 
-    /// Reads a text that [`GenerationRecord::encode`] wrote.
+    /// Decodes a text of [`GenerationRecord::encode`].
+    ///
+    /// # Errors
+    /// [`RecordError::Malformed`] if the text is truncated, altered or of another version.
     pub fn decode(text: &str) -> Result<GenerationRecord, RecordError> {
-        let truncated = RecordError::Malformed("it breaks off");
+        let truncated = RecordError::Malformed("it is truncated");
         let text = text.strip_suffix('\n').ok_or(truncated.clone())?;
         let body_length = text.rfind('\n').ok_or(truncated)? + 1;
         let (body, sum) = text.split_at(body_length);
         if checksum(body) != sum {
-            return Err(RecordError::Malformed("its check sum is another"));
+            return Err(RecordError::Malformed("its checksum does not match"));
         }
         let mut lines = body.lines();
         if lines.next() != Some(HEADER) {
-            return Err(RecordError::Malformed("it is of another version"));
+            return Err(RecordError::Malformed("its version is not supported"));
         }
         let (cluster, name, generation) = (lines.next(), lines.next(), lines.next());
         let (Some(cluster), Some(name), Some(generation)) = (cluster, name, generation) else {
@@ -87,7 +91,7 @@
         };
         let generation = generation
             .parse()
-            .map_err(|_| RecordError::Malformed("its generation is no number"))?;
+            .map_err(|_| RecordError::Malformed("its generation is not a number"))?;
         Ok(GenerationRecord {
             cluster: cluster.into(),
             name: name.into(),
@@ -95,7 +99,11 @@
         })
     }
 
-    /// What a start takes that found `text` in its data folder.
+    /// The generation that a process takes which starts as `name` and found `text` in its data folder; `None` if the
+    /// folder holds no record.
+    ///
+    /// # Errors
+    /// The record is malformed, belongs to another front end or cluster, or has no next generation.
     pub fn next(
         text: Option<&str>,
         cluster: &str,
--- a/crates/pipithub-membership/src/health.rs
+++ b/crates/pipithub-membership/src/health.rs
@@ -1,45 +1,47 @@
-//! Local health, as in Lifeguard: a process whose probes all fail, or that runs late, doubts itself before others.
+//! Local health, as in Lifeguard: a process whose probes all fail, or that is scheduled late, probes with longer
+//! timeouts, since the fault may be its own.
 
 use crate::Time;
 
-/// The worst score.
+/// Upper bound of the score.
 const MAX_SCORE: u32 = 8;
-/// A stall counts more than a failed probe: what was missed meanwhile says nothing about others.
+/// Points that a stall adds. It counts more than a failed probe, because answers that were missed during the stall say
+/// nothing about other members.
 const STALL_PENALTY: u32 = 2;
 
-/// How far this process should doubt its own probes; Lifeguard's local health multiplier.
+/// The score that Lifeguard calls the local health multiplier: 0 is healthy, [`MAX_SCORE`] the worst.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct LocalHealth {
     score: u32,
 }
 
 impl LocalHealth {
-    /// 0 is healthy; each point extends own probes by their usual duration.
+    /// The score. Each point extends the timeouts of this process's probes by their usual duration.
     pub(crate) fn score(self) -> u32 {
         self.score
     }
 
-    /// A probe was answered neither directly nor through others.
+    /// Records a probe that was answered neither directly nor through other members.
     pub(crate) fn probe_failed(&mut self) {
         self.worsen(1);
     }
 
-    /// A probe was answered.
+    /// Records an answer to a probe.
     pub(crate) fn probe_answered(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    /// Others declared this process dead, wrongly.
+    /// Records that other members declared this process dead although it runs.
     pub(crate) fn declared_dead(&mut self) {
         self.worsen(1);
     }
 
-    /// This process did not run while its timers were due.
+    /// Records that this process did not run while its timers were due.
     pub(crate) fn stalled(&mut self) {
         self.worsen(STALL_PENALTY);
     }
 
-    /// A usual duration, extended by the score.
+    /// A timeout, extended by the score.
     pub(crate) fn scaled(self, usual: Time) -> Time {
         usual.saturating_mul(Time::from(self.score) + 1)
     }
--- a/crates/pipithub-membership/src/identity.rs
+++ b/crates/pipithub-membership/src/identity.rs
@@ -1,42 +1,42 @@
-//! The identity of a process of the cluster.
+//! The identity of a member, and the order of two runs with one name.
 
 use std::net::SocketAddr;
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
-/// What a process knows about the disk that it started with.
+/// What a process knows about the data folder that it started with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum DiskState {
-    /// It holds what the former run wrote last, as far as anybody knows.
+    /// It holds what the former run wrote last, as far as this process and the members that it asked know.
     Intact,
-    /// It was empty: whatever was on it is lost.
+    /// It held no generation record: whatever former runs stored is lost.
     Empty,
-    /// It is an older copy, because the cluster has seen a later generation: nothing on it may be trusted.
+    /// It is an old copy, because the cluster has seen a later generation. Nothing on it may be relied on.
     Stale,
 }
 
-/// One run of a process of the cluster. Two runs never share an identity: each start takes a new generation, written to
-/// disk before it is used, and draws a random boot id in case two runs take the same generation.
+/// Identifies one run of a front end. Each start takes a new generation, which is on disk before it is used. Two runs
+/// can still take the same generation, from copies of one disk; the random boot id distinguishes them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Identity {
-    /// Name of the front end, by which operators know it.
+    /// Name of the front end in the settings; the same in all of its runs.
     pub name: String,
-    /// Address that it receives datagrams on.
+    /// Address at which it receives datagrams.
     pub address: SocketAddr,
-    /// Its zone; empty where there are none.
+    /// Name of its zone; empty if it has none.
     pub zone: String,
-    /// Counts the starts of this name.
+    /// Number of the start under this name, from 1.
     pub generation: u64,
-    /// Drawn at random at the start.
+    /// Random number, drawn at the start.
     pub boot_id: u64,
-    /// Counts how often this run came back after others declared it dead.
+    /// How often this run took a new identity after other members declared it dead.
     pub renewal: u32,
-    /// What it knows about its disk.
+    /// State of the data folder that it started with.
     pub disk: DiskState,
 }
 
-/// Order of the runs of one name.
+/// Order of the runs of one name, by generation, then boot id, then renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Rank {
     generation: u64,
@@ -45,8 +45,8 @@
 }
 
 impl Identity {
-    /// Its rank among the runs of its name: of two, the higher one stays. Renewals count least, because two runs with one
-    /// name would otherwise displace each other for ever.
+    /// Rank among the runs of one name: of two runs that are both members, the higher one stays. Renewals count least,
+    /// because two runs of one name would otherwise displace each other for ever.
     pub(crate) fn rank(&self) -> Rank {
         Rank {
             generation: self.generation,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Whether it is the same run, renewed or not.
+    /// Whether both identities belong to the same run; they may differ in their renewals.
     pub fn same_run(&self, other: &Identity) -> bool {
         self.name == other.name
             && self.generation == other.generation
@@ -64,7 +64,8 @@
 }
 
 impl foca::Identity for Identity {
-    // The engine asks for it for every member that it compares in a search; names of up to 24 bytes need no allocation.
+    // The engine calls `addr` for every member that it compares in a search; names of up to 24 bytes need no
+    // allocation.
     type Addr = CompactString;
 
     fn renew(&self) -> Option<Self> {
--- a/crates/pipithub-membership/src/lib.rs
+++ b/crates/pipithub-membership/src/lib.rs
@@ -1,13 +1,15 @@
-//! Cluster membership without I/O: SWIM with suspicion, incarnations that outlive restarts, and views that show their age.
+//! Cluster membership without I/O: the SWIM failure detector with suspicion, incarnations that survive restarts, and
+//! views that state how old they are.
 //!
-//! [`Membership`] takes datagrams, time and the confirmation that a generation is on disk; it returns datagrams, records to
-//! save and events. Around the SWIM engine of `foca` it adds what a front end needs: a cluster tag that keeps foreign
-//! datagrams out, joining through several seeds, a *generation* on disk so that a restarted process is never taken for its
-//! former run, local health as in Lifeguard, detection of stale disks and of duplicate identities, and a view that shows how
-//! old each part of it is. The view is evidence, never an order.
+//! [`Membership`] takes datagrams, time and the confirmation that a generation is on disk. It returns datagrams to
+//! send, records to save and events. To the SWIM engine of the `foca` crate it adds a cluster tag that rejects
+//! datagrams of other clusters, joining through several seeds, a *generation* on disk that distinguishes a restarted
+//! process from its former run, local health as in Lifeguard, detection of stale disks and of duplicate identities, and
+//! the time of the last contact with each member. A view is information about the cluster; no decision about requests
+//! is derived from it.
 //!
-//! Sources: Das, Gupta, Motivala, *SWIM* (DSN 2002); Dadgar, Phillips, Currey, *Lifeguard* (DSN-W 2018). The options that
-//! were considered are listed in `docs/membership.md`.
+//! Sources: Das, Gupta, Motivala, *SWIM* (DSN 2002); Dadgar, Phillips, Currey, *Lifeguard* (DSN-W 2018). The options
+//! that were considered are listed in `docs/membership.md`.
 
 mod envelope;
 mod event;
--- a/crates/pipithub-membership/src/member_table.rs
+++ b/crates/pipithub-membership/src/member_table.rs
@@ -1,4 +1,4 @@
-//! The member table: what this process believes about each other member, by name.
+//! The member table: the last known identity and state of each other member, by name.
 
 use std::collections::BTreeMap;
 
@@ -6,23 +6,23 @@
 use crate::identity::Identity;
 use crate::view::{Member, MemberState};
 
-/// A change of one row.
+/// A change of one row of the table.
 #[derive(Debug)]
 pub(crate) struct Change<'a> {
-    /// The row before; `None` where the name was unknown.
+    /// The row before the change; `None` if the name was unknown.
     pub(crate) before: Option<Member>,
-    /// The row now.
+    /// The row after the change.
     pub(crate) after: &'a Member,
 }
 
 impl Change<'_> {
-    /// The run that the name belonged to before, where it was another one.
+    /// The run that used the name before; `None` if the name was unknown or the run is still the same.
     pub(crate) fn replaced_run(&self) -> Option<&Identity> {
         let before = &self.before.as_ref()?.identity;
         (!before.same_run(&self.after.identity)).then_some(before)
     }
 
-    /// The state that the same run was in before.
+    /// The state that this run was in before; `None` if the run was unknown.
     pub(crate) fn previous_state(&self) -> Option<MemberState> {
         let before = self.before.as_ref()?;
         before
@@ -32,7 +32,7 @@
     }
 }
 
-/// All other members, and when any of them was last heard from.
+/// All other members, and the time of the last message from any of them.
 #[derive(Debug, Default)]
 pub(crate) struct MemberTable {
     rows: BTreeMap<String, Member>,
@@ -40,34 +40,34 @@
 }
 
 impl MemberTable {
-    /// The member of this name.
+    /// The member of this name, if it is known.
     pub(crate) fn get(&self, name: &str) -> Option<&Member> {
         self.rows.get(name)
     }
 
-    /// All members, by name.
+    /// All members, in the order of their names.
     pub(crate) fn members(&self) -> impl Iterator<Item = &Member> {
         self.rows.values()
     }
 
-    /// How many members are known, dead ones included.
+    /// Number of known members, including those that are down.
     pub(crate) fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// How many members are not down.
+    /// Number of members that are not down.
     pub(crate) fn active_count(&self) -> usize {
         self.members()
             .filter(|member| member.state != MemberState::Down)
             .count()
     }
 
-    /// When any member was last heard from.
+    /// When the last message from any member was received; `None` before the first one.
     pub(crate) fn last_heard(&self) -> Option<Time> {
         self.last_heard
     }
 
-    /// Records a member's identity and state; `None` where both are known already.
+    /// Sets the identity and state of a member. Returns the change, or `None` if the row already has both.
     pub(crate) fn update(
         &mut self,
         identity: &Identity,
@@ -78,7 +78,7 @@
         if known.is_some_and(|row| row.identity == *identity && row.state == state) {
             return None;
         }
-        // A renewed identity is the same process; another run was never heard from.
+        // A renewed identity is the same run, so the time of its last message stays; another run has sent nothing yet.
         let last_heard = known
             .filter(|row| row.identity.same_run(identity))
             .and_then(|row| row.last_heard);
@@ -93,7 +93,7 @@
         Some(Change { before, after })
     }
 
-    /// A member itself sent a message.
+    /// Records that a message from this member itself was received.
     pub(crate) fn record_heard(&mut self, identity: &Identity, now: Time) {
         self.last_heard = Some(now);
         if let Some(row) = self
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Removes members that have been down for the whole retention.
+    /// Removes members that have been down for at least `retention`.
     pub(crate) fn expire_dead(&mut self, now: Time, retention: Time) {
         self.rows.retain(|_, member| {
             member.state != MemberState::Down || now.saturating_sub(member.since) < retention
--- a/crates/pipithub-membership/src/membership.rs
+++ b/crates/pipithub-membership/src/membership.rs
@@ -1,7 +1,8 @@
 //! The membership of one process: its state, its inputs and its timers.
 //!
-//! Three concerns have modules of their own: `join` is the protocol by which a process enters the cluster, `swim` drives
-//! the failure detector, and `reconcile` turns what the failure detector believes into the member table and events.
+//! Three concerns have modules of their own: `join` is the protocol by which a process enters the cluster, `swim`
+//! drives the failure detector, and `reconcile` copies the members of the failure detector into the member table and
+//! reports the changes as events.
 
 mod join;
 mod reconcile;
@@ -27,14 +28,15 @@
 use join::Discovery;
 use swim::{Engine, EngineEffects};
 
-/// Dead members are looked through so many times within their retention.
+/// How often members that are down are checked for removal within one retention period.
 const EXPIRIES_PER_RETENTION: u64 = 8;
-/// A timer that is handled this many probe periods late means that the process did not run meanwhile.
+/// Probe periods by which a timer must be late for the process to count as stalled.
 const STALL_PERIODS: u64 = 2;
 /// Longest name of a member, in bytes.
 const MAX_NAME_BYTES: usize = 200;
 
-/// The membership of one process. It has no clock, socket, file or thread; equal inputs give equal outputs.
+/// The membership of one process. It has no clock, socket, file or thread: equal inputs give equal outputs. Times are
+/// nanoseconds of a monotonic clock of the caller's choice.
 pub struct Membership {
     settings: Settings,
     cluster_tag: ClusterTag,
@@ -49,15 +51,16 @@
     rng: SmallRng,
     timers: TimerQueue,
     now: Time,
-    /// Rounds of join requests since the search for the cluster began; the backoff grows with it.
+    /// Rounds of join requests in the current series, from which the backoff is computed.
     join_attempts: u32,
-    /// A member accepted this run, or there is nobody to ask. Until then SWIM messages are ignored: others still send to
-    /// the dead run of this name, and would make a run from a stale disk a member.
+    /// Whether a member accepted this run, or there is no seed to ask. Until then SWIM messages are ignored: other
+    /// members still send them to the former run at this address, and would make a run from a stale disk a member.
     name_confirmed: bool,
-    /// This process takes part, but still wants to hear from a member that its name is its own.
+    /// Whether this process is a member but no member has yet accepted its join request.
     needs_confirmation: bool,
     discovery: Discovery,
-    /// Names that it admitted before its own name was confirmed: their SWIM messages are accepted.
+    /// Names of processes that were admitted before this run's own name was confirmed; their SWIM messages are
+    /// accepted.
     admitted: VecDeque<String>,
     /// Members that accepted the current join request.
     accepted_by: Vec<Identity>,
@@ -65,7 +68,10 @@
 }
 
 impl Membership {
-    /// A process that starts as `identity`. `seed` determines its random choices.
+    /// Creates the membership of a process that starts as `identity`. `seed` determines its random choices.
+    ///
+    /// # Errors
+    /// The settings or the name in `identity` are invalid.
     pub fn new(
         settings: Settings,
         identity: Identity,
@@ -99,7 +105,7 @@
         })
     }
 
-    /// Begins by having the generation saved.
+    /// Starts the membership by requesting that the generation be saved. Outputs are appended to `out`.
     pub fn start(&mut self, now: Time, out: &mut Vec<Output>) {
         self.now = now;
         out.push(Output::SaveGeneration(self.generation_record()));
@@ -113,12 +119,13 @@
         }
     }
 
-    /// When [`Input::Tick`] is wanted at the latest.
+    /// The latest time at which [`Membership::handle`] should be called next, with [`Input::Tick`] if there is no other
+    /// input. `None` if no timer is pending.
     pub fn next_due(&self) -> Option<Time> {
         self.timers.next_due()
     }
 
-    /// A copy of what is believed now.
+    /// A copy of the current state of all members.
     pub fn view(&self, now: Time) -> View {
         View {
             taken_at: now,
@@ -145,18 +152,19 @@
         self.table.members()
     }
 
-    /// One of the other members, without a copy.
+    /// The other member of this name, without a copy; `None` if it is unknown.
     pub fn member(&self, name: &str) -> Option<&Member> {
         self.table.get(name)
     }
 
-    /// How often the engine's members were all compared with the table. That work grows with the cluster, so it must be
-    /// rare.
+    /// How often all members of the engine were compared with the table. The cost of a comparison grows with the
+    /// cluster, so tests check that it is rare.
     pub fn full_comparisons(&self) -> u64 {
         self.full_comparisons
     }
 
-    /// Handles one input and all timers that are due; appends the effects to `out`.
+    /// Handles one input, then all timers that are due at `now`. Outputs are appended to `out`. A time before that of
+    /// an earlier call is treated as the time of that call.
     pub fn handle(&mut self, now: Time, input: Input<'_>, out: &mut Vec<Output>) {
         let now = self.now.max(now);
         self.postpone_timers_after_stall(now, out);
@@ -184,8 +192,8 @@
         }
     }
 
-    /// After a stall (SIGSTOP, swapping, a starved core) the timers must not act on messages that could not be received:
-    /// they would declare every other member dead at once. They continue as if no time had passed.
+    /// After a stall (SIGSTOP, swapping, a starved core) the answers to probes are still unread. Timers that fired
+    /// first would declare every other member dead, so all timers are postponed by the duration of the stall.
     fn postpone_timers_after_stall(&mut self, now: Time, out: &mut Vec<Output>) {
         let Some(due) = self.next_due() else { return };
         let by = now.saturating_sub(due);
@@ -234,7 +242,7 @@
     fn on_leave(&mut self, out: &mut Vec<Output>) {
         if let Some(engine) = &mut self.engine {
             let mut effects = EngineEffects::default();
-            // The process leaves whether or not the engine could announce it.
+            // The engine fails only if it has no member to notify, which does not keep this process from leaving.
             let _ = engine.leave_cluster(&mut effects);
             self.apply_effects(effects, out);
         }
--- a/crates/pipithub-membership/src/membership/join.rs
+++ b/crates/pipithub-membership/src/membership/join.rs
@@ -1,8 +1,9 @@
 //! The join protocol: how a process enters the cluster, and how members answer it.
 //!
-//! A process asks its seeds, and some members that it knows, whether its name is free. A member answers that it accepts
-//! the process, or that it knows a run of that name which is not older. In the second case the process either waits for
-//! the other run to end or, if that run is already dead, takes the generation after it: its own disk is stale.
+//! A process sends join requests to its seeds and to some members that it knows. A member accepts the process, or
+//! answers that it knows a run of the same name which is not older. In the second case the process waits until the
+//! other run is dead. If the other run is dead already, the disk of this process is stale, and it takes the generation
+//! after that run's.
 
 use std::net::SocketAddr;
 
@@ -16,23 +17,24 @@
 use crate::view::{JoinState, MemberState};
 use crate::{MS, Time};
 
-/// First backoff between two rounds of join requests; it doubles with each round.
+/// Backoff after the first round of join requests; it doubles with each round.
 const MIN_JOIN_BACKOFF: Time = 200 * MS;
 /// Longest backoff between two rounds of join requests.
 const MAX_JOIN_BACKOFF: Time = 5_000 * MS;
 /// Bound on the exponent of the backoff, which keeps the shift within range.
 const MAX_BACKOFF_DOUBLINGS: u32 = 10;
-/// How long further answers are awaited after the first acceptance: a seed that was just started knows nothing of earlier
-/// runs, and a member that does may answer some milliseconds later.
+/// How long further answers are awaited after the first acceptance. A seed that was just started knows nothing of
+/// earlier runs; a member that knows one may answer some milliseconds later.
 const JOIN_ANSWER_WINDOW: Time = 200 * MS;
-/// Known members that are asked beside the seeds, because all seeds may be stale.
+/// Number of known members that join requests are sent to beside the seeds, because no seed may know the current
+/// members.
 const MAX_ASKED_MEMBERS: usize = 4;
-/// Discovery ends after so many rounds in a row without a new name. One answer holds some 25 names; without discovery, in
-/// a large cluster that starts at once, the rest arrives by chance alone, over minutes.
+/// Consecutive rounds without a new member after which discovery ends. An answer holds some 25 members; in a large
+/// cluster that starts at once, gossip alone would take minutes to spread the others.
 const MAX_FRUITLESS_ROUNDS: u32 = 5;
-/// Names of admitted processes that are remembered.
+/// Upper bound of [`Membership::admitted`]; the oldest names are forgotten.
 const MAX_ADMITTED: usize = 32;
-/// A member's knowledge counts as current for so many probe periods after it last heard from another member.
+/// Probe periods after the last message from another member during which the member table counts as current.
 const CURRENT_PERIODS: u64 = 4;
 
 /// Progress of the discovery of further members.
@@ -53,14 +55,14 @@
     }
 }
 
-/// What this process knows under a name.
+/// The latest run of a name that this process knows.
 struct KnownRun {
     identity: Identity,
     active: bool,
 }
 
 impl Membership {
-    /// Asks the seeds, and some known members, who is there and whether the own name is free.
+    /// Sends a round of join requests to the seeds and some known members, and schedules the next round.
     pub(super) fn send_join_requests(&mut self, out: &mut Vec<Output>) {
         self.cancel_join_requests();
         let known: Vec<SocketAddr> = self.table.members().map(|m| m.identity.address).collect();
@@ -83,7 +85,8 @@
             .schedule(self.now + backoff, Timer::SendJoinRequests);
     }
 
-    /// Half of the backoff is random, so that the members of a cluster that was restarted at once do not ask in step.
+    /// The time until the next round. Half of it is random, so that the members of a cluster that was restarted at once
+    /// do not send their requests at the same times.
     fn next_join_backoff(&mut self) -> Time {
         let doublings = self.join_attempts.min(MAX_BACKOFF_DOUBLINGS);
         let backoff = (MIN_JOIN_BACKOFF << doublings).min(MAX_JOIN_BACKOFF);
@@ -96,14 +99,14 @@
             .cancel(|timer| matches!(timer, Timer::SendJoinRequests));
     }
 
-    /// Begins a new series of join requests with the shortest backoff.
+    /// Starts a new series of join requests, the first one after the shortest backoff.
     pub(super) fn restart_join_requests(&mut self) {
         self.join_attempts = 0;
         self.timers
             .schedule(self.now + MIN_JOIN_BACKOFF, Timer::SendJoinRequests);
     }
 
-    /// Answers a process that asks to join.
+    /// Answers a join request, unless this process is itself not a member yet.
     pub(super) fn on_join_request(&mut self, newcomer: Identity, out: &mut Vec<Output>) {
         if !matches!(self.join_state, JoinState::Alone | JoinState::Joined) {
             return;
@@ -116,11 +119,12 @@
         if accepted && !self.name_confirmed {
             self.remember_admitted(&newcomer.name);
         }
-        // To the address that the newcomer states: a relay in between may show another source address.
+        // The answer goes to the address in the identity: the source address may be that of a relay.
         self.send_envelope(newcomer.address, &answer, out);
     }
 
-    /// Each name is kept once, so that repeated requests of one process do not push out the others.
+    /// Remembers the name of an admitted process. Each name is kept once, so that repeated requests of one process do
+    /// not displace the others.
     fn remember_admitted(&mut self, name: &String) {
         if self.admitted.contains(name) {
             return;
@@ -131,7 +135,7 @@
         }
     }
 
-    /// The answer to a run that asks to join; `None` where the member limit is reached.
+    /// The answer to a run that asks to join; `None` if the member limit is reached.
     fn answer_to(&self, run: &Identity) -> Option<Envelope> {
         match self.known_run(&run.name) {
             Some(known) if known.identity.same_run(run) => Some(self.accept()),
@@ -164,8 +168,8 @@
         })
     }
 
-    /// Whether the table holds more than memories. Two processes that were both stalled would otherwise block each
-    /// other's next runs because of runs that are long dead.
+    /// Whether the table reflects recent messages. Otherwise two processes that were both stalled would reject each
+    /// other's next runs because of former runs that are dead by now.
     fn is_current(&self) -> bool {
         let limit = CURRENT_PERIODS * self.settings.probe_period;
         let last_heard = self.table.last_heard();
@@ -186,7 +190,7 @@
         )
     }
 
-    /// Collects the answers of members that accept this process.
+    /// Records a member that accepts this process. The first one starts the wait for further answers.
     pub(super) fn on_join_accepted(&mut self, member: Identity, out: &mut Vec<Output>) {
         if member.name == self.identity.name || !self.is_joining() {
             return;
@@ -205,7 +209,7 @@
         }
     }
 
-    /// Joins through the members that accepted this process, since nobody has said that its name is taken.
+    /// Joins through the members that accepted this process, none of the answers having stated that its name is taken.
     pub(super) fn complete_join(&mut self, out: &mut Vec<Output>) {
         let accepted_by = std::mem::take(&mut self.accepted_by);
         if accepted_by.is_empty() || !self.is_joining() {
@@ -225,7 +229,7 @@
         self.schedule_discovery();
     }
 
-    /// Asks a random member for further names, as long as the answers bring any.
+    /// Asks a random live member for its members, and schedules the next round until rounds bring no new members.
     pub(super) fn discover_members(&mut self, out: &mut Vec<Output>) {
         self.discovery.record_round(self.table.len());
         if self.discovery.fruitless_rounds >= MAX_FRUITLESS_ROUNDS
@@ -251,7 +255,7 @@
         self.timers.schedule(due, Timer::Discover);
     }
 
-    /// A member knows a run of the own name that is not older than this one.
+    /// Handles the answer that another run of this process's name is known, which is not older.
     pub(super) fn on_name_taken(&mut self, known: Identity, active: bool, out: &mut Vec<Output>) {
         let other_run = known.name == self.identity.name && !known.same_run(&self.identity);
         if !other_run
@@ -260,7 +264,7 @@
         {
             return;
         }
-        // A run that takes part stays before one that comes; of two that both take part the higher rank stays.
+        // A joining run gives way to a member; of two members of one name, the one of higher rank stays.
         if active && self.join_state == JoinState::Joined && known.rank() < self.identity.rank() {
             return;
         }
@@ -273,7 +277,8 @@
         }
     }
 
-    /// Stops taking part while another run of the same name does, and keeps asking until that run is gone.
+    /// Stops taking part while another run of the same name is a member, and sends join requests until that run is
+    /// dead.
     fn yield_to_duplicate(&mut self, other: Identity, out: &mut Vec<Output>) {
         self.drop_engine();
         let requests_pending = self
@@ -285,7 +290,8 @@
         self.set_join_state(JoinState::DuplicateIdentity(other), out);
     }
 
-    /// The own disk is stale: takes the generation after the latest that the cluster has seen, and saves it first.
+    /// Takes the generation after the latest that the cluster has seen, because the disk of this process is stale, and
+    /// requests that it be saved.
     fn advance_generation_past(&mut self, seen: u64, out: &mut Vec<Output>) {
         if self.join_state == JoinState::SavingGeneration {
             return;
--- a/crates/pipithub-membership/src/membership/reconcile.rs
+++ b/crates/pipithub-membership/src/membership/reconcile.rs
@@ -1,4 +1,4 @@
-//! Takes over what the failure detector believes into the member table, and reports the changes.
+//! Copies the members of the failure detector into the member table, and reports the changes as events.
 
 use std::net::IpAddr;
 
@@ -21,8 +21,8 @@
     /// Compares the engine's members with the table, and reports what changed.
     pub(super) fn reconcile_members(&mut self, out: &mut Vec<Output>) {
         let Some(engine) = &self.engine else { return };
-        // Most messages bring no news. Looking up every member by name after each of them took most of a member's CPU time
-        // and grew faster than the cluster; a checksum over numbers shows that nothing changed.
+        // Most messages change nothing. Looking up every member by name after each message took most of the CPU time
+        // and grew faster than the cluster, so a checksum over all members is compared first.
         let checksum = engine
             .iter_membership_state()
             .fold(0u64, |sum, member| sum.wrapping_add(member_hash(member)));
@@ -49,14 +49,15 @@
     }
 }
 
-/// The event for a member whose run was in state `previous` before; `None` where the change is no news.
+/// The event for a member whose run was in the state `previous` before, or unknown; `None` if the state did not change
+/// in a way that is reported.
 fn change_event(previous: Option<MemberState>, member: &Member) -> Option<Event> {
     match (previous, member.state) {
         (Some(MemberState::Suspect | MemberState::Alive), MemberState::Alive) => None,
         (_, MemberState::Alive) => Some(Event::Up(member.clone())),
         (Some(MemberState::Suspect), MemberState::Suspect) => None,
         (_, MemberState::Suspect) => Some(Event::Suspected(member.clone())),
-        // The death of a run that was never known to be alive is no news.
+        // The death of a run that was never known to be alive is not reported.
         (Some(MemberState::Down) | None, MemberState::Down) => None,
         (Some(previous), MemberState::Down) => Some(Event::Down {
             member: member.clone(),
@@ -65,8 +66,9 @@
     }
 }
 
-/// What a member adds to the checksum over all members; it differs for another run, renewal or state. The boot id is
-/// random, so two memberships with one checksum are as rare as two equal random numbers.
+/// The part of the checksum that a member contributes. It covers the run, the renewal, the address and the state. Boot
+/// ids are random, so that two different sets of members have the same checksum as rarely as two random numbers are
+/// equal.
 fn member_hash(member: &foca::Member<Identity>) -> u64 {
     let identity = member.id();
     let ip = match identity.address.ip() {
--- a/crates/pipithub-membership/src/membership/swim.rs
+++ b/crates/pipithub-membership/src/membership/swim.rs
@@ -1,4 +1,4 @@
-//! The SWIM failure detector: its configuration, its calls, and what its notifications change.
+//! The SWIM failure detector: its configuration, the calls to it, and the handling of its notifications.
 
 use std::net::SocketAddr;
 use std::num::{NonZeroU8, NonZeroUsize};
@@ -16,19 +16,20 @@
 use crate::timers::Timer;
 use crate::view::JoinState;
 
-/// Datagrams stay below what any usual path carries unfragmented; the envelope takes a part of it.
+/// Largest message of the engine, in bytes. With the envelope, a datagram fits into the usual MTU of 1,500 bytes.
 const MAX_PACKET_BYTES: usize = 1_300;
-/// Members that probe on behalf of another (SWIM's `k`), and members that each round of gossip goes to.
+/// Number of members that are asked for indirect probes (SWIM's `k`), and that each round of gossip goes to.
 const FANOUT: usize = 3;
-/// How often one update is piggybacked on messages.
+/// Number of messages that each update is piggybacked on.
 const MAX_TRANSMISSIONS: u8 = 10;
-/// Probe periods between two announcements to a random member.
+/// Probe periods between two announcements to a random member, which answers with members that it knows.
 const ANNOUNCE_PERIODS: u32 = 30;
-/// Probe periods between two announcements to members that are down, and how many of them are tried: that is how the
-/// halves of a split cluster find each other again.
+/// Probe periods between two announcements to members that are down, by which the halves of a cluster find each other
+/// after a network partition.
 const ANNOUNCE_TO_DOWN_PERIODS: u32 = 10;
+/// Number of members that are down to which each such announcement goes.
 const ANNOUNCED_DOWN_MEMBERS: usize = 2;
-/// Rounds of gossip in a probe period.
+/// Number of gossip rounds in a probe period.
 const GOSSIP_ROUNDS_PER_PERIOD: u32 = 4;
 
 pub(super) type Engine = Foca<Identity, PostcardCodec, SmallRng, NoCustomBroadcast>;
@@ -45,7 +46,7 @@
     timer: foca::Timer<Identity>,
 }
 
-/// What the engine wants done after one call.
+/// The effects that the engine requested in one call.
 #[derive(Default)]
 pub(super) struct EngineEffects {
     messages: Vec<EngineMessage>,
@@ -99,7 +100,7 @@
             probe_rtt: Duration::from_nanos(self.settings.probe_timeout),
             num_indirect_probes: non_zero(FANOUT),
             max_transmissions: NonZeroU8::new(MAX_TRANSMISSIONS).unwrap_or(NonZeroU8::MIN),
-            // Extended by the size of the cluster where the timer is set.
+            // Multiplied by `suspicion_factor` when the timer is set.
             suspect_to_down_after: period * self.settings.suspicion_multiplier,
             remove_down_after: Some(Duration::from_nanos(self.settings.dead_retention)),
             max_packet_size: non_zero(MAX_PACKET_BYTES),
@@ -133,7 +134,8 @@
             return;
         };
         let mut effects = EngineEffects::default();
-        // An error means an unusable message or one of this process itself; both are ignored.
+        // An error means that the message cannot be decoded or comes from this process itself; it is ignored in both
+        // cases.
         let _ = call(engine, &mut effects);
         self.apply_effects(effects, out);
         self.reconcile_members(out);
@@ -155,8 +157,9 @@
         }
     }
 
-    /// Suspicion lasts longer in a large cluster, because gossip spreads in logarithmic time. Probes last longer while
-    /// the local health is bad. Suspicion does not: the first probe of a dead member fails too, and would double it.
+    /// The delay after which a timer of the engine fires. Suspicions last longer in a large cluster, because gossip
+    /// spreads in logarithmic time. Probes last longer while the local health is bad; suspicions do not, because the
+    /// first failed probe of a dead member would already double them.
     fn adjusted_delay(&self, after: Time, timer: &foca::Timer<Identity>) -> Time {
         match timer {
             foca::Timer::ChangeSuspectToDown { .. } => {
@@ -184,7 +187,8 @@
             OwnedNotification::ProbeFailed(..) => self.health.probe_failed(),
             OwnedNotification::Active => self.on_active(out),
             OwnedNotification::Idle => {
-                // Either all others are gone or this process is cut off: it asks until a member answers.
+                // All other members are dead, or this process is partitioned from them: it sends join requests until
+                // one answers.
                 self.set_join_state(JoinState::Alone, out);
                 self.restart_join_requests();
             }
@@ -210,7 +214,8 @@
     }
 
     fn on_active(&mut self, out: &mut Vec<Output>) {
-        // A process that it admitted made it a member, and may know as little as itself: it takes part, and keeps asking.
+        // A process that was admitted before this one was confirmed may have made it a member, without knowing earlier
+        // runs of its name. So it takes part, but goes on sending join requests.
         if !self.name_confirmed {
             self.needs_confirmation = true;
         }
@@ -221,13 +226,13 @@
         self.set_join_state(JoinState::Joined, out);
     }
 
-    /// Others declared this process dead, and the engine came back under a renewed identity.
+    /// Other members declared this process dead, and the engine continues under a renewed identity.
     fn on_rejoin(&mut self, identity: Identity, out: &mut Vec<Output>) {
         self.identity = identity;
         self.health.declared_dead();
-        // The engine is idle until a member answers it, and the members that it knew may be gone: without asking elsewhere,
-        // a run that was stalled during the others' restarts would stay alone for ever. Another run of its name may also
-        // count as the later one, against which no renewal helps.
+        // The engine is idle until a member answers it, but the members that it knew may all have been restarted.
+        // Without join requests, a run that was stalled meanwhile would stay alone for ever. Another run of its name
+        // may also have a higher rank, which no renewal exceeds.
         self.needs_confirmation = true;
         self.set_join_state(JoinState::Alone, out);
         self.restart_join_requests();
--- a/crates/pipithub-membership/src/rejection.rs
+++ b/crates/pipithub-membership/src/rejection.rs
@@ -2,10 +2,10 @@
 
 use crate::{MS, Time};
 
-/// Rejected datagrams are reported at most once in this time, so that foreign traffic cannot flood the log.
+/// Shortest time between two reports, so that datagrams of another protocol cannot flood the log.
 const REPORT_INTERVAL: Time = 1_000 * MS;
 
-/// Counts rejected datagrams between two reports.
+/// Counts the rejected datagrams between two reports.
 #[derive(Debug, Default)]
 pub(crate) struct RejectionCounter {
     next_report: Time,
@@ -13,7 +13,7 @@
 }
 
 impl RejectionCounter {
-    /// Counts one more. Returns how many there were since the last report if the next report is due.
+    /// Counts a rejected datagram. Returns the number since the last report if the next report is due.
     pub(crate) fn record(&mut self, now: Time) -> Option<u64> {
         self.count += 1;
         if now < self.next_report {
--- a/crates/pipithub-membership/src/settings.rs
+++ b/crates/pipithub-membership/src/settings.rs
@@ -6,31 +6,34 @@
 
 /// Longest name of a cluster, in bytes.
 const MAX_CLUSTER_BYTES: usize = 100;
-/// Most seeds.
+/// Largest number of seeds.
 const MAX_SEEDS: usize = 32;
-/// Longest probe period.
+/// Longest probe period: ten minutes.
 const MAX_PROBE_PERIOD: Time = 600_000 * MS;
-/// Largest suspicion multiplier.
+/// Upper bound of [`Settings::suspicion_multiplier`].
 const MAX_SUSPICION_MULTIPLIER: u32 = 100;
-/// Largest bound on the number of members.
+/// Upper bound of [`Settings::max_members`].
 const MAX_MEMBERS: usize = 10_000;
 
 /// How a front end takes part in the cluster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Name of the cluster; datagrams of other clusters are rejected.
+    /// Name of the cluster, 1 to 100 bytes without line break. Datagrams of other clusters are rejected.
     pub cluster: String,
-    /// Addresses of processes that may know others; one that answers is enough.
+    /// Addresses of members that join requests are sent to; one that answers is enough. Without seeds the process waits
+    /// until another one contacts it.
     pub seeds: Vec<SocketAddr>,
-    /// One member is probed in each such period.
+    /// Interval of the probes: one member is probed in each period. 1 ms to 10 minutes.
     pub probe_period: Time,
-    /// How long a direct answer is awaited before other members probe as well.
+    /// How long a direct answer to a probe is awaited before other members probe as well; under half of the period.
     pub probe_timeout: Time,
-    /// Probe periods in which a suspected member may refute the suspicion, times the logarithm of the cluster's size.
+    /// How long a suspected member may refute the suspicion, in probe periods; the time is multiplied by the decimal
+    /// logarithm of the cluster's size, or by 1 in clusters of up to ten.
     pub suspicion_multiplier: u32,
-    /// Most members that are known; further ones are not admitted, with an event.
+    /// Largest number of members, this process and dead ones included. Further processes are not admitted, with an
+    /// event.
     pub max_members: usize,
-    /// How long dead members are remembered: for so long a stale disk is recognised.
+    /// How long members that are down stay in the table. A stale disk is recognised for as long.
     pub dead_retention: Time,
 }
 
@@ -48,31 +51,34 @@
     }
 }
 
-/// Why settings are invalid.
+/// Why settings or the name of a member are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// A cluster needs a name, so that two never mix.
+    /// The cluster's name is empty, too long or has a line break.
     #[error("the cluster has no name, or one over 100 bytes")]
     InvalidClusterName,
-    /// A member's name has 1 to 200 bytes and no line break.
+    /// The member's name is empty, too long or has a line break.
     #[error("the front end's name is empty, over 200 bytes or has a line break")]
     InvalidMemberName,
     /// A seed is listed twice.
     #[error("seed {0} is given twice")]
     DuplicateSeed(SocketAddr),
-    /// There are too many seeds.
+    /// There are more than 32 seeds; their number.
     #[error("{0} seeds; 32 at most")]
     TooManySeeds(usize),
-    /// The timeout must leave time for others to probe.
+    /// The probe timeout leaves no time for other members to probe.
     #[error("probe-wait must be over 0 and under half of probe-period")]
     InvalidProbeTimeout,
-    /// The setting of this name is out of its range.
+    /// The setting of this name is outside its range.
     #[error("'{0}' is out of its range")]
     OutOfRange(&'static str),
 }
 
 impl Settings {
-    /// Returns the first fault.
+    /// Checks all settings.
+    ///
+    /// # Errors
+    /// The first invalid setting.
     pub fn validate(&self) -> Result<(), SettingsError> {
         self.validate_cluster()?;
         self.validate_seeds()?;
--- a/crates/pipithub-membership/src/timers.rs
+++ b/crates/pipithub-membership/src/timers.rs
@@ -1,29 +1,30 @@
-//! Timers of the membership, ordered by due time and, at one time, by when they were scheduled.
+//! The timers of the membership. Timers that are due at the same time fire in the order in which they were scheduled.
 
 use std::collections::BTreeMap;
 
 use crate::Time;
 use crate::identity::Identity;
 
-/// What is done when a timer fires.
+/// The action of a timer.
 #[derive(Debug)]
 pub(crate) enum Timer {
-    /// Hand the SWIM engine's own timer back to it.
+    /// Pass a timer of the SWIM engine back to it.
     Swim(foca::Timer<Identity>),
-    /// Send join requests to the seeds again.
+    /// Send the next round of join requests.
     SendJoinRequests,
-    /// Join through those who accepted a join request.
+    /// Join through the members that accepted the join request.
     CompleteJoin,
-    /// Ask a member for further names.
+    /// Ask a member for members that are unknown here.
     Discover,
-    /// Remove dead members whose retention is over.
+    /// Remove members whose retention is over from the table.
     ExpireDead,
 }
 
-/// Position in the queue; the sequence number keeps timers of equal due time in their order of scheduling.
+/// Position of a timer in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerKey {
     due: Time,
+    /// Number of the timer in the order of scheduling.
     sequence: u64,
 }
 
@@ -35,40 +36,40 @@
 }
 
 impl TimerQueue {
-    /// Adds a timer that fires at `due`.
+    /// Adds a timer that fires at the time `due`.
     pub(crate) fn schedule(&mut self, due: Time, timer: Timer) {
         self.last_sequence += 1;
         let sequence = self.last_sequence;
         self.pending.insert(TimerKey { due, sequence }, timer);
     }
 
-    /// When the next timer fires.
+    /// When the next timer fires; `None` if none is pending.
     pub(crate) fn next_due(&self) -> Option<Time> {
         self.pending.first_key_value().map(|(key, _)| key.due)
     }
 
-    /// Removes and returns the next timer if it is due at `now`.
+    /// Removes and returns the next timer that is due at `now`, if there is one.
     pub(crate) fn pop_due(&mut self, now: Time) -> Option<Timer> {
         let entry = self.pending.first_entry()?;
         (entry.key().due <= now).then(|| entry.remove())
     }
 
-    /// Whether a timer that matches is pending.
+    /// Whether any pending timer matches.
     pub(crate) fn any(&self, matches: impl Fn(&Timer) -> bool) -> bool {
         self.pending.values().any(matches)
     }
 
-    /// Cancels every timer that matches.
+    /// Cancels the timers that match.
     pub(crate) fn cancel(&mut self, matches: impl Fn(&Timer) -> bool) {
         self.pending.retain(|_, timer| !matches(timer));
     }
 
-    /// Cancels every timer.
+    /// Cancels all timers.
     pub(crate) fn cancel_all(&mut self) {
         self.pending.clear();
     }
 
-    /// Moves every timer later by the same time, in unchanged order.
+    /// Postpones all timers by the same time, which leaves their order unchanged.
     pub(crate) fn postpone_all(&mut self, by: Time) {
         let pending = std::mem::take(&mut self.pending);
         let postponed = |(key, timer): (TimerKey, Timer)| {
--- a/crates/pipithub-membership/src/view.rs
+++ b/crates/pipithub-membership/src/view.rs
@@ -1,72 +1,74 @@
-//! A view of the cluster: what one process believes about each member, and how old that knowledge is.
+//! A view of the cluster: the state of each member as one process knows it, and how old that knowledge is.
 
 use crate::Time;
 use crate::identity::Identity;
 
-/// The state of a member, as far as it is known here.
+/// The state of a member, as the observing process knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
-    /// It answers, or others say that it does.
+    /// It answers probes, or other members report that it does.
     Alive,
-    /// It did not answer a probe; it has time to refute the suspicion.
+    /// It did not answer a probe, and is declared dead unless it refutes the suspicion in time.
     Suspect,
-    /// It was declared dead, or it left.
+    /// It was declared dead, or it left the cluster.
     Down,
 }
 
-/// A member as known here.
+/// A member, as the observing process knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// The run that uses the name.
     pub identity: Identity,
-    /// Its state.
+    /// Whether it is alive, suspected or down.
     pub state: MemberState,
-    /// Since when it is in that state.
+    /// When it entered that state.
     pub since: Time,
-    /// When this process itself last heard from it; `None` where it only knows of it through others.
+    /// When the observing process last received a message from this run itself; `None` if it knows of the run only
+    /// through others.
     pub last_heard: Option<Time>,
 }
 
 /// How far this process has joined the cluster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JoinState {
-    /// A new generation is being saved; nothing is sent before it is on disk.
+    /// Its new generation is being saved. Nothing is sent until it is on disk.
     SavingGeneration,
-    /// No other member is known to be there.
+    /// No other member is known to be reachable.
     Alone,
-    /// It takes part.
+    /// It is a member of the cluster.
     Joined,
-    /// Another run of its name takes part, so this one waits: the other may be a duplicate, or its own former run that has
-    /// not been found dead yet. It keeps asking.
+    /// This other run of its name is a member, so this one stays out and keeps sending join requests. The other run is
+    /// a duplicate, or the former run of this process, not yet declared dead.
     DuplicateIdentity(Identity),
-    /// It left on request.
+    /// It left the cluster on request.
     Left,
 }
 
-/// What is believed at one moment. It is evidence about the cluster, never an order.
+/// The cluster as one process knows it at one time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
     /// When the view was taken.
     pub taken_at: Time,
-    /// This process.
+    /// Identity of the process that took the view.
     pub local: Identity,
-    /// How far this process has joined.
+    /// How far that process has joined.
     pub join_state: JoinState,
-    /// When any other member was last heard from. Without recent messages a view shows the state of that time.
+    /// When the last message from any other member was received; `None` if none was. The view is only as recent as
+    /// that.
     pub last_heard: Option<Time>,
-    /// Local health score: 0 is healthy, 8 the worst.
+    /// Local health score of the process, 0 (healthy) to 8.
     pub health_score: u32,
-    /// The other members, by name.
+    /// The other members, in the order of their names.
     pub members: Vec<Member>,
 }
 
 impl View {
-    /// Time since any member was last heard from; `None` where none ever was.
+    /// Time since the last message from any other member; `None` if none was received.
     pub fn age(&self) -> Option<Time> {
         self.last_heard.map(|at| self.taken_at.saturating_sub(at))
     }
 
-    /// The members that are not down.
+    /// The other members that are not down.
     pub fn active(&self) -> impl Iterator<Item = &Member> {
         self.members
             .iter()
--- a/crates/pipithub-membership/tests/fleet.rs
+++ b/crates/pipithub-membership/tests/fleet.rs
@@ -127,8 +127,8 @@
     );
 }
 
-/// Seed 5 of `scenarios/members.kdl`: the cluster still sent to the dead run's address, and the run from the stale disk that
-/// listened there became a member before any seed could say that its generation was used.
+/// Seed 5 of `scenarios/members.kdl`: the cluster still sent to the dead run's address, and the run from the stale disk
+/// that listened there became a member before any seed could say that its generation was used.
 #[test]
 fn a_run_from_a_stale_disk_does_not_join_through_messages_to_its_former_run() {
     for seed in 0..5 {
--- a/crates/pipithub-membership/tests/growth.rs
+++ b/crates/pipithub-membership/tests/growth.rs
@@ -1,4 +1,5 @@
-//! How membership grows with the fleet, in counted bytes, datagrams, comparisons and simulated time; never in real time.
+//! How membership grows with the fleet, in counted bytes, datagrams, comparisons and simulated time; never in real
+//! time.
 
 use pipithub_membership::{Settings, Time};
 use pipithub_membership_sim::Fleet;
@@ -63,8 +64,8 @@
     }
 }
 
-/// Four times as many members: what each sends at rest stays, whole comparisons stay rare, and a death is known to all in
-/// a time that grows with the logarithm.
+/// Four times as many members: what each sends at rest stays, whole comparisons stay rare, and a death is known to all
+/// in a time that grows with the logarithm.
 #[test]
 fn what_a_member_spends_does_not_grow_with_the_fleet() {
     let (small, large) = (seen(SMALL), seen(LARGE));
