--- a/crates/pipithub-membership-runtime/src/driver.rs
+++ b/crates/pipithub-membership-runtime/src/driver.rs
@@ -1,4 +1,4 @@
-//! The task that moves datagrams, files and time for the membership.
+//! The task that runs the membership: it receives and sends datagrams, saves records, and writes the report.
 
 use std::path::Path;
 
@@ -15,11 +15,12 @@
 use crate::event_text::reported_event;
 use crate::report::{EventHistory, Report};
 
-/// Shortest time between two reports.
+/// Time between two reports while the view changes.
 const MIN_REPORT_INTERVAL: Time = 200_000_000;
-/// Longest time between two reports, where nothing changed.
+/// Time between two reports while nothing changes.
 const MAX_REPORT_INTERVAL: Time = 1_000_000_000;
-/// Larger than any datagram of the protocol: one that fills the buffer belongs to another.
+/// Size of the receive buffer, larger than any datagram of the protocol. Longer datagrams are truncated and then
+/// rejected.
 const RECEIVE_BUFFER_BYTES: usize = 2048;
 
 /// Owns the membership with its socket, files and clock.
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Runs until it is stopped, then leaves the cluster and writes a last report.
+    /// Runs until `stopped` becomes true, then leaves the cluster and writes a last report.
     pub(crate) async fn run(mut self, mut stopped: watch::Receiver<bool>) {
         info!(
             front_end = self.name(),
@@ -71,7 +72,7 @@
             address = self.listen_address(),
             "membership started"
         );
-        // Subscribed before the first record is handed over, so that its confirmation is not missed.
+        // Subscribed before the first record is saved, so that its confirmation is not missed.
         let mut saved = self.generation_saver.saved();
         self.membership.start(self.clock.now(), &mut self.outputs);
         self.apply_outputs().await;
@@ -102,8 +103,8 @@
                         let bytes = &buffer[..count];
                         self.handle(Input::Datagram { from, bytes });
                     }
-                    // An earlier datagram went to a port that nobody listens on; this socket is not affected.
-                    Err(error) => debug!(front_end = self.name(), %error, "socket error"),
+                    // Reports that an earlier datagram was sent to a closed port; this socket is not affected.
+                    Err(error) => debug!(front_end = self.name(), %error, "failed to receive datagram"),
                 },
                 Ok(()) = saved.changed() => {
                     let generation = *saved.borrow_and_update();
@@ -141,10 +142,11 @@
                 Output::Send { to, bytes } => {
                     let to = self.config.via.get(&to).copied().unwrap_or(to);
                     if let Err(error) = self.socket.send_to(&bytes, to).await {
-                        debug!(front_end = self.name(), %to, %error, "datagram not sent");
+                        debug!(front_end = self.name(), %to, %error, "failed to send datagram");
                     }
                 }
-                // Saved beside this loop, with retries: a full disk keeps this process out of the cluster, nothing else.
+                // Another task saves it, with retries: a full disk keeps this process out of the cluster, but does not
+                // block this loop.
                 Output::SaveGeneration(record) => self
                     .generation_saver
                     .save(record.generation, record.encode().into_bytes()),
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Publishes the view and starts writing the report, unless the last one is still being written.
+    /// Publishes the view and starts writing the report if they are due and the last report is written.
     async fn report_if_due(&mut self) {
         let now = self.clock.now();
         let due = self.last_report.saturating_add(self.report_interval());
@@ -182,7 +184,7 @@
         if let Some(task) = self.report_task.take()
             && let Ok(Err(error)) = task.await
         {
-            debug!(front_end = self.name(), %error, "report not written");
+            debug!(front_end = self.name(), %error, "failed to write membership report");
         }
         self.last_report = now;
         self.changed_since_report = false;
--- a/crates/pipithub-membership-runtime/src/event_text.rs
+++ b/crates/pipithub-membership-runtime/src/event_text.rs
@@ -1,10 +1,10 @@
-//! Events as sentences for operators, in the report, in `pipithub members explain` and in the log.
+//! Descriptions of events for operators, in the report, in `pipithub membership explain` and in the log.
 
 use pipithub_membership::{DiskState, Event, JoinState, Member, Time};
 
 use crate::report::{ReportedEvent, milliseconds};
 
-/// How far a process has joined, in words.
+/// The join state as the report shows it.
 pub(crate) fn join_state_text(state: &JoinState) -> String {
     match state {
         JoinState::SavingGeneration => "saving".into(),
@@ -20,7 +20,7 @@
     }
 }
 
-/// The state of a disk, in a word.
+/// The state of a disk as the report shows it.
 pub(crate) fn disk_text(disk: DiskState) -> &'static str {
     match disk {
         DiskState::Intact => "kept",
@@ -29,7 +29,8 @@
     }
 }
 
-/// An event for the report. `own_name` is the name of this process.
+/// An event for the report. `own_name` is the name of this process, `at_ms` the Unix time and `now` the monotonic time
+/// at which it was reported.
 pub(crate) fn reported_event(
     event: &Event,
     own_name: &str,
@@ -43,7 +44,7 @@
     }
 }
 
-/// Whom an event is about.
+/// The name of the member that an event is about, or the address of an unknown sender.
 fn subject(event: &Event, own_name: &str) -> String {
     match event {
         Event::Up(member) | Event::Suspected(member) | Event::Down { member, .. } => {
@@ -63,46 +64,42 @@
         Event::Up(member) => {
             let identity = &member.identity;
             format!(
-                "there, generation {} at {}",
+                "alive: generation {} at {}",
                 identity.generation, identity.address
             )
         }
         Event::Suspected(member) => {
             let last_heard = last_heard_text(member, now);
-            format!("suspected: a probe got no answer; {last_heard}")
+            format!("suspected: a probe was not answered; {last_heard}")
         }
         Event::Down { member, suspected } => {
             let last_heard = last_heard_text(member, now);
             if *suspected {
-                format!("held for dead: it did not speak up; {last_heard}")
+                format!("down: it did not refute the suspicion; {last_heard}")
             } else {
-                format!("gone: it left, or others found it dead; {last_heard}")
+                format!("down: it left, or other members declared it dead; {last_heard}")
             }
         }
         Event::Replaced { before, now } => {
             format!(
-                "another run: generation {} after {}, disk {}",
+                "replaced by another run: generation {} after {}, disk {}",
                 now.generation,
                 before.generation,
                 disk_text(now.disk)
             )
         }
-        Event::JoinStateChanged(state) => format!("stands {}", join_state_text(state)),
+        Event::JoinStateChanged(state) => format!("join state: {}", join_state_text(state)),
         Event::Stalled { by } => {
             let by = milliseconds(*by);
-            format!("was held up for {by} ms: what it knew is that much older")
+            format!("stalled for {by} ms: its view is older by that time")
         }
         Event::StaleDisk { disk, seen } => {
-            format!(
-                "its disk says generation {disk}, the fleet has seen {seen}: the disk is old or empty"
-            )
+            format!("stale disk: it has generation {disk}, the fleet has seen {seen}")
         }
         Event::DatagramsRejected { reason, count, .. } => {
-            format!("{count} datagrams turned away: {reason}")
-        }
-        Event::MemberLimitReached(_) => {
-            "not let in: as many members as max-members allows".to_string()
+            format!("{count} datagrams rejected: {reason}")
         }
+        Event::MemberLimitReached(_) => "not admitted: max-members is reached".to_string(),
     }
 }
 
@@ -110,8 +107,8 @@
     match member.last_heard {
         Some(at) => {
             let ago = milliseconds(now.saturating_sub(at));
-            format!("last heard {ago} ms ago")
+            format!("last message {ago} ms ago")
         }
-        None => "never heard by this process itself".to_string(),
+        None => "no message received by this process".to_string(),
     }
 }
--- a/crates/pipithub-membership-runtime/src/lib.rs
+++ b/crates/pipithub-membership-runtime/src/lib.rs
@@ -1,7 +1,7 @@
-//! The runtime around membership: one UDP socket, the generation on disk, and a report for operators.
+//! Runs the membership of this process: one UDP socket, the generation record on disk, and a report for operators.
 //!
-//! All decisions are made by [`pipithub_membership`]; this crate moves bytes, files and time. A data folder belongs to one
-//! running process, which holds a lock on it.
+//! All decisions are made by [`pipithub_membership`]; this crate does the I/O. A data folder belongs to one running
+//! process, which holds a lock on it.
 
 mod data_folder;
 mod driver;
--- a/crates/pipithub-membership-runtime/src/report.rs
+++ b/crates/pipithub-membership-runtime/src/report.rs
@@ -1,6 +1,6 @@
-//! The report for operators: the current view, and the latest events that led to it. Its size is bounded.
+//! The report for operators, `members.json`: the current view and the latest events. Its size is bounded.
 //!
-//! The names of the fields are the keys of the JSON text, which other programs read.
+//! The field names are the keys of the JSON text, which other programs read.
 
 use std::collections::VecDeque;
 
@@ -9,66 +9,67 @@
 
 use crate::event_text::{disk_text, join_state_text};
 
-/// Most events that are kept.
+/// Number of events that are kept.
 const MAX_EVENTS: usize = 200;
 const NANOSECONDS_PER_MILLISECOND: Time = 1_000_000;
 
-/// A change of the view with its evidence.
+/// An event of the membership.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportedEvent {
     /// When it happened, in Unix milliseconds.
     pub at_ms: u64,
-    /// Name of the member that it is about; the own name where it is about this process.
+    /// Name of the member that it is about, which may be the reporting process itself; the sender's address where
+    /// datagrams were rejected.
     pub member: String,
-    /// What happened, as a sentence.
+    /// Description of the event for operators.
     pub what: String,
 }
 
-/// A member in the report.
+/// A member, or the reporting process itself, as the report shows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberReport {
-    /// Its name.
+    /// Name of the front end.
     pub name: String,
-    /// Its address.
+    /// Address that it announces to other members.
     pub address: String,
-    /// Its zone.
+    /// Name of its zone; empty if it has none.
     pub zone: String,
-    /// `alive`, `suspect` or `down`; for this process, how far it has joined.
+    /// `alive`, `suspect` or `down`; for the reporting process, its join state.
     pub state: String,
-    /// For how long it has been in that state, in milliseconds.
+    /// Time that it has been in that state, in milliseconds; 0 for the reporting process.
     pub for_ms: u64,
-    /// How long ago this process itself heard from it, in milliseconds; `None` where it never did.
+    /// Time since its last message to the reporting process, in milliseconds; `None` if there was none.
     pub heard_ms: Option<u64>,
-    /// Counts the starts of its name.
+    /// Number of the start under this name, from 1.
     pub generation: u64,
-    /// `kept`, `empty` or `old`.
+    /// State of its disk: `kept`, `empty` or `old`.
     pub disk: String,
 }
 
-/// The whole report.
+/// Content of the report file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// When it was written, in Unix milliseconds.
     pub at_ms: u64,
     /// Name of the cluster.
     pub cluster: String,
-    /// Id of the process that wrote it.
+    /// Process id of the process that wrote it.
     pub process: u32,
-    /// Address that the process listens on.
+    /// UDP address that the process listens on.
     pub listen: String,
-    /// This process.
+    /// The process that wrote the report.
     pub me: MemberReport,
     /// Local health score: 0 is healthy, 8 the worst.
     pub doubt: u32,
-    /// Time since any member was last heard from, in milliseconds; `None` where none ever was.
+    /// Time since the last message from any member, in milliseconds; `None` if there was none.
     pub age_ms: Option<u64>,
-    /// The other members.
+    /// The other members, in the order of their names.
     pub members: Vec<MemberReport>,
     /// The latest events, oldest first.
     pub happenings: VecDeque<ReportedEvent>,
 }
 
-/// Nanoseconds as whole milliseconds.
+/// Converts nanoseconds to milliseconds, rounded down.
 pub(crate) fn milliseconds(time: Time) -> u64 {
     time / NANOSECONDS_PER_MILLISECOND
 }
@@ -102,12 +103,12 @@
     }
 }
 
-/// The latest events.
+/// The latest events, at most [`MAX_EVENTS`].
 #[derive(Debug, Default)]
 pub(crate) struct EventHistory(VecDeque<ReportedEvent>);
 
 impl EventHistory {
-    /// Adds an event; the oldest is dropped where there are too many.
+    /// Adds an event, in place of the oldest if the history is full.
     pub(crate) fn push(&mut self, event: ReportedEvent) {
         if self.0.len() == MAX_EVENTS {
             self.0.pop_front();
@@ -115,7 +116,7 @@
         self.0.push_back(event);
     }
 
-    /// The report of a view, with these events.
+    /// Creates the report of a view, with these events. `at_ms` is the Unix time.
     pub(crate) fn report(&self, cluster: &str, listen: &str, view: &View, at_ms: u64) -> Report {
         let members = view.members.iter();
         Report {
--- a/crates/pipithub-membership-runtime/src/runtime.rs
+++ b/crates/pipithub-membership-runtime/src/runtime.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping the membership of this process.
+//! Start and stop of the membership of this process.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -18,7 +18,7 @@
 use crate::data_folder::{DataFolder, DataFolderError, GENERATION_FILE};
 use crate::driver::Driver;
 
-/// Why a process cannot take part.
+/// Why the membership cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum RuntimeError {
     /// The data folder cannot be used.
@@ -27,15 +27,15 @@
     /// The generation record cannot be used.
     #[error("{path}: {source}")]
     Record {
-        /// The file.
+        /// Path of the record.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Why it cannot be used.
         source: RecordError,
     },
     /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The socket cannot be opened.
+    /// The UDP socket cannot be opened.
     #[error("{address}: {source}")]
     Socket {
         /// The address to listen on.
@@ -44,11 +44,12 @@
         source: std::io::Error,
     },
     /// The operating system supplies no random numbers.
-    #[error("no random number to be had: {0}")]
+    #[error("failed to get a random number: {0}")]
     Random(String),
 }
 
-/// The running membership of a process. It stops when it is dropped or shut down.
+/// The running membership of a process. [`MembershipRuntime::shutdown`] leaves the cluster; if the value is dropped,
+/// the task stops in the same way, but nothing waits for it.
 #[derive(Debug)]
 pub struct MembershipRuntime {
     view: watch::Receiver<Option<View>>,
@@ -58,7 +59,11 @@
 }
 
 impl MembershipRuntime {
-    /// Locks the data folder, opens the socket and starts.
+    /// Locks the data folder, opens the socket and starts the membership under `name`.
+    ///
+    /// # Errors
+    /// The data folder or its generation record cannot be used, the settings are invalid, or the socket cannot be
+    /// opened.
     pub async fn start(
         name: &str,
         config: FleetSettings,
@@ -66,7 +71,10 @@
         MembershipRuntime::start_with_files(name, config, Arc::new(SystemFiles)).await
     }
 
-    /// As [`MembershipRuntime::start`], with the generation record saved on the given file system.
+    /// As [`MembershipRuntime::start`], with the generation record saved through the given file system.
+    ///
+    /// # Errors
+    /// As for [`MembershipRuntime::start`].
     pub async fn start_with_files(
         name: &str,
         config: FleetSettings,
@@ -115,21 +123,22 @@
         })
     }
 
-    /// The address that it listens on.
+    /// The UDP address that the process listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The current view of the cluster, as it changes; `None` until the first one is taken.
+    /// A receiver of the current view of the cluster; its value is `None` until the first view is taken.
     pub fn view(&self) -> watch::Receiver<Option<View>> {
         self.view.clone()
     }
 
-    /// Leaves the cluster, so that the others need not detect it.
+    /// Leaves the cluster, so that the other members need not detect the end of this process, and waits until the last
+    /// report is written.
     pub async fn shutdown(self) {
         let _ = self.stop.send(true);
         if let Err(error) = self.task.await {
-            warn!(%error, "membership task did not end by itself");
+            warn!(%error, "membership task failed");
         }
     }
 }
--- a/crates/pipithub-membership-runtime/tests/data_folder.rs
+++ b/crates/pipithub-membership-runtime/tests/data_folder.rs
@@ -1,4 +1,4 @@
-//! The data folder: one holder, and a record that an interrupted save does not spoil.
+//! The data folder: its lock, and the generation record beside an interrupted save.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -11,11 +11,14 @@
     let saver = folder.start_generation_saver(Arc::new(SystemFiles));
     let mut saved = saver.saved();
     saver.save(1, text.as_bytes());
-    saved.wait_for(|s| *s == Some(1)).await.expect("saved");
+    saved
+        .wait_for(|version| *version == Some(1))
+        .await
+        .expect("saved");
 }
 
 #[tokio::test]
-async fn a_folder_has_one_holder_and_keeps_its_record() {
+async fn folder_can_be_locked_once_at_a_time_and_keeps_its_record() {
     let root = tempfile::tempdir().expect("a folder");
     let path = root.path().join("front-1");
     let folder = DataFolder::lock(&path).expect("free");
@@ -39,7 +42,7 @@
 }
 
 #[tokio::test]
-async fn a_half_written_record_beside_the_good_one_is_passed_over() {
+async fn incomplete_temporary_file_beside_the_record_is_ignored() {
     let root = tempfile::tempdir().expect("a folder");
     save(root.path(), "good").await;
     std::fs::write(root.path().join("generation.new"), "ha").expect("written");
@@ -54,12 +57,12 @@
     assert_eq!(
         read().as_deref(),
         Some("better"),
-        "what was left behind is no hindrance"
+        "the temporary file does not hinder the next save"
     );
 }
 
 #[test]
-fn a_report_is_replaced_and_read() {
+fn saved_report_replaces_the_former_one_and_needs_an_existing_folder() {
     let root = tempfile::tempdir().expect("a folder");
     for text in [&b"one"[..], b"two"] {
         DataFolder::save_report(root.path(), text).expect("saved");
--- a/crates/pipithub-membership-runtime/tests/failing_disk.rs
+++ b/crates/pipithub-membership-runtime/tests/failing_disk.rs
@@ -1,5 +1,4 @@
-//! A process whose disk fails for a while sends nothing under a generation that is not on disk, and takes part as soon
-//! as it is.
+//! A process whose disk fails sends nothing until its generation is on disk, and joins once the disk works.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
@@ -14,7 +13,8 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, watch};
 
-/// The system's files, one of whose steps fails until it is healed.
+/// The system's files, with one step of saving that fails until `healthy` becomes true. Each failure is sent to
+/// `failures`.
 struct FailingFiles {
     step: Step,
     healthy: watch::Receiver<bool>,
@@ -22,7 +22,7 @@
 }
 
 impl FailingFiles {
-    fn fail(&self, step: Step) -> io::Result<()> {
+    fn check(&self, step: Step) -> io::Result<()> {
         if self.step != step || *self.healthy.borrow() {
             return Ok(());
         }
@@ -31,6 +31,7 @@
     }
 }
 
+/// A file whose next write or sync has the result given here, if that is an error; a failed write writes half.
 struct FailingFile {
     file: Box<dyn WritableFile>,
     write: io::Result<()>,
@@ -54,17 +55,17 @@
 
 impl FileSystem for FailingFiles {
     fn create_new(&self, path: &Path) -> io::Result<Box<dyn WritableFile>> {
-        self.fail(Step::Create)?;
+        self.check(Step::Create)?;
         let file = SystemFiles.create_new(path)?;
         Ok(Box::new(FailingFile {
             file,
-            write: self.fail(Step::Write),
-            sync: self.fail(Step::SyncFile),
+            write: self.check(Step::Write),
+            sync: self.check(Step::SyncFile),
         }))
     }
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
-        self.fail(Step::Rename)?;
+        self.check(Step::Rename)?;
         SystemFiles.rename(from, to)
     }
 
@@ -73,7 +74,7 @@
     }
 
     fn sync_folder(&self, folder: &Path) -> io::Result<()> {
-        self.fail(Step::SyncFolder)?;
+        self.check(Step::SyncFolder)?;
         SystemFiles.sync_folder(folder)
     }
 }
@@ -95,18 +96,22 @@
 
 fn generation_on_disk(data: &Path) -> Option<u64> {
     let text = std::fs::read_to_string(data.join("generation")).ok()?;
-    Some(GenerationRecord::decode(&text).expect("whole").generation)
+    Some(
+        GenerationRecord::decode(&text)
+            .expect("a complete record")
+            .generation,
+    )
 }
 
-async fn a_process_stays_out_while_this_step_fails(step: Step) {
+async fn check_nothing_is_sent_while_step_fails(step: Step) {
     let root = tempfile::tempdir().expect("a folder");
     let seed = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
-    let before = GenerationRecord {
+    let former = GenerationRecord {
         cluster: "campus".into(),
         name: "front-1".into(),
         generation: 4,
     };
-    std::fs::write(root.path().join("generation"), before.encode()).expect("written");
+    std::fs::write(root.path().join("generation"), former.encode()).expect("written");
     let (heal, healthy) = watch::channel(false);
     let (failures, mut failed) = mpsc::unbounded_channel();
     let files = Arc::new(FailingFiles {
@@ -114,54 +119,55 @@
         healthy,
         failures,
     });
-    let config = settings(root.path(), seed.local_addr().expect("its address"));
-    let fleet = MembershipRuntime::start_with_files("front-1", config, files)
+    let config = settings(root.path(), seed.local_addr().expect("an address"));
+    let membership = MembershipRuntime::start_with_files("front-1", config, files)
         .await
-        .expect("it starts all the same");
+        .expect("started");
     for _ in 0..3 {
-        failed.recv().await.expect("it goes on trying");
-        let read = generation_on_disk(root.path());
-        // A rename that is not synced is on its way: it counts as taken, but not as saved.
-        let renamed = step == Step::SyncFolder && read == Some(5);
-        assert!(read == Some(4) || renamed, "{step:?}: {read:?}");
+        failed.recv().await.expect("saving is retried");
+        let generation = generation_on_disk(root.path());
+        // The new record is visible after the rename, but does not count as saved until the folder is synced.
+        let renamed = step == Step::SyncFolder && generation == Some(5);
+        assert!(generation == Some(4) || renamed, "{step:?}: {generation:?}");
     }
     let mut buffer = [0; 2048];
-    let sent = seed.try_recv(&mut buffer).map_err(|e| e.kind());
+    let received = seed.try_recv(&mut buffer).map_err(|error| error.kind());
     assert_eq!(
-        sent,
+        received,
         Err(ErrorKind::WouldBlock),
-        "{step:?}: nothing is sent before"
+        "{step:?}: sent before the generation was saved"
     );
-    let standing = fleet.view().borrow().as_ref().map(|v| v.join_state.clone());
+    let view = membership.view();
+    let join_state = view.borrow().as_ref().map(|view| view.join_state.clone());
     assert!(
-        standing.is_none_or(|s| s == JoinState::SavingGeneration),
+        join_state.is_none_or(|state| state == JoinState::SavingGeneration),
         "{step:?}"
     );
-    heal.send(true).expect("it runs");
-    seed.recv(&mut buffer).await.expect("it asks its seed");
+    heal.send(true).expect("the membership runs");
+    seed.recv(&mut buffer).await.expect("a join request");
     assert_eq!(
         generation_on_disk(root.path()),
         Some(5),
-        "{step:?}: on disk before anything is sent"
+        "{step:?}: sent before the generation was saved"
     );
-    fleet.shutdown().await;
-    let folder = DataFolder::lock(root.path()).expect("given back");
+    membership.shutdown().await;
+    let folder = DataFolder::lock(root.path()).expect("unlocked");
     assert!(folder.read_generation().expect("readable").is_some());
 }
 
 #[tokio::test]
-async fn a_process_stays_out_while_its_disk_is_full() {
-    a_process_stays_out_while_this_step_fails(Step::Create).await;
-    a_process_stays_out_while_this_step_fails(Step::Write).await;
+async fn process_with_a_full_disk_sends_nothing_until_its_generation_is_saved() {
+    check_nothing_is_sent_while_step_fails(Step::Create).await;
+    check_nothing_is_sent_while_step_fails(Step::Write).await;
 }
 
 #[tokio::test]
-async fn a_process_stays_out_while_syncs_fail() {
-    a_process_stays_out_while_this_step_fails(Step::SyncFile).await;
-    a_process_stays_out_while_this_step_fails(Step::SyncFolder).await;
+async fn process_whose_syncs_fail_sends_nothing_until_its_generation_is_saved() {
+    check_nothing_is_sent_while_step_fails(Step::SyncFile).await;
+    check_nothing_is_sent_while_step_fails(Step::SyncFolder).await;
 }
 
 #[tokio::test]
-async fn a_process_stays_out_while_renames_fail() {
-    a_process_stays_out_while_this_step_fails(Step::Rename).await;
+async fn process_whose_renames_fail_sends_nothing_until_its_generation_is_saved() {
+    check_nothing_is_sent_while_step_fails(Step::Rename).await;
 }
