--- a/crates/pipithub/tests/fleet.rs
+++ b/crates/pipithub/tests/fleet.rs
@@ -86,7 +86,7 @@
     let out = run(&["membership", "explain", "front-2", "--config", &one]);
     let text = String::from_utf8_lossy(&out.stdout);
     assert!(
-        text.contains("suspected") && text.contains("held for dead"),
+        text.contains("suspected") && text.contains("did not refute the suspicion"),
         "{text}"
     );
     let again = serve(&two);
