--- a/crates/pipithub-amqp/src/endpoint.rs
+++ b/crates/pipithub-amqp/src/endpoint.rs
@@ -1,7 +1,8 @@
-//! One connection and its channels, for either end (specification 2.2, 4.2, 4.9 and 4.10).
+//! One connection and its channels, for clients and servers (specification 2.2, 4.2, 4.9 and 4.10).
 //!
-//! The caller moves the bytes: it passes what it read to [`Endpoint::receive`] and writes what [`Endpoint::take_output`]
-//! returns. [`Endpoint::poll_event`] reports what happened, [`Endpoint::next_timeout`] when [`Endpoint::on_time`] is due.
+//! The caller does the I/O: it passes received bytes to [`Endpoint::receive`] and writes the bytes that
+//! [`Endpoint::take_output`] returns. [`Endpoint::poll_event`] returns the events that resulted, and
+//! [`Endpoint::next_timeout`] the time at which [`Endpoint::on_time`] is to be called.
 
 mod channels;
 mod event;
@@ -25,15 +26,16 @@
 use channels::Channel;
 
 const SECOND: Time = 1_000_000_000;
-/// A handshake that takes longer is aborted: a peer that sends nothing must not hold a connection for ever.
+/// Longest duration of the handshake, so that a peer that sends nothing cannot occupy a connection for ever.
 const HANDSHAKE_TIMEOUT: Time = 10 * SECOND;
-/// How long to wait for `close-ok`.
+/// How long `close-ok` is awaited.
 const CLOSE_TIMEOUT: Time = 5 * SECOND;
 
-/// The step that a connection has reached; each `Awaiting` step of the handshake names the peer's next method.
+/// The state of a connection. In the `Awaiting` states of the handshake, the peer's method of that name is expected
+/// next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Server: the protocol header is awaited.
+    /// Server: the client's protocol header is expected.
     AwaitingHeader,
     AwaitingStart,
     AwaitingStartOk,
@@ -41,18 +43,18 @@
     AwaitingTuneOk,
     AwaitingOpen,
     AwaitingOpenOk,
-    /// Server: the caller decides on the login.
+    /// Server: the caller is to accept or reject the login.
     AwaitingLoginDecision,
-    /// Server: the caller decides on the virtual host.
+    /// Server: the caller is to accept or reject the virtual host.
     AwaitingOpenDecision,
     /// Methods may be sent and received.
     Open,
-    /// `close` was sent.
+    /// `connection.close` was sent, `close-ok` is expected.
     Closing,
     Closed,
 }
 
-/// The state of one connection.
+/// One end of a connection, with its channels.
 #[derive(Debug)]
 pub struct Endpoint {
     role: Role,
@@ -63,26 +65,26 @@
     output: BytesMut,
     channels: BTreeMap<u16, Channel>,
     events: VecDeque<Event>,
-    /// When the handshake or the closing began; their time-outs count from here.
+    /// When the handshake or the closing began, from which its timeout counts.
     phase_started: Time,
-    /// The time of the last call that was given it.
+    /// The time that was passed last.
     now: Time,
     last_sent: Time,
     last_received: Time,
     peer_properties: FieldTable,
-    /// Client: the name that the server shows for the connection.
+    /// Client: the `connection_name` that is sent to the server.
     name: Option<String>,
 }
 
 impl Endpoint {
-    /// The client's end; the protocol header is in its output at once.
+    /// Creates the client's end of a connection. The protocol header is in its output at once.
     pub fn client(login: Login, tuning: Tuning, now: Time) -> Self {
         let mut endpoint = Self::new(Role::Client, login, tuning, State::AwaitingStart, now);
         endpoint.output.extend_from_slice(&PROTOCOL_HEADER);
         endpoint
     }
 
-    /// The server's end.
+    /// Creates the server's end of a connection, which waits for the client's protocol header.
     pub fn server(tuning: Tuning, now: Time) -> Self {
         Self::new(
             Role::Server,
@@ -113,38 +115,38 @@
         }
     }
 
-    /// Client: sets the name that the server shows for the connection.
+    /// Client: sets the name that the server shows for the connection; `pipithub` by default.
     pub fn named(mut self, name: &str) -> Self {
         self.name = Some(name.to_string());
         self
     }
 
-    /// The limits in force; those negotiated once the connection is open.
+    /// The limits in force: those of the constructor, and the negotiated ones once the connection is open.
     pub fn tuning(&self) -> Tuning {
         self.tuning
     }
 
-    /// The properties that the peer sent in the handshake.
+    /// The properties that the peer sent in the handshake; empty before that.
     pub fn peer_properties(&self) -> &FieldTable {
         &self.peer_properties
     }
 
-    /// Whether the connection is open for methods.
+    /// Whether the handshake is complete and the connection is not being closed.
     pub fn is_open(&self) -> bool {
         self.state == State::Open
     }
 
-    /// Whether the connection has ended: the socket may be closed once the output is written.
+    /// Whether the connection has ended. The socket may be closed once the output is written.
     pub fn is_closed(&self) -> bool {
         self.state == State::Closed
     }
 
-    /// The number of bytes that wait to be written. The caller bounds it: above its limit it should send nothing more.
+    /// Number of bytes to be written. It is not bounded here: callers should stop sending above a limit of their own.
     pub fn output_len(&self) -> usize {
         self.output.len()
     }
 
-    /// Takes the bytes to write.
+    /// Removes and returns the bytes to be written.
     pub fn take_output(&mut self, now: Time) -> Bytes {
         if !self.output.is_empty() {
             self.last_sent = now;
@@ -152,12 +154,12 @@
         self.output.split().freeze()
     }
 
-    /// The next event.
+    /// Removes and returns the oldest event.
     pub fn poll_event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
 
-    /// When [`Endpoint::on_time`] is due next.
+    /// When [`Endpoint::on_time`] is to be called next; `None` if no timeout is pending.
     pub fn next_timeout(&self) -> Option<Time> {
         match self.state {
             State::Closed => None,
@@ -172,7 +174,8 @@
         }
     }
 
-    /// Sends heartbeats, and closes a connection that is silent for two intervals (specification 4.2.7).
+    /// Handles timeouts: sends a heartbeat if one is due, ends a connection whose peer was silent for two heartbeat
+    /// intervals (specification 4.2.7), and ends a handshake or closing that takes too long.
     pub fn on_time(&mut self, now: Time) {
         self.now = now;
         match self.state {
@@ -192,7 +195,7 @@
         }
     }
 
-    /// The negotiated interval; `None`: heartbeats are off.
+    /// The heartbeat interval; `None` if heartbeats are disabled.
     fn heartbeat_interval(&self) -> Option<Time> {
         let seconds = self.tuning.heartbeat;
         (seconds > 0).then(|| Time::from(seconds) * SECOND)
@@ -212,14 +215,15 @@
         }
     }
 
-    /// Closes the connection at once, without the exchange of `close` and `close-ok`.
+    /// Ends the connection without sending `close`.
     fn finish(&mut self, fault: Fault, by_peer: bool) {
         self.state = State::Closed;
         self.channels.clear();
         self.events.push_back(Event::Closed { fault, by_peer });
     }
 
-    /// Closes the connection: `close` is sent, and [`Event::Closed`] follows at once.
+    /// Closes the connection: sends `close` and reports [`Event::Closed`] without waiting for `close-ok`. Does nothing
+    /// if the connection is closing or closed.
     pub fn close(&mut self, fault: Fault) {
         if matches!(self.state, State::Closing | State::Closed) {
             return;
--- a/crates/pipithub-amqp/src/endpoint/channels.rs
+++ b/crates/pipithub-amqp/src/endpoint/channels.rs
@@ -1,4 +1,4 @@
-//! The methods and contents of channels (specification 2.3.5 and 4.2.6).
+//! Methods and contents that the peer sends on channels (specification 2.3.5 and 4.2.6).
 
 use bytes::BytesMut;
 
@@ -7,14 +7,14 @@
 use crate::properties::Properties;
 use crate::reply::{Code, Fault};
 
-/// What a content header frame holds, beside the class of its method.
+/// The content of a header frame, except for the class of its method.
 #[derive(Debug)]
 pub(super) struct ContentHeader {
     pub(super) body_size: u64,
     pub(super) properties: Properties,
 }
 
-/// A method whose content has not arrived completely.
+/// A method whose content has not completely arrived.
 #[derive(Debug)]
 pub(super) struct Assembly {
     method: Method,
@@ -38,14 +38,14 @@
     }
 }
 
-/// The state of a channel; a channel that is not open has none.
+/// The state of a channel. Channels that are closed are not stored.
 #[derive(Debug)]
 pub(super) enum Channel {
     /// Client: `channel.open` was sent.
     Opening,
-    /// Methods may be sent and received.
+    /// Methods may be sent and received. `assembly` is the method whose content is being received.
     Open { assembly: Option<Box<Assembly>> },
-    /// `channel.close` was sent; everything but `close` and `close-ok` is ignored.
+    /// `channel.close` was sent. All methods but `close` and `close-ok` are ignored.
     Closing,
 }
 
@@ -117,7 +117,7 @@
             Method::ChannelCloseOk {} => {
                 self.channels.remove(&channel);
             }
-            // Both ends closed at once; the peer's close-ok is still to come.
+            // Both ends closed the channel at the same time; the peer's `close-ok` is still expected.
             Method::ChannelClose { .. } => self.write(channel, Method::ChannelCloseOk {}),
             _ => {}
         }
@@ -234,7 +234,7 @@
         Ok(())
     }
 
-    /// Reports a method once its content is complete.
+    /// Reports the method if its content is complete.
     fn deliver_if_complete(&mut self, channel: u16) {
         let Some(Channel::Open { assembly }) = self.channels.get_mut(&channel) else {
             return;
--- a/crates/pipithub-amqp/src/endpoint/event.rs
+++ b/crates/pipithub-amqp/src/endpoint/event.rs
@@ -1,4 +1,4 @@
-//! What an endpoint reports, and why it may refuse to send.
+//! The events of an endpoint, and the errors of its sending methods.
 
 use bytes::Bytes;
 
@@ -7,69 +7,70 @@
 use crate::reply::Fault;
 use crate::value::ShortStr;
 
-/// The properties and body that follow some methods.
+/// The content of a method: properties and body.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Content {
-    /// The properties of the content header.
+    /// Properties from the content header.
     pub properties: Properties,
-    /// The body, of all its frames.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// What happened on a connection.
+/// An event of a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Server: a client logs in; the caller decides with [`accept_login`](super::Endpoint::accept_login) or
+    /// Server: a client wants to log in. The caller must call [`accept_login`](super::Endpoint::accept_login) or
     /// [`reject_login`](super::Endpoint::reject_login).
     Login {
-        /// The user.
+        /// Name of the user.
         user: String,
-        /// The password.
+        /// Password that the client sent.
         password: String,
     },
-    /// Server: the client asks for a virtual host; the caller decides with [`accept_open`](super::Endpoint::accept_open) or
-    /// [`reject_open`](super::Endpoint::reject_open).
+    /// Server: the client wants to open a virtual host. The caller must call
+    /// [`accept_open`](super::Endpoint::accept_open) or [`reject_open`](super::Endpoint::reject_open).
     OpenRequested {
-        /// The name of the virtual host.
+        /// Name of the virtual host.
         virtual_host: ShortStr,
     },
-    /// The connection is open.
+    /// The handshake is complete: channels may be opened.
     Connected,
     /// A channel is open.
     ChannelOpened {
-        /// The channel.
+        /// Number of the channel.
         channel: u16,
     },
-    /// The peer sent a method, and the content that belongs to it.
+    /// The peer sent a method, with its complete content if it has one.
     Method {
-        /// The channel.
+        /// Number of the channel.
         channel: u16,
-        /// The method.
+        /// The method with its arguments.
         method: Method,
-        /// The content, for the methods that carry one.
+        /// The content; `None` for methods without one.
         content: Option<Box<Content>>,
     },
-    /// The peer asked to pause or resume sending content on a channel; the endpoint has confirmed it.
+    /// The peer requested that content on a channel be paused or resumed. The endpoint has sent `channel.flow-ok`;
+    /// pausing is up to the caller.
     Flow {
-        /// The channel.
+        /// Number of the channel.
         channel: u16,
         /// Whether content may be sent.
         active: bool,
     },
-    /// Client: the server accepts no publishes for now, for the reason given, or accepts them again (`None`).
+    /// Client: the server accepts no messages for now, for the given reason; `None` once it accepts them again.
     Blocked(Option<String>),
     /// A channel was closed.
     ChannelClosed {
-        /// The channel.
+        /// Number of the channel.
         channel: u16,
-        /// Why.
+        /// Reason for the closing.
         fault: Fault,
         /// Whether the peer closed it.
         by_peer: bool,
     },
-    /// The connection has ended; no event follows.
+    /// The connection was closed. No event follows.
     Closed {
-        /// Why.
+        /// Reason for the closing.
         fault: Fault,
         /// Whether the peer closed it.
         by_peer: bool,
@@ -88,7 +89,7 @@
     /// All channel numbers are in use.
     #[error("all channels are taken")]
     NoFreeChannel,
-    /// The method may not be sent by this end, lacks its content, or must not have one.
+    /// This end may not send this method, or it was sent without its content or with one that it does not have.
     #[error("{0} may not be sent so")]
     Misused(&'static str),
 }
--- a/crates/pipithub-amqp/src/endpoint/handshake.rs
+++ b/crates/pipithub-amqp/src/endpoint/handshake.rs
@@ -1,4 +1,4 @@
-//! The methods of the connection itself (specification 2.2.4), and the server's decisions on login and virtual host.
+//! The methods of the connection itself (specification 2.2.4), and the server's decisions about login and virtual host.
 
 use bytes::Bytes;
 
@@ -8,11 +8,11 @@
 use crate::reply::{Code, Fault};
 use crate::value::{FieldTable, FieldValue, ShortStr};
 
-/// The only authentication mechanism that is offered and used.
+/// The only supported authentication mechanism.
 const MECHANISM: &str = "PLAIN";
-/// The only locale that is offered and used; the specification requires it.
+/// The only supported locale, which the specification requires.
 const LOCALE: &str = "en_US";
-/// The version in `connection.start` (specification 4.2.2).
+/// The protocol version in `connection.start` (specification 4.2.2).
 const VERSION_MAJOR: u8 = 0;
 const VERSION_MINOR: u8 = 9;
 
@@ -29,7 +29,7 @@
 ];
 
 impl Endpoint {
-    /// Server: accepts the login that [`Event::Login`] reported.
+    /// Server: accepts the login of [`Event::Login`]. Does nothing if no login is pending.
     pub fn accept_login(&mut self) {
         if self.state == State::AwaitingLoginDecision {
             self.write(
@@ -44,12 +44,13 @@
         }
     }
 
-    /// Server: rejects the login, which closes the connection with 403.
+    /// Server: rejects the login, which closes the connection with reply code 403 and this text.
     pub fn reject_login(&mut self, text: &str) {
         self.close(Fault::new(Code::AccessRefused, text));
     }
 
-    /// Server: accepts the virtual host that [`Event::OpenRequested`] reported; the connection is open.
+    /// Server: accepts the virtual host of [`Event::OpenRequested`], which opens the connection. Does nothing if no
+    /// request is pending.
     pub fn accept_open(&mut self) {
         if self.state == State::AwaitingOpenDecision {
             self.write(0, Method::ConnectionOpenOk {});
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Server: rejects the virtual host, which closes the connection.
+    /// Server: rejects the virtual host, which closes the connection with this fault.
     pub fn reject_open(&mut self, fault: Fault) {
         self.close(fault);
     }
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Client: logs in.
+    /// Client: sends the login and the client's properties.
     fn send_start_ok(&mut self) {
         let name = self.name.as_deref().unwrap_or("pipithub");
         let client_properties = FieldTable::new()
@@ -214,7 +215,7 @@
         self.state = State::AwaitingTune;
     }
 
-    /// Server: reads the response of PLAIN (RFC 4616); the authorization identity is ignored.
+    /// Server: decodes the response of PLAIN (RFC 4616) and reports the login. The authorization identity is ignored.
     fn handle_login(&mut self, mechanism: &str, response: &[u8]) -> Result<(), Fault> {
         let mut parts = response
             .split(|byte| *byte == 0)
@@ -233,7 +234,7 @@
         Ok(())
     }
 
-    /// Client: takes the lower of each limit and the server's, and asks for the virtual host.
+    /// Client: takes the lower of each pair of limits, and requests the virtual host.
     fn handle_tune(&mut self, channel_max: u16, frame_max: u32, heartbeat: u16) {
         self.tuning = Tuning {
             channel_max: negotiated_limit(self.tuning.channel_max, channel_max),
@@ -255,7 +256,7 @@
         self.state = State::AwaitingOpenOk;
     }
 
-    /// Server: takes the client's limits, which must not exceed those that it was offered.
+    /// Server: takes the limits that the client chose, which must not exceed the offered ones.
     fn handle_tune_ok(
         &mut self,
         channel_max: u16,
@@ -289,7 +290,7 @@
     Fault::new(Code::CommandInvalid, text).caused_by(method)
 }
 
-/// Client: checks that the server speaks this version of the protocol.
+/// Client: checks that the server uses this version of the protocol.
 fn check_version(major: u8, minor: u8) -> Result<(), Fault> {
     if (major, minor) == (VERSION_MAJOR, VERSION_MINOR) {
         return Ok(());
@@ -300,7 +301,7 @@
     ))
 }
 
-/// Client: checks that the mechanism is among those that the server offers, which spaces separate.
+/// Client: checks that the server offers the supported mechanism. `mechanisms` are separated by spaces.
 fn check_mechanisms(mechanisms: &[u8]) -> Result<(), Fault> {
     let mut offered = mechanisms.split(|byte| *byte == b' ');
     if !offered.any(|mechanism| mechanism == MECHANISM.as_bytes()) {
@@ -320,7 +321,7 @@
     FieldValue::Table(table)
 }
 
-/// The lower of two limits, where 0 stands for no limit.
+/// The lower of two limits, of which 0 means that there is none.
 fn negotiated_limit<T: Ord + Default + Copy>(ours: T, theirs: T) -> T {
     let no_limit = T::default();
     if ours == no_limit {
--- a/crates/pipithub-amqp/src/endpoint/receiving.rs
+++ b/crates/pipithub-amqp/src/endpoint/receiving.rs
@@ -1,4 +1,4 @@
-//! What the peer sends: bytes, the protocol header and frames, each handed to the part that handles it.
+//! Received bytes: decodes the protocol header and the frames, and dispatches them.
 
 use super::channels::ContentHeader;
 use super::{Endpoint, Role, State};
@@ -7,11 +7,11 @@
 use crate::reply::{Code, Fault};
 use crate::{PROTOCOL_HEADER, Time};
 
-/// What every protocol header begins with, of whatever version.
+/// The first bytes of the protocol header of every version.
 const PROTOCOL_NAME: &[u8] = b"AMQP";
 
 impl Endpoint {
-    /// Takes bytes from the transport; what they amount to is handed out by [`Endpoint::poll_event`].
+    /// Handles bytes from the peer. The resulting events are returned by [`Endpoint::poll_event`].
     pub fn receive(&mut self, now: Time, bytes: &[u8]) {
         self.now = now;
         self.last_received = now;
@@ -35,7 +35,7 @@
                 Ok(None) => return,
                 Err(_) if self.state == State::Closing => self.state = State::Closed,
                 Err(fault) => {
-                    // What follows cannot be decoded: `close` is sent, nothing more is read.
+                    // The boundaries of later frames are unknown, so `close-ok` is not awaited.
                     self.close(fault);
                     self.state = State::Closed;
                 }
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Server: reads the protocol header; false where more bytes are needed or it was wrong.
+    /// Server: handles the protocol header. Returns false if more bytes are needed or the header is another one.
     fn receive_protocol_header(&mut self) -> bool {
         if !self.decoder.could_begin_with(&PROTOCOL_HEADER) {
             self.output.extend_from_slice(&PROTOCOL_HEADER);
@@ -60,7 +60,7 @@
         true
     }
 
-    /// Client: a server that speaks another version answers with its own protocol header and no frame.
+    /// Client: handles the answer of a server that uses another version, which is a protocol header and no frame.
     fn receive_other_version(&mut self) {
         if self.decoder.take_raw(PROTOCOL_HEADER.len()).is_some() {
             self.finish(
@@ -94,7 +94,7 @@
         }
     }
 
-    /// After `close` was sent, everything but `close` and `close-ok` is ignored.
+    /// Handles a frame after `close` was sent: all but `close` and `close-ok` are ignored.
     fn receive_while_closing(&mut self, payload: &Payload) {
         match payload {
             Payload::Method(Method::ConnectionClose { .. }) => {
--- a/crates/pipithub-amqp/src/endpoint/sending.rs
+++ b/crates/pipithub-amqp/src/endpoint/sending.rs
@@ -1,4 +1,4 @@
-//! Opening and closing channels, and sending methods and contents.
+//! Opening and closing of channels, and sending of methods and contents.
 
 use bytes::Bytes;
 
@@ -11,7 +11,8 @@
 use crate::value::ShortStr;
 
 impl Endpoint {
-    /// Closes a channel; it does nothing where the channel is not open.
+    /// Closes a channel: sends `channel.close` and reports [`Event::ChannelClosed`]. Does nothing if the channel is not
+    /// open.
     pub fn close_channel(&mut self, channel: u16, fault: Fault) {
         if let Some(state @ (Channel::Open { .. } | Channel::Opening)) =
             self.channels.get_mut(&channel)
@@ -34,7 +35,11 @@
         }
     }
 
-    /// Client: opens a channel; [`Event::ChannelOpened`] follows.
+    /// Client: opens a channel and returns its number. It may be used after [`Event::ChannelOpened`].
+    ///
+    /// # Errors
+    /// [`SendError::NotOpen`] if the connection is not open or this is the server's end, [`SendError::NoFreeChannel`]
+    /// if all numbers are in use.
     pub fn open_channel(&mut self) -> Result<u16, SendError> {
         if self.state != State::Open || self.role != Role::Client {
             return Err(SendError::NotOpen);
@@ -53,13 +58,19 @@
     }
 
     /// Sends a method without content.
+    ///
+    /// # Errors
+    /// The connection or channel is not open, or this end may not send the method in this way.
     pub fn send(&mut self, channel: u16, method: Method) -> Result<(), SendError> {
         self.check_sendable(channel, &method, false)?;
         self.write(channel, method);
         Ok(())
     }
 
-    /// Sends a method with its content, cut into frames of the negotiated size.
+    /// Sends a method with its content, whose body is split into frames of the negotiated size.
+    ///
+    /// # Errors
+    /// The connection or channel is not open, or this end may not send the method in this way.
     pub fn send_content(
         &mut self,
         channel: u16,
--- a/crates/pipithub-amqp/src/endpoint/settings.rs
+++ b/crates/pipithub-amqp/src/endpoint/settings.rs
@@ -1,6 +1,6 @@
-//! How an end of a connection is set up: its role, its limits, its login.
+//! Settings of an endpoint: its role, limits and login.
 
-/// Which end this is.
+/// The end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// The end that opens the connection.
@@ -9,16 +9,16 @@
     Server,
 }
 
-/// The limits that are negotiated, and the largest body accepted.
+/// The limits of a connection. All but the last are negotiated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tuning {
-    /// The highest channel number; 0: any.
+    /// Highest channel number; 0 for any.
     pub channel_max: u16,
-    /// The largest frame in bytes, at least 4096.
+    /// Largest frame in bytes, at least 4096.
     pub frame_max: u32,
-    /// Seconds between heartbeats; 0: none.
+    /// Heartbeat interval in seconds; 0 to disable heartbeats.
     pub heartbeat: u16,
-    /// The largest message body accepted, in bytes. It is not negotiated: a larger one closes its channel with 311.
+    /// Largest accepted body of a message, in bytes. A larger one closes its channel with reply code 311.
     pub max_body: u64,
 }
 
@@ -33,14 +33,15 @@
     }
 }
 
-/// The credentials and virtual host of a client; the mechanism is always `PLAIN`.
+/// The credentials and the virtual host of a client. The mechanism is always `PLAIN`. `Debug` does not show the
+/// password.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Login {
-    /// The user.
+    /// Name of the user.
     pub user: String,
-    /// The password; never printed.
+    /// Password of the user.
     pub password: String,
-    /// The virtual host.
+    /// Name of the virtual host.
     pub virtual_host: String,
 }
 
--- a/crates/pipithub-amqp/src/frame.rs
+++ b/crates/pipithub-amqp/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames (specification 4.2.3): type, channel, size, payload, end octet.
+//! Encoding and decoding of frames (specification 4.2.3): type, channel, size, payload and end octet.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
@@ -7,9 +7,9 @@
 use crate::reply::{Code, Fault};
 use crate::wire::{Reader, SyntaxError, Writer};
 
-/// Bytes of a frame beside its payload: header and end octet.
+/// Bytes of a frame beside its payload: the header and the end octet.
 pub const OVERHEAD: usize = 8;
-/// The smallest frame-max that may be negotiated.
+/// The smallest `frame-max` that may be negotiated, in bytes.
 pub const FRAME_MIN_SIZE: u32 = 4096;
 /// The octet that ends every frame.
 const FRAME_END: u8 = 0xce;
@@ -17,7 +17,7 @@
 const HEADER_SIZE: usize = 7;
 /// Bytes of the size field, which is the last of the header.
 const SIZE_LENGTH: usize = 4;
-/// The limit on frames in place of a negotiated one of 0, which stands for no limit.
+/// Largest frame in bytes if the negotiated limit is 0, which means that there is none.
 const UNLIMITED_FRAME_MAX: usize = 16 << 20;
 
 const METHOD: u8 = 1;
@@ -25,37 +25,37 @@
 const BODY: u8 = 3;
 const HEARTBEAT: u8 = 8;
 
-/// What a frame carries.
+/// The payload of a frame.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Payload {
-    /// A method.
+    /// A method with its arguments.
     Method(Method),
-    /// The content header of a method.
+    /// The content header that follows a method with content.
     Header {
-        /// The class of the method that it follows.
+        /// Class of the method that it follows.
         class_id: u16,
-        /// Bytes of body to come.
+        /// Bytes of the body, which follows in body frames.
         body_size: u64,
-        /// The properties of the content.
+        /// Properties of the content.
         properties: Box<Properties>,
     },
     /// A part of the body of a content.
     Body(Bytes),
-    /// A heartbeat, which only shows that the peer is alive.
+    /// A heartbeat, which only shows that the peer runs.
     Heartbeat,
 }
 
-/// A frame on its channel.
+/// A frame with its channel.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Frame {
-    /// The channel; 0 is the connection itself.
+    /// Number of the channel; 0 is the connection itself.
     pub channel: u16,
-    /// What the frame carries.
+    /// Type and content of the frame.
     pub payload: Payload,
 }
 
 impl Frame {
-    /// Appends the bytes of the frame.
+    /// Appends the encoded frame to `output`.
     pub fn write(&self, output: &mut BytesMut) {
         let frame_type = match self.payload {
             Payload::Method(_) => METHOD,
@@ -65,7 +65,7 @@
         };
         output.put_u8(frame_type);
         output.put_u16(self.channel);
-        // The size is not known yet and is filled in at the end.
+        // The size is written once the payload is encoded.
         output.put_u32(0);
         let start = output.len();
         match &self.payload {
@@ -90,16 +90,16 @@
     }
 }
 
-/// Splits a stream of bytes into frames.
+/// Decodes the frames in a stream of bytes.
 #[derive(Debug)]
 pub struct FrameDecoder {
     buffer: BytesMut,
-    /// The largest frame accepted, including its header and end octet.
+    /// Largest frame that is accepted, in bytes, header and end octet included.
     frame_max: usize,
 }
 
 impl FrameDecoder {
-    /// Accepts frames of at most so many bytes.
+    /// Creates a decoder that accepts frames of up to `frame_max` bytes.
     pub fn new(frame_max: u32) -> Self {
         FrameDecoder {
             buffer: BytesMut::new(),
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Sets the negotiated limit; 0 stands for no limit and is treated as 16 MiB.
+    /// Sets the negotiated limit in bytes; 0 (no limit) is treated as 16 MiB.
     pub fn set_frame_max(&mut self, frame_max: u32) {
         self.frame_max = if frame_max == 0 {
             UNLIMITED_FRAME_MAX
@@ -116,22 +116,28 @@
         };
     }
 
-    /// Adds bytes from the stream.
+    /// Appends bytes of the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes `count` bytes that are no frame, once they have arrived: the protocol header.
+    /// Removes and returns `count` bytes that are not part of a frame, which is how the protocol header is read.
+    /// Returns `None` until so many bytes are buffered.
     pub fn take_raw(&mut self, count: usize) -> Option<BytesMut> {
         (self.buffer.len() >= count).then(|| self.buffer.split_to(count))
     }
 
-    /// Whether the buffered bytes, and those still to arrive, could begin with these.
+    /// Whether the stream may begin with `expected`: the buffered bytes, of which there may be fewer, do not differ
+    /// from it.
     pub fn could_begin_with(&self, expected: &[u8]) -> bool {
         self.buffer.iter().zip(expected).all(|(a, b)| a == b)
     }
 
-    /// The next complete frame. Any fault ends the connection: no later byte can be trusted.
+    /// Removes and returns the next frame; `None` until it is complete.
+    ///
+    /// # Errors
+    /// The frame cannot be decoded or is too large. The connection must then be closed, because the boundaries of later
+    /// frames are unknown.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, Fault> {
         let Some(header) = self.buffer.first_chunk::<HEADER_SIZE>() else {
             return Ok(None);
@@ -145,7 +151,7 @@
                 format!("unknown frame type {frame_type}"),
             ));
         }
-        // Checked before the payload has arrived: no peer can make this end buffer more than a frame.
+        // Checked before the payload has arrived, so that no peer can make this end buffer more than a frame.
         if size.saturating_add(OVERHEAD) > self.frame_max {
             let text = format!(
                 "frame of {size} bytes is beyond frame-max {}",
--- a/crates/pipithub-amqp/src/lib.rs
+++ b/crates/pipithub-amqp/src/lib.rs
@@ -1,13 +1,12 @@
-//! AMQP 0-9-1 without I/O, by the public specification and its errata.
+//! AMQP 0-9-1 without I/O, according to the public specification and its errata.
 //!
-//! [`frame`] splits bytes into frames, [`method`] holds every method, [`properties`] the properties of the content
-//! header, [`value`] the field tables. [`endpoint`] is the state machine of one connection and its channels, for either
-//! end: bytes, calls and the time go in; bytes, events and the next time-out come out. It never panics on what a peer
-//! sends: each violation of the protocol closes the channel or the connection with the reply code that the specification
-//! names ([`reply::Code`]).
+//! [`frame`] encodes and decodes frames, [`method`] defines all methods, [`properties`] the properties of the content
+//! header, and [`value`] the field tables. [`endpoint`] is the state machine of one connection and its channels, for
+//! clients and servers. No input of a peer makes it panic: each violation of the protocol closes the channel or the
+//! connection with the reply code that the specification prescribes ([`reply::Code`]).
 //!
-//! Where the specification's table types and their errata differ (`s`, `l`), the errata are followed, as all
-//! brokers and clients in use do.
+//! Where the types of field values in the specification and in its errata differ (`s`, `l`), the errata apply, as in
+//! the brokers and clients in use.
 
 pub mod endpoint;
 pub mod frame;
@@ -26,5 +25,5 @@
 
 pub use pipithub_clock::Time;
 
-/// The protocol header that a client opens with (specification 4.2.2).
+/// The protocol header that a client sends first (specification 4.2.2).
 pub const PROTOCOL_HEADER: [u8; 8] = *b"AMQP\x00\x00\x09\x01";
--- a/crates/pipithub-amqp/src/method.rs
+++ b/crates/pipithub-amqp/src/method.rs
@@ -1,57 +1,58 @@
-//! Every method of the specification, `confirm` and `connection.blocked` included, with its arguments.
+//! All methods of the specification with their arguments, and those of the extensions in use (`confirm`,
+//! `connection.blocked`, `basic.nack` and others).
 
 use bytes::Bytes;
 
 use crate::value::{FieldTable, ShortStr};
 use crate::wire::{Field, Reader, SyntaxError, Writer};
 
-/// Which end of a connection may send a method.
+/// The end of a connection that may send a method.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sender {
-    /// The client alone.
+    /// Only the client.
     Client,
-    /// The server alone.
+    /// Only the server.
     Server,
-    /// Either end.
+    /// The client and the server.
     Both,
 }
 
-/// Why a method frame could not be read.
+/// Why the payload of a method frame could not be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MethodError {
-    /// The specification has no such class or method.
+    /// There is no method with this class and number.
     #[error("no method {} in class {}", .0.method_id, .0.class_id)]
     Unknown(MethodId),
-    /// The arguments could not be read.
+    /// The arguments could not be decoded.
     #[error("{error} in method {method}")]
     Syntax {
-        /// The name of the method.
+        /// Name of the method, or `header` where its numbers are truncated.
         method: &'static str,
-        /// What is wrong with its arguments.
+        /// The error in its arguments.
         error: SyntaxError,
     },
 }
 
-/// The class of the methods that belong to the connection itself.
+/// Class of the methods that concern the connection itself, which are sent on channel 0.
 pub const CONNECTION_CLASS: u16 = 10;
 
-/// The numbers by which a method is known on the wire.
+/// The numbers that identify a method on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct MethodId {
-    /// The class.
+    /// Number of the class.
     pub class_id: u16,
-    /// The method within its class.
+    /// Number of the method within its class.
     pub method_id: u16,
 }
 
-/// What the specification says of a method, whatever its arguments.
+/// Properties of a method that do not depend on its arguments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MethodInfo {
-    /// The numbers of the method.
+    /// The numbers that identify it on the wire.
     pub id: MethodId,
-    /// The name, as `basic.publish`.
+    /// The name in the specification, such as `basic.publish`.
     pub name: &'static str,
-    /// Which end may send it.
+    /// The end that may send it.
     pub sender: Sender,
     /// Whether a content header and body follow it.
     pub has_content: bool,
@@ -60,7 +61,8 @@
 macro_rules! methods {
     ($($(#[$doc:meta])* $name:ident $class:literal $id:literal $text:literal $sender:ident $content:literal
         [$($lead:ty),*] { $($field:ident: $ty:ty),* } [$($trail:ty),*];)*) => {
-        /// A method with its arguments, named as in the specification; reserved arguments are left out.
+        /// A method with its arguments, named as in the specification. Reserved arguments are omitted: they are ignored
+        /// when decoded and written as empty values.
         #[derive(Clone, Debug, PartialEq)]
         #[allow(missing_docs)]
         pub enum Method {
@@ -68,7 +70,7 @@
         }
 
         impl Method {
-            /// Every method of the specification.
+            /// All methods.
             pub const ALL: &'static [MethodInfo] = &[$(MethodInfo {
                 id: MethodId { class_id: $class, method_id: $id },
                 name: $text,
@@ -76,19 +78,19 @@
                 has_content: $content,
             }),*];
 
-            /// The numbers by which the method is known on the wire.
+            /// The numbers that identify the method on the wire.
             pub fn id(&self) -> MethodId {
                 match self {
                     $(Method::$name { .. } => MethodId { class_id: $class, method_id: $id },)*
                 }
             }
 
-            /// The name, as `basic.publish`.
+            /// The name in the specification, such as `basic.publish`.
             pub fn name(&self) -> &'static str {
                 match self { $(Method::$name { .. } => $text,)* }
             }
 
-            /// Which end may send the method.
+            /// The end that may send the method.
             pub fn sender(&self) -> Sender {
                 match self { $(Method::$name { .. } => Sender::$sender,)* }
             }
@@ -98,7 +100,10 @@
                 match self { $(Method::$name { .. } => $content,)* }
             }
 
-            /// Reads the payload of a method frame, to its last byte.
+            /// Decodes the payload of a method frame.
+            ///
+            /// # Errors
+            /// The method is unknown, or its arguments are malformed or followed by further bytes.
             pub fn read(payload: &[u8]) -> Result<Self, MethodError> {
                 let mut reader = Reader::new(payload);
                 let syntax = |method, error| MethodError::Syntax { method, error };
@@ -120,7 +125,7 @@
                 }
             }
 
-            /// Writes the payload of a method frame.
+            /// Encodes the payload of a method frame.
             pub fn write(&self, writer: &mut Writer<'_>) {
                 let id = self.id();
                 writer.u16(id.class_id);
--- a/crates/pipithub-amqp/src/reply.rs
+++ b/crates/pipithub-amqp/src/reply.rs
@@ -1,16 +1,17 @@
-//! Reply codes (specification 1.2 and the constants of its XML) and the faults that carry them.
+//! Reply codes (specification 1.2 and the constants in its XML), and the faults with which channels and connections
+//! end.
 
 /// A reply code of the specification.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[repr(u16)]
 pub enum Code {
-    /// The operation succeeded.
+    /// No error: the usual code for closing a channel or connection.
     Success = 200,
-    /// The content is larger than this end accepts; channel error.
+    /// The content is larger than this end accepts; closes the channel.
     ContentTooLarge = 311,
-    /// A mandatory message could not be routed; carried by `basic.return`.
+    /// A mandatory message could not be routed; sent in `basic.return`.
     NoRoute = 312,
-    /// An immediate message found no consumer; carried by `basic.return`.
+    /// An immediate message found no consumer; sent in `basic.return`.
     NoConsumers = 313,
     /// An operator closed the connection.
     ConnectionForced = 320,
@@ -22,30 +23,30 @@
     NotFound = 404,
     /// The entity is locked by another client.
     ResourceLocked = 405,
-    /// A precondition failed.
+    /// A precondition of the operation does not hold, such as an entity's properties.
     PreconditionFailed = 406,
     /// A frame could not be decoded.
     FrameError = 501,
-    /// A frame held values that could not be decoded.
+    /// The values in a frame could not be decoded.
     SyntaxError = 502,
-    /// A sequence of frames that is not valid.
+    /// The sequence of frames is not valid.
     CommandInvalid = 503,
-    /// A channel that is not, or is already, open.
+    /// The channel is not open, or is open already.
     ChannelError = 504,
-    /// A frame that was not expected here.
+    /// A frame of this type was not expected.
     UnexpectedFrame = 505,
-    /// Resources ran out.
+    /// The server has too few resources for the operation.
     ResourceError = 506,
-    /// The operation is not allowed here.
+    /// The operation is not allowed in this situation.
     NotAllowed = 530,
     /// The method is not implemented.
     NotImplemented = 540,
-    /// An internal error.
+    /// The server cannot go on because of an internal error.
     InternalError = 541,
 }
 
 impl Code {
-    /// The code of a number, where the specification has it.
+    /// The code with this number; `None` if the specification has none.
     pub fn from_number(number: u16) -> Option<Self> {
         use Code::{
             AccessRefused, ChannelError, CommandInvalid, ConnectionForced, ContentTooLarge,
@@ -79,22 +80,22 @@
     }
 }
 
-/// Why a channel or a connection ends.
+/// The reason for which a channel or a connection was closed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{code} {text} (class {class_id}, method {method_id})")]
 pub struct Fault {
-    /// The reply code, as its number: a peer may send one that is not in the specification.
+    /// Number of the reply code. A peer may send one that is not in the specification.
     pub code: u16,
-    /// What went wrong, for people.
+    /// Description for operators; sent to the peer, cut to 255 bytes.
     pub text: String,
-    /// The class of the method that caused it; 0: none did.
+    /// Class of the method that caused it; 0 if no method did.
     pub class_id: u16,
-    /// The method that caused it; 0: none did.
+    /// Number of the method that caused it; 0 if no method did.
     pub method_id: u16,
 }
 
 impl Fault {
-    /// Creates a fault that no method caused.
+    /// Creates a fault that was not caused by a method.
     pub fn new(code: Code, text: impl Into<String>) -> Self {
         Fault {
             code: code as u16,
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Adds the method that caused the fault.
+    /// Sets the method that caused the fault.
     pub fn caused_by(mut self, method: &crate::Method) -> Self {
         let id = method.id();
         self.class_id = id.class_id;
--- a/crates/pipithub-amqp/src/value.rs
+++ b/crates/pipithub-amqp/src/value.rs
@@ -6,20 +6,23 @@
 
 use bytes::Bytes;
 
-/// The longest short string, in bytes; its length is one octet on the wire.
+/// Longest short string in bytes, because its length is one octet on the wire.
 const MAX_SHORT_STR: usize = 255;
 
-/// At most 255 bytes of UTF-8.
+/// A string of at most 255 bytes of UTF-8.
 #[derive(Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ShortStr(Box<str>);
 
-/// A text that is too long for a short string; its length in bytes.
+/// The text is too long for a short string. Holds its length in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0} bytes do not fit a short string (255 at most)")]
 pub struct TooLong(pub usize);
 
 impl ShortStr {
-    /// Creates a short string from a text that fits.
+    /// Creates a short string.
+    ///
+    /// # Errors
+    /// The text has more than 255 bytes.
     pub fn new(text: &str) -> Result<Self, TooLong> {
         if text.len() > MAX_SHORT_STR {
             Err(TooLong(text.len()))
@@ -28,7 +31,7 @@
         }
     }
 
-    /// Creates a short string from as much of a text as fits, cut between characters.
+    /// Creates a short string, from as many whole characters of the text as fit into 255 bytes.
     pub fn truncated(text: &str) -> Self {
         let mut end = text.len().min(MAX_SHORT_STR);
         while !text.is_char_boundary(end) {
@@ -57,52 +60,52 @@
     }
 }
 
-/// A value in a field table.
+/// A value in a field table or array. The doc of each variant names its type octet.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FieldValue {
-    /// `t`
+    /// Type `t`: a boolean.
     Bool(bool),
-    /// `b`
+    /// Type `b`: a signed octet.
     I8(i8),
-    /// `B`
+    /// Type `B`: an unsigned octet.
     U8(u8),
-    /// `s`; `U` is read too
+    /// Type `s`, when decoded also `U`: a signed short.
     I16(i16),
-    /// `u`
+    /// Type `u`: an unsigned short.
     U16(u16),
-    /// `I`
+    /// Type `I`: a signed long.
     I32(i32),
-    /// `i`
+    /// Type `i`: an unsigned long.
     U32(u32),
-    /// `l`; `L` is read too
+    /// Type `l`, when decoded also `L`: a signed long-long.
     I64(i64),
-    /// `f`
+    /// Type `f`: a float.
     F32(f32),
-    /// `d`
+    /// Type `d`: a double.
     F64(f64),
-    /// `D`: `value` divided by ten to the power of `scale`
+    /// Type `D`: a decimal number, `value` divided by ten to the power of `scale`.
     Decimal {
-        /// Digits after the point.
+        /// Number of digits after the decimal point.
         scale: u8,
-        /// The digits.
+        /// All digits, as one number.
         value: i32,
     },
-    /// `S`
+    /// Type `S`: a long string, which holds any bytes.
     LongStr(Bytes),
-    /// `x`
+    /// Type `x`: a byte array.
     Bytes(Bytes),
-    /// `T`: seconds since 1970
+    /// Type `T`: a time in Unix seconds.
     Timestamp(u64),
-    /// `A`
+    /// Type `A`: an array of values.
     Array(Vec<FieldValue>),
-    /// `F`
+    /// Type `F`: a nested table.
     Table(FieldTable),
-    /// `V`
+    /// Type `V`: no value.
     Void,
 }
 
 impl FieldValue {
-    /// The text of a long string that is valid UTF-8.
+    /// The text of a long string; `None` for other types and where it is not UTF-8.
     pub fn as_str(&self) -> Option<&str> {
         match self {
             FieldValue::LongStr(bytes) => std::str::from_utf8(bytes).ok(),
@@ -110,7 +113,7 @@
         }
     }
 
-    /// The value of any whole number.
+    /// The value of an integer or timestamp; `None` for other types and where it exceeds the range.
     pub fn as_i64(&self) -> Option<i64> {
         Some(match self {
             FieldValue::I8(value) => i64::from(*value),
@@ -125,7 +128,7 @@
         })
     }
 
-    /// The value of any number.
+    /// The value of a number of any type, rounded where needed; `None` for other types.
     pub fn as_f64(&self) -> Option<f64> {
         match self {
             FieldValue::F32(value) => Some(f64::from(*value)),
@@ -150,33 +153,33 @@
     }
 }
 
-/// A field table. Its names are sorted, so that equal tables have equal encodings.
+/// A field table. Its fields are sorted by name, so that equal tables have equal encodings.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FieldTable(BTreeMap<ShortStr, FieldValue>);
 
 impl FieldTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         FieldTable::default()
     }
 
-    /// Adds a field; a later one of the same name replaces it.
+    /// Adds a field, in place of an existing one of the same name.
     pub fn insert(&mut self, name: ShortStr, value: FieldValue) {
         self.0.insert(name, value);
     }
 
-    /// Adds a field and returns the table; names beyond 255 bytes are cut.
+    /// Adds a field and returns the table. Names are cut to 255 bytes.
     pub fn with(mut self, name: &str, value: impl Into<FieldValue>) -> Self {
         self.insert(ShortStr::truncated(name), value.into());
         self
     }
 
-    /// The value of a field.
+    /// The value of the field of this name, if there is one.
     pub fn get(&self, name: &str) -> Option<&FieldValue> {
         self.0.get(&ShortStr::truncated(name))
     }
 
-    /// All fields by name.
+    /// All fields, in the order of their names.
     pub fn iter(&self) -> impl Iterator<Item = (&ShortStr, &FieldValue)> {
         self.0.iter()
     }
--- a/crates/pipithub-amqp/src/wire.rs
+++ b/crates/pipithub-amqp/src/wire.rs
@@ -1,4 +1,4 @@
-//! Primitive values on the wire (specification 4.2.5), read with winnow.
+//! Decoding and encoding of primitive values (specification 4.2.5).
 
 use bytes::{BufMut, Bytes, BytesMut};
 use winnow::Parser;
@@ -10,37 +10,39 @@
 
 use crate::value::{FieldTable, FieldValue, ShortStr};
 
-/// Why a value could not be read.
+/// Why a value could not be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SyntaxError {
-    /// The bytes end before the value does.
+    /// The bytes end before the end of the value of this type.
     #[error("truncated {0}")]
     Truncated(&'static str),
-    /// A string that must be UTF-8 is not.
+    /// A string of this type is not UTF-8.
     #[error("{0} is not UTF-8")]
     NotUtf8(&'static str),
-    /// A field value of an unknown type.
+    /// The type octet of a field value is unknown.
     #[error("unknown field type 0x{0:02x}")]
     UnknownType(u8),
-    /// Tables or arrays nested deeper than [`MAX_DEPTH`].
+    /// Tables or arrays are nested deeper than [`MAX_DEPTH`].
     #[error("tables nested too deep")]
     TooDeep,
-    /// Bytes follow the last value.
+    /// So many bytes follow the last value.
     #[error("{0} bytes left over")]
     TrailingBytes(usize),
 }
 
-/// The deepest nesting of tables and arrays; deeper ones could exhaust the stack.
+/// Deepest nesting of tables and arrays that is decoded. The decoder is recursive, so that deeper ones could overflow
+/// the stack.
 pub const MAX_DEPTH: usize = 32;
 
-/// An octet that adjacent bits share, and how many of them were read.
+/// An octet of adjacent bits, and the number of bits that were decoded from it.
 #[derive(Clone, Copy, Debug)]
 struct BitOctet {
     octet: u8,
     used: u8,
 }
 
-/// Reads values from the front of a slice; adjacent bits share octets.
+/// Decodes values from the front of a slice. Each method removes the bytes of its value, and fails if they are
+/// truncated or malformed. Adjacent bits share an octet.
 #[derive(Clone, Debug)]
 pub struct Reader<'a> {
     input: &'a [u8],
@@ -60,7 +62,7 @@
 }
 
 impl<'a> Reader<'a> {
-    /// Creates a reader of these bytes.
+    /// Creates a reader of `input`.
     pub fn new(input: &'a [u8]) -> Self {
         Reader {
             input,
@@ -70,29 +72,29 @@
     }
 
     number! {
-        /// An octet.
+        /// Decodes an octet.
         u8 u8 = be_u8;
-        /// A short.
+        /// Decodes a short.
         u16 u16 = be_u16;
-        /// A long.
+        /// Decodes a long.
         u32 u32 = be_u32;
-        /// A long-long.
+        /// Decodes a long-long.
         u64 u64 = be_u64;
-        /// A signed octet.
+        /// Decodes a signed octet.
         i8 i8 = be_i8;
-        /// A signed short.
+        /// Decodes a signed short.
         i16 i16 = be_i16;
-        /// A signed long.
+        /// Decodes a signed long.
         i32 i32 = be_i32;
-        /// A signed long-long.
+        /// Decodes a signed long-long.
         i64 i64 = be_i64;
-        /// A float.
+        /// Decodes a float.
         f32 f32 = be_f32;
-        /// A double.
+        /// Decodes a double.
         f64 f64 = be_f64;
     }
 
-    /// One bit; up to eight adjacent ones share an octet, lowest first.
+    /// Decodes a bit. Up to eight adjacent bits share an octet, from the lowest bit on.
     pub fn bit(&mut self) -> Result<bool, SyntaxError> {
         let BitOctet { octet, used } = match self.bits {
             Some(bits) if bits.used < 8 => bits,
@@ -114,7 +116,7 @@
         taken.map_err(|_| SyntaxError::Truncated(what))
     }
 
-    /// A short string: at most 255 bytes of UTF-8.
+    /// Decodes a short string, which must be UTF-8.
     pub fn short_str(&mut self) -> Result<ShortStr, SyntaxError> {
         let length = usize::from(self.u8()?);
         let text = std::str::from_utf8(self.take(length, "short string")?);
@@ -122,13 +124,13 @@
         Ok(ShortStr::truncated(text))
     }
 
-    /// A long string: any bytes.
+    /// Decodes a long string, which may hold any bytes.
     pub fn long_str(&mut self) -> Result<Bytes, SyntaxError> {
         let length = self.u32()? as usize;
         Ok(Bytes::copy_from_slice(self.take(length, "long string")?))
     }
 
-    /// A field table.
+    /// Decodes a field table.
     pub fn table(&mut self) -> Result<FieldTable, SyntaxError> {
         let mut inner = self.nested("table")?;
         let mut table = FieldTable::new();
@@ -160,7 +162,7 @@
         })
     }
 
-    /// A field value with its type octet.
+    /// Decodes a field value with its type octet.
     pub fn value(&mut self) -> Result<FieldValue, SyntaxError> {
         Ok(match self.u8()? {
             b't' => FieldValue::Bool(self.u8()? != 0),
@@ -187,13 +189,13 @@
         })
     }
 
-    /// Takes all remaining bytes.
+    /// Removes and returns all remaining bytes.
     pub fn rest(&mut self) -> &'a [u8] {
         self.bits = None;
         std::mem::take(&mut self.input)
     }
 
-    /// Checks that all bytes were read.
+    /// Checks that no bytes remain.
     pub fn finish(&self) -> Result<(), SyntaxError> {
         if self.input.is_empty() {
             Ok(())
@@ -203,47 +205,47 @@
     }
 }
 
-/// Appends values to a buffer; adjacent bits share octets.
+/// Appends encoded values to a buffer. Adjacent bits share an octet.
 #[derive(Debug)]
 pub struct Writer<'a> {
     output: &'a mut BytesMut,
-    /// How many bits of the last octet are used, where a bit was the last value.
+    /// Number of used bits in the last octet, if the last value was a bit.
     bits: Option<u8>,
 }
 
 impl<'a> Writer<'a> {
-    /// Creates a writer that appends to this buffer.
+    /// Creates a writer that appends to `output`.
     pub fn new(output: &'a mut BytesMut) -> Self {
         Writer { output, bits: None }
     }
 
-    /// The buffer, for a value that is not a bit and so begins on an octet of its own.
+    /// The buffer, for a value that is not a bit: the next bit begins a new octet.
     fn octets(&mut self) -> &mut BytesMut {
         self.bits = None;
         self.output
     }
 
-    /// An octet.
+    /// Encodes an octet.
     pub fn u8(&mut self, value: u8) {
         self.octets().put_u8(value);
     }
 
-    /// A short.
+    /// Encodes a short.
     pub fn u16(&mut self, value: u16) {
         self.octets().put_u16(value);
     }
 
-    /// A long.
+    /// Encodes a long.
     pub fn u32(&mut self, value: u32) {
         self.octets().put_u32(value);
     }
 
-    /// A long-long.
+    /// Encodes a long-long.
     pub fn u64(&mut self, value: u64) {
         self.octets().put_u64(value);
     }
 
-    /// One bit.
+    /// Encodes a bit.
     pub fn bit(&mut self, value: bool) {
         let used = self.bits.filter(|used| *used < 8).unwrap_or_else(|| {
             self.output.put_u8(0);
@@ -255,19 +257,19 @@
         self.bits = Some(used + 1);
     }
 
-    /// A short string.
+    /// Encodes a short string.
     pub fn short_str(&mut self, value: &ShortStr) {
         self.u8(value.len() as u8);
         self.octets().put_slice(value.as_bytes());
     }
 
-    /// A long string.
+    /// Encodes a long string.
     pub fn long_str(&mut self, value: &[u8]) {
         self.u32(value.len() as u32);
         self.octets().put_slice(value);
     }
 
-    /// Writes values with their length, in four octets, before them.
+    /// Encodes the values that `write` adds, preceded by their length in four octets.
     fn nested(&mut self, write: impl FnOnce(&mut Self)) {
         self.u32(0);
         let start = self.output.len();
@@ -277,7 +279,7 @@
         self.bits = None;
     }
 
-    /// A field table.
+    /// Encodes a field table.
     pub fn table(&mut self, table: &FieldTable) {
         self.nested(|writer| {
             for (name, value) in table.iter() {
@@ -287,7 +289,7 @@
         });
     }
 
-    /// A field value with its type octet.
+    /// Encodes a field value with its type octet.
     pub fn value(&mut self, value: &FieldValue) {
         self.u8(type_octet(value));
         match value {
@@ -316,7 +318,7 @@
     }
 }
 
-/// The octet that stands for the type of a value in tables and arrays.
+/// The octet that precedes a value in tables and arrays and identifies its type.
 fn type_octet(value: &FieldValue) -> u8 {
     match value {
         FieldValue::Bool(_) => b't',
@@ -339,11 +341,14 @@
     }
 }
 
-/// A type that a method's argument may have.
+/// A type of method arguments.
 pub trait Field: Sized {
-    /// Reads an argument of this type.
+    /// Decodes an argument of this type.
+    ///
+    /// # Errors
+    /// The argument is truncated or malformed.
     fn read(reader: &mut Reader<'_>) -> Result<Self, SyntaxError>;
-    /// Writes an argument of this type.
+    /// Encodes an argument of this type.
     fn write(&self, writer: &mut Writer<'_>);
 }
 
--- a/crates/pipithub-amqp/tests/codec.rs
+++ b/crates/pipithub-amqp/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The codec: every method, every property, every table type; against itself, against damage, and against an
+//! The codec with every method, property and type of field value: round trips, malformed input, and agreement with an
 //! independent implementation.
 
 use bytes::{Bytes, BytesMut};
@@ -22,7 +22,7 @@
     decoder.next_frame()
 }
 
-/// The shortest payload that reads as this method: all arguments zero or empty.
+/// The method with all arguments zero or empty, decoded from the shortest payload that is valid.
 fn minimal_method(id: MethodId) -> Method {
     (0..64)
         .find_map(|zeros| {
@@ -184,9 +184,8 @@
         prop_assert_eq!(decode(&bytes_of(&frame)), Ok(Some(frame)));
     }
 
-    /// A frame cut short is awaited, however it is cut.
     #[test]
-    fn a_frame_is_awaited_to_its_last_byte(frame in frame(), cut in any::<prop::sample::Index>()) {
+    fn truncated_frame_is_returned_once_it_is_complete(frame in frame(), cut in any::<prop::sample::Index>()) {
         let bytes = bytes_of(&frame);
         let cut = cut.index(bytes.len());
         let mut decoder = FrameDecoder::new(1 << 20);
@@ -196,9 +195,9 @@
         prop_assert_eq!(decoder.next_frame(), Ok(Some(frame)));
     }
 
-    /// No damage panics, and each that is found has one of the three codes for what cannot be read.
+    /// A flipped bit may go unnoticed, but an error has one of the codes for frames that cannot be decoded.
     #[test]
-    fn damage_is_reported_by_its_code(frame in frame(), at in any::<prop::sample::Index>(), bit in 0..8u8) {
+    fn corrupted_frame_is_rejected_with_a_code_for_undecodable_frames(frame in frame(), at in any::<prop::sample::Index>(), bit in 0..8u8) {
         let mut bytes = bytes_of(&frame);
         let at = at.index(bytes.len());
         bytes[at] ^= 1 << bit;
@@ -209,26 +208,26 @@
     }
 
     #[test]
-    fn noise_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn decoder_does_not_panic_on_arbitrary_bytes(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = decode(&bytes);
         let _ = Method::read(&bytes);
     }
 
-    /// An independent codec reads what this one writes and writes the same bytes again.
+    /// An independent codec decodes the bytes of this one and encodes the same bytes.
     #[test]
-    fn an_independent_codec_agrees(frame in frame()) {
+    fn independent_codec_agrees_on_random_frames(frame in frame()) {
         let bytes = bytes_of(&frame);
-        let (rest, theirs) = amq_protocol::frame::parse_frame(&bytes[..]).expect("it reads our frame");
+        let (rest, theirs) = amq_protocol::frame::parse_frame(&bytes[..]).expect("decoded");
         prop_assert!(rest.is_empty());
         let output = amq_protocol::frame::gen_frame(&theirs)(cookie_factory::WriteContext::from(Vec::new()));
-        let (again, _) = output.expect("it writes the frame").into_inner();
+        let (again, _) = output.expect("encoded").into_inner();
         prop_assert_eq!(&again[..], &bytes[..]);
         prop_assert_eq!(decode(&again), Ok(Some(frame)));
     }
 }
 
 #[test]
-fn an_independent_codec_agrees_on_every_method() {
+fn independent_codec_agrees_on_every_method() {
     for MethodInfo { id, name, .. } in Method::ALL {
         let bytes = bytes_of(&Frame {
             channel: 1,
@@ -242,53 +241,54 @@
 }
 
 #[test]
-fn damaged_frames_get_the_codes_of_the_specification() {
-    let good = bytes_of(&Frame {
+fn malformed_frames_are_rejected_with_the_specified_codes() {
+    let valid = bytes_of(&Frame {
         channel: 1,
         payload: Payload::Method(Method::TxSelect {}),
     });
-    let damaged = |change: &dyn Fn(&mut Vec<u8>)| {
-        let mut bytes = good.to_vec();
+    let code_after = |change: &dyn Fn(&mut Vec<u8>)| {
+        let mut bytes = valid.to_vec();
         change(&mut bytes);
-        decode(&bytes).expect_err("it is damaged").code
+        decode(&bytes).expect_err("malformed").code
     };
-    // Type, size, end octet: the frame itself.
-    assert_eq!(damaged(&|b| b[0] = 7), 501);
-    assert_eq!(damaged(&|b| b[3] = 0x7f), 501);
-    assert_eq!(damaged(&|b| *b.last_mut().unwrap() = 0), 501);
+    // Frame type, size and end octet.
+    assert_eq!(code_after(&|b| b[0] = 7), 501);
+    assert_eq!(code_after(&|b| b[3] = 0x7f), 501);
+    assert_eq!(code_after(&|b| *b.last_mut().unwrap() = 0), 501);
     // Unknown class or method.
-    assert_eq!(damaged(&|b| b[8] = 99), 540);
-    assert_eq!(damaged(&|b| b[10] = 99), 540);
-    // Bytes after the last argument of a method, a string that is truncated.
+    assert_eq!(code_after(&|b| b[8] = 99), 540);
+    assert_eq!(code_after(&|b| b[10] = 99), 540);
+    // Bytes after the last argument of a method.
     assert_eq!(
-        damaged(&|b| {
+        code_after(&|b| {
             b[6] += 1;
             b.insert(11, 0);
         }),
         502
     );
-    let text = bytes_of(&Frame {
+    // A truncated string.
+    let with_string = bytes_of(&Frame {
         channel: 1,
         payload: Payload::Method(Method::BasicCancelOk {
             consumer_tag: ShortStr::truncated("tag"),
         }),
     });
-    let mut longer = text.to_vec();
-    longer[11] = 200;
-    assert_eq!(decode(&longer).expect_err("cut").code, 502);
-    // Heartbeats belong on channel 0 and are empty.
-    let mut beat = bytes_of(&Frame {
+    let mut truncated = with_string.to_vec();
+    truncated[11] = 200;
+    assert_eq!(decode(&truncated).expect_err("truncated").code, 502);
+    // Heartbeats on another channel than 0.
+    let mut heartbeat = bytes_of(&Frame {
         channel: 0,
         payload: Payload::Heartbeat,
     });
-    assert!(decode(&beat).expect("good").is_some());
-    beat[2] = 1;
-    assert_eq!(decode(&beat).expect_err("on a channel").code, 503);
+    assert!(decode(&heartbeat).expect("valid").is_some());
+    heartbeat[2] = 1;
+    assert_eq!(decode(&heartbeat).expect_err("on a channel").code, 503);
 }
 
-/// A peer that announces a huge frame must not make this end wait for it, let alone buffer it.
+/// A peer that announces a huge frame must not make this end wait for it or buffer it.
 #[test]
-fn a_frame_beyond_the_limit_is_rejected_at_its_header() {
+fn frame_beyond_the_limit_is_rejected_by_its_header_alone() {
     let mut decoder = FrameDecoder::new(4096);
     decoder.push(&[3, 0, 1]);
     decoder.push(&(4096 - OVERHEAD as u32 + 1).to_be_bytes());
@@ -298,7 +298,7 @@
     );
 }
 
-/// Nested tables could exhaust the stack.
+/// Deeply nested tables could overflow the stack of the recursive decoder.
 #[test]
 fn tables_nested_too_deeply_are_rejected() {
     let mut table = FieldTable::new();
@@ -325,9 +325,9 @@
     );
 }
 
-/// The page for users of queues says of each method how it is supported.
+/// `docs/amqp.md` states how each method is supported.
 #[test]
-fn the_page_names_every_method() {
+fn documentation_names_every_method() {
     let page = include_str!("../../../docs/amqp.md");
     for MethodInfo { name, .. } in Method::ALL {
         assert!(
--- a/crates/pipithub-amqp/tests/endpoints.rs
+++ b/crates/pipithub-amqp/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! Both ends of a connection against each other, and against peers that break the protocol.
+//! A client and a server connected to each other, and peers that violate the protocol.
 
 use bytes::{Bytes, BytesMut};
 use pipithub_amqp::{
@@ -7,11 +7,21 @@
 
 const SECOND: Time = 1_000_000_000;
 
+/// Bytes that are received at once.
+const CHUNK_BYTES: usize = 7;
+
+/// A client and a server that are connected to each other.
 struct Pair {
     client: Endpoint,
     server: Endpoint,
 }
 
+#[derive(Default)]
+struct PairEvents {
+    client: Vec<Event>,
+    server: Vec<Event>,
+}
+
 impl Pair {
     fn new(client: Tuning, server: Tuning) -> Self {
         Pair {
@@ -20,83 +30,97 @@
         }
     }
 
-    /// Moves bytes both ways, in small pieces, until none are left; the server accepts the login `guest` alone.
-    fn settle(&mut self) -> (Vec<Event>, Vec<Event>) {
-        let (mut at_client, mut at_server) = (Vec::new(), Vec::new());
+    /// Transfers bytes in both directions, a few at a time, until there are none. Returns the events of both ends.
+    fn run_until_idle(&mut self) -> PairEvents {
+        let mut events = PairEvents::default();
         loop {
-            let (up, down) = (self.client.take_output(0), self.server.take_output(0));
-            if up.is_empty() && down.is_empty() {
-                return (at_client, at_server);
+            let to_server = self.client.take_output(0);
+            let to_client = self.server.take_output(0);
+            if to_server.is_empty() && to_client.is_empty() {
+                return events;
+            }
+            for part in to_server.chunks(CHUNK_BYTES) {
+                self.server.receive(0, part);
+            }
+            for part in to_client.chunks(CHUNK_BYTES) {
+                self.client.receive(0, part);
             }
-            up.chunks(7).for_each(|part| self.server.receive(0, part));
-            down.chunks(7).for_each(|part| self.client.receive(0, part));
             while let Some(event) = self.server.poll_event() {
-                match &event {
-                    Event::Login { user, password } if user == "guest" && password == "guest" => {
-                        self.server.accept_login();
-                    }
-                    Event::Login { .. } => self.server.reject_login("unknown user"),
-                    Event::OpenRequested { virtual_host } if &**virtual_host == "/" => {
-                        self.server.accept_open();
-                    }
-                    Event::OpenRequested { .. } => {
-                        self.server
-                            .reject_open(Fault::new(Code::NotAllowed, "no such virtual host"));
-                    }
-                    _ => {}
-                }
-                at_server.push(event);
+                self.decide(&event);
+                events.server.push(event);
             }
             while let Some(event) = self.client.poll_event() {
-                at_client.push(event);
+                events.client.push(event);
+            }
+        }
+    }
+
+    /// Server: accepts only the user `guest` and the virtual host `/`.
+    fn decide(&mut self, event: &Event) {
+        match event {
+            Event::Login { user, password } if user == "guest" && password == "guest" => {
+                self.server.accept_login();
+            }
+            Event::Login { .. } => self.server.reject_login("unknown user"),
+            Event::OpenRequested { virtual_host } if &**virtual_host == "/" => {
+                self.server.accept_open();
+            }
+            Event::OpenRequested { .. } => {
+                self.server
+                    .reject_open(Fault::new(Code::NotAllowed, "no such virtual host"));
             }
+            _ => {}
         }
     }
 
     fn open() -> Self {
         let mut pair = Pair::new(Tuning::default(), Tuning::default());
-        let (client, server) = pair.settle();
-        assert_eq!(client, [Event::Connected]);
-        assert_eq!(server.last(), Some(&Event::Connected));
+        let events = pair.run_until_idle();
+        assert_eq!(events.client, [Event::Connected]);
+        assert_eq!(events.server.last(), Some(&Event::Connected));
         pair
     }
 
     fn with_channel() -> Self {
         let mut pair = Pair::open();
         assert_eq!(pair.client.open_channel(), Ok(1));
-        let (client, server) = pair.settle();
-        assert_eq!(
-            (client, server),
-            (
-                vec![Event::ChannelOpened { channel: 1 }],
-                vec![Event::ChannelOpened { channel: 1 }]
-            )
-        );
+        let events = pair.run_until_idle();
+        assert_eq!(events.client, [Event::ChannelOpened { channel: 1 }]);
+        assert_eq!(events.server, [Event::ChannelOpened { channel: 1 }]);
         pair
     }
 
-    /// Sends raw frames to the server; the fault with which it closes the connection.
-    fn violate(mut self, frames: &[Frame]) -> u16 {
+    /// Sends frames to the server, and returns the reply code with which both ends see the connection closed.
+    fn code_after(mut self, frames: &[Frame]) -> u16 {
         let mut bytes = BytesMut::new();
-        frames.iter().for_each(|f| f.write(&mut bytes));
+        frames.iter().for_each(|frame| frame.write(&mut bytes));
         self.server.receive(1, &bytes);
+        let fault = self.server_fault();
+        let client_events = self.run_until_idle().client;
+        let closed_by_server = Event::Closed {
+            fault: fault.clone(),
+            by_peer: true,
+        };
+        assert!(
+            client_events.contains(&closed_by_server),
+            "the client does not know the fault: {client_events:?}"
+        );
+        assert!(self.server.is_closed() || self.client.is_closed());
+        fault.code
+    }
+
+    /// The fault with which the server has closed the connection.
+    fn server_fault(&mut self) -> Fault {
         while let Some(event) = self.server.poll_event() {
             if let Event::Closed {
                 fault,
                 by_peer: false,
             } = event
             {
-                let (client, _) = self.settle();
-                let is_reported = |e: &Event| matches!(e, Event::Closed { fault: f, by_peer: true } if *f == fault);
-                assert!(
-                    client.iter().any(is_reported),
-                    "the peer is told: {client:?}"
-                );
-                assert!(self.server.is_closed() || self.client.is_closed());
-                return fault.code;
+                return fault;
             }
         }
-        panic!("the breach went unnoticed");
+        panic!("the server did not close the connection");
     }
 }
 
@@ -109,23 +133,48 @@
     }
 }
 
-fn on(channel: u16, payload: Payload) -> Frame {
-    Frame { channel, payload }
+fn method(channel: u16, method: Method) -> Frame {
+    Frame {
+        channel,
+        payload: Payload::Method(method),
+    }
 }
 
+/// A content header on channel 1.
 fn header(class_id: u16, body_size: u64) -> Frame {
-    on(
-        1,
-        Payload::Header {
+    Frame {
+        channel: 1,
+        payload: Payload::Header {
             class_id,
             body_size,
             properties: Box::default(),
         },
-    )
+    }
+}
+
+/// A body frame of this size on channel 1.
+fn body(size: usize) -> Frame {
+    Frame {
+        channel: 1,
+        payload: Payload::Body(Bytes::from(vec![0; size])),
+    }
+}
+
+/// Frames that violate the protocol on a connection on which channel 1 is open, and the reply code for it.
+struct Violation {
+    name: &'static str,
+    code: u16,
+    frames: Vec<Frame>,
+}
+
+fn check_violations(violations: Vec<Violation>) {
+    for Violation { name, code, frames } in violations {
+        assert_eq!(Pair::with_channel().code_after(&frames), code, "{name}");
+    }
 }
 
 #[test]
-fn the_lower_limit_is_negotiated() {
+fn lower_of_both_limits_is_negotiated() {
     let mut pair = Pair::new(
         Tuning {
             channel_max: 0,
@@ -140,7 +189,7 @@
             ..Tuning::default()
         },
     );
-    pair.settle();
+    pair.run_until_idle();
     for tuning in [pair.client.tuning(), pair.server.tuning()] {
         assert_eq!(
             (tuning.channel_max, tuning.frame_max, tuning.heartbeat),
@@ -154,7 +203,7 @@
 }
 
 #[test]
-fn contents_of_any_size_are_delivered_complete() {
+fn contents_of_any_size_are_received_completely() {
     for size in [0usize, 1, 4088, 131_064, 131_065, 16 << 20] {
         let mut pair = Pair::with_channel();
         let body = vec![7u8; size];
@@ -182,7 +231,7 @@
 }
 
 #[test]
-fn a_body_beyond_the_limit_closes_its_channel_alone() {
+fn body_beyond_the_limit_closes_only_its_channel() {
     let mut pair = Pair::new(
         Tuning::default(),
         Tuning {
@@ -190,32 +239,33 @@
             ..Tuning::default()
         },
     );
-    pair.settle();
+    pair.run_until_idle();
     pair.client.open_channel().expect("open");
     pair.client.open_channel().expect("open");
-    pair.settle();
+    pair.run_until_idle();
     pair.client
         .send_content(1, publish(), Properties::default(), &[0; 11])
         .expect("open");
-    let (client, _) = pair.settle();
+    let events = pair.run_until_idle();
     assert!(
-        matches!(&client[..], [Event::ChannelClosed { channel: 1, fault, by_peer: true }] if fault.code == 311)
+        matches!(&events.client[..], [Event::ChannelClosed { channel: 1, fault, by_peer: true }] if fault.code == 311)
     );
     pair.client
         .send_content(2, publish(), Properties::default(), &[0; 10])
         .expect("still open");
-    let (_, server) = pair.settle();
+    let events = pair.run_until_idle();
     assert!(
-        matches!(&server[..], [Event::Method { channel: 2, .. }]),
-        "{server:?}"
+        matches!(&events.server[..], [Event::Method { channel: 2, .. }]),
+        "{:?}",
+        events.server
     );
-    // The number is free again.
+    // The number of the closed channel can be used for a new one.
     assert_eq!(pair.client.open_channel(), Ok(1));
 }
 
 #[test]
-fn wrong_logins_and_virtual_hosts_are_rejected() {
-    let login = |password: &str, host: &str| {
+fn wrong_password_and_unknown_virtual_host_close_the_connection() {
+    let code_after_login = |password: &str, host: &str| {
         let login = Login {
             password: password.into(),
             virtual_host: host.into(),
@@ -224,7 +274,7 @@
         let mut pair = Pair::open();
         pair.client = Endpoint::client(login, Tuning::default(), 0);
         pair.server = Endpoint::server(Tuning::default(), 0);
-        match pair.settle().0.pop() {
+        match pair.run_until_idle().client.pop() {
             Some(Event::Closed {
                 fault,
                 by_peer: true,
@@ -232,12 +282,12 @@
             other => panic!("{other:?}"),
         }
     };
-    assert_eq!(login("wrong", "/"), 403);
-    assert_eq!(login("guest", "elsewhere"), 530);
+    assert_eq!(code_after_login("wrong", "/"), 403);
+    assert_eq!(code_after_login("guest", "elsewhere"), 530);
 }
 
 #[test]
-fn another_protocol_gets_the_header_of_this_one() {
+fn other_protocols_are_answered_with_the_supported_protocol_header() {
     let mut server = Endpoint::server(Tuning::default(), 0);
     server.receive(0, b"GET / HT");
     assert_eq!(&server.take_output(0)[..], b"AMQP\x00\x00\x09\x01");
@@ -248,92 +298,108 @@
 }
 
 #[test]
-fn protocol_violations_get_the_codes_of_the_specification() {
-    let method = |m: Method| on(1, Payload::Method(m));
-    let body = |n: usize| on(1, Payload::Body(Bytes::from(vec![0; n])));
-    let deliver = Method::BasicCancelOk {
-        consumer_tag: ShortStr::default(),
-    };
-    let cases: Vec<(&str, u16, Vec<Frame>)> = vec![
-        (
-            "a method on a channel that is not open",
-            504,
-            vec![on(9, Payload::Method(Method::TxSelect {}))],
-        ),
-        (
-            "a channel opened twice",
-            504,
-            vec![method(Method::ChannelOpen {})],
-        ),
-        (
-            "a channel beyond channel-max",
-            504,
-            vec![on(3000, Payload::Method(Method::ChannelOpen {}))],
-        ),
-        ("a header without a method", 505, vec![header(60, 1)]),
-        ("a body without a method", 505, vec![body(1)]),
-        (
-            "a body before its header",
-            505,
-            vec![method(publish()), body(1)],
-        ),
-        (
-            "a header of another class",
-            505,
-            vec![method(publish()), header(50, 1)],
-        ),
-        (
-            "a method inside a content",
-            505,
-            vec![
-                method(publish()),
+fn violations_of_channel_states_close_the_connection_with_the_specified_code() {
+    check_violations(vec![
+        Violation {
+            name: "a method on a channel that is not open",
+            code: 504,
+            frames: vec![method(9, Method::TxSelect {})],
+        },
+        Violation {
+            name: "a channel that is opened twice",
+            code: 504,
+            frames: vec![method(1, Method::ChannelOpen {})],
+        },
+        Violation {
+            name: "a channel beyond channel-max",
+            code: 504,
+            frames: vec![method(3000, Method::ChannelOpen {})],
+        },
+    ]);
+}
+
+#[test]
+fn misplaced_content_frames_close_the_connection_with_the_specified_code() {
+    check_violations(vec![
+        Violation {
+            name: "a header without a method",
+            code: 505,
+            frames: vec![header(60, 1)],
+        },
+        Violation {
+            name: "a body without a method",
+            code: 505,
+            frames: vec![body(1)],
+        },
+        Violation {
+            name: "a body before its header",
+            code: 505,
+            frames: vec![method(1, publish()), body(1)],
+        },
+        Violation {
+            name: "a header of another class",
+            code: 505,
+            frames: vec![method(1, publish()), header(50, 1)],
+        },
+        Violation {
+            name: "a method inside a content",
+            code: 505,
+            frames: vec![
+                method(1, publish()),
                 header(60, 2),
-                method(Method::TxSelect {}),
+                method(1, Method::TxSelect {}),
             ],
-        ),
-        (
-            "a body too long",
-            501,
-            vec![method(publish()), header(60, 2), body(3)],
-        ),
-        (
-            "a channel's method on the connection",
-            503,
-            vec![on(0, Payload::Method(Method::TxSelect {}))],
-        ),
-        (
-            "a connection's method on a channel",
-            503,
-            vec![method(Method::ConnectionUnblocked {})],
-        ),
-        (
-            "a server's method from a client",
-            503,
-            vec![method(Method::BasicQosOk {})],
-        ),
-        (
-            "tune-ok out of turn",
-            503,
-            vec![on(
-                0,
-                Payload::Method(Method::ConnectionTuneOk {
-                    channel_max: 1,
-                    frame_max: 4096,
-                    heartbeat: 0,
-                }),
-            )],
-        ),
-    ];
-    for (violation, code, frames) in cases {
-        assert_eq!(Pair::with_channel().violate(&frames), code, "{violation}");
-    }
-    // `basic.cancel-ok` may come from both ends, so it is handed on.
+        },
+        Violation {
+            name: "a body that is longer than its header announces",
+            code: 501,
+            frames: vec![method(1, publish()), header(60, 2), body(3)],
+        },
+    ]);
+}
+
+#[test]
+fn misplaced_methods_close_the_connection_with_the_specified_code() {
+    let tune_ok = Method::ConnectionTuneOk {
+        channel_max: 1,
+        frame_max: 4096,
+        heartbeat: 0,
+    };
+    check_violations(vec![
+        Violation {
+            name: "a channel's method on channel 0",
+            code: 503,
+            frames: vec![method(0, Method::TxSelect {})],
+        },
+        Violation {
+            name: "a connection's method on another channel",
+            code: 503,
+            frames: vec![method(1, Method::ConnectionUnblocked {})],
+        },
+        Violation {
+            name: "a server's method from a client",
+            code: 503,
+            frames: vec![method(1, Method::BasicQosOk {})],
+        },
+        Violation {
+            name: "tune-ok after the handshake",
+            code: 503,
+            frames: vec![method(0, tune_ok)],
+        },
+    ]);
+}
+
+#[test]
+fn client_may_send_cancel_ok_which_both_ends_may_send() {
     let mut pair = Pair::with_channel();
-    pair.client.send(1, deliver).expect("both may send it");
+    let cancel_ok = Method::BasicCancelOk {
+        consumer_tag: ShortStr::default(),
+    };
+    pair.client.send(1, cancel_ok).expect("sent");
 }
 
 #[test]
-fn tune_ok_beyond_the_offer_is_not_allowed() {
+fn tune_ok_beyond_the_offer_closes_the_connection_as_not_allowed() {
     let mut server = Endpoint::server(Tuning::default(), 0);
     let mut client = Endpoint::client(Login::default(), Tuning::default(), 0);
     server.receive(0, &client.take_output(0));
@@ -347,37 +413,38 @@
         frame_max: 131_072,
         heartbeat: 0,
     };
-    on(0, Payload::Method(tune)).write(&mut bytes);
+    method(0, tune).write(&mut bytes);
     server.receive(0, &bytes);
     assert!(matches!(server.poll_event(), Some(Event::Closed { fault, .. }) if fault.code == 530));
 }
 
 #[test]
-fn heartbeats_keep_a_connection_open_and_silence_closes_it() {
+fn heartbeats_keep_an_idle_connection_open_until_the_peer_is_silent() {
     let mut pair = Pair::open();
     let mut now = 0;
-    // Kept for a minute by heartbeats alone.
+    // Nothing but heartbeats is sent for a minute.
     while now < 60 * SECOND {
         now = pair
             .client
             .next_timeout()
-            .expect("up")
-            .min(pair.server.next_timeout().expect("up"));
+            .expect("open")
+            .min(pair.server.next_timeout().expect("open"));
         pair.client.on_time(now);
         pair.server.on_time(now);
-        let (up, down) = (pair.client.take_output(now), pair.server.take_output(now));
-        if !up.is_empty() {
-            pair.server.receive(now, &up);
+        let to_server = pair.client.take_output(now);
+        if !to_server.is_empty() {
+            pair.server.receive(now, &to_server);
         }
-        if !down.is_empty() {
-            pair.client.receive(now, &down);
+        let to_client = pair.server.take_output(now);
+        if !to_client.is_empty() {
+            pair.client.receive(now, &to_client);
         }
     }
     assert!(pair.client.is_open() && pair.server.is_open());
-    // Then the client falls silent.
-    while let Some(at) = pair.server.next_timeout() {
-        assert!(at <= now + 25 * SECOND, "it should have given up");
-        pair.server.on_time(at);
+    // Then the client sends nothing.
+    while let Some(due) = pair.server.next_timeout() {
+        assert!(due <= now + 25 * SECOND, "the connection is still open");
+        pair.server.on_time(due);
     }
     assert!(matches!(
         pair.server.poll_event(),
@@ -386,24 +453,24 @@
 }
 
 #[test]
-fn a_stalled_handshake_times_out() {
+fn stalled_handshake_times_out() {
     let mut server = Endpoint::server(Tuning::default(), 0);
     server.receive(0, b"AMQP");
-    let due = server.next_timeout().expect("a handshake has an end");
+    let due = server.next_timeout().expect("a timeout of the handshake");
     server.on_time(due);
     assert!(server.is_closed());
 }
 
 #[test]
-fn a_channel_closed_by_both_ends_at_once_is_closed() {
+fn channel_closed_by_both_ends_at_once_can_be_opened_again() {
     let mut pair = Pair::with_channel();
     pair.client
         .close_channel(1, Fault::new(Code::Success, "done"));
     pair.server
         .close_channel(1, Fault::new(Code::NotFound, "no queue"));
-    pair.settle();
+    pair.run_until_idle();
     assert_eq!(pair.client.open_channel(), Ok(1));
-    let (client, server) = pair.settle();
-    assert_eq!(client, [Event::ChannelOpened { channel: 1 }]);
-    assert_eq!(server, [Event::ChannelOpened { channel: 1 }]);
+    let events = pair.run_until_idle();
+    assert_eq!(events.client, [Event::ChannelOpened { channel: 1 }]);
+    assert_eq!(events.server, [Event::ChannelOpened { channel: 1 }]);
 }
