--- a/crates/pipithub-amqp/src/endpoint/event.rs
+++ b/crates/pipithub-amqp/src/endpoint/event.rs
@@ -87,9 +87,9 @@
     #[error("channel {0} is not open")]
     NoChannel(u16),
     /// All channel numbers are in use.
-    #[error("all channels are taken")]
+    #[error("all channel numbers are in use")]
     NoFreeChannel,
     /// This end may not send this method, or it was sent without its content or with one that it does not have.
-    #[error("{0} may not be sent so")]
+    #[error("{0} may not be sent in this way")]
     Misused(&'static str),
 }
--- a/crates/pipithub-ldap/src/client.rs
+++ b/crates/pipithub-ldap/src/client.rs
@@ -1,8 +1,8 @@
-//! One client connection as a state machine: `StartTLS`, simple bind, searches, abandon.
+//! The state machine of one client connection: `StartTLS`, simple bind, searches and their cancellation.
 //!
-//! No search is sent before the bind has succeeded, and no password in the clear where TLS is wanted. Bytes that arrive
-//! between the response to `StartTLS` and the handshake end the connection, since anybody on the path could have
-//! inserted them.
+//! No search is sent before the bind has succeeded, and no password before the TLS handshake if TLS is required. Bytes
+//! that arrive between the response to `StartTLS` and the handshake close the connection, since an attacker on the path
+//! could have inserted them.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -21,30 +21,30 @@
 
 /// The protocol version of a bind request (RFC 4511, 4.2).
 const LDAP_VERSION: u8 = 3;
-/// Characters of a server's diagnostic message that are kept.
+/// Longest part of a server's diagnostic message that is kept, in characters.
 const MAX_DIAGNOSTIC_LENGTH: usize = 200;
-/// Referrals of a result that are kept.
+/// Largest number of referrals of a result that are kept.
 const MAX_REFERRALS: usize = 16;
 
-/// The name and password of a simple bind.
+/// The credentials of a simple bind (RFC 4513, 5.1.3).
 #[derive(Clone, Debug)]
 pub struct SimpleBind {
-    /// The distinguished name, as written.
+    /// The distinguished name to bind as.
     pub name: String,
-    /// The password.
+    /// The password, which must not be empty: an empty one would be an anonymous bind.
     pub password: Bytes,
 }
 
-/// How a connection is set up.
+/// Settings of a connection.
 #[derive(Clone, Debug)]
 pub struct ClientSettings {
-    /// Whether to negotiate TLS before anything else.
+    /// Whether to request TLS with `StartTLS` before the bind.
     pub start_tls: bool,
-    /// The simple bind; `None`: anonymous, without a bind request.
+    /// The credentials; `None` for an anonymous connection without a bind request.
     pub bind: Option<SimpleBind>,
-    /// The largest message accepted, in bytes.
+    /// Largest content of a message that is accepted, in bytes.
     pub max_message: usize,
-    /// The largest number of pending searches; one more is not begun.
+    /// Largest number of pending searches; further ones are rejected.
     pub max_searches: usize,
 }
 
@@ -59,51 +59,51 @@
     }
 }
 
-/// Identifies a search on its connection: the message id of its request.
+/// Identifies a search on its connection: the message id of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SearchId(pub u32);
 
-/// A search request.
+/// The parameters of a search request (RFC 4511, 4.5.1).
 #[derive(Clone, Debug)]
 pub struct Search {
-    /// The distinguished name of the base object, as written.
+    /// The distinguished name of the base entry.
     pub base: String,
-    /// Whether the base alone, its children or its whole subtree is searched.
+    /// Whether only the base, its children or its subtree is searched.
     pub scope: SearchRequestScope,
-    /// The condition that entries are to match.
+    /// The filter that entries must match.
     pub filter: Filter,
-    /// The attributes to return.
+    /// Names of the attributes to return.
     pub attributes: Vec<String>,
-    /// The largest number of entries to return; 0: no limit.
+    /// Largest number of entries to return; 0 for no limit.
     pub size_limit: u32,
-    /// Whole seconds that the server may take; 0: no limit.
+    /// Longest duration of the search at the server, in seconds; 0 for no limit.
     pub time_limit: u32,
-    /// Controls of the request.
+    /// Controls that are sent with the request.
     pub controls: Vec<Control>,
 }
 
 /// An attribute of an entry with its values.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attribute {
-    /// The attribute description, as the server writes it.
+    /// The attribute description, as the server sent it.
     pub name: String,
-    /// The values, in the server's order.
+    /// The values, in the order in which the server sent them.
     pub values: Vec<Bytes>,
 }
 
 /// An entry that a search returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// The distinguished name.
+    /// The distinguished name of the entry.
     pub dn: Dn,
-    /// The attributes returned.
+    /// The requested attributes that the entry has.
     pub attributes: Vec<Attribute>,
-    /// In a synchronisation, whether the entry was added, changed or removed.
+    /// The sync state control: how the entry differs from what the client has. `None` outside a synchronisation.
     pub state: Option<StateValue>,
 }
 
 impl Entry {
-    /// The values of an attribute; names are compared without regard to case.
+    /// The values of the attribute of this name. Upper and lower case are not distinguished.
     pub fn values(&self, name: &str) -> impl Iterator<Item = &[u8]> {
         self.attributes
             .iter()
@@ -111,55 +111,55 @@
             .flat_map(|attribute| attribute.values.iter().map(|value| &value[..]))
     }
 
-    /// The first value of an attribute that is valid UTF-8.
+    /// The first value of the attribute of this name that is UTF-8.
     pub fn text(&self, name: &str) -> Option<&str> {
         self.values(name)
             .find_map(|value| std::str::from_utf8(value).ok())
     }
 }
 
-/// How a search ended.
+/// The result of a search.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// The server's result code.
+    /// Result code of the server.
     pub code: ResultCode,
-    /// The server's diagnostic message.
+    /// Diagnostic message of the server, cut to 200 characters.
     pub message: String,
-    /// The URLs of other servers to ask.
+    /// URLs of other servers that have the entries, at most 16.
     pub referrals: Vec<String>,
-    /// The cookie of the next page; empty: there is none.
+    /// Cookie of the next page: empty after the last page, `None` if the results are not paged.
     pub page: Option<Bytes>,
-    /// The sync done control, where the search was a synchronisation.
+    /// The sync done control, if the search was a synchronisation.
     pub sync: Option<DoneValue>,
 }
 
-/// What happened.
+/// An event of a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The server agreed to TLS: the caller does the handshake, then calls [`Client::secured`].
+    /// The server accepted `StartTLS`. The caller must do the TLS handshake and then call [`Client::secured`].
     BeginTls,
-    /// The connection is bound; searches may begin.
+    /// The bind has succeeded, or none is needed: searches may be sent.
     Ready,
     /// A search returned an entry.
     Entry(SearchId, Box<Entry>),
-    /// A search returned a continuation reference, which the client does not follow.
+    /// A search returned the URLs of a continuation reference, which the client does not follow.
     Reference(SearchId, Vec<String>),
-    /// A sync info message of a synchronisation.
+    /// A synchronisation returned a sync info message.
     Info(SearchId, Info),
-    /// A search has ended.
+    /// A search has ended. No further event has its id.
     Done(SearchId, Outcome),
-    /// The connection has failed or was closed by the server, for the reason given; no event follows.
+    /// The connection has failed or was closed by the server, for the given reason. No event follows.
     Closed(String),
 }
 
-/// The step that a connection has reached. Its debug text is part of error messages.
+/// The state of a connection. Its debug representation is part of error messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// The response to the `StartTLS` request of this id is awaited.
+    /// The response to the `StartTLS` request with this message id is expected.
     StartTls(u32),
-    /// The caller does the TLS handshake.
+    /// The caller is to do the TLS handshake.
     Handshake,
-    /// The response to the bind request of this id is awaited.
+    /// The response to the bind request with this message id is expected.
     Binding(u32),
     Ready,
     Closed,
@@ -178,7 +178,8 @@
 }
 
 impl Client {
-    /// Starts on a transport that is connected (and secured already, for `ldaps`).
+    /// Creates the client of a transport that is connected and, for `ldaps`, already secured by TLS. The first request
+    /// is in its output at once.
     pub fn new(settings: ClientSettings) -> Self {
         let framer = Framer::new(settings.max_message);
         let mut client = Client {
@@ -205,7 +206,7 @@
 
     fn send(&mut self, op: ProtocolOp, controls: Vec<Control>) -> u32 {
         let id = self.next_message_id;
-        // An id is never 0, and comes again only after all others were used.
+        // Id 0 is reserved for unsolicited notifications. Ids repeat only after all others were used.
         self.next_message_id = if id >= i32::MAX as u32 { 1 } else { id + 1 };
         let mut message = LdapMessage::new(id, op);
         message.controls = (!controls.is_empty()).then_some(controls);
@@ -233,24 +234,24 @@
         }
     }
 
-    /// The TLS handshake has succeeded.
+    /// Reports that the TLS handshake has succeeded, after [`Event::BeginTls`]. The bind request is sent next.
     pub fn secured(&mut self) {
         if self.phase == Phase::Handshake {
             self.bind();
         }
     }
 
-    /// Whether searches may begin.
+    /// Whether searches may be sent.
     pub fn is_ready(&self) -> bool {
         self.phase == Phase::Ready
     }
 
-    /// The number of searches that have not ended.
+    /// Number of searches that have not ended.
     pub fn pending_searches(&self) -> usize {
         self.pending_searches.len()
     }
 
-    /// Begins a search; `None`: the connection is not ready, or the limit on pending searches is reached.
+    /// Sends a search request. Returns `None` if the connection is not ready or too many searches are pending.
     pub fn search(&mut self, search: Search) -> Option<SearchId> {
         if self.phase != Phase::Ready || self.pending_searches.len() >= self.settings.max_searches {
             return None;
@@ -274,14 +275,14 @@
         Some(SearchId(id))
     }
 
-    /// Abandons a search: no further event names it.
+    /// Cancels a search. No further event has its id.
     pub fn abandon(&mut self, id: SearchId) {
         if self.pending_searches.remove(&id.0) {
             self.send(ProtocolOp::AbandonRequest(AbandonRequest(id.0)), Vec::new());
         }
     }
 
-    /// Ends the connection from this end; no event follows.
+    /// Sends an unbind request, which ends the connection. No event follows.
     pub fn unbind(&mut self) {
         if matches!(self.phase, Phase::Ready | Phase::Binding(_)) {
             self.send(ProtocolOp::UnbindRequest(UnbindRequest), Vec::new());
@@ -289,17 +290,17 @@
         self.phase = Phase::Closed;
     }
 
-    /// Takes the bytes that are to be written to the transport.
+    /// Removes and returns the bytes that are to be written to the transport.
     pub fn take_output(&mut self) -> Bytes {
         self.output.split().freeze()
     }
 
-    /// The next event.
+    /// Removes and returns the oldest event.
     pub fn poll(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
 
-    /// Takes bytes from the transport; what they amount to is handed out by [`Client::poll`].
+    /// Handles bytes from the transport. The resulting events are returned by [`Client::poll`].
     pub fn receive(&mut self, bytes: &[u8]) {
         if self.phase == Phase::Closed {
             return;
@@ -308,7 +309,9 @@
         while self.phase != Phase::Closed {
             if self.phase == Phase::Handshake {
                 if self.framer.waiting() > 0 {
-                    self.close("bytes in the clear between StartTLS and its handshake");
+                    self.close(
+                        "received bytes between the response to StartTLS and the TLS handshake",
+                    );
                 }
                 return;
             }
@@ -351,18 +354,18 @@
             }
             (operation, phase) => {
                 let name = operation_name(&operation);
-                self.close(format!("{name} with id {id} is not expected in {phase:?}"));
+                self.close(format!("unexpected {name} with id {id} in state {phase:?}"));
             }
         }
     }
 
-    /// Message id 0 belongs to notifications that no request asked for; each of them ends the connection.
+    /// Handles an unsolicited notification, which has message id 0. Every such notification closes the connection.
     fn handle_unsolicited(&mut self, response: &ExtendedResponse) {
         let is_notice = response.response_name.as_deref() == Some(oid::NOTICE_OF_DISCONNECTION);
         let kind = if is_notice {
-            "the server ends the connection"
+            "notice of disconnection"
         } else {
-            "an unsolicited message"
+            "unsolicited notification"
         };
         let diagnostic = &response.diagnostic_message.0;
         self.close(format!("{kind}: {:?} {diagnostic}", response.result_code));
@@ -376,7 +379,7 @@
         }
         let diagnostic = &response.diagnostic_message.0;
         self.close(format!(
-            "StartTLS refused: {:?} {diagnostic}",
+            "StartTLS rejected: {:?} {diagnostic}",
             response.result_code
         ));
     }
@@ -389,7 +392,7 @@
         }
         let diagnostic = &response.diagnostic_message.0;
         self.close(format!(
-            "bind refused: {:?} {diagnostic}",
+            "bind rejected: {:?} {diagnostic}",
             response.result_code
         ));
     }
@@ -426,12 +429,12 @@
         }
         match response.response_value.as_deref().and_then(sync::read_info) {
             Some(info) => self.events.push_back(Event::Info(SearchId(id), info)),
-            None => self.close("a sync info message that cannot be read"),
+            None => self.close("malformed sync info message"),
         }
     }
 
     fn handle_done(&mut self, id: u32, done: SearchResultDone, controls: Option<&Vec<Control>>) {
-        // The result of an abandoned search may still arrive: it is ignored.
+        // The result of a cancelled search may still arrive and is ignored.
         if self.pending_searches.remove(&id) {
             let outcome = read_outcome(done.0, controls);
             self.events.push_back(Event::Done(SearchId(id), outcome));
@@ -439,7 +442,7 @@
     }
 }
 
-/// The name of an operation's variant, without its fields: they may hold a user's data.
+/// The name of an operation. Its fields are left out, because they may hold a user's data.
 fn operation_name(operation: &ProtocolOp) -> String {
     let text = format!("{operation:?}");
     text.split('(').next().unwrap_or_default().to_string()
--- a/crates/pipithub-ldap/src/dn.rs
+++ b/crates/pipithub-ldap/src/dn.rs
@@ -1,4 +1,4 @@
-//! Distinguished names (RFC 4514), normalised so that equal names have equal texts.
+//! Distinguished names (RFC 4514) in a normalised form, in which equal names are equal strings.
 
 use std::fmt;
 
@@ -7,33 +7,36 @@
 use winnow::prelude::*;
 use winnow::token::{any, one_of, take_while};
 
-/// The longest name, in bytes.
+/// Longest text of a name, in bytes.
 pub const MAX_LENGTH: usize = 8192;
-/// The most relative distinguished names that a name may have.
+/// Largest number of relative distinguished names in a name.
 pub const MAX_RDNS: usize = 128;
-/// The most attributes that a relative distinguished name may have.
+/// Largest number of attributes in a relative distinguished name.
 const MAX_RDN_ATTRIBUTES: usize = 16;
-/// Characters of an invalid text that its error repeats.
+/// Longest part of an invalid text that the error quotes, in characters.
 const MAX_QUOTED_LENGTH: usize = 80;
 
-/// Why a text is not a distinguished name.
+/// The text is not a distinguished name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("'{text}' is no distinguished name: {reason}")]
+#[error("'{text}' is not a distinguished name: {reason}")]
 pub struct InvalidDn {
-    /// The beginning of the text.
+    /// Beginning of the text.
     pub text: String,
-    /// What is wrong with it.
+    /// Description of the error.
     pub reason: &'static str,
 }
 
-/// A distinguished name: its relative distinguished names (RDNs) from the entry's own to the root's. Each is a text of
-/// sorted `type=value` pairs in lower case, with runs of spaces reduced to one (as `caseIgnoreMatch` compares, RFC 4518,
-/// with simple case folding).
+/// A distinguished name: a list of relative distinguished names (RDNs), from that of the entry to that next to the
+/// root. Each RDN is normalised: its `type=value` pairs are sorted and in lower case, with single spaces, which is how
+/// `caseIgnoreMatch` compares (RFC 4518, with simple case folding).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Dn(Vec<Box<str>>);
 
 impl Dn {
-    /// Parses a name; an empty text is the root.
+    /// Parses a name. An empty text is the name of the root.
+    ///
+    /// # Errors
+    /// The text is not a distinguished name, or exceeds [`MAX_LENGTH`] or [`MAX_RDNS`].
     pub fn parse(text: &str) -> Result<Dn, InvalidDn> {
         let invalid = |reason| InvalidDn {
             text: text.chars().take(MAX_QUOTED_LENGTH).collect(),
@@ -48,7 +51,7 @@
         let rdns: Vec<Vec<Attribute>> = separated(1.., rdn, separator(','))
             .parse(text.trim_start_matches(' '))
             .map_err(|_| {
-                invalid("parts are 'type=value', set apart by commas, special characters escaped")
+                invalid("expected 'type=value' parts, separated by commas, with special characters escaped")
             })?;
         if rdns.len() > MAX_RDNS {
             return Err(invalid("it has too many parts"));
@@ -56,12 +59,12 @@
         Ok(Dn(rdns.iter().map(|rdn| normalise_rdn(rdn)).collect()))
     }
 
-    /// Whether it is the base itself or lies in its subtree.
+    /// Whether the entry is `base` itself or in its subtree.
     pub fn is_within(&self, base: &Dn) -> bool {
         self.0.len() >= base.0.len() && self.0[self.0.len() - base.0.len()..] == base.0[..]
     }
 
-    /// The number of relative distinguished names.
+    /// Number of relative distinguished names; 0 for the root.
     pub fn depth(&self) -> usize {
         self.0.len()
     }
@@ -71,12 +74,13 @@
         (!self.0.is_empty()).then(|| Dn(self.0[1..].to_vec()))
     }
 
-    /// The relative distinguished name of the entry itself.
+    /// The relative distinguished name of the entry; `None` for the root.
     pub fn rdn(&self) -> Option<&str> {
         self.0.first().map(|rdn| &**rdn)
     }
 
-    /// The name after a Modify DN operation (RFC 4511, 4.9): with a new RDN, under a new superior, or both.
+    /// The name of the entry after a Modify DN operation (RFC 4511, 4.9), with a new RDN, a new superior entry, or
+    /// both.
     pub fn moved(&self, rdn: Option<&Dn>, superior: Option<&Dn>) -> Dn {
         let mut rdns: Vec<Box<str>> = Vec::new();
         match rdn {
@@ -97,7 +101,7 @@
     }
 }
 
-/// Converts to lower case and reduces each run of spaces to one.
+/// Normalises a value: lower case, single spaces, and none at the beginning and the end.
 pub fn fold(text: &str) -> String {
     let mut folded = String::with_capacity(text.len());
     for word in text.split(' ').filter(|word| !word.is_empty()) {
@@ -109,7 +113,7 @@
     folded
 }
 
-/// Escapes a value for a name (RFC 4514, 2.4).
+/// Escapes the special characters of a value, for use in the text of a name (RFC 4514, 2.4).
 pub fn escaped(value: &str) -> String {
     let mut escaped = String::with_capacity(value.len());
     let last = value.chars().count().saturating_sub(1);
@@ -125,7 +129,7 @@
     escaped
 }
 
-/// An attribute type with a value: one pair of a relative distinguished name.
+/// An attribute type with its value, a part of a relative distinguished name.
 struct Attribute {
     attribute_type: String,
     value: String,
@@ -143,7 +147,7 @@
     pairs.join("+").into_boxed_str()
 }
 
-/// A separator with the spaces around it, which older writers of names add.
+/// A separator with optional spaces around it, as some older software writes names.
 fn separator(c: char) -> impl FnMut(&mut &str) -> Result<(), ContextError> {
     move |input| {
         (take_while(0.., ' '), c, take_while(0.., ' '))
@@ -169,7 +173,7 @@
     })
 }
 
-/// `#` and the BER encoding of the value in hexadecimal; it stays as it is written.
+/// A value in the form `#` with its BER encoding in hexadecimal digits, which is not decoded.
 fn hex_string(input: &mut &str) -> Result<String, ContextError> {
     ('#', take_while(2.., |c: char| c.is_ascii_hexdigit()))
         .take()
@@ -177,7 +181,7 @@
         .parse_next(input)
 }
 
-/// A value, its escapes decoded.
+/// A value, with its escapes decoded.
 fn value(input: &mut &str) -> Result<String, ContextError> {
     let mut bytes: Vec<u8> = repeat(0.., character)
         .fold(Vec::new, |mut all: Vec<u8>, character: Vec<u8>| {
@@ -185,14 +189,14 @@
             all
         })
         .parse_next(input)?;
-    // Spaces at the end are not part of a value; while it reads, the parser cannot tell which ones are the last.
+    // Trailing spaces are not part of the value. The parser knows only now which spaces are trailing ones.
     while bytes.last() == Some(&b' ') {
         bytes.pop();
     }
     String::from_utf8(bytes).map_err(|_| ContextError::new())
 }
 
-/// The bytes of one character of a value, escaped or not.
+/// The bytes of a character of a value, which may be escaped.
 fn character(input: &mut &str) -> Result<Vec<u8>, ContextError> {
     let escape = ('\\', alt((hex_pair, special)));
     let plain =
--- a/crates/pipithub-ldap/src/filter.rs
+++ b/crates/pipithub-ldap/src/filter.rs
@@ -1,7 +1,7 @@
-//! Search filters: built from values for searches, parsed from an operator's text for settings (RFC 4515).
+//! Search filters (RFC 4515): built from values for searches, and parsed from text for settings.
 //!
-//! A user's name goes into a filter as an assertion value and is never part of a filter's text: whatever characters it
-//! has, it can only be compared.
+//! The name of a user is put into a filter as an assertion value and never into filter text, so that no characters in
+//! it can change the filter.
 
 use bytes::Bytes;
 use rasn::types::SetOf;
@@ -11,43 +11,43 @@
 use winnow::prelude::*;
 use winnow::token::{any, take_while};
 
-/// The deepest nesting of filters that a text may have.
+/// Deepest nesting of filters in a text.
 const MAX_DEPTH: usize = 16;
-/// The longest text, in bytes.
+/// Longest text, in bytes.
 const MAX_LENGTH: usize = 8192;
-/// The most filters that one `and` or `or` may join.
+/// Largest number of operands of an `and` or `or`.
 const MAX_OPERANDS: usize = 256;
-/// The most segments, separated by asterisks, that an assertion value may have.
+/// Largest number of segments, separated by asterisks, of an assertion value.
 const MAX_SEGMENTS: usize = 64;
-/// Characters of an invalid text that its error repeats.
+/// Longest part of an invalid text that the error quotes, in characters.
 const MAX_QUOTED_LENGTH: usize = 80;
 
-/// A text that is not a filter; its beginning.
+/// The text is not a supported filter. Holds its beginning.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("'{0}' is no filter as in RFC 4515 of up to {MAX_DEPTH} levels")]
+#[error("'{0}' is not a filter according to RFC 4515 of up to {MAX_DEPTH} levels")]
 pub struct InvalidFilter(pub String);
 
-/// Matches entries by `attribute=value`.
+/// A filter for entries with `attribute=value`.
 pub fn equal(attribute: &str, value: &str) -> Filter {
     Filter::EqualityMatch(assertion(attribute, value.as_bytes()))
 }
 
-/// Matches entries by `attribute>=value`.
+/// A filter for entries with `attribute>=value`.
 pub fn at_least(attribute: &str, value: &str) -> Filter {
     Filter::GreaterOrEqual(assertion(attribute, value.as_bytes()))
 }
 
-/// Matches every entry, since each has an object class.
+/// A filter that matches every entry, since each has an object class.
 pub fn all() -> Filter {
     Filter::Present("objectClass".into())
 }
 
-/// Matches entries that match all of these.
+/// A filter for entries that match all of `filters`.
 pub fn and(filters: Vec<Filter>) -> Filter {
     Filter::And(SetOf::from_vec(filters))
 }
 
-/// Matches entries that have any of these names and match the operator's own filter, where there is one.
+/// A filter for entries that have any of `names` as a value of `attribute` and that match `extra`, if it is given.
 pub fn any_of<'a>(
     attribute: &str,
     names: impl Iterator<Item = &'a str>,
@@ -69,7 +69,10 @@
     AttributeValueAssertion::new(attribute.into(), Bytes::copy_from_slice(value).into())
 }
 
-/// Parses an operator's filter.
+/// Parses a filter. Extensible matches are not supported.
+///
+/// # Errors
+/// The text is not a filter, or exceeds a limit on its length, nesting or number of operands.
 pub fn parse(text: &str) -> Result<Filter, InvalidFilter> {
     let invalid = || InvalidFilter(text.chars().take(MAX_QUOTED_LENGTH).collect());
     if text.len() > MAX_LENGTH {
@@ -136,7 +139,7 @@
     if !segments.iter().all(Vec::is_empty) {
         return Ok(substrings(attribute, segments));
     }
-    // `attribute=*` asks for presence; more asterisks without text between them have no meaning.
+    // `attribute=*` is a presence filter; several asterisks without text between them are invalid.
     if segments.len() == 2 {
         Ok(Filter::Present(attribute.into()))
     } else {
@@ -144,7 +147,8 @@
     }
 }
 
-/// The filter of segments that asterisks separate; an empty one stands for an asterisk at the beginning or the end.
+/// A substring filter of the segments between asterisks. The first or last segment is empty if the value begins or ends
+/// with an asterisk.
 fn substrings(attribute: &str, segments: Vec<Vec<u8>>) -> Filter {
     let last = segments.len() - 1;
     let choice = |(index, segment): (usize, Vec<u8>)| match index {
@@ -161,7 +165,7 @@
     Filter::Substrings(SubstringFilter::new(attribute.into(), choices))
 }
 
-/// An assertion value, its escapes decoded.
+/// An assertion value, with its escapes decoded.
 fn value(input: &mut &str) -> Result<Vec<u8>, ContextError> {
     let escape = ('\\', take_while(2..=2, |c: char| c.is_ascii_hexdigit())).verify_map(
         |(_, hex): (char, &str)| u8::from_str_radix(hex, 16).ok().map(|byte| vec![byte]),
--- a/crates/pipithub-ldap/src/frame.rs
+++ b/crates/pipithub-ldap/src/frame.rs
@@ -1,58 +1,58 @@
-//! Splits a byte stream into messages, within limits that are checked before anything is decoded or allocated.
+//! Splits a byte stream into messages. Their size and nesting are checked before they are decoded.
 
 use bytes::{Buf, BytesMut};
 use rasn_ldap::LdapMessage;
 
-/// The deepest nesting of constructed values that a message may have. The deepest filter that is sent has six levels.
-/// The decoder is recursive, so that without this limit a message of nothing but opening tags would exhaust the stack.
+/// Deepest nesting of constructed values in a message. The decoder is recursive, so that without this limit a message
+/// of nested tags could overflow the stack. The deepest filter that is sent has six levels.
 pub const MAX_DEPTH: usize = 48;
 
-/// Why bytes are not a message.
+/// Why bytes cannot be decoded as a message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
     /// The first byte is not the tag of a message.
-    #[error("no LDAP message begins with byte {0:#04x}")]
+    #[error("byte {0:#04x} is not the start of an LDAP message")]
     Start(u8),
     /// A length is not in the definite form, or takes too many bytes (RFC 4511, 5.1).
-    #[error("the length of a message or value is not in the form that LDAP uses")]
+    #[error("the length of a message or value is not in the definite form")]
     Length,
-    /// The length that the message claims is over the limit.
-    #[error("a message of {claimed} bytes; {limit} are taken")]
+    /// The length in the message's header exceeds the limit.
+    #[error("a message of {claimed} bytes exceeds the limit of {limit}")]
     TooLong {
-        /// The length claimed.
+        /// Length in the header, in bytes.
         claimed: usize,
-        /// The largest length accepted.
+        /// Largest length that is accepted, in bytes.
         limit: usize,
     },
     /// Values are nested too deeply.
-    #[error("values are nested more than {MAX_DEPTH} deep")]
+    #[error("values are nested deeper than {MAX_DEPTH} levels")]
     TooDeep,
-    /// A value reaches past the end of the one that contains it.
-    #[error("a value is longer than what it stands in")]
+    /// A value ends after the value that contains it.
+    #[error("a value is longer than the value that contains it")]
     Overrun,
-    /// The decoder rejected the content, for the reason given.
+    /// The content cannot be decoded, for the given reason.
     #[error("{0}")]
     Content(String),
 }
 
-/// The tag and length that precede a value's content.
+/// The decoded tag and length of a value.
 struct Header {
-    /// Bytes of the tag and the length.
+    /// Number of bytes of the tag and the length.
     header_length: usize,
-    /// Bytes of the content.
+    /// Number of bytes of the content.
     content_length: usize,
     /// Whether the content consists of further values.
     constructed: bool,
 }
 
-/// Reads a header; `None`: there are not enough bytes yet.
+/// Decodes a header; `None` if the bytes end within it.
 fn read_header(bytes: &[u8]) -> Result<Option<Header>, Malformed> {
     let Some(&first) = bytes.first() else {
         return Ok(None);
     };
     let mut position = 1;
     if first & 0x1f == 0x1f {
-        // The long form of a tag; no tag of LDAP needs more than one byte in it.
+        // The long form of a tag. No tag of LDAP has more than one further byte.
         match bytes.get(1) {
             None => return Ok(None),
             Some(byte) if byte & 0x80 != 0 => return Err(Malformed::Length),
@@ -84,9 +84,10 @@
     }))
 }
 
-/// Checks that values are nested within the limit and within each other, without recursion.
+/// Checks, without recursion, that values are not nested too deeply and that each ends within the value that contains
+/// it.
 fn check_nesting(message: &[u8]) -> Result<(), Malformed> {
-    // Where each constructed value around the present position ends.
+    // The end of each constructed value that contains the current position.
     let mut open_ends: Vec<usize> = Vec::with_capacity(8);
     let mut position = 0;
     while position < message.len() {
@@ -114,7 +115,7 @@
     Ok(())
 }
 
-/// Splits a stream into messages.
+/// Decodes the messages in a stream of bytes.
 #[derive(Debug)]
 pub struct Framer {
     buffer: BytesMut,
@@ -122,7 +123,7 @@
 }
 
 impl Framer {
-    /// Accepts messages whose content has up to this many bytes.
+    /// Creates a framer that accepts messages whose content has up to `limit` bytes.
     pub fn new(limit: usize) -> Self {
         Framer {
             buffer: BytesMut::new(),
@@ -130,17 +131,21 @@
         }
     }
 
-    /// Adds bytes from the stream.
+    /// Appends bytes of the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The number of bytes buffered that belong to messages not taken yet.
+    /// Number of buffered bytes.
     pub fn waiting(&self) -> usize {
         self.buffer.len()
     }
 
-    /// The next complete message.
+    /// Removes and returns the next message; `None` until it is complete.
+    ///
+    /// # Errors
+    /// The message cannot be decoded or exceeds a limit. The connection must then be closed, because the boundaries of
+    /// later messages are unknown.
     pub fn take(&mut self) -> Result<Option<LdapMessage>, Malformed> {
         match self.buffer.first() {
             None => return Ok(None),
@@ -150,7 +155,7 @@
         let Some(header) = read_header(&self.buffer)? else {
             return Ok(None);
         };
-        // Checked before the whole message has arrived: nothing is buffered for a length that is only claimed.
+        // Checked before the message has arrived, so that no peer can make this end buffer more than the limit.
         if header.content_length > self.limit {
             return Err(Malformed::TooLong {
                 claimed: header.content_length,
@@ -170,7 +175,7 @@
     }
 }
 
-/// Encodes a message. Every message that this crate builds has an encoding; an empty result would be a fault in it.
+/// Encodes a message. The result is empty if the encoder fails, which no message that this crate creates makes it do.
 pub fn encode(message: &LdapMessage) -> Vec<u8> {
     rasn::ber::encode(message).unwrap_or_default()
 }
--- a/crates/pipithub-ldap/src/ldif.rs
+++ b/crates/pipithub-ldap/src/ldif.rs
@@ -1,46 +1,50 @@
-//! LDIF content records (RFC 2849): directory trees for emulators and for checks by hand.
+//! Reader of LDIF content records (RFC 2849), the format of the emulator's directory trees.
 
 use crate::dn::Dn;
 
-/// The largest file that is read, in bytes.
+/// Largest text that is read, in bytes.
 const MAX_LENGTH: usize = 256 << 20;
 
-/// A line that is not valid LDIF.
+/// A line is not valid LDIF.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {reason}")]
 pub struct InvalidLdif {
-    /// The number of the line, from 1.
+    /// Number of the line, from 1.
     pub line: usize,
-    /// What is wrong with it.
+    /// The error in it.
     pub reason: String,
 }
 
 /// One value of an attribute.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attribute {
-    /// The attribute description, as written.
+    /// The attribute description, as in the file.
     pub name: String,
-    /// The value, decoded.
+    /// The value, with base64 decoded.
     pub value: Vec<u8>,
 }
 
-/// An entry.
+/// An entry of the directory tree.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// The distinguished name, normalised.
+    /// The distinguished name in normalised form.
     pub dn: Dn,
-    /// The distinguished name as written.
+    /// The distinguished name as in the file.
     pub written: String,
-    /// Attributes and values in their order.
+    /// The attribute values, in the order of the file.
     pub attributes: Vec<Attribute>,
 }
 
-/// Reads all entries of a file. Values by URL (`:<`) are rejected: a tree must not have other files read.
+/// Reads all entries of an LDIF text. Change records are rejected, and so are values by URL (`:<`), which would make
+/// this process read other files.
+///
+/// # Errors
+/// The first line that is not valid LDIF.
 pub fn read(text: &str) -> Result<Vec<Record>, InvalidLdif> {
     if text.len() > MAX_LENGTH {
         return Err(InvalidLdif {
             line: 1,
-            reason: format!("a file has up to {MAX_LENGTH} bytes"),
+            reason: format!("the file is larger than {MAX_LENGTH} bytes"),
         });
     }
     let mut parser = Parser::default();
@@ -52,7 +56,7 @@
     Ok(parser.records)
 }
 
-/// A logical line: its continuation lines are joined to it.
+/// A logical line, to which its continuation lines are joined.
 struct Line {
     number: usize,
     text: String,
@@ -70,16 +74,16 @@
         }
     }
 
-    /// Splits the line into a name and its value, which is decoded where it is in base64.
+    /// Splits the line into a name and a value, and decodes base64.
     fn attribute(&self) -> Result<Attribute, InvalidLdif> {
         let (name, rest) = self
             .text
             .split_once(':')
-            .ok_or_else(|| self.invalid("neither 'name: value' nor empty"))?;
+            .ok_or_else(|| self.invalid("expected 'name: value'"))?;
         let value = if let Some(encoded) = rest.strip_prefix(':') {
-            decode_base64(encoded.trim()).ok_or_else(|| self.invalid("no base64"))?
+            decode_base64(encoded.trim()).ok_or_else(|| self.invalid("invalid base64"))?
         } else if rest.starts_with('<') {
-            return Err(self.invalid("values by URL are not read"));
+            return Err(self.invalid("values by URL are not supported"));
         } else {
             rest.trim_start_matches(' ').as_bytes().to_vec()
         };
@@ -90,7 +94,8 @@
     }
 }
 
-/// Joins continuation lines, which begin with a space, to the line before them; a comment may be continued too.
+/// Joins continuation lines, which begin with a space, to the line before them. Comments may have continuation lines
+/// too.
 fn unfold(text: &str) -> Result<Vec<Line>, InvalidLdif> {
     let mut lines: Vec<Line> = Vec::new();
     for (index, line) in text.lines().enumerate() {
@@ -108,7 +113,7 @@
             _ => {
                 return Err(InvalidLdif {
                     line: number,
-                    reason: "nothing to go on with".into(),
+                    reason: "continuation line without a line before it".into(),
                 });
             }
         }
@@ -116,11 +121,11 @@
     Ok(lines)
 }
 
-/// The records read so far.
+/// The parser, with the records that were read.
 #[derive(Default)]
 struct Parser {
     records: Vec<Record>,
-    /// Whether further attributes belong to the last record; an empty line ends it.
+    /// Whether attributes belong to the last record, which ends with an empty line.
     in_record: bool,
 }
 
@@ -142,7 +147,7 @@
 
     fn add_attribute(&mut self, line: &Line, attribute: Attribute) -> Result<(), InvalidLdif> {
         if attribute.name.eq_ignore_ascii_case("changetype") {
-            return Err(line.invalid("records of changes are not read"));
+            return Err(line.invalid("change records are not supported"));
         }
         if let Some(record) = self.records.last_mut() {
             record.attributes.push(attribute);
@@ -153,9 +158,12 @@
     fn begin_record(&mut self, line: &Line, attribute: Attribute) -> Result<(), InvalidLdif> {
         let Attribute { name, value } = attribute;
         if !name.eq_ignore_ascii_case("dn") {
-            return Err(line.invalid(format!("an entry begins with 'dn', not with '{name}'")));
+            return Err(line.invalid(format!(
+                "expected 'dn' at the start of an entry, found '{name}'"
+            )));
         }
-        let written = String::from_utf8(value).map_err(|_| line.invalid("a name is UTF-8"))?;
+        let written = String::from_utf8(value)
+            .map_err(|_| line.invalid("the distinguished name is not UTF-8"))?;
         let dn = Dn::parse(&written).map_err(|error| line.invalid(error.to_string()))?;
         self.records.push(Record {
             dn,
@@ -171,11 +179,11 @@
     if attribute.value == b"1" {
         Ok(())
     } else {
-        Err(line.invalid("version 1 is read"))
+        Err(line.invalid("only version 1 is supported"))
     }
 }
 
-/// Decodes base64 (RFC 4648, 4); the padding is required.
+/// Decodes base64 with padding (RFC 4648, 4); `None` if the text is not valid.
 fn decode_base64(text: &str) -> Option<Vec<u8>> {
     let digit = |byte: u8| match byte {
         b'A'..=b'Z' => Some(byte - b'A'),
--- a/crates/pipithub-ldap/src/lib.rs
+++ b/crates/pipithub-ldap/src/lib.rs
@@ -1,9 +1,9 @@
-//! LDAP v3 without I/O (RFC 4511): what a gateway needs to search directories, and what an emulator needs to serve one.
+//! LDAP v3 without I/O (RFC 4511), for gateways that search directories and for the emulator that serves one.
 //!
-//! The message types are those of `rasn-ldap`. This crate adds what surrounds them: [`frame`] splits a byte stream into
-//! messages, with limits on size and nesting that are checked before anything is decoded; [`Dn`] compares distinguished
-//! names (RFC 4514); [`filter`] builds search filters from values that never become filter text (RFC 4515); [`Client`]
-//! is one connection as a state machine; [`sync`] holds the controls of paged results (RFC 2696) and content
+//! The message types are those of `rasn-ldap`. This crate adds the parts around them: [`frame`] splits a byte stream
+//! into messages, and checks their size and nesting before they are decoded; [`Dn`] compares distinguished names (RFC
+//! 4514); [`filter`] builds search filters from values, which cannot become filter syntax (RFC 4515); [`Client`] is the
+//! state machine of one connection; [`sync`] encodes and decodes the controls of paged results (RFC 2696) and content
 //! synchronisation (RFC 4533); [`ldif`] reads directory trees (RFC 2849).
 
 pub mod client;
@@ -17,7 +17,7 @@
 pub use dn::Dn;
 pub use rasn_ldap as message;
 
-/// Object identifiers of the extensions and controls in use.
+/// Object identifiers of the supported extensions and controls.
 pub mod oid {
     /// `StartTLS` (RFC 4511, 4.14).
     pub const START_TLS: &[u8] = b"1.3.6.1.4.1.1466.20037";
--- a/crates/pipithub-ldap/src/sync.rs
+++ b/crates/pipithub-ldap/src/sync.rs
@@ -1,4 +1,4 @@
-//! Values of the controls: paged results (RFC 2696) and content synchronisation (RFC 4533).
+//! Encoding and decoding of the controls for paged results (RFC 2696) and content synchronisation (RFC 4533).
 
 use bytes::Bytes;
 use rasn::prelude::*;
@@ -27,7 +27,7 @@
     reload_hint: bool,
 }
 
-/// How an entry of a synchronisation differs from what the client has.
+/// How an entry in a synchronisation differs from the client's copy.
 #[derive(AsnType, Encode, Decode, Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[rasn(enumerated)]
 pub enum State {
@@ -41,7 +41,7 @@
     Delete = 3,
 }
 
-/// Sync state control (RFC 4533, 2.3).
+/// The value of a sync state control (RFC 4533, 2.3), which belongs to an entry.
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq, Eq)]
 #[non_exhaustive]
 pub struct StateValue {
@@ -49,17 +49,18 @@
     pub state: State,
     /// The `entryUUID` of the entry.
     pub uuid: OctetString,
-    /// The state of the synchronisation after this entry.
+    /// Cookie of the synchronisation after this entry.
     pub cookie: Option<OctetString>,
 }
 
-/// Sync done control (RFC 4533, 2.4).
+/// The value of a sync done control (RFC 4533, 2.4), which belongs to a result.
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq, Eq)]
 #[non_exhaustive]
 pub struct DoneValue {
-    /// The state of the synchronisation.
+    /// Cookie of the synchronisation, if the server sent one.
     pub cookie: Option<OctetString>,
-    /// Whether entries that the server did not mention are still present; otherwise they were deleted.
+    /// True if the server sent all deletions, so that entries that it did not mention are present; false if entries
+    /// that it did not mention are deleted.
     #[rasn(default)]
     pub refresh_deletes: bool,
 }
@@ -68,45 +69,45 @@
     true
 }
 
-/// The end of a phase within a sync info message.
+/// The end of a phase of the refresh, in a sync info message.
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq, Eq)]
 #[non_exhaustive]
 pub struct PhaseValue {
-    /// The state of the synchronisation.
+    /// Cookie of the synchronisation, if the server sent one.
     pub cookie: Option<OctetString>,
-    /// Whether the refresh is complete: what follows are changes as they happen.
+    /// Whether the refresh is complete. Later messages report changes when they happen.
     #[rasn(default = "default_true")]
     pub refresh_done: bool,
 }
 
-/// A set of entries, named by their ids alone.
+/// A set of entries, identified by their `entryUUID`s.
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq, Eq)]
 #[non_exhaustive]
 pub struct IdSet {
-    /// The state of the synchronisation.
+    /// Cookie of the synchronisation, if the server sent one.
     pub cookie: Option<OctetString>,
-    /// Whether they were deleted; otherwise they are present.
+    /// Whether the entries were deleted; otherwise they are present.
     #[rasn(default)]
     pub refresh_deletes: bool,
-    /// The `entryUUID`s.
+    /// The `entryUUID`s of the entries.
     pub uuids: SetOf<OctetString>,
 }
 
-/// Sync info message (RFC 4533, 2.5).
+/// The value of a sync info message (RFC 4533, 2.5).
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq, Eq)]
 #[rasn(choice)]
 #[non_exhaustive]
 pub enum Info {
-    /// A new cookie.
+    /// A new cookie of the synchronisation.
     #[rasn(tag(0))]
     Cookie(OctetString),
     /// The end of a delete phase.
     #[rasn(tag(1))]
     RefreshDelete(PhaseValue),
-    /// The end of a present phase: entries that the server did not mention were deleted.
+    /// The end of a present phase: entries that the server did not mention are deleted.
     #[rasn(tag(2))]
     RefreshPresent(PhaseValue),
-    /// A set of entries, named by their ids alone.
+    /// Entries that are present or deleted, without their content.
     #[rasn(tag(3))]
     Ids(IdSet),
 }
@@ -130,13 +131,14 @@
 /// The value of a paged results control.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PagedResults {
-    /// The page size in requests, an estimate of the total in responses.
+    /// The page size in requests; an estimate of the number of all entries, or 0, in responses.
     pub size: u32,
-    /// The server's place in the results; empty before the first page and after the last.
+    /// Position in the results, as the server encodes it; empty before the first page and after the last.
     pub cookie: Bytes,
 }
 
-/// A paged results control: page size in requests, an estimate of the total in responses.
+/// Creates a paged results control, whose `size` is the page size in requests and an estimate of the number of all
+/// entries in responses.
 pub fn paged(size: u32, cookie: Bytes) -> Control {
     let value = PagedValue {
         size,
@@ -145,7 +147,7 @@
     encode_control(oid::PAGED, false, &value)
 }
 
-/// Reads a paged results control.
+/// Decodes the paged results control; `None` if there is none or it is malformed.
 pub fn read_paged(controls: Option<&Vec<Control>>) -> Option<PagedResults> {
     let value: PagedValue = find_control_value(controls, oid::PAGED)?;
     Some(PagedResults {
@@ -157,13 +159,14 @@
 /// The value of a sync request control (RFC 4533, 2.2).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SyncRequest {
-    /// The state that the client has; `None`: it has nothing yet.
+    /// Cookie of the last synchronisation; `None` for an initial one.
     pub cookie: Option<Bytes>,
-    /// Whether the search stays open after the refresh, for changes as they happen.
+    /// Whether the search continues after the refresh, so that changes are sent when they happen.
     pub persist: bool,
 }
 
-/// A sync request whose search stays open after the refresh, for changes as they happen.
+/// Creates a sync request control of a search that continues after the refresh, so that changes are sent when they
+/// happen.
 pub fn request(cookie: Option<Bytes>) -> Control {
     let value = RequestValue {
         mode: RequestMode::RefreshAndPersist,
@@ -173,7 +176,7 @@
     encode_control(oid::SYNC_REQUEST, true, &value)
 }
 
-/// Reads a sync request control.
+/// Decodes the sync request control; `None` if there is none or it is malformed.
 pub fn read_request(controls: Option<&Vec<Control>>) -> Option<SyncRequest> {
     let value: RequestValue = find_control_value(controls, oid::SYNC_REQUEST)?;
     Some(SyncRequest {
@@ -182,7 +185,7 @@
     })
 }
 
-/// A sync state control.
+/// Creates the sync state control of an entry.
 pub fn state(state: State, uuid: Bytes, cookie: Option<Bytes>) -> Control {
     let value = StateValue {
         state,
@@ -192,17 +195,17 @@
     encode_control(oid::SYNC_STATE, false, &value)
 }
 
-/// Reads the sync state control of an entry.
+/// Decodes the sync state control of an entry; `None` if there is none or it is malformed.
 pub fn read_state(controls: Option<&Vec<Control>>) -> Option<StateValue> {
     find_control_value(controls, oid::SYNC_STATE)
 }
 
-/// Reads the sync done control of a result.
+/// Decodes the sync done control of a result; `None` if there is none or it is malformed.
 pub fn read_done(controls: Option<&Vec<Control>>) -> Option<DoneValue> {
     find_control_value(controls, oid::SYNC_DONE)
 }
 
-/// The value of a sync info message that ends a refresh in which the server named every entry that is present.
+/// Encodes a sync info message that ends a refresh in which the server sent all entries that are present.
 pub fn refresh_present(cookie: Option<Bytes>) -> Bytes {
     let info = Info::RefreshPresent(PhaseValue {
         cookie: cookie.map(Into::into),
@@ -211,7 +214,7 @@
     rasn::ber::encode(&info).unwrap_or_default().into()
 }
 
-/// Reads a sync info message.
+/// Decodes a sync info message; `None` if it is malformed.
 pub fn read_info(value: &[u8]) -> Option<Info> {
     rasn::ber::decode(value).ok()
 }
--- a/crates/pipithub-ldap/tests/dn.rs
+++ b/crates/pipithub-ldap/tests/dn.rs
@@ -1,4 +1,4 @@
-//! Distinguished names: equality, containment, parts that are not well formed, renaming.
+//! Distinguished names: equality, containment, malformed names and renaming.
 
 use pipithub_ldap::Dn;
 use pipithub_ldap::dn::MAX_LENGTH;
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn equal_names_are_equal() {
+fn names_that_differ_only_in_case_spaces_and_escapes_are_equal() {
     assert_eq!(
         dn("UID=Mai,  OU=North ,dc=Example"),
         dn("uid=mai,ou=north,dc=example")
@@ -21,7 +21,7 @@
     assert_ne!(
         dn("cn=a\\,ou=north"),
         dn("cn=a,ou=north"),
-        "an escaped comma is no boundary"
+        "an escaped comma does not separate RDNs"
     );
     assert_eq!(dn(""), Dn::default());
     assert_eq!(dn("cn=Lu\\C4\\8Di\\C4\\87"), dn("cn=Lučić"));
@@ -34,24 +34,24 @@
     assert!(!dn("uid=a,ou=south-ou=north,dc=example").is_within(&north));
     assert!(
         !dn("uid=a\\,ou=north,dc=example").is_within(&north),
-        "the value holds the text of a part"
+        "an escaped comma does not separate RDNs"
     );
     assert!(!dn("dc=example").is_within(&north));
 }
 
 #[test]
-fn malformed_names_are_rejected() {
-    for bad in [
+fn malformed_and_oversized_names_are_rejected() {
+    for text in [
         "x", "=x", "a=1,", "a=1,,b=2", "a=\\", "a=\\zz", "a=b\"c", "a=\\ff", ",a=1",
     ] {
-        assert!(Dn::parse(bad).is_err(), "{bad}");
+        assert!(Dn::parse(text).is_err(), "{text}");
     }
     assert!(Dn::parse(&format!("a={}", "x".repeat(MAX_LENGTH))).is_err());
     assert!(Dn::parse(&vec!["a=1"; 200].join(",")).is_err());
 }
 
 #[test]
-fn an_entry_is_renamed_and_moved() {
+fn name_can_get_a_new_rdn_or_a_new_superior() {
     let from = dn("uid=mai,ou=north,dc=example");
     assert_eq!(
         from.moved(None, Some(&dn("ou=south,dc=example"))),
--- a/crates/pipithub-ldap/tests/filter.rs
+++ b/crates/pipithub-ldap/tests/filter.rs
@@ -1,10 +1,10 @@
-//! Filters as operators write them, and names that must stay values.
+//! Parsing of filters, and names of users as assertion values.
 
 use pipithub_ldap::filter::{all, any_of, equal, parse};
 use pipithub_ldap::message::Filter;
 
 #[test]
-fn filter_texts_are_parsed() {
+fn filters_are_parsed_and_malformed_ones_are_rejected() {
     assert_eq!(parse("(uid=mai)"), Ok(equal("uid", "mai")));
     assert_eq!(parse("(cn=a\\2ab\\28)"), Ok(equal("cn", "a*b(")));
     assert_eq!(parse("(objectClass=*)"), Ok(all()));
@@ -12,11 +12,11 @@
         parse("(&(a=1)(|(b=2)(!(c=3))))"),
         Ok(Filter::And(_))
     ));
-    let Ok(Filter::Substrings(s)) = parse("(cn=a*b*c)") else {
-        panic!("substrings")
+    let Ok(Filter::Substrings(filter)) = parse("(cn=a*b*c)") else {
+        panic!("not a substring filter")
     };
-    assert_eq!(s.substrings.len(), 3);
-    for bad in [
+    assert_eq!(filter.substrings.len(), 3);
+    for text in [
         "",
         "uid=mai",
         "(uid=mai",
@@ -27,17 +27,16 @@
         "(a>=x*y)",
         "(a=**)",
     ] {
-        assert!(parse(bad).is_err(), "{bad}");
+        assert!(parse(text).is_err(), "{text}");
     }
     assert!(parse(&format!("{}(a=1){}", "(!".repeat(1000), ")".repeat(1000))).is_err());
 }
 
-/// A user's name that is a filter's text must not become one.
 #[test]
-fn a_name_cannot_change_the_filter() {
+fn filter_syntax_in_a_name_stays_part_of_the_assertion_value() {
     let name = "*)(uid=*))(|(uid=*";
-    let Filter::EqualityMatch(a) = any_of("uid", [name].into_iter(), None) else {
-        panic!("an equality")
+    let Filter::EqualityMatch(assertion) = any_of("uid", [name].into_iter(), None) else {
+        panic!("not an equality filter")
     };
-    assert_eq!(&a.assertion_value[..], name.as_bytes());
+    assert_eq!(&assertion.assertion_value[..], name.as_bytes());
 }
--- a/crates/pipithub-ldap/tests/frame.rs
+++ b/crates/pipithub-ldap/tests/frame.rs
@@ -1,9 +1,9 @@
-//! The bounds on size and nesting that are checked before a message is decoded.
+//! The limits on size and nesting, which are checked before a message is decoded.
 
 use pipithub_ldap::frame::{Framer, Malformed};
 
 #[test]
-fn nothing_is_buffered_for_a_claimed_length() {
+fn oversized_or_indefinite_length_is_rejected_by_the_header_alone() {
     let mut framer = Framer::new(1 << 20);
     framer.push(&[0x30, 0x84, 0x7f, 0xff, 0xff, 0xff, 2]);
     assert!(matches!(framer.take(), Err(Malformed::TooLong { .. })));
@@ -12,10 +12,10 @@
     assert_eq!(framer.take(), Err(Malformed::Length));
 }
 
-/// The decoder is recursive for filters: without the check before it a message of 200 kB ended the process.
+/// The decoder is recursive for filters: without the check, a message of 200 kB overflowed the stack.
 #[test]
 fn deep_nesting_is_rejected_before_it_is_decoded() {
-    // Filters of `not` within `not`, thousands of levels deep, each as long as its length says.
+    // Nested `not` filters, thousands of levels deep, with valid lengths.
     let mut filter = vec![0x87, 1, b'x'];
     for _ in 0..100_000 {
         let length = filter.len() as u32;
--- a/crates/pipithub-ldap/tests/ldif.rs
+++ b/crates/pipithub-ldap/tests/ldif.rs
@@ -1,11 +1,15 @@
-//! LDIF content records and the lines that are not as LDIF has them.
+//! Reading of LDIF content records, and errors in them.
 
 use pipithub_ldap::Dn;
 use pipithub_ldap::ldif::read;
 
 #[test]
-fn records_are_read() {
-    let text = "version: 1\n# a comment\n#  that goes on\n\ndn: uid=mai,\n dc=example\r\nuid: mai\nsn:: TMO8\ncn:\n\n\ndn: dc=example\n";
+fn records_with_comments_continuation_lines_and_base64_are_read() {
+    let text = concat!(
+        "version: 1\n# a comment\n#  that goes on\n\n",
+        "dn: uid=mai,\n dc=example\r\nuid: mai\nsn:: TMO8\ncn:\n\n\n",
+        "dn: dc=example\n"
+    );
     let records = read(text).expect("LDIF");
     assert_eq!(records.len(), 2);
     assert_eq!(
@@ -21,8 +25,8 @@
 }
 
 #[test]
-fn errors_name_their_line() {
-    let line = |text: &str| read(text).expect_err("a fault").line;
+fn errors_state_the_number_of_the_line() {
+    let line = |text: &str| read(text).expect_err("invalid LDIF").line;
     assert_eq!(line("dn: a=1\nx"), 2);
     assert_eq!(line(" x"), 1);
     assert_eq!(line("uid: x"), 1);
--- a/crates/pipithub-ldap/tests/sync.rs
+++ b/crates/pipithub-ldap/tests/sync.rs
@@ -1,4 +1,4 @@
-//! Values of the controls for paged results and content synchronisation.
+//! Encoding and decoding of the controls for paged results and content synchronisation.
 
 use bytes::Bytes;
 use pipithub_ldap::sync::{
@@ -29,20 +29,20 @@
         None,
     )]));
     assert_eq!(
-        entry_state.map(|t| (t.state, t.uuid.len())),
+        entry_state.map(|value| (value.state, value.uuid.len())),
         Some((State::Delete, 16))
     );
     let Some(Info::RefreshPresent(phase)) = read_info(&refresh_present(Some(cookie.clone())))
     else {
-        panic!()
+        panic!("not the end of a present phase")
     };
     assert!(phase.refresh_done && phase.cookie == Some(cookie.into()));
     assert_eq!(read_info(b"\x30\x00"), None);
 }
 
-/// Bytes worked out by hand from RFC 4533: refreshAndPersist (3) without a cookie.
+/// The bytes follow from the ASN.1 in RFC 4533: the mode refreshAndPersist (3) without a cookie.
 #[test]
-fn a_sync_request_is_encoded_as_in_the_rfc() {
+fn sync_request_is_encoded_as_in_rfc_4533() {
     let control = request(None);
     assert_eq!(
         control.control_value.as_deref(),
