--- a/crates/pipithub-ldap/src/client.rs
+++ b/crates/pipithub-ldap/src/client.rs
@@ -5,6 +5,7 @@
 //! could have inserted them.
 
 use std::collections::{BTreeSet, VecDeque};
+use std::fmt;
 
 use bytes::{Bytes, BytesMut};
 use rasn_ldap::{
@@ -13,6 +14,7 @@
     ProtocolOp, ResultCode, SearchRequest, SearchRequestDerefAliases, SearchRequestScope,
     SearchResultDone, SearchResultEntry, SearchResultReference, UnbindRequest,
 };
+use secrecy::{ExposeSecret, SecretString};
 
 use crate::dn::InvalidDn;
 use crate::frame::{Framer, encode};
@@ -31,8 +33,8 @@
 pub struct SimpleBind {
     /// The distinguished name to bind as.
     pub name: String,
-    /// The password, which must not be empty: an empty one would be an anonymous bind.
-    pub password: Bytes,
+    /// The password, which `Debug` does not show. It must not be empty: that would be an anonymous bind.
+    pub password: SecretString,
 }
 
 /// Settings of a connection.
@@ -166,7 +168,6 @@
 }
 
 /// The client's end of one LDAP connection.
-#[derive(Debug)]
 pub struct Client {
     settings: ClientSettings,
     phase: Phase,
@@ -177,6 +178,17 @@
     next_message_id: u32,
 }
 
+/// The buffers are left out, since the output may hold a bind request with the password.
+impl fmt::Debug for Client {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("Client")
+            .field("settings", &self.settings)
+            .field("phase", &self.phase)
+            .field("pending_searches", &self.pending_searches)
+            .finish_non_exhaustive()
+    }
+}
+
 impl Client {
     /// Creates the client of a transport that is connected and, for `ldaps`, already secured by TLS. The first request
     /// is in its output at once.
@@ -215,12 +227,13 @@
     }
 
     fn bind(&mut self) {
-        let Some(bind) = self.settings.bind.clone() else {
+        let Some(bind) = &self.settings.bind else {
             self.phase = Phase::Ready;
             self.events.push_back(Event::Ready);
             return;
         };
-        let authentication = AuthenticationChoice::Simple(bind.password.into());
+        let password = Bytes::copy_from_slice(bind.password.expose_secret().as_bytes());
+        let authentication = AuthenticationChoice::Simple(password.into());
         let request = BindRequest::new(LDAP_VERSION, bind.name.as_str().into(), authentication);
         let id = self.send(ProtocolOp::BindRequest(request), Vec::new());
         self.phase = Phase::Binding(id);
--- a/crates/pipithub-ldap/src/lib.rs
+++ b/crates/pipithub-ldap/src/lib.rs
@@ -16,6 +16,7 @@
 pub use client::{Client, ClientSettings, Event, Outcome, Search, SearchId, SimpleBind};
 pub use dn::Dn;
 pub use rasn_ldap as message;
+pub use secrecy::{ExposeSecret, SecretString};
 
 /// Object identifiers of the supported extensions and controls.
 pub mod oid {
--- a/crates/pipithub-ldap/tests/connection.rs
+++ b/crates/pipithub-ldap/tests/connection.rs
@@ -1,10 +1,10 @@
 //! The client with a scripted server: the order of its requests, unexpected responses and malformed bytes.
 
-use bytes::Bytes;
 use pipithub_ldap::frame::{Framer, encode};
 use pipithub_ldap::message::{
-    BindResponse, ExtendedResponse, LdapMessage, LdapResult, PartialAttribute, ProtocolOp,
-    ResultCode, SearchRequestScope, SearchResultDone, SearchResultEntry,
+    AuthenticationChoice, BindResponse, ExtendedResponse, LdapMessage, LdapResult,
+    PartialAttribute, ProtocolOp, ResultCode, SearchRequestScope, SearchResultDone,
+    SearchResultEntry,
 };
 use pipithub_ldap::{Client, ClientSettings, Dn, Event, Search, SearchId, SimpleBind, filter};
 use proptest::prelude::*;
@@ -15,7 +15,7 @@
         start_tls,
         bind: Some(SimpleBind {
             name: "cn=gateway".into(),
-            password: Bytes::from_static(b"secret"),
+            password: "swordfish".into(),
         }),
         ..ClientSettings::default()
     }
@@ -154,6 +154,36 @@
     ));
 }
 
+#[test]
+fn debug_output_of_settings_and_client_does_not_show_the_password() {
+    let settings = settings(false);
+    let bind = settings.bind.clone();
+    let client = Client::new(settings.clone());
+    for text in [
+        format!("{settings:?}"),
+        format!("{bind:?}"),
+        format!("{client:?}"),
+    ] {
+        assert!(text.contains("cn=gateway"), "{text}");
+        assert!(!text.contains("swordfish"), "{text}");
+    }
+}
+
+#[test]
+fn bind_request_holds_name_and_password() {
+    let mut client = Client::new(settings(false));
+    let sent = sent_messages(&mut client);
+    let Some(ProtocolOp::BindRequest(request)) = sent.first().map(|message| &message.protocol_op)
+    else {
+        panic!("not a bind request")
+    };
+    assert_eq!(request.name.0, "cn=gateway");
+    let AuthenticationChoice::Simple(password) = &request.authentication else {
+        panic!("not a simple bind")
+    };
+    assert_eq!(&password[..], b"swordfish");
+}
+
 #[test]
 fn rejected_bind_closes_the_connection_with_the_result_code() {
     let mut client = Client::new(settings(false));
