--- a/crates/pipithub-gateway/src/directory/connection.rs
+++ b/crates/pipithub-gateway/src/directory/connection.rs
@@ -4,7 +4,6 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bytes::Bytes;
 use pipithub_ldap::{Client, ClientSettings, Event, SimpleBind};
 use pipithub_settings::{DirectoryConfig, ServerConfig, Tls};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
@@ -161,7 +160,7 @@
 ) -> Result<Client, ConnectionError> {
     let bind = directory.bind.clone().map(|bind| SimpleBind {
         name: bind.name,
-        password: Bytes::from(bind.password),
+        password: bind.password,
     });
     let mut client = Client::new(ClientSettings {
         bind,
--- a/crates/pipithub-settings/src/tenants/config.rs
+++ b/crates/pipithub-settings/src/tenants/config.rs
@@ -5,6 +5,7 @@
 use pipithub_admission::AdmissionSettings;
 use pipithub_directory::{DirectorySettings, TenantBase};
 use pipithub_engine::Time;
+use pipithub_ldap::{ExposeSecret, SecretString};
 
 /// How a directory's connections are secured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,14 +28,23 @@
 }
 
 /// What a connection to a directory binds as (RFC 4513, simple authentication).
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug)]
 pub struct BindCredentials {
     /// The distinguished name.
     pub name: String,
-    /// The password.
-    pub password: String,
+    /// The password, which `Debug` does not show.
+    pub password: SecretString,
 }
 
+/// Credentials are compared where settings are: a secret has no comparison of its own.
+impl PartialEq for BindCredentials {
+    fn eq(&self, other: &Self) -> bool {
+        self.name == other.name && self.password.expose_secret() == other.password.expose_secret()
+    }
+}
+
+impl Eq for BindCredentials {}
+
 /// A directory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DirectoryConfig {
--- a/crates/pipithub-settings/src/tenants/directory.rs
+++ b/crates/pipithub-settings/src/tenants/directory.rs
@@ -103,7 +103,7 @@
     if password.is_empty() {
         node.fault("an empty password binds nobody");
     }
-    let password = String::from_utf8_lossy(&password).into_owned();
+    let password = String::from_utf8_lossy(&password).into_owned().into();
     BindCredentials { name, password }
 }
 
