--- a/crates/pipithub-gateway/src/directory.rs
+++ b/crates/pipithub-gateway/src/directory.rs
@@ -1,7 +1,7 @@
-//! The directories of a front end: the core's task, connections to directory servers, snapshots. The core decides.
+//! The directories of a front end: the task of the core, connections to directory servers, and snapshots.
 //!
-//! [`start`] runs the core of `pipithub-directory` as a task. Its searches go to the servers over connections that are
-//! kept open; a directory that is followed reports its changes by itself.
+//! [`start`] runs the core of `pipithub-directory`, which makes all decisions, as a task. Its searches are sent to the
+//! servers over persistent connections. A directory that is followed reports its changes without being searched.
 
 mod connection;
 mod follower;
@@ -23,38 +23,39 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 
-pub use self::query::ask;
+pub use self::connection::ConnectionError;
+pub use self::query::{QueryError, query_server};
 use self::runtime::{DirectoryChannels, DirectoryTask};
 pub use self::searches::first_poll_since;
 
-/// Inputs and events between a front end and its directories; a call whose look-up finds no room waits its time and is
-/// decided by what is known.
+/// The capacity of the queues of inputs and events between a front end and its directories. A call whose look-up finds
+/// the queue full waits for the identity wait of the settings and is then decided by the cached records.
 const EVENT_QUEUE: usize = 8_192;
-/// Commands to a server, and to each of its connections.
+/// The capacity of the command queues of a server and of each of its connections.
 const COMMAND_QUEUE: usize = 1_024;
-/// Users that wait to be asked for, at each directory.
+/// The maximum number of users that are queued for a search, in each directory.
 const MAX_QUEUED_USERS: usize = 65_536;
 const NANOSECONDS_PER_MILLISECOND: u64 = 1_000_000;
 
 /// An event of the directories, for the front end.
 #[derive(Debug)]
 pub(crate) enum DirectoryEvent {
-    /// More is known of a user who was looked up.
+    /// The look-up of a user has finished; the roster holds its result, if there is one.
     LookupFinished(User),
-    /// A user is another tenant's now, or nobody's, or another person.
+    /// A user now belongs to another tenant or to none, or the name belongs to another person.
     UserMigrated(User),
 }
 
 /// A front end's end of the channels to its directories.
 pub(crate) struct DirectoryHandle {
-    /// What is known of the users, in its newest version.
+    /// The newest version of the cached records of all users.
     pub(crate) roster: Arc<ArcSwap<Roster>>,
-    /// Takes look-ups.
+    /// The queue of look-ups for the core.
     pub(crate) lookups: mpsc::Sender<Input>,
     pub(crate) events: mpsc::Receiver<DirectoryEvent>,
 }
 
-/// Starts the directories of a front end.
+/// Starts the directories of a front end as tasks of `tasks`.
 pub(crate) fn start(
     config: Arc<TenantsConfig>,
     front_end: &str,
--- a/crates/pipithub-gateway/src/directory/connection.rs
+++ b/crates/pipithub-gateway/src/directory/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a directory server: TCP, TLS and bind.
+//! Connections to directory servers: TCP, TLS and the LDAP bind.
 
 use std::io;
 use std::sync::Arc;
@@ -14,23 +14,27 @@
 use tokio_rustls::rustls::pki_types::{CertificateDer, InvalidDnsNameError, ServerName};
 use tokio_rustls::rustls::{ClientConfig, RootCertStore};
 
-/// A connection that is not up by then counts as lost.
+/// The time within which a connection must be established, secured and bound.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 const READ_BUFFER_BYTES: usize = 32 << 10;
 const SETUP_BUFFER_BYTES: usize = 4096;
 
-/// Why a connection was not made, or ended.
+/// Why a connection to a directory server was not made, or ended.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum ConnectionError {
+pub enum ConnectionError {
+    /// A system call or the TLS handshake failed, or a certificate file could not be read.
     #[error(transparent)]
     Io(#[from] io::Error),
+    /// The server's name in the settings is no valid name for its certificate.
     #[error(transparent)]
     ServerName(#[from] InvalidDnsNameError),
+    /// The connection was not established, secured and bound in time.
     #[error("not up in time")]
     ConnectTimeout,
+    /// The server closed the connection.
     #[error("the server ended the connection")]
     Closed,
-    /// The LDAP client gave the connection up.
+    /// The LDAP client closed the connection, for this reason: a failed bind, or a violation of the protocol.
     #[error("{0}")]
     Protocol(String),
 }
@@ -38,7 +42,7 @@
 trait Transport: AsyncRead + AsyncWrite + Unpin + Send {}
 impl<T: AsyncRead + AsyncWrite + Unpin + Send> Transport for T {}
 
-/// The TLS set-up of a directory; `None` where its connections are in the clear.
+/// The TLS configuration of a directory; `None` if its connections are not encrypted.
 pub(super) fn tls_connector(directory: &DirectoryConfig) -> io::Result<Option<TlsConnector>> {
     if directory.tls == Tls::None {
         return Ok(None);
@@ -66,7 +70,7 @@
     Ok(roots)
 }
 
-/// A connection whose bind is over.
+/// A connection that is bound and ready for searches.
 pub(super) struct Connection {
     stream: Box<dyn Transport>,
     pub(super) client: Client,
@@ -74,7 +78,8 @@
 }
 
 impl Connection {
-    /// Connects to one of the directory's servers, secures the connection and binds.
+    /// Connects to the directory's server with this index, secures the connection and binds. Fails if that is not done
+    /// within [`CONNECT_TIMEOUT`].
     pub(super) async fn open(
         directory: &DirectoryConfig,
         server: usize,
@@ -94,7 +99,7 @@
             .unwrap_or(Err(ConnectionError::ConnectTimeout))
     }
 
-    /// Writes what the client has to send.
+    /// Writes the client's pending output.
     pub(super) async fn flush(&mut self) -> Result<(), ConnectionError> {
         let bytes = self.client.take_output();
         if !bytes.is_empty() {
@@ -103,7 +108,7 @@
         Ok(())
     }
 
-    /// Reads what the server has sent, and hands it to the client.
+    /// Waits for bytes from the server and passes them to the client.
     pub(super) async fn read(&mut self) -> Result<(), ConnectionError> {
         match self.stream.read(&mut self.buffer).await? {
             0 => Err(ConnectionError::Closed),
@@ -114,14 +119,14 @@
         }
     }
 
-    /// Tells the server that the connection ends.
+    /// Announces the end of the connection to the server; errors are ignored.
     pub(super) async fn unbind(&mut self) {
         self.client.unbind();
         let _ = self.flush().await;
     }
 }
 
-/// A stream as the directory's settings want it: in the clear, or over TLS.
+/// Connects to a server, with or without TLS as the directory's settings say.
 async fn secured_stream(
     directory: &DirectoryConfig,
     server: &ServerConfig,
@@ -141,7 +146,8 @@
     Ok(Box::new(tls.connect(name, plain).await?))
 }
 
-/// Has the server agree to TLS. What follows is a connection of its own over TLS, with another client.
+/// Requests TLS by the extended operation `StartTLS` (RFC 4511, 4.14). After it the TLS handshake follows, and then a new client
+/// takes over the connection.
 async fn start_tls(stream: &mut TcpStream) -> Result<(), ConnectionError> {
     let mut client = Client::new(ClientSettings {
         start_tls: true,
@@ -154,7 +160,7 @@
     .await
 }
 
-/// A client that has bound as the directory's settings say.
+/// Binds by the credentials of the settings, or anonymously, and returns the client of the connection.
 async fn bound_client(
     directory: &DirectoryConfig,
     stream: &mut Box<dyn Transport>,
@@ -171,7 +177,7 @@
     Ok(client)
 }
 
-/// Moves bytes until the client reports the event that is waited for.
+/// Transfers bytes until the client reports the awaited event.
 async fn drive<S: Transport + ?Sized>(
     stream: &mut S,
     client: &mut Client,
--- a/crates/pipithub-gateway/src/directory/query.rs
+++ b/crates/pipithub-gateway/src/directory/query.rs
@@ -1,4 +1,4 @@
-//! One search on a connection of its own, for the command line.
+//! A single search on a new connection, for the command line.
 
 use std::time::Duration;
 
@@ -10,37 +10,44 @@
 use super::connection::{Connection, ConnectionError, tls_connector};
 use super::pending_search::PendingSearch;
 
-/// Why a query has no answer.
+/// Why a query has no response. The texts are for the operator, and part of what `pipithub tenants` prints.
 #[derive(Debug, thiserror::Error)]
-enum QueryError {
+pub enum QueryError {
+    /// The connection was not made, or ended.
     #[error(transparent)]
     Connection(#[from] ConnectionError),
+    /// The client did not accept the search.
     #[error("not begun")]
     NotBegun,
+    /// The entries of the response are not valid.
     #[error("{0}")]
     Entries(SearchError),
+    /// The server ended the search with an error.
     #[error("{failure}: {code:?} {message}")]
     Result {
+        /// How the directory core treats the error.
         failure: SearchError,
+        /// The LDAP result code.
         code: ResultCode,
+        /// The server's diagnostic message, which may be empty.
         message: String,
     },
+    /// The response was not complete within the directory's search timeout.
     #[error("no answer in time")]
     TimedOut,
 }
 
-/// Asks a server once, on a connection of its own. The error is text for the operator.
-pub async fn ask(
-    directory: &DirectoryConfig,
-    server: usize,
-    query: Query,
-) -> Result<SearchResponse, String> {
-    run_query(directory, server, query)
-        .await
-        .map_err(|error| error.to_string())
-}
-
-async fn run_query(
+/// Sends a query to the directory's server with this index, on a new connection that is closed afterwards.
+///
+/// # Errors
+///
+/// Fails if the connection cannot be made, if the server reports an error, or if the response is not complete within the
+/// search timeout of the settings.
+///
+/// # Panics
+///
+/// Panics if the directory has no server with this index.
+pub async fn query_server(
     directory: &DirectoryConfig,
     server: usize,
     query: Query,
@@ -55,7 +62,7 @@
         .unwrap_or(Err(QueryError::TimedOut))
 }
 
-/// Moves bytes until the search is complete.
+/// Transfers bytes until the search is complete.
 async fn complete(
     directory: &DirectoryConfig,
     mut connection: Connection,
--- a/crates/pipithub/src/tenants/check.rs
+++ b/crates/pipithub/src/tenants/check.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use pipithub_directory::{Query, SearchResponse};
-use pipithub_gateway::directory::ask;
+use pipithub_gateway::directory::{QueryError, query_server};
 use pipithub_settings::{DirectoryConfig, TenantsConfig};
 
 const WELL: &str = "well";
@@ -13,13 +13,13 @@
 struct ServerCheck {
     address: String,
     elapsed: Duration,
-    answer: Result<SearchResponse, String>,
+    answer: Result<SearchResponse, QueryError>,
 }
 
 impl ServerCheck {
     async fn run(directory: &DirectoryConfig, server: usize) -> Self {
         let began = Instant::now();
-        let answer = ask(directory, server, Query::ServerState).await;
+        let answer = query_server(directory, server, Query::ServerState).await;
         ServerCheck {
             address: directory.servers[server].address.clone(),
             elapsed: began.elapsed(),
@@ -35,7 +35,7 @@
     fn state(&self, directory: &DirectoryConfig, newest_change: Option<u64>) -> String {
         let change = self.change_number();
         match &self.answer {
-            Err(reason) => reason.clone(),
+            Err(error) => error.to_string(),
             Ok(answer) if !answer.base_exists => format!(
                 "nothing at {}: still loading, or a wrong base",
                 directory.base
--- a/crates/pipithub/src/tenants/explain.rs
+++ b/crates/pipithub/src/tenants/explain.rs
@@ -6,7 +6,7 @@
     Directory, Input, Output, Query, Resolution, SearchError, SearchResponse, Settings,
 };
 use pipithub_engine::Tenant;
-use pipithub_gateway::directory::ask;
+use pipithub_gateway::directory::query_server;
 use pipithub_settings::{Config, DirectoryConfig, TenantsConfig};
 
 /// Users and look-ups that the directory core has room for; it looks up one.
@@ -62,11 +62,12 @@
 /// Asks every server of a directory about a user.
 async fn print_answers(directory: &DirectoryConfig, user: &Arc<str>) {
     for (index, server) in directory.servers.iter().enumerate() {
-        let description = match ask(directory, index, Query::Users(vec![user.clone()])).await {
-            Err(reason) => format!("no answer: {reason}"),
-            Ok(answer) if !answer.base_exists => "its tree is not there".to_string(),
-            Ok(answer) => describe(&answer),
-        };
+        let description =
+            match query_server(directory, index, Query::Users(vec![user.clone()])).await {
+                Err(reason) => format!("no answer: {reason}"),
+                Ok(answer) if !answer.base_exists => "its tree is not there".to_string(),
+                Ok(answer) => describe(&answer),
+            };
         println!("{} {}: {description}", directory.name, server.address);
     }
 }
@@ -105,7 +106,7 @@
         else {
             continue;
         };
-        let answer = ask(&tenants.directories[directory], server, query).await;
+        let answer = query_server(&tenants.directories[directory], server, query).await;
         let ended = Input::SearchEnded {
             search: id,
             outcome: answer.map_err(|_| SearchError::ConnectionLost),
