--- a/crates/pipithub-gateway/src/amqp.rs
+++ b/crates/pipithub-gateway/src/amqp.rs
@@ -1,4 +1,5 @@
-//! AMQP consumers: connects each consumer to its broker and moves bytes, commands and notices.
+//! AMQP consumers as a source of calls: connects each consumer to its broker, and transfers bytes, commands and notices
+//! between them.
 
 use std::io;
 use std::time::Duration;
@@ -16,12 +17,12 @@
 
 use crate::front_end::{SourceCommand, SourceHandle};
 
-/// A broker that accepts no connection within this time counts as unreachable.
+/// A broker that does not accept a connection within this time counts as unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Bytes that the buffer for input has room for at first.
+/// The initial capacity of the input buffer, in bytes.
 const INPUT_BUFFER_BYTES: usize = 256 << 10;
 
-/// A consumer's settings, from those of its broker and its queue.
+/// The settings of a queue's consumer, assembled from those of its broker and its queue.
 pub(crate) fn consumer_settings(
     config: &Config,
     broker: &AmqpConfig,
@@ -49,7 +50,7 @@
     }
 }
 
-/// A consumer with its end of the front end's channels.
+/// A consumer with its end of the channels to the front end.
 pub(crate) struct ConsumerTask {
     consumer: Consumer,
     source: SourceId,
@@ -69,7 +70,7 @@
 }
 
 impl ConsumerTask {
-    /// A consumer without a connection.
+    /// Creates a consumer; it connects when it runs.
     pub(crate) fn new(
         settings: ConsumerSettings,
         handle: SourceHandle,
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Runs the consumer until it is shut down, at one address of the broker after the other.
+    /// Runs the consumer until it is shut down, connecting to the broker's addresses in turn.
     pub(crate) async fn run(mut self, addresses: Vec<String>) {
         let mut attempts = 0;
         loop {
@@ -102,13 +103,13 @@
                     attempts += 1;
                     self.connect_and_run(address).await;
                 }
-                // Only a connection that is up has another phase.
+                // All other phases have a connection; without one the consumer has to reconnect.
                 _ => self.transport_lost("no transport"),
             }
         }
     }
 
-    /// Waits until the given time while handling commands; false where the consumer was stopped meanwhile.
+    /// Handles commands until the given time. Returns false if the consumer was stopped before.
     async fn wait_until(&mut self, at: Time) -> bool {
         loop {
             tokio::select! {
@@ -133,7 +134,7 @@
                 self.forward_notices().await;
             }
             Err(error) => {
-                warn!(front_end = self.front_end, queue = self.queue, address, %error, "broker not reached");
+                warn!(front_end = self.front_end, queue = self.queue, address, %error, "failed to connect to broker");
                 self.transport_lost(&error.to_string());
             }
         }
@@ -148,12 +149,12 @@
         match command {
             Some(SourceCommand::Answer(ticket, reply)) => self.consumer.answer(now, ticket, reply),
             Some(SourceCommand::Settle(ticket)) => self.consumer.acknowledge(now, ticket),
-            // Without a front end there is nobody to hand a trigger to.
+            // The channel closes when the front end has ended, and then no trigger can be handled any more.
             Some(SourceCommand::Shutdown) | None => self.consumer.shutdown(now),
         }
     }
 
-    /// Moves bytes until the connection ends.
+    /// Transfers bytes and handles commands until the connection ends.
     async fn run_connection(&mut self, mut stream: TcpStream) -> io::Result<()> {
         let (mut reader, mut writer) = stream.split();
         let mut input = BytesMut::with_capacity(INPUT_BUFFER_BYTES);
@@ -195,7 +196,7 @@
         }
     }
 
-    /// Hands what the consumer reports to the engine or to the log.
+    /// Forwards the consumer's notices to the engine, and logs those that concern the operator.
     async fn forward_notices(&mut self) {
         while let Some(notice) = self.consumer.poll() {
             self.log_notice(&notice);
@@ -205,7 +206,7 @@
                 Notice::Lost(_) => Input::SourceLost(self.source),
                 _ => continue,
             };
-            // Waits while the engine is behind: the broker then waits in turn.
+            // Waits while the engine's queue is full, which applies backpressure to the broker.
             if self.inputs.send(input).await.is_err() {
                 let now = self.clock.now();
                 return self.consumer.shutdown(now);
@@ -218,22 +219,20 @@
         match notice {
             Notice::Trigger(_) | Notice::Settled(_) => {}
             Notice::Lost(why) => {
-                warn!(front_end, queue, why, "connection to the broker lost");
+                warn!(front_end, queue, why, "connection to broker lost");
             }
-            Notice::Consuming => info!(front_end, queue, "consuming"),
+            Notice::Consuming => info!(front_end, queue, "consumer started"),
             Notice::Cancelled => {
                 warn!(
                     front_end,
-                    queue, "the broker ended the consumer: is the queue gone?"
+                    queue, "consumer cancelled by broker; the queue may have been deleted"
                 );
             }
-            Notice::Blocked(reason) => {
-                warn!(
-                    front_end,
-                    queue,
-                    ?reason,
-                    "the broker has blocked or unblocked publishing"
-                );
+            Notice::Blocked(Some(reason)) => {
+                warn!(front_end, queue, reason, "publishing blocked by broker");
+            }
+            Notice::Blocked(None) => {
+                warn!(front_end, queue, "publishing unblocked by broker");
             }
             Notice::Returned {
                 reply_to,
@@ -244,11 +243,11 @@
                     queue,
                     reply_to,
                     ?correlation_id,
-                    "an answer could not be delivered"
+                    "failed to deliver answer; the reply queue does not exist"
                 );
             }
             Notice::Unreadable { message_id, why } => {
-                warn!(front_end, queue, ?message_id, %why, "a message that is no call");
+                warn!(front_end, queue, ?message_id, %why, "rejected invalid message");
             }
         }
     }
--- a/crates/pipithub-gateway/src/connect.rs
+++ b/crates/pipithub-gateway/src/connect.rs
@@ -1,4 +1,4 @@
-//! Connecting to a peer, with retries while this machine lacks descriptors, memory, ports or a route.
+//! Connects to a peer, with retries while this machine lacks file descriptors, memory, ports or a route.
 
 use std::future::Future;
 use std::io;
@@ -8,22 +8,23 @@
 use tokio::time::Instant;
 use tracing::warn;
 
-/// Backoff after a fault of this machine.
+/// The fixed backoff after a fault of this machine.
 const LOCAL_FAULT_BACKOFF: Duration = Duration::from_millis(10);
 
-/// Why there is no connection.
+/// Why a connection was not made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectFailure {
-    /// The peer refused, or did not answer in time.
+    /// The peer refused the connection, or did not accept it before the deadline.
     #[error("the peer took no connection")]
     Peer,
-    /// This machine could not make one in time. It says nothing about the peer.
+    /// This machine could not make a connection before the deadline. It says nothing about the peer.
     #[error("this machine could make no connection")]
     Local,
 }
 
-/// Calls `connect` until it returns a connection, the peer refuses or the deadline is reached. Only faults of this
-/// machine are retried.
+/// Calls `connect` until it returns a connection, the peer refuses or the deadline passes.
+///
+/// Only faults of this machine are retried; a failure of the peer is returned at once as [`ConnectFailure::Peer`].
 pub async fn connect_by<C, F>(
     deadline: Instant,
     mut connect: impl FnMut() -> F,
@@ -40,7 +41,7 @@
         if fault_origin(&error) == FaultOrigin::Peer {
             return Err(ConnectFailure::Peer);
         }
-        warn!(%error, "this machine cannot connect for a moment");
+        warn!(%error, "failed to connect because of a local fault, retrying");
         if Instant::now() + LOCAL_FAULT_BACKOFF >= deadline {
             return Err(ConnectFailure::Local);
         }
--- a/crates/pipithub-gateway/src/cron.rs
+++ b/crates/pipithub-gateway/src/cron.rs
@@ -1,6 +1,6 @@
-//! Timers as a source of calls: in memory, fired by this front end alone.
+//! Cron timers as a source of calls. They are kept in memory, and each front end fires its own.
 //!
-//! [`Schedule`] decides what fires when, also across steps of the wall clock.
+//! [`Schedule`] decides which timer fires when, also when the wall clock is stepped.
 
 use std::str::FromStr;
 use std::sync::Arc;
@@ -20,18 +20,18 @@
 
 /// The front end's timers as a source of calls.
 pub(crate) struct CronSource {
-    /// One for each timer of the schedule, in its order.
+    /// The configuration of each timer of the schedule, in the schedule's order.
     configs: Vec<CronConfig>,
     schedule: Schedule,
     source: SourceId,
     handle: SourceHandle,
     inputs: mpsc::Sender<Input>,
-    /// Tickets given out so far.
+    /// The number of tickets issued so far; the last ticket has this number.
     tickets: u64,
 }
 
 impl CronSource {
-    /// Timers from now on; one whose schedule cannot be read is left out.
+    /// Starts the timers from the present wall time. A timer whose schedule cannot be parsed is logged and left out.
     pub(crate) fn new(
         configs: Vec<CronConfig>,
         source: SourceId,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Fires timers until the front end has ended.
+    /// Fires timers until the front end has ended and closed its channels.
     pub(crate) async fn run(mut self) {
         loop {
             let next_check = self.schedule.time_until_check(wall_time());
@@ -81,11 +81,11 @@
     }
 
     async fn settle(&self, ticket: Ticket) {
-        // A front end that has ended needs no settlement.
+        // Sending fails only if the front end has ended, and then nobody needs the settlement.
         let _ = self.inputs.send(Input::Settled(ticket)).await;
     }
 
-    /// Fires what is due; false where the front end has ended.
+    /// Fires the timers that are due. Returns false if the front end has ended.
     async fn fire_due(&mut self) -> bool {
         for Occurrence { timer, planned } in self.schedule.due(wall_time()) {
             self.tickets += 1;
@@ -94,7 +94,7 @@
                 number: self.tickets,
             };
             let config = &self.configs[timer];
-            info!(timer = config.name, %planned, ticket = ticket.number, "timer fires");
+            info!(timer = config.name, %planned, ticket = ticket.number, "timer fired");
             let trigger = trigger(config, planned, ticket);
             if self.inputs.send(Input::Trigger(trigger)).await.is_err() {
                 return false;
@@ -104,10 +104,10 @@
     }
 }
 
-/// Waits for a span; for ever where there is none.
-async fn wait(span: Option<Duration>) {
-    match span {
-        Some(span) => tokio::time::sleep(span).await,
+/// Sleeps for a duration; `None` never completes.
+async fn wait(duration: Option<Duration>) {
+    match duration {
+        Some(duration) => tokio::time::sleep(duration).await,
         None => std::future::pending().await,
     }
 }
@@ -121,7 +121,7 @@
     match Cron::from_str(&config.schedule) {
         Ok(pattern) => Some((config, pattern)),
         Err(error) => {
-            error!(timer = config.name, %error, "schedule not read");
+            error!(timer = config.name, %error, "failed to parse cron schedule; timer is disabled");
             None
         }
     }
@@ -130,9 +130,15 @@
 fn log_answer(ticket: Ticket, reply: &Reply) {
     let (verdict, cause) = (reply.verdict.as_str(), reply.cause.as_str());
     if reply.verdict == Verdict::Served {
-        info!(ticket = ticket.number, verdict, cause, "timer's call over");
+        info!(
+            ticket = ticket.number,
+            verdict, cause, "call of timer finished"
+        );
     } else {
-        warn!(ticket = ticket.number, verdict, cause, "timer's call over");
+        warn!(
+            ticket = ticket.number,
+            verdict, cause, "call of timer finished"
+        );
     }
 }
 
--- a/crates/pipithub-gateway/src/directory/follower.rs
+++ b/crates/pipithub-gateway/src/directory/follower.rs
@@ -1,4 +1,4 @@
-//! Following a directory by content synchronisation (RFC 4533), at one server after the other.
+//! Follows a directory by content synchronization (RFC 4533), at one of its servers at a time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,41 +11,41 @@
 use tokio_rustls::TlsConnector;
 use tracing::warn;
 
-use super::sync_session::{FollowError, SyncSession};
+use super::sync_session::{SyncSession, SyncSessionEnd};
 
-/// A followed connection is checked after this part of the shortest lifetime of a fact, between these two bounds.
-const KEEPALIVE_PART: u64 = 4;
+/// The keepalive interval is the shortest lifetime of a record divided by this, within the two bounds below.
+const KEEPALIVE_DIVISOR: u64 = 4;
 const MIN_KEEPALIVE: Duration = Duration::from_millis(100);
 const MAX_KEEPALIVE: Duration = Duration::from_secs(30);
 
-/// A directory that is followed.
+/// Follows one directory and reports its events to the core.
 pub(super) struct Follower {
     pub(super) directory: Arc<DirectoryConfig>,
-    /// Its place in the settings.
+    /// The directory's index in the settings.
     pub(super) number: usize,
     pub(super) tls: Option<TlsConnector>,
     pub(super) inputs: mpsc::Sender<Input>,
 }
 
 impl Follower {
-    /// Follows the directory until the front end has ended.
+    /// Follows the directory until the front end has ended. After each failure the next server is used.
     pub(super) async fn run(self) {
         let mut server = 0;
         let mut cookie = None;
         loop {
-            let began = Instant::now();
+            let started = Instant::now();
             let why = self.follow(server, &mut cookie).await.to_string();
             let name = &self.directory.name;
             warn!(
                 directory = name,
-                server, why, "a directory is not followed any more"
+                server, why, "content synchronization ended, reconnecting"
             );
             if self.report(SyncEvent::ConnectionLost).await.is_err() {
                 return;
             }
-            // There is no one result code for a synchronisation that a server cannot continue: whatever ended it, the
-            // next one begins anew if this one was short.
-            if began.elapsed() < self.keepalive() {
+            // Servers use different result codes for a cookie that they cannot continue from. A session that ended
+            // soon, for whatever reason, is therefore followed by a full refresh.
+            if started.elapsed() < self.keepalive() {
                 cookie = None;
             }
             server = (server + 1) % self.directory.servers.len();
@@ -54,8 +54,9 @@
         }
     }
 
-    /// Follows at one server until that ends; the cookie is where the synchronisation stands.
-    async fn follow(&self, server: usize, cookie: &mut Option<Bytes>) -> FollowError {
+    /// Follows the directory at one server until the session ends, and returns why it ended. The cookie records how far
+    /// the synchronization has come; `None` requests a full refresh.
+    async fn follow(&self, server: usize, cookie: &mut Option<Bytes>) -> SyncSessionEnd {
         let mut session = match SyncSession::begin(self, server, cookie).await {
             Ok(session) => session,
             Err(error) => return error,
@@ -63,20 +64,20 @@
         session.run().await
     }
 
-    /// How often a followed connection is checked, and how long it may stay silent.
+    /// The interval at which the connection is checked, which is also the longest time that a server may stay silent.
     pub(super) fn keepalive(&self) -> Duration {
         let lifetimes = self.directory.lookups.lifetimes;
         let shortest = lifetimes.fresh.min(lifetimes.negative);
-        Duration::from_nanos(shortest / KEEPALIVE_PART).clamp(MIN_KEEPALIVE, MAX_KEEPALIVE)
+        Duration::from_nanos(shortest / KEEPALIVE_DIVISOR).clamp(MIN_KEEPALIVE, MAX_KEEPALIVE)
     }
 
-    /// Hands an event to the core.
-    pub(super) async fn report(&self, event: SyncEvent) -> Result<(), FollowError> {
+    /// Sends an event to the core. Fails if the front end has ended.
+    pub(super) async fn report(&self, event: SyncEvent) -> Result<(), SyncSessionEnd> {
         let input = Input::Synchronization {
             directory: self.number,
             event,
         };
         let sent = self.inputs.send(input).await;
-        sent.map_err(|_| FollowError::FrontEndGone)
+        sent.map_err(|_| SyncSessionEnd::FrontEndGone)
     }
 }
--- a/crates/pipithub-gateway/src/directory/pending_search.rs
+++ b/crates/pipithub-gateway/src/directory/pending_search.rs
@@ -1,4 +1,4 @@
-//! One search of the core under way on a connection.
+//! One search of the core that is in flight on a connection.
 
 use std::collections::BTreeSet;
 
@@ -14,20 +14,23 @@
     MODIFY_TIMESTAMP, entry_search, first_poll_since, parse_mark, state_search, users_of_entry,
 };
 
-/// Entries of one answer; more cannot be an answer to the query.
+/// The maximum number of entries in a response; with more, it cannot be a response to the query.
 const MAX_ENTRIES: usize = 100_000;
 
-/// A search of the core as two LDAP searches: the server's state first, then the entries, page by page.
+/// A search of the core, made by two LDAP searches: one for the server's state, then one for the entries, page by page.
 pub(super) struct PendingSearch {
     query: Query,
+    /// The search for the server's state, until it has ended.
     state_search: Option<LdapSearchId>,
+    /// The search for the present page of entries; `None` if it has ended, or if the query needs no entries.
     entry_search: Option<LdapSearchId>,
     response: SearchResponse,
+    /// The number of entries received so far.
     entries: usize,
 }
 
 impl PendingSearch {
-    /// Begins both searches; `None` where the client takes no more.
+    /// Begins both LDAP searches; `None` if the client has as many searches in flight as it may have.
     pub(super) fn begin(
         directory: &DirectoryConfig,
         client: &mut Client,
@@ -56,7 +59,7 @@
         })
     }
 
-    /// Whether this LDAP search belongs to it.
+    /// Whether an LDAP search that is in flight belongs to this search.
     pub(super) fn has(&self, id: LdapSearchId) -> bool {
         self.state_search == Some(id) || self.entry_search == Some(id)
     }
@@ -66,19 +69,19 @@
         self.state_search.is_none() && self.entry_search.is_none()
     }
 
-    /// The response to the query.
+    /// The response to the query, as far as it was received.
     pub(super) fn into_response(self) -> SearchResponse {
         self.response
     }
 
-    /// Has the server end what is still under way.
+    /// Abandons the LDAP searches that are still in flight.
     pub(super) fn abandon(&self, client: &mut Client) {
         for id in [self.state_search, self.entry_search].into_iter().flatten() {
             client.abandon(id);
         }
     }
 
-    /// Handles an entry of one of its searches.
+    /// Handles an entry of one of its LDAP searches. Fails if the response has too many entries.
     pub(super) fn handle_entry(
         &mut self,
         directory: &DirectoryConfig,
@@ -109,20 +112,20 @@
     }
 
     fn handle_user_entry(&mut self, directory: &DirectoryConfig, entry: &Entry) {
-        let asked: Option<BTreeSet<&str>> = match &self.query {
+        let requested: Option<BTreeSet<&str>> = match &self.query {
             Query::Users(users) => Some(users.iter().map(|user| &**user).collect()),
             _ => None,
         };
-        let changed = entry.text(MODIFY_TIMESTAMP).filter(|_| asked.is_none());
+        let changed = entry.text(MODIFY_TIMESTAMP).filter(|_| requested.is_none());
         if let Some(changed) = changed {
             self.response.newest_modify_timestamp =
                 Some(changed.to_string()).max(self.response.newest_modify_timestamp.take());
         }
-        let users = users_of_entry(directory, entry, asked.as_ref());
+        let users = users_of_entry(directory, entry, requested.as_ref());
         self.response.entries.extend(users);
     }
 
-    /// Handles the end of one of its searches, and begins the next page where there is one.
+    /// Handles the end of one of its LDAP searches, and begins the next page if there is one.
     pub(super) fn handle_done(
         &mut self,
         directory: &DirectoryConfig,
@@ -146,11 +149,11 @@
     }
 }
 
-/// Sorts the result of an LDAP search by what the core makes of it.
+/// Maps the result code of an LDAP search to the core's errors.
 fn check_result(directory: &DirectoryConfig, outcome: &Outcome) -> Result<(), SearchError> {
     match outcome.code {
         ResultCode::Success => Ok(()),
-        // Without its base the tree is not there: `base_exists` of the response shows it.
+        // The base of the tree does not exist: `base_exists` stays false in the response.
         ResultCode::NoSuchObject => Ok(()),
         ResultCode::Referral => {
             let mut urls = outcome.referrals.iter();
@@ -165,7 +168,7 @@
     }
 }
 
-/// The server of the directory that a URL names.
+/// The index of the directory's server that a referral's URL names; `None` if the settings do not have it.
 fn server_of_url(directory: &DirectoryConfig, url: &str) -> Option<usize> {
     let rest = url
         .strip_prefix("ldap://")
--- a/crates/pipithub-gateway/src/directory/runtime.rs
+++ b/crates/pipithub-gateway/src/directory/runtime.rs
@@ -1,4 +1,4 @@
-//! The task that owns the directory core: inputs in, searches and events out.
+//! The task that owns the directory core: it passes inputs to the core and executes the core's outputs.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,22 +18,22 @@
 use super::snapshots::SnapshotWriter;
 use super::{COMMAND_QUEUE, DirectoryEvent};
 
-/// Inputs that are taken from the queue at once, at the most.
+/// The maximum number of inputs that are taken from the queue at once.
 const MAX_INPUT_BATCH: usize = 256;
-/// How long inputs are handled before their results are published.
+/// How long inputs are handled at most before their results are published.
 const MAX_TURN: Duration = Duration::from_millis(20);
 
-/// Names a server by the places of its directory and itself in the settings.
+/// Identifies a server by its directory's index in the settings and its own index in that directory.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ServerKey {
     directory: usize,
     server: usize,
 }
 
-/// The front end has dropped its end of the channels.
+/// The front end has ended and dropped its end of the channels.
 struct FrontEndGone;
 
-/// The core with its channels.
+/// The directory core with its channels.
 pub(super) struct DirectoryTask {
     core: Directory,
     config: Arc<TenantsConfig>,
@@ -55,7 +55,7 @@
     pub(super) events: mpsc::Sender<DirectoryEvent>,
 }
 
-/// The next time at which a snapshot is due; never where none are written.
+/// Waits until a snapshot is due. Never completes if no snapshots are written.
 async fn next_snapshot(snapshots: &mut Option<SnapshotWriter>) {
     match snapshots {
         Some(snapshots) => snapshots.due().await,
@@ -64,7 +64,7 @@
 }
 
 impl DirectoryTask {
-    /// A task that runs this core.
+    /// Creates the task of a core; the links to the servers are started when it runs.
     pub(super) fn new(
         core: Directory,
         config: Arc<TenantsConfig>,
@@ -112,7 +112,7 @@
                 }
             }
             self.handle_inputs(&mut batch);
-            // Readers see the new facts before anybody is told that there are any.
+            // Whoever handles an event must find its results in the roster, so the roster is published first.
             self.publisher.publish(self.core.roster());
             if self.execute_outputs().await.is_err() {
                 return;
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Starts the links to a directory's servers, and its follower where it is to be followed.
+    /// Starts the links to a directory's servers, and its follower if the settings say that it is followed.
     fn start_directory(
         &mut self,
         number: usize,
@@ -130,7 +130,7 @@
         let tls = match tls_connector(directory) {
             Ok(tls) => tls,
             Err(error) => {
-                warn!(directory = directory.name, %error, "TLS cannot be set up; the directory is not asked");
+                warn!(directory = directory.name, %error, "failed to set up TLS; directory is not used");
                 return;
             }
         };
@@ -171,8 +171,8 @@
         tasks.spawn(link.run(receiver, self.inputs_sender.clone()));
     }
 
-    /// Hands inputs to the core. Each version of the roster that is published costs copies of what changes next: while
-    /// more inputs wait, those of one turn come into one version.
+    /// Passes inputs to the core until none are queued or the turn has lasted [`MAX_TURN`]. Each published version of the
+    /// roster makes the next changes copy what they touch, so the results of one turn are published together.
     fn handle_inputs(&mut self, batch: &mut Vec<Input>) {
         let reading = self.clock.read();
         self.core
@@ -212,13 +212,13 @@
                     info!(
                         front_end = self.front_end,
                         user = &*user,
-                        "a user's tenant has changed"
+                        "tenant or identity of user changed"
                     );
                     self.report(DirectoryEvent::UserMigrated(user)).await?;
                 }
             }
         }
-        // The buffer is used again.
+        // Keeps the buffer's allocation for the next turn.
         self.outputs = outputs;
         Ok(())
     }
--- a/crates/pipithub-gateway/src/directory/searches.rs
+++ b/crates/pipithub-gateway/src/directory/searches.rs
@@ -1,4 +1,4 @@
-//! The LDAP searches that are made of the core's ones, and how entries are read.
+//! Translates the core's queries to LDAP searches, and the entries of responses to users.
 
 #[cfg(test)]
 mod tests;
@@ -15,17 +15,18 @@
 
 pub(super) const ENTRY_UUID: &str = "entryUUID";
 pub(super) const MODIFY_TIMESTAMP: &str = "modifyTimestamp";
-/// Asks for no attribute (RFC 4511, 4.5.1.8).
+/// Requests no attributes (RFC 4511, 4.5.1.8).
 const NO_ATTRIBUTES: &str = "1.1";
-/// Entries in a page of a search that has no limit of its own.
+/// The number of entries in a page.
 const PAGE_SIZE: u32 = 500;
-/// Users that one entry may stand for.
+/// The maximum number of user names that are read from one entry.
 const MAX_USERS_PER_ENTRY: usize = 16;
-/// How far before now the first search for changes reaches: a stepped clock is an hour ahead, and a little more.
+/// How far before the present time the first poll for changes begins. It allows for a clock that is an hour ahead, and a
+/// little more.
 const FIRST_POLL_REACH: TimeDelta = TimeDelta::seconds(3_600 + 2);
 const NANOSECONDS_PER_SECOND: u64 = 1_000_000_000;
 
-/// The search for the state of a server: whether its tree is there, and its mark.
+/// The search for the state of a server: whether the base of its tree exists, and its change number.
 pub(super) fn state_search(directory: &DirectoryConfig) -> Search {
     let mark = directory.mark_attribute.clone();
     Search {
@@ -39,7 +40,7 @@
     }
 }
 
-/// One page of the search for entries; `None` where the state alone is asked for.
+/// The search for one page of entries, from the page cookie on; `None` if the query needs the server's state only.
 pub(super) fn entry_search(
     directory: &DirectoryConfig,
     query: &Query,
@@ -83,7 +84,7 @@
     }
 }
 
-/// The search that follows all changes by content synchronisation, from the cookie on.
+/// The search that follows all changes by content synchronization, from the cookie on; `None` requests a full refresh.
 pub(super) fn sync_search(directory: &DirectoryConfig, cookie: Option<Bytes>) -> Search {
     let any_user = || Filter::Present(directory.user_attribute.as_str().into());
     Search {
@@ -97,7 +98,7 @@
     }
 }
 
-/// The filter of the settings.
+/// The directory's filter in the settings.
 fn configured_filter(directory: &DirectoryConfig) -> Option<Filter> {
     directory
         .filter
@@ -105,7 +106,7 @@
         .and_then(|text| filter::parse(text).ok())
 }
 
-/// The name that a directory has for a user: without the realm where the directory has just one.
+/// The name by which a directory knows a user: without the realm if the directory has exactly one realm.
 fn local_name<'a>(directory: &DirectoryConfig, user: &'a str) -> &'a str {
     match (directory.lookups.realms.len(), user.rsplit_once('@')) {
         (1, Some((name, _))) => name,
@@ -113,7 +114,7 @@
     }
 }
 
-/// The name that users give for an entry's name: with the realm where the directory has just one.
+/// The name by which requests refer to a user of an entry, folded: with the realm if the directory has exactly one realm.
 fn full_name(directory: &DirectoryConfig, name: &str) -> String {
     match &directory.lookups.realms[..] {
         [realm] => format!("{}@{}", dn::fold(name), dn::fold(realm)),
@@ -121,7 +122,7 @@
     }
 }
 
-/// Reads the mark of a server's copy: a `contextCSN`, or a number that only grows.
+/// Parses the change number of a server's copy from its mark attribute: a `contextCSN`, or a number that only grows.
 pub(super) fn parse_mark(text: &str) -> Option<u64> {
     let digits: String = text
         .split(['Z', '#'])
@@ -129,7 +130,7 @@
         .chars()
         .filter(char::is_ascii_digit)
         .collect();
-    // The century of a time with microseconds is left out: the rest fits.
+    // A `contextCSN` has a time with microseconds. Without the century it fits into 64 bits.
     if digits.len() >= 20 {
         digits[2..20].parse().ok()
     } else {
@@ -137,11 +138,12 @@
     }
 }
 
-/// The users that an entry stands for. Where users were asked for, and the entry has names of them, only these.
+/// The users that an entry names, [`MAX_USERS_PER_ENTRY`] at most. If any of them was requested, only the requested
+/// ones are returned.
 pub(super) fn users_of_entry(
     directory: &DirectoryConfig,
     entry: &Entry,
-    asked: Option<&BTreeSet<&str>>,
+    requested: Option<&BTreeSet<&str>>,
 ) -> Vec<DirectoryEntry> {
     let person = entry
         .text(ENTRY_UUID)
@@ -150,10 +152,10 @@
         .values(&directory.user_attribute)
         .filter_map(|value| std::str::from_utf8(value).ok());
     let mut users: Vec<String> = names.map(|name| full_name(directory, name)).collect();
-    if let Some(asked) = asked
-        && users.iter().any(|user| asked.contains(user.as_str()))
+    if let Some(requested) = requested
+        && users.iter().any(|user| requested.contains(user.as_str()))
     {
-        users.retain(|user| asked.contains(user.as_str()));
+        users.retain(|user| requested.contains(user.as_str()));
     }
     users.truncate(MAX_USERS_PER_ENTRY);
     users
@@ -166,11 +168,11 @@
         .collect()
 }
 
-/// From which `modifyTimestamp` on a directory is first asked for changes, as a generalized time (RFC 4517, 3.3.13).
+/// The `modifyTimestamp` from which a directory is first polled for changes, as a generalized time (RFC 4517, 3.3.13).
 ///
-/// It lies an hour and two seconds before now, as this machine's wall clock may be ahead of the server's: a start in
-/// the server's future would miss every change until then. Entries that are reported though they had not changed do no
-/// harm.
+/// It is an hour and two seconds before `wall_ms`, as this machine's wall clock may be ahead of the server's: a start in
+/// the server's future would miss every change until then. Entries that are reported without having changed are
+/// harmless.
 pub fn first_poll_since(wall_ms: u64) -> String {
     let start_ms = i64::try_from(wall_ms)
         .unwrap_or(i64::MAX)
--- a/crates/pipithub-gateway/src/directory/server_link.rs
+++ b/crates/pipithub-gateway/src/directory/server_link.rs
@@ -1,4 +1,4 @@
-//! The connections to one directory server: each is opened when it is first needed.
+//! The connections to one directory server. Each is opened when it is first needed.
 
 use std::sync::Arc;
 
@@ -10,18 +10,18 @@
 use tracing::{debug, warn};
 
 use super::COMMAND_QUEUE;
-use super::connection::Connection;
-use super::session::Session;
+use super::connection::{Connection, ConnectionError};
+use super::session::{Session, SessionEnd};
 
 /// A command to the connections of a server.
 pub(super) enum ServerCommand {
-    /// Make a search; one [`Input::SearchEnded`] is owed for it, unless it is cancelled.
+    /// Make a search. It ends with exactly one [`Input::SearchEnded`], unless it is cancelled.
     Search { id: SearchId, query: Query },
-    /// End a search whose answer is of no use any more.
+    /// Abandon a search whose response is no longer needed.
     Cancel(SearchId),
 }
 
-/// The input that ends a search without an answer.
+/// The input that ends a search with an error.
 pub(super) fn failed_search(id: SearchId, error: SearchError) -> Input {
     Input::SearchEnded {
         search: id,
@@ -29,16 +29,17 @@
     }
 }
 
-/// One server of a directory.
+/// One server of a directory, with what is needed to connect to it.
 pub(super) struct ServerLink {
     pub(super) directory: Arc<DirectoryConfig>,
+    /// The server's index in the directory's settings.
     pub(super) server: usize,
     pub(super) tls: Option<TlsConnector>,
     pub(super) front_end: String,
 }
 
 impl ServerLink {
-    /// Hands searches to the connections in turn, and cancellations to all of them.
+    /// Distributes searches to the connections round-robin, and sends cancellations to all of them.
     pub(super) async fn run(
         self,
         mut commands: mpsc::Receiver<ServerCommand>,
@@ -74,14 +75,14 @@
         }
     }
 
-    /// Opens a connection at the first search, and again at the next one after it was lost.
+    /// Runs one connection: opens it at the first search, and opens it again at the first search after it was lost.
     async fn run_connection(
         self: Arc<Self>,
         mut commands: mpsc::Receiver<ServerCommand>,
         inputs: mpsc::Sender<Input>,
     ) {
         while let Some(command) = commands.recv().await {
-            // Without a connection there is nothing to cancel.
+            // Without a connection no search is in flight that could be cancelled.
             let ServerCommand::Search { id, query } = command else {
                 continue;
             };
@@ -91,7 +92,7 @@
                     let mut session = Session::new(&self, connection, &inputs);
                     session.begin_first(id, query);
                     let ended = session.run(&mut commands).await;
-                    self.log_lost(&ended.reason.to_string());
+                    self.log_lost(&ended.reason);
                     for id in ended.unanswered {
                         let _ = inputs
                             .send(failed_search(id, SearchError::ConnectionLost))
@@ -102,7 +103,7 @@
                     let _ = inputs
                         .send(failed_search(id, SearchError::ConnectionLost))
                         .await;
-                    self.log_lost(&error.to_string());
+                    self.log_connect_failure(&error);
                 }
             }
         }
@@ -117,17 +118,27 @@
             front_end = self.front_end,
             directory = self.directory.name,
             address = self.address(),
-            "directory server reached"
+            "connected to directory server"
         );
     }
 
-    fn log_lost(&self, why: &str) {
+    fn log_connect_failure(&self, error: &ConnectionError) {
         warn!(
             front_end = self.front_end,
             directory = self.directory.name,
             address = self.address(),
-            why,
-            "directory server lost"
+            why = error.to_string(),
+            "failed to connect to directory server"
+        );
+    }
+
+    fn log_lost(&self, reason: &SessionEnd) {
+        warn!(
+            front_end = self.front_end,
+            directory = self.directory.name,
+            address = self.address(),
+            why = reason.to_string(),
+            "connection to directory server ended"
         );
     }
 }
--- a/crates/pipithub-gateway/src/directory/session.rs
+++ b/crates/pipithub-gateway/src/directory/session.rs
@@ -1,4 +1,4 @@
-//! The searches on one connection to a directory server.
+//! The searches that share one connection to a directory server.
 
 use std::collections::BTreeMap;
 
@@ -17,22 +17,22 @@
 pub(super) enum SessionEnd {
     #[error(transparent)]
     Connection(#[from] ConnectionError),
-    #[error("the front end is gone")]
+    #[error("the front end has ended")]
     FrontEndGone,
-    #[error("not needed any more")]
+    #[error("the connection is no longer needed")]
     Unneeded,
-    #[error("it does not answer in time")]
+    #[error("the server did not answer in time")]
     Silent,
 }
 
-/// What is left of a session.
+/// The outcome of a session.
 pub(super) struct EndedSession {
     pub(super) reason: SessionEnd,
-    /// Searches that were under way.
+    /// The searches that were in flight at the end.
     pub(super) unanswered: Vec<SearchId>,
 }
 
-/// A connection that is up, with the searches on it.
+/// An open connection with the searches that are in flight on it.
 pub(super) struct Session<'a> {
     link: &'a ServerLink,
     connection: Connection,
@@ -41,7 +41,7 @@
 }
 
 impl<'a> Session<'a> {
-    /// A session without searches.
+    /// Creates a session without searches.
     pub(super) fn new(
         link: &'a ServerLink,
         connection: Connection,
@@ -55,14 +55,14 @@
         }
     }
 
-    /// Begins the search for which the connection was opened.
+    /// Begins the search for which the connection was opened. A client that was just bound accepts it.
     pub(super) fn begin_first(&mut self, id: SearchId, query: Query) {
         let client = &mut self.connection.client;
         let search = PendingSearch::begin(&self.link.directory, client, query);
         self.searches.extend(search.map(|search| (id, search)));
     }
 
-    /// Runs until the connection ends, and closes it.
+    /// Runs until the connection fails or is no longer needed, and closes it.
     pub(super) async fn run(
         mut self,
         commands: &mut mpsc::Receiver<ServerCommand>,
@@ -96,7 +96,7 @@
         let (ldap_id, handled) = match event {
             Event::Entry(ldap_id, entry) => (ldap_id, self.handle_entry(ldap_id, &entry)),
             Event::Done(ldap_id, outcome) => (ldap_id, self.handle_done(ldap_id, outcome)),
-            // Referrals to other places are not followed: only servers of the settings are asked.
+            // Referrals are not followed, as that would send credentials to hosts that are not in the settings.
             Event::Reference(..) | Event::Info(..) | Event::Ready | Event::BeginTls => {
                 return Ok(());
             }
@@ -136,13 +136,13 @@
                 server = self.link.server,
                 code = ?outcome.code,
                 words = outcome.message,
-                "a directory server does not answer"
+                "directory server failed to answer a search"
             );
         }
         handled
     }
 
-    /// Removes a search and reports its end.
+    /// Removes a search and reports its end to the core.
     async fn finish(
         &mut self,
         id: SearchId,
@@ -194,7 +194,8 @@
             return Ok(());
         };
         search.abandon(&mut self.connection.client);
-        // A server that stays silent here may be half open: the next search tries a new connection.
+        // Searches are cancelled when they time out. If none of the others is in flight either, the connection may be
+        // half open, and the next search opens a new one.
         if self.searches.is_empty() {
             return Err(SessionEnd::Silent);
         }
--- a/crates/pipithub-gateway/src/directory/snapshots.rs
+++ b/crates/pipithub-gateway/src/directory/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots of what is known of users: read at the start, written from time to time.
+//! Snapshots of the cached records of users: one is read at the start, and one is written at each interval.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -12,12 +12,12 @@
 use tokio::time::{Instant, Interval, MissedTickBehavior, interval_at};
 use tracing::{info, warn};
 
-/// The file of a front end; each has one of its own.
+/// The snapshot file of a front end; each front end has its own.
 fn snapshot_file(settings: &SnapshotConfig, front_end: &str) -> PathBuf {
     settings.path.with_extension(front_end)
 }
 
-/// Identifies the settings: a snapshot of other directories or tenants must not be read.
+/// Identifies the directories and tenants of the settings. A snapshot of others must not be read.
 fn fingerprint(config: &TenantsConfig) -> [u8; 32] {
     let directories = config.directories.iter().flat_map(|directory| {
         let realms = directory.lookups.realms.iter().map(String::as_str);
@@ -37,7 +37,7 @@
     snapshot::fingerprint(directories.chain(tenants))
 }
 
-/// Hands the facts of the snapshot to the core, where there is a snapshot that can be read.
+/// Restores the core's records from the snapshot, if there is one that can be read.
 pub(super) fn restore(config: &TenantsConfig, front_end: &str, core: &mut Directory, clock: Clock) {
     let Some(settings) = &config.snapshot else {
         return;
@@ -46,7 +46,7 @@
     match std::fs::read(&file) {
         Ok(bytes) => restore_from(&bytes, config, settings, &file, core, clock),
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => {}
-        Err(error) => warn!(file = %file.display(), %error, "snapshot not read"),
+        Err(error) => warn!(file = %file.display(), %error, "failed to read directory snapshot"),
     }
 }
 
@@ -70,12 +70,12 @@
         &settings.key,
         max_age,
     ) {
-        Ok(facts) => {
-            info!(file = %file.display(), users = facts.len(), "snapshot taken");
-            core.restore(clock.now(), facts);
+        Ok(records) => {
+            info!(file = %file.display(), users = records.len(), "directory snapshot loaded");
+            core.restore(clock.now(), records);
         }
         Err(error) => {
-            warn!(file = %file.display(), %error, "snapshot refused; users are asked for anew");
+            warn!(file = %file.display(), %error, "directory snapshot rejected; users will be looked up again");
         }
     }
 }
@@ -91,7 +91,7 @@
 }
 
 impl SnapshotWriter {
-    /// `None` where the settings want no snapshots.
+    /// Creates a writer whose first snapshot is due after one interval; `None` if the settings have no snapshots.
     pub(super) fn new(config: &Arc<TenantsConfig>, front_end: &str, clock: Clock) -> Option<Self> {
         let settings = config.snapshot.clone()?;
         let target = Target::new(snapshot_file(&settings, front_end), Durability::Synced);
@@ -113,7 +113,7 @@
         self.interval.tick().await;
     }
 
-    /// Writes a snapshot in the background, unless the one before is still being written.
+    /// Writes a snapshot in the background, unless the previous one is still being written.
     pub(super) fn write(&mut self, roster: &Roster) {
         let is_idle = self.writing.as_ref().is_none_or(JoinHandle::is_finished);
         if !is_idle {
@@ -121,7 +121,7 @@
         }
         let (saver, config) = (self.saver.clone(), self.config.clone());
         let key = self.settings.key.clone();
-        // A clone shares the facts.
+        // Cloning the roster shares its records.
         let (roster, now) = (roster.clone(), self.clock.now());
         self.writing = Some(tokio::task::spawn_blocking(move || {
             let wall = wall_ms() as i64;
--- a/crates/pipithub-gateway/src/directory/sync_session.rs
+++ b/crates/pipithub-gateway/src/directory/sync_session.rs
@@ -1,4 +1,5 @@
-//! One content synchronisation (RFC 4533) with a directory server: the refresh, then changes as they happen.
+//! One session of content synchronization (RFC 4533) with a directory server: the refresh stage, then changes as they
+//! happen.
 
 use bytes::Bytes;
 use pipithub_directory::{DirectoryEntry, PersonId, SyncEvent};
@@ -12,50 +13,51 @@
 use super::follower::Follower;
 use super::searches::{state_search, sync_search, users_of_entry};
 
-/// Why a directory is not followed any more.
+/// Why a session of content synchronization ended.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum FollowError {
+pub(super) enum SyncSessionEnd {
     #[error(transparent)]
     Connection(#[from] ConnectionError),
-    #[error("not begun")]
+    #[error("the client did not accept the search")]
     NotBegun,
-    #[error("the front end is gone")]
+    #[error("the front end has ended")]
     FrontEndGone,
-    #[error("an entry without its state")]
+    #[error("the server sent an entry without its synchronization state")]
     EntryWithoutState,
-    #[error("the synchronisation ended: {code:?} {message}")]
+    #[error("the server ended the synchronization: {code:?} {message}")]
     Ended { code: ResultCode, message: String },
-    #[error("silent")]
+    #[error("the server did not answer in time")]
     Silent,
 }
 
-/// A synchronisation under way.
+/// A session of content synchronization.
 pub(super) struct SyncSession<'a> {
     follower: &'a Follower,
     connection: Connection,
     search: LdapSearchId,
     cookie: &'a mut Option<Bytes>,
-    /// The refresh is over: the server has reported all that there is.
+    /// Whether the refresh stage is done, so that the server has reported all entries.
     refreshed: bool,
     keepalive: Interval,
-    /// The search by which the connection is checked, until it is answered.
+    /// The search that checks the connection, until it is answered.
     keepalive_search: Option<LdapSearchId>,
 }
 
 impl<'a> SyncSession<'a> {
-    /// Connects to a server and begins the synchronisation from the cookie on.
+    /// Connects to a server and begins the synchronization from the cookie on; without a cookie it begins with a full
+    /// refresh. The cookie is updated while the session runs.
     pub(super) async fn begin(
         follower: &'a Follower,
         server: usize,
         cookie: &'a mut Option<Bytes>,
-    ) -> Result<Self, FollowError> {
+    ) -> Result<Self, SyncSessionEnd> {
         let directory = &*follower.directory;
         let mut connection = Connection::open(directory, server, follower.tls.as_ref()).await?;
         let request = sync_search(directory, cookie.clone());
         let search = connection
             .client
             .search(request)
-            .ok_or(FollowError::NotBegun)?;
+            .ok_or(SyncSessionEnd::NotBegun)?;
         let full = cookie.is_none();
         follower.report(SyncEvent::RefreshStarted { full }).await?;
         let mut keepalive = tokio::time::interval(follower.keepalive());
@@ -71,8 +73,8 @@
         })
     }
 
-    /// Runs until the synchronisation or the connection ends.
-    pub(super) async fn run(&mut self) -> FollowError {
+    /// Runs until the synchronization or the connection ends, and returns the reason.
+    pub(super) async fn run(&mut self) -> SyncSessionEnd {
         loop {
             if let Err(error) = self.step().await {
                 return error;
@@ -80,7 +82,7 @@
         }
     }
 
-    async fn step(&mut self) -> Result<(), FollowError> {
+    async fn step(&mut self) -> Result<(), SyncSessionEnd> {
         self.connection.flush().await?;
         while let Some(event) = self.connection.client.poll() {
             for event in self.handle_event(event)? {
@@ -93,21 +95,21 @@
         }
     }
 
-    /// Begins a search that shows whether the connection is good; the one before must have been answered.
-    fn check_connection(&mut self) -> Result<(), FollowError> {
+    /// Begins a search that shows whether the server still answers. Fails if the previous one was not answered.
+    fn check_connection(&mut self) -> Result<(), SyncSessionEnd> {
         if self.keepalive_search.is_some() {
-            return Err(FollowError::Silent);
+            return Err(SyncSessionEnd::Silent);
         }
         let search = state_search(&self.follower.directory);
         self.keepalive_search = self.connection.client.search(search);
         Ok(())
     }
 
-    fn handle_event(&mut self, event: Event) -> Result<Vec<SyncEvent>, FollowError> {
+    fn handle_event(&mut self, event: Event) -> Result<Vec<SyncEvent>, SyncSessionEnd> {
         match event {
             Event::Entry(id, entry) if id == self.search => self.handle_entry(&entry),
             Event::Info(id, info) if id == self.search => Ok(self.handle_info(info)),
-            Event::Done(id, outcome) if id == self.search => Err(FollowError::Ended {
+            Event::Done(id, outcome) if id == self.search => Err(SyncSessionEnd::Ended {
                 code: outcome.code,
                 message: outcome.message,
             }),
@@ -128,8 +130,11 @@
         }
     }
 
-    fn handle_entry(&mut self, entry: &Entry) -> Result<Vec<SyncEvent>, FollowError> {
-        let state = entry.state.clone().ok_or(FollowError::EntryWithoutState)?;
+    fn handle_entry(&mut self, entry: &Entry) -> Result<Vec<SyncEvent>, SyncSessionEnd> {
+        let state = entry
+            .state
+            .clone()
+            .ok_or(SyncSessionEnd::EntryWithoutState)?;
         let person = person_of(&state.uuid);
         self.advance_cookie(state.cookie.as_deref());
         Ok(match state.state {
@@ -180,7 +185,7 @@
             .collect()
     }
 
-    /// Takes over a new cookie, where there is one.
+    /// Replaces the cookie if the server has sent a new one.
     fn advance_cookie(&mut self, cookie: Option<&[u8]>) {
         if let Some(cookie) = cookie {
             *self.cookie = Some(Bytes::copy_from_slice(cookie));
@@ -192,7 +197,7 @@
     PersonId::from_uuid(uuid_text(uuid).as_bytes())
 }
 
-/// Writes an `entryUUID` as a directory does.
+/// Formats an `entryUUID` as directories do; bytes of another length are written as plain hexadecimal digits.
 fn uuid_text(uuid: &[u8]) -> String {
     let hex: String = uuid.iter().map(|byte| format!("{byte:02x}")).collect();
     if hex.len() != 32 {
--- a/crates/pipithub-gateway/src/list.rs
+++ b/crates/pipithub-gateway/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list from the Kubernetes API over HTTP: one list request, then watches from its version on.
+//! The endpoint list from the Kubernetes API over HTTP: one list request, then watches from the version of its response.
 
 mod api;
 
@@ -17,22 +17,26 @@
 use tokio::sync::mpsc;
 use tracing::{info, warn};
 
-use self::api::{FollowError, MAX_BODY_BYTES, Watch};
+use self::api::{MAX_BODY_BYTES, Watch, WatchError};
 
 /// Nanoseconds of a millisecond.
 const MS: u64 = 1_000_000;
 
-/// Where the endpoint list is found and cached.
+/// Where the endpoint list is requested from, and where it is cached.
 pub(crate) struct EndpointListSettings {
+    /// The address of the API server, with or without `http://`.
     pub(crate) url: String,
     pub(crate) namespace: String,
     pub(crate) service: String,
+    /// The name of the port to use; `None` uses the first one.
     pub(crate) port: Option<String>,
+    /// The file in which the list is cached; `None` caches nothing.
     pub(crate) cache: Option<PathBuf>,
     pub(crate) front_end: String,
 }
 
-/// Reads the cached list of an earlier run, as an input for the engine.
+/// Reads the list that an earlier run has cached, as an input for the engine. `None` if there is no cached list, or none
+/// that can be read.
 pub(crate) fn load_cached(settings: &EndpointListSettings, clock: Clock) -> Option<Input> {
     let path = settings.cache.as_ref()?;
     let text = std::fs::read_to_string(path).ok()?;
@@ -42,21 +46,21 @@
             endpoints: cached.endpoints,
         }),
         Err(error) => {
-            warn!(path = %path.display(), %error, "the cached endpoint list cannot be read");
+            warn!(path = %path.display(), %error, "failed to read cached endpoint list");
             None
         }
     }
 }
 
-/// Starts the saver of the cached list. All front ends of a process write the same file, each by a temporary file of
-/// its own.
+/// Starts the saver of the cached list; `None` if the list is not cached. All front ends of a process write the same
+/// file, each through its own temporary file.
 fn start_saver(settings: &EndpointListSettings) -> Option<Saver> {
     let path = settings.cache.as_ref()?;
     let target = Target::shared(path, &settings.front_end, Durability::Synced);
     Some(Saver::start(Arc::new(SystemFiles), target))
 }
 
-/// Follows the endpoint list and hands its changes to a front end.
+/// Watches the endpoint list and reports its changes to a front end.
 pub(crate) struct EndpointListTask {
     settings: EndpointListSettings,
     watcher: Watcher,
@@ -67,7 +71,7 @@
 }
 
 impl EndpointListTask {
-    /// Nothing is requested before it runs.
+    /// Creates the task; it sends its first request when it runs.
     pub(crate) fn new(
         settings: EndpointListSettings,
         inputs: mpsc::Sender<Input>,
@@ -84,8 +88,8 @@
         }
     }
 
-    /// Follows the list until the front end has ended. The last known list stays in force while the server cannot be
-    /// reached.
+    /// Watches the list until the front end has ended. While the API server cannot be reached, the last known list stays
+    /// in use.
     pub(crate) async fn run(mut self) {
         loop {
             let ended = if self.watcher.version().is_none() {
@@ -103,38 +107,38 @@
         }
     }
 
-    async fn back_off(&mut self, error: &FollowError) {
-        let pause = self.backoff.down(self.clock.now());
+    async fn back_off(&mut self, error: &WatchError) {
+        let delay = self.backoff.down(self.clock.now());
         warn!(
             front_end = self.settings.front_end,
             why = error.to_string(),
-            wait_ms = pause / MS,
-            "worker list not followed"
+            wait_ms = delay / MS,
+            "failed to watch endpoint list, retrying"
         );
-        tokio::time::sleep(Duration::from_nanos(pause)).await;
+        tokio::time::sleep(Duration::from_nanos(delay)).await;
     }
 
-    async fn fetch_endpoints(&mut self) -> Result<(), FollowError> {
+    async fn fetch_endpoints(&mut self) -> Result<(), WatchError> {
         let body = api::get_list(&self.settings).await?;
         let endpoints = self.watcher.list(self.clock.now(), wall_ms(), &body)?;
         if self.watcher.version().is_none() {
-            return Err(FollowError::NoVersion);
+            return Err(WatchError::NoVersion);
         }
         info!(
             front_end = self.settings.front_end,
             workers = endpoints.len(),
             ready = self.watcher.ready_count(),
-            "worker list"
+            "endpoint list received"
         );
         self.publish(EndpointUpdate::Snapshot, endpoints).await;
         Ok(())
     }
 
-    async fn watch_endpoints(&mut self) -> Result<(), FollowError> {
+    async fn watch_endpoints(&mut self) -> Result<(), WatchError> {
         let version = self.watcher.version().unwrap_or_default();
         let mut watch = match Watch::begin(&self.settings, version).await {
             Ok(watch) => watch,
-            Err(FollowError::VersionExpired) => {
+            Err(WatchError::VersionExpired) => {
                 self.watcher.forget_version();
                 return Ok(());
             }
@@ -146,7 +150,7 @@
                 continue;
             };
             if buffer.len() + data.len() > MAX_BODY_BYTES {
-                return Err(FollowError::EventTooLong);
+                return Err(WatchError::EventTooLong);
             }
             buffer.extend_from_slice(data);
             while let Some(line) = take_line(&mut buffer) {
@@ -158,8 +162,8 @@
         Ok(())
     }
 
-    /// Handles one line of a watch; a break where its version is too old to go on from.
-    async fn handle_line(&mut self, line: &[u8]) -> Result<ControlFlow<()>, FollowError> {
+    /// Handles one line of a watch. Breaks if the server no longer has the version that the watch began from.
+    async fn handle_line(&mut self, line: &[u8]) -> Result<ControlFlow<()>, WatchError> {
         if line.iter().all(u8::is_ascii_whitespace) {
             return Ok(ControlFlow::Continue(()));
         }
@@ -168,7 +172,7 @@
             Ok(WatchStep::Nothing) => {}
             Ok(WatchStep::Expired) => return Ok(ControlFlow::Break(())),
             Err(error) => {
-                // A line that cannot be read may have been a drain: the list is fetched anew.
+                // The invalid line may have announced that a worker drains, so the complete list is fetched again.
                 self.watcher.forget_version();
                 return Err(error.into());
             }
@@ -176,7 +180,7 @@
         Ok(ControlFlow::Continue(()))
     }
 
-    /// Hands an update to the front end, and saves the list as it is now.
+    /// Sends an update to the front end, and saves the present list.
     async fn publish(&self, update: EndpointUpdate, endpoints: Vec<Endpoint>) {
         let _ = self
             .inputs
@@ -190,7 +194,7 @@
     }
 }
 
-/// Takes the next line from the buffer, without its end; `None` where there is no complete one.
+/// Takes the next line from the buffer, without its line feed; `None` if no complete line is buffered.
 fn take_line(buffer: &mut BytesMut) -> Option<BytesMut> {
     let end = buffer.iter().position(|byte| *byte == b'\n')?;
     let line = buffer.split_to(end);
--- a/crates/pipithub-gateway/src/list/api.rs
+++ b/crates/pipithub-gateway/src/endpoint_list/api.rs
@@ -13,22 +13,22 @@
 
 use super::EndpointListSettings;
 
-/// The server is asked to end a watch after this time. A watch that lasts longer counts as dead: a connection that was
-/// cut silently must not leave the list stale for ever.
+/// The duration of a watch, which the server is requested to end after it. The limit detects connections that were cut
+/// silently, which would otherwise leave the list stale for ever.
 const WATCH_SECONDS: u64 = 60;
-/// How much longer than asked for a watch may last.
+/// How much longer than requested a watch may last before its connection counts as dead.
 const WATCH_GRACE: Duration = Duration::from_secs(10);
-/// A watch that ends this much before its limit still ended as asked for.
+/// A watch that ends at most this long before its limit counts as ended on request.
 const WATCH_END_TOLERANCE: Duration = Duration::from_secs(15);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Bytes of a list, or of one event of a watch, at the most.
+/// The maximum size of a list, or of one watch event, in bytes.
 pub(super) const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// Why the endpoint list cannot be followed.
+/// Why the endpoint list cannot be fetched or watched.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum FollowError {
-    #[error("connecting takes too long")]
+pub(super) enum WatchError {
+    #[error("connection timed out")]
     ConnectTimeout,
     #[error(transparent)]
     Connect(#[from] io::Error),
@@ -36,14 +36,14 @@
     Http(#[from] hyper::Error),
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
-    #[error("no answer")]
+    #[error("response timed out")]
     ResponseTimeout,
-    /// The version to watch from is too old for the server.
-    #[error("410")]
+    /// The server no longer has the version to watch from.
+    #[error("the version to watch from has expired (status 410)")]
     VersionExpired,
-    #[error("the server answers {0}")]
+    #[error("the server responded with status {0}")]
     Status(StatusCode),
-    #[error("the list stalls")]
+    #[error("reading the list timed out")]
     ListTimeout,
     #[error(transparent)]
     ListBody(Box<dyn std::error::Error + Send + Sync>),
@@ -51,36 +51,36 @@
     Unreadable(#[from] pipithub_endpoints::EndpointListError),
     #[error("the list has no resourceVersion to watch from")]
     NoVersion,
-    #[error("the watch has ended")]
+    #[error("the server ended the watch early")]
     WatchEndedEarly,
-    #[error("a watch event is too long")]
+    #[error("a watch event is longer than {MAX_BODY_BYTES} bytes")]
     EventTooLong,
 }
 
 /// Fetches all endpoint slices of the service.
-pub(super) async fn get_list(settings: &EndpointListSettings) -> Result<Bytes, FollowError> {
+pub(super) async fn get_list(settings: &EndpointListSettings) -> Result<Bytes, WatchError> {
     let response = get(settings, "").await?;
     let body = Limited::new(response.into_body(), MAX_BODY_BYTES).collect();
     let collected = timeout(RESPONSE_TIMEOUT, body)
         .await
-        .map_err(|_| FollowError::ListTimeout)?
-        .map_err(FollowError::ListBody)?;
+        .map_err(|_| WatchError::ListTimeout)?
+        .map_err(WatchError::ListBody)?;
     Ok(collected.to_bytes())
 }
 
-/// A watch under way.
+/// A watch in progress.
 pub(super) struct Watch {
     body: Incoming,
-    /// It counts as dead after this time.
+    /// When the connection counts as dead.
     limit: Instant,
 }
 
 impl Watch {
-    /// Begins a watch of all changes after this version.
+    /// Begins a watch of all changes after a version.
     pub(super) async fn begin(
         settings: &EndpointListSettings,
         version: &str,
-    ) -> Result<Self, FollowError> {
+    ) -> Result<Self, WatchError> {
         let query = format!(
             "&watch=1&allowWatchBookmarks=true&timeoutSeconds={WATCH_SECONDS}&resourceVersion={version}"
         );
@@ -91,15 +91,15 @@
         })
     }
 
-    /// The next part of the body; `None` where the watch has ended in its time.
+    /// The next part of the body; `None` if the watch has ended on time, so that the next watch may begin at once from
+    /// the version reached.
     ///
-    /// The next watch then continues from the version reached, at once. One that ends early points to a fault of the
-    /// server, which is not asked again without a backoff.
-    pub(super) async fn next_frame(&mut self) -> Result<Option<Frame<Bytes>>, FollowError> {
+    /// A watch that ends early is an error, as it points to a fault of the server: the next request needs a backoff.
+    pub(super) async fn next_frame(&mut self) -> Result<Option<Frame<Bytes>>, WatchError> {
         match timeout_at(self.limit, self.body.frame()).await {
             Ok(Some(frame)) => Ok(Some(frame?)),
             Ok(None) if Instant::now() + WATCH_END_TOLERANCE >= self.limit => Ok(None),
-            Ok(None) => Err(FollowError::WatchEndedEarly),
+            Ok(None) => Err(WatchError::WatchEndedEarly),
             Err(_) => Ok(None),
         }
     }
@@ -108,14 +108,14 @@
 async fn get(
     settings: &EndpointListSettings,
     query: &str,
-) -> Result<Response<Incoming>, FollowError> {
+) -> Result<Response<Incoming>, WatchError> {
     let host = settings
         .url
         .trim_start_matches("http://")
         .trim_end_matches('/');
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(host))
         .await
-        .map_err(|_| FollowError::ConnectTimeout)??;
+        .map_err(|_| WatchError::ConnectTimeout)??;
     let (mut sender, connection) =
         hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
     tokio::spawn(connection);
@@ -126,10 +126,10 @@
         .body(Empty::<Bytes>::new())?;
     let response = timeout(RESPONSE_TIMEOUT, sender.send_request(request))
         .await
-        .map_err(|_| FollowError::ResponseTimeout)??;
+        .map_err(|_| WatchError::ResponseTimeout)??;
     match response.status() {
-        StatusCode::GONE => Err(FollowError::VersionExpired),
-        status if !status.is_success() => Err(FollowError::Status(status)),
+        StatusCode::GONE => Err(WatchError::VersionExpired),
+        status if !status.is_success() => Err(WatchError::Status(status)),
         _ => Ok(response),
     }
 }
--- a/crates/pipithub-gateway/src/front_end.rs
+++ b/crates/pipithub-gateway/src/front_end.rs
@@ -1,4 +1,4 @@
-//! One front end: the task that owns an engine, and hands it what sources, workers and directories report.
+//! One front end: the task that owns an engine and passes it the events of sources, workers and directories.
 
 mod outputs;
 mod source;
@@ -23,11 +23,11 @@
 use crate::tenancy::Tenancy;
 use crate::workers::WorkerClient;
 
-/// Inputs queued for the engine; senders wait while the queue is full.
+/// The capacity of the engine's input queue; senders wait while it is full.
 const MAX_QUEUED_INPUTS: usize = 4096;
-/// Inputs that the engine is given in one turn, at the most.
+/// The maximum number of inputs that the engine handles in one turn of the event loop.
 const MAX_INPUT_BATCH: usize = 256;
-/// How long sources have to close their connections once the last trigger is settled.
+/// How long sources may take to close their connections after the last trigger is settled.
 const SOURCE_CLOSE_TIME: Duration = Duration::from_millis(20);
 
 /// An engine with the channels around it.
@@ -36,19 +36,19 @@
     classes: Vec<ClassName>,
     clock: Clock,
     engine: Engine,
-    /// How long a shutdown waits for pending requests.
+    /// How long a graceful shutdown waits for pending requests.
     drain: Time,
     workers: Arc<WorkerClient>,
     inputs: mpsc::Receiver<Input>,
     inputs_sender: mpsc::Sender<Input>,
     sources: BTreeMap<SourceId, Source>,
-    /// Cancels attempts under way.
+    /// Cancels the attempts that are in flight.
     cancellations: BTreeMap<AttemptId, oneshot::Sender<()>>,
     snapshot: watch::Sender<Snapshot>,
     /// Outputs of the engine that are not executed yet.
     outputs: Vec<Output>,
     tenancy: Option<Tenancy>,
-    /// Inputs from the admission for the engine.
+    /// Inputs that admission has produced for the engine and that are not handled yet.
     engine_inputs: Vec<Input>,
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// The next event of the directories; never one where there are no tenants.
+/// The next event of the directories. Never completes if the settings have no tenants.
 async fn next_directory_event(tenancy: &mut Option<Tenancy>) -> Option<DirectoryEvent> {
     match tenancy {
         Some(tenancy) => tenancy.next_event().await,
@@ -72,7 +72,7 @@
 }
 
 impl FrontEndTask {
-    /// A front end without sources, tenants and endpoints.
+    /// Creates a front end that has no sources, tenants or endpoints yet.
     pub(crate) fn new(
         name: &str,
         config: &Config,
@@ -99,29 +99,29 @@
         }
     }
 
-    /// Has all calls pass the admission by tenant.
+    /// Makes all calls pass admission by tenant.
     pub(crate) fn set_tenancy(&mut self, tenancy: Tenancy) {
         self.tenancy = Some(tenancy);
     }
 
-    /// Adds a source; the handle is its end of the channels.
+    /// Adds a source and returns the source's end of the channels.
     pub(crate) fn add_source(&mut self, id: SourceId) -> SourceHandle {
         let (source, handle) = Source::new(self.engine.capacity());
         self.sources.insert(id, source);
         handle
     }
 
-    /// Where sources and other tasks send what happened.
+    /// The queue to which sources and other tasks send their events.
     pub(crate) fn inputs(&self) -> mpsc::Sender<Input> {
         self.inputs_sender.clone()
     }
 
-    /// Watches the state of this front end; the sender is dropped when the front end has ended.
+    /// Watches the state of this front end. The channel closes when the front end has ended.
     pub(crate) fn snapshots(&self) -> watch::Receiver<Snapshot> {
         self.snapshot.subscribe()
     }
 
-    /// Sets the workers of the settings as the endpoint list.
+    /// Uses the workers of the settings as the endpoint list.
     pub(crate) fn set_fixed_workers(&mut self, workers: &[FixedWorker]) {
         let endpoint = |worker: &FixedWorker| Endpoint {
             worker: WorkerId::new(&worker.address),
@@ -135,13 +135,13 @@
         });
     }
 
-    /// Handles an input before the front end runs.
+    /// Handles an input before [`FrontEndTask::run`] is called.
     pub(crate) fn handle_before_start(&mut self, input: Input) {
         self.engine
             .handle(self.clock.now(), input, &mut self.outputs);
     }
 
-    /// Runs until a shutdown is asked for and all requests are settled or the drain time is over.
+    /// Runs until a shutdown is requested and then all requests are settled or the drain time has elapsed.
     pub(crate) async fn run(mut self, mut shutdown: watch::Receiver<bool>) {
         info!(
             front_end = self.name,
@@ -175,16 +175,16 @@
             }
             for input in batch.drain(..) {
                 self.handle_input(input);
-                // Executed at once: an answer must not wait for the rest of the batch.
+                // An answer must not wait for the rest of the batch.
                 self.execute_outputs();
             }
         }
         self.log_end();
-        // A last answer has been settled; its source closes its connection in its own time.
+        // Sources close their connections by themselves once their last answer is settled.
         tokio::time::sleep(SOURCE_CLOSE_TIME).await;
     }
 
-    /// Whether a drain has ended: nothing is pending, or its deadline is reached.
+    /// Whether a drain has ended, because nothing is pending or because its deadline has passed.
     fn is_drained_by(&self, deadline: Time) -> bool {
         self.engine.pending_requests() + self.pending_admissions() == 0
             || self.clock.now() >= deadline
@@ -194,7 +194,7 @@
         self.tenancy.as_ref().map_or(0, Tenancy::pending)
     }
 
-    /// When the engine or the admission has to be handed a tick, or the drain ends.
+    /// The earliest time at which the engine or admission needs a tick, or the drain ends.
     fn next_due(&self, drain_deadline: Option<Time>) -> Option<Time> {
         let admission_due = self.tenancy.as_ref().and_then(Tenancy::next_due);
         [self.engine.next_due(), drain_deadline, admission_due]
@@ -203,12 +203,12 @@
             .min()
     }
 
-    /// Has the sources take no new triggers; returns the deadline for those that are pending.
+    /// Tells all sources to accept no new triggers, and returns the deadline for the pending ones.
     fn begin_drain(&mut self) -> Time {
         info!(
             front_end = self.name,
             pending_requests = self.engine.pending_requests(),
-            "stopping"
+            "shutting down"
         );
         for source in self.sources.values() {
             source.send(SourceCommand::Shutdown);
@@ -221,8 +221,8 @@
         if pending > 0 {
             warn!(
                 front_end = self.name,
-                left = pending,
-                "stopped with calls that are not settled; their sources deliver them again"
+                pending_requests = pending,
+                "drain timed out with unsettled requests; their sources will redeliver them"
             );
         }
         info!(front_end = self.name, "front end down");
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Hands an input to the engine; new triggers pass the admission first.
+    /// Passes an input to the engine. With tenants, new triggers pass admission first.
     fn handle_input(&mut self, input: Input) {
         if let Input::AttemptFinished(result) = &input {
             self.cancellations.remove(&result.id);
@@ -260,7 +260,7 @@
         }
     }
 
-    /// Publishes the remaining capacity to the sources, and a snapshot to observers.
+    /// Publishes the remaining capacity to the sources and a snapshot to observers.
     fn publish_state(&mut self) {
         let pending_admissions = self.pending_admissions();
         let capacity = self.engine.capacity().saturating_sub(pending_admissions);
@@ -279,8 +279,8 @@
     }
 }
 
-/// Whether a trigger is another delivery of a request that the engine knows. It is not admitted a second time: the
-/// admission must not reject what runs.
+/// Whether a trigger is a redelivery of a request that the engine knows. Such a request bypasses admission, which must
+/// not reject what is running already.
 fn is_known_redelivery(engine: &Engine, trigger: &Trigger, now: Time) -> bool {
     let is_known = |identity| engine.knows(identity, now);
     trigger.redelivered && trigger.identity.as_ref().is_some_and(is_known)
--- a/crates/pipithub-gateway/src/front_end/outputs.rs
+++ b/crates/pipithub-gateway/src/front_end/outputs.rs
@@ -1,4 +1,4 @@
-//! Executing the outputs of the engine: requests to workers, commands to sources.
+//! Executes the outputs of the engine: requests to workers and commands to sources.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use crate::tenancy::CallerNames;
 
 impl FrontEndTask {
-    /// Executes outputs until neither the engine nor the admission has any more.
+    /// Executes outputs until neither the engine nor admission produces more of them.
     pub(super) fn execute_outputs(&mut self) {
         while !self.outputs.is_empty() || !self.engine_inputs.is_empty() {
             for input in std::mem::take(&mut self.engine_inputs) {
@@ -23,7 +23,7 @@
             for output in outputs.drain(..) {
                 self.execute(output);
             }
-            // The buffer is used again.
+            // Keeps the buffer's allocation for the next turn.
             if self.outputs.is_empty() {
                 self.outputs = outputs;
             }
@@ -49,7 +49,7 @@
             Output::PollLoad(worker) => self.poll_load(worker),
             Output::Answer { ticket, reply } => self.answer(ticket, reply),
             Output::Forget(ticket) => self.settle(ticket),
-            // The endpoint list is watched from the start here.
+            // The gateway watches the endpoint list from its start.
             Output::WatchEndpoints => {}
         }
     }
@@ -66,7 +66,7 @@
             function = &*call.function,
             worker = &*worker.0,
             attempt = id.number,
-            "forward"
+            "forwarding request"
         );
         let (cancel, cancelled) = oneshot::channel();
         self.cancellations.insert(id, cancel);
@@ -79,7 +79,7 @@
         });
     }
 
-    /// Cancels an attempt. It ends as cancelled, unless its outcome is on its way already.
+    /// Cancels an attempt. It ends as cancelled unless it has finished already and its outcome is still queued.
     fn cancel(&mut self, id: AttemptId) {
         if let Some(cancel) = self.cancellations.remove(&id) {
             let _ = cancel.send(());
@@ -92,7 +92,7 @@
             worker = &*worker.0,
             function = &*name,
             replicas,
-            "load command"
+            "sending load command"
         );
         let workers = self.workers.clone();
         self.spawn_for_input(async move {
@@ -119,7 +119,7 @@
         self.send_command(ticket.source, SourceCommand::Answer(ticket, reply));
     }
 
-    /// Settles a trigger that was answered before.
+    /// Settles a trigger without an answer, as its request was answered before.
     fn settle(&mut self, ticket: Ticket) {
         self.finish_admission(ticket, None);
         self.send_command(ticket.source, SourceCommand::Settle(ticket));
@@ -141,7 +141,7 @@
                 attempts = reply.attempts,
                 worker,
                 last = ?reply.last_outcome,
-                "failed"
+                "request failed"
             );
         } else {
             debug!(
@@ -154,7 +154,7 @@
                 cause = reply.cause.as_str(),
                 attempts = reply.attempts,
                 worker,
-                "answer"
+                "request answered"
             );
         }
     }
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Runs a task whose result is an input for the engine.
+    /// Spawns a task whose result is an input for the engine.
     fn spawn_for_input(&self, task: impl Future<Output = Input> + Send + 'static) {
         let inputs = self.inputs_sender.clone();
         tokio::spawn(async move {
--- a/crates/pipithub-gateway/src/front_end/source.rs
+++ b/crates/pipithub-gateway/src/front_end/source.rs
@@ -8,19 +8,19 @@
 /// A command from the front end to one of its sources.
 #[derive(Debug)]
 pub(crate) enum SourceCommand {
-    /// Give the final answer and settle, both or neither.
+    /// Send the final answer and settle the trigger. The source does both or neither.
     Answer(Ticket, Arc<Reply>),
-    /// Settle without an answer.
+    /// Settle the trigger without an answer.
     Settle(Ticket),
-    /// Take no new triggers; end when all are settled.
+    /// Accept no new triggers, and end when all pending ones are settled.
     Shutdown,
 }
 
 /// A source's end of its channels with the front end.
 pub(crate) struct SourceHandle {
-    /// Unbounded, but limited in effect: the engine holds at most `max-open` triggers and owes each one command.
+    /// The channel itself is unbounded, but the engine holds at most `max-open` triggers and sends one command for each.
     pub(crate) commands: mpsc::UnboundedReceiver<SourceCommand>,
-    /// How many more triggers the front end takes.
+    /// How many more triggers the front end accepts at present.
     pub(crate) capacity: watch::Receiver<usize>,
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl Source {
-    /// Both ends of the channels of a new source.
+    /// Creates the channels of a new source and returns both ends.
     pub(super) fn new(capacity: usize) -> (Source, SourceHandle) {
         let (commands, commands_receiver) = mpsc::unbounded_channel();
         let (capacity, capacity_receiver) = watch::channel(capacity);
@@ -42,12 +42,12 @@
         (Source { commands, capacity }, handle)
     }
 
-    /// Sends a command; a source that has ended needs none.
+    /// Sends a command. It is dropped if the source has ended.
     pub(super) fn send(&self, command: SourceCommand) {
         let _ = self.commands.send(command);
     }
 
-    /// Publishes how many more triggers the front end takes.
+    /// Publishes how many more triggers the front end accepts.
     pub(super) fn set_capacity(&self, capacity: usize) {
         self.capacity
             .send_if_modified(|known| std::mem::replace(known, capacity) != capacity);
--- a/crates/pipithub-gateway/src/lib.rs
+++ b/crates/pipithub-gateway/src/lib.rs
@@ -1,15 +1,16 @@
-//! The front end on tokio: thin shells around the engine.
+//! The front end on tokio: the I/O around the engine.
 //!
-//! A [`Gateway`] runs one or more front ends; each owns an engine and shares nothing with the others. Sources
-//! ([`amqp`], [`cron`]), workers ([`workers`]) and the endpoint list ([`list`]) are tasks that hand the engine what
-//! happened and execute its outputs. They decide nothing.
+//! A [`Gateway`] runs one or more front ends; each owns an engine and shares no state with the others. Sources
+//! ([`amqp`], [`cron`]), workers ([`workers`]) and the endpoint list ([`endpoint_list`]) are tasks that report events to
+//! the engine and execute its outputs. All decisions are made by the engine.
 
 mod amqp;
 pub mod connect;
 mod cron;
 pub mod directory;
+mod endpoint_list;
 mod front_end;
-mod list;
+
 pub mod schedule;
 pub mod seed;
 mod startup;
@@ -24,22 +25,22 @@
 
 use crate::startup::FrontEndStartup;
 
-/// The state of a front end at its last turn.
+/// The state of a front end after the last turn of its event loop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// Counters.
+    /// The engine's counters since the start.
     pub stats: Stats,
-    /// Requests that are not settled.
+    /// Requests that are not settled yet.
     pub pending_requests: usize,
     /// Bytes of the request bodies in memory.
     pub body_bytes: usize,
-    /// Ready workers of the endpoint list.
+    /// Workers that the endpoint list reports as ready.
     pub ready_workers: usize,
     /// Requests that wait for the look-up of their user or for their tenant's quota.
     pub pending_admissions: usize,
 }
 
-/// A running gateway. When dropped it ends at once, as if killed.
+/// A running gateway. Dropping it aborts all front ends at once; [`Gateway::stop`] shuts them down gracefully.
 pub struct Gateway {
     shutdown: watch::Sender<bool>,
     snapshots: Vec<watch::Receiver<Snapshot>>,
@@ -47,12 +48,13 @@
 }
 
 impl Gateway {
-    /// Starts all front ends of the settings.
+    /// Starts all front ends that the settings configure. Must be called within a tokio runtime.
     pub fn start(config: &Config) -> Gateway {
         Self::start_deciding_by(config, None)
     }
 
-    /// Starts all front ends with a textbook policy in place of the decision module, for comparison in scenarios alone.
+    /// Starts all front ends with a baseline policy in place of the decision module, for comparisons in scenarios;
+    /// `None` uses the decision module.
     pub fn start_deciding_by(config: &Config, baseline: Option<Policy>) -> Gateway {
         let (shutdown, shutdown_asked) = watch::channel(false);
         let mut gateway = Gateway {
@@ -69,7 +71,7 @@
         gateway
     }
 
-    /// The latest snapshot of each front end.
+    /// The latest snapshot of each front end, in the order of their instance numbers.
     pub fn snapshots(&self) -> Vec<Snapshot> {
         self.snapshots
             .iter()
@@ -77,19 +79,19 @@
             .collect()
     }
 
-    /// Shuts down gracefully: takes no new requests and waits until all pending ones are settled, for the drain time of
-    /// the settings at most.
+    /// Shuts down gracefully: accepts no new requests and waits until all pending ones are settled, at most for the
+    /// drain time of the settings.
     pub async fn stop(mut self) {
         let _ = self.shutdown.send(true);
         for snapshot in &mut self.snapshots {
-            // A front end that has ended drops its sender.
+            // A front end drops its sender when it has ended.
             while snapshot.changed().await.is_ok() {}
         }
         self.tasks.shutdown().await;
     }
 }
 
-/// The name of the settings, numbered where there are several front ends.
+/// The front end's name in the settings, with the instance number appended where there are several instances.
 fn front_end_name(config: &Config, instance: u32) -> String {
     if config.instances == 1 {
         config.name.clone()
--- a/crates/pipithub-gateway/src/schedule.rs
+++ b/crates/pipithub-gateway/src/schedule.rs
@@ -1,43 +1,44 @@
-//! When timers fire: schedules in wall time (UTC), without I/O.
+//! The schedule of cron timers in wall time (UTC), without I/O.
 //!
-//! A schedule names occurrences in wall time, and the wall clock may be stepped. [`Schedule::due`] takes the wall time
-//! and returns the timers that fire; [`Schedule::time_until_check`] returns the span of real time after which to ask
-//! again, [`MAX_CHECK_INTERVAL`] at the most, so that a step is noticed within that span.
+//! Occurrences are planned in wall time, and the wall clock may be stepped. [`Schedule::due`] takes the wall time and
+//! returns the timers that fire. [`Schedule::time_until_check`] returns the real time after which to call it again, at
+//! most [`MAX_CHECK_INTERVAL`], so that a step of the clock is noticed within that time.
 //!
 //! | the wall clock | what fires |
 //! | --- | --- |
-//! | runs on | each occurrence once, at its time |
-//! | is stepped forward | what was passed fires once, late: one call for each timer, not one for each occurrence missed |
-//! | is stepped back, by [`MAX_STEP_BACK`] at the most | nothing that lies before the latest wall time seen: no occurrence fires a second time; the next one after it fires at its time |
-//! | is stepped back further | the time before the step is taken for a fault of the clock; the schedule begins anew from the wall time now |
+//! | is not stepped | each occurrence, once, at its time |
+//! | is stepped forward | each timer with skipped occurrences, once and late, however many occurrences were skipped |
+//! | is stepped back by at most [`MAX_STEP_BACK`] | nothing before the latest wall time seen, so that no occurrence fires twice; then the next occurrence, at its time |
+//! | is stepped back further | the earlier time is taken for a fault of the clock, and the schedule restarts from the present wall time |
 //!
-//! A process held up past an occurrence is the same as a step forward. Nothing is stored across a restart: occurrences
-//! that passed while the process was down do not fire.
+//! A process that was paused past an occurrence behaves as after a step forward. Nothing is stored across a restart:
+//! occurrences that passed while the process was down do not fire.
 
 use std::time::Duration;
 
 use chrono::{DateTime, TimeDelta, Utc};
 use croner::Cron;
 
-/// The wall clock is looked at again after this span, however far ahead the next occurrence lies.
+/// The longest time between two readings of the wall clock, however far ahead the next occurrence is.
 pub const MAX_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A clock set back further than this had been wrong before: waiting for it to catch up would silence the timers.
+/// The longest step back after which the schedule waits for the clock to catch up. A clock that is stepped back further
+/// was wrong before, and waiting for it would silence the timers.
 pub const MAX_STEP_BACK: TimeDelta = TimeDelta::hours(24);
 
 /// A timer that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Occurrence {
-    /// Its place among the schedule's patterns.
+    /// The timer's index among the patterns of the schedule.
     pub timer: usize,
-    /// The wall time for which it was planned: the earliest one that had not fired.
+    /// The wall time for which it was planned: the earliest occurrence that had not fired.
     pub planned: DateTime<Utc>,
 }
 
 #[derive(Debug)]
 struct Timer {
     pattern: Cron,
-    /// The earliest occurrence that has not fired; `None` where the pattern has no further one.
+    /// The earliest occurrence that has not fired; `None` if the pattern has no further ones.
     next: Option<DateTime<Utc>>,
 }
 
@@ -51,12 +52,12 @@
 #[derive(Debug)]
 pub struct Schedule {
     timers: Vec<Timer>,
-    /// Every occurrence up to this wall time has fired or was passed.
+    /// Every occurrence up to this wall time has fired or was skipped.
     covered_until: DateTime<Utc>,
 }
 
 impl Schedule {
-    /// Occurrences from this wall time on.
+    /// Schedules the occurrences after a wall time.
     pub fn new(patterns: impl IntoIterator<Item = Cron>, wall: DateTime<Utc>) -> Self {
         let timers = patterns
             .into_iter()
@@ -69,22 +70,22 @@
             timers,
             covered_until: wall,
         };
-        schedule.begin_from(wall);
+        schedule.restart_from(wall);
         schedule
     }
 
-    fn begin_from(&mut self, wall: DateTime<Utc>) {
+    fn restart_from(&mut self, wall: DateTime<Utc>) {
         self.covered_until = wall;
         for timer in &mut self.timers {
             timer.plan_after(wall);
         }
     }
 
-    /// Takes what is due at this wall time; each occurrence is given out once.
+    /// Takes the occurrences that are due at a wall time. Each occurrence is returned once, and each timer at most once.
     pub fn due(&mut self, wall: DateTime<Utc>) -> Vec<Occurrence> {
         let behind = self.covered_until.signed_duration_since(wall);
         if behind > MAX_STEP_BACK {
-            self.begin_from(wall);
+            self.restart_from(wall);
             return Vec::new();
         }
         self.covered_until = self.covered_until.max(wall);
@@ -101,10 +102,10 @@
         due
     }
 
-    /// After which span of real time to ask again; `None` where nothing will ever be due.
+    /// The real time after which to call [`Schedule::due`] again; `None` if no timer has a further occurrence.
     pub fn time_until_check(&self, wall: DateTime<Utc>) -> Option<Duration> {
         let next = self.timers.iter().filter_map(|timer| timer.next).min()?;
-        // An occurrence that is due already waits no longer.
+        // The difference is negative if the occurrence is due already.
         let until_next = next
             .signed_duration_since(wall)
             .to_std()
@@ -112,7 +113,7 @@
         Some(until_next.min(MAX_CHECK_INTERVAL))
     }
 
-    /// Lets nothing fire any more.
+    /// Removes all timers, so that nothing fires any more.
     pub fn stop(&mut self) {
         self.timers.clear();
     }
--- a/crates/pipithub-gateway/src/seed.rs
+++ b/crates/pipithub-gateway/src/seed.rs
@@ -1,11 +1,11 @@
-//! The seed of a front end's own random choices.
+//! The seed of a front end's random choices.
 
 use std::hash::{BuildHasher, RandomState};
 
-/// A seed that no other front end has, as far as chance goes.
+/// A random seed, which differs between front ends with near certainty.
 ///
-/// Front ends that share a seed draw alike, and then the slow-start budget of a worker is drawn by all of them at once.
-/// Process ids and names do not tell processes in containers apart: there each may be process 1 of the same name.
+/// Front ends with the same seed would make the same choices and spend a worker's slow-start budget all at once. Process
+/// ids and names do not distinguish processes in containers, where each may be process 1 with the same name.
 pub fn random_seed() -> u64 {
     RandomState::new().hash_one(std::process::id())
 }
--- a/crates/pipithub-gateway/src/startup.rs
+++ b/crates/pipithub-gateway/src/startup.rs
@@ -1,4 +1,4 @@
-//! Starting a front end: its engine's task, and the tasks of its sources, directories and endpoint list.
+//! Starts a front end: the task of its engine, and the tasks of its sources, directories and endpoint list.
 
 use std::sync::Arc;
 
@@ -9,12 +9,12 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
+use crate::endpoint_list::{EndpointListSettings, EndpointListTask};
 use crate::front_end::{FrontEndTask, SourceHandle};
-use crate::list::{EndpointListSettings, EndpointListTask};
 use crate::tenancy::Tenancy;
-use crate::{Snapshot, amqp, cron, directory, list, seed};
+use crate::{Snapshot, amqp, cron, directory, endpoint_list, seed};
 
-/// A front end that is being put together.
+/// A front end that is being assembled.
 pub(crate) struct FrontEndStartup<'a> {
     config: &'a Config,
     name: &'a str,
@@ -22,12 +22,12 @@
     seed: u64,
     tasks: &'a mut JoinSet<()>,
     front_end: FrontEndTask,
-    /// Sources are numbered from 1.
-    sources: u32,
+    /// The number of the last source; sources are numbered from 1.
+    last_source: u32,
 }
 
 impl<'a> FrontEndStartup<'a> {
-    /// A front end of this name whose tasks are spawned on `tasks`.
+    /// Prepares a front end of this name whose tasks will be spawned on `tasks`.
     pub(crate) fn new(
         config: &'a Config,
         name: &'a str,
@@ -43,11 +43,11 @@
             seed,
             tasks,
             front_end: FrontEndTask::new(name, config, clock, seed, baseline),
-            sources: 0,
+            last_source: 0,
         }
     }
 
-    /// Starts all tasks; returns where the state of the front end is watched.
+    /// Starts all tasks, and returns the receiver of the front end's snapshots.
     pub(crate) fn start(
         mut self,
         shutdown_asked: watch::Receiver<bool>,
@@ -89,7 +89,7 @@
     fn start_consumer(&mut self, broker: &AmqpConfig, queue: &QueueConfig) {
         let (source, handle) = self.add_source();
         let settings = amqp::consumer_settings(self.config, broker, queue, source, self.name);
-        // Consumers that share a seed would reconnect all at once.
+        // With a shared seed, all consumers would reconnect at the same time.
         let seed = self.seed ^ u64::from(source.0);
         let inputs = self.front_end.inputs();
         let consumer = amqp::ConsumerTask::new(settings, handle, inputs, self.clock, seed);
@@ -124,7 +124,7 @@
                 front_end: self.name.to_string(),
             },
         };
-        if let Some(cached) = list::load_cached(&settings, self.clock) {
+        if let Some(cached) = endpoint_list::load_cached(&settings, self.clock) {
             self.front_end.handle_before_start(cached);
         }
         let inputs = self.front_end.inputs();
@@ -133,8 +133,8 @@
     }
 
     fn add_source(&mut self) -> (SourceId, SourceHandle) {
-        self.sources += 1;
-        let source = SourceId(self.sources);
+        self.last_source += 1;
+        let source = SourceId(self.last_source);
         (source, self.front_end.add_source(source))
     }
 }
--- a/crates/pipithub-gateway/src/tenancy.rs
+++ b/crates/pipithub-gateway/src/tenancy.rs
@@ -18,24 +18,24 @@
 
 use crate::directory::{DirectoryEvent, DirectoryHandle};
 
-/// How many more admitted calls than pending requests there may be before those that expired are removed.
+/// How many more admitted calls than pending requests there may be before expired calls are removed.
 const MAX_UNMATCHED_CALLS: usize = 1_024;
 
-/// An admitted call without a final answer.
+/// An admitted call that has no final answer yet.
 struct AdmittedCall {
     tenant: TenantId,
     user: Option<User>,
     since: Time,
 }
 
-/// The names of the tenant and user of a call, for logs.
+/// The names of a call's tenant and user, for logs. Both are `None` for a call that was not admitted.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct CallerNames<'a> {
     pub(crate) tenant: Option<&'a str>,
     pub(crate) user: Option<&'a str>,
 }
 
-/// The admission of a front end, with its end of the directories' channels.
+/// The admission of a front end, with the front end's end of the channels to the directories.
 pub(crate) struct Tenancy {
     config: Arc<TenantsConfig>,
     front_end: String,
@@ -48,7 +48,7 @@
     outputs: Vec<Output<Box<Trigger>>>,
 }
 
-/// The cause that the client is given for a rejection.
+/// The cause of a rejection as the client's answer gives it.
 fn rejection_cause(reason: RejectReason) -> Cause {
     match reason {
         RejectReason::NoUser => Cause::NoUser,
@@ -62,7 +62,7 @@
 }
 
 impl Tenancy {
-    /// An admission that has admitted nothing yet.
+    /// Creates an admission without any calls.
     pub(crate) fn new(
         config: Arc<TenantsConfig>,
         handle: DirectoryHandle,
@@ -87,29 +87,29 @@
         }
     }
 
-    /// The next event of the directories.
+    /// The next event of the directories; `None` if their task has ended.
     pub(crate) async fn next_event(&mut self) -> Option<DirectoryEvent> {
         self.events.recv().await
     }
 
-    /// When the admission is to be handed a tick.
+    /// When admission needs the next tick; `None` if it needs none.
     pub(crate) fn next_due(&self) -> Option<Time> {
         self.admission.next_due()
     }
 
-    /// Calls that are neither admitted nor rejected yet.
+    /// The number of calls that are neither admitted nor rejected yet.
     pub(crate) fn pending(&self) -> usize {
         self.admission.pending()
     }
 
-    /// A tenant's name, for logs.
+    /// The name of a tenant in the settings, for logs.
     pub(crate) fn tenant_name(&self, tenant: Option<Tenant>) -> Option<&str> {
         tenant
             .and_then(|t| self.config.tenants.get(usize::from(t.0)))
             .map(|t| t.name.as_str())
     }
 
-    /// The names of the tenant and user of an admitted call, for logs.
+    /// The names of an admitted call's tenant and user, for logs.
     pub(crate) fn caller_names(&self, ticket: Ticket) -> CallerNames<'_> {
         let Some(call) = self.admitted_calls.get(&ticket) else {
             return CallerNames::default();
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Handles the arrival of a call.
+    /// Handles the arrival of a call. What admission decides at once is appended to `inputs`.
     pub(crate) fn arrive(&mut self, now: Time, trigger: Trigger, inputs: &mut Vec<Input>) {
         let call = &trigger.call;
         let class = self.classes.get(call.class);
@@ -140,7 +140,7 @@
         self.apply_outputs(now, inputs);
     }
 
-    /// Handles the loss of a source, with all its calls.
+    /// Handles the loss of a source: all its calls end.
     pub(crate) fn source_lost(&mut self, now: Time, source: SourceId, inputs: &mut Vec<Input>) {
         self.admission
             .cancel(|trigger| trigger.ticket.source == source);
@@ -155,7 +155,8 @@
         }
     }
 
-    /// Handles the final answer of a call; without a reply it was settled as one that had been answered before.
+    /// Handles the final answer of a call. `None` means that the call was settled without an answer, as an earlier
+    /// delivery of it had been answered.
     pub(crate) fn answered(
         &mut self,
         now: Time,
@@ -171,7 +172,7 @@
         self.finish(now, ticket, result, inputs);
     }
 
-    /// Reports the end of an admitted call to the admission, once.
+    /// Reports the end of an admitted call to admission, once for each call.
     fn finish(
         &mut self,
         now: Time,
@@ -215,7 +216,7 @@
         self.apply_outputs(now, inputs);
     }
 
-    /// Whose a user is, by what the directories said last.
+    /// The tenant and person of a user by the newest records; `None` if the user belongs to no tenant, or to several.
     fn tenant_user(&self, user: &str, now: Time) -> Option<TenantUser> {
         match self.roster.load().resolve(user, now) {
             Resolution::Tenant { tenant, person, .. } => Some(TenantUser {
@@ -226,7 +227,7 @@
         }
     }
 
-    /// Handles the passing of time.
+    /// Handles what is due by now.
     pub(crate) fn tick(&mut self, now: Time, pending_requests: usize, inputs: &mut Vec<Input>) {
         self.admission
             .tick(now, &self.roster.load(), &mut self.outputs);
@@ -236,8 +237,8 @@
         }
     }
 
-    /// Finishes calls that are long past their clients' timeouts. A ticket that was replaced by a later delivery of its
-    /// message is answered under that one, and would stay here for ever.
+    /// Finishes calls that are long past their clients' timeouts. When a message is redelivered, its request is answered
+    /// under the new ticket, so that the old ticket would otherwise stay here for ever.
     fn finish_expired_calls(&mut self, now: Time, inputs: &mut Vec<Input>) {
         let longest_timeout = self.classes.iter().map(|class| class.client_timeout).max();
         let lifetime = longest_timeout.unwrap_or(0).saturating_mul(2);
@@ -265,14 +266,15 @@
                     retry_after,
                 } => inputs.push(self.reject(*request, reason, retry_after)),
                 Output::LookUp { user, urgent } => {
-                    // If the queue is full, the call waits its time and is decided by what is known then.
+                    // If the queue is full, the call waits for the identity wait of the settings and is then decided by
+                    // the cached records.
                     let _ = self
                         .lookups
                         .try_send(DirectoryInput::LookUp { user, urgent });
                 }
             }
         }
-        // The buffer is used again.
+        // Keeps the buffer's allocation for the next turn.
         self.outputs = outputs;
     }
 
@@ -299,7 +301,7 @@
             request = trigger.call.label.as_deref(),
             user = trigger.call.user.as_deref(),
             why = ?reason,
-            "not admitted"
+            "request rejected by admission"
         );
         Input::Reject {
             trigger,
--- a/crates/pipithub-gateway/src/workers.rs
+++ b/crates/pipithub-gateway/src/workers.rs
@@ -1,4 +1,4 @@
-//! Workers over HTTP/1.1: attempts with their deadlines, load commands and load polls.
+//! Requests to workers over HTTP/1.1: attempts with their deadlines, load commands and load polls.
 
 mod connections;
 
@@ -27,7 +27,7 @@
 }
 
 impl WorkerClient {
-    /// A client without connections.
+    /// Creates a client; connections are opened when they are first needed.
     pub(crate) fn new(front_end: &str, config: HttpConfig, clock: Clock) -> Self {
         WorkerClient {
             front_end: front_end.to_string(),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Makes an attempt; it ends with the worker's response, at its deadline or when it is cancelled.
+    /// Makes an attempt. It ends with the worker's response, when the deadline passes or when it is cancelled.
     pub(crate) async fn attempt(
         &self,
         id: AttemptId,
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Has a worker load replicas of a function.
+    /// Commands a worker to load replicas of a function. A command without a response within the timeout of the settings
+    /// ends as timed out.
     pub(crate) async fn load_function(
         &self,
         worker: WorkerId,
@@ -93,7 +94,8 @@
         }
     }
 
-    /// Has a worker evict idle replicas of a function; nobody waits for the reply.
+    /// Commands a worker to evict idle replicas of a function. The reply and all errors are ignored: the worker's next
+    /// load report shows what it holds.
     pub(crate) async fn evict_function(&self, worker: WorkerId, name: &str) {
         let _ = self.send_load_command(&worker, name, 0).await;
     }
@@ -109,7 +111,7 @@
             .await
     }
 
-    /// Polls a worker for its load report.
+    /// Polls a worker for its load report. Every response but 200 counts as unanswered.
     pub(crate) async fn poll_load(&self, worker: WorkerId) -> LoadPollResult {
         let request = pipithub_inference::load_poll(&self.front_end);
         let polled = self
@@ -130,7 +132,7 @@
         }
     }
 
-    /// An exchange without a body that ends within a time.
+    /// Makes an exchange without a request body, limited to a duration in nanoseconds.
     async fn exchange_within(
         &self,
         time: Time,
--- a/crates/pipithub-gateway/src/workers/connections.rs
+++ b/crates/pipithub-gateway/src/workers/connections.rs
@@ -1,4 +1,4 @@
-//! Pooled HTTP/1.1 connections to workers, and exchanges on them.
+//! The pool of HTTP/1.1 connections to workers, and the exchanges on them.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -23,12 +23,12 @@
 /// How an exchange with a worker failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ExchangeError {
-    /// The worker accepted no connection, or none that lasted: nothing of the request was sent.
+    /// The worker accepted no connection, or closed a new one at once. No part of the request was sent.
     Unreachable,
-    /// This machine could not make a connection, or the deadline was reached before: nothing of the request was sent,
-    /// and nothing is known of the worker.
+    /// This machine could not make a connection, or the deadline passed first. No part of the request was sent, and the
+    /// error says nothing about the worker.
     NotSent,
-    /// The connection broke after the request was sent, at least in part.
+    /// The connection broke after at least a part of the request was sent.
     Broken,
 }
 
@@ -59,17 +59,18 @@
 }
 
 impl WorkerResponse {
-    /// A header's value, where it is text.
+    /// The value of a header; `None` if the header is missing or its value is not visible ASCII.
     pub(super) fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 }
 
-/// A connection and the task that moves its bytes; when dropped it is closed, so that a worker sees when nobody waits.
+/// A connection and the task that drives it. Dropping it closes the connection, which shows the worker that its response
+/// is no longer wanted.
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
     task: tokio::task::JoinHandle<()>,
-    /// Not used before.
+    /// Whether no request was sent on it before.
     fresh: bool,
 }
 
@@ -79,10 +80,10 @@
     }
 }
 
-/// What sending a request on a connection came to.
+/// The result of sending a request on a connection.
 enum SendResult {
     Response(Response<Incoming>),
-    /// A pooled connection had been closed before anything was sent: another one is tried.
+    /// The worker had closed the pooled connection before anything was sent, so the request can be sent on another one.
     StaleConnection,
 }
 
@@ -94,7 +95,7 @@
 }
 
 impl ConnectionPool {
-    /// A pool without connections.
+    /// Creates an empty pool.
     pub(super) fn new(config: HttpConfig, clock: Clock) -> Self {
         ConnectionPool {
             config,
@@ -103,10 +104,10 @@
         }
     }
 
-    /// Sends one request and reads its response. A pooled connection that its worker had closed before anything was
-    /// sent is passed over; what may have been sent is never sent again here.
+    /// Sends one request and reads its response. If the worker had closed a pooled connection before anything was sent,
+    /// another connection is used; a request that may have reached the worker is never sent again here.
     ///
-    /// Where there is a deadline, the worker is sent the remaining time as of when the request is put on a connection.
+    /// With a deadline, the request carries the time that remains when it is written to a connection.
     pub(super) async fn exchange(
         &self,
         worker: &WorkerId,
@@ -140,7 +141,7 @@
         }
     }
 
-    /// An idle connection that is still up, else a new one.
+    /// Takes an idle connection that is still open, or opens a new one.
     async fn take(&self, worker: &WorkerId) -> Result<Connection, ExchangeError> {
         match self.take_idle(worker) {
             Some(connection) => Ok(connection),
@@ -209,7 +210,7 @@
     async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<SendResult, ExchangeError> {
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok(SendResult::Response(response)),
-            // The message comes back only where no byte of it was written.
+            // hyper returns the message only if no byte of it was written.
             Err(mut error) => match error.take_message() {
                 Some(_) if self.fresh => Err(ExchangeError::Unreachable),
                 Some(_) => Ok(SendResult::StaleConnection),
