--- a/crates/pipithub-directory/src/daily_peak.rs
+++ b/crates/pipithub-directory/src/daily_peak.rs
@@ -1,20 +1,22 @@
-//! When records are refreshed ahead of a daily peak, so that the peak itself finds them fresh.
+//! The times at which records are refreshed ahead of a daily peak, so that they are fresh during the peak.
 
-/// A daily peak, in milliseconds of the day (UTC).
+/// A daily peak of traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DailyPeak {
-    /// When it begins.
+    /// The start of the peak, in milliseconds after midnight (UTC).
     pub starts_at_ms: i64,
-    /// Over how long before that refreshes are spread.
+    /// The length of the window before the start over which refreshes are spread, in milliseconds.
     pub lead_ms: i64,
 }
 
-/// A day in milliseconds.
+/// The milliseconds of a day.
 pub(crate) const DAY_MS: i64 = 86_400_000;
 
 impl DailyPeak {
-    /// When, in Unix milliseconds, a record that was confirmed then is to be refreshed: in the first window that begins
-    /// after it, at the place in the window that `fraction` (0 to 1) gives.
+    /// When a record that was confirmed at `confirmed_at_ms` is to be refreshed, both in Unix milliseconds.
+    ///
+    /// The time is in the first refresh window that begins after the confirmation. `fraction`, from 0 to 1, is the
+    /// position in the window.
     pub fn refresh_time(self, confirmed_at_ms: i64, fraction: f64) -> i64 {
         let lead_ms = self.lead_ms.clamp(1, DAY_MS - 1);
         let first_window = self.starts_at_ms - lead_ms;
--- a/crates/pipithub-directory/src/directory.rs
+++ b/crates/pipithub-directory/src/directory.rs
@@ -1,4 +1,4 @@
-//! The look-ups of a front end: what is searched for at which server, and what is cached of the results.
+//! The core of a front end's look-ups: it decides which server is searched for what, and which results are cached.
 
 mod checks;
 mod dispatch;
@@ -26,12 +26,12 @@
 
 use self::removal_sweep::RemovalSweep;
 
-/// Users looked at in one turn when a followed directory's refresh is done, or when old records are removed.
+/// The maximum number of users that are checked, or removed after a full refresh, in one turn.
 const MAX_USERS_PER_TURN: usize = 2_048;
-/// Records hold days modulo this.
+/// Records store days modulo this.
 const RECORDED_DAYS: i64 = 256;
 
-/// The directories of a front end, and what is known through them.
+/// The directories of a front end, with the cached results of their look-ups.
 pub struct Directory {
     tenants: Vec<TenantBase>,
     max_users: usize,
@@ -43,14 +43,14 @@
     searches: BTreeMap<SearchId, SearchInFlight>,
     next_search: u64,
     jitter: Jitter,
-    /// When users are checked again.
+    /// When each cached user is checked next.
     wheel: RefreshWheel,
     sweeps: Vec<RemovalSweep>,
     stats: Stats,
 }
 
 impl Directory {
-    /// One that knows nothing but its settings.
+    /// Creates a core without cached records.
     pub fn new(settings: Settings) -> Self {
         let directories = settings
             .directories
@@ -74,29 +74,29 @@
         }
     }
 
-    /// What is known now. Cloning it shares everything.
+    /// The present version of the cached records.
     pub fn roster(&self) -> &Roster {
         &self.roster
     }
 
-    /// What was done so far.
+    /// Counters since the start.
     pub fn stats(&self) -> Stats {
         self.stats
     }
 
-    /// Whether a server of the directory is used.
+    /// Whether at least one server of a directory is in use; false for a directory that does not exist.
     pub fn is_reachable(&self, directory: usize) -> bool {
         self.directories
             .get(directory)
             .is_some_and(DirectoryState::is_reachable)
     }
 
-    /// How many searches are in flight.
+    /// The number of searches that are in flight.
     pub fn searches_in_flight(&self) -> usize {
         self.searches.len()
     }
 
-    /// Takes over the records of a snapshot. It holds none that are past their bound; none of them is looked up at once.
+    /// Caches the records of a snapshot, up to the maximum number of users. Their users are not looked up now.
     pub fn restore(&mut self, now: Time, stored: Vec<StoredRecord>) {
         let today = self.day(now);
         for StoredRecord { user, record } in stored {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// When [`Input::Tick`] is due next.
+    /// When the next [`Input::Tick`] is due; `None` if none is needed.
     pub fn next_due(&self, now: Time) -> Option<Time> {
         let searches = self
             .searches
@@ -129,7 +129,7 @@
             .min()
     }
 
-    /// Takes one input and appends what to do about it.
+    /// Handles one input, and everything else that is due by now. Appends the actions to execute to `outputs`.
     pub fn handle(&mut self, now: Time, input: Input, outputs: &mut Vec<Output>) {
         match input {
             Input::Tick => {}
@@ -145,7 +145,7 @@
         self.advance(now, outputs);
     }
 
-    /// Does what is due by now.
+    /// Handles everything that is due by now.
     fn advance(&mut self, now: Time, outputs: &mut Vec<Output>) {
         self.expire_searches(now, outputs);
         self.hedge_searches(now, outputs);
@@ -157,14 +157,15 @@
         }
     }
 
-    /// Takes the wall time that `now` stands for, as the wall clock may have been stepped. Only days and daily peaks
-    /// follow it; how old records are is counted in monotonic time. Users whose next check is planned keep their place,
-    /// so that a step moves the refreshes ahead of the next peak, and none after it.
+    /// Sets the wall time (Unix milliseconds) at `now`, as the wall clock may have been stepped.
+    ///
+    /// Only days and daily peaks depend on wall time; the ages of records are measured in monotonic time. Checks that are
+    /// planned already keep their times, so a step shifts the refreshes ahead of the next peak but no later ones.
     pub fn set_wall_clock(&mut self, now: Time, wall_ms: i64) {
         self.wall_clock_offset_ms = wall_ms.saturating_sub(to_ms(now));
     }
 
-    /// The day of the wall clock, as records hold it.
+    /// The present day by the wall clock, as records store it.
     fn day(&self, now: Time) -> u8 {
         self.wall_clock_offset_ms
             .saturating_add(to_ms(now))
@@ -172,7 +173,7 @@
             .rem_euclid(RECORDED_DAYS) as u8
     }
 
-    /// Publishes in the roster whether the servers of a directory respond while a request waits.
+    /// Updates in the roster whether a directory's servers are too slow to respond while a request waits.
     fn update_slowness(&mut self, directory: usize) {
         let is_slow = self.directories[directory].is_slow();
         if self.roster.directories[directory].is_slow != is_slow {
--- a/crates/pipithub-directory/src/directory/checks.rs
+++ b/crates/pipithub-directory/src/directory/checks.rs
@@ -1,4 +1,5 @@
-//! Searches that are for no user: probes of servers whose breaker is open, state checks, polls for changes.
+//! Searches that are not for particular users: probes of servers with an open circuit breaker, state checks, and polls for
+//! changes.
 
 use crate::directory::Directory;
 use crate::messages::Output;
@@ -17,7 +18,7 @@
         }
     }
 
-    /// Probes a server that was not used for its backoff.
+    /// Probes a server whose circuit breaker has been open for its backoff.
     fn probe_server(
         &mut self,
         now: Time,
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Checks the state of a server that has not responded for long.
+    /// Checks the state of a server that has not responded to any search for a while.
     fn check_server(
         &mut self,
         now: Time,
--- a/crates/pipithub-directory/src/directory/dispatch.rs
+++ b/crates/pipithub-directory/src/directory/dispatch.rs
@@ -1,4 +1,4 @@
-//! From queued users to searches, and what becomes of searches that are not answered in time.
+//! Starts searches for queued users, and handles searches that are not answered in time.
 
 use crate::directory::Directory;
 use crate::messages::Output;
@@ -7,7 +7,7 @@
 use crate::time::Time;
 
 impl Directory {
-    /// Starts the searches of a directory that may be started now.
+    /// Starts all searches of a directory that are due and possible now.
     pub(super) fn dispatch(&mut self, now: Time, directory: usize, outputs: &mut Vec<Output>) {
         self.directories[directory].search_tokens.refill(now);
         self.recheck_unconfirmed_changes(now, directory);
@@ -25,15 +25,15 @@
         }
     }
 
-    /// Users with an unconfirmed change are searched for again.
+    /// Queues the users with an unconfirmed change whose recheck is due.
     fn recheck_unconfirmed_changes(&mut self, now: Time, directory: usize) {
         while let Some(user) = self.directories[directory].unconfirmed.pop_due_recheck(now) {
             self.enqueue(now, directory, user, Priority::Background);
         }
     }
 
-    /// No server is reachable: look-ups are reported as finished at once, so that no request waits in vain, and the users
-    /// are searched for when a server is back.
+    /// Defers all queued look-ups of a directory that has no reachable server. They are reported as finished, because no
+    /// request should wait for them, and their users are searched for when a server is back.
     fn defer_lookups(&mut self, directory: usize, outputs: &mut Vec<Output>) {
         let state = &mut self.directories[directory];
         let users = state.queues.drain();
@@ -45,14 +45,15 @@
         self.finish_lookups(users, outputs);
     }
 
-    /// A server is back: who was looked up meanwhile is searched for in few searches, not each at their next request.
+    /// Queues the users whose look-ups were deferred, so that they are searched for together, and not one by one at their
+    /// next requests.
     fn resume_deferred_lookups(&mut self, now: Time, directory: usize) {
         for user in std::mem::take(&mut self.directories[directory].deferred) {
             self.enqueue(now, directory, user, Priority::Background);
         }
     }
 
-    /// Starts a search.
+    /// Starts a search, and returns its id.
     pub(super) fn start_search(
         &mut self,
         now: Time,
@@ -72,7 +73,7 @@
         id
     }
 
-    /// Ends the searches whose time is up.
+    /// Ends the searches whose deadline has passed.
     pub(super) fn expire_searches(&mut self, now: Time, outputs: &mut Vec<Output>) {
         for id in self.searches_where(|search| search.deadline <= now) {
             if self.searches.contains_key(&id) {
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Hedges the searches that wait for longer than usual.
+    /// Hedges the searches that take longer than usual.
     pub(super) fn hedge_searches(&mut self, now: Time, outputs: &mut Vec<Output>) {
         for id in self.searches_where(|search| search.hedge_at.is_some_and(|at| at <= now)) {
             self.hedge_search(now, id, outputs);
--- a/crates/pipithub-directory/src/directory/followed.rs
+++ b/crates/pipithub-directory/src/directory/followed.rs
@@ -1,4 +1,4 @@
-//! Directories that are followed by content synchronization (RFC 4533).
+//! Handles the events of directories that are followed by content synchronization (RFC 4533).
 
 use crate::directory::Directory;
 use crate::directory::records::Observation;
@@ -40,13 +40,13 @@
                 }
             }
             SyncEvent::ConnectionLost => {
-                // The records were confirmed at the last good moment; from there on they age like any other.
+                // Records stay confirmed as of the last heartbeat, and age from then on.
                 self.directories[directory].sync.refresh = None;
             }
         }
     }
 
-    /// An entry exists: its user is reported as it has them, unless none is cached any more.
+    /// Caches the record of an existing entry. If the user is not cached yet and the cache is full, it is ignored.
     fn apply_entry(
         &mut self,
         now: Time,
@@ -78,12 +78,12 @@
         self.report(now, directory, &entry.user, result, entry.person, outputs);
     }
 
-    /// The user whose entry a person's is.
+    /// The user whose entry belongs to a person; `None` if it is not cached.
     fn followed_user(&self, directory: usize, person: PersonId) -> Option<User> {
         self.directories[directory].sync.users.get(&person).cloned()
     }
 
-    /// Reports that a user has no entry any more.
+    /// Records that a user has no entry any more.
     pub(super) fn report_absent(
         &mut self,
         now: Time,
@@ -99,8 +99,8 @@
         self.report(now, directory, user, result, person, outputs);
     }
 
-    /// Reports the present result of a followed directory for a user. Its changes come in their order, so that none needs
-    /// to be confirmed: it has the change number of the known record.
+    /// Records the present result of a followed directory for a user. The events of a followed directory come in order, so
+    /// that a change needs no confirmation: the observation carries the change number of the cached record.
     fn report(
         &mut self,
         now: Time,
@@ -123,7 +123,7 @@
         self.observe(now, &observation, outputs);
     }
 
-    /// An entry has not changed: its record is confirmed.
+    /// Confirms the record of an entry that has not changed.
     fn confirm_entry(&mut self, now: Time, directory: usize, person: PersonId) {
         let Some(user) = self.followed_user(directory, person) else {
             return;
@@ -137,11 +137,11 @@
         }
     }
 
-    /// A refresh is done: a full one has named all users there are.
+    /// Ends a refresh stage. After a full one, users that it did not report have no entry any more and are removed.
     fn finish_refresh(&mut self, now: Time, directory: usize) {
         let refresh = self.directories[directory].sync.refresh.take();
         if let Some(full) = refresh.filter(|refresh| refresh.is_full) {
-            // One sweep for each directory: another's must not be lost to this one. A newer one covers an older one.
+            // A new sweep replaces an unfinished one of the same directory, as it covers the same users.
             self.sweeps.retain(|sweep| sweep.directory != directory);
             let sweep = RemovalSweep::new(directory, full.started_at_ms, &self.roster);
             self.sweeps.push(sweep);
@@ -149,7 +149,7 @@
         self.confirm_directory(now, directory);
     }
 
-    /// All records of a followed directory are true as of now.
+    /// Confirms all records of a followed directory as of now.
     fn confirm_directory(&mut self, now: Time, directory: usize) {
         self.roster.update_directory(directory, |status| {
             status.synchronized_at_ms = Some(to_ms(now));
--- a/crates/pipithub-directory/src/directory/lookups.rs
+++ b/crates/pipithub-directory/src/directory/lookups.rs
@@ -1,4 +1,4 @@
-//! Look-ups of users: into which queue they go, and when they are reported as finished.
+//! Look-ups of users: the queue that each goes to, and when it is reported as finished.
 
 use crate::directory::Directory;
 use crate::messages::Output;
@@ -7,7 +7,7 @@
 use crate::state::{Enqueued, Priority};
 use crate::time::Time;
 
-/// Bytes of a user's name; longer ones are not looked up.
+/// The maximum length of a user's name in bytes; users with longer names are not looked up.
 const MAX_NAME_LENGTH: usize = 256;
 
 impl Directory {
@@ -36,12 +36,12 @@
             is_pending |= self.enqueue(now, usize::from(directory), user.clone(), priority);
         }
         if !is_pending {
-            // No search will come of it: no request may wait for one.
+            // All queues are full, so that no result will come for which a request could wait.
             outputs.push(Output::LookupFinished(user));
         }
     }
 
-    /// Notes that a user is wanted today.
+    /// Records that a user has requests today.
     fn mark_wanted(&mut self, now: Time, user: &User) {
         let today = self.day(now);
         let Some(records) = self.roster.users.get(&**user) else {
@@ -58,7 +58,8 @@
         self.roster.users.insert((&**user).into(), updated);
     }
 
-    /// Queues a user at a directory. Whether a search for them is to come.
+    /// Queues a user for a search in a directory. Returns whether the user is pending there now, which is false if the
+    /// queue is full.
     pub(super) fn enqueue(
         &mut self,
         now: Time,
@@ -77,8 +78,8 @@
         enqueued != Enqueued::QueueFull
     }
 
-    /// Reports that a user's look-up has finished, unless a directory is still searched for them: the result of one of
-    /// several does not decide yet.
+    /// Reports that a user's look-up has finished, unless the user is still pending in another directory, whose result
+    /// may decide.
     pub(super) fn finish_lookup(&self, user: User, outputs: &mut Vec<Output>) {
         let is_pending = self
             .roster
@@ -94,7 +95,7 @@
         self.directories[directory].queues.is_pending(user)
     }
 
-    /// The same for several users.
+    /// Calls [`Directory::finish_lookup`] for several users.
     pub(super) fn finish_lookups(&self, users: Vec<User>, outputs: &mut Vec<Output>) {
         for user in users {
             self.finish_lookup(user, outputs);
--- a/crates/pipithub-directory/src/directory/records.rs
+++ b/crates/pipithub-directory/src/directory/records.rs
@@ -1,4 +1,4 @@
-//! Which of a directory's reports become records, and which records are cached.
+//! Decides which observations replace a cached record, and which users are cached.
 
 use pipithub_ldap::Dn;
 
@@ -8,26 +8,28 @@
 use crate::state::ObservedChange;
 use crate::time::{Time, to_ms};
 
-/// What a directory reports of a user, and as of when.
+/// What a directory reports about a user.
 pub(super) struct Observation<'a> {
     pub(super) directory: usize,
     pub(super) user: &'a User,
     pub(super) result: LookupResult,
     pub(super) person: PersonId,
+    /// When the result is known to have been true, in milliseconds on the caller's clock.
     pub(super) confirmed_at_ms: i64,
-    /// `None`: the server gives none, so that nothing shows whether its copy is outdated.
+    /// The change number of the server's copy; `None` if the server reports none, so that a lagging copy cannot be
+    /// detected.
     pub(super) change_number: Option<u64>,
 }
 
 impl Observation<'_> {
-    /// Whether its result or person is another than a record's.
+    /// Whether the result or the person differs from that of a record.
     fn differs_from(&self, record: &LookupRecord) -> bool {
         record.result != self.result || record.person != self.person
     }
 }
 
 impl Directory {
-    /// The tenant below whose base an entry is.
+    /// The tenant of an entry: of all tenants whose base contains it, the one with the innermost base.
     pub(super) fn find_tenant(&mut self, directory: usize, dn: &Dn) -> LookupResult {
         let innermost = self
             .tenants
@@ -43,7 +45,8 @@
         }
     }
 
-    /// Weighs a report against what is known, and caches it if it is the better.
+    /// Caches an observation if it supersedes the cached record of the same directory, and reports a change of the user's
+    /// identity.
     pub(super) fn observe(
         &mut self,
         now: Time,
@@ -75,7 +78,7 @@
         }
     }
 
-    /// Whether a report replaces what the same directory reported before.
+    /// Whether an observation replaces the cached record of the same directory.
     fn supersedes(
         &mut self,
         now: Time,
@@ -86,7 +89,7 @@
         if change_number < known.change_number
             || observation.confirmed_at_ms < known.confirmed_at_ms
         {
-            // The copy is behind what was reported before, or a later response has overtaken this one.
+            // The server's copy lags behind the one that the record came from, or a later response arrived first.
             self.stats.outdated_results += 1;
             return false;
         }
@@ -108,7 +111,7 @@
         state.unconfirmed.accept(now, &change, self.max_queue)
     }
 
-    /// Caches a record. A user that is not cached yet may take the place of another.
+    /// Caches a record. If the cache is full, a new user replaces another one.
     pub(super) fn store(&mut self, now: Time, user: &User, record: LookupRecord) {
         let records = if let Some(records) = self.roster.users.get(&**user) {
             records.with(record)
@@ -121,8 +124,8 @@
         self.roster.users.insert((&**user).into(), records);
     }
 
-    /// Removes the user who would be checked next: the one with the oldest records, or one who is no tenant's. Whether
-    /// there was one.
+    /// Removes the user who would be checked next, whose records are the oldest or name no tenant. Returns whether there
+    /// was one.
     fn evict_user(&mut self) -> bool {
         let Some(user) = self.wheel.pop_first() else {
             return false;
--- a/crates/pipithub-directory/src/directory/refresh.rs
+++ b/crates/pipithub-directory/src/directory/refresh.rs
@@ -1,4 +1,4 @@
-//! Cached users that are due on the wheel: refreshed ahead of the daily peak, or removed.
+//! Checks cached users when they are due: they are refreshed ahead of the daily peak, or removed.
 
 use crate::directory::{Directory, MAX_USERS_PER_TURN};
 use crate::jitter::stable_fraction;
@@ -7,17 +7,17 @@
 use crate::state::Priority;
 use crate::time::{Time, to_ms};
 
-/// Days after which a user who was not wanted is not refreshed ahead of a peak.
+/// Users without requests for more days than this are not refreshed ahead of a peak.
 const MAX_UNWANTED_DAYS: u8 = 14;
-/// A user is checked again after this at the soonest, in milliseconds.
+/// The shortest time until the next check of a user, in milliseconds.
 const MIN_CHECK_DELAY_MS: i64 = 1_000;
-/// A record that expires within so many seconds does not decide when its user is checked next.
+/// A record that expires within this time does not determine the next check of its user, which would be too soon.
 const IMMINENT_EXPIRY_SECONDS: i64 = 2;
-/// When a user is checked again for whom no record gives a time.
+/// The time until the next check of a user if no record determines it.
 const DEFAULT_CHECK_SECONDS: i64 = 60;
 
 impl Directory {
-    /// Checks the users that are due, so many in a turn.
+    /// Checks the users that are due, at most [`MAX_USERS_PER_TURN`] of them.
     pub(super) fn check_due_users(&mut self, now: Time) {
         let second = WheelSecond::of_ms(to_ms(now));
         for _ in 0..MAX_USERS_PER_TURN {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Removes a user without a valid record; otherwise refreshes them if they are to be, and plans their next check.
+    /// Removes a user without valid records. Other users are refreshed if that is due, and their next check is planned.
     fn check_user(&mut self, now: Time, user: &str) {
         let records = self.roster.users.get(user).map(LookupRecords::as_slice);
         let Some(records) = records.map(<[LookupRecord]>::to_vec) else {
@@ -50,7 +50,7 @@
         self.wheel.schedule(next_check, user.into());
     }
 
-    /// Whether a record is not past its bound, or of a directory that is followed.
+    /// Whether a record has not expired. Records of followed directories do not expire here.
     fn is_valid(&self, now: Time, record: &LookupRecord) -> bool {
         let max_age = self.directories[record.directory_index()]
             .settings
@@ -72,7 +72,7 @@
             .any(|record| today.wrapping_sub(record.last_wanted_day) <= MAX_UNWANTED_DAYS)
     }
 
-    /// Looks a user up again in the directories that have a daily peak and whose record is not fresh any more.
+    /// Queues a user in those directories that have a daily peak and whose record is no longer fresh.
     fn refresh_ahead_of_peak(&mut self, now: Time, user: &str, records: &[LookupRecord]) {
         for record in records {
             let directory = record.directory_index();
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The second in which a user is checked by a record: to be refreshed ahead of the peak, or to be removed.
+    /// The second in which a record requires a check of its user, to refresh it ahead of the peak or to remove it.
     pub(super) fn next_check(&self, now: Time, user: &str, record: &LookupRecord) -> WheelSecond {
         let settings = &self.directories[record.directory_index()].settings;
         let max_age = settings.lifetimes.max_age(record.result);
@@ -107,8 +107,8 @@
         WheelSecond::after_ms(due_ms.max(soonest_ms))
     }
 
-    /// The same for a record whose refresh was due just now: as if it were confirmed, so that the next refresh is in the
-    /// next window, unless it expires before.
+    /// The second of the next check for a record whose refresh was due just now. The record is treated as confirmed now,
+    /// which places the next refresh into the next window, unless the record expires before.
     fn next_check_after_refresh(
         &self,
         now: Time,
--- a/crates/pipithub-directory/src/directory/removal_sweep.rs
+++ b/crates/pipithub-directory/src/directory/removal_sweep.rs
@@ -1,5 +1,6 @@
-//! After a full refresh of a followed directory: users that were not part of it have no entry any more. They are looked
-//! for some at a time; readers see their old records until then.
+//! Removes users that were not part of a full refresh of a followed directory, as they have no entry any more.
+//!
+//! A sweep removes a limited number of users in each turn. Until its turn, a user keeps the old record.
 
 use compact_str::CompactString;
 
@@ -10,37 +11,37 @@
 use crate::roster::Roster;
 use crate::time::Time;
 
-/// A sweep that is not done yet.
+/// A sweep of one directory that is not complete yet.
 pub(super) struct RemovalSweep {
     pub(super) directory: usize,
     refresh_started_ms: i64,
-    /// All users, as long as they are not searched for those to remove.
-    unsearched: Option<PersistentMap<CompactString, LookupRecords>>,
+    /// All users as of the end of the refresh; `None` once the users to remove were selected from them.
+    candidates: Option<PersistentMap<CompactString, LookupRecords>>,
     to_remove: Vec<User>,
 }
 
 impl RemovalSweep {
-    /// The sweep after a refresh that started then; the map is shared, not copied.
+    /// Creates the sweep after a refresh that started at `refresh_started_ms`. The roster's map is shared, not copied.
     pub(super) fn new(directory: usize, refresh_started_ms: i64, roster: &Roster) -> Self {
         RemovalSweep {
             directory,
             refresh_started_ms,
-            unsearched: Some(roster.users.clone()),
+            candidates: Some(roster.users.clone()),
             to_remove: Vec::new(),
         }
     }
 
-    /// Whether a record was not part of the refresh.
+    /// Whether a record was last confirmed before the refresh.
     fn is_older(&self, record: &LookupRecord) -> bool {
         record.confirmed_at_ms < self.refresh_started_ms
     }
 
-    /// Finds the users to remove, once.
-    fn find_users(&mut self) {
-        let Some(all) = self.unsearched.take() else {
+    /// Selects the users to remove, at the first call.
+    fn select_users(&mut self) {
+        let Some(candidates) = self.candidates.take() else {
             return;
         };
-        self.to_remove = all
+        self.to_remove = candidates
             .iter()
             .filter(|(_, records)| {
                 records
@@ -51,7 +52,7 @@
             .collect();
     }
 
-    /// Takes out the users of one turn.
+    /// Takes the users of one turn.
     fn take_users(&mut self) -> Vec<User> {
         let rest = self.to_remove.len().saturating_sub(MAX_USERS_PER_TURN);
         self.to_remove.split_off(rest)
@@ -59,12 +60,12 @@
 }
 
 impl Directory {
-    /// Goes on with the latest sweep.
+    /// Continues the latest sweep, for one turn.
     pub(super) fn continue_sweep(&mut self, now: Time, outputs: &mut Vec<Output>) {
         let Some(mut sweep) = self.sweeps.pop() else {
             return;
         };
-        sweep.find_users();
+        sweep.select_users();
         for user in sweep.take_users() {
             let record = self.roster.record(&user, sweep.directory);
             if record.is_some_and(|record| sweep.is_older(record)) {
--- a/crates/pipithub-directory/src/directory/results.rs
+++ b/crates/pipithub-directory/src/directory/results.rs
@@ -1,4 +1,4 @@
-//! What comes of a search that has ended.
+//! Handles searches that have ended: applies their responses, and retries after failures.
 
 use std::collections::HashMap;
 
@@ -10,12 +10,13 @@
 use crate::state::Batch;
 use crate::time::{Time, to_ms};
 
-/// As of when a response is true.
+/// How current a response is.
 #[derive(Clone, Copy)]
 struct Validity {
+    /// When the response is known to have been true, in milliseconds on the caller's clock.
     confirmed_at_ms: i64,
     change_number: Option<u64>,
-    /// Another server's copy was ahead of the one that responded.
+    /// Whether the copy that responded lags behind another server's.
     is_outdated: bool,
 }
 
@@ -26,7 +27,7 @@
 }
 
 impl Directory {
-    /// A search ended; one that was cancelled had ended before.
+    /// Ends a search. A search that was cancelled has ended before and is ignored.
     pub(super) fn end_search(
         &mut self,
         now: Time,
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Turns a response that proves nothing into an error.
+    /// Turns a response that cannot be trusted into an error.
     fn validate(
         &mut self,
         query: &Query,
@@ -54,11 +55,11 @@
     ) -> Result<SearchResponse, SearchError> {
         let response = outcome?;
         if !response.base_exists {
-            // The server is still loading: that it finds no user means nothing.
+            // The server is still loading, so a missing entry does not prove that a user is absent.
             return Err(SearchError::Unavailable);
         }
         if !query.is_answered_by(&response) {
-            // With entries that were not searched for, those that were are worth as little.
+            // A server that returns entries nobody searched for cannot be trusted with the others.
             self.stats.unexpected_entries += 1;
             return Err(SearchError::InvalidResponse);
         }
@@ -82,7 +83,7 @@
             .hedge_partner
             .and_then(|partner| self.searches.get_mut(&partner));
         if let Some(partner) = partner {
-            // The other search for the same users may still succeed.
+            // The hedge, or the search that it hedges, may still succeed.
             partner.hedge_partner = None;
         } else if let Query::Users(users) = request.query {
             let attempts = request.attempts;
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Searches again for users whose search had no result, unless they had their last attempt.
+    /// Retries the search for users without a result, and ends the look-ups of those who had their last attempt.
     fn retry(&mut self, directory: usize, batch: Batch, outputs: &mut Vec<Output>) {
         let given_up = self.directories[directory].queues.retry(batch);
         self.finish_lookups(given_up, outputs);
@@ -109,7 +110,7 @@
         if outdated_since.is_some() {
             self.stats.outdated_results += 1;
         }
-        // A response is true as of before the search, or as of when this copy was the newest there was.
+        // A response is confirmed as of the start of its search, or as of the time since when the copy is outdated.
         let validity = Validity {
             confirmed_at_ms: outdated_since.unwrap_or(to_ms(search.started_at)),
             change_number: response.change_number,
@@ -141,7 +142,7 @@
         outputs: &mut Vec<Output>,
     ) {
         for entry in response.entries {
-            // Only of users that are cached: others are looked up when they are wanted.
+            // Users who are not cached are looked up when they have a request.
             if self.roster.users.contains_key(&*entry.user) {
                 let result = self.find_tenant(directory, &entry.dn);
                 let observation = Observation {
@@ -158,7 +159,7 @@
         self.directories[directory].record_poll(response.newest_modify_timestamp);
     }
 
-    /// The other search for the same users is not needed any more.
+    /// Cancels the other search for the same users, if there is one.
     fn cancel_hedge_partner(&mut self, partner: Option<SearchId>, outputs: &mut Vec<Output>) {
         let Some(id) = partner else { return };
         let Some(search) = self.searches.remove(&id) else {
@@ -211,7 +212,7 @@
         self.retry(directory, undecided, outputs);
     }
 
-    /// What a user's entries amount to.
+    /// The result for a user with these entries.
     fn user_result(&mut self, directory: usize, entries: &[&DirectoryEntry]) -> UserResult {
         match entries {
             [] => UserResult {
--- a/crates/pipithub-directory/src/jitter.rs
+++ b/crates/pipithub-directory/src/jitter.rs
@@ -1,8 +1,8 @@
-//! Fractions that spread what many front ends would otherwise do at the same moment.
+//! Jitter, which spreads in time what many front ends would otherwise do at the same moment.
 
 use std::hash::{BuildHasher, DefaultHasher};
 
-/// A fraction from 0 to 1 that is always the same for a key and a seed; front ends differ by their seeds.
+/// A fraction from 0 to 1 that depends on the key and the seed alone. Front ends differ by their seeds.
 pub(crate) fn stable_fraction(key: &str, seed: u64) -> f64 {
     struct UnkeyedHasher;
     impl BuildHasher for UnkeyedHasher {
@@ -15,7 +15,7 @@
     to_fraction(UnkeyedHasher.hash_one((key, seed)))
 }
 
-/// A sequence of pseudo-random fractions (xorshift64*). Nothing depends on its quality, only that front ends differ.
+/// A sequence of pseudo-random fractions (xorshift64*). Its quality is not important, as long as front ends differ.
 #[derive(Debug)]
 pub(crate) struct Jitter {
     state: u64,
@@ -23,7 +23,7 @@
 
 impl Jitter {
     pub(crate) fn new(seed: u64) -> Self {
-        // The generator would stay at zero.
+        // A generator with state zero would only return zeros.
         Jitter { state: seed | 1 }
     }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// The highest 53 bits, as many as an `f64` holds, as a fraction.
+/// Converts the highest 53 bits, as many as the mantissa of an `f64` holds, to a fraction.
 fn to_fraction(bits: u64) -> f64 {
     (bits >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/pipithub-directory/src/lib.rs
+++ b/crates/pipithub-directory/src/lib.rs
@@ -1,11 +1,12 @@
-//! Finds out which tenant a user belongs to, without I/O.
+//! Determines which tenant a user belongs to, without I/O.
 //!
-//! A [`Directory`] turns look-ups and the responses of LDAP servers into searches to make and records to cache; it knows
-//! no socket, clock or thread. Readers resolve users in a [`Roster`], a persistent map that is replaced as a whole: a
-//! reader never waits for a refresh, however many entries it changes. [`PendingLookups`] holds the requests of users that
-//! are not known yet, each for a bounded time. [`snapshot`] keeps the cached records over a restart.
+//! A [`Directory`] turns look-ups and the responses of LDAP servers into searches to make and records to cache; it uses
+//! no sockets, clocks or threads. Readers resolve users in a [`Roster`], an immutable version of all cached records. Each
+//! change publishes a new version, so a reader never waits for a refresh, however many records it changes.
+//! [`PendingLookups`] holds requests whose user is not known yet, each for a bounded time. [`snapshot`] stores the cached
+//! records across a restart.
 //!
-//! Every record has an age, and every decision weighs it: see [`Roster::resolve`].
+//! Every decision takes the age of the records into account: see [`Roster::resolve`].
 
 mod daily_peak;
 mod directory;
--- a/crates/pipithub-directory/src/messages.rs
+++ b/crates/pipithub-directory/src/messages.rs
@@ -3,30 +3,30 @@
 use crate::record::{PersonId, User};
 use crate::search::{DirectoryEntry, Query, SearchError, SearchId, SearchResponse};
 
-/// What happened.
+/// An event for the directory core.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// Only time has passed; every other input implies this too.
+    /// Time has passed. Every other input has the effect of a tick too.
     Tick,
-    /// The user of a request is to be looked up, or refreshed.
+    /// The user of a request is to be looked up, or their records are to be refreshed.
     LookUp {
-        /// The user.
+        /// The user's name, folded.
         user: User,
         /// Whether a request waits for the result.
         urgent: bool,
     },
-    /// A search ended.
+    /// A search has ended.
     SearchEnded {
-        /// Which.
+        /// The search, as [`Output::Search`] gave it.
         search: SearchId,
-        /// How.
+        /// The response, or why there is none.
         outcome: Result<SearchResponse, SearchError>,
     },
-    /// An event of a directory that is followed by content synchronization.
+    /// A directory that is followed by content synchronization has reported an event.
     Synchronization {
-        /// The directory.
+        /// The directory's index in the settings.
         directory: usize,
-        /// The event.
+        /// The event that was reported.
         event: SyncEvent,
     },
 }
@@ -36,41 +36,42 @@
 pub enum SyncEvent {
     /// The refresh stage has started.
     RefreshStarted {
-        /// Whether all entries follow, or those alone that have changed since the last time.
+        /// Whether the stage reports all entries; otherwise only those that have changed since the last stage.
         full: bool,
     },
-    /// An entry exists, new, changed or as it was.
+    /// An entry exists. It may be new, changed or unchanged.
     Entry(DirectoryEntry),
-    /// An entry was deleted.
+    /// The entry of a person was deleted.
     Deleted(PersonId),
-    /// An entry has not changed.
+    /// The entry of a person has not changed.
     Unchanged(PersonId),
-    /// The refresh stage is done; the connection was up just now.
+    /// The refresh stage is done, and the connection works.
     RefreshDone,
-    /// The connection was up just now.
+    /// The server has answered on the connection, which confirms all records.
     Heartbeat,
     /// The connection is lost.
     ConnectionLost,
 }
 
-/// What to do.
+/// An action that the caller executes for the directory core.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Search at a server; one [`Input::SearchEnded`] is owed unless the search is cancelled.
+    /// Start a search. It ends with exactly one [`Input::SearchEnded`], unless it is cancelled.
     Search {
-        /// Its id.
+        /// Identifies the search in later inputs and outputs.
         id: SearchId,
-        /// The directory.
+        /// The directory's index in the settings.
         directory: usize,
-        /// Which of its servers.
+        /// The index of the server in that directory.
         server: usize,
         /// What to search for.
         query: Query,
     },
-    /// The response of a search is not needed any more.
+    /// Abandon a search, as its response is no longer needed.
     CancelSearch(SearchId),
-    /// The look-up of a user has ended: the roster holds its result, or there is none to be had.
+    /// The look-up of a user has finished. The roster holds the result; without a result there, none was obtained.
     LookupFinished(User),
-    /// A user is another tenant's now, or none's, or another person: what runs for them must end.
+    /// A user now belongs to another tenant or to none, or the name belongs to another person. Requests that run for the
+    /// user must end.
     UserMigrated(User),
 }
--- a/crates/pipithub-directory/src/pending_lookups.rs
+++ b/crates/pipithub-directory/src/pending_lookups.rs
@@ -1,24 +1,24 @@
-//! Requests whose user is not known yet, each waiting for a bounded time.
+//! Requests that wait for the look-up of their user, each for a bounded time.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use crate::record::User;
 use crate::time::Time;
 
-/// A request that waits no longer.
+/// A request that has stopped waiting for the look-up of its user.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedLookup<T> {
-    /// The request.
+    /// The request that waited.
     pub request: T,
-    /// Its user.
+    /// The user that was looked up.
     pub user: User,
-    /// When it began to wait.
+    /// When the request began to wait.
     pub waiting_since: Time,
-    /// Its time was up; otherwise the look-up of its user finished.
+    /// Whether the deadline of the request passed before the look-up finished.
     pub timed_out: bool,
 }
 
-/// A request that waits.
+/// A request that is waiting.
 #[derive(Debug)]
 struct PendingLookup<T> {
     request: T,
@@ -38,7 +38,7 @@
     }
 }
 
-/// When a request's time is up.
+/// The deadline of the request with this number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Deadline {
     at: Time,
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub struct PendingLookups<T> {
     max_pending: usize,
-    /// By a number that grows with each request.
+    /// The waiting requests, by consecutive numbers.
     lookups: BTreeMap<u64, PendingLookup<T>>,
     by_user: HashMap<User, Vec<u64>>,
     deadlines: BTreeSet<Deadline>,
@@ -57,7 +57,7 @@
 }
 
 impl<T> PendingLookups<T> {
-    /// None yet; at most so many.
+    /// Creates an empty set of at most `max_pending` requests.
     pub fn new(max_pending: usize) -> Self {
         PendingLookups {
             max_pending,
@@ -68,22 +68,26 @@
         }
     }
 
-    /// How many wait.
+    /// The number of waiting requests.
     pub fn len(&self) -> usize {
         self.lookups.len()
     }
 
-    /// Whether none waits.
+    /// Whether no request is waiting.
     pub fn is_empty(&self) -> bool {
         self.lookups.is_empty()
     }
 
-    /// When the next one's time is up.
+    /// The earliest deadline.
     pub fn next_due(&self) -> Option<Time> {
         self.deadlines.first().map(|deadline| deadline.at)
     }
 
-    /// Has a request wait until a deadline; gives it back where as many wait as may.
+    /// Adds a request that waits until a deadline.
+    ///
+    /// # Errors
+    ///
+    /// Returns the request if the maximum number of requests is waiting already.
     pub fn add(&mut self, now: Time, deadline: Time, user: User, request: T) -> Result<(), T> {
         if self.lookups.len() >= self.max_pending {
             return Err(request);
@@ -105,7 +109,7 @@
         Ok(())
     }
 
-    /// The look-up of a user finished: takes out all requests that wait for it.
+    /// Removes and returns all requests that wait for a user whose look-up has finished.
     pub fn finish(&mut self, user: &str) -> Vec<EndedLookup<T>> {
         let numbers = self.by_user.remove(user).unwrap_or_default();
         numbers
@@ -115,7 +119,7 @@
             .collect()
     }
 
-    /// Takes out the requests whose time is up.
+    /// Removes and returns the requests whose deadline has passed.
     pub fn expire(&mut self, now: Time) -> Vec<EndedLookup<T>> {
         let mut ended = Vec::new();
         while let Some(number) = self.pop_expired(now) {
@@ -128,7 +132,7 @@
         ended
     }
 
-    /// Drops all requests that are not wanted any more.
+    /// Drops all requests for which `is_cancelled` is true.
     pub fn cancel(&mut self, mut is_cancelled: impl FnMut(&T) -> bool) {
         let numbers: Vec<u64> = self
             .lookups
@@ -143,7 +147,7 @@
         }
     }
 
-    /// Takes out the first deadline that is over; the number of its request.
+    /// Removes the earliest deadline if it has passed, and returns the number of its request.
     fn pop_expired(&mut self, now: Time) -> Option<u64> {
         let first = self.deadlines.first()?;
         if first.at > now {
@@ -152,7 +156,7 @@
         self.deadlines.pop_first().map(|deadline| deadline.number)
     }
 
-    /// Takes a request out with its deadline; its user still lists it.
+    /// Removes a request and its deadline, but not its entry in `by_user`.
     fn remove(&mut self, number: u64) -> Option<PendingLookup<T>> {
         let lookup = self.lookups.remove(&number)?;
         self.deadlines.remove(&Deadline {
--- a/crates/pipithub-directory/src/persistent_map.rs
+++ b/crates/pipithub-directory/src/persistent_map.rs
@@ -1,24 +1,25 @@
-//! A persistent map: cloning shares everything, a change copies what it touches.
+//! A persistent hash map: clones share their tables, and a change copies only the tables that it touches.
 //!
-//! `imbl`'s hash trie was used first. With a million users it took 301 bytes an entry and 698 ns a look-up: its nodes have
-//! capacity for many more entries than they hold. Here the entries are distributed over a fixed number of tables, listed
-//! on two levels; a change copies one small table, and each of the two lists once for each version that was shared. With
-//! one list of 4,096 larger tables a refresh of all users took 32 s, nearly all of it copying. See `docs/measurements.md`.
+//! The entries are distributed over a fixed number of tables, which are listed on two levels. A change copies one small
+//! table, and each of the two lists once for each version that is shared. The alternatives were measured with a million
+//! users: the hash trie of `imbl` took 301 bytes an entry and 698 ns a look-up, as its nodes have capacity for many more
+//! entries than they hold; with a single list of 4,096 larger tables a refresh of all users took 32 s, nearly all of it
+//! for copies. See `docs/measurements.md`.
 
 use std::borrow::Borrow;
 use std::collections::HashMap;
 use std::hash::{BuildHasher, Hash, RandomState};
 use std::sync::Arc;
 
-/// Lists of tables.
+/// The number of lists of tables.
 const LISTS: usize = 256;
-/// Tables in a list. At a million users each holds some sixteen.
+/// The number of tables in a list. With a million users each table holds about sixteen of them.
 const TABLES: usize = 256;
 
 type Table<K, V> = HashMap<K, V, RandomState>;
 type TableList<K, V> = Arc<[Arc<Table<K, V>>]>;
 
-/// Where the table of a key is.
+/// The position of a key's table.
 #[derive(Clone, Copy)]
 struct Position {
     list: usize,
@@ -30,7 +31,7 @@
 pub(crate) struct PersistentMap<K, V> {
     lists: Arc<[TableList<K, V>]>,
     len: usize,
-    /// Keyed at random: nobody can choose keys that all fall into one table.
+    /// Has random keys, so that a client cannot choose names that all fall into one table.
     hasher: RandomState,
 }
 
@@ -47,7 +48,7 @@
     }
 
     fn position<Q: Hash + ?Sized>(&self, key: &Q) -> Position {
-        // The tables themselves use the same hash: its highest and lowest bits sort within a table, these choose it.
+        // The tables use the same hash. They place entries by its highest and lowest bits, so other bits choose the table.
         let hash = self.hasher.hash_one(key) >> 24;
         Position {
             list: hash as usize % LISTS,
@@ -98,7 +99,7 @@
         K: Borrow<Q>,
         Q: Hash + Eq + ?Sized,
     {
-        // A key that is not there must not copy its table.
+        // Removing a key that is not present must not copy its table.
         if !self.contains_key(key) {
             return None;
         }
--- a/crates/pipithub-directory/src/publisher.rs
+++ b/crates/pipithub-directory/src/publisher.rs
@@ -1,4 +1,4 @@
-//! Hands each version of a roster to its readers.
+//! Publishes each version of a roster to its readers.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,13 +7,13 @@
 
 use crate::roster::Roster;
 
-/// Versions that are retained after they were replaced.
+/// The maximum number of replaced versions that are retained.
 const MAX_RETIRED: usize = 1_024;
 
-/// Where readers find the newest version of a roster.
+/// Publishes the newest version of a roster, and frees the versions that were replaced.
 ///
-/// A reader that holds a version when the next one replaces it must not be the one that frees it: that took over a
-/// millisecond on the path of a request. The writer retains each until nobody else has it, and frees it itself.
+/// A reader must not be the last owner of a replaced version, because freeing it takes over a millisecond, which would
+/// delay a request. The writer therefore retains each replaced version until no reader uses it, and then frees it.
 #[derive(Debug)]
 pub struct Publisher {
     newest: Arc<ArcSwap<Roster>>,
@@ -22,7 +22,7 @@
 }
 
 impl Publisher {
-    /// Begins with a version.
+    /// Creates a publisher with a first version.
     pub fn new(roster: &Roster) -> Self {
         Publisher {
             newest: Arc::new(ArcSwap::from_pointee(roster.clone())),
@@ -30,12 +30,12 @@
         }
     }
 
-    /// Where readers load the newest version.
+    /// The shared cell from which readers load the newest version.
     pub fn newest(&self) -> Arc<ArcSwap<Roster>> {
         self.newest.clone()
     }
 
-    /// Replaces the newest version.
+    /// Replaces the newest version, and frees replaced versions that are no longer used.
     pub fn publish(&mut self, roster: &Roster) {
         let replaced = self.newest.swap(Arc::new(roster.clone()));
         self.retired.push_back(replaced);
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Whether no reader has the oldest of the replaced versions any more.
+    /// Whether no reader uses the oldest replaced version any more.
     fn oldest_is_unused(&self) -> bool {
         self.retired
             .front()
--- a/crates/pipithub-directory/src/record.rs
+++ b/crates/pipithub-directory/src/record.rs
@@ -1,24 +1,25 @@
-//! Results of looking a user up in a directory, as they are cached.
+//! The cached results of looking users up in directories.
 
 use std::sync::Arc;
 
 use crate::time::{Time, to_ms};
 
-/// A tenant, by its place in the settings.
+/// A tenant, by its index in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub u16);
 
-/// A user's name as requests give it, folded.
+/// A user's name as requests give it, folded to one case.
 pub type User = Arc<str>;
 
-/// Tells a person from another of the same name: their entry's `entryUUID`, hashed; 0: not known.
+/// Distinguishes people who have the same name over time: the hash of their entry's `entryUUID`. 0 means that it is not
+/// known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PersonId(pub u64);
 
 impl PersonId {
-    /// Of the entry with this `entryUUID`, as text.
+    /// The person of the entry with this `entryUUID`, given in its text form.
     pub fn from_uuid(uuid: &[u8]) -> PersonId {
-        // FNV-1a, then a multiplication that spreads what differs over all bits.
+        // FNV-1a, then a multiplication that spreads the differences over all bits.
         let hash = uuid.iter().fold(0xcbf2_9ce4_8422_2325u64, |hash, byte| {
             (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
         });
@@ -33,56 +34,57 @@
 /// The result of looking a user up in a directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LookupResult {
-    /// One entry, below this tenant's base.
+    /// The directory has one entry of the name, below this tenant's base.
     Tenant(TenantId),
-    /// No entry below any tenant's base.
+    /// The directory has no entry of the name below any tenant's base.
     Absent,
-    /// Several entries of the name.
+    /// The directory has several entries of the name.
     Ambiguous,
 }
 
 impl LookupResult {
-    /// Whether it names a tenant.
+    /// Whether the result names a tenant.
     pub(crate) fn is_tenant(self) -> bool {
         matches!(self, LookupResult::Tenant(_))
     }
 }
 
-/// A user's look-up in one directory, and as of when its result is true.
+/// The result of a user's look-up in one directory, and when it was confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LookupRecord {
-    /// The directory.
+    /// The directory's index in the settings.
     pub directory: u16,
-    /// The result.
+    /// The result that the directory reported.
     pub result: LookupResult,
-    /// The person whom the entry is of.
+    /// The person that the entry belongs to; unknown if there is no single entry.
     pub person: PersonId,
-    /// As of when it is true, in milliseconds on the caller's clock; what is older than the process is negative.
+    /// The time at which the result is known to have been true, in milliseconds on the caller's clock. It is negative if
+    /// that was before the start of the process.
     pub confirmed_at_ms: i64,
-    /// The newest change that the server's copy held; 0: the server does not give it.
+    /// The newest change that the server's copy contained; 0 if the server does not report it.
     pub change_number: u64,
-    /// Random: records that were confirmed together are not refreshed together.
+    /// A random number, by which records that were confirmed together are refreshed at different times.
     pub refresh_jitter: u8,
-    /// The day on which the user was last wanted, modulo 256.
+    /// The day of the latest request of the user, as days since the Unix epoch modulo 256.
     pub last_wanted_day: u8,
 }
 
 impl LookupRecord {
-    /// The directory's place in the settings.
+    /// The directory's index in the settings.
     pub(crate) fn directory_index(&self) -> usize {
         usize::from(self.directory)
     }
 
-    /// The milliseconds since it was confirmed.
+    /// The milliseconds since the record was confirmed.
     pub(crate) fn age_ms(&self, now: Time) -> i64 {
         to_ms(now).saturating_sub(self.confirmed_at_ms)
     }
 }
 
-/// All records of one user, one of each directory that has reported any.
+/// All records of one user, at most one from each directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum LookupRecords {
-    /// Nearly all users are in one directory alone: their record needs no allocation of its own.
+    /// The record of a user who is in one directory only, as nearly all users are. It needs no allocation.
     One(LookupRecord),
     Several(Box<[LookupRecord]>),
 }
@@ -95,14 +97,14 @@
         }
     }
 
-    /// The record of a directory.
+    /// The record from one directory.
     pub(crate) fn of_directory(&self, directory: usize) -> Option<&LookupRecord> {
         self.as_slice()
             .iter()
             .find(|record| record.directory_index() == directory)
     }
 
-    /// The same with this record in place of the directory's earlier one.
+    /// A copy of the records with this record in place of the earlier one from the same directory.
     pub(crate) fn with(&self, record: LookupRecord) -> LookupRecords {
         match self {
             LookupRecords::One(earlier) if earlier.directory == record.directory => {
--- a/crates/pipithub-directory/src/refresh_wheel.rs
+++ b/crates/pipithub-directory/src/refresh_wheel.rs
@@ -1,4 +1,4 @@
-//! When each cached user is to be checked again: refreshed ahead of a peak, or removed.
+//! A timer wheel of the times at which cached users are checked: refreshed ahead of a peak, or removed.
 
 use std::collections::BTreeMap;
 
@@ -6,15 +6,15 @@
 
 use crate::time::{Time, from_ms};
 
-/// A second in the milliseconds that records count in.
+/// The milliseconds of a second.
 const SECOND_MS: i64 = 1_000;
 
-/// A second on the caller's clock, the resolution of the wheel.
+/// A second on the caller's clock, which is the resolution of the wheel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct WheelSecond(i64);
 
 impl WheelSecond {
-    /// The second in which a time lies.
+    /// The second that contains a time.
     pub(crate) fn of_ms(at_ms: i64) -> Self {
         WheelSecond(at_ms.div_euclid(SECOND_MS))
     }
@@ -29,7 +29,7 @@
     }
 }
 
-/// Users by the second in which they are checked; each has one place.
+/// Users by the second in which they are checked. Each cached user is in it once.
 #[derive(Debug, Default)]
 pub(crate) struct RefreshWheel {
     seconds: BTreeMap<WheelSecond, Vec<CompactString>>,
@@ -40,7 +40,7 @@
         self.seconds.entry(second).or_default().push(user);
     }
 
-    /// Takes out a user of the first second there is.
+    /// Removes and returns a user of the earliest second.
     pub(crate) fn pop_first(&mut self) -> Option<CompactString> {
         let mut first = self.seconds.first_entry()?;
         let user = first.get_mut().pop();
@@ -50,7 +50,7 @@
         user
     }
 
-    /// Takes out a user who is due in this second or was in an earlier one.
+    /// Removes and returns a user who is due in this second or was due earlier.
     pub(crate) fn pop_due(&mut self, second: WheelSecond) -> Option<CompactString> {
         let first = self.seconds.keys().next()?;
         if *first > second {
@@ -59,7 +59,7 @@
         self.pop_first()
     }
 
-    /// When the first user is due.
+    /// When the next user is due.
     pub(crate) fn next_due(&self) -> Option<Time> {
         let first = self.seconds.keys().next()?;
         Some(from_ms(first.0.saturating_mul(SECOND_MS)))
--- a/crates/pipithub-directory/src/roster.rs
+++ b/crates/pipithub-directory/src/roster.rs
@@ -1,4 +1,4 @@
-//! The cached records of all users, and what a user is resolved to by them.
+//! The cached records of all users, and how a user is resolved to a tenant by them.
 
 mod realms;
 
@@ -13,36 +13,37 @@
 
 pub(crate) use self::realms::Realms;
 
-/// What to do about a record beside using it.
+/// Whether a record that is used should be refreshed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refresh {
-    /// Nothing.
+    /// The record is fresh and is used as it is.
     NotNeeded,
-    /// Look the user up again, without waiting for it.
+    /// Use the record now, and look the user up again in the background.
     InBackground,
-    /// Look the user up again and wait for the result as long as may be; then use the record.
+    /// Look the user up again and wait for the result for a bounded time; if none comes, use the record.
     BeforeUse,
 }
 
-/// What a user is, as far as is known.
+/// Which tenant a user belongs to, by the cached records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resolution {
-    /// A tenant's.
+    /// The user belongs to a tenant.
     Tenant {
-        /// Whose.
+        /// The tenant that the user belongs to.
         tenant: TenantId,
-        /// Which person.
+        /// The person that the name refers to.
         person: PersonId,
-        /// The age of the record that decides.
+        /// The age of the record that decides, in nanoseconds.
         age: Time,
-        /// What to do beside using it.
+        /// Whether that record should be refreshed.
         refresh: Refresh,
     },
-    /// No tenant's.
+    /// The user belongs to no tenant.
     NoTenant,
-    /// More than one tenant's, or several people's of one name: nobody may choose between them.
+    /// Several tenants or several people claim the name. There is no safe choice between them, so the user's requests are
+    /// rejected.
     Ambiguous,
-    /// Not known: to be looked up.
+    /// There is no valid record: the user is to be looked up.
     Unknown,
 }
 
@@ -54,7 +55,7 @@
 }
 
 impl Resolution {
-    /// The identity of a tenant's user.
+    /// The user's tenant and person; `None` if the user does not resolve to one tenant.
     pub(crate) fn identity(&self) -> Option<Identity> {
         match self {
             Resolution::Tenant { tenant, person, .. } => Some(Identity {
@@ -66,13 +67,14 @@
     }
 }
 
-/// What a roster knows of a directory itself.
+/// The status of a directory as a roster holds it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DirectoryStatus {
     pub(crate) lifetimes: Lifetimes,
-    /// The directory is followed, and its records were complete then, in milliseconds.
+    /// When the records of a followed directory were last known to be complete, in milliseconds on the caller's clock;
+    /// `None` if the directory is not followed or was never complete.
     pub(crate) synchronized_at_ms: Option<i64>,
-    /// None of its servers responds as fast as usual: to wait for one would be in vain.
+    /// Whether no server is expected to respond while a request waits.
     pub(crate) is_slow: bool,
 }
 
@@ -85,13 +87,14 @@
         }
     }
 
-    /// As of when a record is true: a followed directory confirms all of its records together.
+    /// When a record was last confirmed. A followed directory confirms all of its records together.
     pub(crate) fn confirmed_at_ms(&self, record: &LookupRecord) -> i64 {
         let synchronized_at_ms = self.synchronized_at_ms.unwrap_or(i64::MIN);
         record.confirmed_at_ms.max(synchronized_at_ms)
     }
 
-    /// What is to be done about a tenant's record of this age.
+    /// Whether a tenant's record of this age should be refreshed. The jitter of a record delays its refresh by up to a
+    /// quarter of the fresh time.
     fn refresh(&self, age: Time, jitter: u8) -> Refresh {
         let fresh = self.lifetimes.fresh;
         let used_as_it_is = fresh / 4 * 3 + fresh / 1024 * u64::from(jitter);
@@ -105,16 +108,16 @@
     }
 }
 
-/// All records at one time. Cloning shares everything.
+/// A version of all cached records. Cloning shares the records and is cheap.
 #[derive(Clone, Debug)]
 pub struct Roster {
-    /// Names of up to 24 bytes are stored in their place: to look one up fetches nothing more from memory.
+    /// Names of up to 24 bytes are stored inline, which saves a memory access in each look-up.
     pub(crate) users: PersistentMap<CompactString, LookupRecords>,
     pub(crate) directories: Arc<[DirectoryStatus]>,
     realms: Arc<Realms>,
 }
 
-/// A tenant's record that is valid.
+/// A record that names a tenant and has not expired.
 struct ValidRecord {
     tenant: TenantId,
     person: PersonId,
@@ -122,11 +125,11 @@
     refresh: Refresh,
 }
 
-/// What a user's records add up to when they do not contradict each other.
+/// The combined result of a user's valid records, which do not contradict each other.
 struct Evidence {
-    /// The newest valid record of a tenant.
+    /// The newest valid record that names a tenant.
     tenant: Option<ValidRecord>,
-    /// How many directories have reported that the user is absent.
+    /// The number of directories with a valid record that the user is absent.
     absent: usize,
 }
 
@@ -139,28 +142,28 @@
         }
     }
 
-    /// How many users it holds.
+    /// The number of users with records.
     pub fn len(&self) -> usize {
         self.users.len()
     }
 
-    /// Whether it holds none.
+    /// Whether no user has a record.
     pub fn is_empty(&self) -> bool {
         self.users.is_empty()
     }
 
-    /// The directories that may know a user: by realm where the name has one (`mai@north.example`), else those that take
-    /// names without.
+    /// The directories that may know a user, by their indexes in the settings: those of the name's realm if it has one
+    /// (`mai@north.example`), otherwise those for names without a realm.
     pub fn directories_for(&self, user: &str) -> &[u16] {
         self.realms.directories_for(user)
     }
 
-    /// What a user is now.
+    /// Resolves a user by the records that are valid now.
     ///
-    /// One tenant's record that is not past the hard bound decides, also while other directories have not responded: a
-    /// directory that is down must not stall those that are up. Two tenants' records that are not past it are ambiguous,
-    /// however old one of them is: its directory may merely be out of reach, and to choose would let whoever creates an
-    /// entry in the other take over the user's requests.
+    /// A single tenant's valid record decides, even if other directories have not responded yet: a directory that is down
+    /// must not delay the users of others. If valid records name two tenants, the user is ambiguous, however old one of
+    /// the records is. Its directory may only be unreachable, and choosing the newer record would let anyone who can
+    /// create an entry in the other directory take over the user's requests.
     pub fn resolve(&self, user: &str, now: Time) -> Resolution {
         let now_ms = to_ms(now);
         let records = self.records(user);
@@ -186,14 +189,14 @@
         }
     }
 
-    /// The record that a directory has of a user.
+    /// The record of a user from one directory.
     pub(crate) fn record(&self, user: &str, directory: usize) -> Option<&LookupRecord> {
         self.users
             .get(user)
             .and_then(|records| records.of_directory(directory))
     }
 
-    /// Changes the status of a directory. Versions that were cloned before do not show it.
+    /// Changes the status of a directory. Versions that were cloned before are not affected.
     pub(crate) fn update_directory(
         &mut self,
         directory: usize,
@@ -210,7 +213,7 @@
             .map_or(&[][..], LookupRecords::as_slice)
     }
 
-    /// What records add up to; `None` where they are ambiguous.
+    /// Combines the valid records of a user; `None` if they are ambiguous.
     fn weigh(&self, records: &[LookupRecord], now_ms: i64) -> Option<Evidence> {
         let mut tenant: Option<ValidRecord> = None;
         let mut absent = 0;
@@ -242,8 +245,8 @@
         Some(Evidence { tenant, absent })
     }
 
-    /// Whether a directory that has no record of a user knows that there is no entry: one that is followed and complete
-    /// knows of all its entries.
+    /// Whether the user is absent from a directory because it has no record of them: that is so if the directory is
+    /// followed and was complete recently, as then all of its entries have records.
     fn implies_absence(&self, directory: usize, records: &[LookupRecord], now_ms: i64) -> bool {
         let status = &self.directories[directory];
         let is_complete = status
--- a/crates/pipithub-directory/src/roster/realms.rs
+++ b/crates/pipithub-directory/src/roster/realms.rs
@@ -1,14 +1,14 @@
-//! Which directories know a user's realm.
+//! The directories that are responsible for each realm.
 
 use std::collections::HashMap;
 
 use crate::settings::DirectorySettings;
 
-/// The directories by the realms of the names that they know.
+/// The directories, by the realms of the users that they know.
 #[derive(Debug)]
 pub(crate) struct Realms {
     directories: HashMap<Box<str>, Vec<u16>>,
-    /// Those that know names without a realm.
+    /// The directories for names without a realm.
     without_realm: Vec<u16>,
 }
 
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The directories that may know a user.
+    /// The directories that may know a user, by their indexes in the settings.
     pub(crate) fn directories_for(&self, user: &str) -> &[u16] {
         let Some((_, realm)) = user.rsplit_once('@') else {
             return &self.without_realm;
--- a/crates/pipithub-directory/src/search.rs
+++ b/crates/pipithub-directory/src/search.rs
@@ -1,4 +1,4 @@
-//! Searches at a directory's servers: what is searched for, what comes back, and those that are in flight.
+//! Searches at a directory's servers: queries, responses, errors, and the searches that are in flight.
 
 use std::collections::HashSet;
 
@@ -7,23 +7,24 @@
 use crate::record::{PersonId, User};
 use crate::time::Time;
 
-/// Identifies a search.
+/// Identifies a search; ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SearchId(pub u64);
 
-/// What is searched for.
+/// What a search is for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Query {
-    /// These users. The server's change number is to be read before them, on the same connection.
+    /// The entries of these users. The server's change number must be read before them, on the same connection.
     Users(Vec<User>),
     /// The server's state: whether the base of its tree exists, and its change number.
     ServerState,
-    /// What was changed since this `modifyTimestamp`; `None`: how far its timestamps have come.
+    /// The entries that were changed since this `modifyTimestamp`. `None` requests no entries, only a timestamp to
+    /// continue from.
     ChangedSince(Option<String>),
 }
 
 impl Query {
-    /// Whether a response holds no entry of a user that was not searched for.
+    /// Whether the response contains only entries that were searched for.
     pub(crate) fn is_answered_by(&self, response: &SearchResponse) -> bool {
         let Query::Users(users) = self else {
             return true;
@@ -41,50 +42,51 @@
 pub struct DirectoryEntry {
     /// The user's name, folded, with the realm as users give it.
     pub user: User,
-    /// The entry's distinguished name.
+    /// The entry's distinguished name, which determines the tenant.
     pub dn: Dn,
-    /// Whose entry it is.
+    /// The person that the entry belongs to.
     pub person: PersonId,
 }
 
-/// A complete response.
+/// The complete response to a search.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SearchResponse {
     /// The entries that were found.
     pub entries: Vec<DirectoryEntry>,
-    /// The newest change that the server's copy held before it searched, where the server gives it.
+    /// The newest change that the server's copy contained before the search; `None` if the server does not report it.
     pub change_number: Option<u64>,
-    /// The base of the tree exists. A server that is still loading responds that no user exists.
+    /// Whether the base of the tree exists. Without it the server may still be loading, and responds that no user exists.
     pub base_exists: bool,
-    /// The newest `modifyTimestamp` of the entries.
+    /// The newest `modifyTimestamp` of the entries, for the next poll; `None` if no entry has one.
     pub newest_modify_timestamp: Option<String>,
 }
 
-/// Why a search has no response. The texts are part of what `pipithub tenants` prints, and stay.
+/// Why a search has no response. `pipithub tenants` prints the texts, which therefore do not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SearchError {
-    /// None came in time.
+    /// No response came before the deadline.
     #[error("TimedOut")]
     TimedOut,
     /// The server could not be reached, or the connection ended.
     #[error("Lost")]
     ConnectionLost,
-    /// The server reports that it cannot respond now: busy, unavailable, limits.
+    /// The server reports that it cannot respond now, as it is busy, unavailable or at a limit.
     #[error("Unable")]
     Unavailable,
-    /// The server denies the bind or the rights.
+    /// The server rejects the credentials, or they lack the necessary rights.
     #[error("Denied")]
     Denied,
-    /// The response does not fit the query.
+    /// The response does not match the query.
     #[error("Nonsense")]
     InvalidResponse,
-    /// The server refers to another one: of the directory's servers, or one that is not in the settings.
+    /// The server refers to another server: the directory's server with this index, or `None` if the settings do not have
+    /// it.
     #[error("Elsewhere({0:?})")]
     Referral(Option<usize>),
 }
 
 impl SearchError {
-    /// Whether the server itself shows that it is of no use now, so that its circuit breaker opens at once.
+    /// Whether the circuit breaker opens at the first such error, as the server itself shows that it cannot be used.
     pub(crate) fn opens_breaker(self) -> bool {
         match self {
             SearchError::TimedOut | SearchError::ConnectionLost => false,
@@ -96,13 +98,13 @@
     }
 }
 
-/// A search that is to be started.
+/// A search to start.
 #[derive(Clone)]
 pub(crate) struct SearchRequest {
     pub(crate) directory: usize,
     pub(crate) server: usize,
     pub(crate) query: Query,
-    /// How often its users were searched for before.
+    /// The number of earlier searches for its users that had no result.
     pub(crate) attempts: u8,
 }
 
@@ -111,8 +113,8 @@
     pub(crate) request: SearchRequest,
     pub(crate) started_at: Time,
     pub(crate) deadline: Time,
-    /// When it is hedged at a second server; `None`: it was, or is not to be.
+    /// When the search is hedged at a second server; `None` if it was hedged already or must not be.
     pub(crate) hedge_at: Option<Time>,
-    /// The other search for the same users, where one of both is a hedge.
+    /// The other search for the same users, if one of the two is a hedge of the other.
     pub(crate) hedge_partner: Option<SearchId>,
 }
--- a/crates/pipithub-directory/src/settings.rs
+++ b/crates/pipithub-directory/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the directories and of the look-ups made in them.
+//! The settings of the directories and of the look-ups in them.
 
 use pipithub_ldap::Dn;
 
@@ -6,76 +6,77 @@
 use crate::record::LookupResult;
 use crate::time::{MILLISECOND, SECOND, Time};
 
-/// Users whom no request waits for are gathered into one search for no longer than this.
+/// The longest time for which users without a waiting request are collected into one search.
 const MAX_BACKGROUND_DELAY: Time = 30 * SECOND;
-/// Bounds of the interval at which a server's state is checked.
+/// The bounds of the interval at which a server's state is checked.
 const MIN_STATE_CHECK_INTERVAL: Time = 50 * MILLISECOND;
 const MAX_STATE_CHECK_INTERVAL: Time = 300 * SECOND;
 
-/// What a [`crate::Directory`] is given at its start.
+/// The settings of a [`crate::Directory`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The directories.
+    /// The directories; all inputs and outputs refer to them by their indexes here.
     pub directories: Vec<DirectorySettings>,
-    /// The tenants, by [`crate::TenantId`].
+    /// The tenants, indexed by [`crate::TenantId`].
     pub tenants: Vec<TenantBase>,
-    /// Users that are cached at most.
+    /// The maximum number of cached users; 0 is treated as 1.
     pub max_users: usize,
-    /// Users that wait to be searched for at most, in each queue of each directory.
+    /// The maximum number of queued users, in each queue of each directory; 0 is treated as 1.
     pub max_queue: usize,
-    /// Sets this front end's times apart from those of others; nothing else here is random.
+    /// The seed of the jitter, which differs between front ends. Nothing else is random.
     pub seed: u64,
-    /// Unix milliseconds at time 0.
+    /// The wall time in Unix milliseconds at time 0 of the caller's clock.
     pub wall_clock_offset_ms: i64,
 }
 
-/// A tenant's place in a directory.
+/// The subtree of a directory that belongs to a tenant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TenantBase {
-    /// The directory.
+    /// The index of the directory.
     pub directory: usize,
-    /// Entries below it are this tenant's; of bases within each other the inner one counts.
+    /// The base of the subtree, whose entries belong to the tenant. If subtrees are nested, the innermost one counts.
     pub base: Dn,
 }
 
 /// How users are looked up in a directory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DirectorySettings {
-    /// How many servers it has.
+    /// The number of servers; 0 is treated as 1.
     pub server_count: usize,
-    /// Realms of the names that it knows; none: names without a realm.
+    /// The realms of the users that the directory knows. If there are none, it knows users without a realm.
     pub realms: Vec<String>,
-    /// For how long its results are valid.
+    /// How long the directory's results are valid.
     pub lifetimes: Lifetimes,
-    /// A search without a response by then has failed.
+    /// The time, in nanoseconds, after which a search without a response has failed.
     pub timeout: Time,
-    /// After this long without a response the search is hedged at a second server.
+    /// The time, in nanoseconds, after which a search without a response is hedged at a second server.
     pub hedge_after: Time,
-    /// Users in one search.
+    /// The maximum number of users in one search.
     pub max_users_per_search: usize,
-    /// Searches in flight at one server.
+    /// The maximum number of searches in flight at one server.
     pub max_searches_per_server: usize,
-    /// Searches a second at all its servers together.
+    /// The maximum number of searches a second at all servers together.
     pub max_searches_per_second: f64,
-    /// Consecutive failures that open a server's circuit breaker.
+    /// The number of consecutive failures that open a server's circuit breaker.
     pub failure_threshold: u32,
-    /// For how long the breaker stays open.
+    /// How long the circuit breaker stays open.
     pub backoff: Backoff,
-    /// A server that gives no change number must report a change twice, this far apart.
+    /// How long after its first report, in nanoseconds, a change is accepted that servers without change numbers report
+    /// again.
     pub change_confirmation_delay: Time,
-    /// A daily peak ahead of which records are refreshed.
+    /// The daily peak ahead of which records are refreshed; `None` refreshes none.
     pub daily_peak: Option<DailyPeak>,
-    /// Changes are polled for at this interval; 0: never.
+    /// The interval in nanoseconds at which the directory is polled for changes; 0 disables polls.
     pub poll_interval: Time,
 }
 
 impl DirectorySettings {
-    /// For how long users whom no request waits for are gathered into one search.
+    /// How long users without a waiting request are collected into one search.
     pub(crate) fn background_delay(&self) -> Time {
         (self.lifetimes.fresh / 16).min(MAX_BACKGROUND_DELAY)
     }
 
-    /// How often a server's state is checked that is not searched for anything else.
+    /// The interval at which the state of a server is checked that receives no other searches.
     pub(crate) fn state_check_interval(&self) -> Time {
         (self.lifetimes.fresh / 2).clamp(MIN_STATE_CHECK_INTERVAL, MAX_STATE_CHECK_INTERVAL)
     }
@@ -108,30 +109,32 @@
     }
 }
 
-/// For how long a server that fails is not used, before jitter: twice as long after each further failure.
+/// The exponential backoff during which a failing server is not used: it doubles with each failure. Jitter is added to
+/// these times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backoff {
-    /// After the first failure.
+    /// The backoff after the first failure, in nanoseconds.
     pub initial: Time,
-    /// At the longest.
+    /// The longest backoff, in nanoseconds.
     pub max: Time,
 }
 
-/// For how long a directory's results are valid.
+/// How long a directory's results are valid, in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lifetimes {
-    /// A tenant's record is used as it is up to three quarters of this age. From a random age between that and this age
-    /// on it is refreshed in the background while it is used, and from twice this age on a request waits a little for
-    /// the refresh.
+    /// The age up to which a record of a tenant is fresh. Up to three quarters of it the record is used as it is. From a
+    /// random age between that and this age on it is used and refreshed in the background, and from twice this age on a
+    /// request waits for the refresh for a bounded time.
     pub fresh: Time,
-    /// The hard bound: from this age on a tenant's record is as if it were not there.
+    /// The age from which on a record of a tenant is no longer valid.
     pub max_stale: Time,
-    /// The bound of results that name no tenant: absent and ambiguous ones. They are never refreshed before it.
+    /// The age from which on results that name no tenant, absent and ambiguous ones, are no longer valid. They are not
+    /// refreshed before.
     pub negative: Time,
 }
 
 impl Lifetimes {
-    /// The age from which on a result is not valid any more.
+    /// The age from which on a result is no longer valid.
     pub(crate) fn max_age(&self, result: LookupResult) -> Time {
         match result {
             LookupResult::Tenant(_) => self.max_stale,
--- a/crates/pipithub-directory/src/snapshot.rs
+++ b/crates/pipithub-directory/src/snapshot.rs
@@ -1,10 +1,11 @@
-//! The cached records, kept over a restart.
+//! Snapshots of the cached records, which preserve them across a restart.
 //!
-//! A snapshot is sealed with HMAC-SHA256 over everything in it: one that was changed, was written under another key, or
-//! belongs to other directories is rejected as a whole. Records carry their age when written; the time since then is
-//! added, so that nothing becomes younger by a restart. That time is wall time, the only one that outlives a process:
-//! where the wall clock was stepped meanwhile it is wrong by the step. A snapshot from the future shows a step back. One
-//! from up to a minute ahead is taken as a minute old; one from further ahead is rejected.
+//! A snapshot is sealed with HMAC-SHA256 over all its bytes. A snapshot that was changed, was written under another key
+//! or belongs to other directories is rejected completely. Records are stored with their age, and the time since the
+//! snapshot was written is added when it is read, so that a restart does not make records younger. That time is measured
+//! in wall time, the only time that outlives a process; if the wall clock was stepped meanwhile, it is wrong by the step.
+//! A snapshot from the future shows that the clock was stepped back: if it is ahead by up to a minute, it is taken to be
+//! a minute old, otherwise it is rejected.
 //!
 //! All numbers are big-endian. The header is the magic, the version, the fingerprint of the directories, the Unix
 //! milliseconds at which it was written, and the number of records. Each record is the length of the user's name in two
@@ -28,41 +29,41 @@
 const FINGERPRINT_LENGTH: usize = 32;
 /// The magic and the version.
 const PREFIX_LENGTH: usize = 8 + 2;
-/// The header up to the number of records.
+/// The offset of the number of records in the header.
 const COUNT_OFFSET: usize = PREFIX_LENGTH + FINGERPRINT_LENGTH + 8;
 const HEADER_LENGTH: usize = COUNT_OFFSET + 8;
-/// What a record takes, roughly: enough memory for nearly all snapshots at the first allocation.
+/// The estimated length of a record, so that nearly all snapshots need a single allocation.
 const TYPICAL_RECORD_LENGTH: usize = 64;
-/// A snapshot from further ahead than this is rejected, and one from less far ahead is taken to be as old.
+/// How far in the future a snapshot may have been written; one that was is taken to be this old.
 const MAX_AHEAD_MS: i64 = 60_000;
 
-/// A user's record as a snapshot holds it.
+/// A user's record from a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredRecord {
-    /// The user.
+    /// The user's name, folded.
     pub user: User,
-    /// What a directory reported of them.
+    /// The record, with its age at the time of reading.
     pub record: LookupRecord,
 }
 
 /// Why a snapshot is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// The bytes are none.
+    /// The bytes are not a snapshot of the supported version.
     #[error("this is no snapshot of version {VERSION}")]
     NotASnapshot,
-    /// Its seal does not fit.
+    /// The seal does not match the contents and the key.
     #[error("its seal does not fit: it was changed, cut off, or written under another key")]
     SealMismatch,
-    /// It is of other directories or tenants.
+    /// The snapshot belongs to other directories or tenants.
     #[error("it was written for other directories or tenants")]
     OtherDirectories,
-    /// It is from the future, by so many milliseconds.
+    /// The snapshot was written this many milliseconds in the future.
     #[error("it was written {0} ms ahead of now: a clock was set")]
     FromFuture(i64),
 }
 
-/// Tells one set of directories and tenants from another.
+/// Computes the fingerprint that distinguishes one set of directories and tenants from another.
 pub fn fingerprint<'a>(parts: impl Iterator<Item = &'a str>) -> [u8; FINGERPRINT_LENGTH] {
     let mut hash = Sha256::new();
     for part in parts {
@@ -72,7 +73,7 @@
     hash.finalize().into()
 }
 
-/// Writes the records of tenants' users that are not past their bound.
+/// Writes a snapshot of all valid records that name a tenant.
 pub fn write(
     roster: &Roster,
     now: Time,
@@ -102,7 +103,7 @@
     bytes
 }
 
-/// Appends a record if it is of a tenant's user and not past its bound. Whether it is.
+/// Appends a record if it names a tenant and is valid. Returns whether it was appended.
 fn write_record(
     bytes: &mut Vec<u8>,
     status: &DirectoryStatus,
@@ -127,8 +128,12 @@
     true
 }
 
-/// Reads a snapshot: records with their age by now. `max_age` gives the bound of a directory's records, and `None` for a
-/// directory that there is not; records past their bound are left out.
+/// Reads a snapshot, with the records' ages as of now. `max_age` returns the age from which on a directory's records are
+/// no longer valid, and `None` if the settings do not have the directory; such records are left out.
+///
+/// # Errors
+///
+/// Fails if the bytes are no valid snapshot under this key, for these directories and of this time.
 pub fn read(
     bytes: &[u8],
     now: Time,
@@ -167,7 +172,7 @@
     Ok(stored)
 }
 
-/// What is between the prefix and the seal, if both are right.
+/// Verifies the prefix and the seal, and returns the bytes between them.
 fn verify<'a>(bytes: &'a [u8], key: &[u8]) -> Result<&'a [u8], SnapshotError> {
     let has_prefix =
         bytes.starts_with(MAGIC) && bytes[MAGIC.len()..].starts_with(&VERSION.to_be_bytes());
@@ -182,14 +187,14 @@
 }
 
 fn seal(key: &[u8], bytes: &[u8]) -> Hmac<Sha256> {
-    // Keys of any length are taken (RFC 2104); the error is for other kinds of MAC.
+    // HMAC accepts keys of any length (RFC 2104), so this never fails.
     let mut mac =
         Hmac::<Sha256>::new_from_slice(key).unwrap_or_else(|_| Hmac::new(&Default::default()));
     mac.update(bytes);
     mac
 }
 
-/// The milliseconds that have passed since a snapshot was written.
+/// The milliseconds since a snapshot was written.
 fn elapsed_ms(written_at_ms: i64, wall_ms: i64) -> Result<i64, SnapshotError> {
     let elapsed_ms = wall_ms.saturating_sub(written_at_ms);
     if elapsed_ms < -MAX_AHEAD_MS {
--- a/crates/pipithub-directory/src/snapshot/reader.rs
+++ b/crates/pipithub-directory/src/snapshot/reader.rs
@@ -1,33 +1,33 @@
-//! Takes the header and the records of a snapshot apart, whose seal was verified before.
+//! Parses the header and the records of a snapshot whose seal was verified before.
 
 use crate::record::{PersonId, TenantId, User};
 use crate::snapshot::FINGERPRINT_LENGTH;
 
-/// What stands before the records.
+/// The header of a snapshot after the prefix.
 pub(super) struct Header {
     pub(super) fingerprint: [u8; FINGERPRINT_LENGTH],
     pub(super) written_at_ms: i64,
     pub(super) record_count: u64,
 }
 
-/// A record as it was written.
+/// A record as it is stored.
 pub(super) struct WrittenRecord {
     pub(super) user: User,
     pub(super) directory: u16,
     pub(super) tenant: TenantId,
     pub(super) person: PersonId,
     pub(super) change_number: u64,
-    /// Its age when it was written.
+    /// The record's age when the snapshot was written.
     pub(super) age_ms: i64,
 }
 
-/// Reads from the front of a snapshot's contents; `None` where they are too short.
+/// Reads a snapshot's contents from front to back. All methods return `None` if the contents end too early.
 pub(super) struct SnapshotReader<'a> {
     rest: &'a [u8],
 }
 
 impl<'a> SnapshotReader<'a> {
-    /// Of the contents from the fingerprint on.
+    /// Creates a reader of the contents, which begin with the fingerprint.
     pub(super) fn new(contents: &'a [u8]) -> Self {
         SnapshotReader { rest: contents }
     }
--- a/crates/pipithub-directory/src/state.rs
+++ b/crates/pipithub-directory/src/state.rs
@@ -1,4 +1,4 @@
-//! The state of each directory: its servers, its queues, its budgets, and the progress of its replication.
+//! The state of a directory: its servers, queues, rate limits, and the progress of its replication.
 
 mod lookup_queues;
 mod rate_limit;
@@ -23,27 +23,27 @@
 pub(crate) use self::synchronization::{RefreshStage, SyncState};
 pub(crate) use self::unconfirmed_changes::{ObservedChange, UnconfirmedChanges};
 
-/// Servers of a directory that have a number of their own in the seeds of their jitter.
+/// The number of servers of a directory whose jitter is guaranteed to have different seeds.
 const SEEDED_SERVERS: usize = 64;
 
-/// A directory's state.
+/// The state of one directory.
 pub(crate) struct DirectoryState {
-    /// Its place in the settings.
+    /// The directory's index in the settings.
     number: usize,
     pub(crate) settings: DirectorySettings,
     pub(crate) servers: Vec<Server>,
     pub(crate) queues: LookupQueues,
-    /// Users looked up while no server could be reached: searched for together when one can.
+    /// Users looked up while no server was reachable. They are searched for together when a server is back.
     pub(crate) deferred: HashSet<User>,
     pub(crate) search_tokens: TokenBucket,
     hedge_budget: HedgeBudget,
     replication: ReplicationProgress,
-    /// Changes reported by servers that give no change number.
+    /// Changes reported by servers without change numbers, until they are confirmed.
     pub(crate) unconfirmed: UnconfirmedChanges,
-    /// When changes are polled for next.
+    /// When the next poll for changes is due; `None` if the directory is not polled.
     poll_due: Option<Time>,
-    /// When each server's state is checked, unless it responds to something else before. A server that is never the
-    /// fastest must respond from time to time as well: only by comparing all of them is a lagging copy detected.
+    /// When each server's state is checked, unless it has responded to another search by then. Servers that are never
+    /// chosen are checked too, as a lagging copy is only detected by comparing the change numbers of all servers.
     state_check_due: Vec<Time>,
     /// The newest `modifyTimestamp` that a poll has returned.
     newest_modify_timestamp: Option<String>,
@@ -52,7 +52,7 @@
 }
 
 impl DirectoryState {
-    /// The state of the directory with this place in the settings, of which nothing is known yet.
+    /// Creates the state of the directory with this index in the settings.
     pub(crate) fn new(number: usize, settings: &DirectorySettings, seed: u64) -> Self {
         let server_count = settings.server_count.max(1);
         let state_check_interval = settings.state_check_interval() as f64;
@@ -60,7 +60,7 @@
             let server_seed = seed ^ (number * SEEDED_SERVERS + server) as u64;
             (state_check_interval * stable_fraction("state", server_seed)) as Time
         };
-        // Front ends that start together do not poll together.
+        // Front ends that start at the same time must not poll at the same time.
         let first_poll = || {
             let fraction = stable_fraction("poll", seed ^ number as u64);
             (settings.poll_interval as f64 * fraction) as Time
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Whether a server may be searched at.
+    /// Whether at least one server is in use, which means that its circuit breaker is closed.
     pub(crate) fn is_reachable(&self) -> bool {
         self.servers.iter().any(Server::is_closed)
     }
@@ -104,12 +104,12 @@
             .any(|server| server.is_closed() && server.usually_responds_within(hedge_after))
     }
 
-    /// The server to search at, if there is one with capacity.
+    /// The server for the next search: the one of the lowest cost among those with capacity.
     fn choose_server(&self) -> Option<usize> {
         self.choose_server_except(None)
     }
 
-    /// The server to search at that is not this one, if there is one with capacity.
+    /// The server for the next search, with one server excluded.
     fn choose_server_except(&self, except: Option<usize>) -> Option<usize> {
         let limits = self.server_limits();
         self.servers
@@ -120,12 +120,13 @@
             .map(|(number, _)| number)
     }
 
-    /// Whether users are to be searched for now, if a server has capacity.
+    /// Whether queued users are due to be searched for.
     fn has_due_lookups(&self, now: Time) -> bool {
         self.queues.has_due(now, self.settings.max_users_per_search)
     }
 
-    /// The next search for queued users, if there may be one now.
+    /// Takes the next search for queued users; `None` if no user is due, the rate limit is reached or no server has
+    /// capacity.
     pub(crate) fn take_user_search(&mut self, now: Time) -> Option<SearchRequest> {
         if !self.search_tokens.has_token() || !self.has_due_lookups(now) {
             return None;
@@ -142,7 +143,7 @@
         })
     }
 
-    /// The same search at another server, if the budget allows a hedge and one has capacity.
+    /// A hedge of the search at another server; `None` if the hedge budget is used up or no other server has capacity.
     pub(crate) fn take_hedge(&mut self, search: &SearchRequest) -> Option<SearchRequest> {
         if !self.hedge_budget.allows_hedge() {
             return None;
@@ -155,7 +156,7 @@
         })
     }
 
-    /// Begins a search at a server: when it has failed, and when it is hedged.
+    /// Counts a search as in flight at its server, and sets its deadline and the time at which it is hedged.
     pub(crate) fn begin_search(&mut self, now: Time, request: SearchRequest) -> SearchInFlight {
         let server = &mut self.servers[request.server];
         server.in_flight += 1;
@@ -170,8 +171,8 @@
         }
     }
 
-    /// Notes the response to a search. If another server's copy was ahead of this one's before, since when, in
-    /// milliseconds.
+    /// Records the response to a search. If the server's copy lags behind another one, returns the time since when it is
+    /// outdated, in milliseconds on the caller's clock.
     pub(crate) fn record_response(
         &mut self,
         now: Time,
@@ -189,7 +190,8 @@
         outdated_since
     }
 
-    /// Whether a server's state is to be checked now; if so, or if it is known, the next check is later.
+    /// Whether a server's state is to be checked now. If the check is due, the next one is planned, also if this one is
+    /// skipped.
     pub(crate) fn take_due_state_check(&mut self, now: Time, server: usize) -> bool {
         if now < self.state_check_due[server] {
             return false;
@@ -197,7 +199,7 @@
         let interval = self.settings.state_check_interval();
         let is_only_server = self.servers.len() == 1;
         let state = &self.servers[server];
-        // A server that has just responded is known as it is, and one alone never lags behind another.
+        // A server that responded recently needs no check, and a single server cannot lag behind another.
         let responded_at = state
             .last_response_at
             .filter(|at| now < at.saturating_add(interval));
@@ -215,7 +217,8 @@
         }
     }
 
-    /// The search that polls for changes, if it is due and a server has capacity.
+    /// Takes the search that polls for changes; `None` if it is not due or no server has capacity. A poll without
+    /// capacity is skipped.
     pub(crate) fn take_due_poll(&mut self, now: Time) -> Option<SearchRequest> {
         self.poll_due.filter(|due| now >= *due)?;
         self.poll_due = Some(now + self.settings.poll_interval);
@@ -228,13 +231,13 @@
         })
     }
 
-    /// Notes how far the timestamps of a poll have come.
+    /// Records the newest timestamp of a poll's response, from which the next poll continues.
     pub(crate) fn record_poll(&mut self, newest_modify_timestamp: Option<String>) {
         self.newest_modify_timestamp =
             newest_modify_timestamp.max(self.newest_modify_timestamp.take());
     }
 
-    /// When time alone has an effect next.
+    /// The next time at which a tick has an effect on this directory.
     pub(crate) fn next_due(&self, now: Time) -> Option<Time> {
         let breakers = self.servers.iter().filter_map(Server::probe_due);
         let state_check = self.state_check_due.iter().min().copied();
@@ -251,7 +254,7 @@
             .min()
     }
 
-    /// When there is a token again, if that is all that a search waits for.
+    /// When the rate limit allows the next search, if a search waits for nothing else.
     fn next_token_due(&self, now: Time) -> Option<Time> {
         let limits = self.server_limits();
         let has_capacity = self
--- a/crates/pipithub-directory/src/state/lookup_queues.rs
+++ b/crates/pipithub-directory/src/state/lookup_queues.rs
@@ -1,47 +1,48 @@
-//! Users who wait to be searched for, by priority.
+//! The queues of users to search for, by priority.
 
 use std::collections::{HashSet, VecDeque};
 
 use crate::record::User;
 use crate::time::Time;
 
-/// Times that a user is searched for before they must be looked up anew.
+/// The number of searches for a user in one look-up, including the first.
 const MAX_ATTEMPTS: u8 = 2;
-/// Of the users whom no request waited for, those among whom one is looked for that a request waits for now.
+/// How many users of the background queue are examined to find one for whom a request waits now. It bounds the cost of
+/// a look-up.
 const MAX_PROMOTION_DEPTH: usize = 256;
 
-/// How soon a user is searched for, the soonest first.
+/// The priority of a user in the queues, the highest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Priority {
-    /// Nothing is known of the user and a request waits.
+    /// A request waits, and the user has no valid record.
     Unknown,
-    /// What is known is to be confirmed before a request is decided.
+    /// A request waits until the user's record is confirmed.
     Confirmation,
     /// No request waits.
     Background,
 }
 
-/// Whether a user will be searched for.
+/// The result of queueing a user.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Enqueued {
-    /// Now, they will.
+    /// The user was queued.
     Added,
-    /// They are queued or in a search already.
+    /// The user is queued already, or part of a search in flight.
     AlreadyPending,
-    /// Their queue is full.
+    /// The queue is full, and the user was not queued.
     QueueFull,
 }
 
 struct QueuedUser {
     user: User,
-    /// How often they were searched for before.
+    /// The number of earlier searches for the user that had no result.
     attempts: u8,
 }
 
 /// Users to search for together.
 pub(crate) struct Batch {
     pub(crate) users: Vec<User>,
-    /// How often they were searched for before.
+    /// The number of earlier searches for these users that had no result.
     pub(crate) attempts: u8,
 }
 
@@ -51,9 +52,9 @@
     unknown: VecDeque<QueuedUser>,
     confirmation: VecDeque<QueuedUser>,
     background: VecDeque<QueuedUser>,
-    /// When the users of the background queue are searched for at the latest.
+    /// When the users of the background queue are searched for at the latest. Only valid while that queue has users.
     background_due: Time,
-    /// Users that are queued or in a search: nobody is searched for twice at a time.
+    /// The users that are queued or part of a search in flight, so that no user is searched for twice at the same time.
     pending: HashSet<User>,
 }
 
@@ -66,12 +67,13 @@
         }
     }
 
-    /// Whether a user is queued or in a search.
+    /// Whether a user is queued or part of a search in flight.
     pub(crate) fn is_pending(&self, user: &User) -> bool {
         self.pending.contains(user)
     }
 
-    /// Has a user searched for; `background_due` is when those whom no request waits for are, where they are the first.
+    /// Queues a user, or raises the priority of a user who is queued in the background. If the user is the first one of
+    /// the background queue, that queue becomes due at `background_due`.
     pub(crate) fn enqueue(
         &mut self,
         user: User,
@@ -87,7 +89,7 @@
             return Enqueued::QueueFull;
         }
         if priority == Priority::Background && self.background.is_empty() {
-            // Users whom no request waits for are gathered into one search.
+            // Later users of the background queue join the search of the first one.
             self.background_due = background_due;
         }
         self.pending.insert(user.clone());
@@ -96,7 +98,7 @@
         Enqueued::Added
     }
 
-    /// A request waits now for a user who was queued without one.
+    /// Moves a user from the background queue to another one, as a request waits for the user now.
     fn promote(&mut self, user: &User, priority: Priority) {
         if priority == Priority::Background {
             return;
@@ -110,7 +112,8 @@
         self.queue_mut(priority).extend(promoted);
     }
 
-    /// Whether there are users to search for now.
+    /// Whether queued users are due to be searched for: at once if a request waits, and otherwise when they fill a search
+    /// or have waited long enough.
     pub(crate) fn has_due(&self, now: Time, max_users: usize) -> bool {
         let fills_search = self.background.len() >= max_users;
         let is_background_due = !self.background.is_empty() && now >= self.background_due;
@@ -118,13 +121,13 @@
         is_request_waiting || fills_search || is_background_due
     }
 
-    /// When the users whom no request waits for are searched for at the latest.
+    /// When the users of the background queue are searched for at the latest; `None` if it is empty.
     pub(crate) fn background_due(&self) -> Option<Time> {
         (!self.background.is_empty()).then_some(self.background_due)
     }
 
-    /// Takes out the users of one search, by priority. Those that were searched for before go without others: a search
-    /// that failed may have failed because of them.
+    /// Takes the users of one search, by priority. Users of a retry are not combined with others, because they may be the
+    /// reason why their search failed.
     pub(crate) fn take_batch(&mut self, max_users: usize) -> Batch {
         let mut batch = Batch {
             users: Vec::new(),
@@ -144,7 +147,7 @@
         batch
     }
 
-    /// The first queue that has users.
+    /// The queue with the highest priority that is not empty.
     fn first_queue(&mut self) -> Option<&mut VecDeque<QueuedUser>> {
         [
             &mut self.unknown,
@@ -155,7 +158,7 @@
         .find(|queue| !queue.is_empty())
     }
 
-    /// Queues users again whose search had no result, before all others. Returns those who had their last attempt.
+    /// Queues users whose search had no result again, ahead of all others. Returns those who had their last attempt.
     pub(crate) fn retry(&mut self, batch: Batch) -> Vec<User> {
         let attempts = batch.attempts + 1;
         let mut given_up = Vec::new();
@@ -170,12 +173,12 @@
         given_up
     }
 
-    /// A user's search has a result.
+    /// Removes a user from the pending ones, as the search for them has a result.
     pub(crate) fn finish(&mut self, user: &User) {
         self.pending.remove(user);
     }
 
-    /// Takes out all that are queued.
+    /// Removes and returns all queued users. Users of searches in flight stay pending.
     pub(crate) fn drain(&mut self) -> Vec<User> {
         let queued = [
             &mut self.unknown,
--- a/crates/pipithub-directory/src/state/rate_limit.rs
+++ b/crates/pipithub-directory/src/state/rate_limit.rs
@@ -1,17 +1,17 @@
-//! Bounds on how often a directory is searched, and on how many searches are hedged.
+//! Limits on the rate of searches in a directory, and on the fraction of searches that are hedged.
 
 use crate::time::{MILLISECOND, SECOND, Time};
 
-/// A bucket holds the tokens of this part of a second, and one at least.
+/// The capacity of a bucket is its rate a second divided by this, but at least one token.
 const BURST_DIVISOR: f64 = 4.0;
-/// The slowest refill that a due time is computed for.
+/// The lowest rate, in tokens a second, that is assumed when the time of the next token is computed.
 const MIN_RATE: f64 = 0.01;
-/// Of all searches, those that may be hedged.
+/// The fraction of all searches that may be hedged.
 const HEDGED_FRACTION: f64 = 0.1;
-/// Hedges that may be saved up.
+/// The maximum number of hedges that may be saved up.
 const MAX_SAVED_HEDGES: f64 = 4.0;
 
-/// A token bucket: each search takes a token, and tokens come back at a steady rate.
+/// A token bucket. Each search takes a token, and tokens are refilled at a constant rate.
 pub(crate) struct TokenBucket {
     tokens_per_second: f64,
     tokens: f64,
@@ -19,7 +19,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub(crate) fn new(tokens_per_second: f64) -> Self {
         let mut bucket = TokenBucket {
             tokens_per_second,
@@ -34,7 +34,7 @@
         (self.tokens_per_second / BURST_DIVISOR).max(1.0)
     }
 
-    /// Adds the tokens of the time that has passed.
+    /// Adds the tokens of the time since the last refill, up to the capacity.
     pub(crate) fn refill(&mut self, now: Time) {
         let passed = now.saturating_sub(self.last_refill) as f64 / SECOND as f64;
         self.last_refill = self.last_refill.max(now);
@@ -49,7 +49,7 @@
         self.tokens -= 1.0;
     }
 
-    /// When there is a token again; `None`: there is one now.
+    /// When the next token is available; `None` if one is available now.
     pub(crate) fn next_token_at(&self) -> Option<Time> {
         if self.has_token() {
             return None;
@@ -60,7 +60,7 @@
     }
 }
 
-/// Bounds hedges to a fraction of all searches.
+/// Limits hedges to a fraction of all searches.
 pub(crate) struct HedgeBudget {
     hedges: f64,
 }
@@ -72,7 +72,7 @@
 }
 
 impl HedgeBudget {
-    /// A search was started: it adds its fraction of a hedge.
+    /// Adds the fraction of a hedge that a search allows.
     pub(crate) fn add_search(&mut self) {
         self.hedges = (self.hedges + HEDGED_FRACTION).min(MAX_SAVED_HEDGES);
     }
--- a/crates/pipithub-directory/src/state/replication.rs
+++ b/crates/pipithub-directory/src/state/replication.rs
@@ -1,25 +1,25 @@
-//! How far the copies of a directory have come, by the change numbers that its servers give.
+//! The progress of replication between a directory's servers, by the change numbers that they report.
 
 use std::collections::VecDeque;
 
-/// Change numbers that are remembered.
+/// The maximum number of change numbers that are stored.
 const MAX_OBSERVED: usize = 64;
 
-/// A change number, and when it was first seen.
+/// A change number, and when a server first reported it.
 struct ObservedChangeNumber {
     change_number: u64,
     first_seen_ms: i64,
 }
 
-/// The change numbers seen so far, from the lowest to the highest.
+/// The change numbers that servers have reported, in ascending order.
 #[derive(Default)]
 pub(crate) struct ReplicationProgress {
     observed: VecDeque<ObservedChangeNumber>,
 }
 
 impl ReplicationProgress {
-    /// Notes a server's change number. If another copy was further ahead before, since when this one is outdated, in
-    /// milliseconds.
+    /// Records the change number of a server's copy at a time. If another copy was ahead of it before, returns the time
+    /// since when this copy is outdated, in milliseconds.
     pub(crate) fn observe(&mut self, change_number: u64, at_ms: i64) -> Option<i64> {
         let newest = self.observed.back().map(|newest| newest.change_number);
         if newest.is_none_or(|newest| change_number > newest) {
--- a/crates/pipithub-directory/src/state/server.rs
+++ b/crates/pipithub-directory/src/state/server.rs
@@ -1,37 +1,37 @@
-//! A directory's server: its circuit breaker, its concurrency limit, its response time.
+//! A directory's server: its circuit breaker, concurrency limit and response time.
 
 use crate::settings::Backoff;
 use crate::time::Time;
 
-/// A server costs more by this part of its response time for each search that it has in flight.
+/// The part of its mean response time by which each search in flight raises a server's cost.
 const IN_FLIGHT_WEIGHT: f64 = 1.0;
-/// The newest response's weight in the mean response time.
+/// The weight of the newest response in the mean response time.
 const NEWEST_WEIGHT: f64 = 0.2;
-/// Added to the cost of a server whose copy lags behind: all others are preferred.
+/// Added to the cost of a server whose copy lags behind, so that all other servers are preferred.
 const LAGGING_COST: f64 = 1e18;
-/// A search is hedged after this many mean response times at the soonest: a slow server alone is no reason to hedge.
+/// The minimum delay of a hedge in mean response times. A server that is always slow is no reason to hedge.
 const HEDGE_RESPONSE_TIMES: Time = 3;
-/// The jitter of a backoff: from half of it to one and a half.
+/// The smallest jitter of a backoff, as a fraction of it; the largest is greater by one.
 const MIN_BACKOFF_FRACTION: f64 = 0.5;
 
-/// A circuit breaker.
+/// The state of a server's circuit breaker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Breaker {
-    /// The server is used.
+    /// The server is in use.
     Closed,
-    /// It is not used until then; the backoff after the next failure is twice the one that led here.
+    /// The server is not used until the given time. The next failure doubles the backoff.
     Open { until: Time, backoff: Time },
-    /// One probe is in flight.
+    /// One probe is in flight, and nothing else is sent to the server.
     HalfOpen { backoff: Time },
 }
 
-/// What bounds the use of a server.
+/// The limits on the use of a server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServerLimits {
-    /// Consecutive failures that open the breaker.
+    /// The number of consecutive failures that open the circuit breaker.
     pub(crate) failure_threshold: u32,
     pub(crate) backoff: Backoff,
-    /// Searches in flight.
+    /// The maximum number of searches in flight; 0 is treated as 1.
     pub(crate) max_searches: usize,
 }
 
@@ -45,14 +45,15 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Server {
     breaker: Breaker,
-    /// Searches that it may have in flight: one after it was out of reach, one more with each response, so that all front
-    /// ends together do not overload it when it is back.
+    /// The maximum number of searches in flight. It starts at one, also after an outage, and rises by one with each
+    /// response, so that all front ends together do not overload a server that is back.
     concurrency_limit: f64,
+    /// The number of searches in flight.
     pub(crate) in_flight: usize,
-    /// `None`: it has not responded yet.
+    /// The moving average of the response time in nanoseconds; `None` before the first response.
     mean_response_time: Option<f64>,
     consecutive_failures: u32,
-    /// Its copy is behind that of another server.
+    /// Whether the server's copy lags behind another server's.
     pub(crate) is_lagging: bool,
     pub(crate) last_response_at: Option<Time>,
 }
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Whether its breaker is closed.
+    /// Whether the circuit breaker is closed, so that the server is in use.
     pub(crate) fn is_closed(&self) -> bool {
         self.breaker == Breaker::Closed
     }
@@ -80,7 +81,7 @@
         self.is_closed() && self.in_flight < limit
     }
 
-    /// The server of the lowest cost is searched at.
+    /// The cost of another search; the server with the lowest cost is chosen.
     pub(crate) fn cost(&self) -> f64 {
         let response_time = self.mean_response_time.unwrap_or(0.0);
         let cost = response_time * (1.0 + IN_FLIGHT_WEIGHT * self.in_flight as f64);
@@ -95,24 +96,24 @@
         self.mean_response_time.map(|mean| mean as Time)
     }
 
-    /// Whether its mean response time is no longer than this; nothing is held against a server that has not responded.
+    /// Whether the mean response time is within a limit. A server that has not responded yet is assumed to be fast.
     pub(crate) fn usually_responds_within(&self, limit: Time) -> bool {
         self.mean_response_time().is_none_or(|mean| mean <= limit)
     }
 
-    /// How long a search waits for its response before it is hedged.
+    /// How long a search waits for a response before it is hedged, at most half of the timeout or `hedge_after`.
     pub(crate) fn hedge_delay(&self, hedge_after: Time, timeout: Time) -> Time {
         let usual = self.mean_response_time().unwrap_or(0);
         let slow_response = usual.saturating_mul(HEDGE_RESPONSE_TIMES);
         hedge_after.max(slow_response.min(timeout / 2))
     }
 
-    /// A search is not in flight any more.
+    /// Removes a search from those in flight.
     pub(crate) fn end_search(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// When a probe is due; `None`: none is.
+    /// When a probe is due; `None` unless the circuit breaker is open.
     pub(crate) fn probe_due(&self) -> Option<Time> {
         match self.breaker {
             Breaker::Open { until, .. } => Some(until),
@@ -120,7 +121,7 @@
         }
     }
 
-    /// A probe was started: nothing else is, until it has ended.
+    /// Half-opens the circuit breaker, as a probe was started.
     pub(crate) fn half_open(&mut self) {
         if let Breaker::Open { backoff, .. } = self.breaker {
             self.breaker = Breaker::HalfOpen { backoff };
@@ -142,8 +143,8 @@
         self.mean_response_time = Some(mean + NEWEST_WEIGHT * (newest - mean));
     }
 
-    /// `opens_breaker`: the server itself shows that it is of no use now. `jitter` from 0 to 1 spreads the backoffs of
-    /// many front ends.
+    /// Records a failed search. `opens_breaker` opens the circuit breaker even if the failure threshold is not reached.
+    /// `jitter`, from 0 to 1, spreads the backoffs of many front ends.
     pub(crate) fn record_failure(
         &mut self,
         now: Time,
--- a/crates/pipithub-directory/src/state/synchronization.rs
+++ b/crates/pipithub-directory/src/state/synchronization.rs
@@ -1,22 +1,22 @@
-//! Content synchronization with a followed directory: whose entry is whose, and how far a refresh has come.
+//! The state of content synchronization with a followed directory.
 
 use std::collections::HashMap;
 
 use crate::record::{PersonId, User};
 
-/// A refresh stage that has not ended.
+/// A refresh stage that is in progress.
 #[derive(Clone, Copy)]
 pub(crate) struct RefreshStage {
     pub(crate) started_at_ms: i64,
-    /// All entries are part of it: those that are not are deleted.
+    /// Whether the stage reports all entries, so that an entry that it does not report was deleted.
     pub(crate) is_full: bool,
 }
 
 /// The state of the synchronization.
 #[derive(Default)]
 pub(crate) struct SyncState {
-    /// The users by the persons whose entries are theirs.
+    /// The users of the directory's entries, by the persons that the entries belong to.
     pub(crate) users: HashMap<PersonId, User>,
-    /// The refresh stage in progress.
+    /// The refresh stage in progress; `None` between stages.
     pub(crate) refresh: Option<RefreshStage>,
 }
--- a/crates/pipithub-directory/src/state/unconfirmed_changes.rs
+++ b/crates/pipithub-directory/src/state/unconfirmed_changes.rs
@@ -1,29 +1,31 @@
-//! Changes that a server without change numbers has reported once: nothing shows whether its copy is outdated, so it must
-//! report them twice.
+//! Changes that servers without change numbers have reported once.
+//!
+//! Without change numbers an outdated copy cannot be detected, so a change is accepted only when it is reported a second
+//! time, after a delay.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::record::{LookupResult, User};
 use crate::time::Time;
 
-/// A change as it was first reported.
+/// A change and when it was first reported.
 struct UnconfirmedChange {
     result: LookupResult,
     reported_at: Time,
 }
 
-/// When a user is to be searched for again.
+/// The time at which a user is to be searched for again.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Recheck {
     due: Time,
     user: User,
 }
 
-/// A change that a server reports now.
+/// A change that a server has just reported.
 pub(crate) struct ObservedChange<'a> {
     pub(crate) user: &'a User,
     pub(crate) result: LookupResult,
-    /// For how long the change is not confirmed.
+    /// How long after the first report a second one confirms the change.
     pub(crate) confirmation_delay: Time,
 }
 
@@ -35,8 +37,8 @@
 }
 
 impl UnconfirmedChanges {
-    /// Whether a change is accepted: it is when it was reported the same before, long enough ago. One that is reported
-    /// for the first time is rechecked later.
+    /// Whether a change is accepted, as the same change was reported before and the confirmation delay has passed. A
+    /// change that is reported for the first time is stored, and its user is rechecked after the delay.
     pub(crate) fn accept(
         &mut self,
         now: Time,
@@ -58,7 +60,7 @@
             return true;
         }
         if self.changes.len() >= max_changes {
-            // With no capacity to confirm it, a new result is preferred to an old one.
+            // There is no capacity to confirm the change, and a new result is preferred to an old one.
             return true;
         }
         self.add(now, change);
@@ -77,12 +79,12 @@
         });
     }
 
-    /// A user is reported as known: whatever was reported otherwise was not confirmed.
+    /// Discards the unconfirmed change of a user, as the cached record was reported again.
     pub(crate) fn discard(&mut self, user: &User) {
         self.changes.remove(user);
     }
 
-    /// Takes out a user who is to be searched for again.
+    /// Removes and returns a user whose recheck is due.
     pub(crate) fn pop_due_recheck(&mut self, now: Time) -> Option<User> {
         if self.next_due()? > now {
             return None;
@@ -90,7 +92,7 @@
         self.rechecks.pop_first().map(|recheck| recheck.user)
     }
 
-    /// When the next user is to be searched for again.
+    /// When the next recheck is due.
     pub(crate) fn next_due(&self) -> Option<Time> {
         self.rechecks.first().map(|recheck| recheck.due)
     }
--- a/crates/pipithub-directory/src/time.rs
+++ b/crates/pipithub-directory/src/time.rs
@@ -1,18 +1,18 @@
-//! Times of the caller's clock and their conversion to milliseconds.
+//! Times on the caller's clock, and their conversion from and to milliseconds.
 
 pub use pipithub_clock::Time;
 
-/// A millisecond.
+/// The nanoseconds of a millisecond.
 pub(crate) const MILLISECOND: Time = 1_000_000;
-/// A second.
+/// The nanoseconds of a second.
 pub(crate) const SECOND: Time = 1_000 * MILLISECOND;
 
-/// The whole milliseconds of a time or a duration.
+/// Converts a time or a duration to milliseconds, rounded down.
 pub(crate) fn to_ms(time: Time) -> i64 {
     i64::try_from(time / MILLISECOND).unwrap_or(i64::MAX)
 }
 
-/// The time or duration of so many milliseconds; zero if they are negative.
+/// Converts milliseconds to a time or a duration; negative values become zero.
 pub(crate) fn from_ms(milliseconds: i64) -> Time {
     u64::try_from(milliseconds)
         .unwrap_or(0)
