--- a/crates/pipithub-directory/src/persistent_map/tests.rs
+++ b/crates/pipithub-directory/src/persistent_map/tests.rs
@@ -1,4 +1,4 @@
-//! The map against a plain one, over many versions.
+//! Compares the persistent map with a `BTreeMap`, over many versions.
 
 use std::collections::BTreeMap;
 
@@ -9,13 +9,13 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// As a plain map; and what was shared before a change never shows it.
+    /// Each version equals the model as of when it was cloned.
     #[test]
-    fn versions_stay_as_they_were(steps in proptest::collection::vec((0u16..300, any::<Option<u8>>()), 0..400)) {
+    fn cloned_versions_do_not_see_later_changes(steps in proptest::collection::vec((0u16..300, any::<Option<u8>>()), 0..400)) {
         let (mut map, mut model) = (PersistentMap::new(), BTreeMap::new());
         let mut versions = Vec::new();
-        for (n, (key, value)) in steps.into_iter().enumerate() {
-            if n % 50 == 0 {
+        for (number, (key, value)) in steps.into_iter().enumerate() {
+            if number % 50 == 0 {
                 versions.push((map.clone(), model.clone()));
             }
             if let Some(value) = value {
@@ -28,9 +28,9 @@
         versions.push((map, model));
         for (map, model) in versions {
             prop_assert_eq!(map.len(), model.len());
-            let seen: BTreeMap<u16, u8> = map.iter().map(|(k, v)| (*k, *v)).collect();
-            prop_assert_eq!(&seen, &model);
-            prop_assert!(model.iter().all(|(k, v)| map.get(k) == Some(v)));
+            let entries: BTreeMap<u16, u8> = map.iter().map(|(key, value)| (*key, *value)).collect();
+            prop_assert_eq!(&entries, &model);
+            prop_assert!(model.iter().all(|(key, value)| map.get(key) == Some(value)));
         }
     }
 }
--- a/crates/pipithub-directory/src/publisher/tests.rs
+++ b/crates/pipithub-directory/src/publisher/tests.rs
@@ -1,4 +1,4 @@
-//! How long replaced versions are retained.
+//! Tests of how long replaced versions are retained.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 use crate::{Directory, Settings};
 
 #[test]
-fn a_version_outlives_its_readers_and_no_more() {
+fn replaced_version_is_freed_once_no_reader_uses_it() {
     let settings = Settings {
         directories: Vec::new(),
         tenants: Vec::new(),
@@ -17,11 +17,15 @@
     };
     let directory = Directory::new(settings);
     let mut publisher = Publisher::new(directory.roster());
-    let read = publisher.newest().load_full();
+    let reader = publisher.newest().load_full();
     publisher.publish(directory.roster());
     publisher.publish(directory.roster());
-    assert_eq!(Arc::strong_count(&read), 2, "the writer has it still");
-    drop(read);
+    assert_eq!(
+        Arc::strong_count(&reader),
+        2,
+        "the writer still retains the version"
+    );
+    drop(reader);
     publisher.publish(directory.roster());
     assert_eq!(publisher.retired.len(), 0);
 }
--- a/crates/pipithub-directory/src/refresh_wheel/tests.rs
+++ b/crates/pipithub-directory/src/refresh_wheel/tests.rs
@@ -1,10 +1,10 @@
-//! When users are due on the wheel.
+//! Tests of when users are due on the wheel.
 
 use super::{RefreshWheel, WheelSecond};
 use crate::time::SECOND;
 
 #[test]
-fn users_are_due_in_their_second_and_not_before() {
+fn user_is_due_in_the_scheduled_second_and_not_before() {
     let mut wheel = RefreshWheel::default();
     assert_eq!(wheel.next_due(), None);
     wheel.schedule(WheelSecond::after_ms(6_500), "lan".into());
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn seconds_before_the_start_of_the_process_are_due_at_once() {
+fn time_before_process_start_is_due_at_once() {
     let mut wheel = RefreshWheel::default();
     wheel.schedule(WheelSecond::after_ms(-10_500), "mai".into());
     assert_eq!(wheel.next_due(), Some(0));
--- a/crates/pipithub-directory/src/state/lookup_queues/tests.rs
+++ b/crates/pipithub-directory/src/state/lookup_queues/tests.rs
@@ -1,4 +1,4 @@
-//! In which order users are searched for, and how often.
+//! Tests of the order in which users are searched for, and of retries.
 
 use super::{Batch, Enqueued, LookupQueues, Priority};
 use crate::record::User;
@@ -14,21 +14,21 @@
 }
 
 #[test]
-fn users_of_waiting_requests_go_first() {
+fn users_with_waiting_requests_are_searched_first() {
     let mut queues = LookupQueues::default();
     enqueue(&mut queues, "later", Priority::Background);
     enqueue(&mut queues, "known", Priority::Confirmation);
     enqueue(&mut queues, "unknown", Priority::Unknown);
     assert_eq!(names(&queues.take_batch(2)), ["unknown", "known"]);
-    assert!(!queues.has_due(99, 2), "no request waits for the last one");
-    assert!(queues.has_due(100, 2), "its time has come");
-    assert!(queues.has_due(99, 1), "it fills a search");
+    assert!(!queues.has_due(99, 2), "no request waits for the last user");
+    assert!(queues.has_due(100, 2), "the background queue is due");
+    assert!(queues.has_due(99, 1), "the user fills a search");
     assert_eq!(names(&queues.take_batch(2)), ["later"]);
     assert_eq!(queues.background_due(), None);
 }
 
 #[test]
-fn a_user_is_queued_once_and_promoted_when_a_request_waits() {
+fn user_is_queued_once_and_promoted_when_a_request_waits() {
     let mut queues = LookupQueues::default();
     let mut add = |user, priority| enqueue(&mut queues, user, priority);
     assert_eq!(add("mai", Priority::Background), Enqueued::Added);
@@ -38,7 +38,7 @@
     assert_eq!(
         enqueue(&mut queues, "mai", Priority::Unknown),
         Enqueued::AlreadyPending,
-        "their search is in flight"
+        "the search for the user is in flight"
     );
     queues.finish(&"mai".into());
     assert_eq!(
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn each_queue_is_bounded() {
+fn full_queue_rejects_users_while_other_queues_accept_them() {
     let mut queues = LookupQueues::default();
     for number in 0..MAX_QUEUE {
         enqueue(&mut queues, &format!("u{number}"), Priority::Unknown);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_failed_batch_is_retried_once_and_by_itself() {
+fn failed_batch_is_retried_once_without_other_users() {
     let mut queues = LookupQueues::default();
     enqueue(&mut queues, "mai", Priority::Unknown);
     enqueue(&mut queues, "lan", Priority::Unknown);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn draining_ends_what_is_queued_and_not_what_is_in_a_search() {
+fn drain_removes_queued_users_but_not_users_in_a_search() {
     let mut queues = LookupQueues::default();
     enqueue(&mut queues, "searched", Priority::Unknown);
     queues.take_batch(1);
--- a/crates/pipithub-directory/src/state/rate_limit/tests.rs
+++ b/crates/pipithub-directory/src/state/rate_limit/tests.rs
@@ -1,11 +1,11 @@
-//! How tokens and hedges come back.
+//! Tests of the refill of tokens and hedges.
 
 use super::{HedgeBudget, TokenBucket};
 use crate::time::{MILLISECOND, SECOND};
 
 #[test]
-fn tokens_come_back_at_their_rate_up_to_a_burst() {
-    // A quarter of a second's tokens: two.
+fn tokens_refill_at_the_rate_up_to_the_burst() {
+    // The capacity is the tokens of a quarter of a second, which are two.
     let mut bucket = TokenBucket::new(8.0);
     bucket.take();
     assert!(bucket.has_token());
@@ -19,11 +19,11 @@
     bucket.refill(3_600 * SECOND);
     bucket.take();
     bucket.take();
-    assert!(!bucket.has_token(), "no more than a burst is saved up");
+    assert!(!bucket.has_token(), "the burst is the maximum");
 }
 
 #[test]
-fn a_slow_rate_still_has_one_token() {
+fn bucket_with_a_rate_below_one_starts_with_one_token() {
     let mut bucket = TokenBucket::new(0.5);
     assert!(bucket.has_token());
     bucket.take();
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_tenth_of_the_searches_may_be_hedged() {
+fn one_hedge_is_allowed_for_ten_searches() {
     let mut budget = HedgeBudget::default();
     budget.take_hedge();
     assert!(!budget.allows_hedge());
@@ -41,6 +41,6 @@
             budget.allows_hedge()
         })
         .expect("a hedge is allowed again");
-    // The tenth addition of a tenth is a rounding error short of one.
+    // Ten additions of 0.1 may fall short of 1 by a rounding error.
     assert!((10..=11).contains(&searches), "{searches} searches");
 }
--- a/crates/pipithub-directory/src/state/replication/tests.rs
+++ b/crates/pipithub-directory/src/state/replication/tests.rs
@@ -1,21 +1,21 @@
-//! Which copies are outdated, and since when.
+//! Tests of which copies are outdated, and since when.
 
 use super::{MAX_OBSERVED, ReplicationProgress};
 
 #[test]
-fn a_copy_is_outdated_since_the_next_change_was_first_seen() {
+fn lagging_copy_is_outdated_since_the_next_change_was_first_seen() {
     let mut progress = ReplicationProgress::default();
     assert_eq!(progress.observe(10, 1_000), None);
     assert_eq!(progress.observe(12, 2_000), None);
     assert_eq!(progress.observe(15, 3_000), None);
-    assert_eq!(progress.observe(15, 4_000), None, "as new as the newest");
+    assert_eq!(progress.observe(15, 4_000), None, "same as the newest copy");
     assert_eq!(progress.observe(10, 5_000), Some(2_000));
     assert_eq!(progress.observe(11, 5_000), Some(2_000));
     assert_eq!(progress.observe(12, 5_000), Some(3_000));
 }
 
 #[test]
-fn what_is_remembered_is_bounded() {
+fn number_of_stored_change_numbers_is_bounded() {
     let mut progress = ReplicationProgress::default();
     for change_number in 0..1_000 {
         progress.observe(change_number, change_number as i64);
--- a/crates/pipithub-directory/src/state/unconfirmed_changes/tests.rs
+++ b/crates/pipithub-directory/src/state/unconfirmed_changes/tests.rs
@@ -1,4 +1,4 @@
-//! When a change is accepted that nothing but a second report confirms.
+//! Tests of when a change without a change number is accepted.
 
 use super::{ObservedChange, UnconfirmedChanges};
 use crate::record::{LookupResult, TenantId, User};
@@ -6,7 +6,7 @@
 const DELAY: u64 = 100;
 const MAX_CHANGES: usize = 2;
 
-/// Whether a change is accepted now.
+/// Reports a change, and returns whether it is accepted.
 fn report(changes: &mut UnconfirmedChanges, now: u64, user: &str, result: LookupResult) -> bool {
     let user: User = user.into();
     let change = ObservedChange {
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_change_is_accepted_when_it_is_reported_again_after_the_delay() {
+fn change_is_accepted_when_reported_again_after_the_delay() {
     let mut changes = UnconfirmedChanges::default();
     assert!(!report(&mut changes, 0, "mai", LookupResult::Absent));
     assert_eq!(changes.next_due(), Some(DELAY));
@@ -28,22 +28,22 @@
     assert!(report(&mut changes, DELAY, "mai", LookupResult::Absent));
     assert!(
         !report(&mut changes, DELAY, "mai", LookupResult::Absent),
-        "the next change is a new one"
+        "an accepted change does not confirm the next one"
     );
 }
 
 #[test]
-fn another_change_must_be_confirmed_anew() {
+fn different_change_restarts_the_confirmation() {
     let mut changes = UnconfirmedChanges::default();
-    let moved = LookupResult::Tenant(TenantId(1));
+    let migrated = LookupResult::Tenant(TenantId(1));
     assert!(!report(&mut changes, 0, "mai", LookupResult::Absent));
-    assert!(!report(&mut changes, DELAY, "mai", moved));
-    assert!(!report(&mut changes, 2 * DELAY - 1, "mai", moved));
-    assert!(report(&mut changes, 2 * DELAY, "mai", moved));
+    assert!(!report(&mut changes, DELAY, "mai", migrated));
+    assert!(!report(&mut changes, 2 * DELAY - 1, "mai", migrated));
+    assert!(report(&mut changes, 2 * DELAY, "mai", migrated));
 }
 
 #[test]
-fn a_change_that_is_taken_back_is_not_confirmed_later() {
+fn discarded_change_does_not_count_as_a_first_report() {
     let mut changes = UnconfirmedChanges::default();
     assert!(!report(&mut changes, 0, "mai", LookupResult::Absent));
     changes.discard(&"mai".into());
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn without_capacity_a_change_is_accepted_at_once() {
+fn change_is_accepted_at_once_without_capacity_to_confirm_it() {
     let mut changes = UnconfirmedChanges::default();
     assert!(!report(&mut changes, 0, "mai", LookupResult::Absent));
     assert!(!report(&mut changes, 0, "lan", LookupResult::Absent));
--- a/crates/pipithub-directory/tests/directory/bounds.rs
+++ b/crates/pipithub-directory/tests/directory/bounds.rs
@@ -1,9 +1,9 @@
-//! What is cached and queued at most.
+//! Tests of the limit on cached users.
 
 use crate::support::{HOUR, Responder, SECOND, directory_with, numbered_user};
 
 #[test]
-fn users_and_queues_are_bounded() {
+fn cached_users_are_bounded_and_removed_when_unused() {
     let mut responder = Responder::new(directory_with(50, |_| {}), 0);
     for number in 0..1_000 {
         responder.look_up(&numbered_user(number));
@@ -11,7 +11,7 @@
     }
     responder.run(200 * SECOND);
     assert_eq!(responder.core.roster().len(), 50);
-    // All that nobody looks up again is removed.
+    // Users who are not looked up again are removed.
     responder.run(40 * HOUR);
     assert_eq!(responder.core.roster().len(), 0);
 }
--- a/crates/pipithub-directory/tests/directory/daily_peak.rs
+++ b/crates/pipithub-directory/tests/directory/daily_peak.rs
@@ -1,14 +1,14 @@
-//! Refreshes ahead of a daily peak.
+//! Tests of refreshes ahead of a daily peak.
 
 use pipithub_directory::{DailyPeak, Directory, Resolution};
 
 use crate::support::{
-    HOUR, HOUR_MS, MINUTE, MadeSearch, Responder, SECOND, directory_with, numbered_user,
+    HOUR, HOUR_MS, MINUTE, RecordedSearch, Responder, SECOND, directory_with, numbered_user,
 };
 
 const DAY_MS: i64 = 24 * HOUR_MS;
 
-/// A directory with a peak at six, whose users are refreshed from five on.
+/// A core with a peak at 06:00, ahead of which users are refreshed from 05:00 on.
 fn directory_with_peak() -> Directory {
     directory_with(10_000, |settings| {
         settings.daily_peak = Some(DailyPeak {
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn refreshes_are_spread_over_the_next_window() {
+fn refresh_times_are_spread_over_the_next_window() {
     let peak = DailyPeak {
         starts_at_ms: 6 * HOUR_MS,
         lead_ms: 2 * HOUR_MS,
@@ -27,7 +27,7 @@
     let day = 20_000 * DAY_MS;
     assert_eq!(peak.refresh_time(day + HOUR_MS, 0.0), day + 4 * HOUR_MS);
     assert_eq!(peak.refresh_time(day + HOUR_MS, 0.5), day + 5 * HOUR_MS);
-    // Confirmed within the window or in the peak: the next day's.
+    // Records that were confirmed within the window or during the peak are refreshed on the next day.
     let next_day = day + DAY_MS;
     assert_eq!(
         peak.refresh_time(day + 5 * HOUR_MS, 0.0),
@@ -41,7 +41,7 @@
         peak.refresh_time(day + 23 * HOUR_MS, 1.0),
         next_day + 6 * HOUR_MS
     );
-    // A window over midnight.
+    // The window includes midnight.
     let early = DailyPeak {
         starts_at_ms: HOUR_MS,
         lead_ms: 3 * HOUR_MS,
@@ -51,7 +51,7 @@
         day + 22 * HOUR_MS
     );
     assert_eq!(early.refresh_time(day, 0.0), day + 22 * HOUR_MS);
-    // No time and no fraction overflows.
+    // Extreme times and fractions do not overflow.
     let _ = peak.refresh_time(i64::MIN, f64::NAN) + early.refresh_time(i64::MAX - 3 * DAY_MS, 2.0);
 }
 
@@ -70,7 +70,7 @@
             .iter()
             .filter(|search| search.users > 0)
             .all(|search| search.at >= 5 * HOUR),
-        "within the hour before"
+        "refreshes are made within the hour before the peak"
     );
     assert!(searches.len() <= 500 / 3, "{} searches", searches.len());
     let is_fresh = |number: &u64| {
@@ -83,9 +83,9 @@
     assert!((0..500).filter(is_fresh).count() >= 490);
 }
 
-/// The peak is in wall time: it had been counted from the wall time at the start for good.
+/// The peak is in wall time, so that its time on the core's clock changes when the wall clock is stepped.
 #[test]
-fn after_a_step_of_the_wall_clock_refreshes_precede_the_peak_of_the_wall_clock() {
+fn refreshes_follow_the_wall_clock_after_it_is_stepped() {
     let mut core = directory_with_peak();
     core.set_wall_clock(SECOND, 3 * HOUR_MS + 1_000);
     let mut responder = Responder::new(core, SECOND);
@@ -93,7 +93,7 @@
         responder.look_up(&numbered_user(number));
     }
     responder.run(2 * SECOND);
-    let searches: Vec<MadeSearch> = responder
+    let searches: Vec<RecordedSearch> = responder
         .run(5 * HOUR)
         .into_iter()
         .filter(|search| search.users > 0)
--- a/crates/pipithub-directory/tests/directory/main.rs
+++ b/crates/pipithub-directory/tests/directory/main.rs
@@ -1,4 +1,4 @@
-//! The directory by itself: followed directories, refreshes ahead of peaks, bounds, snapshots, pending look-ups.
+//! Tests of the directory core: followed directories, refreshes ahead of peaks, limits, snapshots, pending look-ups.
 
 mod bounds;
 mod daily_peak;
--- a/crates/pipithub-directory/tests/directory/snapshots.rs
+++ b/crates/pipithub-directory/tests/directory/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots: what they keep, and which of them are rejected.
+//! Tests of snapshots: what they preserve, and which of them are rejected.
 
 use pipithub_directory::snapshot::{self, SnapshotError, StoredRecord};
 use pipithub_directory::{Directory, LookupRecord, LookupResult, PersonId, TenantId, Time};
@@ -7,7 +7,7 @@
 
 const FINGERPRINT: [u8; 32] = [1; 32];
 const KEY: &[u8] = b"sixteen bytes....";
-/// When the snapshots were written.
+/// The wall time at which the snapshots are written, in Unix milliseconds.
 const WALL_MS: i64 = 1_800_000_000_000;
 
 fn stored(user: &str, confirmed_at_ms: i64) -> StoredRecord {
@@ -25,7 +25,7 @@
     }
 }
 
-/// A directory that has these records.
+/// A core that caches these records.
 fn restored(records: Vec<StoredRecord>) -> Directory {
     let mut core = directory_with(100, |_| {});
     core.restore(0, records);
@@ -46,21 +46,21 @@
 }
 
 #[test]
-fn snapshots_keep_ages_and_are_rejected_where_they_do_not_fit() {
+fn snapshot_preserves_ages_and_is_rejected_if_changed_or_foreign() {
     let core = restored(vec![stored("mai", 0), stored("lan", -11 * HOUR_MS)]);
     let bytes = snapshot::write(core.roster(), SECOND, WALL_MS, FINGERPRINT, KEY);
-    let now = read(&bytes, WALL_MS, FINGERPRINT, KEY).expect("ours");
+    let now = read(&bytes, WALL_MS, FINGERPRINT, KEY).expect("a valid snapshot");
     assert_eq!(now.len(), 2);
-    let later = read(&bytes, WALL_MS + 2 * HOUR_MS, FINGERPRINT, KEY).expect("ours");
+    let later = read(&bytes, WALL_MS + 2 * HOUR_MS, FINGERPRINT, KEY).expect("a valid snapshot");
     assert_eq!(
         later.iter().map(|record| &*record.user).collect::<Vec<_>>(),
         ["mai"],
-        "the other is past its bound by now"
+        "the other record has expired"
     );
     assert_eq!(
         later[0].record.confirmed_at_ms,
         -2 * HOUR_MS - 1_000,
-        "nothing is younger for having been written down"
+        "the age includes the time since the snapshot"
     );
     assert_eq!(
         read(&bytes, WALL_MS, [2; 32], KEY),
@@ -84,9 +84,9 @@
     }
 }
 
-/// A step back between the writing and the restart must not make records look as fresh as when they were written.
+/// If the wall clock is stepped back between the snapshot and the restart, records must not appear fresher than they are.
 #[test]
-fn records_of_a_snapshot_from_the_future_are_old() {
+fn snapshot_from_the_future_is_aged_by_a_minute_or_rejected() {
     let core = restored(vec![stored("mai", 0)]);
     let bytes = snapshot::write(core.roster(), SECOND, WALL_MS, FINGERPRINT, KEY);
     let age = |wall_ms| {
--- a/crates/pipithub-directory/tests/directory/support.rs
+++ b/crates/pipithub-directory/tests/directory/support.rs
@@ -1,4 +1,4 @@
-//! A directory with two tenants, and what its servers would respond.
+//! A directory with two tenants, and simulated servers that respond to its searches.
 
 use pipithub_directory::{
     Directory, DirectoryEntry, DirectorySettings, Input, Lifetimes, Output, PersonId, Query,
@@ -33,7 +33,7 @@
     }
 }
 
-/// One directory with the tenants "north" (0) and "south" (1).
+/// A core with one directory and the tenants "north" (0) and "south" (1).
 pub(crate) fn directory_with(
     max_users: usize,
     change: impl FnOnce(&mut DirectorySettings),
@@ -58,7 +58,7 @@
     }
 }
 
-/// Hands an event of a followed directory over.
+/// Passes an event of a followed directory to the core, and returns the outputs.
 pub(crate) fn synchronize(
     core: &mut Directory,
     now: Time,
@@ -74,14 +74,14 @@
     outputs
 }
 
-/// Has all that is due at this moment happen.
+/// Ticks the core until nothing more is due at this time.
 pub(crate) fn settle(core: &mut Directory, now: Time, outputs: &mut Vec<Output>) {
     while core.next_due(now).is_some_and(|due| due <= now) {
         core.handle(now, Input::Tick, outputs);
     }
 }
 
-/// The tenant that a user is resolved to.
+/// The number of the tenant that a user resolves to.
 pub(crate) fn tenant(core: &Directory, user: &str, now: Time) -> Option<u16> {
     match core.roster().resolve(user, now) {
         Resolution::Tenant { tenant, .. } => Some(tenant.0),
@@ -89,19 +89,19 @@
     }
 }
 
-/// The numbered user of a test that has many.
+/// The name of one of many users.
 pub(crate) fn numbered_user(number: u64) -> String {
     format!("u{number}")
 }
 
-/// A search that was made.
+/// A search that the core has made.
 #[derive(Debug)]
-pub(crate) struct MadeSearch {
+pub(crate) struct RecordedSearch {
     pub(crate) at: Time,
     pub(crate) users: usize,
 }
 
-/// A directory whose servers respond at once that every user is the north's.
+/// A core whose servers respond at once, and report that every user belongs to the tenant "north".
 pub(crate) struct Responder {
     pub(crate) core: Directory,
     pub(crate) now: Time,
@@ -117,7 +117,7 @@
         }
     }
 
-    /// A request waits for a user.
+    /// Looks a user up for a waiting request.
     pub(crate) fn look_up(&mut self, user: &str) {
         let input = Input::LookUp {
             user: user.into(),
@@ -126,8 +126,8 @@
         self.core.handle(self.now, input, &mut self.outputs);
     }
 
-    /// Lets time pass; the searches made meanwhile.
-    pub(crate) fn run(&mut self, until: Time) -> Vec<MadeSearch> {
+    /// Advances time, and returns the searches that were made meanwhile.
+    pub(crate) fn run(&mut self, until: Time) -> Vec<RecordedSearch> {
         let mut searches = Vec::new();
         loop {
             self.respond_to_all(&mut searches);
@@ -142,7 +142,7 @@
         searches
     }
 
-    fn respond_to_all(&mut self, searches: &mut Vec<MadeSearch>) {
+    fn respond_to_all(&mut self, searches: &mut Vec<RecordedSearch>) {
         while !self.outputs.is_empty() {
             for output in std::mem::take(&mut self.outputs) {
                 if let Output::Search { id, query, .. } = output {
@@ -152,7 +152,7 @@
         }
     }
 
-    fn respond(&mut self, id: SearchId, query: Query) -> MadeSearch {
+    fn respond(&mut self, id: SearchId, query: Query) -> RecordedSearch {
         let users = if let Query::Users(users) = query {
             users
         } else {
@@ -169,7 +169,7 @@
             outcome: Ok(response),
         };
         self.core.handle(self.now, input, &mut self.outputs);
-        MadeSearch {
+        RecordedSearch {
             at: self.now,
             users: users.len(),
         }
--- a/crates/pipithub-directory/tests/directory/synchronization.rs
+++ b/crates/pipithub-directory/tests/directory/synchronization.rs
@@ -1,4 +1,4 @@
-//! Directories that are followed by content synchronization.
+//! Tests of directories that are followed by content synchronization.
 
 use pipithub_directory::{
     Directory, DirectoryEntry, Output, PersonId, Resolution, Settings, SyncEvent, Time,
@@ -9,8 +9,8 @@
     tenant, tenant_base,
 };
 
-/// A refresh of a directory names these users.
-fn name_users(
+/// Reports the entries of these users in a refresh of a directory.
+fn report_entries(
     core: &mut Directory,
     now: Time,
     directory: usize,
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_followed_directory_is_known_completely() {
+fn followed_directory_resolves_all_users_after_a_full_refresh() {
     let mut core = directory_with(100, |_| {});
     synchronize(&mut core, 0, 0, SyncEvent::RefreshStarted { full: true });
     synchronize(&mut core, 0, 0, SyncEvent::Entry(entry("mai", "north", 1)));
@@ -38,8 +38,8 @@
         core.roster().resolve("nobody", SECOND),
         Resolution::NoTenant
     );
-    let moved = SyncEvent::Entry(entry("mai", "south", 1));
-    let outputs = synchronize(&mut core, 2 * SECOND, 0, moved);
+    let migrated = SyncEvent::Entry(entry("mai", "south", 1));
+    let outputs = synchronize(&mut core, 2 * SECOND, 0, migrated);
     assert!(outputs.contains(&Output::UserMigrated("mai".into())));
     assert_eq!(tenant(&core, "mai", 2 * SECOND), Some(1));
     let renamed = SyncEvent::Entry(entry("may", "south", 1));
@@ -54,12 +54,12 @@
         core.roster().resolve("lan", 4 * SECOND),
         Resolution::NoTenant
     );
-    // As long as the connection is up nothing ages; then it does, from the last good moment.
+    // Heartbeats confirm all records. After the connection is lost they age from the last heartbeat.
     synchronize(&mut core, 20 * HOUR, 0, SyncEvent::Heartbeat);
     assert_eq!(tenant(&core, "may", 20 * HOUR), Some(1));
     synchronize(&mut core, 21 * HOUR, 0, SyncEvent::ConnectionLost);
     assert_eq!(tenant(&core, "may", 31 * HOUR), Some(1));
-    assert_eq!(tenant(&core, "may", 33 * HOUR), None, "past the hard bound");
+    assert_eq!(tenant(&core, "may", 33 * HOUR), None, "expired");
     assert_eq!(
         core.roster().resolve("newcomer", 33 * HOUR),
         Resolution::Unknown,
@@ -67,30 +67,30 @@
     );
 }
 
-/// A user that is not part of a full refresh has no entry any more, though no event ever says so.
+/// A user that is not part of a full refresh has no entry any more, although no event reports the deletion.
 #[test]
-fn users_that_a_full_refresh_does_not_name_are_removed() {
+fn users_missing_from_a_full_refresh_are_removed() {
     let north = |number| entry(&numbered_user(number), "north", number + 1);
     let mut core = directory_with(10_000, |_| {});
     synchronize(&mut core, 0, 0, SyncEvent::RefreshStarted { full: true });
-    name_users(&mut core, 0, 0, 0..5_000, north);
+    report_entries(&mut core, 0, 0, 0..5_000, north);
     synchronize(&mut core, SECOND, 0, SyncEvent::RefreshDone);
     synchronize(&mut core, 10 * SECOND, 0, SyncEvent::ConnectionLost);
-    let again = 20 * SECOND;
+    let second_refresh = 20 * SECOND;
     synchronize(
         &mut core,
-        again,
+        second_refresh,
         0,
         SyncEvent::RefreshStarted { full: true },
     );
-    name_users(&mut core, again, 0, 0..100, north);
+    report_entries(&mut core, second_refresh, 0, 0..100, north);
     let done = 21 * SECOND;
     let mut outputs = synchronize(&mut core, done, 0, SyncEvent::RefreshDone);
     settle(&mut core, done, &mut outputs);
-    let left = (0..5_000)
+    let remaining = (0..5_000)
         .filter(|number| tenant(&core, &numbered_user(*number), done).is_some())
         .count();
-    assert_eq!(left, 100);
+    assert_eq!(remaining, 100);
     let migrated = outputs
         .iter()
         .filter(|output| matches!(output, Output::UserMigrated(_)))
@@ -98,17 +98,17 @@
     assert_eq!(migrated, 4_900);
 }
 
-/// A directory that is followed, with one unit's users.
+/// A followed directory with the users of one unit, whose names begin with the prefix.
 struct FollowedUnit {
     directory: usize,
     unit: &'static str,
     prefix: &'static str,
 }
 
-/// The full refreshes of two followed directories ended in one moment: the second one's sweep replaced the first one's,
-/// and whoever was removed from that stayed, as fresh as the connection.
+/// When full refreshes of two followed directories end at the same time, the sweep of one must not replace the sweep of
+/// the other. Otherwise users that were deleted from the first directory would stay valid.
 #[test]
-fn refreshes_of_two_directories_do_not_lose_each_other() {
+fn simultaneous_full_refreshes_of_two_directories_both_remove_missing_users() {
     let mut core = Directory::new(Settings {
         directories: vec![directory_settings(); 2],
         tenants: vec![tenant_base(0, "north"), tenant_base(1, "south")],
@@ -126,7 +126,7 @@
     let full = SyncEvent::RefreshStarted { full: true };
     for unit in &units {
         synchronize(&mut core, 0, unit.directory, full.clone());
-        name_users(&mut core, 0, unit.directory, 0..5_000, |number| {
+        report_entries(&mut core, 0, unit.directory, 0..5_000, |number| {
             let person = 2 * number + unit.directory as u64 + 1;
             entry(&format!("{}{number}", unit.prefix), unit.unit, person)
         });
@@ -140,10 +140,10 @@
         synchronize(&mut core, done, unit.directory, SyncEvent::RefreshDone);
     }
     settle(&mut core, done, &mut Vec::new());
-    let left = units.each_ref().map(|unit| {
+    let remaining = units.each_ref().map(|unit| {
         (0..5_000)
             .filter(|number| tenant(&core, &format!("{}{number}", unit.prefix), done).is_some())
             .count()
     });
-    assert_eq!(left, [0, 0]);
+    assert_eq!(remaining, [0, 0]);
 }
--- a/crates/pipithub-endpoints/src/cache.rs
+++ b/crates/pipithub-endpoints/src/cache.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as a text that is cached for a restart.
+//! The file format of the endpoint list that is cached for a restart.
 
 use pipithub_clock::Reading;
 use pipithub_engine::Time;
@@ -10,7 +10,7 @@
 /// The version of the file format.
 pub(crate) const FORMAT: u32 = 1;
 
-/// The list in the file; the field names are those of its JSON.
+/// The contents of the file. The field names are the keys of its JSON.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct CachedList {
     pub(crate) format: u32,
@@ -29,7 +29,7 @@
 }
 
 impl CachedWorker {
-    /// The worker as an endpoint; `written_ms` is the wall time at which the file was written.
+    /// Converts the worker to an endpoint. `written_ms` is the wall time at which the file was written.
     fn into_endpoint(self, written_ms: u64, reading: Reading) -> Endpoint {
         let age_ms = self
             .started_ms
@@ -55,23 +55,27 @@
     }
 }
 
-/// A cached list as it is handed to the engine.
+/// A cached list in the form that the engine takes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CachedEndpoints {
-    /// Always [`EndpointUpdate::Cached`]: the endpoints may be outdated.
+    /// Always [`EndpointUpdate::Cached`], as the endpoints may be outdated.
     pub update: EndpointUpdate,
-    /// The endpoints, with starts on this process's clock.
+    /// The endpoints, with their start times on the clock of this process.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// Reads a cached list. `wall_ms` is the Unix time of `now`.
+/// Parses a cached list. `wall_ms` is the Unix time at `now`.
+///
+/// # Errors
+///
+/// Fails if the text is no cached list or has too many endpoints.
 pub fn read_cached_list(
     text: &str,
     now: Time,
     wall_ms: u64,
 ) -> Result<CachedEndpoints, EndpointListError> {
     let json = |source| EndpointListError::Json {
-        what: "remembered list",
+        what: "cached endpoint list",
         source,
     };
     let cached: CachedList = serde_json::from_str(text).map_err(json)?;
@@ -88,9 +92,10 @@
     })
 }
 
-/// A worker's present age in milliseconds: its age when the list was written and the wall time since. A list from the
-/// future adds nothing, as the wall clock was stepped back by an unknown time, and no worker is younger than it was. A
-/// start after the list was written is not known and counts as long ago.
+/// A worker's present age in milliseconds: its age when the list was written, plus the wall time since then.
+///
+/// If the list was written in the future, the wall clock was stepped back by an unknown time, and nothing is added.
+/// Returns `None` if the start lies after the writing of the list; such a worker counts as started long ago.
 fn age_across_restart(started_ms: u64, written_ms: u64, wall_ms: u64) -> Option<u64> {
     let age_then = written_ms.checked_sub(started_ms)?;
     Some(age_then.saturating_add(wall_ms.saturating_sub(written_ms)))
--- a/crates/pipithub-endpoints/src/lib.rs
+++ b/crates/pipithub-endpoints/src/lib.rs
@@ -1,12 +1,13 @@
-//! The worker list from Kubernetes `EndpointSlice` objects (`discovery.k8s.io/v1`), without I/O.
+//! The endpoint list from Kubernetes `EndpointSlice` objects (`discovery.k8s.io/v1`), without I/O.
 //!
-//! A [`Watcher`] reads the bodies of lists and the lines of a watch and returns the changes for the engine. It keeps the
-//! `resourceVersion` to watch from, detects a version that is too old (`410 Gone`), and can be cached for a restart
-//! ([`Watcher::to_cached_list`], [`read_cached_list`]).
+//! A [`Watcher`] parses the bodies of list responses and the lines of a watch, and returns the changes for the engine. It
+//! tracks the `resourceVersion` to watch from and detects that a version has expired (`410 Gone`). The list can be cached
+//! for a restart with [`Watcher::to_cached_list`] and [`read_cached_list`].
 //!
-//! Two annotations on a slice hold what Kubernetes has no field for; both map an endpoint's `targetRef.uid` to a
-//! number: `pipithub.dev/started-ms` (Unix time of its start) and `pipithub.dev/memory-mb`. Without the first, an
-//! endpoint first seen in a watch counts as started then, one found in a list as started long ago.
+//! Two annotations of a slice hold what Kubernetes has no fields for. Both map the `targetRef.uid` of an endpoint to a
+//! number: `pipithub.dev/started-ms` to the Unix time of its start in milliseconds, and `pipithub.dev/memory-mb` to its
+//! memory in MB. Without the first one, an endpoint that a watch event adds counts as started at that time, and an
+//! endpoint of the first list as started long ago.
 
 mod cache;
 pub mod object;
@@ -23,34 +24,34 @@
 
 /// The API group and version of the slices.
 pub const API: &str = "discovery.k8s.io/v1";
-/// Annotation: start times in Unix milliseconds, by uid.
+/// The annotation with the start times of endpoints in Unix milliseconds, by uid.
 pub const STARTED_ANNOTATION: &str = "pipithub.dev/started-ms";
-/// Annotation: memory in MB, by uid.
+/// The annotation with the memory of endpoints in MB, by uid.
 pub const MEMORY_ANNOTATION: &str = "pipithub.dev/memory-mb";
 const NANOS_PER_MS: Time = 1_000_000;
-/// The status of a version that is too old to watch from.
+/// The HTTP status code for a version that is too old to watch from.
 const GONE: u16 = 410;
-/// The most endpoints that a list may have: a broken one must not fill the memory.
+/// The maximum number of endpoints in a list, so that an invalid list cannot exhaust the memory.
 pub const MAX_ENDPOINTS: usize = 20_000;
 
-/// Why a list or an event of the watch could not be read; the workers known before stay.
+/// Why a list or a watch event was rejected. The endpoints known before stay in use.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointListError {
     /// The text is not JSON of the expected shape.
-    #[error("cannot read the {what}: {source}")]
+    #[error("failed to parse {what}: {source}")]
     Json {
-        /// What the text should have been.
+        /// The kind of text that was expected.
         what: &'static str,
-        /// Where the text is wrong, and why.
+        /// The position and the cause of the error.
         source: serde_json::Error,
     },
-    /// The list has more endpoints than the limit.
-    #[error("{0} endpoints are more than the {MAX_ENDPOINTS} taken")]
+    /// The list has more endpoints than [`MAX_ENDPOINTS`]; this many.
+    #[error("{0} endpoints exceed the maximum of {MAX_ENDPOINTS}")]
     TooMany(usize),
-    /// The server answered with a status object.
-    #[error("the server answers {code}: {message}")]
+    /// The server sent a `Status` object with an error.
+    #[error("the server responded with status {code}: {message}")]
     Status {
-        /// The code of the status.
+        /// The code of the status; 0 if it has none.
         code: u16,
         /// The message of the status.
         message: String,
@@ -60,36 +61,40 @@
 /// The effect of one line of a watch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchStep {
-    /// Workers changed.
+    /// These endpoints were added, changed or removed.
     Changes(Vec<Endpoint>),
-    /// No worker changed; the version to continue from did.
+    /// No endpoint changed, although the version to continue from may have.
     Nothing,
-    /// The version is too old: the list is to be read again.
+    /// The version to watch from has expired, and the list must be fetched again.
     Expired,
 }
 
-/// The present state of one endpoint.
+/// An endpoint as it was last reported.
 #[derive(Clone, Debug, PartialEq)]
 struct KnownEndpoint {
     state: EndpointState,
     uid: String,
     zone: String,
     memory_mb: f64,
+    /// When the endpoint started, on the caller's clock; `None` if that was long ago.
     started: Option<Time>,
 }
 
-/// Follows the endpoint slices of one service.
+/// Tracks the endpoint slices of one service.
 #[derive(Debug, Default)]
 pub struct Watcher {
     port: Option<String>,
     version: Option<String>,
+    /// The slices by their names.
     slices: BTreeMap<String, EndpointSlice>,
+    /// The endpoints by their addresses.
     known: BTreeMap<String, KnownEndpoint>,
+    /// Whether a list was read, so that a new endpoint has just started.
     listed: bool,
 }
 
 impl Watcher {
-    /// Creates a watcher of the port of this name, or of the first port of each slice.
+    /// Creates a watcher of the port with this name; `None` uses the first port of each slice.
     pub fn new(port: Option<String>) -> Self {
         Watcher {
             port,
@@ -97,17 +102,21 @@
         }
     }
 
-    /// The version to watch from; `None`: the list is to be read first.
+    /// The version to watch from; `None` if the list must be fetched first.
     pub fn version(&self) -> Option<&str> {
         self.version.as_deref()
     }
 
-    /// Discards the version to watch from, so that the list is read again.
+    /// Discards the version to watch from, so that the list must be fetched again.
     pub fn forget_version(&mut self) {
         self.version = None;
     }
 
-    /// Reads the body of a list and returns all workers. `wall_ms` is the Unix time of `now`.
+    /// Parses the body of a list response and returns all endpoints. `wall_ms` is the Unix time at `now`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the body is no list or has too many endpoints. The state is then unchanged.
     pub fn list(
         &mut self,
         now: Time,
@@ -138,7 +147,12 @@
             .collect())
     }
 
-    /// Reads one line of a watch.
+    /// Parses one line of a watch. `wall_ms` is the Unix time at `now`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the line is no watch event, if the list would have too many endpoints, or if the server reports an error
+    /// other than an expired version. The endpoints are then unchanged.
     pub fn line(
         &mut self,
         now: Time,
@@ -161,7 +175,7 @@
                 Ok(WatchStep::Nothing)
             }
             "ERROR" => self.apply_error(&event.object),
-            // A kind of event that later servers may send changes nothing here.
+            // Ignores kinds of events that later versions of the server may send.
             _ => Ok(WatchStep::Nothing),
         }
     }
@@ -215,7 +229,7 @@
         })
     }
 
-    /// Derives the workers from all slices and returns those that changed.
+    /// Derives the endpoints from all slices and returns those that changed.
     fn refresh(&mut self, reading: Reading) -> Vec<Endpoint> {
         let mut next: BTreeMap<String, KnownEndpoint> = BTreeMap::new();
         for slice in self.slices.values() {
@@ -227,7 +241,7 @@
                     continue;
                 };
                 let found = self.describe(slice, endpoint, &address, reading);
-                // While an endpoint moves between slices it may be in two of them; if one says draining, that counts.
+                // While an endpoint is moved between slices, it may be in two of them. It drains if one of them says so.
                 let is_draining = next
                     .get(&address)
                     .is_some_and(|known| known.state == EndpointState::Draining);
@@ -241,7 +255,7 @@
         changes
     }
 
-    /// The workers that differ from those known before.
+    /// The endpoints that differ from those known before, including removed ones.
     fn changes_to(&self, next: &BTreeMap<String, KnownEndpoint>) -> Vec<Endpoint> {
         let removed = self
             .known
@@ -279,12 +293,12 @@
                 .copied()
                 .filter(|number| number.is_finite() && *number >= 0.0)
         };
-        // A start in the future, by a clock that was stepped back, counts as now: it is taken for cold no longer than
-        // a worker's ramp.
+        // A start in the future, by a clock that was stepped back, counts as now. The worker is then considered to be
+        // warming up for one slow-start window at most.
         let annotated =
             number(STARTED_ANNOTATION).map(|stamp_ms| reading.time_of_stamp(stamp_ms as u64));
         let started = match before {
-            // A start once known stays: clocks that drift or are stepped must not look like restarts.
+            // The first start time is retained, so that a clock that drifts or is stepped does not look like a restart.
             Some(known) => known.started,
             None => annotated.or(self.listed.then_some(reading.now.max(1))),
         };
@@ -298,7 +312,7 @@
         }
     }
 
-    /// The number of workers that are ready.
+    /// The number of endpoints that are ready.
     pub fn ready_count(&self) -> usize {
         self.known
             .values()
@@ -306,7 +320,7 @@
             .count()
     }
 
-    /// The list as a text to cache for a restart.
+    /// Serializes the list, to be cached for a restart. `wall_ms` is the Unix time at `now`.
     pub fn to_cached_list(&self, now: Time, wall_ms: u64) -> String {
         let started_ms = |started: Time| {
             let age = now.saturating_sub(started);
--- a/crates/pipithub-endpoints/src/object.rs
+++ b/crates/pipithub-endpoints/src/object.rs
@@ -1,4 +1,4 @@
-//! The parts of the Kubernetes objects that are read; all others are passed over.
+//! The parts of Kubernetes objects that are used. All other fields are ignored.
 
 use std::collections::BTreeMap;
 
@@ -13,14 +13,14 @@
     pub resource_version: String,
 }
 
-/// A list of slices.
+/// The response to a list request.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct EndpointSliceList {
-    /// Its version.
+    /// The metadata of the list, with the version to watch from.
     #[serde(default)]
     pub metadata: ListMeta,
-    /// The slices.
+    /// All slices that match the request.
     pub items: Vec<EndpointSlice>,
 }
 
@@ -28,14 +28,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct ObjectMeta {
-    /// Its name.
+    /// The name, which is unique within the namespace.
     pub name: String,
-    /// Its version.
+    /// The version of the slice's latest change; empty if it is missing.
     pub resource_version: String,
-    /// Its labels.
+    /// The labels, by which requests select the slices of a service.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub labels: Option<BTreeMap<String, String>>,
-    /// Its annotations.
+    /// The annotations, such as [`crate::STARTED_ANNOTATION`].
     #[serde(skip_serializing_if = "Option::is_none")]
     pub annotations: Option<BTreeMap<String, String>>,
 }
@@ -44,90 +44,91 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct EndpointPort {
-    /// Its name.
+    /// The name of the port; `None` or empty if the service has one unnamed port.
     pub name: Option<String>,
-    /// Its number.
+    /// The port number; `None` if the port is not restricted.
     pub port: Option<u16>,
 }
 
-/// A slice: some of a service's endpoints.
+/// A slice, which contains some of a service's endpoints.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct EndpointSlice {
-    /// Name, version, annotations.
+    /// The metadata of the slice.
     pub metadata: ObjectMeta,
     /// `IPv4`, `IPv6` or `FQDN`.
     #[serde(default)]
     pub address_type: String,
-    /// The endpoints; the API server may send `null` for none.
+    /// The endpoints. The API server may send `null` if there are none.
     #[serde(default, deserialize_with = "null_is_empty")]
     pub endpoints: Vec<SliceEndpoint>,
-    /// The ports; likewise.
+    /// The ports of all endpoints. The API server may send `null` if there are none.
     #[serde(default, deserialize_with = "null_is_empty")]
     pub ports: Vec<EndpointPort>,
 }
 
-fn null_is_empty<'de, D, T>(d: D) -> Result<Vec<T>, D::Error>
+fn null_is_empty<'de, D, T>(deserializer: D) -> Result<Vec<T>, D::Error>
 where
     D: serde::Deserializer<'de>,
     T: Deserialize<'de>,
 {
-    Ok(Option::<Vec<T>>::deserialize(d)?.unwrap_or_default())
+    Ok(Option::<Vec<T>>::deserialize(deserializer)?.unwrap_or_default())
 }
 
 impl EndpointSlice {
-    /// The number of the port of this name, or of the first.
+    /// The number of the port with this name, or of the first port if there is no name. Returns `None` if the slice has
+    /// no such port, or the port has no number.
     pub fn port(&self, name: Option<&str>) -> Option<u16> {
         let mut ports = self.ports.iter();
         let port = match name {
-            Some(name) => ports.find(|p| p.name.as_deref() == Some(name)),
+            Some(name) => ports.find(|port| port.name.as_deref() == Some(name)),
             None => ports.next(),
         };
-        port.and_then(|p| p.port)
+        port.and_then(|port| port.port)
     }
 }
 
-/// What Kubernetes says of an endpoint; a part that is not told is unknown.
+/// The conditions of an endpoint. A condition that the API server omits is `None`, which means unknown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Conditions {
-    /// Passes its readiness checks and is not terminating; not told: to be taken as true.
+    /// Whether the endpoint passes its readiness checks and is not terminating. `None` is to be interpreted as true.
     pub ready: Option<bool>,
-    /// Passes its readiness checks, terminating or not.
+    /// Whether the endpoint passes its readiness checks, even if it is terminating.
     pub serving: Option<bool>,
-    /// Is being stopped.
+    /// Whether the endpoint is terminating.
     pub terminating: Option<bool>,
 }
 
-/// The object behind an endpoint.
+/// A reference to the object that an endpoint represents, which is a pod here.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct TargetRef {
-    /// The pod's name.
+    /// The name of the pod.
     pub name: String,
-    /// Its uid: another one at the same address is another process.
+    /// The uid of the pod. A different uid at the same address is a different process.
     pub uid: String,
 }
 
-/// An endpoint.
+/// An endpoint of a slice.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct SliceEndpoint {
-    /// Its addresses; they are alternatives, the first is taken.
+    /// The addresses of the endpoint. They are alternatives, and the first one is used.
     pub addresses: Vec<String>,
-    /// How it stands.
+    /// The conditions, from which the endpoint's state is derived.
     #[serde(default)]
     pub conditions: Conditions,
-    /// Its zone.
+    /// The zone in which the endpoint runs.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// The pod.
+    /// The pod behind the endpoint.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub target_ref: Option<TargetRef>,
 }
 
 impl SliceEndpoint {
-    /// Whether it takes new work: what is terminating, or not ready, does not.
+    /// The state of the endpoint: one that is terminating or not ready is draining.
     pub fn state(&self) -> EndpointState {
         let Conditions {
             ready, terminating, ..
@@ -139,9 +140,12 @@
         }
     }
 
-    /// Where it is reached.
+    /// The endpoint's address with a port, as `host:port`; `None` if the endpoint has no address.
     pub fn address(&self, port: u16) -> Option<String> {
-        let address = self.addresses.first().filter(|a| !a.is_empty())?;
+        let address = self
+            .addresses
+            .first()
+            .filter(|address| !address.is_empty())?;
         Some(if address.contains(':') {
             format!("[{address}]:{port}")
         } else {
@@ -156,6 +160,6 @@
     /// `ADDED`, `MODIFIED`, `DELETED`, `BOOKMARK` or `ERROR`.
     #[serde(rename = "type")]
     pub kind: String,
-    /// The slice, or a status.
+    /// The slice that was changed; for `ERROR` a `Status` object.
     pub object: serde_json::Value,
 }
--- a/crates/pipithub-endpoints/tests/watch.rs
+++ b/crates/pipithub-endpoints/tests/watch.rs
@@ -1,4 +1,4 @@
-//! Lists and watches as an API server writes them.
+//! Tests of lists and watches as an API server sends them.
 
 use pipithub_endpoints::{WatchStep, Watcher, read_cached_list};
 use pipithub_engine::Time;
@@ -6,11 +6,12 @@
 use serde_json::{Value, json};
 
 const SECOND: Time = 1_000_000_000;
+/// The wall time of the tests, in Unix milliseconds.
 const WALL: u64 = 1_800_000_000_000;
 
-fn endpoint(n: u8, uid: &str, conditions: Value) -> Value {
-    json!({"addresses": [format!("10.0.0.{n}")], "conditions": conditions, "zone": "a", "nodeName": "x",
-           "targetRef": {"kind": "Pod", "name": format!("w-{n}"), "uid": uid}})
+fn endpoint(number: u8, uid: &str, conditions: Value) -> Value {
+    json!({"addresses": [format!("10.0.0.{number}")], "conditions": conditions, "zone": "a", "nodeName": "x",
+           "targetRef": {"kind": "Pod", "name": format!("w-{number}"), "uid": uid}})
 }
 
 fn slice(name: &str, version: &str, endpoints: Vec<Value>) -> Value {
@@ -36,15 +37,24 @@
     Watcher::new(Some("http".into()))
 }
 
-fn short(entries: &[Endpoint]) -> Vec<(String, EndpointState)> {
-    entries
+/// The address and the state of each endpoint.
+fn states(endpoints: &[Endpoint]) -> Vec<(String, EndpointState)> {
+    endpoints
         .iter()
-        .map(|e| (e.worker.0.to_string(), e.state))
+        .map(|endpoint| (endpoint.worker.0.to_string(), endpoint.state))
         .collect()
 }
 
+/// Passes a line to the watcher, and returns the changes, which there must be.
+fn changes(watcher: &mut Watcher, now: Time, line: &[u8]) -> Vec<Endpoint> {
+    match watcher.line(now, WALL, line) {
+        Ok(WatchStep::Changes(changes)) => changes,
+        other => panic!("no changes: {other:?}"),
+    }
+}
+
 #[test]
-fn conditions_become_states() {
+fn endpoint_states_follow_from_conditions() {
     let ready = json!({"ready": true, "serving": true, "terminating": false});
     let stopping = json!({"ready": false, "serving": true, "terminating": true});
     let body = list(
@@ -63,15 +73,15 @@
     );
     let mut watcher = watcher();
     let all = watcher.list(SECOND, WALL, &body).expect("a list");
-    let at = |n: u8| format!("10.0.0.{n}:80");
+    let address = |number: u8| format!("10.0.0.{number}:80");
     assert_eq!(
-        short(&all),
+        states(&all),
         [
-            (at(1), EndpointState::Ready),
-            (at(2), EndpointState::Draining),
-            (at(3), EndpointState::Draining),
-            (at(4), EndpointState::Ready),
-            (at(5), EndpointState::Ready)
+            (address(1), EndpointState::Ready),
+            (address(2), EndpointState::Draining),
+            (address(3), EndpointState::Draining),
+            (address(4), EndpointState::Ready),
+            (address(5), EndpointState::Ready)
         ]
     );
     assert_eq!(
@@ -82,14 +92,14 @@
 }
 
 #[test]
-fn a_watch_brings_only_what_changed() {
-    let up = || json!({"ready": true});
+fn watch_event_returns_only_changed_endpoints() {
+    let ready = || json!({"ready": true});
     let mut watcher = watcher();
     watcher
         .list(
             0,
             WALL,
-            &list("5", vec![slice("s", "4", vec![endpoint(1, "a", up())])]),
+            &list("5", vec![slice("s", "4", vec![endpoint(1, "a", ready())])]),
         )
         .expect("a list");
     let line = event(
@@ -97,48 +107,45 @@
         slice(
             "s",
             "6",
-            vec![endpoint(1, "a", up()), endpoint(2, "b", up())],
+            vec![endpoint(1, "a", ready()), endpoint(2, "b", ready())],
         ),
     );
-    let Ok(WatchStep::Changes(changes)) = watcher.line(3 * SECOND, WALL, &line) else {
-        panic!("changes")
-    };
+    let added = changes(&mut watcher, 3 * SECOND, &line);
     assert_eq!(
-        short(&changes),
+        states(&added),
         [("10.0.0.2:80".to_string(), EndpointState::Ready)]
     );
     assert_eq!(
-        changes[0].started_at,
+        added[0].started_at,
         Some(3 * SECOND),
-        "first seen in a watch: started now"
+        "an endpoint added by a watch event has just started"
     );
     assert_eq!(watcher.version(), Some("6"));
     assert!(matches!(
         watcher.line(4 * SECOND, WALL, &line),
         Ok(WatchStep::Nothing)
     ));
-    let gone = event("DELETED", slice("s", "7", vec![]));
-    let Ok(WatchStep::Changes(changes)) = watcher.line(5 * SECOND, WALL, &gone) else {
-        panic!("changes")
-    };
-    assert!(changes.iter().all(|e| e.state == EndpointState::Removed) && changes.len() == 2);
+    let deleted = event("DELETED", slice("s", "7", vec![]));
+    let removed = changes(&mut watcher, 5 * SECOND, &deleted);
+    assert!(
+        removed
+            .iter()
+            .all(|endpoint| endpoint.state == EndpointState::Removed)
+    );
+    assert_eq!(removed.len(), 2);
 }
 
-/// A pod that takes over the address of another is a new process: it holds nothing.
+/// A pod that takes over the address of another one is a new process, which has no replicas loaded.
 #[test]
-fn another_uid_at_the_same_address_is_a_restart() {
+fn different_uid_at_the_same_address_is_a_restart() {
     let mut watcher = watcher();
     let one = |uid: &str| slice("s", "4", vec![endpoint(1, uid, json!({"ready": true}))]);
     watcher
         .list(0, WALL, &list("5", vec![one("a")]))
         .expect("a list");
-    let Ok(WatchStep::Changes(changes)) =
-        watcher.line(9 * SECOND, WALL, &event("MODIFIED", one("b")))
-    else {
-        panic!("changes")
-    };
-    assert_eq!(changes[0].started_at, Some(9 * SECOND));
-    // A list after a break that still shows it changes nothing about its start.
+    let changed = changes(&mut watcher, 9 * SECOND, &event("MODIFIED", one("b")));
+    assert_eq!(changed[0].started_at, Some(9 * SECOND));
+    // A later list with the same pod does not change its start.
     let all = watcher
         .list(20 * SECOND, WALL, &list("9", vec![one("b")]))
         .expect("a list");
@@ -146,7 +153,7 @@
 }
 
 #[test]
-fn an_endpoint_in_two_slices_counts_as_the_careful_one_says() {
+fn endpoint_in_two_slices_drains_if_one_of_them_says_so() {
     let mut watcher = watcher();
     let a = slice(
         "a",
@@ -162,13 +169,13 @@
         .list(0, WALL, &list("5", vec![a, b]))
         .expect("a list");
     assert_eq!(
-        short(&all),
+        states(&all),
         [("10.0.0.1:80".to_string(), EndpointState::Draining)]
     );
 }
 
 #[test]
-fn bookmarks_move_the_version_and_gone_asks_for_a_list() {
+fn bookmark_advances_the_version_and_410_discards_it() {
     let mut watcher = watcher();
     watcher.list(0, WALL, &list("5", vec![])).expect("a list");
     let bookmark = event("BOOKMARK", json!({"metadata": {"resourceVersion": "77"}}));
@@ -177,12 +184,12 @@
         Ok(WatchStep::Nothing)
     ));
     assert_eq!(watcher.version(), Some("77"));
-    let gone = event(
+    let expired = event(
         "ERROR",
         json!({"kind": "Status", "code": 410, "reason": "Expired", "message": "too old"}),
     );
     assert!(matches!(
-        watcher.line(0, WALL, &gone),
+        watcher.line(0, WALL, &expired),
         Ok(WatchStep::Expired)
     ));
     assert_eq!(watcher.version(), None);
@@ -200,19 +207,27 @@
 }
 
 #[test]
-fn what_cannot_be_read_is_told_and_changes_nothing() {
+fn invalid_input_is_an_error_and_changes_nothing() {
     let mut watcher = watcher();
-    let up = slice("s", "4", vec![endpoint(1, "a", json!({"ready": true}))]);
-    watcher.list(0, WALL, &list("5", vec![up])).expect("a list");
-    for bad in [
+    let ready = slice("s", "4", vec![endpoint(1, "a", json!({"ready": true}))]);
+    watcher
+        .list(0, WALL, &list("5", vec![ready]))
+        .expect("a list");
+    for invalid in [
         "",
         "{",
         "[]",
         "{\"items\": 5}",
         "{\"items\": [{\"metadata\": {}, \"endpoints\": [{}]}]}",
     ] {
-        assert!(watcher.list(0, WALL, bad.as_bytes()).is_err(), "{bad}");
-        assert!(watcher.line(0, WALL, bad.as_bytes()).is_err(), "{bad}");
+        assert!(
+            watcher.list(0, WALL, invalid.as_bytes()).is_err(),
+            "{invalid}"
+        );
+        assert!(
+            watcher.line(0, WALL, invalid.as_bytes()).is_err(),
+            "{invalid}"
+        );
         assert_eq!((watcher.ready_count(), watcher.version()), (1, Some("5")));
     }
     let many = vec![endpoint(1, "a", json!({})); pipithub_endpoints::MAX_ENDPOINTS + 1];
@@ -221,7 +236,7 @@
             .list(0, WALL, &list("6", vec![slice("s", "6", many)]))
             .is_err()
     );
-    // Null for an empty list is what an API server sends.
+    // An API server sends null for an empty list.
     let null = json!({"metadata": {"name": "s"}, "endpoints": null, "ports": null});
     assert_eq!(
         watcher
@@ -232,7 +247,7 @@
 }
 
 #[test]
-fn a_remembered_list_comes_back_after_a_restart() {
+fn cached_list_is_restored_after_a_restart() {
     let mut watcher = watcher();
     let body = list(
         "5",
@@ -254,28 +269,34 @@
         .line(10 * SECOND, WALL + 10_000, &line)
         .expect("changes");
     let text = watcher.to_cached_list(20 * SECOND, WALL + 20_000);
-    // The new process counts its own time, 5 s on.
-    let cached = read_cached_list(&text, 60 * SECOND, WALL + 25_000).expect("its own text");
+    // The new process has another clock, and reads the list 5 s after it was written.
+    let cached = read_cached_list(&text, 60 * SECOND, WALL + 25_000).expect("a cached list");
     assert_eq!(cached.update, EndpointUpdate::Cached);
-    let entries = cached.endpoints;
-    assert_eq!(short(&entries)[1].1, EndpointState::Draining);
-    assert_eq!(entries[2].started_at, Some(45 * SECOND), "started 15 s ago");
+    let endpoints = cached.endpoints;
+    assert_eq!(states(&endpoints)[1].1, EndpointState::Draining);
+    assert_eq!(
+        endpoints[2].started_at,
+        Some(45 * SECOND),
+        "started 15 s ago"
+    );
     assert!(read_cached_list("nonsense", 0, 0).is_err());
 }
 
 const HOUR_MS: u64 = 3_600_000;
 
-fn recalled_start(text: &str, wall_ms: u64) -> Option<Time> {
+/// The age of the first worker of a cached list that is read at this wall time.
+fn cached_age(text: &str, wall_ms: u64) -> Option<Time> {
     let now = 3 * 3_600 * SECOND;
-    let entries = read_cached_list(text, now, wall_ms)
-        .expect("its own text")
+    let endpoints = read_cached_list(text, now, wall_ms)
+        .expect("a cached list")
         .endpoints;
-    entries[0].started_at.map(|started| now - started)
+    endpoints[0].started_at.map(|started| now - started)
 }
 
-/// A step back between the writing and the restart had made a worker that is an hour old start just now.
+/// If the wall clock is stepped back between the writing of the list and the restart, a worker that is an hour old must
+/// not count as just started.
 #[test]
-fn no_worker_is_younger_after_a_restart() {
+fn restart_does_not_make_workers_younger() {
     let mut watcher = watcher();
     watcher.list(0, WALL, &list("5", vec![])).expect("a list");
     let line = event(
@@ -289,49 +310,49 @@
     let text = watcher.to_cached_list(10 * SECOND + 3_600 * SECOND, written_ms);
     let age = 3_600 * SECOND;
     assert_eq!(
-        recalled_start(&text, written_ms + 5_000),
+        cached_age(&text, written_ms + 5_000),
         Some(age + 5 * SECOND)
     );
     assert_eq!(
-        recalled_start(&text, written_ms - 5_000),
+        cached_age(&text, written_ms - 5_000),
         Some(age),
-        "stepped back by seconds"
+        "clock stepped back by seconds"
     );
     assert_eq!(
-        recalled_start(&text, written_ms - HOUR_MS),
+        cached_age(&text, written_ms - HOUR_MS),
         Some(age),
-        "by an hour"
+        "clock stepped back by an hour"
     );
     assert_eq!(
-        recalled_start(&text, 0),
+        cached_age(&text, 0),
         Some(age),
-        "to the clock's beginning"
+        "clock stepped back to the Unix epoch"
     );
     assert_eq!(
-        recalled_start(&text, written_ms + HOUR_MS),
+        cached_age(&text, written_ms + HOUR_MS),
         Some(2 * age),
-        "forward"
+        "clock stepped forward by an hour"
     );
 }
 
-/// Written by hand or by a fault: a start after the writing, and figures beyond any clock.
+/// A file that was edited by hand or damaged may have a start after its writing, or extreme numbers.
 #[test]
-fn a_remembered_start_in_the_future_counts_as_long_ago() {
+fn cached_start_in_the_future_counts_as_long_ago() {
     let text = |wall_ms: u64, started_ms: u64| {
         let worker = json!({"address": "10.0.0.1:80", "draining": false, "zone": "a", "memory_mb": 1.0,
                             "started_ms": started_ms});
         json!({"format": 1, "wall_ms": wall_ms, "workers": [worker]}).to_string()
     };
-    assert_eq!(recalled_start(&text(WALL, WALL + 1), WALL + 10), None);
+    assert_eq!(cached_age(&text(WALL, WALL + 1), WALL + 10), None);
     assert_eq!(
-        recalled_start(&text(u64::MAX, 0), u64::MAX),
+        cached_age(&text(u64::MAX, 0), u64::MAX),
         Some(3 * 3_600 * SECOND - 1)
     );
 }
 
-/// While the process runs, a known start is monotonic time and no step moves it.
+/// The start of a known endpoint is stored in monotonic time, which steps of the wall clock do not change.
 #[test]
-fn a_step_of_the_wall_clock_is_no_restart_of_workers() {
+fn step_of_the_wall_clock_does_not_change_start_times() {
     let stamped = |version: &str| {
         let mut slice = slice("s", version, vec![endpoint(1, "a", json!({"ready": true}))]);
         slice["metadata"]["annotations"]["pipithub.dev/started-ms"] =
