--- a/crates/pipithub-engine/src/engine.rs
+++ b/crates/pipithub-engine/src/engine.rs
@@ -1,17 +1,23 @@
-//! The engine: the front end of the decision module, the pending requests, and the one final answer of each.
+//! The engine: it ties the decision module to the pending requests and gives each of them one final answer.
+//!
+//! Each part of the state has an owner: [`PendingRequests`] the requests and what is remembered of their messages,
+//! [`DecisionQueue`] the decision module and the events that it has not seen yet, [`Timers`] the times at which it is
+//! due, and [`OutputQueue`] what the engine asks for and has counted. The `impl` blocks of [`Engine`] hold only the
+//! steps that need several of these owners.
 
 mod actions;
 mod admission;
-mod answers;
+mod arrivals;
 mod attempts;
 mod cancellation;
-mod shutdown;
+mod decision_queue;
+mod output_queue;
 
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use pipithub_policy::FrontEnd;
-use pipithub_policy::api::{Action, Class, Event, RequestId, Time, WorkerId};
+use pipithub_policy::api::{Class, Event, RequestId, Time, WorkerId};
 
 use crate::call::{AttemptId, Ticket};
 use crate::decide::Decide;
@@ -20,67 +26,63 @@
 use crate::output::Output;
 use crate::pending::PendingRequests;
 use crate::ready_workers::ReadyWorkers;
-use crate::redelivery::DeliveryHistory;
 use crate::reply::FinalAnswer;
 use crate::settings::EngineSettings;
 use crate::stats::Stats;
 use crate::timers::Timers;
+use decision_queue::DecisionQueue;
+use output_queue::OutputQueue;
 
-/// One front end.
+/// A front end without I/O: it takes [`Input`]s and asks for [`Output`]s.
 #[derive(Debug)]
 pub struct Engine {
     settings: EngineSettings,
-    decider: Box<dyn Decide>,
+    decisions: DecisionQueue,
     timers: Timers,
     pending: PendingRequests,
-    /// Attempts that have no result yet. They outlive their request, for the decision module must hear of every end.
+    /// Attempts that have no result yet, with their workers. They outlive their request, because the decision module
+    /// must learn how every attempt ended.
     attempts_in_flight: BTreeMap<AttemptId, WorkerId>,
-    history: DeliveryHistory,
     function_names: FunctionNames,
     ready_workers: ReadyWorkers,
     draining: bool,
-    stats: Stats,
-    /// Events that the decision module has not seen yet.
-    events: VecDeque<Event>,
-    /// Empty between decisions; kept so that its memory is used again.
-    actions: Vec<Action>,
+    outputs: OutputQueue,
 }
 
 impl Engine {
-    /// An engine that knows nothing but its settings; the seed is its only source of chance.
+    /// Creates an engine that knows no worker yet. The seed is its only source of randomness: engines with equal
+    /// settings and seeds give equal outputs for equal inputs.
     pub fn new(settings: EngineSettings, seed: u64) -> Self {
         let module = FrontEnd::new(settings.policy.clone(), seed);
         Self::deciding_by(Box::new(module), settings)
     }
 
-    /// An engine whose decisions are made by something other than the decision module, for comparison only.
+    /// Creates an engine whose decisions are made by another policy than the decision module, for comparisons.
     pub fn deciding_by(decider: Box<dyn Decide>, mut settings: EngineSettings) -> Self {
         if settings.policy.classes.is_empty() {
             settings.policy.classes.push(Class::default());
         }
         Engine {
-            decider,
+            decisions: DecisionQueue::new(decider),
             timers: Timers::default(),
-            pending: PendingRequests::new(),
+            pending: PendingRequests::new(settings.remembered_messages, settings.remember_for),
             attempts_in_flight: BTreeMap::new(),
-            history: DeliveryHistory::new(settings.remembered_messages, settings.remember_for),
             function_names: FunctionNames::new(settings.max_function_names),
             ready_workers: ReadyWorkers::default(),
             draining: false,
-            stats: Stats::default(),
-            events: VecDeque::new(),
-            actions: Vec::new(),
+            outputs: OutputQueue::default(),
             settings,
         }
     }
 
-    /// When [`Input::Tick`] is due next.
+    /// When [`Input::Tick`] is due next; `None` if no timer is set.
     pub fn next_due(&self) -> Option<Time> {
         self.timers.next_due()
     }
 
-    /// How many more triggers may be handed in now; sources that can be held back should be. There is no capacity before
-    /// the first endpoint list: a front end that knows no worker yet would reject what another could serve.
+    /// The number of triggers that may be handed in now. A source that can hold its triggers back should do so beyond
+    /// it. It is 0 before the first endpoint list, because a front end that knows no worker yet would reject calls that
+    /// another front end could serve; 0 while the engine drains; and 0 while bodies take all the memory that they may.
     pub fn capacity(&self) -> usize {
         let no_list = !self.ready_workers.list_received();
         let no_memory = self.pending.body_bytes() >= self.settings.max_body_bytes;
@@ -90,79 +92,91 @@
         self.settings.max_pending.saturating_sub(self.pending.len())
     }
 
-    /// Requests that are not settled.
+    /// The number of requests that are not settled.
     pub fn pending_requests(&self) -> usize {
         self.pending.len()
     }
 
-    /// Attempts that have no result yet.
+    /// The number of attempts that have no result yet.
     pub fn attempts_in_flight(&self) -> usize {
         self.attempts_in_flight.len()
     }
 
-    /// Bytes of all bodies in memory, of calls and of answers.
+    /// The size of all bodies in memory, of calls and of answers, in bytes.
     pub fn body_bytes(&self) -> usize {
         self.pending.body_bytes()
     }
 
-    /// Workers that may receive calls, by the latest endpoint list.
+    /// The number of workers that may receive calls, according to the latest endpoint list.
     pub fn ready_workers(&self) -> usize {
         self.ready_workers.len()
     }
 
-    /// What was done so far.
+    /// The counters of what the engine has done since its start.
     pub fn stats(&self) -> Stats {
-        self.stats
+        self.outputs.stats()
     }
 
-    /// The request that a ticket stands for, as long as it is not settled.
+    /// The request that a ticket belongs to; `None` once the request is settled or the ticket is void.
     pub fn request(&self, ticket: Ticket) -> Option<RequestId> {
         self.pending.of_ticket(ticket)
     }
 
-    /// Whether a message of this identity is pending here or was settled here lately: that decides what comes of it.
+    /// Whether a message with this identity is pending here or was settled here recently. If so, that alone decides
+    /// what happens to a redelivery of it.
     pub fn knows(&self, identity: &Arc<str>, now: Time) -> bool {
-        self.history.decide(identity, now).is_some()
+        self.pending.decide_redelivery(identity, now).is_some()
     }
 
-    /// Takes one input and appends what to do about it.
+    /// Handles one input and appends to `out` what is to be done about it. Timers that are due are handled first.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
-        self.run_due_timers(now, out);
+        self.outputs.write_to(out);
+        self.run_due_timers(now);
+        self.handle_input(now, input);
+        self.outputs.give_back(out);
+    }
+
+    fn run_due_timers(&mut self, now: Time) {
+        while let Some(token) = self.timers.take_due(now) {
+            self.decide(now, Event::Timer { token });
+        }
+    }
+
+    fn handle_input(&mut self, now: Time, input: Input) {
         match input {
             Input::Tick => {}
-            Input::Trigger(trigger) => self.receive(now, trigger, None, out),
+            Input::Trigger(trigger) => self.receive(now, trigger, None),
             Input::Reject {
                 trigger,
                 cause,
                 retry_after,
             } => {
                 let rejection = FinalAnswer::rejected_with_retry_after(cause, retry_after);
-                self.receive(now, trigger, Some(rejection), out);
+                self.receive(now, trigger, Some(rejection));
             }
             Input::UserMigrated {
                 user,
                 now: successor,
-            } => {
-                self.user_migrated(now, &user, successor, out);
-            }
-            Input::SourceLost(source) => self.source_lost(now, source, out),
-            Input::Settled(ticket) => self.settled(now, ticket),
-            Input::CallerCancelled(ticket) => self.caller_cancelled(now, ticket, out),
-            Input::AttemptFinished(result) => self.attempt_finished(now, result, out),
-            Input::LoadPolled(result) => self.decide(now, result.into(), out),
-            Input::LoadCommandFinished(result) => self.decide(now, result.into(), out),
+            } => self.user_migrated(now, &user, successor),
+            Input::SourceLost(source) => self.source_lost(now, source),
+            Input::Settled(ticket) => self.pending.settle(ticket, now),
+            Input::CallerCancelled(ticket) => self.caller_cancelled(now, ticket),
+            Input::AttemptFinished(result) => self.attempt_finished(now, result),
+            Input::LoadPolled(result) => self.decide(now, result.into()),
+            Input::LoadCommandFinished(result) => self.decide(now, result.into()),
             Input::Endpoints { update, endpoints } => {
                 self.ready_workers.apply(update, &endpoints);
-                self.decide(now, Event::Endpoints { update, endpoints }, out);
+                self.decide(now, Event::Endpoints { update, endpoints });
             }
             Input::Drain => self.draining = true,
-            Input::AnswerAll => self.answer_all(now, out),
+            Input::AnswerAll => self.answer_all(now),
         }
     }
 
-    fn run_due_timers(&mut self, now: Time, out: &mut Vec<Output>) {
-        while let Some(token) = self.timers.take_due(now) {
-            self.decide(now, Event::Timer { token }, out);
+    /// Gives the final answer of a request, unless it has one already.
+    fn answer(&mut self, request: RequestId, answer: FinalAnswer) {
+        if let Some(answered) = self.pending.answer(request, answer) {
+            self.outputs.answer(answered);
         }
     }
 }
--- a/crates/pipithub-engine/src/engine/actions.rs
+++ b/crates/pipithub-engine/src/engine/actions.rs
@@ -9,91 +9,72 @@
 use crate::output::Output;
 use crate::reply::{Cause, FinalAnswer};
 
+/// How many ticks before its deadline the timer of a request may expire and still count as its end.
+const TICKS_BEFORE_DEADLINE: Time = 2;
+
 impl Engine {
     /// Has the decision module handle an event, and all events that follow from its actions.
-    pub(super) fn decide(&mut self, now: Time, event: Event, out: &mut Vec<Output>) {
-        self.events.push_back(event);
-        while let Some(event) = self.events.pop_front() {
-            let timer = match &event {
-                Event::Timer { token } => Some(*token),
-                _ => None,
-            };
-            let mut actions = std::mem::take(&mut self.actions);
-            self.decider.handle(now, event, &mut actions);
-            for action in actions.drain(..) {
-                self.carry_out(now, action, out);
+    pub(super) fn decide(&mut self, now: Time, event: Event) {
+        self.decisions.push(event);
+        while let Some(mut decision) = self.decisions.decide_next(now) {
+            for action in decision.actions.drain(..) {
+                self.carry_out(now, action);
             }
-            self.actions = actions;
+            self.decisions.recycle(decision.actions);
             // The token of a request's own timer is its id; tokens of maintenance timers name no request.
-            if let Some(token) = timer {
-                self.request_timer_expired(now, RequestId(token), out);
+            if let Some(token) = decision.expired_timer {
+                self.request_timer_expired(now, RequestId(token));
             }
         }
     }
 
-    fn carry_out(&mut self, now: Time, action: Action, out: &mut Vec<Output>) {
+    fn carry_out(&mut self, now: Time, action: Action) {
         match action {
             Action::Forward {
                 request,
                 worker,
                 timeout,
-            } => self.forward(now, request, worker, timeout, out),
-            Action::Cancel { request, attempt } => self.cancel_attempt(request, attempt, out),
+            } => self.forward(now, request, worker, timeout),
+            Action::Cancel { request, attempt } => self.outputs.push(Output::Cancel(AttemptId {
+                request,
+                number: attempt,
+            })),
             Action::Reject {
                 request,
                 retry_after,
             } => {
                 let cause = self.cause_of_end(request);
                 let answer = FinalAnswer::rejected_with_retry_after(cause, retry_after);
-                self.answer(request, answer, out);
+                self.answer(request, answer);
             }
             Action::Fail { request } => {
                 let cause = self.cause_of_end(request);
-                self.answer(request, FinalAnswer::failed(cause), out);
+                self.answer(request, FinalAnswer::failed(cause));
             }
             Action::LoadFunction {
                 worker,
                 function,
                 replicas,
-            } => self.load_function(worker, function, replicas, out),
-            Action::EvictFunction { worker, function } => {
-                self.evict_function(worker, function, out);
-            }
-            Action::PollLoad { worker } => {
-                self.stats.load_polls += 1;
-                out.push(Output::PollLoad(worker));
-            }
+            } => self.load_function(worker, function, replicas),
+            Action::EvictFunction { worker, function } => self.evict_function(worker, function),
+            Action::PollLoad { worker } => self.outputs.push(Output::PollLoad(worker)),
             Action::SetTimer { after, token } => self.timers.set(now.saturating_add(after), token),
-            Action::WatchEndpoints => out.push(Output::WatchEndpoints),
+            Action::WatchEndpoints => self.outputs.push(Output::WatchEndpoints),
         }
     }
 
-    fn cancel_attempt(&mut self, request: RequestId, attempt: u32, out: &mut Vec<Output>) {
-        self.stats.cancelled_attempts += 1;
-        out.push(Output::Cancel(AttemptId {
-            request,
-            number: attempt,
-        }));
-    }
-
-    /// Why the decision module ends a request.
+    /// The cause that the client is given when the decision module ends a request.
     fn cause_of_end(&self, request: RequestId) -> Cause {
         match self.pending.get(request) {
-            Some(pending) if pending.attempts > 0 => Cause::AttemptsEnded,
+            Some(pending) if pending.attempts() > 0 => Cause::AttemptsEnded,
             _ => Cause::NoWorkerInTime,
         }
     }
 
-    fn load_function(
-        &mut self,
-        worker: WorkerId,
-        function: FunctionId,
-        replicas: u32,
-        out: &mut Vec<Output>,
-    ) {
+    fn load_function(&mut self, worker: WorkerId, function: FunctionId, replicas: u32) {
         let Some(name) = self.function_names.get(function) else {
-            // The name is forgotten, so the command cannot be given. The decision module still awaits its end.
-            self.events.push_back(Event::LoadFinished(LoadFinished {
+            // The name was evicted, so the command cannot be given. The decision module still awaits its end.
+            self.decisions.push(Event::LoadFinished(LoadFinished {
                 worker,
                 function,
                 outcome: Outcome::NotSent,
@@ -102,8 +83,7 @@
             }));
             return;
         };
-        self.stats.load_commands += 1;
-        out.push(Output::LoadFunction {
+        self.outputs.push(Output::LoadFunction {
             worker,
             function,
             name: name.clone(),
@@ -111,12 +91,25 @@
         });
     }
 
-    fn evict_function(&self, worker: WorkerId, function: FunctionId, out: &mut Vec<Output>) {
+    fn evict_function(&mut self, worker: WorkerId, function: FunctionId) {
         if let Some(name) = self.function_names.get(function) {
-            out.push(Output::EvictFunction {
+            self.outputs.push(Output::EvictFunction {
                 worker,
                 name: name.clone(),
             });
         }
     }
+
+    /// Ends a request that the decision module has not answered by the time of its timer, so that it cannot stay
+    /// pending forever. An answered request whose message was not redelivered in time is forgotten.
+    fn request_timer_expired(&mut self, now: Time, request: RequestId) {
+        let Some(pending) = self.pending.get(request) else {
+            return;
+        };
+        let tolerance = TICKS_BEFORE_DEADLINE * self.settings.policy.tick;
+        if !pending.is_answered() && now + tolerance >= pending.deadline() {
+            self.answer(request, FinalAnswer::failed(Cause::AttemptsEnded));
+        }
+        self.pending.release_if_abandoned(request, now);
+    }
 }
--- /dev/null
+++ b/crates/pipithub-engine/src/engine/arrivals.rs
@@ -0,0 +1,73 @@
+//! Calls that arrive: admission decides what becomes of them, and that is done here.
+
+use pipithub_policy::api::{Event, Request, RequestId, Time};
+
+use super::Engine;
+use super::admission::{Admission, AdmissionDecision};
+use crate::call::{Call, Ticket, Trigger, function_id};
+use crate::output::Output;
+use crate::reply::FinalAnswer;
+
+impl Engine {
+    /// Starts a request for a call, joins the call to an earlier delivery of its message, or answers it at once.
+    /// `rejection` is given where the call is not to run.
+    pub(super) fn receive(
+        &mut self,
+        now: Time,
+        mut trigger: Trigger,
+        rejection: Option<FinalAnswer>,
+    ) {
+        self.outputs.count_trigger(trigger.redelivered);
+        let last_class = self.settings.policy.classes.len() - 1;
+        trigger.call.class = trigger.call.class.min(last_class);
+        let admission = Admission {
+            settings: &self.settings,
+            pending: &self.pending,
+            draining: self.draining,
+        };
+        match admission.decide(now, &trigger, rejection) {
+            AdmissionDecision::Start { timeout } => self.start_request(now, trigger, timeout),
+            AdmissionDecision::Answer(answer) => self.answer_at_once(now, trigger, answer),
+            AdmissionDecision::Join(request) => self.join(request, trigger.ticket),
+            AdmissionDecision::Forget => self.outputs.push(Output::Forget(trigger.ticket)),
+        }
+    }
+
+    fn start_request(&mut self, now: Time, trigger: Trigger, timeout: Time) {
+        let call = trigger.call;
+        let function = function_id(&call.function);
+        self.function_names
+            .record_call(now, function, &call.function);
+        let request = Request {
+            id: self.pending.next_id(),
+            expected_work: call.expected_work,
+            memory_mb: call.memory_mb,
+            replica_concurrency: call.replica_concurrency,
+            class: call.class,
+            load_time: call.load_time,
+            function,
+            timeout: Some(timeout),
+        };
+        self.pending
+            .insert(trigger.ticket, trigger.identity, call, now + timeout);
+        self.decide(now, Event::Arrived(request));
+    }
+
+    /// Gives a final answer to a trigger that the decision module never sees. Its body is dropped at once: what is
+    /// rejected for want of memory must not take any.
+    fn answer_at_once(&mut self, now: Time, trigger: Trigger, answer: FinalAnswer) {
+        let without_body = Call::default();
+        let request = self
+            .pending
+            .insert(trigger.ticket, trigger.identity, without_body, now);
+        self.answer(request, answer);
+    }
+
+    /// Lets a delivery take the place of an earlier one of the same message.
+    fn join(&mut self, request: RequestId, ticket: Ticket) {
+        let Some(pending) = self.pending.replace_ticket(request, ticket) else {
+            return;
+        };
+        self.outputs.joined(ticket, pending.reply().cloned());
+    }
+}
--- a/crates/pipithub-engine/src/engine/attempts.rs
+++ b/crates/pipithub-engine/src/engine/attempts.rs
@@ -19,38 +19,35 @@
         request: RequestId,
         worker: WorkerId,
         timeout: Option<Time>,
-        out: &mut Vec<Output>,
     ) {
         let Some(pending) = self.pending.get_unanswered_mut(request) else {
             return;
         };
-        let id = AttemptId {
-            request,
-            number: pending.attempts,
-        };
-        if pending.ticket.is_none() {
+        if pending.ticket().is_none() {
             // The message may be at another front end by now, and an attempt from here could run after that one's
             // answer. Attempts in flight may end, for the message may still be redelivered here.
-            self.release(request);
-            self.events.push_back(attempt_not_sent(id, worker));
+            let unsent = pending.next_attempt_id(request);
+            self.pending.release(request);
+            self.decisions.push(attempt_not_sent(unsent, worker));
             return;
         }
         let owners = &self.settings.owners;
-        if !owners.allow(pending.call.tenant, &pending.call.function) {
-            // This was checked on arrival, and is checked again where the call would leave, whatever happened between.
-            let answer = FinalAnswer::interrupted(pending.attempts, Cause::OtherTenant);
-            self.answer(request, answer, out);
-            self.events.push_back(attempt_not_sent(id, worker));
+        if !owners.allow(pending.call().tenant, &pending.call().function) {
+            // This was checked on arrival. It is checked again here, where the call would leave the process, so that
+            // tenancy does not depend on what happened in between.
+            let unsent = pending.next_attempt_id(request);
+            let answer = FinalAnswer::interrupted(pending.attempts(), Cause::OtherTenant);
+            self.answer(request, answer);
+            self.decisions.push(attempt_not_sent(unsent, worker));
             return;
         }
-        pending.attempts += 1;
-        let deadline = timeout.map_or(pending.deadline, |timeout| {
-            pending.deadline.min(now + timeout)
+        let id = pending.begin_attempt(request);
+        let deadline = timeout.map_or(pending.deadline(), |timeout| {
+            pending.deadline().min(now + timeout)
         });
-        let call = pending.call.clone();
+        let call = pending.call().clone();
         self.attempts_in_flight.insert(id, worker.clone());
-        self.stats.attempts += 1;
-        out.push(Output::Forward {
+        self.outputs.push(Output::Forward {
             id,
             worker,
             call,
@@ -58,28 +55,21 @@
         });
     }
 
-    /// Takes the result of an attempt. A result for an attempt that is not in flight is ignored.
-    pub(super) fn attempt_finished(
-        &mut self,
-        now: Time,
-        result: AttemptResult,
-        out: &mut Vec<Output>,
-    ) {
+    /// Handles the result of an attempt: the first that was served gives the request its answer. A result for an
+    /// attempt that is not in flight is ignored.
+    pub(super) fn attempt_finished(&mut self, now: Time, result: AttemptResult) {
         let Some(worker) = self.attempts_in_flight.remove(&result.id) else {
             return;
         };
         let request = result.id.request;
-        let mut settled = true;
-        if let Some(pending) = self.pending.get_mut(request) {
-            pending.last_attempt = Some(EndedAttempt {
-                outcome: result.outcome,
-                worker: worker.clone(),
-            });
-            settled = pending.reply.is_some();
-            if !settled && result.outcome == Outcome::Served {
-                settled = true;
-                self.answer(request, FinalAnswer::served(result.served), out);
-            }
+        let ended = EndedAttempt {
+            outcome: result.outcome,
+            worker: worker.clone(),
+        };
+        let mut settled = self.pending.record_ended_attempt(request, ended);
+        if !settled && result.outcome == Outcome::Served {
+            settled = true;
+            self.answer(request, FinalAnswer::served(result.served));
         }
         let finished = AttemptFinished {
             request,
@@ -92,11 +82,11 @@
             function_concurrency: result.function_concurrency,
             load_report: result.load_report,
         };
-        self.decide(now, Event::AttemptFinished(finished), out);
+        self.decide(now, Event::AttemptFinished(finished));
     }
 }
 
-/// The end of an attempt that the decision module asked for and that was not made; its request is over.
+/// The event for an attempt that the decision module asked for and that was not made; its request is over.
 fn attempt_not_sent(id: AttemptId, worker: WorkerId) -> Event {
     Event::AttemptFinished(AttemptFinished {
         request: id.request,
--- a/crates/pipithub-engine/src/engine/cancellation.rs
+++ b/crates/pipithub-engine/src/engine/cancellation.rs
@@ -1,109 +1,111 @@
-//! Requests that end because of their caller: it left, its source lost its connection, or its user migrated.
+//! Requests that end early: the caller left, the source lost its connection, the user migrated, or the engine shuts
+//! down.
 
 use pipithub_policy::api::{Event, RequestId, Time};
 
 use super::Engine;
 use crate::call::{SourceId, Ticket};
 use crate::input::TenantUser;
-use crate::output::Output;
 use crate::pending::PendingRequest;
 use crate::reply::{Cause, FinalAnswer, Verdict};
 
+/// A request that ends before its attempts do, with the answer that it gets.
+#[derive(Debug)]
+struct EarlyEnd {
+    request: RequestId,
+    answer: FinalAnswer,
+}
+
+impl EarlyEnd {
+    fn new(request: RequestId, pending: &PendingRequest, cause: Cause) -> Self {
+        EarlyEnd {
+            request,
+            answer: FinalAnswer::interrupted(pending.attempts(), cause),
+        }
+    }
+}
+
 impl Engine {
-    /// A caller has left: no answer is owed.
-    pub(super) fn caller_cancelled(&mut self, now: Time, ticket: Ticket, out: &mut Vec<Output>) {
+    /// Ends a request whose caller has left. It gets no answer.
+    pub(super) fn caller_cancelled(&mut self, now: Time, ticket: Ticket) {
         if let Some(request) = self.pending.of_ticket(ticket) {
-            self.abandon(now, request, out);
+            self.abandon(now, request);
         }
     }
 
-    /// Voids the tickets of a source. A request with an identity goes on until its deadline, for its message may be
-    /// redelivered here. One without is cancelled, for nobody could be told of its end.
-    pub(super) fn source_lost(&mut self, now: Time, source: SourceId, out: &mut Vec<Output>) {
+    /// Voids the tickets of a source. A request with an identity stays pending until its deadline, because its message
+    /// may be redelivered here. One without is cancelled, because its answer could not be delivered.
+    pub(super) fn source_lost(&mut self, now: Time, source: SourceId) {
         for ticket in self.pending.tickets_of(source) {
             let Some(request) = self.pending.void_ticket(ticket) else {
                 continue;
             };
             match self.pending.get(request) {
-                Some(pending) if pending.identity.is_some() => {
-                    self.timers.set(pending.deadline.max(now), request.0);
+                Some(pending) if pending.identity().is_some() => {
+                    self.timers.set(pending.deadline().max(now), request.0);
                 }
-                _ => self.abandon(now, request, out),
+                _ => self.abandon(now, request),
             }
         }
     }
 
-    /// Ends what is pending for a user as they were before `successor` took over the name. What was never forwarded is
-    /// rejected. For the rest nothing is promised: it may have run for the former tenant, whose answer must not reach
-    /// the user any more.
-    pub(super) fn user_migrated(
-        &mut self,
-        now: Time,
-        user: &str,
-        successor: Option<TenantUser>,
-        out: &mut Vec<Output>,
-    ) {
-        let former: Vec<RequestId> = self
-            .pending
-            .iter()
-            .filter(|(_, pending)| is_of_former_user(pending, user, successor))
-            .map(|(request, _)| request)
-            .collect();
-        for request in former {
-            self.end_for_former_user(now, request, out);
+    /// Ends the requests that a user made before `successor` took over the name. What was never forwarded is rejected.
+    /// The rest fails, because it may have run for the former tenant, whose answer must not reach the user any more.
+    pub(super) fn user_migrated(&mut self, now: Time, user: &str, successor: Option<TenantUser>) {
+        for request in self.pending.requests_of_former_user(user, successor) {
+            self.end_for_former_user(now, request);
         }
     }
 
-    fn end_for_former_user(&mut self, now: Time, request: RequestId, out: &mut Vec<Output>) {
+    fn end_for_former_user(&mut self, now: Time, request: RequestId) {
         let Some(pending) = self.pending.get(request) else {
             return;
         };
-        match &pending.reply {
+        match pending.reply() {
             None => {
-                let answer = FinalAnswer::interrupted(pending.attempts, Cause::UserMigrated);
-                self.end_early(now, request, answer, out);
+                let end = EarlyEnd::new(request, pending, Cause::UserMigrated);
+                self.end_early(now, end);
             }
-            // The answer was not given to anybody yet, and waits for a redelivery of its message.
-            Some(reply) if reply.verdict == Verdict::Served && pending.ticket.is_none() => {
-                self.abandon(now, request, out);
+            // The answer was not delivered yet and waits for a redelivery of its message.
+            Some(reply) if reply.verdict == Verdict::Served && pending.ticket().is_none() => {
+                self.abandon(now, request);
             }
             Some(_) => {}
         }
     }
 
+    /// Ends a graceful shutdown: answers all that is pending. What was never forwarded is rejected; the rest fails,
+    /// because it may have run.
+    pub(super) fn answer_all(&mut self, now: Time) {
+        self.draining = true;
+        let unanswered: Vec<EarlyEnd> = self
+            .pending
+            .unanswered()
+            .map(|(request, pending)| EarlyEnd::new(request, pending, Cause::Draining))
+            .collect();
+        for end in unanswered {
+            self.end_early(now, end);
+        }
+    }
+
     /// Gives the final answer of a request that the decision module still works on, and has that stop.
-    pub(super) fn end_early(
-        &mut self,
-        now: Time,
-        request: RequestId,
-        answer: FinalAnswer,
-        out: &mut Vec<Output>,
-    ) {
-        self.answer(request, answer, out);
-        self.decide(now, Event::ClientCancelled { request }, out);
+    fn end_early(&mut self, now: Time, end: EarlyEnd) {
+        self.answer(end.request, end.answer);
+        self.decide(
+            now,
+            Event::ClientCancelled {
+                request: end.request,
+            },
+        );
     }
 
-    /// Ends a request to which no answer is owed any more.
-    fn abandon(&mut self, now: Time, request: RequestId, out: &mut Vec<Output>) {
-        let Some(pending) = self.release(request) else {
+    /// Ends a request that needs no answer any more.
+    fn abandon(&mut self, now: Time, request: RequestId) {
+        let Some(pending) = self.pending.release(request) else {
             return;
         };
-        if pending.reply.is_none() {
-            self.decide(now, Event::ClientCancelled { request }, out);
+        if !pending.is_answered() {
+            self.decide(now, Event::ClientCancelled { request });
         }
     }
 }
-
-/// Whether a request was made by a user before `successor` took over the name. Calls of the successor may have arrived
-/// before the engine was told of the migration.
-fn is_of_former_user(pending: &PendingRequest, user: &str, successor: Option<TenantUser>) -> bool {
-    let call = &pending.call;
-    if call.user.as_deref() != Some(user) {
-        return false;
-    }
-    let caller = call.tenant.map(|tenant| TenantUser {
-        tenant,
-        person: call.person,
-    });
-    successor.is_none() || caller != successor
-}
--- /dev/null
+++ b/crates/pipithub-engine/src/engine/decision_queue.rs
@@ -0,0 +1,61 @@
+//! The decision module and the events that it has not seen yet.
+
+use std::collections::VecDeque;
+
+use pipithub_policy::api::{Action, Event, Time};
+
+use crate::decide::Decide;
+
+/// What the decision module answers to one event.
+#[derive(Debug)]
+pub(super) struct Decision {
+    /// What to do, in order.
+    pub(super) actions: Vec<Action>,
+    /// The token of the timer whose expiry the event was, if it was one.
+    pub(super) expired_timer: Option<u64>,
+}
+
+/// The decision module with its queue of events. Events that arise while actions are carried out are queued, so that
+/// the module sees every event after all actions of the event before it.
+#[derive(Debug)]
+pub(super) struct DecisionQueue {
+    decider: Box<dyn Decide>,
+    events: VecDeque<Event>,
+    /// The empty buffer of the last decision, kept so that the next one need not allocate.
+    spare_actions: Vec<Action>,
+}
+
+impl DecisionQueue {
+    pub(super) fn new(decider: Box<dyn Decide>) -> Self {
+        DecisionQueue {
+            decider,
+            events: VecDeque::new(),
+            spare_actions: Vec::new(),
+        }
+    }
+
+    pub(super) fn push(&mut self, event: Event) {
+        self.events.push_back(event);
+    }
+
+    /// Has the module decide on the next event; `None` if there is none.
+    pub(super) fn decide_next(&mut self, now: Time) -> Option<Decision> {
+        let event = self.events.pop_front()?;
+        let expired_timer = match &event {
+            Event::Timer { token } => Some(*token),
+            _ => None,
+        };
+        let mut actions = std::mem::take(&mut self.spare_actions);
+        self.decider.handle(now, event, &mut actions);
+        Some(Decision {
+            actions,
+            expired_timer,
+        })
+    }
+
+    /// Takes back the buffer of a decision whose actions were carried out.
+    pub(super) fn recycle(&mut self, mut actions: Vec<Action>) {
+        actions.clear();
+        self.spare_actions = actions;
+    }
+}
--- /dev/null
+++ b/crates/pipithub-engine/src/engine/output_queue.rs
@@ -0,0 +1,82 @@
+//! What the engine asks for while it handles one input, and the counters of all that it asked for.
+
+use std::sync::Arc;
+
+use crate::call::Ticket;
+use crate::output::Output;
+use crate::pending::AnsweredRequest;
+use crate::reply::{Reply, Verdict};
+use crate::stats::Stats;
+
+/// The outputs of the input that is being handled, in order, and the counters of the engine.
+///
+/// Between [`write_to`](Self::write_to) and [`give_back`](Self::give_back) it writes to the buffer of the engine's
+/// caller, so that no outputs are copied or allocated twice.
+#[derive(Debug, Default)]
+pub(super) struct OutputQueue {
+    outputs: Vec<Output>,
+    stats: Stats,
+}
+
+impl OutputQueue {
+    /// Takes the caller's buffer; outputs are appended to what it holds.
+    pub(super) fn write_to(&mut self, buffer: &mut Vec<Output>) {
+        self.outputs = std::mem::take(buffer);
+    }
+
+    /// Returns the buffer to the caller.
+    pub(super) fn give_back(&mut self, buffer: &mut Vec<Output>) {
+        *buffer = std::mem::take(&mut self.outputs);
+    }
+
+    pub(super) fn stats(&self) -> Stats {
+        self.stats
+    }
+
+    /// Asks for something, and counts it if there is a counter for it.
+    pub(super) fn push(&mut self, output: Output) {
+        match &output {
+            Output::Forward { .. } => self.stats.attempts += 1,
+            Output::Cancel(_) => self.stats.cancelled_attempts += 1,
+            Output::LoadFunction { .. } => self.stats.load_commands += 1,
+            Output::PollLoad(_) => self.stats.load_polls += 1,
+            Output::EvictFunction { .. }
+            | Output::Answer { .. }
+            | Output::Forget(_)
+            | Output::WatchEndpoints => {}
+        }
+        self.outputs.push(output);
+    }
+
+    /// Counts the final answer of a request and asks to deliver it. An answer without a ticket is only counted: it
+    /// waits for a redelivery of its message.
+    pub(super) fn answer(&mut self, answered: AnsweredRequest) {
+        match answered.reply.verdict {
+            Verdict::Served => self.stats.served += 1,
+            Verdict::Rejected => self.stats.rejected += 1,
+            Verdict::Failed => self.stats.failed += 1,
+        }
+        if let Some(ticket) = answered.ticket {
+            self.push(Output::Answer {
+                ticket,
+                reply: answered.reply,
+            });
+        }
+    }
+
+    pub(super) fn count_trigger(&mut self, redelivered: bool) {
+        self.stats.triggers += 1;
+        if redelivered {
+            self.stats.redelivered += 1;
+        }
+    }
+
+    /// Counts a redelivery that joined a pending request. If that request has its answer, it is delivered again, to the
+    /// new ticket; it is not counted a second time.
+    pub(super) fn joined(&mut self, ticket: Ticket, reply: Option<Arc<Reply>>) {
+        self.stats.joined += 1;
+        if let Some(reply) = reply {
+            self.push(Output::Answer { ticket, reply });
+        }
+    }
+}
--- a/crates/pipithub-engine/src/pending.rs
+++ b/crates/pipithub-engine/src/pending.rs
@@ -1,51 +1,43 @@
-//! Requests that are not settled, by id and by ticket, with the memory that their bodies take.
+//! The requests that are not settled, by id, ticket and identity, with the memory that their bodies take.
+
+mod request;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use bytes::Bytes;
-use pipithub_policy::api::{Outcome, RequestId, Time, WorkerId};
+use pipithub_policy::api::{RequestId, Time};
 
 use crate::call::{Call, SourceId, Ticket};
-use crate::reply::Reply;
+use crate::input::TenantUser;
+use crate::redelivery::{DeliveryHistory, RedeliveryDecision};
+use crate::reply::{FinalAnswer, Reply};
 
-/// An attempt of a request that has ended.
-#[derive(Clone, Debug)]
-pub(crate) struct EndedAttempt {
-    pub(crate) outcome: Outcome,
-    pub(crate) worker: WorkerId,
-}
+pub(crate) use request::{EndedAttempt, PendingRequest};
 
-/// A request that is not settled.
+/// A final answer and the ticket that it goes to; without a ticket it waits for a redelivery of its message.
 #[derive(Debug)]
-pub(crate) struct PendingRequest {
-    /// `None` once its source is lost: the answer waits for a redelivery of the message.
+pub(crate) struct AnsweredRequest {
     pub(crate) ticket: Option<Ticket>,
-    pub(crate) identity: Option<Arc<str>>,
-    pub(crate) call: Arc<Call>,
-    pub(crate) deadline: Time,
-    pub(crate) attempts: u32,
-    pub(crate) last_attempt: Option<EndedAttempt>,
-    /// The final answer, which is not yet known to be safe at the source.
-    pub(crate) reply: Option<Arc<Reply>>,
-    /// The bytes that this request is charged with: of its call until it has an answer, then of the answer.
-    body_bytes: usize,
+    pub(crate) reply: Arc<Reply>,
 }
 
-/// The requests that are not settled.
+/// The requests that are not settled, and what is remembered of the messages that brought them.
 #[derive(Debug)]
 pub(crate) struct PendingRequests {
     requests: BTreeMap<RequestId, PendingRequest>,
     by_ticket: BTreeMap<Ticket, RequestId>,
+    history: DeliveryHistory,
     next_id: RequestId,
     body_bytes: usize,
 }
 
 impl PendingRequests {
-    pub(crate) fn new() -> Self {
+    /// Remembers up to `max_settled` settled messages, each for `retention`.
+    pub(crate) fn new(max_settled: usize, retention: Time) -> Self {
         PendingRequests {
             requests: BTreeMap::new(),
             by_ticket: BTreeMap::new(),
+            history: DeliveryHistory::new(max_settled, retention),
             next_id: RequestId(1),
             body_bytes: 0,
         }
@@ -65,6 +57,19 @@
         self.next_id
     }
 
+    /// What this front end itself knows of a redelivered message; `None` if nothing.
+    pub(crate) fn decide_redelivery(
+        &self,
+        identity: &Arc<str>,
+        now: Time,
+    ) -> Option<RedeliveryDecision> {
+        self.history.decide(identity, now)
+    }
+
+    /// Adds the request of a new message and returns its id.
+    ///
+    /// If another request with the same identity is pending, a client used the identity for two calls. That request
+    /// keeps its answer and loses the identity to the new one.
     pub(crate) fn insert(
         &mut self,
         ticket: Ticket,
@@ -74,19 +79,15 @@
     ) -> RequestId {
         let id = self.next_id;
         self.next_id.0 += 1;
-        let body_bytes = call.body.len();
-        self.body_bytes += body_bytes;
+        if let Some(identity) = &identity {
+            let former = self.history.begin(identity, id);
+            if let Some(former) = former.and_then(|former| self.requests.get_mut(&former)) {
+                former.release_identity();
+            }
+        }
+        let request = PendingRequest::new(ticket, identity, call, deadline);
+        self.body_bytes += request.body_bytes();
         self.by_ticket.insert(ticket, id);
-        let request = PendingRequest {
-            ticket: Some(ticket),
-            identity,
-            call: Arc::new(call),
-            deadline,
-            attempts: 0,
-            last_attempt: None,
-            reply: None,
-            body_bytes,
-        };
         self.requests.insert(id, request);
         id
     }
@@ -95,23 +96,47 @@
         self.requests.get(&id)
     }
 
-    pub(crate) fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
-        self.requests.get_mut(&id)
-    }
-
     /// The request, unless it has its final answer.
     pub(crate) fn get_unanswered_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
-        self.get_mut(id).filter(|request| request.reply.is_none())
+        self.requests
+            .get_mut(&id)
+            .filter(|request| !request.is_answered())
+    }
+
+    /// The requests without a final answer, in the order of their arrival.
+    pub(crate) fn unanswered(&self) -> impl Iterator<Item = (RequestId, &PendingRequest)> {
+        self.requests
+            .iter()
+            .filter(|(_, request)| !request.is_answered())
+            .map(|(id, request)| (*id, request))
     }
 
-    pub(crate) fn iter(&self) -> impl Iterator<Item = (RequestId, &PendingRequest)> {
-        self.requests.iter().map(|(id, request)| (*id, request))
+    /// The requests that a user made before `successor` took over the name, in the order of their arrival.
+    pub(crate) fn requests_of_former_user(
+        &self,
+        user: &str,
+        successor: Option<TenantUser>,
+    ) -> Vec<RequestId> {
+        self.requests
+            .iter()
+            .filter(|(_, request)| request.is_of_former_user(user, successor))
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     pub(crate) fn of_ticket(&self, ticket: Ticket) -> Option<RequestId> {
         self.by_ticket.get(&ticket).copied()
     }
 
+    /// The tickets of a source, in their order.
+    pub(crate) fn tickets_of(&self, source: SourceId) -> Vec<Ticket> {
+        self.by_ticket
+            .keys()
+            .filter(|ticket| ticket.source == source)
+            .copied()
+            .collect()
+    }
+
     /// Gives a request the ticket of a later delivery; its former ticket is void.
     pub(crate) fn replace_ticket(
         &mut self,
@@ -119,49 +144,76 @@
         ticket: Ticket,
     ) -> Option<&PendingRequest> {
         let request = self.requests.get_mut(&id)?;
-        if let Some(former) = request.ticket.replace(ticket) {
+        if let Some(former) = request.replace_ticket(Some(ticket)) {
             self.by_ticket.remove(&former);
         }
         self.by_ticket.insert(ticket, id);
         Some(request)
     }
 
-    /// The tickets of a source, in their order.
-    pub(crate) fn tickets_of(&self, source: SourceId) -> Vec<Ticket> {
-        self.by_ticket
-            .keys()
-            .filter(|ticket| ticket.source == source)
-            .copied()
-            .collect()
-    }
-
     /// Takes a ticket from its request, which stays pending without one.
     pub(crate) fn void_ticket(&mut self, ticket: Ticket) -> Option<RequestId> {
         let id = self.by_ticket.remove(&ticket)?;
-        self.requests.get_mut(&id)?.ticket = None;
+        self.requests.get_mut(&id)?.replace_ticket(None);
         Some(id)
     }
 
-    /// Records the final answer. The body of the call is no longer needed from here on, that of the answer is.
-    pub(crate) fn set_reply(&mut self, id: RequestId, reply: &Arc<Reply>) {
+    /// Records how an attempt ended. Returns whether its request is over: it has its final answer or is settled.
+    pub(crate) fn record_ended_attempt(&mut self, id: RequestId, attempt: EndedAttempt) -> bool {
         let Some(request) = self.requests.get_mut(&id) else {
+            return true;
+        };
+        request.record_ended_attempt(attempt);
+        request.is_answered()
+    }
+
+    /// Records the final answer of a request; `None` if the request has one already or is settled.
+    pub(crate) fn answer(&mut self, id: RequestId, answer: FinalAnswer) -> Option<AnsweredRequest> {
+        let request = self.get_unanswered_mut(id)?;
+        let body_bytes_before = request.body_bytes();
+        let reply = request.answer(answer);
+        let ticket = request.ticket();
+        let body_bytes_after = request.body_bytes();
+        self.body_bytes = self.body_bytes - body_bytes_before + body_bytes_after;
+        Some(AnsweredRequest { ticket, reply })
+    }
+
+    /// Forgets the request of a ticket, whose answer is safe at its source, and remembers its message as settled.
+    pub(crate) fn settle(&mut self, ticket: Ticket, now: Time) {
+        let Some(id) = self.of_ticket(ticket) else {
             return;
         };
-        let body_bytes = reply.served.as_ref().map_or(0, |served| served.body.len());
-        self.body_bytes = self.body_bytes - request.body_bytes + body_bytes;
-        request.body_bytes = body_bytes;
-        let without_body = Call {
-            body: Bytes::new(),
-            ..(*request.call).clone()
+        let Some(request) = self.remove(id) else {
+            return;
         };
-        request.call = Arc::new(without_body);
-        request.reply = Some(reply.clone());
+        if let Some(identity) = request.identity() {
+            self.history.settle(identity, id, now);
+        }
+    }
+
+    /// Forgets a request whose answer is not known to be safe.
+    pub(crate) fn release(&mut self, id: RequestId) -> Option<PendingRequest> {
+        let request = self.remove(id)?;
+        if let Some(identity) = request.identity() {
+            self.history.abandon(identity, id);
+        }
+        Some(request)
+    }
+
+    /// Forgets an answered request whose message was not redelivered here until its deadline: it went elsewhere.
+    pub(crate) fn release_if_abandoned(&mut self, id: RequestId, now: Time) {
+        if self
+            .get(id)
+            .is_some_and(|request| request.is_abandoned(now))
+        {
+            self.release(id);
+        }
     }
 
-    pub(crate) fn remove(&mut self, id: RequestId) -> Option<PendingRequest> {
+    fn remove(&mut self, id: RequestId) -> Option<PendingRequest> {
         let request = self.requests.remove(&id)?;
-        self.body_bytes -= request.body_bytes;
-        if let Some(ticket) = request.ticket {
+        self.body_bytes -= request.body_bytes();
+        if let Some(ticket) = request.ticket() {
             self.by_ticket.remove(&ticket);
         }
         Some(request)
--- a/crates/pipithub-engine/src/redelivery.rs
+++ b/crates/pipithub-engine/src/redelivery.rs
@@ -72,7 +72,7 @@
     retention: Time,
     pending: BTreeMap<Arc<str>, RequestId>,
     settled: BTreeMap<Arc<str>, Time>,
-    settled_in_order: VecDeque<SettledMessage>,
+    settled_by_age: VecDeque<SettledMessage>,
 }
 
 impl DeliveryHistory {
@@ -83,15 +83,16 @@
             retention,
             pending: BTreeMap::new(),
             settled: BTreeMap::new(),
-            settled_in_order: VecDeque::new(),
+            settled_by_age: VecDeque::new(),
         }
     }
 
-    /// Records a new message. What was known of an earlier one of the same identity is void, for a client may use an
-    /// identity again, and the new message must not be settled by the old one's answer.
-    pub(crate) fn begin(&mut self, identity: &Arc<str>, request: RequestId) {
+    /// Records a new message and returns the request that had its identity until now, if one is pending. What was known
+    /// of an earlier message with the same identity is void: a client may use an identity again, and the new message
+    /// must not be settled by the answer of the old one.
+    pub(crate) fn begin(&mut self, identity: &Arc<str>, request: RequestId) -> Option<RequestId> {
         self.settled.remove(identity);
-        self.pending.insert(identity.clone(), request);
+        self.pending.insert(identity.clone(), request)
     }
 
     /// Records that the answer of a request is safe.
@@ -101,7 +102,7 @@
         }
         self.pending.remove(identity);
         self.settled.insert(identity.clone(), now);
-        self.settled_in_order.push_back(SettledMessage {
+        self.settled_by_age.push_back(SettledMessage {
             identity: identity.clone(),
             settled_at: now,
         });
@@ -109,16 +110,16 @@
     }
 
     fn forget_old(&mut self, now: Time) {
-        while let Some(oldest) = self.settled_in_order.front() {
+        while let Some(oldest) = self.settled_by_age.front() {
             let expired = oldest.settled_at + self.retention < now;
-            if !expired && self.settled_in_order.len() <= self.max_settled {
+            if !expired && self.settled_by_age.len() <= self.max_settled {
                 return;
             }
             // The same identity may have been settled again since, and then stays.
             if self.settled.get(&oldest.identity) == Some(&oldest.settled_at) {
                 self.settled.remove(&oldest.identity);
             }
-            self.settled_in_order.pop_front();
+            self.settled_by_age.pop_front();
         }
     }
 
@@ -129,11 +130,6 @@
         }
     }
 
-    /// The pending request of this identity.
-    pub(crate) fn pending(&self, identity: &str) -> Option<RequestId> {
-        self.pending.get(identity).copied()
-    }
-
     /// What this front end itself knows of a redelivered message; `None` if nothing.
     pub(crate) fn decide(&self, identity: &Arc<str>, now: Time) -> Option<RedeliveryDecision> {
         if let Some(request) = self.pending.get(identity) {
