--- a/crates/pipithub-engine/src/call.rs
+++ b/crates/pipithub-engine/src/call.rs
@@ -5,16 +5,16 @@
 use bytes::Bytes;
 use pipithub_policy::api::{FunctionId, RequestId, Time};
 
-/// A source of triggers: a queue at one broker, a timer table, or whatever else hands in calls.
+/// A source of triggers, such as one queue at one broker or a schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SourceId(pub u32);
 
-/// What a source needs in order to settle a trigger; a source never uses one twice.
+/// What a source needs in order to settle a trigger. A source never uses a ticket twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket {
-    /// The source.
+    /// The source that issued the ticket.
     pub source: SourceId,
-    /// The source's own number for the trigger.
+    /// The number that the source gave to the trigger.
     pub number: u64,
 }
 
@@ -22,12 +22,13 @@
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 /// The prime of 64-bit FNV-1a.
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
-/// An odd constant that spreads the bits of the hash; FNV-1a alone leaves similar names close to each other.
+/// An odd constant that spreads the bits of the hash. FNV-1a alone gives similar names similar hashes.
 const MIX_FACTOR: u64 = 0xd6e8_feb8_6659_fd93;
 
-/// The id under which the decision module knows a function: the same at every front end, on every machine.
+/// The id under which the decision module knows a function. It depends on the name alone, so all front ends agree on it.
 ///
-/// Two functions whose ids collide share their preferred workers and their averages; calls always carry the name.
+/// Two functions whose ids collide share their preferred workers and their averages. They are not confused otherwise,
+/// because calls carry the name.
 pub fn function_id(name: &str) -> FunctionId {
     let hash = name.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
@@ -40,64 +41,65 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Tenant(pub u16);
 
-/// A call as its trigger states it.
+/// A call, with what its trigger states about it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Call {
     /// The function or model to run.
     pub function: Arc<str>,
-    /// Its class, as an index into the settings.
+    /// The class of the call, as an index into the classes of the settings.
     pub class: usize,
-    /// What is left of the client's timeout; `None`: as long as the class allows.
+    /// What is left of the client's timeout, in nanoseconds; `None` if the client states none, and then the class's
+    /// timeout applies.
     pub timeout: Option<Time>,
-    /// How long the message has certainly waited already. The class's timeout began then, while [`Call::timeout`] is
-    /// what is left after the wait.
+    /// The minimum time that the message has waited already, in nanoseconds. It counts towards the class's timeout, while
+    /// [`Call::timeout`] is what is left after the wait.
     pub waited: Time,
-    /// The maximum age of the message, where its source knows one.
+    /// The maximum age of the message, in nanoseconds; `None` if its source knows no bound.
     pub age: Option<Time>,
-    /// The work that it is expected to take, where the client states it.
+    /// The expected run time of the call, in nanoseconds, if the client states it.
     pub expected_work: Option<Time>,
-    /// Memory of one loaded replica, in MB.
+    /// The memory that one loaded replica of the function takes, in MB.
     pub memory_mb: f64,
-    /// Calls that one replica runs at a time.
+    /// The number of calls that one replica runs at a time.
     pub replica_concurrency: u32,
-    /// How long a load usually takes, where the client states it.
+    /// The usual time to load a replica, in nanoseconds, if the client states it.
     pub load_time: Option<Time>,
-    /// Identifies the call to workers and in logs: the id of the message, where it has one.
+    /// The id of the message, if it has one. It identifies the call to workers and in logs.
     pub label: Option<Arc<str>>,
-    /// The key by which workers deduplicate the call.
+    /// The key by which workers deduplicate the call; `None` if they cannot.
     pub idempotency_key: Option<Arc<str>>,
     /// MIME type of the body.
     pub content_type: Option<Arc<str>>,
-    /// The body, which the worker gets unchanged.
+    /// The body, which is passed to the worker unchanged.
     pub body: Bytes,
-    /// The tenant whose call it is; `None` where there are no tenants.
+    /// The tenant that the call belongs to; `None` if it belongs to none, as where no tenants are configured.
     pub tenant: Option<Tenant>,
-    /// The user who made the call, where one did.
+    /// The user who made the call; `None` if no user did.
     pub user: Option<Arc<str>>,
-    /// Tells that user from another person of the same name; 0 if it is not known.
+    /// Distinguishes the user from other persons of the same name; 0 if that is not known.
     pub person: u64,
 }
 
 /// A call that has arrived, as one delivery of its message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trigger {
-    /// How to settle it.
+    /// The ticket by which the trigger is settled.
     pub ticket: Ticket,
-    /// Identifies the message across its deliveries, where its source can.
+    /// Identifies the message across its deliveries; `None` if its source cannot tell.
     pub identity: Option<Arc<str>>,
-    /// The message may have been delivered before, here or elsewhere.
+    /// Whether the message may have been delivered before, here or to another front end.
     pub redelivered: bool,
-    /// The number of earlier deliveries, where the source counts them.
+    /// The number of earlier deliveries; 0 if the source does not count them.
     pub deliveries: u32,
-    /// The call.
+    /// The call that the message asks for.
     pub call: Call,
 }
 
-/// Identifies one attempt.
+/// Identifies an attempt among all attempts of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The engine's id of the request.
+    /// The request that the attempt is made for.
     pub request: RequestId,
-    /// Which of its attempts, from 0.
+    /// The number of the attempt among those of its request, from 0.
     pub number: u32,
 }
--- a/crates/pipithub-engine/src/decide.rs
+++ b/crates/pipithub-engine/src/decide.rs
@@ -1,11 +1,11 @@
-//! Who decides where calls run.
+//! The interface of whatever decides where calls run.
 
 use pipithub_policy::FrontEnd;
 use pipithub_policy::api::{Action, Event, Time};
 
-/// What decides for an engine: the decision module, or, in scenarios, a policy to compare it with.
+/// A policy that decides where calls run: the decision module, or in scenarios a policy to compare it with.
 pub trait Decide: std::fmt::Debug + Send {
-    /// Takes one event and appends what to do about it.
+    /// Handles one event and appends what is to be done about it to `actions`.
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>);
 }
 
--- a/crates/pipithub-engine/src/function_names.rs
+++ b/crates/pipithub-engine/src/function_names.rs
@@ -1,6 +1,6 @@
-//! Names of functions.
+//! The names of functions, for load commands.
 //!
-//! The decision module knows a function by its id alone, while load commands to workers need its name.
+//! The decision module knows a function only by its id, but load commands to workers need its name.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
     last_called: Time,
 }
 
-/// The names of the functions that were called last, bounded in number.
+/// The names of the functions that were called most recently, bounded in number.
 #[derive(Debug)]
 pub(crate) struct FunctionNames {
     max: usize,
@@ -48,8 +48,8 @@
         self.functions.insert(function, known);
     }
 
-    /// Forgets the half that was not called for longest. Half of them go at a time, so that functions which are called
-    /// only once do not make each call pay for an eviction.
+    /// Forgets the half that was not called for the longest time. Evicting half of them at a time keeps the cost of a call
+    /// low when most functions are called only once.
     fn evict_older_half(&mut self) {
         let mut times: Vec<Time> = self
             .functions
--- a/crates/pipithub-engine/src/input.rs
+++ b/crates/pipithub-engine/src/input.rs
@@ -1,4 +1,4 @@
-//! What an engine is told.
+//! Inputs of an engine.
 
 use std::sync::Arc;
 
@@ -10,105 +10,107 @@
 use crate::call::{AttemptId, SourceId, Tenant, Ticket, Trigger};
 use crate::reply::{Cause, Served};
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptResult {
-    /// The attempt.
+    /// The attempt that ended.
     pub id: AttemptId,
-    /// How it ended.
+    /// The way in which the attempt ended.
     pub outcome: Outcome,
-    /// How long it took.
+    /// The time from the start of the attempt to its end, in nanoseconds.
     pub elapsed: Time,
-    /// The state in which it found the replica, where the worker reports it.
+    /// The state in which the attempt found the replica; `None` if the worker does not report it.
     pub replica_status: Option<ReplicaStatus>,
-    /// Calls of the same function that were in flight at the worker, where it reports them.
+    /// The number of calls of the same function that were in flight at the worker; `None` if it does not report it.
     pub function_concurrency: Option<u32>,
-    /// The worker's load report.
+    /// The load report that came with the answer; fields that the worker does not report are `None`.
     pub load_report: LoadReport,
-    /// The answer; with [`Outcome::Served`] alone.
+    /// The answer of the worker; given only with [`Outcome::Served`].
     pub served: Option<Served>,
 }
 
-/// How a poll of a worker's load ended.
+/// The result of a poll of a worker's load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadPollResult {
-    /// The worker.
+    /// The worker that was polled.
     pub worker: WorkerId,
-    /// It answered.
+    /// Whether the worker answered the poll.
     pub answered: bool,
-    /// Its load report.
+    /// The load report in the worker's answer.
     pub load_report: LoadReport,
 }
 
-/// How a load command ended.
+/// The result of a load command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadCommandResult {
-    /// The worker.
+    /// The worker that was given the command.
     pub worker: WorkerId,
-    /// The function.
+    /// The function that was to be loaded.
     pub function: FunctionId,
-    /// [`Outcome::Served`]: the replicas are loaded.
+    /// The way in which the command ended; with [`Outcome::Served`] the replicas are loaded.
     pub outcome: Outcome,
-    /// How long it took.
+    /// The time from the start of the command to its end, in nanoseconds.
     pub elapsed: Time,
-    /// Replicas that are loaded.
+    /// The number of replicas that are loaded now.
     pub replicas: u32,
 }
 
 /// A user as a tenant's directory knows them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TenantUser {
-    /// The tenant.
+    /// The tenant that the user belongs to.
     pub tenant: Tenant,
-    /// Tells the user from another person of the same name; 0 if it is not known.
+    /// Distinguishes the user from other persons of the same name; 0 if that is not known.
     pub person: u64,
 }
 
-/// What happened.
+/// What happened since the last input.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// Only time has passed: what is due is done. Every other input does this too.
+    /// Only time has passed. Timers that are due expire, as they do before every other input.
     Tick,
-    /// A call arrived.
+    /// A call arrived and is to run.
     Trigger(Trigger),
-    /// A source lost its connection: its pending tickets are void, and their messages may be redelivered.
+    /// A source lost its connection. Its pending tickets are void, and their messages may be redelivered.
     SourceLost(SourceId),
-    /// An answer is safe at its source.
+    /// The answer to a ticket is safe at its source, so the request can be forgotten.
     Settled(Ticket),
-    /// A caller has left or ceased to wait: no answer is owed, and what runs for it is cancelled.
+    /// The client of a ticket has left. It gets no answer, and the attempts for it are cancelled.
     CallerCancelled(Ticket),
-    /// An attempt ended.
+    /// An attempt has its result. Every [`Output::Forward`](crate::Output::Forward) gets exactly one.
     AttemptFinished(AttemptResult),
-    /// A poll of a worker's load ended.
+    /// A poll of a worker's load has its result. Every [`Output::PollLoad`](crate::Output::PollLoad) gets exactly one.
     LoadPolled(LoadPollResult),
-    /// A load command ended.
+    /// A load command has its result. Every [`Output::LoadFunction`](crate::Output::LoadFunction) gets exactly one.
     LoadCommandFinished(LoadCommandResult),
     /// The endpoint list changed.
     Endpoints {
-        /// What the update covers.
+        /// Whether the endpoints are the complete list or a change to it.
         update: EndpointUpdate,
-        /// The endpoints in it.
+        /// The endpoints that the update names.
         endpoints: Vec<Endpoint>,
     },
-    /// A call arrived that is not to run: it gets one final answer like any other, unless its message is known already.
+    /// A call arrived that is not to run. It gets one final answer like any other call. If its message is pending here
+    /// or was answered here, that decides instead, as for any redelivery.
     Reject {
-        /// The call.
+        /// The trigger of the call.
         trigger: Trigger,
-        /// Why it is not to run.
+        /// The cause that the answer gives.
         cause: Cause,
-        /// How long the caller should wait before it retries.
+        /// How long the client should wait before it retries, in nanoseconds; `None` if the answer does not say.
         retry_after: Option<Time>,
     },
-    /// A user now belongs to another tenant, or is another person: what is pending for the user as they were ends now.
+    /// A user name now belongs to another tenant or another person. What is pending for the former user ends now.
     UserMigrated {
-        /// The user's name.
+        /// The name of the user.
         user: Arc<str>,
-        /// Who bears the name now; `None`: nobody.
+        /// The user who has the name now; `None` if no tenant has such a user any more.
         now: Option<TenantUser>,
     },
-    /// Accept nothing new from now on; what is pending is finished.
+    /// Graceful shutdown begins: new calls are rejected from now on, and pending requests are finished.
     Drain,
-    /// The process may be killed soon: all that is pending is answered now, and nothing new is accepted.
+    /// Graceful shutdown ends, because the process may be killed soon: all pending requests are answered now, and new
+    /// calls are rejected.
     AnswerAll,
 }
 
--- a/crates/pipithub-engine/src/lib.rs
+++ b/crates/pipithub-engine/src/lib.rs
@@ -1,12 +1,13 @@
 //! One front end without I/O.
 //!
 //! The [`Engine`] owns the front end of the decision module. Triggers, results of attempts, endpoint lists and the time
-//! go in as [`Input`]s; attempts, load commands, polls and final answers come out as [`Output`]s. It knows no socket,
-//! clock, thread or protocol: a source of triggers is a number, and each trigger carries a ticket that its source
-//! understands. Equal inputs give equal outputs, so sockets, an emulator and a replay can drive the same engine.
+//! go in as [`Input`]s; attempts, load commands, polls and final answers come out as [`Output`]s. It uses no socket,
+//! clock, thread or protocol: a source of triggers is identified by a number, and each trigger carries a ticket that only
+//! its source interprets. Equal inputs give equal outputs, so that sockets, an emulator and a replay can drive the same
+//! engine.
 //!
-//! The engine keeps what the decision module does not see: which trigger was redelivered ([`redelivery`]), that each
-//! ticket gets exactly one final answer, and how much may be pending at a time.
+//! The engine is responsible for what the decision module does not see: redelivered triggers ([`redelivery`]), exactly one
+//! final answer for each ticket, and the limits on the number and size of pending requests.
 
 mod call;
 mod decide;
--- a/crates/pipithub-engine/src/output.rs
+++ b/crates/pipithub-engine/src/output.rs
@@ -1,4 +1,4 @@
-//! What an engine asks for.
+//! Outputs of an engine.
 
 use std::sync::Arc;
 
@@ -7,52 +7,53 @@
 use crate::call::{AttemptId, Call, Ticket};
 use crate::reply::Reply;
 
-/// What to do.
+/// What the engine's caller is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Start an attempt; one [`AttemptFinished`](crate::Input::AttemptFinished) is owed for it.
+    /// Start an attempt. Its result must be reported once, as [`AttemptFinished`](crate::Input::AttemptFinished).
     Forward {
-        /// The attempt.
+        /// Identifies the attempt in its result.
         id: AttemptId,
-        /// The worker that it goes to.
+        /// The worker that the call is forwarded to.
         worker: WorkerId,
-        /// What to run.
+        /// The call to run.
         call: Arc<Call>,
-        /// An answer is of no use after this time, by the caller's clock: the attempt ends as timed out.
+        /// When the attempt must end as timed out, on the clock of [`handle`](crate::Engine::handle).
         deadline: Time,
     },
-    /// Stop waiting for an attempt; its [`AttemptFinished`](crate::Input::AttemptFinished) is owed still.
+    /// Cancel an attempt. Its result must still be reported, as [`AttemptFinished`](crate::Input::AttemptFinished).
     Cancel(AttemptId),
-    /// Have a worker load replicas; one [`LoadCommandFinished`](crate::Input::LoadCommandFinished) is owed.
+    /// Have a worker load replicas of a function. The result must be reported once, as
+    /// [`LoadCommandFinished`](crate::Input::LoadCommandFinished).
     LoadFunction {
-        /// The worker.
+        /// The worker that is to load them.
         worker: WorkerId,
-        /// The function's id.
+        /// The id of the function, for the result.
         function: FunctionId,
-        /// The function's name.
+        /// The name under which workers know the function.
         name: Arc<str>,
-        /// Replicas wanted; 0 only asks how many there are.
+        /// The number of replicas wanted; 0 only asks how many are loaded.
         replicas: u32,
     },
     /// Have a worker unload its idle replicas of a function.
     EvictFunction {
-        /// The worker.
+        /// The worker that is to unload them.
         worker: WorkerId,
-        /// The function's name.
+        /// The name under which workers know the function.
         name: Arc<str>,
     },
-    /// Ask a worker for its load; one [`LoadPolled`](crate::Input::LoadPolled) is owed.
+    /// Poll a worker's load. The result must be reported once, as [`LoadPolled`](crate::Input::LoadPolled).
     PollLoad(WorkerId),
-    /// Give the final answer and settle the trigger, both or neither; [`Settled`](crate::Input::Settled) or
-    /// [`SourceLost`](crate::Input::SourceLost) is owed.
+    /// Deliver the final answer and settle the trigger, both or neither. Either [`Settled`](crate::Input::Settled) or
+    /// [`SourceLost`](crate::Input::SourceLost) must follow.
     Answer {
-        /// The trigger to answer.
+        /// The ticket of the trigger to answer.
         ticket: Ticket,
-        /// The answer.
+        /// The final answer.
         reply: Arc<Reply>,
     },
     /// Settle a trigger that was answered before, without another answer.
     Forget(Ticket),
-    /// Watch the endpoint list.
+    /// Start to watch the endpoint list; the state of the list is to be reported as [`Endpoints`](crate::Input::Endpoints).
     WatchEndpoints,
 }
--- a/crates/pipithub-engine/src/owners.rs
+++ b/crates/pipithub-engine/src/owners.rs
@@ -7,14 +7,14 @@
 /// The owner of a function.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Owner {
-    /// One tenant.
+    /// The function belongs to one tenant.
     Tenant(Tenant),
-    /// All tenants.
+    /// The function may be called by every tenant.
     Shared,
 }
 
 /// The owners of functions, by name and by prefix of names. Without any entry there are no tenants, and every call may
-/// run every function. With one, a function that no entry covers may not be called by anybody.
+/// run every function. As soon as there is an entry, functions that no entry covers cannot be called.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Owners {
     by_name: BTreeMap<String, Owner>,
@@ -22,8 +22,8 @@
 }
 
 impl Owners {
-    /// Adds an entry; a pattern that ends in `*` covers every name with that prefix. Returns the owner that the pattern
-    /// had before, if it was another one.
+    /// Adds an entry. A pattern that ends in `*` covers every name with that prefix. Returns the owner that the pattern
+    /// had before, if that was a different one.
     pub fn insert(&mut self, pattern: &str, owner: Owner) -> Option<Owner> {
         let before = match pattern.strip_suffix('*') {
             Some(prefix) => self.by_prefix.insert(prefix.to_string(), owner),
@@ -32,7 +32,7 @@
         before.filter(|former| *former != owner)
     }
 
-    /// The owner of a function: by its name, else by the longest prefix that covers it.
+    /// The owner of a function: by its name, else by the longest prefix that covers it; `None` if no entry does.
     pub fn of(&self, function: &str) -> Option<Owner> {
         if let Some(owner) = self.by_name.get(function) {
             return Some(*owner);
@@ -44,7 +44,7 @@
             .map(|(_, owner)| *owner)
     }
 
-    /// Whether there are tenants at all.
+    /// Whether there is no entry, and so no tenant.
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty() && self.by_prefix.is_empty()
     }
--- a/crates/pipithub-engine/src/ready_workers.rs
+++ b/crates/pipithub-engine/src/ready_workers.rs
@@ -12,7 +12,7 @@
 }
 
 impl ReadyWorkers {
-    /// Whether an endpoint list was received, be it only a cached one.
+    /// Whether an endpoint list was received; a cached one counts.
     pub(crate) fn list_received(&self) -> bool {
         self.list_received
     }
--- a/crates/pipithub-engine/src/redelivery.rs
+++ b/crates/pipithub-engine/src/redelivery.rs
@@ -1,8 +1,8 @@
-//! What happens to a message that is delivered again.
+//! Decisions on messages that are delivered again.
 //!
-//! A broker redelivers a message when the connection that held it is lost, whatever was done with it until then. The
-//! decision depends on what this front end remembers of earlier deliveries, and else on what the class of the call
-//! allows.
+//! A broker redelivers a message when the connection that it was delivered on is lost, whatever was done with the message
+//! until then. The decision depends on what this front end remembers of earlier deliveries. If it remembers none, it
+//! depends on what the class of the call allows.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -12,25 +12,25 @@
 /// What to do with a message that was redelivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RedeliveryDecision {
-    /// It is pending here: this delivery takes the place of the earlier one.
+    /// The message is pending here, and this delivery takes the place of the earlier one.
     Join(RequestId),
-    /// It was answered and its answer is safe: settle it without another answer.
+    /// The message was answered and its answer is safe: settle the delivery without another answer.
     Forget,
-    /// It may have run elsewhere, and running it again is harmless.
+    /// The call may have run elsewhere, and running it again is harmless.
     Run {
-        /// How long from now an attempt may start, where that is bounded.
+        /// How long from now an attempt may start, in nanoseconds; `None` if there is no bound.
         within: Option<Time>,
     },
-    /// It may have run elsewhere and must not run again.
+    /// The call may have run elsewhere and must not run again.
     Fail,
 }
 
-/// Decides on a message whose earlier deliveries went elsewhere or are not remembered, by what its class allows.
+/// Decides on a message whose earlier deliveries are not known here, by what its class allows.
 ///
 /// Every earlier delivery may have been forwarded to a worker at any time since the message was made. An idempotent
 /// call may run again. A call with an idempotency key may run again only if all workers deduplicate it and the oldest
-/// possible attempt is still within their deduplication window, for which its age must be known. `margin` is the time
-/// that the last attempt may need until it arrives.
+/// possible attempt is still within their deduplication window. The age of the message must be known for that. `margin`
+/// is the time that the last attempt may need until it arrives.
 pub fn decide_unknown(
     class: &Class,
     age: Option<Time>,
@@ -49,7 +49,7 @@
     }
 }
 
-/// How long from now workers surely still deduplicate a call of this age.
+/// How long from now all workers still deduplicate a call of this age; `None` if they may not or the age is unknown.
 fn rest_of_window(class: &Class, age: Option<Time>, margin: Time) -> Option<Time> {
     let used = age?.saturating_add(margin);
     class
@@ -64,8 +64,8 @@
     settled_at: Time,
 }
 
-/// The messages that are pending or were settled lately, by identity. It is bounded in number and age; a message that
-/// is forgotten counts as unknown, which is the safe side.
+/// The messages that are pending or were settled recently, by identity. Their number and age are bounded. A message that
+/// was forgotten counts as unknown, which is safe: it runs again only if its class allows that.
 #[derive(Debug)]
 pub(crate) struct DeliveryHistory {
     max_settled: usize,
@@ -115,7 +115,7 @@
             if !expired && self.settled_by_age.len() <= self.max_settled {
                 return;
             }
-            // The same identity may have been settled again since, and then stays.
+            // If the same identity was settled again since then, the later entry keeps it.
             if self.settled.get(&oldest.identity) == Some(&oldest.settled_at) {
                 self.settled.remove(&oldest.identity);
             }
--- a/crates/pipithub-engine/src/reply.rs
+++ b/crates/pipithub-engine/src/reply.rs
@@ -8,16 +8,16 @@
 /// The kind of a final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Verdict {
-    /// A worker answered.
+    /// A worker ran the call and answered.
     Served,
-    /// The call did not run; a retry is harmless.
+    /// The call did not run, so a retry is harmless.
     Rejected,
-    /// Nothing is promised: the call may have run.
+    /// There is no answer, and the call may have run.
     Failed,
 }
 
 impl Verdict {
-    /// Its name in answers, logs and metrics.
+    /// The name of the verdict in answers, logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Verdict::Served => "served",
@@ -30,11 +30,11 @@
 /// Why a final answer is what it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Cause {
-    /// A worker answered.
+    /// A worker ran the call and answered.
     Answered,
     /// No worker could meet the deadline; the call was never forwarded.
     NoWorkerInTime,
-    /// Attempts were made, and none was served in time.
+    /// Attempts were made, and none of them was served in time.
     AttemptsEnded,
     /// The client's timeout had passed when the call arrived.
     TooLate,
@@ -42,13 +42,13 @@
     MayHaveRunBefore,
     /// The message was redelivered more often than is allowed.
     TooManyDeliveries,
-    /// The front end has as many pending requests, or as large ones, as it may have.
+    /// The front end has reached its limit on the number or the size of pending requests.
     AtCapacity,
     /// The front end is shutting down.
     Draining,
-    /// The call does not name its user.
+    /// The call does not state its user.
     NoUser,
-    /// No directory could tell in time which tenant the user belongs to.
+    /// No directory answered in time which tenant the user belongs to.
     UserUnknown,
     /// The user belongs to no tenant.
     NoTenant,
@@ -58,14 +58,14 @@
     OtherTenant,
     /// The user migrated to another tenant while the call was pending.
     UserMigrated,
-    /// The tenant uses all of its quota.
+    /// The tenant has used up its quota.
     OverQuota,
-    /// The tenant calls more often than it may.
+    /// The tenant exceeds its rate limit.
     OverRate,
 }
 
 impl Cause {
-    /// Its name in answers, logs and metrics.
+    /// The name of the cause in answers, logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Cause::Answered => "answered",
@@ -88,33 +88,35 @@
     }
 }
 
-/// An answer as a worker gave it.
+/// The answer of a worker.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Served {
-    /// The worker's status: 200 if the call ran, another if the worker reports a fault of the call itself.
+    /// The HTTP status of the answer: 200 if the call succeeded, another if the worker reports a fault of the call
+    /// itself.
     pub status: u16,
-    /// MIME type of the body.
+    /// MIME type of the body; `None` if the worker states none.
     pub content_type: Option<Arc<str>>,
-    /// The answer.
+    /// The body of the answer, unchanged.
     pub body: Bytes,
 }
 
-/// A final answer.
+/// The final answer to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
-    /// Its kind.
+    /// Whether the call was served, rejected or failed.
     pub verdict: Verdict,
-    /// Why.
+    /// The reason for the verdict.
     pub cause: Cause,
-    /// How long the caller should wait before it retries; with rejections alone.
+    /// How long the client should wait before it retries, in nanoseconds. Only rejections state it; `None` leaves it to
+    /// the client.
     pub retry_after: Option<Time>,
-    /// Attempts made.
+    /// The number of attempts made before the answer.
     pub attempts: u32,
-    /// How the last of them ended.
+    /// The outcome of the last attempt that ended; `None` if none did.
     pub last_outcome: Option<Outcome>,
-    /// The worker of the last attempt.
+    /// The worker of the last attempt that ended; `None` if none did.
     pub worker: Option<WorkerId>,
-    /// What the worker answered; with [`Verdict::Served`] alone.
+    /// The answer of the worker; given only with [`Verdict::Served`].
     pub served: Option<Served>,
 }
 
@@ -150,8 +152,8 @@
         Self::without_body(Verdict::Failed, cause)
     }
 
-    /// The answer of a request that is ended before its attempts are: rejected if none was made, for then a retry is
-    /// harmless, else failed.
+    /// The answer of a request that ends before its attempts do. It is rejected if no attempt was made, because a retry
+    /// is harmless then, and failed otherwise.
     pub(crate) fn interrupted(attempts: u32, cause: Cause) -> Self {
         if attempts == 0 {
             Self::rejected(cause)
--- a/crates/pipithub-engine/src/settings.rs
+++ b/crates/pipithub-engine/src/settings.rs
@@ -10,26 +10,26 @@
 const SECOND: Time = 1_000 * MILLISECOND;
 const MEBIBYTE: usize = 1 << 20;
 
-/// What an engine is given at its start.
+/// The settings of an engine, which do not change while it runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineSettings {
     /// Settings of the decision module.
     pub policy: Settings,
     /// The maximum number of pending requests, including those whose answer is not settled yet.
     pub max_pending: usize,
-    /// The maximum size of all bodies in memory, of calls and of answers.
+    /// The maximum size of all bodies in memory, of calls and of answers, in bytes.
     pub max_body_bytes: usize,
-    /// Answers leave this long before the client's timeout, which leaves time for their way back.
+    /// How long before the client's timeout the final answer is given, so that it arrives in time; in nanoseconds.
     pub answer_margin: Time,
     /// The number of settled messages that are remembered in order to recognize redeliveries.
     pub remembered_messages: usize,
-    /// How long a settled message is remembered.
+    /// How long a settled message is remembered, in nanoseconds.
     pub remember_for: Time,
-    /// A message that was delivered more often than this fails: it may be what crashes front ends.
+    /// A message with more earlier deliveries than this fails, because it may be what crashes front ends.
     pub max_deliveries: u32,
     /// The maximum number of functions whose names are kept for load commands.
     pub max_function_names: usize,
-    /// Which tenant owns which function.
+    /// The owners of functions.
     pub owners: Arc<Owners>,
 }
 
--- a/crates/pipithub-engine/src/stats.rs
+++ b/crates/pipithub-engine/src/stats.rs
@@ -1,26 +1,26 @@
-//! Counters of an engine.
+//! The counters of an engine.
 
-/// What an engine has done since its start.
+/// The counters of what an engine has done since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Triggers received.
+    /// Triggers received, including those that were rejected.
     pub triggers: u64,
-    /// Triggers that were redelivered.
+    /// Triggers received that their source marked as redelivered.
     pub redelivered: u64,
-    /// Redelivered triggers that joined a request which was pending here.
+    /// Redelivered triggers that joined a pending request of this engine.
     pub joined: u64,
-    /// Attempts started.
+    /// Attempts that were started.
     pub attempts: u64,
-    /// Attempts cancelled.
+    /// Attempts that the decision module cancelled.
     pub cancelled_attempts: u64,
     /// Load commands given to workers.
     pub load_commands: u64,
-    /// Polls of a worker's load.
+    /// Polls of the load of workers.
     pub load_polls: u64,
-    /// Final answers that a worker served.
+    /// Final answers with the verdict [`Served`](crate::Verdict::Served).
     pub served: u64,
-    /// Final answers that reject the call.
+    /// Final answers with the verdict [`Rejected`](crate::Verdict::Rejected).
     pub rejected: u64,
-    /// Final answers that report a failure.
+    /// Final answers with the verdict [`Failed`](crate::Verdict::Failed).
     pub failed: u64,
 }
--- a/crates/pipithub-engine/src/timers.rs
+++ b/crates/pipithub-engine/src/timers.rs
@@ -1,11 +1,11 @@
-//! Timers that the decision module asked for.
+//! The timers of the decision module and of requests without a source.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 use pipithub_policy::api::Time;
 
-/// A timer; equal times fall due in the order in which they were set.
+/// A timer. Timers with equal times expire in the order in which they were set.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Timer {
     due: Time,
@@ -13,6 +13,7 @@
     token: u64,
 }
 
+/// The timers that have not expired, by the time at which they do.
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
     heap: BinaryHeap<Reverse<Timer>>,
@@ -29,7 +30,7 @@
         }));
     }
 
-    /// When the next timer is due.
+    /// When the next timer is due; `None` if none is set.
     pub(crate) fn next_due(&self) -> Option<Time> {
         self.heap.peek().map(|Reverse(timer)| timer.due)
     }
