--- a/crates/pipithub-engine/src/call.rs
+++ b/crates/pipithub-engine/src/call.rs
@@ -25,7 +25,7 @@
 /// An odd constant that spreads the bits of the hash. FNV-1a alone gives similar names similar hashes.
 const MIX_FACTOR: u64 = 0xd6e8_feb8_6659_fd93;
 
-/// The id under which the decision module knows a function. It depends on the name alone, so all front ends agree on it.
+/// The id under which the decision module knows a function. It depends on the name alone, so that all front ends agree.
 ///
 /// Two functions whose ids collide share their preferred workers and their averages. They are not confused otherwise,
 /// because calls carry the name.
@@ -51,8 +51,8 @@
     /// What is left of the client's timeout, in nanoseconds; `None` if the client states none, and then the class's
     /// timeout applies.
     pub timeout: Option<Time>,
-    /// The minimum time that the message has waited already, in nanoseconds. It counts towards the class's timeout, while
-    /// [`Call::timeout`] is what is left after the wait.
+    /// The minimum time that the message has waited already, in nanoseconds. It counts towards the class's timeout;
+    /// [`Call::timeout`] is what is left after it.
     pub waited: Time,
     /// The maximum age of the message, in nanoseconds; `None` if its source knows no bound.
     pub age: Option<Time>,
--- a/crates/pipithub-engine/src/function_names.rs
+++ b/crates/pipithub-engine/src/function_names.rs
@@ -48,8 +48,8 @@
         self.functions.insert(function, known);
     }
 
-    /// Forgets the half that was not called for the longest time. Evicting half of them at a time keeps the cost of a call
-    /// low when most functions are called only once.
+    /// Forgets the half that was not called for the longest time. Evicting half of them at a time keeps the cost of a
+    /// call low when most functions are called only once.
     fn evict_older_half(&mut self) {
         let mut times: Vec<Time> = self
             .functions
--- a/crates/pipithub-engine/src/output.rs
+++ b/crates/pipithub-engine/src/output.rs
@@ -42,7 +42,7 @@
         /// The name under which workers know the function.
         name: Arc<str>,
     },
-    /// Poll a worker's load. The result must be reported once, as [`LoadPolled`](crate::Input::LoadPolled).
+    /// Poll the load of a worker. The result must be reported once, as [`LoadPolled`](crate::Input::LoadPolled).
     PollLoad(WorkerId),
     /// Deliver the final answer and settle the trigger, both or neither. Either [`Settled`](crate::Input::Settled) or
     /// [`SourceLost`](crate::Input::SourceLost) must follow.
@@ -54,6 +54,6 @@
     },
     /// Settle a trigger that was answered before, without another answer.
     Forget(Ticket),
-    /// Start to watch the endpoint list; the state of the list is to be reported as [`Endpoints`](crate::Input::Endpoints).
+    /// Start to watch the endpoint list. Its state must be reported as [`Endpoints`](crate::Input::Endpoints).
     WatchEndpoints,
 }
--- a/crates/pipithub-engine/src/redelivery.rs
+++ b/crates/pipithub-engine/src/redelivery.rs
@@ -1,8 +1,8 @@
 //! Decisions on messages that are delivered again.
 //!
-//! A broker redelivers a message when the connection that it was delivered on is lost, whatever was done with the message
-//! until then. The decision depends on what this front end remembers of earlier deliveries. If it remembers none, it
-//! depends on what the class of the call allows.
+//! A broker redelivers a message when the connection that it was delivered on is lost, whatever was done with the
+//! message until then. The decision depends on what this front end remembers of earlier deliveries. If it remembers
+//! none, it depends on what the class of the call allows.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -18,7 +18,7 @@
     Forget,
     /// The call may have run elsewhere, and running it again is harmless.
     Run {
-        /// How long from now an attempt may start, in nanoseconds; `None` if there is no bound.
+        /// The time from now, in nanoseconds, in which the call must be answered; `None` if there is no bound.
         within: Option<Time>,
     },
     /// The call may have run elsewhere and must not run again.
--- /dev/null
+++ b/crates/pipithub-engine/tests/random_faults/broker.rs
@@ -0,0 +1,119 @@
+//! A broker with one queue, which redelivers what a lost connection has not acknowledged.
+
+use std::collections::{BTreeMap, VecDeque};
+
+use pipithub_engine::{SourceId, Ticket, Time, Verdict};
+
+pub(crate) const SOURCE: SourceId = SourceId(0);
+
+/// A final answer that reached the broker.
+#[derive(Clone, Debug)]
+pub(crate) struct Answer {
+    pub(crate) verdict: Verdict,
+    pub(crate) at: Time,
+}
+
+/// A message with all that became of it.
+#[derive(Clone, Debug)]
+pub(crate) struct Message {
+    pub(crate) class: usize,
+    pub(crate) published: Time,
+    pub(crate) redelivered: bool,
+    pub(crate) answers: Vec<Answer>,
+    /// When the call took effect at a worker.
+    pub(crate) effects: Vec<Time>,
+}
+
+/// A delivery that is not acknowledged.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct Delivery {
+    front_end: usize,
+    message: usize,
+}
+
+#[derive(Debug, Default)]
+pub(crate) struct Broker {
+    messages: Vec<Message>,
+    queue: VecDeque<usize>,
+    unacknowledged: BTreeMap<Ticket, Delivery>,
+    tickets: u64,
+}
+
+impl Broker {
+    pub(crate) fn messages(&self) -> &[Message] {
+        &self.messages
+    }
+
+    pub(crate) fn message(&self, number: usize) -> &Message {
+        &self.messages[number]
+    }
+
+    pub(crate) fn publish(&mut self, class: usize, now: Time) {
+        self.queue.push_back(self.messages.len());
+        self.messages.push(Message {
+            class,
+            published: now,
+            redelivered: false,
+            answers: Vec::new(),
+            effects: Vec::new(),
+        });
+    }
+
+    pub(crate) fn has_queued(&self) -> bool {
+        !self.queue.is_empty()
+    }
+
+    /// Delivers the next message in the queue to a front end.
+    pub(crate) fn deliver_next(&mut self, front_end: usize) -> Option<(Ticket, usize)> {
+        let message = self.queue.pop_front()?;
+        self.tickets += 1;
+        let ticket = Ticket {
+            source: SOURCE,
+            number: self.tickets,
+        };
+        self.unacknowledged
+            .insert(ticket, Delivery { front_end, message });
+        Some((ticket, message))
+    }
+
+    pub(crate) fn has_delivered(&self, front_end: usize, message: usize) -> bool {
+        let expected = Delivery { front_end, message };
+        self.unacknowledged
+            .values()
+            .any(|delivery| *delivery == expected)
+    }
+
+    /// Takes the answer to a delivery and its acknowledgement, which take effect together.
+    pub(crate) fn commit(&mut self, ticket: Ticket, verdict: Verdict, now: Time) {
+        let delivery = self
+            .unacknowledged
+            .remove(&ticket)
+            .expect("a ticket is settled once");
+        self.messages[delivery.message]
+            .answers
+            .push(Answer { verdict, at: now });
+    }
+
+    pub(crate) fn acknowledge(&mut self, ticket: Ticket) {
+        self.unacknowledged.remove(&ticket);
+    }
+
+    pub(crate) fn record_effect(&mut self, message: usize, now: Time) {
+        self.messages[message].effects.push(now);
+    }
+
+    /// Returns what a front end has not acknowledged to the head of the queue, in its order.
+    pub(crate) fn requeue(&mut self, front_end: usize) {
+        let lost: Vec<(Ticket, usize)> = self
+            .unacknowledged
+            .iter()
+            .filter(|(_, delivery)| delivery.front_end == front_end)
+            .map(|(ticket, delivery)| (*ticket, delivery.message))
+            .collect();
+        for (ticket, message) in lost.into_iter().rev() {
+            self.unacknowledged.remove(&ticket);
+            self.messages[message].redelivered = true;
+            self.queue.push_front(message);
+        }
+    }
+}
