--- a/crates/pipithub-bench/src/bin/decision_memory.rs
+++ b/crates/pipithub-bench/src/bin/decision_memory.rs
@@ -9,14 +9,14 @@
 use allocation_counter::measure;
 use pipithub_policy::FrontEnd as Module;
 use pipithub_policy::api::{Action, Event, Settings, Time};
-use plain::decide::FrontEnd as Plain;
+use reference::FrontEnd as Reference;
 use world::meter::Front;
 use world::{Day, MS, World};
 
 #[rustfmt::skip]
 #[allow(clippy::all)]
-#[path = "../../../pipithub-policy/tests/plain/mod.rs"]
-mod plain;
+#[path = "../../../pipithub-policy/tests/reference/mod.rs"]
+mod reference;
 #[rustfmt::skip]
 #[allow(clippy::all)]
 #[path = "../../../pipithub-policy/tests/world/mod.rs"]
@@ -31,13 +31,13 @@
 /// How long the end is awaited: functions are forgotten after 60 s at the usual settings.
 const FORGETTING_TIME: Time = 75_000 * MS;
 
-impl Front for Plain {
+impl Front for Reference {
     fn start(settings: Settings, seed: u64) -> Self {
-        Plain::new(settings, seed)
+        Reference::new(settings, seed)
     }
 
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
-        Plain::handle(self, now, event, actions);
+        Reference::handle(self, now, event, actions);
     }
 }
 
@@ -97,7 +97,7 @@
     );
     let once = calls == functions;
     let counted = if code == "plain" {
-        count::<Plain>(day, once)
+        count::<Reference>(day, once)
     } else {
         count::<Module>(day, once)
     };
--- a/crates/pipithub-bench/src/scale/decisions.rs
+++ b/crates/pipithub-bench/src/scale/decisions.rs
@@ -16,8 +16,8 @@
 // The older edition's layout is kept: these files belong to the tests of the policy's crate.
 #[rustfmt::skip]
 #[allow(clippy::all)]
-#[path = "../../../pipithub-policy/tests/plain/mod.rs"]
-mod plain;
+#[path = "../../../pipithub-policy/tests/reference/mod.rs"]
+mod reference;
 #[rustfmt::skip]
 #[allow(clippy::all)]
 #[path = "../../../pipithub-policy/tests/world/mod.rs"]
--- a/crates/pipithub-bench/src/scale/decisions/run.rs
+++ b/crates/pipithub-bench/src/scale/decisions/run.rs
@@ -4,7 +4,7 @@
 use pipithub_policy::api::{Action, Event, Settings, Time};
 
 use super::figures::Figures;
-use super::plain::decide::FrontEnd as Plain;
+use super::reference::FrontEnd as Reference;
 use super::world::meter::{Front, Play, Spent};
 use super::world::{Day, World};
 
@@ -17,13 +17,13 @@
 const IDLE_TICKS: usize = 40;
 const SMALL_LISTS: usize = 20;
 
-impl Front for Plain {
+impl Front for Reference {
     fn start(settings: Settings, seed: u64) -> Self {
-        Plain::new(settings, seed)
+        Reference::new(settings, seed)
     }
 
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
-        Plain::handle(self, now, event, actions);
+        Reference::handle(self, now, event, actions);
     }
 }
 
@@ -114,7 +114,7 @@
 /// The runs of both codes in the same day.
 pub(super) struct Runs {
     /// The plain reference; `None` where it is left out.
-    pub plain: Option<Run<Plain>>,
+    pub plain: Option<Run<Reference>>,
     /// The decision module.
     pub module: Run<Module>,
 }
--- a/crates/pipithub-policy/tests/growth.rs
+++ b/crates/pipithub-policy/tests/growth.rs
@@ -1,6 +1,6 @@
 //! What a decision looks at must not grow with the tier: counted, not timed, at two sizes, on quiet and bad days.
 
-mod plain;
+mod reference;
 mod world;
 
 use pipithub_policy::FrontEnd;
@@ -8,13 +8,13 @@
 use world::meter::{Front, Play, Spent, median};
 use world::{Day, MS};
 
-impl Front for plain::decide::FrontEnd {
+impl Front for reference::FrontEnd {
     fn start(settings: Settings, seed: u64) -> Self {
-        plain::decide::FrontEnd::new(settings, seed)
+        reference::FrontEnd::new(settings, seed)
     }
 
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
-        plain::decide::FrontEnd::handle(self, now, event, actions);
+        reference::FrontEnd::handle(self, now, event, actions);
     }
 }
 
@@ -136,7 +136,7 @@
 #[test]
 fn what_grows_is_found() {
     // The reference looks at every worker: it is the fault that this file must find.
-    let found: Vec<_> = grown::<plain::decide::FrontEnd>("quiet")
+    let found: Vec<_> = grown::<reference::FrontEnd>("quiet")
         .iter()
         .map(|(what, ..)| *what)
         .collect();
--- a/crates/pipithub-policy/tests/plain/counted.rs
+++ b/crates/pipithub-policy/tests/reference/counting_map.rs
@@ -8,15 +8,15 @@
 
 /// A map with the methods that the reference uses; each worker yielded or looked up counts as one.
 #[derive(Debug)]
-pub(crate) struct Counted<V>(BTreeMap<WorkerId, V>);
+pub(crate) struct CountingMap<V>(BTreeMap<WorkerId, V>);
 
-impl<V> Default for Counted<V> {
+impl<V> Default for CountingMap<V> {
     fn default() -> Self {
-        Counted(BTreeMap::new())
+        CountingMap(BTreeMap::new())
     }
 }
 
-impl<V> Counted<V> {
+impl<V> CountingMap<V> {
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&WorkerId, &V)> {
         self.0.iter().inspect(|_| looked(1))
     }
@@ -51,7 +51,7 @@
     }
 }
 
-impl<V> Index<&WorkerId> for Counted<V> {
+impl<V> Index<&WorkerId> for CountingMap<V> {
     type Output = V;
 
     fn index(&self, worker: &WorkerId) -> &V {
--- a/crates/pipithub-policy/tests/plain/state.rs
+++ b/crates/pipithub-policy/tests/reference/state.rs
@@ -1,6 +1,6 @@
 //! What a front end remembers, as plain data. What is made of it stands in `src/decide.rs`.
 
-use super::counted::Counted;
+use super::counting_map::CountingMap;
 use pipithub_policy::api::{Endpoint, FunctionId, Request, RequestId, Settings, Time, WorkerId};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,7 +10,7 @@
     pub(crate) s: Settings,
     pub(crate) now: Time,
     pub(crate) seed: u64,
-    pub(crate) nodes: Counted<Node>,
+    pub(crate) nodes: CountingMap<Node>,
     pub(crate) programs: BTreeMap<FunctionId, Program>,
     pub(crate) open: BTreeMap<RequestId, Open>,
     /// Mean run time of each class.
--- a/crates/pipithub-policy/tests/same.rs
+++ b/crates/pipithub-policy/tests/same.rs
@@ -1,6 +1,6 @@
 //! Over a thousand drawn days the module decides as its plain reference does, action for action.
 
-mod plain;
+mod reference;
 mod world;
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -19,7 +19,7 @@
 fn play(seed: u64) -> Counts {
     let day = Day::drawn(seed, 300);
     let mut module = FrontEnd::new(day.settings.clone(), seed);
-    let mut reference = plain::decide::FrontEnd::new(day.settings.clone(), seed);
+    let mut reference = reference::FrontEnd::new(day.settings.clone(), seed);
     let blind = day.settings.front_ends > 8;
     let mut world = World::new(day);
     let (mut one, mut other) = (Vec::new(), Vec::new());
@@ -149,7 +149,7 @@
 
 #[test]
 fn the_reference_counts_what_it_looks_at() {
-    let mut reference = plain::decide::FrontEnd::new(Settings::default(), 7);
+    let mut reference = reference::FrontEnd::new(Settings::default(), 7);
     let entry = |n: u32| Endpoint {
         worker: WorkerId::new(&format!("10.0.0.{n}:80")),
         ..Endpoint::default()
