--- a/crates/pipithub-policy/tests/reference/state.rs
+++ b/crates/pipithub-policy/tests/reference/state.rs
@@ -7,38 +7,38 @@
 /// One front end.
 #[derive(Debug, Default)]
 pub(crate) struct FrontEnd {
-    pub(crate) s: Settings,
+    pub(crate) settings: Settings,
     pub(crate) now: Time,
     pub(crate) seed: u64,
-    pub(crate) nodes: CountingMap<Node>,
-    pub(crate) programs: BTreeMap<FunctionId, Program>,
-    pub(crate) open: BTreeMap<RequestId, Open>,
+    pub(crate) workers: CountingMap<WorkerState>,
+    pub(crate) functions: BTreeMap<FunctionId, FunctionState>,
+    pub(crate) pending: BTreeMap<RequestId, PendingRequest>,
     /// Mean run time of each class.
-    pub(crate) class_run: Vec<Option<f64>>,
+    pub(crate) class_run_times: Vec<Option<f64>>,
     /// Seen load time over the told one, and the mean load where none is told.
-    pub(crate) load_stretch: f64,
-    pub(crate) load_mean: Option<f64>,
-    pub(crate) load_heard: Time,
+    pub(crate) load_slowdown: f64,
+    pub(crate) mean_load_time: Option<f64>,
+    pub(crate) load_observed_at: Time,
     /// Health of what loads come from, and loads that failed since the last that was done.
-    pub(crate) store: Health,
-    pub(crate) failed_loads: u32,
+    pub(crate) store_health: Health,
+    pub(crate) consecutive_failed_loads: u32,
     /// Arrivals and orders within the ration's window, arrivals within the rate span at least.
     pub(crate) arrivals: VecDeque<Time>,
-    pub(crate) orders: VecDeque<Time>,
-    pub(crate) next_round: Time,
-    pub(crate) allowance: f64,
+    pub(crate) load_commands: VecDeque<Time>,
+    pub(crate) next_rebalancing_at: Time,
+    pub(crate) rebalancing_allowance: f64,
     /// Calls that a warm worker serves this front end, for each unit of time.
     pub(crate) warm_rate: f64,
     /// Its mean over a longer time.
-    pub(crate) usual_warm_rate: RunningMean,
+    pub(crate) mean_warm_rate: RunningMean,
     /// Mean of what workers told to hold, and of how far runs were stretched there.
-    pub(crate) held_seen: (f64, f64),
+    pub(crate) reported_queues: (f64, f64),
     /// Calls that may now be sent on a guess.
-    pub(crate) guesses: f64,
+    pub(crate) speculation_tokens: f64,
     /// Zones that say nothing.
-    pub(crate) zones: BTreeMap<String, Health>,
+    pub(crate) silent_zones: BTreeMap<String, Health>,
     /// Mean share of their worth that own sends lost: answered late, in error or not at all.
-    pub(crate) lost: f64,
+    pub(crate) mean_lost_value: f64,
 }
 
 /// A mean over the last samples: each weighs as much as the others while there are few, and fades later.
@@ -50,11 +50,11 @@
 
 impl RunningMean {
     /// So many samples weigh alike before the oldest ones fade.
-    const SAMPLES_MOST: u32 = 400;
+    const MAX_SAMPLES: u32 = 400;
 
     /// Takes in a sample.
     pub(crate) fn add(&mut self, sample: f64) {
-        self.samples = (self.samples + 1).min(Self::SAMPLES_MOST);
+        self.samples = (self.samples + 1).min(Self::MAX_SAMPLES);
         self.mean += (sample - self.mean) / f64::from(self.samples);
     }
 
@@ -70,35 +70,35 @@
 
 /// A send that has no outcome yet.
 #[derive(Clone, Debug)]
-pub(crate) struct Sent {
+pub(crate) struct Attempt {
     pub(crate) request: RequestId,
     pub(crate) attempt: u32,
     pub(crate) function: FunctionId,
     pub(crate) class: usize,
     pub(crate) at: Time,
     /// When the replay foresaw its answer.
-    pub(crate) due: Time,
+    pub(crate) predicted_finish: Time,
     /// The deadline that the replay held it to.
-    pub(crate) goal: Time,
+    pub(crate) target_deadline: Time,
     /// The run alone, at the usual pace.
     pub(crate) run: f64,
     /// An answer after this is late.
-    pub(crate) aim: Time,
+    pub(crate) latency_objective: Time,
     /// It was believed to wait for a load; or no answer had shown the copy yet.
     pub(crate) cold: bool,
-    pub(crate) unproven: bool,
+    pub(crate) unconfirmed: bool,
     /// All lanes were taken; and own sends of the function there, itself included.
-    pub(crate) adds: bool,
+    pub(crate) adds_replica: bool,
     pub(crate) same: f64,
     /// Own sends at the worker when it left, itself included.
-    pub(crate) crowd: f64,
+    pub(crate) concurrency: f64,
     /// It was withdrawn, but its work may go on.
-    pub(crate) withdrawn: bool,
+    pub(crate) cancelled: bool,
 }
 
 /// What is believed of a function's copies at one worker.
 #[derive(Debug, Default)]
-pub(crate) struct Copies {
+pub(crate) struct Replicas {
     pub(crate) count: u32,
     /// Calls of it that other front ends have there.
     pub(crate) others: f64,
@@ -107,35 +107,35 @@
     /// The last sign that they were in use.
     pub(crate) used: Time,
     /// An answer or order reply has shown them.
-    pub(crate) proven: bool,
+    pub(crate) confirmed: bool,
     /// Placed by an order of this front end.
     pub(crate) placed: bool,
     /// An order for them is under way.
     pub(crate) ordered: bool,
     /// Run time admitted here in this interval.
-    pub(crate) used_work: f64,
+    pub(crate) admitted_run_time: f64,
     /// Run time that moved on in this interval because no copy stood here, and how often.
-    pub(crate) missed_work: f64,
-    pub(crate) misses: u32,
+    pub(crate) missed_run_time: f64,
+    pub(crate) placement_misses: u32,
     /// Least time to spare beyond the run among those.
-    pub(crate) adequate: f64,
+    pub(crate) min_slack: f64,
 }
 
 /// Troubles not yet outweighed by answers, and until when the worker is left alone.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Health {
     pub(crate) bad: u32,
-    pub(crate) shut_until: Time,
+    pub(crate) ejected_until: Time,
     /// When it was shut last.
     pub(crate) since: Time,
     /// Share of errors among the last ends, and the function of the last one.
     pub(crate) errors: f64,
-    pub(crate) erred: Option<FunctionId>,
+    pub(crate) record_error: Option<FunctionId>,
 }
 
 /// What a worker last told of its load: when, the calls it held and how busy its cores were.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Told {
+pub(crate) struct ReportedLoad {
     pub(crate) at: Time,
     pub(crate) held: f64,
     pub(crate) busy: f64,
@@ -144,50 +144,50 @@
 }
 
 #[derive(Debug)]
-pub(crate) struct Node {
-    pub(crate) entry: Endpoint,
+pub(crate) struct WorkerState {
+    pub(crate) endpoint: Endpoint,
     pub(crate) hash: u64,
-    pub(crate) copies: BTreeMap<FunctionId, Copies>,
-    pub(crate) out: Vec<Sent>,
+    pub(crate) replicas: BTreeMap<FunctionId, Replicas>,
+    pub(crate) in_flight: Vec<Attempt>,
     /// Served time over the usual, and own sends there meanwhile.
-    pub(crate) pace: f64,
-    pub(crate) crowd: f64,
+    pub(crate) slowdown: f64,
+    pub(crate) concurrency: f64,
     pub(crate) heard: Time,
     /// The most own sends to have there; a refusal cuts it, answers raise it.
-    pub(crate) room: f64,
+    pub(crate) concurrency_limit: f64,
     /// Its health for each class: what stands behind a worker may fail one class alone.
     pub(crate) health: Vec<Health>,
     /// Failed or broken connections since its last answer.
-    pub(crate) strikes: u32,
-    pub(crate) told: Told,
+    pub(crate) consecutive_connect_failures: u32,
+    pub(crate) told: ReportedLoad,
     /// Sends within the last rate span.
     pub(crate) sends: VecDeque<Time>,
     /// Answers served within it, with their class.
     pub(crate) served: VecDeque<(Time, usize)>,
 }
 
-impl Node {
+impl WorkerState {
     /// A worker of which nothing is known but its entry.
-    pub(crate) fn new(entry: Endpoint, classes: usize) -> Self {
-        let hash = entry
+    pub(crate) fn new(endpoint: Endpoint, classes: usize) -> Self {
+        let hash = endpoint
             .worker
             .0
             .bytes()
             .fold(0xcbf2_9ce4_8422_2325, |h: u64, b| {
                 (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3)
             });
-        Node {
-            entry,
+        WorkerState {
+            endpoint,
             hash: mix(hash),
-            copies: BTreeMap::new(),
-            out: Vec::new(),
-            pace: 1.0,
-            crowd: 1.0,
-            room: f64::INFINITY,
+            replicas: BTreeMap::new(),
+            in_flight: Vec::new(),
+            slowdown: 1.0,
+            concurrency: 1.0,
+            concurrency_limit: f64::INFINITY,
             heard: 0,
             health: vec![Health::default(); classes],
-            strikes: 0,
-            told: Told::default(),
+            consecutive_connect_failures: 0,
+            told: ReportedLoad::default(),
             sends: VecDeque::new(),
             served: VecDeque::new(),
         }
@@ -196,45 +196,45 @@
 
 /// A function as this front end knows it.
 #[derive(Debug, Default)]
-pub(crate) struct Program {
-    pub(crate) lanes: u32,
+pub(crate) struct FunctionState {
+    pub(crate) replica_concurrency: u32,
     pub(crate) memory_mb: f64,
-    pub(crate) told_load: Option<Time>,
+    pub(crate) declared_load_time: Option<Time>,
     /// The longest load seen, fading.
-    pub(crate) seen_load: Option<f64>,
+    pub(crate) observed_load_time: Option<f64>,
     pub(crate) run: Option<f64>,
-    pub(crate) called: Time,
+    pub(crate) last_requested_at: Time,
     /// Homes that it needs in a large tier, of one copy each; under 1 while nothing was told.
-    pub(crate) homes: f64,
+    pub(crate) preferred_workers: f64,
 }
 
 /// A request that has no final answer yet.
 #[derive(Debug, Default)]
-pub(crate) struct Open {
+pub(crate) struct PendingRequest {
     pub(crate) call: Request,
-    pub(crate) aim: Time,
+    pub(crate) latency_objective: Time,
     pub(crate) deadline: Time,
     pub(crate) attempts: u32,
-    pub(crate) outstanding: bool,
+    pub(crate) attempt_in_flight: bool,
     /// The first attempt that may have run: when, and in which zone and cell.
-    pub(crate) may_have_run: Option<(Time, String, u64)>,
-    pub(crate) tried: Vec<WorkerId>,
+    pub(crate) possible_execution: Option<(Time, String, u64)>,
+    pub(crate) attempted_workers: Vec<WorkerId>,
     pub(crate) streaming: bool,
     /// It waits, unsent, for an order's reply.
-    pub(crate) parked: bool,
+    pub(crate) awaits_load: bool,
     /// It waits, unsent, for a worker to tell its load; and how often it has.
-    pub(crate) asks: Option<WorkerId>,
-    pub(crate) asked: u32,
+    pub(crate) polled_worker: Option<WorkerId>,
+    pub(crate) load_polls: u32,
 }
 
 /// What the replay of one worker foresees for a newcomer.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Foreseen {
+pub(crate) struct Prediction {
     pub(crate) cold: bool,
     /// All lanes are taken: the worker may well start a further copy for it.
-    pub(crate) adds: bool,
+    pub(crate) adds_replica: bool,
     /// Every queued deadline still holds.
-    pub(crate) others_hold: bool,
+    pub(crate) others_meet_deadlines: bool,
     /// When it would be served if a copy stood, and with any load counted.
     pub(crate) warm_finish: Time,
     pub(crate) finish: Time,
