--- /dev/null
+++ b/crates/pipithub-policy/tests/reference/front_end.rs
@@ -0,0 +1,152 @@
+//! One front end: its state, and the decision that each event leads to.
+//!
+//! No clock, thread or I/O: equal events give equal actions.
+
+use std::collections::{BTreeMap, VecDeque};
+
+use pipithub_policy::api::{Action, Class, Event, FunctionId, RequestId, Settings, Time, WorkerId};
+
+use super::counting_map::CountingMap;
+use super::estimates::Estimates;
+use super::hashing::mix;
+use super::load_reports::POLL_TIMEOUT_TOKEN;
+use super::maintenance::{MAINTENANCE_PERIOD, MAINTENANCE_TOKEN};
+use super::slow_start::RunningMean;
+use super::state::{FunctionState, Health, PendingRequest, WorkerState};
+use super::time::{MAX_DURATION, MAX_TIME};
+
+/// One front end.
+#[derive(Debug, Default)]
+pub(crate) struct FrontEnd {
+    pub(crate) settings: Settings,
+    pub(crate) now: Time,
+    pub(crate) seed: u64,
+    pub(crate) workers: CountingMap<WorkerState>,
+    pub(crate) functions: BTreeMap<FunctionId, FunctionState>,
+    pub(crate) pending: BTreeMap<RequestId, PendingRequest>,
+    pub(crate) estimates: Estimates,
+    /// Health of the store that functions are loaded from.
+    pub(crate) store_health: Health,
+    /// Loads that failed since the last that was done.
+    pub(crate) consecutive_failed_loads: u32,
+    /// When the last requests arrived.
+    pub(crate) arrivals: VecDeque<Time>,
+    /// When the last load commands were given.
+    pub(crate) load_commands: VecDeque<Time>,
+    pub(crate) next_rebalancing_at: Time,
+    /// Replicas that may be replaced now; a fraction is carried over.
+    pub(crate) rebalancing_allowance: f64,
+    /// Requests that a warm worker serves this front end, for each nanosecond.
+    pub(crate) warm_rate: f64,
+    /// Its mean over a longer time.
+    pub(crate) mean_warm_rate: RunningMean,
+    /// Attempts that may now be made where others have likely loaded the function.
+    pub(crate) speculation_tokens: f64,
+    /// Zones that do not respond.
+    pub(crate) silent_zones: BTreeMap<String, Health>,
+    /// Mean share of their value that attempts lost: answered late, in error or not at all.
+    pub(crate) mean_lost_value: f64,
+}
+
+impl FrontEnd {
+    /// A front end that knows nothing but its settings.
+    pub(crate) fn new(settings: Settings, seed: u64) -> Self {
+        let settings = bounded(settings);
+        FrontEnd {
+            estimates: Estimates::new(settings.classes.len()),
+            settings,
+            seed,
+            ..FrontEnd::default()
+        }
+    }
+
+    /// Takes one event and appends what to do about it. A time before that of the last event counts
+    /// as that one.
+    pub(crate) fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
+        self.now = self.now.max(now.min(MAX_TIME));
+        if self.next_rebalancing_at == 0 {
+            self.start(actions);
+        }
+        match event {
+            Event::Endpoints { update, endpoints } => {
+                self.update_endpoints(update, endpoints, actions);
+            }
+            Event::Arrived(request) => self.accept(request, actions),
+            Event::AttemptFinished(end) => self.finish_attempt(&end, actions),
+            Event::Streaming { request } => {
+                if let Some(pending) = self.pending.get_mut(&request) {
+                    pending.streaming = true;
+                }
+            }
+            Event::ClientCancelled { request } => self.cancel_request(request, actions),
+            Event::LoadFinished(reply) => self.finish_load(&reply, actions),
+            Event::LoadPolled {
+                worker,
+                answered,
+                report,
+            } => self.record_load_report(&worker, answered.then_some(report), actions),
+            Event::Timer { token } => self.expire_timer(token, actions),
+            Event::Peer { .. } => {}
+        }
+    }
+
+    /// Begins maintenance with the first event. The first round of rebalancing is drawn, so that
+    /// the front ends of a deployment do not all have theirs at once.
+    fn start(&mut self, actions: &mut Vec<Action>) {
+        let half = self.rebalancing_interval() / 2;
+        self.next_rebalancing_at = self.now + half + mix(self.seed) % half;
+        actions.push(Action::SetTimer {
+            after: MAINTENANCE_PERIOD,
+            token: MAINTENANCE_TOKEN,
+        });
+        self.watch_endpoints(actions);
+    }
+
+    /// The token of a timer tells what it is for: maintenance, a load poll or a request.
+    fn expire_timer(&mut self, token: u64, actions: &mut Vec<Action>) {
+        if token == MAINTENANCE_TOKEN {
+            self.run_maintenance(actions);
+        } else if token & POLL_TIMEOUT_TOKEN > 0 {
+            self.expire_poll(RequestId(token & !POLL_TIMEOUT_TOKEN), actions);
+        } else {
+            self.expire_request(RequestId(token), actions);
+        }
+    }
+
+    /// The workers that may be sent work.
+    pub(crate) fn ready_workers(&self) -> impl Iterator<Item = (&WorkerId, &WorkerState)> {
+        self.workers.iter().filter(|(_, worker)| worker.is_ready())
+    }
+
+    /// The pending requests of which this holds.
+    pub(crate) fn pending_where(&self, holds: impl Fn(&PendingRequest) -> bool) -> Vec<RequestId> {
+        self.pending
+            .iter()
+            .filter(|(_, pending)| holds(pending))
+            .map(|(id, _)| *id)
+            .collect()
+    }
+}
+
+/// The settings with at least one class and one front end, and with each duration bounded.
+fn bounded(mut settings: Settings) -> Settings {
+    if settings.classes.is_empty() {
+        settings.classes.push(Class::default());
+    }
+    settings.front_ends = settings.front_ends.max(1);
+    settings.tick = settings.tick.min(MAX_DURATION);
+    let slow_start = &mut settings.slow_start;
+    slow_start.window = slow_start.window.min(MAX_DURATION);
+    slow_start.overload_window = slow_start.overload_window.min(MAX_DURATION);
+    let loading = &mut settings.loading;
+    loading.keep_alive = loading.keep_alive.min(MAX_DURATION);
+    if let Some(limit) = &mut loading.rate_limit {
+        limit.window = limit.window.min(MAX_DURATION);
+    }
+    for class in &mut settings.classes {
+        class.latency_objective = class.latency_objective.min(MAX_DURATION);
+        class.client_timeout = class.client_timeout.min(MAX_DURATION);
+        class.deduplication_window = class.deduplication_window.min(MAX_DURATION);
+    }
+    settings
+}
--- a/crates/pipithub-policy/tests/reference/state.rs
+++ b/crates/pipithub-policy/tests/reference/state.rs
@@ -1,252 +1,211 @@
-//! What a front end remembers, as plain data. What is made of it stands in `src/decide.rs`.
+//! What a front end remembers of workers, functions and requests, as plain data.
 
-use super::counting_map::CountingMap;
-use pipithub_policy::api::{Endpoint, FunctionId, Request, RequestId, Settings, Time, WorkerId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// One front end.
-#[derive(Debug, Default)]
-pub(crate) struct FrontEnd {
-    pub(crate) settings: Settings,
-    pub(crate) now: Time,
-    pub(crate) seed: u64,
-    pub(crate) workers: CountingMap<WorkerState>,
-    pub(crate) functions: BTreeMap<FunctionId, FunctionState>,
-    pub(crate) pending: BTreeMap<RequestId, PendingRequest>,
-    /// Mean run time of each class.
-    pub(crate) class_run_times: Vec<Option<f64>>,
-    /// Seen load time over the told one, and the mean load where none is told.
-    pub(crate) load_slowdown: f64,
-    pub(crate) mean_load_time: Option<f64>,
-    pub(crate) load_observed_at: Time,
-    /// Health of what loads come from, and loads that failed since the last that was done.
-    pub(crate) store_health: Health,
-    pub(crate) consecutive_failed_loads: u32,
-    /// Arrivals and orders within the ration's window, arrivals within the rate span at least.
-    pub(crate) arrivals: VecDeque<Time>,
-    pub(crate) load_commands: VecDeque<Time>,
-    pub(crate) next_rebalancing_at: Time,
-    pub(crate) rebalancing_allowance: f64,
-    /// Calls that a warm worker serves this front end, for each unit of time.
-    pub(crate) warm_rate: f64,
-    /// Its mean over a longer time.
-    pub(crate) mean_warm_rate: RunningMean,
-    /// Mean of what workers told to hold, and of how far runs were stretched there.
-    pub(crate) reported_queues: (f64, f64),
-    /// Calls that may now be sent on a guess.
-    pub(crate) speculation_tokens: f64,
-    /// Zones that say nothing.
-    pub(crate) silent_zones: BTreeMap<String, Health>,
-    /// Mean share of their worth that own sends lost: answered late, in error or not at all.
-    pub(crate) mean_lost_value: f64,
-}
-
-/// A mean over the last samples: each weighs as much as the others while there are few, and fades later.
-#[derive(Debug, Default)]
-pub(crate) struct RunningMean {
-    mean: f64,
-    samples: u32,
-}
-
-impl RunningMean {
-    /// So many samples weigh alike before the oldest ones fade.
-    const MAX_SAMPLES: u32 = 400;
-
-    /// Takes in a sample.
-    pub(crate) fn add(&mut self, sample: f64) {
-        self.samples = (self.samples + 1).min(Self::MAX_SAMPLES);
-        self.mean += (sample - self.mean) / f64::from(self.samples);
-    }
+use pipithub_policy::api::{
+    Endpoint, EndpointState, FunctionId, Request, RequestId, Time, WorkerId,
+};
 
-    /// A value held to the mean at most; before the first sample nothing bounds it.
-    pub(crate) fn cap(&self, value: f64) -> f64 {
-        if self.samples == 0 {
-            value
-        } else {
-            value.min(self.mean)
-        }
-    }
-}
+use super::hashing::hash_address;
 
-/// A send that has no outcome yet.
+/// An attempt that has no outcome yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub(crate) request: RequestId,
-    pub(crate) attempt: u32,
+    /// Which attempt of the request it is, from 0.
+    pub(crate) number: u32,
     pub(crate) function: FunctionId,
     pub(crate) class: usize,
-    pub(crate) at: Time,
-    /// When the replay foresaw its answer.
+    pub(crate) sent_at: Time,
+    /// When the replay predicted its answer.
     pub(crate) predicted_finish: Time,
-    /// The deadline that the replay held it to.
+    /// The deadline that it was admitted for.
     pub(crate) target_deadline: Time,
-    /// The run alone, at the usual pace.
-    pub(crate) run: f64,
-    /// An answer after this is late.
+    /// The run alone, as expected at a slowdown of 1.
+    pub(crate) run_time: f64,
+    /// An answer after this point in time is late.
     pub(crate) latency_objective: Time,
-    /// It was believed to wait for a load; or no answer had shown the copy yet.
-    pub(crate) cold: bool,
+    /// It was expected to wait for a load.
+    pub(crate) cold_start: bool,
+    /// No answer had shown the replica yet.
     pub(crate) unconfirmed: bool,
-    /// All lanes were taken; and own sends of the function there, itself included.
+    /// All of the replicas' concurrency was taken.
     pub(crate) adds_replica: bool,
-    pub(crate) same: f64,
-    /// Own sends at the worker when it left, itself included.
+    /// This front end's attempts of the function at the worker when it left, itself included.
+    pub(crate) function_concurrency: f64,
+    /// This front end's attempts at the worker when it left, itself included.
     pub(crate) concurrency: f64,
-    /// It was withdrawn, but its work may go on.
+    /// It was cancelled, but its work may go on.
     pub(crate) cancelled: bool,
 }
 
-/// What is believed of a function's copies at one worker.
+/// What is believed of a function's replicas at one worker.
 #[derive(Debug, Default)]
 pub(crate) struct Replicas {
     pub(crate) count: u32,
-    /// Calls of it that other front ends have there.
-    pub(crate) others: f64,
-    /// When they stand loaded.
-    pub(crate) ready: Time,
+    /// Requests of the function that other front ends have in flight there.
+    pub(crate) others_in_flight: f64,
+    /// When they are loaded; 0 while nothing is believed of them.
+    pub(crate) ready_at: Time,
     /// The last sign that they were in use.
-    pub(crate) used: Time,
-    /// An answer or order reply has shown them.
+    pub(crate) last_used_at: Time,
+    /// An answer or the reply to a load command has shown them.
     pub(crate) confirmed: bool,
-    /// Placed by an order of this front end.
-    pub(crate) placed: bool,
-    /// An order for them is under way.
-    pub(crate) ordered: bool,
-    /// Run time admitted here in this interval.
+    /// Loaded by a command of this front end.
+    pub(crate) loaded_by_command: bool,
+    /// A load command for them is under way.
+    pub(crate) load_requested: bool,
+    /// Run time admitted here in this rebalancing interval.
     pub(crate) admitted_run_time: f64,
-    /// Run time that moved on in this interval because no copy stood here, and how often.
+    /// Run time that moved on in this interval because no replica was loaded here.
     pub(crate) missed_run_time: f64,
+    /// How often that happened.
     pub(crate) placement_misses: u32,
-    /// Least time to spare beyond the run among those.
+    /// The least time to spare beyond the run among those.
     pub(crate) min_slack: f64,
 }
 
-/// Troubles not yet outweighed by answers, and until when the worker is left alone.
+/// Errors not yet outweighed by answers, and until when a worker, zone or the store is ejected.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Health {
-    pub(crate) bad: u32,
+    pub(crate) consecutive_errors: u32,
     pub(crate) ejected_until: Time,
-    /// When it was shut last.
-    pub(crate) since: Time,
-    /// Share of errors among the last ends, and the function of the last one.
-    pub(crate) errors: f64,
-    pub(crate) record_error: Option<FunctionId>,
+    /// When it was ejected last.
+    pub(crate) ejected_at: Time,
+    /// Share of errors among the last attempts.
+    pub(crate) error_rate: f64,
+    /// The function of the last error.
+    pub(crate) last_error_function: Option<FunctionId>,
 }
 
-/// What a worker last told of its load: when, the calls it held and how busy its cores were.
+/// The last load report of a worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ReportedLoad {
+    /// When it came; 0 where none has.
+    pub(crate) received_at: Time,
+    /// Requests in flight at the worker.
+    pub(crate) in_flight: f64,
+    /// How busy its cores were, 0 to 1.
+    pub(crate) cpu_utilization: f64,
+    /// Requests in flight over a longer time.
+    pub(crate) mean_in_flight: f64,
+}
+
+/// An answer that a worker has served.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Answer {
     pub(crate) at: Time,
-    pub(crate) held: f64,
-    pub(crate) busy: f64,
-    /// The calls it held over a longer time.
-    pub(crate) usual: f64,
+    pub(crate) class: usize,
 }
 
+/// A worker as this front end knows it.
 #[derive(Debug)]
 pub(crate) struct WorkerState {
     pub(crate) endpoint: Endpoint,
+    /// The hash of its address.
     pub(crate) hash: u64,
     pub(crate) replicas: BTreeMap<FunctionId, Replicas>,
+    /// This front end's attempts there, in the order in which they left.
     pub(crate) in_flight: Vec<Attempt>,
-    /// Served time over the usual, and own sends there meanwhile.
+    /// Run time of answers over the expected one.
     pub(crate) slowdown: f64,
+    /// This front end's attempts there while that was observed.
     pub(crate) concurrency: f64,
-    pub(crate) heard: Time,
-    /// The most own sends to have there; a refusal cuts it, answers raise it.
+    /// The last answer or rejection from it.
+    pub(crate) last_response_at: Time,
+    /// The most attempts to have there; a rejection lowers it, answers raise it.
     pub(crate) concurrency_limit: f64,
-    /// Its health for each class: what stands behind a worker may fail one class alone.
+    /// Its health for each class: a backend of the worker may fail one class alone.
     pub(crate) health: Vec<Health>,
     /// Failed or broken connections since its last answer.
     pub(crate) consecutive_connect_failures: u32,
-    pub(crate) told: ReportedLoad,
-    /// Sends within the last rate span.
-    pub(crate) sends: VecDeque<Time>,
-    /// Answers served within it, with their class.
-    pub(crate) served: VecDeque<(Time, usize)>,
+    pub(crate) load_report: ReportedLoad,
+    /// When the last attempts were sent to it.
+    pub(crate) recent_sends: VecDeque<Time>,
+    /// The last answers that it served.
+    pub(crate) recent_answers: VecDeque<Answer>,
 }
 
 impl WorkerState {
-    /// A worker of which nothing is known but its entry.
+    /// A worker of which nothing is known but its endpoint.
     pub(crate) fn new(endpoint: Endpoint, classes: usize) -> Self {
-        let hash = endpoint
-            .worker
-            .0
-            .bytes()
-            .fold(0xcbf2_9ce4_8422_2325, |h: u64, b| {
-                (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3)
-            });
         WorkerState {
+            hash: hash_address(&endpoint.worker.0),
             endpoint,
-            hash: mix(hash),
             replicas: BTreeMap::new(),
             in_flight: Vec::new(),
             slowdown: 1.0,
             concurrency: 1.0,
+            last_response_at: 0,
             concurrency_limit: f64::INFINITY,
-            heard: 0,
             health: vec![Health::default(); classes],
             consecutive_connect_failures: 0,
-            told: ReportedLoad::default(),
-            sends: VecDeque::new(),
-            served: VecDeque::new(),
+            load_report: ReportedLoad::default(),
+            recent_sends: VecDeque::new(),
+            recent_answers: VecDeque::new(),
         }
     }
+
+    /// Whether it may be sent work.
+    pub(crate) fn is_ready(&self) -> bool {
+        self.endpoint.state == EndpointState::Ready
+    }
+
+    /// This front end's attempts of a function there.
+    pub(crate) fn in_flight_of(&self, function: FunctionId) -> impl Iterator<Item = &Attempt> {
+        self.in_flight
+            .iter()
+            .filter(move |attempt| attempt.function == function)
+    }
 }
 
 /// A function as this front end knows it.
 #[derive(Debug, Default)]
 pub(crate) struct FunctionState {
+    /// Requests that one replica runs at a time.
     pub(crate) replica_concurrency: u32,
+    /// Memory of one replica, in MB.
     pub(crate) memory_mb: f64,
+    /// The load time that requests declare.
     pub(crate) declared_load_time: Option<Time>,
-    /// The longest load seen, fading.
+    /// The longest load time observed, decaying.
     pub(crate) observed_load_time: Option<f64>,
-    pub(crate) run: Option<f64>,
+    /// The mean run time.
+    pub(crate) run_time: Option<f64>,
     pub(crate) last_requested_at: Time,
-    /// Homes that it needs in a large tier, of one copy each; under 1 while nothing was told.
+    /// Preferred workers that it needs in a large deployment, of one replica each; under 1 while no
+    /// answer has reported its concurrency.
     pub(crate) preferred_workers: f64,
 }
 
+/// When and where an attempt was sent that may have run.
+#[derive(Debug, Default)]
+pub(crate) struct PossibleExecution {
+    pub(crate) sent_at: Time,
+    pub(crate) zone: String,
+    pub(crate) cell: u64,
+}
+
 /// A request that has no final answer yet.
 #[derive(Debug, Default)]
 pub(crate) struct PendingRequest {
-    pub(crate) call: Request,
+    pub(crate) request: Request,
+    /// An answer after this point in time is late.
     pub(crate) latency_objective: Time,
+    /// When the client gives up.
     pub(crate) deadline: Time,
+    /// Attempts so far.
     pub(crate) attempts: u32,
     pub(crate) attempt_in_flight: bool,
-    /// The first attempt that may have run: when, and in which zone and cell.
-    pub(crate) possible_execution: Option<(Time, String, u64)>,
+    /// The first attempt that may have run.
+    pub(crate) possible_execution: Option<PossibleExecution>,
     pub(crate) attempted_workers: Vec<WorkerId>,
+    /// Its answer has begun.
     pub(crate) streaming: bool,
-    /// It waits, unsent, for an order's reply.
+    /// It waits, unsent, for the reply to a load command.
     pub(crate) awaits_load: bool,
-    /// It waits, unsent, for a worker to tell its load; and how often it has.
+    /// It waits, unsent, for this worker's load report.
     pub(crate) polled_worker: Option<WorkerId>,
+    /// How often it has waited for one.
     pub(crate) load_polls: u32,
 }
-
-/// What the replay of one worker foresees for a newcomer.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct Prediction {
-    pub(crate) cold: bool,
-    /// All lanes are taken: the worker may well start a further copy for it.
-    pub(crate) adds_replica: bool,
-    /// Every queued deadline still holds.
-    pub(crate) others_meet_deadlines: bool,
-    /// When it would be served if a copy stood, and with any load counted.
-    pub(crate) warm_finish: Time,
-    pub(crate) finish: Time,
-}
-
-/// A number drawn from 0 up to 1: equal for equal seeds.
-pub(crate) fn draw(seed: u64) -> f64 {
-    (mix(seed) >> 11) as f64 / (1u64 << 53) as f64
-}
-
-pub(crate) fn mix(mut x: u64) -> u64 {
-    x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    x ^ (x >> 31)
-}
