--- /dev/null
+++ b/crates/pipithub-policy/tests/simulated_fleet/mod.rs
@@ -0,0 +1,270 @@
+//! A simulated fleet around one front end: clients, workers and faults in simulated time, drawn from the seed of a
+//! [`Scenario`].
+//!
+//! It hands out one event after the other and answers the actions that the front end takes. What is drawn for a
+//! request, an attempt or a worker depends on the seed and its name alone, so two front ends in two fleets of one
+//! scenario meet the same requests, and equal attempts end alike.
+#![allow(dead_code, reason = "each test and each bench uses a part of it")]
+
+mod attempts;
+mod clients;
+pub(super) mod cost;
+mod draws;
+mod endpoint_updates;
+mod load;
+mod random_scenario;
+pub(super) mod scenario;
+mod schedule;
+mod workers;
+
+use std::collections::BTreeMap;
+
+use pipithub_policy::api::{Action, Event, Request, RequestId, Time};
+use rand::rngs::SmallRng;
+use rand::{RngExt, SeedableRng};
+
+use clients::Clients;
+use draws::{Purpose, generator, mix};
+pub(super) use scenario::{MS, Scenario};
+use schedule::{Schedule, ScheduledEvent};
+use workers::Workers;
+
+/// Keeps the draws of endpoint changes apart from others with the same seed.
+const ENDPOINT_SEED_MASK: u64 = 2;
+/// When a client may retry after a final answer that names no time.
+const DEFAULT_RETRY_AFTER: Time = 30 * MS;
+
+/// How often what happened, by name.
+pub(super) type EventCounts = BTreeMap<&'static str, u64>;
+
+/// The clients and workers of one front end.
+pub(super) struct SimulatedFleet {
+    pub scenario: Scenario,
+    /// What has happened so far.
+    pub counts: EventCounts,
+    now: Time,
+    schedule: Schedule,
+    arrivals_stopped: bool,
+    workers: Workers,
+    clients: Clients,
+    endpoint_random: SmallRng,
+}
+
+impl SimulatedFleet {
+    /// The fleet at the start of a scenario.
+    pub(super) fn new(scenario: Scenario) -> SimulatedFleet {
+        let mut fleet = SimulatedFleet {
+            counts: EventCounts::new(),
+            now: scenario.start,
+            schedule: Schedule::default(),
+            arrivals_stopped: false,
+            workers: Workers::default(),
+            clients: Clients::new(&scenario),
+            endpoint_random: SmallRng::seed_from_u64(mix(scenario.seed ^ ENDPOINT_SEED_MASK)),
+            scenario,
+        };
+        for _ in 0..fleet.scenario.workers.count {
+            fleet.workers.add(&fleet.scenario, fleet.now);
+        }
+        fleet.schedule_first_events();
+        fleet
+    }
+
+    fn schedule_first_events(&mut self) {
+        let changes = &self.scenario.endpoint_changes;
+        self.schedule.push(self.now, ScheduledEvent::RequestArrives);
+        if changes.mean_gap > 0 {
+            let first_change = self.now + changes.mean_gap;
+            self.schedule
+                .push(first_change, ScheduledEvent::EndpointsChange);
+        }
+        if let Some(at) = changes.mass_removal_at {
+            let returns_at = at + self.scenario.duration / 3;
+            self.schedule.push(at, ScheduledEvent::MassRemoval);
+            self.schedule.push(returns_at, ScheduledEvent::MassReturn);
+        }
+    }
+
+    /// The next event and its time; `None` once the scenario is over.
+    pub(super) fn next_event(&mut self) -> Option<(Time, Event)> {
+        loop {
+            let (at, scheduled) = self.schedule.pop()?;
+            if at > self.scenario.start + self.scenario.duration {
+                return None;
+            }
+            self.now = self.now.max(at);
+            let is_arrival = matches!(
+                scheduled,
+                ScheduledEvent::RequestArrives | ScheduledEvent::ClientRetries(_)
+            );
+            if self.arrivals_stopped && is_arrival {
+                continue;
+            }
+            if let Some(event) = self.happen(scheduled) {
+                return Some((at, event));
+            }
+        }
+    }
+
+    /// The simulated clock time.
+    pub(super) fn now(&self) -> Time {
+        self.now
+    }
+
+    /// No requests arrive from now on, and the scenario ends after this time.
+    pub(super) fn stop_arrivals(&mut self, remaining: Time) {
+        self.arrivals_stopped = true;
+        self.scenario.duration = self.now + remaining - self.scenario.start;
+    }
+
+    /// Whether no client waits and no attempt is in flight.
+    pub(super) fn is_idle(&self) -> bool {
+        self.clients.is_idle()
+    }
+
+    /// Does what the front end asked for after the last event.
+    pub(super) fn apply(&mut self, actions: &[Action]) {
+        for action in actions {
+            self.apply_one(action);
+        }
+    }
+
+    fn apply_one(&mut self, action: &Action) {
+        match action {
+            Action::Forward {
+                request, worker, ..
+            } => self.forward(*request, worker),
+            Action::Cancel { request, attempt } => self.cancel_attempt(*request, *attempt),
+            Action::Reject {
+                request,
+                retry_after,
+            } => {
+                self.count(if retry_after.is_some() {
+                    "request rejected with retry-after"
+                } else {
+                    "request rejected"
+                });
+                self.final_answer(*request, retry_after.unwrap_or(DEFAULT_RETRY_AFTER));
+            }
+            Action::Fail { request } => {
+                self.count("request failed");
+                self.final_answer(*request, DEFAULT_RETRY_AFTER);
+            }
+            Action::LoadFunction {
+                worker,
+                function,
+                replicas,
+            } => self.load_function(worker, *function, *replicas),
+            Action::EvictFunction { worker, function } => self.evict_function(worker, *function),
+            Action::PollLoad { worker } => self.poll_load(worker),
+            Action::SetTimer { after, token } => {
+                let mut random = self.draws(Purpose::Timer, *token, self.now);
+                let delay = random.random_range(0..4) * MS / 2;
+                let expires_at = self.now + *after + delay;
+                self.schedule
+                    .push(expires_at, ScheduledEvent::TimerExpires(*token));
+            }
+            Action::WatchEndpoints => self.count("endpoint watch"),
+        }
+    }
+
+    /// What a scheduled event means for the front end; `None`: nothing any more.
+    fn happen(&mut self, scheduled: ScheduledEvent) -> Option<Event> {
+        let event = match scheduled {
+            ScheduledEvent::RequestArrives => self.next_request_arrives(),
+            ScheduledEvent::ClientRetries(request) => {
+                let id = self.clients.next_id();
+                self.count("request retried");
+                self.request_arrives(Request { id, ..request })
+            }
+            ScheduledEvent::TimerExpires(token) => Event::Timer { token },
+            ScheduledEvent::StreamingBegins(request) => self.streaming_begins(request)?,
+            ScheduledEvent::AttemptEnds(finished) => self.attempt_ends(finished)?,
+            ScheduledEvent::ClientCancels(request) => self.client_cancels(request)?,
+            ScheduledEvent::LoadPollEnds { worker, answered } => {
+                self.load_poll_ends(worker, answered)
+            }
+            ScheduledEvent::LoadCommandEnds(finished) => Event::LoadFinished(finished),
+            ScheduledEvent::EndpointsChange => {
+                let mean_gap = self.scenario.endpoint_changes.mean_gap;
+                let gap = mean_gap / 2 + self.endpoint_random.random_range(0..mean_gap);
+                let next_change = self.now + gap;
+                self.schedule
+                    .push(next_change, ScheduledEvent::EndpointsChange);
+                self.change_endpoints()
+            }
+            ScheduledEvent::MassRemoval => {
+                self.count("mass removal");
+                self.remove_many_workers()
+            }
+            ScheduledEvent::MassReturn => self.return_many_workers(),
+        };
+        Some(event)
+    }
+
+    /// Draws the request that arrives now, and when the next one does.
+    fn next_request_arrives(&mut self) -> Event {
+        let request = self.clients.draw_request(&self.scenario);
+        let next_arrival = self.now + self.clients.draw_gap(&self.scenario);
+        self.schedule
+            .push(next_arrival, ScheduledEvent::RequestArrives);
+        self.request_arrives(request)
+    }
+
+    fn request_arrives(&mut self, request: Request) -> Event {
+        self.count("request arrived");
+        let profile = &self.scenario.clients;
+        let mut random = self.draws(Purpose::ClientCancellation, request.id.0, 0);
+        if random.random_bool(profile.cancels) {
+            let cancels_at = self.now + random.random_range(MS..=profile.cancels_within.max(MS));
+            self.schedule
+                .push(cancels_at, ScheduledEvent::ClientCancels(request.id));
+        }
+        self.clients.begin(request.clone());
+        Event::Arrived(request)
+    }
+
+    fn streaming_begins(&mut self, request: RequestId) -> Option<Event> {
+        let pending = self.clients.get(request)?;
+        if pending.settled || pending.in_flight.is_empty() {
+            return None;
+        }
+        self.count("streaming");
+        Some(Event::Streaming { request })
+    }
+
+    fn client_cancels(&mut self, request: RequestId) -> Option<Event> {
+        let pending = self.clients.get_mut(request)?;
+        if pending.settled {
+            return None;
+        }
+        pending.settled = true;
+        self.count("client cancelled");
+        self.clients.forget_if_complete(request);
+        Some(Event::ClientCancelled { request })
+    }
+
+    /// The front end rejects or fails a request: its client may retry, not before this time has passed.
+    fn final_answer(&mut self, id: RequestId, retry_after: Time) {
+        let Some(pending) = self.clients.get_mut(id) else {
+            return;
+        };
+        pending.settled = true;
+        let request = pending.request.clone();
+        let mut random = self.draws(Purpose::FinalAnswer, id.0, 0);
+        if random.random_bool(self.scenario.clients.retries) && self.clients.may_retry() {
+            let retries_at = self.now + retry_after + random.random_range(0..300) * MS;
+            self.schedule
+                .push(retries_at, ScheduledEvent::ClientRetries(request));
+        }
+        self.clients.forget_if_complete(id);
+    }
+
+    fn count(&mut self, name: &'static str) {
+        *self.counts.entry(name).or_default() += 1;
+    }
+
+    fn draws(&self, purpose: Purpose, key: u64, subkey: u64) -> SmallRng {
+        generator(self.scenario.seed, purpose, key, subkey)
+    }
+}
