--- a/crates/pipithub-policy/tests/same.rs
+++ b/crates/pipithub-policy/tests/same.rs
@@ -1,7 +1,7 @@
 //! Over a thousand drawn days the module decides as its plain reference does, action for action.
 
 mod plain;
-mod world;
+mod simulated_fleet;
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Instant;
@@ -10,20 +10,20 @@
     Action, Endpoint, EndpointUpdate, Event, FunctionId, Request, RequestId, Settings, WorkerId,
 };
 use pipithub_policy::{FrontEnd, work};
-use world::{Counts, Day, World};
+use simulated_fleet::{EventCounts, Scenario, SimulatedFleet};
 
 /// Days of each of the tests below, which run at the same time.
 const DAYS: u64 = 125;
 
 /// Plays one day into both and tells what happened in it.
-fn play(seed: u64) -> Counts {
-    let day = Day::drawn(seed, 300);
+fn play(seed: u64) -> EventCounts {
+    let day = Scenario::random(seed, 300);
     let mut module = FrontEnd::new(day.settings.clone(), seed);
     let mut reference = plain::decide::FrontEnd::new(day.settings.clone(), seed);
     let blind = day.settings.front_ends > 8;
-    let mut world = World::new(day);
+    let mut world = SimulatedFleet::new(day);
     let (mut one, mut other) = (Vec::new(), Vec::new());
-    let mut next = Some((world.day.start, world.complete()));
+    let mut next = Some((world.scenario.start, world.endpoint_snapshot()));
     let mut events = 0;
     while let Some((at, event)) = next {
         events += 1;
@@ -42,11 +42,11 @@
             one == other,
             "day {seed}, event {events} at {at}: {event:?}\nreference {one:?}\nmodule {other:?}"
         );
-        world.answer(&one);
-        next = world.step();
+        world.apply(&one);
+        next = world.next_event();
     }
     let mut counts = std::mem::take(&mut world.counts);
-    let sends = counts.get("send").copied().unwrap_or_default();
+    let sends = counts.get("attempt").copied().unwrap_or_default();
     *counts
         .entry(if blind {
             "send, large tier"
@@ -67,43 +67,43 @@
 
 /// What must have happened in each part, and how often at the least, so that no rule goes unplayed.
 const LEAST: [(&str, u64); 40] = [
-    ("absent", 1000),
-    ("arrived", 10000),
-    ("asked again", 1500),
-    ("broken", 40),
+    ("not loaded", 1000),
+    ("request arrived", 10000),
+    ("request retried", 1500),
+    ("connection lost", 40),
     ("cancel", 200),
-    ("cancelled", 150),
+    ("attempt cancelled", 150),
     ("day, large tier", 40),
     ("day, small tier", 25),
-    ("drop", 5),
+    ("evict command", 5),
     ("error", 400),
-    ("failed", 250),
-    ("follow list", 30),
-    ("full", 600),
-    ("hold", 300),
-    ("left", 25),
-    ("list complete", 50),
-    ("list lost", 25),
-    ("list of changes", 700),
-    ("list remembered", 25),
-    ("list with one twice", 50),
+    ("request failed", 250),
+    ("endpoint watch", 30),
+    ("rejected by worker", 600),
+    ("load command", 300),
+    ("client cancelled", 25),
+    ("endpoint snapshot", 50),
+    ("endpoints lost", 25),
+    ("endpoint delta", 700),
+    ("endpoints cached", 25),
+    ("endpoint listed twice", 50),
     ("load awaited", 35),
-    ("load begun", 120),
+    ("load started", 120),
     ("load failed", 10),
     ("not sent", 5),
-    ("order done", 300),
-    ("order failed", 10),
-    ("probe", 1200),
-    ("probe answered", 800),
-    ("probe not answered", 150),
-    ("refused", 3500),
-    ("refused for a while", 800),
-    ("send", 6000),
+    ("load command done", 300),
+    ("load command failed", 10),
+    ("load poll", 1200),
+    ("load poll answered", 800),
+    ("load poll not answered", 150),
+    ("request rejected", 3500),
+    ("request rejected with retry-after", 800),
+    ("attempt", 6000),
     ("send, large tier", 2500),
     ("send, small tier", 2500),
-    ("sent again", 500),
+    ("retry", 500),
     ("served", 2500),
-    ("seventh gone", 12),
+    ("mass removal", 12),
     ("streaming", 120),
     ("timed out", 60),
     ("unreachable", 150),
@@ -112,7 +112,7 @@
 const CUT_MOST: u64 = 3;
 
 fn days(part: u64) {
-    let (mut all, began) = (Counts::new(), Instant::now());
+    let (mut all, began) = (EventCounts::new(), Instant::now());
     for day in 0..DAYS {
         for (name, count) in play(part * DAYS + day) {
             *all.entry(name).or_default() += count;
