--- a/crates/pipithub-bench/src/bin/decision_memory.rs
+++ b/crates/pipithub-bench/src/bin/decision_memory.rs
@@ -10,8 +10,8 @@
 use pipithub_policy::FrontEnd as Module;
 use pipithub_policy::api::{Action, Event, Settings, Time};
 use plain::decide::FrontEnd as Plain;
-use world::meter::Front;
-use world::{Day, MS, World};
+use simulated_fleet::cost::DecisionModule;
+use simulated_fleet::{MS, Scenario, SimulatedFleet};
 
 #[rustfmt::skip]
 #[allow(clippy::all)]
@@ -19,8 +19,8 @@
 mod plain;
 #[rustfmt::skip]
 #[allow(clippy::all)]
-#[path = "../../../pipithub-policy/tests/world/mod.rs"]
-mod world;
+#[path = "../../../pipithub-policy/tests/simulated_fleet/mod.rs"]
+mod simulated_fleet;
 
 /// Longer runs are given up.
 const MAX_DURATION: Duration = Duration::from_secs(10);
@@ -31,7 +31,7 @@
 /// How long the end is awaited: functions are forgotten after 60 s at the usual settings.
 const FORGETTING_TIME: Time = 75_000 * MS;
 
-impl Front for Plain {
+impl DecisionModule for Plain {
     fn start(settings: Settings, seed: u64) -> Self {
         Plain::new(settings, seed)
     }
@@ -50,30 +50,30 @@
 }
 
 /// Counts what a front end holds in a day; `None` where it takes too long.
-fn count<F: Front>(mut day: Day, once: bool) -> Option<HeldBytes> {
+fn count<F: DecisionModule>(mut day: Scenario, once: bool) -> Option<HeldBytes> {
     let began = Instant::now();
-    day.once = once;
+    day.functions.called_once = once;
     let settings = day.settings.clone();
-    let mut world = World::new(day);
+    let mut world = SimulatedFleet::new(day);
     let mut actions = Vec::with_capacity(ACTIONS);
     let mut front_end = None;
     let mut held = measure(|| front_end = Some(F::start(settings.clone(), 1))).bytes_current;
     let (mut front_end, mut peak, mut stopped) = (front_end?, held, !once);
-    let mut next = Some((world.now(), world.complete()));
+    let mut next = Some((world.now(), world.endpoint_snapshot()));
     while let Some((at, event)) = next {
         actions.clear();
         // The event is made within, as parts of it are kept.
         held += measure(|| front_end.handle(at, event.clone(), &mut actions)).bytes_current;
         peak = peak.max(held);
-        world.answer(&actions);
+        world.apply(&actions);
         if began.elapsed() > MAX_DURATION {
             return None;
         }
-        next = world.step();
+        next = world.next_event();
         if next.is_none() && !stopped {
             stopped = true;
-            world.stop_calls(FORGETTING_TIME);
-            next = world.step();
+            world.stop_arrivals(FORGETTING_TIME);
+            next = world.next_event();
         }
     }
     Some(HeldBytes { peak, end: held })
@@ -88,7 +88,7 @@
     let [workers, functions, calls, seed] = numbers[..] else {
         return Err("four numbers are needed".into());
     };
-    let day = Day::quiet(
+    let day = Scenario::healthy(
         seed,
         workers as usize,
         functions,
--- a/crates/pipithub-bench/src/scale/decisions.rs
+++ b/crates/pipithub-bench/src/scale/decisions.rs
@@ -5,7 +5,7 @@
 mod run;
 
 use pipithub_policy::api::Time;
-use world::{Day, MS};
+use simulated_fleet::{MS, Scenario};
 
 use super::{Plan, Series, SizeAxis};
 use crate::Result;
@@ -20,8 +20,8 @@
 mod plain;
 #[rustfmt::skip]
 #[allow(clippy::all)]
-#[path = "../../../pipithub-policy/tests/world/mod.rs"]
-mod world;
+#[path = "../../../pipithub-policy/tests/simulated_fleet/mod.rs"]
+mod simulated_fleet;
 
 const SIZES: [u64; 6] = [100, 300, 1_000, 4_000, 16_000, 32_000];
 /// Workers and functions that are planned for.
@@ -43,12 +43,12 @@
 /// One of the days that are played at each size.
 struct NamedDay {
     name: &'static str,
-    day: Day,
+    day: Scenario,
     has_faults: bool,
 }
 
 impl NamedDay {
-    fn new(name: &'static str, day: Day, has_faults: bool) -> Self {
+    fn new(name: &'static str, day: Scenario, has_faults: bool) -> Self {
         NamedDay {
             name,
             day,
@@ -60,12 +60,12 @@
 /// The days of a play at this size; the first is the one in which lists are measured too.
 fn days(plan: &Plan, play: usize, size: u64) -> Vec<NamedDay> {
     let seed = plan.seed + play as u64;
-    let quiet = |rate| Day::quiet(seed, size as usize, FUNCTIONS, rate, LENGTH);
+    let quiet = |rate| Scenario::healthy(seed, size as usize, FUNCTIONS, rate, LENGTH);
     let mut days = vec![
         NamedDay::new("quiet, 100/s", quiet(RATE), false),
         NamedDay::new("quiet, 700/s", quiet(HIGH_RATE), false),
     ];
-    for (name, day) in quiet(RATE).bad() {
+    for (name, day) in quiet(RATE).with_faults() {
         days.push(NamedDay::new(name, day, true));
     }
     days
--- a/crates/pipithub-bench/src/scale/decisions/figures.rs
+++ b/crates/pipithub-bench/src/scale/decisions/figures.rs
@@ -4,7 +4,7 @@
 
 use crate::scale::{Series, SizeAxis};
 
-use super::world::meter::{Spent, median};
+use super::simulated_fleet::cost::{Cost, median};
 
 const NANOSECONDS_PER_MICROSECOND: f64 = 1e3;
 
@@ -41,15 +41,15 @@
     }
 
     /// Adds the medians of what events cost; nothing where there were none.
-    pub(super) fn add_spent(&mut self, what: &str, size: u64, spent: &[Spent]) {
+    pub(super) fn add_spent(&mut self, what: &str, size: u64, spent: &[Cost]) {
         if spent.is_empty() {
             return;
         }
         let time_us = spent
             .iter()
-            .map(|one| one.time / NANOSECONDS_PER_MICROSECOND)
+            .map(|one| one.time_ns / NANOSECONDS_PER_MICROSECOND)
             .collect();
-        let looked_at = spent.iter().map(|one| one.looked).collect();
+        let looked_at = spent.iter().map(|one| one.workers_examined).collect();
         self.add(&format!("{what}, time"), "us", size, median(time_us));
         self.add(
             &format!("{what}, looked at"),
--- a/crates/pipithub-bench/src/scale/decisions/run.rs
+++ b/crates/pipithub-bench/src/scale/decisions/run.rs
@@ -5,8 +5,8 @@
 
 use super::figures::Figures;
 use super::plain::decide::FrontEnd as Plain;
-use super::world::meter::{Front, Play, Spent};
-use super::world::{Day, World};
+use super::simulated_fleet::cost::{Cost, DecisionModule, MeteredRun};
+use super::simulated_fleet::{Scenario, SimulatedFleet};
 
 /// Calls of a window.
 const WINDOW: usize = 10;
@@ -17,7 +17,7 @@
 const IDLE_TICKS: usize = 40;
 const SMALL_LISTS: usize = 20;
 
-impl Front for Plain {
+impl DecisionModule for Plain {
     fn start(settings: Settings, seed: u64) -> Self {
         Plain::new(settings, seed)
     }
@@ -29,15 +29,15 @@
 
 /// One front end in its day, until it is over or took too long.
 pub(super) struct Run<F> {
-    play: Play<F>,
+    play: MeteredRun<F>,
     spent_ns: f64,
     over: bool,
 }
 
-impl<F: Front> Run<F> {
-    fn new(day: &Day) -> Self {
+impl<F: DecisionModule> Run<F> {
+    fn new(day: &Scenario) -> Self {
         Run {
-            play: Play::new(day.clone()),
+            play: MeteredRun::new(day.clone()),
             spent_ns: 0.0,
             over: false,
         }
@@ -45,15 +45,15 @@
 
     fn step(&mut self) {
         let play = &mut self.play;
-        let (calls_before, ticks_before) = (play.calls.len(), play.ticks.len());
+        let (calls_before, ticks_before) = (play.requests.len(), play.maintenance.len());
         self.over |= !play.step();
-        if play.ticks.len() > ticks_before {
-            self.spent_ns += play.ticks.last().map_or(0.0, |spent| spent.time);
+        if play.maintenance.len() > ticks_before {
+            self.spent_ns += play.maintenance.last().map_or(0.0, |spent| spent.time_ns);
         }
-        if play.calls.len() > calls_before && calls_before > 0 {
-            self.spent_ns += play.calls[calls_before - 1].time;
+        if play.requests.len() > calls_before && calls_before > 0 {
+            self.spent_ns += play.requests[calls_before - 1].time_ns;
         }
-        self.over |= self.spent_ns > MAX_TIME_NS && play.calls.len() >= MIN_CALLS;
+        self.over |= self.spent_ns > MAX_TIME_NS && play.requests.len() >= MIN_CALLS;
     }
 
     /// Adds what calls, ticks and the day's first list cost.
@@ -62,7 +62,7 @@
         figures.add_spent(&format!("{day}, a call, {code}"), size, &windows);
         let worst = windows
             .iter()
-            .map(|window| window.looked)
+            .map(|window| window.workers_examined)
             .fold(0.0, f64::max);
         figures.add(
             &format!("{day}, a call in the worst window, {code}, looked at"),
@@ -70,12 +70,16 @@
             size,
             worst,
         );
-        figures.add_spent(&format!("{day}, a tick, {code}"), size, &self.play.ticks);
-        let first_list: Vec<Spent> = self
+        figures.add_spent(
+            &format!("{day}, a tick, {code}"),
+            size,
+            &self.play.maintenance,
+        );
+        let first_list: Vec<Cost> = self
             .play
-            .lists
+            .endpoint_updates
             .first()
-            .map(|(spent, _)| *spent)
+            .map(|update| update.cost)
             .into_iter()
             .collect();
         figures.add_spent(
@@ -90,24 +94,38 @@
         figures.add_spent(
             &format!("idle, a tick, {code}"),
             size,
-            &self.play.idle_ticks(IDLE_TICKS),
+            &self.play.idle_maintenance(IDLE_TICKS),
         );
-        figures.add_spent(&format!("the first list, {code}"), size, &[self.play.first]);
-        let mut add = |kind: &str, times: usize, event: fn(&mut World) -> Event| {
-            let spent: Vec<Spent> = (0..times)
+        figures.add_spent(
+            &format!("the first list, {code}"),
+            size,
+            &[self.play.first_snapshot],
+        );
+        let mut add = |kind: &str, times: usize, event: fn(&mut SimulatedFleet) -> Event| {
+            let spent: Vec<Cost> = (0..times)
                 .map(|_| {
-                    let event = event(&mut self.play.world);
-                    self.play.give(self.play.world.now(), event)
+                    let event = event(&mut self.play.fleet);
+                    self.play.handle(self.play.fleet.now(), event)
                 })
                 .collect();
             figures.add_spent(&format!("a list {kind}, {code}"), size, &spent);
         };
-        add("of one change", SMALL_LISTS, World::change_one);
-        add("that removes a seventh", 1, |world| world.seventh(true));
-        add("that brings a seventh back", 1, |world| {
-            world.seventh(false)
-        });
-        add("of all again", 1, |world| world.complete());
+        add(
+            "of one change",
+            SMALL_LISTS,
+            SimulatedFleet::restart_one_worker,
+        );
+        add(
+            "that removes a seventh",
+            1,
+            SimulatedFleet::remove_many_workers,
+        );
+        add(
+            "that brings a seventh back",
+            1,
+            SimulatedFleet::return_many_workers,
+        );
+        add("of all again", 1, |fleet| fleet.endpoint_snapshot());
     }
 }
 
@@ -121,7 +139,7 @@
 
 impl Runs {
     /// Plays a day into both, in turns; the reference alone may be left out.
-    pub(super) fn play(day: &Day, with_plain: bool) -> Runs {
+    pub(super) fn play(day: &Scenario, with_plain: bool) -> Runs {
         let mut plain = with_plain.then(|| Run::new(day));
         let mut module = Run::new(day);
         while !module.over || plain.as_ref().is_some_and(|run| !run.over) {
