--- a/crates/pipithub-policy/src/api.rs
+++ b/crates/pipithub-policy/src/api.rs
@@ -9,7 +9,8 @@
 
 /// Identifies one attempt of a client at a request; never used twice.
 ///
-/// Numbers are chosen by the caller. They stay under 2^61, as timers carry them in their tokens beside a mark.
+/// The caller chooses the numbers. They are below 2^61: a timer's token is a request's number or one
+/// with a flag above these bits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
--- a/crates/pipithub-policy/src/front_end.rs
+++ b/crates/pipithub-policy/src/front_end.rs
@@ -12,6 +12,7 @@
 use crate::hashing::mix;
 use crate::load_reports::{IN_FLIGHT_HALF_LIFE, POLL_TIMEOUT_TOKEN};
 use crate::maintenance::{MAINTENANCE_PERIOD, MAINTENANCE_TOKEN};
+use crate::speculation::Speculation;
 use crate::state::{FunctionState, Health, PendingRequest};
 use crate::statistics::{EventTimes, RunningMean};
 use crate::time::{MAX_DURATION, MAX_TIME};
@@ -44,8 +45,7 @@
     pub(crate) warm_rate: f64,
     /// Its mean over a longer time.
     pub(crate) mean_warm_rate: RunningMean,
-    /// Attempts that may now be made where others have likely loaded the function.
-    pub(crate) speculation_tokens: f64,
+    pub(crate) speculation: Speculation,
     /// Zones that do not respond.
     pub(crate) silent_zones: BTreeMap<String, Health>,
     /// Mean share of their value that attempts lost: answered late, in error or not at all.
--- a/crates/pipithub-policy/src/lib.rs
+++ b/crates/pipithub-policy/src/lib.rs
@@ -11,7 +11,7 @@
 //! ```
 //! use pipithub_policy::FrontEnd;
 //! use pipithub_policy::api::{
-//!     Action, Endpoint, EndpointUpdate, Event, FunctionId, Request, Settings, WorkerId,
+//!     Action, Endpoint, EndpointUpdate, Event, FunctionId, Request, RequestId, Settings, WorkerId,
 //! };
 //!
 //! let mut front_end = FrontEnd::new(Settings::default(), 7);
@@ -20,13 +20,13 @@
 //! let update = Event::Endpoints { update: EndpointUpdate::Snapshot, endpoints: vec![worker] };
 //! front_end.handle(0, update, &mut actions);
 //! let request = Request {
-//!     id: 1,
+//!     id: RequestId(1),
 //!     function: FunctionId(42),
 //!     timeout: Some(2_000_000_000),
 //!     ..Request::default()
 //! };
 //! front_end.handle(1_000_000, Event::Arrived(request), &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::Forward { request: 1, .. })));
+//! assert!(actions.iter().any(|a| matches!(a, Action::Forward { request: RequestId(1), .. })));
 //! ```
 
 pub mod api;
@@ -47,6 +47,7 @@
 mod requests;
 mod routing;
 mod slow_start;
+mod speculation;
 mod state;
 mod statistics;
 mod time;
--- a/crates/pipithub-policy/src/requests.rs
+++ b/crates/pipithub-policy/src/requests.rs
@@ -12,11 +12,6 @@
 use crate::time::{MAX_DURATION, MILLISECOND};
 use crate::worker_table::WorkerGuard;
 
-/// Speculative attempts that each request adds; one for two requests, so that most go where a
-/// replica is.
-const SPECULATION_TOKENS_PER_REQUEST: f64 = 0.5;
-/// The most speculative attempts that are saved up.
-const MAX_SPECULATION_TOKENS: f64 = 8.0;
 /// The largest multiple of the expected work that the latency objective grows by.
 const MAX_OBJECTIVE_PER_WORK: f64 = 1e3;
 
@@ -36,8 +31,7 @@
         let latency_objective = (now + class.latency_objective + extra as Time).min(deadline);
         self.arrivals.push(now);
         if self.relies_on_load_reports() {
-            self.speculation_tokens = (self.speculation_tokens + SPECULATION_TOKENS_PER_REQUEST)
-                .min(MAX_SPECULATION_TOKENS);
+            self.speculation.earn();
         }
         self.update_function(&request);
         let id = request.id;
--- a/crates/pipithub-policy/src/routing.rs
+++ b/crates/pipithub-policy/src/routing.rs
@@ -294,10 +294,10 @@
     /// at all.
     fn speculate(&mut self, miss: Candidate, deadline: Time) -> Option<Candidate> {
         let in_time = self.settings.loading.loads_on_request && miss.prediction.finish <= deadline;
-        if self.speculation_tokens < 1.0 || !self.store_is_available() || !in_time {
+        if !self.speculation.is_allowed() || !self.store_is_available() || !in_time {
             return None;
         }
-        self.speculation_tokens -= 1.0;
+        self.speculation.spend();
         Some(Candidate {
             prediction: Prediction {
                 cold_start: false,
