--- a/crates/pipithub-policy/src/api.rs
+++ b/crates/pipithub-policy/src/api.rs
@@ -9,7 +9,8 @@
 
 /// Identifies one attempt of a client at a request; never used twice.
 ///
-/// The caller chooses the numbers. They must stay under 2^61, as timer tokens carry them beside a mark.
+/// The caller chooses the numbers. They are below 2^61: a timer's token is a request's number or one
+/// with a flag above these bits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
--- a/crates/pipithub-policy/src/lib.rs
+++ b/crates/pipithub-policy/src/lib.rs
@@ -47,6 +47,7 @@
 mod requests;
 mod routing;
 mod slow_start;
+mod speculation;
 mod state;
 mod statistics;
 mod time;
