--- a/crates/pipithub-characterization/tests/node_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/node_driver/mod.rs
@@ -98,9 +98,7 @@
     }
 
     fn effects(&mut self) -> Vec<node_scenario::Effect> {
-        let mut effects = Vec::new();
-        self.core.take_effects(&mut effects);
-        effects.into_iter().map(effect).collect()
+        self.core.take_effects().into_iter().map(effect).collect()
     }
 }
 
--- a/crates/pipithub-hollow-node/src/lib.rs
+++ b/crates/pipithub-hollow-node/src/lib.rs
@@ -105,14 +105,13 @@
         let now = self.clock.now();
         let mut core = self.core.borrow_mut();
         act(&mut core, now);
-        let mut effects = Vec::new();
         loop {
-            core.take_effects(&mut effects);
+            let effects = core.take_effects();
             if effects.is_empty() {
                 break;
             }
             self.wanted.set(self.wanted.get() + effects.len() as u64);
-            for effect in effects.drain(..) {
+            for effect in effects {
                 if let Effect::Connect { connection, .. } = effect {
                     core.worker_failed(now, connection, true);
                 }
--- a/crates/pipithub-node/src/connection_pool.rs
+++ b/crates/pipithub-node/src/connection_pool.rs
@@ -20,9 +20,8 @@
 use pipithub_engine::Time;
 use pipithub_engine::policy::WorkerId;
 use pipithub_platform::line::LineFramer;
-use tracing::debug;
 
-use self::connection::{Connection, InFlight};
+use self::connection::Connection;
 use crate::effect::{ConnectionId, Effect};
 use crate::idle_timeout::IdleTimeout;
 
@@ -99,12 +98,13 @@
         self.next - 1
     }
 
-    /// Appends what is to be done on connections.
-    pub fn take_effects(&mut self, effects: &mut Vec<Effect>) {
-        effects.append(&mut self.effects);
+    /// Returns the effects requested since the last call, in order.
+    #[must_use]
+    pub fn take_effects(&mut self) -> Vec<Effect> {
+        std::mem::take(&mut self.effects)
     }
 
-    /// Requests that ended without an answer since this was asked last; their ends are owed.
+    /// Returns the requests that ended without an answer since the last call; the caller must report each of them.
     pub fn take_failures(&mut self) -> Vec<FailedRequest> {
         std::mem::take(&mut self.failures)
     }
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Puts waiting requests on connections, and asks for new connections.
+    /// Sends waiting requests on usable connections, and requests new connections for the rest.
     fn dispatch(&mut self, now: Time, worker: &WorkerId) {
         while let Some(id) = self.select_connection(now, worker) {
             let Some(request) = self
@@ -198,74 +198,43 @@
                 return;
             };
             let Some(line) = request.line(now) else {
-                // Its time ran out between two sweeps: nobody waits for it.
+                // Its deadline passed between two sweeps.
                 self.fail(worker, request, SendFailure::Unreachable);
                 continue;
             };
             let Some(connection) = self.connections.get_mut(&id) else {
                 return;
             };
-            let idle = now.saturating_sub(connection.last_used);
-            debug!(
-                connection = id,
-                reference = request.reference,
-                worker = &*worker.0,
-                uses = connection.uses,
-                idle_us = idle / 1000,
-                beside = connection.in_flight.len(),
-                "written"
-            );
-            let idle = (connection.uses > 0 && connection.in_flight.is_empty()).then_some(idle);
-            let start_offset = connection.queued_bytes;
-            connection.queued_bytes += line.len() as u64;
-            (connection.uses, connection.last_used) = (connection.uses + 1, now);
-            self.effects.push(Effect::Write {
-                connection: id,
-                bytes: line,
-            });
-            if request.kind != RequestKind::EvictFunction {
-                let (end_offset, queued_at) = (connection.queued_bytes, now);
-                let in_flight = InFlight {
-                    request,
-                    start_offset,
-                    end_offset,
-                    queued_at,
-                    idle,
-                };
-                connection
-                    .in_flight
-                    .insert(in_flight.request.reference.clone(), in_flight);
-            }
+            let write = connection.send(now, request, line);
+            self.effects.push(write);
         }
     }
 
-    /// A connection is up.
+    /// Records that a connection is established.
     pub fn connected(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else {
-            // Given up meanwhile.
+            // The pool has given it up meanwhile.
             return self.effects.push(Effect::Close { connection: id });
         };
-        (connection.established, connection.last_used) = (true, now);
-        let worker = connection.worker.clone();
+        connection.establish(now);
+        let worker = connection.worker().clone();
         self.dispatch(now, &worker);
     }
 
-    /// The worker behind a connection does not read, or reads again: the bytes that the system has taken so far.
-    /// Meanwhile nothing more is put on it.
-    pub fn set_blocked(&mut self, now: Time, id: ConnectionId, written: Option<u64>) {
+    /// Records that the worker behind a connection does not read, with the number of bytes that the system has accepted
+    /// on the connection so far; with `None`, that it has accepted all. Nothing is written on a blocked connection.
+    pub fn set_blocked(&mut self, now: Time, id: ConnectionId, accepted: Option<u64>) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        let clear = connection.blocked.is_some() && written.is_none();
-        connection.blocked = written;
-        if clear {
-            let worker = connection.worker.clone();
+        if connection.set_blocked(accepted) {
+            let worker = connection.worker().clone();
             self.dispatch(now, &worker);
         }
     }
 
-    /// The framer of a connection.
+    /// The framer that cuts what comes on a connection into lines; `None` if the connection has ended.
     pub fn framer(&mut self, id: ConnectionId) -> Option<&mut LineFramer> {
-        self.connections.get_mut(&id).map(|l| &mut l.framer)
+        self.connections.get_mut(&id).map(Connection::framer)
     }
 }
--- a/crates/pipithub-node/src/connection_pool/connection.rs
+++ b/crates/pipithub-node/src/connection_pool/connection.rs
@@ -2,160 +2,202 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use pipithub_engine::Time;
+use bytes::Bytes;
 use pipithub_engine::policy::WorkerId;
+use pipithub_engine::{AttemptId, Time};
 use pipithub_platform::line::LineFramer;
 use pipithub_platform::worker::{MAX_LINE_BYTES, cancel_line};
+use tracing::debug;
 
 use super::request::{RequestKind, WorkerRequest};
 use crate::effect::{ConnectionId, Effect};
 
-/// Names that a connection remembers as used. Second answers come within moments, so few suffice.
+/// How many references a connection remembers as used. Duplicate answers come within moments, so few suffice.
 const MAX_RECENT_REFERENCES: usize = 16;
 
+/// A request that was written on a connection and is not answered.
 #[derive(Debug)]
 pub(super) struct InFlight {
-    pub(super) request: WorkerRequest,
-    /// Where its line begins, in bytes from the connection's first.
-    pub(super) start_offset: u64,
-    /// Bytes that must have been written on the connection for the request to have arrived whole.
-    pub(super) end_offset: u64,
-    /// When its line was made.
-    pub(super) queued_at: Time,
-    /// For how long the connection had been idle; `None` where it was new or carried others.
-    pub(super) idle: Option<Time>,
+    request: WorkerRequest,
+    /// Where its line begins and ends, in bytes from the connection's first.
+    start_offset: u64,
+    end_offset: u64,
+    /// When its line was queued for writing.
+    queued_at: Time,
+    /// How long the connection had been idle before it; `None` if the connection was new or carried other requests.
+    idle_before: Option<Time>,
 }
 
-/// How much of a line the system has taken.
-pub(super) enum Progress {
-    None,
-    /// A part; the bytes taken on the whole connection.
-    Part(u64),
-    Whole,
+impl InFlight {
+    /// Whether the complete line is among the first `written` bytes of the connection.
+    pub(super) fn is_written(&self, written: u64) -> bool {
+        self.end_offset <= written
+    }
+
+    pub(super) fn idle_before(&self) -> Option<Time> {
+        self.idle_before
+    }
+
+    pub(super) fn into_request(self) -> WorkerRequest {
+        self.request
+    }
+}
+
+/// How much of a request's line the system has accepted.
+enum WriteProgress {
+    Nothing,
+    /// A part of the line; `written` counts the accepted bytes of the whole connection.
+    Partial {
+        written: u64,
+    },
+    Complete,
 }
 
 /// A request that was taken off its connection.
 pub(super) struct Withdrawn {
     pub(super) request: WorkerRequest,
-    /// It is certain that it did not arrive whole.
+    /// It is certain that it did not arrive completely.
     pub(super) not_sent: bool,
-    /// Requests whose lines could not stay behind it; they have not left either.
+    /// Requests queued behind a partially written line. They were not sent and need another connection.
     pub(super) displaced: Vec<WorkerRequest>,
+    /// What must be done on the connection for it.
+    pub(super) effect: Option<Effect>,
+}
+
+/// A request on a connection that is past its deadline or was not written in time.
+pub(super) struct OverdueRequest {
+    pub(super) connection: ConnectionId,
+    pub(super) worker: WorkerId,
+    pub(super) reference: String,
+    pub(super) start_offset: u64,
+}
+
+/// The references that were used last on a connection. An answer may come twice, and the second one must not be taken
+/// for the answer to another request with the same reference.
+#[derive(Debug, Default)]
+struct RecentReferences(VecDeque<String>);
+
+impl RecentReferences {
+    fn remember(&mut self, reference: &str) {
+        if self.0.len() >= MAX_RECENT_REFERENCES {
+            self.0.pop_front();
+        }
+        self.0.push_back(reference.to_string());
+    }
+
+    fn contains(&self, reference: &str) -> bool {
+        self.0.iter().any(|recent| recent == reference)
+    }
+}
+
+/// The bytes written on a connection, counted from its first.
+#[derive(Debug, Default)]
+struct WritePosition {
+    /// Bytes that were handed to the shell and not withdrawn.
+    queued: u64,
+    /// While the worker does not read: how many of them the system has accepted. `None` if it has accepted all.
+    accepted: Option<u64>,
+    /// The last line was written in part only and must never be completed: nothing may follow it.
+    sealed: bool,
+}
+
+impl WritePosition {
+    fn progress(&self, in_flight: &InFlight) -> WriteProgress {
+        match self.accepted {
+            Some(written) if written <= in_flight.start_offset => WriteProgress::Nothing,
+            Some(written) if written < in_flight.end_offset => WriteProgress::Partial { written },
+            _ => WriteProgress::Complete,
+        }
+    }
 }
 
+/// A connection that is being made or is established.
 #[derive(Debug)]
 pub(super) struct Connection {
-    pub(super) worker: WorkerId,
-    pub(super) address: String,
-    pub(super) established: bool,
-    pub(super) framer: LineFramer,
-    pub(super) in_flight: BTreeMap<String, InFlight>,
-    /// Attempts that it carried lately: an answer may come twice, the second time under a name that is in use again.
-    pub(super) recent_references: VecDeque<String>,
-    /// Bytes handed to the shell so far.
-    pub(super) queued_bytes: u64,
-    /// The worker does not read: the bytes that the system has taken so far.
-    pub(super) blocked: Option<u64>,
-    /// It ends in half a line, which must not become whole: nothing more is written on it, and it is closed once it
-    /// carries nothing.
-    pub(super) sealed: bool,
-    /// Requests that it has carried so far.
-    pub(super) uses: u64,
-    pub(super) last_used: Time,
+    id: ConnectionId,
+    worker: WorkerId,
+    address: String,
+    established: bool,
+    framer: LineFramer,
+    in_flight: BTreeMap<String, InFlight>,
+    recent_references: RecentReferences,
+    position: WritePosition,
+    /// How many requests were written on it.
+    uses: u64,
+    last_used: Time,
 }
 
 impl Connection {
-    /// One that is on its way.
-    pub(super) fn new(worker: &WorkerId, address: &str, now: Time) -> Self {
+    /// A connection that is being made.
+    pub(super) fn new(id: ConnectionId, worker: &WorkerId, address: &str, now: Time) -> Self {
         Connection {
+            id,
             worker: worker.clone(),
             address: address.to_string(),
             established: false,
             framer: LineFramer::new(MAX_LINE_BYTES),
             in_flight: BTreeMap::new(),
-            recent_references: VecDeque::new(),
-            queued_bytes: 0,
-            blocked: None,
-            sealed: false,
+            recent_references: RecentReferences::default(),
+            position: WritePosition::default(),
             uses: 0,
             last_used: now,
         }
     }
 
-    /// Takes out a request whose answer is not waited for any more. One that has not left whole is taken back: to
-    /// cancel it behind its line would not keep it from beginning once the worker reads again. Otherwise the worker is
-    /// told to cancel an attempt, where the settings let us.
-    pub(super) fn give_up(
-        &mut self,
-        id: ConnectionId,
-        reference: &str,
-        cancel: bool,
-        effects: &mut Vec<Effect>,
-    ) -> Option<Withdrawn> {
-        let in_flight = self.in_flight.remove(reference)?;
-        let (not_sent, displaced) = match self.progress(&in_flight) {
-            Progress::None => {
-                self.take_back(id, &in_flight, effects);
-                (true, Vec::new())
-            }
-            Progress::Part(written) => (true, self.seal(id, written, effects)),
-            Progress::Whole => {
-                if matches!(in_flight.request.kind, RequestKind::Attempt(_)) {
-                    self.end_attempt(id, reference, cancel, effects);
-                }
-                (false, Vec::new())
-            }
-        };
-        Some(Withdrawn {
-            request: in_flight.request,
-            not_sent,
-            displaced,
-        })
+    pub(super) fn worker(&self) -> &WorkerId {
+        &self.worker
     }
 
-    /// Takes back a line of which the system has taken nothing; those behind it move up.
-    fn take_back(&mut self, id: ConnectionId, taken: &InFlight, effects: &mut Vec<Effect>) {
-        let length = taken.end_offset - taken.start_offset;
-        self.queued_bytes -= length;
-        let behind = self
-            .in_flight
-            .values_mut()
-            .filter(|other| other.end_offset > taken.end_offset);
-        for other in behind {
-            other.start_offset -= length;
-            other.end_offset -= length;
-        }
-        effects.push(Effect::CancelWrite {
-            connection: id,
-            offset: taken.start_offset,
-            length,
-        });
+    pub(super) fn address(&self) -> &str {
+        &self.address
     }
 
-    /// Ends an attempt whose line has left: its answer may still come, and the worker may be told to cancel it.
-    fn end_attempt(
-        &mut self,
-        id: ConnectionId,
-        reference: &str,
-        cancel: bool,
-        effects: &mut Vec<Effect>,
-    ) {
-        self.remember_reference(reference);
-        if cancel && !self.sealed {
-            let bytes = cancel_line(reference);
-            self.queued_bytes += bytes.len() as u64;
-            effects.push(Effect::Write {
-                connection: id,
-                bytes,
-            });
-        }
+    pub(super) fn is_established(&self) -> bool {
+        self.established
+    }
+
+    /// Records that the connection is established.
+    pub(super) fn establish(&mut self, now: Time) {
+        self.established = true;
+        self.last_used = now;
+    }
+
+    pub(super) fn framer(&mut self) -> &mut LineFramer {
+        &mut self.framer
+    }
+
+    pub(super) fn last_used(&self) -> Time {
+        self.last_used
+    }
+
+    pub(super) fn in_flight_count(&self) -> usize {
+        self.in_flight.len()
+    }
+
+    /// Whether it is established and carries no request.
+    pub(super) fn is_idle(&self) -> bool {
+        self.established && self.in_flight.is_empty()
     }
 
-    /// Whether a request of this reference may be put on it now. `idle_limit`: how long it may have been idle.
+    /// Whether it must be closed now, as nothing more may be written and no answer is missing.
+    pub(super) fn is_finished(&self) -> bool {
+        self.position.sealed && self.in_flight.is_empty()
+    }
+
+    pub(super) fn queued_bytes(&self) -> u64 {
+        self.position.queued
+    }
+
+    pub(super) fn was_used_for(&self, reference: &str) -> bool {
+        self.recent_references.contains(reference)
+    }
+
+    /// Whether a request with this reference may be written now. A connection that was idle for `idle_limit` or longer
+    /// is not used again.
     pub(super) fn can_carry(
         &self,
         now: Time,
-        reference: &String,
+        reference: &str,
         idle_limit: Option<Time>,
         max_requests: usize,
     ) -> bool {
@@ -166,53 +208,192 @@
         self.established
             && !is_stale
             && !reference_is_used
-            && self.blocked.is_none()
-            && !self.sealed
+            && self.position.accepted.is_none()
+            && !self.position.sealed
             && self.in_flight.len() < max_requests
     }
 
-    /// Takes back all that the system has not taken, within a line: nothing may follow. The requests that stood behind
-    /// it.
-    fn seal(
-        &mut self,
-        id: ConnectionId,
-        written: u64,
-        effects: &mut Vec<Effect>,
-    ) -> Vec<WorkerRequest> {
-        effects.push(Effect::CancelWrite {
-            connection: id,
-            offset: written,
-            length: self.queued_bytes - written,
-        });
-        self.sealed = true;
-        self.queued_bytes = written;
-        let displaced: Vec<String> = self
-            .in_flight
+    /// Queues a request's line for writing; returns the effect that writes it.
+    pub(super) fn send(&mut self, now: Time, request: WorkerRequest, line: Bytes) -> Effect {
+        let idle = now.saturating_sub(self.last_used);
+        debug!(
+            connection = self.id,
+            reference = request.reference,
+            worker = &*self.worker.0,
+            uses = self.uses,
+            idle_us = idle / 1000,
+            beside = self.in_flight.len(),
+            "written"
+        );
+        let was_idle = self.uses > 0 && self.in_flight.is_empty();
+        self.uses += 1;
+        self.last_used = now;
+        let start_offset = self.position.queued;
+        let effect = self.queue(line);
+        // No answer comes to an evict command.
+        if request.kind != RequestKind::EvictFunction {
+            let reference = request.reference.clone();
+            let in_flight = InFlight {
+                request,
+                start_offset,
+                end_offset: self.position.queued,
+                queued_at: now,
+                idle_before: was_idle.then_some(idle),
+            };
+            self.in_flight.insert(reference, in_flight);
+        }
+        effect
+    }
+
+    fn queue(&mut self, bytes: Bytes) -> Effect {
+        self.position.queued += bytes.len() as u64;
+        Effect::Write {
+            connection: self.id,
+            bytes,
+        }
+    }
+
+    /// Ends the request that an answer with this reference belongs to; `None` if there is none, as for a duplicate.
+    pub(super) fn answered(&mut self, now: Time, reference: &str) -> Option<InFlight> {
+        let in_flight = self.in_flight.remove(reference)?;
+        self.last_used = now;
+        if matches!(in_flight.request.kind, RequestKind::Attempt(_)) {
+            self.recent_references.remember(reference);
+        }
+        Some(in_flight)
+    }
+
+    /// Records how many bytes the system has accepted while the worker does not read, or with `None` that it has
+    /// accepted all; returns whether the worker has begun to read again.
+    pub(super) fn set_blocked(&mut self, accepted: Option<u64>) -> bool {
+        let was_blocked = self.position.accepted.is_some();
+        self.position.accepted = accepted;
+        was_blocked && accepted.is_none()
+    }
+
+    /// The reference under which an attempt is in flight on this connection.
+    pub(super) fn reference_of(&self, attempt: AttemptId) -> Option<&str> {
+        self.in_flight
             .iter()
-            .filter(|(_, c)| c.end_offset > written)
-            .map(|(name, _)| name.clone())
-            .collect();
-        displaced
+            .find(|(_, in_flight)| in_flight.request.kind == RequestKind::Attempt(attempt))
+            .map(|(reference, _)| reference.as_str())
+    }
+
+    /// Marks a request as abandoned, so that it is not sent again if the connection ends; returns whether its line is
+    /// still incomplete and can be withdrawn.
+    pub(super) fn abandon(&mut self, reference: &str) -> bool {
+        let Some(in_flight) = self.in_flight.get_mut(reference) else {
+            return false;
+        };
+        in_flight.request.abandoned = true;
+        !matches!(self.position.progress(in_flight), WriteProgress::Complete)
+    }
+
+    /// The requests whose deadline has passed, and those whose line the system has not accepted completely within
+    /// `write_timeout`.
+    pub(super) fn overdue_requests(
+        &self,
+        now: Time,
+        write_timeout: Time,
+    ) -> impl Iterator<Item = OverdueRequest> {
+        let is_overdue = move |in_flight: &InFlight| {
+            let is_unwritten =
+                !matches!(self.position.progress(in_flight), WriteProgress::Complete);
+            now >= in_flight.request.deadline
+                || is_unwritten && now >= in_flight.queued_at + write_timeout
+        };
+        self.in_flight
             .iter()
-            .filter_map(|name| self.in_flight.remove(name))
-            .map(|c| c.request)
-            .collect()
+            .filter(move |(_, in_flight)| is_overdue(in_flight))
+            .map(|(reference, in_flight)| OverdueRequest {
+                connection: self.id,
+                worker: self.worker.clone(),
+                reference: reference.clone(),
+                start_offset: in_flight.start_offset,
+            })
     }
 
-    /// How much of a request's line the system has taken.
-    pub(super) fn progress(&self, in_flight: &InFlight) -> Progress {
-        match self.blocked {
-            Some(written) if written <= in_flight.start_offset => Progress::None,
-            Some(written) if written < in_flight.end_offset => Progress::Part(written),
-            _ => Progress::Whole,
+    /// Takes off a request whose answer is no longer awaited. A line that was not written completely is withdrawn: a
+    /// cancel message behind it would not keep the request from running once the worker reads again. Otherwise the
+    /// worker is asked to cancel an attempt if `cancel` allows it.
+    pub(super) fn withdraw(&mut self, reference: &str, cancel: bool) -> Option<Withdrawn> {
+        let in_flight = self.in_flight.remove(reference)?;
+        let withdrawn = match self.position.progress(&in_flight) {
+            WriteProgress::Nothing => Withdrawn {
+                effect: Some(self.withdraw_line(&in_flight)),
+                not_sent: true,
+                displaced: Vec::new(),
+                request: in_flight.request,
+            },
+            WriteProgress::Partial { written } => Withdrawn {
+                effect: Some(self.seal(written)),
+                not_sent: true,
+                displaced: self.take_requests_behind(written),
+                request: in_flight.request,
+            },
+            WriteProgress::Complete => Withdrawn {
+                effect: self.end_sent(&in_flight.request, cancel),
+                not_sent: false,
+                displaced: Vec::new(),
+                request: in_flight.request,
+            },
+        };
+        Some(withdrawn)
+    }
+
+    /// Withdraws a line of which the system has accepted nothing; the lines behind it move up.
+    fn withdraw_line(&mut self, withdrawn: &InFlight) -> Effect {
+        let length = withdrawn.end_offset - withdrawn.start_offset;
+        self.position.queued -= length;
+        let behind = self
+            .in_flight
+            .values_mut()
+            .filter(|other| other.end_offset > withdrawn.end_offset);
+        for other in behind {
+            other.start_offset -= length;
+            other.end_offset -= length;
+        }
+        Effect::CancelWrite {
+            connection: self.id,
+            offset: withdrawn.start_offset,
+            length,
+        }
+    }
+
+    /// Withdraws all that the system has not accepted, from the middle of a line: nothing may be written after it.
+    fn seal(&mut self, written: u64) -> Effect {
+        let length = self.position.queued - written;
+        self.position.sealed = true;
+        self.position.queued = written;
+        Effect::CancelWrite {
+            connection: self.id,
+            offset: written,
+            length,
         }
     }
 
-    /// Remembers a reference: a late second answer to it must not be taken for the answer to its next use.
-    pub(super) fn remember_reference(&mut self, reference: &str) {
-        if self.recent_references.len() >= MAX_RECENT_REFERENCES {
-            self.recent_references.pop_front();
+    /// Takes off the requests whose lines do not lie completely within the first `written` bytes.
+    fn take_requests_behind(&mut self, written: u64) -> Vec<WorkerRequest> {
+        let (kept, behind): (BTreeMap<_, _>, BTreeMap<_, _>) = std::mem::take(&mut self.in_flight)
+            .into_iter()
+            .partition(|(_, in_flight)| in_flight.is_written(written));
+        self.in_flight = kept;
+        behind.into_values().map(InFlight::into_request).collect()
+    }
+
+    /// Ends a request that was sent. The answer to an attempt may still come; returns the cancel message for it, if the
+    /// worker may be asked to cancel it.
+    fn end_sent(&mut self, request: &WorkerRequest, cancel: bool) -> Option<Effect> {
+        if !matches!(request.kind, RequestKind::Attempt(_)) {
+            return None;
         }
-        self.recent_references.push_back(reference.to_string());
+        self.recent_references.remember(&request.reference);
+        let may_cancel = cancel && !self.position.sealed;
+        may_cancel.then(|| self.queue(cancel_line(&request.reference)))
+    }
+
+    /// The requests that are in flight when the connection ends, in the order of their references.
+    pub(super) fn into_in_flight(self) -> impl Iterator<Item = InFlight> {
+        self.in_flight.into_values()
     }
 }
--- a/crates/pipithub-node/src/connection_pool/endings.rs
+++ b/crates/pipithub-node/src/connection_pool/endings.rs
@@ -1,60 +1,68 @@
-//! Connections that end, and requests that are withdrawn from theirs.
+//! Ends of connections and of requests: failures, answers, cancellation and withdrawal.
 
 use pipithub_engine::policy::WorkerId;
 use pipithub_engine::{AttemptId, Time};
 
-use super::connection::{InFlight, Progress, Withdrawn};
-use super::request::{
-    AnsweredRequest, CancelledRequest, FailedRequest, RequestKind, SendFailure, WorkerRequest,
-};
+use super::connection::{Connection, Withdrawn};
+use super::request::{AnsweredRequest, CancelledRequest, RequestKind, SendFailure, WorkerRequest};
 use super::{ConnectionPool, MAX_WAITING};
 use crate::effect::{ConnectionId, Effect};
 
-/// How often what never arrived is written again, on another connection.
+/// How often a request that did not arrive completely is written again, on another connection.
 const MAX_REWRITES: u32 = 2;
 
-/// An attempt that was put on a connection.
+/// Where an attempt is in flight.
 struct SentAttempt {
     connection: ConnectionId,
-    /// The request's name on that connection.
-    name: String,
+    reference: String,
 }
 
 impl ConnectionPool {
-    /// A connection could not be established: nothing that waits for it was sent. `local_fault`: because this machine
-    /// lacked a resource, so that the worker is not at fault.
+    /// A connection could not be established: the requests that waited for it were not sent. `local_fault` means that
+    /// this machine lacked a resource, so that the worker is not at fault.
     pub fn connect_failed(&mut self, id: ConnectionId, local_fault: bool) {
-        let Some(connection) = self.connections.remove(&id) else {
+        let Some(worker) = self
+            .remove_connection(id)
+            .map(|connection| connection.worker().clone())
+        else {
             return;
         };
-        let Some(entry) = self.workers.get_mut(&connection.worker) else {
-            return;
+        let failure = if local_fault {
+            SendFailure::NeverSent
+        } else {
+            SendFailure::Unreachable
         };
-        entry.connections.retain(|other| *other != id);
-        // Others may still come up; each stands for one request.
-        let coming = entry
+        for request in self.take_excess_waiting(&worker) {
+            self.fail(&worker, request, failure);
+        }
+    }
+
+    /// Takes out the waiting requests for which no connection is being made any more, the oldest first.
+    fn take_excess_waiting(&mut self, worker: &WorkerId) -> Vec<WorkerRequest> {
+        let Some(entry) = self.workers.get_mut(worker) else {
+            return Vec::new();
+        };
+        // Each connection that is being made serves one waiting request.
+        let connecting = entry
             .connections
             .iter()
-            .filter(|id| self.connections.get(id).is_some_and(|l| !l.established))
+            .filter_map(|id| self.connections.get(id))
+            .filter(|connection| !connection.is_established())
             .count();
-        while entry.waiting.len() > coming {
-            let Some(request) = entry.waiting.pop_front() else {
-                break;
-            };
-            let failure = if local_fault {
-                SendFailure::NeverSent
-            } else {
-                SendFailure::Unreachable
-            };
-            self.failures.push(FailedRequest {
-                worker: connection.worker.clone(),
-                request,
-                failure,
-            });
-        }
+        let excess = entry.waiting.len().saturating_sub(connecting);
+        entry.waiting.drain(..excess).collect()
+    }
+
+    /// Takes a connection out of the pool and off its worker; `None` if it or its worker is not known.
+    fn remove_connection(&mut self, id: ConnectionId) -> Option<Connection> {
+        let connection = self.connections.remove(&id)?;
+        let entry = self.workers.get_mut(connection.worker())?;
+        entry.connections.retain(|other| *other != id);
+        Some(connection)
     }
 
-    /// An answer came: the request that it ends. `None` where nothing of this name is open, as with a second copy.
+    /// An answer came; returns the request that it ends. `None` if no request with this reference is in flight, as for
+    /// a duplicate answer.
     pub fn answered(
         &mut self,
         now: Time,
@@ -62,52 +70,43 @@
         reference: &str,
     ) -> Option<AnsweredRequest> {
         let connection = self.connections.get_mut(&id)?;
-        let InFlight { request, idle, .. } = connection.in_flight.remove(reference)?;
-        connection.last_used = now;
-        if matches!(request.kind, RequestKind::Attempt(_)) {
-            connection.remember_reference(reference);
-        }
-        if let Some(idle) = idle {
+        let in_flight = connection.answered(now, reference)?;
+        let worker = connection.worker().clone();
+        if let Some(idle) = in_flight.idle_before() {
             self.idle_timeout.record_use(now, idle, false);
         }
-        let worker = connection.worker.clone();
-        self.close_sealed(now, id);
+        self.close_if_finished(now, id);
         self.dispatch(now, &worker);
-        Some(AnsweredRequest { worker, request })
+        Some(AnsweredRequest {
+            worker,
+            request: in_flight.into_request(),
+        })
     }
 
-    /// A connection has ended, or is ended for what came on it. `written`: the bytes that the system took; what it did
-    /// not take whole never arrived and goes out again on another connection.
-    pub fn closed(&mut self, now: Time, id: ConnectionId, written: u64, how: SendFailure) {
-        let Some(connection) = self.connections.remove(&id) else {
+    /// A connection has ended, or is ended because of what came on it. `written` counts the bytes that the system has
+    /// accepted on it: a request that was not written completely never arrived and is sent again on another connection,
+    /// the others fail with `failure`.
+    pub fn closed(&mut self, now: Time, id: ConnectionId, written: u64, failure: SendFailure) {
+        let Some(connection) = self.remove_connection(id) else {
             return;
         };
-        let Some(entry) = self.workers.get_mut(&connection.worker) else {
-            return;
-        };
-        entry.connections.retain(|other| *other != id);
+        let worker = connection.worker().clone();
         let mut unsent = Vec::new();
-        for InFlight {
-            request,
-            end_offset,
-            idle,
-            ..
-        } in connection.in_flight.into_values()
-        {
-            if let Some(idle) = idle {
+        for in_flight in connection.into_in_flight() {
+            if let Some(idle) = in_flight.idle_before() {
                 self.idle_timeout
-                    .record_use(now, idle, how == SendFailure::ConnectionLost);
+                    .record_use(now, idle, failure == SendFailure::ConnectionLost);
             }
-            if end_offset <= written {
-                self.fail(&connection.worker, request, how);
+            if in_flight.is_written(written) {
+                self.fail(&worker, in_flight.into_request(), failure);
             } else {
-                unsent.push(request);
+                unsent.push(in_flight.into_request());
             }
         }
-        self.resend(now, &connection.worker, unsent);
+        self.resend(now, &worker, unsent);
     }
 
-    /// Has requests that never arrived whole wait for another connection, as often as that may be tried.
+    /// Queues requests that did not arrive completely for another connection, up to [`MAX_REWRITES`] times each.
     fn resend(&mut self, now: Time, worker: &WorkerId, requests: Vec<WorkerRequest>) {
         for mut request in requests {
             let waiting = self.workers.get_mut(worker).map(|entry| &mut entry.waiting);
@@ -126,13 +125,13 @@
         self.dispatch(now, worker);
     }
 
-    /// Takes an attempt's request off its connection; see [`Connection::give_up`].
-    pub(super) fn give_up(
+    /// Takes a request off its connection; see [`Connection::withdraw`].
+    pub(super) fn withdraw(
         &mut self,
         now: Time,
         worker: &WorkerId,
         id: ConnectionId,
-        name: &str,
+        reference: &str,
         cancel: bool,
     ) -> Option<CancelledRequest> {
         let connection = self.connections.get_mut(&id)?;
@@ -140,48 +139,55 @@
             request,
             not_sent,
             displaced,
-        } = connection.give_up(id, name, cancel, &mut self.effects)?;
+            effect,
+        } = connection.withdraw(reference, cancel)?;
+        self.effects.extend(effect);
         if !displaced.is_empty() {
             self.resend(now, worker, displaced);
         }
-        self.close_sealed(now, id);
+        self.close_if_finished(now, id);
         Some(CancelledRequest { request, not_sent })
     }
 
-    /// Closes a sealed connection that carries nothing any more.
-    fn close_sealed(&mut self, now: Time, id: ConnectionId) {
+    /// Closes a sealed connection that carries no request any more.
+    fn close_if_finished(&mut self, now: Time, id: ConnectionId) {
         if self
             .connections
             .get(&id)
-            .is_some_and(|l| l.sealed && l.in_flight.is_empty())
+            .is_some_and(Connection::is_finished)
         {
-            self.effects.push(Effect::Close { connection: id });
-            self.closed(now, id, u64::MAX, SendFailure::ConnectionLost);
+            self.close(now, id);
         }
     }
 
-    /// What came on a connection cannot be read: it is closed. What the shell was not handed yet did not leave, and
+    /// Closes a connection that carries no request.
+    pub(super) fn close(&mut self, now: Time, id: ConnectionId) {
+        self.effects.push(Effect::Close { connection: id });
+        self.closed(now, id, u64::MAX, SendFailure::ConnectionLost);
+    }
+
+    /// Closes a connection on which a malformed answer came. Lines that the shell has not taken yet were not sent and
     /// must not count as run: a non-idempotent call would fail without need.
     pub fn close_malformed(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(&id) else {
             return;
         };
-        let mut handed = connection.queued_bytes;
+        let mut handed_over = connection.queued_bytes();
         self.effects.retain(|effect| match effect {
             Effect::Write {
                 connection: on,
                 bytes,
             } if *on == id => {
-                handed -= bytes.len() as u64;
+                handed_over -= bytes.len() as u64;
                 false
             }
             _ => true,
         });
         self.effects.push(Effect::Close { connection: id });
-        self.closed(now, id, handed, SendFailure::Malformed);
+        self.closed(now, id, handed_over, SendFailure::Malformed);
     }
 
-    /// Withdraws an attempt: its request, and whether it is certain that it was not sent.
+    /// Cancels an attempt; `None` if it is neither waiting nor in flight.
     pub fn cancel(
         &mut self,
         now: Time,
@@ -195,11 +201,11 @@
             });
         }
         let sent = self.find_attempt(worker, attempt)?;
-        self.give_up(now, worker, sent.connection, &sent.name, self.cancel)
+        self.withdraw(now, worker, sent.connection, &sent.reference, self.cancel)
     }
 
-    /// Nobody waits for an attempt any more, whatever the settings say of cancelling: it is given back if it has not
-    /// left whole, and is not written again if its connection ends.
+    /// The answer to an attempt is no longer awaited, whether or not workers may be asked to cancel. Returns its request
+    /// if it was not sent completely; otherwise the attempt goes on, but is not sent again if its connection ends.
     pub fn abandon(
         &mut self,
         now: Time,
@@ -211,14 +217,10 @@
         }
         let sent = self.find_attempt(worker, attempt)?;
         let connection = self.connections.get_mut(&sent.connection)?;
-        connection.in_flight.get_mut(&sent.name)?.request.abandoned = true;
-        if matches!(
-            connection.progress(connection.in_flight.get(&sent.name)?),
-            Progress::Whole
-        ) {
+        if !connection.abandon(&sent.reference) {
             return None;
         }
-        self.give_up(now, worker, sent.connection, &sent.name, false)
+        self.withdraw(now, worker, sent.connection, &sent.reference, false)
             .map(|cancelled| cancelled.request)
     }
 
@@ -230,16 +232,13 @@
         waiting.remove(at)
     }
 
-    /// Where an attempt was put on a connection, if it was.
     fn find_attempt(&self, worker: &WorkerId, attempt: AttemptId) -> Option<SentAttempt> {
-        self.workers.get(worker)?.connections.iter().find_map(|id| {
-            let in_flight = &self.connections.get(id)?.in_flight;
-            let (name, _) = in_flight
-                .iter()
-                .find(|(_, c)| c.request.kind == RequestKind::Attempt(attempt))?;
+        let connections = &self.workers.get(worker)?.connections;
+        connections.iter().find_map(|id| {
+            let reference = self.connections.get(id)?.reference_of(attempt)?;
             Some(SentAttempt {
                 connection: *id,
-                name: name.clone(),
+                reference: reference.to_string(),
             })
         })
     }
--- a/crates/pipithub-node/src/connection_pool/selection.rs
+++ b/crates/pipithub-node/src/connection_pool/selection.rs
@@ -8,9 +8,9 @@
 use crate::effect::{ConnectionId, Effect};
 
 impl ConnectionPool {
-    /// The connection for the first request that waits for a worker: the free one that was used last, so that the
-    /// others may be closed as idle. Else each waiting request is to have a new one; where there is no room for that
-    /// many, the one that carries least.
+    /// The connection for the first request that waits for a worker: the idle one that was used last, so that the
+    /// others may be closed as idle. If there is none, each waiting request gets a new connection as far as the limits
+    /// allow, and the rest go to the connection with the fewest requests in flight.
     pub(super) fn select_connection(
         &mut self,
         now: Time,
@@ -25,26 +25,26 @@
             .iter()
             .filter_map(|id| self.connections.get(id).map(|connection| (*id, connection)))
             .filter(|(_, connection)| {
-                connection.address == entry.address
+                connection.address() == entry.address
                     && connection.can_carry(now, reference, idle_limit, max_requests)
             });
         let free = usable
             .clone()
-            .filter(|(_, connection)| connection.in_flight.is_empty())
-            .max_by_key(|(_, connection)| connection.last_used);
+            .filter(|(_, connection)| connection.is_idle())
+            .max_by_key(|(_, connection)| connection.last_used());
         if let Some((id, _)) = free {
             return Some(id);
         }
         let least_loaded = usable
-            .min_by_key(|(_, connection)| connection.in_flight.len())
+            .min_by_key(|(_, connection)| connection.in_flight_count())
             .map(|(id, _)| id);
         let waiting = entry.waiting.len();
         let connecting = self.open_connections(now, worker);
         least_loaded.filter(|_| connecting < waiting)
     }
 
-    /// Opens a connection for each waiting request that has none under way, as far as there is room; how many are
-    /// under way then.
+    /// Opens a connection for each waiting request for which none is being made, as far as the limits allow; returns
+    /// how many are being made then.
     fn open_connections(&mut self, now: Time, worker: &WorkerId) -> usize {
         let fair_part = (self.max_connections / self.listed.max(1)).max(1);
         let Some(entry) = self.workers.get_mut(worker) else {
@@ -57,12 +57,17 @@
             .connections
             .iter()
             .filter_map(|id| self.connections.get(id))
-            .filter(|connection| connection.address == entry.address);
-        let mut connecting = current.clone().filter(|c| !c.established).count();
-        let mut established = current.filter(|c| c.established).peekable();
-        // One more where all that are established have carried this reference before.
+            .filter(|connection| connection.address() == entry.address);
+        let mut connecting = current
+            .clone()
+            .filter(|connection| !connection.is_established())
+            .count();
+        let mut established = current
+            .filter(|connection| connection.is_established())
+            .peekable();
+        // If every established connection has carried this reference before, one connection more is allowed.
         let reference_used_on_all = established.peek().is_some()
-            && established.all(|c| c.recent_references.contains(&first.reference));
+            && established.all(|connection| connection.was_used_for(&first.reference));
         let max_here = fair_part + usize::from(reference_used_on_all);
         while connecting < entry.waiting.len()
             && entry.connections.len() < max_here
@@ -71,7 +76,7 @@
             let id = self.next;
             self.next += 1;
             let address = entry.address.clone();
-            let connection = Connection::new(worker, &address, now);
+            let connection = Connection::new(id, worker, &address, now);
             self.connections.insert(id, connection);
             entry.connections.push(id);
             self.effects.push(Effect::Connect {
--- a/crates/pipithub-node/src/connection_pool/sweep.rs
+++ b/crates/pipithub-node/src/connection_pool/sweep.rs
@@ -1,76 +1,59 @@
-//! What is looked at from time to time: overdue requests, idle connections, removed workers.
+//! Periodic clean-up: overdue requests, idle connections, removed workers.
 
 use std::cmp::Reverse;
 
 use pipithub_engine::Time;
-use pipithub_engine::policy::WorkerId;
 
 use super::ConnectionPool;
-use super::connection::Progress;
+use super::connection::{Connection, OverdueRequest};
 use super::request::{CancelledRequest, FailedRequest, SendFailure};
-use crate::effect::{ConnectionId, Effect};
 
-/// A line that the system has not taken by then is taken back: it states how long its client waited when it was made,
-/// and a worker may be told 150 ms more than that at the most.
-const UNWRITTEN_TIMEOUT: Time = 100_000_000;
-
-/// A request on a connection that is to be given up.
-struct OverdueRequest {
-    start_offset: u64,
-    connection: ConnectionId,
-    worker: WorkerId,
-    reference: String,
-}
+/// A line that the system has not accepted within this time is withdrawn. A line states how much time its client had
+/// left when it was made, and that figure may be 150 ms too large at most when the worker reads it.
+const WRITE_TIMEOUT: Time = 100_000_000;
 
 impl ConnectionPool {
-    /// Ends requests whose time is up, and takes back those that a worker has not read for too long.
+    /// Ends overdue requests, closes connections that stay idle and forgets workers that have been removed.
+    pub fn sweep(&mut self, now: Time) {
+        self.expire_waiting(now);
+        self.end_overdue(now);
+        self.close_idle(now);
+        self.forget_removed_workers();
+    }
+
+    /// Ends requests whose deadline has passed, and withdraws those that a worker has not read for too long.
     fn end_overdue(&mut self, now: Time) {
-        let mut overdue = Vec::new();
-        for (id, connection) in &self.connections {
-            for (reference, in_flight) in &connection.in_flight {
-                let is_stuck = now >= in_flight.queued_at + UNWRITTEN_TIMEOUT
-                    && !matches!(connection.progress(in_flight), Progress::Whole);
-                if is_stuck || now >= in_flight.request.deadline {
-                    overdue.push(OverdueRequest {
-                        start_offset: in_flight.start_offset,
-                        connection: *id,
-                        worker: connection.worker.clone(),
-                        reference: reference.clone(),
-                    });
-                }
-            }
-        }
-        // From the last to the first: what stands behind half a line is taken back before it.
+        let overdue_on = |connection| Connection::overdue_requests(connection, now, WRITE_TIMEOUT);
+        let mut overdue: Vec<OverdueRequest> =
+            self.connections.values().flat_map(overdue_on).collect();
+        // From the last to the first: what is queued behind a partially written line is withdrawn before that line.
         overdue.sort_unstable_by_key(|request| Reverse(request.start_offset));
-        for OverdueRequest {
+        for request in overdue {
+            self.end_overdue_request(now, &request);
+        }
+    }
+
+    fn end_overdue_request(&mut self, now: Time, overdue: &OverdueRequest) {
+        let OverdueRequest {
             connection,
             worker,
             reference,
             ..
-        } in overdue
-        {
-            let cancelled = self.give_up(now, &worker, connection, &reference, self.cancel);
-            let Some(CancelledRequest { request, not_sent }) = cancelled else {
-                continue;
-            };
-            let failure = if not_sent {
-                SendFailure::Unreachable
-            } else {
-                SendFailure::TimedOut
-            };
-            self.fail(&worker, request, failure);
-        }
-    }
-
-    /// Ends what is overdue, closes connections that stay idle and forgets workers that have been removed.
-    pub fn sweep(&mut self, now: Time) {
-        self.expire_waiting(now);
-        self.end_overdue(now);
-        self.close_idle(now);
-        self.forget_removed_workers();
+        } = overdue;
+        let cancelled = self.withdraw(now, worker, *connection, reference, self.cancel);
+        let Some(CancelledRequest { request, not_sent }) = cancelled else {
+            return;
+        };
+        let failure = if not_sent {
+            SendFailure::Unreachable
+        } else {
+            SendFailure::TimedOut
+        };
+        self.fail(worker, request, failure);
     }
 
-    /// Gives back requests that wait for a connection, in time to go elsewhere: they were not sent.
+    /// Fails requests that have waited too long for a connection, early enough for an attempt at another worker. They
+    /// were not sent.
     fn expire_waiting(&mut self, now: Time) {
         for worker in &self.watched {
             let Some(entry) = self.workers.get_mut(worker) else {
@@ -98,25 +81,23 @@
         let idle_limit = self.idle_timeout.limit();
         let mut idle = Vec::new();
         for (id, connection) in &self.connections {
-            let entry = self.workers.get(&connection.worker);
+            let entry = self.workers.get(connection.worker());
             let is_outdated =
-                entry.is_none_or(|entry| entry.removed || entry.address != connection.address);
-            // Closed well before the worker does: a line that crosses its close might be lost.
+                entry.is_none_or(|entry| entry.removed || entry.address != connection.address());
+            // Well before the worker would close it: a line that crosses the worker's close might be lost.
             let is_expired = self.idle_close > 0
-                && now >= connection.last_used + self.idle_close / 2
-                || idle_limit.is_some_and(|limit| now >= connection.last_used + limit);
-            let is_idle = connection.established && connection.in_flight.is_empty();
-            if is_idle && (is_outdated || is_expired) {
+                && now >= connection.last_used() + self.idle_close / 2
+                || idle_limit.is_some_and(|limit| now >= connection.last_used() + limit);
+            if connection.is_idle() && (is_outdated || is_expired) {
                 idle.push(*id);
             }
         }
         for id in idle {
-            self.effects.push(Effect::Close { connection: id });
-            self.closed(now, id, u64::MAX, SendFailure::ConnectionLost);
+            self.close(now, id);
         }
     }
 
-    /// Forgets removed workers of which nothing is left, and those that need no further look.
+    /// Forgets removed workers without requests and connections, and stops watching those that need no further sweep.
     fn forget_removed_workers(&mut self) {
         let workers = &mut self.workers;
         self.watched.retain(|worker| {
--- a/crates/pipithub-node/src/core.rs
+++ b/crates/pipithub-node/src/core.rs
@@ -15,33 +15,41 @@
 use pipithub_platform::settings::SiteSettings;
 use tracing::debug;
 
-use self::shutdown::ACCEPT_AFTER_SIGTERM;
+use self::shutdown::Shutdown;
 use crate::client_sessions::{ClientSessions, MAX_PENDING_CALLS};
 use crate::connection_pool::{ConnectionPool, ConnectionPoolSettings};
 use crate::effect::{ConnectionId, Effect};
 use crate::start_times::StartTimes;
 
-/// Clients and workers are told times in milliseconds.
+/// Messages to clients and workers state times in milliseconds.
 const NANOSECONDS_PER_MILLISECOND: Time = 1_000_000;
-/// How often overdue requests and idle connections are looked for.
+/// How often the pool is searched for overdue requests and idle connections.
 const SWEEP_INTERVAL: Time = 10_000_000;
-/// How often silent clients are looked for.
+/// How often the clients' connections are searched for silent ones.
 const SILENCE_SWEEP_INTERVAL: Time = 100_000_000;
 /// Descriptors kept for the listener, logs, signals, the poller, the coordinator and connections that are closing.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// An answer leaves so long before the client's timeout, so that it arrives in time.
+/// Bodies of pending calls may take a quarter of the process's memory: so many bytes for each MB.
+const BODY_BYTES_PER_MEMORY_MB: usize = (1 << 20) / 4;
+/// An answer is sent this long before the client's timeout, so that it arrives in time.
 const ANSWER_MARGIN: Time = 5_000_000;
 
+/// Descriptors that are always left for connections, however low the configured limit is.
+const MIN_CONNECTION_DESCRIPTORS: usize = 8;
+
 /// How many connections a front end has, those being made included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionCounts {
-    /// Of clients.
+    /// Connections from clients.
     pub clients: usize,
-    /// To workers.
+    /// Connections to workers.
     pub workers: usize,
 }
 
-/// One front end.
+/// The state of one front end: the engine, the clients' sessions and the connections to workers.
+///
+/// Every method takes the current time. What the shell must do as a result is collected and returned by
+/// [`Core::take_effects`], which must be called after every other call that changes the state.
 #[derive(Debug)]
 pub struct Core {
     name: String,
@@ -50,14 +58,12 @@
     max_client_timeout: Time,
     client_sessions: ClientSessions,
     connection_pool: ConnectionPool,
-    /// Workers that attempts went to, for as long as they are out.
+    /// The worker of each attempt that has not ended.
     in_flight: BTreeMap<AttemptId, WorkerId>,
     next_tag: u64,
     last_sweep: Time,
     last_silence_sweep: Time,
-    /// When SIGTERM came.
-    shutdown_started: Option<Time>,
-    draining: bool,
+    shutdown: Shutdown,
     has_endpoint_list: bool,
     start_times: StartTimes,
     inputs: VecDeque<Input>,
@@ -66,51 +72,25 @@
 }
 
 impl Core {
-    /// A front end with the endpoint list of its configuration.
+    /// Creates a front end that knows the workers listed in its configuration and has no connections yet.
+    ///
+    /// `now` is the current time of the clock whose times are passed to all other methods.
     pub fn new(now: Time, config: &NodeConfig) -> Self {
         let site = &config.site;
-        let usable = config
-            .max_descriptors
-            .saturating_sub(RESERVED_DESCRIPTORS)
-            .max(8);
-        let (clients, workers) = (usable * 3 / 5, usable * 2 / 5);
-        let settings = EngineSettings {
-            policy: site.policy.clone(),
-            max_pending: site
-                .transport
-                .max_pending_requests
-                .min(clients * MAX_PENDING_CALLS),
-            max_body_bytes: (config.memory_mb as usize) << 18,
-            answer_margin: ANSWER_MARGIN,
-            ..EngineSettings::default()
-        };
-        let transport = &site.transport;
-        let connection_pool = ConnectionPool::new(ConnectionPoolSettings {
-            max_connections: workers,
-            max_requests_per_connection: transport.max_requests_per_connection,
-            connect_timeout: transport.connect_timeout,
-            idle_close: transport.idle_timeout,
-            cancel: site.policy.limits.cancel,
-        });
+        let limits = ConnectionLimits::from_descriptors(config.max_descriptors);
+        let max_client_timeout = max_client_timeout(site);
         let mut core = Core {
             name: config.name.clone(),
-            engine: Engine::new(settings, config.seed),
+            engine: Engine::new(engine_settings(config, limits), config.seed),
             site: site.clone(),
-            max_client_timeout: site
-                .policy
-                .classes
-                .iter()
-                .map(|c| c.client_timeout)
-                .max()
-                .unwrap_or(0),
-            client_sessions: ClientSessions::new(clients),
-            connection_pool,
+            max_client_timeout,
+            client_sessions: ClientSessions::new(limits.clients),
+            connection_pool: ConnectionPool::new(connection_pool_settings(site, limits)),
             in_flight: BTreeMap::new(),
             next_tag: 1,
             last_sweep: now,
             last_silence_sweep: now,
-            shutdown_started: None,
-            draining: false,
+            shutdown: Shutdown::new(max_client_timeout),
             has_endpoint_list: false,
             start_times: StartTimes::default(),
             inputs: VecDeque::new(),
@@ -123,18 +103,20 @@
         core
     }
 
-    /// A number for a connection that the shell accepted.
+    /// Returns an id for a connection that the shell has accepted; no id is returned twice.
     pub fn next_connection_id(&mut self) -> ConnectionId {
         self.connection_pool.next_connection_id()
     }
 
-    /// Moves the effects that are due to `effects`.
-    pub fn take_effects(&mut self, effects: &mut Vec<Effect>) {
-        effects.append(&mut self.effects);
-        self.connection_pool.take_effects(effects);
+    /// Returns the effects requested since the last call, in the order in which they must be carried out.
+    #[must_use]
+    pub fn take_effects(&mut self) -> Vec<Effect> {
+        let mut effects = std::mem::take(&mut self.effects);
+        effects.extend(self.connection_pool.take_effects());
+        effects
     }
 
-    /// When [`Core::tick`] is due next.
+    /// The time at which [`Core::tick`] must be called next, at the latest.
     pub fn next_due(&self) -> Time {
         self.engine
             .next_due()
@@ -142,12 +124,12 @@
             .min(self.last_sweep + SWEEP_INTERVAL)
     }
 
-    /// How many calls have no answer yet.
+    /// The number of calls that have no final answer yet.
     pub fn pending_requests(&self) -> usize {
         self.engine.pending_requests()
     }
 
-    /// How many connections there are to each side.
+    /// The current numbers of connections.
     pub fn connections(&self) -> ConnectionCounts {
         ConnectionCounts {
             clients: self.client_sessions.len(),
@@ -155,12 +137,12 @@
         }
     }
 
-    /// What was done so far.
+    /// The engine's counters since the start.
     pub fn stats(&self) -> Stats {
         self.engine.stats()
     }
 
-    /// Time has passed.
+    /// Does everything that is due at `now`: sweeps, steps of a shutdown and the engine's own timers.
     pub fn tick(&mut self, now: Time) {
         if now >= self.last_sweep + SWEEP_INTERVAL {
             self.last_sweep = now;
@@ -169,42 +151,36 @@
         }
         if now >= self.last_silence_sweep + SILENCE_SWEEP_INTERVAL {
             self.last_silence_sweep = now;
-            for connection in self.client_sessions.silent_connections(now) {
-                debug!(front_end = self.name, connection, "client is silent");
-                self.effects.push(Effect::Retire { connection });
-            }
-        }
-        if !self.draining
-            && self
-                .shutdown_started
-                .is_some_and(|since| now >= since + ACCEPT_AFTER_SIGTERM)
-        {
-            self.draining = true;
-            self.run(now, Input::Drain);
-        }
-        if self.final_answers_at().is_some_and(|at| now >= at) {
-            self.run(now, Input::AnswerAll);
+            self.close_silent_clients(now);
         }
+        self.advance_shutdown(now);
         self.run(now, Input::Tick);
     }
 
-    /// Connections that clients may have at a time.
+    fn close_silent_clients(&mut self, now: Time) {
+        for connection in self.client_sessions.silent_connections(now) {
+            debug!(front_end = self.name, connection, "client is silent");
+            self.effects.push(Effect::Retire { connection });
+        }
+    }
+
+    /// The most connections that clients may have at the same time.
     pub fn max_client_connections(&self) -> usize {
         self.client_sessions.max_connections()
     }
 
-    /// Connections that there may be to workers at a time.
+    /// The most connections to workers at the same time, connections being made included.
     pub fn max_worker_connections(&self) -> usize {
         self.connection_pool.max_connections()
     }
 
-    /// Hands an input to the engine and carries out what it asks for.
+    /// Gives an input to the engine and performs the resulting outputs.
     fn run(&mut self, now: Time, input: Input) {
         self.inputs.push_back(input);
         self.settle(now);
     }
 
-    /// Hands queued inputs to the engine until none is left and all that it asked for is carried out.
+    /// Gives queued inputs to the engine until none is left; performing an output may queue further inputs.
     fn settle(&mut self, now: Time) {
         while let Some(input) = self.inputs.pop_front() {
             let mut outputs = std::mem::take(&mut self.outputs);
@@ -216,3 +192,61 @@
         }
     }
 }
+
+/// The most connections that a front end may have to each side, connections being made included.
+#[derive(Clone, Copy, Debug)]
+struct ConnectionLimits {
+    clients: usize,
+    workers: usize,
+}
+
+impl ConnectionLimits {
+    /// Divides the process's descriptors: three fifths of those that are not reserved go to clients, two to workers.
+    fn from_descriptors(max_descriptors: usize) -> Self {
+        let available = max_descriptors
+            .saturating_sub(RESERVED_DESCRIPTORS)
+            .max(MIN_CONNECTION_DESCRIPTORS);
+        ConnectionLimits {
+            clients: available * 3 / 5,
+            workers: available * 2 / 5,
+        }
+    }
+}
+
+/// The longest client timeout of all classes; 0 if there is no class.
+fn max_client_timeout(site: &SiteSettings) -> Time {
+    site.policy
+        .classes
+        .iter()
+        .map(|class| class.client_timeout)
+        .max()
+        .unwrap_or(0)
+}
+
+fn engine_settings(config: &NodeConfig, limits: ConnectionLimits) -> EngineSettings {
+    let site = &config.site;
+    EngineSettings {
+        policy: site.policy.clone(),
+        max_pending: site
+            .transport
+            .max_pending_requests
+            .min(limits.clients * MAX_PENDING_CALLS),
+        max_body_bytes: (config.memory_mb as usize).saturating_mul(BODY_BYTES_PER_MEMORY_MB),
+        answer_margin: ANSWER_MARGIN,
+        ..EngineSettings::default()
+    }
+}
+
+fn connection_pool_settings(
+    site: &SiteSettings,
+    limits: ConnectionLimits,
+) -> ConnectionPoolSettings {
+    let transport = &site.transport;
+    ConnectionPoolSettings {
+        max_connections: limits.workers,
+        max_requests_per_connection: transport.max_requests_per_connection,
+        connect_timeout: transport.connect_timeout,
+        idle_close: transport.idle_timeout,
+        cancel: site.policy.limits.cancel,
+    }
+}
--- a/crates/pipithub-node/src/core/clients.rs
+++ b/crates/pipithub-node/src/core/clients.rs
@@ -124,7 +124,7 @@
             Ok(ClientLine::HealthCheck { id }) => {
                 client.last_active = now;
                 client.has_called = true;
-                let healthy = self.has_endpoint_list && self.shutdown_started.is_none();
+                let healthy = self.has_endpoint_list && !self.shutdown.is_requested();
                 self.write(connection, client::health_line(id, healthy));
             }
             // Noise on a connection that is no longer read has been answered once.
--- a/crates/pipithub-node/src/core/shutdown.rs
+++ b/crates/pipithub-node/src/core/shutdown.rs
@@ -1,67 +1,131 @@
-//! Graceful shutdown: what is still taken, when the rest gets its answer, and when the process may end.
+//! Graceful shutdown: until when calls are admitted, when the remaining ones are answered, and when the process may end.
+//!
+//! A shutdown has four steps, each at a fixed time after SIGTERM: the health check fails ([`Core::begin_shutdown`]), new
+//! calls are rejected ([`Input::Drain`]), what is still pending is answered ([`Input::AnswerAll`]), and clients are
+//! closed ([`Core::close_clients`]).
 
-use pipithub_engine::Time;
+use pipithub_engine::{Input, Time};
 use tracing::info;
 
 use super::Core;
 use crate::effect::Effect;
 
-/// After SIGTERM clients go on sending for up to 0.6 s, as the platform states; what comes later is rejected.
-pub(super) const ACCEPT_AFTER_SIGTERM: Time = 700_000_000;
-/// A shutdown takes at least so long: clients that send late must still be answered.
+/// Clients go on sending for up to 0.6 s after SIGTERM, as the platform states; calls that arrive later than this are
+/// rejected.
+const ADMISSION_PERIOD: Time = 700_000_000;
+/// A shutdown takes at least this long: calls that clients send late must still be answered.
 const MIN_SHUTDOWN_TIME: Time = 1_000_000_000;
-/// SIGKILL comes no earlier than the longest deadline, counted as the first of these at most, and the second after
-/// SIGTERM. What has no answer a little before that gets it then.
+/// SIGKILL comes no earlier than the longest client timeout, of which at most this much counts, plus [`KILL_DELAY`]
+/// after SIGTERM.
 const MAX_COUNTED_TIMEOUT: Time = 3_000_000_000;
 const KILL_DELAY: Time = 700_000_000;
+/// Pending calls are answered this long before SIGKILL may come.
 const KILL_MARGIN: Time = 50_000_000;
-/// Of that margin, the part in which clients may still read these answers and send more. The rest is for closing their
-/// connections, and for a turn of the loop.
+/// The part of [`KILL_MARGIN`] in which clients may still read these answers and send more. The rest is for closing
+/// their connections and for one iteration of the event loop.
 const FINAL_READ_TIME: Time = 20_000_000;
 
+/// The progress of a graceful shutdown, if one was requested.
+#[derive(Debug)]
+pub(super) struct Shutdown {
+    /// When it was requested.
+    requested_at: Option<Time>,
+    is_draining: bool,
+    /// From the request to the time at which pending calls are answered.
+    final_answer_delay: Time,
+}
+
+impl Shutdown {
+    /// No shutdown was requested. `max_client_timeout` is the longest client timeout of all classes.
+    pub(super) fn new(max_client_timeout: Time) -> Self {
+        let counted_timeout = max_client_timeout.min(MAX_COUNTED_TIMEOUT);
+        Shutdown {
+            requested_at: None,
+            is_draining: false,
+            final_answer_delay: counted_timeout + KILL_DELAY - KILL_MARGIN,
+        }
+    }
+
+    pub(super) fn is_requested(&self) -> bool {
+        self.requested_at.is_some()
+    }
+
+    /// Records the request; returns whether it is the first one.
+    fn request(&mut self, now: Time) -> bool {
+        let is_first = self.requested_at.is_none();
+        self.requested_at.get_or_insert(now);
+        is_first
+    }
+
+    /// Returns whether draining must begin now; true once at most.
+    fn begin_draining(&mut self, now: Time) -> bool {
+        let is_due = self
+            .requested_at
+            .is_some_and(|requested_at| now >= requested_at + ADMISSION_PERIOD);
+        let begins = is_due && !self.is_draining;
+        self.is_draining |= is_due;
+        begins
+    }
+
+    /// When every call without an answer must get one; `None` as long as no shutdown was requested.
+    fn final_answers_at(&self) -> Option<Time> {
+        self.requested_at
+            .map(|requested_at| requested_at + self.final_answer_delay)
+    }
+
+    /// The earliest time at which the process may end.
+    fn earliest_end(&self) -> Option<Time> {
+        let min_end = self
+            .requested_at
+            .map(|requested_at| requested_at + MIN_SHUTDOWN_TIME);
+        min_end.min(self.final_answers_at())
+    }
+}
+
 impl Core {
-    /// Begins the graceful shutdown; later calls of this change nothing.
+    /// Begins the graceful shutdown; further calls have no effect.
     pub fn begin_shutdown(&mut self, now: Time) {
-        if self.shutdown_started.is_none() {
+        if self.shutdown.request(now) {
             info!(
                 front_end = self.name,
                 pending = self.engine.pending_requests(),
                 "shutting down"
             );
-            self.shutdown_started = Some(now);
         }
     }
 
-    /// Once a stop was asked for: when whatever has no answer gets one, as the process may be killed soon after.
-    pub(super) fn final_answers_at(&self) -> Option<Time> {
-        let counted = self.max_client_timeout.min(MAX_COUNTED_TIMEOUT);
-        self.shutdown_started
-            .map(|since| since + counted + KILL_DELAY - KILL_MARGIN)
+    /// Takes the steps of a shutdown that are due.
+    pub(super) fn advance_shutdown(&mut self, now: Time) {
+        if self.shutdown.begin_draining(now) {
+            self.run(now, Input::Drain);
+        }
+        if self.final_answers_are_due(now) {
+            self.run(now, Input::AnswerAll);
+        }
+    }
+
+    fn final_answers_are_due(&self, now: Time) -> bool {
+        self.shutdown.final_answers_at().is_some_and(|at| now >= at)
     }
 
-    /// Whether a stop was asked for and all that was taken is answered. Answers may still be unwritten, and requests
-    /// unread: the shell looks for these.
+    /// Whether a shutdown was requested and every call that was read is answered. Answers may still be unwritten and
+    /// requests unread: the shell must check for these.
     pub fn is_drained(&self, now: Time) -> bool {
-        let least = self.shutdown_started.map(|since| since + MIN_SHUTDOWN_TIME);
-        self.engine.pending_requests() == 0
-            && least
-                .min(self.final_answers_at())
-                .is_some_and(|at| now >= at)
+        let may_end = self.shutdown.earliest_end().is_some_and(|at| now >= at);
+        may_end && self.engine.pending_requests() == 0
     }
 
-    /// Whether the end cannot wait any longer for clients to fall silent.
+    /// Whether the process must end now, even if clients are still sending.
     pub fn shutdown_overdue(&self, now: Time) -> bool {
-        self.final_answers_at()
+        self.shutdown
+            .final_answers_at()
             .is_some_and(|at| now >= at + FINAL_READ_TIME)
     }
 
-    /// The process is about to end: what clients have sent by now is answered, and their connections are closed.
+    /// Requests a last read and then a close for every client, as the process is about to end.
     pub fn close_clients(&mut self) {
-        let clients = self.client_sessions.connections();
-        self.effects.extend(
-            clients
-                .into_iter()
-                .map(|connection| Effect::Retire { connection }),
-        );
+        let connections = self.client_sessions.connections();
+        let retire = |connection| Effect::Retire { connection };
+        self.effects.extend(connections.into_iter().map(retire));
     }
 }
--- a/crates/pipithub-node/src/shell.rs
+++ b/crates/pipithub-node/src/shell.rs
@@ -62,11 +62,10 @@
     /// Updates the core and carries out the effects that follow.
     fn update_core(self: &Rc<Self>, act: impl FnOnce(&mut Core, Time)) {
         let now = self.clock.now();
-        let mut effects = Vec::new();
         act(&mut self.core.borrow_mut(), now);
         loop {
-            self.core.borrow_mut().take_effects(&mut effects);
-            for effect in effects.drain(..) {
+            let effects = self.core.borrow_mut().take_effects();
+            for effect in effects {
                 self.execute(effect);
             }
             // The core must be told the buffers' state only after all effects have been carried out.
@@ -92,8 +91,8 @@
         let Some(socket) = self.sockets.borrow().get(&connection).cloned() else {
             return;
         };
-        let blocked = (!socket.unwritten.borrow().is_empty()).then(|| socket.written.get());
-        if socket.blocked.replace(blocked) != blocked {
+        let blocked = socket.blocked_at();
+        if socket.record_blocked_report(blocked) {
             self.core
                 .borrow_mut()
                 .worker_blocked(now, connection, blocked);
@@ -116,8 +115,7 @@
             Effect::Retire { connection } => self.closing_clients.borrow_mut().push(connection),
             Effect::Close { connection } => {
                 if let Some(socket) = self.sockets.borrow_mut().remove(&connection) {
-                    socket.closing.set(true);
-                    socket.wake.notify_one();
+                    socket.close();
                 }
             }
             Effect::Connect {
@@ -136,11 +134,11 @@
         let Some(socket) = sockets.get(&connection) else {
             return;
         };
-        match socket.side {
+        match socket.side() {
             Side::Worker => {
                 if socket.peer_closed() {
-                    // Whatever is written now would be lost, and nobody could say whether it ran.
-                    socket.broken.set(true);
+                    // What is written now would be lost, and it would be unknown whether it ran.
+                    socket.mark_broken();
                 }
                 self.written_workers.borrow_mut().push(connection);
             }
--- a/crates/pipithub-node/src/shell/runtime.rs
+++ b/crates/pipithub-node/src/shell/runtime.rs
@@ -120,7 +120,7 @@
             self.sockets
                 .borrow()
                 .values()
-                .all(|s| s.side == Side::Worker || s.unwritten.borrow().is_empty())
+                .all(|socket| socket.side() == Side::Worker || !socket.has_unwritten())
         };
         let quiet =
             || now >= self.last_client_activity.get() + QUIET_TIME && self.lingering.get() == 0;
--- a/crates/pipithub-node/src/shell/slots.rs
+++ b/crates/pipithub-node/src/shell/slots.rs
@@ -1,51 +1,70 @@
-//! Counts descriptors and unwritten bytes of one side, clients or workers.
+//! Counts the descriptors and the unwritten bytes of one side, clients or workers.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use tokio::sync::Notify;
 
-/// Descriptors of one side that are in use, those of connections that are closing or under way included.
+/// What all connections of one side use together, those that are being made or closed included.
 #[derive(Default)]
 pub(super) struct Slots {
-    pub(super) used: Cell<usize>,
-    pub(super) freed: Notify,
-    /// Bytes that wait to be written on all of them, and the most.
-    pub(super) unwritten: Cell<usize>,
-    pub(super) max_unwritten: usize,
+    descriptors: Cell<usize>,
+    descriptor_freed: Notify,
+    unwritten_bytes: Cell<usize>,
+    max_unwritten_bytes: usize,
 }
 
-/// One of them.
-pub(super) struct Slot(pub(super) Rc<Slots>);
+/// One descriptor in use; it is free again when this is dropped.
+pub(super) struct Slot(Rc<Slots>);
 
 impl Slots {
-    pub(super) fn new(max_unwritten: usize) -> Rc<Self> {
+    /// Nothing is in use. `max_unwritten_bytes` may wait to be written on all connections together.
+    pub(super) fn new(max_unwritten_bytes: usize) -> Rc<Self> {
         Rc::new(Slots {
-            max_unwritten,
+            max_unwritten_bytes,
             ..Slots::default()
         })
     }
 
     pub(super) fn take(self: &Rc<Self>) -> Slot {
-        self.used.set(self.used.get() + 1);
+        self.descriptors.set(self.descriptors.get() + 1);
         Slot(self.clone())
     }
 
-    /// Waits until fewer than so many are in use.
-    pub(super) async fn wait_below(&self, most: usize) {
-        while self.used.get() >= most {
-            self.freed.notified().await;
+    /// Waits until fewer than `limit` descriptors are in use.
+    pub(super) async fn wait_below(&self, limit: usize) {
+        while self.descriptors.get() >= limit {
+            self.descriptor_freed.notified().await;
         }
-        if self.used.get() + 1 < most {
-            // Others may wait too.
-            self.freed.notify_one();
+        if self.descriptors.get() + 1 < limit {
+            // `notify_one` wakes one waiter only, and there is room for another.
+            self.descriptor_freed.notify_one();
         }
     }
 }
 
+impl Slot {
+    /// Counts bytes that begin to wait to be written.
+    pub(super) fn add_unwritten(&self, bytes: usize) {
+        let unwritten = &self.0.unwritten_bytes;
+        unwritten.set(unwritten.get() + bytes);
+    }
+
+    /// Counts bytes that no longer wait to be written.
+    pub(super) fn subtract_unwritten(&self, bytes: usize) {
+        let unwritten = &self.0.unwritten_bytes;
+        unwritten.set(unwritten.get() - bytes);
+    }
+
+    /// Whether more bytes wait on all connections of this side than may.
+    pub(super) fn exceeds_unwritten_limit(&self) -> bool {
+        self.0.unwritten_bytes.get() > self.0.max_unwritten_bytes
+    }
+}
+
 impl Drop for Slot {
     fn drop(&mut self) {
-        self.0.used.set(self.0.used.get() - 1);
-        self.0.freed.notify_one();
+        self.0.descriptors.set(self.0.descriptors.get() - 1);
+        self.0.descriptor_freed.notify_one();
     }
 }
--- a/crates/pipithub-node/src/shell/socket.rs
+++ b/crates/pipithub-node/src/shell/socket.rs
@@ -1,12 +1,15 @@
-//! One socket with what waits to be written on it.
+//! One socket and the bytes that wait to be written on it.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
+use std::io;
+use std::net::Shutdown;
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
 
 use bytes::{Buf, BytesMut};
-use tokio::io::Interest;
+use socket2::SockRef;
+use tokio::io::{Interest, Ready};
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
@@ -14,9 +17,9 @@
 use super::slots::Slot;
 use crate::sockets::{self, Transfer, TransferEnd};
 
-/// The most bytes that wait to be written on one connection: a peer that does not read is cut off beyond it. A peer
-/// with more than [`MAX_IDLE_BUFFER`] waiting is cut off too while all of its side together exceed their part of the
-/// memory.
+/// The most bytes that may wait to be written on one connection: a peer that does not read is disconnected beyond it. A
+/// peer with more than [`MAX_IDLE_BUFFER`] waiting is disconnected too while all connections of its side together exceed
+/// their part of the memory.
 const MAX_UNWRITTEN: usize = 1 << 20;
 
 /// Which side a connection is of.
@@ -26,36 +29,34 @@
     Worker,
 }
 
-/// One connection as the shell knows it.
+/// A connected socket, its write buffer and how it is to end.
 pub(super) struct Socket {
-    pub(super) side: Side,
-    pub(super) stream: TcpStream,
-    pub(super) unwritten: RefCell<BytesMut>,
-    pub(super) written: Cell<u64>,
-    /// Nothing more is read; it ends once all is written.
-    pub(super) closing: Cell<bool>,
-    /// It cannot be written any more.
-    pub(super) broken: Cell<bool>,
-    /// This machine lacked something when it was last read or written.
-    pub(super) exhausted: Cell<bool>,
+    side: Side,
+    stream: TcpStream,
+    unwritten: RefCell<BytesMut>,
+    /// Bytes that the system has accepted so far.
+    written: Cell<u64>,
+    /// Nothing more is read; the connection ends once all is written.
+    closing: Cell<bool>,
+    /// Nothing more can be written.
+    broken: Cell<bool>,
+    /// The last read or write failed because this machine lacked a resource.
+    exhausted: Cell<bool>,
     /// What was last reported to the core of a worker that does not read.
-    pub(super) blocked: Cell<Option<u64>>,
-    pub(super) wake: Notify,
-    pub(super) slot: Slot,
+    reported_blocked: Cell<Option<u64>>,
+    wake: Notify,
+    slot: Slot,
 }
 
 impl Drop for Socket {
     fn drop(&mut self) {
-        let left = self.unwritten.get_mut().len();
-        self.slot
-            .0
-            .unwritten
-            .set(self.slot.0.unwritten.get() - left);
+        self.slot.subtract_unwritten(self.unwritten.get_mut().len());
     }
 }
 
 impl Socket {
     pub(super) fn new(stream: TcpStream, side: Side, slot: Slot) -> Rc<Self> {
+        // Without this option answers come later, and nothing else changes.
         let _ = stream.set_nodelay(true);
         Rc::new(Socket {
             side,
@@ -65,50 +66,104 @@
             closing: Cell::new(false),
             broken: Cell::new(false),
             exhausted: Cell::new(false),
-            blocked: Cell::new(None),
+            reported_blocked: Cell::new(None),
             wake: Notify::new(),
             slot,
         })
     }
 
-    /// Whether the peer is known to have closed its side, though nobody has read that far yet.
+    pub(super) fn side(&self) -> Side {
+        self.side
+    }
+
+    /// How many bytes the system has accepted since the connection was made.
+    pub(super) fn written(&self) -> u64 {
+        self.written.get()
+    }
+
+    pub(super) fn has_unwritten(&self) -> bool {
+        !self.unwritten.borrow().is_empty()
+    }
+
+    pub(super) fn is_closing(&self) -> bool {
+        self.closing.get()
+    }
+
+    pub(super) fn is_broken(&self) -> bool {
+        self.broken.get()
+    }
+
+    /// Ends the connection once all is written; nothing more is read.
+    pub(super) fn close(&self) {
+        self.closing.set(true);
+        self.wake.notify_one();
+    }
+
+    /// Makes every later write fail.
+    pub(super) fn mark_broken(&self) {
+        self.broken.set(true);
+    }
+
+    /// Returns whether the last read or write failed because this machine lacked a resource, and resets it.
+    pub(super) fn take_exhausted(&self) -> bool {
+        self.exhausted.take()
+    }
+
+    /// How many bytes the system has accepted, if the peer does not read and further bytes wait; `None` if none wait.
+    pub(super) fn blocked_at(&self) -> Option<u64> {
+        self.has_unwritten().then(|| self.written.get())
+    }
+
+    /// Records what is reported to the core as [`Socket::blocked_at`]; returns whether it differs from the last report.
+    pub(super) fn record_blocked_report(&self, blocked: Option<u64>) -> bool {
+        self.reported_blocked.replace(blocked) != blocked
+    }
+
+    /// Whether the peer is known to have closed its side, even if input before that is unread.
     pub(super) fn peer_closed(&self) -> bool {
         let ready = std::pin::pin!(self.stream.ready(Interest::READABLE));
         let ready = ready.poll(&mut Context::from_waker(Waker::noop()));
         matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
     }
 
-    /// Takes back bytes that the system has not taken, counted from the first ever written.
-    pub(super) fn cancel_write(&self, at: u64, len: u64) {
+    /// Waits until the stream is ready for one of these operations.
+    pub(super) async fn ready(&self, interest: Interest) -> io::Result<Ready> {
+        self.stream.ready(interest).await
+    }
+
+    /// Waits until something was queued for writing, or the connection is to be closed.
+    pub(super) async fn woken(&self) {
+        self.wake.notified().await;
+    }
+
+    /// Withdraws bytes that the system has not accepted; `offset` counts from the first byte ever written.
+    pub(super) fn cancel_write(&self, offset: u64, length: u64) {
         let mut unwritten = self.unwritten.borrow_mut();
-        let (Some(at), len) = (at.checked_sub(self.written.get()), len as usize) else {
+        let Some(start) = offset.checked_sub(self.written.get()) else {
             return;
         };
-        let at = at as usize;
-        if at + len <= unwritten.len() {
-            let mut rest = unwritten.split_off(at);
-            rest.advance(len);
+        let (start, length) = (start as usize, length as usize);
+        if start + length <= unwritten.len() {
+            let mut rest = unwritten.split_off(start);
+            rest.advance(length);
             unwritten.unsplit(rest);
-            self.slot.0.unwritten.set(self.slot.0.unwritten.get() - len);
+            self.slot.subtract_unwritten(length);
         }
     }
 
-    /// Writes at once what the system takes, and keeps the rest. Behind what is kept nothing leaves here: the core
-    /// takes back by what it was told of that, and a line that left meanwhile would count as never sent.
+    /// Writes as much as the system accepts now, and keeps the rest. If bytes were kept before, nothing is written here:
+    /// the core withdraws lines by what it was told of these, and a line written meanwhile would count as never sent.
     pub(super) fn write(&self, bytes: &[u8]) {
         let mut unwritten = self.unwritten.borrow_mut();
-        let first = unwritten.is_empty();
+        let was_empty = unwritten.is_empty();
         unwritten.extend_from_slice(bytes);
-        self.slot
-            .0
-            .unwritten
-            .set(self.slot.0.unwritten.get() + bytes.len());
-        if first {
-            self.flush(&mut unwritten);
+        self.slot.add_unwritten(bytes.len());
+        if was_empty {
+            self.flush_buffer(&mut unwritten);
         }
-        let crowded = self.slot.0.unwritten.get() > self.slot.0.max_unwritten
-            && unwritten.len() > MAX_IDLE_BUFFER;
-        if crowded || unwritten.len() > MAX_UNWRITTEN {
+        let exceeds_memory =
+            self.slot.exceeds_unwritten_limit() && unwritten.len() > MAX_IDLE_BUFFER;
+        if exceeds_memory || unwritten.len() > MAX_UNWRITTEN {
             self.broken.set(true);
         }
         if !unwritten.is_empty() || self.broken.get() {
@@ -116,7 +171,12 @@
         }
     }
 
-    pub(super) fn flush(&self, unwritten: &mut BytesMut) {
+    /// Writes as many of the waiting bytes as the system accepts now.
+    pub(super) fn flush(&self) {
+        self.flush_buffer(&mut self.unwritten.borrow_mut());
+    }
+
+    fn flush_buffer(&self, unwritten: &mut BytesMut) {
         if self.broken.get() {
             return;
         }
@@ -124,10 +184,7 @@
             sockets::write_now(unwritten, |bytes| self.stream.try_write(bytes));
         self.written.set(self.written.get() + count as u64);
         unwritten.advance(count);
-        self.slot
-            .0
-            .unwritten
-            .set(self.slot.0.unwritten.get() - count);
+        self.slot.subtract_unwritten(count);
         match end {
             TransferEnd::Complete | TransferEnd::Blocked => {}
             TransferEnd::Exhausted => self.exhausted.set(true),
@@ -137,4 +194,45 @@
             *unwritten = BytesMut::new();
         }
     }
+
+    /// Reads what there is, as far as it fits.
+    pub(super) fn read(&self, buffer: &mut [u8]) -> Transfer {
+        let transfer = sockets::read_now(buffer, |buffer| self.stream.try_read(buffer));
+        if transfer.end == TransferEnd::Exhausted {
+            self.exhausted.set(true);
+        }
+        transfer
+    }
+
+    /// Reads what there is from the system itself, as the poller may not have reported the last bytes yet.
+    pub(super) fn read_unpolled(&self, buffer: &mut [u8]) -> Transfer {
+        let system = SockRef::from(&self.stream);
+        sockets::read_now(buffer, |buffer| io::Read::read(&mut &*system, buffer))
+    }
+
+    /// Tells the peer that nothing more follows.
+    pub(super) fn shut_down_write(&self) -> io::Result<()> {
+        SockRef::from(&self.stream).shutdown(Shutdown::Write)
+    }
+
+    /// Reads and discards until the peer has closed its side or the connection fails.
+    pub(super) async fn discard_input(&self) {
+        let mut discarded = vec![0; MAX_IDLE_BUFFER];
+        while self.stream.readable().await.is_ok() {
+            match self.stream.try_read(&mut discarded) {
+                Ok(0) => return,
+                Ok(_) => {}
+                Err(error) if is_transient(&error) => {}
+                Err(_) => return,
+            }
+        }
+    }
+}
+
+/// Whether a read that failed so may be repeated.
+fn is_transient(error: &io::Error) -> bool {
+    matches!(
+        error.kind(),
+        io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
+    )
 }
--- a/crates/pipithub-node/tests/core_harness/mod.rs
+++ b/crates/pipithub-node/tests/core_harness/mod.rs
@@ -68,9 +68,7 @@
     }
 
     pub(crate) fn effects(&mut self) -> Vec<Effect> {
-        let mut effects = Vec::new();
-        self.core.take_effects(&mut effects);
-        effects
+        self.core.take_effects()
     }
 
     pub(crate) fn client(&mut self) -> ConnectionId {
--- a/crates/pipithub-node/tests/pool_harness/mod.rs
+++ b/crates/pipithub-node/tests/pool_harness/mod.rs
@@ -67,8 +67,7 @@
     }
 
     pub(crate) fn effects(&mut self) -> Vec<Effect> {
-        self.effects.clear();
-        self.pool.take_effects(&mut self.effects);
+        self.effects = self.pool.take_effects();
         self.effects.clone()
     }
 
