--- a/crates/pipithub-node/tests/answers_before_close.rs
+++ b/crates/pipithub-node/tests/answers_before_close.rs
@@ -1,4 +1,4 @@
-//! Whatever parses as a request gets one answer before its connection is closed, however that comes about.
+//! Every line that is a request gets one answer before its connection is closed, for every reason to close.
 
 mod core_harness;
 
@@ -12,99 +12,101 @@
     ) + "\n"
 }
 
-/// A line that is no request but bears a number.
+/// A line that has an id but asks for an unknown method.
 fn faulty(id: u64) -> String {
     format!(r#"{{"jsonrpc":"2.0","id":{id},"method":"nothing"}}"#) + "\n"
 }
 
-/// One way in which the front end comes to close a client's connection.
+/// A reason for which the front end closes a client's connection.
 struct Ending {
     name: &'static str,
-    /// Brings it about on a new connection, on which the given text has come, read or not.
+    /// Brings it about on a new connection on which the text has come, read or not.
     play: fn(&mut CoreHarness, &str) -> ConnectionId,
 }
 
-fn read(b: &mut CoreHarness, connection: ConnectionId, text: &str) {
-    b.core.client_bytes(b.now, connection, text.as_bytes());
+fn read(harness: &mut CoreHarness, connection: ConnectionId, text: &str) {
+    harness
+        .core
+        .client_bytes(harness.now, connection, text.as_bytes());
 }
 
 const ENDINGS: [Ending; 11] = [
     Ending {
         name: "too many connections",
-        play: |b, text| {
-            let connection = b.client();
-            b.unread.insert(connection, text.into());
-            // The first that never asked goes first.
+        play: |harness, text| {
+            let connection = harness.connect_client();
+            harness.unread.insert(connection, text.into());
+            // The first client without a request is closed first.
             (0..24).for_each(|_| {
-                b.client();
+                harness.connect_client();
             });
             connection
         },
     },
     Ending {
         name: "too many connections, the newcomer's",
-        play: |b, text| {
+        play: |harness, text| {
             for id in 1..=24 {
-                let client = b.client();
-                read(b, client, &call(1000 + id));
+                let client = harness.connect_client();
+                read(harness, client, &call(1000 + id));
             }
-            let connection = b.client();
-            b.unread.insert(connection, text.into());
+            let connection = harness.connect_client();
+            harness.unread.insert(connection, text.into());
             connection
         },
     },
     Ending {
         name: "silent",
-        play: |b, text| {
-            let connection = b.client();
-            b.pass(1_990 * MS);
-            b.unread.insert(connection, text.into());
+        play: |harness, text| {
+            let connection = harness.connect_client();
+            harness.advance(1_990 * MS);
+            harness.unread.insert(connection, text.into());
             connection
         },
     },
     Ending {
-        name: "half a request",
-        play: |b, text| {
-            let connection = b.client();
-            let (half, rest) = text.split_at(text.len() / 3);
-            read(b, connection, half);
-            b.pass(1_990 * MS);
-            b.unread.insert(connection, rest.into());
+        name: "incomplete request",
+        play: |harness, text| {
+            let connection = harness.connect_client();
+            let (start, rest) = text.split_at(text.len() / 3);
+            read(harness, connection, start);
+            harness.advance(1_990 * MS);
+            harness.unread.insert(connection, rest.into());
             connection
         },
     },
     Ending {
-        name: "noise before it",
-        play: |b, text| {
-            let connection = b.client();
-            read(b, connection, &format!("noise\n{text}"));
+        name: "malformed line before it",
+        play: |harness, text| {
+            let connection = harness.connect_client();
+            read(harness, connection, &format!("noise\n{text}"));
             connection
         },
     },
     Ending {
-        name: "noise before it, itself unread",
-        play: |b, text| {
-            let connection = b.client();
-            b.unread.insert(connection, text.into());
-            read(b, connection, "noise\n");
+        name: "malformed line before it, itself unread",
+        play: |harness, text| {
+            let connection = harness.connect_client();
+            harness.unread.insert(connection, text.into());
+            read(harness, connection, "noise\n");
             connection
         },
     },
     Ending {
         name: "faulty lines in a row before it",
-        play: |b, text| {
-            let connection = b.client();
+        play: |harness, text| {
+            let connection = harness.connect_client();
             let faults: String = (101..=104).map(faulty).collect();
-            read(b, connection, &(faults + text));
+            read(harness, connection, &(faults + text));
             connection
         },
     },
     Ending {
         name: "a line too long behind it",
-        play: |b, text| {
-            let connection = b.client();
+        play: |harness, text| {
+            let connection = harness.connect_client();
             read(
-                b,
+                harness,
                 connection,
                 &(text.to_string() + "\n" + &"x".repeat(40_000)),
             );
@@ -112,148 +114,193 @@
         },
     },
     Ending {
-        name: "given up while a call is open",
-        play: |b, text| {
-            let connection = b.client();
-            read(b, connection, &(call(500) + "noise\n"));
-            b.pass(10 * MS);
-            read(b, connection, text);
+        name: "no longer read while a call is pending",
+        play: |harness, text| {
+            let connection = harness.connect_client();
+            read(harness, connection, &(call(500) + "noise\n"));
+            harness.advance(10 * MS);
+            read(harness, connection, text);
             connection
         },
     },
     Ending {
         name: "shutdown, drained",
-        play: |b, text| {
-            let connection = b.client();
-            b.core.begin_shutdown(b.now);
-            b.pass(800 * MS);
-            read(b, connection, text);
+        play: |harness, text| {
+            let connection = harness.connect_client();
+            harness.core.begin_shutdown(harness.now);
+            harness.advance(800 * MS);
+            read(harness, connection, text);
             connection
         },
     },
     Ending {
         name: "the end of the process",
-        play: |b, text| {
-            let connection = b.client();
-            b.core.begin_shutdown(b.now);
+        play: |harness, text| {
+            let connection = harness.connect_client();
+            harness.core.begin_shutdown(harness.now);
             // Before the connection counts as silent.
-            b.pass(1_200 * MS);
-            b.unread.insert(connection, text.into());
-            b.core.close_clients();
+            harness.advance(1_200 * MS);
+            harness.unread.insert(connection, text.into());
+            harness.core.close_clients();
             connection
         },
     },
 ];
 
 #[test]
-fn whatever_was_read_as_a_request_has_its_answer_before_the_close() {
+fn every_request_is_answered_before_its_connection_is_closed() {
     let contents: [(&str, String, &[u64]); 5] = [
         ("one call", call(1), &[1]),
         ("two calls", call(1) + &call(2), &[1, 2]),
         (
-            "a call between noise",
+            "calls around a malformed line",
             call(1) + "noise\n" + &call(2),
             &[1, 2],
         ),
-        ("a call and half of another", call(1) + &call(2)[..40], &[1]),
-        ("a call of no class, and one", faulty(1) + &call(2), &[1, 2]),
+        (
+            "a call and a part of another",
+            call(1) + &call(2)[..40],
+            &[1],
+        ),
+        (
+            "a call of no class, and a call",
+            faulty(1) + &call(2),
+            &[1, 2],
+        ),
     ];
     for Ending { name, play } in ENDINGS {
-        for (content, text, asked) in &contents {
-            let mut b = CoreHarness::new();
-            let connection = play(&mut b, text);
-            let mut written = b.written();
-            for _ in 0..400 {
-                b.pass(10 * MS);
-                written.extend(b.written());
-            }
-            let to_client: Vec<&str> = written
-                .iter()
-                .filter(|(c, _)| *c == connection)
-                .map(|(_, line)| line.as_str())
-                .collect();
-            let closed = to_client
-                .iter()
-                .position(|line| *line == "closed")
-                .unwrap_or(to_client.len());
-            for id in *asked {
-                let number = format!("\"id\":{id},");
+        for (content, text, requested) in &contents {
+            let mut harness = CoreHarness::new();
+            let connection = play(&mut harness, text);
+            let to_client = lines_to_client(&mut harness, connection);
+            let closed = to_client.iter().position(|line| line == "closed");
+            let closed = closed.unwrap_or(to_client.len());
+            for id in *requested {
                 let answers: Vec<usize> = (0..to_client.len())
-                    .filter(|at| to_client[*at].contains(&number))
+                    .filter(|at| is_answer(&to_client[*at], *id))
                     .collect();
                 assert!(
                     answers.len() == 1 && answers[0] < closed,
                     "{name}, {content}: request {id} among {to_client:#?}"
                 );
             }
-            assert!(b.unread.is_empty(), "{name}: it was read");
+            assert!(harness.unread.is_empty(), "{name}: all was read");
         }
     }
 }
 
-/// The process is killed the longest deadline and 0.7 s after SIGTERM, and clients send on their open connections until it
-/// ends; the worker hangs.
+fn is_answer(line: &str, id: u64) -> bool {
+    line.contains(&format!("\"id\":{id},"))
+}
+
+/// All that is written to a client within four seconds.
+fn lines_to_client(harness: &mut CoreHarness, client: ConnectionId) -> Vec<String> {
+    let mut written = harness.written();
+    for _ in 0..400 {
+        harness.advance(10 * MS);
+        written.extend(harness.written());
+    }
+    written
+        .into_iter()
+        .filter(|(connection, _)| *connection == client)
+        .map(|(_, line)| line)
+        .collect()
+}
+
+/// Clients that call for as long as their connections are open, with calls of both classes that no worker answers.
+struct CallingClients {
+    connections: Vec<ConnectionId>,
+    timeout_ms: Time,
+    calls: u64,
+}
+
+impl CallingClients {
+    fn connect(harness: &mut CoreHarness, timeout_ms: Time) -> Self {
+        CallingClients {
+            connections: (0..4).map(|_| harness.connect_client()).collect(),
+            timeout_ms,
+            calls: 0,
+        }
+    }
+
+    /// One call of each client.
+    fn next_calls(&mut self) -> Vec<(ConnectionId, String)> {
+        let mut calls = Vec::new();
+        for connection in &self.connections {
+            self.calls += 1;
+            let is_idempotent = !self.calls.is_multiple_of(3);
+            let class = if is_idempotent { "view" } else { "assign" };
+            let timeout = format!("\"ttl\":{}", self.timeout_ms);
+            let line = call(self.calls)
+                .replace("view", class)
+                .replace("\"ttl\":1500", &timeout);
+            calls.push((*connection, line));
+        }
+        calls
+    }
+
+    /// Each client sends a call, which is read at once.
+    fn send_calls(&mut self, harness: &mut CoreHarness) {
+        for (connection, line) in self.next_calls() {
+            read(harness, connection, &line);
+        }
+    }
+
+    /// Each client sends a call, which is not read before its connection is to be closed.
+    fn send_unread_calls(&mut self, harness: &mut CoreHarness) {
+        for (connection, line) in self.next_calls() {
+            harness.unread.insert(connection, line.into());
+        }
+    }
+
+    fn check_each_call_is_answered_once(&self, written: &[(ConnectionId, String)]) {
+        for id in 1..=self.calls {
+            let answers = written
+                .iter()
+                .filter(|(connection, line)| {
+                    self.connections.contains(connection) && is_answer(line, id)
+                })
+                .count();
+            let (timeout_ms, calls) = (self.timeout_ms, self.calls);
+            assert_eq!(
+                answers, 1,
+                "timeouts of {timeout_ms} ms: call {id} of {calls}"
+            );
+        }
+    }
+}
+
+/// The process is killed the longest client timeout and 0.7 s after SIGTERM.
 #[test]
-fn a_stop_answers_everything_that_it_took_before_the_kill_however_short_the_deadlines() {
-    for longest in [50, 200, 800, 3_000] {
+fn shutdown_answers_every_request_before_sigkill_whatever_the_timeouts() {
+    for timeout_ms in [50, 200, 800, 3_000] {
         let mut config = config();
-        config
-            .site
-            .policy
-            .classes
-            .iter_mut()
-            .for_each(|c| c.client_timeout = longest * MS);
-        let mut b = CoreHarness::of(&config);
-        let clients: Vec<ConnectionId> = (0..4).map(|_| b.client()).collect();
-        let call = |id: u64| {
-            let class = if id.is_multiple_of(3) {
-                "assign"
-            } else {
-                "view"
-            };
-            call(id)
-                .replace("view", class)
-                .replace("\"ttl\":1500", &format!("\"ttl\":{longest}"))
-        };
-        let (mut sent, mut written) = (0, Vec::new());
-        let mut send = |b: &mut CoreHarness, unread: bool| {
-            for connection in &clients {
-                sent += 1;
-                if unread {
-                    b.unread.insert(*connection, call(sent).into());
-                } else {
-                    read(b, *connection, &call(sent));
-                }
-            }
-        };
-        b.core.begin_shutdown(b.now);
-        let kill: Time = b.now + (longest + 700) * MS;
-        while !b.core.shutdown_overdue(b.now) && !b.core.is_drained(b.now) {
-            send(&mut b, false);
-            b.pass(5 * MS);
-            written.extend(b.written());
+        for class in &mut config.site.policy.classes {
+            class.client_timeout = timeout_ms * MS;
+        }
+        let mut harness = CoreHarness::with_config(&config);
+        let mut clients = CallingClients::connect(&mut harness, timeout_ms);
+        let mut written = Vec::new();
+        harness.core.begin_shutdown(harness.now);
+        let kill_time = harness.now + (timeout_ms + 700) * MS;
+        while !harness.core.shutdown_overdue(harness.now) && !harness.core.is_drained(harness.now) {
+            clients.send_calls(&mut harness);
+            harness.advance(5 * MS);
+            written.extend(harness.written());
             assert!(
-                b.now < kill,
-                "deadlines of {longest} ms: it would be killed"
+                harness.now < kill_time,
+                "timeouts of {timeout_ms} ms: killed"
             );
         }
         assert!(
-            b.now + 15 * MS < kill,
-            "deadlines of {longest} ms: time to close what is open"
+            harness.now + 15 * MS < kill_time,
+            "timeouts of {timeout_ms} ms: too late to close the connections"
         );
-        // The last that were sent lie unread.
-        send(&mut b, true);
-        b.core.close_clients();
-        written.extend(b.written());
-        assert_eq!(b.core.pending_requests(), 0);
-        for id in 1..=sent {
-            let number = format!("\"id\":{id},");
-            let answers = written
-                .iter()
-                .filter(|(connection, l)| clients.contains(connection) && l.contains(&number))
-                .count();
-            assert_eq!(answers, 1, "deadlines of {longest} ms: call {id} of {sent}");
-        }
-        assert_eq!(b.core.connections().clients, 0, "all are closed");
+        clients.send_unread_calls(&mut harness);
+        harness.core.close_clients();
+        written.extend(harness.written());
+        assert_eq!(harness.core.pending_requests(), 0);
+        clients.check_each_call_is_answered_once(&written);
+        assert_eq!(harness.core.connections().clients, 0, "all are closed");
     }
 }
--- a/crates/pipithub-node/tests/close_race.rs
+++ b/crates/pipithub-node/tests/close_race.rs
@@ -1,76 +1,72 @@
-//! A request comes at the moment at which its connection is closed to make room for another: at each turn of the one
-//! thread that the front end and the test share, it is either too late, as the close has been told, or answered.
+//! A request comes in the moment in which its connection is closed to make room for another: after each number of turns
+//! of the thread that front end and test share, the client has either been told of the close, or gets its answer.
 
 mod socket_harness;
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
-use std::time::Duration;
 
-use socket_harness::{Peer, call, config, event, listener, start};
-use tokio::task::{LocalSet, yield_now};
+use socket_harness::{Peer, call_line, config, event, listener, run_test, start};
+use tokio::task::yield_now;
 
 /// Clients that may be connected with 44 descriptors.
 const CLIENTS: usize = 12;
-const TURNS: usize = 12;
+const MAX_TURNS: usize = 12;
 
-/// Whether the request came before its connection's end was told; it has its answer then.
-async fn asks_after(turns: usize) -> bool {
-    let (_list, list_at) = listener().await;
-    let mut config = config(list_at, &[event(1, true, &[])]);
+/// Sends a request that many turns after a newcomer has connected, for which the client's connection is closed; returns
+/// whether the request came before the client was told of the close. It must be answered then.
+async fn request_precedes_close(turns: usize) -> bool {
+    let (_coordinator, coordinator_address) = listener().await;
+    let mut config = config(coordinator_address, &[event(1, true, &[])]);
     config["limits"]["sockets"] = 44.into();
     let node = start(&config).await;
-    let mut quiet = Peer::connect(node).await;
-    // The longest idle of those that have asked for something goes first.
-    assert!(quiet.is_well(1).await);
+    // Of the clients that have sent a request, the one that is idle for longest is closed first.
+    let mut longest_idle = Peer::connect(node).await;
+    assert!(longest_idle.is_healthy(1).await);
     let mut others = Vec::new();
     for _ in 1..CLIENTS {
         let mut other = Peer::connect(node).await;
-        assert!(other.is_well(1).await);
+        assert!(other.is_healthy(1).await);
         others.push(other);
     }
-    // The newcomer for which the quiet one has to go; it is in the system, and the front end has not run since.
+    // The system holds the newcomer's connection, and the front end has not run since.
     let _newcomer = TcpStream::connect(node).expect("connects");
     for _ in 0..turns {
         yield_now().await;
     }
-    let quiet = quiet
-        .lines
-        .into_inner()
-        .into_inner()
-        .reunite(quiet.write)
-        .expect("both halves");
-    let mut quiet = quiet.into_std().expect("a socket");
-    match quiet.read(&mut [0; 64]) {
-        Ok(0) => return false,
-        Err(error) if error.kind() == ErrorKind::WouldBlock => {}
-        other => panic!("{other:?}"),
+    let mut stream = longest_idle.into_stream().into_std().expect("a socket");
+    if is_at_end(&mut stream) {
+        return false;
     }
-    let line = call(7, "view", "").replace(":60000", ":50");
-    assert_eq!(quiet.write(line.as_bytes()).expect("written"), line.len());
-    let mut quiet = Peer::of(tokio::net::TcpStream::from_std(quiet).expect("a socket"));
-    let answer = quiet
-        .next()
-        .await
-        .unwrap_or_else(|| panic!("closed without an answer, after {turns} turns"));
+    let line = call_line(7, "view", "").replace(":60000", ":50");
+    assert_eq!(stream.write(line.as_bytes()).expect("written"), line.len());
+    let stream = tokio::net::TcpStream::from_std(stream).expect("a socket");
+    let answer = Peer::new(stream).receive().await;
+    let answer = answer.unwrap_or_else(|| panic!("closed unanswered after {turns} turns"));
     assert_eq!(answer["id"], 7);
     true
 }
 
+/// Whether the other side has closed; nothing else may have come.
+fn is_at_end(stream: &mut TcpStream) -> bool {
+    match stream.read(&mut [0; 64]) {
+        Ok(0) => true,
+        Err(error) if error.kind() == ErrorKind::WouldBlock => false,
+        other => panic!("{other:?}"),
+    }
+}
+
 #[tokio::test]
-async fn a_request_that_comes_as_its_connection_makes_room_is_answered_or_too_late() {
-    let test = async {
-        let mut answered = Vec::new();
-        for turns in 0..TURNS {
-            answered.push(asks_after(turns).await);
+async fn request_that_crosses_a_close_to_make_room_is_answered_or_comes_after_the_close() {
+    run_test(async {
+        let mut precedes = Vec::new();
+        for turns in 0..MAX_TURNS {
+            precedes.push(request_precedes_close(turns).await);
         }
         assert!(
-            answered[0] && !answered[TURNS - 1],
-            "both come about: {answered:?}"
+            precedes[0] && !precedes[MAX_TURNS - 1],
+            "both cases occur: {precedes:?}"
         );
-    };
-    LocalSet::new()
-        .run_until(tokio::time::timeout(Duration::from_secs(60), test))
-        .await
-        .expect("it ends");
+    })
+    .await;
 }
--- a/crates/pipithub-node/tests/closes.rs
+++ b/crates/pipithub-node/tests/closes.rs
@@ -1,5 +1,5 @@
-//! A client's close is seen while the front end is busy with something else: each test counts turns of the one thread
-//! that the front end and the test share, and no time.
+//! A client's close is noticed while the front end is busy with something else. These tests count turns of the thread
+//! that front end and test share, and no time.
 
 mod socket_harness;
 
@@ -8,175 +8,173 @@
 
 use pipithub_node::coordinator;
 use pipithub_platform::settings::Names;
-use socket_harness::{Peer, call, event, held_by_the_system, listener, one_worker, within};
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use serde_json::json;
+use socket_harness::{
+    FrontEnd, STREAM_HEAD, call_line, call_name, event, listener, read_request_head, run_test,
+};
+use tokio::io::AsyncWriteExt;
 use tokio::sync::watch;
 use tokio::task::{spawn_local, yield_now};
 
-/// Many list events come in one piece: something else has its turns in between.
+/// What the front end reads from a connection at a time.
+const READ_BUFFER_BYTES: usize = 64 << 10;
+
+/// Counts the turns of a task that is always ready.
+fn count_turns() -> Rc<Cell<u64>> {
+    let turns = Rc::new(Cell::new(0u64));
+    let counted = turns.clone();
+    spawn_local(async move {
+        loop {
+            counted.set(counted.get() + 1);
+            yield_now().await;
+        }
+    });
+    turns
+}
+
+/// Follows a coordinator; returns the turn in which each event was applied.
+fn follow(address: String, turns: Rc<Cell<u64>>) -> Rc<RefCell<Vec<u64>>> {
+    let applied_at = Rc::new(RefCell::new(Vec::new()));
+    let noted = applied_at.clone();
+    spawn_local(async move {
+        let (_address, followed) = watch::channel(address);
+        let apply = |_| noted.borrow_mut().push(turns.get());
+        coordinator::follow(followed, 0, Names::default(), 1, apply).await;
+    });
+    applied_at
+}
+
 #[tokio::test]
-async fn discovery_that_tells_much_at_once_does_not_hold_up_the_rest() {
+async fn many_endpoint_events_at_once_leave_turns_to_other_tasks() {
     const EVENTS: u64 = 200;
-    const MOST: usize = 4;
-    within(async {
-        let (list, address) = listener().await;
-        let turns = Rc::new(Cell::new(0u64));
-        let counts = turns.clone();
-        spawn_local(async move {
-            loop {
-                counts.set(counts.get() + 1);
-                yield_now().await;
-            }
-        });
-        let seen = Rc::new(RefCell::new(Vec::new()));
-        let (_address, followed) = watch::channel(address.to_string());
-        let (noted, now) = (seen.clone(), turns.clone());
-        spawn_local(coordinator::follow(
-            followed,
-            0,
-            Names::default(),
-            1,
-            move |_| {
-                noted.borrow_mut().push(now.get());
-            },
-        ));
-        let (mut stream, _) = list.accept().await.expect("it asks");
-        let mut request = Vec::new();
-        while !request.ends_with(b"\r\n\r\n") {
-            request.push(stream.read_u8().await.expect("a request"));
-        }
-        let mut text = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\n".to_string();
-        for n in 1..=EVENTS {
-            text += &format!(
-                "id: {n}\ndata: {}\n\n",
-                event(n, n == 1, &[("w1", address, "SERVING")])
-            );
+    // Tasks that are ready together change places from turn to turn, and one may be woken twice in a turn.
+    const MAX_EVENTS_IN_A_TURN: usize = 4;
+    run_test(async {
+        let (coordinator, address) = listener().await;
+        let applied_at = follow(address.to_string(), count_turns());
+        let (mut stream, _) = coordinator.accept().await.expect("a request");
+        read_request_head(&mut stream).await;
+        let mut text = STREAM_HEAD.to_string();
+        for index in 1..=EVENTS {
+            let event = event(index, index == 1, &[("w1", address, "SERVING")]);
+            text += &format!("id: {index}\ndata: {event}\n\n");
         }
         stream.write_all(text.as_bytes()).await.expect("written");
-        while seen.borrow().len() < EVENTS as usize {
+        while applied_at.borrow().len() < EVENTS as usize {
             yield_now().await;
         }
-        let seen = seen.borrow();
-        // Tasks that are ready together change places from turn to turn, and one may be woken twice in a turn.
-        let at_once = seen
-            .windows(MOST + 1)
-            .filter(|some| some[0] == some[MOST])
+        let applied_at = applied_at.borrow();
+        let too_many = applied_at
+            .windows(MAX_EVENTS_IN_A_TURN + 1)
+            .filter(|events| events[0] == events[MAX_EVENTS_IN_A_TURN])
             .count();
         assert_eq!(
-            at_once, 0,
-            "more than {MOST} events between two turns of another task: {seen:?}"
+            too_many, 0,
+            "more than {MAX_EVENTS_IN_A_TURN} events between two turns of another task: {applied_at:?}"
         );
     })
     .await;
 }
 
-/// A worker has written more than is read at a time: nobody else waits for longer than one such piece takes.
 #[cfg(target_os = "linux")]
 #[tokio::test]
-async fn a_worker_that_writes_without_end_does_not_hold_up_the_rest() {
-    const PIECE: usize = 64 << 10;
-    within(async {
-        let (worker, _list, node) = one_worker().await;
-        let mut client = Peer::connect(node).await;
-        client.send(&call(1, "view", "")).await;
-        let mut at_worker = Peer::accept(&worker).await;
+async fn worker_that_writes_without_end_leaves_turns_to_other_tasks() {
+    use socket_harness::system_queues::bytes_between;
+    run_test(async {
+        let front_end = FrontEnd::start().await;
+        let mut client = front_end.connect_client().await;
+        client.send(&call_line(1, "view", "")).await;
+        let mut at_worker = front_end.accept_at_worker().await;
         at_worker.serve_next().await;
-        client.next().await.expect("an answer");
-        // Answers to nothing open, until the system takes no more.
-        let noise =
-            "{\"cmd\":\"ACK\",\"ref\":\"ffffffffffffffff\",\"payload\":\"\"}\n".repeat(1000);
+        client.expect_message().await;
+        // Answers to no request, until the system accepts no more.
+        let answer = "{\"cmd\":\"ACK\",\"ref\":\"ffffffffffffffff\",\"payload\":\"\"}\n";
+        let answers = answer.repeat(1000).into_bytes();
         let mut sent = 0;
-        while let Ok(n) = at_worker
-            .write
-            .try_write(&noise.as_bytes()[sent % noise.len()..])
-        {
-            sent += n;
+        while let Ok(count) = at_worker.write.try_write(&answers[sent % answers.len()..]) {
+            sent += count;
         }
-        assert!(sent > 16 * PIECE, "{sent} bytes stand before the front end");
-        let port = at_worker.write.local_addr().expect("bound").port();
-        let peer = at_worker.write.peer_addr().expect("connected").port();
-        let mut held = vec![held_by_the_system(port, peer)];
-        while *held.last().expect("some") > 0 {
+        assert!(sent > 16 * READ_BUFFER_BYTES, "{sent} bytes are unread");
+        let (worker_port, front_end_port) = at_worker.ports();
+        let mut unread = vec![bytes_between(worker_port, front_end_port)];
+        while unread.last().is_some_and(|bytes| *bytes > 0) {
             yield_now().await;
-            held.push(held_by_the_system(port, peer));
+            unread.push(bytes_between(worker_port, front_end_port));
         }
-        let most = held
+        let max_read = unread
             .windows(2)
             .map(|pair| pair[0].saturating_sub(pair[1]))
             .max()
             .expect("some");
         // As above: a task may have its turn more than once between two counts.
         assert!(
-            most <= 4 * PIECE,
-            "{most} of {sent} bytes were read in one turn of {}",
-            held.len()
+            max_read <= 4 * READ_BUFFER_BYTES,
+            "{max_read} of {sent} bytes were read in one turn of {}",
+            unread.len()
         );
     })
     .await;
 }
 
-/// A client's connection that is given up is still listened to: its cancels and its close count.
+/// Its cancels and its close still count.
 #[tokio::test]
-async fn a_client_that_is_given_up_and_cancels_or_closes_has_its_call_withdrawn() {
+async fn client_that_is_no_longer_served_can_cancel_its_call_or_close() {
+    const CANCEL_CALL_7: &str =
+        "{\"jsonrpc\":\"2.0\",\"method\":\"forget\",\"params\":{\"id\":7}}\n";
     for closes in [true, false] {
-        within(async {
-            let (worker, _list, node) = one_worker().await;
-            let mut client = Peer::connect(node).await;
-            client.send(&call(7, "view", "")).await;
-            let mut at_worker = Peer::accept(&worker).await;
-            at_worker.next().await.expect("a call");
+        run_test(async {
+            let front_end = FrontEnd::start().await;
+            let mut client = front_end.connect_client().await;
+            client.send(&call_line(7, "view", "")).await;
+            let mut at_worker = front_end.accept_at_worker().await;
+            at_worker.expect_message().await;
             client.send("noise\n").await;
-            assert!(
-                client.next().await.expect("an answer")["error"].is_object(),
-                "it is given up"
-            );
+            assert!(client.expect_message().await["error"].is_object());
             if closes {
                 drop(client);
             } else {
-                client.say("{\"jsonrpc\":\"2.0\",\"method\":\"forget\",\"params\":{\"id\":7}}\n");
-                assert_eq!(client.next().await, None, "nothing is open on it any more");
+                client.send_without_waiting(CANCEL_CALL_7);
+                assert_eq!(client.receive().await, None, "no call is pending any more");
             }
-            let undo = at_worker.next().await.expect("told");
-            assert_eq!(
-                (&undo["cmd"], &undo["ref"]),
-                (&"UNDO".into(), &"0000000000000007".into())
-            );
+            let cancel = at_worker.expect_message().await;
+            let expected = (&json!("UNDO"), &json!(call_name(7)));
+            assert_eq!((&cancel["cmd"], &cancel["ref"]), expected);
         })
         .await;
     }
 }
 
-/// More than is read at a time, and a close behind it that has arrived: none of it is begun.
 #[cfg(target_os = "linux")]
 #[tokio::test]
-async fn a_client_that_closed_behind_more_than_is_read_at_once_has_nothing_begun() {
-    const PIECE: usize = 64 << 10;
-    within(async {
-        let (worker, _list, node) = one_worker().await;
-        let mut gone = Peer::connect(node).await;
-        let mut stays = Peer::connect(node).await;
-        let body = "A".repeat(21_844);
-        gone.send(&call(1, "assign", &body)).await;
-        let mut at_worker = Peer::accept(&worker).await;
-        // The system lets a connection hold more once much has passed over it.
+async fn calls_longer_than_a_read_buffer_are_not_run_if_a_close_follows_them() {
+    run_test(async {
+        let front_end = FrontEnd::start().await;
+        let mut leaving = front_end.connect_client().await;
+        let mut staying = front_end.connect_client().await;
+        let body = socket_harness::long_body();
+        leaving.send(&call_line(1, "assign", &body)).await;
+        let mut at_worker = front_end.accept_at_worker().await;
+        // The system buffers more on a connection that has carried much.
         for id in 2..=200 {
             at_worker.serve_next().await;
-            gone.next().await.expect("an answer");
-            gone.send(&call(id, "assign", &body)).await;
+            leaving.expect_message().await;
+            leaving.send(&call_line(id, "assign", &body)).await;
         }
         at_worker.serve_next().await;
-        gone.next().await.expect("an answer");
-        assert!(stays.is_well(1).await);
-        let calls: String = (301..=304).map(|id| call(id, "assign", &body)).collect();
-        assert!(calls.len() > PIECE);
-        gone.say(&calls);
-        drop(gone);
-        stays.is_well(2).await;
-        stays.send(&call(256, "assign", "")).await;
+        leaving.expect_message().await;
+        assert!(staying.is_healthy(1).await);
+        let calls: String = (301..=304)
+            .map(|id| call_line(id, "assign", &body))
+            .collect();
+        assert!(calls.len() > READ_BUFFER_BYTES);
+        leaving.send_without_waiting(&calls);
+        drop(leaving);
+        staying.is_healthy(2).await;
+        staying.send(&call_line(256, "assign", "")).await;
         assert_eq!(
-            at_worker.next().await.expect("a call")["ref"],
-            "0000000000000100",
-            "the next one"
+            at_worker.expect_message().await["ref"],
+            call_name(256),
+            "the worker gets the next call"
         );
     })
     .await;
--- a/crates/pipithub-node/tests/connection_pool.rs
+++ b/crates/pipithub-node/tests/connection_pool.rs
@@ -7,191 +7,171 @@
 use pipithub_engine::policy::WorkerId;
 use pipithub_node::connection_pool::{ConnectionPool, SendFailure};
 use pipithub_node::effect::Effect;
-use pool_harness::{MS, PoolHarness, worker_request};
+use pool_harness::{ADDRESS, MS, PoolHarness, WORKER, worker_request};
 
 #[test]
-fn each_call_gets_a_connection_of_its_own_while_there_are_descriptors() {
-    let mut b = PoolHarness::new(2);
-    (1..=3).for_each(|request| b.submit(0, request));
-    let connections = b.connected();
-    assert_eq!(connections.len(), 2, "one each, as far as they go");
-    connections.iter().for_each(|c| b.pool.connected(MS, *c));
-    let mut writes = b
-        .effects()
-        .into_iter()
-        .filter(|e| matches!(e, Effect::Write { .. }))
-        .count();
-    b.submit(2 * MS, 4);
-    writes += b
-        .effects()
-        .iter()
-        .filter(|e| matches!(e, Effect::Write { .. }))
-        .count();
-    assert_eq!(writes, 4, "the others share them");
-    // A broken one takes its own calls with it, and no others.
-    b.pool.closed(
-        3 * MS,
-        connections[0],
-        u64::MAX,
-        SendFailure::ConnectionLost,
-    );
-    let lost = b.failures();
+fn requests_get_own_connections_up_to_the_limit_and_share_them_beyond() {
+    let mut harness = PoolHarness::new(2);
+    (1..=3).for_each(|request| harness.submit(0, request));
+    let connections = harness.requested_connections();
+    assert_eq!(connections.len(), 2);
+    for connection in &connections {
+        harness.pool.connected(MS, *connection);
+    }
+    let mut writes = harness.writes();
+    harness.submit(2 * MS, 4);
+    writes += harness.writes();
+    assert_eq!(writes, 4, "the others share the connections");
+    // A broken connection takes its own requests with it, and no others.
+    harness.break_connection(3 * MS, connections[0], u64::MAX);
+    let lost = harness.failures();
     assert!(
         lost.len() == 2
             && lost
                 .iter()
-                .all(|(_, how)| *how == SendFailure::ConnectionLost),
+                .all(|(_, failure)| *failure == SendFailure::ConnectionLost),
         "{lost:?}"
     );
 }
 
 #[test]
-fn a_refused_connection_gives_back_what_waits_for_it() {
-    let mut b = PoolHarness::new(4);
-    b.submit(0, 1);
-    let connection = b.connected()[0];
-    b.pool.connect_failed(connection, false);
-    assert_eq!(b.failures(), [(1, SendFailure::Unreachable)]);
-    assert!(b.pool.is_empty());
+fn refused_connection_fails_waiting_request_as_unreachable() {
+    let mut harness = PoolHarness::new(4);
+    harness.submit(0, 1);
+    let connection = harness.requested_connections()[0];
+    harness.pool.connect_failed(connection, false);
+    assert_eq!(harness.failures(), [(1, SendFailure::Unreachable)]);
+    assert!(harness.pool.is_empty());
+}
+
+#[test]
+fn connection_that_fails_by_a_local_fault_is_not_the_workers_fault() {
+    let mut harness = PoolHarness::new(4);
+    harness.submit(0, 1);
+    let connection = harness.requested_connections()[0];
+    harness.pool.connect_failed(connection, true);
+    assert_eq!(harness.failures(), [(1, SendFailure::NeverSent)]);
 }
 
 #[test]
-fn connections_that_break_after_some_idle_time_are_not_used_again_so_late() {
-    let mut b = PoolHarness::new(4);
+fn idle_time_after_which_connections_broke_is_learnt_and_avoided() {
+    let mut harness = PoolHarness::new(4);
     let (mut now, mut broken) = (0, 0);
     for request in 0..40 {
-        let fresh = b.pool.is_empty();
-        let connection = b.call(now, request).expect("written");
-        if fresh {
-            b.pool
-                .answered(now + MS, connection, &format!("{request:016x}"));
+        let is_new = harness.pool.is_empty();
+        let connection = harness.send(now, request);
+        if is_new {
+            harness.answer(now + MS, connection, request);
         } else {
-            // Idle for 200 ms: whatever stands between has forgotten it.
-            b.pool
-                .closed(now, connection, u64::MAX, SendFailure::ConnectionLost);
+            // After 200 ms without traffic a middlebox has dropped the connection.
+            harness.break_connection(now, connection, u64::MAX);
             broken += 1;
         }
         now += 200 * MS;
-        b.pool.sweep(now);
-        b.pool.take_failures();
+        harness.pool.sweep(now);
+        harness.failures();
     }
-    assert!(
-        (2..=3).contains(&broken),
-        "learnt from the first ones: {broken}"
-    );
-    // Short pauses are not suspected.
-    let first = b.call(now, 100).expect("written");
-    b.pool.answered(now, first, &format!("{:016x}", 100));
-    assert_eq!(b.call(now + 20 * MS, 101), Some(first));
+    assert!((2..=3).contains(&broken), "learnt after {broken} breaks");
+    // Shorter idle times are not suspected.
+    let first = harness.send(now, 100);
+    harness.answer(now, first, 100);
+    assert_eq!(harness.send(now + 20 * MS, 101), first);
 }
 
 #[test]
-fn a_worker_under_the_address_of_one_that_has_gone_gets_connections_of_its_own() {
-    let mut b = PoolHarness::new(4);
-    let old = b.call(0, 1).expect("written");
-    b.pool.answered(0, old, &format!("{:016x}", 1));
+fn worker_at_the_address_of_a_removed_one_gets_its_own_connections() {
+    let mut harness = PoolHarness::new(4);
+    let old = harness.send(0, 1);
+    harness.answer(0, old, 1);
     let next = WorkerId::new("next");
-    b.pool.set_address(&b.worker.clone(), "", true);
-    b.pool.set_address(&next, "10.0.0.1:1", false);
-    b.pool.sweep(MS);
-    assert!(b.effects().contains(&Effect::Close { connection: old }));
-    b.worker = next;
+    harness.pool.set_address(&harness.worker, "", true);
+    harness.pool.set_address(&next, ADDRESS, false);
+    harness.pool.sweep(MS);
     assert!(
-        b.call(2 * MS, 2)
-            .is_some_and(|connection| connection != old)
+        harness
+            .effects()
+            .contains(&Effect::Close { connection: old })
     );
+    harness.worker = next;
+    assert_ne!(harness.send(2 * MS, 2), old);
 }
 
+/// A sweep comes a hundred times a second: looking at all workers each time was most of an idle front end's work.
 #[test]
-fn a_connection_that_fails_for_want_of_descriptors_here_is_not_the_workers_fault() {
-    let mut b = PoolHarness::new(4);
-    b.submit(0, 1);
-    let connection = b.connected()[0];
-    b.pool.connect_failed(connection, true);
-    assert_eq!(b.failures(), [(1, SendFailure::NeverSent)]);
-}
-
-/// A sweep comes a hundred times a second: going through all workers each time was most of an idle front end's work.
-#[test]
-fn a_sweep_looks_at_workers_with_something_to_be_done_whatever_the_size_of_the_tier() {
+fn sweep_watches_only_workers_with_pending_work_whatever_their_number() {
     for workers in [10, 10_000] {
-        let mut bench = PoolHarness::new(50);
+        let mut harness = PoolHarness::new(50);
         let name = |n: u32| WorkerId::new(&format!("w{n}"));
-        (1..workers).for_each(|n| bench.pool.set_address(&name(n), "10.0.0.2:1", false));
-        bench.pool.sweep(0);
-        assert_eq!(
-            bench.pool.watched(),
-            0,
-            "nothing is to be done at any of {workers}"
-        );
-        bench.submit(MS, 1);
-        assert_eq!(
-            bench.pool.watched(),
-            1,
-            "a request waits for its connection"
-        );
-        for connection in bench.connected() {
-            bench.pool.connected(2 * MS, connection);
+        (1..workers).for_each(|n| harness.pool.set_address(&name(n), "10.0.0.2:1", false));
+        harness.pool.sweep(0);
+        assert_eq!(harness.pool.watched(), 0, "{workers} workers");
+        harness.submit(MS, 1);
+        assert_eq!(harness.pool.watched(), 1, "a request waits");
+        for connection in harness.requested_connections() {
+            harness.pool.connected(2 * MS, connection);
         }
-        bench.pool.sweep(3 * MS);
-        assert_eq!(bench.pool.watched(), 0, "it is on its way");
-        // One that waits in vain is still given back in time.
-        bench
-            .pool
-            .submit(4 * MS, &name(3), worker_request(4 * MS, 2));
-        bench.pool.sweep(5 * MS);
-        assert_eq!((bench.pool.watched(), bench.failures()), (1, vec![]));
-        bench.pool.sweep(600 * MS);
-        assert_eq!(
-            (bench.pool.watched(), bench.failures()),
-            (0, vec![(2, SendFailure::Unreachable)])
-        );
-        bench.pool.set_address(&name(7), "", true);
+        harness.pool.sweep(3 * MS);
+        assert_eq!(harness.pool.watched(), 0, "it was sent");
+        // A request that waits in vain still fails in time.
+        let request = worker_request(4 * MS, 2);
+        harness.pool.submit(4 * MS, &name(3), request);
+        harness.pool.sweep(5 * MS);
+        assert_eq!((harness.pool.watched(), harness.failures()), (1, vec![]));
+        harness.pool.sweep(600 * MS);
+        let failure = (2, SendFailure::Unreachable);
         assert_eq!(
-            bench.pool.watched(),
-            1,
-            "one that has gone is to be forgotten"
+            (harness.pool.watched(), harness.failures()),
+            (0, vec![failure])
         );
-        bench.pool.sweep(700 * MS);
-        assert_eq!(bench.pool.watched(), 0);
+        harness.pool.set_address(&name(7), "", true);
+        assert_eq!(harness.pool.watched(), 1, "a removed worker is forgotten");
+        harness.pool.sweep(700 * MS);
+        assert_eq!(harness.pool.watched(), 0);
     }
 }
 
-/// Each worker's part of the connections goes by how many workers are there, which is kept and not counted.
-#[test]
-fn a_workers_part_of_the_connections_follows_those_that_come_and_go() {
+const OTHER_ADDRESS: &str = "10.0.0.2:1";
+
+/// How many connections ten requests to one worker get of eight, after a change to the list of two workers.
+fn connections_after(change: impl FnOnce(&mut ConnectionPool, &WorkerId)) -> usize {
     let other = WorkerId::new("other");
-    let connections = |change: &dyn Fn(&mut ConnectionPool)| {
-        let mut bench = PoolHarness::new(8);
-        bench.pool.set_address(&other, "10.0.0.2:1", false);
-        change(&mut bench.pool);
-        (0..10).for_each(|request| bench.submit(MS, request));
-        bench.connected().len()
+    let mut harness = PoolHarness::new(8);
+    harness.pool.set_address(&other, OTHER_ADDRESS, false);
+    change(&mut harness.pool, &other);
+    (0..10).for_each(|request| harness.submit(MS, request));
+    harness.requested_connections().len()
+}
+
+#[test]
+fn connections_are_divided_among_the_workers_that_are_listed() {
+    let listed = WorkerId::new(WORKER);
+    assert_eq!(connections_after(|_, _| ()), 4);
+    let remove = |pool: &mut ConnectionPool, other: &WorkerId| pool.set_address(other, "", true);
+    assert_eq!(connections_after(remove), 8);
+    let retain = |pool: &mut ConnectionPool, _: &WorkerId| {
+        pool.retain_workers(&BTreeSet::from([&listed]));
     };
-    let here = WorkerId::new("w");
-    assert_eq!(connections(&|_| ()), 4);
-    assert_eq!(connections(&|pool| pool.set_address(&other, "", true)), 8);
-    assert_eq!(
-        connections(&|pool| (0..3).for_each(|_| pool.set_address(&other, "", true))),
-        8,
-        "told of it again"
-    );
-    assert_eq!(
-        connections(&|pool| (0..3).for_each(|_| pool.set_address(&other, "10.0.0.2:1", false))),
-        4
-    );
-    assert_eq!(
-        connections(&|pool| pool.retain_workers(&BTreeSet::from([&here]))),
-        8
-    );
-    let gone_and_back = |pool: &mut ConnectionPool| {
-        pool.retain_workers(&BTreeSet::from([&here]));
+    assert_eq!(connections_after(retain), 8);
+    let return_after_removal = |pool: &mut ConnectionPool, other: &WorkerId| {
+        retain(pool, other);
         pool.sweep(0);
-        pool.set_address(&other, "10.0.0.2:1", false);
+        pool.set_address(other, OTHER_ADDRESS, false);
     };
-    assert_eq!(connections(&gone_and_back), 4);
-    assert_eq!(
-        connections(&|pool| pool.set_address(&WorkerId::new("third"), "10.0.0.3:1", false)),
-        2
-    );
+    assert_eq!(connections_after(return_after_removal), 4);
+    let add_third = |pool: &mut ConnectionPool, _: &WorkerId| {
+        pool.set_address(&WorkerId::new("third"), "10.0.0.3:1", false);
+    };
+    assert_eq!(connections_after(add_third), 2);
+}
+
+#[test]
+fn repeated_list_entries_do_not_change_the_division_of_connections() {
+    let remove_thrice = |pool: &mut ConnectionPool, other: &WorkerId| {
+        (0..3).for_each(|_| pool.set_address(other, "", true));
+    };
+    assert_eq!(connections_after(remove_thrice), 8);
+    let list_thrice = |pool: &mut ConnectionPool, other: &WorkerId| {
+        (0..3).for_each(|_| pool.set_address(other, OTHER_ADDRESS, false));
+    };
+    assert_eq!(connections_after(list_thrice), 4);
 }
--- a/crates/pipithub-node/tests/connection_pool_cancellation.rs
+++ b/crates/pipithub-node/tests/connection_pool_cancellation.rs
@@ -3,117 +3,80 @@
 mod pool_harness;
 
 use bytes::Bytes;
-use pipithub_engine::AttemptId;
-use pipithub_engine::policy::RequestId;
 use pipithub_node::connection_pool::SendFailure;
 use pipithub_node::effect::Effect;
-use pool_harness::{MS, PoolHarness, attempt, uncancelled};
+use pool_harness::{MS, PoolHarness};
 
 #[test]
-fn a_withdrawn_call_is_undone_and_its_answer_belongs_to_nothing() {
-    let mut b = PoolHarness::new(4);
-    let connection = b.call(0, 1).expect("written");
-    b.effects();
-    let id = AttemptId {
-        request: RequestId(1),
-        number: 0,
-    };
-    assert!(b.pool.cancel(MS, &b.worker.clone(), id).is_some());
-    let line = Bytes::from_static(b"{\"cmd\":\"UNDO\",\"ref\":\"0000000000000001\"}\n");
-    assert_eq!(
-        b.effects(),
-        [Effect::Write {
-            connection,
-            bytes: line
-        }]
-    );
-    assert!(
-        b.pool
-            .answered(MS, connection, "0000000000000001")
-            .is_none()
-    );
+fn cancelled_request_is_cancelled_at_the_worker_and_its_late_answer_is_ignored() {
+    let mut harness = PoolHarness::new(4);
+    let connection = harness.send(0, 1);
+    harness.cancel(MS, 1);
+    let bytes = Bytes::from_static(b"{\"cmd\":\"UNDO\",\"ref\":\"0000000000000001\"}\n");
+    assert_eq!(harness.effects(), [Effect::Write { connection, bytes }]);
+    assert!(!harness.answer(MS, connection, 1));
 }
 
 #[test]
-fn where_the_settings_forbid_cancelling_no_worker_is_told_to_give_up() {
-    let mut b = uncancelled();
-    let connection = b.call(0, 1).expect("written");
-    b.effects();
-    b.pool.sweep(5_000 * MS);
-    assert_eq!(b.failures(), [(1, SendFailure::TimedOut)]);
-    assert_eq!(b.effects(), [], "no UNDO");
+fn timed_out_request_is_not_cancelled_at_the_worker_if_settings_forbid_it() {
+    let mut harness = PoolHarness::without_cancel();
+    let connection = harness.send(0, 1);
+    harness.pool.sweep(5_000 * MS);
+    assert_eq!(harness.failures(), [(1, SendFailure::TimedOut)]);
+    assert_eq!(harness.effects(), [], "no UNDO");
     assert!(
-        b.pool
-            .answered(5_001 * MS, connection, "0000000000000001")
-            .is_none(),
-        "its answer belongs to nothing"
+        !harness.answer(5_001 * MS, connection, 1),
+        "its late answer is ignored"
     );
 }
 
-/// The client has left, while its call waits for a connection, or for another one after the first broke.
 #[test]
-fn what_nobody_waits_for_is_not_sent_where_cancelling_is_forbidden_either() {
-    let mut b = uncancelled();
-    b.submit(0, 1);
-    let connection = b.connected()[0];
-    assert!(
-        b.pool.abandon(MS, &b.worker.clone(), attempt(1)).is_some(),
-        "it has not left"
-    );
-    b.pool.connected(100 * MS, connection);
-    assert_eq!(
-        b.effects(),
-        [],
-        "nothing is written on the connection that comes up late"
-    );
+fn abandoned_request_is_not_written_when_its_connection_comes_up() {
+    let mut harness = PoolHarness::without_cancel();
+    harness.submit(0, 1);
+    let connection = harness.requested_connections()[0];
+    assert!(harness.abandon(MS, 1), "it was not sent");
+    harness.pool.connected(100 * MS, connection);
+    assert_eq!(harness.effects(), []);
+}
 
-    b.submit(200 * MS, 2);
-    assert!(matches!(&b.effects()[..], [Effect::Write { .. }]));
-    assert!(
-        b.pool.abandon(MS, &b.worker.clone(), attempt(2)).is_none(),
-        "it may have left"
-    );
-    b.pool
-        .closed(201 * MS, connection, 3, SendFailure::ConnectionLost);
+#[test]
+fn abandoned_request_is_not_resent_when_its_connection_breaks() {
+    let mut harness = PoolHarness::without_cancel();
+    harness.submit(0, 1);
+    let connection = harness.establish_requested(0);
+    assert_eq!(harness.writes(), 1);
+    assert!(!harness.abandon(MS, 1), "it may have been sent");
+    harness.break_connection(MS, connection, 3);
     assert_eq!(
-        (b.failures(), b.effects()),
-        (vec![(2, SendFailure::NeverSent)], vec![]),
-        "not written again"
+        (harness.failures(), harness.effects()),
+        (vec![(1, SendFailure::NeverSent)], vec![])
     );
 }
 
-/// An answer may come twice. The name is used again, by a further attempt or by a client that repeats itself.
+/// An answer may come twice, while its reference is in use again: for another attempt, or as a client repeats a call.
 #[test]
-fn a_name_that_is_used_again_is_not_answered_by_a_second_copy_of_the_first_answer() {
-    let mut b = PoolHarness::new(4);
-    let first = b.call(0, 1).expect("written");
-    b.pool
-        .answered(MS, first, "0000000000000001")
-        .expect("open");
-    let second = b.call(2 * MS, 1).expect("written");
-    assert_ne!(first, second, "not where a second copy may still come");
-    assert!(b.pool.answered(3 * MS, first, "0000000000000001").is_none());
-    assert!(
-        b.pool
-            .answered(4 * MS, second, "0000000000000001")
-            .is_some()
-    );
-    // Nor by the answer that was on its way when it was given up.
-    let third = b.call(5 * MS, 2).expect("written");
-    b.pool.cancel(MS, &b.worker.clone(), attempt(2));
-    let fourth = b.call(6 * MS, 2).expect("written");
+fn reused_reference_is_sent_on_another_connection_than_its_last_use() {
+    let mut harness = PoolHarness::new(4);
+    let first = harness.send(0, 1);
+    assert!(harness.answer(MS, first, 1));
+    let second = harness.send(2 * MS, 1);
+    assert_ne!(first, second, "a duplicate answer may still come there");
+    assert!(!harness.answer(3 * MS, first, 1));
+    assert!(harness.answer(4 * MS, second, 1));
+    // The answer to a cancelled request may still come, too.
+    let third = harness.send(5 * MS, 2);
+    harness.cancel(MS, 2);
+    let fourth = harness.send(6 * MS, 2);
     assert_ne!(third, fourth);
-    // Where a worker may have one connection only, a further one is made for that.
-    let mut b = PoolHarness::new(1);
-    let first = b.call(0, 1).expect("written");
-    b.pool
-        .answered(MS, first, "0000000000000001")
-        .expect("open");
-    b.submit(2 * MS, 1);
-    b.pool.sweep(20_000 * MS);
-    assert_eq!(
-        b.failures(),
-        [(1, SendFailure::Unreachable)],
-        "or it is given back unsent"
-    );
+}
+
+#[test]
+fn reused_reference_fails_unsent_if_no_other_connection_is_established() {
+    let mut harness = PoolHarness::new(1);
+    let first = harness.send(0, 1);
+    assert!(harness.answer(MS, first, 1));
+    harness.submit(2 * MS, 1);
+    harness.pool.sweep(20_000 * MS);
+    assert_eq!(harness.failures(), [(1, SendFailure::Unreachable)]);
 }
--- a/crates/pipithub-node/tests/coordinator.rs
+++ b/crates/pipithub-node/tests/coordinator.rs
@@ -1,4 +1,4 @@
-//! How the coordinator is asked again, in time that the test drives.
+//! Reconnects to the coordinator, in time that the test drives, and what is logged of them.
 
 use std::fmt::Debug;
 use std::sync::{Arc, Mutex};
@@ -15,11 +15,11 @@
 use tracing::span::{Attributes, Id, Record};
 use tracing::{Event, Level, Metadata, Subscriber};
 
-/// Notes when something was logged: each try ends with a line.
+/// Records when something was logged: each attempt to connect ends with a log line.
 #[derive(Clone, Default)]
-struct Times(Arc<Mutex<Vec<Instant>>>);
+struct LogTimes(Arc<Mutex<Vec<Instant>>>);
 
-impl Subscriber for Times {
+impl Subscriber for LogTimes {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
         metadata.target() == "pipithub_node::coordinator"
     }
@@ -35,13 +35,13 @@
     fn exit(&self, _: &Id) {}
 }
 
-/// The waits between the tries of one front end, while nobody listens there.
-async fn waits(seed: u64) -> Vec<Duration> {
+/// The times between the attempts of one front end to connect, while nobody listens.
+async fn reconnect_delays(seed: u64) -> Vec<Duration> {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bound");
     let address = listener.local_addr().expect("bound").to_string();
     drop(listener);
     let (_hold, followed) = watch::channel(address);
-    let times = Times::default();
+    let times = LogTimes::default();
     let _guard = tracing::subscriber::set_default(times.clone());
     let following = follow(followed, 0, Names::default(), seed, |_| {});
     let _ = tokio::time::timeout(
@@ -53,18 +53,18 @@
     times.windows(2).map(|pair| pair[1] - pair[0]).collect()
 }
 
-/// Hundreds lose their coordinator in one moment; they must not come back to it in step.
+/// Hundreds of front ends lose their coordinator at the same time; they must not reconnect in step.
 #[tokio::test(start_paused = true)]
-async fn front_ends_that_lost_their_coordinator_together_do_not_ask_in_step() {
-    let (one, other) = (waits(1).await, waits(2).await);
+async fn reconnect_backoff_is_jittered_by_each_front_ends_seed() {
+    let (one, other) = (reconnect_delays(1).await, reconnect_delays(2).await);
     assert!(one.len() > 10 && other.len() > 10, "{one:?}, {other:?}");
-    for waits in [&one, &other] {
-        for (i, wait) in waits.iter().enumerate() {
+    for delays in [&one, &other] {
+        for (i, delay) in delays.iter().enumerate() {
             let middle = Duration::from_millis(50 << i.min(4));
             let slack = Duration::from_millis(2);
             assert!(
-                *wait + slack >= middle / 2 && *wait <= middle * 3 / 2 + slack,
-                "{i}: {wait:?}"
+                *delay + slack >= middle / 2 && *delay <= middle * 3 / 2 + slack,
+                "{i}: {delay:?}"
             );
         }
     }
@@ -74,10 +74,10 @@
         .filter(|(a, b)| a.abs_diff(**b) > Duration::from_millis(2))
         .count();
     assert!(apart * 2 > one.len().min(other.len()), "{one:?}, {other:?}");
-    assert_eq!(one, waits(1).await, "and each by its own seed alone");
+    assert_eq!(one, reconnect_delays(1).await, "the seed determines them");
 }
 
-/// Notes the fields of what is logged as an error.
+/// Records the fields of each error that is logged.
 #[derive(Clone, Default)]
 struct Errors(Arc<Mutex<Vec<String>>>);
 
@@ -106,15 +106,15 @@
     fn exit(&self, _: &Id) {}
 }
 
-/// Who looks at a front end that does not follow the list any more must find out why, and since when.
+/// An operator must be able to see why a front end no longer follows the endpoint list, and since when.
 #[tokio::test]
-async fn events_that_cannot_be_used_are_counted_and_logged_with_place_and_reason() {
+async fn unusable_events_are_counted_and_logged_with_place_and_reason() {
     let good = serde_json::json!({"host": "w1", "dial": "127.0.0.1:1", "health": "SERVING"});
-    let odd = serde_json::json!({"host": "w2", "dial": "127.0.0.1:1", "health": "ODD"});
+    let unknown_health = serde_json::json!({"host": "w2", "dial": "127.0.0.1:1", "health": "ODD"});
     let long = "x".repeat(MAX_DATA_BYTES + 1);
     let cases = [
         (
-            event(2, false, &[good.clone(), odd]),
+            event(2, false, &[good.clone(), unknown_health]),
             "endpoints.hosts[1].health: unknown",
         ),
         (long, "event 2: data: more than 8192000 bytes"),
@@ -125,32 +125,32 @@
         let (errors, taken) = (Errors::default(), std::cell::RefCell::new(Vec::new()));
         let _guard = tracing::subscriber::set_default(errors.clone());
         let (_hold, followed) = watch::channel(coordinator.address().to_string());
-        let told = || errors.0.lock().expect("one thread").clone();
+        let logged = || errors.0.lock().expect("one thread").clone();
         let following = follow(followed, 0, Names::default(), 1, |event| {
             taken.borrow_mut().push(event.index);
             coordinator.publish_text(2, &text, &text);
         });
-        let twice = async {
-            while told().len() < 2 {
+        let logged_twice = async {
+            while logged().len() < 2 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
         };
         let both = async {
             tokio::select! {
                 () = following => {}
-                () = twice => {}
+                () = logged_twice => {}
             }
         };
         let local = LocalSet::new();
         tokio::time::timeout(Duration::from_secs(60), local.run_until(both))
             .await
             .expect("logged twice");
-        for (i, error) in told()[..2].iter().enumerate() {
+        for (i, error) in logged()[..2].iter().enumerate() {
             assert!(
                 error.contains(reason) && error.contains(&format!("unusable={} ", i + 1)),
                 "{error}"
             );
         }
-        assert_eq!(*taken.borrow(), [1], "the former list stays");
+        assert_eq!(*taken.borrow(), [1], "the previous list stays in use");
     }
 }
--- a/crates/pipithub-node/tests/core.rs
+++ b/crates/pipithub-node/tests/core.rs
@@ -1,38 +1,47 @@
-//! The front end without sockets: attempts, their answers, and what may run again.
+//! The front end without sockets: attempts, their answers, and retries.
 
 mod core_harness;
 
-use core_harness::{CoreHarness, FORGET, MS, SERVED, config};
+use core_harness::{CANCEL_CALL_7, CoreHarness, MS, SERVED, config};
 use pipithub_platform::list;
 
 #[test]
-fn a_call_is_answered_once_with_what_the_worker_gave() {
-    let mut b = CoreHarness::new();
-    let (client, worker) = b.sent("assign");
-    // An answer to nothing open comes first, and the answer twice.
-    b.core.worker_bytes(
-        b.now,
+fn call_is_answered_once_with_the_workers_answer() {
+    let mut harness = CoreHarness::new();
+    let (client, worker) = harness.start_call("assign");
+    // An answer to no pending request comes first, and the answer comes twice.
+    harness.core.worker_bytes(
+        harness.now,
         worker,
         b"{\"cmd\":\"ACK\",\"ref\":\"ffffffffffffffff\",\"payload\":\"\"}\n",
     );
-    b.core.worker_bytes(b.now, worker, &SERVED[..20]);
-    b.core.worker_bytes(b.now, worker, &SERVED[20..]);
-    b.core.worker_bytes(b.now, worker, SERVED);
+    harness
+        .core
+        .worker_bytes(harness.now, worker, &SERVED[..20]);
+    harness
+        .core
+        .worker_bytes(harness.now, worker, &SERVED[20..]);
+    harness.core.worker_bytes(harness.now, worker, SERVED);
     let answer = "{\"jsonrpc\":\"2.0\",\"id\":7,\"result\":{\"body\":\"d29ybGQ=\"}}\n".to_string();
-    assert_eq!(b.written(), [(client, answer)]);
-    assert_eq!((b.core.pending_requests(), b.core.stats().served), (0, 1));
+    assert_eq!(harness.written(), [(client, answer)]);
+    assert_eq!(
+        (harness.core.pending_requests(), harness.core.stats().served),
+        (0, 1)
+    );
 }
 
 #[test]
-fn a_spoilt_answer_closes_its_connection_and_an_unsafe_call_is_failed_not_refused() {
-    for spoilt in [
+fn malformed_answer_closes_its_connection_and_fails_a_non_idempotent_call() {
+    for malformed in [
         "{\"cmd\":\"ACK\",\"ref\":\"0000000000000007\",\"payload\":\"!!\"}\n",
         "noise\n",
     ] {
-        let mut b = CoreHarness::new();
-        let (client, worker) = b.sent("assign");
-        b.core.worker_bytes(b.now, worker, spoilt.as_bytes());
-        let written = b.written();
+        let mut harness = CoreHarness::new();
+        let (client, worker) = harness.start_call("assign");
+        harness
+            .core
+            .worker_bytes(harness.now, worker, malformed.as_bytes());
+        let written = harness.written();
         assert!(written.contains(&(worker, "closed".to_string())));
         let to_client: Vec<_> = written
             .iter()
@@ -43,19 +52,23 @@
             "{to_client:?}"
         );
     }
-    // A line without end is spoilt too, within a bound.
-    let mut b = CoreHarness::new();
-    let (_, worker) = b.sent("assign");
-    (0..20).for_each(|_| b.core.worker_bytes(b.now, worker, &[b'x'; 16 << 10]));
-    assert!(b.written().contains(&(worker, "closed".to_string())));
+    // A line without an end is malformed too, once it exceeds its bound.
+    let mut harness = CoreHarness::new();
+    let (_, worker) = harness.start_call("assign");
+    for _ in 0..20 {
+        harness
+            .core
+            .worker_bytes(harness.now, worker, &[b'x'; 16 << 10]);
+    }
+    assert!(harness.written().contains(&(worker, "closed".to_string())));
 }
 
 #[test]
-fn a_safe_call_whose_connection_breaks_runs_elsewhere() {
-    let mut b = CoreHarness::new();
-    let (client, worker) = b.sent("view");
-    b.core.worker_closed(b.now, worker, u64::MAX);
-    let written = b.written();
+fn idempotent_call_is_retried_when_its_connection_breaks() {
+    let mut harness = CoreHarness::new();
+    let (client, worker) = harness.start_call("view");
+    harness.core.worker_closed(harness.now, worker, u64::MAX);
+    let written = harness.written();
     assert!(
         written
             .iter()
@@ -65,30 +78,31 @@
 }
 
 #[test]
-fn a_name_in_use_is_not_called_harmless_and_its_owner_keeps_its_answer() {
-    let mut b = CoreHarness::new();
-    let (client, worker) = b.sent("assign");
-    let other = b.client();
-    b.call(other, 7, "assign");
-    let written = b.written();
+fn call_with_a_pending_name_is_an_error_and_the_pending_call_is_answered() {
+    let mut harness = CoreHarness::new();
+    let (client, worker) = harness.start_call("assign");
+    let other = harness.connect_client();
+    harness.call(other, 7, "assign");
+    let written = harness.written();
     assert!(
         written.len() == 1 && written[0].0 == other && !written[0].1.contains("-32050"),
         "{written:?}"
     );
-    b.core.worker_bytes(b.now, worker, SERVED);
+    harness.core.worker_bytes(harness.now, worker, SERVED);
     assert!(
-        b.written()
+        harness
+            .written()
             .iter()
             .any(|(connection, line)| *connection == client && line.contains("result"))
     );
 }
 
 #[test]
-fn a_call_that_no_worker_answers_ends_before_its_time_and_says_when_to_come_back() {
-    let mut b = CoreHarness::new();
-    let (client, _) = b.sent("view");
-    b.pass(1_500 * MS);
-    let answers: Vec<_> = b
+fn unanswered_idempotent_call_is_rejected_before_its_timeout_with_retry_after() {
+    let mut harness = CoreHarness::new();
+    let (client, _) = harness.start_call("view");
+    harness.advance(1_500 * MS);
+    let answers: Vec<_> = harness
         .written()
         .into_iter()
         .filter(|(connection, _)| *connection == client)
@@ -101,11 +115,11 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_worker_that_drains() {
-    let mut b = CoreHarness::new();
-    let (_, worker) = b.sent("view");
-    b.core.worker_bytes(b.now, worker, SERVED);
-    b.written();
+fn draining_worker_gets_no_new_calls() {
+    let mut harness = CoreHarness::new();
+    let (_, worker) = harness.start_call("view");
+    harness.core.worker_bytes(harness.now, worker, SERVED);
+    harness.written();
     let drains = |id: &str| {
         let text = format!(
             r#"{{"index":2,"endpoints":{{"seq":2,"whole":false,"hosts":[{{"host":"{id}","dial":"10.0.0.1:9","health":"DRAINING"}}]}}}}"#
@@ -114,72 +128,80 @@
     };
     ["w1", "w2"]
         .iter()
-        .for_each(|id| b.core.update_endpoints(b.now, &drains(id)));
-    let client = b.client();
-    b.call(client, 20, "view");
-    let written = b.written();
+        .for_each(|id| harness.core.update_endpoints(harness.now, &drains(id)));
+    let client = harness.connect_client();
+    harness.call(client, 20, "view");
+    let written = harness.written();
     assert!(
         written.iter().all(|(connection, _)| *connection == client),
         "{written:?}"
     );
     assert!(
         written.iter().any(|(_, line)| line.contains("-32050")),
-        "refused, unsent and at once"
+        "rejected at once, without an attempt"
     );
 }
 
-/// The same name again, after what must not run twice has ended: by answer, by a close, by a forget.
+/// The name is used again after the call has ended by an answer, its client's close or a cancel.
 #[test]
-fn a_call_that_may_have_run_is_not_run_again_under_its_name() {
-    for how in ["answered", "closed", "forgotten"] {
-        let mut b = CoreHarness::new();
-        let (client, worker) = b.sent("assign");
-        match how {
-            "answered" => b.core.worker_bytes(b.now, worker, SERVED),
-            "closed" => b.core.client_closed(b.now, client),
-            _ => b.say(client, FORGET),
+fn non_idempotent_call_that_may_have_run_is_not_run_again_under_its_name() {
+    for end in ["answered", "closed", "cancelled"] {
+        let mut harness = CoreHarness::new();
+        let (client, worker) = harness.start_call("assign");
+        match end {
+            "answered" => harness.core.worker_bytes(harness.now, worker, SERVED),
+            "closed" => harness.core.client_closed(harness.now, client),
+            _ => harness.send_line(client, CANCEL_CALL_7),
         }
-        b.written();
-        let other = b.client();
-        b.call(other, 7, "assign");
-        let written = b.written();
+        harness.written();
+        let other = harness.connect_client();
+        harness.call(other, 7, "assign");
+        let written = harness.written();
         assert!(
             written.len() == 1 && written[0].0 == other && written[0].1.contains("-32600"),
-            "{how}: {written:?}"
+            "{end}: {written:?}"
         );
-        // Not for ever: the name means nothing once nobody can wait for it any more.
-        b.pass(3_100 * MS);
-        let other = b.client();
-        b.call(other, 7, "assign");
+        // The name may be used again once the longest client timeout has passed.
+        harness.advance(3_100 * MS);
+        let other = harness.connect_client();
+        harness.call(other, 7, "assign");
         assert!(
-            b.written().iter().any(|(_, line)| line.contains("\"DO\"")),
-            "{how}"
+            harness
+                .written()
+                .iter()
+                .any(|(_, line)| line.contains("\"DO\"")),
+            "{end}"
         );
     }
-    // What may be repeated is.
-    let mut b = CoreHarness::new();
-    let (client, worker) = b.sent("view");
-    b.core.worker_bytes(b.now, worker, SERVED);
-    b.call(client, 7, "view");
-    assert!(b.written().iter().any(|(_, line)| line.contains("\"DO\"")));
+    // An idempotent call is run again.
+    let mut harness = CoreHarness::new();
+    let (client, worker) = harness.start_call("view");
+    harness.core.worker_bytes(harness.now, worker, SERVED);
+    harness.call(client, 7, "view");
+    assert!(
+        harness
+            .written()
+            .iter()
+            .any(|(_, line)| line.contains("\"DO\""))
+    );
 }
 
-/// A worker turns a call away and its answer comes twice; the second must not end the next attempt, which then would be
-/// taken for one that never ran.
+/// The second answer must not end the next attempt, which would then be taken for one that did not run.
 #[test]
-fn a_second_copy_of_an_answer_does_not_end_a_later_call_of_the_same_name() {
-    let mut b = CoreHarness::new();
-    let (client, worker) = b.sent("view");
-    b.core.worker_bytes(b.now, worker, SERVED);
-    b.written();
-    b.call(client, 7, "view");
-    b.written();
-    b.core.worker_bytes(b.now, worker, SERVED);
+fn duplicate_answer_does_not_end_a_later_call_of_the_same_name() {
+    let mut harness = CoreHarness::new();
+    let (client, worker) = harness.start_call("view");
+    harness.core.worker_bytes(harness.now, worker, SERVED);
+    harness.written();
+    harness.call(client, 7, "view");
+    harness.written();
+    harness.core.worker_bytes(harness.now, worker, SERVED);
     assert!(
-        b.written()
+        harness
+            .written()
             .iter()
             .all(|(connection, _)| *connection != client),
-        "the second call is still open"
+        "the second call is still pending"
     );
-    assert_eq!(b.core.pending_requests(), 1);
+    assert_eq!(harness.core.pending_requests(), 1);
 }
--- a/crates/pipithub-node/tests/core_cancellation.rs
+++ b/crates/pipithub-node/tests/core_cancellation.rs
@@ -1,101 +1,110 @@
-//! The front end without sockets: calls whose clients have left or withdrawn them.
+//! The front end without sockets: calls whose clients have cancelled them or disconnected.
 
 mod core_harness;
 
-use core_harness::{CoreHarness, FORGET, MS, SERVED, config};
+use core_harness::{CANCEL_CALL_7, CoreHarness, MS, SERVED, config};
 
 #[test]
-fn a_client_that_leaves_or_forgets_has_its_call_withdrawn() {
-    for forgets in [true, false] {
-        let mut b = CoreHarness::new();
-        let (client, worker) = b.sent("view");
-        if forgets {
-            b.say(
-                client,
-                r#"{"jsonrpc":"2.0","method":"forget","params":{"id":7}}"#,
-            );
+fn call_is_cancelled_at_the_worker_when_its_client_cancels_or_disconnects() {
+    for cancels in [true, false] {
+        let mut harness = CoreHarness::new();
+        let (client, worker) = harness.start_call("view");
+        if cancels {
+            harness.send_line(client, CANCEL_CALL_7);
         } else {
-            b.core.client_closed(b.now, client);
+            harness.core.client_closed(harness.now, client);
         }
         let undo = "{\"cmd\":\"UNDO\",\"ref\":\"0000000000000007\"}\n".to_string();
-        assert_eq!(b.written(), [(worker, undo)]);
-        b.core.worker_bytes(b.now, worker, SERVED);
-        assert!(b.written().is_empty() && b.core.pending_requests() == 0);
+        assert_eq!(harness.written(), [(worker, undo)]);
+        harness.core.worker_bytes(harness.now, worker, SERVED);
+        assert!(harness.written().is_empty() && harness.core.pending_requests() == 0);
     }
 }
 
-/// Asked and taken back within what was read at once: to begin it would be an attempt for nobody.
+/// Nobody waits for its answer any more, so an attempt would be wasted.
 #[test]
-fn a_call_that_is_forgotten_in_the_same_breath_is_not_begun() {
-    for forget in [
-        FORGET,
+fn call_that_is_cancelled_in_the_same_read_is_not_forwarded() {
+    for cancel in [
+        CANCEL_CALL_7,
         r#"{"jsonrpc":"2.0","method":"forget","params":{"call":"0000000000000007"}}"#,
     ] {
-        let mut b = CoreHarness::new();
-        let client = b.client();
+        let mut harness = CoreHarness::new();
+        let client = harness.connect_client();
         let call = r#"{"jsonrpc":"2.0","id":7,"method":"view","params":{"call":"0000000000000007","ttl":1500,"row":"00000000000000aa"}}"#;
-        b.say(client, &format!("{call}\n{forget}"));
-        assert_eq!((b.written(), b.core.pending_requests()), (vec![], 0));
-        b.call(client, 8, "view");
+        harness.send_line(client, &format!("{call}\n{cancel}"));
+        assert_eq!(
+            (harness.written(), harness.core.pending_requests()),
+            (vec![], 0)
+        );
+        harness.call(client, 8, "view");
         assert!(
-            b.written().iter().any(|(_, line)| line.contains("\"DO\"")),
-            "others are"
+            harness
+                .written()
+                .iter()
+                .any(|(_, line)| line.contains("\"DO\"")),
+            "the next call is forwarded"
         );
     }
 }
 
-/// Wherever its call stands, a client that has gone gets no further attempt: here between two.
 #[test]
-fn a_worker_that_turns_a_call_away_after_its_client_has_gone_does_not_send_it_on() {
-    for forgets in [true, false] {
-        let mut b = CoreHarness::new();
-        let (client, worker) = b.sent("view");
-        if forgets {
-            b.say(client, FORGET);
+fn rejected_attempt_is_not_retried_after_its_client_left() {
+    for cancels in [true, false] {
+        let mut harness = CoreHarness::new();
+        let (client, worker) = harness.start_call("view");
+        if cancels {
+            harness.send_line(client, CANCEL_CALL_7);
         } else {
-            b.core.client_closed(b.now, client);
+            harness.core.client_closed(harness.now, client);
         }
-        b.written();
-        b.core.worker_bytes(
-            b.now,
+        harness.written();
+        harness.core.worker_bytes(
+            harness.now,
             worker,
             b"{\"cmd\":\"AGAIN\",\"ref\":\"0000000000000007\"}\n",
         );
-        assert_eq!((b.written(), b.core.pending_requests()), (vec![], 0));
-        b.core.worker_closed(b.now, worker, u64::MAX);
-        b.pass(5_000 * MS);
-        assert!(b.written().iter().all(|(_, line)| !line.contains("\"DO\"")));
+        assert_eq!(
+            (harness.written(), harness.core.pending_requests()),
+            (vec![], 0)
+        );
+        harness.core.worker_closed(harness.now, worker, u64::MAX);
+        harness.advance(5_000 * MS);
+        assert!(
+            harness
+                .written()
+                .iter()
+                .all(|(_, line)| !line.contains("\"DO\""))
+        );
     }
 }
 
-/// And here while it waits, unsent, for a load that it had ordered.
 #[test]
-fn a_call_whose_client_has_gone_while_it_waited_for_a_load_is_not_sent() {
+fn call_that_waits_for_a_load_is_not_forwarded_after_its_client_left() {
     let mut config = config();
     config.site.policy.loading.loads_on_request = false;
-    let mut b = CoreHarness::of(&config);
-    // Nothing stands anywhere: found missing at its home, it is ordered there.
-    let (client, home) = b.sent("view");
-    b.core.worker_bytes(
-        b.now,
-        home,
+    let mut harness = CoreHarness::with_config(&config);
+    // No worker has the function: its preferred worker reports that it is not loaded, and is told to load it.
+    let (client, preferred_worker) = harness.start_call("view");
+    harness.core.worker_bytes(
+        harness.now,
+        preferred_worker,
         b"{\"cmd\":\"NOENT\",\"ref\":\"0000000000000007\"}\n",
     );
-    let written = b.written();
-    let (worker, order) = written
+    let written = harness.written();
+    let (worker, load_command) = written
         .iter()
         .find(|(_, line)| line.contains("\"PIN\""))
-        .expect("ordered")
+        .expect("a load command")
         .clone();
-    b.core.client_closed(b.now, client);
-    let tag = order.split('"').nth(7).expect("a tag");
-    b.core.worker_bytes(
-        b.now,
+    harness.core.client_closed(harness.now, client);
+    let reference = load_command.split('"').nth(7).expect("a reference");
+    harness.core.worker_bytes(
+        harness.now,
         worker,
-        format!("{{\"cmd\":\"ACK\",\"ref\":\"{tag}\",\"opts\":{{\"n\":1}}}}\n").as_bytes(),
+        format!("{{\"cmd\":\"ACK\",\"ref\":\"{reference}\",\"opts\":{{\"n\":1}}}}\n").as_bytes(),
     );
-    b.pass(1_000 * MS);
-    let written = b.written();
+    harness.advance(1_000 * MS);
+    let written = harness.written();
     assert!(
         written.iter().all(|(_, line)| !line.contains("\"DO\"")),
         "{written:?}"
--- a/crates/pipithub-node/tests/core_harness/mod.rs
+++ b/crates/pipithub-node/tests/core_harness/mod.rs
@@ -1,4 +1,4 @@
-//! A front end without sockets, with clients and workers played by hand.
+//! A front end without sockets. The test plays clients and workers, and moves the clock.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -11,11 +11,11 @@
 pub(crate) const MS: Time = 1_000_000;
 pub(crate) const START: Time = 1_000_000 * MS;
 
-/// The answer of a worker that serves call 7.
+/// The line with which a worker serves call 7.
 pub(crate) const SERVED: &[u8] = b"{\"cmd\":\"ACK\",\"ref\":\"0000000000000007\",\"opts\":{\"same\":\"2\",\"l\":\"inflight:1\"},\"payload\":\"d29ybGQ=\"}\n";
 
-/// The message with which a client withdraws call 7.
-pub(crate) const FORGET: &str = r#"{"jsonrpc":"2.0","method":"forget","params":{"id":7}}"#;
+/// The line with which a client cancels call 7.
+pub(crate) const CANCEL_CALL_7: &str = r#"{"jsonrpc":"2.0","method":"forget","params":{"id":7}}"#;
 
 pub(crate) fn config() -> NodeConfig {
     let class = |name: &str, effect: &str| {
@@ -46,20 +46,19 @@
     NodeConfig::parse(&all.to_string()).expect("configuration")
 }
 
-/// A front end, with clients and workers played by hand.
 pub(crate) struct CoreHarness {
     pub core: Core,
     pub now: Time,
-    /// What the system holds of a client: the shell reads it when its connection is to be closed.
+    /// What each client has sent and the shell has not read: it is read when the connection is to be closed.
     pub unread: BTreeMap<ConnectionId, Vec<u8>>,
 }
 
 impl CoreHarness {
     pub(crate) fn new() -> Self {
-        CoreHarness::of(&config())
+        CoreHarness::with_config(&config())
     }
 
-    pub(crate) fn of(config: &NodeConfig) -> Self {
+    pub(crate) fn with_config(config: &NodeConfig) -> Self {
         CoreHarness {
             core: Core::new(START, config),
             now: START,
@@ -71,13 +70,13 @@
         self.core.take_effects()
     }
 
-    pub(crate) fn client(&mut self) -> ConnectionId {
+    pub(crate) fn connect_client(&mut self) -> ConnectionId {
         let connection = self.core.next_connection_id();
         self.core.client_connected(self.now, connection);
         connection
     }
 
-    pub(crate) fn say(&mut self, connection: ConnectionId, line: &str) {
+    pub(crate) fn send_line(&mut self, connection: ConnectionId, line: &str) {
         self.core
             .client_bytes(self.now, connection, format!("{line}\n").as_bytes());
     }
@@ -86,10 +85,11 @@
         let line = format!(
             r#"{{"jsonrpc":"2.0","id":{id},"method":"{class}","params":{{"call":"{id:016x}","ttl":1500,"row":"00000000000000aa","props":"memory_mb:512;lanes:4","body":"aGVsbG8="}}}}"#
         );
-        self.say(connection, &line);
+        self.send_line(connection, &line);
     }
 
-    /// Brings connections up; what is written on which connection.
+    /// Establishes all requested connections; returns each line that is written with its connection, and `closed` for
+    /// a connection that is closed.
     pub(crate) fn written(&mut self) -> Vec<(ConnectionId, String)> {
         let mut written = Vec::new();
         loop {
@@ -120,14 +120,14 @@
                         offset,
                         length,
                     } => {
-                        written.push((connection, format!("unwritten {offset}+{length}")));
+                        written.push((connection, format!("withdrawn {offset}+{length}")));
                     }
                 }
             }
         }
     }
 
-    pub(crate) fn pass(&mut self, time: Time) {
+    pub(crate) fn advance(&mut self, time: Time) {
         let until = self.now + time;
         while self.core.next_due() <= until {
             self.now = self.now.max(self.core.next_due());
@@ -136,9 +136,9 @@
         self.now = until;
     }
 
-    /// A call that has been sent: the client, and the worker's connection.
-    pub(crate) fn sent(&mut self, class: &str) -> (ConnectionId, ConnectionId) {
-        let client = self.client();
+    /// Has a client make call 7; returns the client and the connection on which a worker was asked to run it.
+    pub(crate) fn start_call(&mut self, class: &str) -> (ConnectionId, ConnectionId) {
+        let client = self.connect_client();
         self.call(client, 7, class);
         let written = self.written();
         let (worker, line) = written.last().expect("sent");
--- a/crates/pipithub-node/tests/core_remaining_time.rs
+++ b/crates/pipithub-node/tests/core_remaining_time.rs
@@ -1,94 +1,136 @@
-//! The front end without sockets: the time that a worker is told is left.
+//! The front end without sockets: the remaining time that a line to a worker states.
 
 mod core_harness;
 
 use core_harness::{CoreHarness, MS};
 use pipithub_node::effect::{ConnectionId, Effect};
 
-/// What the front end writes and asks for, with no connection brought up by itself.
+/// What the front end requests; the test establishes connections itself.
 #[derive(Default)]
-struct Asked {
-    connects: Vec<ConnectionId>,
-    /// Each run that is asked for: its connection, its line's length, and the time that it states, in milliseconds.
-    runs: Vec<(ConnectionId, u64, u64)>,
-    unwritten: Vec<(ConnectionId, u64, u64)>,
+struct Requested {
+    connections: Vec<ConnectionId>,
+    runs: Vec<Run>,
+    withdrawals: Vec<Withdrawal>,
+}
+
+/// A line that asks a worker to run a call.
+#[derive(Debug)]
+struct Run {
+    connection: ConnectionId,
+    length: u64,
+    /// The time that the line states, in milliseconds.
+    time_left: u64,
+}
+
+/// Bytes that the front end withdraws from those written on a connection.
+#[derive(Debug, PartialEq, Eq)]
+struct Withdrawal {
+    connection: ConnectionId,
+    offset: u64,
+    length: u64,
 }
 
 impl CoreHarness {
-    fn asked(&mut self) -> Asked {
-        let mut asked = Asked::default();
+    fn requested(&mut self) -> Requested {
+        let mut requested = Requested::default();
         for effect in self.effects() {
             match effect {
-                Effect::Connect { connection, .. } => asked.connects.push(connection),
+                Effect::Connect { connection, .. } => requested.connections.push(connection),
                 Effect::CancelWrite {
                     connection,
                     offset,
                     length,
-                } => asked.unwritten.push((connection, offset, length)),
+                } => requested.withdrawals.push(Withdrawal {
+                    connection,
+                    offset,
+                    length,
+                }),
                 Effect::Write { connection, bytes } if bytes.starts_with(br#"{"cmd":"DO""#) => {
                     let line: serde_json::Value = serde_json::from_slice(&bytes).expect("JSON");
-                    let patience = line["opts"]["patience"].as_u64().expect("a figure");
-                    asked.runs.push((connection, bytes.len() as u64, patience));
+                    requested.runs.push(Run {
+                        connection,
+                        length: bytes.len() as u64,
+                        time_left: line["opts"]["patience"].as_u64().expect("a figure"),
+                    });
                 }
                 _ => {}
             }
         }
-        asked
+        requested
     }
 }
 
-/// A call of 1,500 ms ends 5 ms before that here; a worker is told what is left of it when its line is written.
+/// A call with a timeout of 1,500 ms ends 5 ms earlier at the front end.
+const CALL_TIME_MS: u64 = 1_495;
+
 #[test]
-fn a_worker_is_told_the_time_that_is_left_when_its_connection_comes_up() {
-    let mut b = CoreHarness::new();
-    let client = b.client();
-    b.call(client, 7, "view");
-    let connects = b.asked().connects;
-    b.pass(240 * MS);
-    b.core.worker_connected(b.now, connects[0]);
-    let runs = b.asked().runs;
-    assert!(runs.len() == 1 && runs[0].2 == 1_495 - 240, "{runs:?}");
+fn run_states_the_time_left_when_its_connection_is_established() {
+    let mut harness = CoreHarness::new();
+    let client = harness.connect_client();
+    harness.call(client, 7, "view");
+    let connections = harness.requested().connections;
+    harness.advance(240 * MS);
+    harness.core.worker_connected(harness.now, connections[0]);
+    let runs = harness.requested().runs;
+    assert!(
+        runs.len() == 1 && runs[0].time_left == CALL_TIME_MS - 240,
+        "{runs:?}"
+    );
 }
 
 #[test]
-fn a_worker_is_told_the_time_that_is_left_when_a_call_is_written_again() {
-    let mut b = CoreHarness::new();
-    let client = b.client();
-    b.call(client, 7, "view");
-    let first = b.asked().connects[0];
-    b.pass(100 * MS);
-    b.core.worker_connected(b.now, first);
-    assert_eq!(b.asked().runs[0].2, 1_495 - 100);
-    b.pass(50 * MS);
-    // It broke with a part of the line taken.
-    b.core.worker_closed(b.now, first, 5);
-    let second = b.asked().connects[0];
-    b.pass(60 * MS);
-    b.core.worker_connected(b.now, second);
-    let runs = b.asked().runs;
-    assert!(runs.len() == 1 && runs[0].2 == 1_495 - 210, "{runs:?}");
+fn run_states_the_time_left_when_it_is_resent() {
+    let mut harness = CoreHarness::new();
+    let client = harness.connect_client();
+    harness.call(client, 7, "view");
+    let first = harness.requested().connections[0];
+    harness.advance(100 * MS);
+    harness.core.worker_connected(harness.now, first);
+    assert_eq!(harness.requested().runs[0].time_left, CALL_TIME_MS - 100);
+    harness.advance(50 * MS);
+    // It breaks after the system has accepted a part of the line.
+    harness.core.worker_closed(harness.now, first, 5);
+    let second = harness.requested().connections[0];
+    harness.advance(60 * MS);
+    harness.core.worker_connected(harness.now, second);
+    let runs = harness.requested().runs;
+    assert!(
+        runs.len() == 1 && runs[0].time_left == CALL_TIME_MS - 210,
+        "{runs:?}"
+    );
 }
 
 #[test]
-fn a_call_that_a_worker_does_not_read_is_taken_back_and_states_the_time_left_elsewhere() {
-    for taken in [0, 5] {
-        let mut b = CoreHarness::new();
-        let client = b.client();
-        b.call(client, 7, "view");
-        let first = b.asked().connects[0];
-        b.core.worker_connected(b.now, first);
-        let (_, length, patience) = b.asked().runs[0];
-        assert_eq!(patience, 1_495);
-        b.core.worker_blocked(b.now, first, Some(taken));
-        b.pass(150 * MS);
-        let asked = b.asked();
-        assert_eq!(asked.unwritten, [(first, taken, length - taken)]);
-        b.pass(50 * MS);
-        let second = asked.connects.last().expect("it goes elsewhere");
-        b.core.worker_connected(b.now, *second);
-        let runs = b.asked().runs;
+fn unread_run_is_withdrawn_and_states_the_time_left_at_the_next_worker() {
+    for accepted in [0, 5] {
+        let mut harness = CoreHarness::new();
+        let client = harness.connect_client();
+        harness.call(client, 7, "view");
+        let first = harness.requested().connections[0];
+        harness.core.worker_connected(harness.now, first);
+        let Run {
+            length, time_left, ..
+        } = harness.requested().runs[0];
+        assert_eq!(time_left, CALL_TIME_MS);
+        harness
+            .core
+            .worker_blocked(harness.now, first, Some(accepted));
+        harness.advance(150 * MS);
+        let requested = harness.requested();
+        let withdrawal = Withdrawal {
+            connection: first,
+            offset: accepted,
+            length: length - accepted,
+        };
+        assert_eq!(requested.withdrawals, [withdrawal]);
+        harness.advance(50 * MS);
+        let second = requested.connections.last().expect("another worker");
+        harness.core.worker_connected(harness.now, *second);
+        let runs = harness.requested().runs;
         assert!(
-            runs.len() == 1 && runs[0].0 == *second && runs[0].2 == 1_495 - 200,
+            runs.len() == 1
+                && runs[0].connection == *second
+                && runs[0].time_left == CALL_TIME_MS - 200,
             "{runs:?}"
         );
     }
--- a/crates/pipithub-node/tests/faults.rs
+++ b/crates/pipithub-node/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Errors of system calls while connections are accepted and made, played by a script in the system's place.
+//! Errors of system calls while connections are accepted, made, read and written, from scripts that replace the system.
 
 use std::cell::Cell;
 use std::io;
@@ -13,11 +13,17 @@
 
 const WITHIN: Duration = Duration::from_millis(250);
 
-/// The connections that are taken of a script of accepts, with the faults counted and the time that it took.
-async fn accepted(script: &[Result<u32, Errno>]) -> (Vec<u32>, u64, Duration) {
-    let (begun, faults) = (Instant::now(), LocalFaults::default());
-    let (mut taken, mut script) = (Vec::new(), script.iter());
-    // The listener's end is the script's.
+/// What comes of a script of accepts.
+struct Accepted {
+    connections: Vec<u32>,
+    local_faults: u64,
+    elapsed: Duration,
+}
+
+async fn accepted(script: &[Result<u32, Errno>]) -> Accepted {
+    let (started, faults) = (Instant::now(), LocalFaults::default());
+    let (mut connections, mut script) = (Vec::new(), script.iter());
+    // The listener fails at the end of the script.
     let accept = async || {
         script
             .next()
@@ -25,44 +31,49 @@
             .unwrap_or(Err(Errno::BADF))
             .map_err(io::Error::from)
     };
-    accept_all(accept, |connection| taken.push(connection), &faults).await;
-    (taken, faults.count(), begun.elapsed())
+    accept_all(accept, |connection| connections.push(connection), &faults).await;
+    Accepted {
+        connections,
+        local_faults: faults.count(),
+        elapsed: started.elapsed(),
+    }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_connection_that_ends_before_it_is_accepted_holds_nobody_up() {
+async fn connection_that_ends_before_accept_delays_no_other() {
     for errno in [
         Errno::CONNABORTED,
         Errno::INTR,
         Errno::PROTO,
         Errno::HOSTUNREACH,
     ] {
-        let (taken, faults, took) =
-            accepted(&[Err(errno), Err(errno), Ok(1), Err(errno), Ok(2)]).await;
-        assert_eq!(
-            (taken, faults, took),
-            (vec![1, 2], 0, Duration::ZERO),
-            "{errno}"
-        );
+        let accepted = accepted(&[Err(errno), Err(errno), Ok(1), Err(errno), Ok(2)]).await;
+        assert_eq!(accepted.connections, [1, 2], "{errno}");
+        assert_eq!(accepted.local_faults, 0, "{errno}");
+        assert_eq!(accepted.elapsed, Duration::ZERO, "{errno}");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn accepting_waits_and_goes_on_where_this_machine_lacks_something() {
+async fn accept_waits_and_retries_when_local_resources_are_exhausted() {
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM] {
-        let (taken, faults, took) = accepted(&[Err(errno), Err(errno), Ok(1)]).await;
-        assert_eq!((taken, faults), (vec![1], 2), "{errno}");
-        assert!(took >= 2 * LOCAL_RETRY, "{errno}: it does not spin");
+        let accepted = accepted(&[Err(errno), Err(errno), Ok(1)]).await;
+        assert_eq!(accepted.connections, [1], "{errno}");
+        assert_eq!(accepted.local_faults, 2, "{errno}");
+        assert!(
+            accepted.elapsed >= 2 * LOCAL_RETRY,
+            "{errno}: it does not spin"
+        );
     }
 }
 
-/// What comes of a script of tries to connect, each of which fails at once or comes up.
+/// The result of a script of attempts to connect, and how many local faults were counted.
 async fn connected(script: &[Result<u32, Errno>]) -> (Result<u32, ConnectError>, u64) {
     let faults = LocalFaults::default();
-    let mut tries = script.iter();
+    let mut attempts = script.iter();
     let dial = async |dialled: &Cell<bool>| {
         dialled.set(true);
-        match tries.next() {
+        match attempts.next() {
             Some(end) => (*end).map_err(io::Error::from),
             None => std::future::pending().await,
         }
@@ -72,7 +83,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_this_machine_lacks_for_a_moment_is_tried_again_and_the_worker_is_not_to_blame() {
+async fn connect_is_retried_after_local_faults_which_are_not_the_workers() {
     let local = [
         Errno::MFILE,
         Errno::NFILE,
@@ -100,7 +111,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_the_worker_or_the_network_does_is_not_tried_again() {
+async fn connect_is_not_retried_after_faults_of_worker_or_network() {
     for errno in [
         Errno::CONNREFUSED,
         Errno::CONNRESET,
@@ -118,7 +129,7 @@
         matches!(end, Err(ConnectError::TimedOut)) && faults == 0,
         "no answer: {end:?}"
     );
-    // Nothing here was wanting in the end: it is the worker that does not answer.
+    // The local fault has passed: it is the worker that does not answer.
     let (end, faults) = connected(&[Err(Errno::NOBUFS)]).await;
     assert!(
         matches!(end, Err(ConnectError::TimedOut)) && faults == 1,
@@ -126,7 +137,7 @@
     );
 }
 
-/// How a series of short transfers ends that a call fails with this error, in writing and in reading: both alike.
+/// How a series of short writes ends if the last call fails with this error; a series of reads must end in the same way.
 fn transfer_end(last: Errno) -> TransferEnd {
     let script = [Ok(2), Err(Errno::INTR), Ok(1), Err(last)];
     let mut calls = script.iter();
@@ -138,7 +149,7 @@
             .map_err(io::Error::from)
     };
     let Transfer { count, end } = write_now(b"hello", |_| next());
-    assert_eq!(count, 3, "{last}: what the system took counts");
+    assert_eq!(count, 3, "{last}: what the system accepted counts");
     let mut calls = script.iter();
     let mut next = || {
         calls
@@ -153,7 +164,7 @@
 }
 
 #[test]
-fn a_connection_ends_by_the_peers_faults_alone() {
+fn transfer_ends_a_connection_only_for_faults_of_the_peer() {
     assert_eq!(transfer_end(Errno::AGAIN), TransferEnd::Blocked);
     for errno in [Errno::NOBUFS, Errno::NOMEM] {
         assert_eq!(transfer_end(errno), TransferEnd::Exhausted, "{errno}");
--- a/crates/pipithub-node/tests/idle_timeout.rs
+++ b/crates/pipithub-node/tests/idle_timeout.rs
@@ -1,4 +1,4 @@
-//! How long an idle connection is trusted.
+//! How long an idle connection may be used again.
 
 use pipithub_engine::Time;
 use pipithub_node::idle_timeout::IdleTimeout;
@@ -6,7 +6,7 @@
 const MS: Time = 1_000_000;
 
 #[test]
-fn idle_times_after_which_connections_break_are_avoided_and_tried_again_later() {
+fn idle_times_that_broke_connections_are_avoided_until_they_expire() {
     let mut idle_timeout = IdleTimeout::default();
     assert_eq!(idle_timeout.limit(), None);
     for i in 0..100 {
@@ -14,7 +14,7 @@
     }
     assert_eq!(idle_timeout.limit(), None, "one break among many is chance");
     idle_timeout.record_use(100, 150 * MS, true);
-    assert_eq!(idle_timeout.limit(), None, "so is a single one");
+    assert_eq!(idle_timeout.limit(), None, "so is a single use that broke");
     idle_timeout.record_use(100, 150 * MS, true);
     assert_eq!(idle_timeout.limit(), Some(128 * MS));
     idle_timeout.record_use(100, 100 * MS, true);
@@ -25,5 +25,5 @@
         "a shorter time that breaks counts"
     );
     idle_timeout.record_use(100 + 20_000 * MS, 10 * MS, false);
-    assert_eq!(idle_timeout.limit(), None, "tried again after a while");
+    assert_eq!(idle_timeout.limit(), None, "observations expire");
 }
--- a/crates/pipithub-node/tests/pool_harness/mod.rs
+++ b/crates/pipithub-node/tests/pool_harness/mod.rs
@@ -1,23 +1,41 @@
-//! A pool of worker connections without sockets, with one worker played by hand.
+//! A connection pool without sockets and with one worker. The test decides when connections are established, how many
+//! bytes the system accepts, and what the worker answers.
 #![allow(dead_code)]
 
 use bytes::Bytes;
 use pipithub_engine::policy::{RequestId, WorkerId};
 use pipithub_engine::{AttemptId, Time};
 use pipithub_node::connection_pool::{
-    ConnectionPool, ConnectionPoolSettings, RequestKind, SendFailure, WorkerRequest,
+    CancelledRequest, ConnectionPool, ConnectionPoolSettings, RequestKind, SendFailure,
+    WorkerRequest,
 };
 use pipithub_node::effect::{ConnectionId, Effect};
 
 pub(crate) const MS: Time = 1_000_000;
 
-pub(crate) fn worker_request(now: Time, request: u64) -> WorkerRequest {
-    let task = RequestKind::Attempt(AttemptId {
+/// The length of each line that is written for a [`worker_request`] with a number below 10.
+pub(crate) const LINE_BYTES: u64 = 7;
+
+/// The harness's worker and its address.
+pub(crate) const WORKER: &str = "w";
+pub(crate) const ADDRESS: &str = "10.0.0.1:1";
+
+pub(crate) fn attempt(request: u64) -> AttemptId {
+    AttemptId {
         request: RequestId(request),
         number: 0,
-    });
+    }
+}
+
+/// The reference by which the worker's answer names a request.
+pub(crate) fn reference(request: u64) -> String {
+    format!("{request:016x}")
+}
+
+pub(crate) fn worker_request(now: Time, request: u64) -> WorkerRequest {
+    let kind = RequestKind::Attempt(attempt(request));
     let line = Bytes::from(format!("line {request}\n"));
-    WorkerRequest::new(task, format!("{request:016x}"), line, now, now + 5_000 * MS)
+    WorkerRequest::new(kind, reference(request), line, now, now + 5_000 * MS)
 }
 
 pub(crate) fn settings(
@@ -33,102 +51,145 @@
     }
 }
 
-pub(crate) fn settings_without_cancel(
-    max_connections: usize,
-    max_requests_per_connection: usize,
-) -> ConnectionPoolSettings {
-    ConnectionPoolSettings {
-        cancel: false,
-        ..settings(max_connections, max_requests_per_connection)
+/// A write that withdraws a part of what was queued.
+pub(crate) fn cancel_write(connection: ConnectionId, offset: u64, length: u64) -> Effect {
+    Effect::CancelWrite {
+        connection,
+        offset,
+        length,
+    }
+}
+
+fn requested_connection(effect: &Effect) -> Option<ConnectionId> {
+    match effect {
+        Effect::Connect { connection, .. } => Some(*connection),
+        _ => None,
     }
 }
 
 pub(crate) struct PoolHarness {
     pub(crate) pool: ConnectionPool,
     pub(crate) worker: WorkerId,
-    pub(crate) effects: Vec<Effect>,
 }
 
 impl PoolHarness {
-    pub(crate) fn new(most: usize) -> Self {
-        let mut pool = ConnectionPool::new(settings(most, 4));
-        let worker = WorkerId::new("w");
-        pool.set_address(&worker, "10.0.0.1:1", false);
-        PoolHarness {
-            pool,
-            worker,
-            effects: Vec::new(),
-        }
+    pub(crate) fn new(max_connections: usize) -> Self {
+        PoolHarness::with_settings(settings(max_connections, 4))
+    }
+
+    pub(crate) fn with_settings(settings: ConnectionPoolSettings) -> Self {
+        let mut pool = ConnectionPool::new(settings);
+        let worker = WorkerId::new(WORKER);
+        pool.set_address(&worker, ADDRESS, false);
+        PoolHarness { pool, worker }
+    }
+
+    /// The settings forbid to ask workers to cancel.
+    pub(crate) fn without_cancel() -> Self {
+        PoolHarness::with_settings(ConnectionPoolSettings {
+            cancel: false,
+            ..settings(4, 4)
+        })
     }
 
     pub(crate) fn submit(&mut self, now: Time, request: u64) {
-        self.pool
-            .submit(now, &self.worker, worker_request(now, request));
+        self.submit_request(now, worker_request(now, request));
+    }
+
+    pub(crate) fn submit_request(&mut self, now: Time, request: WorkerRequest) {
+        self.pool.submit(now, &self.worker, request);
     }
 
     pub(crate) fn effects(&mut self) -> Vec<Effect> {
-        self.effects = self.pool.take_effects();
-        self.effects.clone()
+        self.pool.take_effects()
     }
 
-    pub(crate) fn connected(&mut self) -> Vec<ConnectionId> {
-        let connects = self.effects();
-        connects
-            .iter()
-            .filter_map(|e| {
-                if let Effect::Connect { connection, .. } = e {
-                    Some(*connection)
-                } else {
-                    None
-                }
-            })
-            .collect()
+    /// The number of lines written since the last effects were taken.
+    pub(crate) fn writes(&mut self) -> usize {
+        let is_write = |effect: &&Effect| matches!(effect, Effect::Write { .. });
+        self.effects().iter().filter(is_write).count()
     }
 
-    pub(crate) fn failures(&mut self) -> Vec<(u64, SendFailure)> {
-        let number = |t: &RequestKind| {
-            if let RequestKind::Attempt(id) = t {
-                id.request.0
-            } else {
-                0
-            }
-        };
-        self.pool
-            .take_failures()
+    /// The connections that the pool has requested.
+    pub(crate) fn requested_connections(&mut self) -> Vec<ConnectionId> {
+        self.effects()
             .iter()
-            .map(|failed| (number(&failed.request.kind), failed.failure))
+            .filter_map(requested_connection)
             .collect()
     }
 
-    /// One call over one connection, answered after a millisecond.
-    pub(crate) fn call(&mut self, now: Time, request: u64) -> Option<ConnectionId> {
+    /// Establishes the first connection that the pool has requested.
+    pub(crate) fn establish_requested(&mut self, now: Time) -> ConnectionId {
+        let connection = self.requested_connections()[0];
+        self.pool.connected(now, connection);
+        connection
+    }
+
+    /// Submits a request and establishes the connection that is requested for it, if one is; returns the connection
+    /// that it is written on.
+    pub(crate) fn send(&mut self, now: Time, request: u64) -> ConnectionId {
         self.submit(now, request);
-        let mut wrote = None;
+        let mut used = None;
         for effect in self.effects() {
             match effect {
                 Effect::Connect { connection, .. } => {
                     self.pool.connected(now, connection);
-                    wrote = Some(connection);
+                    self.effects();
+                    used = Some(connection);
                 }
-                Effect::Write { connection, .. } => wrote = Some(connection),
+                Effect::Write { connection, .. } => used = Some(connection),
                 Effect::Close { .. } | Effect::Retire { .. } | Effect::CancelWrite { .. } => {}
             }
         }
-        wrote
+        used.expect("the request is written")
     }
-}
 
-/// A pool that may not tell workers to give runs up.
-pub(crate) fn uncancelled() -> PoolHarness {
-    let mut b = PoolHarness::new(4);
-    b.pool = ConnectionPool::new(settings_without_cancel(4, 4));
-    b.pool.set_address(&b.worker, "10.0.0.1:1", false);
-    b
-}
+    /// The worker answers a request; returns whether the pool knew the request as in flight there.
+    pub(crate) fn answer(&mut self, now: Time, connection: ConnectionId, request: u64) -> bool {
+        self.pool
+            .answered(now, connection, &reference(request))
+            .is_some()
+    }
 
-pub(crate) fn attempt(request: u64) -> AttemptId {
-    AttemptId {
-        request: RequestId(request),
-        number: 0,
+    /// The worker does not read, and the system has accepted so many bytes of what was written.
+    pub(crate) fn stop_reading(&mut self, now: Time, connection: ConnectionId, accepted: u64) {
+        self.pool.set_blocked(now, connection, Some(accepted));
+    }
+
+    /// The worker reads again, and the system has accepted all.
+    pub(crate) fn resume_reading(&mut self, now: Time, connection: ConnectionId) {
+        self.pool.set_blocked(now, connection, None);
+    }
+
+    /// The connection breaks after the system has accepted so many bytes.
+    pub(crate) fn break_connection(&mut self, now: Time, connection: ConnectionId, accepted: u64) {
+        self.pool
+            .closed(now, connection, accepted, SendFailure::ConnectionLost);
+    }
+
+    pub(crate) fn cancel(&mut self, now: Time, request: u64) -> CancelledRequest {
+        let worker = self.worker.clone();
+        self.pool
+            .cancel(now, &worker, attempt(request))
+            .expect("the request is in flight or waits")
+    }
+
+    /// The client of a request has left; returns whether the request is certain not to run.
+    pub(crate) fn abandon(&mut self, now: Time, request: u64) -> bool {
+        let worker = self.worker.clone();
+        self.pool.abandon(now, &worker, attempt(request)).is_some()
+    }
+
+    /// The requests that ended without an answer since the last call, and how.
+    pub(crate) fn failures(&mut self) -> Vec<(u64, SendFailure)> {
+        let number = |kind: &RequestKind| match kind {
+            RequestKind::Attempt(id) => id.request.0,
+            _ => 0,
+        };
+        self.pool
+            .take_failures()
+            .iter()
+            .map(|failed| (number(&failed.request.kind), failed.failure))
+            .collect()
     }
 }
--- a/crates/pipithub-node/tests/socket_harness/mod.rs
+++ b/crates/pipithub-node/tests/socket_harness/mod.rs
@@ -1,39 +1,74 @@
-//! A front end in the test's own thread, beside workers and a coordinator played by hand.
+//! A front end on the test's own thread, with clients, workers and a coordinator that the test plays on real sockets.
 //!
-//! Nothing of the front end runs while the test does not wait: whatever the test does on its sockets between two waits
-//! lies in the system together, in that order, before the front end sees any of it. That is how crossings are forced.
+//! The front end does not run while the test does not wait. Whatever the test does on its sockets between two waits is
+//! held by the system, in that order, before the front end sees any of it: this is how races are forced.
 #![allow(dead_code)]
 
+#[cfg(target_os = "linux")]
+pub(crate) mod system_queues;
+
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
 use pipithub_node::shell::Node;
 use serde_json::{Value, json};
-use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader, Lines};
+use socket2::{Domain, SockRef, Socket, Type};
+use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader, Lines};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::LocalSet;
 
-/// A listener on a port of the system's choice, and where it is.
+/// What a coordinator answers before its events.
+pub(crate) const STREAM_HEAD: &str = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\n";
+
+/// A body of a call whose line is about 21 KiB long.
+pub(crate) fn long_body() -> String {
+    "A".repeat(21_844)
+}
+
+/// Runs a test that shares its thread with a front end; it fails after a minute.
+pub(crate) async fn run_test<T>(test: impl Future<Output = T>) -> T {
+    LocalSet::new()
+        .run_until(tokio::time::timeout(Duration::from_secs(60), test))
+        .await
+        .expect("the test ends in time")
+}
+
+/// A listener on a port of the system's choice, and its address.
 pub(crate) async fn listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
     let address = listener.local_addr().expect("bound");
     (listener, address)
 }
 
-/// An event that names these workers: with its number, and whether it holds all of them.
-pub(crate) fn event(index: u64, whole: bool, hosts: &[(&str, SocketAddr, &str)]) -> Value {
-    let hosts: Vec<Value> = hosts
-        .iter()
-        .map(
-            |(id, dial, health)| json!({"host": id, "dial": dial.to_string(), "site": "a", "health": health}),
-        )
-        .collect();
-    json!({"index": index, "endpoints": {"seq": index, "whole": whole, "hosts": hosts}})
+/// A listener with a queue and a receive buffer of these sizes.
+pub(crate) fn small_listener(backlog: i32, receive_buffer: Option<usize>) -> TcpListener {
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+    if let Some(bytes) = receive_buffer {
+        socket.set_recv_buffer_size(bytes).expect("set");
+    }
+    let address: SocketAddr = "127.0.0.1:0".parse().expect("an address");
+    socket.bind(&address.into()).expect("bound");
+    socket.listen(backlog).expect("listens");
+    socket.set_nonblocking(true).expect("set");
+    TcpListener::from_std(socket.into()).expect("listens")
+}
+
+/// An event of the endpoint list; `is_complete`: the list holds no workers but these, each with its id, address and
+/// health.
+pub(crate) fn event(index: u64, is_complete: bool, workers: &[(&str, SocketAddr, &str)]) -> Value {
+    let host = |(id, address, health): &(&str, SocketAddr, &str)| json!({"host": id, "dial": address.to_string(), "site": "a", "health": health});
+    let hosts: Vec<Value> = workers.iter().map(host).collect();
+    json!({"index": index, "endpoints": {"seq": index, "whole": is_complete, "hosts": hosts}})
+}
+
+/// A complete list with one ready worker.
+pub(crate) fn one_ready_worker(address: SocketAddr) -> Value {
+    event(1, true, &[("w1", address, "SERVING")])
 }
 
-/// The configuration of a front end with these workers: `view` may be repeated, `assign` must not run twice.
+/// The configuration of a front end with these events: `view` is idempotent, `assign` is not.
 pub(crate) fn config(coordinator: SocketAddr, known: &[Value]) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"Name": name, "Effect": effect, "Aim": 30_000_000_000u64,
@@ -49,30 +84,69 @@
     })
 }
 
-/// Starts a front end; where clients connect. Must be called within a `LocalSet`.
+/// Starts a front end within a `LocalSet`; returns the address at which clients connect.
 pub(crate) async fn start(config: &Value) -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
-    let place = std::env::temp_dir().join(format!(
-        "pipithub-node-{}-{number}.json",
-        std::process::id()
-    ));
-    std::fs::write(&place, config.to_string()).expect("written");
-    let node = Node::bind(&place, None).await.expect("starts");
-    std::fs::remove_file(&place).expect("removed");
+    let name = format!("pipithub-node-{}-{number}.json", std::process::id());
+    let path = std::env::temp_dir().join(name);
+    std::fs::write(&path, config.to_string()).expect("written");
+    let node = Node::bind(&path, None).await.expect("starts");
+    std::fs::remove_file(&path).expect("removed");
     let address = node.address().expect("bound");
     tokio::task::spawn_local(node.serve());
     address
 }
 
-/// One end of a connection, by lines.
+/// A front end with one worker and a coordinator that does not answer.
+pub(crate) struct FrontEnd {
+    pub(crate) worker: TcpListener,
+    address: SocketAddr,
+    _coordinator: TcpListener,
+}
+
+impl FrontEnd {
+    pub(crate) async fn start() -> Self {
+        FrontEnd::start_with(|_| {}).await
+    }
+
+    /// With a configuration that the test changes.
+    pub(crate) async fn start_with(change: impl FnOnce(&mut Value)) -> Self {
+        let (worker, _) = listener().await;
+        FrontEnd::start_before(worker, change).await
+    }
+
+    /// With this worker, and a configuration that the test changes.
+    pub(crate) async fn start_before(worker: TcpListener, change: impl FnOnce(&mut Value)) -> Self {
+        let worker_address = worker.local_addr().expect("bound");
+        let (coordinator, coordinator_address) = listener().await;
+        let mut config = config(coordinator_address, &[one_ready_worker(worker_address)]);
+        change(&mut config);
+        FrontEnd {
+            worker,
+            address: start(&config).await,
+            _coordinator: coordinator,
+        }
+    }
+
+    pub(crate) async fn connect_client(&self) -> Peer {
+        Peer::connect(self.address).await
+    }
+
+    /// The next connection that the front end makes to its worker.
+    pub(crate) async fn accept_at_worker(&self) -> Peer {
+        Peer::accept(&self.worker).await
+    }
+}
+
+/// The test's end of a connection, by lines.
 pub(crate) struct Peer {
-    pub lines: Lines<BufReader<OwnedReadHalf>>,
-    pub write: OwnedWriteHalf,
+    pub(crate) lines: Lines<BufReader<OwnedReadHalf>>,
+    pub(crate) write: OwnedWriteHalf,
 }
 
 impl Peer {
-    pub(crate) fn of(stream: TcpStream) -> Self {
+    pub(crate) fn new(stream: TcpStream) -> Self {
         let (read, write) = stream.into_split();
         Peer {
             lines: BufReader::new(read).lines(),
@@ -81,33 +155,35 @@
     }
 
     pub(crate) async fn connect(address: SocketAddr) -> Self {
-        Peer::of(TcpStream::connect(address).await.expect("connects"))
+        Peer::new(TcpStream::connect(address).await.expect("connects"))
     }
 
-    /// The next connection that the front end makes to this listener.
     pub(crate) async fn accept(listener: &TcpListener) -> Self {
-        Peer::of(listener.accept().await.expect("a connection").0)
+        Peer::new(listener.accept().await.expect("a connection").0)
     }
 
-    /// As a worker, serves the next call; returns its line.
-    pub(crate) async fn serve_next(&mut self) -> Value {
-        let asked = self.next().await.expect("a call");
-        self.send(&served(&asked)).await;
-        asked
+    /// The ports of both ends: this one's and the front end's.
+    pub(crate) fn ports(&self) -> (u16, u16) {
+        let local = self.write.local_addr().expect("bound");
+        let remote = self.write.peer_addr().expect("connected");
+        (local.port(), remote.port())
     }
 
-    /// The next line, as JSON; `None` at a clean end.
-    pub(crate) async fn next(&mut self) -> Option<Value> {
+    /// The next line, as JSON; `None` at an end without a reset.
+    pub(crate) async fn receive(&mut self) -> Option<Value> {
         let line = self.lines.next_line().await.expect("no reset")?;
         Some(serde_json::from_str(&line).expect("JSON"))
     }
 
-    /// Writes without waiting, so that the other side has not run when this returns.
-    pub(crate) fn say(&mut self, text: &str) {
-        assert_eq!(
-            self.write.try_write(text.as_bytes()).expect("room"),
-            text.len()
-        );
+    /// The next line, which must come.
+    pub(crate) async fn expect_message(&mut self) -> Value {
+        self.receive().await.expect("a message, not an end")
+    }
+
+    /// Writes without waiting: the front end has not run when this returns.
+    pub(crate) fn send_without_waiting(&mut self, text: &str) {
+        let written = self.write.try_write(text.as_bytes()).expect("room");
+        assert_eq!(written, text.len());
     }
 
     pub(crate) async fn send(&mut self, text: &str) {
@@ -117,108 +193,58 @@
             .expect("written");
     }
 
-    /// Waits until the front end has handled all that stood in the system before, and says whether it is healthy.
-    pub(crate) async fn is_well(&mut self, id: u64) -> bool {
-        self.send(&format!(
-            "{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"isWell\"}}\n"
-        ))
-        .await;
-        let answer = self.next().await.expect("an answer");
-        answer["result"]["healthy"] == true
+    /// As a worker, serves the next call; returns its line.
+    pub(crate) async fn serve_next(&mut self) -> Value {
+        let request = self.expect_message().await;
+        self.send(&served_line(&request)).await;
+        request
     }
-}
 
-pub(crate) async fn within<T>(test: impl Future<Output = T>) -> T {
-    LocalSet::new()
-        .run_until(tokio::time::timeout(Duration::from_secs(60), test))
-        .await
-        .expect("it ends")
-}
+    /// As a client, waits until the front end has handled all that the system held before; returns what the health
+    /// check says.
+    pub(crate) async fn is_healthy(&mut self, id: u64) -> bool {
+        let line = format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"isWell\"}}\n");
+        self.send(&line).await;
+        self.expect_message().await["result"]["healthy"] == true
+    }
 
-/// A front end with one worker, whose list says no more.
-pub(crate) async fn one_worker() -> (TcpListener, TcpListener, SocketAddr) {
-    let ((worker, at), (list, list_at)) = (listener().await, listener().await);
-    let node = start(&config(
-        list_at,
-        &[event(1, true, &[("w1", at, "SERVING")])],
-    ))
-    .await;
-    (worker, list, node)
+    pub(crate) fn into_stream(self) -> TcpStream {
+        let read = self.lines.into_inner().into_inner();
+        read.reunite(self.write).expect("both halves")
+    }
+
+    pub(crate) fn close_with_reset(self) {
+        let stream = self.into_stream();
+        SockRef::from(&stream)
+            .set_linger(Some(Duration::ZERO))
+            .expect("set");
+        drop(stream);
+    }
 }
 
-/// The line of a call.
-pub(crate) fn call(id: u64, class: &str, body: &str) -> String {
+/// The line of a client's call.
+pub(crate) fn call_line(id: u64, class: &str, body: &str) -> String {
     let call = json!({"jsonrpc": "2.0", "id": id, "method": class, "params":
-        {"call": format!("{id:016x}"), "ttl": 60_000, "row": "00000000000000aa", "props": "memory_mb:1;lanes:1000", "body": body}});
+        {"call": call_name(id), "ttl": 60_000, "row": "00000000000000aa", "props": "memory_mb:1;lanes:1000", "body": body}});
     format!("{call}\n")
 }
 
-/// The line with which a worker serves what this line asked for.
-pub(crate) fn served(asked: &Value) -> String {
-    let answer = json!({"cmd": "ACK", "ref": asked["ref"], "payload": asked["payload"]});
-    format!("{answer}\n")
+/// The name of a call, by which workers are asked to run it.
+pub(crate) fn call_name(id: u64) -> String {
+    format!("{id:016x}")
 }
 
-/// What the system holds between these two ports: bytes that are not sent yet, and unread ones. A segment that has come
-/// and is not acknowledged yet stands in both queues, so the table is read until no segment is on its way and two
-/// readings agree.
-#[cfg(target_os = "linux")]
-pub(crate) fn held_by_the_system(one: u16, other: u16) -> usize {
-    let mut before = None;
-    loop {
-        let queues = queues_between(one, other);
-        let is_settled = queues.iter().all(|queue| !queue.has_unacknowledged);
-        let held = queues.iter().map(|queue| queue.bytes).sum();
-        if is_settled && before == Some(held) {
-            return held;
-        }
-        before = Some(held).filter(|_| is_settled);
-    }
-}
-
-/// One end of a connection in the system's table.
-#[cfg(target_os = "linux")]
-struct Queue {
-    /// Bytes that are not acknowledged or not read.
-    bytes: usize,
-    /// Its retransmission timer runs: a segment is on its way.
-    has_unacknowledged: bool,
-}
-
-#[cfg(target_os = "linux")]
-fn queues_between(one: u16, other: u16) -> Vec<Queue> {
-    /// The timer's kind in the table, see `proc_pid_net(5)`.
-    const RETRANSMISSION_TIMER: &str = "01";
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("the table");
-    let queue = |line: &str| -> Option<Queue> {
-        let fields: Vec<&str> = line.split_whitespace().collect();
-        let port_of = |field: &str| u16::from_str_radix(field.split(':').nth(1)?, 16).ok();
-        let ports = (port_of(fields.get(1)?)?, port_of(fields.get(2)?)?);
-        let (unacknowledged, unread) = fields.get(4)?.split_once(':')?;
-        let (timer, _) = fields.get(5)?.split_once(':')?;
-        let bytes = |hex: &str| usize::from_str_radix(hex, 16).ok();
-        let queue = Queue {
-            bytes: bytes(unacknowledged)? + bytes(unread)?,
-            has_unacknowledged: timer == RETRANSMISSION_TIMER,
-        };
-        Some(queue).filter(|_| ports == (one, other) || ports == (other, one))
-    };
-    table.lines().filter_map(queue).collect()
+/// The line with which a worker serves a request.
+pub(crate) fn served_line(request: &Value) -> String {
+    let answer = json!({"cmd": "ACK", "ref": request["ref"], "payload": request["payload"]});
+    format!("{answer}\n")
 }
 
-/// What the system holds of the connections with this port: unacknowledged and unread bytes, from its tables.
-#[cfg(target_os = "linux")]
-pub(crate) fn held_at_port(port: u16) -> usize {
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("the table");
-    let of = |line: &str| -> Option<usize> {
-        let fields: Vec<&str> = line.split_whitespace().collect();
-        let port_of = |field: &str| u16::from_str_radix(field.split(':').nth(1)?, 16).ok();
-        let ports = (port_of(fields.get(1)?)?, port_of(fields.get(2)?)?);
-        let (tx, rx) = fields.get(4)?.split_once(':')?;
-        let bytes = |hex: &str| usize::from_str_radix(hex, 16).ok();
-        // Established alone: a listener's figures mean something else.
-        let ours = fields.get(3) == Some(&"01") && (ports.0 == port || ports.1 == port);
-        Some(bytes(tx)? + bytes(rx)?).filter(|_| ours)
-    };
-    table.lines().filter_map(of).sum()
+/// Reads the head of a request for the endpoint list.
+pub(crate) async fn read_request_head(stream: &mut TcpStream) -> String {
+    let mut head = Vec::new();
+    while !head.ends_with(b"\r\n\r\n") {
+        head.push(stream.read_u8().await.expect("a request"));
+    }
+    String::from_utf8_lossy(&head).to_lowercase()
 }
--- a/crates/pipithub-node/tests/start_times.rs
+++ b/crates/pipithub-node/tests/start_times.rs
@@ -1,4 +1,4 @@
-//! Slow start holds across steps of the wall clock, by which the list states when workers started.
+//! Slow start across steps of the wall clock, by which the endpoint list states when workers started.
 
 mod core_harness;
 
@@ -11,11 +11,11 @@
 
 const SECOND: Time = 1_000 * MS;
 const HOUR: Time = 3_600 * SECOND;
-/// The wall clock before it is stepped: far from zero, so that an hour may be taken off.
+/// The wall clock before a step: far from zero, so that it may be set back by an hour.
 const WALL: Time = 500_000 * HOUR;
 const CALLS: u64 = 24;
 
-/// A list that holds one worker alone, which started at this time of the wall clock.
+/// A complete list with one worker, which started at this time of the wall clock.
 fn only_worker(index: u64, started: Time) -> EndpointEvent {
     let born_ms = started / MS;
     let text = format!(
@@ -25,25 +25,30 @@
     list::parse(&text, &Names::default()).expect("an event")
 }
 
-/// How many of a burst of calls go to a worker that started `age` ago, the wall clock standing at `wall`.
-fn sent_in_a_burst(wall: Time, age: Time) -> usize {
-    let mut b = CoreHarness::new();
-    b.core
-        .update_endpoints_at(b.now, wall, &only_worker(2, wall - age));
-    let client = b.client();
-    (1..=CALLS).for_each(|id| b.call(client, id, "view"));
-    b.written()
+/// How many of a burst of calls are forwarded to a worker that started `age` ago, with the wall clock at `wall`.
+fn forwarded_in_a_burst(wall: Time, age: Time) -> usize {
+    let mut harness = CoreHarness::new();
+    harness
+        .core
+        .update_endpoints_at(harness.now, wall, &only_worker(2, wall - age));
+    let client = harness.connect_client();
+    (1..=CALLS).for_each(|id| harness.call(client, id, "view"));
+    harness
+        .written()
         .iter()
         .filter(|(_, line)| line.contains("\"DO\""))
         .count()
 }
 
 #[test]
-fn a_step_of_the_wall_clock_makes_no_starting_worker_older_or_younger() {
-    let (starting, warm) = (sent_in_a_burst(WALL, 0), sent_in_a_burst(WALL, 10 * SECOND));
+fn wall_clock_step_does_not_change_the_age_of_a_warming_worker() {
+    let (starting, warm) = (
+        forwarded_in_a_burst(WALL, 0),
+        forwarded_in_a_burst(WALL, 10 * SECOND),
+    );
     assert!(
         starting < warm,
-        "slow start binds in this test: {starting} of {warm}"
+        "slow start limits the worker: {starting} of {warm}"
     );
     for wall in [
         WALL - HOUR,
@@ -52,20 +57,20 @@
         core_harness::START + HOUR,
     ] {
         assert_eq!(
-            sent_in_a_burst(wall, 0),
+            forwarded_in_a_burst(wall, 0),
             starting,
             "just started, wall clock at {wall}"
         );
         assert_eq!(
-            sent_in_a_burst(wall, 10 * SECOND),
+            forwarded_in_a_burst(wall, 10 * SECOND),
             warm,
-            "past its ramp, wall clock at {wall}"
+            "after slow start, wall clock at {wall}"
         );
     }
 }
 
 #[test]
-fn a_start_keeps_its_time_when_the_list_states_it_again_after_a_step() {
+fn start_time_stays_when_the_same_stamp_is_listed_after_a_clock_step() {
     let (worker, mut starts) = (WorkerId::new("w9"), StartTimes::default());
     let first = starts.resolve(&worker, WALL, 100 * SECOND, WALL + 3 * SECOND);
     assert_eq!(first, 97 * SECOND);
@@ -75,12 +80,12 @@
             first
         );
     }
-    // Another stamp is another start, and one in the future is now.
+    // Another stamp means another start, and one in the future counts as now.
     assert_eq!(
         starts.resolve(&worker, WALL + HOUR, 300 * SECOND, WALL),
         300 * SECOND
     );
-    // A worker that was removed and comes again is judged anew.
+    // The stamp of a worker that was removed is not remembered.
     starts.forget(&worker);
     assert_eq!(
         starts.resolve(&worker, WALL, 400 * SECOND, WALL + SECOND),
@@ -94,7 +99,7 @@
 }
 
 #[test]
-fn clocks_that_differ_by_their_readings_alone_leave_a_stamp_as_it_is_stated() {
+fn small_clock_differences_leave_a_stamp_unchanged() {
     let (worker, mut starts) = (WorkerId::new("w9"), StartTimes::default());
     for difference in [0, MS, 100 * MS] {
         let stamp = WALL - 7 * SECOND - difference;
--- a/crates/pipithub-node/tests/unread_answers.rs
+++ b/crates/pipithub-node/tests/unread_answers.rs
@@ -1,83 +1,115 @@
-//! Answers that clients do not read, on real sockets, see `socket_harness`.
+//! Answers that clients do not read, on real sockets; see `socket_harness`.
 #![cfg(target_os = "linux")]
 
 mod socket_harness;
 
-use socket_harness::{Peer, call, config, event, held_at_port, listener, served, start, within};
+use socket_harness::system_queues::bytes_at_port;
+use socket_harness::{FrontEnd, Peer, call_line, long_body, run_test, served_line};
 use tokio::io::Interest;
 
-/// Clients that do not read: no single one has too much waiting, all together have.
+/// What the front end holds for each client at most: well under what a single client may have.
+const UNREAD_BYTES_PER_CLIENT: usize = 700 << 10;
+
+/// A client that does not read, and how many calls it has sent.
+struct UnreadClient {
+    peer: Peer,
+    sent: u64,
+}
+
+/// A client that reads and only asks for the front end's health: its answer comes after all earlier input is handled.
+struct Watcher {
+    peer: Peer,
+    last_id: u64,
+}
+
+impl Watcher {
+    async fn is_healthy(&mut self) -> bool {
+        self.last_id += 1;
+        self.peer.is_healthy(self.last_id).await
+    }
+}
+
 #[tokio::test]
-async fn answers_that_many_clients_do_not_read_do_not_fill_the_memory() {
-    within(async {
-        let ((worker, at), (_list, list_at)) = (listener().await, listener().await);
-        let mut config = config(list_at, &[event(1, true, &[("w1", at, "SERVING")])]);
-        config["limits"]["memory_mb"] = 16.into();
-        let node = start(&config).await;
-        let mut watcher = Peer::connect(node).await;
-        watcher.send(&call(1, "view", "")).await;
-        let mut at_worker = Peer::accept(&worker).await;
+async fn clients_that_do_not_read_are_disconnected_once_their_answers_exceed_the_memory() {
+    run_test(async {
+        let limit_memory =
+            |config: &mut serde_json::Value| config["limits"]["memory_mb"] = 16.into();
+        let front_end = FrontEnd::start_with(limit_memory).await;
+        let mut peer = front_end.connect_client().await;
+        peer.send(&call_line(1, "view", "")).await;
+        let mut at_worker = front_end.accept_at_worker().await;
         at_worker.serve_next().await;
-        watcher.next().await.expect("an answer");
-        let (mut clients, mut question) = (Vec::new(), 1);
-        let body = "A".repeat(21_844);
-        for n in 1..=4u64 {
-            let client = Peer::connect(node).await;
-            let port = client.write.local_addr().expect("bound").port();
-            let mut sent = 0u64;
-            // Until the front end itself holds 700 KiB for it: well under what a single one may have.
-            'fill: while !sent.is_multiple_of(16)
-                || sent as usize * body.len() < held_at_port(port) + (700 << 10)
-            {
-                if client
-                    .write
-                    .try_write(call(1000 * n + sent, "view", &body).as_bytes())
-                    .is_err()
-                {
-                    break;
-                }
-                sent += 1;
-                // One after the other, so that the module takes each: its answer is handled once a later question is.
-                question += 1;
-                watcher.is_well(question).await;
-                let asked = tokio::select! {
-                    biased;
-                    asked = at_worker.next() => asked.expect("a call"),
-                    // Cut off: the call was not read.
-                    () = closed(&client) => break 'fill,
-                };
-                at_worker.say(&served(&asked));
-                question += 1;
-                watcher.is_well(question).await;
-            }
-            clients.push((client, sent));
+        peer.expect_message().await;
+        let mut watcher = Watcher { peer, last_id: 1 };
+        let mut clients = Vec::new();
+        for number in 1..=4u64 {
+            let peer = front_end.connect_client().await;
+            let first_id = 1000 * number;
+            clients.push(fill(peer, first_id, &mut at_worker, &mut watcher).await);
         }
-        let mut whole = 0;
-        for (client, sent) in &mut clients {
-            let mut read = 0;
-            while read < *sent && matches!(client.lines.next_line().await, Ok(Some(_))) {
-                read += 1;
-            }
-            whole += usize::from(read == *sent);
+        let mut complete = 0;
+        for client in &mut clients {
+            complete += usize::from(has_all_answers(client).await);
         }
         assert!(
-            (1..4).contains(&whole),
-            "some are cut off, and not all: {whole}"
+            (1..4).contains(&complete),
+            "{complete} of 4 clients have all their answers"
         );
-        assert!(watcher.is_well(question + 1).await);
+        assert!(watcher.is_healthy().await);
     })
     .await;
 }
 
-/// Waits until the other side has closed, though what it sent before is not read.
-async fn closed(client: &Peer) {
+/// Sends calls, which are served, until the front end holds [`UNREAD_BYTES_PER_CLIENT`] for the client or disconnects it.
+async fn fill(
+    peer: Peer,
+    first_id: u64,
+    at_worker: &mut Peer,
+    watcher: &mut Watcher,
+) -> UnreadClient {
+    let body = long_body();
+    let (port, _) = peer.ports();
+    let mut sent = 0u64;
+    while !sent.is_multiple_of(16)
+        || (sent as usize) * body.len() < bytes_at_port(port) + UNREAD_BYTES_PER_CLIENT
+    {
+        let line = call_line(first_id + sent, "view", &body);
+        if peer.write.try_write(line.as_bytes()).is_err() {
+            break;
+        }
+        sent += 1;
+        // One call after the other, so that the module admits each of them.
+        watcher.is_healthy().await;
+        let request = tokio::select! {
+            biased;
+            request = at_worker.expect_message() => request,
+            // The client was disconnected before its call was read.
+            () = disconnected(&peer) => break,
+        };
+        at_worker.send_without_waiting(&served_line(&request));
+        watcher.is_healthy().await;
+    }
+    UnreadClient { peer, sent }
+}
+
+/// Reads a client's answers; returns whether all have come.
+async fn has_all_answers(client: &mut UnreadClient) -> bool {
+    let mut read = 0;
+    while read < client.sent && matches!(client.peer.lines.next_line().await, Ok(Some(_))) {
+        read += 1;
+    }
+    read == client.sent
+}
+
+/// Waits until the front end has closed the connection, even if what it sent before is not read.
+async fn disconnected(client: &Peer) {
+    let stream = client.write.as_ref();
     loop {
-        let ready = client
-            .write
-            .as_ref()
-            .ready(Interest::READABLE | Interest::WRITABLE)
-            .await;
-        if !ready.is_ok_and(|r| !r.is_read_closed() && !r.is_write_closed() && !r.is_error()) {
+        let ready = stream.ready(Interest::READABLE | Interest::WRITABLE).await;
+        let is_open = ready.is_ok_and(|ready| {
+            !ready.is_read_closed() && !ready.is_write_closed() && !ready.is_error()
+        });
+        if !is_open {
             return;
         }
         tokio::task::yield_now().await;
--- a/crates/pipithub-node/tests/unread_calls.rs
+++ b/crates/pipithub-node/tests/unread_calls.rs
@@ -1,4 +1,4 @@
-//! Calls that stand before a worker that does not read, on real sockets, see `socket_harness`.
+//! Calls that wait for a worker that does not read, on real sockets; see `socket_harness`.
 #![cfg(target_os = "linux")]
 
 mod socket_harness;
@@ -8,249 +8,285 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use serde_json::json;
-use socket_harness::{Peer, call, config, event, held_at_port, listener, served, start, within};
-use socket2::{Domain, Socket, Type};
+use serde_json::{Value, json};
+use socket_harness::system_queues::{bytes_at_port, bytes_between};
+use socket_harness::{
+    FrontEnd, Peer, call_line, call_name, event, long_body, run_test, served_line, small_listener,
+};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 
-/// A worker that has stopped reading, and clients whose calls stand before it: more than the system buffers.
-struct Blocked {
-    at: SocketAddr,
+/// Each client's calls are of a class of its own, so that the module admits them all.
+const CLIENTS: u64 = 8;
+/// The class of the calls that are served before the worker stops reading.
+const WARM_UP_CLASS: u64 = CLIENTS;
+const CALLS_PER_CLIENT: u64 = 32;
+const WARM_UP_CALLS: u64 = 200;
+const CLIENT_TIMEOUT_MS: u64 = 3_000_000;
+
+/// A worker that has stopped reading, and clients whose calls wait for it: more than the system buffers.
+struct UnreadCalls {
+    front_end: FrontEnd,
+    /// The worker's end of the connection that it does not read.
     at_worker: Peer,
-    worker: TcpListener,
     watcher: Peer,
     clients: Vec<Peer>,
-    body: String,
-    _list: TcpListener,
 }
 
-fn class_call(id: u64, class: u64, body: &str) -> String {
-    call(id, &format!("c{class}"), body).replace(":60000", ":3000000")
+/// The id of a client's call; clients and their calls are counted from 0.
+fn call_id(client: u64, number: u64) -> u64 {
+    100 * (client + 1) + number
+}
+
+fn call_of_class(id: u64, class: u64, body: &str) -> String {
+    let timeout = format!(":{CLIENT_TIMEOUT_MS}");
+    call_line(id, &format!("c{class}"), body).replace(":60000", &timeout)
 }
 
-async fn blocked_worker(effect: &str) -> Blocked {
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.set_recv_buffer_size(4096).expect("set");
-    socket
-        .bind(
-            &"127.0.0.1:0"
-                .parse::<SocketAddr>()
-                .expect("an address")
-                .into(),
-        )
-        .expect("bound");
-    socket.listen(16).expect("listens");
-    socket.set_nonblocking(true).expect("set");
-    let worker = TcpListener::from_std(socket.into()).expect("listens");
-    let at = worker.local_addr().expect("bound");
-    let (list, list_at) = listener().await;
-    // Workers that drain have their part of the connections, so that one is left for the one that serves.
-    let names: Vec<String> = (0..200).map(|n| format!("d{n}")).collect();
-    let mut hosts: Vec<_> = names.iter().map(|n| (n.as_str(), at, "DRAINING")).collect();
-    hosts.push(("w1", at, "SERVING"));
-    let mut config = config(list_at, &[event(1, true, &hosts)]);
-    // So much time, and so many classes, that the module takes them all: they are more than the system buffers.
-    let class = |n: u64| {
-        json!({"Name": format!("c{n}"), "Effect": effect, "Aim": 3_000_000_000_000u64,
+/// Classes with so long a timeout that the module admits every call.
+fn classes(effect: &str) -> Value {
+    let class = |number: u64| {
+        json!({"Name": format!("c{number}"), "Effect": effect, "Aim": 3_000_000_000_000u64,
             "GiveUp": 3_000_000_000_000u64, "LateWorth": 0.5})
     };
-    config["settings"]["Grades"] = (0..9).map(class).collect();
-    let node = start(&config).await;
-    // Some are served first, so that the module knows the function to stand there and to be quick.
-    let mut watcher = Peer::connect(node).await;
-    watcher.send(&class_call(1000, 8, "")).await;
-    let mut at_worker = Peer::accept(&worker).await;
-    for id in 1001..1200 {
+    (0..=WARM_UP_CLASS).map(class).collect()
+}
+
+/// One worker that serves and 200 that drain: these have their part of the connections, so that one is left for it.
+fn endpoint_list(worker: SocketAddr) -> Value {
+    let names: Vec<String> = (0..200).map(|number| format!("d{number}")).collect();
+    let mut workers: Vec<_> = names
+        .iter()
+        .map(|name| (name.as_str(), worker, "DRAINING"))
+        .collect();
+    workers.push(("w1", worker, "SERVING"));
+    event(1, true, &workers)
+}
+
+impl UnreadCalls {
+    async fn start(effect: &str) -> Self {
+        let worker = small_listener(16, Some(4096));
+        let list = endpoint_list(worker.local_addr().expect("bound"));
+        let front_end = FrontEnd::start_before(worker, |config| {
+            config["known"] = json!({"index": 1, "updates": [list]});
+            config["settings"]["Grades"] = classes(effect);
+        })
+        .await;
+        let mut watcher = front_end.connect_client().await;
+        let at_worker = warm_up(&front_end, &mut watcher).await;
+        let mut clients = Vec::new();
+        for number in 0..CLIENTS {
+            clients.push(client_with_calls(&front_end, number).await);
+        }
+        watcher.is_healthy(1).await;
+        UnreadCalls {
+            front_end,
+            at_worker,
+            watcher,
+            clients,
+        }
+    }
+}
+
+/// Has calls served, so that the module knows that the function is loaded there and quick.
+async fn warm_up(front_end: &FrontEnd, client: &mut Peer) -> Peer {
+    let line = |number| call_of_class(1000 + number, WARM_UP_CLASS, "");
+    client.send(&line(0)).await;
+    let mut at_worker = front_end.accept_at_worker().await;
+    for number in 1..WARM_UP_CALLS {
         at_worker.serve_next().await;
-        watcher.next().await.expect("an answer");
-        watcher.send(&class_call(id, 8, "")).await;
+        client.expect_message().await;
+        client.send(&line(number)).await;
     }
     at_worker.serve_next().await;
-    watcher.next().await.expect("an answer");
-    let body = "A".repeat(21_844);
-    let mut clients = Vec::new();
-    for n in 0..8u64 {
-        let mut client = Peer::connect(node).await;
-        for id in 0..32 {
-            client.send(&class_call(100 * (n + 1) + id, n, &body)).await;
-        }
-        client.is_well(99).await;
-        clients.push(client);
-    }
-    watcher.is_well(1).await;
-    Blocked {
-        at,
-        at_worker,
-        worker,
-        watcher,
-        clients,
-        body,
-        _list: list,
+    client.expect_message().await;
+    at_worker
+}
+
+async fn client_with_calls(front_end: &FrontEnd, number: u64) -> Peer {
+    let mut client = front_end.connect_client().await;
+    for call in 0..CALLS_PER_CLIENT {
+        let line = call_of_class(call_id(number, call), number, &long_body());
+        client.send(&line).await;
     }
+    client.is_healthy(99).await;
+    client
 }
 
-/// A worker stops reading while its calls' clients leave; later it reads again. What lay in the front end's own buffer
-/// must not begin then.
+/// What lies in the front end's own buffer when the clients leave must not run once the worker reads again.
 #[tokio::test]
-async fn what_stood_behind_a_worker_that_did_not_read_does_not_begin_once_its_clients_have_gone() {
-    within(async {
-        let Blocked {
+async fn calls_that_the_system_did_not_accept_do_not_run_after_their_clients_left() {
+    run_test(async {
+        let UnreadCalls {
+            front_end: _front_end,
             mut at_worker,
             mut watcher,
             clients,
-            body,
-            ..
-        } = blocked_worker("read_like").await;
+        } = UnreadCalls::start("read_like").await;
         drop(clients);
-        watcher.is_well(2).await;
-        watcher.is_well(3).await;
-        let ports = at_worker
-            .write
-            .local_addr()
-            .and_then(|at| Ok((at.port(), at_worker.write.peer_addr()?.port())));
-        let (port, peer) = ports.expect("connected");
-        let held = socket_harness::held_by_the_system(port, peer);
-        // It reads again, to the connection's end: the line of which the system held a part never becomes whole.
-        let (mut began, mut half) = (0, false);
-        while let Some(line) = at_worker.lines.next_line().await.expect("no reset") {
-            assert!(!half, "something follows half a line");
-            match serde_json::from_str::<serde_json::Value>(&line) {
-                Ok(asked) if asked["cmd"] == "DO" => began += line.len(),
-                Ok(_) => {}
-                Err(_) => half = true,
-            }
-        }
-        // What began is what the system held whole when the clients had gone.
-        assert!(held < 200 * body.len(), "not all of it went out: {held}");
+        watcher.is_healthy(2).await;
+        watcher.is_healthy(3).await;
+        let (worker_port, front_end_port) = at_worker.ports();
+        let accepted = bytes_between(worker_port, front_end_port);
+        let running = read_run_bytes_to_the_end(&mut at_worker).await;
+        assert!(
+            accepted < 200 * long_body().len(),
+            "not all was accepted: {accepted}"
+        );
         assert!(
-            began <= held,
-            "{began} bytes of calls began, {held} were out of reach"
+            running <= accepted,
+            "{running} bytes of calls ran, {accepted} could not be withdrawn"
         );
     })
     .await;
 }
 
-/// The same, and room has come just before one of them leaves, of which the front end has not heard yet: what it takes back
-/// then must not have left meanwhile, or a call that runs would be taken for one that never did.
+/// Reads a connection to its end; returns the length of all lines that ask for a run. Nothing may follow the incomplete
+/// line of which the system had accepted a part.
+async fn read_run_bytes_to_the_end(at_worker: &mut Peer) -> usize {
+    let (mut bytes, mut is_at_incomplete_line) = (0, false);
+    while let Some(line) = at_worker.lines.next_line().await.expect("no reset") {
+        assert!(!is_at_incomplete_line, "something follows half a line");
+        match serde_json::from_str::<Value>(&line) {
+            Ok(request) if request["cmd"] == "DO" => bytes += line.len(),
+            Ok(_) => {}
+            Err(_) => is_at_incomplete_line = true,
+        }
+    }
+    bytes
+}
+
+/// The length of the line that asks the worker to run a client's call.
+fn run_line_length() -> usize {
+    let name = "0".repeat(16);
+    let line =
+        pipithub_platform::worker::run_line(&name, "c0", &name, 2_999_000_000_000, None, &[]);
+    line.len() + long_body().len()
+}
+
+/// Bytes that the system held for the worker, split at the end of the last complete line.
+struct ReadLines {
+    complete: String,
+    incomplete: String,
+}
+
+/// Reads up to 80 lines of what the system holds for the worker.
+fn read_without_waiting(at_worker: &Peer) -> ReadLines {
+    let line_length = run_line_length();
+    let stream = at_worker.write.as_ref();
+    let mut bytes = Vec::new();
+    let mut buffer = vec![0; 1 << 16];
+    while let Ok(count) = stream.try_read(&mut buffer) {
+        bytes.extend_from_slice(&buffer[..count]);
+        if count == 0 || bytes.len() > 80 * line_length {
+            break;
+        }
+    }
+    let read = bytes.len();
+    assert!(read > 40 * line_length, "room for some more lines: {read}");
+    let last_line_feed = bytes.iter().rposition(|byte| *byte == b'\n');
+    let incomplete = bytes.split_off(last_line_feed.map_or(0, |at| at + 1));
+    let text = |bytes| String::from_utf8(bytes).expect("text");
+    ReadLines {
+        complete: text(bytes),
+        incomplete: text(incomplete),
+    }
+}
+
+/// The names of the calls that were served and of those that were rejected as not run. A failure promises neither.
+#[derive(Default)]
+struct FinalAnswers {
+    served: BTreeSet<String>,
+    rejected: BTreeSet<String>,
+}
+
+async fn read_final_answers(clients: Vec<Peer>) -> FinalAnswers {
+    let mut answers = FinalAnswers::default();
+    for mut client in clients {
+        for _ in 0..CALLS_PER_CLIENT {
+            let answer = client.expect_message().await;
+            let name = call_name(answer["id"].as_u64().expect("a number"));
+            if answer["result"]["body"].is_string() {
+                answers.served.insert(name);
+            } else if answer["error"]["code"] == -32050 {
+                answers.rejected.insert(name);
+            }
+        }
+    }
+    answers
+}
+
+/// The worker reads a part just before a client leaves, and the front end hears of the room and of the close together:
+/// a line that it withdraws then must not have been written meanwhile, or a call that runs would count as never sent.
 #[tokio::test]
-async fn what_is_taken_back_as_a_worker_begins_to_read_again_has_not_left() {
-    within(async {
-        let Blocked {
-            at,
+async fn withdrawn_calls_have_not_been_written_as_the_worker_begins_to_read_again() {
+    run_test(async {
+        let UnreadCalls {
+            front_end,
             at_worker,
-            worker,
             mut watcher,
             mut clients,
-            body,
-            _list,
-        } = blocked_worker("non_idempotent").await;
-        // The client whose call has left in part: its later calls can be taken back.
-        let line = pipithub_platform::worker::run_line(
-            &"0".repeat(16),
-            "c0",
-            &"0".repeat(16),
-            2_999_000_000_000,
-            None,
-            &[],
-        );
-        let line = line.len() + body.len();
-        let partial = held_at_port(at.port()) / line / 32;
-        drop(clients.remove(partial));
-        // Room, of which the front end hears together with the close and after it.
-        let mut read = Vec::new();
-        let stream = at_worker.write.as_ref();
-        let mut piece = vec![0; 1 << 16];
-        while let Ok(n) = stream.try_read(&mut piece) {
-            read.extend_from_slice(&piece[..n]);
-            if n == 0 || read.len() > 80 * line {
-                break;
-            }
-        }
-        assert!(
-            read.len() > 40 * line,
-            "there is room for some more: {}",
-            read.len()
-        );
-        watcher.is_well(5).await;
-        // The worker serves what it reads, on this connection and on those that follow.
-        let whole = read
-            .iter()
-            .rposition(|b| *b == b'\n')
-            .map_or(0, |at| at + 1);
-        let rest = String::from_utf8(read.split_off(whole)).expect("text");
-        let began = Rc::new(RefCell::new(Vec::new()));
-        let read = String::from_utf8(read).expect("text");
-        let serves = serve_all(at_worker, worker, read, rest, began.clone());
-        let answers = async {
-            let (mut ran, mut refused) = (BTreeSet::new(), BTreeSet::new());
-            // A third end, a failure, promises nothing.
-            for mut client in clients {
-                for _ in 0..32 {
-                    let answer = client.next().await.expect("an answer");
-                    let name = format!("{:016x}", answer["id"].as_u64().expect("a number"));
-                    if answer["result"]["body"].is_string() {
-                        ran.insert(name);
-                    } else if answer["error"]["code"] == -32050 {
-                        refused.insert(name);
-                    }
-                }
-            }
-            (ran, refused)
+        } = UnreadCalls::start("non_idempotent").await;
+        // The client whose line is accepted in part leaves: its later calls can be withdrawn.
+        let worker_port = front_end.worker.local_addr().expect("bound").port();
+        let accepted_lines = bytes_at_port(worker_port) / run_line_length();
+        let leaving = accepted_lines / CALLS_PER_CLIENT as usize;
+        drop(clients.remove(leaving));
+        let read = read_without_waiting(&at_worker);
+        watcher.is_healthy(5).await;
+        let ran = Rc::new(RefCell::new(Vec::new()));
+        let answers = tokio::select! {
+            answers = read_final_answers(clients) => answers,
+            () = serve_all(at_worker, front_end.worker, read, ran.clone()) => unreachable!("it does not end"),
         };
-        let (ran, refused) = tokio::select! {
-            answers = answers => answers,
-            () = serves => unreachable!("it serves for ever"),
-        };
-        // Whoever was taken for never sent was refused, or went out again: these must not run twice.
-        let began = began.borrow();
-        let once: BTreeSet<String> = began.iter().cloned().collect();
-        assert_eq!(
-            once.len(),
-            began.len(),
-            "begun, and taken for never sent: {began:?}"
-        );
-        let unseen: Vec<_> = ran.difference(&once).collect();
-        assert!(unseen.is_empty(), "served by nobody: {unseen:?}");
-        let both: Vec<_> = refused.intersection(&once).collect();
-        assert!(both.is_empty(), "refused, and begun: {both:?}");
-        let gone = format!("{:016x}", 100 * (partial as u64 + 1) + 31);
-        assert!(!once.contains(&gone), "nobody waits for it");
+        let last_call = call_name(call_id(leaving as u64, CALLS_PER_CLIENT - 1));
+        check_each_call_ran_at_most_once(&ran.borrow(), &answers, &last_call);
     })
     .await;
 }
 
-/// Serves whatever comes on a connection of which these lines and this piece of one were read before, and on all that
-/// follow it; notes the names of what began.
+/// Holds what ran against the final answers; `abandoned`: a call whose client had left before it was written.
+fn check_each_call_ran_at_most_once(ran: &[String], answers: &FinalAnswers, abandoned: &str) {
+    let distinct: BTreeSet<String> = ran.iter().cloned().collect();
+    assert_eq!(distinct.len(), ran.len(), "a call ran twice: {ran:?}");
+    let unseen: Vec<_> = answers.served.difference(&distinct).collect();
+    assert!(unseen.is_empty(), "served by no worker: {unseen:?}");
+    let both: Vec<_> = answers.rejected.intersection(&distinct).collect();
+    assert!(both.is_empty(), "rejected, and ran: {both:?}");
+    assert!(!distinct.contains(abandoned), "its client had left");
+}
+
+/// Serves all calls on a connection of which a part was read before, and on all that follow it; notes the names of the
+/// calls in the order in which they ran.
 async fn serve_all(
     first: Peer,
     listener: TcpListener,
-    lines: String,
-    mut piece: String,
-    began: Rc<RefCell<Vec<String>>>,
+    read: ReadLines,
+    ran: Rc<RefCell<Vec<String>>>,
 ) {
-    let (mut peer, mut lines): (Peer, Vec<String>) =
-        (first, lines.lines().map(str::to_string).collect());
+    let mut peer = first;
+    for line in read.complete.lines() {
+        serve_line(&mut peer, line, &ran).await;
+    }
+    let mut line_start = read.incomplete;
     loop {
-        loop {
-            for line in lines.drain(..) {
-                // A line that cannot be read is half of one, at its connection's end.
-                let Ok(asked) = serde_json::from_str::<serde_json::Value>(&line) else {
-                    continue;
-                };
-                if asked["cmd"] == "DO" {
-                    began
-                        .borrow_mut()
-                        .push(asked["ref"].as_str().expect("a name").to_string());
-                    let _ = peer.write.write_all(served(&asked).as_bytes()).await;
-                }
-            }
-            // The front end ends a connection on which it waits for nothing; an answer that crosses that makes it a reset.
-            let Ok(Some(line)) = peer.lines.next_line().await else {
-                break;
-            };
-            lines.push(std::mem::take(&mut piece) + &line);
+        // The front end closes a connection on which it awaits nothing; an answer that crosses the close makes it a reset.
+        while let Ok(Some(line)) = peer.lines.next_line().await {
+            let line = std::mem::take(&mut line_start) + &line;
+            serve_line(&mut peer, &line, &ran).await;
         }
-        peer = Peer::of(listener.accept().await.expect("a new connection").0);
+        peer = Peer::accept(&listener).await;
+    }
+}
+
+async fn serve_line(peer: &mut Peer, line: &str, ran: &RefCell<Vec<String>>) {
+    // A line that cannot be read is the incomplete one at its connection's end.
+    let Ok(request) = serde_json::from_str::<Value>(line) else {
+        return;
+    };
+    if request["cmd"] == "DO" {
+        let name = request["ref"].as_str().expect("a name").to_string();
+        ran.borrow_mut().push(name);
+        let _ = peer.write.write_all(served_line(&request).as_bytes()).await;
     }
 }
--- a/crates/pipithub-node/tests/worker_faults.rs
+++ b/crates/pipithub-node/tests/worker_faults.rs
@@ -1,4 +1,4 @@
-//! Trouble at workers or with other clients: every request has its one final answer all the same.
+//! Faults of workers or of other clients: every request still gets exactly one final answer.
 
 mod core_harness;
 
@@ -8,112 +8,131 @@
 use pipithub_node::effect::ConnectionId;
 
 const CALLS: u64 = 24;
-const FLOOD: &str = "{\"cmd\":\"ACK\",\"ref\":\"ffffffffffffffff\",\"payload\":\"\"}\n";
+/// An answer to no request.
+const UNEXPECTED_ANSWER: &str = "{\"cmd\":\"ACK\",\"ref\":\"ffffffffffffffff\",\"payload\":\"\"}\n";
 
-/// A trouble, with the front end, the client whose calls are open, and what was written to which worker for them.
-type Trouble = fn(&mut CoreHarness, &BTreeMap<ConnectionId, Vec<String>>);
+/// A fault that is injected while calls are pending; it gets the lines that were written on each worker's connection.
+type Fault = fn(&mut CoreHarness, &BTreeMap<ConnectionId, Vec<String>>);
 
-fn line(id: u64, class: &str) -> String {
+fn call_line(id: u64, class: &str) -> String {
     format!(
         r#"{{"jsonrpc":"2.0","id":{id},"method":"{class}","params":{{"call":"{id:016x}","ttl":1500,"row":"{id:016x}"}}}}"#
     )
 }
 
-/// Has one client ask, and the trouble come; how long after it each call had its answer, in milliseconds.
-fn answers(class: &str, max_pending_requests: usize, trouble: Trouble) -> BTreeMap<u64, u64> {
+/// Has one client call and injects the fault; returns how long after it each call was answered, in milliseconds.
+fn answers(class: &str, max_pending_requests: usize, fault: Fault) -> BTreeMap<u64, u64> {
     let mut config = config();
     config.site.transport.max_pending_requests = max_pending_requests;
     // One connection to each worker.
     config.max_descriptors = 32;
-    let mut b = CoreHarness::of(&config);
-    let client = b.client();
+    let mut harness = CoreHarness::with_config(&config);
+    let client = harness.connect_client();
     let mut answers = BTreeMap::new();
-    let mut asked: BTreeMap<ConnectionId, Vec<String>> = BTreeMap::new();
+    let mut forwarded: BTreeMap<ConnectionId, Vec<String>> = BTreeMap::new();
     let mut note =
         |written: Vec<(ConnectionId, String)>, at: u64, answers: &mut BTreeMap<u64, u64>| {
             for (connection, line) in written {
                 if connection != client {
-                    asked.entry(connection).or_default().push(line);
+                    forwarded.entry(connection).or_default().push(line);
                     continue;
                 }
                 let answer: serde_json::Value = serde_json::from_str(&line).expect("an answer");
                 let earlier = answers.insert(answer["id"].as_u64().expect("a number"), at);
                 assert_eq!(earlier, None, "a second answer: {line}");
             }
-            asked.clone()
+            forwarded.clone()
         };
     for id in 1..=CALLS {
-        b.say(client, &line(id, class));
+        harness.send_line(client, &call_line(id, class));
     }
-    let written = b.written();
-    let asked = note(written, 0, &mut answers);
-    trouble(&mut b, &asked);
+    let written = harness.written();
+    let forwarded = note(written, 0, &mut answers);
+    fault(&mut harness, &forwarded);
     for at in 0..160 {
-        let written = b.written();
+        let written = harness.written();
         note(written, 10 * at, &mut answers);
-        b.pass(10 * MS);
+        harness.advance(10 * MS);
     }
-    assert_eq!(b.core.pending_requests(), 0);
+    assert_eq!(harness.core.pending_requests(), 0);
     answers
 }
 
-fn noise_on_all(b: &mut CoreHarness, asked: &BTreeMap<ConnectionId, Vec<String>>) {
+fn send_malformed_answers(
+    harness: &mut CoreHarness,
+    forwarded: &BTreeMap<ConnectionId, Vec<String>>,
+) {
     assert!(
-        asked.values().any(|lines| lines.len() > 1),
-        "some connection is shared: {asked:?}"
+        forwarded.values().any(|lines| lines.len() > 1),
+        "some connection is shared: {forwarded:?}"
     );
-    for connection in asked.keys() {
-        b.core.worker_bytes(b.now, *connection, b"noise\n");
+    for connection in forwarded.keys() {
+        harness
+            .core
+            .worker_bytes(harness.now, *connection, b"noise\n");
     }
 }
 
-fn flood(b: &mut CoreHarness, asked: &BTreeMap<ConnectionId, Vec<String>>) {
-    for connection in asked.keys() {
+fn send_unexpected_answers(
+    harness: &mut CoreHarness,
+    forwarded: &BTreeMap<ConnectionId, Vec<String>>,
+) {
+    for connection in forwarded.keys() {
         (0..200).for_each(|_| {
-            b.core
-                .worker_bytes(b.now, *connection, FLOOD.repeat(100).as_bytes());
+            harness.core.worker_bytes(
+                harness.now,
+                *connection,
+                UNEXPECTED_ANSWER.repeat(100).as_bytes(),
+            );
         });
     }
 }
 
-fn others_faults(b: &mut CoreHarness, _: &BTreeMap<ConnectionId, Vec<String>>) {
-    // Names of the first client's calls, cancels for them, noise, a line too long, and a close.
-    let other = b.client();
+fn fail_as_other_clients(harness: &mut CoreHarness, _: &BTreeMap<ConnectionId, Vec<String>>) {
+    // Calls by the names of the first client's, cancels of them, a malformed line, a line too long, and a close.
+    let other = harness.connect_client();
     for id in 1..=CALLS {
-        b.say(other, &line(id, "view"));
-        b.say(
+        harness.send_line(other, &call_line(id, "view"));
+        harness.send_line(
             other,
             &format!(r#"{{"jsonrpc":"2.0","method":"forget","params":{{"call":"{id:016x}"}}}}"#),
         );
     }
-    b.say(other, "noise");
-    let third = b.client();
-    b.core.client_bytes(b.now, third, &vec![b'x'; 40_000]);
-    b.core.client_closed(b.now, third);
+    harness.send_line(other, "noise");
+    let third = harness.connect_client();
+    harness
+        .core
+        .client_bytes(harness.now, third, &vec![b'x'; 40_000]);
+    harness.core.client_closed(harness.now, third);
 }
 
-fn all_break(b: &mut CoreHarness, asked: &BTreeMap<ConnectionId, Vec<String>>) {
-    for connection in asked.keys() {
-        b.core.worker_closed(b.now, *connection, u64::MAX);
+fn break_all_connections(
+    harness: &mut CoreHarness,
+    forwarded: &BTreeMap<ConnectionId, Vec<String>>,
+) {
+    for connection in forwarded.keys() {
+        harness
+            .core
+            .worker_closed(harness.now, *connection, u64::MAX);
     }
 }
 
 #[test]
-fn every_call_has_one_answer_in_its_time_whatever_goes_wrong_beside_it() {
-    let troubles: [(&str, usize, Trouble); 5] = [
+fn every_call_gets_one_answer_in_time_despite_faults_around_it() {
+    let faults: [(&str, usize, Fault); 5] = [
         (
-            "answers that cannot be read, on shared connections",
+            "malformed answers on shared connections",
             20_000,
-            noise_on_all,
+            send_malformed_answers,
         ),
-        ("workers that flood", 20_000, flood),
-        ("a full table", 4, |_, _| ()),
-        ("faults of other clients", 20_000, others_faults),
-        ("all connections break", 20_000, all_break),
+        ("many unexpected answers", 20_000, send_unexpected_answers),
+        ("too many pending requests", 4, |_, _| ()),
+        ("faults of other clients", 20_000, fail_as_other_clients),
+        ("all connections break", 20_000, break_all_connections),
     ];
-    for (name, max_pending_requests, trouble) in troubles {
+    for (name, max_pending_requests, fault) in faults {
         for class in ["view", "assign"] {
-            let answers = answers(class, max_pending_requests, trouble);
+            let answers = answers(class, max_pending_requests, fault);
             let missing: Vec<u64> = (1..=CALLS).filter(|id| !answers.contains_key(id)).collect();
             assert!(
                 missing.is_empty(),
@@ -128,10 +147,9 @@
     }
 }
 
-/// What must not run twice has nothing to wait for once its connection is of no use.
 #[test]
-fn calls_that_must_not_run_twice_are_answered_at_once_when_their_shared_connection_is_spoilt() {
-    let answers = answers("assign", 20_000, noise_on_all);
+fn non_idempotent_calls_fail_at_once_when_their_shared_connection_is_malformed() {
+    let answers = answers("assign", 20_000, send_malformed_answers);
     let at_once = answers.values().filter(|at| **at == 0).count();
     assert_eq!(at_once, CALLS as usize, "{answers:?}");
 }
