--- a/crates/pipithub-conformance/src/fleet.rs
+++ b/crates/pipithub-conformance/src/fleet.rs
@@ -41,7 +41,19 @@
         Rule::Convergence,
     ];
 
-    /// Its name in reports.
+    /// What the rule requires, in the words of tables.
+    pub fn description(self) -> &'static str {
+        match self {
+            Rule::UniqueGeneration => "no generation of a member is used twice",
+            Rule::FailureDetected => "failed members are detected",
+            Rule::NoFalsePositive => "running members are not taken for failed",
+            Rule::StaleDiskReported => "stale and empty disks are reported",
+            Rule::SingleRunPerName => "one active process for each member",
+            Rule::Convergence => "all members agree in the end",
+        }
+    }
+
+    /// The name of the rule in JSON reports. Programs compare it across versions, so it does not change.
     pub fn name(self) -> &'static str {
         match self {
             Rule::UniqueGeneration => "one run for each number",
--- a/crates/pipithub-conformance/src/fleet/convergence.rs
+++ b/crates/pipithub-conformance/src/fleet/convergence.rs
@@ -18,13 +18,14 @@
             .iter()
             .rfind(|claim| claim.run == run && claim.at >= history.end);
         let fault = match last_claim {
-            None => Some(format!("{name} (run {run}) claimed nothing in the end")),
+            None => Some(format!("{name} (run {run}) reported nothing in the end")),
             // Of two runs with one name, one may stay out.
             Some(claim) if !claim.joined => {
                 let has_duplicate = running
                     .iter()
                     .any(|other| *other != run && name_of(*other) == name);
-                (!has_duplicate).then(|| format!("{name} (run {run}) takes no part in the end"))
+                (!has_duplicate)
+                    .then(|| format!("{name} (run {run}) has not joined the fleet in the end"))
             }
             Some(claim) => wrong_membership(name, claim, &names),
         };
@@ -44,5 +45,6 @@
         .map(|(other, _)| other.as_str())
         .collect();
     alive.insert(name);
-    (alive != *names).then(|| format!("{name} believes {alive:?} to be there, there are {names:?}"))
+    (alive != *names)
+        .then(|| format!("{name} sees the members {alive:?}, but {names:?} are running"))
 }
--- a/crates/pipithub-conformance/src/fleet/disks.rs
+++ b/crates/pipithub-conformance/src/fleet/disks.rs
@@ -27,7 +27,7 @@
             breaches.push(Breach {
                 rule: Rule::StaleDiskReported,
                 what: format!(
-                    "{} started from a disk that was {expected}, says {} and generation {}, {highest} was in use before",
+                    "{} started from a disk that was {expected}, but reports it as {} with generation {}; {highest} had been used before",
                     run.name, claim.disk, claim.generation
                 ),
             });
--- a/crates/pipithub-conformance/src/fleet/failure_detection.rs
+++ b/crates/pipithub-conformance/src/fleet/failure_detection.rs
@@ -39,7 +39,7 @@
     Some(Breach {
         rule: Rule::FailureDetected,
         what: format!(
-            "at {:.1} s {} holds {} for alive, dead since {:.1} s",
+            "at {:.1} s {} takes {} for alive, which ended at {:.1} s",
             history.seconds(claim.at),
             observer.name,
             failed.name,
@@ -67,13 +67,13 @@
     }
     let how = match claim.others.get(&running.name) {
         Some(Belief::Alive) => return None,
-        Some(Belief::Dead) => "for dead",
-        None => "for unknown",
+        Some(Belief::Dead) => "failed",
+        None => "unknown",
     };
     Some(Breach {
         rule: Rule::NoFalsePositive,
         what: format!(
-            "at {:.1} s {} holds {} {how}, which runs",
+            "at {:.1} s {} takes {} for {how}, which is running",
             history.seconds(at),
             observer.name,
             running.name
--- a/crates/pipithub-conformance/src/fleet/generations.rs
+++ b/crates/pipithub-conformance/src/fleet/generations.rs
@@ -27,7 +27,7 @@
             breaches.push(Breach {
                 rule: Rule::UniqueGeneration,
                 what: format!(
-                    "{name}: runs {first} and {second} both spoke under generation {generation}"
+                    "{name}: runs {first} and {second} both used generation {generation}"
                 ),
             });
         }
--- a/crates/pipithub-conformance/src/fleet/identity.rs
+++ b/crates/pipithub-conformance/src/fleet/identity.rs
@@ -16,7 +16,7 @@
                 breaches.push(Breach {
                     rule: Rule::SingleRunPerName,
                     what: format!(
-                        "at {:.1} s runs {first} and {second} of {} both take part",
+                        "at {:.1} s runs {first} and {second} of {} are both active",
                         history.seconds(at),
                         run.name
                     ),
--- a/crates/pipithub-conformance/src/rules.rs
+++ b/crates/pipithub-conformance/src/rules.rs
@@ -106,7 +106,19 @@
         Rule::TenantIsolation,
     ];
 
-    /// Its name in reports.
+    /// What the rule requires, in the words of tables.
+    pub fn description(self) -> &'static str {
+        match self {
+            Rule::OneFinalAnswer => "one final answer to each call, in time",
+            Rule::EffectAtMostOnce => "no call takes effect twice",
+            Rule::DrainRespected => "no new work for draining or removed workers",
+            Rule::SlowStartRespected => "no worker overloaded while it warms up",
+            Rule::LoadRateLimited => "load commands within their rate limit",
+            Rule::TenantIsolation => "no call reaches another tenant's function",
+        }
+    }
+
+    /// The name of the rule in JSON reports. Programs compare it across versions, so it does not change.
     pub fn name(self) -> &'static str {
         match self {
             Rule::OneFinalAnswer => "one final answer, in time",
--- a/crates/pipithub-conformance/src/rules/drains.rs
+++ b/crates/pipithub-conformance/src/rules/drains.rs
@@ -33,7 +33,7 @@
                 rule: Rule::DrainRespected,
                 at: record.time_ns,
                 what: format!(
-                    "{work} came to {worker} from {front_end} {after} ms after it was told"
+                    "{worker} got {work} from {front_end} {after} ms after that was notified of the drain or removal"
                 ),
             });
         }
@@ -59,7 +59,7 @@
     }
 }
 
-/// The front end that sent new work to a worker, and the words of reports for that work.
+/// The front end that sent new work to a worker, and its description for reports.
 fn new_work(seen: &Seen) -> Option<(&str, String)> {
     match seen {
         Seen::Call {
@@ -69,7 +69,7 @@
             front_end,
             function,
             copies,
-        } if *copies > 0 => Some((front_end, format!("an order to load {function}"))),
+        } if *copies > 0 => Some((front_end, format!("a command to load {function}"))),
         _ => None,
     }
 }
--- a/crates/pipithub-conformance/src/rules/effects.rs
+++ b/crates/pipithub-conformance/src/rules/effects.rs
@@ -46,7 +46,10 @@
     let rejection = trace.answers.iter().find(|a| a.verdict == "refused");
     if let (Some(rejection), Some(effect)) = (rejection, trace.effects.first()) {
         let at = rejection.at.max(*effect);
-        add(at, format!("call {id} ran and was refused"));
+        add(
+            at,
+            format!("call {id} took effect although it was answered as refused"),
+        );
     }
 }
 
@@ -67,7 +70,7 @@
             let (worker, earlier) = (&retry.id.worker, &earlier.id.worker);
             add(
                 retry.at,
-                format!("call {id} was sent to {worker} though it may have run at {earlier}"),
+                format!("call {id} was sent to {worker} although it may have run on {earlier}"),
             );
         }
     }
--- a/crates/pipithub-conformance/src/rules/final_answer.rs
+++ b/crates/pipithub-conformance/src/rules/final_answer.rs
@@ -26,7 +26,7 @@
         [] => add(
             trace.published + trace.timeout,
             format!(
-                "call {id} has no answer; delivered {} times",
+                "call {id} has no answer; it was delivered {} times",
                 trace.deliveries.len()
             ),
         ),
@@ -70,7 +70,7 @@
         let verdict = &answer.verdict;
         add(
             answer.at,
-            format!("call {id} was {verdict} {late} ms after its time"),
+            format!("call {id} was {verdict} {late} ms after its deadline"),
         );
     }
 }
--- a/crates/pipithub-conformance/src/rules/load_rate.rs
+++ b/crates/pipithub-conformance/src/rules/load_rate.rs
@@ -38,7 +38,7 @@
                     rule: Rule::LoadRateLimited,
                     at: *at,
                     what: format!(
-                        "{front_end}: {in_window} orders to load where {allowed:.2} are allowed"
+                        "{front_end} sent {in_window} load commands within the window; {allowed:.2} are allowed"
                     ),
                 });
             }
--- a/crates/pipithub-conformance/src/rules/slow_start.rs
+++ b/crates/pipithub-conformance/src/rules/slow_start.rs
@@ -11,7 +11,7 @@
             breaches.push(Breach {
                 rule: Rule::SlowStartRespected,
                 at: record.time_ns,
-                what: format!("{worker} fell over: {sent} calls sent, {bound:.1} borne"),
+                what: format!("{worker} was overloaded while it warmed up: {sent} calls sent, {bound:.1} allowed"),
             });
         }
     }
--- a/crates/pipithub-conformance/src/rules/tenants.rs
+++ b/crates/pipithub-conformance/src/rules/tenants.rs
@@ -13,8 +13,8 @@
     tenant: &'a str,
 }
 
-/// Checks that workers got only functions of the tenant whose its user is, or was until no longer ago than the grace.
-/// Which user a message names is the claim of its signer, which the front end must have verified.
+/// Checks that each request reached workers only for functions of the tenant that its user belongs to, or belonged to
+/// until the grace period before. The user is the one that the message names; the front end must verify the signature.
 pub(super) fn check(
     records: &[Record],
     config: &RuleConfig,
@@ -39,7 +39,7 @@
             breaches.push(Breach {
                 rule: Rule::TenantIsolation,
                 at: record.time_ns,
-                what: format!("{request} of user '{user}' reached {worker} with {function}"),
+                what: format!("call {request} of user '{user}' reached {worker} for function {function} of another tenant"),
             });
         }
     }
