--- a/crates/pipithub-scenario/src/client.rs
+++ b/crates/pipithub-scenario/src/client.rs
@@ -10,43 +10,42 @@
 
 pub use consumers::consumers;
 
-/// Requests that wait to be published, and answers that wait to be read; a side that is further behind makes the
-/// other wait.
+/// The capacity of the channels of requests and of answers. A sender waits while its channel is full.
 const CHANNEL_CAPACITY: usize = 10_000;
 
 /// A request to publish.
 #[derive(Clone, Debug, Default)]
 pub struct Publish {
-    /// Its id.
+    /// The message id, by which the answer is found.
     pub id: String,
-    /// The queue.
+    /// The queue to publish to.
     pub queue: String,
-    /// Its class.
+    /// The class.
     pub class: String,
     /// The function.
     pub function: String,
-    /// Its timeout in milliseconds; `None` for that of its class.
+    /// The timeout in milliseconds; `None` for that of the class.
     pub budget_ms: Option<u64>,
     /// Memory that a replica of the function needs, in megabytes; 0 if unknown.
     pub memory_mb: u32,
     /// Requests that a replica of the function can run at once; 0 if unknown.
     pub lanes: u32,
-    /// Its body.
+    /// The message body.
     pub body: Vec<u8>,
-    /// The property `user_id`, which a broker may check.
+    /// The message property `user_id`, which brokers compare with the user that is logged in.
     pub user_id: Option<String>,
-    /// The user whose request it is, with the key that signs it.
+    /// The user on whose behalf the request is made, with the signing key; `None` for an unsigned request.
     pub signed: Option<Signed>,
 }
 
-/// A user and the key that signs the requests of that user.
+/// A user and the key that the requests of this user are signed with.
 #[derive(Clone, Debug, Default)]
 pub struct Signed {
-    /// The user.
+    /// The user's name.
     pub user: String,
-    /// The id of the key.
+    /// The id of the key in the gateway's settings.
     pub key_id: String,
-    /// The key.
+    /// The HMAC key.
     pub key: Vec<u8>,
 }
 
@@ -67,13 +66,13 @@
     pub at: Time,
 }
 
-/// A running client; it ends when dropped.
+/// A running client. Its connection is closed when it is dropped.
 pub struct QueueClient {
-    /// Takes requests.
+    /// The requests to publish.
     pub calls: mpsc::Sender<Publish>,
-    /// Gives answers.
+    /// The answers received.
     pub answers: mpsc::Receiver<Answer>,
-    /// Its clock.
+    /// The clock of [`Answer::at`].
     pub clock: Clock,
     task: tokio::task::JoinHandle<()>,
 }
@@ -85,7 +84,10 @@
 }
 
 impl QueueClient {
-    /// Starts a client. It declares the reply queue and receives its answers there.
+    /// Starts a client that declares the reply queue and receives the answers there.
+    ///
+    /// It reconnects until it is dropped, so an unreachable broker shows only as missing answers. A request that was
+    /// published just before a connection was lost is not published again.
     pub fn start(address: &str, login: Login, reply_queue: &str) -> Self {
         let (calls, waiting) = mpsc::channel(CHANNEL_CAPACITY);
         let (sender, answers) = mpsc::channel(CHANNEL_CAPACITY);
--- a/crates/pipithub-scenario/src/client/connection.rs
+++ b/crates/pipithub-scenario/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! The connection of a queue client to its broker, opened anew whenever it is lost.
+//! The connection of a queue client to its broker, which is reopened whenever it is lost.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 
 use super::{Answer, Publish, declare, short};
 
-/// The pause between two connections.
+/// The delay before a new connection is opened.
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 /// No further request is taken while this many bytes wait to be written.
 const MAX_OUTPUT: usize = 1 << 20;
@@ -31,10 +31,10 @@
     pub(super) sender: mpsc::Sender<Answer>,
 }
 
-/// Whether a connection can go on.
+/// Whether a connection is still used.
 enum Flow {
     Continue,
-    /// Nobody reads answers any more.
+    /// The receiver of answers was dropped.
     Abandoned,
     /// The broker closed the connection or its channel.
     Closed,
@@ -46,7 +46,7 @@
         let mut unsent: VecDeque<Publish> = VecDeque::new();
         while !requests.is_closed() || !requests.is_empty() {
             if let Ok(stream) = TcpStream::connect(&self.address).await {
-                // A lost connection is opened anew, whatever the cause.
+                // Whatever ended the connection, a new one is opened.
                 let _ = self
                     .run_connection(stream, &mut requests, &mut unsent)
                     .await;
@@ -116,7 +116,7 @@
         self.endpoint.take_output(self.connector.clock.now())
     }
 
-    /// Handles what the broker sent, and hands answers on to their reader.
+    /// Handles all events that the broker caused, and passes answers on.
     async fn handle_events(&mut self) -> Flow {
         while let Some(event) = self.endpoint.poll_event() {
             match event {
--- a/crates/pipithub-scenario/src/client/consumers.rs
+++ b/crates/pipithub-scenario/src/client/consumers.rs
@@ -1,4 +1,4 @@
-//! Asks a broker for the number of consumers of a queue.
+//! Queries a broker for the number of consumers of a queue.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 
 use super::declare;
 
-/// The longest that an answer of the broker is awaited.
+/// How long the whole exchange with the broker may take.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How many consumers a queue has; `None` where the broker does not answer or has no such queue.
+/// How many consumers a queue has; `None` if the broker does not answer or has no such queue.
 pub async fn consumers(address: &str, login: Login, queue: &str) -> Option<u32> {
     let count = count_consumers(address, login, queue);
     tokio::time::timeout(TIMEOUT, count).await.ok().flatten()
--- a/crates/pipithub-scenario/src/document.rs
+++ b/crates/pipithub-scenario/src/document.rs
@@ -1,4 +1,4 @@
-//! Reads nodes of scenario files and reports errors at their place in the file.
+//! Access to the KDL nodes of scenario files, with errors that show their position in the file.
 
 use std::str::FromStr;
 
@@ -6,7 +6,7 @@
 use miette::{Diagnostic, NamedSource, SourceSpan};
 use pipithub_settings::duration;
 
-/// The error for a scenario file that cannot be read.
+/// An invalid scenario file: what is wrong, and where.
 #[derive(Debug, thiserror::Error, Diagnostic)]
 #[error("{message}")]
 pub struct ScenarioError {
@@ -98,12 +98,12 @@
         self.source.error(message.into(), self.kdl.span())
     }
 
-    /// Its first argument, where that is a string.
+    /// Its first argument; `None` if that is missing or not a string.
     pub(crate) fn argument(&self) -> Option<&'a str> {
         self.kdl.get(0).and_then(|value| value.as_string())
     }
 
-    /// All values of it that are strings.
+    /// The values of all its arguments and properties that are strings.
     pub(crate) fn string_values(&self) -> Vec<String> {
         self.kdl
             .entries()
@@ -112,7 +112,7 @@
             .collect()
     }
 
-    /// The text of its children.
+    /// The text of its children; empty if it has none.
     pub(crate) fn children_text(&self) -> String {
         self.kdl
             .children()
@@ -120,12 +120,12 @@
             .unwrap_or_default()
     }
 
-    /// A property that is a string.
+    /// A string property; `None` if it is missing or not a string.
     pub(crate) fn string(&self, name: &str) -> Option<&'a str> {
         self.kdl.get(name).and_then(|value| value.as_string())
     }
 
-    /// A property that is `#true` or `#false`; `#false` where it is missing.
+    /// A boolean property; false if it is missing or not a boolean.
     pub(crate) fn flag(&self, name: &str) -> bool {
         self.kdl
             .get(name)
@@ -133,7 +133,7 @@
             .unwrap_or(false)
     }
 
-    /// A property that is a duration such as `"2s"`, in nanoseconds.
+    /// A duration property such as `"2s"`, in nanoseconds. Fails if it is invalid, or missing without a default.
     pub(crate) fn duration(&self, name: &str, default: Option<u64>) -> ParseResult<u64> {
         let value = self.kdl.get(name);
         let parsed = value.and_then(|v| v.as_string()).and_then(duration);
@@ -147,7 +147,7 @@
         }
     }
 
-    /// A property that is a number of at least 0.
+    /// A number property of at least 0. Fails if it is invalid, or missing without a default.
     pub(crate) fn number(&self, name: &str, default: Option<f64>) -> ParseResult<f64> {
         let value = self.kdl.get(name);
         let number = value.and_then(|v| v.as_float().or(v.as_integer().map(|n| n as f64)));
@@ -158,13 +158,13 @@
         }
     }
 
-    /// A property that counts or numbers something.
+    /// A number property without its fraction. Fails as [`Node::number`] does.
     pub(crate) fn count(&self, name: &str, default: Option<usize>) -> ParseResult<usize> {
         let default = default.map(|count| count as f64);
         Ok(self.number(name, default)? as usize)
     }
 
-    /// Fails where it has other properties than these.
+    /// Fails if it has a property other than these.
     pub(crate) fn allow(&self, names: &[&str]) -> ParseResult<()> {
         let given = self
             .kdl
--- a/crates/pipithub-scenario/src/error.rs
+++ b/crates/pipithub-scenario/src/error.rs
@@ -1,6 +1,6 @@
-//! Why a scenario could not be run to its end.
+//! The error of a scenario that could not be run to its end.
 
-/// The error of a run.
+/// Why a scenario could not be run to its end.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// A file, a socket or a process failed.
@@ -10,26 +10,26 @@
     #[error("{0}")]
     Settings(String),
     /// The front ends did not begin to consume from the broker in time.
-    #[error("the front ends do not consume")]
+    #[error("the front ends did not start to consume from the broker in time")]
     NoConsumers,
     /// The members of a fleet did not report their addresses in time.
-    #[error("not all members told where they listen")]
+    #[error("not all members reported their address in time")]
     NoReports,
     /// The queue client ended while answers were expected.
-    #[error("the client has ended")]
+    #[error("the queue client ended while answers were expected")]
     ClientEnded,
     /// The queue client accepts no more requests.
-    #[error("channel closed")]
+    #[error("the queue client accepts no more requests")]
     PublishChannelClosed,
     /// A file of records cannot be read.
     #[error("{path}: {source}")]
     Records {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// What is wrong with it.
+        /// The error of its first invalid line.
         source: pipithub_conformance::record::RecordError,
     },
     /// The records hold no attempt, so every rule would hold trivially.
-    #[error("no call reached a worker")]
+    #[error("the records hold no call that reached a worker")]
     NoAttempts,
 }
--- a/crates/pipithub-scenario/src/fleet/run.rs
+++ b/crates/pipithub-scenario/src/fleet/run.rs
@@ -19,9 +19,9 @@
 use action::Schedule;
 use cluster::Cluster;
 
-/// The time between two looks at the claims of members.
+/// How often the reports of members are read.
 const SAMPLE_PERIOD: Duration = Duration::from_millis(200);
-/// A process that has not reported its address after this did not start.
+/// How long a member may take to report its address.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The result of a run.
@@ -37,7 +37,12 @@
     pub folder: PathBuf,
 }
 
-/// Runs a scenario from a seed.
+/// Runs a scenario with the faults that its seed gives, and checks all rules.
+///
+/// `binary` is the program `pipithub`, whose processes write their logs and data into `folder`, which is created.
+///
+/// Fails if a process cannot be started or not all members report their address. A breach of a rule is no error but
+/// part of the outcome.
 pub async fn run(
     scenario: &FleetScenario,
     seed: u64,
--- a/crates/pipithub-scenario/src/fleet/run/action.rs
+++ b/crates/pipithub-scenario/src/fleet/run/action.rs
@@ -1,10 +1,12 @@
-//! What is done to the members and links of a fleet, and when.
+//! The actions on the members and links of a fleet, and when each is carried out.
 
 use std::fmt;
 
 use pipithub_conformance::fleet::{Disk, Interval, Time};
 
-use crate::fleet::scenario::{FleetFault, FleetScenario, ScheduledFleetFault};
+use crate::fleet::scenario::{FleetFault, FleetScenario};
+use crate::schedule::{ScheduledAction, ScheduledFault, Timeline};
+use crate::units::milliseconds;
 
 #[cfg(test)]
 mod tests;
@@ -16,6 +18,12 @@
     pub(super) to: usize,
 }
 
+impl fmt::Display for Link {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "from {} to {}", self.from, self.to)
+    }
+}
+
 impl Link {
     fn reversed(self) -> Link {
         Link {
@@ -25,7 +33,8 @@
     }
 }
 
-/// One step of a fault. Slots are those of members and, after them, of duplicates.
+/// One step of a fault. Slots are those of members and, after them, of duplicates. Its `Display` describes it in the
+/// words of tables.
 #[derive(Clone, Debug)]
 pub(super) enum Action {
     Kill { slot: usize },
@@ -39,10 +48,60 @@
     StartDuplicate { slot: usize, of: usize },
 }
 
-/// The words under which reports and logs name an action; readers of reports rely on them.
 impl fmt::Display for Action {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
+            Action::Kill { slot } => write!(f, "process {slot} is killed"),
+            Action::Start { slot, disk } => {
+                let disk = match disk {
+                    Disk::Current => "its disk as it was",
+                    Disk::Empty => "an empty disk",
+                    Disk::Stale => "an old copy of its disk",
+                };
+                write!(f, "process {slot} is started with {disk}")
+            }
+            Action::Pause { slot, paused: true } => write!(f, "process {slot} is paused"),
+            Action::Pause { slot, .. } => write!(f, "process {slot} is resumed"),
+            Action::Cut { link, cut: true } => write!(f, "the link {link} is cut"),
+            Action::Cut { link, .. } => write!(f, "the link {link} is restored"),
+            Action::Hold { link, held: true } => {
+                write!(f, "the link {link} holds all datagrams back")
+            }
+            Action::Hold { link, .. } => write!(f, "the link {link} delivers datagrams again"),
+            Action::Split { zone, cut: true } => {
+                write!(f, "zone {zone} is partitioned from the others")
+            }
+            Action::Split { zone, .. } => write!(f, "zone {zone} is connected again"),
+            Action::Slow {
+                delay: 0,
+                jitter: 0,
+            } => f.write_str("links are no longer delayed"),
+            Action::Slow { delay, jitter } => write!(
+                f,
+                "all links are delayed by {} ms plus up to {} ms",
+                milliseconds(*delay),
+                milliseconds(*jitter)
+            ),
+            Action::Loss { share } if *share > 0.0 => {
+                write!(f, "all links lose {} % of the datagrams", share * 100.0)
+            }
+            Action::Loss { .. } => f.write_str("links no longer lose datagrams"),
+            Action::StartDuplicate { slot, of } => {
+                write!(
+                    f,
+                    "process {slot} is started as a duplicate of process {of}"
+                )
+            }
+        }
+    }
+}
+
+/// The notation of JSON reports and logs.
+struct Code<'a>(&'a Action);
+
+impl fmt::Display for Code<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self.0 {
             Action::Kill { slot } => write!(f, "Kill({slot})"),
             Action::Start { slot, disk } => write!(f, "Start({slot}, {})", disk_word(*disk)),
             Action::Pause { slot, paused } => write!(f, "Pause({slot}, {paused})"),
@@ -65,6 +124,11 @@
 }
 
 impl Action {
+    /// The action in the notation of JSON reports and logs. Programs read it, so it does not change.
+    pub(super) fn code(&self) -> String {
+        Code(self).to_string()
+    }
+
     /// Whether it begins a disturbance of links.
     fn disturbs(&self) -> bool {
         match *self {
@@ -95,18 +159,10 @@
     }
 }
 
-/// An action and its time.
-#[derive(Clone, Debug)]
-pub(super) struct ScheduledAction {
-    /// Nanoseconds from the start.
-    pub(super) at: u64,
-    pub(super) action: Action,
-}
-
 /// The actions of a run.
 pub(super) struct Schedule {
     /// By time.
-    pub(super) actions: Vec<ScheduledAction>,
+    pub(super) actions: Vec<ScheduledAction<Action>>,
     /// The number of duplicates that are started.
     pub(super) duplicates: usize,
 }
@@ -114,31 +170,56 @@
 impl Schedule {
     /// The actions of a scenario with a seed.
     pub(super) fn new(scenario: &FleetScenario, seed: u64) -> Schedule {
-        let mut schedule = Schedule {
-            actions: Vec::new(),
+        let mut builder = ScheduleBuilder {
+            timeline: Timeline::new(),
+            members: scenario.members,
             duplicates: 0,
         };
         for scheduled in scenario.faults_for_seed(seed) {
-            schedule.add_fault(&scheduled, scenario.members);
+            builder.add_fault(&scheduled);
+        }
+        Schedule {
+            actions: builder.timeline.into_sorted(),
+            duplicates: builder.duplicates,
         }
-        schedule.actions.sort_by_key(|scheduled| scheduled.at);
-        schedule
     }
 
-    fn add(&mut self, at: u64, action: Action) {
-        self.actions.push(ScheduledAction { at, action });
+    /// The intervals in which links are disturbed, by Unix time. `start` is the time of the first action, and
+    /// `duration` that of the scenario, at whose end all links are restored.
+    pub(super) fn disturbances(&self, start: Time, duration: u64) -> Vec<Interval> {
+        let begins = self.actions.iter().filter(|begin| begin.action.disturbs());
+        begins
+            .map(|begin| {
+                // Disturbances of one link may overlap, so each is taken to last until the last action that restores
+                // the link. An interval that is too long only means that less is checked.
+                let end = self
+                    .actions
+                    .iter()
+                    .rfind(|end| end.at >= begin.at && end.action.restores(&begin.action))
+                    .map_or(duration, |end| end.at);
+                Interval {
+                    from: start + begin.at,
+                    until: start + end,
+                }
+            })
+            .collect()
     }
+}
 
-    /// Adds one action for the beginning of a fault and one for its end.
-    fn add_both(&mut self, scheduled: &ScheduledFleetFault, start: Action, end: Action) {
-        self.add(scheduled.at, start);
-        self.add(scheduled.end(), end);
-    }
+/// Turns the faults of a scenario into actions.
+struct ScheduleBuilder {
+    timeline: Timeline<Action>,
+    /// The number of members; the slots of duplicates come after theirs.
+    members: usize,
+    /// The number of duplicates so far.
+    duplicates: usize,
+}
 
-    fn add_fault(&mut self, scheduled: &ScheduledFleetFault, members: usize) {
+impl ScheduleBuilder {
+    fn add_fault(&mut self, scheduled: &ScheduledFault<FleetFault>) {
         match scheduled.fault {
             FleetFault::Kill { member: slot, disk } => {
-                self.add_both(
+                self.timeline.add_both(
                     scheduled,
                     Action::Kill { slot },
                     Action::Start { slot, disk },
@@ -146,7 +227,7 @@
             }
             FleetFault::Pause { member: slot } => {
                 let pause = |paused| Action::Pause { slot, paused };
-                self.add_both(scheduled, pause(true), pause(false));
+                self.timeline.add_both(scheduled, pause(true), pause(false));
             }
             FleetFault::Cut { from, to, both } => {
                 let link = Link { from, to };
@@ -161,38 +242,40 @@
             FleetFault::Hold { from, to } => {
                 let link = Link { from, to };
                 let hold = |held| Action::Hold { link, held };
-                self.add_both(scheduled, hold(true), hold(false));
+                self.timeline.add_both(scheduled, hold(true), hold(false));
             }
             FleetFault::Split { zone } => {
                 let split = |cut| Action::Split { zone, cut };
-                self.add_both(scheduled, split(true), split(false));
+                self.timeline.add_both(scheduled, split(true), split(false));
             }
             FleetFault::Slow { delay, jitter } => {
                 let normal = Action::Slow {
                     delay: 0,
                     jitter: 0,
                 };
-                self.add_both(scheduled, Action::Slow { delay, jitter }, normal);
+                self.timeline
+                    .add_both(scheduled, Action::Slow { delay, jitter }, normal);
             }
             FleetFault::Loss { share } => {
                 let loss = |share| Action::Loss { share };
-                self.add_both(scheduled, loss(share), loss(0.0));
+                self.timeline.add_both(scheduled, loss(share), loss(0.0));
             }
             FleetFault::DuplicateIdentity { member } => {
-                let slot = members + self.duplicates;
+                let slot = self.members + self.duplicates;
                 self.duplicates += 1;
                 let start = Action::StartDuplicate { slot, of: member };
-                self.add_both(scheduled, start, Action::Kill { slot });
+                self.timeline
+                    .add_both(scheduled, start, Action::Kill { slot });
             }
         }
     }
 
-    fn add_cut(&mut self, scheduled: &ScheduledFleetFault, link: Link) {
+    fn add_cut(&mut self, scheduled: &ScheduledFault<FleetFault>, link: Link) {
         let cut = |cut| Action::Cut { link, cut };
-        self.add_both(scheduled, cut(true), cut(false));
+        self.timeline.add_both(scheduled, cut(true), cut(false));
     }
 
-    fn add_flap(&mut self, scheduled: &ScheduledFleetFault, link: Link, every: u64) {
+    fn add_flap(&mut self, scheduled: &ScheduledFault<FleetFault>, link: Link, every: u64) {
         let (mut at, mut cut) = (scheduled.at, true);
         while at < scheduled.end() {
             self.add_change_of_both(at, link, cut);
@@ -205,28 +288,7 @@
     /// Cuts or restores both directions.
     fn add_change_of_both(&mut self, at: u64, link: Link, cut: bool) {
         for link in [link, link.reversed()] {
-            self.add(at, Action::Cut { link, cut });
+            self.timeline.add(at, Action::Cut { link, cut });
         }
     }
-
-    /// The intervals in which links are disturbed, by Unix time. `start` is the time of the first action, and
-    /// `duration` that of the scenario, at whose end all links are restored.
-    pub(super) fn disturbances(&self, start: Time, duration: u64) -> Vec<Interval> {
-        let begins = self.actions.iter().filter(|begin| begin.action.disturbs());
-        begins
-            .map(|begin| {
-                // Disturbances of one link may overlap, so each is taken to last until the last action that restores
-                // the link. An interval that is too long only means that less is checked.
-                let end = self
-                    .actions
-                    .iter()
-                    .rfind(|end| end.at >= begin.at && end.action.restores(&begin.action))
-                    .map_or(duration, |end| end.at);
-                Interval {
-                    from: start + begin.at,
-                    until: start + end,
-                }
-            })
-            .collect()
-    }
 }
--- a/crates/pipithub-scenario/src/fleet/run/cluster.rs
+++ b/crates/pipithub-scenario/src/fleet/run/cluster.rs
@@ -1,4 +1,4 @@
-//! The members of a fleet as processes, and the actions on them and on their links.
+//! The members of a fleet as processes, and how actions change them and their links.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,14 +11,13 @@
 use pipithub_conformance::fleet::{Disk, History, Interval, Run, Time};
 use pipithub_emulator::relay::{LinkConditions, Relay};
 use pipithub_membership::GenerationRecord;
-use tracing::info;
 
 use super::action::{Action, Link};
 use super::generations::GenerationObserver;
 use crate::fleet::scenario::FleetScenario;
-use crate::outcome::InjectedFault;
+use crate::outcome::{FaultLog, InjectedFault};
 use crate::process::Process;
-use crate::units::{milliseconds, seconds};
+use crate::units::milliseconds;
 
 /// The name of the fleet in the settings of its members.
 const CLUSTER_NAME: &str = "scenario";
@@ -41,12 +40,6 @@
     pub(super) reachable: bool,
 }
 
-/// An action that was carried out.
-struct InjectedAction {
-    at: Time,
-    description: String,
-}
-
 /// All processes and links of a fleet.
 pub(super) struct Cluster<'a> {
     pub(super) scenario: &'a FleetScenario,
@@ -56,7 +49,7 @@
     pub(super) relays: BTreeMap<Link, Relay>,
     generations: GenerationObserver,
     pub(super) history: History,
-    injected: Vec<InjectedAction>,
+    faults: FaultLog,
 }
 
 impl<'a> Cluster<'a> {
@@ -77,7 +70,7 @@
             relays: start_relays(slots, seed, &generations).await?,
             generations,
             history: History::default(),
-            injected: Vec::new(),
+            faults: FaultLog::default(),
         })
     }
 
@@ -88,13 +81,7 @@
 
     /// The faults injected so far, with their times since a time.
     pub(super) fn injected_faults(&self, since: Time) -> Vec<InjectedFault> {
-        self.injected
-            .iter()
-            .map(|injected| InjectedFault {
-                at_s: seconds(injected.at.saturating_sub(since)),
-                description: injected.description.clone(),
-            })
-            .collect()
+        self.faults.since(since)
     }
 
     /// Ends all processes and returns the history. The ends are not part of the history: what ran until now has none.
@@ -237,12 +224,7 @@
 
     /// Carries out an action and notes it for the report.
     pub(super) async fn apply(&mut self, action: Action) -> std::io::Result<()> {
-        let description = action.to_string();
-        info!(act = description, "scenario action");
-        self.injected.push(InjectedAction {
-            at: wall_ns(),
-            description,
-        });
+        self.faults.record(action.code(), action.to_string());
         match action {
             Action::Kill { slot } => self.kill(slot).await,
             Action::Start { slot, disk } => {
--- a/crates/pipithub-scenario/src/fleet/scenario.rs
+++ b/crates/pipithub-scenario/src/fleet/scenario.rs
@@ -5,94 +5,78 @@
 
 use pipithub_conformance::fleet::{Bounds, Disk};
 
+use crate::schedule::ScheduledFault;
+
 /// A fault of a fleet. Members and zones are counted from 0.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FleetFault {
     /// A member is killed and started again.
     Kill {
-        /// Which.
+        /// The member's number.
         member: usize,
         /// The disk that it starts from.
         disk: Disk,
     },
     /// A member is stopped by the operating system and continued.
     Pause {
-        /// Which.
+        /// The member's number.
         member: usize,
     },
     /// A link loses all datagrams.
     Cut {
-        /// The sender.
+        /// The member that sends.
         from: usize,
-        /// The receiver.
+        /// The member that receives.
         to: usize,
         /// The opposite direction is cut too.
         both: bool,
     },
-    /// A link is cut and restored in turns, in both directions.
+    /// A link is cut and restored repeatedly, in both directions.
     Flap {
-        /// One end.
+        /// The member at one end.
         from: usize,
-        /// The other end.
+        /// The member at the other end.
         to: usize,
-        /// Nanoseconds between two changes.
+        /// Time between two changes, in nanoseconds.
         every: u64,
     },
     /// A link delays all datagrams until the end of the fault.
     Hold {
-        /// The sender.
+        /// The member that sends.
         from: usize,
-        /// The receiver.
+        /// The member that receives.
         to: usize,
     },
     /// A zone is partitioned from the others.
     Split {
-        /// Which.
+        /// The zone's number.
         zone: usize,
     },
     /// All links are slow.
     Slow {
-        /// Nanoseconds in each direction.
+        /// The delay of each datagram, in nanoseconds.
         delay: u64,
-        /// Nanoseconds that may be added at random.
+        /// The maximum random delay that is added, in nanoseconds.
         jitter: u64,
     },
     /// All links lose some datagrams and duplicate others.
     Loss {
-        /// The part that is lost; half as many are duplicated.
+        /// The part that is lost, from 0 to 1; half as many are duplicated.
         share: f64,
     },
     /// A second process is started under the name of a member, from a copy of its data folder.
     DuplicateIdentity {
-        /// Whose name.
+        /// The number of the member whose name is used.
         member: usize,
     },
 }
 
-/// A fault and when it is injected.
-#[derive(Clone, Debug, PartialEq)]
-pub struct ScheduledFleetFault {
-    /// Nanoseconds from the start.
-    pub at: u64,
-    /// How long it lasts, in nanoseconds.
-    pub duration: u64,
-    /// The fault.
-    pub fault: FleetFault,
-}
-
-impl ScheduledFleetFault {
-    /// When it ends, in nanoseconds from the start.
-    pub fn end(&self) -> u64 {
-        self.at + self.duration
-    }
-}
-
 /// A scenario of a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetScenario {
-    /// Its name.
+    /// The name of the scenario.
     pub name: String,
-    /// Nanoseconds until all faults end; the fleet then has [`Bounds::convergence`] to converge.
+    /// Time until all faults end, in nanoseconds; the fleet then has [`Bounds::convergence`] to converge.
     pub duration: u64,
     /// The number of members.
     pub members: usize,
@@ -100,14 +84,14 @@
     pub zones: usize,
     /// The number of members that are seeds; these are the first ones.
     pub seeds: usize,
-    /// Nanoseconds between two probes of a member.
+    /// Time between two probes of a member, in nanoseconds.
     pub probe_period: u64,
-    /// Nanoseconds that the acknowledgement of a direct probe is awaited.
+    /// How long a member waits for the acknowledgement of a direct probe, in nanoseconds.
     pub probe_wait: u64,
     /// The time that the fleet has to detect failures and to converge.
     pub bounds: Bounds,
     /// The number of faults that are drawn from the seed, beside those of the file.
     pub drawn: usize,
     /// The faults of the file, by time.
-    pub faults: Vec<ScheduledFleetFault>,
+    pub faults: Vec<ScheduledFault<FleetFault>>,
 }
--- a/crates/pipithub-scenario/src/fleet/scenario/draw.rs
+++ b/crates/pipithub-scenario/src/fleet/scenario/draw.rs
@@ -1,15 +1,16 @@
-//! Draws faults from a seed.
+//! Draws the random faults of a fleet scenario.
 
 use pipithub_conformance::fleet::Disk;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use super::{FleetFault, FleetScenario, ScheduledFleetFault};
+use super::{FleetFault, FleetScenario};
+use crate::schedule::ScheduledFault;
 use crate::units::{MILLISECOND, SECOND};
 
 impl FleetScenario {
     /// The faults of a run by time: those of the file and those drawn from the seed.
-    pub fn faults_for_seed(&self, seed: u64) -> Vec<ScheduledFleetFault> {
+    pub fn faults_for_seed(&self, seed: u64) -> Vec<ScheduledFault<FleetFault>> {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut faults = self.faults.clone();
         for _ in 0..self.drawn {
@@ -19,14 +20,14 @@
         faults
     }
 
-    fn draw_scheduled_fault(&self, random: &mut SmallRng) -> ScheduledFleetFault {
+    fn draw_scheduled_fault(&self, random: &mut SmallRng) -> ScheduledFault<FleetFault> {
         let fault = self.draw_fault(random);
         let latest = self.duration.saturating_sub(2 * SECOND).max(1);
         let at = random.random_range(0..latest);
         let duration = random
             .random_range(SECOND..6 * SECOND)
             .min(self.duration.saturating_sub(at));
-        ScheduledFleetFault {
+        ScheduledFault {
             at,
             duration,
             fault,
--- a/crates/pipithub-scenario/src/fleet/scenario/parse.rs
+++ b/crates/pipithub-scenario/src/fleet/scenario/parse.rs
@@ -1,29 +1,33 @@
-//! Reads a scenario of a fleet from its file.
+//! Parses the files of fleet scenarios.
 
 use std::str::FromStr;
 
 use kdl::KdlDocument;
 use pipithub_conformance::fleet::{Bounds, Disk};
 
-use super::{FleetFault, FleetScenario, ScheduledFleetFault};
+use super::{FleetFault, FleetScenario};
 use crate::document::{Document, Node, ParseResult};
+use crate::schedule::ScheduledFault;
 use crate::units::{MILLISECOND, SECOND};
 
 /// The node that a scenario of a fleet begins with.
 const HEAD: &str = "fleet-day";
-/// The properties that a fault may have, whichever it is.
+/// The properties that faults of any kind may have.
 const FAULT_PROPERTIES: [&str; 12] = [
     "at", "for", "member", "disk", "from", "to", "both", "every", "zone", "delay", "jitter",
     "share",
 ];
 
 impl FleetScenario {
-    /// Whether a text is the scenario of a fleet, and not one of requests.
+    /// Whether a text is the scenario of a fleet; false if it is one of requests or not KDL.
     pub fn is_fleet_scenario(text: &str) -> bool {
         KdlDocument::from_str(text).is_ok_and(|document| document.get(HEAD).is_some())
     }
 
-    /// Reads a scenario; `file` is its name in errors.
+    /// Parses the text of a scenario file; `file` is its name in errors, and the scenario's if the text has none.
+    ///
+    /// Fails, with the position of the first error, if the text is not KDL, or has an unknown node or property, or a
+    /// fault of a member or zone that does not exist.
     pub fn parse(file: &str, text: &str) -> ParseResult<FleetScenario> {
         let document = Document::parse(file, text)?;
         let Some(head) = document.node(HEAD) else {
@@ -73,10 +77,10 @@
 fn parse_scheduled_fault(
     node: &Node<'_>,
     scenario: &FleetScenario,
-) -> ParseResult<ScheduledFleetFault> {
+) -> ParseResult<ScheduledFault<FleetFault>> {
     node.allow(&FAULT_PROPERTIES)?;
     let fault = parse_fault(node, scenario)?;
-    Ok(ScheduledFleetFault {
+    Ok(ScheduledFault {
         at: node.duration("at", None)?,
         duration: node.duration("for", Some(3 * SECOND))?,
         fault,
--- a/crates/pipithub-scenario/src/lib.rs
+++ b/crates/pipithub-scenario/src/lib.rs
@@ -1,9 +1,9 @@
-//! Scripted failure scenarios.
+//! Scripted fault scenarios.
 //!
-//! A [`scenario`] says which processes run, which load they get and which faults are injected when. [`run`] starts
-//! brokers, workers, endpoint lists and gateways as processes, plays the scenario, and checks the rules against the
-//! traffic that the emulated services recorded. [`fleet`] does the same for front ends that form a fleet. [`client`]
-//! is the queue client that publishes the load; `pipithub publish` uses it too.
+//! A [`scenario`] defines the processes, their load and the faults with their times. [`run`] starts brokers, workers,
+//! endpoint lists and gateways as processes, injects the faults, and checks the rules against the traffic that the
+//! emulated services recorded. [`fleet`] does the same for front ends that form a fleet. [`client`] is the queue client
+//! that publishes the load; `pipithub publish` uses it too.
 
 pub mod client;
 mod document;
@@ -15,6 +15,7 @@
 pub mod random;
 pub mod run;
 pub mod scenario;
+pub mod schedule;
 mod units;
 
 pub use document::ScenarioError;
--- a/crates/pipithub-scenario/src/load.rs
+++ b/crates/pipithub-scenario/src/load.rs
@@ -7,9 +7,9 @@
 use crate::scenario::{ClassSpec, Fault, Scenario, TenantSpec};
 use crate::units::{SECOND, milliseconds};
 
-/// The tenants of a scenario.
+/// The names of the two tenants.
 pub const TENANTS: [&str; 2] = ["north", "south"];
-/// The key that signs the requests of a scenario.
+/// The key that the requests of a scenario with tenants are signed with.
 pub const SIGNING_KEY: &str = "the key of a day's desk";
 /// The name of that key in the settings.
 pub const SIGNING_KEY_ID: &str = "desk";
@@ -18,12 +18,12 @@
 const MIGRATION_STREAM: u64 = 0x6d6f_7665;
 /// Separates the draws of users from all other draws of a seed.
 const USER_STREAM: u64 = 0x7573_6572;
-/// Draws for a user of the wanted tenant before the first user is taken.
+/// How often a user of the selected tenant is drawn before user 0 is used instead.
 const USER_DRAWS: usize = 64;
 /// Concurrency of a replica of each function.
 const REPLICA_CONCURRENCY: u32 = 4;
 
-/// The migration of a user to the other tenant. The order of the fields is the sort order.
+/// The migration of a user to the other tenant. Migrations are ordered by time, as the fields are.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Migration {
     /// Nanoseconds from the first request.
@@ -121,7 +121,7 @@
         }
     }
 
-    /// How many times its usual requests the second tenant sends at present.
+    /// By which factor the second tenant exceeds its usual load at present; 1 without a surge.
     fn surge(&self) -> f64 {
         let active =
             self.scenario.faults.iter().filter(|scheduled| {
--- a/crates/pipithub-scenario/src/process.rs
+++ b/crates/pipithub-scenario/src/process.rs
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::process::{Child, ChildStdin, Command};
 
-/// The longest that a process takes to print its address.
+/// How long an emulator may take to print its address.
 const ADDRESS_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A running child process.
@@ -15,13 +15,15 @@
 pub struct Process {
     child: Child,
     stdin: Option<ChildStdin>,
-    /// The address that it listens on; empty for a gateway.
+    /// The address that it listens on; empty for a gateway, which does not report one.
     pub address: String,
 }
 
 impl Process {
-    /// Starts an emulated service with these arguments, and waits for its first line, which must be
-    /// `{"address": …}`. Its log is appended to a file.
+    /// Starts an emulated service with these arguments and waits until it has printed its address. Its log is appended
+    /// to a file.
+    ///
+    /// Fails if the process cannot be started, or does not print `{"address": …}` as its first line in time.
     pub async fn start_emulator(
         binary: &Path,
         arguments: &[String],
@@ -40,7 +42,7 @@
             .unwrap_or_default();
         let announced: serde_json::Value = serde_json::from_str(&line).map_err(|_| {
             std::io::Error::other(format!(
-                "{arguments:?} said {line:?} instead of its address"
+                "emulator {arguments:?} printed {line:?} instead of its address"
             ))
         })?;
         process.address = announced["address"]
@@ -51,6 +53,8 @@
     }
 
     /// Starts a gateway with these arguments. Its log is appended to a file.
+    ///
+    /// Fails if the process cannot be started or the log cannot be opened.
     pub fn start_gateway(
         binary: &Path,
         arguments: &[String],
@@ -84,7 +88,7 @@
         })
     }
 
-    /// Writes a line to its standard input.
+    /// Writes a line to its standard input. Fails if the process has ended.
     pub async fn send_line(&mut self, line: &str) -> std::io::Result<()> {
         match &mut self.stdin {
             Some(stdin) => {
@@ -97,11 +101,11 @@
 
     /// Kills it and waits for its end.
     pub async fn kill(mut self) {
-        // It fails only where the process has ended already.
+        // It fails only if the process has already ended.
         let _ = self.child.kill().await;
     }
 
-    /// Its process id, while it runs.
+    /// Its process id; `None` once it has ended.
     pub fn id(&self) -> Option<u32> {
         self.child.id()
     }
--- a/crates/pipithub-scenario/src/random.rs
+++ b/crates/pipithub-scenario/src/random.rs
@@ -1,6 +1,6 @@
-//! A random number generator whose numbers never change for a seed, whatever version of a library is used.
+//! A random number generator whose numbers for a seed do not depend on the version of any library.
 
-/// The generator splitmix64.
+/// The generator splitmix64 (Steele, Lea and Flood, 2014).
 #[derive(Clone, Debug)]
 pub struct SplitMix64(u64);
 
--- a/crates/pipithub-scenario/src/run.rs
+++ b/crates/pipithub-scenario/src/run.rs
@@ -39,16 +39,20 @@
     pub faults: Vec<InjectedFault>,
     /// Requests published.
     pub calls: usize,
-    /// Answers that the client itself received.
+    /// Answers that the client received.
     pub answered: usize,
     /// Where logs and records are.
     pub folder: PathBuf,
 }
 
-/// Runs a scenario from a seed.
+/// Runs a scenario with the load and migrations that its seed gives, and checks all rules.
 ///
+/// `binary` is the program `pipithub`, whose processes write their logs and records into `folder`, which is created.
 /// `progress` is called each second with the seconds since the first request, the requests published so far, and the
 /// number of answers by verdict. `baseline` names a policy that replaces the regular one.
+///
+/// Fails if a process cannot be started, or the front ends do not consume, or no request reached a worker. A breach of
+/// a rule is no error but part of the outcome.
 pub async fn run(
     scenario: &Scenario,
     seed: u64,
@@ -75,7 +79,7 @@
     })
 }
 
-/// All records of a folder, by time.
+/// Reads all records of a folder, sorted by time. Fails if a file cannot be read, or no record is of an attempt.
 pub fn records(folder: &Path) -> Result<Vec<Record>, RunError> {
     let mut records = Vec::new();
     for entry in std::fs::read_dir(folder)? {
--- a/crates/pipithub-scenario/src/run/action.rs
+++ b/crates/pipithub-scenario/src/run/action.rs
@@ -1,18 +1,19 @@
-//! What is done to the processes of a scenario, and when.
+//! The actions on the processes of a scenario, and when each is carried out.
 
 use std::fmt;
 
-use crate::load;
-use crate::scenario::{Fault, Scenario, ScheduledFault};
-use crate::units::SECOND;
+use crate::load::{self, TENANTS};
+use crate::scenario::{Fault, Scenario};
+use crate::schedule::{ScheduledAction, ScheduledFault, Timeline};
+use crate::units::{SECOND, milliseconds};
 
 #[cfg(test)]
 mod tests;
 
-/// The least time between the drain of a worker and its end.
+/// The minimum time between the drain of a worker and its end, in nanoseconds.
 const MIN_DRAIN_TIME: u64 = SECOND;
 
-/// One step of a fault.
+/// One step of a fault. Its `Display` describes it in the words of tables.
 #[derive(Clone, Debug)]
 pub(super) enum Action {
     KillWorker(usize),
@@ -50,10 +51,83 @@
     },
 }
 
-/// The words under which reports and logs name an action; readers of reports rely on them.
 impl fmt::Display for Action {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
+            Action::KillWorker(worker) => write!(f, "worker {worker} is killed"),
+            Action::RemoveWorker(worker) => {
+                write!(f, "worker {worker} is removed from the endpoint list")
+            }
+            Action::StartWorker(worker) => write!(f, "worker {worker} is started"),
+            Action::DrainWorker(worker) => write!(f, "worker {worker} is draining"),
+            Action::SetWorkerSilent {
+                worker,
+                silent: true,
+            } => write!(f, "worker {worker} stops answering"),
+            Action::SetWorkerSilent { worker, .. } => write!(f, "worker {worker} answers again"),
+            Action::DelayEndpointList { by: 0 } => {
+                f.write_str("the endpoint list is no longer delayed")
+            }
+            Action::DelayEndpointList { by } => {
+                write!(
+                    f,
+                    "the endpoint list is delayed by {} ms",
+                    milliseconds(*by)
+                )
+            }
+            Action::SlowStore { factor } if is_usual(*factor) => {
+                f.write_str("fetches from the model store take their usual time again")
+            }
+            Action::SlowStore { factor } => {
+                write!(
+                    f,
+                    "fetches from the model store take {factor} times as long as usual"
+                )
+            }
+            Action::SetStoreRejecting(true) => f.write_str("the model store rejects all fetches"),
+            Action::SetStoreRejecting(false) => {
+                f.write_str("the model store accepts fetches again")
+            }
+            Action::KillFrontEnd(front_end) => write!(f, "front end {front_end} is killed"),
+            Action::StartFrontEnd(front_end) => write!(f, "front end {front_end} is started"),
+            Action::DropBrokerConnections => f.write_str("the broker drops all connections"),
+            Action::CommandDirectory { server, command } => {
+                write!(
+                    f,
+                    "directory server {server} is given the command '{command}'"
+                )
+            }
+            Action::SetDirectoryStale {
+                server,
+                stale: true,
+            } => write!(
+                f,
+                "directory server {server} misses all changes from now on"
+            ),
+            Action::SetDirectoryStale { server, .. } => {
+                write!(
+                    f,
+                    "directory server {server} has caught up with all changes"
+                )
+            }
+            Action::MigrateUser { user, tenant } => {
+                write!(f, "user {user} moves to tenant {}", TENANTS[*tenant])
+            }
+        }
+    }
+}
+
+/// Whether a factor leaves a time as it is.
+fn is_usual(factor: f64) -> bool {
+    (factor - 1.0).abs() < f64::EPSILON
+}
+
+/// The notation of JSON reports and logs.
+struct Code<'a>(&'a Action);
+
+impl fmt::Display for Code<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self.0 {
             Action::KillWorker(worker) => write!(f, "Kill({worker})"),
             Action::RemoveWorker(worker) => write!(f, "Gone({worker})"),
             Action::StartWorker(worker) => write!(f, "Start({worker})"),
@@ -77,55 +151,45 @@
     }
 }
 
+impl Action {
+    /// The action in the notation of JSON reports and logs. Programs read it, so it does not change.
+    pub(super) fn code(&self) -> String {
+        Code(self).to_string()
+    }
+}
+
 /// The command of an emulated worker that makes it silent, or ends that.
 pub(super) fn silent_command(silent: bool) -> &'static str {
     if silent { "silent on" } else { "silent off" }
 }
 
-/// An action and its time.
-#[derive(Clone, Debug)]
-pub(super) struct ScheduledAction {
-    /// Nanoseconds from the first request.
-    pub(super) at: u64,
-    pub(super) action: Action,
-}
-
 /// The actions of a scenario, by time.
-pub(super) fn schedule(scenario: &Scenario, seed: u64) -> Vec<ScheduledAction> {
+pub(super) fn schedule(scenario: &Scenario, seed: u64) -> Vec<ScheduledAction<Action>> {
     let mut schedule = Schedule {
         scenario,
-        actions: Vec::new(),
+        timeline: Timeline::new(),
     };
     for migration in load::migrations(scenario, seed) {
         let (user, tenant) = (migration.user, migration.tenant);
-        schedule.add(migration.at, Action::MigrateUser { user, tenant });
+        schedule
+            .timeline
+            .add(migration.at, Action::MigrateUser { user, tenant });
     }
     for scheduled in &scenario.faults {
         schedule.add_fault(scheduled);
     }
-    let mut actions = schedule.actions;
-    actions.sort_by_key(|scheduled| scheduled.at);
-    actions
+    schedule.timeline.into_sorted()
 }
 
-/// Collects actions.
+/// Turns the faults of a scenario into actions.
 struct Schedule<'a> {
     scenario: &'a Scenario,
-    actions: Vec<ScheduledAction>,
+    timeline: Timeline<Action>,
 }
 
 impl Schedule<'_> {
-    fn add(&mut self, at: u64, action: Action) {
-        self.actions.push(ScheduledAction { at, action });
-    }
-
-    /// Adds one action for the beginning of a fault and one for its end.
-    fn add_both(&mut self, scheduled: &ScheduledFault, start: Action, end: Action) {
-        self.add(scheduled.at, start);
-        self.add(scheduled.end(), end);
-    }
-
-    fn add_fault(&mut self, scheduled: &ScheduledFault) {
+    fn add_fault(&mut self, scheduled: &ScheduledFault<Fault>) {
+        let timeline = &mut self.timeline;
         match scheduled.fault {
             Fault::Crash { worker } => self.add_crash(scheduled, worker),
             Fault::ZoneOutage { zone } => {
@@ -135,37 +199,39 @@
                 }
             }
             Fault::RollingDeploy { every, count } => self.add_deploy(scheduled.at, every, count),
-            Fault::DelayEndpointList { by } => self.add_both(
+            Fault::DelayEndpointList { by } => timeline.add_both(
                 scheduled,
                 Action::DelayEndpointList { by },
                 Action::DelayEndpointList { by: 0 },
             ),
             Fault::SilentWorker { worker } => {
                 let change = |silent| Action::SetWorkerSilent { worker, silent };
-                self.add_both(scheduled, change(true), change(false));
+                timeline.add_both(scheduled, change(true), change(false));
             }
-            Fault::SlowStore { factor } => self.add_both(
+            Fault::SlowStore { factor } => timeline.add_both(
                 scheduled,
                 Action::SlowStore { factor },
                 Action::SlowStore { factor: 1.0 },
             ),
-            Fault::RejectStoreRequests => self.add_both(
+            Fault::RejectStoreRequests => timeline.add_both(
                 scheduled,
                 Action::SetStoreRejecting(true),
                 Action::SetStoreRejecting(false),
             ),
-            Fault::KillFrontEnd { front_end } => self.add_both(
+            Fault::KillFrontEnd { front_end } => timeline.add_both(
                 scheduled,
                 Action::KillFrontEnd(front_end),
                 Action::StartFrontEnd(front_end),
             ),
-            Fault::DropBrokerConnections => self.add(scheduled.at, Action::DropBrokerConnections),
+            Fault::DropBrokerConnections => {
+                timeline.add(scheduled.at, Action::DropBrokerConnections);
+            }
             Fault::DirectoryFault { server, ref fault } => {
                 self.add_directory_fault(scheduled, server, fault);
             }
             Fault::StaleDirectory { server } => {
                 let change = |stale| Action::SetDirectoryStale { server, stale };
-                self.add_both(scheduled, change(true), change(false));
+                timeline.add_both(scheduled, change(true), change(false));
             }
             // These change the load, not the processes.
             Fault::ShortTimeouts { .. }
@@ -176,12 +242,13 @@
         }
     }
 
-    fn add_crash(&mut self, scheduled: &ScheduledFault, worker: usize) {
+    fn add_crash(&mut self, scheduled: &ScheduledFault<Fault>, worker: usize) {
         let (at, list_delay) = (scheduled.at, self.scenario.endpoint_list_delay);
-        self.add(at, Action::KillWorker(worker));
-        self.add(at + list_delay, Action::RemoveWorker(worker));
+        self.timeline.add(at, Action::KillWorker(worker));
+        self.timeline
+            .add(at + list_delay, Action::RemoveWorker(worker));
         let restart = at + scheduled.duration.max(list_delay + 1);
-        self.add(restart, Action::StartWorker(worker));
+        self.timeline.add(restart, Action::StartWorker(worker));
     }
 
     /// Each worker is drained, gets time to finish, and is ended; its successor starts when it is removed.
@@ -189,18 +256,24 @@
         for worker in 0..count.min(self.scenario.workers) {
             let at = start + every * worker as u64;
             let end = at + every.max(MIN_DRAIN_TIME);
-            self.add(at, Action::DrainWorker(worker));
-            self.add(end, Action::KillWorker(worker));
-            self.add(end + 1, Action::RemoveWorker(worker));
-            self.add(end + 2, Action::StartWorker(worker));
+            self.timeline.add(at, Action::DrainWorker(worker));
+            self.timeline.add(end, Action::KillWorker(worker));
+            self.timeline.add(end + 1, Action::RemoveWorker(worker));
+            self.timeline.add(end + 2, Action::StartWorker(worker));
         }
     }
 
-    fn add_directory_fault(&mut self, scheduled: &ScheduledFault, server: usize, fault: &str) {
+    fn add_directory_fault(
+        &mut self,
+        scheduled: &ScheduledFault<Fault>,
+        server: usize,
+        fault: &str,
+    ) {
         let command = |text: &str| Action::CommandDirectory {
             server,
             command: text.to_string(),
         };
-        self.add_both(scheduled, command(fault), command("good"));
+        self.timeline
+            .add_both(scheduled, command(fault), command("good"));
     }
 }
--- a/crates/pipithub-scenario/src/run/cluster.rs
+++ b/crates/pipithub-scenario/src/run/cluster.rs
@@ -1,16 +1,15 @@
-//! The processes of a scenario of requests, and the actions on them.
+//! The processes of a scenario of requests, and how actions change them.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 use pipithub_amqp::Login;
-use pipithub_clock::{Clock, wall_ms, wall_ns};
+use pipithub_clock::{Clock, wall_ms};
 use pipithub_emulator::list::{ListServer, Listed};
 use pipithub_emulator::recorder::Recorder;
 use pipithub_emulator::store::{StoreServer, StoreSettings};
 use pipithub_settings::Config;
-use tracing::info;
 
 use super::QUEUE;
 use super::action::{Action, silent_command};
@@ -18,16 +17,16 @@
 use super::settings::FrontEndSettings;
 use crate::client::consumers;
 use crate::error::RunError;
-use crate::outcome::InjectedFault;
+use crate::outcome::{FaultLog, InjectedFault};
 use crate::process::Process;
 use crate::scenario::Scenario;
-use crate::units::{SECOND, seconds};
+use crate::units::SECOND;
 
 /// Any free port of the loopback interface.
 const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 /// The longest that front ends take to consume from the broker, in nanoseconds.
 const CONSUME_TIMEOUT: u64 = 30 * SECOND;
-/// The pause between two looks at the consumers.
+/// How often the number of consumers is polled.
 const CONSUME_POLL: Duration = Duration::from_millis(20);
 /// The memory of a worker, in megabytes.
 const WORKER_MEMORY_MB: f64 = 24_000.0;
@@ -42,13 +41,6 @@
     killed: Vec<Listed>,
 }
 
-/// An action that was carried out.
-struct InjectedAction {
-    /// In Unix nanoseconds.
-    at: u64,
-    description: String,
-}
-
 /// How a worker starts.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum WorkerStart {
@@ -73,7 +65,7 @@
     /// Worker processes started so far.
     workers_started: u64,
     front_ends: Vec<Option<Process>>,
-    injected: Vec<InjectedAction>,
+    faults: FaultLog,
 }
 
 impl<'a> Cluster<'a> {
@@ -108,7 +100,7 @@
                 .collect(),
             workers_started: 0,
             front_ends: (0..scenario.front_ends).map(|_| None).collect(),
-            injected: Vec::new(),
+            faults: FaultLog::default(),
         };
         for worker in 0..scenario.workers {
             cluster.start_worker(worker, WorkerStart::Warm).await?;
@@ -128,13 +120,7 @@
 
     /// The faults injected so far, with their times since a time in Unix nanoseconds.
     pub(super) fn injected_faults(&self, since: u64) -> Vec<InjectedFault> {
-        self.injected
-            .iter()
-            .map(|injected| InjectedFault {
-                at_s: seconds(injected.at.saturating_sub(since)),
-                description: injected.description.clone(),
-            })
-            .collect()
+        self.faults.since(since)
     }
 
     /// Ends all processes.
@@ -244,7 +230,7 @@
 
     /// Carries out an action and notes it for the report.
     pub(super) async fn apply(&mut self, action: Action) -> std::io::Result<()> {
-        let description = action.to_string();
+        let (code, description) = (action.code(), action.to_string());
         match action {
             Action::KillWorker(worker) => self.kill_worker(worker).await,
             Action::RemoveWorker(worker) => self.remove_worker(worker),
@@ -286,11 +272,7 @@
                 return Ok(());
             }
         }
-        info!(act = description, "scenario action");
-        self.injected.push(InjectedAction {
-            at: wall_ns(),
-            description,
-        });
+        self.faults.record(code, description);
         Ok(())
     }
 
--- a/crates/pipithub-scenario/src/run/driver.rs
+++ b/crates/pipithub-scenario/src/run/driver.rs
@@ -7,12 +7,13 @@
 use pipithub_clock::{Clock, wall_ns};
 
 use super::QUEUE;
-use super::action::{ScheduledAction, schedule};
+use super::action::{Action, schedule};
 use super::cluster::Cluster;
 use crate::client::{Answer, QueueClient};
 use crate::error::RunError;
 use crate::load::{ScheduledRequest, requests};
 use crate::scenario::Scenario;
+use crate::schedule::ScheduledAction;
 use crate::units::{SECOND, seconds};
 
 /// The time between two calls of the progress function, in nanoseconds.
@@ -68,7 +69,7 @@
     client: QueueClient,
     clock: Clock,
     requests: Peekable<std::vec::IntoIter<ScheduledRequest>>,
-    actions: Peekable<std::vec::IntoIter<ScheduledAction>>,
+    actions: Peekable<std::vec::IntoIter<ScheduledAction<Action>>>,
     /// All requests of the scenario.
     total: usize,
     published: usize,
--- a/crates/pipithub-scenario/src/scenario.rs
+++ b/crates/pipithub-scenario/src/scenario.rs
@@ -4,18 +4,20 @@
 
 use pipithub_conformance::rules::Idempotency;
 
-/// A class of requests.
+use crate::schedule::ScheduledFault;
+
+/// A class of requests, with its part of the load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSpec {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
     /// Whether its requests may be repeated.
     pub idempotency: Idempotency,
-    /// Nanoseconds within which an answer is wanted.
+    /// The time from publication to answer that the class aims for, in nanoseconds.
     pub latency_objective: u64,
-    /// Nanoseconds that a client waits.
+    /// How long a client waits for the answer, in nanoseconds.
     pub client_timeout: u64,
-    /// The weight of a served request.
+    /// How much a request counts in the figure `service` of the report, relative to those of other classes.
     pub priority_weight: f64,
     /// Its part of the requests, relative to the other classes.
     pub share: f64,
@@ -41,70 +43,70 @@
 pub enum Fault {
     /// A worker crashes and is started again, without any function loaded.
     Crash {
-        /// Which.
+        /// The worker's number.
         worker: usize,
     },
     /// Workers are replaced one by one, each drained first.
     RollingDeploy {
-        /// Nanoseconds between two.
+        /// Time between two replacements, in nanoseconds.
         every: u64,
-        /// How many.
+        /// How many workers are replaced, from number 0 on.
         count: usize,
     },
-    /// The endpoint list notifies late.
+    /// The endpoint list sends its notifications late.
     DelayEndpointList {
-        /// By how much, in nanoseconds.
+        /// The delay in nanoseconds.
         by: u64,
     },
-    /// A worker accepts requests and answers none.
+    /// A worker accepts requests but does not answer them.
     SilentWorker {
-        /// Which.
+        /// The worker's number.
         worker: usize,
     },
-    /// The model store is slowed down.
+    /// Fetches from the model store take longer.
     SlowStore {
-        /// By this factor.
+        /// The factor by which their time grows.
         factor: f64,
     },
     /// The model store rejects every fetch.
     RejectStoreRequests,
     /// A front end is killed and started again.
     KillFrontEnd {
-        /// Which.
+        /// The front end's number.
         front_end: usize,
     },
     /// The broker drops all connections.
     DropBrokerConnections,
     /// All workers of a zone crash.
     ZoneOutage {
-        /// Which.
+        /// The zone's number.
         zone: usize,
     },
     /// Some requests have a very short timeout.
     ShortTimeouts {
-        /// Their part of all requests.
+        /// Their part of all requests, from 0 to 1.
         share: f64,
     },
     /// Some requests are for functions that are requested only once.
     OneTimeFunctions {
-        /// Their part of all requests.
+        /// Their part of all requests, from 0 to 1.
         share: f64,
     },
     /// A directory server misbehaves; at the end it behaves again.
     DirectoryFault {
-        /// Which.
+        /// The server's number.
         server: usize,
         /// The command of the emulated server that causes it.
         fault: String,
     },
     /// A directory server misses migrations; at the end it catches up.
     StaleDirectory {
-        /// Which.
+        /// The server's number.
         server: usize,
     },
     /// Users migrate to the other tenant.
     MigrateUsers {
-        /// Nanoseconds between two.
+        /// Time between two migrations, in nanoseconds.
         every: u64,
     },
     /// The second tenant sends a multiple of its requests.
@@ -114,7 +116,7 @@
     },
     /// Some requests are for one function.
     HotFunction {
-        /// Their part of all requests.
+        /// Their part of all requests, from 0 to 1.
         share: f64,
     },
 }
@@ -122,67 +124,49 @@
 /// The two tenants of a scenario, with their users in one directory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantSpec {
-    /// Users, half of each tenant at first.
+    /// The number of users, of which half belong to each tenant at first.
     pub users: usize,
-    /// Servers of the directory.
+    /// The number of servers of the directory.
     pub servers: usize,
-    /// The part of the requests that ask for functions of the other tenant.
+    /// The part of the requests that ask for a function of the other tenant, from 0 to 1.
     pub cross_tenant_share: f64,
-    /// Further lines of the settings of the directory.
+    /// Further lines of the directory's settings, in KDL.
     pub settings: String,
     /// How long after a migration a request may still reach the old tenant, in nanoseconds.
     pub migration_grace: u64,
 }
 
-/// A fault and when it is injected.
-#[derive(Clone, Debug, PartialEq)]
-pub struct ScheduledFault {
-    /// Nanoseconds from the first request.
-    pub at: u64,
-    /// How long it lasts, in nanoseconds.
-    pub duration: u64,
-    /// The fault.
-    pub fault: Fault,
-}
-
-impl ScheduledFault {
-    /// When it ends, in nanoseconds from the first request.
-    pub fn end(&self) -> u64 {
-        self.at + self.duration
-    }
-}
-
 /// A scenario of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// Its name.
+    /// The name of the scenario.
     pub name: String,
     /// How long requests are published, in nanoseconds.
     pub duration: u64,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Front ends, each a process.
+    /// The number of front ends, each a process.
     pub front_ends: usize,
-    /// Workers, each a process.
+    /// The number of workers, each a process.
     pub workers: usize,
-    /// Zones; workers are assigned to them in turn.
+    /// The number of zones; workers are assigned to them in turn.
     pub zones: usize,
-    /// Functions; the first ones are requested most.
+    /// The number of functions; the first ones are requested most.
     pub functions: usize,
-    /// Further arguments of each worker.
+    /// Further command-line arguments of each worker.
     pub worker_arguments: Vec<String>,
-    /// Further lines of the settings of the front ends.
+    /// Further lines of the front ends' settings, in KDL.
     pub settings: String,
-    /// Nanoseconds until the endpoint list notifies of a crash.
+    /// Time from a crash until the endpoint list sends its notification, in nanoseconds.
     pub endpoint_list_delay: u64,
     /// How long after its notification a front end may still send to a draining worker, in nanoseconds.
     pub drain_grace: u64,
-    /// The allowance of the checks for time in transit, in nanoseconds.
+    /// The tolerance of the rules for time in transit, in nanoseconds.
     pub slack: u64,
-    /// The tenants, where the scenario has any.
+    /// The tenants; `None` if requests belong to no user.
     pub tenants: Option<TenantSpec>,
-    /// The classes.
+    /// The classes of requests; at least one.
     pub classes: Vec<ClassSpec>,
     /// The faults, by time.
-    pub faults: Vec<ScheduledFault>,
+    pub faults: Vec<ScheduledFault<Fault>>,
 }
--- a/crates/pipithub-scenario/src/scenario/parse.rs
+++ b/crates/pipithub-scenario/src/scenario/parse.rs
@@ -1,19 +1,23 @@
-//! Reads a scenario from its file.
+//! Parses scenario files.
 
 use pipithub_conformance::rules::Idempotency;
 
-use super::{ClassSpec, Fault, Scenario, ScheduledFault, TenantSpec};
+use super::{ClassSpec, Fault, Scenario, TenantSpec};
 use crate::document::{Document, Node, ParseResult};
+use crate::schedule::ScheduledFault;
 use crate::units::{MILLISECOND, SECOND};
 
-/// The properties that a fault may have, whichever it is.
+/// The properties that faults of any kind may have.
 const FAULT_PROPERTIES: [&str; 13] = [
     "at", "for", "worker", "front", "zone", "share", "factor", "by", "every", "count", "server",
     "fault", "times",
 ];
 
 impl Scenario {
-    /// Reads a scenario; `file` is its name in errors.
+    /// Parses the text of a scenario file; `file` is its name in errors, and the scenario's if the text has none.
+    ///
+    /// Fails, with the position of the first error, if the text is not KDL, or has an unknown node or property, a fault
+    /// of something that does not exist, or no class.
     pub fn parse(file: &str, text: &str) -> ParseResult<Scenario> {
         let document = Document::parse(file, text)?;
         let mut scenario = Scenario::named(file);
@@ -27,7 +31,7 @@
         Ok(scenario)
     }
 
-    /// A scenario with the defaults of all settings.
+    /// A scenario with the default of each setting.
     fn named(name: &str) -> Scenario {
         Scenario {
             name: name.to_string(),
@@ -129,7 +133,10 @@
     })
 }
 
-fn parse_scheduled_fault(node: &Node<'_>, scenario: &Scenario) -> ParseResult<ScheduledFault> {
+fn parse_scheduled_fault(
+    node: &Node<'_>,
+    scenario: &Scenario,
+) -> ParseResult<ScheduledFault<Fault>> {
     let fault = parse_fault(node)?;
     node.allow(&FAULT_PROPERTIES)?;
     check_target(node, scenario, &fault)?;
@@ -202,7 +209,7 @@
     }
 }
 
-/// Fails where a fault is for something that the scenario does not have.
+/// Fails if a fault names a worker, front end, server or tenant that the scenario does not have.
 fn check_target(node: &Node<'_>, scenario: &Scenario, fault: &Fault) -> ParseResult<()> {
     let tenants = scenario.tenants.as_ref();
     match *fault {
--- a/crates/pipithub-scenario/tests/outcome.rs
+++ b/crates/pipithub-scenario/tests/outcome.rs
@@ -3,10 +3,11 @@
 use pipithub_scenario::outcome::InjectedFault;
 
 #[test]
-fn an_injected_fault_is_a_pair_in_json() {
+fn injected_fault_is_a_pair_of_time_and_code_in_json() {
     let fault = InjectedFault {
         at_s: 1.5,
-        description: "Kill(0)".into(),
+        code: "Kill(0)".into(),
+        description: "worker 0 is killed".into(),
     };
     let json = serde_json::to_string(&[fault]).expect("no map with odd keys");
     assert_eq!(json, r#"[[1.5,"Kill(0)"]]"#);
