--- a/crates/pipithub-emulator/src/accept.rs
+++ b/crates/pipithub-emulator/src/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections in spite of errors that pass.
+//! Accept loops that survive transient errors.
 
 use std::future::Future;
 use std::io;
@@ -8,20 +8,20 @@
 use tokio::net::{TcpListener, TcpStream};
 use tracing::{debug, error, warn};
 
-/// The pause between calls while this machine lacks descriptors or memory.
+/// The delay before the next attempt while this machine lacks descriptors or memory.
 const EXHAUSTED_BACKOFF: Duration = Duration::from_millis(10);
 
-/// The next connection of a listener; `None` where the listener is of no use any more.
+/// Accepts the next connection; `None` after an error that makes the listener unusable.
 pub(crate) async fn next_stream(listener: &TcpListener) -> Option<TcpStream> {
     next_connection(|| listener.accept())
         .await
         .map(|(stream, _)| stream)
 }
 
-/// Calls `accept` until it gives a connection; `None` after an error that no further call can mend.
+/// Calls `accept` until it returns a connection; `None` after an error that makes the listener unusable.
 ///
-/// A connection that was lost before it was accepted holds up no other; while this machine lacks descriptors or
-/// memory, there is a short pause between calls.
+/// An error of a single connection is skipped. While this machine lacks descriptors or memory, there is a short delay
+/// between attempts.
 pub async fn next_connection<C, F>(mut accept: impl FnMut() -> F) -> Option<C>
 where
     F: Future<Output = io::Result<C>>,
@@ -33,14 +33,14 @@
         };
         match accept_failure(&error) {
             AcceptFailure::Connection => {
-                debug!(%error, "a connection was lost before it was accepted");
+                debug!(%error, "connection was lost before it was accepted");
             }
             AcceptFailure::Exhausted => {
-                warn!(%error, "no connection can be accepted for a moment");
+                warn!(%error, "failed to accept connection, retrying");
                 tokio::time::sleep(EXHAUSTED_BACKOFF).await;
             }
             AcceptFailure::Fatal => {
-                error!(%error, "the listener ends");
+                error!(%error, "failed to accept connection, closing the listener");
                 return None;
             }
         }
--- a/crates/pipithub-emulator/src/broker/arguments.rs
+++ b/crates/pipithub-emulator/src/broker/arguments.rs
@@ -1,10 +1,12 @@
-//! The arguments of `queue.declare` that the broker understands.
+//! The arguments of `queue.declare` that the broker supports.
+
+use std::fmt;
 
 use pipithub_amqp::{FieldTable, ShortStr, Time};
 
 use super::core::NANOS_PER_MS;
 
-/// The parsed arguments; others are ignored.
+/// The parsed arguments; unknown ones are ignored. `None` where the client gives none.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct QueueArguments {
     pub(super) message_ttl: Option<Time>,
@@ -14,9 +16,31 @@
     pub(super) expires: Option<Time>,
 }
 
+/// An argument with an invalid value. Its text is sent to the client.
+#[derive(Debug, PartialEq, Eq)]
+pub(super) enum ArgumentError {
+    /// The argument of this name must be a number.
+    NotANumber(&'static str),
+    /// The argument of this name must be a string.
+    NotAString(&'static str),
+}
+
+impl fmt::Display for ArgumentError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ArgumentError::NotANumber(key) => {
+                write!(f, "{key} must be a whole number that is not negative")
+            }
+            ArgumentError::NotAString(key) => write!(f, "{key} must be a text"),
+        }
+    }
+}
+
+impl std::error::Error for ArgumentError {}
+
 impl QueueArguments {
-    /// Reads the table; the error is the text that the client is sent.
-    pub(super) fn parse(table: &FieldTable) -> Result<Self, String> {
+    /// Parses the arguments of a declaration. Fails if a supported argument has a value of the wrong type.
+    pub(super) fn parse(table: &FieldTable) -> Result<Self, ArgumentError> {
         let max_length = non_negative(table, "x-max-length")?;
         Ok(QueueArguments {
             message_ttl: duration(table, "x-message-ttl")?,
@@ -28,25 +52,24 @@
     }
 }
 
-fn non_negative(table: &FieldTable, key: &str) -> Result<Option<u64>, String> {
+fn non_negative(table: &FieldTable, key: &'static str) -> Result<Option<u64>, ArgumentError> {
     let Some(value) = table.get(key) else {
         return Ok(None);
     };
     let number = value.as_i64().and_then(|number| u64::try_from(number).ok());
-    let invalid = || format!("{key} must be a whole number that is not negative");
-    number.map(Some).ok_or_else(invalid)
+    number.map(Some).ok_or(ArgumentError::NotANumber(key))
 }
 
-fn duration(table: &FieldTable, key: &str) -> Result<Option<Time>, String> {
+/// A duration, which is given in milliseconds.
+fn duration(table: &FieldTable, key: &'static str) -> Result<Option<Time>, ArgumentError> {
     let ms = non_negative(table, key)?;
     Ok(ms.map(|ms| ms.saturating_mul(NANOS_PER_MS)))
 }
 
-fn text(table: &FieldTable, key: &str) -> Result<Option<ShortStr>, String> {
+fn text(table: &FieldTable, key: &'static str) -> Result<Option<ShortStr>, ArgumentError> {
     let Some(value) = table.get(key) else {
         return Ok(None);
     };
     let text = value.as_str().map(ShortStr::truncated);
-    text.map(Some)
-        .ok_or_else(|| format!("{key} must be a text"))
+    text.map(Some).ok_or(ArgumentError::NotAString(key))
 }
--- a/crates/pipithub-emulator/src/broker/connection.rs
+++ b/crates/pipithub-emulator/src/broker/connection.rs
@@ -18,7 +18,7 @@
     shared: &'a Shared,
     id: ConnectionId,
     endpoint: Endpoint,
-    /// It has published: nothing is read from it while the broker is blocked.
+    /// It has published, so nothing is read from it while the broker is blocked.
     is_publisher: bool,
     user: String,
 }
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Serves the connection until it ends; `notify` tells of outputs for it.
+    /// Serves the connection until it ends. `notify` wakes it when there are outputs for it.
     pub(super) async fn serve(
         &mut self,
         mut stream: TcpStream,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Handles the client's events and moves the broker's outputs into the endpoint; false where the connection is cut.
+    /// Handles the client's events and moves the broker's outputs into the endpoint; false if the connection is cut.
     fn collect_outputs(&mut self) -> bool {
         while let Some(event) = self.endpoint.poll_event() {
             self.handle_event(event);
@@ -120,9 +120,11 @@
 
     fn log_in(&mut self, user: String, password: &str) {
         let settings = &self.shared.settings;
-        let is_known = std::iter::once(&settings.login)
-            .chain(&settings.logins)
-            .any(|(known, its_password)| *known == user && its_password == password);
+        let is_known = (settings.login.user == user && settings.login.password == password)
+            || settings
+                .logins
+                .iter()
+                .any(|(known, its_password)| *known == user && its_password == password);
         if is_known {
             self.user = user;
             self.endpoint.accept_login();
@@ -132,7 +134,7 @@
         }
     }
 
-    /// The client's name in the records: the name in its properties, with the connection's number.
+    /// The client's name in records: the name in its properties and the number of its connection.
     fn client_name(&self) -> String {
         let properties = self.endpoint.peer_properties();
         let name = properties
@@ -176,6 +178,6 @@
     };
     // A channel that its peer has closed in the meantime accepts no output, which is then void.
     if let Err(error) = sent {
-        debug!(%error, "not sent");
+        debug!(%error, "failed to send to a closed channel");
     }
 }
--- a/crates/pipithub-emulator/src/broker/core.rs
+++ b/crates/pipithub-emulator/src/broker/core.rs
@@ -14,23 +14,23 @@
 /// [`Time`] counts nanoseconds; the protocol gives durations in milliseconds.
 pub(super) const NANOS_PER_MS: Time = 1_000_000;
 
-/// What a connection is sent.
+/// An output for a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BrokerOutput {
     /// A method, with its content.
     Method {
         /// The channel; 0 for the connection itself.
         channel: u16,
-        /// The method.
+        /// The method to send.
         method: Method,
         /// The content, of those methods that carry one.
         content: Option<Box<Content>>,
     },
     /// The broker closes the channel.
     CloseChannel {
-        /// The channel.
+        /// The number of the channel.
         channel: u16,
-        /// Why.
+        /// The reason, which is sent to the client.
         fault: Fault,
     },
     /// The broker closes the connection.
@@ -40,18 +40,19 @@
 /// An output with the connection that it is for.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outgoing {
-    /// The connection.
+    /// The connection that it is for.
     pub connection: ConnectionId,
-    /// What it is sent.
+    /// What is sent on it.
     pub output: BrokerOutput,
 }
 
-/// The bounds of a broker.
+/// How much a broker holds.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Messages in a queue that sets no `x-max-length`; past it the oldest is dropped or dead-lettered.
+    /// The length of a queue without `x-max-length`, in messages. Beyond it the oldest message is dropped or
+    /// dead-lettered.
     pub messages: usize,
-    /// Queues and exchanges, each.
+    /// The number of queues, and that of exchanges; further ones are rejected.
     pub entities: usize,
 }
 
@@ -64,7 +65,7 @@
     }
 }
 
-/// A virtual host.
+/// A virtual host without I/O: it takes events of connections and returns outputs and records.
 #[derive(Debug)]
 pub struct Broker {
     pub(super) bounds: Bounds,
@@ -74,7 +75,7 @@
     pub(super) connections: BTreeMap<ConnectionId, Connection>,
     /// Queues that may have messages for their consumers.
     pub(super) pending_delivery: BTreeSet<ShortStr>,
-    /// Why publishers are held back, while they are.
+    /// Why publishers are blocked; `None` while they are not.
     pub(super) blocked: Option<String>,
     pub(super) last_message_number: u64,
     generated_names: u64,
@@ -116,7 +117,7 @@
         std::mem::take(&mut self.records)
     }
 
-    /// The numbers of messages ready and not acknowledged in a queue.
+    /// How many messages of a queue are ready, and how many unacknowledged; `None` if there is no such queue.
     pub fn depth(&self, queue: &str) -> Option<(usize, usize)> {
         let queue = ShortStr::truncated(queue);
         let ready = self.queues.get(&queue)?.messages.len();
--- a/crates/pipithub-emulator/src/broker/entities.rs
+++ b/crates/pipithub-emulator/src/broker/entities.rs
@@ -7,7 +7,7 @@
 use super::arguments::QueueArguments;
 use super::transaction::Transaction;
 
-/// A connection, as the server numbers it.
+/// The number of a connection; numbers are not reused.
 pub type ConnectionId = u64;
 
 /// Names a channel of a connection.
--- a/crates/pipithub-emulator/src/broker/queue.rs
+++ b/crates/pipithub-emulator/src/broker/queue.rs
@@ -110,7 +110,7 @@
         declaration: Declaration,
     ) -> Result<Method, Fault> {
         let arguments = QueueArguments::parse(&declaration.arguments)
-            .map_err(|text| Fault::new(Code::PreconditionFailed, text))?;
+            .map_err(|error| Fault::new(Code::PreconditionFailed, error.to_string()))?;
         let properties = QueueProperties {
             durable: declaration.durable,
             auto_delete: declaration.auto_delete,
--- a/crates/pipithub-emulator/src/broker/server.rs
+++ b/crates/pipithub-emulator/src/broker/server.rs
@@ -1,4 +1,4 @@
-//! Serves the broker on a socket: accepts connections, hands their outputs to them, keeps its timer.
+//! The broker on a socket: accepts connections, distributes the broker's outputs to them and drives its timer.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -14,38 +14,39 @@
 use super::entities::ConnectionId;
 use crate::accept::next_connection;
 use crate::clock::Clock;
+use crate::credentials::Credentials;
 use crate::recorder::Recorder;
 
-/// A connection with more bytes than this to write gets no further messages until they are out.
+/// A connection with more unwritten bytes than this gets no further messages until they are written.
 const CONGESTION_BYTES: usize = 4 << 20;
-/// What a method counts towards that, beside its content.
+/// The bytes that a method counts in addition to its content.
 const METHOD_BYTES: usize = 256;
-/// More connections than this are rejected.
+/// The maximum number of connections; further ones are closed at once.
 const MAX_CONNECTIONS: usize = 4096;
 
-/// How a broker is set up.
+/// Settings of a broker.
 #[derive(Clone)]
 pub struct BrokerSettings {
-    /// User and password.
-    pub login: (String, String),
-    /// Further users and their passwords.
+    /// The user that may log in.
+    pub login: Credentials,
+    /// Further users that may log in, with their passwords.
     pub logins: Vec<(String, String)>,
-    /// The virtual host.
+    /// The name of the only virtual host.
     pub virtual_host: String,
-    /// The limits it offers.
+    /// The limits that the broker proposes to clients.
     pub tuning: Tuning,
-    /// Its bounds.
+    /// How many messages, queues and exchanges it holds.
     pub bounds: Bounds,
-    /// Queues declared beforehand, with their arguments.
+    /// Durable queues that exist from the start, with their arguments.
     pub queues: Vec<(String, FieldTable)>,
-    /// Receives the records.
+    /// Records the traffic.
     pub recorder: Recorder,
 }
 
 impl Default for BrokerSettings {
     fn default() -> Self {
         BrokerSettings {
-            login: ("guest".into(), "guest".into()),
+            login: Credentials::new("guest", "guest"),
             logins: Vec::new(),
             virtual_host: "/".into(),
             tuning: Tuning::default(),
@@ -56,12 +57,12 @@
     }
 }
 
-/// What a connection has to be sent.
+/// The outputs that wait to be sent on a connection.
 pub(super) struct Outbox {
     pub(super) outputs: VecDeque<BrokerOutput>,
     pub(super) bytes: usize,
     notify: Arc<Notify>,
-    /// The connection is to end at once, without closing it properly.
+    /// The connection is to be dropped without a closing handshake.
     pub(super) cut: bool,
 }
 
@@ -85,24 +86,24 @@
     }
 }
 
-/// What the broker's tasks share under one lock.
+/// The state of the broker's tasks that is guarded by one lock.
 pub(super) struct State {
     pub(super) broker: Broker,
     pub(super) outboxes: HashMap<ConnectionId, Outbox>,
     next_connection: ConnectionId,
 }
 
-/// What the broker's tasks share.
+/// The state that the broker's tasks share.
 pub(super) struct Shared {
     pub(super) settings: BrokerSettings,
     pub(super) clock: Clock,
     state: Mutex<State>,
     timer: Notify,
-    /// The broker's address, as the records name it.
+    /// The broker's address, which identifies it in records.
     address: String,
 }
 
-/// A broker that is running; it ends when dropped.
+/// A running broker. Dropping it ends the broker and its connections.
 pub struct BrokerServer {
     address: SocketAddr,
     shared: Arc<Shared>,
@@ -117,7 +118,7 @@
 }
 
 impl BrokerServer {
-    /// Starts a broker that listens on this address.
+    /// Starts a broker on an address. Fails if the address cannot be bound.
     pub async fn start(listen: SocketAddr, settings: BrokerSettings) -> std::io::Result<Self> {
         let listener = TcpListener::bind(listen).await?;
         let address = listener.local_addr()?;
@@ -151,12 +152,12 @@
         self.address
     }
 
-    /// The numbers of messages ready and not acknowledged in a queue.
+    /// How many messages of a queue are ready, and how many unacknowledged; `None` if there is no such queue.
     pub fn depth(&self, queue: &str) -> Option<(usize, usize)> {
         self.shared.lock().broker.depth(queue)
     }
 
-    /// Drops all connections without closing them properly, as a broker that crashes does.
+    /// Drops all connections without a closing handshake, as a crash of the broker does.
     pub fn cut_all(&self) {
         for outbox in self.shared.lock().outboxes.values_mut() {
             outbox.cut = true;
@@ -164,14 +165,14 @@
         }
     }
 
-    /// Tells clients that publishes are not taken for now (`Some`), or are taken again.
+    /// Blocks publishers for a reason, or unblocks them (`None`).
     pub fn set_blocked(&self, reason: Option<&str>) {
         let mut state = self.shared.lock();
         state.broker.set_blocked(reason);
         self.shared.distribute(&mut state);
     }
 
-    /// Receives the records.
+    /// The recorder of the traffic.
     pub fn recorder(&self) -> &Recorder {
         &self.shared.settings.recorder
     }
@@ -182,7 +183,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lets the broker act, then writes its records and hands out its outputs.
+    /// Executes an action on the broker, then writes its records and distributes its outputs.
     pub(super) fn act(&self, action: impl FnOnce(&mut Broker, Time)) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -220,7 +221,7 @@
         }
     }
 
-    /// Enters a new connection; `None` where there are too many.
+    /// Registers a new connection; `None` if there are too many.
     fn register(&self, notify: &Arc<Notify>) -> Option<ConnectionId> {
         let mut state = self.lock();
         if state.outboxes.len() >= MAX_CONNECTIONS {
@@ -247,7 +248,7 @@
     while let Some((stream, peer)) = next_connection(|| listener.accept()).await {
         let notify = Arc::new(Notify::new());
         let Some(id) = shared.register(&notify) else {
-            info!(%peer, "turned away: too many connections");
+            info!(%peer, "rejected connection: too many connections");
             continue;
         };
         let shared = shared.clone();
@@ -255,7 +256,7 @@
             let ended = BrokerConnection::new(&shared, id)
                 .serve(stream, &notify)
                 .await;
-            debug!(%peer, ?ended, "connection over");
+            debug!(%peer, ?ended, "connection ended");
             shared.act(|broker, now| broker.disconnect(now, id));
             shared.lock().outboxes.remove(&id);
         });
--- a/crates/pipithub-emulator/src/coordinator.rs
+++ b/crates/pipithub-emulator/src/coordinator.rs
@@ -1,9 +1,9 @@
-//! An emulated coordinator that streams the worker list to thousands of front ends, on one thread of its own.
+//! An emulated coordinator that streams the endpoint list to thousands of front ends, on one thread of its own.
 //!
-//! `GET /v2/stream` is answered with server-sent events: first what was missed since `last-event-id`, or every worker
-//! where that is not known any more; then each event, and a comment each second. It counts connections, bytes, messages
-//! and its own CPU time, and can be cut off, slow, forgetful or break off. It is an emulation and not the users'
-//! coordinator: its measurements do not apply to theirs.
+//! `GET /v2/stream` is answered with server-sent events: first the events since `last-event-id`, or a snapshot of all
+//! workers if those are no longer known; then each new event, and a comment each second. The coordinator counts
+//! connections, bytes, messages and its own CPU time. It can reject connections, limit their rate, lose its history or
+//! break streams off. Measurements of it do not apply to the users' coordinator, which is another program.
 
 mod stream;
 mod tier;
@@ -25,29 +25,29 @@
 
 pub use self::tier::{Tier, event};
 
-/// Events kept for those who missed them; who missed more gets every worker.
+/// The number of past events that are kept; a front end that missed more gets a snapshot.
 const MAX_HISTORY: usize = 1024;
-/// Requests kept for comparison.
+/// The number of requests that are kept.
 const MAX_REQUESTS: usize = 16_384;
-/// Connections that may wait to be accepted: all of a site may come at once.
+/// The backlog of the listener, as all front ends of a site may connect at once.
 const BACKLOG: u32 = 4096;
 
-/// What was counted since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Connections accepted, those rejected during a cut not included.
+    /// Connections accepted, except those rejected during a cut.
     pub connections: u64,
     /// Connections closed unanswered during a cut.
     pub rejected: u64,
-    /// Streams that are open now.
+    /// Streams that are currently open.
     pub open: u64,
-    /// Bytes that front ends sent.
+    /// Bytes received from front ends.
     pub received_bytes: u64,
-    /// Bytes that front ends were sent.
+    /// Bytes sent to front ends.
     pub sent_bytes: u64,
     /// Events that were written completely.
     pub events: u64,
-    /// Comments.
+    /// Comments that were written.
     pub comments: u64,
 }
 
@@ -66,11 +66,11 @@
 /// How the coordinator behaves.
 #[derive(Clone, Copy, Debug)]
 pub struct Behaviour {
-    /// How often a comment comes; `None`: never by itself.
+    /// The interval of comments; `None` for comments on request only.
     pub comments: Option<Duration>,
-    /// Bytes a second on each stream; `None`: as fast as they go.
+    /// The bandwidth of each stream in bytes per second; `None` for no limit.
     pub rate: Option<u64>,
-    /// Every stream ends, and new connections are closed unanswered, so that connection attempts are counted.
+    /// All streams are ended, and new connections are counted and closed without an answer.
     pub cut: bool,
 }
 
@@ -100,17 +100,17 @@
     }
 }
 
-/// What the streams have to send.
+/// The events that streams send.
 #[derive(Default)]
 struct EventLog {
     /// The index of the last event.
     last: u64,
-    /// The event with every worker.
+    /// The event that lists all workers.
     snapshot: Bytes,
     history: VecDeque<FramedEvent>,
-    /// Comments that were asked for by [`Coordinator::comment`].
+    /// The number of comments requested by [`Coordinator::comment`].
     comments: u64,
-    /// The next stream breaks off after so many bytes behind its head.
+    /// The number of bytes after its head at which the next stream breaks off.
     break_off: Option<usize>,
     requests: Vec<String>,
 }
@@ -125,7 +125,7 @@
         self.history.push_back(event);
     }
 
-    /// The events behind this one; every worker, where some of them are forgotten or a new stream knows none.
+    /// The events after this one; a snapshot if some of them are no longer kept or a new stream has seen none.
     fn since(&self, last: u64, is_new: bool) -> Vec<FramedEvent> {
         if last >= self.last {
             return Vec::new();
@@ -229,7 +229,7 @@
         index
     }
 
-    /// Hands out an event by its text; `snapshot` is the event with every worker, for those who missed too much.
+    /// Publishes an event by its text; `snapshot` is the event that lists all workers, for streams that missed too much.
     pub fn publish_text(&self, index: u64, text: &str, snapshot: &str) {
         let event = FramedEvent::new(index, text);
         let snapshot = FramedEvent::new(index, snapshot);
@@ -237,28 +237,28 @@
         self.shared.announce_change();
     }
 
-    /// Forgets past events, as after a restart: who asks anew gets every worker.
+    /// Drops past events, as after a restart: a front end that connects again gets a snapshot.
     pub fn forget(&self) {
         self.shared.log().history.clear();
     }
 
-    /// Sends a comment on every stream, now.
+    /// Sends a comment on all streams at once.
     pub fn comment(&self) {
         self.shared.log().comments += 1;
         self.shared.announce_change();
     }
 
-    /// The next stream breaks off after so many bytes behind its head.
+    /// Makes the next stream break off when this number of bytes has been sent after its head.
     pub fn break_off(&self, after: usize) {
         self.shared.log().break_off = Some(after);
     }
 
-    /// Changes how it behaves.
+    /// Changes the behaviour, for open streams as well.
     pub fn behave(&self, change: impl FnOnce(&mut Behaviour)) {
         self.shared.behaviour.send_modify(change);
     }
 
-    /// What was counted.
+    /// The present counts.
     pub fn counts(&self) -> Counts {
         let counters = &self.shared.counters;
         Counts {
@@ -272,12 +272,12 @@
         }
     }
 
-    /// The requests that came, as they were sent, in their order; the first 16,384 of them.
+    /// The first 16,384 requests, as received.
     pub fn requests(&self) -> Vec<String> {
         self.shared.log().requests.clone()
     }
 
-    /// CPU time of its thread, in nanoseconds; 0 where the system does not state it.
+    /// The CPU time of the coordinator's thread, in nanoseconds; 0 if the system does not report it.
     pub fn cpu_ns(&self) -> u64 {
         std::fs::read_to_string(&self.schedstat)
             .unwrap_or_default()
@@ -304,7 +304,7 @@
     socket.listen(BACKLOG)
 }
 
-/// The file in which the system states the CPU time of the calling thread.
+/// The file in which the kernel reports the CPU time of the calling thread.
 fn own_schedstat() -> String {
     let thread = std::fs::read_link("/proc/thread-self").unwrap_or_default();
     let file = Path::new("/proc").join(thread).join("schedstat");
--- a/crates/pipithub-emulator/src/coordinator/stream.rs
+++ b/crates/pipithub-emulator/src/coordinator/stream.rs
@@ -97,7 +97,7 @@
     is_new: bool,
     /// Comments of the log that were sent.
     comments: u64,
-    /// The stream breaks off after so many bytes more.
+    /// The number of bytes after which the stream breaks off.
     remaining_bytes: Option<usize>,
 }
 
--- a/crates/pipithub-emulator/src/coordinator/tier.rs
+++ b/crates/pipithub-emulator/src/coordinator/tier.rs
@@ -1,13 +1,13 @@
-//! A synthetic site of workers, as the coordinator's events name them.
+//! The workers of a synthetic site, in the form of the coordinator's events.
 
 use serde_json::{Value, json};
 
 /// Workers that share a block.
 const BLOCK_WORKERS: usize = 16;
-/// The first worker's birth, in Unix milliseconds.
+/// The start time of the first worker, in Unix milliseconds.
 const FIRST_BIRTH_MS: u64 = 1_790_000_000_000;
 
-/// The workers of a site, as the list names them.
+/// The workers of a synthetic site.
 #[derive(Clone, Debug)]
 pub struct Tier {
     hosts: Vec<Value>,
@@ -29,7 +29,7 @@
         tier
     }
 
-    /// A new worker at this place, with a name and a birth of its own.
+    /// A new worker at an index, with a name and a start time of its own.
     fn make_host(&mut self, index: usize, zone: usize) -> Value {
         self.made += 1;
         let made = self.made;
@@ -46,7 +46,7 @@
         })
     }
 
-    /// Every worker.
+    /// All workers, in the form of events.
     pub fn hosts(&self) -> &[Value] {
         &self.hosts
     }
--- a/crates/pipithub-emulator/src/directory.rs
+++ b/crates/pipithub-emulator/src/directory.rs
@@ -1,6 +1,6 @@
-//! An emulated LDAP directory server: a tree from LDIF, searched over the protocol, with faults on demand.
+//! An emulated LDAP directory server whose entries come from LDIF, and which can simulate faults.
 //!
-//! It offers what a gateway may meet: simple binds, `StartTLS` and TLS from the first byte, filters, paging, content
+//! It supports what a gateway uses: simple binds, `StartTLS` and TLS from the first byte, filters, paging, content
 //! synchronisation (RFC 4533) with changes as they happen, `contextCSN` at the base, `modifyTimestamp` and `entryUUID` at
 //! each entry. Replicas are several servers, each with a tree of its own.
 
@@ -23,20 +23,21 @@
 use self::session::SessionEnd;
 use self::tree::{EntryUuid, Tree};
 use crate::accept::next_stream;
+use crate::credentials::Credentials;
 
-/// Changes that a slow session may have yet to read; further ones end it.
+/// How many changes a session may be behind; a slower session is ended.
 const MAX_UNREAD_CHANGES: usize = 4096;
 
-/// How a server is set up.
+/// Settings of a directory server.
 #[derive(Clone, Debug, Default)]
 pub struct DirectorySettings {
-    /// The tree, as LDIF.
+    /// The entries, as LDIF.
     pub tree: String,
-    /// The base, whose `contextCSN` states how current the server is; by default the shortest name of the tree.
+    /// The DN of the base entry, whose `contextCSN` states how current the server is; by default the shortest DN.
     pub base: Option<String>,
-    /// Name and password that a client must bind with; `None`: anybody may search.
-    pub login: Option<(String, String)>,
-    /// TLS from the first byte. `StartTLS` is offered otherwise.
+    /// The credentials that clients must bind with; `None` allows searches without a bind.
+    pub login: Option<Credentials>,
+    /// Use TLS from the first byte instead of offering `StartTLS`.
     pub ldaps: bool,
 }
 
@@ -45,15 +46,15 @@
 pub struct Faults {
     /// The delay of every answer.
     pub delay: Duration,
-    /// Accepts connections and never answers.
+    /// Requests are read but not answered.
     pub silent: bool,
-    /// Every n-th answer to a search is dropped; 0: none.
+    /// Every n-th answer to a search is dropped; 0 for none.
     pub drop_every: u32,
-    /// Answers with the wrong entry.
+    /// Searches are answered with a wrong entry.
     pub wrong: bool,
-    /// Its tree is not there yet: no entry exists.
+    /// The server is still loading its entries, so none exists.
     pub loading: bool,
-    /// Says that it is busy.
+    /// Searches are answered with the result code `busy`.
     pub busy: bool,
 }
 
@@ -62,17 +63,17 @@
 enum Change {
     Updated(Dn),
     Deleted(EntryUuid),
-    /// All connections are to end.
+    /// All sessions must end.
     Disconnect,
 }
 
-/// What the server's tasks share.
+/// The state that the server's tasks share.
 struct Shared {
     settings: DirectorySettings,
     tree: Mutex<Tree>,
     changes: broadcast::Sender<Change>,
     acceptor: TlsAcceptor,
-    /// Its certificate, as PEM.
+    /// The server's certificate, as PEM.
     certificate: String,
 }
 
@@ -82,12 +83,12 @@
     }
 
     fn announce(&self, change: Change) {
-        // Without sessions nobody listens.
+        // Sending fails only if there are no sessions.
         let _ = self.changes.send(change);
     }
 }
 
-/// A server that is running; it ends when dropped.
+/// A running directory server. Dropping it ends the server and its sessions.
 pub struct DirectoryServer {
     address: SocketAddr,
     shared: Arc<Shared>,
@@ -106,7 +107,7 @@
 }
 
 impl DirectoryServer {
-    /// Starts a server that listens on this address.
+    /// Starts a server on an address. Fails if the address cannot be bound or the LDIF or base DN is invalid.
     pub async fn start(listen: SocketAddr, settings: DirectorySettings) -> std::io::Result<Self> {
         let tree = read_tree(&settings)?;
         let certified =
@@ -135,7 +136,7 @@
         self.address
     }
 
-    /// Its certificate, which is its own authority, as PEM.
+    /// The self-signed certificate of the server, as PEM.
     pub fn ca(&self) -> &str {
         &self.shared.certificate
     }
@@ -144,22 +145,22 @@
         self.shared.tree()
     }
 
-    /// Changes the faults that it simulates.
+    /// Changes the simulated faults.
     pub fn set_faults(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut self.tree().faults);
     }
 
-    /// Searches that it was asked for so far.
+    /// The number of searches received so far.
     pub fn searches(&self) -> u64 {
         self.tree().searches
     }
 
-    /// Ends all connections.
+    /// Ends all sessions.
     pub fn cut(&self) {
         self.shared.announce(Change::Disconnect);
     }
 
-    /// Adds entries, or replaces those of the same names.
+    /// Adds entries from LDIF, or replaces those of the same DN. Fails, without any change, if the text is invalid.
     pub fn add(&self, text: &str) -> Result<(), ldif::InvalidLdif> {
         for record in ldif::read(text)? {
             let dn = record.dn.clone();
@@ -169,7 +170,7 @@
         Ok(())
     }
 
-    /// Deletes an entry; whether it was there.
+    /// Deletes the entry of a DN; returns whether it existed.
     pub fn delete(&self, name: &str) -> bool {
         let Ok(dn) = Dn::parse(name) else {
             return false;
@@ -195,7 +196,7 @@
         true
     }
 
-    /// Takes over the whole tree of another server at once, as a replica that catches up.
+    /// Replaces all entries by those of another server, as when a replica catches up.
     pub fn copy_from(&self, other: &DirectoryServer) {
         let (entries, change_number) = {
             let tree = other.tree();
@@ -206,8 +207,8 @@
         tree.change_number = change_number;
     }
 
-    /// Carries out a command line: `delay MS`, `silent on|off`, `drop N`, `wrong on|off`, `loading on|off`, `busy on|off`, `cut`,
-    /// `move DN > DN`, `delete DN`, `good`; false if it was not understood or there is no such entry.
+    /// Executes a command line: `delay MS`, `silent on|off`, `drop N`, `wrong on|off`, `loading on|off`, `busy on|off`, `cut`,
+    /// `move DN > DN`, `delete DN`, `good`; false if the command is unknown or there is no such entry.
     pub fn command(&self, line: &str) -> bool {
         let (verb, argument) = line.split_once(' ').unwrap_or((line, ""));
         match verb {
@@ -225,7 +226,7 @@
 }
 
 impl Faults {
-    /// Carries out a command that sets faults; false if it is not understood.
+    /// Executes a command that sets faults; false if it is unknown.
     fn set(&mut self, verb: &str, argument: &str) -> bool {
         let on = argument == "on";
         match verb {
--- a/crates/pipithub-emulator/src/directory/session.rs
+++ b/crates/pipithub-emulator/src/directory/session.rs
@@ -22,22 +22,22 @@
 /// How a session ended.
 pub(super) enum SessionEnd {
     Closed,
-    /// TLS is to begin on the same connection.
+    /// The client asked for TLS on the same connection.
     StartTls,
 }
 
-/// What a message of the client leads to.
+/// The reaction to a message of the client.
 enum Step {
-    /// These answers are sent after the delay that is set.
+    /// Send these answers after the delay of [`Faults`](super::Faults).
     Answer(Vec<LdapMessage>),
-    /// This answer is sent at once.
+    /// Send this answer at once.
     AnswerNow(LdapMessage),
-    /// This answer is sent at once, then TLS begins.
+    /// Send this answer at once, then start TLS.
     StartTls(LdapMessage),
     Close,
 }
 
-/// Answers that wait for their time.
+/// Answers that are sent at a later time.
 struct DelayedAnswer {
     due: Instant,
     bytes: Vec<u8>,
@@ -113,14 +113,14 @@
         }
     }
 
-    /// Puts answers where they wait for the delay that is set.
+    /// Queues answers for the time after the current delay.
     fn delay(&mut self, answers: &[LdapMessage]) {
         let due = Instant::now() + self.shared.tree().faults.delay;
         let bytes = answers.iter().flat_map(encode).collect();
         self.delayed.push_back(DelayedAnswer { due, bytes });
     }
 
-    /// Waits until the next answer is due; for ever where there is none.
+    /// Waits until the next answer is due; forever if there is none.
     async fn next_due(&self) {
         match self.delayed.front() {
             Some(answer) => tokio::time::sleep_until(answer.due).await,
@@ -152,9 +152,9 @@
     fn bind(&mut self, bind: &BindRequest) -> BindResponse {
         let is_known = match (&self.shared.settings.login, &bind.authentication) {
             (None, _) => true,
-            (Some((name, password)), AuthenticationChoice::Simple(given)) => {
-                Dn::parse(name).ok() == Dn::parse(&bind.name).ok()
-                    && given[..] == *password.as_bytes()
+            (Some(login), AuthenticationChoice::Simple(given)) => {
+                Dn::parse(&login.user).ok() == Dn::parse(&bind.name).ok()
+                    && given[..] == *login.password.as_bytes()
             }
             _ => false,
         };
--- a/crates/pipithub-emulator/src/list/slice.rs
+++ b/crates/pipithub-emulator/src/list/slice.rs
@@ -8,24 +8,24 @@
 use pipithub_endpoints::{MEMORY_ANNOTATION, STARTED_ANNOTATION};
 use serde::{Deserialize, Serialize};
 
-/// A worker as the list's owner sees it.
+/// A worker of the endpoint list.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct Listed {
-    /// IP address.
+    /// The worker's IP address.
     pub ip: String,
-    /// Port; each port has a slice of its own.
+    /// The worker's port. Each address and port has a slice of its own.
     pub port: u16,
-    /// Names the process.
+    /// Identifies the process: a restarted worker has another one.
     pub uid: String,
-    /// Its zone.
+    /// The worker's zone; empty if unknown.
     #[serde(default)]
     pub zone: String,
     /// `live`, `draining` or `gone`.
     pub state: String,
-    /// Its memory.
+    /// The worker's memory in megabytes; 0 if unknown.
     #[serde(default)]
     pub memory_mb: f64,
-    /// When it started, in Unix milliseconds; 0: long ago.
+    /// When the process started, in Unix milliseconds; 0 for a worker that has long warmed up.
     #[serde(default)]
     pub started_ms: u64,
 }
--- a/crates/pipithub-emulator/src/proxy.rs
+++ b/crates/pipithub-emulator/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy for TCP that injects faults on its way: it delays, cuts, half-closes, swallows answers, corrupts.
+//! A TCP proxy that injects faults: it delays, corrupts or drops data, and cuts or half-closes connections.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,22 +13,22 @@
 use crate::accept::next_stream;
 
 const BUFFER_BYTES: usize = 64 << 10;
-/// The bit that a corrupted byte has turned.
+/// The bit that is flipped in a corrupted byte.
 const CORRUPTED_BIT: u8 = 0x40;
 
 /// The fault that the proxy injects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Damage {
-    /// Nothing.
+    /// Data is forwarded unchanged.
     #[default]
     None,
-    /// Each piece is held back for so long, both ways.
+    /// Each chunk is delayed by this time, in both directions.
     Delay(Duration),
-    /// The direction to the client is closed, that to the server stays open.
+    /// The direction to the client is closed; that to the server stays open.
     HalfClose,
-    /// What the server sends never arrives.
+    /// Everything that the server sends is dropped.
     Swallow,
-    /// A bit of each piece that the server sends is turned.
+    /// One bit of each chunk from the server is flipped.
     Corrupt,
 }
 
@@ -38,12 +38,12 @@
     ToClient,
 }
 
-/// What the proxy's tasks share.
+/// The state that the proxy's tasks share.
 struct Shared {
-    /// The server's address.
+    /// The address of the server behind the proxy.
     upstream: String,
     damage: Mutex<Damage>,
-    /// Raised to cut all connections.
+    /// A counter whose change cuts all connections.
     cuts: watch::Sender<u64>,
     damaged: AtomicU64,
 }
@@ -54,7 +54,7 @@
     }
 }
 
-/// A proxy that is running; it ends when dropped.
+/// A running proxy. Dropping it ends the proxy and its connections.
 pub struct Proxy {
     address: SocketAddr,
     shared: Arc<Shared>,
@@ -69,7 +69,7 @@
 }
 
 impl Proxy {
-    /// Starts a proxy in front of the server at the address `to`.
+    /// Starts a proxy in front of the server at the address `to`. Fails if `listen` cannot be bound.
     pub async fn start(listen: SocketAddr, to: String) -> std::io::Result<Self> {
         let listener = TcpListener::bind(listen).await?;
         let address = listener.local_addr()?;
@@ -92,7 +92,7 @@
         self.address
     }
 
-    /// Sets the damage, for connections that are open too.
+    /// Sets the fault, for existing connections as well.
     pub fn set(&self, damage: Damage) {
         *self
             .shared
@@ -101,12 +101,12 @@
             .unwrap_or_else(PoisonError::into_inner) = damage;
     }
 
-    /// How many pieces from the server have met damage so far.
+    /// How many chunks from the server have been subject to a fault so far.
     pub fn met(&self) -> u64 {
         self.shared.damaged.load(Ordering::Relaxed)
     }
 
-    /// Cuts all connections.
+    /// Drops all connections.
     pub fn cut(&self) {
         self.shared.cuts.send_modify(|cuts| *cuts += 1);
     }
@@ -125,7 +125,7 @@
     }
 }
 
-/// Passes bytes both ways. One way may end while the other goes on, as in a half-closed connection.
+/// Forwards data in both directions, each until its sender closes it.
 async fn pass(client: TcpStream, shared: Arc<Shared>) -> std::io::Result<()> {
     let server = TcpStream::connect(&shared.upstream).await?;
     client.set_nodelay(true)?;
@@ -160,7 +160,7 @@
             Damage::Delay(by) => tokio::time::sleep(by).await,
             Damage::HalfClose if is_to_client => {
                 to.shutdown().await?;
-                // What still comes is read and dropped, so that its sender does not notice.
+                // Further data is read and dropped, so that the server does not notice the closed connection.
                 while from.read(&mut buffer).await? > 0 {}
                 return Ok(());
             }
--- a/crates/pipithub-emulator/src/recorder.rs
+++ b/crates/pipithub-emulator/src/recorder.rs
@@ -8,7 +8,7 @@
 
 use crate::clock::wall_ns;
 
-/// Writes each record completely and at once, so that a killed process loses none.
+/// Writes records of traffic. Each is written at once, so that a killed process loses none. Clones share the sink.
 #[derive(Clone, Default)]
 pub struct Recorder {
     sink: Option<Arc<Mutex<Sink>>>,
@@ -20,12 +20,12 @@
 }
 
 impl Recorder {
-    /// Discards all records.
+    /// A recorder that discards all records.
     pub fn none() -> Self {
         Recorder::default()
     }
 
-    /// Appends the records to a file, one per line.
+    /// A recorder that appends records to a file, one per line. Fails if the file cannot be opened.
     pub fn file(path: &Path) -> std::io::Result<Self> {
         let file = std::fs::OpenOptions::new()
             .create(true)
@@ -36,14 +36,14 @@
         })
     }
 
-    /// Keeps records in memory, for tests in one process.
+    /// A recorder that keeps records in memory, for tests within one process.
     pub fn memory() -> Self {
         Recorder {
             sink: Some(Arc::new(Mutex::new(Sink::Memory(Vec::new())))),
         }
     }
 
-    /// Writes one record.
+    /// Writes a record with the current time; `at` is the service that saw the event.
     pub fn note(&self, at: &str, seen: Seen) {
         let Some(sink) = &self.sink else { return };
         let record = Record {
@@ -53,7 +53,7 @@
         };
         match &mut *sink.lock().unwrap_or_else(PoisonError::into_inner) {
             Sink::File(file) => {
-                // A full disk must not stop the emulation; the checker sees that records are missing.
+                // A full disk must not stop the emulation; the checks notice missing records.
                 let _ = file.write_all(record.line().as_bytes());
             }
             Sink::Memory(records) => records.push(record),
--- a/crates/pipithub-emulator/src/relay.rs
+++ b/crates/pipithub-emulator/src/relay.rs
@@ -1,5 +1,5 @@
-//! One direction of a link between two processes that speak in datagrams: each
-//! datagram is forwarded to one address, late, slowly, twice, after a pause, or not at all.
+//! A relay for the datagrams of one direction of a link. It forwards them to one address, and can delay, duplicate, lose or
+//! hold them back, or limit their rate.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -12,12 +12,12 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Datagrams under way at most; further ones are lost, as in any buffer.
+/// How many datagrams the relay buffers; further ones are lost.
 const MAX_UNDER_WAY: usize = 1_000;
 const MAX_DATAGRAM_BYTES: usize = 65_536;
 const NANOS_PER_SECOND: u64 = 1_000_000_000;
 
-/// What happens to datagrams on their way.
+/// How a link treats datagrams.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkConditions {
     /// All datagrams are lost.
@@ -32,11 +32,11 @@
     pub loss: f64,
     /// The probability that a datagram is sent twice.
     pub duplication: f64,
-    /// Bytes per second that pass; 0: no limit.
+    /// The bandwidth in bytes per second; 0 for no limit.
     pub rate: u64,
 }
 
-/// What the relay's tasks share.
+/// The state that the relay's tasks share.
 struct Shared {
     conditions: watch::Sender<LinkConditions>,
     destination: Mutex<Option<SocketAddr>>,
@@ -51,7 +51,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts one more datagram under way; false where there are too many.
+    /// Counts a further buffered datagram; false if the buffer is full.
     fn take_place(&self) -> bool {
         if self.under_way.fetch_add(1, Ordering::Relaxed) < MAX_UNDER_WAY {
             return true;
@@ -65,7 +65,7 @@
     }
 }
 
-/// A relay that is running; it ends when dropped.
+/// A running relay. Dropping it ends the relay.
 pub struct Relay {
     address: SocketAddr,
     shared: Arc<Shared>,
--- a/crates/pipithub-emulator/src/store.rs
+++ b/crates/pipithub-emulator/src/store.rs
@@ -1,5 +1,5 @@
-//! An emulation of the model store that all workers share: it slows down when crowded, rejects fetches past a limit, and
-//! can be slowed or halted.
+//! An emulation of the model store that all workers share. It slows down under concurrent fetches, rejects fetches beyond
+//! a limit, and can be slowed down or halted.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,23 +12,23 @@
 
 use crate::accept::next_stream;
 
-/// Keys that are remembered at most.
+/// The number of claimed keys from which on expired ones are removed.
 const MAX_KEYS: usize = 1_000_000;
-/// No client sends more than this on one connection.
+/// The maximum number of bytes read from one connection.
 const MAX_CONNECTION_BYTES: u64 = 1 << 20;
-/// The answer to a command that was carried out.
+/// The answer to a command that succeeded.
 const OK: &str = "ok";
-/// The answer to a command that was rejected or not understood.
+/// The answer to a command that was rejected or is unknown.
 const NO: &str = "no";
 
-/// How a store is built.
+/// Settings of a store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreSettings {
-    /// Time of a fetch when the store is not crowded.
+    /// The time of a fetch at full speed.
     pub fetch: Duration,
-    /// Fetches at a time that it serves at full speed.
+    /// How many concurrent fetches run at full speed; with more, all slow down in proportion.
     pub at_once: usize,
-    /// Fetches at a time that it takes; more are rejected.
+    /// How many concurrent fetches are accepted; further ones are rejected.
     pub limit: usize,
 }
 
@@ -42,16 +42,17 @@
     }
 }
 
-/// What may be changed while it runs.
+/// The controls of a running store.
 #[derive(Debug)]
 pub struct StoreControl {
-    /// Fetches take so many thousandths of their usual time.
+    /// The time of fetches, in thousandths of their usual time.
     slowness: AtomicU64,
     halted: AtomicBool,
-    /// Fetches under way.
+    /// The number of concurrent fetches.
     active: AtomicUsize,
     settings: StoreSettings,
-    /// Keys that workers claimed, and until when: the workers of one store drop each other's duplicates.
+    /// The idempotency keys that workers have claimed, with their expiry. Through them all workers of one store drop
+    /// each other's duplicates.
     keys: Mutex<HashMap<String, Instant>>,
 }
 
@@ -66,13 +67,13 @@
         }
     }
 
-    /// Slows it down by this factor; 1 is its usual speed.
+    /// Multiplies the time of fetches by a factor; 1 is the usual speed.
     pub fn slow(&self, factor: f64) {
         let thousandths = (factor.clamp(0.0, 1e6) * 1000.0) as u64;
         self.slowness.store(thousandths, Ordering::Relaxed);
     }
 
-    /// Rejects every fetch, or serves them again.
+    /// Rejects all fetches, or accepts them again.
     pub fn halt(&self, halted: bool) {
         self.halted.store(halted, Ordering::Relaxed);
     }
@@ -85,7 +86,7 @@
         self.keys.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Claims a key for so long; false where it is claimed already.
+    /// Claims a key for the duration of a window; false if it is already claimed.
     fn claim(&self, key: &str, window: Duration) -> bool {
         let mut keys = self.keys();
         let now = Instant::now();
@@ -99,12 +100,12 @@
         true
     }
 
-    /// Gives a key back: its request did not run.
+    /// Releases a key whose request did not run.
     fn give_back(&self, key: &str) {
         self.keys().remove(key);
     }
 
-    /// Carries out a fetch; whether it succeeded.
+    /// Executes a fetch; returns whether it succeeded.
     async fn fetch(&self) -> bool {
         let settings = self.settings;
         let active = self.active.fetch_add(1, Ordering::Relaxed) + 1;
@@ -118,7 +119,7 @@
         is_taken && !self.is_halted()
     }
 
-    /// Carries out a command; false if it was rejected or not understood.
+    /// Executes a command; false if it was rejected or is unknown.
     async fn execute(&self, line: &str) -> bool {
         let (verb, argument) = line.split_once(' ').unwrap_or((line, ""));
         match verb {
@@ -138,7 +139,7 @@
     }
 }
 
-/// A store that is running; it ends when dropped.
+/// A running store. Dropping it stops accepting connections.
 pub struct StoreServer {
     address: SocketAddr,
     control: Arc<StoreControl>,
@@ -152,8 +153,8 @@
 }
 
 impl StoreServer {
-    /// Starts a store. It speaks a line each way, answered by `ok` or `no`: `GET name`, `KEY ms key`,
-    /// `UNKEY key`, `SLOW factor`, `HALT`, `GO`.
+    /// Starts a store on an address. Its protocol has one command per line, each answered by `ok` or `no`: `GET name`,
+    /// `KEY ms key`, `UNKEY key`, `SLOW factor`, `HALT`, `GO`. Fails if the address cannot be bound.
     pub async fn start(listen: SocketAddr, settings: StoreSettings) -> std::io::Result<Self> {
         let listener = TcpListener::bind(listen).await?;
         let address = listener.local_addr()?;
@@ -176,7 +177,7 @@
         self.address
     }
 
-    /// What may be changed.
+    /// The controls of the store.
     pub fn control(&self) -> &Arc<StoreControl> {
         &self.control
     }
@@ -201,7 +202,7 @@
     Ok(())
 }
 
-/// Sends one line to a store; its answer.
+/// Sends a command to a store and returns its answer.
 async fn send_line(address: &str, line: &str) -> std::io::Result<String> {
     let mut stream = BufReader::new(TcpStream::connect(address).await?);
     stream
@@ -213,7 +214,7 @@
     Ok(answer.trim().to_string())
 }
 
-/// A text with a line's end in it would be two lines.
+/// Replaces line ends, which would end the command.
 fn one_line(text: &str) -> String {
     text.replace(['\n', '\r'], "?")
 }
--- a/crates/pipithub-emulator/src/worker/core/function.rs
+++ b/crates/pipithub-emulator/src/worker/core/function.rs
@@ -1,20 +1,20 @@
-//! A model on the worker: its replicas, their loads, the commands that wait for them.
+//! A model on the worker: its replicas, their loads, and the commands that wait for them.
 
 use pipithub_amqp::Time;
 
-/// A load command that waits until so many replicas are ready.
+/// A load command that waits for a number of replicas to be ready.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LoadCommand {
     pub(super) id: u64,
     pub(super) replicas: u32,
 }
 
-/// A load that is under way.
+/// A load in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Load {
-    /// The store is being asked for the model.
+    /// The model is being fetched from the store.
     Fetching,
-    /// The replica is ready at this time.
+    /// The replica will be ready at this time.
     Until(Time),
 }
 
@@ -23,9 +23,9 @@
     /// Replicas that are ready.
     pub(super) ready: u32,
     pub(super) loads: Vec<Load>,
-    /// Loads that have not begun.
+    /// Loads that wait for their start.
     pub(super) queued_loads: u32,
-    /// Requests that run.
+    /// The number of running requests.
     pub(super) running: u32,
     pub(super) replica_concurrency: u32,
     pub(super) replica_mb: f64,
--- a/crates/pipithub-emulator/src/worker/settings.rs
+++ b/crates/pipithub-emulator/src/worker/settings.rs
@@ -1,43 +1,44 @@
-//! How an emulated worker is built.
+//! Settings of an emulated worker.
 
 use pipithub_amqp::Time;
 
-/// [`Time`] counts nanoseconds.
+/// [`Time`] is in nanoseconds.
 pub(super) const NANOS_PER_MS: Time = 1_000_000;
 const NANOS_PER_SECOND: f64 = 1e9;
 
-/// How a worker is built.
+/// Settings of an emulated worker. Times are in nanoseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerSettings {
-    /// Cores.
+    /// The number of cores.
     pub cores: f64,
-    /// Speed of a core; the work of a request is stated for speed 1.
+    /// The speed of a core. At speed 1 a request runs as long as its work says.
     pub speed: f64,
     /// Memory for replicas, in MB.
     pub memory_mb: f64,
-    /// Memory of a replica, in MB, where a request does not say.
+    /// Memory of a replica whose requests do not state it, in MB.
     pub replica_mb: f64,
-    /// Requests that one replica runs at a time, where a request does not say.
+    /// Concurrency of a replica whose requests do not state it.
     pub replica_concurrency: u32,
-    /// Work of a request, where it does not say.
+    /// Run time of a request that does not state it.
     pub run: Time,
-    /// Time of a load beside its fetch from the store; all of it where there is no store.
+    /// Time of a load after the fetch from the store; the whole time if there is no store.
     pub load: Time,
-    /// Loads at a time.
+    /// How many loads run concurrently.
     pub loads_at_once: usize,
-    /// An idle replica is unloaded after this.
+    /// Time after which an idle replica is unloaded.
     pub keep_alive: Time,
-    /// Requests that may wait; more are rejected.
+    /// How many requests may wait; further ones are rejected.
     pub queue: usize,
-    /// A key is remembered for so long after its request began to run; retries with it are dropped.
+    /// How long duplicates of an idempotency key are dropped after its request began to run.
     pub deduplication_window: Time,
-    /// The share of its capacity that it starts with.
+    /// The part of its capacity that the worker starts with, from 0 to 1.
     pub initial_weight: f64,
-    /// Time from its start until it has its whole capacity.
+    /// Time from the start until the worker has its full capacity.
     pub slow_start_window: Time,
-    /// While it warms up, more requests than this multiple of its present capacity overload it for good; 0: never.
+    /// While the worker warms up, more requests than this multiple of its present capacity make it fail permanently;
+    /// 0 for never.
     pub overload_factor: f64,
-    /// The time over which these requests are counted.
+    /// The window over which these requests are counted.
     pub overload_window: Time,
 }
 
@@ -64,18 +65,18 @@
 }
 
 impl WorkerSettings {
-    /// Requests that it serves in a second when warm, each with the default work.
+    /// Requests per second that a warm worker can serve, if each has the default run time.
     pub fn capacity(&self) -> f64 {
         self.cores * self.speed * NANOS_PER_SECOND / self.run.max(1) as f64
     }
 
-    /// The share of its capacity that it has at this age.
+    /// The part of its capacity that a worker of this age has, from 0 to 1.
     pub(super) fn warmth(&self, age: Time) -> f64 {
         let progress = age as f64 / self.slow_start_window.max(1) as f64;
         self.initial_weight + (1.0 - self.initial_weight) * progress.min(1.0)
     }
 
-    /// Requests that it bears within the overload window at this share of its capacity.
+    /// The number of requests within the overload window beyond which the worker fails, at this part of its capacity.
     pub(super) fn overload_bound(&self, warmth: f64) -> f64 {
         self.overload_factor * self.capacity() * warmth * self.overload_window as f64
             / NANOS_PER_SECOND
--- a/crates/pipithub/src/emulator.rs
+++ b/crates/pipithub/src/emulator.rs
@@ -1,5 +1,5 @@
-//! `pipithub emulator`: emulated brokers, workers and other servers as processes. Each prints its address first and
-//! logs to standard error.
+//! `pipithub emulator`: emulated brokers, workers and other servers as processes. Each prints its address as the first
+//! line of standard output, logs to standard error, and executes commands from standard input.
 
 mod arguments;
 
@@ -11,6 +11,7 @@
 use miette::{IntoDiagnostic, Result, miette};
 use pipithub_amqp::FieldTable;
 use pipithub_emulator::broker::{BrokerServer, BrokerSettings};
+use pipithub_emulator::credentials::Credentials;
 use pipithub_emulator::directory::{DirectoryServer, DirectorySettings};
 use pipithub_emulator::list::ListServer;
 use pipithub_emulator::proxy::{Damage, Proxy};
@@ -22,18 +23,21 @@
 
 use crate::{logging, shutdown};
 
-/// The target of this module's log lines: filters and readers of logs know it by the command's former name.
+/// The log target of this module. Log filters of operators name it by the command's former name.
 const LOG_TARGET: &str = "pipithub::standin";
 const NANOSECONDS_PER_MILLISECOND: u64 = 1_000_000;
-/// The least cores and speed of a worker: with none at all its calls would never end.
+/// The fewest cores of a worker; with none its calls would never end.
 const MIN_CORES: f64 = 0.01;
+/// The lowest speed of a core, relative to an ordinary one.
 const MIN_SPEED: f64 = 0.001;
-/// The least share of its capacity that a cold worker starts with.
+/// The smallest part of its capacity that a worker starts with.
 const MIN_INITIAL_WEIGHT: f64 = 0.01;
-/// The proxy's delay where the command names none that can be read.
+/// The delay of the proxy if the number in the command `delay` is missing or invalid.
 const DEFAULT_PROXY_DELAY_MS: u64 = 100;
 
-/// Runs one emulated server until it is asked to shut down.
+/// Runs one emulated server until a shutdown is requested.
+///
+/// Fails if its address is not on loopback or cannot be bound, or if a file of its arguments cannot be used.
 pub(crate) async fn run(emulator: Emulator) -> Result<ExitCode> {
     logging::init(false, "info");
     match emulator {
@@ -88,7 +92,7 @@
     };
     tokio::select! {
         stopped = until_shutdown(execute_commands(common.commands, execute)) => stopped,
-        () = watched.overloaded() => Err(miette!("it fell over: it was sent too much while cold")),
+        () = watched.overloaded() => Err(miette!("the worker failed: it was overloaded while warming up")),
     }
 }
 
@@ -141,7 +145,10 @@
     let settings = DirectorySettings {
         tree: std::fs::read_to_string(&arguments.tree).into_diagnostic()?,
         base: None,
-        login: arguments.bind.zip(arguments.password),
+        login: arguments
+            .bind
+            .zip(arguments.password)
+            .map(|(dn, password)| Credentials::new(dn, password)),
         ldaps: arguments.ldaps,
     };
     let server = DirectoryServer::start(common.listen, settings)
@@ -153,7 +160,7 @@
     print_address(server.address());
     let execute = |line: &str| {
         if !server.command(line) {
-            tracing::warn!(target: LOG_TARGET, line, "not done");
+            tracing::warn!(target: LOG_TARGET, line, "failed to execute command");
         }
     };
     until_shutdown(execute_commands(common.commands, execute)).await
@@ -176,17 +183,18 @@
         ("half-close", _) => proxy.set(Damage::HalfClose),
         ("swallow", _) => proxy.set(Damage::Swallow),
         ("corrupt", _) => proxy.set(Damage::Corrupt),
-        _ => tracing::warn!(target: LOG_TARGET, line, "not understood"),
+        _ => tracing::warn!(target: LOG_TARGET, line, "unknown command"),
     };
     until_shutdown(execute_commands(common.commands, execute)).await
 }
 
-/// Prints where the server listens, which whoever started it reads as the first line.
+/// Prints the server's address as a line of JSON, from which the starting process learns it.
 fn print_address(address: SocketAddr) {
     println!("{}", serde_json::json!({"address": address.to_string()}));
 }
 
-/// Executes the commands on standard input, one a line. At its end this returns only where `ends_with_input` is set.
+/// Executes the commands on standard input, one per line. At the end of the input it returns if `ends_with_input` is
+/// set, and otherwise waits forever.
 async fn execute_commands(ends_with_input: bool, mut execute: impl FnMut(&str)) {
     let mut lines = BufReader::new(tokio::io::stdin()).lines();
     while let Ok(Some(line)) = lines.next_line().await {
@@ -197,7 +205,7 @@
     }
 }
 
-/// Waits until the commands have ended or a signal asks for a shutdown.
+/// Waits until the commands end or a signal requests a shutdown.
 async fn until_shutdown(commands: impl Future<Output = ()>) -> Result<()> {
     tokio::select! {
         requested = shutdown::requested() => requested,
--- a/crates/pipithub/src/emulator/arguments.rs
+++ b/crates/pipithub/src/emulator/arguments.rs
@@ -1,4 +1,4 @@
-//! The arguments of each emulated server.
+//! Arguments of the emulated servers.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,45 +7,46 @@
 use miette::{IntoDiagnostic, Result, miette};
 use pipithub_emulator::recorder::Recorder;
 
-/// Which server is emulated.
+/// The subcommands of `pipithub emulator`.
 #[derive(Subcommand)]
 pub(crate) enum Emulator {
-    /// An AMQP 0-9-1 broker; user guest, password guest, virtual host `/`.
+    /// An AMQP 0-9-1 broker with user `guest`, password `guest` and virtual host `/`.
     Broker(Broker),
-    /// A worker that loads any model it is asked for and echoes inputs as outputs.
+    /// A worker that loads any model on request and returns its inputs as outputs.
     Worker(Box<Worker>),
-    /// The model store that workers share.
+    /// The model store from which workers fetch models.
     Store(Store),
-    /// The worker list: `EndpointSlices` with list and watch. Workers are set by `POST /control/worker`.
+    /// The endpoint list: Kubernetes `EndpointSlices` with list and watch. `POST /control/worker` adds or changes a worker.
     List(List),
-    /// An LDAP directory server. Lines on standard input have it do wrong: `delay MS`, `silent on|off`, `drop N`,
-    /// `wrong on|off`, `loading on|off`, `busy on|off`, `cut`, `good`; or change its tree: `move DN > DN`, `delete DN`.
+    /// An LDAP directory server. Commands on standard input inject faults (`delay MS`, `silent on|off`, `drop N`,
+    /// `wrong on|off`, `loading on|off`, `busy on|off`, `cut`), end them (`good`) or change the tree (`move DN > DN`,
+    /// `delete DN`).
     Directory(Directory),
-    /// A proxy that does damage: lines on standard input say which (`pass`, `delay MS`, `cut`, `half-close`, `swallow`,
-    /// `corrupt`).
+    /// A TCP proxy that injects faults. Commands on standard input select one: `delay MS`, `cut`, `half-close`,
+    /// `swallow`, `corrupt`, or `pass` for none.
     Proxy(Proxy),
 }
 
-/// What every emulated server takes.
+/// Arguments of all emulated servers.
 #[derive(Args)]
 pub(crate) struct Common {
-    /// Where to listen; loopback alone.
+    /// The loopback address to listen on; port 0 selects a free port.
     #[arg(long, default_value = "127.0.0.1:0")]
     pub(super) listen: SocketAddr,
-    /// Write what is seen on the sockets to this file.
+    /// Append a record of the traffic to this file.
     #[arg(long)]
     pub(super) record: Option<PathBuf>,
-    /// End when standard input does, so that no emulator outlives a scenario that is killed.
+    /// Exit at the end of standard input, so that no emulator outlives a killed scenario.
     #[arg(long)]
     pub(super) commands: bool,
 }
 
 impl Common {
-    /// Refuses addresses beyond loopback and opens the record.
+    /// Opens the record file. Fails if the address is not on loopback or the file cannot be opened.
     pub(super) fn check(&self) -> Result<Recorder> {
         if !self.listen.ip().is_loopback() {
             return Err(miette!(
-                "stand-ins trust whoever reaches them: they listen on loopback alone, not on {}",
+                "emulators listen on loopback alone, not on {}: they do not authenticate clients",
                 self.listen.ip()
             ));
         }
@@ -56,113 +57,113 @@
     }
 }
 
-/// The broker's arguments.
+/// Arguments of the emulated broker.
 #[derive(Args)]
 pub(crate) struct Broker {
     #[command(flatten)]
     pub(super) common: Common,
-    /// A durable queue to declare beforehand; may be given several times.
+    /// A durable queue to declare at the start; may be repeated.
     #[arg(long)]
     pub(super) queue: Vec<String>,
 }
 
-/// The worker's arguments.
+/// Arguments of the emulated worker.
 #[derive(Args)]
 pub(crate) struct Worker {
     #[command(flatten)]
     pub(super) common: Common,
-    /// Where models are fetched; without it a load takes `--load-ms` alone.
+    /// The address of the model store; without one a load takes `--load-ms` alone.
     #[arg(long)]
     pub(super) store: Option<String>,
-    /// Cores.
+    /// The number of cores.
     #[arg(long, default_value_t = 2.0)]
     pub(super) cores: f64,
-    /// Speed of a core.
+    /// The speed of a core, relative to an ordinary one.
     #[arg(long, default_value_t = 1.0)]
     pub(super) speed: f64,
-    /// Memory for copies, in MB.
+    /// Memory for replicas of functions, in MB.
     #[arg(long, default_value_t = 24_000.0)]
     pub(super) memory_mb: f64,
-    /// Milliseconds of work of a call that does not say.
+    /// Run time of a call that does not specify one, in milliseconds.
     #[arg(long, default_value_t = 60)]
     pub(super) run_ms: u64,
-    /// Milliseconds of a load, beside its fetch.
+    /// Time to load a model after it has been fetched, in milliseconds.
     #[arg(long, default_value_t = 500)]
     pub(super) load_ms: u64,
-    /// Calls that may wait.
+    /// How many calls may be queued.
     #[arg(long, default_value_t = 64)]
     pub(super) queue: usize,
-    /// Milliseconds after which an idle copy is unloaded.
+    /// Time after which an idle replica is unloaded, in milliseconds.
     #[arg(long, default_value_t = 10_000)]
     pub(super) keep_ms: u64,
-    /// Share of its capacity that it starts with.
+    /// The part of its capacity that the worker starts with, from 0 to 1.
     #[arg(long, default_value_t = 1.0, overrides_with = "cold_from")]
     pub(super) cold_from: f64,
-    /// Milliseconds until it is warm.
+    /// Time until the worker has warmed up to full capacity, in milliseconds.
     #[arg(long, default_value_t = 5_000)]
     pub(super) ramp_ms: u64,
-    /// Sent more than this multiple of its capacity while cold, it falls over; 0: never.
+    /// The worker fails if, while warming up, it gets more than this multiple of its capacity; 0 for never.
     #[arg(long, default_value_t = 0.0)]
     pub(super) fall_multiple: f64,
-    /// Milliseconds over which that is counted.
+    /// The window over which that overload is measured, in milliseconds.
     #[arg(long, default_value_t = 2_000)]
     pub(super) fall_span_ms: u64,
-    /// Milliseconds for which repeats of a key are dropped.
+    /// How long duplicates of an idempotency key are dropped, in milliseconds.
     #[arg(long, default_value_t = 5_000)]
     pub(super) dedup_ms: u64,
 }
 
-/// The model store's arguments.
+/// Arguments of the emulated model store.
 #[derive(Args)]
 pub(crate) struct Store {
     #[command(flatten)]
     pub(super) common: Common,
-    /// Milliseconds of a fetch when nothing is in its way.
+    /// Time of a fetch on an unloaded store, in milliseconds.
     #[arg(long, default_value_t = 300)]
     pub(super) fetch_ms: u64,
-    /// Fetches at a time at full pace.
+    /// How many concurrent fetches run at full speed.
     #[arg(long, default_value_t = 8)]
     pub(super) at_once: usize,
-    /// Fetches at a time that are taken.
+    /// How many concurrent fetches are accepted; further ones are rejected.
     #[arg(long, default_value_t = 40)]
     pub(super) limit: usize,
 }
 
-/// The endpoint list's arguments.
+/// Arguments of the emulated endpoint list.
 #[derive(Args)]
 pub(crate) struct List {
     #[command(flatten)]
     pub(super) common: Common,
 }
 
-/// The directory server's arguments.
+/// Arguments of the emulated directory server.
 #[derive(Args)]
 pub(crate) struct Directory {
     #[command(flatten)]
     pub(super) common: Common,
-    /// Its tree, as LDIF.
+    /// The file with the directory's entries, as LDIF.
     #[arg(long)]
     pub(super) tree: PathBuf,
-    /// The name that clients must bind as.
+    /// The DN that clients must bind as.
     #[arg(long, requires = "password")]
     pub(super) bind: Option<String>,
-    /// Its password.
+    /// The password of that DN.
     #[arg(long)]
     pub(super) password: Option<String>,
-    /// Speak TLS from the first byte; otherwise `StartTLS` is offered.
+    /// Use TLS from the first byte (LDAPS) instead of offering `StartTLS`.
     #[arg(long)]
     pub(super) ldaps: bool,
-    /// Write its certificate to this file, as PEM.
+    /// Write the server's certificate to this file, as PEM.
     #[arg(long = "ca-out", value_name = "CA_OUT")]
     pub(super) certificate_file: Option<PathBuf>,
 }
 
-/// The proxy's arguments.
+/// Arguments of the fault-injecting proxy.
 #[derive(Args)]
 pub(crate) struct Proxy {
     #[command(flatten)]
     pub(super) common: Common,
-    /// Where connections go on to.
+    /// The address to forward connections to.
     #[arg(long)]
     pub(super) to: String,
 }
