--- a/crates/pipithub/src/baseline.rs
+++ b/crates/pipithub/src/baseline.rs
@@ -1,16 +1,18 @@
-//! The textbook policies that the decision module is compared with.
+//! Textbook routing policies, for comparison with the decision module.
 
 use pipithub_gateway::Policy;
 
-/// A policy to compare with.
+/// A textbook routing policy.
 #[derive(Clone, Copy, clap::ValueEnum)]
 pub(crate) enum Baseline {
+    /// All ready workers in turn.
     RoundRobin,
+    /// The worker with the fewest requests in flight.
     LeastLoaded,
 }
 
 impl Baseline {
-    /// The gateway's own value for this policy.
+    /// The corresponding policy of the gateway.
     pub(crate) fn policy(self) -> Policy {
         match self {
             Baseline::RoundRobin => Policy::RoundRobin,
@@ -18,7 +20,7 @@
         }
     }
 
-    /// The word that stands for this policy on the command line.
+    /// The name of this policy on the command line.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Baseline::RoundRobin => "round-robin",
--- a/crates/pipithub/src/demo.rs
+++ b/crates/pipithub/src/demo.rs
@@ -1,4 +1,4 @@
-//! `pipithub demo`: a short scenario with faults, watched live.
+//! `pipithub demo`: a short fault scenario whose progress is shown every second.
 
 use std::process::ExitCode;
 
@@ -13,6 +13,8 @@
 const NANOSECONDS_PER_SECOND: u64 = 1_000_000_000;
 
 /// Runs the scenario, prints the counts of each second and then the report.
+///
+/// Fails if the scenario could not be run to its end; exits with a failure if a rule was violated.
 pub(crate) async fn run() -> Result<ExitCode> {
     logging::init(false, "warn");
     let scenario = Scenario::parse("demo.kdl", SCENARIO).map_err(|error| Report::new(*error))?;
@@ -28,7 +30,7 @@
         |second, sent, verdicts| {
             let count_of = |verdict: &str| verdicts.get(verdict).copied().unwrap_or(0);
             println!(
-                "{second:>4.0} s  sent {sent:>5}  served {:>5}  refused {:>4}  failed {:>4}",
+                "{second:>4.0} s  published {sent:>5}  served {:>5}  refused {:>4}  failed {:>4}",
                 count_of("served"),
                 count_of("refused"),
                 count_of("failed")
@@ -38,20 +40,16 @@
     .await
     .map_err(|error| miette!("{error}; logs are in {}", folder.path().display()))?;
     print_tables(&scenario, SEED, &outcome);
-    if outcome.breaches.is_empty() {
-        folder.remove_if_temporary();
-        return Ok(ExitCode::SUCCESS);
-    }
-    Ok(ExitCode::FAILURE)
+    Ok(folder.finish(outcome.breaches.is_empty()))
 }
 
 fn print_introduction(scenario: &Scenario) {
     println!(
-        "A broker, {} front ends, {} workers, a model store and a worker list, each on loopback; {} calls a second.",
+        "Starting a broker, {} front ends, {} workers, a model store and an endpoint list on loopback; {} calls per second.",
         scenario.front_ends, scenario.workers, scenario.rate
     );
     println!(
-        "{} s, in which a worker crashes, a front end is killed and the broker drops all connections.",
+        "For {} seconds: a worker crashes, a front end is killed and the broker drops all connections.",
         scenario.duration / NANOSECONDS_PER_SECOND
     );
 }
--- a/crates/pipithub/src/logging.rs
+++ b/crates/pipithub/src/logging.rs
@@ -1,8 +1,10 @@
-//! The log that every command writes to standard error.
+//! Logging to standard error.
 
 use tracing_subscriber::EnvFilter;
 
-/// Starts logging from this level on; the variable `RUST_LOG` takes precedence over it.
+/// Starts logging at a level, or with the filter in the environment variable `RUST_LOG` if that is set.
+///
+/// A level that cannot be parsed disables all but errors.
 pub(crate) fn init(json: bool, level: &str) {
     let filter = EnvFilter::try_from_default_env()
         .or_else(|_| EnvFilter::try_new(level))
@@ -10,7 +12,7 @@
     let builder = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(std::io::stderr);
-    // A second call, as in tests, changes nothing.
+    // Initialisation fails only if logging has been started already; the first configuration stays.
     let _ = if json {
         builder.json().try_init()
     } else {
--- a/crates/pipithub/src/main.rs
+++ b/crates/pipithub/src/main.rs
@@ -31,44 +31,44 @@
 enum Command {
     /// Runs the gateway.
     Serve(serve::Serve),
-    /// Runs one front end of the platform: clients over JSON-RPC lines, its configuration in `LB_CONFIG`.
+    /// Runs one front end on the platform's own protocol (JSON-RPC lines); `LB_CONFIG` names its configuration file.
     Node(node::NodeArguments),
-    /// Works on settings files.
+    /// Checks settings files.
     Config {
         #[command(subcommand)]
         command: ConfigCommand,
     },
-    /// Runs a stand-in for something that the gateway meets.
+    /// Runs an emulated broker, worker, model store, endpoint list, directory server or proxy, for tests on one machine.
     #[command(visible_alias = "standin")]
     Emulator {
         #[command(subcommand)]
         command: emulator::Emulator,
     },
-    /// Shows tenants, checks their directories, explains whose a user is.
+    /// Shows the configured tenants, checks their directory servers, explains which tenant a user belongs to.
     Tenants {
         #[command(subcommand)]
         command: tenants::Tenants,
     },
-    /// Shows who is in the fleet, as a running front end believes, and why.
+    /// Shows the members of the fleet as a running front end sees them, and the events that led to this view.
     #[command(visible_alias = "members")]
     Membership {
         #[command(subcommand)]
         command: membership::Membership,
     },
-    /// Publishes calls to a queue and shows their answers.
+    /// Publishes calls to a queue and reports their answers and latencies.
     Publish(publish::Publish),
-    /// Runs everything on loopback for some seconds and shows what comes of it.
+    /// Runs a complete system on loopback for 20 seconds, injects faults and reports whether the guarantees held.
     Demo,
-    /// Runs a scripted day and has the rules checked; ends with 0 only where all were kept.
+    /// Runs a fault scenario from a file and checks the guarantees; exits with 0 only if all of them held.
     #[command(visible_alias = "drill")]
     Scenario(scenario::ScenarioArguments),
 }
 
 #[derive(Subcommand)]
 enum ConfigCommand {
-    /// Reads a settings file and tells all that is wrong with it.
+    /// Validates a settings file and reports all errors with their positions.
     Check {
-        /// The file.
+        /// The settings file.
         file: PathBuf,
     },
 }
--- a/crates/pipithub/src/membership.rs
+++ b/crates/pipithub/src/membership.rs
@@ -1,4 +1,4 @@
-//! `pipithub membership`: how a front end's part in the fleet stands, and why it believes what it does.
+//! `pipithub membership`: the fleet as a front end sees it, from the report in its data folder.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -11,10 +11,10 @@
 
 use crate::settings;
 
-/// What is shown of the membership.
+/// The subcommands of `pipithub membership`.
 #[derive(Subcommand)]
 pub(crate) enum Membership {
-    /// Lists the members as the running front end believes them to be; ends with 0 only where it takes part.
+    /// Lists the members as the running front end sees them; exits with 0 only if it is a joined member itself.
     Status {
         /// The settings file.
         #[arg(long)]
@@ -23,20 +23,20 @@
         #[arg(long)]
         json: bool,
     },
-    /// Tells what was seen of a member, or of this front end itself, and when.
+    /// Lists the latest membership events with their times.
     Explain {
-        /// The member's name; all where none is given.
+        /// Show only events of the member with this name.
         member: Option<String>,
         /// The settings file.
         #[arg(long)]
         config: PathBuf,
-        /// Print JSON instead of lines.
+        /// Print JSON instead of text.
         #[arg(long)]
         json: bool,
     },
 }
 
-/// Joins the fleet where the settings name one.
+/// Joins the fleet that the settings name; `None` if they name none.
 pub(crate) async fn start(config: &Config) -> Result<Option<MembershipRuntime>> {
     let Some(fleet) = &config.fleet else {
         return Ok(None);
@@ -47,7 +47,7 @@
     Ok(Some(runtime))
 }
 
-/// The report that a front end has written last, and whether that front end runs now.
+/// The last report that a front end wrote, and whether that front end is running.
 struct LatestReport {
     report: Report,
     running: bool,
@@ -56,15 +56,15 @@
 impl LatestReport {
     fn read(config: &Path) -> Result<Self> {
         let config = settings::load(config)?;
-        let fleet = config
-            .fleet
-            .ok_or_else(|| miette!("these settings have no fleet: the front end shares nothing"))?;
+        let fleet = config.fleet.ok_or_else(|| {
+            miette!("these settings have no fleet: this front end has no membership")
+        })?;
         let bytes = DataFolder::read_report(&fleet.data)
             .into_diagnostic()
-            .wrap_err("no report: was this front end ever started?")?;
+            .wrap_err("found no membership report; has this front end ever been started?")?;
         let report = serde_json::from_slice(&bytes)
             .into_diagnostic()
-            .wrap_err("the report cannot be read")?;
+            .wrap_err("failed to parse the membership report")?;
         Ok(LatestReport {
             report,
             running: DataFolder::in_use(&fleet.data),
@@ -72,7 +72,7 @@
     }
 }
 
-/// Shows the membership as the front end's last report has it.
+/// Shows a front end's last report. Fails if there is none or it cannot be parsed.
 pub(crate) fn run(command: Membership) -> Result<ExitCode> {
     match command {
         Membership::Status { config, json } => show_status(&LatestReport::read(&config)?, json),
@@ -116,10 +116,10 @@
     let not_running = if latest.running {
         ""
     } else {
-        " when it last ran; not running now"
+        " (last known state; not running now)"
     };
     println!(
-        "{} of {}: {}{not_running}; generation {}, disk {}, doubt {} of 8",
+        "{} in fleet {}: {}{not_running}; generation {}, disk {}, local health score (doubt) {} of 8",
         report.me.name,
         report.cluster,
         report.me.state,
@@ -127,17 +127,17 @@
         report.me.disk,
         report.doubt
     );
-    println!("as of {age} ago; last word of any other member {last_gossip}");
+    println!("report written {age} ago; last message from another member: {last_gossip}");
     println!(
-        "{:<20} {:<10} {:<8} {:>10} {:>10} {:>6} {:<6} address",
-        "member", "zone", "state", "for", "heard", "gen", "disk"
+        "{:<20} {:<10} {:<8} {:>10} {:>10} {:>10} {:<6} address",
+        "member", "zone", "state", "since", "last heard", "generation", "disk"
     );
     report.members.iter().for_each(print_member);
 }
 
 fn print_member(member: &MemberReport) {
     println!(
-        "{:<20} {:<10} {:<8} {:>10} {:>10} {:>6} {:<6} {}",
+        "{:<20} {:<10} {:<8} {:>10} {:>10} {:>10} {:<6} {}",
         member.name,
         member.zone,
         member.state,
@@ -149,7 +149,7 @@
     );
 }
 
-/// Shows what was seen of one member, or of all.
+/// Shows the events of one member, or of all.
 fn explain(report: &Report, member: Option<&str>, json: bool) -> Result<ExitCode> {
     let seen: Vec<_> = report
         .happenings
@@ -169,10 +169,7 @@
         );
     }
     if seen.is_empty() {
-        println!(
-            "nothing was seen of it among the last {} changes",
-            report.happenings.len()
-        );
+        println!("no such event among the last {}", report.happenings.len());
     }
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/pipithub/src/node.rs
+++ b/crates/pipithub/src/node.rs
@@ -10,18 +10,18 @@
 
 use crate::logging;
 
-/// What a front end runs by.
+/// Arguments of `pipithub node`.
 #[derive(Args)]
 pub(crate) struct NodeArguments {
     /// The configuration file.
     #[arg(long, env = "LB_CONFIG")]
     config: PathBuf,
-    /// Where to listen; by default as the configuration says.
+    /// The address to listen on; by default that of the configuration.
     #[arg(long, env = "LB_LISTEN")]
     listen: Option<String>,
 }
 
-/// Binds the front end's socket and serves until a shutdown is asked for.
+/// Serves until a shutdown is requested. Fails if the configuration is invalid or the address cannot be bound.
 pub(crate) async fn run(arguments: NodeArguments) -> Result<ExitCode> {
     logging::init(false, "info");
     let node = Node::bind(&arguments.config, arguments.listen)
--- a/crates/pipithub/src/publish.rs
+++ b/crates/pipithub/src/publish.rs
@@ -1,4 +1,4 @@
-//! `pipithub publish`: a queue client that publishes calls at a rate and shows their answers.
+//! `pipithub publish`: a queue client that publishes calls at a fixed rate and reports their answers.
 
 use std::collections::{BTreeMap, HashMap};
 use std::process::ExitCode;
@@ -6,27 +6,26 @@
 use clap::Args;
 use miette::{IntoDiagnostic, Result};
 use pipithub_amqp::Login;
+use pipithub_clock::Time;
 use pipithub_scenario::client::{Answer, Publish as Call, QueueClient, Signed};
 
-/// Calls a second that can be asked for: no fewer than one in about 17 minutes, no more than one a microsecond.
+/// The lowest rate in calls per second; a lower one given on the command line is raised to it.
 const MIN_RATE: f64 = 0.001;
+/// The highest rate in calls per second; a higher one is lowered to it.
 const MAX_RATE: f64 = 1e6;
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 const NANOSECONDS_PER_MILLISECOND: u64 = 1_000_000;
 
-/// A point in time of the client's clock, in nanoseconds.
-type Time = u64;
-
-/// Publishes calls to a queue and shows their answers.
+/// Publishes calls to a queue and reports their answers and latencies.
 #[derive(Args)]
 pub(crate) struct Publish {
-    /// The broker.
+    /// The address of the AMQP broker.
     #[arg(long, default_value = "127.0.0.1:5672")]
     broker: String,
-    /// User.
+    /// The user to log in as.
     #[arg(long, default_value = "guest")]
     user: String,
-    /// Password.
+    /// The password of that user.
     #[arg(
         long,
         default_value = "guest",
@@ -34,43 +33,43 @@
         hide_env_values = true
     )]
     password: String,
-    /// Virtual host.
+    /// The virtual host.
     #[arg(long, default_value = "/")]
     vhost: String,
-    /// The queue.
+    /// The queue to publish to.
     #[arg(long, default_value = "calls")]
     queue: String,
-    /// Class of the calls.
+    /// The class of the calls.
     #[arg(long)]
     class: String,
-    /// Function of the calls.
+    /// The function to call.
     #[arg(long)]
     function: String,
-    /// How many.
+    /// How many calls to publish.
     #[arg(long, default_value_t = 1)]
     count: u64,
-    /// How many a second.
+    /// Calls per second.
     #[arg(long, default_value_t = 10.0)]
     rate: f64,
-    /// Milliseconds that each may take; by default as its class gives.
+    /// The timeout of each call, in milliseconds; by default that of its class.
     #[arg(long)]
     budget_ms: Option<u64>,
-    /// Milliseconds to wait for answers after the last call.
+    /// How long to wait for answers after the last call, in milliseconds.
     #[arg(long, default_value_t = 10_000)]
     wait_ms: u64,
-    /// Say in `user_id` whose the calls are: the user that logs in.
+    /// Set the message property `user_id` to the user that logs in.
     #[arg(long)]
     as_user: bool,
     /// Sign the calls for this user; needs `--key-file` and `--key-id`.
     #[arg(long, requires_all = ["key_file", "key_id"])]
     for_user: Option<String>,
-    /// The file of the key that signs.
+    /// The file that holds the signing key.
     #[arg(long)]
     key_file: Option<std::path::PathBuf>,
-    /// The key's id, as the gateway's settings have it.
+    /// The id of the signing key in the gateway's settings.
     #[arg(long)]
     key_id: Option<String>,
-    /// The body.
+    /// The body of each call.
     #[arg(long, default_value = "{\"inputs\":[]}")]
     body: String,
     /// Print JSON instead of a table.
@@ -78,7 +77,7 @@
     json: bool,
 }
 
-/// Publishes the calls, waits for the answers and shows them; fails where a call has none.
+/// Publishes the calls and reports the answers; exits with a failure if any call has none when the wait is over.
 pub(crate) async fn run(arguments: Publish) -> Result<ExitCode> {
     let json = arguments.json;
     let mut publisher = Publisher::new(arguments)?;
@@ -97,11 +96,11 @@
     }
 }
 
-/// A queue client with the calls that it has sent so far.
+/// A queue client and the results of its calls so far.
 struct Publisher {
     arguments: Publish,
     signature: Option<Signed>,
-    /// Sets this run's calls apart from those of others on the same queue.
+    /// Makes the ids of this run's calls unique among all runs that use the queue.
     run_id: String,
     client: QueueClient,
     results: Results,
@@ -127,7 +126,7 @@
         })
     }
 
-    /// Publishes at the rate that was asked for, until all calls are answered or the wait after the last is over.
+    /// Publishes at the requested rate until all calls are answered or the wait after the last one is over.
     async fn publish_all(&mut self) -> Result<()> {
         let clock = self.client.clock;
         let count = self.arguments.count;
@@ -184,7 +183,7 @@
     }
 }
 
-/// Whom the calls are signed for; `None` unless the arguments name a user and a key.
+/// The user and key to sign calls with; `None` unless the arguments name both. Fails if the key cannot be read.
 fn read_signature(arguments: &Publish) -> Result<Option<Signed>> {
     let (Some(user), Some(key_file), Some(key_id)) =
         (&arguments.for_user, &arguments.key_file, &arguments.key_id)
@@ -199,11 +198,11 @@
     }))
 }
 
-/// What became of the calls.
+/// The results of all calls.
 #[derive(Default)]
 struct Results {
     sent: u64,
-    /// Calls without an answer, by their id, with the time at which they were sent.
+    /// When each call that has no answer yet was sent, by its id.
     unanswered: HashMap<String, Time>,
     verdicts: BTreeMap<String, usize>,
     causes: BTreeMap<String, usize>,
@@ -211,7 +210,7 @@
 }
 
 impl Results {
-    /// Counts the first answer of a call; further ones are passed over.
+    /// Counts the first answer of a call and ignores further ones.
     fn record(&mut self, answer: Answer) {
         let Some(sent_at) = self.unanswered.remove(&answer.id) else {
             return;
@@ -223,7 +222,7 @@
         *self.causes.entry(answer.cause).or_default() += 1;
     }
 
-    /// A quantile of the latencies, which must be in order; not a number where there are none.
+    /// A quantile of the latencies in milliseconds, which must be sorted; NaN if there are none.
     fn quantile(&self, quantile: f64) -> f64 {
         let count = self.latencies_ms.len();
         let rank = (count as f64 * quantile).ceil() as usize;
@@ -250,7 +249,7 @@
 
     fn print(&self) {
         println!(
-            "{} sent, {} without an answer",
+            "{} calls sent, {} without an answer",
             self.sent,
             self.unanswered.len()
         );
@@ -261,7 +260,7 @@
             println!("  {cause:>24} {count:>8}");
         }
         println!(
-            "answered in p50 {:.2} ms, p90 {:.2} ms, p99 {:.2} ms, p99.9 {:.2} ms",
+            "latency p50 {:.2} ms, p90 {:.2} ms, p99 {:.2} ms, p99.9 {:.2} ms",
             self.quantile(0.5),
             self.quantile(0.9),
             self.quantile(0.99),
--- a/crates/pipithub/src/scenario.rs
+++ b/crates/pipithub/src/scenario.rs
@@ -1,4 +1,4 @@
-//! `pipithub scenario`: runs a scripted scenario over processes on loopback and checks its rules.
+//! `pipithub scenario`: runs a fault scenario over processes on loopback and checks the guarantees.
 
 mod fleet;
 mod report;
@@ -18,26 +18,28 @@
 use crate::baseline::Baseline;
 use crate::logging;
 
-/// Which scenario is run, and how its result is shown.
+/// Arguments of `pipithub scenario`.
 #[derive(Args)]
 pub(crate) struct ScenarioArguments {
-    /// The day.
+    /// The scenario file, in KDL.
     file: PathBuf,
-    /// Its seed.
+    /// The seed of all random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Print JSON instead of tables.
     #[arg(long)]
     json: bool,
-    /// Where logs and records go; by default a folder for temporary files, removed where all rules were kept.
+    /// The folder for logs and records; by default a temporary one, which is removed if all guarantees held.
     #[arg(long)]
     folder: Option<PathBuf>,
-    /// Decide by a textbook policy instead, to compare with.
+    /// Route by a textbook policy instead of the gateway's own, for comparison.
     #[arg(long)]
     baseline: Option<Baseline>,
 }
 
 /// Runs the scenario of a file, which is one of a gateway or one of a fleet.
+///
+/// Fails if the file is invalid or the scenario could not be run to its end; exits with a failure if a rule was violated.
 pub(crate) async fn run(arguments: ScenarioArguments) -> Result<ExitCode> {
     logging::init(false, "warn");
     let name = arguments.file.display().to_string();
@@ -75,10 +77,5 @@
     } else {
         report::print_tables(scenario, seed, &outcome);
     }
-    if outcome.breaches.is_empty() {
-        folder.remove_if_temporary();
-        return Ok(ExitCode::SUCCESS);
-    }
-    eprintln!("logs and records are in {}", folder.path().display());
-    Ok(ExitCode::FAILURE)
+    Ok(folder.finish(outcome.breaches.is_empty()))
 }
--- a/crates/pipithub/src/scenario/fleet.rs
+++ b/crates/pipithub/src/scenario/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet's scenario: front ends as processes, with faulty links and disks, whose membership is checked.
+//! Scenarios of a fleet: front ends as processes, with faulty links and disks, whose membership is checked.
 
 use std::process::ExitCode;
 
@@ -7,10 +7,10 @@
 use pipithub_scenario::fleet::{FleetScenario, Outcome};
 use serde_json::{Value, json};
 
-use super::report::{print_rule, rule_to_json};
+use super::report::RuleResult;
 use super::{RunFolder, ScenarioArguments};
 
-/// Runs the scenario and shows what became of each rule.
+/// Runs a scenario of a fleet and shows its result. Fails if it could not be run to its end.
 pub(super) async fn run(
     scenario: &FleetScenario,
     arguments: ScenarioArguments,
@@ -26,46 +26,39 @@
     } else {
         print_tables(scenario, seed, &outcome);
     }
-    if outcome.breaches.is_empty() {
-        folder.remove_if_temporary();
-        return Ok(ExitCode::SUCCESS);
-    }
-    eprintln!("logs and data folders are in {}", folder.path().display());
-    Ok(ExitCode::FAILURE)
+    Ok(folder.finish(outcome.breaches.is_empty()))
 }
 
-fn breaches_of(outcome: &Outcome, rule: Rule) -> Vec<&str> {
-    outcome
-        .breaches
-        .iter()
-        .filter(|breach| breach.rule == rule)
-        .map(|breach| breach.what.as_str())
-        .collect()
+fn rule_results(outcome: &Outcome) -> [RuleResult<'_>; Rule::ALL.len()] {
+    Rule::ALL.map(|rule| {
+        let breaches = outcome.breaches.iter();
+        let breaches = breaches.map(|breach| (breach.rule, breach.what.as_str()));
+        RuleResult::new(&rule, rule.name(), rule.description(), breaches)
+    })
 }
 
 fn to_json(scenario: &FleetScenario, seed: u64, outcome: &Outcome) -> Value {
-    let rules = Rule::ALL.map(|rule| rule_to_json(rule.name(), &breaches_of(outcome, rule)));
     json!({
         "day": scenario.name,
         "seed": seed,
         "runs": outcome.history.runs.len(),
         "claims": outcome.history.claims.len(),
-        "rules": rules,
+        "rules": rule_results(outcome).map(|result| result.to_json()),
         "faults": outcome.faults,
     })
 }
 
 fn print_tables(scenario: &FleetScenario, seed: u64, outcome: &Outcome) {
     println!(
-        "{}, seed {seed}: {} runs, {} claims",
+        "{}, seed {seed}: {} processes, {} membership reports",
         scenario.name,
         outcome.history.runs.len(),
         outcome.history.claims.len()
     );
     for fault in &outcome.faults {
-        println!("{:>7.1} s {}", fault.at_s, fault.description);
+        println!("{:>7.1} s: {}", fault.at_s, fault.description);
     }
-    for rule in Rule::ALL {
-        print_rule(rule.name(), &breaches_of(outcome, rule));
+    for result in rule_results(outcome) {
+        result.print();
     }
 }
--- a/crates/pipithub/src/scenario/report.rs
+++ b/crates/pipithub/src/scenario/report.rs
@@ -1,4 +1,4 @@
-//! The results of a gateway's scenario, as tables and as JSON.
+//! The results of a scenario, as tables and as JSON.
 
 use pipithub_conformance::report::Window;
 use pipithub_conformance::rules::Rule;
@@ -11,40 +11,72 @@
 /// Seconds of a window of the table, to which the faults that begin within it are added.
 const WINDOW_SECONDS: f64 = 2.0;
 
-/// One rule with its breaches, as JSON.
-pub(super) fn rule_to_json(name: &str, breaches: &[&str]) -> Value {
-    json!({"rule": name, "kept": breaches.is_empty(), "breaches": breaches})
+/// The result of one rule, in a scenario of either kind.
+pub(super) struct RuleResult<'a> {
+    /// The name in JSON.
+    name: &'static str,
+    /// The words of the table.
+    description: &'static str,
+    /// A description of each breach.
+    breaches: Vec<&'a str>,
 }
 
-/// Prints one rule with its first breaches.
-pub(super) fn print_rule(name: &str, breaches: &[&str]) {
-    let verdict = match breaches.len() {
-        0 => "kept".to_string(),
-        count => format!("BROKEN {count} times"),
-    };
-    println!("{name:<30} {verdict}");
-    for breach in breaches.iter().take(MAX_BREACHES_SHOWN) {
-        println!("    {breach}");
+impl<'a> RuleResult<'a> {
+    /// The result of a rule, given all breaches of a scenario: each with the rule that it is of and its description.
+    pub(super) fn new<R: PartialEq>(
+        rule: &R,
+        name: &'static str,
+        description: &'static str,
+        all_breaches: impl Iterator<Item = (R, &'a str)>,
+    ) -> Self {
+        RuleResult {
+            name,
+            description,
+            breaches: all_breaches
+                .filter(|(breached, _)| breached == rule)
+                .map(|(_, breach)| breach)
+                .collect(),
+        }
+    }
+
+    /// The rule with all its breaches.
+    pub(super) fn to_json(&self) -> Value {
+        json!({
+            "rule": self.name,
+            "kept": self.breaches.is_empty(),
+            "breaches": self.breaches,
+        })
+    }
+
+    /// Prints the rule with its first breaches.
+    pub(super) fn print(&self) {
+        let verdict = match self.breaches.len() {
+            0 => "kept".to_string(),
+            1 => "VIOLATED once".to_string(),
+            count => format!("VIOLATED {count} times"),
+        };
+        println!("{:<45} {verdict}", self.description);
+        for breach in self.breaches.iter().take(MAX_BREACHES_SHOWN) {
+            println!("    {breach}");
+        }
     }
 }
 
-fn breaches_of(outcome: &Outcome, rule: Rule) -> Vec<&str> {
-    outcome
-        .breaches
-        .iter()
-        .filter(|breach| breach.rule == rule)
-        .map(|breach| breach.what.as_str())
-        .collect()
+fn rule_results(outcome: &Outcome) -> [RuleResult<'_>; Rule::ALL.len()] {
+    Rule::ALL.map(|rule| {
+        let breaches = outcome.breaches.iter();
+        let breaches = breaches.map(|breach| (breach.rule, breach.what.as_str()));
+        RuleResult::new(&rule, rule.name(), rule.description(), breaches)
+    })
 }
 
 /// The whole result as JSON.
 pub(super) fn to_json(scenario: &Scenario, seed: u64, outcome: &Outcome) -> Value {
-    let rules = Rule::ALL.map(|rule| rule_to_json(rule.name(), &breaches_of(outcome, rule)));
     json!({
         "day": scenario.name,
         "seed": seed,
         "calls": outcome.calls,
-        "rules": rules,
+        "rules": rule_results(outcome).map(|result| result.to_json()),
         "report": outcome.report,
         "faults": outcome.faults,
     })
@@ -53,17 +85,17 @@
 /// Prints calls by windows of time with the faults between them, latencies, and each rule's verdict.
 pub(crate) fn print_tables(scenario: &Scenario, seed: u64, outcome: &Outcome) {
     println!(
-        "{}, seed {seed}: {} calls, {} answers at the client",
+        "{}, seed {seed}: {} calls, {} answers received",
         scenario.name, outcome.calls, outcome.answered
     );
     print_windows(outcome);
     let [p50, p99, p999] = outcome.report.latency_ms;
     println!(
-        "served in p50 {p50:.1} ms, p99 {p99:.1} ms, p99.9 {p999:.1} ms; {:.3} attempts a call",
+        "latency of served calls: p50 {p50:.1} ms, p99 {p99:.1} ms, p99.9 {p999:.1} ms; {:.3} attempts per call",
         outcome.report.attempts
     );
-    for rule in Rule::ALL {
-        print_rule(rule.name(), &breaches_of(outcome, rule));
+    for result in rule_results(outcome) {
+        result.print();
     }
 }
 
@@ -77,10 +109,10 @@
         print_window(&format!("{:.0} s", window.from_s), window);
         let end = window.from_s + WINDOW_SECONDS;
         while let Some(fault) = faults.next_if(|fault| fault.at_s < end) {
-            println!("{:>7} {:.1} s {}", "", fault.at_s, fault.description);
+            println!("{:>7} {:.1} s: {}", "", fault.at_s, fault.description);
         }
     }
-    print_window("whole", &outcome.report.whole);
+    print_window("total", &outcome.report.whole);
 }
 
 fn print_window(name: &str, window: &Window) {
--- a/crates/pipithub/src/scenario/run_folder.rs
+++ b/crates/pipithub/src/scenario/run_folder.rs
@@ -1,15 +1,18 @@
 //! The folder into which the processes of a scenario write.
 
 use std::path::{Path, PathBuf};
+use std::process::ExitCode;
 
-/// Where a run keeps its logs and records.
+/// The folder of one run, with its logs, records and data.
 pub(crate) struct RunFolder {
     path: PathBuf,
     temporary: bool,
 }
 
 impl RunFolder {
-    /// The folder that the user named, or else one for temporary files that bears this kind of run in its name.
+    /// The folder that the user named, or else a temporary one whose name contains the kind of run and its seed.
+    ///
+    /// It is not created here.
     pub(crate) fn new(named: Option<PathBuf>, kind: &str, seed: Option<u64>) -> Self {
         if let Some(path) = named {
             return RunFolder {
@@ -28,13 +31,23 @@
         }
     }
 
-    /// Where it is.
+    /// Its path.
     pub(crate) fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Removes the folder unless the user named it; what cannot be removed is left to the system.
-    pub(crate) fn remove_if_temporary(&self) {
+    /// The exit code of a run that has ended. The folder of a run with violated rules is kept, and its path printed.
+    pub(crate) fn finish(&self, rules_kept: bool) -> ExitCode {
+        if rules_kept {
+            self.remove_if_temporary();
+            return ExitCode::SUCCESS;
+        }
+        eprintln!("logs and records are in {}", self.path.display());
+        ExitCode::FAILURE
+    }
+
+    /// Removes the folder unless the user named it. A folder that cannot be removed is left to the operating system.
+    fn remove_if_temporary(&self) {
         if self.temporary {
             let _ = std::fs::remove_dir_all(&self.path);
         }
--- a/crates/pipithub/src/serve.rs
+++ b/crates/pipithub/src/serve.rs
@@ -1,4 +1,4 @@
-//! `pipithub serve`: runs the gateway until a shutdown is asked for.
+//! `pipithub serve`: runs the gateway until a shutdown is requested.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -10,18 +10,20 @@
 use crate::baseline::Baseline;
 use crate::{logging, membership, settings, shutdown};
 
-/// What the gateway runs by.
+/// Arguments of `pipithub serve`.
 #[derive(Args)]
 pub(crate) struct Serve {
     /// The settings file.
     #[arg(long)]
     config: PathBuf,
-    /// A textbook policy in the module's place, to compare with in scenarios.
+    /// Route by a textbook policy instead of the decision module, for comparison in scenarios.
     #[arg(long, hide = true)]
     baseline: Option<Baseline>,
 }
 
-/// Starts the gateway, waits for a signal and drains.
+/// Runs the gateway until SIGTERM or SIGINT, then drains it.
+///
+/// Fails if the settings are invalid or the fleet cannot be joined.
 pub(crate) async fn run(arguments: Serve) -> Result<ExitCode> {
     let config = settings::load(&arguments.config)?;
     logging::init(config.log.json, &config.log.level);
@@ -30,7 +32,7 @@
     let gateway = Gateway::start_deciding_by(&config, policy);
     shutdown::requested().await?;
     gateway.stop().await;
-    // Other members shall see this one until its last call is answered.
+    // The membership ends last, so that other members see this front end until it has answered its last call.
     if let Some(membership) = membership {
         membership.shutdown().await;
     }
--- a/crates/pipithub/src/settings.rs
+++ b/crates/pipithub/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: reading them, and `pipithub config check`.
+//! Loading of settings files, and `pipithub config check`.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -6,7 +6,7 @@
 use miette::{IntoDiagnostic, Report, Result, WrapErr};
 use pipithub_settings::Config;
 
-/// Reads a settings file; the error names every fault with its place.
+/// Loads a settings file. The error lists everything that is wrong with it, with positions.
 pub(crate) fn load(path: &Path) -> Result<Config> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path)
@@ -15,12 +15,12 @@
     Config::parse(&name, &text).map_err(|faults| Report::new(*faults))
 }
 
-/// Reads a settings file and prints what it holds.
+/// Validates a settings file and prints a summary of its contents.
 pub(crate) fn check(path: &Path) -> Result<ExitCode> {
     let config = load(path)?;
     let queues: usize = config.amqp.iter().map(|broker| broker.queues.len()).sum();
     println!(
-        "{}: good; {} classes, {} brokers with {queues} queues, {} timers",
+        "{}: valid; {} classes, {} brokers with {queues} queues, {} timers",
         path.display(),
         config.classes.len(),
         config.amqp.len(),
--- a/crates/pipithub/src/shutdown.rs
+++ b/crates/pipithub/src/shutdown.rs
@@ -1,19 +1,19 @@
-//! Graceful shutdown: the signals that ask for it.
+//! The signals that request a graceful shutdown.
 
 use miette::{IntoDiagnostic, Result};
 use tokio::signal::unix::{SignalKind, signal};
 use tracing::info;
 
-/// The target of this module's log line, which was first written by the crate's root: filters of logs name it.
+/// The log target of the message below. Log filters of operators name it, so it stays that of the crate's root.
 const LOG_TARGET: &str = "pipithub";
 
-/// Waits until SIGTERM or SIGINT asks the process to shut down.
+/// Waits for SIGTERM or SIGINT. Fails if no handler can be installed for them.
 pub(crate) async fn requested() -> Result<()> {
     let mut terminate = signal(SignalKind::terminate()).into_diagnostic()?;
     tokio::select! {
         _ = terminate.recv() => {}
         interrupted = tokio::signal::ctrl_c() => interrupted.into_diagnostic()?,
     }
-    info!(target: LOG_TARGET, "asked to stop");
+    info!(target: LOG_TARGET, "shutdown requested");
     Ok(())
 }
--- a/crates/pipithub/src/tenants.rs
+++ b/crates/pipithub/src/tenants.rs
@@ -1,4 +1,4 @@
-//! `pipithub tenants`: what the settings say, what the directories say, and what would be decided.
+//! `pipithub tenants`: the configured tenants, their directory servers, and how a user is resolved.
 
 mod check;
 mod explain;
@@ -13,35 +13,35 @@
 
 use crate::settings;
 
-/// What is asked about tenants.
+/// The subcommands of `pipithub tenants`.
 #[derive(Subcommand)]
 pub(crate) enum Tenants {
-    /// Lists tenants with their places, functions and shares.
+    /// Lists the tenants with their quotas, directories and functions.
     Show {
         /// The settings file.
         #[arg(long)]
         config: PathBuf,
     },
-    /// Asks every server of every directory how it stands; ends with 0 only where all are well.
+    /// Queries every server of every directory; exits with 0 only if all of them are healthy.
     Check {
         /// The settings file.
         #[arg(long)]
         config: PathBuf,
     },
-    /// Asks every server about a user, and says what a front end would make of it.
+    /// Looks a user up on every server and shows the tenant that a front end would resolve the user to.
     Explain {
-        /// The user.
+        /// The user's name.
         user: String,
         /// The settings file.
         #[arg(long)]
         config: PathBuf,
-        /// Also whether they may run this function.
+        /// Also check whether the user may run this function.
         #[arg(long)]
         function: Option<String>,
     },
 }
 
-/// Runs the command and prints what it finds.
+/// Runs a subcommand and prints its result.
 pub(crate) async fn run(command: Tenants) -> Result<ExitCode> {
     match command {
         Tenants::Show { config } => {
--- a/crates/pipithub/src/tenants/explain.rs
+++ b/crates/pipithub/src/tenants/explain.rs
@@ -1,4 +1,4 @@
-//! `pipithub tenants explain`: what every server says of a user, and what a front end would make of it.
+//! `pipithub tenants explain`: the answer of every directory server about a user, and the tenant that follows from it.
 
 use std::sync::Arc;
 
@@ -9,18 +9,21 @@
 use pipithub_gateway::directory::ask;
 use pipithub_settings::{Config, DirectoryConfig, TenantsConfig};
 
-/// Users and look-ups that the directory core has room for; it looks up one.
+/// Cached users of the directory core; one is looked up.
 const MAX_USERS: usize = 16;
+/// Pending look-ups of the directory core.
 const MAX_QUEUE: usize = 16;
 const NANOSECONDS_PER_MILLISECOND: u64 = 1_000_000;
 
-/// Prints what the servers say of a user and whose the user is; `None` where that is nobody's or not known.
+/// Prints the answers of all servers about a user, and returns the index of the user's tenant.
+///
+/// `None` if the user belongs to no tenant or to several, or could not be looked up.
 pub(super) async fn tenant_of(tenants: &TenantsConfig, user: &str) -> Option<usize> {
     let user: Arc<str> = pipithub_ldap::dn::fold(user).into();
     let mut core = new_core(tenants);
     let relevant = core.roster().directories_for(&user).to_vec();
     if relevant.is_empty() {
-        println!("{user}: no directory has the realm of this name");
+        println!("{user}: no directory is responsible for the realm of this name");
     }
     for directory in relevant {
         print_answers(&tenants.directories[usize::from(directory)], &user).await;
@@ -34,7 +37,7 @@
     }
 }
 
-/// Prints whether a tenant's users may run a function, and tells it.
+/// Prints and returns whether users of a tenant may run a function.
 pub(super) fn may_run(config: &Config, tenant: usize, function: &str) -> bool {
     let tenant = Tenant(tenant as u16);
     let may_run = config.engine.owners.allow(Some(tenant), function);
@@ -59,12 +62,12 @@
     })
 }
 
-/// Asks every server of a directory about a user.
+/// Looks a user up on every server of a directory and prints the answers.
 async fn print_answers(directory: &DirectoryConfig, user: &Arc<str>) {
     for (index, server) in directory.servers.iter().enumerate() {
         let description = match ask(directory, index, Query::Users(vec![user.clone()])).await {
             Err(reason) => format!("no answer: {reason}"),
-            Ok(answer) if !answer.base_exists => "its tree is not there".to_string(),
+            Ok(answer) if !answer.base_exists => "the base entry does not exist".to_string(),
             Ok(answer) => describe(&answer),
         };
         println!("{} {}: {description}", directory.name, server.address);
@@ -87,7 +90,7 @@
     }
 }
 
-/// Has the core that a front end decides by look up a user, with the servers' answers.
+/// Looks a user up with the same core that a front end uses, by asking the servers that it selects.
 async fn look_up(core: &mut Directory, tenants: &TenantsConfig, user: &Arc<str>) {
     let mut outputs = Vec::new();
     let wanted = Input::LookUp {
@@ -118,16 +121,16 @@
     match resolution {
         Resolution::Tenant { tenant, .. } => {
             let name = &tenants.tenants[usize::from(tenant.0)].name;
-            println!("{user}: {name}'s");
+            println!("{user}: belongs to tenant {name}");
         }
         Resolution::NoTenant => {
-            println!("{user}: no tenant's; calls are refused (no-tenant)");
+            println!("{user}: belongs to no tenant; calls are refused (no-tenant)");
         }
         Resolution::Ambiguous => {
-            println!("{user}: claimed more than once; calls are refused (claimed-twice)");
+            println!("{user}: found in more than one tenant; calls are refused (claimed-twice)");
         }
         Resolution::Unknown => println!(
-            "{user}: not known; calls wait {} ms and are refused (user-unknown)",
+            "{user}: could not be looked up; calls wait {} ms and are then refused (user-unknown)",
             tenants.admission.max_identity_wait / NANOSECONDS_PER_MILLISECOND
         ),
     }
--- a/crates/pipithub/src/tenants/show.rs
+++ b/crates/pipithub/src/tenants/show.rs
@@ -1,8 +1,8 @@
-//! `pipithub tenants show`: the tenants as the settings have them.
+//! `pipithub tenants show`: the configured tenants.
 
 use pipithub_settings::TenantsConfig;
 
-/// From this on a quota's bound counts as none and is not shown.
+/// The settings use a bound this large where a tenant has none; it is shown as `-`.
 const UNBOUNDED_IN_FLIGHT: usize = 1_000_000;
 
 /// Prints tenants with their quotas, directories and functions.
@@ -10,8 +10,8 @@
     let quotas = &config.admission.quotas.tenants;
     let weights: f64 = quotas.iter().map(|quota| quota.weight).sum();
     println!(
-        "{:<16} {:>6} {:>12} {:>8}  {:<12} functions",
-        "tenant", "share", "rate", "most", "directory"
+        "{:<16} {:>6} {:>12} {:>13}  {:<12} functions",
+        "tenant", "quota", "rate", "max in flight", "directory"
     );
     for (tenant, quota) in config.tenants.iter().zip(quotas) {
         let rate = quota.rate.map_or("-".to_string(), |rate| {
@@ -23,7 +23,7 @@
             quota.max_in_flight.to_string()
         };
         println!(
-            "{:<16} {:>5.1}% {rate:>12} {max_in_flight:>8}  {:<12} {}",
+            "{:<16} {:>5.1}% {rate:>12} {max_in_flight:>13}  {:<12} {}",
             tenant.name,
             quota.weight / weights * 100.0,
             config.directories[tenant.place.directory].name,
--- a/crates/pipithub/tests/cli.rs
+++ b/crates/pipithub/tests/cli.rs
@@ -224,10 +224,10 @@
         "{text}"
     );
     let (good, text) = told(&["check"]);
-    assert!(good && text.contains("well"), "{text}");
+    assert!(good && text.contains("healthy"), "{text}");
     let (good, text) = told(&["explain", "Mai", "--function", "north-map"]);
     assert!(
-        good && text.contains("mai: north's") && text.contains("may be run"),
+        good && text.contains("mai: belongs to tenant north") && text.contains("may be run"),
         "{text}"
     );
     assert!(
