--- a/crates/pipithub-node/src/client_sessions.rs
+++ b/crates/pipithub-node/src/client_sessions.rs
@@ -1,4 +1,4 @@
-//! Connections of clients, their pending calls, and when a connection is closed or a call rejected.
+//! The clients' connections and their pending calls: when a call is rejected, and which connection is closed.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -9,77 +9,77 @@
 use crate::effect::ConnectionId;
 use crate::executed_calls::ExecutedCalls;
 
-/// Calls that may be open on one connection.
+/// The most calls that may be pending on one connection.
 pub const MAX_PENDING_CALLS: usize = 32;
-/// Once its faults in a row add up to this, a connection is no longer read and is closed after its last answer. A
-/// proper call resets the score: connections live for days, and occasional mistakes must not add up on them.
+/// Once the scores of consecutive faults reach this, a connection is no longer read and is closed after its last answer.
+/// A valid call resets the score: a connection may be open for days, and occasional faults must not accumulate.
 const MAX_FAULT_SCORE: u32 = 32;
-/// What a line that is no request adds to the score.
+/// What a line that is no valid request adds to the fault score.
 pub const MALFORMED_LINE_SCORE: u32 = 8;
-/// What a call above [`MAX_PENDING_CALLS`] adds: client and front end may briefly differ on which calls have ended.
+/// What a call beyond [`MAX_PENDING_CALLS`] adds to the fault score: little, as client and front end may briefly differ
+/// on which calls have ended.
 pub const EXCESS_CALL_SCORE: u32 = 1;
-/// A connection that has sent no whole line for so long after it was made, or holds one half sent for so long, is
-/// closed, well before the 3 s within which the platform owes a bad client an end. Silent connections would else take
-/// all descriptors.
+/// A connection without a complete line for this long after it was made, or with an incomplete line for this long, is
+/// closed: silent connections would otherwise use up all descriptors. The platform allows 3 s for that.
 const SILENCE_TIMEOUT: Time = 2_000_000_000;
 
-/// One client's connection.
+/// The state of one client's connection.
 #[derive(Debug)]
 pub struct ClientSession {
-    /// Cuts what it sends into lines.
+    /// Divides what the client sends into lines.
     pub framer: LineFramer,
-    /// Numbers of its open calls, with the ticket of each.
+    /// The JSON-RPC ids of its pending calls, with the ticket of each.
     pub pending_calls: BTreeMap<u64, u64>,
-    /// It has sent a call that could be read.
+    /// Whether it has sent a valid call or health check.
     pub has_called: bool,
-    /// The last time something whole came from it or went to it.
+    /// When a complete request last came from it, or a call of it last ended.
     pub last_active: Time,
-    /// Since when a line is half sent.
+    /// Since when it has sent an incomplete line; `None` if the last line is complete.
     pub partial_line_since: Option<Time>,
-    /// No call of it is begun any more; it is closed once all that came on it is answered.
+    /// Further calls are rejected, and the connection is closed once its pending calls are answered.
     pub reading_stopped: bool,
-    /// Its bytes cannot be cut into lines any more.
+    /// What it sends can no longer be divided into lines and is ignored.
     pub unreadable: bool,
     fault_score: u32,
 }
 
-/// An open call: whose it is and what it is called.
+/// A call that has no final answer yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingCall {
-    /// The connection.
+    /// The connection that it came on.
     pub connection: ConnectionId,
-    /// Its number there.
+    /// Its JSON-RPC id on that connection.
     pub id: u64,
-    /// Its name.
+    /// Its name, which is unique among all pending calls.
     pub name: String,
-    /// It must not run twice.
+    /// Whether running it twice does harm.
     pub non_idempotent: bool,
 }
 
-/// Why a call is not begun.
+/// Why a call is rejected without an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum CallRejection {
-    /// The connection has ended meanwhile; nobody waits for an answer.
+    /// The connection has ended meanwhile; no answer is needed.
     #[error("the connection has ended")]
     Disconnected,
-    /// A pending call of the connection bears its number.
+    /// Another call with its id is pending on the connection.
     #[error("id: in use")]
     IdInUse,
-    /// A pending call bears its name. That one may be running: to call a retry harmless would be wrong.
+    /// Another call with its name is pending and may be running, so the client must not be told that it did not run.
     #[error("call: open already")]
     AlreadyPending,
-    /// It must not run twice, and an earlier call of its name may have run.
+    /// It is not idempotent, and an earlier call of its name may have run.
     #[error("call: has ended, and may have run")]
     MayHaveExecuted,
-    /// The client may count a call as over whose end has not come here yet; this one has not run.
+    /// The connection has [`MAX_PENDING_CALLS`] pending calls; this one has not run.
     #[error("too many calls open on this connection")]
     TooManyPending,
-    /// The client has sent too much that cannot be used; this call has not run.
+    /// The connection has had too many faults in a row and is about to be closed; this call has not run.
     #[error("this connection is about to be closed")]
     ReadingStopped,
 }
 
-/// All clients.
+/// All connected clients and their pending calls.
 #[derive(Debug)]
 pub struct ClientSessions {
     max_connections: usize,
@@ -91,10 +91,10 @@
 }
 
 impl ClientSessions {
-    /// At most so many connections.
-    pub fn new(most: usize) -> Self {
+    /// No client is connected yet. `max_connections` may be connected at the same time, at least one.
+    pub fn new(max_connections: usize) -> Self {
         ClientSessions {
-            max_connections: most.max(1),
+            max_connections: max_connections.max(1),
             sessions: BTreeMap::new(),
             pending_calls: BTreeMap::new(),
             tickets: HashMap::new(),
@@ -103,8 +103,9 @@
         }
     }
 
-    /// A connection came. Where there are too many, the one to close for it: one that never asked for anything before
-    /// one that did, the longest idle of them; the newcomer itself where calls are open on all.
+    /// Adds a connection. If there are too many then, returns the one to close: of those without pending calls, first
+    /// one that never sent a request, then the one that is idle for longest; the new one if all others have pending
+    /// calls.
     pub fn connected(&mut self, now: Time, connection: ConnectionId) -> Option<ConnectionId> {
         let client = ClientSession {
             framer: LineFramer::new(MAX_LINE_BYTES),
@@ -129,37 +130,37 @@
             .or(Some(connection))
     }
 
-    /// Connections that there may be.
+    /// The most connections at the same time.
     pub fn max_connections(&self) -> usize {
         self.max_connections
     }
 
-    /// The client of a connection.
+    /// The state of a connection; `None` if it has ended.
     pub fn client(&mut self, connection: ConnectionId) -> Option<&mut ClientSession> {
         self.sessions.get_mut(&connection)
     }
 
-    /// The numbers of all connections.
+    /// The ids of all connections, in ascending order.
     pub fn connections(&self) -> Vec<ConnectionId> {
         self.sessions.keys().copied().collect()
     }
 
-    /// Connections.
+    /// The number of connections.
     pub fn len(&self) -> usize {
         self.sessions.len()
     }
 
-    /// Whether there is none.
+    /// Whether no client is connected.
     pub fn is_empty(&self) -> bool {
         self.sessions.is_empty()
     }
 
-    /// Remembers a call that may have run and must not run again, until the given time.
+    /// Remembers until the given time that a call may have run and must not run again.
     pub(crate) fn record_executed(&mut self, until: Time, call: &str) {
         self.executed_calls.record(until, call);
     }
 
-    /// Whether a call of this number and name may begin on a connection.
+    /// Checks whether a call with this id and name is admitted on a connection.
     ///
     /// # Errors
     /// [`CallRejection`] says why not.
@@ -205,7 +206,7 @@
         ticket
     }
 
-    /// Takes a call out, as it is answered or not waited for any more.
+    /// Removes a call that is answered or cancelled; `None` if it is not pending.
     pub fn end_call(&mut self, now: Time, ticket: u64) -> Option<PendingCall> {
         let pending = self.pending_calls.remove(&ticket)?;
         if self.tickets.get(&pending.name) == Some(&ticket) {
@@ -218,7 +219,7 @@
         Some(pending)
     }
 
-    /// The ticket of a call on a connection, by its number there or by its name.
+    /// The ticket of a call that is pending on a connection, by its name or else by its id.
     pub fn find_ticket(
         &self,
         connection: ConnectionId,
@@ -248,8 +249,8 @@
         })
     }
 
-    /// A connection has ended; the tickets that were open on it, none of them owed an answer any more. What of it must
-    /// not run twice is remembered until the given time.
+    /// Removes a connection that has ended, with its pending calls; returns their tickets. Calls that are not idempotent
+    /// are remembered until the given time as calls that may have run.
     pub fn disconnected(&mut self, connection: ConnectionId, until: Time) -> Vec<u64> {
         let Some(client) = self.sessions.remove(&connection) else {
             return Vec::new();
@@ -269,7 +270,7 @@
         tickets
     }
 
-    /// Connections that have sent no call, or half a line, for longer than [`SILENCE_TIMEOUT`].
+    /// Connections without pending calls that have sent no request, or no complete line, for [`SILENCE_TIMEOUT`].
     pub fn silent_connections(&self, now: Time) -> Vec<ConnectionId> {
         let over = |since: Time| now >= since + SILENCE_TIMEOUT;
         let silent = |c: &ClientSession| {
--- a/crates/pipithub-node/src/connection_pool.rs
+++ b/crates/pipithub-node/src/connection_pool.rs
@@ -1,8 +1,8 @@
-//! Connections to workers: which one carries what, and what became of it when one ends.
+//! The pool of connections to workers: on which connection a request is sent, and what becomes of it when that ends.
 //!
-//! Workers are known by their id: a new one may have the address of a removed one. One connection carries many
-//! requests, yet a broken one takes all of them with it; so a free connection is preferred, then a new one while there
-//! are descriptors, and only then one that carries others already.
+//! Workers are identified by their id, as a new one may have the address of a removed one. A connection may carry many
+//! requests, but all of them are lost when it breaks; so an idle connection is used first, then a new one while
+//! descriptors last, and only then one that carries other requests already.
 
 mod connection;
 mod endings;
@@ -25,7 +25,7 @@
 use crate::effect::{ConnectionId, Effect};
 use crate::idle_timeout::IdleTimeout;
 
-/// The most requests to wait for a connection to one worker.
+/// The most requests that may wait for a connection to one worker.
 const MAX_WAITING: usize = 256;
 
 #[derive(Debug, Default)]
@@ -39,31 +39,32 @@
 /// The bounds of a [`ConnectionPool`] and the times of its connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionPoolSettings {
-    /// The most connections to all workers, connections being made included; at least one is allowed.
+    /// The most connections to all workers together, connections being made included; 0 counts as 1.
     pub max_connections: usize,
-    /// The most requests in flight on one connection; at least one is allowed.
+    /// The most requests in flight on one connection; 0 counts as 1.
     pub max_requests_per_connection: usize,
-    /// How long a connection may take to come up, in nanoseconds.
+    /// How long it may take to establish a connection, in nanoseconds.
     pub connect_timeout: Time,
-    /// How long a connection may stay idle before it is closed, in nanoseconds.
+    /// After how long workers close idle connections, in nanoseconds; the pool closes them after half of it. 0: never.
     pub idle_close: Time,
-    /// Whether a worker may be asked to cancel an attempt.
+    /// Whether workers may be asked to cancel attempts.
     pub cancel: bool,
 }
 
-/// All connections to workers.
+/// All connections to workers, and the requests that are in flight or wait for a connection.
 #[derive(Debug)]
 pub struct ConnectionPool {
     max_connections: usize,
     max_requests_per_connection: usize,
     connect_timeout: Time,
     idle_close: Time,
-    /// Workers may be told to cancel an attempt.
+    /// Whether workers may be asked to cancel attempts.
     cancel: bool,
     workers: BTreeMap<WorkerId, WorkerConnections>,
-    /// How many workers have not been removed; counted, as neither a call nor a sweep may iterate over all of them.
+    /// How many workers have not been removed. It is kept up to date, as neither a request nor a sweep may iterate over
+    /// all workers.
     listed: usize,
-    /// Workers with waiting requests, and removed ones: all that a sweep looks at.
+    /// The workers that a sweep looks at: those with waiting requests, and removed ones.
     watched: BTreeSet<WorkerId>,
     connections: BTreeMap<ConnectionId, Connection>,
     next: ConnectionId,
@@ -92,7 +93,7 @@
         }
     }
 
-    /// A number for a connection, of whichever side; never used twice.
+    /// Returns an id for a connection of either side; no id is returned twice.
     pub fn next_connection_id(&mut self) -> ConnectionId {
         self.next += 1;
         self.next - 1
@@ -109,12 +110,12 @@
         std::mem::take(&mut self.failures)
     }
 
-    /// Connections, those under way included.
+    /// The number of connections, those being made included.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Connections that there may be, those under way included.
+    /// The most connections, those being made included.
     pub fn max_connections(&self) -> usize {
         self.max_connections
     }
@@ -124,13 +125,14 @@
         self.watched.len()
     }
 
-    /// Whether there is none.
+    /// Whether there is no connection.
     pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
 
-    /// Sets a worker's address, or records that it has been removed.
-    pub fn set_address(&mut self, worker: &WorkerId, address: &str, gone: bool) {
+    /// Adds a worker or changes its address; an empty `address` leaves it as it is. `removed`: whether the worker has been
+    /// removed from the endpoint list.
+    pub fn set_address(&mut self, worker: &WorkerId, address: &str, removed: bool) {
         let new = || WorkerConnections {
             removed: true,
             ..WorkerConnections::default()
@@ -139,34 +141,35 @@
         if !address.is_empty() {
             entry.address = address.to_string();
         }
-        self.set_removed(worker, gone);
+        self.set_removed(worker, removed);
     }
 
-    fn set_removed(&mut self, worker: &WorkerId, gone: bool) {
+    fn set_removed(&mut self, worker: &WorkerId, removed: bool) {
         let Some(entry) = self.workers.get_mut(worker) else {
             return;
         };
         self.listed -= usize::from(!entry.removed);
-        self.listed += usize::from(!gone);
-        entry.removed = gone;
-        if gone {
+        self.listed += usize::from(!removed);
+        entry.removed = removed;
+        if removed {
             self.watched.insert(worker.clone());
         }
     }
 
-    /// Records that all workers but these have been removed.
-    pub fn retain_workers(&mut self, named: &BTreeSet<&WorkerId>) {
-        let lost: Vec<WorkerId> = self
+    /// Records that all workers except those listed have been removed.
+    pub fn retain_workers(&mut self, listed: &BTreeSet<&WorkerId>) {
+        let unlisted: Vec<WorkerId> = self
             .workers
             .keys()
-            .filter(|w| !named.contains(w))
+            .filter(|worker| !listed.contains(worker))
             .cloned()
             .collect();
-        lost.iter()
+        unlisted
+            .iter()
             .for_each(|worker| self.set_removed(worker, true));
     }
 
-    /// Notes that a request has ended without an answer.
+    /// Records that a request has ended without an answer.
     fn fail(&mut self, worker: &WorkerId, request: WorkerRequest, failure: SendFailure) {
         self.failures.push(FailedRequest {
             worker: worker.clone(),
@@ -175,7 +178,8 @@
         });
     }
 
-    /// Queues a request for a worker; a request that cannot be sent fails at once.
+    /// Sends a request to a worker as soon as there is a connection for it. It fails at once if the worker is not known or
+    /// too many requests wait for it.
     pub fn submit(&mut self, now: Time, worker: &WorkerId, request: WorkerRequest) {
         match self.workers.get_mut(worker) {
             Some(entry) if !entry.address.is_empty() && entry.waiting.len() < MAX_WAITING => {
--- a/crates/pipithub-node/src/connection_pool/request.rs
+++ b/crates/pipithub-node/src/connection_pool/request.rs
@@ -1,32 +1,32 @@
-//! What is asked of a worker, and how it may end without an answer.
+//! Requests to workers, and how they may end.
 
 use bytes::Bytes;
 use pipithub_engine::policy::{FunctionId, WorkerId};
 use pipithub_engine::{AttemptId, Time};
 use pipithub_platform::worker::RunRequest;
 
-/// A call with less left is not sent: workers are told whole milliseconds.
+/// A run with less time left is not sent: its line states the time in milliseconds.
 const MIN_TIMEOUT: Time = 1_000_000;
 
-/// What is asked of a worker.
+/// What a worker is requested to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// To run a call.
+    /// Run a call.
     Attempt(AttemptId),
-    /// To load replicas of a function.
+    /// Load replicas of a function.
     LoadFunction(FunctionId),
-    /// To report its load.
+    /// Report its load.
     PollLoad,
-    /// To evict idle replicas of a function; no answer comes.
+    /// Evict idle replicas of a function. There is no answer to this.
     EvictFunction,
 }
 
-/// What is written for a request.
+/// What is written on the connection for a request.
 #[derive(Clone, Debug)]
 pub enum Payload {
-    /// The same line whenever it is written.
+    /// A line that does not depend on the time.
     Line(Bytes),
-    /// A run: its line states the time that is left when it is put on a connection.
+    /// A run: its line states how much time is left when it is written.
     Run(RunRequest),
 }
 
@@ -36,26 +36,27 @@
     }
 }
 
-/// Something asked of a worker that has not ended.
+/// A request to a worker that has not ended.
 #[derive(Clone, Debug)]
 pub struct WorkerRequest {
-    /// What.
+    /// What the worker is requested to do.
     pub kind: RequestKind,
-    /// What the answer will name: the call, or a tag.
+    /// What the answer names: the name of the call, or a tag that is unique for other requests.
     pub reference: String,
-    /// What is written for it.
+    /// What is written on a connection for it.
     pub payload: Payload,
-    /// When it was asked for.
+    /// When it was submitted.
     pub began: Time,
-    /// It ends as timed out by then.
+    /// It fails as timed out if there is no answer by this time.
     pub deadline: Time,
+    /// How often it was written again after its connection ended.
     pub(super) rewrites: u32,
-    /// Nobody waits for it any more: it must not be written again.
+    /// Its answer is no longer awaited: it must not be written again.
     pub(super) abandoned: bool,
 }
 
 impl WorkerRequest {
-    /// A request that has not been tried.
+    /// A request that was not sent yet.
     pub fn new(
         kind: RequestKind,
         reference: String,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// The line to write now; `None` where too little time is left for any.
+    /// The line to write now; `None` if too little time is left.
     pub(super) fn line(&self, now: Time) -> Option<Bytes> {
         let left = self.deadline.saturating_sub(now);
         match &self.payload {
@@ -86,47 +87,47 @@
     }
 }
 
-/// How a request ended without an answer.
+/// Why a request ended without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendFailure {
-    /// The worker could not be reached, or the request never arrived whole: it did not run.
+    /// The worker could not be reached, or the request did not arrive completely: it did not run.
     Unreachable,
-    /// It never left, because of a fault on this machine or because nobody waited for it: it did not run, and the
-    /// worker is not at fault.
+    /// It was not sent, because of a fault of this machine or because its answer was no longer awaited: it did not run,
+    /// and the worker is not at fault.
     NeverSent,
-    /// Its connection broke: it may have run.
+    /// Its connection ended after it was sent: it may have run.
     ConnectionLost,
-    /// What came back cannot be read: the worker is there, and it may have run.
+    /// A malformed answer came on its connection: the worker is alive, and it may have run.
     Malformed,
-    /// No answer in time: it may have run.
+    /// There was no answer before its deadline: it may have run.
     TimedOut,
 }
 
 /// A request that ended without an answer.
 #[derive(Clone, Debug)]
 pub struct FailedRequest {
-    /// The worker that it was for.
+    /// The worker to which it was submitted.
     pub worker: WorkerId,
-    /// What was asked.
+    /// The request.
     pub request: WorkerRequest,
-    /// How it ended.
+    /// Why it ended.
     pub failure: SendFailure,
 }
 
-/// A request that was withdrawn.
+/// A request that was cancelled.
 #[derive(Clone, Debug)]
 pub struct CancelledRequest {
-    /// What was asked.
+    /// The request.
     pub request: WorkerRequest,
-    /// It is certain that it did not arrive whole.
+    /// Whether it is certain that it did not arrive completely.
     pub not_sent: bool,
 }
 
 /// A request that a worker has answered.
 #[derive(Clone, Debug)]
 pub struct AnsweredRequest {
-    /// The worker.
+    /// The worker that answered.
     pub worker: WorkerId,
-    /// What was asked.
+    /// The request.
     pub request: WorkerRequest,
 }
--- a/crates/pipithub-node/src/coordinator.rs
+++ b/crates/pipithub-node/src/coordinator.rs
@@ -1,6 +1,6 @@
-//! Follows the coordinator: a long GET whose answer is a stream of list events. It may break off in the middle of one,
-//! fall silent while it stays open, write events twice or move elsewhere; each time it is asked anew from the last
-//! event that was taken.
+//! Follows the coordinator's event stream: the response to a GET request that does not end. The stream may break off in
+//! the middle of an event, fall silent while it stays open, repeat events or move to another address; the front end
+//! then reconnects and requests the events after the last one that it applied.
 
 mod sequence;
 mod stream;
@@ -18,14 +18,16 @@
 
 use self::stream::{StreamError, follow_stream};
 
-/// Each wait is stretched by a factor drawn from this: what loses its coordinator together must not ask in step.
+/// Each backoff is multiplied by a random factor in this range, so that front ends that lose their coordinator at the same
+/// time do not reconnect in step.
 const JITTER: std::ops::Range<f64> = 0.5..1.5;
-/// How long to wait before asking again: doubled each time, up to the most, which together with a silence stays well
-/// within those 4 s.
+/// The backoff before a reconnect doubles each time, up to the maximum. Together with the silence timeout that stays well
+/// within the 4 s after which an update counts as delivered.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// Follows the coordinator for as long as the front end runs; each event is handed to `take` once, in order.
+/// Follows the coordinator until the sender of `address` is dropped, and passes each event after the event `last` to `take`
+/// once and in order. `seed` determines the jitter of the backoff.
 pub async fn follow(
     mut address: watch::Receiver<String>,
     last: u64,
@@ -34,39 +36,39 @@
     mut take: impl FnMut(EndpointEvent),
 ) {
     let mut sequence = Sequence::after(last);
-    let (mut wait, mut rng) = (MIN_BACKOFF, StdRng::seed_from_u64(seed));
-    // Events that could not be used since the start, the same one counted each time it came.
+    let (mut backoff, mut rng) = (MIN_BACKOFF, StdRng::seed_from_u64(seed));
+    // How often an unusable event has come since the start; the same event counts each time.
     let mut unusable = 0u64;
     loop {
-        let place = address.borrow_and_update().clone();
-        let mut took = false;
+        let current_address = address.borrow_and_update().clone();
+        let mut has_progressed = false;
         let error = tokio::select! {
-            error = follow_stream(&place, &mut sequence, &names, |event| { took = true; take(event) }) => error,
-            moved = address.changed() => {
-                if moved.is_err() {
+            error = follow_stream(&current_address, &mut sequence, &names, |event| { has_progressed = true; take(event) }) => error,
+            changed = address.changed() => {
+                if changed.is_err() {
                     return;
                 }
-                info!(coordinator = &*address.borrow(), "coordinator has moved");
-                wait = MIN_BACKOFF;
+                info!(coordinator = &*address.borrow(), "coordinator address changed, reconnecting");
+                backoff = MIN_BACKOFF;
                 continue;
             }
         };
         if error.is_unusable_event() {
             unusable += 1;
         }
-        log_end(&error, &place, sequence.last(), unusable);
-        if took {
-            wait = MIN_BACKOFF;
+        log_end(&error, &current_address, sequence.last(), unusable);
+        if has_progressed {
+            backoff = MIN_BACKOFF;
         }
         tokio::select! {
-            () = tokio::time::sleep(wait.mul_f64(rng.random_range(JITTER))) => wait = (wait * 2).min(MAX_BACKOFF),
-            // It has moved: what was wrong with the old one says nothing of the new.
-            _ = address.changed() => wait = MIN_BACKOFF,
+            () = tokio::time::sleep(backoff.mul_f64(rng.random_range(JITTER))) => backoff = (backoff * 2).min(MAX_BACKOFF),
+            // The failures at the old address say nothing about the new one.
+            _ = address.changed() => backoff = MIN_BACKOFF,
         }
     }
 }
 
-/// Logs why a stream ended; `unusable`: how often that was an event that cannot be used.
+/// Logs why a stream ended. `unusable`: how often the reason was an unusable event since the start.
 fn log_end(error: &StreamError, coordinator: &str, last: u64, unusable: u64) {
     if error.is_unusable_event() {
         error!(
@@ -74,7 +76,7 @@
             last,
             unusable,
             reason = %error,
-            "coordinator stream ended, former list stays"
+            "coordinator stream ended, previous list stays in use"
         );
     } else {
         warn!(coordinator, last, reason = %error, "coordinator stream ended");
--- a/crates/pipithub-node/src/coordinator/sequence.rs
+++ b/crates/pipithub-node/src/coordinator/sequence.rs
@@ -1,36 +1,38 @@
-//! Keeps endpoint events in order, whatever the stream does to them.
+//! The order of endpoint events, in spite of repeated and missing ones.
 
-/// What keeps the order of events, whatever the stream does to them.
+/// Decides for each event of the stream whether it is applied.
 #[derive(Debug, Default)]
 pub struct Sequence {
     last: u64,
-    /// The gap that was asked about before: what the coordinator does not have cannot be waited for.
+    /// The event before which others were missing at the last reconnect: if they are missing again, the coordinator does
+    /// not have them.
     gap: Option<u64>,
 }
 
 /// What to do with an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// It is the next one.
+    /// Apply it: it is the next one.
     Take,
-    /// It was taken before.
+    /// Ignore it: it was applied before.
     Skip,
-    /// Events are missing before it: ask again from the last that was taken.
+    /// Events are missing before it: reconnect, and request those after the last that was applied.
     Reconnect,
 }
 
 impl Sequence {
-    /// Begins after this event.
+    /// A sequence that expects the event after `last`.
     pub fn after(last: u64) -> Self {
         Sequence { last, gap: None }
     }
 
-    /// The last event that was taken.
+    /// The last event that was applied.
     pub fn last(&self) -> u64 {
         self.last
     }
 
-    /// What to do with the event of this number; `is_complete`: it holds every worker.
+    /// What to do with the event of this index; `is_complete`: whether it lists every worker, so that no earlier event is
+    /// needed.
     pub fn step(&mut self, index: u64, is_complete: bool) -> Step {
         if index <= self.last {
             return Step::Skip;
--- a/crates/pipithub-node/src/coordinator/stream.rs
+++ b/crates/pipithub-node/src/coordinator/stream.rs
@@ -18,10 +18,11 @@
 
 use super::sequence::{Sequence, Step};
 
-/// A comment comes each second: after so long without a byte the stream is dead, though it may look open. What it would
-/// have told counts as told 4 s after it fell silent, which leaves time for two further tries.
+/// A comment comes each second: a stream without a byte for this long is dead, even if its connection is open. An update
+/// counts as delivered 4 s after it was published, which leaves time for two reconnects.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_600);
-/// A connection and the head of its answer must come within this: many round trips, and a small part of those 4 s.
+/// Connecting and receiving the head of the response must take less than this: many round trips, and a small part of
+/// those 4 s.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Why a stream ended.
@@ -30,39 +31,39 @@
     /// No connection could be made.
     #[error("cannot connect: {0}")]
     Connect(io::Error),
-    /// The connection speaks no HTTP.
+    /// The HTTP handshake failed.
     #[error("handshake: {0}")]
     Handshake(hyper::Error),
-    /// The address cannot be asked.
+    /// No request can be made for the address.
     #[error("request: {0}")]
     InvalidRequest(#[from] hyper::http::Error),
-    /// The request got no answer.
+    /// The request failed.
     #[error("request: {0}")]
     Request(hyper::Error),
-    /// The head of the answer did not come in time.
+    /// The head of the response did not come in time.
     #[error("no answer")]
     NoAnswer,
-    /// The answer is no stream.
+    /// The response has no success status.
     #[error("status {0}")]
     Status(StatusCode),
-    /// Nothing came for longer than the coordinator is ever silent.
+    /// Nothing came for [`SILENCE_TIMEOUT`].
     #[error("silent")]
     Silent,
-    /// The coordinator has ended it.
+    /// The coordinator has ended the stream.
     #[error("closed")]
     Closed,
-    /// The connection broke.
+    /// The connection failed in the middle of the stream.
     #[error("broke off: {0}")]
     Broken(hyper::Error),
     /// Events are missing: those after `last` and before `next`.
     #[error("events between {last} and {next} are missing")]
     MissingEvents {
-        /// The last event that was taken.
+        /// The last event that was applied.
         last: u64,
         /// The event that came instead of the one after it.
         next: u64,
     },
-    /// An event is longer than any list.
+    /// An event exceeds the length limit.
     #[error(transparent)]
     EventTooLong(#[from] EventTooLong),
     /// An event cannot be read.
@@ -80,7 +81,7 @@
     }
 }
 
-/// Follows one connection until it ends; why it did.
+/// Follows one connection until it ends; returns why it ended.
 pub(super) async fn follow_stream(
     address: &str,
     sequence: &mut Sequence,
@@ -116,7 +117,7 @@
             match sequence.step(event.index, is_complete) {
                 Step::Take => {
                     take(event);
-                    // However many events came at once, calls and closes of clients are seen between any two.
+                    // Calls and closes of clients are handled between any two events, however many come at once.
                     tokio::task::yield_now().await;
                 }
                 Step::Skip => {}
@@ -131,7 +132,7 @@
     }
 }
 
-/// A stream whose head has come. It is closed when this is dropped.
+/// A stream after the head of its response. It is closed when this is dropped.
 struct OpenStream {
     response: Response<Incoming>,
     /// The request ends with its sender.
@@ -139,7 +140,7 @@
     _connection: ConnectionTask,
 }
 
-/// Asks for the events after the last one that was taken.
+/// Requests the events after the last one that was applied.
 async fn open(address: &str, last: u64) -> Result<OpenStream, StreamError> {
     let stream = TcpStream::connect(address)
         .await
@@ -174,14 +175,14 @@
             Ok(None) => return Err(StreamError::Closed),
             Ok(Some(frame)) => frame.map_err(StreamError::Broken)?,
         };
-        // Trailers bear no events.
+        // Trailers contain no events.
         if let Ok(data) = frame.into_data() {
             return Ok(data);
         }
     }
 }
 
-/// The task that moves a connection's bytes; it ends with its owner, so that the socket is closed.
+/// The task that drives a connection; it is aborted when this is dropped, so that the socket is closed.
 struct ConnectionTask(tokio::task::JoinHandle<()>);
 
 impl Drop for ConnectionTask {
--- a/crates/pipithub-node/src/core/calls.rs
+++ b/crates/pipithub-node/src/core/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of clients, from the line that asks for one to its answer.
+//! Calls of clients, from the request to the final answer.
 
 use crate::client_sessions::CallRejection;
 use crate::core::NANOSECONDS_PER_MILLISECOND;
@@ -14,12 +14,12 @@
 use crate::client_sessions::{EXCESS_CALL_SCORE, PendingCall};
 use crate::effect::ConnectionId;
 
-/// All clients are one source to the engine: each call's ticket is its own.
+/// All clients together are one source of the engine; tickets distinguish their calls.
 const CLIENTS: SourceId = SourceId(1);
 
 impl Core {
-    /// A client has ceased to wait. Whatever the settings say of cancelling, what has not left yet does not leave any
-    /// more.
+    /// A client no longer awaits a call. Attempts that were not sent yet are withdrawn even if the settings forbid
+    /// cancelling.
     pub(super) fn cancel_call(&mut self, now: Time, ticket: u64) {
         let ticket = Ticket {
             source: CLIENTS,
@@ -31,27 +31,27 @@
         self.settle(now);
     }
 
-    /// Nobody waits for a request any more: attempts that have not left are taken back.
+    /// Withdraws the attempts of a request that were not sent completely, as its answer is no longer awaited.
     pub(super) fn abandon_attempts(&mut self, now: Time, request: Option<RequestId>) {
         let Some(request) = request else { return };
-        let of = AttemptId { request, number: 0 }..=AttemptId {
+        let attempts = AttemptId { request, number: 0 }..=AttemptId {
             request,
             number: u32::MAX,
         };
-        let out: Vec<_> = self
+        let in_flight: Vec<_> = self
             .in_flight
-            .range(of)
+            .range(attempts)
             .map(|(id, worker)| (*id, worker.clone()))
             .collect();
-        for (id, worker) in out {
+        for (id, worker) in in_flight {
             if let Some(request) = self.connection_pool.abandon(now, &worker, id) {
-                let took = now.saturating_sub(request.began);
-                self.attempt_ended(unanswered(id, Outcome::NotSent, took));
+                let elapsed = now.saturating_sub(request.began);
+                self.attempt_ended(unanswered(id, Outcome::NotSent, elapsed));
             }
         }
     }
 
-    /// Begins a call of a client, or says why not.
+    /// Gives a call to the engine, or answers why it is not admitted.
     pub(super) fn begin_call(&mut self, now: Time, connection: ConnectionId, call: ClientCall) {
         let checked = self
             .client_sessions
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Answers a call that has not run and may be retried.
+    /// Rejects a call that has not run; the client may retry it.
     fn shed_call(&mut self, connection: ConnectionId, call: &ClientCall, rejection: CallRejection) {
         let limits = &self.site.policy.limits;
         let retry_after = Some(limits.max_retry_after / NANOSECONDS_PER_MILLISECOND)
--- a/crates/pipithub-node/src/core/clients.rs
+++ b/crates/pipithub-node/src/core/clients.rs
@@ -1,4 +1,4 @@
-//! The client side: connections, their lines, and the answers to their calls.
+//! The client side: connections, their lines, and faults in these.
 
 use crate::client_sessions::ClientSession;
 use pipithub_platform::client::ClientCall;
@@ -22,13 +22,14 @@
             debug!(
                 front_end = self.name,
                 connection = other,
-                "too many clients"
+                "too many client connections, closing one"
             );
             self.effects.push(Effect::Retire { connection: other });
         }
     }
 
-    /// All that a client has sent by now is handed over: its connection is closed, unless that was a request.
+    /// Closes a client's connection unless it has pending calls. The shell calls this after [`Effect::Retire`], once it has
+    /// passed on all that the client has sent.
     pub fn close_client_if_idle(&mut self, now: Time, connection: ConnectionId) {
         if self
             .client_sessions
@@ -40,7 +41,7 @@
         }
     }
 
-    /// A client's connection has ended.
+    /// A client's connection has ended; its pending calls are cancelled.
     pub fn client_closed(&mut self, now: Time, connection: ConnectionId) {
         let tickets = self
             .client_sessions
@@ -81,7 +82,7 @@
                         front_end = self.name,
                         connection,
                         call = call.name,
-                        "cancelled before it began"
+                        "call cancelled before it was forwarded"
                     );
                 }
                 line => self.client_line(now, connection, line),
@@ -92,7 +93,7 @@
         }
     }
 
-    /// A line of a client is too long: nothing behind it can be read.
+    /// Answers a line that is too long; nothing behind it can be read.
     fn end_of_readable_lines(&mut self, connection: ConnectionId, error: TooLong) {
         let Some(client) = self.client_sessions.client(connection) else {
             return;
@@ -127,13 +128,13 @@
                 let healthy = self.has_endpoint_list && !self.shutdown.is_requested();
                 self.write(connection, client::health_line(id, healthy));
             }
-            // Noise on a connection that is no longer read has been answered once.
+            // A malformed line on a connection that is no longer read was answered once.
             Err(error) if error.id.is_none() && client.reading_stopped => {}
             Err(error) => self.answer_fault(connection, &error),
         }
     }
 
-    /// A client has said that it does not wait any more for a call, named by its number or its name.
+    /// A client has cancelled a call, which it names by its id or its name.
     fn cancel_requested(
         &mut self,
         now: Time,
@@ -153,16 +154,20 @@
         self.close_if_answered(connection);
     }
 
-    /// Answers a line that is no request. One without an id cannot be told from noise, and nothing behind noise is
-    /// read.
+    /// Answers a line that is no valid request. If it has no id, nothing behind it is read, as it is unknown what the
+    /// client sends.
     pub(super) fn answer_fault(&mut self, connection: ConnectionId, fault: &RequestError) {
         debug!(front_end = self.name, connection, %fault, "request rejected");
-        // An answer under the number of an open call would be taken for that call's.
-        let open = self
+        // An answer under the id of a pending call would be taken for the answer to that call.
+        let is_pending = self
             .client_sessions
             .client(connection)
-            .is_some_and(|c| fault.id.is_some_and(|id| c.pending_calls.contains_key(&id)));
-        let id = fault.id.filter(|_| !open);
+            .is_some_and(|client| {
+                fault
+                    .id
+                    .is_some_and(|id| client.pending_calls.contains_key(&id))
+            });
+        let id = fault.id.filter(|_| !is_pending);
         self.write(
             connection,
             client::error_line(id, fault.code, &fault.message, None),
@@ -176,7 +181,7 @@
         }
     }
 
-    /// Begins no further call of a client, and closes its connection once all that came on it is answered.
+    /// Rejects all further calls of a client, and closes its connection once its pending calls are answered.
     pub(super) fn stop_reading(&mut self, connection: ConnectionId) {
         let Some(client) = self
             .client_sessions
@@ -195,8 +200,7 @@
         self.close_if_answered(connection);
     }
 
-    /// Has the shell read a client that is no longer served once more and then close it, if none of its calls is
-    /// pending.
+    /// Requests a last read and the close of a connection that is no longer read, if it has no pending calls.
     pub(super) fn close_if_answered(&mut self, connection: ConnectionId) {
         if self
             .client_sessions
@@ -212,14 +216,14 @@
     }
 }
 
-/// The lines that a client's bytes complete.
+/// The lines that are complete after a read.
 struct ReceivedLines {
     lines: Vec<Result<ClientLine, RequestError>>,
-    /// What ended them, where the client cannot be read any further.
+    /// Why what follows them cannot be read; `None` if it can.
     error: Option<TooLong>,
 }
 
-/// Cuts what a client has sent into lines and reads them.
+/// Divides what a client has sent into lines and parses them.
 fn receive(
     client: &mut ClientSession,
     now: Time,
@@ -246,7 +250,7 @@
     ReceivedLines { lines, error }
 }
 
-/// Calls that are cancelled by the same bytes that ask for them. Nobody waits for such a call: it is not begun.
+/// The calls that are cancelled within the same read. If the call itself is in that read, it is not forwarded.
 struct CancelledCalls {
     ids: BTreeSet<u64>,
     names: BTreeSet<String>,
--- a/crates/pipithub-node/src/core/endpoint_list.rs
+++ b/crates/pipithub-node/src/core/endpoint_list.rs
@@ -10,23 +10,23 @@
 use super::Core;
 
 impl Core {
-    /// Applies an update of the endpoint list while the wall clock agrees with `now`.
+    /// Applies an update of the endpoint list; the wall clock must agree with `now`.
     pub fn update_endpoints(&mut self, now: Time, event: &EndpointEvent) {
         self.update_endpoints_at(now, now, event);
     }
 
-    /// Applies an update of the endpoint list; `wall`: the wall clock at this moment, in Unix nanoseconds, by which
-    /// the list states when workers started.
+    /// Applies an update of the endpoint list. `wall` is the current wall clock in nanoseconds since the Unix epoch, by
+    /// which the list states when workers started.
     pub fn update_endpoints_at(&mut self, now: Time, wall: Time, event: &EndpointEvent) {
         if event.update != EndpointUpdate::Delta {
-            let named: BTreeSet<&WorkerId> = event
+            let listed: BTreeSet<&WorkerId> = event
                 .endpoints
                 .iter()
-                .map(|listed| &listed.endpoint.worker)
+                .map(|entry| &entry.endpoint.worker)
                 .collect();
-            self.connection_pool.retain_workers(&named);
+            self.connection_pool.retain_workers(&listed);
             self.start_times
-                .retain_workers(|worker| named.contains(worker));
+                .retain_workers(|worker| listed.contains(worker));
         }
         for ListedEndpoint { endpoint, address } in &event.endpoints {
             debug!(front_end = self.name, worker = &*endpoint.worker.0, state = ?endpoint.state, address, "endpoint listed");
@@ -51,7 +51,7 @@
         );
     }
 
-    /// An endpoint whose start is told by this process's clock.
+    /// The endpoint with its start converted to this process's monotonic clock.
     fn with_start_time(&mut self, endpoint: &Endpoint, now: Time, wall: Time) -> Endpoint {
         let resolve = |stamp| self.start_times.resolve(&endpoint.worker, stamp, now, wall);
         let started_at = endpoint.started_at.map(resolve);
--- a/crates/pipithub-node/src/core/outputs.rs
+++ b/crates/pipithub-node/src/core/outputs.rs
@@ -1,4 +1,4 @@
-//! Carries out what the engine asks for.
+//! Performs the engine's outputs.
 
 use pipithub_engine::policy::FunctionId;
 use pipithub_engine::policy::{Outcome, WorkerId};
@@ -10,11 +10,11 @@
 use super::workers::unanswered;
 use crate::connection_pool::{CancelledRequest, Payload, RequestKind, WorkerRequest};
 
-/// A probe without an answer by then is none.
+/// A load poll without an answer within this time has failed.
 const LOAD_POLL_TIMEOUT: Time = 250_000_000;
 
 impl Core {
-    /// Carries out one thing that the engine asks for.
+    /// Performs one output of the engine.
     pub(super) fn perform(&mut self, now: Time, output: Output) {
         match output {
             Output::Forward {
@@ -38,7 +38,7 @@
                 self.answer_client(now, ticket.number, &reply);
                 self.inputs.push_back(Input::Settled(ticket));
             }
-            // Nothing is delivered twice here, and the endpoint list is watched from the start.
+            // Clients' calls are never redelivered, and the endpoint list is watched from the start.
             Output::Forget(_) | Output::WatchEndpoints => {}
         }
     }
@@ -141,7 +141,7 @@
         self.submit(now, &worker, request);
     }
 
-    /// Hands a request to the pool; what cannot be sent is told to the engine after the present input.
+    /// Gives a request to the pool; a failure is queued as an input of the engine.
     fn submit(&mut self, now: Time, worker: &WorkerId, request: WorkerRequest) {
         self.connection_pool.submit(now, worker, request);
         self.record_failures(now);
--- a/crates/pipithub-node/src/core/workers.rs
+++ b/crates/pipithub-node/src/core/workers.rs
@@ -1,4 +1,4 @@
-//! The worker side: connections, answers, and attempts that end without one.
+//! The worker side: connections, answers, and requests that end without one.
 
 use pipithub_engine::policy::{LoadReport, Outcome};
 use pipithub_engine::{
@@ -14,25 +14,26 @@
 use crate::effect::ConnectionId;
 
 impl Core {
-    /// A connection to a worker is up.
+    /// A connection to a worker is established.
     pub fn worker_connected(&mut self, now: Time, connection: ConnectionId) {
         self.connection_pool.connected(now, connection);
         self.settle_failures(now);
     }
 
-    /// A connection to a worker did not come up; `local_fault`: because this machine lacked a resource.
+    /// A connection to a worker could not be established. `local_fault`: whether this machine lacked a resource for it.
     pub fn worker_failed(&mut self, now: Time, connection: ConnectionId, local_fault: bool) {
         self.connection_pool.connect_failed(connection, local_fault);
         self.settle_failures(now);
     }
 
-    /// A worker does not read, the system having taken so many bytes for it so far; or, with `None`, it reads again.
+    /// A worker does not read, and the system has accepted `written` bytes on the connection so far; with `None`, it reads
+    /// again.
     pub fn worker_blocked(&mut self, now: Time, connection: ConnectionId, written: Option<u64>) {
         self.connection_pool.set_blocked(now, connection, written);
         self.settle_failures(now);
     }
 
-    /// A connection to a worker has ended, with so many bytes written on it.
+    /// A connection to a worker has ended, after the system has accepted `written` bytes on it.
     pub fn worker_closed(&mut self, now: Time, connection: ConnectionId, written: u64) {
         self.connection_pool
             .closed(now, connection, written, SendFailure::ConnectionLost);
@@ -45,7 +46,7 @@
             return;
         };
         framer.push(bytes);
-        // An answer may close its connection, and the framer goes with it.
+        // An answer may close its connection, and the framer is dropped with it.
         while let Some(framer) = self.connection_pool.framer(connection) {
             match next_answer(framer) {
                 Ok(Some(answer)) => self.answer_received(now, connection, answer),
@@ -55,19 +56,19 @@
         }
     }
 
-    /// Closes a connection on which something came that cannot be read.
+    /// Closes a connection on which a malformed answer came.
     fn close_malformed(&mut self, now: Time, connection: ConnectionId, error: &AnswerError) {
         info!(
             front_end = self.name,
             connection,
             %error,
-            "answer cannot be read; connection closed"
+            "malformed answer, closing connection"
         );
         self.connection_pool.close_malformed(now, connection);
         self.settle_failures(now);
     }
 
-    /// A worker has answered: what was asked of it has ended.
+    /// A worker has answered: its request has ended.
     fn answer_received(&mut self, now: Time, connection: ConnectionId, answer: Answer) {
         let answered = self
             .connection_pool
@@ -77,7 +78,7 @@
                 front_end = self.name,
                 connection,
                 reference = answer.reference,
-                "answer to nothing open"
+                "ignoring answer to no request in flight"
             );
         };
         let elapsed = now.saturating_sub(request.began);
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Queues the end of an attempt as an input that the engine gets after the present one.
+    /// Queues the end of an attempt as an input of the engine, behind the current one.
     pub(super) fn attempt_ended(&mut self, end: AttemptResult) {
         debug!(
             front_end = self.name,
@@ -125,7 +126,7 @@
         self.inputs.push_back(Input::AttemptFinished(end));
     }
 
-    /// Queues the ends of requests without an answer as inputs that the engine gets after the present one.
+    /// Queues the failures of requests as inputs of the engine, behind the current one.
     pub(super) fn record_failures(&mut self, now: Time) {
         for failed in self.connection_pool.take_failures() {
             let FailedRequest {
@@ -166,11 +167,12 @@
     }
 }
 
-pub(super) fn unanswered(id: AttemptId, outcome: Outcome, took: Time) -> AttemptResult {
+/// The result of an attempt that got no answer.
+pub(super) fn unanswered(id: AttemptId, outcome: Outcome, elapsed: Time) -> AttemptResult {
     AttemptResult {
         id,
         outcome,
-        elapsed: took,
+        elapsed,
         replica_status: None,
         function_concurrency: None,
         load_report: LoadReport::default(),
@@ -178,18 +180,18 @@
     }
 }
 
-/// Why what a worker sent cannot be read.
+/// Why an answer of a worker cannot be read.
 #[derive(Debug, thiserror::Error)]
 enum AnswerError {
     /// A line is longer than any answer.
     #[error(transparent)]
     TooLong(#[from] TooLong),
-    /// A line is no answer.
+    /// A line is no answer of the protocol.
     #[error(transparent)]
     Malformed(#[from] MalformedAnswer),
 }
 
-/// The next whole answer of what a worker has sent.
+/// The next complete answer that a worker has sent; `None` if none is complete.
 fn next_answer(framer: &mut LineFramer) -> Result<Option<Answer>, AnswerError> {
     let Some(line) = framer.next_line()? else {
         return Ok(None);
@@ -197,7 +199,7 @@
     Ok(Some(worker::read_answer(&line)?))
 }
 
-/// What an answer says of the request that it ends.
+/// The outcome of a request by its answer.
 fn outcome(status: AnswerStatus) -> Outcome {
     match status {
         AnswerStatus::Served | AnswerStatus::Healthy | AnswerStatus::Unhealthy => Outcome::Served,
@@ -208,10 +210,10 @@
     }
 }
 
-/// What the engine is told of an attempt that a worker has answered.
+/// The result of an attempt that a worker has answered.
 fn attempt_result(id: AttemptId, elapsed: Time, answer: Answer) -> AttemptResult {
     let outcome = match answer.status {
-        // An answer to something else under the call's name proves nothing.
+        // Only load polls are answered like this: it is unknown whether the call ran.
         AnswerStatus::Healthy | AnswerStatus::Unhealthy => Outcome::Error,
         status => outcome(status),
     };
@@ -232,7 +234,7 @@
     }
 }
 
-/// What the engine is told of a request that got no answer.
+/// The outcome of a request that got no answer.
 fn failure_outcome(failure: SendFailure) -> Outcome {
     match failure {
         SendFailure::Unreachable => Outcome::Unreachable,
--- a/crates/pipithub-node/src/effect.rs
+++ b/crates/pipithub-node/src/effect.rs
@@ -1,51 +1,52 @@
-//! What the core asks the shell to do, and the numbers that connections bear.
+//! What the core requests from the shell, and the ids of connections.
 
 use bytes::Bytes;
 use pipithub_engine::Time;
 
-/// Names one connection, to a client or to a worker; never used twice.
+/// Identifies a connection, to a client or to a worker, for the lifetime of the process; no id is used twice.
 pub type ConnectionId = u64;
 
-/// What the shell is to do.
+/// A request to the shell. Effects must be carried out in the order in which the core returns them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Write on a connection.
+    /// Write bytes on a connection, behind those of earlier writes. It is ignored if the connection has ended.
     Write {
-        /// The connection.
+        /// The connection to write on.
         connection: ConnectionId,
-        /// What.
+        /// One or more complete lines.
         bytes: Bytes,
     },
-    /// Close a connection: a client's once all is written, a worker's at once, for what is left unwritten must not
-    /// begin there any more. The core has forgotten it.
+    /// Close a connection: a client's once all is written, a worker's at once, as lines that are still unwritten must
+    /// not run there. The core has forgotten the connection.
     Close {
-        /// The connection.
+        /// The connection to close.
         connection: ConnectionId,
     },
-    /// Hand over what a client has sent by now, then say
+    /// Read what a client has sent by now, pass it to the core, then call
     /// [`Core::close_client_if_idle`](crate::core::Core::close_client_if_idle): a request may come in the very moment
     /// in which its connection is to be closed.
     Retire {
-        /// The connection.
+        /// The client's connection.
         connection: ConnectionId,
     },
-    /// Take back bytes that the system has not taken yet.
+    /// Withdraw bytes of earlier writes that the system has not accepted yet; those behind them move up.
     CancelWrite {
-        /// The connection.
+        /// The connection that they were written on.
         connection: ConnectionId,
-        /// Where they begin, in bytes from the connection's first.
+        /// Where they begin, in bytes from the first ever written on the connection.
         offset: u64,
-        /// How many they are.
+        /// The number of bytes.
         length: u64,
     },
-    /// Open a connection to a worker; [`Core::worker_connected`](crate::core::Core::worker_connected) or
-    /// [`Core::worker_failed`](crate::core::Core::worker_failed) is owed.
+    /// Open a connection to a worker, and report the result by
+    /// [`Core::worker_connected`](crate::core::Core::worker_connected) or
+    /// [`Core::worker_failed`](crate::core::Core::worker_failed).
     Connect {
-        /// The new connection.
+        /// The id of the new connection.
         connection: ConnectionId,
-        /// Where to.
+        /// The worker's address, as the endpoint list states it.
         address: String,
-        /// It has failed if it is not up by then.
+        /// The attempt has failed if the connection is not established within this time, in nanoseconds.
         within: Time,
     },
 }
--- a/crates/pipithub-node/src/executed_calls.rs
+++ b/crates/pipithub-node/src/executed_calls.rs
@@ -1,10 +1,10 @@
-//! Calls that must not run twice and may have run, remembered so that their retries are rejected.
+//! Non-idempotent calls that may have run, remembered so that they are not run again.
 
 use std::collections::{HashSet, VecDeque};
 
 use pipithub_engine::Time;
 
-/// The most calls that are remembered: some seconds of those that a node can take.
+/// The most calls that are remembered: as many as a node can serve in some seconds.
 const MAX_EXECUTED_CALLS: usize = 4096;
 
 /// A remembered call and when it may be forgotten.
--- a/crates/pipithub-node/src/idle_timeout.rs
+++ b/crates/pipithub-node/src/idle_timeout.rs
@@ -1,23 +1,22 @@
-//! How long an idle connection may be trusted, learnt from those that broke when they were used again.
+//! How long an idle connection may be used again, learnt from those that broke when they were.
 //!
-//! Something on the way may forget a connection that stays idle, well before the time that the settings state, and
-//! reset it when the next line comes. Whether that line was read cannot be told, so a call that must not run twice is
-//! lost with it, and a sound worker looks broken. A new connection costs a round trip or two: the cheaper choice by
-//! far.
+//! A middlebox may drop an idle connection well before the time that the settings state, and reset it when the next
+//! line comes. It is unknown then whether the worker has read that line, so a non-idempotent call fails, and a healthy
+//! worker seems faulty. A new connection costs a round trip or two only.
 
 use pipithub_engine::Time;
 
-/// Idle times are sorted into buckets by powers of two of this, in nanoseconds.
+/// The bounds of the buckets of idle times are powers of two times this, in nanoseconds.
 const BUCKET_UNIT: Time = 1_000_000;
-/// Their number; the last holds all that is longer.
+/// The number of buckets; the last one holds all longer times.
 const BUCKETS: usize = 18;
-/// So many breaks, and this share of the uses, make a length of idle time too long.
+/// An idle time is too long if at least this many connections broke after it, and at least this part of those used.
 const MIN_BREAKS: f64 = 1.5;
 const MIN_BREAK_RATIO: f64 = 0.1;
-/// Observations count half after this time: whatever broke the connections may have been removed.
+/// The weight of an observation halves in this time, as the cause of the breaks may have been removed.
 const HALF_LIFE: Time = 20_000_000_000;
 
-/// What became of connections that were used again, by how long they had been idle.
+/// How often idle connections were used again and how often they broke, by idle time.
 #[derive(Clone, Debug, Default)]
 pub struct IdleTimeout {
     uses: [f64; BUCKETS],
@@ -31,7 +30,7 @@
 }
 
 impl IdleTimeout {
-    /// A connection that had been idle for so long was used, and broke or not before any answer.
+    /// Records that a connection was used after `idle` nanoseconds; `broke`: whether it ended before any answer.
     pub fn record_use(&mut self, now: Time, idle: Time, broke: bool) {
         if now >= self.decayed_at + HALF_LIFE {
             let halves = (now - self.decayed_at) / HALF_LIFE;
@@ -47,9 +46,9 @@
         self.breaks[at] += f64::from(u8::from(broke));
     }
 
-    /// Connections that are idle for this long or longer must not be used again; `None`: any may.
+    /// Connections that have been idle for this long or longer must not be used again; `None` if there is no limit.
     pub fn limit(&self) -> Option<Time> {
-        // What breaks after some time breaks after a longer one too, seen or not.
+        // A connection that breaks after some idle time breaks after any longer one too.
         let at = (0..BUCKETS).find(|&i| {
             self.breaks[i] >= MIN_BREAKS && self.breaks[i] >= MIN_BREAK_RATIO * self.uses[i]
         })?;
--- a/crates/pipithub-node/src/shell.rs
+++ b/crates/pipithub-node/src/shell.rs
@@ -1,4 +1,4 @@
-//! Sockets, time and signals around the core, on one thread.
+//! The shell around the core: sockets, time and signals, on one thread.
 
 mod connection;
 mod listener;
@@ -26,17 +26,17 @@
 use crate::effect::{ConnectionId, Effect};
 use crate::sockets::{self, ConnectError, LocalFaults};
 
-/// What is read at a time: more than a usual client sends at once, so that a close behind it is seen in the same read.
+/// How many bytes are read at a time: more than a usual client sends at once, so that a close behind them is noticed in
+/// the same read.
 const READ_BUFFER_BYTES: usize = 64 << 10;
 /// A buffer that has grown beyond this is released once it is empty.
 const MAX_IDLE_BUFFER: usize = 16 << 10;
-/// Connections of clients that may linger so at a time, beyond those that clients may have; newcomers beyond both, for
-/// which others are about to be closed; and connections to workers that are about to be. All are among the descriptors
-/// that the core keeps free; the process itself needs twelve of these.
+/// How many connections of clients may linger after their close, and how many connections to workers may be closing,
+/// beyond the core's limits. Their descriptors are among those that the core reserves.
 const MAX_LINGERING: usize = 6;
 const MAX_CLOSING: usize = 3;
 
-/// The core and its sockets.
+/// The core, its sockets and its timer.
 struct Shell {
     core: Rc<RefCell<Core>>,
     sockets: RefCell<HashMap<ConnectionId, Rc<Socket>>>,
@@ -44,22 +44,24 @@
     workers: Rc<Slots>,
     lingering: Cell<usize>,
     local_faults: LocalFaults,
-    /// The process is about to end: nothing more is accepted.
+    /// The process is about to end: every client may linger.
     shutting_down: Cell<bool>,
     /// When something was last read from a client or written to one, or a client came.
     last_client_activity: Cell<Time>,
-    /// Connections to workers on which was written, and clients to be closed unless they have just asked for something.
+    /// Connections to workers that were written on, and whose state the core must be told.
     written_workers: RefCell<Vec<ConnectionId>>,
+    /// Clients that are to be closed unless they have just sent a request.
     closing_clients: RefCell<Vec<ConnectionId>>,
     clock: Clock,
     read_buffer: RefCell<Vec<u8>>,
-    /// When the timer is set to go off, and how to set it anew.
+    /// When the running timer expires.
     timer_due: Cell<Time>,
+    /// Wakes the timer if something is due earlier.
     timer_changed: Notify,
 }
 
 impl Shell {
-    /// Updates the core and carries out the effects that follow.
+    /// Calls the core and carries out the resulting effects.
     fn update_core(self: &Rc<Self>, act: impl FnOnce(&mut Core, Time)) {
         let now = self.clock.now();
         act(&mut self.core.borrow_mut(), now);
@@ -68,7 +70,7 @@
             for effect in effects {
                 self.execute(effect);
             }
-            // The core must be told the buffers' state only after all effects have been carried out.
+            // The state of the buffers is right only once all effects are carried out.
             let (written_workers, closing_clients) =
                 (self.written_workers.take(), self.closing_clients.take());
             if written_workers.is_empty() && closing_clients.is_empty() {
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Tells the core how far the system has taken what is written to a worker that does not read.
+    /// Reports to the core whether a worker does not read, and how many bytes the system has accepted for it.
     fn report_blocked(&self, now: Time, connection: ConnectionId) {
         let Some(socket) = self.sockets.borrow().get(&connection).cloned() else {
             return;
@@ -167,7 +169,7 @@
                 self.serve_connection(connection, socket).await;
             }
             Err(error) => {
-                debug!(connection, %error, "cannot connect");
+                debug!(connection, %error, "failed to connect to worker");
                 let local_fault = matches!(error, ConnectError::Local);
                 self.update_core(|core, now| core.worker_failed(now, connection, local_fault));
             }
--- a/crates/pipithub-node/src/shell/connection.rs
+++ b/crates/pipithub-node/src/shell/connection.rs
@@ -1,4 +1,4 @@
-//! Moves the bytes of one connection until it ends.
+//! Reads and writes one connection until it ends.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,7 +14,8 @@
 /// How many full buffers are read at most from a client before its connection is closed: more than all pending calls
 /// that it may have.
 const MAX_FINAL_READS: usize = 16;
-/// How long a client whose connection is closed may take to read its last answers: some round trips of a slow network.
+/// How long a client whose connection is being closed may take to read its last answers: some round trips of a slow
+/// network.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The result of reading a connection once.
@@ -49,7 +50,7 @@
         core.close_client_if_idle(now, connection);
     }
 
-    /// Moves the bytes of one connection until it ends.
+    /// Reads and writes a connection until it ends, and tells the core then.
     pub(super) async fn serve_connection(
         self: &Rc<Self>,
         connection: ConnectionId,
@@ -89,7 +90,7 @@
                 match self.read(connection, socket) {
                     Progress::Ended => return,
                     Progress::Drained => {}
-                    // One peer that writes without end must not delay the detection of other peers' closes.
+                    // A peer that writes without end must not delay the detection of other peers' closes.
                     Progress::More => tokio::task::yield_now().await,
                 }
             }
--- a/crates/pipithub-node/src/shell/listener.rs
+++ b/crates/pipithub-node/src/shell/listener.rs
@@ -9,15 +9,16 @@
 use crate::core::Core;
 use crate::sockets;
 
-/// Clients that may be connected beyond those that may stay, while others are being closed for them.
+/// How many clients may be connected beyond the limit, while others are being closed for them.
 const MAX_NEWCOMERS: usize = 3;
 
 impl Shell {
     /// Accepts clients until the listener fails, and begins the shutdown then.
     pub(super) async fn accept(self: Rc<Self>, listener: TcpListener) {
-        let most = self.core.borrow().max_client_connections() + MAX_LINGERING + MAX_NEWCOMERS;
+        let max_in_use =
+            self.core.borrow().max_client_connections() + MAX_LINGERING + MAX_NEWCOMERS;
         let accept = async || {
-            self.clients.wait_below(most).await;
+            self.clients.wait_below(max_in_use).await;
             listener.accept().await
         };
         let take = |(stream, _)| {
--- a/crates/pipithub-node/src/shell/reload.rs
+++ b/crates/pipithub-node/src/shell/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the configuration, and reads it again on SIGHUP.
+//! Reads the configuration at the start and again at SIGHUP.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -10,8 +10,8 @@
 
 use super::runtime::StartError;
 
-/// A configuration that cannot be read is looked at again after this, doubling, so often: somebody may be writing it.
-/// All of it lies within the 4 s after SIGHUP in which the new coordinator is to be followed.
+/// A configuration that cannot be read is read again after this backoff, which doubles each time, as it may be in the
+/// middle of being written. All retries fall within the 4 s after SIGHUP in which a new coordinator must be followed.
 const RELOAD_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_RELOAD_RETRIES: u32 = 6;
 
@@ -27,7 +27,7 @@
     })
 }
 
-/// Reads the configuration again on SIGHUP, and retries where it cannot be read.
+/// Reads the configuration again at SIGHUP, and retries if it cannot be read.
 pub(super) struct ConfigReloader {
     path: PathBuf,
     coordinator: watch::Sender<String>,
@@ -36,7 +36,7 @@
 }
 
 impl ConfigReloader {
-    /// One that tells a changed address of the coordinator to `coordinator`.
+    /// Creates a reloader for the file at `path`, which sends a changed address of the coordinator to `coordinator`.
     pub(super) fn new(path: PathBuf, coordinator: watch::Sender<String>) -> Self {
         ConfigReloader {
             path,
@@ -52,8 +52,8 @@
         self.read();
     }
 
-    /// Waits until a retry is due, for ever where there is none, and reads the file then. Only the wait may be
-    /// cancelled.
+    /// Waits until a retry is due, forever if there is none, and reads the file then. Cancelling this future is safe, as it
+    /// does not wait after that.
     pub(super) async fn retry(&mut self) {
         match self.retry_at {
             Some(time) => tokio::time::sleep_until(time).await,
@@ -67,7 +67,7 @@
         match load(&self.path) {
             Ok(config) => self.apply(config),
             Err(reason) => {
-                error!(%reason, looks = self.retries, "previous configuration stays in force");
+                error!(%reason, retries = self.retries, "previous configuration stays in force");
                 if self.retries < MAX_RELOAD_RETRIES {
                     let backoff = RELOAD_BACKOFF * 2u32.pow(self.retries);
                     self.retry_at = Some(Instant::now() + backoff);
@@ -79,7 +79,7 @@
 
     fn apply(&self, config: NodeConfig) {
         info!(coordinator = config.coordinator, "configuration read again");
-        // One that has not moved is not asked again: each request for the list costs the whole fleet.
+        // The stream is kept if the address is the same: each new request for the list is a load on the coordinator.
         self.coordinator.send_if_modified(|address| {
             let moved = *address != config.coordinator;
             *address = config.coordinator;
--- a/crates/pipithub-node/src/shell/runtime.rs
+++ b/crates/pipithub-node/src/shell/runtime.rs
@@ -24,12 +24,12 @@
 use crate::core::Core;
 use crate::sockets::LocalFaults;
 
-/// Bytes that wait to be written on one side may take this part of the memory: many peers that do not read must not
-/// fill it.
+/// The bytes that wait to be written on all connections of one side may take at most this part of the memory, as many
+/// peers that do not read must not exhaust it.
 const UNWRITTEN_MEMORY_DIVISOR: usize = 8;
-/// Before it ends, the process must have seen nothing new on its sockets for so long: long beside a turn of the loop.
+/// The process ends only once clients have been silent for this long: long beside one iteration of the event loop.
 const QUIET_TIME: Time = 20_000_000;
-/// How long clients may take at the most to close their connections once the process is about to end.
+/// The most time that clients have to close their connections once the process is about to end.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(15);
 
 /// Why a front end could not start.
@@ -38,34 +38,34 @@
     /// The configuration's file cannot be read.
     #[error("configuration {path}: {error}")]
     ReadConfig {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The system's reason.
+        /// The system's error.
         error: io::Error,
     },
     /// The configuration cannot be used.
     #[error("configuration {path}: {error}")]
     InvalidConfig {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Place in it and reason.
+        /// Where in the file the fault is, and what it is.
         error: ConfigError,
     },
-    /// The address cannot be listened at.
+    /// It is not possible to listen at the address.
     #[error("cannot listen at {address}: {reason}")]
     Listen {
-        /// The address.
+        /// The address that was given or configured.
         address: String,
-        /// The system's word.
+        /// The system's error.
         reason: io::Error,
     },
-    /// The system does not give what is needed.
+    /// Signal handlers cannot be installed.
     #[error(transparent)]
     System(#[from] io::Error),
 }
 
 impl Shell {
-    /// A shell around a new core.
+    /// Creates a shell around a new core.
     fn new(config: &NodeConfig) -> Self {
         let clock = Clock::unix();
         let max_unwritten = ((config.memory_mb as usize) << 20) / UNWRITTEN_MEMORY_DIVISOR;
@@ -87,7 +87,8 @@
         }
     }
 
-    /// Hands the coordinator's events to the core; through what is returned the coordinator's address may be changed.
+    /// Starts to follow the coordinator and to pass its events to the core; a new address of the coordinator may be sent
+    /// on the returned channel.
     fn follow_coordinator(self: &Rc<Self>, config: &NodeConfig) -> watch::Sender<String> {
         let last = config.known_updates.last().map_or(0, |event| event.index);
         let (sender, address) = watch::channel(config.coordinator.clone());
@@ -112,8 +113,8 @@
         );
     }
 
-    /// Whether the process may end: all that was taken is answered and written, and for a while nothing new was seen on
-    /// any socket, so that no request stands unread in the system.
+    /// Whether the process may end: all requests are answered, all answers written, and clients have been silent for
+    /// [`QUIET_TIME`], so that the system holds no unread request.
     fn is_finished(&self) -> bool {
         let (now, core) = (self.clock.now(), self.core.borrow());
         let written = || {
@@ -127,15 +128,15 @@
         core.shutdown_overdue(now) || core.is_drained(now) && quiet() && written()
     }
 
-    /// Answers what clients have sent by now and closes their connections, so that they read these answers and a clean
-    /// end: the process's own end would reset each connection on which something stands unread.
+    /// Answers what clients have sent by now and closes their connections, so that they get these answers and a clean end:
+    /// the end of the process would reset every connection with unread input.
     async fn close_clients(self: &Rc<Self>) {
         self.shutting_down.set(true);
         self.update_core(|core, _| core.close_clients());
         let _ = tokio::time::timeout(CLOSE_TIMEOUT, self.clients.wait_below(1)).await;
     }
 
-    /// Tells the core that time has passed, until it is done.
+    /// Calls [`Core::tick`] whenever it is due, until the process may end.
     async fn run_timer(self: &Rc<Self>) {
         loop {
             let due = self.core.borrow().next_due();
@@ -153,7 +154,7 @@
     }
 }
 
-/// A front end that listens and has not begun to serve.
+/// A front end that listens and does not serve yet.
 pub struct Node {
     config: NodeConfig,
     path: PathBuf,
@@ -164,12 +165,12 @@
 }
 
 impl Node {
-    /// Reads the configuration in a file and listens, at another address where one is given.
+    /// Reads the configuration file at `path` and listens at its address, or at `listen` if that is given.
     ///
     /// # Errors
-    /// [`StartError`] where it cannot start.
+    /// [`StartError`] if the file cannot be read or used, or the system refuses the listener or the signal handlers.
     pub async fn bind(path: &Path, listen: Option<String>) -> Result<Self, StartError> {
-        // From here on a signal is heard, though it is served later: a file replaced after it is read is read again.
+        // Signals are handled before the file is read: if it is replaced after that, the SIGHUP is not lost.
         let (terminate, interrupt) = (
             signal(SignalKind::terminate())?,
             signal(SignalKind::interrupt())?,
@@ -189,21 +190,21 @@
         })
     }
 
-    /// Where it listens.
+    /// The address that it listens at.
     ///
     /// # Errors
-    /// As the system says.
+    /// The system's error if it does not state the address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Serves until SIGTERM or Ctrl-C, and then until all that was taken is answered. On SIGHUP the configuration is
-    /// read again. Must be run on a [`tokio::task::LocalSet`].
+    /// Serves until SIGTERM or SIGINT, and then until the graceful shutdown is complete. At SIGHUP the configuration is
+    /// read again. Must run within a [`tokio::task::LocalSet`].
     pub async fn serve(self) {
         self.serve_sharing(|_| {}).await;
     }
 
-    /// As [`Node::serve`]; the core is shown to `share` before it serves, for tests that compare its state.
+    /// As [`Node::serve`], and passes the core to `share` first, for tests that compare its state.
     pub async fn serve_sharing(self, share: impl FnOnce(Rc<RefCell<Core>>)) {
         let Node {
             config,
--- a/crates/pipithub-node/src/sockets.rs
+++ b/crates/pipithub-node/src/sockets.rs
@@ -1,5 +1,5 @@
-//! Accepts and makes connections, retrying by whose fault an error is: what this machine lacks for a moment tells
-//! nothing of a worker and must not hold up more than it has to.
+//! Accepts, makes, reads and writes connections. Errors are distinguished by whose fault they are: a local lack of
+//! resources is retried and does not count against the peer.
 
 use std::cell::Cell;
 use std::io;
@@ -17,18 +17,18 @@
 pub struct LocalFaults(Cell<u64>);
 
 impl LocalFaults {
-    /// One more.
+    /// Counts one more failure.
     pub fn note(&self) {
         self.0.set(self.0.get() + 1);
     }
 
-    /// How many there were so far.
+    /// The number of failures so far.
     pub fn count(&self) -> u64 {
         self.0.get()
     }
 }
 
-/// Accepts connections for as long as that is possible.
+/// Accepts connections until the listener fails for good, and passes each to `take`.
 pub async fn accept_all<T>(
     mut accept: impl AsyncFnMut() -> io::Result<T>,
     mut take: impl FnMut(T),
@@ -39,21 +39,23 @@
             Ok(connection) => take(connection),
             Err(error) => match accept_failure(&error) {
                 AcceptFailure::Connection => {
-                    debug!(%error, "a connection ended before it was accepted");
+                    debug!(%error, "connection ended before it was accepted");
                 }
                 AcceptFailure::Exhausted => {
-                    // Those that close make room.
+                    // Connections that close free resources.
                     faults.note();
-                    warn!(%error, "cannot accept");
+                    warn!(%error, "failed to accept connection, retrying");
                     sleep(LOCAL_RETRY).await;
                 }
-                AcceptFailure::Fatal => return error!(%error, "cannot accept any more"),
+                AcceptFailure::Fatal => {
+                    return error!(%error, "failed to accept connection, no longer accepting");
+                }
             },
         }
     }
 }
 
-/// Why a connection did not come up.
+/// Why a connection could not be established.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
     /// The peer refused it or cannot be reached.
@@ -62,12 +64,13 @@
     /// The peer did not answer in time.
     #[error("not up in time")]
     TimedOut,
-    /// This machine lacked something for all of the time.
+    /// This machine lacked a resource for the whole time.
     #[error("not tried in time for want of something here")]
     Local,
 }
 
-/// Makes a connection within a time. A failure by a fault of this machine is retried; one by the peer is not.
+/// Establishes a connection within a time. A local failure is retried, a failure of the peer is not. `dial` sets its
+/// argument once it has sent a request to the peer.
 ///
 /// # Errors
 /// [`ConnectError`] says whose fault it is.
@@ -76,15 +79,15 @@
     mut dial: impl AsyncFnMut(&Cell<bool>) -> io::Result<T>,
     faults: &LocalFaults,
 ) -> Result<T, ConnectError> {
-    // Whether the peer has been asked, and nothing here has failed since.
+    // Whether the peer was contacted and nothing failed locally since.
     let dialled = Cell::new(false);
-    let tries = async {
+    let attempts = async {
         loop {
             match dial(&dialled).await {
                 Err(error) if fault_origin(&error) == FaultOrigin::Local => {
                     dialled.set(false);
                     faults.note();
-                    debug!(%error, "cannot connect yet");
+                    debug!(%error, "failed to connect, retrying");
                     sleep(LOCAL_RETRY).await;
                 }
                 other => return other.map_err(ConnectError::Peer),
@@ -98,32 +101,32 @@
             ConnectError::Local
         })
     };
-    timeout(within, tries).await.unwrap_or_else(timed_out)
+    timeout(within, attempts).await.unwrap_or_else(timed_out)
 }
 
 /// What ended a series of reads or writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransferEnd {
-    /// All is written, or the buffer is full.
+    /// All bytes are written, or the buffer is full.
     Complete,
-    /// The system takes or has no more for now.
+    /// The system accepts or has no more bytes for now.
     Blocked,
-    /// This machine lacked something: it is to be tried again in a moment.
+    /// This machine lacked a resource: the transfer may be retried soon.
     Exhausted,
     /// The connection has ended.
     Ended,
 }
 
-/// A series of reads or writes that does not wait.
+/// The result of a series of reads or writes that does not wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Transfer {
-    /// The bytes moved.
+    /// The number of bytes read or written.
     pub count: usize,
     /// What ended the series.
     pub end: TransferEnd,
 }
 
-/// Writes as much as the system takes.
+/// Writes as many bytes as the system accepts without waiting.
 pub fn write_now(bytes: &[u8], mut write: impl FnMut(&[u8]) -> io::Result<usize>) -> Transfer {
     let mut written = 0;
     while written < bytes.len() {
@@ -143,7 +146,7 @@
     }
 }
 
-/// Reads as much as there is and fits.
+/// Reads as many bytes as are available without waiting and fit into the buffer.
 pub fn read_now(
     buffer: &mut [u8],
     mut read: impl FnMut(&mut [u8]) -> io::Result<usize>,
@@ -161,7 +164,7 @@
     }
 }
 
-/// The bytes that one call moved, none where it was interrupted; or what ends the series.
+/// The number of bytes that one call has moved, 0 if it was interrupted; or what ends the series.
 fn transferred(result: io::Result<usize>) -> Result<usize, TransferEnd> {
     match result {
         Ok(0) => Err(TransferEnd::Ended),
--- a/crates/pipithub-node/src/start_times.rs
+++ b/crates/pipithub-node/src/start_times.rs
@@ -13,7 +13,7 @@
 /// was not stepped, and a stamp counts as it is stated.
 const MAX_CLOCK_DIFFERENCE: Time = 100_000_000;
 
-/// A start as it was stated and as it counts here.
+/// A start as the list states it and by the monotonic clock.
 #[derive(Clone, Copy, Debug)]
 struct Start {
     stamp: Time,
@@ -27,8 +27,9 @@
 }
 
 impl StartTimes {
-    /// The monotonic time of a start that the list states as `stamp`, with both clocks at this moment: `now` and
-    /// `wall`, Unix nanoseconds. Where the wall clock was stepped, a stamp in the future counts as now.
+    /// The monotonic time of a start that the list states as `stamp`, in nanoseconds since the Unix epoch. `now` and
+    /// `wall` are the current times of the monotonic and the wall clock. If the wall clock was stepped, a stamp in the
+    /// future counts as now.
     pub fn resolve(&mut self, worker: &WorkerId, stamp: Time, now: Time, wall: Time) -> Time {
         if let Some(start) = self.starts.get(worker).filter(|start| start.stamp == stamp) {
             return start.time;
