--- a/crates/pipithub-hollow-node/src/lib.rs
+++ b/crates/pipithub-hollow-node/src/lib.rs
@@ -1,9 +1,9 @@
 //! Hollow front ends, as the hollow nodes in scale tests of cluster managers: the core, the list reader and the settings
 //! of `pipithub node` as they are, without clients and without connections to workers, many in one process.
 //!
-//! What a coordinator sees of one is what it sees of a real front end, and its core holds what a real one's holds after
-//! the same events; a test of this crate compares both. What it does not show: sockets of clients and workers, the
-//! process's own memory, and what the system spends on as many processes.
+//! A coordinator sees the same requests from one as from a real front end, and its core has the same state after the same
+//! events; a test of this crate compares both. What it does not show: the sockets of clients and workers, the memory of a
+//! process, and what the system spends on as many processes.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -19,7 +19,7 @@
 /// One hollow front end; it ends when dropped.
 pub struct Hollow {
     inner: Rc<Inner>,
-    /// The coordinator's address; the list reader ends with it.
+    /// Sends the coordinator's address; the task that follows the coordinator ends when this is dropped.
     _coordinator: watch::Sender<String>,
     tasks: [JoinHandle<()>; 2],
 }
@@ -27,43 +27,45 @@
 struct Inner {
     core: RefCell<Core>,
     clock: Clock,
-    last: Cell<u64>,
-    events: Cell<u64>,
-    wanted: Cell<u64>,
-    /// When the timer is set to go off, and how to set it anew.
-    armed: Cell<Time>,
-    rearm: Notify,
-    taken: Box<dyn Fn(u64)>,
+    last_event: Cell<u64>,
+    applied_events: Cell<u64>,
+    requested_effects: Cell<u64>,
+    /// When the running timer expires.
+    timer_due: Cell<Time>,
+    /// Wakes the timer if something is due earlier.
+    timer_changed: Notify,
+    on_event: Box<dyn Fn(u64)>,
 }
 
 impl Hollow {
-    /// Starts one by this configuration; `taken` is told the number of each list event once the core has it. Must be
-    /// called within a [`tokio::task::LocalSet`].
-    pub fn start(config: &NodeConfig, taken: impl Fn(u64) + 'static) -> Self {
+    /// Starts a front end with this configuration; `on_event` is called with the index of each endpoint event once the core
+    /// has applied it. Must be called within a [`tokio::task::LocalSet`].
+    pub fn start(config: &NodeConfig, on_event: impl Fn(u64) + 'static) -> Self {
         let clock = Clock::unix();
         let last = config.known_updates.last().map_or(0, |e| e.index);
         let inner = Rc::new(Inner {
             core: RefCell::new(Core::new(clock.now(), config)),
             clock,
-            last: Cell::new(last),
-            events: Cell::new(0),
-            wanted: Cell::new(0),
-            armed: Cell::new(Time::MAX),
-            rearm: Notify::new(),
-            taken: Box::new(taken),
+            last_event: Cell::new(last),
+            applied_events: Cell::new(0),
+            requested_effects: Cell::new(0),
+            timer_due: Cell::new(Time::MAX),
+            timer_changed: Notify::new(),
+            on_event: Box::new(on_event),
         });
         let (coordinator, followed) = watch::channel(config.coordinator.clone());
-        let told = inner.clone();
+        let applied_to = inner.clone();
         let names = config.site.names.clone();
         let follow = coordinator::follow(followed, last, names, config.seed, move |event| {
-            told.with(|core, now| core.update_endpoints_at(now, wall_ns(), &event));
-            told.last.set(event.index);
-            told.events.set(told.events.get() + 1);
-            (told.taken)(event.index);
+            applied_to.update_core(|core, now| core.update_endpoints_at(now, wall_ns(), &event));
+            applied_to.last_event.set(event.index);
+            let applied_events = &applied_to.applied_events;
+            applied_events.set(applied_events.get() + 1);
+            (applied_to.on_event)(event.index);
         });
         let tasks = [
             tokio::task::spawn_local(follow),
-            tokio::task::spawn_local(inner.clone().time()),
+            tokio::task::spawn_local(inner.clone().run_timer()),
         ];
         Hollow {
             inner,
@@ -72,22 +74,23 @@
         }
     }
 
-    /// The number of the last list event that the core has.
+    /// The index of the last endpoint event that the core has applied.
     pub fn last(&self) -> u64 {
-        self.inner.last.get()
+        self.inner.last_event.get()
     }
 
-    /// List events that were taken since the start.
+    /// The number of endpoint events that were applied since the start.
     pub fn events(&self) -> u64 {
-        self.inner.events.get()
+        self.inner.applied_events.get()
     }
 
-    /// What the core wanted done on connections, which nobody does here: 0 as long as it is a fair stand-in.
+    /// The number of effects that the core has requested. They are not carried out here, so a hollow front end is a valid
+    /// model of a real one only as long as this is 0.
     pub fn wanted(&self) -> u64 {
-        self.inner.wanted.get()
+        self.inner.requested_effects.get()
     }
 
-    /// The core's whole state, as its `Debug` text.
+    /// The complete state of the core, as its `Debug` text.
     pub fn show(&self) -> String {
         format!("{:?}", self.inner.core.borrow())
     }
@@ -100,8 +103,8 @@
 }
 
 impl Inner {
-    /// Lets the core take something in. A connection that it wants to a worker fails at once, so that nothing waits for it.
-    fn with(&self, act: impl FnOnce(&mut Core, Time)) {
+    /// Calls the core. A connection that it requests to a worker fails at once, so that nothing waits for it.
+    fn update_core(&self, act: impl FnOnce(&mut Core, Time)) {
         let now = self.clock.now();
         let mut core = self.core.borrow_mut();
         act(&mut core, now);
@@ -110,29 +113,30 @@
             if effects.is_empty() {
                 break;
             }
-            self.wanted.set(self.wanted.get() + effects.len() as u64);
+            let requested_effects = &self.requested_effects;
+            requested_effects.set(requested_effects.get() + effects.len() as u64);
             for effect in effects {
                 if let Effect::Connect { connection, .. } = effect {
                     core.worker_failed(now, connection, true);
                 }
             }
         }
-        if core.next_due() < self.armed.get() {
-            self.rearm.notify_one();
+        if core.next_due() < self.timer_due.get() {
+            self.timer_changed.notify_one();
         }
     }
 
-    /// Tells the core that time has passed, as the real shell does.
-    async fn time(self: Rc<Self>) {
+    /// Calls [`Core::tick`] whenever it is due, as the real shell does.
+    async fn run_timer(self: Rc<Self>) {
         loop {
             let due = self.core.borrow().next_due();
-            self.armed.set(due);
+            self.timer_due.set(due);
             tokio::select! {
                 () = self.clock.sleep_until(Some(due)) => {}
-                () = self.rearm.notified() => continue,
+                () = self.timer_changed.notified() => continue,
             }
-            self.armed.set(Time::MAX);
-            self.with(pipithub_node::core::Core::tick);
+            self.timer_due.set(Time::MAX);
+            self.update_core(Core::tick);
         }
     }
 }
--- a/crates/pipithub-hollow-node/tests/rig/mod.rs
+++ b/crates/pipithub-hollow-node/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! Configurations, and waiting for what the coordinator and the front ends have.
+//! Starts coordinators and front ends, and waits for their state.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use pipithub_platform::config::NodeConfig;
 use serde_json::{Value, json};
 
-/// A front end of this coordinator.
+/// The configuration of a front end that follows this coordinator.
 pub(crate) fn config(coordinator: SocketAddr) -> Value {
     json!({
         "name": "n1", "listen": "127.0.0.1:0", "seed": "5eed", "coordinator": coordinator.to_string(),
@@ -22,8 +22,8 @@
     })
 }
 
-/// A coordinator whose comments come often, so that a busy machine does not let a stream look dead.
-pub(crate) fn coordinator() -> Coordinator {
+/// A coordinator that sends comments often, so that its stream is not taken for dead on a busy machine.
+pub(crate) fn start_coordinator() -> Coordinator {
     let comments = Some(Duration::from_millis(200));
     Coordinator::start(Behaviour {
         comments,
@@ -32,27 +32,27 @@
     .expect("listens")
 }
 
-/// A hollow front end of this coordinator.
-pub(crate) fn hollow(coordinator: &Coordinator) -> Hollow {
+/// A hollow front end that follows this coordinator.
+pub(crate) fn start_hollow(coordinator: &Coordinator) -> Hollow {
     let config = NodeConfig::parse(&config(coordinator.address()).to_string()).expect("good");
     Hollow::start(&config, |_| {})
 }
 
-/// Waits until this holds; it fails after a time that no busy machine takes.
-pub(crate) async fn until(mut holds: impl FnMut() -> bool) {
+/// Waits until a condition holds; fails after a minute.
+pub(crate) async fn wait_until(mut holds: impl FnMut() -> bool) {
     let turns = async {
         while !holds() {
-            // The coordinator has a thread of its own: there is nothing of it to be woken by.
+            // The coordinator runs on its own thread and cannot wake this task.
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
     tokio::time::timeout(Duration::from_secs(60), turns)
         .await
-        .expect("it never came to hold");
+        .expect("the condition holds in time");
 }
 
-/// Hands out every worker of this tier, and waits until the front end has it.
-pub(crate) async fn whole(coordinator: &Coordinator, hollow: &Hollow, tier: &Tier) {
+/// Publishes a complete list of this tier's workers, and waits until the front end has applied it.
+pub(crate) async fn publish_all(coordinator: &Coordinator, hollow: &Hollow, tier: &Tier) {
     let index = coordinator.publish(true, tier.hosts(), tier);
-    until(|| hollow.last() == index).await;
+    wait_until(|| hollow.last() == index).await;
 }
--- a/crates/pipithub-hollow-node/tests/same.rs
+++ b/crates/pipithub-hollow-node/tests/same.rs
@@ -1,6 +1,6 @@
-//! A hollow front end and the real shell ask the same bytes and hold the same state after the same events.
+//! A hollow and a real front end send the same requests and have the same state after the same events.
 
-mod rig;
+mod harness;
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -88,7 +88,7 @@
 
 async fn cut(coordinator: &Coordinator) {
     coordinator.behave(|b| b.cut = true);
-    rig::until(|| coordinator.counts().open == 0).await;
+    harness::wait_until(|| coordinator.counts().open == 0).await;
 }
 
 /// The names of the workers that the core knows, by the Debug text of its connections' table, sorted.
@@ -117,7 +117,7 @@
         .map(|h| h["host"].as_str().unwrap_or_default().to_string())
         .collect();
     names.sort();
-    rig::until(|| {
+    harness::wait_until(|| {
         let text = text();
         known(&text) == names && text.contains(PRUNED_STARTS)
     })
@@ -126,21 +126,21 @@
 
 /// The requests and the core's state after the story, of the real shell or of a hollow front end.
 async fn play(hollow: bool) -> (Vec<String>, String) {
-    let coordinator = rig::coordinator();
-    let text = rig::config(coordinator.address()).to_string();
+    let coordinator = harness::start_coordinator();
+    let text = harness::config(coordinator.address()).to_string();
     let mut tier = Tier::new(210, 7);
     let state = if hollow {
-        let front = Hollow::start(&NodeConfig::parse(&text).expect("good"), |_| {});
+        let front_end = Hollow::start(&NodeConfig::parse(&text).expect("good"), |_| {});
         story(&coordinator, &mut tier, async |tier| {
-            caught_up(|| front.show(), tier).await;
+            caught_up(|| front_end.show(), tier).await;
         })
         .await;
         assert_eq!(
-            front.wanted(),
+            front_end.wanted(),
             0,
             "the core wanted nothing that nobody does here"
         );
-        front.show()
+        front_end.show()
     } else {
         let folder = tempfile::tempdir().expect("a folder");
         let place = folder.path().join("node.json");
@@ -151,7 +151,7 @@
         spawn_local(
             node.serve_sharing(move |core: Rc<RefCell<Core>>| *kept.borrow_mut() = Some(core)),
         );
-        rig::until(|| shown.borrow().is_some()).await;
+        harness::wait_until(|| shown.borrow().is_some()).await;
         let core = shown.borrow_mut().take().expect("shown");
         story(&coordinator, &mut tier, async |tier| {
             caught_up(|| format!("{:?}", core.borrow()), tier).await;
@@ -171,7 +171,7 @@
 }
 
 #[tokio::test]
-async fn a_hollow_front_end_asks_the_same_bytes_and_holds_the_same_state_as_the_real_shell() {
+async fn hollow_and_real_front_ends_send_the_same_requests_and_have_the_same_state() {
     let (hollow, real) = LocalSet::new()
         .run_until(async { (play(true).await, play(false).await) })
         .await;
--- a/crates/pipithub-node/src/coordinator/stream.rs
+++ b/crates/pipithub-node/src/coordinator/stream.rs
@@ -107,11 +107,9 @@
     }
     let body = stream.response.body_mut();
     let mut reader = SseReader::default();
-    let mut events = Vec::new();
     loop {
         let data = next_data(body).await?;
-        reader.push(&data, &mut events)?;
-        for event in events.drain(..) {
+        for event in reader.push(&data)? {
             let event = list::parse(&event.data, names).map_err(StreamError::InvalidEvent)?;
             let is_complete = event.update != EndpointUpdate::Delta;
             match sequence.step(event.index, is_complete) {
--- a/crates/pipithub-platform/src/client.rs
+++ b/crates/pipithub-platform/src/client.rs
@@ -1,5 +1,5 @@
-//! JSON-RPC 2.0 lines of clients. Every figure is checked here: what a client sends wrongly must neither reach a worker,
-//! which would close its connection on it, nor the module.
+//! JSON-RPC 2.0 lines of clients. Every value is checked here: an invalid one must reach neither a worker, which would
+//! close its connection because of it, nor the decision module.
 
 use std::fmt::Write;
 
@@ -14,89 +14,89 @@
 
 /// The most bytes of a call's body.
 pub const MAX_BODY_BYTES: usize = 16 << 10;
-/// The most bytes of a line: the body in base64 and room for all other fields.
+/// The most bytes of a line: enough for the body in base64 and all other fields.
 pub const MAX_LINE_BYTES: usize = 32 << 10;
 /// The most bytes of an idempotency key.
 const MAX_KEY_BYTES: usize = 256;
-/// A call whose client states more than this many times its class's time makes no sense.
+/// A call is invalid if it states a timeout of more than this many times that of its class.
 const MAX_TTL_FACTOR: f64 = 2.0;
 const NANOSECONDS_PER_MILLISECOND: f64 = 1e6;
-/// The most calls that one replica may be said to run at a time.
+/// The highest concurrency of a replica that a call may state.
 const MAX_REPLICA_CONCURRENCY: f64 = 1_000.0;
-/// The longest time that a load may be said to take, in milliseconds.
+/// The longest load time that a call may state, in milliseconds.
 const MAX_LOAD_MS: f64 = 3_600_000.0;
-/// The method by which a client says that it has ceased to wait.
+/// The method that cancels a call.
 const FORGET: &str = "forget";
-/// The method that asks whether calls are taken here.
+/// The method of a health check.
 const IS_WELL: &str = "isWell";
-/// Methods that are no classes.
+/// The methods that are no classes; no class may have these names.
 pub const METHODS: [&str; 2] = [FORGET, IS_WELL];
-/// The code of a refusal: another try is harmless.
+/// The error code of a rejection: the call did not run and may be retried.
 pub const REJECTED: i64 = -32050;
-/// The code of any other end without an answer: nothing is promised.
+/// The error code of a failure: the call may have run.
 pub const FAILED: i64 = -32000;
-/// The line cannot be read.
+/// The error code of a line that is not JSON or too long.
 pub const PARSE_ERROR: i64 = -32700;
-/// It is no request.
+/// The error code of a line that is JSON but no valid request.
 pub const INVALID_REQUEST: i64 = -32600;
-/// Its method is no class.
+/// The error code of a request whose method is unknown.
 pub const METHOD_NOT_FOUND: i64 = -32601;
-/// Its figures cannot be used.
+/// The error code of a request with invalid parameters.
 pub const INVALID_PARAMS: i64 = -32602;
 
-/// A call as a client states it.
+/// A valid call of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientCall {
-    /// The number that its answer bears.
+    /// Its JSON-RPC id, which the answer repeats.
     pub id: u64,
-    /// Names it to workers: 16 hex digits, exactly as sent.
+    /// Its name, by which workers identify it: 16 hexadecimal digits, exactly as sent.
     pub name: String,
     /// Its class, as an index into the settings.
     pub class: usize,
-    /// How long the client waits: its class's time at the most.
+    /// How long the client waits for the answer: at most the client timeout of its class.
     pub client_timeout: Time,
-    /// The function: 16 hex digits, exactly as sent.
+    /// The name of the function: 16 hexadecimal digits, exactly as sent.
     pub function: String,
-    /// Memory of one loaded copy, in MB; 0 where not told.
+    /// The memory that a replica of the function takes, in MB; 0 if not stated.
     pub memory_mb: f64,
-    /// Calls that one copy runs at a time.
+    /// How many calls a replica of the function runs at the same time; 1 if not stated.
     pub replica_concurrency: u32,
-    /// The usual time of a load, where told.
+    /// The usual time to load the function; `None` if not stated.
     pub load_time: Option<Time>,
-    /// The idempotency key, exactly as sent: workers drop repeats under it.
+    /// The idempotency key, exactly as sent, by which workers recognize retries.
     pub idempotency_key: Option<String>,
-    /// The body.
+    /// The decoded body, of [`MAX_BODY_BYTES`] at most.
     pub body: Bytes,
 }
 
-/// What a client's line says.
+/// A valid line of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientLine {
-    /// Run this.
+    /// A call to run.
     Call(Box<ClientCall>),
-    /// The client has ceased to wait for the call with this number, or of this name.
+    /// The client no longer awaits a call, which is named by at least one of the two.
     Cancel {
-        /// The number of the call, where given so.
+        /// The JSON-RPC id of the call, if stated.
         id: Option<u64>,
-        /// The name of the call, where given so.
+        /// The name of the call, if stated.
         call: Option<String>,
     },
-    /// Whether this front end takes calls.
+    /// The question whether this front end accepts calls.
     HealthCheck {
-        /// The number that the answer bears.
+        /// Its JSON-RPC id, which the answer repeats.
         id: u64,
     },
 }
 
-/// What is wrong with a line.
+/// Why a line of a client is no valid request; this is what the client is answered.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{message} ({code})")]
 pub struct RequestError {
-    /// The number of the request, where it could be read.
+    /// The JSON-RPC id of the request; `None` if it could not be read.
     pub id: Option<u64>,
-    /// The JSON-RPC code.
+    /// The JSON-RPC error code.
     pub code: i64,
-    /// Place and reason.
+    /// Which field is wrong and why.
     pub message: String,
 }
 
@@ -113,7 +113,8 @@
 /// Reads one line.
 ///
 /// # Errors
-/// [`RequestError`] where it is no request of this protocol; one without an id cannot be told from noise.
+/// [`RequestError`] if it is no valid request. If the error has no id, it is unknown what the client sends, and its
+/// further lines should not be read.
 pub fn read_line(line: &[u8], site: &SiteSettings) -> Result<ClientLine, RequestError> {
     let all: Value = serde_json::from_slice(line)
         .map_err(|error| RequestError::new(None, PARSE_ERROR, format!("line: {error}")))?;
@@ -220,13 +221,13 @@
     })
 }
 
-/// How long the client waits: the class's time at the most.
+/// The client timeout that a call states, limited by that of its class.
 fn client_timeout(params: &Value, class: Option<&Class>) -> Result<Time, ParamError> {
     let class_timeout = class.map_or(0, |class| class.client_timeout);
     let class_ms = class_timeout as f64 / NANOSECONDS_PER_MILLISECOND;
     let ttl = params["ttl"].as_f64().ok_or("ttl: not a number")?;
-    // A client that is late by itself states somewhat more than its class's time, which holds all the same: such a call
-    // must not be lost to a strict bound. Far beyond it lies nothing but nonsense.
+    // A client that is late itself may state slightly more than the timeout of its class. Such a call is valid, and the
+    // class's timeout applies; much larger values are faults.
     if !(ttl > 0.0 && ttl <= MAX_TTL_FACTOR * class_timeout as f64 / NANOSECONDS_PER_MILLISECOND) {
         let message = format!("ttl: {ttl} is not above 0 and near {class_ms} at most");
         return Err(ParamError(message));
@@ -242,7 +243,8 @@
         .ok_or_else(|| ParamError(format!("{field}: not 16 hex digits")))
 }
 
-/// The idempotency key. A call with one is retried on its strength: without it a retry would be a second effect.
+/// The idempotency key of a call. A class with keys requires one, as its calls are retried, and a retry without a key
+/// would take effect again.
 fn idempotency_key(params: &Value, class: Option<&Class>) -> Result<Option<String>, ParamError> {
     let needs_key = class.is_some_and(|class| class.idempotency == Idempotency::WithKey);
     match &params["dedupe"] {
@@ -287,7 +289,7 @@
     }
 }
 
-/// Reads `name:figure` pairs set apart by semicolons. Unknown names are passed over: new ones may show up.
+/// Reads `name:number` pairs that are separated by semicolons. Unknown names are ignored, as new ones may be added.
 fn props(pairs: &str, max_memory_mb: f64) -> Result<Props, ParamError> {
     let mut props = Props::default();
     for pair in pairs.split(';').filter(|pair| !pair.is_empty()) {
@@ -330,12 +332,12 @@
     Ok((stated_ms * NANOSECONDS_PER_MILLISECOND) as Time)
 }
 
-/// Whether a text is a name of this protocol: 16 hex digits.
+/// Whether a text is a name in the sense of this protocol: 16 hexadecimal digits.
 pub fn is_name(text: &str) -> bool {
     text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit())
 }
 
-/// The line of an answer that a worker gave.
+/// The line of a successful answer with the body that a worker returned.
 pub fn result_line(id: u64, body: &[u8]) -> Bytes {
     let mut line = format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"result\":{{\"body\":\"");
     STANDARD.encode_string(body, &mut line);
@@ -343,7 +345,7 @@
     line.into()
 }
 
-/// The line of an error; `pushback` in milliseconds, with refusals alone.
+/// The line of an error. `pushback` is the Retry-After in milliseconds, which only rejections have.
 pub fn error_line(id: Option<u64>, code: i64, message: &str, pushback: Option<u64>) -> Bytes {
     let id = id.map_or_else(|| "null".to_string(), |id| id.to_string());
     let mut line =
@@ -357,7 +359,7 @@
     line.into()
 }
 
-/// The line that answers `isWell`.
+/// The line that answers a health check.
 pub fn health_line(id: u64, healthy: bool) -> Bytes {
     format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"result\":{{\"healthy\":{healthy}}}}}\n").into()
 }
--- a/crates/pipithub-platform/src/config.rs
+++ b/crates/pipithub-platform/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of one front end, as the platform hands it over in a file.
+//! The configuration file of one front end.
 
 use std::collections::HashSet;
 use std::hash::Hash;
@@ -10,34 +10,34 @@
 use crate::list::{self, EndpointEvent, EndpointEventError};
 use crate::settings::{self, Names, SettingsError, SiteSettings};
 
-/// Memory that a node may take where the configuration does not say.
+/// The memory that a node may use if the configuration does not state it.
 const DEFAULT_MEMORY_MB: u64 = 128;
-/// Descriptors that a node may hold where the configuration does not say.
+/// The number of descriptors that a node may use if the configuration does not state it.
 const DEFAULT_MAX_DESCRIPTORS: u64 = 256;
 
 /// One front end's configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeConfig {
-    /// Its name, the same after a restart.
+    /// The name of the front end, which stays the same after a restart.
     pub name: String,
-    /// Where clients connect.
+    /// The address at which it listens for clients.
     pub listen: String,
-    /// For random numbers; new with each start.
+    /// The seed of its random numbers; it differs at each start.
     pub seed: u64,
-    /// Memory that it may take, in MB.
+    /// The memory that it may use, in MB.
     pub memory_mb: u64,
-    /// File descriptors that it may hold.
+    /// The number of file descriptors that it may use.
     pub max_descriptors: usize,
-    /// Address of the coordinator.
+    /// The address of the coordinator.
     pub coordinator: String,
-    /// Changes of the worker list up to the start.
+    /// The events of the endpoint list up to the start, in order.
     pub known_updates: Vec<EndpointEvent>,
-    /// What the module and the transport are told.
+    /// The settings of the decision module and the transport.
     pub site: SiteSettings,
 }
 
-/// The place of the first name that stands before it too. Each name is looked up once: a comparison with all that stand
-/// before it would hold up the calls of a front end that reads a long configuration again.
+/// The index of the first name that occurs at a lower index too. This takes linear time: comparing each name with all
+/// before it would delay the calls of a front end that reads a long configuration again.
 pub fn first_duplicate<T: Eq + Hash>(names: &[T]) -> Option<usize> {
     let mut seen = HashSet::with_capacity(names.len());
     names.iter().position(|name| !seen.insert(name))
@@ -46,7 +46,7 @@
 /// Why a configuration cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// It is no JSON.
+    /// It is not JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// A text is missing or empty.
@@ -61,7 +61,7 @@
     /// An update of the endpoint list up to the start cannot be used.
     #[error("known.updates[{index}]: {error}")]
     KnownUpdate {
-        /// Its place.
+        /// The index of the update.
         index: usize,
         /// What is wrong with it.
         error: EndpointEventError,
@@ -72,34 +72,34 @@
     /// The settings cannot be read.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The settings have no class: every call would be turned away.
+    /// The settings have no class, so that every call would be rejected.
     #[error("settings.Grades: no class")]
     NoClass,
     /// A class has a name that no client can use.
     #[error("settings.Grades[{index}].Name: {name:?} cannot name a class")]
     ClassName {
-        /// The class's place.
+        /// The index of the class.
         index: usize,
-        /// Its name.
+        /// The name of the class.
         name: String,
     },
     /// Two classes have the same name.
     #[error("settings.Grades[{index}].Name: {name:?} names an earlier class too")]
     DuplicateClass {
-        /// The later one's place.
+        /// The index of the second class of that name.
         index: usize,
-        /// Their name.
+        /// The name of both classes.
         name: String,
     },
-    /// Clients of a class do not wait at all.
+    /// The client timeout of a class is 0.
     #[error("settings.Grades[{index}].GiveUp: not above 0")]
     NoClientTimeout {
-        /// The class's place.
+        /// The index of the class.
         index: usize,
     },
 }
 
-/// Whether a node can serve by these settings: it must not be started and then turn every call away.
+/// Checks that a node can serve with these settings: it must not start and then reject every call.
 fn check_classes(site: &SiteSettings) -> Result<(), ConfigError> {
     let names = &site.names.classes;
     if names.is_empty() {
--- a/crates/pipithub-platform/src/line.rs
+++ b/crates/pipithub-platform/src/line.rs
@@ -1,8 +1,8 @@
-//! Lines with a bound: whoever writes without end must not fill the memory.
+//! Lines of bounded length: a peer that writes without end must not exhaust the memory.
 
 use bytes::{Bytes, BytesMut};
 
-/// A buffer that has grown beyond this is let go once it is empty, so that one long line does not stay paid for.
+/// A buffer that has grown beyond this is freed once it is empty, so that one long line does not keep its memory.
 const MAX_IDLE_BUFFER: usize = 8 << 10;
 
 /// A line is longer than allowed; nothing more can be read from its connection.
@@ -13,7 +13,7 @@
     pub max_bytes: usize,
 }
 
-/// Cuts a stream of bytes into lines at line feeds.
+/// Divides a stream of bytes into lines at line feeds.
 #[derive(Debug)]
 pub struct LineFramer {
     buffer: BytesMut,
@@ -23,7 +23,7 @@
 }
 
 impl LineFramer {
-    /// Lines of at most so many bytes, the line feed not counted.
+    /// A framer for lines of `max_bytes` at most, not counting the line feed.
     pub fn new(max_bytes: usize) -> Self {
         LineFramer {
             buffer: BytesMut::new(),
@@ -32,15 +32,15 @@
         }
     }
 
-    /// Takes in what was read. To keep the bound, call [`LineFramer::next_line`] until it has no more after each piece.
+    /// Appends bytes that were read. To keep the bound, call [`LineFramer::next_line`] after that until it returns `None`.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole line, without its line feed and a carriage return before it.
+    /// The next complete line, without its line feed and a carriage return before it; `None` if none is complete.
     ///
     /// # Errors
-    /// [`TooLong`] where a line, whole or not, is longer than the bound.
+    /// [`TooLong`] if a line, complete or not, is longer than the bound.
     pub fn next_line(&mut self) -> Result<Option<Bytes>, TooLong> {
         let found = self.buffer[self.scanned..]
             .iter()
@@ -73,7 +73,7 @@
         Ok(Some(line))
     }
 
-    /// Whether a line has begun and not ended.
+    /// Whether the last line is incomplete.
     pub fn partial(&self) -> bool {
         !self.buffer.is_empty()
     }
--- a/crates/pipithub-platform/src/list.rs
+++ b/crates/pipithub-platform/src/list.rs
@@ -1,4 +1,4 @@
-//! Changes of the worker list, numbered from 1 at each start of a front end.
+//! Events of the endpoint list, whose indexes start from 1 at each start of a front end.
 
 use pipithub_policy::api::{Endpoint, EndpointState, EndpointUpdate, WorkerId};
 use serde_json::Value;
@@ -7,10 +7,10 @@
 
 const NANOSECONDS_PER_MILLISECOND: u64 = 1_000_000;
 
-/// The most workers in one event: twice the 16,000 of the largest site that is planned for, so that all of them may be
-/// replaced side by side.
+/// The most workers in one event: twice the 16,000 of the largest planned site, so that all of them may be replaced at the
+/// same time.
 pub const MAX_ENDPOINTS: usize = 32_000;
-/// The most bytes that a worker takes of an event, over all in it: one with a name of 60 bytes and an address of as many
+/// The most bytes of an event for each worker in it, on average: a worker with a name and an address of 60 bytes each
 /// takes about 200.
 pub const MAX_ENDPOINT_BYTES: usize = 256;
 
@@ -19,16 +19,16 @@
 pub struct ListedEndpoint {
     /// The worker and its state.
     pub endpoint: Endpoint,
-    /// Where it listens; may be empty for one that has been removed.
+    /// The address that it listens at; may be empty if the worker has been removed.
     pub address: String,
 }
 
-/// One change of the list.
+/// One event of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEvent {
-    /// Its number.
+    /// Its index in the order of all events.
     pub index: u64,
-    /// Whether it holds every worker.
+    /// Whether it lists all workers or only those that changed.
     pub update: EndpointUpdate,
     /// The workers in it.
     pub endpoints: Vec<ListedEndpoint>,
@@ -37,22 +37,22 @@
 /// Why an event cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointEventError {
-    /// It is no JSON.
+    /// It is not JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// It bears no number.
+    /// It has no index.
     #[error("index: not a whole number")]
     MissingIndex,
-    /// It holds no list of workers.
+    /// It has no list of workers.
     #[error("endpoints.hosts: not a list")]
     MissingHosts,
-    /// It holds more workers than any site has.
+    /// It has more than [`MAX_ENDPOINTS`] workers.
     #[error("endpoints.hosts: more than {MAX_ENDPOINTS}")]
     TooManyEndpoints,
     /// One of its workers cannot be used.
     #[error("endpoints.hosts[{index}].{error}")]
     InvalidEndpoint {
-        /// The worker's place in the event.
+        /// The index of the worker in the event.
         index: usize,
         /// What is wrong with it.
         error: EndpointError,
@@ -65,7 +65,7 @@
     /// A field is missing or empty.
     #[error("{0}: missing")]
     Missing(&'static str),
-    /// Its `health` is none that is known.
+    /// Its `health` is missing or unknown.
     #[error("health: unknown {0:?}")]
     UnknownHealth(Option<String>),
 }
--- a/crates/pipithub-platform/src/settings.rs
+++ b/crates/pipithub-platform/src/settings.rs
@@ -40,7 +40,7 @@
             .map_or(0.0, |machine| machine.memory_mb)
     }
 
-    /// The memory of the largest kind of machine in MB; 0 where none is known.
+    /// The memory of the largest kind of machine in MB; 0 if none is known.
     pub fn max_memory_mb(&self) -> f64 {
         self.machine_kinds
             .iter()
@@ -49,29 +49,29 @@
     }
 }
 
-/// What the transport is told; all times in nanoseconds.
+/// The settings of the transport; all times in nanoseconds.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Transport {
-    /// A connection that is not up by then counts as failed.
+    /// A connection that is not established within this time has failed.
     pub connect_timeout: Time,
-    /// Connections that stay idle for so long are closed; 0: never.
+    /// Workers close connections that are idle for this long; 0: never.
     pub idle_timeout: Time,
-    /// Requests that one connection carries at a time.
+    /// The most requests in flight on one connection.
     pub max_requests_per_connection: usize,
-    /// Requests that a front end may hold open.
+    /// The most pending requests of a front end.
     pub max_pending_requests: usize,
-    /// An order without an answer by then has come to nothing.
+    /// A load command without an answer within this time has failed.
     pub load_command_timeout: Time,
 }
 
-/// All that the settings tell.
+/// All settings of a site.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SiteSettings {
-    /// For the module.
+    /// Settings of the decision module.
     pub policy: Settings,
-    /// For reading lines.
+    /// Names that are needed to read lines and events.
     pub names: Names,
-    /// For the transport.
+    /// Settings of the transport.
     pub transport: Transport,
 }
 
@@ -86,7 +86,7 @@
 /// Why settings cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// They are no JSON.
+    /// They are not JSON.
     #[error("settings: {0}")]
     Json(#[from] serde_json::Error),
     /// They are no JSON object.
--- a/crates/pipithub-platform/src/sse.rs
+++ b/crates/pipithub-platform/src/sse.rs
@@ -5,11 +5,11 @@
 use crate::line::LineFramer;
 use crate::list::{MAX_ENDPOINT_BYTES, MAX_ENDPOINTS};
 
-/// The most bytes of one event's data: the list reader's most workers, each of its most bytes. A reader holds them twice at
-/// most, in its buffer and in the event.
+/// The most bytes of one event's data: the largest event that [`crate::list`] accepts. A reader holds them twice at most,
+/// in its buffer and in the event.
 pub const MAX_DATA_BYTES: usize = MAX_ENDPOINTS * MAX_ENDPOINT_BYTES;
-/// What stands before the data on its line.
-const FIELD: usize = "data: ".len();
+/// The length of the field name before the data on its line.
+const FIELD_NAME_BYTES: usize = "data: ".len();
 
 /// An event is longer than allowed; nothing more can be read from its stream.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -18,59 +18,60 @@
     id.as_deref().unwrap_or("without an id")
 )]
 pub struct EventTooLong {
-    /// Its `id`, where it came before the data.
+    /// Its `id`; `None` if that did not come before the data.
     pub id: Option<String>,
 }
 
-/// One event.
+/// A complete event of a stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SseEvent {
-    /// Its `id`, where it has one.
+    /// Its `id`; `None` if it has none.
     pub id: Option<String>,
     /// Its `data`; several lines are joined by line feeds.
     pub data: String,
 }
 
-/// Reads events from a stream of bytes. An event counts once the empty line after it has come: what breaks off before
-/// must not be taken for whole.
+/// Reads events from a stream of bytes. An event is complete once the empty line after it has come; an event that breaks
+/// off before that is never returned.
 #[derive(Debug)]
 pub struct SseReader {
     lines: LineFramer,
     event: SseEvent,
-    begun: bool,
+    /// Whether the event has a `data` field so far.
+    has_data: bool,
 }
 
 impl Default for SseReader {
     fn default() -> Self {
         SseReader {
-            lines: LineFramer::new(MAX_DATA_BYTES + FIELD),
+            lines: LineFramer::new(MAX_DATA_BYTES + FIELD_NAME_BYTES),
             event: SseEvent::default(),
-            begun: false,
+            has_data: false,
         }
     }
 }
 
 impl SseReader {
-    /// Takes in what was read and appends the events that are whole.
+    /// Reads bytes; returns the events that they complete, in order.
     ///
     /// # Errors
-    /// [`EventTooLong`] where an event has no end.
-    pub fn push(&mut self, bytes: &[u8], events: &mut Vec<SseEvent>) -> Result<(), EventTooLong> {
+    /// [`EventTooLong`] if an event is longer than [`MAX_DATA_BYTES`]. Events that were completed by the same bytes are lost then.
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<SseEvent>, EventTooLong> {
         self.lines.push(bytes);
+        let mut events = Vec::new();
         while let Some(line) = self.lines.next_line().map_err(|_| self.too_long())? {
-            self.line(&line, events)?;
+            events.extend(self.read_line(&line)?);
         }
-        Ok(())
+        Ok(events)
     }
 
-    fn line(&mut self, line: &Bytes, events: &mut Vec<SseEvent>) -> Result<(), EventTooLong> {
+    /// Reads one line; returns the event that it completes, if it does.
+    fn read_line(&mut self, line: &Bytes) -> Result<Option<SseEvent>, EventTooLong> {
         let text = String::from_utf8_lossy(line);
         if text.is_empty() {
             let event = std::mem::take(&mut self.event);
-            if std::mem::take(&mut self.begun) {
-                events.push(event);
-            }
-            return Ok(());
+            let has_data = std::mem::take(&mut self.has_data);
+            return Ok(has_data.then_some(event));
         }
         let (field, value) = text.split_once(':').unwrap_or((&text, ""));
         let value = value.strip_prefix(' ').unwrap_or(value);
@@ -80,16 +81,16 @@
                 if self.event.data.len() + value.len() > MAX_DATA_BYTES {
                     return Err(self.too_long());
                 }
-                if self.begun {
+                if self.has_data {
                     self.event.data.push('\n');
                 }
                 self.event.data.push_str(value);
-                self.begun = true;
+                self.has_data = true;
             }
-            // Comments, which begin with the colon, and fields that nobody uses here.
+            // Comments, which begin with a colon, and fields without a meaning here.
             _ => {}
         }
-        Ok(())
+        Ok(None)
     }
 
     fn too_long(&self) -> EventTooLong {
--- a/crates/pipithub-platform/src/worker.rs
+++ b/crates/pipithub-platform/src/worker.rs
@@ -31,23 +31,23 @@
     line.into()
 }
 
-/// A run to ask for, whose line is made when it is written.
+/// A request to run a call. Its line is made when it is written, as it states the remaining time.
 #[derive(Clone, Debug)]
 pub struct RunRequest {
-    /// The call's name.
+    /// The name of the call, which the answer repeats.
     pub call: String,
-    /// Its class.
+    /// The name of its class.
     pub class: String,
-    /// Its function.
+    /// The name of its function.
     pub function: Arc<str>,
-    /// Its idempotency key.
+    /// Its idempotency key; `None` if it has none.
     pub key: Option<Arc<str>>,
-    /// Its body.
+    /// Its body, not encoded.
     pub body: Bytes,
 }
 
 impl RunRequest {
-    /// The line, for a front end that will wait so long.
+    /// The line to write. `patience` is how long the front end will await the answer, in nanoseconds.
     pub fn line(&self, patience: Time) -> Bytes {
         run_line(
             &self.call,
@@ -60,64 +60,64 @@
     }
 }
 
-/// The line that gives a run up.
+/// The line that cancels a run.
 pub fn cancel_line(call: &str) -> Bytes {
     format!("{{\"cmd\":\"UNDO\",\"ref\":\"{call}\"}}\n").into()
 }
 
-/// The line that asks for a worker's load.
+/// The line that polls a worker's load; the answer repeats `tag`.
 pub fn poll_load_line(tag: &str) -> Bytes {
     format!("{{\"cmd\":\"METER\",\"ref\":\"{tag}\"}}\n").into()
 }
 
-/// The line that orders copies to be held; 0 only asks.
+/// The line of a load command for this number of replicas; 0 only asks how many are loaded.
 pub fn load_function_line(tag: &str, function: &str, copies: u32) -> Bytes {
     format!("{{\"cmd\":\"PIN\",\"ref\":\"{tag}\",\"opts\":{{\"asset\":\"{function}\",\"n\":{copies}}}}}\n")
         .into()
 }
 
-/// The line that has idle copies unloaded.
+/// The line of an evict command for the idle replicas of a function; no answer comes.
 pub fn evict_function_line(function: &str) -> Bytes {
     format!("{{\"cmd\":\"UNPIN\",\"ref\":\"{function}\"}}\n").into()
 }
 
-/// The word of an answer.
+/// The status of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerStatus {
-    /// Done.
+    /// The request was carried out.
     Served,
-    /// The function is not there: it never ran.
+    /// The function is not loaded: the call did not run.
     NotLoaded,
-    /// Full: it never ran.
+    /// The worker is at capacity: the call did not run.
     Rejected,
-    /// An error: it may have run.
+    /// An error: the call may have run.
     Failed,
-    /// The request was over already: it never ran.
+    /// Its time had passed: the call did not run.
     Expired,
-    /// The worker is well.
+    /// The worker is healthy.
     Healthy,
-    /// The worker is not well.
+    /// The worker is not healthy.
     Unhealthy,
 }
 
-/// An answer.
+/// An answer of a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
-    /// What it answers: a call's name or a tag.
+    /// What it answers: the name of a call, or the tag of another request.
     pub reference: String,
-    /// Its word.
+    /// The result of the request.
     pub status: AnswerStatus,
-    /// Calls of the function that the worker held when this one came.
+    /// How many calls of the function the worker had in flight when this one came; 0 if not stated.
     pub function_concurrency: u32,
-    /// The worker's report.
+    /// The load report of the worker.
     pub load_report: LoadReport,
-    /// Copies that stand loaded; with answers to orders.
+    /// How many replicas are loaded, in answers to load commands; else 0.
     pub replicas: u32,
-    /// The body; with [`AnswerStatus::Served`].
+    /// The decoded body; empty unless the call was served.
     pub body: Bytes,
 }
 
-/// An answer that cannot be read: its connection is of no further use.
+/// Why an answer cannot be read. Its connection should be closed, as further answers may be lost on it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("answer: {0}")]
 pub struct MalformedAnswer(pub String);
@@ -125,11 +125,11 @@
 /// Reads one line.
 ///
 /// # Errors
-/// [`MalformedAnswer`] where it is no whole answer of this protocol.
+/// [`MalformedAnswer`] if it is not a complete answer of this protocol.
 pub fn read_answer(line: &[u8]) -> Result<Answer, MalformedAnswer> {
     let malformed = |what: &str| MalformedAnswer(what.to_string());
     let all: Value = serde_json::from_slice(line).map_err(|e| MalformedAnswer(e.to_string()))?;
-    let word = match all.get("cmd").and_then(Value::as_str) {
+    let status = match all.get("cmd").and_then(Value::as_str) {
         Some("ACK") => AnswerStatus::Served,
         Some("NOENT") => AnswerStatus::NotLoaded,
         Some("AGAIN") => AnswerStatus::Rejected,
@@ -156,7 +156,7 @@
     };
     Ok(Answer {
         reference,
-        status: word,
+        status,
         function_concurrency: option("same").and_then(figure).unwrap_or(0.0) as u32,
         load_report: option("l")
             .and_then(Value::as_str)
@@ -167,14 +167,14 @@
     })
 }
 
-/// A figure, which may come as a number or as text.
+/// A finite number, which may be stated as a JSON number or as text.
 fn figure(value: &Value) -> Option<f64> {
     let figure = value.as_f64().or_else(|| value.as_str()?.parse().ok())?;
     Some(figure).filter(|f| f.is_finite())
 }
 
-/// A load report: `name:figure` pairs set apart by semicolons, under the short or the settings' names. What cannot be
-/// read counts as not told.
+/// Reads a load report: `name:number` pairs separated by semicolons, with the short names or those of the settings. A
+/// value that cannot be read counts as not stated.
 pub fn read_load_report(text: &str) -> LoadReport {
     let mut load = LoadReport::default();
     for (name, value) in text.split(';').filter_map(|pair| pair.split_once(':')) {
--- a/crates/pipithub-platform/tests/growth.rs
+++ b/crates/pipithub-platform/tests/growth.rs
@@ -1,4 +1,4 @@
-//! What reading a configuration takes grows with the configuration and not faster: counted, never timed.
+//! The cost of reading a configuration grows linearly with it; the cost is counted and not timed.
 
 use std::cell::Cell;
 use std::hash::{Hash, Hasher};
@@ -7,11 +7,11 @@
 use pipithub_platform::config::{NodeConfig, first_duplicate};
 use serde_json::{Value, json};
 
-/// Four times the entries may take so many times as much: a quadratic takes sixteen times.
-const MOST: f64 = 5.0;
+/// The most by which the cost may grow with four times as many entries: quadratic growth is by a factor of sixteen.
+const MAX_GROWTH: f64 = 5.0;
 const SIZES: [usize; 3] = [500, 2_000, 8_000];
 
-fn text(workers: usize, classes: usize) -> String {
+fn configuration(workers: usize, classes: usize) -> String {
     let hosts: Vec<Value> = (0..workers)
         .map(|n| json!({"host": format!("w{n:05}"), "dial": "127.0.0.1:1", "site": "a", "health": "SERVING"}))
         .collect();
@@ -26,39 +26,47 @@
     config.to_string()
 }
 
-/// Bytes that are asked for in all and the most that are held at a time while a text is read.
-fn allocated(text: &str) -> [f64; 2] {
+/// The memory that is allocated while a configuration is read, in bytes.
+struct Allocated {
+    total: f64,
+    peak: f64,
+}
+
+fn allocated(text: &str) -> Allocated {
     let mut config = None;
     let counted = allocation_counter::measure(|| config = Some(NodeConfig::parse(text)));
     config.expect("read").expect("a good one");
-    [counted.bytes_total as f64, counted.bytes_max as f64]
+    Allocated {
+        total: counted.bytes_total as f64,
+        peak: counted.bytes_max as f64,
+    }
 }
 
-fn linear(what: &str, figures: &[f64]) {
+fn assert_linear(what: &str, figures: &[f64]) {
     assert!(
         figures.iter().all(|f| *f > 0.0),
         "{what}: nothing was counted: {figures:?}"
     );
     for pair in figures.windows(2) {
         assert!(
-            pair[1] <= pair[0] * MOST,
+            pair[1] <= pair[0] * MAX_GROWTH,
             "{what} grow faster than the configuration: {figures:?}"
         );
     }
 }
 
 #[test]
-fn bytes_allocated_grow_with_the_workers_known() {
-    let all = SIZES.map(|n| allocated(&text(n, 1)));
-    linear("bytes asked for", &all.map(|a| a[0]));
-    linear("bytes held", &all.map(|a| a[1]));
+fn allocated_bytes_grow_linearly_with_the_known_workers() {
+    let all = SIZES.map(|n| allocated(&configuration(n, 1)));
+    assert_linear("allocated bytes", &all.each_ref().map(|bytes| bytes.total));
+    assert_linear("bytes in use", &all.each_ref().map(|bytes| bytes.peak));
 }
 
 #[test]
-fn bytes_allocated_grow_with_the_classes() {
-    let all = SIZES.map(|n| allocated(&text(1, n)));
-    linear("bytes asked for", &all.map(|a| a[0]));
-    linear("bytes held", &all.map(|a| a[1]));
+fn allocated_bytes_grow_linearly_with_the_classes() {
+    let all = SIZES.map(|n| allocated(&configuration(1, n)));
+    assert_linear("allocated bytes", &all.each_ref().map(|bytes| bytes.total));
+    assert_linear("bytes in use", &all.each_ref().map(|bytes| bytes.peak));
 }
 
 /// A name that counts how often it is hashed or compared.
@@ -87,24 +95,24 @@
 }
 
 #[test]
-fn looks_for_a_repeated_class_grow_with_the_classes() {
-    let looks = SIZES.map(|n| {
+fn duplicate_check_grows_linearly_with_the_classes() {
+    let operations = SIZES.map(|n| {
         let counter = Rc::new(Cell::new(0));
         let names: Vec<Counted> = (0..n).map(|i| Counted(i, counter.clone())).collect();
         assert_eq!(first_duplicate(&names), None);
         counter.get() as f64
     });
-    linear("looks", &looks);
+    assert_linear("operations", &operations);
 }
 
 #[test]
-fn the_first_repeat_is_found_where_it_stands() {
+fn first_duplicate_class_is_reported_with_its_index() {
     assert_eq!(first_duplicate::<&str>(&[]), None);
     assert_eq!(first_duplicate(&["a", "b", "a", "b"]), Some(2));
-    let place =
-        NodeConfig::parse(&text(1, 3).replace("c00002", "c00000")).expect_err("it names one twice");
+    let error = NodeConfig::parse(&configuration(1, 3).replace("c00002", "c00000"))
+        .expect_err("it names one twice");
     assert_eq!(
-        place.to_string(),
+        error.to_string(),
         "settings.Grades[2].Name: \"c00000\" names an earlier class too"
     );
 }
--- a/crates/pipithub-platform/tests/protocol.rs
+++ b/crates/pipithub-platform/tests/protocol.rs
@@ -1,10 +1,10 @@
-//! Framing, events and lines, also of what nobody should send.
+//! Framing, lines and events, valid and invalid.
 
 use pipithub_platform::client::{self, ClientLine};
 use pipithub_platform::line::LineFramer;
 use pipithub_platform::list::{MAX_ENDPOINT_BYTES, MAX_ENDPOINTS};
 use pipithub_platform::settings::SiteSettings;
-use pipithub_platform::sse::{MAX_DATA_BYTES, SseEvent, SseReader};
+use pipithub_platform::sse::{EventTooLong, MAX_DATA_BYTES, SseEvent, SseReader};
 use pipithub_platform::{config::NodeConfig, list, worker};
 use pipithub_policy::api::{Class, Idempotency, Settings};
 use proptest::prelude::*;
@@ -19,8 +19,9 @@
     site
 }
 
-fn lines(pieces: &[&[u8]], most: usize) -> (Vec<Vec<u8>>, bool) {
-    let (mut framer, mut lines) = (LineFramer::new(most), Vec::new());
+/// The lines of a stream that comes in pieces, and whether one exceeded the bound.
+fn lines(pieces: &[&[u8]], max_bytes: usize) -> (Vec<Vec<u8>>, bool) {
+    let (mut framer, mut lines) = (LineFramer::new(max_bytes), Vec::new());
     for piece in pieces {
         framer.push(piece);
         loop {
@@ -36,7 +37,7 @@
 
 proptest! {
     #[test]
-    fn lines_are_the_same_however_the_bytes_are_cut(
+    fn lines_do_not_depend_on_how_the_bytes_are_divided(
         text in prop::collection::vec(prop::sample::select(vec![b'a', b'b', b'\n']), 0..200),
         cuts in prop::collection::vec(0usize..200, 0..8),
     ) {
@@ -54,7 +55,7 @@
     fn no_bytes_make_a_reader_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let _ = client::read_line(&bytes, &site());
         let _ = worker::read_answer(&bytes);
-        let _ = SseReader::default().push(&bytes, &mut Vec::new());
+        let _ = SseReader::default().push(&bytes);
         let text = String::from_utf8_lossy(&bytes);
         let _ = list::parse(&text, &site().names);
         let _ = NodeConfig::parse(&text);
@@ -62,7 +63,7 @@
     }
 
     #[test]
-    fn any_body_passes_unchanged(body in prop::collection::vec(any::<u8>(), 0..600)) {
+    fn body_is_forwarded_and_returned_unchanged(body in prop::collection::vec(any::<u8>(), 0..600)) {
         let line = worker::run_line("9b1f03aa5c7e2d41", "view", "7f3a9c21e0b4d655", 1_500_000_000, None, &body);
         let sent: serde_json::Value = serde_json::from_slice(&line).unwrap();
         let text = sent["payload"].as_str().unwrap();
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn a_line_beyond_its_bound_is_an_error_whole_or_not() {
+fn line_longer_than_the_bound_is_an_error_complete_or_not() {
     assert_eq!(
         lines(&[b"abc\r\n", b"abcd\n"], 4),
         (vec![b"abc".to_vec(), b"abcd".to_vec()], false)
@@ -83,15 +84,13 @@
 }
 
 #[test]
-fn events_count_once_they_are_whole() {
-    let (mut reader, mut events) = (SseReader::default(), Vec::new());
-    reader
-        .push(b": hello\n\nid: 4\nevent: x\ndata: {\"a\":\n", &mut events)
+fn event_is_returned_once_the_empty_line_after_it_has_come() {
+    let mut reader = SseReader::default();
+    let events = reader
+        .push(b": hello\n\nid: 4\nevent: x\ndata: {\"a\":\n")
         .unwrap();
     assert!(events.is_empty());
-    reader
-        .push(b"data:1}\n\nid: 5\ndata: cut of", &mut events)
-        .unwrap();
+    let events = reader.push(b"data:1}\n\nid: 5\ndata: cut of").unwrap();
     assert_eq!(
         events,
         [SseEvent {
@@ -102,7 +101,7 @@
 }
 
 #[test]
-fn answers_come_with_figures_as_numbers_or_text() {
+fn answer_options_may_be_numbers_or_text() {
     let line = br#"{"cmd":"ACK","ref":"t1","opts":{"n":"2","same":3,"l":"inflight:7;util:0.61;x0:nan;new:1"},"payload":""}"#;
     let answer = worker::read_answer(line).unwrap();
     assert_eq!(
@@ -121,19 +120,22 @@
         ),
         (Some(7.0), Some(0.61), None)
     );
-    for spoilt in [
+    for malformed in [
         "{}",
         "[]",
         r#"{"cmd":"DO","ref":"a"}"#,
         r#"{"cmd":"ACK"}"#,
         r#"{"cmd":"ACK","ref":"a","payload":"%"}"#,
     ] {
-        assert!(worker::read_answer(spoilt.as_bytes()).is_err(), "{spoilt}");
+        assert!(
+            worker::read_answer(malformed.as_bytes()).is_err(),
+            "{malformed}"
+        );
     }
 }
 
 #[test]
-fn a_list_names_what_is_wrong_in_it() {
+fn error_of_an_endpoint_event_names_the_faulty_field() {
     let event =
         |host: &str| format!(r#"{{"index":3,"endpoints":{{"whole":true,"hosts":[{host}]}}}}"#);
     let fault = |host: &str| {
@@ -157,9 +159,9 @@
     assert_eq!(good.endpoints[0].endpoint.started_at, Some(5_000_000));
 }
 
-/// A worker drops repeats under the key: without it, or with another, a repeat is a second effect.
+/// Workers recognize retries by the key: without it, or with another one, a retry would take effect again.
 #[test]
-fn the_idempotency_key_passes_unchanged_and_a_keyed_call_without_one_is_an_error() {
+fn idempotency_key_is_forwarded_unchanged_and_required_by_classes_with_keys() {
     let mut site = site();
     site.policy.classes[0] = Class {
         idempotency: Idempotency::WithKey,
@@ -193,7 +195,7 @@
             "{key}: {fault}"
         );
     }
-    // Other classes need none, and their lines bear none.
+    // Other classes need no key, and their lines have none.
     site.policy.classes[0].idempotency = Idempotency::NonIdempotent;
     assert!(client::read_line(line("").as_bytes(), &site).is_ok());
     let plain = worker::run_line(
@@ -208,7 +210,7 @@
 }
 
 #[test]
-fn settings_by_which_nothing_could_be_served_end_the_start_with_place_and_reason() {
+fn settings_without_usable_classes_are_an_error_with_place_and_reason() {
     let grade = |name: &str, give_up: u64| serde_json::json!({"Name": name, "Effect": "read_like", "GiveUp": give_up});
     let fault = |grades: serde_json::Value| {
         let all = serde_json::json!({"name": "n", "listen": "127.0.0.1:0", "seed": "1", "coordinator": "127.0.0.1:1",
@@ -217,21 +219,22 @@
             .err()
             .map(|error| error.to_string())
     };
-    let says = |grades, what: &str| assert_eq!(fault(grades).as_deref(), Some(what));
-    says(serde_json::json!([]), "settings.Grades: no class");
-    says(
+    let assert_fault =
+        |grades, expected: &str| assert_eq!(fault(grades).as_deref(), Some(expected));
+    assert_fault(serde_json::json!([]), "settings.Grades: no class");
+    assert_fault(
         serde_json::json!([grade("", 1)]),
         "settings.Grades[0].Name: \"\" cannot name a class",
     );
-    says(
+    assert_fault(
         serde_json::json!([grade("isWell", 1)]),
         "settings.Grades[0].Name: \"isWell\" cannot name a class",
     );
-    says(
+    assert_fault(
         serde_json::json!([grade("a", 1), grade("a", 1)]),
         "settings.Grades[1].Name: \"a\" names an earlier class too",
     );
-    says(
+    assert_fault(
         serde_json::json!([grade("a", 0)]),
         "settings.Grades[0].GiveUp: not above 0",
     );
@@ -241,8 +244,8 @@
     );
 }
 
-/// An event with so many workers.
-fn tier(workers: usize) -> String {
+/// A complete endpoint list with this number of workers.
+fn complete_list(workers: usize) -> String {
     let host =
         |n| format!(r#"{{"host":"worker-{n:06}","dial":"10.0.0.1:30012","health":"SERVING"}}"#);
     let hosts: Vec<String> = (0..workers).map(host).collect();
@@ -253,14 +256,14 @@
 }
 
 #[test]
-fn a_list_at_the_bound_is_read_and_one_worker_more_is_an_error_with_place_and_reason() {
+fn event_with_the_most_workers_is_read_and_one_worker_more_is_an_error() {
     let names = site().names;
-    let read = list::parse(&tier(MAX_ENDPOINTS), &names).expect("at the bound");
+    let read = list::parse(&complete_list(MAX_ENDPOINTS), &names).expect("at the bound");
     assert_eq!(
         (read.endpoints.len(), MAX_ENDPOINTS >= 2 * 16_000),
         (MAX_ENDPOINTS, true)
     );
-    let fault = list::parse(&tier(MAX_ENDPOINTS + 1), &names).expect_err("beyond it");
+    let fault = list::parse(&complete_list(MAX_ENDPOINTS + 1), &names).expect_err("beyond it");
     assert_eq!(
         fault.to_string(),
         format!("endpoints.hosts: more than {MAX_ENDPOINTS}")
@@ -268,15 +271,18 @@
 }
 
 #[test]
-fn an_event_at_the_bound_is_read_whole_and_a_byte_more_is_an_error_with_place_and_reason() {
+fn event_with_the_longest_data_is_read_and_one_byte_more_is_an_error() {
     assert_eq!(MAX_DATA_BYTES, MAX_ENDPOINTS * MAX_ENDPOINT_BYTES);
     let read = |text: &str| {
         let mut events = Vec::new();
-        // In pieces, as they come.
+        // In pieces, as a stream is read.
         let (mut reader, text) = (SseReader::default(), format!("id: 7\ndata: {text}\n\n"));
         text.as_bytes()
             .chunks(65_536)
-            .try_for_each(|piece| reader.push(piece, &mut events))
+            .try_for_each(|piece| {
+                events.extend(reader.push(piece)?);
+                Ok::<_, EventTooLong>(())
+            })
             .map(|()| events)
     };
     let events = read(&"x".repeat(MAX_DATA_BYTES)).expect("at the bound");
@@ -284,16 +290,16 @@
         events.iter().map(|e| e.data.len()).collect::<Vec<_>>(),
         [MAX_DATA_BYTES]
     );
-    let says = |text: &str| read(text).expect_err("beyond the bound").to_string();
+    let fault = |text: &str| read(text).expect_err("beyond the bound").to_string();
     let expected = "event 7: data: more than 8192000 bytes, which are 32000 workers of 256 bytes";
-    assert_eq!(says(&"x".repeat(MAX_DATA_BYTES + 1)), expected);
+    assert_eq!(fault(&"x".repeat(MAX_DATA_BYTES + 1)), expected);
     assert_eq!(
-        says(&format!("{}\ndata: x", "x".repeat(MAX_DATA_BYTES))),
+        fault(&format!("{}\ndata: x", "x".repeat(MAX_DATA_BYTES))),
         expected,
         "several lines count together"
     );
-    // A hundred thousand workers of few bytes pass here, and the list's own bound holds.
-    assert!(tier(100_000).len() < MAX_DATA_BYTES);
-    let fault = list::parse(&tier(100_000), &site().names).expect_err("beyond the bound");
+    // A hundred thousand workers of few bytes each fit into an event, and exceed the bound on workers.
+    assert!(complete_list(100_000).len() < MAX_DATA_BYTES);
+    let fault = list::parse(&complete_list(100_000), &site().names).expect_err("beyond the bound");
     assert_eq!(fault.to_string(), "endpoints.hosts: more than 32000");
 }
