--- a/crates/pipithub-characterization/tests/node_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/node_driver/mod.rs
@@ -2,7 +2,7 @@
 
 use pipithub_characterization::node_scenario;
 use pipithub_node::core::Core;
-use pipithub_node::effect::Effect;
+use pipithub_node::effect::{ConnectionId, Effect};
 use pipithub_platform::config::NodeConfig;
 use pipithub_platform::list;
 
@@ -35,39 +35,43 @@
     fn client_connected(&mut self, now: u64) -> u64 {
         let connection = self.core.next_connection_id();
         self.core.client_connected(now, connection);
-        connection
+        connection.0
     }
 
     fn client_bytes(&mut self, now: u64, connection: u64, bytes: &[u8]) {
-        self.core.client_bytes(now, connection, bytes);
+        self.core.client_bytes(now, ConnectionId(connection), bytes);
     }
 
     fn client_closed(&mut self, now: u64, connection: u64) {
-        self.core.client_closed(now, connection);
+        self.core.client_closed(now, ConnectionId(connection));
     }
 
     fn client_retired(&mut self, now: u64, connection: u64) {
-        self.core.close_client_if_idle(now, connection);
+        self.core
+            .close_client_if_idle(now, ConnectionId(connection));
     }
 
     fn worker_connected(&mut self, now: u64, connection: u64) {
-        self.core.worker_connected(now, connection);
+        self.core.worker_connected(now, ConnectionId(connection));
     }
 
     fn worker_failed(&mut self, now: u64, connection: u64, local_cause: bool) {
-        self.core.worker_failed(now, connection, local_cause);
+        self.core
+            .worker_failed(now, ConnectionId(connection), local_cause);
     }
 
     fn worker_blocked(&mut self, now: u64, connection: u64, written: Option<u64>) {
-        self.core.worker_blocked(now, connection, written);
+        self.core
+            .worker_blocked(now, ConnectionId(connection), written);
     }
 
     fn worker_closed(&mut self, now: u64, connection: u64, written: u64) {
-        self.core.worker_closed(now, connection, written);
+        self.core
+            .worker_closed(now, ConnectionId(connection), written);
     }
 
     fn worker_bytes(&mut self, now: u64, connection: u64, bytes: &[u8]) {
-        self.core.worker_bytes(now, connection, bytes);
+        self.core.worker_bytes(now, ConnectionId(connection), bytes);
     }
 
     fn update_endpoints(&mut self, now: u64, event: &str) {
@@ -105,17 +109,21 @@
 fn effect(effect: Effect) -> node_scenario::Effect {
     match effect {
         Effect::Write { connection, bytes } => node_scenario::Effect::Write {
-            connection,
+            connection: connection.0,
             bytes: bytes.to_vec(),
         },
-        Effect::Close { connection } => node_scenario::Effect::Close { connection },
-        Effect::Retire { connection } => node_scenario::Effect::Retire { connection },
+        Effect::Close { connection } => node_scenario::Effect::Close {
+            connection: connection.0,
+        },
+        Effect::Retire { connection } => node_scenario::Effect::Retire {
+            connection: connection.0,
+        },
         Effect::CancelWrite {
             connection,
             offset,
             length,
         } => node_scenario::Effect::CancelWrite {
-            connection,
+            connection: connection.0,
             at: offset,
             length,
         },
@@ -124,7 +132,7 @@
             address,
             within,
         } => node_scenario::Effect::Connect {
-            connection,
+            connection: connection.0,
             address,
             within,
         },
--- a/crates/pipithub-node/src/connection_pool.rs
+++ b/crates/pipithub-node/src/connection_pool.rs
@@ -36,6 +36,19 @@
     waiting: VecDeque<WorkerRequest>,
 }
 
+/// Allocates connection ids, of which none is used twice.
+#[derive(Debug, Default)]
+struct ConnectionIds {
+    last: u64,
+}
+
+impl ConnectionIds {
+    fn allocate(&mut self) -> ConnectionId {
+        self.last += 1;
+        ConnectionId(self.last)
+    }
+}
+
 /// The bounds of a [`ConnectionPool`] and the times of its connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionPoolSettings {
@@ -67,7 +80,7 @@
     /// The workers that a sweep looks at: those with waiting requests, and removed ones.
     watched: BTreeSet<WorkerId>,
     connections: BTreeMap<ConnectionId, Connection>,
-    next: ConnectionId,
+    connection_ids: ConnectionIds,
     effects: Vec<Effect>,
     failures: Vec<FailedRequest>,
     idle_timeout: IdleTimeout,
@@ -86,7 +99,7 @@
             listed: 0,
             watched: BTreeSet::new(),
             connections: BTreeMap::new(),
-            next: 1,
+            connection_ids: ConnectionIds::default(),
             effects: Vec::new(),
             failures: Vec::new(),
             idle_timeout: IdleTimeout::default(),
@@ -95,8 +108,7 @@
 
     /// Returns an id for a connection of either side; no id is returned twice.
     pub fn next_connection_id(&mut self) -> ConnectionId {
-        self.next += 1;
-        self.next - 1
+        self.connection_ids.allocate()
     }
 
     /// Returns the effects requested since the last call, in order.
--- a/crates/pipithub-node/src/connection_pool/connection.rs
+++ b/crates/pipithub-node/src/connection_pool/connection.rs
@@ -217,7 +217,7 @@
     pub(super) fn send(&mut self, now: Time, request: WorkerRequest, line: Bytes) -> Effect {
         let idle = now.saturating_sub(self.last_used);
         debug!(
-            connection = self.id,
+            connection = self.id.0,
             reference = request.reference,
             worker = &*self.worker.0,
             uses = self.uses,
--- a/crates/pipithub-node/src/connection_pool/selection.rs
+++ b/crates/pipithub-node/src/connection_pool/selection.rs
@@ -73,8 +73,7 @@
             && entry.connections.len() < max_here
             && self.connections.len() < self.max_connections
         {
-            let id = self.next;
-            self.next += 1;
+            let id = self.connection_ids.allocate();
             let address = entry.address.clone();
             let connection = Connection::new(id, worker, &address, now);
             self.connections.insert(id, connection);
--- a/crates/pipithub-node/src/core.rs
+++ b/crates/pipithub-node/src/core.rs
@@ -159,7 +159,11 @@
 
     fn close_silent_clients(&mut self, now: Time) {
         for connection in self.client_sessions.silent_connections(now) {
-            debug!(front_end = self.name, connection, "closing silent client");
+            debug!(
+                front_end = self.name,
+                connection = connection.0,
+                "closing silent client"
+            );
             self.effects.push(Effect::Retire { connection });
         }
     }
--- a/crates/pipithub-node/src/core/calls.rs
+++ b/crates/pipithub-node/src/core/calls.rs
@@ -99,7 +99,7 @@
         let message = rejection.to_string();
         debug!(
             front_end = self.name,
-            connection,
+            connection = connection.0,
             call = call.name,
             message,
             "request rejected"
--- a/crates/pipithub-node/src/core/clients.rs
+++ b/crates/pipithub-node/src/core/clients.rs
@@ -21,7 +21,7 @@
         if let Some(other) = self.client_sessions.connected(now, connection) {
             debug!(
                 front_end = self.name,
-                connection = other,
+                connection = other.0,
                 "too many client connections, closing one"
             );
             self.effects.push(Effect::Retire { connection: other });
@@ -36,7 +36,11 @@
             .client(connection)
             .is_some_and(|c| c.pending_calls.is_empty())
         {
-            debug!(front_end = self.name, connection, "client closed");
+            debug!(
+                front_end = self.name,
+                connection = connection.0,
+                "client closed"
+            );
             self.close_client(now, connection);
         }
     }
@@ -49,7 +53,7 @@
         if !tickets.is_empty() {
             debug!(
                 front_end = self.name,
-                connection,
+                connection = connection.0,
                 pending = tickets.len(),
                 "client disconnected with pending calls"
             );
@@ -80,7 +84,7 @@
                 Ok(ClientLine::Call(call)) if cancelled.contains(&call) => {
                     debug!(
                         front_end = self.name,
-                        connection,
+                        connection = connection.0,
                         call = call.name,
                         "call cancelled before it was forwarded"
                     );
@@ -157,7 +161,7 @@
     /// Answers a line that is no valid request. If it has no id, nothing behind it is read, as it is unknown what the
     /// client sends.
     pub(super) fn answer_fault(&mut self, connection: ConnectionId, fault: &RequestError) {
-        debug!(front_end = self.name, connection, %fault, "request rejected");
+        debug!(front_end = self.name, connection = connection.0, %fault, "request rejected");
         // An answer under the id of a pending call would be taken for the answer to that call.
         let is_pending = self
             .client_sessions
@@ -193,7 +197,7 @@
         client.reading_stopped = true;
         debug!(
             front_end = self.name,
-            connection,
+            connection = connection.0,
             pending = client.pending_calls.len(),
             "client is no longer read"
         );
--- a/crates/pipithub-node/src/core/workers.rs
+++ b/crates/pipithub-node/src/core/workers.rs
@@ -60,7 +60,7 @@
     fn close_malformed(&mut self, now: Time, connection: ConnectionId, error: &AnswerError) {
         info!(
             front_end = self.name,
-            connection,
+            connection = connection.0,
             %error,
             "malformed answer, closing connection"
         );
@@ -76,7 +76,7 @@
         let Some(AnsweredRequest { worker, request }) = answered else {
             return debug!(
                 front_end = self.name,
-                connection,
+                connection = connection.0,
                 reference = answer.reference,
                 "ignoring answer to no request in flight"
             );
--- a/crates/pipithub-node/src/effect.rs
+++ b/crates/pipithub-node/src/effect.rs
@@ -4,7 +4,8 @@
 use pipithub_engine::Time;
 
 /// Identifies a connection, to a client or to a worker, for the lifetime of the process; no id is used twice.
-pub type ConnectionId = u64;
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ConnectionId(pub u64);
 
 /// A request to the shell. Effects must be carried out in the order in which the core returns them.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/pipithub-node/src/shell.rs
+++ b/crates/pipithub-node/src/shell.rs
@@ -169,7 +169,7 @@
                 self.serve_connection(connection, socket).await;
             }
             Err(error) => {
-                debug!(connection, %error, "failed to connect to worker");
+                debug!(connection = connection.0, %error, "failed to connect to worker");
                 let local_fault = matches!(error, ConnectError::Local);
                 self.update_core(|core, now| core.worker_failed(now, connection, local_fault));
             }
