--- a/crates/pipithub-node/src/client_sessions.rs
+++ b/crates/pipithub-node/src/client_sessions.rs
@@ -65,7 +65,7 @@
     /// Another call with its id is pending on the connection.
     #[error("id: in use")]
     IdInUse,
-    /// Another call with its name is pending and may be running, so the client must not be told that it did not run.
+    /// Another call with its name is pending and may be running, so the answer must not say that it did not run.
     #[error("call: open already")]
     AlreadyPending,
     /// It is not idempotent, and an earlier call of its name may have run.
--- a/crates/pipithub-node/src/connection_pool/connection.rs
+++ b/crates/pipithub-node/src/connection_pool/connection.rs
@@ -46,7 +46,7 @@
 /// How much of a request's line the system has accepted.
 enum WriteProgress {
     Nothing,
-    /// A part of the line; `written` counts the accepted bytes of the whole connection.
+    /// A part of the line; `written` counts all accepted bytes of the connection.
     Partial {
         written: u64,
     },
@@ -264,7 +264,7 @@
     }
 
     /// Records how many bytes the system has accepted while the worker does not read, or with `None` that it has
-    /// accepted all; returns whether the worker has begun to read again.
+    /// accepted all; returns whether the worker reads again.
     pub(super) fn set_blocked(&mut self, accepted: Option<u64>) -> bool {
         let was_blocked = self.position.accepted.is_some();
         self.position.accepted = accepted;
--- a/crates/pipithub-node/src/core.rs
+++ b/crates/pipithub-node/src/core.rs
@@ -29,11 +29,10 @@
 const SILENCE_SWEEP_INTERVAL: Time = 100_000_000;
 /// Descriptors kept for the listener, logs, signals, the poller, the coordinator and connections that are closing.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Bodies of pending calls may take a quarter of the process's memory: so many bytes for each MB.
+/// The bytes of each MB of the process's memory that the bodies of pending calls may take: a quarter.
 const BODY_BYTES_PER_MEMORY_MB: usize = (1 << 20) / 4;
 /// An answer is sent this long before the client's timeout, so that it arrives in time.
 const ANSWER_MARGIN: Time = 5_000_000;
-
 /// Descriptors that are always left for connections, however low the configured limit is.
 const MIN_CONNECTION_DESCRIPTORS: usize = 8;
 
--- a/crates/pipithub-node/src/shell.rs
+++ b/crates/pipithub-node/src/shell.rs
@@ -48,7 +48,7 @@
     shutting_down: Cell<bool>,
     /// When something was last read from a client or written to one, or a client came.
     last_client_activity: Cell<Time>,
-    /// Connections to workers that were written on, and whose state the core must be told.
+    /// Connections to workers that were written on, and whose state must be reported to the core.
     written_workers: RefCell<Vec<ConnectionId>>,
     /// Clients that are to be closed unless they have just sent a request.
     closing_clients: RefCell<Vec<ConnectionId>>,
--- a/crates/pipithub-node/src/shell/socket.rs
+++ b/crates/pipithub-node/src/shell/socket.rs
@@ -152,7 +152,7 @@
     }
 
     /// Writes as much as the system accepts now, and keeps the rest. If bytes were kept before, nothing is written here:
-    /// the core withdraws lines by what it was told of these, and a line written meanwhile would count as never sent.
+    /// the core withdraws lines by the last report of these, and a line written meanwhile would count as never sent.
     pub(super) fn write(&self, bytes: &[u8]) {
         let mut unwritten = self.unwritten.borrow_mut();
         let was_empty = unwritten.is_empty();
--- a/crates/pipithub-node/src/sockets.rs
+++ b/crates/pipithub-node/src/sockets.rs
@@ -64,7 +64,7 @@
     /// The peer did not answer in time.
     #[error("not up in time")]
     TimedOut,
-    /// This machine lacked a resource for the whole time.
+    /// This machine lacked a resource all the time.
     #[error("not tried in time for want of something here")]
     Local,
 }
--- a/crates/pipithub-platform/src/worker.rs
+++ b/crates/pipithub-platform/src/worker.rs
@@ -118,17 +118,31 @@
 }
 
 /// Why an answer cannot be read. Its connection should be closed, as further answers may be lost on it.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("answer: {0}")]
-pub struct MalformedAnswer(pub String);
+#[derive(Debug, thiserror::Error)]
+pub enum MalformedAnswer {
+    /// It is not JSON.
+    #[error("answer: {0}")]
+    Json(#[from] serde_json::Error),
+    /// Its status is missing or unknown.
+    #[error("answer: cmd: no word of an answer")]
+    UnknownStatus,
+    /// It does not name the request that it answers.
+    #[error("answer: ref: missing")]
+    MissingReference,
+    /// Its body is not text.
+    #[error("answer: payload: not a string")]
+    BodyNotText,
+    /// Its body is not base64.
+    #[error("answer: payload: {0}")]
+    BodyNotBase64(#[from] base64::DecodeError),
+}
 
 /// Reads one line.
 ///
 /// # Errors
 /// [`MalformedAnswer`] if it is not a complete answer of this protocol.
 pub fn read_answer(line: &[u8]) -> Result<Answer, MalformedAnswer> {
-    let malformed = |what: &str| MalformedAnswer(what.to_string());
-    let all: Value = serde_json::from_slice(line).map_err(|e| MalformedAnswer(e.to_string()))?;
+    let all: Value = serde_json::from_slice(line)?;
     let status = match all.get("cmd").and_then(Value::as_str) {
         Some("ACK") => AnswerStatus::Served,
         Some("NOENT") => AnswerStatus::NotLoaded,
@@ -137,22 +151,19 @@
         Some("STALE") => AnswerStatus::Expired,
         Some("READY") => AnswerStatus::Healthy,
         Some("AILING") => AnswerStatus::Unhealthy,
-        _ => return Err(malformed("cmd: no word of an answer")),
+        _ => return Err(MalformedAnswer::UnknownStatus),
     };
     let reference = match all.get("ref") {
         Some(Value::String(text)) => text.clone(),
         Some(Value::Number(number)) => number.to_string(),
-        _ => return Err(malformed("ref: missing")),
+        _ => return Err(MalformedAnswer::MissingReference),
     };
     let opts = all.get("opts");
     let option = |name: &str| opts.and_then(|o| o.get(name));
     let body = match all.get("payload") {
         None | Some(Value::Null) => Bytes::new(),
-        Some(Value::String(text)) => STANDARD
-            .decode(text)
-            .map_err(|e| MalformedAnswer(format!("payload: {e}")))?
-            .into(),
-        Some(_) => return Err(malformed("payload: not a string")),
+        Some(Value::String(text)) => STANDARD.decode(text)?.into(),
+        Some(_) => return Err(MalformedAnswer::BodyNotText),
     };
     Ok(Answer {
         reference,
