--- a/crates/pipithub-engine/tests/engine/harness.rs
+++ b/crates/pipithub-engine/tests/engine/harness.rs
@@ -1,27 +1,29 @@
-//! An engine with three workers and a clock that tests move.
+//! An engine with three workers and one source, on a clock that tests advance.
 
 use std::sync::Arc;
 
 use bytes::Bytes;
 use pipithub_engine::policy::{
-    Class, Endpoint, EndpointUpdate, Idempotency, Limits, LoadReport, Outcome, Settings, WorkerId,
+    Class, Endpoint, EndpointState, EndpointUpdate, Idempotency, Limits, LoadReport, Outcome,
+    Settings, WorkerId,
 };
 use pipithub_engine::{
-    AttemptId, AttemptResult, Call, Engine, EngineSettings, Input, Output, Reply, Served, SourceId,
-    Ticket, Time, Trigger,
+    AttemptId, AttemptResult, Call, Cause, Engine, EngineSettings, Input, Output, Reply, Served,
+    SourceId, Ticket, Time, Trigger, Verdict,
 };
 
 pub(crate) const MS: Time = 1_000_000;
+/// The source of all triggers.
+pub(crate) const SOURCE: SourceId = SourceId(1);
 
+/// The numbers of the classes.
 pub(crate) const IDEMPOTENT: usize = 0;
-
 pub(crate) const WITH_KEY: usize = 1;
-
 pub(crate) const NON_IDEMPOTENT: usize = 2;
 
-pub(crate) fn class(effect: Idempotency) -> Class {
+pub(crate) fn class(idempotency: Idempotency) -> Class {
     Class {
-        idempotency: effect,
+        idempotency,
         client_timeout: 4_000 * MS,
         deduplication_window: 3_000 * MS,
         late_answer_weight: 0.3,
@@ -63,30 +65,50 @@
             out: Vec::new(),
             tickets: 0,
         };
-        let entry = |n: u32| Endpoint {
-            worker: WorkerId::new(&format!("w{n}")),
-            ..Endpoint::default()
-        };
-        harness.input(Input::Endpoints {
-            update: EndpointUpdate::Snapshot,
-            endpoints: (0..3).map(entry).collect(),
-        });
+        let workers = ["w0", "w1", "w2"].map(ready).to_vec();
+        harness.update_endpoints(EndpointUpdate::Snapshot, workers);
         harness
     }
 
+    pub(crate) fn update_endpoints(&mut self, update: EndpointUpdate, endpoints: Vec<Endpoint>) {
+        self.input(Input::Endpoints { update, endpoints });
+    }
+
     pub(crate) fn input(&mut self, input: Input) -> Vec<Output> {
         self.engine.handle(self.now, input, &mut self.out);
         std::mem::take(&mut self.out)
     }
 
+    /// A call of a class arrives; `change` makes its trigger another than the usual one.
     pub(crate) fn trigger(
         &mut self,
         class: usize,
         change: impl FnOnce(&mut Trigger),
     ) -> (Ticket, Vec<Output>) {
+        let trigger = self.new_trigger(class, change);
+        (trigger.ticket, self.input(Input::Trigger(trigger)))
+    }
+
+    /// A call of a class arrives that is not to run, because its tenant has used up its quota.
+    pub(crate) fn reject(
+        &mut self,
+        class: usize,
+        change: impl FnOnce(&mut Trigger),
+    ) -> (Ticket, Vec<Output>) {
+        let trigger = self.new_trigger(class, change);
+        let ticket = trigger.ticket;
+        let outputs = self.input(Input::Reject {
+            trigger,
+            cause: Cause::OverQuota,
+            retry_after: None,
+        });
+        (ticket, outputs)
+    }
+
+    fn new_trigger(&mut self, class: usize, change: impl FnOnce(&mut Trigger)) -> Trigger {
         self.tickets += 1;
         let ticket = Ticket {
-            source: SourceId(1),
+            source: SOURCE,
             number: self.tickets,
         };
         let call = Call {
@@ -105,30 +127,35 @@
             call,
         };
         change(&mut trigger);
-        (ticket, self.input(Input::Trigger(trigger)))
+        trigger
+    }
+
+    /// The source loses its connection, which makes its tickets void.
+    pub(crate) fn lose_source(&mut self) -> Vec<Output> {
+        self.input(Input::SourceLost(SOURCE))
     }
 
-    pub(crate) fn end(&mut self, id: AttemptId, outcome: Outcome) -> Vec<Output> {
+    /// An attempt has its result.
+    pub(crate) fn finish_attempt(&mut self, id: AttemptId, outcome: Outcome) -> Vec<Output> {
         let served = (outcome == Outcome::Served).then(|| Served {
             status: 200,
             content_type: None,
             body: Bytes::from_static(b"yes"),
         });
-        let load = LoadReport::default();
-        let end = AttemptResult {
+        let result = AttemptResult {
             id,
             outcome,
             elapsed: 10 * MS,
             replica_status: None,
             function_concurrency: None,
-            load_report: load,
+            load_report: LoadReport::default(),
             served,
         };
-        self.input(Input::AttemptFinished(end))
+        self.input(Input::AttemptFinished(result))
     }
 
-    /// Lets time pass, doing what falls due.
-    pub(crate) fn pass(&mut self, length: Time) -> Vec<Output> {
+    /// Advances the clock; timers expire when they are due.
+    pub(crate) fn advance(&mut self, length: Time) -> Vec<Output> {
         let until = self.now + length;
         let mut all = Vec::new();
         while let Some(due) = self.engine.next_due().filter(|due| *due <= until) {
@@ -138,30 +165,66 @@
         self.now = until;
         all
     }
+
+    /// The engine has forgotten every request and attempt.
+    pub(crate) fn assert_nothing_left(&self) {
+        assert_eq!(self.engine.pending_requests(), 0);
+        assert_eq!(self.engine.body_bytes(), 0);
+        assert_eq!(self.engine.attempts_in_flight(), 0);
+    }
 }
 
-pub(crate) fn forwarded(out: &[Output]) -> Vec<AttemptId> {
-    out.iter()
-        .filter_map(|o| {
-            if let Output::Forward { id, .. } = o {
-                Some(*id)
-            } else {
-                None
-            }
-        })
-        .collect()
+pub(crate) fn ready(worker: &str) -> Endpoint {
+    Endpoint {
+        worker: WorkerId::new(worker),
+        ..Endpoint::default()
+    }
 }
 
-pub(crate) fn answers(out: &[Output]) -> Vec<(Ticket, Arc<Reply>)> {
-    let of = |o: &Output| match o {
+pub(crate) fn removed(worker: &str) -> Endpoint {
+    Endpoint {
+        state: EndpointState::Removed,
+        ..ready(worker)
+    }
+}
+
+/// The attempts that outputs ask for.
+pub(crate) fn forwarded(outputs: &[Output]) -> Vec<AttemptId> {
+    let attempt = |output: &Output| match output {
+        Output::Forward { id, .. } => Some(*id),
+        _ => None,
+    };
+    outputs.iter().filter_map(attempt).collect()
+}
+
+/// The one attempt that outputs ask for.
+pub(crate) fn only_forwarded(outputs: &[Output]) -> AttemptId {
+    let [id] = forwarded(outputs)[..] else {
+        panic!("not exactly one attempt: {outputs:?}")
+    };
+    id
+}
+
+/// The final answers that outputs give.
+pub(crate) fn answers(outputs: &[Output]) -> Vec<(Ticket, Arc<Reply>)> {
+    let answer = |output: &Output| match output {
         Output::Answer { ticket, reply } => Some((*ticket, reply.clone())),
         _ => None,
     };
-    out.iter().filter_map(of).collect()
+    outputs.iter().filter_map(answer).collect()
 }
 
-pub(crate) fn only_answer(out: &[Output]) -> (Ticket, Arc<Reply>) {
-    let mut all = answers(out);
-    assert_eq!(all.len(), 1, "{out:?}");
+/// The one final answer that outputs give.
+pub(crate) fn only_answer(outputs: &[Output]) -> (Ticket, Arc<Reply>) {
+    let mut all = answers(outputs);
+    assert_eq!(all.len(), 1, "{outputs:?}");
     all.remove(0)
 }
+
+/// The verdicts and causes of the final answers that outputs give.
+pub(crate) fn verdicts(outputs: &[Output]) -> Vec<(Verdict, Cause)> {
+    answers(outputs)
+        .iter()
+        .map(|(_, reply)| (reply.verdict, reply.cause))
+        .collect()
+}
--- a/crates/pipithub-engine/tests/engine/tenants.rs
+++ b/crates/pipithub-engine/tests/engine/tenants.rs
@@ -4,11 +4,13 @@
 
 use pipithub_engine::policy::Outcome;
 use pipithub_engine::{
-    Call, Cause, EngineSettings, Input, Output, Owner, Owners, SourceId, Tenant, TenantUser,
-    Ticket, Trigger, Verdict,
+    Cause, EngineSettings, Input, Output, Owner, Owners, Tenant, TenantUser, Trigger, Verdict,
 };
 
-use crate::harness::{Harness, IDEMPOTENT, MS, NON_IDEMPOTENT, settings};
+use crate::harness::{
+    Harness, IDEMPOTENT, MS, NON_IDEMPOTENT, forwarded, only_answer, only_forwarded, settings,
+    verdicts,
+};
 
 fn settings_with_owners() -> EngineSettings {
     let mut owners = Owners::default();
@@ -21,53 +23,45 @@
 }
 
 fn call_of(function: &str, tenant: u16, user: &str) -> impl FnOnce(&mut Trigger) {
-    move |t| {
-        t.identity = Some(format!("{function}-{tenant}-{user}").into());
-        t.call.function = function.into();
-        t.call.tenant = Some(Tenant(tenant));
-        t.call.user = Some(user.into());
+    move |trigger| {
+        trigger.identity = Some(format!("{function}-{tenant}-{user}").into());
+        trigger.call.function = function.into();
+        trigger.call.tenant = Some(Tenant(tenant));
+        trigger.call.user = Some(user.into());
     }
 }
 
-fn verdicts(out: &[Output]) -> Vec<(Verdict, Cause)> {
-    let answer = |o: &Output| match o {
-        Output::Answer { reply, .. } => Some((reply.verdict, reply.cause)),
-        _ => None,
-    };
-    out.iter().filter_map(answer).collect()
-}
-
 #[test]
-fn a_call_runs_functions_of_its_own_tenant_alone() {
+fn call_may_only_run_functions_of_its_own_tenant() {
     let mut harness = Harness::new(settings_with_owners());
     let (_, out) = harness.trigger(IDEMPOTENT, call_of("south-map", 0, "mai"));
     assert_eq!(verdicts(&out), [(Verdict::Rejected, Cause::OtherTenant)]);
     let (_, out) = harness.trigger(IDEMPOTENT, call_of("unnamed", 0, "mai"));
     assert_eq!(verdicts(&out), [(Verdict::Rejected, Cause::OtherTenant)]);
-    let (_, out) = harness.trigger(IDEMPOTENT, |t| t.call.function = "north-map".into());
+    let (_, out) = harness.trigger(IDEMPOTENT, |trigger| {
+        trigger.call.function = "north-map".into();
+    });
     assert_eq!(
         verdicts(&out),
         [(Verdict::Rejected, Cause::OtherTenant)],
-        "nobody's call"
+        "a call without a tenant"
     );
     let (_, out) = harness.trigger(IDEMPOTENT, call_of("north-map", 0, "mai"));
-    assert!(out.iter().any(|o| matches!(o, Output::Forward { .. })));
+    only_forwarded(&out);
 }
 
-/// What the old tenant's worker answers must not reach a user who is another's by then, nor may anything more be sent.
+/// The answer of the former tenant's worker must not reach a user who belongs to another tenant by then, and the call must
+/// not be retried.
 #[test]
-fn calls_of_a_migrated_user_end_at_once() {
+fn pending_calls_of_a_migrated_user_fail_at_once_and_are_not_retried() {
     let mut harness = Harness::new(settings_with_owners());
     let (_, out) = harness.trigger(NON_IDEMPOTENT, call_of("north-map", 0, "mai"));
-    let Some(Output::Forward { id, .. }) = out.iter().find(|o| matches!(o, Output::Forward { .. }))
-    else {
-        panic!("an attempt")
-    };
+    let attempt = only_forwarded(&out);
     let (_, other) = harness.trigger(IDEMPOTENT, call_of("north-map", 0, "lan"));
-    assert!(other.iter().any(|o| matches!(o, Output::Forward { .. })));
-    // A call of the new side that came before the word of the move was handled goes on.
+    only_forwarded(&other);
+    // A call of the new tenant that arrived before the migration was handled is not ended.
     let (_, new) = harness.trigger(IDEMPOTENT, call_of("south-map", 1, "mai"));
-    assert!(new.iter().any(|o| matches!(o, Output::Forward { .. })));
+    only_forwarded(&new);
     let out = harness.input(Input::UserMigrated {
         user: "mai".into(),
         now: Some(TenantUser {
@@ -78,85 +72,47 @@
     assert_eq!(
         verdicts(&out),
         [(Verdict::Failed, Cause::UserMigrated)],
-        "it may have run"
+        "the call may have run"
     );
+    assert!(out.contains(&Output::Cancel(attempt)), "{out:?}");
+    let out = harness.finish_attempt(attempt, Outcome::Served);
+    assert_eq!(verdicts(&out), [], "there is only one answer");
+    let out = harness.advance(5_000 * MS);
     assert!(
-        out.iter()
-            .any(|o| matches!(o, Output::Cancel(c) if c == id)),
-        "{out:?}"
-    );
-    let out = harness.end(*id, Outcome::Served);
-    assert_eq!(verdicts(&out), [], "one answer");
-    assert!(
-        !harness
-            .pass(5_000 * MS)
+        forwarded(&out)
             .iter()
-            .any(|o| matches!(o, Output::Forward { id: again, .. } if again.request == id.request))
+            .all(|retry| retry.request != attempt.request)
     );
 }
 
-/// A message that is open here is delivered again while its tenant is over its share: it keeps its one run and answer.
+/// A pending message is redelivered while its tenant is over its quota. Its request goes on and is answered once.
 #[test]
-fn a_rejection_of_a_pending_message_only_takes_over_its_ticket() {
+fn rejected_redelivery_of_a_pending_message_only_replaces_its_ticket() {
     let mut harness = Harness::new(settings_with_owners());
     let (_, out) = harness.trigger(IDEMPOTENT, call_of("north-map", 0, "mai"));
-    let Some(Output::Forward { id, .. }) = out.iter().find(|o| matches!(o, Output::Forward { .. }))
-    else {
-        panic!("an attempt")
-    };
-    harness.input(Input::SourceLost(SourceId(1)));
-    let call = Call {
-        function: "north-map".into(),
-        tenant: Some(Tenant(0)),
-        ..Call::default()
-    };
-    let ticket = Ticket {
-        source: SourceId(1),
-        number: 99,
-    };
-    let identity: Option<Arc<str>> = Some("north-map-0-mai".into());
-    assert!(
-        harness
-            .engine
-            .knows(identity.as_ref().expect("a name"), harness.now)
-    );
-    let trigger = Trigger {
-        ticket,
-        identity,
-        redelivered: true,
-        deliveries: 1,
-        call,
-    };
-    let out = harness.input(Input::Reject {
-        trigger,
-        cause: Cause::OverQuota,
-        retry_after: None,
+    let attempt = only_forwarded(&out);
+    harness.lose_source();
+    let identity: Arc<str> = "north-map-0-mai".into();
+    assert!(harness.engine.knows(&identity, harness.now));
+    let (ticket, out) = harness.reject(IDEMPOTENT, |trigger| {
+        call_of("north-map", 0, "mai")(trigger);
+        trigger.redelivered = true;
+        trigger.deliveries = 1;
     });
     assert_eq!(verdicts(&out), []);
-    assert_eq!(
-        verdicts(&harness.end(*id, Outcome::Served)),
-        [(Verdict::Served, Cause::Answered)]
-    );
-    // A redelivered unsafe one that is unknown here may have run: a refusal would call it harmless.
-    let trigger = Trigger {
-        ticket: Ticket {
-            source: SourceId(1),
-            number: 100,
-        },
-        identity: Some("other".into()),
-        redelivered: true,
-        deliveries: 1,
-        call: Call {
-            function: "north-map".into(),
-            class: NON_IDEMPOTENT,
-            tenant: Some(Tenant(0)),
-            ..Call::default()
-        },
-    };
-    let out = harness.input(Input::Reject {
-        trigger,
-        cause: Cause::OverQuota,
-        retry_after: None,
+    let out = harness.finish_attempt(attempt, Outcome::Served);
+    assert_eq!(only_answer(&out).0, ticket);
+    assert_eq!(verdicts(&out), [(Verdict::Served, Cause::Answered)]);
+}
+
+/// A rejection would tell the client that a retry is harmless, but the call may have run at another front end.
+#[test]
+fn rejected_redelivery_of_an_unknown_non_idempotent_message_fails() {
+    let mut harness = Harness::new(settings_with_owners());
+    let (_, out) = harness.reject(NON_IDEMPOTENT, |trigger| {
+        call_of("north-map", 0, "mai")(trigger);
+        trigger.redelivered = true;
+        trigger.deliveries = 1;
     });
     assert_eq!(verdicts(&out), [(Verdict::Failed, Cause::MayHaveRunBefore)]);
 }
