--- a/crates/pipithub-consumer/src/consumer/commit.rs
+++ b/crates/pipithub-consumer/src/consumer/commit.rs
@@ -6,7 +6,7 @@
 use pipithub_engine::Reply;
 
 use super::{Consumer, DeadLetterTarget};
-use crate::message::{self, ReplyAddress, Unreadable};
+use crate::message::{self, MessageError, ReplyAddress};
 
 /// Bytes that wait to be written before no further transaction is begun.
 const MAX_OUTPUT: usize = 4 << 20;
@@ -17,7 +17,10 @@
 #[derive(Debug)]
 pub(super) enum Answer {
     Reply(Arc<Reply>),
-    Unreadable(Unreadable, Box<Content>),
+    Unreadable {
+        error: MessageError,
+        content: Box<Content>,
+    },
     Nothing,
 }
 
@@ -88,10 +91,10 @@
                 self.publish_answer(channel, address, properties, &body);
                 acknowledge
             }
-            Answer::Unreadable(why, content) => {
-                let properties = message::answer_unreadable(address, &why);
+            Answer::Unreadable { error, content } => {
+                let properties = message::answer_unreadable(address, &error);
                 self.publish_answer(channel, address, properties, &[]);
-                if self.publish_dead_letter(channel, &why, &content) {
+                if self.publish_dead_letter(channel, &error, &content) {
                     return acknowledge;
                 }
                 Method::BasicReject {
@@ -103,7 +106,12 @@
     }
 
     /// Publishes a copy of an unreadable message, where there is a target for it.
-    fn publish_dead_letter(&mut self, channel: u16, why: &Unreadable, content: &Content) -> bool {
+    fn publish_dead_letter(
+        &mut self,
+        channel: u16,
+        error: &MessageError,
+        content: &Content,
+    ) -> bool {
         if self.no_dead_letters {
             return false;
         }
@@ -115,7 +123,7 @@
             routing_key,
         } = target;
         let queue = &self.settings.queue;
-        let properties = message::dead_letter(&content.properties, queue, why);
+        let properties = message::dead_letter(&content.properties, queue, error);
         self.publish(channel, &exchange, &routing_key, properties, &content.body);
         true
     }
--- a/crates/pipithub-consumer/src/consumer/events.rs
+++ b/crates/pipithub-consumer/src/consumer/events.rs
@@ -141,13 +141,14 @@
         self.in_flight.insert(number, InFlight { tag, address });
         match self.read_trigger(number, redelivered, &content) {
             Ok(trigger) => self.notices.push_back(Notice::Trigger(Box::new(trigger))),
-            Err(why) => {
+            Err(error) => {
                 let message_id = content.properties.message_id.as_deref().map(str::to_string);
                 self.notices.push_back(Notice::Unreadable {
                     message_id,
-                    why: why.clone(),
+                    why: error.clone(),
                 });
-                self.enqueue_answer(number, Answer::Unreadable(why, Box::new(content)));
+                let content = Box::new(content);
+                self.enqueue_answer(number, Answer::Unreadable { error, content });
             }
         }
     }
@@ -158,7 +159,7 @@
         number: u64,
         redelivered: bool,
         content: &Content,
-    ) -> Result<Trigger, message::Unreadable> {
+    ) -> Result<Trigger, message::MessageError> {
         let ConsumerSettings {
             source,
             queue,
--- a/crates/pipithub-consumer/src/consumer/notice.rs
+++ b/crates/pipithub-consumer/src/consumer/notice.rs
@@ -2,7 +2,7 @@
 
 use pipithub_engine::{Ticket, Time, Trigger};
 
-use crate::message::Unreadable;
+use crate::message::MessageError;
 
 /// What happened, for the engine and the logs.
 #[derive(Clone, Debug, PartialEq)]
@@ -31,7 +31,7 @@
         /// Its id.
         message_id: Option<String>,
         /// Why.
-        why: Unreadable,
+        why: MessageError,
     },
 }
 
--- a/crates/pipithub-consumer/src/identity.rs
+++ b/crates/pipithub-consumer/src/identity.rs
@@ -21,7 +21,7 @@
 use pipithub_engine::Time;
 use sha2::{Digest, Sha256};
 
-use crate::message::{Unreadable, message_id};
+use crate::message::{MessageError, message_id};
 use crate::replay::{ReplayMemory, Tolerance};
 
 const MS: Time = 1_000_000;
@@ -144,7 +144,7 @@
         redelivered: bool,
         now: Time,
         wall_ms: u64,
-    ) -> Result<Option<Arc<str>>, Unreadable> {
+    ) -> Result<Option<Arc<str>>, MessageError> {
         let delivery = Delivery {
             content,
             queue,
@@ -154,18 +154,14 @@
         };
         let user = match &self.rule {
             Rule::None if delivery.named_user().is_some() => {
-                return Err(unproved(
-                    "this queue takes no word on users: header pipithub-user",
-                ));
+                return Err(MessageError::UserNotAccepted);
             }
             Rule::None => return Ok(None),
             Rule::Broker => broker_user(&delivery)?,
             Rule::Signed(keys) => signed_user(&delivery, keys, &mut self.replays)?,
         };
         if user.len() > MAX_USER_LEN || user.chars().any(char::is_control) {
-            return Err(unproved(
-                "a user's name has up to 256 bytes and no control characters",
-            ));
+            return Err(MessageError::InvalidUser);
         }
         Ok(Some(fold(user).into()))
     }
@@ -187,21 +183,14 @@
     }
 }
 
-/// A message that does not prove whose it is.
-fn unproved(why: &str) -> Unreadable {
-    Unreadable(why.to_string())
-}
-
 /// The user that the broker has checked.
-fn broker_user<'a>(delivery: &Delivery<'a>) -> Result<&'a str, Unreadable> {
+fn broker_user<'a>(delivery: &Delivery<'a>) -> Result<&'a str, MessageError> {
     let checked = delivery.content.properties.user_id.as_deref();
     let Some(user) = checked.filter(|user| !user.is_empty()) else {
-        return Err(unproved("no user: property user_id is missing"));
+        return Err(MessageError::MissingUserId);
     };
     if delivery.named_user().is_some_and(|named| named != user) {
-        return Err(unproved(
-            "header pipithub-user is not the user_id that the broker checked",
-        ));
+        return Err(MessageError::UserMismatch);
     }
     Ok(user)
 }
@@ -211,47 +200,43 @@
     delivery: &Delivery<'a>,
     keys: &Keys,
     replays: &mut ReplayMemory,
-) -> Result<&'a str, Unreadable> {
+) -> Result<&'a str, MessageError> {
     let Some(user) = delivery.named_user() else {
-        return Err(unproved("no user: header pipithub-user is missing"));
+        return Err(MessageError::MissingUser);
     };
     check_signature(delivery, keys)?;
     let Some(sent_ms) = sent_ms(delivery.content).and_then(|ms| u64::try_from(ms).ok()) else {
-        return Err(unproved("a signed call needs header pipithub-sent-ms"));
+        return Err(MessageError::MissingSendTime);
     };
     let tolerance = Tolerance {
         behind_ms: keys.max_age / MS,
         ahead_ms: MAX_AHEAD_MS,
     };
     if !tolerance.accepts(sent_ms, delivery.wall_ms) {
-        return Err(unproved("the signature is too old, or from the future"));
+        return Err(MessageError::SignatureOutOfTime);
     }
     let Some(id) = message_id(&delivery.content.properties) else {
-        return Err(unproved("a signed call needs a message_id"));
+        return Err(MessageError::MissingMessageId);
     };
     let is_new = replays.is_new(id, sent_ms, delivery.now, delivery.wall_ms, tolerance);
     if !is_new && !delivery.redelivered {
-        return Err(unproved(
-            "a signed call came a second time, and not from the broker's own doing",
-        ));
+        return Err(MessageError::Replayed);
     }
     Ok(user)
 }
 
-fn check_signature(delivery: &Delivery<'_>, keys: &Keys) -> Result<(), Unreadable> {
+fn check_signature(delivery: &Delivery<'_>, keys: &Keys) -> Result<(), MessageError> {
     let content = delivery.content;
     let key = header_text(content, "pipithub-key-id").and_then(|id| keys.keys.get(id));
     let signature = header_text(content, "pipithub-signature").and_then(decode_hex);
     let (Some(key), Some(signature)) = (key, signature) else {
-        return Err(unproved(
-            "no signature under a known key: pipithub-key-id, pipithub-signature",
-        ));
+        return Err(MessageError::MissingSignature);
     };
     let mac = mac(key, content, delivery.queue);
     if mac.is_some_and(|mac| mac.verify_slice(&signature).is_ok()) {
         Ok(())
     } else {
-        Err(unproved("the signature does not fit the message"))
+        Err(MessageError::WrongSignature)
     }
 }
 
--- a/crates/pipithub-consumer/src/message.rs
+++ b/crates/pipithub-consumer/src/message.rs
@@ -13,12 +13,16 @@
 //!
 //! The route that a queue belongs to may give all of them but the last two lines; a header goes before the route.
 
+mod error;
+
 use std::sync::Arc;
 
 use bytes::Bytes;
 use pipithub_amqp::{Content, FieldTable, FieldValue, Properties, ShortStr};
 use pipithub_engine::{Call, Reply, Tenant, Time};
 
+pub use self::error::MessageError;
+
 const MS: Time = 1_000_000;
 /// No budget or age is taken for longer: a day.
 const MAX_SPAN_MS: u64 = 86_400_000;
@@ -59,11 +63,6 @@
     pub needs_key: bool,
 }
 
-/// A message that is no request; it never ran.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0}")]
-pub struct Unreadable(pub String);
-
 /// A message that was read as a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParsedMessage {
@@ -84,7 +83,7 @@
         self.0?.get(name)
     }
 
-    fn number(self, name: &str) -> Result<Option<f64>, Unreadable> {
+    fn number(self, name: &'static str) -> Result<Option<f64>, MessageError> {
         let Some(value) = self.get(name) else {
             return Ok(None);
         };
@@ -93,26 +92,24 @@
             .or_else(|| value.as_str().and_then(|s| s.trim().parse().ok()));
         match number.filter(|n| n.is_finite() && *n >= 0.0) {
             Some(number) => Ok(Some(number)),
-            None => Err(Unreadable(format!(
-                "header {name} is not a number that is not negative"
-            ))),
+            None => Err(MessageError::InvalidNumber { header: name }),
         }
     }
 
     /// A number of milliseconds as a span, [`MAX_SPAN_MS`] at the most.
-    fn span(self, name: &str) -> Result<Option<Time>, Unreadable> {
+    fn span(self, name: &'static str) -> Result<Option<Time>, MessageError> {
         let millis = self.number(name)?;
         Ok(millis.map(|ms| (ms.min(MAX_SPAN_MS as f64) * MS as f64) as Time))
     }
 
-    fn text(self, name: &str) -> Result<Option<&'a str>, Unreadable> {
+    fn text(self, name: &'static str) -> Result<Option<&'a str>, MessageError> {
         let Some(value) = self.get(name) else {
             return Ok(None);
         };
         value
             .as_str()
             .map(Some)
-            .ok_or_else(|| Unreadable(format!("header {name} is not a text")))
+            .ok_or(MessageError::NotText { header: name })
     }
 }
 
@@ -145,7 +142,7 @@
     route: &Route,
     classes: &[ClassName],
     arrival: ArrivalTime,
-) -> Result<ParsedMessage, Unreadable> {
+) -> Result<ParsedMessage, MessageError> {
     let properties = &content.properties;
     let headers = Headers(properties.headers.as_ref());
     let class = class(properties, headers, route, classes)?;
@@ -189,7 +186,7 @@
 }
 
 /// Requests that one replica runs at a time.
-fn replica_concurrency(headers: Headers<'_>, route: &Route) -> Result<u32, Unreadable> {
+fn replica_concurrency(headers: Headers<'_>, route: &Route) -> Result<u32, MessageError> {
     let given = headers.number("pipithub-lanes")?;
     let concurrency = given.map_or(route.lanes, |given| {
         given.min(MAX_REPLICA_CONCURRENCY) as u32
@@ -208,35 +205,29 @@
     headers: Headers<'_>,
     route: &Route,
     classes: &[ClassName],
-) -> Result<usize, Unreadable> {
+) -> Result<usize, MessageError> {
     let Some(name) = headers
         .text("pipithub-class")?
         .or(properties.kind.as_deref())
     else {
-        return route
-            .class
-            .ok_or_else(|| Unreadable("no class: header pipithub-class is missing".into()));
+        return route.class.ok_or(MessageError::MissingClass);
     };
     if let Some(class) = classes.iter().position(|known| known.name == name) {
         return Ok(class);
     }
     // The property `type` may be used for something else where the route gives the class.
     let by_property = headers.get("pipithub-class").is_none();
-    let unknown = || Unreadable(format!("class '{name}' is not known"));
+    let unknown = || MessageError::UnknownClass { name: name.into() };
     route.class.filter(|_| by_property).ok_or_else(unknown)
 }
 
-fn function(headers: Headers<'_>, route: &Route) -> Result<Arc<str>, Unreadable> {
+fn function(headers: Headers<'_>, route: &Route) -> Result<Arc<str>, MessageError> {
     match headers.text("pipithub-function")? {
-        Some(name) if name.is_empty() || name.len() > MAX_FUNCTION_LEN => Err(Unreadable(format!(
-            "header pipithub-function has {} bytes, 1 to {MAX_FUNCTION_LEN} are taken",
-            name.len()
-        ))),
-        Some(name) => Ok(name.into()),
-        None => {
-            let missing = || Unreadable("no function: header pipithub-function is missing".into());
-            route.function.clone().ok_or_else(missing)
+        Some(name) if name.is_empty() || name.len() > MAX_FUNCTION_LEN => {
+            Err(MessageError::InvalidFunction { bytes: name.len() })
         }
+        Some(name) => Ok(name.into()),
+        None => route.function.clone().ok_or(MessageError::MissingFunction),
     }
 }
 
@@ -245,16 +236,16 @@
     properties: &Properties,
     headers: Headers<'_>,
     route: &Route,
-) -> Result<Option<Time>, Unreadable> {
+) -> Result<Option<Time>, MessageError> {
     let budget = headers.span("pipithub-budget-ms");
     let expiration = match &properties.expiration {
         None => None,
         Some(text) => match text.parse::<u64>() {
             Ok(ms) => Some(ms.min(MAX_SPAN_MS) * MS),
             Err(_) => {
-                return Err(Unreadable(format!(
-                    "expiration '{text}' is not a number of milliseconds"
-                )));
+                return Err(MessageError::InvalidExpiration {
+                    text: text.to_string(),
+                });
             }
         },
     };
@@ -276,7 +267,7 @@
 }
 
 impl SendTime {
-    fn read(properties: &Properties, headers: Headers<'_>) -> Result<Self, Unreadable> {
+    fn read(properties: &Properties, headers: Headers<'_>) -> Result<Self, MessageError> {
         let exact_ms = headers.number("pipithub-sent-ms")?.map(|ms| ms as u64);
         let second_ms = properties
             .timestamp
@@ -310,15 +301,15 @@
     headers: Headers<'_>,
     message_id: Option<&str>,
     is_needed: bool,
-) -> Result<Option<Arc<str>>, Unreadable> {
+) -> Result<Option<Arc<str>>, MessageError> {
     let given = headers.text("pipithub-key")?;
     if given.is_some() || !is_needed {
         return Ok(given.map(Into::into));
     }
-    let missing = || {
-        Unreadable("no key: a call of this class needs header pipithub-key or a message_id".into())
-    };
-    message_id.map(|id| Some(id.into())).ok_or_else(missing)
+    match message_id {
+        Some(id) => Ok(Some(id.into())),
+        None => Err(MessageError::MissingKey),
+    }
 }
 
 /// Where the answer to a message goes; kept until it is published.
@@ -379,8 +370,9 @@
 }
 
 /// The answer to a message that is no request: a rejection, for it never ran.
-pub fn answer_unreadable(address: &ReplyAddress, why: &Unreadable) -> Properties {
-    let headers = headers("refused", "unreadable", 0).with("pipithub-reason", why.0.as_str());
+pub fn answer_unreadable(address: &ReplyAddress, error: &MessageError) -> Properties {
+    let headers =
+        headers("refused", "unreadable", 0).with("pipithub-reason", error.to_string().as_str());
     properties(address, headers, None)
 }
 
@@ -400,10 +392,10 @@
 }
 
 /// The properties of the copy of an unreadable message that goes to the dead letters.
-pub fn dead_letter(original: &Properties, queue: &str, why: &Unreadable) -> Properties {
+pub fn dead_letter(original: &Properties, queue: &str, error: &MessageError) -> Properties {
     let headers = original.headers.clone().unwrap_or_default();
     let headers = headers
-        .with("pipithub-reason", why.0.as_str())
+        .with("pipithub-reason", error.to_string().as_str())
         .with("pipithub-queue", queue);
     Properties {
         headers: Some(headers),
--- a/crates/pipithub-consumer/tests/message.rs
+++ b/crates/pipithub-consumer/tests/message.rs
@@ -4,7 +4,9 @@
 use pipithub_amqp::{Content, FieldTable, FieldValue, Properties, ShortStr};
 use pipithub_clock::ManualClock;
 use pipithub_consumer::LatestWall;
-use pipithub_consumer::message::{ArrivalTime, ClassName, ParsedMessage, Route, Unreadable, read};
+use pipithub_consumer::message::{
+    ArrivalTime, ClassName, MessageError, ParsedMessage, Route, read,
+};
 use pipithub_engine::Time;
 
 const MS: Time = 1_000_000;
@@ -42,7 +44,7 @@
     p.headers = Some(p.headers.take().unwrap_or_default().with(name, value));
 }
 
-fn read_it(change: impl FnOnce(&mut Properties)) -> Result<ParsedMessage, Unreadable> {
+fn read_it(change: impl FnOnce(&mut Properties)) -> Result<ParsedMessage, MessageError> {
     read(
         &content(change),
         "q",
@@ -98,7 +100,7 @@
 
 #[test]
 fn what_is_no_call_is_told_why() {
-    let why = |change: fn(&mut Properties)| read_it(change).expect_err("unreadable").0;
+    let why = |change: fn(&mut Properties)| read_it(change).expect_err("unreadable").to_string();
     assert!(why(|p| p.headers = None).contains("pipithub-class"));
     assert!(why(|p| header(p, "pipithub-class", "nope")).contains("'nope'"));
     assert!(why(|p| header(p, "pipithub-function", "")).contains("0 bytes"));
