--- a/crates/pipithub-consumer/src/backoff.rs
+++ b/crates/pipithub-consumer/src/backoff.rs
@@ -1,22 +1,22 @@
-//! When to try again: exponential, with full jitter, and back to the start after a while of health.
+//! Exponential backoff with jitter between attempts to connect. It starts over after a connection that stayed healthy.
 
 use pipithub_engine::Time;
 
-/// Bounds of the wait between attempts.
+/// Bounds of the backoff between attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackoffRange {
-    /// The wait after the first failure; it doubles with each further one.
+    /// The backoff after the first failure, in nanoseconds. It doubles with each further failure.
     pub initial: Time,
-    /// It grows no further.
+    /// The maximum backoff, in nanoseconds.
     pub max: Time,
 }
 
-/// Waits between attempts that fail.
+/// The backoff between attempts to connect.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     initial: Time,
     max: Time,
-    /// Health that lasts so long forgets the failures before it.
+    /// A connection that stays up for this long resets the number of failures.
     healthy: Time,
     failures: u32,
     up_since: Option<Time>,
@@ -24,7 +24,8 @@
 }
 
 impl Backoff {
-    /// Waits from `initial`, doubling to `max`; equal seeds wait equally.
+    /// Creates a backoff from `initial`, doubling to `max`, that is reset by a connection which stays up for `healthy`.
+    /// Times are in nanoseconds; equal seeds give equal jitter.
     pub fn new(initial: Time, max: Time, healthy: Time, seed: u64) -> Self {
         Backoff {
             initial,
@@ -36,14 +37,16 @@
         }
     }
 
-    /// The try worked.
+    /// Records that a connection is up.
     pub fn up(&mut self, now: Time) {
         self.up_since = Some(now);
     }
 
-    /// It failed, or what worked broke: how long to wait. Half of the wait is chance, so that many clients of one
-    /// broker do not come back in step; a connection that breaks as soon as it is up counts as a failure, so that
-    /// a broker in trouble is not asked without pause.
+    /// Records that an attempt failed or a connection was lost, and returns how long to wait before the next attempt.
+    ///
+    /// Half of the backoff is random, so that the clients of a broker do not reconnect at the same moments. A
+    /// connection that is lost soon after it came up counts as a failure, so that a faulty broker is not called without
+    /// a pause.
     pub fn down(&mut self, now: Time) -> Time {
         if self
             .up_since
@@ -57,7 +60,7 @@
             .saturating_mul(1 << self.failures.min(20))
             .min(self.max);
         self.failures = self.failures.saturating_add(1);
-        // xorshift64: chance enough for jitter.
+        // xorshift64 is random enough for jitter.
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
         self.random ^= self.random << 17;
--- a/crates/pipithub-consumer/src/consumer.rs
+++ b/crates/pipithub-consumer/src/consumer.rs
@@ -1,7 +1,7 @@
-//! The state machine of one queue at one broker.
+//! The state machine that consumes one queue at one broker.
 //!
-//! This module has its life: transport, timers and shutdown. What the broker sends is handled in `events`, the limit on
-//! deliveries in `delivery_limit`, answers and acknowledgements in `commit`.
+//! This module has its transport, timers and shutdown. `events` handles what the broker sends, `delivery_limit` sets
+//! the limit on deliveries in flight, and `commit` publishes answers and acknowledges their messages.
 
 mod commit;
 mod delivery_limit;
@@ -26,39 +26,40 @@
 use crate::message::ReplyAddress;
 
 const MS: Time = 1_000_000;
-/// A connection that has been up for so long was healthy: the next failure is the first again.
+/// A connection that stays up for this long resets the backoff.
 const HEALTHY_AFTER: Time = 10_000 * MS;
 
-/// A delivery that is not settled.
+/// A delivery that is not settled yet.
 #[derive(Debug)]
 struct InFlight {
     tag: u64,
     address: ReplyAddress,
 }
 
-/// One queue at one broker.
+/// A consumer of one queue at one broker.
 #[derive(Debug)]
 pub struct Consumer {
     settings: ConsumerSettings,
     endpoint: Option<Endpoint>,
     phase: Phase,
     backoff: Backoff,
-    /// The consumer tag at the broker, and how many there were.
+    /// The current consumer tag at the broker.
     tag: ShortStr,
+    /// The number of consumer tags used so far.
     tag_count: u64,
     next_ticket: u64,
     in_flight: BTreeMap<u64, InFlight>,
     pending: VecDeque<PendingAnswer>,
-    /// Tickets of the transaction that is under way.
+    /// The tickets in the transaction that is being committed.
     committing: Vec<u64>,
-    /// The broker takes no publishes for now.
+    /// Whether the broker has blocked publishing.
     blocked: bool,
-    /// How many more deliveries the engine can take.
+    /// The number of further deliveries that the engine can take.
     capacity: usize,
     applied_limit: AppliedLimit,
     shutting_down: bool,
-    /// The exchange for dead letters is not there: a message that cannot be read must not end the channel again and
-    /// again, so it is rejected instead.
+    /// Whether the exchange for dead letters is missing. Publishing to it would close the channel for each message that
+    /// cannot be read, so such messages are rejected instead.
     no_dead_letters: bool,
     notices: VecDeque<Notice>,
     identity: Identity,
@@ -69,7 +70,7 @@
 }
 
 impl Consumer {
-    /// A consumer that wants a transport at once.
+    /// Creates a consumer that wants a transport at once. The seed is for the jitter of its backoff.
     pub fn new(settings: ConsumerSettings, now: Time, seed: u64) -> Self {
         let BackoffRange { initial, max } = settings.reconnect_backoff;
         Consumer {
@@ -97,22 +98,22 @@
         }
     }
 
-    /// Where it stands.
+    /// The step that the consumer has reached.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Deliveries that are not settled.
+    /// The number of deliveries that are not settled.
     pub fn in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// The next notice.
+    /// Takes the next notice; `None` if there is none.
     pub fn poll(&mut self) -> Option<Notice> {
         self.notices.pop_front()
     }
 
-    /// A transport is up.
+    /// Handles that a transport was opened. It is ignored if the consumer has one already or is stopped.
     pub fn connected(&mut self, now: Time) {
         if matches!(self.phase, Phase::Idle(_)) {
             self.now = now;
@@ -123,7 +124,7 @@
         }
     }
 
-    /// No transport could be had, or the one there was is gone.
+    /// Handles that a transport could not be opened or was lost, for `reason`.
     pub fn transport_lost(&mut self, now: Time, reason: &str) {
         self.now = now;
         match self.phase {
@@ -136,8 +137,8 @@
         }
     }
 
-    /// Tickets are void: what they stand for will be delivered again, unless its transaction had been done. A transport is
-    /// wanted after a while.
+    /// Voids all tickets. The broker delivers their messages again, unless their transaction was committed. Another
+    /// transport is wanted after the backoff.
     fn lose_tickets(&mut self, reason: &str) {
         self.in_flight.clear();
         self.pending.clear();
@@ -151,7 +152,7 @@
         };
     }
 
-    /// Takes bytes as they came; `wall_ms` is the Unix time that `now` stands for.
+    /// Handles bytes from the transport. `wall_ms` is the wall time at `now`, in Unix milliseconds.
     pub fn receive(&mut self, now: Time, wall_ms: u64, bytes: &[u8]) {
         (self.now, self.wall_ms) = (now, wall_ms);
         self.latest_wall_ms = self.latest_wall.observe(now, wall_ms);
@@ -161,7 +162,7 @@
         self.handle_events();
     }
 
-    /// When [`Consumer::on_time`] is due; while idle, when a transport is wanted.
+    /// When [`Consumer::on_time`] is due next; `None` if no timer is set.
     pub fn next_timeout(&self) -> Option<Time> {
         let own = match self.phase {
             Phase::Paused { resume_at, .. } => resume_at,
@@ -174,7 +175,7 @@
         [own, connection].into_iter().flatten().min()
     }
 
-    /// Does what is due.
+    /// Handles the timers that are due.
     pub fn on_time(&mut self, now: Time) {
         self.now = now;
         if let Some(endpoint) = &mut self.endpoint {
@@ -187,7 +188,7 @@
         self.apply_capacity();
     }
 
-    /// Takes the bytes to write.
+    /// Takes the bytes to write to the transport.
     pub fn take_output(&mut self, now: Time) -> Bytes {
         let output = self
             .endpoint
@@ -199,30 +200,30 @@
         output
     }
 
-    /// Whether the transport may be closed.
+    /// Whether the connection is closed, so that the transport may be closed too.
     pub fn is_over(&self) -> bool {
         self.endpoint.as_ref().is_none_or(Endpoint::is_closed)
     }
 
-    /// How many more deliveries the engine can take.
+    /// Sets the number of further deliveries that the engine can take.
     pub fn set_capacity(&mut self, now: Time, capacity: usize) {
         (self.now, self.capacity) = (now, capacity);
         self.apply_capacity();
     }
 
-    /// Gives a trigger its final answer. Void tickets are passed over.
+    /// Publishes the final answer of a trigger and settles its message. A void ticket is ignored.
     pub fn answer(&mut self, now: Time, ticket: Ticket, reply: Arc<Reply>) {
         self.now = now;
         self.enqueue_answer(ticket.number, Answer::Reply(reply));
     }
 
-    /// Settles a trigger without an answer.
+    /// Settles the message of a trigger without an answer. A void ticket is ignored.
     pub fn acknowledge(&mut self, now: Time, ticket: Ticket) {
         self.now = now;
         self.enqueue_answer(ticket.number, Answer::Nothing);
     }
 
-    /// Takes no more deliveries; once all are settled the connection is closed.
+    /// Begins a graceful shutdown: no more deliveries are taken, and the connection is closed once all are settled.
     pub fn shutdown(&mut self, now: Time) {
         self.now = now;
         self.shutting_down = true;
--- a/crates/pipithub-consumer/src/consumer/commit.rs
+++ b/crates/pipithub-consumer/src/consumer/commit.rs
@@ -1,4 +1,4 @@
-//! Answers and acknowledgements, which are committed together: one transaction does both or neither.
+//! Answers and acknowledgements. One transaction commits both or neither.
 
 use std::sync::Arc;
 
@@ -8,12 +8,12 @@
 use super::{Consumer, DeadLetterTarget};
 use crate::message::{self, MessageError, ReplyAddress};
 
-/// Bytes that wait to be written before no further transaction is begun.
+/// No further transaction starts while more bytes than this wait to be written.
 const MAX_OUTPUT: usize = 4 << 20;
-/// Answers and acknowledgements in one transaction.
+/// The maximum number of answers in one transaction.
 const MAX_BATCH: usize = 128;
 
-/// What settles a delivery.
+/// The answer that settles a delivery.
 #[derive(Debug)]
 pub(super) enum Answer {
     Reply(Arc<Reply>),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Publishes what is pending and acknowledges its messages.
+    /// Publishes pending answers, acknowledges their messages and commits both, unless a transaction is under way.
     pub(super) fn begin_commit(&mut self) {
         let Some(channel) = self.channel() else {
             return;
@@ -72,7 +72,7 @@
         has_output_room && !self.blocked && self.committing.is_empty() && !self.pending.is_empty()
     }
 
-    /// Publishes what a delivery is answered with; what settles the delivery itself.
+    /// Publishes the answer to a delivery and returns the method that settles the delivery.
     fn publish_pending(
         &mut self,
         channel: u16,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Publishes a copy of an unreadable message, where there is a target for it.
+    /// Publishes a copy of an unreadable message as a dead letter. Returns false if there is no target for it.
     fn publish_dead_letter(
         &mut self,
         channel: u16,
--- a/crates/pipithub-consumer/src/consumer/delivery_limit.rs
+++ b/crates/pipithub-consumer/src/consumer/delivery_limit.rs
@@ -1,16 +1,17 @@
-//! The limit on deliveries: as many as are in flight, and as many more as the engine can take.
+//! The limit on deliveries in flight: those that are, and as many more as the engine can take.
 
 use pipithub_amqp::{FieldTable, Method, ShortStr};
 use pipithub_engine::Time;
 
 use super::{Consumer, MS, Phase, Qos};
 
-/// The limit on deliveries is changed no more often: each change is a round trip.
+/// The minimum time between changes of the limit, because each change costs a round trip.
 pub(super) const MIN_QOS_INTERVAL: Time = 50 * MS;
-/// A paused consumer begins again once this part of its prefetch count is free, or each message would begin and end one.
+/// A paused consumer resumes once this part of its prefetch count is free. Otherwise each message could start and
+/// cancel a consumer.
 const RESUME_DIVISOR: usize = 4;
 
-/// A limit on deliveries, and when the broker was sent it.
+/// The limit that the broker was sent last, and when.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct AppliedLimit {
     pub(super) count: u16,
@@ -18,13 +19,13 @@
 }
 
 impl Consumer {
-    /// Deliveries to have in flight at most.
+    /// The maximum number of deliveries in flight.
     pub(super) fn delivery_limit(&self) -> u16 {
         let max = usize::from(self.settings.prefetch.max(1));
         (self.in_flight.len() + self.capacity).clamp(1, max) as u16
     }
 
-    /// Begins, pauses or limits consuming by the engine's capacity.
+    /// Starts, pauses or limits consuming according to the capacity of the engine.
     pub(super) fn apply_capacity(&mut self) {
         match self.phase {
             Phase::Consuming { channel } if self.capacity == 0 => self.pause(channel, None),
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Small steps up are not worth a round trip; each step down is.
+    /// Whether a new limit is worth a round trip: always if it is lower, and only in large steps if it is higher.
     fn should_send_limit(&self, limit: u16) -> bool {
         let applied = self.applied_limit;
         let is_worth_sending =
@@ -86,7 +87,7 @@
         let limit = self.delivery_limit();
         self.phase = Phase::SettingUp { channel };
         self.send_limit(limit);
-        // A new tag each time: a delivery for the last one may still be on its way.
+        // Each consumer gets a new tag, because a delivery for the last one may still be on its way.
         self.tag_count += 1;
         let tag = format!("{}-{}", self.settings.front_end, self.tag_count);
         self.tag = ShortStr::truncated(&tag);
--- a/crates/pipithub-consumer/src/consumer/events.rs
+++ b/crates/pipithub-consumer/src/consumer/events.rs
@@ -1,4 +1,4 @@
-//! What the broker sends: the connection's events, and the methods of the channel.
+//! Handling of what the broker sends: events of the connection and methods of the channel.
 
 use pipithub_amqp::{Code, Content, Endpoint, Event, Fault, FieldTable, Method, ShortStr};
 use pipithub_engine::{Call, Ticket, Trigger};
@@ -7,7 +7,7 @@
 use super::{Consumer, ConsumerSettings, InFlight, Notice, Phase};
 use crate::message::{self, ArrivalTime, ReplyAddress};
 
-/// Class and method numbers of AMQP 0-9-1 that faults name.
+/// Class and method numbers of AMQP 0-9-1, by which a fault names the method that failed.
 const QUEUE_CLASS: u16 = 50;
 const QUEUE_DECLARE: u16 = 10;
 const BASIC_CLASS: u16 = 60;
@@ -32,7 +32,7 @@
                     self.begin_commit();
                 }
                 Event::ChannelClosed { fault, .. } => self.handle_channel_closed(fault),
-                // The shell writes what is left and then tells that the transport is gone.
+                // While stopping, the caller writes what is left and then reports that the transport is gone.
                 Event::Closed { fault, .. } if self.phase != Phase::Stopped => {
                     self.lose_tickets(&fault.to_string());
                 }
@@ -64,12 +64,13 @@
         if fault.code == Code::NotFound as u16 && failed_method == (BASIC_CLASS, BASIC_PUBLISH) {
             self.no_dead_letters = true;
         }
-        // The queue is there with other properties than the plain ones: it is taken as it is.
+        // The queue exists with other properties than those it would be declared with. It is used as it is.
         let is_mismatch = fault.code == Code::PreconditionFailed as u16;
         if is_mismatch && failed_method == (QUEUE_CLASS, QUEUE_DECLARE) {
             self.settings.declare = false;
         }
-        // What goes wrong on this channel goes wrong on the next: the connection is begun anew, after a wait.
+        // The fault would recur on a new channel at once, so the connection is closed and opened again after the
+        // backoff.
         if let Some(endpoint) = &mut self.endpoint {
             endpoint.close(fault);
         }
@@ -85,7 +86,7 @@
                 self.handle_consuming(channel);
             }
             (Method::BasicCancel { consumer_tag, .. }, _) if consumer_tag == self.tag => {
-                // Its queue is gone, or its node: what is in flight stays good. The queue may come back.
+                // The queue was deleted or its node lost. Deliveries in flight stay valid, and the queue may come back.
                 self.notices.push_back(Notice::Cancelled);
                 let resume_at = Some(self.now + self.backoff.down(self.now));
                 self.phase = Phase::Paused { channel, resume_at };
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Reads a delivery as a request and proves whose it is.
+    /// Reads a delivery as a call and checks which user it belongs to.
     fn read_trigger(
         &mut self,
         number: u64,
@@ -187,7 +188,7 @@
         })
     }
 
-    /// The broker has what was published, and the messages are settled.
+    /// Handles that the broker committed a transaction: its answers are published and its messages settled.
     fn handle_committed(&mut self) {
         for number in std::mem::take(&mut self.committing) {
             if self.in_flight.remove(&number).is_some() {
--- a/crates/pipithub-consumer/src/consumer/notice.rs
+++ b/crates/pipithub-consumer/src/consumer/notice.rs
@@ -1,36 +1,37 @@
-//! What a consumer tells its shell.
+//! Notices of a consumer to its caller, and its phases.
 
 use pipithub_engine::{Ticket, Time, Trigger};
 
 use crate::message::MessageError;
 
-/// What happened, for the engine and the logs.
+/// What happened at the broker, for the engine and the logs.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
-    /// A request came in.
+    /// A message arrived and was read as a call.
     Trigger(Box<Trigger>),
-    /// Its answer is safe at the broker.
+    /// The answer to a ticket is safe at the broker, and its message is settled.
     Settled(Ticket),
-    /// All open tickets are void.
+    /// The connection was lost, for this reason; all pending tickets are void.
     Lost(String),
-    /// Deliveries may come from now on.
+    /// The broker delivers messages from now on.
     Consuming,
-    /// The broker ended the consumer, as when its queue is deleted; it is begun anew after a while.
+    /// The broker cancelled the consumer, for example because its queue was deleted. It is started again after the
+    /// backoff.
     Cancelled,
-    /// The broker takes no publishes, with its reason, or takes them again.
+    /// The broker has blocked publishing, with its reason, or unblocked it (`None`).
     Blocked(Option<String>),
-    /// An answer could not be delivered: its queue is gone. Its message is settled all the same.
+    /// An answer was returned, because the queue that it goes to does not exist. Its message is settled nevertheless.
     Returned {
-        /// The queue.
+        /// The queue that the answer was published to.
         reply_to: String,
-        /// What ties the answer to its request.
+        /// The correlation id of the answer.
         correlation_id: Option<String>,
     },
-    /// A message was no request.
+    /// A message could not be read as a call. It was answered with a rejection.
     Unreadable {
-        /// Its id.
+        /// The id of the message, if it has one.
         message_id: Option<String>,
-        /// Why.
+        /// The reason why it could not be read.
         why: MessageError,
     },
 }
@@ -38,27 +39,27 @@
 /// The step that a consumer has reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// There is no transport; one is to be opened at this time.
+    /// There is no transport. One is to be opened at this time.
     Idle(Time),
-    /// The transport is open, the AMQP connection not yet.
+    /// The transport is open, and the AMQP connection is being opened.
     Connecting,
     /// The channel is being set up, or the consumer on it.
     SettingUp {
-        /// The channel.
+        /// The number of the channel that is set up.
         channel: u16,
     },
     /// The broker delivers messages.
     Consuming {
-        /// The channel.
+        /// The number of the channel that deliveries come on.
         channel: u16,
     },
     /// The channel is open, but nothing is consumed: the engine has no capacity, or the queue is missing.
     Paused {
-        /// The channel.
+        /// The number of the open channel.
         channel: u16,
-        /// Nothing is consumed before this time.
+        /// Nothing is consumed before this time; `None` if only capacity is missing.
         resume_at: Option<Time>,
     },
-    /// Stopped for good.
+    /// The consumer has shut down and does not start again.
     Stopped,
 }
--- a/crates/pipithub-consumer/src/consumer/settings.rs
+++ b/crates/pipithub-consumer/src/consumer/settings.rs
@@ -1,4 +1,4 @@
-//! How a consumer is set up.
+//! The settings of a consumer.
 
 use pipithub_amqp::{Login, Tuning};
 use pipithub_engine::SourceId;
@@ -10,50 +10,51 @@
 /// How the limit on deliveries is set at the broker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Qos {
-    /// Over the channel (`global`), changed while consuming. Quorum queues of `RabbitMQ` refuse it.
+    /// The limit holds for the channel (`global`) and is changed while consuming. Quorum queues of `RabbitMQ` reject
+    /// it.
     #[default]
     Channel,
-    /// For the consumer; to change it the consumer is cancelled and begun anew.
+    /// The limit holds for the consumer. To change it, the consumer is cancelled and a new one is started.
     Consumer,
 }
 
-/// Where copies of unreadable messages go.
+/// The destination of dead letters: copies of messages that cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DeadLetterTarget {
-    /// The exchange; empty: the default one.
+    /// The name of the exchange; the default exchange if it is empty.
     pub exchange: String,
-    /// The routing key.
+    /// The routing key that dead letters are published with.
     pub routing_key: String,
 }
 
-/// How a consumer is set up.
+/// The settings of a consumer.
 #[derive(Clone, Debug)]
 pub struct ConsumerSettings {
-    /// Its number among the engine's sources.
+    /// The consumer's id among the sources of the engine.
     pub source: SourceId,
-    /// The front end's name, as the broker is told it.
+    /// The name of the front end, which the broker shows for the connection.
     pub front_end: String,
-    /// What it logs in with.
+    /// The credentials and virtual host to log in with.
     pub login: Login,
-    /// Limits to negotiate.
+    /// The limits of the connection to negotiate with the broker.
     pub tuning: Tuning,
-    /// The queue.
+    /// The name of the queue to consume.
     pub queue: String,
-    /// Declare the queue (durable) where it is missing.
+    /// Whether to declare the queue, as a durable one, if it is missing.
     pub declare: bool,
-    /// What holds for its messages.
+    /// The defaults for messages of the queue.
     pub route: Route,
-    /// The classes, by their number.
+    /// The classes of calls, in the order of their numbers.
     pub classes: Vec<ClassName>,
-    /// Most deliveries in flight at a time.
+    /// The maximum number of deliveries in flight.
     pub prefetch: u16,
     /// How that limit is set at the broker.
     pub qos: Qos,
-    /// Where copies of unreadable messages go. Without it they are rejected, and the queue's own dead-letter exchange
-    /// gets them.
+    /// The destination of dead letters. If it is `None`, messages that cannot be read are rejected, and the broker
+    /// passes them to the dead-letter exchange of the queue, if it has one.
     pub dead_letter: Option<DeadLetterTarget>,
-    /// Waits between attempts to connect.
+    /// The backoff between attempts to connect.
     pub reconnect_backoff: BackoffRange,
-    /// How its messages prove whose they are.
+    /// How messages of the queue prove which user they belong to.
     pub identity: identity::Rule,
 }
--- a/crates/pipithub-consumer/src/identity.rs
+++ b/crates/pipithub-consumer/src/identity.rs
@@ -1,17 +1,18 @@
-//! Whose request a message is, and how that is proved.
+//! Which user a message belongs to, and how it proves that.
 //!
-//! Two ways are offered. Under [`Rule::Broker`] the property `user_id` counts: a broker that checks it against the
-//! connection's user, as `RabbitMQ` does, lets nobody publish under another's name. Under [`Rule::Signed`] a publisher
-//! that sends for many users signs each request:
+//! There are two ways. Under [`Rule::Broker`] the property `user_id` states the user. A broker that checks it against
+//! the user of the connection, as `RabbitMQ` does, accepts no message under the name of another user. Under
+//! [`Rule::Signed`] a publisher that sends for many users signs each message:
 //!
 //! | header | meaning |
 //! | --- | --- |
 //! | `pipithub-user` | the user |
-//! | `pipithub-key-id` | which key |
-//! | `pipithub-sent-ms` | when, in Unix milliseconds; needed |
+//! | `pipithub-key-id` | the id of the key |
+//! | `pipithub-sent-ms` | when the message was sent, in Unix milliseconds; required |
 //! | `pipithub-signature` | HMAC-SHA256 in hexadecimal, over [`signed_text`] |
 //!
-//! What is signed covers all that decides what runs, for whom, and where its answer goes, with the body's digest.
+//! The signature covers everything that determines what runs, for which user and where the answer goes, and the digest
+//! of the body.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -25,17 +26,17 @@
 use crate::replay::{ReplayMemory, Tolerance};
 
 const MS: Time = 1_000_000;
-/// How far a publisher's clock may be ahead of ours.
+/// The maximum time that the clock of a publisher may be ahead.
 const MAX_AHEAD_MS: u64 = 30_000;
-/// Names that a user may have, in bytes.
+/// The maximum length of the name of a user, in bytes.
 const MAX_USER_LEN: usize = 256;
 
-/// Keys by their ids, and for how long a signature counts.
+/// The keys that messages may be signed with.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct Keys {
-    /// The keys.
+    /// The keys by their ids.
     pub keys: BTreeMap<String, Vec<u8>>,
-    /// A request signed longer ago is rejected.
+    /// The maximum age of a signature, in nanoseconds; a message signed before that is rejected.
     pub max_age: Time,
 }
 
@@ -49,19 +50,19 @@
     }
 }
 
-/// How a queue's messages prove whose they are.
+/// How messages of a queue prove which user they belong to.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Rule {
-    /// They do not; one that names a user all the same is refused.
+    /// Messages have no user. One that names a user nevertheless is rejected.
     #[default]
     None,
-    /// By `user_id`, which the broker has checked.
+    /// By the property `user_id`, which the broker has checked.
     Broker,
-    /// By a signature.
+    /// By a signature with one of these keys.
     Signed(Arc<Keys>),
 }
 
-/// Checks messages, and remembers signed ones against replays.
+/// Checks which user messages belong to, and remembers signed messages in order to recognize replays.
 #[derive(Clone, Debug, Default)]
 pub struct Identity {
     rule: Rule,
@@ -72,7 +73,7 @@
     content.properties.headers.as_ref()?.get(name)?.as_str()
 }
 
-/// The text that a signature is over: each part with its length before it, so that no two messages have the same.
+/// The text that is signed. Each part is preceded by its length, so that different messages have different texts.
 pub fn signed_text(content: &Content, queue: &str) -> Vec<u8> {
     let properties = &content.properties;
     let header = |name| header_text(content, name).unwrap_or_default();
@@ -106,7 +107,7 @@
     Some(mac)
 }
 
-/// The signature of a message under a key, as its header has it.
+/// Signs a message; returns the value of header `pipithub-signature`.
 pub fn sign(key: &[u8], content: &Content, queue: &str) -> String {
     let bytes = mac(key, content, queue).map(|m| m.finalize().into_bytes());
     bytes
@@ -127,7 +128,7 @@
 }
 
 impl Identity {
-    /// By a rule.
+    /// Creates a check by a rule.
     pub fn new(rule: Rule) -> Self {
         Identity {
             rule,
@@ -135,8 +136,14 @@
         }
     }
 
-    /// The user of a message, folded; `None` where none is asked for. `redelivered`: the broker says that it delivers it
-    /// again. `now` is monotonic time, `wall_ms` the Unix time that it stands for.
+    /// The user of a message, in the form in which directories compare names; `None` under [`Rule::None`].
+    ///
+    /// `redelivered` is whether the broker marks the delivery as a repeated one: only then may a signed message arrive
+    /// again. `now` is monotonic time, and `wall_ms` is the wall time then, in Unix milliseconds.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the message does not prove its user as the rule demands, or names one that the rule does not accept.
     pub fn user(
         &mut self,
         content: &Content,
@@ -177,13 +184,13 @@
 }
 
 impl<'a> Delivery<'a> {
-    /// The user that its header names.
+    /// The user that the header of the message names.
     fn named_user(&self) -> Option<&'a str> {
         header_text(self.content, "pipithub-user")
     }
 }
 
-/// The user that the broker has checked.
+/// The user of a message whose `user_id` the broker has checked.
 fn broker_user<'a>(delivery: &Delivery<'a>) -> Result<&'a str, MessageError> {
     let checked = delivery.content.properties.user_id.as_deref();
     let Some(user) = checked.filter(|user| !user.is_empty()) else {
@@ -195,7 +202,7 @@
     Ok(user)
 }
 
-/// The user that a signature stands for.
+/// The user of a signed message.
 fn signed_user<'a>(
     delivery: &Delivery<'a>,
     keys: &Keys,
@@ -240,13 +247,13 @@
     }
 }
 
-/// When a message was sent, as its header says it in Unix milliseconds.
+/// When a message was sent, according to its header, in Unix milliseconds.
 fn sent_ms(content: &Content) -> Option<i64> {
     let headers = content.properties.headers.as_ref()?;
     headers.get("pipithub-sent-ms")?.as_i64()
 }
 
-/// As directories compare names: case and runs of spaces do not count.
+/// Folds a name as directories compare names: case and runs of spaces make no difference.
 fn fold(user: &str) -> String {
     let words: Vec<&str> = user.split(' ').filter(|w| !w.is_empty()).collect();
     words
--- a/crates/pipithub-consumer/src/latest_wall.rs
+++ b/crates/pipithub-consumer/src/latest_wall.rs
@@ -1,12 +1,13 @@
-//! The latest wall time that any reading stands for, so that a step back makes nothing younger.
+//! A wall clock that does not follow steps back, so that a step back makes no message look younger.
 
 use pipithub_engine::Time;
 
 const NANOS_PER_MS: Time = 1_000_000;
-/// A step back counts for so long; after that the clock is taken to have been ahead before.
+/// A step back is not followed for this long. After that the clock is assumed to have been ahead before.
 const STEP_BACK_WINDOW: Time = 24 * 3_600_000 * NANOS_PER_MS;
 
-/// Follows the wall clock forward at once, and back only after a day.
+/// The wall time by the clock reading that was furthest ahead. Steps forward are followed at once, steps back after a
+/// day.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LatestWall {
     greatest: Option<Lead>,
@@ -16,12 +17,13 @@
 #[derive(Clone, Copy, Debug)]
 struct Lead {
     ms: i64,
-    /// When it was last seen.
+    /// When the clock was last seen to be this far ahead.
     seen_at: Time,
 }
 
 impl LatestWall {
-    /// Takes a reading of both clocks; the wall time now by the latest of the readings, in Unix milliseconds.
+    /// Records a reading of the monotonic and the wall clock, and returns the latest wall time that `now` can be, in
+    /// Unix milliseconds.
     pub fn observe(&mut self, now: Time, wall_ms: u64) -> u64 {
         let now_ms = to_signed(now / NANOS_PER_MS);
         let current = Lead {
--- a/crates/pipithub-consumer/src/lib.rs
+++ b/crates/pipithub-consumer/src/lib.rs
@@ -1,9 +1,9 @@
 //! AMQP triggers without I/O.
 //!
-//! A [`Consumer`] is one queue at one broker: it logs in, consumes, turns deliveries into triggers ([`message`]) and
-//! gives each its final answer. An answer's publish and the ack of its message are committed in one transaction, so
-//! that neither stands without the other; see `docs/amqp.md` for why not publisher confirms. The shell moves bytes
-//! and time; the engine decides.
+//! A [`Consumer`] consumes one queue at one broker: it logs in, turns deliveries into triggers ([`message`]) and
+//! publishes the final answer of each. The answer and the acknowledgement of its message are committed in one
+//! transaction, so that neither takes effect without the other; `docs/amqp.md` says why publisher confirms are not
+//! used. The caller moves bytes and time, and the engine decides what becomes of each trigger.
 
 pub mod backoff;
 mod consumer;
--- a/crates/pipithub-consumer/src/message.rs
+++ b/crates/pipithub-consumer/src/message.rs
@@ -1,17 +1,18 @@
-//! A message as a request, and a final answer as a message.
+//! Reads messages as calls, and writes final answers as messages.
 //!
 //! | property or header | meaning |
 //! | --- | --- |
-//! | `reply_to`, `correlation_id` | where the answer goes, and what ties it to the request |
-//! | `message_id` | names the message; without it `reply_to` with `correlation_id` does, else nothing |
-//! | `type` or `pipithub-class` | the class |
+//! | `reply_to`, `correlation_id` | the queue that the answer goes to, and the id that it repeats |
+//! | `message_id` | identifies the message; without it `reply_to` with `correlation_id` does, if present |
+//! | `type` or `pipithub-class` | the class of the call |
 //! | `pipithub-function` | the function or model to run |
-//! | `pipithub-memory-mb`, `pipithub-lanes`, `pipithub-load-ms`, `pipithub-expected-ms` | what is known of it |
-//! | `pipithub-key` | the key under which workers drop repeats |
-//! | `expiration`, `pipithub-budget-ms` | milliseconds that the client waits; the lesser counts |
-//! | `timestamp`, `pipithub-sent-ms` | when it was sent: Unix seconds, or Unix milliseconds |
+//! | `pipithub-memory-mb`, `pipithub-lanes`, `pipithub-load-ms`, `pipithub-expected-ms` | properties of the function |
+//! | `pipithub-key` | the key by which workers deduplicate the call |
+//! | `expiration`, `pipithub-budget-ms` | the client timeout in milliseconds; the lesser of both counts |
+//! | `timestamp`, `pipithub-sent-ms` | when the message was sent, in Unix seconds or Unix milliseconds |
 //!
-//! The route that a queue belongs to may give all of them but the last two lines; a header goes before the route.
+//! The route of a queue may give defaults for all of them but the first two lines and the last two. A header takes
+//! precedence over the route.
 
 mod error;
 
@@ -24,57 +25,57 @@
 pub use self::error::MessageError;
 
 const MS: Time = 1_000_000;
-/// No budget or age is taken for longer: a day.
+/// Timeouts and ages are capped at a day.
 const MAX_SPAN_MS: u64 = 86_400_000;
-/// A sender's clock may be ahead by this before its messages' age counts as unknown.
+/// If the clock of a sender is ahead by more than this, the age of its messages counts as unknown.
 const MAX_SKEW_MS: u64 = 1_000;
-/// A function's name has at most so many bytes.
+/// The maximum length of the name of a function, in bytes.
 const MAX_FUNCTION_LEN: usize = 200;
-/// A replica runs at most so many requests at a time.
+/// The maximum concurrency of a replica.
 const MAX_REPLICA_CONCURRENCY: f64 = 65_536.0;
 
-/// What holds for the messages of a queue where they do not say otherwise.
+/// The defaults for the messages of a queue; what a message states takes precedence.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Route {
-    /// The class.
+    /// The number of the class; `None` if each message must name its class.
     pub class: Option<usize>,
-    /// The function.
+    /// The function to call; `None` if each message must name its function.
     pub function: Option<Arc<str>>,
-    /// Memory of one replica, in MB.
+    /// The memory that one replica takes, in MB.
     pub memory_mb: f64,
-    /// Requests that one replica runs at a time; 0 counts as 1.
+    /// The number of calls that one replica runs at a time; 0 counts as 1.
     pub lanes: u32,
-    /// The usual time of a load.
+    /// The usual time to load a replica, in nanoseconds; `None` if it is not known.
     pub load_time: Option<Time>,
-    /// The work that a request is expected to take.
+    /// The expected run time of a call, in nanoseconds; `None` if it is not known.
     pub expected: Option<Time>,
-    /// How long clients wait.
+    /// The client timeout, in nanoseconds; `None` leaves it to the class.
     pub budget: Option<Time>,
-    /// The tenant that it belongs to.
+    /// The tenant that the route belongs to; `None` if it belongs to none.
     pub tenant: Option<Tenant>,
 }
 
-/// A class of requests, as messages name it.
+/// A class of calls, as messages name it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClassName {
-    /// Its name.
+    /// The name of the class in messages.
     pub name: String,
-    /// Whether each of its requests needs an idempotency key.
+    /// Whether each call of the class needs an idempotency key.
     pub needs_key: bool,
 }
 
-/// A message that was read as a request.
+/// A message that was read as a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParsedMessage {
-    /// The request.
+    /// The call that the message asks for.
     pub call: Call,
-    /// Names the message in each delivery.
+    /// Identifies the message across its deliveries; `None` if it has nothing to identify it.
     pub identity: Option<Arc<str>>,
-    /// How often it was delivered before, where the broker counts.
+    /// The number of earlier deliveries; 0 if the broker does not count them.
     pub deliveries: u32,
 }
 
-/// The headers of a message, read as what they should be.
+/// The headers of a message, read as the types that they must have.
 #[derive(Clone, Copy)]
 struct Headers<'a>(Option<&'a FieldTable>);
 
@@ -96,7 +97,7 @@
         }
     }
 
-    /// A number of milliseconds as a span, [`MAX_SPAN_MS`] at the most.
+    /// Reads a number of milliseconds as a duration in nanoseconds, capped at [`MAX_SPAN_MS`].
     fn span(self, name: &'static str) -> Result<Option<Time>, MessageError> {
         let millis = self.number(name)?;
         Ok(millis.map(|ms| (ms.min(MAX_SPAN_MS as f64) * MS as f64) as Time))
@@ -113,29 +114,34 @@
     }
 }
 
-/// When a message is read, in Unix milliseconds.
+/// When a message arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ArrivalTime {
-    /// The wall clock as it stands; what is left of a client's time is judged by it.
+    /// The wall time, in Unix milliseconds. What is left of the client timeout is computed from it.
     pub wall_ms: u64,
-    /// By [`crate::LatestWall`]: a message's age is judged by it, so that a step back makes no message younger.
+    /// The wall time according to [`crate::LatestWall`], in Unix milliseconds. The age of a message is computed from
+    /// it, so that a step back of the clock makes no message look younger.
     pub latest_wall_ms: u64,
 }
 
 impl ArrivalTime {
-    /// The time since then by the wall clock; none where it was stepped back past it.
+    /// The time since `sent_ms` by the wall clock, in nanoseconds; 0 if the clock was stepped back beyond it.
     fn since(&self, sent_ms: u64) -> Time {
         self.wall_ms.saturating_sub(sent_ms).min(MAX_SPAN_MS) * MS
     }
 
-    /// The age at the most of a message sent then; unknown where that lies in the future.
+    /// The maximum age of a message sent at `sent_ms`, in nanoseconds; `None` if that lies in the future.
     fn max_age(&self, sent_ms: u64) -> Option<Time> {
         let is_known = sent_ms <= self.latest_wall_ms.saturating_add(MAX_SKEW_MS);
         is_known.then(|| self.latest_wall_ms.saturating_sub(sent_ms).min(MAX_SPAN_MS) * MS)
     }
 }
 
-/// Reads a message. `classes` are in the order of their numbers.
+/// Reads a message of a queue as a call. `classes` are in the order of their numbers.
+///
+/// # Errors
+///
+/// Fails if the message lacks what a call needs, or a property or header cannot be read.
 pub fn read(
     content: &Content,
     queue: &str,
@@ -185,7 +191,7 @@
     })
 }
 
-/// Requests that one replica runs at a time.
+/// The number of calls that one replica runs at a time.
 fn replica_concurrency(headers: Headers<'_>, route: &Route) -> Result<u32, MessageError> {
     let given = headers.number("pipithub-lanes")?;
     let concurrency = given.map_or(route.lanes, |given| {
@@ -194,7 +200,7 @@
     Ok(concurrency.max(1))
 }
 
-/// Earlier deliveries, where the broker counts them.
+/// The number of earlier deliveries; 0 if the broker does not count them.
 fn deliveries(headers: Headers<'_>) -> u32 {
     let count = headers.get("x-delivery-count").and_then(FieldValue::as_i64);
     count.unwrap_or(0).clamp(0, i64::from(u32::MAX)) as u32
@@ -215,7 +221,7 @@
     if let Some(class) = classes.iter().position(|known| known.name == name) {
         return Ok(class);
     }
-    // The property `type` may be used for something else where the route gives the class.
+    // If the route gives the class, the property `type` may be used for something else.
     let by_property = headers.get("pipithub-class").is_none();
     let unknown = || MessageError::UnknownClass { name: name.into() };
     route.class.filter(|_| by_property).ok_or_else(unknown)
@@ -231,7 +237,7 @@
     }
 }
 
-/// How long the client waits, from its sending on.
+/// The client timeout, which began when the message was sent.
 fn client_timeout(
     properties: &Properties,
     headers: Headers<'_>,
@@ -258,9 +264,9 @@
 
 /// When a message was sent, in Unix milliseconds.
 ///
-/// A timestamp counts whole seconds: its message may have been sent up to a second later. It is taken as late as it can
-/// have been for the client's time, which must not be cut short, and as early for the age, which decides whether a repeat
-/// is harmless.
+/// A timestamp is in whole seconds, so its message may have been sent up to a second later. The latest time that it
+/// allows is used for the client timeout, which must not be cut short. The earliest is used for the age, which decides
+/// whether a redelivered call may run again.
 struct SendTime {
     earliest_ms: Option<u64>,
     latest_ms: Option<u64>,
@@ -283,7 +289,7 @@
     properties.message_id.as_deref().filter(|id| !id.is_empty())
 }
 
-/// What names the message in each of its deliveries.
+/// Identifies the message across its deliveries; `None` if it has nothing to identify it.
 fn identity(properties: &Properties, queue: &str) -> Option<Arc<str>> {
     if let Some(id) = message_id(properties) {
         return Some(format!("{queue}\0{id}").into());
@@ -296,7 +302,8 @@
     Some(format!("{queue}\0\0{reply_to}\0{correlation_id}").into())
 }
 
-/// Under which workers drop repeats; where it is needed the message's own id does, as each delivery carries the same.
+/// The idempotency key. If a class needs one and the message gives none, the id of the message is used, because every
+/// delivery carries the same id.
 fn key(
     headers: Headers<'_>,
     message_id: Option<&str>,
@@ -312,19 +319,19 @@
     }
 }
 
-/// Where the answer to a message goes; kept until it is published.
+/// Where and how the answer to a message is published.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReplyAddress {
-    /// Where the answer goes; `None`: nowhere.
+    /// The queue that the answer goes to; `None` if the client wants no answer.
     pub reply_to: Option<ShortStr>,
-    /// What ties it to the request.
+    /// The correlation id that the answer repeats.
     pub correlation_id: Option<ShortStr>,
-    /// Whether the answer is to outlive the broker, as the request was.
+    /// The delivery mode of the message, which the answer repeats: 2 if it must survive a restart of the broker.
     pub delivery_mode: Option<u8>,
 }
 
 impl ReplyAddress {
-    /// From the properties of the request's message.
+    /// Reads the address from the properties of a message. The message id replaces a missing correlation id.
     pub fn from_properties(properties: &Properties) -> Self {
         ReplyAddress {
             reply_to: properties.reply_to.clone().filter(|r| !r.is_empty()),
@@ -344,7 +351,7 @@
         .with("pipithub-attempts", i64::from(attempts))
 }
 
-/// The answer as a message.
+/// The properties and body of the message that carries a final answer.
 pub fn answer(address: &ReplyAddress, reply: &Reply) -> (Properties, Bytes) {
     let mut headers = headers(reply.verdict.as_str(), reply.cause.as_str(), reply.attempts);
     if let Some(after) = reply.retry_after {
@@ -369,7 +376,7 @@
     (properties(address, headers, content_type), body)
 }
 
-/// The answer to a message that is no request: a rejection, for it never ran.
+/// The properties of the answer to a message that cannot be read as a call. It is a rejection, because nothing ran.
 pub fn answer_unreadable(address: &ReplyAddress, error: &MessageError) -> Properties {
     let headers =
         headers("refused", "unreadable", 0).with("pipithub-reason", error.to_string().as_str());
@@ -391,7 +398,7 @@
     }
 }
 
-/// The properties of the copy of an unreadable message that goes to the dead letters.
+/// The properties of a dead letter: the copy of a message that cannot be read as a call.
 pub fn dead_letter(original: &Properties, queue: &str, error: &MessageError) -> Properties {
     let headers = original.headers.clone().unwrap_or_default();
     let headers = headers
--- a/crates/pipithub-consumer/src/replay.rs
+++ b/crates/pipithub-consumer/src/replay.rs
@@ -1,9 +1,10 @@
-//! Which signed messages were accepted before, across steps of the wall clock.
+//! Recognizes signed messages that were accepted before, also across steps of the wall clock.
 //!
-//! A message's signed timestamp is judged against the wall clock by its caller. Here spans are monotonic time: an id is
-//! remembered for as long as its message could still be accepted, also after a step back of [`MAX_STEP_BACK`]. What had
-//! to be forgotten earlier, for want of room or by greater steps, cannot be told from a replay: its timestamps are kept as
-//! a few spans, and a message from within them is not new.
+//! The caller checks the signed timestamp of a message against the wall clock. Here durations are monotonic time: an id
+//! is remembered for as long as its message could still be accepted, also after a step back of [`MAX_STEP_BACK`]. An id
+//! may have to be forgotten earlier, because the memory is full or the step was greater. Its message could not be told
+//! from a replay then, so the timestamps of forgotten ids are kept as a few spans, and no message from within them is
+//! accepted as new.
 
 use std::collections::{HashSet, VecDeque};
 
@@ -11,21 +12,21 @@
 use sha2::{Digest, Sha256};
 
 const NANOS_PER_MS: Time = 1_000_000;
-/// Ids remembered at a time; each takes about 70 bytes.
+/// The maximum number of ids remembered; each takes about 70 bytes.
 const MAX_REMEMBERED: usize = 500_000;
-/// A step back of the wall clock that brings no forgotten message back into its time.
+/// The maximum step back of the wall clock after which no forgotten message can be accepted again.
 const MAX_STEP_BACK: Time = 3_600_000 * NANOS_PER_MS;
-/// Spans of timestamps whose ids were forgotten.
+/// The maximum number of spans of timestamps whose ids were forgotten.
 const MAX_SPANS: usize = 8;
-/// Forgotten timestamps this close together make one span.
+/// Forgotten timestamps that are this close together form one span.
 const SPAN_GAP_MS: u64 = 1_000;
 
-/// How long a message can be accepted.
+/// How far the timestamp of a message may lie from the wall time at which it is accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tolerance {
-    /// A timestamp may lie so far behind the wall clock.
+    /// The maximum time that it may lie in the past, in milliseconds.
     pub behind_ms: u64,
-    /// And so far ahead of it.
+    /// The maximum time that it may lie in the future, in milliseconds.
     pub ahead_ms: u64,
 }
 
@@ -39,7 +40,7 @@
         wall_ms.saturating_sub(sent_ms) > self.behind_ms
     }
 
-    /// For how long an id is remembered at the least.
+    /// The minimum time for which an id is remembered.
     fn span(&self) -> Time {
         let accepted_ms = self.behind_ms.saturating_add(self.ahead_ms);
         accepted_ms
@@ -48,7 +49,7 @@
     }
 }
 
-/// The first half of the id's SHA-256: as long for every id.
+/// The first half of the SHA-256 of an id, which has the same length for every id.
 type IdDigest = [u8; 16];
 
 fn digest(id: &str) -> IdDigest {
@@ -65,12 +66,12 @@
     accepted: Time,
 }
 
-/// The messages accepted so far, bounded.
+/// The signed messages that were accepted, bounded in number.
 #[derive(Clone, Debug)]
 pub struct ReplayMemory {
     capacity: usize,
     ids: HashSet<IdDigest>,
-    /// In the order in which they were accepted.
+    /// The remembered messages in the order in which they were accepted.
     by_arrival: VecDeque<Remembered>,
     forgotten: ForgottenSpans,
 }
@@ -82,7 +83,7 @@
 }
 
 impl ReplayMemory {
-    /// Remembers at most so many ids, one at the least.
+    /// Creates a memory for at most `capacity` ids; a capacity of 0 counts as 1.
     pub fn with_capacity(capacity: usize) -> Self {
         ReplayMemory {
             capacity: capacity.max(1),
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Whether a message is new; it is remembered from now on.
+    /// Whether a message is new. A new one is remembered from now on.
     pub fn is_new(
         &mut self,
         id: &str,
@@ -142,7 +143,7 @@
     last_ms: u64,
 }
 
-/// Timestamps whose ids were forgotten: spans in rising order, apart from each other.
+/// The timestamps whose ids were forgotten, as spans in rising order that do not touch.
 #[derive(Clone, Debug, Default)]
 struct ForgottenSpans(Vec<Span>);
 
@@ -170,7 +171,7 @@
             joins
         });
         if self.0.len() > MAX_SPANS {
-            // The oldest timestamps, and what lies between them, are the last to be missed.
+            // Joining the two oldest spans also covers what lies between them, which least likely holds new messages.
             let second = self.0.remove(1);
             self.0[0].last_ms = second.last_ms;
         }
--- a/crates/pipithub-engine/src/redelivery.rs
+++ b/crates/pipithub-engine/src/redelivery.rs
@@ -64,8 +64,8 @@
     settled_at: Time,
 }
 
-/// The messages that are pending or were settled recently, by identity. Their number and age are bounded. A message that
-/// was forgotten counts as unknown, which is safe: it runs again only if its class allows that.
+/// The messages that are pending or were settled recently, by identity. Their number and age are bounded. A message
+/// that was forgotten counts as unknown, which is safe: it runs again only if its class allows that.
 #[derive(Debug)]
 pub(crate) struct DeliveryHistory {
     max_settled: usize,
--- a/crates/pipithub-engine/tests/engine/tenants.rs
+++ b/crates/pipithub-engine/tests/engine/tenants.rs
@@ -50,8 +50,8 @@
     only_forwarded(&out);
 }
 
-/// The answer of the former tenant's worker must not reach a user who belongs to another tenant by then, and the call must
-/// not be retried.
+/// The answer of the former tenant's worker must not reach a user who belongs to another tenant by then, and the call
+/// must not be retried.
 #[test]
 fn pending_calls_of_a_migrated_user_fail_at_once_and_are_not_retried() {
     let mut harness = Harness::new(settings_with_owners());
--- a/crates/pipithub-engine/tests/random_faults/main.rs
+++ b/crates/pipithub-engine/tests/random_faults/main.rs
@@ -1,5 +1,5 @@
-//! Two engines, a broker and workers under random faults. What is checked is seen from outside: each message gets exactly
-//! one final answer within its client's time, and no call takes effect more often than its class allows.
+//! Two engines, a broker and workers under random faults. What is checked is seen from outside: each message gets
+//! exactly one final answer within its client's time, and no call takes effect more often than its class allows.
 
 mod broker;
 mod events;
