--- a/crates/pipithub-admission/src/admission.rs
+++ b/crates/pipithub-admission/src/admission.rs
@@ -1,4 +1,4 @@
-//! From a request to its tenant, and on to the tenant's quota.
+//! Finds the tenant of each request and passes it on to the quota of that tenant.
 
 use std::collections::BTreeMap;
 
@@ -8,23 +8,24 @@
 use crate::quotas::{Candidate, Decision, QuotaSettings, Quotas};
 use crate::{SECOND, Time};
 
-/// A user's refresh is asked for again after this at the soonest.
+/// The minimum time between refreshes of the same user.
 const MIN_REFRESH_INTERVAL: Time = SECOND;
-/// Users that are remembered for that.
+/// The maximum number of users whose last refresh is remembered.
 const MAX_REFRESHES: usize = 4_096;
-/// The client of an unknown user should not retry sooner: by then the directories may have answered.
+/// How long the client of an unknown user should wait before it retries. By then the directories may have answered.
 const UNKNOWN_USER_RETRY_AFTER: Time = SECOND;
-/// A request may spend this part of its time on waiting for its user to be known.
+/// A request may wait for the look-up of its user for this part of its remaining time.
 const IDENTITY_WAIT_DIVISOR: Time = 4;
 
-/// What admission is given at its start.
+/// The settings of admission control.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionSettings {
-    /// Quotas and classes.
+    /// The quotas of the tenants and the weights of the classes.
     pub quotas: QuotaSettings,
-    /// A request waits no longer than this for its user to be known, nor than a quarter of its time.
+    /// The maximum time that a request waits for the look-up of its user, in nanoseconds. It never waits for more than
+    /// a quarter of its remaining time.
     pub max_identity_wait: Time,
-    /// Requests that may wait for that.
+    /// The maximum number of requests that wait for a look-up.
     pub max_waiting: usize,
 }
 
@@ -33,12 +34,12 @@
 struct Pending<T> {
     arrival: Arrival<T>,
     arrived_at: Time,
-    /// Known once its user's tenant is.
+    /// The person that the user name stood for when the request was judged; `None` before, and without a user.
     person: Option<PersonId>,
 }
 
 impl<T> Pending<T> {
-    /// Whether its user is still the person and the tenant's that it was judged by.
+    /// Whether its user is still the same person and belongs to the same tenant as when the request was judged.
     fn still_belongs_to(&self, tenant: usize, roster: &Roster, now: Time) -> bool {
         let (Some(user), Some(expected)) = (&self.arrival.user, self.person) else {
             return true;
@@ -73,21 +74,20 @@
     }
 }
 
-/// The admission control of a front end.
+/// The admission control of a front end. `T` identifies a request to the caller.
 #[derive(Debug)]
 pub struct Admission<T> {
     settings: AdmissionSettings,
     waiting: PendingLookups<Pending<T>>,
     quotas: Quotas<Pending<T>>,
-    /// When a user that is known already was last asked for again: a busy user's refresh is wanted once, not with each
-    /// request.
+    /// When the refresh of a known user was last asked for, so that a busy user is not refreshed with each request.
     refreshes: BTreeMap<User, Time>,
-    /// Used again for each step, so that it is allocated once.
+    /// Empty between calls; kept so that its memory is used again.
     decisions: Vec<Decision<Pending<T>>>,
 }
 
 impl<T> Admission<T> {
-    /// One that has admitted nothing.
+    /// Creates an admission control with no request in flight.
     pub fn new(settings: AdmissionSettings) -> Self {
         Admission {
             waiting: PendingLookups::new(settings.max_waiting),
@@ -98,12 +98,12 @@
         }
     }
 
-    /// Requests that wait for anything here.
+    /// The number of requests that wait for a look-up or in the queue of their tenant.
     pub fn pending(&self) -> usize {
         self.waiting.len() + self.quotas.queued()
     }
 
-    /// When [`Admission::tick`] is due next.
+    /// When [`Admission::tick`] is due next; `None` if no request waits.
     pub fn next_due(&self) -> Option<Time> {
         [self.waiting.next_due(), self.quotas.next_due()]
             .into_iter()
@@ -111,7 +111,7 @@
             .min()
     }
 
-    /// A request arrives.
+    /// Handles a new request. Each request gets one [`Output::Admit`] or [`Output::Reject`], now or later.
     pub fn arrive(
         &mut self,
         now: Time,
@@ -135,12 +135,12 @@
         let until = now + self.settings.max_identity_wait.min(max_wait);
         match self.waiting.add(now, until, user.clone(), pending) {
             Ok(()) => outputs.push(Output::LookUp { user, urgent: true }),
-            // As many wait as may: it is judged by what is known.
+            // The limit on waiting requests is reached, so the request is judged by what is known now.
             Err(pending) => self.judge(now, roster, view, pending, outputs),
         }
     }
 
-    /// A route that takes requests without users speaks for its tenant: a timer's, a desk's own queue.
+    /// Without a user, a request belongs to the tenant of its route, such as a schedule or a queue of the tenant.
     fn arrive_without_user(
         &mut self,
         now: Time,
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Whether a request has to wait for its user to be looked up; a refresh that it need not wait for is asked for here.
+    /// Whether a request has to wait for the look-up of its user. Also asks for a refresh that it need not wait for.
     fn needs_lookup(
         &mut self,
         now: Time,
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Whether a user's refresh was not asked for a moment ago; from now on it was.
+    /// Whether the refresh of a user may be asked for again, which is recorded as done now.
     fn may_refresh(&mut self, now: Time, user: &User) -> bool {
         let is_recent = |at: Time| now < at + MIN_REFRESH_INTERVAL;
         if self.refreshes.get(user).is_some_and(|at| is_recent(*at)) {
@@ -193,7 +193,7 @@
         true
     }
 
-    /// Decides by what is known of a request's user.
+    /// Rejects a request or offers it to the quota of its tenant, by what is known of its user.
     fn judge(
         &mut self,
         now: Time,
@@ -240,7 +240,7 @@
     }
 
     fn apply_decisions(&mut self, now: Time, roster: &Roster, outputs: &mut Vec<Output<T>>) {
-        // Taken from the end: those that were given their places first go first.
+        // Reversed, so that popping from the end keeps the order of the decisions.
         self.decisions.reverse();
         while let Some(decision) = self.decisions.pop() {
             outputs.push(match decision {
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Admits a request that has a place, unless its user moved while it waited for that.
+    /// Admits a request that its quota allows, unless its user was migrated while it waited.
     fn admit(
         &mut self,
         now: Time,
@@ -280,7 +280,7 @@
         pending.reject(reason, 0)
     }
 
-    /// More is known of a user: whoever waits for it is judged by what is known now.
+    /// Handles an update of what is known of a user: requests that wait for the look-up are judged by it.
     pub fn user_updated(
         &mut self,
         now: Time,
@@ -294,7 +294,7 @@
         }
     }
 
-    /// An admitted request has had its final answer.
+    /// Handles that an admitted request has its final answer, which frees its place in the quota.
     pub fn completed(
         &mut self,
         now: Time,
@@ -313,10 +313,11 @@
         self.apply_decisions(now, roster, outputs);
     }
 
-    /// Time has passed.
+    /// Handles what is due: look-ups that took too long, waits in queues that are over, and quota that became free.
     pub fn tick(&mut self, now: Time, roster: &Roster, outputs: &mut Vec<Output<T>>) {
         for ended in self.waiting.expire(now) {
-            // What is known and past its best is still better than a rejection, up to its hard bound.
+            // A stale record is still better than a rejection; the roster does not return records beyond their hard
+            // limit.
             let view = roster.resolve(&ended.user, now);
             self.judge(now, roster, view, ended.request, outputs);
         }
@@ -324,7 +325,7 @@
         self.apply_decisions(now, roster, outputs);
     }
 
-    /// Drops requests that their source took back; nothing is owed for them any more.
+    /// Drops waiting requests that were cancelled. They get no output any more.
     pub fn cancel(&mut self, mut is_cancelled: impl FnMut(&T) -> bool) {
         self.waiting
             .cancel(|pending| is_cancelled(&pending.arrival.request));
--- a/crates/pipithub-admission/src/lib.rs
+++ b/crates/pipithub-admission/src/lib.rs
@@ -1,8 +1,8 @@
-//! What happens to a request before the decision module sees it, without I/O.
+//! Admission control: what happens to a request before the decision module sees it, without I/O.
 //!
-//! An [`Admission`] ties a request to its user's tenant, has it wait a bounded time where nobody knows the user yet, and
-//! holds each tenant to its rate and quota, lending what others leave idle. It rejects, delays and admits; it never sends,
-//! and where a request runs is the module's matter alone.
+//! An [`Admission`] finds the tenant of a request's user, lets the request wait for a bounded time if the user is not
+//! known yet, and holds each tenant to its rate limit and quota, lending out quota that is idle. It admits, queues and
+//! rejects requests. Where a request runs is decided by the decision module alone.
 
 mod admission;
 mod outputs;
--- a/crates/pipithub-admission/src/outputs.rs
+++ b/crates/pipithub-admission/src/outputs.rs
@@ -1,78 +1,78 @@
-//! What admission is told of requests, and what it says of them.
+//! The inputs and outputs of admission control.
 
 use pipithub_directory::{PersonId, TenantId, User};
 
 use crate::Time;
 
-/// A request that has come in.
+/// A request that has arrived.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival<T> {
-    /// The request, as its owner names it.
+    /// Identifies the request to the caller.
     pub request: T,
-    /// Whose request it is; `None`: nobody has said so.
+    /// The user who made the request; `None` if it does not state one.
     pub user: Option<User>,
-    /// The tenant that its route belongs to.
+    /// The tenant that the route of the request belongs to; `None` if it belongs to none.
     pub route_tenant: Option<TenantId>,
-    /// Its class.
+    /// The number of its class, as in the settings of the quotas.
     pub class: usize,
-    /// What remains of its time.
+    /// The time that is left until its deadline, in nanoseconds.
     pub remaining: Time,
 }
 
-/// Why a request is not admitted.
+/// The reason why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RejectReason {
-    /// It does not say whose it is, and neither does its route.
+    /// Neither the request nor its route states to whom it belongs.
     NoUser,
-    /// Nobody could say in time whose user it is.
+    /// No directory answered in time which tenant the user belongs to.
     UnknownUser,
-    /// Its user is no tenant's.
+    /// The user belongs to no tenant.
     NoTenant,
-    /// More than one tenant's directory has its user.
+    /// The directories of more than one tenant have the user.
     ClaimedTwice,
-    /// Its route is another tenant's.
+    /// The route belongs to another tenant than the user.
     OtherTenant,
-    /// Its tenant has no place for it.
+    /// The tenant has used up its quota, and its queue is full or the request waited in it for too long.
     OverQuota,
-    /// Its tenant makes more requests than it may.
+    /// The tenant exceeds its rate limit.
     OverRate,
 }
 
-/// What an admitted request is.
+/// What admission control found out about an admitted request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Admitted {
-    /// Its tenant.
+    /// The tenant that the request belongs to.
     pub tenant: TenantId,
-    /// Its user's person, where its user decided.
+    /// The person that the user name stands for; `None` if the request states no user.
     pub person: Option<PersonId>,
-    /// How long it waited here.
+    /// The time that the request waited here, in nanoseconds.
     pub waited: Time,
 }
 
-/// What to do.
+/// What the caller is to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output<T> {
-    /// Hand it to the module; one [`crate::Admission::completed`] is owed.
+    /// Pass the request on. [`crate::Admission::completed`] must be called once when it has its final answer.
     Admit {
-        /// The request.
+        /// The request to pass on.
         request: T,
-        /// What it is.
+        /// Its tenant and user.
         admitted: Admitted,
     },
-    /// Answer that it was rejected.
+    /// Answer the request with a rejection.
     Reject {
-        /// The request.
+        /// The request to answer.
         request: T,
-        /// Why.
+        /// The reason for the rejection.
         reason: RejectReason,
-        /// For how long its client should not retry; 0: nothing is said of it.
+        /// How long the client should wait before it retries, in nanoseconds; 0 if the answer does not say.
         retry_after: Time,
     },
-    /// Ask the directories.
+    /// Look up a user in the directories. [`crate::Admission::user_updated`] is called when more is known of the user.
     LookUp {
-        /// Whom they are asked for.
+        /// The user to look up.
         user: User,
-        /// Whether a request waits for the answer.
+        /// Whether a request waits for the result.
         urgent: bool,
     },
 }
@@ -80,21 +80,21 @@
 /// How an admitted request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceResult {
-    /// A worker answered.
+    /// A worker ran the request and answered.
     Served,
-    /// The module found no worker that would answer in time.
+    /// The decision module found no worker that could answer in time.
     NoWorkerInTime,
-    /// Otherwise.
+    /// The request ended in another way.
     Other,
 }
 
 /// An admitted request that has had its final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Completion {
-    /// Its tenant.
+    /// The tenant that the request belongs to.
     pub tenant: TenantId,
-    /// How it ended.
+    /// The way in which the request ended.
     pub result: ServiceResult,
-    /// The time since it was admitted.
+    /// The time since the request was admitted, in nanoseconds.
     pub service_time: Time,
 }
--- a/crates/pipithub-admission/src/quotas.rs
+++ b/crates/pipithub-admission/src/quotas.rs
@@ -1,14 +1,15 @@
-//! Tenants' rates and quotas.
+//! The rate limits and quotas of tenants.
 //!
-//! A front end's limit on requests in flight is not set but found: it is cut when the module finds no worker for a request
-//! in time while some tenant asks for far more than its quota, and grows slowly while that is not so. Where nobody asks for
-//! more than their quota, or a tenant is alone, nothing is cut: requests that find no worker then are for the module to
-//! reject, and a limit would reject more (loads that take long fill any limit on requests in flight).
+//! The limit on requests in flight of a front end is adaptive. It is cut when the decision module finds no worker for a
+//! request in time while some tenant asks for far more than its quota, and it grows slowly otherwise. It is not cut if
+//! no tenant asks for more than its quota or if there is only one tenant. The decision module rejects requests that
+//! find no worker then, and a limit would reject more of them, because slow loads fill any limit on requests in flight.
 //!
-//! Throttled are those tenants alone that ask for far more than their quota, the noisy neighbours. While there are free
-//! workers they borrow what others leave: up to their part of the limit for certain, then up to the whole of it, classes of
-//! greater weight further. While requests find no worker, each starts its share of what is being served, or what the
-//! others leave of it.
+//! Only tenants that ask for far more than their quota are throttled; they are called noisy neighbours. While there are
+//! free workers, a noisy neighbour may borrow quota that others leave idle: it may always use its own part of the
+//! limit, and beyond that the rest of the limit, of which classes of low weight may use less. While requests find no
+//! worker, it starts requests only at the rate of its share of what is being served, or at the rate that the others
+//! leave.
 
 mod limit;
 mod rate;
@@ -27,34 +28,35 @@
 use crate::outputs::{RejectReason, ServiceResult};
 use crate::{MS, SECOND, Time};
 
-/// No client is told to stay away for longer.
+/// The maximum Retry-After that clients are given.
 const MAX_RETRY_AFTER: Time = 5 * SECOND;
-/// No client of a full queue is told to stay away for less.
+/// The minimum Retry-After that clients of a full queue are given.
 const MIN_QUEUE_RETRY_AFTER: Time = 20 * MS;
-/// A request may spend this part of its time on waiting for a place.
+/// A request may wait in the queue of its tenant for this part of its remaining time.
 const QUEUE_WAIT_DIVISOR: Time = 10;
-/// Of the limit, what requests of classes that weigh less than half of the greatest may borrow.
+/// The part of the limit up to which a class may borrow that weighs less than half of the greatest weight.
 const LOW_PRIORITY_BORROWING: f64 = 0.9;
-/// A tenant that asks for this many times its quota of all that is asked is why others find no worker.
+/// A tenant whose part of all requests is more than this many times its quota is a noisy neighbour.
 const NOISY_FACTOR: f64 = 1.5;
-/// Whoever asks for more than this part of all that is asked is a noisy neighbour, however great its quota.
+/// A tenant whose part of all requests is greater than this is a noisy neighbour, however great its quota.
 const NOISY_MAX_FRACTION: f64 = 0.95;
-/// While requests find no worker, a noisy neighbour starts this part of what it may: what waits must go first.
+/// During congestion a noisy neighbour starts requests at this part of the rate that it may, so that the backlog
+/// shrinks.
 const THROTTLED_FRACTION: f64 = 0.9;
-/// For how long after the last sign of congestion it is taken to go on.
+/// Congestion is assumed to last for this long after its last sign.
 const CONGESTION_WINDOW: Time = SECOND;
-/// Answers that take this many times their usual time are a sign that more is under way than is served.
+/// A recent service time of this many times the usual one is a sign of congestion.
 const CONGESTION_SLOWDOWN: f64 = 2.0;
-/// The newest request's weight in the usual service time.
+/// The weight of the newest request in the usual service time.
 const USUAL_TIME_SMOOTHING: f64 = 0.01;
-/// The newest request's weight in the recent service time.
+/// The weight of the newest request in the recent service time.
 const RECENT_TIME_SMOOTHING: f64 = 0.2;
-/// The service time, in nanoseconds, before any is known.
+/// The service time that is assumed before any request was served, in nanoseconds.
 const INITIAL_SERVICE_TIME: f64 = 50e6;
-/// No service time counts as shorter than this, in nanoseconds.
+/// The minimum service time in estimates, in nanoseconds.
 const MIN_SERVICE_TIME: f64 = 1e5;
 
-/// A request that wants a place.
+/// A request that its tenant wants to start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Candidate<T> {
     pub(crate) request: T,
@@ -72,12 +74,12 @@
     }
 }
 
-/// What becomes of a request.
+/// The decision on a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Decision<T> {
-    /// It has a place: one [`Quotas::completed`] is owed.
+    /// The request may start. [`Quotas::completed`] must be called once when it has ended.
     Admit(Candidate<T>),
-    /// It has none in time, or its tenant makes more requests than it may.
+    /// The request may not start in time, or its tenant exceeds its rate limit.
     Reject {
         candidate: Candidate<T>,
         reason: RejectReason,
@@ -85,7 +87,7 @@
     },
 }
 
-/// When a request that is queued has waited as long as it may.
+/// The time until which a queued request may wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Deadline {
     at: Time,
@@ -93,7 +95,7 @@
     key: QueueKey,
 }
 
-/// The quotas of a front end's tenants.
+/// The quotas of all tenants at one front end.
 #[derive(Debug)]
 pub(crate) struct Quotas<T> {
     tenants: Vec<Tenant<T>>,
@@ -102,10 +104,11 @@
     max_queue_wait: Time,
     limit: ConcurrencyLimit,
     in_flight: usize,
-    /// Means of the service time, in nanoseconds: over many requests, and over the last few.
+    /// The mean service time of many requests, in nanoseconds.
     usual_service_time: f64,
+    /// The mean service time of the last few requests, in nanoseconds.
     recent_service_time: f64,
-    /// The last sign of congestion.
+    /// When the last sign of congestion was seen.
     congested_at: Option<Time>,
     served: DecayingRate,
     deadlines: BTreeSet<Deadline>,
@@ -113,7 +116,7 @@
 }
 
 impl<T> Quotas<T> {
-    /// Quotas of which none is used.
+    /// Creates quotas of which none is used.
     pub(crate) fn new(settings: QuotaSettings) -> Self {
         let max_class_weight = settings.class_weights.iter().copied().fold(0.0, f64::max);
         Quotas {
@@ -132,17 +135,17 @@
         }
     }
 
-    /// Requests that wait for a place.
+    /// The number of requests in the queues of all tenants.
     pub(crate) fn queued(&self) -> usize {
         self.deadlines.len()
     }
 
-    /// When a request that is queued has waited as long as it may.
+    /// When the wait of the next queued request ends; `None` if none is queued.
     pub(crate) fn next_due(&self) -> Option<Time> {
         self.deadlines.first().map(|deadline| deadline.at)
     }
 
-    /// A request comes; `remaining` is what remains of its time.
+    /// Handles a new request; `remaining` is the time until its deadline.
     pub(crate) fn offer(
         &mut self,
         now: Time,
@@ -154,8 +157,8 @@
         let Some(tenant) = self.tenants.get_mut(candidate.tenant) else {
             return decisions.push(candidate.reject(RejectReason::OverQuota, MAX_RETRY_AFTER));
         };
-        if let Err(retry_after) = tenant.record_arrival(now) {
-            return decisions.push(candidate.reject(RejectReason::OverRate, retry_after));
+        if let Err(exceeded) = tenant.record_arrival(now) {
+            return decisions.push(candidate.reject(RejectReason::OverRate, exceeded.retry_after));
         }
         if tenant.queue.is_empty() && self.may_start(candidate.tenant, candidate.class, now) {
             return self.start(now, candidate, decisions);
@@ -193,8 +196,8 @@
         self.fill(now, decisions);
     }
 
-    /// Whether a tenant's queue has a place. Where it is full a request of greater weight takes the place of the one of
-    /// least weight, of these the latest.
+    /// Whether a request of this weight may join the queue of its tenant. If the queue is full, the request displaces
+    /// the one of least weight, and of those the latest, if that weighs less than itself.
     fn make_place(
         &mut self,
         tenant: usize,
@@ -232,7 +235,7 @@
         decisions.push(Decision::Admit(candidate));
     }
 
-    /// How long until a tenant's queue will have gone, at its own pace.
+    /// How long a tenant needs to work off its queue at the rate of its quota, within the bounds of a Retry-After.
     fn queue_retry_after(&self, tenant: usize, now: Time) -> Time {
         let own = &self.tenants[tenant];
         let quota = self.guaranteed(tenant, now);
@@ -241,7 +244,7 @@
         ((ahead / pace) as Time).clamp(MIN_QUEUE_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
-    /// A request that had a place has ended, `service_time` after it was admitted.
+    /// Handles that a request has ended, `service_time` after it was admitted.
     pub(crate) fn completed(
         &mut self,
         now: Time,
@@ -287,7 +290,7 @@
         }
     }
 
-    /// Gives free places to requests that wait: the tenant that has least for its weight goes first.
+    /// Starts queued requests as long as quotas allow, first of the tenant that has the least in flight for its weight.
     fn fill(&mut self, now: Time, decisions: &mut Vec<Decision<T>>) {
         while let Some(tenant) = self.next_to_start(now) {
             let Some((key, queued)) = self.tenants[tenant].queue.pop_first() else {
@@ -302,7 +305,7 @@
         }
     }
 
-    /// Of the tenants whose next request may start, the one that has least in flight for its weight.
+    /// Of the tenants whose next request may start, the one that has the least in flight for its weight.
     fn next_to_start(&self, now: Time) -> Option<usize> {
         let tenants = self.tenants.iter().enumerate();
         let startable = tenants.filter_map(|(number, tenant)| {
@@ -315,7 +318,7 @@
         Some(number)
     }
 
-    /// Time has passed.
+    /// Handles what is due: requests whose wait is over are rejected, and others may start.
     pub(crate) fn tick(&mut self, now: Time, decisions: &mut Vec<Decision<T>>) {
         self.limit.grow(now);
         self.fill(now, decisions);
@@ -333,7 +336,7 @@
         }
     }
 
-    /// Drops requests that wait and are not wanted any more.
+    /// Drops queued requests that were cancelled.
     pub(crate) fn cancel(&mut self, mut is_cancelled: impl FnMut(&T) -> bool) {
         for tenant in &mut self.tenants {
             tenant
@@ -354,12 +357,14 @@
         if own.in_flight >= own.quota.max_in_flight {
             return false;
         }
-        // Whoever asks for no more than on any day is not throttled for a storm of others; the module sees to the rest.
+        // Other tenants are not throttled because of a noisy neighbour. The decision module rejects what finds no
+        // worker.
         if !self.is_noisy_neighbor(tenant, now) {
             return true;
         }
         if self.is_congested(now) {
-            // Never nothing: what it starts is part of what is served, and its share of that could shrink for ever.
+            // One request may always be in flight. The allowed rate depends on what is served, to which the own
+            // requests belong, so it could otherwise shrink to nothing.
             return own.in_flight == 0
                 || own.admitted.per_second(now)
                     <= self.allowed_rate(tenant, now) * THROTTLED_FRACTION;
@@ -380,13 +385,13 @@
             .is_some_and(|at| now < at + CONGESTION_WINDOW)
     }
 
-    /// The requests in flight that a tenant has for certain now.
+    /// The number of requests in flight that a tenant may always have now.
     fn guaranteed(&self, tenant: usize, now: Time) -> f64 {
-        // Never nothing: a quota too small for a whole request is still a quota.
+        // A quota of less than one request still allows one.
         (self.limit.current() * self.fraction(tenant, now)).max(1.0)
     }
 
-    /// A tenant's part among those that have asked lately, from 0 to 1.
+    /// The quota of a tenant as a part of the quotas of all tenants that were active recently, from 0 to 1.
     fn fraction(&self, tenant: usize, now: Time) -> f64 {
         let Some(own) = self.tenants.get(tenant) else {
             return 0.0;
@@ -401,13 +406,13 @@
         own.quota.weight / total.max(f64::MIN_POSITIVE)
     }
 
-    /// Whether some tenant asks for far more than its quota while others ask too.
+    /// Whether some active tenant is a noisy neighbour.
     fn has_noisy_neighbor(&self, now: Time) -> bool {
         let mut tenants = self.tenants.iter().enumerate();
         tenants.any(|(number, tenant)| tenant.is_active(now) && self.is_noisy_neighbor(number, now))
     }
 
-    /// Whether a tenant asks for far more than its quota; alone, nobody does.
+    /// Whether a tenant asks for far more than its quota. A tenant that is alone never does.
     fn is_noisy_neighbor(&self, tenant: usize, now: Time) -> bool {
         let fraction = self.fraction(tenant, now);
         let demands = self
@@ -419,7 +424,8 @@
         fraction < 1.0 && self.tenants[tenant].demand.per_second(now) > bound
     }
 
-    /// Requests a second of a noisy neighbour that are its share of what is served, or what the others leave of it.
+    /// The rate at which a noisy neighbour may start requests, per second: its quota of what is being served, or what
+    /// the other tenants leave if that is more.
     fn allowed_rate(&self, tenant: usize, now: Time) -> f64 {
         let served = self.served.per_second(now);
         let (mut others_demand, mut noisy_weights) = (0.0, 0.0);
--- a/crates/pipithub-admission/src/quotas/limit.rs
+++ b/crates/pipithub-admission/src/quotas/limit.rs
@@ -1,20 +1,20 @@
-//! The limit on requests in flight: cut where the module finds no worker, growing slowly otherwise.
+//! The adaptive limit on requests in flight. It is cut when a request finds no worker, and grows slowly otherwise.
 
 use super::settings::LimitRange;
 use crate::{MS, Time};
 
-/// Cuts are no closer than this: what was in flight when the last one came must end first.
+/// The minimum time between cuts. Requests that were in flight at the last cut must end before the next.
 const MIN_CUT_INTERVAL: Time = 100 * MS;
-/// What a cut leaves after a request beyond its tenant's quota found no worker.
+/// The factor of a cut after a request beyond the quota of its tenant found no worker.
 const CUT_FACTOR: f64 = 0.95;
-/// What a cut leaves after a request within its tenant's quota found none.
+/// The factor of a cut after a request within the quota of its tenant found no worker.
 pub(super) const CUT_FACTOR_WITHIN_QUOTA: f64 = 0.8;
-/// By how much the limit grows in a second.
+/// The relative growth of the limit per second.
 const GROWTH_PER_SECOND: f64 = 0.03;
-/// A longer silence lets the limit grow no further at once.
+/// The maximum time that one step of growth accounts for, in seconds.
 const MAX_GROWTH_SECONDS: f64 = 60.0;
 
-/// The limit, as found so far.
+/// The limit with its bounds. It starts at the maximum.
 #[derive(Debug)]
 pub(super) struct ConcurrencyLimit {
     min: f64,
--- a/crates/pipithub-admission/src/quotas/settings.rs
+++ b/crates/pipithub-admission/src/quotas/settings.rs
@@ -1,26 +1,26 @@
-//! What quotas are given at their start.
+//! The settings of quotas.
 
 use crate::Time;
 
-/// A tenant's limit on requests over time, as a token bucket.
+/// The rate limit of a tenant, which is enforced by a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Requests a second.
+    /// The number of requests per second.
     pub per_second: f64,
-    /// Requests that may come at once.
+    /// The number of requests that may arrive at once; less than 1 counts as 1.
     pub burst: f64,
 }
 
-/// What a tenant is due.
+/// The quota of a tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantQuota {
-    /// Its part, in proportion to others'.
+    /// The weight of the tenant. Its quota is its weight as a part of the weights of all active tenants.
     pub weight: f64,
-    /// Requests that it may make at all; `None`: no limit of its own.
+    /// The rate limit on all its requests; `None` if there is none.
     pub rate: Option<RateLimit>,
-    /// Requests in flight that it may have at all, whatever is idle.
+    /// The maximum number of requests in flight, even if others leave their quotas idle.
     pub max_in_flight: usize,
-    /// Requests that may wait for a place.
+    /// The maximum number of requests in its queue.
     pub max_queued: usize,
 }
 
@@ -35,24 +35,25 @@
     }
 }
 
-/// Bounds of the limit on requests in flight, which begins at the greater.
+/// The bounds of the adaptive limit on requests in flight, which starts at the maximum.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitRange {
-    /// It is never below this.
+    /// The minimum number of requests in flight; less than 1 counts as 1.
     pub min: f64,
-    /// And never above this.
+    /// The maximum number of requests in flight; less than 1 counts as 1.
     pub max: f64,
 }
 
-/// What quotas are given at their start.
+/// The settings of quotas.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaSettings {
-    /// The tenants.
+    /// The quota of each tenant, in the order of the numbers of the tenants.
     pub tenants: Vec<TenantQuota>,
-    /// The priority weight of each class.
+    /// The priority weight of each class, in the order of their numbers; a class beyond them weighs 1.
     pub class_weights: Vec<f64>,
     /// Bounds of the limit on requests in flight.
     pub limit: LimitRange,
-    /// A request waits no longer than this for a place, nor than a tenth of its time.
+    /// The maximum time that a request waits in its queue, in nanoseconds. It never waits for more than a tenth of its
+    /// remaining time.
     pub max_queue_wait: Time,
 }
--- a/crates/pipithub-admission/src/quotas/tenant.rs
+++ b/crates/pipithub-admission/src/quotas/tenant.rs
@@ -1,4 +1,4 @@
-//! What quotas know of one tenant.
+//! The state of one tenant.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -8,25 +8,33 @@
 use super::{Candidate, MAX_RETRY_AFTER};
 use crate::{MS, SECOND, Time};
 
-/// A tenant that asked for nothing for so long leaves its part to the others.
+/// A tenant that made no request for this long is inactive: its quota is divided among the others.
 const ACTIVE_WINDOW: Time = 5 * SECOND;
 
-/// Where a request stands in its tenant's queue: by priority weight from the greatest, then in the order of arrival.
+/// The position of a request in the queue of its tenant. The greatest priority weight comes first; requests of equal
+/// weight are in the order of their arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueKey {
-    /// The bits of a weight that is not negative; these are in the order of the weights.
+    /// The bits of the weight. For floating-point numbers of at least 0 their order is that of the numbers.
     pub(super) weight: Reverse<u64>,
     pub(super) sequence: u64,
 }
 
-/// A request that waits for a place.
+/// A queued request.
 #[derive(Debug)]
 pub(super) struct Queued<T> {
     pub(super) candidate: Candidate<T>,
     pub(super) until: Time,
 }
 
-/// Holds a tenant to its rate limit.
+/// A tenant exceeds its rate limit.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct RateExceeded {
+    /// How long until the next request is within the limit.
+    pub(super) retry_after: Time,
+}
+
+/// A token bucket that enforces a rate limit.
 #[derive(Debug)]
 pub(super) struct TokenBucket {
     limit: RateLimit,
@@ -43,31 +51,33 @@
         }
     }
 
-    /// Takes a token; where there is none, how long until there is one.
-    fn take(&mut self, now: Time) -> Result<(), Time> {
+    /// Takes a token for one request.
+    fn take(&mut self, now: Time) -> Result<(), RateExceeded> {
         let RateLimit { per_second, burst } = self.limit;
         let seconds = now.saturating_sub(self.filled_at) as f64 / 1e9;
         self.filled_at = now;
         self.tokens = (self.tokens + seconds * per_second).min(burst.max(1.0));
         if self.tokens < 1.0 {
             let retry_after = ((1.0 - self.tokens) / per_second.max(1e-6) * 1e9) as Time;
-            return Err(retry_after.clamp(MS, MAX_RETRY_AFTER));
+            return Err(RateExceeded {
+                retry_after: retry_after.clamp(MS, MAX_RETRY_AFTER),
+            });
         }
         self.tokens -= 1.0;
         Ok(())
     }
 }
 
-/// A tenant with its requests.
+/// A tenant with its requests in flight and its queue.
 #[derive(Debug)]
 pub(super) struct Tenant<T> {
     pub(super) quota: TenantQuota,
     bucket: Option<TokenBucket>,
     pub(super) in_flight: usize,
     last_arrival: Option<Time>,
-    /// Requests that arrive.
+    /// The rate at which requests arrive.
     pub(super) demand: DecayingRate,
-    /// Requests that are admitted.
+    /// The rate at which requests are admitted.
     pub(super) admitted: DecayingRate,
     pub(super) queue: BTreeMap<QueueKey, Queued<T>>,
 }
@@ -89,8 +99,8 @@
         self.in_flight > 0 || self.last_arrival.is_some_and(|at| now < at + ACTIVE_WINDOW)
     }
 
-    /// Counts a request; where it is beyond the tenant's rate, how long its client should not retry.
-    pub(super) fn record_arrival(&mut self, now: Time) -> Result<(), Time> {
+    /// Records that a request arrived. Fails if it exceeds the rate limit of the tenant.
+    pub(super) fn record_arrival(&mut self, now: Time) -> Result<(), RateExceeded> {
         self.last_arrival = Some(now);
         self.demand.record(now);
         self.bucket
--- a/crates/pipithub-inference/src/escape.rs
+++ b/crates/pipithub-inference/src/escape.rs
@@ -1,8 +1,8 @@
-//! Names as path segments and header values: whatever a name holds, it cannot end its place.
+//! Escapes names for paths and headers, so that no name can end the path segment or header that it stands in.
 
 use std::borrow::Cow;
 
-/// A model's name as a path segment.
+/// Escapes the name of a model as a path segment.
 pub(crate) fn segment(name: &str) -> Cow<'_, str> {
     let is_plain = |b: u8| b.is_ascii_alphanumeric() || b"-._~".contains(&b);
     if !name.is_empty() && name.bytes().all(is_plain) && !matches!(name, "." | "..") {
@@ -18,7 +18,7 @@
     Cow::Owned(escaped)
 }
 
-/// The name in a path segment; `None` where its escapes are broken.
+/// The name in a path segment; `None` if its escapes are invalid or do not give UTF-8.
 pub fn unescape(segment: &str) -> Option<String> {
     let mut unescaped = Vec::with_capacity(segment.len());
     let mut bytes = segment.bytes();
@@ -35,7 +35,7 @@
     String::from_utf8(unescaped).ok()
 }
 
-/// Header values are visible ASCII; what is not is escaped as in a path.
+/// Escapes a text as a header value. A text that is not all visible ASCII is escaped as in a path.
 pub(crate) fn header_value(text: &str) -> String {
     if text.bytes().all(|b| (0x21..0x7f).contains(&b) && b != b'%') {
         text.to_string()
@@ -44,7 +44,7 @@
     }
 }
 
-/// A content type that may stand in a header.
+/// The content type as a header value; one that is not printable ASCII is replaced by a general one.
 pub(crate) fn content_type(kind: &str) -> String {
     if kind.bytes().all(|b| (0x20..0x7f).contains(&b)) {
         kind.to_string()
--- a/crates/pipithub-inference/src/header.rs
+++ b/crates/pipithub-inference/src/header.rs
@@ -1,26 +1,26 @@
-//! Names of the headers that are this project's own, and of the standard ones it reads.
+//! The names of the headers of requests to workers and of their replies.
 
-/// To the worker: whole milliseconds that an answer is of use for.
+/// To the worker: the time until the deadline of the attempt, in milliseconds.
 pub const TIMEOUT: &str = "pipithub-timeout-ms";
-/// To the worker: which attempt of the request this is, from 0.
+/// To the worker: the number of the attempt of the request, from 0.
 pub const ATTEMPT: &str = "pipithub-attempt";
 /// To the worker: the front end that sends the request.
 pub const FRONT_END: &str = "pipithub-front-end";
-/// To the worker: the request's own name.
+/// To the worker: the id of the request in logs.
 pub const REQUEST: &str = "x-request-id";
-/// To the worker: the idempotency key, under which it drops repeats (the IETF draft's header).
+/// To the worker: the idempotency key, by which it deduplicates calls (the header of the IETF draft).
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// To the worker: memory in MB of one replica of the model.
+/// To the worker: the memory that one replica of the model takes, in MB.
 pub const REPLICA_MEMORY: &str = "pipithub-model-memory-mb";
-/// To the worker: requests that one replica runs at a time.
+/// To the worker: the number of requests that one replica runs at a time.
 pub const REPLICA_CONCURRENCY: &str = "pipithub-model-lanes";
-/// From the worker: `no` proves that the request did not run.
+/// From the worker: `no` states that the request did not run.
 pub const HAS_RUN: &str = "pipithub-ran";
-/// From the worker: the state in which the request met its replica, as `warm`, `began`, `waited` or `failed`.
+/// From the worker: the state in which the request found its replica: `warm`, `began`, `waited` or `failed`.
 pub const REPLICA: &str = "pipithub-copy";
-/// From the worker: requests of the same model in flight when this one came.
+/// From the worker: the number of requests of the same model that were in flight when this one arrived.
 pub const FUNCTION_CONCURRENCY: &str = "pipithub-alike";
-/// From the worker: replicas that are loaded, after a load command.
+/// From the worker: the number of replicas that are loaded after a load command.
 pub const REPLICAS: &str = "pipithub-copies";
-/// From the worker: its load, by ORCA.
+/// From the worker: its load report, in a format of ORCA.
 pub const LOAD_REPORT: &str = "endpoint-load-metrics";
--- a/crates/pipithub-inference/src/lib.rs
+++ b/crates/pipithub-inference/src/lib.rs
@@ -1,8 +1,8 @@
 //! Requests to workers and their replies over HTTP/1.1, without I/O.
 //!
-//! Requests follow the Open Inference Protocol (V2), load commands its model repository extension, load reports the ORCA
-//! header `endpoint-load-metrics`. The headers of this project's own are listed in [`header`]. [`attempt_reply`] is where a reply
-//! becomes an outcome of the decision module; it never claims that a request did not run unless the worker said so.
+//! Requests follow the Open Inference Protocol (V2), load commands follow its model repository extension, and load
+//! reports come in the ORCA header `endpoint-load-metrics`. [`header`] lists the headers. [`attempt_reply`] turns a
+//! reply into an outcome of the decision module. It reports that a request did not run only if the worker said so.
 
 mod escape;
 pub mod header;
--- a/crates/pipithub-inference/src/orca.rs
+++ b/crates/pipithub-inference/src/orca.rs
@@ -1,5 +1,5 @@
-//! Load reports in ORCA's `endpoint-load-metrics` header: `TEXT` and `JSON` (xDS `OrcaLoadReport`); `BIN` is not
-//! offered.
+//! Load reports in the ORCA header `endpoint-load-metrics`, in the formats `TEXT` and `JSON` (xDS `OrcaLoadReport`).
+//! The format `BIN` is not supported.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -10,14 +10,15 @@
 use winnow::token::take_while;
 use winnow::{Parser, Result};
 
-/// More metrics than this are not read.
+/// The maximum number of metrics in a report.
 const MAX_METRICS: usize = 64;
 
-/// A report cannot be read.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// A load report that cannot be read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("the load report is not in a supported format")]
 pub struct Unreadable;
 
-/// A report: numbers by their full names, as `named_metrics.inflight`.
+/// A load report: numbers by their full names, such as `named_metrics.inflight`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report(BTreeMap<String, f64>);
 
@@ -40,7 +41,7 @@
 }
 
 impl Report {
-    /// A metric, where it is a finite number that is not negative.
+    /// The value of a metric; `None` if it is missing, not finite or negative.
     pub fn get(&self, name: &str) -> Option<f64> {
         self.0
             .get(name)
@@ -48,12 +49,16 @@
             .filter(|v| v.is_finite() && *v >= 0.0)
     }
 
-    /// Sets a metric.
+    /// Sets the value of a metric, replacing an earlier one.
     pub fn set(&mut self, name: &str, value: f64) {
         self.0.insert(name.to_string(), value);
     }
 
-    /// Reads the header's value.
+    /// Reads the value of the header.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the format is not supported, the text does not follow it, or there are too many metrics.
     pub fn parse(value: &str) -> std::result::Result<Self, Unreadable> {
         let (format, rest) = value.trim().split_once(' ').unwrap_or((value.trim(), ""));
         match format {
@@ -86,7 +91,8 @@
         Ok(report)
     }
 
-    /// A number, or an object of numbers whose names follow its own; all else is passed over.
+    /// Adds a number, or an object of numbers, which are named after the object and their own names. Other values are
+    /// ignored.
     fn add_member(
         &mut self,
         name: String,
@@ -108,7 +114,7 @@
         Ok(())
     }
 
-    /// The header's value, as text.
+    /// The value of the header, in the format `TEXT`.
     pub fn to_text(&self) -> String {
         let mut out = String::from("TEXT ");
         for (n, (name, value)) in self.0.iter().enumerate() {
--- a/crates/pipithub-inference/src/reply.rs
+++ b/crates/pipithub-inference/src/reply.rs
@@ -1,32 +1,32 @@
-//! Replies of workers, as the decision module takes them.
+//! Replies of workers, in the terms of the decision module.
 
 use pipithub_engine::policy::{LoadReport, Outcome, ReplicaStatus};
 use serde::{Deserialize, Serialize};
 
 use crate::{header, orca};
 
-/// One line of the repository's index.
+/// An entry in the index of the model repository.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct IndexEntry {
-    /// The model.
+    /// The name of the model.
     pub name: String,
-    /// `READY`, `LOADING` or `UNAVAILABLE`.
+    /// The state of the model: `READY`, `LOADING` or `UNAVAILABLE`.
     pub state: String,
-    /// Why it is not ready.
+    /// The reason why it is not ready; empty if there is none.
     #[serde(default)]
     pub reason: String,
 }
 
-/// What a reply reports of an attempt.
+/// What the status and headers of a reply report of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptReply {
-    /// How it ended.
+    /// The way in which the attempt ended.
     pub outcome: Outcome,
-    /// The state in which it met its replica.
+    /// The state in which the attempt found its replica; `None` if the worker does not report it.
     pub replica_status: Option<ReplicaStatus>,
-    /// Requests of the model that were in flight at the worker.
+    /// The number of requests of the model that were in flight at the worker; `None` if it does not report it.
     pub function_concurrency: Option<u32>,
-    /// The worker's load.
+    /// The load report of the worker; its fields are `None` where the worker reports nothing.
     pub load_report: LoadReport,
 }
 
@@ -35,7 +35,7 @@
 /// | reply | outcome |
 /// | --- | --- |
 /// | 2xx | served |
-/// | 404 with `pipithub-ran: no` | the model is not there: never ran |
+/// | 404 with `pipithub-ran: no` | the model is not loaded: never ran |
 /// | 429, or any error with `pipithub-ran: no` | rejected: never ran |
 /// | 400, 405 to 407, 410 to 422, 431 | served: the answer to the request itself, which no other worker would change |
 /// | everything else | an error; it may have run |
@@ -51,7 +51,7 @@
     let outcome = match status {
         200..=299 => Outcome::Served,
         404 if not_run => Outcome::NotLoaded,
-        // A load that failed under the request: it never ran, and the replica is not there.
+        // The load that the request waited for failed, so it never ran and the replica is not loaded.
         500..=599 if not_run && replica_status == Some(ReplicaStatus::LoadFailed) => {
             Outcome::NotLoaded
         }
@@ -70,17 +70,17 @@
     }
 }
 
-/// What a reply reports of a load or evict command.
+/// What the status and headers of a reply report of a load or evict command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadCommandReply {
-    /// How it ended.
+    /// The way in which the command ended.
     pub outcome: Outcome,
-    /// The replicas that are loaded now.
+    /// The number of replicas that are loaded now.
     pub replicas: u32,
 }
 
-/// Reads the status and headers of a reply to a load command. Only a load that failed is an error: it is what the module
-/// stops loading for, and one worker at capacity must not do that.
+/// Reads the status and headers of a reply to a load command. Only a load that failed counts as an error, because the
+/// decision module stops loading a function after errors, and a worker at capacity must not cause that.
 pub fn load_command_reply<'a>(
     status: u16,
     headers: impl Fn(&str) -> Option<&'a str>,
@@ -93,7 +93,7 @@
         _ if headers(header::HAS_RUN) == Some("no") => Outcome::Rejected,
         _ => Outcome::Error,
     };
-    // The extension itself reports no number; a load that was done has left one at least.
+    // The protocol extension itself reports no number, but after a successful load there is at least one replica.
     let at_least = u32::from(outcome == Outcome::Served);
     LoadCommandReply {
         outcome,
@@ -101,7 +101,7 @@
     }
 }
 
-/// The module's view of an ORCA report. What cannot be read counts as not reported.
+/// Reads an ORCA load report for the decision module. What cannot be read counts as not reported.
 pub fn parse_load_report(report: &str) -> LoadReport {
     let Ok(report) = orca::Report::parse(report) else {
         return LoadReport::default();
--- a/crates/pipithub-inference/src/request.rs
+++ b/crates/pipithub-inference/src/request.rs
@@ -7,26 +7,29 @@
 
 const NANOSECONDS_PER_MILLISECOND: Time = 1_000_000;
 
-/// A request to a worker. Its method is always `POST` but for polls of the load.
+/// The head of a request to a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerRequest {
-    /// `GET` instead of `POST`.
+    /// Whether the method is `GET`, as for a poll of the load; otherwise it is `POST`.
     pub get: bool,
-    /// Path, percent-encoded.
+    /// The path, percent-encoded.
     pub path: String,
-    /// Headers beside host and content length.
+    /// The names and values of the headers, without the host and the content length.
     pub headers: Vec<(&'static str, String)>,
 }
 
-/// Too little of the request's time is left to be told to a worker: its request must not be sent.
+/// Less than a millisecond is left until the deadline of a request, so it must not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the call's deadline is reached")]
 pub struct DeadlineReached;
 
 impl WorkerRequest {
-    /// Sets [`header::TIMEOUT`] from the time that is left, rounded down to whole milliseconds.
+    /// Sets [`header::TIMEOUT`] to the time that is left, in nanoseconds, rounded down to milliseconds. It must be set
+    /// each time the request is written to a connection, because less time is left after a wait for one.
     ///
-    /// To be called each time the request is put on a connection: what is left shrinks while it waits for one.
+    /// # Errors
+    ///
+    /// Fails if less than a millisecond is left.
     pub fn set_timeout(&mut self, left: Time) -> Result<(), DeadlineReached> {
         let milliseconds = left / NANOSECONDS_PER_MILLISECOND;
         if milliseconds == 0 {
@@ -39,7 +42,7 @@
     }
 }
 
-/// The request of an attempt; [`WorkerRequest::set_timeout`] is due before it is written.
+/// The request of an attempt, without its timeout: [`WorkerRequest::set_timeout`] must be called before it is written.
 pub fn infer(call: &Call, id: AttemptId, front_end: &str) -> WorkerRequest {
     let mut headers = vec![
         (header::ATTEMPT, id.number.to_string()),
@@ -75,7 +78,7 @@
     }
 }
 
-/// A load command; with 0 replicas it is an evict command, which unloads the idle ones.
+/// The request of a load command; with 0 replicas it is an evict command, which unloads idle replicas.
 pub fn load_command(model: &str, replicas: u32, front_end: &str) -> WorkerRequest {
     let verb = if replicas > 0 { "load" } else { "unload" };
     WorkerRequest {
@@ -89,7 +92,7 @@
     }
 }
 
-/// A poll of a worker's load.
+/// The request of a poll of the load.
 pub fn load_poll(front_end: &str) -> WorkerRequest {
     let headers = vec![(header::FRONT_END, header_value(front_end))];
     WorkerRequest {
