--- a/crates/pipithub-consumer/tests/backoff.rs
+++ b/crates/pipithub-consumer/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! Waits between tries.
+//! The backoff between attempts to connect.
 
 use pipithub_consumer::backoff::Backoff;
 use pipithub_engine::Time;
@@ -6,7 +6,7 @@
 const MS: Time = 1_000_000;
 
 #[test]
-fn waits_double_to_their_bound_and_start_anew_after_health() {
+fn backoff_doubles_to_its_maximum_and_is_reset_by_a_healthy_connection() {
     let mut backoff = Backoff::new(50 * MS, 5_000 * MS, 10_000 * MS, 7);
     let mut bound = 50 * MS;
     for _ in 0..100 {
@@ -14,7 +14,7 @@
         assert!((bound / 2..=bound).contains(&wait), "{wait} of {bound}");
         bound = (bound * 2).min(5_000 * MS);
     }
-    // A connection that breaks at once does not start it anew.
+    // A connection that is lost at once does not reset it.
     backoff.up(0);
     assert!(backoff.down(MS) >= 2_500 * MS);
     backoff.up(0);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn clients_do_not_wait_in_step() {
+fn clients_with_different_seeds_have_different_backoffs() {
     let waits: std::collections::BTreeSet<Time> = (0..100)
         .map(|seed| Backoff::new(50 * MS, 5_000 * MS, MS, seed * 77 + 1).down(0))
         .collect();
--- a/crates/pipithub-consumer/tests/identity.rs
+++ b/crates/pipithub-consumer/tests/identity.rs
@@ -1,4 +1,4 @@
-//! Whose call a message is: proofs, replays, steps of the wall clock.
+//! Which user a message belongs to: proofs, replays, and steps of the wall clock.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_signed_call_is_its_users_once() {
+fn signed_call_is_accepted_once_and_again_only_if_redelivered() {
     let mut identity = Identity::new(rule());
     let call = signed("m", WALL - 10);
     assert_eq!(
@@ -77,9 +77,9 @@
     );
 }
 
-/// Each of these would let somebody have another's call run otherwise than it was meant.
+/// Each of these changes would let an attacker run a call in another way than its user signed.
 #[test]
-fn nothing_that_counts_can_be_changed_under_a_signature() {
+fn changed_signed_message_is_rejected() {
     let changes: [fn(&mut Content); 8] = [
         |c| c.body = Bytes::from_static(b"other"),
         |c| c.properties.reply_to = Some(ShortStr::truncated("mine")),
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn the_brokers_word_counts_and_no_other() {
+fn only_the_user_id_that_the_broker_checked_is_accepted() {
     let mut content = message("m", WALL);
     assert!(
         Identity::new(Rule::Broker)
@@ -134,7 +134,7 @@
         Identity::new(Rule::Broker)
             .user(&content, "q", false, NOW, WALL)
             .is_err(),
-        "and another in the header"
+        "another user in the header"
     );
     set(&mut content, "pipithub-user", "lan");
     assert_eq!(
@@ -145,7 +145,7 @@
         Identity::new(Rule::None)
             .user(&content, "q", false, NOW, WALL)
             .is_err(),
-        "a name nobody checked"
+        "a user that the broker did not check"
     );
     content.properties.user_id = Some(ShortStr::truncated("x\u{7}"));
     set(&mut content, "pipithub-user", "x\u{7}");
@@ -156,8 +156,8 @@
     );
 }
 
-/// Whether a message signed at this time is taken, by clocks that may have been stepped.
-fn is_taken(identity: &mut Identity, id: &str, sent_ms: u64, clock: &ManualClock) -> bool {
+/// Whether a message signed at this time is accepted, by clocks that may have been stepped.
+fn is_accepted(identity: &mut Identity, id: &str, sent_ms: u64, clock: &ManualClock) -> bool {
     let reading = clock.read();
     identity
         .user(
@@ -170,57 +170,58 @@
         .is_ok()
 }
 
-/// The memory's age had been counted by the wall clock: a step forward emptied it, and the step back let replays in.
+/// Found by a test: ids were remembered by the wall clock, so that a step forward forgot them, and after the step back
+/// replays were accepted.
 #[test]
-fn steps_of_the_wall_clock_let_no_replay_in() {
+fn replay_is_rejected_after_steps_of_the_wall_clock() {
     for there_ms in [1_000, 40_000, 95_000, HOUR_MS] {
         for first_ms in [there_ms, -there_ms] {
             let (mut clock, mut identity) = (ManualClock::new(NOW, WALL), Identity::new(rule()));
-            assert!(is_taken(&mut identity, "m", WALL, &clock));
+            assert!(is_accepted(&mut identity, "m", WALL, &clock));
             clock.step_wall_ms(first_ms);
-            // Others come meanwhile, at the stepped time: what is old is let go of.
+            // Another message arrives at the stepped time, which forgets what has expired.
             let sent_ms = clock.read().wall_ms;
             assert!(
-                is_taken(&mut identity, "other", sent_ms, &clock),
+                is_accepted(&mut identity, "other", sent_ms, &clock),
                 "step {first_ms}"
             );
             assert!(
-                !is_taken(&mut identity, "m", WALL, &clock),
+                !is_accepted(&mut identity, "m", WALL, &clock),
                 "step {first_ms}"
             );
             clock.step_wall_ms(-first_ms);
             assert!(
-                !is_taken(&mut identity, "m", WALL, &clock),
+                !is_accepted(&mut identity, "m", WALL, &clock),
                 "step {first_ms} and back"
             );
         }
     }
 }
 
-/// A message too old for the clock is in time again after a step back, by up to an hour with its id remembered.
+/// A step back makes an expired message acceptable again. Its id is remembered for steps of up to an hour.
 #[test]
-fn a_step_back_long_after_lets_no_replay_in() {
+fn replay_of_an_expired_message_is_rejected_after_a_step_back() {
     for waited_ms in [60_000, 90_000, 91_000, 3_600_000, 3_700_000, 7_200_000] {
         let (mut clock, mut identity) = (ManualClock::new(NOW, WALL), Identity::new(rule()));
-        assert!(is_taken(&mut identity, "m", WALL, &clock));
+        assert!(is_accepted(&mut identity, "m", WALL, &clock));
         clock.advance(waited_ms * MS);
         assert!(
-            is_taken(&mut identity, "other", WALL + waited_ms, &clock),
+            is_accepted(&mut identity, "other", WALL + waited_ms, &clock),
             "after {waited_ms}"
         );
         clock.step_wall_ms(-(waited_ms as i64));
         assert!(
-            !is_taken(&mut identity, "m", WALL, &clock),
+            !is_accepted(&mut identity, "m", WALL, &clock),
             "after {waited_ms}"
         );
     }
 }
 
 #[test]
-fn after_a_step_back_by_an_hour_new_messages_are_taken() {
+fn new_messages_are_accepted_after_a_step_back_by_an_hour() {
     let (mut clock, mut identity) = (ManualClock::new(NOW, WALL), Identity::new(rule()));
     for n in 0..100 {
-        assert!(is_taken(
+        assert!(is_accepted(
             &mut identity,
             &format!("before-{n}"),
             clock.read().wall_ms,
@@ -231,7 +232,7 @@
     clock.step_wall_ms(-HOUR_MS);
     for n in 0..100 {
         assert!(
-            is_taken(
+            is_accepted(
                 &mut identity,
                 &format!("after-{n}"),
                 clock.read().wall_ms,
--- a/crates/pipithub-consumer/tests/message.rs
+++ b/crates/pipithub-consumer/tests/message.rs
@@ -1,4 +1,4 @@
-//! Messages as calls.
+//! Reading messages as calls.
 
 use bytes::Bytes;
 use pipithub_amqp::{Content, FieldTable, FieldValue, Properties, ShortStr};
@@ -44,7 +44,7 @@
     p.headers = Some(p.headers.take().unwrap_or_default().with(name, value));
 }
 
-fn read_it(change: impl FnOnce(&mut Properties)) -> Result<ParsedMessage, MessageError> {
+fn read_with(change: impl FnOnce(&mut Properties)) -> Result<ParsedMessage, MessageError> {
     read(
         &content(change),
         "q",
@@ -55,8 +55,8 @@
 }
 
 #[test]
-fn time_left_is_worked_out_from_when_it_was_sent() {
-    let budget = |change: fn(&mut Properties)| read_it(change).expect("readable").call.timeout;
+fn timeout_is_reduced_by_the_time_since_the_message_was_sent() {
+    let budget = |change: fn(&mut Properties)| read_with(change).expect("readable").call.timeout;
     assert_eq!(budget(|_| {}), None);
     assert_eq!(
         budget(|p| p.expiration = Some(ShortStr::truncated("900"))),
@@ -75,7 +75,7 @@
         }),
         Some(0)
     );
-    // A clock that runs behind must not lengthen anything.
+    // A clock that runs behind must not lengthen the timeout.
     assert_eq!(
         budget(|p| {
             header(p, "pipithub-budget-ms", 300i64);
@@ -85,10 +85,11 @@
     );
 }
 
-/// Sent at .999, stamped with its whole second: its client must not lose a second, nor a repeat gain one.
+/// A message sent at .999 s is stamped with the second before. Its client must not lose that second, and it must not
+/// look younger by it.
 #[test]
-fn a_timestamp_is_taken_on_the_careful_side() {
-    let read = read_it(|p| {
+fn timestamp_in_seconds_neither_shortens_the_timeout_nor_lowers_the_age() {
+    let read = read_with(|p| {
         p.timestamp = Some(WALL / 1000 - 1);
         p.expiration = Some(ShortStr::truncated("2000"));
     });
@@ -99,8 +100,8 @@
 }
 
 #[test]
-fn what_is_no_call_is_told_why() {
-    let why = |change: fn(&mut Properties)| read_it(change).expect_err("unreadable").to_string();
+fn unreadable_message_is_rejected_with_its_reason() {
+    let why = |change: fn(&mut Properties)| read_with(change).expect_err("unreadable").to_string();
     assert!(why(|p| p.headers = None).contains("pipithub-class"));
     assert!(why(|p| header(p, "pipithub-class", "nope")).contains("'nope'"));
     assert!(why(|p| header(p, "pipithub-function", "")).contains("0 bytes"));
@@ -113,8 +114,8 @@
 }
 
 #[test]
-fn names_and_keys() {
-    let named = read_it(|p| {
+fn identity_key_and_class_come_from_properties_where_headers_are_missing() {
+    let named = read_with(|p| {
         p.message_id = Some(ShortStr::truncated("m"));
         header(p, "pipithub-class", "change");
     });
@@ -126,7 +127,7 @@
         ),
         (Some("q\0m"), Some("m"))
     );
-    let by_reply = read_it(|p| {
+    let by_reply = read_with(|p| {
         p.reply_to = Some(ShortStr::truncated("r"));
         p.correlation_id = Some(ShortStr::truncated("c"));
     });
@@ -134,8 +135,8 @@
         by_reply.expect("readable").identity.as_deref(),
         Some("q\0\0r\0c")
     );
-    assert_eq!(read_it(|_| {}).expect("readable").identity, None);
-    // Another use of `type` does no harm where the route gives the class.
+    assert_eq!(read_with(|_| {}).expect("readable").identity, None);
+    // Another use of `type` is ignored if the route gives the class.
     let route = Route {
         class: Some(0),
         ..Route::default()
@@ -170,9 +171,10 @@
         .age
 }
 
-/// By its age it is judged whether a repeat is still dropped by the workers: looking younger, it would run twice.
+/// The age decides whether workers still deduplicate a redelivered call. If it looked younger, the call could run
+/// twice.
 #[test]
-fn a_step_back_makes_no_message_younger() {
+fn message_looks_no_younger_after_the_wall_clock_steps_back() {
     for step_ms in [-1_000, -HOUR_MS] {
         let mut clock = ManualClock::new(1, WALL);
         let mut latest = LatestWall::default();
@@ -190,7 +192,7 @@
             Some(25_000 * MS),
             "step {step_ms}"
         );
-        // A day later the clock is taken to have been ahead before.
+        // After a day the clock is assumed to have been ahead before.
         clock.advance(24 * 3_600_000 * MS);
         let wall_ms = clock.read().wall_ms;
         assert_eq!(
@@ -202,7 +204,7 @@
 }
 
 #[test]
-fn a_step_forward_makes_messages_older_at_once() {
+fn message_looks_older_at_once_after_the_wall_clock_steps_forward() {
     let mut clock = ManualClock::new(1, WALL);
     let mut latest = LatestWall::default();
     assert_eq!(age_of(WALL, &mut latest, &clock), Some(0));
@@ -211,12 +213,12 @@
 }
 
 #[test]
-fn of_a_message_from_the_future_no_age_is_known() {
+fn age_of_a_message_from_the_future_is_unknown() {
     let clock = ManualClock::new(1, WALL);
     assert_eq!(
         age_of(WALL + 1_000, &mut LatestWall::default(), &clock),
         Some(0),
-        "clocks differ a little"
+        "a small difference between clocks"
     );
     assert_eq!(
         age_of(WALL + 1_001, &mut LatestWall::default(), &clock),
--- a/crates/pipithub-consumer/tests/replay.rs
+++ b/crates/pipithub-consumer/tests/replay.rs
@@ -1,4 +1,4 @@
-//! What was forgotten is not new.
+//! Replays of messages whose ids were forgotten.
 
 use pipithub_clock::ManualClock;
 use pipithub_consumer::replay::{ReplayMemory, Tolerance};
@@ -15,9 +15,9 @@
     memory.is_new(id, sent_ms, reading.now, reading.wall_ms, TOLERANCE)
 }
 
-/// For want of room an id had been forgotten while its message was still in its time.
+/// Found by a test: an id was forgotten because the memory was full, while its message could still be accepted.
 #[test]
-fn what_was_forgotten_for_want_of_room_is_not_new() {
+fn message_forgotten_because_the_memory_was_full_is_not_new() {
     let mut clock = ManualClock::new(1, WALL);
     let mut memory = ReplayMemory::with_capacity(10);
     for n in 0..100 {
@@ -35,20 +35,20 @@
     }
 }
 
-/// Timestamps far apart: the spans stay few and none of them is lost.
+/// With timestamps far apart, spans are joined to stay few, and none of them is lost.
 #[test]
-fn forgotten_timestamps_stay_forgotten_in_any_order() {
+fn messages_forgotten_in_any_sequence_are_not_new() {
     let clock = ManualClock::new(1, WALL);
     let mut memory = ReplayMemory::with_capacity(1);
     let sent = |n: u64| WALL + (n * 37 % 101) * 10_000;
-    let mut taken = Vec::new();
+    let mut accepted = Vec::new();
     for n in 0..101 {
         if is_new(&mut memory, &format!("{n}"), sent(n), &clock) {
-            taken.push(n);
+            accepted.push(n);
         }
     }
-    assert!(taken.len() > 8, "{}", taken.len());
-    for n in taken {
+    assert!(accepted.len() > 8, "{}", accepted.len());
+    for n in accepted {
         assert!(
             !is_new(&mut memory, &format!("{n}"), sent(n), &clock),
             "{n}"
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn between_forgotten_spans_messages_are_new() {
+fn message_between_forgotten_spans_is_new() {
     let mut clock = ManualClock::new(1, WALL);
     let mut memory = ReplayMemory::default();
     assert!(is_new(&mut memory, "before", WALL, &clock));
@@ -65,16 +65,16 @@
     assert!(is_new(&mut memory, "ahead", clock.read().wall_ms, &clock));
     clock.advance(3_700_000 * MS);
     assert!(is_new(&mut memory, "later", clock.read().wall_ms, &clock));
-    // Both are forgotten by now; back at the true time, an hour after the start, nothing was signed before.
+    // Both are forgotten by now. At the true time, an hour after the start, no message was signed yet.
     clock.step_wall_ms(-7_200_000);
     assert!(is_new(&mut memory, "between", clock.read().wall_ms, &clock));
     assert!(!is_new(&mut memory, "ahead", WALL + 7_200_000, &clock));
     assert!(!is_new(&mut memory, "before", WALL, &clock));
 }
 
-/// An id is remembered for as long as its message could still be accepted; new messages of that time are not refused.
+/// An id is remembered for as long as its message could be accepted, and new messages of that time are accepted.
 #[test]
-fn messages_signed_ahead_are_remembered_until_their_time_is_over() {
+fn messages_signed_by_a_clock_ahead_are_remembered_until_they_expire() {
     let mut clock = ManualClock::new(1, WALL);
     let mut memory = ReplayMemory::default();
     clock.step_wall_ms(7_200_000);
--- /dev/null
+++ b/crates/pipithub-consumer/tests/with_broker/connection.rs
@@ -0,0 +1,63 @@
+//! The broker's end of a connection, without sockets.
+
+use pipithub_amqp::{Endpoint, Event, Tuning};
+use pipithub_emulator::broker::{Broker, BrokerOutput, ConnectionId};
+use pipithub_engine::Time;
+
+pub(crate) struct ServerConnection {
+    pub(crate) id: ConnectionId,
+    endpoint: Endpoint,
+}
+
+impl ServerConnection {
+    pub(crate) fn new(id: ConnectionId, now: Time) -> Self {
+        ServerConnection {
+            id,
+            endpoint: Endpoint::server(Tuning::default(), now),
+        }
+    }
+
+    /// Passes bytes of the client to the broker.
+    pub(crate) fn receive(&mut self, now: Time, broker: &mut Broker, bytes: &[u8]) {
+        self.endpoint.receive(now, bytes);
+        while let Some(event) = self.endpoint.poll_event() {
+            match event {
+                Event::Login { .. } => self.endpoint.accept_login(),
+                Event::OpenRequested { .. } => self.endpoint.accept_open(),
+                Event::Connected => broker.connect(self.id, "test", "guest"),
+                event => broker.handle(now, self.id, event),
+            }
+        }
+    }
+
+    /// Sends an output of the broker to the client.
+    pub(crate) fn send(&mut self, output: BrokerOutput) {
+        let _ = match output {
+            BrokerOutput::Method {
+                channel,
+                method,
+                content: Some(content),
+            } => self
+                .endpoint
+                .send_content(channel, method, content.properties, &content.body),
+            BrokerOutput::Method {
+                channel,
+                method,
+                content: None,
+            } => self.endpoint.send(channel, method),
+            BrokerOutput::CloseChannel { channel, fault } => {
+                self.endpoint.close_channel(channel, fault);
+                Ok(())
+            }
+            BrokerOutput::CloseConnection(fault) => {
+                self.endpoint.close(fault);
+                Ok(())
+            }
+        };
+    }
+
+    /// Takes the bytes for the client.
+    pub(crate) fn take_output(&mut self, now: Time) -> bytes::Bytes {
+        self.endpoint.take_output(now)
+    }
+}
--- /dev/null
+++ b/crates/pipithub-consumer/tests/with_broker/front_end.rs
@@ -0,0 +1,259 @@
+//! A front end: an engine and its consumer, which the test bed moves.
+
+use bytes::Bytes;
+use pipithub_amqp::{Login, Tuning};
+use pipithub_consumer::backoff::BackoffRange;
+use pipithub_consumer::message::{ClassName, Route};
+use pipithub_consumer::{Consumer, ConsumerSettings, DeadLetterTarget, Notice, Phase, Qos};
+use pipithub_emulator::broker::{Broker, ConnectionId};
+use pipithub_engine::policy::{
+    Class, Endpoint, EndpointUpdate, Idempotency, Limits, LoadReport, Outcome, Settings, WorkerId,
+};
+use pipithub_engine::{
+    AttemptId, AttemptResult, Call, Engine, EngineSettings, Input, Output, Served, SourceId, Time,
+};
+
+use crate::connection::ServerConnection;
+use crate::test_bed::MS;
+
+const SOURCE: SourceId = SourceId(0);
+
+/// What a front end is started with.
+#[derive(Clone, Copy)]
+pub(crate) struct StartOptions {
+    pub(crate) number: usize,
+    pub(crate) incarnation: u64,
+    pub(crate) prefetch: u16,
+    pub(crate) qos: Qos,
+}
+
+/// An attempt that has no result yet.
+pub(crate) struct RunningAttempt {
+    pub(crate) id: AttemptId,
+    /// The message id of its call.
+    label: String,
+}
+
+impl RunningAttempt {
+    fn new(id: AttemptId, call: &Call) -> Self {
+        RunningAttempt {
+            id,
+            label: call.label.as_deref().unwrap_or("?").to_string(),
+        }
+    }
+}
+
+pub(crate) struct FrontEnd {
+    pub(crate) options: StartOptions,
+    pub(crate) consumer: Consumer,
+    pub(crate) engine: Engine,
+    pub(crate) connection: Option<ServerConnection>,
+    pub(crate) attempts: Vec<RunningAttempt>,
+    pub(crate) notices: Vec<Notice>,
+}
+
+impl FrontEnd {
+    pub(crate) fn start(options: StartOptions, now: Time) -> Self {
+        let seed = options.number as u64 * 100 + options.incarnation;
+        FrontEnd {
+            consumer: Consumer::new(consumer_settings(options), now, seed),
+            engine: start_engine(options, now),
+            options,
+            connection: None,
+            attempts: Vec::new(),
+            notices: Vec::new(),
+        }
+    }
+
+    /// Opens a transport if the consumer wants one, with the next connection id. Returns whether there is one.
+    pub(crate) fn connect(
+        &mut self,
+        now: Time,
+        broker: &mut Broker,
+        next_id: &mut ConnectionId,
+    ) -> bool {
+        let Phase::Idle(connect_at) = self.consumer.phase() else {
+            return true;
+        };
+        self.disconnect(now, broker);
+        if now < connect_at {
+            return false;
+        }
+        self.consumer.connected(now);
+        self.connection = Some(ServerConnection::new(*next_id, now));
+        *next_id += 1;
+        true
+    }
+
+    pub(crate) fn disconnect(&mut self, now: Time, broker: &mut Broker) {
+        if let Some(connection) = self.connection.take() {
+            broker.disconnect(now, connection.id);
+        }
+    }
+
+    /// Exchanges bytes with the broker and lets the engine handle what came of it. Returns whether anything happened.
+    pub(crate) fn step(&mut self, now: Time, wall_ms: u64, broker: &mut Broker) -> bool {
+        let exchanged = self.exchange(now, wall_ms, broker);
+        let mut outputs = Vec::new();
+        let noticed = self.handle_notices(now, &mut outputs);
+        self.engine.handle(now, Input::Tick, &mut outputs);
+        let has_outputs = !outputs.is_empty();
+        for output in outputs {
+            self.handle_output(now, output);
+        }
+        self.consumer.set_capacity(now, self.engine.capacity());
+        exchanged || noticed || has_outputs
+    }
+
+    fn exchange(&mut self, now: Time, wall_ms: u64, broker: &mut Broker) -> bool {
+        let sent = self.consumer.take_output(now);
+        let Some(connection) = &mut self.connection else {
+            return false;
+        };
+        if !sent.is_empty() {
+            connection.receive(now, broker, &sent);
+        }
+        let received = connection.take_output(now);
+        if !received.is_empty() {
+            self.consumer.receive(now, wall_ms, &received);
+        }
+        !sent.is_empty() || !received.is_empty()
+    }
+
+    fn handle_notices(&mut self, now: Time, outputs: &mut Vec<Output>) -> bool {
+        let before = self.notices.len();
+        while let Some(notice) = self.consumer.poll() {
+            let input = match &notice {
+                Notice::Trigger(trigger) => Some(Input::Trigger((**trigger).clone())),
+                Notice::Settled(ticket) => Some(Input::Settled(*ticket)),
+                Notice::Lost(_) => Some(Input::SourceLost(SOURCE)),
+                _ => None,
+            };
+            if let Some(input) = input {
+                self.engine.handle(now, input, outputs);
+            }
+            self.notices.push(notice);
+        }
+        self.notices.len() > before
+    }
+
+    fn handle_output(&mut self, now: Time, output: Output) {
+        match output {
+            Output::Forward { id, call, .. } => self.attempts.push(RunningAttempt::new(id, &call)),
+            Output::Answer { ticket, reply } => self.consumer.answer(now, ticket, reply),
+            Output::Forget(ticket) => self.consumer.acknowledge(now, ticket),
+            Output::Cancel(id) => {
+                self.attempts.retain(|attempt| attempt.id != id);
+                let cancelled = Input::AttemptFinished(attempt_result(id, Outcome::Cancelled));
+                self.engine.handle(now, cancelled, &mut Vec::new());
+            }
+            _ => {}
+        }
+    }
+
+    /// Ends all attempts with an outcome and returns the message ids of their calls.
+    pub(crate) fn finish_attempts(&mut self, now: Time, outcome: Outcome) -> Vec<String> {
+        let mut labels = Vec::new();
+        for attempt in std::mem::take(&mut self.attempts) {
+            labels.push(attempt.label);
+            let finished = Input::AttemptFinished(attempt_result(attempt.id, outcome));
+            let mut outputs = Vec::new();
+            self.engine.handle(now, finished, &mut outputs);
+            for output in outputs {
+                self.handle_output(now, output);
+            }
+        }
+        labels
+    }
+}
+
+fn start_engine(options: StartOptions, now: Time) -> Engine {
+    let class = |idempotency| Class {
+        idempotency,
+        client_timeout: 4_000 * MS,
+        deduplication_window: 10_000 * MS,
+        ..Class::default()
+    };
+    let policy = Settings {
+        tick: MS,
+        classes: vec![
+            class(Idempotency::Idempotent),
+            class(Idempotency::WithKey),
+            class(Idempotency::NonIdempotent),
+        ],
+        limits: Limits {
+            cancel: true,
+            ..Limits::default()
+        },
+        ..Settings::default()
+    };
+    let settings = EngineSettings {
+        policy,
+        max_pending: usize::from(options.prefetch),
+        ..EngineSettings::default()
+    };
+    let mut engine = Engine::new(settings, options.number as u64);
+    let endpoint = |worker| Endpoint {
+        worker: WorkerId::new(worker),
+        ..Endpoint::default()
+    };
+    let workers = Input::Endpoints {
+        update: EndpointUpdate::Cached,
+        endpoints: ["w0", "w1", "w2"].map(endpoint).to_vec(),
+    };
+    engine.handle(now, workers, &mut Vec::new());
+    engine
+}
+
+fn consumer_settings(options: StartOptions) -> ConsumerSettings {
+    let class = |name: &str, needs_key| ClassName {
+        name: name.into(),
+        needs_key,
+    };
+    ConsumerSettings {
+        source: SOURCE,
+        front_end: format!("fe{}", options.number),
+        login: Login::default(),
+        tuning: Tuning::default(),
+        queue: "calls".into(),
+        declare: true,
+        route: Route {
+            function: Some("f".into()),
+            lanes: 4,
+            ..Route::default()
+        },
+        classes: vec![
+            class("safe", false),
+            class("keyed", true),
+            class("unsafe", false),
+        ],
+        prefetch: options.prefetch,
+        qos: options.qos,
+        dead_letter: Some(DeadLetterTarget {
+            exchange: String::new(),
+            routing_key: "dead".into(),
+        }),
+        reconnect_backoff: BackoffRange {
+            initial: 10 * MS,
+            max: 100 * MS,
+        },
+        identity: Default::default(),
+    }
+}
+
+pub(crate) fn attempt_result(id: AttemptId, outcome: Outcome) -> AttemptResult {
+    let served = (outcome == Outcome::Served).then(|| Served {
+        status: 200,
+        content_type: None,
+        body: Bytes::from_static(b"done"),
+    });
+    AttemptResult {
+        id,
+        outcome,
+        elapsed: 20 * MS,
+        replica_status: None,
+        function_concurrency: None,
+        load_report: LoadReport::default(),
+        served,
+    }
+}
--- a/crates/pipithub-consumer/tests/with_broker/main.rs
+++ b/crates/pipithub-consumer/tests/with_broker/main.rs
@@ -1,51 +1,49 @@
-//! Consumers and their engines against the broker stand-in's core, without sockets: every byte and every loss of one is
-//! in the test's hand.
+//! Consumers and their engines against the core of the emulated broker, without sockets: the test controls every byte
+//! and the loss of each connection.
 
-mod bed;
+mod client;
+mod connection;
+mod front_end;
+mod test_bed;
 
 use std::collections::BTreeMap;
 
-use pipithub_amqp::{FieldTable, Method};
+use pipithub_amqp::FieldTable;
 use pipithub_consumer::{Notice, Phase, Qos};
 use pipithub_engine::policy::Outcome;
 use pipithub_engine::{Input, Output};
 use proptest::prelude::*;
 
-use crate::bed::{Bed, MS, WALL, end, s};
+use crate::front_end::attempt_result;
+use crate::test_bed::{MS, TestBed, class, class_sent_at_start, short};
 
 #[test]
-fn a_call_from_queue_to_worker_and_back() {
-    let mut bed = Bed::new(1, 10, Qos::Channel);
-    bed.publish("a", Bed::class("unsafe"));
+fn call_is_forwarded_and_its_answer_published() {
+    let mut bed = TestBed::new(1, 10, Qos::Channel);
+    bed.publish("a", class("unsafe"));
     bed.settle();
-    assert_eq!(bed.serve(Outcome::Served), ["a"]);
+    assert_eq!(bed.finish_attempts(Outcome::Served), ["a"]);
     assert_eq!(bed.verdicts(), [("a", vec!["served"])]);
     assert_eq!(bed.broker.depth("calls"), Some((0, 0)));
     assert_eq!(
         (
-            bed.fronts[0].engine.pending_requests(),
-            bed.fronts[0].consumer.in_flight()
+            bed.front_ends[0].engine.pending_requests(),
+            bed.front_ends[0].consumer.in_flight()
         ),
         (0, 0)
     );
 }
 
-/// Delivered again after a step back, a message would look younger than the time for which workers drop its repeats.
+/// If a redelivered message looked younger after a step back, its call could run again after workers forgot its key.
 #[test]
-fn a_step_back_makes_no_message_that_comes_again_younger() {
-    let mut bed = Bed::new(1, 10, Qos::Channel);
-    bed.publish("k", |p| {
-        Bed::class("keyed")(p);
-        p.headers = p
-            .headers
-            .take()
-            .map(|h| h.with("pipithub-sent-ms", WALL as i64));
-    });
+fn redelivered_message_looks_no_younger_after_the_wall_clock_steps_back() {
+    let mut bed = TestBed::new(1, 10, Qos::Channel);
+    bed.publish("k", class_sent_at_start("keyed"));
     bed.settle();
     bed.wall_step_ms = -3_600_000;
-    bed.cut(0);
-    bed.pass(3_000 * MS);
-    let ages: Vec<_> = bed.fronts[0]
+    bed.cut_connection(0);
+    bed.advance(3_000 * MS);
+    let ages: Vec<_> = bed.front_ends[0]
         .notices
         .iter()
         .filter_map(|notice| match notice {
@@ -62,27 +60,25 @@
     );
 }
 
-/// Killed in the middle of a call: an unsafe one may have run and is failed, a safe one is served.
+/// A non-idempotent call may have run when its front end was killed, and fails. The others run again.
 #[test]
-fn a_front_end_that_dies_leaves_its_calls_to_another() {
-    let mut bed = Bed::new(2, 10, Qos::Channel);
+fn calls_of_killed_front_ends_are_served_again_or_fail_by_their_class() {
+    let mut bed = TestBed::new(2, 10, Qos::Channel);
     for (id, class) in [("s", "safe"), ("u", "unsafe"), ("k", "keyed")] {
-        bed.publish(id, |p| {
-            Bed::class(class)(p);
-            p.headers = p
-                .headers
-                .take()
-                .map(|h| h.with("pipithub-sent-ms", WALL as i64));
-        });
+        bed.publish(id, class_sent_at_start(class));
     }
     bed.settle();
-    let all: usize = bed.fronts.iter().map(|f| f.attempts.len()).sum();
-    assert_eq!(all, 3);
+    let running: usize = bed
+        .front_ends
+        .iter()
+        .map(|front_end| front_end.attempts.len())
+        .sum();
+    assert_eq!(running, 3);
     bed.kill(0);
     bed.kill(1);
     bed.settle();
     assert_eq!(bed.verdicts(), [("u", vec!["failed"])]);
-    assert_eq!(bed.serve(Outcome::Served), ["k", "s"]);
+    assert_eq!(bed.finish_attempts(Outcome::Served), ["k", "s"]);
     assert_eq!(
         bed.verdicts(),
         [
@@ -93,18 +89,18 @@
     );
 }
 
-/// Killed after the answer was published and before the commit reached the broker, or after: one answer either way.
+/// The front end is killed after it sent the answer, before or after the commit reached the broker.
 #[test]
-fn killed_between_answer_and_ack() {
-    for reaches in [false, true] {
-        let mut bed = Bed::new(1, 10, Qos::Channel);
+fn front_end_killed_while_committing_an_answer_leaves_one_answer() {
+    for commit_arrives in [false, true] {
+        let mut bed = TestBed::new(1, 10, Qos::Channel);
         bed.publish("a", |_| {});
         bed.settle();
-        let (id, _) = bed.fronts[0].attempts.remove(0);
+        let id = bed.front_ends[0].attempts.remove(0).id;
         let mut out = Vec::new();
-        bed.fronts[0].engine.handle(
+        bed.front_ends[0].engine.handle(
             bed.now,
-            Input::AttemptFinished(end(id, Outcome::Served)),
+            Input::AttemptFinished(attempt_result(id, Outcome::Served)),
             &mut out,
         );
         let Some(Output::Answer { ticket, reply }) =
@@ -113,52 +109,50 @@
             panic!("an answer")
         };
         let now = bed.now;
-        bed.fronts[0].consumer.answer(now, ticket, reply);
-        let bytes = bed.fronts[0].consumer.take_output(now);
-        let (broker, line) = (
-            &mut bed.broker,
-            bed.fronts[0].line.as_mut().expect("a line"),
-        );
-        // Cut just before the commit's last byte, or right after it.
-        let whole = if reaches {
+        bed.front_ends[0].consumer.answer(now, ticket, reply);
+        let bytes = bed.front_ends[0].consumer.take_output(now);
+        // The connection is cut before the last byte of the commit, or after it.
+        let arrived = if commit_arrives {
             bytes.len()
         } else {
             bytes.len() - 1
         };
-        line.receive(now, broker, &bytes[..whole]);
+        let connection = bed.front_ends[0].connection.as_mut();
+        let connection = connection.expect("a connection");
+        connection.receive(now, &mut bed.broker, &bytes[..arrived]);
         bed.kill(0);
         bed.settle();
-        let again = bed.serve(Outcome::Served);
-        assert_eq!(again.len(), usize::from(!reaches));
+        let again = bed.finish_attempts(Outcome::Served);
+        assert_eq!(again.len(), usize::from(!commit_arrives));
         assert_eq!(
             bed.verdicts(),
             [("a", vec!["served"])],
-            "reaches: {reaches}"
+            "commit arrives: {commit_arrives}"
         );
         assert_eq!(bed.broker.depth("calls"), Some((0, 0)));
     }
 }
 
 #[test]
-fn a_lost_connection_keeps_what_runs_and_answers_once() {
-    let mut bed = Bed::new(1, 10, Qos::Channel);
-    bed.publish("u", Bed::class("unsafe"));
+fn call_that_runs_while_its_connection_is_lost_is_joined_and_answered_once() {
+    let mut bed = TestBed::new(1, 10, Qos::Channel);
+    bed.publish("u", class("unsafe"));
     bed.settle();
-    bed.cut(0);
-    bed.pass(300 * MS);
+    bed.cut_connection(0);
+    bed.advance(300 * MS);
     assert_eq!(
-        bed.fronts[0].engine.stats().joined,
+        bed.front_ends[0].engine.stats().joined,
         1,
-        "it came back to where it runs"
+        "its redelivery joined it"
     );
-    assert_eq!(bed.serve(Outcome::Served), ["u"]);
+    assert_eq!(bed.finish_attempts(Outcome::Served), ["u"]);
     assert_eq!(bed.verdicts(), [("u", vec!["served"])]);
 }
 
 #[test]
-fn what_cannot_be_read_is_refused_and_kept_with_its_reason() {
-    let mut bed = Bed::new(1, 10, Qos::Channel);
-    bed.publish("bad", Bed::class("unheard-of"));
+fn unreadable_message_is_rejected_and_published_as_a_dead_letter() {
+    let mut bed = TestBed::new(1, 10, Qos::Channel);
+    bed.publish("bad", class("unheard-of"));
     bed.settle();
     assert_eq!(bed.verdicts(), [("bad", vec!["refused"])]);
     assert_eq!(
@@ -168,42 +162,45 @@
 }
 
 #[test]
-fn an_answer_without_its_queue_is_told_and_its_call_is_settled() {
-    let mut bed = Bed::new(1, 10, Qos::Channel);
-    bed.publish("a", |p| p.reply_to = Some(s("gone")));
+fn call_whose_answer_has_no_queue_is_settled_and_the_return_reported() {
+    let mut bed = TestBed::new(1, 10, Qos::Channel);
+    bed.publish("a", |p| p.reply_to = Some(short("missing")));
     bed.publish("b", |p| p.reply_to = None);
     bed.settle();
-    bed.serve(Outcome::Served);
-    assert_eq!((bed.returned, bed.broker.depth("calls")), (1, Some((0, 0))));
+    bed.finish_attempts(Outcome::Served);
+    assert_eq!(
+        (bed.returned_answers(), bed.broker.depth("calls")),
+        (1, Some((0, 0)))
+    );
 }
 
 #[test]
-fn deliveries_follow_the_room_there_is() {
+fn deliveries_in_flight_stay_within_the_prefetch_count() {
     for qos in [Qos::Channel, Qos::Consumer] {
-        let mut bed = Bed::new(1, 8, qos);
+        let mut bed = TestBed::new(1, 8, qos);
         for n in 0..50 {
             bed.publish(&format!("{n}"), |_| {});
         }
         bed.settle();
         for _ in 0..50 {
-            let held = bed.fronts[0].consumer.in_flight();
-            assert!(held <= 8, "{held} held");
-            bed.serve(Outcome::Served);
-            bed.pass(60 * MS);
+            let in_flight = bed.front_ends[0].consumer.in_flight();
+            assert!(in_flight <= 8, "{in_flight} in flight");
+            bed.finish_attempts(Outcome::Served);
+            bed.advance(60 * MS);
         }
-        assert_eq!(bed.answers.len(), 50);
-        assert!(bed.answers.values().all(|v| v.len() == 1), "{qos:?}");
+        assert_eq!(bed.answers().len(), 50);
+        assert!(bed.answers().values().all(|v| v.len() == 1), "{qos:?}");
     }
 }
 
 #[test]
-fn a_blocked_broker_gets_no_publishes_until_it_takes_them() {
-    let mut bed = Bed::new(1, 10, Qos::Channel);
+fn answers_wait_while_the_broker_blocks_publishing() {
+    let mut bed = TestBed::new(1, 10, Qos::Channel);
     bed.publish("a", |_| {});
     bed.settle();
     bed.broker.set_blocked(Some("memory"));
     bed.settle();
-    bed.serve(Outcome::Served);
+    bed.finish_attempts(Outcome::Served);
     assert_eq!(bed.verdicts(), []);
     bed.broker.set_blocked(None);
     bed.settle();
@@ -211,107 +208,106 @@
 }
 
 #[test]
-fn a_deleted_queue_is_consumed_again_when_it_is_back() {
-    let mut bed = Bed::new(1, 10, Qos::Channel);
-    let delete = Method::QueueDelete {
-        queue: s("calls"),
-        if_unused: false,
-        if_empty: false,
-        no_wait: false,
-    };
-    bed.client.send(1, delete).expect("open");
-    bed.settle();
-    assert!(bed.fronts[0].notices.contains(&Notice::Cancelled));
-    bed.pass(1_000 * MS);
+fn deleted_queue_is_consumed_again_once_it_is_declared() {
+    let mut bed = TestBed::new(1, 10, Qos::Channel);
+    bed.delete_calls_queue();
+    assert!(bed.front_ends[0].notices.contains(&Notice::Cancelled));
+    bed.advance(1_000 * MS);
     bed.broker.declare("calls", &FieldTable::new());
-    bed.pass(1_000 * MS);
+    bed.advance(1_000 * MS);
     bed.publish("a", |_| {});
     bed.settle();
-    assert_eq!(bed.serve(Outcome::Served), ["a"]);
+    assert_eq!(bed.finish_attempts(Outcome::Served), ["a"]);
 }
 
-/// Its operators gave the queue a time to live and dead letters: declared plainly it would be refused for ever.
+/// The broker rejects the declaration of a queue that exists with other arguments, such as a time to live.
 #[test]
-fn a_queue_with_properties_of_its_own_is_taken_as_it_is() {
-    let mut bed = Bed::new(1, 10, Qos::Channel);
-    let delete = Method::QueueDelete {
-        queue: s("calls"),
-        if_unused: false,
-        if_empty: false,
-        no_wait: false,
-    };
-    bed.client.send(1, delete).expect("open");
-    bed.settle();
+fn queue_with_other_arguments_than_declared_is_consumed_as_it_is() {
+    let mut bed = TestBed::new(1, 10, Qos::Channel);
+    bed.delete_calls_queue();
     bed.broker
         .declare("calls", &FieldTable::new().with("x-message-ttl", 60_000i64));
-    bed.cut(0);
-    bed.pass(1_000 * MS);
+    bed.cut_connection(0);
+    bed.advance(1_000 * MS);
     bed.publish("a", |_| {});
     bed.settle();
-    assert_eq!(bed.serve(Outcome::Served), ["a"]);
+    assert_eq!(bed.finish_attempts(Outcome::Served), ["a"]);
 }
 
 #[test]
-fn a_stopped_front_end_finishes_what_it_has() {
-    let mut bed = Bed::new(2, 10, Qos::Channel);
+fn front_end_that_shuts_down_answers_its_calls_and_takes_no_more() {
+    let mut bed = TestBed::new(2, 10, Qos::Channel);
     (0..8).for_each(|n| bed.publish(&format!("{n}"), |_| {}));
     bed.settle();
     let now = bed.now;
-    bed.fronts[0].consumer.shutdown(now);
+    bed.front_ends[0].consumer.shutdown(now);
     bed.settle();
-    let mine = bed.fronts[0].consumer.in_flight();
-    assert!(mine > 0);
+    let in_flight = bed.front_ends[0].consumer.in_flight();
+    assert!(in_flight > 0);
     bed.publish("late", |_| {});
     bed.settle();
-    assert_eq!(bed.fronts[0].consumer.in_flight(), mine, "nothing new");
-    bed.serve(Outcome::Served);
-    assert_eq!(bed.fronts[0].consumer.phase(), Phase::Stopped);
-    assert_eq!(bed.answers.len(), 9);
+    assert_eq!(
+        bed.front_ends[0].consumer.in_flight(),
+        in_flight,
+        "nothing new"
+    );
+    bed.finish_attempts(Outcome::Served);
+    assert_eq!(bed.front_ends[0].consumer.phase(), Phase::Stopped);
+    assert_eq!(bed.answers().len(), 9);
+}
+
+/// Counts attempts that ended; a worker has run their calls, whatever became of the front end.
+fn count_runs(runs: &mut BTreeMap<String, usize>, finished: Vec<String>) {
+    for id in finished {
+        *runs.entry(id).or_default() += 1;
+    }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// Kills, cuts and outcomes in any order: one answer each, and unsafe calls reach a worker once.
+    /// A non-idempotent call reaches a worker at most once.
     #[test]
-    fn any_order_of_troubles(steps in prop::collection::vec((0..8u8, 0..2usize), 1..40)) {
-        let mut bed = Bed::new(2, 6, Qos::Channel);
-        let mut sent: BTreeMap<String, usize> = BTreeMap::new();
-        let mut count = 0;
-        for (step, which) in steps {
-            match step {
+    fn under_faults_in_any_order_each_call_gets_one_answer(steps in prop::collection::vec((0..8u8, 0..2usize), 1..40)) {
+        let mut bed = TestBed::new(2, 6, Qos::Channel);
+        let mut runs: BTreeMap<String, usize> = BTreeMap::new();
+        let mut published = 0;
+        for (step, number) in steps {
+            let finished = match step {
                 0..=2 => {
-                    count += 1;
-                    let class = ["safe", "unsafe"][which];
-                    bed.publish(&format!("{class}-{count}"), Bed::class(class));
-                    bed.settle();
+                    published += 1;
+                    let name = ["safe", "unsafe"][number];
+                    bed.publish(&format!("{name}-{published}"), class(name));
+                    Vec::new()
+                }
+                3 => {
+                    bed.kill(number);
+                    Vec::new()
                 }
-                3 => bed.kill(which),
-                4 => bed.cut(which),
-                5 => bed.pass(20 * MS),
-                6 => {
-                    // What is out at a front end that dies right after has run all the same.
-                    let names = bed.serve(Outcome::Served);
-                    names.into_iter().for_each(|n| *sent.entry(n).or_default() += 1);
+                4 => {
+                    bed.cut_connection(number);
+                    Vec::new()
                 }
-                _ => {
-                    let names = bed.serve(Outcome::ConnectionLost);
-                    names.into_iter().for_each(|n| *sent.entry(n).or_default() += 1);
+                5 => {
+                    bed.advance(20 * MS);
+                    Vec::new()
                 }
-            }
+                6 => bed.finish_attempts(Outcome::Served),
+                _ => bed.finish_attempts(Outcome::ConnectionLost),
+            };
+            count_runs(&mut runs, finished);
             bed.settle();
         }
         for _ in 0..20 {
-            bed.pass(250 * MS);
-            let names = bed.serve(Outcome::Served);
-            names.into_iter().for_each(|n| *sent.entry(n).or_default() += 1);
+            bed.advance(250 * MS);
+            count_runs(&mut runs, bed.finish_attempts(Outcome::Served));
         }
-        prop_assert_eq!(bed.answers.len(), count);
-        for (id, verdicts) in &bed.answers {
+        prop_assert_eq!(bed.answers().len(), published);
+        for (id, verdicts) in bed.answers() {
             prop_assert_eq!(verdicts.len(), 1, "{}: {:?}", id, verdicts);
         }
-        for (name, runs) in sent {
-            prop_assert!(runs <= 1 || !name.starts_with("unsafe"), "{} ran {} times", name, runs);
+        for (id, runs) in runs {
+            prop_assert!(runs <= 1 || !id.starts_with("unsafe"), "{} ran {} times", id, runs);
         }
         prop_assert_eq!(bed.broker.depth("calls"), Some((0, 0)));
     }
--- /dev/null
+++ b/crates/pipithub-consumer/tests/with_broker/test_bed.rs
@@ -0,0 +1,205 @@
+//! The test bed: front ends with their consumers, a client and the broker's core, in simulated time.
+
+use std::collections::BTreeMap;
+
+use pipithub_amqp::{FieldTable, Method, Properties, ShortStr};
+use pipithub_consumer::{Notice, Qos};
+use pipithub_emulator::broker::{Broker, ConnectionId, Outgoing};
+use pipithub_engine::Time;
+use pipithub_engine::policy::Outcome;
+
+use crate::client::{CLIENT_CONNECTION, Client};
+use crate::front_end::{FrontEnd, StartOptions};
+
+pub(crate) const MS: Time = 1_000_000;
+/// The wall time at the start, in Unix milliseconds.
+pub(crate) const WALL: u64 = 1_800_000_000_000;
+/// The steps in which time advances.
+const TIME_STEP: Time = 5 * MS;
+
+pub(crate) fn short(text: &str) -> ShortStr {
+    ShortStr::truncated(text)
+}
+
+/// Gives a message a class.
+pub(crate) fn class(class: &'static str) -> impl FnOnce(&mut Properties) {
+    move |properties| properties.headers = Some(FieldTable::new().with("pipithub-class", class))
+}
+
+/// Gives a message a class, and the start of the test as its send time.
+pub(crate) fn class_sent_at_start(name: &'static str) -> impl FnOnce(&mut Properties) {
+    move |properties| {
+        class(name)(properties);
+        let headers = properties.headers.take().unwrap_or_default();
+        properties.headers = Some(headers.with("pipithub-sent-ms", WALL as i64));
+    }
+}
+
+pub(crate) struct TestBed {
+    pub(crate) now: Time,
+    /// By how much the wall clock of the front ends was stepped.
+    pub(crate) wall_step_ms: i64,
+    pub(crate) broker: Broker,
+    pub(crate) front_ends: Vec<FrontEnd>,
+    pub(crate) client: Client,
+    next_connection: ConnectionId,
+}
+
+impl TestBed {
+    /// Starts front ends that consume from the queue `calls`, and a client that consumes from `answers`.
+    pub(crate) fn new(front_ends: usize, prefetch: u16, qos: Qos) -> Self {
+        let mut broker = Broker::default();
+        for queue in ["calls", "answers", "dead"] {
+            broker.declare(queue, &FieldTable::new());
+        }
+        let now = 1;
+        let start = |number| {
+            let options = StartOptions {
+                number,
+                incarnation: 0,
+                prefetch,
+                qos,
+            };
+            FrontEnd::start(options, now)
+        };
+        let mut bed = TestBed {
+            now,
+            wall_step_ms: 0,
+            broker,
+            front_ends: (0..front_ends).map(start).collect(),
+            client: Client::new(),
+            next_connection: CLIENT_CONNECTION + 1,
+        };
+        bed.settle();
+        bed.client.open_channel();
+        bed.settle();
+        bed.client.consume_answers();
+        bed.settle();
+        bed
+    }
+
+    /// Lets everything happen that needs no time.
+    pub(crate) fn settle(&mut self) {
+        loop {
+            let mut moved = self.client.exchange(self.now, &mut self.broker);
+            for number in 0..self.front_ends.len() {
+                moved |= self.step_front_end(number);
+            }
+            moved |= self.deliver_broker_outputs();
+            if !moved {
+                return;
+            }
+        }
+    }
+
+    fn step_front_end(&mut self, number: usize) -> bool {
+        let wall_ms = (WALL + self.now / MS).saturating_add_signed(self.wall_step_ms);
+        let front_end = &mut self.front_ends[number];
+        let broker = &mut self.broker;
+        if !front_end.connect(self.now, broker, &mut self.next_connection) {
+            return false;
+        }
+        front_end.step(self.now, wall_ms, broker)
+    }
+
+    fn deliver_broker_outputs(&mut self) -> bool {
+        let outputs = self.broker.take_outputs();
+        let any = !outputs.is_empty();
+        for Outgoing { connection, output } in outputs {
+            let front_ends = self.front_ends.iter_mut();
+            let mut connections = front_ends
+                .filter_map(|front_end| front_end.connection.as_mut())
+                .chain([&mut self.client.connection]);
+            if let Some(receiver) = connections.find(|other| other.id == connection) {
+                receiver.send(output);
+            }
+        }
+        any
+    }
+
+    pub(crate) fn advance(&mut self, length: Time) {
+        let until = self.now + length;
+        while self.now < until {
+            self.now = (self.now + TIME_STEP).min(until);
+            for front_end in &mut self.front_ends {
+                front_end.consumer.on_time(self.now);
+            }
+            self.broker.on_time(self.now);
+            self.settle();
+        }
+    }
+
+    /// Publishes a call with an idempotent class; `change` makes its message another than the usual one.
+    pub(crate) fn publish(&mut self, id: &str, change: impl FnOnce(&mut Properties)) {
+        let headers = FieldTable::new().with("pipithub-class", "safe");
+        let mut properties = Properties {
+            message_id: Some(short(id)),
+            correlation_id: Some(short(id)),
+            reply_to: Some(short("answers")),
+            headers: Some(headers),
+            ..Properties::default()
+        };
+        change(&mut properties);
+        self.client.publish(properties);
+    }
+
+    pub(crate) fn delete_calls_queue(&mut self) {
+        self.client.send(Method::QueueDelete {
+            queue: short("calls"),
+            if_unused: false,
+            if_empty: false,
+            no_wait: false,
+        });
+        self.settle();
+    }
+
+    /// Ends all attempts with an outcome and returns the sorted message ids of their calls.
+    pub(crate) fn finish_attempts(&mut self, outcome: Outcome) -> Vec<String> {
+        let now = self.now;
+        let front_ends = self.front_ends.iter_mut();
+        let mut labels: Vec<String> = front_ends
+            .flat_map(|front_end| front_end.finish_attempts(now, outcome))
+            .collect();
+        self.settle();
+        labels.sort();
+        labels
+    }
+
+    /// Cuts the connection of a front end, which notices it at once.
+    pub(crate) fn cut_connection(&mut self, number: usize) {
+        let front_end = &mut self.front_ends[number];
+        front_end.disconnect(self.now, &mut self.broker);
+        front_end.consumer.transport_lost(self.now, "cut");
+    }
+
+    /// Kills a front end and starts it again without its memory.
+    pub(crate) fn kill(&mut self, number: usize) {
+        let killed = &mut self.front_ends[number];
+        killed.disconnect(self.now, &mut self.broker);
+        let options = StartOptions {
+            incarnation: killed.options.incarnation + 1,
+            ..killed.options
+        };
+        *killed = FrontEnd::start(options, self.now);
+    }
+
+    pub(crate) fn answers(&self) -> &BTreeMap<String, Vec<String>> {
+        &self.client.answers
+    }
+
+    /// The verdicts of the answers by message id.
+    pub(crate) fn verdicts(&self) -> Vec<(&str, Vec<&str>)> {
+        self.answers()
+            .iter()
+            .map(|(id, verdicts)| (id.as_str(), verdicts.iter().map(String::as_str).collect()))
+            .collect()
+    }
+
+    /// The number of answers that the broker returned to a front end.
+    pub(crate) fn returned_answers(&self) -> usize {
+        let notices = self.front_ends.iter().flat_map(|front| &front.notices);
+        notices
+            .filter(|notice| matches!(notice, Notice::Returned { .. }))
+            .count()
+    }
+}
--- a/crates/pipithub-inference/tests/orca.rs
+++ b/crates/pipithub-inference/tests/orca.rs
@@ -3,7 +3,7 @@
 use pipithub_inference::orca::{Report, Unreadable};
 
 #[test]
-fn both_forms_are_read() {
+fn text_and_json_reports_are_read() {
     let text =
         Report::parse("TEXT cpu_utilization=0.3, named_metrics.inflight = 2e0").expect("text");
     assert_eq!(
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn unreadable_reports_are_errors_and_impossible_numbers_are_ignored() {
+fn unreadable_report_is_an_error_and_an_invalid_number_is_ignored() {
     for bad in [
         "",
         "BIN AAA=",
--- a/crates/pipithub-inference/tests/reply.rs
+++ b/crates/pipithub-inference/tests/reply.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_reply_claims_no_more_than_it_says() {
+fn reply_counts_as_never_run_only_if_the_worker_says_so() {
     let not_run = (header::HAS_RUN, "no");
     assert_eq!(reply(200, &[]).outcome, Outcome::Served);
     assert_eq!(reply(400, &[]).outcome, Outcome::Served);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_worker_at_capacity_is_no_failed_load() {
+fn load_command_rejected_by_a_worker_at_capacity_is_no_error() {
     let reply = |status, headers: &[(&str, &'static str)]| {
         load_command_reply(status, |name| {
             headers.iter().find(|(n, _)| *n == name).map(|(_, v)| *v)
--- a/crates/pipithub-inference/tests/request.rs
+++ b/crates/pipithub-inference/tests/request.rs
@@ -5,7 +5,7 @@
 use pipithub_inference::{header, infer, unescape};
 
 #[test]
-fn any_name_makes_a_path_and_comes_back() {
+fn escaped_name_makes_one_path_segment_and_unescapes_to_itself() {
     for name in ["resnet", "../admin", "a b/ü%", "", ".", "x?y#z"] {
         let call = Call {
             function: name.into(),
--- a/crates/pipithub-inference/tests/timeout.rs
+++ b/crates/pipithub-inference/tests/timeout.rs
@@ -1,4 +1,4 @@
-//! The timeout that a worker is told is made when the request is written, and never exceeds what is left.
+//! The timeout in the header is set when the request is written, and never exceeds the time that is left.
 
 use pipithub_engine::policy::RequestId;
 use pipithub_engine::{AttemptId, Call};
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_request_that_waited_tells_what_is_left_then() {
+fn request_that_waited_carries_the_time_left_when_it_is_written() {
     let mut request = request();
     assert_eq!(request.set_timeout(1_500 * MILLISECOND), Ok(()));
     assert_eq!(request.set_timeout(1_260 * MILLISECOND), Ok(()));
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_request_with_nothing_left_to_tell_is_refused() {
+fn request_with_less_than_a_millisecond_left_is_rejected() {
     for left in [0, 1, MILLISECOND - 1] {
         assert_eq!(
             request().set_timeout(left),
