--- a/crates/pipithub-consumer/src/consumer/commit.rs
+++ b/crates/pipithub-consumer/src/consumer/commit.rs
@@ -1,4 +1,4 @@
-//! Answers and acknowledgements, which are committed together: one transaction does both or neither.
+//! Answers and acknowledgements. One transaction commits both or neither.
 
 use std::sync::Arc;
 
@@ -6,18 +6,21 @@
 use pipithub_engine::Reply;
 
 use super::{Consumer, DeadLetterTarget};
-use crate::message::{self, ReplyAddress, Unreadable};
+use crate::message::{self, MessageError, ReplyAddress};
 
-/// Bytes that wait to be written before no further transaction is begun.
+/// No further transaction starts while more bytes than this wait to be written.
 const MAX_OUTPUT: usize = 4 << 20;
-/// Answers and acknowledgements in one transaction.
+/// The maximum number of answers in one transaction.
 const MAX_BATCH: usize = 128;
 
-/// What settles a delivery.
+/// The answer that settles a delivery.
 #[derive(Debug)]
 pub(super) enum Answer {
     Reply(Arc<Reply>),
-    Unreadable(Unreadable, Box<Content>),
+    Unreadable {
+        error: MessageError,
+        content: Box<Content>,
+    },
     Nothing,
 }
 
@@ -36,7 +39,7 @@
         }
     }
 
-    /// Publishes what is pending and acknowledges its messages.
+    /// Publishes pending answers, acknowledges their messages and commits both, unless a transaction is under way.
     pub(super) fn begin_commit(&mut self) {
         let Some(channel) = self.channel() else {
             return;
@@ -69,7 +72,7 @@
         has_output_room && !self.blocked && self.committing.is_empty() && !self.pending.is_empty()
     }
 
-    /// Publishes what a delivery is answered with; what settles the delivery itself.
+    /// Publishes the answer to a delivery and returns the method that settles the delivery.
     fn publish_pending(
         &mut self,
         channel: u16,
@@ -88,10 +91,10 @@
                 self.publish_answer(channel, address, properties, &body);
                 acknowledge
             }
-            Answer::Unreadable(why, content) => {
-                let properties = message::answer_unreadable(address, &why);
+            Answer::Unreadable { error, content } => {
+                let properties = message::answer_unreadable(address, &error);
                 self.publish_answer(channel, address, properties, &[]);
-                if self.publish_dead_letter(channel, &why, &content) {
+                if self.publish_dead_letter(channel, &error, &content) {
                     return acknowledge;
                 }
                 Method::BasicReject {
@@ -102,8 +105,13 @@
         }
     }
 
-    /// Publishes a copy of an unreadable message, where there is a target for it.
-    fn publish_dead_letter(&mut self, channel: u16, why: &Unreadable, content: &Content) -> bool {
+    /// Publishes a copy of an unreadable message as a dead letter. Returns false if there is no target for it.
+    fn publish_dead_letter(
+        &mut self,
+        channel: u16,
+        error: &MessageError,
+        content: &Content,
+    ) -> bool {
         if self.no_dead_letters {
             return false;
         }
@@ -115,7 +123,7 @@
             routing_key,
         } = target;
         let queue = &self.settings.queue;
-        let properties = message::dead_letter(&content.properties, queue, why);
+        let properties = message::dead_letter(&content.properties, queue, error);
         self.publish(channel, &exchange, &routing_key, properties, &content.body);
         true
     }
--- a/crates/pipithub-consumer/src/message.rs
+++ b/crates/pipithub-consumer/src/message.rs
@@ -1,17 +1,20 @@
-//! A message as a request, and a final answer as a message.
+//! Reads messages as calls, and writes final answers as messages.
 //!
 //! | property or header | meaning |
 //! | --- | --- |
-//! | `reply_to`, `correlation_id` | where the answer goes, and what ties it to the request |
-//! | `message_id` | names the message; without it `reply_to` with `correlation_id` does, else nothing |
-//! | `type` or `pipithub-class` | the class |
+//! | `reply_to`, `correlation_id` | the queue that the answer goes to, and the id that it repeats |
+//! | `message_id` | identifies the message; without it `reply_to` with `correlation_id` does, if present |
+//! | `type` or `pipithub-class` | the class of the call |
 //! | `pipithub-function` | the function or model to run |
-//! | `pipithub-memory-mb`, `pipithub-lanes`, `pipithub-load-ms`, `pipithub-expected-ms` | what is known of it |
-//! | `pipithub-key` | the key under which workers drop repeats |
-//! | `expiration`, `pipithub-budget-ms` | milliseconds that the client waits; the lesser counts |
-//! | `timestamp`, `pipithub-sent-ms` | when it was sent: Unix seconds, or Unix milliseconds |
+//! | `pipithub-memory-mb`, `pipithub-lanes`, `pipithub-load-ms`, `pipithub-expected-ms` | properties of the function |
+//! | `pipithub-key` | the key by which workers deduplicate the call |
+//! | `expiration`, `pipithub-budget-ms` | the client timeout in milliseconds; the lesser of both counts |
+//! | `timestamp`, `pipithub-sent-ms` | when the message was sent, in Unix seconds or Unix milliseconds |
 //!
-//! The route that a queue belongs to may give all of them but the last two lines; a header goes before the route.
+//! The route of a queue may give defaults for all of them but the first two lines and the last two. A header takes
+//! precedence over the route.
+
+mod error;
 
 use std::sync::Arc;
 
@@ -19,63 +22,60 @@
 use pipithub_amqp::{Content, FieldTable, FieldValue, Properties, ShortStr};
 use pipithub_engine::{Call, Reply, Tenant, Time};
 
+pub use self::error::MessageError;
+
 const MS: Time = 1_000_000;
-/// No budget or age is taken for longer: a day.
+/// Timeouts and ages are capped at a day.
 const MAX_SPAN_MS: u64 = 86_400_000;
-/// A sender's clock may be ahead by this before its messages' age counts as unknown.
+/// If the clock of a sender is ahead by more than this, the age of its messages counts as unknown.
 const MAX_SKEW_MS: u64 = 1_000;
-/// A function's name has at most so many bytes.
+/// The maximum length of the name of a function, in bytes.
 const MAX_FUNCTION_LEN: usize = 200;
-/// A replica runs at most so many requests at a time.
+/// The maximum concurrency of a replica.
 const MAX_REPLICA_CONCURRENCY: f64 = 65_536.0;
 
-/// What holds for the messages of a queue where they do not say otherwise.
+/// The defaults for the messages of a queue; what a message states takes precedence.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Route {
-    /// The class.
+    /// The number of the class; `None` if each message must name its class.
     pub class: Option<usize>,
-    /// The function.
+    /// The function to call; `None` if each message must name its function.
     pub function: Option<Arc<str>>,
-    /// Memory of one replica, in MB.
+    /// The memory that one replica takes, in MB.
     pub memory_mb: f64,
-    /// Requests that one replica runs at a time; 0 counts as 1.
+    /// The number of calls that one replica runs at a time; 0 counts as 1.
     pub lanes: u32,
-    /// The usual time of a load.
+    /// The usual time to load a replica, in nanoseconds; `None` if it is not known.
     pub load_time: Option<Time>,
-    /// The work that a request is expected to take.
+    /// The expected run time of a call, in nanoseconds; `None` if it is not known.
     pub expected: Option<Time>,
-    /// How long clients wait.
+    /// The client timeout, in nanoseconds; `None` leaves it to the class.
     pub budget: Option<Time>,
-    /// The tenant that it belongs to.
+    /// The tenant that the route belongs to; `None` if it belongs to none.
     pub tenant: Option<Tenant>,
 }
 
-/// A class of requests, as messages name it.
+/// A class of calls, as messages name it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClassName {
-    /// Its name.
+    /// The name of the class in messages.
     pub name: String,
-    /// Whether each of its requests needs an idempotency key.
+    /// Whether each call of the class needs an idempotency key.
     pub needs_key: bool,
 }
 
-/// A message that is no request; it never ran.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0}")]
-pub struct Unreadable(pub String);
-
-/// A message that was read as a request.
+/// A message that was read as a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParsedMessage {
-    /// The request.
+    /// The call that the message asks for.
     pub call: Call,
-    /// Names the message in each delivery.
+    /// Identifies the message across its deliveries; `None` if it has nothing to identify it.
     pub identity: Option<Arc<str>>,
-    /// How often it was delivered before, where the broker counts.
+    /// The number of earlier deliveries; 0 if the broker does not count them.
     pub deliveries: u32,
 }
 
-/// The headers of a message, read as what they should be.
+/// The headers of a message, read as the types that they must have.
 #[derive(Clone, Copy)]
 struct Headers<'a>(Option<&'a FieldTable>);
 
@@ -84,7 +84,7 @@
         self.0?.get(name)
     }
 
-    fn number(self, name: &str) -> Result<Option<f64>, Unreadable> {
+    fn number(self, name: &'static str) -> Result<Option<f64>, MessageError> {
         let Some(value) = self.get(name) else {
             return Ok(None);
         };
@@ -93,59 +93,62 @@
             .or_else(|| value.as_str().and_then(|s| s.trim().parse().ok()));
         match number.filter(|n| n.is_finite() && *n >= 0.0) {
             Some(number) => Ok(Some(number)),
-            None => Err(Unreadable(format!(
-                "header {name} is not a number that is not negative"
-            ))),
+            None => Err(MessageError::InvalidNumber { header: name }),
         }
     }
 
-    /// A number of milliseconds as a span, [`MAX_SPAN_MS`] at the most.
-    fn span(self, name: &str) -> Result<Option<Time>, Unreadable> {
+    /// Reads a number of milliseconds as a duration in nanoseconds, capped at [`MAX_SPAN_MS`].
+    fn span(self, name: &'static str) -> Result<Option<Time>, MessageError> {
         let millis = self.number(name)?;
         Ok(millis.map(|ms| (ms.min(MAX_SPAN_MS as f64) * MS as f64) as Time))
     }
 
-    fn text(self, name: &str) -> Result<Option<&'a str>, Unreadable> {
+    fn text(self, name: &'static str) -> Result<Option<&'a str>, MessageError> {
         let Some(value) = self.get(name) else {
             return Ok(None);
         };
         value
             .as_str()
             .map(Some)
-            .ok_or_else(|| Unreadable(format!("header {name} is not a text")))
+            .ok_or(MessageError::NotText { header: name })
     }
 }
 
-/// When a message is read, in Unix milliseconds.
+/// When a message arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ArrivalTime {
-    /// The wall clock as it stands; what is left of a client's time is judged by it.
+    /// The wall time, in Unix milliseconds. What is left of the client timeout is computed from it.
     pub wall_ms: u64,
-    /// By [`crate::LatestWall`]: a message's age is judged by it, so that a step back makes no message younger.
+    /// The wall time according to [`crate::LatestWall`], in Unix milliseconds. The age of a message is computed from
+    /// it, so that a step back of the clock makes no message look younger.
     pub latest_wall_ms: u64,
 }
 
 impl ArrivalTime {
-    /// The time since then by the wall clock; none where it was stepped back past it.
+    /// The time since `sent_ms` by the wall clock, in nanoseconds; 0 if the clock was stepped back beyond it.
     fn since(&self, sent_ms: u64) -> Time {
         self.wall_ms.saturating_sub(sent_ms).min(MAX_SPAN_MS) * MS
     }
 
-    /// The age at the most of a message sent then; unknown where that lies in the future.
+    /// The maximum age of a message sent at `sent_ms`, in nanoseconds; `None` if that lies in the future.
     fn max_age(&self, sent_ms: u64) -> Option<Time> {
         let is_known = sent_ms <= self.latest_wall_ms.saturating_add(MAX_SKEW_MS);
         is_known.then(|| self.latest_wall_ms.saturating_sub(sent_ms).min(MAX_SPAN_MS) * MS)
     }
 }
 
-/// Reads a message. `classes` are in the order of their numbers.
+/// Reads a message of a queue as a call. `classes` are in the order of their numbers.
+///
+/// # Errors
+///
+/// Fails if the message lacks what a call needs, or a property or header cannot be read.
 pub fn read(
     content: &Content,
     queue: &str,
     route: &Route,
     classes: &[ClassName],
     arrival: ArrivalTime,
-) -> Result<ParsedMessage, Unreadable> {
+) -> Result<ParsedMessage, MessageError> {
     let properties = &content.properties;
     let headers = Headers(properties.headers.as_ref());
     let class = class(properties, headers, route, classes)?;
@@ -188,8 +191,8 @@
     })
 }
 
-/// Requests that one replica runs at a time.
-fn replica_concurrency(headers: Headers<'_>, route: &Route) -> Result<u32, Unreadable> {
+/// The number of calls that one replica runs at a time.
+fn replica_concurrency(headers: Headers<'_>, route: &Route) -> Result<u32, MessageError> {
     let given = headers.number("pipithub-lanes")?;
     let concurrency = given.map_or(route.lanes, |given| {
         given.min(MAX_REPLICA_CONCURRENCY) as u32
@@ -197,7 +200,7 @@
     Ok(concurrency.max(1))
 }
 
-/// Earlier deliveries, where the broker counts them.
+/// The number of earlier deliveries; 0 if the broker does not count them.
 fn deliveries(headers: Headers<'_>) -> u32 {
     let count = headers.get("x-delivery-count").and_then(FieldValue::as_i64);
     count.unwrap_or(0).clamp(0, i64::from(u32::MAX)) as u32
@@ -208,53 +211,47 @@
     headers: Headers<'_>,
     route: &Route,
     classes: &[ClassName],
-) -> Result<usize, Unreadable> {
+) -> Result<usize, MessageError> {
     let Some(name) = headers
         .text("pipithub-class")?
         .or(properties.kind.as_deref())
     else {
-        return route
-            .class
-            .ok_or_else(|| Unreadable("no class: header pipithub-class is missing".into()));
+        return route.class.ok_or(MessageError::MissingClass);
     };
     if let Some(class) = classes.iter().position(|known| known.name == name) {
         return Ok(class);
     }
-    // The property `type` may be used for something else where the route gives the class.
+    // If the route gives the class, the property `type` may be used for something else.
     let by_property = headers.get("pipithub-class").is_none();
-    let unknown = || Unreadable(format!("class '{name}' is not known"));
+    let unknown = || MessageError::UnknownClass { name: name.into() };
     route.class.filter(|_| by_property).ok_or_else(unknown)
 }
 
-fn function(headers: Headers<'_>, route: &Route) -> Result<Arc<str>, Unreadable> {
+fn function(headers: Headers<'_>, route: &Route) -> Result<Arc<str>, MessageError> {
     match headers.text("pipithub-function")? {
-        Some(name) if name.is_empty() || name.len() > MAX_FUNCTION_LEN => Err(Unreadable(format!(
-            "header pipithub-function has {} bytes, 1 to {MAX_FUNCTION_LEN} are taken",
-            name.len()
-        ))),
-        Some(name) => Ok(name.into()),
-        None => {
-            let missing = || Unreadable("no function: header pipithub-function is missing".into());
-            route.function.clone().ok_or_else(missing)
+        Some(name) if name.is_empty() || name.len() > MAX_FUNCTION_LEN => {
+            Err(MessageError::InvalidFunction { bytes: name.len() })
         }
+        Some(name) => Ok(name.into()),
+        None => route.function.clone().ok_or(MessageError::MissingFunction),
     }
 }
 
-/// How long the client waits, from its sending on.
+/// The client timeout, which began when the message was sent.
 fn client_timeout(
     properties: &Properties,
     headers: Headers<'_>,
     route: &Route,
-) -> Result<Option<Time>, Unreadable> {
+) -> Result<Option<Time>, MessageError> {
     let budget = headers.span("pipithub-budget-ms");
     let expiration = match &properties.expiration {
         None => None,
         Some(text) => match text.parse::<u64>() {
             Ok(ms) => Some(ms.min(MAX_SPAN_MS) * MS),
             Err(_) => {
-                return Err(Unreadable(format!(
-                    "expiration '{text}' is not a number of milliseconds"
-                )));
+                return Err(MessageError::InvalidExpiration {
+                    text: text.to_string(),
+                });
             }
         },
     };
@@ -267,16 +264,16 @@
 
 /// When a message was sent, in Unix milliseconds.
 ///
-/// A timestamp counts whole seconds: its message may have been sent up to a second later. It is taken as late as it can
-/// have been for the client's time, which must not be cut short, and as early for the age, which decides whether a repeat
-/// is harmless.
+/// A timestamp is in whole seconds, so its message may have been sent up to a second later. The latest time that it
+/// allows is used for the client timeout, which must not be cut short. The earliest is used for the age, which decides
+/// whether a redelivered call may run again.
 struct SendTime {
     earliest_ms: Option<u64>,
     latest_ms: Option<u64>,
 }
 
 impl SendTime {
-    fn read(properties: &Properties, headers: Headers<'_>) -> Result<Self, Unreadable> {
+    fn read(properties: &Properties, headers: Headers<'_>) -> Result<Self, MessageError> {
         let exact_ms = headers.number("pipithub-sent-ms")?.map(|ms| ms as u64);
         let second_ms = properties
             .timestamp
@@ -292,7 +289,7 @@
     properties.message_id.as_deref().filter(|id| !id.is_empty())
 }
 
-/// What names the message in each of its deliveries.
+/// Identifies the message across its deliveries; `None` if it has nothing to identify it.
 fn identity(properties: &Properties, queue: &str) -> Option<Arc<str>> {
     if let Some(id) = message_id(properties) {
         return Some(format!("{queue}\0{id}").into());
@@ -305,35 +302,36 @@
     Some(format!("{queue}\0\0{reply_to}\0{correlation_id}").into())
 }
 
-/// Under which workers drop repeats; where it is needed the message's own id does, as each delivery carries the same.
+/// The idempotency key. If a class needs one and the message gives none, the id of the message is used, because every
+/// delivery carries the same id.
 fn key(
     headers: Headers<'_>,
     message_id: Option<&str>,
     is_needed: bool,
-) -> Result<Option<Arc<str>>, Unreadable> {
+) -> Result<Option<Arc<str>>, MessageError> {
     let given = headers.text("pipithub-key")?;
     if given.is_some() || !is_needed {
         return Ok(given.map(Into::into));
     }
-    let missing = || {
-        Unreadable("no key: a call of this class needs header pipithub-key or a message_id".into())
-    };
-    message_id.map(|id| Some(id.into())).ok_or_else(missing)
+    match message_id {
+        Some(id) => Ok(Some(id.into())),
+        None => Err(MessageError::MissingKey),
+    }
 }
 
-/// Where the answer to a message goes; kept until it is published.
+/// Where and how the answer to a message is published.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReplyAddress {
-    /// Where the answer goes; `None`: nowhere.
+    /// The queue that the answer goes to; `None` if the client wants no answer.
     pub reply_to: Option<ShortStr>,
-    /// What ties it to the request.
+    /// The correlation id that the answer repeats.
     pub correlation_id: Option<ShortStr>,
-    /// Whether the answer is to outlive the broker, as the request was.
+    /// The delivery mode of the message, which the answer repeats: 2 if it must survive a restart of the broker.
     pub delivery_mode: Option<u8>,
 }
 
 impl ReplyAddress {
-    /// From the properties of the request's message.
+    /// Reads the address from the properties of a message. The message id replaces a missing correlation id.
     pub fn from_properties(properties: &Properties) -> Self {
         ReplyAddress {
             reply_to: properties.reply_to.clone().filter(|r| !r.is_empty()),
@@ -353,7 +351,7 @@
         .with("pipithub-attempts", i64::from(attempts))
 }
 
-/// The answer as a message.
+/// The properties and body of the message that carries a final answer.
 pub fn answer(address: &ReplyAddress, reply: &Reply) -> (Properties, Bytes) {
     let mut headers = headers(reply.verdict.as_str(), reply.cause.as_str(), reply.attempts);
     if let Some(after) = reply.retry_after {
@@ -378,9 +376,10 @@
     (properties(address, headers, content_type), body)
 }
 
-/// The answer to a message that is no request: a rejection, for it never ran.
-pub fn answer_unreadable(address: &ReplyAddress, why: &Unreadable) -> Properties {
-    let headers = headers("refused", "unreadable", 0).with("pipithub-reason", why.0.as_str());
+/// The properties of the answer to a message that cannot be read as a call. It is a rejection, because nothing ran.
+pub fn answer_unreadable(address: &ReplyAddress, error: &MessageError) -> Properties {
+    let headers =
+        headers("refused", "unreadable", 0).with("pipithub-reason", error.to_string().as_str());
     properties(address, headers, None)
 }
 
@@ -399,11 +398,11 @@
     }
 }
 
-/// The properties of the copy of an unreadable message that goes to the dead letters.
-pub fn dead_letter(original: &Properties, queue: &str, why: &Unreadable) -> Properties {
+/// The properties of a dead letter: the copy of a message that cannot be read as a call.
+pub fn dead_letter(original: &Properties, queue: &str, error: &MessageError) -> Properties {
     let headers = original.headers.clone().unwrap_or_default();
     let headers = headers
-        .with("pipithub-reason", why.0.as_str())
+        .with("pipithub-reason", error.to_string().as_str())
         .with("pipithub-queue", queue);
     Properties {
         headers: Some(headers),
