--- a/crates/pipithub-settings/src/address.rs
+++ b/crates/pipithub-settings/src/address.rs
@@ -1,8 +1,8 @@
-//! Addresses of servers, as `host:port`.
+//! Addresses of servers in the form `host:port`.
 
 use crate::reader::Reader;
 
-/// The node's argument as an address; empty where there is none.
+/// The node's argument as an address; empty if there is none.
 pub(crate) fn read(node: &Reader<'_>) -> String {
     let Some(given) = node.argument() else {
         return String::new();
--- a/crates/pipithub-settings/src/config.rs
+++ b/crates/pipithub-settings/src/config.rs
@@ -1,4 +1,4 @@
-//! What a settings file says, as types.
+//! The settings as types.
 
 use std::path::PathBuf;
 
@@ -15,138 +15,142 @@
 /// A queue to consume.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueueConfig {
-    /// Its name.
+    /// The name of the queue at the broker.
     pub name: String,
-    /// Declare it where it is missing.
+    /// Whether the queue is declared if it does not exist.
     pub declare: bool,
-    /// Most deliveries in flight.
+    /// The maximum number of unacknowledged deliveries.
     pub prefetch: u16,
-    /// How that limit is set at the broker.
+    /// Whether the prefetch limit is set for the channel or for the consumer.
     pub qos: Qos,
-    /// What holds for its messages.
+    /// The defaults for messages that do not specify these values.
     pub route: Route,
-    /// Where copies of unreadable messages go.
+    /// Where copies of invalid messages are published; `None` publishes none.
     pub dead_letter: Option<DeadLetterTarget>,
-    /// How its messages prove whose they are.
+    /// How the messages prove which user they are from.
     pub identity: Rule,
 }
 
-/// A broker.
+/// A broker to connect to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AmqpConfig {
-    /// Its name, for logs.
+    /// The name of the broker in the settings.
     pub name: String,
-    /// Addresses, tried in turn.
+    /// The addresses of the broker as `host:port`, which are tried in turn.
     pub addresses: Vec<String>,
-    /// What to log in with.
+    /// The credentials and the virtual host.
     pub login: Login,
-    /// Seconds between heartbeats.
+    /// The interval between heartbeats in seconds; 0 disables them.
     pub heartbeat: u16,
-    /// Waits between attempts to connect.
+    /// The backoff between attempts to connect.
     pub reconnect_backoff: BackoffRange,
-    /// The queues.
+    /// The queues to consume at this broker, at least one.
     pub queues: Vec<QueueConfig>,
 }
 
-/// A timer.
+/// A cron timer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CronConfig {
-    /// Its name.
+    /// The name of the timer, which is part of the idempotency keys of its requests.
     pub name: String,
-    /// When it fires, as a cron pattern with optional seconds, in UTC.
+    /// The schedule as a cron pattern with optional seconds, in UTC.
     pub schedule: String,
-    /// What holds for its requests; class and function are always given.
+    /// The properties of the timer's requests. The class and the function are always set.
     pub route: Route,
-    /// The body of its requests.
+    /// The body of the timer's requests.
     pub body: String,
 }
 
 /// A worker that is listed in the settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FixedWorker {
-    /// `host:port`.
+    /// The address of the worker as `host:port`.
     pub address: String,
-    /// Its zone.
+    /// The zone in which the worker runs; empty if it is not given.
     pub zone: String,
-    /// Its memory for functions, in MB.
+    /// The worker's memory for functions in MB; 0 if it is not known.
     pub memory_mb: f64,
 }
 
-/// Where workers are found.
+/// How workers are discovered.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkersConfig {
-    /// From `EndpointSlices`.
+    /// The workers are the endpoints of a Kubernetes service, from its `EndpointSlice` objects.
     EndpointSlices {
-        /// `http://host:port` of the API server, or of a proxy that logs in to it.
+        /// The address of the API server, or of a proxy that authenticates to it, as `http://host:port`.
         url: String,
-        /// Namespace.
+        /// The namespace of the service.
         namespace: String,
-        /// Service.
+        /// The name of the service.
         service: String,
-        /// The port's name; `None`: the first.
+        /// The name of the port; `None` uses the first port.
         port: Option<String>,
-        /// Where the list is cached for a restart.
+        /// The file in which the list is cached for a restart; `None` caches nothing.
         cache: Option<PathBuf>,
     },
-    /// As listed.
+    /// The workers are listed in the settings.
     Fixed(Vec<FixedWorker>),
 }
 
-/// How workers are reached.
+/// The HTTP client for requests to workers. Times are in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HttpConfig {
-    /// A connection that is not up by then counts as refused.
+    /// The time after which a connection that was not accepted counts as refused.
     pub connect_timeout: Time,
-    /// Idle connections kept open to each worker.
+    /// The maximum number of idle connections to each worker.
     pub max_idle_connections: usize,
-    /// Answers are taken up to this size.
+    /// The maximum size of a response body in bytes.
     pub max_body: usize,
-    /// A load or evict command without an answer by then has failed.
+    /// The time after which a load or evict command without a response has failed.
     pub load_command_timeout: Time,
-    /// A poll of a worker's load without an answer by then has failed.
+    /// The time after which a load poll without a response has failed.
     pub load_poll_timeout: Time,
 }
 
-/// How logs are written.
+/// The format and the level of logs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogConfig {
-    /// As JSON.
+    /// Whether logs are written as JSON; otherwise they are written as text.
     pub json: bool,
-    /// What is logged, as a filter of `tracing`.
+    /// The filter that selects what is logged, in the syntax of `tracing`.
     pub level: String,
 }
 
 /// The settings of a gateway process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// The front end's name.
+    /// The name of the front end.
     pub name: String,
-    /// Front ends in this process; each shares nothing with the others.
+    /// The number of front ends in this process, which share no state.
     pub instances: u32,
-    /// The classes, by their number.
+    /// The names of the classes; requests refer to classes by their indexes here.
     pub classes: Vec<ClassName>,
-    /// The engine's settings, the module's included.
+    /// The settings of the engine, including those of the decision module.
     pub engine: EngineSettings,
-    /// The tenants and their directories; `None`: there are none, and every request may run every function.
+    /// The tenants and their directories; `None` if there are no tenants, and every request may run every function.
     pub tenants: Option<TenantsConfig>,
-    /// Brokers.
+    /// The brokers whose queues are consumed.
     pub amqp: Vec<AmqpConfig>,
-    /// Timers.
+    /// The cron timers.
     pub cron: Vec<CronConfig>,
-    /// Where workers are found.
+    /// How workers are discovered.
     pub workers: WorkersConfig,
-    /// How they are reached.
+    /// The HTTP client for requests to workers.
     pub http: HttpConfig,
-    /// Logs.
+    /// The format and the level of logs.
     pub log: LogConfig,
-    /// Its part in a fleet; `None`: it shares nothing.
+    /// The front end's membership in a fleet; `None` if it exchanges nothing with other front ends.
     pub fleet: Option<FleetSettings>,
-    /// How long a gateway that shuts down waits for its requests in flight.
+    /// How long a graceful shutdown waits for pending requests, in nanoseconds.
     pub drain: Time,
 }
 
 impl Config {
-    /// Reads a file's text; `name` is what its errors call it.
+    /// Parses the text of a settings file; `name` identifies the file in errors.
+    ///
+    /// # Errors
+    ///
+    /// Returns all faults of the file if there are any.
     pub fn parse(name: &str, text: &str) -> Result<Config, Box<Faults>> {
         read_config(text).map_err(|faults| Box::new(Faults::new(name, text, faults)))
     }
--- a/crates/pipithub-settings/src/cron.rs
+++ b/crates/pipithub-settings/src/cron.rs
@@ -1,4 +1,4 @@
-//! The node `cron`: a timer.
+//! The node `cron`: a cron timer.
 
 use croner::parser::{CronParser, Seconds};
 
@@ -16,7 +16,7 @@
     route.tenant = context.tenants.read_reference(node);
     if !context.tenants.is_empty() && route.tenant.is_none() {
         let message = format!("cron '{name}' needs 'tenant'");
-        node.fault_with_help(message, "a timer has no user: say whose it is");
+        node.fault_with_help(message, "a timer has no user, so its tenant must be given");
     }
     if route.class.is_none() || route.function.is_none() {
         node.fault(format!("cron '{name}' needs 'class' and 'function'"));
--- a/crates/pipithub-settings/src/document.rs
+++ b/crates/pipithub-settings/src/document.rs
@@ -1,4 +1,4 @@
-//! Reads a whole settings file, node by node in a fixed order, so that faults come in the same order each time.
+//! Reads a complete settings file. The nodes are read in a fixed order, so that faults are always reported in that order.
 
 use std::str::FromStr;
 
@@ -13,10 +13,10 @@
 use crate::route::RouteContext;
 use crate::{amqp, cron, fleet, policy, tenants, workers};
 
-/// Sizes are given in these.
+/// The bytes of a mebibyte, the unit of sizes in the settings.
 pub(crate) const MEBIBYTE: usize = 1 << 20;
 
-/// Reads a file's text; any fault gives no settings at all.
+/// Parses the text of a file. Returns all of its faults if there are any.
 pub(crate) fn read_config(text: &str) -> Result<Config, Vec<Fault>> {
     let document = KdlDocument::from_str(text).map_err(|error| {
         error
@@ -76,7 +76,7 @@
     }
 }
 
-/// The node `front-end`.
+/// The contents of the node `front-end`.
 struct FrontEndSection {
     name: String,
     instances: u32,
--- a/crates/pipithub-settings/src/duration.rs
+++ b/crates/pipithub-settings/src/duration.rs
@@ -1,17 +1,19 @@
-//! Lengths of time as they are written in settings.
+//! Durations as they are written in settings.
 
 use pipithub_engine::Time;
 
-/// One millisecond.
+/// The nanoseconds of a millisecond.
 pub(crate) const MS: Time = 1_000_000;
-/// One second.
+/// The nanoseconds of a second.
 pub(crate) const SECOND: Time = 1_000 * MS;
-/// One hour.
+/// The nanoseconds of an hour.
 pub(crate) const HOUR: Time = 3_600 * SECOND;
-/// One day.
+/// The nanoseconds of a day.
 pub(crate) const DAY: Time = 24 * HOUR;
 
-/// Parses a length of time as written in settings: `250ms`, `1.5s`, `10m`, `2h`. Nothing longer than a day is taken.
+/// Parses a duration such as `250us`, `250ms`, `1.5s`, `10m` or `2h`, in nanoseconds.
+///
+/// Returns `None` for other texts, and for durations that are negative or longer than a day.
 pub fn duration(text: &str) -> Option<Time> {
     let unit_start = text.find(|c: char| c.is_ascii_alphabetic())?;
     let number: f64 = text[..unit_start].trim().parse().ok()?;
@@ -27,7 +29,7 @@
     (time.is_finite() && (0.0..=DAY as f64).contains(&time)).then_some(time as Time)
 }
 
-/// Writes a length of time as [`duration`] reads it.
+/// Formats a duration so that [`duration`] can parse it.
 pub(crate) fn format_duration(time: Time) -> String {
     if time.is_multiple_of(SECOND) {
         format!("{}s", time / SECOND)
--- a/crates/pipithub-settings/src/fault.rs
+++ b/crates/pipithub-settings/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of a settings file, each with its place and, where there is one, a hint.
+//! The faults of a settings file, each with its place and, if there is one, a hint.
 
 use std::cell::RefCell;
 
@@ -8,16 +8,25 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, Diagnostic)]
 #[error("{message}")]
 pub struct Fault {
-    /// What is wrong.
+    /// A description of the fault.
     pub message: String,
-    /// Where.
+    /// The place of the fault in the text.
     #[label("here")]
     pub span: SourceSpan,
-    /// What would be right.
+    /// A hint on how to correct the fault.
     #[help]
     pub help: Option<String>,
 }
 
+/// A fault with the line of its place.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct FaultLine {
+    /// The number of the line, from 1.
+    pub line: usize,
+    /// The description of the fault.
+    pub message: String,
+}
+
 impl From<&kdl::KdlDiagnostic> for Fault {
     fn from(diagnostic: &kdl::KdlDiagnostic) -> Self {
         let message = diagnostic.message.clone();
@@ -35,7 +44,7 @@
 pub struct Faults {
     #[source_code]
     source_code: NamedSource<String>,
-    /// Each of them.
+    /// The faults, in the order in which the nodes are read.
     #[related]
     pub faults: Vec<Fault>,
     text: String,
@@ -50,17 +59,20 @@
         }
     }
 
-    /// The line of each fault, from 1, with its message.
-    pub fn lines(&self) -> Vec<(usize, String)> {
+    /// All faults with the lines of their places.
+    pub fn lines(&self) -> Vec<FaultLine> {
         self.faults
             .iter()
-            .map(|fault| (self.line_of(fault), fault.message.clone()))
+            .map(|fault| FaultLine {
+                line: self.line_of(fault),
+                message: fault.message.clone(),
+            })
             .collect()
     }
 
     fn line_of(&self, fault: &Fault) -> usize {
         let end = fault.span.offset().min(self.text.len());
-        // By bytes, as the fault need not begin at a character.
+        // Splits bytes and not characters, as the offset may be inside a character.
         let before = &self.text.as_bytes()[..end];
         before.split(|byte| *byte == b'\n').count()
     }
@@ -84,7 +96,7 @@
     }
 }
 
-/// The place of faults that no node stands for.
+/// The place of faults that belong to no node, such as a missing one.
 pub(crate) fn start_of_file() -> SourceSpan {
     (0, 0).into()
 }
--- a/crates/pipithub-settings/src/fleet.rs
+++ b/crates/pipithub-settings/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The node `fleet`: how this front end takes part in a fleet.
+//! The node `fleet`: the front end's membership in a fleet.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,24 +9,24 @@
 use crate::duration::{DAY, MS, SECOND};
 use crate::reader::Reader;
 
-/// A front end's part in a fleet. Without it a front end shares nothing.
+/// The membership of a front end in a fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetSettings {
-    /// Membership.
+    /// The settings of the membership protocol.
     pub members: Settings,
-    /// Where datagrams are taken.
+    /// The local address at which datagrams are received.
     pub listen: SocketAddr,
-    /// The address that others are told.
+    /// The address that is announced to other members; `None` announces `listen`.
     pub advertise: Option<SocketAddr>,
-    /// The zone.
+    /// The zone in which the front end runs; empty if it is not given.
     pub zone: String,
-    /// The data folder.
+    /// The data folder, which no other process may use.
     pub data: PathBuf,
-    /// What is sent to an address goes to another one.
+    /// Addresses that are reached through another address, such as that of a proxy in a test.
     pub via: BTreeMap<SocketAddr, SocketAddr>,
 }
 
-/// Reads the node, if it is there. The settings are whole unless a fault has been reported.
+/// Reads the node; `None` if there is none, or if a fault was reported that leaves the settings incomplete.
 pub(crate) fn read(root: &Reader<'_>, instances: u32) -> Option<FleetSettings> {
     let node = root.child("fleet")?;
     let cluster = node.name();
@@ -40,7 +40,7 @@
     check_members(&node, &members);
     if instances > 1 {
         let help =
-            "one front end for each process, so that a name stands for one process and one folder";
+            "run one front end in each process: its name identifies one process and one folder";
         node.fault_with_help(format!("fleet with {instances} instances"), help);
     }
     let zone = node.text("zone").unwrap_or_default();
@@ -55,7 +55,7 @@
     })
 }
 
-/// An address of numbers: names would have to be looked up while others wait.
+/// The node's argument as a numeric address. Host names are not accepted, as resolving them could block.
 fn read_address(node: &Reader<'_>) -> Option<SocketAddr> {
     let given = node.argument()?;
     let address = given.value.as_string().and_then(|text| text.parse().ok());
@@ -81,14 +81,14 @@
     listen
 }
 
-/// The address that others are told must be one that they can send to.
+/// Reports a fault if other members cannot send to the address that is announced to them.
 fn check_reachable(node: &Reader<'_>, listen: Option<SocketAddr>, advertise: Option<SocketAddr>) {
     let Some(public_address) = advertise.or(listen) else {
         return;
     };
     let lacks_port = advertise.is_some() && public_address.port() == 0;
     if public_address.ip().is_unspecified() || lacks_port {
-        let help = "advertise \"10.0.0.4:7100\": where the others find this front end";
+        let help = "advertise \"10.0.0.4:7100\": the address at which others reach this front end";
         node.fault_with_help(format!("others cannot reach {public_address}"), help);
     }
 }
@@ -96,7 +96,7 @@
 fn read_data_folder(node: &Reader<'_>) -> Option<PathBuf> {
     let data = node.text("data").map(PathBuf::from);
     if data.is_none() {
-        let help = "data \"/var/lib/pipithub/front-1\": a folder of its own for each front end";
+        let help = "data \"/var/lib/pipithub/front-1\": each front end needs its own folder";
         node.fault_with_help("fleet needs 'data'", help);
     }
     data
--- a/crates/pipithub-settings/src/lib.rs
+++ b/crates/pipithub-settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! The operators' settings file, in KDL.
+//! The settings file, in KDL.
 //!
-//! [`Config::parse`] reads a whole file and reports everything that is wrong with it at once, each with its place and
-//! reason; a file with any fault gives no settings at all, so that what runs keeps running. `docs/operations.md` lists
-//! every node with its default and range.
+//! [`Config::parse`] parses a complete file and reports all of its faults at once, each with its place and reason. A file
+//! with any fault is rejected completely, so that a running process keeps its previous settings. `docs/operations.md`
+//! lists every node with its defaults and ranges.
 
 mod address;
 mod amqp;
@@ -23,7 +23,7 @@
     AmqpConfig, Config, CronConfig, FixedWorker, HttpConfig, LogConfig, QueueConfig, WorkersConfig,
 };
 pub use duration::duration;
-pub use fault::{Fault, Faults};
+pub use fault::{Fault, FaultLine, Faults};
 pub use fleet::FleetSettings;
 pub use tenants::{
     BindCredentials, DirectoryConfig, ServerConfig, SnapshotConfig, TenantConfig, TenantsConfig,
--- a/crates/pipithub-settings/src/policy.rs
+++ b/crates/pipithub-settings/src/policy.rs
@@ -1,4 +1,4 @@
-//! The nodes that settle how requests are treated: `class`, `limits`, `cold-workers`, `loading` and `engine`.
+//! The nodes that configure how requests are handled: `class`, `limits`, `cold-workers`, `loading` and `engine`.
 
 use pipithub_consumer::message::ClassName;
 use pipithub_engine::policy::{
@@ -12,11 +12,11 @@
 use crate::fault::start_of_file;
 use crate::reader::Reader;
 
-/// The classes of requests, by their number.
+/// The classes of requests. The three lists have the same length and order.
 pub(crate) struct Classes {
     pub(crate) names: Vec<ClassName>,
     pub(crate) settings: Vec<Class>,
-    /// What an answer of each class is worth to admission.
+    /// The priority weights of the classes in admission.
     pub(crate) weights: Vec<f64>,
 }
 
@@ -58,7 +58,7 @@
         self.weights.push(weight);
     }
 
-    /// The longest time that any client waits.
+    /// The longest client timeout of all classes.
     fn max_client_timeout(&self) -> Time {
         let timeouts = self.settings.iter().map(|class| class.client_timeout);
         timeouts.max().unwrap_or(SECOND)
@@ -68,7 +68,7 @@
 fn read_class(node: &Reader<'_>) -> Class {
     if node.child("effect").is_none() && !node.has_property("effect") {
         let help =
-            "effect \"safe\", \"keyed\" or \"unsafe\": whether a call may run twice must be said";
+            "effect \"safe\", \"keyed\" or \"unsafe\": it states whether a call may run twice";
         node.fault_with_help("a class needs 'effect'", help);
     }
     let effects = [
@@ -105,11 +105,11 @@
     }
 }
 
-/// A window is needed with a key, and means nothing without one.
+/// Reports a fault if a class with keys has no deduplication window, or a class without keys has one.
 fn check_deduplication_window(node: &Reader<'_>, idempotency: Idempotency, window: Option<Time>) {
     let has_key = idempotency == Idempotency::WithKey;
     if has_key && window.is_none() {
-        let help = "for how long workers drop repeats of a key; without it no repeat is harmless";
+        let help = "the time for which workers drop repeated keys; without it no retry is safe";
         node.fault_with_help("a keyed class needs 'dedup-window'", help);
     }
     if !has_key && window.is_some() {
@@ -168,7 +168,7 @@
     rate_limit
 }
 
-/// Everything that the engine is given but the owners of functions; those are known once tenants are read.
+/// Reads the engine's settings except for the owners of functions, which are known only once tenants are read.
 pub(crate) fn read_engine(root: &Reader<'_>, classes: &Classes, peers: u32) -> EngineSettings {
     let limits = read_limits(root);
     let slow_start = read_slow_start(root);
--- a/crates/pipithub-settings/src/reader.rs
+++ b/crates/pipithub-settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads one KDL node. Every child and property that is asked for becomes a known name; what is left over is a fault.
+//! Reads one KDL node. Every child and property that is read becomes a known name, and all others are faults.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -12,7 +12,7 @@
 use crate::fault::{FaultCollector, start_of_file};
 use crate::suggestion::suggest;
 
-/// Names longer than this are taken for mistakes.
+/// The maximum length of a name.
 const MAX_NAME_BYTES: usize = 200;
 
 /// A value with its place in the file.
@@ -30,13 +30,13 @@
         }
     }
 
-    /// The value as a text; empty where it is none.
+    /// The value as a text; empty if it is of another type.
     pub(crate) fn text(&self) -> &'a str {
         self.value.as_string().unwrap_or_default()
     }
 }
 
-/// A node that is being read. One that is missing has neither children nor entries, so that each value has its default.
+/// A node that is being read. A missing node has no children and no entries, so that each value has its default.
 pub(crate) struct Reader<'a> {
     node: Option<&'a KdlNode>,
     faults: &'a FaultCollector,
@@ -73,12 +73,12 @@
         self.node.map_or(&[], KdlNode::entries)
     }
 
-    /// Reports a fault of the whole node.
+    /// Reports a fault whose place is the node.
     pub(crate) fn fault(&self, message: impl Into<String>) {
         self.faults.add(self.span(), message, None);
     }
 
-    /// Reports a fault of the whole node, with what would be right.
+    /// Reports a fault whose place is the node, with a hint.
     pub(crate) fn fault_with_help(&self, message: impl Into<String>, help: &str) {
         self.faults.add(self.span(), message, Some(help));
     }
@@ -98,7 +98,7 @@
         document.into_iter().flat_map(KdlDocument::nodes)
     }
 
-    /// All children of a name.
+    /// All children with a name.
     pub(crate) fn children(&self, name: &str) -> Vec<Reader<'a>> {
         self.known_names.borrow_mut().insert(name.to_string());
         self.child_nodes()
@@ -107,7 +107,7 @@
             .collect()
     }
 
-    /// The child of a name; a second one is a fault.
+    /// The child with a name. Further children with the name are faults.
     pub(crate) fn child(&self, name: &str) -> Option<Reader<'a>> {
         let mut children = self.children(name).into_iter();
         let first = children.next();
@@ -117,18 +117,18 @@
         first
     }
 
-    /// The child of a name, or a missing node in its place.
+    /// The child with a name, or a missing node in its place.
     pub(crate) fn child_or_missing(&self, name: &str) -> Reader<'a> {
         let child = self.child(name);
         child.unwrap_or_else(|| Reader::of(None, self.faults))
     }
 
-    /// Whether there is a child of this name, without making the name known.
+    /// Whether there is a child with a name. This does not make the name known.
     pub(crate) fn has_child(&self, name: &str) -> bool {
         self.child_nodes().any(|node| node.name().value() == name)
     }
 
-    /// Whether there is a property of this name, without making the name known.
+    /// Whether there is a property with a name. This does not make the name known.
     pub(crate) fn has_property(&self, name: &str) -> bool {
         self.property(name).is_some()
     }
@@ -138,7 +138,7 @@
         self.entries().iter().find(has_name)
     }
 
-    /// The node's only argument.
+    /// The node's only argument. No argument is a fault, and so are several.
     pub(crate) fn argument(&self) -> Option<Spanned<'a>> {
         let mut arguments = self.entries().iter().filter(|entry| entry.name().is_none());
         let first = arguments.next();
@@ -152,7 +152,7 @@
         first.map(Spanned::of)
     }
 
-    /// The node's argument as a name; empty where there is none.
+    /// The node's argument as a name; empty if there is none or it is not a text.
     pub(crate) fn name(&self) -> String {
         let Some(argument) = self.argument() else {
             return String::new();
@@ -167,7 +167,7 @@
         name.to_string()
     }
 
-    /// A value given as a child node or as a property.
+    /// The value that a child node or a property with a name gives; both together are a fault.
     pub(crate) fn value(&self, name: &str) -> Option<Spanned<'a>> {
         let child = self.child(name);
         let property = self.property(name);
@@ -185,7 +185,8 @@
         }
     }
 
-    /// A value that `convert` takes; `expected` says what that is.
+    /// The value with a name, converted. A value that `convert` rejects is a fault, and `expected` describes what it
+    /// accepts.
     fn converted<T>(
         &self,
         name: &str,
@@ -248,7 +249,7 @@
         self.optional_duration(name, range).unwrap_or(default)
     }
 
-    /// One of the named choices.
+    /// The value that belongs to the chosen name.
     pub(crate) fn choice<T: Copy>(&self, name: &str, default: T, choices: &[(&str, T)]) -> T {
         let names: Vec<&str> = choices.iter().map(|(name, _)| *name).collect();
         let expected = format!("one of {}", names.join(", "));
@@ -260,7 +261,7 @@
         self.converted(name, &expected, convert).unwrap_or(default)
     }
 
-    /// Reports every child and property that nothing has asked for.
+    /// Reports every child and property that was not read.
     pub(crate) fn finish(&self) {
         let known_names = self.known_names.borrow();
         let children = self.child_nodes().map(|child| {
@@ -282,7 +283,7 @@
     }
 }
 
-/// A value as a number, whether it is written with a fraction or without.
+/// A value as a number, which may be written with a fraction or without one.
 pub(crate) fn as_number(value: &KdlValue) -> Option<f64> {
     let integer = value.as_integer().map(|number| number as f64);
     value.as_float().or(integer)
--- a/crates/pipithub-settings/src/route.rs
+++ b/crates/pipithub-settings/src/route.rs
@@ -1,4 +1,4 @@
-//! What holds for the requests of a queue or timer, whichever it is.
+//! The properties that queues and timers have in common.
 
 use pipithub_consumer::message::{ClassName, Route};
 
@@ -6,15 +6,15 @@
 use crate::reader::Reader;
 use crate::tenants::Tenants;
 
-/// What queues and timers refer to: it is read before them.
+/// The parts of the settings that queues and timers refer to, which are read before them.
 pub(crate) struct RouteContext<'a> {
     pub(crate) classes: &'a [ClassName],
     pub(crate) tenants: &'a Tenants,
-    /// Requests that the engine keeps open at a time.
+    /// The maximum number of pending requests of the engine.
     pub(crate) max_pending: usize,
 }
 
-/// Everything but the tenant.
+/// Reads all properties except the tenant.
 pub(crate) fn read(node: &Reader<'_>, context: &RouteContext<'_>) -> Route {
     Route {
         class: read_class_reference(node, context.classes),
--- a/crates/pipithub-settings/src/suggestion.rs
+++ b/crates/pipithub-settings/src/suggestion.rs
@@ -1,9 +1,9 @@
-//! Suggests the known name that a misspelt one was likely meant to be.
+//! Suggestions for misspelt names.
 
-/// Names that differ by more edits than this are not taken for one another.
+/// The maximum edit distance between a misspelt name and a suggestion.
 const MAX_EDITS: usize = 2;
 
-/// The known name nearest to `name`, as a hint, where it is near enough.
+/// A hint with the known name that is most similar to `name`; `None` if no name is similar enough.
 pub(crate) fn suggest<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> Option<String> {
     let (distance, nearest) = known
         .map(|known| (edit_distance(name, known), known))
@@ -11,10 +11,10 @@
     (distance <= MAX_EDITS).then(|| format!("did you mean '{nearest}'?"))
 }
 
-/// The Levenshtein distance: insertions, deletions and replacements that make one text of the other.
+/// The Levenshtein distance between two texts: the minimum number of insertions, deletions and replacements.
 fn edit_distance(left: &str, right: &str) -> usize {
     let right: Vec<char> = right.chars().collect();
-    // Distances of the characters of `left` so far to each beginning of `right`.
+    // The distances between the characters of `left` so far and each prefix of `right`.
     let mut row: Vec<usize> = (0..=right.len()).collect();
     for (left_index, left_char) in left.chars().enumerate() {
         let mut diagonal = row[0];
--- a/crates/pipithub-settings/src/tenants.rs
+++ b/crates/pipithub-settings/src/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants, their directories and their quotas.
+//! The nodes of tenants, their directories and their quotas.
 
 mod admission;
 mod config;
@@ -20,13 +20,13 @@
 use crate::reader::Reader;
 use crate::tenants::directory::WrittenDn;
 
-/// What other nodes need while they are read.
+/// The tenants, and what other nodes need to refer to them.
 pub(crate) struct Tenants {
     pub(crate) config: Option<TenantsConfig>,
     signing_keys: Option<Arc<Keys>>,
 }
 
-/// How a queue's messages prove whose they are, as it is written.
+/// The choices for how a queue's messages prove which user they are from.
 #[derive(Clone, Copy, PartialEq)]
 enum IdentityKind {
     None,
@@ -57,7 +57,7 @@
         number.map(|number| Tenant(number as u16))
     }
 
-    /// How a queue's messages prove whose they are.
+    /// Reads how a queue's messages prove which user they are from.
     pub(crate) fn read_identity(&self, node: &Reader<'_>) -> Rule {
         let kinds = [
             ("none", IdentityKind::None),
@@ -67,8 +67,9 @@
         let kind = node.choice("identity", IdentityKind::None, &kinds);
         let has_tenant = node.has_property("tenant") || node.has_child("tenant");
         if !self.is_empty() && kind == IdentityKind::None && !has_tenant {
-            let help = "identity \"broker\" or \"signed\", or 'tenant' for a queue that is one tenant's alone";
-            node.fault_with_help("nothing says whose the calls of this queue are", help);
+            let help =
+                "identity \"broker\" or \"signed\", or 'tenant' if the queue belongs to one tenant";
+            node.fault_with_help("the queue needs 'identity' or 'tenant'", help);
         }
         match (kind, &self.signing_keys) {
             (IdentityKind::None, _) => Rule::None,
@@ -83,7 +84,7 @@
     }
 }
 
-/// Reads everything about tenants, and who owns each function.
+/// Reads all nodes about tenants, and which tenant owns each function.
 pub(crate) fn read(root: &Reader<'_>, class_weights: &[f64]) -> (Tenants, Owners) {
     let signing_keys = secret::read_signing_keys(root);
     let directories = root.children("directory");
@@ -119,7 +120,7 @@
     (tenants, owners)
 }
 
-/// A tenant, `known` being those before it; without a directory it is none.
+/// Reads a tenant; `known` are the tenants before it. Returns `None` for a tenant without a directory, which is a fault.
 fn read_tenant(
     node: &Reader<'_>,
     directories: &[DirectoryConfig],
@@ -135,28 +136,36 @@
         node.fault_with_help(format!("tenant '{name}' needs 'directory'"), help);
         return None;
     };
-    let (place, base) = read_base(&base_node, directories, known);
+    let WrittenBase { place, text } = read_base(&base_node, directories, known);
     let functions: Vec<String> = node.children("function").iter().map(Reader::name).collect();
     let number = Tenant(known.len() as u16);
     for function in &functions {
         if owners.insert(function, Owner::Tenant(number)).is_some() {
-            node.fault(format!("function '{function}' is another's already"));
+            node.fault(format!(
+                "function '{function}' belongs to another tenant already"
+            ));
         }
     }
     Some(TenantConfig {
         name,
         functions,
         place,
-        base,
+        base: text,
     })
 }
 
-/// Where a tenant's entries are: the place, and its base as written.
+/// The base of a tenant, parsed and as it is written.
+struct WrittenBase {
+    place: TenantBase,
+    text: String,
+}
+
+/// Reads the directory and the base of a tenant's entries.
 fn read_base(
     node: &Reader<'_>,
     directories: &[DirectoryConfig],
     known: &[TenantConfig],
-) -> (TenantBase, String) {
+) -> WrittenBase {
     let found = directories
         .iter()
         .position(|known| known.name == node.name());
@@ -177,15 +186,15 @@
     if let Some(other) = known.iter().find(|tenant| tenant.place == place) {
         node.fault(format!("tenant '{}' has this base already", other.name));
     }
-    (place, text)
+    WrittenBase { place, text }
 }
 
-/// The nodes `shared-function`: functions that every tenant may run.
+/// Reads the nodes `shared-function`, which name functions that every tenant may run.
 fn read_shared_functions(root: &Reader<'_>, owners: &mut Owners) {
     for node in root.children("shared-function") {
         let name = node.name();
         if owners.insert(&name, Owner::Shared).is_some() {
-            node.fault(format!("function '{name}' is a tenant's already"));
+            node.fault(format!("function '{name}' belongs to a tenant already"));
         }
     }
 }
--- a/crates/pipithub-settings/src/tenants/admission.rs
+++ b/crates/pipithub-settings/src/tenants/admission.rs
@@ -1,4 +1,4 @@
-//! The node `admission`: limits that tenants share, and the snapshot of what is known of users.
+//! The node `admission`: the limits that tenants share, and the snapshot of users' records.
 
 use std::path::PathBuf;
 
@@ -8,7 +8,7 @@
 use crate::reader::{Reader, as_number};
 use crate::tenants::{SnapshotConfig, secret};
 
-/// Everything that the node says.
+/// The contents of the node `admission`.
 pub(super) struct Admission {
     pub(super) settings: AdmissionSettings,
     pub(super) max_users: usize,
@@ -72,7 +72,7 @@
     }
 }
 
-/// What a node `tenant` says of its quota.
+/// Reads the quota of a node `tenant`.
 pub(super) fn read_quota(node: &Reader<'_>) -> TenantQuota {
     let rate = node.child("rate").map(|rate| read_rate(&rate));
     let defaults = TenantQuota::default();
--- a/crates/pipithub-settings/src/tenants/config.rs
+++ b/crates/pipithub-settings/src/tenants/config.rs
@@ -1,5 +1,6 @@
-//! What the settings say about tenants and directories.
+//! The settings of tenants and directories as types.
 
+use std::fmt;
 use std::path::PathBuf;
 
 use pipithub_admission::AdmissionSettings;
@@ -9,104 +10,115 @@
 /// How a directory's connections are secured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tls {
-    /// Not at all; for loopback and tests.
+    /// Connections are not encrypted; for loopback and tests.
     None,
-    /// `StartTLS` on the plain port.
+    /// Connections to the plain port are upgraded by `StartTLS`.
     Start,
-    /// From the first byte.
+    /// Connections use TLS from the first byte.
     Ldaps,
 }
 
 /// A server of a directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerConfig {
-    /// `host:port`.
+    /// The address of the server as `host:port`.
     pub address: String,
-    /// The name that its certificate must have.
+    /// The name that the server's certificate must have.
     pub name: String,
 }
 
-/// What a connection to a directory binds as (RFC 4513, simple authentication).
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// The credentials of a simple bind (RFC 4513, 5.1.3). The password is not part of the debug output.
+#[derive(Clone, PartialEq, Eq)]
 pub struct BindCredentials {
-    /// The distinguished name.
+    /// The distinguished name to bind as.
     pub name: String,
-    /// The password.
+    /// The password, which is not empty.
     pub password: String,
 }
 
-/// A directory.
+impl fmt::Debug for BindCredentials {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter
+            .debug_struct("BindCredentials")
+            .field("name", &self.name)
+            .finish_non_exhaustive()
+    }
+}
+
+/// An LDAP directory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DirectoryConfig {
-    /// Its name, for logs.
+    /// The name of the directory in the settings.
     pub name: String,
-    /// Its servers.
+    /// The servers, which hold copies of the same tree.
     pub servers: Vec<ServerConfig>,
-    /// How connections to them are secured.
+    /// How connections to the servers are secured.
     pub tls: Tls,
-    /// Certificates of the authorities that are trusted, PEM.
+    /// The PEM file with the certificates of the trusted authorities; `None` only without TLS.
     pub ca: Option<PathBuf>,
-    /// What to bind as; `None`: anonymous.
+    /// The credentials to bind with; `None` binds anonymously.
     pub bind: Option<BindCredentials>,
-    /// Where searches begin.
+    /// The distinguished name of the base of all searches.
     pub base: String,
-    /// The attribute that holds the user's name.
+    /// The attribute with the user's name.
     pub user_attribute: String,
-    /// What entries must be beside having the name.
+    /// A filter that the entries of users must match; `None` if every entry with the attribute is a user's.
     pub filter: Option<String>,
-    /// The attribute of the base entry that tells how far a server's copy has come.
+    /// The attribute of the base entry that shows how current a server's copy is; `None` if lagging copies are not
+    /// detected.
     pub mark_attribute: Option<String>,
-    /// Follow it by content synchronisation (RFC 4533).
+    /// Whether the directory is followed by content synchronization (RFC 4533).
     pub follow: bool,
-    /// Connections to each server.
+    /// The number of connections to each server.
     pub connections: usize,
-    /// How users are looked up in it.
+    /// The settings of look-ups in the directory.
     pub lookups: DirectorySettings,
 }
 
 /// A tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantConfig {
-    /// Its name.
+    /// The name of the tenant in the settings.
     pub name: String,
-    /// Its functions, as written.
+    /// The functions that the tenant owns, as written: names, or prefixes that end in `*`.
     pub functions: Vec<String>,
-    /// Where its entries are.
+    /// The directory and the base of the tenant's entries.
     pub place: TenantBase,
-    /// The place as written.
+    /// The distinguished name of that base, as written.
     pub base: String,
 }
 
-/// Where what is known of users is cached over a restart.
+/// The snapshot that preserves the records of users across a restart. The key is not part of the debug output.
 #[derive(Clone, PartialEq, Eq)]
 pub struct SnapshotConfig {
-    /// The file.
+    /// The path of the file; each front end replaces the extension by its name.
     pub path: PathBuf,
-    /// The key that seals it.
+    /// The key of the seal, at least 16 bytes.
     pub key: Vec<u8>,
-    /// How often it is written.
+    /// The interval between two snapshots, in nanoseconds.
     pub every: Time,
 }
 
-impl std::fmt::Debug for SnapshotConfig {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("SnapshotConfig")
+impl fmt::Debug for SnapshotConfig {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter
+            .debug_struct("SnapshotConfig")
             .field("path", &self.path)
             .finish_non_exhaustive()
     }
 }
 
-/// Tenants and all that belongs to them.
+/// The tenants with their directories and limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantsConfig {
-    /// The tenants, by their number.
+    /// The tenants; other settings refer to them by their indexes here.
     pub tenants: Vec<TenantConfig>,
-    /// The directories.
+    /// The directories; tenants refer to them by their indexes here.
     pub directories: Vec<DirectoryConfig>,
-    /// Admission of their requests.
+    /// The settings of admission, with the tenants' quotas.
     pub admission: AdmissionSettings,
-    /// Users that are cached.
+    /// The maximum number of users whose records are cached.
     pub max_users: usize,
-    /// The snapshot.
+    /// The snapshot of cached records; `None` if none is written or read.
     pub snapshot: Option<SnapshotConfig>,
 }
--- a/crates/pipithub-settings/src/tenants/directory.rs
+++ b/crates/pipithub-settings/src/tenants/directory.rs
@@ -1,4 +1,4 @@
-//! The node `directory`: an LDAP directory and how users are looked up in it.
+//! The node `directory`: an LDAP directory, and the settings of look-ups in it.
 
 use std::path::PathBuf;
 
@@ -12,12 +12,18 @@
 use crate::tenants::{BindCredentials, DirectoryConfig, ServerConfig, Tls};
 
 const MAX_SERVERS: usize = 32;
+const TLS_CHOICES: [(&str, Tls); 3] = [
+    ("none", Tls::None),
+    ("start", Tls::Start),
+    ("ldaps", Tls::Ldaps),
+];
 const MINUTE_MS: i64 = 60_000;
 
 pub(super) fn read(node: &Reader<'_>) -> DirectoryConfig {
     let name = node.name();
     let servers = read_servers(node, &name);
-    let (tls, ca) = read_tls(node, &name);
+    let tls = node.choice("tls", Tls::Start, &TLS_CHOICES);
+    let ca = read_ca(node, tls, &name);
     let bind = node.child("bind").map(|bind| read_bind(&bind));
     let filter = read_filter(node);
     let lookups = read_lookups(node, servers.len());
@@ -79,29 +85,23 @@
     server
 }
 
-fn read_tls(node: &Reader<'_>, directory: &str) -> (Tls, Option<PathBuf>) {
-    let ways = [
-        ("none", Tls::None),
-        ("start", Tls::Start),
-        ("ldaps", Tls::Ldaps),
-    ];
-    let tls = node.choice("tls", Tls::Start, &ways);
+fn read_ca(node: &Reader<'_>, tls: Tls, directory: &str) -> Option<PathBuf> {
     let ca = node.text("ca").map(PathBuf::from);
     if tls != Tls::None && ca.is_none() {
         let message = format!("directory '{directory}' needs 'ca' for TLS");
         let help = "the file of the authority that signed the servers' certificates";
         node.fault_with_help(message, help);
     }
-    (tls, ca)
+    ca
 }
 
 fn read_bind(node: &Reader<'_>) -> BindCredentials {
     let name = read_dn(node, "as").text;
     let password = secret::read(node, "the bind's password").unwrap_or_default();
     node.finish();
-    // An empty password is an anonymous bind that succeeds (RFC 4513, 5.1.2): it must not pass for a login.
+    // A bind with an empty password succeeds as an anonymous one (RFC 4513, 5.1.2), which is not what was intended.
     if password.is_empty() {
-        node.fault("an empty password binds nobody");
+        node.fault("the bind's password must not be empty");
     }
     let password = String::from_utf8_lossy(&password).into_owned();
     BindCredentials { name, password }
@@ -168,7 +168,7 @@
     let negative = node.duration("negative", defaults.negative, 100 * MS..=HOUR);
     if max_stale < 2 * fresh {
         let help =
-            "a fact is used while it is asked for again: the bound is at least twice 'fresh'";
+            "a fact is used while it is refreshed, for which it needs twice 'fresh' at least";
         node.fault_with_help("'stale-most' is less than twice 'fresh'", help);
     }
     Lifetimes {
@@ -183,7 +183,7 @@
     let text = given.map_or("", |given| given.text());
     let starts_at_ms = parse_time_of_day(text).unwrap_or_else(|| {
         let span = given.map_or(node.span(), |given| given.span);
-        node.fault_at(span, "no time of day", Some("as \"05:30\", in UTC"));
+        node.fault_at(span, "this is no time of day", Some("as \"05:30\", in UTC"));
         0
     });
     let lead = node.duration("ahead", 2 * HOUR, 60 * SECOND..=12 * HOUR);
@@ -194,7 +194,7 @@
     }
 }
 
-/// Milliseconds from midnight to a time written as `05:30`.
+/// Parses a time of day such as `05:30`, as milliseconds after midnight.
 fn parse_time_of_day(text: &str) -> Option<i64> {
     let (hours, minutes) = text.split_once(':')?;
     let (hours, minutes): (i64, i64) = (hours.parse().ok()?, minutes.parse().ok()?);
--- a/crates/pipithub-settings/src/tenants/secret.rs
+++ b/crates/pipithub-settings/src/tenants/secret.rs
@@ -8,10 +8,10 @@
 use crate::duration::{DAY, SECOND};
 use crate::reader::Reader;
 
-/// A shorter key is refused.
+/// The minimum length of a key.
 const MIN_KEY_BYTES: usize = 16;
 
-/// A secret: from a file, or given as it is where that is said. `description` names it in faults.
+/// Reads a secret from the file that the node names, or from the node's text. `description` names the secret in faults.
 pub(super) fn read(node: &Reader<'_>, description: &str) -> Option<Vec<u8>> {
     match (node.text("file"), node.text("text")) {
         (Some(file), None) => match std::fs::read(&file) {
@@ -31,7 +31,7 @@
     }
 }
 
-/// A secret that is used as a key.
+/// Reads a secret that is used as a key. A key that is too short is a fault.
 pub(super) fn read_key(node: &Reader<'_>, description: &str) -> Vec<u8> {
     let key = read(node, description).unwrap_or_default();
     if key.len() < MIN_KEY_BYTES {
@@ -40,14 +40,14 @@
     key
 }
 
-/// The node `signatures`: keys that messages may be signed with.
+/// Reads the node `signatures`, with the keys that messages may be signed with; `None` if there is none.
 pub(super) fn read_signing_keys(root: &Reader<'_>) -> Option<Arc<Keys>> {
     let node = root.child("signatures")?;
     let mut keys = BTreeMap::new();
     for key in node.children("key") {
         let secret = read_key(&key, "a key");
         if keys.insert(key.name(), secret).is_some() {
-            key.fault("this key's id is given twice");
+            key.fault("a key with this id is given twice");
         }
         key.finish();
     }
--- a/crates/pipithub-settings/src/workers.rs
+++ b/crates/pipithub-settings/src/workers.rs
@@ -1,4 +1,4 @@
-//! The node `workers`: where workers are found.
+//! The node `workers`: how workers are discovered.
 
 use std::path::PathBuf;
 
@@ -42,7 +42,7 @@
     if !is_base_url(url) {
         let span = given.map_or(node.span(), |given| given.span);
         let message = format!("\"{url}\" is no address of a list");
-        let help = "\"http://host:port\"; TLS and logins are a local proxy's matter";
+        let help = "\"http://host:port\"; use a local proxy for TLS and authentication";
         node.fault_at(span, message, Some(help));
     }
     let workers = WorkersConfig::EndpointSlices {
--- a/crates/pipithub-settings/tests/settings.rs
+++ b/crates/pipithub-settings/tests/settings.rs
@@ -1,9 +1,14 @@
-//! Settings files, good and bad.
+//! Tests of valid and invalid settings files.
 
 use pipithub_engine::policy::Idempotency;
-use pipithub_settings::{Config, WorkersConfig, duration};
+use pipithub_settings::{Config, FaultLine, WorkersConfig, duration};
 
-const GOOD: &str = r#"
+/// The first line of the node `amqp` in the valid file.
+const AMQP_LINE: usize = 9;
+/// The line of the node `queue` in the valid file.
+const QUEUE_LINE: usize = 13;
+
+const VALID: &str = r#"
 front-end "fe-1" peers=3
 class "view" { effect "safe"; aim "1s"; give-up "5s"; late-worth 0.3 }
 class "assign" effect="unsafe" aim="750ms" give-up="5s"
@@ -23,21 +28,21 @@
 "#;
 
 #[test]
-fn a_whole_file_is_read() {
-    let config = Config::parse("good.kdl", GOOD).expect("good");
+fn valid_file_is_read_completely() {
+    let config = Config::parse("valid.kdl", VALID).expect("a valid file");
     assert_eq!(
         (config.name.as_str(), config.engine.policy.front_ends),
         ("fe-1", 3)
     );
-    let effects: Vec<_> = config
+    let idempotency: Vec<_> = config
         .engine
         .policy
         .classes
         .iter()
-        .map(|c| c.idempotency)
+        .map(|class| class.idempotency)
         .collect();
     assert_eq!(
-        effects,
+        idempotency,
         [
             Idempotency::Idempotent,
             Idempotency::NonIdempotent,
@@ -55,7 +60,7 @@
             .loading
             .rate_limit
             .as_ref()
-            .map(|r| r.burst),
+            .map(|limit| limit.burst),
         Some(3.0)
     );
     assert_eq!(config.amqp[0].addresses.len(), 2);
@@ -72,123 +77,154 @@
     ));
 }
 
+/// Replaces a line of the valid file, from 1, by another text, and expects a fault at that line whose message contains
+/// `message`.
+fn expect_fault(line: usize, text: &str, message: &str) {
+    let mut lines: Vec<&str> = VALID.lines().collect();
+    lines[line - 1] = text;
+    let faults = Config::parse("invalid.kdl", &lines.join("\n"))
+        .expect_err(text)
+        .lines();
+    assert!(
+        faults.iter().any(|fault| fault.message.contains(message)),
+        "{text}: {faults:?}"
+    );
+    // The place of a node that spans several lines is its first line.
+    let is_at_line =
+        |fault: &FaultLine| fault.line == line || line == QUEUE_LINE && fault.line == AMQP_LINE;
+    assert!(
+        faults.iter().any(is_at_line),
+        "line {line} of {text}: {faults:?}"
+    );
+}
+
 #[test]
-fn every_fault_is_told_with_its_line_and_reason() {
-    // Each of these is put in the place of a line of the good file: line, text, what its message must say.
-    let cases = [
-        (2, "front-end \"fe-1\" peers=0", "'peers' cannot be 0"),
-        (2, "front-end \"fe-1\" pers=3", "'front-end' has no 'pers'"),
-        (2, "front-end", "needs a value"),
-        (
-            3,
-            "class \"view\" { effect \"risky\" }",
-            "'effect' cannot be",
-        ),
-        (3, "class \"view\" { aim \"1s\" }", "needs 'effect'"),
-        (
-            3,
-            "class \"view\" { effect \"safe\"; aim \"1 parsec\" }",
-            "'aim' cannot be",
-        ),
-        (
-            3,
-            "class \"view\" { effect \"safe\"; aim \"5s\"; give-up \"1s\" }",
-            "give-up (1s) is before aim (5s)",
-        ),
-        (
-            3,
-            "class \"view\" { effect \"safe\"; aim \"1s\"; aim \"2s\" }",
-            "'aim' is given twice",
-        ),
-        (
-            3,
-            "class \"view\" { effect \"safe\"; dedup-window \"2s\" }",
-            "only a keyed class",
-        ),
-        (
-            5,
-            "class \"change\" { effect \"keyed\" }",
-            "needs 'dedup-window'",
-        ),
-        (
-            5,
-            "class \"view\" { effect \"safe\" }",
-            "class 'view' is given twice",
-        ),
-        (6, "limits { attempts 99 }", "'attempts' cannot be 99"),
-        (6, "limits { attempts 2 3 }", "takes one value"),
-        (6, "limit { }", "'settings' has no 'limit'"),
-        (8, "loading { orders \"yes\" }", "'orders' cannot be"),
-        (10, "    address \"nowhere\"", "is no address"),
-        (
-            13,
-            "    queue \"calls\" { class \"nope\" }",
-            "there is no class",
-        ),
-        (
-            13,
-            "    queue \"calls\" { prefetch 60000 }",
-            "more than the engine's max-open",
-        ),
-        (13, "", "needs a 'queue'"),
-        (
-            15,
-            "cron \"dawn\" { schedule \"at six\"; class \"view\"; function \"f\" }",
-            "is no schedule",
-        ),
-        (
-            15,
-            "cron \"dawn\" { schedule \"* * * * *\" }",
-            "needs 'class' and 'function'",
-        ),
-        (
-            16,
-            "workers { list \"https://x\" }",
-            "is no address of a list",
-        ),
-        (
-            16,
-            "workers { list \"http://x:1\"; worker \"a:1\" }",
-            "given twice",
-        ),
-        (17, "log { format \"xml\" }", "'format' cannot be"),
-        (17, "log { ", ""),
-    ];
-    for (line, text, wanted) in cases {
-        let mut lines: Vec<&str> = GOOD.lines().collect();
-        lines[line - 1] = text;
-        let faults = Config::parse("bad.kdl", &lines.join("\n")).expect_err(text);
-        let told = faults.lines();
-        assert!(
-            told.iter().any(|(_, m)| m.contains(wanted)),
-            "{text}: {told:?}"
-        );
-        // Of nodes with braces around several lines the place is where the node begins.
-        let near = told
-            .iter()
-            .any(|(l, _)| *l == line || line == 13 && *l == 9);
-        assert!(near, "line {line} of {text}: {told:?}");
-    }
+fn invalid_front_end_is_reported_with_line_and_reason() {
+    expect_fault(2, "front-end \"fe-1\" peers=0", "'peers' cannot be 0");
+    expect_fault(2, "front-end \"fe-1\" pers=3", "'front-end' has no 'pers'");
+    expect_fault(2, "front-end", "needs a value");
 }
 
 #[test]
-fn all_faults_are_told_at_once() {
+fn invalid_class_is_reported_with_line_and_reason() {
+    let view = |contents: &str, message: &str| {
+        expect_fault(3, &format!("class \"view\" {{ {contents} }}"), message);
+    };
+    view("effect \"risky\"", "'effect' cannot be");
+    view("aim \"1s\"", "needs 'effect'");
+    view("effect \"safe\"; aim \"1 parsec\"", "'aim' cannot be");
+    view(
+        "effect \"safe\"; aim \"5s\"; give-up \"1s\"",
+        "give-up (1s) is before aim (5s)",
+    );
+    view(
+        "effect \"safe\"; aim \"1s\"; aim \"2s\"",
+        "'aim' is given twice",
+    );
+    view("effect \"safe\"; dedup-window \"2s\"", "only a keyed class");
+    expect_fault(
+        5,
+        "class \"change\" { effect \"keyed\" }",
+        "needs 'dedup-window'",
+    );
+    expect_fault(
+        5,
+        "class \"view\" { effect \"safe\" }",
+        "class 'view' is given twice",
+    );
+}
+
+#[test]
+fn invalid_limits_and_loading_are_reported_with_line_and_reason() {
+    expect_fault(6, "limits { attempts 99 }", "'attempts' cannot be 99");
+    expect_fault(6, "limits { attempts 2 3 }", "takes one value");
+    expect_fault(6, "limit { }", "'settings' has no 'limit'");
+    expect_fault(8, "loading { orders \"yes\" }", "'orders' cannot be");
+}
+
+#[test]
+fn invalid_source_is_reported_with_line_and_reason() {
+    expect_fault(10, "    address \"nowhere\"", "is no address");
+    expect_fault(
+        QUEUE_LINE,
+        "    queue \"calls\" { class \"nope\" }",
+        "there is no class",
+    );
+    expect_fault(
+        QUEUE_LINE,
+        "    queue \"calls\" { prefetch 60000 }",
+        "more than the engine's max-open",
+    );
+    expect_fault(QUEUE_LINE, "", "needs a 'queue'");
+    expect_fault(
+        15,
+        "cron \"dawn\" { schedule \"at six\"; class \"view\"; function \"f\" }",
+        "is no schedule",
+    );
+    expect_fault(
+        15,
+        "cron \"dawn\" { schedule \"* * * * *\" }",
+        "needs 'class' and 'function'",
+    );
+}
+
+#[test]
+fn invalid_workers_and_log_are_reported_with_line_and_reason() {
+    expect_fault(
+        16,
+        "workers { list \"https://x\" }",
+        "is no address of a list",
+    );
+    expect_fault(
+        16,
+        "workers { list \"http://x:1\"; worker \"a:1\" }",
+        "given twice",
+    );
+    expect_fault(17, "log { format \"xml\" }", "'format' cannot be");
+    // The text is no KDL, whose parser chooses the message.
+    expect_fault(17, "log { ", "");
+}
+
+#[test]
+fn all_faults_of_a_file_are_reported_at_once() {
     let faults = Config::parse("x", "class \"a\" effect=\"x\"\nfoo\nlimits { attempts 0 }")
-        .expect_err("bad");
+        .expect_err("an invalid file");
     assert_eq!(faults.lines().len(), 4, "{:?}", faults.lines());
-    let near = Config::parse("x", "class \"a\" effect=\"safe\" give-upp=\"1s\"\nworkers")
-        .expect_err("bad");
+    let misspelt = Config::parse("x", "class \"a\" effect=\"safe\" give-upp=\"1s\"\nworkers")
+        .expect_err("an invalid file");
     assert_eq!(
-        near.faults[0].help.as_deref(),
+        misspelt.faults[0].help.as_deref(),
         Some("did you mean 'give-up'?")
     );
 }
 
 #[test]
-fn times_are_read() {
+fn durations_are_parsed_and_invalid_ones_rejected() {
     assert_eq!(duration("250ms"), Some(250_000_000));
     assert_eq!(duration("1.5s"), Some(1_500_000_000));
-    for bad in ["", "5", "ms", "-1s", "1e99h", "1 day", "NaNs", "infs"] {
-        assert_eq!(duration(bad), None, "{bad}");
+    for invalid in ["", "5", "ms", "-1s", "1e99h", "1 day", "NaNs", "infs"] {
+        assert_eq!(duration(invalid), None, "{invalid}");
     }
 }
+
+#[test]
+fn debug_output_does_not_show_passwords_and_keys() {
+    let text = format!(
+        "{VALID}\n\
+         directory \"campus\" {{ server \"127.0.0.1:3890\"; tls \"none\"; base \"dc=example\"\n\
+         bind as=\"cn=gateway,dc=example\" text=\"the-password\" }}\n\
+         tenant \"north\" {{ directory \"campus\" base=\"ou=north,dc=example\" }}\n\
+         admission {{ snapshot \"roster\" {{ key text=\"the-key-of-the-snapshot\" }} }}"
+    );
+    // A queue and a timer need their tenant, which is not what is tested here.
+    let text = text
+        .replace("queue \"calls\" {", "queue \"calls\" { tenant \"north\";")
+        .replace("cron \"dawn\" {", "cron \"dawn\" { tenant \"north\";");
+    let config =
+        Config::parse("valid.kdl", &text).unwrap_or_else(|faults| panic!("{:?}", faults.lines()));
+    let tenants = format!("{:?}", config.tenants.expect("a tenant"));
+    assert!(tenants.contains("cn=gateway,dc=example"), "{tenants}");
+    assert!(!tenants.contains("the-password"), "{tenants}");
+    let key = format!("{:?}", b"the-key-of-the-snapshot");
+    assert!(!tenants.contains(&key), "{tenants}");
+}
