--- a/crates/pipithub-gateway/tests/connect.rs
+++ b/crates/pipithub-gateway/tests/connect.rs
@@ -1,4 +1,4 @@
-//! A connection that this machine cannot make for a moment is retried, and never held against the peer.
+//! Tests of connecting: local faults are retried and never reported as faults of the peer.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use rustix::io::Errno;
 use tokio::time::Instant;
 
-const LOCAL: [Errno; 5] = [
+const LOCAL_FAULTS: [Errno; 5] = [
     Errno::MFILE,
     Errno::NFILE,
     Errno::NOBUFS,
@@ -15,55 +15,70 @@
     Errno::NETUNREACH,
 ];
 
-/// What comes of so many failures before a connection, and how many calls it took.
-async fn play(errno: Errno, failures: usize) -> (Result<&'static str, ConnectFailure>, usize) {
-    let calls = Cell::new(0);
+/// The result of connecting with a deadline of one second.
+#[derive(Debug, PartialEq)]
+struct Connected {
+    result: Result<&'static str, ConnectFailure>,
+    /// How often the connection was attempted.
+    attempts: usize,
+}
+
+/// Connects while the first attempts fail with an error.
+async fn connect_after(errno: Errno, failures: usize) -> Connected {
+    let attempts = Cell::new(0);
     let connect = || {
-        calls.set(calls.get() + 1);
-        std::future::ready(if calls.get() <= failures {
+        attempts.set(attempts.get() + 1);
+        std::future::ready(if attempts.get() <= failures {
             Err(errno.into())
         } else {
             Ok("connection")
         })
     };
     let deadline = Instant::now() + Duration::from_secs(1);
-    let connected = connect_by(deadline, connect).await;
-    assert!(Instant::now() <= deadline, "{errno}: within the time given");
-    (connected, calls.get())
+    let result = connect_by(deadline, connect).await;
+    assert!(Instant::now() <= deadline, "{errno}: ended in time");
+    Connected {
+        result,
+        attempts: attempts.get(),
+    }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_fault_of_this_machine_is_retried() {
-    for errno in LOCAL {
-        assert_eq!(play(errno, 5).await, (Ok("connection"), 6), "{errno}");
+async fn local_fault_is_retried_until_the_connection_succeeds() {
+    for errno in LOCAL_FAULTS {
+        let expected = Connected {
+            result: Ok("connection"),
+            attempts: 6,
+        };
+        assert_eq!(connect_after(errno, 5).await, expected, "{errno}");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_fault_of_this_machine_that_stays_is_not_the_peers_and_does_not_spin() {
-    for errno in LOCAL {
-        let (connected, calls) = play(errno, usize::MAX).await;
-        assert_eq!(connected, Err(ConnectFailure::Local), "{errno}");
+async fn lasting_local_fault_is_reported_as_local_after_a_bounded_number_of_attempts() {
+    for errno in LOCAL_FAULTS {
+        let Connected { result, attempts } = connect_after(errno, usize::MAX).await;
+        assert_eq!(result, Err(ConnectFailure::Local), "{errno}");
         assert!(
-            (2..=200).contains(&calls),
-            "{errno}: {calls} calls in a second"
+            (2..=200).contains(&attempts),
+            "{errno}: {attempts} attempts in a second"
         );
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_fault_of_the_peer_is_reported_at_once() {
+async fn fault_of_the_peer_is_reported_without_a_retry() {
     for errno in [
         Errno::CONNREFUSED,
         Errno::CONNRESET,
         Errno::TIMEDOUT,
         Errno::HOSTUNREACH,
     ] {
-        assert_eq!(
-            play(errno, usize::MAX).await,
-            (Err(ConnectFailure::Peer), 1),
-            "{errno}"
-        );
+        let expected = Connected {
+            result: Err(ConnectFailure::Peer),
+            attempts: 1,
+        };
+        assert_eq!(connect_after(errno, usize::MAX).await, expected, "{errno}");
     }
     let silent = connect_by(
         Instant::now() + Duration::from_secs(1),
--- a/crates/pipithub-gateway/tests/schedule.rs
+++ b/crates/pipithub-gateway/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! Schedules across steps of the wall clock: each occurrence once, none twice.
+//! Tests of cron schedules while the wall clock is stepped: each occurrence fires at most once.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -9,59 +9,62 @@
 use pipithub_gateway::directory::first_poll_since;
 use pipithub_gateway::schedule::{MAX_CHECK_INTERVAL, Schedule};
 
-/// 2027-01-15 08:00:00 UTC, a whole hour.
+/// 2027-01-15 08:00:00 UTC, at the full hour.
 const START_MS: u64 = 1_800_000_000_000;
 const SECOND_MS: i64 = 1_000;
 const HOUR_MS: i64 = 3_600 * SECOND_MS;
 const NONE: [i64; 0] = [];
 
-/// A schedule run as its shell runs it: wait for the span that it gives, then ask what is due.
-struct Run {
+/// Runs a schedule as the gateway does: waits for the time that it returns, and then checks what is due.
+struct ScheduleRunner {
     clock: ManualClock,
     schedule: Schedule,
-    /// Seconds from the start at which what fired had been planned.
+    /// The planned times of the occurrences that have fired, in seconds after the start.
     planned: Vec<i64>,
 }
 
-impl Run {
+impl ScheduleRunner {
     fn new(pattern: &str) -> Self {
         let clock = ManualClock::new(1, START_MS);
         let pattern = Cron::from_str(pattern).expect("a pattern");
         let schedule = Schedule::new([pattern], wall(&clock));
-        Run {
+        ScheduleRunner {
             clock,
             schedule,
             planned: Vec::new(),
         }
     }
 
-    /// Lets real time pass; what fired in it, by its planned time.
-    fn pass(&mut self, span: Duration) -> Vec<i64> {
-        let end = self.clock.read().now + span.as_nanos() as u64;
+    /// Advances the clock, and returns the planned times of the occurrences that fired meanwhile.
+    fn advance(&mut self, duration: Duration) -> Vec<i64> {
+        let end = self.clock.read().now + duration.as_nanos() as u64;
         let first = self.planned.len();
         loop {
             let now = self.clock.read().now;
             let wait = self
                 .schedule
                 .time_until_check(wall(&self.clock))
-                .expect("it has occurrences");
+                .expect("the schedule has occurrences");
             assert!(
                 wait <= MAX_CHECK_INTERVAL,
-                "a step would be seen {wait:?} late"
+                "a step would be noticed {wait:?} late"
             );
             if now + wait.as_nanos() as u64 > end {
                 self.clock.advance(end - now);
                 return self.planned[first..].to_vec();
             }
-            // As sleeps do, it ends no earlier than asked for.
+            // Like a sleep, this never ends earlier than requested.
             self.clock.advance((wait.as_nanos() as u64).max(1));
-            self.ask();
+            self.check();
         }
     }
 
-    fn ask(&mut self) {
+    fn check(&mut self) {
         for due in self.schedule.due(wall(&self.clock)) {
-            assert!(due.planned <= wall(&self.clock), "before its time");
+            assert!(
+                due.planned <= wall(&self.clock),
+                "fired before its planned time"
+            );
             self.planned
                 .push(due.planned.timestamp() - (START_MS / 1_000) as i64);
         }
@@ -77,60 +80,64 @@
 }
 
 #[test]
-fn without_steps_each_occurrence_fires_once_at_its_time() {
-    let mut run = Run::new("*/10 * * * * *");
-    assert_eq!(run.pass(seconds(35)), [10, 20, 30]);
+fn each_occurrence_fires_once_at_its_time_without_steps() {
+    let mut runner = ScheduleRunner::new("*/10 * * * * *");
+    assert_eq!(runner.advance(seconds(35)), [10, 20, 30]);
 }
 
 #[test]
-fn after_a_step_forward_what_was_passed_fires_once_and_within_a_second() {
-    let mut run = Run::new("0 30 * * * *");
-    assert_eq!(run.pass(seconds(60)), NONE);
-    run.clock.step_wall_ms(HOUR_MS);
-    // The occurrence at half past eight was passed; the next one is at half past nine.
-    assert_eq!(run.pass(seconds(2)), [30 * 60]);
-    assert_eq!(run.pass(seconds(29 * 60)), [90 * 60]);
+fn skipped_occurrence_fires_once_within_a_second_after_a_step_forward() {
+    let mut runner = ScheduleRunner::new("0 30 * * * *");
+    assert_eq!(runner.advance(seconds(60)), NONE);
+    runner.clock.step_wall_ms(HOUR_MS);
+    // The occurrence at 08:30 was skipped, and the next one is at 09:30.
+    assert_eq!(runner.advance(seconds(2)), [30 * 60]);
+    assert_eq!(runner.advance(seconds(29 * 60)), [90 * 60]);
 }
 
 #[test]
-fn of_many_occurrences_passed_one_fires() {
-    let mut run = Run::new("* * * * * *");
-    assert_eq!(run.pass(seconds(2)), [1, 2]);
-    run.clock.step_wall_ms(HOUR_MS);
-    assert_eq!(run.pass(seconds(3)), [3, 3_603, 3_604]);
+fn only_one_of_many_skipped_occurrences_fires() {
+    let mut runner = ScheduleRunner::new("* * * * * *");
+    assert_eq!(runner.advance(seconds(2)), [1, 2]);
+    runner.clock.step_wall_ms(HOUR_MS);
+    assert_eq!(runner.advance(seconds(3)), [3, 3_603, 3_604]);
 }
 
-/// The wait had been taken in one go from the wall time before the step.
+/// The schedule must not wait for a duration that was computed before the step.
 #[test]
-fn a_step_back_makes_no_occurrence_later_than_its_wall_time() {
-    let mut run = Run::new("0 30 * * * *");
-    assert_eq!(run.pass(seconds(29 * 60)), NONE);
-    run.clock.step_wall_ms(-60 * SECOND_MS);
-    assert_eq!(run.pass(seconds(60)), NONE);
-    assert_eq!(run.pass(seconds(60)), [30 * 60]);
-    assert_eq!(run.pass(seconds(3_600)), [90 * 60]);
+fn step_back_does_not_delay_an_occurrence_beyond_its_wall_time() {
+    let mut runner = ScheduleRunner::new("0 30 * * * *");
+    assert_eq!(runner.advance(seconds(29 * 60)), NONE);
+    runner.clock.step_wall_ms(-60 * SECOND_MS);
+    assert_eq!(runner.advance(seconds(60)), NONE);
+    assert_eq!(runner.advance(seconds(60)), [30 * 60]);
+    assert_eq!(runner.advance(seconds(3_600)), [90 * 60]);
 }
 
 #[test]
-fn after_a_step_back_nothing_fires_twice() {
+fn no_occurrence_fires_twice_after_a_step_back() {
     for step_ms in [-SECOND_MS, -7 * SECOND_MS, -HOUR_MS] {
-        let mut run = Run::new("* * * * * *");
-        assert_eq!(run.pass(seconds(20)), (1..=20).collect::<Vec<_>>());
-        run.clock.step_wall_ms(step_ms);
-        let caught_up = seconds(step_ms.unsigned_abs() / 1_000);
-        assert_eq!(run.pass(caught_up), NONE, "fired before, step {step_ms}");
-        assert_eq!(run.pass(seconds(3)), [21, 22, 23], "step {step_ms}");
+        let mut runner = ScheduleRunner::new("* * * * * *");
+        assert_eq!(runner.advance(seconds(20)), (1..=20).collect::<Vec<_>>());
+        runner.clock.step_wall_ms(step_ms);
+        let catch_up_time = seconds(step_ms.unsigned_abs() / 1_000);
+        assert_eq!(
+            runner.advance(catch_up_time),
+            NONE,
+            "fired twice, step {step_ms}"
+        );
+        assert_eq!(runner.advance(seconds(3)), [21, 22, 23], "step {step_ms}");
     }
 }
 
-/// Steps at every point of the run, there and back again, some while nothing asks.
+/// Steps the clock back and forth at different points, in part without a check after the step.
 #[test]
-fn whatever_the_steps_no_occurrence_fires_twice() {
+fn no_occurrence_fires_twice_for_any_sequence_of_steps() {
     let steps = [
         7, -7, 3_600, -3_600, -1, 1, -3_600, 3_600, 59, -61, 2, 20_000, -20_000,
     ];
     for offset in 0..steps.len() {
-        let mut run = Run::new("*/5 * * * * *");
+        let mut runner = ScheduleRunner::new("*/5 * * * * *");
         for (turn, step) in steps
             .iter()
             .cycle()
@@ -138,47 +145,52 @@
             .take(steps.len())
             .enumerate()
         {
-            run.pass(Duration::from_millis(1_300 * turn as u64 + 400));
-            run.clock.step_wall_ms(step * SECOND_MS);
+            runner.advance(Duration::from_millis(1_300 * turn as u64 + 400));
+            runner.clock.step_wall_ms(step * SECOND_MS);
             if turn % 2 == 0 {
-                run.ask();
+                runner.check();
             }
         }
-        run.pass(seconds(3 * 3_600));
-        let mut once = run.planned.clone();
-        once.dedup();
+        runner.advance(seconds(3 * 3_600));
+        let mut distinct = runner.planned.clone();
+        distinct.dedup();
         assert!(
-            run.planned.is_sorted() && once == run.planned,
+            runner.planned.is_sorted() && distinct == runner.planned,
             "offset {offset}: {:?}",
-            run.planned
+            runner.planned
         );
-        assert!(!run.planned.is_empty(), "offset {offset}");
+        assert!(!runner.planned.is_empty(), "offset {offset}");
     }
 }
 
-/// A clock that had been years ahead must not silence its timers for years.
+/// A clock that was years ahead must not silence the timers for years.
 #[test]
-fn after_a_step_back_of_more_than_a_day_the_schedule_begins_anew() {
-    let mut run = Run::new("*/10 * * * * *");
-    run.clock.step_wall_ms(24 * 365 * HOUR_MS);
-    assert_eq!(run.pass(seconds(2)), [10], "what was passed, once");
-    run.clock.step_wall_ms(-24 * 365 * HOUR_MS);
-    assert_eq!(run.pass(seconds(28)), [10, 20, 30]);
+fn schedule_restarts_after_a_step_back_of_more_than_a_day() {
+    let mut runner = ScheduleRunner::new("*/10 * * * * *");
+    runner.clock.step_wall_ms(24 * 365 * HOUR_MS);
+    assert_eq!(
+        runner.advance(seconds(2)),
+        [10],
+        "the skipped occurrences fire once"
+    );
+    runner.clock.step_wall_ms(-24 * 365 * HOUR_MS);
+    assert_eq!(runner.advance(seconds(28)), [10, 20, 30]);
 }
 
 #[test]
-fn stopped_or_without_occurrences_nothing_is_waited_for() {
-    let mut run = Run::new("* * * * * *");
-    run.schedule.stop();
-    assert_eq!(run.schedule.time_until_check(wall(&run.clock)), None);
-    assert_eq!(run.schedule.due(wall(&run.clock) + TimeDelta::hours(1)), []);
-    let none = Schedule::new([], wall(&run.clock));
-    assert_eq!(none.time_until_check(wall(&run.clock)), None);
+fn stopped_or_empty_schedule_needs_no_check() {
+    let mut runner = ScheduleRunner::new("* * * * * *");
+    let now = wall(&runner.clock);
+    runner.schedule.stop();
+    assert_eq!(runner.schedule.time_until_check(now), None);
+    assert_eq!(runner.schedule.due(now + TimeDelta::hours(1)), []);
+    let empty = Schedule::new([], now);
+    assert_eq!(empty.time_until_check(now), None);
 }
 
-/// Asked from now on by a clock an hour ahead, a directory would tell no change for an hour.
+/// If this machine's clock is an hour ahead, a poll that began at its present time would miss all changes for an hour.
 #[test]
-fn the_first_poll_of_a_directory_reaches_back_over_a_step() {
+fn first_directory_poll_begins_before_the_servers_time_if_the_clock_is_ahead() {
     let true_time = "20270115080000Z";
     let mut clock = ManualClock::new(1, START_MS);
     clock.step_wall_ms(HOUR_MS);
--- a/crates/pipithub-gateway/tests/seed.rs
+++ b/crates/pipithub-gateway/tests/seed.rs
@@ -1,11 +1,11 @@
-//! Front ends of one name, in processes of one id, have seeds of their own.
+//! Tests of the seeds of front ends.
 
 use std::collections::BTreeSet;
 
 use pipithub_gateway::seed::random_seed;
 
 #[test]
-fn seeds_drawn_by_one_process_differ() {
+fn seeds_of_one_process_differ() {
     let seeds: BTreeSet<u64> = (0..100).map(|_| random_seed()).collect();
     assert_eq!(seeds.len(), 100);
 }
--- a/crates/pipithub-gateway/tests/sockets.rs
+++ b/crates/pipithub-gateway/tests/sockets.rs
@@ -1,6 +1,6 @@
-//! The gateway on loopback sockets against the stand-ins, with a proxy that does damage between them.
+//! Tests of the gateway on loopback sockets, against emulators and a proxy that injects faults between them.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -15,7 +15,11 @@
 use pipithub_scenario::client::{Answer, Publish, QueueClient};
 use pipithub_settings::Config;
 
-fn any() -> SocketAddr {
+/// How long a test waits for an answer or a condition.
+const MAX_WAIT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -26,11 +30,12 @@
         recorder: Recorder::memory(),
         ..BrokerSettings::default()
     };
-    BrokerServer::start(any(), settings)
+    BrokerServer::start(loopback(), settings)
         .await
         .expect("a broker")
 }
 
+/// A worker whose calls run for this time, and the recorder of what it has seen.
 async fn worker(run_ms: u64) -> (WorkerServer, Recorder) {
     let recorder = Recorder::memory();
     let settings = WorkerSettings {
@@ -41,29 +46,30 @@
         ..WorkerSettings::default()
     };
     (
-        WorkerServer::start(any(), settings, None, recorder.clone())
+        WorkerServer::start(loopback(), settings, None, recorder.clone())
             .await
             .expect("a worker"),
         recorder,
     )
 }
 
-fn config(broker: SocketAddr, workers: &str, more: &str) -> Config {
+/// The settings of a gateway, with the contents of the node `workers` and further nodes.
+fn config(broker: SocketAddr, workers: &str, more_nodes: &str) -> Config {
     let text = format!(
         "front-end \"fe\"\n\
          class \"view\" effect=\"safe\" aim=\"5s\" give-up=\"20s\" late-worth=0.5\n\
          class \"assign\" effect=\"unsafe\" aim=\"5s\" give-up=\"20s\" late-worth=0.5\n\
          amqp \"b\" {{ address \"{broker}\"; retry-first \"10ms\"; retry-most \"50ms\"; heartbeat 1; \
          queue \"calls\" {{ prefetch 300; lanes 8 }} }}\n\
-         workers {{ {workers} }}\n{more}\n"
+         workers {{ {workers} }}\n{more_nodes}\n"
     );
-    Config::parse("test", &text).unwrap_or_else(|f| panic!("{:?}", f.lines()))
+    Config::parse("test", &text).unwrap_or_else(|faults| panic!("{:?}", faults.lines()))
 }
 
 fn fixed(workers: &[SocketAddr]) -> String {
     workers
         .iter()
-        .map(|a| format!("worker \"{a}\"; "))
+        .map(|address| format!("worker \"{address}\"; "))
         .collect()
 }
 
@@ -94,24 +100,29 @@
     QueueClient::start(&broker.to_string(), Login::default(), "answers")
 }
 
+async fn send(client: &QueueClient, call: Publish) {
+    client.calls.send(call).await.expect("the client runs");
+}
+
 async fn answer(client: &mut QueueClient) -> Answer {
-    let answer = tokio::time::timeout(Duration::from_secs(60), client.answers.recv()).await;
-    answer
-        .expect("an answer in its time")
-        .expect("the client runs")
+    let answer = tokio::time::timeout(MAX_WAIT, client.answers.recv()).await;
+    answer.expect("an answer in time").expect("the client runs")
 }
 
-async fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = tokio::time::Instant::now() + Duration::from_secs(60);
-    while !holds() {
-        assert!(tokio::time::Instant::now() < end, "never: {what}");
-        tokio::time::sleep(Duration::from_millis(5)).await;
+async fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = tokio::time::Instant::now() + MAX_WAIT;
+    while !condition() {
+        assert!(
+            tokio::time::Instant::now() < deadline,
+            "never happened: {description}"
+        );
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Answers that the broker took, by call.
-fn answers_at(broker: &BrokerServer) -> BTreeMap<String, Vec<String>> {
-    let mut all: BTreeMap<String, Vec<String>> = BTreeMap::new();
+/// The verdicts of the answers that the broker has accepted, by call.
+fn verdicts_at(broker: &BrokerServer) -> BTreeMap<String, Vec<String>> {
+    let mut verdicts: BTreeMap<String, Vec<String>> = BTreeMap::new();
     for record in broker.recorder().records() {
         if let Seen::Published {
             correlation_id: Some(id),
@@ -120,29 +131,53 @@
         } = record.seen
             && let Some(verdict) = headers.get("pipithub-verdict")
         {
-            all.entry(id).or_default().push(verdict.clone());
+            verdicts.entry(id).or_default().push(verdict.clone());
         }
     }
-    all
+    verdicts
+}
+
+/// The number of recorded events that fulfil a condition.
+fn count_seen(recorder: &Recorder, condition: impl Fn(&Seen) -> bool) -> usize {
+    recorder
+        .records()
+        .iter()
+        .filter(|record| condition(&record.seen))
+        .count()
 }
 
+/// How often a worker has run a call.
 fn runs(recorder: &Recorder, id: &str) -> usize {
-    let of = |s: &Seen| matches!(s, Seen::Ran { request, dropped: false, .. } if request == id);
-    recorder.records().iter().filter(|r| of(&r.seen)).count()
+    count_seen(
+        recorder,
+        |seen| matches!(seen, Seen::Ran { request, dropped: false, .. } if request == id),
+    )
+}
+
+/// The number of calls that the broker has accepted.
+fn published_calls(broker: &BrokerServer) -> usize {
+    count_seen(
+        broker.recorder(),
+        |seen| matches!(seen, Seen::Published { queues, .. } if queues.iter().any(|queue| queue == "calls")),
+    )
+}
+
+/// The number of deliveries of calls that the broker has made.
+fn delivered_calls(broker: &BrokerServer) -> usize {
+    count_seen(
+        broker.recorder(),
+        |seen| matches!(seen, Seen::Delivered { queue, .. } if queue == "calls"),
+    )
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bodies_of_no_byte_and_of_16_mib_come_back_whole() {
+async fn empty_and_16_mib_bodies_are_returned_unchanged() {
     let (broker, (worker, _)) = (broker().await, worker(1).await);
     let _gateway = Gateway::start(&config(broker.address(), &fixed(&[worker.address()]), ""));
     let mut client = client(broker.address());
     for size in [0, 1, 16 << 20] {
-        let body: Vec<u8> = (0..size).map(|n: usize| (n % 251) as u8).collect();
-        client
-            .calls
-            .send(call(&format!("{size}"), "view", body.clone()))
-            .await
-            .expect("running");
+        let body: Vec<u8> = (0..size).map(|index: usize| (index % 251) as u8).collect();
+        send(&client, call(&format!("{size}"), "view", body.clone())).await;
         let answer = answer(&mut client).await;
         assert_eq!(
             (answer.verdict.as_str(), answer.cause.as_str()),
@@ -151,66 +186,58 @@
         );
         assert!(
             answer.body == body,
-            "{size} bytes came back as {}",
+            "{size} bytes were returned as {}",
             answer.body.len()
         );
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn every_worker_gone_with_a_thousand_messages_waiting() {
+async fn calls_are_rejected_without_workers_and_served_once_one_is_listed() {
     let (broker, (worker, _)) = (broker().await, worker(1).await);
-    let list = ListServer::start(any(), Recorder::none())
+    let list = ListServer::start(loopback(), Recorder::none())
         .await
         .expect("a list");
-    let bounds = "engine { max-open 300; max-mb 8 }";
+    let limits = "engine { max-open 300; max-mb 8 }";
     let gateway = Gateway::start(&config(
         broker.address(),
         &format!("list \"http://{}\"", list.address()),
-        bounds,
+        limits,
     ));
     let mut client = client(broker.address());
-    for n in 0..1_000 {
-        client
-            .calls
-            .send(call(&format!("{n}"), "view", vec![1; 10_000]))
-            .await
-            .expect("running");
+    for number in 0..1_000 {
+        send(&client, call(&format!("{number}"), "view", vec![1; 10_000])).await;
     }
     let mut verdicts: BTreeMap<String, usize> = BTreeMap::new();
     for _ in 0..1_000 {
         *verdicts
             .entry(answer(&mut client).await.verdict)
             .or_default() += 1;
-        let held = gateway.snapshots()[0];
+        let snapshot = gateway.snapshots()[0];
         assert!(
-            held.pending_requests <= 300 && held.body_bytes <= 8 << 20,
-            "{held:?}"
+            snapshot.pending_requests <= 300 && snapshot.body_bytes <= 8 << 20,
+            "{snapshot:?}"
         );
     }
     assert_eq!(
         verdicts,
         BTreeMap::from([("refused".to_string(), 1_000)]),
-        "none lost, none kept waiting"
+        "every call is rejected"
     );
-    list.set(listed(&worker, "back"));
-    until("the worker is known", || {
+    list.set(listed(&worker, "first"));
+    wait_until("the worker is known", || {
         gateway.snapshots()[0].ready_workers == 1
     })
     .await;
-    client
-        .calls
-        .send(call("after", "assign", b"x".to_vec()))
-        .await
-        .expect("running");
+    send(&client, call("after", "assign", b"x".to_vec())).await;
     assert_eq!(answer(&mut client).await.verdict, "served");
 }
 
-/// A front end that has just started, and whose list is still on its way, must not refuse what it will soon serve.
+/// A front end that has no endpoint list yet must not reject calls that it can serve soon.
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_is_taken_before_the_first_list() {
+async fn call_before_the_first_endpoint_list_waits_and_is_served() {
     let (broker, (worker, _)) = (broker().await, worker(1).await);
-    let list = ListServer::start(any(), Recorder::none())
+    let list = ListServer::start(loopback(), Recorder::none())
         .await
         .expect("a list");
     list.set(listed(&worker, "first"));
@@ -221,167 +248,138 @@
         "",
     ));
     let mut client = client(broker.address());
-    client
-        .calls
-        .send(call("early", "view", b"x".to_vec()))
-        .await
-        .expect("running");
+    send(&client, call("early", "view", b"x".to_vec())).await;
     assert_eq!(answer(&mut client).await.verdict, "served");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_broker_that_drops_all_connections_gets_one_answer_to_each() {
+async fn each_call_gets_one_answer_across_dropped_broker_connections() {
     let (broker, (worker, ran)) = (broker().await, worker(20).await);
     let _gateway = Gateway::start(&config(broker.address(), &fixed(&[worker.address()]), ""));
     let client = client(broker.address());
-    for n in 0..200 {
-        let class = if n % 2 == 0 { "view" } else { "assign" };
-        client
-            .calls
-            .send(call(&format!("{n}"), class, b"x".to_vec()))
-            .await
-            .expect("running");
-        if n % 50 == 25 {
-            until("some calls are there", || worker.in_flight() > 0).await;
+    for number in 0..200 {
+        let class = if number % 2 == 0 { "view" } else { "assign" };
+        send(&client, call(&format!("{number}"), class, b"x".to_vec())).await;
+        if number % 50 == 25 {
+            wait_until("calls are in flight at the worker", || {
+                worker.in_flight() > 0
+            })
+            .await;
             broker.cut_all();
         }
     }
-    let published = || {
-        let of = |s: &Seen| matches!(s, Seen::Published { queues, .. } if queues.iter().any(|q| q == "calls"));
-        broker
-            .recorder()
-            .records()
-            .iter()
-            .filter(|r| of(&r.seen))
-            .count()
-    };
-    // What the client had on its way when it was cut may be lost to it, however much that is. It publishes in order, so
-    // once a call given to it after the last cut is answered, the broker has all that will ever come.
+    // Calls that the client was publishing when its connection was cut may be lost, however many they are. The client
+    // publishes in order, so once a call that was sent after the last cut is answered, the broker has all calls that will
+    // ever arrive.
     let mut next = 200;
-    until("a call after the last cut is answered", || {
-        let answered = answers_at(&broker)
+    wait_until("a call after the last cut is answered", || {
+        let is_answered = verdicts_at(&broker)
             .keys()
-            .any(|id| id.parse().is_ok_and(|n: usize| n >= 200));
-        if !answered && client.calls.capacity() == client.calls.max_capacity() {
+            .any(|id| id.parse().is_ok_and(|number: usize| number >= 200));
+        if !is_answered && client.calls.capacity() == client.calls.max_capacity() {
             let _ = client
                 .calls
                 .try_send(call(&format!("{next}"), "view", b"x".to_vec()));
             next += 2;
         }
-        answered
+        is_answered
     })
     .await;
-    until("all that the broker took are answered", || {
-        answers_at(&broker).len() == published()
+    wait_until("all calls that the broker accepted are answered", || {
+        verdicts_at(&broker).len() == published_calls(&broker)
     })
     .await;
-    for (id, verdicts) in answers_at(&broker) {
+    for (id, verdicts) in verdicts_at(&broker) {
         assert_eq!(verdicts.len(), 1, "{id}: {verdicts:?}");
-        let number: usize = id.parse().expect("its number");
+        let number: usize = id.parse().expect("a number");
         assert!(
             number.is_multiple_of(2) || runs(&ran, &id) <= 1,
-            "unsafe call {id} ran twice"
+            "non-idempotent call {id} ran twice"
         );
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn damage_on_the_way_to_the_broker_loses_nothing() {
+async fn damaged_broker_connection_loses_no_call() {
     for damage in [
         Damage::Corrupt,
         Damage::Swallow,
         Damage::HalfClose,
         Damage::Delay(Duration::from_millis(30)),
     ] {
-        let (broker, (worker, _)) = (broker().await, worker(1).await);
-        let proxy = Proxy::start(any(), broker.address().to_string())
-            .await
-            .expect("a proxy");
-        let _gateway = Gateway::start(&config(proxy.address(), &fixed(&[worker.address()]), ""));
-        let mut client = client(broker.address());
-        client
-            .calls
-            .send(call("before", "view", b"x".to_vec()))
-            .await
-            .expect("running");
-        assert_eq!(answer(&mut client).await.verdict, "served");
-        proxy.set(damage);
-        for n in 0..20 {
-            client
-                .calls
-                .send(call(&format!("{n}"), "view", b"x".to_vec()))
-                .await
-                .expect("running");
-        }
-        // Damage is seen once the bytes have passed; a silent line only by its missing heartbeats.
-        until("damage was met", || {
-            let of = |s: &Seen| matches!(s, Seen::Delivered { queue, .. } if queue == "calls");
-            let delivered = broker
-                .recorder()
-                .records()
-                .iter()
-                .filter(|r| of(&r.seen))
-                .count()
-                >= 2;
-            // It may have met the end of the first call's transaction: then the connection is gone before a second
-            // delivery, and each further one meets it too.
-            delivered || proxy.met() >= 3
+        lose_no_call_with(damage).await;
+    }
+}
+
+/// Sends calls while a proxy damages the gateway's connection to the broker, and expects that each is answered once.
+async fn lose_no_call_with(damage: Damage) {
+    let (broker, (worker, _)) = (broker().await, worker(1).await);
+    let proxy = Proxy::start(loopback(), broker.address().to_string())
+        .await
+        .expect("a proxy");
+    let _gateway = Gateway::start(&config(proxy.address(), &fixed(&[worker.address()]), ""));
+    let mut client = client(broker.address());
+    send(&client, call("before", "view", b"x".to_vec())).await;
+    assert_eq!(answer(&mut client).await.verdict, "served");
+    proxy.set(damage);
+    for number in 0..20 {
+        send(&client, call(&format!("{number}"), "view", b"x".to_vec())).await;
+    }
+    // The gateway notices damage once bytes have passed, and a silent connection only by its missing heartbeats. If the
+    // damage has met the end of the first call's transaction, the connection is lost before a second delivery, and each
+    // further connection meets the damage too.
+    wait_until("the damage was met", || {
+        delivered_calls(&broker) >= 2 || proxy.met() >= 3
+    })
+    .await;
+    // Swallowed bytes never arrive on the same connection, so it ends with the damage.
+    proxy.set(Damage::None);
+    if !matches!(damage, Damage::Delay(_)) {
+        proxy.cut();
+    }
+    wait_until("all calls are settled", || {
+        broker.depth("calls") == Some((0, 0))
+    })
+    .await;
+    if damage == Damage::Corrupt {
+        // AMQP has no checksums, so that a flipped bit in a body or an id is not noticed. Only the connection is checked.
+        send(&client, call("after", "view", b"x".to_vec())).await;
+        wait_until("calls are answered again", || {
+            verdicts_at(&broker).contains_key("after")
         })
         .await;
-        // Bytes that were swallowed do not come later on the same connection, so it ends with the damage.
-        proxy.set(Damage::None);
-        if !matches!(damage, Damage::Delay(_)) {
-            proxy.cut();
-        }
-        until("all are settled", || broker.depth("calls") == Some((0, 0))).await;
-        if damage == Damage::Corrupt {
-            // A turned bit in a body or an id goes unnoticed in AMQP, which has no checksum: only the rest is asked.
-            client
-                .calls
-                .send(call("after", "view", b"x".to_vec()))
-                .await
-                .expect("running");
-            until("service is back", || {
-                answers_at(&broker).contains_key("after")
-            })
-            .await;
-        } else {
-            assert_eq!(answers_at(&broker).len(), 21, "{damage:?}");
-            assert!(
-                answers_at(&broker).values().all(|v| v.len() == 1),
-                "{damage:?}: {:?}",
-                answers_at(&broker)
-            );
-        }
+    } else {
+        let verdicts = verdicts_at(&broker);
+        assert_eq!(verdicts.len(), 21, "{damage:?}");
+        assert!(
+            verdicts.values().all(|verdicts| verdicts.len() == 1),
+            "{damage:?}: {verdicts:?}"
+        );
     }
 }
 
-/// The worker runs the call and its answer never comes: the call may have run, so it fails, once, and in its time.
+/// The worker runs the call, but its response never arrives. The call may have run, so it fails without a retry.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_swallowed_answer_fails_an_unsafe_call_and_is_not_run_again() {
+async fn lost_response_fails_non_idempotent_call_without_retry() {
     let (broker, (first, ran), (second, ran_second)) =
         (broker().await, worker(1).await, worker(1).await);
     let proxies = [
-        Proxy::start(any(), first.address().to_string())
+        Proxy::start(loopback(), first.address().to_string())
             .await
             .expect("a proxy"),
-        Proxy::start(any(), second.address().to_string())
+        Proxy::start(loopback(), second.address().to_string())
             .await
             .expect("a proxy"),
     ];
     let workers = fixed(&proxies.each_ref().map(Proxy::address));
     let _gateway = Gateway::start(&config(broker.address(), &workers, ""));
     let mut client = client(broker.address());
-    client
-        .calls
-        .send(call("warm", "view", b"x".to_vec()))
-        .await
-        .expect("running");
+    send(&client, call("before", "view", b"x".to_vec())).await;
     assert_eq!(answer(&mut client).await.verdict, "served");
-    proxies.iter().for_each(|p| p.set(Damage::Swallow));
+    proxies.iter().for_each(|proxy| proxy.set(Damage::Swallow));
     let mut lost = call("lost", "assign", b"x".to_vec());
     lost.budget_ms = Some(1_500);
-    client.calls.send(lost).await.expect("running");
+    send(&client, lost).await;
     let answer = answer(&mut client).await;
     assert_eq!(
         (answer.id.as_str(), answer.verdict.as_str(), answer.attempts),
@@ -391,16 +389,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_dead_worker_never_ran_a_call_and_another_serves_it() {
+async fn non_idempotent_call_is_retried_after_a_refused_connection() {
     let (broker, (dead, _), (alive, ran)) = (broker().await, worker(1).await, worker(1).await);
     let workers = fixed(&[dead.address(), alive.address()]);
     dead.kill().await;
     let _gateway = Gateway::start(&config(broker.address(), &workers, ""));
     let mut client = client(broker.address());
-    for n in 0..20 {
-        let mut call = call(&format!("{n}"), "assign", b"x".to_vec());
-        call.function = format!("f{n}");
-        client.calls.send(call).await.expect("running");
+    for number in 0..20 {
+        let mut call = call(&format!("{number}"), "assign", b"x".to_vec());
+        call.function = format!("f{number}");
+        send(&client, call).await;
         let answer = answer(&mut client).await;
         assert_eq!(answer.verdict, "served", "{}", answer.cause);
         assert_eq!(runs(&ran, &answer.id), 1);
@@ -408,35 +406,38 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopped_gateway_answers_what_it_has() {
+async fn graceful_shutdown_answers_accepted_calls() {
     let (broker, (worker, _)) = (broker().await, worker(150).await);
     let gateway = Gateway::start(&config(broker.address(), &fixed(&[worker.address()]), ""));
     let mut client = client(broker.address());
-    for n in 0..8 {
-        client
-            .calls
-            .send(call(&format!("{n}"), "assign", b"x".to_vec()))
-            .await
-            .expect("running");
+    for number in 0..8 {
+        send(&client, call(&format!("{number}"), "assign", b"x".to_vec())).await;
     }
-    until("calls run", || worker.in_flight() > 0).await;
-    let taken = gateway.snapshots()[0].stats.triggers;
+    wait_until("calls are in flight at the worker", || {
+        worker.in_flight() > 0
+    })
+    .await;
+    let accepted = gateway.snapshots()[0].stats.triggers;
     gateway.stop().await;
     assert!(
-        answers_at(&broker).len() as u64 >= taken,
-        "{} of {taken}",
-        answers_at(&broker).len()
+        verdicts_at(&broker).len() as u64 >= accepted,
+        "{} of {accepted}",
+        verdicts_at(&broker).len()
     );
-    // What it had not taken is there for the next one.
+    // Calls that it had not accepted are redelivered to the next gateway.
     let _next = Gateway::start(&config(broker.address(), &fixed(&[worker.address()]), ""));
     for _ in 0..8 {
         answer(&mut client).await;
     }
-    assert!(answers_at(&broker).values().all(|v| v.len() == 1));
+    assert!(
+        verdicts_at(&broker)
+            .values()
+            .all(|verdicts| verdicts.len() == 1)
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_timer_runs_calls_by_the_same_decisions() {
+async fn cron_timer_runs_each_occurrence_once() {
     let (broker, (worker, ran)) = (broker().await, worker(1).await);
     let timer =
         "cron \"tick\" { schedule \"* * * * * *\"; class \"assign\"; function \"g\"; body \"{}\" }";
@@ -445,24 +446,24 @@
         &fixed(&[worker.address()]),
         timer,
     ));
-    until("the timer's call ran twice, each time once", || {
-        let records = ran.records();
-        let named: Vec<_> = records
-            .iter()
-            .filter_map(|r| match &r.seen {
-                Seen::Ran { request, .. } if request.starts_with("tick") => Some(request.clone()),
-                _ => None,
-            })
-            .collect();
-        assert!(
-            named
-                .iter()
-                .collect::<std::collections::BTreeSet<_>>()
-                .len()
-                == named.len(),
-            "{named:?}"
-        );
-        named.len() >= 2
+    wait_until("two occurrences have run, each once", || {
+        let requests = timer_requests(&ran);
+        let distinct: BTreeSet<&String> = requests.iter().collect();
+        assert_eq!(distinct.len(), requests.len(), "{requests:?}");
+        requests.len() >= 2
     })
     .await;
 }
+
+/// The requests of the timer that a worker has run.
+fn timer_requests(recorder: &Recorder) -> Vec<String> {
+    let timer_request = |seen: &Seen| match seen {
+        Seen::Ran { request, .. } if request.starts_with("tick") => Some(request.clone()),
+        _ => None,
+    };
+    recorder
+        .records()
+        .iter()
+        .filter_map(|record| timer_request(&record.seen))
+        .collect()
+}
--- a/crates/pipithub-gateway/tests/tenants/identity.rs
+++ b/crates/pipithub-gateway/tests/tenants/identity.rs
@@ -1,4 +1,4 @@
-//! Whose a call is: signatures, users of the broker, and directory servers that are trusted.
+//! Tests of how a call's user and tenant are determined: signatures, users of the broker, and trusted directory servers.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::rig::{PATIENT_ADMISSION, Stage, answer_to, call, directory, tree, verdict};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn calls_run_for_their_users_tenant_alone_over_each_kind_of_tls() {
+async fn calls_run_only_for_the_tenant_of_their_user_over_each_kind_of_tls() {
     for (tls, ldaps) in [("none", false), ("start", false), ("ldaps", true)] {
         let stage = Stage::new(tls).await;
         let server = directory(
@@ -24,62 +24,89 @@
         );
         let _gateway = Gateway::start(&config);
         let mut client = stage.client();
-        assert_eq!(
-            answer_to(&mut client, call("1", "Mai", "north-map")).await,
-            verdict("served", "answered"),
-            "{tls}"
-        );
-        assert_eq!(
-            answer_to(&mut client, call("2", "mai", "south-map")).await,
-            verdict("refused", "other-tenant")
-        );
-        assert_eq!(
-            answer_to(&mut client, call("3", "lan", "south-map")).await,
-            verdict("served", "answered")
-        );
-        assert_eq!(
-            answer_to(&mut client, call("4", "lan", "holidays")).await,
-            verdict("served", "answered")
-        );
-        assert_eq!(
-            answer_to(&mut client, call("5", "lan", "unnamed")).await,
-            verdict("refused", "other-tenant")
-        );
-        assert_eq!(
-            answer_to(&mut client, call("6", "nobody", "north-map")).await,
-            verdict("refused", "no-tenant")
-        );
-        // A name that is a filter's text is nobody's name.
-        assert_eq!(
-            answer_to(&mut client, call("7", "*)(uid=*", "north-map")).await,
-            verdict("refused", "no-tenant")
-        );
-        let mut spoofed = call("8", "mai", "north-map");
-        spoofed.signed.as_mut().expect("signed").key = b"another key of some length".to_vec();
-        assert_eq!(
-            answer_to(&mut client, spoofed).await,
-            verdict("refused", "unreadable")
-        );
-        assert_eq!(
-            answer_to(
-                &mut client,
-                Publish {
-                    signed: None,
-                    ..call("9", "", "north-map")
-                }
-            )
-            .await
-            .1,
-            "unreadable"
-        );
+        expect_answers_of_signed_calls(&mut client, tls).await;
+        expect_unproven_users_are_rejected(&mut client, tls).await;
         let ran: Vec<String> = stage.sent().into_iter().map(|run| run.request).collect();
         assert_eq!(ran, ["1", "3", "4"], "{tls}");
     }
 }
 
-/// A broker that checks `user_id` speaks for the users of its connections; a name in a header does not count.
+/// A signed call, and the verdict and the cause of its answer.
+struct SignedCase {
+    id: &'static str,
+    user: &'static str,
+    function: &'static str,
+    verdict: &'static str,
+    cause: &'static str,
+}
+
+impl SignedCase {
+    const fn served(id: &'static str, user: &'static str, function: &'static str) -> Self {
+        SignedCase {
+            id,
+            user,
+            function,
+            verdict: "served",
+            cause: "answered",
+        }
+    }
+
+    const fn rejected(
+        id: &'static str,
+        user: &'static str,
+        function: &'static str,
+        cause: &'static str,
+    ) -> Self {
+        SignedCase {
+            id,
+            user,
+            function,
+            verdict: "refused",
+            cause,
+        }
+    }
+}
+
+const SIGNED_CASES: [SignedCase; 7] = [
+    SignedCase::served("1", "Mai", "north-map"),
+    SignedCase::rejected("2", "mai", "south-map", "other-tenant"),
+    SignedCase::served("3", "lan", "south-map"),
+    SignedCase::served("4", "lan", "holidays"),
+    SignedCase::rejected("5", "lan", "unnamed", "other-tenant"),
+    SignedCase::rejected("6", "nobody", "north-map", "no-tenant"),
+    // A name with the syntax of a filter is an ordinary name, which no entry has.
+    SignedCase::rejected("7", "*)(uid=*", "north-map", "no-tenant"),
+];
+
+async fn expect_answers_of_signed_calls(client: &mut QueueClient, tls: &str) {
+    for case in &SIGNED_CASES {
+        assert_eq!(
+            answer_to(client, call(case.id, case.user, case.function)).await,
+            verdict(case.verdict, case.cause),
+            "{tls}, call {}",
+            case.id
+        );
+    }
+}
+
+async fn expect_unproven_users_are_rejected(client: &mut QueueClient, tls: &str) {
+    let mut spoofed = call("8", "mai", "north-map");
+    spoofed.signed.as_mut().expect("signed").key = b"another key of some length".to_vec();
+    assert_eq!(
+        answer_to(client, spoofed).await,
+        verdict("refused", "unreadable"),
+        "{tls}"
+    );
+    let unsigned = Publish {
+        signed: None,
+        ..call("9", "", "north-map")
+    };
+    assert_eq!(answer_to(client, unsigned).await.1, "unreadable", "{tls}");
+}
+
+/// A broker that checks `user_id` vouches for the users of its connections. A user's name in a header does not count.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_brokers_users_are_directory_users() {
+async fn user_id_of_the_broker_identifies_the_user() {
     let stage = Stage::new("broker").await;
     let server = directory(
         &tree(&[("mai".into(), "north"), ("lan".into(), "south")]),
@@ -112,19 +139,19 @@
         answer_to(&mut client, by("3", None, "north-map")).await,
         verdict("refused", "unreadable")
     );
-    // The broker takes no message under another's name: the channel ends, and the client's next call comes on a new one.
+    // The broker accepts no message under another user's name and closes the channel. The client opens a new one.
     client
         .calls
         .send(by("4", Some("lan"), "south-map"))
         .await
-        .expect("running");
-    let end = tokio::time::Instant::now() + Duration::from_secs(30);
+        .expect("the client runs");
+    let deadline = tokio::time::Instant::now() + Duration::from_secs(30);
     loop {
         client
             .calls
             .send(by("5", Some("mai"), "north-map"))
             .await
-            .expect("running");
+            .expect("the client runs");
         match tokio::time::timeout(Duration::from_millis(500), client.answers.recv()).await {
             Ok(Some(answer)) => {
                 break assert_eq!(
@@ -132,20 +159,20 @@
                     ("5", "served")
                 );
             }
-            _ => assert!(tokio::time::Instant::now() < end, "no answer"),
+            _ => assert!(tokio::time::Instant::now() < deadline, "no answer"),
         }
     }
     assert!(stage.sent().iter().all(|run| run.request != "4"));
 }
 
-/// A certificate that the settings do not trust is no directory: nothing is asked, nobody is let in.
+/// A server whose certificate the settings do not trust is not searched, and its users are not admitted.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_of_another_authority_is_not_asked() {
+async fn server_with_an_untrusted_certificate_is_not_searched() {
     let stage = Stage::new("authority").await;
     let server = directory(&tree(&[("mai".into(), "north")]), true).await;
     let other = directory(&tree(&[("mai".into(), "south")]), true).await;
     let mut config = stage.config(&[&server], "tls \"ldaps\"", "");
-    // The settings trust the first one's authority, and its address now leads to the second.
+    // The settings trust the authority of the first server, but have the address of the second one.
     config.tenants.as_mut().expect("tenants").directories[0].servers[0].address =
         other.address().to_string();
     let _gateway = Gateway::start(&config);
--- a/crates/pipithub-gateway/tests/tenants/main.rs
+++ b/crates/pipithub-gateway/tests/tenants/main.rs
@@ -1,8 +1,8 @@
-//! Tenants on loopback sockets: broker, workers and directory servers, with moves, faults and stale replicas. What counts
-//! is what the workers saw.
+//! Tests of tenants on loopback sockets, with a broker, a worker and directory servers, and with migrations, faults and
+//! stale replicas. They are judged by the calls that the worker has received.
 
-mod changes;
 mod identity;
+mod migrations;
 mod random_days;
 mod rig;
 mod snapshots;
--- a/crates/pipithub-gateway/tests/tenants/changes.rs
+++ b/crates/pipithub-gateway/tests/tenants/migrations.rs
@@ -1,4 +1,4 @@
-//! Users who move or go while their directory is followed or polled.
+//! Tests of users who are migrated or deleted while their directory is followed or polled.
 
 use std::time::Duration;
 
@@ -6,9 +6,11 @@
 
 use crate::rig::{PATIENT_ADMISSION, Stage, answer_to, call, directory, tree, verdict};
 
-/// A followed directory tells of a move as it happens: the next call is on the new side, and a call that waits is not run.
+const MIGRATION_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// A followed directory reports a migration as it happens, so that the next calls belong to the new tenant.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_followed_directory_moves_users_at_once() {
+async fn followed_directory_reports_migrations_and_deletions() {
     let stage = Stage::new("follow").await;
     let server = directory(
         &tree(&[("mai".into(), "north"), ("lan".into(), "south")]),
@@ -27,33 +29,43 @@
         verdict("served", "answered")
     );
     assert!(server.move_to("uid=mai,ou=north,dc=example", "ou=south,dc=example"));
-    let mut n = 2;
-    let end = tokio::time::Instant::now() + Duration::from_secs(30);
+    let mut number = 2;
+    let deadline = tokio::time::Instant::now() + MIGRATION_TIMEOUT;
     loop {
-        let told = answer_to(&mut client, call(&n.to_string(), "mai", "south-map")).await;
-        n += 1;
-        if told == verdict("served", "answered") {
+        let answer = answer_to(&mut client, call(&number.to_string(), "mai", "south-map")).await;
+        number += 1;
+        if answer == verdict("served", "answered") {
             break;
         }
-        assert_eq!(told, verdict("refused", "other-tenant"));
-        assert!(tokio::time::Instant::now() < end, "never on the new side");
+        assert_eq!(answer, verdict("refused", "other-tenant"));
+        assert!(
+            tokio::time::Instant::now() < deadline,
+            "the migration was never noticed"
+        );
     }
     assert_eq!(
         answer_to(&mut client, call("last", "mai", "north-map")).await,
         verdict("refused", "other-tenant")
     );
     assert!(server.delete("uid=lan,ou=south,dc=example"));
-    while answer_to(&mut client, call(&format!("lan{n}"), "lan", "south-map")).await
+    while answer_to(
+        &mut client,
+        call(&format!("lan{number}"), "lan", "south-map"),
+    )
+    .await
         != verdict("refused", "no-tenant")
     {
-        n += 1;
-        assert!(tokio::time::Instant::now() < end, "never gone");
+        number += 1;
+        assert!(
+            tokio::time::Instant::now() < deadline,
+            "the deletion was never noticed"
+        );
     }
 }
 
-/// A directory that is asked for what changed: a move is heard long before the fact would be asked for again.
+/// A poll for changes reports a migration long before the user's record would be refreshed.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_polled_directory_reports_moves() {
+async fn polled_directory_reports_migrations() {
     let stage = Stage::new("poll").await;
     let server = directory(&tree(&[("mai".into(), "north")]), false).await;
     let directory = "tls \"none\"; poll \"1s\"; fresh \"10m\"; mark-attribute \"contextCSN\"";
@@ -64,15 +76,15 @@
         verdict("served", "answered")
     );
     assert!(server.move_to("uid=mai,ou=north,dc=example", "ou=south,dc=example"));
-    let end = tokio::time::Instant::now() + Duration::from_secs(60);
-    let mut n = 2;
-    while answer_to(&mut client, call(&n.to_string(), "mai", "south-map")).await
+    let deadline = tokio::time::Instant::now() + 2 * MIGRATION_TIMEOUT;
+    let mut number = 2;
+    while answer_to(&mut client, call(&number.to_string(), "mai", "south-map")).await
         != verdict("served", "answered")
     {
-        n += 1;
+        number += 1;
         assert!(
-            tokio::time::Instant::now() < end,
-            "the move was never heard"
+            tokio::time::Instant::now() < deadline,
+            "the migration was never noticed"
         );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
--- a/crates/pipithub-gateway/tests/tenants/snapshots.rs
+++ b/crates/pipithub-gateway/tests/tenants/snapshots.rs
@@ -1,4 +1,4 @@
-//! What a restart takes from the snapshot of the directories.
+//! Tests of what a restart restores from the snapshot of the directories.
 
 use std::time::Duration;
 
@@ -7,39 +7,39 @@
 use crate::rig::{Stage, answer_to, call, directory, tree, verdict};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_restart_in_an_outage_serves_with_what_was_known() {
+async fn restart_during_a_directory_outage_serves_users_of_a_valid_snapshot_only() {
     let stage = Stage::new("restart").await;
     let server = directory(&tree(&[("mai".into(), "north")]), false).await;
     let file = stage.folder.join("roster");
-    let more = format!(
+    let admission = format!(
         "admission {{ identity-wait \"3s\"; snapshot {file:?} every=\"1s\" {{ key text=\"another key of sixteen bytes\" }} }}"
     );
-    let config = stage.config(&[&server], "tls \"none\"", &more);
+    let config = stage.config(&[&server], "tls \"none\"", &admission);
     let gateway = Gateway::start(&config);
     let mut client = stage.client();
     assert_eq!(
         answer_to(&mut client, call("1", "mai", "north-map")).await,
         verdict("served", "answered")
     );
-    let written = file.with_extension("fe");
-    let end = tokio::time::Instant::now() + Duration::from_secs(30);
-    // The first one may have been written before there was anything in it.
-    while std::fs::metadata(&written).map_or(true, |m| m.len() < 100) {
-        assert!(tokio::time::Instant::now() < end, "no snapshot");
+    let snapshot = file.with_extension("fe");
+    let deadline = tokio::time::Instant::now() + Duration::from_secs(30);
+    // The first snapshot may have been written before it had any records.
+    while std::fs::metadata(&snapshot).map_or(true, |metadata| metadata.len() < 100) {
+        assert!(tokio::time::Instant::now() < deadline, "no snapshot");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     gateway.stop().await;
-    server.set_faults(|f| f.silent = true);
+    server.set_faults(|faults| faults.silent = true);
     let gateway = Gateway::start(&config);
     assert_eq!(
         answer_to(&mut client, call("2", "mai", "north-map")).await,
         verdict("served", "answered")
     );
     gateway.stop().await;
-    let mut bytes = std::fs::read(&written).expect("a snapshot");
-    let at = bytes.len() - 40;
-    bytes[at] ^= 1;
-    std::fs::write(&written, bytes).expect("written");
+    let mut bytes = std::fs::read(&snapshot).expect("a snapshot");
+    let changed = bytes.len() - 40;
+    bytes[changed] ^= 1;
+    std::fs::write(&snapshot, bytes).expect("a writable file");
     let _gateway = Gateway::start(&config);
     assert_eq!(
         answer_to(&mut client, call("3", "mai", "north-map")).await,
