--- a/crates/pipithub-directory/src/directory.rs
+++ b/crates/pipithub-directory/src/directory.rs
@@ -8,40 +8,39 @@
 mod refresh;
 mod removal_sweep;
 mod results;
+mod searches_in_flight;
+mod tenant_bases;
+mod wall_clock;
 
-use std::collections::BTreeMap;
-
-use crate::daily_peak::DAY_MS;
 use crate::jitter::Jitter;
 use crate::messages::{Input, Output};
 use crate::record::LookupRecord;
 use crate::refresh_wheel::RefreshWheel;
 use crate::roster::Roster;
-use crate::search::{SearchId, SearchInFlight};
-use crate::settings::{Settings, TenantBase};
+use crate::settings::Settings;
 use crate::snapshot::StoredRecord;
 use crate::state::DirectoryState;
 use crate::stats::Stats;
-use crate::time::{Time, to_ms};
+use crate::time::Time;
 
 use self::removal_sweep::RemovalSweep;
+use self::searches_in_flight::SearchesInFlight;
+use self::tenant_bases::TenantBases;
+use self::wall_clock::WallClock;
 
 /// The maximum number of users that are checked, or removed after a full refresh, in one turn.
 const MAX_USERS_PER_TURN: usize = 2_048;
-/// Records store days modulo this.
-const RECORDED_DAYS: i64 = 256;
 
 /// The directories of a front end, with the cached results of their look-ups.
 pub struct Directory {
-    tenants: Vec<TenantBase>,
+    tenants: TenantBases,
     max_users: usize,
     max_queue: usize,
     seed: u64,
-    wall_clock_offset_ms: i64,
+    wall_clock: WallClock,
     directories: Vec<DirectoryState>,
     roster: Roster,
-    searches: BTreeMap<SearchId, SearchInFlight>,
-    next_search: u64,
+    searches: SearchesInFlight,
     jitter: Jitter,
     /// When each cached user is checked next.
     wheel: RefreshWheel,
@@ -60,13 +59,12 @@
         Directory {
             directories: directories.collect(),
             roster: Roster::new(&settings.directories),
-            tenants: settings.tenants,
+            tenants: TenantBases::new(settings.tenants),
             max_users: settings.max_users.max(1),
             max_queue: settings.max_queue.max(1),
             seed: settings.seed,
-            wall_clock_offset_ms: settings.wall_clock_offset_ms,
-            searches: BTreeMap::new(),
-            next_search: 0,
+            wall_clock: WallClock::new(settings.wall_clock_offset_ms),
+            searches: SearchesInFlight::default(),
             jitter: Jitter::new(settings.seed),
             wheel: RefreshWheel::default(),
             sweeps: Vec::new(),
@@ -98,7 +96,7 @@
 
     /// Caches the records of a snapshot, up to the maximum number of users. Their users are not looked up now.
     pub fn restore(&mut self, now: Time, stored: Vec<StoredRecord>) {
-        let today = self.day(now);
+        let today = self.wall_clock.day(now);
         for StoredRecord { user, record } in stored {
             let is_known_directory = record.directory_index() < self.directories.len();
             if is_known_directory && self.roster.len() < self.max_users {
@@ -113,17 +111,11 @@
 
     /// When the next [`Input::Tick`] is due; `None` if none is needed.
     pub fn next_due(&self, now: Time) -> Option<Time> {
-        let searches = self
-            .searches
-            .values()
-            .flat_map(|search| search.hedge_at.into_iter().chain([search.deadline]));
-        let directories = self
-            .directories
-            .iter()
-            .filter_map(|directory| directory.next_due(now));
         let sweep = (!self.sweeps.is_empty()).then_some(now);
-        searches
-            .chain(directories)
+        self.directories
+            .iter()
+            .filter_map(|directory| directory.next_due(now))
+            .chain(self.searches.next_due())
             .chain(self.wheel.next_due())
             .chain(sweep)
             .min()
@@ -162,15 +154,7 @@
     /// Only days and daily peaks depend on wall time; the ages of records are measured in monotonic time. Checks that are
     /// planned already keep their times, so a step shifts the refreshes ahead of the next peak but no later ones.
     pub fn set_wall_clock(&mut self, now: Time, wall_ms: i64) {
-        self.wall_clock_offset_ms = wall_ms.saturating_sub(to_ms(now));
-    }
-
-    /// The present day by the wall clock, as records store it.
-    fn day(&self, now: Time) -> u8 {
-        self.wall_clock_offset_ms
-            .saturating_add(to_ms(now))
-            .div_euclid(DAY_MS)
-            .rem_euclid(RECORDED_DAYS) as u8
+        self.wall_clock.set(now, wall_ms);
     }
 
     /// Updates in the roster whether a directory's servers are too slow to respond while a request waits.
--- a/crates/pipithub-directory/src/directory/dispatch.rs
+++ b/crates/pipithub-directory/src/directory/dispatch.rs
@@ -2,7 +2,7 @@
 
 use crate::directory::Directory;
 use crate::messages::Output;
-use crate::search::{Query, SearchError, SearchId, SearchInFlight, SearchRequest};
+use crate::search::{Query, SearchError, SearchId, SearchRequest};
 use crate::state::Priority;
 use crate::time::Time;
 
@@ -60,61 +60,43 @@
         request: SearchRequest,
         outputs: &mut Vec<Output>,
     ) -> SearchId {
-        let id = SearchId(self.next_search);
-        self.next_search += 1;
+        let (directory, server) = (request.directory, request.server);
+        let query = request.query.clone();
+        let search = self.directories[directory].begin_search(now, request);
+        let id = self.searches.insert(search);
         outputs.push(Output::Search {
             id,
-            directory: request.directory,
-            server: request.server,
-            query: request.query.clone(),
+            directory,
+            server,
+            query,
         });
-        let search = self.directories[request.directory].begin_search(now, request);
-        self.searches.insert(id, search);
         id
     }
 
     /// Ends the searches whose deadline has passed.
     pub(super) fn expire_searches(&mut self, now: Time, outputs: &mut Vec<Output>) {
-        for id in self.searches_where(|search| search.deadline <= now) {
-            if self.searches.contains_key(&id) {
-                outputs.push(Output::CancelSearch(id));
-                self.end_search(now, id, Err(SearchError::TimedOut), outputs);
-            }
+        for id in self.searches.expired(now) {
+            outputs.push(Output::CancelSearch(id));
+            self.end_search(now, id, Err(SearchError::TimedOut), outputs);
         }
     }
 
     /// Hedges the searches that take longer than usual.
     pub(super) fn hedge_searches(&mut self, now: Time, outputs: &mut Vec<Output>) {
-        for id in self.searches_where(|search| search.hedge_at.is_some_and(|at| at <= now)) {
+        for id in self.searches.due_for_hedge(now) {
             self.hedge_search(now, id, outputs);
         }
     }
 
     fn hedge_search(&mut self, now: Time, id: SearchId, outputs: &mut Vec<Output>) {
-        let Some(search) = self.searches.get_mut(&id) else {
+        let Some(request) = self.searches.take_hedge_due(id) else {
             return;
         };
-        search.hedge_at = None;
-        let state = &mut self.directories[search.request.directory];
-        let Some(hedge) = state.take_hedge(&search.request) else {
+        let Some(hedge) = self.directories[request.directory].take_hedge(request) else {
             return;
         };
         self.stats.hedged_searches += 1;
         let hedge_id = self.start_search(now, hedge, outputs);
-        if let Some(hedge) = self.searches.get_mut(&hedge_id) {
-            hedge.hedge_at = None;
-            hedge.hedge_partner = Some(id);
-        }
-        if let Some(search) = self.searches.get_mut(&id) {
-            search.hedge_partner = Some(hedge_id);
-        }
-    }
-
-    fn searches_where(&self, condition: impl Fn(&SearchInFlight) -> bool) -> Vec<SearchId> {
-        self.searches
-            .iter()
-            .filter(|(_, search)| condition(search))
-            .map(|(id, _)| *id)
-            .collect()
+        self.searches.link_hedge(id, hedge_id);
     }
 }
--- a/crates/pipithub-directory/src/directory/lookups.rs
+++ b/crates/pipithub-directory/src/directory/lookups.rs
@@ -43,7 +43,7 @@
 
     /// Records that a user has requests today.
     fn mark_wanted(&mut self, now: Time, user: &User) {
-        let today = self.day(now);
+        let today = self.wall_clock.day(now);
         let Some(records) = self.roster.users.get(&**user) else {
             return;
         };
--- a/crates/pipithub-directory/src/directory/records.rs
+++ b/crates/pipithub-directory/src/directory/records.rs
@@ -4,7 +4,7 @@
 
 use crate::directory::Directory;
 use crate::messages::Output;
-use crate::record::{LookupRecord, LookupRecords, LookupResult, PersonId, TenantId, User};
+use crate::record::{LookupRecord, LookupRecords, LookupResult, PersonId, User};
 use crate::state::ObservedChange;
 use crate::time::{Time, to_ms};
 
@@ -29,20 +29,13 @@
 }
 
 impl Directory {
-    /// The tenant of an entry: of all tenants whose base contains it, the one with the innermost base.
+    /// The tenant of an entry. An entry that belongs to no tenant is counted as unexpected.
     pub(super) fn find_tenant(&mut self, directory: usize, dn: &Dn) -> LookupResult {
-        let innermost = self
-            .tenants
-            .iter()
-            .enumerate()
-            .filter(|(_, tenant)| tenant.directory == directory && dn.is_within(&tenant.base))
-            .max_by_key(|(_, tenant)| tenant.base.depth());
-        if let Some((number, _)) = innermost {
-            LookupResult::Tenant(TenantId(number as u16))
-        } else {
+        let result = self.tenants.find(directory, dn);
+        if !result.is_tenant() {
             self.stats.unexpected_entries += 1;
-            LookupResult::Absent
         }
+        result
     }
 
     /// Caches an observation if it supersedes the cached record of the same directory, and reports a change of the user's
@@ -59,7 +52,8 @@
         if known.is_some_and(|known| !self.supersedes(now, observation, &known)) {
             return;
         }
-        let last_wanted_day = known.map_or_else(|| self.day(now), |known| known.last_wanted_day);
+        let last_wanted_day =
+            known.map_or_else(|| self.wall_clock.day(now), |known| known.last_wanted_day);
         let record = LookupRecord {
             directory: observation.directory as u16,
             result: observation.result,
--- a/crates/pipithub-directory/src/directory/refresh.rs
+++ b/crates/pipithub-directory/src/directory/refresh.rs
@@ -66,7 +66,7 @@
     }
 
     fn was_wanted_recently(&self, now: Time, records: &[LookupRecord]) -> bool {
-        let today = self.day(now);
+        let today = self.wall_clock.day(now);
         records
             .iter()
             .any(|record| today.wrapping_sub(record.last_wanted_day) <= MAX_UNWANTED_DAYS)
@@ -96,11 +96,10 @@
             .daily_peak
             .filter(|_| record.result.is_tenant())
             .map(|peak| {
-                let confirmed_at_ms = self
-                    .wall_clock_offset_ms
-                    .saturating_add(record.confirmed_at_ms);
-                peak.refresh_time(confirmed_at_ms, stable_fraction(user, self.seed))
-                    .saturating_sub(self.wall_clock_offset_ms)
+                let confirmed_wall_ms = self.wall_clock.to_wall_ms(record.confirmed_at_ms);
+                let fraction = stable_fraction(user, self.seed);
+                let refresh_wall_ms = peak.refresh_time(confirmed_wall_ms, fraction);
+                self.wall_clock.to_caller_ms(refresh_wall_ms)
             });
         let due_ms = refresh_ms.map_or(expires_ms, |refresh_ms| refresh_ms.min(expires_ms));
         let soonest_ms = to_ms(now).saturating_add(MIN_CHECK_DELAY_MS);
--- a/crates/pipithub-directory/src/directory/results.rs
+++ b/crates/pipithub-directory/src/directory/results.rs
@@ -35,7 +35,7 @@
         outcome: Result<SearchResponse, SearchError>,
         outputs: &mut Vec<Output>,
     ) {
-        let Some(search) = self.searches.remove(&id) else {
+        let Some(search) = self.searches.remove(id) else {
             return;
         };
         let jitter = self.jitter.next_fraction();
@@ -79,13 +79,12 @@
         let state = &mut self.directories[request.directory];
         let limits = state.server_limits();
         state.servers[request.server].record_failure(now, error.opens_breaker(), jitter, &limits);
-        let partner = search
-            .hedge_partner
-            .and_then(|partner| self.searches.get_mut(&partner));
-        if let Some(partner) = partner {
-            // The hedge, or the search that it hedges, may still succeed.
-            partner.hedge_partner = None;
-        } else if let Query::Users(users) = request.query {
+        let partner = search.hedge_partner;
+        if partner.is_some_and(|partner| self.searches.unlink_partner(partner)) {
+            // The partner searches for the same users and may still succeed.
+            return;
+        }
+        if let Query::Users(users) = request.query {
             let attempts = request.attempts;
             self.retry(request.directory, Batch { users, attempts }, outputs);
         }
@@ -162,7 +161,7 @@
     /// Cancels the other search for the same users, if there is one.
     fn cancel_hedge_partner(&mut self, partner: Option<SearchId>, outputs: &mut Vec<Output>) {
         let Some(id) = partner else { return };
-        let Some(search) = self.searches.remove(&id) else {
+        let Some(search) = self.searches.remove(id) else {
             return;
         };
         let state = &mut self.directories[search.request.directory];
