--- a/crates/pipithub-clock/src/lib.rs
+++ b/crates/pipithub-clock/src/lib.rs
@@ -1,9 +1,9 @@
-//! Time for the shells: monotonic time for spans, and the wall clock for what is said to others.
+//! Monotonic time for durations, and wall time for timestamps that are exchanged or stored.
 //!
-//! The wall clock may be stepped by seconds or by hours, in either direction. Deadlines, windows, waits and grace periods
-//! are therefore spans of monotonic time. Wall time is only compared with other wall times: stamps in messages, schedules
-//! that operators write, records that outlive a process. This crate is the one place that asks the system for it;
-//! `clippy.toml` forbids the calls elsewhere. Cores take both times as values, and their tests move a [`ManualClock`].
+//! The wall clock may be stepped by seconds or hours, in either direction. Deadlines, windows, timeouts and grace
+//! periods are therefore measured in monotonic time. Wall time is only compared with other wall times: timestamps in
+//! messages, schedules, records that outlive a process. Only this crate asks the system for wall time; `clippy.toml`
+//! forbids it elsewhere. The crates without I/O take both times as values, and their tests use a [`ManualClock`].
 
 mod manual;
 
@@ -13,26 +13,26 @@
 
 const NANOS_PER_MS: Time = 1_000_000;
 
-/// A point in time or a duration, in nanoseconds; the one definition for all crates.
+/// A point in time or a duration, in nanoseconds. All crates use this definition.
 ///
-/// Where a point is counted from is said by what hands it out: a [`Clock`], a simulation, or a peer's protocol. It is a
-/// plain number, not a type of its own, as the decision module weighs times as numbers (quotients, means and rates) in most
-/// places where it uses them.
+/// The origin of a point in time depends on its source: a [`Clock`], a simulation, or a peer's protocol. It is a plain
+/// number rather than a type of its own, because the decision module mostly calculates with it: quotients, means and
+/// rates.
 pub type Time = u64;
 
-/// Both clocks, read together.
+/// Monotonic and wall time, read at the same moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Reading {
-    /// Monotonic time; for spans.
+    /// Monotonic time in nanoseconds, for durations.
     pub now: Time,
-    /// Unix time in milliseconds; may have been stepped since the last reading.
+    /// Unix time in milliseconds. The wall clock may have been stepped since an earlier reading.
     pub wall_ms: u64,
 }
 
 impl Reading {
-    /// The monotonic time that a stamp of the wall clock stands for, judged by this reading: a stamp in the future counts
-    /// as now, one from before the start of monotonic time as its beginning. A later step of the wall clock doesn't move
-    /// what this gave.
+    /// The monotonic time of a wall-clock timestamp (Unix milliseconds), according to this reading. A timestamp in the
+    /// future gives the current time, one before the origin of monotonic time gives 1. Later steps of the wall clock do
+    /// not affect the result.
     pub fn time_of_stamp(&self, stamp_ms: u64) -> Time {
         let age_ms = self.wall_ms.saturating_sub(stamp_ms);
         self.now
@@ -41,16 +41,16 @@
     }
 }
 
-/// Counts nanoseconds from a start that it bears a number for.
+/// A monotonic clock in nanoseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
-    /// The time at the start; from 1 on, as 0 means unknown in some protocols.
+    /// The time that corresponds to `start`. It is at least 1, because 0 means an unknown time in some protocols.
     base: Time,
 }
 
 impl Default for Clock {
-    /// Counts from its making.
+    /// A clock that starts at 1 when it is created.
     fn default() -> Self {
         Clock {
             start: Instant::now(),
@@ -60,8 +60,8 @@
 }
 
 impl Clock {
-    /// Counts Unix time, as it was when the clock was made: times told by others compare with its own, and a step of the
-    /// system's clock moves no deadline.
+    /// A clock that starts at the current Unix time, so that its times can be compared with those of other machines.
+    /// Later steps of the wall clock do not affect it.
     pub fn unix() -> Self {
         Clock {
             start: Instant::now(),
@@ -69,12 +69,12 @@
         }
     }
 
-    /// Nanoseconds now.
+    /// The current time of this clock, in nanoseconds.
     pub fn now(&self) -> Time {
         self.start.elapsed().as_nanos() as Time + self.base
     }
 
-    /// Both clocks now.
+    /// The current time of this clock and of the wall clock.
     pub fn read(&self) -> Reading {
         Reading {
             now: self.now(),
@@ -82,12 +82,12 @@
         }
     }
 
-    /// The instant of a time.
+    /// The instant that corresponds to a time of this clock. Times before its start give the start.
     pub fn instant(&self, time: Time) -> Instant {
         self.start + Duration::from_nanos(time.saturating_sub(self.base))
     }
 
-    /// Sleeps until then; for ever where there is no then.
+    /// Waits until a time of this clock; for ever if it is `None`.
     #[cfg(feature = "tokio")]
     pub async fn sleep_until(&self, time: Option<Time>) {
         match time {
@@ -97,10 +97,10 @@
     }
 }
 
-/// Unix time in nanoseconds.
+/// The current Unix time in nanoseconds; 0 if the system's clock is set before 1970.
 #[expect(
     clippy::disallowed_methods,
-    reason = "the one place that asks the system for wall time"
+    reason = "the only place that asks the system for wall time"
 )]
 pub fn wall_ns() -> u64 {
     SystemTime::now()
@@ -108,7 +108,7 @@
         .map_or(0, |d| d.as_nanos() as u64)
 }
 
-/// Unix time in milliseconds.
+/// The current Unix time in milliseconds; 0 if the system's clock is set before 1970.
 pub fn wall_ms() -> u64 {
     wall_ns() / NANOS_PER_MS
 }
--- a/crates/pipithub-clock/src/manual.rs
+++ b/crates/pipithub-clock/src/manual.rs
@@ -1,8 +1,8 @@
-//! A clock for tests: time passes, and the wall clock steps, only when the test says so.
+//! A clock for tests, whose monotonic time advances and whose wall time is stepped only by the test.
 
 use crate::{NANOS_PER_MS, Reading, Time};
 
-/// A pair of clocks that are moved by hand.
+/// A monotonic clock and a wall clock that are set by the test. No operation overflows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ManualClock {
     now: Time,
@@ -10,7 +10,7 @@
 }
 
 impl ManualClock {
-    /// Monotonic time `now` at Unix time `wall_ms`.
+    /// Creates a clock at the monotonic time `now` (nanoseconds) and the Unix time `wall_ms` (milliseconds).
     pub fn new(now: Time, wall_ms: u64) -> Self {
         ManualClock {
             now,
@@ -18,13 +18,13 @@
         }
     }
 
-    /// Lets a span of real time pass: both clocks advance.
+    /// Advances both clocks by `span` nanoseconds, as when time passes.
     pub fn advance(&mut self, span: Time) {
         self.now = self.now.saturating_add(span);
         self.wall_ns = self.wall_ns.saturating_add(span);
     }
 
-    /// Steps the wall clock, forward or back; no real time passes.
+    /// Steps the wall clock forward or back by `step_ms` milliseconds. The monotonic time stays.
     pub fn step_wall_ms(&mut self, step_ms: i64) {
         let step_ns = step_ms.unsigned_abs().saturating_mul(NANOS_PER_MS);
         self.wall_ns = if step_ms < 0 {
@@ -34,7 +34,7 @@
         };
     }
 
-    /// Both clocks as they stand.
+    /// The current times of both clocks.
     pub fn read(&self) -> Reading {
         Reading {
             now: self.now,
--- a/crates/pipithub-clock/tests/clocks.rs
+++ b/crates/pipithub-clock/tests/clocks.rs
@@ -1,4 +1,4 @@
-//! Both clocks, and the manual one that tests step.
+//! The clocks of the system, and the manual clock of other crates' tests.
 
 use pipithub_clock::{Clock, ManualClock, Reading, wall_ms};
 
@@ -6,7 +6,7 @@
 const HOUR_MS: i64 = 3_600_000;
 
 #[test]
-fn a_step_of_the_wall_moves_no_monotonic_time() {
+fn step_of_the_wall_clock_leaves_monotonic_time_unchanged() {
     let mut clock = ManualClock::new(5, 10_000);
     clock.advance(SECOND);
     assert_eq!(
@@ -39,21 +39,21 @@
 }
 
 #[test]
-fn the_clock_reads_both_times() {
+fn reading_holds_monotonic_and_wall_time() {
     let clock = Clock::default();
     let (before, wall_before) = (clock.now(), wall_ms());
     let reading = clock.read();
     assert!(reading.now >= before && reading.now <= clock.now());
-    // The wall clock may be stepped while this runs; that it is set at all can be said.
+    // The wall clock may be stepped while the test runs, so the test only checks that it is set.
     assert!(reading.wall_ms > 0 && wall_before > 0);
 }
 
 #[test]
-fn a_stamp_becomes_a_monotonic_time_that_no_later_step_moves() {
+fn timestamp_has_the_same_monotonic_time_after_a_step_of_the_wall_clock() {
     let mut clock = ManualClock::new(100 * SECOND, 1_000_000);
     assert_eq!(clock.read().time_of_stamp(995_000), 95 * SECOND);
     clock.step_wall_ms(HOUR_MS);
-    // The same five seconds, told by a stamp of the stepped clock.
+    // The age is still five seconds, by a timestamp of the stepped clock.
     assert_eq!(
         clock.read().time_of_stamp(995_000 + HOUR_MS as u64),
         95 * SECOND
@@ -61,11 +61,11 @@
     assert_eq!(
         clock.read().time_of_stamp(u64::MAX),
         100 * SECOND,
-        "in the future: now"
+        "a timestamp in the future"
     );
     assert_eq!(
         clock.read().time_of_stamp(0),
         1,
-        "before the beginning: never 0, which means unknown"
+        "a timestamp before the origin gives 1, because 0 means unknown"
     );
 }
--- a/crates/pipithub-membership-sim/src/fleet.rs
+++ b/crates/pipithub-membership-sim/src/fleet.rs
@@ -18,57 +18,57 @@
 struct Process {
     name: String,
     zone: String,
-    /// `None` while it does not run.
+    /// `None` while the process does not run.
     membership: Option<Membership>,
-    /// The generation record on its disk, synced.
+    /// The generation record on its disk; `None` if the disk is empty.
     disk: Option<String>,
-    /// Whether saves fail, as on a full disk.
+    /// Whether saving fails, as on a full disk.
     disk_failed: bool,
 }
 
-/// An event with the time and the process that reported it.
+/// An event of a membership, with its time and the process that reported it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObservedEvent {
-    /// When it was reported.
+    /// Simulated time of the report, in nanoseconds.
     pub at: Time,
-    /// The process that reported it.
+    /// Number of the process that reported it.
     pub observer: usize,
-    /// The event.
+    /// The reported event.
     pub event: Event,
 }
 
-/// What the running processes believe about one of them.
+/// How many of the other running processes consider a process to be in which state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Opinions {
-    /// How many believe that it is down.
+    /// Number of processes that consider it down.
     pub down: usize,
-    /// How many believe that it is alive or suspect.
+    /// Number of processes that consider it alive or suspect.
     pub active: usize,
 }
 
-/// A simulated cluster.
+/// A simulated cluster, whose processes are identified by numbers from 0.
 pub struct Fleet {
-    /// The network and the clock.
+    /// The network, which also holds the clock and the random numbers.
     pub network: Network<Vec<u8>>,
     settings: Settings,
     processes: Vec<Process>,
-    /// The events that were reported and pass [`Fleet::event_filter`], in order.
+    /// The reported events that pass [`Fleet::event_filter`], in order.
     pub history: Vec<ObservedEvent>,
-    /// Which events are added to the history; all by default. In a cluster of n that starts, each process reports all
-    /// others, and n² copies would take most of the memory.
+    /// Selects the events that are added to the history; all by default. At the start of a cluster of n processes, each
+    /// reports all others, so that n² events would use most of the memory of a large simulation.
     pub event_filter: fn(&Event) -> bool,
-    /// Bytes that each process sent.
+    /// Bytes that each process sent, IP and UDP headers included.
     pub sent_bytes: Vec<u64>,
-    /// Datagrams that each process sent.
+    /// Number of datagrams that each process sent.
     pub sent_datagrams: Vec<u64>,
-    /// Real time spent in the state machines; the rest is the simulation's. No behaviour depends on it.
+    /// Real time that was spent in the state machines, for benchmarks. No behaviour depends on it.
     pub membership_time: Duration,
     outputs: Vec<Output>,
 }
 
 impl Fleet {
-    /// A cluster of `size` processes, none of them started. Zones are assigned in turn; the first `seeds` processes are
-    /// the seeds.
+    /// Creates a cluster of `size` processes, none of them started. They are assigned to `zones` zones in turn, and the
+    /// first `seeds` of them are the seeds. `seed` determines all random numbers.
     pub fn new(
         size: usize,
         zones: usize,
@@ -101,27 +101,30 @@
         }
     }
 
-    /// How many processes there are, running or not.
+    /// Number of processes, running or not.
     pub fn size(&self) -> usize {
         self.processes.len()
     }
 
-    /// The generation record on the disk of a process.
+    /// The generation record on the disk of a process, to be changed or copied; `None` if the disk is empty.
     pub fn disk(&mut self, process: usize) -> &mut Option<String> {
         &mut self.processes[process].disk
     }
 
-    /// Makes saves on the disk of a process fail or succeed.
+    /// Makes saving on the disk of a process fail or succeed.
     pub fn set_disk_failed(&mut self, process: usize, failed: bool) {
         self.processes[process].disk_failed = failed;
     }
 
-    /// Gives a process the name of another, as when an operator starts one twice.
+    /// Changes the name of a process, for instance to that of another one. It applies from the next start on.
     pub fn rename(&mut self, process: usize, name: &str) {
         self.processes[process].name = name.to_string();
     }
 
-    /// Starts a process from what is on its disk. A record that cannot be used keeps it from starting.
+    /// Starts a process with the generation record on its disk.
+    ///
+    /// # Errors
+    /// The record cannot be used; the process is not started.
     pub fn start(&mut self, index: usize) -> Result<(), RecordError> {
         let now = self.network.now();
         let boot_id = self.network.rng.random();
@@ -146,13 +149,13 @@
         Ok(())
     }
 
-    /// Kills a process.
+    /// Kills a process without notice to the others.
     pub fn kill(&mut self, process: usize) {
         self.processes[process].membership = None;
         self.network.crash(process);
     }
 
-    /// Makes a process leave, then end.
+    /// Makes a process leave the cluster, then stops it.
     pub fn leave(&mut self, process: usize) {
         self.handle(process, Input::Leave);
         self.kill(process);
@@ -163,18 +166,18 @@
         self.processes[process].membership.is_some()
     }
 
-    /// How often the running processes compared all their members, in total.
+    /// Total number of full comparisons of members in the running processes.
     pub fn full_comparisons(&self) -> u64 {
         self.running().map(Membership::full_comparisons).sum()
     }
 
-    /// What a process believes now; `None` where it does not run.
+    /// The current view of a process; `None` if it does not run.
     pub fn view(&self, process: usize) -> Option<View> {
         let membership = self.processes[process].membership.as_ref()?;
         Some(membership.view(self.network.now()))
     }
 
-    /// Passes an input to a process.
+    /// Passes an input to a process, if it runs, and applies its outputs.
     pub fn handle(&mut self, process: usize, input: Input<'_>) {
         let now = self.network.now();
         if let Some(membership) = &mut self.processes[process].membership {
@@ -232,7 +235,7 @@
         }
     }
 
-    /// Runs the simulation until a point in time.
+    /// Runs the simulation until the time `until`.
     pub fn run_until(&mut self, until: Time) {
         while let Some(event) = self.network.next_event(until) {
             match event {
@@ -248,7 +251,7 @@
         }
     }
 
-    /// Runs the simulation for a duration.
+    /// Runs the simulation for a duration in nanoseconds.
     pub fn run_for(&mut self, duration: Time) {
         self.run_until(self.network.now() + duration);
     }
@@ -259,8 +262,8 @@
             .filter_map(|process| process.membership.as_ref())
     }
 
-    /// Whether each running process has joined and believes exactly the running processes to be active. The search ends at
-    /// the first that does not, and copies nothing: n tables of n rows are compared.
+    /// Whether each running process has joined and considers exactly the running processes active. This compares n
+    /// tables of n rows, so it copies nothing and stops at the first difference.
     pub fn has_converged(&self) -> bool {
         let running = self.processes.iter().filter(|p| p.membership.is_some());
         let mut names: Vec<&str> = running.map(|process| process.name.as_str()).collect();
@@ -268,7 +271,7 @@
         !names.is_empty() && self.running().all(|m| knows_exactly(m, &names))
     }
 
-    /// What the other running processes believe about one.
+    /// The opinions of the other running processes about a process.
     pub fn opinions(&self, of: usize) -> Opinions {
         let name = &self.processes[of].name;
         let others = self.processes.iter().enumerate();
@@ -285,13 +288,13 @@
     }
 }
 
-/// Whether a process has joined and believes exactly these to be active. `names` are sorted.
+/// Whether a process has joined and considers exactly the processes of these names active. `names` must be sorted.
 fn knows_exactly(membership: &Membership, names: &[&str]) -> bool {
     let active = membership
         .members()
         .filter(|member| member.state != MemberState::Down)
         .map(|member| member.identity.name.as_str());
-    // A member's own name is not in its table; another process may use it as well.
+    // A process is not in its own table. Another process may have the same name, so only one occurrence is skipped.
     let own_name = membership.identity().name.as_str();
     let own_index = names.partition_point(|name| *name < own_name);
     let others = names[..own_index]
--- a/crates/pipithub-membership-sim/src/lib.rs
+++ b/crates/pipithub-membership-sim/src/lib.rs
@@ -1,7 +1,7 @@
 //! A cluster of membership state machines in simulated time.
 //!
-//! The state machines are the ones that run on sockets; links, disks, crashes and pauses are simulated. The true state at
-//! each moment is known here, so that views can be judged from outside the processes that hold them.
+//! The state machines are those of the real program; links, disks, crashes and pauses are simulated. The simulation
+//! knows the true state of all processes, with which tests compare the views of the state machines.
 
 mod address;
 mod fleet;
--- a/crates/pipithub-os-error/tests/classes.rs
+++ b/crates/pipithub-os-error/tests/classes.rs
@@ -1,4 +1,4 @@
-//! Each class of error by its number, and a real one of the system for each where loopback can give it.
+//! The class of each error number, and of an error that the system itself reports.
 
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn what_this_machine_lacks_is_not_the_peers_fault() {
+fn lack_of_local_resources_has_a_local_origin() {
     let local = [
         Errno::MFILE,
         Errno::NFILE,
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn what_the_peer_or_the_network_did_is_the_peers() {
+fn failures_of_peer_or_network_have_the_peer_as_origin() {
     let peer = [
         Errno::CONNREFUSED,
         Errno::CONNRESET,
@@ -44,16 +44,16 @@
 }
 
 #[test]
-fn a_refused_connection_of_the_system_is_the_peers() {
+fn connection_to_a_closed_port_fails_with_the_peer_as_origin() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("listens");
     let address = listener.local_addr().expect("has an address");
     drop(listener);
-    let refused = TcpStream::connect(address).expect_err("nobody listens there");
+    let refused = TcpStream::connect(address).expect_err("the port is closed");
     assert_eq!(fault_origin(&refused), FaultOrigin::Peer);
 }
 
 #[test]
-fn an_aborted_connection_holds_up_no_other() {
+fn accept_errors_are_classified_by_what_they_concern() {
     for errno in [
         Errno::CONNABORTED,
         Errno::PROTO,
@@ -83,14 +83,15 @@
 }
 
 #[test]
-fn an_unknown_accept_error_neither_ends_the_listener_nor_spins() {
-    let unknown = io::Error::other("who knows");
+fn unknown_accept_error_counts_as_exhaustion() {
+    let unknown = io::Error::other("unknown");
     assert_eq!(accept_failure(&unknown), AcceptFailure::Exhausted);
 }
 
 #[test]
-fn an_error_that_every_accept_may_give_makes_no_listener_spin() {
-    // A listener of a kind that cannot accept gives it each time.
+fn unlisted_accept_error_number_counts_as_exhaustion() {
+    // Every call of a listener that does not support `accept` fails with this error, so there must be a pause between
+    // them.
     assert_eq!(
         accept_failure(&error(Errno::OPNOTSUPP)),
         AcceptFailure::Exhausted
--- a/crates/pipithub-simnet/src/lib.rs
+++ b/crates/pipithub-simnet/src/lib.rs
@@ -1,6 +1,6 @@
-//! A simulated network and clock: messages are delivered late, duplicated or lost.
+//! A simulated network with its clock, in which messages are delayed, duplicated and lost.
 //!
-//! Each direction of each pair of processes has faults of its own. Equal seeds and calls give equal runs.
+//! Each direction of a link between two processes has its own faults. Equal seeds and calls give equal runs.
 
 mod link;
 mod network;
--- a/crates/pipithub-simnet/src/link.rs
+++ b/crates/pipithub-simnet/src/link.rs
@@ -1,19 +1,19 @@
-//! Faults of a link.
+//! The properties of a link.
 
 use crate::Time;
 
-/// How one direction of a link behaves.
+/// The properties of one direction of a link. Times are in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Link {
-    /// Whether every message is lost.
+    /// Whether all messages are lost.
     pub cut: bool,
-    /// Delay of every message.
+    /// Shortest delay of a message.
     pub delay: Time,
-    /// Longest additional delay, drawn uniformly; a later message may therefore overtake an earlier one.
+    /// Longest additional delay, drawn uniformly for each message. Messages may therefore overtake each other.
     pub jitter: Time,
-    /// Probability that a message is lost.
+    /// Probability that a message is lost, from 0 to 1.
     pub loss: f64,
-    /// Probability that a message is delivered twice.
+    /// Probability that a message is delivered twice, from 0 to 1.
     pub duplication: f64,
 }
 
--- a/crates/pipithub-simnet/src/network.rs
+++ b/crates/pipithub-simnet/src/network.rs
@@ -7,22 +7,23 @@
 
 use crate::{Link, Time};
 
-/// Most events that are buffered for paused processes; like a socket's receive buffer, which drops the newest.
+/// Largest number of events that are buffered for paused processes. Further ones are dropped, as by a full receive
+/// buffer.
 const MAX_BUFFERED: usize = 10_000;
 
 /// An event of the simulation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum NetworkEvent<M> {
-    /// A message arrives.
+    /// A message is delivered.
     Delivery {
-        /// The sender.
+        /// Number of the sending process.
         from: usize,
-        /// The receiver.
+        /// Number of the receiving process.
         to: usize,
-        /// The message.
+        /// Content of the message.
         message: M,
     },
-    /// The timer of a process fires.
+    /// The timer of the process with this number fires.
     Timer(usize),
 }
 
@@ -43,14 +44,14 @@
     to: usize,
 }
 
-/// Position of an event in the queue; the sequence number keeps events of equal time in their order of scheduling.
+/// Position of an event in the queue. Events of the same time occur in the order in which they were scheduled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct EventKey {
     at: Time,
     sequence: u64,
 }
 
-/// The network and the clock of a simulation.
+/// The network and the clock of a simulation. Processes are identified by numbers.
 pub struct Network<M> {
     now: Time,
     default_link: Link,
@@ -63,16 +64,16 @@
     /// Events for paused processes, in order of arrival.
     buffered: Vec<NetworkEvent<M>>,
     last_sequence: u64,
-    /// Random numbers of the simulation, for the test that drives it as well.
+    /// Source of all random numbers of the simulation. Tests draw from it too, so that equal seeds give equal runs.
     pub rng: SmallRng,
-    /// Messages that were sent.
+    /// Number of messages that were sent, including lost ones.
     pub sent: u64,
-    /// Messages that were lost.
+    /// Number of messages that were lost on a link.
     pub lost: u64,
 }
 
 impl<M: Clone> Network<M> {
-    /// A network in which every link behaves like `default_link`.
+    /// Creates a network in which every link has the properties of `default_link`.
     pub fn new(seed: u64, default_link: Link) -> Self {
         Network {
             now: 1,
@@ -89,12 +90,12 @@
         }
     }
 
-    /// The simulated time.
+    /// The simulated time in nanoseconds, which starts at 1.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// One direction of a link, to be changed.
+    /// The properties of the link from one process to another, to be changed.
     pub fn link(&mut self, from: usize, to: usize) -> &mut Link {
         let default_link = self.default_link;
         self.links
@@ -102,7 +103,7 @@
             .or_insert(default_link)
     }
 
-    /// Resets all links to the default.
+    /// Resets all links to the default properties.
     pub fn heal(&mut self) {
         self.links.clear();
     }
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Sends a message.
+    /// Sends a message, which is delivered, lost or duplicated according to the link.
     pub fn send(&mut self, from: usize, to: usize, message: M) {
         let direction = Direction { from, to };
         let link = self
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Sets the timer of a process, in place of its former one; `None` cancels it.
+    /// Sets the timer of a process, in place of its former one. `None` cancels it.
     pub fn set_timer(&mut self, process: usize, at: Option<Time>) {
         if let Some(key) = self.timers.remove(&process) {
             self.queue.remove(&key);
@@ -167,7 +168,7 @@
         key
     }
 
-    /// Pauses or resumes a process. Events for a paused process are buffered and delivered once it resumes.
+    /// Pauses or resumes a process. Events for a paused process are buffered and occur when it resumes.
     pub fn set_paused(&mut self, process: usize, paused: bool) {
         if paused {
             self.paused.insert(process);
@@ -186,7 +187,7 @@
         }
     }
 
-    /// A process crashed: all events for it are dropped.
+    /// Drops all pending events of a process, as after a crash, and ends its pause.
     pub fn crash(&mut self, process: usize) {
         self.queue.retain(|_, event| event.process() != process);
         self.buffered.retain(|event| event.process() != process);
@@ -194,7 +195,8 @@
         self.paused.remove(&process);
     }
 
-    /// The next event until `until`, inclusive. The clock advances to it, or to `until` where there is none.
+    /// Returns the next event up to the time `until`, inclusive, and advances the clock to it. If there is none, the
+    /// clock advances to `until`.
     pub fn next_event(&mut self, until: Time) -> Option<NetworkEvent<M>> {
         while let Some(entry) = self.queue.first_entry()
             && entry.key().at <= until
--- a/crates/pipithub-storage/src/file_system.rs
+++ b/crates/pipithub-storage/src/file_system.rs
@@ -1,34 +1,34 @@
-//! The system calls that a replacement makes.
+//! The system calls by which a file is replaced.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
 use std::path::Path;
 
-/// A file that was just created.
+/// A file that was created for writing.
 pub trait WritableFile: Send {
-    /// Writes a part of the bytes; how many. It may be fewer than given.
+    /// Writes bytes and returns how many were written, which may be fewer than given.
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize>;
 
-    /// Waits until the content is on disk.
+    /// Waits until the content is on disk (`fsync`).
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// A file system, as far as a replacement needs one.
+/// The operations of a file system that a replacement needs. All errors are those of the system call.
 pub trait FileSystem: Send + Sync {
-    /// Creates a file, which must not exist yet.
+    /// Creates a file for writing. Fails if it exists.
     fn create_new(&self, path: &Path) -> io::Result<Box<dyn WritableFile>>;
 
-    /// Renames a file over another one.
+    /// Renames a file, in place of an existing one at `to`.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
 
-    /// Removes a file.
+    /// Removes the file at this path.
     fn remove(&self, path: &Path) -> io::Result<()>;
 
-    /// Waits until the names in a folder are on disk.
+    /// Waits until the directory entries of a folder are on disk (`fsync` of the folder).
     fn sync_folder(&self, folder: &Path) -> io::Result<()>;
 }
 
-/// The operating system's files.
+/// The file system of the operating system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemFiles;
 
--- a/crates/pipithub-storage/src/replace.rs
+++ b/crates/pipithub-storage/src/replace.rs
@@ -1,4 +1,4 @@
-//! Replacing a file as a whole.
+//! Atomic replacement of a file through a temporary file and a rename.
 
 use std::ffi::OsString;
 use std::fmt;
@@ -7,19 +7,19 @@
 
 use crate::file_system::{FileSystem, WritableFile};
 
-/// Whether a replacement must outlive a power cut.
+/// Whether a replacement must survive a power failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Durability {
     /// The file and its name are synced before success is reported.
     Synced,
-    /// Nothing is synced. Readers still see the old content or the new one, as long as the system runs.
+    /// Nothing is synced. As long as the system runs, readers still see either the old content or the complete new one.
     Unsynced,
 }
 
 /// A step of a replacement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Removing what an interrupted replacement left behind.
+    /// Removing the temporary file of an interrupted replacement.
     RemoveStale,
     /// Creating the temporary file.
     Create,
@@ -29,7 +29,7 @@
     SyncFile,
     /// Renaming the temporary file over the target.
     Rename,
-    /// Syncing the folder.
+    /// Syncing the folder that holds the target.
     SyncFolder,
 }
 
@@ -46,15 +46,15 @@
     }
 }
 
-/// A replacement failed. Nothing may be promised on the strength of it: after a power cut, either content may be there.
+/// A replacement failed. After a power failure the file may hold either content.
 #[derive(Debug, thiserror::Error)]
 #[error("{step} {}: {source}", path.display())]
 pub struct ReplaceError {
-    /// At which step.
+    /// The step that failed.
     pub step: Step,
-    /// On which file or folder.
+    /// The file or folder of that step.
     pub path: PathBuf,
-    /// What the system reported.
+    /// The error of the system call.
     pub source: io::Error,
 }
 
@@ -67,13 +67,13 @@
 }
 
 impl Target {
-    /// The file at `path`, which only one writer replaces.
+    /// The file at `path`, which has a single writer.
     pub fn new(path: impl Into<PathBuf>, durability: Durability) -> Self {
         Target::with_suffix(path.into(), ".new", durability)
     }
 
-    /// The file at `path`, which several writers replace. Each must have a name of its own, as a temporary file that two
-    /// of them write at once would hold neither's content.
+    /// The file at `path`, which several writers replace. Each needs a name of its own, which becomes part of the name
+    /// of its temporary file: two writers of one temporary file would mix their contents.
     pub fn shared(path: impl Into<PathBuf>, writer: &str, durability: Durability) -> Self {
         Target::with_suffix(path.into(), &format!(".{writer}.new"), durability)
     }
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The file.
+    /// Path of the file to replace.
     pub fn path(&self) -> &Path {
         &self.path
     }
@@ -101,10 +101,13 @@
     }
 }
 
-/// Replaces the content of a file, so that a crash at any moment leaves the old content or the new one, whole.
+/// Replaces the content of a file. A crash at any time leaves either the old content or the complete new one.
 ///
-/// After an error all steps have to be made again, on a new file: pages whose sync failed may count as clean, so that a
-/// second sync of the same file would succeed with nothing written. This is what a further call does.
+/// A retry must be a further call, which writes a new temporary file: after a failed sync the kernel may treat the
+/// pages as clean, so that a second sync of the same file would succeed although nothing was written.
+///
+/// # Errors
+/// The first step that failed.
 pub fn replace(
     files: &dyn FileSystem,
     target: &Target,
@@ -112,7 +115,7 @@
 ) -> Result<(), ReplaceError> {
     let outcome = write_and_rename(files, target, content);
     if outcome.is_err() {
-        // Gives back its space where the disk is full. Where it fails, the next replacement removes the file.
+        // Frees the space on a full disk. If it fails, the next replacement removes the file.
         let _ = files.remove(&target.temporary);
     }
     outcome
@@ -144,7 +147,7 @@
         .rename(temporary, path)
         .map_err(failed(Step::Rename, path))?;
     if *durability == Durability::Synced {
-        // Without this, the old file could be back after a power cut.
+        // Without this, the old file could be there again after a power failure.
         files
             .sync_folder(target.folder())
             .map_err(failed(Step::SyncFolder, target.folder()))?;
--- a/crates/pipithub-storage/src/saver.rs
+++ b/crates/pipithub-storage/src/saver.rs
@@ -1,4 +1,4 @@
-//! Keeping a file at its newest content, in the background.
+//! A background task that saves the newest content of a file.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,17 +10,17 @@
 use crate::file_system::FileSystem;
 use crate::replace::{ReplaceError, Target, replace};
 
-/// Content that is to be saved.
+/// A version of the content.
 #[derive(Clone, Debug)]
 struct Version {
     number: u64,
     content: Arc<[u8]>,
 }
 
-/// Saves the newest content of one file; older content that was not saved yet is dropped.
+/// Saves the newest content of one file. Older content that was not saved yet is dropped.
 ///
-/// A failed replacement is retried until it succeeds, newer content takes its place, or the saver is dropped. What was
-/// given last before the drop is still tried once.
+/// A failed replacement is retried until it succeeds, newer content replaces it, or the saver is dropped. After the
+/// drop, one more attempt is made to save content that was never attempted.
 #[derive(Debug)]
 pub struct Saver {
     newest: watch::Sender<Option<Version>>,
@@ -28,7 +28,7 @@
 }
 
 impl Saver {
-    /// Starts a task that saves to a target.
+    /// Starts a task that saves to `target`. Must be called within a Tokio runtime.
     pub fn start(files: Arc<dyn FileSystem>, target: Target) -> Self {
         let (newest, newest_receiver) = watch::channel(None);
         let (saved_sender, saved) = watch::channel(None);
@@ -42,7 +42,7 @@
         Saver { newest, saved }
     }
 
-    /// Has this content saved, under a number that [`Saver::saved`] will tell.
+    /// Requests that this content be saved. [`Saver::saved`] then reports its number.
     pub fn save(&self, number: u64, content: impl Into<Arc<[u8]>>) {
         self.newest.send_replace(Some(Version {
             number,
@@ -50,7 +50,10 @@
         }));
     }
 
-    /// The number of the content that was saved last: it is on disk. Its sender is gone when the task has ended.
+    /// A receiver of the number of the content that was saved last; `None` until then. With [`Durability::Synced`],
+    /// that content is on disk. The channel is closed once the task has ended.
+    ///
+    /// [`Durability::Synced`]: crate::Durability::Synced
     pub fn saved(&self) -> watch::Receiver<Option<u64>> {
         self.saved.clone()
     }
@@ -78,14 +81,14 @@
             let delay = backoff.next_delay();
             let retry_ms = delay.as_millis() as u64;
             let file = self.target.path().display();
-            error!(%file, %error, failures, retry_ms, "not saved; the previous content stays");
+            error!(%file, %error, failures, retry_ms, "failed to save file, retrying");
             if !self.wait(delay).await {
                 return;
             }
         }
         backoff.reset();
         if failures > 0 {
-            info!(file = %self.target.path().display(), failures, "saved after failures");
+            info!(file = %self.target.path().display(), failures, "saved file after failures");
         }
     }
 
@@ -101,7 +104,7 @@
         Ok(())
     }
 
-    /// Waits for the next retry; false where the saver was dropped.
+    /// Waits before the next attempt. Returns false if the saver is dropped meanwhile.
     async fn wait(&self, delay: Duration) -> bool {
         let mut newest = self.newest.clone();
         let dropped = async { while newest.changed().await.is_ok() {} };
@@ -112,7 +115,7 @@
     }
 }
 
-/// Why content is not saved.
+/// Why content was not saved.
 #[derive(Debug, thiserror::Error)]
 enum SaveError {
     #[error(transparent)]
--- a/crates/pipithub-storage/tests/disk/mod.rs
+++ b/crates/pipithub-storage/tests/storage/disk.rs
@@ -1,5 +1,4 @@
-//! A disk in memory whose operations fail as planned, and which can lose power.
-#![allow(dead_code)]
+//! A simulated disk whose operations fail according to a plan, and which can lose power.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
@@ -8,20 +7,20 @@
 
 use pipithub_storage::{FileSystem, WritableFile};
 
-/// What becomes of an operation.
+/// The fault of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// It fails without an effect.
+    /// It fails and has no effect.
     Fails(ErrorKind),
     /// It has its effect, but reports a failure.
-    DoneButFails,
-    /// A write takes only so many bytes, and succeeds. Other operations are made whole.
-    Takes(usize),
-    /// The process is killed once a write has taken so many bytes; nothing is done from here on.
-    Killed(usize),
+    FailsAfterEffect,
+    /// A write succeeds with so many bytes at most. Other operations are not affected.
+    ShortWrite(usize),
+    /// The process is killed: a write has written so many bytes, and all later operations fail without an effect.
+    KilledAfter(usize),
 }
 
-/// Which operations have which fault, by their number from 0.
+/// The fault of each operation, by its number from 0.
 pub(crate) type Plan = Box<dyn Fn(usize) -> Option<Fault> + Send>;
 
 /// Content in the page cache and on disk.
@@ -29,14 +28,14 @@
 struct Inode {
     cached: Vec<u8>,
     durable: Vec<u8>,
-    /// Bytes before this one count as written back, whether they were or not.
+    /// Bytes before this position count as written to disk, even if they were not because a sync failed.
     clean_until: usize,
 }
 
 struct State {
     inodes: Vec<Inode>,
     names: BTreeMap<PathBuf, usize>,
-    /// The names on disk, followed by those after each change that the folder was not synced for.
+    /// The names on disk, followed by the names after each change since the last sync of the folder.
     name_history: Vec<BTreeMap<PathBuf, usize>>,
     plan: Plan,
     operations: Vec<&'static str>,
@@ -44,11 +43,11 @@
 }
 
 impl State {
-    fn renamed(&mut self) {
+    fn record_name_change(&mut self) {
         self.name_history.push(self.names.clone());
     }
 
-    /// Counts an operation; its fault.
+    /// Records an operation and returns its fault, or the error of an operation that has no effect.
     fn begin(&mut self, operation: &'static str) -> io::Result<Option<Fault>> {
         if self.killed {
             return Err(ErrorKind::BrokenPipe.into());
@@ -57,7 +56,7 @@
         self.operations.push(operation);
         match fault {
             Some(Fault::Fails(kind)) => Err(kind.into()),
-            Some(Fault::Killed(_)) => {
+            Some(Fault::KilledAfter(_)) => {
                 self.killed = true;
                 Ok(fault)
             }
@@ -66,20 +65,21 @@
     }
 }
 
-fn end(fault: Option<Fault>) -> io::Result<()> {
+/// The result of an operation that had its effect.
+fn result(fault: Option<Fault>) -> io::Result<()> {
     match fault {
-        Some(Fault::DoneButFails) => Err(ErrorKind::Other.into()),
-        Some(Fault::Killed(_)) => Err(ErrorKind::BrokenPipe.into()),
+        Some(Fault::FailsAfterEffect) => Err(ErrorKind::Other.into()),
+        Some(Fault::KilledAfter(_)) => Err(ErrorKind::BrokenPipe.into()),
         _ => Ok(()),
     }
 }
 
-/// The disk. Clones are the same one.
+/// The disk. Clones share its state.
 #[derive(Clone)]
 pub(crate) struct Disk(Arc<Mutex<State>>);
 
 impl Disk {
-    /// A disk that holds one file, durably.
+    /// A disk with one file, whose content and name are synced.
     pub(crate) fn with(path: &Path, content: &[u8]) -> Self {
         let inode = Inode {
             cached: content.into(),
@@ -102,7 +102,7 @@
         self.0.lock().expect("no test panics with the lock")
     }
 
-    /// Counts operations from 0 again, and has them fail by this plan. A killed process runs again.
+    /// Sets the plan for the operations from now on, which are counted from 0. A killed process runs again.
     pub(crate) fn plan(&self, plan: impl Fn(usize) -> Option<Fault> + Send + 'static) {
         let mut state = self.state();
         (state.plan, state.killed) = (Box::new(plan), false);
@@ -114,7 +114,7 @@
         self.state().operations.clone()
     }
 
-    /// What a process reads.
+    /// The content of a file as a process reads it.
     pub(crate) fn read(&self, path: &Path) -> Option<Vec<u8>> {
         let state = self.state();
         state
@@ -128,22 +128,23 @@
         self.state().names.keys().cloned().collect()
     }
 
-    /// All that may be read after a power cut: name changes that were not synced may be there up to any of them, and
-    /// content that was not synced up to any byte.
-    pub(crate) fn after_power_cut(&self, path: &Path) -> Vec<Option<Vec<u8>>> {
+    /// All contents that may be read after a power failure: any number of unsynced changes of names may be on disk, and
+    /// any number of unsynced bytes.
+    pub(crate) fn after_power_failure(&self, path: &Path) -> Vec<Option<Vec<u8>>> {
         let state = self.state();
-        let mut all = Vec::new();
+        let mut contents = Vec::new();
         for names in &state.name_history {
             let Some(inode) = names.get(path).map(|inode| &state.inodes[*inode]) else {
-                all.push(None);
+                contents.push(None);
                 continue;
             };
-            all.push(Some(inode.durable.clone()));
+            contents.push(Some(inode.durable.clone()));
             if inode.durable != inode.cached {
-                all.extend((0..=inode.cached.len()).map(|cut| Some(inode.cached[..cut].to_vec())));
+                let prefix = |length: usize| Some(inode.cached[..length].to_vec());
+                contents.extend((0..=inode.cached.len()).map(prefix));
             }
         }
-        all
+        contents
     }
 }
 
@@ -157,31 +158,28 @@
         let mut state = self.disk.state();
         let fault = state.begin("write")?;
         let count = match fault {
-            Some(Fault::Takes(most) | Fault::Killed(most)) => bytes.len().min(most),
+            Some(Fault::ShortWrite(limit) | Fault::KilledAfter(limit)) => bytes.len().min(limit),
             _ => bytes.len(),
         };
         state.inodes[self.inode]
             .cached
             .extend_from_slice(&bytes[..count]);
-        end(fault).map(|()| count)
+        result(fault).map(|()| count)
     }
 
     fn sync(&mut self) -> io::Result<()> {
         let mut state = self.disk.state();
         let fault = state.begin("sync file");
         let inode = &mut state.inodes[self.inode];
-        // As on Linux: after a failure the pages count as clean, and a further sync succeeds with nothing written.
-        if fault.is_ok()
-            && fault
-                .as_ref()
-                .is_ok_and(|f| !matches!(f, Some(Fault::Killed(_))))
-        {
+        // As on Linux, the pages count as clean after a failed sync, so that a further sync succeeds without writing
+        // them.
+        if matches!(&fault, Ok(fault) if !matches!(fault, Some(Fault::KilledAfter(_)))) {
             let from = inode.clean_until;
             inode.durable.resize(from, 0);
             inode.durable.extend_from_slice(&inode.cached[from..]);
         }
         inode.clean_until = inode.cached.len();
-        end(fault?)
+        result(fault?)
     }
 }
 
@@ -195,8 +193,8 @@
         let inode = state.inodes.len();
         state.inodes.push(Inode::default());
         state.names.insert(path.into(), inode);
-        state.renamed();
-        end(fault)?;
+        state.record_name_change();
+        result(fault)?;
         Ok(Box::new(OpenFile {
             disk: self.clone(),
             inode,
@@ -208,24 +206,24 @@
         let fault = state.begin("rename")?;
         let inode = state.names.remove(from).ok_or(ErrorKind::NotFound)?;
         state.names.insert(to.into(), inode);
-        state.renamed();
-        end(fault)
+        state.record_name_change();
+        result(fault)
     }
 
     fn remove(&self, path: &Path) -> io::Result<()> {
         let mut state = self.state();
         let fault = state.begin("remove")?;
         state.names.remove(path).ok_or(ErrorKind::NotFound)?;
-        state.renamed();
-        end(fault)
+        state.record_name_change();
+        result(fault)
     }
 
     fn sync_folder(&self, _folder: &Path) -> io::Result<()> {
         let mut state = self.state();
         let fault = state.begin("sync folder")?;
-        if !matches!(fault, Some(Fault::Killed(_))) {
+        if !matches!(fault, Some(Fault::KilledAfter(_))) {
             state.name_history = vec![state.names.clone()];
         }
-        end(fault)
+        result(fault)
     }
 }
--- a/crates/pipithub-storage/tests/replace.rs
+++ b/crates/pipithub-storage/tests/storage/replace.rs
@@ -1,17 +1,17 @@
-//! Each operation of a replacement fails, is cut at each byte or is the process's last: what is read back is the old
-//! content or the new one, whole, and success is reported only for what outlives a power cut.
-
-mod disk;
+//! Replacements in which any operation fails, is cut short or is the last one of a killed process: the file holds
+//! either the old content or the complete new one, and success is reported only for content that survives a power
+//! failure.
 
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
 
-use disk::{Disk, Fault};
 use pipithub_storage::{Durability, Step, SystemFiles, Target, replace};
 
+use super::disk::{Disk, Fault};
+
 const OLD: &[u8] = b"the old record";
 const NEW: &[u8] = b"the new record, longer";
-/// More than a replacement and its cleaning up make.
+/// More operations than a replacement and its clean-up consist of.
 const OPERATIONS: usize = 10;
 
 fn path() -> PathBuf {
@@ -22,28 +22,28 @@
     Target::new(path(), Durability::Synced)
 }
 
-fn is_whole(content: Option<&[u8]>) -> bool {
+fn is_complete(content: Option<&[u8]>) -> bool {
     content == Some(OLD) || content == Some(NEW)
 }
 
-fn assert_whole(disk: &Disk, context: &str) {
-    let read = disk.read(&path());
-    assert!(is_whole(read.as_deref()), "{context}: read back {read:?}");
-    for read in disk.after_power_cut(&path()) {
+fn assert_complete(disk: &Disk, context: &str) {
+    let content = disk.read(&path());
+    assert!(is_complete(content.as_deref()), "{context}: {content:?}");
+    for content in disk.after_power_failure(&path()) {
         assert!(
-            is_whole(read.as_deref()),
-            "{context}: after a power cut {read:?}"
+            is_complete(content.as_deref()),
+            "{context}: after a power failure {content:?}"
         );
     }
 }
 
 fn assert_saved(disk: &Disk, context: &str) {
     assert_eq!(disk.read(&path()).as_deref(), Some(NEW), "{context}");
-    for read in disk.after_power_cut(&path()) {
+    for content in disk.after_power_failure(&path()) {
         assert_eq!(
-            read.as_deref(),
+            content.as_deref(),
             Some(NEW),
-            "{context}: reported as saved, but after a power cut"
+            "{context}: reported as saved, but lost by a power failure"
         );
     }
 }
@@ -56,13 +56,13 @@
         ErrorKind::PermissionDenied,
     ];
     let mut all: Vec<Fault> = kinds.into_iter().map(Fault::Fails).collect();
-    all.push(Fault::DoneButFails);
-    all.extend((0..=NEW.len()).flat_map(|cut| [Fault::Takes(cut), Fault::Killed(cut)]));
+    all.push(Fault::FailsAfterEffect);
+    all.extend((0..=NEW.len()).flat_map(|cut| [Fault::ShortWrite(cut), Fault::KilledAfter(cut)]));
     all
 }
 
 #[test]
-fn without_faults_the_new_content_outlives_a_power_cut() {
+fn without_faults_the_new_content_survives_a_power_failure() {
     let disk = Disk::with(&path(), OLD);
     replace(&disk, &target(), NEW).expect("no fault");
     assert_saved(&disk, "no fault");
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn one_fault_anywhere_leaves_whole_content_and_the_next_try_saves() {
+fn single_fault_at_any_operation_leaves_complete_content_and_a_retry_saves() {
     let mut failures = 0;
     for operation in 0..OPERATIONS {
         for fault in faults() {
@@ -93,9 +93,10 @@
                 Ok(()) => assert_saved(&disk, &context),
                 Err(_) => failures += 1,
             }
-            assert_whole(&disk, &context);
+            assert_complete(&disk, &context);
             disk.plan(|_| None);
-            replace(&disk, &target(), NEW).unwrap_or_else(|e| panic!("{context}, then none: {e}"));
+            replace(&disk, &target(), NEW)
+                .unwrap_or_else(|error| panic!("{context}, then none: {error}"));
             assert_saved(&disk, &context);
             assert_eq!(
                 disk.names(),
@@ -104,27 +105,27 @@
             );
         }
     }
-    assert!(failures > 6 * 4, "the faults were met: {failures}");
+    assert!(failures > 6 * 4, "only {failures} replacements failed");
 }
 
 #[test]
-fn faults_for_a_while_leave_whole_content_until_a_try_saves() {
+fn consecutive_faults_leave_complete_content_until_a_retry_saves() {
     for first in 0..OPERATIONS {
         for length in 1..20 {
             for fault in faults()
                 .into_iter()
-                .filter(|f| !matches!(f, Fault::Killed(_) | Fault::Takes(1..)))
+                .filter(|fault| !matches!(fault, Fault::KilledAfter(_) | Fault::ShortWrite(1..)))
             {
                 let context = format!("{fault:?} of {length} operations from {first}");
                 let disk = Disk::with(&path(), OLD);
                 disk.plan(move |n| (first..first + length).contains(&n).then_some(fault));
-                let mut tries = 0;
+                let mut failures = 0;
                 while replace(&disk, &target(), NEW).is_err() {
-                    assert_whole(&disk, &context);
-                    tries += 1;
+                    assert_complete(&disk, &context);
+                    failures += 1;
                     assert!(
-                        tries <= length,
-                        "{context}: each try meets a fault at least"
+                        failures <= length,
+                        "{context}: a replacement failed without a fault"
                     );
                 }
                 assert_saved(&disk, &context);
@@ -134,25 +135,26 @@
 }
 
 #[test]
-fn a_second_fault_at_any_later_operation_changes_nothing() {
+fn two_faults_at_any_operations_leave_complete_content() {
     for first in 0..OPERATIONS {
         for second in first + 1..2 * OPERATIONS {
             for cut in [0, 1, NEW.len() - 1, NEW.len()] {
-                for (one, other) in [
-                    (Fault::DoneButFails, Fault::Killed(cut)),
-                    (Fault::Fails(ErrorKind::Other), Fault::Killed(cut)),
-                    (Fault::Fails(ErrorKind::Other), Fault::DoneButFails),
+                for (first_fault, second_fault) in [
+                    (Fault::FailsAfterEffect, Fault::KilledAfter(cut)),
+                    (Fault::Fails(ErrorKind::Other), Fault::KilledAfter(cut)),
+                    (Fault::Fails(ErrorKind::Other), Fault::FailsAfterEffect),
                 ] {
-                    let context = format!("{one:?} of {first}, {other:?} of {second}");
+                    let context =
+                        format!("{first_fault:?} of {first}, {second_fault:?} of {second}");
                     let disk = Disk::with(&path(), OLD);
                     disk.plan(move |n| match n {
-                        n if n == first => Some(one),
-                        n if n == second => Some(other),
+                        n if n == first => Some(first_fault),
+                        n if n == second => Some(second_fault),
                         _ => None,
                     });
                     for _ in 0..3 {
                         let saved = replace(&disk, &target(), NEW).is_ok();
-                        assert_whole(&disk, &context);
+                        assert_complete(&disk, &context);
                         if saved {
                             assert_saved(&disk, &context);
                         }
@@ -164,25 +166,26 @@
 }
 
 #[test]
-fn short_and_interrupted_writes_go_on() {
+fn short_and_interrupted_writes_are_continued() {
     let disk = Disk::with(&path(), OLD);
     let interrupted = Fault::Fails(ErrorKind::Interrupted);
     disk.plan(move |n| match n {
         2.. if n < 2 + 2 * NEW.len() => Some(if n % 2 == 0 {
             interrupted
         } else {
-            Fault::Takes(1)
+            Fault::ShortWrite(1)
         }),
         _ => None,
     });
     replace(&disk, &target(), NEW).expect("no fault of the disk");
-    assert_saved(&disk, "one byte each");
-    let writes = disk.operations().iter().filter(|o| **o == "write").count();
-    assert_eq!(writes, 2 * NEW.len(), "each was met");
+    assert_saved(&disk, "writes of one byte each");
+    let operations = disk.operations();
+    let writes = operations.iter().filter(|name| **name == "write");
+    assert_eq!(writes.count(), 2 * NEW.len());
 }
 
 #[test]
-fn an_error_tells_its_step() {
+fn error_states_the_failed_step() {
     let steps = [
         Step::RemoveStale,
         Step::Create,
@@ -202,59 +205,60 @@
     }
 }
 
-/// A report need not outlive a power cut, but no reader may see half of it.
+/// A report need not survive a power failure, but no reader may see a part of it.
 #[test]
-fn unsynced_content_is_whole_for_readers() {
+fn unsynced_replacement_is_atomic_for_readers() {
     for operation in 0..OPERATIONS {
         for fault in faults() {
             let disk = Disk::with(&path(), OLD);
             disk.plan(move |n| (n == operation).then_some(fault));
             let _ = replace(&disk, &Target::new(path(), Durability::Unsynced), NEW);
-            let read = disk.read(&path());
+            let content = disk.read(&path());
             assert!(
-                is_whole(read.as_deref()),
-                "{fault:?} of {operation}: {read:?}"
+                is_complete(content.as_deref()),
+                "{fault:?} of {operation}: {content:?}"
             );
-            assert!(!disk.operations().iter().any(|o| o.starts_with("sync")));
+            let operations = disk.operations();
+            assert!(!operations.iter().any(|name| name.starts_with("sync")));
         }
     }
 }
 
-/// Two writers of one file, the second one killed at each byte while the first goes on.
+/// One of two writers is killed at each byte of its content while the other one replaces the file.
 #[test]
-fn writers_of_one_file_do_not_share_a_temporary_file() {
+fn writers_of_one_file_have_their_own_temporary_files() {
     let (one, other) = (
         Target::shared(path(), "fe-0", Durability::Synced),
         Target::shared(path(), "fe-1", Durability::Synced),
     );
     for cut in 0..=NEW.len() {
         let disk = Disk::with(&path(), OLD);
-        disk.plan(move |n| (n == 2).then_some(Fault::Killed(cut)));
+        disk.plan(move |n| (n == 2).then_some(Fault::KilledAfter(cut)));
         replace(&disk, &other, NEW).expect_err("killed");
         disk.plan(|_| None);
-        let left = disk.names();
+        let names = disk.names();
         replace(&disk, &one, NEW).expect("no fault");
         assert_saved(&disk, "beside a killed writer");
         assert_eq!(
             disk.names().len(),
-            left.len(),
-            "the other's temporary file is its own to remove"
+            names.len(),
+            "a writer removed the temporary file of the other one"
         );
     }
 }
 
 #[test]
-fn names_that_differ_in_their_last_part_have_temporary_files_of_their_own() {
+fn files_that_differ_only_in_their_extension_have_their_own_temporary_files() {
     let disk = Disk::with(Path::new("/data/snapshot.fe-0"), OLD);
     for name in ["/data/snapshot.fe-0", "/data/snapshot.fe-1"] {
-        disk.plan(|n| (n == 2).then_some(Fault::Killed(1)));
+        disk.plan(|n| (n == 2).then_some(Fault::KilledAfter(1)));
         replace(&disk, &Target::new(name, Durability::Synced), NEW).expect_err("killed");
     }
     assert_eq!(disk.names().len(), 3, "{:?}", disk.names());
 }
 
 #[test]
-fn the_systems_files_are_replaced() {
+fn system_files_are_replaced_and_temporary_files_removed() {
     let folder = tempfile::tempdir().expect("a folder");
     let target = Target::new(folder.path().join("record"), Durability::Synced);
     std::fs::write(
--- a/crates/pipithub-storage/tests/saver.rs
+++ b/crates/pipithub-storage/tests/storage/saver.rs
@@ -1,15 +1,14 @@
-//! The saver retries what fails, and reports only what is on disk.
-
-mod disk;
+//! The saver: it retries failed replacements, and reports only content that is on disk.
 
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::Duration;
 
-use disk::{Disk, Fault};
 use pipithub_storage::{Backoff, Durability, Saver, Target};
 
+use super::disk::{Disk, Fault};
+
 const OLD: &[u8] = b"old";
 
 fn path() -> PathBuf {
@@ -27,26 +26,26 @@
     )
 }
 
-/// Fails where the event never comes: the clock is paused, and moves on when nothing else can happen.
+/// Panics if the event does not occur. The clock of the test is paused and advances only when all tasks are idle.
 async fn in_time<T>(event: impl Future<Output = T>) -> T {
     tokio::time::timeout(Duration::from_secs(3_600), event)
         .await
-        .expect("it never came")
+        .expect("the event did not occur")
 }
 
 fn assert_on_disk(disk: &Disk, content: &[u8]) {
-    for read in disk.after_power_cut(Path::new("/data/record")) {
+    for read in disk.after_power_failure(Path::new("/data/record")) {
         assert_eq!(read.as_deref(), Some(content), "reported as saved");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_reported_as_saved_is_on_disk_however_long_the_disk_fails() {
+async fn content_reported_as_saved_is_on_disk_however_long_the_disk_fails() {
     let faults = [
         Fault::Fails(ErrorKind::StorageFull),
         Fault::Fails(ErrorKind::Other),
-        Fault::DoneButFails,
-        Fault::Takes(0),
+        Fault::FailsAfterEffect,
+        Fault::ShortWrite(0),
     ];
     for fault in faults {
         for first in 0..7 {
@@ -57,9 +56,9 @@
                 let mut saved = saver.saved();
                 assert_eq!(*saved.borrow_and_update(), None);
                 saver.save(7, *b"new");
-                in_time(saved.wait_for(|s| *s == Some(7)))
+                in_time(saved.wait_for(|number| *number == Some(7)))
                     .await
-                    .expect("it goes on trying");
+                    .expect("the saver runs");
                 assert_on_disk(&disk, b"new");
             }
         }
@@ -67,7 +66,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_newest_content_is_saved_and_older_content_is_dropped() {
+async fn newest_content_is_saved_and_older_content_is_dropped() {
     let disk = disk();
     disk.plan(|n| (n < 30).then_some(Fault::Fails(ErrorKind::StorageFull)));
     let saver = saver(&disk);
@@ -78,45 +77,48 @@
     }
     let first = *in_time(saved.wait_for(Option::is_some))
         .await
-        .expect("it goes on trying");
-    assert_eq!(first, Some(100), "not one of those before");
+        .expect("the saver runs");
+    assert_eq!(first, Some(100), "older content was saved first");
     assert_on_disk(&disk, b"100");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_dropped_saver_tries_its_last_content_once_and_ends() {
-    let good = disk();
-    let one = saver(&good);
-    let mut saved = one.saved();
-    one.save(1, *b"new");
-    drop(one);
+async fn dropped_saver_saves_its_last_content_and_ends() {
+    let disk = disk();
+    let saver = saver(&disk);
+    let mut saved = saver.saved();
+    saver.save(1, *b"new");
+    drop(saver);
     in_time(saved.wait_for(|_| false))
         .await
         .expect_err("the task ends");
     assert_eq!(*saved.borrow(), Some(1));
-    assert_on_disk(&good, b"new");
+    assert_on_disk(&disk, b"new");
+}
 
-    let broken = disk();
-    // It heals after many tries, so that a saver that goes on fails the test instead of holding it up.
-    broken.plan(|n| (n < 1_000).then_some(Fault::Fails(ErrorKind::StorageFull)));
-    let other = saver(&broken);
-    let mut saved = other.saved();
-    other.save(1, *b"new");
-    drop(other);
+#[tokio::test(start_paused = true)]
+async fn dropped_saver_attempts_only_once_on_a_failing_disk() {
+    let disk = disk();
+    // The disk recovers in the end, so that a saver that goes on retrying fails the test and does not block it.
+    disk.plan(|n| (n < 1_000).then_some(Fault::Fails(ErrorKind::StorageFull)));
+    let saver = saver(&disk);
+    let mut saved = saver.saved();
+    saver.save(1, *b"new");
+    drop(saver);
     in_time(saved.wait_for(|_| false))
         .await
         .expect_err("the task ends");
     assert_eq!(*saved.borrow(), None);
     assert_eq!(
-        broken.operations(),
+        disk.operations(),
         ["remove", "remove"],
-        "one try, and its cleaning up"
+        "one attempt and its clean-up"
     );
-    assert_on_disk(&broken, OLD);
+    assert_on_disk(&disk, OLD);
 }
 
 #[test]
-fn delays_double_up_to_their_bound() {
+fn backoff_doubles_up_to_its_bound_and_can_be_reset() {
     let mut backoff = Backoff::new(Duration::from_millis(100), Duration::from_millis(500));
     let delays: Vec<u128> = (0..5).map(|_| backoff.next_delay().as_millis()).collect();
     assert_eq!(delays, [100, 200, 400, 500, 500]);
