--- a/crates/pipithub-ldap/src/client.rs
+++ b/crates/pipithub-ldap/src/client.rs
@@ -4,29 +4,30 @@
 //! that arrive between the response to `StartTLS` and the handshake close the connection, since an attacker on the path
 //! could have inserted them.
 
+mod results;
+
 use std::collections::{BTreeSet, VecDeque};
 use std::fmt;
 
 use bytes::{Bytes, BytesMut};
 use rasn_ldap::{
     AbandonRequest, AuthenticationChoice, BindRequest, BindResponse, Control, ExtendedRequest,
-    ExtendedResponse, Filter, IntermediateResponse, LdapMessage, LdapResult, PartialAttribute,
-    ProtocolOp, ResultCode, SearchRequest, SearchRequestDerefAliases, SearchRequestScope,
-    SearchResultDone, SearchResultEntry, SearchResultReference, UnbindRequest,
+    ExtendedResponse, Filter, IntermediateResponse, LdapMessage, ProtocolOp, ResultCode,
+    SearchRequest, SearchRequestDerefAliases, SearchRequestScope, SearchResultDone,
+    SearchResultEntry, SearchResultReference, UnbindRequest,
 };
 use secrecy::{ExposeSecret, SecretString};
 
-use crate::dn::InvalidDn;
 use crate::frame::{Framer, encode};
-use crate::sync::{self, DoneValue, Info, StateValue};
-use crate::{Dn, oid};
+use crate::oid;
+use crate::sync::{self, Info};
+
+use results::{read_entry, read_outcome};
+
+pub use results::{Attribute, Entry, Outcome};
 
 /// The protocol version of a bind request (RFC 4511, 4.2).
 const LDAP_VERSION: u8 = 3;
-/// Longest part of a server's diagnostic message that is kept, in characters.
-const MAX_DIAGNOSTIC_LENGTH: usize = 200;
-/// Largest number of referrals of a result that are kept.
-const MAX_REFERRALS: usize = 16;
 
 /// The credentials of a simple bind (RFC 4513, 5.1.3).
 #[derive(Clone, Debug)]
@@ -84,57 +85,6 @@
     pub controls: Vec<Control>,
 }
 
-/// An attribute of an entry with its values.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Attribute {
-    /// The attribute description, as the server sent it.
-    pub name: String,
-    /// The values, in the order in which the server sent them.
-    pub values: Vec<Bytes>,
-}
-
-/// An entry that a search returned.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
-    /// The distinguished name of the entry.
-    pub dn: Dn,
-    /// The requested attributes that the entry has.
-    pub attributes: Vec<Attribute>,
-    /// The sync state control: how the entry differs from what the client has. `None` outside a synchronisation.
-    pub state: Option<StateValue>,
-}
-
-impl Entry {
-    /// The values of the attribute of this name. Upper and lower case are not distinguished.
-    pub fn values(&self, name: &str) -> impl Iterator<Item = &[u8]> {
-        self.attributes
-            .iter()
-            .filter(move |attribute| attribute.name.eq_ignore_ascii_case(name))
-            .flat_map(|attribute| attribute.values.iter().map(|value| &value[..]))
-    }
-
-    /// The first value of the attribute of this name that is UTF-8.
-    pub fn text(&self, name: &str) -> Option<&str> {
-        self.values(name)
-            .find_map(|value| std::str::from_utf8(value).ok())
-    }
-}
-
-/// The result of a search.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Outcome {
-    /// Result code of the server.
-    pub code: ResultCode,
-    /// Diagnostic message of the server, cut to 200 characters.
-    pub message: String,
-    /// URLs of other servers that have the entries, at most 16.
-    pub referrals: Vec<String>,
-    /// Cookie of the next page: empty after the last page, `None` if the results are not paged.
-    pub page: Option<Bytes>,
-    /// The sync done control, if the search was a synchronisation.
-    pub sync: Option<DoneValue>,
-}
-
 /// An event of a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
@@ -460,46 +410,3 @@
     let text = format!("{operation:?}");
     text.split('(').next().unwrap_or_default().to_string()
 }
-
-fn read_entry(
-    result: &SearchResultEntry,
-    controls: Option<&Vec<Control>>,
-) -> Result<Entry, InvalidDn> {
-    Ok(Entry {
-        dn: Dn::parse(&result.object_name.0)?,
-        attributes: result.attributes.iter().map(read_attribute).collect(),
-        state: sync::read_state(controls),
-    })
-}
-
-fn read_attribute(attribute: &PartialAttribute) -> Attribute {
-    let values = attribute.vals.to_vec();
-    Attribute {
-        name: attribute.r#type.0.clone(),
-        values: values
-            .into_iter()
-            .map(|value| Bytes::copy_from_slice(value))
-            .collect(),
-    }
-}
-
-fn read_outcome(result: LdapResult, controls: Option<&Vec<Control>>) -> Outcome {
-    Outcome {
-        code: result.result_code,
-        message: result
-            .diagnostic_message
-            .0
-            .chars()
-            .take(MAX_DIAGNOSTIC_LENGTH)
-            .collect(),
-        referrals: result
-            .referral
-            .unwrap_or_default()
-            .into_iter()
-            .map(|url| url.0)
-            .take(MAX_REFERRALS)
-            .collect(),
-        page: sync::read_paged(controls).map(|paged| paged.cookie),
-        sync: sync::read_done(controls),
-    }
-}
