--- a/crates/pipithub-amqp/src/endpoint.rs
+++ b/crates/pipithub-amqp/src/endpoint.rs
@@ -15,6 +15,7 @@
 pub use settings::{Login, Role, Tuning};
 
 use std::collections::{BTreeMap, VecDeque};
+use std::fmt;
 
 use bytes::{Bytes, BytesMut};
 
@@ -55,7 +56,6 @@
 }
 
 /// One end of a connection, with its channels.
-#[derive(Debug)]
 pub struct Endpoint {
     role: Role,
     login: Login,
@@ -76,6 +76,19 @@
     name: Option<String>,
 }
 
+/// The buffers and events are left out, since they may hold a password.
+impl fmt::Debug for Endpoint {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("Endpoint")
+            .field("role", &self.role)
+            .field("login", &self.login)
+            .field("tuning", &self.tuning)
+            .field("state", &self.state)
+            .field("channels", &self.channels)
+            .finish_non_exhaustive()
+    }
+}
+
 impl Endpoint {
     /// Creates the client's end of a connection. The protocol header is in its output at once.
     pub fn client(login: Login, tuning: Tuning, now: Time) -> Self {
--- a/crates/pipithub-amqp/tests/endpoints.rs
+++ b/crates/pipithub-amqp/tests/endpoints.rs
@@ -286,6 +286,26 @@
     assert_eq!(code_after_login("guest", "elsewhere"), 530);
 }
 
+#[test]
+fn debug_output_of_endpoints_does_not_show_the_password() {
+    let login = Login {
+        user: "mai".into(),
+        password: "swordfish".into(),
+        ..Login::default()
+    };
+    let mut client = Endpoint::client(login, Tuning::default(), 0);
+    let mut server = Endpoint::server(Tuning::default(), 0);
+    server.receive(0, &client.take_output(0));
+    client.receive(0, &server.take_output(0));
+    let client_text = format!("{client:?}");
+    assert!(client_text.contains("mai"), "{client_text}");
+    assert!(!client_text.contains("swordfish"), "{client_text}");
+    server.receive(0, &client.take_output(0));
+    let server_text = format!("{server:?}");
+    assert!(!server_text.contains("swordfish"), "{server_text}");
+    assert!(matches!(server.poll_event(), Some(Event::Login { user, .. }) if user == "mai"));
+}
+
 #[test]
 fn other_protocols_are_answered_with_the_supported_protocol_header() {
     let mut server = Endpoint::server(Tuning::default(), 0);
