--- a/crates/pipithub-membership/tests/cluster/failure_detection.rs
+++ b/crates/pipithub-membership/tests/cluster/failure_detection.rs
@@ -1,6 +1,7 @@
 //! Members that crash, leave, stall or are cut off: who is declared dead, and who must not be.
 
 use pipithub_membership::Event;
+use pipithub_membership_sim::Fleet;
 use pipithub_simnet::Link;
 
 use super::{SECOND, down_events, joined_fleet, opinions};
@@ -74,6 +75,41 @@
     }
 }
 
+/// The timers of suspicions are due when the process resumes, but the answers that refute the suspicions are still unread.
+#[test]
+fn stalled_process_does_not_confirm_its_suspicions_when_it_resumes() {
+    for seed in 0..5 {
+        let mut fleet = joined_fleet(8, seed, Link::default());
+        (0..8).for_each(|process| fleet.network.link(process, 2).cut = true);
+        fleet.history.clear();
+        let suspects = |fleet: &Fleet| {
+            let mut history = fleet.history.iter();
+            history.any(|observed| {
+                observed.observer == 2 && matches!(observed.event, Event::Suspected(_))
+            })
+        };
+        let limit = fleet.network.now() + 10 * SECOND;
+        while !suspects(&fleet) && fleet.network.now() < limit {
+            fleet.run_for(SECOND / 10);
+        }
+        assert!(suspects(&fleet), "seed {seed}: it suspects no member");
+        fleet.network.set_paused(2, true);
+        fleet.network.heal();
+        fleet.run_for(40 * SECOND);
+        fleet.history.clear();
+        fleet.network.set_paused(2, false);
+        fleet.run_for(20 * SECOND);
+        let mut history = fleet.history.iter();
+        assert!(
+            !history.any(|observed| {
+                observed.observer == 2 && matches!(observed.event, Event::Down { .. })
+            }),
+            "seed {seed}: it declared others dead"
+        );
+        assert!(fleet.has_converged(), "seed {seed}: it did not rejoin");
+    }
+}
+
 #[test]
 fn view_age_grows_while_no_message_is_received() {
     let mut fleet = joined_fleet(6, 7, Link::default());
