--- a/crates/pipithub-consensus/src/voter.rs
+++ b/crates/pipithub-consensus/src/voter.rs
@@ -50,19 +50,13 @@
 impl VoterSettings {
     fn validate(&self) -> Result<(), VoterError> {
         if !GROUP_SIZES.contains(&self.voters.len()) {
-            return Err(VoterError::InvalidSettings(
-                "a consensus group has three or five voters (one for trials)",
-            ));
+            return Err(VoterError::InvalidGroupSize(self.voters.len()));
         }
         if self.id == 0 || !self.voters.contains(&self.id) {
-            return Err(VoterError::InvalidSettings(
-                "this voter is not in the list of voters",
-            ));
+            return Err(VoterError::NotInGroup(self.id));
         }
         if self.tick == 0 {
-            return Err(VoterError::InvalidSettings(
-                "the duration of a tick must be over 0",
-            ));
+            return Err(VoterError::InvalidTick);
         }
         Ok(())
     }
@@ -71,9 +65,15 @@
 /// Why a voter cannot start.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum VoterError {
-    /// The settings are invalid.
-    #[error("{0}")]
-    InvalidSettings(&'static str),
+    /// The number of voters in the settings is not supported.
+    #[error("a consensus group has three or five voters (one for trials), not {0}")]
+    InvalidGroupSize(usize),
+    /// The id of the voter is 0 or not in its list of voters.
+    #[error("voter {0} is not in the list of voters")]
+    NotInGroup(u64),
+    /// The duration of a tick is 0.
+    #[error("the duration of a tick must be over 0")]
+    InvalidTick,
     /// The log on its disk is damaged. The voter must not start with an empty log, because it could vote twice in one
     /// term.
     #[error("the log is damaged: {0}; replace this voter by one with a new id")]
--- a/crates/pipithub-membership-runtime/src/runtime.rs
+++ b/crates/pipithub-membership-runtime/src/runtime.rs
@@ -10,7 +10,7 @@
 use pipithub_settings::FleetSettings;
 use pipithub_storage::{FileSystem, SystemFiles};
 use rand::TryRng;
-use rand::rngs::SysRng;
+use rand::rngs::{SysError, SysRng};
 use tokio::net::UdpSocket;
 use tokio::sync::watch;
 use tracing::warn;
@@ -45,7 +45,7 @@
     },
     /// The operating system supplies no random numbers.
     #[error("failed to get a random number: {0}")]
-    Random(String),
+    Random(#[from] SysError),
 }
 
 /// The running membership of a process. [`MembershipRuntime::shutdown`] leaves the cluster; if the value is dropped,
@@ -144,7 +144,5 @@
 }
 
 fn random_number() -> Result<u64, RuntimeError> {
-    SysRng
-        .try_next_u64()
-        .map_err(|error| RuntimeError::Random(error.to_string()))
+    Ok(SysRng.try_next_u64()?)
 }
--- a/crates/pipithub-membership/src/generation.rs
+++ b/crates/pipithub-membership/src/generation.rs
@@ -37,7 +37,7 @@
     #[error(
         "the generation record is damaged ({0}); put back a good copy, or remove it to start as an empty disk"
     )]
-    Malformed(&'static str),
+    Malformed(RecordDamage),
     /// It belongs to another front end or cluster.
     #[error("the folder belongs to front end '{name}' of cluster '{cluster}'")]
     OtherOwner {
@@ -51,6 +51,32 @@
     Exhausted(u64),
 }
 
+/// How the text of a record is damaged.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum RecordDamage {
+    /// The last line is incomplete, or there is only one.
+    #[error("it is truncated")]
+    Truncated,
+    /// The text was altered after it was written.
+    #[error("its checksum does not match")]
+    ChecksumMismatch,
+    /// The first line is not that of this format version.
+    #[error("its version is not supported")]
+    UnsupportedVersion,
+    /// Cluster, name or generation is missing.
+    #[error("lines are missing")]
+    MissingLines,
+    /// The generation is not a number.
+    #[error("its generation is not a number")]
+    InvalidGeneration,
+}
+
+impl From<RecordDamage> for RecordError {
+    fn from(damage: RecordDamage) -> Self {
+        RecordError::Malformed(damage)
+    }
+}
+
 fn checksum(body: &str) -> String {
     Sha256::digest(body.as_bytes())
         .iter()
@@ -74,24 +100,23 @@
     /// # Errors
     /// [`RecordError::Malformed`] if the text is truncated, altered or of another version.
     pub fn decode(text: &str) -> Result<GenerationRecord, RecordError> {
-        let truncated = RecordError::Malformed("it is truncated");
-        let text = text.strip_suffix('\n').ok_or(truncated.clone())?;
-        let body_length = text.rfind('\n').ok_or(truncated)? + 1;
+        let text = text.strip_suffix('\n').ok_or(RecordDamage::Truncated)?;
+        let body_length = text.rfind('\n').ok_or(RecordDamage::Truncated)? + 1;
         let (body, sum) = text.split_at(body_length);
         if checksum(body) != sum {
-            return Err(RecordError::Malformed("its checksum does not match"));
+            return Err(RecordDamage::ChecksumMismatch.into());
         }
         let mut lines = body.lines();
         if lines.next() != Some(HEADER) {
-            return Err(RecordError::Malformed("its version is not supported"));
+            return Err(RecordDamage::UnsupportedVersion.into());
         }
         let (cluster, name, generation) = (lines.next(), lines.next(), lines.next());
         let (Some(cluster), Some(name), Some(generation)) = (cluster, name, generation) else {
-            return Err(RecordError::Malformed("lines are missing"));
+            return Err(RecordDamage::MissingLines.into());
         };
         let generation = generation
             .parse()
-            .map_err(|_| RecordError::Malformed("its generation is not a number"))?;
+            .map_err(|_| RecordDamage::InvalidGeneration)?;
         Ok(GenerationRecord {
             cluster: cluster.into(),
             name: name.into(),
--- a/crates/pipithub-membership/src/generation/tests.rs
+++ b/crates/pipithub-membership/src/generation/tests.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::{prop_assert, proptest};
 
-use super::{GenerationRecord, RecordError};
+use super::{GenerationRecord, RecordDamage, RecordError};
 use crate::identity::DiskState;
 
 #[test]
@@ -37,6 +37,38 @@
     );
 }
 
+#[test]
+fn malformed_record_is_rejected_with_the_kind_of_its_damage() {
+    let with_checksum = |body: &str| format!("{body}{}\n", super::checksum(body));
+    let cases = [
+        (String::new(), RecordDamage::Truncated),
+        ("one line\n".to_string(), RecordDamage::Truncated),
+        (
+            "body\nchecksum\n".to_string(),
+            RecordDamage::ChecksumMismatch,
+        ),
+        (
+            with_checksum("pipithub generation 2\ncampus\nfront-1\n41\n"),
+            RecordDamage::UnsupportedVersion,
+        ),
+        (
+            with_checksum("pipithub generation 1\ncampus\nfront-1\n"),
+            RecordDamage::MissingLines,
+        ),
+        (
+            with_checksum("pipithub generation 1\ncampus\nfront-1\nmany\n"),
+            RecordDamage::InvalidGeneration,
+        ),
+    ];
+    for (text, damage) in cases {
+        assert_eq!(
+            GenerationRecord::decode(&text),
+            Err(RecordError::Malformed(damage)),
+            "{text:?}"
+        );
+    }
+}
+
 proptest! {
     #[test]
     fn truncated_or_corrupted_record_is_rejected(
--- a/crates/pipithub-membership/src/lib.rs
+++ b/crates/pipithub-membership/src/lib.rs
@@ -25,7 +25,7 @@
 
 pub use crate::envelope::{RejectReason, sender_identity};
 pub use crate::event::{Event, Input, Output};
-pub use crate::generation::{GenerationRecord, NextGeneration, RecordError};
+pub use crate::generation::{GenerationRecord, NextGeneration, RecordDamage, RecordError};
 pub use crate::identity::{DiskState, Identity};
 pub use crate::membership::Membership;
 pub use crate::settings::{Settings, SettingsError};
