--- a/crates/pipithub-amqp/src/frame.rs
+++ b/crates/pipithub-amqp/src/frame.rs
@@ -122,7 +122,7 @@
     }
 
     /// Removes and returns `count` bytes that are not part of a frame, which is how the protocol header is read.
-    /// Returns `None` until so many bytes are buffered.
+    /// Returns `None` until they are buffered.
     pub fn take_raw(&mut self, count: usize) -> Option<BytesMut> {
         (self.buffer.len() >= count).then(|| self.buffer.split_to(count))
     }
--- a/crates/pipithub-amqp/src/value.rs
+++ b/crates/pipithub-amqp/src/value.rs
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Creates a short string, from as many whole characters of the text as fit into 255 bytes.
+    /// Creates a short string, from the beginning of the text, cut between characters to at most 255 bytes.
     pub fn truncated(text: &str) -> Self {
         let mut end = text.len().min(MAX_SHORT_STR);
         while !text.is_char_boundary(end) {
--- a/crates/pipithub-amqp/src/wire.rs
+++ b/crates/pipithub-amqp/src/wire.rs
@@ -25,7 +25,7 @@
     /// Tables or arrays are nested deeper than [`MAX_DEPTH`].
     #[error("tables nested too deep")]
     TooDeep,
-    /// So many bytes follow the last value.
+    /// Bytes follow the last value; their number.
     #[error("{0} bytes left over")]
     TrailingBytes(usize),
 }
--- a/crates/pipithub-consensus/src/state.rs
+++ b/crates/pipithub-consensus/src/state.rs
@@ -72,7 +72,7 @@
         self.epochs.get(client).copied()
     }
 
-    /// The lease of this name; `None` if nobody holds it or it has expired.
+    /// The lease of this name; `None` if it is not held or has expired.
     pub fn lease(&self, lease: &str) -> Option<&Lease> {
         let lease = self.leases.get(lease)?;
         (lease.expires_at > self.clock).then_some(lease)
--- a/crates/pipithub-membership/src/event.rs
+++ b/crates/pipithub-membership/src/event.rs
@@ -31,7 +31,7 @@
 pub enum Output {
     /// Send a datagram, on which nothing depends: datagrams may be lost.
     Send {
-        /// Destination address.
+        /// Address of the receiver.
         to: SocketAddr,
         /// Content of the datagram.
         bytes: Vec<u8>,
--- a/crates/pipithub-membership/src/membership/join.rs
+++ b/crates/pipithub-membership/src/membership/join.rs
@@ -229,7 +229,7 @@
         self.schedule_discovery();
     }
 
-    /// Asks a random live member for its members, and schedules the next round until rounds bring no new members.
+    /// Asks a random member that is alive for its members. Rounds are repeated until several bring no new member.
     pub(super) fn discover_members(&mut self, out: &mut Vec<Output>) {
         self.discovery.record_round(self.table.len());
         if self.discovery.fruitless_rounds >= MAX_FRUITLESS_ROUNDS
--- a/crates/pipithub-membership/src/membership/swim.rs
+++ b/crates/pipithub-membership/src/membership/swim.rs
@@ -215,7 +215,7 @@
 
     fn on_active(&mut self, out: &mut Vec<Output>) {
         // A process that was admitted before this one was confirmed may have made it a member, without knowing earlier
-        // runs of its name. So it takes part, but goes on sending join requests.
+        // runs of its name. So it takes part, but continues to send join requests.
         if !self.name_confirmed {
             self.needs_confirmation = true;
         }
--- a/crates/pipithub-membership/tests/cluster/failure_detection.rs
+++ b/crates/pipithub-membership/tests/cluster/failure_detection.rs
@@ -75,7 +75,8 @@
     }
 }
 
-/// The timers of suspicions are due when the process resumes, but the answers that refute the suspicions are still unread.
+/// The timers of suspicions are due when the process resumes, but the answers that refute the suspicions are still
+/// unread.
 #[test]
 fn stalled_process_does_not_confirm_its_suspicions_when_it_resumes() {
     for seed in 0..5 {
--- a/crates/pipithub-membership/tests/cluster/restarts.rs
+++ b/crates/pipithub-membership/tests/cluster/restarts.rs
@@ -70,8 +70,8 @@
     }));
 }
 
-/// Found by seed 5 of `scenarios/members.kdl`: the members still sent to the address of the dead run, and the run from the
-/// stale disk, which listened there, became a member before any seed could answer that its generation was used.
+/// Found by seed 5 of `scenarios/members.kdl`: the members still sent to the address of the dead run, and the run from
+/// the stale disk, which listened there, became a member before any seed could answer that its generation was used.
 #[test]
 fn run_from_a_stale_disk_does_not_join_through_messages_to_its_former_run() {
     let stale_record = GenerationRecord {
@@ -172,8 +172,8 @@
         let mut fleet = joined_fleet(6, seed, Link::default());
         fleet.network.set_paused(5, true);
         fleet.run_for(8 * SECOND);
-        // It resumes, learns that it was declared dead and renews its identity, but the runs that it announces itself to
-        // are dead.
+        // It resumes, learns that it was declared dead and renews its identity, but the runs that it announces itself
+        // to are dead.
         (0..5).for_each(|process| fleet.kill(process));
         (0..5).for_each(|process| *fleet.disk(process) = None);
         fleet.network.set_paused(5, false);
--- a/crates/pipithub-membership/tests/growth.rs
+++ b/crates/pipithub-membership/tests/growth.rs
@@ -1,5 +1,5 @@
-//! How the cost of membership grows with the cluster, in counted bytes, datagrams, comparisons and simulated time, which do
-//! not depend on the machine.
+//! How the cost of membership grows with the cluster, in counted bytes, datagrams, comparisons and simulated time,
+//! which do not depend on the machine.
 
 use pipithub_membership::{Settings, Time};
 use pipithub_membership_sim::Fleet;
@@ -74,8 +74,8 @@
     }
 }
 
-/// In a cluster of four times the size a member sends as much as before, comparisons stay rare, and the time to detect a
-/// death grows with the logarithm of the size.
+/// In a cluster of four times the size a member sends as much as before, comparisons stay rare, and the time to detect
+/// a death grows with the logarithm of the size.
 #[test]
 fn traffic_and_comparisons_of_a_member_do_not_grow_with_the_cluster() {
     let (small, large) = (measure(SMALL), measure(LARGE));
