--- a/crates/pipithub-ldap/src/dn.rs
+++ b/crates/pipithub-ldap/src/dn.rs
@@ -22,8 +22,22 @@
 pub struct InvalidDn {
     /// Beginning of the text.
     pub text: String,
-    /// Description of the error.
-    pub reason: &'static str,
+    /// The error in it.
+    pub reason: InvalidDnReason,
+}
+
+/// The error in a text that is not a distinguished name.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum InvalidDnReason {
+    /// It has more than [`MAX_LENGTH`] bytes.
+    #[error("it is too long")]
+    TooLong,
+    /// It has more than [`MAX_RDNS`] relative distinguished names.
+    #[error("it has too many parts")]
+    TooManyRdns,
+    /// It does not follow the grammar of RFC 4514.
+    #[error("expected 'type=value' parts, separated by commas, with special characters escaped")]
+    Syntax,
 }
 
 /// A distinguished name: a list of relative distinguished names (RDNs), from that of the entry to that next to the
@@ -43,18 +57,16 @@
             reason,
         };
         if text.len() > MAX_LENGTH {
-            return Err(invalid("it is too long"));
+            return Err(invalid(InvalidDnReason::TooLong));
         }
         if text.trim().is_empty() {
             return Ok(Dn::default());
         }
         let rdns: Vec<Vec<Attribute>> = separated(1.., rdn, separator(','))
             .parse(text.trim_start_matches(' '))
-            .map_err(|_| {
-                invalid("expected 'type=value' parts, separated by commas, with special characters escaped")
-            })?;
+            .map_err(|_| invalid(InvalidDnReason::Syntax))?;
         if rdns.len() > MAX_RDNS {
-            return Err(invalid("it has too many parts"));
+            return Err(invalid(InvalidDnReason::TooManyRdns));
         }
         Ok(Dn(rdns.iter().map(|rdn| normalise_rdn(rdn)).collect()))
     }
--- a/crates/pipithub-ldap/src/ldif.rs
+++ b/crates/pipithub-ldap/src/ldif.rs
@@ -1,6 +1,6 @@
 //! Reader of LDIF content records (RFC 2849), the format of the emulator's directory trees.
 
-use crate::dn::Dn;
+use crate::dn::{Dn, InvalidDn};
 
 /// Largest text that is read, in bytes.
 const MAX_LENGTH: usize = 256 << 20;
@@ -12,7 +12,42 @@
     /// Number of the line, from 1.
     pub line: usize,
     /// The error in it.
-    pub reason: String,
+    pub reason: InvalidLdifReason,
+}
+
+/// The error in a line of LDIF.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum InvalidLdifReason {
+    /// The whole text is too large.
+    #[error("the file is larger than {MAX_LENGTH} bytes")]
+    TooLarge,
+    /// The line has no colon.
+    #[error("expected 'name: value'")]
+    MissingColon,
+    /// The value after `::` is not base64.
+    #[error("invalid base64")]
+    InvalidBase64,
+    /// The value is given by a URL (`:<`).
+    #[error("values by URL are not supported")]
+    ValueByUrl,
+    /// A continuation line follows an empty line or is the first one.
+    #[error("continuation line without a line before it")]
+    OrphanContinuation,
+    /// The record is a change record.
+    #[error("change records are not supported")]
+    ChangeRecord,
+    /// An entry begins with an attribute of this name instead of `dn`.
+    #[error("expected 'dn' at the start of an entry, found '{0}'")]
+    MissingDn(String),
+    /// The distinguished name is not UTF-8.
+    #[error("the distinguished name is not UTF-8")]
+    DnNotUtf8,
+    /// The distinguished name is malformed.
+    #[error(transparent)]
+    InvalidDn(#[from] InvalidDn),
+    /// The version in the first line is not 1.
+    #[error("only version 1 is supported")]
+    UnsupportedVersion,
 }
 
 /// One value of an attribute.
@@ -44,7 +79,7 @@
     if text.len() > MAX_LENGTH {
         return Err(InvalidLdif {
             line: 1,
-            reason: format!("the file is larger than {MAX_LENGTH} bytes"),
+            reason: InvalidLdifReason::TooLarge,
         });
     }
     let mut parser = Parser::default();
@@ -67,10 +102,10 @@
         self.text.starts_with('#')
     }
 
-    fn invalid(&self, reason: impl Into<String>) -> InvalidLdif {
+    fn invalid(&self, reason: InvalidLdifReason) -> InvalidLdif {
         InvalidLdif {
             line: self.number,
-            reason: reason.into(),
+            reason,
         }
     }
 
@@ -79,11 +114,12 @@
         let (name, rest) = self
             .text
             .split_once(':')
-            .ok_or_else(|| self.invalid("expected 'name: value'"))?;
+            .ok_or_else(|| self.invalid(InvalidLdifReason::MissingColon))?;
         let value = if let Some(encoded) = rest.strip_prefix(':') {
-            decode_base64(encoded.trim()).ok_or_else(|| self.invalid("invalid base64"))?
+            decode_base64(encoded.trim())
+                .ok_or_else(|| self.invalid(InvalidLdifReason::InvalidBase64))?
         } else if rest.starts_with('<') {
-            return Err(self.invalid("values by URL are not supported"));
+            return Err(self.invalid(InvalidLdifReason::ValueByUrl));
         } else {
             rest.trim_start_matches(' ').as_bytes().to_vec()
         };
@@ -113,7 +149,7 @@
             _ => {
                 return Err(InvalidLdif {
                     line: number,
-                    reason: "continuation line without a line before it".into(),
+                    reason: InvalidLdifReason::OrphanContinuation,
                 });
             }
         }
@@ -147,7 +183,7 @@
 
     fn add_attribute(&mut self, line: &Line, attribute: Attribute) -> Result<(), InvalidLdif> {
         if attribute.name.eq_ignore_ascii_case("changetype") {
-            return Err(line.invalid("change records are not supported"));
+            return Err(line.invalid(InvalidLdifReason::ChangeRecord));
         }
         if let Some(record) = self.records.last_mut() {
             record.attributes.push(attribute);
@@ -158,13 +194,11 @@
     fn begin_record(&mut self, line: &Line, attribute: Attribute) -> Result<(), InvalidLdif> {
         let Attribute { name, value } = attribute;
         if !name.eq_ignore_ascii_case("dn") {
-            return Err(line.invalid(format!(
-                "expected 'dn' at the start of an entry, found '{name}'"
-            )));
+            return Err(line.invalid(InvalidLdifReason::MissingDn(name)));
         }
-        let written = String::from_utf8(value)
-            .map_err(|_| line.invalid("the distinguished name is not UTF-8"))?;
-        let dn = Dn::parse(&written).map_err(|error| line.invalid(error.to_string()))?;
+        let written =
+            String::from_utf8(value).map_err(|_| line.invalid(InvalidLdifReason::DnNotUtf8))?;
+        let dn = Dn::parse(&written).map_err(|error| line.invalid(error.into()))?;
         self.records.push(Record {
             dn,
             written,
@@ -179,7 +213,7 @@
     if attribute.value == b"1" {
         Ok(())
     } else {
-        Err(line.invalid("only version 1 is supported"))
+        Err(line.invalid(InvalidLdifReason::UnsupportedVersion))
     }
 }
 
--- a/crates/pipithub-ldap/tests/ldif.rs
+++ b/crates/pipithub-ldap/tests/ldif.rs
@@ -1,7 +1,7 @@
 //! Reading of LDIF content records, and errors in them.
 
 use pipithub_ldap::Dn;
-use pipithub_ldap::ldif::read;
+use pipithub_ldap::ldif::{InvalidLdifReason, read};
 
 #[test]
 fn records_with_comments_continuation_lines_and_base64_are_read() {
@@ -25,13 +25,29 @@
 }
 
 #[test]
-fn errors_state_the_number_of_the_line() {
-    let line = |text: &str| read(text).expect_err("invalid LDIF").line;
-    assert_eq!(line("dn: a=1\nx"), 2);
-    assert_eq!(line(" x"), 1);
-    assert_eq!(line("uid: x"), 1);
-    assert_eq!(line("dn: a=1\n\ndn: b"), 3);
-    assert_eq!(line("dn: a=1\njpeg:< file:///x"), 2);
-    assert_eq!(line("dn: a=1\nx:: A"), 2);
-    assert_eq!(line("dn: a=1\nchangetype: add"), 2);
+fn errors_state_the_number_of_the_line_and_the_reason() {
+    let cases = [
+        ("dn: a=1\nx", 2, InvalidLdifReason::MissingColon),
+        (" x", 1, InvalidLdifReason::OrphanContinuation),
+        ("uid: x", 1, InvalidLdifReason::MissingDn("uid".into())),
+        (
+            "dn: a=1\njpeg:< file:///x",
+            2,
+            InvalidLdifReason::ValueByUrl,
+        ),
+        ("dn: a=1\nx:: A", 2, InvalidLdifReason::InvalidBase64),
+        (
+            "dn: a=1\nchangetype: add",
+            2,
+            InvalidLdifReason::ChangeRecord,
+        ),
+        ("version: 2\n", 1, InvalidLdifReason::UnsupportedVersion),
+    ];
+    for (text, line, reason) in cases {
+        let error = read(text).expect_err("invalid LDIF");
+        assert_eq!((error.line, error.reason), (line, reason), "{text:?}");
+    }
+    let error = read("dn: a=1\n\ndn: b").expect_err("invalid LDIF");
+    assert_eq!(error.line, 3);
+    assert!(matches!(error.reason, InvalidLdifReason::InvalidDn(_)));
 }
