--- a/crates/pipithub-membership-runtime/tests/failing_disk.rs
+++ b/crates/pipithub-membership-runtime/tests/failing_disk.rs
@@ -5,6 +5,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::Arc;
+use std::time::Duration;
 
 use pipithub_membership::{GenerationRecord, JoinState, Settings};
 use pipithub_membership_runtime::{DataFolder, MembershipRuntime};
@@ -13,6 +14,8 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, watch};
 
+const EVENT_TIMEOUT: Duration = Duration::from_secs(60);
+
 /// The system's files, with one step of saving that fails until `healthy` becomes true. Each failure is sent to
 /// `failures`.
 struct FailingFiles {
@@ -79,6 +82,13 @@
     }
 }
 
+/// Panics if the event does not occur, so that a broken process fails the test and does not block it.
+async fn in_time<T>(event: impl Future<Output = T>) -> T {
+    tokio::time::timeout(EVENT_TIMEOUT, event)
+        .await
+        .expect("the event did not occur")
+}
+
 fn settings(data: &Path, seed: SocketAddr) -> FleetSettings {
     FleetSettings {
         members: Settings {
@@ -124,7 +134,7 @@
         .await
         .expect("started");
     for _ in 0..3 {
-        failed.recv().await.expect("saving is retried");
+        in_time(failed.recv()).await.expect("saving is retried");
         let generation = generation_on_disk(root.path());
         // The new record is visible after the rename, but does not count as saved until the folder is synced.
         let renamed = step == Step::SyncFolder && generation == Some(5);
@@ -144,7 +154,9 @@
         "{step:?}"
     );
     heal.send(true).expect("the membership runs");
-    seed.recv(&mut buffer).await.expect("a join request");
+    in_time(seed.recv(&mut buffer))
+        .await
+        .expect("a join request");
     assert_eq!(
         generation_on_disk(root.path()),
         Some(5),
