--- a/crates/pipithub-amqp/tests/endpoints.rs
+++ b/crates/pipithub-amqp/tests/endpoints.rs
@@ -419,23 +419,27 @@
 }
 
 #[test]
-fn tune_ok_beyond_the_offer_closes_the_connection_as_not_allowed() {
-    let mut server = Endpoint::server(Tuning::default(), 0);
-    let mut client = Endpoint::client(Login::default(), Tuning::default(), 0);
-    server.receive(0, &client.take_output(0));
-    client.receive(0, &server.take_output(0));
-    server.receive(0, &client.take_output(0));
-    server.poll_event();
-    server.accept_login();
-    let mut bytes = BytesMut::new();
-    let tune = Method::ConnectionTuneOk {
-        channel_max: 0,
-        frame_max: 131_072,
-        heartbeat: 0,
-    };
-    method(0, tune).write(&mut bytes);
-    server.receive(0, &bytes);
-    assert!(matches!(server.poll_event(), Some(Event::Closed { fault, .. }) if fault.code == 530));
+fn tune_ok_beyond_the_offer_or_below_the_minimum_closes_the_connection_as_not_allowed() {
+    let offer = Tuning::default();
+    for (channel_max, frame_max) in [(0, offer.frame_max), (1, 0), (1, 4095)] {
+        let mut server = Endpoint::server(offer, 0);
+        let mut client = Endpoint::client(Login::default(), offer, 0);
+        server.receive(0, &client.take_output(0));
+        client.receive(0, &server.take_output(0));
+        server.receive(0, &client.take_output(0));
+        server.poll_event();
+        server.accept_login();
+        let tune_ok = Method::ConnectionTuneOk {
+            channel_max,
+            frame_max,
+            heartbeat: 0,
+        };
+        let mut bytes = BytesMut::new();
+        method(0, tune_ok).write(&mut bytes);
+        server.receive(0, &bytes);
+        let event = server.poll_event();
+        assert!(matches!(event, Some(Event::Closed { fault, .. }) if fault.code == 530));
+    }
 }
 
 #[test]
