--- a/crates/pipithub-policy/tests/same.rs
+++ b/crates/pipithub-policy/tests/same.rs
@@ -1,4 +1,7 @@
-//! Over a thousand drawn days the module decides as its plain reference does, action for action.
+//! In a thousand random scenarios the module decides as its reference does, action for action.
+//!
+//! Each scenario draws its settings, workers, requests and faults from a seed, and gives the same
+//! events to both. What happened is counted, so that no rule of the module goes untested.
 
 mod reference;
 mod world;
@@ -7,66 +10,100 @@
 use std::time::Instant;
 
 use pipithub_policy::api::{
-    Action, Endpoint, EndpointUpdate, Event, FunctionId, Request, RequestId, Settings, WorkerId,
+    Action, Endpoint, EndpointUpdate, Event, FunctionId, Request, RequestId, Settings, Time,
+    WorkerId,
 };
 use pipithub_policy::{FrontEnd, work};
 use world::{Counts, Day, World};
 
-/// Days of each of the tests below, which run at the same time.
-const DAYS: u64 = 125;
+/// Scenarios of each of the parts below, which run at the same time.
+const SCENARIOS_PER_PART: u64 = 125;
+/// The most workers of a scenario.
+const MAX_WORKERS: u64 = 300;
+/// Among more front ends than this, load reports are relied on: such a deployment is large.
+const MAX_SMALL_DEPLOYMENT: u32 = 8;
 
-/// Plays one day into both and tells what happened in it.
-fn play(seed: u64) -> Counts {
-    let day = Day::drawn(seed, 300);
-    let mut module = FrontEnd::new(day.settings.clone(), seed);
-    let mut reference = reference::FrontEnd::new(day.settings.clone(), seed);
-    let blind = day.settings.front_ends > 8;
-    let mut world = World::new(day);
-    let (mut one, mut other) = (Vec::new(), Vec::new());
-    let mut next = Some((world.day.start, world.complete()));
-    let mut events = 0;
-    while let Some((at, event)) = next {
-        events += 1;
-        one.clear();
-        other.clear();
-        let decided = catch_unwind(AssertUnwindSafe(|| {
-            reference.handle(at, event.clone(), &mut one);
+/// The module and the reference, which get the same events.
+struct Comparison {
+    seed: u64,
+    module: FrontEnd,
+    reference: reference::FrontEnd,
+    /// What the reference decided on the last event.
+    expected: Vec<Action>,
+    /// What the module decided on it.
+    decided: Vec<Action>,
+    /// Events so far.
+    events: u64,
+}
+
+impl Comparison {
+    fn new(seed: u64, settings: &Settings) -> Self {
+        Comparison {
+            seed,
+            module: FrontEnd::new(settings.clone(), seed),
+            reference: reference::FrontEnd::new(settings.clone(), seed),
+            expected: Vec::new(),
+            decided: Vec::new(),
+            events: 0,
+        }
+    }
+
+    /// Gives one event to both and compares the actions; `None` where the reference overflows and
+    /// has no decision to compare with.
+    fn handle(&mut self, now: Time, event: &Event) -> Option<&[Action]> {
+        self.events += 1;
+        self.expected.clear();
+        self.decided.clear();
+        let handled = catch_unwind(AssertUnwindSafe(|| {
+            self.reference
+                .handle(now, event.clone(), &mut self.expected);
         }));
-        if decided.is_err() {
-            // An overflow of the reference's own: it has no decision to compare with, and the day ends.
-            world.counts.insert("day cut short", 1);
-            break;
+        if handled.is_err() {
+            return None;
         }
-        module.handle(at, event.clone(), &mut other);
+        self.module.handle(now, event.clone(), &mut self.decided);
         assert!(
-            one == other,
-            "day {seed}, event {events} at {at}: {event:?}\nreference {one:?}\nmodule {other:?}"
+            self.expected == self.decided,
+            "scenario {}, event {} at {now}: {event:?}\nreference {:?}\nmodule {:?}",
+            self.seed,
+            self.events,
+            self.expected,
+            self.decided
         );
-        world.answer(&one);
+        Some(&self.expected)
+    }
+}
+
+/// Runs one scenario and returns what happened in it.
+fn run_scenario(seed: u64) -> Counts {
+    let scenario = Day::drawn(seed, MAX_WORKERS);
+    let is_large = scenario.settings.front_ends > MAX_SMALL_DEPLOYMENT;
+    let mut comparison = Comparison::new(seed, &scenario.settings);
+    let mut world = World::new(scenario);
+    let mut next = Some((world.day.start, world.complete()));
+    while let Some((now, event)) = next {
+        let Some(actions) = comparison.handle(now, &event) else {
+            world.counts.insert("day cut short", 1);
+            break;
+        };
+        world.answer(actions);
         next = world.step();
     }
     let mut counts = std::mem::take(&mut world.counts);
+    let (scenarios_key, sends_key) = if is_large {
+        ("day, large tier", "send, large tier")
+    } else {
+        ("day, small tier", "send, small tier")
+    };
     let sends = counts.get("send").copied().unwrap_or_default();
-    *counts
-        .entry(if blind {
-            "send, large tier"
-        } else {
-            "send, small tier"
-        })
-        .or_default() += sends;
-    *counts
-        .entry(if blind {
-            "day, large tier"
-        } else {
-            "day, small tier"
-        })
-        .or_default() += 1;
-    counts.insert("event", events);
+    *counts.entry(scenarios_key).or_default() += 1;
+    *counts.entry(sends_key).or_default() += sends;
+    counts.insert("event", comparison.events);
     counts
 }
 
-/// What must have happened in each part, and how often at the least, so that no rule goes unplayed.
-const LEAST: [(&str, u64); 40] = [
+/// What must have happened in each part, and how often at the least, so that no rule goes untested.
+const MIN_COUNTS: [(&str, u64); 40] = [
     ("absent", 1000),
     ("arrived", 10000),
     ("asked again", 1500),
@@ -108,73 +145,83 @@
     ("timed out", 60),
     ("unreachable", 150),
 ];
-/// The most days of a part that the reference may cut short.
-const CUT_MOST: u64 = 3;
+/// The most scenarios of a part that the reference may cut short by an overflow.
+const MAX_CUT_SHORT: u64 = 3;
 
-fn days(part: u64) {
-    let (mut all, began) = (Counts::new(), Instant::now());
-    for day in 0..DAYS {
-        for (name, count) in play(part * DAYS + day) {
-            *all.entry(name).or_default() += count;
+/// Runs the scenarios of one part, and checks that enough happened in them.
+fn run_part(part: u64) {
+    let (mut totals, started_at) = (Counts::new(), Instant::now());
+    for scenario in 0..SCENARIOS_PER_PART {
+        for (name, count) in run_scenario(part * SCENARIOS_PER_PART + scenario) {
+            *totals.entry(name).or_default() += count;
         }
     }
     println!(
-        "part {part}: {:.1} s, {all:?}",
-        began.elapsed().as_secs_f64()
+        "part {part}: {:.1} s, {totals:?}",
+        started_at.elapsed().as_secs_f64()
     );
-    for (name, least) in LEAST {
-        let count = all.get(name).copied().unwrap_or_default();
+    let total = |name| totals.get(name).copied().unwrap_or_default();
+    for (name, min) in MIN_COUNTS {
+        let count = total(name);
         assert!(
-            count >= least,
-            "part {part}: {name} came {count} times, not {least}"
+            count >= min,
+            "part {part}: {name} happened {count} times, not {min}"
         );
     }
     assert!(
-        all.get("day cut short").copied().unwrap_or_default() <= CUT_MOST,
-        "part {part}"
+        total("day cut short") <= MAX_CUT_SHORT,
+        "part {part}: too many scenarios were cut short"
     );
 }
 
 macro_rules! parts {
-    ($($name:ident $part:literal),*) => {
+    ($($name:ident $part:literal),* $(,)?) => {
         $(#[test]
         fn $name() {
-            days($part);
+            run_part($part);
         })*
     };
 }
 
-parts!(days_of_part_0 0, days_of_part_1 1, days_of_part_2 2, days_of_part_3 3, days_of_part_4 4,
-    days_of_part_5 5, days_of_part_6 6, days_of_part_7 7);
+parts! {
+    module_decides_as_reference_in_part_0 0,
+    module_decides_as_reference_in_part_1 1,
+    module_decides_as_reference_in_part_2 2,
+    module_decides_as_reference_in_part_3 3,
+    module_decides_as_reference_in_part_4 4,
+    module_decides_as_reference_in_part_5 5,
+    module_decides_as_reference_in_part_6 6,
+    module_decides_as_reference_in_part_7 7,
+}
 
 #[test]
-fn the_reference_counts_what_it_looks_at() {
+fn reference_counts_each_worker_that_it_looks_at() {
+    const WORKERS: u8 = 20;
     let mut reference = reference::FrontEnd::new(Settings::default(), 7);
-    let entry = |n: u32| Endpoint {
-        worker: WorkerId::new(&format!("10.0.0.{n}:80")),
+    let endpoint = |number: u8| Endpoint {
+        worker: WorkerId::new(&format!("10.0.0.{number}:80")),
         ..Endpoint::default()
     };
-    let entries: Vec<Endpoint> = (0..20).map(entry).collect();
-    let call = Request {
+    let snapshot = Event::Endpoints {
+        update: EndpointUpdate::Snapshot,
+        endpoints: (0..WORKERS).map(endpoint).collect(),
+    };
+    let request = Request {
         id: RequestId(1),
         function: FunctionId(42),
         timeout: Some(2_000_000_000),
         ..Request::default()
     };
     let mut actions = Vec::new();
-    reference.handle(
-        0,
-        Event::Endpoints {
-            update: EndpointUpdate::Snapshot,
-            endpoints: entries,
-        },
-        &mut actions,
-    );
+    reference.handle(0, snapshot, &mut actions);
     work::taken();
-    reference.handle(1_000_000, Event::Arrived(call), &mut actions);
-    assert!(work::taken() >= 20, "it looks at every worker");
-    assert!(actions.iter().any(|a| matches!(
-        a,
+    reference.handle(1_000_000, Event::Arrived(request), &mut actions);
+    assert!(
+        work::taken() >= u64::from(WORKERS),
+        "it looks at every worker"
+    );
+    assert!(actions.iter().any(|action| matches!(
+        action,
         Action::Forward {
             request: RequestId(1),
             ..
