--- a/crates/pipithub-policy/tests/same.rs
+++ b/crates/pipithub-policy/tests/same.rs
@@ -10,7 +10,7 @@
 use std::time::Instant;
 
 use pipithub_policy::api::{
-    Action, Endpoint, EndpointUpdate, Event, FunctionId, Request, RequestId, Settings, Time,
+    Action, Class, Endpoint, EndpointUpdate, Event, FunctionId, Request, RequestId, Settings, Time,
     WorkerId,
 };
 use pipithub_policy::{FrontEnd, work};
@@ -228,3 +228,53 @@
         }
     )));
 }
+
+/// Random scenarios hardly ever bring a worker to its limit of requests past their objective: the
+/// estimated run time keeps further ones away before that.
+#[test]
+fn module_decides_as_reference_at_the_limit_of_late_requests() {
+    const SECOND: Time = 1_000_000_000;
+    const REQUESTS: u64 = 12;
+    const MAX_LATE_REQUESTS: usize = 8;
+    let class = Class {
+        latency_objective: SECOND,
+        objective_per_work: 1.0,
+        client_timeout: 60 * SECOND,
+        late_answer_weight: 0.5,
+        ..Class::default()
+    };
+    let settings = Settings {
+        classes: vec![class],
+        ..Settings::default()
+    };
+    let mut comparison = Comparison::new(1, &settings);
+    let snapshot = Event::Endpoints {
+        update: EndpointUpdate::Snapshot,
+        endpoints: vec![Endpoint::default()],
+    };
+    let request = |number: u64| Request {
+        id: RequestId(number),
+        replica_concurrency: 64,
+        expected_work: Some(4 * SECOND),
+        load_time: Some(20 * SECOND),
+        ..Request::default()
+    };
+    comparison.handle(0, &snapshot);
+    // A replica is presumed for the first request; it stays unanswered, so that the others have to
+    // expect a load.
+    comparison.handle(1, &Event::Arrived(request(0)));
+    let mut forwarded = 0;
+    let mut rejected = 0;
+    for number in 1..=REQUESTS {
+        let arrived = Event::Arrived(request(number));
+        for action in comparison
+            .handle(SECOND + number, &arrived)
+            .unwrap_or_default()
+        {
+            forwarded += usize::from(matches!(action, Action::Forward { .. }));
+            rejected += usize::from(matches!(action, Action::Reject { .. }));
+        }
+    }
+    assert_eq!(forwarded, MAX_LATE_REQUESTS);
+    assert_eq!(forwarded + rejected, REQUESTS as usize);
+}
