--- a/crates/pipithub-policy/tests/same.rs
+++ b/crates/pipithub-policy/tests/same.rs
@@ -10,8 +10,8 @@
 use std::time::Instant;
 
 use pipithub_policy::api::{
-    Action, Class, Endpoint, EndpointUpdate, Event, FunctionId, Request, RequestId, Settings, Time,
-    WorkerId,
+    Action, AttemptFinished, Class, Endpoint, EndpointUpdate, Event, FunctionId, Idempotency,
+    LoadReport, Outcome, Request, RequestId, Settings, Time, WorkerId,
 };
 use pipithub_policy::{FrontEnd, work};
 use world::{Counts, Day, World};
@@ -229,11 +229,32 @@
     )));
 }
 
+/// The tests below reach limits that random scenarios hardly ever meet.
+const SECOND: Time = 1_000_000_000;
+const MILLISECOND: Time = 1_000_000;
+
+fn snapshot(workers: &[&WorkerId]) -> Event {
+    let endpoint = |worker: &&WorkerId| Endpoint {
+        worker: (*worker).clone(),
+        ..Endpoint::default()
+    };
+    Event::Endpoints {
+        update: EndpointUpdate::Snapshot,
+        endpoints: workers.iter().map(endpoint).collect(),
+    }
+}
+
+fn forwarded_to(actions: &[Action]) -> Option<WorkerId> {
+    actions.iter().find_map(|action| match action {
+        Action::Forward { worker, .. } => Some(worker.clone()),
+        _ => None,
+    })
+}
+
 /// Random scenarios hardly ever bring a worker to its limit of requests past their objective: the
 /// estimated run time keeps further ones away before that.
 #[test]
 fn module_decides_as_reference_at_the_limit_of_late_requests() {
-    const SECOND: Time = 1_000_000_000;
     const REQUESTS: u64 = 12;
     const MAX_LATE_REQUESTS: usize = 8;
     let class = Class {
@@ -248,10 +269,6 @@
         ..Settings::default()
     };
     let mut comparison = Comparison::new(1, &settings);
-    let snapshot = Event::Endpoints {
-        update: EndpointUpdate::Snapshot,
-        endpoints: vec![Endpoint::default()],
-    };
     let request = |number: u64| Request {
         id: RequestId(number),
         replica_concurrency: 64,
@@ -259,7 +276,7 @@
         load_time: Some(20 * SECOND),
         ..Request::default()
     };
-    comparison.handle(0, &snapshot);
+    comparison.handle(0, &snapshot(&[&WorkerId::default()]));
     // A replica is presumed for the first request; it stays unanswered, so that the others have to
     // expect a load.
     comparison.handle(1, &Event::Arrived(request(0)));
@@ -278,3 +295,107 @@
     assert_eq!(forwarded, MAX_LATE_REQUESTS);
     assert_eq!(forwarded + rejected, REQUESTS as usize);
 }
+
+/// Whether a request is retried when its first attempt times out so long after it was sent.
+fn is_retried_after(elapsed: Time, class: &Class) -> bool {
+    let settings = Settings {
+        classes: vec![class.clone()],
+        tick: 5 * MILLISECOND,
+        ..Settings::default()
+    };
+    let mut comparison = Comparison::new(1, &settings);
+    let workers = [WorkerId::new("10.0.0.1:80"), WorkerId::new("10.0.0.2:80")];
+    comparison.handle(0, &snapshot(&[&workers[0], &workers[1]]));
+    let arrived = Event::Arrived(Request::default());
+    let first = comparison.handle(SECOND, &arrived).and_then(forwarded_to);
+    let timed_out = Event::AttemptFinished(AttemptFinished {
+        request: RequestId::default(),
+        attempt: 0,
+        worker: first.expect("the first attempt is forwarded"),
+        outcome: Outcome::TimedOut,
+        elapsed,
+        settled: false,
+        replica_status: None,
+        function_concurrency: None,
+        load_report: LoadReport::default(),
+    });
+    let actions = comparison.handle(SECOND + elapsed, &timed_out);
+    actions.and_then(forwarded_to).is_some()
+}
+
+/// The longest elapsed time, in milliseconds below the limit, at which a request is retried.
+fn last_retry_before(limit: Time, class: &Class) -> Option<u64> {
+    (0..100).find(|early| is_retried_after(limit - early * MILLISECOND, class))
+}
+
+#[test]
+fn module_retries_until_two_ticks_before_the_client_timeout() {
+    let class = Class {
+        latency_objective: MILLISECOND / 10,
+        client_timeout: 4 * SECOND,
+        late_answer_weight: 0.5,
+        ..Class::default()
+    };
+    assert_eq!(last_retry_before(class.client_timeout, &class), Some(11));
+}
+
+#[test]
+fn module_retries_until_four_ticks_before_the_deduplication_window_ends() {
+    let class = Class {
+        latency_objective: MILLISECOND / 10,
+        client_timeout: 4 * SECOND,
+        late_answer_weight: 0.5,
+        idempotency: Idempotency::WithKey,
+        deduplication_window: 2 * SECOND,
+        ..Class::default()
+    };
+    assert_eq!(
+        last_retry_before(class.deduplication_window, &class),
+        Some(21)
+    );
+}
+
+/// The worker that a request is forwarded to in a large deployment where the first of two workers
+/// reports so many per mille of its cores busy, and the second one half.
+fn chosen_beside_busy_cores(per_mille: u32, workers: &[WorkerId; 2]) -> Option<WorkerId> {
+    let settings = Settings {
+        front_ends: MAX_SMALL_DEPLOYMENT + 1,
+        classes: vec![Class {
+            late_answer_weight: 0.5,
+            ..Class::default()
+        }],
+        ..Settings::default()
+    };
+    let mut comparison = Comparison::new(1, &settings);
+    comparison.handle(0, &snapshot(&[&workers[0], &workers[1]]));
+    for (worker, per_mille) in workers.iter().zip([per_mille, 500]) {
+        let polled = Event::LoadPolled {
+            worker: worker.clone(),
+            answered: true,
+            report: LoadReport {
+                cpu_utilization: Some(f64::from(per_mille) / 1_000.0),
+                ..LoadReport::default()
+            },
+        };
+        comparison.handle(SECOND, &polled);
+    }
+    let arrived = Event::Arrived(Request::default());
+    let actions = comparison.handle(SECOND + MILLISECOND, &arrived)?;
+    forwarded_to(actions)
+}
+
+#[test]
+fn module_prefers_another_worker_when_cores_are_over_95_percent_busy() {
+    let workers = [WorkerId::new("10.0.0.1:80"), WorkerId::new("10.0.0.2:80")];
+    let swapped = [workers[1].clone(), workers[0].clone()];
+    let first_busy_at = |workers: &[WorkerId; 2]| {
+        let idle = chosen_beside_busy_cores(0, workers);
+        (0..1_000).find(|per_mille| chosen_beside_busy_cores(*per_mille, workers) != idle)
+    };
+    // Only the reports of the function's preferred worker make a difference.
+    let limits = [first_busy_at(&workers), first_busy_at(&swapped)];
+    assert!(
+        limits.contains(&Some(951)) && limits.contains(&None),
+        "{limits:?}"
+    );
+}
