--- a/crates/pipithub-policy/tests/same.rs
+++ b/crates/pipithub-policy/tests/same.rs
@@ -1,4 +1,7 @@
-//! Over a thousand drawn days the module decides as its plain reference does, action for action.
+//! In a thousand random scenarios the module decides as its reference does, action for action.
+//!
+//! Each scenario draws its settings, workers, requests and faults from a seed, and gives the same
+//! events to both. What happened is counted, so that no rule of the module goes untested.
 
 mod reference;
 mod simulated_fleet;
@@ -7,74 +10,108 @@
 use std::time::Instant;
 
 use pipithub_policy::api::{
-    Action, Endpoint, EndpointUpdate, Event, FunctionId, Request, RequestId, Settings, WorkerId,
+    Action, AttemptFinished, Class, Endpoint, EndpointUpdate, Event, FunctionId, Idempotency,
+    LoadReport, Outcome, Request, RequestId, Settings, Time, WorkerId,
 };
 use pipithub_policy::{FrontEnd, work};
 use simulated_fleet::{EventCounts, Scenario, SimulatedFleet};
 
-/// Days of each of the tests below, which run at the same time.
-const DAYS: u64 = 125;
-
-/// Plays one day into both and tells what happened in it.
-fn play(seed: u64) -> EventCounts {
-    let day = Scenario::random(seed, 300);
-    let mut module = FrontEnd::new(day.settings.clone(), seed);
-    let mut reference = reference::FrontEnd::new(day.settings.clone(), seed);
-    let blind = day.settings.front_ends > 8;
-    let mut world = SimulatedFleet::new(day);
-    let (mut one, mut other) = (Vec::new(), Vec::new());
-    let mut next = Some((world.scenario.start, world.endpoint_snapshot()));
-    let mut events = 0;
-    while let Some((at, event)) = next {
-        events += 1;
-        one.clear();
-        other.clear();
-        let decided = catch_unwind(AssertUnwindSafe(|| {
-            reference.handle(at, event.clone(), &mut one);
+/// Scenarios of each of the parts below, which run at the same time.
+const SCENARIOS_PER_PART: u64 = 125;
+/// The most workers of a scenario.
+const MAX_WORKERS: u64 = 300;
+/// Among more front ends than this, load reports are relied on: such a deployment is large.
+const MAX_SMALL_DEPLOYMENT: u32 = 8;
+
+/// The module and the reference, which get the same events.
+struct Comparison {
+    seed: u64,
+    module: FrontEnd,
+    reference: reference::FrontEnd,
+    /// What the reference decided on the last event.
+    expected: Vec<Action>,
+    /// What the module decided on it.
+    decided: Vec<Action>,
+    /// Events so far.
+    events: u64,
+}
+
+impl Comparison {
+    fn new(seed: u64, settings: &Settings) -> Self {
+        Comparison {
+            seed,
+            module: FrontEnd::new(settings.clone(), seed),
+            reference: reference::FrontEnd::new(settings.clone(), seed),
+            expected: Vec::new(),
+            decided: Vec::new(),
+            events: 0,
+        }
+    }
+
+    /// Gives one event to both and compares the actions; `None` where the reference overflows and
+    /// has no decision to compare with.
+    fn handle(&mut self, now: Time, event: &Event) -> Option<&[Action]> {
+        self.events += 1;
+        self.expected.clear();
+        self.decided.clear();
+        let handled = catch_unwind(AssertUnwindSafe(|| {
+            self.reference
+                .handle(now, event.clone(), &mut self.expected);
         }));
-        if decided.is_err() {
-            // An overflow of the reference's own: it has no decision to compare with, and the day ends.
-            world.counts.insert("day cut short", 1);
-            break;
+        if handled.is_err() {
+            return None;
         }
-        module.handle(at, event.clone(), &mut other);
+        self.module.handle(now, event.clone(), &mut self.decided);
         assert!(
-            one == other,
-            "day {seed}, event {events} at {at}: {event:?}\nreference {one:?}\nmodule {other:?}"
+            self.expected == self.decided,
+            "scenario {}, event {} at {now}: {event:?}\nreference {:?}\nmodule {:?}",
+            self.seed,
+            self.events,
+            self.expected,
+            self.decided
         );
-        world.apply(&one);
-        next = world.next_event();
+        Some(&self.expected)
     }
-    let mut counts = std::mem::take(&mut world.counts);
-    let sends = counts.get("attempt").copied().unwrap_or_default();
-    *counts
-        .entry(if blind {
-            "send, large tier"
-        } else {
-            "send, small tier"
-        })
-        .or_default() += sends;
-    *counts
-        .entry(if blind {
-            "day, large tier"
-        } else {
-            "day, small tier"
-        })
-        .or_default() += 1;
-    counts.insert("event", events);
+}
+
+/// Runs one scenario and returns what happened in it.
+fn run_scenario(seed: u64) -> EventCounts {
+    let scenario = Scenario::random(seed, MAX_WORKERS);
+    let is_large = scenario.settings.front_ends > MAX_SMALL_DEPLOYMENT;
+    let mut comparison = Comparison::new(seed, &scenario.settings);
+    let mut fleet = SimulatedFleet::new(scenario);
+    let mut next = Some((fleet.scenario.start, fleet.endpoint_snapshot()));
+    while let Some((now, event)) = next {
+        let Some(actions) = comparison.handle(now, &event) else {
+            fleet.counts.insert("scenario cut short", 1);
+            break;
+        };
+        fleet.apply(actions);
+        next = fleet.next_event();
+    }
+    let mut counts = std::mem::take(&mut fleet.counts);
+    let (scenarios_key, attempts_key) = if is_large {
+        ("scenario, large deployment", "attempt, large deployment")
+    } else {
+        ("scenario, small deployment", "attempt, small deployment")
+    };
+    let attempts = counts.get("attempt").copied().unwrap_or_default();
+    *counts.entry(scenarios_key).or_default() += 1;
+    *counts.entry(attempts_key).or_default() += attempts;
+    counts.insert("event", comparison.events);
     counts
 }
 
-/// What must have happened in each part, and how often at the least, so that no rule goes unplayed.
-const LEAST: [(&str, u64); 40] = [
+/// What must have happened in each part, and how often at the least, so that no rule goes untested.
+const MIN_COUNTS: [(&str, u64); 40] = [
     ("not loaded", 1000),
     ("request arrived", 10000),
     ("request retried", 1500),
     ("connection lost", 40),
     ("cancel", 200),
     ("attempt cancelled", 150),
-    ("day, large tier", 40),
-    ("day, small tier", 25),
+    ("scenario, large deployment", 40),
+    ("scenario, small deployment", 25),
     ("evict command", 5),
     ("error", 400),
     ("request failed", 250),
@@ -99,8 +136,8 @@
     ("request rejected", 3500),
     ("request rejected with retry-after", 800),
     ("attempt", 6000),
-    ("send, large tier", 2500),
-    ("send, small tier", 2500),
+    ("attempt, large deployment", 2500),
+    ("attempt, small deployment", 2500),
     ("retry", 500),
     ("served", 2500),
     ("mass removal", 12),
@@ -108,76 +145,257 @@
     ("timed out", 60),
     ("unreachable", 150),
 ];
-/// The most days of a part that the reference may cut short.
-const CUT_MOST: u64 = 3;
-
-fn days(part: u64) {
-    let (mut all, began) = (EventCounts::new(), Instant::now());
-    for day in 0..DAYS {
-        for (name, count) in play(part * DAYS + day) {
-            *all.entry(name).or_default() += count;
+/// The most scenarios of a part that the reference may cut short by an overflow.
+const MAX_CUT_SHORT: u64 = 3;
+
+/// Runs the scenarios of one part, and checks that enough happened in them.
+fn run_part(part: u64) {
+    let (mut totals, started_at) = (EventCounts::new(), Instant::now());
+    for scenario in 0..SCENARIOS_PER_PART {
+        for (name, count) in run_scenario(part * SCENARIOS_PER_PART + scenario) {
+            *totals.entry(name).or_default() += count;
         }
     }
     println!(
-        "part {part}: {:.1} s, {all:?}",
-        began.elapsed().as_secs_f64()
+        "part {part}: {:.1} s, {totals:?}",
+        started_at.elapsed().as_secs_f64()
     );
-    for (name, least) in LEAST {
-        let count = all.get(name).copied().unwrap_or_default();
+    let total = |name| totals.get(name).copied().unwrap_or_default();
+    for (name, min) in MIN_COUNTS {
+        let count = total(name);
         assert!(
-            count >= least,
-            "part {part}: {name} came {count} times, not {least}"
+            count >= min,
+            "part {part}: {name} happened {count} times, not {min}"
         );
     }
     assert!(
-        all.get("day cut short").copied().unwrap_or_default() <= CUT_MOST,
-        "part {part}"
+        total("scenario cut short") <= MAX_CUT_SHORT,
+        "part {part}: too many scenarios were cut short"
     );
 }
 
 macro_rules! parts {
-    ($($name:ident $part:literal),*) => {
+    ($($name:ident $part:literal),* $(,)?) => {
         $(#[test]
         fn $name() {
-            days($part);
+            run_part($part);
         })*
     };
 }
 
-parts!(days_of_part_0 0, days_of_part_1 1, days_of_part_2 2, days_of_part_3 3, days_of_part_4 4,
-    days_of_part_5 5, days_of_part_6 6, days_of_part_7 7);
+parts! {
+    module_decides_as_reference_in_part_0 0,
+    module_decides_as_reference_in_part_1 1,
+    module_decides_as_reference_in_part_2 2,
+    module_decides_as_reference_in_part_3 3,
+    module_decides_as_reference_in_part_4 4,
+    module_decides_as_reference_in_part_5 5,
+    module_decides_as_reference_in_part_6 6,
+    module_decides_as_reference_in_part_7 7,
+}
 
 #[test]
-fn the_reference_counts_what_it_looks_at() {
+fn reference_counts_each_worker_that_it_looks_at() {
+    const WORKERS: u8 = 20;
     let mut reference = reference::FrontEnd::new(Settings::default(), 7);
-    let entry = |n: u32| Endpoint {
-        worker: WorkerId::new(&format!("10.0.0.{n}:80")),
+    let endpoint = |number: u8| Endpoint {
+        worker: WorkerId::new(&format!("10.0.0.{number}:80")),
         ..Endpoint::default()
     };
-    let entries: Vec<Endpoint> = (0..20).map(entry).collect();
-    let call = Request {
+    let snapshot = Event::Endpoints {
+        update: EndpointUpdate::Snapshot,
+        endpoints: (0..WORKERS).map(endpoint).collect(),
+    };
+    let request = Request {
         id: RequestId(1),
         function: FunctionId(42),
         timeout: Some(2_000_000_000),
         ..Request::default()
     };
     let mut actions = Vec::new();
-    reference.handle(
-        0,
-        Event::Endpoints {
-            update: EndpointUpdate::Snapshot,
-            endpoints: entries,
-        },
-        &mut actions,
-    );
+    reference.handle(0, snapshot, &mut actions);
     work::taken();
-    reference.handle(1_000_000, Event::Arrived(call), &mut actions);
-    assert!(work::taken() >= 20, "it looks at every worker");
-    assert!(actions.iter().any(|a| matches!(
-        a,
+    reference.handle(1_000_000, Event::Arrived(request), &mut actions);
+    assert!(
+        work::taken() >= u64::from(WORKERS),
+        "it looks at every worker"
+    );
+    assert!(actions.iter().any(|action| matches!(
+        action,
         Action::Forward {
             request: RequestId(1),
             ..
         }
     )));
 }
+
+/// The tests below reach limits that random scenarios hardly ever meet.
+const SECOND: Time = 1_000_000_000;
+const MILLISECOND: Time = 1_000_000;
+
+fn snapshot(workers: &[&WorkerId]) -> Event {
+    let endpoint = |worker: &&WorkerId| Endpoint {
+        worker: (*worker).clone(),
+        ..Endpoint::default()
+    };
+    Event::Endpoints {
+        update: EndpointUpdate::Snapshot,
+        endpoints: workers.iter().map(endpoint).collect(),
+    }
+}
+
+fn forwarded_to(actions: &[Action]) -> Option<WorkerId> {
+    actions.iter().find_map(|action| match action {
+        Action::Forward { worker, .. } => Some(worker.clone()),
+        _ => None,
+    })
+}
+
+/// Random scenarios hardly ever bring a worker to its limit of requests past their objective: the
+/// estimated run time keeps further ones away before that.
+#[test]
+fn module_decides_as_reference_at_the_limit_of_late_requests() {
+    const REQUESTS: u64 = 12;
+    const MAX_LATE_REQUESTS: usize = 8;
+    let class = Class {
+        latency_objective: SECOND,
+        objective_per_work: 1.0,
+        client_timeout: 60 * SECOND,
+        late_answer_weight: 0.5,
+        ..Class::default()
+    };
+    let settings = Settings {
+        classes: vec![class],
+        ..Settings::default()
+    };
+    let mut comparison = Comparison::new(1, &settings);
+    let request = |number: u64| Request {
+        id: RequestId(number),
+        replica_concurrency: 64,
+        expected_work: Some(4 * SECOND),
+        load_time: Some(20 * SECOND),
+        ..Request::default()
+    };
+    comparison.handle(0, &snapshot(&[&WorkerId::default()]));
+    // A replica is presumed for the first request; it stays unanswered, so that the others have to
+    // expect a load.
+    comparison.handle(1, &Event::Arrived(request(0)));
+    let mut forwarded = 0;
+    let mut rejected = 0;
+    for number in 1..=REQUESTS {
+        let arrived = Event::Arrived(request(number));
+        for action in comparison
+            .handle(SECOND + number, &arrived)
+            .unwrap_or_default()
+        {
+            forwarded += usize::from(matches!(action, Action::Forward { .. }));
+            rejected += usize::from(matches!(action, Action::Reject { .. }));
+        }
+    }
+    assert_eq!(forwarded, MAX_LATE_REQUESTS);
+    assert_eq!(forwarded + rejected, REQUESTS as usize);
+}
+
+/// Whether a request is retried when its first attempt times out so long after it was sent.
+fn is_retried_after(elapsed: Time, class: &Class) -> bool {
+    let settings = Settings {
+        classes: vec![class.clone()],
+        tick: 5 * MILLISECOND,
+        ..Settings::default()
+    };
+    let mut comparison = Comparison::new(1, &settings);
+    let workers = [WorkerId::new("10.0.0.1:80"), WorkerId::new("10.0.0.2:80")];
+    comparison.handle(0, &snapshot(&[&workers[0], &workers[1]]));
+    let arrived = Event::Arrived(Request::default());
+    let first = comparison.handle(SECOND, &arrived).and_then(forwarded_to);
+    let timed_out = Event::AttemptFinished(AttemptFinished {
+        request: RequestId::default(),
+        attempt: 0,
+        worker: first.expect("the first attempt is forwarded"),
+        outcome: Outcome::TimedOut,
+        elapsed,
+        settled: false,
+        replica_status: None,
+        function_concurrency: None,
+        load_report: LoadReport::default(),
+    });
+    let actions = comparison.handle(SECOND + elapsed, &timed_out);
+    actions.and_then(forwarded_to).is_some()
+}
+
+/// The longest elapsed time, in milliseconds below the limit, at which a request is retried.
+fn last_retry_before(limit: Time, class: &Class) -> Option<u64> {
+    (0..100).find(|early| is_retried_after(limit - early * MILLISECOND, class))
+}
+
+#[test]
+fn module_retries_until_two_ticks_before_the_client_timeout() {
+    let class = Class {
+        latency_objective: MILLISECOND / 10,
+        client_timeout: 4 * SECOND,
+        late_answer_weight: 0.5,
+        ..Class::default()
+    };
+    assert_eq!(last_retry_before(class.client_timeout, &class), Some(11));
+}
+
+#[test]
+fn module_retries_until_four_ticks_before_the_deduplication_window_ends() {
+    let class = Class {
+        latency_objective: MILLISECOND / 10,
+        client_timeout: 4 * SECOND,
+        late_answer_weight: 0.5,
+        idempotency: Idempotency::WithKey,
+        deduplication_window: 2 * SECOND,
+        ..Class::default()
+    };
+    assert_eq!(
+        last_retry_before(class.deduplication_window, &class),
+        Some(21)
+    );
+}
+
+/// The worker that a request is forwarded to in a large deployment where the first of two workers
+/// reports so many per mille of its cores busy, and the second one half.
+fn chosen_beside_busy_cores(per_mille: u32, workers: &[WorkerId; 2]) -> Option<WorkerId> {
+    let settings = Settings {
+        front_ends: MAX_SMALL_DEPLOYMENT + 1,
+        classes: vec![Class {
+            late_answer_weight: 0.5,
+            ..Class::default()
+        }],
+        ..Settings::default()
+    };
+    let mut comparison = Comparison::new(1, &settings);
+    comparison.handle(0, &snapshot(&[&workers[0], &workers[1]]));
+    for (worker, per_mille) in workers.iter().zip([per_mille, 500]) {
+        let polled = Event::LoadPolled {
+            worker: worker.clone(),
+            answered: true,
+            report: LoadReport {
+                cpu_utilization: Some(f64::from(per_mille) / 1_000.0),
+                ..LoadReport::default()
+            },
+        };
+        comparison.handle(SECOND, &polled);
+    }
+    let arrived = Event::Arrived(Request::default());
+    let actions = comparison.handle(SECOND + MILLISECOND, &arrived)?;
+    forwarded_to(actions)
+}
+
+#[test]
+fn module_prefers_another_worker_when_cores_are_over_95_percent_busy() {
+    let workers = [WorkerId::new("10.0.0.1:80"), WorkerId::new("10.0.0.2:80")];
+    let swapped = [workers[1].clone(), workers[0].clone()];
+    let first_busy_at = |workers: &[WorkerId; 2]| {
+        let idle = chosen_beside_busy_cores(0, workers);
+        (0..1_000).find(|per_mille| chosen_beside_busy_cores(*per_mille, workers) != idle)
+    };
+    // Only the reports of the function's preferred worker make a difference.
+    let limits = [first_busy_at(&workers), first_busy_at(&swapped)];
+    assert!(
+        limits.contains(&Some(951)) && limits.contains(&None),
+        "{limits:?}"
+    );
+}
