--- /dev/null
+++ b/crates/pipithub-policy/tests/random_sequences/main.rs
@@ -0,0 +1,119 @@
+//! Long random sequences of events, seeded: the rules hold, nothing panics, equal events give equal actions.
+
+#[path = "../common/mod.rs"]
+mod common;
+mod generator;
+mod model;
+mod rules;
+
+use pipithub_policy::FrontEnd;
+use pipithub_policy::api::{
+    Action, Class, DeduplicationScope, Event, Idempotency, LoadRateLimit, Settings, Time,
+};
+
+use common::{MS, settings};
+use generator::Generator;
+use model::Model;
+use rules::{Decision, check_action, check_deadlines};
+
+/// The settings of the sequence of a seed.
+fn settings_of(seed: u64) -> Settings {
+    let mut settings = settings(Idempotency::Idempotent);
+    let idempotent = settings.classes[0].clone();
+    settings.classes.push(Class {
+        idempotency: Idempotency::WithKey,
+        deduplication_scope: DeduplicationScope::Cell,
+        ..idempotent.clone()
+    });
+    settings.classes.push(Class {
+        idempotency: Idempotency::NonIdempotent,
+        late_answer_weight: 0.0,
+        ..idempotent
+    });
+    settings.loading.loads_on_request = !seed.is_multiple_of(3);
+    settings.loading.reports_concurrency = seed.is_multiple_of(2);
+    settings.front_ends = 1 + (seed % 3) as u32;
+    settings.loading.rate_limit = (seed % 2 == 1).then_some(LoadRateLimit {
+        window: 5_000 * MS,
+        burst: 3.0,
+        per_request: 0.15,
+    });
+    settings
+}
+
+/// A front end, the events drawn for it, and what is known of both.
+struct RandomRun {
+    seed: u64,
+    front_end: FrontEnd,
+    generator: Generator,
+    model: Model,
+    actions: Vec<Action>,
+}
+
+impl RandomRun {
+    fn new(seed: u64) -> RandomRun {
+        let settings = settings_of(seed);
+        RandomRun {
+            seed,
+            front_end: FrontEnd::new(settings.clone(), seed),
+            generator: Generator::new(seed),
+            model: Model::new(settings),
+            actions: Vec::new(),
+        }
+    }
+
+    /// Plays this many steps and checks the rules at each: all actions of the front end.
+    fn play(mut self, steps: usize) -> Vec<Action> {
+        for step in 0..steps {
+            self.generator.advance_clock();
+            let expired = self.model.take_due_timers(self.generator.now);
+            let event = self.generator.draw_event(step == 0, &mut self.model);
+            for timer in expired {
+                let token = timer.token;
+                self.handle(timer.due, Event::Timer { token });
+            }
+            self.handle(self.generator.now, event);
+            check_deadlines(&self.model, self.generator.now, self.seed);
+        }
+        self.actions
+    }
+
+    /// Lets the front end handle one event, and checks each action against what was known before it.
+    fn handle(&mut self, at: Time, event: Event) {
+        let finished = self.model.note_event(at, &event);
+        let mut actions = Vec::new();
+        self.front_end.handle(at, event, &mut actions);
+        for action in &actions {
+            let decision = Decision {
+                seed: self.seed,
+                at,
+                finished,
+                model: &self.model,
+            };
+            check_action(&decision, action);
+            self.model.note_action(at, action);
+        }
+        if let Some(finished) = finished {
+            self.model.note_execution(finished);
+        }
+        self.actions.extend(actions);
+    }
+}
+
+fn play(seed: u64, steps: usize) -> Vec<Action> {
+    RandomRun::new(seed).play(steps)
+}
+
+#[test]
+fn rules_hold_on_random_sequences() {
+    for seed in 1..=24 {
+        play(seed, 2_500);
+    }
+}
+
+#[test]
+fn equal_events_give_equal_actions() {
+    for seed in [3, 8] {
+        assert_eq!(play(seed, 2_000), play(seed, 2_000));
+    }
+}
