--- a/crates/pipithub-policy/tests/common/mod.rs
+++ b/crates/pipithub-policy/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A front end under test, with a hand-driven clock.
-#![allow(dead_code)]
+//! A front end under test with a clock that the test advances, and the settings that most tests use.
+#![allow(dead_code, reason = "each test uses a part of it")]
 
 use std::collections::BTreeSet;
 
@@ -12,23 +12,20 @@
 
 /// Nanoseconds in a millisecond.
 pub(crate) const MS: u64 = 1_000_000;
+/// The workers of a small deployment.
+pub(crate) const THREE: [&str; 3] = ["w1", "w2", "w3"];
+/// Requests after which the preferred worker of a function is known to have it loaded.
+const REQUESTS_TO_WARM_UP: usize = 12;
+/// Time between two requests of [`FrontEndHarness::run_requests`].
+const REQUEST_GAP: Time = 50 * MS;
 
-/// A front end, its clock, and all that it has done.
-pub(crate) struct Bench {
-    pub front: FrontEnd,
-    pub now: Time,
-    pub did: Vec<(Time, Action)>,
-    timers: BTreeSet<(Time, u64)>,
-    pub next_id: RequestId,
-}
-
-/// Settings with one class of the given effect, orders allowed, rules as at a usual site.
-pub(crate) fn settings(effect: Idempotency) -> Settings {
+/// Settings with one class of this idempotency; load commands are allowed.
+pub(crate) fn settings(idempotency: Idempotency) -> Settings {
     Settings {
         front_ends: 1,
         tick: 2 * MS,
         classes: vec![Class {
-            idempotency: effect,
+            idempotency,
             late_answer_weight: 0.3,
             client_timeout: 4_000 * MS,
             deduplication_window: 2_500 * MS,
@@ -56,61 +53,124 @@
     }
 }
 
-pub(crate) fn entry(name: &str) -> Endpoint {
+/// Settings of a fleet so large that a front end relies on load reports.
+pub(crate) fn large_fleet_settings() -> Settings {
+    let mut settings = settings(Idempotency::Idempotent);
+    settings.front_ends = 100;
+    settings.limits.load_polls = true;
+    settings
+}
+
+/// A ready worker in zone `a`.
+pub(crate) fn endpoint(address: &str) -> Endpoint {
     Endpoint {
-        worker: WorkerId::new(name),
+        worker: WorkerId::new(address),
         zone: "a".to_string(),
         weight: 1.0,
         ..Endpoint::default()
     }
 }
 
-impl Bench {
+/// A timer that was asked for, in the order of expiry.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Timer {
+    due: Time,
+    token: u64,
+}
+
+/// An action and the clock time at which it was taken.
+pub(crate) struct TimedAction {
+    pub at: Time,
+    pub action: Action,
+}
+
+/// An attempt without an answer so far.
+struct OpenAttempt {
+    request: RequestId,
+    number: u32,
+    worker: WorkerId,
+}
+
+/// The actions that may contain the next attempt of a request.
+struct Reaction {
+    request: RequestId,
+    next_attempt: u32,
+    actions: Vec<Action>,
+}
+
+/// What came of a row of requests.
+pub(crate) struct Traffic {
+    pub served: usize,
+    /// The worker of each attempt.
+    pub workers: Vec<WorkerId>,
+}
+
+impl Traffic {
+    /// Attempts at this worker.
+    pub(crate) fn attempts_at(&self, worker: &WorkerId) -> usize {
+        self.workers.iter().filter(|at| *at == worker).count()
+    }
+}
+
+/// A front end, its clock, and all actions that it has taken.
+pub(crate) struct FrontEndHarness {
+    pub module: FrontEnd,
+    pub now: Time,
+    pub actions_taken: Vec<TimedAction>,
+    timers: BTreeSet<Timer>,
+    next_request: RequestId,
+}
+
+impl FrontEndHarness {
     pub(crate) fn new(settings: Settings, workers: &[&str]) -> Self {
-        Bench::seeded(settings, workers, 11)
+        FrontEndHarness::seeded(settings, workers, 11)
     }
 
     pub(crate) fn seeded(settings: Settings, workers: &[&str], seed: u64) -> Self {
-        let front = FrontEnd::new(settings, seed);
-        let (did, timers) = (Vec::new(), BTreeSet::new());
-        let mut bench = Bench {
-            front,
+        let mut front_end = FrontEndHarness {
+            module: FrontEnd::new(settings, seed),
             now: 1_000_000 * MS,
-            did,
-            timers,
-            next_id: RequestId(1),
+            actions_taken: Vec::new(),
+            timers: BTreeSet::new(),
+            next_request: RequestId(1),
         };
-        let entries = workers.iter().map(|w| entry(w)).collect();
-        bench.event(Event::Endpoints {
+        let endpoints = workers.iter().map(|address| endpoint(address)).collect();
+        front_end.handle(Event::Endpoints {
             update: EndpointUpdate::Cached,
-            endpoints: entries,
+            endpoints,
         });
-        bench
+        front_end
     }
 
-    /// Hands over one event; what comes of it is returned and kept.
-    pub(crate) fn event(&mut self, event: Event) -> Vec<Action> {
+    /// Handles one event: the actions that come of it.
+    pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.front.handle(self.now, event, &mut actions);
-        self.timers.extend(actions.iter().filter_map(|a| match a {
-            Action::SetTimer { after, token } => Some((self.now + after, *token)),
-            _ => None,
-        }));
-        self.did
-            .extend(actions.iter().map(|a| (self.now, a.clone())));
+        self.module.handle(self.now, event, &mut actions);
+        for action in &actions {
+            if let Action::SetTimer { after, token } = action {
+                self.timers.insert(Timer {
+                    due: self.now + after,
+                    token: *token,
+                });
+            }
+            self.actions_taken.push(TimedAction {
+                at: self.now,
+                action: action.clone(),
+            });
+        }
         actions
     }
 
-    pub(crate) fn changes(&mut self, entries: Vec<Endpoint>) -> Vec<Action> {
-        self.event(Event::Endpoints {
+    pub(crate) fn update_endpoints(&mut self, endpoints: Vec<Endpoint>) -> Vec<Action> {
+        self.handle(Event::Endpoints {
             update: EndpointUpdate::Delta,
-            endpoints: entries,
+            endpoints,
         })
     }
 
-    /// A call of a function with four lanes and a load of 500 ms.
-    pub(crate) fn call(&mut self, function: u64) -> (RequestId, Vec<Action>) {
-        self.call_with(Request {
+    /// Has a request arrive; its function has a concurrency of four and loads in 500 ms.
+    pub(crate) fn request(&mut self, function: u64) -> (RequestId, Vec<Action>) {
+        self.request_with(Request {
             function: FunctionId(function),
             replica_concurrency: 4,
             memory_mb: 100.0,
@@ -120,70 +180,80 @@
         })
     }
 
-    pub(crate) fn call_with(&mut self, request: Request) -> (RequestId, Vec<Action>) {
-        let id = self.next_id;
-        self.next_id.0 += 1;
-        let actions = self.event(Event::Arrived(Request { id, ..request }));
+    /// Has this request arrive, with a new id.
+    pub(crate) fn request_with(&mut self, request: Request) -> (RequestId, Vec<Action>) {
+        let id = self.next_request;
+        self.next_request.0 += 1;
+        let actions = self.handle(Event::Arrived(Request { id, ..request }));
         (id, actions)
     }
 
-    pub(crate) fn finish(
+    /// Ends an attempt after 50 ms; a loaded replica served it, if one did.
+    pub(crate) fn finish_attempt(
         &mut self,
-        id: RequestId,
-        attempt: u32,
+        request: RequestId,
+        number: u32,
+        worker: &WorkerId,
+        outcome: Outcome,
+    ) -> Vec<Action> {
+        self.finish_attempt_after(request, number, worker, outcome, 50 * MS)
+    }
+
+    /// Ends an attempt after this time; a loaded replica served it, if one did.
+    pub(crate) fn finish_attempt_after(
+        &mut self,
+        request: RequestId,
+        number: u32,
         worker: &WorkerId,
         outcome: Outcome,
+        elapsed: Time,
     ) -> Vec<Action> {
-        let note = Some(ReplicaStatus::Warm).filter(|_| outcome == Outcome::Served);
-        self.finish_noted(id, attempt, worker, outcome, 50 * MS, note)
+        let status = (outcome == Outcome::Served).then_some(ReplicaStatus::Warm);
+        self.finish_attempt_with(request, number, worker, outcome, elapsed, status)
     }
 
-    pub(crate) fn finish_noted(
+    /// Ends an attempt whose answer tells this of the replica.
+    pub(crate) fn finish_attempt_with(
         &mut self,
         request: RequestId,
-        attempt: u32,
+        number: u32,
         worker: &WorkerId,
         outcome: Outcome,
-        took: Time,
-        note: Option<ReplicaStatus>,
+        elapsed: Time,
+        replica_status: Option<ReplicaStatus>,
     ) -> Vec<Action> {
-        self.event(Event::AttemptFinished(AttemptFinished {
+        self.handle(Event::AttemptFinished(AttemptFinished {
             request,
-            attempt,
+            attempt: number,
             worker: worker.clone(),
             outcome,
-            elapsed: took,
+            elapsed,
             settled: outcome == Outcome::Served,
-            replica_status: note,
+            replica_status,
             function_concurrency: None,
             load_report: LoadReport::default(),
         }))
     }
 
-    /// Lets time pass, with every timer that falls due.
-    pub(crate) fn pass(&mut self, time: Time) -> Vec<Action> {
+    /// Lets time pass, with every timer that expires.
+    pub(crate) fn advance(&mut self, time: Time) -> Vec<Action> {
         let until = self.now + time;
         let mut all = Vec::new();
-        while let Some((due, token)) = self
-            .timers
-            .first()
-            .copied()
-            .filter(|(due, _)| *due <= until)
-        {
+        while let Some(timer) = self.timers.first().copied().filter(|t| t.due <= until) {
             self.timers.pop_first();
-            self.now = self.now.max(due);
-            all.extend(self.event(Event::Timer { token }));
+            self.now = self.now.max(timer.due);
+            all.extend(self.handle(Event::Timer { token: timer.token }));
         }
         self.now = until;
         all
     }
 
-    /// Answers every order to load given by these actions.
-    pub(crate) fn answer_orders(
+    /// Ends every load command among these actions.
+    pub(crate) fn finish_load_commands(
         &mut self,
         actions: &[Action],
         outcome: Outcome,
-        copies: u32,
+        replicas: u32,
     ) -> Vec<Action> {
         let mut all = Vec::new();
         for action in actions {
@@ -191,134 +261,155 @@
                 worker, function, ..
             } = action
             {
-                let (worker, function) = (worker.clone(), *function);
-                all.extend(self.event(Event::LoadFinished(LoadFinished {
-                    worker,
-                    function,
+                all.extend(self.handle(Event::LoadFinished(LoadFinished {
+                    worker: worker.clone(),
+                    function: *function,
                     outcome,
                     elapsed: 20 * MS,
-                    replicas: copies,
+                    replicas,
                 })));
             }
         }
         all
     }
 
-    /// Calls and answers a function so often that its home is known to be warm; tells the home.
-    pub(crate) fn warm(&mut self, function: u64) -> WorkerId {
-        let mut home = None;
-        for _ in 0..12 {
-            let (id, actions) = self.call(function);
-            let worker = sent_to(&actions).expect("a call of a known function is sent");
-            self.pass(50 * MS);
-            self.finish(id, 0, &worker, Outcome::Served);
-            home = Some(worker);
+    /// Serves requests for a function until its preferred worker is known to have it loaded: that worker.
+    pub(crate) fn warm_up(&mut self, function: u64) -> WorkerId {
+        let mut preferred = None;
+        for _ in 0..REQUESTS_TO_WARM_UP {
+            let (id, actions) = self.request(function);
+            let worker =
+                forwarded_to(&actions).expect("a request for a known function is forwarded");
+            self.advance(50 * MS);
+            self.finish_attempt(id, 0, &worker, Outcome::Served);
+            preferred = Some(worker);
+        }
+        preferred.expect("requests were made")
+    }
+
+    /// Requests a function at 20 a second; `answer` says how a worker answers, `None`: not at all.
+    pub(crate) fn run_requests(
+        &mut self,
+        function: u64,
+        requests: usize,
+        mut answer: impl FnMut(&WorkerId) -> Option<Outcome>,
+    ) -> Traffic {
+        let mut traffic = Traffic {
+            served: 0,
+            workers: Vec::new(),
+        };
+        let mut open = Vec::new();
+        for _ in 0..requests {
+            let (request, actions) = self.request(function);
+            let mut reactions = vec![Reaction {
+                request,
+                next_attempt: 0,
+                actions,
+            }];
+            reactions.extend(self.advance_and_cancel(&mut open));
+            while let Some(reaction) = reactions.pop() {
+                self.finish_load_commands(&reaction.actions, Outcome::Served, 1);
+                let Some(worker) = forwarded_to(&reaction.actions) else {
+                    continue;
+                };
+                traffic.workers.push(worker.clone());
+                let attempt = OpenAttempt {
+                    request: reaction.request,
+                    number: reaction.next_attempt,
+                    worker,
+                };
+                if let Some(outcome) = answer(&attempt.worker) {
+                    traffic.served += usize::from(outcome == Outcome::Served);
+                    reactions.push(self.end(attempt, outcome));
+                } else {
+                    open.push(attempt);
+                }
+            }
+        }
+        traffic
+    }
+
+    /// Advances the clock to the next request, and ends the open attempts that are cancelled meanwhile.
+    fn advance_and_cancel(&mut self, open: &mut Vec<OpenAttempt>) -> Vec<Reaction> {
+        let actions = self.advance(REQUEST_GAP);
+        let is_cancelled = |attempt: &OpenAttempt| {
+            let cancels = |action: &Action| matches!(action, Action::Cancel { request, .. } if *request == attempt.request);
+            actions.iter().any(cancels)
+        };
+        let (cancelled, still_open) = std::mem::take(open).into_iter().partition(is_cancelled);
+        *open = still_open;
+        let cancelled: Vec<OpenAttempt> = cancelled;
+        cancelled
+            .into_iter()
+            .map(|attempt| self.end(attempt, Outcome::Cancelled))
+            .collect()
+    }
+
+    fn end(&mut self, attempt: OpenAttempt, outcome: Outcome) -> Reaction {
+        let actions =
+            self.finish_attempt(attempt.request, attempt.number, &attempt.worker, outcome);
+        Reaction {
+            request: attempt.request,
+            next_attempt: attempt.number + 1,
+            actions,
         }
-        home.expect("twelve calls were made")
     }
 }
 
-pub(crate) fn sent_to(actions: &[Action]) -> Option<WorkerId> {
-    actions.iter().find_map(|a| match a {
+/// The worker that a request is forwarded to.
+pub(crate) fn forwarded_to(actions: &[Action]) -> Option<WorkerId> {
+    actions.iter().find_map(|action| match action {
         Action::Forward { worker, .. } => Some(worker.clone()),
         _ => None,
     })
 }
 
-pub(crate) fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
+pub(crate) fn is_rejected(actions: &[Action]) -> bool {
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Reject { .. }))
 }
 
-pub(crate) fn failed(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail { .. }))
+pub(crate) fn is_failed(actions: &[Action]) -> bool {
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Fail { .. }))
 }
 
-pub(crate) fn held(actions: &[Action]) -> Vec<WorkerId> {
+/// The workers that are to load a function.
+pub(crate) fn load_commands(actions: &[Action]) -> Vec<WorkerId> {
     actions
         .iter()
-        .filter_map(|a| match a {
+        .filter_map(|action| match action {
             Action::LoadFunction {
-                worker,
-                replicas: copies,
-                ..
-            } if *copies > 0 => Some(worker.clone()),
+                worker, replicas, ..
+            } if *replicas > 0 => Some(worker.clone()),
             _ => None,
         })
         .collect()
 }
 
-/// Calls a function at 20 a second; `answer` says how a worker answers. Tells how many were served.
-pub(crate) fn play(
-    b: &mut Bench,
-    function: u64,
-    calls: usize,
-    mut answer: impl FnMut(&WorkerId) -> Option<Outcome>,
-) -> (usize, Vec<WorkerId>) {
-    let (mut served, mut workers) = (0, Vec::new());
-    let mut open: Vec<(RequestId, u32, WorkerId)> = Vec::new();
-    for _ in 0..calls {
-        let (id, actions) = b.call(function);
-        let mut queue = vec![(id, 0, actions)];
-        let passed = b.pass(50 * MS);
-        for (id, attempt, worker) in std::mem::take(&mut open) {
-            let gone = passed
-                .iter()
-                .any(|a| matches!(a, Action::Cancel { request, .. } if *request == id));
-            if gone {
-                let actions = b.finish(id, attempt, &worker, Outcome::Cancelled);
-                queue.push((id, attempt + 1, actions));
-            } else {
-                open.push((id, attempt, worker));
-            }
-        }
-        while let Some((id, attempt, actions)) = queue.pop() {
-            b.answer_orders(&actions, Outcome::Served, 1);
-            let Some(worker) = sent_to(&actions) else {
-                continue;
-            };
-            workers.push(worker.clone());
-            match answer(&worker) {
-                Some(outcome) => {
-                    served += usize::from(outcome == Outcome::Served);
-                    let actions = b.finish(id, attempt, &worker, outcome);
-                    queue.push((id, attempt + 1, actions));
-                }
-                None => open.push((id, attempt, worker)),
-            }
-        }
-    }
-    (served, workers)
-}
-
-/// The workers of a small deployment.
-pub(crate) const THREE: [&str; 3] = ["w1", "w2", "w3"];
-
-/// Settings of a tier so large that own sends tell nothing of the queues.
-pub(crate) fn large_tier() -> Settings {
-    let mut s = settings(Idempotency::Idempotent);
-    s.front_ends = 100;
-    s.limits.load_polls = true;
-    s
-}
-
-/// The worker that is polled.
-pub(crate) fn probed(actions: &[Action]) -> Option<WorkerId> {
-    actions.iter().find_map(|a| match a {
+/// The worker that is polled for its load.
+pub(crate) fn polled_worker(actions: &[Action]) -> Option<WorkerId> {
+    actions.iter().find_map(|action| match action {
         Action::PollLoad { worker } => Some(worker.clone()),
         _ => None,
     })
 }
 
-/// A load report of a worker.
-pub(crate) fn report(worker: &WorkerId, held: Option<f64>, busy: Option<f64>) -> Event {
-    let load = LoadReport {
-        in_flight: held,
-        cpu_utilization: busy,
-        ..LoadReport::default()
-    };
+/// A worker's answer to a load poll.
+pub(crate) fn load_polled(
+    worker: &WorkerId,
+    in_flight: Option<f64>,
+    cpu_utilization: Option<f64>,
+) -> Event {
     Event::LoadPolled {
         worker: worker.clone(),
         answered: true,
-        report: load,
+        report: LoadReport {
+            in_flight,
+            cpu_utilization,
+            ..LoadReport::default()
+        },
     }
 }
--- a/crates/pipithub-policy/tests/fleet/main.rs
+++ b/crates/pipithub-policy/tests/fleet/main.rs
@@ -20,7 +20,7 @@
 };
 
 #[test]
-fn where_a_load_poll_is_expensive_no_call_of_a_large_fleet_waits_for_one() {
+fn expensive_load_polls_are_avoided_at_little_loss() {
     let run = |price: f64| -> Totals {
         let scenario = Scenario {
             utilization: 0.5,
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_function_that_fills_its_preferred_worker_has_several_and_none_is_overloaded() {
+fn popular_function_is_spread_where_workers_report_its_concurrency() {
     // Reports of others' calls lead to it; all else is alike.
     let run = |reported: bool| -> Totals {
         Simulation::run(SCENARIO, |s| {
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_preferred_worker_that_reports_high_load_is_left_to_fewer_front_ends_while_others_idle() {
+fn preferred_worker_that_reports_high_load_gets_fewer_requests() {
     // Functions share preferred workers by chance. What answers report of a worker's load lasts as long as the load.
     let run = |load_reports: bool| -> Totals {
         let scenario = Scenario {
@@ -91,7 +91,7 @@
 /// The operators hold a cold worker to the sum of all that it is sent: beyond the N calls of its budget only twice the
 /// root of N and two more are put down to chance, in a small fleet as in a large one.
 #[test]
-fn cold_workers_bear_what_all_front_ends_of_a_fleet_send_them_however_many_send() {
+fn warming_workers_survive_what_all_front_ends_together_send() {
     let slow_start = SlowStart {
         initial_weight: 0.2,
         window: 10_000 * MS,
--- a/crates/pipithub-policy/tests/fleet/simulation.rs
+++ b/crates/pipithub-policy/tests/fleet/simulation.rs
@@ -9,7 +9,7 @@
     Idempotency, LoadReport, Outcome, Request, RequestId, Settings, Time, WorkerId,
 };
 
-use crate::common::{MS, entry, settings};
+use crate::common::{MS, endpoint, settings};
 use crate::worker::{CORES, HeldCall, LOAD_TIME, RUN_TIME, Reception, SimulatedWorker};
 
 const START: Time = 1_000_000 * MS;
@@ -197,7 +197,7 @@
             load_reports: scenario.load_reports,
             settings,
             endpoints: (0..scenario.workers)
-                .map(|worker| (worker, entry(&worker_name(worker))))
+                .map(|worker| (worker, endpoint(&worker_name(worker))))
                 .collect(),
             cold_starts: BTreeMap::new(),
         };
@@ -399,7 +399,7 @@
         self.endpoints.remove(&old);
         let endpoint = Endpoint {
             started_at: Some(self.now),
-            ..entry(&worker_name(new))
+            ..endpoint(&worker_name(new))
         };
         self.endpoints.insert(new, endpoint);
         for front_end in 0..self.front_ends.len() {
@@ -417,11 +417,11 @@
     fn update_endpoints(&mut self, front_end: usize, old: usize, new: usize, started_at: Time) {
         let removed = Endpoint {
             state: EndpointState::Removed,
-            ..entry(&worker_name(old))
+            ..endpoint(&worker_name(old))
         };
         let added = Endpoint {
             started_at: Some(started_at),
-            ..entry(&worker_name(new))
+            ..endpoint(&worker_name(new))
         };
         let update = Event::Endpoints {
             update: EndpointUpdate::Delta,
--- /dev/null
+++ b/crates/pipithub-policy/tests/function_loading.rs
@@ -0,0 +1,356 @@
+//! Loads of functions: how many begin, what follows failures and a slow store, and what is loaded by command.
+
+mod common;
+
+use common::{
+    FrontEndHarness, MS, THREE, forwarded_to, large_fleet_settings, load_commands, settings,
+};
+use pipithub_policy::api::{
+    Action, Event, FunctionId, Idempotency, LoadReport, Outcome, ReplicaStatus, Request, RequestId,
+    Settings, Time, WorkerId,
+};
+
+#[test]
+fn requests_for_one_function_wait_for_one_load() {
+    let mut front_end = FrontEndHarness::new(
+        settings(Idempotency::Idempotent),
+        &["w1", "w2", "w3", "w4", "w5", "w6"],
+    );
+    let mut workers = std::collections::BTreeSet::new();
+    for _ in 0..60 {
+        workers.extend(forwarded_to(&front_end.request(1).1));
+        front_end.advance(10 * MS);
+    }
+    assert_eq!(workers.len(), 1, "all wait for one load: {workers:?}");
+}
+
+#[test]
+fn loads_of_functions_called_once_are_bounded() {
+    let mut front_end =
+        FrontEndHarness::new(settings(Idempotency::Idempotent), &["w1", "w2", "w3", "w4"]);
+    let sends = (0..200).filter(|f| {
+        front_end.advance(2 * MS);
+        forwarded_to(&front_end.request(1_000 + f).1).is_some()
+    });
+    let sends = sends.count();
+    assert!((1..200).contains(&sends), "{sends}");
+}
+
+#[test]
+fn missing_replica_is_loaded_by_one_command_where_requests_begin_no_loads() {
+    let mut settings = settings(Idempotency::Idempotent);
+    settings.loading.loads_on_request = false;
+    let mut front_end = FrontEndHarness::new(settings, &THREE);
+    let (id, actions) = front_end.request(1);
+    let preferred = forwarded_to(&actions).expect("presumed at its preferred worker");
+    let after = front_end.finish_attempt(id, 0, &preferred, Outcome::NotLoaded);
+    let at = load_commands(&after);
+    assert_eq!(at.len(), 1, "one command");
+    assert!(forwarded_to(&after).is_none(), "the request waits for it");
+    front_end.advance(300 * MS);
+    let after = front_end.finish_load_commands(&after, Outcome::Served, 1);
+    assert_eq!(forwarded_to(&after).as_ref(), Some(&at[0]));
+}
+
+#[test]
+fn request_with_little_time_is_not_forwarded_speculatively() {
+    for (timeout, speculates) in [(4_000 * MS, true), (700 * MS, false)] {
+        let mut settings = large_fleet_settings();
+        settings.limits.load_polls = false;
+        settings.loading.load_commands = false;
+        let mut front_end = FrontEndHarness::new(settings, &THREE);
+        let preferred = front_end.warm_up(1);
+        // The preferred worker rejects: the other front ends have moved on to the next one and loaded it there.
+        let call = Request {
+            function: FunctionId(1),
+            replica_concurrency: 4,
+            load_time: Some(2_000 * MS),
+            timeout: Some(timeout),
+            ..Request::default()
+        };
+        let mut sent = 0;
+        for _ in 0..20 {
+            let (id, actions) = front_end.request_with(call.clone());
+            let Some(worker) = forwarded_to(&actions) else {
+                continue;
+            };
+            let after = front_end.finish_attempt(
+                id,
+                0,
+                &worker,
+                if worker == preferred {
+                    Outcome::Rejected
+                } else {
+                    Outcome::Served
+                },
+            );
+            if let Some(next) = forwarded_to(&after) {
+                sent += 1;
+                front_end.finish_attempt(id, 1, &next, Outcome::Served);
+                break;
+            }
+        }
+        assert_eq!(sent > 0, speculates, "with {} ms left", timeout / MS);
+    }
+}
+
+/// Where the store rejects fetches, each request would go on to the next worker and begin the next load there.
+#[test]
+fn loads_pause_after_failures_and_resume_later() {
+    for outcome in [Outcome::Error, Outcome::NotLoaded] {
+        let names: Vec<String> = (0..20).map(|i| format!("w{i}")).collect();
+        let names: Vec<&str> = names.iter().map(String::as_str).collect();
+        let mut front_end = FrontEndHarness::new(
+            Settings {
+                front_ends: 20,
+                ..settings(Idempotency::Idempotent)
+            },
+            &names,
+        );
+        let preferred = front_end.warm_up(1);
+        let sends = |front_end: &mut FrontEndHarness, calls: u64, works: bool| {
+            let mut sends = 0;
+            for function in 0..calls {
+                let (id, mut actions) = front_end.request(100 + front_end.now / MS + function);
+                let mut attempt = 0;
+                while let Some(worker) = forwarded_to(&actions) {
+                    sends += 1;
+                    let (outcome, note) = if works {
+                        (Outcome::Served, ReplicaStatus::LoadStarted)
+                    } else {
+                        (outcome, ReplicaStatus::LoadFailed)
+                    };
+                    actions = front_end.finish_attempt_with(
+                        id,
+                        attempt,
+                        &worker,
+                        outcome,
+                        40 * MS,
+                        Some(note),
+                    );
+                    attempt += 1;
+                }
+            }
+            sends
+        };
+        assert!(
+            sends(&mut front_end, 20, false) < 30,
+            "{outcome:?}: loads are begun at a store that fails"
+        );
+        let (id, actions) = front_end.request(1);
+        assert_eq!(
+            forwarded_to(&actions).as_ref(),
+            Some(&preferred),
+            "a loaded replica goes on serving"
+        );
+        front_end.finish_attempt(id, 0, &preferred, Outcome::Served);
+        front_end.advance(5_000 * MS);
+        assert!(
+            sends(&mut front_end, 5, true) >= 5,
+            "{outcome:?}: loads resume"
+        );
+    }
+}
+
+/// No request may begin a load that takes longer than any client waits: only a command loads the function elsewhere.
+#[test]
+fn function_that_loads_longer_than_clients_wait_is_spread_by_command() {
+    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &["w1", "w2"]);
+    let preferred = front_end.warm_up(1);
+    let mut commands = Vec::new();
+    for _ in 0..60 {
+        let (_, actions) = front_end.request_with(Request {
+            function: FunctionId(1),
+            replica_concurrency: 4,
+            memory_mb: 100.0,
+            load_time: Some(6_000 * MS),
+            timeout: Some(4_000 * MS),
+            ..Request::default()
+        });
+        let sent = forwarded_to(&actions);
+        assert!(
+            sent.is_none_or(|w| w == preferred),
+            "a request is forwarded into a load that it cannot wait for"
+        );
+        commands.extend(load_commands(&actions));
+    }
+    assert_eq!(
+        commands.len(),
+        1,
+        "one command, for the other worker: {commands:?}"
+    );
+    assert_ne!(commands[0], preferred);
+}
+
+/// Functions that prefer this worker, from this number on.
+fn functions_preferring(
+    workers: &[&str],
+    preferred: &WorkerId,
+    from: u64,
+    count: usize,
+) -> Vec<u64> {
+    let preferred_by = |function: &u64| {
+        forwarded_to(
+            &FrontEndHarness::new(settings(Idempotency::Idempotent), workers)
+                .request(*function)
+                .1,
+        )
+    };
+    (from..)
+        .filter(|f| preferred_by(f).as_ref() == Some(preferred))
+        .take(count)
+        .collect()
+}
+
+/// Connections to the worker fail, so that it is ejected.
+fn eject(front_end: &mut FrontEndHarness, worker: &WorkerId, functions: &[u64]) {
+    for function in functions {
+        let (id, actions) = front_end.request(*function);
+        assert_eq!(forwarded_to(&actions).as_ref(), Some(worker));
+        front_end.finish_attempt(id, 0, worker, Outcome::Unreachable);
+    }
+}
+
+#[test]
+fn functions_of_ejected_worker_begin_limited_number_of_loads_elsewhere() {
+    let preferred = WorkerId::new("w1");
+    let functions = functions_preferring(&THREE, &preferred, 1, 40);
+    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE);
+    eject(&mut front_end, &preferred, &functions[..2]);
+    let sent = functions[2..]
+        .iter()
+        .filter(|f| forwarded_to(&front_end.request(**f).1).is_some())
+        .count();
+    assert!(
+        (6..=12).contains(&sent),
+        "at most four for each worker: {sent}"
+    );
+}
+
+#[test]
+fn requests_stuck_at_ejected_worker_do_not_block_other_loads() {
+    let preferred = WorkerId::new("w1");
+    let functions = functions_preferring(&THREE, &preferred, 1, 20);
+    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE);
+    // As many loads as are allowed are stuck there when it is ejected.
+    for function in &functions[..14] {
+        front_end.request(*function);
+    }
+    front_end.advance(700 * MS);
+    for id in 1..=2 {
+        front_end.finish_attempt(RequestId(id), 0, &preferred, Outcome::Unreachable);
+    }
+    let (_, actions) = front_end.request(functions[16]);
+    assert!(
+        forwarded_to(&actions).is_some_and(|w| w != preferred),
+        "loaded at a remaining worker"
+    );
+}
+
+/// A worker adds one replica at a time, however many requests wait for it: counted each, they would block all other loads.
+#[test]
+fn requests_waiting_for_further_replica_count_as_one_load() {
+    let mut settings = settings(Idempotency::Idempotent);
+    (settings.loading.reports_concurrency, settings.front_ends) = (true, 2);
+    let mut front_end = FrontEndHarness::new(settings, &THREE);
+    let ejected = WorkerId::new("w1");
+    let functions = functions_preferring(&THREE, &ejected, 100, 3);
+    let others = ["w2", "w3"].map(|w| functions_preferring(&THREE, &WorkerId::new(w), 1, 1)[0]);
+    for function in others {
+        front_end.warm_up(function);
+    }
+    let busy = |front_end: &mut FrontEndHarness, function| {
+        let call = Request {
+            function: FunctionId(function),
+            replica_concurrency: 1,
+            ..Request::default()
+        };
+        forwarded_to(&front_end.request_with(call).1).is_some_and(|w| w != ejected)
+    };
+    let waiting = (0..20)
+        .flat_map(|_| others)
+        .filter(|f| busy(&mut front_end, *f))
+        .count();
+    assert!(
+        waiting >= 9,
+        "more requests wait than the six loads that are allowed: {waiting}"
+    );
+    eject(&mut front_end, &ejected, &functions[..2]);
+    assert!(
+        forwarded_to(&front_end.request(functions[2]).1).is_some_and(|w| w != ejected),
+        "loaded at a remaining worker"
+    );
+}
+
+#[test]
+fn slow_store_lowers_number_of_concurrent_loads() {
+    let preferred = WorkerId::new("w1");
+    let functions = functions_preferring(&THREE, &preferred, 1, 40);
+    let sent = |took: Time| {
+        let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE);
+        for function in 1_000..1_010 {
+            let (id, actions) = front_end.request(function);
+            let worker = forwarded_to(&actions).expect("it is forwarded");
+            front_end.finish_attempt_with(
+                id,
+                0,
+                &worker,
+                Outcome::Served,
+                took,
+                Some(ReplicaStatus::LoadStarted),
+            );
+        }
+        eject(&mut front_end, &preferred, &functions[..2]);
+        functions[2..]
+            .iter()
+            .filter(|f| forwarded_to(&front_end.request(**f).1).is_some())
+            .count()
+    };
+    // Requests state a load time of 500 ms.
+    let (usual, slow) = (sent(550 * MS), sent(2_050 * MS));
+    assert!(slow >= 1 && slow * 2 <= usual, "{slow} beside {usual}");
+}
+
+/// A request that is forwarded while its function loads by command has no predicted finish.
+#[test]
+fn request_waiting_for_load_command_is_never_overdue() {
+    let mut settings = settings(Idempotency::Idempotent);
+    settings.front_ends = 9;
+    settings.loading.loads_on_request = false;
+    let mut front_end = FrontEndHarness::new(settings, &["w1"]);
+    let worker = WorkerId::new("w1");
+    let (id, actions) = front_end.request(7);
+    assert!(
+        forwarded_to(&actions).is_some(),
+        "presumed at its preferred worker"
+    );
+    let actions = front_end.finish_attempt(id, 0, &worker, Outcome::NotLoaded);
+    assert!(
+        actions
+            .iter()
+            .any(|a| matches!(a, Action::LoadFunction { .. })),
+        "loaded there by command: {actions:?}"
+    );
+    // The worker reports busy cores: it is second choice, and there is no other.
+    let load = LoadReport {
+        cpu_utilization: Some(1.0),
+        in_flight: Some(1.0),
+        ..LoadReport::default()
+    };
+    front_end.handle(Event::LoadPolled {
+        worker: worker.clone(),
+        answered: true,
+        report: load,
+    });
+    for _ in 0..3 {
+        let (_, actions) = front_end.request(7);
+        assert!(
+            forwarded_to(&actions).is_some(),
+            "forwarded to wait for the load: {actions:?}"
+        );
+    }
+    // Maintenance must neither overflow nor take the worker for silent and cancel what is there.
+    let actions = front_end.advance(120 * MS);
+    let cancel = actions.iter().find(|a| matches!(a, Action::Cancel { .. }));
+    assert_eq!(cancel, None, "no answer was due yet");
+}
--- a/crates/pipithub-policy/tests/memory.rs
+++ b/crates/pipithub-policy/tests/memory.rs
@@ -4,7 +4,7 @@
 mod simulated_fleet;
 
 use allocation_counter::measure;
-use common::{Bench, THREE, entry, sent_to, settings};
+use common::{FrontEndHarness, THREE, endpoint, forwarded_to, settings};
 use pipithub_policy::FrontEnd;
 use pipithub_policy::api::{Endpoint, EndpointState, Idempotency, Outcome};
 use simulated_fleet::{MS, Scenario, SimulatedFleet};
@@ -71,23 +71,23 @@
 
 #[test]
 fn state_stays_bounded_while_functions_and_workers_come_and_go() {
-    let mut bench = Bench::new(settings(Idempotency::Idempotent), &THREE);
+    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE);
     let mut sizes = Vec::new();
     for round in 0..30u64 {
         for function in 0..200u64 {
-            let (id, actions) = bench.call(round * 1_000 + function);
-            bench.pass(50 * MS);
-            if let Some(worker) = sent_to(&actions) {
-                bench.finish(id, 0, &worker, Outcome::Served);
+            let (id, actions) = front_end.request(round * 1_000 + function);
+            front_end.advance(50 * MS);
+            if let Some(worker) = forwarded_to(&actions) {
+                front_end.finish_attempt(id, 0, &worker, Outcome::Served);
             }
         }
         let name = format!("n{round}");
-        bench.changes(vec![entry(&name)]);
-        bench.changes(vec![Endpoint {
+        front_end.update_endpoints(vec![endpoint(&name)]);
+        front_end.update_endpoints(vec![Endpoint {
             state: EndpointState::Removed,
-            ..entry(&name)
+            ..endpoint(&name)
         }]);
-        sizes.push(format!("{:?}", bench.front).len());
+        sizes.push(format!("{:?}", front_end.module).len());
     }
     assert!(
         sizes[29] < sizes[9] * 3 / 2,
--- /dev/null
+++ b/crates/pipithub-policy/tests/preferred_workers.rs
@@ -0,0 +1,196 @@
+//! The preferred worker of a function: the same at all front ends, evenly distributed, and moved little by workers that
+//! are added or removed, also in fleets larger than the order that is looked at.
+
+mod common;
+
+use std::collections::BTreeMap;
+
+use common::{FrontEndHarness, MS, forwarded_to, settings};
+use pipithub_policy::FrontEnd;
+use pipithub_policy::api::{
+    Action, AttemptFinished, Class, Endpoint, EndpointState, EndpointUpdate, Event, FunctionId,
+    Idempotency, LoadReport, Outcome, Request, RequestId, Settings, Time, WorkerId,
+};
+
+const WORKERS: u64 = 3_000;
+const FUNCTIONS: u64 = 9_000;
+
+fn name(n: u64) -> WorkerId {
+    WorkerId::new(&format!(
+        "10.{}.{}.{}:8080",
+        n / 65_536,
+        n / 256 % 256,
+        n % 256
+    ))
+}
+
+fn delta(workers: impl Iterator<Item = u64>, state: EndpointState) -> Event {
+    let endpoint = |n| Endpoint {
+        worker: name(n),
+        state,
+        ..Endpoint::default()
+    };
+    Event::Endpoints {
+        update: EndpointUpdate::Delta,
+        endpoints: workers.map(endpoint).collect(),
+    }
+}
+
+/// A front end that is asked for preferred workers.
+struct PreferenceProbe {
+    front_end: FrontEnd,
+    now: Time,
+    requests: u64,
+}
+
+impl PreferenceProbe {
+    fn new(seed: u64, workers: impl Iterator<Item = u64>) -> PreferenceProbe {
+        let settings = Settings {
+            front_ends: 2,
+            classes: vec![Class::default()],
+            ..Settings::default()
+        };
+        let mut probe = PreferenceProbe {
+            front_end: FrontEnd::new(settings, seed),
+            now: MS,
+            requests: 0,
+        };
+        probe.handle(delta(workers, EndpointState::Ready));
+        probe
+    }
+
+    fn handle(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.front_end.handle(self.now, event, &mut actions);
+        actions
+    }
+
+    /// Where a function is forwarded that nobody requested before: its preferred worker.
+    fn preferred(&mut self, function: u64) -> WorkerId {
+        self.requests += 1;
+        self.now += MS;
+        let id = self.requests;
+        let request = Request {
+            id: RequestId(id),
+            function: FunctionId(function),
+            replica_concurrency: 1,
+            ..Request::default()
+        };
+        let actions = self.handle(Event::Arrived(request));
+        let forwarded = actions.iter().find_map(|a| match a {
+            Action::Forward { worker, .. } => Some(worker.clone()),
+            _ => None,
+        });
+        let worker = forwarded.expect("an idle fleet accepts the request");
+        // It leaves nothing in flight that the next request would meet.
+        self.handle(Event::AttemptFinished(AttemptFinished {
+            request: RequestId(id),
+            attempt: 0,
+            worker: worker.clone(),
+            outcome: Outcome::NotLoaded,
+            elapsed: MS,
+            settled: true,
+            replica_status: None,
+            function_concurrency: None,
+            load_report: LoadReport::default(),
+        }));
+        worker
+    }
+
+    fn all_preferred(&mut self) -> BTreeMap<u64, WorkerId> {
+        (0..FUNCTIONS)
+            .map(|f| (f, self.preferred(f * 7_919 + 1)))
+            .collect()
+    }
+}
+
+fn moved(before: &BTreeMap<u64, WorkerId>, after: &BTreeMap<u64, WorkerId>) -> usize {
+    before
+        .iter()
+        .filter(|(function, worker)| after[function] != **worker)
+        .count()
+}
+
+#[test]
+fn preferred_workers_depend_neither_on_front_end_nor_on_order_of_endpoints() {
+    let one = PreferenceProbe::new(1, 0..WORKERS).all_preferred();
+    let other = PreferenceProbe::new(2, (0..WORKERS).rev()).all_preferred();
+    assert_eq!(one, other);
+}
+
+#[test]
+fn added_and_removed_workers_move_few_functions() {
+    let before = PreferenceProbe::new(1, 0..WORKERS).all_preferred();
+    // Some of them at once, so that the share is more than chance.
+    let few = 60;
+    let more = PreferenceProbe::new(1, 0..WORKERS + few).all_preferred();
+    let less = {
+        let mut probe = PreferenceProbe::new(1, 0..WORKERS);
+        probe.handle(delta(0..few, EndpointState::Removed));
+        probe.all_preferred()
+    };
+    let share = (FUNCTIONS * few / WORKERS) as usize;
+    for after in [more, less] {
+        let moved = moved(&before, &after);
+        assert!(
+            moved >= share / 2,
+            "{moved} of {share}: a removed worker is preferred by nobody"
+        );
+        // What it gains or had, and as much again where the end of an order slides by one.
+        assert!(moved <= share * 5 / 2, "{moved} of {share}");
+    }
+}
+
+#[test]
+fn preferred_workers_are_evenly_distributed() {
+    let preferred = PreferenceProbe::new(1, 0..WORKERS).all_preferred();
+    let mut counts: BTreeMap<&WorkerId, u64> = BTreeMap::new();
+    preferred
+        .values()
+        .for_each(|worker| *counts.entry(worker).or_default() += 1);
+    let mean = FUNCTIONS as f64 / WORKERS as f64;
+    // As by chance: three functions a worker, so one in twenty has none, and hardly one has four times the mean.
+    let none = 1.0 - counts.len() as f64 / WORKERS as f64;
+    assert!(
+        (0.03..0.08).contains(&none),
+        "{none} preferred by no function"
+    );
+    let most = *counts.values().max().unwrap() as f64;
+    assert!(most <= 5.0 * mean, "{most}");
+    // The variance of a fair draw is its mean.
+    let all = (0..WORKERS).map(|n| counts.get(&name(n)).copied().unwrap_or(0) as f64);
+    let variance = all.map(|c| (c - mean).powi(2)).sum::<f64>() / WORKERS as f64;
+    assert!(variance < 1.3 * mean, "{variance} of {mean}");
+}
+
+#[test]
+fn preferred_worker_is_the_same_at_all_front_ends_and_stable_under_churn() {
+    let preferred_of = |workers: &[&str], front_ends: u32| -> Vec<WorkerId> {
+        let mut settings = settings(Idempotency::Idempotent);
+        settings.front_ends = front_ends;
+        let mut front_end = FrontEndHarness::new(settings, workers);
+        let mut one = |function| {
+            let (id, actions) = front_end.request(function);
+            let worker = forwarded_to(&actions)?;
+            front_end.advance(20 * MS);
+            front_end.finish_attempt(id, 0, &worker, Outcome::Served);
+            Some(worker)
+        };
+        (0..200).filter_map(&mut one).collect()
+    };
+    let before = preferred_of(&["w1", "w2", "w3", "w4", "w5"], 1);
+    assert_eq!(before.len(), 200);
+    assert_eq!(before, preferred_of(&["w5", "w3", "w1", "w2", "w4"], 3));
+    let after = preferred_of(&["w1", "w2", "w3", "w4"], 1);
+    let moved = before
+        .iter()
+        .zip(&after)
+        .filter(|(before, after)| before != after)
+        .count();
+    let lost = before.iter().filter(|w| **w == WorkerId::new("w5")).count();
+    assert_eq!(moved, lost, "only what preferred the lost worker moves");
+    assert!(
+        (20..=60).contains(&lost),
+        "each worker is preferred by its part: {lost}"
+    );
+}
--- a/crates/pipithub-policy/tests/slow_start/fleet.rs
+++ b/crates/pipithub-policy/tests/slow_start/fleet.rs
@@ -12,7 +12,7 @@
 use rand::{RngExt, SeedableRng};
 
 use crate::SECOND;
-use crate::common::{self, MS, entry, settings};
+use crate::common::{self, MS, settings};
 use crate::scenario::{Scenario, Summary, max_survivable};
 
 /// Time between a start and the moment the last front end is notified of it.
@@ -111,7 +111,7 @@
     Endpoint {
         started_at: started,
         weight: size,
-        ..entry(&worker.0)
+        ..common::endpoint(&worker.0)
     }
 }
 
@@ -147,7 +147,7 @@
             Event::Arrived(call),
             &mut actions,
         );
-        let worker = common::sent_to(&actions).expect("a probeing call is sent");
+        let worker = common::forwarded_to(&actions).expect("a request is forwarded");
         let answer = AttemptFinished {
             request: RequestId(number),
             attempt: 0,
--- a/crates/pipithub-policy/tests/zones.rs
+++ b/crates/pipithub-policy/tests/zones.rs
@@ -1,13 +1,13 @@
-//! Zones that are silent, and the zone of a front end itself.
+//! Zones that do not answer are ejected; the zone of a front end itself is preferred.
 
 mod common;
 
-use common::{Bench, MS, entry, large_tier, play, sent_to};
+use common::{FrontEndHarness, MS, endpoint, forwarded_to, large_fleet_settings};
 use pipithub_policy::api::{
     AttemptFinished, Endpoint, EndpointState, Event, LoadReport, Outcome, WorkerId,
 };
 
-/// The entries of twelve workers, every second one in a zone `b`, with the given state there.
+/// The endpoints of twelve workers, every second one in a zone `b`, with the given state there.
 fn zoned(state_far: EndpointState) -> Vec<Endpoint> {
     let one = |i: u32| {
         let (zone, state) = if i % 2 == 1 {
@@ -18,7 +18,7 @@
         Endpoint {
             zone: zone.into(),
             state,
-            ..entry(&format!("w{i}"))
+            ..endpoint(&format!("w{i}"))
         }
     };
     (0..12).map(one).collect()
@@ -30,36 +30,40 @@
 }
 
 /// A front end of a large tier in one of two zones.
-fn two_zones(zone: &str, tells_alike: bool) -> Bench {
-    let mut s = large_tier();
-    (s.limits.load_polls, s.loading.reports_concurrency, s.zone) =
-        (false, tells_alike, zone.to_string());
-    let mut b = Bench::new(s, &[]);
-    b.changes(zoned(EndpointState::Ready));
-    b
+fn two_zones(zone: &str, reports_concurrency: bool) -> FrontEndHarness {
+    let mut settings = large_fleet_settings();
+    (
+        settings.limits.load_polls,
+        settings.loading.reports_concurrency,
+        settings.zone,
+    ) = (false, reports_concurrency, zone.to_string());
+    let mut front_end = FrontEndHarness::new(settings, &[]);
+    front_end.update_endpoints(zoned(EndpointState::Ready));
+    front_end
 }
 
-/// Calls in a row of thirty functions; `answer` as in [`play`]. Tells the sends that `which` holds of.
-fn sent_where(
-    b: &mut Bench,
-    calls: u64,
-    which: fn(&WorkerId) -> bool,
-    answer: impl Fn(&WorkerId) -> Option<Outcome>,
+/// Requests of thirty functions in turn; `answer` as in [`FrontEndHarness::run_requests`]: the attempts at workers
+/// in zone `b`.
+fn attempts_in_far_zone(
+    front_end: &mut FrontEndHarness,
+    requests: u64,
+    mut answer: impl FnMut(&WorkerId) -> Option<Outcome>,
 ) -> usize {
-    play_many(b, calls, answer)
-        .1
-        .iter()
-        .filter(|w| which(w))
-        .count()
+    let mut workers = Vec::new();
+    for number in 0..requests {
+        let function = number % 30;
+        workers.extend(front_end.run_requests(function, 1, &mut answer).workers);
+    }
+    workers.iter().filter(|worker| far(worker)).count()
 }
 
 #[test]
-fn a_zone_whose_try_ends_without_word_is_tried_again() {
-    let mut b = two_zones("a", false);
-    sent_where(&mut b, 60, far, |_| Some(Outcome::Served));
-    sent_where(&mut b, 60, far, |w| (!far(w)).then_some(Outcome::Served));
-    // From here on no connection comes up there: no try is ever overdue.
-    let tries = sent_where(&mut b, 400, far, |w| {
+fn silent_zone_is_attempted_again_after_unreachable_attempts() {
+    let mut front_end = two_zones("a", false);
+    attempts_in_far_zone(&mut front_end, 60, |_| Some(Outcome::Served));
+    attempts_in_far_zone(&mut front_end, 60, |w| (!far(w)).then_some(Outcome::Served));
+    // From here on no connection is made there: no attempt is ever overdue.
+    let tries = attempts_in_far_zone(&mut front_end, 400, |w| {
         Some(if far(w) {
             Outcome::Unreachable
         } else {
@@ -68,84 +72,68 @@
     });
     assert!(
         (2..30).contains(&tries),
-        "some tries in 20 s, not each call: {tries}"
+        "some tries in 20 settings, not each call: {tries}"
     );
-    sent_where(&mut b, 160, far, |_| Some(Outcome::Served));
-    let back = sent_where(&mut b, 60, far, |_| Some(Outcome::Served));
+    attempts_in_far_zone(&mut front_end, 160, |_| Some(Outcome::Served));
+    let back = attempts_in_far_zone(&mut front_end, 60, |_| Some(Outcome::Served));
     assert!(back > 10, "the zone is used again once it answers: {back}");
 }
 
 #[test]
-fn a_zone_left_alone_that_is_all_there_is_is_used() {
-    let mut b = two_zones("a", false);
-    sent_where(&mut b, 60, far, |_| Some(Outcome::Served));
-    sent_where(&mut b, 60, far, |w| (!far(w)).then_some(Outcome::Served));
+fn ejected_zone_is_used_where_it_is_the_only_one() {
+    let mut front_end = two_zones("a", false);
+    attempts_in_far_zone(&mut front_end, 60, |_| Some(Outcome::Served));
+    attempts_in_far_zone(&mut front_end, 60, |w| (!far(w)).then_some(Outcome::Served));
     let gone = zoned(EndpointState::Ready)
         .into_iter()
         .filter(|e| !far(&e.worker));
-    b.changes(
+    front_end.update_endpoints(
         gone.map(|e| Endpoint {
             state: EndpointState::Removed,
             ..e
         })
         .collect(),
     );
-    b.pass(5_000 * MS);
-    let sent = sent_where(&mut b, 60, far, |_| Some(Outcome::Served));
-    assert!(sent > 50, "{sent} of 60 went to the zone that is left");
+    front_end.advance(5_000 * MS);
+    let sent = attempts_in_far_zone(&mut front_end, 60, |_| Some(Outcome::Served));
+    assert!(sent > 50, "{sent} of 60 went to the remaining zone");
 }
 
 #[test]
-fn in_a_large_tier_a_zone_that_says_nothing_is_left_and_found_again() {
-    let mut b = two_zones("a", false);
-    let sent_far = |b: &mut Bench, calls: u64, answers: bool| {
-        let (_, workers) = play_many(b, calls, |w| {
+fn silent_zone_is_ejected_and_returns_when_it_answers() {
+    let mut front_end = two_zones("a", false);
+    let attempts = |front_end: &mut FrontEndHarness, requests: u64, answers: bool| {
+        attempts_in_far_zone(front_end, requests, |w| {
             (answers || !far(w)).then_some(Outcome::Served)
-        });
-        workers.iter().filter(|w| far(w)).count()
+        })
     };
-    assert!(sent_far(&mut b, 60, true) > 15, "both zones are used");
-    let cut = sent_far(&mut b, 120, false);
     assert!(
-        cut < 15,
-        "{cut} of some 60 calls went to a zone that says nothing"
+        attempts(&mut front_end, 60, true) > 15,
+        "both zones are used"
     );
-    sent_far(&mut b, 160, true);
+    let cut = attempts(&mut front_end, 120, false);
+    assert!(cut < 15, "{cut} of some 60 requests went to a silent zone");
+    attempts(&mut front_end, 160, true);
     assert!(
-        sent_far(&mut b, 60, true) > 15,
+        attempts(&mut front_end, 60, true) > 15,
         "the zone is used again once it answers"
     );
 }
 
-/// As [`play`], each call of another function.
-fn play_many(
-    b: &mut Bench,
-    calls: u64,
-    mut answer: impl FnMut(&WorkerId) -> Option<Outcome>,
-) -> (usize, Vec<WorkerId>) {
-    let (mut served, mut workers) = (0, Vec::new());
-    for i in 0..calls {
-        let (some, met) = play(b, i % 30, 1, &mut answer);
-        served += some;
-        workers.extend(met);
-    }
-    (served, workers)
-}
-
 #[test]
-fn of_several_homes_a_front_end_of_a_large_tier_begins_at_one_in_its_zone() {
+fn front_end_prefers_replica_in_its_own_zone() {
     let near = |zone: &str| {
-        let mut b = two_zones(zone, true);
+        let mut front_end = two_zones(zone, true);
         let mut last_far = 0;
         for function in 0..20 {
             let mut last = None;
             for _ in 0..12 {
-                let (request, actions) = b.call(function);
-                let Some(worker) = sent_to(&actions) else {
+                let (request, actions) = front_end.request(function);
+                let Some(worker) = forwarded_to(&actions) else {
                     continue;
                 };
-                b.pass(50 * MS);
-                // Twelve calls of it stand there, as at each of its homes: lanes of three copies.
+                front_end.advance(50 * MS);
+                // It has twelve requests in flight there, as at each of its workers: the concurrency of three replicas.
                 let end = AttemptFinished {
                     request,
                     attempt: 0,
@@ -157,7 +145,7 @@
                     function_concurrency: Some(12),
                     load_report: LoadReport::default(),
                 };
-                b.event(Event::AttemptFinished(end));
+                front_end.handle(Event::AttemptFinished(end));
                 last = Some(worker);
             }
             last_far += usize::from(last.is_some_and(|w| far(&w)));
