--- a/crates/pipithub-policy/src/attempts.rs
+++ b/crates/pipithub-policy/src/attempts.rs
@@ -68,7 +68,7 @@
         let relies_on_load_reports = self.relies_on_load_reports();
         let load_failed = end.replica_status == Some(ReplicaStatus::LoadFailed);
         if load_failed || end.replica_status == Some(ReplicaStatus::LoadStarted) {
-            self.record_load_outcome(load_failed);
+            self.load_limiter.record_outcome(load_failed, now);
         }
         let mut worker = self.workers.get_mut(&end.worker)?;
         let attempt = worker.take_attempt(end, now)?;
@@ -79,7 +79,7 @@
         };
         if !end.outcome.never_ran() {
             let lost = lost_value(end, &attempt, &self.settings.classes[attempt.class], now);
-            self.mean_lost_value += RUN_TIME_GAIN * (lost - self.mean_lost_value);
+            self.load_polls.record_lost_value(lost);
         }
         if let Some(zone) = self.silent_zones.get_mut(&worker.endpoint.zone) {
             zone.record_probe(end.outcome, attempt.sent_at, now);
--- a/crates/pipithub-policy/src/front_end.rs
+++ b/crates/pipithub-policy/src/front_end.rs
@@ -5,17 +5,21 @@
 //! its own; the mechanism follows "Resource Provisioning and Allocation in Function-as-a-Service
 //! Edge-Clouds", as `docs/design.md` tells with what was changed and why.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
-use crate::api::{Action, Class, Event, FunctionId, RequestId, Settings, Time, WorkerId};
+use crate::api::{Action, Class, Event, FunctionId, RequestId, Settings, Time};
+use crate::ejection::Ejection;
 use crate::estimates::Estimates;
-use crate::hashing::mix;
-use crate::load_reports::{IN_FLIGHT_HALF_LIFE, POLL_TIMEOUT_TOKEN};
-use crate::maintenance::{MAINTENANCE_PERIOD, MAINTENANCE_TOKEN};
+use crate::load_limiter::LoadLimiter;
+use crate::load_polls::LoadPolls;
+use crate::load_reports::IN_FLIGHT_HALF_LIFE;
+use crate::maintenance::MAINTENANCE_PERIOD;
+use crate::rebalancing::Rebalancer;
 use crate::speculation::Speculation;
-use crate::state::{FunctionState, Health, PendingRequest};
+use crate::state::{FunctionState, PendingRequest};
 use crate::statistics::{EventTimes, RunningMean};
 use crate::time::{MAX_DURATION, MAX_TIME};
+use crate::timer::TimerToken;
 use crate::worker_table::WorkerTable;
 
 /// One front end.
@@ -27,29 +31,19 @@
     pub(crate) workers: WorkerTable,
     pub(crate) functions: BTreeMap<FunctionId, FunctionState>,
     pub(crate) pending: BTreeMap<RequestId, PendingRequest>,
-    /// Requests that wait for a load report, by worker; some may be over.
-    pub(crate) awaiting_load_report: BTreeMap<WorkerId, BTreeSet<RequestId>>,
     pub(crate) estimates: Estimates,
-    /// Health of the store that functions are loaded from.
-    pub(crate) store_health: Health,
-    /// Loads that failed since the last that was done.
-    pub(crate) consecutive_failed_loads: u32,
+    pub(crate) load_limiter: LoadLimiter,
+    pub(crate) load_polls: LoadPolls,
+    pub(crate) rebalancer: Rebalancer,
     /// Requests within the rate limit's window, and within the time over which answers are counted.
     pub(crate) arrivals: EventTimes,
-    /// Load commands within the rate limit's window.
-    pub(crate) load_commands: EventTimes,
-    pub(crate) next_rebalancing_at: Time,
-    /// Replicas that may be replaced now; a fraction is carried over.
-    pub(crate) rebalancing_allowance: f64,
     /// Requests that a warm worker serves this front end, for each nanosecond.
     pub(crate) warm_rate: f64,
     /// Its mean over a longer time.
     pub(crate) mean_warm_rate: RunningMean,
     pub(crate) speculation: Speculation,
     /// Zones that do not respond.
-    pub(crate) silent_zones: BTreeMap<String, Health>,
-    /// Mean share of their value that attempts lost: answered late, in error or not at all.
-    pub(crate) mean_lost_value: f64,
+    pub(crate) silent_zones: BTreeMap<String, Ejection>,
 }
 
 impl FrontEnd {
@@ -59,6 +53,7 @@
         FrontEnd {
             workers: WorkerTable::new(IN_FLIGHT_HALF_LIFE),
             estimates: Estimates::new(settings.classes.len()),
+            rebalancer: Rebalancer::new(settings.loading.keep_alive),
             settings,
             seed,
             ..FrontEnd::default()
@@ -68,7 +63,7 @@
     /// Takes one event and appends what to do about it.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now.min(MAX_TIME));
-        if self.next_rebalancing_at == 0 {
+        if !self.rebalancer.is_started() {
             self.start(actions);
         }
         match event {
@@ -94,25 +89,21 @@
         }
     }
 
-    /// Starts the timers at the first event; the first rebalancing is drawn, so that front ends
-    /// that start together do not rebalance together.
+    /// Starts the timers and the watch of the endpoint list, at the first event.
     fn start(&mut self, actions: &mut Vec<Action>) {
-        let half_interval = self.rebalancing_interval() / 2;
-        self.next_rebalancing_at = self.now + half_interval + mix(self.seed) % half_interval;
+        self.rebalancer.start(self.seed, self.now);
         actions.push(Action::SetTimer {
             after: MAINTENANCE_PERIOD,
-            token: MAINTENANCE_TOKEN,
+            token: TimerToken::Maintenance.into(),
         });
         self.watch_endpoints(actions);
     }
 
     fn handle_timer(&mut self, token: u64, actions: &mut Vec<Action>) {
-        if token == MAINTENANCE_TOKEN {
-            self.run_maintenance(actions);
-        } else if token & POLL_TIMEOUT_TOKEN > 0 {
-            self.expire_poll(RequestId(token & !POLL_TIMEOUT_TOKEN), actions);
-        } else {
-            self.expire_request(RequestId(token), actions);
+        match TimerToken::from(token) {
+            TimerToken::Maintenance => self.run_maintenance(actions),
+            TimerToken::PollTimeout(request) => self.expire_poll(request, actions),
+            TimerToken::RequestTimeout(request) => self.expire_request(request, actions),
         }
     }
 }
--- a/crates/pipithub-policy/src/function_loading.rs
+++ b/crates/pipithub-policy/src/function_loading.rs
@@ -13,11 +13,6 @@
 use crate::state::{Attempt, WorkerState};
 use crate::time::MAX_DURATION;
 
-/// Loads that may be under way for each worker: with one, a lost zone's functions came back too
-/// slowly.
-const MAX_LOADS_PER_WORKER: usize = 4;
-/// Loads that this front end may have under way however few workers there are.
-const MIN_LOAD_LIMIT: usize = 2;
 /// The share of a worker's memory that believed replicas fill before a further one evicts: others
 /// run too.
 const MAX_MEMORY_SHARE: f64 = 0.5;
@@ -100,21 +95,6 @@
         loads
     }
 
-    /// Whether one more load may begin: some for each of this front end's part of the workers, the
-    /// fewer, the slower the store is.
-    pub(crate) fn may_begin_load(&self, loads: &LoadsInProgress) -> bool {
-        let limit = (MAX_LOADS_PER_WORKER * self.workers.ready_count())
-            .div_ceil(self.settings.front_ends as usize)
-            .max(MIN_LOAD_LIMIT);
-        self.store_is_available()
-            && loads.count as f64 * self.load_slowdown().max(1.0) < limit as f64
-    }
-
-    /// Whether loads may begin as far as the store is concerned.
-    pub(crate) fn store_is_available(&self) -> bool {
-        self.now >= self.store_health.ejected_until
-    }
-
     /// Whether a further replica should fit beside those believed there: in a shared order a front
     /// end's own beliefs tell most.
     pub(crate) fn has_memory_for(&self, worker: &WorkerState, function: FunctionId) -> bool {
@@ -146,8 +126,10 @@
         let now = self.now;
         if !self.settings.loading.load_commands
             || !self.functions.contains_key(&function)
-            || !self.store_is_available()
-            || !self.load_rate_allows()
+            || !self.load_limiter.store_is_available(now)
+            || !self
+                .load_limiter
+                .rate_allows(&self.settings, &self.arrivals, now)
         {
             return false;
         }
@@ -167,7 +149,7 @@
         }
         replicas.last_used_at = now;
         worker.may_have_load_commands = true;
-        self.load_commands.push(now);
+        self.load_limiter.record_command(now);
         actions.push(Action::LoadFunction {
             worker: worker_id.clone(),
             function,
@@ -176,29 +158,12 @@
         true
     }
 
-    /// Whether the rate limit leaves room for a load command; two ticks of slack, as the clocks may
-    /// differ.
-    fn load_rate_allows(&self) -> bool {
-        let Some(limit) = &self.settings.loading.rate_limit else {
-            return true;
-        };
-        let slack = 2 * self.settings.tick;
-        let commands = self
-            .load_commands
-            .since(self.now.saturating_sub(limit.window + slack));
-        let arrivals = self
-            .arrivals
-            .since((self.now + slack + 1).saturating_sub(limit.window));
-        let is_exceeded = commands as f64 + 1.0 > limit.burst + limit.per_request * arrivals as f64;
-        !is_exceeded
-    }
-
     /// Takes the reply to a load command; requests that waited for it are routed again.
     pub(crate) fn finish_load(&mut self, reply: &LoadFinished, actions: &mut Vec<Action>) {
         let elapsed = reply.elapsed.min(MAX_DURATION) as f64;
         let run_time = self.expected_run_time(reply.function, 0);
         if reply.outcome == Outcome::Error {
-            self.record_load_outcome(true);
+            self.load_limiter.record_outcome(true, self.now);
         }
         let is_loaded = self.record_load_reply(reply);
         // A reply within a run's time met a replica that was there already.
@@ -252,23 +217,4 @@
         }
         false
     }
-
-    /// Takes in a load that was done or failed.
-    ///
-    /// Where loads fail, each further one, a retry of the same request above all, keeps the store
-    /// overloaded: none is begun for a while, longer each time. It holds for a store that rejects
-    /// requests, is down or has lost a function; one failure means nothing. The price: what is
-    /// rarely requested is rejected meanwhile, though a load might have come through.
-    pub(crate) fn record_load_outcome(&mut self, failed: bool) {
-        if failed {
-            self.consecutive_failed_loads += 1;
-        } else {
-            self.consecutive_failed_loads = 0;
-            let errors = &mut self.store_health.consecutive_errors;
-            *errors = errors.saturating_sub(1);
-        }
-        if self.consecutive_failed_loads >= MAX_CONSECUTIVE_FAILURES && self.store_is_available() {
-            self.store_health.eject(self.now);
-        }
-    }
 }
--- a/crates/pipithub-policy/src/lib.rs
+++ b/crates/pipithub-policy/src/lib.rs
@@ -33,11 +33,14 @@
 pub mod work;
 
 mod attempts;
+mod ejection;
 mod endpoints;
 mod estimates;
 mod front_end;
 mod function_loading;
 mod hashing;
+mod load_limiter;
+mod load_polls;
 mod load_reports;
 mod maintenance;
 mod outlier;
@@ -51,6 +54,7 @@
 mod state;
 mod statistics;
 mod time;
+mod timer;
 mod worker_table;
 
 pub use front_end::FrontEnd;
--- /dev/null
+++ b/crates/pipithub-policy/src/load_polls.rs
@@ -0,0 +1,145 @@
+//! Load polls: when a worker is polled for its load before a request is forwarded there.
+//!
+//! An attempt tells the same as a poll, and a rejected attempt proves that nothing ran. So a poll
+//! can save only a part of the value that attempts lose, and the less, the more is lost at the next
+//! worker too. In a large deployment each request met a worker without a fresh report; without this
+//! limit all front ends polled for every request, whatever it cost. The price: where polls are
+//! expensive, a worker that has fallen silent is found by requests alone.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use crate::api::{Action, LoadReport, RequestId, Settings, Time, WorkerId};
+use crate::estimates::RUN_TIME_GAIN;
+use crate::front_end::FrontEnd;
+use crate::time::MILLISECOND;
+use crate::timer::TimerToken;
+
+/// How long a request waits for a load report.
+const POLL_TIMEOUT: Time = 30 * MILLISECOND;
+/// How often a request may wait for one.
+const MAX_POLLS_PER_REQUEST: u32 = 3;
+/// What a poll saves of a request's value, as a multiple of the chance that one worker fails it and
+/// the next does not.
+const POLL_SAVING: f64 = 0.2;
+
+/// The requests that wait for a load report, and whether polls are worth their cost.
+#[derive(Debug, Default)]
+pub(crate) struct LoadPolls {
+    /// Requests that wait for a load report, by worker; some may have ended since.
+    waiting: BTreeMap<WorkerId, BTreeSet<RequestId>>,
+    /// Mean share of their value that attempts lost: answered late, in error or not at all.
+    mean_lost_value: f64,
+}
+
+impl LoadPolls {
+    /// Whether a request that has polled this often may poll once more.
+    pub(crate) fn may_poll(&self, polls: &RequestPolls, settings: &Settings) -> bool {
+        self.are_worthwhile(settings) && polls.count < MAX_POLLS_PER_REQUEST
+    }
+
+    /// Whether a poll before an attempt saves more than it costs.
+    fn are_worthwhile(&self, settings: &Settings) -> bool {
+        settings.limits.load_polls
+            && self.mean_lost_value * (1.0 - self.mean_lost_value) * POLL_SAVING
+                >= settings.costs.load_poll
+    }
+
+    /// Records the share of its value that an attempt lost, from 0 to 1.
+    pub(crate) fn record_lost_value(&mut self, lost: f64) {
+        self.mean_lost_value += RUN_TIME_GAIN * (lost - self.mean_lost_value);
+    }
+
+    /// Makes a request wait for a worker's load report.
+    fn add_waiting(&mut self, worker: WorkerId, request: RequestId) {
+        self.waiting.entry(worker).or_default().insert(request);
+    }
+
+    /// Ends the wait for a worker's load report; returns the requests that waited.
+    fn take_waiting(&mut self, worker: &WorkerId) -> BTreeSet<RequestId> {
+        self.waiting.remove(worker).unwrap_or_default()
+    }
+
+    /// Forgets the workers for which only requests wait that have ended.
+    pub(crate) fn forget_ended(&mut self, is_pending: impl Fn(&RequestId) -> bool) {
+        self.waiting
+            .retain(|_, requests| requests.iter().any(&is_pending));
+    }
+}
+
+/// The load polls of one request.
+#[derive(Debug, Default)]
+pub(crate) struct RequestPolls {
+    /// The worker whose load report the request waits for.
+    worker: Option<WorkerId>,
+    /// How often it has waited for one.
+    count: u32,
+}
+
+impl RequestPolls {
+    /// Whether the request waits for a load report.
+    pub(crate) fn is_waiting(&self) -> bool {
+        self.worker.is_some()
+    }
+
+    /// The worker whose load report the request waits for; `None` if it waits for none.
+    fn worker(&self) -> Option<&WorkerId> {
+        self.worker.as_ref()
+    }
+
+    fn begin(&mut self, worker: WorkerId) {
+        self.worker = Some(worker);
+        self.count += 1;
+    }
+
+    fn end(&mut self) {
+        self.worker = None;
+    }
+}
+
+/// Needs the workers, the pending requests and the load polls; it routes the requests that waited.
+impl FrontEnd {
+    /// Records a worker's load report, or the worst load if it gave none, and routes the requests
+    /// that waited for it.
+    pub(crate) fn record_load_report(
+        &mut self,
+        worker: &WorkerId,
+        report: Option<LoadReport>,
+        actions: &mut Vec<Action>,
+    ) {
+        if let Some(mut worker) = self.workers.get_mut(worker) {
+            worker.load_report.record(report, self.now);
+        }
+        for id in self.load_polls.take_waiting(worker) {
+            if let Some(pending) = self.pending.get_mut(&id) {
+                pending.polls.end();
+            }
+            self.route(id, actions);
+        }
+    }
+
+    /// Polls a worker for its load before a request is forwarded there; the request waits.
+    pub(crate) fn poll_load(&mut self, id: RequestId, worker: WorkerId, actions: &mut Vec<Action>) {
+        actions.push(Action::PollLoad {
+            worker: worker.clone(),
+        });
+        actions.push(Action::SetTimer {
+            after: POLL_TIMEOUT,
+            token: TimerToken::PollTimeout(id).into(),
+        });
+        self.load_polls.add_waiting(worker.clone(), id);
+        if let Some(pending) = self.pending.get_mut(&id) {
+            pending.polls.begin(worker);
+        }
+    }
+
+    /// Counts a worker that has not answered a poll in time as fully loaded.
+    pub(crate) fn expire_poll(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let polled = self
+            .pending
+            .get(&id)
+            .and_then(|pending| pending.polls.worker().cloned());
+        if let Some(worker) = polled {
+            self.record_load_report(&worker, None, actions);
+        }
+    }
+}
--- a/crates/pipithub-policy/src/maintenance.rs
+++ b/crates/pipithub-policy/src/maintenance.rs
@@ -5,25 +5,22 @@
 use crate::slow_start::RATE_WINDOW;
 use crate::state::WorkerState;
 use crate::time::MILLISECOND;
+use crate::timer::TimerToken;
 
 /// The period: short beside any latency objective, long beside a tick.
 pub(crate) const MAINTENANCE_PERIOD: Time = 50 * MILLISECOND;
-/// Token of the maintenance timer; request ids stay far below.
-pub(crate) const MAINTENANCE_TOKEN: u64 = 1 << 62;
-
 impl FrontEnd {
     /// Runs one round of maintenance and asks for the next.
     pub(crate) fn run_maintenance(&mut self, actions: &mut Vec<Action>) {
         actions.push(Action::SetTimer {
             after: MAINTENANCE_PERIOD,
-            token: MAINTENANCE_TOKEN,
+            token: TimerToken::Maintenance.into(),
         });
         self.recall_from_silent(actions);
         self.workers.forget_removed();
         self.update_warm_rate();
         self.forget_expired_events();
-        if self.now >= self.next_rebalancing_at {
-            self.next_rebalancing_at = self.now + self.rebalancing_interval();
+        if self.rebalancer.begin_round_if_due(self.now) {
             self.rebalance_replicas(actions);
         }
     }
@@ -50,7 +47,7 @@
         let limit_window = rate_limit.map_or(0, |limit| limit.window);
         let kept = limit_window.max(RATE_WINDOW) + MAINTENANCE_PERIOD;
         let first = self.now.saturating_sub(kept);
-        self.load_commands.forget_before(first);
+        self.load_limiter.forget_before(first);
         self.arrivals.forget_before(first);
     }
 }
--- a/crates/pipithub-policy/src/outlier.rs
+++ b/crates/pipithub-policy/src/outlier.rs
@@ -9,10 +9,10 @@
 use std::collections::BTreeSet;
 
 use crate::api::{Action, Idempotency, Outcome, RequestId, Time};
+use crate::ejection::Ejection;
 use crate::estimates::SLOWDOWN_GAIN;
 use crate::front_end::FrontEnd;
 use crate::state::{Attempt, Health, WorkerState};
-use crate::time::MILLISECOND;
 use crate::worker_table::WorkerGuard;
 
 /// An attempt is overdue at this multiple of the time that it was predicted to take.
@@ -27,11 +27,6 @@
 const MAX_ERROR_RATE: f64 = 0.35;
 /// ... and more than so many times that of the others.
 const MAX_RELATIVE_ERROR_RATE: f64 = 2.0;
-/// The first ejection time.
-const BASE_EJECTION_TIME: Time = 500 * MILLISECOND;
-/// How often it doubles at most.
-const MAX_EJECTION_DOUBLINGS: u32 = 3;
-
 /// An attempt that is to be cancelled and made elsewhere.
 pub(crate) struct RecalledAttempt {
     pub(crate) request: RequestId,
@@ -39,27 +34,21 @@
 }
 
 impl Health {
-    /// Leaves it alone for a while, longer each time.
-    pub(crate) fn eject(&mut self, now: Time) {
-        self.ejected_at = now;
-        let doublings = self.consecutive_errors.min(MAX_EJECTION_DOUBLINGS);
-        self.ejected_until = now + (BASE_EJECTION_TIME << doublings);
-        self.consecutive_errors = (self.consecutive_errors + 1).min(MAX_EJECTION_DOUBLINGS + 1);
-    }
-
     /// Takes in an answer.
     pub(crate) fn record_success(&mut self) {
-        self.consecutive_errors = self.consecutive_errors.saturating_sub(1);
+        self.ejection.record_success();
         self.error_rate -= SLOWDOWN_GAIN * self.error_rate;
     }
+}
 
+impl Ejection {
     /// Ejects a silent zone anew where an attempt that probed it brought no response either.
     pub(crate) fn record_probe(&mut self, outcome: Outcome, sent_at: Time, now: Time) {
         let no_response = matches!(
             outcome,
             Outcome::Unreachable | Outcome::ConnectionLost | Outcome::TimedOut
         );
-        if no_response && sent_at >= self.ejected_until {
+        if no_response && self.is_probe(sent_at) {
             self.eject(now);
         }
     }
@@ -95,12 +84,12 @@
         let usual = self.mean_error_rate_of_others(attempt.class);
         let health = &mut self.health[attempt.class];
         let last = health.last_error_function.replace(attempt.function);
-        if last != Some(attempt.function) || health.consecutive_errors > 0 {
+        if last != Some(attempt.function) || !health.ejection.is_recovered() {
             health.error_rate += SLOWDOWN_GAIN * (1.0 - health.error_rate);
         }
         let max_error_rate = MAX_ERROR_RATE.max(usual * MAX_RELATIVE_ERROR_RATE);
-        if health.error_rate > max_error_rate && now >= health.ejected_until {
-            health.eject(now);
+        if health.error_rate > max_error_rate && health.ejection.is_over(now) {
+            health.ejection.eject(now);
         }
     }
 }
@@ -112,8 +101,8 @@
         self.consecutive_connect_failures += 1;
         if self.consecutive_connect_failures >= MAX_CONSECUTIVE_FAILURES {
             for health in &mut self.health {
-                if now >= health.ejected_until {
-                    health.eject(now);
+                if health.ejection.is_over(now) {
+                    health.ejection.eject(now);
                 }
             }
         }
@@ -129,9 +118,9 @@
         let is_probed = || {
             self.in_flight
                 .iter()
-                .any(|attempt| attempt.class == class && attempt.sent_at >= health.ejected_until)
+                .any(|attempt| attempt.class == class && health.ejection.is_probe(attempt.sent_at))
         };
-        health.consecutive_errors == 0 || now >= health.ejected_until && !is_probed()
+        health.ejection.is_recovered() || health.ejection.is_over(now) && !is_probed()
     }
 
     /// Ejects it for each class that it has fallen silent for.
@@ -143,7 +132,7 @@
             if !self.is_silent(class, now) {
                 continue;
             }
-            self.health[class].eject(now);
+            self.health[class].ejection.eject(now);
             let waiting = self
                 .in_flight
                 .iter()
@@ -169,12 +158,12 @@
             .filter(|answer| answer.class == class && answer.at > first)
             .count();
         let health = &self.health[class];
-        let needed = if health.consecutive_errors > 0 {
-            1
-        } else {
+        let needed = if health.ejection.is_recovered() {
             MIN_OVERDUE_ATTEMPTS
+        } else {
+            1
         };
-        now >= health.ejected_until && count >= needed && count > answers
+        health.ejection.is_over(now) && count >= needed && count > answers
     }
 }
 
@@ -217,20 +206,20 @@
     fn readmit_zones(&mut self) {
         let workers = &self.workers;
         let has_others = workers.zone_count() > 1;
-        self.silent_zones.retain(|zone, health| {
+        self.silent_zones.retain(|zone, ejection| {
             has_others
                 && workers
                     .last_response_in(zone)
-                    .is_some_and(|last| last <= health.ejected_at)
+                    .is_some_and(|last| last <= ejection.since())
         });
     }
 
-    fn is_zone_silent(&self, zone: &str, ejected: Option<&Health>) -> bool {
+    fn is_zone_silent(&self, zone: &str, ejected: Option<&Ejection>) -> bool {
         // What was in flight when it was ejected is no sign since then.
         let since = self
             .workers
             .last_response_in(zone)
-            .max(ejected.map(|health| health.ejected_at))
+            .max(ejected.map(Ejection::since))
             .unwrap_or(0);
         let overdue = self
             .workers
@@ -243,21 +232,21 @@
         } else {
             MIN_OVERDUE_ATTEMPTS
         };
-        overdue >= needed && ejected.is_none_or(|health| self.now >= health.ejected_until)
+        overdue >= needed && ejected.is_none_or(|ejection| ejection.is_over(self.now))
     }
 
     /// The zones that are left alone; once that time is over one attempt at a time probes one. It
     /// may end in any way, then the next one may go.
     pub(crate) fn closed_zones(&self) -> BTreeSet<&str> {
-        let is_probed = |zone: &str, health: &Health| {
+        let is_probed = |zone: &str, ejection: &Ejection| {
             self.workers
                 .busy_in(zone)
                 .flat_map(|worker| &worker.in_flight)
-                .any(|attempt| !attempt.cancelled && attempt.sent_at >= health.ejected_until)
+                .any(|attempt| !attempt.cancelled && ejection.is_probe(attempt.sent_at))
         };
         self.silent_zones
             .iter()
-            .filter(|(zone, health)| self.now < health.ejected_until || is_probed(zone, health))
+            .filter(|(zone, ejection)| !ejection.is_over(self.now) || is_probed(zone, ejection))
             .map(|(zone, _)| zone.as_str())
             .collect()
     }
--- a/crates/pipithub-policy/src/rebalancing.rs
+++ b/crates/pipithub-policy/src/rebalancing.rs
@@ -9,6 +9,7 @@
 
 use crate::api::{Action, FunctionId, RequestId, Time, WorkerId};
 use crate::front_end::FrontEnd;
+use crate::hashing::mix;
 use crate::state::{Replicas, WorkerState};
 use crate::time::MILLISECOND;
 
@@ -104,15 +105,70 @@
     }
 }
 
-impl FrontEnd {
+/// When rounds of rebalancing begin, and how many replicas they may replace.
+#[derive(Debug, Default)]
+pub(crate) struct Rebalancer {
     /// The time between two rounds.
-    pub(crate) fn rebalancing_interval(&self) -> Time {
-        self.settings
-            .loading
-            .keep_alive
-            .clamp(MIN_INTERVAL, MAX_INTERVAL)
+    interval: Time,
+    /// The time from which the next round is due; 0 before [`Rebalancer::start`].
+    next_round_at: Time,
+    /// Replicas that may be replaced now; a fraction is carried over to the next round.
+    allowance: f64,
+}
+
+impl Rebalancer {
+    /// A rebalancer with the paper's interval, or the keep-alive of replicas if that is shorter.
+    pub(crate) fn new(keep_alive: Time) -> Self {
+        Rebalancer {
+            interval: keep_alive.clamp(MIN_INTERVAL, MAX_INTERVAL),
+            ..Rebalancer::default()
+        }
+    }
+
+    /// Whether the first round was scheduled.
+    pub(crate) fn is_started(&self) -> bool {
+        self.next_round_at != 0
+    }
+
+    /// Schedules the first round at a random time, so that front ends which start together do not
+    /// rebalance together.
+    pub(crate) fn start(&mut self, seed: u64, now: Time) {
+        let half_interval = self.interval / 2;
+        self.next_round_at = now + half_interval + mix(seed) % half_interval;
+    }
+
+    /// Whether a round is due; if so the next one is scheduled.
+    pub(crate) fn begin_round_if_due(&mut self, now: Time) -> bool {
+        let is_due = now >= self.next_round_at;
+        if is_due {
+            self.next_round_at = now + self.interval;
+        }
+        is_due
     }
 
+    /// How long a function is remembered after its last request.
+    fn function_lifetime(&self) -> Time {
+        FORGET_AFTER_INTERVALS * self.interval
+    }
+
+    /// Adds the share of the placed replicas that a round may replace.
+    fn earn(&mut self, placed: usize) {
+        let earned = placed as f64 * MAX_REPLACED_SHARE;
+        self.allowance = (self.allowance + earned).min(MAX_ALLOWANCE);
+    }
+
+    /// Whether one more replica may be replaced.
+    fn may_replace(&self) -> bool {
+        self.allowance >= 1.0
+    }
+
+    /// Counts a replica that was replaced.
+    fn record_replacement(&mut self) {
+        self.allowance -= 1.0;
+    }
+}
+
+impl FrontEnd {
     /// Notes run time that moved on because no replica was loaded at the worker. After some misses
     /// one command loads the function here: one at a time, as a slow store must not be asked again
     /// for what it has not delivered yet.
@@ -169,11 +225,10 @@
 
     /// Replaces the least used replicas by those that were missed more.
     fn replace_replicas(&mut self, placements: Placements, actions: &mut Vec<Action>) {
-        let earned = placements.placed.len() as f64 * MAX_REPLACED_SHARE;
-        self.rebalancing_allowance = (self.rebalancing_allowance + earned).min(MAX_ALLOWANCE);
+        self.rebalancer.earn(placements.placed.len());
         let mut placed = placements.placed.into_iter();
         for missed in placements.missed {
-            if self.rebalancing_allowance < 1.0 {
+            if !self.rebalancer.may_replace() {
                 break;
             }
             let Some(least_used) = placed.next() else {
@@ -184,7 +239,7 @@
             {
                 break;
             }
-            self.rebalancing_allowance -= 1.0;
+            self.rebalancer.record_replacement();
             self.evict(least_used, actions);
         }
     }
@@ -215,9 +270,9 @@
             .change_with_replicas(|worker| worker.forget_unused_replicas(now, keep_alive));
         self.workers.forget_former_holders();
         let pending = &self.pending;
-        self.awaiting_load_report
-            .retain(|_, ids| ids.iter().any(|id| pending.contains_key(id)));
-        let forget_after = FORGET_AFTER_INTERVALS * self.rebalancing_interval();
+        self.load_polls
+            .forget_ended(|request| pending.contains_key(request));
+        let forget_after = self.rebalancer.function_lifetime();
         self.functions
             .retain(|_, function| function.last_requested_at + forget_after > now);
     }
--- a/crates/pipithub-policy/src/requests.rs
+++ b/crates/pipithub-policy/src/requests.rs
@@ -10,6 +10,7 @@
 use crate::routing::Candidate;
 use crate::state::{Attempt, PendingRequest, Replicas, WorkerState};
 use crate::time::{MAX_DURATION, MILLISECOND};
+use crate::timer::TimerToken;
 use crate::worker_table::WorkerGuard;
 
 /// The largest multiple of the expected work that the latency objective grows by.
@@ -38,7 +39,7 @@
         // Two ticks early: the answer must be out before the client's time is up.
         actions.push(Action::SetTimer {
             after: timeout.saturating_sub(2 * self.settings.tick),
-            token: id.0,
+            token: TimerToken::RequestTimeout(id).into(),
         });
         let pending = PendingRequest {
             request,
--- a/crates/pipithub-policy/src/routing.rs
+++ b/crates/pipithub-policy/src/routing.rs
@@ -80,7 +80,7 @@
             return;
         };
         pending.awaits_load = false;
-        if pending.attempt_in_flight || pending.streaming || pending.polled_worker.is_some() {
+        if pending.attempt_in_flight || pending.streaming || pending.polls.is_waiting() {
             return;
         }
         let pending = &self.pending[&id];
@@ -193,7 +193,13 @@
             function, class, ..
         } = pending.request;
         let loads = self.loads_in_progress(function);
-        let may_add_replica = self.may_begin_load(&loads);
+        let may_add_replica = self.load_limiter.may_begin(
+            loads.count,
+            self.load_slowdown(),
+            self.workers.ready_count(),
+            self.settings.front_ends,
+            self.now,
+        );
         Search {
             pending,
             target_deadline,
@@ -237,7 +243,11 @@
             }
             let last_heard_at = report.received_at.max(worker.last_response_at);
             let unheard = now > REPORT_LIFETIME + last_heard_at;
-            if unheard && self.may_poll(search.pending.load_polls) {
+            if unheard
+                && self
+                    .load_polls
+                    .may_poll(&search.pending.polls, &self.settings)
+            {
                 return Verdict::NeedsPoll;
             }
         }
@@ -294,7 +304,10 @@
     /// at all.
     fn speculate(&mut self, miss: Candidate, deadline: Time) -> Option<Candidate> {
         let in_time = self.settings.loading.loads_on_request && miss.prediction.finish <= deadline;
-        if !self.speculation.is_allowed() || !self.store_is_available() || !in_time {
+        if !self.speculation.is_allowed()
+            || !self.load_limiter.store_is_available(self.now)
+            || !in_time
+        {
             return None;
         }
         self.speculation.spend();
--- a/crates/pipithub-policy/src/state.rs
+++ b/crates/pipithub-policy/src/state.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::api::{Endpoint, EndpointState, FunctionId, Request, RequestId, Time, WorkerId};
+use crate::ejection::Ejection;
 use crate::hashing::hash_address;
+use crate::load_polls::RequestPolls;
 use crate::worker_table::IndexedState;
 
 /// An attempt that has no outcome yet.
@@ -63,13 +65,10 @@
     pub(crate) min_slack: f64,
 }
 
-/// Errors not yet outweighed by answers, and until when a worker, zone or store is ejected.
+/// The health of a worker for one class of requests.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Health {
-    pub(crate) consecutive_errors: u32,
-    pub(crate) ejected_until: Time,
-    /// When it was ejected last.
-    pub(crate) ejected_at: Time,
+    pub(crate) ejection: Ejection,
     /// Share of errors among the last attempts.
     pub(crate) error_rate: f64,
     /// The function of the last error.
@@ -208,8 +207,6 @@
     pub(crate) streaming: bool,
     /// It waits, unsent, for the reply to a load command.
     pub(crate) awaits_load: bool,
-    /// It waits, unsent, for this worker's load report.
-    pub(crate) polled_worker: Option<WorkerId>,
-    /// How often it has waited for one.
-    pub(crate) load_polls: u32,
+    /// The load polls that it waited for.
+    pub(crate) polls: RequestPolls,
 }
