--- a/crates/pipithub-emulator/src/broker/publish.rs
+++ b/crates/pipithub-emulator/src/broker/publish.rs
@@ -78,7 +78,7 @@
             .map_or("", |connection| connection.user.as_str());
         let user_id = properties.user_id.as_deref();
         if let Some(claimed) = user_id.filter(|claimed| *claimed != user) {
-            // As RabbitMQ checks it: nobody publishes under another's name.
+            // As RabbitMQ checks it: a client cannot publish under another user's name.
             let text =
                 format!("user_id property set to '{claimed}' but authenticated user was '{user}'");
             return Err(Fault::new(Code::PreconditionFailed, text));
--- a/crates/pipithub-emulator/src/broker/session.rs
+++ b/crates/pipithub-emulator/src/broker/session.rs
@@ -9,7 +9,7 @@
 /// Faults with these reply codes close the connection, all others the channel alone (specification 1.2).
 const CONNECTION_FAULTS: [u16; 8] = [501, 502, 503, 504, 505, 530, 540, 541];
 
-/// Methods that concern a connection as a whole are sent on this channel.
+/// Methods that concern the connection itself are sent on this channel.
 const CONNECTION_CHANNEL: u16 = 0;
 
 impl Broker {
--- a/crates/pipithub-emulator/src/broker/settle.rs
+++ b/crates/pipithub-emulator/src/broker/settle.rs
@@ -47,7 +47,7 @@
             return Ok(None);
         };
         let tags = tags_to_settle(channel, delivery_tag, multiple);
-        // Tag 0 with `multiple` stands for all deliveries, also where there are none.
+        // Tag 0 with `multiple` means all deliveries, even if there are none.
         if tags.is_empty() && !(multiple && delivery_tag == 0) {
             let text = format!("unknown delivery tag {delivery_tag}");
             return Err(Fault::new(Code::PreconditionFailed, text));
--- a/crates/pipithub-emulator/src/broker/topic/tests.rs
+++ b/crates/pipithub-emulator/src/broker/topic/tests.rs
@@ -3,7 +3,7 @@
 use super::topic_matches;
 
 #[test]
-fn topics_fit_as_the_specification_says() {
+fn topics_match_as_specified() {
     for (pattern, key, fits) in [
         ("*.stock.#", "usd.stock", true),
         ("*.stock.#", "eur.stock.db", true),
--- a/crates/pipithub-emulator/src/coordinator.rs
+++ b/crates/pipithub-emulator/src/coordinator.rs
@@ -145,12 +145,12 @@
     }
 }
 
-/// What the coordinator's tasks share.
+/// The state that the coordinator's tasks share.
 struct Shared {
     counters: Counters,
     log: Mutex<EventLog>,
     behaviour: watch::Sender<Behaviour>,
-    /// Counts changes of the log.
+    /// A counter that changes with the log.
     changes: watch::Sender<u64>,
 }
 
@@ -164,21 +164,21 @@
     }
 }
 
-/// A coordinator that is running; it ends when dropped.
+/// A running coordinator. Dropping it ends the coordinator and its streams.
 pub struct Coordinator {
     shared: Arc<Shared>,
     address: SocketAddr,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
-    /// The file in which the system states the CPU time of the thread.
+    /// The file in which the kernel reports the CPU time of the thread.
     schedstat: String,
 }
 
 impl Coordinator {
-    /// Listens on loopback at a port of the system's choice.
+    /// Starts a coordinator on a free loopback port.
     ///
     /// # Errors
-    /// The errors of the system calls that create the runtime, the socket and the thread.
+    /// Fails if the runtime, the socket or the thread cannot be created.
     pub fn start(behaviour: Behaviour) -> io::Result<Self> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -219,8 +219,8 @@
         self.address
     }
 
-    /// Hands out an event with these workers, beside the list that it leaves; its index. `complete`: it names every
-    /// worker.
+    /// Publishes an event with these workers and returns its index. `complete` if the event lists all workers; `tier` has
+    /// all workers after the event.
     pub fn publish(&self, complete: bool, hosts: &[Value], tier: &Tier) -> u64 {
         let index = self.shared.log().last + 1;
         let text = event(index, complete, hosts);
--- a/crates/pipithub-emulator/src/coordinator/stream.rs
+++ b/crates/pipithub-emulator/src/coordinator/stream.rs
@@ -12,9 +12,9 @@
 use crate::accept::next_stream;
 
 const MAX_REQUEST_BYTES: usize = 4096;
-/// A slow coordinator writes so often.
+/// The interval of writes to a stream with limited bandwidth.
 const SLOW_STEP: Duration = Duration::from_millis(50);
-/// The timer of a stream without comments; its ticks do nothing.
+/// The timer interval of a stream without comments, whose ticks are ignored.
 const NO_COMMENTS: Duration = Duration::from_secs(3600);
 const HEAD: &str =
     "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\nconnection: close\r\n\r\n";
--- a/crates/pipithub-emulator/src/directory/tree.rs
+++ b/crates/pipithub-emulator/src/directory/tree.rs
@@ -113,7 +113,7 @@
         )
     }
 
-    /// Whether this answer to a search is not to be given.
+    /// Counts an answer to a search; returns whether it must be dropped.
     pub(super) fn drops_next_answer(&mut self) -> bool {
         self.search_answers += 1;
         let every = self.faults.drop_every;
@@ -121,8 +121,8 @@
     }
 }
 
-/// The same name entered anew is another entry, as in a real directory; it differs between servers only where their
-/// histories do.
+/// The UUID of an entry. An entry that is deleted and added again gets another one, as in a real directory. Servers with
+/// equal histories give equal UUIDs.
 fn entry_uuid(inserted: u64, dn: &Dn) -> EntryUuid {
     let name_hash = dn
         .to_string()
--- a/crates/pipithub-emulator/src/lib.rs
+++ b/crates/pipithub-emulator/src/lib.rs
@@ -12,6 +12,7 @@
 pub mod coordinator;
 pub mod credentials;
 pub mod directory;
+mod http;
 pub mod list;
 pub mod proxy;
 pub mod recorder;
--- a/crates/pipithub-emulator/src/list.rs
+++ b/crates/pipithub-emulator/src/list.rs
@@ -1,5 +1,5 @@
-//! An emulated Kubernetes API server for `EndpointSlices`: list and watch with `resourceVersion`, expired versions,
-//! breaks, and lists that are late.
+//! An emulated Kubernetes API server for `EndpointSlices`, with list and watch by `resourceVersion`. It can delay changes,
+//! end watches and let versions expire.
 
 mod api;
 mod slice;
@@ -10,46 +10,43 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use hyper::service::service_fn;
-use hyper_util::rt::TokioIo;
 use pipithub_conformance::record::Seen;
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
-use tokio::task::JoinSet;
 
 pub use self::slice::Listed;
-use crate::accept::next_stream;
+use crate::http;
 use crate::recorder::Recorder;
 
-/// Changes that are kept for watches; older versions have expired.
+/// How many changes are kept for watches; older versions have expired.
 const MAX_HISTORY: usize = 256;
 
-/// A worker as it stood at a version of the list.
+/// The state of a worker at a version of the list.
 #[derive(Clone, Debug)]
 struct VersionedWorker {
     version: u64,
     worker: Listed,
 }
 
-/// What the server's tasks share under one lock.
+/// The state of the server's tasks that is guarded by one lock.
 struct State {
-    /// Rises with each change.
+    /// Increases with each change.
     version: u64,
     /// The workers, by the names of their slices.
     workers: BTreeMap<String, Listed>,
     history: VecDeque<VersionedWorker>,
-    /// By how much answers and changes are late.
+    /// The delay of answers and changes.
     delay: Duration,
-    /// Raised to end all watches.
+    /// A counter whose change ends all watches.
     breaks: u64,
 }
 
-/// What the server's tasks share.
+/// The state that the server's tasks share.
 struct Shared {
     state: Mutex<State>,
     changed: Notify,
     recorder: Recorder,
-    /// The server's address, as the records name it.
+    /// The server's address, which identifies it in records.
     address: String,
 }
 
@@ -76,7 +73,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Ends all watches; `forget` makes all their versions too old.
+    /// Ends all watches; with `forget` their versions have expired as well.
     fn break_watches(&self, forget: bool) {
         let mut state = self.lock();
         state.breaks += 1;
@@ -88,7 +85,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Records that a front end is sent the state of a worker.
+    /// Records that a front end is notified of the state of a worker.
     fn record_sent(&self, front_end: &str, worker: &Listed) {
         let seen = Seen::Told {
             front_end: front_end.to_string(),
@@ -100,7 +97,7 @@
     }
 }
 
-/// A list server that is running; it ends when dropped.
+/// A running list server. Dropping it ends the server and its connections.
 pub struct ListServer {
     address: SocketAddr,
     shared: Arc<Shared>,
@@ -114,9 +111,9 @@
 }
 
 impl ListServer {
-    /// Starts a server that lists nothing yet. `POST /control/worker` with a [`Listed`] in JSON sets a worker, `POST
-    /// /control/delay?ms=N` holds back changes, `POST /control/break` ends all watches, `POST /control/forget` drops
-    /// the history.
+    /// Starts a server with an empty list. `POST /control/worker` with a [`Listed`] in JSON sets a worker, `POST
+    /// /control/delay?ms=N` delays changes, `POST /control/break` ends all watches, `POST /control/forget` drops the
+    /// history as well. Fails if the address cannot be bound.
     pub async fn start(listen: SocketAddr, recorder: Recorder) -> std::io::Result<Self> {
         let listener = TcpListener::bind(listen).await?;
         let address = listener.local_addr()?;
@@ -133,7 +130,9 @@
             recorder,
             address: address.to_string(),
         });
-        let task = tokio::spawn(accept(listener, shared.clone()));
+        let serving = shared.clone();
+        let handle = move |request| api::serve(serving.clone(), request);
+        let task = tokio::spawn(http::serve(listener, handle));
         Ok(ListServer {
             address,
             shared,
@@ -146,32 +145,18 @@
         self.address
     }
 
-    /// Sets the state of a worker; `gone` removes it.
+    /// Adds a worker or changes its state; the state `gone` removes it.
     pub fn set(&self, worker: Listed) {
         self.shared.set(worker);
     }
 
-    /// Holds changes back for so long.
+    /// Sets the delay of answers and changes.
     pub fn set_delay(&self, delay: Duration) {
         self.shared.lock().delay = delay;
     }
 
-    /// Ends all watches; `forget` makes all their versions too old.
+    /// Ends all watches; with `forget` their versions have expired as well.
     pub fn break_watches(&self, forget: bool) {
         self.shared.break_watches(forget);
     }
 }
-
-async fn accept(listener: TcpListener, shared: Arc<Shared>) {
-    let mut connections = JoinSet::new();
-    while let Some(stream) = next_stream(&listener).await {
-        let _ = stream.set_nodelay(true);
-        while connections.try_join_next().is_some() {}
-        let shared = shared.clone();
-        connections.spawn(async move {
-            let service = service_fn(|request| api::serve(shared.clone(), request));
-            let http = hyper::server::conn::http1::Builder::new();
-            let _ = http.serve_connection(TokioIo::new(stream), service).await;
-        });
-    }
-}
--- a/crates/pipithub-emulator/src/list/api.rs
+++ b/crates/pipithub-emulator/src/list/api.rs
@@ -1,4 +1,4 @@
-//! The server's HTTP interface: lists and watches for front ends, `/control/` for whoever runs it.
+//! The server's HTTP interface: lists and watches for front ends, and `/control/` for tests.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -56,7 +56,7 @@
     path.starts_with(SLICES_PREFIX) && path.ends_with(SLICES_SUFFIX)
 }
 
-/// The front end's name, by its user agent.
+/// The name of the front end, which is its user agent.
 fn front_end(parts: &Parts) -> String {
     let agent = parts
         .headers
--- a/crates/pipithub-emulator/src/list/watch.rs
+++ b/crates/pipithub-emulator/src/list/watch.rs
@@ -1,4 +1,4 @@
-//! Watches: a stream of changes behind a version of the list.
+//! Watches: streams of the changes since a version of the list.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -16,10 +16,10 @@
 use super::api::HttpResponse;
 use super::{Shared, VersionedWorker};
 
-/// Events that may wait for a slow client.
+/// How many events are queued for a slow client.
 const MAX_QUEUED_EVENTS: usize = 64;
 
-/// Answers with every change behind this version, as it happens.
+/// The response that streams all changes after a version as they happen.
 pub(super) fn watch(shared: Arc<Shared>, front_end: String, version: u64) -> HttpResponse {
     let (sender, receiver) = mpsc::channel(MAX_QUEUED_EVENTS);
     tokio::spawn(async move {
@@ -38,13 +38,13 @@
 
 /// The next step of a watch.
 enum Update {
-    /// All watches are to end.
+    /// The watch must end.
     Broken,
-    /// Changes behind the watch's version are not known any more.
+    /// The changes after the watch's version are no longer kept.
     Expired,
     Changes {
         changes: Vec<VersionedWorker>,
-        /// They are sent so much later.
+        /// The delay after which they are sent.
         delay: Duration,
     },
 }
@@ -54,7 +54,7 @@
     front_end: String,
     /// The last version that was sent.
     version: u64,
-    /// The breaks that had been asked for when the watch began.
+    /// The value of [`State::breaks`](super::State) when the watch started.
     breaks: u64,
     sender: mpsc::Sender<Bytes>,
 }
--- a/crates/pipithub-emulator/src/worker/core.rs
+++ b/crates/pipithub-emulator/src/worker/core.rs
@@ -1,4 +1,5 @@
-//! A worker without I/O: replicas of models in bounded memory, their loads, cores shared by requests, slow start.
+//! The sans-I/O core of a worker: replicas of models in bounded memory, their loads, processor cores that requests share,
+//! and slow start.
 
 mod events;
 mod function;
@@ -18,32 +19,32 @@
 
 pub(super) use self::events::{InferenceRequest, Placement, Rejection, WorkerEvent};
 
-/// While the worker warms up its speed changes: its due times are computed anew this often.
+/// The interval at which due times are recomputed while the worker warms up, since its speed changes.
 const WARM_UP_STEP: Time = 20 * NANOS_PER_MS;
-/// A request with less work left than this, in nanoseconds, is done: the rest is rounding.
+/// A request with less remaining work than this, in nanoseconds, has ended; the rest is a rounding error.
 const NEGLIGIBLE_WORK: f64 = 0.5;
 
-/// The worker's state.
+/// The state of a worker.
 #[derive(Debug)]
 pub(super) struct WorkerCore {
     settings: WorkerSettings,
-    /// Models are fetched from a store.
+    /// Whether models are fetched from a store.
     has_store: bool,
     started: Time,
     now: Time,
     functions: BTreeMap<String, FunctionState>,
     running: Vec<RunningRequest>,
     waiting: VecDeque<WaitingRequest>,
-    /// Idempotency keys, and when their requests began to run.
+    /// When the request of each idempotency key started to run.
     keys: BTreeMap<String, Time>,
-    /// When the requests within the overload window came.
+    /// The arrival times of the requests within the overload window.
     arrivals: VecDeque<Time>,
     overloaded: bool,
     events: Vec<WorkerEvent>,
 }
 
 impl WorkerCore {
-    /// A worker that starts now without replicas; `has_store`: models are fetched by [`WorkerEvent::Fetch`].
+    /// A worker that starts now without replicas. With `has_store` models are fetched by [`WorkerEvent::Fetch`].
     pub(super) fn new(settings: WorkerSettings, has_store: bool, now: Time) -> Self {
         WorkerCore {
             settings,
--- a/crates/pipithub-emulator/src/worker/core/loads.rs
+++ b/crates/pipithub-emulator/src/worker/core/loads.rs
@@ -12,7 +12,7 @@
 const MAX_REPLICAS: u32 = 16;
 
 impl WorkerCore {
-    /// A command to load a model until it has so many replicas.
+    /// Executes a command to load a model until it has a number of replicas.
     pub(in crate::worker) fn load(&mut self, now: Time, id: u64, function: &str, replicas: u32) {
         self.on_time(now);
         if self.overloaded {
--- a/crates/pipithub-emulator/src/worker/core/requests.rs
+++ b/crates/pipithub-emulator/src/worker/core/requests.rs
@@ -28,7 +28,7 @@
 }
 
 impl WorkerCore {
-    /// A request arrives.
+    /// Handles the arrival of a request.
     pub(in crate::worker) fn receive(&mut self, now: Time, request: InferenceRequest) {
         self.on_time(now);
         self.check_overload();
--- a/crates/pipithub-emulator/src/worker/core/tests.rs
+++ b/crates/pipithub-emulator/src/worker/core/tests.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_request_loads_its_model_and_the_next_finds_it() {
+fn first_request_loads_the_model_for_the_next() {
     let mut worker = WorkerCore::new(warm(), false, 0);
     worker.receive(0, request(1, "f"));
     worker.receive(100 * NANOS_PER_MS, request(2, "f"));
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_failed_load_fails_what_waits_for_it() {
+fn failed_load_fails_the_waiting_requests() {
     let mut worker = WorkerCore::new(warm(), true, 0);
     worker.receive(0, request(1, "f"));
     worker.load(0, 9, "f", 1);
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn duplicates_of_a_key_are_dropped_within_the_window() {
+fn duplicates_of_a_key_are_dropped_within_the_deduplication_window() {
     let mut worker = WorkerCore::new(warm(), false, 0);
     let keyed = |id| InferenceRequest {
         key: Some("k".into()),
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_worker_that_warms_up_is_slow_and_can_be_overloaded() {
+fn worker_that_warms_up_is_slow_and_can_be_overloaded() {
     let cold = WorkerSettings {
         overload_factor: 2.0,
         queue: 1_000,
--- a/crates/pipithub-emulator/src/worker/server.rs
+++ b/crates/pipithub-emulator/src/worker/server.rs
@@ -1,25 +1,22 @@
-//! Serves the worker on a socket: connections, its timer, fetches from the store, its records.
+//! The worker on a socket: its connections, its timer, its fetches from the store and its records.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use hyper::service::service_fn;
-use hyper_util::rt::TokioIo;
 use pipithub_amqp::Time;
 use pipithub_conformance::record::Seen;
 use pipithub_inference::orca::Report;
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, oneshot};
 use tokio::task::JoinSet;
-use tracing::debug;
 
 use super::core::{Placement, Rejection, WorkerCore, WorkerEvent};
 use super::inference::handle_request;
 use super::settings::{NANOS_PER_MS, WorkerSettings};
-use crate::accept::next_stream;
 use crate::clock::Clock;
+use crate::http;
 use crate::recorder::Recorder;
 
 /// The core's answer to a request or a command.
@@ -42,19 +39,19 @@
     pub(super) receiver: oneshot::Receiver<Reply>,
 }
 
-/// A request that has not begun to run, for the records.
+/// A request that waits to run, as it will be named in records.
 pub(super) struct QueuedName {
     pub(super) request: String,
     pub(super) key: Option<String>,
 }
 
-/// What the worker's tasks share under one lock.
+/// The state of the worker's tasks that is guarded by one lock.
 pub(super) struct State {
     pub(super) core: WorkerCore,
     next_id: u64,
     repliers: HashMap<u64, oneshot::Sender<Reply>>,
     pub(super) queued_names: HashMap<u64, QueuedName>,
-    /// Requests are taken and not answered.
+    /// Requests are accepted but not answered.
     is_silent: bool,
 }
 
@@ -76,21 +73,21 @@
     }
 }
 
-/// What the worker's tasks share.
+/// The state that the worker's tasks share.
 pub(super) struct Shared {
     state: Mutex<State>,
     clock: Clock,
     timer: Notify,
     overloaded: Notify,
     recorder: Recorder,
-    /// The worker's address, as the records name it.
+    /// The worker's address, which identifies it in records.
     address: String,
-    /// The address of the store, where there is one.
+    /// The address of the store; `None` if models are not fetched.
     pub(super) store: Option<String>,
     pub(super) deduplication_window: Duration,
 }
 
-/// A worker that is running; it ends when dropped.
+/// A running worker. Dropping it ends the worker and its connections.
 pub struct WorkerServer {
     address: SocketAddr,
     shared: Arc<Shared>,
@@ -98,7 +95,8 @@
 }
 
 impl WorkerServer {
-    /// Starts a worker that listens on this address; `store`: where models are fetched.
+    /// Starts a worker on an address, with the address of the store that it fetches models from. Fails if the worker's
+    /// address cannot be bound.
     pub async fn start(
         listen: SocketAddr,
         settings: WorkerSettings,
@@ -133,7 +131,9 @@
             deduplication_window,
         });
         let mut tasks = JoinSet::new();
-        tasks.spawn(accept(listener, shared.clone()));
+        let serving = shared.clone();
+        let handle = move |request| handle_request(serving.clone(), request);
+        tasks.spawn(http::serve(listener, handle));
         tasks.spawn(run_timer(shared.clone()));
         Ok(WorkerServer {
             address,
@@ -147,22 +147,22 @@
         self.address
     }
 
-    /// Takes requests and answers none, or answers again.
+    /// Stops answering requests, or answers new ones again.
     pub fn set_silent(&self, silent: bool) {
         self.shared.lock().is_silent = silent;
     }
 
-    /// Waits until it is overloaded.
+    /// Waits until the worker fails because of an overload.
     pub async fn overloaded(&self) {
         self.shared.overloaded.notified().await;
     }
 
-    /// Requests that run or wait.
+    /// The number of requests that run or wait.
     pub fn in_flight(&self) -> usize {
         self.shared.lock().core.in_flight()
     }
 
-    /// Ends it and all its connections at once.
+    /// Ends the worker and its connections at once.
     pub async fn kill(mut self) {
         self.tasks.shutdown().await;
     }
@@ -264,7 +264,7 @@
         }
     }
 
-    /// The reply has arrived: nothing is left to cancel.
+    /// Keeps the guard from cancelling, as the reply has arrived.
     pub(super) fn disarm(mut self) {
         self.armed = false;
     }
@@ -299,22 +299,3 @@
         }
     }
 }
-
-async fn accept(listener: TcpListener, shared: Arc<Shared>) {
-    // Connections end with the worker: a dead process keeps none.
-    let mut connections = JoinSet::new();
-    while let Some(stream) = next_stream(&listener).await {
-        let _ = stream.set_nodelay(true);
-        while connections.try_join_next().is_some() {}
-        let shared = shared.clone();
-        connections.spawn(async move {
-            let service = service_fn(|request| handle_request(shared.clone(), request));
-            let served = hyper::server::conn::http1::Builder::new()
-                .serve_connection(TokioIo::new(stream), service)
-                .await;
-            if let Err(error) = served {
-                debug!(%error, "connection over");
-            }
-        });
-    }
-}
--- a/crates/pipithub-emulator/tests/accept.rs
+++ b/crates/pipithub-emulator/tests/accept.rs
@@ -1,4 +1,4 @@
-//! What a listener does after each kind of error.
+//! Accept loops after each kind of error.
 
 use std::collections::VecDeque;
 use std::io;
@@ -8,7 +8,7 @@
 use rustix::io::Errno;
 use tokio::time::Instant;
 
-/// What a scripted listener gives: errors first, a connection at last.
+/// A scripted listener that returns errors and then a connection.
 struct Script {
     errors: VecDeque<Errno>,
     calls: usize,
@@ -29,7 +29,7 @@
             .map_or(Ok("connection"), |errno| Err(errno.into()))
     }
 
-    /// What comes of the script, and the time that was spent.
+    /// Accepts once; returns the connection, if any, and the time that it took.
     async fn play(&mut self) -> (Option<&'static str>, Duration) {
         let began = Instant::now();
         let accepted = next_connection(|| std::future::ready(self.accept())).await;
@@ -38,14 +38,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_connection_holds_up_no_other() {
+async fn lost_connections_are_skipped_without_delay() {
     let mut script = Script::of([Errno::CONNABORTED, Errno::PROTO, Errno::INTR].repeat(100));
     assert_eq!(script.play().await, (Some("connection"), Duration::ZERO));
     assert_eq!(script.calls, 301);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_machine_short_of_descriptors_or_memory_is_waited_for_without_spinning() {
+async fn accept_is_retried_with_a_delay_while_descriptors_or_memory_are_exhausted() {
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM] {
         let mut script = Script::of([errno; 50]);
         let (accepted, waited) = script.play().await;
@@ -63,7 +63,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_listener_of_no_use_ends_at_once() {
+async fn unusable_listener_ends_at_once() {
     let mut script = Script::of([Errno::BADF; 50]);
     assert_eq!(script.play().await, (None, Duration::ZERO));
     assert_eq!(script.calls, 1);
--- a/crates/pipithub-emulator/tests/lapin.rs
+++ b/crates/pipithub-emulator/tests/lapin.rs
@@ -1,4 +1,4 @@
-//! The emulated broker as an independent client (lapin) sees it.
+//! The emulated broker with an independent client, lapin.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -59,7 +59,7 @@
         .await
         .expect("published")
         .await
-        .expect("told");
+        .expect("confirmed or not");
     Some(confirm.is_ack())
 }
 
@@ -86,7 +86,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn confirms_come_for_each_publish() {
+async fn each_publish_is_confirmed() {
     let broker = broker().await;
     let (_connection, channel) = connect(&broker).await;
     declare(&channel, "q", &[]).await;
@@ -104,7 +104,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_transaction_takes_effect_as_a_whole_or_not_at_all() {
+async fn transaction_takes_effect_completely_or_not_at_all() {
     let broker = broker().await;
     let (_connection, channel) = connect(&broker).await;
     declare(&channel, "calls", &[]).await;
@@ -146,7 +146,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn prefetch_bounds_deliveries_and_what_is_not_acked_comes_again() {
+async fn prefetch_limits_deliveries_and_unacked_messages_are_redelivered() {
     let broker = broker().await;
     let (connection, channel) = connect(&broker).await;
     declare(&channel, "q", &[]).await;
@@ -171,7 +171,7 @@
         assert_eq!(
             (delivery.data[0], delivery.redelivered),
             (n, n < 3),
-            "in their old order"
+            "in their original order"
         );
         channel
             .basic_ack(delivery.delivery_tag, BasicAckOptions::default())
@@ -181,7 +181,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn expired_and_rejected_messages_go_to_the_dead_letters() {
+async fn expired_and_rejected_messages_are_dead_lettered() {
     let broker = broker().await;
     let (_connection, channel) = connect(&broker).await;
     declare(&channel, "dead", &[]).await;
@@ -191,7 +191,7 @@
         ("x-dead-letter-routing-key", text("dead")),
     ];
     declare(&channel, "q", &dead).await;
-    let mut graves = consume(&channel, "dead").await;
+    let mut dead_letters = consume(&channel, "dead").await;
     publish(
         &channel,
         "q",
@@ -199,9 +199,9 @@
         BasicProperties::default().with_expiration(short("30")),
     )
     .await;
-    let grave = next(&mut graves).await;
-    assert_eq!(&grave.data[..], b"old");
-    let headers = grave.properties.headers().clone().expect("headers");
+    let dead_letter = next(&mut dead_letters).await;
+    assert_eq!(&dead_letter.data[..], b"old");
+    let headers = dead_letter.properties.headers().clone().expect("headers");
     let Some(AMQPValue::FieldArray(deaths)) = headers.inner().get("x-death") else {
         panic!("{headers:?}")
     };
@@ -222,19 +222,26 @@
         )
         .await
         .expect("rejected");
-    assert_eq!(&next(&mut graves).await.data[..], b"bad");
+    assert_eq!(&next(&mut dead_letters).await.data[..], b"bad");
 }
 
-#[tokio::test(flavor = "multi_thread")]
-async fn exchanges_route_and_faults_get_their_codes() {
-    let broker = broker().await;
-    let (connection, channel) = connect(&broker).await;
-    declare(&channel, "a", &[]).await;
-    let kind = lapin::ExchangeKind::Topic;
+/// Declares a queue without arguments; the error is that of the broker.
+async fn try_declare(
+    channel: &Channel,
+    queue: &str,
+    options: QueueDeclareOptions,
+) -> lapin::Result<lapin::Queue> {
+    channel
+        .queue_declare(short(queue), options, FieldTable::default())
+        .await
+}
+
+/// Declares a topic exchange and binds a queue to it.
+async fn bind_topic(channel: &Channel, exchange: &str, queue: &str, pattern: &str) {
     channel
         .exchange_declare(
-            short("x"),
-            kind,
+            short(exchange),
+            lapin::ExchangeKind::Topic,
             ExchangeDeclareOptions::default(),
             FieldTable::default(),
         )
@@ -242,57 +249,52 @@
         .expect("declared");
     channel
         .queue_bind(
-            short("a"),
-            short("x"),
-            short("k.*"),
+            short(queue),
+            short(exchange),
+            short(pattern),
             QueueBindOptions::default(),
             FieldTable::default(),
         )
         .await
         .expect("bound");
-    let options = BasicPublishOptions::default();
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn topic_exchange_routes_and_invalid_declarations_fail_with_their_codes() {
+    let broker = broker().await;
+    let (connection, channel) = connect(&broker).await;
+    declare(&channel, "a", &[]).await;
+    bind_topic(&channel, "x", "a", "k.*").await;
     for key in ["k.one", "k.one.two", "other"] {
         channel
             .basic_publish(
                 short("x"),
                 short(key),
-                options,
+                BasicPublishOptions::default(),
                 b"m",
                 BasicProperties::default(),
             )
             .await
             .expect("published");
     }
-    channel
-        .queue_declare(
-            short("a"),
-            QueueDeclareOptions {
-                passive: true,
-                ..Default::default()
-            },
-            FieldTable::default(),
-        )
+    let passive = || QueueDeclareOptions {
+        passive: true,
+        ..Default::default()
+    };
+    try_declare(&channel, "a", passive())
         .await
-        .expect("there");
+        .expect("the queue exists");
     assert_eq!(broker.depth("a"), Some((1, 0)));
-    let missing = channel
-        .queue_declare(
-            short("nope"),
-            QueueDeclareOptions {
-                passive: true,
-                ..Default::default()
-            },
-            FieldTable::default(),
-        )
-        .await;
+    let missing = try_declare(&channel, "nope", passive()).await;
     assert_eq!(code(missing.expect_err("no such queue")), 404);
     let channel = connection.create_channel().await.expect("another channel");
     let durable = QueueDeclareOptions {
         durable: true,
         ..Default::default()
     };
-    let other = channel
-        .queue_declare(short("a"), durable, FieldTable::default())
-        .await;
-    assert_eq!(code(other.expect_err("another kind of queue")), 406);
+    let different = try_declare(&channel, "a", durable).await;
+    assert_eq!(
+        code(different.expect_err("the queue has other properties")),
+        406
+    );
 }
--- a/crates/pipithub-emulator/tests/relay.rs
+++ b/crates/pipithub-emulator/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Datagrams that are paused, cut, lost or duplicated.
+//! Datagrams on a link that is paused, cut, or loses or duplicates them.
 
 use pipithub_emulator::relay::Relay;
 use tokio::net::UdpSocket;
@@ -18,27 +18,27 @@
 }
 
 #[tokio::test]
-async fn paused_datagrams_arrive_after_the_pause_and_cut_ones_never() {
+async fn paused_datagrams_arrive_after_the_pause_and_cut_ones_are_lost() {
     let (relay, from, to, mut seen) = pair().await;
-    relay.change(|w| w.cut = true);
+    relay.change(|link| link.cut = true);
     from.send_to(b"cut", relay.address()).await.unwrap();
     assert_eq!(seen.recv().await, Some(3));
-    relay.change(|w| (w.cut, w.paused) = (false, true));
+    relay.change(|link| (link.cut, link.paused) = (false, true));
     from.send_to(b"held!", relay.address()).await.unwrap();
     assert_eq!(seen.recv().await, Some(5));
-    relay.change(|w| w.paused = false);
+    relay.change(|link| link.paused = false);
     let mut buffer = [0; 16];
     let count = to.recv(&mut buffer).await.unwrap();
     assert_eq!(&buffer[..count], b"held!");
 }
 
 #[tokio::test]
-async fn all_of_it_may_come_twice_or_be_lost() {
+async fn datagrams_are_lost_or_duplicated_with_certainty_at_probability_one() {
     let (relay, from, to, mut seen) = pair().await;
-    relay.change(|w| w.loss = 1.0);
+    relay.change(|link| link.loss = 1.0);
     from.send_to(b"lost", relay.address()).await.unwrap();
     seen.recv().await;
-    relay.change(|w| (w.loss, w.duplication) = (0.0, 1.0));
+    relay.change(|link| (link.loss, link.duplication) = (0.0, 1.0));
     from.send_to(b"two", relay.address()).await.unwrap();
     let mut buffer = [0; 16];
     for _ in 0..2 {
