--- a/crates/pipithub-conformance/src/fleet.rs
+++ b/crates/pipithub-conformance/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Whether the members of a fleet knew each other: their claims compared with what was true.
+//! Checks whether the members of a fleet knew each other, by comparing their claims with what was true.
 //!
 //! The truth is what the test environment did itself: which process ran when and from which disk, and which links it
 //! disturbed. The generations that runs used are read from datagrams in transit. Only the claims come from the
@@ -13,7 +13,7 @@
 
 pub use history::{Belief, Bounds, Claim, Disk, GenerationUse, History, Interval, Run, Time};
 
-/// A rule.
+/// A rule for the membership of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     /// No two runs used one generation of one name, where the fleet had time to learn of the first use.
@@ -69,13 +69,13 @@
 /// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
-    /// The violated rule.
+    /// The rule that was violated.
     pub rule: Rule,
-    /// What was seen, for the report.
+    /// A description of what was seen.
     pub what: String,
 }
 
-/// Checks all rules.
+/// Checks all rules on a history and returns their violations.
 pub fn check(history: &History, bounds: Bounds) -> Vec<Breach> {
     let mut breaches = Vec::new();
     generations::check(history, bounds, &mut breaches);
--- a/crates/pipithub-conformance/src/fleet/generations.rs
+++ b/crates/pipithub-conformance/src/fleet/generations.rs
@@ -35,7 +35,7 @@
 }
 
 /// Whether the fleet had time to learn of the first use before the second. Two uses within that time, or on both sides
-/// of a partition, can only be told apart by members that agree on epochs.
+/// of a partition, could only be prevented by members that agree on epochs.
 fn could_know(
     history: &History,
     bounds: Bounds,
--- a/crates/pipithub-conformance/src/fleet/history.rs
+++ b/crates/pipithub-conformance/src/fleet/history.rs
@@ -1,4 +1,4 @@
-//! What happened to a fleet, and what its members claimed.
+//! The history of a fleet: its processes, their disks and links, and what they claimed of each other.
 
 use std::collections::BTreeMap;
 
@@ -8,20 +8,20 @@
 /// The state of the disk that a run starts from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disk {
-    /// What the previous run left.
+    /// As the previous run left it.
     Current,
-    /// Nothing.
+    /// Without any file.
     Empty,
-    /// An older copy.
+    /// An older copy of what the previous run left.
     Stale,
 }
 
 /// A span of time, both ends included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interval {
-    /// Its beginning.
+    /// The start.
     pub from: Time,
-    /// Its end.
+    /// The end.
     pub until: Time,
 }
 
@@ -51,7 +51,7 @@
 /// What a member believes of another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Belief {
-    /// The other takes part.
+    /// The other is an active member.
     Alive,
     /// The other has failed or left.
     Dead,
@@ -60,11 +60,11 @@
 /// What a run claimed at one moment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claim {
-    /// When.
+    /// The time of the claim.
     pub at: Time,
     /// The run, as an index into [`History::runs`].
     pub run: usize,
-    /// It takes part in the fleet.
+    /// The run is an active member of the fleet.
     pub joined: bool,
     /// The generation that it runs under.
     pub generation: u64,
@@ -79,7 +79,7 @@
 pub struct GenerationUse {
     /// The run, as an index into [`History::runs`].
     pub run: usize,
-    /// The generation.
+    /// The generation that was used.
     pub generation: u64,
     /// When the datagram was seen in transit.
     pub first_seen: Time,
@@ -100,7 +100,7 @@
     pub end: Time,
 }
 
-/// The time that the fleet has.
+/// The time that a fleet has to react.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// Within this all members detect a failure.
--- a/crates/pipithub-conformance/src/record.rs
+++ b/crates/pipithub-conformance/src/record.rs
@@ -1,7 +1,7 @@
 //! The record format: one line of JSON for each event that an emulated service saw on a socket.
 //!
-//! Records are stored, so the names of variants and fields that stand in the files are part of the format: a name that
-//! changes in the code keeps its word in the files.
+//! Records are stored in files, so the serialized names of variants and fields are part of the format. A name that changes
+//! in the code keeps its serialized form.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
     /// The service that saw it: the address of a broker or worker, or a name.
     #[serde(rename = "at")]
     pub observer: String,
-    /// What was seen.
+    /// The event itself.
     #[serde(flatten)]
     pub seen: Seen,
 }
@@ -27,59 +27,59 @@
 pub enum Seen {
     /// A broker accepted a message; within a transaction, at its commit.
     Published {
-        /// The queues that it was routed to.
+        /// The queues that the message was routed to.
         queues: Vec<String>,
-        /// Its routing key.
+        /// The routing key of the message.
         routing_key: String,
-        /// Its id.
+        /// The message id.
         message_id: Option<String>,
         /// The message id of the request that this message answers.
         correlation_id: Option<String>,
-        /// The queue for the answer.
+        /// The queue that the answer is expected on.
         reply_to: Option<String>,
         /// The message's time to live, in milliseconds.
         expiration_ms: Option<u64>,
         /// The headers whose names begin with `pipithub-`.
         headers: BTreeMap<String, String>,
-        /// The size of its body in bytes.
+        /// The size of the body in bytes.
         size: u64,
-        /// The client that sent it, by the name that it gave itself.
+        /// The name that the sending client gave itself.
         client: String,
     },
     /// A broker delivered a message to a consumer.
     Delivered {
-        /// The queue.
+        /// The queue that it was delivered from.
         queue: String,
-        /// The message's id.
+        /// The message id.
         message_id: Option<String>,
         /// The correlation id of the message.
         correlation_id: Option<String>,
-        /// It had been delivered before.
+        /// The message had been delivered before.
         redelivered: bool,
-        /// The client that received it.
+        /// The name of the receiving client.
         client: String,
     },
     /// A client acknowledged a message; within a transaction, at its commit.
     Acked {
-        /// The queue.
+        /// The queue that the message was delivered from.
         queue: String,
-        /// The message's id.
+        /// The message id.
         message_id: Option<String>,
-        /// The client.
+        /// The name of the client.
         client: String,
     },
     /// The connection of a client ended.
     ClientGone {
-        /// The client.
+        /// The name of the client.
         client: String,
     },
     /// A worker process accepts connections; it has no function loaded.
     WorkerUp {
-        /// Requests that it can serve in a second once it has warmed up.
+        /// Requests per second that it can serve once it has warmed up.
         capacity: f64,
-        /// The fraction of the capacity that it starts with.
+        /// The part of the capacity that it starts with, from 0 to 1.
         cold_from: f64,
-        /// Milliseconds until it has warmed up.
+        /// The time until it has warmed up, in milliseconds.
         ramp_ms: u64,
     },
     /// A worker failed because it was overloaded while it warmed up.
@@ -95,83 +95,85 @@
         front_end: String,
         /// The id of the request.
         request: String,
-        /// The number of the attempt.
+        /// The number of the attempt at its front end.
         attempt: u32,
-        /// The function.
+        /// The requested function.
         function: String,
-        /// The idempotency key.
+        /// The idempotency key; `None` if the request has none.
         key: Option<String>,
     },
     /// A worker ran a request, or recognised it as a duplicate.
     Ran {
         /// The id of the request.
         request: String,
-        /// The idempotency key.
+        /// The idempotency key; `None` if the request has none.
         key: Option<String>,
         /// The request had taken effect before, so the worker dropped the duplicate.
         dropped: bool,
     },
     /// A worker wrote its reply to an attempt.
     Replied {
-        /// The front end.
+        /// The front end that made the attempt.
         front_end: String,
         /// The id of the request.
         request: String,
-        /// The number of the attempt.
+        /// The number of the attempt at its front end.
         attempt: u32,
-        /// The HTTP status.
+        /// The HTTP status of the reply.
         status: u16,
         /// The reply says that the request did not run.
         not_run: bool,
     },
     /// A load or evict command reached a worker.
     Order {
-        /// The front end.
+        /// The front end that sent the command.
         front_end: String,
-        /// The function.
+        /// The function to load or evict.
         function: String,
-        /// The number of replicas to load; 0 evicts the idle ones.
+        /// The number of replicas to load; 0 for a command to evict idle replicas.
         copies: u32,
     },
     /// A poll of the load reached a worker.
     Probe {
-        /// The front end.
+        /// The front end that polled.
         front_end: String,
     },
     /// The endpoint list notified a client of the state of a worker.
     Told {
-        /// The front end.
+        /// The front end that was notified.
         front_end: String,
-        /// The worker's address.
+        /// The address of the worker.
         worker: String,
-        /// `live`, `draining` or `gone`.
+        /// The state of the worker: `live`, `draining` or `gone`.
         state: String,
-        /// When it started, in Unix milliseconds, where the list says so.
+        /// When the worker started, in Unix milliseconds; `None` if the list does not say.
         started_ms: Option<u64>,
     },
     /// From now on a user belongs to this tenant, according to the most current server of the directory.
     Moved {
-        /// The user.
+        /// The user's name.
         user: String,
-        /// The tenant.
+        /// The new tenant of the user.
         tenant: String,
     },
     /// The scenario injected a fault. No rule depends on it.
     Fault {
-        /// A description for the report.
+        /// The description of the fault.
         what: String,
     },
 }
 
 impl Record {
-    /// The line of this record, with its line feed.
+    /// The record as a line of a file, with its line feed.
     pub fn line(&self) -> String {
         let mut line = serde_json::to_string(self).unwrap_or_default();
         line.push('\n');
         line
     }
 
-    /// Reads a file of lines. A last line without line feed was cut off by the end of a process and is skipped.
+    /// Reads the text of a file. A last line without line feed was truncated by the end of a process and is skipped.
+    ///
+    /// Fails at the first other line that is no record.
     pub fn read_all(text: &str) -> Result<Vec<Record>, RecordError> {
         let complete = text.rfind('\n').map_or("", |end| &text[..end]);
         let read = |(n, line): (usize, &str)| {
@@ -189,7 +191,7 @@
     }
 }
 
-/// The error for a line that is no record.
+/// A line that is no record.
 #[derive(Debug, thiserror::Error)]
 #[error("line {line}: {source}")]
 pub struct RecordError {
--- a/crates/pipithub-conformance/src/report.rs
+++ b/crates/pipithub-conformance/src/report.rs
@@ -17,17 +17,17 @@
 pub struct Window {
     /// Seconds from the first request to its beginning.
     pub from_s: f64,
-    /// Requests published.
+    /// The number of published requests.
     pub calls: usize,
-    /// Served within their latency objective.
+    /// Requests served within their latency objective.
     pub in_time: usize,
-    /// Served after it.
+    /// Requests served after their latency objective.
     pub late: usize,
-    /// Rejected.
+    /// Requests that were rejected.
     pub refused: usize,
-    /// Failed.
+    /// Requests that failed.
     pub failed: usize,
-    /// Without an answer.
+    /// Requests without an answer.
     pub unanswered: usize,
     /// The part of the requests that was served within the latency objective, weighted by the weight of each class.
     pub service: f64,
@@ -36,9 +36,9 @@
 /// All windows and the totals.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Report {
-    /// All requests.
+    /// The totals over all requests.
     pub whole: Window,
-    /// By window.
+    /// The windows, by time.
     pub windows: Vec<Window>,
     /// Milliseconds from publication to answer, of served requests: p50, p99, p99.9.
     pub latency_ms: [f64; 3],
@@ -46,7 +46,7 @@
     pub attempts: f64,
 }
 
-/// Computes a report with windows of so many nanoseconds.
+/// Computes a report with windows of the given width in nanoseconds. Without requests it has no windows.
 pub fn report(records: &[Record], config: &RuleConfig, window: u64) -> Report {
     let traces = request_traces(records, config);
     let published = || traces.values().map(|trace| trace.published);
--- a/crates/pipithub-conformance/src/rules.rs
+++ b/crates/pipithub-conformance/src/rules.rs
@@ -61,7 +61,7 @@
 /// The parameters of the rules.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RuleConfig {
-    /// Classes by name.
+    /// The classes of requests, by name.
     pub classes: BTreeMap<String, ClassRules>,
     /// The queue that requests are published to.
     pub queue: String,
@@ -78,7 +78,7 @@
     pub published_until: Option<u64>,
 }
 
-/// A rule.
+/// A rule for the traffic of front ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     /// Each request has one final answer, in time.
@@ -134,11 +134,11 @@
 /// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Breach {
-    /// The violated rule.
+    /// The rule that was violated.
     pub rule: Rule,
     /// When, in Unix nanoseconds.
     pub at: u64,
-    /// What was seen, for the report.
+    /// A description of what was seen.
     pub what: String,
 }
 
--- a/crates/pipithub-conformance/src/rules/trace.rs
+++ b/crates/pipithub-conformance/src/rules/trace.rs
@@ -28,7 +28,7 @@
 /// Identifies an attempt of a request. The order of the fields is the sort order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// The worker's address.
+    /// The address of the worker.
     pub worker: String,
     /// The number of the attempt at its front end.
     pub number: u32,
@@ -41,7 +41,7 @@
 pub struct Attempt {
     /// When, in Unix nanoseconds.
     pub at: u64,
-    /// Which.
+    /// The attempt's identity.
     pub id: AttemptId,
 }
 
@@ -61,7 +61,7 @@
 pub struct RequestTrace {
     /// When it was published, in Unix nanoseconds.
     pub published: u64,
-    /// Its class.
+    /// The name of its class; empty if it has none.
     pub class: String,
     /// How long its client waits, in nanoseconds.
     pub timeout: u64,
--- a/crates/pipithub-conformance/tests/rules.rs
+++ b/crates/pipithub-conformance/tests/rules.rs
@@ -164,7 +164,7 @@
     )
 }
 
-/// A call that is turned away once, then served.
+/// Records of a call that is rejected by one worker and served by another.
 fn compliant() -> Vec<Record> {
     vec![
         published(0, "a", "unsafe"),
