--- a/crates/pipithub-scenario/src/client.rs
+++ b/crates/pipithub-scenario/src/client.rs
@@ -20,9 +20,9 @@
     pub id: String,
     /// The queue to publish to.
     pub queue: String,
-    /// The class.
+    /// The class of the request.
     pub class: String,
-    /// The function.
+    /// The function to call.
     pub function: String,
     /// The timeout in milliseconds; `None` for that of the class.
     pub budget_ms: Option<u64>,
@@ -49,7 +49,7 @@
     pub key: Vec<u8>,
 }
 
-/// A final answer.
+/// The final answer to a request.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// The id of the request.
--- a/crates/pipithub-scenario/src/document.rs
+++ b/crates/pipithub-scenario/src/document.rs
@@ -20,7 +20,7 @@
 /// The result of reading a part of a scenario file.
 pub(crate) type ParseResult<T> = Result<T, Box<ScenarioError>>;
 
-/// A scenario file.
+/// A parsed scenario file.
 pub(crate) struct Document<'a> {
     kdl: KdlDocument,
     source: Source<'a>,
@@ -68,7 +68,7 @@
         self.kdl.get(name).map(|node| self.wrap(node))
     }
 
-    /// An error of the file as a whole.
+    /// An error that concerns no single node.
     pub(crate) fn error<T>(&self, message: &str) -> ParseResult<T> {
         self.source.error(message.to_string(), (0, 0).into())
     }
@@ -88,7 +88,7 @@
 }
 
 impl<'a> Node<'a> {
-    /// Its name.
+    /// The name of the node.
     pub(crate) fn name(&self) -> &'a str {
         self.kdl.name().value()
     }
--- a/crates/pipithub-scenario/src/fleet/run/action.rs
+++ b/crates/pipithub-scenario/src/fleet/run/action.rs
@@ -161,7 +161,7 @@
 
 /// The actions of a run.
 pub(super) struct Schedule {
-    /// By time.
+    /// The actions, by time.
     pub(super) actions: Vec<ScheduledAction<Action>>,
     /// The number of duplicates that are started.
     pub(super) duplicates: usize,
--- a/crates/pipithub-scenario/src/fleet/run/cluster.rs
+++ b/crates/pipithub-scenario/src/fleet/run/cluster.rs
@@ -26,11 +26,11 @@
 /// The port of all advertised addresses.
 const ADVERTISED_PORT: u16 = 7100;
 
-/// The place of a process: that of a member, or of a duplicate of one.
+/// The place of a member's process, or of that of a duplicate.
 pub(super) struct Slot {
     name: String,
     zone: usize,
-    /// The address that the others know. Nobody listens there; relays take its place.
+    /// The address that other members know. Relays receive the datagrams for it, so no process listens there.
     advertise: SocketAddr,
     pub(super) process: Option<Process>,
     /// The present run, as an index into the history.
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Restores all links.
+    /// Ends all disturbances of links.
     pub(super) fn restore_links(&self) {
         self.change_links(|_, conditions| *conditions = LinkConditions::default());
     }
@@ -281,7 +281,7 @@
     Slot {
         name: format!("front-{slot}"),
         zone: slot % scenario.zones,
-        // Within the loopback range, on an address that nobody uses.
+        // An address of the loopback range on which nothing listens.
         advertise: SocketAddr::from(([127, 0, 100, slot as u8 + 1], ADVERTISED_PORT)),
         process: None,
         run: None,
--- a/crates/pipithub-scenario/src/load.rs
+++ b/crates/pipithub-scenario/src/load.rs
@@ -39,7 +39,7 @@
 pub struct ScheduledRequest {
     /// Nanoseconds from the first request.
     pub at: u64,
-    /// The request.
+    /// The request to publish.
     pub publish: Publish,
 }
 
--- a/crates/pipithub-scenario/src/outcome.rs
+++ b/crates/pipithub-scenario/src/outcome.rs
@@ -26,7 +26,7 @@
 
 /// An action that was carried out.
 struct InjectedAction {
-    /// In Unix nanoseconds.
+    /// When it was carried out, in Unix nanoseconds.
     at: Time,
     code: String,
     description: String,
--- a/crates/pipithub-scenario/src/random.rs
+++ b/crates/pipithub-scenario/src/random.rs
@@ -10,7 +10,7 @@
         SplitMix64(seed)
     }
 
-    /// The next number.
+    /// Draws the next number of the sequence.
     pub fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let x = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -18,12 +18,12 @@
         x ^ (x >> 31)
     }
 
-    /// A number from 0 to below 1.
+    /// Draws a number from 0 to below 1.
     pub fn unit(&mut self) -> f64 {
         (self.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// A whole number below a bound.
+    /// Draws an integer below a bound; 0 for the bound 0.
     pub fn below(&mut self, bound: usize) -> usize {
         (self.unit() * bound as f64) as usize
     }
--- a/crates/pipithub-scenario/src/run.rs
+++ b/crates/pipithub-scenario/src/run.rs
@@ -37,9 +37,9 @@
     pub report: Report,
     /// The injected faults, with their times since the first request.
     pub faults: Vec<InjectedFault>,
-    /// Requests published.
+    /// The number of published requests.
     pub calls: usize,
-    /// Answers that the client received.
+    /// The number of answers that the client received.
     pub answered: usize,
     /// Where logs and records are.
     pub folder: PathBuf,
--- a/crates/pipithub-scenario/src/run/driver.rs
+++ b/crates/pipithub-scenario/src/run/driver.rs
@@ -21,11 +21,11 @@
 /// How much longer than two client timeouts the last answers are awaited, in nanoseconds.
 const LAST_ANSWERS: u64 = 4 * SECOND;
 
-/// What the client saw.
+/// The result of driving a scenario.
 pub(super) struct Driven {
     /// When the load began, in Unix nanoseconds.
     pub(super) began: u64,
-    /// Answers received.
+    /// The number of answers received.
     pub(super) answered: usize,
 }
 
--- a/crates/pipithub-scenario/tests/fleet_scenario.rs
+++ b/crates/pipithub-scenario/tests/fleet_scenario.rs
@@ -1,11 +1,11 @@
-//! Reading and drawing scenarios of a fleet.
+//! Parsing fleet scenarios and drawing their faults.
 
 use pipithub_conformance::fleet::Disk;
 use pipithub_scenario::fleet::FleetScenario;
 use pipithub_scenario::fleet::scenario::FleetFault;
 
 #[test]
-fn a_fleet_scenario_is_read_and_its_errors_are_named() {
+fn fleet_scenario_is_parsed_and_invalid_ones_are_rejected() {
     let text = "fleet-day name=\"x\" members=5 zones=2\nkill at=\"2s\" member=1 disk=\"old\"\ncut at=\"1s\" from=0 to=4 both=#true\n";
     assert!(FleetScenario::is_fleet_scenario(text));
     let scenario = FleetScenario::parse("x", text).unwrap();
--- a/crates/pipithub-scenario/tests/load.rs
+++ b/crates/pipithub-scenario/tests/load.rs
@@ -48,7 +48,7 @@
     )
 }
 
-/// The hash FNV-1a.
+/// The FNV-1a hash of a text.
 fn fnv1a(text: &str) -> u64 {
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
@@ -57,7 +57,7 @@
 
 /// A figure that was measured with a seed must be comparable later, so the draws of a seed never change.
 #[test]
-fn a_seed_always_draws_the_same_requests() {
+fn requests_of_a_seed_never_change() {
     let requests = requests(&scenario(), 1, "calls");
     assert_eq!(requests.len(), 916);
     let text: String = requests.iter().map(line).collect();
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn users_migrate_to_and_fro() {
+fn users_migrate_between_the_two_tenants() {
     let migrations = migrations(&scenario(), 1);
     assert_eq!(migrations.len(), 40);
     let first: Vec<(u64, usize, usize)> = migrations[..3]
--- a/crates/pipithub-scenario/tests/scenario.rs
+++ b/crates/pipithub-scenario/tests/scenario.rs
@@ -2,7 +2,7 @@
 
 use pipithub_scenario::scenario::Scenario;
 
-/// Each text with the words of its error.
+/// Invalid scenarios with the messages of their errors.
 const INVALID: [(&str, &str); 11] = [
     ("", "a day needs a class"),
     (
@@ -36,7 +36,7 @@
 ];
 
 #[test]
-fn invalid_scenarios_are_named_with_their_errors() {
+fn invalid_scenario_is_rejected_with_a_message() {
     for (text, message) in INVALID {
         let error = Scenario::parse("invalid", text).expect_err(text);
         assert_eq!(error.to_string(), message, "{text}");
