--- a/crates/pipithub/src/main.rs
+++ b/crates/pipithub/src/main.rs
@@ -57,7 +57,7 @@
     },
     /// Publishes calls to a queue and reports their answers and latencies.
     Publish(publish::Publish),
-    /// Runs a complete system on loopback for 20 seconds, injects faults and reports whether the guarantees held.
+    /// Runs a complete system on loopback for about 20 seconds, injects faults and reports whether the guarantees held.
     Demo,
     /// Runs a fault scenario from a file and checks the guarantees; exits with 0 only if all of them held.
     #[command(visible_alias = "drill")]
--- a/crates/pipithub/src/scenario/report.rs
+++ b/crates/pipithub/src/scenario/report.rs
@@ -70,7 +70,7 @@
     })
 }
 
-/// The whole result as JSON.
+/// The complete result as JSON.
 pub(super) fn to_json(scenario: &Scenario, seed: u64, outcome: &Outcome) -> Value {
     json!({
         "day": scenario.name,
@@ -113,6 +113,7 @@
         }
     }
     print_window("total", &outcome.report.whole);
+    println!("service: the part of the calls that was served in time, weighted by class");
 }
 
 fn print_window(name: &str, window: &Window) {
--- a/crates/pipithub/tests/cli.rs
+++ b/crates/pipithub/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line as a user meets it.
+//! The commands of the program, run as a user would.
 
 use std::io::{BufRead, BufReader};
 use std::process::{Child, Command, Output, Stdio};
@@ -40,8 +40,11 @@
         BufReader::new(child.stdout.take().expect("a pipe"))
             .read_line(&mut line)
             .expect("its first line");
-        let said: serde_json::Value = serde_json::from_str(&line).expect("JSON");
-        let address = said["address"].as_str().expect("an address").to_string();
+        let announced: serde_json::Value = serde_json::from_str(&line).expect("JSON");
+        let address = announced["address"]
+            .as_str()
+            .expect("an address")
+            .to_string();
         assert!(address.starts_with("127.0.0.1:"));
         Emulator {
             process: child,
@@ -58,7 +61,7 @@
 }
 
 #[test]
-fn settings_are_checked_and_faults_named_by_place() {
+fn invalid_settings_are_reported_with_their_positions() {
     let good = file(
         "good.kdl",
         "class \"view\" effect=\"safe\"\nworkers { worker \"127.0.0.1:1\" }\n",
@@ -74,18 +77,21 @@
         "class \"view\" effect=\"safe\" aim=\"soon\"\nworkers { worker \"127.0.0.1:1\" }\n",
     );
     let output = run(&["config", "check", &bad]);
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(!output.status.success());
     assert!(
-        told.contains("'aim' cannot be") && told.contains("bad.kdl:1:"),
-        "{told}"
+        stderr.contains("'aim' cannot be") && stderr.contains("bad.kdl:1:"),
+        "{stderr}"
     );
     let output = run(&["serve", "--config", &bad]);
-    assert!(!output.status.success(), "nothing runs with such a file");
+    assert!(
+        !output.status.success(),
+        "the gateway does not start with invalid settings"
+    );
 }
 
 #[test]
-fn emulators_run_with_defaults_alone_and_a_call_comes_back() {
+fn call_is_served_by_emulators_with_default_settings() {
     let broker = Emulator::start(&["broker", "--queue", "calls"]);
     let worker = Emulator::start(&["worker", "--load-ms", "5", "--run-ms", "5"]);
     for kind in ["list", "store"] {
@@ -120,19 +126,19 @@
     let output = run(&[&publish[..], &["--rate", "100", "--wait-ms", "30000"]].concat());
     let _ = gateway.kill();
     let _ = gateway.wait();
-    let told: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
-    assert_eq!(told["answers"]["served"], 5, "{told}");
+    let results: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
+    assert_eq!(results["answers"]["served"], 5, "{results}");
     assert!(output.status.success());
 }
 
 #[test]
-fn emulators_listen_on_loopback_alone() {
+fn emulators_reject_addresses_outside_loopback() {
     let output = run(&["emulator", "broker", "--listen", "0.0.0.0:0"]);
     assert!(!output.status.success());
     assert!(String::from_utf8_lossy(&output.stderr).contains("loopback alone"));
 }
 
-/// Scripts and pages may use the former names of commands: both lead to the same code, with the same output.
+/// Scripts may use the former names of commands, which must give the same output.
 #[test]
 fn renamed_commands_accept_their_former_names() {
     let no_fleet = file(
@@ -162,9 +168,9 @@
     ];
     for (name, former_name, arguments, reason) in cases {
         let output = run(&[&[name], arguments].concat());
-        let told = String::from_utf8_lossy(&output.stderr);
+        let stderr = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{name}");
-        assert!(told.contains(reason), "{name}: {told}");
+        assert!(stderr.contains(reason), "{name}: {stderr}");
         assert_eq!(
             run(&[&[former_name], arguments].concat()),
             output,
@@ -177,18 +183,18 @@
 }
 
 #[test]
-fn a_scenario_that_cannot_be_read_names_place_and_reason() {
+fn invalid_scenario_is_reported_with_position_and_reason() {
     let bad = file(
         "bad-day.kdl",
         "day length=\"2s\"\nclass \"a\" effect=\"safe\"\ncrash worker=99 at=\"1s\"\n",
     );
     let output = run(&["scenario", &bad]);
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
         !output.status.success()
-            && told.contains("there are only 6 workers")
-            && told.contains("bad-day.kdl:3"),
-        "{told}"
+            && stderr.contains("there are only 6 workers")
+            && stderr.contains("bad-day.kdl:3"),
+        "{stderr}"
     );
 }
 
@@ -211,34 +217,37 @@
         )
     };
     let config = file("tenants.kdl", &settings(&directory.address));
-    let told = |arguments: &[&str]| {
+    let run_tenants = |arguments: &[&str]| {
         let output = run(&[&["tenants"], arguments, &["--config", &config]].concat());
         (
             output.status.success(),
             String::from_utf8_lossy(&output.stdout).into_owned(),
         )
     };
-    let (good, text) = told(&["show"]);
+    let (succeeded, text) = run_tenants(&["show"]);
     assert!(
-        good && text.contains("north") && text.contains("100.0%") && text.contains("north-*"),
+        succeeded && text.contains("north") && text.contains("100.0%") && text.contains("north-*"),
         "{text}"
     );
-    let (good, text) = told(&["check"]);
-    assert!(good && text.contains("healthy"), "{text}");
-    let (good, text) = told(&["explain", "Mai", "--function", "north-map"]);
+    let (succeeded, text) = run_tenants(&["check"]);
+    assert!(succeeded && text.contains("healthy"), "{text}");
+    let (succeeded, text) = run_tenants(&["explain", "Mai", "--function", "north-map"]);
     assert!(
-        good && text.contains("mai: belongs to tenant north") && text.contains("may be run"),
+        succeeded && text.contains("mai: belongs to tenant north") && text.contains("may be run"),
         "{text}"
     );
     assert!(
         text.contains("uid=mai,ou=north,dc=example (mark "),
         "{text}"
     );
-    let (good, text) = told(&["explain", "mai", "--function", "south-map"]);
-    assert!(!good && text.contains("refused (other-tenant)"), "{text}");
-    let (good, text) = told(&["explain", "lan"]);
+    let (succeeded, text) = run_tenants(&["explain", "mai", "--function", "south-map"]);
+    assert!(
+        !succeeded && text.contains("refused (other-tenant)"),
+        "{text}"
+    );
+    let (succeeded, text) = run_tenants(&["explain", "lan"]);
     assert!(
-        !good && text.contains("nobody of this name") && text.contains("no-tenant"),
+        !succeeded && text.contains("nobody of this name") && text.contains("no-tenant"),
         "{text}"
     );
     let bad = file(
@@ -250,36 +259,36 @@
     assert!(String::from_utf8_lossy(&output.stderr).contains("not within the directory's"));
 }
 
-/// The scenario with tenants: the five rules, and that no call crosses, with directory faults added.
+/// All rules including tenant isolation, with faults of directory servers.
 #[test]
-fn the_scenario_with_tenants_keeps_all_rules() {
+fn scenario_with_tenants_keeps_all_rules() {
     keeps_all_rules("bad-day-tenants.kdl");
 }
 
-/// The small fault scenario over sockets and processes: all five rules, from the traffic.
+/// All rules without tenants, checked on the traffic between real processes.
 #[test]
-fn the_small_fault_scenario_keeps_all_rules() {
+fn small_fault_scenario_keeps_all_rules() {
     keeps_all_rules("bad-day-small.kdl");
 }
 
 fn keeps_all_rules(scenario: &str) {
     let scenario = format!("{}/../../scenarios/{scenario}", env!("CARGO_MANIFEST_DIR"));
     let output = run(&["scenario", &scenario, "--seed", "7", "--json"]);
-    let told: serde_json::Value = serde_json::from_slice(&output.stdout)
+    let report: serde_json::Value = serde_json::from_slice(&output.stdout)
         .unwrap_or_else(|_| panic!("no JSON: {}", String::from_utf8_lossy(&output.stderr)));
     assert!(
-        told["calls"].as_u64().is_some_and(|c| c > 1_000),
+        report["calls"].as_u64().is_some_and(|c| c > 1_000),
         "{}",
-        told["calls"]
+        report["calls"]
     );
-    for rule in told["rules"].as_array().expect("rules") {
+    for rule in report["rules"].as_array().expect("rules") {
         assert_eq!(rule["kept"], true, "{rule}");
     }
     assert!(output.status.success());
 }
 
 #[test]
-fn a_node_names_what_is_wrong_and_outlives_a_bad_configuration_until_it_is_told_to_stop() {
+fn node_rejects_an_invalid_configuration_at_start_and_keeps_the_previous_one_on_reload() {
     let place = std::env::temp_dir().join(format!("pipithub-node-cli-{}.json", std::process::id()));
     let node = || {
         let mut command = Command::new(BINARY);
@@ -298,10 +307,10 @@
     .expect("written");
     let output = node().output().expect("runs");
     assert!(!output.status.success());
-    let said = String::from_utf8_lossy(&output.stderr).replace('\n', " ");
+    let stderr = String::from_utf8_lossy(&output.stderr).replace('\n', " ");
     assert!(
-        said.contains("seed") && said.contains("invalid digit"),
-        "{said}"
+        stderr.contains("seed") && stderr.contains("invalid digit"),
+        "{stderr}"
     );
 
     let good = r#"{"name":"n1","listen":"127.0.0.1:0","seed":"1f","coordinator":"127.0.0.1:1","settings":{"Grades":
@@ -309,10 +318,10 @@
     std::fs::write(&place, good).expect("written");
     let mut child = node().spawn().expect("starts");
     let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
-    let mut until = |what: &str| {
+    let mut log_contains = |message: &str| {
         log.by_ref()
             .map_while(Result::ok)
-            .any(|line| line.contains(what))
+            .any(|line| line.contains(message))
     };
     let pid = child.id().to_string();
     let signal = |name: &str| {
@@ -322,12 +331,12 @@
             .expect("signals")
             .success()
     };
-    assert!(until("front end up"));
+    assert!(log_contains("front end up"));
     std::fs::write(&place, "{").expect("written");
-    assert!(signal("-HUP") && until("previous configuration stays in force"));
+    assert!(signal("-HUP") && log_contains("previous configuration stays in force"));
     std::fs::write(&place, good.replace("127.0.0.1:1", "127.0.0.1:2")).expect("written");
-    assert!(signal("-HUP") && until("configuration read again"));
-    assert!(signal("-TERM") && until("front end down"));
+    assert!(signal("-HUP") && log_contains("configuration read again"));
+    assert!(signal("-TERM") && log_contains("front end down"));
     assert!(child.wait().expect("ends").success());
     std::fs::remove_file(&place).expect("removed");
 }
--- a/crates/pipithub/tests/fleet.rs
+++ b/crates/pipithub/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes as its operators meet it.
+//! Front ends of a fleet as processes, and the commands that show its membership.
 
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
@@ -25,34 +25,38 @@
     file.display().to_string()
 }
 
-struct Ended(Child);
+/// A process that is killed when dropped.
+struct Running(Child);
 
-impl Drop for Ended {
+impl Drop for Running {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-fn serve(config: &str) -> Ended {
+fn serve(config: &str) -> Running {
     let mut command = Command::new(BINARY);
     command
         .args(["serve", "--config", config])
         .stdout(Stdio::null())
         .stderr(Stdio::null());
-    Ended(command.spawn().expect("it starts"))
+    Running(command.spawn().expect("it starts"))
 }
 
-/// Asks until an answer is as wanted; the bound is generous, as only a failure waits for it.
-fn status(config: &str, wanted: impl Fn(&serde_json::Value) -> bool) -> serde_json::Value {
+/// Polls the membership report until it is as expected. The bound is generous, as only a failing test reaches it.
+fn wait_for_status(
+    config: &str,
+    is_expected: impl Fn(&serde_json::Value) -> bool,
+) -> serde_json::Value {
     let begun = Instant::now();
     loop {
         let out = run(&["membership", "status", "--json", "--config", config]);
-        let said: serde_json::Value = serde_json::from_slice(&out.stdout).unwrap_or_default();
-        if wanted(&said) {
-            return said;
+        let report: serde_json::Value = serde_json::from_slice(&out.stdout).unwrap_or_default();
+        if is_expected(&report) {
+            return report;
         }
-        assert!(begun.elapsed() < Duration::from_secs(60), "{said}");
+        assert!(begun.elapsed() < Duration::from_secs(60), "{report}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
@@ -62,27 +66,27 @@
 }
 
 #[test]
-fn two_processes_find_each_other_and_the_one_left_tells_why_it_holds_the_other_dead() {
+fn members_discover_each_other_and_explain_a_detected_failure() {
     let folder = folder();
     let quick = "    probe-period \"100ms\"\n    probe-wait \"30ms\"\n";
     let one = settings(folder.path(), "front-1", quick);
     let first = serve(&one);
-    let said = status(&one, |s| s["me"]["state"] == "alone");
-    let seed = said["listen"].as_str().expect("an address").to_string();
+    let report = wait_for_status(&one, |s| s["me"]["state"] == "alone");
+    let seed = report["listen"].as_str().expect("an address").to_string();
     let two = settings(
         folder.path(),
         "front-2",
         &format!("{quick}    seed {seed:?}\n"),
     );
     let second = serve(&two);
-    status(&two, |s| {
+    wait_for_status(&two, |s| {
         s["me"]["state"] == "joined" && s["members"][0]["name"] == "front-1"
     });
-    status(&one, |s| {
+    wait_for_status(&one, |s| {
         s["me"]["state"] == "joined" && s["members"][0]["state"] == "alive"
     });
     drop(second);
-    status(&one, |s| s["members"][0]["state"] == "down");
+    wait_for_status(&one, |s| s["members"][0]["state"] == "down");
     let out = run(&["membership", "explain", "front-2", "--config", &one]);
     let text = String::from_utf8_lossy(&out.stdout);
     assert!(
@@ -90,24 +94,24 @@
         "{text}"
     );
     let again = serve(&two);
-    status(&one, |s| {
+    wait_for_status(&one, |s| {
         s["members"][0]["state"] == "alive" && s["members"][0]["generation"] == 2
     });
     drop((first, again));
     let out = run(&["membership", "status", "--config", &one]);
     assert!(
         !out.status.success(),
-        "a process that does not run takes no part"
+        "a process that does not run is no member"
     );
     assert!(String::from_utf8_lossy(&out.stdout).contains("not running now"));
 }
 
 #[test]
-fn a_folder_serves_one_process_and_a_damaged_record_is_named() {
+fn data_folder_is_locked_by_one_process_and_a_damaged_record_is_reported() {
     let folder = folder();
     let config = settings(folder.path(), "front-1", "");
     let first = serve(&config);
-    status(&config, |s| s["me"]["generation"] == 1);
+    wait_for_status(&config, |s| s["me"]["generation"] == 1);
     let out = run(&["serve", "--config", &config]);
     assert!(!out.status.success());
     assert!(String::from_utf8_lossy(&out.stderr).contains("another process runs with this folder"));
@@ -123,7 +127,7 @@
 }
 
 #[test]
-fn faults_of_fleet_settings_are_named_with_their_lines() {
+fn invalid_fleet_settings_are_reported_with_their_reasons() {
     let folder = folder();
     let faulty = [
         (
@@ -153,9 +157,9 @@
     assert!(run(&["config", "check", &good]).status.success());
 }
 
-/// The small scenario over five processes: deaths, a frozen member, an old disk, a link cut one way. Judged from truth.
+/// Five processes with failures, a paused member, an old disk and a link that is cut in one direction.
 #[test]
-fn a_fault_scenario_of_a_fleet_keeps_all_its_rules() {
+fn fleet_fault_scenario_keeps_all_rules() {
     let scenario = concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../scenarios/members-small.kdl"
@@ -167,9 +171,9 @@
         "{text}\n{}",
         String::from_utf8_lossy(&out.stderr)
     );
-    let said: serde_json::Value = serde_json::from_str(&text).expect("JSON");
+    let report: serde_json::Value = serde_json::from_str(&text).expect("JSON");
     assert!(
-        said["claims"].as_u64() > Some(50) && said["runs"] == 7,
+        report["claims"].as_u64() > Some(50) && report["runs"] == 7,
         "{text}"
     );
 }
--- a/crates/pipithub/tests/rig/mod.rs
+++ b/crates/pipithub/tests/rig/mod.rs
@@ -1,4 +1,4 @@
-//! The program as processes, with workers and coordinators played by the test.
+//! Front ends as processes, and the workers and coordinators that tests emulate.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Lines, Read, Write};
@@ -20,14 +20,14 @@
     }
 }
 
-/// Answers every line of a worker's protocol; ends with the test.
+/// A worker that answers every request, until the test ends.
 pub(crate) fn worker(listener: TcpListener) {
     for stream in listener.incoming().map_while(Result::ok) {
         std::thread::spawn(move || {
             let mut write = stream.try_clone().expect("a second handle");
             for line in BufReader::new(stream).lines().map_while(Result::ok) {
-                let asked: serde_json::Value = serde_json::from_str(&line).expect("a request");
-                let answer = serde_json::json!({"cmd": "ACK", "ref": asked["ref"], "payload": asked["payload"]});
+                let request: serde_json::Value = serde_json::from_str(&line).expect("a request");
+                let answer = serde_json::json!({"cmd": "ACK", "ref": request["ref"], "payload": request["payload"]});
                 if write.write_all(format!("{answer}\n").as_bytes()).is_err() {
                     return;
                 }
@@ -36,14 +36,14 @@
     }
 }
 
-/// A listener on a port of the system's choice, and where it is.
+/// A listener on a free port, and its address.
 pub(crate) fn listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let address = listener.local_addr().expect("bound");
     (listener, address)
 }
 
-/// A file that is removed with the test, and is nobody else's.
+/// The path of a file of this test, which is removed at its end.
 pub(crate) struct Place(pub PathBuf);
 
 impl Place {
@@ -58,7 +58,7 @@
     }
 }
 
-/// The configuration of a front end that knows one worker: `view` may be repeated, `assign` must not run twice.
+/// The configuration of a front end that knows one worker: calls of the class `view` are idempotent, those of `assign` not.
 pub(crate) fn config(coordinator: SocketAddr, worker: SocketAddr) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"Name": name, "Effect": effect, "Aim": 30_000_000_000u64,
@@ -73,7 +73,7 @@
     })
 }
 
-/// An event that names this worker alone.
+/// A list event with this worker only.
 pub(crate) fn event(index: u64, worker: SocketAddr) -> Value {
     json!({"index": index, "endpoints": {"seq": index, "whole": true, "hosts": [
         {"host": format!("w{}", worker.port()), "dial": worker.to_string(), "site": "a", "health": "SERVING"}]}})
@@ -86,16 +86,16 @@
 }
 
 impl FrontEndProcess {
-    /// Starts it, with at most so many descriptors where that is told.
+    /// Starts it, with a limit on file descriptors if one is given.
     pub(crate) fn spawn(config: &Path, descriptors: Option<u32>) -> Self {
         let mut command = match descriptors {
             None => Command::new(BINARY),
-            Some(most) => {
-                // As the platform does it: the shell becomes the program.
+            Some(limit) => {
+                // As on the platform, the shell becomes the program.
                 let mut shell = Command::new("/bin/sh");
                 shell.args([
                     "-c",
-                    &format!("ulimit -n {most}; exec {BINARY} \"$@\""),
+                    &format!("ulimit -n {limit}; exec {BINARY} \"$@\""),
                     "sh",
                 ]);
                 shell
@@ -116,25 +116,25 @@
         FrontEndProcess { process, log }
     }
 
-    /// Waits for a line of its log that holds these words.
-    pub(crate) fn says(&mut self, words: &str) -> String {
+    /// Waits for a line of its log that contains this message.
+    pub(crate) fn wait_for_log(&mut self, message: &str) -> String {
         let mut lines = self.log.by_ref().map_while(Result::ok);
         lines
-            .find(|line| line.contains(words))
-            .unwrap_or_else(|| panic!("it ended and never said {words:?}"))
+            .find(|line| line.contains(message))
+            .unwrap_or_else(|| panic!("it ended without logging {message:?}"))
     }
 
-    /// Waits until it is up; where clients connect.
-    pub(crate) fn up(&mut self) -> SocketAddr {
-        let line = self.says("front end up");
+    /// Waits until it is up; returns the address for clients.
+    pub(crate) fn wait_until_up(&mut self) -> SocketAddr {
+        let line = self.wait_for_log("front end up");
         let address = line
             .split_whitespace()
             .find_map(|w| w.strip_prefix("address="))
-            .expect("told");
+            .expect("the log names the address");
         address.trim_matches('"').parse().expect("an address")
     }
 
-    /// Sends it a signal, by its own id.
+    /// Sends it a signal.
     pub(crate) fn signal(&self, name: &str) {
         let id = self.process.0.id().to_string();
         let done = Command::new("kill")
@@ -145,7 +145,7 @@
     }
 }
 
-/// One end of a connection, by lines.
+/// One end of a connection that carries lines.
 pub(crate) struct Peer {
     lines: Lines<BufReader<TcpStream>>,
     write: TcpStream,
@@ -164,8 +164,8 @@
         Peer::of(TcpStream::connect(address).expect("connects"))
     }
 
-    /// The next line, as JSON; `None` at a clean end.
-    pub(crate) fn next(&mut self) -> Option<Value> {
+    /// Reads the next line, as JSON; `None` if the other end has closed the connection.
+    pub(crate) fn receive(&mut self) -> Option<Value> {
         let line = self.lines.next()?.expect("no reset");
         Some(serde_json::from_str(&line).expect("JSON"))
     }
@@ -174,17 +174,17 @@
         self.write.write_all(text.as_bytes()).expect("written");
     }
 
-    /// Whether the front end says that it is well.
+    /// Whether the front end reports itself as healthy.
     pub(crate) fn is_well(&mut self, id: u64) -> bool {
         self.send(&format!(
             "{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"isWell\"}}\n"
         ));
-        self.next().expect("an answer")["result"]["healthy"] == true
+        self.receive().expect("an answer")["result"]["healthy"] == true
     }
 
-    /// Answers what this asked for, as a worker that served it.
-    pub(crate) fn serve(&mut self, asked: &Value) {
-        let answer = json!({"cmd": "ACK", "ref": asked["ref"], "payload": asked["payload"]});
+    /// Answers a request as a worker that served it.
+    pub(crate) fn serve(&mut self, request: &Value) {
+        let answer = json!({"cmd": "ACK", "ref": request["ref"], "payload": request["payload"]});
         self.send(&format!("{answer}\n"));
     }
 }
@@ -196,18 +196,18 @@
     format!("{call}\n")
 }
 
-/// Takes a coordinator's next connection and answers with these events, and stays open.
-pub(crate) fn tell(list: &TcpListener, events: &[Value]) -> (TcpStream, String) {
+/// Accepts the next connection of a coordinator and sends these events; returns the open connection and the request.
+pub(crate) fn serve_events(list: &TcpListener, events: &[Value]) -> (TcpStream, String) {
     let (mut stream, _) = list.accept().expect("it asks");
     let (mut request, mut byte) = (Vec::new(), [0]);
     while !request.ends_with(b"\r\n\r\n") {
         stream.read_exact(&mut byte).expect("a request");
         request.push(byte[0]);
     }
-    let mut says = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\n".to_string();
+    let mut response = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\n".to_string();
     for event in events {
-        says += &format!("id: {}\ndata: {event}\n\n", event["index"]);
+        response += &format!("id: {}\ndata: {event}\n\n", event["index"]);
     }
-    stream.write_all(says.as_bytes()).expect("written");
+    stream.write_all(response.as_bytes()).expect("written");
     (stream, String::from_utf8_lossy(&request).to_lowercase())
 }
--- a/crates/pipithub/tests/run_line.rs
+++ b/crates/pipithub/tests/run_line.rs
@@ -1,13 +1,13 @@
-//! What the platform asks of `run` in the deploy file: one process that the shell's `exec` becomes, linked
-//! dynamically against the C library, that starts nothing and opens TCP and UDP sockets over IPv4 alone. Later parts
-//! must not slip into it.
+//! The platform's requirements for `run` in the deploy file: the shell's `exec` becomes one process, which is linked
+//! dynamically against the C library, starts no other process, and opens only TCP and UDP sockets over IPv4.
 #![cfg(target_os = "linux")]
 
 mod rig;
 
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader, Read, Write};
-use std::net::{TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::path::Path;
 use std::process::{Command, Stdio};
 
 use object::read::elf::{Dyn, FileHeader, ProgramHeader};
@@ -17,7 +17,7 @@
 
 const BINARY: &str = env!("CARGO_BIN_EXE_pipithub");
 
-/// How a program is linked: its interpreter, where it has one, and the libraries it names.
+/// How a program is linked: whether it has an interpreter, and the libraries that it needs.
 fn linked(bytes: &[u8]) -> object::Result<(bool, Vec<String>)> {
     let header = elf::FileHeader64::<Endianness>::parse(bytes)?;
     let endian = header.endian()?;
@@ -35,7 +35,7 @@
     Ok((interpreter, needs))
 }
 
-/// What a running process does that the platform refuses.
+/// What a running process does that the platform does not allow.
 fn breaches(pid: u32) -> Vec<String> {
     let process = Process::new(pid as i32).expect("it runs");
     let mut found = Vec::new();
@@ -47,7 +47,7 @@
                 .map(|child| format!("child {child}")),
         );
     }
-    // Children that ended and were waited for leave their page faults in the sums.
+    // A child that has ended and was waited for leaves its page faults in the sums.
     let stat = process.stat().expect("its figures");
     if stat.cminflt + stat.cmajflt > 0 {
         found.push("a child that has ended".to_string());
@@ -67,7 +67,7 @@
             .into_iter()
             .map(|s| s.inode),
     );
-    // The pair that carries word of signals within the process has no name: nobody comes to it.
+    // The socket pair that reports signals within the process has no path, so no other process can connect to it.
     allowed.extend(
         process
             .unix()
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn the_deploy_file_starts_one_program_by_exec() {
+fn deploy_file_starts_a_single_program_by_exec() {
     let place = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/balancer.toml");
     let deploy: toml::Table = std::fs::read_to_string(place)
         .expect("it is there")
@@ -102,7 +102,7 @@
     assert_eq!(
         words,
         ["exec", "target/release/pipithub", "node"],
-        "no shell stays and nothing goes beside it"
+        "no shell stays and nothing runs beside it"
     );
     assert!(
         deploy["build"]
@@ -113,14 +113,14 @@
 }
 
 #[test]
-fn the_program_is_linked_dynamically_against_the_c_library() {
+fn program_is_linked_dynamically_against_the_c_library() {
     let mut bytes = std::fs::read(BINARY).expect("it was built");
     let (interpreter, needs) = linked(&bytes).expect("a program");
     assert!(
         interpreter && needs.iter().any(|n| n.starts_with("libc.so")),
         "{needs:?}"
     );
-    // The check itself: without an interpreter, as where all is linked in, it says so.
+    // The check itself is tested: a statically linked program, without an interpreter, is recognised.
     let header = elf::FileHeader64::<Endianness>::parse(&*bytes).expect("a header");
     let endian = header.endian().expect("its order");
     let at = header.e_phoff.get(endian) as usize;
@@ -135,8 +135,8 @@
 }
 
 #[test]
-fn what_the_platform_refuses_is_seen() {
-    // A shell that stays beside what it started: its child is seen.
+fn violations_of_platform_rules_are_detected() {
+    // A shell that stays beside its child.
     let mut shell = Command::new("sh")
         .args(["-c", "exec 3<&0; cat <&3 & wait"])
         .stdin(Stdio::piped())
@@ -149,7 +149,7 @@
     assert!(seen[0].starts_with("child"), "{seen:?}");
     drop(shell.stdin.take());
     shell.wait().expect("ends with its child");
-    // A socket over IPv6, and one that others can come to by a path.
+    // A Unix socket that others can connect to by its path.
     let path = std::env::temp_dir().join(format!("pipithub-run-{}", std::process::id()));
     let named = std::os::unix::net::UnixListener::bind(&path).expect("bound");
     assert!(
@@ -162,25 +162,24 @@
     std::fs::remove_file(&path).expect("removed");
 }
 
-#[test]
-fn a_front_end_at_work_is_one_process_with_sockets_over_ipv4_alone() {
-    let bind = || TcpListener::bind("127.0.0.1:0").expect("bound");
-    let (worker_at, list_at) = (bind(), bind());
+/// The configuration of a front end that knows one worker.
+fn configuration(worker: SocketAddr, coordinator: SocketAddr) -> serde_json::Value {
     let event = serde_json::json!({"index": 1, "endpoints": {"seq": 1, "whole": true, "hosts": [
-        {"host": "w1", "dial": worker_at.local_addr().expect("bound").to_string(), "site": "a", "health": "SERVING"}]}});
-    let config = serde_json::json!({
+        {"host": "w1", "dial": worker.to_string(), "site": "a", "health": "SERVING"}]}});
+    serde_json::json!({
         "name": "n1", "listen": "127.0.0.1:0", "seed": "1",
-        "coordinator": list_at.local_addr().expect("bound").to_string(), "known": {"index": 1, "updates": [event]},
+        "coordinator": coordinator.to_string(), "known": {"index": 1, "updates": [event]},
         "settings": {"PeersTotal": 1, "Granularity": 2_000_000, "Limits": {"MostTries": 4},
             "Grades": [{"Name": "view", "Effect": "read_like", "Aim": 30_000_000_000u64, "GiveUp": 60_000_000_000u64}]}
-    });
-    let place = std::env::temp_dir().join(format!("pipithub-run-line-{}.json", std::process::id()));
-    std::fs::write(&place, config.to_string()).expect("written");
-    // As the platform does it: the shell becomes the program.
+    })
+}
+
+/// Starts a front end as the platform does: a shell that becomes the program by `exec`. Returns its address as well.
+fn start_by_shell(config: &Path) -> (Running, String) {
     let mut command = Command::new("/bin/sh");
     command
         .args(["-c", &format!("exec {BINARY} node")])
-        .env("LB_CONFIG", &place)
+        .env("LB_CONFIG", config)
         .env("RUST_LOG", "info");
     let child = command
         .env_remove("LB_LISTEN")
@@ -188,27 +187,23 @@
         .spawn()
         .expect("starts");
     let mut child = Running(child);
-    let pid = child.0.id();
-    let mut log = BufReader::new(child.0.stderr.take().expect("piped"))
+    let up = BufReader::new(child.0.stderr.as_mut().expect("piped"))
         .lines()
-        .map_while(Result::ok);
-    let up = log
-        .by_ref()
+        .map_while(Result::ok)
         .find(|line| line.contains("front end up"))
         .expect("it comes up");
-    std::fs::remove_file(&place).expect("removed");
     let address = up
         .split_whitespace()
-        .find_map(|w| w.strip_prefix("address="))
-        .expect("told");
-    let address = address.trim_matches('"').to_string();
-    std::thread::spawn(move || worker(worker_at));
-    let (mut coordinator, _) = list_at.accept().expect("it asks for the list");
-    assert!(coordinator.read(&mut [0; 512]).expect("a request") > 0);
+        .find_map(|word| word.strip_prefix("address="))
+        .expect("the log names the address");
+    (child, address.trim_matches('"').to_string())
+}
 
-    let mut write = TcpStream::connect(&address).expect("connects");
+/// Sends calls one after the other and checks that each is served.
+fn make_calls(address: &str, count: u64) -> TcpStream {
+    let mut write = TcpStream::connect(address).expect("connects");
     let mut lines = BufReader::new(write.try_clone().expect("a second handle")).lines();
-    for id in 1..=20 {
+    for id in 1..=count {
         let call = serde_json::json!({"jsonrpc": "2.0", "id": id, "method": "view", "params":
             {"call": format!("{id:016x}"), "ttl": 60_000, "row": "00000000000000aa", "body": "aGVsbG8="}});
         write
@@ -220,11 +215,31 @@
             "{answer}"
         );
     }
+    write
+}
+
+#[test]
+fn serving_front_end_is_a_single_process_with_ipv4_sockets_only() {
+    let bind = || TcpListener::bind("127.0.0.1:0").expect("bound");
+    let (worker_listener, list_listener) = (bind(), bind());
+    let address_of = |listener: &TcpListener| listener.local_addr().expect("bound");
+    let config = configuration(address_of(&worker_listener), address_of(&list_listener));
+    let file = std::env::temp_dir().join(format!("pipithub-run-line-{}.json", std::process::id()));
+    std::fs::write(&file, config.to_string()).expect("written");
+    let (child, address) = start_by_shell(&file);
+    std::fs::remove_file(&file).expect("removed");
+    std::thread::spawn(move || worker(worker_listener));
+    let (mut coordinator, _) = list_listener.accept().expect("it asks for the list");
+    assert!(coordinator.read(&mut [0; 512]).expect("a request") > 0);
+
+    // The connection stays open while the process is examined.
+    let _connection = make_calls(&address, 20);
+    let pid = child.0.id();
     assert_eq!(breaches(pid), Vec::<String>::new());
     let runs = std::fs::read_link(format!("/proc/{pid}/exe")).expect("its program");
     assert_eq!(
         runs.file_name(),
-        std::path::Path::new(BINARY).file_name(),
+        Path::new(BINARY).file_name(),
         "no shell stays before it"
     );
 }
