--- a/crates/pipithub-bench/src/baseline.rs
+++ b/crates/pipithub-bench/src/baseline.rs
@@ -22,16 +22,16 @@
 use crate::latency::new_histogram;
 use crate::testbed::QUEUE;
 
-/// Messages that the pass-through takes before it has acknowledged any.
+/// The number of unacknowledged messages that the pass-through may hold.
 const PREFETCH: u16 = 2_000;
-/// Functions that direct calls name in turn.
+/// The number of functions that direct calls use in turn.
 const FUNCTIONS: u64 = 16;
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 
 /// A connection to a worker.
 type WorkerConnection = SendRequest<Full<Bytes>>;
 
-/// Connections to workers that no call uses now, by the worker's address.
+/// Idle connections to workers, by the worker's address.
 #[derive(Clone, Default)]
 struct IdleConnections {
     by_worker: Arc<Mutex<HashMap<String, Vec<WorkerConnection>>>>,
@@ -146,7 +146,7 @@
             Err(_) => ("failed", Bytes::new()),
         };
         let reply_queue = properties.reply_to().clone().unwrap_or_else(|| "".into());
-        // A broker that is gone ends the consumer too; there is nobody else to tell.
+        // An error means that the connection is lost, which ends the consumer as well.
         let _ = self
             .channel
             .basic_publish(
@@ -164,7 +164,7 @@
     }
 }
 
-/// The function that a message names in its headers; empty where it names none.
+/// The function in the headers of a message; empty if there is none.
 fn function_of(properties: &BasicProperties) -> String {
     let header = properties
         .headers()
@@ -191,12 +191,12 @@
         .with_correlation_id(correlation_id)
 }
 
-/// Calls workers in turn without anything between, at this rate; the latencies in microseconds.
+/// Calls workers directly, in turn, at a rate per second; returns the latencies in microseconds.
 pub(crate) async fn direct(workers: &[String], rate: f64, seconds: u64) -> Result<Histogram<u64>> {
     let (idle, clock) = (IdleConnections::default(), Clock::default());
     let latencies = Arc::new(Mutex::new(new_histogram()));
     let mut calls = tokio::task::JoinSet::new();
-    // The first second makes connections and loads models.
+    // Calls of the first second open connections and load models, and are not measured.
     let warm_up = rate as u64;
     let measured = (rate * seconds as f64) as u64;
     for number in 0..measured + warm_up {
--- a/crates/pipithub-bench/src/directories.rs
+++ b/crates/pipithub-bench/src/directories.rs
@@ -1,4 +1,4 @@
-//! What tenants add to a call, their directory being up, slow or dead.
+//! The overhead of tenants, while their directory is up, slow or dead.
 
 use std::path::Path;
 
@@ -9,17 +9,18 @@
 use crate::testbed::{REPLY_QUEUE, Testbed, wait_for_consumer};
 use crate::{Result, latency};
 
-/// Calls a second.
+/// Calls per second.
 const RATE: f64 = 200.0;
 const WARM_UP_SECONDS: u64 = 4;
-/// Users of the directory, and those of them who have called before it turns slow or dies.
+/// The number of users of the directory.
 const USERS: u64 = 100;
+/// The number of users who have called before the directory becomes slow or dies.
 const KNOWN_USERS: u64 = 70;
 
-/// A state of the directory in which calls are measured.
+/// A state of the directory during a measurement.
 struct Case {
     name: &'static str,
-    /// The command that brings the directory into this state; `None`: the gateway has no tenants.
+    /// The command that brings the directory into this state; `None` for a gateway without tenants.
     directory_command: Option<&'static str>,
 }
 
@@ -42,7 +43,8 @@
     },
 ];
 
-/// The gateway without tenants, then with them: 100 users, of whom 30 are unknown when the directory turns slow or dies.
+/// Measures the gateway without tenants and with them. Of the 100 users, 30 are unknown when the directory becomes slow
+/// or dies.
 pub(crate) async fn measure(testbed: &Testbed) -> Result<()> {
     let workers = testbed.start_workers().await?;
     let worker_list: String = workers
@@ -51,7 +53,7 @@
         .collect();
     let tree = testbed.write_file("tree.ldif", &directory_tree())?;
     println!(
-        "{} workers that take 2 ms a call; 200 calls a second, {} s a part",
+        "{} workers that run each call for 2 ms; 200 calls per second, {} s per measurement",
         testbed.workers, testbed.seconds
     );
     for case in &CASES {
--- a/crates/pipithub-bench/src/directory_core.rs
+++ b/crates/pipithub-bench/src/directory_core.rs
@@ -1,14 +1,14 @@
-//! The directory core with many tenants and users, as the measurements of directories use it.
+//! A directory core with many tenants and users, for the benchmarks of directories.
 
 use pipithub_directory::{Directory, DirectorySettings, Settings, TenantBase, User};
 use pipithub_ldap::Dn;
 
-/// How many tenants there are; users belong to them in turn.
+/// The number of tenants, to which users belong in turn.
 pub(crate) const TENANTS: usize = 50;
-/// Look-ups that may wait for a search.
+/// The maximum number of pending look-ups.
 const MAX_QUEUE: usize = 65_536;
 
-/// Where a tenant's users stand in the directory.
+/// The DN below which the entries of a tenant's users are.
 pub(crate) fn tenant_base(tenant: usize) -> Dn {
     Dn::parse(&format!("ou=t{tenant},dc=example")).unwrap_or_default()
 }
@@ -18,7 +18,7 @@
     format!("caregiver{number:07}").into()
 }
 
-/// The directory name of a user whose tenant's base is this one.
+/// The DN of a user below a base.
 pub(crate) fn user_dn(user: &str, base: &Dn) -> Dn {
     let rdn = Dn::parse(&format!("uid={user}")).ok();
     base.moved(rdn.as_ref(), Some(base))
--- a/crates/pipithub-bench/src/hollow.rs
+++ b/crates/pipithub-bench/src/hollow.rs
@@ -1,4 +1,4 @@
-//! Many hollow front ends as a process, told what to do by lines on standard input.
+//! Many hollow front ends in one process, which is controlled by lines on standard input.
 
 use std::cell::Cell;
 use std::path::PathBuf;
@@ -15,22 +15,24 @@
 
 use crate::Result;
 
-/// Which hollow front ends a process runs.
+/// Arguments of `pipithub-bench hollow`.
 #[derive(Args)]
 pub(crate) struct HollowArguments {
-    /// The configuration of one, from which the others differ by name and seed.
+    /// The configuration of the first one; the others differ from it by name and seed.
     #[arg(long)]
     config: PathBuf,
-    /// How many.
+    /// The number of front ends.
     #[arg(long)]
     count: usize,
-    /// The number of the first.
+    /// The number of the first one.
     #[arg(long, default_value_t = 0)]
     first: usize,
 }
 
-/// Runs hollow front ends until standard input ends. `await INDEX` is answered once all of them have that event, with
-/// the Unix time in nanoseconds at which the last one had it; any other line is answered at once.
+/// Runs hollow front ends until standard input ends. `await INDEX` is answered when all of them have received that event,
+/// with the Unix time in nanoseconds at which the last one did; any other line is answered at once.
+///
+/// Fails if the configuration cannot be read or is invalid.
 pub(crate) fn run(arguments: &HollowArguments) -> Result<()> {
     let config = NodeConfig::parse(&std::fs::read_to_string(&arguments.config)?)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -40,19 +42,19 @@
     runtime.block_on(LocalSet::new().run_until(serve))
 }
 
-/// The event that is awaited, and how many front ends do not have it.
+/// The event that is awaited, and the number of front ends that have not received it.
 #[derive(Default)]
 struct AwaitedEvent {
-    /// Its index; 0 where none is awaited.
+    /// Its index; 0 if none is awaited.
     index: Cell<u64>,
     behind: Cell<usize>,
-    /// When the last front end had it, in Unix nanoseconds.
+    /// When the last front end received it, in Unix nanoseconds.
     at: Cell<u64>,
     all_have_it: Notify,
 }
 
 impl AwaitedEvent {
-    /// Notes that a front end has come from one event to a later one.
+    /// Notes that a front end has advanced from one event to a later one.
     fn advanced(&self, from: u64, to: u64) {
         let index = self.index.get();
         if index == 0 || from >= index || to < index {
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Waits until all have this event.
+    /// Waits until all front ends have received an event.
     async fn wait(&self, index: u64, front_ends: &[Hollow]) {
         self.index.set(index);
         let behind = front_ends.iter().filter(|f| f.last() < index).count();
--- a/crates/pipithub-bench/src/latency.rs
+++ b/crates/pipithub-bench/src/latency.rs
@@ -1,8 +1,8 @@
-//! Latencies in microseconds, and how they are shown.
+//! Histograms of latencies in microseconds.
 
 use hdrhistogram::Histogram;
 
-/// The longest latency that is told apart from longer ones: a minute, in microseconds.
+/// The highest value of a histogram: a minute, in microseconds. Longer latencies count as this.
 const MAX_LATENCY_US: u64 = 60_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
@@ -11,12 +11,12 @@
     Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS).expect("good bounds")
 }
 
-/// A quantile in milliseconds.
+/// A quantile of the latencies, in milliseconds.
 pub(crate) fn quantile_ms(latencies: &Histogram<u64>, quantile: f64) -> f64 {
     latencies.value_at_quantile(quantile) as f64 / 1000.0
 }
 
-/// Prints the quantiles and the number of calls.
+/// Prints quantiles and the number of calls under a name.
 pub(crate) fn print(name: &str, latencies: &Histogram<u64>) {
     println!(
         "{name:<28} p50 {:>8.3} ms  p99 {:>8.3} ms  p99.9 {:>8.3} ms  ({} calls)",
--- a/crates/pipithub-bench/src/load.rs
+++ b/crates/pipithub-bench/src/load.rs
@@ -1,4 +1,4 @@
-//! Calls that are published to a broker, and the answers that come back.
+//! Loads of calls that are published to a broker, and their answers.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,18 +10,20 @@
 use crate::testbed::QUEUE;
 use crate::{Result, latency};
 
-/// The key that signs calls, and its id in the gateway's settings.
+/// The key that calls are signed with.
 pub(crate) const KEY: &str = "a key of sixteen bytes and more";
+/// The id of that key in the gateway's settings.
 pub(crate) const KEY_ID: &str = "desk";
 
-/// Functions that calls name in turn.
+/// The number of functions that are called in turn.
 const FUNCTIONS: u64 = 16;
-/// Concurrent calls that a replica of a function takes.
+/// Concurrency of a replica of a function.
 const REPLICA_CONCURRENCY: u32 = 64;
-/// Milliseconds of work of a call, and of a long one.
+/// Run time of a call, in milliseconds.
 const WORK_MS: u64 = 2;
+/// Run time of a long call, in milliseconds.
 const LONG_WORK_MS: u64 = 3_000;
-/// Silence of the broker after which the load is given up.
+/// How long an answer is awaited before the load fails.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
 const NANOSECONDS_PER_SECOND: u64 = 1_000_000_000;
 const NANOSECONDS_PER_MICROSECOND: u64 = 1_000;
@@ -29,11 +31,11 @@
 /// When calls are published.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Arrivals {
-    /// So many a second, answered or not.
+    /// This number of calls per second, whether earlier ones are answered or not.
     Rate(f64),
-    /// So many at a time.
+    /// This number of concurrent calls.
     Concurrency(usize),
-    /// So many at once, each three seconds long.
+    /// This number of calls at once, each of which runs for three seconds.
     LongCalls(usize),
 }
 
@@ -42,26 +44,26 @@
 pub(crate) struct Load {
     /// When calls are published.
     pub arrivals: Arrivals,
-    /// For how long they are.
+    /// How long calls are published, in seconds.
     pub seconds: u64,
-    /// The part of the measurement, which sets the ids of its calls apart from those of other parts.
+    /// The number of the measurement, which makes the ids of its calls unique.
     pub part: usize,
-    /// The calls are signed for so many users in turn, or not signed.
+    /// The number of users for whom calls are signed in turn; `None` for unsigned calls.
     pub users: Option<u64>,
 }
 
-/// What became of a load.
+/// The result of a load.
 pub(crate) struct LoadResult {
     /// Latencies of all calls, in microseconds.
     pub latency: Histogram<u64>,
-    /// Calls with another answer than a worker's.
+    /// Calls that were rejected or failed.
     pub not_served: usize,
     /// Seconds until the last answer.
     pub seconds: f64,
 }
 
 impl Load {
-    /// Publishes the calls and waits for all answers.
+    /// Publishes the calls and waits for all answers. Fails if the client ends or an answer does not arrive in time.
     pub(crate) async fn run(self, client: &mut QueueClient) -> Result<LoadResult> {
         let mut generator = LoadGenerator::new(self);
         loop {
@@ -78,27 +80,27 @@
             }
             tokio::select! {
                 answer = client.answers.recv() => {
-                    generator.record(&answer.ok_or("the client has ended")?);
+                    generator.record(&answer.ok_or("the queue client ended while answers were expected")?);
                 }
                 () = generator.clock.sleep_until(Some(generator.next_due)), if more_to_come => {}
                 () = tokio::time::sleep(ANSWER_TIMEOUT) => {
                     let unanswered = generator.unanswered.len();
-                    return Err(format!("{unanswered} calls without an answer").into());
+                    return Err(format!("{unanswered} calls have no answer after {ANSWER_TIMEOUT:?} without any").into());
                 }
             }
         }
     }
 }
 
-/// A load while it runs.
+/// A running load.
 struct LoadGenerator {
     load: Load,
-    /// Starts with the load.
+    /// Started with the load.
     clock: Clock,
     published: u64,
-    /// When the next call is due at the latest, where calls come at a rate.
+    /// When the next call of [`Arrivals::Rate`] is due.
     next_due: u64,
-    /// Calls without an answer, by their id, with the time of the client's clock at which they were sent.
+    /// When each call that has no answer yet was sent, on the client's clock, by its id.
     unanswered: HashMap<String, u64>,
     result: LoadResult,
 }
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Whether calls come later without an answer being awaited.
+    /// Whether further calls become due by the passage of time.
     fn more_to_come(&self, now: u64) -> bool {
         matches!(self.load.arrivals, Arrivals::Rate(_)) && self.in_time(now)
     }
@@ -148,7 +150,7 @@
     }
 
     fn call(&self, id: String) -> Publish {
-        // Long ones are of a class of their own: among calls of 2 ms they would look like silent workers.
+        // Long calls have a class of their own: among calls of 2 ms their workers would look unresponsive.
         let (class, work_ms) = match self.load.arrivals {
             Arrivals::LongCalls(_) => ("long", LONG_WORK_MS),
             Arrivals::Rate(_) | Arrivals::Concurrency(_) => ("view", WORK_MS),
@@ -170,7 +172,7 @@
         }
     }
 
-    /// Counts the first answer of a call; further ones are passed over.
+    /// Counts the first answer of a call and ignores further ones.
     fn record(&mut self, answer: &Answer) {
         let Some(sent_at) = self.unanswered.remove(&answer.id) else {
             return;
--- a/crates/pipithub-bench/src/main.rs
+++ b/crates/pipithub-bench/src/main.rs
@@ -1,5 +1,5 @@
-//! Measures, in one run and side by side: calls straight to workers, the gateway, and a plain pass-through (a lapin
-//! consumer, a hyper client, round robin, no decisions). All are processes on loopback against the same emulators.
+//! Benchmarks. Without a command it compares, in one run, direct calls to workers, the gateway, and a plain pass-through
+//! (a lapin consumer and a hyper client with round robin). All are processes on loopback with the same emulators.
 
 mod baseline;
 mod directories;
@@ -9,6 +9,7 @@
 mod load;
 mod membership;
 mod morning;
+mod node_process;
 mod overhead;
 mod process_usage;
 mod roster;
@@ -22,50 +23,50 @@
 
 use testbed::Testbed;
 
-/// The result of a measurement; its errors are shown to whoever runs it and never told apart.
+/// The result of a measurement. Its errors are only shown to the user, so they need no type of their own.
 type Result<T> = std::result::Result<T, Box<dyn Error + Send + Sync>>;
 
-/// Measures the gateway beside a direct call and a plain pass-through.
+/// Compares the gateway with direct calls to workers and with a plain pass-through.
 #[derive(Parser)]
 struct Arguments {
     #[command(subcommand)]
     command: Option<Command>,
-    /// The pipithub binary; by default the one beside this program.
+    /// The pipithub binary; by default the one in the folder of this program.
     #[arg(long)]
     binary: Option<PathBuf>,
-    /// Seconds of each measured part.
+    /// Duration of each measurement, in seconds.
     #[arg(long, default_value_t = 10)]
     seconds: u64,
-    /// Workers.
+    /// The number of workers.
     #[arg(long, default_value_t = 12)]
     workers: usize,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Look-ups among many users, and a refresh of all of them meanwhile.
+    /// Measures look-ups among many users, also while all of them are refreshed.
     Roster {
-        /// How many.
+        /// The number of users.
         #[arg(long, default_value_t = 1_000_000)]
         users: usize,
     },
-    /// What mornings ask of a directory, in simulated time.
+    /// Measures the load of a directory by the daily peaks of many front ends, in simulated time.
     Morning(morning::MorningArguments),
-    /// What tenants add to a call, their directory being up, slow or dead.
+    /// Measures what tenants add to a call while their directory is up, slow or dead.
     Directories,
-    /// One day of a fleet's membership in simulated time, as JSON; `scale members` plays them at several sizes.
+    /// Runs one membership scenario in simulated time and prints JSON; `scale members` runs them at several sizes.
     Members(membership::MembershipArguments),
-    /// How each part of a site grows: slopes over several sizes, and what they say of the planned one.
+    /// Measures each part of a site at several sizes and extrapolates to the planned size.
     Scale(scale::Scale),
-    /// Hollow front ends, as a process.
+    /// Runs hollow front ends as a process.
     #[command(hide = true)]
     Hollow(hollow::HollowArguments),
-    /// The pass-through, as a process.
+    /// Runs the pass-through as a process.
     Baseline {
-        /// The broker.
+        /// The address of the broker.
         #[arg(long)]
         broker: String,
-        /// The workers.
+        /// The address of a worker; may be repeated.
         #[arg(long)]
         worker: Vec<String>,
     },
--- a/crates/pipithub-bench/src/membership.rs
+++ b/crates/pipithub-bench/src/membership.rs
@@ -15,56 +15,59 @@
 use meter::{CpuReading, Meter, seconds};
 
 const SECOND: Time = 1_000_000_000;
-/// How often the fleet's state is looked at: the step of all times told.
+/// The interval at which the fleet's state is examined, which is the resolution of all reported times.
 const STEP: Time = SECOND / 10;
-/// Regions; zones and regions take turns over the members.
+/// The number of regions. Members are assigned to regions, and to zones, in turn.
 const REGIONS: usize = 3;
-/// Zones of the usual fleet, and of the one that loses one in 21.
+/// The number of zones of an ordinary fleet.
 const ZONES: usize = 7;
+/// The number of zones in the scenario in which one in 21 members fails.
 const MANY_ZONES: usize = 21;
-/// Members that others ask to join by.
+/// The number of seeds, by which other members join.
 const SEEDS: usize = 3;
-/// Datagrams that each link loses in the scenario of that name.
+/// The part of the datagrams that each link loses in the scenario `loss`.
 const LOSS: f64 = 0.01;
 const JITTER: Time = 3_000_000;
-/// Rest between the convergence and what is measured after it.
+/// The time between the convergence and the next measurement.
 const SETTLING_TIME: Time = 10 * SECOND;
-/// How long regions lose each other, and over which time restarts are drawn.
+/// How long regions are partitioned.
 const PARTITION_TIME: Time = 60 * SECOND;
+/// The time within which all members are restarted.
 const RESTART_TIME: Time = 60 * SECOND;
-/// The least and the most of `max-members` that the cores take.
+/// The lowest valid value of `max-members`.
 const MIN_MEMBER_LIMIT: usize = 2;
+/// The highest valid value of `max-members`.
 const MAX_MEMBER_LIMIT: usize = 10_000;
-/// The longest patience, in seconds.
+/// The highest value of `--patience`, in seconds.
 const MAX_PATIENCE_SECONDS: u64 = 86_400;
 const BYTES_PER_MIB: f64 = 1_048_576.0;
-/// What stands for a time at which nothing came.
+/// Reported instead of a time if the event did not happen.
 const NEVER: f64 = -1.0;
 
-/// What happens to the fleet.
+/// A fault of a simulated fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub(crate) enum Scenario {
-    /// All start at once; later one dies.
+    /// All members start at once; later one member fails.
     Ordinary,
-    /// The same, and each link loses 1% of the datagrams.
+    /// As `ordinary`, but each link loses 1% of the datagrams.
     Loss,
-    /// A seventh dies at once.
+    /// A seventh of the members fails at once.
     Seventh,
-    /// One in 21 dies at once.
+    /// One in 21 members fails at once.
     TwentyFirst,
-    /// Three regions lose each other for a minute.
+    /// Three regions are partitioned from each other for a minute.
     Regions,
-    /// All are restarted, each once, at times drawn within a minute.
+    /// Each member is restarted once, at a random time within a minute.
     Restart,
 }
 
-/// A scenario to be run; its figures go to standard output as JSON.
+/// Arguments of `pipithub-bench members`.
 #[derive(Args)]
 pub(crate) struct MembershipArguments {
-    /// Members.
+    /// The number of members.
     #[arg(long, default_value_t = 60)]
     size: usize,
-    /// The day.
+    /// The fault scenario to run.
     #[arg(
         long = "day",
         value_name = "DAY",
@@ -72,21 +75,21 @@
         default_value = "ordinary"
     )]
     scenario: Scenario,
-    /// Seed of all that is drawn.
+    /// The seed of all random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Seconds, in simulated time, over which cost at rest is measured.
+    /// Simulated seconds over which the cost of an idle fleet is measured.
     #[arg(long, default_value_t = 60)]
     rest: u64,
-    /// `max-members`; by default as many as there are and one more.
+    /// The setting `max-members`; by default one more than there are members.
     #[arg(long = "most", value_name = "MOST")]
     max_members: Option<usize>,
-    /// Seconds, in simulated time, after which a day has not come to what is awaited.
+    /// Simulated seconds after which an awaited state counts as never reached.
     #[arg(long, default_value_t = 600)]
     patience: u64,
 }
 
-/// When the fleet knew of a fault, in seconds since the fault; `NEVER` where it did not.
+/// When the fleet detected a fault, in seconds since the fault; `NEVER` if it did not.
 struct Detection {
     first: f64,
     all: f64,
@@ -121,7 +124,7 @@
     }
 
     fn start_fleet(&self) -> Fleet {
-        // Beyond `max-members` nobody is let in, so the bound stands above what is measured unless it is what is measured.
+        // Members beyond `max-members` are rejected, so the default is above the size of the fleet.
         let max_members = self.max_members.unwrap_or(self.size + 1);
         let settings = Settings {
             cluster: "bench".into(),
@@ -273,6 +276,6 @@
 
 fn start_member(fleet: &mut Fleet, member: usize) {
     if fleet.start(member).is_err() {
-        eprintln!("member {member} did not start");
+        eprintln!("failed to start member {member}");
     }
 }
--- a/crates/pipithub-bench/src/membership/measurements.rs
+++ b/crates/pipithub-bench/src/membership/measurements.rs
@@ -1,51 +1,51 @@
-//! What a membership scenario showed; written as JSON by one process and read by another.
+//! The result of a membership scenario, which one process writes as JSON and another reads.
 
 use serde::{Deserialize, Serialize};
 
-/// What a scenario showed. Times are simulated seconds; -1 where it did not come to that.
+/// The result of a scenario. Times are in simulated seconds; -1 for an event that did not happen.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Measurements {
-    /// Until all knew all after the start.
+    /// From the start until all members knew each other.
     #[serde(rename = "together")]
     pub convergence: f64,
-    /// From the fault (a death, a healed partition, the last restart) until the first member knew of it, in the
-    /// scenarios with deaths.
+    /// From the fault until the first member detected it, in scenarios with failed members. The fault is a failure, the
+    /// end of a partition or the last restart.
     #[serde(rename = "first")]
     pub first_detection: f64,
-    /// From the fault until each knew exactly who is there.
+    /// From the fault until all members knew exactly the running ones.
     #[serde(rename = "all")]
     pub full_detection: f64,
-    /// Suspicions of the living, for each member, from the settled fleet on.
+    /// Suspicions of running members, per member, after the fleet had settled.
     pub suspected: f64,
-    /// How often somebody that lived was held for dead, in all, from the settled fleet on.
+    /// How often a running member was declared failed, in total, after the fleet had settled.
     pub false_deaths: f64,
-    /// Bytes a second a member at rest, with IP and UDP headers: mean over the members, and the one that sent most.
+    /// Bytes per second that a member of an idle fleet sends, with IP and UDP headers; the mean over all members.
     pub bytes: f64,
-    /// See `bytes`.
+    /// The same of the member that sent most.
     pub bytes_worst: f64,
-    /// Datagrams a second a member at rest: mean, and the one that sent most.
+    /// Datagrams per second that a member of an idle fleet sends; the mean over all members.
     pub messages: f64,
-    /// See `messages`.
+    /// The same of the member that sent most.
     pub messages_worst: f64,
-    /// Bytes a second a member, mean, in the worst second while the fleet converged.
+    /// Bytes per member, mean over all members, in the worst second until the fleet converged.
     pub bytes_start: f64,
-    /// The same from the fault on, for the mean, and for the single member that sent most in a second.
+    /// Bytes per member, mean over all members, in the worst second after the fault.
     #[serde(rename = "bytes_blow")]
     pub bytes_after_fault: f64,
-    /// See `bytes_after_fault`.
+    /// The most bytes that any member sent in a second after the fault.
     #[serde(rename = "bytes_blow_worst")]
     pub bytes_after_fault_worst: f64,
-    /// CPU of the cores at rest, for each member, as a share of a processor core.
+    /// CPU of the membership core of each member of an idle fleet, as a part of a processor core.
     pub cpu: f64,
-    /// The same while the fleet converged.
+    /// The same until the fleet converged.
     pub cpu_start: f64,
-    /// CPU of the simulation itself, in the same unit, at rest.
+    /// CPU of the simulation itself while the fleet is idle, in the same unit.
     pub cpu_simulation: f64,
-    /// Resident bytes for each member once all knew all, the simulation's own part among them.
+    /// Resident bytes per member after the fleet had converged, including those of the simulation.
     pub memory: f64,
-    /// Members that were not let in, in the eyes of whom they asked.
+    /// How often a member rejected another one because of `max-members`.
     #[serde(rename = "full")]
     pub rejected_members: f64,
-    /// How many the least-knowing member knows at the end of the convergence, itself counted.
+    /// The smallest number of members, including itself, that any member knew after the convergence.
     pub least_known: f64,
 }
--- a/crates/pipithub-bench/src/membership/meter.rs
+++ b/crates/pipithub-bench/src/membership/meter.rs
@@ -1,4 +1,4 @@
-//! Meters of a simulated fleet: what it sends, whom it suspects, and what CPU it takes.
+//! Meters of a simulated fleet: its traffic, its suspicions and its CPU time.
 
 use std::time::Instant;
 
@@ -13,7 +13,7 @@
     time as f64 / SECOND as f64
 }
 
-/// A rate a second: its mean over the members, and that of the member with the highest.
+/// A rate per second: the mean over all members, and that of the member with the highest.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Rate {
     pub mean: f64,
@@ -21,7 +21,7 @@
 }
 
 impl Rate {
-    /// The rate by each member's count before and after a span of time.
+    /// The rate that follows from each member's count before and after a time.
     pub(super) fn between(before: &[u64], after: &[u64], seconds: f64) -> Rate {
         let rates = || {
             after
@@ -36,24 +36,24 @@
     }
 }
 
-/// Reads the fleet's counts once in each simulated second.
+/// Reads the fleet's counts once per simulated second.
 pub(super) struct Meter {
-    /// Bytes of each member at the last reading, and when that was.
+    /// Bytes that each member had sent at the last reading.
     bytes_before: Vec<u64>,
     read_at: Time,
     /// The highest rates of any second so far.
     pub worst: Rate,
-    /// Suspicions of members that lived.
+    /// Suspicions of running members.
     pub suspected: f64,
-    /// Members that lived and were held for dead.
+    /// Running members that were declared failed.
     pub false_deaths: f64,
-    /// Members that were not let in.
+    /// Members that were rejected because of `max-members`.
     pub rejected_members: f64,
     patience: Time,
 }
 
 impl Meter {
-    /// A meter that begins now, and waits for nothing longer than its patience.
+    /// A meter that starts now. It waits for no state longer than `patience`.
     pub(super) fn new(fleet: &Fleet, patience: Time) -> Meter {
         Meter {
             bytes_before: fleet.sent_bytes.clone(),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Lets one step pass.
+    /// Runs the fleet for one step.
     pub(super) fn step(&mut self, fleet: &mut Fleet) {
         fleet.run_for(STEP);
         for observed in std::mem::take(&mut fleet.history) {
@@ -130,7 +130,7 @@
     pub simulation: f64,
 }
 
-/// The process's CPU and the cores' part of the time at one moment, to be told apart later.
+/// The CPU time of the process, and the part of it that the membership cores used, at one moment.
 pub(super) struct CpuReading {
     cpu_seconds: f64,
     core_seconds: f64,
@@ -138,7 +138,7 @@
 }
 
 impl CpuReading {
-    /// Reads both now.
+    /// Reads both times.
     pub(super) fn take(fleet: &Fleet) -> CpuReading {
         CpuReading {
             cpu_seconds: ProcessUsage::of_this_process().cpu_seconds,
--- a/crates/pipithub-bench/src/morning.rs
+++ b/crates/pipithub-bench/src/morning.rs
@@ -1,4 +1,5 @@
-//! What mornings of many front ends ask of a directory, in simulated time: a plain cache, and the directory core.
+//! The load of a directory by the daily peaks of many front ends, in simulated time: a plain cache compared with the
+//! directory core.
 
 mod front_end;
 
@@ -17,21 +18,21 @@
 /// The peak begins three hours after the start of each day.
 const PEAK_START: Time = 3 * HOUR;
 const PEAK_LENGTH: Time = HOUR;
-/// For how long what a directory said is fresh.
+/// How long an answer of the directory is cached.
 const FRESH_TIME: Time = 2 * HOUR;
-/// Seed of all calls.
+/// The seed of all calls.
 const SEED: u64 = 11;
 
-/// How many front ends, users and calls there are.
+/// Arguments of `pipithub-bench morning`.
 #[derive(Args)]
 pub(crate) struct MorningArguments {
-    /// Front ends.
+    /// The number of front ends.
     #[arg(long = "fronts", value_name = "FRONTS", default_value_t = 130)]
     front_ends: u64,
-    /// Users.
+    /// The number of users.
     #[arg(long, default_value_t = 2_000)]
     users: usize,
-    /// Calls of each in the hour.
+    /// The number of calls of each user within the peak hour.
     #[arg(long, default_value_t = 60)]
     calls: usize,
 }
@@ -43,7 +44,7 @@
     user: usize,
 }
 
-/// Who looks up users.
+/// How front ends look up users.
 #[derive(Clone, Copy, Debug)]
 enum Strategy {
     PlainCache,
@@ -59,7 +60,7 @@
     }
 }
 
-/// What was asked of the directory, and what became of the calls.
+/// The load of the directory, and the outcome of the calls.
 #[derive(Default)]
 struct DirectoryLoad {
     searches_by_second: BTreeMap<Time, u64>,
@@ -132,7 +133,7 @@
 }
 
 impl DirectoryLoad {
-    /// Counts a search for so many users.
+    /// Counts a search for a number of users.
     fn count_search(&mut self, at: Time, users: u64) {
         *self.searches_by_second.entry(at / SECOND).or_default() += 1;
         self.users_asked_for += users;
--- a/crates/pipithub-bench/src/morning/front_end.rs
+++ b/crates/pipithub-bench/src/morning/front_end.rs
@@ -1,4 +1,4 @@
-//! One simulated front end: admission and directory core, over a directory that answers after a fixed time.
+//! One simulated front end: an admission and a directory core with a directory that answers after a fixed time.
 
 use std::collections::BTreeMap;
 
@@ -15,39 +15,41 @@
 use crate::directory_core::{TENANTS, new_core, tenant_base, user_dn, user_name};
 
 const MILLISECOND: Time = 1_000_000;
-/// How soon the directory answers a search.
+/// The time after which the directory answers a search.
 const SEARCH_TIME: Time = 5 * MILLISECOND;
-/// How long facts serve where the directory is silent, and how long it counts that a user is not there.
+/// How long cached records are used if the directory does not answer.
 const MAX_STALE: Time = 30 * HOUR;
+/// How long it is cached that a user does not exist.
 const NEGATIVE_TIME: Time = 30 * SECOND;
 /// How long before the peak users are refreshed.
 const PEAK_LEAD_MS: i64 = 1_800_000;
-/// The longest that a call waits for its user, and the time left for the call.
+/// How long a call may wait for the look-up of its user.
 const MAX_IDENTITY_WAIT: Time = 40 * MILLISECOND;
+/// The time that a call has until its client stops waiting.
 const REMAINING: Time = 4 * SECOND;
 const MAX_WAITING: usize = 4_096;
 const MAX_USERS: usize = 100_000;
-/// A limit on calls in flight that none of them reaches.
+/// A limit on calls in flight that is never reached.
 const UNREACHED_LIMIT: f64 = 1e6;
-/// For how long the simulation goes on after the last call.
+/// How long the simulation continues after the last call.
 const SETTLING_TIME: Time = 10 * SECOND;
-/// Seeds of the cores lie this far from each other.
+/// The distance between the seeds of two front ends.
 const SEED_STEP: u64 = 7_919;
 
-/// When a search is answered; the number tells apart those that are answered at the same time.
+/// When a search is answered. The number orders answers of the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct AnswerTime {
     at: Time,
     number: u64,
 }
 
-/// An answer on its way.
+/// An answer that has not arrived yet.
 struct PendingAnswer {
     search: SearchId,
     answer: SearchResponse,
 }
 
-/// One front end.
+/// A front end in simulated time.
 pub(super) struct SimulatedFrontEnd<'a> {
     core: Directory,
     admission: Admission<u64>,
@@ -59,7 +61,7 @@
 }
 
 impl<'a> SimulatedFrontEnd<'a> {
-    /// A front end that knows nobody yet.
+    /// A front end that has no user cached.
     pub(super) fn new(number: u64, load: &'a mut DirectoryLoad) -> Self {
         SimulatedFrontEnd {
             core: new_core(directory_settings(), MAX_USERS, number * SEED_STEP + 1),
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Lets all calls come, and waits until what they asked for is settled.
+    /// Simulates all calls, and then the time until their look-ups have ended.
     pub(super) fn run(mut self, calls: &[Call]) {
         let end = calls.last().map_or(0, |call| call.at) + SETTLING_TIME;
         let mut calls = calls.iter().peekable();
@@ -105,7 +107,7 @@
         ));
     }
 
-    /// The next answer that has come by now.
+    /// The next answer that has arrived.
     fn next_answer(&mut self, now: Time) -> Option<PendingAnswer> {
         let first = self.answers.first_entry()?;
         (first.key().at <= now).then(|| first.remove())
--- a/crates/pipithub-bench/src/overhead.rs
+++ b/crates/pipithub-bench/src/overhead.rs
@@ -1,4 +1,4 @@
-//! What the gateway adds to a call: calls straight to workers, through a plain pass-through, and through the gateway.
+//! The overhead of the gateway: direct calls to workers, compared with calls through a pass-through and the gateway.
 
 use std::time::Duration;
 
@@ -11,17 +11,18 @@
 use crate::testbed::{REPLY_QUEUE, Testbed, wait_for_consumer};
 use crate::{Result, baseline, latency};
 
-/// Calls a second while latencies are compared.
+/// Calls per second while latencies are compared.
 const RATE: f64 = 200.0;
 const WARM_UP_RATE: f64 = 100.0;
 const WARM_UP_SECONDS: u64 = 2;
-/// Calls at a time while CPU and throughput are compared.
+/// Concurrent calls while CPU and throughput are compared.
 const CONCURRENCY: usize = 64;
-/// Calls in flight while memory is looked at, and when that is: in the middle of their three seconds.
+/// Calls in flight while memory is measured.
 const LONG_CALLS: usize = 1_250;
+/// When memory is measured: in the middle of the three seconds that these calls run.
 const MEMORY_DELAY: Duration = Duration::from_millis(1_800);
 
-/// What stands between client and worker.
+/// The path of calls from client to worker.
 #[derive(Clone, Copy, Debug)]
 enum Route {
     PassThrough,
@@ -37,26 +38,26 @@
     }
 }
 
-/// What calls cost by one route.
+/// The cost of calls by one route.
 struct Cost {
     cpu_seconds_per_call: f64,
     calls_per_second: f64,
 }
 
-/// Measures the three ways one after the other, against the same workers.
+/// Measures all three paths, one after the other, with the same workers.
 pub(crate) async fn measure(testbed: &Testbed) -> Result<()> {
     let workers = testbed.start_workers().await?;
     let addresses: Vec<String> = workers.iter().map(|w| w.address.clone()).collect();
     println!(
-        "{} workers that take 2 ms a call; {} s a part",
+        "{} workers that run each call for 2 ms; {} s per measurement",
         testbed.workers, testbed.seconds
     );
     let direct = baseline::direct(&addresses, RATE, testbed.seconds).await?;
-    latency::print("direct, 200 a second", &direct);
+    latency::print("direct, 200 per second", &direct);
     let pass_through = measure_route(testbed, Route::PassThrough, &addresses, &direct).await?;
     let gateway = measure_route(testbed, Route::Gateway, &addresses, &direct).await?;
     println!(
-        "gateway over pass-through: CPU a call {:.2}, calls a second {:.2}",
+        "gateway relative to pass-through: CPU per call {:.2}, calls per second {:.2}",
         gateway.cpu_seconds_per_call / pass_through.cpu_seconds_per_call,
         gateway.calls_per_second / pass_through.calls_per_second
     );
@@ -99,7 +100,7 @@
     )
 }
 
-/// Runs a load of calls that nobody has signed.
+/// Runs a load of unsigned calls.
 async fn run_load(
     client: &mut QueueClient,
     arrivals: Arrivals,
@@ -123,7 +124,7 @@
 ) -> Result<()> {
     run_load(client, Arrivals::Rate(WARM_UP_RATE), WARM_UP_SECONDS, 0).await?;
     let paced = run_load(client, Arrivals::Rate(RATE), seconds, 2).await?;
-    latency::print(&format!("{name}, 200 a second"), &paced.latency);
+    latency::print(&format!("{name}, 200 per second"), &paced.latency);
     let added = |quantile: f64| {
         (paced.latency.value_at_quantile(quantile) as f64
             - direct.value_at_quantile(quantile) as f64)
@@ -149,9 +150,9 @@
     let full = run_load(client, Arrivals::Concurrency(CONCURRENCY), seconds, 3).await?;
     let cpu_seconds = ProcessUsage::of(pid).cpu_seconds - before;
     let calls = full.latency.len() as f64;
-    latency::print(&format!("{name}, 64 at a time"), &full.latency);
+    latency::print(&format!("{name}, 64 concurrent"), &full.latency);
     println!(
-        "  {:.0} calls a second, {:.0} us of CPU a call, {} not served",
+        "  {:.0} calls per second, {:.0} us of CPU per call, {} not served",
         calls / full.seconds,
         cpu_seconds / calls * 1e6,
         full.not_served
@@ -162,7 +163,7 @@
     })
 }
 
-/// Prints what some thousand calls in flight take; memory is looked at in the middle of them.
+/// Prints the memory of a process before and during a load of long calls.
 async fn measure_memory(client: &mut QueueClient, pid: u32) -> Result<()> {
     let before = ProcessUsage::of(pid).resident_mib;
     let load = run_load(client, Arrivals::LongCalls(LONG_CALLS), 2, 4);
@@ -171,7 +172,7 @@
         ProcessUsage::of(pid).resident_mib
     };
     let (result, under_load) = tokio::join!(load, look);
-    // What is refused is refused at once: it is not in flight.
+    // Refused calls are refused at once, so they are not in flight.
     let in_flight = LONG_CALLS - result?.not_served;
     println!("  {before:.1} MiB before, {under_load:.1} MiB with {in_flight} calls in flight");
     Ok(())
--- a/crates/pipithub-bench/src/process_usage.rs
+++ b/crates/pipithub-bench/src/process_usage.rs
@@ -1,14 +1,15 @@
-//! What a process has used, from the files of `/proc`.
+//! CPU time and memory of a process, from the files of `/proc`.
 
-/// Linux counts a process's CPU time in hundredths of a second on all its common machines.
+/// The unit of CPU times in `/proc/PID/stat` on all common Linux systems, as a frequency.
 const TICKS_PER_SECOND: f64 = 100.0;
 const KIB_PER_MIB: f64 = 1024.0;
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
-/// Where the ticks in user and in kernel mode stand in `/proc/PID/stat`, counted from behind the command's name.
+/// The index of the user time in `/proc/PID/stat`, among the fields after the command name.
 const USER_TICKS_FIELD: usize = 11;
+/// The index of the kernel time, counted likewise.
 const KERNEL_TICKS_FIELD: usize = 12;
 
-/// What a process has used so far.
+/// The CPU time and the memory of a process.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ProcessUsage {
     /// CPU time of all its threads, in seconds.
@@ -18,7 +19,7 @@
 }
 
 impl ProcessUsage {
-    /// Reads both; zeros where the process is gone.
+    /// Reads both; they are 0 if the process has ended.
     pub(crate) fn of(pid: u32) -> Self {
         ProcessUsage {
             cpu_seconds: cpu_ticks(pid) / TICKS_PER_SECOND,
@@ -26,7 +27,7 @@
         }
     }
 
-    /// What this process itself has used.
+    /// The usage of this process.
     pub(crate) fn of_this_process() -> Self {
         ProcessUsage::of(std::process::id())
     }
@@ -34,7 +35,7 @@
 
 fn cpu_ticks(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-    // The command's name stands in parentheses and may hold spaces, so fields are counted from behind it.
+    // The command name is in parentheses and may contain spaces, so fields are counted after it.
     let fields: Vec<&str> = stat
         .rsplit(')')
         .next()
@@ -50,8 +51,8 @@
     ticks(USER_TICKS_FIELD) + ticks(KERNEL_TICKS_FIELD)
 }
 
-/// CPU time of all threads of a process so far, in seconds. It is the scheduler's count, in nanoseconds, for spans in
-/// which ticks of 10 ms would say nothing; threads that have ended are not in it.
+/// CPU time of all running threads of a process, in seconds. It comes from the scheduler, which counts nanoseconds, for
+/// measurements that are short beside a tick of 10 ms. Threads that have ended do not count.
 pub(crate) fn scheduled_cpu_seconds(pid: u32) -> f64 {
     let threads = std::fs::read_dir(format!("/proc/{pid}/task"))
         .into_iter()
@@ -64,19 +65,19 @@
     threads.filter_map(nanoseconds).sum::<f64>() / NANOSECONDS_PER_SECOND
 }
 
-/// What a process holds, in MiB.
+/// The memory of a process, in MiB.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MemoryUse {
-    /// Resident, pages shared with others counted whole.
+    /// Resident memory, in which pages shared with other processes count fully.
     pub resident_mib: f64,
-    /// Resident, pages shared with others counted by shares.
+    /// Resident memory, in which each shared page is divided among its processes.
     pub proportional_mib: f64,
-    /// The most that was ever resident.
+    /// The peak of the resident memory.
     pub peak_mib: f64,
 }
 
 impl MemoryUse {
-    /// Reads what a process holds; zeros where it is gone.
+    /// Reads the memory of a process; all values are 0 if it has ended.
     pub(crate) fn of(pid: u32) -> Self {
         let mib = |file: &str, field: &str| kib(pid, file, field) / KIB_PER_MIB;
         MemoryUse {
@@ -87,12 +88,12 @@
     }
 }
 
-/// The most memory that a process ever held, in MiB.
+/// The peak of a process's resident memory, in MiB; 0 if it has ended.
 pub(crate) fn peak_mib(pid: u32) -> f64 {
     kib(pid, "status", "VmHWM:") / KIB_PER_MIB
 }
 
-/// A field in KiB of one of the process's files; 0 where it is gone.
+/// A field in KiB of a file of the process; 0 if the process has ended.
 fn kib(pid: u32, file: &str, field: &str) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/{file}")).unwrap_or_default();
     text.lines()
--- a/crates/pipithub-bench/src/roster.rs
+++ b/crates/pipithub-bench/src/roster.rs
@@ -1,4 +1,4 @@
-//! What a roster of a million users costs: memory, look-ups, and a refresh of all users meanwhile.
+//! The cost of a roster of a million users: memory and look-ups, also while all users are refreshed.
 
 use std::hint::black_box;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -18,19 +18,22 @@
 
 const SECOND: Time = 1_000_000_000;
 const BYTES_PER_MIB: f64 = 1_048_576.0;
-/// Look-ups of each measurement; while users are refreshed there are as many as there is time for.
+/// Look-ups of the measurement of the mean.
 const MEAN_LOOKUPS: usize = 2_000_000;
+/// Look-ups of the measurement of quantiles.
 const LOOKUPS: usize = 1_000_000;
+/// The maximum number of look-ups during a refresh of all users.
 const MAX_LOOKUPS: usize = 1 << 27;
-/// The most times that room is made for beforehand.
+/// The maximum number of look-up times that memory is reserved for.
 const MAX_TIMES_RESERVED: usize = 1 << 24;
-/// How often a changed roster is published while more changes are waiting, as the gateway does it.
+/// The interval at which a changed roster is published while further changes are pending, as in the gateway.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(20);
-/// Seeds of the order in which users are looked up.
+/// The seed of the order of look-ups for the mean.
 const MEAN_SEED: u64 = 3;
+/// The seed of the order of look-ups for quantiles.
 const TIMES_SEED: u64 = 7;
 
-/// Measures a roster of so many users over all tenants.
+/// Measures a roster of a number of users, who are distributed over all tenants.
 pub(crate) fn measure(users: usize) {
     let names: Vec<User> = (0..users).map(user_name).collect();
     let mut core = measure_memory(users);
@@ -38,24 +41,25 @@
     let shared = publisher.newest();
     measure_mean(&shared, &names);
     let times = lookup_times(&shared, &names, LOOKUPS, None);
-    print_times("looks, nothing else", &times);
+    print_times("look-ups on an idle core", &times);
     measure_refresh(&mut core, &mut publisher, &shared, &names);
 }
 
-/// Fills a core with all users and prints the memory that each takes.
+/// Fills a core with all users and prints the memory of each.
 fn measure_memory(users: usize) -> Directory {
     let mib_before = ProcessUsage::of_this_process().resident_mib;
     let mut core = new_core(DirectorySettings::default(), 2 * users, 1);
     core.restore(0, (0..users).map(stored_record).collect());
     let mib = ProcessUsage::of_this_process().resident_mib - mib_before;
     println!(
-        "{users} users of {TENANTS} tenants: {:.0} bytes an entry, resident, the core's own indexes included",
+        "{users} users of {TENANTS} tenants: {:.0} resident bytes per user, including the core's indexes",
         mib * BYTES_PER_MIB / users as f64
     );
     core
 }
 
-/// A user as kept from an earlier run. It has a name of its own, as from a directory, so that what it takes is counted.
+/// The stored record of a user. Its name has an allocation of its own, as in a record from a directory, so that its
+/// memory counts.
 fn stored_record(number: usize) -> StoredRecord {
     StoredRecord {
         user: user_name(number),
@@ -71,7 +75,7 @@
     }
 }
 
-/// Prints the mean time of look-ups at random, and what of it is spent on the name that is looked for.
+/// Prints the mean time of random look-ups, and the part of it that is spent on reading the names.
 fn measure_mean(shared: &ArcSwap<Roster>, names: &[User]) {
     let mut random = SplitMix64::new(MEAN_SEED);
     let order: Vec<usize> = (0..MEAN_LOOKUPS)
@@ -83,7 +87,7 @@
         black_box(roster.resolve(&names[*number], SECOND));
     }
     let lookup = began.elapsed().as_nanos() as f64 / order.len() as f64;
-    // A call has its user's name at hand; here each is fetched from memory first.
+    // A call has its user's name at hand; here names are fetched from memory first, which is measured separately.
     let began = Instant::now();
     let mut sum = 0;
     for number in &order {
@@ -91,12 +95,10 @@
     }
     black_box(sum);
     let fetch = began.elapsed().as_nanos() as f64 / order.len() as f64;
-    println!(
-        "a look-up at random: {lookup:.0} ns in the mean, of these {fetch:.0} to fetch the name that is looked for"
-    );
+    println!("random look-up: {lookup:.0} ns on average, of which {fetch:.0} ns to fetch the name");
 }
 
-/// Looks users up, so many or until stopped; nanoseconds of each look-up, from the shortest.
+/// Looks up random users until a number of look-ups is reached or `stop` is set; returns the sorted times in nanoseconds.
 fn lookup_times(
     shared: &ArcSwap<Roster>,
     names: &[User],
@@ -129,7 +131,7 @@
     );
 }
 
-/// Looks users up in one thread while another refreshes them all.
+/// Measures look-ups in one thread while another one refreshes all users.
 fn measure_refresh(
     core: &mut Directory,
     publisher: &mut Publisher,
@@ -146,7 +148,7 @@
         stop.store(true, Ordering::Relaxed);
         reader.join().unwrap_or_default()
     });
-    print_times("looks while all are refreshed", &times);
+    print_times("look-ups during a full refresh", &times);
     println!("the refresh took {seconds:.1} s");
 }
 
--- a/crates/pipithub-bench/src/scale.rs
+++ b/crates/pipithub-bench/src/scale.rs
@@ -1,4 +1,4 @@
-//! Scale tests: each part is measured at several sizes, and its slope says what a larger site would need.
+//! Scale tests: each part is measured at several sizes, and its slope shows what a larger site would need.
 
 mod consensus;
 mod decisions;
@@ -19,31 +19,31 @@
 
 use crate::Result;
 
-/// What is measured and where the figures go.
+/// Arguments of `pipithub-bench scale`.
 #[derive(Args)]
 pub(crate) struct Scale {
-    /// Parts; all of them by default.
+    /// The parts to measure; all by default.
     #[arg(value_enum)]
     parts: Vec<Part>,
-    /// Sizes in place of each part's own.
+    /// The sizes to measure at, instead of those of each part.
     #[arg(long, value_delimiter = ',')]
     sizes: Vec<u64>,
-    /// Sections of a part that has some; all of them by default.
+    /// The sections to measure, of parts that have sections; all by default.
     #[arg(long, value_delimiter = ',')]
     only: Vec<String>,
-    /// Seed of all that is drawn.
+    /// The seed of all random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Plays of each size, of which the median counts.
+    /// How often each size is measured; the median is reported.
     #[arg(long, default_value_t = 3)]
     plays: usize,
-    /// Writes all series to this file.
+    /// Write all series to this file, as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Writes a plot of each series into this folder.
+    /// Write a plot of each series to this folder, as SVG.
     #[arg(long)]
     plot: Option<PathBuf>,
-    /// Records of the fleet test (its `--json` files), from which `workers` is read.
+    /// The folder of the fleet test's records (its `--json` files), which the part `workers` reads.
     #[arg(long)]
     fleet: Option<PathBuf>,
 }
@@ -51,46 +51,63 @@
 /// A part of the site whose growth is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub(crate) enum Part {
-    /// What a call, a list event and an idle tick cost the decision module.
+    /// The cost of a call, an endpoint list event and an idle tick in the decision module.
     Decisions,
-    /// What a front end's process holds, reads and asks, and what hands out the list spends.
+    /// Memory, CPU and traffic of front-end processes, and the cost of the coordinator.
     FrontEnds,
     /// Membership, in simulated time.
     #[value(name = "members")]
     Membership,
-    /// Agreed entries of the council's core.
+    /// Commits of the consensus core.
     #[value(name = "council")]
     Consensus,
-    /// How a change of configuration reaches all front ends.
+    /// The time until a change of configuration has reached all front ends.
     Settings,
-    /// What a worker sees of all front ends, from the fleet test's own counts.
+    /// The load of a worker by all front ends, from the records of the fleet test.
     Workers,
 }
 
-/// How a part is to be measured.
+/// How parts are measured.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
-    /// Sizes in place of the part's own; empty: its own.
+    /// The sizes to measure at; empty for those of the part.
     pub sizes: Vec<u64>,
-    /// Sections of a part that has some; empty: all.
+    /// The sections to measure; empty for all.
     pub only: Vec<String>,
-    /// Seed of all that is drawn.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// Plays of each size, of which the median counts.
+    /// How often each size is measured; the median is reported.
     pub plays: usize,
-    /// The pipithub binary, for real processes.
+    /// The pipithub binary, for parts that start processes.
     pub binary: PathBuf,
-    /// Where records of the fleet test lie.
+    /// The folder of the fleet test's records.
     pub fleet: Option<PathBuf>,
 }
 
 impl Plan {
-    /// Whether a section of a part is to be measured.
+    /// Whether a section is measured.
     pub(crate) fn wants(&self, section: &str) -> bool {
         self.only.is_empty() || self.only.iter().any(|named| named == section)
     }
 
-    /// The sizes to measure, of which these are the usual ones.
+    /// Runs a measurement at each size as often as planned. Fails at the first run that fails.
+    pub(crate) async fn run_at_sizes<T>(
+        &self,
+        default_sizes: &[u64],
+        mut run: impl AsyncFnMut(usize) -> Result<T>,
+    ) -> Result<Vec<PlaysAtSize<T>>> {
+        let mut sizes = Vec::new();
+        for size in self.sizes_or(default_sizes) {
+            let mut plays = Vec::new();
+            for _ in 0..self.plays {
+                plays.push(run(size as usize).await?);
+            }
+            sizes.push(PlaysAtSize { size, plays });
+        }
+        Ok(sizes)
+    }
+
+    /// The sizes to measure at, with the default ones of the part.
     pub(crate) fn sizes_or(&self, usual: &[u64]) -> Vec<u64> {
         if self.sizes.is_empty() {
             usual.to_vec()
@@ -100,7 +117,7 @@
     }
 }
 
-/// Measures the parts and shows their slopes.
+/// Measures the parts and prints their series with their slopes.
 pub(crate) async fn run(scale: Scale, binary: PathBuf) -> Result<()> {
     let plan = Plan {
         sizes: scale.sizes,
@@ -126,7 +143,7 @@
             draw_all(&measured, folder)?;
         }
         all.append(&mut measured);
-        // After each part: what was measured is kept where a later part fails.
+        // The file is written after each part, so that the results survive a failure of a later part.
         if let Some(path) = &scale.json {
             std::fs::write(path, serde_json::to_string_pretty(&all)?)?;
         }
--- a/crates/pipithub-bench/src/scale/consensus.rs
+++ b/crates/pipithub-bench/src/scale/consensus.rs
@@ -1,4 +1,4 @@
-//! The consensus core alone: it has no store and no links yet, so none are in these figures.
+//! The cost of the consensus core without a store and links, which it does not have yet.
 
 mod cluster;
 mod election;
@@ -18,25 +18,27 @@
 const MILLISECOND: Time = 1_000_000;
 const TICK: Time = 20 * MILLISECOND;
 const SECONDS_PER_DAY: f64 = 86_400.0;
-/// Changes of configuration that are planned for, a day, and what they come to in a year.
+/// The planned number of configuration changes per day.
 const PLANNED_CHANGES_PER_DAY: f64 = 1_500.0;
+/// The entries that result from them in a year.
 const PLANNED_ENTRIES: u64 = 547_500;
 const PLANNED_BATCH: u64 = 100;
 const PLANNED_LEASES: u64 = 10_000;
-/// Entries of each measurement, and those before it.
+/// Entries that are committed during a measurement.
 const ENTRIES: u64 = 20_000;
+/// Entries that are committed before a measurement.
 const WARM_UP_ENTRIES: u64 = 2_000;
-/// Entries after many others, whose messages are counted.
+/// Entries whose messages are counted after many others have been committed.
 const LATER_ENTRIES: u64 = 100;
-/// The core refuses clusters of seven.
+/// The core does not support clusters of seven voters.
 const CLUSTER_SIZES: [usize; 2] = [3, 5];
 const BATCHES: [u64; 5] = [1, 3, 10, 30, 100];
 const LEASE_COUNTS: [u64; 4] = [10, 100, 1_000, 10_000];
 const LEASE_DURATION: Time = 30_000 * MILLISECOND;
-/// Elections of each cluster size.
+/// The number of elections for each cluster size.
 const ELECTIONS: u64 = 20;
 
-/// The axis of what is measured on cores without a store and links.
+/// The axis of measurements on cores without a store and links.
 fn core_axis(size_unit: &'static str, planned: u64) -> SizeAxis {
     SizeAxis {
         part: "council",
@@ -55,8 +57,8 @@
     Ok(Voter::new(settings, &StoredLog::default(), 0, seed)?)
 }
 
-/// Measures entries, snapshots and elections. All of it is of one thread; CPU is the wall clock's time of it, so nothing
-/// else may run beside it.
+/// Measures entries, snapshots and elections. They run on one thread, and CPU time is measured as elapsed time, so no
+/// other load may run on the machine.
 pub(super) fn measure(plan: &Plan) -> Result<Vec<Series>> {
     let mut all = Vec::new();
     for voters in CLUSTER_SIZES {
@@ -67,7 +69,7 @@
     Ok(all)
 }
 
-/// What one play of entries showed.
+/// The cost of an entry in one run.
 struct EntryCosts {
     entries_per_second: f64,
     cpu_us: f64,
@@ -140,7 +142,7 @@
     Ok(vec![sent, bytes, cpu])
 }
 
-/// Bytes between three voters for an entry that comes after so many.
+/// Bytes sent between three voters for an entry after a number of others.
 fn sent_bytes_after(entries: u64, seed: u64) -> Result<f64> {
     let mut cluster = Cluster::new(3, seed)?;
     cluster.commit_entries(entries, 1)?;
@@ -149,7 +151,7 @@
     Ok((cluster.sent_bytes - before) as f64 / LATER_ENTRIES as f64)
 }
 
-/// The state with so many leases, each of a front end of its own.
+/// A state with a number of leases, each held by another front end.
 fn state_with_leases(leases: u64) -> Result<State> {
     let mut state = State::default();
     for number in 0..leases {
@@ -164,7 +166,7 @@
                 command,
             },
         };
-        // Two requests of each client, whose sequence goes on from client to client.
+        // Each client sends two requests; sequence numbers increase over all clients.
         let sequence = 2 * number + 1;
         state.apply(&request(sequence, Command::NewEpoch));
         let acquire = Command::AcquireLease {
@@ -191,7 +193,7 @@
             let seed = plan.seed + number;
             match election::seconds_without_leader(voters, seed)? {
                 Some(seconds) => values.push(seconds),
-                None => eprintln!("{voters} voters, seed {seed}: nobody led again in 58 s"),
+                None => eprintln!("{voters} voters, seed {seed}: no new leader within 58 s"),
             }
         }
         elections.push(voters as u64, values);
--- a/crates/pipithub-bench/src/scale/consensus/cluster.rs
+++ b/crates/pipithub-bench/src/scale/consensus/cluster.rs
@@ -110,7 +110,7 @@
         self.snapshot_bytes += batch.snapshot.as_ref().map_or(0, length);
     }
 
-    /// Commits entries, so many asked at once, of the front ends in turn.
+    /// Commits entries in batches, requested by the front ends in turn. Fails if an entry is not answered.
     pub(super) fn commit_entries(&mut self, entries: u64, batch: u64) -> Result<()> {
         let answers_before = self.answers;
         let mut left = entries;
--- a/crates/pipithub-bench/src/scale/consensus/election.rs
+++ b/crates/pipithub-bench/src/scale/consensus/election.rs
@@ -6,15 +6,15 @@
 use super::{MILLISECOND, TICK, new_voter};
 use crate::Result;
 
-/// When the first leader is killed: all follow it by then.
+/// When the first leader is killed; by then all voters follow it.
 const DEATH: Time = 2_000 * MILLISECOND;
-/// What a simulation takes at most.
+/// The maximum duration of a simulation.
 const END: Time = 60_000 * MILLISECOND;
-/// Seeds of one cluster's voters lie this far from those of the next.
+/// The distance between the seeds of two clusters, which is more than a cluster has voters.
 const SEEDS_PER_CLUSTER: u64 = 64;
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 
-/// Simulated seconds from a leader's death until another leads; `None` where nobody does.
+/// Simulated seconds from the end of a leader until there is a new one; `None` if there is none in time.
 pub(super) fn seconds_without_leader(voters: usize, seed: u64) -> Result<Option<f64>> {
     let mut network: Network<Vec<u8>> = Network::new(seed, Link::default());
     let mut all: Vec<Option<Voter>> = (1..=voters as u64)
--- a/crates/pipithub-bench/src/scale/fit.rs
+++ b/crates/pipithub-bench/src/scale/fit.rs
@@ -7,11 +7,11 @@
 /// `value = factor * size^exponent`.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(crate) struct Fit {
-    /// The power of the size.
+    /// The exponent of the size.
     pub exponent: f64,
     /// The value at size one.
     pub factor: f64,
-    /// The furthest that a point lies from the slope, as a share of the slope's value there.
+    /// The largest relative deviation of a point from the slope.
     pub residual: f64,
 }
 
--- a/crates/pipithub-bench/src/scale/front_ends.rs
+++ b/crates/pipithub-bench/src/scale/front_ends.rs
@@ -1,8 +1,8 @@
-//! What a front end's process holds, reads and asks, and what the emulated coordinator spends.
+//! Memory, CPU and traffic of front-end processes, and the cost of the emulated coordinator.
 //!
-//! Sections: `processes` and `lists` run real `pipithub node` processes, over their number and over the workers in the
-//! list; `fleet` runs hollow front ends through an ordinary day's events, the loss of a zone, and a cut after which all
-//! ask for every worker anew; `beyond` shows what real ones do with lists about and above the bounds.
+//! The sections `processes` and `lists` run real `pipithub node` processes, at several numbers of processes and of listed
+//! workers. `fleet` runs hollow front ends through ordinary events, the loss of a zone, and an outage of the coordinator
+//! after which all of them request a snapshot. `beyond` runs real front ends with lists near and above their bounds.
 
 mod beyond;
 mod fleet;
@@ -14,13 +14,14 @@
 use super::{Plan, Series, SizeAxis};
 use crate::Result;
 
-/// The planned numbers.
+/// The planned number of front ends.
 const FRONT_ENDS: u64 = 1_700;
+/// The planned number of workers.
 const WORKERS: u64 = 16_000;
-/// Three regions of seven zones.
+/// The number of zones: seven in each of three regions.
 const ZONES: usize = 21;
 
-/// Measures the sections that the plan names, or all.
+/// Measures the selected sections.
 pub(super) async fn measure(plan: &Plan) -> Result<Vec<Series>> {
     let folder = std::env::temp_dir().join(format!("pipithub-front-ends-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
@@ -41,7 +42,7 @@
     Ok(all)
 }
 
-/// The axis of what is measured on front ends.
+/// The axis of measurements on front ends.
 fn axis(size_unit: &'static str, method: &'static str, planned: u64) -> SizeAxis {
     SizeAxis {
         part: "front-ends",
--- a/crates/pipithub-bench/src/scale/front_ends/beyond.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/beyond.rs
@@ -1,4 +1,4 @@
-//! What a real front end does with lists about and above the bounds.
+//! One front-end process with lists near and above its bounds.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -11,13 +11,13 @@
 use crate::process_usage::{MemoryUse, scheduled_cpu_seconds};
 use crate::scale::{Figure, Plan, PlaysAtSize, Series};
 
-/// For how long a front end is watched.
+/// How long a front end is observed.
 const WATCH_TIME: Duration = Duration::from_secs(6);
-/// Workers in the list that went well before.
+/// The number of workers in the earlier list, which is within the bounds.
 const FORMER_WORKERS: usize = 100;
 const SIZES: [u64; 5] = [6_000, 8_000, 10_001, 16_000, 100_000];
 
-/// What became of one list.
+/// The effects of one list.
 struct Outcome {
     can_serve: bool,
     connections: f64,
@@ -26,7 +26,7 @@
     peak_mib: f64,
 }
 
-/// What became of a list as the first one, and after another.
+/// The effects of a list as the first one, and after an earlier one.
 struct Play {
     at_start: Outcome,
     after_former: Outcome,
@@ -60,7 +60,7 @@
     }),
 ];
 
-/// Shows what each size of list comes to. Nothing of this is drawn: one play shows what happens.
+/// Measures the effects of lists of each size. Nothing is random, so one run is enough.
 pub(super) async fn measure(plan: &Plan, folder: &Path) -> Result<Vec<Series>> {
     let mut sizes = Vec::new();
     for size in plan.sizes_or(&SIZES) {
@@ -100,7 +100,7 @@
     let can_serve = front_end.is_well().await?;
     let reasons = front_end.logged("coordinator stream ended");
     println!(
-        "  {workers} workers, {} bytes, {}: can serve {can_serve}; {} streams ended, the last: {}",
+        "  {workers} workers, {} bytes, {}: healthy {can_serve}; {} streams ended, the last: {}",
         event(index, true, tier.hosts()).len(),
         if former {
             "after a list of 100"
--- a/crates/pipithub-bench/src/scale/front_ends/fleet.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/fleet.rs
@@ -1,4 +1,4 @@
-//! Hollow front ends through an ordinary day's events, the loss of a zone, and a cut.
+//! Hollow front ends during ordinary events, the loss of zones, and an outage of the coordinator.
 
 mod resource_use;
 
@@ -14,27 +14,27 @@
 use super::{FRONT_ENDS, ZONES, axis};
 use crate::Result;
 use crate::process_usage::{MemoryUse, scheduled_cpu_seconds};
-use crate::scale::{Figure, Plan, PlaysAtSize, Series};
+use crate::scale::{Figure, Plan, Series};
 use resource_use::{Reading, ResourceUse};
 
-/// Workers in the list: as many as all of the planned front ends hold in this machine's memory.
+/// The number of listed workers, with which all planned front ends fit into the memory of one machine.
 const WORKERS: usize = 1_000;
-/// Processes that share the front ends.
+/// The number of processes over which the front ends are distributed.
 const PROCESSES: usize = 5;
 const SIZES: [u64; 4] = [10, 100, 566, 1_700];
 const SETTLING_TIME: Duration = Duration::from_secs(1);
-/// How long front ends idle while they are measured.
+/// How long idle front ends are measured.
 const IDLE_TIME: Duration = Duration::from_secs(3);
-/// Events that replace one worker each.
+/// The number of measured events that replace one worker each.
 const REPLACEMENTS: usize = 10;
-/// Connection attempts come at their slowest after 2 s of a cut: what comes later is as at the end of this.
+/// The duration of the outage. Connection attempts have their longest backoff after 2 s of it.
 const CUT_TIME: Duration = Duration::from_secs(10);
-/// How often the rate is looked at.
+/// The interval over which the rate of the coordinator is measured.
 const RATE_INTERVAL: Duration = Duration::from_millis(50);
-/// The longest wait until all front ends have asked anew after the cut.
+/// How long front ends may take to reconnect after the outage.
 const RECONNECT_PATIENCE: Duration = Duration::from_secs(60);
 
-/// What one play showed.
+/// The results of one run.
 struct Play {
     front_ends: f64,
     memory_mib: f64,
@@ -47,20 +47,20 @@
     recovery: Recovery,
 }
 
-/// What a change of the list took until all had it.
+/// The cost of a list change until all front ends have received it.
 struct Change {
     milliseconds: f64,
     used: ResourceUse,
 }
 
-/// What the replacement of one worker took: medians, and the bytes of the last.
+/// The cost of the replacement of one worker: medians, and the bytes of the last one.
 struct Replacement {
     milliseconds: f64,
     coordinator_cpu_ms: f64,
     bytes: f64,
 }
 
-/// What it took until all had every worker again after a cut.
+/// The cost of the snapshots that all front ends request after the outage.
 struct Recovery {
     milliseconds: f64,
     written_ms: f64,
@@ -144,14 +144,8 @@
 
 /// Measures fleets of each size.
 pub(super) async fn measure(plan: &Plan, folder: &Path) -> Result<Vec<Series>> {
-    let mut sizes = Vec::new();
-    for size in plan.sizes_or(&SIZES) {
-        let mut plays = Vec::new();
-        for _ in 0..plan.plays {
-            plays.push(play(plan, folder, size as usize).await?);
-        }
-        sizes.push(PlaysAtSize { size, plays });
-    }
+    let run = async |size| play(plan, folder, size).await;
+    let sizes = plan.run_at_sizes(&SIZES, run).await?;
     Ok(axis("front ends", "hollow", FRONT_ENDS).tabulate(&FIGURES, &sizes))
 }
 
@@ -163,7 +157,7 @@
     let memory_mib = fleet.memory_mib();
     let replacement = fleet.measure_replacements(&idle).await?;
     let zone_lost = fleet.change(|tier| tier.lose(1)).await?;
-    // Two more of the other twenty.
+    // A seventh of the 21 zones.
     let seventh_lost = fleet
         .change(|tier| [tier.lose(2), tier.lose(3), tier.lose(4)].concat())
         .await?;
@@ -183,7 +177,7 @@
     })
 }
 
-/// Hollow front ends in several processes, and the coordinator that they ask.
+/// Hollow front ends in several processes, and their coordinator.
 struct Fleet {
     coordinator: Coordinator,
     tier: Tier,
@@ -245,7 +239,7 @@
         all / self.count as f64
     }
 
-    /// Waits until all have this event; milliseconds since `published`, which is Unix time in nanoseconds.
+    /// Waits until all front ends have received an event; returns the milliseconds since `published`, in Unix nanoseconds.
     async fn await_event(&mut self, index: u64, published: u64) -> Result<f64> {
         let mut last = 0;
         for process in &mut self.processes {
@@ -262,7 +256,7 @@
         self.await_event(index, published).await
     }
 
-    /// Hands out a change and waits until all have it.
+    /// Publishes a change and waits until all front ends have received it.
     async fn change(&mut self, change: impl FnOnce(&mut Tier) -> Vec<Value>) -> Result<Change> {
         let changed = change(&mut self.tier);
         let published = wall_ns();
@@ -284,7 +278,7 @@
         let (mut times, mut cpu_times, mut bytes) = (Vec::new(), Vec::new(), 0.0);
         for worker in 0..REPLACEMENTS {
             let change = self.change(|tier| tier.replace(worker)).await?;
-            // Without what the comments of that time take.
+            // The cost of comments in that time is subtracted.
             let comments = idle.coordinator_cpu_seconds / idle.seconds * change.used.seconds;
             let cpu_seconds = change.used.coordinator_cpu_seconds - comments;
             cpu_times.push(cpu_seconds.max(0.0) * 1e3);
@@ -298,14 +292,14 @@
         })
     }
 
-    /// Cuts off all front ends; what the end of a long cut takes.
+    /// Starts the outage and measures the front ends at its end.
     async fn measure_cut(&self) -> ResourceUse {
         self.coordinator.behave(|behaviour| behaviour.cut = true);
         tokio::time::sleep(CUT_TIME.saturating_sub(IDLE_TIME)).await;
         self.measure_idle().await
     }
 
-    /// Ends the cut, after which all front ends ask for every worker anew.
+    /// Ends the outage, after which all front ends request a snapshot.
     async fn measure_recovery(&mut self) -> Result<Recovery> {
         self.tier.replace(20);
         let index = self.coordinator.publish(false, &[], &self.tier);
@@ -315,7 +309,7 @@
         self.coordinator.behave(|behaviour| behaviour.cut = false);
         let writing = tokio::time::timeout(RECONNECT_PATIENCE, self.watch_writing(&before))
             .await
-            .map_err(|_| "not all asked anew")?;
+            .map_err(|_| "not all front ends reconnected in time")?;
         Ok(Recovery {
             milliseconds: self.await_event(index, published).await?,
             written_ms: writing.milliseconds,
@@ -324,7 +318,7 @@
         })
     }
 
-    /// Watches the coordinator until it has written an event for each front end.
+    /// Measures the coordinator until it has written an event for each front end.
     async fn watch_writing(&self, before: &Reading) -> Writing {
         let mut peak_rate = 0.0f64;
         let mut last_bytes = before.counts.sent_bytes;
@@ -346,7 +340,7 @@
     }
 }
 
-/// How long the coordinator wrote, and its highest rate in bytes a second.
+/// How long the coordinator wrote, and its highest rate in bytes per second.
 struct Writing {
     milliseconds: f64,
     peak_rate: f64,
--- a/crates/pipithub-bench/src/scale/front_ends/fleet/resource_use.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/fleet/resource_use.rs
@@ -1,28 +1,28 @@
-//! What a fleet and its coordinator use between two moments.
+//! The resources that a fleet and its coordinator use between two readings.
 
 use std::time::Instant;
 
 use pipithub_emulator::coordinator::Counts;
 
-/// Bytes of a comment on the stream.
+/// The size of a comment on the stream, in bytes.
 const COMMENT_BYTES: u64 = 3;
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 const PERCENT: f64 = 100.0;
 
-/// What the meters show at one moment.
+/// A reading of all meters.
 pub(super) struct Reading {
-    /// The moment.
+    /// The time of the reading.
     pub at: Instant,
-    /// What the coordinator has counted.
+    /// The counts of the coordinator.
     pub counts: Counts,
-    /// CPU time of the coordinator.
+    /// CPU time of the coordinator, in nanoseconds.
     pub coordinator_cpu_ns: u64,
     /// CPU time of all front ends.
     pub front_end_cpu_seconds: f64,
 }
 
 impl Reading {
-    /// What so many front ends and the coordinator have used since an earlier reading.
+    /// The use since an earlier reading, by the coordinator and a number of front ends.
     pub(super) fn since(&self, before: &Reading, front_ends: usize) -> ResourceUse {
         let coordinator_cpu_ns = self.coordinator_cpu_ns - before.coordinator_cpu_ns;
         let front_end_cpu = self.front_end_cpu_seconds - before.front_end_cpu_seconds;
@@ -43,11 +43,11 @@
     }
 }
 
-/// What was used between two moments.
+/// The use of resources between two readings.
 pub(super) struct ResourceUse {
-    /// The time between them.
+    /// The time between the readings.
     pub seconds: f64,
-    /// What the coordinator counted.
+    /// The increase of the coordinator's counts.
     pub counts: Counts,
     /// CPU of the coordinator.
     pub coordinator_cpu_seconds: f64,
--- a/crates/pipithub-bench/src/scale/front_ends/front_end.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/front_end.rs
@@ -1,4 +1,4 @@
-//! Real front ends as processes, and the coordinators that they ask.
+//! Real front ends as processes, and their configuration.
 
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
@@ -8,15 +8,17 @@
 use serde_json::{Value, json};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
-use tokio::process::{Child, Command};
+use tokio::process::Child;
 
 use crate::Result;
+use crate::node_process::node_command;
 
-/// The longest wait for what a coordinator is to see, and how often it is looked at.
+/// How long an expected state of a coordinator is awaited.
 const PATIENCE: Duration = Duration::from_secs(60);
+/// How often the state of a coordinator is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Writes a front end's configuration to a file of this folder.
+/// Writes the configuration of a front end to a file in a folder and returns its path.
 pub(super) fn configure(
     folder: &Path,
     coordinator: &Coordinator,
@@ -37,36 +39,27 @@
     Ok(path)
 }
 
-/// A real front end.
+/// A running front end.
 pub(super) struct FrontEndProcess {
     child: Child,
     log: PathBuf,
 }
 
 impl FrontEndProcess {
-    /// Starts `pipithub node` by this configuration.
+    /// Starts `pipithub node` with a configuration file. Its log is written beside that file.
     pub(super) fn start(binary: &Path, config: &Path) -> Result<Self> {
         let log = config.with_extension("log");
-        let child = Command::new(binary)
-            .arg("node")
-            .env("LB_CONFIG", config)
-            .env_remove("LB_LISTEN")
-            .env_remove("RUST_LOG")
-            .env("NO_COLOR", "1")
-            .stdin(Stdio::null())
-            .stdout(Stdio::null())
-            .stderr(std::fs::File::create(&log)?)
-            .kill_on_drop(true)
-            .spawn()?;
+        let log_file = Stdio::from(std::fs::File::create(&log)?);
+        let child = node_command(binary, config, log_file).spawn()?;
         Ok(FrontEndProcess { child, log })
     }
 
-    /// Its process id.
+    /// Its process id; 0 if it has ended.
     pub(super) fn pid(&self) -> u32 {
         self.child.id().unwrap_or(0)
     }
 
-    /// Lines of its log that hold these words.
+    /// The lines of its log that contain these words.
     pub(super) fn logged(&self, words: &str) -> Vec<String> {
         let text = std::fs::read_to_string(&self.log).unwrap_or_default();
         text.lines()
@@ -75,7 +68,7 @@
             .collect()
     }
 
-    /// Where it listens, as its log says; `None` before it is up.
+    /// The address that it listens on, from its log; `None` before it is up.
     fn address(&self) -> Option<String> {
         let lines = self.logged("front end up");
         let address = lines.iter().find_map(|line| {
@@ -85,7 +78,7 @@
         Some(address.trim_matches('"').to_string())
     }
 
-    /// Whether it says that it can serve.
+    /// Whether it reports itself as healthy; false before it is up.
     pub(super) async fn is_well(&self) -> Result<bool> {
         let Some(address) = self.address() else {
             return Ok(false);
@@ -99,13 +92,13 @@
         Ok(serde_json::from_str::<Value>(&answer)?["result"]["healthy"] == true)
     }
 
-    /// Kills it and waits until it is gone.
+    /// Kills it and waits for its end.
     pub(super) async fn kill(mut self) {
         let _ = self.child.kill().await;
     }
 }
 
-/// Waits until this holds of what the coordinator counts.
+/// Waits until a condition on the coordinator's counts holds. Fails if it does not hold in time.
 pub(super) async fn wait_until(
     coordinator: &Coordinator,
     condition: impl Fn(Counts) -> bool,
@@ -117,6 +110,6 @@
     };
     tokio::time::timeout(PATIENCE, polls)
         .await
-        .map_err(|_| "the coordinator never saw it")?;
+        .map_err(|_| "the coordinator did not reach the expected state in time")?;
     Ok(())
 }
--- a/crates/pipithub-bench/src/scale/front_ends/hollow.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/hollow.rs
@@ -1,4 +1,4 @@
-//! Processes of many hollow front ends each.
+//! Processes that run many hollow front ends each.
 
 use std::path::Path;
 use std::process::Stdio;
@@ -10,7 +10,7 @@
 
 use crate::Result;
 
-/// The longest wait for an answer.
+/// How long an answer of the process is awaited.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// A process of many hollow front ends.
@@ -21,7 +21,7 @@
 }
 
 impl HollowProcess {
-    /// Starts so many front ends, numbered from `first`.
+    /// Starts a process with `count` front ends, numbered from `first`.
     pub(super) async fn start(config: &Path, count: usize, first: usize) -> Result<Self> {
         let mut child = Command::new(std::env::current_exe()?)
             .args(["hollow", "--config"])
@@ -31,8 +31,8 @@
             .stdout(Stdio::piped())
             .kill_on_drop(true)
             .spawn()?;
-        let stdin = child.stdin.take().ok_or("no pipe")?;
-        let stdout = child.stdout.take().ok_or("no pipe")?;
+        let stdin = child.stdin.take().ok_or("the process has no pipe")?;
+        let stdout = child.stdout.take().ok_or("the process has no pipe")?;
         let mut process = HollowProcess {
             child,
             stdin,
@@ -42,14 +42,14 @@
         Ok(process)
     }
 
-    /// Its process id.
+    /// Its process id; 0 if it has ended.
     pub(super) fn pid(&self) -> u32 {
         self.child.id().unwrap_or(0)
     }
 
     async fn answer(&mut self) -> Result<Value> {
         let line = tokio::time::timeout(ANSWER_TIMEOUT, self.lines.next_line()).await??;
-        let line = line.ok_or("hollow front ends have ended")?;
+        let line = line.ok_or("the process of hollow front ends has ended")?;
         Ok(serde_json::from_str(&line)?)
     }
 
@@ -59,7 +59,9 @@
         self.answer().await
     }
 
-    /// Waits until all have this event; the Unix time in nanoseconds at which the last one had it.
+    /// Waits until all front ends have received an event; returns the Unix time in nanoseconds at which the last one did.
+    ///
+    /// Fails if a front end wanted to connect to a worker, which hollow ones must not.
     pub(super) async fn await_event(&mut self, index: u64) -> Result<u64> {
         let answer = self.request(&format!("await {index}")).await?;
         if answer["wanted"] != 0 {
@@ -68,7 +70,7 @@
         Ok(answer["at"].as_u64().unwrap_or(0))
     }
 
-    /// Ends it and waits until it is gone.
+    /// Kills it and waits for its end.
     pub(super) async fn kill(mut self) {
         let _ = self.child.kill().await;
     }
--- a/crates/pipithub-bench/src/scale/front_ends/lists.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/lists.rs
@@ -1,4 +1,4 @@
-//! One real front end, over the workers in the list.
+//! One front-end process at several numbers of listed workers.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -9,21 +9,23 @@
 use super::{WORKERS, ZONES, axis};
 use crate::Result;
 use crate::process_usage::{MemoryUse, scheduled_cpu_seconds};
-use crate::scale::{Figure, Plan, PlaysAtSize, Series};
+use crate::scale::{Figure, Plan, Series};
 
-/// How long a front end idles while it is measured.
+/// How long an idle front end is measured.
 const IDLE_TIME: Duration = Duration::from_millis(1_500);
-/// What a list may take to be worked in before it is looked at.
+/// How long a front end may take to process a list.
 const SETTLING_TIME: Duration = Duration::from_secs(2);
-/// Events that replace one worker each, the time between them and what the last one may take.
+/// The number of measured events that replace one worker each.
 const EVENTS: usize = 20;
+/// The time between two of them.
 const EVENT_INTERVAL: Duration = Duration::from_millis(40);
+/// How long a front end may take to process the last one.
 const EVENT_SETTLING_TIME: Duration = Duration::from_millis(100);
-/// Bytes of a comment on the stream.
+/// The size of a comment on the stream, in bytes.
 const COMMENT_BYTES: u64 = 3;
 const SIZES: [u64; 6] = [300, 1_000, 4_000, 6_000, 16_000, 32_000];
 
-/// What one play showed; CPU of events is without what an idle front end takes.
+/// The results of one run. The CPU of an idle front end is subtracted from that of events.
 struct Play {
     list_bytes: f64,
     first_list_cpu_ms: f64,
@@ -33,7 +35,7 @@
     memory: MemoryUse,
 }
 
-/// What an event that replaces one worker costs.
+/// The cost of an event that replaces one worker.
 struct EventCost {
     cpu_ms: f64,
     bytes: f64,
@@ -71,14 +73,8 @@
 
 /// Measures one front end with lists of each size.
 pub(super) async fn measure(plan: &Plan, folder: &Path) -> Result<Vec<Series>> {
-    let mut sizes = Vec::new();
-    for size in plan.sizes_or(&SIZES) {
-        let mut plays = Vec::new();
-        for _ in 0..plan.plays {
-            plays.push(play(plan, folder, size as usize).await?);
-        }
-        sizes.push(PlaysAtSize { size, plays });
-    }
+    let run = async |size| play(plan, folder, size).await;
+    let sizes = plan.run_at_sizes(&SIZES, run).await?;
     Ok(axis("workers", "processes", WORKERS).tabulate(&FIGURES, &sizes))
 }
 
@@ -95,7 +91,10 @@
     if !front_end.is_well().await? {
         let warnings = front_end.logged("WARN");
         let last = warnings.last();
-        return Err(format!("cannot serve with {workers} workers: {last:?}").into());
+        return Err(format!(
+            "the front end is not healthy with {workers} workers; last warning: {last:?}"
+        )
+        .into());
     }
     let first = first.ended();
     let idle = idle_cpu(pid).await;
@@ -103,7 +102,7 @@
     let event = measure_events(&coordinator, &mut tier, pid, idle).await?;
     let memory = MemoryUse::of(pid);
     println!(
-        "  {workers} workers: quiet without any list {:.2} % of a core, then {:.2} %",
+        "  {workers} workers: an idle front end uses {:.2} % of a core without a list, {:.2} % with it",
         idle_without_list * 100.0,
         idle * 100.0
     );
@@ -118,7 +117,7 @@
     })
 }
 
-/// CPU of an idle front end, as a share of a core.
+/// The CPU of an idle front end, as a part of a core.
 async fn idle_cpu(pid: u32) -> f64 {
     let reading = CpuReading::take(pid);
     tokio::time::sleep(IDLE_TIME).await;
@@ -126,14 +125,14 @@
     span.cpu_seconds / span.seconds
 }
 
-/// The CPU of a process at the beginning of a span of time.
+/// The CPU time of a process at the start of a measurement.
 struct CpuReading {
     pid: u32,
     cpu_seconds: f64,
     at: Instant,
 }
 
-/// What a process took in a span of time.
+/// The CPU time that a process used during a measurement.
 struct CpuSpan {
     cpu_seconds: f64,
     seconds: f64,
@@ -157,13 +156,13 @@
 }
 
 impl CpuSpan {
-    /// Seconds of CPU beyond what an idle process takes in the same time.
+    /// The seconds of CPU that exceed those of an idle process.
     fn beyond(&self, idle: f64) -> f64 {
         self.cpu_seconds - self.seconds * idle
     }
 }
 
-/// Hands out every worker and waits until the front end has worked them in; the reading is from before.
+/// Publishes a snapshot and waits until the front end has processed it; returns the reading from before.
 async fn measure_list(
     coordinator: &Coordinator,
     tier: &Tier,
@@ -177,7 +176,7 @@
     Ok(before)
 }
 
-/// Replaces one worker after the other.
+/// Replaces workers one by one.
 async fn measure_events(
     coordinator: &Coordinator,
     tier: &mut Tier,
--- a/crates/pipithub-bench/src/scale/front_ends/processes.rs
+++ b/crates/pipithub-bench/src/scale/front_ends/processes.rs
@@ -1,4 +1,4 @@
-//! Real front ends as processes, over their number.
+//! Idle front-end processes at several numbers of them.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -9,17 +9,18 @@
 use super::{FRONT_ENDS, ZONES, axis};
 use crate::Result;
 use crate::process_usage::{MemoryUse, scheduled_cpu_seconds};
-use crate::scale::{Figure, Plan, PlaysAtSize, Series};
+use crate::scale::{Figure, Plan, Series};
 
-/// Workers in the list.
+/// The number of workers in the endpoint list.
 const WORKERS: usize = 1_000;
-/// How long front ends settle, and then idle while they are measured.
+/// How long front ends settle before they are measured.
 const SETTLING_TIME: Duration = Duration::from_secs(1);
+/// How long idle front ends are measured.
 const IDLE_TIME: Duration = Duration::from_secs(3);
 const SIZES: [u64; 6] = [1, 3, 10, 30, 100, 200];
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 
-/// What one play showed; all but the coordinator's CPU is for each front end.
+/// The results of one run. All values except the coordinator's CPU are per front end.
 struct Play {
     resident_mib: f64,
     proportional_mib: f64,
@@ -62,14 +63,8 @@
 
 /// Measures idle front ends at each size.
 pub(super) async fn measure(plan: &Plan, folder: &Path) -> Result<Vec<Series>> {
-    let mut sizes = Vec::new();
-    for size in plan.sizes_or(&SIZES) {
-        let mut plays = Vec::new();
-        for _ in 0..plan.plays {
-            plays.push(play(plan, folder, size as usize).await?);
-        }
-        sizes.push(PlaysAtSize { size, plays });
-    }
+    let run = async |size| play(plan, folder, size).await;
+    let sizes = plan.run_at_sizes(&SIZES, run).await?;
     Ok(axis("front ends", "processes", FRONT_ENDS).tabulate(&FIGURES, &sizes))
 }
 
@@ -90,7 +85,7 @@
     tokio::time::sleep(SETTLING_TIME).await;
     let play = measure_idle(&coordinator, &front_ends).await;
     if !front_ends[0].is_well().await? {
-        return Err("a front end cannot serve".into());
+        return Err("the first front end is not healthy".into());
     }
     for front_end in front_ends {
         front_end.kill().await;
--- a/crates/pipithub-bench/src/scale/membership.rs
+++ b/crates/pipithub-bench/src/scale/membership.rs
@@ -1,5 +1,5 @@
-//! Membership at several sizes: each play is a process of its own (`pipithub-bench members`), so that one's memory and
-//! CPU are not another's.
+//! Membership at several sizes. Each run is a process of its own (`pipithub-bench members`), so that memory and CPU are
+//! measured separately.
 
 mod figures;
 
@@ -12,8 +12,8 @@
 use crate::membership::{Measurements, Scenario};
 use figures::{FIGURES, ScenarioFigure};
 
-/// Larger ones are for `--sizes`: from some 300 on a fleet may take minutes of simulated time to converge, which the
-/// simulation plays slower than they pass.
+/// The default sizes. Larger fleets, which `--sizes` selects, may take minutes of simulated time to converge, and the
+/// simulation of more than about 300 members is slower than real time.
 const SIZES: [u64; 4] = [20, 60, 120, 200];
 const AXIS: SizeAxis = SizeAxis {
     part: "members",
@@ -21,10 +21,10 @@
     method: "simulated time",
     planned: 1_700,
 };
-/// Scenarios that run beside one another; those whose CPU counts run alone.
+/// The number of concurrent runs, except of the scenario whose CPU is measured.
 const PARALLEL_PLAYS: usize = 3;
 
-/// Scenarios from the settled fleet on take 60 s of rest and then the fault.
+/// Runs all scenarios at each size and collects their figures.
 pub(super) fn measure(plan: &Plan) -> Result<Vec<Series>> {
     let mut all: Vec<Series> = FIGURES
         .iter()
@@ -33,7 +33,7 @@
     for size in plan.sizes_or(&SIZES) {
         for scenario in Scenario::value_variants() {
             let rows = play_all(plan, *scenario, size)?;
-            eprintln!("{size} members, {scenario:?}: {} plays", rows.len());
+            eprintln!("{size} members, {scenario:?}: {} runs", rows.len());
             for (figure, series) in FIGURES.iter().zip(&mut all) {
                 if figure.scenario == *scenario {
                     add_values(figure, series, size, &rows);
@@ -45,7 +45,7 @@
 }
 
 fn add_values(figure: &ScenarioFigure, series: &mut Series, size: u64, rows: &[Measurements]) {
-    // Below zero: it did not come to it, which is no value.
+    // A value below zero means that the event did not happen.
     let values: Vec<f64> = rows
         .iter()
         .map(figure.value)
@@ -53,7 +53,10 @@
         .collect();
     let missing = rows.len() - values.len();
     if missing > 0 {
-        eprintln!("{size} members, {}: never in {missing} plays", figure.what);
+        eprintln!(
+            "{size} members, {}: did not happen in {missing} runs",
+            figure.what
+        );
     }
     if !values.is_empty() {
         series.push(size, values);
@@ -88,7 +91,7 @@
         threads
             .into_iter()
             .map(std::thread::ScopedJoinHandle::join)
-            .map(|joined| joined.unwrap_or_else(|_| Err("a play broke off".into())))
+            .map(|joined| joined.unwrap_or_else(|_| Err("a run panicked".into())))
             .collect()
     })
 }
--- a/crates/pipithub-bench/src/scale/membership/figures.rs
+++ b/crates/pipithub-bench/src/scale/membership/figures.rs
@@ -5,15 +5,15 @@
 const PERCENT: f64 = 100.0;
 const BYTES_PER_KIB: f64 = 1_024.0;
 
-/// A figure that one scenario shows.
+/// A figure of one scenario.
 pub(super) struct ScenarioFigure {
-    /// The scenario.
+    /// The scenario that it is measured in.
     pub scenario: Scenario,
-    /// What it is, in words.
+    /// The name of the figure.
     pub what: &'static str,
-    /// Its unit.
+    /// The unit of its values.
     pub unit: &'static str,
-    /// Reads it; below zero where it did not come to it.
+    /// Reads the value; it is negative if the event did not happen.
     pub value: fn(&Measurements) -> f64,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// All figures, in the order in which they are shown.
+/// All figures, in the order of reports.
 pub(super) const FIGURES: &[ScenarioFigure] = &[
     ScenarioFigure::new(
         Scenario::Ordinary,
--- a/crates/pipithub-bench/src/scale/plot.rs
+++ b/crates/pipithub-bench/src/scale/plot.rs
@@ -1,4 +1,4 @@
-//! Series as SVG files, both axes in powers of ten.
+//! Plots of series as SVG files with logarithmic axes.
 
 use std::path::Path;
 
@@ -7,7 +7,8 @@
 use super::Series;
 use crate::Result;
 
-/// Draws a series and its slope up to the planned size.
+/// Plots a series and its slope up to the planned size. Points that are not above zero are left out; a series without
+/// others gives no file.
 pub(super) fn draw(series: &Series, folder: &Path) -> Result<()> {
     let points: Vec<(f64, f64)> = series
         .points
--- a/crates/pipithub-bench/src/scale/series.rs
+++ b/crates/pipithub-bench/src/scale/series.rs
@@ -4,25 +4,25 @@
 
 use super::Fit;
 
-/// What was measured at one size.
+/// The values of a figure at one size.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Point {
-    /// The size.
+    /// The size, in the unit of the series.
     pub size: u64,
-    /// The median of the plays.
+    /// The median of the runs.
     pub value: f64,
-    /// The least and the greatest of them.
+    /// The lowest value of the runs.
     #[serde(rename = "least")]
     pub min: f64,
-    /// See `min`.
+    /// The highest value of the runs.
     #[serde(rename = "greatest")]
     pub max: f64,
-    /// How many plays there were.
+    /// The number of runs.
     pub plays: usize,
 }
 
 impl Point {
-    /// The median of these values; 0 where there are none.
+    /// A point with the median of these values; all values are 0 if there are none.
     pub(crate) fn of(size: u64, mut values: Vec<f64>) -> Point {
         values.sort_by(f64::total_cmp);
         let at = |index: usize| values.get(index).copied().unwrap_or(0.0);
@@ -37,21 +37,21 @@
     }
 }
 
-/// What several series have in common: all but the figure itself.
+/// What the series of one measurement have in common.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SizeAxis {
-    /// The part they belong to.
+    /// The part of the site that is measured.
     pub part: &'static str,
     /// What the sizes count.
     pub size_unit: &'static str,
-    /// How it was run: `processes`, `hollow`, `simulated time` or `core`.
+    /// The method of measurement: `processes`, `hollow`, `simulated time` or `core`.
     pub method: &'static str,
-    /// The size that is planned for.
+    /// The size of the planned site.
     pub planned: u64,
 }
 
 impl SizeAxis {
-    /// A series without points yet.
+    /// A series of a figure, without points.
     pub(crate) fn series(&self, what: &str, unit: &str) -> Series {
         Series {
             part: self.part.to_string(),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// One series for each figure, over the plays of each size.
+    /// One series for each figure, from the runs of each size.
     pub(crate) fn tabulate<T>(
         &self,
         figures: &[Figure<T>],
@@ -82,18 +82,18 @@
     }
 }
 
-/// A figure that is read from each play.
+/// A figure that each run gives a value of.
 pub(crate) struct Figure<T> {
-    /// What it is, in words.
+    /// The name of the figure.
     pub what: &'static str,
-    /// Its unit.
+    /// The unit of its values.
     pub unit: &'static str,
-    /// Reads it.
+    /// Reads the value from the result of a run.
     pub value: fn(&T) -> f64,
 }
 
 impl<T> Figure<T> {
-    /// A figure by its name, its unit and how it is read.
+    /// A figure with its name, its unit and the function that reads it.
     pub(crate) const fn new(
         what: &'static str,
         unit: &'static str,
@@ -103,49 +103,49 @@
     }
 }
 
-/// The plays of one size.
+/// The runs at one size.
 pub(crate) struct PlaysAtSize<T> {
-    /// The size.
+    /// The size, in the unit of the series.
     pub size: u64,
-    /// What each play showed.
+    /// The result of each run.
     pub plays: Vec<T>,
 }
 
 /// One figure over several sizes.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Series {
-    /// The part it belongs to.
+    /// The part of the site that was measured.
     pub part: String,
-    /// What was measured, in words.
+    /// The name of the figure.
     pub what: String,
     /// The unit of the values.
     pub unit: String,
     /// What the sizes count.
     #[serde(rename = "of")]
     pub size_unit: String,
-    /// How it was run.
+    /// The method of measurement.
     #[serde(rename = "how")]
     pub method: String,
     /// The points, by size.
     pub points: Vec<Point>,
-    /// The size that is planned for.
+    /// The size of the planned site.
     pub planned: u64,
     /// The slope through the points.
     pub fit: Option<Fit>,
 }
 
 impl Series {
-    /// Adds what was measured at one size.
+    /// Adds the values at one size.
     pub(crate) fn push(&mut self, size: u64, values: Vec<f64>) {
         self.points.push(Point::of(size, values));
     }
 
-    /// The furthest size that was really run.
-    pub(crate) fn furthest(&self) -> u64 {
+    /// The largest measured size; 0 without points.
+    pub(crate) fn largest_size(&self) -> u64 {
         self.points.iter().map(|p| p.size).max().unwrap_or(0)
     }
 
-    /// Prints the points and what the slope says of the planned size.
+    /// Prints the points, the slope through them and the extrapolation to the planned size.
     pub(crate) fn print(&self) {
         println!(
             "\n{} / {} [{}], {}",
@@ -153,20 +153,20 @@
         );
         for point in &self.points {
             println!(
-                "  {:>8} {:<12} {:>14.3}   ({:.3} to {:.3}, {} plays)",
+                "  {:>8} {:<12} {:>14.3}   ({:.3} to {:.3}, {} runs)",
                 point.size, self.size_unit, point.value, point.min, point.max, point.plays
             );
         }
         if let Some(fit) = &self.fit {
             println!(
-                "  grows as size^{:.2}, residual {:.0}%; furthest run {}; at {} {} it would be {:.3} ({:.1} times the furthest)",
+                "  grows as size^{:.2}, residual {:.0}%; largest measured size {}; extrapolated to {} {}: {:.3} ({:.1} times the largest size)",
                 fit.exponent,
                 fit.residual * 100.0,
-                self.furthest(),
+                self.largest_size(),
                 self.planned,
                 self.size_unit,
                 fit.at(self.planned),
-                self.planned as f64 / self.furthest().max(1) as f64
+                self.planned as f64 / self.largest_size().max(1) as f64
             );
         }
     }
--- a/crates/pipithub-bench/src/scale/settings.rs
+++ b/crates/pipithub-bench/src/scale/settings.rs
@@ -1,5 +1,5 @@
-//! How a change of configuration reaches all front ends today: a file for each and SIGHUP. What carries a change to all
-//! of them is this part's own loop, in place of the operators' hands; nothing in the product does.
+//! The time until a change of configuration has reached all front ends: a file for each of them and SIGHUP. The product
+//! has no means to distribute a change, so a loop of this benchmark replaces the operators.
 
 mod configuration;
 mod coordinator;
@@ -15,15 +15,16 @@
 use super::{Figure, Plan, PlaysAtSize, Series, SizeAxis};
 use crate::Result;
 
-/// The front ends that are planned for.
+/// The planned number of front ends.
 const PLANNED: u64 = 1_700;
-/// Changes of a day, and within what each is to be in force everywhere.
+/// The planned number of changes per day.
 const CHANGES_PER_DAY: f64 = 1_500.0;
+/// The time in which each change must be in force everywhere.
 const SECONDS_PER_CHANGE: f64 = 4.0;
 const SECONDS_PER_DAY: f64 = 86_400.0;
-/// Processes on one machine: the largest is a tenth of the plan.
+/// The measured numbers of processes; the largest is about a tenth of the plan.
 const FRONT_ENDS: [u64; 6] = [1, 3, 10, 30, 100, 200];
-/// For how long no former coordinator may be asked after a change: long beside the time from a signal to the request.
+/// How long after a change no request may go to a former coordinator: long compared with the reaction to a signal.
 const SETTLING_TIME: Duration = Duration::from_millis(200);
 const AXIS: SizeAxis = SizeAxis {
     part: "settings",
@@ -32,37 +33,39 @@
     planned: PLANNED,
 };
 
-/// What one play at one size showed; times in seconds from the first file that was written.
+/// The results of one run; times are in seconds from the first written file.
 struct Play {
     change: Change,
-    /// A second change to each right behind the first.
+    /// The time of a second change that follows the first at once.
     two_in_a_row: f64,
     overtaken: Overtaken,
-    /// From the completion of files that were half written at SIGHUP until all had them.
+    /// From the completion of files that were half written at SIGHUP until all front ends had read them.
     half_written: f64,
-    /// Everything but the coordinator's address: a stop and a new start of all at once.
+    /// The time of a restart of all front ends at once, which all settings but the coordinator's address need.
     restart: f64,
 }
 
-/// What one change took.
+/// The cost of one change.
 struct Change {
-    /// Until the last front end had asked the new coordinator.
+    /// Until the last front end had sent a request to the new coordinator.
     all: f64,
-    /// From each one's SIGHUP until it asked: the median and the last.
+    /// From the SIGHUP to a front end until its request: the median.
     one_median: f64,
+    /// The same for the slowest front end.
     one_last: f64,
-    /// CPU of all front ends together.
+    /// CPU time of all front ends.
     cpu: f64,
-    /// Bytes of files written and of requests for the list.
+    /// Bytes of the written files.
     written_bytes: f64,
+    /// Bytes of the requests for the endpoint list.
     request_bytes: f64,
 }
 
-/// A change that comes when half of the front ends have the former.
+/// A change that starts when half of the front ends have the previous one.
 struct Overtaken {
-    /// Until all have the second.
+    /// Until all front ends have the second change.
     all: f64,
-    /// Front ends that were left on the former where nobody begins the handing out anew.
+    /// Front ends that would keep the previous change if its distribution were not repeated.
     left_behind: f64,
 }
 
@@ -114,7 +117,7 @@
     ),
 ];
 
-/// Measures processes first, then what reading a configuration costs as it grows.
+/// Measures the distribution of changes, then the cost of reading a configuration.
 pub(super) async fn measure(plan: &Plan) -> Result<Vec<Series>> {
     let folder = tempfile::tempdir()?;
     let mut sizes = Vec::new();
@@ -129,26 +132,26 @@
 }
 
 fn print_steps() {
-    println!("\nsettings: what one change takes today, by hand for each front end");
+    println!("\nsettings: the steps of one change, by hand for each front end");
     println!(
-        "  the coordinator's address: write the file beside, rename it, SIGHUP, look for its line in the log (4 steps)"
+        "  the coordinator's address: write a new file, rename it, send SIGHUP, check the log (4 steps)"
     );
     println!(
-        "  anything else: the file, SIGTERM, wait for its end, start it, ask isWell (5 steps)"
+        "  any other setting: write the file, send SIGTERM, wait for the end, start the process, check isWell (5 steps)"
     );
     println!(
-        "  {CHANGES_PER_DAY} changes a day are one each {:.1} s; for {PLANNED} front ends {:.0} files and signals a second on \
-         average, {:.0} a second where each must be in force within {SECONDS_PER_CHANGE} s",
+        "  {CHANGES_PER_DAY} changes per day are one every {:.1} s; with {PLANNED} front ends that is {:.0} files and signals per second on \
+         average, or {:.0} per second if each must be in force within {SECONDS_PER_CHANGE} s",
         SECONDS_PER_DAY / CHANGES_PER_DAY,
         CHANGES_PER_DAY * PLANNED as f64 / SECONDS_PER_DAY,
         PLANNED as f64 / SECONDS_PER_CHANGE
     );
     println!(
-        "  not there: anything that hands a change out, a version that a front end can be asked for, a way back"
+        "  missing: a means to distribute changes, a configuration version that front ends report, a rollback"
     );
 }
 
-/// Plays at one size, on one set of processes.
+/// All runs at one size, with one set of processes.
 async fn play_all(plan: &Plan, size: usize, folder: &Path) -> Result<Vec<Play>> {
     let mut site = Site::start(&plan.binary, folder, size, 1, 1).await?;
     let mut plays = Vec::new();
@@ -203,7 +206,7 @@
     settled(site, second, begun).await
 }
 
-/// The second change comes when half of the front ends were told of the first.
+/// Starts a second change when half of the front ends have been signalled for the first.
 async fn overtaken(site: &mut Site) -> Result<Overtaken> {
     let first = site.next_coordinator();
     let second = site.next_coordinator();
@@ -211,7 +214,7 @@
     for front_end in 0..half {
         change(site, front_end, first)?;
     }
-    // The rest gets the second at once. Who was told of the first stays with it for as long as nobody starts again.
+    // The others get the second change at once. Those with the first keep it until the distribution is repeated.
     let begun = Instant::now();
     for front_end in half..site.size() {
         change(site, front_end, second)?;
@@ -243,13 +246,14 @@
     settled(site, to, begun).await
 }
 
-/// Gives a front end a configuration and has it read.
+/// Replaces the configuration of a front end and signals it.
 fn change(site: &Site, front_end: usize, to: Coordinator) -> Result<()> {
     site.replace(front_end, to)?;
     site.reload(front_end)
 }
 
-/// Waits until all front ends have asked a coordinator; fails where one asks an older one afterwards.
+/// Waits until all front ends have sent a request to a coordinator; returns the seconds since `begun`. Fails if one sends
+/// a request to a former coordinator afterwards.
 async fn settled(site: &mut Site, to: Coordinator, begun: Instant) -> Result<f64> {
     let requests = site.requests_of_all(to).await?;
     let seconds = seconds_until_last(&requests, begun);
@@ -257,7 +261,7 @@
     Ok(seconds)
 }
 
-/// Seconds until the last of these requests; none where there are none.
+/// Seconds until the last of these requests; 0 if there are none.
 fn seconds_until_last(requests: &[ListRequest], begun: Instant) -> f64 {
     let last = requests.iter().map(|request| request.at).max();
     (last.unwrap_or(begun) - begun).as_secs_f64()
--- a/crates/pipithub-bench/src/scale/settings/configuration.rs
+++ b/crates/pipithub-bench/src/scale/settings/configuration.rs
@@ -1,25 +1,26 @@
-//! The configurations of front ends, and the workers that they name.
+//! Generated configurations of front ends.
 
 use serde_json::{Value, json};
 
-/// The most workers that one event may hold.
+/// The maximum number of workers in an event.
 const MAX_EVENT_WORKERS: usize = 10_000;
-/// Workers' ports, which come in turn; nobody listens there.
+/// The lowest port of a worker. Nothing listens on these ports.
 const FIRST_PORT: u64 = 20_000;
+/// The number of ports, which workers use in turn.
 const PORTS: u64 = 20_000;
 
-/// A worker of the list.
+/// A worker in the form of the endpoint list.
 pub(super) fn worker(number: u64) -> Value {
     let port = FIRST_PORT + number % PORTS;
     json!({"host": format!("w{number}"), "dial": format!("127.0.0.1:{port}"), "site": "a", "health": "SERVING"})
 }
 
-/// In how many events so many workers are told.
+/// The number of events that list a number of workers.
 pub(super) fn event_count(workers: usize) -> usize {
     workers.div_ceil(MAX_EVENT_WORKERS)
 }
 
-/// The configuration of a front end, whose last known event bears its number beyond what the events need.
+/// The configuration of a front end. The index of its last known event is its number plus the number of events.
 pub(super) fn configuration(
     number: usize,
     coordinator: &str,
--- a/crates/pipithub-bench/src/scale/settings/coordinator.rs
+++ b/crates/pipithub-bench/src/scale/settings/coordinator.rs
@@ -1,4 +1,4 @@
-//! Coordinators that front ends ask for the worker list, emulated: they answer with a stream that never has an event.
+//! Emulated coordinators that answer requests for the endpoint list with a stream without events.
 
 use std::time::{Duration, Instant};
 
@@ -6,50 +6,53 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
+use pipithub_emulator::accept::next_connection;
+
 use super::site::Observation;
 
-/// How often a coordinator says that it is there; a front end takes 1.6 s without a byte for its end.
+/// The interval of comments; a front end drops a connection without data for 1.6 s.
 const COMMENT_INTERVAL: Duration = Duration::from_millis(500);
-/// The longest head of a request for the list that is read.
+/// The maximum size of a request's head.
 const MAX_HEAD_BYTES: usize = 8 << 10;
 
 /// The number of a coordinator.
 pub(super) type Coordinator = usize;
 
-/// A front end's request for the list.
+/// A request of a front end for the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListRequest {
-    /// Who asked.
+    /// The number of the front end.
     pub front_end: usize,
-    /// Whom.
+    /// The number of the coordinator.
     pub coordinator: Coordinator,
-    /// When all of the request was read.
+    /// When the request had been read completely.
     pub at: Instant,
-    /// Its bytes.
+    /// The size of its head, in bytes.
     pub bytes: usize,
 }
 
-/// A coordinator that tells of each request that it gets.
+/// A coordinator that reports each request.
 #[derive(Clone)]
 pub(super) struct CoordinatorServer {
-    /// Its number.
+    /// The coordinator's number.
     pub coordinator: Coordinator,
-    /// The last event of the first front end, by which front ends are told apart.
+    /// The index of the last event that the first front end knows. It is one higher for each further front end, which
+    /// identifies them.
     pub first_event: usize,
-    /// Where requests are told of.
+    /// The channel to which requests are reported.
     pub observations: mpsc::UnboundedSender<Observation>,
 }
 
 impl CoordinatorServer {
-    /// Answers all who connect, until the measurement ends.
+    /// Serves all connections until the measurement ends.
     pub(super) async fn serve(self, listener: TcpListener) {
-        while let Ok((stream, _)) = listener.accept().await {
+        while let Some((stream, _)) = next_connection(|| listener.accept()).await {
             let server = self.clone();
             tokio::spawn(async move { server.answer(stream).await });
         }
     }
 
-    /// Reads one request, answers with a stream without events, and keeps it open by comments.
+    /// Reads one request and answers it with a stream of comments.
     async fn answer(&self, mut stream: TcpStream) -> std::io::Result<()> {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") && head.len() < MAX_HEAD_BYTES {
@@ -67,7 +70,7 @@
         }
     }
 
-    /// Tells of a request. The front end that asks is known by the last event that it names.
+    /// Reports a request. The last event that it names identifies the front end.
     fn observe(&self, head: &[u8]) {
         let at = Instant::now();
         let text = String::from_utf8_lossy(head).to_lowercase();
--- a/crates/pipithub-bench/src/scale/settings/reading.rs
+++ b/crates/pipithub-bench/src/scale/settings/reading.rs
@@ -1,5 +1,5 @@
-//! What reading a configuration costs as it grows. A front end reads all of it at each SIGHUP, on the thread that serves,
-//! and takes the coordinator's address alone from it.
+//! The cost of reading a configuration by its size. At each SIGHUP a front end reads all of it on the thread that serves
+//! requests, though it applies only the coordinator's address.
 
 use std::hint::black_box;
 use std::path::Path;
@@ -12,14 +12,15 @@
 use crate::Result;
 use crate::scale::{Figure, Plan, PlaysAtSize, Series, SizeAxis};
 
-/// Entries of one configuration. Functions are named in none: 43,000 is the number of those that are planned for.
+/// The number of entries of a configuration, up to the planned number of functions. Configurations do not list functions.
 const ENTRIES: [u64; 5] = [10, 100, 1_000, 10_000, 43_000];
-/// The workers and the functions that are planned for.
+/// The planned number of workers.
 const WORKERS: u64 = 16_000;
+/// The planned number of functions.
 const FUNCTIONS: u64 = 43_000;
-/// Bytes that one measurement reads at least: one reading of a short text is near the clock's own grain.
+/// The minimum number of bytes that one measurement reads, so that it is long compared with the clock's resolution.
 const MIN_BYTES_READ: usize = 200_000;
-/// An address that nobody is asked at.
+/// An address without a coordinator.
 const NO_COORDINATOR: &str = "127.0.0.1:1";
 
 fn axis(size_unit: &'static str, method: &'static str, planned: u64) -> SizeAxis {
@@ -31,7 +32,7 @@
     }
 }
 
-/// What one process showed that starts with a configuration and reads it again.
+/// The cost of a start with a configuration, and of reading it again.
 struct ProcessPlay {
     start_ms: f64,
     reload_ms: f64,
@@ -44,7 +45,7 @@
     Figure::new("peak memory of a process", "MB", |play| play.peak_mib),
 ];
 
-/// Measures the reading alone, and a process that starts with such a file and reads it again.
+/// Measures the parser alone, and processes that start with such a file and read it again.
 pub(super) async fn measure(plan: &Plan, folder: &Path) -> Result<Vec<Series>> {
     let worker_axis = axis("workers known", "core", WORKERS);
     let mut bytes = worker_axis.series("size of a configuration", "bytes");
@@ -75,7 +76,7 @@
     let mut site = Site::start(&plan.binary, folder, 1, workers, 1).await?;
     let start_ms = site.cpu_seconds() * 1e3;
     let before = site.cpu_seconds();
-    // The same file: what is spent is the reading, and nothing moves.
+    // The file is unchanged, so only reading it costs time.
     site.reload(0)?;
     site.all_log(LogEvent::Read).await?;
     let play = ProcessPlay {
@@ -87,7 +88,7 @@
     Ok(play)
 }
 
-/// Times of reading this text, in milliseconds.
+/// The times of parsing a text, in milliseconds.
 fn read(plan: &Plan, text: &str) -> Result<Vec<f64>> {
     let mut times = Vec::new();
     for _ in 0..plan.plays {
--- a/crates/pipithub-bench/src/scale/settings/site.rs
+++ b/crates/pipithub-bench/src/scale/settings/site.rs
@@ -1,4 +1,4 @@
-//! Real front ends as processes, their files, and the coordinators that they ask.
+//! Real front ends as processes with their configuration files, and the coordinators that they use.
 
 use std::collections::HashSet;
 use std::path::{Path, PathBuf};
@@ -9,32 +9,33 @@
 use serde_json::Value;
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::net::TcpListener;
-use tokio::process::{Child, ChildStderr, Command};
+use tokio::process::{Child, ChildStderr};
 use tokio::sync::mpsc;
 
 use super::configuration::{configuration, event_count, worker};
 use super::coordinator::{Coordinator, CoordinatorServer, ListRequest};
 use crate::Result;
+use crate::node_process::node_command;
 use crate::process_usage::{peak_mib, scheduled_cpu_seconds};
 
-/// The longest wait for front ends to do what they were told: many times the 4 s that are wanted.
+/// How long front ends may take to apply a change: many times the 4 s that are expected.
 const PATIENCE: Duration = Duration::from_secs(30);
-/// Coordinators, in turn: the one in force, the first and the second of two changes, with one to spare.
+/// The number of coordinators, which are used in turn: the present one, those of two changes, and a spare one.
 const COORDINATORS: usize = 4;
 
-/// What a front end's log says of its configuration.
+/// An event in a front end's log about its configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LogEvent {
-    /// It is up.
+    /// The front end is up.
     Up,
-    /// It has read a configuration.
+    /// A changed configuration was applied.
     Read,
-    /// It could not read one and keeps the former.
+    /// The configuration could not be read, so the previous one stays in force.
     Kept,
 }
 
 impl LogEvent {
-    /// The words of the log by which each is known.
+    /// The log messages of the events.
     const WORDS: [(&'static str, LogEvent); 3] = [
         ("front end up", LogEvent::Up),
         ("configuration read again", LogEvent::Read),
@@ -49,21 +50,21 @@
     }
 }
 
-/// What front ends did, as coordinators and logs tell it.
+/// An observed action of a front end.
 #[derive(Debug)]
 pub(super) enum Observation {
-    /// One asked a coordinator.
+    /// A front end requested the endpoint list from a coordinator.
     Requested(ListRequest),
-    /// One wrote to its log.
+    /// A front end logged an event.
     Logged {
-        /// Which one.
+        /// The number of the front end.
         front_end: usize,
-        /// What.
+        /// The event.
         event: LogEvent,
     },
 }
 
-/// A front end and the file of its configuration.
+/// A front end and its configuration file.
 struct FrontEndProcess {
     child: Child,
     file: PathBuf,
@@ -85,24 +86,26 @@
     }
 }
 
-/// Front ends, their files and their coordinators.
+/// Front ends with their configuration files and coordinators.
 pub(super) struct Site {
     binary: PathBuf,
     folder: PathBuf,
     front_ends: Vec<FrontEndProcess>,
     coordinator_addresses: Vec<String>,
-    /// What each configuration holds besides: workers known and classes.
+    /// The workers that each configuration lists.
     workers: Vec<Value>,
+    /// The number of classes in each configuration.
     classes: usize,
     in_force: Coordinator,
-    /// Requests since the last change that nobody has waited for yet.
+    /// Requests since the last change that were received while those to another coordinator were awaited.
     other_requests: Vec<ListRequest>,
     sender: mpsc::UnboundedSender<Observation>,
     observations: mpsc::UnboundedReceiver<Observation>,
 }
 
 impl Site {
-    /// Starts so many, each with so many workers known and classes, and waits until each has asked its coordinator.
+    /// Starts a number of front ends, each with a number of listed workers and classes, and waits until each has
+    /// requested the endpoint list.
     pub(super) async fn start(
         binary: &Path,
         folder: &Path,
@@ -110,7 +113,7 @@
         workers: u64,
         classes: usize,
     ) -> Result<Site> {
-        // Bounded by what so few processes can ask and log.
+        // The channel needs no bound, as these few processes send and log little.
         let (sender, observations) = mpsc::unbounded_channel();
         let mut site = Site {
             binary: binary.to_path_buf(),
@@ -150,12 +153,12 @@
         Ok(())
     }
 
-    /// How many front ends there are.
+    /// The number of front ends.
     pub(super) fn size(&self) -> usize {
         self.front_ends.len()
     }
 
-    /// The coordinator that the next change names.
+    /// Selects the coordinator for the next change.
     pub(super) fn next_coordinator(&mut self) -> Coordinator {
         self.other_requests.clear();
         self.in_force = (self.in_force + 1) % COORDINATORS;
@@ -169,22 +172,13 @@
     }
 
     fn spawn(&self, front_end: usize, file: &Path) -> Result<Child> {
-        let mut child = Command::new(&self.binary)
-            .arg("node")
-            .env("LB_CONFIG", file)
-            .env("RUST_LOG", "info")
-            .env("NO_COLOR", "1")
-            .env_remove("LB_LISTEN")
-            .stdin(Stdio::null())
-            .stderr(Stdio::piped())
-            .kill_on_drop(true)
-            .spawn()?;
+        let mut child = node_command(&self.binary, file, Stdio::piped()).spawn()?;
         let log = child.stderr.take().ok_or("no log")?;
         tokio::spawn(observe_log(front_end, log, self.sender.clone()));
         Ok(child)
     }
 
-    /// Puts a new file in the place of the old one, so that nobody reads a part of it; its bytes.
+    /// Replaces the configuration file atomically; returns its size in bytes.
     pub(super) fn replace(&self, front_end: usize, coordinator: Coordinator) -> Result<usize> {
         let text = self.text(front_end, coordinator);
         let file = &self.front_ends[front_end].file;
@@ -194,25 +188,25 @@
         Ok(text.len())
     }
 
-    /// Writes half of a file over the old one, as a copy that is interrupted does.
+    /// Overwrites the configuration file with one half of the new text, as an interrupted copy does.
     pub(super) fn write_half(&self, front_end: usize, coordinator: Coordinator) -> Result<()> {
         let text = self.text(front_end, coordinator);
         let half = &text[..text.len() / 2];
         Ok(std::fs::write(&self.front_ends[front_end].file, half)?)
     }
 
-    /// Writes the complete file over what is there.
+    /// Overwrites the configuration file with the complete text.
     pub(super) fn write_complete(&self, front_end: usize, coordinator: Coordinator) -> Result<()> {
         let text = self.text(front_end, coordinator);
         Ok(std::fs::write(&self.front_ends[front_end].file, text)?)
     }
 
-    /// Has a front end read its configuration again, by SIGHUP.
+    /// Sends a front end SIGHUP, so that it reads its configuration again.
     pub(super) fn reload(&self, front_end: usize) -> Result<()> {
         self.front_ends[front_end].signal(Signal::HUP)
     }
 
-    /// The most memory that any of them ever held, in MiB.
+    /// The highest peak memory of all front ends, in MiB.
     pub(super) fn peak_mib(&self) -> f64 {
         self.front_ends
             .iter()
@@ -220,7 +214,7 @@
             .fold(0.0, f64::max)
     }
 
-    /// CPU of all, in seconds.
+    /// The CPU time of all front ends, in seconds.
     pub(super) fn cpu_seconds(&self) -> f64 {
         self.front_ends
             .iter()
@@ -228,7 +222,7 @@
             .sum()
     }
 
-    /// Waits until each has asked this coordinator.
+    /// Waits until all front ends have requested the list from a coordinator; returns the first request of each.
     pub(super) async fn requests_of_all(
         &mut self,
         coordinator: Coordinator,
@@ -236,7 +230,9 @@
         self.requests(coordinator, self.size()).await
     }
 
-    /// Waits until so many front ends have asked this coordinator; the first request of each.
+    /// Waits until a number of front ends have requested the list from a coordinator; returns the first request of each.
+    ///
+    /// Fails if they do not do so in time.
     pub(super) async fn requests(
         &mut self,
         coordinator: Coordinator,
@@ -245,7 +241,7 @@
         let mut seen = HashSet::new();
         let mut requests = Vec::new();
         let end = tokio::time::Instant::now() + PATIENCE;
-        // Those of the others are kept: one half of the front ends may be asked about after the other.
+        // Requests to other coordinators are kept, as the two halves of the front ends may be awaited in turn.
         let mut earlier = std::mem::take(&mut self.other_requests).into_iter();
         while requests.len() < count {
             let next = match earlier.next() {
@@ -264,7 +260,7 @@
                 _ => {
                     let asked = requests.len();
                     return Err(format!(
-                        "{asked} of {count} asked the coordinator in {PATIENCE:?}"
+                        "{asked} of {count} front ends sent a request to the coordinator within {PATIENCE:?}"
                     )
                     .into());
                 }
@@ -274,7 +270,8 @@
         Ok(requests)
     }
 
-    /// Waits until each has logged this; requests meanwhile are passed over.
+    /// Waits until all front ends have logged an event; requests in the meantime are dropped. Fails if they do not do so
+    /// in time.
     pub(super) async fn all_log(&mut self, wanted: LogEvent) -> Result<()> {
         let mut seen = HashSet::new();
         let end = tokio::time::Instant::now() + PATIENCE;
@@ -288,7 +285,7 @@
                 Ok(Some(Observation::Requested(_))) => {}
                 _ => {
                     return Err(format!(
-                        "{} of {} said {wanted:?} in {PATIENCE:?}",
+                        "{} of {} front ends logged {wanted:?} within {PATIENCE:?}",
                         seen.len(),
                         self.size()
                     )
@@ -299,7 +296,7 @@
         Ok(())
     }
 
-    /// Fails where another coordinator than this one is asked within a time.
+    /// Fails if another coordinator gets a request within a time.
     pub(super) async fn ensure_no_requests_to_others(
         &mut self,
         coordinator: Coordinator,
@@ -313,15 +310,16 @@
                 && request.coordinator != coordinator
             {
                 let front_end = request.front_end;
-                return Err(
-                    format!("front end {front_end} asked a former coordinator again").into(),
-                );
+                return Err(format!(
+                    "front end {front_end} sent a request to a former coordinator"
+                )
+                .into());
             }
         }
         Ok(())
     }
 
-    /// Stops all at once and starts each again when it has ended; seconds until the last one has asked.
+    /// Restarts all front ends at once; returns the seconds until the last one has requested the list.
     pub(super) async fn restart(&mut self) -> Result<f64> {
         let to = self.next_coordinator();
         let begun = Instant::now();
@@ -339,7 +337,7 @@
         Ok(super::seconds_until_last(&requests, begun))
     }
 
-    /// Ends all.
+    /// Kills all front ends.
     pub(super) async fn stop(mut self) {
         for front_end in &mut self.front_ends {
             let _ = front_end.child.kill().await;
@@ -347,7 +345,7 @@
     }
 }
 
-/// Tells of the lines of a front end's log, until it ends.
+/// Sends the events in a front end's log until the log ends.
 async fn observe_log(
     front_end: usize,
     log: ChildStderr,
--- a/crates/pipithub-bench/src/scale/workers.rs
+++ b/crates/pipithub-bench/src/scale/workers.rs
@@ -1,6 +1,6 @@
-//! What a worker sees of many front ends, from the fleet test's own records (`--fleet DIR`, its `--json` files). Front
-//! ends are the real program there; workers, clients and time are that test's. It lies outside of this repository, so
-//! nothing is measured where no records are given.
+//! The load of a worker by many front ends, from the records of the fleet test (`--fleet DIR`, its `--json` files). That
+//! test runs real front ends with simulated workers, clients and time. It is not part of this repository, so this part
+//! is skipped without records.
 
 mod record;
 
@@ -10,9 +10,11 @@
 use crate::Result;
 use record::FleetRecord;
 
-/// What is planned for: front ends, calls of each in a second, workers.
+/// The planned number of front ends.
 const PLANNED: u64 = 1_700;
+/// The planned number of calls per second and front end.
 const CALLS_PER_FRONT_END: f64 = 100.0;
+/// The planned number of workers.
 const WORKERS: f64 = 16_000.0;
 const AXIS: SizeAxis = SizeAxis {
     part: "workers",
@@ -67,7 +69,7 @@
     ),
 ];
 
-/// Reads the records, one series for each kind of day and figure.
+/// Reads the records and returns one series for each kind of scenario and figure.
 pub(super) fn measure(plan: &Plan) -> Result<Vec<Series>> {
     let Some(folder) = &plan.fleet else {
         println!("\nworkers: skipped, as no records of the fleet test are given (--fleet DIR)");
@@ -78,7 +80,7 @@
         "\nworkers: front ends are real, workers, clients and time are simulated by the fleet test"
     );
     println!(
-        "  not told by its records: which worker got what, so a worker's figures are means over all workers"
+        "  its records do not show individual workers, so the figures of a worker are means over all workers"
     );
     let mut all = Vec::new();
     for (kind, sizes) in &kinds {
@@ -93,7 +95,7 @@
     Ok(all)
 }
 
-/// The records by the kind of their day, and then by the number of front ends, in rising order.
+/// The records by the kind of their scenario, and then by the number of front ends, in ascending order.
 fn by_kind_and_size(records: Vec<FleetRecord>) -> BTreeMap<String, Vec<PlaysAtSize<FleetRecord>>> {
     let mut kinds: BTreeMap<String, BTreeMap<u64, Vec<FleetRecord>>> = BTreeMap::new();
     for record in records {
@@ -116,9 +118,9 @@
         .collect()
 }
 
-/// What each planned worker would see in a second by the ratios of the largest size. The fleet test plays few calls a
-/// second at a front end: connections that carry more of them are made less often, so those are an upper bound. It also
-/// plays more front ends than workers, where the plan has nine workers for each front end.
+/// Prints the load of each planned worker per second, by the ratios of the largest size. The fleet test has few calls per
+/// second and front end. Connections that carry more calls are made less often, so their number is an upper bound. It
+/// also has more front ends than workers, whereas the plan has nine workers for each front end.
 fn extrapolate(kind: &str, largest: &PlaysAtSize<FleetRecord>) {
     let calls = PLANNED as f64 * CALLS_PER_FRONT_END / WORKERS;
     let size = largest.size;
--- a/crates/pipithub-bench/src/scale/workers/record.rs
+++ b/crates/pipithub-bench/src/scale/workers/record.rs
@@ -1,34 +1,35 @@
-//! Records of the fleet test, which lies outside of this repository.
+//! Records of the fleet test, which is not part of this repository.
 
+use std::fmt;
 use std::path::{Path, PathBuf};
 
 use serde_json::Value;
 
 use crate::Result;
 
-/// The longest record that is read.
+/// The maximum size of a record.
 const MAX_RECORD_BYTES: u64 = 16 << 20;
 
-/// One day as it was recorded: sums over all workers, and what they are divided by.
+/// The record of one run: sums over all workers, and the numbers that figures are divided by.
 #[derive(Clone, Debug)]
 pub(super) struct FleetRecord {
-    /// The kind of day.
+    /// The kind of scenario.
     pub kind: String,
-    /// Front ends.
+    /// The number of front ends.
     pub front_ends: u64,
-    /// Workers and calls are drawn by the day's seed: both are reported, and figures divided by them.
+    /// The number of workers, which the seed determines.
     pub workers: f64,
-    /// See `workers`.
+    /// The number of calls, which the seed determines.
     pub calls: f64,
-    /// Calls that were answered by a worker, in time or late.
+    /// Calls that were served, in time or late.
     pub served: f64,
-    /// Seconds of the day, as far as its table by stretches of time goes.
+    /// The time that the windows of the record cover, in seconds.
     pub seconds: f64,
-    /// Requests to workers.
+    /// Attempts at workers.
     pub attempts: f64,
     /// Connections made to workers.
     pub connections: f64,
-    /// Connections that a front end holds open.
+    /// Mean number of open connections of a front end.
     pub open_connections: f64,
     /// Handshakes with workers.
     pub handshakes: f64,
@@ -36,11 +37,11 @@
     pub probes: f64,
     /// Loads of functions.
     pub loads: f64,
-    /// Requests of a front end for the worker list, in a second.
+    /// Requests of a front end for the endpoint list, per second.
     pub list_requests: f64,
 }
 
-/// All records in a folder, in the order of their names.
+/// Reads all records of a folder, by file name. Fails if there is none, or one cannot be read or lacks a figure.
 pub(super) fn read_all(folder: &Path) -> Result<Vec<FleetRecord>> {
     let mut paths: Vec<PathBuf> = std::fs::read_dir(folder)?
         .filter_map(|entry| Some(entry.ok()?.path()))
@@ -51,7 +52,7 @@
         .collect();
     paths.sort();
     if paths.is_empty() {
-        return Err(format!("{}: no records", folder.display()).into());
+        return Err(format!("{}: found no records", folder.display()).into());
     }
     paths.iter().map(|path| read(path)).collect()
 }
@@ -59,16 +60,42 @@
 fn read(path: &Path) -> Result<FleetRecord> {
     let place = path.display();
     if std::fs::metadata(path)?.len() > MAX_RECORD_BYTES {
-        return Err(format!("{place}: too long for a record").into());
+        return Err(format!("{place}: exceeds the maximum size of a record").into());
     }
     let record: Value = serde_json::from_str(&std::fs::read_to_string(path)?)?;
-    parse(&record).map_err(|field| format!("{place}: {field} is not told").into())
+    parse(&record).map_err(|error| format!("{place}: {error}").into())
 }
 
-/// One record's figures; the place of the first that is missing.
-fn parse(record: &Value) -> std::result::Result<FleetRecord, &'static str> {
-    let number = |place: &'static str| record.pointer(place).and_then(Value::as_f64).ok_or(place);
-    let windows = record["windows"].as_array().ok_or("/windows")?;
+/// The error for a record that lacks a figure.
+#[derive(Debug)]
+struct MissingField {
+    /// The JSON pointer of the figure.
+    pointer: &'static str,
+}
+
+impl MissingField {
+    fn at(pointer: &'static str) -> Self {
+        MissingField { pointer }
+    }
+}
+
+impl fmt::Display for MissingField {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{} is missing", self.pointer)
+    }
+}
+
+impl std::error::Error for MissingField {}
+
+/// The figures of a record. Fails at the first one that is missing.
+fn parse(record: &Value) -> std::result::Result<FleetRecord, MissingField> {
+    let number = |pointer: &'static str| {
+        let value = record.pointer(pointer).and_then(Value::as_f64);
+        value.ok_or(MissingField::at(pointer))
+    };
+    let windows = record["windows"]
+        .as_array()
+        .ok_or(MissingField::at("/windows"))?;
     let sum = |field: &str| -> f64 {
         windows
             .iter()
@@ -79,7 +106,10 @@
     let calls = number("/requests")?;
     let served = sum("in_time") + sum("late");
     Ok(FleetRecord {
-        kind: record["name"].as_str().ok_or("/name")?.to_string(),
+        kind: record["name"]
+            .as_str()
+            .ok_or(MissingField::at("/name"))?
+            .to_string(),
         front_ends: number("/row/nodes")? as u64,
         workers: number("/row/servers")?,
         calls,
@@ -88,8 +118,7 @@
         attempts: sum("attempts"),
         connections: number("/real/seen/server_conns")?,
         open_connections: number("/signature/connections_per_instance")?,
-        // Meters are told for each call: times the calls they come out as whole numbers. Loads are told for each call
-        // served, so their sum is derived.
+        // The record holds meters per call, and loads per served call; their sums are derived.
         handshakes: number("/meters/handshake")? * calls,
         probes: number("/meters/probe")? * calls,
         loads: number("/signature/loads_per_served")? * served,
@@ -97,11 +126,11 @@
     })
 }
 
-/// How long each window of the table is.
-fn window_seconds(windows: &[Value]) -> std::result::Result<f64, &'static str> {
+/// The width of each window.
+fn window_seconds(windows: &[Value]) -> std::result::Result<f64, MissingField> {
     let start = |index: usize| windows.get(index).and_then(|w| w["from_s"].as_f64());
     start(1)
         .zip(start(0))
         .map(|(second, first)| second - first)
-        .ok_or("/windows/1/from_s")
+        .ok_or(MissingField::at("/windows/1/from_s"))
 }
--- a/crates/pipithub-bench/src/testbed.rs
+++ b/crates/pipithub-bench/src/testbed.rs
@@ -1,4 +1,4 @@
-//! Emulators, gateways and pass-throughs as processes on loopback, for the measurements that take real time.
+//! Emulators, gateways and pass-throughs as processes on loopback, for measurements in real time.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -9,13 +9,13 @@
 
 use crate::Result;
 
-/// The queue that all calls go through.
+/// The queue that calls are published to.
 pub(crate) const QUEUE: &str = "calls";
-/// The queue to which answers come back.
+/// The queue of the answers.
 pub(crate) const REPLY_QUEUE: &str = "answers";
-/// The gateway's command that emulates servers, by its former name, which binaries of earlier versions know too.
+/// The command that runs emulators, by its former name, so that binaries of earlier versions can be measured too.
 const EMULATOR_COMMAND: &str = "standin";
-/// Workers of many cores and little work: what is measured is what stands between client and worker.
+/// Workers with many cores and short run times, so that the path between client and worker dominates.
 const WORKER_ARGUMENTS: [&str; 12] = [
     "worker",
     "--commands",
@@ -30,22 +30,22 @@
     "--keep-ms",
     "600000",
 ];
-/// How often the broker is asked whether a consumer is there.
+/// How often the number of consumers is polled.
 const CONSUMER_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What all measurements on real processes share.
+/// The processes' binaries and the folder of a measurement.
 pub(crate) struct Testbed {
     own_binary: PathBuf,
     binary: PathBuf,
     folder: PathBuf,
-    /// Seconds of each measured part.
+    /// Duration of each measurement, in seconds.
     pub seconds: u64,
-    /// How many workers there are.
+    /// The number of workers.
     pub workers: usize,
 }
 
 impl Testbed {
-    /// A testbed with a folder of its own; the binary is the one beside this program where none is named.
+    /// Creates the folder of the testbed. The default binary is the one in the folder of this program.
     pub(crate) fn create(binary: Option<PathBuf>, seconds: u64, workers: usize) -> Result<Self> {
         let own_binary = std::env::current_exe()?;
         let binary = binary.unwrap_or_else(|| own_binary.with_file_name("pipithub"));
@@ -76,7 +76,7 @@
         self.folder.join("log")
     }
 
-    /// Starts an emulated server.
+    /// Starts an emulated server with these arguments.
     pub(crate) async fn start_emulator(&self, arguments: &[&str]) -> Result<Process> {
         let arguments: Vec<String> = std::iter::once(EMULATOR_COMMAND)
             .chain(arguments.iter().copied())
@@ -100,7 +100,7 @@
             .await
     }
 
-    /// Starts the gateway with these settings.
+    /// Starts a gateway with the text of its settings.
     pub(crate) fn start_gateway(&self, settings: &str) -> Result<Process> {
         let path = self.write_file("serve.kdl", settings)?;
         let arguments = [
@@ -115,7 +115,7 @@
         )?)
     }
 
-    /// Starts the pass-through between this broker and these workers.
+    /// Starts a pass-through between a broker and workers.
     pub(crate) fn start_pass_through(&self, broker: &str, workers: &[String]) -> Result<Process> {
         let mut arguments = vec![
             "baseline".to_string(),
@@ -133,7 +133,7 @@
     }
 }
 
-/// Waits until one consumer takes calls from this broker.
+/// Waits until the queue has exactly one consumer.
 pub(crate) async fn wait_for_consumer(broker: &str) {
     while consumers(broker, Login::default(), QUEUE).await != Some(1) {
         tokio::time::sleep(CONSUMER_POLL_INTERVAL).await;
--- a/crates/pipithub-bench/tests/scale_workers.rs
+++ b/crates/pipithub-bench/tests/scale_workers.rs
@@ -1,4 +1,4 @@
-//! The scale tests' part `workers` reads the fleet test's records, and does without them.
+//! The part `workers` of the scale tests, with and without records of the fleet test.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -14,7 +14,7 @@
         .expect("runs")
 }
 
-/// A day on which each front end makes a hundred calls and each call takes one request and a half.
+/// The record of a run with a hundred calls per front end and one and a half attempts per call.
 fn record(front_ends: u64, workers: u64) -> Value {
     let calls = front_ends * 100;
     let window = |from: f64| json!({"from_s": from, "attempts": calls * 3 / 4, "in_time": calls / 4, "late": calls / 4});
@@ -32,14 +32,14 @@
 }
 
 #[test]
-fn without_records_the_part_says_so_and_ends_well() {
+fn missing_records_are_reported_and_the_part_is_skipped() {
     let output = scale(&[]);
     assert!(output.status.success());
     assert!(String::from_utf8_lossy(&output.stdout).contains("workers: skipped"));
 }
 
 #[test]
-fn figures_are_sums_divided_by_the_workers_and_calls_of_each_record() {
+fn figures_are_ratios_of_the_sums_of_each_record() {
     let folder = tempfile::tempdir().expect("a folder");
     write(folder.path(), "a.json", &record(10, 20));
     write(folder.path(), "b.json", &record(100, 40));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_record_that_does_not_tell_a_figure_is_named_with_it() {
+fn record_without_a_figure_is_reported_with_its_file_and_the_figure() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut short = record(10, 20);
     short["meters"]
@@ -92,7 +92,7 @@
     assert!(!output.status.success());
     let said = String::from_utf8_lossy(&output.stderr).to_string();
     assert!(
-        said.contains("short.json") && said.contains("/meters/probe is not told"),
+        said.contains("short.json") && said.contains("/meters/probe is missing"),
         "{said}"
     );
 }
