--- a/crates/pipithub-baselines/src/lib.rs
+++ b/crates/pipithub-baselines/src/lib.rs
@@ -1,7 +1,7 @@
-//! Textbook load-balancing policies in place of the decision module, for comparison in scenarios alone.
+//! Textbook load-balancing policies, for comparison with the decision module in scenarios only.
 //!
-//! They take the same events and return the same actions. Both keep what a client is promised: one answer, no repeated
-//! effect of a request that is not idempotent, no new requests for draining workers. Neither predicts anything.
+//! They take the same events and return the same actions. Both keep the guarantees to clients: one answer, no repeated
+//! effect of a request that is not idempotent, no new requests for draining workers. Neither makes predictions.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
 /// No request with an idempotency key is retried this many ticks before its deduplication window ends or later.
 const DEDUPLICATION_MARGIN_TICKS: Time = 10;
 
-/// Which policy.
+/// A textbook load-balancing policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
     /// Each request goes to the next worker in turn.
@@ -45,7 +45,7 @@
     attempted_workers: Vec<WorkerId>,
 }
 
-/// A front end that decides by a textbook policy.
+/// A front end that routes by a textbook policy.
 #[derive(Debug)]
 pub struct Baseline {
     policy: Policy,
--- a/crates/pipithub-baselines/tests/policies.rs
+++ b/crates/pipithub-baselines/tests/policies.rs
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn round_robin_takes_the_workers_in_turn() {
+fn round_robin_uses_workers_in_turn() {
     let mut baseline = with_workers(Policy::RoundRobin, &["a", "b", "c"]);
     for (id, name) in [(1, "b"), (2, "c"), (3, "a"), (4, "b")] {
         assert_eq!(
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn least_loaded_takes_the_worker_with_the_fewest_requests_in_flight() {
+fn least_loaded_uses_the_worker_with_the_fewest_requests_in_flight() {
     let mut baseline = with_workers(Policy::LeastLoaded, &["a", "b"]);
     for (id, name) in [(1, "a"), (2, "b"), (3, "a")] {
         assert_eq!(
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn workers_that_are_draining_removed_or_absent_from_a_snapshot_get_no_request() {
+fn draining_removed_or_unlisted_worker_gets_no_request() {
     let mut baseline = with_workers(Policy::LeastLoaded, &["a", "b", "c"]);
     let delta = vec![
         endpoint("a", EndpointState::Draining),
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_request_without_a_worker_is_rejected() {
+fn request_without_a_worker_is_rejected() {
     let mut baseline = with_workers(Policy::RoundRobin, &[]);
     assert_eq!(
         arrive(&mut baseline, 0, 1, NON_IDEMPOTENT),
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn a_retry_goes_to_another_worker_until_the_attempts_are_used_up() {
+fn retry_uses_another_worker_until_the_attempts_are_exhausted() {
     let mut baseline = with_workers(Policy::LeastLoaded, &["a", "b", "c", "d"]);
     arrive(&mut baseline, 0, 1, IDEMPOTENT);
     let lost = Outcome::ConnectionLost;
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_request_that_is_not_idempotent_is_retried_only_where_it_never_ran() {
+fn non_idempotent_request_is_retried_only_if_it_never_ran() {
     let mut baseline = with_workers(Policy::LeastLoaded, &["a", "b", "c"]);
     arrive(&mut baseline, 0, 1, NON_IDEMPOTENT);
     assert_eq!(
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn a_request_with_a_key_is_retried_within_its_deduplication_window() {
+fn request_with_an_idempotency_key_is_retried_within_its_deduplication_window() {
     let mut baseline = with_workers(Policy::LeastLoaded, &["a", "b"]);
     let last_moment = DEDUPLICATION_WINDOW - 10 * TICK - 1;
     arrive(&mut baseline, 0, 1, WITH_KEY);
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn nothing_is_forwarded_at_the_deadline() {
+fn no_request_is_forwarded_at_its_deadline() {
     let mut baseline = with_workers(Policy::LeastLoaded, &["a", "b"]);
     arrive(&mut baseline, 0, 1, IDEMPOTENT);
     assert_eq!(
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn the_timer_cancels_and_ends_a_request_near_its_deadline_alone() {
+fn timer_cancels_and_ends_a_request_only_near_its_deadline() {
     let mut baseline = with_workers(Policy::LeastLoaded, &["a"]);
     arrive(&mut baseline, 0, 1, NON_IDEMPOTENT);
     let early = TIMEOUT - 3 * TICK - 1;
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn a_cancelled_request_gets_no_answer() {
+fn cancelled_request_gets_no_answer() {
     let mut baseline = with_workers(Policy::LeastLoaded, &["a"]);
     arrive(&mut baseline, 0, 1, IDEMPOTENT);
     assert_eq!(
--- a/crates/pipithub-characterization/src/adapter_scenario/requests.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/requests.rs
@@ -1,4 +1,4 @@
-//! Requests and health checks: how they begin and end, and the lines that report it to the front end.
+//! Requests and health checks: how they start and end, and the lines that report this to the front end.
 
 use super::MILLISECOND;
 use super::event::{Event, FrontEndEvent};
@@ -22,7 +22,7 @@
     pub(super) deadline: u64,
     /// Whether its response is streamed.
     pub(super) stream: bool,
-    /// Whether its response has begun.
+    /// Whether its response has started.
     pub(super) streaming: bool,
     /// Whether it has ended.
     pub(super) settled: bool,
@@ -36,7 +36,7 @@
     /// Memory of one replica, in MB.
     memory: u64,
     replica_concurrency: u64,
-    /// The usual time of a load in milliseconds, where it is known.
+    /// The usual time of a load in milliseconds; `None` if unknown.
     load: Option<u64>,
     /// The index of its class in the settings.
     class: usize,
--- a/crates/pipithub-characterization/src/adapter_scenario/settings.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/settings.rs
@@ -5,7 +5,7 @@
 use super::{MILLISECOND, SECOND};
 use crate::random::Random;
 
-/// Names of zones.
+/// The names of the zones.
 pub(super) const ZONES: [&str; 3] = ["east", "west", "north"];
 /// Names of machine kinds.
 pub(super) const MACHINE_KINDS: [&str; 2] = ["std-2c", "slow-2c"];
--- a/crates/pipithub-characterization/src/adapter_scenario/tier.rs
+++ b/crates/pipithub-characterization/src/adapter_scenario/tier.rs
@@ -19,7 +19,7 @@
     Removed,
 }
 
-/// How a worker treats what it is sent.
+/// How a worker treats requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Condition {
     Healthy,
@@ -28,11 +28,11 @@
     AtCapacity,
     /// Connections to it fail at once.
     Crashed,
-    /// It never responds.
+    /// It accepts requests but does not respond.
     Unresponsive,
 }
 
-/// One worker.
+/// A worker and its present condition.
 #[derive(Clone, Debug)]
 pub(super) struct Worker {
     pub(super) address: String,
--- a/crates/pipithub-characterization/src/lib.rs
+++ b/crates/pipithub-characterization/src/lib.rs
@@ -5,7 +5,7 @@
 //! library works with bytes and uses no type of the other crates: each test has a small driver for the program under test.
 //!
 //! - [`adapter_scenario`] uses the line protocol of `pipithub-adapter`; its test belongs to that crate.
-//! - [`node_scenario`] simulates clients, workers and worker lists for the node without sockets; its test belongs to this
+//! - [`node_scenario`] simulates clients, workers and endpoint lists for the node without sockets; its test belongs to this
 //!   crate.
 
 pub mod adapter_scenario;
--- a/crates/pipithub-characterization/src/node_scenario.rs
+++ b/crates/pipithub-characterization/src/node_scenario.rs
@@ -1,7 +1,8 @@
-//! A scripted scenario for a node without sockets: bytes, worker lists and time go in, effects come out.
+//! A scripted scenario for a node without sockets: inputs are bytes, endpoint lists and time; outputs are effects.
 //!
-//! Clients call, retry, cancel, disconnect, send noise or nothing; workers send every response, late, twice, in pieces
-//! or not at all; connections fail, break and block; the list changes; at the end the node is shut down.
+//! Clients call, retry, cancel, disconnect, send invalid data or nothing. Workers send every kind of response, late, twice,
+//! in pieces or not at all. Connections fail, break and block, and the endpoint list changes. At the end the node is shut
+//! down.
 
 mod clients;
 mod configuration;
@@ -10,29 +11,29 @@
 
 pub use world::run;
 
-/// What the node wants done on its connections.
+/// An effect of the node on its connections.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Write bytes.
+    /// Write bytes to a connection.
     Write {
-        /// The connection.
+        /// The number of the connection.
         connection: u64,
-        /// The bytes.
+        /// The bytes to write.
         bytes: Vec<u8>,
     },
     /// Close a connection.
     Close {
-        /// The connection.
+        /// The number of the connection.
         connection: u64,
     },
-    /// Hand over what a client has sent by now, then report that the connection may be retired.
+    /// Deliver what a client has sent so far, then report that the connection may be retired.
     Retire {
-        /// The connection.
+        /// The number of the connection.
         connection: u64,
     },
-    /// Take back bytes that the system has not accepted.
+    /// Discard written bytes that the system has not accepted.
     CancelWrite {
-        /// The connection.
+        /// The number of the connection.
         connection: u64,
         /// The offset of the first one in all bytes written to the connection.
         at: u64,
@@ -41,7 +42,7 @@
     },
     /// Connect to a worker.
     Connect {
-        /// The new connection.
+        /// The number of the new connection.
         connection: u64,
         /// The address of the worker.
         address: String,
@@ -51,7 +52,7 @@
 }
 
 impl Effect {
-    /// The kind that the effect is counted under.
+    /// The kind under which the effect is counted.
     fn kind(&self) -> &'static str {
         match self {
             Effect::Write { .. } => "write",
@@ -90,41 +91,42 @@
 pub trait Node {
     /// When [`Node::tick`] is due next.
     fn next_due(&self) -> u64;
-    /// Time has passed.
+    /// Reports that time has passed.
     fn tick(&mut self, now: u64);
-    /// A client has connected; returns the number of its connection.
+    /// Reports that a client has connected; returns the number of its connection.
     fn client_connected(&mut self, now: u64) -> u64;
-    /// Bytes came from a client.
+    /// Reports bytes from a client.
     fn client_bytes(&mut self, now: u64, connection: u64, bytes: &[u8]);
-    /// A client's connection has ended.
+    /// Reports that a client's connection has ended.
     fn client_closed(&mut self, now: u64, connection: u64);
-    /// Everything that a client had sent is handed over.
+    /// Reports that everything a client had sent has been delivered.
     fn client_retired(&mut self, now: u64, connection: u64);
-    /// A connection to a worker is up.
+    /// Reports that a connection to a worker is established.
     fn worker_connected(&mut self, now: u64, connection: u64);
-    /// A connection to a worker was not established; `local_cause`: for lack of a resource here.
+    /// Reports that a connection to a worker failed; `local_cause` if a resource of this machine was exhausted.
     fn worker_failed(&mut self, now: u64, connection: u64, local_cause: bool);
-    /// A worker does not read, after the system has accepted so many bytes; `None`: it reads again.
+    /// Reports that a worker does not read, with the number of bytes that the system has accepted; `None` if it reads
+    /// again.
     fn worker_blocked(&mut self, now: u64, connection: u64, written: Option<u64>);
-    /// A connection to a worker has ended, after the system has accepted so many bytes.
+    /// Reports that a connection to a worker has ended, with the number of bytes that the system has accepted.
     fn worker_closed(&mut self, now: u64, connection: u64, written: u64);
-    /// Bytes came from a worker.
+    /// Reports bytes from a worker.
     fn worker_bytes(&mut self, now: u64, connection: u64, bytes: &[u8]);
-    /// Receives an event of the worker list, as text.
+    /// Reports an event of the endpoint list, as text.
     fn update_endpoints(&mut self, now: u64, event: &str);
-    /// Begins the shutdown.
+    /// Starts a graceful shutdown.
     fn stop(&mut self, now: u64);
     /// Whether the shutdown is complete.
     fn stopped(&self, now: u64) -> bool;
     /// Whether the time limit of the shutdown has passed.
     fn deadline_passed(&self, now: u64) -> bool;
-    /// Counters of the node, as a line.
+    /// The node's counters, as a line of text.
     fn statistics(&self) -> String;
     /// Takes the effects since the last call.
     fn effects(&mut self) -> Vec<Effect>;
 }
 
-/// Kinds of inputs and effects that the drawn scenarios hold, each of them at least once.
+/// Kinds of inputs and effects, each of which must occur in the scenarios at least once.
 pub const KINDS: &[&str] = &[
     "client answer failed",
     "client answer health",
--- a/crates/pipithub-characterization/src/node_scenario/clients.rs
+++ b/crates/pipithub-characterization/src/node_scenario/clients.rs
@@ -1,9 +1,9 @@
-//! What clients send.
+//! The clients of a scenario and what they send.
 
 use super::world::{Event, World};
 use super::{MILLISECOND, Node};
 
-/// The most calls of one burst; more than a connection may have pending.
+/// The maximum number of calls of a burst, which is more than a connection may have pending.
 const MAX_BURST: u64 = 45;
 /// The length of a line that is too long.
 const LONG_LINE: usize = 40_000;
@@ -17,7 +17,7 @@
     pub(super) name: String,
 }
 
-/// A client's connection.
+/// The connection of a client.
 #[derive(Debug, Default)]
 pub(super) struct Client {
     /// Calls without a response.
--- a/crates/pipithub-characterization/src/node_scenario/workers.rs
+++ b/crates/pipithub-characterization/src/node_scenario/workers.rs
@@ -184,7 +184,7 @@
         self.node.worker_blocked(self.now, connection, None);
     }
 
-    /// The node takes back bytes that the system has not accepted.
+    /// The node discards bytes that the system has not accepted.
     pub(super) fn cancel_write(&mut self, connection: u64, at: u64, length: u64) {
         let Some(link) = self.worker_connections.get_mut(&connection) else {
             return;
@@ -195,7 +195,7 @@
         link.unsent.drain(from..from + length as usize);
     }
 
-    /// The system accepts so many of the unsent bytes, and the worker reads them.
+    /// The system accepts a number of the unsent bytes, and the worker reads them.
     fn accept_bytes(&mut self, connection: u64, count: usize) {
         let Some(link) = self.worker_connections.get_mut(&connection) else {
             return;
--- a/crates/pipithub-characterization/src/random.rs
+++ b/crates/pipithub-characterization/src/random.rs
@@ -1,18 +1,18 @@
-//! A small pseudo-random number generator of this crate's own, so that no dependency can change its sequence.
+//! A pseudo-random number generator whose sequence does not depend on the version of any library.
 
-/// The generator `SplitMix64`.
+/// The generator `SplitMix64` (Steele, Lea and Flood, 2014).
 #[derive(Clone, Debug)]
 pub struct Random {
     state: u64,
 }
 
 impl Random {
-    /// Creates a generator with this seed.
+    /// A generator that starts from a seed.
     pub fn new(seed: u64) -> Self {
         Random { state: seed }
     }
 
-    /// The next number.
+    /// Draws the next number of the sequence.
     pub fn number(&mut self) -> u64 {
         self.state = self.state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.state;
@@ -21,17 +21,17 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// A number from `low` to `high`, both included.
+    /// Draws a number from `low` to `high`, both included; `low` must not exceed `high`.
     pub fn between(&mut self, low: u64, high: u64) -> u64 {
         low + self.number() % (high - low + 1)
     }
 
-    /// True in so many of a thousand cases.
+    /// True with a probability in thousandths.
     pub fn per_mille(&mut self, cases: u64) -> bool {
         self.number() % 1_000 < cases
     }
 
-    /// One of several values; the slice must not be empty.
+    /// Draws one of several values; the slice must not be empty.
     pub fn pick<T: Copy>(&mut self, values: &[T]) -> T {
         values[self.number() as usize % values.len()]
     }
--- a/crates/pipithub-characterization/src/recording.rs
+++ b/crates/pipithub-characterization/src/recording.rs
@@ -52,10 +52,10 @@
     }
 }
 
-/// Whether the tests are to write the recorded files.
+/// Whether tests write the recorded files instead of comparing with them.
 ///
 /// # Panics
-/// Where that is asked for in CI.
+/// Panics if recording is requested in CI.
 pub fn recording() -> bool {
     let recording = std::env::var(RECORD_VARIABLE).is_ok_and(|value| value == "1");
     assert!(
@@ -68,14 +68,14 @@
 /// Prints a line past the test harness, which hides the output of tests that pass.
 fn announce(text: &str) {
     let mut standard_error = std::io::stderr().lock();
-    // Where standard error is closed, nobody reads the line.
+    // Writing fails only if standard error is closed, and then the line is not needed.
     let _ = writeln!(standard_error, "{text}");
 }
 
 /// Runs the scenario of each seed below `seeds` on the given number of threads.
 ///
 /// # Panics
-/// Where a scenario panics, naming its seed.
+/// Panics with the seed of a scenario that panicked.
 pub fn run_scenarios(
     seeds: u64,
     threads: u64,
@@ -106,7 +106,7 @@
 /// Compares the digests of all scenarios with the recorded ones, or records them. The index of a scenario is its seed.
 ///
 /// # Panics
-/// Where a digest differs from the recorded one, naming its seed, or where one of `kinds` never occurred.
+/// Panics if a digest differs from the recorded one, with its seed, or if one of `kinds` never occurred.
 pub fn check_scenarios(path: &Path, scenarios: &[Transcript], kinds: &[&str]) {
     let digests: String =
         scenarios
@@ -149,7 +149,7 @@
 /// Compares a written file with the recorded one, or records it.
 ///
 /// # Panics
-/// Where they differ.
+/// Panics if they differ.
 pub fn check_file(path: &Path, written: &[u8]) {
     if recording() {
         return record(path, written);
@@ -163,7 +163,7 @@
     );
 }
 
-/// Records a file that no two runs write alike, unless it is recorded already.
+/// Records a file that differs from run to run, unless it has been recorded.
 pub fn record_once(path: &Path, written: &[u8]) {
     if recording() && !path.exists() {
         record(path, written);
--- a/crates/pipithub-characterization/src/schedule.rs
+++ b/crates/pipithub-characterization/src/schedule.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-/// The place of an event in the queue. The derived order compares the time first.
+/// The position of an event in the queue. The derived order compares the time first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Place {
     due: u64,
@@ -27,14 +27,14 @@
 }
 
 impl<T> Schedule<T> {
-    /// Adds an event.
+    /// Adds an event that is due at a time.
     pub fn add(&mut self, due: u64, event: T) {
         self.inserted += 1;
         let sequence = self.inserted;
         self.events.insert(Place { due, sequence }, event);
     }
 
-    /// When the first event is due.
+    /// When the first event is due; `None` without events.
     pub fn next_due(&self) -> Option<u64> {
         self.events.keys().next().map(|place| place.due)
     }
--- a/crates/pipithub-characterization/tests/file_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/file_driver/mod.rs
@@ -142,7 +142,7 @@
 // ---- remembered worker list ----
 
 /// The text that is kept after a list and then a watch event.
-pub(crate) fn remembered_list(now: u64, wall_ms: u64, list: &str, change: &str) -> String {
+pub(crate) fn cached_list(now: u64, wall_ms: u64, list: &str, change: &str) -> String {
     let mut watcher = Watcher::new(None);
     watcher
         .list(now, wall_ms, list.as_bytes())
@@ -158,7 +158,7 @@
 }
 
 /// The workers of a remembered list, a line each.
-pub(crate) fn recall_list(text: &str, now: u64, wall_ms: u64) -> Result<Vec<String>, String> {
+pub(crate) fn read_cached_list(text: &str, now: u64, wall_ms: u64) -> Result<Vec<String>, String> {
     let cached = pipithub_endpoints::read_cached_list(text, now, wall_ms)
         .map_err(|error| error.to_string())?;
     assert_eq!(cached.update, EndpointUpdate::Cached);
--- a/crates/pipithub-characterization/tests/files.rs
+++ b/crates/pipithub-characterization/tests/files.rs
@@ -1,4 +1,4 @@
-//! Files that earlier versions wrote: they are read with the same contents and written with the same bytes.
+//! Files of earlier versions are read with the same contents and written with the same bytes.
 
 mod file_driver;
 
@@ -17,14 +17,14 @@
         .join(name)
 }
 
-/// A data folder that holds a recorded file under the name that a front end looks for.
+/// A data folder that contains a recorded file under its usual name.
 fn folder_with(name: &str) -> tempfile::TempDir {
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::copy(recorded(name), folder.path().join(name)).expect("the recorded file is there");
     folder
 }
 
-/// The same text with one byte changed.
+/// The same bytes with one bit flipped.
 fn changed(bytes: &[u8], place: usize) -> Vec<u8> {
     let mut changed = bytes.to_vec();
     changed[place] ^= 1;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_generation_record_is_read_and_written_as_before() {
+fn generation_record_is_read_and_written_as_before() {
     let folder = tempfile::tempdir().expect("a folder");
     file_driver::save_generation(
         folder.path(),
@@ -53,7 +53,7 @@
     );
     assert!(
         file_driver::next_generation(Some(&text), "campus", "front-2").is_err(),
-        "another front end's"
+        "the record of another front end"
     );
     for place in 0..text.len() {
         let changed = changed(text.as_bytes(), place);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_membership_report_is_read_and_written_as_before() {
+fn membership_report_is_read_and_written_as_before() {
     let folder = tempfile::tempdir().expect("a folder");
     file_driver::save_report(folder.path());
     check_file(
@@ -90,7 +90,7 @@
     assert_eq!(lines, expected);
 }
 
-/// Two slices, of which the second one comes by the watch.
+/// A list of one slice; [`CHANGE`] adds a second one by the watch.
 const LIST: &str = r#"{"kind":"EndpointSliceList","metadata":{"resourceVersion":"5"},"items":[
     {"metadata":{"name":"one","resourceVersion":"4","annotations":{
         "pipithub.dev/memory-mb":"{\"a\":8000,\"b\":16000}",
@@ -105,14 +105,14 @@
     "endpoints":[{"addresses":["10.0.0.3"],"conditions":{"ready":true},"targetRef":{"uid":"c"}}]}}"#;
 
 #[test]
-fn a_remembered_worker_list_is_read_and_written_as_before() {
+fn cached_endpoint_list_is_read_and_written_as_before() {
     let now = 100 * SECOND;
-    let written = file_driver::remembered_list(now, WALL_MS, LIST, CHANGE);
+    let written = file_driver::cached_list(now, WALL_MS, LIST, CHANGE);
     check_file(&recorded("workers.json"), written.as_bytes());
 
     let text = std::fs::read_to_string(recorded("workers.json")).expect("recorded");
-    // Read 20 s later by another process, whose clock stands at 50 s.
-    let lines = file_driver::recall_list(&text, 50 * SECOND, WALL_MS + 20_000);
+    // Another process reads it 20 s later, when its own clock is at 50 s.
+    let lines = file_driver::read_cached_list(&text, 50 * SECOND, WALL_MS + 20_000);
     let expected = [
         "10.0.0.1:80 live east 8000 Some(20000000000)",
         "10.0.0.2:80 draining west 16000 None",
@@ -120,7 +120,7 @@
     ];
     assert_eq!(lines.expect("the list is understood"), expected);
     assert!(
-        file_driver::recall_list(&text[..text.len() / 2], 0, WALL_MS).is_err(),
+        file_driver::read_cached_list(&text[..text.len() / 2], 0, WALL_MS).is_err(),
         "cut off"
     );
 }
@@ -129,9 +129,9 @@
     (user.to_string(), tenant, person, 3, confirmed_ms)
 }
 
-/// One user: with several, their order is drawn anew in every process.
+/// There is only one user, since the order of several differs between processes.
 #[test]
-fn a_directory_snapshot_is_written_as_before() {
+fn directory_snapshot_is_written_as_before() {
     let fingerprint = file_driver::snapshot_fingerprint(&["campus", "ou=north,dc=example"]);
     let facts = [fact("mai", 1, 7, 0)];
     let written = file_driver::snapshot_bytes(&facts, SECOND, WALL_MS as i64, fingerprint, KEY);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_directory_snapshot_is_read_as_before() {
+fn directory_snapshot_is_read_as_before() {
     let fingerprint = file_driver::snapshot_fingerprint(&["campus", "ou=north,dc=example"]);
     let facts = [
         fact("lan", 0, 8, -11 * 3_600_000),
@@ -154,14 +154,14 @@
     let read = |wall_ms: i64, fingerprint, key: &[u8]| {
         file_driver::snapshot_facts(&bytes, 5 * SECOND, wall_ms, fingerprint, key)
     };
-    // At once, but on a clock that stands 4 s later: the facts are as old as they were.
+    // Read at once, on a clock that is 4 s ahead: the records have the same age as before.
     let at_once = facts
         .clone()
         .map(|(user, tenant, person, mark, confirmed)| {
             (user, tenant, person, mark, confirmed + 4_000)
         });
     assert_eq!(read(WALL_MS as i64, fingerprint, KEY), Ok(at_once.to_vec()));
-    // Two hours later one is past its bound.
+    // Two hours later one record has expired.
     let later = read(WALL_MS as i64 + 2 * 3_600_000, fingerprint, KEY).expect("understood");
     assert_eq!(
         later.iter().map(|fact| fact.0.as_str()).collect::<Vec<_>>(),
--- a/crates/pipithub-characterization/tests/node.rs
+++ b/crates/pipithub-characterization/tests/node.rs
@@ -1,4 +1,4 @@
-//! The node's effects over seeded scenarios, compared with those that are recorded.
+//! The effects of the node in seeded scenarios, compared with the recorded ones.
 
 mod node_driver;
 
@@ -8,9 +8,9 @@
 use pipithub_characterization::node_scenario::{self, KINDS};
 use pipithub_characterization::recording::{Transcript, check_scenarios, run_scenarios};
 
-/// How many scenarios are run.
+/// The number of scenarios.
 const SCENARIOS: u64 = 120;
-/// How many run at a time.
+/// The number of threads that run them.
 const THREADS: u64 = 4;
 
 fn scenario(seed: u64) -> Transcript {
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn seeded_scenarios_of_the_node_are_as_recorded() {
+fn node_behaves_as_recorded_in_seeded_scenarios() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/recorded/node-digests.txt");
     check_scenarios(&path, &run_scenarios(SCENARIOS, THREADS, scenario), KINDS);
 }
--- a/crates/pipithub-characterization/tests/node_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/node_driver/mod.rs
@@ -1,4 +1,4 @@
-//! The one place that knows the node's own types.
+//! Connects the scenarios with the node. Only this module uses the node's types.
 
 use pipithub_characterization::node_scenario;
 use pipithub_node::core::Core;
@@ -6,14 +6,14 @@
 use pipithub_platform::config::NodeConfig;
 use pipithub_platform::list;
 
-/// The node's core with the configuration that its lists are read by.
+/// The node's core, with the configuration that its endpoint lists are parsed by.
 pub(crate) struct Driver {
     core: Core,
     config: NodeConfig,
 }
 
 impl Driver {
-    /// Starts a node.
+    /// Starts a node with the text of a configuration.
     pub(crate) fn start(now: u64, configuration: &str) -> Self {
         let config = NodeConfig::parse(configuration).expect("the configuration can be read");
         Driver {
