--- a/crates/pipithub-emulator/src/broker/connection.rs
+++ b/crates/pipithub-emulator/src/broker/connection.rs
@@ -120,11 +120,9 @@
 
     fn log_in(&mut self, user: String, password: &str) {
         let settings = &self.shared.settings;
-        let is_known = (settings.login.user == user && settings.login.password == password)
-            || settings
-                .logins
-                .iter()
-                .any(|(known, its_password)| *known == user && its_password == password);
+        let is_known = std::iter::once(&settings.login)
+            .chain(&settings.logins)
+            .any(|known| known.user == user && known.password == password);
         if is_known {
             self.user = user;
             self.endpoint.accept_login();
--- a/crates/pipithub-emulator/src/broker/server.rs
+++ b/crates/pipithub-emulator/src/broker/server.rs
@@ -29,8 +29,8 @@
 pub struct BrokerSettings {
     /// The user that may log in.
     pub login: Credentials,
-    /// Further users that may log in, with their passwords.
-    pub logins: Vec<(String, String)>,
+    /// Further users that may log in.
+    pub logins: Vec<Credentials>,
     /// The name of the only virtual host.
     pub virtual_host: String,
     /// The limits that the broker proposes to clients.
--- a/crates/pipithub-gateway/tests/tenants/rig.rs
+++ b/crates/pipithub-gateway/tests/tenants/rig.rs
@@ -6,6 +6,7 @@
 use pipithub_amqp::{FieldTable, Login};
 use pipithub_conformance::record::Seen;
 use pipithub_emulator::broker::{BrokerServer, BrokerSettings};
+use pipithub_emulator::credentials::Credentials;
 use pipithub_emulator::directory::{DirectoryServer, DirectorySettings};
 use pipithub_emulator::recorder::Recorder;
 use pipithub_emulator::worker::{WorkerServer, WorkerSettings};
@@ -30,7 +31,7 @@
 }
 
 pub(crate) async fn directory(tree: &str, ldaps: bool) -> DirectoryServer {
-    let login = Some(("cn=gateway,dc=example".to_string(), "secret".to_string()));
+    let login = Some(Credentials::new("cn=gateway,dc=example", "secret"));
     let settings = DirectorySettings {
         tree: tree.into(),
         base: None,
@@ -68,7 +69,7 @@
         let settings = BrokerSettings {
             queues,
             recorder: Recorder::memory(),
-            logins: vec![("mai".into(), "m".into())],
+            logins: vec![Credentials::new("mai", "m")],
             ..BrokerSettings::default()
         };
         let broker = BrokerServer::start(loopback(), settings)
