--- a/crates/pipithub-conformance/src/rules/drains.rs
+++ b/crates/pipithub-conformance/src/rules/drains.rs
@@ -20,7 +20,7 @@
     let mut closed_since: BTreeMap<Notified<'_>, u64> = BTreeMap::new();
     for record in by_time {
         note_endpoint_state(&mut closed_since, record);
-        let Some((front_end, work)) = new_work(&record.seen) else {
+        let Some(NewWork { front_end, work }) = new_work(&record.seen) else {
             continue;
         };
         let worker = record.observer.as_str();
@@ -59,17 +59,31 @@
     }
 }
 
-/// The front end that sent new work to a worker, and its description for reports.
-fn new_work(seen: &Seen) -> Option<(&str, String)> {
+/// New work for a worker.
+struct NewWork<'a> {
+    /// The front end that sent it.
+    front_end: &'a str,
+    /// Its description for reports.
+    work: String,
+}
+
+/// The new work that a record shows; `None` for other records.
+fn new_work(seen: &Seen) -> Option<NewWork<'_>> {
     match seen {
         Seen::Call {
             front_end, request, ..
-        } => Some((front_end, format!("call {request}"))),
+        } => Some(NewWork {
+            front_end,
+            work: format!("call {request}"),
+        }),
         Seen::Order {
             front_end,
             function,
             copies,
-        } if *copies > 0 => Some((front_end, format!("a command to load {function}"))),
+        } if *copies > 0 => Some(NewWork {
+            front_end,
+            work: format!("a command to load {function}"),
+        }),
         _ => None,
     }
 }
--- a/crates/pipithub-conformance/src/rules/final_answer.rs
+++ b/crates/pipithub-conformance/src/rules/final_answer.rs
@@ -35,13 +35,16 @@
             check_later_attempts(id, answer, trace, config, &mut add);
         }
         [_, second, ..] => {
-            // Reports list the answers as pairs of time and verdict.
-            let pairs: Vec<(u64, &str)> = trace
+            let answers: Vec<String> = trace
                 .answers
                 .iter()
-                .map(|answer| (answer.at, answer.verdict.as_str()))
+                .map(|answer| format!("{} at {} ns", answer.verdict, answer.at))
                 .collect();
-            let what = format!("call {id} has {} answers: {pairs:?}", pairs.len());
+            let what = format!(
+                "call {id} has {} answers: {}",
+                answers.len(),
+                answers.join(", ")
+            );
             add(second.at, what);
         }
     }
--- a/crates/pipithub-scenario/src/run/action.rs
+++ b/crates/pipithub-scenario/src/run/action.rs
@@ -65,25 +65,8 @@
                 silent: true,
             } => write!(f, "worker {worker} stops answering"),
             Action::SetWorkerSilent { worker, .. } => write!(f, "worker {worker} answers again"),
-            Action::DelayEndpointList { by: 0 } => {
-                f.write_str("the endpoint list is no longer delayed")
-            }
-            Action::DelayEndpointList { by } => {
-                write!(
-                    f,
-                    "the endpoint list is delayed by {} ms",
-                    milliseconds(*by)
-                )
-            }
-            Action::SlowStore { factor } if is_usual(*factor) => {
-                f.write_str("fetches from the model store take their usual time again")
-            }
-            Action::SlowStore { factor } => {
-                write!(
-                    f,
-                    "fetches from the model store take {factor} times as long as usual"
-                )
-            }
+            Action::DelayEndpointList { by } => write_list_delay(f, *by),
+            Action::SlowStore { factor } => write_store_speed(f, *factor),
             Action::SetStoreRejecting(true) => f.write_str("the model store rejects all fetches"),
             Action::SetStoreRejecting(false) => {
                 f.write_str("the model store accepts fetches again")
@@ -117,9 +100,24 @@
     }
 }
 
-/// Whether a factor leaves a time as it is.
-fn is_usual(factor: f64) -> bool {
-    (factor - 1.0).abs() < f64::EPSILON
+/// Describes the delay of the endpoint list, in nanoseconds.
+fn write_list_delay(f: &mut fmt::Formatter<'_>, delay: u64) -> fmt::Result {
+    if delay == 0 {
+        return f.write_str("the endpoint list is no longer delayed");
+    }
+    let delay = milliseconds(delay);
+    write!(f, "the endpoint list is delayed by {delay} ms")
+}
+
+/// Describes the factor by which fetches from the model store take longer.
+fn write_store_speed(f: &mut fmt::Formatter<'_>, factor: f64) -> fmt::Result {
+    if (factor - 1.0).abs() < f64::EPSILON {
+        return f.write_str("fetches from the model store take their usual time again");
+    }
+    write!(
+        f,
+        "fetches from the model store take {factor} times as long as usual"
+    )
 }
 
 /// The notation of JSON reports and logs.
