--- a/crates/pipithub-gateway/tests/tenants/rig.rs
+++ b/crates/pipithub-gateway/tests/tenants/rig.rs
@@ -69,7 +69,7 @@
         let settings = BrokerSettings {
             queues,
             recorder: Recorder::memory(),
-            logins: vec![("mai".into(), "m".into())],
+            logins: vec![Credentials::new("mai", "m")],
             ..BrokerSettings::default()
         };
         let broker = BrokerServer::start(loopback(), settings)
