--- a/crates/pipithub-gateway/src/front_end/outputs.rs
+++ b/crates/pipithub-gateway/src/front_end/outputs.rs
@@ -60,7 +60,10 @@
             front_end = self.name,
             request = id.request.0,
             label = call.label.as_deref(),
-            class = self.classes.get(call.class).map(|c| c.name.as_str()),
+            class = self
+                .classes
+                .get(call.class)
+                .map(|class| class.name.as_str()),
             tenant = tenancy.and_then(|tenancy| tenancy.tenant_name(call.tenant)),
             user = call.user.as_deref(),
             function = &*call.function,
--- a/crates/pipithub-gateway/src/tenancy.rs
+++ b/crates/pipithub-gateway/src/tenancy.rs
@@ -61,6 +61,17 @@
     }
 }
 
+/// How admission counts the answer of a call.
+fn service_result(reply: &Reply) -> ServiceResult {
+    if reply.verdict == Verdict::Served {
+        ServiceResult::Served
+    } else if reply.cause == Cause::NoWorkerInTime {
+        ServiceResult::NoWorkerInTime
+    } else {
+        ServiceResult::Other
+    }
+}
+
 impl Tenancy {
     /// Creates an admission without any calls.
     pub(crate) fn new(
@@ -104,9 +115,9 @@
 
     /// The name of a tenant in the settings, for logs.
     pub(crate) fn tenant_name(&self, tenant: Option<Tenant>) -> Option<&str> {
-        tenant
-            .and_then(|t| self.config.tenants.get(usize::from(t.0)))
-            .map(|t| t.name.as_str())
+        let Tenant(number) = tenant?;
+        let config = self.config.tenants.get(usize::from(number))?;
+        Some(&config.name)
     }
 
     /// The names of an admitted call's tenant and user, for logs.
@@ -128,7 +139,7 @@
         let remaining = client_timeout.saturating_sub(call.waited);
         let arrival = Arrival {
             user: call.user.clone(),
-            route_tenant: call.tenant.map(|t| TenantId(t.0)),
+            route_tenant: call.tenant.map(|tenant| TenantId(tenant.0)),
             class: call.class,
             remaining: call
                 .timeout
@@ -144,13 +155,13 @@
     pub(crate) fn source_lost(&mut self, now: Time, source: SourceId, inputs: &mut Vec<Input>) {
         self.admission
             .cancel(|trigger| trigger.ticket.source == source);
-        let gone: Vec<Ticket> = self
+        let lost: Vec<Ticket> = self
             .admitted_calls
             .keys()
-            .filter(|t| t.source == source)
+            .filter(|ticket| ticket.source == source)
             .copied()
             .collect();
-        for ticket in gone {
+        for ticket in lost {
             self.finish(now, ticket, ServiceResult::Other, inputs);
         }
     }
@@ -164,11 +175,7 @@
         reply: Option<&Reply>,
         inputs: &mut Vec<Input>,
     ) {
-        let result = match reply.map(|r| (r.verdict, r.cause)) {
-            Some((Verdict::Served, _)) => ServiceResult::Served,
-            Some((_, Cause::NoWorkerInTime)) => ServiceResult::NoWorkerInTime,
-            _ => ServiceResult::Other,
-        };
+        let result = reply.map_or(ServiceResult::Other, service_result);
         self.finish(now, ticket, result, inputs);
     }
 
--- a/crates/pipithub-gateway/src/workers.rs
+++ b/crates/pipithub-gateway/src/workers.rs
@@ -14,10 +14,12 @@
 use pipithub_inference::{LoadCommandReply, WorkerRequest, header};
 use pipithub_settings::HttpConfig;
 use tokio::sync::oneshot;
-use tokio::time::error::Elapsed;
 
 use self::connections::{ConnectionPool, ExchangeError, WorkerResponse};
 
+/// The HTTP status code of a successful response.
+const STATUS_OK: u16 = 200;
+
 /// Sends requests to the workers of a front end, over pooled connections.
 pub(crate) struct WorkerClient {
     front_end: String,
@@ -74,16 +76,14 @@
         replicas: u32,
     ) -> LoadCommandResult {
         let started = self.clock.now();
-        let without_reply = |outcome| LoadCommandReply {
-            outcome,
-            replicas: 0,
-        };
         let reply = match self.send_load_command(&worker, name, replicas).await {
-            Err(_) => without_reply(Outcome::TimedOut),
-            Ok(Err(error)) => without_reply(error.into()),
-            Ok(Ok(response)) => pipithub_inference::load_command_reply(response.status, |name| {
+            Ok(response) => pipithub_inference::load_command_reply(response.status, |name| {
                 response.header(name)
             }),
+            Err(error) => LoadCommandReply {
+                outcome: error.into(),
+                replicas: 0,
+            },
         };
         LoadCommandResult {
             worker,
@@ -105,7 +105,7 @@
         worker: &WorkerId,
         name: &str,
         replicas: u32,
-    ) -> Result<Result<WorkerResponse, ExchangeError>, Elapsed> {
+    ) -> Result<WorkerResponse, ExchangeError> {
         let request = pipithub_inference::load_command(name, replicas, &self.front_end);
         self.exchange_within(self.config.load_command_timeout, worker, request)
             .await
@@ -117,16 +117,14 @@
         let polled = self
             .exchange_within(self.config.load_poll_timeout, &worker, request)
             .await;
-        let answered = match &polled {
-            Ok(Ok(response)) if response.status == 200 => Some(response),
-            _ => None,
-        };
-        let load_report = answered
+        let response = polled.ok().filter(|response| response.status == STATUS_OK);
+        let load_report = response
+            .as_ref()
             .and_then(|response| response.header(header::LOAD_REPORT))
             .map(pipithub_inference::parse_load_report)
             .unwrap_or_default();
         LoadPollResult {
-            answered: answered.is_some(),
+            answered: response.is_some(),
             worker,
             load_report,
         }
@@ -138,11 +136,13 @@
         time: Time,
         worker: &WorkerId,
         request: WorkerRequest,
-    ) -> Result<Result<WorkerResponse, ExchangeError>, Elapsed> {
+    ) -> Result<WorkerResponse, ExchangeError> {
         let exchange = self
             .connections
             .exchange(worker, request, Bytes::new(), None);
-        tokio::time::timeout(Duration::from_nanos(time), exchange).await
+        tokio::time::timeout(Duration::from_nanos(time), exchange)
+            .await
+            .unwrap_or(Err(ExchangeError::TimedOut))
     }
 }
 
--- a/crates/pipithub-gateway/src/workers/connections.rs
+++ b/crates/pipithub-gateway/src/workers/connections.rs
@@ -30,6 +30,8 @@
     NotSent,
     /// The connection broke after at least a part of the request was sent.
     Broken,
+    /// The exchange did not end within its time limit. The request may have been sent.
+    TimedOut,
 }
 
 impl From<ConnectFailure> for ExchangeError {
@@ -47,6 +49,7 @@
             ExchangeError::Unreachable => Outcome::Unreachable,
             ExchangeError::NotSent => Outcome::NotSent,
             ExchangeError::Broken => Outcome::ConnectionLost,
+            ExchangeError::TimedOut => Outcome::TimedOut,
         }
     }
 }
