--- a/crates/pipithub/src/membership.rs
+++ b/crates/pipithub/src/membership.rs
@@ -130,7 +130,7 @@
     println!("report written {age} ago; last message from another member: {last_gossip}");
     println!(
         "{:<20} {:<10} {:<8} {:>10} {:>10} {:>10} {:<6} address",
-        "member", "zone", "state", "since", "last heard", "generation", "disk"
+        "member", "zone", "state", "for", "last heard", "generation", "disk"
     );
     report.members.iter().for_each(print_member);
 }
