--- a/crates/pipithub-admission/src/quotas/tests.rs
+++ b/crates/pipithub-admission/src/quotas/tests.rs
@@ -1,4 +1,4 @@
-//! The quotas with their private parts.
+//! Quotas: borrowing, queues, rate limits and the adaptive limit.
 
 use std::collections::VecDeque;
 
@@ -51,35 +51,46 @@
         .collect()
 }
 
-/// The request that a decision rejects for its tenant's quota, and for how long its client should not retry.
-fn over_quota(decision: &Decision<u64>) -> Option<(u64, Time)> {
-    match decision {
-        Decision::Reject {
-            candidate,
-            reason: RejectReason::OverQuota,
-            retry_after,
-        } => Some((candidate.request, *retry_after)),
-        _ => None,
+#[derive(Debug, PartialEq)]
+struct OverQuota {
+    request: u64,
+    retry_after: Time,
+}
+
+/// The one request that decisions reject because its tenant has used up its quota.
+fn only_over_quota(decisions: &[Decision<u64>]) -> OverQuota {
+    match decisions {
+        [
+            Decision::Reject {
+                candidate,
+                reason: RejectReason::OverQuota,
+                retry_after,
+            },
+        ] => OverQuota {
+            request: candidate.request,
+            retry_after: *retry_after,
+        },
+        _ => panic!("not exactly one rejection over quota: {decisions:?}"),
     }
 }
 
 #[test]
-fn a_tenant_alone_is_not_limited_and_lends_nothing_back_late() {
+fn tenant_alone_is_not_limited_and_tenant_within_its_quota_is_not_throttled() {
     let mut quotas = quotas(&[1.0, 1.0], 10.0);
     for n in 0..50 {
         assert_eq!(admitted(&offer(&mut quotas, 0, 0, 1, n)), [n]);
     }
-    // The other asks for no more than its quota: it is not throttled, however much is lent.
+    // The other tenant asks for no more than its quota. It is not throttled, however much the first has borrowed.
     for n in 0..10 {
         assert_eq!(admitted(&offer(&mut quotas, 1, 1, 1, 100 + n)), [100 + n]);
     }
     assert!(
         admitted(&offer(&mut quotas, 1, 0, 1, 201)).is_empty(),
-        "nothing is lent any more"
+        "no more can be borrowed"
     );
 }
 
-/// Ten requests in flight, one of them of a tenant whose quota is a tenth and who asks for more.
+/// Quotas with ten requests in flight, one of them of a tenant whose quota is a tenth and who asks for more.
 fn full() -> Quotas<u64> {
     let mut quotas = quotas(&[1.0, 9.0], 10.0);
     for n in 0..9 {
@@ -89,27 +100,30 @@
         );
     }
     assert_eq!(admitted(&offer(&mut quotas, 0, 0, 1, 1)), [1]);
-    assert!(offer(&mut quotas, 0, 0, 0, 2).is_empty(), "it waits");
+    assert!(offer(&mut quotas, 0, 0, 0, 2).is_empty(), "it is queued");
     quotas
 }
 
 #[test]
-fn idle_capacity_is_lent_first_to_classes_of_greater_weight() {
+fn classes_of_low_weight_borrow_less_of_an_idle_quota() {
     let mut quotas = quotas(&[1.0, 3.0], 20.0);
     offer(&mut quotas, 0, 1, 1, 0);
     let lent = (1..40)
         .filter(|n| !admitted(&offer(&mut quotas, 0, 0, 0, *n)).is_empty())
         .count();
-    assert_eq!(lent, 17, "18 of 20 in flight for the lesser class");
+    assert_eq!(
+        lent, 17,
+        "18 of 20 in flight, which is the limit for the class of low weight"
+    );
     assert_eq!(
         admitted(&offer(&mut quotas, 0, 1, 1, 50)),
         [50],
-        "the lender's part is not touched"
+        "the quota of the lender is not touched"
     );
 }
 
 #[test]
-fn places_go_to_the_greater_weight_first_and_waits_end() {
+fn queued_request_of_greater_weight_starts_first_and_others_are_rejected_after_their_wait() {
     let mut quotas = full();
     assert!(offer(&mut quotas, 0, 0, 1, 3).is_empty());
     let mut decisions = Vec::new();
@@ -118,33 +132,31 @@
     decisions.clear();
     assert_eq!(quotas.next_due(), Some(40 * MS));
     quotas.tick(40 * MS, &mut decisions);
-    assert!(
-        matches!(&decisions[..], [one] if over_quota(one).is_some_and(|(request, after)| request == 2 && after > 0)),
-        "{decisions:?}"
-    );
+    let rejected = only_over_quota(&decisions);
+    assert_eq!(rejected.request, 2);
+    assert!(rejected.retry_after > 0);
     assert_eq!(quotas.next_due(), None);
 }
 
 #[test]
-fn queues_are_bounded_and_a_greater_weight_displaces() {
+fn full_queue_rejects_a_request_unless_it_displaces_one_of_less_weight() {
     let mut quotas = full();
     for n in 3..6 {
         assert!(offer(&mut quotas, 0, 0, 0, n).is_empty());
     }
-    assert!(
-        matches!(&offer(&mut quotas, 0, 0, 0, 6)[..], [one] if over_quota(one).is_some_and(|(request, after)| request == 6 && after > 0))
-    );
-    assert!(
-        matches!(&offer(&mut quotas, 0, 0, 1, 7)[..], [one] if over_quota(one).is_some_and(|(request, _)| request == 5))
-    );
+    let rejected = only_over_quota(&offer(&mut quotas, 0, 0, 0, 6));
+    assert_eq!(rejected.request, 6);
+    assert!(rejected.retry_after > 0);
+    let displaced = only_over_quota(&offer(&mut quotas, 0, 0, 1, 7));
+    assert_eq!(displaced.request, 5);
     assert_eq!(quotas.tenants[0].in_flight, 1);
     assert_eq!(quotas.tenants[0].queue.len(), 4);
 }
 
-/// Requests find no worker for long and for whatever reason: what a storming tenant starts shrank to nothing, since its
-/// part is of what is served and what is served was its own.
+/// Found by a test: while requests found no worker for a long time, the rate of a noisy neighbour shrank to nothing,
+/// because it is a part of what is served, which were its own requests.
 #[test]
-fn a_storming_tenant_is_never_starved() {
+fn noisy_neighbour_is_never_starved() {
     let mut quotas = quotas(&[1.0, 1.0], 1_000.0);
     let mut decisions = Vec::new();
     let mut starts = 0;
@@ -174,7 +186,7 @@
 }
 
 #[test]
-fn rates_say_when_to_come_back() {
+fn request_over_the_rate_limit_is_rejected_until_the_next_token() {
     let settings = QuotaSettings {
         tenants: vec![TenantQuota {
             rate: Some(RateLimit {
@@ -202,16 +214,16 @@
         },
     ] = offer(&mut quotas, 0, 0, 0, 3)[..]
     else {
-        panic!("over its rate")
+        panic!("not over the rate limit")
     };
     assert!((99 * MS..=101 * MS).contains(&after), "{after}");
     assert_eq!(admitted(&offer(&mut quotas, after + MS, 0, 0, 4)), [4]);
 }
 
-/// Loads that took long filled a limit that had been cut for want of workers, and requests within their quota were
-/// refused though nobody asked for more than theirs.
+/// Found by a test: slow loads filled a limit that had been cut because requests found no worker, and requests were
+/// rejected though no tenant asked for more than its quota.
 #[test]
-fn without_a_noisy_neighbor_nothing_is_cut() {
+fn without_a_noisy_neighbour_the_limit_is_not_cut() {
     let mut quotas = quotas(&[1.0, 1.0], 100.0);
     let mut decisions = Vec::new();
     for n in 0..40 {
@@ -229,14 +241,14 @@
     assert!((quotas.limit.current() - 100.0).abs() < f64::EPSILON);
 }
 
-/// Whatever the limit has come to, a tenant has its part of the requests that are being served.
+/// However low the limit is, a tenant within its quota may start its requests.
 #[test]
-fn a_part_of_what_is_served_is_guaranteed() {
+fn tenant_within_its_quota_is_admitted_beyond_a_low_limit() {
     let mut quotas = quotas(&[1.0, 1.0], 2.0);
     let mut decisions = Vec::new();
     for n in 0..200u64 {
         let now = n * 10 * MS;
-        // One of ten requests is the first tenant's; they last long. The other's are over at once.
+        // One of ten requests belongs to the first tenant and lasts long. Those of the other end at once.
         let tenant = usize::from(n % 10 != 0);
         let starts = offer(&mut quotas, now, tenant, 1, n);
         if tenant == 0 && n > 50 {
@@ -250,7 +262,7 @@
 }
 
 #[test]
-fn the_limit_falls_with_what_finds_no_worker_and_grows_back() {
+fn limit_is_cut_when_a_request_finds_no_worker_and_grows_back() {
     let mut quotas = quotas(&[1.0, 1.0], 100.0);
     for n in 0..20 {
         offer(&mut quotas, 0, 0, 1, n);
@@ -266,7 +278,7 @@
     quotas.completed(2 * MS, 0, ServiceResult::NoWorkerInTime, MS, &mut decisions);
     assert!(
         (quotas.limit.current() - 21.0 * CUT_FACTOR_WITHIN_QUOTA).abs() < 1e-9,
-        "one cut at a time"
+        "there is only one cut within the interval"
     );
     quotas.tick(60 * SECOND, &mut decisions);
     quotas.tick(120 * SECOND, &mut decisions);
--- a/crates/pipithub-admission/tests/with_directory/directory_faults.rs
+++ b/crates/pipithub-admission/tests/with_directory/directory_faults.rs
@@ -113,8 +113,8 @@
     );
 }
 
-/// A server that restarts answers for a while that no user exists. Known users must not lose their tenant by that, and new
-/// ones must not be taken for unknown.
+/// A server that restarts answers for a while that no user exists. Known users must not lose their tenant by that, and
+/// new ones must not be taken for unknown.
 #[test]
 fn answers_of_a_server_that_is_still_loading_are_ignored() {
     let mut simulation = Simulation::new(&[2], |_, d| d.lifetimes.negative = 60 * S);
--- a/crates/pipithub-admission/tests/with_directory/noisy_neighbour.rs
+++ b/crates/pipithub-admission/tests/with_directory/noisy_neighbour.rs
@@ -132,8 +132,8 @@
 
     /// Runs the fleet for 30 s and returns the part of each tenant's calls that were served.
     ///
-    /// Each tenant makes 160 calls a second, the second one `storm` times as many from 5 s to 25 s. The fleet serves 800
-    /// calls a second, and 400 after it loses half of its workers at 12 s; a quota is half of that.
+    /// Each tenant makes 160 calls a second, the second one `storm` times as many from 5 s to 25 s. The fleet serves
+    /// 800 calls a second, and 400 after it loses half of its workers at 12 s; a quota is half of that.
     fn run(mut self, storm: usize) -> [f64; 2] {
         for ms in 0..30_000 {
             let now = S + ms * MS;
