--- a/crates/pipithub-engine/tests/engine/admission.rs
+++ b/crates/pipithub-engine/tests/engine/admission.rs
@@ -1,4 +1,4 @@
-//! Calls that are rejected before they run.
+//! Calls that are rejected on arrival, and the capacity for calls.
 
 use pipithub_engine::policy::EndpointUpdate;
 use pipithub_engine::{Cause, Engine, EngineSettings, Input, Verdict};
@@ -8,7 +8,7 @@
 };
 
 #[test]
-fn a_call_with_almost_no_time_is_rejected_at_once_and_never_forwarded() {
+fn call_with_too_little_time_is_rejected_at_once_and_never_forwarded() {
     let mut harness = Harness::new(settings());
     for budget in [0, 1, 5 * MS, 20 * MS] {
         // No worker has the function loaded, and a load takes a second, so 20 ms cannot be met.
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn without_workers_a_call_is_rejected_and_after_their_return_forwarded() {
+fn call_without_workers_is_rejected_and_one_after_a_worker_returns_is_forwarded() {
     let mut harness = Harness::new(settings());
     let all_removed = ["w0", "w1", "w2"].map(removed).to_vec();
     harness.update_endpoints(EndpointUpdate::Delta, all_removed);
--- a/crates/pipithub-engine/tests/engine/answers.rs
+++ b/crates/pipithub-engine/tests/engine/answers.rs
@@ -1,4 +1,4 @@
-//! Calls that run, and their one final answer.
+//! Calls that are forwarded, and their one final answer.
 
 use pipithub_engine::policy::{Outcome, RequestId};
 use pipithub_engine::{AttemptId, Input, Output, Verdict};
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn a_call_is_forwarded_and_its_answer_comes_back() {
+fn call_is_forwarded_and_answered_once_it_is_served() {
     let mut harness = Harness::new(settings());
     let (ticket, out) = harness.trigger(NON_IDEMPOTENT, |_| {});
     let out = harness.finish_attempt(only_forwarded(&out), Outcome::Served);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_non_idempotent_call_that_may_have_run_fails_and_one_that_did_not_is_retried() {
+fn non_idempotent_call_is_retried_only_if_it_cannot_have_run() {
     let mut harness = Harness::new(settings());
     let (_, out) = harness.trigger(NON_IDEMPOTENT, |_| {});
     let out = harness.finish_attempt(only_forwarded(&out), Outcome::Unreachable);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_silent_worker_does_not_keep_a_caller_waiting_beyond_its_timeout() {
+fn call_to_a_silent_worker_is_answered_and_cancelled_at_its_timeout() {
     let mut harness = Harness::new(settings());
     for (class, verdict) in [
         (IDEMPOTENT, Verdict::Rejected),
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_result_without_an_attempt_changes_nothing() {
+fn result_without_an_attempt_in_flight_is_ignored() {
     let mut harness = Harness::new(settings());
     let (_, out) = harness.trigger(NON_IDEMPOTENT, |_| {});
     let id = only_forwarded(&out);
--- a/crates/pipithub-engine/tests/engine/redelivery.rs
+++ b/crates/pipithub-engine/tests/engine/redelivery.rs
@@ -10,7 +10,7 @@
 };
 
 #[test]
-fn a_redelivery_of_a_pending_call_joins_it() {
+fn redelivery_of_a_pending_call_joins_it() {
     let mut harness = Harness::new(settings());
     let (_, out) = harness.trigger(NON_IDEMPOTENT, |_| {});
     let attempt = only_forwarded(&out);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_redelivery_of_an_answered_call_gets_the_same_answer() {
+fn redelivery_of_an_answered_call_gets_the_same_answer() {
     let mut harness = Harness::new(settings());
     let (_, out) = harness.trigger(NON_IDEMPOTENT, |_| {});
     harness.lose_source();
@@ -42,7 +42,7 @@
 
 /// Found by a scenario: a front end whose connection was cut retried a call after another front end had answered it.
 #[test]
-fn a_request_without_its_source_is_not_retried() {
+fn request_without_its_source_is_not_retried() {
     let mut harness = Harness::new(settings());
     let (_, out) = harness.trigger(IDEMPOTENT, |_| {});
     harness.lose_source();
@@ -182,7 +182,7 @@
 
 /// A message that was redelivered elsewhere after a lost connection must not stay pending forever.
 #[test]
-fn a_request_without_its_source_is_released_at_its_deadline() {
+fn answered_request_without_its_source_is_released_at_its_deadline() {
     let mut harness = Harness::new(settings());
     let (_, out) = harness.trigger(IDEMPOTENT, |_| {});
     harness.lose_source();
--- a/crates/pipithub-engine/tests/owners.rs
+++ b/crates/pipithub-engine/tests/owners.rs
@@ -1,9 +1,9 @@
-//! Which tenant owns which function.
+//! The owners of functions.
 
 use pipithub_engine::{Owner, Owners, Tenant};
 
 #[test]
-fn the_longest_prefix_decides_and_other_functions_have_no_owner() {
+fn longest_prefix_decides_and_functions_without_an_entry_have_no_owner() {
     let mut owners = Owners::default();
     assert!(owners.allow(None, "anything"));
     let (north, south) = (Tenant(0), Tenant(1));
--- a/crates/pipithub-inference/src/orca.rs
+++ b/crates/pipithub-inference/src/orca.rs
@@ -22,18 +22,26 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report(BTreeMap<String, f64>);
 
-fn metric<'a>(input: &mut &'a str) -> Result<(&'a str, f64), EmptyError> {
+#[derive(Clone, Copy, Debug)]
+struct Metric<'a> {
+    name: &'a str,
+    value: f64,
+}
+
+fn metric<'a>(input: &mut &'a str) -> Result<Metric<'a>, EmptyError> {
     let name = take_while(1.., |c: char| {
         c.is_ascii_alphanumeric() || "._-".contains(c)
     });
     let number = take_while(1.., |c: char| c.is_ascii_digit() || "+-.eE".contains(c))
         .try_map(str::parse::<f64>);
-    separated_pair(name, delimited(space0, '=', space0), number).parse_next(input)
+    separated_pair(name, delimited(space0, '=', space0), number)
+        .map(|(name, value)| Metric { name, value })
+        .parse_next(input)
 }
 
-fn text_metrics(input: &str) -> Option<Vec<(&str, f64)>> {
+fn text_metrics(input: &str) -> Option<Vec<Metric<'_>>> {
     let comma = delimited(space0, ',', space0);
-    let parsed: Result<Vec<(&str, f64)>, _> =
+    let parsed: Result<Vec<Metric<'_>>, _> =
         delimited(space0, separated(0..=MAX_METRICS, metric, comma), space0)
             .parse(input)
             .map_err(|_| Unreadable);
@@ -73,7 +81,7 @@
         let metrics = metrics.into_iter();
         Ok(Report(
             metrics
-                .map(|(name, value)| (name.to_string(), value))
+                .map(|metric| (metric.name.to_string(), metric.value))
                 .collect(),
         ))
     }
