--- a/crates/pipithub-node/tests/closes.rs
+++ b/crates/pipithub-node/tests/closes.rs
@@ -161,7 +161,7 @@
         }
         at_worker.serve_next().await;
         leaving.expect_message().await;
-        // It connects only now: a client that was silent through the calls above would be closed on a slow machine.
+        // Connected only now: a client without a request for two seconds is closed, and a busy machine takes longer above.
         let mut staying = front_end.connect_client().await;
         assert!(staying.is_healthy(1).await);
         let calls: String = (301..=304)
