--- a/crates/pipithub-policy/tests/reference/attempts.rs
+++ b/crates/pipithub-policy/tests/reference/attempts.rs
@@ -17,7 +17,7 @@
 const PREFERRED_WORKERS_GAIN: f64 = 0.3;
 /// The most preferred workers of a function.
 const MAX_PREFERRED_WORKERS: f64 = 64.0;
-/// No answer is believed to tell of more requests of its function.
+/// The most requests of its function that an answer can report.
 const MAX_FUNCTION_CONCURRENCY: u32 = 1_000;
 /// A worker that rejects an attempt is limited to this share of the attempts there.
 const CONCURRENCY_DECREASE: f64 = 0.7;
@@ -30,7 +30,7 @@
 const MIN_SLOWDOWN_SAMPLE: f64 = 0.1;
 /// The least slowdown by which a run is expected to end.
 const MIN_EXPECTED_SLOWDOWN: f64 = 0.1;
-/// A report of more requests in flight than this tells of a queue.
+/// A worker that reports more requests in flight than this has a queue.
 const MIN_REPORTED_QUEUE: f64 = 2.0;
 
 /// The requests of a function that an attempt met at its worker.
@@ -139,6 +139,8 @@
         }
     }
 
+    /// An answer confirms the replicas and counts for the worker's health. It teaches either the load
+    /// time, where it included a load, or run time and slowdown.
     fn learn_from_answer(&mut self, end: &AttemptFinished, attempt: &Attempt) {
         let now = self.now;
         self.confirm_replicas(end, attempt);
@@ -207,7 +209,7 @@
         let reported = end.load_report.in_flight;
         let concurrency = attempt.concurrency.max(reported.unwrap_or(0.0) / 2.0);
         let gain = RUN_TIME_GAIN * (2.0 / concurrency).min(1.0).powi(2);
-        // Without a report, a long answer rather tells of the queue of the others than of a long
+        // Without a report, a long answer rather shows the queue of other front ends than a long
         // run.
         let rise = if self.relies_on_load_reports() && reported.is_none() {
             UNREPORTED_RISE
@@ -246,6 +248,7 @@
         }
     }
 
+    /// The function is not loaded there any more.
     fn forget_replicas(&mut self, end: &AttemptFinished, attempt: &Attempt) {
         if let Some(worker) = self.workers.get_mut(&end.worker) {
             worker.replicas.remove(&attempt.function);
@@ -291,6 +294,7 @@
         Some(self.in_flight.remove(position))
     }
 
+    /// A worker that answers is reachable, and gets slightly more attempts at a time.
     fn record_answer(&mut self, class: usize, now: Time) {
         self.health[class].record_success();
         self.last_response_at = now;
--- a/crates/pipithub-policy/tests/reference/counting_map.rs
+++ b/crates/pipithub-policy/tests/reference/counting_map.rs
@@ -6,7 +6,7 @@
 use pipithub_policy::api::WorkerId;
 use pipithub_policy::work::looked;
 
-/// A map with the methods that the reference uses; each worker yielded or looked up counts as one.
+/// A map with the methods that the reference uses; each worker that is yielded or looked up counts as one.
 #[derive(Debug)]
 pub(crate) struct CountingMap<V>(BTreeMap<WorkerId, V>);
 
--- a/crates/pipithub-policy/tests/reference/endpoints.rs
+++ b/crates/pipithub-policy/tests/reference/endpoints.rs
@@ -1,7 +1,7 @@
 //! Updates of the endpoint list: which workers there are, and in which state.
 //!
 //! A snapshot removes what it does not name; a list that failed to come changes nothing but is
-//! asked for again. A worker whose process started anew is as good as a new one.
+//! asked for again. A worker whose process has restarted is as good as a new one.
 
 use std::collections::BTreeSet;
 
@@ -46,6 +46,7 @@
         });
     }
 
+    /// Marks each worker as removed that is not named.
     fn remove_all_but(&mut self, endpoints: &[Endpoint]) {
         let named: BTreeSet<&WorkerId> = endpoints.iter().map(|e| &e.worker).collect();
         for worker in self.workers.values_mut() {
@@ -55,6 +56,7 @@
         }
     }
 
+    /// Adds a worker or takes in its new state.
     fn update_endpoint(&mut self, mut endpoint: Endpoint) {
         endpoint.started_at = endpoint
             .started_at
@@ -65,7 +67,7 @@
             .entry(endpoint.worker.clone())
             .or_insert_with(|| WorkerState::new(endpoint.clone(), classes));
         if worker.endpoint.started_at != endpoint.started_at {
-            // A process that started anew has no replicas and no past.
+            // A restarted process has no replicas, and its past says nothing about it.
             worker.replicas.clear();
             worker.slowdown = 1.0;
             worker.concurrency = 1.0;
--- a/crates/pipithub-policy/tests/reference/estimates.rs
+++ b/crates/pipithub-policy/tests/reference/estimates.rs
@@ -135,7 +135,7 @@
         self.concurrency += SLOWDOWN_GAIN * (concurrency - self.concurrency);
     }
 
-    /// What a run is slowed down by with so many attempts there: the usual when idle, the slowdown
+    /// What a run is slowed down by with this many attempts there: the usual when idle, the slowdown
     /// observed at the concurrency it was observed with, and beyond that in proportion.
     pub(crate) fn slowdown_at(&self, now: Time, in_flight: usize) -> f64 {
         let age = now.saturating_sub(self.last_response_at);
--- a/crates/pipithub-policy/tests/reference/front_end.rs
+++ b/crates/pipithub-policy/tests/reference/front_end.rs
@@ -15,7 +15,7 @@
 use super::state::{FunctionState, Health, PendingRequest, WorkerState};
 use super::time::{MAX_DURATION, MAX_TIME};
 
-/// One front end.
+/// The state of one front end.
 #[derive(Debug, Default)]
 pub(crate) struct FrontEnd {
     pub(crate) settings: Settings,
--- a/crates/pipithub-policy/tests/reference/function_loading.rs
+++ b/crates/pipithub-policy/tests/reference/function_loading.rs
@@ -1,7 +1,7 @@
 //! Loads of functions: how many may be under way, and the load commands that bring functions in.
 //!
 //! A slow store must not be asked for more than it delivers, so that loads are limited; load
-//! commands obey a rate limit where there is one; and after failed loads none is begun for a while.
+//! commands obey a rate limit where there is one; and after failed loads none may start for a while.
 
 use std::collections::BTreeSet;
 
@@ -58,8 +58,8 @@
         loads
     }
 
-    /// Whether one more load may begin beside so many: some for each of this front end's part of
-    /// the workers, the fewer, the slower the store is.
+    /// Whether a load may start beside those in progress. The limit is a few loads for each of this
+    /// front end's part of the workers; a slow store lowers it.
     pub(crate) fn may_begin_load(&self, loads: usize, workers: usize) -> bool {
         let limit = (MAX_LOADS_PER_WORKER * workers)
             .div_ceil(self.settings.front_ends as usize)
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Takes in which replicas a reply tells of; whether the command has loaded them.
+    /// Records the replicas that a reply reports; returns whether the command has loaded them.
     fn record_load_reply(&mut self, reply: &LoadFinished) -> bool {
         let count = reply.replicas.min(MAX_REPORTED_REPLICAS);
         let Some(worker) = self.workers.get_mut(&reply.worker) else {
@@ -196,8 +196,8 @@
         false
     }
 
-    /// Takes in a load that was done or failed. After failures in a row no load is begun for a
-    /// while, longer each time: each further one keeps the store overloaded.
+    /// Records the outcome of a load. After consecutive failures no load may start for a while,
+    /// longer each time: each further one would keep the store overloaded.
     pub(crate) fn record_load_outcome(&mut self, failed: bool) {
         if failed {
             self.consecutive_failed_loads += 1;
--- a/crates/pipithub-policy/tests/reference/load_reports.rs
+++ b/crates/pipithub-policy/tests/reference/load_reports.rs
@@ -103,8 +103,8 @@
         }
     }
 
-    /// How far a run at a worker is slowed down by the queue that a fresh report tells of; an
-    /// answer since then tells more.
+    /// How far a run at a worker is slowed down by the queue that it has reported; 1 where the
+    /// report is not fresh, or an answer has come since, which says more.
     pub(crate) fn reported_slowdown(&self, worker: &WorkerState) -> f64 {
         let report = &worker.load_report;
         if self.now > report.received_at + REPORT_LIFETIME
@@ -136,6 +136,8 @@
 }
 
 impl WorkerState {
+    /// Replaces the last report. A report without requests in flight leaves their mean as it is;
+    /// `None` counts as an unbounded number of requests in flight.
     fn record_load_report(&mut self, report: Option<LoadReport>, now: Time) {
         let last = self.load_report;
         let reported = report
--- a/crates/pipithub-policy/tests/reference/outlier.rs
+++ b/crates/pipithub-policy/tests/reference/outlier.rs
@@ -15,15 +15,15 @@
 
 /// An attempt is overdue at this multiple of the time that it was predicted to take.
 const OVERDUE_FACTOR: f64 = 3.0;
-/// A worker or zone is silent with so many overdue attempts and no answer, and more than it has
-/// answered since.
+/// The overdue attempts from which a worker or zone counts as silent, where it has answered fewer
+/// since.
 const MIN_OVERDUE_ATTEMPTS: usize = 3;
-/// Failures in a row, of connections or loads, before a worker or the store is ejected. One more
-/// failed connection: the worker's replicas are lost.
+/// Failures in a row, of connections or loads, before a worker or the store is ejected. After a
+/// further failed connection the worker's replicas count as lost.
 pub(crate) const MAX_CONSECUTIVE_FAILURES: u32 = 2;
 /// A worker is an outlier when more than this share of its last attempts ended in errors ...
 const MAX_ERROR_RATE: f64 = 0.35;
-/// ... and more than so many times that of the others.
+/// ... and more than this multiple of the other workers' mean share.
 const MAX_RELATIVE_ERROR_RATE: f64 = 2.0;
 /// The first ejection time.
 const BASE_EJECTION_TIME: Time = 500 * MILLISECOND;
@@ -147,8 +147,8 @@
     }
 
     /// Takes in an error. A worker whose requests mostly fail answers fast, so that it looks free:
-    /// it is ejected while it is worse than the others. What fails everywhere alike ejects nobody,
-    /// and of one function's errors in a row one counts.
+    /// it is ejected while it is worse than the others. What fails everywhere alike ejects no
+    /// worker, and of one function's consecutive errors only the first counts.
     pub(crate) fn record_error(&mut self, worker_id: &WorkerId, attempt: &Attempt) {
         let (now, class) = (self.now, attempt.class);
         let usual = self.mean_error_rate_of_others(worker_id, class);
@@ -166,6 +166,7 @@
         }
     }
 
+    /// The mean error rate of the other ready workers for a class; 0 where there are none.
     fn mean_error_rate_of_others(&self, worker_id: &WorkerId, class: usize) -> f64 {
         let rates: Vec<f64> = self
             .ready_workers()
@@ -195,7 +196,8 @@
             .flat_map(|worker| &worker.in_flight)
     }
 
-    /// Ejects a silent zone anew where an attempt that probed it brought no response either.
+    /// Extends the ejection of a silent zone where an attempt that probed it got no response
+    /// either.
     pub(crate) fn record_zone_probe(&mut self, zone: &str, outcome: Outcome, sent_at: Time) {
         let no_response = matches!(
             outcome,
@@ -239,6 +241,8 @@
         }
     }
 
+    /// Whether enough attempts at a zone are overdue that were sent after its last response. An
+    /// ejected zone is silent again when one probe is overdue.
     fn is_zone_silent(&self, zone: &str, last_response: Time) -> bool {
         let ejected = self.silent_zones.get(zone);
         // What was in flight when it was ejected is no sign since then.
--- a/crates/pipithub-policy/tests/reference/preference.rs
+++ b/crates/pipithub-policy/tests/reference/preference.rs
@@ -13,7 +13,7 @@
 /// At a worker that reports more requests than the average, this power of the average over its own
 /// is the share of front ends that still begin there.
 const AVOIDANCE_EXPONENT: i32 = 4;
-/// The others begin at one of so many workers at the head of the order.
+/// The number of workers at the head of the order among which the others choose the first.
 const AVOIDANCE_CANDIDATES: usize = 4;
 
 impl FrontEnd {
@@ -44,7 +44,7 @@
             return;
         }
         let draw = draw(self.seed ^ mix(function.0));
-        // One in the own zone, where there is one: crossing zones costs time and more.
+        // One in this front end's zone where possible: traffic between zones costs time.
         let in_own_zone =
             |position: &usize| self.workers[&order[*position]].endpoint.zone == self.settings.zone;
         let own_zone: Vec<usize> = (0..(preferred as usize).min(order.len()))
--- a/crates/pipithub-policy/tests/reference/rebalancing.rs
+++ b/crates/pipithub-policy/tests/reference/rebalancing.rs
@@ -18,11 +18,11 @@
 const MAX_ALLOWANCE: f64 = 2.0;
 /// The paper's interval between rounds; a shorter keep-alive shortens it.
 const MAX_INTERVAL: Time = 30_000 * MILLISECOND;
-/// The shortest interval.
+/// The shortest interval between rounds, whatever the keep-alive.
 const MIN_INTERVAL: Time = 1_000 * MILLISECOND;
 /// Placement misses of a function at a worker, within an interval, before it is loaded there too.
 const MISSES_TO_SPREAD: u32 = 2;
-/// A function that was not requested for so many intervals is forgotten.
+/// Intervals without a request after which a function is forgotten.
 const FORGET_AFTER_INTERVALS: u64 = 6;
 
 /// Replicas of a function at a worker, loaded or missed there.
@@ -142,6 +142,7 @@
         }
     }
 
+    /// Evicts replicas by a command; a worker that is draining or removed gets none.
     fn evict(&mut self, placement: Placement, actions: &mut Vec<Action>) {
         let Some(worker) = self.workers.get_mut(&placement.worker) else {
             return;
@@ -168,6 +169,7 @@
     }
 }
 
+/// Sorts by rank, then by worker and function, so that equal events give equal actions.
 fn sort_by_rank(placements: &mut [Placement]) {
     placements.sort_by(|a, b| {
         a.rank
@@ -177,6 +179,7 @@
 }
 
 impl Replicas {
+    /// Counts one request that moved on, and keeps the least slack of the interval.
     fn record_miss(&mut self, run_time: f64, slack: f64) {
         self.min_slack = if self.placement_misses == 0 {
             slack
@@ -187,8 +190,8 @@
         self.missed_run_time += run_time;
     }
 
-    /// Begins to count anew. Further replicas are the first that an idle worker evicts: what is not
-    /// seen again is not believed for long.
+    /// Resets the counts. Further replicas are the first that an idle worker evicts, so that the
+    /// believed count falls by one in each interval until an answer shows it again.
     fn begin_interval(&mut self) {
         self.admitted_run_time = 0.0;
         self.missed_run_time = 0.0;
@@ -198,6 +201,8 @@
 }
 
 impl WorkerState {
+    /// Forgets replicas that were not used for two keep-alive times, unless attempts or a load command
+    /// are in progress.
     fn forget_unused_replicas(&mut self, now: Time, keep_alive: Time) {
         let busy: BTreeSet<FunctionId> = self
             .in_flight
--- a/crates/pipithub-policy/tests/reference/requests.rs
+++ b/crates/pipithub-policy/tests/reference/requests.rs
@@ -56,7 +56,7 @@
         self.route(id, actions);
     }
 
-    /// Takes in what a request tells of its function.
+    /// Records what a request declares about its function.
     fn update_function(&mut self, request: &Request) {
         let function = self.functions.entry(request.function).or_default();
         function.replica_concurrency = request.replica_concurrency;
@@ -141,14 +141,14 @@
         }
     }
 
-    /// Ends a request whose client has cancelled it; no answer is owed.
+    /// Ends a request whose client has cancelled it; it gets no answer.
     pub(crate) fn cancel_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if let Some(pending) = self.pending.remove(&id) {
             self.cancel_attempt(id, &pending, actions);
         }
     }
 
-    /// Ends a request whose client's time is all but over, unless its answer has begun.
+    /// Ends a request shortly before its client's deadline, unless its answer has started.
     pub(crate) fn expire_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let is_over = |pending: &PendingRequest| {
             !pending.streaming && self.now + 3 * self.settings.tick >= pending.deadline
@@ -181,8 +181,8 @@
         }
     }
 
-    /// Cancels an attempt that nobody waits for, however the wait ended: clients that leave and
-    /// retry at once would else have the work done twice and more.
+    /// Cancels an attempt whose answer has no client any more: clients that leave and retry at once
+    /// would otherwise have the work done more than once.
     fn cancel_attempt(&self, id: RequestId, pending: &PendingRequest, actions: &mut Vec<Action>) {
         if self.settings.limits.cancel && pending.attempt_in_flight && !pending.streaming {
             actions.push(Action::Cancel {
--- a/crates/pipithub-policy/tests/reference/routing.rs
+++ b/crates/pipithub-policy/tests/reference/routing.rs
@@ -1,9 +1,9 @@
 //! The worker that a request is forwarded to.
 //!
-//! The workers are gone through in the function's order, and the first at which the prediction
-//! meets every deadline gets the request. Where none does, these may do, in this order: an answer
-//! after the latency objective, a speculative attempt, a worker with busy cores. Else the request
-//! is rejected unsent.
+//! The workers are considered in the function's order, and the first at which the prediction meets
+//! every deadline gets the request. Where there is none, these are tried in turn: an answer after
+//! the latency objective, a speculative attempt, a worker with busy cores. Otherwise the request is
+//! rejected unsent.
 
 use pipithub_policy::api::{Action, FunctionId, RequestId, Time, WorkerId};
 
@@ -40,7 +40,7 @@
     admits: Option<Candidate>,
     /// The first one that serves it after its objective.
     late: Option<Candidate>,
-    /// The first one at which only a load stands in the way.
+    /// The first one that would admit it, were the function loaded.
     awaits_load: Option<Candidate>,
     /// The first one that would admit it, were its cores not busy.
     busy: Option<Candidate>,
@@ -69,8 +69,8 @@
             return self.poll_load(id, worker, actions);
         }
         if let Some(miss) = &found.awaits_load {
-            // A load longer than clients wait is begun by no request: only a command spreads such a
-            // function.
+            // No request starts a load that takes longer than its client waits: only a load command
+            // brings such a function to a further worker.
             let may_spread = found.admits.is_some() || miss.prediction.finish > deadline;
             self.record_placement_miss(&miss.worker, id, may_spread, actions);
         }
@@ -113,9 +113,10 @@
         let order = self.preference_order(function);
         let loads = self.allowed_loads(function, &order);
         let mut found = Found::default();
-        // Where nobody is believed to have it, it is presumed at its first worker: a front end that
-        // knows nothing must neither reject nor spread. Where that worker is lost it is presumed
-        // nowhere, else each of the lost worker's functions would begin a load at the next one.
+        // Where no worker is believed to have the function, the first one is presumed to have it: a
+        // front end without any knowledge must neither reject nor spread requests. Where that
+        // worker cannot be used nothing is presumed, or each function of a lost worker would
+        // start a load at its next one.
         let mut presumed = !loads.located && pending.attempts == 0;
         for id in order {
             if pending.attempted_workers.contains(&id) {
--- a/crates/pipithub-policy/tests/reference/slow_start.rs
+++ b/crates/pipithub-policy/tests/reference/slow_start.rs
@@ -35,9 +35,10 @@
 }
 
 impl RunningMean {
-    /// So many samples weigh alike before the oldest ones fade.
+    /// The number of samples that weigh alike; with more of them the oldest ones fade.
     const MAX_SAMPLES: u32 = 400;
 
+    /// Takes in a sample.
     fn add(&mut self, sample: f64) {
         self.samples = (self.samples + 1).min(Self::MAX_SAMPLES);
         self.mean += (sample - self.mean) / f64::from(self.samples);
@@ -54,11 +55,11 @@
 }
 
 impl FrontEnd {
-    /// Whether a worker that may still be warming up can take one more attempt.
+    /// Whether a worker that may still be warming up can take a further attempt.
     ///
     /// A right to send must not be saved up: when all front ends turn to a worker that stood idle,
     /// all would use theirs at once. Where this front end's part is under one attempt a window, it
-    /// draws anew in each slot of the window whether it may send one.
+    /// draws in each slot of the window whether it may send one.
     pub(crate) fn has_slow_start_budget(&self, worker: &WorkerState) -> bool {
         let (rules, now) = (&self.settings.slow_start, self.now);
         if rules.overload_window == 0 || rules.overload_factor <= 0.0 {
@@ -143,11 +144,13 @@
 }
 
 impl WorkerState {
+    /// Whether its slow start is over; a worker without a start time is warm.
     fn is_warm(&self, now: Time, window: Time) -> bool {
         let started_at = self.endpoint.started_at;
         started_at.is_none_or(|started_at| now >= started_at + window)
     }
 
+    /// The answers of the last [`RATE_WINDOW`].
     fn answers_within_rate_window(&self, now: Time) -> usize {
         self.recent_answers
             .iter()
@@ -161,7 +164,7 @@
     (worker.endpoint.weight.clamp(0.0, MAX_WEIGHT) * WEIGHT_UNIT) as u64
 }
 
-/// The mean rate of a worker where so many served so much within [`RATE_WINDOW`].
+/// The mean rate of a worker, from the requests that all of them served within [`RATE_WINDOW`].
 fn rate_per_worker(requests: usize, workers: usize) -> f64 {
     requests as f64 / workers.max(1) as f64 / RATE_WINDOW as f64
 }
--- a/crates/pipithub-policy/tests/reference/state.rs
+++ b/crates/pipithub-policy/tests/reference/state.rs
@@ -194,13 +194,13 @@
     pub(crate) latency_objective: Time,
     /// When the client gives up.
     pub(crate) deadline: Time,
-    /// Attempts so far.
+    /// How many attempts it has had.
     pub(crate) attempts: u32,
     pub(crate) attempt_in_flight: bool,
     /// The first attempt that may have run.
     pub(crate) possible_execution: Option<PossibleExecution>,
     pub(crate) attempted_workers: Vec<WorkerId>,
-    /// Its answer has begun.
+    /// Its answer has started; it has no deadline any more.
     pub(crate) streaming: bool,
     /// It waits, unsent, for the reply to a load command.
     pub(crate) awaits_load: bool,
--- a/crates/pipithub-policy/tests/same.rs
+++ b/crates/pipithub-policy/tests/same.rs
@@ -32,7 +32,7 @@
     expected: Vec<Action>,
     /// What the module decided on it.
     decided: Vec<Action>,
-    /// Events so far.
+    /// How many events both have got.
     events: u64,
 }
 
@@ -356,7 +356,7 @@
 }
 
 /// The worker that a request is forwarded to in a large deployment where the first of two workers
-/// reports so many per mille of its cores busy, and the second one half.
+/// reports this CPU utilization in per mille, and the second one 500.
 fn chosen_beside_busy_cores(per_mille: u32, workers: &[WorkerId; 2]) -> Option<WorkerId> {
     let settings = Settings {
         front_ends: MAX_SMALL_DEPLOYMENT + 1,
