--- a/crates/pipithub-policy/tests/random_sequences/main.rs
+++ b/crates/pipithub-policy/tests/random_sequences/main.rs
@@ -51,8 +51,7 @@
 }
 
 impl RandomRun {
-    fn new(seed: u64) -> RandomRun {
-        let settings = settings_of(seed);
+    fn new(seed: u64, settings: Settings) -> RandomRun {
         RandomRun {
             seed,
             front_end: FrontEnd::new(settings.clone(), seed),
@@ -101,7 +100,7 @@
 }
 
 fn play(seed: u64, steps: usize) -> Vec<Action> {
-    RandomRun::new(seed).play(steps)
+    RandomRun::new(seed, settings_of(seed)).play(steps)
 }
 
 #[test]
@@ -111,6 +110,36 @@
     }
 }
 
+/// Few load commands are allowed, and requests begin no loads: the limit is reached.
+#[test]
+fn rules_hold_under_tight_load_rate_limit() {
+    for seed in 1..=8 {
+        let mut settings = settings_of(seed);
+        settings.loading.loads_on_request = false;
+        settings.loading.rate_limit = Some(LoadRateLimit {
+            window: 5_000 * MS,
+            burst: 1.0,
+            per_request: 0.01,
+        });
+        let actions = RandomRun::new(seed, settings).play(2_500);
+        let is_load = |action: &&Action| matches!(action, Action::LoadFunction { .. });
+        let commands = actions.iter().filter(is_load).count();
+        assert!(commands > 0, "seed {seed}: no load command was given");
+    }
+}
+
+/// Attempts often end after the deduplication window: a request with an idempotency key is not retried then.
+#[test]
+fn rules_hold_with_short_deduplication_window() {
+    for seed in 1..=8 {
+        let mut settings = settings_of(seed);
+        for class in &mut settings.classes {
+            class.deduplication_window = 60 * MS;
+        }
+        RandomRun::new(seed, settings).play(2_500);
+    }
+}
+
 #[test]
 fn equal_events_give_equal_actions() {
     for seed in [3, 8] {
--- a/crates/pipithub-policy/tests/random_sequences/model.rs
+++ b/crates/pipithub-policy/tests/random_sequences/model.rs
@@ -20,6 +20,8 @@
     pub(super) deadline: Time,
     pub(super) attempts: u32,
     pub(super) in_flight: u32,
+    /// When its last attempt was forwarded.
+    pub(super) last_forwarded_at: Time,
     /// Its first execution, as far as it may have been executed.
     pub(super) may_have_run: Option<Execution>,
     /// It was served, has its final answer or was cancelled.
@@ -29,7 +31,7 @@
 /// Where and when a request may have been executed.
 #[derive(Clone, Copy)]
 pub(super) struct Execution {
-    pub(super) ended_at: Time,
+    pub(super) forwarded_at: Time,
     pub(super) cell: u64,
 }
 
@@ -110,7 +112,7 @@
                 request.in_flight -= 1;
                 request.settled |= finished.outcome == Outcome::Served;
                 let execution = Execution {
-                    ended_at: at,
+                    forwarded_at: request.last_forwarded_at,
                     cell: self.endpoints[&finished.worker].cell,
                 };
                 return (!finished.outcome.never_ran()).then_some(FinishedAttempt {
@@ -154,7 +156,7 @@
         match action {
             Action::Forward {
                 request, worker, ..
-            } => self.note_attempt(*request, worker),
+            } => self.note_attempt(at, *request, worker),
             Action::Reject { request, .. } | Action::Fail { request } => {
                 self.request_mut(*request).settled = true;
             }
@@ -177,11 +179,12 @@
         }
     }
 
-    fn note_attempt(&mut self, id: RequestId, worker: &WorkerId) {
+    fn note_attempt(&mut self, at: Time, id: RequestId, worker: &WorkerId) {
         let request = self.request_mut(id);
         let number = request.attempts;
         request.attempts += 1;
         request.in_flight += 1;
+        request.last_forwarded_at = at;
         self.in_flight.push(Attempt {
             request: id,
             number,
--- a/crates/pipithub-policy/tests/random_sequences/rules.rs
+++ b/crates/pipithub-policy/tests/random_sequences/rules.rs
@@ -118,7 +118,7 @@
         return;
     };
     assert!(
-        decision.at < execution.ended_at + class.deduplication_window,
+        decision.at < execution.forwarded_at + class.deduplication_window,
         "seed {}: request {id} is retried after its deduplication window",
         decision.seed
     );
