--- a/crates/pipithub-policy/tests/fleet/main.rs
+++ b/crates/pipithub-policy/tests/fleet/main.rs
@@ -7,7 +7,7 @@
 
 use common::MS;
 use pipithub_policy::api::{SlowStart, Time};
-use simulation::{ColdStart, Scenario, Simulation, Totals};
+use simulation::{Scenario, Simulation, Totals, WorkerStart};
 use worker::{CORES, RUN_TIME};
 
 const SCENARIO: Scenario = Scenario {
@@ -88,7 +88,7 @@
     );
 }
 
-/// The operators hold a cold worker to the sum of all that it is sent: beyond the N calls of its budget only twice the
+/// The operators hold a warming worker to the sum of all that it is sent: beyond the N calls of its budget only twice the
 /// root of N and two more are put down to chance, in a small fleet as in a large one.
 #[test]
 fn warming_workers_survive_what_all_front_ends_together_send() {
@@ -108,26 +108,26 @@
                 ..SCENARIO
             };
             let outcomes = Simulation::run(scenario, |s| s.slow_start = slow_start.clone());
-            let cold_starts = outcomes.cold_starts;
-            assert_eq!(cold_starts.len(), replaced_workers);
+            let worker_starts = outcomes.worker_starts;
+            assert_eq!(worker_starts.len(), replaced_workers);
             assert!(
-                cold_starts.values().any(|start| start.attempts.len() > 5),
-                "none is shut out"
+                worker_starts.values().any(|start| start.attempts.len() > 5),
+                "some get requests"
             );
-            for (worker, cold_start) in &cold_starts {
+            for (worker, worker_start) in &worker_starts {
                 let context = format!("{front_ends} front ends, {utilization}: w{worker}");
-                assert_budget_kept(&slow_start, cold_start, &context);
+                assert_within_budget(&slow_start, worker_start, &context);
             }
         }
     }
 }
 
-/// Fails where one window of a cold worker's slow start holds more attempts than its budget and its margin for chance.
-fn assert_budget_kept(slow_start: &SlowStart, cold_start: &ColdStart, context: &str) {
-    let started_at = cold_start.started_at;
+/// Fails where one window of a warming worker's slow start holds more attempts than its budget and its margin for chance.
+fn assert_within_budget(slow_start: &SlowStart, worker_start: &WorkerStart, context: &str) {
+    let started_at = worker_start.started_at;
     // After its slow start it is as warm as any.
     let is_warming = |at: &&Time| **at < started_at + slow_start.window;
-    let attempts: Vec<Time> = cold_start
+    let attempts: Vec<Time> = worker_start
         .attempts
         .iter()
         .filter(is_warming)
--- a/crates/pipithub-policy/tests/fleet/simulation.rs
+++ b/crates/pipithub-policy/tests/fleet/simulation.rs
@@ -10,7 +10,7 @@
 };
 
 use crate::common::{MS, endpoint, settings};
-use crate::worker::{CORES, HeldCall, LOAD_TIME, RUN_TIME, Reception, SimulatedWorker};
+use crate::worker::{CORES, LOAD_TIME, RUN_TIME, Reception, SimulatedWorker, WorkerCall};
 
 const START: Time = 1_000_000 * MS;
 /// One way between a front end and a worker.
@@ -44,9 +44,9 @@
     /// The rate of calls, as a part of what all cores can run.
     pub(super) utilization: f64,
     pub(super) seconds: u64,
-    /// Answers report how many calls the worker holds.
+    /// Answers report how many calls the worker has in flight.
     pub(super) load_reports: bool,
-    /// So many workers are replaced by new and cold ones, one each 0.3 s from the fourth second on, and one in five
+    /// So many workers are replaced by new ones, one each 0.3 s from the fourth second on, and one in five
     /// front ends restarts meanwhile.
     pub(super) replaced_workers: usize,
 }
@@ -62,8 +62,8 @@
     pub(super) rejected: u32,
 }
 
-/// A worker that started cold.
-pub(super) struct ColdStart {
+/// A worker that started during the scenario.
+pub(super) struct WorkerStart {
     pub(super) started_at: Time,
     /// When attempts came to it.
     pub(super) attempts: Vec<Time>,
@@ -73,7 +73,7 @@
 pub(super) struct Outcomes {
     pub(super) totals: Totals,
     /// Workers that were started during it, by number.
-    pub(super) cold_starts: BTreeMap<usize, ColdStart>,
+    pub(super) worker_starts: BTreeMap<usize, WorkerStart>,
 }
 
 enum SimulationEvent {
@@ -107,7 +107,7 @@
         front_end: usize,
         worker: usize,
     },
-    /// A worker is removed, and a new and cold one takes its place.
+    /// A worker is removed, and a new one takes its place.
     WorkerReplaced {
         old: usize,
     },
@@ -144,7 +144,7 @@
     load_reports: bool,
     settings: Settings,
     endpoints: BTreeMap<usize, Endpoint>,
-    cold_starts: BTreeMap<usize, ColdStart>,
+    worker_starts: BTreeMap<usize, WorkerStart>,
 }
 
 fn worker_name(worker: usize) -> String {
@@ -169,7 +169,7 @@
         }
         Outcomes {
             totals: simulation.totals,
-            cold_starts: simulation.cold_starts,
+            worker_starts: simulation.worker_starts,
         }
     }
 
@@ -199,10 +199,10 @@
             endpoints: (0..scenario.workers)
                 .map(|worker| (worker, endpoint(&worker_name(worker))))
                 .collect(),
-            cold_starts: BTreeMap::new(),
+            worker_starts: BTreeMap::new(),
         };
         for front_end in 0..scenario.front_ends {
-            simulation.send_cached_list(front_end);
+            simulation.send_cached_endpoints(front_end);
         }
         simulation
     }
@@ -255,7 +255,7 @@
                 attempt,
                 function,
             } => {
-                let call = HeldCall {
+                let call = WorkerCall {
                     front_end,
                     request,
                     attempt,
@@ -315,9 +315,9 @@
         self.handle(front_end, Event::Arrived(request));
     }
 
-    fn attempt_arrives(&mut self, worker: usize, call: HeldCall) {
-        if let Some(cold_start) = self.cold_starts.get_mut(&worker) {
-            cold_start.attempts.push(self.now);
+    fn attempt_arrives(&mut self, worker: usize, call: WorkerCall) {
+        if let Some(worker_start) = self.worker_starts.get_mut(&worker) {
+            worker_start.attempts.push(self.now);
         }
         let function = call.function;
         match self.workers[worker].receive(call) {
@@ -343,7 +343,7 @@
         }
     }
 
-    fn answer(&mut self, worker: usize, call: &HeldCall, outcome: Outcome) {
+    fn answer(&mut self, worker: usize, call: &WorkerCall, outcome: Outcome) {
         let in_flight = self.workers[worker].in_flight();
         let finished = AttemptFinished {
             request: call.request,
@@ -391,11 +391,11 @@
     fn replace_worker(&mut self, old: usize) {
         let new = self.workers.len();
         self.workers.push(SimulatedWorker::default());
-        let cold_start = ColdStart {
+        let worker_start = WorkerStart {
             started_at: self.now,
             attempts: Vec::new(),
         };
-        self.cold_starts.insert(new, cold_start);
+        self.worker_starts.insert(new, worker_start);
         self.endpoints.remove(&old);
         let endpoint = Endpoint {
             started_at: Some(self.now),
@@ -433,10 +433,10 @@
     fn restart_front_end(&mut self, front_end: usize) {
         let seed = 1_000 + 77 * front_end as u64;
         self.front_ends[front_end] = FrontEnd::new(self.settings.clone(), seed);
-        self.send_cached_list(front_end);
+        self.send_cached_endpoints(front_end);
     }
 
-    fn send_cached_list(&mut self, front_end: usize) {
+    fn send_cached_endpoints(&mut self, front_end: usize) {
         let update = Event::Endpoints {
             update: EndpointUpdate::Cached,
             endpoints: self.endpoints.values().cloned().collect(),
--- a/crates/pipithub-policy/tests/fleet/worker.rs
+++ b/crates/pipithub-policy/tests/fleet/worker.rs
@@ -11,17 +11,17 @@
 pub(super) const RUN_TIME: Time = 70 * MS;
 /// How long loading a function takes.
 pub(super) const LOAD_TIME: Time = 900 * MS;
-const MAX_HELD_CALLS: usize = 16;
+const MAX_IN_FLIGHT: usize = 16;
 const MAX_REPLICAS: usize = 6;
 
 /// An attempt at a worker.
-pub(super) struct HeldCall {
+pub(super) struct WorkerCall {
     pub(super) front_end: usize,
     pub(super) request: RequestId,
     pub(super) attempt: u32,
     pub(super) function: u64,
     pub(super) received_at: Time,
-    /// How many calls of the same function the worker held when it came.
+    /// How many calls of the same function the worker had in flight when it arrived.
     pub(super) function_concurrency: u32,
 }
 
@@ -32,29 +32,29 @@
     /// It waits for a load of its function, which begins with it or is under way.
     Loading { begins: bool },
     /// The worker is at capacity.
-    Rejected(HeldCall),
+    Rejected(WorkerCall),
 }
 
 /// The state of one worker.
 #[derive(Default)]
 pub(super) struct SimulatedWorker {
-    running: Vec<HeldCall>,
-    waiting: VecDeque<HeldCall>,
+    running: Vec<WorkerCall>,
+    waiting: VecDeque<WorkerCall>,
     /// Calls that wait for a load of their function.
-    loading: BTreeMap<u64, Vec<HeldCall>>,
+    loading: BTreeMap<u64, Vec<WorkerCall>>,
     /// Loaded functions, with their last use.
     replicas: BTreeMap<u64, Time>,
 }
 
 impl SimulatedWorker {
-    fn held(&self) -> impl Iterator<Item = &HeldCall> {
+    fn all_calls(&self) -> impl Iterator<Item = &WorkerCall> {
         let loading = self.loading.values().flatten();
         self.running.iter().chain(&self.waiting).chain(loading)
     }
 
-    /// How many calls of a function it holds.
+    /// Calls of a function that it has in flight.
     pub(super) fn concurrency_of(&self, function: u64) -> u32 {
-        self.held().filter(|h| h.function == function).count() as u32
+        self.all_calls().filter(|h| h.function == function).count() as u32
     }
 
     /// Calls that run or wait for a core, as its load reports state them.
@@ -63,8 +63,8 @@
     }
 
     /// Takes a call, or rejects it.
-    pub(super) fn receive(&mut self, call: HeldCall) -> Reception {
-        if self.held().count() >= MAX_HELD_CALLS {
+    pub(super) fn receive(&mut self, call: WorkerCall) -> Reception {
+        if self.all_calls().count() >= MAX_IN_FLIGHT {
             return Reception::Rejected(call);
         }
         if self.replicas.contains_key(&call.function) {
@@ -86,7 +86,7 @@
     }
 
     /// A call of a function has run to its end.
-    pub(super) fn finish_call(&mut self, function: u64) -> HeldCall {
+    pub(super) fn finish_call(&mut self, function: u64) -> WorkerCall {
         let at = self
             .running
             .iter()
--- a/crates/pipithub-policy/tests/outlier_detection.rs
+++ b/crates/pipithub-policy/tests/outlier_detection.rs
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn service_continues_after_loss_of_most_workers_and_spreads_after_their_return() {
+fn service_continues_after_most_workers_are_removed_and_spreads_after_their_return() {
     let names = ["w1", "w2", "w3", "w4", "w5", "w6"];
     let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &names);
     for function in 0..6 {
--- a/crates/pipithub-policy/tests/slow_start/fleet.rs
+++ b/crates/pipithub-policy/tests/slow_start/fleet.rs
@@ -41,11 +41,11 @@
     WorkerStart {
         place: usize,
     },
-    /// A front end hears that a worker followed another.
+    /// A front end is told that a worker replaced another.
     EndpointUpdate {
         front_end: usize,
-        left: Endpoint,
-        came: Endpoint,
+        removed: Endpoint,
+        added: Endpoint,
     },
     Restarts,
 }
@@ -56,11 +56,11 @@
     size: f64,
     /// `None`: warm from the beginning.
     started: Option<Time>,
-    /// When it is done with all it was sent.
+    /// When it has finished all that it was sent.
     free_at: Time,
-    /// Sends within the last `overload_window`.
+    /// Attempts within the last `overload_window`.
     recent_sends: VecDeque<Time>,
-    overdrawn: bool,
+    over_budget: bool,
 }
 
 impl SimulatedWorker {
@@ -70,7 +70,7 @@
             started,
             free_at: 0,
             recent_sends: VecDeque::new(),
-            overdrawn: false,
+            over_budget: false,
         }
     }
 }
@@ -92,7 +92,7 @@
     random: SmallRng,
     front_ends: Vec<SimulatedFrontEnd>,
     /// Running sums of the weights of the front ends' traffic.
-    shares: Vec<f64>,
+    cumulative_weights: Vec<f64>,
     workers: BTreeMap<WorkerId, SimulatedWorker>,
     /// In each place two names take turns.
     names: Vec<[WorkerId; 2]>,
@@ -206,7 +206,7 @@
             end: FIRST_TIME + LEAD_TIME + scenario.slow_start.window * scenario.rounds(),
             random: SmallRng::seed_from_u64(scenario.seed),
             front_ends: Vec::new(),
-            shares: (0..scenario.front_ends).map(&mut running_sum).collect(),
+            cumulative_weights: (0..scenario.front_ends).map(&mut running_sum).collect(),
             workers,
             names,
             turns: vec![0; scenario.warming_places],
@@ -282,12 +282,12 @@
             SimulationEvent::WorkerStart { place } => self.start_worker(place),
             SimulationEvent::EndpointUpdate {
                 front_end,
-                left,
-                came,
+                removed,
+                added,
             } => {
                 let update = Event::Endpoints {
                     update: EndpointUpdate::Delta,
-                    endpoints: vec![left, came],
+                    endpoints: vec![removed, added],
                 };
                 self.handle(front_end, update);
             }
@@ -302,12 +302,12 @@
         let gap = -(1.0 - self.random.random::<f64>()).ln() / rate;
         self.schedule(self.now + gap as Time, SimulationEvent::ClientCall);
 
-        let total = self.shares[self.shares.len() - 1];
+        let total = self.cumulative_weights[self.cumulative_weights.len() - 1];
         let point = self.random.random::<f64>() * total;
         let front_end = self
-            .shares
+            .cumulative_weights
             .partition_point(|sum| *sum <= point)
-            .min(self.shares.len() - 1);
+            .min(self.cumulative_weights.len() - 1);
         let place = self.random.random_range(0..self.scenario.warming_places);
         let function = self.functions[&self.names[place][self.turns[place]]];
         self.next_request.0 += 1;
@@ -323,7 +323,7 @@
         self.handle(front_end, Event::Arrived(call));
     }
 
-    /// Fires the housekeeping timer where it is due: between calls nothing depends on it.
+    /// Lets the maintenance timer expire where it is due: between calls nothing depends on it.
     fn run_maintenance(&mut self, front_end: usize) {
         let simulated = &mut self.front_ends[front_end];
         if self.now >= simulated.last_maintenance + MAINTENANCE_INTERVAL {
@@ -401,8 +401,8 @@
                 / max_survivable(simulated.size * scenario.budget(age));
             self.summary.fullest = self.summary.fullest.max(filled);
             self.summary.sent += 1.0;
-            if filled > 1.0 && !std::mem::replace(&mut simulated.overdrawn, true) {
-                self.summary.overdrawn += 1;
+            if filled > 1.0 && !std::mem::replace(&mut simulated.over_budget, true) {
+                self.summary.over_budget += 1;
             }
         }
         let time_per_call =
@@ -416,32 +416,32 @@
     }
 
     fn start_worker(&mut self, place: usize) {
-        let left = self.names[place][self.turns[place]].clone();
+        let removed = self.names[place][self.turns[place]].clone();
         self.turns[place] = 1 - self.turns[place];
-        let came = self.names[place][self.turns[place]].clone();
-        self.workers.remove(&left);
+        let added = self.names[place][self.turns[place]].clone();
+        self.workers.remove(&removed);
         let (size, started) = (self.scenario.size(place), Some(self.now));
         self.workers
-            .insert(came.clone(), SimulatedWorker::new(size, started));
+            .insert(added.clone(), SimulatedWorker::new(size, started));
         self.summary.starts += 1;
         // The last workers' ramps are cut short by the end.
         let played = self.scenario.slow_start.window.min(self.end - self.now);
         let spans = played as f64 / self.scenario.slow_start.overload_window as f64;
         self.summary.budgeted += size * self.scenario.budget(played / 2) * spans;
-        let left = Endpoint {
+        let removed = Endpoint {
             state: EndpointState::Removed,
-            ..endpoint(&left, size, None)
+            ..endpoint(&removed, size, None)
         };
-        let came = endpoint(&came, size, started);
+        let added = endpoint(&added, size, started);
         for front_end in 0..self.front_ends.len() {
             let delay = self.random.random_range(0..MAX_UPDATE_DELAY);
-            let (left, came) = (left.clone(), came.clone());
+            let (removed, added) = (removed.clone(), added.clone());
             self.schedule(
                 self.now + delay,
                 SimulationEvent::EndpointUpdate {
                     front_end,
-                    left,
-                    came,
+                    removed,
+                    added,
                 },
             );
         }
@@ -464,14 +464,14 @@
             },
             &mut actions,
         );
-        let housekeeping = actions.iter().find_map(|action| match action {
+        let maintenance = actions.iter().find_map(|action| match action {
             Action::SetTimer {
                 after: MAINTENANCE_INTERVAL,
                 token,
             } => Some(*token),
             _ => None,
         });
-        let maintenance_token = housekeeping.expect("a front end asks for its housekeeping timer");
+        let maintenance_token = maintenance.expect("a front end asks for its maintenance timer");
         SimulatedFrontEnd {
             module,
             seed,
--- a/crates/pipithub-policy/tests/slow_start/main.rs
+++ b/crates/pipithub-policy/tests/slow_start/main.rs
@@ -1,8 +1,8 @@
 //! The slow-start budget of workers that have just started, summed over all front ends of a fleet.
 //!
 //! The operators count a warming worker as overloaded when, within `overload_window`, it is sent more than its budget N
-//! and a margin for chance. Each front end decides alone, so the fleet is simulated here: every start is drawn,
-//! and the sum is checked at every single send, not on average.
+//! and a margin for chance. Each front end decides alone, so the fleet is simulated here: every start of a worker is drawn,
+//! and the sum is checked at every single attempt, not on average.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -16,7 +16,7 @@
 
 const SECOND: Time = 1_000 * MS;
 /// The part of all budgets that a surge may use. The module draws for about half of them: a fleet whose
-/// expected sends come near the budget keeps it by luck alone.
+/// expected attempts come near the budget keeps it by luck alone.
 const MAX_SURGE_USE: f64 = 0.6;
 
 /// How traffic reaches a fleet: its spread, and whether half of the front ends restart in each ramp.
@@ -49,13 +49,13 @@
     })
 }
 
-/// Fails where a single window of a single start was overdrawn.
-fn assert_none_overdrawn(played: &[(Scenario, Summary)]) {
-    let overdrawn: Vec<_> = played
+/// Fails where a single window of a single worker held more than its budget allows.
+fn assert_none_over_budget(played: &[(Scenario, Summary)]) {
+    let over_budget: Vec<_> = played
         .iter()
-        .filter(|(_, summary)| summary.overdrawn > 0)
+        .filter(|(_, summary)| summary.over_budget > 0)
         .collect();
-    assert!(overdrawn.is_empty(), "overdrawn: {overdrawn:#?}");
+    assert!(over_budget.is_empty(), "over budget: {over_budget:#?}");
 }
 
 /// A fleet of each size under each condition, `starts` starts of workers with this first budget.
@@ -71,31 +71,31 @@
 }
 
 #[test]
-fn no_start_is_overdrawn_with_budgets_of_1_to_5() {
-    assert_none_overdrawn(&run_all(fleets(1.0, 198)));
+fn no_warming_worker_exceeds_budgets_of_1_to_5() {
+    assert_none_over_budget(&run_all(fleets(1.0, 198)));
 }
 
 #[test]
-fn no_start_is_overdrawn_with_budgets_of_6_to_30() {
-    assert_none_overdrawn(&run_all(fleets(6.0, 63)));
+fn no_warming_worker_exceeds_budgets_of_6_to_30() {
+    assert_none_over_budget(&run_all(fleets(6.0, 63)));
 }
 
 #[test]
-fn no_start_is_overdrawn_with_budgets_of_40_to_200_and_much_of_them_is_used() {
+fn no_warming_worker_exceeds_budgets_of_40_to_200_and_much_of_them_is_used() {
     let results = run_all(fleets(40.0, 18));
-    assert_none_overdrawn(&results);
+    assert_none_over_budget(&results);
     for (scenario, summary) in results {
         let least = if scenario.front_ends < 300 { 0.4 } else { 0.2 };
         assert!(
             summary.sent > least * summary.budgeted,
-            "shut out: {scenario:?}, {summary:?}"
+            "too few attempts: {scenario:?}, {summary:?}"
         );
     }
 }
 
-/// Clients that repeat refused calls raise the arrivals far beyond what the workers can serve.
+/// Clients that retry rejected requests raise the arrivals far beyond what the workers can serve.
 #[test]
-fn no_start_is_overdrawn_under_overload_while_front_ends_restart() {
+fn no_warming_worker_exceeds_its_budget_under_overload_while_front_ends_restart() {
     let overload = |s: Scenario| Scenario {
         demand: 8.0,
         restarts: true,
@@ -103,14 +103,14 @@
     };
     let small = [2, 20, 300].map(|n| Scenario::new(n, Traffic::Unequal, 6.0, 45));
     let large = [2, 20].map(|n| Scenario::new(n, Traffic::Equal, 40.0, 9));
-    assert_none_overdrawn(&run_all(
+    assert_none_over_budget(&run_all(
         small.into_iter().chain(large).map(overload).collect(),
     ));
 }
 
-/// A surge: every front end has more calls for few warming workers than their budgets bear.
+/// A surge: every front end has more requests for few warming workers than their budgets allow.
 #[test]
-fn no_start_is_overdrawn_where_every_front_end_always_has_a_call_for_it() {
+fn no_warming_worker_exceeds_its_budget_in_a_surge_at_all_front_ends() {
     let surge = |s: Scenario| Scenario {
         warm_workers: 9,
         warming_places: 3,
@@ -120,19 +120,19 @@
     let small = [20, 60, 300].map(|n| Scenario::new(n, Traffic::Equal, 1.0, 63));
     let large = [20, 60].map(|n| Scenario::new(n, Traffic::Equal, 6.0, 18));
     let results = run_all(small.into_iter().chain(large).map(surge).collect());
-    assert_none_overdrawn(&results);
+    assert_none_over_budget(&results);
     for (scenario, summary) in results {
         let most = MAX_SURGE_USE * summary.budgeted;
         assert!(
             summary.sent < most,
-            "no room for chance: {scenario:?}, {summary:?}"
+            "no margin for chance: {scenario:?}, {summary:?}"
         );
     }
 }
 
-/// What warm workers take says little of a smaller one, but the list tells its size.
+/// What warm workers serve says little of a smaller one, but the endpoint list states its weight.
 #[test]
-fn no_start_is_overdrawn_where_some_workers_are_smaller() {
+fn no_warming_worker_exceeds_its_budget_where_some_workers_are_smaller() {
     let sized = |s: Scenario| {
         [0.5, 0.25].map(|small_size| Scenario {
             small_size,
@@ -140,17 +140,17 @@
         })
     };
     let scenarios = [2, 20, 300].map(|n| Scenario::new(n, Traffic::Equal, 40.0, 9));
-    assert_none_overdrawn(&run_all(scenarios.into_iter().flat_map(sized).collect()));
+    assert_none_over_budget(&run_all(scenarios.into_iter().flat_map(sized).collect()));
 }
 
-/// Where no worker is warm, nothing new is learnt of what a warm one takes.
+/// Where no worker is warm, nothing new is learnt of what a warm one can serve.
 #[test]
-fn no_start_is_overdrawn_where_all_workers_are_warming() {
-    let all_cold = |s: Scenario| Scenario {
+fn no_warming_worker_exceeds_its_budget_where_all_workers_are_warming() {
+    let all_warming = |s: Scenario| Scenario {
         warm_workers: 0,
         demand: 4.0,
         ..s
     };
     let scenarios = [2, 20, 300].map(|n| Scenario::new(n, Traffic::Unequal, 40.0, 18));
-    assert_none_overdrawn(&run_all(scenarios.into_iter().map(all_cold).collect()));
+    assert_none_over_budget(&run_all(scenarios.into_iter().map(all_warming).collect()));
 }
--- a/crates/pipithub-policy/tests/slow_start/scenario.rs
+++ b/crates/pipithub-policy/tests/slow_start/scenario.rs
@@ -1,4 +1,4 @@
-//! What one simulated fleet is given, what its warming workers survive, and what came of them.
+//! What one simulated fleet is given, what its warming workers survive, and the results.
 
 use pipithub_policy::api::{SlowStart, Time};
 
@@ -118,12 +118,12 @@
     }
 }
 
-/// What came of all starts of a scenario.
+/// The results of all starts of a scenario.
 #[derive(Debug, Default)]
 pub(super) struct Summary {
     pub(super) starts: usize,
-    /// Starts in which some window was overdrawn.
-    pub(super) overdrawn: usize,
+    /// Starts in which some window held more than the budget allows.
+    pub(super) over_budget: usize,
     /// The fullest window, as a share of what is survivable.
     pub(super) fullest: f64,
     /// Requests sent to warming workers, and their budgets over the time played.
