--- a/crates/pipithub-policy/tests/function_loading.rs
+++ b/crates/pipithub-policy/tests/function_loading.rs
@@ -28,12 +28,12 @@
 fn loads_of_functions_called_once_are_bounded() {
     let mut front_end =
         FrontEndHarness::new(settings(Idempotency::Idempotent), &["w1", "w2", "w3", "w4"]);
-    let sends = (0..200).filter(|f| {
+    let forwarded = (0..200).filter(|f| {
         front_end.advance(2 * MS);
         forwarded_to(&front_end.request(1_000 + f).1).is_some()
     });
-    let sends = sends.count();
-    assert!((1..200).contains(&sends), "{sends}");
+    let forwarded = forwarded.count();
+    assert!((1..200).contains(&forwarded), "{forwarded}");
 }
 
 #[test]
@@ -61,16 +61,16 @@
         let mut front_end = FrontEndHarness::new(settings, &THREE);
         let preferred = front_end.warm_up(1);
         // The preferred worker rejects: the other front ends have moved on to the next one and loaded it there.
-        let call = Request {
+        let request = Request {
             function: FunctionId(1),
             replica_concurrency: 4,
             load_time: Some(2_000 * MS),
             timeout: Some(timeout),
             ..Request::default()
         };
-        let mut sent = 0;
+        let mut retried = 0;
         for _ in 0..20 {
-            let (id, actions) = front_end.request_with(call.clone());
+            let (id, actions) = front_end.request_with(request.clone());
             let Some(worker) = forwarded_to(&actions) else {
                 continue;
             };
@@ -85,12 +85,12 @@
                 },
             );
             if let Some(next) = forwarded_to(&after) {
-                sent += 1;
+                retried += 1;
                 front_end.finish_attempt(id, 1, &next, Outcome::Served);
                 break;
             }
         }
-        assert_eq!(sent > 0, speculates, "with {} ms left", timeout / MS);
+        assert_eq!(retried > 0, speculates, "with {} ms left", timeout / MS);
     }
 }
 
@@ -108,13 +108,13 @@
             &names,
         );
         let preferred = front_end.warm_up(1);
-        let sends = |front_end: &mut FrontEndHarness, calls: u64, works: bool| {
-            let mut sends = 0;
-            for function in 0..calls {
+        let attempts = |front_end: &mut FrontEndHarness, requests: u64, works: bool| {
+            let mut attempts = 0;
+            for function in 0..requests {
                 let (id, mut actions) = front_end.request(100 + front_end.now / MS + function);
                 let mut attempt = 0;
                 while let Some(worker) = forwarded_to(&actions) {
-                    sends += 1;
+                    attempts += 1;
                     let (outcome, note) = if works {
                         (Outcome::Served, ReplicaStatus::LoadStarted)
                     } else {
@@ -131,10 +131,10 @@
                     attempt += 1;
                 }
             }
-            sends
+            attempts
         };
         assert!(
-            sends(&mut front_end, 20, false) < 30,
+            attempts(&mut front_end, 20, false) < 30,
             "{outcome:?}: loads are begun at a store that fails"
         );
         let (id, actions) = front_end.request(1);
@@ -146,7 +146,7 @@
         front_end.finish_attempt(id, 0, &preferred, Outcome::Served);
         front_end.advance(5_000 * MS);
         assert!(
-            sends(&mut front_end, 5, true) >= 5,
+            attempts(&mut front_end, 5, true) >= 5,
             "{outcome:?}: loads resume"
         );
     }
@@ -167,9 +167,9 @@
             timeout: Some(4_000 * MS),
             ..Request::default()
         });
-        let sent = forwarded_to(&actions);
+        let worker = forwarded_to(&actions);
         assert!(
-            sent.is_none_or(|w| w == preferred),
+            worker.is_none_or(|worker| worker == preferred),
             "a request is forwarded into a load that it cannot wait for"
         );
         commands.extend(load_commands(&actions));
@@ -217,13 +217,13 @@
     let functions = functions_preferring(&THREE, &preferred, 1, 40);
     let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE);
     eject(&mut front_end, &preferred, &functions[..2]);
-    let sent = functions[2..]
+    let forwarded = functions[2..]
         .iter()
         .filter(|f| forwarded_to(&front_end.request(**f).1).is_some())
         .count();
     assert!(
-        (6..=12).contains(&sent),
-        "at most four for each worker: {sent}"
+        (6..=12).contains(&forwarded),
+        "at most four for each worker: {forwarded}"
     );
 }
 
@@ -260,12 +260,12 @@
         front_end.warm_up(function);
     }
     let busy = |front_end: &mut FrontEndHarness, function| {
-        let call = Request {
+        let request = Request {
             function: FunctionId(function),
             replica_concurrency: 1,
             ..Request::default()
         };
-        forwarded_to(&front_end.request_with(call).1).is_some_and(|w| w != ejected)
+        forwarded_to(&front_end.request_with(request).1).is_some_and(|w| w != ejected)
     };
     let waiting = (0..20)
         .flat_map(|_| others)
@@ -286,7 +286,7 @@
 fn slow_store_lowers_number_of_concurrent_loads() {
     let preferred = WorkerId::new("w1");
     let functions = functions_preferring(&THREE, &preferred, 1, 40);
-    let sent = |took: Time| {
+    let forwarded = |load_time: Time| {
         let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE);
         for function in 1_000..1_010 {
             let (id, actions) = front_end.request(function);
@@ -296,7 +296,7 @@
                 0,
                 &worker,
                 Outcome::Served,
-                took,
+                load_time,
                 Some(ReplicaStatus::LoadStarted),
             );
         }
@@ -307,7 +307,7 @@
             .count()
     };
     // Requests state a load time of 500 ms.
-    let (usual, slow) = (sent(550 * MS), sent(2_050 * MS));
+    let (usual, slow) = (forwarded(550 * MS), forwarded(2_050 * MS));
     assert!(slow >= 1 && slow * 2 <= usual, "{slow} beside {usual}");
 }
 
--- a/crates/pipithub-policy/tests/outlier_detection.rs
+++ b/crates/pipithub-policy/tests/outlier_detection.rs
@@ -308,14 +308,14 @@
         .run_requests(1, 10, |_| Some(Outcome::Served))
         .served;
     assert_eq!(served, 10);
-    let mut sent = 0;
+    let mut forwarded = 0;
     for round in 0..300 {
         let (id, actions) = front_end.request(round % 12 + 1);
         front_end.finish_load_commands(&actions, Outcome::Served, 1);
         let Some(worker) = forwarded_to(&actions) else {
             continue;
         };
-        sent += 1;
+        forwarded += 1;
         front_end.advance(20 * MS);
         let outcome = if (round * 7 + round / 12) % 3 == 0 {
             Outcome::Error
@@ -325,7 +325,7 @@
         front_end.finish_attempt(id, 0, &worker, outcome);
     }
     // Chance makes one worker look worse for a moment; without the comparison all would be ejected at once.
-    assert!(sent > 270, "sent {sent} of 300");
+    assert!(forwarded > 270, "forwarded {forwarded} of 300");
 }
 
 #[test]
--- a/crates/pipithub-policy/tests/rules.rs
+++ b/crates/pipithub-policy/tests/rules.rs
@@ -14,12 +14,12 @@
 
 #[test]
 fn request_at_silent_worker_gets_one_final_answer_in_time() {
-    for effect in [
+    for idempotency in [
         Idempotency::Idempotent,
         Idempotency::WithKey,
         Idempotency::NonIdempotent,
     ] {
-        let mut front_end = FrontEndHarness::new(settings(effect), &["w1"]);
+        let mut front_end = FrontEndHarness::new(settings(idempotency), &["w1"]);
         let (_, actions) = front_end.request(1);
         assert!(forwarded_to(&actions).is_some());
         let ends = |a: &[Action]| is_rejected(a) || is_failed(a);
@@ -28,7 +28,7 @@
         assert_eq!(
             usize::from(ends(&early)) + usize::from(ends(&late)),
             1,
-            "{effect:?}"
+            "{idempotency:?}"
         );
         assert!(!ends(&front_end.advance(5_000 * MS)));
     }
@@ -48,9 +48,9 @@
 #[test]
 fn request_without_time_is_rejected_and_not_forwarded() {
     let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &["w1"]);
-    for budget in [0, MS, 4 * MS] {
+    for timeout in [0, MS, 4 * MS] {
         let (_, actions) = front_end.request_with(Request {
-            timeout: Some(budget),
+            timeout: Some(timeout),
             ..Request::default()
         });
         assert!(is_rejected(&actions) && forwarded_to(&actions).is_none());
@@ -81,9 +81,9 @@
         let (id, actions) = front_end.request(1);
         let first = forwarded_to(&actions).unwrap();
         let after = front_end.finish_attempt(id, 0, &first, outcome);
-        let again = forwarded_to(&after).expect("it is proven never to have run");
+        let second = forwarded_to(&after).expect("it is proven never to have run");
         // Only a replica that is missing, or was lost in loading, is attempted at the same worker.
-        assert_eq!(again == first, outcome == NotLoaded, "{outcome:?}");
+        assert_eq!(second == first, outcome == NotLoaded, "{outcome:?}");
     }
 }
 
@@ -91,7 +91,7 @@
 fn request_with_idempotency_key_is_retried_only_in_its_scope_and_window() {
     let mut settings = settings(Idempotency::WithKey);
     settings.classes[0].deduplication_scope = DeduplicationScope::Zone;
-    let zones = |front_end: &mut FrontEndHarness, first: &WorkerId, other: &str| {
+    let set_zones = |front_end: &mut FrontEndHarness, first: &WorkerId, other: &str| {
         let names = ["w1", "w2"];
         let of = |n: &&str| {
             if WorkerId::new(n) == *first {
@@ -100,16 +100,16 @@
                 other
             }
         };
-        let list = names
+        let endpoints = names
             .iter()
             .map(|n| Endpoint {
                 zone: of(n).to_string(),
                 ..endpoint(n)
             })
             .collect();
-        front_end.update_endpoints(list);
+        front_end.update_endpoints(endpoints);
     };
-    for (other, wait, again) in [
+    for (other, wait, retries) in [
         ("a", 100, true),
         ("b", 100, false),
         ("a", 2_480, true),
@@ -118,17 +118,17 @@
         let mut front_end = FrontEndHarness::new(settings.clone(), &["w1", "w2"]);
         let (id, actions) = front_end.request(1);
         let first = forwarded_to(&actions).unwrap();
-        zones(&mut front_end, &first, other);
+        set_zones(&mut front_end, &first, other);
         front_end.now += wait * MS;
         let after = front_end.finish_attempt(id, 0, &first, Outcome::ConnectionLost);
         assert_eq!(
             forwarded_to(&after).is_some(),
-            again,
+            retries,
             "other zone {other}, after {wait} ms"
         );
         assert_eq!(
             is_failed(&after),
-            !again,
+            !retries,
             "a rejection would promise that a retry is harmless"
         );
     }
--- a/crates/pipithub-policy/tests/zones.rs
+++ b/crates/pipithub-policy/tests/zones.rs
@@ -8,10 +8,10 @@
 };
 
 /// The endpoints of twelve workers, every second one in a zone `b`, with the given state there.
-fn zoned(state_far: EndpointState) -> Vec<Endpoint> {
+fn zoned(far_state: EndpointState) -> Vec<Endpoint> {
     let one = |i: u32| {
         let (zone, state) = if i % 2 == 1 {
-            ("b", state_far)
+            ("b", far_state)
         } else {
             ("a", EndpointState::Ready)
         };
@@ -29,7 +29,7 @@
     worker.0[1..].parse::<u32>().is_ok_and(|i| i % 2 == 1)
 }
 
-/// A front end of a large tier in one of two zones.
+/// A front end of a large fleet in one of two zones.
 fn two_zones(zone: &str, reports_concurrency: bool) -> FrontEndHarness {
     let mut settings = large_fleet_settings();
     (
@@ -84,19 +84,19 @@
     let mut front_end = two_zones("a", false);
     attempts_in_far_zone(&mut front_end, 60, |_| Some(Outcome::Served));
     attempts_in_far_zone(&mut front_end, 60, |w| (!far(w)).then_some(Outcome::Served));
-    let gone = zoned(EndpointState::Ready)
+    let near = zoned(EndpointState::Ready)
         .into_iter()
         .filter(|e| !far(&e.worker));
     front_end.update_endpoints(
-        gone.map(|e| Endpoint {
+        near.map(|e| Endpoint {
             state: EndpointState::Removed,
             ..e
         })
         .collect(),
     );
     front_end.advance(5_000 * MS);
-    let sent = attempts_in_far_zone(&mut front_end, 60, |_| Some(Outcome::Served));
-    assert!(sent > 50, "{sent} of 60 went to the remaining zone");
+    let attempts = attempts_in_far_zone(&mut front_end, 60, |_| Some(Outcome::Served));
+    assert!(attempts > 50, "{attempts} of 60 went to the remaining zone");
 }
 
 #[test]
