--- a/crates/pipithub-policy/src/api.rs
+++ b/crates/pipithub-policy/src/api.rs
@@ -1,12 +1,19 @@
 //! The interface of the decision module: settings, events and actions as plain types.
 //!
-//! All times are nanoseconds. A [`Time`] in an event is a length unless its text says otherwise; the
-//! clock itself is handed to [`crate::FrontEnd::handle`].
+//! All times are in nanoseconds. A [`Time`] is a duration unless its description says otherwise; the
+//! time of an event is an argument of [`crate::FrontEnd::handle`].
+
+mod settings;
 
 use std::sync::Arc;
 
 pub use pipithub_clock::Time;
 
+pub use self::settings::{
+    Class, Costs, DeduplicationScope, FunctionLoading, Idempotency, Limits, LoadRateLimit,
+    Settings, SlowStart,
+};
+
 /// Identifies one attempt of a client at a request; never used twice.
 ///
 /// The caller chooses the numbers. They are below 2^61: a timer's token is a request's number or one
@@ -25,7 +32,7 @@
 pub struct WorkerId(pub Arc<str>);
 
 impl WorkerId {
-    /// Wraps an address.
+    /// Makes an id from an address as the endpoint list spells it.
     pub fn new(address: &str) -> Self {
         WorkerId(Arc::from(address))
     }
@@ -41,275 +48,100 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FunctionId(pub u64);
 
-/// Whether a request may be retried once it may have run.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Idempotency {
-    /// May be retried freely.
-    #[default]
-    Idempotent,
-    /// Carries an idempotency key; retries are dropped within a scope of workers for a while.
-    WithKey,
-    /// Must never run twice.
-    NonIdempotent,
-}
-
-/// The workers that drop each other's retries of a request with an idempotency key.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum DeduplicationScope {
-    /// All workers.
-    #[default]
-    All,
-    /// The workers of one zone.
-    Zone,
-    /// The workers of one cell.
-    Cell,
-}
-
-/// A class of requests and the value of its answers.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Class {
-    /// An answer within this time has its full value.
-    pub latency_objective: Time,
-    /// The objective grows by this multiple of the request's own expected work.
-    pub objective_per_work: f64,
-    /// The longest that a client waits over all attempts.
-    pub client_timeout: Time,
-    /// The share of the value that a late answer has.
-    pub late_answer_weight: f64,
-    /// Whether retries are harmless.
-    pub idempotency: Idempotency,
-    /// Which workers drop retries of a request with an idempotency key.
-    pub deduplication_scope: DeduplicationScope,
-    /// For how long they do so.
-    pub deduplication_window: Time,
-}
-
-impl Default for Class {
-    fn default() -> Self {
-        Class {
-            latency_objective: 1_000_000_000,
-            objective_per_work: 0.0,
-            client_timeout: 4_000_000_000,
-            late_answer_weight: 0.0,
-            idempotency: Idempotency::Idempotent,
-            deduplication_scope: DeduplicationScope::All,
-            deduplication_window: 0,
-        }
-    }
-}
-
-/// What a front end may do here.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Limits {
-    /// The most attempts one request may have.
-    pub max_attempts: u32,
-    /// Attempts may be cancelled.
-    pub cancel: bool,
-    /// Workers may be polled for their load.
-    pub load_polls: bool,
-    /// Rejections may carry a Retry-After.
-    pub retry_after: bool,
-    /// The longest Retry-After that clients heed.
-    pub max_retry_after: Time,
-}
-
-impl Default for Limits {
-    fn default() -> Self {
-        Limits {
-            max_attempts: 3,
-            cancel: false,
-            load_polls: false,
-            retry_after: false,
-            max_retry_after: 0,
-        }
-    }
-}
-
-/// What a worker that has just started can take.
-#[derive(Clone, Debug, PartialEq)]
-pub struct SlowStart {
-    /// A worker starts at this share of its capacity, or better.
-    pub initial_weight: f64,
-    /// It is warm after this time.
-    pub window: Time,
-    /// Sent more than this multiple of its present capacity ...
-    pub overload_factor: f64,
-    /// ... for this long, it falls over; 0: it never does.
-    pub overload_window: Time,
-}
-
-impl Default for SlowStart {
-    fn default() -> Self {
-        SlowStart {
-            initial_weight: 1.0,
-            window: 0,
-            overload_factor: 0.0,
-            overload_window: 0,
-        }
-    }
-}
-
-/// A limit on load commands: at most `burst` plus `per_request` for each request taken, over any `window`.
-#[derive(Clone, Debug, PartialEq)]
-pub struct LoadRateLimit {
-    /// The time over which load commands are counted.
-    pub window: Time,
-    /// Load commands allowed in any case.
-    pub burst: f64,
-    /// Further load commands for each request taken.
-    pub per_request: f64,
-}
-
-/// How workers load functions and what they report of it.
-#[derive(Clone, Debug, PartialEq)]
-pub struct FunctionLoading {
-    /// Replicas may be loaded and evicted by command.
-    pub load_commands: bool,
-    /// A request that finds no replica loads one; else it is rejected as [`Outcome::NotLoaded`].
-    pub loads_on_request: bool,
-    /// An idle replica stays at least this long, unless its memory is needed.
-    pub keep_alive: Time,
-    /// Answers tell whether a replica was loaded.
-    pub reports_cold_starts: bool,
-    /// Answers tell how many requests of the function the worker had in flight.
-    pub reports_concurrency: bool,
-    /// The limit on load commands, where there is one.
-    pub rate_limit: Option<LoadRateLimit>,
-}
-
-impl Default for FunctionLoading {
-    fn default() -> Self {
-        FunctionLoading {
-            load_commands: false,
-            loads_on_request: true,
-            keep_alive: 10_000_000_000,
-            reports_cold_starts: false,
-            reports_concurrency: false,
-            rate_limit: None,
-        }
-    }
-}
-
-/// What actions cost, as shares of the value of all requests; 0 where it is not known.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Costs {
-    /// One load poll for each request.
-    pub load_poll: f64,
-}
-
-/// The settings of a front end.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Settings {
-    /// Front ends in this pool, this one included; 0 counts as 1.
-    pub front_ends: u32,
-    /// The shortest gap between two calls of `handle`.
-    pub tick: Time,
-    /// The classes, in the order that [`Request::class`] counts.
-    pub classes: Vec<Class>,
-    /// What is allowed.
-    pub limits: Limits,
-    /// What a worker that has just started can take.
-    pub slow_start: SlowStart,
-    /// How functions are loaded.
-    pub loading: FunctionLoading,
-    /// What actions cost.
-    pub costs: Costs,
-    /// The zone of this front end; empty where it is not known.
-    pub zone: String,
-    /// Updates of the endpoint list must be asked for.
-    pub watch_on_request: bool,
-}
-
-/// The state of a worker in the endpoint list.
+/// Whether a worker in the endpoint list may be sent requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes requests.
+    /// The worker may be sent requests.
     #[default]
     Ready,
-    /// Finishes its requests and must get no new one.
+    /// The worker finishes its requests and must get no new one.
     Draining,
-    /// Removed.
+    /// The worker has left, and must get no new request.
     Removed,
 }
 
 /// What an update of the endpoint list covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// Only what changed.
+    /// The workers that changed; all others stay as they are.
     Delta,
-    /// Every worker there is.
+    /// Every worker there is; all others count as removed.
     Snapshot,
-    /// Every worker, as this front end last saw the list; it may be out of date.
+    /// Every worker, as this front end last saw the list. It may be out of date, and is otherwise
+    /// handled as a snapshot.
     Cached,
-    /// No list came: a call failed.
+    /// No list came, as a call failed or the watch ended; the workers stay as they are.
     Lost,
 }
 
 /// One worker in the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Endpoint {
-    /// Its address.
+    /// The address that identifies the worker.
     pub worker: WorkerId,
-    /// Its weight beside the others; 0 where unknown.
+    /// Its capacity beside that of the other workers, in any unit; 0 where it is not known.
     pub weight: f64,
-    /// Its state.
+    /// Whether it may be sent requests.
     pub state: EndpointState,
-    /// Its zone.
+    /// The zone in which it runs; empty where it is not known.
     pub zone: String,
-    /// Its cell.
+    /// The cell in which it runs; used for [`DeduplicationScope::Cell`] only.
     pub cell: u64,
-    /// Its memory, in MB; 0 where unknown.
+    /// Its memory for replicas, in MB; 0 where it is not known, which counts as enough.
     pub memory_mb: f64,
-    /// The clock time at which it last started; `None`: long ago.
+    /// The time at which its process started, on the clock of [`crate::FrontEnd::handle`]; `None`: long
+    /// ago. Another value than before means that it has restarted.
     pub started_at: Option<Time>,
 }
 
 /// A request that a client has sent to this front end.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// Identifies the request in all events and actions.
     pub id: RequestId,
-    /// The work it is expected to take, where known.
+    /// The work that it is expected to take, in nanoseconds; `None` where it is not known, which
+    /// counts as 0.
     pub expected_work: Option<Time>,
-    /// Memory of one loaded replica, in MB.
+    /// Memory of one loaded replica of its function, in MB.
     pub memory_mb: f64,
-    /// Requests that one replica runs at a time.
+    /// Requests that one replica of its function runs at a time; 0 counts as 1.
     pub replica_concurrency: u32,
-    /// Its class, as an index into the settings.
+    /// Its class, as an index into [`Settings::classes`]; a larger number counts as the last class.
     pub class: usize,
-    /// The usual time of a load, where known.
+    /// The usual time of a load of its function, in nanoseconds; `None` or 0 where it is not known.
     pub load_time: Option<Time>,
-    /// The function that it needs.
+    /// The function that must be loaded where it runs.
     pub function: FunctionId,
-    /// How long the client waits for this answer; `None`: as long as its class does.
+    /// How long the client waits for this answer, in nanoseconds; `None`: the `client_timeout` of its
+    /// class.
     pub timeout: Option<Time>,
 }
 
 /// How an attempt or a load command ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served; or the replicas are loaded.
+    /// The request was answered; of a load command: the replicas are loaded.
     Served,
-    /// An error; it may have run.
+    /// The worker answered with an error; the request may have run.
     Error,
-    /// Rejected at capacity: never ran.
+    /// The worker rejected the request at capacity: it never ran.
     Rejected,
-    /// No answer in time; it may have run or still run.
+    /// No answer came in time; the request may have run or still run.
     TimedOut,
-    /// No connection: never ran.
+    /// No connection could be established: the request never ran.
     Unreachable,
-    /// The connection broke; it may have run.
+    /// The connection broke before the answer; the request may have run.
     ConnectionLost,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; the request may have run or still run.
     Cancelled,
-    /// Not sent at all.
+    /// The attempt was not sent: the request never ran.
     NotSent,
-    /// The function is not loaded there, or its load failed: never ran.
+    /// The function is not loaded at the worker, or its load failed: the request never ran.
     NotLoaded,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt never ran.
+    /// Whether this outcome proves that the request never ran.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -321,173 +153,176 @@
 /// What an answer tells about the replica that served it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaStatus {
-    /// A replica was loaded.
+    /// The replica was loaded before the request came.
     Warm,
-    /// This request began a cold start.
+    /// The request started a load and waited for it.
     LoadStarted,
-    /// This request waited for a cold start begun before.
+    /// The request waited for a load that another one had started.
     LoadAwaited,
-    /// The load failed.
+    /// The request started a load that failed.
     LoadFailed,
 }
 
-/// A worker's own report of its load; any part may be missing.
+/// A worker's own report of its load; a part that it does not report is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests in flight.
+    /// Requests in flight at the worker, from all front ends.
     pub in_flight: Option<f64>,
-    /// How busy its cores are, 0 to 1.
+    /// How busy its cores are, from 0 to 1.
     pub cpu_utilization: Option<f64>,
-    /// Share of its memory that cannot be freed.
+    /// The share of its memory that cannot be freed, from 0 to 1.
     pub pinned_memory: Option<f64>,
-    /// Loads under way or waiting.
+    /// Loads that are in progress or queued.
     pub pending_loads: Option<f64>,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptFinished {
-    /// The request.
+    /// The request that the attempt was for.
     pub request: RequestId,
-    /// Which of its attempts, from 0.
+    /// Which of its attempts it was, from 0.
     pub attempt: u32,
-    /// Where it was sent.
+    /// The worker that it was sent to.
     pub worker: WorkerId,
     /// How it ended.
     pub outcome: Outcome,
-    /// How long it took.
+    /// How long it took, in nanoseconds.
     pub elapsed: Time,
-    /// The request is over, by this outcome or before it.
+    /// Whether the request has its final answer, by this outcome or before it; else it is retried or
+    /// ended by an action.
     pub settled: bool,
-    /// What it tells of the replica, where known.
+    /// What the answer tells about the replica; `None` where it does not.
     pub replica_status: Option<ReplicaStatus>,
-    /// Requests of the function that the worker had in flight when this one came, where known.
+    /// Requests of the function that the worker had in flight when this one came, itself not
+    /// included; `None` where the answer does not tell.
     pub function_concurrency: Option<u32>,
-    /// The worker's load report, where one came.
+    /// The worker's load report that came with the answer; all parts `None` where none came.
     pub load_report: LoadReport,
 }
 
-/// The reply to a load command.
+/// The reply to an [`Action::LoadFunction`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadFinished {
-    /// The worker.
+    /// The worker that the command was sent to.
     pub worker: WorkerId,
-    /// The function.
+    /// The function that it was to load.
     pub function: FunctionId,
-    /// How it ended; [`Outcome::Served`]: the replicas are loaded.
+    /// How the command ended; [`Outcome::Served`]: the replicas are loaded.
     pub outcome: Outcome,
-    /// How long it took.
+    /// How long it took, in nanoseconds.
     pub elapsed: Time,
-    /// Replicas that are loaded now.
+    /// How many replicas are loaded now.
     pub replicas: u32,
 }
 
-/// What happened.
+/// An event that [`crate::FrontEnd::handle`] reacts to.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// An update of the endpoint list.
     Endpoints {
-        /// What it covers.
+        /// Which workers the update covers.
         update: EndpointUpdate,
-        /// The workers in it.
+        /// The workers, each at most once.
         endpoints: Vec<Endpoint>,
     },
-    /// A request came in.
+    /// A client has sent a request.
     Arrived(Request),
-    /// An attempt ended.
+    /// An attempt has ended.
     AttemptFinished(AttemptFinished),
-    /// The answer of a streamed request has begun; it has no deadline from here on.
+    /// The answer of a streamed request has started, so that the request has no deadline any more.
     Streaming {
-        /// The request.
+        /// The request whose answer has started.
         request: RequestId,
     },
-    /// The client has cancelled; no answer is owed.
+    /// The client has cancelled a request; it gets no final answer.
     ClientCancelled {
-        /// The request.
+        /// The request that was cancelled.
         request: RequestId,
     },
     /// A load poll has ended.
     LoadPolled {
-        /// The worker.
+        /// The worker that was polled.
         worker: WorkerId,
-        /// It answered.
+        /// Whether it answered in time; if not it counts as fully loaded.
         answered: bool,
-        /// Its load report, where one came.
+        /// Its load report; all parts `None` where none came.
         report: LoadReport,
     },
-    /// A load command ended.
+    /// A load command has ended.
     LoadFinished(LoadFinished),
     /// A timer has expired.
     Timer {
-        /// The token given with it.
+        /// The token that [`Action::SetTimer`] gave.
         token: u64,
     },
-    /// A message from another front end.
+    /// A message from another front end; it is ignored.
     Peer {
-        /// Its number.
+        /// The number of that front end.
         from: u32,
-        /// The message.
+        /// The message as it came.
         bytes: Vec<u8>,
     },
 }
 
-/// What to do.
+/// An action that the caller is to take, in the order in which the actions were given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt.
+    /// Send a request to a worker: a new attempt. One [`Event::AttemptFinished`] follows.
     Forward {
-        /// The request.
+        /// The request to send; its attempts count from 0.
         request: RequestId,
-        /// Where to.
+        /// The worker to send it to.
         worker: WorkerId,
-        /// Its timeout; `None`: until the client gives up.
+        /// The time after which the attempt is to be given up, in nanoseconds; `None`: when the client
+        /// gives up.
         timeout: Option<Time>,
     },
-    /// Stop waiting for an attempt.
+    /// Stop waiting for an attempt, which then ends as [`Outcome::Cancelled`].
     Cancel {
-        /// The request.
+        /// The request that the attempt is for.
         request: RequestId,
-        /// Which attempt.
+        /// Which of its attempts to cancel, from 0.
         attempt: u32,
     },
-    /// Final answer: not served, and a retry is harmless.
+    /// Give the final answer that the request was not served, and that a retry is harmless.
     Reject {
-        /// The request.
+        /// The request to reject.
         request: RequestId,
-        /// How long the client should wait before a retry.
+        /// How long the client should wait before a retry, in nanoseconds; `None`: nothing is said.
         retry_after: Option<Time>,
     },
-    /// Final answer: failed, with nothing promised.
+    /// Give the final answer that the request failed and may have run.
     Fail {
-        /// The request.
+        /// The request that failed.
         request: RequestId,
     },
-    /// Have a worker load at least so many replicas; 0 only asks how many are loaded.
+    /// Make a worker load replicas of a function. One [`Event::LoadFinished`] follows.
     LoadFunction {
-        /// The worker.
+        /// The worker that is to load them.
         worker: WorkerId,
-        /// The function.
+        /// The function to load.
         function: FunctionId,
-        /// Replicas wanted.
+        /// The least number of replicas to have loaded; 0 only asks how many are loaded.
         replicas: u32,
     },
-    /// Have a worker evict its idle replicas of a function.
+    /// Make a worker evict its idle replicas of a function.
     EvictFunction {
-        /// The worker.
+        /// The worker that is to evict them.
         worker: WorkerId,
-        /// The function.
+        /// The function to evict.
         function: FunctionId,
     },
-    /// Poll a worker for its load; one [`Event::LoadPolled`] follows.
+    /// Poll a worker for its load. One [`Event::LoadPolled`] follows.
     PollLoad {
-        /// The worker.
+        /// The worker to poll.
         worker: WorkerId,
     },
-    /// Ask for an [`Event::Timer`].
+    /// Set a timer. One [`Event::Timer`] follows.
     SetTimer {
-        /// How far from now.
+        /// The time from now until it expires, in nanoseconds.
         after: Time,
-        /// Comes back with it.
+        /// The token to give back with the event.
         token: u64,
     },
     /// Ask that updates of the endpoint list be sent from now on.
