--- a/crates/pipithub-adapter/src/main.rs
+++ b/crates/pipithub-adapter/src/main.rs
@@ -1,21 +1,23 @@
-//! Speaks the line protocol of the front ends on standard input and output, and hands every event to
-//! the decision module. It translates and does nothing else.
+//! Speaks the line protocol of the front ends on standard input and output, and passes every event
+//! to the decision module. It only translates.
 
+mod error;
 mod wire;
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, BufWriter, Write};
 use std::process::ExitCode;
 
+use error::{AdapterError, LineError};
 use pipithub_platform::settings::{self, Names};
 use pipithub_policy::FrontEnd;
 use pipithub_policy::api::{Action, Endpoint, Event, Time};
 use wire::Input;
 
-/// Buffered bytes of the input.
+/// The size of the input's buffer, in bytes.
 const INPUT_BUFFER: usize = 1 << 16;
 
-/// One hosted front end, with the names that its lines use.
+/// An attached front end, with the names that its lines use.
 struct Hosted {
     front_end: FrontEnd,
     names: Names,
@@ -29,15 +31,15 @@
         BufWriter::new(stdout.lock()),
     ) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("pipithub-adapter: {message}");
+        Err(error) => {
+            eprintln!("pipithub-adapter: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
 /// Reads batches until the input ends; every error names the line that it stands on.
-fn run(input: impl BufRead, mut output: impl Write) -> Result<(), String> {
+fn run(input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut session = Session::new(input);
     while session.lines.next()? {
         if session.lines.text.is_empty() {
@@ -47,12 +49,12 @@
         output
             .write_all(reply.as_bytes())
             .and_then(|()| output.flush())
-            .map_err(|e| format!("cannot write a reply: {e}"))?;
+            .map_err(AdapterError::Write)?;
     }
     Ok(())
 }
 
-/// The hosted front ends, and the input that speaks to them.
+/// The attached front ends, and the input with their events.
 struct Session<R: BufRead> {
     lines: Lines<R>,
     hosted: BTreeMap<u64, Hosted>,
@@ -74,9 +76,9 @@
         }
     }
 
-    /// Handles the batch whose first line was read; returns the reply to it.
-    fn answer_batch(&mut self) -> Result<&str, String> {
-        let now = wire::clock(&self.lines.text).map_err(|e| self.lines.at(&e))?;
+    /// Handles the batch whose first line was read, and returns the reply to it.
+    fn answer_batch(&mut self) -> Result<&str, AdapterError> {
+        let now = wire::clock(&self.lines.text).map_err(|e| self.lines.at(e))?;
         self.reply.clear();
         loop {
             self.lines.next_of("a batch")?;
@@ -89,8 +91,8 @@
         Ok(&self.reply)
     }
 
-    fn handle_line(&mut self, now: Time) -> Result<(), String> {
-        let (id, name) = wire::addressee(&self.lines.text).map_err(|e| self.lines.at(&e))?;
+    fn handle_line(&mut self, now: Time) -> Result<(), AdapterError> {
+        let (id, name) = wire::addressee(&self.lines.text).map_err(|e| self.lines.at(e))?;
         match name {
             "attach" => self.attach(id),
             "killed" => {
@@ -102,9 +104,9 @@
     }
 
     /// Starts a front end.
-    fn attach(&mut self, id: u64) -> Result<(), String> {
-        let (seed, text) = wire::attach(&self.lines.text).map_err(|e| self.lines.at(&e))?;
-        let site = settings::parse(text).map_err(|e| self.lines.at(&e.to_string()))?;
+    fn attach(&mut self, id: u64) -> Result<(), AdapterError> {
+        let (seed, text) = wire::attach(&self.lines.text).map_err(|e| self.lines.at(e))?;
+        let site = settings::parse(text).map_err(|e| self.lines.at(e.into()))?;
         let hosted = Hosted {
             front_end: FrontEnd::new(site.policy, seed),
             names: site.names,
@@ -113,15 +115,16 @@
         Ok(())
     }
 
-    /// Hands an event to the front end that it is for, and appends its actions to the reply.
-    fn handle_event(&mut self, now: Time, id: u64) -> Result<(), String> {
+    /// Passes an event to the front end that it is for, and appends its actions to the reply.
+    fn handle_event(&mut self, now: Time, id: u64) -> Result<(), AdapterError> {
         let Some(hosted) = self.hosted.get_mut(&id) else {
-            let name = self.lines.text.split(' ').next().unwrap_or_default();
-            return Err(self.lines.at(&format!(
-                "'{name}' for front end {id}, which is not attached"
-            )));
+            let message = self.lines.text.split(' ').next().unwrap_or_default();
+            return Err(self.lines.at(LineError::NotAttached {
+                message: message.to_string(),
+                front_end: id,
+            }));
         };
-        let input = wire::event(&self.lines.text, &hosted.names).map_err(|e| self.lines.at(&e))?;
+        let input = wire::event(&self.lines.text, &hosted.names).map_err(|e| self.lines.at(e))?;
         let event = match input {
             Input::Event(event) => event,
             Input::List { update, count } => Event::Endpoints {
@@ -142,11 +145,11 @@
     lines: &mut Lines<R>,
     count: usize,
     names: &Names,
-) -> Result<Vec<Endpoint>, String> {
+) -> Result<Vec<Endpoint>, AdapterError> {
     let mut endpoints = Vec::new();
     for _ in 0..count {
         lines.next_of("a list")?;
-        endpoints.push(wire::entry(&lines.text, names).map_err(|e| lines.at(&e))?);
+        endpoints.push(wire::entry(&lines.text, names).map_err(|e| lines.at(e))?);
     }
     Ok(endpoints)
 }
@@ -160,28 +163,32 @@
 
 impl<R: BufRead> Lines<R> {
     /// Reads the next line into `text`; `false` where the input ends.
-    fn next(&mut self) -> Result<bool, String> {
+    fn next(&mut self) -> Result<bool, AdapterError> {
         self.text.clear();
         self.number += 1;
         let read = self
             .input
             .read_line(&mut self.text)
-            .map_err(|e| self.at(&e.to_string()))?;
+            .map_err(|e| self.at(e.into()))?;
         let length = self.text.trim_end_matches(['\n', '\r']).len();
         self.text.truncate(length);
         Ok(read > 0)
     }
 
     /// Reads the next line of something that the input must not end inside of.
-    fn next_of(&mut self, whole: &str) -> Result<(), String> {
+    fn next_of(&mut self, unit: &'static str) -> Result<(), AdapterError> {
         if self.next()? {
             Ok(())
         } else {
-            Err(self.at(&format!("input ends inside {whole}")))
+            Err(self.at(LineError::UnexpectedEnd { unit }))
         }
     }
 
-    fn at(&self, message: &str) -> String {
-        format!("line {}: {message}", self.number)
+    /// An error on the present line.
+    fn at(&self, error: LineError) -> AdapterError {
+        AdapterError::Line {
+            number: self.number,
+            error,
+        }
     }
 }
--- a/crates/pipithub-adapter/src/wire.rs
+++ b/crates/pipithub-adapter/src/wire.rs
@@ -9,6 +9,8 @@
     LoadFinished, LoadReport, Outcome, ReplicaStatus, Request, RequestId, Time, WorkerId,
 };
 
+use crate::error::LineError;
+
 /// Nanoseconds in a millisecond.
 const NANOS_PER_MS: f64 = 1e6;
 /// The detail of an answer is the concurrency of its function times this, plus the replica's status.
@@ -37,49 +39,48 @@
         }
     }
 
-    fn text(&mut self, what: &str) -> Result<&'a str, String> {
+    fn text(&mut self, field: &'static str) -> Result<&'a str, LineError> {
         self.rest
             .next()
             .filter(|p| !p.is_empty())
-            .ok_or_else(|| format!("{what} is missing"))
+            .ok_or(LineError::MissingField { field })
     }
 
     /// A value that may be absent: `-`, or no part at all.
-    fn maybe<T: FromStr>(&mut self, what: &str) -> Result<Option<T>, String> {
+    fn maybe<T: FromStr>(&mut self, field: &'static str) -> Result<Option<T>, LineError> {
         match self.rest.next() {
             None | Some("-") => Ok(None),
             Some(part) => part
                 .parse()
                 .map(Some)
-                .map_err(|_| format!("{what}: cannot read '{part}'")),
+                .map_err(|_| LineError::unreadable(field, part)),
         }
     }
 
-    fn value<T: FromStr>(&mut self, what: &str) -> Result<T, String> {
-        self.maybe(what)?
-            .ok_or_else(|| format!("{what} is missing"))
+    fn value<T: FromStr>(&mut self, field: &'static str) -> Result<T, LineError> {
+        self.maybe(field)?.ok_or(LineError::MissingField { field })
     }
 
-    fn bool(&mut self, what: &str) -> Result<bool, String> {
-        match self.text(what)? {
+    fn bool(&mut self, field: &'static str) -> Result<bool, LineError> {
+        match self.text(field)? {
             "1" => Ok(true),
             "0" | "-" => Ok(false),
-            other => Err(format!("{what}: cannot read '{other}'")),
+            other => Err(LineError::unreadable(field, other)),
         }
     }
 
-    fn function(&mut self) -> Result<FunctionId, String> {
+    fn function(&mut self) -> Result<FunctionId, LineError> {
         let text = self.text("Model")?;
         u64::from_str_radix(text, 16)
             .map(FunctionId)
-            .map_err(|_| format!("Model: cannot read '{text}'"))
+            .map_err(|_| LineError::unreadable("Model", text))
     }
 
-    fn worker(&mut self) -> Result<WorkerId, String> {
+    fn worker(&mut self) -> Result<WorkerId, LineError> {
         Ok(WorkerId::new(self.text("Worker")?))
     }
 
-    fn outcome(&mut self) -> Result<Outcome, String> {
+    fn outcome(&mut self) -> Result<Outcome, LineError> {
         Ok(match self.text("Status")? {
             "S" => Outcome::Served,
             "E" => Outcome::Error,
@@ -90,11 +91,11 @@
             "X" => Outcome::Cancelled,
             "N" => Outcome::NotSent,
             "M" => Outcome::NotLoaded,
-            other => return Err(format!("Status: unknown '{other}'")),
+            other => return Err(LineError::unknown_word("Status", other)),
         })
     }
 
-    fn load(&mut self) -> Result<LoadReport, String> {
+    fn load(&mut self) -> Result<LoadReport, LineError> {
         let mut load = LoadReport::default();
         let pairs = match self.rest.next() {
             None | Some("-" | "") => return Ok(load),
@@ -103,7 +104,7 @@
         for pair in pairs.split(',') {
             let (name, value) = pair
                 .split_once(':')
-                .ok_or_else(|| format!("Load: cannot read '{pair}'"))?;
+                .ok_or_else(|| LineError::unreadable("Load", pair))?;
             let slot = match name {
                 "rif" => &mut load.in_flight,
                 "busy" => &mut load.cpu_utilization,
@@ -113,7 +114,7 @@
             };
             let number: f64 = value
                 .parse()
-                .map_err(|_| format!("Load: cannot read '{pair}'"))?;
+                .map_err(|_| LineError::unreadable("Load", pair))?;
             *slot = Some(number).filter(|n| n.is_finite());
         }
         Ok(load)
@@ -121,41 +122,50 @@
 }
 
 /// Reads the line that begins a batch.
-pub(crate) fn clock(line: &str) -> Result<Time, String> {
+pub(crate) fn clock(line: &str) -> Result<Time, LineError> {
     let mut parts = Parts::of(line);
     match parts.text("message")? {
         "sync" => parts.value("clock"),
-        other => Err(format!("expected 'sync', found '{other}'")),
+        other => Err(LineError::UnexpectedMessage {
+            expected: "sync",
+            found: other.to_string(),
+        }),
     }
 }
 
 /// The front end that a line is for, and the name of its message.
-pub(crate) fn addressee(line: &str) -> Result<(u64, &str), String> {
+pub(crate) fn addressee(line: &str) -> Result<(u64, &str), LineError> {
     let mut parts = Parts::of(line);
     let name = parts.text("message")?;
     Ok((
-        parts.value("EndId").map_err(|e| format!("{name}: {e}"))?,
+        parts
+            .value("EndId")
+            .map_err(|e: LineError| e.in_message(name))?,
         name,
     ))
 }
 
 /// Seed and settings text of an `attach`.
-pub(crate) fn attach(line: &str) -> Result<(u64, &str), String> {
+pub(crate) fn attach(line: &str) -> Result<(u64, &str), LineError> {
     let mut parts = line.splitn(4, ' ').skip(2);
-    let seed = parts.next().ok_or("attach: RngSeed is missing")?;
-    let seed = seed
-        .parse()
-        .map_err(|_| format!("attach: RngSeed: cannot read '{seed}'"))?;
-    Ok((seed, parts.next().ok_or("attach: BootInfo is missing")?))
+    let mut fields = || {
+        let missing = |field| LineError::MissingField { field };
+        let seed = parts.next().ok_or(missing("RngSeed"))?;
+        let seed = seed
+            .parse()
+            .map_err(|_| LineError::unreadable("RngSeed", seed))?;
+        Ok((seed, parts.next().ok_or(missing("BootInfo"))?))
+    };
+    fields().map_err(|e: LineError| e.in_message("attach"))
 }
 
 /// Reads any other event line.
-pub(crate) fn event(line: &str, names: &Names) -> Result<Input, String> {
+pub(crate) fn event(line: &str, names: &Names) -> Result<Input, LineError> {
     let name = line.split(' ').next().unwrap_or_default();
-    parse(line, names).map_err(|e| format!("{name}: {e}"))
+    parse(line, names).map_err(|e| e.in_message(name))
 }
 
-fn parse(line: &str, names: &Names) -> Result<Input, String> {
+fn parse(line: &str, names: &Names) -> Result<Input, LineError> {
     let mut parts = Parts::of(line);
     let name = parts.text("message")?;
     parts.text("EndId")?;
@@ -178,21 +188,21 @@
         "head_received" => Event::Streaming {
             request: RequestId(parts.value("Req")?),
         },
-        _ => return Err("unknown message".to_string()),
+        _ => return Err(LineError::UnknownMessage),
     };
     Ok(Input::Event(event))
 }
 
 /// Whole messages, from the part after the front end's id on.
 impl Parts<'_> {
-    fn endpoint_list(&mut self) -> Result<Input, String> {
+    fn endpoint_list(&mut self) -> Result<Input, LineError> {
         self.maybe::<u64>("Revision")?;
         let update = match self.text("How")? {
             "incr" => EndpointUpdate::Delta,
             "total" => EndpointUpdate::Snapshot,
             "warm_copy" => EndpointUpdate::Cached,
             "lost" => EndpointUpdate::Lost,
-            other => return Err(format!("How: unknown '{other}'")),
+            other => return Err(LineError::unknown_word("How", other)),
         };
         Ok(Input::List {
             update,
@@ -200,7 +210,7 @@
         })
     }
 
-    fn request(&mut self, names: &Names) -> Result<Request, String> {
+    fn request(&mut self, names: &Names) -> Result<Request, LineError> {
         let id = RequestId(self.value("Req")?);
         let expected_work = self.maybe("Expected")?;
         self.text("Owner")?;
@@ -219,14 +229,14 @@
             expected_work,
             memory_mb,
             replica_concurrency,
-            class: class.ok_or_else(|| format!("Grade: unknown '{grade}'"))?,
+            class: class.ok_or_else(|| LineError::unknown_word("Grade", grade))?,
             load_time: load_ms.map(|ms| (ms * NANOS_PER_MS) as Time),
             function,
             timeout: self.maybe("TimeBudget")?,
         })
     }
 
-    fn load_polled(&mut self) -> Result<Event, String> {
+    fn load_polled(&mut self) -> Result<Event, LineError> {
         self.maybe::<Time>("Rtt")?;
         let answered = self.outcome()? == Outcome::Served;
         Ok(Event::LoadPolled {
@@ -236,7 +246,7 @@
         })
     }
 
-    fn load_finished(&mut self) -> Result<LoadFinished, String> {
+    fn load_finished(&mut self) -> Result<LoadFinished, LineError> {
         Ok(LoadFinished {
             worker: self.worker()?,
             function: self.function()?,
@@ -246,7 +256,7 @@
         })
     }
 
-    fn attempt_finished(&mut self) -> Result<AttemptFinished, String> {
+    fn attempt_finished(&mut self) -> Result<AttemptFinished, LineError> {
         let request = RequestId(self.value("Req")?);
         let attempt = self.value("N")?;
         let worker = self.worker()?;
@@ -280,12 +290,15 @@
 }
 
 /// Reads one line of a list.
-pub(crate) fn entry(line: &str, names: &Names) -> Result<Endpoint, String> {
+pub(crate) fn entry(line: &str, names: &Names) -> Result<Endpoint, LineError> {
     let mut p = Parts::of(line);
     if p.text("message")? != "entry" {
-        return Err(format!("expected 'entry', found '{line}'"));
+        return Err(LineError::UnexpectedMessage {
+            expected: "entry",
+            found: line.to_string(),
+        });
     }
-    let fields = |p: &mut Parts| -> Result<Endpoint, String> {
+    let fields = |p: &mut Parts| -> Result<Endpoint, LineError> {
         Ok(Endpoint {
             weight: p
                 .maybe::<f64>("Share")?
@@ -296,7 +309,7 @@
                 "live" => EndpointState::Ready,
                 "quiescing" => EndpointState::Draining,
                 "dead" => EndpointState::Removed,
-                other => return Err(format!("StageState: unknown '{other}'")),
+                other => return Err(LineError::unknown_word("StageState", other)),
             },
             zone: p.text("Dc")?.to_string(),
             cell: p.maybe("Block")?.unwrap_or(0),
@@ -304,14 +317,14 @@
             started_at: p.maybe::<Time>("StartTime")?.filter(|&t| t > 0),
         })
     };
-    fields(&mut p).map_err(|e| format!("entry: {e}"))
+    fields(&mut p).map_err(|e| e.in_message("entry"))
 }
 
-fn bytes(text: &str) -> Result<Vec<u8>, String> {
+fn bytes(text: &str) -> Result<Vec<u8>, LineError> {
     if text == "-" {
         return Ok(Vec::new());
     }
-    let bad = || format!("Bytes: cannot read '{text}'");
+    let bad = || LineError::unreadable("Bytes", text);
     if !text.len().is_multiple_of(2) || !text.is_ascii() {
         return Err(bad());
     }
