--- a/crates/pipithub-adapter/src/error.rs
+++ b/crates/pipithub-adapter/src/error.rs
@@ -42,7 +42,7 @@
     /// A field is no number, or a malformed one.
     #[error("{field}: cannot read '{text}'")]
     UnreadableField { field: &'static str, text: String },
-    /// A field holds a word that stands for nothing.
+    /// A field holds a word without a meaning there.
     #[error("{field}: unknown '{word}'")]
     UnknownWord { field: &'static str, word: String },
     /// A fault inside a message whose name is known.
@@ -65,7 +65,7 @@
         }
     }
 
-    /// A word that stands for nothing.
+    /// A word without a meaning in its field.
     pub(crate) fn unknown_word(field: &'static str, word: &str) -> Self {
         LineError::UnknownWord {
             field,
--- a/crates/pipithub-adapter/src/wire.rs
+++ b/crates/pipithub-adapter/src/wire.rs
@@ -1,4 +1,4 @@
-//! Lines of the wire, to and from the plain types of the library.
+//! Conversion between lines of the protocol and the types of the decision module.
 
 use std::fmt::Write;
 use std::str::FromStr;
@@ -18,7 +18,7 @@
 
 /// What one line holds.
 pub(crate) enum Input {
-    /// A whole event.
+    /// An event that this line holds completely.
     Event(Event),
     /// The head of a list, with the number of entry lines that follow.
     List {
@@ -27,7 +27,7 @@
     },
 }
 
-/// Walks over the parts of a line.
+/// The parts of a line that are not read yet.
 struct Parts<'a> {
     rest: std::str::Split<'a, char>,
 }
@@ -193,7 +193,7 @@
     Ok(Input::Event(event))
 }
 
-/// Whole messages, from the part after the front end's id on.
+/// Complete messages, from the part after the front end's id on.
 impl Parts<'_> {
     fn endpoint_list(&mut self) -> Result<Input, LineError> {
         self.maybe::<u64>("Revision")?;
@@ -278,7 +278,7 @@
     }
 }
 
-/// What the detail of an answer tells of the replica that it met.
+/// The status of the replica, as the detail of an answer encodes it; `None` where it does not.
 fn replica_status(detail: u32) -> Option<ReplicaStatus> {
     match detail % DETAIL_STATUSES {
         1 => Some(ReplicaStatus::Warm),
--- a/crates/pipithub-policy/src/api.rs
+++ b/crates/pipithub-policy/src/api.rs
@@ -176,7 +176,7 @@
     pub pending_loads: Option<f64>,
 }
 
-/// The end of an attempt.
+/// The end of an attempt that [`Action::Forward`] started.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptFinished {
     /// The request that the attempt was for.
@@ -185,7 +185,7 @@
     pub attempt: u32,
     /// The worker that it was sent to.
     pub worker: WorkerId,
-    /// How it ended.
+    /// How the attempt ended, and so whether the request may have run.
     pub outcome: Outcome,
     /// How long it took, in nanoseconds.
     pub elapsed: Time,
--- a/crates/pipithub-policy/src/api/settings.rs
+++ b/crates/pipithub-policy/src/api/settings.rs
@@ -164,7 +164,7 @@
     }
 }
 
-/// What actions cost.
+/// The prices of actions, as far as they are not free.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Costs {
     /// The cost of one load poll for each request, as a share of the value of all requests, from 0 to
@@ -189,7 +189,7 @@
     pub slow_start: SlowStart,
     /// How workers load functions and what they report of it.
     pub loading: FunctionLoading,
-    /// What actions cost.
+    /// The prices of actions.
     pub costs: Costs,
     /// The zone of this front end, as the endpoint list spells it; empty where it is not known.
     pub zone: String,
--- a/crates/pipithub-policy/src/attempt.rs
+++ b/crates/pipithub-policy/src/attempt.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{AttemptFinished, FunctionId, Outcome, RequestId, Time};
 
-/// Identifies an attempt.
+/// Identifies an attempt among those of all requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct AttemptId {
     pub(crate) request: RequestId,
@@ -37,7 +37,7 @@
 /// This front end's attempts at the worker when an attempt was sent, itself included.
 #[derive(Clone, Debug)]
 pub(crate) struct OwnConcurrency {
-    /// All of them.
+    /// Those of all functions.
     pub(crate) total: f64,
     /// Those of the same function.
     pub(crate) of_function: f64,
--- a/crates/pipithub-policy/src/concurrency_limit.rs
+++ b/crates/pipithub-policy/src/concurrency_limit.rs
@@ -22,7 +22,7 @@
 }
 
 impl ConcurrencyLimit {
-    /// Whether one more attempt may be sent beside those in flight.
+    /// Whether a further attempt may be sent beside those in flight.
     pub(crate) fn allows(&self, in_flight: usize) -> bool {
         (in_flight as f64) < self.limit
     }
--- a/crates/pipithub-policy/src/front_end.rs
+++ b/crates/pipithub-policy/src/front_end.rs
@@ -1,6 +1,6 @@
 //! One front end: its state, and the step that each event starts.
 //!
-//! The types that go in and out stand in `src/api.rs`. There is no clock, thread or I/O here: equal
+//! The types that go in and out are in `src/api.rs`. There is no clock, thread or I/O here: equal
 //! events give equal actions, so that a recorded day can be replayed. Each decision has a module of
 //! its own; the mechanism follows "Resource Provisioning and Allocation in Function-as-a-Service
 //! Edge-Clouds", as `docs/design.md` tells with what was changed and why.
@@ -37,7 +37,7 @@
 /// The decisions of one front end.
 ///
 /// Each decision's memory is a type of its own; those of single workers are parts of
-/// [`crate::worker::WorkerState`]. The modules below this one hold the steps that need several of
+/// `WorkerState`. The modules below this one hold the steps that need several of
 /// them, and no other module sees these fields.
 #[derive(Debug, Default)]
 pub struct FrontEnd {
@@ -59,7 +59,8 @@
 }
 
 impl FrontEnd {
-    /// A front end that knows nothing but its settings.
+    /// A front end that knows nothing but its settings; `seed` should differ between front ends, as
+    /// it makes their random choices differ.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let settings = bounded(settings);
         FrontEnd {
@@ -73,7 +74,9 @@
         }
     }
 
-    /// Takes one event and appends what to do about it.
+    /// Handles one event at the time `now`, in nanoseconds, and appends the actions to take.
+    ///
+    /// A time before that of an earlier event counts as that of the earlier one.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now.min(MAX_TIME));
         if !self.rebalancer.is_started() {
@@ -121,7 +124,7 @@
     }
 }
 
-/// Replaces settings that the arithmetic could not bear: no class, no front end, durations without
+/// Replaces settings that would make the arithmetic fail: no class, no front end, durations without
 /// a bound.
 fn bounded(mut settings: Settings) -> Settings {
     if settings.classes.is_empty() {
--- a/crates/pipithub-policy/src/front_end/function_loading.rs
+++ b/crates/pipithub-policy/src/front_end/function_loading.rs
@@ -1,8 +1,7 @@
-//! Loads of functions: how many may be under way, and the load commands that bring functions in.
+//! Loads of functions: how many are in progress, and the commands that load them.
 //!
-//! A slow store must not be asked for more than it delivers, so that loads are limited by the
-//! worker; load commands obey a rate limit where there is one; and after failed loads none is begun
-//! for a while.
+//! The limits on loads are in `src/load_limiter.rs`: a slow store must not be asked for more than it
+//! delivers.
 
 use std::collections::BTreeSet;
 
@@ -16,13 +15,13 @@
 /// The share of a worker's memory that believed replicas fill before a further one evicts: others
 /// run too.
 const MAX_MEMORY_SHARE: f64 = 0.5;
-/// No reply to a load command counts for more replicas.
+/// The largest number of replicas that a reply to a load command counts for.
 const MAX_REPORTED_REPLICAS: u32 = 64;
-/// When replicas are ready that a command is to load: no duration tells. It lies beyond all points
-/// in time, with room to add to it.
+/// When replicas are ready that a command is to load, as no duration is known. It is later than all
+/// points in time, and durations can be added to it without overflow.
 const UNKNOWN_READY_AT: Time = Time::MAX >> 1;
 
-/// Loads that this front end believes under way.
+/// The loads that this front end believes to be in progress.
 pub(super) struct LoadsInProgress {
     pub(super) count: usize,
     /// One of them is of the function that was asked about.
@@ -71,14 +70,14 @@
 /// Needs the settings, the workers, the estimates, the limits on loads and the pending requests; it
 /// writes what is believed of replicas.
 impl FrontEnd {
-    /// The loads that this front end believes under way.
+    /// The loads that this front end believes to be in progress.
     pub(super) fn loads_in_progress(&self, function: FunctionId) -> LoadsInProgress {
         let mut loads = LoadsInProgress {
             count: 0,
             of_function: false,
         };
-        // What hangs at a worker that cannot be reached loads nothing: counted, it would bar those
-        // left.
+        // Attempts at a worker that cannot be reached load nothing; if they counted, they would
+        // prevent loads at the other workers.
         let reachable = self
             .workers
             .loading()
@@ -86,8 +85,8 @@
         for worker in reachable {
             let loading = loading_functions(worker, self.now);
             loads.count += functions_adding_replicas(worker) + loading.len();
-            // Before an answer has shown a replica anywhere, a second load would be a guess on a
-            // guess.
+            // While a replica is presumed but not confirmed by an answer, a second load would rest
+            // on two assumptions.
             let is_unconfirmed = || {
                 worker
                     .attempts
@@ -113,10 +112,10 @@
         memory_of_worker <= 0.0 || used + memory(function) <= memory_of_worker * MAX_MEMORY_SHARE
     }
 
-    /// Has a worker load a function; `false` where it may not.
+    /// Makes a worker load a function; returns `false` where it may not.
     ///
-    /// This is the only place that gives load commands: drained and removed workers get none, and
-    /// the rate limit is kept.
+    /// All load commands are given here: draining and removed workers get none, and the rate limit
+    /// is kept.
     pub(super) fn command_load(
         &mut self,
         worker_id: &WorkerId,
@@ -157,7 +156,7 @@
         true
     }
 
-    /// Takes the reply to a load command; requests that waited for it are routed again.
+    /// Handles the reply to a load command; requests that waited for it are routed again.
     pub(super) fn finish_load(&mut self, reply: &LoadFinished, actions: &mut Vec<Action>) {
         let elapsed = reply.elapsed.min(MAX_DURATION) as f64;
         let run_time = self.estimates.run_time(reply.function, 0);
@@ -188,7 +187,7 @@
         }
     }
 
-    /// Takes in which replicas a reply tells of; whether a command has loaded them.
+    /// Records the replicas that a reply reports; returns whether a command has loaded them.
     fn record_load_reply(&mut self, reply: &LoadFinished) -> bool {
         let count = reply.replicas.min(MAX_REPORTED_REPLICAS);
         let Some(mut worker) = self.workers.get_mut(&reply.worker) else {
--- a/crates/pipithub-policy/src/front_end/requests.rs
+++ b/crates/pipithub-policy/src/front_end/requests.rs
@@ -1,5 +1,5 @@
-//! The life of a request: accepted, forwarded, retried, and given one final answer in the client's
-//! time.
+//! The steps of a request: it is accepted, forwarded, retried, and given one final answer before its
+//! client gives up.
 
 use super::FrontEnd;
 use super::replay::{Prediction, RUN_TIME_MARGIN};
@@ -55,7 +55,7 @@
         self.route(id, actions);
     }
 
-    /// Sends a request to a worker.
+    /// Forwards a request to the chosen worker.
     pub(super) fn forward(&mut self, id: RequestId, chosen: Candidate, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.get(&id) else {
             return;
@@ -81,7 +81,8 @@
         });
     }
 
-    /// Takes the end of an attempt, learns from it, and retries the request where it is not over.
+    /// Handles the end of an attempt: learns from it, and retries the request if it has no final
+    /// answer.
     pub(super) fn finish_attempt(&mut self, end: &AttemptFinished, actions: &mut Vec<Action>) {
         if end.load_report != LoadReport::default() {
             self.record_load_report(&end.worker, Some(end.load_report), actions);
@@ -120,14 +121,14 @@
         }
     }
 
-    /// Ends a request whose client has cancelled it; no answer is owed.
+    /// Ends a request whose client has cancelled it, without a final answer.
     pub(super) fn cancel_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if let Some(pending) = self.pending.remove(&id) {
             self.cancel_attempt(id, &pending, actions);
         }
     }
 
-    /// Ends a request whose client's time is all but over, unless its answer has begun.
+    /// Ends a request whose client is about to give up, unless its answer has started.
     pub(super) fn expire_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let is_over = |pending: &PendingRequest| {
             !pending.streaming && self.now + 3 * self.settings.tick >= pending.deadline
@@ -161,12 +162,13 @@
         });
     }
 
-    /// Cancels an attempt that nobody waits for, however the wait ended.
+    /// Cancels an attempt whose client waits no longer, for whatever reason.
     ///
-    /// Clients that leave and retry at once would else have the work done twice and more, and the
-    /// full queues then outlast the cause. In a small deployment the own queue shows it; in a large
-    /// one nothing does. It may harm where cancelled work goes on: that is replayed to its
-    /// predicted finish, and the time it took is learnt from, but its true end is never known.
+    /// Otherwise clients that leave and retry at once would have the work done several times, and the
+    /// full queues would outlast the cause. In a small deployment the own queue shows this; in a
+    /// large one nothing does. It may harm where cancelled work continues: the replay counts that
+    /// until its predicted finish, and the time it took is learnt from, but its true end is never
+    /// known.
     fn cancel_attempt(&self, id: RequestId, pending: &PendingRequest, actions: &mut Vec<Action>) {
         if let Some(attempt) = pending.attempts.in_flight()
             && self.settings.limits.cancel
--- a/crates/pipithub-policy/src/front_end/routing.rs
+++ b/crates/pipithub-policy/src/front_end/routing.rs
@@ -1,6 +1,6 @@
 //! The worker that a request is forwarded to.
 //!
-//! The workers are gone through in the function's order, and the first at which the prediction
+//! The workers are considered in the function's order, and the first at which the prediction
 //! meets every deadline gets the request (admission by replay, the paper, section III-B). Where
 //! none does, an answer after the latency objective, a speculative attempt or a worker with busy
 //! cores may do; else the request is rejected unsent. `docs/design.md`, "Exceptions, and when each
@@ -28,7 +28,7 @@
     pub(super) target_deadline: Time,
 }
 
-/// What a worker is to a request.
+/// Whether a worker suits a request.
 enum Verdict {
     /// It may not be sent the request, or would not serve it in time.
     Unsuitable,
@@ -38,7 +38,7 @@
     NeedsPoll,
     /// Every deadline is met there.
     Admits(Prediction),
-    /// Only a load stands in the way of the target deadline.
+    /// It would admit the request if it needed no load.
     AwaitsLoad(Prediction),
 }
 
@@ -47,7 +47,7 @@
     pending: &'a PendingRequest,
     /// The deadline that the request is to meet.
     target_deadline: Time,
-    /// Zones that are left alone.
+    /// Zones that get no attempt.
     closed_zones: BTreeSet<&'a str>,
     /// A replica of the function is believed somewhere.
     located: bool,
@@ -55,7 +55,7 @@
     may_load: bool,
     /// A further replica may be started where there is one.
     may_add_replica: bool,
-    /// The run alone, with its margin.
+    /// The run time at a slowdown of 1 with its margin, in nanoseconds.
     padded_run_time: f64,
 }
 
@@ -66,7 +66,7 @@
     admits: Option<Candidate>,
     /// The first one that serves it after its objective.
     late: Option<Candidate>,
-    /// The first one at which only a load stands in the way.
+    /// The first one that would admit the request if it needed no load.
     awaits_load: Option<Candidate>,
     /// The first one that would admit it, were its cores not busy.
     busy: Option<Candidate>,
@@ -96,8 +96,8 @@
             return self.poll_load(id, worker, actions);
         }
         if let Some(miss) = &found.awaits_load {
-            // A load longer than clients wait is begun by no request: only a command spreads such a
-            // function.
+            // No request starts a load that takes longer than clients wait: only a command spreads
+            // such a function.
             let may_spread = found.admits.is_some() || miss.prediction.finish > deadline;
             self.record_placement_miss(&miss.worker, id, may_spread, actions);
         }
@@ -143,8 +143,8 @@
         let order = self.preference_order(request.function);
         let search = self.begin_search(pending, target_deadline);
         let mut found = Found::default();
-        // Where nobody is believed to hold it, it is presumed at its first worker: a front end that
-        // knows nothing must neither reject nor spread. Where that one is lost it is loaded
+        // A function that no worker is believed to hold is presumed loaded at its first worker: a
+        // front end that knows nothing must neither reject nor spread. Where that one is lost it is loaded
         // nowhere: presumed at the next one, each of the lost worker's functions would begin a load
         // there past the limit on loads.
         let mut presumed = !search.located && pending.attempts.count() == 0;
@@ -222,7 +222,7 @@
             .any(|worker| worker.is_ready() && self.replica_ready_at(worker, function).is_some())
     }
 
-    /// What a worker is to the request.
+    /// Whether a worker suits the request.
     fn assess(&self, search: &Search, worker: &WorkerState, presumed: bool) -> Verdict {
         let now = self.now;
         if !self.may_attempt(search, worker) {
@@ -301,8 +301,8 @@
             && (!prediction.adds_replica || search.may_add_replica)
     }
 
-    /// How far a run at a worker is slowed down by the queue that a fresh load report tells of; an
-    /// answer since then tells more.
+    /// How far a run at a worker is slowed down by the queue in a fresh load report; 1 if an
+    /// answer has come since, which tells more.
     fn reported_slowdown(&self, worker: &WorkerState) -> f64 {
         let report = &worker.load_report;
         if !report.is_fresh(self.now)
@@ -314,8 +314,8 @@
         self.estimates.reported_slowdown(report)
     }
 
-    /// Sends the request to a worker at which only a load stands in the way, as if the function
-    /// were loaded.
+    /// Chooses a worker that would admit the request if it needed no load, as if the function were
+    /// loaded there.
     ///
     /// The others follow the same order: what moved on here did there, and has likely loaded it. A
     /// wrong guess must still be served: a request with little time goes where a replica is, or not
@@ -339,7 +339,7 @@
         })
     }
 
-    /// Has the function loaded by a command; the request waits, unsent, for the reply.
+    /// Makes the worker load the function by a command; the request waits, unsent, for the reply.
     fn await_load(
         &mut self,
         id: RequestId,
--- a/crates/pipithub-policy/src/load_limiter.rs
+++ b/crates/pipithub-policy/src/load_limiter.rs
@@ -53,7 +53,7 @@
             && loads_in_progress as f64 * load_slowdown.max(1.0) < limit as f64
     }
 
-    /// Whether the rate limit allows one more load command. Two ticks of slack allow for clocks that
+    /// Whether the rate limit allows a further load command. Two ticks of slack allow for clocks that
     /// differ.
     pub(crate) fn rate_allows(
         &self,
--- a/crates/pipithub-policy/src/load_polls.rs
+++ b/crates/pipithub-policy/src/load_polls.rs
@@ -90,7 +90,7 @@
         self.count += 1;
     }
 
-    /// Ends the wait.
+    /// Records that the report has come, or the time for it is over.
     pub(crate) fn end(&mut self) {
         self.worker = None;
     }
--- a/crates/pipithub-policy/src/outlier.rs
+++ b/crates/pipithub-policy/src/outlier.rs
@@ -16,8 +16,8 @@
 /// A worker or zone is silent with this number of overdue attempts and no answer, and more than it
 /// has answered since.
 pub(crate) const MIN_OVERDUE_ATTEMPTS: usize = 3;
-/// Consecutive connect failures after which a worker is ejected. With one more its replicas count as
-/// lost.
+/// Consecutive connect failures after which a worker is ejected. After a further one its replicas count
+/// as lost.
 const MAX_CONNECT_FAILURES: u32 = 2;
 /// Weight of a new sample in an error rate: about the last seven attempts count.
 const ERROR_RATE_GAIN: f64 = 0.15;
@@ -82,7 +82,7 @@
         *self = OutlierDetection::new(self.classes.len());
     }
 
-    /// How many classes are told apart.
+    /// How many classes there are.
     pub(crate) fn class_count(&self) -> usize {
         self.classes.len()
     }
@@ -111,7 +111,7 @@
         ejection.is_recovered() || ejection.is_over(now) && !is_probed()
     }
 
-    /// Records an answer.
+    /// Records an answer to an attempt of a class.
     pub(crate) fn record_answer(&mut self, class: usize) {
         self.classes[class].record_success();
         self.connect_failures = 0;
--- a/crates/pipithub-policy/src/pending_request.rs
+++ b/crates/pipithub-policy/src/pending_request.rs
@@ -13,7 +13,7 @@
     pub(crate) deadline: Time,
     pub(crate) attempts: RequestAttempts,
     pub(crate) polls: RequestPolls,
-    /// Its answer has begun to be streamed.
+    /// Its answer is being streamed.
     pub(crate) streaming: bool,
     /// It waits, unsent, for the reply to a load command.
     pub(crate) awaits_load: bool,
--- a/crates/pipithub-policy/src/rebalancer.rs
+++ b/crates/pipithub-policy/src/rebalancer.rs
@@ -70,7 +70,7 @@
         self.allowance = (self.allowance + earned).min(MAX_ALLOWANCE);
     }
 
-    /// Whether one more replica may be replaced.
+    /// Whether a further replica may be replaced.
     pub(crate) fn may_replace(&self) -> bool {
         self.allowance >= 1.0
     }
--- a/crates/pipithub-policy/src/replicas.rs
+++ b/crates/pipithub-policy/src/replicas.rs
@@ -79,7 +79,7 @@
         self.by_function.remove(&function);
     }
 
-    /// Forgets all replicas.
+    /// Forgets the replicas of all functions.
     pub(crate) fn clear(&mut self) {
         self.by_function.clear();
     }
--- a/crates/pipithub-policy/src/slow_start.rs
+++ b/crates/pipithub-policy/src/slow_start.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Whether a worker that may still be warming up can take one more attempt.
+    /// Whether a worker that may still be warming up can take a further attempt.
     ///
     /// Its capacity is judged by what warm workers serve this front end, and less for a worker of a
     /// smaller weight; rejected attempts would inflate it. A right to send must not be saved: when
--- a/crates/pipithub-policy/src/statistics.rs
+++ b/crates/pipithub-policy/src/statistics.rs
@@ -16,7 +16,7 @@
 }
 
 impl RunningMean {
-    /// So many samples weigh alike before the oldest ones fade.
+    /// The number of samples that weigh alike before the oldest ones fade.
     const MAX_SAMPLES: u32 = 400;
 
     /// Takes in a sample.
@@ -59,8 +59,8 @@
 
 /// A sum of parts that each decay by half in the same time, whatever their age.
 ///
-/// All parts decay alike, so the sum is kept as of one point in time and decays as a whole. It is a
-/// whole number: what was added can be subtracted again without a rounding error.
+/// All parts decay alike, so that one sum is kept as of one point in time. It is an integer: what was
+/// added can be subtracted again without a rounding error.
 #[derive(Debug, Default)]
 pub(crate) struct DecayingSum {
     half_life: Time,
@@ -70,7 +70,7 @@
     sum: u128,
 }
 
-/// One part of a [`DecayingSum`], as of a whole number of half-lives.
+/// One part of a [`DecayingSum`], as of an integral number of half-lives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct DecayingPart {
     epoch: u64,
@@ -78,14 +78,14 @@
 }
 
 impl DecayingSum {
-    /// Values are kept as whole multiples of one part in this.
+    /// Values are kept as integral multiples of one part in this.
     const UNIT: f64 = (1u64 << 40) as f64;
-    /// No part counts for more: the sum of all must not overflow.
+    /// The largest value that a part counts for, so that the sum cannot overflow.
     const MAX_VALUE: f64 = (1u64 << 24) as f64;
-    /// The sum is moved to a later epoch after so many half-lives.
+    /// The sum is moved to a later epoch after this number of half-lives.
     const MAX_EPOCHS_BEHIND: u64 = 32;
 
-    /// An empty sum.
+    /// A sum without any part, whose parts decay by half in this time.
     pub(crate) fn new(half_life: Time) -> Self {
         DecayingSum {
             half_life: half_life.max(1),
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Adds a part.
+    /// Adds a part; it must be as of the present.
     pub(crate) fn add(&mut self, part: DecayingPart) {
         if part.epoch >= self.epoch + Self::MAX_EPOCHS_BEHIND {
             self.sum = shift_right(self.sum, part.epoch - self.epoch);
@@ -137,7 +137,7 @@
     }
 }
 
-/// Halves a value so many times; 0 once nothing of it is left.
+/// Halves a value `by` times; 0 once nothing of it is left.
 fn shift_right(value: u128, by: u64) -> u128 {
     u32::try_from(by)
         .ok()
--- a/crates/pipithub-policy/src/work.rs
+++ b/crates/pipithub-policy/src/work.rs
@@ -8,7 +8,7 @@
     static LOOKED: std::cell::Cell<u64> = const { std::cell::Cell::new(0) };
 }
 
-/// Notes that so many workers were looked at.
+/// Counts workers that were looked at.
 #[inline]
 #[cfg(feature = "count")]
 pub fn looked(workers: u64) {
--- a/crates/pipithub-policy/src/worker_table.rs
+++ b/crates/pipithub-policy/src/worker_table.rs
@@ -80,7 +80,7 @@
 }
 
 impl WorkerTable {
-    /// An empty pool in which reported requests in flight decay by half in this time.
+    /// An empty table in which reported requests in flight decay by half in this time.
     pub(crate) fn new(half_life: Time) -> Self {
         WorkerTable {
             workers: HashMap::default(),
@@ -191,8 +191,7 @@
         self.index.ready_count()
     }
 
-    /// So many ready workers with their hashes, from this hash on around the ring; all where there
-    /// are fewer.
+    /// At most `max` ready workers with their hashes, from this hash on around the ring.
     pub(crate) fn ring_from(
         &self,
         hash: u64,
--- a/crates/pipithub-policy/src/worker_table/index.rs
+++ b/crates/pipithub-policy/src/worker_table/index.rs
@@ -1,6 +1,6 @@
 //! Sets and sums over all workers, updated with each change of one of them.
 //!
-//! Sums are whole numbers: what was added can be subtracted again without a rounding error, where
+//! Sums are integers: what was added can be subtracted again without a rounding error, where
 //! sums of floating-point numbers would drift as parts come and go.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,11 +11,11 @@
 use crate::statistics::{DecayingPart, DecayingSum};
 use crate::worker::WorkerState;
 
-/// Error rates are summed as whole multiples of one part in this.
+/// Error rates are summed as integral multiples of one part in this.
 const ERROR_RATE_UNIT: f64 = (1u64 << 60) as f64;
-/// Weights are summed as whole multiples of one part in this.
+/// Weights are summed as integral multiples of one part in this.
 const WEIGHT_UNIT: f64 = (1u64 << 30) as f64;
-/// No weight counts for more: the sum of all must not overflow.
+/// The largest weight that counts, so that the sum cannot overflow.
 const MAX_WEIGHT: f64 = 1e6;
 
 /// What is known of all workers together. Each worker's part is kept with it as [`IndexedState`].
@@ -24,15 +24,15 @@
     /// Ready workers by hash.
     ring: BTreeSet<(u64, WorkerId)>,
     removed: BTreeSet<WorkerId>,
-    /// With attempts in flight, or answers that are still counted.
+    /// Workers with attempts in flight, or answers that are still counted.
     active: BTreeSet<WorkerId>,
-    /// With an attempt or a command that may be a load.
+    /// Workers with an attempt or a command that may be a load.
     loading: BTreeSet<WorkerId>,
-    /// With replicas.
+    /// Workers with replicas of any function.
     with_replicas: BTreeSet<WorkerId>,
-    /// With replicas of each function: some may have lost them since.
+    /// Workers with replicas of each function; some may have lost them since.
     holders: BTreeSet<(FunctionId, WorkerId)>,
-    /// With attempts in flight, by zone.
+    /// Workers with attempts in flight, by zone.
     busy: BTreeMap<String, BTreeSet<WorkerId>>,
     /// How many last responded at each time, by zone.
     last_responses: BTreeMap<String, BTreeMap<Time, usize>>,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Brings what is counted of a worker up to date; `known`: it is still in the pool.
+    /// Brings what is counted of a worker up to date; `known`: it is still in the table.
     pub(super) fn update(&mut self, worker: &mut WorkerState, known: bool) {
         worker.replicas.refresh_load_commands();
         let mut indexed = mem::take(worker.indexed_mut());
