--- a/crates/pipithub-engine/tests/engine/redelivery.rs
+++ b/crates/pipithub-engine/tests/engine/redelivery.rs
@@ -191,3 +191,15 @@
     harness.advance(5_000 * MS);
     harness.assert_nothing_left();
 }
+
+/// A redelivery of its message would join the later request with the same identity, so its answer could not be delivered.
+#[test]
+fn request_whose_identity_was_reused_is_cancelled_when_its_source_is_lost() {
+    let mut harness = Harness::new(settings());
+    let (_, out) = harness.trigger(IDEMPOTENT, |_| {});
+    let first = only_forwarded(&out);
+    let (_, out) = harness.trigger(IDEMPOTENT, |_| {});
+    only_forwarded(&out);
+    assert_eq!(harness.lose_source(), [Output::Cancel(first)]);
+    assert_eq!(harness.engine.pending_requests(), 1);
+}
