--- a/crates/pipithub-policy/tests/common/mod.rs
+++ b/crates/pipithub-policy/tests/common/mod.rs
@@ -333,8 +333,10 @@
     fn advance_and_cancel(&mut self, open: &mut Vec<OpenAttempt>) -> Vec<Reaction> {
         let actions = self.advance(REQUEST_GAP);
         let is_cancelled = |attempt: &OpenAttempt| {
-            let cancels = |action: &Action| matches!(action, Action::Cancel { request, .. } if *request == attempt.request);
-            actions.iter().any(cancels)
+            actions.iter().any(|action| match action {
+                Action::Cancel { request, .. } => *request == attempt.request,
+                _ => false,
+            })
         };
         let (cancelled, still_open) = std::mem::take(open).into_iter().partition(is_cancelled);
         *open = still_open;
--- a/crates/pipithub-policy/tests/decision_cost.rs
+++ b/crates/pipithub-policy/tests/decision_cost.rs
@@ -28,7 +28,7 @@
 const LARGE: usize = 16_000;
 /// The most that a decision may examine at the large size, as a multiple of the small one.
 const MAX_GROWTH: f64 = 2.0;
-/// A run stops early once it examined so many times as many workers as are allowed: the result is known then.
+/// A run stops early once its requests examined this multiple of what is allowed: the result is known then.
 const CUT_OFF: f64 = 4.0;
 const HEALTHY: &str = "healthy";
 const FUNCTIONS: u64 = 43_000;
--- a/crates/pipithub-policy/tests/fleet/simulation.rs
+++ b/crates/pipithub-policy/tests/fleet/simulation.rs
@@ -46,7 +46,7 @@
     pub(super) seconds: u64,
     /// Answers report how many calls the worker has in flight.
     pub(super) load_reports: bool,
-    /// So many workers are replaced by new ones, one each 0.3 s from the fourth second on, and one in five
+    /// This many workers are replaced by new ones, one each 0.3 s from the fourth second on, and one in five
     /// front ends restarts meanwhile.
     pub(super) replaced_workers: usize,
 }
@@ -118,7 +118,7 @@
         new: usize,
         started_at: Time,
     },
-    /// A front end starts anew and knows the endpoint list alone.
+    /// A front end restarts and knows only the endpoint list.
     FrontEndRestarted {
         front_end: usize,
     },
--- a/crates/pipithub-policy/tests/function_loading.rs
+++ b/crates/pipithub-policy/tests/function_loading.rs
@@ -247,7 +247,7 @@
     );
 }
 
-/// A worker adds one replica at a time, however many requests wait for it: counted each, they would block all other loads.
+/// A worker adds one replica at a time, however many requests wait for it: each counted, they would block all others.
 #[test]
 fn requests_waiting_for_further_replica_count_as_one_load() {
     let mut settings = settings(Idempotency::Idempotent);
--- a/crates/pipithub-policy/tests/preferred_workers.rs
+++ b/crates/pipithub-policy/tests/preferred_workers.rs
@@ -65,7 +65,7 @@
         actions
     }
 
-    /// Where a function is forwarded that nobody requested before: its preferred worker.
+    /// The worker that a function is forwarded to at its first request: its preferred worker.
     fn preferred(&mut self, function: u64) -> WorkerId {
         self.requests += 1;
         self.now += MS;
--- a/crates/pipithub-policy/tests/random_sequences/model.rs
+++ b/crates/pipithub-policy/tests/random_sequences/model.rs
@@ -99,7 +99,7 @@
         due.into_iter().collect()
     }
 
-    /// Notes an event that is about to be handled; tells of an attempt that finished and may have been executed.
+    /// Notes an event that is about to be handled. Returns the attempt that it ends, if that may have been executed.
     pub(super) fn note_event(&mut self, at: Time, event: &Event) -> Option<FinishedAttempt> {
         match event {
             Event::Endpoints { update, endpoints } => self.note_endpoints(*update, endpoints),
--- a/crates/pipithub-policy/tests/random_sequences/rules.rs
+++ b/crates/pipithub-policy/tests/random_sequences/rules.rs
@@ -1,4 +1,4 @@
-//! The rules, one function for each: an action is held against what was known when it was taken.
+//! The rules, one function for each: an action is checked with what was known when it was taken.
 
 use pipithub_policy::api::{Action, Class, EndpointState, Idempotency, RequestId, Time, WorkerId};
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// Holds an action against all rules that concern it.
+/// Checks an action by all rules that concern it.
 pub(super) fn check_action(decision: &Decision, action: &Action) {
     match action {
         Action::Forward {
--- a/crates/pipithub-policy/tests/rules.rs
+++ b/crates/pipithub-policy/tests/rules.rs
@@ -1,5 +1,6 @@
 //! The guarantees to clients and operators, each by tests that fail when its guard is removed: final answers, single
-//! execution, draining workers and the rate limit of load commands. `warming_workers.rs` and `slow_start/` hold the rest.
+//! execution, draining workers and the rate limit of load commands. Slow start has `warming_workers.rs` and
+//! `slow_start/`.
 
 mod common;
 
--- a/crates/pipithub-policy/tests/simulated_fleet/attempts.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/attempts.rs
@@ -245,7 +245,7 @@
         }
     }
 
-    /// What the front end is told at the end of an attempt.
+    /// The event that ends an attempt.
     fn attempt_finished(
         &self,
         attempt: AttemptId,
--- a/crates/pipithub-policy/tests/simulated_fleet/clients.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/clients.rs
@@ -14,7 +14,7 @@
 const DEFAULT_CLIENT_TIMEOUT: Time = 4_000 * MS;
 /// Set in all request ids, as timer tokens carry ids beside a mark.
 const REQUEST_ID_BIT: u64 = 1 << 40;
-/// Clients do not retry while so many requests are pending.
+/// Clients do not retry while this many requests are pending.
 const MAX_PENDING_FOR_RETRY: usize = 400;
 /// Keeps the draws of arrivals apart from others with the same seed.
 const ARRIVAL_SEED_MASK: u64 = 1;
--- a/crates/pipithub-policy/tests/simulated_fleet/endpoint_updates.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! Changes of the set of workers, and the updates of the endpoint list that tell of them.
+//! Changes of the set of workers, and the updates of the endpoint list that follow.
 
 use std::collections::BTreeSet;
 
@@ -20,7 +20,7 @@
 }
 
 impl SimulatedFleet {
-    /// All workers that are not removed, as a front end is told at its start.
+    /// All workers that are not removed, as in the first update of a front end.
     pub(crate) fn endpoint_snapshot(&self) -> Event {
         Event::Endpoints {
             update: EndpointUpdate::Snapshot,
@@ -53,7 +53,7 @@
         delta(self.workers.endpoints(affected))
     }
 
-    /// Changes some workers and draws what the front end is told of it.
+    /// Changes some workers and draws the update that follows.
     pub(super) fn change_endpoints(&mut self) -> Event {
         let changed = self.change_some_workers();
         let kind = if self.scenario.endpoint_changes.irregular {
--- a/crates/pipithub-policy/tests/simulated_fleet/load.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/load.rs
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Whether a worker stands in a zone that does not answer now.
+    /// Whether a worker belongs to a zone that does not answer now.
     pub(super) fn is_silent(&self, worker: usize) -> bool {
         let silence = self.scenario.endpoint_changes.silent_zone;
         let silent_now = silence.is_some_and(|(from, until)| (from..until).contains(&self.now));
--- a/crates/pipithub-policy/tests/simulated_fleet/random_scenario.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/random_scenario.rs
@@ -22,7 +22,7 @@
 /// What a scenario is drawn for.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Focus {
-    /// Any mix.
+    /// Any mix of settings and faults.
     Mixed,
     /// Many functions, loaded by command only, without faults.
     LoadCommands,
@@ -30,7 +30,7 @@
     SilentZone,
 }
 
-/// Draws one scenario.
+/// Draws one scenario; each method draws one part of it.
 struct Generator {
     random: SmallRng,
     focus: Focus,
--- a/crates/pipithub-policy/tests/simulated_fleet/scenario.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/scenario.rs
@@ -60,7 +60,7 @@
     pub loaded_before: f64,
 }
 
-/// How clients behave.
+/// When clients send requests, cancel and retry.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientProfile {
     /// The mean time between requests.
@@ -98,7 +98,7 @@
     pub slow: f64,
     /// The replica was evicted.
     pub replica_evicted: f64,
-    /// For each load.
+    /// A load fails; drawn for each load.
     pub load_failed: f64,
     /// The share of workers that answer most requests with an error.
     pub failing_workers: f64,
--- a/crates/pipithub-policy/tests/simulated_fleet/workers.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/workers.rs
@@ -9,7 +9,7 @@
 use super::scenario::{MS, Scenario};
 use super::schedule::AttemptId;
 
-/// One worker in so many is affected by a mass removal.
+/// A mass removal affects one worker in seven.
 const MASS_REMOVAL_STRIDE: usize = 7;
 const MASS_REMOVAL_OFFSET: usize = 3;
 
--- a/crates/pipithub-policy/tests/slow_start/fleet.rs
+++ b/crates/pipithub-policy/tests/slow_start/fleet.rs
@@ -41,7 +41,7 @@
     WorkerStart {
         place: usize,
     },
-    /// A front end is told that a worker replaced another.
+    /// A front end gets the update that a worker replaced another.
     EndpointUpdate {
         front_end: usize,
         removed: Endpoint,
--- a/crates/pipithub-policy/tests/slow_start/scenario.rs
+++ b/crates/pipithub-policy/tests/slow_start/scenario.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// One simulated fleet.
+/// The front ends, workers and traffic of one simulated fleet.
 #[derive(Clone, Debug)]
 pub(super) struct Scenario {
     pub(super) front_ends: usize,
--- a/crates/pipithub-policy/tests/zones.rs
+++ b/crates/pipithub-policy/tests/zones.rs
@@ -24,7 +24,7 @@
     (0..12).map(one).collect()
 }
 
-/// Whether a worker of [`zoned`] stands in the zone `b`.
+/// Whether a worker of [`zoned`] belongs to the zone `b`.
 fn far(worker: &WorkerId) -> bool {
     worker.0[1..].parse::<u32>().is_ok_and(|i| i % 2 == 1)
 }
