--- a/crates/pipithub-policy/src/front_end/rebalancing.rs
+++ b/crates/pipithub-policy/src/front_end/rebalancing.rs
@@ -80,9 +80,9 @@
 /// Needs the settings, the workers, the estimates, the pending requests, the load polls and the
 /// rebalancer.
 impl FrontEnd {
-    /// Notes run time that moved on because no replica was loaded at the worker. After some misses
-    /// one command loads the function here: one at a time, as a slow store must not be asked again
-    /// for what it has not delivered yet.
+    /// Records run time that went to another worker because no replica was loaded at this one. After
+    /// some misses one command loads the function here, one at a time, as a slow store must not be
+    /// asked again for what it has not delivered yet.
     pub(super) fn record_placement_miss(
         &mut self,
         worker_id: &WorkerId,
@@ -102,10 +102,10 @@
         };
         let replicas = worker.replicas_of(function);
         replicas.demand.record_miss(run_time, slack);
-        let is_missed_enough = replicas.demand.is_missed_enough();
+        let has_misses_to_spread = replicas.demand.has_misses_to_spread();
         drop(worker);
         if may_spread
-            && is_missed_enough
+            && has_misses_to_spread
             && self.has_memory_for(&self.workers[worker_id], function)
             && !self.is_load_commanded(function)
         {
--- a/crates/pipithub-policy/src/rebalancer.rs
+++ b/crates/pipithub-policy/src/rebalancer.rs
@@ -14,7 +14,7 @@
 /// The shortest interval between rounds.
 const MIN_INTERVAL: Time = 1_000 * MILLISECOND;
 /// Placement misses of a function at a worker, within an interval, before it is loaded there too.
-const MISSES_TO_SPREAD: u32 = 2;
+const PLACEMENT_MISSES_TO_SPREAD: u32 = 2;
 /// A function that was not requested for this number of intervals is forgotten.
 const FORGET_AFTER_INTERVALS: u64 = 6;
 
@@ -90,7 +90,7 @@
     /// Run time that went to other workers because no replica was loaded there.
     missed_run_time: f64,
     /// How often that happened.
-    misses: u32,
+    placement_misses: u32,
     /// The least time to spare beyond the run among those.
     min_slack: f64,
 }
@@ -103,18 +103,18 @@
 
     /// Records run time that went to another worker, with this much time to spare.
     pub(crate) fn record_miss(&mut self, run_time: f64, slack: f64) {
-        self.min_slack = if self.misses == 0 {
+        self.min_slack = if self.placement_misses == 0 {
             slack
         } else {
             self.min_slack.min(slack)
         };
-        self.misses += 1;
+        self.placement_misses += 1;
         self.missed_run_time += run_time;
     }
 
     /// Whether the function was missed often enough to be loaded there too.
-    pub(crate) fn is_missed_enough(&self) -> bool {
-        self.misses >= MISSES_TO_SPREAD
+    pub(crate) fn has_misses_to_spread(&self) -> bool {
+        self.placement_misses >= PLACEMENT_MISSES_TO_SPREAD
     }
 
     /// Run time that was admitted.
@@ -136,6 +136,6 @@
     pub(crate) fn begin_interval(&mut self) {
         self.admitted_run_time = 0.0;
         self.missed_run_time = 0.0;
-        self.misses = 0;
+        self.placement_misses = 0;
     }
 }
--- a/crates/pipithub-policy/src/worker_table/tests.rs
+++ b/crates/pipithub-policy/src/worker_table/tests.rs
@@ -1,4 +1,4 @@
-//! What the pool keeps up to date is what a scan of all workers finds.
+//! What the table keeps up to date is what a scan of all workers finds.
 
 mod model;
 
@@ -26,16 +26,16 @@
     worker.endpoint.state == EndpointState::Ready
 }
 
-/// The pool, and all workers in a naive form beside it.
-struct Both {
-    pool: WorkerTable,
-    naive: BTreeMap<WorkerId, NaiveWorker>,
+/// The table, and all workers in a naive form beside it.
+struct Comparison {
+    table: WorkerTable,
+    model: BTreeMap<WorkerId, NaiveWorker>,
     now: Time,
     /// The latest moment that was asked about: it never goes back.
     since: Time,
 }
 
-impl Both {
+impl Comparison {
     fn play(&mut self, step: Step) {
         let now = self.now;
         match step {
@@ -46,18 +46,18 @@
                 started,
             } => self.enter(worker, state, zone, started),
             Step::LoseAll { but } => self.lose_all_but(but),
-            Step::Send { worker, marks } => self.both(worker, |worker, naive| {
+            Step::Send { worker, marks } => self.change(worker, |worker, naive| {
                 worker.attempts.push(attempt(marks));
                 naive.in_flight.push(marks);
             }),
-            Step::End { worker } => self.both(worker, |state, naive| {
+            Step::End { worker } => self.change(worker, |state, naive| {
                 let ended = state.attempts.finish(&oldest_attempt_ended(worker), now);
                 assert_eq!(ended.is_some(), !naive.in_flight.is_empty());
                 naive.in_flight.drain(..naive.in_flight.len().min(1));
                 state.responses.record(now);
                 naive.last_response_at = now;
             }),
-            Step::Served { worker, count } => self.both(worker, |worker, naive| {
+            Step::Served { worker, count } => self.change(worker, |worker, naive| {
                 worker.responses.forget_older(0, now + 1);
                 for _ in 0..count {
                     worker.responses.record_answer(0, now);
@@ -70,7 +70,7 @@
                 function,
                 load_requested,
             } => self.hold_replica(worker, function, load_requested),
-            Step::Forget { worker, function } => self.both(worker, |worker, naive| {
+            Step::Forget { worker, function } => self.change(worker, |worker, naive| {
                 worker.replicas.remove(FunctionId(function.into()));
                 naive.replicas.remove(&FunctionId(function.into()));
             }),
@@ -80,7 +80,7 @@
                 class,
                 errors,
             } => self.record_errors(worker, class.into(), errors),
-            Step::Restart { worker } => self.both(worker, |worker, naive| {
+            Step::Restart { worker } => self.change(worker, |worker, naive| {
                 let restarted = Endpoint {
                     started_at: Some(worker.endpoint().started_at.map_or(0, |time| time + 1)),
                     ..worker.endpoint().clone()
@@ -89,12 +89,12 @@
                 naive.update_endpoint(restarted);
             }),
             Step::ForgetRemoved => {
-                self.pool.forget_removed();
-                self.naive.retain(|_, p| {
+                self.table.forget_removed();
+                self.model.retain(|_, p| {
                     p.endpoint.state != EndpointState::Removed || !p.in_flight.is_empty()
                 });
             }
-            Step::ForgetFormerHolders => self.pool.forget_former_holders(),
+            Step::ForgetFormerHolders => self.table.forget_former_holders(),
             Step::Pass { time } => self.now += Time::from(time),
         }
     }
@@ -115,11 +115,11 @@
             started_at: started.map(Time::from),
             ..Endpoint::default()
         };
-        let is_new = !self.naive.contains_key(&endpoint.worker);
-        self.pool
+        let is_new = !self.model.contains_key(&endpoint.worker);
+        self.table
             .get_or_add(&endpoint, CLASSES)
             .update_endpoint(endpoint.clone());
-        let naive = self.naive.entry(name(worker)).or_default();
+        let naive = self.model.entry(name(worker)).or_default();
         if is_new {
             naive.endpoint = endpoint;
         } else {
@@ -129,11 +129,11 @@
 
     fn lose_all_but(&mut self, but: u8) {
         let lost = |w: &WorkerId| *w != name(but);
-        self.pool.change_where(
+        self.table.change_where(
             |worker| lost(&worker.endpoint().worker),
             WorkerState::mark_removed,
         );
-        self.naive
+        self.model
             .iter_mut()
             .filter(|(w, _)| lost(w))
             .for_each(|(_, p)| p.endpoint.state = EndpointState::Removed);
@@ -141,7 +141,7 @@
 
     fn hold_replica(&mut self, worker: u8, function: u8, load_requested: bool) {
         let function = FunctionId(function.into());
-        self.both(worker, |worker, naive| {
+        self.change(worker, |worker, naive| {
             worker.replicas_of(function).load_requested = false;
             if load_requested {
                 worker.replicas.record_load_command(function);
@@ -158,7 +158,7 @@
             unconfirmed: false,
             adds_replica: false,
         };
-        self.both(worker, |worker, naive| {
+        self.change(worker, |worker, naive| {
             worker.outliers.record_answer(class);
             naive.error_rates[class] -= ERROR_RATE_GAIN * naive.error_rates[class];
             for _ in 0..errors {
@@ -176,7 +176,7 @@
 
     fn report(&mut self, worker: u8, in_flight: f64) {
         let now = self.now;
-        self.both(worker, |worker, naive| {
+        self.change(worker, |worker, naive| {
             let report = LoadReport {
                 in_flight: Some(in_flight),
                 ..LoadReport::default()
@@ -190,10 +190,10 @@
         });
     }
 
-    fn both(&mut self, worker: u8, change: impl FnOnce(&mut WorkerGuard<'_>, &mut NaiveWorker)) {
+    fn change(&mut self, worker: u8, change: impl FnOnce(&mut WorkerGuard<'_>, &mut NaiveWorker)) {
         let (worker, naive) = (
-            self.pool.get_mut(&name(worker)),
-            self.naive.get_mut(&name(worker)),
+            self.table.get_mut(&name(worker)),
+            self.model.get_mut(&name(worker)),
         );
         assert_eq!(worker.is_some(), naive.is_some(), "known to one alone");
         if let Some((mut worker, naive)) = worker.zip(naive) {
@@ -201,8 +201,8 @@
         }
     }
 
-    fn that(&self, holds: impl Fn(&NaiveWorker) -> bool) -> Vec<WorkerId> {
-        self.naive
+    fn matching(&self, holds: impl Fn(&NaiveWorker) -> bool) -> Vec<WorkerId> {
+        self.model
             .values()
             .filter(|p| holds(p))
             .map(|p| p.endpoint.worker.clone())
@@ -217,88 +217,88 @@
     }
 
     fn compare_sets(&mut self) {
-        assert_eq!(self.pool.ready_count(), self.that(is_ready).len());
-        let recent = self.that(|p| !p.in_flight.is_empty() || p.answers > 0);
-        assert_eq!(ids(self.pool.active()), recent);
+        assert_eq!(self.table.ready_count(), self.matching(is_ready).len());
+        let recent = self.matching(|p| !p.in_flight.is_empty() || p.answers > 0);
+        assert_eq!(ids(self.table.active()), recent);
         let loads = |p: &NaiveWorker| {
             p.in_flight.iter().any(|marks| marks.may_load()) || p.replicas.values().any(|o| *o)
         };
-        assert_eq!(ids(self.pool.loading()), self.that(loads));
+        assert_eq!(ids(self.table.loading()), self.matching(loads));
         let mut holding = Vec::new();
-        self.pool
+        self.table
             .change_with_replicas(|n| holding.push(n.endpoint().worker.clone()));
-        assert_eq!(holding, self.that(|p| !p.replicas.is_empty()));
+        assert_eq!(holding, self.matching(|p| !p.replicas.is_empty()));
         for function in (0..6).map(FunctionId) {
             let maybe = self
-                .pool
+                .table
                 .holders(function)
                 .filter(|n| n.replicas.contains(function));
             assert_eq!(
                 ids(maybe),
-                self.that(|p| p.replicas.contains_key(&function))
+                self.matching(|p| p.replicas.contains_key(&function))
             );
         }
     }
 
     fn compare_zones(&self) {
         let zones: BTreeSet<&str> = self
-            .naive
+            .model
             .values()
             .map(|p| p.endpoint.zone.as_str())
             .collect();
-        assert_eq!(self.pool.zone_count(), zones.len());
+        assert_eq!(self.table.zone_count(), zones.len());
         for zone in ["", "a", "b", "zone with a name", "none"] {
             let here = |p: &NaiveWorker| p.endpoint.zone == zone;
-            let heard = self
-                .naive
+            let last_response = self
+                .model
                 .values()
                 .filter(|p| here(p))
                 .map(|p| p.last_response_at)
                 .max();
-            assert_eq!(self.pool.last_response_in(zone), heard, "{zone}");
-            let busy = self.that(|p| here(p) && !p.in_flight.is_empty());
-            assert_eq!(self.pool.busy_zones().any(|z| z == zone), !busy.is_empty());
-            assert_eq!(ids(self.pool.busy_in(zone)), busy);
+            assert_eq!(self.table.last_response_in(zone), last_response, "{zone}");
+            let busy = self.matching(|p| here(p) && !p.in_flight.is_empty());
+            assert_eq!(self.table.busy_zones().any(|z| z == zone), !busy.is_empty());
+            assert_eq!(ids(self.table.busy_in(zone)), busy);
         }
     }
 
     fn compare_sums(&mut self) {
         self.since = self.since.max(self.now / 100);
         let started = self
-            .that(|p| is_ready(p) && p.endpoint.started_at.is_some_and(|t| t >= self.since))
+            .matching(|p| is_ready(p) && p.endpoint.started_at.is_some_and(|t| t >= self.since))
             .len();
-        assert_eq!(self.pool.started_since(self.since), started);
+        assert_eq!(self.table.started_since(self.since), started);
         let known = || {
-            self.naive
+            self.model
                 .values()
                 .filter(|p| is_ready(p) && p.load_report.received_at > 0)
         };
-        let fade = |p: &NaiveWorker| {
+        let decay = |p: &NaiveWorker| {
             0.5f64.powf((self.now - p.load_report.received_at) as f64 / HALF_LIFE as f64)
         };
         let sum: f64 = known()
-            .map(|p| 1.0 + (p.load_report.in_flight - 1.0).max(0.0) * fade(p))
+            .map(|p| 1.0 + (p.load_report.in_flight - 1.0).max(0.0) * decay(p))
             .sum();
         let mean = sum / known().count().max(1) as f64;
         assert!(
-            (self.pool.mean_reported_in_flight(self.now) - mean).abs() < 1e-9,
+            (self.table.mean_reported_in_flight(self.now) - mean).abs() < 1e-9,
             "{} {mean}",
-            self.pool.mean_reported_in_flight(self.now)
+            self.table.mean_reported_in_flight(self.now)
         );
     }
 
     fn compare_error_rates(&mut self) {
-        let all: Vec<WorkerId> = self.naive.keys().cloned().collect();
+        let all: Vec<WorkerId> = self.model.keys().cloned().collect();
         for (worker, class) in all.iter().flat_map(|w| [(w, 0), (w, 1)]) {
             let others = || {
-                self.naive
+                self.model
                     .values()
                     .filter(|p| is_ready(p) && p.endpoint.worker != *worker)
             };
             let mean = others().map(|p| p.error_rates[class]).sum::<f64>()
                 / others().count().max(1) as f64;
             let indexed = self
-                .pool
+                .table
                 .get_mut(worker)
                 .map_or(-1.0, |n| n.mean_error_rate_of_others(class));
             assert!((indexed - mean).abs() < 1e-12, "{indexed} {mean}");
@@ -313,15 +313,15 @@
     fn the_index_equals_a_scan_of_all_workers(
         steps in proptest::collection::vec(step(), 1..120),
     ) {
-        let mut both = Both {
-            pool: WorkerTable::new(HALF_LIFE),
-            naive: BTreeMap::new(),
+        let mut comparison = Comparison {
+            table: WorkerTable::new(HALF_LIFE),
+            model: BTreeMap::new(),
             now: 1,
             since: 0,
         };
         for step in steps {
-            both.play(step);
-            both.compare();
+            comparison.play(step);
+            comparison.compare();
         }
     }
 
@@ -331,7 +331,7 @@
         from in any::<u64>(),
         max in 0usize..70,
     ) {
-        let mut pool = WorkerTable::new(HALF_LIFE);
+        let mut table = WorkerTable::new(HALF_LIFE);
         let mut hashes = BTreeMap::new();
         for worker in 0..count {
             let state = if worker % 5 == 4 {
@@ -340,13 +340,13 @@
                 EndpointState::Ready
             };
             let endpoint = Endpoint { worker: name(worker), state, ..Endpoint::default() };
-            let hash = pool.get_or_add(&endpoint, 1).hash();
+            let hash = table.get_or_add(&endpoint, 1).hash();
             if state == EndpointState::Ready {
                 hashes.insert(hash, endpoint.worker);
             }
         }
         let next = hashes.range(from..).chain(hashes.range(..from)).take(max);
         let expected: Vec<(u64, &WorkerId)> = next.map(|(h, w)| (*h, w)).collect();
-        prop_assert_eq!(pool.ring_from(from, max).collect::<Vec<_>>(), expected);
+        prop_assert_eq!(table.ring_from(from, max).collect::<Vec<_>>(), expected);
     }
 }
--- a/crates/pipithub-policy/tests/limits.rs
+++ b/crates/pipithub-policy/tests/limits.rs
@@ -1,4 +1,4 @@
-//! What operators read of the module: which files decide, and lines that fit a terminal.
+//! Limits on the sources that operators read: the list of the files that decide, line length, file length.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn no_line_is_longer_than_a_terminal() {
+fn no_line_exceeds_the_maximum_of_columns() {
     for path in sources() {
         let text = std::fs::read_to_string(&path).expect("a source");
         for line in text.lines() {
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn no_file_is_longer_than_a_newcomer_reads_at_a_time() {
+fn no_file_exceeds_the_maximum_of_lines() {
     for path in sources() {
         let text = std::fs::read_to_string(&path).expect("a source");
         let lines = text.lines().count();
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn the_module_names_its_interface_at_its_top() {
+fn front_end_names_the_interface_in_its_first_lines() {
     let text = include_str!("../src/front_end.rs");
     assert!(text.lines().take(3).any(|line| line.contains("src/api.rs")));
 }
