--- a/crates/pipithub-policy/src/worker_table/tests.rs
+++ b/crates/pipithub-policy/src/worker_table/tests.rs
@@ -80,14 +80,7 @@
                 class,
                 errors,
             } => self.record_errors(worker, class.into(), errors),
-            Step::Restart { worker } => self.change(worker, |worker, naive| {
-                let restarted = Endpoint {
-                    started_at: Some(worker.endpoint().started_at.map_or(0, |time| time + 1)),
-                    ..worker.endpoint().clone()
-                };
-                worker.update_endpoint(restarted.clone());
-                naive.update_endpoint(restarted);
-            }),
+            Step::Restart { worker } => self.restart(worker),
             Step::ForgetRemoved => {
                 self.table.forget_removed();
                 self.model.retain(|_, p| {
@@ -99,6 +92,18 @@
         }
     }
 
+    /// The worker is listed with a later start time.
+    fn restart(&mut self, worker: u8) {
+        self.change(worker, |worker, naive| {
+            let restarted = Endpoint {
+                started_at: Some(worker.endpoint().started_at.map_or(0, |time| time + 1)),
+                ..worker.endpoint().clone()
+            };
+            worker.update_endpoint(restarted.clone());
+            naive.update_endpoint(restarted);
+        });
+    }
+
     fn enter(&mut self, worker: u8, state: u8, zone: u8, started: Option<u16>) {
         let states = [
             EndpointState::Ready,
