--- a/crates/pipithub-scenario/src/run/cluster.rs
+++ b/crates/pipithub-scenario/src/run/cluster.rs
@@ -198,7 +198,7 @@
         let record = self.path(&format!("worker-{}.jsonl", self.workers_started));
         let store = self.store.address().to_string();
         let own = [
-            "standin",
+            "emulator",
             "worker",
             "--listen",
             "127.0.0.1:0",
@@ -306,7 +306,7 @@
 async fn start_broker(binary: &Path, folder: &Path) -> std::io::Result<Process> {
     let record = folder.join("broker.jsonl").display().to_string();
     let arguments = [
-        "standin",
+        "emulator",
         "broker",
         "--listen",
         "127.0.0.1:0",
