--- a/crates/pipithub-policy/tests/common/mod.rs
+++ b/crates/pipithub-policy/tests/common/mod.rs
@@ -13,7 +13,7 @@
 /// Nanoseconds in a millisecond.
 pub(crate) const MS: u64 = 1_000_000;
 /// The workers of a small deployment.
-pub(crate) const THREE: [&str; 3] = ["w1", "w2", "w3"];
+pub(crate) const THREE_WORKERS: [&str; 3] = ["w1", "w2", "w3"];
 /// Requests after which the preferred worker of a function is known to have it loaded.
 const REQUESTS_TO_WARM_UP: usize = 12;
 /// Time between two requests of [`FrontEndHarness::run_requests`].
@@ -321,7 +321,7 @@
                 };
                 if let Some(outcome) = answer(&attempt.worker) {
                     traffic.served += usize::from(outcome == Outcome::Served);
-                    reactions.push(self.end(attempt, outcome));
+                    reactions.push(self.finish_open_attempt(attempt, outcome));
                 } else {
                     open.push(attempt);
                 }
@@ -344,11 +344,11 @@
         let cancelled: Vec<OpenAttempt> = cancelled;
         cancelled
             .into_iter()
-            .map(|attempt| self.end(attempt, Outcome::Cancelled))
+            .map(|attempt| self.finish_open_attempt(attempt, Outcome::Cancelled))
             .collect()
     }
 
-    fn end(&mut self, attempt: OpenAttempt, outcome: Outcome) -> Reaction {
+    fn finish_open_attempt(&mut self, attempt: OpenAttempt, outcome: Outcome) -> Reaction {
         let actions =
             self.finish_attempt(attempt.request, attempt.number, &attempt.worker, outcome);
         Reaction {
--- a/crates/pipithub-policy/tests/endpoint_list.rs
+++ b/crates/pipithub-policy/tests/endpoint_list.rs
@@ -2,14 +2,14 @@
 
 mod common;
 
-use common::{FrontEndHarness, THREE, endpoint, forwarded_to, settings};
+use common::{FrontEndHarness, THREE_WORKERS, endpoint, forwarded_to, settings};
 use pipithub_policy::api::{EndpointUpdate, Event, Idempotency, Outcome, WorkerId};
 
 #[test]
 fn stale_cached_endpoints_suffice_after_restart() {
-    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE);
+    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE_WORKERS);
     let dead = forwarded_to(&front_end.request(1).1).unwrap();
-    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE);
+    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE_WORKERS);
     let mut served = 0;
     for function in 0..40 {
         let answer = |w: &WorkerId| {
--- a/crates/pipithub-policy/tests/fleet/main.rs
+++ b/crates/pipithub-policy/tests/fleet/main.rs
@@ -10,7 +10,7 @@
 use simulation::{Scenario, Simulation, Totals, WorkerStart};
 use worker::{CORES, RUN_TIME};
 
-const SCENARIO: Scenario = Scenario {
+const BASE_SCENARIO: Scenario = Scenario {
     front_ends: 60,
     workers: 12,
     utilization: 0.6,
@@ -25,7 +25,7 @@
         let scenario = Scenario {
             utilization: 0.5,
             seconds: 12,
-            ..SCENARIO
+            ..BASE_SCENARIO
         };
         Simulation::run(scenario, |s| s.costs.load_poll = price).totals
     };
@@ -49,20 +49,20 @@
 fn popular_function_is_spread_where_workers_report_its_concurrency() {
     // Reports of others' calls lead to it; all else is alike.
     let run = |reported: bool| -> Totals {
-        Simulation::run(SCENARIO, |s| {
+        Simulation::run(BASE_SCENARIO, |s| {
             s.loading.reports_concurrency = reported;
             s.costs.load_poll = 0.1;
         })
         .totals
     };
-    let (reported, silent) = (run(true), run(false));
+    let (reported, unreported) = (run(true), run(false));
     assert!(
-        reported.rejected * 10 < silent.rejected * 9,
-        "{reported:?}, {silent:?}"
+        reported.rejected * 10 < unreported.rejected * 9,
+        "{reported:?}, {unreported:?}"
     );
     assert!(
-        reported.in_time > silent.in_time && reported.loads < silent.loads,
-        "{reported:?}, {silent:?}"
+        reported.in_time > unreported.in_time && reported.loads < unreported.loads,
+        "{reported:?}, {unreported:?}"
     );
 }
 
@@ -73,18 +73,18 @@
         let scenario = Scenario {
             workers: 40,
             load_reports,
-            ..SCENARIO
+            ..BASE_SCENARIO
         };
         Simulation::run(scenario, |s| s.costs.load_poll = 0.1).totals
     };
-    let (reported, silent) = (run(true), run(false));
+    let (reported, unreported) = (run(true), run(false));
     assert!(
-        reported.rejected * 10 < silent.rejected * 7,
-        "{reported:?}, {silent:?}"
+        reported.rejected * 10 < unreported.rejected * 7,
+        "{reported:?}, {unreported:?}"
     );
     assert!(
-        reported.in_time > silent.in_time,
-        "{reported:?}, {silent:?}"
+        reported.in_time > unreported.in_time,
+        "{reported:?}, {unreported:?}"
     );
 }
 
@@ -105,7 +105,7 @@
                 utilization,
                 seconds: 20,
                 replaced_workers,
-                ..SCENARIO
+                ..BASE_SCENARIO
             };
             let outcomes = Simulation::run(scenario, |s| s.slow_start = slow_start.clone());
             let worker_starts = outcomes.worker_starts;
--- a/crates/pipithub-policy/tests/fleet/simulation.rs
+++ b/crates/pipithub-policy/tests/fleet/simulation.rs
@@ -16,7 +16,7 @@
 /// One way between a front end and a worker.
 const LINK_DELAY: Time = MS;
 /// Calls begin until the scenario's end; then so much time is left for their answers.
-const GRACE_TIME: Time = 8_000 * MS;
+const DRAIN_TIME: Time = 8_000 * MS;
 /// A served call counts as in time up to this age.
 const LATENCY_OBJECTIVE: Time = 1_000 * MS;
 /// Front ends are notified of a new worker up to this late.
@@ -159,9 +159,9 @@
     /// Runs a scenario with settings changed by `change`.
     pub(super) fn run(scenario: Scenario, change: impl Fn(&mut Settings)) -> Outcomes {
         let mut simulation = Simulation::new(scenario, change);
-        simulation.schedule_release(scenario);
+        simulation.schedule_rollout(scenario);
         let last_call = simulation.schedule_calls(scenario);
-        let end = last_call + GRACE_TIME;
+        let end = last_call + DRAIN_TIME;
         while let Some(Reverse((at, number))) = simulation.due.pop().filter(|d| d.0.0 <= end) {
             simulation.now = at;
             let event = simulation.events.remove(&number).expect("scheduled");
@@ -207,7 +207,7 @@
         simulation
     }
 
-    fn schedule_release(&mut self, scenario: Scenario) {
+    fn schedule_rollout(&mut self, scenario: Scenario) {
         if scenario.replaced_workers == 0 {
             return;
         }
--- a/crates/pipithub-policy/tests/fleet/worker.rs
+++ b/crates/pipithub-policy/tests/fleet/worker.rs
@@ -54,7 +54,9 @@
 
     /// Calls of a function that it has in flight.
     pub(super) fn concurrency_of(&self, function: u64) -> u32 {
-        self.all_calls().filter(|h| h.function == function).count() as u32
+        self.all_calls()
+            .filter(|call| call.function == function)
+            .count() as u32
     }
 
     /// Calls that run or wait for a core, as its load reports state them.
@@ -90,7 +92,7 @@
         let at = self
             .running
             .iter()
-            .position(|h| h.function == function)
+            .position(|call| call.function == function)
             .expect("it runs");
         self.running.remove(at)
     }
@@ -118,7 +120,7 @@
 
     fn longest_idle_replica(&self) -> Option<u64> {
         let busy = self.running.iter().chain(&self.waiting);
-        let is_busy = |function: &u64| busy.clone().any(|h| h.function == *function);
+        let is_busy = |function: &u64| busy.clone().any(|call| call.function == *function);
         self.replicas
             .iter()
             .filter(|(function, _)| !is_busy(function))
--- a/crates/pipithub-policy/tests/function_loading.rs
+++ b/crates/pipithub-policy/tests/function_loading.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{
-    FrontEndHarness, MS, THREE, forwarded_to, large_fleet_settings, load_commands, settings,
+    FrontEndHarness, MS, THREE_WORKERS, forwarded_to, large_fleet_settings, load_commands, settings,
 };
 use pipithub_policy::api::{
     Action, Event, FunctionId, Idempotency, LoadReport, Outcome, ReplicaStatus, Request, RequestId,
@@ -40,7 +40,7 @@
 fn missing_replica_is_loaded_by_one_command_where_requests_begin_no_loads() {
     let mut settings = settings(Idempotency::Idempotent);
     settings.loading.loads_on_request = false;
-    let mut front_end = FrontEndHarness::new(settings, &THREE);
+    let mut front_end = FrontEndHarness::new(settings, &THREE_WORKERS);
     let (id, actions) = front_end.request(1);
     let preferred = forwarded_to(&actions).expect("presumed at its preferred worker");
     let after = front_end.finish_attempt(id, 0, &preferred, Outcome::NotLoaded);
@@ -58,7 +58,7 @@
         let mut settings = large_fleet_settings();
         settings.limits.load_polls = false;
         settings.loading.load_commands = false;
-        let mut front_end = FrontEndHarness::new(settings, &THREE);
+        let mut front_end = FrontEndHarness::new(settings, &THREE_WORKERS);
         let preferred = front_end.warm_up(1);
         // The preferred worker rejects: the other front ends have moved on to the next one and loaded it there.
         let request = Request {
@@ -214,8 +214,8 @@
 #[test]
 fn functions_of_ejected_worker_begin_limited_number_of_loads_elsewhere() {
     let preferred = WorkerId::new("w1");
-    let functions = functions_preferring(&THREE, &preferred, 1, 40);
-    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE);
+    let functions = functions_preferring(&THREE_WORKERS, &preferred, 1, 40);
+    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE_WORKERS);
     eject(&mut front_end, &preferred, &functions[..2]);
     let forwarded = functions[2..]
         .iter()
@@ -230,8 +230,8 @@
 #[test]
 fn requests_stuck_at_ejected_worker_do_not_block_other_loads() {
     let preferred = WorkerId::new("w1");
-    let functions = functions_preferring(&THREE, &preferred, 1, 20);
-    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE);
+    let functions = functions_preferring(&THREE_WORKERS, &preferred, 1, 20);
+    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE_WORKERS);
     // As many loads as are allowed are stuck there when it is ejected.
     for function in &functions[..14] {
         front_end.request(*function);
@@ -252,10 +252,11 @@
 fn requests_waiting_for_further_replica_count_as_one_load() {
     let mut settings = settings(Idempotency::Idempotent);
     (settings.loading.reports_concurrency, settings.front_ends) = (true, 2);
-    let mut front_end = FrontEndHarness::new(settings, &THREE);
+    let mut front_end = FrontEndHarness::new(settings, &THREE_WORKERS);
     let ejected = WorkerId::new("w1");
-    let functions = functions_preferring(&THREE, &ejected, 100, 3);
-    let others = ["w2", "w3"].map(|w| functions_preferring(&THREE, &WorkerId::new(w), 1, 1)[0]);
+    let functions = functions_preferring(&THREE_WORKERS, &ejected, 100, 3);
+    let others =
+        ["w2", "w3"].map(|w| functions_preferring(&THREE_WORKERS, &WorkerId::new(w), 1, 1)[0]);
     for function in others {
         front_end.warm_up(function);
     }
@@ -285,9 +286,9 @@
 #[test]
 fn slow_store_lowers_number_of_concurrent_loads() {
     let preferred = WorkerId::new("w1");
-    let functions = functions_preferring(&THREE, &preferred, 1, 40);
+    let functions = functions_preferring(&THREE_WORKERS, &preferred, 1, 40);
     let forwarded = |load_time: Time| {
-        let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE);
+        let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE_WORKERS);
         for function in 1_000..1_010 {
             let (id, actions) = front_end.request(function);
             let worker = forwarded_to(&actions).expect("it is forwarded");
--- a/crates/pipithub-policy/tests/load_reports.rs
+++ b/crates/pipithub-policy/tests/load_reports.rs
@@ -3,14 +3,14 @@
 mod common;
 
 use common::{
-    FrontEndHarness, MS, THREE, forwarded_to, is_failed, is_rejected, large_fleet_settings,
+    FrontEndHarness, MS, THREE_WORKERS, forwarded_to, is_failed, is_rejected, large_fleet_settings,
     load_polled, polled_worker,
 };
 use pipithub_policy::api::Outcome;
 
 #[test]
 fn worker_that_reports_long_queue_is_skipped() {
-    let mut front_end = FrontEndHarness::new(large_fleet_settings(), &THREE);
+    let mut front_end = FrontEndHarness::new(large_fleet_settings(), &THREE_WORKERS);
     let (id, actions) = front_end.request(1);
     assert!(
         forwarded_to(&actions).is_none(),
@@ -47,7 +47,7 @@
 
 #[test]
 fn lost_load_poll_does_not_hold_request_for_long() {
-    let mut front_end = FrontEndHarness::new(large_fleet_settings(), &THREE);
+    let mut front_end = FrontEndHarness::new(large_fleet_settings(), &THREE_WORKERS);
     let (id, actions) = front_end.request(1);
     let preferred = polled_worker(&actions).expect("the preferred worker is polled");
     let mut after = front_end.advance(40 * MS);
--- a/crates/pipithub-policy/tests/memory.rs
+++ b/crates/pipithub-policy/tests/memory.rs
@@ -4,7 +4,7 @@
 mod simulated_fleet;
 
 use allocation_counter::measure;
-use common::{FrontEndHarness, THREE, endpoint, forwarded_to, settings};
+use common::{FrontEndHarness, THREE_WORKERS, endpoint, forwarded_to, settings};
 use pipithub_policy::FrontEnd;
 use pipithub_policy::api::{Endpoint, EndpointState, Idempotency, Outcome};
 use simulated_fleet::{MS, Scenario, SimulatedFleet};
@@ -71,7 +71,7 @@
 
 #[test]
 fn state_stays_bounded_while_functions_and_workers_come_and_go() {
-    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE);
+    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE_WORKERS);
     let mut sizes = Vec::new();
     for round in 0..30u64 {
         for function in 0..200u64 {
--- a/crates/pipithub-policy/tests/outlier_detection.rs
+++ b/crates/pipithub-policy/tests/outlier_detection.rs
@@ -3,7 +3,8 @@
 mod common;
 
 use common::{
-    FrontEndHarness, MS, THREE, Traffic, endpoint, forwarded_to, large_fleet_settings, settings,
+    FrontEndHarness, MS, THREE_WORKERS, Traffic, endpoint, forwarded_to, large_fleet_settings,
+    settings,
 };
 use pipithub_policy::api::{
     Action, Endpoint, EndpointState, FunctionId, Idempotency, Outcome, Request, WorkerId,
@@ -17,7 +18,7 @@
 
 #[test]
 fn silent_worker_is_ejected_and_returns_when_it_answers() {
-    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE);
+    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE_WORKERS);
     let preferred = front_end.warm_up(1);
     let traffic = front_end.run_requests(1, 100, |w| (*w != preferred).then_some(Outcome::Served));
     assert!(traffic.served > 90, "served {} of 100", traffic.served);
@@ -36,7 +37,7 @@
 fn class_without_answers_is_ejected_while_other_class_stays() {
     let mut settings = settings(Idempotency::Idempotent);
     settings.classes.push(settings.classes[0].clone());
-    let mut front_end = FrontEndHarness::new(settings, &THREE);
+    let mut front_end = FrontEndHarness::new(settings, &THREE_WORKERS);
     let preferred = front_end.warm_up(1);
     let mut at_preferred = 0;
     for _ in 0..60 {
@@ -73,7 +74,7 @@
 
 #[test]
 fn crashed_worker_is_ejected_and_returns_with_slow_start() {
-    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE);
+    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE_WORKERS);
     let preferred = front_end.warm_up(1);
     let traffic = front_end.run_requests(1, 60, |w| {
         Some(if *w == preferred {
@@ -147,14 +148,14 @@
 
 #[test]
 fn slow_requests_do_not_eject_worker() {
-    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE);
+    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE_WORKERS);
     let preferred = front_end.warm_up(1);
     for i in 0..100 {
         let (id, actions) = front_end.request(1);
         front_end.advance(50 * MS);
         if let Some(worker) = forwarded_to(&actions) {
-            let took = if i % 25 == 0 { 2_000 * MS } else { 50 * MS };
-            front_end.finish_attempt_after(id, 0, &worker, Outcome::Served, took);
+            let elapsed = if i % 25 == 0 { 2_000 * MS } else { 50 * MS };
+            front_end.finish_attempt_after(id, 0, &worker, Outcome::Served, elapsed);
         }
     }
     let traffic = front_end.run_requests(1, 50, |_| Some(Outcome::Served));
@@ -165,16 +166,16 @@
 fn rejections_under_overload_end_once_worker_is_idle() {
     let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &["w1"]);
     front_end.warm_up(1);
-    let mut out = Vec::new();
+    let mut forwarded = Vec::new();
     for _ in 0..400 {
         let (id, actions) = front_end.request(1);
         if forwarded_to(&actions).is_some() {
-            out.push(id);
+            forwarded.push(id);
         }
         front_end.advance(2 * MS);
     }
-    assert!(out.len() < 400, "an overload is rejected in part");
-    for id in out {
+    assert!(forwarded.len() < 400, "an overload is rejected in part");
+    for id in forwarded {
         front_end.advance(5 * MS);
         front_end.finish_attempt_after(id, 0, &WorkerId::new("w1"), Outcome::Served, 900 * MS);
     }
@@ -187,7 +188,7 @@
 
 #[test]
 fn worker_at_capacity_gets_fewer_requests_until_it_accepts() {
-    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE);
+    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE_WORKERS);
     let preferred = front_end.warm_up(1);
     let served = front_end
         .run_requests(1, 50, |w| {
@@ -208,7 +209,7 @@
 
 #[test]
 fn single_lost_connection_neither_moves_function_nor_cancels_other_attempts() {
-    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE);
+    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE_WORKERS);
     let preferred = front_end.warm_up(1);
     let mut at_preferred = 0;
     for i in 0..100 {
@@ -216,23 +217,23 @@
         let worker = forwarded_to(&actions).expect("served somewhere");
         at_preferred += usize::from(worker == preferred);
         let (other, _) = front_end.request(1);
-        let broken = i % 5 == 0;
-        let after = front_end.finish_attempt(
+        let connection_lost = i % 5 == 0;
+        let actions = front_end.finish_attempt(
             id,
             0,
             &worker,
-            if broken {
+            if connection_lost {
                 Outcome::ConnectionLost
             } else {
                 Outcome::Served
             },
         );
-        if let Some(again) = forwarded_to(&after) {
-            front_end.finish_attempt(id, 1, &again, Outcome::Served);
+        if let Some(retry_worker) = forwarded_to(&actions) {
+            front_end.finish_attempt(id, 1, &retry_worker, Outcome::Served);
         }
-        let after = front_end.advance(60 * MS);
+        let actions = front_end.advance(60 * MS);
         assert!(
-            !after.iter().any(|a| matches!(a, Action::Cancel { .. })),
+            !actions.iter().any(|a| matches!(a, Action::Cancel { .. })),
             "request {other} is left to run"
         );
         front_end.finish_attempt(other, 0, &preferred, Outcome::Served);
@@ -245,12 +246,12 @@
 
 #[test]
 fn worker_with_high_error_rate_is_ejected_and_returns_after_recovery() {
-    let mut front_end = FrontEndHarness::new(settings(Idempotency::NonIdempotent), &THREE);
-    let bad = front_end.warm_up(1);
+    let mut front_end = FrontEndHarness::new(settings(Idempotency::NonIdempotent), &THREE_WORKERS);
+    let failing_worker = front_end.warm_up(1);
     // Several functions at each worker; three of four requests at the failing one end with an error.
-    let mut count = 0;
-    let mut lost = |front_end: &mut FrontEndHarness, failing: bool| {
-        let mut lost = 0;
+    let mut attempts = 0;
+    let mut run_and_count_errors = |front_end: &mut FrontEndHarness, failing: bool| {
+        let mut errors = 0;
         for round in 0..300 {
             let (id, actions) = front_end.request(round % 12 + 1);
             front_end.finish_load_commands(&actions, Outcome::Served, 1);
@@ -258,9 +259,9 @@
                 continue;
             };
             front_end.advance(20 * MS);
-            count += 1;
-            let fails = failing && worker == bad && count % 4 > 0;
-            lost += usize::from(fails);
+            attempts += 1;
+            let fails = failing && worker == failing_worker && attempts % 4 > 0;
+            errors += usize::from(fails);
             front_end.finish_attempt(
                 id,
                 0,
@@ -272,22 +273,26 @@
                 },
             );
         }
-        lost
+        errors
     };
-    assert_eq!(lost(&mut front_end, false), 0);
-    let early = lost(&mut front_end, true);
+    assert_eq!(run_and_count_errors(&mut front_end, false), 0);
+    let early = run_and_count_errors(&mut front_end, true);
     assert!(
         (3..30).contains(&early),
         "of about 75 requests that prefer it, lost {early}"
     );
-    assert_eq!(lost(&mut front_end, false), 0);
-    let preferred = front_end.request(1).1;
-    assert_eq!(forwarded_to(&preferred), Some(bad), "it serves again");
+    assert_eq!(run_and_count_errors(&mut front_end, false), 0);
+    let actions = front_end.request(1).1;
+    assert_eq!(
+        forwarded_to(&actions),
+        Some(failing_worker),
+        "it serves again"
+    );
 }
 
 #[test]
-fn errors_of_one_function_or_of_all_workers_eject_nobody() {
-    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE);
+fn errors_of_one_function_or_of_all_workers_eject_no_worker() {
+    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE_WORKERS);
     let preferred = front_end.warm_up(1);
     // A function that always fails, often requested: its preferred worker serves others.
     for _ in 0..100 {
@@ -303,7 +308,7 @@
         front_end.finish_attempt(id, 0, &preferred, Outcome::Served);
     }
     // A third of all answers are errors, wherever they come from.
-    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE);
+    let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE_WORKERS);
     let served = front_end
         .run_requests(1, 10, |_| Some(Outcome::Served))
         .served;
@@ -332,7 +337,7 @@
 fn function_with_late_answers_is_forwarded_again_after_recovery() {
     let mut settings = large_fleet_settings();
     settings.limits.load_polls = false;
-    let mut front_end = FrontEndHarness::new(settings, &THREE);
+    let mut front_end = FrontEndHarness::new(settings, &THREE_WORKERS);
     front_end.warm_up(1);
     // One function's answers are late for a while; it must be forwarded again once that is over.
     for _ in 0..60 {
--- a/crates/pipithub-policy/tests/preferred_workers.rs
+++ b/crates/pipithub-policy/tests/preferred_workers.rs
@@ -15,7 +15,7 @@
 const WORKERS: u64 = 3_000;
 const FUNCTIONS: u64 = 9_000;
 
-fn name(n: u64) -> WorkerId {
+fn worker_id(n: u64) -> WorkerId {
     WorkerId::new(&format!(
         "10.{}.{}.{}:8080",
         n / 65_536,
@@ -26,7 +26,7 @@
 
 fn delta(workers: impl Iterator<Item = u64>, state: EndpointState) -> Event {
     let endpoint = |n| Endpoint {
-        worker: name(n),
+        worker: worker_id(n),
         state,
         ..Endpoint::default()
     };
@@ -104,7 +104,7 @@
     }
 }
 
-fn moved(before: &BTreeMap<u64, WorkerId>, after: &BTreeMap<u64, WorkerId>) -> usize {
+fn count_moved(before: &BTreeMap<u64, WorkerId>, after: &BTreeMap<u64, WorkerId>) -> usize {
     before
         .iter()
         .filter(|(function, worker)| after[function] != **worker)
@@ -122,16 +122,16 @@
 fn added_and_removed_workers_move_few_functions() {
     let before = PreferenceProbe::new(1, 0..WORKERS).all_preferred();
     // Some of them at once, so that the share is more than chance.
-    let few = 60;
-    let more = PreferenceProbe::new(1, 0..WORKERS + few).all_preferred();
+    let changed = 60;
+    let more = PreferenceProbe::new(1, 0..WORKERS + changed).all_preferred();
     let less = {
         let mut probe = PreferenceProbe::new(1, 0..WORKERS);
-        probe.handle(delta(0..few, EndpointState::Removed));
+        probe.handle(delta(0..changed, EndpointState::Removed));
         probe.all_preferred()
     };
-    let share = (FUNCTIONS * few / WORKERS) as usize;
+    let share = (FUNCTIONS * changed / WORKERS) as usize;
     for after in [more, less] {
-        let moved = moved(&before, &after);
+        let moved = count_moved(&before, &after);
         assert!(
             moved >= share / 2,
             "{moved} of {share}: a removed worker is preferred by nobody"
@@ -158,7 +158,7 @@
     let most = *counts.values().max().unwrap() as f64;
     assert!(most <= 5.0 * mean, "{most}");
     // The variance of a fair draw is its mean.
-    let all = (0..WORKERS).map(|n| counts.get(&name(n)).copied().unwrap_or(0) as f64);
+    let all = (0..WORKERS).map(|n| counts.get(&worker_id(n)).copied().unwrap_or(0) as f64);
     let variance = all.map(|c| (c - mean).powi(2)).sum::<f64>() / WORKERS as f64;
     assert!(variance < 1.3 * mean, "{variance} of {mean}");
 }
@@ -187,10 +187,10 @@
         .zip(&after)
         .filter(|(before, after)| before != after)
         .count();
-    let lost = before.iter().filter(|w| **w == WorkerId::new("w5")).count();
-    assert_eq!(moved, lost, "only what preferred the lost worker moves");
+    let removed = before.iter().filter(|w| **w == WorkerId::new("w5")).count();
+    assert_eq!(moved, removed, "only what preferred the lost worker moves");
     assert!(
-        (20..=60).contains(&lost),
-        "each worker is preferred by its part: {lost}"
+        (20..=60).contains(&removed),
+        "each worker is preferred by its part: {removed}"
     );
 }
--- a/crates/pipithub-policy/tests/service_leases.rs
+++ b/crates/pipithub-policy/tests/service_leases.rs
@@ -9,7 +9,7 @@
     Idempotency, Outcome, Settings, Time, WorkerId,
 };
 
-const GRACE: Time = 1_000 * MS;
+const DRAIN_GRACE: Time = 1_000 * MS;
 /// The grace less its margin.
 const LEASE: Time = 850 * MS;
 /// From the last sign of life of the list's source on.
@@ -19,7 +19,7 @@
 
 fn lease_settings() -> Settings {
     Settings {
-        drain_grace: Some(GRACE),
+        drain_grace: Some(DRAIN_GRACE),
         ..settings(Idempotency::Idempotent)
     }
 }
@@ -28,9 +28,9 @@
 /// worker.
 fn confirmed_front_end() -> (FrontEndHarness, WorkerId) {
     let mut front_end = FrontEndHarness::new(lease_settings(), &WORKERS);
-    contact(&mut front_end, EndpointListContact::Sought);
+    report_contact(&mut front_end, EndpointListContact::Sought);
     let preferred = front_end.warm_up(FUNCTION);
-    contact(&mut front_end, EndpointListContact::Current);
+    report_contact(&mut front_end, EndpointListContact::Current);
     (front_end, preferred)
 }
 
@@ -41,7 +41,7 @@
     (front_end, preferred)
 }
 
-fn contact(front_end: &mut FrontEndHarness, contact: EndpointListContact) {
+fn report_contact(front_end: &mut FrontEndHarness, contact: EndpointListContact) {
     front_end.handle(Event::EndpointListContact(contact));
 }
 
@@ -85,19 +85,19 @@
     mut outcome: impl FnMut(&WorkerId) -> HealthCheckOutcome,
 ) -> Option<WorkerId> {
     let (id, mut actions) = front_end.request(FUNCTION);
-    let mut taken_by = forwarded_to(&actions);
+    let mut served_by = forwarded_to(&actions);
     // A check may be sent beside a forward: then nothing waits for it.
     while let Some(worker) = checked_worker(&actions) {
         let outcome = outcome(&worker);
         actions = finish_check(front_end, &worker, outcome, MS);
-        taken_by = taken_by.or(forwarded_to(&actions));
+        served_by = served_by.or(forwarded_to(&actions));
     }
-    let worker = taken_by?;
+    let worker = served_by?;
     front_end.finish_attempt(id, 0, &worker, Outcome::Served);
     Some(worker)
 }
 
-fn listed(address: &str, state: EndpointState) -> Endpoint {
+fn endpoint_in_state(address: &str, state: EndpointState) -> Endpoint {
     Endpoint {
         state,
         ..endpoint(address)
@@ -105,11 +105,11 @@
 }
 
 #[test]
-fn nothing_is_checked_while_the_list_is_confirmed() {
+fn no_health_check_is_sent_while_the_list_is_confirmed() {
     let (mut front_end, preferred) = confirmed_front_end();
     for _ in 0..100 {
         front_end.advance(1_000 * MS);
-        contact(&mut front_end, EndpointListContact::Current);
+        report_contact(&mut front_end, EndpointListContact::Current);
         let (id, actions) = front_end.request(FUNCTION);
         assert_eq!(forwarded_to(&actions), Some(preferred.clone()));
         front_end.finish_attempt(id, 0, &preferred, Outcome::Served);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn the_lists_lease_ends_with_the_notified_time_and_the_grace() {
+fn the_list_lease_ends_after_the_notification_delay_and_the_drain_grace() {
     let (mut front_end, preferred) = confirmed_front_end();
     assert_eq!(
         front_end.module.lease_end(&preferred),
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_check_vouches_from_when_it_was_sent_and_a_served_call_not_at_all() {
+fn a_check_renews_the_lease_from_when_it_was_sent_and_a_served_request_does_not() {
     let (mut front_end, preferred) = front_end_in_outage();
     let (id, _) = front_end.request(FUNCTION);
     let sent_at = front_end.now;
@@ -182,11 +182,11 @@
 }
 
 #[test]
-fn a_worker_that_says_that_it_is_not_in_service_gets_nothing_until_it_says_otherwise() {
+fn an_unhealthy_worker_gets_no_request_until_a_check_finds_it_healthy() {
     let (mut front_end, preferred) = front_end_in_outage();
     let mut checks = 0;
     for _ in 0..40 {
-        let taken_by = route_with_checks(&mut front_end, |worker| {
+        let served_by = route_with_checks(&mut front_end, |worker| {
             checks += usize::from(*worker == preferred);
             if *worker == preferred {
                 HealthCheckOutcome::Unhealthy
@@ -194,7 +194,7 @@
                 HealthCheckOutcome::Healthy
             }
         });
-        assert!(taken_by.is_some_and(|worker| worker != preferred));
+        assert!(served_by.is_some_and(|worker| worker != preferred));
         front_end.advance(100 * MS);
     }
     assert!(
@@ -202,10 +202,10 @@
         "in 4 s, with a backoff: {checks}"
     );
     front_end.advance(1_600 * MS);
-    let taken_by =
+    let served_by =
         (0..2).map(|_| route_with_checks(&mut front_end, |_| HealthCheckOutcome::Healthy));
     assert_eq!(
-        taken_by.last().flatten(),
+        served_by.last().flatten(),
         Some(preferred),
         "in service again"
     );
@@ -237,17 +237,17 @@
 }
 
 #[test]
-fn a_tier_does_not_vanish_by_one_lost_check_of_each_worker() {
+fn one_lost_check_of_each_worker_does_not_take_all_workers_out_of_service() {
     let (mut front_end, _) = front_end_in_outage();
     let mut lost = Vec::new();
-    let taken_by = route_with_checks(&mut front_end, |worker| {
+    let served_by = route_with_checks(&mut front_end, |worker| {
         if lost.contains(worker) {
             return HealthCheckOutcome::Healthy;
         }
         lost.push(worker.clone());
         HealthCheckOutcome::Unanswered
     });
-    assert!(taken_by.is_some());
+    assert!(served_by.is_some());
 }
 
 #[test]
@@ -264,13 +264,16 @@
 }
 
 #[test]
-fn the_list_rules_again_once_it_is_back() {
+fn the_list_overrides_health_checks_once_it_is_current_again() {
     let (mut front_end, preferred) = front_end_in_outage();
     let (_, actions) = front_end.request(FUNCTION);
     assert_eq!(checked_worker(&actions), Some(preferred.clone()));
     // A check is under way when the list comes back and says otherwise.
-    front_end.update_endpoints(vec![listed(&preferred.0, EndpointState::Draining)]);
-    contact(&mut front_end, EndpointListContact::Current);
+    front_end.update_endpoints(vec![endpoint_in_state(
+        &preferred.0,
+        EndpointState::Draining,
+    )]);
+    report_contact(&mut front_end, EndpointListContact::Current);
     assert!(
         front_end.module.lease_end(&preferred) <= front_end.now,
         "its lease had ended before, so nothing may be written any more"
@@ -280,9 +283,12 @@
 }
 
 #[test]
-fn what_was_decided_before_a_drain_may_be_written_for_the_grace_and_not_past_its_lease() {
+fn a_request_decided_before_a_drain_may_be_sent_for_the_grace_but_not_past_the_lease() {
     let (mut front_end, preferred) = confirmed_front_end();
-    front_end.update_endpoints(vec![listed(&preferred.0, EndpointState::Draining)]);
+    front_end.update_endpoints(vec![endpoint_in_state(
+        &preferred.0,
+        EndpointState::Draining,
+    )]);
     let end = front_end.now + LEASE;
     assert_eq!(front_end.module.lease_end(&preferred), end, "in reach");
 
@@ -291,35 +297,38 @@
     let sent_at = front_end.now;
     finish_check(&mut front_end, &preferred, HealthCheckOutcome::Healthy, 0);
     front_end.advance(500 * MS);
-    front_end.update_endpoints(vec![listed(&preferred.0, EndpointState::Draining)]);
-    contact(&mut front_end, EndpointListContact::Current);
+    front_end.update_endpoints(vec![endpoint_in_state(
+        &preferred.0,
+        EndpointState::Draining,
+    )]);
+    report_contact(&mut front_end, EndpointListContact::Current);
     let end = sent_at + LEASE;
     assert_eq!(front_end.module.lease_end(&preferred), end, "by its check");
 }
 
 #[test]
-fn the_head_of_a_response_counts_at_the_start_alone_and_from_then() {
+fn the_head_of_a_response_extends_only_the_lease_of_the_start() {
     let mut front_end = FrontEndHarness::new(lease_settings(), &WORKERS);
     let worker = WorkerId::new("w1");
-    contact(&mut front_end, EndpointListContact::Sought);
+    report_contact(&mut front_end, EndpointListContact::Sought);
     let started_at = front_end.now;
     assert_eq!(front_end.module.lease_end(&worker), started_at + LEASE);
     // A source that stops after the head of each response.
     for _ in 0..3 {
         front_end.advance(500 * MS);
-        contact(&mut front_end, EndpointListContact::Answered);
-        let end = started_at + GRACE + 50 * MS;
+        report_contact(&mut front_end, EndpointListContact::Answered);
+        let end = started_at + DRAIN_GRACE + 50 * MS;
         assert_eq!(front_end.module.lease_end(&worker), end);
     }
-    contact(&mut front_end, EndpointListContact::Current);
+    report_contact(&mut front_end, EndpointListContact::Current);
     let end = front_end.now + ENDPOINT_LIST_LEASE;
     front_end.advance(500 * MS);
-    contact(&mut front_end, EndpointListContact::Answered);
+    report_contact(&mut front_end, EndpointListContact::Answered);
     assert_eq!(front_end.module.lease_end(&worker), end);
 }
 
 #[test]
-fn a_worker_that_came_back_unseen_has_slow_start() {
+fn a_worker_that_restarted_during_an_outage_has_slow_start() {
     for (connected_after_loss, is_limited) in [(true, true), (false, false)] {
         let (mut front_end, preferred) = front_end_in_outage();
         let connected_before = front_end.now - 10_000 * MS;
@@ -362,7 +371,7 @@
     let mut settings = lease_settings();
     settings.limits.health_checks = false;
     let mut front_end = FrontEndHarness::new(settings, &WORKERS);
-    contact(&mut front_end, EndpointListContact::Sought);
+    report_contact(&mut front_end, EndpointListContact::Sought);
     front_end.advance(60_000 * MS);
     let (_, actions) = front_end.request(FUNCTION);
     let worker = forwarded_to(&actions).expect("forwarded");
--- a/crates/pipithub-policy/tests/simulated_fleet/attempts.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/attempts.rs
@@ -18,7 +18,7 @@
 /// By how much a slow run takes longer.
 const SLOW_FACTOR: f64 = 10.0;
 /// How often a failing worker answers with an error.
-const FAILING_WORKER_ERRORS: f64 = 0.8;
+const FAILING_WORKER_ERROR_RATE: f64 = 0.8;
 /// When attempts time out that are never answered, in milliseconds.
 const TIMEOUTS_MS: [Time; 3] = [1_500, 4_000, 60_000];
 
@@ -69,7 +69,7 @@
             return;
         };
         let key = u64::from(attempt.number);
-        let mut random = self.draws(Purpose::Attempt, request.0, key);
+        let mut random = self.random_for(Purpose::Attempt, request.0, key);
         let conditions = self.attempt_conditions(request, worker_index, &mut random);
         let end = self.draw_end(&conditions, &mut random);
         let finished = self.attempt_finished(attempt, &conditions, &end, &mut random);
@@ -154,7 +154,7 @@
     fn replica_ready_at(&self, worker: usize, function: FunctionId) -> Option<Time> {
         let simulated = self.workers.get(worker);
         let known = simulated.replicas.get(&function).copied();
-        let mut random = self.draws(Purpose::LoadedBefore, worker as u64, function.0);
+        let mut random = self.random_for(Purpose::LoadedBefore, worker as u64, function.0);
         let loaded_before = chance(&mut random, self.scenario.functions.loaded_before)
             && simulated.endpoint.started_at.is_none();
         known.or(loaded_before.then_some(0))
@@ -191,7 +191,7 @@
                 (Outcome::TimedOut, timeout * MS)
             } else if chance(random, faults.rejected) || conditions.in_flight > concurrency_limit {
                 (Outcome::Rejected, MS)
-            } else if self.is_failing(worker) && chance(random, FAILING_WORKER_ERRORS)
+            } else if self.is_failing(worker) && chance(random, FAILING_WORKER_ERROR_RATE)
                 || chance(random, faults.error)
             {
                 (Outcome::Error, (conditions.run_time * 0.2) as Time)
@@ -205,7 +205,7 @@
 
     /// Whether a worker answers most requests with an error.
     fn is_failing(&self, worker: usize) -> bool {
-        let mut random = self.draws(Purpose::FailingWorker, worker as u64, 0);
+        let mut random = self.random_for(Purpose::FailingWorker, worker as u64, 0);
         chance(&mut random, self.scenario.faults.failing_workers)
     }
 
@@ -282,7 +282,8 @@
         let Some(worker) = pending.and_then(|p| p.in_flight.get(&number)).copied() else {
             return;
         };
-        let mut random = self.draws(Purpose::AttemptCancellation, request.0, u64::from(number));
+        let mut random =
+            self.random_for(Purpose::AttemptCancellation, request.0, u64::from(number));
         if !random.random_bool(self.scenario.reporting.cancels_honored) {
             return;
         }
--- a/crates/pipithub-policy/tests/simulated_fleet/clients.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/clients.rs
@@ -62,13 +62,14 @@
             .classes
             .get(class)
             .map_or(DEFAULT_CLIENT_TIMEOUT, |class| class.client_timeout);
-        let mut figures = generator(scenario.seed, Purpose::Function, function, 0);
+        let mut function_random = generator(scenario.seed, Purpose::Function, function, 0);
         let (shortest, longest) = scenario.functions.load_time;
-        let load_time_known = figures.random_range(0.0..1.0) < scenario.functions.load_time_known;
-        let load_time =
-            load_time_known.then(|| figures.random_range(shortest..=longest.max(shortest + 1)));
-        let replica_concurrency = figures.random_range(0..6);
-        let memory_mb = [0.0, 100.0, 900.0][figures.random_range(0..3)];
+        let load_time_known =
+            function_random.random_range(0.0..1.0) < scenario.functions.load_time_known;
+        let load_time = load_time_known
+            .then(|| function_random.random_range(shortest..=longest.max(shortest + 1)));
+        let replica_concurrency = function_random.random_range(0..6);
+        let memory_mb = [0.0, 100.0, 900.0][function_random.random_range(0..3)];
         let timeout = match self.random.random_range(0..8) {
             0 => None,
             1 => Some(client_timeout / 3),
--- a/crates/pipithub-policy/tests/simulated_fleet/cost.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/cost.rs
@@ -60,7 +60,7 @@
         endpoints: usize,
     },
     /// Belongs to the request that arrived last.
-    OfRequest,
+    RequestFollowUp,
 }
 
 impl EventKind {
@@ -71,7 +71,7 @@
             Event::Endpoints { endpoints, .. } => EventKind::EndpointUpdate {
                 endpoints: endpoints.len(),
             },
-            _ => EventKind::OfRequest,
+            _ => EventKind::RequestFollowUp,
         }
     }
 }
@@ -137,7 +137,7 @@
                 self.endpoint_updates
                     .push(EndpointUpdateCost { cost, endpoints });
             }
-            EventKind::OfRequest => {
+            EventKind::RequestFollowUp => {
                 if let Some(last) = self.requests.last_mut() {
                     *last += cost;
                 }
--- a/crates/pipithub-policy/tests/simulated_fleet/discovery.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/discovery.rs
@@ -16,8 +16,8 @@
 /// The interval of signs of life.
 const CONFIRMATION_INTERVAL: Time = 1_000 * MS;
 /// The parts of a health check's answers that are lost, and of a restart's connections that the front end had.
-const CHECK_LOST: f64 = 0.05;
-const CONNECTION_KNOWN: f64 = 0.7;
+const CHECK_LOSS_PROBABILITY: f64 = 0.05;
+const KNOWN_CONNECTION_PROBABILITY: f64 = 0.7;
 /// The longest grace of the scenarios, in units of 250 ms.
 const MAX_GRACE_STEPS: u64 = 8;
 
@@ -59,7 +59,7 @@
     }
 
     /// Whether discovery is out of reach now.
-    pub(super) fn is_out_of_reach(&self) -> bool {
+    pub(super) fn is_discovery_unreachable(&self) -> bool {
         let outages = &self.scenario.discovery_outages;
         outages
             .iter()
@@ -72,7 +72,7 @@
             self.schedule
                 .push(next, ScheduledEvent::DiscoveryContact(contact));
         }
-        if contact != EndpointListContact::Sought && self.is_out_of_reach() {
+        if contact != EndpointListContact::Sought && self.is_discovery_unreachable() {
             return None;
         }
         self.count("discovery contact");
@@ -83,8 +83,10 @@
     pub(super) fn delay_change(&mut self, changed: BTreeSet<usize>) {
         self.count("change delayed");
         for &worker in &changed {
-            let is_known = self.endpoint_random.random_bool(CONNECTION_KNOWN);
-            if self.workers.get(worker).endpoint.started_at == Some(self.now) && is_known {
+            let has_connection = self
+                .endpoint_random
+                .random_bool(KNOWN_CONNECTION_PROBABILITY);
+            if self.workers.get(worker).endpoint.started_at == Some(self.now) && has_connection {
                 self.schedule
                     .push(self.now + MS, ScheduledEvent::WorkerDisconnects(worker));
             }
@@ -114,11 +116,11 @@
         let Some(worker) = self.workers.index_of(address) else {
             return;
         };
-        let mut random = self.draws(Purpose::HealthCheck, worker as u64, self.now);
+        let mut random = self.random_for(Purpose::HealthCheck, worker as u64, self.now);
         let state = self.workers.get(worker).endpoint.state;
         let outcome = match state {
             EndpointState::Removed => HealthCheckOutcome::Disconnected,
-            _ if self.is_silent(worker) || random.random_bool(CHECK_LOST) => {
+            _ if self.is_silent(worker) || random.random_bool(CHECK_LOSS_PROBABILITY) => {
                 HealthCheckOutcome::Unanswered
             }
             EndpointState::Draining => HealthCheckOutcome::Unhealthy,
--- a/crates/pipithub-policy/tests/simulated_fleet/endpoint_updates.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/endpoint_updates.rs
@@ -10,7 +10,7 @@
 /// No workers are added beyond these.
 const MAX_WORKERS: usize = 600;
 /// What a regular update is drawn as: a delta.
-const REGULAR: u32 = 11;
+const REGULAR_UPDATE: u32 = 11;
 
 fn delta(endpoints: Vec<Endpoint>) -> Event {
     Event::Endpoints {
@@ -59,7 +59,7 @@
         let kind = if self.scenario.endpoint_changes.irregular {
             self.endpoint_random.random_range(0..12)
         } else {
-            REGULAR
+            REGULAR_UPDATE
         };
         match kind {
             0 => {
--- a/crates/pipithub-policy/tests/simulated_fleet/load.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/load.rs
@@ -25,19 +25,19 @@
         let key = worker as u64;
         let interval = self.now / LOAD_INTERVAL;
         let lasting = self
-            .draws(Purpose::OtherFrontEnds, key, 0)
+            .random_for(Purpose::OtherFrontEnds, key, 0)
             .random_range(0.0..1.0f64)
             .powi(3)
             * 4.0;
         let present = self
-            .draws(Purpose::OtherFrontEnds, key, 1 + interval)
+            .random_for(Purpose::OtherFrontEnds, key, 1 + interval)
             .random_range(0.5..1.5);
         (self.scenario.other_front_ends.mean_in_flight * lasting * present).floor()
     }
 
     /// What a worker reports now; some reports are not finite, and parts may be missing.
     pub(super) fn load_report(&self, worker: usize) -> LoadReport {
-        let mut random = self.draws(Purpose::LoadReport, worker as u64, self.now);
+        let mut random = self.random_for(Purpose::LoadReport, worker as u64, self.now);
         let in_flight = if random.random_bool(0.002) {
             f64::INFINITY
         } else {
@@ -65,7 +65,7 @@
         let Some(worker) = self.workers.index_of(address) else {
             return;
         };
-        let mut random = self.draws(Purpose::LoadPoll, worker as u64, self.now);
+        let mut random = self.random_for(Purpose::LoadPoll, worker as u64, self.now);
         let can_answer = !self.workers.get(worker).is_removed() && !self.is_silent(worker);
         let answered = can_answer && random.random_bool(self.scenario.reporting.polls_answered);
         if answered || random.random_bool(0.5) {
@@ -100,7 +100,7 @@
             return;
         };
         let key = function.0 ^ self.now;
-        let mut random = self.draws(Purpose::LoadCommand, worker as u64, key);
+        let mut random = self.random_for(Purpose::LoadCommand, worker as u64, key);
         let (shortest, longest) = self.scenario.functions.load_time;
         let simulated = self.workers.get(worker);
         let replica = simulated.replicas.get(&function);
--- a/crates/pipithub-policy/tests/simulated_fleet/mod.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/mod.rs
@@ -105,7 +105,7 @@
             if self.arrivals_stopped && is_arrival {
                 continue;
             }
-            if let Some(event) = self.happen(scheduled) {
+            if let Some(event) = self.event_of(scheduled) {
                 return Some((at, event));
             }
         }
@@ -164,7 +164,7 @@
             Action::PollLoad { worker } => self.poll_load(worker),
             Action::CheckHealth { worker } => self.check_health(worker),
             Action::SetTimer { after, token } => {
-                let mut random = self.draws(Purpose::Timer, *token, self.now);
+                let mut random = self.random_for(Purpose::Timer, *token, self.now);
                 let delay = random.random_range(0..4) * MS / 2;
                 let expires_at = self.now + *after + delay;
                 self.schedule
@@ -175,7 +175,7 @@
     }
 
     /// What a scheduled event means for the front end; `None`: nothing any more.
-    fn happen(&mut self, scheduled: ScheduledEvent) -> Option<Event> {
+    fn event_of(&mut self, scheduled: ScheduledEvent) -> Option<Event> {
         let event = match scheduled {
             ScheduledEvent::RequestArrives => self.next_request_arrives(),
             ScheduledEvent::ClientRetries(request) => {
@@ -197,7 +197,7 @@
                 let next_change = self.now + gap;
                 self.schedule
                     .push(next_change, ScheduledEvent::EndpointsChange);
-                if self.is_out_of_reach() {
+                if self.is_discovery_unreachable() {
                     let changed = self.change_some_workers();
                     self.delay_change(changed);
                     return None;
@@ -234,7 +234,7 @@
     fn request_arrives(&mut self, request: Request) -> Event {
         self.count("request arrived");
         let profile = &self.scenario.clients;
-        let mut random = self.draws(Purpose::ClientCancellation, request.id.0, 0);
+        let mut random = self.random_for(Purpose::ClientCancellation, request.id.0, 0);
         if random.random_bool(profile.cancels) {
             let cancels_at = self.now + random.random_range(MS..=profile.cancels_within.max(MS));
             self.schedule
@@ -271,7 +271,7 @@
         };
         pending.settled = true;
         let request = pending.request.clone();
-        let mut random = self.draws(Purpose::FinalAnswer, id.0, 0);
+        let mut random = self.random_for(Purpose::FinalAnswer, id.0, 0);
         if random.random_bool(self.scenario.clients.retries) && self.clients.may_retry() {
             let retries_at = self.now + retry_after + random.random_range(0..300) * MS;
             self.schedule
@@ -284,7 +284,7 @@
         *self.counts.entry(name).or_default() += 1;
     }
 
-    fn draws(&self, purpose: Purpose, key: u64, subkey: u64) -> SmallRng {
+    fn random_for(&self, purpose: Purpose, key: u64, subkey: u64) -> SmallRng {
         generator(self.scenario.seed, purpose, key, subkey)
     }
 }
--- a/crates/pipithub-policy/tests/simulated_fleet/random_scenario.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/random_scenario.rs
@@ -112,9 +112,9 @@
 
     fn worker_count(&mut self, max_workers: u64) -> u64 {
         if self.focus == Focus::LoadCommands {
-            self.between(5, max_workers.min(30))
+            self.log_uniform(5, max_workers.min(30))
         } else {
-            self.between(1, max_workers)
+            self.log_uniform(1, max_workers)
         }
     }
 
@@ -125,7 +125,7 @@
         } else {
             5_000
         };
-        let milliseconds = self.between(shortest, 90_000);
+        let milliseconds = self.log_uniform(shortest, 90_000);
         let longest = if self.focus == Focus::SilentZone {
             20_000
         } else {
@@ -138,13 +138,13 @@
         if self.focus == Focus::SilentZone {
             self.random.random_range(2..5)
         } else {
-            self.between(1, 9) as usize - 1
+            self.log_uniform(1, 9) as usize - 1
         }
     }
 
     fn request_count(&mut self, workers: u64) -> u64 {
         if self.focus == Focus::Mixed {
-            self.between(50, if workers > 100 { 90 } else { 220 })
+            self.log_uniform(50, if workers > 100 { 90 } else { 220 })
         } else {
             400
         }
@@ -193,7 +193,7 @@
             Focus::SilentZone => (9, 1_700),
         };
         Settings {
-            front_ends: self.between(fewest, most) as u32,
+            front_ends: self.log_uniform(fewest, most) as u32,
             tick: self.pick(&[0, 1, 2, 5]) * MS,
             classes,
             limits,
@@ -210,11 +210,12 @@
 
     fn class(&mut self) -> Class {
         let silent_zone = self.focus == Focus::SilentZone;
-        let latency_objective = self.between(if silent_zone { 500 } else { 150 }, 2_000) * MS;
+        let latency_objective = self.log_uniform(if silent_zone { 500 } else { 150 }, 2_000) * MS;
         Class {
             latency_objective,
             objective_per_work: self.pick(&[0.0, 0.0, 3.0]),
-            client_timeout: latency_objective * self.between(if silent_zone { 5 } else { 1 }, 8),
+            client_timeout: latency_objective
+                * self.log_uniform(if silent_zone { 5 } else { 1 }, 8),
             late_answer_weight: self.pick(&[0.0, 0.3, 0.3, 0.8]),
             idempotency: self.pick(&[
                 Idempotency::Idempotent,
@@ -246,7 +247,7 @@
     fn slow_start(&mut self) -> SlowStart {
         SlowStart {
             initial_weight: self.random.random_range(0.05..1.0),
-            window: self.between(1_000, 20_000) * MS,
+            window: self.log_uniform(1_000, 20_000) * MS,
             overload_factor: self.pick(&[0.0, 1.0, 3.0]),
             overload_window: self.pick(&[0, 500, 2_000]) * MS,
         }
@@ -263,7 +264,7 @@
         FunctionLoading {
             load_commands: self.chance(if loads_on_request { 0.6 } else { 0.95 }),
             loads_on_request,
-            keep_alive: self.between(500, if by_command_only { 4_000 } else { 40_000 }) * MS,
+            keep_alive: self.log_uniform(500, if by_command_only { 4_000 } else { 40_000 }) * MS,
             reports_cold_starts: self.chance(0.5),
             reports_concurrency: self.chance(0.5),
             rate_limit: (!by_command_only && self.chance(0.4)).then_some(rate_limit),
@@ -280,7 +281,7 @@
 
     fn function_count(&mut self) -> u64 {
         let by_command_only = self.focus == Focus::LoadCommands;
-        self.between(if by_command_only { 30 } else { 1 }, 60)
+        self.log_uniform(if by_command_only { 30 } else { 1 }, 60)
     }
 
     fn burst(&mut self) -> u64 {
@@ -297,10 +298,13 @@
             count,
             called_once,
             run_time: (
-                self.between(5, 50) * MS,
-                self.between(50, if silent_zone { 150 } else { 600 }) * MS,
+                self.log_uniform(5, 50) * MS,
+                self.log_uniform(50, if silent_zone { 150 } else { 600 }) * MS,
+            ),
+            load_time: (
+                self.log_uniform(50, 400) * MS,
+                self.log_uniform(400, 4_000) * MS,
             ),
-            load_time: (self.between(50, 400) * MS, self.between(400, 4_000) * MS),
             load_time_known: self.pick(&[0.0, 0.5, 1.0]),
             loaded_before: if self.focus == Focus::LoadCommands {
                 0.0
@@ -358,7 +362,7 @@
     }
 
     /// A number from `least` up to `most`, as likely in each power of ten.
-    fn between(&mut self, least: u64, most: u64) -> u64 {
+    fn log_uniform(&mut self, least: u64, most: u64) -> u64 {
         let (least, most) = (least as f64, most.max(least) as f64 + 1.0);
         (least * (most / least).powf(self.random.random_range(0.0..1.0))) as u64
     }
--- a/crates/pipithub-policy/tests/simulated_fleet/scenario.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/scenario.rs
@@ -6,8 +6,8 @@
 pub(crate) const MS: Time = 1_000_000;
 
 /// Front ends of a large site, and the zones of its workers.
-const LARGE_SITE_FRONT_ENDS: u32 = 1_700;
-const LARGE_SITE_ZONES: usize = 7;
+const LARGE_FLEET_FRONT_ENDS: u32 = 1_700;
+const LARGE_FLEET_ZONES: usize = 7;
 /// A limit that no worker reaches.
 const UNLIMITED: f64 = 1e9;
 
@@ -141,12 +141,12 @@
     ) -> Scenario {
         Scenario {
             seed,
-            settings: large_site_settings(),
+            settings: large_fleet_settings(),
             start: 1_000_000 * MS,
             duration,
             workers: WorkerProfile {
                 count: workers,
-                zones: LARGE_SITE_ZONES,
+                zones: LARGE_FLEET_ZONES,
                 just_started: 0.0,
                 concurrency_limit: UNLIMITED,
             },
@@ -224,9 +224,9 @@
 pub(crate) const MASS_REMOVAL: &str = "a seventh gone";
 pub(crate) const FUNCTIONS_CALLED_ONCE: &str = "each function once";
 
-fn large_site_settings() -> Settings {
+fn large_fleet_settings() -> Settings {
     Settings {
-        front_ends: LARGE_SITE_FRONT_ENDS,
+        front_ends: LARGE_FLEET_FRONT_ENDS,
         tick: 2 * MS,
         classes: vec![Class {
             late_answer_weight: 0.3,
--- a/crates/pipithub-policy/tests/slow_start/fleet.rs
+++ b/crates/pipithub-policy/tests/slow_start/fleet.rs
@@ -18,14 +18,14 @@
 /// Time between a start and the moment the last front end is notified of it.
 const MAX_UPDATE_DELAY: Time = SECOND / 2;
 /// When the simulation begins.
-const FIRST_TIME: Time = 1_000 * SECOND;
+const START: Time = 1_000 * SECOND;
 /// Traffic before the first start, so that front ends know what warm workers take.
 const LEAD_TIME: Time = 6 * SECOND;
 /// Time from a send to its answer.
 const LATENCY: Time = 50 * MS;
 /// A worker queues up to this much work, or this many calls, before it rejects calls.
 const MAX_BACKLOG: Time = SECOND / 2;
-const BACKLOG_CALLS: f64 = 2.0;
+const MAX_BACKLOG_CALLS: f64 = 2.0;
 /// Period of the front ends' maintenance timer.
 const MAINTENANCE_INTERVAL: Time = 50 * MS;
 
@@ -47,7 +47,7 @@
         removed: Endpoint,
         added: Endpoint,
     },
-    Restarts,
+    FrontEndsRestart,
 }
 
 /// A worker with a rate of calls that it can take.
@@ -55,7 +55,7 @@
     /// Its capacity as a multiple of the usual one.
     size: f64,
     /// `None`: warm from the beginning.
-    started: Option<Time>,
+    started_at: Option<Time>,
     /// When it has finished all that it was sent.
     free_at: Time,
     /// Attempts within the last `overload_window`.
@@ -64,10 +64,10 @@
 }
 
 impl SimulatedWorker {
-    fn new(size: f64, started: Option<Time>) -> SimulatedWorker {
+    fn new(size: f64, started_at: Option<Time>) -> SimulatedWorker {
         SimulatedWorker {
             size,
-            started,
+            started_at,
             free_at: 0,
             recent_sends: VecDeque::new(),
             over_budget: false,
@@ -96,7 +96,7 @@
     workers: BTreeMap<WorkerId, SimulatedWorker>,
     /// In each place two names take turns.
     names: Vec<[WorkerId; 2]>,
-    turns: Vec<usize>,
+    current_names: Vec<usize>,
     /// A function whose first choice is the worker.
     functions: BTreeMap<WorkerId, FunctionId>,
     attempts: BTreeMap<RequestId, u32>,
@@ -107,9 +107,9 @@
 }
 
 /// The entry of a worker in the list.
-fn endpoint(worker: &WorkerId, size: f64, started: Option<Time>) -> Endpoint {
+fn endpoint(worker: &WorkerId, size: f64, started_at: Option<Time>) -> Endpoint {
     Endpoint {
-        started_at: started,
+        started_at,
         weight: size,
         ..common::endpoint(&worker.0)
     }
@@ -118,12 +118,12 @@
 /// For each worker a function that tries it before all others, as the module itself decides.
 fn functions_by_first_choice(workers: &[WorkerId]) -> BTreeMap<WorkerId, FunctionId> {
     let mut probe = FrontEnd::new(settings(Idempotency::Idempotent), 1);
-    let entries = workers.iter().map(|w| endpoint(w, 1.0, None)).collect();
+    let endpoints = workers.iter().map(|w| endpoint(w, 1.0, None)).collect();
     probe.handle(
         SECOND,
         Event::Endpoints {
             update: EndpointUpdate::Snapshot,
-            endpoints: entries,
+            endpoints,
         },
         &mut Vec::new(),
     );
@@ -186,13 +186,13 @@
             .map(|p| [name(p, "a"), name(p, "b")])
             .collect();
         let all: Vec<WorkerId> = warm.iter().chain(names.iter().flatten()).cloned().collect();
-        let lasting = warm.iter().map(|name| (name, 1.0));
-        let first = names
+        let warm_workers_at_start = warm.iter().map(|name| (name, 1.0));
+        let first_in_places = names
             .iter()
             .enumerate()
             .map(|(place, names)| (&names[0], scenario.size(place)));
-        let at_first = lasting.chain(first);
-        let workers = at_first
+        let initial_workers = warm_workers_at_start.chain(first_in_places);
+        let workers = initial_workers
             .map(|(name, size)| (name.clone(), SimulatedWorker::new(size, None)))
             .collect();
         let mut sum = 0.0;
@@ -202,14 +202,14 @@
         };
         let mut fleet = Fleet {
             settings,
-            now: FIRST_TIME,
-            end: FIRST_TIME + LEAD_TIME + scenario.slow_start.window * scenario.rounds(),
+            now: START,
+            end: START + LEAD_TIME + scenario.slow_start.window * scenario.rounds(),
             random: SmallRng::seed_from_u64(scenario.seed),
             front_ends: Vec::new(),
             cumulative_weights: (0..scenario.front_ends).map(&mut running_sum).collect(),
             workers,
             names,
-            turns: vec![0; scenario.warming_places],
+            current_names: vec![0; scenario.warming_places],
             functions: functions_by_first_choice(&all),
             attempts: BTreeMap::new(),
             next_request: RequestId(1),
@@ -229,24 +229,24 @@
     /// Plays the scenario to its end.
     pub(super) fn run(scenario: Scenario) -> Summary {
         let mut fleet = Fleet::new(scenario);
-        let (ramp, places) = (
+        let (window, places) = (
             fleet.scenario.slow_start.window,
             fleet.scenario.warming_places,
         );
         let first_start = fleet.now + LEAD_TIME;
         for round in 0..fleet.scenario.rounds() {
             for place in 0..places {
-                let offset = ramp * place as u64 / places as u64;
+                let offset = window * place as u64 / places as u64;
                 fleet.schedule(
-                    first_start + ramp * round + offset,
+                    first_start + window * round + offset,
                     SimulationEvent::WorkerStart { place },
                 );
             }
             if fleet.scenario.restarts {
-                let moment = fleet.random.random_range(0..ramp);
+                let offset = fleet.random.random_range(0..window);
                 fleet.schedule(
-                    first_start + ramp * round + moment,
-                    SimulationEvent::Restarts,
+                    first_start + window * round + offset,
+                    SimulationEvent::FrontEndsRestart,
                 );
             }
         }
@@ -291,7 +291,7 @@
                 };
                 self.handle(front_end, update);
             }
-            SimulationEvent::Restarts => self.restart_half(),
+            SimulationEvent::FrontEndsRestart => self.restart_half(),
         }
     }
 
@@ -309,7 +309,7 @@
             .partition_point(|sum| *sum <= point)
             .min(self.cumulative_weights.len() - 1);
         let place = self.random.random_range(0..self.scenario.warming_places);
-        let function = self.functions[&self.names[place][self.turns[place]]];
+        let function = self.functions[&self.names[place][self.current_names[place]]];
         self.next_request.0 += 1;
         let call = Request {
             id: self.next_request,
@@ -390,25 +390,25 @@
         };
         let (scenario, now) = (&self.scenario, self.now);
         let age = simulated
-            .started
-            .map_or(scenario.slow_start.window, |started| now - started);
+            .started_at
+            .map_or(scenario.slow_start.window, |started_at| now - started_at);
         if age < scenario.slow_start.window {
             simulated
                 .recent_sends
                 .retain(|sent| sent + scenario.slow_start.overload_window > now);
             simulated.recent_sends.push_back(now);
-            let filled = simulated.recent_sends.len() as f64
+            let window_use = simulated.recent_sends.len() as f64
                 / max_survivable(simulated.size * scenario.budget(age));
-            self.summary.fullest = self.summary.fullest.max(filled);
+            self.summary.fullest_window = self.summary.fullest_window.max(window_use);
             self.summary.sent += 1.0;
-            if filled > 1.0 && !std::mem::replace(&mut simulated.over_budget, true) {
+            if window_use > 1.0 && !std::mem::replace(&mut simulated.over_budget, true) {
                 self.summary.over_budget += 1;
             }
         }
         let time_per_call =
-            SECOND as f64 / (simulated.size * scenario.capacity() * scenario.warmth(age));
+            SECOND as f64 / (simulated.size * scenario.capacity() * scenario.capacity_share(age));
         let free_at = simulated.free_at.max(now) + time_per_call as Time;
-        if free_at - now > MAX_BACKLOG.max((time_per_call * BACKLOG_CALLS) as Time) {
+        if free_at - now > MAX_BACKLOG.max((time_per_call * MAX_BACKLOG_CALLS) as Time) {
             return Outcome::Rejected;
         }
         simulated.free_at = free_at;
@@ -416,23 +416,24 @@
     }
 
     fn start_worker(&mut self, place: usize) {
-        let removed = self.names[place][self.turns[place]].clone();
-        self.turns[place] = 1 - self.turns[place];
-        let added = self.names[place][self.turns[place]].clone();
+        let removed = self.names[place][self.current_names[place]].clone();
+        self.current_names[place] = 1 - self.current_names[place];
+        let added = self.names[place][self.current_names[place]].clone();
         self.workers.remove(&removed);
-        let (size, started) = (self.scenario.size(place), Some(self.now));
+        let (size, started_at) = (self.scenario.size(place), Some(self.now));
         self.workers
-            .insert(added.clone(), SimulatedWorker::new(size, started));
+            .insert(added.clone(), SimulatedWorker::new(size, started_at));
         self.summary.starts += 1;
         // The last workers' ramps are cut short by the end.
-        let played = self.scenario.slow_start.window.min(self.end - self.now);
-        let spans = played as f64 / self.scenario.slow_start.overload_window as f64;
-        self.summary.budgeted += size * self.scenario.budget(played / 2) * spans;
+        let simulated_time = self.scenario.slow_start.window.min(self.end - self.now);
+        let overload_windows =
+            simulated_time as f64 / self.scenario.slow_start.overload_window as f64;
+        self.summary.budgeted += size * self.scenario.budget(simulated_time / 2) * overload_windows;
         let removed = Endpoint {
             state: EndpointState::Removed,
             ..endpoint(&removed, size, None)
         };
-        let added = endpoint(&added, size, started);
+        let added = endpoint(&added, size, started_at);
         for front_end in 0..self.front_ends.len() {
             let delay = self.random.random_range(0..MAX_UPDATE_DELAY);
             let (removed, added) = (removed.clone(), added.clone());
@@ -450,17 +451,17 @@
     /// A front end that knows the list of workers and nothing else.
     fn start_front_end(&self, seed: u64, incarnation: u32) -> SimulatedFrontEnd {
         let mut module = FrontEnd::new(self.settings.clone(), seed);
-        let entries = self
+        let endpoints = self
             .workers
             .iter()
-            .map(|(name, worker)| endpoint(name, worker.size, worker.started))
+            .map(|(name, worker)| endpoint(name, worker.size, worker.started_at))
             .collect();
         let mut actions = Vec::new();
         module.handle(
             self.now,
             Event::Endpoints {
                 update: EndpointUpdate::Cached,
-                endpoints: entries,
+                endpoints,
             },
             &mut actions,
         );
--- a/crates/pipithub-policy/tests/slow_start/main.rs
+++ b/crates/pipithub-policy/tests/slow_start/main.rs
@@ -32,26 +32,26 @@
 fn run_all(scenarios: Vec<Scenario>) -> Vec<(Scenario, Summary)> {
     let queue = std::sync::Mutex::new(scenarios.into_iter());
     let next = || queue.lock().expect("no player has failed").next();
-    let player = || {
-        let mut played = Vec::new();
+    let run_queued = || {
+        let mut results = Vec::new();
         while let Some(scenario) = next() {
             let summary = Fleet::run(scenario.clone());
-            played.push((scenario, summary));
+            results.push((scenario, summary));
         }
-        played
+        results
     };
     std::thread::scope(|scope| {
-        let players: Vec<_> = CONDITIONS.iter().map(|_| scope.spawn(player)).collect();
-        players
+        let threads: Vec<_> = CONDITIONS.iter().map(|_| scope.spawn(run_queued)).collect();
+        threads
             .into_iter()
-            .flat_map(|p| p.join().expect("a player ends"))
+            .flat_map(|thread| thread.join().expect("a player ends"))
             .collect()
     })
 }
 
 /// Fails where a single window of a single worker held more than its budget allows.
-fn assert_none_over_budget(played: &[(Scenario, Summary)]) {
-    let over_budget: Vec<_> = played
+fn assert_none_over_budget(results: &[(Scenario, Summary)]) {
+    let over_budget: Vec<_> = results
         .iter()
         .filter(|(_, summary)| summary.over_budget > 0)
         .collect();
--- a/crates/pipithub-policy/tests/slow_start/scenario.rs
+++ b/crates/pipithub-policy/tests/slow_start/scenario.rs
@@ -82,15 +82,15 @@
 
     /// Calls that a warm worker serves in a second.
     pub(super) fn capacity(&self) -> f64 {
-        let span = self.slow_start.overload_window as f64 / SECOND as f64;
+        let window_seconds = self.slow_start.overload_window as f64 / SECOND as f64;
         self.first_budget
-            / (self.slow_start.overload_factor * self.slow_start.initial_weight * span)
+            / (self.slow_start.overload_factor * self.slow_start.initial_weight * window_seconds)
     }
 
     /// The share of its capacity that a worker of this age has.
-    pub(super) fn warmth(&self, age: Time) -> f64 {
-        let ramped = (age as f64 / self.slow_start.window as f64).min(1.0);
-        self.slow_start.initial_weight + (1.0 - self.slow_start.initial_weight) * ramped
+    pub(super) fn capacity_share(&self, age: Time) -> f64 {
+        let progress = (age as f64 / self.slow_start.window as f64).min(1.0);
+        self.slow_start.initial_weight + (1.0 - self.slow_start.initial_weight) * progress
     }
 
     /// The size of the workers in a warming place.
@@ -105,7 +105,7 @@
 
     /// The budget N of a worker of this age.
     pub(super) fn budget(&self, age: Time) -> f64 {
-        self.first_budget * self.warmth(age) / self.slow_start.initial_weight
+        self.first_budget * self.capacity_share(age) / self.slow_start.initial_weight
     }
 }
 
@@ -125,7 +125,7 @@
     /// Starts in which some window held more than the budget allows.
     pub(super) over_budget: usize,
     /// The fullest window, as a share of what is survivable.
-    pub(super) fullest: f64,
+    pub(super) fullest_window: f64,
     /// Requests sent to warming workers, and their budgets over the time played.
     pub(super) sent: f64,
     pub(super) budgeted: f64,
--- a/crates/pipithub-policy/tests/warming_workers.rs
+++ b/crates/pipithub-policy/tests/warming_workers.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{FrontEndHarness, MS, THREE, endpoint, forwarded_to, settings};
+use common::{FrontEndHarness, MS, THREE_WORKERS, endpoint, forwarded_to, settings};
 use pipithub_policy::api::{
     Endpoint, Event, Idempotency, Outcome, RequestId, Settings, SlowStart, Time, WorkerId,
 };
@@ -103,7 +103,7 @@
 fn warming_worker_gets_no_more_than_its_budget_in_any_window() {
     let settings = settings(Idempotency::Idempotent);
     let slow_start = settings.slow_start.clone();
-    let mut front_end = FrontEndHarness::new(settings, &THREE);
+    let mut front_end = FrontEndHarness::new(settings, &THREE_WORKERS);
     let worker = front_end.warm_up(FUNCTION);
     serve_at_all_workers(&mut front_end);
     restart(&mut front_end, &worker);
@@ -192,7 +192,7 @@
     /// Requests a second at each front end before that; one in two seconds is served, the others are cancelled.
     requests_per_second: u64,
     /// For how long the worker stood idle since its start.
-    idle: Time,
+    idle_time: Time,
 }
 
 impl Surge {
@@ -205,26 +205,26 @@
     }
 
     /// Plays one front end: the ages of the worker at the attempts that it was sent.
-    fn play(&self, front_end: &mut FrontEndHarness) -> Vec<Time> {
+    fn run(&self, front_end: &mut FrontEndHarness) -> Vec<Time> {
         let worker = front_end.warm_up(FUNCTION);
         front_end.advance(5_000 * MS);
         let started_at = front_end.now;
         restart(front_end, &worker);
-        let requests_before = self.idle / (1_000 * MS) * self.requests_per_second;
+        let requests_before = self.idle_time / (1_000 * MS) * self.requests_per_second;
         let mut attempts = Vec::new();
         for number in 0..requests_before + 8 {
-            let surges = front_end.now >= started_at + self.idle;
-            let (id, actions) = front_end.request(if surges {
+            let has_begun = front_end.now >= started_at + self.idle_time;
+            let (id, actions) = front_end.request(if has_begun {
                 FUNCTION
             } else {
                 OTHER_FUNCTIONS + number % OTHER_FUNCTION_COUNT
             });
             if let Some(chosen) = forwarded_to(&actions) {
                 attempts.extend((chosen == worker).then(|| front_end.now - started_at));
-                let served = !surges && number % (2 * self.requests_per_second) == 0;
+                let served = !has_begun && number % (2 * self.requests_per_second) == 0;
                 end_for_cancelled_client(front_end, id, &chosen, served);
             }
-            front_end.advance(if surges {
+            front_end.advance(if has_begun {
                 250 * MS
             } else {
                 1_000 * MS / self.requests_per_second
@@ -233,13 +233,13 @@
         attempts
     }
 
-    fn assert_survived(&self) {
+    fn assert_not_overloaded(&self) {
         let settings = Surge::settings();
         let mut attempts = Vec::new();
         for seed in 0..u64::from(FRONT_ENDS) {
             let workers = ["w1", "w2"];
             let mut front_end = FrontEndHarness::seeded(settings.clone(), &workers, seed);
-            attempts.extend(self.play(&mut front_end));
+            attempts.extend(self.run(&mut front_end));
         }
         assert!(
             attempts.len() > 20,
@@ -271,9 +271,9 @@
 fn idle_warming_worker_is_not_overloaded_when_all_front_ends_turn_to_it() {
     let surge = Surge {
         requests_per_second: 1,
-        idle: 6_000 * MS,
+        idle_time: 6_000 * MS,
     };
-    surge.assert_survived();
+    surge.assert_not_overloaded();
 }
 
 /// Retries of rejected requests swell the arrivals, and say nothing of what a worker can serve (scenario h75f524).
@@ -281,7 +281,7 @@
 fn client_retries_do_not_raise_budget_of_warming_worker() {
     let surge = Surge {
         requests_per_second: 7,
-        idle: 4_000 * MS,
+        idle_time: 4_000 * MS,
     };
-    surge.assert_survived();
+    surge.assert_not_overloaded();
 }
--- a/crates/pipithub-policy/tests/zones.rs
+++ b/crates/pipithub-policy/tests/zones.rs
@@ -8,10 +8,10 @@
 };
 
 /// The endpoints of twelve workers, every second one in a zone `b`, with the given state there.
-fn zoned(far_state: EndpointState) -> Vec<Endpoint> {
+fn endpoints_in_two_zones(zone_b_state: EndpointState) -> Vec<Endpoint> {
     let one = |i: u32| {
         let (zone, state) = if i % 2 == 1 {
-            ("b", far_state)
+            ("b", zone_b_state)
         } else {
             ("a", EndpointState::Ready)
         };
@@ -24,13 +24,13 @@
     (0..12).map(one).collect()
 }
 
-/// Whether a worker of [`zoned`] belongs to the zone `b`.
-fn far(worker: &WorkerId) -> bool {
+/// Whether a worker of [`endpoints_in_two_zones`] belongs to the zone `b`.
+fn is_in_zone_b(worker: &WorkerId) -> bool {
     worker.0[1..].parse::<u32>().is_ok_and(|i| i % 2 == 1)
 }
 
 /// A front end of a large fleet in one of two zones.
-fn two_zones(zone: &str, reports_concurrency: bool) -> FrontEndHarness {
+fn front_end_in(zone: &str, reports_concurrency: bool) -> FrontEndHarness {
     let mut settings = large_fleet_settings();
     (
         settings.limits.load_polls,
@@ -38,13 +38,13 @@
         settings.zone,
     ) = (false, reports_concurrency, zone.to_string());
     let mut front_end = FrontEndHarness::new(settings, &[]);
-    front_end.update_endpoints(zoned(EndpointState::Ready));
+    front_end.update_endpoints(endpoints_in_two_zones(EndpointState::Ready));
     front_end
 }
 
 /// Requests of thirty functions in turn; `answer` as in [`FrontEndHarness::run_requests`]: the attempts at workers
 /// in zone `b`.
-fn attempts_in_far_zone(
+fn attempts_in_zone_b(
     front_end: &mut FrontEndHarness,
     requests: u64,
     mut answer: impl FnMut(&WorkerId) -> Option<Outcome>,
@@ -54,39 +54,43 @@
         let function = number % 30;
         workers.extend(front_end.run_requests(function, 1, &mut answer).workers);
     }
-    workers.iter().filter(|worker| far(worker)).count()
+    workers.iter().filter(|worker| is_in_zone_b(worker)).count()
 }
 
 #[test]
 fn silent_zone_is_attempted_again_after_unreachable_attempts() {
-    let mut front_end = two_zones("a", false);
-    attempts_in_far_zone(&mut front_end, 60, |_| Some(Outcome::Served));
-    attempts_in_far_zone(&mut front_end, 60, |w| (!far(w)).then_some(Outcome::Served));
+    let mut front_end = front_end_in("a", false);
+    attempts_in_zone_b(&mut front_end, 60, |_| Some(Outcome::Served));
+    attempts_in_zone_b(&mut front_end, 60, |w| {
+        (!is_in_zone_b(w)).then_some(Outcome::Served)
+    });
     // From here on no connection is made there: no attempt is ever overdue.
-    let tries = attempts_in_far_zone(&mut front_end, 400, |w| {
-        Some(if far(w) {
+    let attempts = attempts_in_zone_b(&mut front_end, 400, |w| {
+        Some(if is_in_zone_b(w) {
             Outcome::Unreachable
         } else {
             Outcome::Served
         })
     });
     assert!(
-        (2..30).contains(&tries),
-        "some tries in 20 settings, not each call: {tries}"
+        (2..30).contains(&attempts),
+        "some tries in 20 settings, not each call: {attempts}"
     );
-    attempts_in_far_zone(&mut front_end, 160, |_| Some(Outcome::Served));
-    let back = attempts_in_far_zone(&mut front_end, 60, |_| Some(Outcome::Served));
+    attempts_in_zone_b(&mut front_end, 160, |_| Some(Outcome::Served));
+    let back = attempts_in_zone_b(&mut front_end, 60, |_| Some(Outcome::Served));
     assert!(back > 10, "the zone is used again once it answers: {back}");
 }
 
 #[test]
 fn ejected_zone_is_used_where_it_is_the_only_one() {
-    let mut front_end = two_zones("a", false);
-    attempts_in_far_zone(&mut front_end, 60, |_| Some(Outcome::Served));
-    attempts_in_far_zone(&mut front_end, 60, |w| (!far(w)).then_some(Outcome::Served));
-    let near = zoned(EndpointState::Ready)
+    let mut front_end = front_end_in("a", false);
+    attempts_in_zone_b(&mut front_end, 60, |_| Some(Outcome::Served));
+    attempts_in_zone_b(&mut front_end, 60, |w| {
+        (!is_in_zone_b(w)).then_some(Outcome::Served)
+    });
+    let near = endpoints_in_two_zones(EndpointState::Ready)
         .into_iter()
-        .filter(|e| !far(&e.worker));
+        .filter(|e| !is_in_zone_b(&e.worker));
     front_end.update_endpoints(
         near.map(|e| Endpoint {
             state: EndpointState::Removed,
@@ -95,24 +99,27 @@
         .collect(),
     );
     front_end.advance(5_000 * MS);
-    let attempts = attempts_in_far_zone(&mut front_end, 60, |_| Some(Outcome::Served));
+    let attempts = attempts_in_zone_b(&mut front_end, 60, |_| Some(Outcome::Served));
     assert!(attempts > 50, "{attempts} of 60 went to the remaining zone");
 }
 
 #[test]
 fn silent_zone_is_ejected_and_returns_when_it_answers() {
-    let mut front_end = two_zones("a", false);
+    let mut front_end = front_end_in("a", false);
     let attempts = |front_end: &mut FrontEndHarness, requests: u64, answers: bool| {
-        attempts_in_far_zone(front_end, requests, |w| {
-            (answers || !far(w)).then_some(Outcome::Served)
+        attempts_in_zone_b(front_end, requests, |w| {
+            (answers || !is_in_zone_b(w)).then_some(Outcome::Served)
         })
     };
     assert!(
         attempts(&mut front_end, 60, true) > 15,
         "both zones are used"
     );
-    let cut = attempts(&mut front_end, 120, false);
-    assert!(cut < 15, "{cut} of some 60 requests went to a silent zone");
+    let while_silent = attempts(&mut front_end, 120, false);
+    assert!(
+        while_silent < 15,
+        "{while_silent} of some 60 requests went to a silent zone"
+    );
     attempts(&mut front_end, 160, true);
     assert!(
         attempts(&mut front_end, 60, true) > 15,
@@ -122,9 +129,9 @@
 
 #[test]
 fn front_end_prefers_replica_in_its_own_zone() {
-    let near = |zone: &str| {
-        let mut front_end = two_zones(zone, true);
-        let mut last_far = 0;
+    let functions_served_in_zone_b = |zone: &str| {
+        let mut front_end = front_end_in(zone, true);
+        let mut served_in_zone_b = 0;
         for function in 0..20 {
             let mut last = None;
             for _ in 0..12 {
@@ -148,13 +155,16 @@
                 front_end.handle(Event::AttemptFinished(end));
                 last = Some(worker);
             }
-            last_far += usize::from(last.is_some_and(|w| far(&w)));
+            served_in_zone_b += usize::from(last.is_some_and(|w| is_in_zone_b(&w)));
         }
-        last_far
+        served_in_zone_b
     };
-    let (here, elsewhere) = (near("b"), near("a"));
+    let (from_zone_b, from_zone_a) = (
+        functions_served_in_zone_b("b"),
+        functions_served_in_zone_b("a"),
+    );
     assert!(
-        here > 16 && elsewhere < 4,
-        "{here} of 20 in zone b from there, {elsewhere} from zone a"
+        from_zone_b > 16 && from_zone_a < 4,
+        "{from_zone_b} of 20 in zone b from there, {from_zone_a} from zone a"
     );
 }
