--- a/crates/pipithub-adapter/src/main.rs
+++ b/crates/pipithub-adapter/src/main.rs
@@ -18,7 +18,7 @@
 const INPUT_BUFFER: usize = 1 << 16;
 
 /// An attached front end, with the names that its lines use.
-struct Hosted {
+struct AttachedFrontEnd {
     front_end: FrontEnd,
     names: Names,
 }
@@ -57,7 +57,7 @@
 /// The attached front ends, and the input with their events.
 struct Session<R: BufRead> {
     lines: Lines<R>,
-    hosted: BTreeMap<u64, Hosted>,
+    front_ends: BTreeMap<u64, AttachedFrontEnd>,
     actions: Vec<Action>,
     reply: String,
 }
@@ -70,7 +70,7 @@
                 number: 0,
                 text: String::new(),
             },
-            hosted: BTreeMap::new(),
+            front_ends: BTreeMap::new(),
             actions: Vec::new(),
             reply: String::new(),
         }
@@ -78,10 +78,10 @@
 
     /// Handles the batch whose first line was read, and returns the reply to it.
     fn answer_batch(&mut self) -> Result<&str, AdapterError> {
-        let now = wire::clock(&self.lines.text).map_err(|e| self.lines.at(e))?;
+        let now = wire::parse_clock(&self.lines.text).map_err(|e| self.lines.at(e))?;
         self.reply.clear();
         loop {
-            self.lines.next_of("a batch")?;
+            self.lines.next_inside("a batch")?;
             if self.lines.text == "end" {
                 break;
             }
@@ -92,11 +92,11 @@
     }
 
     fn handle_line(&mut self, now: Time) -> Result<(), AdapterError> {
-        let (id, name) = wire::addressee(&self.lines.text).map_err(|e| self.lines.at(e))?;
+        let (id, name) = wire::parse_recipient(&self.lines.text).map_err(|e| self.lines.at(e))?;
         match name {
             "attach" => self.attach(id),
             "killed" => {
-                self.hosted.remove(&id);
+                self.front_ends.remove(&id);
                 Ok(())
             }
             _ => self.handle_event(now, id),
@@ -105,36 +105,37 @@
 
     /// Starts a front end.
     fn attach(&mut self, id: u64) -> Result<(), AdapterError> {
-        let (seed, text) = wire::attach(&self.lines.text).map_err(|e| self.lines.at(e))?;
-        let site = settings::parse(text).map_err(|e| self.lines.at(e.into()))?;
-        let hosted = Hosted {
-            front_end: FrontEnd::new(site.policy, seed),
-            names: site.names,
+        let (seed, text) = wire::parse_attach(&self.lines.text).map_err(|e| self.lines.at(e))?;
+        let site_settings = settings::parse(text).map_err(|e| self.lines.at(e.into()))?;
+        let attached = AttachedFrontEnd {
+            front_end: FrontEnd::new(site_settings.policy, seed),
+            names: site_settings.names,
         };
-        self.hosted.insert(id, hosted);
+        self.front_ends.insert(id, attached);
         Ok(())
     }
 
     /// Passes an event to the front end that it is for, and appends its actions to the reply.
     fn handle_event(&mut self, now: Time, id: u64) -> Result<(), AdapterError> {
-        let Some(hosted) = self.hosted.get_mut(&id) else {
+        let Some(attached) = self.front_ends.get_mut(&id) else {
             let message = self.lines.text.split(' ').next().unwrap_or_default();
             return Err(self.lines.at(LineError::NotAttached {
                 message: message.to_string(),
                 front_end: id,
             }));
         };
-        let input = wire::event(&self.lines.text, &hosted.names).map_err(|e| self.lines.at(e))?;
+        let input =
+            wire::parse_event(&self.lines.text, &attached.names).map_err(|e| self.lines.at(e))?;
         let event = match input {
             Input::Event(event) => event,
             Input::List { update, count } => Event::Endpoints {
                 update,
-                endpoints: read_endpoints(&mut self.lines, count, &hosted.names)?,
+                endpoints: read_endpoints(&mut self.lines, count, &attached.names)?,
             },
         };
-        hosted.front_end.handle(now, event, &mut self.actions);
+        attached.front_end.handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
-            wire::write(&mut self.reply, id, &action);
+            wire::write_action(&mut self.reply, id, &action);
         }
         Ok(())
     }
@@ -148,8 +149,8 @@
 ) -> Result<Vec<Endpoint>, AdapterError> {
     let mut endpoints = Vec::new();
     for _ in 0..count {
-        lines.next_of("a list")?;
-        endpoints.push(wire::entry(&lines.text, names).map_err(|e| lines.at(e))?);
+        lines.next_inside("a list")?;
+        endpoints.push(wire::parse_entry(&lines.text, names).map_err(|e| lines.at(e))?);
     }
     Ok(endpoints)
 }
@@ -176,7 +177,7 @@
     }
 
     /// Reads the next line of something that the input must not end inside of.
-    fn next_of(&mut self, unit: &'static str) -> Result<(), AdapterError> {
+    fn next_inside(&mut self, unit: &'static str) -> Result<(), AdapterError> {
         if self.next()? {
             Ok(())
         } else {
--- a/crates/pipithub-adapter/src/wire.rs
+++ b/crates/pipithub-adapter/src/wire.rs
@@ -27,14 +27,14 @@
     },
 }
 
-/// The parts of a line that are not read yet.
-struct Parts<'a> {
+/// The fields of a line that are not read yet.
+struct Fields<'a> {
     rest: std::str::Split<'a, char>,
 }
 
-impl<'a> Parts<'a> {
+impl<'a> Fields<'a> {
     fn of(line: &'a str) -> Self {
-        Parts {
+        Fields {
             rest: line.split(' '),
         }
     }
@@ -47,7 +47,7 @@
     }
 
     /// A value that may be absent: `-`, or no part at all.
-    fn maybe<T: FromStr>(&mut self, field: &'static str) -> Result<Option<T>, LineError> {
+    fn optional<T: FromStr>(&mut self, field: &'static str) -> Result<Option<T>, LineError> {
         match self.rest.next() {
             None | Some("-") => Ok(None),
             Some(part) => part
@@ -58,7 +58,8 @@
     }
 
     fn value<T: FromStr>(&mut self, field: &'static str) -> Result<T, LineError> {
-        self.maybe(field)?.ok_or(LineError::MissingField { field })
+        self.optional(field)?
+            .ok_or(LineError::MissingField { field })
     }
 
     fn bool(&mut self, field: &'static str) -> Result<bool, LineError> {
@@ -95,7 +96,7 @@
         })
     }
 
-    fn load(&mut self) -> Result<LoadReport, LineError> {
+    fn load_report(&mut self) -> Result<LoadReport, LineError> {
         let mut load = LoadReport::default();
         let pairs = match self.rest.next() {
             None | Some("-" | "") => return Ok(load),
@@ -122,10 +123,10 @@
 }
 
 /// Reads the line that begins a batch.
-pub(crate) fn clock(line: &str) -> Result<Time, LineError> {
-    let mut parts = Parts::of(line);
-    match parts.text("message")? {
-        "sync" => parts.value("clock"),
+pub(crate) fn parse_clock(line: &str) -> Result<Time, LineError> {
+    let mut fields = Fields::of(line);
+    match fields.text("message")? {
+        "sync" => fields.value("clock"),
         other => Err(LineError::UnexpectedMessage {
             expected: "sync",
             found: other.to_string(),
@@ -134,11 +135,11 @@
 }
 
 /// The front end that a line is for, and the name of its message.
-pub(crate) fn addressee(line: &str) -> Result<(u64, &str), LineError> {
-    let mut parts = Parts::of(line);
-    let name = parts.text("message")?;
+pub(crate) fn parse_recipient(line: &str) -> Result<(u64, &str), LineError> {
+    let mut fields = Fields::of(line);
+    let name = fields.text("message")?;
     Ok((
-        parts
+        fields
             .value("EndId")
             .map_err(|e: LineError| e.in_message(name))?,
         name,
@@ -146,7 +147,7 @@
 }
 
 /// Seed and settings text of an `attach`.
-pub(crate) fn attach(line: &str) -> Result<(u64, &str), LineError> {
+pub(crate) fn parse_attach(line: &str) -> Result<(u64, &str), LineError> {
     let mut parts = line.splitn(4, ' ').skip(2);
     let mut fields = || {
         let missing = |field| LineError::MissingField { field };
@@ -160,33 +161,33 @@
 }
 
 /// Reads any other event line.
-pub(crate) fn event(line: &str, names: &Names) -> Result<Input, LineError> {
+pub(crate) fn parse_event(line: &str, names: &Names) -> Result<Input, LineError> {
     let name = line.split(' ').next().unwrap_or_default();
     parse(line, names).map_err(|e| e.in_message(name))
 }
 
 fn parse(line: &str, names: &Names) -> Result<Input, LineError> {
-    let mut parts = Parts::of(line);
-    let name = parts.text("message")?;
-    parts.text("EndId")?;
+    let mut fields = Fields::of(line);
+    let name = fields.text("message")?;
+    fields.text("EndId")?;
     let event = match name {
-        "backends_changed" => return parts.endpoint_list(),
-        "query" => Event::Arrived(parts.request(names)?),
-        "health_result" => parts.load_polled()?,
+        "backends_changed" => return fields.endpoint_list(),
+        "query" => Event::Arrived(fields.request(names)?),
+        "health_result" => fields.load_polled()?,
         "wake" => Event::Timer {
-            token: parts.value("Cookie")?,
+            token: fields.value("Cookie")?,
         },
         "heard" => Event::Peer {
-            from: parts.value("Author")?,
-            bytes: bytes(parts.text("Bytes")?)?,
+            from: fields.value("Author")?,
+            bytes: bytes(fields.text("Bytes")?)?,
         },
-        "brought_up" => Event::LoadFinished(parts.load_finished()?),
+        "brought_up" => Event::LoadFinished(fields.load_finished()?),
         "lapsed" => Event::ClientCancelled {
-            request: RequestId(parts.value("Req")?),
+            request: RequestId(fields.value("Req")?),
         },
-        "completed" => Event::AttemptFinished(parts.attempt_finished()?),
+        "completed" => Event::AttemptFinished(fields.attempt_finished()?),
         "head_received" => Event::Streaming {
-            request: RequestId(parts.value("Req")?),
+            request: RequestId(fields.value("Req")?),
         },
         _ => return Err(LineError::UnknownMessage),
     };
@@ -194,9 +195,9 @@
 }
 
 /// Complete messages, from the part after the front end's id on.
-impl Parts<'_> {
+impl Fields<'_> {
     fn endpoint_list(&mut self) -> Result<Input, LineError> {
-        self.maybe::<u64>("Revision")?;
+        self.optional::<u64>("Revision")?;
         let update = match self.text("How")? {
             "incr" => EndpointUpdate::Delta,
             "total" => EndpointUpdate::Snapshot,
@@ -206,24 +207,24 @@
         };
         Ok(Input::List {
             update,
-            count: self.maybe("Records")?.unwrap_or(0),
+            count: self.optional("Records")?.unwrap_or(0),
         })
     }
 
     fn request(&mut self, names: &Names) -> Result<Request, LineError> {
         let id = RequestId(self.value("Req")?);
-        let expected_work = self.maybe("Expected")?;
+        let expected_work = self.optional("Expected")?;
         self.text("Owner")?;
         let memory_mb = self
-            .maybe::<f64>("SizeMb")?
+            .optional::<f64>("SizeMb")?
             .filter(|m| m.is_finite())
             .unwrap_or(0.0);
-        let replica_concurrency = self.maybe::<f64>("PerCopy")?.unwrap_or(1.0) as u32;
+        let replica_concurrency = self.optional::<f64>("PerCopy")?.unwrap_or(1.0) as u32;
         let grade = self.text("Grade")?;
         let class = names.classes.iter().position(|n| n == grade);
-        let load_ms: Option<f64> = self.maybe("BringupMs")?;
+        let load_ms: Option<f64> = self.optional("BringupMs")?;
         let function = self.function()?;
-        self.maybe::<u64>("Attrs")?;
+        self.optional::<u64>("Attrs")?;
         Ok(Request {
             id,
             expected_work,
@@ -232,17 +233,17 @@
             class: class.ok_or_else(|| LineError::unknown_word("Grade", grade))?,
             load_time: load_ms.map(|ms| (ms * NANOS_PER_MS) as Time),
             function,
-            timeout: self.maybe("TimeBudget")?,
+            timeout: self.optional("TimeBudget")?,
         })
     }
 
     fn load_polled(&mut self) -> Result<Event, LineError> {
-        self.maybe::<Time>("Rtt")?;
+        self.optional::<Time>("Rtt")?;
         let answered = self.outcome()? == Outcome::Served;
         Ok(Event::LoadPolled {
             worker: self.worker()?,
             answered,
-            report: self.load()?,
+            report: self.load_report()?,
         })
     }
 
@@ -251,8 +252,8 @@
             worker: self.worker()?,
             function: self.function()?,
             outcome: self.outcome()?,
-            elapsed: self.maybe("Rtt")?.unwrap_or(0),
-            replicas: self.maybe("Copies")?.unwrap_or(0),
+            elapsed: self.optional("Rtt")?.unwrap_or(0),
+            replicas: self.optional("Copies")?.unwrap_or(0),
         })
     }
 
@@ -261,9 +262,9 @@
         let attempt = self.value("N")?;
         let worker = self.worker()?;
         let outcome = self.outcome()?;
-        let elapsed = self.maybe("Rtt")?.unwrap_or(0);
+        let elapsed = self.optional("Rtt")?.unwrap_or(0);
         let settled = self.bool("Settled")?;
-        let detail: Option<u32> = self.maybe("Detail")?;
+        let detail: Option<u32> = self.optional("Detail")?;
         Ok(AttemptFinished {
             request,
             attempt,
@@ -273,7 +274,7 @@
             settled,
             replica_status: detail.and_then(replica_status),
             function_concurrency: detail.map(|detail| detail / DETAIL_STATUSES),
-            load_report: self.load()?,
+            load_report: self.load_report()?,
         })
     }
 }
@@ -290,34 +291,34 @@
 }
 
 /// Reads one line of a list.
-pub(crate) fn entry(line: &str, names: &Names) -> Result<Endpoint, LineError> {
-    let mut p = Parts::of(line);
-    if p.text("message")? != "entry" {
+pub(crate) fn parse_entry(line: &str, names: &Names) -> Result<Endpoint, LineError> {
+    let mut fields = Fields::of(line);
+    if fields.text("message")? != "entry" {
         return Err(LineError::UnexpectedMessage {
             expected: "entry",
             found: line.to_string(),
         });
     }
-    let fields = |p: &mut Parts| -> Result<Endpoint, LineError> {
+    let parse_fields = |fields: &mut Fields| -> Result<Endpoint, LineError> {
         Ok(Endpoint {
-            weight: p
-                .maybe::<f64>("Share")?
+            weight: fields
+                .optional::<f64>("Share")?
                 .filter(|s| s.is_finite())
                 .unwrap_or(0.0),
-            worker: p.worker()?,
-            state: match p.text("StageState")? {
+            worker: fields.worker()?,
+            state: match fields.text("StageState")? {
                 "live" => EndpointState::Ready,
                 "quiescing" => EndpointState::Draining,
                 "dead" => EndpointState::Removed,
                 other => return Err(LineError::unknown_word("StageState", other)),
             },
-            zone: p.text("Dc")?.to_string(),
-            cell: p.maybe("Block")?.unwrap_or(0),
-            memory_mb: names.memory_mb(p.text("FamilyType")?),
-            started_at: p.maybe::<Time>("StartTime")?.filter(|&t| t > 0),
+            zone: fields.text("Dc")?.to_string(),
+            cell: fields.optional("Block")?.unwrap_or(0),
+            memory_mb: names.memory_mb(fields.text("FamilyType")?),
+            started_at: fields.optional::<Time>("StartTime")?.filter(|&t| t > 0),
         })
     };
-    fields(&mut p).map_err(|e| e.in_message("entry"))
+    parse_fields(&mut fields).map_err(|e| e.in_message("entry"))
 }
 
 fn bytes(text: &str) -> Result<Vec<u8>, LineError> {
@@ -335,8 +336,8 @@
 }
 
 /// Appends the line of one action.
-pub(crate) fn write(reply: &mut String, end: u64, action: &Action) {
-    let done = match action {
+pub(crate) fn write_action(reply: &mut String, end: u64, action: &Action) {
+    let result = match action {
         Action::Forward {
             request,
             worker,
@@ -382,5 +383,5 @@
         Action::SetTimer { after, token } => writeln!(reply, "remind {end} {after} {token}"),
         Action::WatchEndpoints => writeln!(reply, "tail {end} 1"),
     };
-    debug_assert!(done.is_ok(), "writing to a string cannot fail");
+    debug_assert!(result.is_ok(), "writing to a string cannot fail");
 }
--- a/crates/pipithub-adapter/tests/adapter.rs
+++ b/crates/pipithub-adapter/tests/adapter.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-const BOOT: &str = r#"{"Unknown": [1], "PeersTotal": 2, "Granularity": 2000000,
+const BOOT_INFO: &str = r#"{"Unknown": [1], "PeersTotal": 2, "Granularity": 2000000,
  "Grades": [{"Name": "view", "Aim": 1000000000, "GiveUp": 4000000000, "Effect": "read_like", "LateWorth": 0.3}],
  "Limits": {"MostTries": 4, "RetryAfter": true, "MaxRetryAfter": 500000000},
  "FamilyInfo": {"Orders": true, "MarksCold": true, "StaysLoaded": 9000000000, "KindMemoryMb": [8000.0]},
@@ -24,9 +24,9 @@
 }
 
 fn start() -> String {
-    let boot = BOOT.replace('\n', "");
+    let boot_info = BOOT_INFO.replace('\n', "");
     format!(
-        "sync 1000\nattach 3 9 {boot}\nbackends_changed 3 1 warm_copy 1\nentry 1 10.0.0.1:80 live a 0 std -\nend\n"
+        "sync 1000\nattach 3 9 {boot_info}\nbackends_changed 3 1 warm_copy 1\nentry 1 10.0.0.1:80 live a 0 std -\nend\n"
     )
 }
 
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_request_is_sent_and_its_answer_taken() {
+fn a_request_is_forwarded_and_its_answer_accepted() {
     let input = format!(
         "{}sync 2000\n{QUERY}end\nsync 9000000\ncompleted 3 77 0 10.0.0.1:80 S 8000000 1 9 rif:7,new:2\nend\n",
         start()
@@ -61,13 +61,13 @@
 
 #[test]
 fn a_request_that_nothing_can_serve_is_rejected_with_a_retry_time() {
-    let gone = "backends_changed 3 2 incr 1\nentry 1 10.0.0.1:80 dead a 0 std -\n";
-    let out = run(&format!("{}sync 2000\n{gone}{QUERY}end\n", start()));
+    let removed = "backends_changed 3 2 incr 1\nentry 1 10.0.0.1:80 dead a 0 std -\n";
+    let out = run(&format!("{}sync 2000\n{removed}{QUERY}end\n", start()));
     assert!(String::from_utf8_lossy(&out.stdout).contains("reject 3 77 500000000\n"));
 }
 
 #[test]
-fn a_killed_front_end_forgets_all() {
+fn a_killed_front_end_can_be_attached_again() {
     let attach = start().replace("sync 1000\n", "");
     let out = run(&format!(
         "{}sync 2000\n{QUERY}killed 3\n{attach}sync 3000\nend\n",
@@ -97,7 +97,7 @@
         );
         assert!(out.stdout.is_empty());
     }
-    let tails = [
+    let batches = [
         "query 3 1 - - 4 2 nobody - 01 1 5\nend\n",
         "query 3 1 - - 4 2 view - zz 1 5\nend\n",
         "completed 3 1 0 w Q 1 1 - -\nend\n",
@@ -107,13 +107,13 @@
         "heard 3 1 abc\nend\n",
         "unheard 3 1\nend\n",
     ];
-    for tail in tails {
-        let out = run(&format!("{}sync 2000\n{tail}", start()));
+    for batch in batches {
+        let out = run(&format!("{}sync 2000\n{batch}", start()));
         let error = String::from_utf8_lossy(&out.stderr).to_string();
-        assert!(!out.status.success(), "{tail}");
+        assert!(!out.status.success(), "{batch}");
         assert!(
             error.contains("line ") && !error.contains("panicked"),
-            "{tail}: {error}"
+            "{batch}: {error}"
         );
     }
 }
--- a/crates/pipithub-node/src/core/endpoint_list.rs
+++ b/crates/pipithub-node/src/core/endpoint_list.rs
@@ -16,7 +16,7 @@
     /// The front end begins to follow the coordinator.
     pub fn follow_coordinator(&mut self, now: Time) {
         self.discovery_log.begin(now);
-        self.contact(now, EndpointListContact::Sought);
+        self.contact(now, EndpointListContact::Requested);
     }
 
     /// Applies what the coordinator's stream has brought. `wall` is the current wall clock in nanoseconds since the Unix
--- a/crates/pipithub-policy/src/api.rs
+++ b/crates/pipithub-policy/src/api.rs
@@ -183,7 +183,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListContact {
     /// The front end begins to follow the list; it was started with the list of that time.
-    Sought,
+    Requested,
     /// The source has answered a request to follow the list. It may be about to send changes.
     Answered,
     /// The source has given a sign of life behind all changes so far: the list was current when it
--- a/crates/pipithub-policy/src/endpoint_list_lease.rs
+++ b/crates/pipithub-policy/src/endpoint_list_lease.rs
@@ -29,7 +29,7 @@
     /// When the list was last known to be current.
     confirmed_at: Time,
     /// The source has given a sign of life since the start.
-    was_followed: bool,
+    had_heartbeat: bool,
 }
 
 impl EndpointListLease {
@@ -43,15 +43,15 @@
     ) {
         let lease = lease_time(drain_grace);
         match contact {
-            EndpointListContact::Sought => self.confirm(now, lease),
+            EndpointListContact::Requested => self.confirm(now, lease),
             // Only the list of the start: the head of a response says nothing about a later one.
-            EndpointListContact::Answered if !self.was_followed => {
+            EndpointListContact::Answered if !self.had_heartbeat => {
                 let end = self.confirmed_at + drain_grace + ALLOWED_DELAY;
                 self.end = self.end.max(Some(end));
             }
             EndpointListContact::Answered => {}
             EndpointListContact::Current => {
-                self.was_followed = true;
+                self.had_heartbeat = true;
                 self.confirm(now, NOTIFICATION_DELAY + lease);
             }
         }
@@ -73,7 +73,7 @@
     }
 
     /// Whether the list is relied on.
-    pub(crate) fn stands(&self, now: Time) -> bool {
+    pub(crate) fn is_valid(&self, now: Time) -> bool {
         now < self.end()
     }
 
--- a/crates/pipithub-policy/src/estimates.rs
+++ b/crates/pipithub-policy/src/estimates.rs
@@ -88,7 +88,7 @@
     /// The weight of the sample.
     pub(crate) gain: f64,
     /// By how much the weight is less if the sample is above the mean.
-    pub(crate) rise: f64,
+    pub(crate) rise_factor: f64,
 }
 
 /// What is estimated over all workers, and what is known of functions.
@@ -200,7 +200,11 @@
     pub(crate) fn record_run_time(&mut self, sample: &RunTimeSample) {
         let learn = |mean: &mut f64| {
             let elapsed = sample.elapsed.min(*mean * MAX_SAMPLE);
-            let weight = if elapsed > *mean { sample.rise } else { 1.0 };
+            let weight = if elapsed > *mean {
+                sample.rise_factor
+            } else {
+                1.0
+            };
             *mean += sample.gain * (elapsed - *mean) * weight;
         };
         learn(
@@ -236,7 +240,7 @@
 
     /// Records how long a load of a function took, in nanoseconds; nothing if the function is not
     /// known.
-    pub(crate) fn record_load_time(&mut self, function: FunctionId, took: f64, now: Time) {
+    pub(crate) fn record_load_time(&mut self, function: FunctionId, elapsed: f64, now: Time) {
         let Some(function) = self.functions.get_mut(&function) else {
             return;
         };
@@ -246,17 +250,17 @@
             .or(function.observed_load_time)
             .or(self.mean_load_time);
         if let Some(usual) = usual.filter(|usual| *usual > 0.0) {
-            let sample = (took / usual).clamp(MIN_LOAD_SAMPLE, MAX_LOAD_SAMPLE);
+            let sample = (elapsed / usual).clamp(MIN_LOAD_SAMPLE, MAX_LOAD_SAMPLE);
             self.load_slowdown += LOAD_TIME_GAIN * (sample - self.load_slowdown);
             self.load_observed_at = now;
         }
-        let mean = self.mean_load_time.get_or_insert(took);
-        *mean += RUN_TIME_GAIN * (took - *mean);
-        let observed = function.observed_load_time.get_or_insert(took);
-        *observed = if took > *observed {
-            took.min(*observed * MAX_LOAD_GROWTH)
+        let mean = self.mean_load_time.get_or_insert(elapsed);
+        *mean += RUN_TIME_GAIN * (elapsed - *mean);
+        let observed = function.observed_load_time.get_or_insert(elapsed);
+        *observed = if elapsed > *observed {
+            elapsed.min(*observed * MAX_LOAD_GROWTH)
         } else {
-            *observed + LOAD_TIME_GAIN * (took - *observed)
+            *observed + LOAD_TIME_GAIN * (elapsed - *observed)
         };
     }
 
@@ -270,7 +274,7 @@
     /// How far a run is slowed down by the queue of a load report.
     pub(crate) fn reported_slowdown(&self, report: &ReportedLoad) -> f64 {
         let queues = &self.reported_queues;
-        let at_once = (queues.in_flight / queues.slowdown.max(MIN_REPORTED_SLOWDOWN)).max(1.0);
-        (report.in_flight + 1.0) / at_once
+        let parallel = (queues.in_flight / queues.slowdown.max(MIN_REPORTED_SLOWDOWN)).max(1.0);
+        (report.in_flight + 1.0) / parallel
     }
 }
--- a/crates/pipithub-policy/src/front_end/attempts.rs
+++ b/crates/pipithub-policy/src/front_end/attempts.rs
@@ -21,7 +21,7 @@
 const OTHERS_IN_FLIGHT_GAIN: f64 = 0.15;
 /// In a large deployment without a report, a run longer than the mean weighs this much of one that
 /// is shorter.
-const UNREPORTED_RISE: f64 = 0.2;
+const UNREPORTED_RISE_FACTOR: f64 = 0.2;
 /// The least that a run is taken to be of the expected one.
 const MIN_SLOWDOWN_SAMPLE: f64 = 0.1;
 /// The least slowdown by which a run is expected to end.
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy)]
 struct FunctionConcurrency {
     /// All of them without the attempt itself.
-    met: u32,
+    in_flight: u32,
     /// Those of other front ends.
     of_others: f64,
 }
@@ -83,7 +83,7 @@
         let function_concurrency = end
             .function_concurrency
             .filter(|_| reports_concurrency)
-            .map(|met| FunctionConcurrency::new(met, &attempt));
+            .map(|in_flight| FunctionConcurrency::new(in_flight, &attempt));
         let elapsed = end.elapsed.min(MAX_DURATION) as f64;
         let expected = attempt.expected.run_time.max(1.0);
         let ended = EndedAttempt {
@@ -119,11 +119,11 @@
 }
 
 impl FunctionConcurrency {
-    fn new(met: u32, attempt: &Attempt) -> Self {
-        let met = met.min(MAX_FUNCTION_CONCURRENCY);
+    fn new(in_flight: u32, attempt: &Attempt) -> Self {
+        let in_flight = in_flight.min(MAX_FUNCTION_CONCURRENCY);
         FunctionConcurrency {
-            met,
-            of_others: (f64::from(met) + 1.0 - attempt.concurrency.of_function).max(0.0),
+            in_flight,
+            of_others: (f64::from(in_flight) + 1.0 - attempt.concurrency.of_function).max(0.0),
         }
     }
 }
@@ -154,8 +154,10 @@
                 worker.replicas.remove(self.attempt.function);
             }
             Outcome::Error => {
-                let usual = worker.mean_error_rate_of_others(self.attempt.class);
-                worker.outliers.record_error(self.attempt, usual, self.now);
+                let mean_of_others = worker.mean_error_rate_of_others(self.attempt.class);
+                worker
+                    .outliers
+                    .record_error(self.attempt, mean_of_others, self.now);
             }
             Outcome::TimedOut | Outcome::NotSent => {}
         }
@@ -197,7 +199,7 @@
             OTHERS_IN_FLIGHT_GAIN * (concurrency.of_others - replicas.others_in_flight);
         if self.end.replica_status == Some(ReplicaStatus::Warm) {
             // All of them ran at once.
-            let needed = (concurrency.met + 1).div_ceil(replica_concurrency);
+            let needed = (concurrency.in_flight + 1).div_ceil(replica_concurrency);
             replicas.count = replicas.count.max(needed);
         }
     }
@@ -232,8 +234,8 @@
         let own = self.attempt.concurrency.total;
         let concurrency = own.max(reported.unwrap_or(0.0) / 2.0);
         // Without a report, a long answer rather shows the queue of the others than a long run.
-        let rise = if self.relies_on_load_reports && reported.is_none() {
-            UNREPORTED_RISE
+        let rise_factor = if self.relies_on_load_reports && reported.is_none() {
+            UNREPORTED_RISE_FACTOR
         } else {
             1.0
         };
@@ -243,7 +245,7 @@
             elapsed: self.elapsed,
             expected: self.attempt.expected.run_time,
             gain: RUN_TIME_GAIN * (2.0 / concurrency).min(1.0).powi(2),
-            rise,
+            rise_factor,
         });
     }
 
--- a/crates/pipithub-policy/src/front_end/endpoints.rs
+++ b/crates/pipithub-policy/src/front_end/endpoints.rs
@@ -40,7 +40,7 @@
 
     fn remove_all_but(&mut self, endpoints: &[Endpoint]) {
         let named: BTreeSet<&WorkerId> = endpoints.iter().map(|e| &e.worker).collect();
-        let bounds = self.close_bounds();
+        let bounds = self.write_bounds();
         self.workers.change_where(
             |worker| !named.contains(&worker.endpoint().worker),
             |worker| worker.mark_removed(bounds),
@@ -49,7 +49,7 @@
 
     fn update_endpoint(&mut self, mut endpoint: Endpoint) {
         let classes = self.settings.classes.len();
-        let bounds = self.close_bounds();
+        let bounds = self.write_bounds();
         endpoint.started_at = endpoint.started_at.map(|time| time.min(MAX_TIME));
         self.workers
             .get_or_add(&endpoint, classes)
--- a/crates/pipithub-policy/src/front_end/maintenance.rs
+++ b/crates/pipithub-policy/src/front_end/maintenance.rs
@@ -2,7 +2,7 @@
 
 use super::FrontEnd;
 use crate::api::{Action, Idempotency, Time};
-use crate::outlier::RecalledAttempt;
+use crate::outlier::StalledAttempt;
 use crate::slow_start::RATE_WINDOW;
 use crate::time::MILLISECOND;
 use crate::timer::TimerToken;
@@ -18,7 +18,7 @@
             after: MAINTENANCE_PERIOD,
             token: TimerToken::Maintenance.into(),
         });
-        self.recall_from_silent(actions);
+        self.eject_silent(actions);
         self.workers.forget_removed();
         self.slow_start
             .update_warm_rate(&mut self.workers, &self.arrivals, self.now);
@@ -29,27 +29,27 @@
     }
 
     /// Ejects silent workers and zones, and cancels what waits for them.
-    fn recall_from_silent(&mut self, actions: &mut Vec<Action>) {
+    fn eject_silent(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let answers_kept =
             RATE_WINDOW.max(self.settings.slow_start.overload_window) + MAINTENANCE_PERIOD;
-        let mut recalled = Vec::new();
+        let mut stalled = Vec::new();
         self.workers.change_active(|worker| {
             worker.attempts.forget_cancelled(now);
             worker.responses.forget_older(answers_kept, now);
-            worker.eject_if_silent(now, &mut recalled);
+            worker.eject_if_silent(now, &mut stalled);
         });
         if self.settings.relies_on_load_reports() {
             self.zones
-                .detect_silent_zones(&self.workers, now, &mut recalled);
+                .detect_silent_zones(&self.workers, now, &mut stalled);
         }
-        self.cancel_recalled(&recalled, actions);
+        self.cancel_stalled(&stalled, actions);
     }
 
     /// Cancels attempts at silent workers, where the request may be retried elsewhere.
-    fn cancel_recalled(&self, recalled: &[RecalledAttempt], actions: &mut Vec<Action>) {
+    fn cancel_stalled(&self, stalled: &[StalledAttempt], actions: &mut Vec<Action>) {
         let limits = &self.settings.limits;
-        for RecalledAttempt { request, attempt } in recalled {
+        for StalledAttempt { request, attempt } in stalled {
             let Some(pending) = self.pending.get(request) else {
                 continue;
             };
--- a/crates/pipithub-policy/src/front_end/preference.rs
+++ b/crates/pipithub-policy/src/front_end/preference.rs
@@ -65,7 +65,7 @@
     /// there.
     fn avoid_loaded_workers(&self, function: FunctionId, order: &mut [&WorkerId]) {
         let mean = self.workers.mean_reported_in_flight(self.now);
-        let stays = |worker: &&WorkerId| {
+        let begins_here = |worker: &&WorkerId| {
             let worker = &self.workers[worker];
             let usual = worker.load_report.usual_in_flight(self.now);
             let share = (mean / usual).powi(AVOIDANCE_EXPONENT);
@@ -75,7 +75,7 @@
         let first = order
             .iter()
             .take(AVOIDANCE_CANDIDATES)
-            .position(stays)
+            .position(begins_here)
             .unwrap_or(0);
         order[..=first].rotate_right(1);
     }
--- a/crates/pipithub-policy/src/front_end/rebalancing.rs
+++ b/crates/pipithub-policy/src/front_end/rebalancing.rs
@@ -102,10 +102,10 @@
         };
         let replicas = worker.replicas_of(function);
         replicas.demand.record_miss(run_time, slack);
-        let has_misses_to_spread = replicas.demand.has_misses_to_spread();
+        let has_enough_misses = replicas.demand.has_enough_misses();
         drop(worker);
         if may_spread
-            && has_misses_to_spread
+            && has_enough_misses
             && self.has_memory_for(&self.workers[worker_id], function)
             && !self.is_load_commanded(function)
         {
@@ -136,7 +136,7 @@
 
     /// Replaces the least used replicas by those that were missed more.
     fn replace_replicas(&mut self, placements: Placements, actions: &mut Vec<Action>) {
-        self.rebalancer.earn(placements.placed.len());
+        self.rebalancer.add_allowance(placements.placed.len());
         let mut placed = placements.placed.into_iter();
         for missed in placements.missed {
             if !self.rebalancer.may_replace() {
--- a/crates/pipithub-policy/src/front_end/replay.rs
+++ b/crates/pipithub-policy/src/front_end/replay.rs
@@ -60,7 +60,7 @@
         for attempt in self.worker.attempts.iter() {
             let run_time = (attempt.expected.run_time * self.slowdown_with) as Time;
             let (start, finish) = if attempt.function == self.request.function {
-                let slot = first_free(&slots);
+                let slot = earliest_free(&slots);
                 let start = if slots[slot] > self.now || attempt.expected.finish <= self.now {
                     slots[slot]
                 } else {
@@ -89,7 +89,7 @@
 }
 
 /// The first of the slots that are free earliest.
-fn first_free(slots: &[Time]) -> usize {
+fn earliest_free(slots: &[Time]) -> usize {
     (0..slots.len())
         .min_by_key(|&slot| slots[slot])
         .unwrap_or(0)
--- a/crates/pipithub-policy/src/front_end/requests.rs
+++ b/crates/pipithub-policy/src/front_end/requests.rs
@@ -36,7 +36,7 @@
         let latency_objective = (now + class.latency_objective + extra as Time).min(deadline);
         self.arrivals.push(now);
         if self.settings.relies_on_load_reports() {
-            self.speculation.earn();
+            self.speculation.add_tokens();
         }
         self.estimates.record_request(&request, now);
         let id = request.id;
--- a/crates/pipithub-policy/src/front_end/routing.rs
+++ b/crates/pipithub-policy/src/front_end/routing.rs
@@ -66,7 +66,7 @@
 
 /// What a search has found.
 #[derive(Default)]
-struct Found {
+struct SearchResult {
     /// The first worker that admits the request.
     admits: Option<Candidate>,
     /// The first one that serves it after its objective.
@@ -157,11 +157,11 @@
     }
 
     /// Goes through the workers in the function's order.
-    fn search(&self, pending: &PendingRequest, target_deadline: Time) -> Found {
+    fn search(&self, pending: &PendingRequest, target_deadline: Time) -> SearchResult {
         let request = &pending.request;
         let order = self.preference_order(request.function);
         let search = self.begin_search(pending, target_deadline);
-        let mut found = Found::default();
+        let mut found = SearchResult::default();
         // A function that no worker is believed to hold is presumed loaded at its first worker: a
         // front end that knows nothing must neither reject nor spread. Where that one is lost it is
         // loaded nowhere: presumed at the next one, each of the lost worker's functions would begin
@@ -365,7 +365,7 @@
         {
             return None;
         }
-        self.speculation.spend();
+        self.speculation.take_token();
         Some(Candidate {
             prediction: Prediction {
                 cold_start: false,
--- a/crates/pipithub-policy/src/front_end/service_checks.rs
+++ b/crates/pipithub-policy/src/front_end/service_checks.rs
@@ -7,7 +7,7 @@
     Action, EndpointListContact, HealthCheckOutcome, HealthChecked, RequestId, Time, WorkerId,
 };
 use crate::service_lease::{
-    CHECK_TIMEOUT, CloseBounds, DEFAULT_DRAIN_GRACE, ServiceStatus, lease_time,
+    CHECK_TIMEOUT, DEFAULT_DRAIN_GRACE, ServiceStatus, WriteBounds, lease_time,
 };
 use crate::timer::TimerToken;
 use crate::worker::WorkerState;
@@ -34,21 +34,21 @@
     /// When work that was decided must have been written to a worker: a request that waits for a
     /// connection until then must not be sent any more. [`Time::MAX`] where nothing limits that.
     pub fn lease_end(&self, worker: &WorkerId) -> Time {
-        if !self.checks_service() {
+        if !self.uses_leases() {
             return Time::MAX;
         }
         match self.workers.get(worker) {
             Some(worker) if worker.is_ready() => {
                 self.endpoint_list_lease.end().max(worker.service.end())
             }
-            Some(worker) => worker.service.closes_at(),
+            Some(worker) => worker.service.write_deadline(),
             None => 0,
         }
     }
 
     /// What bounds the writing of work for workers that the endpoint list closes now.
-    pub(super) fn close_bounds(&self) -> CloseBounds {
-        CloseBounds {
+    pub(super) fn write_bounds(&self) -> WriteBounds {
+        WriteBounds {
             endpoint_list_lease_end: self.endpoint_list_lease.end(),
             grace_end: self.now + self.lease_time(),
         }
@@ -56,13 +56,13 @@
 
     /// Whether leases are kept: without health checks nothing could renew them, and the last list
     /// is all there is.
-    fn checks_service(&self) -> bool {
+    fn uses_leases(&self) -> bool {
         self.settings.limits.health_checks && self.endpoint_list_lease.is_followed()
     }
 
     /// Whether the endpoint list vouches for all workers that it names as ready.
     pub(super) fn relies_on_endpoint_list(&self) -> bool {
-        self.endpoint_list_lease.stands(self.now) || !self.checks_service()
+        self.endpoint_list_lease.is_valid(self.now) || !self.uses_leases()
     }
 
     /// Whether a worker may be sent work now, as far as its being in service is concerned.
--- a/crates/pipithub-policy/src/outlier.rs
+++ b/crates/pipithub-policy/src/outlier.rs
@@ -27,7 +27,7 @@
 const MAX_RELATIVE_ERROR_RATE: f64 = 2.0;
 
 /// An attempt that is to be cancelled, so that its request can be retried elsewhere.
-pub(crate) struct RecalledAttempt {
+pub(crate) struct StalledAttempt {
     pub(crate) request: RequestId,
     pub(crate) attempt: u32,
 }
@@ -124,8 +124,8 @@
     /// lost secret. What fails everywhere alike, by a function's or a client's mistake, ejects no
     /// worker: of consecutive errors of one function only one counts. The price: where one worker
     /// alone can run a function, its requests are rejected.
-    pub(crate) fn record_error(&mut self, attempt: &Attempt, usual: f64, now: Time) {
-        let max_error_rate = MAX_ERROR_RATE.max(usual * MAX_RELATIVE_ERROR_RATE);
+    pub(crate) fn record_error(&mut self, attempt: &Attempt, mean_of_others: f64, now: Time) {
+        let max_error_rate = MAX_ERROR_RATE.max(mean_of_others * MAX_RELATIVE_ERROR_RATE);
         self.classes[attempt.class].record_error(attempt.function, max_error_rate, now);
     }
 
@@ -155,7 +155,7 @@
         in_flight: &[Attempt],
         responses: &Responses,
         now: Time,
-        recalled: &mut Vec<RecalledAttempt>,
+        stalled: &mut Vec<StalledAttempt>,
     ) {
         for (class, health) in self.classes.iter_mut().enumerate() {
             if !is_silent(class, &health.ejection, in_flight, responses, now) {
@@ -165,7 +165,7 @@
             let waiting = in_flight
                 .iter()
                 .filter(|attempt| attempt.class == class && !attempt.cancelled);
-            recalled.extend(waiting.map(Attempt::recall));
+            stalled.extend(waiting.map(Attempt::as_stalled));
         }
     }
 }
@@ -209,8 +209,8 @@
     }
 
     /// This attempt, as one to be cancelled.
-    pub(crate) fn recall(&self) -> RecalledAttempt {
-        RecalledAttempt {
+    pub(crate) fn as_stalled(&self) -> StalledAttempt {
+        StalledAttempt {
             request: self.id.request,
             attempt: self.id.number,
         }
--- a/crates/pipithub-policy/src/rebalancer.rs
+++ b/crates/pipithub-policy/src/rebalancer.rs
@@ -65,7 +65,7 @@
     }
 
     /// Adds the share of the placed replicas that a round may replace.
-    pub(crate) fn earn(&mut self, placed: usize) {
+    pub(crate) fn add_allowance(&mut self, placed: usize) {
         let earned = placed as f64 * MAX_REPLACED_SHARE;
         self.allowance = (self.allowance + earned).min(MAX_ALLOWANCE);
     }
@@ -113,7 +113,7 @@
     }
 
     /// Whether the function was missed often enough to be loaded there too.
-    pub(crate) fn has_misses_to_spread(&self) -> bool {
+    pub(crate) fn has_enough_misses(&self) -> bool {
         self.placement_misses >= PLACEMENT_MISSES_TO_SPREAD
     }
 
--- a/crates/pipithub-policy/src/service_lease.rs
+++ b/crates/pipithub-policy/src/service_lease.rs
@@ -67,12 +67,12 @@
     connection_lost_at: Time,
     /// Until when work that was decided before may be written, once the endpoint list names the worker
     /// as draining or removed.
-    closes_at: Option<Time>,
+    write_deadline: Option<Time>,
 }
 
 /// What bounds the writing of work for a worker that the endpoint list names as draining or removed.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct CloseBounds {
+pub(crate) struct WriteBounds {
     /// The end of the endpoint list's lease before this entry of it.
     pub(crate) endpoint_list_lease_end: Time,
     /// The end of the grace from now on, less the margin.
@@ -87,12 +87,12 @@
 
     /// Until when work that was decided before may be written to a worker that is not ready; 0 if it is
     /// ready.
-    pub(crate) fn closes_at(&self) -> Time {
-        self.closes_at.unwrap_or(0)
+    pub(crate) fn write_deadline(&self) -> Time {
+        self.write_deadline.unwrap_or(0)
     }
 
     /// Records an entry of the endpoint list, which replaces the state known from checks.
-    pub(crate) fn record_listed(&mut self, is_ready: bool, bounds: CloseBounds) {
+    pub(crate) fn record_listed(&mut self, is_ready: bool, bounds: WriteBounds) {
         if is_ready {
             *self = ServiceLease {
                 connection_lost_at: self.connection_lost_at,
@@ -102,7 +102,7 @@
             // The list may come back with a drain that counts as notified long since: the grace from
             // now on must not lengthen a lease that ends sooner.
             let lease_end = bounds.endpoint_list_lease_end.max(self.end);
-            self.closes_at
+            self.write_deadline
                 .get_or_insert(lease_end.min(bounds.grace_end));
         }
     }
@@ -166,7 +166,7 @@
         let was_counted = finished.is_none_or(|check| check.is_overdue);
         match outcome {
             HealthCheckOutcome::Healthy => self.renew(sent_at, lease),
-            HealthCheckOutcome::Unhealthy => self.reject(sent_at, now),
+            HealthCheckOutcome::Unhealthy => self.revoke(sent_at, now),
             HealthCheckOutcome::Unanswered | HealthCheckOutcome::Disconnected if was_counted => {}
             HealthCheckOutcome::Unanswered | HealthCheckOutcome::Disconnected => {
                 self.record_failure(now, self.failures);
@@ -184,7 +184,7 @@
     }
 
     /// Ends the lease at once, as the worker has answered that it is not in service.
-    fn reject(&mut self, sent_at: Time, now: Time) {
+    fn revoke(&mut self, sent_at: Time, now: Time) {
         if sent_at >= self.evidence_at {
             self.evidence_at = sent_at;
             self.end = 0;
--- a/crates/pipithub-policy/src/speculation.rs
+++ b/crates/pipithub-policy/src/speculation.rs
@@ -18,7 +18,7 @@
 
 impl Speculation {
     /// Adds what one accepted request earns.
-    pub(crate) fn earn(&mut self) {
+    pub(crate) fn add_tokens(&mut self) {
         self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
     }
 
@@ -28,7 +28,7 @@
     }
 
     /// Takes the token of one speculative attempt.
-    pub(crate) fn spend(&mut self) {
+    pub(crate) fn take_token(&mut self) {
         self.tokens -= 1.0;
     }
 }
--- a/crates/pipithub-policy/src/statistics/tests.rs
+++ b/crates/pipithub-policy/src/statistics/tests.rs
@@ -11,7 +11,7 @@
     #[test]
     fn event_times_are_counted_as_by_a_scan(
         gaps in proptest::collection::vec(0u64..50, 0..60),
-        marks in proptest::collection::vec(0u64..1_500, 1..8),
+        cutoffs in proptest::collection::vec(0u64..1_500, 1..8),
     ) {
         let mut times = EventTimes::default();
         let mut all: Vec<Time> = Vec::new();
@@ -19,10 +19,10 @@
             all.push(all.last().copied().unwrap_or(0) + gap);
             times.push(*all.last().unwrap());
         }
-        for mark in marks {
-            prop_assert_eq!(times.since(mark), all.iter().filter(|t| **t >= mark).count());
-            times.forget_before(mark / 2);
-            all.retain(|t| *t >= mark / 2);
+        for cutoff in cutoffs {
+            prop_assert_eq!(times.since(cutoff), all.iter().filter(|t| **t >= cutoff).count());
+            times.forget_before(cutoff / 2);
+            all.retain(|t| *t >= cutoff / 2);
         }
     }
 }
--- a/crates/pipithub-policy/src/work.rs
+++ b/crates/pipithub-policy/src/work.rs
@@ -1,29 +1,31 @@
-//! Counts the workers looked at, in builds with the feature `count`; elsewhere nothing is counted.
+//! Counts the workers that decisions examine, in builds with the feature `count`; other builds count
+//! nothing.
 //!
-//! Counted work shows how a decision grows with the number of workers on any machine, where time
-//! would not.
+//! The count shows on any machine how the cost of a decision grows with the number of workers, which
+//! measured time would not.
 
 #[cfg(feature = "count")]
 thread_local! {
-    static LOOKED: std::cell::Cell<u64> = const { std::cell::Cell::new(0) };
+    static EXAMINED: std::cell::Cell<u64> = const { std::cell::Cell::new(0) };
 }
 
-/// Counts workers that were looked at.
+/// Adds to the number of workers examined on this thread.
 #[inline]
 #[cfg(feature = "count")]
-pub fn looked(workers: u64) {
-    LOOKED.with(|n| n.set(n.get() + workers));
+pub fn record_examined(workers: u64) {
+    EXAMINED.with(|n| n.set(n.get() + workers));
 }
 
-/// Notes nothing in a build that does not count.
+/// Does nothing, as this build does not count.
 #[inline]
 #[cfg(not(feature = "count"))]
-pub fn looked(_: u64) {}
+pub fn record_examined(_: u64) {}
 
-/// How many were looked at on this thread since this was asked last; 0 in builds that do not count.
-pub fn taken() -> u64 {
+/// Returns the number of workers examined on this thread since the last call, and resets it; always 0
+/// in builds that do not count.
+pub fn take_examined() -> u64 {
     #[cfg(feature = "count")]
-    return LOOKED.with(|n| n.replace(0));
+    return EXAMINED.with(|n| n.replace(0));
     #[cfg(not(feature = "count"))]
     0
 }
--- a/crates/pipithub-policy/src/worker.rs
+++ b/crates/pipithub-policy/src/worker.rs
@@ -5,10 +5,10 @@
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::hashing::hash_address;
 use crate::load_reports::ReportedLoad;
-use crate::outlier::{OutlierDetection, RecalledAttempt};
+use crate::outlier::{OutlierDetection, StalledAttempt};
 use crate::replicas::ReplicaTable;
 use crate::responses::Responses;
-use crate::service_lease::{CloseBounds, ServiceLease};
+use crate::service_lease::{ServiceLease, WriteBounds};
 use crate::slow_start::RecentForwards;
 use crate::slowdown::Slowdown;
 use crate::worker_table::IndexedState;
@@ -78,7 +78,7 @@
 
     /// Takes over a new entry of the endpoint list. A worker that has restarted is as good as a new
     /// one, whatever was learnt of the process before.
-    pub(crate) fn update_endpoint(&mut self, endpoint: Endpoint, bounds: CloseBounds) {
+    pub(crate) fn update_endpoint(&mut self, endpoint: Endpoint, bounds: WriteBounds) {
         if self.endpoint.started_at != endpoint.started_at {
             self.forget_former_process();
         }
@@ -94,7 +94,7 @@
     }
 
     /// Records that the endpoint list does not name it any more.
-    pub(crate) fn mark_removed(&mut self, bounds: CloseBounds) {
+    pub(crate) fn mark_removed(&mut self, bounds: WriteBounds) {
         self.endpoint.state = EndpointState::Removed;
         self.service.record_listed(false, bounds);
     }
@@ -141,9 +141,9 @@
 
     /// Ejects it for each class that it has fallen silent for; see
     /// [`OutlierDetection::eject_if_silent`].
-    pub(crate) fn eject_if_silent(&mut self, now: Time, recalled: &mut Vec<RecalledAttempt>) {
+    pub(crate) fn eject_if_silent(&mut self, now: Time, stalled: &mut Vec<StalledAttempt>) {
         let in_flight = self.attempts.as_slice();
         self.outliers
-            .eject_if_silent(in_flight, &self.responses, now, recalled);
+            .eject_if_silent(in_flight, &self.responses, now, stalled);
     }
 }
--- a/crates/pipithub-policy/src/worker_table.rs
+++ b/crates/pipithub-policy/src/worker_table.rs
@@ -19,7 +19,7 @@
 use self::index::WorkerIndex;
 use crate::api::{Endpoint, FunctionId, Time, WorkerId};
 use crate::replicas::Replicas;
-use crate::work::looked;
+use crate::work::record_examined;
 use crate::worker::WorkerState;
 
 /// The workers by address. The hasher has fixed keys: equal events leave equal states.
@@ -74,7 +74,7 @@
     type Output = WorkerState;
 
     fn index(&self, worker: &WorkerId) -> &WorkerState {
-        looked(1);
+        record_examined(1);
         &self.workers[worker]
     }
 }
@@ -90,13 +90,13 @@
 
     /// A worker; `None` where it is not known.
     pub(crate) fn get(&self, worker: &WorkerId) -> Option<&WorkerState> {
-        looked(1);
+        record_examined(1);
         self.workers.get(worker)
     }
 
     /// A worker to be changed.
     pub(crate) fn get_mut(&mut self, worker: &WorkerId) -> Option<WorkerGuard<'_>> {
-        looked(1);
+        record_examined(1);
         Some(WorkerGuard {
             worker: self.workers.get_mut(worker)?,
             index: &mut self.index,
@@ -105,7 +105,7 @@
 
     /// The worker of an endpoint, to be changed; added as the endpoint says where it was not known.
     pub(crate) fn get_or_add(&mut self, endpoint: &Endpoint, classes: usize) -> WorkerGuard<'_> {
-        looked(1);
+        record_examined(1);
         let worker = self
             .workers
             .entry(endpoint.worker.clone())
@@ -122,7 +122,7 @@
         matches: impl Fn(&WorkerState) -> bool,
         change: impl FnMut(&mut WorkerState),
     ) {
-        looked(self.workers.len() as u64);
+        record_examined(self.workers.len() as u64);
         let mut matching: Vec<WorkerId> = self
             .workers
             .iter()
@@ -163,7 +163,7 @@
         let idle: Vec<WorkerId> = self
             .index
             .removed()
-            .inspect(|_| looked(1))
+            .inspect(|_| record_examined(1))
             .filter(idle)
             .cloned()
             .collect();
@@ -188,7 +188,7 @@
         &'a self,
         ids: impl Iterator<Item = &'a WorkerId>,
     ) -> impl Iterator<Item = &'a WorkerState> {
-        ids.inspect(|_| looked(1))
+        ids.inspect(|_| record_examined(1))
             .filter_map(|id| self.workers.get(id))
     }
 
@@ -206,7 +206,7 @@
         self.index
             .ring_from(hash)
             .take(max)
-            .inspect(|_| looked(1))
+            .inspect(|_| record_examined(1))
             .map(|(hash, worker)| (*hash, worker))
     }
 
--- a/crates/pipithub-policy/src/worker_table/tests.rs
+++ b/crates/pipithub-policy/src/worker_table/tests.rs
@@ -7,14 +7,14 @@
 use proptest::prelude::*;
 
 use self::model::{
-    CLASSES, ERROR_RATE_GAIN, HALF_LIFE, LoadMarks, NaiveReport, NaiveWorker, Step, attempt, name,
+    CLASSES, ERROR_RATE_GAIN, HALF_LIFE, LoadFlags, NaiveReport, NaiveWorker, Step, attempt, name,
     oldest_attempt_ended, step,
 };
 use super::{WorkerGuard, WorkerTable};
 use crate::api::{Endpoint, EndpointState, FunctionId, LoadReport, Time, WorkerId};
 use crate::attempt::Attempt;
 use crate::load_reports::ReportedLoad;
-use crate::service_lease::CloseBounds;
+use crate::service_lease::WriteBounds;
 use crate::worker::WorkerState;
 
 fn ids<'a>(workers: impl Iterator<Item = &'a WorkerState>) -> Vec<WorkerId> {
@@ -37,28 +37,28 @@
 }
 
 impl Comparison {
-    fn play(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         let now = self.now;
         match step {
-            Step::Enter {
+            Step::UpdateEndpoint {
                 worker,
                 state,
                 zone,
                 started,
-            } => self.enter(worker, state, zone, started),
-            Step::LoseAll { but } => self.lose_all_but(but),
-            Step::Send { worker, marks } => self.change(worker, |worker, naive| {
-                worker.attempts.push(attempt(marks));
-                naive.in_flight.push(marks);
+            } => self.update_endpoint(worker, state, zone, started),
+            Step::RemoveAllBut { kept } => self.remove_all_but(kept),
+            Step::SendAttempt { worker, flags } => self.change(worker, |worker, naive| {
+                worker.attempts.push(attempt(flags));
+                naive.in_flight.push(flags);
             }),
-            Step::End { worker } => self.change(worker, |state, naive| {
+            Step::EndAttempt { worker } => self.change(worker, |state, naive| {
                 let ended = state.attempts.finish(&oldest_attempt_ended(worker), now);
                 assert_eq!(ended.is_some(), !naive.in_flight.is_empty());
                 naive.in_flight.drain(..naive.in_flight.len().min(1));
                 state.responses.record(now);
                 naive.last_response_at = now;
             }),
-            Step::Served { worker, count } => self.change(worker, |worker, naive| {
+            Step::Answer { worker, count } => self.change(worker, |worker, naive| {
                 worker.responses.forget_older(0, now + 1);
                 for _ in 0..count {
                     worker.responses.record_answer(0, now);
@@ -66,17 +66,17 @@
                 }
                 naive.answers = count.into();
             }),
-            Step::Replica {
+            Step::HoldReplica {
                 worker,
                 function,
                 load_requested,
             } => self.hold_replica(worker, function, load_requested),
-            Step::Forget { worker, function } => self.change(worker, |worker, naive| {
+            Step::ForgetReplica { worker, function } => self.change(worker, |worker, naive| {
                 worker.replicas.remove(FunctionId(function.into()));
                 naive.replicas.remove(&FunctionId(function.into()));
             }),
-            Step::Reported { worker, in_flight } => self.report(worker, in_flight),
-            Step::Errors {
+            Step::Report { worker, in_flight } => self.report(worker, in_flight),
+            Step::RecordErrors {
                 worker,
                 class,
                 errors,
@@ -89,7 +89,7 @@
                 });
             }
             Step::ForgetFormerHolders => self.table.forget_former_holders(),
-            Step::Pass { time } => self.now += Time::from(time),
+            Step::AdvanceTime { time } => self.now += Time::from(time),
         }
     }
 
@@ -100,12 +100,12 @@
                 started_at: Some(worker.endpoint().started_at.map_or(0, |time| time + 1)),
                 ..worker.endpoint().clone()
             };
-            worker.update_endpoint(restarted.clone(), CloseBounds::default());
+            worker.update_endpoint(restarted.clone(), WriteBounds::default());
             naive.update_endpoint(restarted);
         });
     }
 
-    fn enter(&mut self, worker: u8, state: u8, zone: u8, started: Option<u16>) {
+    fn update_endpoint(&mut self, worker: u8, state: u8, zone: u8, started: Option<u16>) {
         let states = [
             EndpointState::Ready,
             EndpointState::Ready,
@@ -124,7 +124,7 @@
         let is_new = !self.model.contains_key(&endpoint.worker);
         self.table
             .get_or_add(&endpoint, CLASSES)
-            .update_endpoint(endpoint.clone(), CloseBounds::default());
+            .update_endpoint(endpoint.clone(), WriteBounds::default());
         let naive = self.model.entry(name(worker)).or_default();
         if is_new {
             naive.endpoint = endpoint;
@@ -133,11 +133,11 @@
         }
     }
 
-    fn lose_all_but(&mut self, but: u8) {
-        let lost = |w: &WorkerId| *w != name(but);
+    fn remove_all_but(&mut self, kept: u8) {
+        let lost = |w: &WorkerId| *w != name(kept);
         self.table.change_where(
             |worker| lost(&worker.endpoint().worker),
-            |worker| worker.mark_removed(CloseBounds::default()),
+            |worker| worker.mark_removed(WriteBounds::default()),
         );
         self.model
             .iter_mut()
@@ -159,7 +159,7 @@
     /// Some errors in a row at a worker, each by a function of its own, and one answer.
     fn record_errors(&mut self, worker: u8, class: usize, errors: u8) {
         let now = self.now;
-        let marks = LoadMarks {
+        let flags = LoadFlags {
             cold_start: false,
             unconfirmed: false,
             adds_replica: false,
@@ -171,7 +171,7 @@
                 let failed = Attempt {
                     function: FunctionId(naive.errors.into()),
                     class,
-                    ..attempt(marks)
+                    ..attempt(flags)
                 };
                 worker.outliers.record_error(&failed, 0.0, now);
                 naive.errors += 1;
@@ -227,7 +227,7 @@
         let recent = self.matching(|p| !p.in_flight.is_empty() || p.answers > 0);
         assert_eq!(ids(self.table.active()), recent);
         let loads = |p: &NaiveWorker| {
-            p.in_flight.iter().any(|marks| marks.may_load()) || p.replicas.values().any(|o| *o)
+            p.in_flight.iter().any(|flags| flags.may_load()) || p.replicas.values().any(|o| *o)
         };
         assert_eq!(ids(self.table.loading()), self.matching(loads));
         let mut holding = Vec::new();
@@ -326,7 +326,7 @@
             since: 0,
         };
         for step in steps {
-            comparison.play(step);
+            comparison.apply(step);
             comparison.compare();
         }
     }
--- a/crates/pipithub-policy/src/worker_table/tests/model.rs
+++ b/crates/pipithub-policy/src/worker_table/tests/model.rs
@@ -16,13 +16,13 @@
 
 /// Why an attempt may be waiting for a load.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct LoadMarks {
+pub(super) struct LoadFlags {
     pub(super) cold_start: bool,
     pub(super) unconfirmed: bool,
     pub(super) adds_replica: bool,
 }
 
-impl LoadMarks {
+impl LoadFlags {
     pub(super) fn may_load(self) -> bool {
         self.cold_start || self.unconfirmed || self.adds_replica
     }
@@ -39,7 +39,7 @@
 #[derive(Debug, Default)]
 pub(super) struct NaiveWorker {
     pub(super) endpoint: Endpoint,
-    pub(super) in_flight: Vec<LoadMarks>,
+    pub(super) in_flight: Vec<LoadFlags>,
     pub(super) answers: usize,
     pub(super) replicas: BTreeMap<FunctionId, bool>,
     pub(super) load_report: NaiveReport,
@@ -62,40 +62,40 @@
 
 #[derive(Clone, Debug)]
 pub(super) enum Step {
-    Enter {
+    UpdateEndpoint {
         worker: u8,
         state: u8,
         zone: u8,
         started: Option<u16>,
     },
-    LoseAll {
-        but: u8,
+    RemoveAllBut {
+        kept: u8,
     },
-    Send {
+    SendAttempt {
         worker: u8,
-        marks: LoadMarks,
+        flags: LoadFlags,
     },
-    End {
+    EndAttempt {
         worker: u8,
     },
-    Served {
+    Answer {
         worker: u8,
         count: u8,
     },
-    Replica {
+    HoldReplica {
         worker: u8,
         function: u8,
         load_requested: bool,
     },
-    Forget {
+    ForgetReplica {
         worker: u8,
         function: u8,
     },
-    Reported {
+    Report {
         worker: u8,
         in_flight: f64,
     },
-    Errors {
+    RecordErrors {
         worker: u8,
         class: u8,
         errors: u8,
@@ -105,13 +105,13 @@
     },
     ForgetRemoved,
     ForgetFormerHolders,
-    Pass {
+    AdvanceTime {
         time: u32,
     },
 }
 
-pub(super) fn load_marks() -> impl Strategy<Value = LoadMarks> {
-    any::<(bool, bool, bool)>().prop_map(|(cold_start, unconfirmed, adds_replica)| LoadMarks {
+pub(super) fn load_flags() -> impl Strategy<Value = LoadFlags> {
+    any::<(bool, bool, bool)>().prop_map(|(cold_start, unconfirmed, adds_replica)| LoadFlags {
         cold_start,
         unconfirmed,
         adds_replica,
@@ -123,29 +123,29 @@
     prop_oneof![
         4 => (worker.clone(), 0u8..5, 0u8..4, proptest::option::of(0u16..5_000))
             .prop_map(|(worker, state, zone, started)| {
-                Step::Enter { worker, state, zone, started }
+                Step::UpdateEndpoint { worker, state, zone, started }
             }),
-        1 => (0u8..14).prop_map(|but| Step::LoseAll { but }),
-        4 => (worker.clone(), load_marks())
-            .prop_map(|(worker, marks)| Step::Send { worker, marks }),
-        3 => worker.clone().prop_map(|worker| Step::End { worker }),
+        1 => (0u8..14).prop_map(|kept| Step::RemoveAllBut { kept }),
+        4 => (worker.clone(), load_flags())
+            .prop_map(|(worker, flags)| Step::SendAttempt { worker, flags }),
+        3 => worker.clone().prop_map(|worker| Step::EndAttempt { worker }),
         2 => (worker.clone(), 0u8..3)
-            .prop_map(|(worker, count)| Step::Served { worker, count }),
+            .prop_map(|(worker, count)| Step::Answer { worker, count }),
         3 => (worker.clone(), 0u8..6, any::<bool>())
             .prop_map(|(worker, function, load_requested)| {
-                Step::Replica { worker, function, load_requested }
+                Step::HoldReplica { worker, function, load_requested }
             }),
         2 => (worker.clone(), 0u8..6)
-            .prop_map(|(worker, function)| Step::Forget { worker, function }),
+            .prop_map(|(worker, function)| Step::ForgetReplica { worker, function }),
         3 => (worker.clone(), 0.0..90.0f64)
-            .prop_map(|(worker, in_flight)| Step::Reported { worker, in_flight }),
+            .prop_map(|(worker, in_flight)| Step::Report { worker, in_flight }),
         2 => (worker.clone(), 0u8..2, 0u8..12)
-            .prop_map(|(worker, class, errors)| Step::Errors { worker, class, errors }),
+            .prop_map(|(worker, class, errors)| Step::RecordErrors { worker, class, errors }),
         1 => worker.prop_map(|worker| Step::Restart { worker }),
         2 => Just(Step::ForgetRemoved),
         1 => Just(Step::ForgetFormerHolders),
         2 => prop_oneof![9 => 0u32..300_000, 1 => Just(200 * HALF_LIFE as u32)]
-            .prop_map(|time| Step::Pass { time }),
+            .prop_map(|time| Step::AdvanceTime { time }),
     ]
 }
 
@@ -154,7 +154,7 @@
 }
 
 /// An attempt that may be waiting for a load or not.
-pub(super) fn attempt(marks: LoadMarks) -> Attempt {
+pub(super) fn attempt(flags: LoadFlags) -> Attempt {
     Attempt {
         id: AttemptId {
             request: RequestId(1),
@@ -166,9 +166,9 @@
         expected: Expectation {
             run_time: 0.0,
             finish: 0,
-            cold_start: marks.cold_start,
-            unconfirmed: marks.unconfirmed,
-            adds_replica: marks.adds_replica,
+            cold_start: flags.cold_start,
+            unconfirmed: flags.unconfirmed,
+            adds_replica: flags.adds_replica,
         },
         deadlines: AttemptDeadlines {
             target: 0,
--- a/crates/pipithub-policy/src/zone_ejection.rs
+++ b/crates/pipithub-policy/src/zone_ejection.rs
@@ -7,7 +7,7 @@
 use crate::api::{Outcome, Time};
 use crate::attempt::Attempt;
 use crate::ejection::Ejection;
-use crate::outlier::{MIN_OVERDUE_ATTEMPTS, RecalledAttempt};
+use crate::outlier::{MIN_OVERDUE_ATTEMPTS, StalledAttempt};
 use crate::worker_table::WorkerTable;
 
 /// The zones that do not respond.
@@ -22,7 +22,7 @@
         &mut self,
         workers: &WorkerTable,
         now: Time,
-        recalled: &mut Vec<RecalledAttempt>,
+        stalled: &mut Vec<StalledAttempt>,
     ) {
         self.readmit_zones(workers);
         let zone_count = workers.zone_count();
@@ -40,7 +40,7 @@
                 .busy_in(zone)
                 .flat_map(|worker| worker.attempts.iter())
                 .filter(|attempt| !attempt.cancelled);
-            recalled.extend(waiting.map(Attempt::recall));
+            stalled.extend(waiting.map(Attempt::as_stalled));
             self.silent.entry(zone.to_string()).or_default().eject(now);
         }
     }
--- a/crates/pipithub-policy/tests/reference/service.rs
+++ b/crates/pipithub-policy/tests/reference/service.rs
@@ -61,7 +61,7 @@
     /// Takes in a contact with the source of the list.
     pub(crate) fn record_endpoint_list_contact(&mut self, contact: EndpointListContact) {
         let lease = match contact {
-            EndpointListContact::Sought => self.lease(),
+            EndpointListContact::Requested => self.lease(),
             EndpointListContact::Answered => {
                 if !self.endpoint_list_was_followed {
                     let end = self.endpoint_list_confirmed_at + self.grace() + ALLOWED_DELAY;
--- a/crates/pipithub-policy/tests/same.rs
+++ b/crates/pipithub-policy/tests/same.rs
@@ -257,10 +257,10 @@
     };
     let mut actions = Vec::new();
     reference.handle(0, snapshot, &mut actions);
-    work::taken();
+    work::take_examined();
     reference.handle(1_000_000, Event::Arrived(request), &mut actions);
     assert!(
-        work::taken() >= u64::from(WORKERS),
+        work::take_examined() >= u64::from(WORKERS),
         "it looks at every worker"
     );
     assert!(actions.iter().any(|action| matches!(
--- a/crates/pipithub-policy/tests/service_leases.rs
+++ b/crates/pipithub-policy/tests/service_leases.rs
@@ -28,7 +28,7 @@
 /// worker.
 fn confirmed_front_end() -> (FrontEndHarness, WorkerId) {
     let mut front_end = FrontEndHarness::new(lease_settings(), &WORKERS);
-    contact(&mut front_end, EndpointListContact::Sought);
+    contact(&mut front_end, EndpointListContact::Requested);
     let preferred = front_end.warm_up(FUNCTION);
     contact(&mut front_end, EndpointListContact::Current);
     (front_end, preferred)
@@ -301,7 +301,7 @@
 fn the_head_of_a_response_counts_at_the_start_alone_and_from_then() {
     let mut front_end = FrontEndHarness::new(lease_settings(), &WORKERS);
     let worker = WorkerId::new("w1");
-    contact(&mut front_end, EndpointListContact::Sought);
+    contact(&mut front_end, EndpointListContact::Requested);
     let started_at = front_end.now;
     assert_eq!(front_end.module.lease_end(&worker), started_at + LEASE);
     // A source that stops after the head of each response.
@@ -362,7 +362,7 @@
     let mut settings = lease_settings();
     settings.limits.health_checks = false;
     let mut front_end = FrontEndHarness::new(settings, &WORKERS);
-    contact(&mut front_end, EndpointListContact::Sought);
+    contact(&mut front_end, EndpointListContact::Requested);
     front_end.advance(60_000 * MS);
     let (_, actions) = front_end.request(FUNCTION);
     let worker = forwarded_to(&actions).expect("forwarded");
--- a/crates/pipithub-policy/tests/simulated_fleet/cost.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/cost.rs
@@ -111,13 +111,13 @@
     /// Lets the front end handle an event and the fleet answer its actions.
     pub(crate) fn handle(&mut self, at: Time, event: Event) -> Cost {
         self.actions.clear();
-        work::taken();
+        work::take_examined();
         let began = Instant::now();
         self.front_end.handle(at, event, &mut self.actions);
         let time_ns = began.elapsed().as_nanos() as f64;
         let cost = Cost {
             time_ns,
-            workers_examined: work::taken() as f64,
+            workers_examined: work::take_examined() as f64,
         };
         self.fleet.apply(&self.actions);
         cost
--- a/crates/pipithub-policy/tests/simulated_fleet/discovery.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/discovery.rs
@@ -46,7 +46,7 @@
         }
         let contact = ScheduledEvent::DiscoveryContact;
         self.schedule
-            .push(self.now, contact(EndpointListContact::Sought));
+            .push(self.now, contact(EndpointListContact::Requested));
         self.schedule
             .push(self.now + MS, contact(EndpointListContact::Answered));
         self.schedule.push(
@@ -72,7 +72,7 @@
             self.schedule
                 .push(next, ScheduledEvent::DiscoveryContact(contact));
         }
-        if contact != EndpointListContact::Sought && self.is_out_of_reach() {
+        if contact != EndpointListContact::Requested && self.is_out_of_reach() {
             return None;
         }
         self.count("discovery contact");
