--- a/crates/pipithub-policy/src/api.rs
+++ b/crates/pipithub-policy/src/api.rs
@@ -16,8 +16,8 @@
 
 /// Identifies one attempt of a client at a request; never used twice.
 ///
-/// The caller chooses the numbers. They are below 2^61: a timer's token is a request's number or
-/// one with a flag above these bits.
+/// The caller chooses the numbers. They must be below 2^61: a timer's token is a request's number,
+/// to which the front end may add flags in the higher bits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
@@ -54,9 +54,9 @@
     /// The worker may be sent requests.
     #[default]
     Ready,
-    /// The worker finishes its requests and must get no new one.
+    /// The worker finishes its requests and must not be sent new ones.
     Draining,
-    /// The worker has left, and must get no new request.
+    /// The worker has left and must not be sent requests.
     Removed,
 }
 
@@ -65,12 +65,13 @@
 pub enum EndpointUpdate {
     /// The workers that changed; all others stay as they are.
     Delta,
-    /// Every worker there is; all others count as removed.
+    /// All workers; a known worker that the update does not name counts as removed.
     Snapshot,
-    /// Every worker, as this front end last saw the list. It may be out of date, and is otherwise
-    /// handled as a snapshot.
+    /// All workers, as in the list that this front end received last. The list may be out of date;
+    /// it is handled like a snapshot.
     Cached,
-    /// No list came, as a call failed or the watch ended; the workers stay as they are.
+    /// No list was received, because a call failed or the watch ended; the workers stay as they
+    /// are.
     Lost,
 }
 
@@ -79,18 +80,18 @@
 pub struct Endpoint {
     /// The address that identifies the worker.
     pub worker: WorkerId,
-    /// Its capacity beside that of the other workers, in any unit; 0 where it is not known.
+    /// The capacity of the worker relative to the other workers, in any unit; 0 if it is not known.
     pub weight: f64,
-    /// Whether it may be sent requests.
+    /// Whether the worker may be sent requests.
     pub state: EndpointState,
-    /// The zone in which it runs; empty where it is not known.
+    /// The zone in which the worker runs; empty if it is not known.
     pub zone: String,
-    /// The cell in which it runs; used for [`DeduplicationScope::Cell`] only.
+    /// The cell in which the worker runs; used for [`DeduplicationScope::Cell`] only.
     pub cell: u64,
-    /// Its memory for replicas, in MB; 0 where it is not known, which counts as enough.
+    /// The worker's memory for replicas, in MB; 0 if it is not known, which counts as enough.
     pub memory_mb: f64,
-    /// The time at which its process started, on the clock of [`crate::FrontEnd::handle`]; `None`:
-    /// long ago. Another value than before means that it has restarted.
+    /// The time at which the worker's process started, on the clock of [`crate::FrontEnd::handle`];
+    /// `None` if it started long ago. A changed value means that the worker has restarted.
     pub started_at: Option<Time>,
 }
 
@@ -99,38 +100,38 @@
 pub struct Request {
     /// Identifies the request in all events and actions.
     pub id: RequestId,
-    /// The work that it is expected to take, in nanoseconds; `None` where it is not known, which
-    /// counts as 0.
+    /// The work that the request is expected to take, in nanoseconds; `None` if it is not known,
+    /// which counts as 0.
     pub expected_work: Option<Time>,
-    /// Memory of one loaded replica of its function, in MB.
+    /// Memory of one loaded replica of the function, in MB.
     pub memory_mb: f64,
-    /// Requests that one replica of its function runs at a time; 0 counts as 1.
+    /// The number of requests that one replica of the function runs at a time; 0 counts as 1.
     pub replica_concurrency: u32,
-    /// Its class, as an index into [`Settings::classes`]; a larger number counts as the last class.
+    /// The class, as an index into [`Settings::classes`]; a larger number counts as the last class.
     pub class: usize,
-    /// The usual time of a load of its function, in nanoseconds; `None` or 0 where it is not known.
+    /// The usual time of a load of the function, in nanoseconds; `None` or 0 if it is not known.
     pub load_time: Option<Time>,
-    /// The function that must be loaded where it runs.
+    /// The function that must be loaded at the worker that runs the request.
     pub function: FunctionId,
-    /// How long the client waits for this answer, in nanoseconds; `None`: the `client_timeout` of
-    /// its class.
+    /// How long the client waits for the final answer, in nanoseconds; `None` means the
+    /// `client_timeout` of the class.
     pub timeout: Option<Time>,
 }
 
 /// How an attempt or a load command ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The request was answered; of a load command: the replicas are loaded.
+    /// The request was answered. For a load command: the replicas are loaded.
     Served,
     /// The worker answered with an error; the request may have run.
     Error,
-    /// The worker rejected the request at capacity: it never ran.
+    /// The worker rejected the request because it was at capacity: the request never ran.
     Rejected,
     /// No answer came in time; the request may have run or still run.
     TimedOut,
     /// No connection could be established: the request never ran.
     Unreachable,
-    /// The connection broke before the answer; the request may have run.
+    /// The connection was lost before the answer; the request may have run.
     ConnectionLost,
     /// The attempt was cancelled; the request may have run or still run.
     Cancelled,
@@ -150,44 +151,44 @@
     }
 }
 
-/// What an answer tells about the replica that served it.
+/// What an answer states about the replica that served the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaStatus {
-    /// The replica was loaded before the request came.
+    /// The replica was loaded before the request arrived.
     Warm,
     /// The request started a load and waited for it.
     LoadStarted,
-    /// The request waited for a load that another one had started.
+    /// The request waited for a load that another request had started.
     LoadAwaited,
     /// The request started a load that failed.
     LoadFailed,
 }
 
-/// A worker's own report of its load; a part that it does not report is `None`.
+/// A worker's own report of its load; a value that the worker does not report is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Requests in flight at the worker, from all front ends.
     pub in_flight: Option<f64>,
-    /// How busy its cores are, from 0 to 1.
+    /// The utilization of the worker's cores, from 0 to 1.
     pub cpu_utilization: Option<f64>,
-    /// The share of its memory that cannot be freed, from 0 to 1.
+    /// The share of the worker's memory that cannot be freed, from 0 to 1.
     pub pinned_memory: Option<f64>,
-    /// Loads that are in progress or queued.
+    /// The number of loads that are in progress or queued.
     pub pending_loads: Option<f64>,
 }
 
-/// What the source of the endpoint list shows of itself, where it gives signs of life.
+/// A contact with the source of the endpoint list, if that source sends heartbeats.
 ///
-/// As long as no contact was reported, the list is relied on without a limit of age: then nothing
-/// tells a list that does not change from one that is out of reach.
+/// Until the first contact is reported, the front end relies on the list however old it is: without
+/// heartbeats, a list that does not change cannot be told from one whose source is out of reach.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListContact {
-    /// The front end begins to follow the list; it was started with the list of that time.
+    /// The front end begins to watch the list, starting from the list that it has at that time.
     Requested,
-    /// The source has answered a request to follow the list. It may be about to send changes.
+    /// The source has answered the request to watch the list. It may not have sent all changes yet.
     Answered,
-    /// The source has given a sign of life behind all changes so far: the list was current when it
-    /// was sent.
+    /// The source has sent a heartbeat after all changes so far: the list was current when the
+    /// heartbeat was sent.
     Current,
 }
 
@@ -196,11 +197,11 @@
 pub enum HealthCheckOutcome {
     /// The worker is in service.
     Healthy,
-    /// The worker is not in service, as when it drains.
+    /// The worker is not in service, for example because it drains.
     Unhealthy,
     /// No answer came in time.
     Unanswered,
-    /// No connection could be established, or it broke.
+    /// No connection could be established, or the connection was lost.
     Disconnected,
 }
 
@@ -211,11 +212,10 @@
     pub worker: WorkerId,
     /// How the check ended.
     pub outcome: HealthCheckOutcome,
-    /// The time since the check was sent, in nanoseconds: what it proves was so at some time since
-    /// then.
+    /// The time since the check was sent, in nanoseconds. The outcome held at some time after that.
     pub elapsed: Time,
-    /// When the connection was established on which the answer came, on the clock of
-    /// [`crate::FrontEnd::handle`]; 0 where it is not known or none came.
+    /// When the connection on which the answer came was established, on the clock of
+    /// [`crate::FrontEnd::handle`]; 0 if the time is not known or no answer came.
     pub connected_at: Time,
 }
 
@@ -224,23 +224,23 @@
 pub struct AttemptFinished {
     /// The request that the attempt was for.
     pub request: RequestId,
-    /// Which of its attempts it was, from 0.
+    /// The number of the attempt among those of the request, from 0.
     pub attempt: u32,
-    /// The worker that it was sent to.
+    /// The worker that the attempt was sent to.
     pub worker: WorkerId,
     /// How the attempt ended, and so whether the request may have run.
     pub outcome: Outcome,
-    /// How long it took, in nanoseconds.
+    /// How long the attempt took, in nanoseconds.
     pub elapsed: Time,
-    /// Whether the request has its final answer, by this outcome or before it; else it is retried
-    /// or ended by an action.
+    /// Whether the request has its final answer, from this outcome or an earlier one; otherwise an
+    /// action retries or ends the request.
     pub settled: bool,
-    /// What the answer tells about the replica; `None` where it does not.
+    /// What the answer states about the replica; `None` if it states nothing.
     pub replica_status: Option<ReplicaStatus>,
-    /// Requests of the function that the worker had in flight when this one came, itself not
-    /// included; `None` where the answer does not tell.
+    /// The number of requests of the function that the worker had in flight when this request
+    /// arrived, not counting this one; `None` if the answer does not state it.
     pub function_concurrency: Option<u32>,
-    /// The worker's load report that came with the answer; all parts `None` where none came.
+    /// The worker's load report that came with the answer; all values are `None` if there was none.
     pub load_report: LoadReport,
 }
 
@@ -249,13 +249,13 @@
 pub struct LoadFinished {
     /// The worker that the command was sent to.
     pub worker: WorkerId,
-    /// The function that it was to load.
+    /// The function to load.
     pub function: FunctionId,
-    /// How the command ended; [`Outcome::Served`]: the replicas are loaded.
+    /// How the command ended; [`Outcome::Served`] means that the replicas are loaded.
     pub outcome: Outcome,
-    /// How long it took, in nanoseconds.
+    /// How long the command took, in nanoseconds.
     pub elapsed: Time,
-    /// How many replicas are loaded now.
+    /// The number of replicas that are loaded now.
     pub replicas: u32,
 }
 
@@ -273,12 +273,12 @@
     Arrived(Request),
     /// An attempt has ended.
     AttemptFinished(AttemptFinished),
-    /// The answer of a streamed request has started, so that the request has no deadline any more.
+    /// The streamed answer of a request has started; the request no longer has a deadline.
     Streaming {
         /// The request whose answer has started.
         request: RequestId,
     },
-    /// The client has cancelled a request; it gets no final answer.
+    /// The client has cancelled a request, which gets no final answer.
     ClientCancelled {
         /// The request that was cancelled.
         request: RequestId,
@@ -287,14 +287,14 @@
     LoadPolled {
         /// The worker that was polled.
         worker: WorkerId,
-        /// Whether it answered in time; if not it counts as fully loaded.
+        /// Whether the worker answered in time; otherwise it counts as fully loaded.
         answered: bool,
-        /// Its load report; all parts `None` where none came.
+        /// The worker's load report; all values are `None` if there was none.
         report: LoadReport,
     },
     /// A load command has ended.
     LoadFinished(LoadFinished),
-    /// The source of the endpoint list has shown something of itself.
+    /// There was a contact with the source of the endpoint list.
     EndpointListContact(EndpointListContact),
     /// A health check has ended.
     HealthChecked(HealthChecked),
@@ -310,38 +310,39 @@
     },
     /// A message from another front end; it is ignored.
     Peer {
-        /// The number of that front end.
+        /// The number of the other front end.
         from: u32,
-        /// The message as it came.
+        /// The message as it was received.
         bytes: Vec<u8>,
     },
 }
 
-/// An action that the caller is to take, in the order in which the actions were given.
+/// An action for the caller. Actions are taken in the order in which they were returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a request to a worker: a new attempt. One [`Event::AttemptFinished`] follows.
+    /// Send a request to a worker as a new attempt. One [`Event::AttemptFinished`] follows.
     Forward {
-        /// The request to send; its attempts count from 0.
+        /// The request to send; its attempts are numbered from 0.
         request: RequestId,
-        /// The worker to send it to.
+        /// The worker to send the request to.
         worker: WorkerId,
-        /// The time after which the attempt is to be given up, in nanoseconds; `None`: when the
+        /// The time after which to give up the attempt, in nanoseconds; `None` means when the
         /// client gives up.
         timeout: Option<Time>,
     },
-    /// Stop waiting for an attempt, which then ends as [`Outcome::Cancelled`].
+    /// Stop waiting for an attempt, which then ends with [`Outcome::Cancelled`].
     Cancel {
         /// The request that the attempt is for.
         request: RequestId,
-        /// Which of its attempts to cancel, from 0.
+        /// The number of the attempt among those of the request, from 0.
         attempt: u32,
     },
     /// Give the final answer that the request was not served, and that a retry is harmless.
     Reject {
         /// The request to reject.
         request: RequestId,
-        /// How long the client should wait before a retry, in nanoseconds; `None`: nothing is said.
+        /// How long the client should wait before a retry, in nanoseconds; `None` if the answer
+        /// does not state it.
         retry_after: Option<Time>,
     },
     /// Give the final answer that the request failed and may have run.
@@ -355,7 +356,7 @@
         worker: WorkerId,
         /// The function to load.
         function: FunctionId,
-        /// The least number of replicas to have loaded; 0 only asks how many are loaded.
+        /// The least number of replicas to have loaded; 0 only queries how many are loaded.
         replicas: u32,
     },
     /// Make a worker evict its idle replicas of a function.
@@ -379,9 +380,9 @@
     SetTimer {
         /// The time from now until it expires, in nanoseconds.
         after: Time,
-        /// The token to give back with the event.
+        /// The token to return with the event.
         token: u64,
     },
-    /// Ask that updates of the endpoint list be sent from now on.
+    /// Request updates of the endpoint list from now on.
     WatchEndpoints,
 }
--- a/crates/pipithub-policy/src/front_end.rs
+++ b/crates/pipithub-policy/src/front_end.rs
@@ -1,9 +1,9 @@
-//! One front end: its state, and the step that each event starts.
+//! The state of one front end, and the step that each event starts.
 //!
-//! The types that go in and out are in `src/api.rs`. There is no clock, thread or I/O here: equal
-//! events give equal actions, so that a recorded day can be replayed. Each decision has a module of
-//! its own; the mechanism follows "Resource Provisioning and Allocation in Function-as-a-Service
-//! Edge-Clouds", as `docs/design.md` tells with what was changed and why.
+//! The input and output types are in `src/api.rs`. There is no clock, thread or I/O here: equal
+//! events give equal actions, so that a recorded sequence of events can be replayed. Each decision
+//! has a module of its own. The mechanism follows the paper "Resource Provisioning and Allocation in
+//! Function-as-a-Service Edge-Clouds"; `docs/design.md` states what was changed, and why.
 
 mod attempts;
 mod endpoints;
@@ -39,18 +39,19 @@
 
 /// The decisions of one front end.
 ///
-/// Each decision's memory is a type of its own; those of single workers are parts of
-/// `WorkerState`. The modules below this one hold the steps that need several of
-/// them, and no other module sees these fields.
+/// The state of each decision is a type of its own; state that belongs to one worker is part of
+/// `WorkerState`. The submodules hold the steps that need several of these types, and no other
+/// module can access these fields.
 #[derive(Debug, Default)]
 pub struct FrontEnd {
     settings: Settings,
-    /// The time of the present event, in nanoseconds; it never goes back.
+    /// The time of the current event, in nanoseconds; it never decreases.
     now: Time,
     seed: u64,
     workers: WorkerTable,
     pending: BTreeMap<RequestId, PendingRequest>,
-    /// Requests within the rate limit's window, and within the time over which answers are counted.
+    /// The arrival times of the requests within the window of the rate limit on load commands, and
+    /// within the time over which answers are counted.
     arrivals: EventTimes,
     estimates: Estimates,
     load_limiter: LoadLimiter,
@@ -65,8 +66,8 @@
 }
 
 impl FrontEnd {
-    /// A front end that knows nothing but its settings; `seed` should differ between front ends, as
-    /// it makes their random choices differ.
+    /// Creates a front end without workers or requests. `seed` should differ between front ends, so
+    /// that their random choices differ.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let settings = bounded(settings);
         FrontEnd {
@@ -82,7 +83,7 @@
 
     /// Handles one event at the time `now`, in nanoseconds, and appends the actions to take.
     ///
-    /// A time before that of an earlier event counts as that of the earlier one.
+    /// If `now` is before the time of an earlier event, the time of that event is used instead.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now.min(MAX_TIME));
         if !self.rebalancer.is_started() {
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Starts the timers and the watch of the endpoint list, at the first event.
+    /// Starts the maintenance timer and the watch of the endpoint list, at the first event.
     fn start(&mut self, actions: &mut Vec<Action>) {
         self.rebalancer.start(self.seed, self.now);
         actions.push(Action::SetTimer {
@@ -134,8 +135,8 @@
     }
 }
 
-/// Replaces settings that would make the arithmetic fail: no class, no front end, durations without
-/// a bound.
+/// Replaces settings with which the arithmetic would fail: no class, no front end, and durations
+/// that are too long.
 fn bounded(mut settings: Settings) -> Settings {
     if settings.classes.is_empty() {
         settings.classes.push(Class::default());
--- a/crates/pipithub-policy/src/front_end/attempts.rs
+++ b/crates/pipithub-policy/src/front_end/attempts.rs
@@ -1,8 +1,8 @@
-//! The end of an attempt, and what is learnt from it.
+//! The end of an attempt, and the estimates that it updates.
 //!
-//! Each outcome has one step: an answer confirms replicas and teaches run times, load times and the
-//! worker's slowdown; a failed connection, an error and a rejection count against the worker, each
-//! in its own way.
+//! Each outcome has one step: an answer confirms replicas and gives a sample of run time, load time
+//! and the worker's slowdown; a failed connection, an error and a rejection count against the worker,
+//! each by its own rule.
 
 use super::FrontEnd;
 use crate::api::{AttemptFinished, Class, Outcome, ReplicaStatus, Time};
@@ -14,48 +14,49 @@
 use crate::worker::WorkerState;
 use crate::worker_table::WorkerGuard;
 
-/// No answer is believed to report more requests of its function.
+/// The largest number of requests of its function in flight that an answer counts for.
 const MAX_FUNCTION_CONCURRENCY: u32 = 1_000;
-/// Weight of a new sample in the requests of other front ends beside a replica: about the last
-/// seven.
+/// The weight of a new sample in the mean number of a function's requests that other front ends have
+/// in flight at a worker: about the last seven samples count.
 const OTHERS_IN_FLIGHT_GAIN: f64 = 0.15;
-/// In a large deployment without a report, a run longer than the mean weighs this much of one that
-/// is shorter.
+/// In a large deployment, a run longer than the mean has this share of the weight of a shorter run,
+/// if the answer did not report the worker's requests in flight.
 const UNREPORTED_RISE_FACTOR: f64 = 0.2;
-/// The least that a run is taken to be of the expected one.
+/// The least ratio of elapsed to expected run time that a sample counts for.
 const MIN_SLOWDOWN_SAMPLE: f64 = 0.1;
-/// The least slowdown by which a run is expected to end.
+/// The least slowdown that is assumed of a run when a load is told apart from it in an answer's
+/// elapsed time.
 const MIN_EXPECTED_SLOWDOWN: f64 = 0.1;
-/// A report of more requests in flight than this means that there is a queue.
+/// A worker that reports more requests in flight than this has a queue.
 const MIN_REPORTED_QUEUE: f64 = 2.0;
 
-/// An attempt that has ended, with what its outcome tells.
+/// An attempt that has ended, with the values derived from its end.
 struct EndedAttempt<'a> {
     end: &'a AttemptFinished,
     attempt: &'a Attempt,
     now: Time,
-    /// How long it took, in nanoseconds.
+    /// How long the attempt took, in nanoseconds.
     elapsed: f64,
-    /// How long it took over the expected run time.
+    /// The ratio of the elapsed time to the expected run time.
     slowdown: f64,
     function_concurrency: Option<FunctionConcurrency>,
     relies_on_load_reports: bool,
 }
 
-/// The requests of a function that an attempt met at its worker.
+/// The requests of a function that were in flight at the worker when an attempt arrived there.
 #[derive(Clone, Copy)]
 struct FunctionConcurrency {
-    /// All of them without the attempt itself.
+    /// The requests of all front ends, not counting the attempt itself.
     in_flight: u32,
-    /// Those of other front ends.
+    /// The requests of other front ends.
     of_others: f64,
 }
 
-/// Needs the worker, the estimates, the limits on loads, the load polls and the zones: an outcome
-/// teaches each of them.
+/// Uses the settings, the workers, the estimates, the limits on loads, the load polls and the zones:
+/// an outcome updates each of them but the settings.
 impl FrontEnd {
-    /// Takes an ended attempt out of the worker's queue and learns from it; returns when and where
-    /// it was sent, `None` where it is not known any more.
+    /// Removes an ended attempt from the worker's queue and updates the estimates. Returns when and
+    /// where the attempt was sent; `None` if that is no longer known.
     pub(super) fn record_attempt(&mut self, end: &AttemptFinished) -> Option<PossibleExecution> {
         let now = self.now;
         let load_failed = end.replica_status == Some(ReplicaStatus::LoadFailed);
@@ -96,7 +97,7 @@
             relies_on_load_reports: self.settings.relies_on_load_reports(),
         };
         ended.update_preferred_workers(&mut self.estimates);
-        // An attempt at an earlier process tells nothing of the present one.
+        // An attempt at an earlier process is no evidence about the current one.
         let same_process = endpoint
             .started_at
             .is_none_or(|started_at| started_at <= attempt.sent_at);
@@ -107,7 +108,7 @@
     }
 }
 
-/// The share of its value that an attempt lost.
+/// The share of the request's value that was lost with this attempt, from 0 to 1.
 fn lost_value(end: &AttemptFinished, attempt: &Attempt, class: &Class, now: Time) -> f64 {
     if end.outcome != Outcome::Served {
         1.0
@@ -129,7 +130,7 @@
 }
 
 impl EndedAttempt<'_> {
-    /// Records how many preferred workers the function needs, in a large deployment.
+    /// In a large deployment, updates the number of preferred workers that the function needs.
     fn update_preferred_workers(&self, estimates: &mut Estimates) {
         if let Some(concurrency) = self
             .function_concurrency
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Learns from the outcome; the attempt went to the process that runs now.
+    /// Updates the estimates with the outcome of an attempt at the worker's current process.
     fn learn(&self, worker: &mut WorkerGuard<'_>, estimates: &mut Estimates) {
         match self.end.outcome {
             Outcome::Served => self.learn_from_answer(worker, estimates),
@@ -148,7 +149,8 @@
             }
             Outcome::Cancelled => self.learn_from_cancellation(worker),
             Outcome::Rejected => worker.record_rejection(self.attempt, self.now),
-            // What failed to load is not there: believed, it would attract the next request.
+            // A function that failed to load is not there: if a replica were still assumed, it would
+            // attract the next request.
             Outcome::NotLoaded => worker.replicas.remove(self.attempt.function),
             Outcome::Error if self.end.replica_status == Some(ReplicaStatus::LoadFailed) => {
                 worker.replicas.remove(self.attempt.function);
@@ -198,18 +200,20 @@
         replicas.others_in_flight +=
             OTHERS_IN_FLIGHT_GAIN * (concurrency.of_others - replicas.others_in_flight);
         if self.end.replica_status == Some(ReplicaStatus::Warm) {
-            // All of them ran at once.
+            // The request did not wait for a load: the worker ran it in parallel with those in flight,
+            // so it has at least as many replicas as they need.
             let needed = (concurrency.in_flight + 1).div_ceil(replica_concurrency);
             replicas.count = replicas.count.max(needed);
         }
     }
 
-    /// Whether the attempt may have waited for a load, as far as was known when it was sent.
+    /// Whether the attempt may have waited for a load, by what was known when it was sent.
     fn may_include_load(&self) -> bool {
         self.attempt.expected.cold_start || self.attempt.expected.unconfirmed
     }
 
-    /// Whether the answer took a load, as it tells or else by how long it took.
+    /// Whether the elapsed time includes a load: as the answer states, or if it states nothing, as
+    /// the elapsed time indicates.
     fn included_load(&self, expected: f64) -> bool {
         match self.end.replica_status {
             Some(ReplicaStatus::Warm) => false,
@@ -218,7 +222,7 @@
         }
     }
 
-    /// Learns how far a reported queue slows down a run.
+    /// Records how much a run was slowed down at a worker that had reported a queue.
     fn learn_reported_queue(&self, worker: &WorkerState, estimates: &mut Estimates) {
         let report = &worker.load_report;
         let had_report = report.received_at + REPORT_LIFETIME > self.attempt.sent_at;
@@ -227,13 +231,15 @@
         }
     }
 
-    /// Learns the run time of class and function. Answers from a worker with few requests, also as
-    /// it reports, tell the run itself; what others add is its slowdown.
+    /// Updates the run times of the class and the function. An answer weighs the more, the fewer
+    /// requests were in flight at the worker: the time that other requests add belongs to the
+    /// worker's slowdown.
     fn learn_run_time(&self, estimates: &mut Estimates) {
         let reported = self.end.load_report.in_flight;
         let own = self.attempt.concurrency.total;
         let concurrency = own.max(reported.unwrap_or(0.0) / 2.0);
-        // Without a report, a long answer rather shows the queue of the others than a long run.
+        // Without a report, a long time until the answer more likely means a queue of other front
+        // ends' requests than a long run.
         let rise_factor = if self.relies_on_load_reports && reported.is_none() {
             UNREPORTED_RISE_FACTOR
         } else {
@@ -249,7 +255,8 @@
         });
     }
 
-    /// A cancelled run has taken at least this long: otherwise only the quick answers would teach.
+    /// Records the slowdown of a cancelled attempt, whose run would have taken at least the elapsed
+    /// time. Without it only the fast answers would be counted.
     fn learn_from_cancellation(&self, worker: &mut WorkerState) {
         if !self.may_include_load() && self.slowdown > worker.slowdown.factor() {
             worker
--- a/crates/pipithub-policy/src/front_end/endpoints.rs
+++ b/crates/pipithub-policy/src/front_end/endpoints.rs
@@ -1,6 +1,6 @@
 //! Updates of the endpoint list: which workers there are, and in which state.
 //!
-//! A snapshot removes the workers that it does not name; a list that failed to come changes nothing.
+//! A snapshot removes the workers that it does not name; if no list was received, nothing changes.
 
 use std::collections::BTreeSet;
 
@@ -8,9 +8,9 @@
 use crate::api::{Action, Endpoint, EndpointUpdate, WorkerId};
 use crate::time::MAX_TIME;
 
-/// Needs the settings and the workers.
+/// Uses the settings, the workers and the lease of the endpoint list.
 impl FrontEnd {
-    /// Takes in an update of the endpoint list.
+    /// Applies an update of the endpoint list.
     pub(super) fn update_endpoints(
         &mut self,
         update: EndpointUpdate,
@@ -31,7 +31,7 @@
         self.workers.forget_removed();
     }
 
-    /// Asks for further updates, where they must be asked for.
+    /// Requests further updates, if the settings say that they must be requested.
     pub(super) fn watch_endpoints(&self, actions: &mut Vec<Action>) {
         if self.settings.watch_on_request {
             actions.push(Action::WatchEndpoints);
--- a/crates/pipithub-policy/src/front_end/function_loading.rs
+++ b/crates/pipithub-policy/src/front_end/function_loading.rs
@@ -1,7 +1,7 @@
-//! Loads of functions: how many are in progress, and the commands that load them.
+//! Loads of functions: how many are in progress, and the commands that start them.
 //!
-//! The limits on loads are in `src/load_limiter.rs`: a slow store must not be asked for more than
-//! it delivers.
+//! The limits on loads are in `src/load_limiter.rs`: a slow store must not be asked for more than it
+//! can deliver.
 
 use std::collections::BTreeSet;
 
@@ -12,33 +12,35 @@
 use crate::time::MAX_DURATION;
 use crate::worker::WorkerState;
 
-/// The share of a worker's memory that believed replicas fill before a further one evicts: others
-/// run too.
+/// The share of a worker's memory that the replicas assumed there may fill before a further one is
+/// taken to evict another: the worker holds replicas that this front end does not know of.
 const MAX_MEMORY_SHARE: f64 = 0.5;
 /// The largest number of replicas that a reply to a load command counts for.
 const MAX_REPORTED_REPLICAS: u32 = 64;
-/// When replicas are ready that a command is to load, as no duration is known. It is later than all
-/// points in time, and durations can be added to it without overflow.
+/// The `ready_at` of replicas for which a load command is in progress, as its duration is not known.
+/// It is later than all points in time, and durations can be added to it without overflow.
 const UNKNOWN_READY_AT: Time = Time::MAX >> 1;
 
-/// The loads that this front end believes to be in progress.
+/// The loads that this front end assumes to be in progress.
 pub(super) struct LoadsInProgress {
     pub(super) count: usize,
-    /// One of them is of the function that was asked about.
+    /// The function in question is loading, or an attempt in flight relies on a replica of it that is
+    /// not confirmed yet.
     pub(super) of_function: bool,
 }
 
 impl Attempt {
-    /// Whether it is believed to wait for a load.
+    /// Whether the attempt is assumed to wait for a load.
     fn awaits_load(&self, now: Time) -> bool {
         let is_late = || now > self.sent_at + (self.expected.run_time * MAX_SAMPLE) as Time;
         self.expected.cold_start || self.expected.unconfirmed && is_late()
     }
 }
 
-/// The functions that are believed to be loading at a worker.
+/// The functions that are assumed to be loading at a worker.
 fn loading_functions(worker: &WorkerState, now: Time) -> BTreeSet<FunctionId> {
-    // A load that no request waits for may not happen, so that no other request waits for it.
+    // Cancelled attempts are left out: a load that no request waits for any more may not take place,
+    // so it must not make other requests wait.
     let awaited = worker
         .attempts
         .iter()
@@ -52,11 +54,11 @@
     awaited.chain(commanded).collect()
 }
 
-/// How many functions may get a further replica at a worker.
+/// How many functions may be getting a further replica at a worker.
 ///
-/// However many requests wait beside replicas that are taken, a worker adds one replica at a time.
-/// When each request counted, those of a lost zone at the workers left barred them from loads that
-/// they had memory and time for.
+/// A worker adds one replica of a function at a time, however many requests exceed the concurrency of
+/// the replicas. When each such request counted as a load, the requests of a lost zone prevented
+/// loads at the remaining workers that had memory and time for them.
 fn functions_adding_replicas(worker: &WorkerState) -> usize {
     worker
         .attempts
@@ -67,17 +69,17 @@
         .len()
 }
 
-/// Needs the settings, the workers, the estimates, the limits on loads and the pending requests; it
-/// writes what is believed of replicas.
+/// Uses the settings, the workers, the arrivals, the estimates, the limits on loads and the pending
+/// requests, and updates the replicas that the workers are assumed to hold.
 impl FrontEnd {
-    /// The loads that this front end believes to be in progress.
+    /// The loads that this front end assumes to be in progress.
     pub(super) fn loads_in_progress(&self, function: FunctionId) -> LoadsInProgress {
         let mut loads = LoadsInProgress {
             count: 0,
             of_function: false,
         };
-        // Attempts at a worker that cannot be reached load nothing; if they counted, they would
-        // prevent loads at the other workers.
+        // Attempts at a worker that cannot be reached do not load anything; if they counted, they
+        // would prevent loads at the other workers.
         let reachable = self
             .workers
             .loading()
@@ -85,8 +87,8 @@
         for worker in reachable {
             let loading = loading_functions(worker, self.now);
             loads.count += functions_adding_replicas(worker) + loading.len();
-            // While a replica is presumed but not confirmed by an answer, a second load would rest
-            // on two assumptions.
+            // While an attempt relies on a replica that no answer has confirmed yet, a further load of
+            // the function would be based on two unconfirmed assumptions.
             let is_unconfirmed = || {
                 worker
                     .attempts
@@ -98,8 +100,9 @@
         loads
     }
 
-    /// Whether a further replica should fit beside those believed there: in a shared order a front
-    /// end's own beliefs tell most.
+    /// Whether a further replica should fit into the worker's memory beside those assumed there. A
+    /// front end knows most of the replicas itself, because all front ends share the order of
+    /// workers.
     pub(super) fn has_memory_for(&self, worker: &WorkerState, function: FunctionId) -> bool {
         let memory = |function| self.estimates.memory_mb(function);
         let memory_of_worker = worker.endpoint().memory_mb;
@@ -112,10 +115,10 @@
         memory_of_worker <= 0.0 || used + memory(function) <= memory_of_worker * MAX_MEMORY_SHARE
     }
 
-    /// Makes a worker load a function; returns `false` where it may not.
+    /// Sends a worker a command to load a function; returns `false` if it may not be sent now.
     ///
-    /// All load commands are given here: draining and removed workers get none, nor do those of
-    /// which it is not known that they are in service, and the rate limit is kept.
+    /// All load commands are sent here. Draining and removed workers get none, nor do workers that
+    /// are not known to be in service, and the rate limit is kept.
     pub(super) fn command_load(
         &mut self,
         worker_id: &WorkerId,
@@ -165,7 +168,7 @@
             self.load_limiter.record_outcome(true, self.now);
         }
         let is_loaded = self.record_load_reply(reply);
-        // A reply within a run's time met a replica that was there already.
+        // A reply within the time of a run means that a replica was loaded already.
         if is_loaded && elapsed > run_time {
             self.estimates
                 .record_load_time(reply.function, elapsed, self.now);
@@ -188,7 +191,7 @@
         }
     }
 
-    /// Records the replicas that a reply reports; returns whether a command has loaded them.
+    /// Records the replicas that a reply reports; returns whether the command has succeeded.
     fn record_load_reply(&mut self, reply: &LoadFinished) -> bool {
         let count = reply.replicas.min(MAX_REPORTED_REPLICAS);
         let Some(mut worker) = self.workers.get_mut(&reply.worker) else {
--- a/crates/pipithub-policy/src/front_end/maintenance.rs
+++ b/crates/pipithub-policy/src/front_end/maintenance.rs
@@ -1,4 +1,5 @@
-//! Periodic maintenance: detection of silence, counts that expire, and the rounds of rebalancing.
+//! Periodic maintenance: detects silent workers and zones, removes expired entries, and starts the
+//! rounds of rebalancing.
 
 use super::FrontEnd;
 use crate::api::{Action, Idempotency, Time};
@@ -7,12 +8,13 @@
 use crate::time::MILLISECOND;
 use crate::timer::TimerToken;
 
-/// The period: short beside any latency objective, long beside a tick.
+/// The time between two rounds of maintenance: short compared with any latency objective, long
+/// compared with a tick.
 pub(super) const MAINTENANCE_PERIOD: Time = 50 * MILLISECOND;
 
-/// Needs every owner of state: each has something that expires, or a period.
+/// Uses all parts of the state: each holds entries that expire, or runs periodically.
 impl FrontEnd {
-    /// Runs one round of maintenance and asks for the next.
+    /// Runs one round of maintenance and sets the timer for the next.
     pub(super) fn run_maintenance(&mut self, actions: &mut Vec<Action>) {
         actions.push(Action::SetTimer {
             after: MAINTENANCE_PERIOD,
@@ -28,7 +30,7 @@
         }
     }
 
-    /// Ejects silent workers and zones, and cancels what waits for them.
+    /// Ejects silent workers and zones, and cancels the attempts that wait there.
     fn eject_silent(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let answers_kept =
@@ -46,7 +48,7 @@
         self.cancel_stalled(&stalled, actions);
     }
 
-    /// Cancels attempts at silent workers, where the request may be retried elsewhere.
+    /// Cancels attempts at silent workers and zones, if their requests may be retried elsewhere.
     fn cancel_stalled(&self, stalled: &[StalledAttempt], actions: &mut Vec<Action>) {
         let limits = &self.settings.limits;
         for StalledAttempt { request, attempt } in stalled {
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Forgets arrivals and load commands that no count asks for any more.
+    /// Forgets arrivals and load commands that are older than every window in which they are counted.
     fn forget_expired_events(&mut self) {
         let rate_limit = self.settings.loading.rate_limit.as_ref();
         let limit_window = rate_limit.map_or(0, |limit| limit.window);
--- a/crates/pipithub-policy/src/front_end/polls.rs
+++ b/crates/pipithub-policy/src/front_end/polls.rs
@@ -1,14 +1,14 @@
-//! The steps of a load poll: a request waits for a worker's load report, or for the end of its time.
+//! The steps of a load poll: a request waits for a worker's load report, or until the poll times out.
 
 use super::FrontEnd;
 use crate::api::{Action, LoadReport, RequestId, WorkerId};
 use crate::load_polls::POLL_TIMEOUT;
 use crate::timer::TimerToken;
 
-/// Needs the workers, the pending requests and the load polls; it routes the requests that waited.
+/// Uses the workers, the pending requests and the load polls, and routes the requests that waited.
 impl FrontEnd {
-    /// Records a worker's load report, or the worst load if it gave none, and routes the requests
-    /// that waited for it.
+    /// Records a worker's load report and routes the requests that waited for it. `None` means that
+    /// the worker has not answered a poll, and counts as the highest load.
     pub(super) fn record_load_report(
         &mut self,
         worker: &WorkerId,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Counts a worker that has not answered a poll in time as fully loaded.
+    /// Counts a worker that has not answered a request's poll in time as fully loaded.
     pub(super) fn expire_poll(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let polled = self
             .pending
--- a/crates/pipithub-policy/src/front_end/preference.rs
+++ b/crates/pipithub-policy/src/front_end/preference.rs
@@ -1,29 +1,29 @@
 //! The order in which the workers are considered for a function.
 //!
-//! Rendezvous hashing (Thaler and Ravishankar, 1998): the same order at every front end without a
-//! message, so that their requests for a function meet at the same few workers. The path along
-//! which the paper offloads became this order (`docs/design.md`, "What was changed, and why" and "A
-//! decision in a large tier").
+//! Rendezvous hashing (Thaler and Ravishankar, 1998) gives the same order at every front end without
+//! any message, so that their requests for a function go to the same few workers. This order replaces
+//! the path along which the paper offloads requests (`docs/design.md`, "What was changed, and why"
+//! and "A decision in a large tier").
 
 use super::FrontEnd;
 use crate::api::{FunctionId, WorkerId};
 use crate::hashing::{draw, mix};
 
-/// A function's order has at most this many workers, so that a request costs no more among more
-/// workers.
+/// The largest number of workers in a function's order, so that the cost of a request is bounded
+/// however many workers there are.
 const MAX_ORDER: usize = 512;
-/// At a worker that reports more requests than the average, this power of the average over its own
-/// is the share of front ends that still begin there.
+/// The share of front ends that still begin at a worker which reports more requests than the mean of
+/// all workers is this power of the ratio of the mean to the worker's own number.
 const AVOIDANCE_EXPONENT: i32 = 4;
-/// The others begin at one of this many workers at the head of the order.
+/// The other front ends begin at one of this many workers at the head of the order.
 const AVOIDANCE_CANDIDATES: usize = 4;
 
-/// Needs the settings, the workers and the estimates; it changes nothing.
+/// Uses the settings, the workers and the estimates, and changes nothing.
 impl FrontEnd {
     /// The workers that may be sent work, in the function's order.
     ///
-    /// Of very many workers these are the ones that come next to the function on a ring of hashes.
-    /// In a large deployment each front end draws where it begins.
+    /// If there are more than [`MAX_ORDER`], these are the workers that follow the function on a ring
+    /// of hashes. In a large deployment each front end may begin at another worker, by random draws.
     pub(super) fn preference_order(&self, function: FunctionId) -> Vec<&WorkerId> {
         let function_hash = mix(function.0);
         let mut ranked: Vec<(u64, &WorkerId)> = self
@@ -40,15 +40,17 @@
         order
     }
 
-    /// Moves one of the several preferred workers of a function to the front, drawn once for all, so
-    /// that none is full while the next ones idle, and each front end has few workers to meet.
+    /// If a function has several preferred workers, moves one of them to the front, so that none is
+    /// full while the next ones are idle. The draw depends only on the seed and the function, so that
+    /// each front end sends the function to few workers.
     fn begin_at_preferred_worker(&self, function: FunctionId, order: &mut [&WorkerId]) {
         let preferred = self.estimates.preferred_workers(function);
         if preferred <= 1.0 {
             return;
         }
         let draw = draw(self.seed ^ mix(function.0));
-        // A worker in the own zone is preferred: requests between zones cost time and money.
+        // A worker in the front end's own zone is preferred, as requests between zones cost time and
+        // money.
         let own_zone: Vec<usize> = (0..(preferred as usize).min(order.len()))
             .filter(|&position| self.workers[order[position]].endpoint().zone == self.settings.zone)
             .collect();
@@ -60,9 +62,12 @@
         order[..=first].rotate_right(1);
     }
 
-    /// Functions in demand may share a preferred worker by chance, and it stays full while others
-    /// idle: each front end that has a report of it draws, once for all, whether it still begins
-    /// there.
+    /// May move one of the next workers to the front, if the first one reports more requests than the
+    /// mean.
+    ///
+    /// Several functions with many requests may by chance have the same preferred worker, which then
+    /// stays full while others are idle. Each front end with a report of that worker draws whether it
+    /// still begins there; the draw gives the same result as long as the share does not change.
     fn avoid_loaded_workers(&self, function: FunctionId, order: &mut [&WorkerId]) {
         let mean = self.workers.mean_reported_in_flight(self.now);
         let begins_here = |worker: &&WorkerId| {
--- a/crates/pipithub-policy/src/front_end/rebalancing.rs
+++ b/crates/pipithub-policy/src/front_end/rebalancing.rs
@@ -1,9 +1,10 @@
-//! Rebalancing: replicas move to where they were missed (the paper's hybrid provisioning, section
-//! V).
+//! Rebalancing: replicas move to the workers where they were missed (the hybrid provisioning of the
+//! paper, section V).
 //!
-//! A request that moves on because no replica is loaded at a worker is a placement miss there.
-//! After some, one load command spreads the function; and once an interval, the functions that were
-//! missed, those with the least time to spare first, replace the least used replicas.
+//! A request that goes to another worker because no replica is loaded at this one is a placement miss
+//! here. After a few misses, one command loads the function here too. In addition, once in each
+//! interval, the functions with misses replace the least used replicas; functions whose requests had
+//! the least slack come first.
 
 use std::collections::BTreeSet;
 
@@ -12,27 +13,27 @@
 use crate::replicas::Replicas;
 use crate::worker::WorkerState;
 
-/// A function's replicas at a worker, as one round weighs them.
+/// A function at a worker, as a candidate of one round of rebalancing.
 struct Placement {
     worker: WorkerId,
     function: FunctionId,
-    /// Run time that was admitted there, or that was missed.
+    /// The run time that was admitted at the worker or missed there, in nanoseconds.
     run_time: f64,
-    /// What it is sorted by, the least first.
+    /// The sort key, in ascending order.
     rank: f64,
 }
 
-/// What a round has to choose from.
+/// The candidates of one round of rebalancing.
 #[derive(Default)]
 struct Placements {
-    /// Replicas that were loaded by a command.
+    /// Replicas that were loaded by a command, and may be replaced.
     placed: Vec<Placement>,
-    /// Functions that were missed.
+    /// Functions that were missed, and may replace others.
     missed: Vec<Placement>,
 }
 
 impl Placements {
-    /// Takes in a worker's replicas and begins their next interval.
+    /// Adds a worker's replicas, and begins their next interval.
     fn collect(&mut self, worker: &mut WorkerState, now: Time, keep_alive: Time) {
         let id = worker.endpoint().worker.clone();
         for (function, replicas) in worker.replicas.iter_mut() {
@@ -70,19 +71,21 @@
     });
 }
 
-/// Begins to count a function's demand again. Further replicas are the first that an idle worker
-/// evicts: what is not seen again is not believed for long.
+/// Begins the next interval of a function at a worker. The number of assumed replicas decreases by
+/// one, down to one: an idle worker evicts further replicas first, so those that no answer shows again
+/// are not assumed for long.
 fn begin_interval(replicas: &mut Replicas) {
     replicas.demand.begin_interval();
     replicas.count = replicas.count.saturating_sub(1).max(1);
 }
 
-/// Needs the settings, the workers, the estimates, the pending requests, the load polls and the
-/// rebalancer.
+/// Uses the settings, the workers, the estimates, the pending requests, the requests that wait for a
+/// load report or a health check, and the rebalancer.
 impl FrontEnd {
     /// Records run time that went to another worker because no replica was loaded at this one. After
-    /// some misses one command loads the function here, one at a time, as a slow store must not be
-    /// asked again for what it has not delivered yet.
+    /// some misses a command loads the function here. Only one such command per function is in
+    /// progress at a time, because a slow store must not be asked again for what it has not delivered
+    /// yet.
     pub(super) fn record_placement_miss(
         &mut self,
         worker_id: &WorkerId,
@@ -113,7 +116,7 @@
         }
     }
 
-    /// Whether a load command for a function is under way at any worker.
+    /// Whether a load command for a function is in progress at any worker.
     fn is_load_commanded(&self, function: FunctionId) -> bool {
         self.workers.loading().any(|worker| {
             worker
@@ -123,7 +126,7 @@
         })
     }
 
-    /// One round of the hybrid policy.
+    /// Runs one round of rebalancing (the paper's hybrid policy).
     pub(super) fn rebalance_replicas(&mut self, actions: &mut Vec<Action>) {
         let (now, keep_alive) = (self.now, self.settings.loading.keep_alive);
         let mut placements = Placements::default();
@@ -134,7 +137,7 @@
         self.forget_unused();
     }
 
-    /// Replaces the least used replicas by those that were missed more.
+    /// Replaces the least used replicas by functions of which more run time was missed.
     fn replace_replicas(&mut self, placements: Placements, actions: &mut Vec<Action>) {
         self.rebalancer.add_allowance(placements.placed.len());
         let mut placed = placements.placed.into_iter();
@@ -173,8 +176,8 @@
         }
     }
 
-    /// Forgets replicas that are not believed any more, and functions that are not requested any
-    /// more.
+    /// Forgets replicas that are no longer assumed, functions that are no longer requested, and
+    /// ended requests that waited for a worker.
     fn forget_unused(&mut self) {
         let (now, keep_alive) = (self.now, self.settings.loading.keep_alive);
         self.workers
--- a/crates/pipithub-policy/src/front_end/replay.rs
+++ b/crates/pipithub-policy/src/front_end/replay.rs
@@ -1,59 +1,60 @@
-//! What a worker's queue means for a new request, predicted from this front end's own attempts
-//! there.
+//! Predicts when a worker would serve a new request, from this front end's own attempts there.
 //!
-//! Admission by replay (the paper, section III-B): a request is admitted where replaying the queue
-//! with it still meets every deadline. The queue is this front end's attempts in the order in which
-//! they left; a load that a request has to wait for is put first.
+//! Admission by replay (section III-B of the paper): a request is admitted at a worker if a replay of
+//! the worker's queue with the new request still meets every deadline. The queue consists of this
+//! front end's attempts in the order in which they were sent; a load that a request has to wait for
+//! comes first.
 
 use super::FrontEnd;
 use crate::api::{FunctionId, Request, Time};
 use crate::worker::WorkerState;
 
-/// The run of the new request counts for so much more: run times have long tails, means do not show
-/// them. Margins of 1.3 and 2.2 were each worse on some days (`docs/design.md`, "Tried without
-/// success").
+/// The factor on the expected run time of the new request: run times have long tails, which their
+/// means do not show. Margins of 1.3 and 2.2 were each worse on some days (`docs/design.md`, "Tried
+/// without success").
 pub(super) const RUN_TIME_MARGIN: f64 = 1.6;
-/// Most of a function's requests that are replayed side by side at one worker.
+/// The largest number of a function's requests that the replay runs in parallel at one worker.
 const MAX_REPLAYED_CONCURRENCY: f64 = 64.0;
 
-/// What the replay of one worker predicts for a new request.
+/// The prediction for a new request at one worker.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Prediction {
-    /// No replica is believed there: the request would wait for a load.
+    /// The worker is assumed to hold no replica, so that the request would wait for a load.
     pub(super) cold_start: bool,
-    /// All of the replicas' concurrency is taken: the worker may well start a further replica for
-    /// it.
+    /// All of the replicas' concurrency is in use, so that the worker may start a further replica for
+    /// the request.
     pub(super) adds_replica: bool,
-    /// Every attempt in the queue still meets its deadline.
+    /// The new request makes no attempt in the queue miss its deadline.
     pub(super) others_meet_deadlines: bool,
-    /// When it would be served if a replica were loaded.
+    /// When the request would be served if a replica were loaded.
     pub(super) warm_finish: Time,
-    /// When it will be served, any load counted.
+    /// When the request will be served, including any load.
     pub(super) finish: Time,
 }
 
-/// A worker's queue with a new request behind it.
+/// A worker's queue, and the new request that is replayed after it.
 struct Queue<'a> {
     worker: &'a WorkerState,
     request: &'a Request,
     now: Time,
-    /// Requests of the function that run side by side for this front end.
+    /// The number of the function's requests that the worker runs in parallel for this front end.
     concurrency: usize,
-    /// The slowdown there without the new request, and with it.
+    /// The slowdown at the worker without the new request.
     slowdown_without: f64,
+    /// The slowdown at the worker with the new request.
     slowdown_with: f64,
 }
 
-/// When a queue has been worked off.
+/// The result of replaying a queue.
 struct QueueEnd {
-    /// When the first of the function's slots is free.
+    /// When the first of the function's slots becomes free.
     free_at: Time,
-    /// Every attempt in it meets its deadline.
+    /// The new request makes no attempt in the queue miss its deadline.
     deadlines_met: bool,
 }
 
 impl Queue<'_> {
-    /// Replays the queue where the function's replicas are loaded at this time.
+    /// Replays the queue, with the function's replicas loaded at the time `ready_at`.
     fn replay(&self, ready_at: Time) -> QueueEnd {
         let mut slots = vec![ready_at; self.concurrency];
         let mut deadlines_met = true;
@@ -73,8 +74,8 @@
             } else {
                 (attempt.sent_at, attempt.sent_at + run_time)
             };
-            // A deadline that is missed without the new request too binds no more, else one late
-            // request would close the worker.
+            // A deadline that would be missed even without the new request is ignored; otherwise one
+            // late request would prevent all admissions at the worker.
             let finish_without =
                 start + (attempt.expected.run_time * self.slowdown_without) as Time;
             let missed_anyway =
@@ -88,16 +89,17 @@
     }
 }
 
-/// The first of the slots that are free earliest.
+/// The index of the slot that becomes free earliest; the lowest one of equals.
 fn earliest_free(slots: &[Time]) -> usize {
     (0..slots.len())
         .min_by_key(|&slot| slots[slot])
         .unwrap_or(0)
 }
 
-/// Needs the settings and the estimates; it changes nothing.
+/// Uses the settings and the estimates, and changes nothing.
 impl FrontEnd {
-    /// When the replicas of a function are loaded at a worker: `None` where none is believed there.
+    /// When the replicas of a function are loaded at a worker; `None` if the worker is assumed to
+    /// hold none.
     pub(super) fn replica_ready_at(
         &self,
         worker: &WorkerState,
@@ -122,8 +124,8 @@
             .map(|attempt| (attempt.sent_at, attempt.expected.finish))
             .min();
         Some(match first {
-            // Not confirmed yet. When the answer is overdue there is a load before it, and a slow
-            // one.
+            // The replica is not confirmed yet. An overdue answer means that the request waits for a
+            // load, and for a slow one if the usual load time has passed too.
             Some((sent_at, predicted_finish)) if predicted_finish < self.now => {
                 let loaded_at = sent_at + self.estimates.load_time(function, 0, now) as Time;
                 if loaded_at > self.now {
@@ -136,8 +138,8 @@
         })
     }
 
-    /// Replays this front end's attempts at the worker, and the new request after them; `presumed`:
-    /// replicas are presumed there.
+    /// Replays this front end's attempts at the worker, and the new request after them; `presumed`
+    /// means that the function is presumed loaded there.
     pub(super) fn predict(
         &self,
         worker: &WorkerState,
@@ -184,12 +186,13 @@
         }
     }
 
-    /// How many requests of the function the worker's replicas run side by side for this front end.
+    /// How many requests of the function the worker's replicas run in parallel for this front end.
     fn replayed_concurrency(&self, worker: &WorkerState, request: &Request) -> usize {
         let replicas = worker.replicas.get(request.function);
         let of_all = f64::from(request.replica_concurrency.max(1))
             * f64::from(replicas.map_or(1, |replicas| replicas.count.max(1)));
-        // The other front ends follow the same order and take their part: as reported, else alike.
+        // The other front ends follow the same order and use part of the concurrency: as much as
+        // answers report, or an equal share each if answers report none.
         let own = match replicas.filter(|_| self.settings.loading.reports_concurrency) {
             Some(replicas) => of_all - replicas.others_in_flight,
             None => of_all / f64::from(self.settings.front_ends),
--- a/crates/pipithub-policy/src/front_end/requests.rs
+++ b/crates/pipithub-policy/src/front_end/requests.rs
@@ -1,4 +1,4 @@
-//! The steps of a request: it is accepted, forwarded, retried, and given one final answer before its
+//! The steps of a request: it is accepted, forwarded, retried, and gets one final answer before its
 //! client gives up.
 
 use super::FrontEnd;
@@ -16,10 +16,11 @@
 use crate::worker::WorkerState;
 use crate::worker_table::WorkerGuard;
 
-/// The largest multiple of the expected work that the latency objective grows by.
+/// The largest multiple of the expected work by which the latency objective is extended.
 const MAX_OBJECTIVE_PER_WORK: f64 = 1e3;
 
-/// Needs the settings, the workers, the pending requests, the estimates and the speculation.
+/// Uses the settings, the workers, the pending requests, the arrivals, the estimates and the
+/// speculation.
 impl FrontEnd {
     /// Accepts a request and routes it.
     pub(super) fn accept(&mut self, mut request: Request, actions: &mut Vec<Action>) {
@@ -40,7 +41,7 @@
         }
         self.estimates.record_request(&request, now);
         let id = request.id;
-        // Two ticks early: the answer must be out before the client's time is up.
+        // Two ticks early: the final answer must be given before the client gives up.
         actions.push(Action::SetTimer {
             after: timeout.saturating_sub(2 * self.settings.tick),
             token: TimerToken::RequestTimeout(id).into(),
@@ -81,8 +82,8 @@
         });
     }
 
-    /// Handles the end of an attempt: learns from it, and retries the request if it has no final
-    /// answer.
+    /// Handles the end of an attempt: updates the estimates, and routes the request again if it has
+    /// no final answer.
     pub(super) fn finish_attempt(&mut self, end: &AttemptFinished, actions: &mut Vec<Action>) {
         if end.load_report != LoadReport::default() {
             self.record_load_report(&end.worker, Some(end.load_report), actions);
@@ -99,7 +100,7 @@
         self.route(end.request, actions);
     }
 
-    /// Whether an attempt of the request at this worker cannot make it take effect twice.
+    /// Whether it is certain that an attempt at this worker cannot make the request take effect twice.
     pub(super) fn may_retry_at(&self, pending: &PendingRequest, worker: &WorkerState) -> bool {
         let class = &self.settings.classes[pending.request.class];
         let Some(execution) = pending.attempts.possible_execution() else {
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Ends a request whose client has cancelled it, without a final answer.
+    /// Ends a request that its client has cancelled, without a final answer.
     pub(super) fn cancel_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if let Some(pending) = self.pending.remove(&id) {
             self.cancel_attempt(id, &pending, actions);
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Gives the final answer: a rejection where a retry is harmless, else a failure.
+    /// Gives the final answer: a rejection if a retry is harmless, otherwise a failure.
     pub(super) fn reject_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.remove(&id) else {
             return;
@@ -162,13 +163,14 @@
         });
     }
 
-    /// Cancels an attempt whose client waits no longer, for whatever reason.
+    /// Cancels the attempt in flight of a request that is ended, if the settings allow that and no
+    /// answer is being streamed.
     ///
-    /// Otherwise clients that leave and retry at once would have the work done several times, and the
-    /// full queues would outlast the cause. In a small deployment the own queue shows this; in a
-    /// large one nothing does. It may harm where cancelled work continues: the replay counts that
-    /// until its predicted finish, and the time it took is learnt from, but its true end is never
-    /// known.
+    /// Otherwise a client that gives up and retries at once would have the work done several times,
+    /// and full queues would outlast their cause. In a small deployment the front end's own queue
+    /// shows such work; in a large one nothing does. The drawback appears where cancelled work
+    /// continues at the worker: the replay counts the work until its predicted finish, and the elapsed
+    /// time is used as a sample, but the actual end is never known.
     fn cancel_attempt(&self, id: RequestId, pending: &PendingRequest, actions: &mut Vec<Action>) {
         if let Some(attempt) = pending.attempts.in_flight()
             && self.settings.limits.cancel
@@ -222,8 +224,8 @@
 }
 
 impl WorkerGuard<'_> {
-    /// Believes in replicas of a function that is sent here, loaded by then or by the request
-    /// itself.
+    /// Assumes that the worker holds a replica of a function whose request is sent there: the replica
+    /// is loaded already, or the request loads it.
     fn expect_replicas(
         &mut self,
         function: FunctionId,
--- a/crates/pipithub-policy/src/front_end/routing.rs
+++ b/crates/pipithub-policy/src/front_end/routing.rs
@@ -1,10 +1,10 @@
-//! The worker that a request is forwarded to.
+//! The choice of the worker that a request is forwarded to.
 //!
-//! The workers are considered in the function's order, and the first at which the prediction
-//! meets every deadline gets the request (admission by replay, the paper, section III-B). Where
-//! none does, an answer after the latency objective, a speculative attempt or a worker with busy
-//! cores may do; else the request is rejected unsent. `docs/design.md`, "Exceptions, and when each
-//! acts", tells when and why the exceptions apply.
+//! The workers are considered in the function's order, and the first worker for which the prediction
+//! meets every deadline gets the request (admission by replay, section III-B of the paper). If there
+//! is none, the request may be answered after its latency objective, sent as a speculative attempt or
+//! sent to a worker with busy cores; otherwise it is rejected unsent. `docs/design.md`, "Exceptions,
+//! and when each acts", states when and why the exceptions apply.
 
 use std::collections::BTreeSet;
 
@@ -16,13 +16,15 @@
 use crate::service_lease::ServiceStatus;
 use crate::worker::WorkerState;
 
-/// A worker that reports its cores to be busier than this has a queue: it is second choice.
+/// A worker that reports a higher utilization of its cores has a queue, and is used only if no other
+/// worker is chosen.
 const MAX_CPU_UTILIZATION: f64 = 0.95;
-/// The most requests past their objective at one worker: they must not fill its queue.
+/// The largest number of attempts at one worker that were admitted for a deadline after their latency
+/// objective: such attempts must not fill the worker's queue.
 const MAX_LATE_REQUESTS: usize = 8;
 
-/// A worker for a request, with what is predicted there and the deadline that the attempt is
-/// admitted for.
+/// A worker for a request, with the prediction there and the deadline for which the attempt is
+/// admitted.
 pub(super) struct Candidate {
     pub(super) worker: WorkerId,
     pub(super) prediction: Prediction,
@@ -31,57 +33,58 @@
 
 /// Whether a worker suits a request.
 enum Verdict {
-    /// It may not be sent the request, or would not serve it in time.
+    /// The worker may not be sent the request, or would not serve it in time.
     Unsuitable,
-    /// Its cores are reported to be busy.
+    /// The worker reports busy cores.
     Busy(Prediction),
-    /// It has to be polled first.
+    /// The worker has to be polled first.
     NeedsPoll,
-    /// It failed health checks and is due for the next one.
+    /// The worker failed health checks, and the next check is due.
     Suspect,
-    /// Every deadline is met there.
+    /// Every deadline is met at the worker.
     Admits(Prediction),
-    /// It would admit the request if it needed no load.
+    /// The worker would admit the request if no load were needed.
     AwaitsLoad(Prediction),
 }
 
-/// What a search looks for, and what it needs to know of all workers.
+/// The request that a search is for, and the state of all workers that the search needs.
 struct Search<'a> {
     pending: &'a PendingRequest,
-    /// The deadline that the request is to meet.
+    /// The deadline that the request has to meet.
     target_deadline: Time,
-    /// Zones that get no attempt.
+    /// The zones that get no attempt.
     closed_zones: BTreeSet<&'a str>,
-    /// The endpoint list vouches for every worker.
+    /// The endpoint list is relied on: every worker that it names as ready counts as in service.
     relies_on_endpoint_list: bool,
-    /// A replica of the function is believed somewhere.
+    /// A ready worker is assumed to hold a replica of the function.
     located: bool,
-    /// A load may begin.
+    /// A load of the function may begin: the limit on loads allows one more, and no load of the
+    /// function is in progress.
     may_load: bool,
-    /// A further replica may be started where there is one.
+    /// The limit on loads allows one more, such as a further replica at a worker that holds one.
     may_add_replica: bool,
     /// The run time at a slowdown of 1 with its margin, in nanoseconds.
     padded_run_time: f64,
 }
 
-/// What a search has found.
+/// The candidates that a search has found.
 #[derive(Default)]
 struct SearchResult {
     /// The first worker that admits the request.
     admits: Option<Candidate>,
-    /// The first one that serves it after its objective.
+    /// The first worker that may serve the request after its latency objective.
     late: Option<Candidate>,
-    /// The first one that would admit the request if it needed no load.
+    /// The first worker that would admit the request if no load were needed.
     awaits_load: Option<Candidate>,
-    /// The first one that would admit it, were its cores not busy.
+    /// The first worker that was rated [`Verdict::Busy`] and needs no load.
     busy: Option<Candidate>,
-    /// One that has to be polled first; it ends the search.
+    /// The worker that has to be polled first; it ends the search.
     needs_poll: Option<WorkerId>,
-    /// The first one that failed health checks and is due for the next one.
+    /// The first worker that failed health checks and is due for the next one.
     suspect: Option<WorkerId>,
 }
 
-/// Asks every owner of state; it writes the pending request and takes speculation tokens.
+/// Uses all parts of the state; it changes the pending request and takes speculation tokens.
 impl FrontEnd {
     /// Forwards the request to the worker that admits it, or ends it.
     pub(super) fn route(&mut self, id: RequestId, actions: &mut Vec<Action>) {
@@ -107,8 +110,8 @@
             return self.poll_load(id, worker, actions);
         }
         if let Some(miss) = &found.awaits_load {
-            // No request starts a load that takes longer than clients wait: only a command spreads
-            // such a function.
+            // No request starts a load that takes longer than its client waits, so only a command
+            // can load such a function at a further worker.
             let may_spread = found.admits.is_some() || miss.prediction.finish > deadline;
             self.record_placement_miss(&miss.worker, id, may_spread, actions);
         }
@@ -138,7 +141,8 @@
         }
     }
 
-    /// The deadline that a further attempt of the request has to meet; `None`: it gets none.
+    /// The deadline that a further attempt of the request has to meet; `None` if the request gets no
+    /// further attempt.
     fn target_deadline(&self, pending: &PendingRequest) -> Option<Time> {
         let class = &self.settings.classes[pending.request.class];
         let out_of_time = self.now + 2 * self.settings.tick >= pending.deadline;
@@ -148,24 +152,26 @@
         if self.now < pending.latency_objective {
             return Some(pending.latency_objective);
         }
-        // After the objective only a late answer is left; where that is worth nothing, more work
-        // would be waste.
+        // After the latency objective the answer can only be late. If a late answer has no value,
+        // further work would be wasted.
         if pending.latency_objective < self.now && class.late_answer_weight <= 0.0 {
             return None;
         }
         Some(pending.deadline)
     }
 
-    /// Goes through the workers in the function's order.
+    /// Assesses the workers in the function's order, until one admits the request or has to be
+    /// polled.
     fn search(&self, pending: &PendingRequest, target_deadline: Time) -> SearchResult {
         let request = &pending.request;
         let order = self.preference_order(request.function);
         let search = self.begin_search(pending, target_deadline);
         let mut found = SearchResult::default();
-        // A function that no worker is believed to hold is presumed loaded at its first worker: a
-        // front end that knows nothing must neither reject nor spread. Where that one is lost it is
-        // loaded nowhere: presumed at the next one, each of the lost worker's functions would begin
-        // a load there past the limit on loads.
+        // A function without a known replica is presumed loaded at its first worker: a front end
+        // without any information must neither reject the request nor load the function at several
+        // workers. The presumption does not pass on to the next worker when the first one is lost:
+        // otherwise each of the lost worker's functions would begin a load at the next worker,
+        // bypassing the limit on loads.
         let mut presumed = !search.located && pending.attempts.count() == 0;
         for id in order {
             if pending.attempts.excludes(id) {
@@ -231,21 +237,22 @@
             closed_zones: self.zones.closed_zones(&self.workers, self.now),
             relies_on_endpoint_list: self.relies_on_endpoint_list(),
             located: self.is_located(function),
-            // One load of a function is awaited before the next.
+            // The next load of a function begins only after the previous one has ended.
             may_load: may_add_replica && !loads.of_function,
             may_add_replica,
             padded_run_time: self.estimates.run_time(function, class) * RUN_TIME_MARGIN,
         }
     }
 
-    /// Whether a replica of the function is believed at a ready worker.
+    /// Whether a ready worker is assumed to hold a replica of the function.
     fn is_located(&self, function: FunctionId) -> bool {
         self.workers
             .holders(function)
             .any(|worker| worker.is_ready() && self.replica_ready_at(worker, function).is_some())
     }
 
-    /// Whether a worker suits the request.
+    /// Assesses whether a worker suits the request; `presumed` means that the function is presumed
+    /// loaded there.
     fn assess(&self, search: &Search, worker: &WorkerState, presumed: bool) -> Verdict {
         let now = self.now;
         if !self.may_attempt(search, worker) {
@@ -280,8 +287,7 @@
             }
             let last_heard_at = report.received_at.max(worker.responses.last_at());
             let unheard = now > REPORT_LIFETIME + last_heard_at;
-            // A request that has to wait for a health check does not wait for a load report as
-            // well.
+            // A request that has to wait for a health check does not also wait for a load report.
             if unheard
                 && service == ServiceStatus::InService
                 && self
@@ -300,7 +306,8 @@
         Verdict::AwaitsLoad(prediction)
     }
 
-    /// Whether the request may have an attempt at this worker at all.
+    /// Whether the rules on retries, ejection, concurrency and slow start allow an attempt of the
+    /// request at this worker.
     fn may_attempt(&self, search: &Search, worker: &WorkerState) -> bool {
         let pending = search.pending;
         self.may_retry_at(pending, worker)
@@ -312,7 +319,7 @@
             && self.slow_start.allows(worker, &self.workers, self.now)
     }
 
-    /// Whether a worker may serve the request after its objective.
+    /// Whether a worker may serve the request after its latency objective.
     fn may_serve_late(
         &self,
         search: &Search,
@@ -329,7 +336,8 @@
             .iter()
             .filter(|attempt| attempt.is_late())
             .count();
-        // A function that is loaded elsewhere is loaded here only where that should evict nothing.
+        // A function that is loaded elsewhere is loaded here only if the load should not evict
+        // another function.
         let load_is_worthwhile = || {
             search.may_load && (!search.located || self.has_memory_for(worker, request.function))
         };
@@ -338,8 +346,9 @@
             && (!prediction.adds_replica || search.may_add_replica)
     }
 
-    /// How far a run at a worker is slowed down by the queue in a fresh load report; 1 if an
-    /// answer has come since, which tells more.
+    /// The slowdown of a run that follows from the queue in a fresh load report; 1 if there is no
+    /// fresh report, load reports are not relied on, or the worker has responded since, as a response
+    /// is better evidence.
     fn reported_slowdown(&self, worker: &WorkerState) -> f64 {
         let report = &worker.load_report;
         if !report.is_fresh(self.now)
@@ -351,12 +360,12 @@
         self.estimates.reported_slowdown(report)
     }
 
-    /// Chooses a worker that would admit the request if it needed no load, as if the function were
+    /// Chooses a worker that would admit the request if no load were needed, as if the function were
     /// loaded there.
     ///
-    /// The others follow the same order: what moved on here did there, and has likely loaded it. A
-    /// wrong guess must still be served: a request with little time goes where a replica is, or not
-    /// at all.
+    /// The other front ends follow the same order, so their requests have likely made this worker load
+    /// the function. If the guess is wrong, the request must still be served in time including the
+    /// load: a request with little time left goes to a worker with a replica, or is rejected.
     fn speculate(&mut self, miss: Candidate, deadline: Time) -> Option<Candidate> {
         let in_time = self.settings.loading.loads_on_request && miss.prediction.finish <= deadline;
         if !self.speculation.is_allowed()
@@ -376,7 +385,7 @@
         })
     }
 
-    /// Makes the worker load the function by a command; the request waits, unsent, for the reply.
+    /// Sends the worker a command to load the function; the request waits, unsent, for the reply.
     fn await_load(
         &mut self,
         id: RequestId,
--- a/crates/pipithub-policy/src/front_end/service_checks.rs
+++ b/crates/pipithub-policy/src/front_end/service_checks.rs
@@ -1,5 +1,5 @@
-//! The steps that keep work away from workers that may not be in service any more: leases by the
-//! endpoint list and by health checks, and requests that wait for a check.
+//! The steps that keep work away from workers that may no longer be in service: leases from the
+//! endpoint list and from health checks, and requests that wait for a check.
 
 use super::FrontEnd;
 use super::routing::Candidate;
@@ -12,8 +12,8 @@
 use crate::timer::TimerToken;
 use crate::worker::WorkerState;
 
-/// Needs the workers, the lease of the endpoint list and the pending requests; it routes the
-/// requests that waited.
+/// Uses the settings, the workers, the lease of the endpoint list and the pending requests, and
+/// routes the requests that waited.
 impl FrontEnd {
     /// Records a contact with the source of the endpoint list.
     pub(super) fn record_endpoint_list_contact(&mut self, contact: EndpointListContact) {
@@ -31,8 +31,8 @@
         self.settings.drain_grace.unwrap_or(DEFAULT_DRAIN_GRACE)
     }
 
-    /// When work that was decided must have been written to a worker: a request that waits for a
-    /// connection until then must not be sent any more. [`Time::MAX`] where nothing limits that.
+    /// The time by which work for a worker must be written to it: a request that still waits for a
+    /// connection then must not be sent. [`Time::MAX`] if there is no limit.
     pub fn lease_end(&self, worker: &WorkerId) -> Time {
         if !self.uses_leases() {
             return Time::MAX;
@@ -46,7 +46,7 @@
         }
     }
 
-    /// What bounds the writing of work for workers that the endpoint list closes now.
+    /// The bounds on writing work to workers that the endpoint list now names as draining or removed.
     pub(super) fn write_bounds(&self) -> WriteBounds {
         WriteBounds {
             endpoint_list_lease_end: self.endpoint_list_lease.end(),
@@ -54,25 +54,25 @@
         }
     }
 
-    /// Whether leases are kept: without health checks nothing could renew them, and the last list
-    /// is all there is.
+    /// Whether work depends on leases. Without health checks nothing could renew a lease, and the
+    /// last endpoint list is the only information.
     fn uses_leases(&self) -> bool {
         self.settings.limits.health_checks && self.endpoint_list_lease.is_followed()
     }
 
-    /// Whether the endpoint list vouches for all workers that it names as ready.
+    /// Whether all workers that the endpoint list names as ready count as in service.
     pub(super) fn relies_on_endpoint_list(&self) -> bool {
         self.endpoint_list_lease.is_valid(self.now) || !self.uses_leases()
     }
 
-    /// Whether a worker may be sent work now, as far as its being in service is concerned.
+    /// Whether a worker counts as in service, by the endpoint list or a health check.
     pub(super) fn is_in_service(&self, worker: &WorkerId) -> bool {
         let by_check =
             |worker: &WorkerState| worker.service.status(self.now) == ServiceStatus::InService;
         self.relies_on_endpoint_list() || self.workers.get(worker).is_some_and(by_check)
     }
 
-    /// Sends a health check, unless one is awaited already.
+    /// Sends a health check, unless the answer to another one is still awaited.
     pub(super) fn check_health(&mut self, worker_id: &WorkerId, actions: &mut Vec<Action>) {
         let Some(mut worker) = self.workers.get_mut(worker_id) else {
             return;
@@ -116,7 +116,7 @@
             .finish_check(sent_at, checked.outcome, lease, now);
         match checked.outcome {
             HealthCheckOutcome::Healthy => {
-                // The endpoint list cannot report a restart while it is out of reach.
+                // The endpoint list cannot report a restart while its source is out of reach.
                 if worker
                     .service
                     .take_restart(confirmed_at, checked.connected_at)
@@ -131,7 +131,8 @@
         self.route_waiting(&checked.worker, actions);
     }
 
-    /// Ends a request's wait for a health check that has taken too long.
+    /// Handles the timeout of a health check that a request waits for: routes all requests that wait
+    /// for that worker.
     pub(super) fn expire_check(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let awaited = self
             .pending
@@ -156,8 +157,7 @@
         }
     }
 
-    /// Records that a connection to a worker has failed or was closed by it: it may have been
-    /// restarted.
+    /// Records that a worker has closed or reset an idle connection: the worker may have restarted.
     pub(super) fn record_connection_lost(&mut self, worker: &WorkerId) {
         let now = self.now;
         if let Some(mut worker) = self.workers.get_mut(worker) {
@@ -165,8 +165,8 @@
         }
     }
 
-    /// The worker that a request has to wait for before it goes to its candidate; `None` if it may
-    /// go there now.
+    /// The worker whose health check a request has to wait for before it is sent to the candidate;
+    /// `None` if it may be sent now.
     pub(super) fn unchecked_worker(&self, candidate: Option<&Candidate>) -> Option<WorkerId> {
         let worker = &candidate?.worker;
         (!self.is_in_service(worker)).then(|| worker.clone())
--- a/crates/pipithub-policy/src/lib.rs
+++ b/crates/pipithub-policy/src/lib.rs
@@ -1,12 +1,13 @@
 //! Deadline-fit admission for a front end that sends requests to workers which load functions on
 //! demand.
 //!
-//! Each front end admits a request at the first worker in a shared hash order whose replayed queue
-//! of this front end's own attempts, counting any load, still meets every deadline; else it rejects
-//! the request unsent.
+//! All front ends consider the workers for a function in the same hash order. A front end sends a
+//! request to the first worker at which a replay of its own attempts in flight shows that every
+//! deadline is still met, including the time of a load. If there is none, it rejects the request
+//! without sending it.
 //!
-//! [`api`] holds the plain types that go in and out, [`FrontEnd`] is the state machine that
-//! decides. Each decision has a private module of its own, with the figures that bound it.
+//! [`api`] holds the input and output types, and [`FrontEnd`] is the state machine that decides.
+//! Each decision has a private module of its own, with the constants that limit it.
 //!
 //! ```
 //! use pipithub_policy::FrontEnd;
