--- a/crates/pipithub-policy/src/attempt.rs
+++ b/crates/pipithub-policy/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts in flight: what was expected of each when it was sent, and the queue of a worker.
+//! Attempts in flight: what was expected when each was sent, and the queue of a worker.
 
 use crate::api::{AttemptFinished, FunctionId, Outcome, RequestId, Time};
 
@@ -6,40 +6,40 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct AttemptId {
     pub(crate) request: RequestId,
-    /// Which attempt of the request it is, from 0.
+    /// The number of the attempt among those of the request, from 0.
     pub(crate) number: u32,
 }
 
 /// What was expected of an attempt when it was sent.
 #[derive(Clone, Debug)]
 pub(crate) struct Expectation {
-    /// The run alone at a slowdown of 1, in nanoseconds.
+    /// The run time at a slowdown of 1, without a load, in nanoseconds.
     pub(crate) run_time: f64,
-    /// When its answer was expected, any load included.
+    /// When the answer was expected, including any load.
     pub(crate) finish: Time,
-    /// It was expected to wait for a load.
+    /// The attempt was expected to wait for a load.
     pub(crate) cold_start: bool,
-    /// No answer had confirmed the replica yet.
+    /// The replica had not been confirmed by an answer or the reply to a load command.
     pub(crate) unconfirmed: bool,
-    /// All of the replicas' concurrency was taken.
+    /// All of the replicas' concurrency was in use, so that the worker may add a replica.
     pub(crate) adds_replica: bool,
 }
 
 /// The points in time by which an attempt should be answered.
 #[derive(Clone, Debug)]
 pub(crate) struct AttemptDeadlines {
-    /// The deadline that it was admitted for.
+    /// The deadline for which the attempt was admitted.
     pub(crate) target: Time,
     /// An answer after this point in time is late.
     pub(crate) latency_objective: Time,
 }
 
-/// This front end's attempts at the worker when an attempt was sent, itself included.
+/// The number of this front end's attempts at the worker when an attempt was sent, including it.
 #[derive(Clone, Debug)]
 pub(crate) struct OwnConcurrency {
-    /// Those of all functions.
+    /// The attempts of all functions.
     pub(crate) total: f64,
-    /// Those of the same function.
+    /// The attempts of the same function.
     pub(crate) of_function: f64,
 }
 
@@ -53,17 +53,17 @@
     pub(crate) expected: Expectation,
     pub(crate) deadlines: AttemptDeadlines,
     pub(crate) concurrency: OwnConcurrency,
-    /// It was cancelled, but its work may continue.
+    /// The attempt was cancelled, but its work may continue.
     pub(crate) cancelled: bool,
 }
 
 impl Attempt {
-    /// Whether it was admitted after its latency objective.
+    /// Whether the attempt was admitted for a deadline after its latency objective.
     pub(crate) fn is_late(&self) -> bool {
         self.deadlines.target > self.deadlines.latency_objective
     }
 
-    /// Whether it may wait for a load.
+    /// Whether the attempt may cause or await a load.
     pub(crate) fn may_load(&self) -> bool {
         let expected = &self.expected;
         expected.cold_start || expected.unconfirmed || expected.adds_replica
@@ -80,10 +80,10 @@
         self.0.push(attempt);
     }
 
-    /// Removes and returns an ended attempt; `None` if it is not known.
+    /// Returns an ended attempt and removes it from the queue; `None` if it is not known.
     ///
-    /// Cancelled work may continue unseen: such an attempt stays until its expected finish, so that
-    /// the replay counts it.
+    /// The work of a cancelled attempt may continue at the worker: such an attempt stays in the queue
+    /// until its expected finish, so that the replay counts it.
     pub(crate) fn finish(&mut self, end: &AttemptFinished, now: Time) -> Option<Attempt> {
         let position = self
             .0
@@ -120,12 +120,12 @@
             .filter(move |attempt| attempt.function == function)
     }
 
-    /// How many attempts are in flight.
+    /// The number of attempts in the queue.
     pub(crate) fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether no attempt is in flight.
+    /// Whether the queue is empty.
     pub(crate) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/pipithub-policy/src/concurrency_limit.rs
+++ b/crates/pipithub-policy/src/concurrency_limit.rs
@@ -1,9 +1,10 @@
 //! The adaptive concurrency limit of a worker: additive increase with each answer, multiplicative
 //! decrease with each rejection.
 
-/// A worker that rejects an attempt is limited to this share of the attempts there.
+/// The limit after a rejection, as a share of the attempts at the worker when the rejected one was
+/// sent.
 const DECREASE: f64 = 0.7;
-/// Each answer raises the limit by this number of attempts.
+/// The number of attempts by which each answer raises the limit.
 const INCREASE: f64 = 0.1;
 
 /// How many attempts this front end may have in flight at one worker.
@@ -13,7 +14,7 @@
 }
 
 impl Default for ConcurrencyLimit {
-    /// No limit, as before the first rejection.
+    /// Creates the state before the first rejection, without a limit.
     fn default() -> Self {
         ConcurrencyLimit {
             limit: f64::INFINITY,
@@ -27,14 +28,14 @@
         (in_flight as f64) < self.limit
     }
 
-    /// Raises the limit after an answer. Nothing else raises it but a restart of the worker, which
-    /// removes it.
+    /// Raises the limit after an answer. Only a restart of the worker also raises it, by removing the
+    /// limit.
     pub(crate) fn record_answer(&mut self) {
         self.limit += INCREASE;
     }
 
-    /// Lowers the limit after a rejection; `concurrency`: the attempts there when the rejected one
-    /// was sent, itself included.
+    /// Sets the limit after a rejection, to at least 1; `concurrency` is the number of attempts at the
+    /// worker when the rejected one was sent, including it.
     pub(crate) fn record_rejection(&mut self, concurrency: f64) {
         self.limit = (concurrency * DECREASE).max(1.0);
     }
--- a/crates/pipithub-policy/src/ejection.rs
+++ b/crates/pipithub-policy/src/ejection.rs
@@ -1,5 +1,5 @@
-//! Ejection with a doubling ejection time, as shared by outlier detection, the ejection of zones and
-//! the limit on loads.
+//! Ejection with a doubling ejection time, used by outlier detection, the ejection of zones and the
+//! limit on loads.
 
 use crate::api::Time;
 use crate::time::MILLISECOND;
@@ -9,12 +9,13 @@
 /// How often the ejection time doubles at most.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
 
-/// Whether something is ejected, and how long the next ejection lasts.
+/// Whether a target is ejected, and how long its next ejection lasts.
 ///
-/// Each ejection lasts twice as long as the one before; each success takes one doubling back.
+/// Each ejection lasts twice as long as the previous one, up to a limit; each success undoes one
+/// doubling.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Ejection {
-    /// Ejections that no success has taken back.
+    /// The number of ejections that no success has undone, up to a limit.
     count: u32,
     /// The end of the last ejection; 0 if there was none.
     until: Time,
@@ -23,7 +24,8 @@
 }
 
 impl Ejection {
-    /// Ejects from now on, twice as long as the last time.
+    /// Ejects the target from now on, for the current ejection time, and doubles that time for the next
+    /// ejection.
     pub(crate) fn eject(&mut self, now: Time) {
         self.since = now;
         let doublings = self.count.min(MAX_EJECTION_DOUBLINGS);
@@ -31,7 +33,7 @@
         self.count = (self.count + 1).min(MAX_EJECTION_DOUBLINGS + 1);
     }
 
-    /// Takes back one doubling of the ejection time.
+    /// Records a success, which undoes one doubling of the ejection time.
     pub(crate) fn record_success(&mut self) {
         self.count = self.count.saturating_sub(1);
     }
@@ -41,7 +43,7 @@
         now >= self.until
     }
 
-    /// Whether successes have taken back all ejections, or there was none.
+    /// Whether successes have undone all ejections, or there was no ejection.
     pub(crate) fn is_recovered(&self) -> bool {
         self.count == 0
     }
@@ -51,7 +53,8 @@
         self.since
     }
 
-    /// Whether an attempt that was sent at this time probes what was ejected.
+    /// Whether an attempt that was sent at this time is a probe of the target, because it was sent
+    /// after the end of the last ejection.
     pub(crate) fn is_probe(&self, sent_at: Time) -> bool {
         sent_at >= self.until
     }
--- a/crates/pipithub-policy/src/estimates.rs
+++ b/crates/pipithub-policy/src/estimates.rs
@@ -1,8 +1,8 @@
 //! Estimates of run times and load times, from the answers that this front end has received.
 //!
-//! All are means that weigh a new sample by a fixed gain, with samples capped: one heavy request
-//! does not make a slow worker. The estimate of the store's slowdown returns to 1 when nothing
-//! refreshes it, so that no slow period is believed for ever.
+//! The estimates are means that weigh each new sample by a fixed gain. Samples are capped, so that one
+//! heavy request does not make a worker look slow. The estimate of the store's slowdown decays to 1
+//! when no load refreshes it, so that a slow period is not assumed to last for ever.
 
 use std::collections::BTreeMap;
 
@@ -11,69 +11,71 @@
 use crate::slowdown;
 use crate::time::MAX_DURATION;
 
-/// Run time, as a share of the latency objective, believed of a class before its first answer.
+/// The run time that is assumed for a class before its first answer, as a share of its latency
+/// objective.
 const INITIAL_RUN_TIME: f64 = 0.15;
-/// Load time, as a multiple of the latency objective, believed before any load was observed or
-/// declared.
+/// The load time that is assumed before any load was observed or declared, as a multiple of the
+/// latency objective.
 const INITIAL_LOAD_TIME: f64 = 1.0;
-/// Weight of a new sample in a function's run time: about its last twenty answers.
+/// The weight of a new sample in a function's run time: about the last twenty answers count.
 pub(crate) const RUN_TIME_GAIN: f64 = 0.05;
 /// A function's run time counts for no more than this multiple of its class's.
 const MAX_RUN_TIME_FACTOR: f64 = 3.0;
-/// No sample counts for more than this many times what was expected: one heavy request does not
-/// make a slow worker.
+/// The largest multiple of the expected time that a sample counts for, so that one heavy request does
+/// not make a worker look slow.
 pub(crate) const MAX_SAMPLE: f64 = 4.0;
-/// Weight of a new sample in load times: loads are few, so each tells much.
+/// The weight of a new sample in load times. It is large because there are few loads.
 const LOAD_TIME_GAIN: f64 = 0.3;
-/// No load counts for less than this part of the expected time ...
+/// The least share of the usual load time that a sample of the store's slowdown counts for.
 const MIN_LOAD_SAMPLE: f64 = 0.5;
-/// ... nor for more than this multiple of it.
+/// The largest multiple of the usual load time that a sample of the store's slowdown counts for.
 const MAX_LOAD_SAMPLE: f64 = 2.0 * MAX_SAMPLE;
-/// An observed load time at most doubles with one load.
+/// The largest factor by which one load increases the observed load time.
 const MAX_LOAD_GROWTH: f64 = 2.0;
-/// Requests in flight believed of a reporting worker before any report.
+/// The requests in flight that are assumed at a worker with a queue before any report.
 const INITIAL_REPORTED_IN_FLIGHT: f64 = 6.0;
-/// The least slowdown that divides the requests in flight of reporting workers.
+/// The least slowdown by which the mean of the reported requests in flight is divided.
 const MIN_REPORTED_SLOWDOWN: f64 = 0.1;
-/// Weight of a new sample in the number of preferred workers that a function needs in a large
+/// The weight of a new sample in the number of preferred workers that a function needs in a large
 /// deployment.
 const PREFERRED_WORKERS_GAIN: f64 = 0.3;
 /// The largest number of preferred workers of a function.
 const MAX_PREFERRED_WORKERS: f64 = 64.0;
 
-/// A function as this front end knows it.
+/// The data and estimates of one function.
 #[derive(Debug, Default)]
 struct FunctionState {
-    /// Requests that one replica runs at a time.
+    /// The number of requests that one replica runs at a time.
     replica_concurrency: u32,
     /// Memory of one replica, in MB.
     memory_mb: f64,
-    /// The load time that requests declare.
+    /// The load time that requests declare, in nanoseconds; `None` if none has declared one.
     declared_load_time: Option<Time>,
-    /// The longest load time observed, decaying.
+    /// The observed load time in nanoseconds, which rises faster than it falls; `None` before the
+    /// first load.
     observed_load_time: Option<f64>,
-    /// The mean run time at a slowdown of 1.
+    /// The mean run time at a slowdown of 1, in nanoseconds; `None` before the first sample.
     run_time: Option<f64>,
     last_requested_at: Time,
-    /// Preferred workers that it needs in a large deployment, of one replica each; under 1 while no
-    /// answer has reported its concurrency.
+    /// The number of preferred workers that the function needs in a large deployment, of one replica
+    /// each; under 1 while no answer has reported the function's concurrency.
     preferred_workers: f64,
 }
 
-/// What is estimated of a class.
+/// The estimates for a class.
 #[derive(Debug)]
 struct ClassEstimate {
     latency_objective: Time,
-    /// The mean run time at a slowdown of 1.
+    /// The mean run time at a slowdown of 1, in nanoseconds; `None` before the first sample.
     run_time: Option<f64>,
 }
 
-/// Means over answers of workers that had reported a queue.
+/// Means over the answers of workers that had reported a queue.
 #[derive(Debug, Default)]
 struct ReportedQueues {
-    /// The requests in flight that they reported.
+    /// The requests in flight that the workers had reported.
     in_flight: f64,
-    /// How far runs were slowed down there.
+    /// The slowdown of runs at these workers.
     slowdown: f64,
 }
 
@@ -87,26 +89,27 @@
     pub(crate) expected: f64,
     /// The weight of the sample.
     pub(crate) gain: f64,
-    /// By how much the weight is less if the sample is above the mean.
+    /// The factor on the weight if the sample is above the mean.
     pub(crate) rise_factor: f64,
 }
 
-/// What is estimated over all workers, and what is known of functions.
+/// The estimates over all workers, and the known functions.
 #[derive(Debug, Default)]
 pub(crate) struct Estimates {
     functions: BTreeMap<FunctionId, FunctionState>,
     classes: Vec<ClassEstimate>,
-    /// Observed load times over the declared ones.
+    /// The mean ratio of load times to the usual ones.
     load_slowdown: f64,
-    /// When a load was last observed.
+    /// When `load_slowdown` was last updated.
     load_observed_at: Time,
-    /// Mean load time, for functions that declare none.
+    /// The mean load time in nanoseconds, for functions without a declared or observed one; `None`
+    /// before the first load.
     mean_load_time: Option<f64>,
     reported_queues: ReportedQueues,
 }
 
 impl Estimates {
-    /// The estimates before any answer.
+    /// Creates the estimates that hold before the first answer.
     pub(crate) fn new(classes: &[Class]) -> Self {
         let classes = classes.iter().map(|class| ClassEstimate {
             latency_objective: class.latency_objective,
@@ -123,7 +126,7 @@
         }
     }
 
-    /// Records what a request declares of its function.
+    /// Records the data that a request declares for its function.
     pub(crate) fn record_request(&mut self, request: &Request, now: Time) {
         let function = self.functions.entry(request.function).or_default();
         function.replica_concurrency = request.replica_concurrency;
@@ -134,7 +137,7 @@
         }
     }
 
-    /// Forgets the functions that were not requested for this time.
+    /// Forgets the functions that were not requested within the last `forget_after`.
     pub(crate) fn forget_unrequested(&mut self, forget_after: Time, now: Time) {
         self.functions
             .retain(|_, function| function.last_requested_at + forget_after > now);
@@ -145,32 +148,33 @@
         self.functions.contains_key(&function)
     }
 
-    /// Memory of one replica of a function, in MB; 0 where it is not known.
+    /// Memory of one replica of a function, in MB; 0 if it is not known.
     pub(crate) fn memory_mb(&self, function: FunctionId) -> f64 {
         self.functions
             .get(&function)
             .map_or(0.0, |function| function.memory_mb)
     }
 
-    /// Requests of a function that one replica runs at a time; 1 where it is not known.
+    /// The number of a function's requests that one replica runs at a time; 1 if it is not known.
     pub(crate) fn replica_concurrency(&self, function: FunctionId) -> u32 {
         self.functions
             .get(&function)
             .map_or(1, |function| function.replica_concurrency.max(1))
     }
 
-    /// Preferred workers that a function needs in a large deployment; under 1 while no answer has
-    /// reported its concurrency.
+    /// The number of preferred workers that a function needs in a large deployment; under 1 while no
+    /// answer has reported the function's concurrency.
     pub(crate) fn preferred_workers(&self, function: FunctionId) -> f64 {
         self.functions
             .get(&function)
             .map_or(0.0, |function| function.preferred_workers)
     }
 
-    /// Records how many requests of other front ends an attempt found beside itself.
+    /// Records how many requests of other front ends were in flight at an attempt's worker.
     ///
-    /// The function needs as many preferred workers as it has requests, alike at each of them, over
-    /// what one replica runs. A worker adds replicas by itself too, but no cores to run them.
+    /// The same number is assumed at each of the function's preferred workers. The function needs
+    /// enough preferred workers to run all of these requests with one replica each. A worker may also
+    /// add replicas by itself, but has no further cores to run them.
     pub(crate) fn record_function_concurrency(&mut self, function: FunctionId, of_others: f64) {
         if let Some(function) = self.functions.get_mut(&function) {
             let preferred = function.preferred_workers.max(1.0);
@@ -180,11 +184,11 @@
         }
     }
 
-    /// What a run of the function takes at a slowdown of 1, in nanoseconds.
+    /// The expected run time of the function at a slowdown of 1, in nanoseconds.
     pub(crate) fn run_time(&self, function: FunctionId, class: usize) -> f64 {
         let class = &self.classes[class];
-        // Capped, so that no estimate excludes a function for good: what is never forwarded is
-        // never learnt again.
+        // The run time is capped so that no estimate excludes a function forever: without forwarded
+        // requests the estimate would never be corrected.
         let of_class = class
             .run_time
             .unwrap_or(class.latency_objective as f64 * INITIAL_RUN_TIME);
@@ -217,14 +221,15 @@
         }
     }
 
-    /// How long loads take beside the usual, from those that were observed.
+    /// The ratio of current load times to the usual ones, decayed towards 1 since the last load.
     pub(crate) fn load_slowdown(&self, now: Time) -> f64 {
         let age = now.saturating_sub(self.load_observed_at);
         slowdown::decayed(self.load_slowdown, age)
     }
 
-    /// What a load takes, in nanoseconds: the declared time at the store's present slowdown, else
-    /// the longest observed.
+    /// The expected load time in nanoseconds, at the store's current slowdown: from the declared time
+    /// of the function, or else from its observed time, the mean of all functions or the latency
+    /// objective.
     pub(crate) fn load_time(&self, function: FunctionId, class: usize, now: Time) -> f64 {
         let function = self.functions.get(&function);
         let slowdown = self.load_slowdown(now);
@@ -238,7 +243,7 @@
             * slowdown
     }
 
-    /// Records how long a load of a function took, in nanoseconds; nothing if the function is not
+    /// Records how long a load of a function took, in nanoseconds. Does nothing if the function is not
     /// known.
     pub(crate) fn record_load_time(&mut self, function: FunctionId, elapsed: f64, now: Time) {
         let Some(function) = self.functions.get_mut(&function) else {
@@ -264,14 +269,14 @@
         };
     }
 
-    /// Records how far a run was slowed down at a worker that had reported a queue.
+    /// Records the slowdown of a run at a worker that had reported a queue.
     pub(crate) fn record_reported_queue(&mut self, report: &ReportedLoad, slowdown: f64) {
         let queues = &mut self.reported_queues;
         queues.in_flight += RUN_TIME_GAIN * (report.in_flight - queues.in_flight);
         queues.slowdown += RUN_TIME_GAIN * (slowdown.max(1.0) - queues.slowdown);
     }
 
-    /// How far a run is slowed down by the queue of a load report.
+    /// The slowdown of a run that follows from the queue in a load report.
     pub(crate) fn reported_slowdown(&self, report: &ReportedLoad) -> f64 {
         let queues = &self.reported_queues;
         let parallel = (queues.in_flight / queues.slowdown.max(MIN_REPORTED_SLOWDOWN)).max(1.0);
--- a/crates/pipithub-policy/src/hashing.rs
+++ b/crates/pipithub-policy/src/hashing.rs
@@ -1,12 +1,12 @@
-//! Hashes and pseudo-random draws: equal for equal inputs, so that all front ends agree without a
-//! message.
+//! Hashes and pseudo-random draws. Equal inputs give equal results, so that all front ends agree
+//! without a message.
 
 /// Offset basis of the 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 /// Prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// A number drawn from 0 up to 1: equal for equal seeds.
+/// A pseudo-random number from 0 inclusive to 1 exclusive; equal seeds give equal numbers.
 pub(crate) fn draw(seed: u64) -> f64 {
     (mix(seed) >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/pipithub-policy/src/load_limiter.rs
+++ b/crates/pipithub-policy/src/load_limiter.rs
@@ -1,43 +1,44 @@
 //! The limits on loads: how many may be in progress, the rate limit on load commands, and the pause
 //! after failed loads.
 //!
-//! All functions are loaded from one store. Where loads fail, each further one, a retry of the same
-//! request above all, keeps the store overloaded, so that no load may begin for a while, longer each
-//! time. This holds for a store that rejects requests, is down or has lost a function; one failure
-//! alone means nothing. The price: a function that is rarely requested is rejected meanwhile, though
-//! its load might have succeeded.
+//! All functions are loaded from one store. When loads fail, each further load, above all a retry of
+//! the same request, keeps the store overloaded. Therefore no load may begin for a while, which is
+//! longer each time. This applies to a store that rejects requests, is down or has lost a function;
+//! a single failure has no effect. The drawback: requests for a function that is rarely requested
+//! are rejected during that time, though its load might have succeeded.
 
 use crate::api::{Settings, Time};
 use crate::ejection::Ejection;
 use crate::statistics::EventTimes;
 
-/// Loads that may be in progress for each worker: with one, the functions of a lost zone came back
-/// too slowly.
+/// The number of loads that all front ends together may have in progress for each ready worker. With
+/// one load, the functions of a lost zone were loaded again too slowly.
 const MAX_LOADS_PER_WORKER: usize = 4;
-/// Loads that this front end may have in progress, however few workers there are.
+/// The number of loads that this front end may have in progress however few workers there are.
 const MIN_LOAD_LIMIT: usize = 2;
 /// Consecutive failed loads after which no load may begin for a while.
 const MAX_CONSECUTIVE_FAILURES: u32 = 2;
 
-/// What limits the loads that this front end begins.
+/// The limits on the loads that this front end begins.
 #[derive(Debug, Default)]
 pub(crate) struct LoadLimiter {
     /// The pause after failed loads.
     store: Ejection,
-    /// Loads that failed since the last one that succeeded.
+    /// The number of loads that failed since the last one that succeeded.
     consecutive_failures: u32,
-    /// Load commands within the rate limit's window.
+    /// The times of the load commands within the rate limit's window.
     commands: EventTimes,
 }
 
 impl LoadLimiter {
-    /// Whether loads may begin as far as the store is concerned.
+    /// Whether loads may begin, because no pause after failed loads is in effect.
     pub(crate) fn store_is_available(&self, now: Time) -> bool {
         self.store.is_over(now)
     }
 
-    /// Whether a further load may begin beside those in progress: some for each of this front end's
-    /// part of the ready workers, and fewer the slower the store is.
+    /// Whether a further load may begin beside those in progress. The limit grows with this front
+    /// end's share of the ready workers, and each load in progress counts the more, the slower loads
+    /// are.
     pub(crate) fn may_begin(
         &self,
         loads_in_progress: usize,
@@ -53,8 +54,8 @@
             && loads_in_progress as f64 * load_slowdown.max(1.0) < limit as f64
     }
 
-    /// Whether the rate limit allows a further load command. Two ticks of slack allow for clocks that
-    /// differ.
+    /// Whether the rate limit allows a further load command. Two ticks of slack allow for differences
+    /// between clocks.
     pub(crate) fn rate_allows(
         &self,
         settings: &Settings,
--- a/crates/pipithub-policy/src/load_polls.rs
+++ b/crates/pipithub-policy/src/load_polls.rs
@@ -1,10 +1,10 @@
 //! Load polls: when a worker is polled for its load before a request is forwarded there.
 //!
-//! An attempt tells the same as a poll, and a rejected attempt proves that nothing ran. So a poll
-//! can save only a part of the value that attempts lose, and the less, the more is lost at the next
-//! worker too. In a large deployment each request met a worker without a fresh report; without this
-//! limit all front ends polled for every request, whatever it cost. The price: where polls are
-//! expensive, a worker that has fallen silent is found by requests alone.
+//! An attempt gives the same information as a poll, and a rejected attempt proves that the request did
+//! not run. A poll can therefore save only a part of the value that attempts lose, and saves the less,
+//! the more is lost at the next worker too. In a large deployment each request reached a worker without
+//! a fresh report; without this limit all front ends polled for every request, whatever the cost. The
+//! drawback: if polls are expensive, a worker that has become silent is detected by requests only.
 
 use crate::api::{Settings, Time, WorkerId};
 use crate::estimates::RUN_TIME_GAIN;
@@ -13,10 +13,10 @@
 
 /// How long a request waits for a load report.
 pub(crate) const POLL_TIMEOUT: Time = 30 * MILLISECOND;
-/// How often a request may wait for one.
+/// How often a request may wait for a load report.
 const MAX_POLLS_PER_REQUEST: u32 = 3;
-/// What a poll saves of a request's value, as a multiple of the chance that one worker fails it and
-/// the next does not.
+/// The share of a request's value that a poll saves, as a multiple of the probability that one worker
+/// fails the request and the next one does not.
 const POLL_SAVING: f64 = 0.2;
 
 /// The requests that wait for a load report, and whether polls are worth their cost.
@@ -24,12 +24,12 @@
 pub(crate) struct LoadPolls {
     /// Requests that wait for a load report.
     pub(crate) waiting: WaitingRequests,
-    /// Mean share of their value that attempts lost: answered late, in error or not at all.
+    /// The mean share of their value that attempts lost by a late answer, an error or no answer.
     mean_lost_value: f64,
 }
 
 impl LoadPolls {
-    /// Whether a request that has polled this often may poll once more.
+    /// Whether a request with these polls so far may poll once more.
     pub(crate) fn may_poll(&self, polls: &RequestPolls, settings: &Settings) -> bool {
         self.are_worthwhile(settings) && polls.count < MAX_POLLS_PER_REQUEST
     }
@@ -52,7 +52,7 @@
 pub(crate) struct RequestPolls {
     /// The worker whose load report the request waits for.
     worker: Option<WorkerId>,
-    /// How often it has waited for one.
+    /// How often the request has waited for a load report.
     count: u32,
 }
 
@@ -73,7 +73,7 @@
         self.count += 1;
     }
 
-    /// Records that the report has come, or the time for it is over.
+    /// Ends the wait, because the report has been received or the poll has timed out.
     pub(crate) fn end(&mut self) {
         self.worker = None;
     }
--- a/crates/pipithub-policy/src/load_reports.rs
+++ b/crates/pipithub-policy/src/load_reports.rs
@@ -1,19 +1,21 @@
-//! Load reports of workers: what is taken from them, and when they are relied on.
+//! Load reports of workers: the values that are kept of them, and when they are relied on.
 //!
-//! Among few front ends each one's own attempts tell the queue of a worker; among many they are too
-//! small a part of it, and the reports are taken in (`docs/design.md`, "What was changed, and
-//! why").
+//! With few front ends, each one can estimate a worker's queue from its own attempts. With many front
+//! ends these are too small a part of the queue, and load reports are used (`docs/design.md`, "What
+//! was changed, and why").
 
 use crate::api::{LoadReport, Settings, Time};
 use crate::time::{MILLISECOND, decay};
 
-/// Among more front ends than this, a front end's own attempts tell too little of the queues.
+/// The largest number of front ends with which a front end's own attempts are enough to estimate the
+/// queues of the workers.
 const MAX_FRONT_ENDS_WITHOUT_REPORTS: u32 = 8;
-/// A load report, or an answer, is fresh for this time.
+/// How long a load report, or a response, is fresh.
 pub(crate) const REPORT_LIFETIME: Time = 700 * MILLISECOND;
-/// Weight of a new report in the mean of the requests in flight.
+/// The weight of a new report in the mean of the requests in flight.
 const IN_FLIGHT_GAIN: f64 = 0.5;
-/// That mean decays by half in this time: functions that load a worker do so for long.
+/// The half-life of that mean. It is long because a function that puts load on a worker does so for a
+/// long time.
 pub(crate) const IN_FLIGHT_HALF_LIFE: Time = 20_000 * MILLISECOND;
 
 impl Settings {
@@ -27,29 +29,31 @@
 /// The last load report of a worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ReportedLoad {
-    /// When it came; 0 where none has.
+    /// When the report was received; 0 if there was none.
     pub(crate) received_at: Time,
-    /// Requests in flight at the worker; infinite after a poll that was not answered.
+    /// The number of requests in flight at the worker; infinite after a poll that was not answered.
     pub(crate) in_flight: f64,
-    /// How busy its cores were, 0 to 1.
+    /// The utilization of the worker's cores, from 0 to 1.
     pub(crate) cpu_utilization: f64,
     /// The mean of the requests in flight over a longer time.
     pub(crate) mean_in_flight: f64,
 }
 
 impl ReportedLoad {
-    /// Whether it tells the present load.
+    /// Whether the report is recent enough to represent the current load.
     pub(crate) fn is_fresh(&self, now: Time) -> bool {
         now <= self.received_at + REPORT_LIFETIME
     }
 
-    /// What the worker usually has in flight; one request where its reports are long past.
+    /// The number of requests that the worker usually has in flight, at least one. It decays to one
+    /// with the age of the last report.
     pub(crate) fn usual_in_flight(&self, now: Time) -> f64 {
         let age = now.saturating_sub(self.received_at);
         1.0 + (self.mean_in_flight - 1.0).max(0.0) * decay(age, IN_FLIGHT_HALF_LIFE)
     }
 
-    /// Takes in a load report; `None`, after a poll that was not answered, counts as the worst load.
+    /// Records a load report. `None` means that a poll was not answered, and counts as the highest
+    /// load.
     pub(crate) fn record(&mut self, report: Option<LoadReport>, now: Time) {
         let reported = report
             .and_then(|report| report.in_flight)
--- a/crates/pipithub-policy/src/outlier.rs
+++ b/crates/pipithub-policy/src/outlier.rs
@@ -2,9 +2,9 @@
 //! connections is ejected for a while.
 //!
 //! A worker is ejected for a class whose attempts it leaves overdue or answers with errors, and for
-//! all classes when connections to it fail. It comes back after an ejection time that doubles, with
-//! one attempt at a time. `docs/design.md`, "Exceptions, and when each acts", tells when each rule
-//! acts.
+//! all classes when connections to it fail. After the ejection time, which doubles with each
+//! ejection, it is probed with one attempt at a time. `docs/design.md`, "Exceptions, and when each
+//! acts", states when each rule applies.
 
 use crate::api::{FunctionId, RequestId, Time};
 use crate::attempt::Attempt;
@@ -13,31 +13,33 @@
 
 /// An attempt is overdue at this multiple of the time that it was predicted to take.
 const OVERDUE_FACTOR: f64 = 3.0;
-/// A worker or zone is silent with this number of overdue attempts and no answer, and more than it
-/// has answered since.
+/// The number of overdue attempts from which a worker or zone counts as silent; one is enough while an
+/// earlier ejection is not recovered. A worker must also have answered fewer attempts since the first
+/// of them was sent; for a zone only attempts sent after its last response count.
 pub(crate) const MIN_OVERDUE_ATTEMPTS: usize = 3;
-/// Consecutive connect failures after which a worker is ejected. After a further one its replicas count
-/// as lost.
+/// The number of consecutive connect failures after which a worker is ejected. After a further one its
+/// replicas count as lost.
 const MAX_CONNECT_FAILURES: u32 = 2;
-/// Weight of a new sample in an error rate: about the last seven attempts count.
+/// The weight of a new sample in an error rate: about the last seven attempts count.
 const ERROR_RATE_GAIN: f64 = 0.15;
 /// A worker is an outlier when more than this share of its last attempts ended in errors ...
 const MAX_ERROR_RATE: f64 = 0.35;
 /// ... and more than this multiple of the error rate of the other workers.
 const MAX_RELATIVE_ERROR_RATE: f64 = 2.0;
 
-/// An attempt that is to be cancelled, so that its request can be retried elsewhere.
+/// An attempt that waits at a silent worker or zone and is to be cancelled, so that its request can
+/// be retried elsewhere.
 pub(crate) struct StalledAttempt {
     pub(crate) request: RequestId,
     pub(crate) attempt: u32,
 }
 
-/// What the failures of one worker mean for it.
+/// The failures of one worker, and the ejections that follow from them.
 #[derive(Debug)]
 pub(crate) struct OutlierDetection {
-    /// The health for each class: a backend of the worker may fail one class alone.
+    /// The health for each class: a backend of the worker may fail for one class alone.
     classes: Vec<ClassHealth>,
-    /// Failed or broken connections since the last answer.
+    /// The number of failed or lost connections since the last answer.
     connect_failures: u32,
 }
 
@@ -94,7 +96,7 @@
             .map_or(0.0, |health| health.error_rate)
     }
 
-    /// Whether connections to the worker succeed, as far as is known.
+    /// Whether fewer consecutive connections have failed than eject the worker.
     pub(crate) fn is_reachable(&self) -> bool {
         self.connect_failures < MAX_CONNECT_FAILURES
     }
@@ -117,22 +119,22 @@
         self.connect_failures = 0;
     }
 
-    /// Records an error; `usual`: the mean error rate of the class at the other workers.
+    /// Records an error; `mean_of_others` is the mean error rate of the class at the other workers.
     ///
-    /// A worker whose requests mostly fail answers fast, so that it looks free and attracts more: it
-    /// is ejected for as long as it is worse than the others, for a broken disk, a bad release, a
-    /// lost secret. What fails everywhere alike, by a function's or a client's mistake, ejects no
-    /// worker: of consecutive errors of one function only one counts. The price: where one worker
-    /// alone can run a function, its requests are rejected.
+    /// A worker whose requests mostly fail, because of a broken disk, a bad release or a lost secret,
+    /// answers fast, so that it looks idle and attracts more requests. It is ejected as long as it has
+    /// a higher error rate than the others. Errors that occur at all workers alike, caused by a
+    /// function or a client, eject no worker: of consecutive errors of one function only one counts.
+    /// The drawback: if only the ejected worker can run a function, its requests are rejected.
     pub(crate) fn record_error(&mut self, attempt: &Attempt, mean_of_others: f64, now: Time) {
         let max_error_rate = MAX_ERROR_RATE.max(mean_of_others * MAX_RELATIVE_ERROR_RATE);
         self.classes[attempt.class].record_error(attempt.function, max_error_rate, now);
     }
 
-    /// Records a failed or broken connection; `true` if the worker's replicas count as lost.
+    /// Records a failed or lost connection; returns `true` if the worker's replicas count as lost.
     ///
-    /// One failure does not mean that the process has ended: where every worker resets a few
-    /// connections, acting on one would eject them all.
+    /// One failure does not mean that the process has ended: if every worker resets a few
+    /// connections, ejecting on a single failure would eject all workers.
     pub(crate) fn record_connect_failure(&mut self, now: Time) -> bool {
         self.connect_failures += 1;
         if self.connect_failures >= MAX_CONNECT_FAILURES {
@@ -145,11 +147,11 @@
         self.connect_failures > MAX_CONNECT_FAILURES
     }
 
-    /// Ejects the worker for each class that it is silent for, and adds the attempts that wait
-    /// there.
+    /// Ejects the worker for each class for which it is silent, and adds the waiting attempts of that
+    /// class to `stalled`.
     ///
-    /// A missing outcome is a symptom too, counted by class: a fault behind the workers may swallow
-    /// the requests of one class though others are answered. Slow loads may look alike.
+    /// Overdue attempts are counted for each class, because a fault behind the workers may leave the
+    /// requests of one class unanswered while others are answered. Slow loads may look the same.
     pub(crate) fn eject_if_silent(
         &mut self,
         in_flight: &[Attempt],
@@ -199,16 +201,17 @@
 }
 
 impl Attempt {
-    /// Whether its answer is so late that it counts as silence.
+    /// Whether the answer is so late that the attempt counts as evidence of silence.
     pub(crate) fn is_overdue(&self, now: Time) -> bool {
         let predicted_time = self.expected.finish.saturating_sub(self.sent_at);
-        // What waits for a load command has no predicted finish: the sum must not overflow.
+        // The predicted finish of an attempt that waits for a load command is not known but far in the
+        // future: the sum must not overflow.
         now > self
             .sent_at
             .saturating_add((predicted_time as f64 * OVERDUE_FACTOR) as Time)
     }
 
-    /// This attempt, as one to be cancelled.
+    /// Identifies this attempt as one to be cancelled.
     pub(crate) fn as_stalled(&self) -> StalledAttempt {
         StalledAttempt {
             request: self.id.request,
--- a/crates/pipithub-policy/src/pending_request.rs
+++ b/crates/pipithub-policy/src/pending_request.rs
@@ -15,13 +15,13 @@
     pub(crate) attempts: RequestAttempts,
     pub(crate) polls: RequestPolls,
     pub(crate) checks: RequestChecks,
-    /// Its answer is being streamed.
+    /// The answer is being streamed.
     pub(crate) streaming: bool,
-    /// It waits, unsent, for the reply to a load command.
+    /// The request waits, unsent, for the reply to a load command.
     pub(crate) awaits_load: bool,
 }
 
-/// When and where an attempt was sent that may have run.
+/// When and where an attempt that may have run was sent.
 #[derive(Debug, Default)]
 pub(crate) struct PossibleExecution {
     pub(crate) sent_at: Time,
@@ -32,9 +32,9 @@
 /// The attempts of one request.
 #[derive(Debug, Default)]
 pub(crate) struct RequestAttempts {
-    /// Attempts that were sent.
+    /// The number of attempts that were sent.
     count: u32,
-    /// The last of them has not ended.
+    /// The last attempt has not ended.
     in_flight: bool,
     /// The first attempt that may have run.
     possible_execution: Option<PossibleExecution>,
@@ -43,7 +43,7 @@
 }
 
 impl RequestAttempts {
-    /// How many attempts were sent; it is the number of the next one too.
+    /// How many attempts were sent, which is also the number of the next attempt.
     pub(crate) fn count(&self) -> u32 {
         self.count
     }
@@ -53,12 +53,12 @@
         self.in_flight.then(|| self.count - 1)
     }
 
-    /// The first attempt that may have run; `None` if none can have.
+    /// The first attempt that may have run; `None` if no ended attempt can have run.
     pub(crate) fn possible_execution(&self) -> Option<&PossibleExecution> {
         self.possible_execution.as_ref()
     }
 
-    /// Whether it is certain that no attempt has run or will.
+    /// Whether it is certain that no attempt has run or will run.
     pub(crate) fn never_ran(&self) -> bool {
         self.possible_execution.is_none() && !self.in_flight
     }
@@ -75,12 +75,12 @@
         self.excluded_workers.push(worker);
     }
 
-    /// Records the end of the attempt in flight; `execution`: when and where it was sent, `None` if
-    /// that is not known any more. The deduplication window then counts as over.
+    /// Records the end of the attempt in flight. `execution` states when and where it was sent; with
+    /// `None`, which means that this is no longer known, the deduplication window counts as over.
     pub(crate) fn end(&mut self, outcome: Outcome, execution: Option<PossibleExecution>) {
         self.in_flight = false;
         if outcome == Outcome::NotLoaded {
-            // The worker is sound, only the replica is missing: a command may still load it.
+            // The worker is healthy and only lacks the replica: a command may still load it.
             self.readmit_last_worker();
         }
         if !outcome.never_ran() && self.possible_execution.is_none() {
@@ -93,7 +93,7 @@
         self.excluded_workers.push(worker);
     }
 
-    /// Lets the worker that was excluded last get a further attempt.
+    /// Ends the exclusion of the worker that was excluded last.
     pub(crate) fn readmit_last_worker(&mut self) {
         self.excluded_workers.pop();
     }
--- a/crates/pipithub-policy/src/rebalancer.rs
+++ b/crates/pipithub-policy/src/rebalancer.rs
@@ -1,21 +1,22 @@
-//! When rounds of rebalancing begin, how many replicas they may replace, and how much a function is
-//! wanted at a worker.
+//! When rounds of rebalancing begin, how many replicas they may replace, and how much demand there is
+//! for a function at a worker.
 
 use crate::api::Time;
 use crate::hashing::mix;
 use crate::time::MILLISECOND;
 
-/// The largest share of the placed replicas that is replaced in a round (the paper's cap).
+/// The share of the placed replicas that a round may replace (the paper's limit).
 const MAX_REPLACED_SHARE: f64 = 1.0 / 15.0;
-/// The most replacements that are carried over to a round.
+/// The largest number of replacements in a round, including those carried over from earlier rounds.
 const MAX_ALLOWANCE: f64 = 2.0;
-/// The paper's interval between rounds; a shorter keep-alive shortens it.
+/// The interval between rounds (the paper's); a shorter keep-alive shortens it.
 const MAX_INTERVAL: Time = 30_000 * MILLISECOND;
 /// The shortest interval between rounds.
 const MIN_INTERVAL: Time = 1_000 * MILLISECOND;
-/// Placement misses of a function at a worker, within an interval, before it is loaded there too.
+/// The number of placement misses of a function at a worker, within an interval, after which the
+/// function is loaded there too.
 const PLACEMENT_MISSES_TO_SPREAD: u32 = 2;
-/// A function that was not requested for this number of intervals is forgotten.
+/// The number of intervals after which a function without requests is forgotten.
 const FORGET_AFTER_INTERVALS: u64 = 6;
 
 /// When rounds of rebalancing begin, and how many replicas they may replace.
@@ -25,12 +26,14 @@
     interval: Time,
     /// The time from which the next round is due; 0 before [`Rebalancer::start`].
     next_round_at: Time,
-    /// Replicas that may be replaced now; a fraction is carried over to the next round.
+    /// The number of replicas that may be replaced now; what is not used is carried over to the next
+    /// round.
     allowance: f64,
 }
 
 impl Rebalancer {
-    /// A rebalancer with the paper's interval, or the keep-alive of replicas if that is shorter.
+    /// Creates a rebalancer with the paper's interval, or the keep-alive of replicas if that is
+    /// shorter.
     pub(crate) fn new(keep_alive: Time) -> Self {
         Rebalancer {
             interval: keep_alive.clamp(MIN_INTERVAL, MAX_INTERVAL),
@@ -38,13 +41,13 @@
         }
     }
 
-    /// Whether the first round was scheduled.
+    /// Whether the first round has been scheduled.
     pub(crate) fn is_started(&self) -> bool {
         self.next_round_at != 0
     }
 
-    /// Schedules the first round at a random time, so that front ends which start together do not
-    /// rebalance together.
+    /// Schedules the first round at a random time, so that front ends that start at the same time do
+    /// not rebalance at the same time.
     pub(crate) fn start(&mut self, seed: u64, now: Time) {
         let half_interval = self.interval / 2;
         self.next_round_at = now + half_interval + mix(seed) % half_interval;
@@ -64,7 +67,7 @@
         FORGET_AFTER_INTERVALS * self.interval
     }
 
-    /// Adds the share of the placed replicas that a round may replace.
+    /// Adds the share of the `placed` replicas that a round may replace to the allowance.
     pub(crate) fn add_allowance(&mut self, placed: usize) {
         let earned = placed as f64 * MAX_REPLACED_SHARE;
         self.allowance = (self.allowance + earned).min(MAX_ALLOWANCE);
@@ -81,17 +84,16 @@
     }
 }
 
-/// How much a function was wanted at one worker in the present interval; run times are in
-/// nanoseconds.
+/// The demand for a function at one worker in the current interval; all times are in nanoseconds.
 #[derive(Debug, Default)]
 pub(crate) struct PlacementDemand {
-    /// Run time that was admitted there.
+    /// The run time that was admitted at the worker.
     admitted_run_time: f64,
-    /// Run time that went to other workers because no replica was loaded there.
+    /// The run time that went to other workers because no replica was loaded at this one.
     missed_run_time: f64,
-    /// How often that happened.
+    /// The number of requests of which the run time was missed.
     placement_misses: u32,
-    /// The least time to spare beyond the run among those.
+    /// The least slack of these requests: the time left beyond the run until the latency objective.
     min_slack: f64,
 }
 
@@ -101,7 +103,7 @@
         self.admitted_run_time += run_time;
     }
 
-    /// Records run time that went to another worker, with this much time to spare.
+    /// Records the run time of a request that went to another worker, and its slack.
     pub(crate) fn record_miss(&mut self, run_time: f64, slack: f64) {
         self.min_slack = if self.placement_misses == 0 {
             slack
@@ -112,27 +114,27 @@
         self.missed_run_time += run_time;
     }
 
-    /// Whether the function was missed often enough to be loaded there too.
+    /// Whether the function was missed often enough to be loaded at this worker too.
     pub(crate) fn has_enough_misses(&self) -> bool {
         self.placement_misses >= PLACEMENT_MISSES_TO_SPREAD
     }
 
-    /// Run time that was admitted.
+    /// The run time that was admitted.
     pub(crate) fn admitted_run_time(&self) -> f64 {
         self.admitted_run_time
     }
 
-    /// Run time that went to other workers.
+    /// The run time that went to other workers.
     pub(crate) fn missed_run_time(&self) -> f64 {
         self.missed_run_time
     }
 
-    /// The least time to spare among the misses.
+    /// The least slack among the misses.
     pub(crate) fn min_slack(&self) -> f64 {
         self.min_slack
     }
 
-    /// Begins to count from zero. The least time to spare stays until the next miss.
+    /// Resets the run times and the misses. The least slack is kept until the next miss.
     pub(crate) fn begin_interval(&mut self) {
         self.admitted_run_time = 0.0;
         self.missed_run_time = 0.0;
--- a/crates/pipithub-policy/src/replicas.rs
+++ b/crates/pipithub-policy/src/replicas.rs
@@ -1,28 +1,28 @@
-//! What is believed of the replicas of functions at a worker.
+//! The replicas of functions that a worker is assumed to hold.
 
 use std::collections::BTreeMap;
 
 use crate::api::{FunctionId, Time};
 use crate::rebalancer::PlacementDemand;
 
-/// What is believed of a function's replicas at one worker.
+/// The replicas of one function that a worker is assumed to hold.
 #[derive(Debug, Default)]
 pub(crate) struct Replicas {
-    /// How many there are; 0 while none is believed.
+    /// The number of replicas; 0 while none is assumed.
     pub(crate) count: u32,
-    /// Mean number of requests of the function that other front ends have in flight there.
+    /// The mean number of requests of the function that other front ends have in flight at the worker.
     pub(crate) others_in_flight: f64,
-    /// When they are loaded; 0 while none is believed.
+    /// When the replicas are loaded; 0 while none is assumed.
     pub(crate) ready_at: Time,
-    /// The last sign that they were in use.
+    /// When the replicas were last used, or a load command for them was last sent or answered.
     pub(crate) last_used_at: Time,
-    /// An answer or the reply to a load command has confirmed them.
+    /// An answer or the reply to a load command has confirmed the replicas.
     pub(crate) confirmed: bool,
-    /// They were loaded by a command of this front end.
+    /// The replicas were loaded by a command of this front end.
     pub(crate) loaded_by_command: bool,
-    /// A load command for them is in progress.
+    /// A load command for the replicas is in progress.
     pub(crate) load_requested: bool,
-    /// How much the function was wanted here in this interval of rebalancing.
+    /// The demand for the function at this worker in the current interval of rebalancing.
     pub(crate) demand: PlacementDemand,
 }
 
@@ -30,22 +30,22 @@
 #[derive(Debug, Default)]
 pub(crate) struct ReplicaTable {
     by_function: BTreeMap<FunctionId, Replicas>,
-    /// A load command may be in progress: never `false` while one is.
+    /// A load command may be in progress; never `false` while one is.
     may_have_load_commands: bool,
 }
 
 impl ReplicaTable {
-    /// What is believed of a function's replicas; `None` if nothing is.
+    /// The entry of a function; `None` if there is none.
     pub(crate) fn get(&self, function: FunctionId) -> Option<&Replicas> {
         self.by_function.get(&function)
     }
 
-    /// What is believed of a function's replicas, to be changed.
+    /// The entry of a function, for changes; `None` if there is none.
     pub(crate) fn get_mut(&mut self, function: FunctionId) -> Option<&mut Replicas> {
         self.by_function.get_mut(&function)
     }
 
-    /// What is believed of a function's replicas; an entry without any is added if there is none.
+    /// The entry of a function; an entry without replicas is added if there is none.
     pub(crate) fn get_or_add(&mut self, function: FunctionId) -> &mut Replicas {
         self.by_function.entry(function).or_default()
     }
@@ -67,7 +67,7 @@
             .map(|(function, replicas)| (*function, replicas))
     }
 
-    /// All entries, by function, to be changed.
+    /// All entries, by function, for changes.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = (FunctionId, &mut Replicas)> {
         self.by_function
             .iter_mut()
@@ -84,7 +84,7 @@
         self.by_function.clear();
     }
 
-    /// Forgets the entries for which this is false.
+    /// Forgets the entries for which `retain` returns `false`.
     pub(crate) fn retain(&mut self, retain: impl Fn(FunctionId, &Replicas) -> bool) {
         self.by_function
             .retain(|function, replicas| retain(*function, replicas));
@@ -103,7 +103,7 @@
         self.may_have_load_commands
     }
 
-    /// Finds out whether the load commands that were in progress have ended.
+    /// Updates whether a load command may be in progress, as commands may have ended.
     pub(crate) fn refresh_load_commands(&mut self) {
         if self.may_have_load_commands {
             self.may_have_load_commands = self
--- a/crates/pipithub-policy/src/responses.rs
+++ b/crates/pipithub-policy/src/responses.rs
@@ -14,7 +14,8 @@
 /// The responses of one worker to this front end.
 #[derive(Debug, Default)]
 pub(crate) struct Responses {
-    /// The last answer or rejection; 0 if there was none.
+    /// The time of the last answer, rejection, or cancelled attempt that was recorded as slow; 0 if
+    /// there was none.
     last_at: Time,
     /// The answers served within the time over which they are counted, in order.
     answers: VecDeque<Answer>,
@@ -32,12 +33,12 @@
         self.last_at = now;
     }
 
-    /// The time of the last answer or rejection; 0 if there was none.
+    /// The time of the last response; 0 if there was none.
     pub(crate) fn last_at(&self) -> Time {
         self.last_at
     }
 
-    /// Whether any answer is still counted.
+    /// Whether there are answers that are still counted.
     pub(crate) fn has_answers(&self) -> bool {
         !self.answers.is_empty()
     }
@@ -50,7 +51,7 @@
             .count()
     }
 
-    /// How many answers to requests of a class were served after a time.
+    /// How many answers to requests of a class were served after the time `time`.
     pub(crate) fn answers_after(&self, class: usize, time: Time) -> usize {
         self.answers
             .iter()
--- a/crates/pipithub-policy/src/service_lease.rs
+++ b/crates/pipithub-policy/src/service_lease.rs
@@ -1,28 +1,29 @@
-//! A front end's own lease on a worker's being in service, by health checks.
+//! A front end's own lease on a worker, which health checks renew.
 //!
-//! It counts only while the lease of the endpoint list has ended. A check that the worker answered well
-//! proves that the worker was in service at some time after the check was *sent*, so the lease counts
-//! from then, for as long as work may be sent after the notification of a drain. Answers to calls prove
-//! nothing: a draining worker still serves calls for a while. `docs/design.md`, "Leases on workers
-//! while discovery is out of reach", tells why.
+//! The lease counts only while the lease of the endpoint list has ended. A successful check proves that
+//! the worker was in service at some time after the check was *sent*. The lease therefore starts at
+//! that time, and lasts as long as work may be sent after the notification of a drain. Answers to calls
+//! prove nothing, as a draining worker still serves calls for a while. `docs/design.md`, "Leases on
+//! workers while discovery is out of reach", gives the reasons.
 
 use crate::api::{HealthCheckOutcome, Time, WorkerId};
 use crate::time::MILLISECOND;
 
 /// How long a request waits for a health check.
 pub(crate) const CHECK_TIMEOUT: Time = 50 * MILLISECOND;
-/// How often a request may wait for one.
+/// How often a request may wait for a health check.
 const MAX_CHECKS_PER_REQUEST: u32 = 4;
-/// The backoff after a check that failed; it doubles with each further one.
+/// The first backoff between failed checks; it doubles with each further failure.
 const BASE_BACKOFF: Time = 200 * MILLISECOND;
+/// How often the backoff doubles at most.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
-/// After this many failed checks no request waits for the next one as long as another worker takes
-/// it.
+/// The largest number of failed checks after which a request may wait for the next one although
+/// another worker would take the request.
 const MAX_AWAITED_FAILURES: u32 = 1;
-/// Work that was decided within a lease arrives a little later. This is left of the grace for that,
-/// at most a quarter of it.
+/// Work that was decided within a lease arrives at the worker a little later. The lease is shorter than
+/// the grace by this time, but by at most a quarter of the grace.
 const MAX_MARGIN: Time = 150 * MILLISECOND;
-/// The grace after the notification of a drain where the settings do not tell.
+/// The grace after the notification of a drain, if the settings do not state it.
 pub(crate) const DEFAULT_DRAIN_GRACE: Time = 1_000 * MILLISECOND;
 
 /// How long work may be sent to a worker after it was last known to be in service.
@@ -30,12 +31,12 @@
     drain_grace - MAX_MARGIN.min(drain_grace / 4)
 }
 
-/// What is known of a worker whose lease by the endpoint list has ended.
+/// The state of a worker, by its health checks, when the lease from the endpoint list has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ServiceStatus {
-    /// A check vouches for it.
+    /// The lease from a successful check has not ended.
     InService,
-    /// A request may wait for a check.
+    /// The state is not known; a request may wait for a check.
     Unknown,
     /// Checks have failed and another one is due: it is sent, but no request waits for it if
     /// another worker takes the request.
@@ -44,54 +45,57 @@
     OutOfService,
 }
 
-/// A health check without an answer.
+/// A health check that has not been answered yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Check {
     sent_at: Time,
-    /// It counts as failed, as no answer came within [`CHECK_TIMEOUT`].
+    /// The check counts as failed, as no answer came within [`CHECK_TIMEOUT`].
     is_overdue: bool,
 }
 
 /// The lease on one worker, and the checks that renew it.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceLease {
+    /// The end of the lease from health checks.
     end: Time,
-    /// When the check was sent that showed the most recent state.
+    /// When the check that showed the most recent state was sent.
     evidence_at: Time,
     check: Option<Check>,
-    /// Failed checks since the last one that was answered well.
+    /// The number of failed checks since the last successful one.
     failures: u32,
-    /// No check is sent before.
+    /// No check is sent before this time.
     next_check_at: Time,
-    /// When a connection to it last failed or was closed by it; 0 if none was.
+    /// When a connection to the worker last failed or was closed by it; 0 if there was none.
     connection_lost_at: Time,
-    /// Until when work that was decided before may be written, once the endpoint list names the worker
-    /// as draining or removed.
+    /// The time until which work that was decided before may be written, once the endpoint list names
+    /// the worker as draining or removed; `None` while the worker is ready.
     write_deadline: Option<Time>,
 }
 
-/// What bounds the writing of work for a worker that the endpoint list names as draining or removed.
+/// The bounds on the time until which work may be written to a worker that the endpoint list names as
+/// draining or removed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct WriteBounds {
-    /// The end of the endpoint list's lease before this entry of it.
+    /// The end of the lease that the endpoint list gave before the worker was named so.
     pub(crate) endpoint_list_lease_end: Time,
-    /// The end of the grace from now on, less the margin.
+    /// The end of the grace that starts now, less the margin.
     pub(crate) grace_end: Time,
 }
 
 impl ServiceLease {
-    /// When the lease by checks ends.
+    /// When the lease from health checks ends.
     pub(crate) fn end(&self) -> Time {
         self.end
     }
 
-    /// Until when work that was decided before may be written to a worker that is not ready; 0 if it is
-    /// ready.
+    /// The time until which work that was decided before may be written to a worker that is not ready;
+    /// 0 if the worker is ready.
     pub(crate) fn write_deadline(&self) -> Time {
         self.write_deadline.unwrap_or(0)
     }
 
-    /// Records an entry of the endpoint list, which replaces the state known from checks.
+    /// Records whether the endpoint list names the worker as ready. An entry as ready replaces the
+    /// state known from checks.
     pub(crate) fn record_listed(&mut self, is_ready: bool, bounds: WriteBounds) {
         if is_ready {
             *self = ServiceLease {
@@ -99,15 +103,15 @@
                 ..ServiceLease::default()
             };
         } else {
-            // The list may come back with a drain that counts as notified long since: the grace from
-            // now on must not lengthen a lease that ends sooner.
+            // When the list's source is reached again, the list may name a drain that counts as
+            // notified long ago: the grace that starts now must not extend a lease that ends sooner.
             let lease_end = bounds.endpoint_list_lease_end.max(self.end);
             self.write_deadline
                 .get_or_insert(lease_end.min(bounds.grace_end));
         }
     }
 
-    /// What is known of the worker by checks.
+    /// The state of the worker by its health checks.
     pub(crate) fn status(&self, now: Time) -> ServiceStatus {
         let is_awaited = self.check.is_some_and(|check| !check.is_overdue);
         if now < self.end {
@@ -123,8 +127,8 @@
         }
     }
 
-    /// Records that a check is sent, unless one is awaited already; returns whether it is to be
-    /// sent.
+    /// Records that a check is sent, unless the answer to another one is still awaited; returns
+    /// whether it is to be sent.
     pub(crate) fn begin_check(&mut self, now: Time) -> bool {
         if self.check.is_some_and(|check| !check.is_overdue) {
             return false;
@@ -136,7 +140,7 @@
         true
     }
 
-    /// Counts a check as failed that was not answered in time. One lost check alone does not take a
+    /// Counts a check that was not answered in time as failed. A single lost check does not take a
     /// worker out of service: the next one may follow at once.
     pub(crate) fn expire_check(&mut self, now: Time) {
         let Some(check) = &mut self.check else {
@@ -148,7 +152,7 @@
         }
     }
 
-    /// Records the end of the check that was sent at this time.
+    /// Records the end of the check that was sent at `sent_at`.
     pub(crate) fn finish_check(
         &mut self,
         sent_at: Time,
@@ -156,8 +160,8 @@
         lease: Time,
         now: Time,
     ) {
-        // A former check was sent at least its timeout before; its sender's clock may be read a little
-        // apart.
+        // `sent_at` may differ a little from the recorded time. A previous check was sent at least its
+        // timeout earlier, so half the timeout tells the two apart.
         let is_awaited = |check: &Check| check.sent_at < sent_at + CHECK_TIMEOUT / 2;
         let finished = self.check.filter(is_awaited);
         if finished.is_some() {
@@ -183,7 +187,8 @@
         }
     }
 
-    /// Ends the lease at once, as the worker has answered that it is not in service.
+    /// Ends the lease at once, because the worker has answered that it is not in service. An answer to
+    /// a check that was sent before the most recent evidence is ignored.
     fn revoke(&mut self, sent_at: Time, now: Time) {
         if sent_at >= self.evidence_at {
             self.evidence_at = sent_at;
@@ -205,9 +210,10 @@
         self.connection_lost_at = now;
     }
 
-    /// Whether a worker that has just answered may have been restarted since this time: a
-    /// connection to it was lost, and the one on which it answered is younger. The end of a process
-    /// ends all of its connections. It is asked once for each loss.
+    /// Whether a worker that has just answered a check may have restarted since the time `since`: a
+    /// connection to it was lost after that time, and the connection of the answer is not older than
+    /// that loss. (The end of a process ends all of its connections.) The lost connection is forgotten,
+    /// so that it counts only once.
     pub(crate) fn take_restart(&mut self, since: Time, connected_at: Time) -> bool {
         let lost_at = std::mem::take(&mut self.connection_lost_at);
         lost_at > since && connected_at >= lost_at
@@ -219,7 +225,7 @@
 pub(crate) struct RequestChecks {
     /// The worker whose check it waits for.
     worker: Option<WorkerId>,
-    /// How often it has waited for one.
+    /// How often the request has waited for a check.
     count: u32,
 }
 
@@ -234,7 +240,7 @@
         self.worker.as_ref()
     }
 
-    /// Whether it may wait for a further one.
+    /// Whether the request may wait for a further check.
     pub(crate) fn may_begin(&self) -> bool {
         self.count < MAX_CHECKS_PER_REQUEST
     }
--- a/crates/pipithub-policy/src/slow_start.rs
+++ b/crates/pipithub-policy/src/slow_start.rs
@@ -1,10 +1,10 @@
-//! Slow start: what a worker that has just started may be sent.
+//! Slow start: how many attempts a worker that has just started may be sent.
 //!
-//! A worker that warms up fails when it gets more than a multiple of its present capacity for a
-//! while. Its capacity is not known: it is derived from what warm workers serve this front end. The
-//! front ends share no count, so each spends only its part of the budget. `docs/design.md`, "A
-//! cold worker's budget" and "Cold workers' budget", tells where the figures come from;
-//! `tests/slow_start/` tests the rule.
+//! A worker that warms up fails when it is sent more than a multiple of its current capacity for a
+//! while. Its capacity is not known; it is derived from the rate at which warm workers serve this
+//! front end. The front ends share no counts, so each uses only its own part of the budget.
+//! `docs/design.md`, "A cold worker's budget" and "Cold workers' budget", gives the sources of the
+//! figures; `tests/slow_start/` tests the rule.
 
 use std::collections::VecDeque;
 
@@ -15,33 +15,34 @@
 use crate::worker::WorkerState;
 use crate::worker_table::WorkerTable;
 
-/// The share of its part of a warming worker's budget that this front end spends, as chance must
-/// not overdraw the sum over all front ends.
+/// The share of its part of a warming worker's budget that this front end uses, so that random
+/// fluctuations do not make all front ends together exceed the budget.
 const BUDGET_SAFETY: f64 = 0.75;
-/// The same share where that part is under one attempt in a window, so that attempts are drawn.
+/// The same share if that part is under one attempt in a window, so that attempts are decided by a
+/// random draw.
 const DRAWN_BUDGET_SAFETY: f64 = 0.35;
-/// How often in a window an attempt is drawn in that case.
+/// The number of draws in a window in that case.
 const DRAWS_PER_WINDOW: Time = 2;
-/// The time over which answers are counted to learn what a warm worker serves.
+/// The time over which answers are counted to determine the rate that a warm worker serves.
 pub(crate) const RATE_WINDOW: Time = 4_000 * MILLISECOND;
-/// The least that a warm worker is taken to serve, as a share of the arrivals for each ready worker:
-/// retries increase the arrivals.
+/// The least rate that a warm worker is assumed to serve, as a share of the arrivals for each ready
+/// worker; it is below 1 because retries increase the arrivals.
 const MIN_RATE_SHARE: f64 = 0.25;
 
-/// What this front end may send to workers that warm up.
+/// The limits on what this front end may send to workers that warm up.
 #[derive(Debug, Default)]
 pub(crate) struct SlowStart {
     rules: SlowStartRules,
     /// The seed of the draws for workers with a small budget.
     seed: u64,
-    /// Requests that a warm worker serves this front end, for each nanosecond.
+    /// The rate at which a warm worker serves this front end, in requests per nanosecond.
     warm_rate: f64,
-    /// Its mean over a longer time.
+    /// The mean of `warm_rate` over a longer time.
     mean_warm_rate: RunningMean,
 }
 
 impl SlowStart {
-    /// A state in which no worker was seen to serve anything.
+    /// Creates the state before any worker has served a request.
     pub(crate) fn new(rules: SlowStartRules, seed: u64) -> Self {
         SlowStart {
             rules,
@@ -52,10 +53,11 @@
 
     /// Whether a worker that may still be warming up can take a further attempt.
     ///
-    /// Its capacity is judged by what warm workers serve this front end, and less for a worker of a
-    /// smaller weight; rejected attempts would inflate it. A right to send must not be saved: when
-    /// all front ends turn to a worker that was idle, all would use theirs at once. The price: a
-    /// worker that few front ends want is used too little.
+    /// The worker's capacity is derived from the answers of warm workers, and reduced for a worker of
+    /// a smaller weight; rejected attempts are not counted, as they would inflate it. An unused budget
+    /// must not be saved: when all front ends turn to a worker that was idle, they would use their
+    /// saved budgets at the same time. The drawback: a worker that few front ends use is used too
+    /// little.
     pub(crate) fn allows(&self, worker: &WorkerState, workers: &WorkerTable, now: Time) -> bool {
         let rules = &self.rules;
         let may_be_overloaded = |started_at: &Time| {
@@ -84,8 +86,8 @@
 
     /// Whether a worker whose budget is under one attempt in a window gets one now.
     ///
-    /// One attempt from each of many front ends would exceed the budget, so each front end draws
-    /// again in each slot of the window.
+    /// One attempt from each of many front ends would exceed the budget, so each front end makes a new
+    /// random draw in each slot of the window.
     fn draws_attempt(&self, worker: &WorkerState, started_at: Time, rate: f64, now: Time) -> bool {
         let slot = (self.rules.overload_window / DRAWS_PER_WINDOW).max(1);
         let slot_number = now / slot;
@@ -95,10 +97,11 @@
         !sent_in_slot && draw < DRAWN_BUDGET_SAFETY * rate * slot as f64
     }
 
-    /// Learns what a warm worker serves this front end; the last figure stays where none is warm.
+    /// Updates the rate at which a warm worker serves this front end; the last rate is kept while no
+    /// worker is warm.
     ///
-    /// The least is a share of this front end's requests for each worker, or of what was usually
-    /// served if that is less.
+    /// The rate is at least [`MIN_RATE_SHARE`] of the arrivals for each ready worker, or of the mean
+    /// rate if that is less.
     pub(crate) fn update_warm_rate(
         &mut self,
         workers: &mut WorkerTable,
@@ -138,13 +141,13 @@
     requests as f64 / workers.max(1) as f64 / RATE_WINDOW as f64
 }
 
-/// When attempts were forwarded to one worker, within the window in which a worker that warms up may
-/// be overloaded, as of the last attempt.
+/// The times of the attempts that were forwarded to one worker within the overload window before the
+/// last attempt.
 #[derive(Debug, Default)]
 pub(crate) struct RecentForwards(VecDeque<Time>);
 
 impl RecentForwards {
-    /// Records an attempt and forgets those that are out of the window by now.
+    /// Records an attempt, and forgets those that are older than the window.
     pub(crate) fn record(&mut self, overload_window: Time, now: Time) {
         self.0.retain(|sent_at| *sent_at + overload_window > now);
         self.0.push_back(now);
--- a/crates/pipithub-policy/src/slowdown.rs
+++ b/crates/pipithub-policy/src/slowdown.rs
@@ -1,22 +1,23 @@
-//! How far runs at a worker are slowed down by what else it runs.
+//! How much runs at a worker are slowed down by other work there.
 //!
-//! The estimate returns to 1 when no answer refreshes it, so that no slow period is believed for
-//! ever.
+//! The estimate decays to 1 when no answer refreshes it, so that a slow period is not assumed to last
+//! for ever.
 
 use crate::api::Time;
 use crate::time::{MILLISECOND, decay};
 
-/// Weight of a new sample: about the last seven count, so that a slowdown shows in time.
+/// The weight of a new sample: about the last seven samples count, so that a slowdown is noticed in
+/// time.
 const GAIN: f64 = 0.15;
-/// A slowdown that no answer refreshes goes half the way back to 1 in this time.
+/// The time in which a slowdown that no answer refreshes goes half the way back to 1.
 const HALF_LIFE: Time = 3_000 * MILLISECOND;
 
 /// The observed slowdown of one worker.
 #[derive(Debug)]
 pub(crate) struct Slowdown {
-    /// Mean run time of answers over the expected one.
+    /// The mean ratio of the time of runs to their expected run time.
     factor: f64,
-    /// Mean number of this front end's attempts there while that was observed.
+    /// The mean number of this front end's attempts at the worker when these runs were sent.
     concurrency: f64,
 }
 
@@ -30,7 +31,8 @@
 }
 
 impl Slowdown {
-    /// Records the slowdown of one run, and how many attempts of this front end were there.
+    /// Records the slowdown of one run; `concurrency` is the number of this front end's attempts at
+    /// the worker when it was sent.
     pub(crate) fn record(&mut self, factor: f64, concurrency: f64) {
         self.factor += GAIN * (factor - self.factor);
         self.concurrency += GAIN * (concurrency - self.concurrency);
@@ -41,11 +43,12 @@
         self.factor
     }
 
-    /// The slowdown that is expected with this many attempts there, when the worker last responded
+    /// The slowdown that is expected with `in_flight` attempts at the worker, which last responded
     /// `age` ago.
     ///
-    /// It is 1 for an idle worker, the observed slowdown at the concurrency that it was observed
-    /// with, and beyond that in proportion. A worker that is idle again is soon trusted.
+    /// The slowdown is 1 for an idle worker, equals the observed slowdown at the concurrency at which
+    /// it was observed (at least 2), and grows in proportion beyond that. An observed slowdown below 1
+    /// applies to an idle worker too. A worker that is idle again is soon used again.
     pub(crate) fn expected(&self, in_flight: usize, age: Time) -> f64 {
         let slowdown = decayed(self.factor, age);
         let part = in_flight as f64 / self.concurrency.max(2.0);
@@ -57,7 +60,7 @@
     }
 }
 
-/// What is left of a slowdown that was last observed `age` ago.
+/// A slowdown that was last observed `age` ago, decayed towards 1.
 pub(crate) fn decayed(slowdown: f64, age: Time) -> f64 {
     1.0 + (slowdown - 1.0) * decay(age, HALF_LIFE)
 }
--- a/crates/pipithub-policy/src/speculation.rs
+++ b/crates/pipithub-policy/src/speculation.rs
@@ -1,11 +1,11 @@
-//! Speculative attempts: the budget of attempts at workers that other front ends have likely made
-//! load the function.
+//! Speculative attempts: the budget for attempts at workers where the requests of other front ends
+//! have likely loaded the function.
 //!
-//! In a large deployment a front end sees few of the answers that would show it a replica. It may
-//! then forward a request as if the function were loaded, once for every second request, so that
-//! most requests still go where a replica is known.
+//! In a large deployment a front end receives few of the answers that confirm a replica. It may then
+//! forward a request as if the function were loaded, on average for at most every second request, so
+//! that most requests still go to workers with a known replica.
 
-/// Tokens that each accepted request adds; a speculative attempt takes one token.
+/// The number of tokens that each accepted request adds; a speculative attempt takes one token.
 const TOKENS_PER_REQUEST: f64 = 0.5;
 /// The largest number of tokens that can be saved.
 const MAX_TOKENS: f64 = 8.0;
@@ -17,7 +17,7 @@
 }
 
 impl Speculation {
-    /// Adds what one accepted request earns.
+    /// Adds the tokens for one accepted request.
     pub(crate) fn add_tokens(&mut self) {
         self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
     }
--- a/crates/pipithub-policy/src/statistics.rs
+++ b/crates/pipithub-policy/src/statistics.rs
@@ -1,4 +1,4 @@
-//! Means, counts and sums that are kept up to date sample by sample.
+//! Means, counts and sums that are updated with each sample.
 
 #[cfg(test)]
 mod tests;
@@ -7,8 +7,8 @@
 
 use crate::api::Time;
 
-/// A mean over the last samples: each weighs as much as the others while there are few, and fades
-/// later.
+/// A mean over the last samples. All samples have the same weight up to [`RunningMean::MAX_SAMPLES`];
+/// after that the weight of older samples decays.
 #[derive(Debug, Default)]
 pub(crate) struct RunningMean {
     mean: f64,
@@ -16,16 +16,16 @@
 }
 
 impl RunningMean {
-    /// The number of samples that weigh alike before the oldest ones fade.
+    /// The number of samples with the same weight before the weight of older samples decays.
     const MAX_SAMPLES: u32 = 400;
 
-    /// Takes in a sample.
+    /// Adds a sample.
     pub(crate) fn add(&mut self, sample: f64) {
         self.samples = (self.samples + 1).min(Self::MAX_SAMPLES);
         self.mean += (sample - self.mean) / f64::from(self.samples);
     }
 
-    /// A value limited to the mean; before the first sample nothing limits it.
+    /// Limits a value to the mean; before the first sample the value is returned unchanged.
     pub(crate) fn cap(&self, value: f64) -> f64 {
         if self.samples == 0 {
             value
@@ -35,12 +35,12 @@
     }
 }
 
-/// The times of past events, which come in order.
+/// The times of past events, in ascending order.
 #[derive(Debug, Default)]
 pub(crate) struct EventTimes(VecDeque<Time>);
 
 impl EventTimes {
-    /// Adds an event that is not earlier than any before it.
+    /// Adds an event, which must not be earlier than those added before.
     pub(crate) fn push(&mut self, time: Time) {
         self.0.push_back(time);
     }
@@ -57,20 +57,20 @@
     }
 }
 
-/// A sum of parts that each decay by half in the same time, whatever their age.
+/// A sum of parts that all decay with the same half-life.
 ///
-/// All parts decay alike, so that one sum is kept as of one point in time. It is an integer: what was
-/// added can be subtracted again without a rounding error.
+/// Because all parts decay alike, one sum as of one point in time is enough. The sum is an integer, so
+/// that a part that was added can be subtracted again without a rounding error.
 #[derive(Debug, Default)]
 pub(crate) struct DecayingSum {
     half_life: Time,
-    /// The number of half-lives since time 0 as of which the sum is kept.
+    /// The time as of which the sum is kept, in half-lives since time 0.
     epoch: u64,
     /// The sum, in units of [`DecayingSum::UNIT`].
     sum: u128,
 }
 
-/// One part of a [`DecayingSum`], as of an integral number of half-lives.
+/// One part of a [`DecayingSum`], as of an integral number of half-lives since time 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct DecayingPart {
     epoch: u64,
@@ -78,14 +78,14 @@
 }
 
 impl DecayingSum {
-    /// Values are kept as integral multiples of one part in this.
+    /// The integer that represents the value 1.
     const UNIT: f64 = (1u64 << 40) as f64;
-    /// The largest value that a part counts for, so that the sum cannot overflow.
+    /// The largest value of a part; larger values count as this one, so that the sum cannot overflow.
     const MAX_VALUE: f64 = (1u64 << 24) as f64;
     /// The sum is moved to a later epoch after this number of half-lives.
     const MAX_EPOCHS_BEHIND: u64 = 32;
 
-    /// A sum without any part, whose parts decay by half in this time.
+    /// Creates an empty sum, whose parts will decay with this half-life.
     pub(crate) fn new(half_life: Time) -> Self {
         DecayingSum {
             half_life: half_life.max(1),
@@ -93,7 +93,7 @@
         }
     }
 
-    /// A value as of a time, as a part; negative values count as zero.
+    /// The part for a value as of the time `at`; negative values count as 0.
     pub(crate) fn part(&self, at: Time, value: f64) -> DecayingPart {
         let half_life = self.half_life.max(1);
         let scale = ((at % half_life) as f64 / half_life as f64).exp2();
@@ -106,15 +106,15 @@
     /// The value of a part as of the sum's epoch.
     fn at_epoch(&self, part: DecayingPart) -> u128 {
         if part.epoch >= self.epoch {
-            // Parts are added as of the present, and then the sum is never further behind than
-            // this.
+            // Parts are added as of the current time, after which the sum is never further behind than
+            // this limit.
             part.value << (part.epoch - self.epoch).min(Self::MAX_EPOCHS_BEHIND)
         } else {
             shift_right(part.value, self.epoch - part.epoch)
         }
     }
 
-    /// Adds a part; it must be as of the present.
+    /// Adds a part, which must be as of the current time.
     pub(crate) fn add(&mut self, part: DecayingPart) {
         if part.epoch >= self.epoch + Self::MAX_EPOCHS_BEHIND {
             self.sum = shift_right(self.sum, part.epoch - self.epoch);
@@ -128,7 +128,7 @@
         self.sum = self.sum.saturating_sub(self.at_epoch(part));
     }
 
-    /// The sum as it has decayed by now.
+    /// The sum as of the time `now`.
     pub(crate) fn sum(&self, now: Time) -> f64 {
         let half_life = self.half_life.max(1);
         let age =
@@ -137,7 +137,7 @@
     }
 }
 
-/// Halves a value `by` times; 0 once nothing of it is left.
+/// Halves a value `by` times, rounding down.
 fn shift_right(value: u128, by: u64) -> u128 {
     u32::try_from(by)
         .ok()
--- a/crates/pipithub-policy/src/statistics/tests.rs
+++ b/crates/pipithub-policy/src/statistics/tests.rs
@@ -1,4 +1,4 @@
-//! Counts of event times are what a scan of all events finds.
+//! Compares the counts of event times with a scan of all events.
 
 use proptest::prelude::*;
 
--- a/crates/pipithub-policy/src/timer.rs
+++ b/crates/pipithub-policy/src/timer.rs
@@ -1,4 +1,4 @@
-//! The meaning of timers' tokens.
+//! The tokens of timers, which encode what each timer was set for.
 
 use crate::api::RequestId;
 
@@ -12,7 +12,7 @@
 
 /// What a timer was set for.
 ///
-/// Numbers of requests are below 2^61, so that the bits above can tell the timers apart.
+/// The numbers of requests are below 2^61, so that the higher bits can distinguish the timers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TimerToken {
     /// The next round of maintenance.
--- a/crates/pipithub-policy/src/waiting_requests.rs
+++ b/crates/pipithub-policy/src/waiting_requests.rs
@@ -1,10 +1,10 @@
-//! Requests that wait for an answer of a worker before they are routed.
+//! Requests that wait for a worker's answer to a poll or check before they are routed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::api::{RequestId, WorkerId};
 
-/// The requests that wait, by the worker that they wait for; some may have ended since.
+/// The waiting requests, by the worker that they wait for; some requests may have ended since.
 #[derive(Debug, Default)]
 pub(crate) struct WaitingRequests(BTreeMap<WorkerId, BTreeSet<RequestId>>);
 
@@ -19,7 +19,7 @@
         self.0.remove(worker).unwrap_or_default()
     }
 
-    /// Forgets the workers for which only requests wait that have ended.
+    /// Forgets the workers for which only ended requests wait.
     pub(crate) fn forget_ended(&mut self, is_pending: impl Fn(&RequestId) -> bool) {
         self.0
             .retain(|_, requests| requests.iter().any(&is_pending));
--- a/crates/pipithub-policy/src/worker.rs
+++ b/crates/pipithub-policy/src/worker.rs
@@ -1,4 +1,4 @@
-//! A worker as this front end knows it: its endpoint, and what each decision remembers of it.
+//! The state of one worker: its endpoint, and the part of each decision's state that belongs to it.
 
 use crate::api::{Endpoint, EndpointState, Time};
 use crate::attempt::{Attempt, AttemptQueue};
@@ -13,13 +13,13 @@
 use crate::slowdown::Slowdown;
 use crate::worker_table::IndexedState;
 
-/// A worker as this front end knows it.
+/// The state of one worker.
 #[derive(Debug)]
 pub(crate) struct WorkerState {
     endpoint: Endpoint,
-    /// The hash of its address.
+    /// The hash of the worker's address.
     hash: u64,
-    /// What of it is counted over all workers.
+    /// The values of this worker that are included in the index over all workers.
     indexed: IndexedState,
     pub(crate) attempts: AttemptQueue,
     pub(crate) replicas: ReplicaTable,
@@ -33,7 +33,7 @@
 }
 
 impl WorkerState {
-    /// A worker of which nothing is known but its endpoint.
+    /// Creates the state of a worker of which only the endpoint is known.
     pub(crate) fn new(endpoint: Endpoint, classes: usize) -> Self {
         WorkerState {
             hash: hash_address(&endpoint.worker.0),
@@ -51,33 +51,33 @@
         }
     }
 
-    /// Its entry in the endpoint list.
+    /// The worker's entry in the endpoint list.
     pub(crate) fn endpoint(&self) -> &Endpoint {
         &self.endpoint
     }
 
-    /// The hash of its address.
+    /// The hash of the worker's address.
     pub(crate) fn hash(&self) -> u64 {
         self.hash
     }
 
-    /// What of it is counted over all workers.
+    /// The values of this worker that are included in the index over all workers.
     pub(crate) fn indexed(&self) -> &IndexedState {
         &self.indexed
     }
 
-    /// What of it is counted over all workers, to be changed by the index alone.
+    /// Like [`WorkerState::indexed`], for changes; only the index may change them.
     pub(crate) fn indexed_mut(&mut self) -> &mut IndexedState {
         &mut self.indexed
     }
 
-    /// Whether it may be sent work.
+    /// Whether the endpoint list names the worker as ready.
     pub(crate) fn is_ready(&self) -> bool {
         self.endpoint.state == EndpointState::Ready
     }
 
-    /// Takes over a new entry of the endpoint list. A worker that has restarted is as good as a new
-    /// one, whatever was learnt of the process before.
+    /// Applies a new entry of the endpoint list. If the worker has restarted, what was learnt about its
+    /// former process is forgotten.
     pub(crate) fn update_endpoint(&mut self, endpoint: Endpoint, bounds: WriteBounds) {
         if self.endpoint.started_at != endpoint.started_at {
             self.forget_former_process();
@@ -86,20 +86,20 @@
         self.service.record_listed(self.is_ready(), bounds);
     }
 
-    /// Takes the worker for one that has just started, as it may have been restarted while the
-    /// endpoint list could not tell.
+    /// Treats the worker as one that has just started, because it may have restarted while the endpoint
+    /// list could not report that.
     pub(crate) fn presume_restart(&mut self, now: Time) {
         self.endpoint.started_at = Some(now);
         self.forget_former_process();
     }
 
-    /// Records that the endpoint list does not name it any more.
+    /// Records that the endpoint list no longer names the worker.
     pub(crate) fn mark_removed(&mut self, bounds: WriteBounds) {
         self.endpoint.state = EndpointState::Removed;
         self.service.record_listed(false, bounds);
     }
 
-    /// A process that has restarted holds no replica and has no history.
+    /// Forgets the replicas and the history of the former process, which the new one does not have.
     fn forget_former_process(&mut self) {
         self.replicas.clear();
         self.slowdown = Slowdown::default();
@@ -107,12 +107,12 @@
         self.outliers.reset();
     }
 
-    /// Whether outlier detection lets it have an attempt of a class.
+    /// Whether outlier detection allows an attempt of a class at this worker.
     pub(crate) fn accepts(&self, class: usize, now: Time) -> bool {
         self.outliers.accepts(class, self.attempts.as_slice(), now)
     }
 
-    /// By which factor a run is expected to be slowed down with this many attempts there.
+    /// The factor by which a run is expected to be slowed down with `in_flight` attempts at this worker.
     pub(crate) fn expected_slowdown(&self, in_flight: usize, now: Time) -> f64 {
         let age = now.saturating_sub(self.responses.last_at());
         self.slowdown.expected(in_flight, age)
@@ -125,21 +125,21 @@
         self.responses.record_answer(class, now);
     }
 
-    /// Records that it has rejected an attempt at capacity.
+    /// Records that the worker was at capacity and has rejected an attempt.
     pub(crate) fn record_rejection(&mut self, attempt: &Attempt, now: Time) {
         self.concurrency_limit
             .record_rejection(attempt.concurrency.total);
         self.responses.record(now);
     }
 
-    /// Records a failed or broken connection.
+    /// Records a failed or lost connection, and forgets the replicas after too many in a row.
     pub(crate) fn record_connect_failure(&mut self, now: Time) {
         if self.outliers.record_connect_failure(now) {
             self.replicas.clear();
         }
     }
 
-    /// Ejects it for each class that it has fallen silent for; see
+    /// Ejects the worker for each class for which it is silent; see
     /// [`OutlierDetection::eject_if_silent`].
     pub(crate) fn eject_if_silent(&mut self, now: Time, stalled: &mut Vec<StalledAttempt>) {
         let in_flight = self.attempts.as_slice();
--- a/crates/pipithub-policy/src/worker_table.rs
+++ b/crates/pipithub-policy/src/worker_table.rs
@@ -1,10 +1,10 @@
 //! The workers that a front end knows, with sets and sums over them that are updated with each
 //! change.
 //!
-//! A request must not cost more among more workers, so nothing on its path goes through all of
-//! them: what a decision asks of all workers is kept in [`index`], which is updated whenever one of
-//! them has changed. No decision is made here, and nothing here depends on the clock but what the
-//! caller hands in.
+//! The cost of a request must not grow with the number of workers, so no step of a request iterates
+//! over all of them. Whatever a decision needs of all workers is kept in [`index`], which is updated
+//! whenever a worker has changed. This module makes no decisions, and depends on the time only as far
+//! as the caller passes it in.
 
 mod index;
 #[cfg(test)]
@@ -22,14 +22,14 @@
 use crate::work::record_examined;
 use crate::worker::WorkerState;
 
-/// The workers by address. The hasher has fixed keys: equal events leave equal states.
+/// The workers by address. The hasher has fixed keys, so that equal events lead to equal states.
 #[derive(Debug, Default)]
 pub(crate) struct WorkerTable {
     workers: HashMap<WorkerId, WorkerState, BuildHasherDefault<DefaultHasher>>,
     index: WorkerIndex,
 }
 
-/// A worker that is being changed; the index is updated when this is dropped.
+/// Mutable access to a worker; the index is updated when the guard is dropped.
 pub(crate) struct WorkerGuard<'a> {
     worker: &'a mut WorkerState,
     index: &'a mut WorkerIndex,
@@ -56,12 +56,13 @@
 }
 
 impl WorkerGuard<'_> {
-    /// The mean error rate of a class over the other ready workers; 0 where there is no other.
+    /// The mean error rate of a class over the other ready workers; 0 if there is no other.
     pub(crate) fn mean_error_rate_of_others(&self, class: usize) -> f64 {
         self.index.mean_error_rate_without(self.worker, class)
     }
 
-    /// What is believed of a function's replicas here: the only way to begin to believe in any.
+    /// The function's replicas that this worker is assumed to hold, for changes. All new entries are
+    /// added here, as this also adds the worker to the function's holders in the index.
     pub(crate) fn replicas_of(&mut self, function: FunctionId) -> &mut Replicas {
         if !self.worker.replicas.contains(function) {
             self.index.add_holder(function, self.worker);
@@ -80,7 +81,7 @@
 }
 
 impl WorkerTable {
-    /// An empty table in which reported requests in flight decay by half in this time.
+    /// Creates an empty table; `half_life` is the half-life of the reported requests in flight.
     pub(crate) fn new(half_life: Time) -> Self {
         WorkerTable {
             workers: HashMap::default(),
@@ -88,13 +89,13 @@
         }
     }
 
-    /// A worker; `None` where it is not known.
+    /// A worker; `None` if it is not known.
     pub(crate) fn get(&self, worker: &WorkerId) -> Option<&WorkerState> {
         record_examined(1);
         self.workers.get(worker)
     }
 
-    /// A worker to be changed.
+    /// A worker, for changes; `None` if it is not known.
     pub(crate) fn get_mut(&mut self, worker: &WorkerId) -> Option<WorkerGuard<'_>> {
         record_examined(1);
         Some(WorkerGuard {
@@ -103,7 +104,7 @@
         })
     }
 
-    /// The worker of an endpoint, to be changed; added as the endpoint says where it was not known.
+    /// The worker of an endpoint, for changes; it is added with this endpoint if it was not known.
     pub(crate) fn get_or_add(&mut self, endpoint: &Endpoint, classes: usize) -> WorkerGuard<'_> {
         record_examined(1);
         let worker = self
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Changes the workers that match; it goes through all workers.
+    /// Changes the workers that match, in the order of their addresses. It iterates over all workers.
     pub(crate) fn change_where(
         &mut self,
         matches: impl Fn(&WorkerState) -> bool,
@@ -133,13 +134,14 @@
         self.change_each(&matching, change);
     }
 
-    /// Changes each worker with attempts in flight or answers that are still counted, by address.
+    /// Changes each worker with attempts in flight or answers that are still counted, in the order of
+    /// their addresses.
     pub(crate) fn change_active(&mut self, change: impl FnMut(&mut WorkerState)) {
         let active: Vec<WorkerId> = self.index.active().cloned().collect();
         self.change_each(&active, change);
     }
 
-    /// Changes each worker with replicas, by address.
+    /// Changes each worker with replicas, in the order of their addresses.
     pub(crate) fn change_with_replicas(&mut self, change: impl FnMut(&mut WorkerState)) {
         let with_replicas: Vec<WorkerId> = self.index.with_replicas().cloned().collect();
         self.change_each(&with_replicas, change);
@@ -174,7 +176,7 @@
         }
     }
 
-    /// Forgets which workers held functions that they do not hold any more.
+    /// Removes workers from the holders of functions that they no longer hold.
     pub(crate) fn forget_former_holders(&mut self) {
         let workers = &self.workers;
         self.index.retain_holders(|function, id| {
@@ -197,7 +199,7 @@
         self.index.ready_count()
     }
 
-    /// At most `max` ready workers with their hashes, from this hash on around the ring.
+    /// At most `max` ready workers with their hashes, in ring order, starting at `hash`.
     pub(crate) fn ring_from(
         &self,
         hash: u64,
@@ -210,17 +212,19 @@
             .map(|(hash, worker)| (*hash, worker))
     }
 
-    /// Workers with attempts in flight or answers that are still counted, by address.
+    /// Workers with attempts in flight or answers that are still counted, in the order of their
+    /// addresses.
     pub(crate) fn active(&self) -> impl Iterator<Item = &WorkerState> {
         self.states(self.index.active())
     }
 
-    /// Workers with an attempt or a command that may be a load, by address.
+    /// Workers with an attempt or a load command that may be loading a function, in the order of their
+    /// addresses.
     pub(crate) fn loading(&self) -> impl Iterator<Item = &WorkerState> {
         self.states(self.index.loading())
     }
 
-    /// Workers that may hold replicas of a function, by address.
+    /// Workers that may hold replicas of a function, in the order of their addresses.
     pub(crate) fn holders(&self, function: FunctionId) -> impl Iterator<Item = &WorkerState> {
         self.states(self.index.holders(function))
     }
@@ -230,7 +234,7 @@
         self.index.zone_count()
     }
 
-    /// When a zone last responded; `None` where it has no worker.
+    /// When a zone last responded; `None` if it has no worker.
     pub(crate) fn last_response_in(&self, zone: &str) -> Option<Time> {
         self.index.last_response_in(zone)
     }
@@ -240,7 +244,7 @@
         self.index.busy_zones()
     }
 
-    /// Workers of a zone with attempts in flight, by address.
+    /// Workers of a zone with attempts in flight, in the order of their addresses.
     pub(crate) fn busy_in<'a>(
         &'a self,
         zone: &str,
@@ -248,18 +252,20 @@
         self.states(self.index.busy_in(zone))
     }
 
-    /// How many ready workers started at this time or later; the time must never go back.
+    /// How many ready workers started at the time `time` or later; `time` must never decrease between
+    /// calls.
     pub(crate) fn started_since(&mut self, time: Time) -> usize {
         self.index.started_since(time)
     }
 
-    /// A worker's weight over the mean of the ready ones that have one; 1 where it has none.
+    /// The ratio of a worker's weight to the mean weight of the ready workers that have one; 1 if the
+    /// worker has none.
     pub(crate) fn relative_weight(&self, worker: &WorkerState) -> f64 {
         self.index.relative_weight(worker)
     }
 
-    /// The mean of the requests in flight that ready workers reported, each decayed to one and at
-    /// least one; 0 where none has reported.
+    /// The mean of the requests in flight that ready workers reported; 0 if none has reported. Each
+    /// number decays to one with the age of its report, and is at least one.
     pub(crate) fn mean_reported_in_flight(&self, now: Time) -> f64 {
         self.index.mean_reported_in_flight(now)
     }
--- a/crates/pipithub-policy/src/worker_table/index.rs
+++ b/crates/pipithub-policy/src/worker_table/index.rs
@@ -1,7 +1,7 @@
 //! Sets and sums over all workers, updated with each change of one of them.
 //!
-//! Sums are integers: what was added can be subtracted again without a rounding error, where
-//! sums of floating-point numbers would drift as parts come and go.
+//! Sums are integers: a value that was added can be subtracted again without a rounding error, while
+//! sums of floating-point numbers would drift as values are added and subtracted.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::mem;
@@ -11,14 +11,14 @@
 use crate::statistics::{DecayingPart, DecayingSum};
 use crate::worker::WorkerState;
 
-/// Error rates are summed as integral multiples of one part in this.
+/// The integer that represents an error rate of 1 in sums.
 const ERROR_RATE_UNIT: f64 = (1u64 << 60) as f64;
-/// Weights are summed as integral multiples of one part in this.
+/// The integer that represents a weight of 1 in sums.
 const WEIGHT_UNIT: f64 = (1u64 << 30) as f64;
-/// The largest weight that counts, so that the sum cannot overflow.
+/// The largest weight; larger values count as this one, so that the sum cannot overflow.
 const MAX_WEIGHT: f64 = 1e6;
 
-/// What is known of all workers together. Each worker's part is kept with it as [`IndexedState`].
+/// The sets and sums over all workers. The part of each worker is kept with it as [`IndexedState`].
 #[derive(Debug, Default)]
 pub(super) struct WorkerIndex {
     /// Ready workers by hash.
@@ -26,7 +26,7 @@
     removed: BTreeSet<WorkerId>,
     /// Workers with attempts in flight, or answers that are still counted.
     active: BTreeSet<WorkerId>,
-    /// Workers with an attempt or a command that may be a load.
+    /// Workers with an attempt or a load command that may be loading a function.
     loading: BTreeSet<WorkerId>,
     /// Workers with replicas of any function.
     with_replicas: BTreeSet<WorkerId>,
@@ -34,23 +34,23 @@
     holders: BTreeSet<(FunctionId, WorkerId)>,
     /// Workers with attempts in flight, by zone.
     busy: BTreeMap<String, BTreeSet<WorkerId>>,
-    /// How many last responded at each time, by zone.
+    /// The number of workers whose last response was at each time, by zone.
     last_responses: BTreeMap<String, BTreeMap<Time, usize>>,
-    /// How many ready ones started at each time, those long past left out.
+    /// The number of ready workers that started at each time; times before the last query are dropped.
     started: BTreeMap<Time, usize>,
-    /// Requests in flight beyond one that ready workers reported.
+    /// The sum over the ready workers of the reported requests in flight beyond the first.
     reported_in_flight: DecayingSum,
-    /// How many ready workers have reported.
+    /// The number of ready workers that have reported.
     reporting_workers: usize,
-    /// Weights of the ready workers, in units of [`WEIGHT_UNIT`].
+    /// The sum of the weights of the ready workers; [`WEIGHT_UNIT`] represents 1.
     weights: u128,
-    /// How many ready workers have a weight.
+    /// The number of ready workers that have a weight.
     weighted_workers: usize,
-    /// Error rates of the ready workers for each class, in units of [`ERROR_RATE_UNIT`].
+    /// The sum of the error rates of the ready workers for each class; [`ERROR_RATE_UNIT`] represents 1.
     error_rates: Vec<u128>,
 }
 
-/// What of a worker is counted in the index.
+/// The values of one worker that are included in the index.
 #[derive(Debug, Default)]
 pub(crate) struct IndexedState {
     ring: bool,
@@ -68,7 +68,7 @@
 }
 
 impl WorkerIndex {
-    /// An empty index in which reported requests in flight decay by half in this time.
+    /// Creates an empty index; `half_life` is the half-life of the reported requests in flight.
     pub(super) fn new(half_life: Time) -> Self {
         WorkerIndex {
             reported_in_flight: DecayingSum::new(half_life),
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Brings what is counted of a worker up to date; `known`: it is still in the table.
+    /// Updates the index after a change of a worker; `known` states whether the worker is still in the
+    /// table.
     pub(super) fn update(&mut self, worker: &mut WorkerState, known: bool) {
         worker.replicas.refresh_load_commands();
         let mut indexed = mem::take(worker.indexed_mut());
@@ -168,7 +169,8 @@
         }
     }
 
-    /// Brings the set of busy workers of each zone up to date, and then the worker's zone itself.
+    /// Updates the sets of busy workers by zone, and then the worker's zone. It must run after
+    /// `update_last_response`, which needs the former zone.
     fn update_zone(&mut self, worker: &WorkerState, indexed: &mut IndexedState, known: bool) {
         let zone = known.then_some(worker.endpoint().zone.as_str());
         let is_busy = known && !worker.attempts.is_empty();
@@ -280,7 +282,7 @@
         }
     }
 
-    /// The mean error rate of a class over the ready workers but this one; 0 where there is no
+    /// The mean error rate of a class over the ready workers except this one; 0 if there is no
     /// other.
     pub(super) fn mean_error_rate_without(&self, worker: &WorkerState, class: usize) -> f64 {
         let own = worker.indexed().error_rates.get(class).copied();
@@ -289,19 +291,19 @@
         others / (self.ring.len() - usize::from(worker.indexed().ring)).max(1) as f64
     }
 
-    /// Notes that a worker is about to hold replicas of a function.
+    /// Records that a worker may hold replicas of a function from now on.
     pub(super) fn add_holder(&mut self, function: FunctionId, worker: &WorkerState) {
         self.holders
             .insert((function, worker.endpoint().worker.clone()));
     }
 
-    /// Forgets the holders for which this is false.
+    /// Forgets the holders for which `retain` returns `false`.
     pub(super) fn retain_holders(&mut self, retain: impl Fn(&FunctionId, &WorkerId) -> bool) {
         self.holders
             .retain(|(function, worker)| retain(function, worker));
     }
 
-    /// Workers that may hold replicas of a function, by address.
+    /// Workers that may hold replicas of a function, in the order of their addresses.
     pub(super) fn holders(&self, function: FunctionId) -> impl Iterator<Item = &WorkerId> {
         let first = (function, WorkerId::default());
         self.holders
@@ -310,22 +312,24 @@
             .map(|(_, worker)| worker)
     }
 
-    /// Removed workers, by address.
+    /// Removed workers, in the order of their addresses.
     pub(super) fn removed(&self) -> impl Iterator<Item = &WorkerId> {
         self.removed.iter()
     }
 
-    /// Workers with attempts in flight or answers that are still counted, by address.
+    /// Workers with attempts in flight or answers that are still counted, in the order of their
+    /// addresses.
     pub(super) fn active(&self) -> impl Iterator<Item = &WorkerId> {
         self.active.iter()
     }
 
-    /// Workers with an attempt or a command that may be a load, by address.
+    /// Workers with an attempt or a load command that may be loading a function, in the order of their
+    /// addresses.
     pub(super) fn loading(&self) -> impl Iterator<Item = &WorkerId> {
         self.loading.iter()
     }
 
-    /// Workers with replicas, by address.
+    /// Workers with replicas, in the order of their addresses.
     pub(super) fn with_replicas(&self) -> impl Iterator<Item = &WorkerId> {
         self.with_replicas.iter()
     }
@@ -335,7 +339,7 @@
         self.ring.len()
     }
 
-    /// All ready workers, from this hash on around the ring.
+    /// All ready workers in ring order, starting at `hash`.
     pub(super) fn ring_from(&self, hash: u64) -> impl Iterator<Item = &(u64, WorkerId)> {
         let first = (hash, WorkerId::default());
         self.ring
@@ -348,7 +352,7 @@
         self.last_responses.len()
     }
 
-    /// When a zone last responded; `None` where it has no worker.
+    /// When a zone last responded; `None` if it has no worker.
     pub(super) fn last_response_in(&self, zone: &str) -> Option<Time> {
         let (last, _) = self.last_responses.get(zone)?.last_key_value()?;
         Some(*last)
@@ -359,7 +363,7 @@
         self.busy.keys().map(String::as_str)
     }
 
-    /// Workers of a zone with attempts in flight, by address.
+    /// Workers of a zone with attempts in flight, in the order of their addresses.
     pub(super) fn busy_in<'a>(
         &'a self,
         zone: &str,
@@ -367,13 +371,15 @@
         self.busy.get(zone).into_iter().flatten()
     }
 
-    /// How many ready workers started at this time or later; the time must never go back.
+    /// How many ready workers started at the time `time` or later; `time` must never decrease between
+    /// calls.
     pub(super) fn started_since(&mut self, time: Time) -> usize {
         self.started = self.started.split_off(&time);
         self.started.values().sum()
     }
 
-    /// A worker's weight over the mean of the ready ones that have one; 1 where it has none.
+    /// The ratio of a worker's weight to the mean weight of the ready workers that have one; 1 if the
+    /// worker has none.
     pub(super) fn relative_weight(&self, worker: &WorkerState) -> f64 {
         let weight = weight_units(worker.endpoint()) as f64;
         if weight == 0.0 || self.weights == 0 {
@@ -382,15 +388,16 @@
         weight * self.weighted_workers as f64 / self.weights as f64
     }
 
-    /// The mean of the requests in flight that ready workers reported, each decayed to one and at
-    /// least one; 0 where none has reported.
+    /// The mean of the requests in flight that ready workers reported; 0 if none has reported. Each
+    /// number decays to one with the age of its report, and is at least one.
     pub(super) fn mean_reported_in_flight(&self, now: Time) -> f64 {
         (self.reporting_workers as f64 + self.reported_in_flight.sum(now))
             / self.reporting_workers.max(1) as f64
     }
 }
 
-/// Makes a worker a member of a set or not; `was`: whether it has been one.
+/// Adds a worker to a set or removes it, so that its membership is `is`; `was` is its membership before
+/// and is updated.
 fn set_member(set: &mut BTreeSet<WorkerId>, worker: &WorkerId, was: &mut bool, is: bool) {
     if mem::replace(was, is) == is {
         return;
@@ -402,12 +409,12 @@
     }
 }
 
-/// The weight of an endpoint, in units of [`WEIGHT_UNIT`]; 0 where it has none.
+/// The weight of an endpoint as an integer, where [`WEIGHT_UNIT`] represents 1; 0 if it has none.
 fn weight_units(endpoint: &Endpoint) -> u64 {
     (endpoint.weight.clamp(0.0, MAX_WEIGHT) * WEIGHT_UNIT) as u64
 }
 
-/// Counts one less of this time.
+/// Decrements the count of a time.
 fn decrement(times: &mut BTreeMap<Time, usize>, time: Time) {
     if let Some(count) = times.get_mut(&time) {
         *count -= 1;
--- a/crates/pipithub-policy/src/worker_table/tests.rs
+++ b/crates/pipithub-policy/src/worker_table/tests.rs
@@ -1,4 +1,4 @@
-//! What the table keeps up to date is what a scan of all workers finds.
+//! Compares the sets and sums of the table with a scan of all workers.
 
 mod model;
 
@@ -27,12 +27,12 @@
     worker.endpoint.state == EndpointState::Ready
 }
 
-/// The table, and all workers in a naive form beside it.
+/// The table, and the same workers in a naive model.
 struct Comparison {
     table: WorkerTable,
     model: BTreeMap<WorkerId, NaiveWorker>,
     now: Time,
-    /// The latest moment that was asked about: it never goes back.
+    /// The last time passed to [`WorkerTable::started_since`], which must never decrease.
     since: Time,
 }
 
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The worker is listed with a later start time.
+    /// Updates the worker's endpoint with a later start time.
     fn restart(&mut self, worker: u8) {
         self.change(worker, |worker, naive| {
             let restarted = Endpoint {
@@ -156,7 +156,7 @@
         });
     }
 
-    /// Some errors in a row at a worker, each by a function of its own, and one answer.
+    /// Records one answer at a worker and then consecutive errors, each of another function.
     fn record_errors(&mut self, worker: u8, class: usize, errors: u8) {
         let now = self.now;
         let flags = LoadFlags {
@@ -201,7 +201,11 @@
             self.table.get_mut(&name(worker)),
             self.model.get_mut(&name(worker)),
         );
-        assert_eq!(worker.is_some(), naive.is_some(), "known to one alone");
+        assert_eq!(
+            worker.is_some(),
+            naive.is_some(),
+            "the worker is known to only one of table and model"
+        );
         if let Some((mut worker, naive)) = worker.zip(naive) {
             change(&mut worker, naive);
         }
@@ -288,7 +292,7 @@
         let mean = sum / known().count().max(1) as f64;
         assert!(
             (self.table.mean_reported_in_flight(self.now) - mean).abs() < 1e-9,
-            "{} {mean}",
+            "mean of reported requests in flight: table {}, model {mean}",
             self.table.mean_reported_in_flight(self.now)
         );
     }
@@ -307,7 +311,10 @@
                 .table
                 .get_mut(worker)
                 .map_or(-1.0, |n| n.mean_error_rate_of_others(class));
-            assert!((indexed - mean).abs() < 1e-12, "{indexed} {mean}");
+            assert!(
+                (indexed - mean).abs() < 1e-12,
+                "mean error rate of the others: table {indexed}, model {mean}"
+            );
         }
     }
 }
--- a/crates/pipithub-policy/src/worker_table/tests/model.rs
+++ b/crates/pipithub-policy/src/worker_table/tests/model.rs
@@ -1,4 +1,4 @@
-//! The naive form of the workers, and the random steps that change it beside the table.
+//! The naive model of the workers, and the random steps that change the model and the table.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 /// The weight of a new sample in an error rate.
 pub(super) const ERROR_RATE_GAIN: f64 = 0.15;
 
-/// Why an attempt may be waiting for a load.
+/// The reasons why an attempt may be loading a function.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LoadFlags {
     pub(super) cold_start: bool,
@@ -28,29 +28,30 @@
     }
 }
 
-/// A load report as the naive form remembers it; `received_at` 0: none came.
+/// A load report in the naive model; `received_at` is 0 if there was none.
 #[derive(Debug, Default)]
 pub(super) struct NaiveReport {
     pub(super) received_at: Time,
     pub(super) in_flight: f64,
 }
 
-/// A worker as the naive form remembers it.
+/// A worker in the naive model.
 #[derive(Debug, Default)]
 pub(super) struct NaiveWorker {
     pub(super) endpoint: Endpoint,
     pub(super) in_flight: Vec<LoadFlags>,
     pub(super) answers: usize,
+    /// The functions with replicas, and whether a load command for each is in progress.
     pub(super) replicas: BTreeMap<FunctionId, bool>,
     pub(super) load_report: NaiveReport,
     pub(super) last_response_at: Time,
     pub(super) error_rates: [f64; CLASSES],
-    /// Errors so far, to give each a function of its own.
+    /// The number of errors so far, which gives each error another function.
     pub(super) errors: u32,
 }
 
 impl NaiveWorker {
-    /// Takes over an entry; a restarted worker has lost its replicas and its history.
+    /// Applies an entry of the endpoint list; a restarted worker loses its replicas and error rates.
     pub(super) fn update_endpoint(&mut self, endpoint: Endpoint) {
         if self.endpoint.started_at != endpoint.started_at {
             self.replicas.clear();
@@ -60,6 +61,7 @@
     }
 }
 
+/// A random change of the workers or of the time.
 #[derive(Clone, Debug)]
 pub(super) enum Step {
     UpdateEndpoint {
@@ -153,7 +155,7 @@
     WorkerId::new(&format!("10.0.0.{worker}:80"))
 }
 
-/// An attempt that may be waiting for a load or not.
+/// An attempt with the given reasons to be loading a function.
 pub(super) fn attempt(flags: LoadFlags) -> Attempt {
     Attempt {
         id: AttemptId {
@@ -182,7 +184,7 @@
     }
 }
 
-/// The end of the oldest attempt at a worker: all of them have the same id.
+/// The end of the oldest attempt at a worker. All attempts have the same id, so the first one matches.
 pub(super) fn oldest_attempt_ended(worker: u8) -> AttemptFinished {
     AttemptFinished {
         request: RequestId(1),
--- a/crates/pipithub-policy/src/zone_ejection.rs
+++ b/crates/pipithub-policy/src/zone_ejection.rs
@@ -1,6 +1,7 @@
-//! Ejection of zones: a zone from which no response comes any more is left alone for a while.
+//! Ejection of zones: a zone that no longer responds gets no attempts for a while.
 //!
-//! It comes back as a worker does, after an ejection time that doubles, with one attempt at a time.
+//! As with a worker, the ejection time doubles with each ejection, and after it the zone is probed with
+//! one attempt at a time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,7 +18,7 @@
 }
 
 impl ZoneEjection {
-    /// Ejects the zones from which nothing comes any more, and adds the attempts that wait there.
+    /// Ejects the zones that no longer respond, and adds the attempts that wait there to `stalled`.
     pub(crate) fn detect_silent_zones(
         &mut self,
         workers: &WorkerTable,
@@ -28,8 +29,8 @@
         let zone_count = workers.zone_count();
         for zone in workers.busy_zones() {
             let ejection = self.silent.get(zone);
-            // Where all zones are silent the fault is not the zone's, and the last one cannot be
-            // left alone.
+            // If all zones are silent, the fault does not lie in one of them, and the last zone must
+            // stay in use.
             if self.silent.len() - usize::from(ejection.is_some()) + 1 >= zone_count {
                 continue;
             }
@@ -45,7 +46,8 @@
         }
     }
 
-    /// Forgets the silent zones that have responded since, or where no other zone is left.
+    /// Readmits the silent zones that have responded since their ejection, and all zones if there is
+    /// only one.
     fn readmit_zones(&mut self, workers: &WorkerTable) {
         let has_others = workers.zone_count() > 1;
         self.silent.retain(|zone, ejection| {
@@ -56,7 +58,7 @@
         });
     }
 
-    /// Ejects a silent zone again if an attempt that probed it brought no response either.
+    /// Ejects a silent zone again if an attempt that probed it got no response either.
     pub(crate) fn record_probe(&mut self, zone: &str, outcome: Outcome, sent_at: Time, now: Time) {
         let Some(ejection) = self.silent.get_mut(zone) else {
             return;
@@ -71,7 +73,7 @@
     }
 
     /// The zones that get no attempt now. Once its ejection time is over, a zone is probed by one
-    /// attempt at a time; when that has ended, in whatever way, the next one may be sent.
+    /// attempt at a time: the next one may be sent when the previous one has ended, with any outcome.
     pub(crate) fn closed_zones(&self, workers: &WorkerTable, now: Time) -> BTreeSet<&str> {
         let is_probed = |zone: &str, ejection: &Ejection| {
             workers
@@ -88,7 +90,7 @@
 }
 
 fn is_silent(zone: &str, ejection: Option<&Ejection>, workers: &WorkerTable, now: Time) -> bool {
-    // What was in flight when the zone was ejected is no sign of a further fault.
+    // Attempts that were in flight when the zone was ejected are no evidence of a further fault.
     let since = workers
         .last_response_in(zone)
         .max(ejection.map(Ejection::since))
