--- a/crates/pipithub-adapter/src/error.rs
+++ b/crates/pipithub-adapter/src/error.rs
@@ -1,13 +1,13 @@
-//! Why the adapter gives up.
+//! The errors of the adapter.
 
 use std::io;
 
 use pipithub_platform::settings::SettingsError;
 
-/// Why the adapter gives up; standard error gets this text.
+/// An error that ends the adapter; its text is written to standard error.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum AdapterError {
-    /// A line of the input cannot be used.
+    /// A line of the input cannot be read or is invalid.
     #[error("line {number}: {error}")]
     Line {
         /// The number of the line, from 1.
@@ -18,7 +18,7 @@
     Write(io::Error),
 }
 
-/// Why a line of the input cannot be used.
+/// Why a line of the input cannot be read or is invalid.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum LineError {
     #[error(transparent)]
@@ -26,7 +26,7 @@
     /// The input ends inside a batch or a list.
     #[error("input ends inside {unit}")]
     UnexpectedEnd { unit: &'static str },
-    /// Another message must stand here.
+    /// Another message is required at this place.
     #[error("expected '{expected}', found '{found}'")]
     UnexpectedMessage {
         expected: &'static str,
@@ -34,30 +34,30 @@
     },
     #[error("unknown message")]
     UnknownMessage,
-    /// A message for a front end that was never attached, or was killed.
+    /// The message is for a front end that was never attached, or was killed.
     #[error("'{message}' for front end {front_end}, which is not attached")]
     NotAttached { message: String, front_end: u64 },
     #[error("{field} is missing")]
     MissingField { field: &'static str },
-    /// A field is no number, or a malformed one.
+    /// A field cannot be parsed.
     #[error("{field}: cannot read '{text}'")]
     UnreadableField { field: &'static str, text: String },
-    /// A field holds a word without a meaning there.
+    /// A field holds a word that is not defined for it.
     #[error("{field}: unknown '{word}'")]
     UnknownWord { field: &'static str, word: String },
-    /// A fault inside a message whose name is known.
+    /// An error in a message whose name is known.
     #[error("{message}: {error}")]
     InMessage {
         message: String,
         error: Box<LineError>,
     },
-    /// The settings of a front end that is attached cannot be used.
+    /// The settings of a front end to attach are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
 impl LineError {
-    /// A field that cannot be read.
+    /// Creates the error for a field that cannot be parsed.
     pub(crate) fn unreadable(field: &'static str, text: &str) -> Self {
         LineError::UnreadableField {
             field,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// A word without a meaning in its field.
+    /// Creates the error for a word that is not defined for its field.
     pub(crate) fn unknown_word(field: &'static str, word: &str) -> Self {
         LineError::UnknownWord {
             field,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// This fault, as one inside a message.
+    /// Wraps this error with the name of the message that contains it.
     pub(crate) fn in_message(self, message: &str) -> Self {
         LineError::InMessage {
             message: message.to_string(),
--- a/crates/pipithub-adapter/src/main.rs
+++ b/crates/pipithub-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Speaks the line protocol of the front ends on standard input and output, and passes every event
-//! to the decision module. It only translates.
+//! Translates between the line protocol of the front ends on standard input and output and the
+//! decision module, which gets every event.
 
 mod error;
 mod wire;
@@ -14,10 +14,10 @@
 use pipithub_policy::api::{Action, Endpoint, Event, Time};
 use wire::Input;
 
-/// The size of the input's buffer, in bytes.
+/// The size of the input buffer, in bytes.
 const INPUT_BUFFER: usize = 1 << 16;
 
-/// An attached front end, with the names that its lines use.
+/// An attached front end, and the names that its lines use.
 struct AttachedFrontEnd {
     front_end: FrontEnd,
     names: Names,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Reads batches until the input ends; every error names the line that it stands on.
+/// Answers batches until the input ends; every error in the input states the number of its line.
 fn run(input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut session = Session::new(input);
     while session.lines.next()? {
@@ -54,7 +54,7 @@
     Ok(())
 }
 
-/// The attached front ends, and the input with their events.
+/// The attached front ends, and the input that holds their events.
 struct Session<R: BufRead> {
     lines: Lines<R>,
     front_ends: BTreeMap<u64, AttachedFrontEnd>,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Handles the batch whose first line was read, and returns the reply to it.
+    /// Handles the batch whose first line has been read, and returns the reply.
     fn answer_batch(&mut self) -> Result<&str, AdapterError> {
         let now = wire::parse_clock(&self.lines.text).map_err(|e| self.lines.at(e))?;
         self.reply.clear();
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Starts a front end.
+    /// Creates a front end; it replaces an attached one with the same id.
     fn attach(&mut self, id: u64) -> Result<(), AdapterError> {
         let (seed, text) = wire::parse_attach(&self.lines.text).map_err(|e| self.lines.at(e))?;
         let site_settings = settings::parse(text).map_err(|e| self.lines.at(e.into()))?;
@@ -141,7 +141,7 @@
     }
 }
 
-/// Reads the entry lines of a list.
+/// Reads the entry lines of an endpoint list.
 fn read_endpoints<R: BufRead>(
     lines: &mut Lines<R>,
     count: usize,
@@ -155,15 +155,17 @@
     Ok(endpoints)
 }
 
-/// Input lines with their numbers.
+/// Reads the input line by line and counts the lines.
 struct Lines<R: BufRead> {
     input: R,
+    /// The number of the current line, from 1; 0 before the first line.
     number: u64,
+    /// The current line without its end.
     text: String,
 }
 
 impl<R: BufRead> Lines<R> {
-    /// Reads the next line into `text`; `false` where the input ends.
+    /// Reads the next line into `text`; returns `false` if the input has ended.
     fn next(&mut self) -> Result<bool, AdapterError> {
         self.text.clear();
         self.number += 1;
@@ -176,7 +178,7 @@
         Ok(read > 0)
     }
 
-    /// Reads the next line of something that the input must not end inside of.
+    /// Reads the next line; the end of the input is an error, as it lies inside a `unit`.
     fn next_inside(&mut self, unit: &'static str) -> Result<(), AdapterError> {
         if self.next()? {
             Ok(())
@@ -185,7 +187,7 @@
         }
     }
 
-    /// An error on the present line.
+    /// Adds the number of the current line to an error.
     fn at(&self, error: LineError) -> AdapterError {
         AdapterError::Line {
             number: self.number,
--- a/crates/pipithub-adapter/src/wire.rs
+++ b/crates/pipithub-adapter/src/wire.rs
@@ -1,4 +1,4 @@
-//! Conversion between lines of the protocol and the types of the decision module.
+//! Conversion between the lines of the protocol and the types of the decision module.
 
 use std::fmt::Write;
 use std::str::FromStr;
@@ -13,21 +13,22 @@
 
 /// Nanoseconds in a millisecond.
 const NANOS_PER_MS: f64 = 1e6;
-/// The detail of an answer is the concurrency of its function times this, plus the replica's status.
+/// The field `Detail` of an answer is the concurrency of the function times this number, plus the
+/// number of the replica's status.
 const DETAIL_STATUSES: u32 = 8;
 
-/// What one line holds.
+/// The content of one event line.
 pub(crate) enum Input {
-    /// An event that this line holds completely.
+    /// A complete event.
     Event(Event),
-    /// The head of a list, with the number of entry lines that follow.
+    /// The head of an endpoint list, with the number of entry lines that follow.
     List {
         update: EndpointUpdate,
         count: usize,
     },
 }
 
-/// The fields of a line that are not read yet.
+/// The fields of a line that have not been read yet.
 struct Fields<'a> {
     rest: std::str::Split<'a, char>,
 }
@@ -46,7 +47,7 @@
             .ok_or(LineError::MissingField { field })
     }
 
-    /// A value that may be absent: `-`, or no part at all.
+    /// Reads a value that may be absent; `None` if the field is `-` or missing.
     fn optional<T: FromStr>(&mut self, field: &'static str) -> Result<Option<T>, LineError> {
         match self.rest.next() {
             None | Some("-") => Ok(None),
@@ -122,7 +123,7 @@
     }
 }
 
-/// Reads the line that begins a batch.
+/// Reads the line that begins a batch, and returns the time of the batch.
 pub(crate) fn parse_clock(line: &str) -> Result<Time, LineError> {
     let mut fields = Fields::of(line);
     match fields.text("message")? {
@@ -134,7 +135,7 @@
     }
 }
 
-/// The front end that a line is for, and the name of its message.
+/// Reads the id of the front end that a line is for, and the name of the line's message.
 pub(crate) fn parse_recipient(line: &str) -> Result<(u64, &str), LineError> {
     let mut fields = Fields::of(line);
     let name = fields.text("message")?;
@@ -146,7 +147,7 @@
     ))
 }
 
-/// Seed and settings text of an `attach`.
+/// Reads the seed and the settings text of an `attach` line.
 pub(crate) fn parse_attach(line: &str) -> Result<(u64, &str), LineError> {
     let mut parts = line.splitn(4, ' ').skip(2);
     let mut fields = || {
@@ -160,7 +161,7 @@
     fields().map_err(|e: LineError| e.in_message("attach"))
 }
 
-/// Reads any other event line.
+/// Reads an event line, other than `attach` and `killed`.
 pub(crate) fn parse_event(line: &str, names: &Names) -> Result<Input, LineError> {
     let name = line.split(' ').next().unwrap_or_default();
     parse(line, names).map_err(|e| e.in_message(name))
@@ -194,7 +195,7 @@
     Ok(Input::Event(event))
 }
 
-/// Complete messages, from the part after the front end's id on.
+/// Readers of complete messages, starting at the field after the front end's id.
 impl Fields<'_> {
     fn endpoint_list(&mut self) -> Result<Input, LineError> {
         self.optional::<u64>("Revision")?;
@@ -279,7 +280,7 @@
     }
 }
 
-/// The status of the replica, as the detail of an answer encodes it; `None` where it does not.
+/// The status of the replica that the field `Detail` of an answer encodes; `None` if it encodes none.
 fn replica_status(detail: u32) -> Option<ReplicaStatus> {
     match detail % DETAIL_STATUSES {
         1 => Some(ReplicaStatus::Warm),
@@ -290,7 +291,7 @@
     }
 }
 
-/// Reads one line of a list.
+/// Reads one entry line of an endpoint list.
 pub(crate) fn parse_entry(line: &str, names: &Names) -> Result<Endpoint, LineError> {
     let mut fields = Fields::of(line);
     if fields.text("message")? != "entry" {
@@ -376,7 +377,8 @@
         Action::EvictFunction { worker, function } => {
             writeln!(reply, "shelve {end} {:016x} {}", function.0, worker.0)
         }
-        // The simulator's list has no signs of life, so its lease never ends and no health check is sent.
+        // The simulator's endpoint list has no heartbeats, so its lease never ends and no health check
+        // is sent.
         Action::PollLoad { worker } | Action::CheckHealth { worker } => {
             writeln!(reply, "touch {end} {}", worker.0)
         }
--- a/crates/pipithub-adapter/tests/adapter.rs
+++ b/crates/pipithub-adapter/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter, driven through pipes.
+//! Tests of the adapter as a child process that is connected by pipes.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -15,12 +15,14 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
-    let mut stdin = child.stdin.take().expect("a pipe");
-    // A broken pipe is what an adapter that has given up leaves behind.
+        .expect("failed to start the adapter");
+    let mut stdin = child.stdin.take().expect("standard input is not a pipe");
+    // The write fails with a broken pipe if the adapter has exited because of an error in the input.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
-    child.wait_with_output().expect("the adapter ends")
+    child
+        .wait_with_output()
+        .expect("failed to wait for the adapter")
 }
 
 fn start() -> String {
--- a/crates/pipithub-adapter/tests/driver/mod.rs
+++ b/crates/pipithub-adapter/tests/driver/mod.rs
@@ -13,14 +13,14 @@
 }
 
 impl Adapter {
-    /// Starts one.
+    /// Starts the adapter.
     pub(crate) fn start() -> Self {
         let mut child = Command::new(env!("CARGO_BIN_EXE_pipithub-adapter"))
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .spawn()
-            .expect("the adapter starts");
-        let output = BufReader::new(child.stdout.take().expect("its output is a pipe"));
+            .expect("failed to start the adapter");
+        let output = BufReader::new(child.stdout.take().expect("standard output is not a pipe"));
         Adapter {
             input: child.stdin.take(),
             child,
@@ -28,28 +28,28 @@
         }
     }
 
-    /// Ends its input and waits for a clean end.
+    /// Closes the adapter's input, and checks that the adapter exits successfully.
     pub(crate) fn finish(mut self) {
         drop(self.input.take());
-        let status = self.child.wait().expect("the adapter ends");
-        assert!(status.success(), "{status}");
+        let status = self.child.wait().expect("failed to wait for the adapter");
+        assert!(status.success(), "adapter failed: {status}");
     }
 }
 
 impl LineProtocol for Adapter {
     fn exchange(&mut self, batch: &str) -> String {
-        let input = self.input.as_mut().expect("the input is open");
+        let input = self.input.as_mut().expect("the adapter's input is closed");
         input
             .write_all(batch.as_bytes())
             .and_then(|()| input.flush())
-            .expect("the adapter reads");
+            .expect("failed to write to the adapter");
         let mut reply = String::new();
         while !reply.ends_with("end\n") {
             let read = self
                 .output
                 .read_line(&mut reply)
-                .expect("the adapter writes text");
-            assert!(read > 0, "the adapter ended within a reply");
+                .expect("failed to read from the adapter");
+            assert!(read > 0, "the adapter's output ended inside a reply");
         }
         reply
     }
--- a/crates/pipithub-adapter/tests/recorded.rs
+++ b/crates/pipithub-adapter/tests/recorded.rs
@@ -1,4 +1,4 @@
-//! The adapter's answers to seeded scenarios, compared with those that are recorded.
+//! Compares the adapter's answers to seeded scenarios with the recorded answers.
 
 mod driver;
 
@@ -8,9 +8,9 @@
 use pipithub_characterization::adapter_scenario::{self, KINDS};
 use pipithub_characterization::recording::{Transcript, check_scenarios, run_scenarios};
 
-/// How many scenarios are run.
+/// The number of scenarios.
 const SCENARIOS: u64 = 120;
-/// How many adapters run at a time.
+/// The number of adapters that run at a time.
 const THREADS: u64 = 4;
 
 fn scenario(seed: u64) -> Transcript {
