--- a/crates/pipithub-policy/src/service_lease.rs
+++ b/crates/pipithub-policy/src/service_lease.rs
@@ -160,8 +160,9 @@
         lease: Time,
         now: Time,
     ) {
-        // `sent_at` may differ a little from the recorded time. A previous check was sent at least its
-        // timeout earlier, so half the timeout tells the two apart.
+        // `sent_at` may differ a little from the recorded time, as the sender reads its clock at another
+        // moment. A previous check was sent at least its timeout earlier, so half the timeout
+        // distinguishes the two.
         let is_awaited = |check: &Check| check.sent_at < sent_at + CHECK_TIMEOUT / 2;
         let finished = self.check.filter(is_awaited);
         if finished.is_some() {
