--- a/crates/pipithub-adapter/src/main.rs
+++ b/crates/pipithub-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Speaks the line protocol of the front ends on standard input and output, and passes every event
-//! to the decision module. It only translates.
+//! Translates between the line protocol of the front ends on standard input and output and the
+//! decision module, which gets every event.
 
 mod error;
 mod wire;
@@ -14,11 +14,11 @@
 use pipithub_policy::api::{Action, Endpoint, Event, Time};
 use wire::Input;
 
-/// The size of the input's buffer, in bytes.
+/// The size of the input buffer, in bytes.
 const INPUT_BUFFER: usize = 1 << 16;
 
-/// An attached front end, with the names that its lines use.
-struct Hosted {
+/// An attached front end, and the names that its lines use.
+struct AttachedFrontEnd {
     front_end: FrontEnd,
     names: Names,
 }
@@ -38,7 +38,7 @@
     }
 }
 
-/// Reads batches until the input ends; every error names the line that it stands on.
+/// Answers batches until the input ends; every error in the input states the number of its line.
 fn run(input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut session = Session::new(input);
     while session.lines.next()? {
@@ -54,10 +54,10 @@
     Ok(())
 }
 
-/// The attached front ends, and the input with their events.
+/// The attached front ends, and the input that holds their events.
 struct Session<R: BufRead> {
     lines: Lines<R>,
-    hosted: BTreeMap<u64, Hosted>,
+    front_ends: BTreeMap<u64, AttachedFrontEnd>,
     actions: Vec<Action>,
     reply: String,
 }
@@ -70,18 +70,18 @@
                 number: 0,
                 text: String::new(),
             },
-            hosted: BTreeMap::new(),
+            front_ends: BTreeMap::new(),
             actions: Vec::new(),
             reply: String::new(),
         }
     }
 
-    /// Handles the batch whose first line was read, and returns the reply to it.
+    /// Handles the batch whose first line has been read, and returns the reply.
     fn answer_batch(&mut self) -> Result<&str, AdapterError> {
-        let now = wire::clock(&self.lines.text).map_err(|e| self.lines.at(e))?;
+        let now = wire::parse_clock(&self.lines.text).map_err(|e| self.lines.at(e))?;
         self.reply.clear();
         loop {
-            self.lines.next_of("a batch")?;
+            self.lines.next_inside("a batch")?;
             if self.lines.text == "end" {
                 break;
             }
@@ -92,55 +92,56 @@
     }
 
     fn handle_line(&mut self, now: Time) -> Result<(), AdapterError> {
-        let (id, name) = wire::addressee(&self.lines.text).map_err(|e| self.lines.at(e))?;
+        let (id, name) = wire::parse_recipient(&self.lines.text).map_err(|e| self.lines.at(e))?;
         match name {
             "attach" => self.attach(id),
             "killed" => {
-                self.hosted.remove(&id);
+                self.front_ends.remove(&id);
                 Ok(())
             }
             _ => self.handle_event(now, id),
         }
     }
 
-    /// Starts a front end.
+    /// Creates a front end; it replaces an attached one with the same id.
     fn attach(&mut self, id: u64) -> Result<(), AdapterError> {
-        let (seed, text) = wire::attach(&self.lines.text).map_err(|e| self.lines.at(e))?;
-        let site = settings::parse(text).map_err(|e| self.lines.at(e.into()))?;
-        let hosted = Hosted {
-            front_end: FrontEnd::new(site.policy, seed),
-            names: site.names,
+        let (seed, text) = wire::parse_attach(&self.lines.text).map_err(|e| self.lines.at(e))?;
+        let site_settings = settings::parse(text).map_err(|e| self.lines.at(e.into()))?;
+        let attached = AttachedFrontEnd {
+            front_end: FrontEnd::new(site_settings.policy, seed),
+            names: site_settings.names,
         };
-        self.hosted.insert(id, hosted);
+        self.front_ends.insert(id, attached);
         Ok(())
     }
 
     /// Passes an event to the front end that it is for, and appends its actions to the reply.
     fn handle_event(&mut self, now: Time, id: u64) -> Result<(), AdapterError> {
-        let Some(hosted) = self.hosted.get_mut(&id) else {
+        let Some(attached) = self.front_ends.get_mut(&id) else {
             let message = self.lines.text.split(' ').next().unwrap_or_default();
             return Err(self.lines.at(LineError::NotAttached {
                 message: message.to_string(),
                 front_end: id,
             }));
         };
-        let input = wire::event(&self.lines.text, &hosted.names).map_err(|e| self.lines.at(e))?;
+        let input =
+            wire::parse_event(&self.lines.text, &attached.names).map_err(|e| self.lines.at(e))?;
         let event = match input {
             Input::Event(event) => event,
             Input::List { update, count } => Event::Endpoints {
                 update,
-                endpoints: read_endpoints(&mut self.lines, count, &hosted.names)?,
+                endpoints: read_endpoints(&mut self.lines, count, &attached.names)?,
             },
         };
-        hosted.front_end.handle(now, event, &mut self.actions);
+        attached.front_end.handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
-            wire::write(&mut self.reply, id, &action);
+            wire::write_action(&mut self.reply, id, &action);
         }
         Ok(())
     }
 }
 
-/// Reads the entry lines of a list.
+/// Reads the entry lines of an endpoint list.
 fn read_endpoints<R: BufRead>(
     lines: &mut Lines<R>,
     count: usize,
@@ -148,21 +149,23 @@
 ) -> Result<Vec<Endpoint>, AdapterError> {
     let mut endpoints = Vec::new();
     for _ in 0..count {
-        lines.next_of("a list")?;
-        endpoints.push(wire::entry(&lines.text, names).map_err(|e| lines.at(e))?);
+        lines.next_inside("a list")?;
+        endpoints.push(wire::parse_entry(&lines.text, names).map_err(|e| lines.at(e))?);
     }
     Ok(endpoints)
 }
 
-/// Input lines with their numbers.
+/// Reads the input line by line and counts the lines.
 struct Lines<R: BufRead> {
     input: R,
+    /// The number of the current line, from 1; 0 before the first line.
     number: u64,
+    /// The current line without its end.
     text: String,
 }
 
 impl<R: BufRead> Lines<R> {
-    /// Reads the next line into `text`; `false` where the input ends.
+    /// Reads the next line into `text`; returns `false` if the input has ended.
     fn next(&mut self) -> Result<bool, AdapterError> {
         self.text.clear();
         self.number += 1;
@@ -175,8 +178,8 @@
         Ok(read > 0)
     }
 
-    /// Reads the next line of something that the input must not end inside of.
-    fn next_of(&mut self, unit: &'static str) -> Result<(), AdapterError> {
+    /// Reads the next line; the end of the input is an error, as it lies inside a `unit`.
+    fn next_inside(&mut self, unit: &'static str) -> Result<(), AdapterError> {
         if self.next()? {
             Ok(())
         } else {
@@ -184,7 +187,7 @@
         }
     }
 
-    /// An error on the present line.
+    /// Adds the number of the current line to an error.
     fn at(&self, error: LineError) -> AdapterError {
         AdapterError::Line {
             number: self.number,
--- a/crates/pipithub-policy/src/front_end/endpoints.rs
+++ b/crates/pipithub-policy/src/front_end/endpoints.rs
@@ -1,6 +1,6 @@
 //! Updates of the endpoint list: which workers there are, and in which state.
 //!
-//! A snapshot removes the workers that it does not name; a list that failed to come changes nothing.
+//! A snapshot removes the workers that it does not name; if no list was received, nothing changes.
 
 use std::collections::BTreeSet;
 
@@ -8,9 +8,9 @@
 use crate::api::{Action, Endpoint, EndpointUpdate, WorkerId};
 use crate::time::MAX_TIME;
 
-/// Needs the settings and the workers.
+/// Uses the settings, the workers and the lease of the endpoint list.
 impl FrontEnd {
-    /// Takes in an update of the endpoint list.
+    /// Applies an update of the endpoint list.
     pub(super) fn update_endpoints(
         &mut self,
         update: EndpointUpdate,
@@ -31,7 +31,7 @@
         self.workers.forget_removed();
     }
 
-    /// Asks for further updates, where they must be asked for.
+    /// Requests further updates, if the settings say that they must be requested.
     pub(super) fn watch_endpoints(&self, actions: &mut Vec<Action>) {
         if self.settings.watch_on_request {
             actions.push(Action::WatchEndpoints);
@@ -40,7 +40,7 @@
 
     fn remove_all_but(&mut self, endpoints: &[Endpoint]) {
         let named: BTreeSet<&WorkerId> = endpoints.iter().map(|e| &e.worker).collect();
-        let bounds = self.close_bounds();
+        let bounds = self.write_bounds();
         self.workers.change_where(
             |worker| !named.contains(&worker.endpoint().worker),
             |worker| worker.mark_removed(bounds),
@@ -49,7 +49,7 @@
 
     fn update_endpoint(&mut self, mut endpoint: Endpoint) {
         let classes = self.settings.classes.len();
-        let bounds = self.close_bounds();
+        let bounds = self.write_bounds();
         endpoint.started_at = endpoint.started_at.map(|time| time.min(MAX_TIME));
         self.workers
             .get_or_add(&endpoint, classes)
