--- a/crates/pipithub-policy/tests/common/mod.rs
+++ b/crates/pipithub-policy/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! A front end under test with a clock that the test advances, and the settings that most tests use.
-#![allow(dead_code, reason = "each test uses a part of it")]
+#![allow(dead_code, reason = "each test binary uses only some of these items")]
 
 use std::collections::BTreeSet;
 
@@ -14,12 +14,12 @@
 pub(crate) const MS: u64 = 1_000_000;
 /// The workers of a small deployment.
 pub(crate) const THREE_WORKERS: [&str; 3] = ["w1", "w2", "w3"];
-/// Requests after which the preferred worker of a function is known to have it loaded.
+/// Requests after which the front end knows that the preferred worker of a function has it loaded.
 const REQUESTS_TO_WARM_UP: usize = 12;
 /// Time between two requests of [`FrontEndHarness::run_requests`].
 const REQUEST_GAP: Time = 50 * MS;
 
-/// Settings with one class of this idempotency; load commands are allowed.
+/// Settings with one class, which has this idempotency; load commands are allowed.
 pub(crate) fn settings(idempotency: Idempotency) -> Settings {
     Settings {
         front_ends: 1,
@@ -72,7 +72,7 @@
     }
 }
 
-/// A timer that was asked for, in the order of expiry.
+/// A timer that the front end has set; timers are ordered by the time of their expiry.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Timer {
     due: Time,
@@ -85,29 +85,30 @@
     pub action: Action,
 }
 
-/// An attempt without an answer so far.
+/// An attempt that has not been answered yet.
 struct OpenAttempt {
     request: RequestId,
     number: u32,
     worker: WorkerId,
 }
 
-/// The actions that may contain the next attempt of a request.
+/// The actions after an event of a request, which may contain its next attempt.
 struct Reaction {
     request: RequestId,
     next_attempt: u32,
     actions: Vec<Action>,
 }
 
-/// What came of a row of requests.
+/// The results of [`FrontEndHarness::run_requests`].
 pub(crate) struct Traffic {
+    /// The number of requests that were served.
     pub served: usize,
-    /// The worker of each attempt.
+    /// The worker of each attempt, in the order of the attempts.
     pub workers: Vec<WorkerId>,
 }
 
 impl Traffic {
-    /// Attempts at this worker.
+    /// The number of attempts at this worker.
     pub(crate) fn attempts_at(&self, worker: &WorkerId) -> usize {
         self.workers.iter().filter(|at| *at == worker).count()
     }
@@ -143,7 +144,7 @@
         front_end
     }
 
-    /// Handles one event: the actions that come of it.
+    /// Has the front end handle one event, and returns its actions.
     pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.module.handle(self.now, event, &mut actions);
@@ -169,7 +170,7 @@
         })
     }
 
-    /// Has a request arrive; its function has a concurrency of four and loads in 500 ms.
+    /// Has a request arrive. A replica of its function runs four requests at a time and loads in 500 ms.
     pub(crate) fn request(&mut self, function: u64) -> (RequestId, Vec<Action>) {
         self.request_with(Request {
             function: FunctionId(function),
@@ -189,7 +190,7 @@
         (id, actions)
     }
 
-    /// Ends an attempt after 50 ms; a loaded replica served it, if one did.
+    /// Ends an attempt that took 50 ms. If it was served, its answer reports that the replica was loaded before.
     pub(crate) fn finish_attempt(
         &mut self,
         request: RequestId,
@@ -200,7 +201,7 @@
         self.finish_attempt_after(request, number, worker, outcome, 50 * MS)
     }
 
-    /// Ends an attempt after this time; a loaded replica served it, if one did.
+    /// Ends an attempt that took this time. If it was served, its answer reports that the replica was loaded before.
     pub(crate) fn finish_attempt_after(
         &mut self,
         request: RequestId,
@@ -213,7 +214,7 @@
         self.finish_attempt_with(request, number, worker, outcome, elapsed, status)
     }
 
-    /// Ends an attempt whose answer tells this of the replica.
+    /// Ends an attempt whose answer reports this status of the replica; `None`: it reports none.
     pub(crate) fn finish_attempt_with(
         &mut self,
         request: RequestId,
@@ -236,7 +237,7 @@
         }))
     }
 
-    /// Lets time pass, with every timer that expires.
+    /// Advances the clock by this time, handles each timer that expires meanwhile, and returns all actions.
     pub(crate) fn advance(&mut self, time: Time) -> Vec<Action> {
         let until = self.now + time;
         let mut all = Vec::new();
@@ -249,7 +250,8 @@
         all
     }
 
-    /// Ends every load command among these actions.
+    /// Ends every load command among these actions with this outcome and number of loaded replicas, and returns the
+    /// actions that follow.
     pub(crate) fn finish_load_commands(
         &mut self,
         actions: &[Action],
@@ -274,7 +276,8 @@
         all
     }
 
-    /// Serves requests for a function until its preferred worker is known to have it loaded: that worker.
+    /// Serves requests for a function until the front end knows that its preferred worker has it loaded, and returns
+    /// that worker.
     pub(crate) fn warm_up(&mut self, function: u64) -> WorkerId {
         let mut preferred = None;
         for _ in 0..REQUESTS_TO_WARM_UP {
@@ -285,10 +288,11 @@
             self.finish_attempt(id, 0, &worker, Outcome::Served);
             preferred = Some(worker);
         }
-        preferred.expect("requests were made")
+        preferred.expect("at least one request was sent")
     }
 
-    /// Requests a function at 20 a second; `answer` says how a worker answers, `None`: not at all.
+    /// Sends requests for a function, 20 a second. `answer` returns the outcome of an attempt at a worker; `None`: the
+    /// worker does not answer, and the attempt ends only if the front end cancels it.
     pub(crate) fn run_requests(
         &mut self,
         function: u64,
@@ -330,7 +334,7 @@
         traffic
     }
 
-    /// Advances the clock to the next request, and ends the open attempts that are cancelled meanwhile.
+    /// Advances the clock to the next request, and ends the open attempts that the front end cancels meanwhile.
     fn advance_and_cancel(&mut self, open: &mut Vec<OpenAttempt>) -> Vec<Reaction> {
         let actions = self.advance(REQUEST_GAP);
         let is_cancelled = |attempt: &OpenAttempt| {
@@ -359,7 +363,7 @@
     }
 }
 
-/// The worker that a request is forwarded to.
+/// The worker that a request is forwarded to; `None`: none of these actions forwards one.
 pub(crate) fn forwarded_to(actions: &[Action]) -> Option<WorkerId> {
     actions.iter().find_map(|action| match action {
         Action::Forward { worker, .. } => Some(worker.clone()),
@@ -379,7 +383,8 @@
         .any(|action| matches!(action, Action::Fail { .. }))
 }
 
-/// The workers that are to load a function.
+/// The workers that these actions command to load a function. A command for 0 replicas is left out, as it only asks
+/// how many are loaded.
 pub(crate) fn load_commands(actions: &[Action]) -> Vec<WorkerId> {
     actions
         .iter()
@@ -392,7 +397,7 @@
         .collect()
 }
 
-/// The worker that is polled for its load.
+/// The worker that is polled for its load; `None`: none of these actions is a load poll.
 pub(crate) fn polled_worker(actions: &[Action]) -> Option<WorkerId> {
     actions.iter().find_map(|action| match action {
         Action::PollLoad { worker } => Some(worker.clone()),
--- a/crates/pipithub-policy/tests/fleet/main.rs
+++ b/crates/pipithub-policy/tests/fleet/main.rs
@@ -1,4 +1,5 @@
-//! Many front ends over the same workers, in simulated time: what each does alone is counted in sum.
+//! Many front ends that send requests to the same workers, in simulated time. Each decides alone; the tests count what
+//! all of them do together.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -36,18 +37,18 @@
     );
     assert!(
         free.load_polls * 2 > free.calls,
-        "polled for nothing, nearly every call polls: {free:?}"
+        "where a load poll costs nothing, more than half of the calls poll: {free:?}"
     );
     assert!(expensive.load_polls * 20 < expensive.calls, "{expensive:?}");
     assert!(
         expensive.in_time * 20 > free.in_time * 17,
-        "attempts themselves tell most of it: {expensive:?}, {free:?}"
+        "attempts alone tell most of what load polls would: {expensive:?}, {free:?}"
     );
 }
 
 #[test]
 fn popular_function_is_spread_where_workers_report_its_concurrency() {
-    // Reports of others' calls lead to it; all else is alike.
+    // The runs differ only in the setting that answers report how many calls of the function the worker has in flight.
     let run = |reported: bool| -> Totals {
         Simulation::run(BASE_SCENARIO, |s| {
             s.loading.reports_concurrency = reported;
@@ -68,7 +69,8 @@
 
 #[test]
 fn preferred_worker_that_reports_high_load_gets_fewer_requests() {
-    // Functions share preferred workers by chance. What answers report of a worker's load lasts as long as the load.
+    // Some functions share a preferred worker by chance. Its load stays high, and a report of it in an answer stays
+    // valid as long.
     let run = |load_reports: bool| -> Totals {
         let scenario = Scenario {
             workers: 40,
@@ -88,8 +90,8 @@
     );
 }
 
-/// The operators hold a warming worker to the sum of all that it is sent: beyond the N calls of its budget only twice the
-/// root of N and two more are put down to chance, in a small fleet as in a large one.
+/// The operators judge a warming worker by the sum of all calls that it is sent. Beyond its budget of N calls they
+/// attribute only twice the square root of N and two more to chance, in a small fleet as in a large one.
 #[test]
 fn warming_workers_survive_what_all_front_ends_together_send() {
     let slow_start = SlowStart {
@@ -112,7 +114,7 @@
             assert_eq!(worker_starts.len(), replaced_workers);
             assert!(
                 worker_starts.values().any(|start| start.attempts.len() > 5),
-                "some get requests"
+                "some warming workers get requests"
             );
             for (worker, worker_start) in &worker_starts {
                 let context = format!("{front_ends} front ends, {utilization}: w{worker}");
@@ -122,10 +124,11 @@
     }
 }
 
-/// Fails where one window of a warming worker's slow start holds more attempts than its budget and its margin for chance.
+/// Fails if one overload window during the slow start of a worker holds more attempts than its budget and the margin
+/// for chance.
 fn assert_within_budget(slow_start: &SlowStart, worker_start: &WorkerStart, context: &str) {
     let started_at = worker_start.started_at;
-    // After its slow start it is as warm as any.
+    // After its slow start a worker is no longer limited.
     let is_warming = |at: &&Time| **at < started_at + slow_start.window;
     let attempts: Vec<Time> = worker_start
         .attempts
@@ -144,7 +147,7 @@
         let budget = slow_start.overload_factor * capacity * slow_start.overload_window as f64;
         assert!(
             within as f64 <= budget + 2.0 * budget.sqrt() + 2.0,
-            "{context} was sent {within} of {budget:.1} at {progress:.2}"
+            "{context} was sent {within} attempts with a budget of {budget:.1}, at {progress:.2} of its slow start"
         );
     }
 }
--- a/crates/pipithub-policy/tests/fleet/simulation.rs
+++ b/crates/pipithub-policy/tests/fleet/simulation.rs
@@ -13,20 +13,20 @@
 use crate::worker::{CORES, LOAD_TIME, RUN_TIME, Reception, SimulatedWorker, WorkerCall};
 
 const START: Time = 1_000_000 * MS;
-/// One way between a front end and a worker.
+/// The time of one way between a front end and a worker.
 const LINK_DELAY: Time = MS;
-/// Calls begin until the scenario's end; then so much time is left for their answers.
+/// How long the simulation goes on after the last call, for the answers.
 const DRAIN_TIME: Time = 8_000 * MS;
-/// A served call counts as in time up to this age.
+/// A call counts as served in time up to this age.
 const LATENCY_OBJECTIVE: Time = 1_000 * MS;
-/// Front ends are notified of a new worker up to this late.
+/// The longest time until a front end is notified of a new worker, in milliseconds.
 const MAX_UPDATE_DELAY_MS: f64 = 1_000.0;
 
-/// Equal numbers from equal seeds.
+/// A linear congruential generator: equal seeds give equal numbers.
 struct Random(u64);
 
 impl Random {
-    /// From 0 up to 1.
+    /// The next number, from 0 up to 1.
     fn next(&mut self) -> f64 {
         self.0 = self
             .0
@@ -36,43 +36,46 @@
     }
 }
 
-/// What a scenario consists of.
+/// The parameters of a simulation.
 #[derive(Clone, Copy)]
 pub(super) struct Scenario {
     pub(super) front_ends: usize,
     pub(super) workers: usize,
-    /// The rate of calls, as a part of what all cores can run.
+    /// The rate of calls, as a share of what all cores can run.
     pub(super) utilization: f64,
+    /// For how long clients send calls.
     pub(super) seconds: u64,
-    /// Answers report how many calls the worker has in flight.
+    /// Whether answers report how many calls the worker has in flight.
     pub(super) load_reports: bool,
-    /// This many workers are replaced by new ones, one each 0.3 s from the fourth second on, and one in five
-    /// front ends restarts meanwhile.
+    /// The number of workers that are replaced by new ones, one every 0.3 s from 4 s on. If there are any, one front
+    /// end in five restarts meanwhile.
     pub(super) replaced_workers: usize,
 }
 
-/// What was counted over all front ends.
+/// Counts over all front ends.
 #[derive(Debug, Default)]
 pub(super) struct Totals {
     pub(super) calls: u32,
     pub(super) load_polls: u32,
+    /// Calls that were served within the latency objective.
     pub(super) in_time: u32,
+    /// Loads that workers started.
     pub(super) loads: u32,
-    /// Attempts rejected by workers at capacity.
+    /// Attempts that workers at capacity rejected.
     pub(super) rejected: u32,
 }
 
 /// A worker that started during the scenario.
 pub(super) struct WorkerStart {
     pub(super) started_at: Time,
-    /// When attempts came to it.
+    /// When attempts arrived at it.
     pub(super) attempts: Vec<Time>,
 }
 
-/// What came of a scenario.
+/// The results of a scenario.
 pub(super) struct Outcomes {
     pub(super) totals: Totals,
-    /// Workers that were started during it, by number.
+    /// Workers that started during the scenario, by number.
     pub(super) worker_starts: BTreeMap<usize, WorkerStart>,
 }
 
@@ -111,7 +114,7 @@
     WorkerReplaced {
         old: usize,
     },
-    /// A front end is notified of that.
+    /// A front end is notified that a worker was replaced.
     EndpointUpdate {
         front_end: usize,
         old: usize,
@@ -152,7 +155,9 @@
 }
 
 fn worker_number(worker: &WorkerId) -> usize {
-    worker.0[1..].parse().expect("a number")
+    worker.0[1..]
+        .parse()
+        .expect("a worker id ends with a number")
 }
 
 impl Simulation {
@@ -164,7 +169,10 @@
         let end = last_call + DRAIN_TIME;
         while let Some(Reverse((at, number))) = simulation.due.pop().filter(|d| d.0.0 <= end) {
             simulation.now = at;
-            let event = simulation.events.remove(&number).expect("scheduled");
+            let event = simulation
+                .events
+                .remove(&number)
+                .expect("an event that is due is scheduled");
             simulation.dispatch(event);
         }
         Outcomes {
@@ -207,6 +215,7 @@
         simulation
     }
 
+    /// Schedules the replacement of workers, and the restarts of front ends meanwhile.
     fn schedule_rollout(&mut self, scenario: Scenario) {
         if scenario.replaced_workers == 0 {
             return;
@@ -221,7 +230,7 @@
         }
     }
 
-    /// Schedules all calls of clients: when the last one comes.
+    /// Schedules all calls of clients, and returns the time of the last one.
     fn schedule_calls(&mut self, scenario: Scenario) -> Time {
         let cores = (scenario.workers * CORES) as f64;
         let mean_gap = RUN_TIME as f64 / (scenario.utilization * cores);
@@ -293,7 +302,7 @@
     }
 
     fn client_call(&mut self, front_end: usize) {
-        // Few functions are wanted often, many now and then.
+        // A few functions are called often, many only now and then.
         let function = (60.0f64.powf(self.random.next()) - 1.0) as u64;
         let id = u64::from(self.totals.calls);
         self.totals.calls += 1;
@@ -444,7 +453,7 @@
         self.handle(front_end, update);
     }
 
-    /// Lets a front end handle an event, and does what it asks for.
+    /// Has a front end handle an event, and carries out the actions that the simulation knows.
     fn handle(&mut self, front_end: usize, event: Event) {
         let mut actions = Vec::new();
         self.front_ends[front_end].handle(self.now, event, &mut actions);
@@ -471,7 +480,10 @@
     }
 
     fn forward(&mut self, front_end: usize, request: RequestId, worker: usize) {
-        let call = self.calls.get_mut(&request).expect("a call of a client");
+        let call = self
+            .calls
+            .get_mut(&request)
+            .expect("a forwarded request is a call of a client");
         let attempt = call.attempts;
         call.attempts += 1;
         let arrival = SimulationEvent::AttemptArrives {
--- a/crates/pipithub-policy/tests/fleet/worker.rs
+++ b/crates/pipithub-policy/tests/fleet/worker.rs
@@ -7,7 +7,7 @@
 use crate::common::MS;
 
 pub(super) const CORES: usize = 2;
-/// Mean run time of a call.
+/// The mean run time of a call.
 pub(super) const RUN_TIME: Time = 70 * MS;
 /// How long loading a function takes.
 pub(super) const LOAD_TIME: Time = 900 * MS;
@@ -21,15 +21,15 @@
     pub(super) attempt: u32,
     pub(super) function: u64,
     pub(super) received_at: Time,
-    /// How many calls of the same function the worker had in flight when it arrived.
+    /// How many calls of the same function the worker had in flight when this one arrived.
     pub(super) function_concurrency: u32,
 }
 
-/// What a worker does with a call that comes.
+/// What a worker does with a call that arrives.
 pub(super) enum Reception {
-    /// It waits for a core.
+    /// The call waits for a core.
     Queued,
-    /// It waits for a load of its function, which begins with it or is under way.
+    /// The call waits for a load of its function; `begins`: it starts that load, otherwise the load is in progress.
     Loading { begins: bool },
     /// The worker is at capacity.
     Rejected(WorkerCall),
@@ -42,7 +42,7 @@
     waiting: VecDeque<WorkerCall>,
     /// Calls that wait for a load of their function.
     loading: BTreeMap<u64, Vec<WorkerCall>>,
-    /// Loaded functions, with their last use.
+    /// Loaded functions, with the time of their last use.
     replicas: BTreeMap<u64, Time>,
 }
 
@@ -52,19 +52,19 @@
         self.running.iter().chain(&self.waiting).chain(loading)
     }
 
-    /// Calls of a function that it has in flight.
+    /// The number of calls of a function that the worker has in flight.
     pub(super) fn concurrency_of(&self, function: u64) -> u32 {
         self.all_calls()
             .filter(|call| call.function == function)
             .count() as u32
     }
 
-    /// Calls that run or wait for a core, as its load reports state them.
+    /// The number of calls that run or wait for a core, as the load reports of the worker state it.
     pub(super) fn in_flight(&self) -> f64 {
         (self.running.len() + self.waiting.len()) as f64
     }
 
-    /// Takes a call, or rejects it.
+    /// Accepts a call, or rejects it.
     pub(super) fn receive(&mut self, call: WorkerCall) -> Reception {
         if self.all_calls().count() >= MAX_IN_FLIGHT {
             return Reception::Rejected(call);
@@ -80,25 +80,25 @@
         }
     }
 
-    /// A function is loaded: its calls wait for a core now.
+    /// Ends the load of a function; the calls that waited for it now wait for a core.
     pub(super) fn finish_load(&mut self, now: Time, function: u64) {
         let calls = self.loading.remove(&function).unwrap_or_default();
         self.waiting.extend(calls);
         self.replicas.insert(function, now);
     }
 
-    /// A call of a function has run to its end.
+    /// Ends a running call of a function, and returns it.
     pub(super) fn finish_call(&mut self, function: u64) -> WorkerCall {
         let at = self
             .running
             .iter()
             .position(|call| call.function == function)
-            .expect("it runs");
+            .expect("a call of the function is running");
         self.running.remove(at)
     }
 
-    /// Starts what waits while a core is free, and evicts replicas beyond the memory: the functions of the calls
-    /// that have started.
+    /// Starts waiting calls while a core is free, and evicts idle replicas beyond [`MAX_REPLICAS`]. Returns the
+    /// functions of the calls that have started.
     pub(super) fn start_waiting(&mut self, now: Time) -> Vec<u64> {
         let mut started = Vec::new();
         while self.running.len() < CORES {
--- a/crates/pipithub-policy/tests/outlier_detection.rs
+++ b/crates/pipithub-policy/tests/outlier_detection.rs
@@ -10,7 +10,7 @@
     Action, Endpoint, EndpointState, FunctionId, Idempotency, Outcome, Request, WorkerId,
 };
 
-/// Attempts at a worker, not counting the first ones of all.
+/// The number of attempts at a worker, without the first `first` attempts at any worker.
 fn attempts_from(traffic: &Traffic, first: usize, worker: &WorkerId) -> usize {
     let counted = &traffic.workers[first..];
     counted.iter().filter(|at| *at == worker).count()
@@ -23,7 +23,10 @@
     let traffic = front_end.run_requests(1, 100, |w| (*w != preferred).then_some(Outcome::Served));
     assert!(traffic.served > 90, "served {} of 100", traffic.served);
     let wasted = traffic.attempts_at(&preferred);
-    assert!(wasted < 25, "{wasted} attempts at a silent worker");
+    assert!(
+        wasted < 25,
+        "{wasted} attempts at a worker that does not answer"
+    );
     let traffic = front_end.run_requests(1, 200, |_| Some(Outcome::Served));
     assert!(traffic.served > 195, "served {} of 200", traffic.served);
     let returned = attempts_from(&traffic, 100, &preferred);
@@ -174,7 +177,10 @@
         }
         front_end.advance(2 * MS);
     }
-    assert!(forwarded.len() < 400, "an overload is rejected in part");
+    assert!(
+        forwarded.len() < 400,
+        "some requests are rejected under overload"
+    );
     for id in forwarded {
         front_end.advance(5 * MS);
         front_end.finish_attempt_after(id, 0, &WorkerId::new("w1"), Outcome::Served, 900 * MS);
@@ -214,7 +220,7 @@
     let mut at_preferred = 0;
     for i in 0..100 {
         let (id, actions) = front_end.request(1);
-        let worker = forwarded_to(&actions).expect("served somewhere");
+        let worker = forwarded_to(&actions).expect("the request is forwarded");
         at_preferred += usize::from(worker == preferred);
         let (other, _) = front_end.request(1);
         let connection_lost = i % 5 == 0;
@@ -234,7 +240,7 @@
         let actions = front_end.advance(60 * MS);
         assert!(
             !actions.iter().any(|a| matches!(a, Action::Cancel { .. })),
-            "request {other} is left to run"
+            "request {other} must not be cancelled"
         );
         front_end.finish_attempt(other, 0, &preferred, Outcome::Served);
     }
@@ -279,14 +285,14 @@
     let early = run_and_count_errors(&mut front_end, true);
     assert!(
         (3..30).contains(&early),
-        "of about 75 requests that prefer it, lost {early}"
+        "{early} errors, where about 75 would occur without an ejection"
     );
     assert_eq!(run_and_count_errors(&mut front_end, false), 0);
     let actions = front_end.request(1).1;
     assert_eq!(
         forwarded_to(&actions),
         Some(failing_worker),
-        "it serves again"
+        "the worker serves again"
     );
 }
 
@@ -294,7 +300,7 @@
 fn errors_of_one_function_or_of_all_workers_eject_no_worker() {
     let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE_WORKERS);
     let preferred = front_end.warm_up(1);
-    // A function that always fails, often requested: its preferred worker serves others.
+    // A function that always fails is requested often: its preferred worker still serves other functions.
     for _ in 0..100 {
         let (id, actions) = front_end.request(2);
         front_end.finish_load_commands(&actions, Outcome::Served, 1);
@@ -307,7 +313,7 @@
         front_end.advance(5 * MS);
         front_end.finish_attempt(id, 0, &preferred, Outcome::Served);
     }
-    // A third of all answers are errors, wherever they come from.
+    // A third of all answers are errors, whichever worker they come from.
     let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE_WORKERS);
     let served = front_end
         .run_requests(1, 10, |_| Some(Outcome::Served))
@@ -329,7 +335,8 @@
         };
         front_end.finish_attempt(id, 0, &worker, outcome);
     }
-    // Chance makes one worker look worse for a moment; without the comparison all would be ejected at once.
+    // By chance one worker may look worse for a moment; without the comparison with the others, all would be ejected at
+    // once.
     assert!(forwarded > 270, "forwarded {forwarded} of 300");
 }
 
@@ -339,7 +346,7 @@
     settings.limits.load_polls = false;
     let mut front_end = FrontEndHarness::new(settings, &THREE_WORKERS);
     front_end.warm_up(1);
-    // One function's answers are late for a while; it must be forwarded again once that is over.
+    // The answers of one function are late for a while; its requests must be forwarded again once that is over.
     for _ in 0..60 {
         let (id, actions) = front_end.request(2);
         if let Some(worker) = forwarded_to(&actions) {
@@ -352,6 +359,6 @@
     let (_, actions) = front_end.request(2);
     assert!(
         forwarded_to(&actions).is_some(),
-        "the run time of a function that is always rejected is never learnt anew"
+        "a function whose requests are always rejected never gets a new estimate of its run time"
     );
 }
--- a/crates/pipithub-policy/tests/preferred_workers.rs
+++ b/crates/pipithub-policy/tests/preferred_workers.rs
@@ -1,5 +1,5 @@
-//! The preferred worker of a function: the same at all front ends, evenly distributed, and moved little by workers that
-//! are added or removed, also in fleets larger than the order that is looked at.
+//! The preferred workers of functions: the same at all front ends, evenly distributed, and changed for few functions by
+//! workers that are added or removed, also in fleets with more workers than a front end considers for one function.
 
 mod common;
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// A front end that is asked for preferred workers.
+/// A front end that is sent requests to find the preferred workers of functions.
 struct PreferenceProbe {
     front_end: FrontEnd,
     now: Time,
@@ -82,7 +82,7 @@
             _ => None,
         });
         let worker = forwarded.expect("an idle fleet accepts the request");
-        // It leaves nothing in flight that the next request would meet.
+        // The attempt ends, so that nothing is in flight when the next request arrives.
         self.handle(Event::AttemptFinished(AttemptFinished {
             request: RequestId(id),
             attempt: 0,
@@ -97,6 +97,7 @@
         worker
     }
 
+    /// The preferred workers of all functions, by the number of the function.
     fn all_preferred(&mut self) -> BTreeMap<u64, WorkerId> {
         (0..FUNCTIONS)
             .map(|f| (f, self.preferred(f * 7_919 + 1)))
@@ -104,6 +105,7 @@
     }
 }
 
+/// The number of functions whose preferred worker has changed.
 fn count_moved(before: &BTreeMap<u64, WorkerId>, after: &BTreeMap<u64, WorkerId>) -> usize {
     before
         .iter()
@@ -121,7 +123,7 @@
 #[test]
 fn added_and_removed_workers_move_few_functions() {
     let before = PreferenceProbe::new(1, 0..WORKERS).all_preferred();
-    // Some of them at once, so that the share is more than chance.
+    // Sixty workers at once, so that the number of functions that move is well above chance.
     let changed = 60;
     let more = PreferenceProbe::new(1, 0..WORKERS + changed).all_preferred();
     let less = {
@@ -134,10 +136,14 @@
         let moved = count_moved(&before, &after);
         assert!(
             moved >= share / 2,
-            "{moved} of {share}: a removed worker is preferred by nobody"
+            "{moved} functions moved, about {share} expected: each changed worker is preferred by some"
+        );
+        // The functions that the changed workers gain or lose, and as many again: each change also moves the end of the
+        // list of workers that are considered for a function by one worker.
+        assert!(
+            moved <= share * 5 / 2,
+            "{moved} functions moved, about {share} expected"
         );
-        // What it gains or had, and as much again where the end of an order slides by one.
-        assert!(moved <= share * 5 / 2, "{moved} of {share}");
     }
 }
 
@@ -149,18 +155,22 @@
         .values()
         .for_each(|worker| *counts.entry(worker).or_default() += 1);
     let mean = FUNCTIONS as f64 / WORKERS as f64;
-    // As by chance: three functions a worker, so one in twenty has none, and hardly one has four times the mean.
+    // As in a random assignment with a mean of three functions for each worker: one worker in twenty has none, and
+    // hardly any has four times the mean.
     let none = 1.0 - counts.len() as f64 / WORKERS as f64;
     assert!(
         (0.03..0.08).contains(&none),
-        "{none} preferred by no function"
+        "a share of {none} of the workers is preferred by no function"
     );
     let most = *counts.values().max().unwrap() as f64;
-    assert!(most <= 5.0 * mean, "{most}");
-    // The variance of a fair draw is its mean.
+    assert!(
+        most <= 5.0 * mean,
+        "a worker is preferred by {most} functions, the mean is {mean}"
+    );
+    // In a random assignment the variance is about the mean.
     let all = (0..WORKERS).map(|n| counts.get(&worker_id(n)).copied().unwrap_or(0) as f64);
     let variance = all.map(|c| (c - mean).powi(2)).sum::<f64>() / WORKERS as f64;
-    assert!(variance < 1.3 * mean, "{variance} of {mean}");
+    assert!(variance < 1.3 * mean, "variance {variance}, mean {mean}");
 }
 
 #[test]
@@ -188,9 +198,12 @@
         .filter(|(before, after)| before != after)
         .count();
     let removed = before.iter().filter(|w| **w == WorkerId::new("w5")).count();
-    assert_eq!(moved, removed, "only what preferred the lost worker moves");
+    assert_eq!(
+        moved, removed,
+        "only functions that preferred the removed worker move"
+    );
     assert!(
         (20..=60).contains(&removed),
-        "each worker is preferred by its part: {removed}"
+        "each of five workers is preferred by its share of 200 functions: {removed}"
     );
 }
--- a/crates/pipithub-policy/tests/service_leases.rs
+++ b/crates/pipithub-policy/tests/service_leases.rs
@@ -1,5 +1,5 @@
-//! Leases: how long the endpoint list and health checks vouch for a worker, and what happens to
-//! requests once neither does.
+//! Leases: how long a worker counts as in service after the endpoint list or a health check showed it so,
+//! and what happens to requests once both leases have ended.
 
 mod common;
 
@@ -10,9 +10,10 @@
 };
 
 const DRAIN_GRACE: Time = 1_000 * MS;
-/// The grace less its margin.
+/// The drain grace less the margin of 150 ms for requests that are sent a little after the decision.
 const LEASE: Time = 850 * MS;
-/// From the last sign of life of the list's source on.
+/// How long the endpoint list is relied on after its source last confirmed it: 2 s until a change counts as
+/// notified, and the lease.
 const ENDPOINT_LIST_LEASE: Time = 2_000 * MS + LEASE;
 const WORKERS: [&str; 4] = ["w1", "w2", "w3", "w4"];
 const FUNCTION: u64 = 7;
@@ -34,17 +35,19 @@
     (front_end, preferred)
 }
 
-/// The same, once the lease of the list has ended.
+/// The same front end and worker, once the lease of the list has ended.
 fn front_end_in_outage() -> (FrontEndHarness, WorkerId) {
     let (mut front_end, preferred) = confirmed_front_end();
     front_end.advance(ENDPOINT_LIST_LEASE);
     (front_end, preferred)
 }
 
+/// Reports a contact with the source of the endpoint list to the front end.
 fn report_contact(front_end: &mut FrontEndHarness, contact: EndpointListContact) {
     front_end.handle(Event::EndpointListContact(contact));
 }
 
+/// The worker whose health is checked; `None`: none of these actions is a health check.
 fn checked_worker(actions: &[Action]) -> Option<WorkerId> {
     actions.iter().find_map(|action| match action {
         Action::CheckHealth { worker } => Some(worker.clone()),
@@ -62,7 +65,7 @@
     finish_check_on(front_end, worker, outcome, elapsed, 0)
 }
 
-/// The same, answered on a connection that was established at this time.
+/// Ends a health check that was sent `elapsed` ago, on a connection that was established at `connected_at`.
 fn finish_check_on(
     front_end: &mut FrontEndHarness,
     worker: &WorkerId,
@@ -78,15 +81,15 @@
     }))
 }
 
-/// Has a request arrive and answers every check that it waits for in this way; returns where it was
-/// served.
+/// Has a request arrive and ends every health check that it waits for with the result of `outcome`. Returns
+/// the worker that served the request; `None`: it was not forwarded.
 fn route_with_checks(
     front_end: &mut FrontEndHarness,
     mut outcome: impl FnMut(&WorkerId) -> HealthCheckOutcome,
 ) -> Option<WorkerId> {
     let (id, mut actions) = front_end.request(FUNCTION);
     let mut served_by = forwarded_to(&actions);
-    // A check may be sent beside a forward: then nothing waits for it.
+    // A check may also be sent together with a forward: then no request waits for it.
     while let Some(worker) = checked_worker(&actions) {
         let outcome = outcome(&worker);
         actions = finish_check(front_end, &worker, outcome, MS);
@@ -199,7 +202,7 @@
     }
     assert!(
         (4..=8).contains(&checks),
-        "in 4 s, with a backoff: {checks}"
+        "{checks} checks in 4 s, with a backoff"
     );
     front_end.advance(1_600 * MS);
     let served_by =
@@ -207,7 +210,7 @@
     assert_eq!(
         served_by.last().flatten(),
         Some(preferred),
-        "in service again"
+        "the worker is in service again"
     );
 }
 
@@ -260,7 +263,7 @@
         actions = finish_check(&mut front_end, &worker, HealthCheckOutcome::Unhealthy, MS);
     }
     assert!(is_rejected(&actions));
-    assert_eq!(checks, 4, "bounded, and no worker twice");
+    assert_eq!(checks, 4, "each of the four workers is checked once");
 }
 
 #[test]
@@ -268,7 +271,7 @@
     let (mut front_end, preferred) = front_end_in_outage();
     let (_, actions) = front_end.request(FUNCTION);
     assert_eq!(checked_worker(&actions), Some(preferred.clone()));
-    // A check is under way when the list comes back and says otherwise.
+    // A check is in flight when the list comes back and names the worker as draining.
     front_end.update_endpoints(vec![endpoint_in_state(
         &preferred.0,
         EndpointState::Draining,
@@ -276,7 +279,7 @@
     report_contact(&mut front_end, EndpointListContact::Current);
     assert!(
         front_end.module.lease_end(&preferred) <= front_end.now,
-        "its lease had ended before, so nothing may be written any more"
+        "its lease ended before the list came back, so nothing may be sent any more"
     );
     let actions = finish_check(&mut front_end, &preferred, HealthCheckOutcome::Healthy, MS);
     assert!(forwarded_to(&actions).is_some_and(|worker| worker != preferred));
@@ -290,7 +293,11 @@
         EndpointState::Draining,
     )]);
     let end = front_end.now + LEASE;
-    assert_eq!(front_end.module.lease_end(&preferred), end, "in reach");
+    assert_eq!(
+        front_end.module.lease_end(&preferred),
+        end,
+        "while the list is current, for the grace"
+    );
 
     let (mut front_end, preferred) = front_end_in_outage();
     front_end.request(FUNCTION);
@@ -303,7 +310,11 @@
     )]);
     report_contact(&mut front_end, EndpointListContact::Current);
     let end = sent_at + LEASE;
-    assert_eq!(front_end.module.lease_end(&preferred), end, "by its check");
+    assert_eq!(
+        front_end.module.lease_end(&preferred),
+        end,
+        "in an outage, until the lease by the health check ends"
+    );
 }
 
 #[test]
@@ -313,7 +324,7 @@
     report_contact(&mut front_end, EndpointListContact::Sought);
     let started_at = front_end.now;
     assert_eq!(front_end.module.lease_end(&worker), started_at + LEASE);
-    // A source that stops after the head of each response.
+    // The source sends the head of each response and nothing after it.
     for _ in 0..3 {
         front_end.advance(500 * MS);
         report_contact(&mut front_end, EndpointListContact::Answered);
@@ -362,7 +373,11 @@
             front_end.request(FUNCTION);
         }
         let sent = forwards(&front_end) - before;
-        assert_eq!(sent < 5, is_limited, "{sent} of 30 at once");
+        assert_eq!(
+            sent < 5,
+            is_limited,
+            "{sent} of 30 requests forwarded at once"
+        );
     }
 }
 
@@ -374,6 +389,6 @@
     report_contact(&mut front_end, EndpointListContact::Sought);
     front_end.advance(60_000 * MS);
     let (_, actions) = front_end.request(FUNCTION);
-    let worker = forwarded_to(&actions).expect("forwarded");
+    let worker = forwarded_to(&actions).expect("the request is forwarded");
     assert_eq!(front_end.module.lease_end(&worker), Time::MAX);
 }
--- a/crates/pipithub-policy/tests/simulated_fleet/attempts.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/attempts.rs
@@ -13,40 +13,42 @@
 use super::scenario::MS;
 use super::schedule::{AttemptId, ScheduledEvent};
 
-/// Requests in flight that double a run time, and that keep all cores busy.
+/// The number of requests in flight at a worker that doubles run times and keeps all cores busy.
 pub(crate) const IN_FLIGHT_AT_FULL_LOAD: f64 = 16.0;
-/// By how much a slow run takes longer.
+/// The factor by which a slow run takes longer.
 const SLOW_FACTOR: f64 = 10.0;
-/// How often a failing worker answers with an error.
+/// The probability that a failing worker answers with an error.
 const FAILING_WORKER_ERROR_RATE: f64 = 0.8;
-/// When attempts time out that are never answered, in milliseconds.
+/// The times after which unanswered attempts time out, in milliseconds.
 const TIMEOUTS_MS: [Time; 3] = [1_500, 4_000, 60_000];
 
-/// What an attempt meets at its worker.
+/// The conditions at its worker that decide how an attempt ends.
 struct AttemptConditions {
     worker: usize,
     function: FunctionId,
-    /// The load time that the request states.
+    /// The load time that the request states; `None`: it states none.
     load_time: Option<Time>,
-    /// Requests in flight at the worker, and those of the function.
+    /// Requests in flight at the worker.
     in_flight: f64,
+    /// Requests of the function in flight at the worker.
     function_concurrency: f64,
+    /// How long the function runs, in nanoseconds.
     run_time: f64,
-    /// From when on a replica serves; `None`: there is none.
+    /// The time from which a replica can serve requests; `None`: the worker has none.
     replica_ready_at: Option<Time>,
 }
 
-/// How an attempt ends, and what is loaded by it.
+/// How an attempt ends, and the replica that it uses or loads.
 struct AttemptEnd {
     outcome: Outcome,
     elapsed: Time,
     replica_status: ReplicaStatus,
-    /// From when on the replica serves that this attempt used or loads.
+    /// The time from which the replica that this attempt uses or loads can serve requests; `None`: it uses none.
     replica_ready_at: Option<Time>,
 }
 
 impl AttemptEnd {
-    /// One that neither used nor loads a replica.
+    /// The end of an attempt that neither uses nor loads a replica.
     fn without_replica(outcome: Outcome, elapsed: Time) -> AttemptEnd {
         AttemptEnd {
             outcome,
@@ -63,7 +65,7 @@
 }
 
 impl SimulatedFleet {
-    /// The front end forwards a request: the end of the attempt is drawn and scheduled.
+    /// Begins an attempt, draws how it ends, and schedules its end.
     pub(super) fn forward(&mut self, request: RequestId, worker: &WorkerId) {
         let Some((attempt, worker_index)) = self.begin_attempt(request, worker) else {
             return;
@@ -89,7 +91,7 @@
             .push(ends_at, ScheduledEvent::AttemptEnds(finished));
     }
 
-    /// Counts an attempt and notes its worker; `None` where the request or the worker is unknown.
+    /// Counts an attempt and records its worker; `None`: the request or the worker is unknown.
     fn begin_attempt(
         &mut self,
         request: RequestId,
@@ -113,7 +115,11 @@
         worker: usize,
         random: &mut SmallRng,
     ) -> AttemptConditions {
-        let request = &self.clients.get(request).expect("it is pending").request;
+        let request = &self
+            .clients
+            .get(request)
+            .expect("a forwarded request is pending")
+            .request;
         let function = request.function;
         let own = self.own_concurrency(worker, function) as f64;
         let popularity_rank = function.0 as f64;
@@ -150,7 +156,8 @@
         attempts.filter(calls_function).count()
     }
 
-    /// From when on a replica serves there; workers that have not restarted may have loaded one before.
+    /// The time from which a replica at a worker can serve requests; `None`: there is none. A worker that has neither
+    /// just started nor restarted may have loaded one before the scenario, which can serve from time 0.
     fn replica_ready_at(&self, worker: usize, function: FunctionId) -> Option<Time> {
         let simulated = self.workers.get(worker);
         let known = simulated.replicas.get(&function).copied();
@@ -174,7 +181,7 @@
         }
     }
 
-    /// A fault that ends the attempt before its function is run or loaded.
+    /// Draws a fault that ends the attempt, whether or not its function is loaded; `None`: there is none.
     fn draw_fault(
         &self,
         conditions: &AttemptConditions,
@@ -275,7 +282,7 @@
         }
     }
 
-    /// The front end cancels an attempt; the worker may go on nevertheless.
+    /// Cancels an attempt; the worker may go on with it nevertheless.
     pub(super) fn cancel_attempt(&mut self, request: RequestId, number: u32) {
         self.count("cancel");
         let pending = self.clients.get(request);
@@ -307,7 +314,7 @@
             .push(self.now + MS, ScheduledEvent::AttemptEnds(finished));
     }
 
-    /// An attempt ends, unless it has ended before.
+    /// Ends an attempt; `None`: it has ended before, for example by a cancellation.
     pub(super) fn attempt_ends(&mut self, mut finished: AttemptFinished) -> Option<Event> {
         let (request, number) = (finished.request, finished.attempt);
         let pending = self.clients.get_mut(request)?;
--- a/crates/pipithub-policy/tests/simulated_fleet/clients.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/clients.rs
@@ -10,16 +10,16 @@
 use super::draws::{Purpose, generator, mix};
 use super::scenario::{MS, Scenario};
 
-/// The client timeout of a class that the settings do not have.
+/// The client timeout if the settings have no class.
 const DEFAULT_CLIENT_TIMEOUT: Time = 4_000 * MS;
-/// Set in all request ids, as timer tokens carry ids beside a mark.
+/// Set in all request ids, so that they are large numbers: timer tokens combine an id with flags in higher bits.
 const REQUEST_ID_BIT: u64 = 1 << 40;
 /// Clients do not retry while this many requests are pending.
 const MAX_PENDING_FOR_RETRY: usize = 400;
-/// Keeps the draws of arrivals apart from others with the same seed.
+/// Makes the random numbers of arrivals differ from others with the same seed.
 const ARRIVAL_SEED_MASK: u64 = 1;
 
-/// A request whose client waits, or that has attempts in flight.
+/// A request whose client still waits, or that has attempts in flight.
 pub(crate) struct PendingRequest {
     pub request: Request,
     /// Attempts that have begun.
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A new request, with the figures of its function.
+    /// Draws a new request; its memory, load time and concurrency are those of its function.
     pub(crate) fn draw_request(&mut self, scenario: &Scenario) -> Request {
         let function = self.draw_function(scenario);
         let class = self
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Time from the last request to the next: none within a burst, else exponentially distributed.
+    /// Draws the time until the next request: 0 within a burst, otherwise exponentially distributed.
     pub(crate) fn draw_gap(&mut self, scenario: &Scenario) -> Time {
         let profile = &scenario.clients;
         let within_burst = profile.burst > 1 && !self.next_number.is_multiple_of(profile.burst);
@@ -117,7 +117,7 @@
         id
     }
 
-    /// The client of a request begins to wait.
+    /// Adds a request, whose client begins to wait.
     pub(crate) fn begin(&mut self, request: Request) {
         let pending = PendingRequest {
             request,
@@ -154,7 +154,7 @@
     }
 }
 
-/// The run time of a function at an idle worker, before chance.
+/// The run time of a function at an idle worker, before random variation.
 pub(crate) fn usual_run_time(scenario: &Scenario, function: u64) -> Time {
     let (shortest, longest) = scenario.functions.run_time;
     generator(scenario.seed, Purpose::Function, function, 1)
--- a/crates/pipithub-policy/tests/simulated_fleet/cost.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/cost.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario into one front end and measures what each event costs it.
+//! Runs a scenario with one front end and measures the time and the examined workers that each event costs.
 
 use std::time::Instant;
 
@@ -7,16 +7,17 @@
 
 use super::{MS, Scenario, SimulatedFleet};
 
-/// From this on tokens name the maintenance timer, not a request.
+/// The token of the maintenance timer. Those of timers for requests and load polls are lower; health checks, whose
+/// tokens are higher, are sent in outages of discovery only.
 const FIRST_MAINTENANCE_TOKEN: u64 = 1 << 62;
-/// How long clients' requests may take after the last one has arrived.
+/// How long pending requests may take after the last one has arrived.
 const DRAIN_TIME: Time = 60_000 * MS;
 
-/// The decision module, or its plain reference.
+/// The decision module or its reference implementation.
 pub(crate) trait DecisionModule {
-    /// A front end that knows its settings alone.
+    /// Makes a front end that knows nothing but its settings.
     fn start(settings: Settings, seed: u64) -> Self;
-    /// Lets it handle an event.
+    /// Handles an event and appends the actions to `actions`.
     fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>);
 }
 
@@ -30,7 +31,7 @@
     }
 }
 
-/// What an event cost.
+/// The cost of handling one event, or the sum or mean of several.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Cost {
     pub time_ns: f64,
@@ -44,22 +45,22 @@
     }
 }
 
-/// What an update of the endpoint list cost.
+/// The cost of an update of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndpointUpdateCost {
     pub cost: Cost,
-    /// Endpoints in the update.
+    /// The number of endpoints in the update.
     pub endpoints: usize,
 }
 
-/// What an event is counted as.
+/// The kinds of events whose costs are counted apart.
 enum EventKind {
     RequestArrived,
     Maintenance,
     EndpointUpdate {
         endpoints: usize,
     },
-    /// Belongs to the request that arrived last.
+    /// Any other event, counted with the request that arrived last.
     RequestFollowUp,
 }
 
@@ -76,23 +77,23 @@
     }
 }
 
-/// One front end in its simulated fleet.
+/// One front end in its simulated fleet, and the costs of the events so far.
 pub(crate) struct MeteredRun<F> {
     pub fleet: SimulatedFleet,
     front_end: F,
     actions: Vec<Action>,
-    /// For each request its arrival and all events of requests until the next one arrives.
+    /// For each request the cost of its arrival and of all events of requests until the next arrival.
     pub requests: Vec<Cost>,
-    /// For each maintenance timer.
+    /// The cost of each maintenance timer.
     pub maintenance: Vec<Cost>,
-    /// For each update of the endpoint list during the scenario.
+    /// The cost of each update of the endpoint list that the scenario scheduled.
     pub endpoint_updates: Vec<EndpointUpdateCost>,
-    /// The snapshot at the start.
+    /// The cost of the snapshot at the start.
     pub first_snapshot: Cost,
 }
 
 impl<F: DecisionModule> MeteredRun<F> {
-    /// A run that has handled the first snapshot.
+    /// Begins a run: the front end has handled the first snapshot.
     pub(crate) fn new(scenario: Scenario) -> Self {
         let mut run = MeteredRun {
             front_end: F::start(scenario.settings.clone(), scenario.seed),
@@ -108,7 +109,7 @@
         run
     }
 
-    /// Lets the front end handle an event and the fleet answer its actions.
+    /// Has the front end handle an event and the fleet carry out the actions; returns the cost of the event.
     pub(crate) fn handle(&mut self, at: Time, event: Event) -> Cost {
         self.actions.clear();
         work::taken();
@@ -123,7 +124,7 @@
         cost
     }
 
-    /// Plays the next event; false once the scenario is over.
+    /// Handles the next event and counts its cost; returns false once the scenario is over.
     pub(crate) fn step(&mut self) -> bool {
         let Some((at, event)) = self.fleet.next_event() else {
             return false;
@@ -146,8 +147,8 @@
         true
     }
 
-    /// The means of this many requests at a time: answers are counted with the request that arrived last, so single
-    /// requests say little. The first fifth is left out, as the front end knows nothing then.
+    /// The mean costs of windows of `length` requests. Events are counted with the request that arrived last, so the
+    /// cost of a single request says little. The first fifth is left out, as the front end has learnt little by then.
     pub(crate) fn windows(&self, length: usize) -> Vec<Cost> {
         self.requests[self.requests.len() / 5..]
             .chunks_exact(length.max(1))
@@ -155,7 +156,7 @@
             .collect()
     }
 
-    /// This many maintenance timers after the last request has ended.
+    /// Stops the arrivals and returns the costs of up to `count` maintenance timers after the last request has ended.
     pub(crate) fn idle_maintenance(&mut self, count: usize) -> Vec<Cost> {
         self.fleet.stop_arrivals(DRAIN_TIME);
         while !self.fleet.is_idle() && self.step() {}
@@ -174,7 +175,7 @@
     }
 }
 
-/// The value in the middle; 0 of none.
+/// The median, the upper one of an even number of values; 0 if there are none.
 pub(crate) fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied().unwrap_or(0.0)
--- a/crates/pipithub-policy/tests/simulated_fleet/discovery.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/discovery.rs
@@ -1,4 +1,5 @@
-//! Outages of discovery: signs of life that do not come, changes of workers that the list does not tell, and health checks.
+//! Outages of discovery: contacts that do not come, changes of workers of which the front end is notified late, and
+//! health checks.
 
 use std::collections::BTreeSet;
 
@@ -13,16 +14,17 @@
 use super::scenario::{MS, Scenario};
 use super::schedule::ScheduledEvent;
 
-/// The interval of signs of life.
+/// The interval at which discovery confirms that the endpoint list is current.
 const CONFIRMATION_INTERVAL: Time = 1_000 * MS;
-/// The parts of a health check's answers that are lost, and of a restart's connections that the front end had.
+/// The probability that a health check or its answer is lost.
 const CHECK_LOSS_PROBABILITY: f64 = 0.05;
+/// The probability that the front end has a connection to a worker that restarts, and sees it close.
 const KNOWN_CONNECTION_PROBABILITY: f64 = 0.7;
-/// The longest grace of the scenarios, in units of 250 ms.
+/// The longest drain grace of the scenarios, in units of 250 ms.
 const MAX_GRACE_STEPS: u64 = 8;
 
 impl Scenario {
-    /// The same scenario with outages of discovery, and settings that allow health checks.
+    /// The same scenario with outages of discovery, a random drain grace, and settings that allow health checks.
     pub(crate) fn with_outages(mut self) -> Scenario {
         let mut random = super::generator(self.seed, Purpose::Outage, 0, 0);
         self.settings.limits.health_checks = true;
@@ -39,7 +41,7 @@
 }
 
 impl SimulatedFleet {
-    /// Schedules the contacts with discovery, where the scenario has outages.
+    /// Schedules the contacts with discovery and the ends of its outages, if the scenario has outages.
     pub(super) fn schedule_discovery(&mut self) {
         if self.scenario.discovery_outages.is_empty() {
             return;
@@ -79,7 +81,8 @@
         Some(Event::EndpointListContact(contact))
     }
 
-    /// Keeps back the change of workers that the list cannot tell now. The connections of those that have started anew end.
+    /// Delays the notification of changed workers until discovery is in reach again. Workers that have just restarted
+    /// close their connections, if the front end has one.
     pub(super) fn delay_change(&mut self, changed: BTreeSet<usize>) {
         self.count("change delayed");
         for &worker in &changed {
@@ -94,7 +97,7 @@
         self.delayed_changes.extend(changed);
     }
 
-    /// Discovery is in reach again: first it tells what was missed.
+    /// The update of all workers that have changed in the outage: the first one when discovery is in reach again.
     pub(super) fn discovery_returns(&mut self) -> Event {
         let missed = std::mem::take(&mut self.delayed_changes);
         Event::Endpoints {
@@ -110,7 +113,7 @@
         }
     }
 
-    /// The front end checks whether a worker is in service.
+    /// Carries out a health check of a worker, and schedules its end.
     pub(super) fn check_health(&mut self, address: &WorkerId) {
         self.count("health check");
         let Some(worker) = self.workers.index_of(address) else {
--- a/crates/pipithub-policy/tests/simulated_fleet/draws.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/draws.rs
@@ -3,7 +3,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// What numbers are drawn for; each purpose has numbers of its own.
+/// What random numbers are drawn for; each purpose has numbers of its own.
 #[derive(Clone, Copy)]
 pub(crate) enum Purpose {
     Function = 1,
@@ -26,13 +26,13 @@
 /// Position of the purpose in the seed's bits.
 const PURPOSE_SHIFT: u32 = 56;
 
-/// The generator for one purpose and what the two keys name: equal in all fleets with this seed.
+/// The generator for one purpose and the item that the two keys identify; it is the same in all fleets with this seed.
 pub(crate) fn generator(seed: u64, purpose: Purpose, key: u64, subkey: u64) -> SmallRng {
     let seed = seed ^ (purpose as u64) << PURPOSE_SHIFT;
     SmallRng::seed_from_u64(mix(mix(mix(seed) ^ key) ^ subkey))
 }
 
-/// Spreads a number over all bits.
+/// Mixes a number so that each of its bits affects all bits of the result (the finalizer of MurmurHash3).
 pub(crate) fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     x = (x ^ (x >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
--- a/crates/pipithub-policy/tests/simulated_fleet/endpoint_updates.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/endpoint_updates.rs
@@ -7,9 +7,9 @@
 
 use super::SimulatedFleet;
 
-/// No workers are added beyond these.
+/// No worker is added once there are this many.
 const MAX_WORKERS: usize = 600;
-/// What a regular update is drawn as: a delta.
+/// The random number that stands for a regular update, which is a delta.
 const REGULAR_UPDATE: u32 = 11;
 
 fn delta(endpoints: Vec<Endpoint>) -> Event {
@@ -28,14 +28,14 @@
         }
     }
 
-    /// Restarts one worker: an update of one endpoint.
+    /// Restarts one worker, and returns the update of its endpoint.
     pub(crate) fn restart_one_worker(&mut self) -> Event {
         let worker = self.endpoint_random.random_range(0..self.workers.len());
         self.workers.get_mut(worker).restart(self.now);
         delta(self.workers.endpoints([worker]))
     }
 
-    /// Removes one worker in seven at once.
+    /// Removes one worker in seven at once, and returns the update of their endpoints.
     pub(crate) fn remove_many_workers(&mut self) -> Event {
         let affected = self.workers.mass_removal_indices();
         for &worker in &affected {
@@ -44,7 +44,7 @@
         delta(self.workers.endpoints(affected))
     }
 
-    /// Returns the workers of a mass removal as new processes.
+    /// Brings the workers of a mass removal back as new processes.
     pub(crate) fn return_many_workers(&mut self) -> Event {
         let affected = self.workers.mass_removal_indices();
         for &worker in &affected {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Changes up to three workers, new ones among them: their indices.
+    /// Changes up to three workers, new ones among them, and returns their indices.
     pub(super) fn change_some_workers(&mut self) -> BTreeSet<usize> {
         let mut changed = BTreeSet::new();
         for _ in 0..self.endpoint_random.random_range(1..4) {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// A stale list: some workers are missing.
+    /// A stale list, in which some workers are missing.
     fn cached_endpoints(&mut self) -> Event {
         self.count("endpoints cached");
         let mut endpoints = self.workers.present_endpoints();
@@ -122,7 +122,7 @@
         }
     }
 
-    /// A delta with one worker twice, first in a state that it is not in, and with the removal of an unknown worker.
+    /// A delta that names one worker twice, first with a random state, and removes an unknown worker.
     fn contradictory_endpoints(&mut self, changed: BTreeSet<usize>) -> Event {
         self.count("endpoint listed twice");
         let mut endpoints = self.workers.endpoints(changed);
--- a/crates/pipithub-policy/tests/simulated_fleet/load.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/load.rs
@@ -1,4 +1,4 @@
-//! The load of simulated workers, as they report it, and what load commands do.
+//! The load of simulated workers, their reports of it, and the effects of load commands.
 
 use pipithub_policy::api::{Event, FunctionId, LoadFinished, LoadReport, Outcome, Time, WorkerId};
 use rand::RngExt;
@@ -11,7 +11,7 @@
 
 /// How long the load by other front ends stays the same.
 const LOAD_INTERVAL: Time = 400 * MS;
-/// The zone that a scenario may silence.
+/// The zone that does not answer for a while in some scenarios.
 const SILENT_ZONE: &str = "z1";
 
 impl SimulatedFleet {
@@ -20,7 +20,8 @@
         self.others_in_flight(worker) + self.workers.get(worker).attempts.len() as f64
     }
 
-    /// Requests of other front ends: some workers have many times the mean, and all change.
+    /// Requests in flight from other front ends. Some workers have up to six times the mean, and the numbers change with
+    /// each [`LOAD_INTERVAL`].
     fn others_in_flight(&self, worker: usize) -> f64 {
         let key = worker as u64;
         let interval = self.now / LOAD_INTERVAL;
@@ -35,7 +36,7 @@
         (self.scenario.other_front_ends.mean_in_flight * lasting * present).floor()
     }
 
-    /// What a worker reports now; some reports are not finite, and parts may be missing.
+    /// The load report of a worker now. Parts may be missing, and one report in 500 states an infinite load.
     pub(super) fn load_report(&self, worker: usize) -> LoadReport {
         let mut random = self.random_for(Purpose::LoadReport, worker as u64, self.now);
         let in_flight = if random.random_bool(0.002) {
@@ -59,7 +60,7 @@
         silent_now && self.workers.get(worker).endpoint.zone == SILENT_ZONE
     }
 
-    /// The front end polls a worker. A poll that is not answered ends as such late, or never.
+    /// Carries out a load poll and schedules its end. A poll that is not answered ends later as such, or never.
     pub(super) fn poll_load(&mut self, address: &WorkerId) {
         self.count("load poll");
         let Some(worker) = self.workers.index_of(address) else {
@@ -93,7 +94,7 @@
         }
     }
 
-    /// The front end has a worker load a function.
+    /// Carries out a load command and schedules its end.
     pub(super) fn load_function(&mut self, address: &WorkerId, function: FunctionId, wanted: u32) {
         self.count("load command");
         let Some(worker) = self.workers.index_of(address) else {
@@ -138,7 +139,7 @@
             .push(ends_at, ScheduledEvent::LoadCommandEnds(finished));
     }
 
-    /// The front end has a worker evict its replicas of a function.
+    /// Carries out a command to evict the replicas of a function.
     pub(super) fn evict_function(&mut self, address: &WorkerId, function: FunctionId) {
         self.count("evict command");
         if let Some(worker) = self.workers.index_of(address) {
--- a/crates/pipithub-policy/tests/simulated_fleet/mod.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/mod.rs
@@ -1,10 +1,15 @@
 //! A simulated fleet around one front end: clients, workers and faults in simulated time, drawn from the seed of a
 //! [`Scenario`].
 //!
-//! It hands out one event after the other and answers the actions that the front end takes. What is drawn for a
-//! request, an attempt or a worker depends on the seed and its name alone, so two front ends in two fleets of one
-//! scenario meet the same requests, and equal attempts end alike.
-#![allow(dead_code, reason = "each test and each bench uses a part of it")]
+//! [`SimulatedFleet::next_event`] returns one event after the other, and [`SimulatedFleet::apply`] carries out the
+//! actions that the front end takes. The random numbers for a function, an attempt or a worker depend only on the seed
+//! and on its number, not on what was drawn before. So two front ends in two fleets of one scenario get the same
+//! events as long as they take the same actions, and a further attempt draws the same numbers even if earlier actions
+//! differ.
+#![allow(
+    dead_code,
+    reason = "each test binary and each benchmark uses only some of these items"
+)]
 
 mod attempts;
 mod clients;
@@ -30,18 +35,18 @@
 use schedule::{Schedule, ScheduledEvent};
 use workers::Workers;
 
-/// Keeps the draws of endpoint changes apart from others with the same seed.
+/// Makes the random numbers of endpoint changes differ from others with the same seed.
 const ENDPOINT_SEED_MASK: u64 = 2;
-/// When a client may retry after a final answer that names no time.
+/// How long a client waits at least before a retry if the final answer names no time.
 const DEFAULT_RETRY_AFTER: Time = 30 * MS;
 
-/// How often what happened, by name.
+/// How often each kind of event has happened, by its name.
 pub(super) type EventCounts = BTreeMap<&'static str, u64>;
 
 /// The clients and workers of one front end.
 pub(super) struct SimulatedFleet {
     pub scenario: Scenario,
-    /// What has happened so far.
+    /// The events that have happened so far.
     pub counts: EventCounts,
     now: Time,
     schedule: Schedule,
@@ -49,7 +54,7 @@
     workers: Workers,
     clients: Clients,
     endpoint_random: SmallRng,
-    /// Changed workers that the list could not tell so far.
+    /// Workers that have changed while discovery was out of reach. The front end has not been notified of it yet.
     delayed_changes: BTreeSet<usize>,
 }
 
@@ -90,7 +95,7 @@
         }
     }
 
-    /// The next event and its time; `None` once the scenario is over.
+    /// The next event for the front end and its time; `None` once the scenario is over.
     pub(super) fn next_event(&mut self) -> Option<(Time, Event)> {
         loop {
             let (at, scheduled) = self.schedule.pop()?;
@@ -116,7 +121,7 @@
         self.now
     }
 
-    /// No requests arrive from now on, and the scenario ends after this time.
+    /// Stops the arrival of requests, and ends the scenario after this time.
     pub(super) fn stop_arrivals(&mut self, remaining: Time) {
         self.arrivals_stopped = true;
         self.scenario.duration = self.now + remaining - self.scenario.start;
@@ -127,7 +132,7 @@
         self.clients.is_idle()
     }
 
-    /// Does what the front end asked for after the last event.
+    /// Carries out the actions that the front end took on the last event.
     pub(super) fn apply(&mut self, actions: &[Action]) {
         for action in actions {
             self.apply_one(action);
@@ -174,7 +179,8 @@
         }
     }
 
-    /// What a scheduled event means for the front end; `None`: nothing any more.
+    /// Carries out a scheduled event and returns the event that the front end gets; `None`: it gets none, for example as
+    /// the attempt has ended before.
     fn event_of(&mut self, scheduled: ScheduledEvent) -> Option<Event> {
         let event = match scheduled {
             ScheduledEvent::RequestArrives => self.next_request_arrives(),
@@ -222,7 +228,7 @@
         Some(event)
     }
 
-    /// Draws the request that arrives now, and when the next one does.
+    /// Draws the request that arrives now, and schedules the arrival of the next one.
     fn next_request_arrives(&mut self) -> Event {
         let request = self.clients.draw_request(&self.scenario);
         let next_arrival = self.now + self.clients.draw_gap(&self.scenario);
@@ -264,7 +270,8 @@
         Some(Event::ClientCancelled { request })
     }
 
-    /// The front end rejects or fails a request: its client may retry, not before this time has passed.
+    /// Settles a request that the front end rejects or fails. Its client may retry, but not before `retry_after` has
+    /// passed.
     fn final_answer(&mut self, id: RequestId, retry_after: Time) {
         let Some(pending) = self.clients.get_mut(id) else {
             return;
--- a/crates/pipithub-policy/tests/simulated_fleet/random_scenario.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/random_scenario.rs
@@ -1,6 +1,6 @@
 //! Draws scenarios from seeds: any number of workers, any settings, any mix of faults.
 //!
-//! The order of the draws is part of what a seed means: a reordered draw gives other scenarios.
+//! The order of the draws must stay: in another order the same seed gives another scenario.
 
 use pipithub_policy::api::{
     Class, Costs, DeduplicationScope, FunctionLoading, Idempotency, Limits, LoadRateLimit,
@@ -14,19 +14,19 @@
     Scenario, WorkerProfile,
 };
 
-/// Keeps these draws apart from those that the fleet makes with the same seed.
+/// Makes these random numbers differ from those that the fleet draws with the same seed.
 const SEED_MASK: u64 = 0x5eed_da75;
-/// How often a scenario is drawn for either focus.
+/// The probability of the focus on load commands and, if that was not drawn, of the focus on a silent zone.
 const FOCUS_PROBABILITY: f64 = 0.12;
 
-/// What a scenario is drawn for.
+/// What a scenario concentrates on.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Focus {
     /// Any mix of settings and faults.
     Mixed,
-    /// Many functions, loaded by command only, without faults.
+    /// Many functions that are loaded by command only, without faults.
     LoadCommands,
-    /// A zone that does not answer while clients cancel, as one of many front ends sees it.
+    /// A zone that does not answer while many clients cancel, with at least nine front ends.
     SilentZone,
 }
 
@@ -34,7 +34,8 @@
 struct Generator {
     random: SmallRng,
     focus: Focus,
-    /// No faults but those of the focus.
+    /// Whether the faults of [`Faults`], cancellations by clients and regular changes of workers are left out, except
+    /// those of the focus.
     healthy: bool,
 }
 
@@ -118,7 +119,7 @@
         }
     }
 
-    /// A long scenario with many workers takes the longest to play: it is rare.
+    /// The longest duration falls with the number of workers, as long scenarios with many workers take long to run.
     fn duration(&mut self, workers: u64) -> Time {
         let shortest = if self.focus == Focus::LoadCommands {
             20_000
@@ -172,7 +173,7 @@
         }
     }
 
-    /// The probability of a fault: 0, or with this chance up to `highest`.
+    /// The probability of a fault: with the probability `chance` a number up to `highest`, otherwise 0.
     fn fault(&mut self, chance: f64, highest: f64) -> f64 {
         if self.healthy || !self.chance(chance) {
             0.0
@@ -361,7 +362,7 @@
         self.random.random_bool(probability)
     }
 
-    /// A number from `least` up to `most`, as likely in each power of ten.
+    /// A number from `least` to `most` whose logarithm is uniformly distributed.
     fn log_uniform(&mut self, least: u64, most: u64) -> u64 {
         let (least, most) = (least as f64, most.max(least) as f64 + 1.0);
         (least * (most / least).powf(self.random.random_range(0.0..1.0))) as u64
--- a/crates/pipithub-policy/tests/simulated_fleet/scenario.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/scenario.rs
@@ -1,20 +1,20 @@
-//! What a simulated fleet is like: its settings, workers, functions, clients and faults.
+//! The description of a simulated fleet: its settings, workers, functions, clients and faults.
 
 use pipithub_policy::api::{Class, Costs, FunctionLoading, Limits, Settings, SlowStart, Time};
 
 /// Nanoseconds in a millisecond.
 pub(crate) const MS: Time = 1_000_000;
 
-/// Front ends of a large site, and the zones of its workers.
+/// The front ends of a large fleet, and the zones of its workers.
 const LARGE_FLEET_FRONT_ENDS: u32 = 1_700;
 const LARGE_FLEET_ZONES: usize = 7;
 /// A limit that no worker reaches.
 const UNLIMITED: f64 = 1e9;
 
-/// A scenario of one front end. Shares and probabilities are from 0 to 1, times are nanoseconds.
+/// A scenario of one front end. Shares and probabilities are from 0 to 1, times are in nanoseconds.
 #[derive(Clone, Debug)]
 pub(crate) struct Scenario {
-    /// Seed of everything that the fleet draws.
+    /// The seed of all random numbers of the fleet.
     pub seed: u64,
     /// The settings of the front end.
     pub settings: Settings,
@@ -29,11 +29,12 @@
     pub faults: Faults,
     pub reporting: Reporting,
     pub endpoint_changes: EndpointChanges,
-    /// When discovery is out of reach, each from and until; empty: the front end does not follow it.
+    /// The outages of discovery, each from its start to its end. Empty: no contact with discovery is simulated, so that
+    /// the front end relies on its endpoint list without a limit of age.
     pub discovery_outages: Vec<(Time, Time)>,
 }
 
-/// The workers at the beginning.
+/// The workers at the start of a scenario.
 #[derive(Clone, Debug)]
 pub(crate) struct WorkerProfile {
     pub count: usize,
@@ -48,9 +49,9 @@
 /// The functions that clients call.
 #[derive(Clone, Debug)]
 pub(crate) struct FunctionProfile {
-    /// How many there are; their popularity has a long tail (Zipf).
+    /// How many there are; their popularity has a long tail (Zipf distribution).
     pub count: u64,
-    /// Each is called once, in turn, and their number is not bounded.
+    /// Each new request calls another function, so that `count` does not bound their number.
     pub called_once: bool,
     /// The shortest and the longest usual run time.
     pub run_time: (Time, Time),
@@ -67,7 +68,7 @@
 pub(crate) struct ClientProfile {
     /// The mean time between requests.
     pub mean_gap: Time,
-    /// Requests that arrive at once.
+    /// The number of requests that arrive at the same time.
     pub burst: u64,
     /// The probability that a client cancels, and the time within which it does.
     pub cancels: f64,
@@ -81,9 +82,10 @@
 /// What the other front ends send to the same workers.
 #[derive(Clone, Debug)]
 pub(crate) struct OtherFrontEnds {
-    /// The mean of their requests in flight at a worker.
+    /// The mean number of their requests in flight at a worker.
     pub mean_in_flight: f64,
-    /// Their requests in flight for the most popular function.
+    /// The mean number of their requests in flight for the most popular function at a worker; the function of rank `n`
+    /// has one `n`-th of it.
     pub same_function: f64,
 }
 
@@ -106,7 +108,7 @@
     pub failing_workers: f64,
 }
 
-/// Probabilities of what workers tell.
+/// Probabilities that workers report their load and honor cancellations.
 #[derive(Clone, Debug)]
 pub(crate) struct Reporting {
     /// An answer carries a load report.
@@ -122,16 +124,17 @@
 pub(crate) struct EndpointChanges {
     /// The mean time between updates of the endpoint list; 0: there are none.
     pub mean_gap: Time,
-    /// Updates may be lost, stale or contradictory.
+    /// Whether updates may be lost, stale or contradictory.
     pub irregular: bool,
-    /// From when until when the zone `z1` does not answer.
+    /// From when until when the zone `z1` does not answer; `None`: it always does.
     pub silent_zone: Option<(Time, Time)>,
-    /// When one worker in seven is removed; they return after a third of the scenario.
+    /// When one worker in seven is removed, to return after a third of the scenario; `None`: never.
     pub mass_removal_at: Option<Time>,
 }
 
 impl Scenario {
-    /// Hardly any faults at a large site: 1,700 front ends, 7 zones, answers after 50 to 300 ms, most replicas loaded.
+    /// A large fleet with hardly any faults: 1,700 front ends, 7 zones, usual run times of 50 to 300 ms, and 95% of the
+    /// replicas loaded before.
     pub(crate) fn healthy(
         seed: u64,
         workers: usize,
@@ -191,7 +194,7 @@
         }
     }
 
-    /// This scenario with one kind of trouble each, by name.
+    /// Variants of this scenario with one kind of fault each, by name.
     pub(crate) fn with_faults(self) -> Vec<(&'static str, Scenario)> {
         let end = self.start + self.duration;
         let first_third = self.start + self.duration / 3;
@@ -217,7 +220,7 @@
     }
 }
 
-/// Names of the scenarios of [`Scenario::with_faults`], as figures print them.
+/// The names of the scenarios of [`Scenario::with_faults`], as they stand in the figures of the benchmark.
 pub(crate) const PREFERRED_WORKERS_REJECT: &str = "homes full";
 pub(crate) const ALL_WORKERS_WARMING_UP: &str = "all cold";
 pub(crate) const ZONE_SILENT: &str = "a zone silent";
--- a/crates/pipithub-policy/tests/simulated_fleet/schedule.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/schedule.rs
@@ -7,18 +7,18 @@
     Time,
 };
 
-/// An attempt at a request, by its number from 0.
+/// Identifies an attempt by its request and its number, which counts from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptId {
     pub request: RequestId,
     pub number: u32,
 }
 
-/// What is to happen at a time.
+/// An event that is scheduled for a time.
 pub(crate) enum ScheduledEvent {
-    /// A client sends a new request; the one after it is scheduled then.
+    /// A client sends a new request; then the next arrival is scheduled.
     RequestArrives,
-    /// A client sends a request once more, as a new one.
+    /// A client retries a request, which gets a new id.
     ClientRetries(Request),
     TimerExpires(u64),
     StreamingBegins(RequestId),
@@ -29,7 +29,7 @@
         answered: bool,
     },
     LoadCommandEnds(LoadFinished),
-    /// Some workers change; the next change is scheduled then.
+    /// Some workers change; then the next change is scheduled.
     EndpointsChange,
     DiscoveryContact(EndpointListContact),
     DiscoveryReturns,
@@ -44,7 +44,7 @@
     MassReturn,
 }
 
-/// The events that are to come; those of one time in the order in which they were scheduled.
+/// The events to come, by time; events of the same time come in the order in which they were scheduled.
 #[derive(Default)]
 pub(crate) struct Schedule {
     events: BTreeMap<(Time, u64), ScheduledEvent>,
--- a/crates/pipithub-policy/tests/simulated_fleet/workers.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/workers.rs
@@ -9,14 +9,14 @@
 use super::scenario::{MS, Scenario};
 use super::schedule::AttemptId;
 
-/// A mass removal affects one worker in seven.
+/// A mass removal affects every seventh worker, beginning with the one at [`MASS_REMOVAL_OFFSET`].
 const MASS_REMOVAL_STRIDE: usize = 7;
 const MASS_REMOVAL_OFFSET: usize = 3;
 
-/// A worker as it is, whatever the front end knows of it.
+/// The actual state of a worker, of which the front end may know only a part.
 pub(crate) struct SimulatedWorker {
     pub endpoint: Endpoint,
-    /// Replicas that are loaded or being loaded, with the time from which on they serve.
+    /// Replicas that are loaded or being loaded, with the time from which they can serve requests.
     pub replicas: BTreeMap<FunctionId, Time>,
     /// This front end's attempts in flight.
     pub attempts: BTreeSet<AttemptId>,
@@ -27,7 +27,7 @@
         self.endpoint.state == EndpointState::Removed
     }
 
-    /// A new process takes its place.
+    /// Replaces the worker by a new process at the same address.
     pub(crate) fn restart(&mut self, now: Time) {
         self.replicas.clear();
         self.endpoint.state = EndpointState::Ready;
@@ -35,7 +35,7 @@
     }
 }
 
-/// All workers that there have been, by index and by address.
+/// All workers, including removed ones, by index and by address.
 #[derive(Default)]
 pub(crate) struct Workers {
     all: Vec<SimulatedWorker>,
@@ -43,7 +43,7 @@
 }
 
 impl Workers {
-    /// Adds a worker with drawn figures: its index.
+    /// Adds a worker with random properties, and returns its index.
     pub(crate) fn add(&mut self, scenario: &Scenario, now: Time) -> usize {
         let index = self.all.len();
         let endpoint = new_endpoint(index as u64, scenario, now);
@@ -72,7 +72,7 @@
         &mut self.all[index]
     }
 
-    /// The endpoints of all that are not removed.
+    /// The endpoints of all workers that are not removed.
     pub(crate) fn present_endpoints(&self) -> Vec<Endpoint> {
         self.all
             .iter()
@@ -89,7 +89,7 @@
             .collect()
     }
 
-    /// The workers that a mass removal affects.
+    /// The indices of the workers that a mass removal affects.
     pub(crate) fn mass_removal_indices(&self) -> Vec<usize> {
         let affected = (MASS_REMOVAL_OFFSET..self.all.len()).step_by(MASS_REMOVAL_STRIDE);
         affected.collect()
--- a/crates/pipithub-policy/tests/slow_start/fleet.rs
+++ b/crates/pipithub-policy/tests/slow_start/fleet.rs
@@ -15,51 +15,53 @@
 use crate::common::{self, MS, settings};
 use crate::scenario::{Scenario, Summary, max_survivable};
 
-/// Time between a start and the moment the last front end is notified of it.
+/// The longest time from the start of a worker until a front end is notified of it.
 const MAX_UPDATE_DELAY: Time = SECOND / 2;
 /// When the simulation begins.
 const START: Time = 1_000 * SECOND;
-/// Traffic before the first start, so that front ends know what warm workers take.
+/// How long traffic runs before the first worker starts, so that front ends learn what warm workers serve.
 const LEAD_TIME: Time = 6 * SECOND;
-/// Time from a send to its answer.
+/// The time from an attempt to its answer.
 const LATENCY: Time = 50 * MS;
-/// A worker queues up to this much work, or this many calls, before it rejects calls.
+/// A worker rejects a call if its queue would exceed both this much work and [`MAX_BACKLOG_CALLS`].
 const MAX_BACKLOG: Time = SECOND / 2;
 const MAX_BACKLOG_CALLS: f64 = 2.0;
-/// Period of the front ends' maintenance timer.
+/// The period of the front ends' maintenance timer.
 const MAINTENANCE_INTERVAL: Time = 50 * MS;
 
-/// What happens next in the simulation.
+/// An event of the simulation.
 enum SimulationEvent {
+    /// A client calls a function, and the next call is scheduled.
     ClientCall,
+    /// An answer arrives at a front end.
     Answer {
         front_end: usize,
         incarnation: u32,
         finished: AttemptFinished,
     },
-    /// A new worker takes the place of the one there.
-    WorkerStart {
-        place: usize,
-    },
-    /// A front end gets the update that a worker replaced another.
+    /// A new worker replaces the one in this place.
+    WorkerStart { place: usize },
+    /// A front end is notified that a worker has replaced another.
     EndpointUpdate {
         front_end: usize,
         removed: Endpoint,
         added: Endpoint,
     },
+    /// About half of the front ends restart.
     FrontEndsRestart,
 }
 
-/// A worker with a rate of calls that it can take.
+/// A worker that serves calls at a limited rate.
 struct SimulatedWorker {
     /// Its capacity as a multiple of the usual one.
     size: f64,
-    /// `None`: warm from the beginning.
+    /// When it started; `None`: it is warm from the beginning.
     started_at: Option<Time>,
-    /// When it has finished all that it was sent.
+    /// When it will have finished all calls that it has accepted.
     free_at: Time,
     /// Attempts within the last `overload_window`.
     recent_sends: VecDeque<Time>,
+    /// Whether some window has held more attempts than the budget allows.
     over_budget: bool,
 }
 
@@ -94,11 +96,13 @@
     /// Running sums of the weights of the front ends' traffic.
     cumulative_weights: Vec<f64>,
     workers: BTreeMap<WorkerId, SimulatedWorker>,
-    /// In each place two names take turns.
+    /// For each place, the two names that its workers have in turn.
     names: Vec<[WorkerId; 2]>,
+    /// For each place, which of the two names its worker has now.
     current_names: Vec<usize>,
-    /// A function whose first choice is the worker.
+    /// For each worker, a function that prefers it to all others.
     functions: BTreeMap<WorkerId, FunctionId>,
+    /// The number of attempts of each pending request.
     attempts: BTreeMap<RequestId, u32>,
     next_request: RequestId,
     queue: BTreeMap<(Time, u64), SimulationEvent>,
@@ -106,7 +110,7 @@
     summary: Summary,
 }
 
-/// The entry of a worker in the list.
+/// The entry of a worker in the endpoint list.
 fn endpoint(worker: &WorkerId, size: f64, started_at: Option<Time>) -> Endpoint {
     Endpoint {
         started_at,
@@ -115,7 +119,7 @@
     }
 }
 
-/// For each worker a function that tries it before all others, as the module itself decides.
+/// For each worker, a function that the decision module sends there first.
 fn functions_by_first_choice(workers: &[WorkerId]) -> BTreeMap<WorkerId, FunctionId> {
     let mut probe = FrontEnd::new(settings(Idempotency::Idempotent), 1);
     let endpoints = workers.iter().map(|w| endpoint(w, 1.0, None)).collect();
@@ -141,7 +145,7 @@
             timeout: Some(4 * SECOND),
             ..Request::default()
         };
-        // Ever later, so that no call meets the queue of an earlier one.
+        // The calls are 100 s apart, so that none meets the queue of an earlier one.
         probe.handle(
             (number + 2) * 100 * SECOND,
             Event::Arrived(call),
@@ -226,7 +230,7 @@
         fleet
     }
 
-    /// Plays the scenario to its end.
+    /// Runs a scenario to its end.
     pub(super) fn run(scenario: Scenario) -> Summary {
         let mut fleet = Fleet::new(scenario);
         let (window, places) = (
@@ -323,7 +327,7 @@
         self.handle(front_end, Event::Arrived(call));
     }
 
-    /// Lets the maintenance timer expire where it is due: between calls nothing depends on it.
+    /// Lets the maintenance timer expire if it is due. This is done at calls only: nothing depends on it between them.
     fn run_maintenance(&mut self, front_end: usize) {
         let simulated = &mut self.front_ends[front_end];
         if self.now >= simulated.last_maintenance + MAINTENANCE_INTERVAL {
@@ -333,7 +337,7 @@
         }
     }
 
-    /// Lets the module of a front end handle an event, and does what it wants done.
+    /// Has the module of a front end handle an event, and carries out the actions that the simulation knows.
     fn handle(&mut self, front_end: usize, event: Event) {
         let mut actions = Vec::new();
         self.front_ends[front_end]
@@ -382,8 +386,8 @@
         );
     }
 
-    /// A worker gets a request: the window that ends with it is checked against the budget, and the worker
-    /// takes the request or rejects it.
+    /// Delivers a request to a worker. Checks the window that ends with it against the budget, and returns whether the
+    /// worker serves the request, rejects it or does not exist any more.
     fn receive(&mut self, worker: &WorkerId) -> Outcome {
         let Some(simulated) = self.workers.get_mut(worker) else {
             return Outcome::Unreachable;
@@ -424,7 +428,7 @@
         self.workers
             .insert(added.clone(), SimulatedWorker::new(size, started_at));
         self.summary.starts += 1;
-        // The last workers' ramps are cut short by the end.
+        // The end of the simulation cuts the slow start of the last workers short.
         let simulated_time = self.scenario.slow_start.window.min(self.end - self.now);
         let overload_windows =
             simulated_time as f64 / self.scenario.slow_start.overload_window as f64;
@@ -448,7 +452,7 @@
         }
     }
 
-    /// A front end that knows the list of workers and nothing else.
+    /// Starts a front end that knows the endpoint list and nothing else.
     fn start_front_end(&self, seed: u64, incarnation: u32) -> SimulatedFrontEnd {
         let mut module = FrontEnd::new(self.settings.clone(), seed);
         let endpoints = self
@@ -472,7 +476,7 @@
             } => Some(*token),
             _ => None,
         });
-        let maintenance_token = maintenance.expect("a front end asks for its maintenance timer");
+        let maintenance_token = maintenance.expect("a front end sets its maintenance timer");
         SimulatedFrontEnd {
             module,
             seed,
@@ -482,7 +486,8 @@
         }
     }
 
-    /// Half of the front ends, drawn, lose all that they have learnt and counted; each keeps its seed.
+    /// Restarts each front end with a probability of one half: it loses all that it has learnt and counted, and keeps
+    /// its seed.
     fn restart_half(&mut self) {
         for front_end in 0..self.front_ends.len() {
             if self.random.random::<bool>() {
--- a/crates/pipithub-policy/tests/slow_start/main.rs
+++ b/crates/pipithub-policy/tests/slow_start/main.rs
@@ -1,8 +1,8 @@
 //! The slow-start budget of workers that have just started, summed over all front ends of a fleet.
 //!
 //! The operators count a warming worker as overloaded when, within `overload_window`, it is sent more than its budget N
-//! and a margin for chance. Each front end decides alone, so the fleet is simulated here: every start of a worker is drawn,
-//! and the sum is checked at every single attempt, not on average.
+//! and a margin for chance. Each front end decides alone, so the tests simulate a whole fleet with many starts of
+//! workers and random traffic, and check the sum at every single attempt, not on average.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -15,23 +15,24 @@
 use scenario::{Scenario, Summary, Traffic};
 
 const SECOND: Time = 1_000 * MS;
-/// The part of all budgets that a surge may use. The module draws for about half of them: a fleet whose
-/// expected attempts come near the budget keeps it by luck alone.
+/// The share of all budgets that a surge may use. The module draws attempts for about half of them: if the expected
+/// number of attempts came near the budget, a fleet would keep within it by luck alone.
 const MAX_SURGE_USE: f64 = 0.6;
 
-/// How traffic reaches a fleet: its spread, and whether half of the front ends restart in each ramp.
+/// How traffic is spread over the front ends, and whether about half of them restart in each slow-start window.
 const CONDITIONS: [(Traffic, bool); 4] = [
     (Traffic::Equal, false),
     (Traffic::Unequal, false),
     (Traffic::OneBusy, false),
     (Traffic::Equal, true),
 ];
+/// Numbers of front ends.
 const FLEETS: [usize; 6] = [2, 5, 20, 30, 60, 300];
 
-/// Plays scenarios side by side, as many at a time as there are conditions, and tells what came of each.
+/// Runs scenarios in parallel, on as many threads as there are conditions, and returns the results of each.
 fn run_all(scenarios: Vec<Scenario>) -> Vec<(Scenario, Summary)> {
     let queue = std::sync::Mutex::new(scenarios.into_iter());
-    let next = || queue.lock().expect("no player has failed").next();
+    let next = || queue.lock().expect("no thread has panicked").next();
     let run_queued = || {
         let mut results = Vec::new();
         while let Some(scenario) = next() {
@@ -44,12 +45,12 @@
         let threads: Vec<_> = CONDITIONS.iter().map(|_| scope.spawn(run_queued)).collect();
         threads
             .into_iter()
-            .flat_map(|thread| thread.join().expect("a player ends"))
+            .flat_map(|thread| thread.join().expect("a thread ends without a panic"))
             .collect()
     })
 }
 
-/// Fails where a single window of a single worker held more than its budget allows.
+/// Fails if a single window of a single worker held more attempts than its budget allows.
 fn assert_none_over_budget(results: &[(Scenario, Summary)]) {
     let over_budget: Vec<_> = results
         .iter()
@@ -58,7 +59,8 @@
     assert!(over_budget.is_empty(), "over budget: {over_budget:#?}");
 }
 
-/// A fleet of each size under each condition, `starts` starts of workers with this first budget.
+/// A scenario for each fleet size under each condition, with at least `starts` starts of workers that have this first
+/// budget.
 fn fleets(first_budget: f64, starts: usize) -> Vec<Scenario> {
     let conditions = || CONDITIONS.into_iter();
     let fleet = |front_ends| {
@@ -130,7 +132,7 @@
     }
 }
 
-/// What warm workers serve says little of a smaller one, but the endpoint list states its weight.
+/// What warm workers serve says little about a smaller worker, but the endpoint list states its weight.
 #[test]
 fn no_warming_worker_exceeds_its_budget_where_some_workers_are_smaller() {
     let sized = |s: Scenario| {
@@ -143,7 +145,7 @@
     assert_none_over_budget(&run_all(scenarios.into_iter().flat_map(sized).collect()));
 }
 
-/// Where no worker is warm, nothing new is learnt of what a warm one can serve.
+/// Where no worker is warm, front ends learn nothing new about what a warm one can serve.
 #[test]
 fn no_warming_worker_exceeds_its_budget_where_all_workers_are_warming() {
     let all_warming = |s: Scenario| Scenario {
--- a/crates/pipithub-policy/tests/slow_start/scenario.rs
+++ b/crates/pipithub-policy/tests/slow_start/scenario.rs
@@ -1,4 +1,4 @@
-//! What one simulated fleet is given, what its warming workers survive, and the results.
+//! The parameters of a simulated fleet, what its warming workers survive, and the results.
 
 use pipithub_policy::api::{SlowStart, Time};
 
@@ -13,11 +13,12 @@
     Equal,
     /// Front end `i` gets a share proportional to `1 / (i + 1)`.
     Unequal,
-    /// One front end gets seven times the mean; of so few that none can, nearly all.
+    /// One front end gets seven times the mean, or nearly all traffic where there are too few front ends for that.
     OneBusy,
 }
 
 impl Traffic {
+    /// The traffic of a front end in proportion to that of the others.
     pub(super) fn weight(self, front_end: usize, front_ends: usize) -> f64 {
         let others = front_ends as f64 - 1.0;
         match self {
@@ -36,20 +37,22 @@
 pub(super) struct Scenario {
     pub(super) front_ends: usize,
     pub(super) traffic: Traffic,
-    /// In each ramp, half of the front ends restart at one drawn moment.
+    /// Whether about half of the front ends restart at a random time in each slow-start window.
     pub(super) restarts: bool,
-    /// Requests that a worker may be sent within `overload_window` as it starts; it grows with the ramp.
+    /// The requests that a worker may be sent within `overload_window` when it starts; the budget grows as it warms up.
     pub(super) first_budget: f64,
-    /// Workers that are warm throughout, and places in which one warming worker follows another.
+    /// The number of workers that are warm throughout.
     pub(super) warm_workers: usize,
+    /// The number of places in which one warming worker replaces another.
     pub(super) warming_places: usize,
-    /// Size of the workers in every other warming place; all others have size 1.
+    /// The size of the workers in every other warming place; all others have size 1.
     pub(super) small_size: f64,
     /// Arrivals as a multiple of what all workers would serve if they were warm.
     pub(super) demand: f64,
     pub(super) slow_start: SlowStart,
-    /// Starts to draw, at least.
+    /// The least number of starts of workers.
     pub(super) starts: usize,
+    /// The seed of all random numbers.
     pub(super) seed: u64,
 }
 
@@ -80,14 +83,14 @@
         }
     }
 
-    /// Calls that a warm worker serves in a second.
+    /// Calls that a warm worker of size 1 serves in a second.
     pub(super) fn capacity(&self) -> f64 {
         let window_seconds = self.slow_start.overload_window as f64 / SECOND as f64;
         self.first_budget
             / (self.slow_start.overload_factor * self.slow_start.initial_weight * window_seconds)
     }
 
-    /// The share of its capacity that a worker of this age has.
+    /// The capacity of a worker of this age, as a share of that of the same worker when warm.
     pub(super) fn capacity_share(&self, age: Time) -> f64 {
         let progress = (age as f64 / self.slow_start.window as f64).min(1.0);
         self.slow_start.initial_weight + (1.0 - self.slow_start.initial_weight) * progress
@@ -103,13 +106,14 @@
         self.starts.div_ceil(self.warming_places) as u64
     }
 
-    /// The budget N of a worker of this age.
+    /// The budget N of a worker of size 1 and this age.
     pub(super) fn budget(&self, age: Time) -> f64 {
         self.first_budget * self.capacity_share(age) / self.slow_start.initial_weight
     }
 }
 
-/// The most requests within `overload_window` that a warming worker with this budget survives.
+/// The most requests within `overload_window` that a warming worker with this budget survives: the budget and a margin
+/// for chance.
 pub(super) fn max_survivable(budget: f64) -> f64 {
     if budget < 30.0 {
         budget + 3.0 * budget.sqrt() + 3.0
@@ -124,9 +128,10 @@
     pub(super) starts: usize,
     /// Starts in which some window held more than the budget allows.
     pub(super) over_budget: usize,
-    /// The fullest window, as a share of what is survivable.
+    /// The most attempts in one window, as a share of what the worker survives.
     pub(super) fullest_window: f64,
-    /// Requests sent to warming workers, and their budgets over the time played.
+    /// Requests sent to warming workers.
     pub(super) sent: f64,
+    /// The sum of the budgets of the warming workers over the simulated time.
     pub(super) budgeted: f64,
 }
--- a/crates/pipithub-policy/tests/warming_workers.rs
+++ b/crates/pipithub-policy/tests/warming_workers.rs
@@ -1,4 +1,4 @@
-//! What a worker that has just started is sent: never more than its budget, alone and summed over all front ends.
+//! A worker that has just started is never sent more than its budget, neither by one front end nor by all together.
 
 mod common;
 
@@ -12,9 +12,9 @@
 /// The function whose preferred worker restarts; the others are numbered from [`OTHER_FUNCTIONS`].
 const FUNCTION: u64 = 1;
 const OTHER_FUNCTIONS: u64 = 10;
-/// Functions beside it that clients request before they turn to it.
+/// The number of other functions, which clients request before they turn to [`FUNCTION`].
 const OTHER_FUNCTION_COUNT: u64 = 16;
-/// What a warm worker is held to serve in a second, below what it can in these tests.
+/// The requests that a warm worker is assumed to serve in a second, fewer than it can serve in these tests.
 const SERVED_PER_SECOND: f64 = 50.0;
 
 /// Tells the front end that a worker has restarted now.
@@ -25,13 +25,14 @@
     }]);
 }
 
-/// Attempts in the overload window that ends at this time, by the ages of the worker at which they were sent.
+/// The number of attempts in the overload window that ends at `end`. All times are ages of the worker.
 fn attempts_in_window(slow_start: &SlowStart, attempts: &[Time], end: Time) -> usize {
     let in_window = |at: &&Time| **at <= end && **at + slow_start.overload_window > end;
     attempts.iter().filter(in_window).count()
 }
 
-/// What a worker that serves so much in a second when warm may be sent in one overload window at this age.
+/// The attempts that a worker of this age may be sent in one overload window, if it serves `served_per_second` when
+/// warm.
 fn budget(slow_start: &SlowStart, age: Time, served_per_second: f64) -> f64 {
     let progress = (age as f64 / slow_start.window as f64).min(1.0);
     let weight = slow_start.initial_weight + (1.0 - slow_start.initial_weight) * progress;
@@ -39,7 +40,7 @@
     slow_start.overload_factor * weight * served_per_second * window_seconds
 }
 
-/// Fails where one window of attempts holds more than the budget and this tolerance.
+/// Fails if one overload window holds more attempts than the budget and this tolerance.
 fn assert_within_budget(
     slow_start: &SlowStart,
     attempts: &[Time],
@@ -57,7 +58,7 @@
     }
 }
 
-/// Serves ten requests a second at each of three warm workers.
+/// Serves ten requests a second for each of three functions, for 6 s.
 fn serve_at_all_workers(front_end: &mut FrontEndHarness) {
     for _ in 0..60 {
         for function in 0..3 {
@@ -69,9 +70,9 @@
     }
 }
 
-/// Requests a function 200 times a second: the ages at which the worker was sent attempts.
+/// Requests [`FUNCTION`] 200 times a second, and returns the ages of the worker at which it was sent attempts.
 ///
-/// It rejects every second one: rejected attempts count too, as they are work that arrived.
+/// Every second request is rejected by the worker that gets it: rejected attempts count too, as they have arrived there.
 fn request_of_warming_worker(
     front_end: &mut FrontEndHarness,
     worker: &WorkerId,
@@ -119,11 +120,11 @@
         .count();
     assert!(
         in_first_window < 60,
-        "the first burst is held back: {in_first_window} of 400 requests"
+        "the first burst is limited: {in_first_window} of 400 requests"
     );
 }
 
-/// Requests a second at a front end for 20 seconds, by several functions.
+/// Sends one request a second to a front end for 20 seconds, for several functions.
 fn request_other_functions(front_end: &mut FrontEndHarness) {
     for number in 0..20 {
         let function = (number * 7 + front_end.now / MS) % OTHER_FUNCTION_COUNT;
@@ -136,7 +137,8 @@
     }
 }
 
-/// Requests the function twice a second, beginning after this delay: the ages of the worker at its attempts.
+/// Requests [`FUNCTION`] thirty times, twice a second, after this delay. Returns the ages of the worker at which it was
+/// sent attempts.
 fn request_twice_a_second(
     front_end: &mut FrontEndHarness,
     worker: &WorkerId,
@@ -157,7 +159,8 @@
     attempts
 }
 
-/// A hundred front ends, each with a budget of less than one attempt a window, against what all may send together.
+/// Each of a hundred front ends has a budget of less than one attempt in a window, and all of them together must keep
+/// to the budget of the worker.
 #[test]
 fn front_ends_of_large_fleet_do_not_overload_warming_worker() {
     let settings = Settings {
@@ -183,15 +186,15 @@
         "a warming worker gets some requests: {}",
         attempts.len()
     );
-    // The other three workers serve about sixty a second meanwhile.
+    // The other three workers serve about sixty requests a second meanwhile.
     assert_within_budget(&settings.slow_start, &attempts, SERVED_PER_SECOND, 0.0);
 }
 
-/// How a hundred front ends turn to a warming worker at once.
+/// A hundred front ends that begin to send requests to a warming worker at the same time.
 struct Surge {
-    /// Requests a second at each front end before that; one in two seconds is served, the others are cancelled.
+    /// Requests a second at each front end before that time. One in two seconds is served, the others are cancelled.
     requests_per_second: u64,
-    /// For how long the worker stood idle since its start.
+    /// How long the worker is idle after its start.
     idle_time: Time,
 }
 
@@ -204,7 +207,7 @@
         settings
     }
 
-    /// Plays one front end: the ages of the worker at the attempts that it was sent.
+    /// Runs one front end, and returns the ages of the worker at which that front end sent it attempts.
     fn run(&self, front_end: &mut FrontEndHarness) -> Vec<Time> {
         let worker = front_end.warm_up(FUNCTION);
         front_end.advance(5_000 * MS);
@@ -233,6 +236,7 @@
         attempts
     }
 
+    /// Runs all front ends, and fails if they send the worker more than its budget.
     fn assert_not_overloaded(&self) {
         let settings = Surge::settings();
         let mut attempts = Vec::new();
@@ -266,7 +270,7 @@
     front_end.finish_attempt(request, 0, worker, outcome);
 }
 
-/// A budget that is saved up while a worker is idle would be spent by all front ends at once.
+/// If front ends saved up their budgets while a worker is idle, all of them would spend these at once.
 #[test]
 fn idle_warming_worker_is_not_overloaded_when_all_front_ends_turn_to_it() {
     let surge = Surge {
@@ -276,7 +280,7 @@
     surge.assert_not_overloaded();
 }
 
-/// Retries of rejected requests swell the arrivals, and say nothing of what a worker can serve (scenario h75f524).
+/// Retries of rejected requests increase the arrivals, but say nothing about what a worker can serve (scenario h75f524).
 #[test]
 fn client_retries_do_not_raise_budget_of_warming_worker() {
     let surge = Surge {
--- a/crates/pipithub-policy/tests/zones.rs
+++ b/crates/pipithub-policy/tests/zones.rs
@@ -1,4 +1,4 @@
-//! Zones that do not answer are ejected; the zone of a front end itself is preferred.
+//! Zones that do not answer are ejected; a front end prefers workers in its own zone.
 
 mod common;
 
@@ -7,7 +7,7 @@
     AttemptFinished, Endpoint, EndpointState, Event, LoadReport, Outcome, WorkerId,
 };
 
-/// The endpoints of twelve workers, every second one in a zone `b`, with the given state there.
+/// The endpoints of twelve workers: every second one is in zone `b` with this state, the others are ready in zone `a`.
 fn endpoints_in_two_zones(zone_b_state: EndpointState) -> Vec<Endpoint> {
     let one = |i: u32| {
         let (zone, state) = if i % 2 == 1 {
@@ -42,8 +42,8 @@
     front_end
 }
 
-/// Requests of thirty functions in turn; `answer` as in [`FrontEndHarness::run_requests`]: the attempts at workers
-/// in zone `b`.
+/// Sends requests for thirty functions in turn, with `answer` as in [`FrontEndHarness::run_requests`]. Returns the
+/// number of attempts at workers in zone `b`.
 fn attempts_in_zone_b(
     front_end: &mut FrontEndHarness,
     requests: u64,
@@ -64,7 +64,7 @@
     attempts_in_zone_b(&mut front_end, 60, |w| {
         (!is_in_zone_b(w)).then_some(Outcome::Served)
     });
-    // From here on no connection is made there: no attempt is ever overdue.
+    // From here on no connection to zone `b` can be established, so that no attempt there is ever overdue.
     let attempts = attempts_in_zone_b(&mut front_end, 400, |w| {
         Some(if is_in_zone_b(w) {
             Outcome::Unreachable
@@ -74,7 +74,7 @@
     });
     assert!(
         (2..30).contains(&attempts),
-        "some tries in 20 settings, not each call: {attempts}"
+        "some attempts in 20 s, not one for each request: {attempts}"
     );
     attempts_in_zone_b(&mut front_end, 160, |_| Some(Outcome::Served));
     let back = attempts_in_zone_b(&mut front_end, 60, |_| Some(Outcome::Served));
@@ -140,7 +140,7 @@
                     continue;
                 };
                 front_end.advance(50 * MS);
-                // It has twelve requests in flight there, as at each of its workers: the concurrency of three replicas.
+                // Each worker reports twelve requests of the function in flight: the concurrency of three replicas.
                 let end = AttemptFinished {
                     request,
                     attempt: 0,
@@ -165,6 +165,6 @@
     );
     assert!(
         from_zone_b > 16 && from_zone_a < 4,
-        "{from_zone_b} of 20 in zone b from there, {from_zone_a} from zone a"
+        "of 20 functions, zone b serves {from_zone_b} for a front end in zone b, {from_zone_a} for one in zone a"
     );
 }
