--- a/crates/pipithub-policy/tests/fleet/main.rs
+++ b/crates/pipithub-policy/tests/fleet/main.rs
@@ -69,8 +69,8 @@
 
 #[test]
 fn preferred_worker_that_reports_high_load_gets_fewer_requests() {
-    // Some functions share a preferred worker by chance. Its load stays high, and a report of it in an answer stays
-    // valid as long.
+    // Some functions share a preferred worker by chance. Its load stays high, so that a load report in an answer stays
+    // valid.
     let run = |load_reports: bool| -> Totals {
         let scenario = Scenario {
             workers: 40,
--- a/crates/pipithub-policy/tests/simulated_fleet/discovery.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/discovery.rs
@@ -97,7 +97,7 @@
         self.delayed_changes.extend(changed);
     }
 
-    /// The update of all workers that have changed in the outage: the first one when discovery is in reach again.
+    /// The first update after an outage: all workers that have changed meanwhile.
     pub(super) fn discovery_returns(&mut self) -> Event {
         let missed = std::mem::take(&mut self.delayed_changes);
         Event::Endpoints {
--- a/crates/pipithub-policy/tests/simulated_fleet/draws.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/draws.rs
@@ -32,7 +32,7 @@
     SmallRng::seed_from_u64(mix(mix(mix(seed) ^ key) ^ subkey))
 }
 
-/// Mixes a number so that each of its bits affects all bits of the result (the finalizer of MurmurHash3).
+/// Mixes a number so that each of its bits affects all bits of the result (the finalizer of `MurmurHash3`).
 pub(crate) fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     x = (x ^ (x >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
