--- a/crates/pipithub-policy/tests/decision_cost.rs
+++ b/crates/pipithub-policy/tests/decision_cost.rs
@@ -114,7 +114,7 @@
 }
 
 /// Plays the requests of a scenario; whether it stopped early, as they examined more than `max` workers each.
-fn play_requests<F: DecisionModule>(run: &mut MeteredRun<F>, max: f64) -> bool {
+fn run_requests<F: DecisionModule>(run: &mut MeteredRun<F>, max: f64) -> bool {
     while run.step() {
         let requests = run.requests.len();
         let window_ends = requests >= 2 * WINDOW && requests.is_multiple_of(WINDOW);
@@ -143,7 +143,7 @@
 /// Counts what a scenario examines; one that stops early is counted less often.
 fn count<F: DecisionModule>(scenario: Scenario, max: f64) -> Examined {
     let mut run: MeteredRun<F> = MeteredRun::new(scenario);
-    let stopped_early = play_requests(&mut run, max);
+    let stopped_early = run_requests(&mut run, max);
     let windows: Vec<f64> = run
         .windows(WINDOW)
         .iter()
--- a/crates/pipithub-policy/tests/function_loading.rs
+++ b/crates/pipithub-policy/tests/function_loading.rs
@@ -108,14 +108,14 @@
             &names,
         );
         let preferred = front_end.warm_up(1);
-        let attempts = |front_end: &mut FrontEndHarness, requests: u64, works: bool| {
+        let attempts = |front_end: &mut FrontEndHarness, requests: u64, store_works: bool| {
             let mut attempts = 0;
             for function in 0..requests {
                 let (id, mut actions) = front_end.request(100 + front_end.now / MS + function);
                 let mut attempt = 0;
                 while let Some(worker) = forwarded_to(&actions) {
                     attempts += 1;
-                    let (outcome, note) = if works {
+                    let (outcome, status) = if store_works {
                         (Outcome::Served, ReplicaStatus::LoadStarted)
                     } else {
                         (outcome, ReplicaStatus::LoadFailed)
@@ -126,7 +126,7 @@
                         &worker,
                         outcome,
                         40 * MS,
-                        Some(note),
+                        Some(status),
                     );
                     attempt += 1;
                 }
@@ -259,7 +259,7 @@
     for function in others {
         front_end.warm_up(function);
     }
-    let busy = |front_end: &mut FrontEndHarness, function| {
+    let is_forwarded_to_other = |front_end: &mut FrontEndHarness, function| {
         let request = Request {
             function: FunctionId(function),
             replica_concurrency: 1,
@@ -269,7 +269,7 @@
     };
     let waiting = (0..20)
         .flat_map(|_| others)
-        .filter(|f| busy(&mut front_end, *f))
+        .filter(|f| is_forwarded_to_other(&mut front_end, *f))
         .count();
     assert!(
         waiting >= 9,
--- a/crates/pipithub-policy/tests/random_sequences/main.rs
+++ b/crates/pipithub-policy/tests/random_sequences/main.rs
@@ -62,7 +62,7 @@
     }
 
     /// Plays this many steps and checks the rules at each: all actions of the front end.
-    fn play(mut self, steps: usize) -> Vec<Action> {
+    fn run(mut self, steps: usize) -> Vec<Action> {
         for step in 0..steps {
             self.generator.advance_clock();
             let expired = self.model.take_due_timers(self.generator.now);
@@ -99,14 +99,14 @@
     }
 }
 
-fn play(seed: u64, steps: usize) -> Vec<Action> {
-    RandomRun::new(seed, settings_of(seed)).play(steps)
+fn run_sequence(seed: u64, steps: usize) -> Vec<Action> {
+    RandomRun::new(seed, settings_of(seed)).run(steps)
 }
 
 #[test]
 fn rules_hold_on_random_sequences() {
     for seed in 1..=24 {
-        play(seed, 2_500);
+        run_sequence(seed, 2_500);
     }
 }
 
@@ -121,7 +121,7 @@
             burst: 1.0,
             per_request: 0.01,
         });
-        let actions = RandomRun::new(seed, settings).play(2_500);
+        let actions = RandomRun::new(seed, settings).run(2_500);
         let is_load = |action: &&Action| matches!(action, Action::LoadFunction { .. });
         let commands = actions.iter().filter(is_load).count();
         assert!(commands > 0, "seed {seed}: no load command was given");
@@ -136,13 +136,13 @@
         for class in &mut settings.classes {
             class.deduplication_window = 60 * MS;
         }
-        RandomRun::new(seed, settings).play(2_500);
+        RandomRun::new(seed, settings).run(2_500);
     }
 }
 
 #[test]
 fn equal_events_give_equal_actions() {
     for seed in [3, 8] {
-        assert_eq!(play(seed, 2_000), play(seed, 2_000));
+        assert_eq!(run_sequence(seed, 2_000), run_sequence(seed, 2_000));
     }
 }
--- a/crates/pipithub-policy/tests/reference/counting_map.rs
+++ b/crates/pipithub-policy/tests/reference/counting_map.rs
@@ -49,9 +49,9 @@
     }
 
     pub(crate) fn retain(&mut self, mut keep: impl FnMut(&WorkerId, &mut V) -> bool) {
-        self.0.retain(|worker, node| {
+        self.0.retain(|worker, state| {
             looked(1);
-            keep(worker, node)
+            keep(worker, state)
         });
     }
 }
--- a/crates/pipithub-policy/tests/reference/front_end.rs
+++ b/crates/pipithub-policy/tests/reference/front_end.rs
@@ -50,7 +50,7 @@
     /// When it was last known to be current.
     pub(crate) endpoint_list_confirmed_at: Time,
     /// Its source has given a sign of life since the start.
-    pub(crate) endpoint_list_was_followed: bool,
+    pub(crate) endpoint_list_was_current: bool,
     /// Mean share of their value that attempts lost: answered late, in error or not at all.
     pub(crate) mean_lost_value: f64,
 }
@@ -131,10 +131,13 @@
     }
 
     /// The pending requests of which this holds.
-    pub(crate) fn pending_where(&self, holds: impl Fn(&PendingRequest) -> bool) -> Vec<RequestId> {
+    pub(crate) fn pending_where(
+        &self,
+        predicate: impl Fn(&PendingRequest) -> bool,
+    ) -> Vec<RequestId> {
         self.pending
             .iter()
-            .filter(|(_, pending)| holds(pending))
+            .filter(|(_, pending)| predicate(pending))
             .map(|(id, _)| *id)
             .collect()
     }
--- a/crates/pipithub-policy/tests/reference/load_reports.rs
+++ b/crates/pipithub-policy/tests/reference/load_reports.rs
@@ -114,9 +114,9 @@
             return 1.0;
         }
         let estimates = &self.estimates;
-        let run_at_once =
+        let unslowed_concurrency =
             (estimates.reported_in_flight / estimates.reported_slowdown.max(0.1)).max(1.0);
-        (report.in_flight + 1.0) / run_at_once
+        (report.in_flight + 1.0) / unslowed_concurrency
     }
 
     /// Whether a fresh report tells that the worker's cores are busy.
--- a/crates/pipithub-policy/tests/reference/preference.rs
+++ b/crates/pipithub-policy/tests/reference/preference.rs
@@ -63,7 +63,7 @@
     /// there.
     fn avoid_loaded_workers(&self, function: FunctionId, order: &mut [WorkerId]) {
         let mean = self.mean_usual_in_flight();
-        let stays = |id: &WorkerId| {
+        let may_be_first = |id: &WorkerId| {
             let worker = &self.workers[id];
             let share = (mean / self.usual_in_flight(worker)).powi(AVOIDANCE_EXPONENT);
             worker.load_report.received_at == 0
@@ -72,7 +72,7 @@
         let first = order
             .iter()
             .take(AVOIDANCE_CANDIDATES)
-            .position(stays)
+            .position(may_be_first)
             .unwrap_or(0);
         order[..=first].rotate_right(1);
     }
--- a/crates/pipithub-policy/tests/reference/service.rs
+++ b/crates/pipithub-policy/tests/reference/service.rs
@@ -18,13 +18,13 @@
 /// If its source has answered, the list of the start vouches so long after the grace.
 const ALLOWED_DELAY: Time = 50 * MILLISECOND;
 /// What is left of the grace after a drain for the way to the worker: so much, at most a quarter.
-const MARGIN: Time = 150 * MILLISECOND;
+const MAX_LEASE_MARGIN: Time = 150 * MILLISECOND;
 /// The grace where the settings do not tell.
-const DEFAULT_GRACE: Time = 1_000 * MILLISECOND;
+const DEFAULT_DRAIN_GRACE: Time = 1_000 * MILLISECOND;
 /// How long a request waits for a check.
 const CHECK_TIMEOUT: Time = 50 * MILLISECOND;
 /// How often a request may wait for one.
-const MAX_CHECKS: u32 = 4;
+const MAX_CHECKS_PER_REQUEST: u32 = 4;
 /// The backoff after failed checks, and its largest.
 const BASE_BACKOFF: Time = 200 * MILLISECOND;
 const MAX_BACKOFF: Time = 1_600 * MILLISECOND;
@@ -33,7 +33,7 @@
 
 /// What checks have told of a worker.
 #[derive(Debug, Default)]
-pub(crate) struct Service {
+pub(crate) struct ServiceLease {
     pub(crate) lease_end: Time,
     evidence_at: Time,
     /// When the check was sent that is not answered yet.
@@ -61,17 +61,17 @@
     /// Takes in a contact with the source of the list.
     pub(crate) fn record_endpoint_list_contact(&mut self, contact: EndpointListContact) {
         let lease = match contact {
-            EndpointListContact::Sought => self.lease(),
+            EndpointListContact::Sought => self.lease_time(),
             EndpointListContact::Answered => {
-                if !self.endpoint_list_was_followed {
-                    let end = self.endpoint_list_confirmed_at + self.grace() + ALLOWED_DELAY;
+                if !self.endpoint_list_was_current {
+                    let end = self.endpoint_list_confirmed_at + self.drain_grace() + ALLOWED_DELAY;
                     self.endpoint_list_lease_end = self.endpoint_list_lease_end.max(Some(end));
                 }
                 return;
             }
             EndpointListContact::Current => {
-                self.endpoint_list_was_followed = true;
-                NOTIFICATION_DELAY + self.lease()
+                self.endpoint_list_was_current = true;
+                NOTIFICATION_DELAY + self.lease_time()
             }
         };
         self.endpoint_list_confirmed_at = self.now;
@@ -79,18 +79,18 @@
     }
 
     /// How long a worker that was in service may be sent work.
-    fn lease(&self) -> Time {
-        self.grace() - MARGIN.min(self.grace() / 4)
+    fn lease_time(&self) -> Time {
+        self.drain_grace() - MAX_LEASE_MARGIN.min(self.drain_grace() / 4)
     }
 
-    fn grace(&self) -> Time {
-        self.settings.drain_grace.unwrap_or(DEFAULT_GRACE)
+    fn drain_grace(&self) -> Time {
+        self.settings.drain_grace.unwrap_or(DEFAULT_DRAIN_GRACE)
     }
 
-    fn endpoint_list_vouches(&self) -> bool {
-        let is_followed = self.settings.limits.health_checks;
+    fn relies_on_endpoint_list(&self) -> bool {
+        let may_check = self.settings.limits.health_checks;
         self.endpoint_list_lease_end
-            .is_none_or(|end| !is_followed || self.now < end)
+            .is_none_or(|end| !may_check || self.now < end)
     }
 
     /// What is known of a worker's being in service.
@@ -98,7 +98,7 @@
         let service = &worker.service;
         let is_awaited = service.check_sent_at.is_some() && !service.check_is_overdue;
         let failed_often = service.failures > 1;
-        if self.endpoint_list_vouches() || self.now < service.lease_end {
+        if self.relies_on_endpoint_list() || self.now < service.lease_end {
             ServiceStatus::InService
         } else if !failed_often && (is_awaited || self.now >= service.next_check_at) {
             ServiceStatus::Unchecked
@@ -111,7 +111,7 @@
 
     /// Whether work may be sent to a worker without a check.
     pub(crate) fn is_in_service(&self, worker: &WorkerId) -> bool {
-        self.endpoint_list_vouches()
+        self.relies_on_endpoint_list()
             || self
                 .workers
                 .get(worker)
@@ -153,19 +153,20 @@
 
     /// Takes in the end of a check, and routes the requests that waited for it.
     pub(crate) fn finish_check(&mut self, checked: &HealthChecked, actions: &mut Vec<Action>) {
-        let (now, lease, confirmed_at) = (self.now, self.lease(), self.endpoint_list_confirmed_at);
+        let (now, lease, confirmed_at) =
+            (self.now, self.lease_time(), self.endpoint_list_confirmed_at);
         let sent_at = now.saturating_sub(checked.elapsed);
         let Some(worker) = self.workers.get_mut(&checked.worker) else {
             return;
         };
         let service = &mut worker.service;
-        let mut fails = false;
+        let mut failure_is_uncounted = false;
         if let Some(awaited) = service.check_sent_at
             && awaited < sent_at + CHECK_TIMEOUT / 2
         {
             service.check_sent_at = None;
             // An overdue check was counted when it became overdue.
-            fails = !service.check_is_overdue;
+            failure_is_uncounted = !service.check_is_overdue;
         }
         match checked.outcome {
             HealthCheckOutcome::Healthy => {
@@ -184,19 +185,19 @@
                 if sent_at >= service.evidence_at {
                     service.evidence_at = sent_at;
                     service.lease_end = 0;
-                    service.fail(now, service.failures + 1);
+                    service.record_failure(now, service.failures + 1);
                 }
             }
             HealthCheckOutcome::Unanswered | HealthCheckOutcome::Disconnected => {
-                if fails {
-                    service.fail(now, service.failures);
+                if failure_is_uncounted {
+                    service.record_failure(now, service.failures);
                 }
                 if checked.outcome == HealthCheckOutcome::Disconnected {
                     service.connection_lost_at = now;
                 }
             }
         }
-        self.route_checked(&checked.worker, actions);
+        self.route_waiting(&checked.worker, actions);
     }
 
     /// Ends the wait for a check that takes too long.
@@ -211,13 +212,13 @@
             let is_late = |sent_at: Time| now >= sent_at + CHECK_TIMEOUT;
             if service.check_sent_at.is_some_and(is_late) && !service.check_is_overdue {
                 service.check_is_overdue = true;
-                service.fail(now, service.failures);
+                service.record_failure(now, service.failures);
             }
         }
-        self.route_checked(&id, actions);
+        self.route_waiting(&id, actions);
     }
 
-    fn route_checked(&mut self, worker: &WorkerId, actions: &mut Vec<Action>) {
+    fn route_waiting(&mut self, worker: &WorkerId, actions: &mut Vec<Action>) {
         let waiting = self.pending_where(|pending| pending.checked_worker.as_ref() == Some(worker));
         for id in waiting {
             if let Some(pending) = self.pending.get_mut(&id) {
@@ -236,11 +237,11 @@
     }
 }
 
-impl Service {
+impl ServiceLease {
     /// Counts a failed check: `steps` says how long the backoff is, none at all for 0.
-    fn fail(&mut self, now: Time, steps: u32) {
+    fn record_failure(&mut self, now: Time, backoff_steps: u32) {
         self.failures += 1;
-        let backoff = match steps {
+        let backoff = match backoff_steps {
             0 => 0,
             steps => (BASE_BACKOFF << (steps - 1).min(10)).min(MAX_BACKOFF),
         };
@@ -251,9 +252,9 @@
 impl WorkerState {
     /// Takes in what the list tells: whatever checks told before does not count any more.
     pub(crate) fn forget_checks(&mut self) {
-        self.service = Service {
+        self.service = ServiceLease {
             connection_lost_at: self.service.connection_lost_at,
-            ..Service::default()
+            ..ServiceLease::default()
         };
     }
 
@@ -278,7 +279,7 @@
 impl PendingRequest {
     /// Whether it may wait for a further check.
     pub(crate) fn may_await_check(&self) -> bool {
-        self.health_checks < MAX_CHECKS
+        self.health_checks < MAX_CHECKS_PER_REQUEST
     }
 }
 
--- a/crates/pipithub-policy/tests/reference/state.rs
+++ b/crates/pipithub-policy/tests/reference/state.rs
@@ -7,7 +7,7 @@
 };
 
 use super::hashing::hash_address;
-use super::service::Service;
+use super::service::ServiceLease;
 
 /// An attempt that has no outcome yet.
 #[derive(Clone, Debug)]
@@ -121,7 +121,7 @@
     /// Failed or broken connections since its last answer.
     pub(crate) consecutive_connect_failures: u32,
     pub(crate) load_report: ReportedLoad,
-    pub(crate) service: Service,
+    pub(crate) service: ServiceLease,
     /// When the last attempts were sent to it.
     pub(crate) recent_sends: VecDeque<Time>,
     /// The last answers that it served.
@@ -143,7 +143,7 @@
             health: vec![Health::default(); classes],
             consecutive_connect_failures: 0,
             load_report: ReportedLoad::default(),
-            service: Service::default(),
+            service: ServiceLease::default(),
             recent_sends: VecDeque::new(),
             recent_answers: VecDeque::new(),
         }
--- a/crates/pipithub-policy/tests/rules.rs
+++ b/crates/pipithub-policy/tests/rules.rs
@@ -39,11 +39,11 @@
 fn request_without_workers_is_rejected_at_once() {
     let mut front_end = FrontEndHarness::new(settings(Idempotency::NonIdempotent), &[]);
     let (_, actions) = front_end.request(1);
-    let wanted = Action::Reject {
+    let expected = Action::Reject {
         request: RequestId(1),
         retry_after: Some(500 * MS),
     };
-    assert!(actions.contains(&wanted));
+    assert!(actions.contains(&expected));
 }
 
 #[test]
@@ -92,25 +92,25 @@
 fn request_with_idempotency_key_is_retried_only_in_its_scope_and_window() {
     let mut settings = settings(Idempotency::WithKey);
     settings.classes[0].deduplication_scope = DeduplicationScope::Zone;
-    let set_zones = |front_end: &mut FrontEndHarness, first: &WorkerId, other: &str| {
+    let set_zones = |front_end: &mut FrontEndHarness, first: &WorkerId, other_zone: &str| {
         let names = ["w1", "w2"];
-        let of = |n: &&str| {
+        let zone_of = |n: &&str| {
             if WorkerId::new(n) == *first {
                 "a"
             } else {
-                other
+                other_zone
             }
         };
         let endpoints = names
             .iter()
             .map(|n| Endpoint {
-                zone: of(n).to_string(),
+                zone: zone_of(n).to_string(),
                 ..endpoint(n)
             })
             .collect();
         front_end.update_endpoints(endpoints);
     };
-    for (other, wait, retries) in [
+    for (other_zone, wait, is_retried) in [
         ("a", 100, true),
         ("b", 100, false),
         ("a", 2_480, true),
@@ -119,17 +119,17 @@
         let mut front_end = FrontEndHarness::new(settings.clone(), &["w1", "w2"]);
         let (id, actions) = front_end.request(1);
         let first = forwarded_to(&actions).unwrap();
-        set_zones(&mut front_end, &first, other);
+        set_zones(&mut front_end, &first, other_zone);
         front_end.now += wait * MS;
         let after = front_end.finish_attempt(id, 0, &first, Outcome::ConnectionLost);
         assert_eq!(
             forwarded_to(&after).is_some(),
-            retries,
-            "other zone {other}, after {wait} ms"
+            is_retried,
+            "other zone {other_zone}, after {wait} ms"
         );
         assert_eq!(
             is_failed(&after),
-            !retries,
+            !is_retried,
             "a rejection would promise that a retry is harmless"
         );
     }
