--- a/crates/pipithub-policy/tests/reference/attempts.rs
+++ b/crates/pipithub-policy/tests/reference/attempts.rs
@@ -1,8 +1,8 @@
 //! The end of an attempt, and what is learnt from it.
 //!
-//! Each outcome has one step: an answer confirms replicas and teaches run times, load times and the
-//! worker's slowdown; a failed connection, an error and a rejection count against the worker, each
-//! in its own way.
+//! Each outcome has its own step. An answer confirms replicas and updates the estimates of run
+//! times, load times and the worker's slowdown. A failed connection, an error and a rejection count
+//! against the worker, each in a different way.
 
 use pipithub_policy::api::{AttemptFinished, Outcome, ReplicaStatus, Time};
 
@@ -16,35 +16,36 @@
 /// Weight of a new sample in the number of preferred workers that a function needs in a large
 /// deployment.
 const PREFERRED_WORKERS_GAIN: f64 = 0.3;
-/// The most preferred workers of a function.
+/// The largest number of preferred workers of a function.
 const MAX_PREFERRED_WORKERS: f64 = 64.0;
-/// The most requests of its function that an answer can report.
+/// The largest concurrency of its function that an answer can report; larger values count as this.
 const MAX_FUNCTION_CONCURRENCY: u32 = 1_000;
-/// A worker that rejects an attempt is limited to this share of the attempts there.
+/// A rejection limits the worker to this share of this front end's attempts there, as counted when
+/// the rejected one was sent.
 const CONCURRENCY_DECREASE: f64 = 0.7;
-/// Each answer raises the limit by so much.
+/// Each answer raises the concurrency limit of its worker by this number of attempts.
 const CONCURRENCY_INCREASE: f64 = 0.1;
-/// In a large deployment without a report, a run longer than the mean weighs this much of one that
-/// is shorter.
+/// In a large deployment, a sample above the mean run time has this share of the usual weight if
+/// its answer carried no load report.
 const UNREPORTED_RISE: f64 = 0.2;
-/// The least that a run is taken to be of the expected one.
+/// The least sample of a slowdown; a faster run counts as this.
 const MIN_SLOWDOWN_SAMPLE: f64 = 0.1;
-/// The least slowdown by which a run is expected to end.
+/// The least slowdown from which the time of an answer is expected.
 const MIN_EXPECTED_SLOWDOWN: f64 = 0.1;
 /// A worker that reports more requests in flight than this has a queue.
 const MIN_REPORTED_QUEUE: f64 = 2.0;
 
-/// The requests of a function that an attempt met at its worker.
+/// The requests of its function that were in flight at the worker when an attempt arrived there.
 struct FunctionConcurrency {
-    /// All of them, the attempt itself left out.
+    /// Requests of all front ends, without the attempt itself.
     met: u32,
-    /// Those of other front ends.
+    /// Requests of other front ends.
     of_others: f64,
 }
 
 impl FrontEnd {
-    /// Takes an ended attempt out of the worker's queue and learns from it; returns when and where
-    /// it was sent, `None` where it is not known any more.
+    /// Removes an ended attempt from the worker's queue and learns from it. Returns when and where
+    /// the attempt was sent; `None` if it is not known any more.
     pub(crate) fn record_attempt(&mut self, end: &AttemptFinished) -> Option<PossibleExecution> {
         match end.replica_status {
             Some(ReplicaStatus::LoadFailed) => self.record_load_outcome(true),
@@ -60,7 +61,7 @@
         self.record_lost_value(end, &attempt);
         self.record_zone_probe(&endpoint.zone, end.outcome, attempt.sent_at);
         self.update_preferred_workers(end, &attempt);
-        // An attempt at an earlier process tells nothing of the present one.
+        // An attempt at an earlier process of the worker shows nothing about the present one.
         let same_process = endpoint
             .started_at
             .is_none_or(|started_at| started_at <= attempt.sent_at);
@@ -74,7 +75,7 @@
         })
     }
 
-    /// Takes in the share of its value that an attempt lost.
+    /// Records the share of its value that an attempt lost, unless it never ran.
     fn record_lost_value(&mut self, end: &AttemptFinished, attempt: &Attempt) {
         if end.outcome.never_ran() {
             return;
@@ -89,7 +90,8 @@
         self.mean_lost_value += RUN_TIME_GAIN * (lost - self.mean_lost_value);
     }
 
-    /// The requests of its function that an attempt met, where answers tell.
+    /// The requests of its function that an attempt met at the worker; `None` if the answer does
+    /// not report them.
     fn function_concurrency(
         &self,
         end: &AttemptFinished,
@@ -105,8 +107,9 @@
         })
     }
 
-    /// Takes in how many preferred workers the function needs in a large deployment: its requests
-    /// that were met here, as many at each of its preferred workers, over what one replica runs.
+    /// Updates how many preferred workers the function needs in a large deployment: the requests of
+    /// other front ends that the attempt met, times the preferred workers, as each is assumed to
+    /// have the same number, over the concurrency of one replica.
     fn update_preferred_workers(&mut self, end: &AttemptFinished, attempt: &Attempt) {
         if !self.relies_on_load_reports() {
             return;
@@ -124,7 +127,7 @@
             + PREFERRED_WORKERS_GAIN * (needed.clamp(1.0, MAX_PREFERRED_WORKERS) - preferred);
     }
 
-    /// Learns from the outcome; the attempt went to the process that runs now.
+    /// Learns from the outcome of an attempt at the worker's present process.
     fn learn(&mut self, end: &AttemptFinished, attempt: &Attempt) {
         match end.outcome {
             Outcome::Served => self.learn_from_answer(end, attempt),
@@ -133,7 +136,8 @@
             }
             Outcome::Cancelled => self.learn_from_cancellation(end, attempt),
             Outcome::Rejected => self.learn_from_rejection(end, attempt),
-            // What failed to load is not there: believed, it would draw the next request.
+            // The function is not loaded there: a replica that is still assumed would attract the
+            // next request.
             Outcome::NotLoaded => self.forget_replicas(end, attempt),
             Outcome::Error if end.replica_status == Some(ReplicaStatus::LoadFailed) => {
                 self.forget_replicas(end, attempt);
@@ -143,8 +147,8 @@
         }
     }
 
-    /// An answer confirms the replicas and counts for the worker's health. It teaches either the load
-    /// time, where it included a load, or run time and slowdown.
+    /// Learns from an answer: it confirms the replicas and counts for the worker's health. If it
+    /// included a load it updates the load time, otherwise the run time and the slowdown.
     fn learn_from_answer(&mut self, end: &AttemptFinished, attempt: &Attempt) {
         let now = self.now;
         self.confirm_replicas(end, attempt);
@@ -163,7 +167,7 @@
         let slowdown = slowdown(end, attempt);
         let report = worker.load_report;
         worker.record_slowdown(slowdown, attempt.concurrency);
-        // How far a reported queue slows down a run.
+        // How much the queue that a worker had reported slows down a run there.
         if report.in_flight > MIN_REPORTED_QUEUE
             && report.in_flight.is_finite()
             && report.received_at + REPORT_LIFETIME > attempt.sent_at
@@ -177,7 +181,7 @@
         self.learn_run_time(end, attempt);
     }
 
-    /// Notes the replicas that an answer has shown.
+    /// Records the replicas that an answer has confirmed.
     fn confirm_replicas(&mut self, end: &AttemptFinished, attempt: &Attempt) {
         let concurrency = self.function_concurrency(end, attempt);
         let replica_concurrency = self
@@ -200,21 +204,22 @@
         replicas.others_in_flight +=
             SLOWDOWN_GAIN * (concurrency.of_others - replicas.others_in_flight);
         if end.replica_status == Some(ReplicaStatus::Warm) {
-            // All of them ran at once.
+            // All of these requests ran at the same time, which takes this many replicas.
             let needed = (concurrency.met + 1).div_ceil(replica_concurrency);
             replicas.count = replicas.count.max(needed);
         }
     }
 
-    /// Learns the run time of class and function. Answers from a worker with few requests, also as
-    /// it reports, tell the run itself; what others add is its slowdown.
+    /// Updates the run times of class and function. The more requests the worker had, by this front
+    /// end's count or its load report, the less the answer counts: its time then shows the slowdown
+    /// rather than the run alone.
     fn learn_run_time(&mut self, end: &AttemptFinished, attempt: &Attempt) {
         let elapsed = elapsed(end);
         let reported = end.load_report.in_flight;
         let concurrency = attempt.concurrency.max(reported.unwrap_or(0.0) / 2.0);
         let gain = RUN_TIME_GAIN * (2.0 / concurrency).min(1.0).powi(2);
-        // Without a report, a long answer rather shows the queue of other front ends than a long
-        // run.
+        // Without a report, a long time more likely shows a queue of other front ends' requests
+        // than a long run.
         let rise = if self.relies_on_load_reports() && reported.is_none() {
             UNREPORTED_RISE
         } else {
@@ -231,7 +236,9 @@
         }
     }
 
-    /// A cancelled run has taken so long at the least: else only the quick answers would teach.
+    /// Raises the slowdown if a cancelled attempt without a load took longer than the slowdown
+    /// predicts: its run would have taken at least that time. Otherwise only the quick answers
+    /// would count.
     fn learn_from_cancellation(&mut self, end: &AttemptFinished, attempt: &Attempt) {
         let slowdown = slowdown(end, attempt);
         let may_include_load = attempt.cold_start || attempt.unconfirmed;
@@ -244,7 +251,7 @@
         }
     }
 
-    /// A worker that rejects an attempt gets fewer at a time.
+    /// Lowers the concurrency limit of a worker that has rejected an attempt.
     fn learn_from_rejection(&mut self, end: &AttemptFinished, attempt: &Attempt) {
         if let Some(worker) = self.workers.get_mut(&end.worker) {
             worker.concurrency_limit = (attempt.concurrency * CONCURRENCY_DECREASE).max(1.0);
@@ -252,7 +259,7 @@
         }
     }
 
-    /// The function is not loaded there any more.
+    /// Forgets the function's replicas at the worker, as none is loaded there.
     fn forget_replicas(&mut self, end: &AttemptFinished, attempt: &Attempt) {
         if let Some(worker) = self.workers.get_mut(&end.worker) {
             worker.replicas.remove(&attempt.function);
@@ -260,17 +267,17 @@
     }
 }
 
-/// How long an attempt took.
+/// How long an attempt took, in nanoseconds, bounded.
 fn elapsed(end: &AttemptFinished) -> f64 {
     end.elapsed.min(MAX_DURATION) as f64
 }
 
-/// How long an attempt took over the expected run time.
+/// The ratio of an attempt's time to its expected run time, bounded.
 fn slowdown(end: &AttemptFinished, attempt: &Attempt) -> f64 {
     (elapsed(end) / attempt.run_time.max(1.0)).clamp(MIN_SLOWDOWN_SAMPLE, MAX_SAMPLE)
 }
 
-/// Whether the answer took a load, as it tells or else by how long it took.
+/// Whether the answer included a load: as it reports, or else judged by how long it took.
 fn included_load(end: &AttemptFinished, attempt: &Attempt, expected: f64) -> bool {
     match end.replica_status {
         Some(ReplicaStatus::Warm) => false,
@@ -283,8 +290,9 @@
 }
 
 impl WorkerState {
-    /// Takes an ended attempt out of the queue. Cancelled work may go on unseen: the replay keeps
-    /// it until its predicted finish.
+    /// Removes and returns an ended attempt; `None` if it is not known. Cancelled work may continue
+    /// unseen: such an attempt stays in the queue until its predicted finish, so that the replay
+    /// counts it.
     fn take_attempt(&mut self, end: &AttemptFinished, now: Time) -> Option<Attempt> {
         let position = self
             .in_flight
@@ -298,7 +306,7 @@
         Some(self.in_flight.remove(position))
     }
 
-    /// A worker that answers is reachable, and gets slightly more attempts at a time.
+    /// Records an answer: the worker is reachable, and its concurrency limit rises slightly.
     fn record_answer(&mut self, class: usize, now: Time) {
         self.health[class].record_success();
         self.last_response_at = now;
--- a/crates/pipithub-policy/tests/reference/counting_map.rs
+++ b/crates/pipithub-policy/tests/reference/counting_map.rs
@@ -1,4 +1,4 @@
-//! A map of workers that counts, by [`pipithub_policy::work`], each worker that is looked at.
+//! A map of workers that counts each access to a worker with [`pipithub_policy::work`].
 
 use std::collections::btree_map::{BTreeMap, Entry};
 use std::ops::Index;
@@ -6,7 +6,8 @@
 use pipithub_policy::api::WorkerId;
 use pipithub_policy::work::looked;
 
-/// A map with the methods that the reference uses; each worker that is yielded or looked up counts as one.
+/// A map with the methods that the reference uses. Each worker that is yielded or looked up counts
+/// as one.
 #[derive(Debug)]
 pub(crate) struct CountingMap<V>(BTreeMap<WorkerId, V>);
 
--- a/crates/pipithub-policy/tests/reference/endpoints.rs
+++ b/crates/pipithub-policy/tests/reference/endpoints.rs
@@ -1,7 +1,8 @@
 //! Updates of the endpoint list: which workers there are, and in which state.
 //!
-//! A snapshot removes what it does not name; a list that failed to come changes nothing but is
-//! asked for again. A worker whose process has restarted is as good as a new one.
+//! A snapshot removes the workers that it does not name. If a list failed to come, the workers stay
+//! as they are, and the list is asked for again. A worker whose process has restarted is handled
+//! like a new one.
 
 use std::collections::BTreeSet;
 
@@ -12,7 +13,7 @@
 use super::time::MAX_TIME;
 
 impl FrontEnd {
-    /// Takes in an update of the endpoint list.
+    /// Applies an update of the endpoint list.
     pub(crate) fn update_endpoints(
         &mut self,
         update: EndpointUpdate,
@@ -32,7 +33,7 @@
         self.forget_removed_workers();
     }
 
-    /// Asks for further updates, where they must be asked for.
+    /// Asks for further updates, if the settings require that.
     pub(crate) fn watch_endpoints(&self, actions: &mut Vec<Action>) {
         if self.settings.watch_on_request {
             actions.push(Action::WatchEndpoints);
@@ -46,7 +47,7 @@
         });
     }
 
-    /// Marks each worker as removed that is not named.
+    /// Marks each worker that is not named as removed.
     fn remove_all_but(&mut self, endpoints: &[Endpoint]) {
         let named: BTreeSet<&WorkerId> = endpoints.iter().map(|e| &e.worker).collect();
         for worker in self.workers.values_mut() {
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Adds a worker or takes in its new state.
+    /// Adds a worker or updates its state.
     fn update_endpoint(&mut self, mut endpoint: Endpoint) {
         endpoint.started_at = endpoint
             .started_at
--- a/crates/pipithub-policy/tests/reference/estimates.rs
+++ b/crates/pipithub-policy/tests/reference/estimates.rs
@@ -1,7 +1,9 @@
-//! Estimates of run times, load times and slowdowns, from the answers that this front end has got.
+//! Estimates of run times, load times and slowdowns, from the answers that this front end has
+//! received.
 //!
-//! All are means that weigh a new sample by a fixed gain, with samples capped. A slowdown that
-//! nothing refreshes decays to the usual, so that no slow period is believed for ever.
+//! Most are means to which each new sample contributes with a fixed weight, the gain, and samples
+//! are capped. A slowdown that no new sample confirms decays to 1, so that a slow period does not
+//! count for ever.
 
 use pipithub_policy::api::{FunctionId, Time};
 
@@ -9,47 +11,50 @@
 use super::state::WorkerState;
 use super::time::MILLISECOND;
 
-/// Run time, as a share of the latency objective, believed of a class before its first answer.
+/// Run time that is assumed for a class before its first answer, as a share of the latency
+/// objective.
 const INITIAL_RUN_TIME: f64 = 0.15;
-/// Load time, as a multiple of the latency objective, believed before any load was observed or
-/// declared.
+/// Load time that is assumed before any load was observed or declared, as a multiple of the latency
+/// objective.
 const INITIAL_LOAD_TIME: f64 = 1.0;
-/// Weight of a new sample in a function's run time: about its last twenty answers.
+/// Weight of a new sample in a run time: about the last twenty answers count.
 pub(crate) const RUN_TIME_GAIN: f64 = 0.05;
-/// A function's run time counts for no more than this multiple of its class's.
+/// The largest multiple of its class's run time that a function's run time counts as.
 const MAX_RUN_TIME_FACTOR: f64 = 3.0;
-/// Weight of a new sample in a worker's slowdown: about its last seven.
+/// Weight of a new sample in a worker's slowdown: about the last seven samples count.
 pub(crate) const SLOWDOWN_GAIN: f64 = 0.15;
-/// A slowdown that no answer refreshes goes half the way back to the usual in this time.
+/// The time in which a slowdown that no answer confirms decays half the way to 1.
 const SLOWDOWN_HALF_LIFE: Time = 3_000 * MILLISECOND;
-/// No sample counts for more than this many times what was expected: one heavy request is no slow
-/// worker.
+/// The largest multiple of the expected time that a sample counts as: one request that takes long
+/// does not make a worker slow.
 pub(crate) const MAX_SAMPLE: f64 = 4.0;
-/// Weight of a new sample in load times: loads are few, so each tells much.
+/// Weight of a new sample in load times; it is large, as there are few loads.
 const LOAD_TIME_GAIN: f64 = 0.3;
-/// No load counts for less than this part of the expected time ...
+/// The least share of the usual load time that a load counts as.
 const MIN_LOAD_SAMPLE: f64 = 0.5;
-/// ... nor for more than this multiple of it.
+/// The largest multiple of the usual load time that a load counts as.
 const MAX_LOAD_SAMPLE: f64 = 2.0 * MAX_SAMPLE;
-/// An observed load time at most doubles with one load.
+/// The largest factor by which one load raises a function's observed load time.
 const MAX_LOAD_GROWTH: f64 = 2.0;
-/// Requests in flight believed of a reporting worker before any report.
+/// Requests in flight that a reporting worker is assumed to have before any report.
 const INITIAL_REPORTED_IN_FLIGHT: f64 = 6.0;
 
 /// What is estimated over all workers.
 #[derive(Debug, Default)]
 pub(crate) struct Estimates {
-    /// Mean run time of each class.
+    /// Mean run time of each class, in nanoseconds; `None` before its first answer.
     pub(crate) class_run_times: Vec<Option<f64>>,
-    /// Observed load times over the declared ones.
+    /// Mean ratio of observed load times to the usual ones.
     load_slowdown: f64,
     /// When a load was last observed.
     load_observed_at: Time,
-    /// Mean load time, for functions that declare none.
+    /// Mean load time of all functions, in nanoseconds, for those without one of their own; `None`
+    /// before the first load.
     mean_load_time: Option<f64>,
-    /// Mean of the requests in flight that workers had reported before they answered.
+    /// Mean number of requests in flight that workers with a queue had reported before they
+    /// answered.
     pub(crate) reported_in_flight: f64,
-    /// Mean of how far runs were slowed down there.
+    /// Mean slowdown of the runs that these workers answered.
     pub(crate) reported_slowdown: f64,
 }
 
@@ -67,8 +72,9 @@
 }
 
 impl FrontEnd {
-    /// What a run of the function takes at a slowdown of 1. Capped, so that no estimate keeps a
-    /// function out: what is never sent is never learnt again.
+    /// The expected run time of the function at a slowdown of 1, in nanoseconds. It is capped, so
+    /// that a wrong estimate cannot keep all requests for the function from being sent: then no
+    /// answer would correct it.
     pub(crate) fn expected_run_time(&self, function: FunctionId, class: usize) -> f64 {
         let objective = self.settings.classes[class].latency_objective as f64;
         let of_class =
@@ -79,8 +85,8 @@
         }
     }
 
-    /// What a load takes: the declared time at the store's present slowdown, else the longest
-    /// observed.
+    /// The expected time of a load, in nanoseconds: the declared load time, or else the observed
+    /// one, at the present slowdown of loads.
     pub(crate) fn expected_load_time(&self, function: FunctionId, class: usize) -> f64 {
         let function = self.functions.get(&function);
         let slowdown = self.load_slowdown();
@@ -95,13 +101,14 @@
         observed * slowdown
     }
 
-    /// How long loads take beside the usual, from those that were observed.
+    /// The ratio of present load times to the usual ones, from the loads that were observed.
     pub(crate) fn load_slowdown(&self) -> f64 {
         let age = self.now.saturating_sub(self.estimates.load_observed_at);
         decayed_slowdown(self.estimates.load_slowdown, age)
     }
 
-    /// Takes in how long a load of a function took; nothing is learnt of a forgotten function.
+    /// Records how long a load of a function took, in nanoseconds; nothing is recorded for a
+    /// function that was forgotten.
     pub(crate) fn record_load_time(&mut self, function: FunctionId, load_time: f64) {
         let Some(function) = self.functions.get_mut(&function) else {
             return;
@@ -129,14 +136,15 @@
 }
 
 impl WorkerState {
-    /// Takes in how far a run was slowed down here, and beside how many attempts of this front end.
+    /// Records the slowdown of a run at the worker, and the number of this front end's attempts
+    /// there when the run's attempt was sent, itself included.
     pub(crate) fn record_slowdown(&mut self, slowdown: f64, concurrency: f64) {
         self.slowdown += SLOWDOWN_GAIN * (slowdown - self.slowdown);
         self.concurrency += SLOWDOWN_GAIN * (concurrency - self.concurrency);
     }
 
-    /// What a run is slowed down by with this many attempts there: the usual when idle, the slowdown
-    /// observed at the concurrency it was observed with, and beyond that in proportion.
+    /// The expected slowdown with this number of attempts at the worker: 1 or less when idle, the
+    /// observed slowdown at the concurrency with which it was observed, and in proportion beyond.
     pub(crate) fn slowdown_at(&self, now: Time, in_flight: usize) -> f64 {
         let age = now.saturating_sub(self.last_response_at);
         let slowdown = decayed_slowdown(self.slowdown, age);
@@ -149,7 +157,7 @@
     }
 }
 
-/// A slowdown that was last observed some time ago, decayed to the usual.
+/// A slowdown that was last observed `age` ago, decayed towards 1.
 fn decayed_slowdown(slowdown: f64, age: Time) -> f64 {
     1.0 + (slowdown - 1.0) * 0.5f64.powf(age as f64 / SLOWDOWN_HALF_LIFE as f64)
 }
--- a/crates/pipithub-policy/tests/reference/front_end.rs
+++ b/crates/pipithub-policy/tests/reference/front_end.rs
@@ -1,6 +1,6 @@
 //! One front end: its state, and the decision that each event leads to.
 //!
-//! No clock, thread or I/O: equal events give equal actions.
+//! There is no clock, thread or I/O here: equal events give equal actions.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -20,6 +20,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct FrontEnd {
     pub(crate) settings: Settings,
+    /// The time of the present event, in nanoseconds; it never goes back.
     pub(crate) now: Time,
     pub(crate) seed: u64,
     pub(crate) workers: CountingMap<WorkerState>,
@@ -28,30 +29,33 @@
     pub(crate) estimates: Estimates,
     /// Health of the store that functions are loaded from.
     pub(crate) store_health: Health,
-    /// Loads that failed since the last that was done.
+    /// Failed loads since an answer last reported that its request had loaded the function.
     pub(crate) consecutive_failed_loads: u32,
-    /// When the last requests arrived.
+    /// When the recent requests arrived.
     pub(crate) arrivals: VecDeque<Time>,
-    /// When the last load commands were given.
+    /// When the recent load commands were sent.
     pub(crate) load_commands: VecDeque<Time>,
+    /// When the next round of rebalancing is due; 0 before the first event.
     pub(crate) next_rebalancing_at: Time,
-    /// Replicas that may be replaced now; a fraction is carried over.
+    /// Replicas that may be replaced now; what is left is carried over to the next round.
     pub(crate) rebalancing_allowance: f64,
-    /// Requests that a warm worker serves this front end, for each nanosecond.
+    /// Requests per nanosecond that a warm worker serves for this front end.
     pub(crate) warm_rate: f64,
-    /// Its mean over a longer time.
+    /// The mean of the warm rate over a longer time.
     pub(crate) mean_warm_rate: RunningMean,
-    /// Attempts that may now be made where others have likely loaded the function.
+    /// Speculative attempts that may be sent now, to workers where other front ends have probably
+    /// loaded the function.
     pub(crate) speculation_tokens: f64,
     /// Zones that do not respond.
     pub(crate) silent_zones: BTreeMap<String, Health>,
-    /// Until when the endpoint list vouches for the workers in it; `None`: for ever.
+    /// When the endpoint list's lease on its workers ends; `None` while its source has reported no
+    /// contact, so that the list is relied on without a limit.
     pub(crate) endpoint_list_lease_end: Option<Time>,
-    /// When it was last known to be current.
+    /// When the endpoint list was last known to be current.
     pub(crate) endpoint_list_confirmed_at: Time,
-    /// Its source has given a sign of life since the start.
+    /// The source has reported the endpoint list as current at least once since the start.
     pub(crate) endpoint_list_was_current: bool,
-    /// Mean share of their value that attempts lost: answered late, in error or not at all.
+    /// Mean share of its value that an attempt loses by a late answer, an error or no answer.
     pub(crate) mean_lost_value: f64,
 }
 
@@ -67,8 +71,8 @@
         }
     }
 
-    /// Takes one event and appends what to do about it. A time before that of the last event counts
-    /// as that one.
+    /// Handles one event and appends the actions to take. A time before that of an earlier event
+    /// counts as that of the earlier one.
     pub(crate) fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now.min(MAX_TIME));
         if self.next_rebalancing_at == 0 {
@@ -100,8 +104,9 @@
         }
     }
 
-    /// Begins maintenance with the first event. The first round of rebalancing is drawn, so that
-    /// the front ends of a deployment do not all have theirs at once.
+    /// Starts maintenance and the watch of the endpoint list at the first event. The time of the
+    /// first round of rebalancing is random, so that the front ends of a deployment do not all
+    /// rebalance at once.
     fn start(&mut self, actions: &mut Vec<Action>) {
         let half = self.rebalancing_interval() / 2;
         self.next_rebalancing_at = self.now + half + mix(self.seed) % half;
@@ -112,7 +117,8 @@
         self.watch_endpoints(actions);
     }
 
-    /// The token of a timer tells what it is for: maintenance, a load poll or a request.
+    /// Handles an expired timer. Its token shows what it is for: maintenance, a health check, a
+    /// load poll or the deadline of a request.
     fn expire_timer(&mut self, token: u64, actions: &mut Vec<Action>) {
         if token == MAINTENANCE_TOKEN {
             self.run_maintenance(actions);
@@ -130,7 +136,7 @@
         self.workers.iter().filter(|(_, worker)| worker.is_ready())
     }
 
-    /// The pending requests of which this holds.
+    /// The ids of the pending requests that satisfy the predicate.
     pub(crate) fn pending_where(
         &self,
         predicate: impl Fn(&PendingRequest) -> bool,
@@ -143,7 +149,8 @@
     }
 }
 
-/// The settings with at least one class and one front end, and with each duration bounded.
+/// The settings with at least one class and one front end, and with bounded durations, so that sums
+/// do not overflow.
 fn bounded(mut settings: Settings) -> Settings {
     if settings.classes.is_empty() {
         settings.classes.push(Class::default());
--- a/crates/pipithub-policy/tests/reference/function_loading.rs
+++ b/crates/pipithub-policy/tests/reference/function_loading.rs
@@ -1,7 +1,8 @@
-//! Loads of functions: how many may be under way, and the load commands that bring functions in.
+//! Loads of functions: how many may be in progress, and the commands that make workers load.
 //!
-//! A slow store must not be asked for more than it delivers, so that loads are limited; load
-//! commands obey a rate limit where there is one; and after failed loads none may start for a while.
+//! The number of loads in progress is limited, as a slow store must not be asked for more than it
+//! delivers. Load commands keep to a rate limit if there is one. After failed loads no load may
+//! start for a while.
 
 use std::collections::BTreeSet;
 
@@ -13,30 +14,31 @@
 use super::state::{Attempt, WorkerState};
 use super::time::MAX_DURATION;
 
-/// Loads that may be under way for each worker: with one, a lost zone's functions came back too
-/// slowly.
+/// Loads that may be in progress for each worker: with one, the functions of a lost zone came back
+/// too slowly.
 const MAX_LOADS_PER_WORKER: usize = 4;
-/// Loads that this front end may have under way however few workers there are.
+/// Loads that this front end may have in progress, however few workers there are.
 const MIN_LOAD_LIMIT: usize = 2;
-/// The share of a worker's memory that believed replicas fill before a further one evicts: others
-/// run too.
+/// The share of a worker's memory that assumed replicas may fill before a further one is taken to
+/// evict another, as other front ends have replicas loaded too.
 const MAX_MEMORY_SHARE: f64 = 0.5;
-/// No reply to a load command counts for more replicas.
+/// The largest number of replicas that a reply to a load command can report; larger ones count as
+/// this.
 const MAX_REPORTED_REPLICAS: u32 = 64;
-/// When replicas are ready that a command is to load: beyond all points in time, as no duration
-/// tells.
+/// When replicas are ready that a command is to load: later than any point in time, as the time
+/// that the command takes is not known.
 const UNKNOWN_READY_AT: Time = Time::MAX >> 1;
 
-/// Loads that this front end believes under way.
+/// The loads that this front end assumes to be in progress.
 pub(crate) struct LoadsInProgress {
     pub(crate) count: usize,
-    /// One of them is of the function that was asked about, or may be.
+    /// The function in question is being loaded, or may be.
     pub(crate) of_function: bool,
 }
 
 impl FrontEnd {
-    /// The loads that this front end believes under way. What hangs at a worker that cannot be
-    /// reached loads nothing.
+    /// The loads that this front end assumes to be in progress. Attempts and load commands at a
+    /// worker that cannot be reached do not count.
     pub(crate) fn loads_in_progress(&self, function: FunctionId) -> LoadsInProgress {
         let mut loads = LoadsInProgress {
             count: 0,
@@ -48,8 +50,8 @@
             }
             let loading = worker.loading_functions(self.now);
             loads.count += worker.functions_adding_replicas() + loading.len();
-            // Before an answer has shown a replica anywhere, a second load would be a guess on a
-            // guess.
+            // An attempt at a replica that is not confirmed may be loading one; a second load of
+            // the function would be a guess that is based on another guess.
             let is_unconfirmed = worker
                 .in_flight_of(function)
                 .any(|attempt| !attempt.cancelled && attempt.unconfirmed);
@@ -58,8 +60,8 @@
         loads
     }
 
-    /// Whether a load may start beside those in progress. The limit is a few loads for each of this
-    /// front end's part of the workers; a slow store lowers it.
+    /// Whether a load may start beside those in progress. The limit is a few loads for each worker,
+    /// divided by the number of front ends; a slow store lowers it.
     pub(crate) fn may_begin_load(&self, loads: usize, workers: usize) -> bool {
         let limit = (MAX_LOADS_PER_WORKER * workers)
             .div_ceil(self.settings.front_ends as usize)
@@ -67,12 +69,12 @@
         self.store_is_available() && loads as f64 * self.load_slowdown().max(1.0) < limit as f64
     }
 
-    /// Whether loads may begin as far as the store is concerned.
+    /// Whether the store is not ejected, so that loads may begin.
     pub(crate) fn store_is_available(&self) -> bool {
         self.now >= self.store_health.ejected_until
     }
 
-    /// Whether a further replica should fit beside those believed there.
+    /// Whether a further replica of the function should fit beside those assumed at the worker.
     pub(crate) fn has_memory_for(&self, worker: &WorkerState, function: FunctionId) -> bool {
         let memory_of = |id: &FunctionId| self.functions.get(id).map_or(0.0, |f| f.memory_mb);
         let used: f64 = worker
@@ -85,10 +87,10 @@
             || used + memory_of(&function) <= worker.endpoint.memory_mb * MAX_MEMORY_SHARE
     }
 
-    /// Has a worker load a function; `false` where it may not.
+    /// Commands a worker to load a function; `false` if that is not allowed.
     ///
-    /// This is the only place that gives load commands: drained and removed workers get none, a
-    /// worker has one under way for each function, and the rate limit is kept.
+    /// All load commands are sent here: draining and removed workers get none, a worker has at most
+    /// one in progress for each function, and the rate limit is kept.
     pub(crate) fn command_load(
         &mut self,
         worker_id: &WorkerId,
@@ -125,8 +127,8 @@
         true
     }
 
-    /// Whether the rate limit leaves room for a load command; two ticks of slack, as the clocks may
-    /// differ.
+    /// Whether the rate limit allows a load command. The windows have two ticks of slack, as the
+    /// clocks may differ.
     fn load_rate_allows(&self) -> bool {
         let Some(limit) = &self.settings.loading.rate_limit else {
             return true;
@@ -146,14 +148,14 @@
         !is_exceeded
     }
 
-    /// Takes the reply to a load command; requests that waited for it are routed again.
+    /// Handles the reply to a load command, and routes the requests that waited for it again.
     pub(crate) fn finish_load(&mut self, reply: &LoadFinished, actions: &mut Vec<Action>) {
         let elapsed = reply.elapsed.min(MAX_DURATION) as f64;
         let run_time = self.expected_run_time(reply.function, 0);
         if reply.outcome == Outcome::Error {
             self.record_load_outcome(true);
         }
-        // A reply within a run's time met a replica that was there already.
+        // A reply that came within the time of a run met a replica that was loaded already.
         if self.record_load_reply(reply) && elapsed > run_time {
             self.record_load_time(reply.function, elapsed);
         }
@@ -170,7 +172,8 @@
         }
     }
 
-    /// Records the replicas that a reply reports; returns whether the command has loaded them.
+    /// Records the replicas that a reply reports. Returns whether a command that was in progress
+    /// has loaded them.
     fn record_load_reply(&mut self, reply: &LoadFinished) -> bool {
         let count = reply.replicas.min(MAX_REPORTED_REPLICAS);
         let Some(worker) = self.workers.get_mut(&reply.worker) else {
@@ -197,8 +200,8 @@
         false
     }
 
-    /// Records the outcome of a load. After consecutive failures no load may start for a while,
-    /// longer each time: each further one would keep the store overloaded.
+    /// Records the outcome of a load. After consecutive failures the store is ejected, longer each
+    /// time, so that no load may start: each further one would keep the store overloaded.
     pub(crate) fn record_load_outcome(&mut self, failed: bool) {
         if failed {
             self.consecutive_failed_loads += 1;
@@ -214,7 +217,7 @@
 }
 
 impl Attempt {
-    /// Whether it is believed to wait for a load.
+    /// Whether the attempt is assumed to wait for a load.
     fn awaits_load(&self, now: Time) -> bool {
         self.cold_start
             || self.unconfirmed && now > self.sent_at + (self.run_time * MAX_SAMPLE) as Time
@@ -222,7 +225,7 @@
 }
 
 impl WorkerState {
-    /// The functions that are believed to be loading here, by an attempt that somebody waits for or
+    /// The functions that are assumed to be loading here, for an attempt that was not cancelled or
     /// by a load command.
     fn loading_functions(&self, now: Time) -> BTreeSet<FunctionId> {
         let awaited = self
@@ -238,8 +241,8 @@
         awaited.chain(commanded).collect()
     }
 
-    /// How many functions may get a further replica here: however many of their requests wait, a
-    /// worker adds one replica at a time.
+    /// How many functions may be getting a further replica here. However many of a function's
+    /// requests wait, a worker adds one replica at a time.
     fn functions_adding_replicas(&self) -> usize {
         let adding: BTreeSet<FunctionId> = self
             .in_flight
--- a/crates/pipithub-policy/tests/reference/load_reports.rs
+++ b/crates/pipithub-policy/tests/reference/load_reports.rs
@@ -1,8 +1,8 @@
-//! Load reports of workers: when they are relied on, what is taken from them, and when a worker is
-//! polled before an attempt.
+//! Load reports of workers: when they are relied on, how they are used, and when a worker is polled
+//! before an attempt.
 //!
-//! Among few front ends each one's own attempts tell the queue of a worker; among many they are too
-//! small a part of it, and load reports are relied on.
+//! With few front ends, each one can judge a worker's queue by its own attempts. With many, these
+//! are too small a part of the queue, and load reports are relied on.
 
 use pipithub_policy::api::{Action, LoadReport, RequestId, Time, WorkerId};
 
@@ -10,24 +10,27 @@
 use super::state::{PendingRequest, ReportedLoad, WorkerState};
 use super::time::MILLISECOND;
 
-/// Among more front ends than this, a front end's own attempts tell too little of the queues.
+/// With more front ends than this, load reports are relied on, as a front end's own attempts show
+/// too little of the queues.
 const MAX_FRONT_ENDS_WITHOUT_REPORTS: u32 = 8;
-/// A load report, or an answer, is fresh for so long.
+/// How long a load report or a response counts as fresh.
 pub(crate) const REPORT_LIFETIME: Time = 700 * MILLISECOND;
-/// Weight of a new report in the mean of the requests in flight.
+/// Weight of a new report in the mean number of requests in flight.
 const IN_FLIGHT_GAIN: f64 = 0.5;
-/// That mean decays by half in this time: functions that load a worker do so for long.
+/// The mean number of requests in flight decays by half in this time. It is long, as functions that
+/// keep a worker busy do so for a long time.
 const IN_FLIGHT_HALF_LIFE: Time = 20_000 * MILLISECOND;
-/// A worker that reports its cores to be busier than this has a queue: it is second choice.
+/// A worker that reports a higher CPU utilization than this has a queue: it gets a request only if
+/// no other worker takes it.
 const MAX_CPU_UTILIZATION: f64 = 0.95;
-/// Marks the timers of requests that wait for a load report; request ids stay far below.
+/// Marks the timers of requests that wait for a load report; request ids are below it.
 pub(crate) const POLL_TIMEOUT_TOKEN: u64 = 1 << 61;
 /// How long a request waits for a load report.
 const POLL_TIMEOUT: Time = 30 * MILLISECOND;
-/// How often a request may wait for one.
+/// How often a request may wait for a load report.
 const MAX_POLLS_PER_REQUEST: u32 = 3;
-/// What a poll saves of a request's value, as a multiple of the chance that one worker fails it and
-/// the next does not.
+/// The part of a request's value that a poll saves, as a multiple of the probability that one
+/// worker fails the request and the next one does not.
 const POLL_SAVING: f64 = 0.2;
 
 impl FrontEnd {
@@ -36,8 +39,8 @@
         self.settings.front_ends > MAX_FRONT_ENDS_WITHOUT_REPORTS
     }
 
-    /// Takes in a worker's load report, the worst load where it gave none; requests that waited for
-    /// it are routed.
+    /// Records a worker's load report, and routes the requests that waited for it. `None` counts as
+    /// the highest load.
     pub(crate) fn record_load_report(
         &mut self,
         worker_id: &WorkerId,
@@ -57,8 +60,8 @@
         }
     }
 
-    /// Whether a worker has to be polled before this request is sent there: neither a report nor an
-    /// answer of it is fresh, and a poll is worth its price.
+    /// Whether a worker has to be polled before this request is sent there: neither its last report
+    /// nor its last response is fresh, and a poll is worth its cost.
     pub(crate) fn needs_poll(&self, worker: &WorkerState, pending: &PendingRequest) -> bool {
         let last_heard_at = worker.load_report.received_at.max(worker.last_response_at);
         self.relies_on_load_reports()
@@ -69,8 +72,9 @@
 
     /// Whether a poll before an attempt saves more than it costs.
     ///
-    /// An attempt tells the same, and a rejected one proves that nothing ran; so only a part of the
-    /// value that attempts lose can be saved, the less the more is lost at the next worker too.
+    /// An attempt shows the same as a poll, and a rejected attempt proves that nothing ran. So a
+    /// poll can save only a part of the value that attempts lose, and less of it if attempts at the
+    /// next worker lose much value too.
     fn poll_is_worthwhile(&self) -> bool {
         self.settings.limits.load_polls
             && self.mean_lost_value * (1.0 - self.mean_lost_value) * POLL_SAVING
@@ -92,7 +96,7 @@
         }
     }
 
-    /// Takes a worker that has not answered a poll in time for fully loaded.
+    /// Records the highest load for a worker that has not answered a poll in time.
     pub(crate) fn expire_poll(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let polled = self
             .pending
@@ -103,8 +107,8 @@
         }
     }
 
-    /// How far a run at a worker is slowed down by the queue that it has reported; 1 where the
-    /// report is not fresh, or an answer has come since, which says more.
+    /// The slowdown of a run at a worker by the queue that the worker has reported; 1 if the report
+    /// is not fresh, or if a response has come since, which shows more.
     pub(crate) fn reported_slowdown(&self, worker: &WorkerState) -> f64 {
         let report = &worker.load_report;
         if self.now > report.received_at + REPORT_LIFETIME
@@ -114,12 +118,13 @@
             return 1.0;
         }
         let estimates = &self.estimates;
+        // The number of requests that a worker is estimated to run at once without a slowdown.
         let unslowed_concurrency =
             (estimates.reported_in_flight / estimates.reported_slowdown.max(0.1)).max(1.0);
         (report.in_flight + 1.0) / unslowed_concurrency
     }
 
-    /// Whether a fresh report tells that the worker's cores are busy.
+    /// Whether the worker's cores are busy by a fresh load report.
     pub(crate) fn reports_busy_cores(&self, worker: &WorkerState) -> bool {
         let report = &worker.load_report;
         self.relies_on_load_reports()
@@ -127,7 +132,8 @@
             && report.cpu_utilization > MAX_CPU_UTILIZATION
     }
 
-    /// What a worker usually has in flight by its reports; one request where they are long past.
+    /// The number of requests that a worker usually has in flight by its reports, at least 1; it
+    /// decays to 1 as the last report gets older.
     pub(crate) fn usual_in_flight(&self, worker: &WorkerState) -> f64 {
         let report = &worker.load_report;
         let age = self.now.saturating_sub(report.received_at);
@@ -136,8 +142,8 @@
 }
 
 impl WorkerState {
-    /// Replaces the last report. A report without requests in flight leaves their mean as it is;
-    /// `None` counts as an unbounded number of requests in flight.
+    /// Replaces the last report. A report that does not state the requests in flight leaves their
+    /// mean as it is; `None` counts as an infinite number of requests in flight.
     fn record_load_report(&mut self, report: Option<LoadReport>, now: Time) {
         let last = self.load_report;
         let reported = report
@@ -166,7 +172,7 @@
     }
 }
 
-/// The part that is left of a mean of the requests in flight at this age.
+/// The factor by which a mean number of requests in flight has decayed at this age.
 fn decay(age: Time) -> f64 {
     0.5f64.powf(age as f64 / IN_FLIGHT_HALF_LIFE as f64)
 }
--- a/crates/pipithub-policy/tests/reference/maintenance.rs
+++ b/crates/pipithub-policy/tests/reference/maintenance.rs
@@ -1,4 +1,5 @@
-//! Periodic maintenance: detection of silence, counts that expire, and the rounds of rebalancing.
+//! Periodic maintenance: detection of silent workers and zones, expiry of counted events, and
+//! rounds of rebalancing.
 
 use pipithub_policy::api::{Action, Time};
 
@@ -7,13 +8,13 @@
 use super::state::WorkerState;
 use super::time::MILLISECOND;
 
-/// The period: short beside any latency objective, long beside a tick.
+/// The time between two rounds: short compared to any latency objective, long compared to a tick.
 pub(crate) const MAINTENANCE_PERIOD: Time = 50 * MILLISECOND;
-/// Token of the maintenance timer; request ids stay far below.
+/// Token of the maintenance timer; request ids are below it.
 pub(crate) const MAINTENANCE_TOKEN: u64 = 1 << 62;
 
 impl FrontEnd {
-    /// Runs one round of maintenance and asks for the next.
+    /// Runs one round of maintenance and sets the timer of the next one.
     pub(crate) fn run_maintenance(&mut self, actions: &mut Vec<Action>) {
         actions.push(Action::SetTimer {
             after: MAINTENANCE_PERIOD,
@@ -29,8 +30,8 @@
         }
     }
 
-    /// Ejects silent workers and zones, and cancels what waits for them. That no answer comes is a
-    /// symptom too.
+    /// Ejects silent workers and zones, and cancels the attempts that wait for them: a missing
+    /// answer is a sign of a fault too.
     fn recall_from_silent(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let kept = RATE_WINDOW.max(self.settings.slow_start.overload_window) + MAINTENANCE_PERIOD;
@@ -45,7 +46,7 @@
         self.cancel_recalled(&recalled, actions);
     }
 
-    /// Forgets arrivals and load commands that no count asks for any more.
+    /// Forgets arrivals and load commands that are too old to be counted.
     fn forget_expired_events(&mut self) {
         let now = self.now;
         let limit_window = match &self.settings.loading.rate_limit {
@@ -59,8 +60,8 @@
 }
 
 impl WorkerState {
-    /// Forgets cancelled attempts that are over by their prediction, and attempts sent and answers
-    /// that are not counted any more.
+    /// Forgets cancelled attempts whose predicted finish has passed, and sent attempts and answers
+    /// that are too old to be counted.
     fn forget_expired(&mut self, now: Time, kept: Time) {
         self.recent_sends.retain(|sent_at| sent_at + kept >= now);
         self.in_flight
--- a/crates/pipithub-policy/tests/reference/mod.rs
+++ b/crates/pipithub-policy/tests/reference/mod.rs
@@ -1,12 +1,15 @@
-//! The reference of the decision module: what it promises, written out as simply as possible.
+//! The reference implementation of the decision module: the same decisions, written as simply as
+//! possible.
 //!
-//! Tests and benchmarks give the same events to the module and to the reference and compare the
-//! actions. The reference has one file for each decision, named as the module's are, but it has no
-//! index and shares no code with the module's sources, only the types of `pipithub_policy::api`:
-//! each decision looks at every worker. Whoever changes a decision on purpose changes it here too.
+//! Tests give the same events to the module and to the reference and compare the actions; other
+//! tests and benchmarks compare the costs. The reference has one file for each decision, most of
+//! them named like the module's. It has no index: each decision examines every worker. It shares no
+//! code with the module's sources, only the types of `pipithub_policy::api` and the counter of
+//! `pipithub_policy::work`. An intended change of a decision must be made here too.
 //!
-//! `front_end` tells which decision each event leads to. A request goes through `requests`,
-//! `routing`, `preference` and `replay`; its end through `attempts`, `estimates` and `outlier`.
+//! `front_end` shows which decision each event leads to. A request goes through `requests`,
+//! `routing`, `preference` and `replay`; the end of an attempt goes through `attempts`, `estimates`
+//! and `outlier`. "The paper" is the one that `src/front_end.rs` names.
 
 mod attempts;
 mod counting_map;
--- a/crates/pipithub-policy/tests/reference/outlier.rs
+++ b/crates/pipithub-policy/tests/reference/outlier.rs
@@ -1,8 +1,9 @@
-//! Outlier detection: workers, zones and the store are ejected for a while, and how they come back.
+//! Outlier detection: when workers, zones and the store are ejected, and how they are used again.
 //!
 //! A worker is ejected for a class whose attempts it leaves overdue or answers with errors, and for
 //! all classes when connections to it fail. A zone is ejected when nothing comes from it any more.
-//! All come back alike: after an ejection time that doubles, one attempt at a time.
+//! The ejection time doubles with each ejection; when it is over, workers and zones get one attempt
+//! at a time as a probe.
 
 use std::collections::BTreeMap;
 
@@ -15,11 +16,11 @@
 
 /// An attempt is overdue at this multiple of the time that it was predicted to take.
 const OVERDUE_FACTOR: f64 = 3.0;
-/// The overdue attempts from which a worker or zone counts as silent, where it has answered fewer
-/// since.
+/// The number of overdue attempts that make a worker or zone count as silent. A worker must have
+/// answered fewer since the first of them was sent, a zone must not have responded at all.
 const MIN_OVERDUE_ATTEMPTS: usize = 3;
-/// Failures in a row, of connections or loads, before a worker or the store is ejected. After a
-/// further failed connection the worker's replicas count as lost.
+/// Consecutive failures of connections or loads after which a worker or the store is ejected. After
+/// a further failed connection the worker's replicas count as lost.
 pub(crate) const MAX_CONSECUTIVE_FAILURES: u32 = 2;
 /// A worker is an outlier when more than this share of its last attempts ended in errors ...
 const MAX_ERROR_RATE: f64 = 0.35;
@@ -27,17 +28,17 @@
 const MAX_RELATIVE_ERROR_RATE: f64 = 2.0;
 /// The first ejection time.
 const BASE_EJECTION_TIME: Time = 500 * MILLISECOND;
-/// How often it doubles at most.
+/// How often the ejection time doubles at most.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
 
-/// An attempt that is to be cancelled and made elsewhere.
+/// An attempt that is to be cancelled, so that its request can be retried elsewhere.
 pub(crate) struct RecalledAttempt {
     request: RequestId,
     attempt: u32,
 }
 
 impl Health {
-    /// Leaves it alone for a while, longer each time.
+    /// Starts an ejection, twice as long as the last one unless successes came between.
     pub(crate) fn eject(&mut self, now: Time) {
         self.ejected_at = now;
         let doublings = self.consecutive_errors.min(MAX_EJECTION_DOUBLINGS);
@@ -45,13 +46,14 @@
         self.consecutive_errors = (self.consecutive_errors + 1).min(MAX_EJECTION_DOUBLINGS + 1);
     }
 
-    /// Takes in an answer.
+    /// Records an answer: it offsets one ejection and lowers the error rate.
     pub(crate) fn record_success(&mut self) {
         self.consecutive_errors = self.consecutive_errors.saturating_sub(1);
         self.error_rate -= SLOWDOWN_GAIN * self.error_rate;
     }
 
-    /// Overdue attempts after which it is silent: one is enough where it was ejected before.
+    /// The number of overdue attempts that count as silence; one is enough after an ejection that
+    /// no success has offset.
     fn overdue_attempts_to_eject(&self) -> usize {
         if self.consecutive_errors > 0 {
             1
@@ -62,12 +64,13 @@
 }
 
 impl Attempt {
-    /// Whether its answer is so late that it counts as silence.
+    /// Whether the answer is so late that it counts as silence.
     fn is_overdue(&self, now: Time) -> bool {
         let predicted_time = self.predicted_finish.saturating_sub(self.sent_at);
         now > self.sent_at + (predicted_time as f64 * OVERDUE_FACTOR) as Time
     }
 
+    /// This attempt, as one to be cancelled.
     fn recall(&self) -> RecalledAttempt {
         RecalledAttempt {
             request: self.request,
@@ -77,8 +80,8 @@
 }
 
 impl WorkerState {
-    /// Whether it may get an attempt of a class: it is not ejected, or it is time to probe it with
-    /// one.
+    /// Whether the worker may get an attempt of a class: it is not ejected, or its ejection time is
+    /// over and no attempt probes it yet.
     pub(crate) fn accepts(&self, class: usize, now: Time) -> bool {
         let health = &self.health[class];
         let is_probed = self
@@ -88,8 +91,9 @@
         health.consecutive_errors == 0 || now >= health.ejected_until && !is_probed
     }
 
-    /// Ejects it for each class that it is silent in, and recalls the attempts of that class. A
-    /// fault behind the worker may swallow the requests of one class though others are answered.
+    /// Ejects the worker for each class that it is silent for, and adds its attempts of that class
+    /// to `recalled`. A fault behind the worker may leave the requests of one class unanswered
+    /// though those of others are answered.
     pub(crate) fn eject_if_silent(&mut self, now: Time, recalled: &mut Vec<RecalledAttempt>) {
         for class in 0..self.health.len() {
             if !self.is_silent(class, now) {
@@ -104,7 +108,8 @@
         }
     }
 
-    /// Whether more attempts of a class are overdue than were answered since the first of them.
+    /// Whether enough attempts of a class are overdue, and more than were answered since the first
+    /// of them was sent; always `false` during an ejection.
     fn is_silent(&self, class: usize, now: Time) -> bool {
         let overdue: Vec<&Attempt> = self
             .in_flight
@@ -126,8 +131,8 @@
 }
 
 impl FrontEnd {
-    /// Takes in a failed or broken connection. One is no dead process: where every worker resets a
-    /// few, acting on it would bring all down by itself.
+    /// Records a failed or broken connection. One failure does not mean that the process has ended:
+    /// where every worker resets a few connections, acting on one would eject them all.
     pub(crate) fn record_connect_failure(&mut self, worker_id: &WorkerId) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(worker_id) else {
@@ -146,9 +151,10 @@
         }
     }
 
-    /// Takes in an error. A worker whose requests mostly fail answers fast, so that it looks free:
-    /// it is ejected while it is worse than the others. What fails everywhere alike ejects no
-    /// worker, and of one function's consecutive errors only the first counts.
+    /// Records an error. A worker whose requests mostly fail answers fast, so that it looks idle:
+    /// it is ejected if it is worse than the others. Errors that are as frequent at the other
+    /// workers eject no worker, and of consecutive errors of one function only the first counts,
+    /// unless the worker was ejected before.
     pub(crate) fn record_error(&mut self, worker_id: &WorkerId, attempt: &Attempt) {
         let (now, class) = (self.now, attempt.class);
         let usual = self.mean_error_rate_of_others(worker_id, class);
@@ -176,8 +182,8 @@
         rates.iter().sum::<f64>() / rates.len().max(1) as f64
     }
 
-    /// Whether a zone may get an attempt: it is not ejected, or it is time to probe it with one.
-    /// The probe may end in any way, then the next one may go.
+    /// Whether a zone may get an attempt: it is not ejected, or its ejection time is over and no
+    /// attempt probes it yet. When the probe has ended, in whatever way, the next one may be sent.
     pub(crate) fn accepts_zone(&self, zone: &str) -> bool {
         let Some(health) = self.silent_zones.get(zone) else {
             return true;
@@ -211,9 +217,9 @@
         }
     }
 
-    /// Ejects a zone from which nothing came since attempts went there that are overdue now,
-    /// several of them, and recalls what is in flight there. In a large deployment no worker gets
-    /// enough attempts to be found silent by itself before the outage is over.
+    /// Ejects each zone without a response since several attempts were sent there that are overdue
+    /// now, and adds the attempts in flight there to `recalled`. In a large deployment no single
+    /// worker gets enough attempts to be found silent before the outage is over.
     pub(crate) fn detect_silent_zones(&mut self, recalled: &mut Vec<RecalledAttempt>) {
         let mut last_responses: BTreeMap<String, Time> = BTreeMap::new();
         for worker in self.workers.values() {
@@ -223,15 +229,15 @@
             *last = (*last).max(worker.last_response_at);
         }
         let zone_count = last_responses.len();
-        // A zone is back when it has responded since, or where no other zone is left.
+        // A zone is used again when it has responded since its ejection, or if it is the only one.
         self.silent_zones.retain(|zone, health| {
             let last = last_responses.get(zone);
             zone_count > 1 && last.is_some_and(|last| *last <= health.ejected_at)
         });
         for (zone, last_response) in last_responses {
             let others = self.silent_zones.keys().filter(|silent| **silent != zone);
-            // Where all zones are silent it is not the zone, and all that there is cannot be left
-            // alone.
+            // If all zones are silent, the fault is not in one zone, and the last one must stay in
+            // use.
             let is_last = others.count() + 1 >= zone_count;
             if !is_last && self.is_zone_silent(&zone, last_response) {
                 let waiting = self.attempts_in(&zone).filter(|attempt| !attempt.cancelled);
@@ -241,11 +247,11 @@
         }
     }
 
-    /// Whether enough attempts at a zone are overdue that were sent after its last response. An
-    /// ejected zone is silent again when one probe is overdue.
+    /// Whether enough attempts at a zone are overdue that were sent after its last response. For an
+    /// ejected zone one overdue probe is enough.
     fn is_zone_silent(&self, zone: &str, last_response: Time) -> bool {
         let ejected = self.silent_zones.get(zone);
-        // What was in flight when it was ejected is no sign since then.
+        // Attempts that were in flight when the zone was ejected are no sign of a further fault.
         let since = last_response.max(ejected.map_or(0, |health| health.ejected_at));
         let overdue = self
             .attempts_in(zone)
@@ -257,7 +263,7 @@
         }
     }
 
-    /// Cancels attempts at silent workers and zones, where the request may be retried elsewhere.
+    /// Cancels attempts at silent workers and zones if their requests may be retried elsewhere.
     pub(crate) fn cancel_recalled(&self, recalled: &[RecalledAttempt], actions: &mut Vec<Action>) {
         let limits = &self.settings.limits;
         for RecalledAttempt { request, attempt } in recalled {
--- a/crates/pipithub-policy/tests/reference/preference.rs
+++ b/crates/pipithub-policy/tests/reference/preference.rs
@@ -1,8 +1,8 @@
 //! The order in which the workers are considered for a function.
 //!
-//! Rendezvous hashing: every front end has the same order without a message, so that the requests
-//! for a function meet at the same few workers. In a large deployment a function needs several
-//! preferred workers, and each front end draws the one at which it begins.
+//! Rendezvous hashing: every front end computes the same order without communication, so that the
+//! requests for a function meet at the same few workers. In a large deployment a function needs
+//! several preferred workers, and each front end draws the one at which it begins.
 
 use pipithub_policy::api::{FunctionId, WorkerId};
 
@@ -10,10 +10,10 @@
 use super::hashing::{draw, mix};
 use super::state::WorkerState;
 
-/// At a worker that reports more requests than the average, this power of the average over its own
-/// is the share of front ends that still begin there.
+/// The share of front ends that still begin at a worker which reports more requests in flight than
+/// the average: the ratio of the average to the worker's own number, raised to this power.
 const AVOIDANCE_EXPONENT: i32 = 4;
-/// The number of workers at the head of the order among which the others choose the first.
+/// The number of workers at the head of the order among which a front end chooses the first.
 const AVOIDANCE_CANDIDATES: usize = 4;
 
 impl FrontEnd {
@@ -32,9 +32,9 @@
         order
     }
 
-    /// Moves one of the function's several preferred workers to the head, drawn once for all by
-    /// each front end, so that none is full while the next ones idle and each front end has few
-    /// workers to meet.
+    /// Moves one of the function's preferred workers to the head of the order. The draw depends on
+    /// the front end's seed and the function alone. So none of these workers is full while the next
+    /// ones are idle, and each front end uses few workers for the function.
     fn begin_at_preferred_worker(&self, function: FunctionId, order: &mut [WorkerId]) {
         let preferred = self
             .functions
@@ -44,7 +44,7 @@
             return;
         }
         let draw = draw(self.seed ^ mix(function.0));
-        // One in this front end's zone where possible: traffic between zones costs time.
+        // If possible one in this front end's zone, as traffic between zones takes longer.
         let in_own_zone =
             |position: &usize| self.workers[&order[*position]].endpoint.zone == self.settings.zone;
         let own_zone: Vec<usize> = (0..(preferred as usize).min(order.len()))
@@ -58,9 +58,10 @@
         order[..=first].rotate_right(1);
     }
 
-    /// Functions in demand may share a preferred worker by chance, and it stays full while others
-    /// idle: each front end that has a report of it draws, once for all, whether it still begins
-    /// there.
+    /// Moves the first worker that is not avoided to the head of the order. Popular functions may
+    /// share a preferred worker by chance, which then stays full while others are idle. So each
+    /// front end that has a load report of a worker draws whether it still begins there; the draw
+    /// depends on its seed, the function and the worker alone.
     fn avoid_loaded_workers(&self, function: FunctionId, order: &mut [WorkerId]) {
         let mean = self.mean_usual_in_flight();
         let may_be_first = |id: &WorkerId| {
@@ -77,7 +78,8 @@
         order[..=first].rotate_right(1);
     }
 
-    /// The mean over the ready workers that have reported their load.
+    /// The mean number of requests usually in flight, over the ready workers that have reported
+    /// their load; 0 if there are none.
     fn mean_usual_in_flight(&self) -> f64 {
         let reporting: Vec<&WorkerState> = self
             .ready_workers()
--- a/crates/pipithub-policy/tests/reference/rebalancing.rs
+++ b/crates/pipithub-policy/tests/reference/rebalancing.rs
@@ -1,8 +1,9 @@
-//! Rebalancing: replicas move to where requests miss them.
+//! Rebalancing: replicas move to the workers where requests miss them.
 //!
-//! Between rounds run time that moved on for lack of a replica is counted, and a worker that is
-//! missed often enough is made to load the function. In each round the least used replicas that a
-//! command has loaded give way to those that were missed more, a few at a time.
+//! A placement miss is a request that a worker would have admitted if a replica had been loaded.
+//! Between rounds the run time of placement misses is counted, and a worker with enough of them is
+//! commanded to load the function. In each round the least used replicas that a command has loaded
+//! are replaced by replicas that were missed more, a few at a time.
 
 use std::collections::BTreeSet;
 
@@ -12,34 +13,37 @@
 use super::state::{Replicas, WorkerState};
 use super::time::MILLISECOND;
 
-/// The most of the placed replicas that are replaced in a round (the paper's cap).
+/// The largest share of the replicas loaded by command that is replaced in a round (the paper's
+/// cap).
 const MAX_REPLACED_SHARE: f64 = 1.0 / 15.0;
-/// The most replacements that are carried over to a round.
+/// The largest number of replacements in a round, those carried over included.
 const MAX_ALLOWANCE: f64 = 2.0;
 /// The paper's interval between rounds; a shorter keep-alive shortens it.
 const MAX_INTERVAL: Time = 30_000 * MILLISECOND;
 /// The shortest interval between rounds, whatever the keep-alive.
 const MIN_INTERVAL: Time = 1_000 * MILLISECOND;
-/// Placement misses of a function at a worker, within an interval, before it is loaded there too.
+/// Placement misses of a function at a worker, within an interval, before the function is loaded
+/// there too.
 const MISSES_TO_SPREAD: u32 = 2;
 /// Intervals without a request after which a function is forgotten.
 const FORGET_AFTER_INTERVALS: u64 = 6;
 
-/// Replicas of a function at a worker, loaded or missed there.
+/// Replicas of a function that are loaded or missed at a worker.
 struct Placement {
     worker: WorkerId,
     function: FunctionId,
-    /// Run time of the last interval that was admitted or missed there.
+    /// Run time that was admitted or missed there in the last interval, in nanoseconds.
     run_time: f64,
-    /// The lowest comes first: the run time of loaded replicas, the slack of missed ones.
+    /// The sort key, lowest first: the run time of loaded replicas, the least slack of missed ones.
     rank: f64,
 }
 
-/// What a round finds at the workers.
+/// The replicas that a round may evict, and those that it may have loaded instead.
 #[derive(Default)]
 struct Placements {
-    /// Loaded by a command.
+    /// Replicas that were loaded by a command.
     placed: Vec<Placement>,
+    /// Replicas that were missed.
     missed: Vec<Placement>,
 }
 
@@ -52,8 +56,9 @@
             .clamp(MIN_INTERVAL, MAX_INTERVAL)
     }
 
-    /// Notes run time that moved on because no replica was loaded at the worker. After some misses
-    /// one command loads the function here: one at a time, as a slow store must not be asked again
+    /// Records a placement miss of a request at a worker. After enough misses the worker is
+    /// commanded to load the function, if `may_spread` is set and its memory suffices. Only one
+    /// such command for a function is in progress at a time: a slow store must not be asked again
     /// for what it has not delivered yet.
     pub(crate) fn record_placement_miss(
         &mut self,
@@ -83,7 +88,7 @@
         }
     }
 
-    /// Whether a load command for a function is under way at any worker.
+    /// Whether a load command for a function is in progress at any worker.
     fn is_load_commanded(&self, function: FunctionId) -> bool {
         self.workers.values().any(|worker| {
             let replicas = worker.replicas.get(&function);
@@ -91,14 +96,14 @@
         })
     }
 
-    /// One round of rebalancing.
+    /// Runs one round of rebalancing.
     pub(crate) fn rebalance_replicas(&mut self, actions: &mut Vec<Action>) {
         let placements = self.collect_placements();
         self.replace_replicas(placements, actions);
         self.forget_unused();
     }
 
-    /// Takes in what was used and missed in the interval that ends, and begins the next one.
+    /// Collects what was used and missed in the interval that ends, and begins the next one.
     fn collect_placements(&mut self) -> Placements {
         let (now, keep_alive) = (self.now, self.settings.loading.keep_alive);
         let mut placements = Placements::default();
@@ -126,7 +131,7 @@
         placements
     }
 
-    /// Replaces the least used replicas by those that were missed more.
+    /// Replaces the least used replicas by replicas that were missed more.
     fn replace_replicas(&mut self, placements: Placements, actions: &mut Vec<Action>) {
         let earned = placements.placed.len() as f64 * MAX_REPLACED_SHARE;
         self.rebalancing_allowance = (self.rebalancing_allowance + earned).min(MAX_ALLOWANCE);
@@ -142,7 +147,7 @@
         }
     }
 
-    /// Evicts replicas by a command; a worker that is draining or removed gets none.
+    /// Evicts replicas by a command. A worker that is draining or removed gets no command.
     fn evict(&mut self, placement: Placement, actions: &mut Vec<Action>) {
         let Some(worker) = self.workers.get_mut(&placement.worker) else {
             return;
@@ -156,8 +161,7 @@
         }
     }
 
-    /// Forgets replicas that are not believed any more, and functions that are not requested any
-    /// more.
+    /// Forgets replicas that were not used, and functions that were not requested, for some time.
     fn forget_unused(&mut self) {
         let (now, keep_alive) = (self.now, self.settings.loading.keep_alive);
         for worker in self.workers.values_mut() {
@@ -179,7 +183,7 @@
 }
 
 impl Replicas {
-    /// Counts one request that moved on, and keeps the least slack of the interval.
+    /// Counts one placement miss, and keeps the least slack of the interval.
     fn record_miss(&mut self, run_time: f64, slack: f64) {
         self.min_slack = if self.placement_misses == 0 {
             slack
@@ -190,8 +194,8 @@
         self.missed_run_time += run_time;
     }
 
-    /// Resets the counts. Further replicas are the first that an idle worker evicts, so that the
-    /// believed count falls by one in each interval until an answer shows it again.
+    /// Resets the counts of an interval. An idle worker evicts its further replicas first, so the
+    /// assumed number of replicas falls by one in each interval until an answer confirms it again.
     fn begin_interval(&mut self) {
         self.admitted_run_time = 0.0;
         self.missed_run_time = 0.0;
@@ -201,8 +205,8 @@
 }
 
 impl WorkerState {
-    /// Forgets replicas that were not used for two keep-alive times, unless attempts or a load command
-    /// are in progress.
+    /// Forgets replicas that were not used for two keep-alive times, unless attempts or a load
+    /// command are in progress.
     fn forget_unused_replicas(&mut self, now: Time, keep_alive: Time) {
         let busy: BTreeSet<FunctionId> = self
             .in_flight
--- a/crates/pipithub-policy/tests/reference/replay.rs
+++ b/crates/pipithub-policy/tests/reference/replay.rs
@@ -1,60 +1,61 @@
-//! What a worker's queue means for a new request, predicted from this front end's own attempts
-//! there.
+//! When a worker would serve a new request, predicted from this front end's own attempts there.
 //!
-//! Admission by replay: a request is admitted where replaying the queue with it still meets every
-//! deadline. The queue is this front end's attempts in the order in which they left.
+//! Admission by replay: a worker admits a request if a replay of its queue with the request meets
+//! every deadline. The queue is this front end's attempts in the order in which they were sent.
 
 use pipithub_policy::api::{FunctionId, Request, Time};
 
 use super::front_end::FrontEnd;
 use super::state::WorkerState;
 
-/// The run of the new request counts for so much more: run times have long tails, means do not show
-/// them.
+/// The expected run time of the new request is multiplied by this: run times have long tails, which
+/// their means do not show.
 pub(crate) const RUN_TIME_MARGIN: f64 = 1.6;
-/// Most of a function's requests that are replayed side by side at one worker.
+/// The largest number of a function's requests that are replayed in parallel at one worker.
 const MAX_REPLAYED_CONCURRENCY: f64 = 64.0;
 
 /// What the replay of one worker predicts for a new request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Prediction {
-    /// No replica is believed there: the request would wait for a load.
+    /// No replica is assumed there: the request would wait for a load.
     pub(crate) cold_start: bool,
-    /// All of the replicas' concurrency is taken: the worker may well start a further replica for
-    /// it.
+    /// All of the replicas' concurrency is in use, so that the worker may start a further replica
+    /// for the request.
     pub(crate) adds_replica: bool,
-    /// Every attempt in the queue still meets its deadline.
+    /// The new request makes no attempt in the queue miss its deadline.
     pub(crate) others_meet_deadlines: bool,
-    /// When it would be served if a replica were loaded.
+    /// When the request would be answered if a replica were loaded.
     pub(crate) warm_finish: Time,
-    /// When it will be served, any load counted.
+    /// When the request is expected to be answered, any load included.
     pub(crate) finish: Time,
 }
 
-/// What is the same in each replay of one queue.
+/// A worker's queue and the new request behind it.
 struct Queue<'a> {
     worker: &'a WorkerState,
     function: FunctionId,
     now: Time,
-    /// Requests of the function that run side by side for this front end.
+    /// Requests of the function that run in parallel for this front end.
     concurrency: usize,
-    /// The slowdown there without the new request, and with it.
+    /// The slowdown at the worker without the new request.
     slowdown_without: f64,
+    /// The slowdown at the worker with the new request.
     slowdown_with: f64,
-    /// The new request's run, slowed down and with its margin.
+    /// The expected run time of the new request, slowed down and with its margin, in nanoseconds.
     padded_run_time: Time,
 }
 
-/// What one replay finds.
+/// The result of one replay.
 struct Replayed {
-    /// When the new request would be served.
+    /// When the new request would be answered.
     finish: Time,
+    /// The new request makes no attempt in the queue miss its deadline.
     deadlines_met: bool,
 }
 
 impl Queue<'_> {
-    /// Replays the queue and the new request after it, with the function's replicas loaded at this
-    /// time.
+    /// Replays the queue and then the new request, with the function's replicas loaded at the time
+    /// `ready_at`.
     fn replay(&self, ready_at: Time) -> Replayed {
         let mut free_at = vec![ready_at; self.concurrency];
         let mut deadlines_met = true;
@@ -77,8 +78,9 @@
             } else {
                 (attempt.sent_at, attempt.sent_at + run_time)
             };
-            // A deadline that is missed without the new request too binds no more, else one late
-            // request would close the worker.
+            // A deadline that is missed without the new request too does not count, as otherwise
+            // one late request would keep all others away from the worker. Neither does the
+            // deadline of a cold start.
             let end_without = start + (attempt.run_time * self.slowdown_without) as Time;
             let missed_anyway = attempt.cold_start || end_without > attempt.target_deadline;
             deadlines_met &= end <= attempt.target_deadline || missed_anyway;
@@ -92,8 +94,9 @@
 }
 
 impl FrontEnd {
-    /// Replays this front end's attempts at the worker, and the new request after them; `presumed`:
-    /// where no replica is believed there, one is presumed to be loaded.
+    /// Predicts a new request by replaying this front end's attempts at the worker and then the
+    /// request. If `presumed` is set, the worker counts as having a loaded replica even if none is
+    /// assumed there.
     pub(crate) fn predict(
         &self,
         worker: &WorkerState,
@@ -135,8 +138,9 @@
         }
     }
 
-    /// How many requests of the function the worker's replicas run side by side for this front end:
-    /// the other front ends follow the same order and take their part, as reported, else alike.
+    /// How many requests of the function the worker's replicas run in parallel for this front end.
+    /// The other front ends use the same workers: their requests are subtracted if workers report
+    /// them, otherwise each front end is assumed to have an equal part.
     fn replayed_concurrency(&self, worker: &WorkerState, request: &Request) -> usize {
         let replicas = worker.replicas.get(&request.function);
         let of_all = f64::from(request.replica_concurrency.max(1))
@@ -150,7 +154,8 @@
         own.ceil().clamp(1.0, MAX_REPLAYED_CONCURRENCY) as usize
     }
 
-    /// When the replicas of a function are loaded at a worker: `None` where none is believed there.
+    /// When the replicas of a function are loaded at a worker, which is now if they are loaded
+    /// already; `None` if none is assumed there.
     pub(crate) fn replica_ready_at(
         &self,
         worker: &WorkerState,
@@ -173,8 +178,8 @@
             .map(|attempt| (attempt.sent_at, attempt.predicted_finish))
             .min();
         match first {
-            // Not confirmed yet. When the answer is overdue there is a load before it, and a slow
-            // one.
+            // The replicas are not confirmed yet, and the first answer is later than predicted: its
+            // request probably waits for a load, and a slow one.
             Some((sent_at, predicted_finish)) if predicted_finish < self.now => {
                 let loaded_at = sent_at + self.expected_load_time(function, 0) as Time;
                 let later = self.now + (self.now - sent_at) / 2;
--- a/crates/pipithub-policy/tests/reference/requests.rs
+++ b/crates/pipithub-policy/tests/reference/requests.rs
@@ -1,5 +1,5 @@
-//! The life of a request: accepted, forwarded, retried, and given one final answer in the client's
-//! time.
+//! The steps of a request: it is accepted, forwarded and retried, and gets one final answer before
+//! the client's deadline.
 
 use pipithub_policy::api::{
     Action, AttemptFinished, DeduplicationScope, Idempotency, LoadReport, Outcome, Request,
@@ -12,12 +12,12 @@
 use super::state::{Attempt, PendingRequest, Replicas, WorkerState};
 use super::time::{MAX_DURATION, MILLISECOND};
 
-/// Speculative attempts that each request adds; one for two requests, so that most go where a
-/// replica is.
+/// Speculative attempts that each accepted request allows: one for two requests, so that most
+/// requests are sent to a worker with a replica.
 const SPECULATION_TOKENS_PER_REQUEST: f64 = 0.5;
-/// The most speculative attempts that are saved up.
+/// The largest number of speculative attempts that can be saved.
 const MAX_SPECULATION_TOKENS: f64 = 8.0;
-/// The largest multiple of the expected work that the latency objective grows by.
+/// The largest multiple of the expected work by which the latency objective grows.
 const MAX_OBJECTIVE_PER_WORK: f64 = 1e3;
 
 impl FrontEnd {
@@ -41,7 +41,7 @@
         }
         self.update_function(&request);
         let id = request.id;
-        // Two ticks early: the answer must be out before the client's time is up.
+        // Two ticks early, as the answer must be sent before the client's deadline.
         actions.push(Action::SetTimer {
             after: timeout.saturating_sub(2 * self.settings.tick),
             token: id.0,
@@ -94,8 +94,8 @@
         });
     }
 
-    /// Takes the end of an attempt, learns from it, and routes the request again where it is not
-    /// over.
+    /// Handles the end of an attempt: learns from it, and routes the request again unless it is
+    /// settled.
     pub(crate) fn finish_attempt(&mut self, end: &AttemptFinished, actions: &mut Vec<Action>) {
         if end.load_report != LoadReport::default() {
             self.record_load_report(&end.worker, Some(end.load_report), actions);
@@ -110,17 +110,17 @@
         };
         pending.attempt_in_flight = false;
         if end.outcome == Outcome::NotLoaded {
-            // The worker is sound, only the replica is missing: a command may still load it.
+            // The worker is healthy and only the replica is missing: a command may still load it.
             pending.attempted_workers.pop();
         }
         if !end.outcome.never_ran() && pending.possible_execution.is_none() {
-            // Where the attempt is not known any more, the deduplication window counts as over.
+            // If the attempt is not known any more, the deduplication window counts as over.
             pending.possible_execution = Some(execution.unwrap_or_default());
         }
         self.route(end.request, actions);
     }
 
-    /// Whether an attempt of the request at this worker cannot make it take effect twice.
+    /// Whether an attempt at this worker cannot make the request take effect twice.
     pub(crate) fn may_retry_at(&self, pending: &PendingRequest, worker: &WorkerState) -> bool {
         let class = &self.settings.classes[pending.request.class];
         let Some(execution) = &pending.possible_execution else {
@@ -141,14 +141,14 @@
         }
     }
 
-    /// Ends a request whose client has cancelled it; it gets no answer.
+    /// Ends a request that its client has cancelled, without an answer.
     pub(crate) fn cancel_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if let Some(pending) = self.pending.remove(&id) {
             self.cancel_attempt(id, &pending, actions);
         }
     }
 
-    /// Ends a request shortly before its client's deadline, unless its answer has started.
+    /// Ends a request shortly before the client's deadline, unless its answer has started.
     pub(crate) fn expire_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let is_over = |pending: &PendingRequest| {
             !pending.streaming && self.now + 3 * self.settings.tick >= pending.deadline
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Gives the final answer: a rejection where a retry is harmless, else a failure.
+    /// Gives the final answer: a rejection if a retry is harmless, otherwise a failure.
     pub(crate) fn reject_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.remove(&id) else {
             return;
@@ -181,8 +181,9 @@
         }
     }
 
-    /// Cancels an attempt whose answer has no client any more: clients that leave and retry at once
-    /// would otherwise have the work done more than once.
+    /// Cancels the attempt in flight of a request that has ended, if that is allowed and its answer
+    /// has not started. Otherwise clients that give up and retry at once would have the work done
+    /// more than once.
     fn cancel_attempt(&self, id: RequestId, pending: &PendingRequest, actions: &mut Vec<Action>) {
         if self.settings.limits.cancel && pending.attempt_in_flight && !pending.streaming {
             actions.push(Action::Cancel {
@@ -193,7 +194,7 @@
     }
 }
 
-/// An attempt of a request that leaves now.
+/// The next attempt of a request, sent now.
 fn new_attempt(
     worker: &WorkerState,
     pending: &PendingRequest,
@@ -224,7 +225,8 @@
 }
 
 impl Replicas {
-    /// Believes in replicas where a request is sent, loaded by then or by the request itself.
+    /// Assumes that the worker has a replica when a request is sent there: one that is loaded
+    /// already, or that the request loads.
     fn expect(&mut self, prediction: &Prediction, run_time: f64, now: Time) {
         if self.ready_at == 0 || prediction.cold_start {
             *self = Replicas {
--- a/crates/pipithub-policy/tests/reference/routing.rs
+++ b/crates/pipithub-policy/tests/reference/routing.rs
@@ -1,9 +1,9 @@
 //! The worker that a request is forwarded to.
 //!
-//! The workers are considered in the function's order, and the first at which the prediction meets
-//! every deadline gets the request. Where there is none, these are tried in turn: an answer after
+//! The workers are considered in the function's order, and the first one where every deadline is
+//! predicted to be met gets the request. If there is none, these are tried in turn: an answer after
 //! the latency objective, a speculative attempt, a worker with busy cores. Otherwise the request is
-//! rejected unsent.
+//! not sent, and gets its final answer.
 
 use pipithub_policy::api::{Action, FunctionId, RequestId, Time, WorkerId};
 
@@ -12,11 +12,12 @@
 use super::service::ServiceStatus;
 use super::state::{PendingRequest, WorkerState};
 
-/// The most requests past their objective at one worker: they must not fill its queue.
+/// The largest number of requests at one worker that were admitted for an answer after their
+/// objective, so that they do not fill its queue.
 const MAX_LATE_REQUESTS: usize = 8;
 
-/// A worker for a request, with what is predicted there and the deadline that the attempt is
-/// admitted for.
+/// A worker for a request, with the prediction for it and the deadline that the attempt is admitted
+/// for.
 #[derive(Clone)]
 pub(crate) struct Candidate {
     pub(crate) worker: WorkerId,
@@ -26,33 +27,33 @@
 
 /// Which loads a request may begin.
 struct AllowedLoads {
-    /// A replica of the function is believed somewhere.
+    /// Some ready worker is assumed to have a replica of the function.
     located: bool,
-    /// The first replica of the function at a worker may be loaded.
+    /// A worker may load its first replica of the function.
     first_replica: bool,
     /// A worker may start a further replica beside those that it has.
     further_replica: bool,
 }
 
-/// What a search through the workers has found.
+/// The result of a search through the workers.
 #[derive(Default)]
 struct Found {
     /// The first worker that admits the request; it ends the search.
     admits: Option<Candidate>,
-    /// The first one that serves it after its objective.
+    /// The first worker that serves the request after its objective.
     late: Option<Candidate>,
-    /// The first one that would admit it, were the function loaded.
+    /// The first worker that would admit the request if the function were loaded there.
     awaits_load: Option<Candidate>,
-    /// The first one that would admit it, were its cores not busy.
+    /// The first worker with a replica that is passed over because its cores are busy.
     busy: Option<Candidate>,
-    /// One that has to be polled first; it ends the search.
+    /// A worker that has to be polled first; it ends the search.
     needs_poll: Option<WorkerId>,
-    /// The first one that failed health checks and is due for the next one.
+    /// The first worker that failed health checks and is due for the next one.
     check_due: Option<WorkerId>,
 }
 
 impl FrontEnd {
-    /// Forwards the request to the worker that admits it, has it wait for a load or a load report,
+    /// Forwards the request to a worker, makes it wait for a load, a load report or a health check,
     /// or ends it.
     pub(crate) fn route(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.get_mut(&id) else {
@@ -79,8 +80,8 @@
             return self.poll_load(id, worker, actions);
         }
         if let Some(miss) = &found.awaits_load {
-            // No request starts a load that takes longer than its client waits: only a load command
-            // brings such a function to a further worker.
+            // No request starts a load that takes longer than its client waits: only a command
+            // loads such a function at a further worker.
             let may_spread = found.admits.is_some() || miss.prediction.finish > deadline;
             self.record_placement_miss(&miss.worker, id, may_spread, actions);
         }
@@ -108,7 +109,8 @@
         }
     }
 
-    /// The deadline that a further attempt of the request has to meet; `None`: it gets none.
+    /// The deadline that the next attempt of the request has to meet; `None` if the request gets no
+    /// further attempt.
     fn target_deadline(&self, pending: &PendingRequest) -> Option<Time> {
         let class = &self.settings.classes[pending.request.class];
         if pending.attempts >= self.settings.limits.max_attempts {
@@ -120,24 +122,24 @@
         if self.now < pending.latency_objective {
             return Some(pending.latency_objective);
         }
-        // After the objective only a late answer is left; where that is worth nothing, more work
-        // would be waste.
+        // After the objective only a late answer is possible; if that has no value, an attempt
+        // would be wasted work.
         if self.now > pending.latency_objective && class.late_answer_weight <= 0.0 {
             return None;
         }
         Some(pending.deadline)
     }
 
-    /// Goes through the workers in the function's order, those left out that had an attempt.
+    /// Searches the workers in the function's order, without those that get no further attempt.
     fn search(&self, pending: &PendingRequest, target_deadline: Time) -> Found {
         let function = pending.request.function;
         let order = self.preference_order(function);
         let loads = self.allowed_loads(function, &order);
         let mut found = Found::default();
-        // Where no worker is believed to have the function, the first one is presumed to have it: a
-        // front end without any knowledge must neither reject nor spread requests. Where that
-        // worker cannot be used nothing is presumed, or each function of a lost worker would
-        // start a load at its next one.
+        // If no worker is assumed to have the function, the first one is presumed to have it: a
+        // front end that knows nothing yet must neither reject requests nor spread them. If that
+        // worker cannot be used, nothing is presumed, as otherwise each function of a lost worker
+        // would start a load at its next one.
         let mut presumed = !loads.located && pending.attempts == 0;
         for id in order {
             if pending.attempted_workers.contains(&id) {
@@ -169,7 +171,7 @@
         found
     }
 
-    /// Considers one worker for a request; `true`: it ends the search.
+    /// Considers one worker for a request; `true` if it ends the search.
     fn consider(
         &self,
         pending: &PendingRequest,
@@ -213,7 +215,7 @@
         false
     }
 
-    /// Whether the request may have an attempt at this worker at all.
+    /// Whether the request may have an attempt at this worker, apart from what is predicted there.
     fn may_attempt(&self, pending: &PendingRequest, worker: &WorkerState) -> bool {
         self.may_retry_at(pending, worker)
             && self.accepts_zone(&worker.endpoint.zone)
@@ -222,7 +224,7 @@
             && self.has_slow_start_budget(worker)
     }
 
-    /// Whether the queue that the worker reports would make the request miss its deadline.
+    /// Whether the queue in the worker's load report would make the request miss its deadline.
     fn is_slowed_down(
         &self,
         pending: &PendingRequest,
@@ -244,7 +246,7 @@
             located: order
                 .iter()
                 .any(|id| self.replica_ready_at(&self.workers[id], function).is_some()),
-            // One load of a function is awaited before the next.
+            // A load of the function must end before the next one begins.
             first_replica: further_replica && !loads.of_function,
             further_replica,
         }
@@ -264,7 +266,7 @@
             .iter()
             .filter(|attempt| attempt.target_deadline > attempt.latency_objective)
             .count();
-        // A function that is loaded elsewhere is loaded here only where that should evict nothing.
+        // A function that is loaded elsewhere is loaded here only if that should evict nothing.
         let is_worthwhile = !prediction.cold_start
             || !loads.located
             || self.has_memory_for(worker, pending.request.function);
@@ -275,8 +277,10 @@
             && is_worthwhile
     }
 
-    /// A speculative attempt: the other front ends follow the same order, so that what moved on
-    /// here did there, and a replica has likely been loaded. A wrong guess must still be served.
+    /// Chooses a worker for a speculative attempt, as if the function were loaded there. The other
+    /// front ends follow the same order and have probably sent requests for the function on to that
+    /// worker too, so that a replica is loaded. If not, the request must still be served by the
+    /// client's deadline.
     fn speculate(&mut self, miss: Candidate, deadline: Time) -> Option<Candidate> {
         let is_allowed = self.speculation_tokens >= 1.0
             && self.store_is_available()
@@ -294,8 +298,8 @@
         Some(Candidate { prediction, ..miss })
     }
 
-    /// Has a worker load the function where only a command does; the request waits here, unsent,
-    /// for the reply.
+    /// Commands a worker to load the function, as requests begin no loads. The request waits,
+    /// unsent, for the reply; if no command may be sent, the request ends.
     fn await_load(
         &mut self,
         id: RequestId,
@@ -314,7 +318,7 @@
 }
 
 impl AllowedLoads {
-    /// Whether the loads that a prediction expects may begin.
+    /// Whether the loads that a prediction includes may begin.
     fn allow(&self, prediction: &Prediction) -> bool {
         (!prediction.cold_start || self.first_replica)
             && (!prediction.adds_replica || self.further_replica)
--- a/crates/pipithub-policy/tests/reference/service.rs
+++ b/crates/pipithub-policy/tests/reference/service.rs
@@ -1,8 +1,8 @@
 //! Whether workers are in service while the source of the endpoint list is out of reach.
 //!
-//! The list vouches for all workers in it until some time after it was last confirmed. After that
-//! only a health check vouches for one, from when it was sent. What would go to a worker without
-//! either waits for a check of it.
+//! The list gives a lease on all its workers, which ends some time after the list was last
+//! confirmed. From then on only a healthy check gives a lease on its worker, counted from when the
+//! check was sent. A request for a worker without a lease waits for a health check.
 
 use pipithub_policy::api::{
     Action, EndpointListContact, HealthCheckOutcome, HealthChecked, Outcome, RequestId, Time,
@@ -13,52 +13,62 @@
 use super::state::{Health, PendingRequest, WorkerState};
 use super::time::MILLISECOND;
 
-/// Changes of the list count as notified so long after its source got out of reach.
+/// A change of the list counts as notified this long after the last sign of life of its source.
 const NOTIFICATION_DELAY: Time = 2_000 * MILLISECOND;
-/// If its source has answered, the list of the start vouches so long after the grace.
+/// Once the source has answered, the list of the start is relied on for the drain grace and this
+/// time.
 const ALLOWED_DELAY: Time = 50 * MILLISECOND;
-/// What is left of the grace after a drain for the way to the worker: so much, at most a quarter.
+/// The part of the drain grace that is kept for the way to the worker; at most a quarter of it.
 const MAX_LEASE_MARGIN: Time = 150 * MILLISECOND;
-/// The grace where the settings do not tell.
+/// The drain grace if the settings give none.
 const DEFAULT_DRAIN_GRACE: Time = 1_000 * MILLISECOND;
-/// How long a request waits for a check.
+/// How long a request waits for a health check.
 const CHECK_TIMEOUT: Time = 50 * MILLISECOND;
-/// How often a request may wait for one.
+/// How often a request may wait for a health check.
 const MAX_CHECKS_PER_REQUEST: u32 = 4;
-/// The backoff after failed checks, and its largest.
+/// The shortest backoff after a failed check; it doubles with each further one.
 const BASE_BACKOFF: Time = 200 * MILLISECOND;
+/// The longest backoff.
 const MAX_BACKOFF: Time = 1_600 * MILLISECOND;
-/// Marks the timers of requests that wait for a check: both flags of the others.
+/// Marks the timers of requests that wait for a health check: the flags of the maintenance timer
+/// and of load polls together.
 pub(crate) const CHECK_TIMEOUT_TOKEN: u64 = 3 << 61;
 
-/// What checks have told of a worker.
+/// The lease on one worker, and the health checks that renew it.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceLease {
+    /// When the lease ends; 0 if there is none.
     pub(crate) lease_end: Time,
+    /// When the check was sent that showed the most recent state of the worker.
     evidence_at: Time,
-    /// When the check was sent that is not answered yet.
+    /// When the check in progress was sent; `None` if there is none.
     check_sent_at: Option<Time>,
+    /// The check in progress counts as failed, as no answer came in time.
     check_is_overdue: bool,
+    /// Failed checks since the last healthy one.
     failures: u32,
+    /// No check is sent before this time.
     next_check_at: Time,
+    /// When a connection to the worker was last lost; 0 if none was since the last healthy check.
     pub(crate) connection_lost_at: Time,
 }
 
-/// Whether a request may go to a worker as far as its being in service is concerned.
+/// Whether a worker may be sent requests, as far as health checks and leases are concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ServiceStatus {
-    /// It may.
+    /// The worker may be sent requests.
     InService,
-    /// It may once a check was answered.
+    /// A request may wait for a check of the worker.
     Unchecked,
-    /// It may not; another check is sent meanwhile.
+    /// Checks have failed and the next one is due; it is sent, but a request waits for it only if
+    /// no other worker takes the request.
     CheckDue,
-    /// It may not.
+    /// Checks have failed, and the next one is in progress or not due yet.
     OutOfService,
 }
 
 impl FrontEnd {
-    /// Takes in a contact with the source of the list.
+    /// Records a contact with the source of the endpoint list.
     pub(crate) fn record_endpoint_list_contact(&mut self, contact: EndpointListContact) {
         let lease = match contact {
             EndpointListContact::Sought => self.lease_time(),
@@ -78,22 +88,25 @@
         self.endpoint_list_lease_end = Some(self.now + lease);
     }
 
-    /// How long a worker that was in service may be sent work.
+    /// How long work may be sent to a worker after it was last known to be in service.
     fn lease_time(&self) -> Time {
         self.drain_grace() - MAX_LEASE_MARGIN.min(self.drain_grace() / 4)
     }
 
+    /// How long new work may be sent to a worker after the notification of its drain.
     fn drain_grace(&self) -> Time {
         self.settings.drain_grace.unwrap_or(DEFAULT_DRAIN_GRACE)
     }
 
+    /// Whether all workers that the endpoint list names as ready count as in service. Without
+    /// health checks nothing could renew a lease, so that the list is always relied on.
     fn relies_on_endpoint_list(&self) -> bool {
         let may_check = self.settings.limits.health_checks;
         self.endpoint_list_lease_end
             .is_none_or(|end| !may_check || self.now < end)
     }
 
-    /// What is known of a worker's being in service.
+    /// Whether a worker is in service, as far as is known.
     pub(crate) fn service_status(&self, worker: &WorkerState) -> ServiceStatus {
         let service = &worker.service;
         let is_awaited = service.check_sent_at.is_some() && !service.check_is_overdue;
@@ -109,7 +122,7 @@
         }
     }
 
-    /// Whether work may be sent to a worker without a check.
+    /// Whether work may be sent to a worker without waiting for a check.
     pub(crate) fn is_in_service(&self, worker: &WorkerId) -> bool {
         self.relies_on_endpoint_list()
             || self
@@ -118,7 +131,7 @@
                 .is_some_and(|worker| self.service_status(worker) == ServiceStatus::InService)
     }
 
-    /// Checks a worker, unless an answer is awaited.
+    /// Sends a health check, unless one is awaited already.
     pub(crate) fn check_health(&mut self, id: &WorkerId, actions: &mut Vec<Action>) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(id) else {
@@ -133,7 +146,7 @@
         actions.push(Action::CheckHealth { worker: id.clone() });
     }
 
-    /// Has a request wait for a check of a worker.
+    /// Makes a request wait, unsent, for a health check of a worker.
     pub(crate) fn await_check(
         &mut self,
         id: RequestId,
@@ -151,7 +164,7 @@
         }
     }
 
-    /// Takes in the end of a check, and routes the requests that waited for it.
+    /// Records the end of a health check, and routes the requests that waited for it.
     pub(crate) fn finish_check(&mut self, checked: &HealthChecked, actions: &mut Vec<Action>) {
         let (now, lease, confirmed_at) =
             (self.now, self.lease_time(), self.endpoint_list_confirmed_at);
@@ -165,7 +178,7 @@
             && awaited < sent_at + CHECK_TIMEOUT / 2
         {
             service.check_sent_at = None;
-            // An overdue check was counted when it became overdue.
+            // An overdue check was counted as failed when it became overdue.
             failure_is_uncounted = !service.check_is_overdue;
         }
         match checked.outcome {
@@ -200,7 +213,7 @@
         self.route_waiting(&checked.worker, actions);
     }
 
-    /// Ends the wait for a check that takes too long.
+    /// Ends a request's wait for a health check that takes too long.
     pub(crate) fn expire_check(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let now = self.now;
         let checked = self.pending.get(&id).and_then(|p| p.checked_worker.clone());
@@ -218,6 +231,7 @@
         self.route_waiting(&id, actions);
     }
 
+    /// Routes the requests that waited for a worker's health check.
     fn route_waiting(&mut self, worker: &WorkerId, actions: &mut Vec<Action>) {
         let waiting = self.pending_where(|pending| pending.checked_worker.as_ref() == Some(worker));
         for id in waiting {
@@ -228,7 +242,7 @@
         }
     }
 
-    /// Takes in that a connection to a worker has ended.
+    /// Records that a worker has closed or reset a connection.
     pub(crate) fn record_connection_lost(&mut self, worker: &WorkerId) {
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(worker) {
@@ -238,7 +252,8 @@
 }
 
 impl ServiceLease {
-    /// Counts a failed check: `steps` says how long the backoff is, none at all for 0.
+    /// Counts a failed check. `backoff_steps` is 0 for no backoff and 1 for the shortest one; each
+    /// further step doubles it.
     fn record_failure(&mut self, now: Time, backoff_steps: u32) {
         self.failures += 1;
         let backoff = match backoff_steps {
@@ -250,7 +265,7 @@
 }
 
 impl WorkerState {
-    /// Takes in what the list tells: whatever checks told before does not count any more.
+    /// Forgets the results of health checks, as the endpoint list names the worker as ready.
     pub(crate) fn forget_checks(&mut self) {
         self.service = ServiceLease {
             connection_lost_at: self.service.connection_lost_at,
@@ -258,13 +273,14 @@
         };
     }
 
-    /// Takes the worker for a new process.
+    /// Assumes that the worker's process has restarted now.
     fn presume_restart(&mut self, now: Time) {
         self.endpoint.started_at = Some(now);
         self.forget_process();
     }
 
-    /// A restarted process has no replicas, and its past says nothing about it.
+    /// Forgets what was learnt of the worker's former process: a restarted one has no replicas, and
+    /// its slowdown and health are not known.
     pub(crate) fn forget_process(&mut self) {
         let classes = self.health.len();
         self.replicas.clear();
@@ -277,13 +293,13 @@
 }
 
 impl PendingRequest {
-    /// Whether it may wait for a further check.
+    /// Whether the request may wait for a further health check.
     pub(crate) fn may_await_check(&self) -> bool {
         self.health_checks < MAX_CHECKS_PER_REQUEST
     }
 }
 
-/// Whether an outcome shows the end of a connection.
+/// Whether an outcome shows that a connection failed or broke.
 pub(crate) fn is_connection_lost(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::Unreachable | Outcome::ConnectionLost)
 }
--- a/crates/pipithub-policy/tests/reference/slow_start.rs
+++ b/crates/pipithub-policy/tests/reference/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: how many attempts a worker that has just started may get.
 //!
-//! While it warms up, all front ends together must not send it more than it can take. Each keeps to
-//! its own part of that budget, judged by what warm workers serve it.
+//! While a worker warms up, all front ends together must not send it more than it can take. Each
+//! front end keeps to its own part of that budget, derived from what warm workers serve for it.
 
 use pipithub_policy::api::Time;
 
@@ -10,24 +10,25 @@
 use super::state::WorkerState;
 use super::time::MILLISECOND;
 
-/// The share of its part of a warming worker's budget that this front end spends, as chance must
-/// not overdraw the sum over all front ends.
+/// The share of its part of a warming worker's budget that this front end spends, so that random
+/// variation does not make all front ends together exceed the budget.
 const BUDGET_SAFETY: f64 = 0.75;
-/// The same share where that part is under one attempt a window, and drawn.
+/// The same share if that part is under one attempt in a window, so that attempts are drawn.
 const DRAWN_BUDGET_SAFETY: f64 = 0.35;
-/// How often in a window it is drawn then.
+/// How often in a window an attempt is drawn in that case.
 const DRAWS_PER_WINDOW: Time = 2;
-/// Time over which answers are counted to learn what a warm worker takes.
+/// The time over which answers are counted to learn what a warm worker serves.
 pub(crate) const RATE_WINDOW: Time = 4_000 * MILLISECOND;
-/// The least that it is taken to serve, as a share of the arrivals for each ready worker: retries
-/// swell those.
+/// The least that a warm worker is assumed to serve, as a share of the arrivals per ready worker.
+/// It is a share only, as retries increase the arrivals.
 const MIN_RATE_SHARE: f64 = 0.25;
-/// Weights are summed as whole multiples of one part in this, and up to the largest one.
+/// A weight of 1 in the units in which weights are summed as whole numbers.
 const WEIGHT_UNIT: f64 = (1u64 << 30) as f64;
+/// The largest weight; larger ones count as this.
 const MAX_WEIGHT: f64 = 1e6;
 
-/// A mean over the last samples: each weighs as much as the others while there are few, and fades
-/// later.
+/// A mean over the last samples. While there are few, all have the same weight; later the weight of
+/// old ones decays.
 #[derive(Debug, Default)]
 pub(crate) struct RunningMean {
     mean: f64,
@@ -35,16 +36,16 @@
 }
 
 impl RunningMean {
-    /// The number of samples that weigh alike; with more of them the oldest ones fade.
+    /// The number of samples up to which all have the same weight.
     const MAX_SAMPLES: u32 = 400;
 
-    /// Takes in a sample.
+    /// Adds a sample.
     fn add(&mut self, sample: f64) {
         self.samples = (self.samples + 1).min(Self::MAX_SAMPLES);
         self.mean += (sample - self.mean) / f64::from(self.samples);
     }
 
-    /// A value limited to the mean; before the first sample nothing limits it.
+    /// The value, or the mean if that is less; before the first sample always the value.
     fn cap(&self, value: f64) -> f64 {
         if self.samples == 0 {
             value
@@ -57,8 +58,8 @@
 impl FrontEnd {
     /// Whether a worker that may still be warming up can take a further attempt.
     ///
-    /// A right to send must not be saved up: when all front ends turn to a worker that stood idle,
-    /// all would use theirs at once. Where this front end's part is under one attempt a window, it
+    /// A right to send must not be saved: when all front ends turn to a worker that was idle, all
+    /// would use theirs at once. If this front end's part is under one attempt in a window, it
     /// draws in each slot of the window whether it may send one.
     pub(crate) fn has_slow_start_budget(&self, worker: &WorkerState) -> bool {
         let (rules, now) = (&self.settings.slow_start, self.now);
@@ -89,7 +90,7 @@
         sent as f64 + 1.0 <= budget
     }
 
-    /// Whether a worker whose budget is under one attempt a window gets one now.
+    /// Whether a worker whose budget is under one attempt in a window gets one now.
     fn draws_attempt(&self, worker: &WorkerState, started_at: Time, rate: f64) -> bool {
         let now = self.now;
         let slot = (self.settings.slow_start.overload_window / DRAWS_PER_WINDOW).max(1);
@@ -100,8 +101,8 @@
             && draw < DRAWN_BUDGET_SAFETY * rate * slot as f64
     }
 
-    /// A worker's weight as a multiple of the mean of the ready ones that have one; 1 where it has
-    /// none.
+    /// A worker's weight as a multiple of the mean weight of the ready workers that have one; 1 if
+    /// it has none.
     fn relative_weight(&self, worker: &WorkerState) -> f64 {
         let own = weight_units(worker);
         let weights: Vec<u64> = self
@@ -116,10 +117,11 @@
         own as f64 * weights.len() as f64 / sum as f64
     }
 
-    /// Learns what a warm worker serves this front end; the last figure stays where none is warm.
+    /// Updates the rate at which a warm worker serves this front end. If no worker is warm, the
+    /// last rate is kept.
     ///
-    /// The least is a share of this front end's requests for each ready worker, or of what was
-    /// usually served if that is less.
+    /// The rate is at least a share of this front end's arrivals per ready worker, or of the mean
+    /// warm rate if that is less.
     pub(crate) fn update_warm_rate(&mut self) {
         let (now, window) = (self.now, self.settings.slow_start.window);
         let warm: Vec<usize> = self
@@ -144,13 +146,13 @@
 }
 
 impl WorkerState {
-    /// Whether its slow start is over; a worker without a start time is warm.
+    /// Whether the worker's slow start is over; a worker without a start time is warm.
     fn is_warm(&self, now: Time, window: Time) -> bool {
         let started_at = self.endpoint.started_at;
         started_at.is_none_or(|started_at| now >= started_at + window)
     }
 
-    /// The answers of the last [`RATE_WINDOW`].
+    /// The number of answers within the last [`RATE_WINDOW`].
     fn answers_within_rate_window(&self, now: Time) -> usize {
         self.recent_answers
             .iter()
@@ -164,7 +166,8 @@
     (worker.endpoint.weight.clamp(0.0, MAX_WEIGHT) * WEIGHT_UNIT) as u64
 }
 
-/// The mean rate of a worker, from the requests that all of them served within [`RATE_WINDOW`].
+/// The mean rate per worker, in requests per nanosecond, for this number of requests within
+/// [`RATE_WINDOW`].
 fn rate_per_worker(requests: usize, workers: usize) -> f64 {
     requests as f64 / workers.max(1) as f64 / RATE_WINDOW as f64
 }
--- a/crates/pipithub-policy/tests/reference/state.rs
+++ b/crates/pipithub-policy/tests/reference/state.rs
@@ -13,65 +13,70 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub(crate) request: RequestId,
-    /// Which attempt of the request it is, from 0.
+    /// The number of the attempt within its request, from 0.
     pub(crate) number: u32,
     pub(crate) function: FunctionId,
     pub(crate) class: usize,
     pub(crate) sent_at: Time,
-    /// When the replay predicted its answer.
+    /// When its answer was expected, as the replay predicted.
     pub(crate) predicted_finish: Time,
     /// The deadline that it was admitted for.
     pub(crate) target_deadline: Time,
-    /// The run alone, as expected at a slowdown of 1.
+    /// The expected run time at a slowdown of 1, in nanoseconds, without any wait.
     pub(crate) run_time: f64,
     /// An answer after this point in time is late.
     pub(crate) latency_objective: Time,
     /// It was expected to wait for a load.
     pub(crate) cold_start: bool,
-    /// No answer had shown the replica yet.
+    /// The replica was not confirmed when the attempt was sent.
     pub(crate) unconfirmed: bool,
-    /// All of the replicas' concurrency was taken.
+    /// All of the replicas' concurrency was in use, so that the worker may add a replica.
     pub(crate) adds_replica: bool,
-    /// This front end's attempts of the function at the worker when it left, itself included.
+    /// This front end's attempts of the function at the worker when the attempt was sent, itself
+    /// included.
     pub(crate) function_concurrency: f64,
-    /// This front end's attempts at the worker when it left, itself included.
+    /// This front end's attempts at the worker when the attempt was sent, itself included.
     pub(crate) concurrency: f64,
-    /// It was cancelled, but its work may go on.
+    /// It was cancelled, but its work may continue.
     pub(crate) cancelled: bool,
 }
 
-/// What is believed of a function's replicas at one worker.
+/// The assumed state of a function's replicas at one worker; times are in nanoseconds.
 #[derive(Debug, Default)]
 pub(crate) struct Replicas {
     pub(crate) count: u32,
-    /// Requests of the function that other front ends have in flight there.
+    /// Mean number of requests of the function that other front ends have in flight there.
     pub(crate) others_in_flight: f64,
-    /// When they are loaded; 0 while nothing is believed of them.
+    /// When the replicas are loaded; 0 while none is assumed to be there.
     pub(crate) ready_at: Time,
-    /// The last sign that they were in use.
+    /// The last sign that the replicas were in use.
     pub(crate) last_used_at: Time,
-    /// An answer or the reply to a load command has shown them.
+    /// An answer or the reply to a load command has confirmed the replicas.
     pub(crate) confirmed: bool,
-    /// Loaded by a command of this front end.
+    /// A command of this front end has loaded the replicas.
     pub(crate) loaded_by_command: bool,
-    /// A load command for them is under way.
+    /// A load command for the replicas is in progress.
     pub(crate) load_requested: bool,
-    /// Run time admitted here in this rebalancing interval.
+    /// Expected run time of the requests that were sent here in this rebalancing interval.
     pub(crate) admitted_run_time: f64,
-    /// Run time that moved on in this interval because no replica was loaded here.
+    /// Expected run time of this interval's placement misses: requests that the worker would have
+    /// admitted if a replica had been loaded.
     pub(crate) missed_run_time: f64,
-    /// How often that happened.
+    /// The number of placement misses in this interval.
     pub(crate) placement_misses: u32,
-    /// The least time to spare beyond the run among those.
+    /// The least slack of these misses: the time left until the latency objective, less the
+    /// expected run time.
     pub(crate) min_slack: f64,
 }
 
-/// Errors not yet outweighed by answers, and until when a worker, zone or the store is ejected.
+/// The health of a worker, a zone or the store, and until when it is ejected.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Health {
+    /// Ejections that no later success has offset; each success offsets one.
     pub(crate) consecutive_errors: u32,
+    /// The end of the last ejection; 0 if there was none.
     pub(crate) ejected_until: Time,
-    /// When it was ejected last.
+    /// The start of the last ejection; 0 if there was none.
     pub(crate) ejected_at: Time,
     /// Share of errors among the last attempts.
     pub(crate) error_rate: f64,
@@ -82,13 +87,13 @@
 /// The last load report of a worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ReportedLoad {
-    /// When it came; 0 where none has.
+    /// When the report was received; 0 if there was none.
     pub(crate) received_at: Time,
     /// Requests in flight at the worker.
     pub(crate) in_flight: f64,
-    /// How busy its cores were, 0 to 1.
+    /// CPU utilization of the worker, from 0 to 1.
     pub(crate) cpu_utilization: f64,
-    /// Requests in flight over a longer time.
+    /// Mean number of requests in flight at the worker over a longer time.
     pub(crate) mean_in_flight: f64,
 }
 
@@ -103,33 +108,34 @@
 #[derive(Debug)]
 pub(crate) struct WorkerState {
     pub(crate) endpoint: Endpoint,
-    /// The hash of its address.
+    /// The hash of the worker's address.
     pub(crate) hash: u64,
     pub(crate) replicas: BTreeMap<FunctionId, Replicas>,
-    /// This front end's attempts there, in the order in which they left.
+    /// This front end's attempts at the worker, in the order in which they were sent.
     pub(crate) in_flight: Vec<Attempt>,
-    /// Run time of answers over the expected one.
+    /// Mean ratio of the run time of answers to the expected run time.
     pub(crate) slowdown: f64,
-    /// This front end's attempts there while that was observed.
+    /// Mean number of this front end's attempts there while the slowdown was observed.
     pub(crate) concurrency: f64,
-    /// The last answer or rejection from it.
+    /// When the worker last answered or rejected an attempt, or a cancelled attempt last raised its
+    /// slowdown; 0 if never.
     pub(crate) last_response_at: Time,
-    /// The most attempts to have there; a rejection lowers it, answers raise it.
+    /// The largest number of attempts to have there; a rejection lowers it, answers raise it.
     pub(crate) concurrency_limit: f64,
-    /// Its health for each class: a backend of the worker may fail one class alone.
+    /// The worker's health for each class: a backend of the worker may fail for one class only.
     pub(crate) health: Vec<Health>,
-    /// Failed or broken connections since its last answer.
+    /// Failed or broken connections since the worker's last answer.
     pub(crate) consecutive_connect_failures: u32,
     pub(crate) load_report: ReportedLoad,
     pub(crate) service: ServiceLease,
-    /// When the last attempts were sent to it.
+    /// When the recent attempts were sent to the worker.
     pub(crate) recent_sends: VecDeque<Time>,
-    /// The last answers that it served.
+    /// The recent answers of the worker.
     pub(crate) recent_answers: VecDeque<Answer>,
 }
 
 impl WorkerState {
-    /// A worker of which nothing is known but its endpoint.
+    /// A worker about which only its endpoint is known.
     pub(crate) fn new(endpoint: Endpoint, classes: usize) -> Self {
         WorkerState {
             hash: hash_address(&endpoint.worker.0),
@@ -149,7 +155,7 @@
         }
     }
 
-    /// Whether it may be sent work.
+    /// Whether the worker may be sent work.
     pub(crate) fn is_ready(&self) -> bool {
         self.endpoint.state == EndpointState::Ready
     }
@@ -169,15 +175,15 @@
     pub(crate) replica_concurrency: u32,
     /// Memory of one replica, in MB.
     pub(crate) memory_mb: f64,
-    /// The load time that requests declare.
+    /// The load time that requests declare, in nanoseconds; `None` if none has declared one.
     pub(crate) declared_load_time: Option<Time>,
-    /// The longest load time observed, decaying.
+    /// The longest load time observed, decaying, in nanoseconds; `None` before the first load.
     pub(crate) observed_load_time: Option<f64>,
-    /// The mean run time.
+    /// The mean run time at a slowdown of 1, in nanoseconds; `None` before the first answer.
     pub(crate) run_time: Option<f64>,
     pub(crate) last_requested_at: Time,
-    /// Preferred workers that it needs in a large deployment, of one replica each; under 1 while no
-    /// answer has reported its concurrency.
+    /// Preferred workers that the function needs in a large deployment, with one replica each;
+    /// under 1 while no answer has reported its concurrency.
     pub(crate) preferred_workers: f64,
 }
 
@@ -197,22 +203,23 @@
     pub(crate) latency_objective: Time,
     /// When the client gives up.
     pub(crate) deadline: Time,
-    /// How many attempts it has had.
+    /// The number of attempts that were sent.
     pub(crate) attempts: u32,
     pub(crate) attempt_in_flight: bool,
-    /// The first attempt that may have run.
+    /// The first attempt that may have run; `None` if none can have.
     pub(crate) possible_execution: Option<PossibleExecution>,
+    /// Workers that get no further attempt, as they were sent an attempt or a load command for it.
     pub(crate) attempted_workers: Vec<WorkerId>,
-    /// Its answer has started; it has no deadline any more.
+    /// The answer has started, so that the request has no deadline any more.
     pub(crate) streaming: bool,
-    /// It waits, unsent, for the reply to a load command.
+    /// The request waits, unsent, for the reply to a load command.
     pub(crate) awaits_load: bool,
-    /// It waits, unsent, for this worker's load report.
+    /// The worker whose load report the request waits for, unsent; `None` if it waits for none.
     pub(crate) polled_worker: Option<WorkerId>,
-    /// How often it has waited for one.
+    /// How often the request has waited for a load report.
     pub(crate) load_polls: u32,
-    /// It waits, unsent, for a health check of this worker.
+    /// The worker whose health check the request waits for, unsent; `None` if it waits for none.
     pub(crate) checked_worker: Option<WorkerId>,
-    /// How often it has waited for one.
+    /// How often the request has waited for a health check.
     pub(crate) health_checks: u32,
 }
--- a/crates/pipithub-policy/tests/reference/time.rs
+++ b/crates/pipithub-policy/tests/reference/time.rs
@@ -4,8 +4,8 @@
 
 /// Nanoseconds in a millisecond.
 pub(crate) const MILLISECOND: Time = 1_000_000;
-/// No duration that is configured or reported counts as longer (one hour), so that no sum
-/// overflows.
+/// The longest duration, one hour; longer ones in settings or events count as this, so that sums do
+/// not overflow.
 pub(crate) const MAX_DURATION: Time = 3_600_000 * MILLISECOND;
-/// No point in time that is handed in counts as later.
+/// The latest point in time; later ones in events count as this.
 pub(crate) const MAX_TIME: Time = Time::MAX >> 2;
