--- a/crates/pipithub-policy/tests/cancellation.rs
+++ b/crates/pipithub-policy/tests/cancellation.rs
@@ -1,11 +1,11 @@
-//! What follows when clients cancel: attempts are cancelled, and what is known of them still counts.
+//! What happens when clients cancel: attempts are cancelled, but they still count in the estimates and the queue.
 
 mod common;
 
 use common::{FrontEndHarness, MS, forwarded_to, settings};
 use pipithub_policy::api::{Action, Event, Idempotency, Limits, Outcome, Settings};
 
-/// Clients that cancel and retry elsewhere would have the work done twice, if it went on at the workers.
+/// If the work continued at the workers, clients that cancel and retry elsewhere would have it done twice.
 #[test]
 fn attempt_is_cancelled_after_client_cancels() {
     for (idempotency, cancel) in [
@@ -29,12 +29,12 @@
             front_end
                 .handle(Event::ClientCancelled { request: id })
                 .is_empty(),
-            "it has ended already"
+            "the cancellation of a request that has ended leads to actions"
         );
     }
 }
 
-/// Cancelled work may go on: a front end that forgot it would forward into a queue that is still full.
+/// Cancelled work may continue: a front end that forgot it would forward requests into a queue that is still full.
 #[test]
 fn cancelled_attempts_occupy_worker_until_predicted_finish() {
     let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &["w1"]);
@@ -61,11 +61,11 @@
     front_end.advance(8_000 * MS);
     assert!(
         !burst(&mut front_end).is_empty(),
-        "it is not counted for ever"
+        "cancelled attempts still count after their predicted finish"
     );
 }
 
-/// Clients that cancel take the slow answers with them: the quick ones alone would show a healthy worker.
+/// If clients cancel, the slow answers are missing: judged by the quick ones alone, the worker would seem healthy.
 #[test]
 fn cancelled_attempts_count_in_run_time_estimate() {
     let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &["w1"]);
@@ -94,6 +94,6 @@
     }
     assert!(
         forwarded < 20,
-        "a worker is relied on whose clients cancel unanswered"
+        "all of the last 20 requests are forwarded to a worker whose clients cancel unanswered"
     );
 }
--- a/crates/pipithub-policy/tests/decision_cost.rs
+++ b/crates/pipithub-policy/tests/decision_cost.rs
@@ -1,5 +1,5 @@
-//! The workers that a decision examines do not grow with the fleet: counted, not timed, at two sizes, in a healthy
-//! scenario and in scenarios with faults.
+//! The number of workers that a decision examines does not grow with the size of the fleet. It is counted, not timed,
+//! at two sizes, in a healthy scenario and in scenarios with faults.
 
 mod reference;
 mod simulated_fleet;
@@ -23,39 +23,49 @@
     }
 }
 
-/// The sizes that are compared, in workers.
+/// The number of workers in the small fleet of a comparison.
 const SMALL: usize = 300;
+/// The number of workers in the large fleet of a comparison.
 const LARGE: usize = 16_000;
-/// The most that a decision may examine at the large size, as a multiple of the small one.
+/// The largest number of workers that a decision may examine in the large fleet, as a multiple of the number in the
+/// small fleet.
 const MAX_GROWTH: f64 = 2.0;
-/// A run stops early once its requests examined this multiple of what is allowed: the result is known then.
+/// A run stops early once its requests examined this multiple of the allowed number of workers: the result is known
+/// then.
 const CUT_OFF: f64 = 4.0;
+/// The name of the scenario without faults.
 const HEALTHY: &str = "healthy";
 const FUNCTIONS: u64 = 43_000;
 const REQUESTS_PER_SECOND: u64 = 100;
-/// Requests of a scenario, and of a window of it.
+/// Requests in a scenario.
 const REQUESTS: u64 = 400;
+/// Requests in a window, over which the workers examined are averaged.
 const WINDOW: usize = 10;
-/// Maintenance timers without requests, and updates of one endpoint, that are counted.
+/// The number of maintenance timers without requests that are counted.
 const IDLE_MAINTENANCE: usize = 40;
+/// The number of updates of one endpoint that are counted.
 const SMALL_UPDATES: usize = 40;
 
-/// Workers examined in one scenario.
+/// The mean numbers of workers examined in one scenario.
 #[derive(Debug, Default)]
 struct Examined {
-    /// For each request: the mean, and the middle and the worst window.
+    /// Per request.
     request: f64,
+    /// Per request, in the median window.
     middle_window: f64,
+    /// Per request, in the window with the most.
     worst_window: f64,
+    /// Per maintenance timer while requests arrive.
     busy_maintenance: f64,
+    /// Per maintenance timer after all requests have ended; the same as `busy_maintenance` if the run stopped early.
     idle_maintenance: f64,
-    /// For an update of one endpoint.
+    /// Per update of one endpoint.
     small_update: f64,
-    /// For each worker that a mass removal names.
+    /// Per worker that a mass removal names.
     removed_worker: f64,
 }
 
-/// A figure that grew by more than is allowed.
+/// A figure that grew by more than [`MAX_GROWTH`] from the small to the large fleet.
 #[derive(Debug)]
 #[allow(
     dead_code,
@@ -88,7 +98,7 @@
         ]
     }
 
-    /// The figures that grew by more than is allowed; below one worker counts as one.
+    /// The figures that grew by more than [`MAX_GROWTH`]; a small figure below one worker counts as one.
     fn growth_to(&self, large: &Examined) -> Vec<Growth> {
         let both = self.figures().into_iter().zip(large.figures());
         both.map(|((what, small), (_, large))| Growth { what, small, large })
@@ -106,14 +116,15 @@
     Scenario::healthy(5, workers, FUNCTIONS, REQUESTS_PER_SECOND, duration)
 }
 
-/// The scenario of a name at a size.
+/// The scenario of this name with this number of workers.
 fn scenario(name: &str, workers: usize) -> Scenario {
     let with_faults = healthy(workers).with_faults();
     let named = with_faults.into_iter().find(|(known, _)| *known == name);
     named.map_or_else(|| healthy(workers), |(_, scenario)| scenario)
 }
 
-/// Plays the requests of a scenario; whether it stopped early, as they examined more than `max` workers each.
+/// Runs the requests of a scenario. Returns whether the run stopped early, as its requests examined more than `max`
+/// workers each.
 fn run_requests<F: DecisionModule>(run: &mut MeteredRun<F>, max: f64) -> bool {
     while run.step() {
         let requests = run.requests.len();
@@ -130,7 +141,7 @@
     run.handle(run.fleet.now(), update)
 }
 
-/// Workers examined for each worker that a mass removal names.
+/// The number of workers examined per worker that a mass removal names.
 fn examined_by_mass_removal<F: DecisionModule>(run: &mut MeteredRun<F>) -> f64 {
     let update = run.fleet.remove_many_workers();
     let Event::Endpoints { endpoints, .. } = &update else {
@@ -140,7 +151,7 @@
     run.handle(run.fleet.now(), update).workers_examined / named
 }
 
-/// Counts what a scenario examines; one that stops early is counted less often.
+/// Counts the workers examined in a scenario; a run that stops early measures fewer events.
 fn count<F: DecisionModule>(scenario: Scenario, max: f64) -> Examined {
     let mut run: MeteredRun<F> = MeteredRun::new(scenario);
     let stopped_early = run_requests(&mut run, max);
@@ -169,12 +180,12 @@
     }
 }
 
-/// Counts a scenario at both sizes: what grew by more than is allowed.
+/// Counts a scenario at both sizes and returns the figures that grew by more than [`MAX_GROWTH`].
 fn growth<F: DecisionModule>(name: &str) -> Vec<Growth> {
     let small = count::<F>(scenario(name, SMALL), f64::INFINITY);
     assert!(
         small.request > 0.0,
-        "{name}: what a request examines is not counted"
+        "{name}: the workers that a request examines are not counted"
     );
     let max = CUT_OFF * MAX_GROWTH * small.request;
     let large = count::<F>(scenario(name, LARGE), max);
@@ -186,18 +197,18 @@
     let growth = growth::<FrontEnd>(name);
     assert!(
         growth.is_empty(),
-        "{name}: over {MAX_GROWTH} times as many at {LARGE} as at {SMALL} workers: {growth:?}"
+        "{name}: more than {MAX_GROWTH} times as many examined with {LARGE} as with {SMALL} workers: {growth:?}"
     );
 }
 
-/// The reference examines every worker: it is the fault that this file must find.
+/// The reference examines every worker, which is the fault that these tests must detect.
 #[test]
 fn growth_of_the_plain_reference_is_detected() {
     let found: Vec<_> = growth::<reference::FrontEnd>(HEALTHY)
         .iter()
         .map(|growth| growth.what)
         .collect();
-    // A mass removal costs it the same for each removed worker: that figure alone does not grow.
+    // In a mass removal the reference examines the same number per removed worker: only that figure does not grow.
     let growing = [
         REQUEST_MEAN,
         REQUEST_MIDDLE,
@@ -209,7 +220,7 @@
     for what in growing {
         assert!(
             found.contains(&what),
-            "{what} grows with the reference and was not found: {found:?}"
+            "{what}: the growth with the reference was not detected: {found:?}"
         );
     }
 }
--- a/crates/pipithub-policy/tests/endpoint_list.rs
+++ b/crates/pipithub-policy/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! What a front end takes from a snapshot of the endpoint list, and from a stale one after a restart.
+//! How a front end uses a snapshot of the endpoint list, and a stale cached list after a restart.
 
 mod common;
 
@@ -38,5 +38,8 @@
         endpoints: rest,
     });
     let (_, actions) = front_end.request(1);
-    assert_ne!(forwarded_to(&actions).expect("the other worker"), preferred);
+    assert_ne!(
+        forwarded_to(&actions).expect("forwarded to the other worker"),
+        preferred
+    );
 }
--- a/crates/pipithub-policy/tests/function_loading.rs
+++ b/crates/pipithub-policy/tests/function_loading.rs
@@ -1,4 +1,4 @@
-//! Loads of functions: how many begin, what follows failures and a slow store, and what is loaded by command.
+//! Loads of functions: how many begin, the effect of failures and of a slow store, and loads by command.
 
 mod common;
 
@@ -21,7 +21,11 @@
         workers.extend(forwarded_to(&front_end.request(1).1));
         front_end.advance(10 * MS);
     }
-    assert_eq!(workers.len(), 1, "all wait for one load: {workers:?}");
+    assert_eq!(
+        workers.len(),
+        1,
+        "the requests do not all wait for one load: {workers:?}"
+    );
 }
 
 #[test]
@@ -45,8 +49,11 @@
     let preferred = forwarded_to(&actions).expect("presumed at its preferred worker");
     let after = front_end.finish_attempt(id, 0, &preferred, Outcome::NotLoaded);
     let at = load_commands(&after);
-    assert_eq!(at.len(), 1, "one command");
-    assert!(forwarded_to(&after).is_none(), "the request waits for it");
+    assert_eq!(at.len(), 1, "not exactly one load command");
+    assert!(
+        forwarded_to(&after).is_none(),
+        "the request does not wait for the load command"
+    );
     front_end.advance(300 * MS);
     let after = front_end.finish_load_commands(&after, Outcome::Served, 1);
     assert_eq!(forwarded_to(&after).as_ref(), Some(&at[0]));
@@ -60,7 +67,8 @@
         settings.loading.load_commands = false;
         let mut front_end = FrontEndHarness::new(settings, &THREE);
         let preferred = front_end.warm_up(1);
-        // The preferred worker rejects: the other front ends have moved on to the next one and loaded it there.
+        // The preferred worker rejects. The other front ends have probably sent requests on to the next worker and
+        // loaded the function there.
         let request = Request {
             function: FunctionId(1),
             replica_concurrency: 4,
@@ -94,7 +102,7 @@
     }
 }
 
-/// Where the store rejects fetches, each request would go on to the next worker and begin the next load there.
+/// If the store rejects fetches, each request would go on to the next worker and begin another load there.
 #[test]
 fn loads_pause_after_failures_and_resume_later() {
     for outcome in [Outcome::Error, Outcome::NotLoaded] {
@@ -135,24 +143,25 @@
         };
         assert!(
             attempts(&mut front_end, 20, false) < 30,
-            "{outcome:?}: loads are begun at a store that fails"
+            "{outcome:?}: too many loads begin while the store fails"
         );
         let (id, actions) = front_end.request(1);
         assert_eq!(
             forwarded_to(&actions).as_ref(),
             Some(&preferred),
-            "a loaded replica goes on serving"
+            "a loaded replica does not continue to serve"
         );
         front_end.finish_attempt(id, 0, &preferred, Outcome::Served);
         front_end.advance(5_000 * MS);
         assert!(
             attempts(&mut front_end, 5, true) >= 5,
-            "{outcome:?}: loads resume"
+            "{outcome:?}: loads do not resume"
         );
     }
 }
 
-/// No request may begin a load that takes longer than any client waits: only a command loads the function elsewhere.
+/// No request may begin a load that takes longer than its client waits: only a command loads such a function at another
+/// worker.
 #[test]
 fn function_that_loads_longer_than_clients_wait_is_spread_by_command() {
     let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &["w1", "w2"]);
@@ -170,19 +179,19 @@
         let worker = forwarded_to(&actions);
         assert!(
             worker.is_none_or(|worker| worker == preferred),
-            "a request is forwarded into a load that it cannot wait for"
+            "a request is forwarded to wait for a load that takes longer than its client waits"
         );
         commands.extend(load_commands(&actions));
     }
     assert_eq!(
         commands.len(),
         1,
-        "one command, for the other worker: {commands:?}"
+        "not exactly one load command: {commands:?}"
     );
     assert_ne!(commands[0], preferred);
 }
 
-/// Functions that prefer this worker, from this number on.
+/// The first `count` functions, numbered from `from` on, whose preferred worker is this one.
 fn functions_preferring(
     workers: &[&str],
     preferred: &WorkerId,
@@ -202,7 +211,7 @@
         .collect()
 }
 
-/// Connections to the worker fail, so that it is ejected.
+/// Ejects the worker by failed connections, one for each of these functions that prefer it.
 fn eject(front_end: &mut FrontEndHarness, worker: &WorkerId, functions: &[u64]) {
     for function in functions {
         let (id, actions) = front_end.request(*function);
@@ -223,7 +232,7 @@
         .count();
     assert!(
         (6..=12).contains(&forwarded),
-        "at most four for each worker: {forwarded}"
+        "{forwarded} loads begin elsewhere, not 6 to 12 (at most four per worker)"
     );
 }
 
@@ -232,7 +241,7 @@
     let preferred = WorkerId::new("w1");
     let functions = functions_preferring(&THREE, &preferred, 1, 20);
     let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE);
-    // As many loads as are allowed are stuck there when it is ejected.
+    // As many loads as are allowed wait at the worker when it is ejected.
     for function in &functions[..14] {
         front_end.request(*function);
     }
@@ -247,7 +256,8 @@
     );
 }
 
-/// A worker adds one replica at a time, however many requests wait for it: each counted, they would block all others.
+/// A worker adds one replica at a time, however many requests wait for it. If each request counted as a load, they
+/// would block all other loads.
 #[test]
 fn requests_waiting_for_further_replica_count_as_one_load() {
     let mut settings = settings(Idempotency::Idempotent);
@@ -273,7 +283,7 @@
         .count();
     assert!(
         waiting >= 9,
-        "more requests wait than the six loads that are allowed: {waiting}"
+        "only {waiting} requests wait, too few to exceed the six loads that are allowed"
     );
     eject(&mut front_end, &ejected, &functions[..2]);
     assert!(
@@ -290,7 +300,7 @@
         let mut front_end = FrontEndHarness::new(settings(Idempotency::Idempotent), &THREE);
         for function in 1_000..1_010 {
             let (id, actions) = front_end.request(function);
-            let worker = forwarded_to(&actions).expect("it is forwarded");
+            let worker = forwarded_to(&actions).expect("the request is forwarded");
             front_end.finish_attempt_with(
                 id,
                 0,
@@ -306,9 +316,12 @@
             .filter(|f| forwarded_to(&front_end.request(**f).1).is_some())
             .count()
     };
-    // Requests state a load time of 500 ms.
+    // Requests declare a load time of 500 ms.
     let (usual, slow) = (forwarded(550 * MS), forwarded(2_050 * MS));
-    assert!(slow >= 1 && slow * 2 <= usual, "{slow} beside {usual}");
+    assert!(
+        slow >= 1 && slow * 2 <= usual,
+        "{slow} loads with a slow store, {usual} with the usual one"
+    );
 }
 
 /// A request that is forwarded while its function loads by command has no predicted finish.
@@ -322,16 +335,16 @@
     let (id, actions) = front_end.request(7);
     assert!(
         forwarded_to(&actions).is_some(),
-        "presumed at its preferred worker"
+        "not forwarded to the preferred worker, where the function is presumed"
     );
     let actions = front_end.finish_attempt(id, 0, &worker, Outcome::NotLoaded);
     assert!(
         actions
             .iter()
             .any(|a| matches!(a, Action::LoadFunction { .. })),
-        "loaded there by command: {actions:?}"
+        "no load command: {actions:?}"
     );
-    // The worker reports busy cores: it is second choice, and there is no other.
+    // The worker reports busy cores, so that it gets requests only if no other worker takes them; there is no other.
     let load = LoadReport {
         cpu_utilization: Some(1.0),
         in_flight: Some(1.0),
@@ -346,11 +359,14 @@
         let (_, actions) = front_end.request(7);
         assert!(
             forwarded_to(&actions).is_some(),
-            "forwarded to wait for the load: {actions:?}"
+            "not forwarded to wait for the load: {actions:?}"
         );
     }
-    // Maintenance must neither overflow nor take the worker for silent and cancel what is there.
+    // Maintenance must neither overflow nor consider the worker silent and cancel its attempts.
     let actions = front_end.advance(120 * MS);
     let cancel = actions.iter().find(|a| matches!(a, Action::Cancel { .. }));
-    assert_eq!(cancel, None, "no answer was due yet");
+    assert_eq!(
+        cancel, None,
+        "an attempt is cancelled before its answer is due"
+    );
 }
--- a/crates/pipithub-policy/tests/limits.rs
+++ b/crates/pipithub-policy/tests/limits.rs
@@ -1,9 +1,10 @@
-//! Limits on the sources that operators read: the list of the files that decide, line length, file length.
+//! Limits on the module's sources, which operators read: the deploy file lists all files with decisions, and lines and
+//! files have a maximum length.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// Plain data, the interface, counters, sums and tests: these files decide nothing.
+/// The files without decisions: plain data, the interface, counters, sums and tests.
 const WITHOUT_DECISIONS: [&str; 16] = [
     "api.rs",
     "api/settings.rs",
@@ -25,17 +26,18 @@
 const MAX_COLUMNS: usize = 110;
 const MAX_LINES: usize = 500;
 
+/// The root folder of this crate.
 fn package() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// All sources of the module.
+/// All source files of the module.
 fn sources() -> Vec<PathBuf> {
     let mut folders = vec![package().join("src")];
     let mut sources = Vec::new();
     while let Some(folder) = folders.pop() {
-        for entry in std::fs::read_dir(folder).expect("a folder") {
-            let path = entry.expect("an entry").path();
+        for entry in std::fs::read_dir(folder).expect("the folder can be read") {
+            let path = entry.expect("the entry can be read").path();
             if path.is_dir() {
                 folders.push(path);
             } else {
@@ -46,14 +48,14 @@
     sources
 }
 
-/// The files that the deploy file names under `policy`.
+/// The files in the `policy` list of the deploy file.
 fn named_as_policy() -> BTreeSet<String> {
     let path = package().join("../../deploy/balancer.toml");
-    let text = std::fs::read_to_string(path).expect("the deploy file");
+    let text = std::fs::read_to_string(path).expect("the deploy file can be read");
     let line = text
         .lines()
         .find(|line| line.starts_with("policy "))
-        .expect("a list of the policy's files");
+        .expect("the deploy file has a `policy` list");
     let files = line.split('"').skip(1).step_by(2);
     files.map(str::to_string).collect()
 }
@@ -64,9 +66,9 @@
     let deciding = sources().into_iter().filter_map(|path| {
         let name = path
             .strip_prefix(&source_folder)
-            .expect("below src")
+            .expect("all sources are below src")
             .to_str()
-            .expect("text")
+            .expect("the file name is UTF-8")
             .to_string();
         (!WITHOUT_DECISIONS.contains(&name.as_str()))
             .then(|| format!("crates/pipithub-policy/src/{name}"))
@@ -77,7 +79,7 @@
 #[test]
 fn no_line_exceeds_the_maximum_of_columns() {
     for path in sources() {
-        let text = std::fs::read_to_string(&path).expect("a source");
+        let text = std::fs::read_to_string(&path).expect("the source file can be read");
         for line in text.lines() {
             assert!(
                 line.chars().count() <= MAX_COLUMNS,
@@ -91,7 +93,7 @@
 #[test]
 fn no_file_exceeds_the_maximum_of_lines() {
     for path in sources() {
-        let text = std::fs::read_to_string(&path).expect("a source");
+        let text = std::fs::read_to_string(&path).expect("the source file can be read");
         let lines = text.lines().count();
         assert!(lines <= MAX_LINES, "{}: {lines} lines", path.display());
     }
--- a/crates/pipithub-policy/tests/load_reports.rs
+++ b/crates/pipithub-policy/tests/load_reports.rs
@@ -1,4 +1,4 @@
-//! In a large fleet a front end relies on load reports: whom it polls, and what it does after the answers.
+//! In a large fleet a front end relies on load reports: which workers it polls, and how it uses their reports.
 
 mod common;
 
@@ -14,14 +14,14 @@
     let (id, actions) = front_end.request(1);
     assert!(
         forwarded_to(&actions).is_none(),
-        "the request waits for a report of its preferred worker"
+        "the request does not wait for a load report of its preferred worker"
     );
     let preferred = polled_worker(&actions).expect("the preferred worker is polled");
     let after = front_end.handle(load_polled(&preferred, Some(1.0), None));
     assert_eq!(
         forwarded_to(&after),
         Some(preferred.clone()),
-        "a short queue is accepted"
+        "a worker with a short queue does not get the request"
     );
     front_end.advance(50 * MS);
     front_end.finish_attempt(id, 0, &preferred, Outcome::Served);
@@ -30,18 +30,18 @@
     assert_eq!(
         polled_worker(&actions),
         Some(preferred.clone()),
-        "an old report is not relied on"
+        "an old report is relied on"
     );
     let after = front_end.handle(load_polled(&preferred, Some(200.0), None));
     assert_ne!(
         forwarded_to(&after),
         Some(preferred.clone()),
-        "a long queue is avoided"
+        "a worker with a long queue gets the request"
     );
     assert_ne!(
         polled_worker(&after),
         Some(preferred),
-        "the next worker is polled"
+        "the same worker is polled again"
     );
 }
 
@@ -57,7 +57,7 @@
     let ends = forwarded_to(&after).is_some() || is_rejected(&after) || is_failed(&after);
     assert!(
         ends,
-        "request {id} is forwarded or rejected within a quarter second"
+        "request {id} is neither forwarded nor ended within 240 ms"
     );
 }
 
@@ -65,7 +65,7 @@
 fn worker_with_busy_cores_is_second_choice() {
     let mut front_end = FrontEndHarness::new(large_fleet_settings(), &["w1"]);
     let (_, actions) = front_end.request(1);
-    let preferred = polled_worker(&actions).expect("it is polled");
+    let preferred = polled_worker(&actions).expect("the worker is polled");
     front_end.handle(load_polled(&preferred, None, Some(0.2)));
     front_end.advance(2_000 * MS);
     let (_, actions) = front_end.request(1);
@@ -74,6 +74,6 @@
     assert_eq!(
         forwarded_to(&after),
         Some(preferred),
-        "with no other worker it still gets the request"
+        "a worker with busy cores does not get the request though there is no other worker"
     );
 }
--- a/crates/pipithub-policy/tests/memory.rs
+++ b/crates/pipithub-policy/tests/memory.rs
@@ -1,4 +1,5 @@
-//! The memory of a front end is bounded: what it knows of functions and workers that are gone is freed.
+//! The memory of a front end is bounded: its state for functions that are no longer called, and for workers that were
+//! removed, is freed.
 
 mod common;
 mod simulated_fleet;
@@ -13,15 +14,17 @@
 const WORKERS: usize = 60;
 const REQUESTS_PER_SECOND: u64 = 100;
 const MS_PER_REQUEST: u64 = 1_000 / REQUESTS_PER_SECOND;
-/// Functions are forgotten after six rounds of this.
+/// The interval of rebalancing; functions are forgotten after six intervals without a request.
 const KEEP_ALIVE: u64 = 1_000 * MS;
+/// How long a scenario continues after the last request, so that functions are forgotten.
 const FORGETTING_TIME: u64 = 20_000 * MS;
-/// Queues keep the capacity that they once had; a function that is not forgotten would take a hundred bytes and more.
+/// More than 0, as queues keep the capacity that they once had. A function that is not forgotten would take a hundred
+/// bytes or more.
 const MAX_BYTES_PER_FUNCTION: i64 = 20;
 /// Room for all actions of one event, so that no growth of their list is counted.
 const MAX_ACTIONS: usize = 10_000;
 
-/// Bytes that a front end holds some time after this many functions were called once each.
+/// The bytes that a front end holds some time after this number of functions were called once each.
 fn bytes_after_calling_once(functions: u64) -> i64 {
     let duration = functions * MS_PER_REQUEST * MS;
     let mut scenario = Scenario::healthy(SEED, WORKERS, functions, REQUESTS_PER_SECOND, duration);
@@ -33,12 +36,12 @@
     let mut front_end = None;
     let mut bytes =
         measure(|| front_end = Some(FrontEnd::new(settings.clone(), SEED))).bytes_current;
-    let mut front_end = front_end.expect("it was made");
+    let mut front_end = front_end.expect("the front end was created");
     let mut next = Some((fleet.now(), fleet.endpoint_snapshot()));
     let mut arrivals_stopped = false;
     while let Some((at, event)) = next {
         actions.clear();
-        // The event is cloned within, as the front end keeps parts of it.
+        // The event is cloned inside the measurement, as the front end keeps parts of it.
         bytes += measure(|| front_end.handle(at, event.clone(), &mut actions)).bytes_current;
         fleet.apply(&actions);
         next = fleet.next_event();
@@ -48,10 +51,13 @@
             next = fleet.next_event();
         }
     }
-    assert!(arrivals_stopped && fleet.is_idle(), "all requests ended");
+    assert!(
+        arrivals_stopped && fleet.is_idle(),
+        "some requests have not ended"
+    );
     assert!(
         fleet.counts["request arrived"] >= functions * 8 / 10,
-        "nearly every function was called"
+        "too few requests arrived to call nearly every function"
     );
     bytes
 }
@@ -62,7 +68,10 @@
     let bytes_of_few = bytes_after_calling_once(few);
     let bytes_of_many = bytes_after_calling_once(many);
     println!("{bytes_of_few} bytes after {few} functions, {bytes_of_many} after {many}");
-    assert!(bytes_of_few > 0, "the workers themselves take memory");
+    assert!(
+        bytes_of_few > 0,
+        "no memory was counted, though the workers take some"
+    );
     assert!(
         bytes_of_many < bytes_of_few + (many - few) as i64 * MAX_BYTES_PER_FUNCTION,
         "{bytes_of_few} bytes after {few} functions, {bytes_of_many} after {many}"
@@ -91,6 +100,6 @@
     }
     assert!(
         sizes[29] < sizes[9] * 3 / 2,
-        "the state as text grows: {sizes:?}"
+        "the debug text of the state grows: {sizes:?}"
     );
 }
--- a/crates/pipithub-policy/tests/random_sequences/generator.rs
+++ b/crates/pipithub-policy/tests/random_sequences/generator.rs
@@ -1,4 +1,4 @@
-//! Draws events: plausible ones, late ones, and ones that no caller should hand in.
+//! Draws events: plausible ones, late ones, and ones that a caller should never send.
 
 use pipithub_policy::api::{
     AttemptFinished, Endpoint, EndpointState, EndpointUpdate, Event, FunctionId, LoadFinished,
@@ -27,17 +27,18 @@
     Some(ReplicaStatus::Warm),
     Some(ReplicaStatus::LoadStarted),
 ];
+/// The number of classes in the settings.
 const CLASSES: u64 = 3;
 const FUNCTIONS: u64 = 9;
 const WORKERS: u64 = 10;
-/// Workers that load commands are said to have ended at: some are in no list.
+/// The workers that unexpected ends of load commands name; the endpoint list never names some of them.
 const WORKERS_AND_UNKNOWN: u64 = 12;
 /// The longest time between two steps, in milliseconds.
 const MAX_GAP_MS: u64 = 30;
-/// A clock that has run for long; it may also start at 0.
+/// The start time of a clock that has run for a long time; other sequences start at 0.
 const LATE_START: Time = 77_000_000 * MS;
 
-/// A small random number generator (xorshift), so that the sequences never change.
+/// A small random number generator (xorshift); it is part of the test so that the sequences never change.
 struct Random(u64);
 
 impl Random {
@@ -45,6 +46,7 @@
         Random(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
     }
 
+    /// A number from 0 up to, but not including, `bound`.
     fn below(&mut self, bound: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -60,6 +62,7 @@
         choices[self.index(choices.len())]
     }
 
+    /// `true` with a probability of 1 / `bound`.
     fn one_in(&mut self, bound: u64) -> bool {
         self.below(bound) == 0
     }
@@ -90,7 +93,7 @@
         self.now += self.random.below(MAX_GAP_MS) * MS;
     }
 
-    /// The event of a step; the first one is a cached endpoint list.
+    /// Draws the event of a step; the first event is a cached endpoint list.
     pub(super) fn draw_event(&mut self, first: bool, model: &mut Model) -> Event {
         match self.random.below(20) {
             _ if first => self.endpoints(EndpointUpdate::Cached, 6),
@@ -134,7 +137,7 @@
         }
     }
 
-    /// The end of a load command that was never given.
+    /// The end of a load command that was never sent.
     fn unexpected_load_finished(&mut self) -> Event {
         Event::LoadFinished(LoadFinished {
             worker: worker(self.random.below(WORKERS_AND_UNKNOWN)),
--- a/crates/pipithub-policy/tests/random_sequences/main.rs
+++ b/crates/pipithub-policy/tests/random_sequences/main.rs
@@ -1,4 +1,5 @@
-//! Long random sequences of events, seeded: the rules hold, nothing panics, equal events give equal actions.
+//! Long random sequences of events, drawn from seeds. At each step the rules must hold and nothing may panic, and
+//! equal events must give equal actions.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -16,7 +17,7 @@
 use model::Model;
 use rules::{Decision, check_action, check_deadlines};
 
-/// The settings of the sequence of a seed.
+/// The settings for the sequence of a seed.
 fn settings_of(seed: u64) -> Settings {
     let mut settings = settings(Idempotency::Idempotent);
     let idempotent = settings.classes[0].clone();
@@ -41,7 +42,7 @@
     settings
 }
 
-/// A front end, the events drawn for it, and what is known of both.
+/// A front end, the generator of its events, and the model that its actions are checked against.
 struct RandomRun {
     seed: u64,
     front_end: FrontEnd,
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Plays this many steps and checks the rules at each: all actions of the front end.
+    /// Runs this number of steps, checks the rules at each, and returns all actions of the front end.
     fn run(mut self, steps: usize) -> Vec<Action> {
         for step in 0..steps {
             self.generator.advance_clock();
@@ -77,7 +78,7 @@
         self.actions
     }
 
-    /// Lets the front end handle one event, and checks each action against what was known before it.
+    /// Lets the front end handle one event, and checks each action against the state before it.
     fn handle(&mut self, at: Time, event: Event) {
         let finished = self.model.note_event(at, &event);
         let mut actions = Vec::new();
@@ -110,7 +111,7 @@
     }
 }
 
-/// Few load commands are allowed, and requests begin no loads: the limit is reached.
+/// Few load commands are allowed and requests begin no loads, so that the limit is reached.
 #[test]
 fn rules_hold_under_tight_load_rate_limit() {
     for seed in 1..=8 {
@@ -128,7 +129,7 @@
     }
 }
 
-/// Attempts often end after the deduplication window: a request with an idempotency key is not retried then.
+/// Attempts often end after the deduplication window; a request with an idempotency key must not be retried then.
 #[test]
 fn rules_hold_with_short_deduplication_window() {
     for seed in 1..=8 {
--- a/crates/pipithub-policy/tests/random_sequences/model.rs
+++ b/crates/pipithub-policy/tests/random_sequences/model.rs
@@ -1,4 +1,4 @@
-//! What is known of endpoints, requests, attempts and load commands, from the events and actions so far.
+//! The expected state of endpoints, requests, attempts and load commands, from the events and actions so far.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,35 +7,35 @@
     RequestId, Settings, Time, WorkerId,
 };
 
-/// A worker as the endpoint list has it.
+/// A worker as the endpoint list last described it.
 pub(super) struct KnownEndpoint {
     pub(super) state: EndpointState,
     pub(super) cell: u64,
 }
 
-/// A request, also one that a client cancelled before it arrived.
+/// A request; it may have been cancelled before it arrived.
 #[derive(Default)]
 pub(super) struct KnownRequest {
     pub(super) class: usize,
     pub(super) deadline: Time,
     pub(super) attempts: u32,
     pub(super) in_flight: u32,
-    /// When its last attempt was forwarded.
+    /// When the last attempt was forwarded.
     pub(super) last_forwarded_at: Time,
-    /// Its first execution, as far as it may have been executed.
+    /// The first possible execution of the request; `None` while it cannot have been executed.
     pub(super) may_have_run: Option<Execution>,
-    /// It was served, has its final answer or was cancelled.
+    /// The request was served, rejected, failed or cancelled.
     pub(super) settled: bool,
 }
 
-/// Where and when a request may have been executed.
+/// When and where an attempt was sent that may have been executed.
 #[derive(Clone, Copy)]
 pub(super) struct Execution {
     pub(super) forwarded_at: Time,
     pub(super) cell: u64,
 }
 
-/// An attempt that may have been executed, and has just finished.
+/// An attempt that has just finished and may have been executed.
 #[derive(Clone, Copy)]
 pub(super) struct FinishedAttempt {
     pub(super) request: RequestId,
@@ -62,14 +62,16 @@
     pub(super) token: u64,
 }
 
-/// All that is known.
+/// The expected state after the events and actions so far.
 pub(super) struct Model {
     pub(super) settings: Settings,
     pub(super) endpoints: BTreeMap<WorkerId, KnownEndpoint>,
     pub(super) requests: BTreeMap<RequestId, KnownRequest>,
     pub(super) in_flight: Vec<Attempt>,
     pub(super) load_commands: Vec<LoadCommand>,
+    /// When each request arrived.
     pub(super) request_times: Vec<Time>,
+    /// When each load command was sent.
     pub(super) load_command_times: Vec<Time>,
     timers: BTreeSet<Timer>,
 }
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Removes the timers that have expired by now.
+    /// Removes and returns the timers that have expired by now, in the order of expiry.
     pub(super) fn take_due_timers(&mut self, now: Time) -> Vec<Timer> {
         let later = Timer {
             due: now + 1,
@@ -99,7 +101,8 @@
         due.into_iter().collect()
     }
 
-    /// Notes an event that is about to be handled. Returns the attempt that it ends, if that may have been executed.
+    /// Notes an event that is about to be handled. Returns the attempt that the event ends, if that attempt may have
+    /// been executed.
     pub(super) fn note_event(&mut self, at: Time, event: &Event) -> Option<FinishedAttempt> {
         match event {
             Event::Endpoints { update, endpoints } => self.note_endpoints(*update, endpoints),
@@ -192,7 +195,7 @@
         });
     }
 
-    /// Notes that a request may have been executed, unless it may have been before.
+    /// Notes a possible execution of a request, unless an earlier one is noted.
     pub(super) fn note_execution(&mut self, finished: FinishedAttempt) {
         let request = self.request_mut(finished.request);
         request.may_have_run.get_or_insert(finished.execution);
--- a/crates/pipithub-policy/tests/random_sequences/rules.rs
+++ b/crates/pipithub-policy/tests/random_sequences/rules.rs
@@ -1,20 +1,21 @@
-//! The rules, one function for each: an action is checked with what was known when it was taken.
+//! The rules, with one function for each. An action is checked against the state when it was taken.
 
 use pipithub_policy::api::{Action, Class, EndpointState, Idempotency, RequestId, Time, WorkerId};
 
 use crate::common::MS;
 use crate::model::{Execution, FinishedAttempt, KnownRequest, Model};
 
-/// A final answer that the front end gives may be so late, as it is bound to its timers.
+/// How late a final answer may be, as the front end gives it when a timer expires.
 const ANSWER_TOLERANCE: Time = 8 * MS;
-/// A request without an answer may be found so late, as the sequence advances in steps.
+/// How late a missing answer may be noticed, as the clock advances in steps.
 const STEP_TOLERANCE: Time = 40 * MS;
 
-/// What was known when an action was taken.
+/// The circumstances in which an action was taken.
 pub(super) struct Decision<'a> {
     pub(super) seed: u64,
+    /// When the action was taken.
     pub(super) at: Time,
-    /// The event was the end of this attempt, which may have been executed.
+    /// The attempt that the present event ends, if it may have been executed; otherwise `None`.
     pub(super) finished: Option<FinishedAttempt>,
     pub(super) model: &'a Model,
 }
@@ -29,7 +30,8 @@
         &self.model.settings.classes[request.class]
     }
 
-    /// The first execution of a request, the end of which may be the present event.
+    /// The first possible execution of a request, also if the present event is the end of it; `None` if the request
+    /// cannot have been executed.
     fn may_have_run(&self, id: RequestId) -> Option<Execution> {
         let just_finished = self.finished.filter(|finished| finished.request == id);
         let earlier = self.request(id).may_have_run;
@@ -37,7 +39,7 @@
     }
 }
 
-/// Checks an action by all rules that concern it.
+/// Checks an action against all rules that apply to it.
 pub(super) fn check_action(decision: &Decision, action: &Action) {
     match action {
         Action::Forward {
@@ -61,7 +63,11 @@
         Action::LoadFunction {
             worker, replicas, ..
         } => {
-            assert!(*replicas > 0, "seed {}: a load of nothing", decision.seed);
+            assert!(
+                *replicas > 0,
+                "seed {}: a load command for 0 replicas",
+                decision.seed
+            );
             check_worker_ready(decision, worker);
             check_load_rate_limit(decision);
         }
@@ -83,7 +89,7 @@
 fn check_max_attempts(decision: &Decision, id: RequestId) {
     assert!(
         decision.request(id).attempts < decision.model.settings.limits.max_attempts,
-        "seed {}: too many attempts at request {id}",
+        "seed {}: too many attempts of request {id}",
         decision.seed
     );
 }
@@ -98,7 +104,7 @@
     );
 }
 
-/// What is not idempotent is not retried once it may have run.
+/// A request that is not idempotent is not retried once it may have run.
 fn check_executed_once(decision: &Decision, id: RequestId) {
     let class = decision.class(decision.request(id));
     assert!(
@@ -108,7 +114,7 @@
     );
 }
 
-/// A request with an idempotency key is retried only in the cell and the time in which workers deduplicate it.
+/// A request with an idempotency key is retried only in the cell and within the time in which workers deduplicate it.
 fn check_deduplication(decision: &Decision, id: RequestId, worker: &WorkerId) {
     let class = decision.class(decision.request(id));
     if class.idempotency != Idempotency::WithKey {
@@ -138,7 +144,7 @@
     );
 }
 
-/// The final answer comes by the client's deadline.
+/// The final answer is given by the client's deadline.
 fn check_answer_in_time(decision: &Decision, id: RequestId) {
     assert!(
         decision.at <= decision.request(id).deadline + ANSWER_TOLERANCE,
@@ -147,7 +153,7 @@
     );
 }
 
-/// A rejection says that a retry is harmless: the request is idempotent, or it never ran and is not in flight.
+/// A rejection promises that a retry is harmless: the request is idempotent, or it never ran and is not in flight.
 fn check_rejection_is_safe_to_retry(decision: &Decision, id: RequestId) {
     let request = decision.request(id);
     let never_ran =
--- a/crates/pipithub-policy/tests/reference/routing.rs
+++ b/crates/pipithub-policy/tests/reference/routing.rs
@@ -93,7 +93,7 @@
                 return self.await_check(id, chosen.worker.clone(), actions);
             }
             None if may_await_check && found.check_due.is_some() => {
-                let worker = found.check_due.expect("just seen");
+                let worker = found.check_due.expect("the guard has found one");
                 return self.await_check(id, worker, actions);
             }
             _ => {}
--- a/crates/pipithub-policy/tests/rules.rs
+++ b/crates/pipithub-policy/tests/rules.rs
@@ -1,6 +1,6 @@
-//! The guarantees to clients and operators, each by tests that fail when its guard is removed: final answers, single
-//! execution, draining workers and the rate limit of load commands. Slow start has `warming_workers.rs` and
-//! `slow_start/`.
+//! The guarantees to clients and operators: final answers, single execution, draining workers and the rate limit of
+//! load commands. For each there are tests that fail if the code that ensures it is removed. Slow start is tested in
+//! `warming_workers.rs` and `slow_start/`.
 
 mod common;
 
@@ -82,8 +82,8 @@
         let (id, actions) = front_end.request(1);
         let first = forwarded_to(&actions).unwrap();
         let after = front_end.finish_attempt(id, 0, &first, outcome);
-        let second = forwarded_to(&after).expect("it is proven never to have run");
-        // Only a replica that is missing, or was lost in loading, is attempted at the same worker.
+        let second = forwarded_to(&after).expect("a request that never ran is retried");
+        // Only if the replica was missing, or its load failed, the next attempt may be at the same worker.
         assert_eq!(second == first, outcome == NotLoaded, "{outcome:?}");
     }
 }
@@ -183,7 +183,7 @@
     }
 }
 
-/// Requests functions that are loaded nowhere, and fails each load at once: when the requests arrived.
+/// Requests functions that are loaded nowhere, and fails each load at once. Returns when the requests arrived.
 fn request_unloaded_functions(front_end: &mut FrontEndHarness) -> Vec<Time> {
     let mut arrivals = Vec::new();
     for function in 0..400 {
@@ -218,7 +218,11 @@
         .filter(|taken| matches!(taken.action, Action::LoadFunction { replicas: 1.., .. }))
         .map(|taken| taken.at)
         .collect();
-    assert!(commands.len() > 20, "the limit is used: {}", commands.len());
+    assert!(
+        commands.len() > 20,
+        "only {} load commands, too few to reach the limit",
+        commands.len()
+    );
     for &end in &commands {
         let in_window = |at: &&Time| **at <= end && **at + limit.window > end;
         let given = commands.iter().filter(in_window).count() as f64;
@@ -243,7 +247,7 @@
         let again = front_end.handle(Event::Timer { token: id.0 });
         assert!(
             forwarded_to(&again).is_none(),
-            "the first attempt is in flight"
+            "forwarded again while an attempt is in flight"
         );
         front_end.now += 10 * MS;
         worker = forwarded_to(&front_end.finish_attempt(id, attempts, &w, Outcome::Rejected));
--- a/crates/pipithub-policy/tests/same.rs
+++ b/crates/pipithub-policy/tests/same.rs
@@ -1,7 +1,7 @@
-//! In a thousand random scenarios the module decides as its reference does, action for action.
+//! In more than a thousand random scenarios the module and its reference take the same actions.
 //!
 //! Each scenario draws its settings, workers, requests and faults from a seed, and gives the same
-//! events to both. What happened is counted, so that no rule of the module goes untested.
+//! events to both. What happens is counted, so that no rule of the module goes untested.
 
 mod reference;
 mod simulated_fleet;
@@ -16,23 +16,23 @@
 use pipithub_policy::{FrontEnd, work};
 use simulated_fleet::{EventCounts, Scenario, SimulatedFleet};
 
-/// Scenarios of each of the parts below, which run at the same time.
+/// Scenarios of each part; each part is a test of its own, so that parts run in parallel.
 const SCENARIOS_PER_PART: u64 = 125;
-/// The most workers of a scenario.
+/// The largest number of workers in a scenario.
 const MAX_WORKERS: u64 = 300;
-/// Among more front ends than this, load reports are relied on: such a deployment is large.
+/// The largest number of front ends in a small deployment. In a larger one load reports are relied on.
 const MAX_SMALL_DEPLOYMENT: u32 = 8;
 
-/// The module and the reference, which get the same events.
+/// The module and the reference, which are given the same events.
 struct Comparison {
     seed: u64,
     module: FrontEnd,
     reference: reference::FrontEnd,
-    /// What the reference decided on the last event.
+    /// The actions of the reference after the last event.
     expected: Vec<Action>,
-    /// What the module decided on it.
+    /// The actions of the module after the last event.
     decided: Vec<Action>,
-    /// How many events both have got.
+    /// The number of events that both were given.
     events: u64,
 }
 
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Gives one event to both and compares the actions; `None` where the reference overflows and
-    /// has no decision to compare with.
+    /// Gives one event to both and compares the actions; `None` if the reference panics, as it does
+    /// on an arithmetic overflow, so that there are no actions to compare with.
     fn handle(&mut self, now: Time, event: &Event) -> Option<&[Action]> {
         self.events += 1;
         self.expected.clear();
@@ -74,7 +74,7 @@
     }
 }
 
-/// Runs one scenario and returns what happened in it.
+/// Runs one scenario and returns how often what happened in it.
 fn run_scenario(seed: u64, scenario: Scenario) -> EventCounts {
     let is_large = scenario.settings.front_ends > MAX_SMALL_DEPLOYMENT;
     let mut comparison = Comparison::new(seed, &scenario.settings);
@@ -101,7 +101,8 @@
     counts
 }
 
-/// What must have happened in each part, and how often at the least, so that no rule goes untested.
+/// How often each kind of event must have happened in each part at least, so that no rule goes
+/// untested.
 const MIN_COUNTS: [(&str, u64); 40] = [
     ("not loaded", 1000),
     ("request arrived", 10000),
@@ -144,7 +145,7 @@
     ("timed out", 60),
     ("unreachable", 150),
 ];
-/// The most scenarios of a part that the reference may cut short by an overflow.
+/// The largest number of scenarios in a part that may be cut short by an overflow in the reference.
 const MAX_CUT_SHORT: u64 = 3;
 
 /// Runs the scenarios of one part, and checks that enough happened in them.
@@ -155,10 +156,11 @@
     });
 }
 
-/// Scenarios of each part with outages of discovery, and the most workers of them.
+/// Scenarios of each part with outages of discovery.
 const OUTAGE_SCENARIOS_PER_PART: u64 = 120;
+/// The largest number of workers in a scenario with outages of discovery.
 const MAX_WORKERS_IN_OUTAGES: u64 = 40;
-/// What must have happened in each part with outages of discovery.
+/// How often each kind of event must have happened at least in each part with outages of discovery.
 const MIN_OUTAGE_COUNTS: [(&str, u64); 9] = [
     ("request arrived", 6000),
     ("attempt", 3000),
@@ -200,7 +202,7 @@
         let count = total(name);
         assert!(
             count >= *min,
-            "seeds {seeds:?}: {name} happened {count} times, not {min}"
+            "seeds {seeds:?}: {name} happened {count} times, not at least {min} times"
         );
     }
     assert!(
@@ -209,6 +211,7 @@
     );
 }
 
+/// Defines a test for each part.
 macro_rules! parts {
     ($run:ident: $($name:ident $part:literal),* $(,)?) => {
         $(#[test]
@@ -261,7 +264,7 @@
     reference.handle(1_000_000, Event::Arrived(request), &mut actions);
     assert!(
         work::taken() >= u64::from(WORKERS),
-        "it looks at every worker"
+        "the reference examines every worker"
     );
     assert!(actions.iter().any(|action| matches!(
         action,
@@ -272,8 +275,11 @@
     )));
 }
 
-/// The tests below reach limits that random scenarios hardly ever meet.
+// The tests below reach limits that random scenarios hardly ever reach.
+
+/// Nanoseconds in a second.
 const SECOND: Time = 1_000_000_000;
+/// Nanoseconds in a millisecond.
 const MILLISECOND: Time = 1_000_000;
 
 fn snapshot(workers: &[&WorkerId]) -> Event {
@@ -294,8 +300,8 @@
     })
 }
 
-/// Random scenarios hardly ever bring a worker to its limit of requests past their objective: the
-/// estimated run time keeps further ones away before that.
+/// In random scenarios a worker hardly ever reaches its limit of late requests, which are admitted
+/// for an answer after their objective: the estimated run time keeps further ones away before that.
 #[test]
 fn module_decides_as_reference_at_the_limit_of_late_requests() {
     const REQUESTS: u64 = 12;
@@ -320,8 +326,8 @@
         ..Request::default()
     };
     comparison.handle(0, &snapshot(&[&WorkerId::default()]));
-    // A replica is presumed for the first request; it stays unanswered, so that the others have to
-    // expect a load.
+    // A replica is presumed for the first request. That request stays unanswered, so that a load is
+    // predicted for the others.
     comparison.handle(1, &Event::Arrived(request(0)));
     let mut forwarded = 0;
     let mut rejected = 0;
@@ -339,7 +345,7 @@
     assert_eq!(forwarded + rejected, REQUESTS as usize);
 }
 
-/// Whether a request is retried when its first attempt times out so long after it was sent.
+/// Whether a request is retried if its first attempt times out at this time after it was sent.
 fn is_retried_after(elapsed: Time, class: &Class) -> bool {
     let settings = Settings {
         classes: vec![class.clone()],
@@ -366,7 +372,8 @@
     actions.and_then(forwarded_to).is_some()
 }
 
-/// The longest elapsed time, in milliseconds below the limit, at which a request is retried.
+/// The least number of whole milliseconds before the limit at which a request is still retried;
+/// `None` if it is not retried within the last 99 ms.
 fn last_retry_before(limit: Time, class: &Class) -> Option<u64> {
     (0..100).find(|early| is_retried_after(limit - early * MILLISECOND, class))
 }
@@ -398,8 +405,8 @@
     );
 }
 
-/// The worker that a request is forwarded to in a large deployment where the first of two workers
-/// reports this CPU utilization in per mille, and the second one 500.
+/// The worker that a request is forwarded to in a large deployment of two workers, where the first
+/// one reports this CPU utilization in thousandths and the second one reports 500.
 fn chosen_beside_busy_cores(per_mille: u32, workers: &[WorkerId; 2]) -> Option<WorkerId> {
     let settings = Settings {
         front_ends: MAX_SMALL_DEPLOYMENT + 1,
@@ -435,7 +442,7 @@
         let idle = chosen_beside_busy_cores(0, workers);
         (0..1_000).find(|per_mille| chosen_beside_busy_cores(*per_mille, workers) != idle)
     };
-    // Only the reports of the function's preferred worker make a difference.
+    // Only the load report of the function's preferred worker makes a difference.
     let limits = [first_busy_at(&workers), first_busy_at(&swapped)];
     assert!(
         limits.contains(&Some(951)) && limits.contains(&None),
