--- a/crates/pipithub-policy/tests/memory.rs
+++ b/crates/pipithub-policy/tests/memory.rs
@@ -14,7 +14,8 @@
 const WORKERS: usize = 60;
 const REQUESTS_PER_SECOND: u64 = 100;
 const MS_PER_REQUEST: u64 = 1_000 / REQUESTS_PER_SECOND;
-/// The interval of rebalancing; functions are forgotten after six intervals without a request.
+/// The keep-alive of replicas, which is the interval of rebalancing here too. Functions are forgotten after six
+/// intervals without a request.
 const KEEP_ALIVE: u64 = 1_000 * MS;
 /// How long a scenario continues after the last request, so that functions are forgotten.
 const FORGETTING_TIME: u64 = 20_000 * MS;
--- a/crates/pipithub-policy/tests/reference/service.rs
+++ b/crates/pipithub-policy/tests/reference/service.rs
@@ -49,7 +49,8 @@
     failures: u32,
     /// No check is sent before this time.
     next_check_at: Time,
-    /// When a connection to the worker was last lost; 0 if none was since the last healthy check.
+    /// When a connection to the worker was last lost; 0 if none was lost since the last
+    /// healthy check.
     pub(crate) connection_lost_at: Time,
 }
 
--- a/crates/pipithub-policy/tests/reference/state.rs
+++ b/crates/pipithub-policy/tests/reference/state.rs
@@ -208,7 +208,8 @@
     pub(crate) attempt_in_flight: bool,
     /// The first attempt that may have run; `None` if none can have.
     pub(crate) possible_execution: Option<PossibleExecution>,
-    /// Workers that get no further attempt, as they were sent an attempt or a load command for it.
+    /// Workers that were sent an attempt or a load command for the request; they get no further
+    /// attempt.
     pub(crate) attempted_workers: Vec<WorkerId>,
     /// The answer has started, so that the request has no deadline any more.
     pub(crate) streaming: bool,
--- a/crates/pipithub-policy/tests/same.rs
+++ b/crates/pipithub-policy/tests/same.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// Runs one scenario and returns how often what happened in it.
+/// Runs one scenario and returns how often each kind of event happened in it.
 fn run_scenario(seed: u64, scenario: Scenario) -> EventCounts {
     let is_large = scenario.settings.front_ends > MAX_SMALL_DEPLOYMENT;
     let mut comparison = Comparison::new(seed, &scenario.settings);
