--- a/crates/pipithub-policy/tests/reference/state.rs
+++ b/crates/pipithub-policy/tests/reference/state.rs
@@ -18,15 +18,15 @@
     pub(crate) function: FunctionId,
     pub(crate) class: usize,
     pub(crate) sent_at: Time,
-    /// When its answer was expected, as the replay predicted.
+    /// When the answer was expected, as the replay predicted.
     pub(crate) predicted_finish: Time,
-    /// The deadline that it was admitted for.
+    /// The deadline that the attempt was admitted for.
     pub(crate) target_deadline: Time,
     /// The expected run time at a slowdown of 1, in nanoseconds, without any wait.
     pub(crate) run_time: f64,
     /// An answer after this point in time is late.
     pub(crate) latency_objective: Time,
-    /// It was expected to wait for a load.
+    /// The attempt was expected to wait for a load.
     pub(crate) cold_start: bool,
     /// The replica was not confirmed when the attempt was sent.
     pub(crate) unconfirmed: bool,
@@ -37,7 +37,7 @@
     pub(crate) function_concurrency: f64,
     /// This front end's attempts at the worker when the attempt was sent, itself included.
     pub(crate) concurrency: f64,
-    /// It was cancelled, but its work may continue.
+    /// The attempt was cancelled, but its work may continue.
     pub(crate) cancelled: bool,
 }
 
@@ -160,7 +160,7 @@
         self.endpoint.state == EndpointState::Ready
     }
 
-    /// This front end's attempts of a function there.
+    /// This front end's attempts of a function at the worker.
     pub(crate) fn in_flight_of(&self, function: FunctionId) -> impl Iterator<Item = &Attempt> {
         self.in_flight
             .iter()
