--- a/crates/pipithub-policy/tests/rules.rs
+++ b/crates/pipithub-policy/tests/rules.rs
@@ -1,6 +1,6 @@
-//! The guarantees to clients and operators, each by tests that fail when its guard is removed: final answers, single
-//! execution, draining workers and the rate limit of load commands. Slow start has `warming_workers.rs` and
-//! `slow_start/`.
+//! The guarantees to clients and operators: final answers, single execution, draining workers and the rate limit of
+//! load commands. For each there are tests that fail if the code that ensures it is removed. Slow start is tested in
+//! `warming_workers.rs` and `slow_start/`.
 
 mod common;
 
@@ -39,11 +39,11 @@
 fn request_without_workers_is_rejected_at_once() {
     let mut front_end = FrontEndHarness::new(settings(Idempotency::NonIdempotent), &[]);
     let (_, actions) = front_end.request(1);
-    let wanted = Action::Reject {
+    let expected = Action::Reject {
         request: RequestId(1),
         retry_after: Some(500 * MS),
     };
-    assert!(actions.contains(&wanted));
+    assert!(actions.contains(&expected));
 }
 
 #[test]
@@ -82,8 +82,8 @@
         let (id, actions) = front_end.request(1);
         let first = forwarded_to(&actions).unwrap();
         let after = front_end.finish_attempt(id, 0, &first, outcome);
-        let second = forwarded_to(&after).expect("it is proven never to have run");
-        // Only a replica that is missing, or was lost in loading, is attempted at the same worker.
+        let second = forwarded_to(&after).expect("a request that never ran is retried");
+        // Only if the replica was missing, or its load failed, the next attempt may be at the same worker.
         assert_eq!(second == first, outcome == NotLoaded, "{outcome:?}");
     }
 }
@@ -92,25 +92,25 @@
 fn request_with_idempotency_key_is_retried_only_in_its_scope_and_window() {
     let mut settings = settings(Idempotency::WithKey);
     settings.classes[0].deduplication_scope = DeduplicationScope::Zone;
-    let set_zones = |front_end: &mut FrontEndHarness, first: &WorkerId, other: &str| {
+    let set_zones = |front_end: &mut FrontEndHarness, first: &WorkerId, other_zone: &str| {
         let names = ["w1", "w2"];
-        let of = |n: &&str| {
+        let zone_of = |n: &&str| {
             if WorkerId::new(n) == *first {
                 "a"
             } else {
-                other
+                other_zone
             }
         };
         let endpoints = names
             .iter()
             .map(|n| Endpoint {
-                zone: of(n).to_string(),
+                zone: zone_of(n).to_string(),
                 ..endpoint(n)
             })
             .collect();
         front_end.update_endpoints(endpoints);
     };
-    for (other, wait, retries) in [
+    for (other_zone, wait, is_retried) in [
         ("a", 100, true),
         ("b", 100, false),
         ("a", 2_480, true),
@@ -119,17 +119,17 @@
         let mut front_end = FrontEndHarness::new(settings.clone(), &["w1", "w2"]);
         let (id, actions) = front_end.request(1);
         let first = forwarded_to(&actions).unwrap();
-        set_zones(&mut front_end, &first, other);
+        set_zones(&mut front_end, &first, other_zone);
         front_end.now += wait * MS;
         let after = front_end.finish_attempt(id, 0, &first, Outcome::ConnectionLost);
         assert_eq!(
             forwarded_to(&after).is_some(),
-            retries,
-            "other zone {other}, after {wait} ms"
+            is_retried,
+            "other zone {other_zone}, after {wait} ms"
         );
         assert_eq!(
             is_failed(&after),
-            !retries,
+            !is_retried,
             "a rejection would promise that a retry is harmless"
         );
     }
@@ -183,7 +183,7 @@
     }
 }
 
-/// Requests functions that are loaded nowhere, and fails each load at once: when the requests arrived.
+/// Requests functions that are loaded nowhere, and fails each load at once. Returns when the requests arrived.
 fn request_unloaded_functions(front_end: &mut FrontEndHarness) -> Vec<Time> {
     let mut arrivals = Vec::new();
     for function in 0..400 {
@@ -218,7 +218,11 @@
         .filter(|taken| matches!(taken.action, Action::LoadFunction { replicas: 1.., .. }))
         .map(|taken| taken.at)
         .collect();
-    assert!(commands.len() > 20, "the limit is used: {}", commands.len());
+    assert!(
+        commands.len() > 20,
+        "only {} load commands, too few to reach the limit",
+        commands.len()
+    );
     for &end in &commands {
         let in_window = |at: &&Time| **at <= end && **at + limit.window > end;
         let given = commands.iter().filter(in_window).count() as f64;
@@ -243,7 +247,7 @@
         let again = front_end.handle(Event::Timer { token: id.0 });
         assert!(
             forwarded_to(&again).is_none(),
-            "the first attempt is in flight"
+            "forwarded again while an attempt is in flight"
         );
         front_end.now += 10 * MS;
         worker = forwarded_to(&front_end.finish_attempt(id, attempts, &w, Outcome::Rejected));
