--- a/crates/pipithub-characterization/tests/node_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/node_driver/mod.rs
@@ -115,7 +115,7 @@
         Effect::Close { connection } => node_scenario::Effect::Close {
             connection: connection.0,
         },
-        Effect::Retire { connection } => node_scenario::Effect::Retire {
+        Effect::CloseIfIdle { connection } => node_scenario::Effect::Retire {
             connection: connection.0,
         },
         Effect::CancelWrite {
@@ -130,11 +130,11 @@
         Effect::Connect {
             connection,
             address,
-            within,
+            timeout,
         } => node_scenario::Effect::Connect {
             connection: connection.0,
             address,
-            within,
+            within: timeout,
         },
     }
 }
--- a/crates/pipithub-node/src/client_sessions.rs
+++ b/crates/pipithub-node/src/client_sessions.rs
@@ -31,13 +31,13 @@
     /// The JSON-RPC ids of its pending calls, with the ticket of each.
     pub pending_calls: BTreeMap<u64, u64>,
     /// Whether it has sent a valid call or health check.
-    pub has_called: bool,
+    pub has_sent_request: bool,
     /// When a complete request last came from it, or a call of it last ended.
     pub last_active: Time,
     /// Since when it has sent an incomplete line; `None` if the last line is complete.
     pub partial_line_since: Option<Time>,
     /// Further calls are rejected, and the connection is closed once its pending calls are answered.
-    pub reading_stopped: bool,
+    pub is_closing: bool,
     /// What it sends can no longer be divided into lines and is ignored.
     pub unreadable: bool,
     fault_score: u32,
@@ -76,7 +76,7 @@
     TooManyPending,
     /// The connection has had too many faults in a row and is about to be closed; this call has not run.
     #[error("this connection is about to be closed")]
-    ReadingStopped,
+    Closing,
 }
 
 /// All connected clients and their pending calls.
@@ -110,10 +110,10 @@
         let client = ClientSession {
             framer: LineFramer::new(MAX_LINE_BYTES),
             pending_calls: BTreeMap::new(),
-            has_called: false,
+            has_sent_request: false,
             last_active: now,
             partial_line_since: None,
-            reading_stopped: false,
+            is_closing: false,
             unreadable: false,
             fault_score: 0,
         };
@@ -125,7 +125,7 @@
             .sessions
             .iter()
             .filter(|(id, c)| c.pending_calls.is_empty() && **id != connection);
-        idle.min_by_key(|(_, c)| (c.has_called, c.last_active))
+        idle.min_by_key(|(_, c)| (c.has_sent_request, c.last_active))
             .map(|(id, _)| *id)
             .or(Some(connection))
     }
@@ -156,8 +156,8 @@
     }
 
     /// Remembers until the given time that a call may have run and must not run again.
-    pub(crate) fn record_executed(&mut self, until: Time, call: &str) {
-        self.executed_calls.record(until, call);
+    pub(crate) fn record_executed(&mut self, expires_at: Time, call: &str) {
+        self.executed_calls.record(expires_at, call);
     }
 
     /// Checks whether a call with this id and name is admitted on a connection.
@@ -187,8 +187,8 @@
         if client.pending_calls.len() >= MAX_PENDING_CALLS {
             return Err(CallRejection::TooManyPending);
         }
-        if client.reading_stopped {
-            return Err(CallRejection::ReadingStopped);
+        if client.is_closing {
+            return Err(CallRejection::Closing);
         }
         Ok(())
     }
@@ -242,16 +242,16 @@
     }
 
     /// Adds to a connection's fault score; returns whether the connection must no longer be read.
-    pub fn add_fault_score(&mut self, connection: ConnectionId, counts: u32) -> bool {
+    pub fn add_fault_score(&mut self, connection: ConnectionId, score: u32) -> bool {
         self.sessions.get_mut(&connection).is_none_or(|client| {
-            client.fault_score += counts;
+            client.fault_score += score;
             client.fault_score >= MAX_FAULT_SCORE
         })
     }
 
     /// Removes a connection that has ended, with its pending calls; returns their tickets. Calls that are not idempotent
     /// are remembered until the given time as calls that may have run.
-    pub fn disconnected(&mut self, connection: ConnectionId, until: Time) -> Vec<u64> {
+    pub fn disconnected(&mut self, connection: ConnectionId, expires_at: Time) -> Vec<u64> {
         let Some(client) = self.sessions.remove(&connection) else {
             return Vec::new();
         };
@@ -264,7 +264,7 @@
                 self.tickets.remove(&pending.name);
             }
             if pending.non_idempotent {
-                self.record_executed(until, &pending.name);
+                self.record_executed(expires_at, &pending.name);
             }
         }
         tickets
@@ -272,10 +272,11 @@
 
     /// Connections without pending calls that have sent no request, or no complete line, for [`SILENCE_TIMEOUT`].
     pub fn silent_connections(&self, now: Time) -> Vec<ConnectionId> {
-        let over = |since: Time| now >= since + SILENCE_TIMEOUT;
+        let has_timed_out = |since: Time| now >= since + SILENCE_TIMEOUT;
         let silent = |c: &ClientSession| {
             c.pending_calls.is_empty()
-                && (!c.has_called && over(c.last_active) || c.partial_line_since.is_some_and(over))
+                && (!c.has_sent_request && has_timed_out(c.last_active)
+                    || c.partial_line_since.is_some_and(has_timed_out))
         };
         self.sessions
             .iter()
--- a/crates/pipithub-node/src/connection_pool.rs
+++ b/crates/pipithub-node/src/connection_pool.rs
@@ -61,7 +61,7 @@
     /// How long it may take to establish a connection, in nanoseconds.
     pub connect_timeout: Time,
     /// After how long workers close idle connections, in nanoseconds; the pool closes them after half of it. 0: never.
-    pub idle_close: Time,
+    pub worker_idle_timeout: Time,
     /// Whether workers may be asked to cancel attempts.
     pub cancel: bool,
 }
@@ -72,7 +72,7 @@
     max_connections: usize,
     max_requests_per_connection: usize,
     connect_timeout: Time,
-    idle_close: Time,
+    worker_idle_timeout: Time,
     /// Whether workers may be asked to cancel attempts.
     cancel: bool,
     workers: BTreeMap<WorkerId, WorkerConnections>,
@@ -80,7 +80,7 @@
     /// all workers.
     listed: usize,
     /// The workers that a sweep looks at: those with waiting requests, and removed ones.
-    watched: BTreeSet<WorkerId>,
+    sweep_set: BTreeSet<WorkerId>,
     connections: BTreeMap<ConnectionId, Connection>,
     connection_ids: ConnectionIds,
     effects: Vec<Effect>,
@@ -95,11 +95,11 @@
             max_connections: settings.max_connections.max(1),
             max_requests_per_connection: settings.max_requests_per_connection.max(1),
             connect_timeout: settings.connect_timeout,
-            idle_close: settings.idle_close,
+            worker_idle_timeout: settings.worker_idle_timeout,
             cancel: settings.cancel,
             workers: BTreeMap::new(),
             listed: 0,
-            watched: BTreeSet::new(),
+            sweep_set: BTreeSet::new(),
             connections: BTreeMap::new(),
             connection_ids: ConnectionIds::default(),
             effects: Vec::new(),
@@ -135,8 +135,8 @@
     }
 
     /// How many workers a sweep looks at: those with waiting requests, and removed ones.
-    pub fn watched(&self) -> usize {
-        self.watched.len()
+    pub fn sweep_set_len(&self) -> usize {
+        self.sweep_set.len()
     }
 
     /// Whether there is no connection.
@@ -166,7 +166,7 @@
         self.listed += usize::from(!removed);
         entry.removed = removed;
         if removed {
-            self.watched.insert(worker.clone());
+            self.sweep_set.insert(worker.clone());
         }
     }
 
@@ -198,7 +198,7 @@
         match self.workers.get_mut(worker) {
             Some(entry) if !entry.address.is_empty() && entry.waiting.len() < MAX_WAITING => {
                 entry.waiting.push_back(request);
-                self.watched.insert(worker.clone());
+                self.sweep_set.insert(worker.clone());
                 self.dispatch(now, worker);
             }
             _ => self.fail(worker, request, SendFailure::Unreachable),
@@ -219,7 +219,7 @@
             .values()
             .filter(|connection| connection.is_blocked())
             .map(|connection| connection.worker().clone());
-        let unwritten: BTreeSet<WorkerId> = self.watched.iter().cloned().chain(blocked).collect();
+        let unwritten: BTreeSet<WorkerId> = self.sweep_set.iter().cloned().chain(blocked).collect();
         for worker in unwritten {
             let end = lease_end(&worker);
             self.set_lease_end(&worker, end);
--- a/crates/pipithub-node/src/connection_pool/endings.rs
+++ b/crates/pipithub-node/src/connection_pool/endings.rs
@@ -125,7 +125,7 @@
                 Some(waiting) if request.rewrites < MAX_REWRITES => {
                     request.rewrites += 1;
                     waiting.push_back(request);
-                    self.watched.insert(worker.clone());
+                    self.sweep_set.insert(worker.clone());
                 }
                 _ => self.fail(worker, request, SendFailure::Unreachable),
             }
--- a/crates/pipithub-node/src/connection_pool/selection.rs
+++ b/crates/pipithub-node/src/connection_pool/selection.rs
@@ -46,7 +46,7 @@
     /// Opens a connection for each waiting request for which none is being made, as far as the limits allow; returns
     /// how many are being made then.
     fn open_connections(&mut self, now: Time, worker: &WorkerId) -> usize {
-        let fair_part = (self.max_connections / self.listed.max(1)).max(1);
+        let fair_share = (self.max_connections / self.listed.max(1)).max(1);
         let Some(entry) = self.workers.get_mut(worker) else {
             return 0;
         };
@@ -68,7 +68,7 @@
         // If every established connection has carried this reference before, one connection more is allowed.
         let reference_used_on_all = established.peek().is_some()
             && established.all(|connection| connection.was_used_for(&first.reference));
-        let max_here = fair_part + usize::from(reference_used_on_all);
+        let max_here = fair_share + usize::from(reference_used_on_all);
         while connecting < entry.waiting.len()
             && entry.connections.len() < max_here
             && self.connections.len() < self.max_connections
@@ -81,7 +81,7 @@
             self.effects.push(Effect::Connect {
                 connection: id,
                 address,
-                within: self.connect_timeout,
+                timeout: self.connect_timeout,
             });
             connecting += 1;
         }
--- a/crates/pipithub-node/src/connection_pool/sweep.rs
+++ b/crates/pipithub-node/src/connection_pool/sweep.rs
@@ -81,7 +81,7 @@
     /// Fails requests that have waited too long for a connection, early enough for an attempt at another worker. They
     /// were not sent.
     fn expire_waiting(&mut self, now: Time) {
-        for worker in &self.watched {
+        for worker in &self.sweep_set {
             let Some(entry) = self.workers.get_mut(worker) else {
                 continue;
             };
@@ -114,8 +114,8 @@
             let is_outdated =
                 entry.is_none_or(|entry| entry.removed || entry.address != connection.address());
             // Well before the worker would close it: a line that crosses the worker's close might be lost.
-            let is_expired = self.idle_close > 0
-                && now >= connection.last_used() + self.idle_close / 2
+            let is_expired = self.worker_idle_timeout > 0
+                && now >= connection.last_used() + self.worker_idle_timeout / 2
                 || idle_limit.is_some_and(|limit| now >= connection.last_used() + limit);
             if connection.is_idle() && (is_outdated || is_expired) {
                 idle.push(*id);
@@ -129,7 +129,7 @@
     /// Forgets removed workers without requests and connections, and stops watching those that need no further sweep.
     fn forget_removed_workers(&mut self) {
         let workers = &mut self.workers;
-        self.watched.retain(|worker| {
+        self.sweep_set.retain(|worker| {
             let Some(entry) = workers.get(worker) else {
                 return false;
             };
--- a/crates/pipithub-node/src/coordinator.rs
+++ b/crates/pipithub-node/src/coordinator.rs
@@ -26,14 +26,14 @@
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// Follows the coordinator until the sender of `address` is dropped. Passes to `take` each event after the event `last`, once
+/// Follows the coordinator until the sender of `address` is dropped. Passes to `on_update` each event after the event `last`, once
 /// and in order, and each sign of life of the coordinator. `seed` determines the jitter of the backoff.
 pub async fn follow(
     mut address: watch::Receiver<String>,
     last: u64,
     names: Names,
     seed: u64,
-    mut take: impl FnMut(StreamUpdate),
+    mut on_update: impl FnMut(StreamUpdate),
 ) {
     let mut sequence = Sequence::after(last);
     let (mut backoff, mut rng) = (MIN_BACKOFF, StdRng::seed_from_u64(seed));
@@ -45,7 +45,7 @@
         let error = tokio::select! {
             error = follow_stream(&current_address, &mut sequence, &names, |update| {
                 has_progressed |= matches!(update, StreamUpdate::Event(_));
-                take(update);
+                on_update(update);
             }) => error,
             changed = address.changed() => {
                 if changed.is_err() {
@@ -59,7 +59,7 @@
         if error.is_unusable_event() {
             unusable += 1;
         }
-        log_end(&error, &current_address, sequence.last(), unusable);
+        log_stream_end(&error, &current_address, sequence.last(), unusable);
         if has_progressed {
             backoff = MIN_BACKOFF;
         }
@@ -72,7 +72,7 @@
 }
 
 /// Logs why a stream ended. `unusable`: how often the reason was an unusable event since the start.
-fn log_end(error: &StreamError, coordinator: &str, last: u64, unusable: u64) {
+fn log_stream_end(error: &StreamError, coordinator: &str, last: u64, unusable: u64) {
     if error.is_unusable_event() {
         error!(
             coordinator,
--- a/crates/pipithub-node/src/coordinator/sequence.rs
+++ b/crates/pipithub-node/src/coordinator/sequence.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Apply it: it is the next one.
-    Take,
+    Apply,
     /// Ignore it: it was applied before.
     Skip,
     /// Events are missing before it: reconnect, and request those after the last that was applied.
@@ -42,6 +42,6 @@
             return Step::Reconnect;
         }
         (self.last, self.gap) = (index, None);
-        Step::Take
+        Step::Apply
     }
 }
--- a/crates/pipithub-node/src/coordinator/stream.rs
+++ b/crates/pipithub-node/src/coordinator/stream.rs
@@ -98,9 +98,9 @@
     address: &str,
     sequence: &mut Sequence,
     names: &Names,
-    mut take: impl FnMut(StreamUpdate),
+    mut on_update: impl FnMut(StreamUpdate),
 ) -> StreamError {
-    match try_stream(address, sequence, names, &mut take).await {
+    match try_stream(address, sequence, names, &mut on_update).await {
         Ok(never) => match never {},
         Err(error) => error,
     }
@@ -110,14 +110,14 @@
     address: &str,
     sequence: &mut Sequence,
     names: &Names,
-    take: &mut impl FnMut(StreamUpdate),
+    on_update: &mut impl FnMut(StreamUpdate),
 ) -> Result<Infallible, StreamError> {
     let opened = tokio::time::timeout(CONNECT_TIMEOUT, open(address, sequence.last())).await;
     let mut stream = opened.map_err(|_| StreamError::NoAnswer)??;
     if !stream.response.status().is_success() {
         return Err(StreamError::Status(stream.response.status()));
     }
-    take(StreamUpdate::Answered);
+    on_update(StreamUpdate::Answered);
     let body = stream.response.body_mut();
     let mut reader = SseReader::default();
     loop {
@@ -126,8 +126,8 @@
             let event = list::parse(&event.data, names).map_err(StreamError::InvalidEvent)?;
             let is_complete = event.update != EndpointUpdate::Delta;
             match sequence.step(event.index, is_complete) {
-                Step::Take => {
-                    take(StreamUpdate::Event(event));
+                Step::Apply => {
+                    on_update(StreamUpdate::Event(event));
                     // Calls and closes of clients are handled between any two events, however many come at once.
                     tokio::task::yield_now().await;
                 }
@@ -141,7 +141,7 @@
             }
         }
         if reader.take_completed() {
-            take(StreamUpdate::Current);
+            on_update(StreamUpdate::Current);
         }
     }
 }
--- a/crates/pipithub-node/src/core.rs
+++ b/crates/pipithub-node/src/core.rs
@@ -153,7 +153,7 @@
             self.connection_pool
                 .renew_leases(|worker| engine.lease_end(worker));
             self.connection_pool.sweep(now);
-            self.settle_failures(now);
+            self.process_failures(now);
         }
         if now >= self.last_silence_sweep + SILENCE_SWEEP_INTERVAL {
             self.last_silence_sweep = now;
@@ -172,7 +172,7 @@
                 connection = connection.0,
                 "closing silent client"
             );
-            self.effects.push(Effect::Retire { connection });
+            self.effects.push(Effect::CloseIfIdle { connection });
         }
     }
 
@@ -189,11 +189,11 @@
     /// Gives an input to the engine and performs the resulting outputs.
     fn run(&mut self, now: Time, input: Input) {
         self.inputs.push_back(input);
-        self.settle(now);
+        self.process_inputs(now);
     }
 
     /// Gives queued inputs to the engine until none is left; performing an output may queue further inputs.
-    fn settle(&mut self, now: Time) {
+    fn process_inputs(&mut self, now: Time) {
         while let Some(input) = self.inputs.pop_front() {
             let mut outputs = std::mem::take(&mut self.outputs);
             self.engine.handle(now, input, &mut outputs);
@@ -263,7 +263,7 @@
         max_connections: limits.workers,
         max_requests_per_connection: transport.max_requests_per_connection,
         connect_timeout: transport.connect_timeout,
-        idle_close: transport.idle_timeout,
+        worker_idle_timeout: transport.idle_timeout,
         cancel: site.policy.limits.cancel,
     }
 }
--- a/crates/pipithub-node/src/core/calls.rs
+++ b/crates/pipithub-node/src/core/calls.rs
@@ -10,25 +10,25 @@
 use tracing::debug;
 
 use super::Core;
-use super::workers::unanswered;
+use super::workers::unanswered_attempt;
 use crate::client_sessions::{EXCESS_CALL_SCORE, PendingCall};
 use crate::effect::ConnectionId;
 
 /// All clients together are one source of the engine; tickets distinguish their calls.
-const CLIENTS: SourceId = SourceId(1);
+const CLIENT_SOURCE: SourceId = SourceId(1);
 
 impl Core {
     /// A client no longer awaits a call. Attempts that were not sent yet are withdrawn even if the settings forbid
     /// cancelling.
     pub(super) fn cancel_call(&mut self, now: Time, ticket: u64) {
         let ticket = Ticket {
-            source: CLIENTS,
+            source: CLIENT_SOURCE,
             number: ticket,
         };
         let request = self.engine.request(ticket);
         self.run(now, Input::CallerCancelled(ticket));
         self.abandon_attempts(now, request);
-        self.settle(now);
+        self.process_inputs(now);
     }
 
     /// Withdraws the attempts of a request that were not sent completely, as its answer is no longer awaited.
@@ -46,7 +46,7 @@
         for (id, worker) in in_flight {
             if let Some(request) = self.connection_pool.abandon(now, &worker, id) {
                 let elapsed = now.saturating_sub(request.began);
-                self.attempt_ended(unanswered(id, Outcome::NotSent, elapsed));
+                self.attempt_ended(unanswered_attempt(id, Outcome::NotSent, elapsed));
             }
         }
     }
@@ -61,7 +61,7 @@
         }
         if let Some(client) = self.client_sessions.client(connection) {
             client.last_active = now;
-            client.has_called = true;
+            client.has_sent_request = true;
         }
         let trigger = self.trigger(connection, call);
         self.run(now, Input::Trigger(trigger));
@@ -85,7 +85,7 @@
                 };
                 self.answer_fault(connection, &error);
             }
-            CallRejection::TooManyPending | CallRejection::ReadingStopped => {
+            CallRejection::TooManyPending | CallRejection::Closing => {
                 self.shed_call(connection, call, rejection);
             }
         }
@@ -110,7 +110,7 @@
             .client_sessions
             .add_fault_score(connection, EXCESS_CALL_SCORE)
         {
-            self.stop_reading(connection);
+            self.begin_closing(connection);
         }
     }
 
@@ -129,7 +129,7 @@
             non_idempotent,
         });
         let ticket = Ticket {
-            source: CLIENTS,
+            source: CLIENT_SOURCE,
             number,
         };
         Trigger {
--- a/crates/pipithub-node/src/core/clients.rs
+++ b/crates/pipithub-node/src/core/clients.rs
@@ -24,11 +24,11 @@
                 connection = other.0,
                 "too many client connections, closing one"
             );
-            self.effects.push(Effect::Retire { connection: other });
+            self.effects.push(Effect::CloseIfIdle { connection: other });
         }
     }
 
-    /// Closes a client's connection unless it has pending calls. The shell calls this after [`Effect::Retire`], once it has
+    /// Closes a client's connection unless it has pending calls. The shell calls this after [`Effect::CloseIfIdle`], once it has
     /// passed on all that the client has sent.
     pub fn close_client_if_idle(&mut self, now: Time, connection: ConnectionId) {
         if self
@@ -89,16 +89,16 @@
                         "call cancelled before it was forwarded"
                     );
                 }
-                line => self.client_line(now, connection, line),
+                line => self.handle_client_line(now, connection, line),
             }
         }
         if let Some(error) = received.error {
-            self.end_of_readable_lines(connection, error);
+            self.reject_too_long_line(connection, error);
         }
     }
 
     /// Answers a line that is too long; nothing behind it can be read.
-    fn end_of_readable_lines(&mut self, connection: ConnectionId, error: TooLong) {
+    fn reject_too_long_line(&mut self, connection: ConnectionId, error: TooLong) {
         let Some(client) = self.client_sessions.client(connection) else {
             return;
         };
@@ -111,7 +111,7 @@
         self.answer_fault(connection, &error);
     }
 
-    fn client_line(
+    fn handle_client_line(
         &mut self,
         now: Time,
         connection: ConnectionId,
@@ -128,12 +128,12 @@
             }
             Ok(ClientLine::HealthCheck { id }) => {
                 client.last_active = now;
-                client.has_called = true;
+                client.has_sent_request = true;
                 let healthy = self.has_endpoint_list && !self.shutdown.is_requested();
                 self.write(connection, client::health_line(id, healthy));
             }
             // A malformed line on a connection that is no longer read was answered once.
-            Err(error) if error.id.is_none() && client.reading_stopped => {}
+            Err(error) if error.id.is_none() && client.is_closing => {}
             Err(error) => self.answer_fault(connection, &error),
         }
     }
@@ -181,20 +181,20 @@
             .add_fault_score(connection, MALFORMED_LINE_SCORE)
             || id.is_none()
         {
-            self.stop_reading(connection);
+            self.begin_closing(connection);
         }
     }
 
     /// Rejects all further calls of a client, and closes its connection once its pending calls are answered.
-    pub(super) fn stop_reading(&mut self, connection: ConnectionId) {
+    pub(super) fn begin_closing(&mut self, connection: ConnectionId) {
         let Some(client) = self
             .client_sessions
             .client(connection)
-            .filter(|c| !c.reading_stopped)
+            .filter(|c| !c.is_closing)
         else {
             return;
         };
-        client.reading_stopped = true;
+        client.is_closing = true;
         debug!(
             front_end = self.name,
             connection = connection.0,
@@ -209,9 +209,9 @@
         if self
             .client_sessions
             .client(connection)
-            .is_some_and(|c| c.reading_stopped && c.pending_calls.is_empty())
+            .is_some_and(|c| c.is_closing && c.pending_calls.is_empty())
         {
-            self.effects.push(Effect::Retire { connection });
+            self.effects.push(Effect::CloseIfIdle { connection });
         }
     }
 
--- a/crates/pipithub-node/src/core/discovery_log.rs
+++ b/crates/pipithub-node/src/core/discovery_log.rs
@@ -12,7 +12,7 @@
 const NANOSECONDS_PER_MICROSECOND: Time = 1_000;
 /// The list is logged as out of reach once nothing has confirmed it for this long: two comments of the coordinator are
 /// overdue then.
-const OUTAGE_AFTER: Time = 2_000_000_000;
+const OUTAGE_THRESHOLD: Time = 2_000_000_000;
 /// How often the log repeats that the list is out of reach, with the counters of that time.
 const REPORT_INTERVAL: Time = 5_000_000_000;
 
@@ -49,7 +49,7 @@
     }
 
     /// Records that the front end begins to follow the coordinator.
-    pub(super) fn begin(&mut self, now: Time) {
+    pub(super) fn record_follow_start(&mut self, now: Time) {
         self.current_at = Some(now);
     }
 
@@ -110,7 +110,7 @@
         let Some(current_at) = self.current_at else {
             return;
         };
-        if now < current_at + OUTAGE_AFTER {
+        if now < current_at + OUTAGE_THRESHOLD {
             return;
         }
         let message = match self.outage {
@@ -120,12 +120,12 @@
             }
             Some(_) => return,
         };
-        let begin = Outage {
+        let new_outage = Outage {
             since: current_at,
             last_report: now,
             last_event: self.last_event,
         };
-        self.outage.get_or_insert(begin).last_report = now;
+        self.outage.get_or_insert(new_outage).last_report = now;
         let age_ms = milliseconds(now.saturating_sub(current_at));
         warn!(
             front_end,
--- a/crates/pipithub-node/src/core/endpoint_list.rs
+++ b/crates/pipithub-node/src/core/endpoint_list.rs
@@ -15,24 +15,24 @@
 impl Core {
     /// The front end begins to follow the coordinator.
     pub fn follow_coordinator(&mut self, now: Time) {
-        self.discovery_log.begin(now);
-        self.contact(now, EndpointListContact::Sought);
+        self.discovery_log.record_follow_start(now);
+        self.report_contact(now, EndpointListContact::Sought);
     }
 
     /// Applies what the coordinator's stream has brought. `wall` is the current wall clock in nanoseconds since the Unix
     /// epoch.
     pub fn apply_stream_update(&mut self, now: Time, wall: Time, update: &StreamUpdate) {
         match update {
-            StreamUpdate::Answered => self.contact(now, EndpointListContact::Answered),
+            StreamUpdate::Answered => self.report_contact(now, EndpointListContact::Answered),
             StreamUpdate::Event(event) => self.update_endpoints_at(now, wall, event),
             StreamUpdate::Current => {
                 self.discovery_log.record_current(now, &self.name);
-                self.contact(now, EndpointListContact::Current);
+                self.report_contact(now, EndpointListContact::Current);
             }
         }
     }
 
-    fn contact(&mut self, now: Time, contact: EndpointListContact) {
+    fn report_contact(&mut self, now: Time, contact: EndpointListContact) {
         self.run(now, Input::EndpointListContact(contact));
     }
 
--- a/crates/pipithub-node/src/core/outputs.rs
+++ b/crates/pipithub-node/src/core/outputs.rs
@@ -7,7 +7,7 @@
 use tracing::debug;
 
 use super::Core;
-use super::workers::unanswered;
+use super::workers::unanswered_attempt;
 use crate::connection_pool::{CancelledRequest, Payload, RequestKind, WorkerRequest};
 
 /// A load poll without an answer within this time has failed.
@@ -61,7 +61,7 @@
             }
             None => (0, Outcome::Cancelled),
         };
-        self.attempt_ended(unanswered(id, outcome, elapsed));
+        self.attempt_ended(unanswered_attempt(id, outcome, elapsed));
     }
 
     fn load_function(
--- a/crates/pipithub-node/src/core/shutdown.rs
+++ b/crates/pipithub-node/src/core/shutdown.rs
@@ -125,7 +125,8 @@
     /// Requests a last read and then a close for every client, as the process is about to end.
     pub fn close_clients(&mut self) {
         let connections = self.client_sessions.connections();
-        let retire = |connection| Effect::Retire { connection };
-        self.effects.extend(connections.into_iter().map(retire));
+        let close_if_idle = |connection| Effect::CloseIfIdle { connection };
+        self.effects
+            .extend(connections.into_iter().map(close_if_idle));
     }
 }
--- a/crates/pipithub-node/src/core/workers.rs
+++ b/crates/pipithub-node/src/core/workers.rs
@@ -17,20 +17,20 @@
     /// A connection to a worker is established.
     pub fn worker_connected(&mut self, now: Time, connection: ConnectionId) {
         self.connection_pool.connected(now, connection);
-        self.settle_failures(now);
+        self.process_failures(now);
     }
 
     /// A connection to a worker could not be established. `local_fault`: whether this machine lacked a resource for it.
     pub fn worker_failed(&mut self, now: Time, connection: ConnectionId, local_fault: bool) {
         self.connection_pool.connect_failed(connection, local_fault);
-        self.settle_failures(now);
+        self.process_failures(now);
     }
 
     /// A worker does not read, and the system has accepted `written` bytes on the connection so far; with `None`, it reads
     /// again.
     pub fn worker_blocked(&mut self, now: Time, connection: ConnectionId, written: Option<u64>) {
         self.connection_pool.set_blocked(now, connection, written);
-        self.settle_failures(now);
+        self.process_failures(now);
     }
 
     /// A connection to a worker has ended, after the system has accepted `written` bytes on it.
@@ -40,7 +40,7 @@
         }
         self.connection_pool
             .closed(now, connection, written, SendFailure::ConnectionLost);
-        self.settle_failures(now);
+        self.process_failures(now);
     }
 
     /// Bytes came from a worker.
@@ -68,7 +68,7 @@
             "malformed answer, closing connection"
         );
         self.connection_pool.close_malformed(now, connection);
-        self.settle_failures(now);
+        self.process_failures(now);
     }
 
     /// A worker has answered: its request has ended.
@@ -93,13 +93,13 @@
         match request.kind {
             RequestKind::Attempt(id) => {
                 self.attempt_ended(attempt_result(id, elapsed, answer));
-                self.settle(now);
+                self.process_inputs(now);
             }
             RequestKind::LoadFunction(function) => {
                 let result = LoadCommandResult {
                     worker,
                     function,
-                    outcome: outcome(answer.status),
+                    outcome: answer_outcome(answer.status),
                     elapsed,
                     replicas: answer.replicas,
                 };
@@ -117,7 +117,7 @@
                 now,
                 HealthChecked {
                     worker,
-                    outcome: health_of(answer.status),
+                    outcome: health_check_outcome(answer.status),
                     elapsed,
                     connected_at,
                 },
@@ -160,7 +160,9 @@
             let outcome = failure_outcome(failure);
             let elapsed = now.saturating_sub(request.began);
             match request.kind {
-                RequestKind::Attempt(id) => self.attempt_ended(unanswered(id, outcome, elapsed)),
+                RequestKind::Attempt(id) => {
+                    self.attempt_ended(unanswered_attempt(id, outcome, elapsed));
+                }
                 RequestKind::LoadFunction(function) => {
                     let result = LoadCommandResult {
                         worker,
@@ -182,7 +184,7 @@
                 RequestKind::CheckHealth => {
                     let checked = HealthChecked {
                         worker,
-                        outcome: failed_check(failure),
+                        outcome: failed_check_outcome(failure),
                         elapsed,
                         connected_at: 0,
                     };
@@ -194,14 +196,14 @@
         }
     }
 
-    pub(super) fn settle_failures(&mut self, now: Time) {
+    pub(super) fn process_failures(&mut self, now: Time) {
         self.record_failures(now);
-        self.settle(now);
+        self.process_inputs(now);
     }
 }
 
 /// The result of an attempt that got no answer.
-pub(super) fn unanswered(id: AttemptId, outcome: Outcome, elapsed: Time) -> AttemptResult {
+pub(super) fn unanswered_attempt(id: AttemptId, outcome: Outcome, elapsed: Time) -> AttemptResult {
     AttemptResult {
         id,
         outcome,
@@ -233,7 +235,7 @@
 }
 
 /// What the answer to a health check tells.
-fn health_of(status: AnswerStatus) -> HealthCheckOutcome {
+fn health_check_outcome(status: AnswerStatus) -> HealthCheckOutcome {
     match status {
         AnswerStatus::Healthy => HealthCheckOutcome::Healthy,
         _ => HealthCheckOutcome::Unhealthy,
@@ -241,7 +243,7 @@
 }
 
 /// The outcome of a health check that got no answer.
-fn failed_check(failure: SendFailure) -> HealthCheckOutcome {
+fn failed_check_outcome(failure: SendFailure) -> HealthCheckOutcome {
     match failure {
         SendFailure::Unreachable | SendFailure::ConnectionLost => HealthCheckOutcome::Disconnected,
         SendFailure::NeverSent | SendFailure::Malformed | SendFailure::TimedOut => {
@@ -251,7 +253,7 @@
 }
 
 /// The outcome of a request by its answer.
-fn outcome(status: AnswerStatus) -> Outcome {
+fn answer_outcome(status: AnswerStatus) -> Outcome {
     match status {
         AnswerStatus::Served | AnswerStatus::Healthy | AnswerStatus::Unhealthy => Outcome::Served,
         AnswerStatus::NotLoaded => Outcome::NotLoaded,
@@ -266,7 +268,7 @@
     let outcome = match answer.status {
         // Only load polls are answered like this: it is unknown whether the call ran.
         AnswerStatus::Healthy | AnswerStatus::Unhealthy => Outcome::Error,
-        status => outcome(status),
+        status => answer_outcome(status),
     };
     let reports_concurrency = matches!(outcome, Outcome::Served | Outcome::Rejected);
     let served = (outcome == Outcome::Served).then_some(Served {
--- a/crates/pipithub-node/src/effect.rs
+++ b/crates/pipithub-node/src/effect.rs
@@ -26,7 +26,7 @@
     /// Read what a client has sent by now, pass it to the core, then call
     /// [`Core::close_client_if_idle`](crate::core::Core::close_client_if_idle): a request may come in the very moment
     /// in which its connection is to be closed.
-    Retire {
+    CloseIfIdle {
         /// The client's connection.
         connection: ConnectionId,
     },
@@ -48,6 +48,6 @@
         /// The worker's address, as the endpoint list states it.
         address: String,
         /// The attempt has failed if the connection is not established within this time, in nanoseconds.
-        within: Time,
+        timeout: Time,
     },
 }
--- a/crates/pipithub-node/src/idle_timeout.rs
+++ b/crates/pipithub-node/src/idle_timeout.rs
@@ -33,25 +33,29 @@
     /// Records that a connection was used after `idle` nanoseconds; `broke`: whether it ended before any answer.
     pub fn record_use(&mut self, now: Time, idle: Time, broke: bool) {
         if now >= self.decayed_at + HALF_LIFE {
-            let halves = (now - self.decayed_at) / HALF_LIFE;
-            let left = 0.5f64.powi(halves.min(60) as i32);
+            let half_lives = (now - self.decayed_at) / HALF_LIFE;
+            let decay = 0.5f64.powi(half_lives.min(60) as i32);
             self.uses
                 .iter_mut()
                 .chain(&mut self.breaks)
-                .for_each(|n| *n *= left);
+                .for_each(|n| *n *= decay);
             self.decayed_at = now;
         }
-        let at = bucket(idle);
-        self.uses[at] += 1.0;
-        self.breaks[at] += f64::from(u8::from(broke));
+        let index = bucket(idle);
+        self.uses[index] += 1.0;
+        self.breaks[index] += f64::from(u8::from(broke));
     }
 
     /// Connections that have been idle for this long or longer must not be used again; `None` if there is no limit.
     pub fn limit(&self) -> Option<Time> {
         // A connection that breaks after some idle time breaks after any longer one too.
-        let at = (0..BUCKETS).find(|&i| {
+        let index = (0..BUCKETS).find(|&i| {
             self.breaks[i] >= MIN_BREAKS && self.breaks[i] >= MIN_BREAK_RATIO * self.uses[i]
         })?;
-        Some(if at == 0 { 0 } else { BUCKET_UNIT << (at - 1) })
+        Some(if index == 0 {
+            0
+        } else {
+            BUCKET_UNIT << (index - 1)
+        })
     }
 }
--- a/crates/pipithub-node/src/shell.rs
+++ b/crates/pipithub-node/src/shell.rs
@@ -21,7 +21,7 @@
 use tracing::debug;
 
 use self::slots::Slots;
-use self::socket::{Side, Socket};
+use self::socket::{PeerKind, Socket};
 use crate::core::Core;
 use crate::effect::{ConnectionId, Effect};
 use crate::sockets::{self, ConnectError, LocalFaults};
@@ -114,7 +114,9 @@
                     self.written_workers.borrow_mut().push(connection);
                 }
             }
-            Effect::Retire { connection } => self.closing_clients.borrow_mut().push(connection),
+            Effect::CloseIfIdle { connection } => {
+                self.closing_clients.borrow_mut().push(connection);
+            }
             Effect::Close { connection } => {
                 if let Some(socket) = self.sockets.borrow_mut().remove(&connection) {
                     socket.close();
@@ -123,9 +125,9 @@
             Effect::Connect {
                 connection,
                 address,
-                within,
+                timeout,
             } => {
-                let connect = self.clone().connect(connection, address, within);
+                let connect = self.clone().connect(connection, address, timeout);
                 tokio::task::spawn_local(connect);
             }
         }
@@ -136,21 +138,21 @@
         let Some(socket) = sockets.get(&connection) else {
             return;
         };
-        match socket.side() {
-            Side::Worker => {
+        match socket.peer_kind() {
+            PeerKind::Worker => {
                 if socket.peer_closed() {
                     // What is written now would be lost, and it would be unknown whether it ran.
                     socket.mark_broken();
                 }
                 self.written_workers.borrow_mut().push(connection);
             }
-            Side::Client => self.last_client_activity.set(self.clock.now()),
+            PeerKind::Client => self.last_client_activity.set(self.clock.now()),
         }
         socket.write(bytes);
     }
 
     /// Connects to a worker, and serves the connection until it ends.
-    async fn connect(self: Rc<Self>, connection: ConnectionId, address: String, within: Time) {
+    async fn connect(self: Rc<Self>, connection: ConnectionId, address: String, timeout: Time) {
         let max_in_use = self.core.borrow().max_worker_connections() + MAX_CLOSING;
         let dial = async |dialled: &Cell<bool>| {
             self.workers.wait_below(max_in_use).await;
@@ -160,10 +162,10 @@
                 .await
                 .map(|stream| (stream, slot))
         };
-        let within = Duration::from_nanos(within);
-        match sockets::connect(within, dial, &self.local_faults).await {
+        let timeout = Duration::from_nanos(timeout);
+        match sockets::connect(timeout, dial, &self.local_faults).await {
             Ok((stream, slot)) => {
-                let socket = Socket::new(stream, Side::Worker, slot);
+                let socket = Socket::new(stream, PeerKind::Worker, slot);
                 self.sockets.borrow_mut().insert(connection, socket.clone());
                 self.update_core(|core, now| core.worker_connected(now, connection));
                 self.serve_connection(connection, socket).await;
--- a/crates/pipithub-node/src/shell/connection.rs
+++ b/crates/pipithub-node/src/shell/connection.rs
@@ -6,10 +6,10 @@
 use pipithub_engine::Time;
 use tokio::io::Interest;
 
-use super::socket::{Side, Socket};
+use super::socket::{PeerKind, Socket};
 use super::{MAX_LINGERING, READ_BUFFER_BYTES, Shell};
 use crate::effect::ConnectionId;
-use crate::sockets::{LOCAL_RETRY, Transfer, TransferEnd};
+use crate::sockets::{LOCAL_RETRY_DELAY, Transfer, TransferEnd};
 
 /// How many full buffers are read at most from a client before its connection is closed: more than all pending calls
 /// that it may have.
@@ -59,12 +59,12 @@
         self.transfer_until_end(connection, &socket).await;
         if socket.is_closing() {
             // The core has removed it already.
-            return self.linger_if_owed(&socket).await;
+            return self.linger_if_answered(&socket).await;
         }
         self.sockets.borrow_mut().remove(&connection);
-        self.update_core(|core, now| match socket.side() {
-            Side::Client => core.client_closed(now, connection),
-            Side::Worker => core.worker_closed(now, connection, socket.written()),
+        self.update_core(|core, now| match socket.peer_kind() {
+            PeerKind::Client => core.client_closed(now, connection),
+            PeerKind::Worker => core.worker_closed(now, connection, socket.written()),
         });
     }
 
@@ -103,19 +103,19 @@
     /// Writes what waits to be written.
     fn flush(self: &Rc<Self>, connection: ConnectionId, socket: &Socket) {
         socket.flush();
-        match socket.side() {
-            Side::Worker => {
+        match socket.peer_kind() {
+            PeerKind::Worker => {
                 self.update_core(|_, _| self.written_workers.borrow_mut().push(connection));
             }
-            Side::Client => self.last_client_activity.set(self.clock.now()),
+            PeerKind::Client => self.last_client_activity.set(self.clock.now()),
         }
     }
 
     /// Gives a client to which something was written the time to read it, unless too many clients linger already.
-    async fn linger_if_owed(&self, socket: &Socket) {
+    async fn linger_if_answered(&self, socket: &Socket) {
         let was_answered = socket.written() > 0 || socket.has_unwritten();
         let may_linger = self.shutting_down.get() || self.lingering.get() < MAX_LINGERING;
-        if socket.side() == Side::Client && was_answered && may_linger {
+        if socket.peer_kind() == PeerKind::Client && was_answered && may_linger {
             self.lingering.set(self.lingering.get() + 1);
             let _ = tokio::time::timeout(LINGER_TIMEOUT, self.linger(socket)).await;
             self.lingering.set(self.lingering.get() - 1);
@@ -126,8 +126,8 @@
     /// as the peer is not at fault.
     async fn wait_for_local_resources(&self, socket: &Socket) {
         if socket.take_exhausted() {
-            self.local_faults.note();
-            tokio::time::sleep(LOCAL_RETRY).await;
+            self.local_faults.increment();
+            tokio::time::sleep(LOCAL_RETRY_DELAY).await;
         }
     }
 
@@ -148,7 +148,7 @@
 
     /// Reads what there is, at most a buffer full, and gives it to the core.
     fn read(self: &Rc<Self>, connection: ConnectionId, socket: &Socket) -> Progress {
-        if socket.side() == Side::Client && socket.peer_closed() {
+        if socket.peer_kind() == PeerKind::Client && socket.peer_closed() {
             // What it sent before that and is still unread does not count any more.
             return Progress::Ended;
         }
@@ -156,18 +156,18 @@
         let Transfer { count: filled, end } = socket.read(&mut read_buffer);
         // Calls that a client sent right before its close are not run, as it no longer waits for them. What a worker
         // answered before its close counts.
-        if end == TransferEnd::Ended && (socket.side() == Side::Client || filled == 0) {
+        if end == TransferEnd::Ended && (socket.peer_kind() == PeerKind::Client || filled == 0) {
             return Progress::Ended;
         }
         if filled == 0 {
             return Progress::Drained;
         }
         let bytes = &read_buffer[..filled];
-        self.update_core(|core, now| match socket.side() {
-            Side::Client => core.client_bytes(now, connection, bytes),
-            Side::Worker => core.worker_bytes(now, connection, bytes),
+        self.update_core(|core, now| match socket.peer_kind() {
+            PeerKind::Client => core.client_bytes(now, connection, bytes),
+            PeerKind::Worker => core.worker_bytes(now, connection, bytes),
         });
-        if socket.side() == Side::Client {
+        if socket.peer_kind() == PeerKind::Client {
             self.last_client_activity.set(self.clock.now());
         }
         if end == TransferEnd::Complete {
--- a/crates/pipithub-node/src/shell/listener.rs
+++ b/crates/pipithub-node/src/shell/listener.rs
@@ -4,26 +4,26 @@
 
 use tokio::net::TcpListener;
 
-use super::socket::{Side, Socket};
+use super::socket::{PeerKind, Socket};
 use super::{MAX_LINGERING, Shell};
 use crate::core::Core;
 use crate::sockets;
 
 /// How many clients may be connected beyond the limit, while others are being closed for them.
-const MAX_NEWCOMERS: usize = 3;
+const MAX_EXCESS_CLIENTS: usize = 3;
 
 impl Shell {
     /// Accepts clients until the listener fails, and begins the shutdown then.
     pub(super) async fn accept(self: Rc<Self>, listener: TcpListener) {
         let max_in_use =
-            self.core.borrow().max_client_connections() + MAX_LINGERING + MAX_NEWCOMERS;
+            self.core.borrow().max_client_connections() + MAX_LINGERING + MAX_EXCESS_CLIENTS;
         let accept = async || {
             self.clients.wait_below(max_in_use).await;
             listener.accept().await
         };
-        let take = |(stream, _)| {
+        let on_connection = |(stream, _)| {
             let connection = self.core.borrow_mut().next_connection_id();
-            let socket = Socket::new(stream, Side::Client, self.clients.take());
+            let socket = Socket::new(stream, PeerKind::Client, self.clients.take());
             self.last_client_activity.set(self.clock.now());
             self.sockets.borrow_mut().insert(connection, socket.clone());
             self.update_core(|core, now| core.client_connected(now, connection));
@@ -32,7 +32,7 @@
                 async move { shell.serve_connection(connection, socket).await },
             );
         };
-        sockets::accept_all(accept, take, &self.local_faults).await;
+        sockets::accept_all(accept, on_connection, &self.local_faults).await;
         // No client can connect any more: pending calls are finished, and the process ends.
         self.update_core(Core::begin_shutdown);
     }
--- a/crates/pipithub-node/src/shell/reload.rs
+++ b/crates/pipithub-node/src/shell/reload.rs
@@ -16,7 +16,7 @@
 const MAX_RELOAD_RETRIES: u32 = 6;
 
 /// Reads a configuration file.
-pub(super) fn load(path: &Path) -> Result<NodeConfig, StartError> {
+pub(super) fn load_config(path: &Path) -> Result<NodeConfig, StartError> {
     let text = std::fs::read_to_string(path).map_err(|error| StartError::ReadConfig {
         path: path.to_path_buf(),
         error,
@@ -64,7 +64,7 @@
 
     fn read(&mut self) {
         self.retry_at = None;
-        match load(&self.path) {
+        match load_config(&self.path) {
             Ok(config) => self.apply(config),
             Err(reason) => {
                 error!(%reason, retries = self.retries, "previous configuration stays in force");
@@ -81,9 +81,9 @@
         info!(coordinator = config.coordinator, "configuration read again");
         // The stream is kept if the address is the same: each new request for the list is a load on the coordinator.
         self.coordinator.send_if_modified(|address| {
-            let moved = *address != config.coordinator;
+            let changed = *address != config.coordinator;
             *address = config.coordinator;
-            moved
+            changed
         });
     }
 }
--- a/crates/pipithub-node/src/shell/runtime.rs
+++ b/crates/pipithub-node/src/shell/runtime.rs
@@ -15,9 +15,9 @@
 use tokio::sync::{Notify, watch};
 use tracing::info;
 
-use super::reload::{ConfigReloader, load};
+use super::reload::{ConfigReloader, load_config};
 use super::slots::Slots;
-use super::socket::Side;
+use super::socket::PeerKind;
 use super::{READ_BUFFER_BYTES, Shell};
 use crate::coordinator::{self, StreamUpdate};
 use crate::core::Core;
@@ -121,7 +121,7 @@
             self.sockets
                 .borrow()
                 .values()
-                .all(|socket| socket.side() == Side::Worker || !socket.has_unwritten())
+                .all(|socket| socket.peer_kind() == PeerKind::Worker || !socket.has_unwritten())
         };
         let quiet =
             || now >= self.last_client_activity.get() + QUIET_TIME && self.lingering.get() == 0;
@@ -176,7 +176,7 @@
             signal(SignalKind::interrupt())?,
         );
         let reload = signal(SignalKind::hangup())?;
-        let config = load(path)?;
+        let config = load_config(path)?;
         let address = listen.unwrap_or_else(|| config.listen.clone());
         let listener = TcpListener::bind(&*address).await;
         let listener = listener.map_err(|reason| StartError::Listen { address, reason })?;
--- a/crates/pipithub-node/src/shell/socket.rs
+++ b/crates/pipithub-node/src/shell/socket.rs
@@ -24,14 +24,14 @@
 
 /// Which side a connection is of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Side {
+pub(super) enum PeerKind {
     Client,
     Worker,
 }
 
 /// A connected socket, its write buffer and how it is to end.
 pub(super) struct Socket {
-    side: Side,
+    peer_kind: PeerKind,
     stream: TcpStream,
     unwritten: RefCell<BytesMut>,
     /// Bytes that the system has accepted so far.
@@ -55,11 +55,11 @@
 }
 
 impl Socket {
-    pub(super) fn new(stream: TcpStream, side: Side, slot: Slot) -> Rc<Self> {
+    pub(super) fn new(stream: TcpStream, peer_kind: PeerKind, slot: Slot) -> Rc<Self> {
         // Without this option answers come later, and nothing else changes.
         let _ = stream.set_nodelay(true);
         Rc::new(Socket {
-            side,
+            peer_kind,
             stream,
             unwritten: RefCell::default(),
             written: Cell::new(0),
@@ -72,8 +72,8 @@
         })
     }
 
-    pub(super) fn side(&self) -> Side {
-        self.side
+    pub(super) fn peer_kind(&self) -> PeerKind {
+        self.peer_kind
     }
 
     /// How many bytes the system has accepted since the connection was made.
--- a/crates/pipithub-node/src/sockets.rs
+++ b/crates/pipithub-node/src/sockets.rs
@@ -10,7 +10,7 @@
 use tracing::{debug, error, warn};
 
 /// How long to wait before retrying what failed because this machine lacked a resource.
-pub const LOCAL_RETRY: Duration = Duration::from_millis(10);
+pub const LOCAL_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// Counts the system calls that failed because this machine lacked a resource.
 #[derive(Debug, Default)]
@@ -18,7 +18,7 @@
 
 impl LocalFaults {
     /// Counts one more failure.
-    pub fn note(&self) {
+    pub fn increment(&self) {
         self.0.set(self.0.get() + 1);
     }
 
@@ -31,21 +31,21 @@
 /// Accepts connections until the listener fails for good, and passes each to `take`.
 pub async fn accept_all<T>(
     mut accept: impl AsyncFnMut() -> io::Result<T>,
-    mut take: impl FnMut(T),
+    mut on_connection: impl FnMut(T),
     faults: &LocalFaults,
 ) {
     loop {
         match accept().await {
-            Ok(connection) => take(connection),
+            Ok(connection) => on_connection(connection),
             Err(error) => match accept_failure(&error) {
                 AcceptFailure::Connection => {
                     debug!(%error, "connection ended before it was accepted");
                 }
                 AcceptFailure::Exhausted => {
                     // Connections that close free resources.
-                    faults.note();
+                    faults.increment();
                     warn!(%error, "failed to accept connection, retrying");
-                    sleep(LOCAL_RETRY).await;
+                    sleep(LOCAL_RETRY_DELAY).await;
                 }
                 AcceptFailure::Fatal => {
                     return error!(%error, "failed to accept connection, no longer accepting");
@@ -75,7 +75,7 @@
 /// # Errors
 /// [`ConnectError`] says whose fault it is.
 pub async fn connect<T>(
-    within: Duration,
+    connect_timeout: Duration,
     mut dial: impl AsyncFnMut(&Cell<bool>) -> io::Result<T>,
     faults: &LocalFaults,
 ) -> Result<T, ConnectError> {
@@ -86,9 +86,9 @@
             match dial(&dialled).await {
                 Err(error) if fault_origin(&error) == FaultOrigin::Local => {
                     dialled.set(false);
-                    faults.note();
+                    faults.increment();
                     debug!(%error, "failed to connect, retrying");
-                    sleep(LOCAL_RETRY).await;
+                    sleep(LOCAL_RETRY_DELAY).await;
                 }
                 other => return other.map_err(ConnectError::Peer),
             }
@@ -101,7 +101,9 @@
             ConnectError::Local
         })
     };
-    timeout(within, attempts).await.unwrap_or_else(timed_out)
+    timeout(connect_timeout, attempts)
+        .await
+        .unwrap_or_else(timed_out)
 }
 
 /// What ended a series of reads or writes.
--- a/crates/pipithub-node/tests/answers_before_close.rs
+++ b/crates/pipithub-node/tests/answers_before_close.rs
@@ -13,15 +13,15 @@
 }
 
 /// A line that has an id but asks for an unknown method.
-fn faulty(id: u64) -> String {
+fn unknown_method(id: u64) -> String {
     format!(r#"{{"jsonrpc":"2.0","id":{id},"method":"nothing"}}"#) + "\n"
 }
 
 /// A reason for which the front end closes a client's connection.
-struct Ending {
+struct CloseReason {
     name: &'static str,
     /// Brings it about on a new connection on which the text has come, read or not.
-    play: fn(&mut CoreHarness, &str) -> ConnectionId,
+    trigger: fn(&mut CoreHarness, &str) -> ConnectionId,
 }
 
 fn read(harness: &mut CoreHarness, connection: ConnectionId, text: &str) {
@@ -30,10 +30,10 @@
         .client_bytes(harness.now, connection, text.as_bytes());
 }
 
-const ENDINGS: [Ending; 11] = [
-    Ending {
+const CLOSE_REASONS: [CloseReason; 11] = [
+    CloseReason {
         name: "too many connections",
-        play: |harness, text| {
+        trigger: |harness, text| {
             let connection = harness.connect_client();
             harness.unread.insert(connection, text.into());
             // The first client without a request is closed first.
@@ -43,9 +43,9 @@
             connection
         },
     },
-    Ending {
+    CloseReason {
         name: "too many connections, the newcomer's",
-        play: |harness, text| {
+        trigger: |harness, text| {
             for id in 1..=24 {
                 let client = harness.connect_client();
                 read(harness, client, &call(1000 + id));
@@ -55,18 +55,18 @@
             connection
         },
     },
-    Ending {
+    CloseReason {
         name: "silent",
-        play: |harness, text| {
+        trigger: |harness, text| {
             let connection = harness.connect_client();
             harness.advance(1_990 * MS);
             harness.unread.insert(connection, text.into());
             connection
         },
     },
-    Ending {
+    CloseReason {
         name: "incomplete request",
-        play: |harness, text| {
+        trigger: |harness, text| {
             let connection = harness.connect_client();
             let (start, rest) = text.split_at(text.len() / 3);
             read(harness, connection, start);
@@ -75,35 +75,35 @@
             connection
         },
     },
-    Ending {
+    CloseReason {
         name: "malformed line before it",
-        play: |harness, text| {
+        trigger: |harness, text| {
             let connection = harness.connect_client();
             read(harness, connection, &format!("noise\n{text}"));
             connection
         },
     },
-    Ending {
+    CloseReason {
         name: "malformed line before it, itself unread",
-        play: |harness, text| {
+        trigger: |harness, text| {
             let connection = harness.connect_client();
             harness.unread.insert(connection, text.into());
             read(harness, connection, "noise\n");
             connection
         },
     },
-    Ending {
+    CloseReason {
         name: "faulty lines in a row before it",
-        play: |harness, text| {
+        trigger: |harness, text| {
             let connection = harness.connect_client();
-            let faults: String = (101..=104).map(faulty).collect();
+            let faults: String = (101..=104).map(unknown_method).collect();
             read(harness, connection, &(faults + text));
             connection
         },
     },
-    Ending {
+    CloseReason {
         name: "a line too long behind it",
-        play: |harness, text| {
+        trigger: |harness, text| {
             let connection = harness.connect_client();
             read(
                 harness,
@@ -113,9 +113,9 @@
             connection
         },
     },
-    Ending {
+    CloseReason {
         name: "no longer read while a call is pending",
-        play: |harness, text| {
+        trigger: |harness, text| {
             let connection = harness.connect_client();
             read(harness, connection, &(call(500) + "noise\n"));
             harness.advance(10 * MS);
@@ -123,9 +123,9 @@
             connection
         },
     },
-    Ending {
+    CloseReason {
         name: "shutdown, drained",
-        play: |harness, text| {
+        trigger: |harness, text| {
             let connection = harness.connect_client();
             harness.core.begin_shutdown(harness.now);
             harness.advance(800 * MS);
@@ -133,9 +133,9 @@
             connection
         },
     },
-    Ending {
+    CloseReason {
         name: "the end of the process",
-        play: |harness, text| {
+        trigger: |harness, text| {
             let connection = harness.connect_client();
             harness.core.begin_shutdown(harness.now);
             // Before the connection counts as silent.
@@ -164,14 +164,14 @@
         ),
         (
             "a call of no class, and a call",
-            faulty(1) + &call(2),
+            unknown_method(1) + &call(2),
             &[1, 2],
         ),
     ];
-    for Ending { name, play } in ENDINGS {
+    for CloseReason { name, trigger } in CLOSE_REASONS {
         for (content, text, requested) in &contents {
             let mut harness = CoreHarness::new();
-            let connection = play(&mut harness, text);
+            let connection = trigger(&mut harness, text);
             let to_client = lines_to_client(&mut harness, connection);
             let closed = to_client.iter().position(|line| line == "closed");
             let closed = closed.unwrap_or(to_client.len());
--- a/crates/pipithub-node/tests/close_race.rs
+++ b/crates/pipithub-node/tests/close_race.rs
@@ -11,11 +11,11 @@
 
 /// Clients that may be connected with 44 descriptors.
 const CLIENTS: usize = 12;
-const MAX_TURNS: usize = 12;
+const MAX_YIELDS: usize = 12;
 
 /// Sends a request that many turns after a newcomer has connected, for which the client's connection is closed; returns
 /// whether the request came before the client was told of the close. It must be answered then.
-async fn request_precedes_close(turns: usize) -> bool {
+async fn request_precedes_close(yields: usize) -> bool {
     let (_coordinator, coordinator_address) = listener().await;
     let mut config = config(coordinator_address, &[event(1, true, &[])]);
     config["limits"]["sockets"] = 44.into();
@@ -30,8 +30,8 @@
         others.push(other);
     }
     // The system holds the newcomer's connection, and the front end has not run since.
-    let _newcomer = TcpStream::connect(node).expect("connects");
-    for _ in 0..turns {
+    let _new_client = TcpStream::connect(node).expect("connects");
+    for _ in 0..yields {
         yield_now().await;
     }
     let mut stream = longest_idle.into_stream().into_std().expect("a socket");
@@ -42,7 +42,7 @@
     assert_eq!(stream.write(line.as_bytes()).expect("written"), line.len());
     let stream = tokio::net::TcpStream::from_std(stream).expect("a socket");
     let answer = Peer::new(stream).receive().await;
-    let answer = answer.unwrap_or_else(|| panic!("closed unanswered after {turns} turns"));
+    let answer = answer.unwrap_or_else(|| panic!("closed unanswered after {yields} yields"));
     assert_eq!(answer["id"], 7);
     true
 }
@@ -60,11 +60,11 @@
 async fn request_that_crosses_a_close_to_make_room_is_answered_or_comes_after_the_close() {
     run_test(async {
         let mut precedes = Vec::new();
-        for turns in 0..MAX_TURNS {
-            precedes.push(request_precedes_close(turns).await);
+        for yields in 0..MAX_YIELDS {
+            precedes.push(request_precedes_close(yields).await);
         }
         assert!(
-            precedes[0] && !precedes[MAX_TURNS - 1],
+            precedes[0] && !precedes[MAX_YIELDS - 1],
             "both cases occur: {precedes:?}"
         );
     })
--- a/crates/pipithub-node/tests/closes.rs
+++ b/crates/pipithub-node/tests/closes.rs
@@ -20,27 +20,27 @@
 const READ_BUFFER_BYTES: usize = 64 << 10;
 
 /// Counts the turns of a task that is always ready.
-fn count_turns() -> Rc<Cell<u64>> {
-    let turns = Rc::new(Cell::new(0u64));
-    let counted = turns.clone();
+fn count_rounds() -> Rc<Cell<u64>> {
+    let rounds = Rc::new(Cell::new(0u64));
+    let counted = rounds.clone();
     spawn_local(async move {
         loop {
             counted.set(counted.get() + 1);
             yield_now().await;
         }
     });
-    turns
+    rounds
 }
 
 /// Follows a coordinator; returns the turn in which each event was applied.
-fn follow(address: String, turns: Rc<Cell<u64>>) -> Rc<RefCell<Vec<u64>>> {
+fn record_apply_rounds(address: String, rounds: Rc<Cell<u64>>) -> Rc<RefCell<Vec<u64>>> {
     let applied_at = Rc::new(RefCell::new(Vec::new()));
-    let noted = applied_at.clone();
+    let recorded = applied_at.clone();
     spawn_local(async move {
         let (_address, followed) = watch::channel(address);
         let apply = |update| {
             if matches!(update, StreamUpdate::Event(_)) {
-                noted.borrow_mut().push(turns.get());
+                recorded.borrow_mut().push(rounds.get());
             }
         };
         coordinator::follow(followed, 0, Names::default(), 1, apply).await;
@@ -49,13 +49,13 @@
 }
 
 #[tokio::test]
-async fn many_endpoint_events_at_once_leave_turns_to_other_tasks() {
+async fn many_endpoint_events_at_once_do_not_starve_other_tasks() {
     const EVENTS: u64 = 200;
     // Tasks that are ready together change places from turn to turn, and one may be woken twice in a turn.
-    const MAX_EVENTS_IN_A_TURN: usize = 4;
+    const MAX_EVENTS_PER_ROUND: usize = 4;
     run_test(async {
         let (coordinator, address) = listener().await;
-        let applied_at = follow(address.to_string(), count_turns());
+        let applied_at = record_apply_rounds(address.to_string(), count_rounds());
         let (mut stream, _) = coordinator.accept().await.expect("a request");
         read_request_head(&mut stream).await;
         let mut text = STREAM_HEAD.to_string();
@@ -69,12 +69,12 @@
         }
         let applied_at = applied_at.borrow();
         let too_many = applied_at
-            .windows(MAX_EVENTS_IN_A_TURN + 1)
-            .filter(|events| events[0] == events[MAX_EVENTS_IN_A_TURN])
+            .windows(MAX_EVENTS_PER_ROUND + 1)
+            .filter(|events| events[0] == events[MAX_EVENTS_PER_ROUND])
             .count();
         assert_eq!(
             too_many, 0,
-            "more than {MAX_EVENTS_IN_A_TURN} events between two turns of another task: {applied_at:?}"
+            "more than {MAX_EVENTS_PER_ROUND} events between two turns of another task: {applied_at:?}"
         );
     })
     .await;
@@ -82,7 +82,7 @@
 
 #[cfg(target_os = "linux")]
 #[tokio::test]
-async fn worker_that_writes_without_end_leaves_turns_to_other_tasks() {
+async fn worker_that_writes_without_end_does_not_starve_other_tasks() {
     use socket_harness::system_queues::bytes_between;
     run_test(async {
         let front_end = FrontEnd::start().await;
@@ -122,7 +122,7 @@
 
 /// Its cancels and its close still count.
 #[tokio::test]
-async fn client_that_is_no_longer_served_can_cancel_its_call_or_close() {
+async fn client_whose_further_calls_are_rejected_can_cancel_its_call_or_close() {
     const CANCEL_CALL_7: &str =
         "{\"jsonrpc\":\"2.0\",\"method\":\"forget\",\"params\":{\"id\":7}}\n";
     for closes in [true, false] {
--- a/crates/pipithub-node/tests/connection_pool.rs
+++ b/crates/pipithub-node/tests/connection_pool.rs
@@ -98,35 +98,42 @@
 
 /// A sweep comes a hundred times a second: looking at all workers each time was most of an idle front end's work.
 #[test]
-fn sweep_watches_only_workers_with_pending_work_whatever_their_number() {
+fn sweep_visits_only_workers_with_pending_work_whatever_their_number() {
     for workers in [10, 10_000] {
         let mut harness = PoolHarness::new(50);
         let name = |n: u32| WorkerId::new(&format!("w{n}"));
         (1..workers).for_each(|n| harness.pool.set_address(&name(n), "10.0.0.2:1", false));
         harness.pool.sweep(0);
-        assert_eq!(harness.pool.watched(), 0, "{workers} workers");
+        assert_eq!(harness.pool.sweep_set_len(), 0, "{workers} workers");
         harness.submit(MS, 1);
-        assert_eq!(harness.pool.watched(), 1, "a request waits");
+        assert_eq!(harness.pool.sweep_set_len(), 1, "a request waits");
         for connection in harness.requested_connections() {
             harness.pool.connected(2 * MS, connection);
         }
         harness.pool.sweep(3 * MS);
-        assert_eq!(harness.pool.watched(), 0, "it was sent");
+        assert_eq!(harness.pool.sweep_set_len(), 0, "it was sent");
         // A request that waits in vain still fails in time.
         let request = worker_request(4 * MS, 2);
         harness.pool.submit(4 * MS, &name(3), request);
         harness.pool.sweep(5 * MS);
-        assert_eq!((harness.pool.watched(), harness.failures()), (1, vec![]));
+        assert_eq!(
+            (harness.pool.sweep_set_len(), harness.failures()),
+            (1, vec![])
+        );
         harness.pool.sweep(600 * MS);
         let failure = (2, SendFailure::Unreachable);
         assert_eq!(
-            (harness.pool.watched(), harness.failures()),
+            (harness.pool.sweep_set_len(), harness.failures()),
             (0, vec![failure])
         );
         harness.pool.set_address(&name(7), "", true);
-        assert_eq!(harness.pool.watched(), 1, "a removed worker is forgotten");
+        assert_eq!(
+            harness.pool.sweep_set_len(),
+            1,
+            "a removed worker is forgotten"
+        );
         harness.pool.sweep(700 * MS);
-        assert_eq!(harness.pool.watched(), 0);
+        assert_eq!(harness.pool.sweep_set_len(), 0);
     }
 }
 
--- a/crates/pipithub-node/tests/connection_pool_unread.rs
+++ b/crates/pipithub-node/tests/connection_pool_unread.rs
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn connection_with_half_a_line_is_closed_after_its_last_answer_and_replaced() {
+fn connection_with_an_incomplete_line_is_closed_after_its_last_answer_and_replaced() {
     let mut harness = PoolHarness::with_settings(settings(1, 8));
     let connection = harness.send(0, 1);
     harness.submit(0, 2);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn request_behind_half_a_line_is_resent_on_another_connection() {
+fn request_behind_an_incomplete_line_is_resent_on_another_connection() {
     let mut harness = PoolHarness::new(1);
     let connection = harness.send(0, 1);
     harness.submit(0, 2);
--- a/crates/pipithub-node/tests/coordinator.rs
+++ b/crates/pipithub-node/tests/coordinator.rs
@@ -17,9 +17,9 @@
 
 /// Records when something was logged: each attempt to connect ends with a log line.
 #[derive(Clone, Default)]
-struct LogTimes(Arc<Mutex<Vec<Instant>>>);
+struct LogTimeRecorder(Arc<Mutex<Vec<Instant>>>);
 
-impl Subscriber for LogTimes {
+impl Subscriber for LogTimeRecorder {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
         metadata.target() == "pipithub_node::coordinator"
     }
@@ -40,8 +40,8 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bound");
     let address = listener.local_addr().expect("bound").to_string();
     drop(listener);
-    let (_hold, followed) = watch::channel(address);
-    let times = LogTimes::default();
+    let (_address_sender, followed) = watch::channel(address);
+    let times = LogTimeRecorder::default();
     let _guard = tracing::subscriber::set_default(times.clone());
     let following = follow(followed, 0, Names::default(), seed, |_| {});
     let _ = tokio::time::timeout(
@@ -56,32 +56,38 @@
 /// Hundreds of front ends lose their coordinator at the same time; they must not reconnect in step.
 #[tokio::test(start_paused = true)]
 async fn reconnect_backoff_is_jittered_by_each_front_ends_seed() {
-    let (one, other) = (reconnect_delays(1).await, reconnect_delays(2).await);
-    assert!(one.len() > 10 && other.len() > 10, "{one:?}, {other:?}");
-    for delays in [&one, &other] {
+    let (first, second) = (reconnect_delays(1).await, reconnect_delays(2).await);
+    assert!(
+        first.len() > 10 && second.len() > 10,
+        "{first:?}, {second:?}"
+    );
+    for delays in [&first, &second] {
         for (i, delay) in delays.iter().enumerate() {
-            let middle = Duration::from_millis(50 << i.min(4));
-            let slack = Duration::from_millis(2);
+            let nominal = Duration::from_millis(50 << i.min(4));
+            let tolerance = Duration::from_millis(2);
             assert!(
-                *delay + slack >= middle / 2 && *delay <= middle * 3 / 2 + slack,
+                *delay + tolerance >= nominal / 2 && *delay <= nominal * 3 / 2 + tolerance,
                 "{i}: {delay:?}"
             );
         }
     }
-    let apart = one
+    let differing = first
         .iter()
-        .zip(&other)
+        .zip(&second)
         .filter(|(a, b)| a.abs_diff(**b) > Duration::from_millis(2))
         .count();
-    assert!(apart * 2 > one.len().min(other.len()), "{one:?}, {other:?}");
-    assert_eq!(one, reconnect_delays(1).await, "the seed determines them");
+    assert!(
+        differing * 2 > first.len().min(second.len()),
+        "{first:?}, {second:?}"
+    );
+    assert_eq!(first, reconnect_delays(1).await, "the seed determines them");
 }
 
 /// Records the fields of each error that is logged.
 #[derive(Clone, Default)]
-struct Errors(Arc<Mutex<Vec<String>>>);
+struct ErrorRecorder(Arc<Mutex<Vec<String>>>);
 
-impl Visit for Errors {
+impl Visit for ErrorRecorder {
     fn record_debug(&mut self, field: &Field, value: &dyn Debug) {
         if let Some(last) = self.0.lock().expect("one thread").last_mut() {
             last.push_str(&format!("{}={value:?} ", field.name()));
@@ -89,7 +95,7 @@
     }
 }
 
-impl Subscriber for Errors {
+impl Subscriber for ErrorRecorder {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
         metadata.target() == "pipithub_node::coordinator" && *metadata.level() == Level::ERROR
     }
@@ -109,28 +115,31 @@
 /// An operator must be able to see why a front end no longer follows the endpoint list, and since when.
 #[tokio::test]
 async fn unusable_events_are_counted_and_logged_with_place_and_reason() {
-    let good = serde_json::json!({"host": "w1", "dial": "127.0.0.1:1", "health": "SERVING"});
+    let valid_host = serde_json::json!({"host": "w1", "dial": "127.0.0.1:1", "health": "SERVING"});
     let unknown_health = serde_json::json!({"host": "w2", "dial": "127.0.0.1:1", "health": "ODD"});
     let long = "x".repeat(MAX_DATA_BYTES + 1);
     let cases = [
         (
-            event(2, false, &[good.clone(), unknown_health]),
+            event(2, false, &[valid_host.clone(), unknown_health]),
             "endpoints.hosts[1].health: unknown",
         ),
         (long, "event 2: data: more than 8192000 bytes"),
     ];
     for (text, reason) in cases {
         let coordinator = Coordinator::start(Behaviour::default()).expect("listens");
-        coordinator.publish_text(1, "", &event(1, true, std::slice::from_ref(&good)));
-        let (errors, taken) = (Errors::default(), std::cell::RefCell::new(Vec::new()));
+        coordinator.publish_text(1, "", &event(1, true, std::slice::from_ref(&valid_host)));
+        let (errors, applied) = (
+            ErrorRecorder::default(),
+            std::cell::RefCell::new(Vec::new()),
+        );
         let _guard = tracing::subscriber::set_default(errors.clone());
-        let (_hold, followed) = watch::channel(coordinator.address().to_string());
+        let (_address_sender, followed) = watch::channel(coordinator.address().to_string());
         let logged = || errors.0.lock().expect("one thread").clone();
         let following = follow(followed, 0, Names::default(), 1, |update| {
             let StreamUpdate::Event(event) = update else {
                 return;
             };
-            taken.borrow_mut().push(event.index);
+            applied.borrow_mut().push(event.index);
             coordinator.publish_text(2, &text, &text);
         });
         let logged_twice = async {
@@ -154,6 +163,6 @@
                 "{error}"
             );
         }
-        assert_eq!(*taken.borrow(), [1], "the previous list stays in use");
+        assert_eq!(*applied.borrow(), [1], "the previous list stays in use");
     }
 }
--- a/crates/pipithub-node/tests/coordinator_silence.rs
+++ b/crates/pipithub-node/tests/coordinator_silence.rs
@@ -10,19 +10,19 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// One connection to the coordinator.
-struct Connection {
+struct ScriptedConnection {
     /// The last event that the front end must state that it has.
     last_event: u64,
     /// What the coordinator writes before it falls silent.
     text: String,
 }
 
-fn silent_connections(worker: SocketAddr) -> [Connection; 6] {
+fn silent_connections(worker: SocketAddr) -> [ScriptedConnection; 6] {
     let event = |index: u64, is_complete| {
         let event = event(index, is_complete, &[("w1", worker, "SERVING")]);
         format!("id: {index}\ndata: {event}\n\n")
     };
-    let connection = |last_event, text: &str| Connection {
+    let connection = |last_event, text: &str| ScriptedConnection {
         last_event,
         text: text.to_string(),
     };
@@ -40,7 +40,7 @@
 }
 
 /// Plays one connection, and returns it open.
-async fn play(coordinator: &TcpListener, connection: Connection) -> TcpStream {
+async fn serve_connection(coordinator: &TcpListener, connection: ScriptedConnection) -> TcpStream {
     let (mut stream, _) = coordinator.accept().await.expect("a request");
     let request = read_request_head(&mut stream).await;
     let last_event = format!("last-event-id: {}", connection.last_event);
@@ -58,7 +58,7 @@
         let node = start(&config(coordinator_address, &[])).await;
         let mut open = Vec::new();
         for connection in silent_connections(worker_address) {
-            open.push(play(&coordinator, connection).await);
+            open.push(serve_connection(&coordinator, connection).await);
         }
         let mut client = Peer::connect(node).await;
         let mut id = 1;
--- a/crates/pipithub-node/tests/core_clients.rs
+++ b/crates/pipithub-node/tests/core_clients.rs
@@ -220,7 +220,7 @@
     assert!(
         harness
             .effects()
-            .contains(&Effect::Retire { connection: silent }),
+            .contains(&Effect::CloseIfIdle { connection: silent }),
         "the shell reads the connection once more"
     );
     harness.call(silent, 7, "view");
--- a/crates/pipithub-node/tests/core_harness/mod.rs
+++ b/crates/pipithub-node/tests/core_harness/mod.rs
@@ -109,7 +109,7 @@
                     Effect::Close { connection } => {
                         written.push((connection, "closed".to_string()));
                     }
-                    Effect::Retire { connection } => {
+                    Effect::CloseIfIdle { connection } => {
                         if let Some(unread) = self.unread.remove(&connection) {
                             self.core.client_bytes(self.now, connection, &unread);
                         }
--- a/crates/pipithub-node/tests/core_leases.rs
+++ b/crates/pipithub-node/tests/core_leases.rs
@@ -8,28 +8,28 @@
 use pipithub_node::effect::{ConnectionId, Effect};
 
 /// How long the list of the start is relied on, with a grace of 1 s.
-const LEASE: u64 = 850 * MS;
-const CALL: &str = r#"{"cmd":"DO""#;
-const HEALTH_CHECK: &str = r#"{"cmd":"ECHO""#;
+const LEASE_DURATION: u64 = 850 * MS;
+const CALL_PREFIX: &str = r#"{"cmd":"DO""#;
+const HEALTH_CHECK_PREFIX: &str = r#"{"cmd":"ECHO""#;
 
 /// A front end that has begun to follow a coordinator and has heard nothing of it.
-fn following() -> CoreHarness {
+fn harness_following_coordinator() -> CoreHarness {
     let mut harness = CoreHarness::new();
     harness.core.follow_coordinator(harness.now);
     harness
 }
 
 /// The lines to workers that begin like this, with their connections.
-fn lines_with<'a>(
+fn lines_starting_with<'a>(
     written: &'a [(ConnectionId, String)],
-    begin: &'a str,
+    prefix: &'a str,
 ) -> impl Iterator<Item = &'a (ConnectionId, String)> {
     written
         .iter()
-        .filter(move |(_, line)| line.starts_with(begin))
+        .filter(move |(_, line)| line.starts_with(prefix))
 }
 
-fn answer(harness: &mut CoreHarness, check: &(ConnectionId, String), status: &str) {
+fn answer_check(harness: &mut CoreHarness, check: &(ConnectionId, String), status: &str) {
     let (_, rest) = check.1.split_once(r#""ref":""#).expect("a reference");
     let (reference, _) = rest.split_once('"').expect("its end");
     let line = format!("{{\"cmd\":\"{status}\",\"ref\":\"{reference}\",\"payload\":\"\"}}\n");
@@ -39,7 +39,9 @@
 }
 
 /// Takes the effects without establishing connections: those that are to be made, and the lines written.
-fn unestablished(harness: &mut CoreHarness) -> (Vec<ConnectionId>, Vec<(ConnectionId, String)>) {
+fn effects_without_connecting(
+    harness: &mut CoreHarness,
+) -> (Vec<ConnectionId>, Vec<(ConnectionId, String)>) {
     let (mut connecting, mut written) = (Vec::new(), Vec::new());
     for effect in harness.effects() {
         match effect {
@@ -55,19 +57,25 @@
 
 #[test]
 fn call_waits_for_a_health_check_once_the_list_is_out_of_reach() {
-    let mut harness = following();
-    harness.advance(LEASE);
+    let mut harness = harness_following_coordinator();
+    harness.advance(LEASE_DURATION);
     let client = harness.connect_client();
     harness.call(client, 7, "view");
     let written = harness.written();
-    assert_eq!(lines_with(&written, CALL).count(), 0, "{written:?}");
-    let check = lines_with(&written, HEALTH_CHECK)
+    assert_eq!(
+        lines_starting_with(&written, CALL_PREFIX).count(),
+        0,
+        "{written:?}"
+    );
+    let check = lines_starting_with(&written, HEALTH_CHECK_PREFIX)
         .next()
         .expect("a check")
         .clone();
-    answer(&mut harness, &check, "READY");
+    answer_check(&mut harness, &check, "READY");
     let written = harness.written();
-    let call = lines_with(&written, CALL).next().expect("the call");
+    let call = lines_starting_with(&written, CALL_PREFIX)
+        .next()
+        .expect("the call");
     assert_eq!(call.0, check.0, "on the connection of the check");
     let stats = harness.core.stats();
     assert_eq!((stats.health_checks, stats.failed_health_checks), (1, 0));
@@ -75,27 +83,34 @@
 
 #[test]
 fn call_goes_to_another_worker_if_the_first_one_is_not_in_service() {
-    let mut harness = following();
-    harness.advance(LEASE);
+    let mut harness = harness_following_coordinator();
+    harness.advance(LEASE_DURATION);
     let client = harness.connect_client();
     harness.call(client, 7, "view");
     let written = harness.written();
-    let first = lines_with(&written, HEALTH_CHECK)
+    let first = lines_starting_with(&written, HEALTH_CHECK_PREFIX)
         .next()
         .expect("a check")
         .clone();
-    answer(&mut harness, &first, "AILING");
+    answer_check(&mut harness, &first, "AILING");
     let written = harness.written();
-    assert_eq!(lines_with(&written, CALL).count(), 0, "{written:?}");
-    let second = lines_with(&written, HEALTH_CHECK)
+    assert_eq!(
+        lines_starting_with(&written, CALL_PREFIX).count(),
+        0,
+        "{written:?}"
+    );
+    let second = lines_starting_with(&written, HEALTH_CHECK_PREFIX)
         .next()
         .expect("a check")
         .clone();
     assert_ne!(second.0, first.0);
-    answer(&mut harness, &second, "READY");
+    answer_check(&mut harness, &second, "READY");
     let written = harness.written();
     assert_eq!(
-        lines_with(&written, CALL).next().expect("the call").0,
+        lines_starting_with(&written, CALL_PREFIX)
+            .next()
+            .expect("the call")
+            .0,
         second.0
     );
     assert_eq!(harness.core.stats().failed_health_checks, 1);
@@ -103,7 +118,7 @@
 
 #[test]
 fn nothing_is_checked_while_the_coordinator_gives_signs_of_life() {
-    let mut harness = following();
+    let mut harness = harness_following_coordinator();
     let client = harness.connect_client();
     for id in 1..60 {
         harness
@@ -111,7 +126,11 @@
             .apply_stream_update(harness.now, harness.now, &StreamUpdate::Current);
         harness.call(client, id, "view");
         let written = harness.written();
-        assert_eq!(lines_with(&written, CALL).count(), 1, "{written:?}");
+        assert_eq!(
+            lines_starting_with(&written, CALL_PREFIX).count(),
+            1,
+            "{written:?}"
+        );
         harness.advance(1_000 * MS);
         harness.written();
     }
@@ -120,23 +139,27 @@
 
 #[test]
 fn call_that_waits_for_a_connection_is_not_written_after_the_lease() {
-    let mut harness = following();
-    harness.advance(LEASE - 100 * MS);
+    let mut harness = harness_following_coordinator();
+    harness.advance(LEASE_DURATION - 100 * MS);
     let client = harness.connect_client();
     harness.call(client, 7, "assign");
-    let (connecting, _) = unestablished(&mut harness);
+    let (connecting, _) = effects_without_connecting(&mut harness);
     assert_eq!(connecting.len(), 1);
     harness.advance(150 * MS);
     harness.core.worker_connected(harness.now, connecting[0]);
     let written = harness.written();
-    assert_eq!(lines_with(&written, CALL).count(), 0, "{written:?}");
-    let check = lines_with(&written, HEALTH_CHECK)
+    assert_eq!(
+        lines_starting_with(&written, CALL_PREFIX).count(),
+        0,
+        "{written:?}"
+    );
+    let check = lines_starting_with(&written, HEALTH_CHECK_PREFIX)
         .next()
         .expect("a check")
         .clone();
-    answer(&mut harness, &check, "READY");
+    answer_check(&mut harness, &check, "READY");
     assert_eq!(
-        lines_with(&harness.written(), CALL).count(),
+        lines_starting_with(&harness.written(), CALL_PREFIX).count(),
         1,
         "it never ran, so it may"
     );
@@ -144,12 +167,15 @@
 
 #[test]
 fn call_behind_unread_bytes_is_withdrawn_when_the_lease_ends() {
-    let mut harness = following();
-    harness.advance(LEASE - 30 * MS);
+    let mut harness = harness_following_coordinator();
+    harness.advance(LEASE_DURATION - 30 * MS);
     let client = harness.connect_client();
     harness.call(client, 7, "assign");
     let written = harness.written();
-    let call = lines_with(&written, CALL).next().expect("the call").clone();
+    let call = lines_starting_with(&written, CALL_PREFIX)
+        .next()
+        .expect("the call")
+        .clone();
     // The worker reads nothing of it.
     harness.core.worker_blocked(harness.now, call.0, Some(0));
     harness.advance(20 * MS);
@@ -168,12 +194,15 @@
 
 #[test]
 fn call_that_was_begun_to_be_written_is_completed_after_the_lease() {
-    let mut harness = following();
-    harness.advance(LEASE - 30 * MS);
+    let mut harness = harness_following_coordinator();
+    harness.advance(LEASE_DURATION - 30 * MS);
     let client = harness.connect_client();
     harness.call(client, 7, "assign");
     let written = harness.written();
-    let call = lines_with(&written, CALL).next().expect("the call").clone();
+    let call = lines_starting_with(&written, CALL_PREFIX)
+        .next()
+        .expect("the call")
+        .clone();
     harness.core.worker_blocked(harness.now, call.0, Some(10));
     harness.advance(60 * MS);
     let withdrawn = harness
--- a/crates/pipithub-node/tests/core_remaining_time.rs
+++ b/crates/pipithub-node/tests/core_remaining_time.rs
@@ -7,7 +7,7 @@
 
 /// What the front end requests; the test establishes connections itself.
 #[derive(Default)]
-struct Requested {
+struct RequestedEffects {
     connections: Vec<ConnectionId>,
     runs: Vec<Run>,
     withdrawals: Vec<Withdrawal>,
@@ -31,8 +31,8 @@
 }
 
 impl CoreHarness {
-    fn requested(&mut self) -> Requested {
-        let mut requested = Requested::default();
+    fn requested_effects(&mut self) -> RequestedEffects {
+        let mut requested = RequestedEffects::default();
         for effect in self.effects() {
             match effect {
                 Effect::Connect { connection, .. } => requested.connections.push(connection),
@@ -68,10 +68,10 @@
     let mut harness = CoreHarness::new();
     let client = harness.connect_client();
     harness.call(client, 7, "view");
-    let connections = harness.requested().connections;
+    let connections = harness.requested_effects().connections;
     harness.advance(240 * MS);
     harness.core.worker_connected(harness.now, connections[0]);
-    let runs = harness.requested().runs;
+    let runs = harness.requested_effects().runs;
     assert!(
         runs.len() == 1 && runs[0].time_left == CALL_TIME_MS - 240,
         "{runs:?}"
@@ -83,17 +83,20 @@
     let mut harness = CoreHarness::new();
     let client = harness.connect_client();
     harness.call(client, 7, "view");
-    let first = harness.requested().connections[0];
+    let first = harness.requested_effects().connections[0];
     harness.advance(100 * MS);
     harness.core.worker_connected(harness.now, first);
-    assert_eq!(harness.requested().runs[0].time_left, CALL_TIME_MS - 100);
+    assert_eq!(
+        harness.requested_effects().runs[0].time_left,
+        CALL_TIME_MS - 100
+    );
     harness.advance(50 * MS);
     // It breaks after the system has accepted a part of the line.
     harness.core.worker_closed(harness.now, first, 5);
-    let second = harness.requested().connections[0];
+    let second = harness.requested_effects().connections[0];
     harness.advance(60 * MS);
     harness.core.worker_connected(harness.now, second);
-    let runs = harness.requested().runs;
+    let runs = harness.requested_effects().runs;
     assert!(
         runs.len() == 1 && runs[0].time_left == CALL_TIME_MS - 210,
         "{runs:?}"
@@ -106,17 +109,17 @@
         let mut harness = CoreHarness::new();
         let client = harness.connect_client();
         harness.call(client, 7, "view");
-        let first = harness.requested().connections[0];
+        let first = harness.requested_effects().connections[0];
         harness.core.worker_connected(harness.now, first);
         let Run {
             length, time_left, ..
-        } = harness.requested().runs[0];
+        } = harness.requested_effects().runs[0];
         assert_eq!(time_left, CALL_TIME_MS);
         harness
             .core
             .worker_blocked(harness.now, first, Some(accepted));
         harness.advance(150 * MS);
-        let requested = harness.requested();
+        let requested = harness.requested_effects();
         let withdrawal = Withdrawal {
             connection: first,
             offset: accepted,
@@ -126,7 +129,7 @@
         harness.advance(50 * MS);
         let second = requested.connections.last().expect("another worker");
         harness.core.worker_connected(harness.now, *second);
-        let runs = harness.requested().runs;
+        let runs = harness.requested_effects().runs;
         assert!(
             runs.len() == 1
                 && runs[0].connection == *second
--- a/crates/pipithub-node/tests/discovery_log.rs
+++ b/crates/pipithub-node/tests/discovery_log.rs
@@ -16,9 +16,9 @@
 
 /// Records the lines about discovery, with their fields.
 #[derive(Clone, Default)]
-struct Lines(Arc<Mutex<Vec<String>>>);
+struct LogRecorder(Arc<Mutex<Vec<String>>>);
 
-impl Visit for Lines {
+impl Visit for LogRecorder {
     fn record_debug(&mut self, field: &Field, value: &dyn Debug) {
         if let Some(last) = self.0.lock().expect("one thread").last_mut() {
             last.push_str(&format!("{}={value:?} ", field.name()));
@@ -26,7 +26,7 @@
     }
 }
 
-impl Subscriber for Lines {
+impl Subscriber for LogRecorder {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
         metadata.target() == "pipithub_node::core::discovery_log"
     }
@@ -43,7 +43,7 @@
     fn exit(&self, _: &Id) {}
 }
 
-impl Lines {
+impl LogRecorder {
     fn take(&self) -> Vec<String> {
         std::mem::take(&mut self.0.lock().expect("one thread"))
     }
@@ -51,7 +51,7 @@
 
 #[test]
 fn log_tells_when_the_list_is_out_of_reach_its_age_and_the_missed_events() {
-    let lines = Lines::default();
+    let lines = LogRecorder::default();
     let _guard = tracing::subscriber::set_default(lines.clone());
     let mut harness = CoreHarness::new();
     harness.core.follow_coordinator(harness.now);
@@ -98,7 +98,7 @@
 
 #[test]
 fn log_tells_once_that_a_worker_fails_its_health_checks_and_once_that_it_passes_them_again() {
-    let lines = Lines::default();
+    let lines = LogRecorder::default();
     let _guard = tracing::subscriber::set_default(lines.clone());
     let mut harness = CoreHarness::new();
     harness.core.follow_coordinator(harness.now);
@@ -124,11 +124,11 @@
         logged.extend(lines.take());
     }
     // The first worker that was checked; the other one's checks are not answered.
-    let of_first = |line: &&String| line.contains(r#"worker="w2""#);
+    let is_of_first_worker = |line: &&String| line.contains(r#"worker="w2""#);
     let count = |message: &str| {
         logged
             .iter()
-            .filter(of_first)
+            .filter(is_of_first_worker)
             .filter(|line| line.contains(message))
             .count()
     };
--- a/crates/pipithub-node/tests/faults.rs
+++ b/crates/pipithub-node/tests/faults.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use pipithub_node::sockets::{
-    ConnectError, LOCAL_RETRY, LocalFaults, Transfer, TransferEnd, accept_all, connect, read_now,
-    write_now,
+    ConnectError, LOCAL_RETRY_DELAY, LocalFaults, Transfer, TransferEnd, accept_all, connect,
+    read_now, write_now,
 };
 use rustix::io::Errno;
 use tokio::time::Instant;
 
-const WITHIN: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// What comes of a script of accepts.
 struct Accepted {
@@ -20,7 +20,7 @@
     elapsed: Duration,
 }
 
-async fn accepted(script: &[Result<u32, Errno>]) -> Accepted {
+async fn run_accepts(script: &[Result<u32, Errno>]) -> Accepted {
     let (started, faults) = (Instant::now(), LocalFaults::default());
     let (mut connections, mut script) = (Vec::new(), script.iter());
     // The listener fails at the end of the script.
@@ -47,7 +47,7 @@
         Errno::PROTO,
         Errno::HOSTUNREACH,
     ] {
-        let accepted = accepted(&[Err(errno), Err(errno), Ok(1), Err(errno), Ok(2)]).await;
+        let accepted = run_accepts(&[Err(errno), Err(errno), Ok(1), Err(errno), Ok(2)]).await;
         assert_eq!(accepted.connections, [1, 2], "{errno}");
         assert_eq!(accepted.local_faults, 0, "{errno}");
         assert_eq!(accepted.elapsed, Duration::ZERO, "{errno}");
@@ -57,18 +57,18 @@
 #[tokio::test(start_paused = true)]
 async fn accept_waits_and_retries_when_local_resources_are_exhausted() {
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM] {
-        let accepted = accepted(&[Err(errno), Err(errno), Ok(1)]).await;
+        let accepted = run_accepts(&[Err(errno), Err(errno), Ok(1)]).await;
         assert_eq!(accepted.connections, [1], "{errno}");
         assert_eq!(accepted.local_faults, 2, "{errno}");
         assert!(
-            accepted.elapsed >= 2 * LOCAL_RETRY,
+            accepted.elapsed >= 2 * LOCAL_RETRY_DELAY,
             "{errno}: it does not spin"
         );
     }
 }
 
 /// The result of a script of attempts to connect, and how many local faults were counted.
-async fn connected(script: &[Result<u32, Errno>]) -> (Result<u32, ConnectError>, u64) {
+async fn run_connects(script: &[Result<u32, Errno>]) -> (Result<u32, ConnectError>, u64) {
     let faults = LocalFaults::default();
     let mut attempts = script.iter();
     let dial = async |dialled: &Cell<bool>| {
@@ -78,7 +78,7 @@
             None => std::future::pending().await,
         }
     };
-    let end = connect(WITHIN, dial, &faults).await;
+    let end = connect(CONNECT_TIMEOUT, dial, &faults).await;
     (end, faults.count())
 }
 
@@ -94,17 +94,17 @@
         Errno::INTR,
     ];
     for errno in local {
-        let (end, faults) = connected(&[Err(errno), Err(errno), Err(errno), Ok(1)]).await;
+        let (end, faults) = run_connects(&[Err(errno), Err(errno), Err(errno), Ok(1)]).await;
         assert!(
             matches!(end, Ok(1)) && faults == 3,
             "{errno}: {end:?}, {faults} faults"
         );
-        let begun = Instant::now();
-        let (end, faults) = connected(&[Err(errno); 100]).await;
+        let started = Instant::now();
+        let (end, faults) = run_connects(&[Err(errno); 100]).await;
         assert!(matches!(end, Err(ConnectError::Local)), "{errno}: {end:?}");
-        let most = WITHIN.as_millis() / LOCAL_RETRY.as_millis();
+        let max_attempts = CONNECT_TIMEOUT.as_millis() / LOCAL_RETRY_DELAY.as_millis();
         assert!(
-            u128::from(faults) <= most + 1 && begun.elapsed() <= 2 * WITHIN,
+            u128::from(faults) <= max_attempts + 1 && started.elapsed() <= 2 * CONNECT_TIMEOUT,
             "{errno}: {faults} faults"
         );
     }
@@ -118,19 +118,19 @@
         Errno::HOSTUNREACH,
         Errno::TIMEDOUT,
     ] {
-        let (end, faults) = connected(&[Err(errno), Ok(1)]).await;
+        let (end, faults) = run_connects(&[Err(errno), Ok(1)]).await;
         assert!(
             matches!(end, Err(ConnectError::Peer(_))) && faults == 0,
             "{errno}: {end:?}"
         );
     }
-    let (end, faults) = connected(&[]).await;
+    let (end, faults) = run_connects(&[]).await;
     assert!(
         matches!(end, Err(ConnectError::TimedOut)) && faults == 0,
         "no answer: {end:?}"
     );
     // The local fault has passed: it is the worker that does not answer.
-    let (end, faults) = connected(&[Err(Errno::NOBUFS)]).await;
+    let (end, faults) = run_connects(&[Err(Errno::NOBUFS)]).await;
     assert!(
         matches!(end, Err(ConnectError::TimedOut)) && faults == 1,
         "no answer: {end:?}"
--- a/crates/pipithub-node/tests/graceful_shutdown.rs
+++ b/crates/pipithub-node/tests/graceful_shutdown.rs
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test]
-async fn client_that_calls_during_a_shutdown_gets_every_answer_and_a_clean_end() {
+async fn client_that_calls_during_a_shutdown_gets_every_answer_and_a_clean_close() {
     run_test(async {
         let front_end = FrontEnd::start_with(shorten_timeouts).await;
         let mut client = front_end.connect_client().await;
--- a/crates/pipithub-node/tests/pool_harness/mod.rs
+++ b/crates/pipithub-node/tests/pool_harness/mod.rs
@@ -46,7 +46,7 @@
         max_connections,
         max_requests_per_connection,
         connect_timeout: 250 * MS,
-        idle_close: 30_000 * MS,
+        worker_idle_timeout: 30_000 * MS,
         cancel: true,
     }
 }
@@ -138,7 +138,7 @@
                     used = Some(connection);
                 }
                 Effect::Write { connection, .. } => used = Some(connection),
-                Effect::Close { .. } | Effect::Retire { .. } | Effect::CancelWrite { .. } => {}
+                Effect::Close { .. } | Effect::CloseIfIdle { .. } | Effect::CancelWrite { .. } => {}
             }
         }
         used.expect("the request is written")
--- a/crates/pipithub-node/tests/races.rs
+++ b/crates/pipithub-node/tests/races.rs
@@ -59,7 +59,7 @@
 
 /// A close with unread input is a reset, which destroys answers that the client has not read yet.
 #[tokio::test]
-async fn client_that_is_no_longer_read_gets_its_answers_and_a_clean_end() {
+async fn client_that_sent_a_malformed_line_gets_its_answers_and_a_clean_close() {
     run_test(async {
         let front_end = FrontEnd::start().await;
         let mut client = front_end.connect_client().await;
@@ -78,7 +78,7 @@
 }
 
 #[tokio::test]
-async fn half_an_answer_before_a_reset_fails_a_non_idempotent_call_without_a_retry() {
+async fn incomplete_answer_before_a_reset_fails_a_non_idempotent_call_without_a_retry() {
     run_test(async {
         let front_end = FrontEnd::start().await;
         let mut client = front_end.connect_client().await;
@@ -128,7 +128,7 @@
         let set_timeout = |config: &mut serde_json::Value| {
             config["settings"]["Limits"]["ConnectTimeout"] = 250_000_000u64.into();
         };
-        let front_end = FrontEnd::start_before(worker, set_timeout).await;
+        let front_end = FrontEnd::start_with_worker(worker, set_timeout).await;
         let mut client = front_end.connect_client().await;
         client.send(&call_line(7, "assign", "")).await;
         let answer = client.expect_message().await;
--- a/crates/pipithub-node/tests/socket_harness/mod.rs
+++ b/crates/pipithub-node/tests/socket_harness/mod.rs
@@ -113,11 +113,14 @@
     /// With a configuration that the test changes.
     pub(crate) async fn start_with(change: impl FnOnce(&mut Value)) -> Self {
         let (worker, _) = listener().await;
-        FrontEnd::start_before(worker, change).await
+        FrontEnd::start_with_worker(worker, change).await
     }
 
     /// With this worker, and a configuration that the test changes.
-    pub(crate) async fn start_before(worker: TcpListener, change: impl FnOnce(&mut Value)) -> Self {
+    pub(crate) async fn start_with_worker(
+        worker: TcpListener,
+        change: impl FnOnce(&mut Value),
+    ) -> Self {
         let worker_address = worker.local_addr().expect("bound");
         let (coordinator, coordinator_address) = listener().await;
         let mut config = config(coordinator_address, &[one_ready_worker(worker_address)]);
--- a/crates/pipithub-node/tests/sockets.rs
+++ b/crates/pipithub-node/tests/sockets.rs
@@ -65,23 +65,23 @@
     let mut sequence = Sequence::after(3);
     assert_eq!(
         (sequence.step(3, false), sequence.step(4, false)),
-        (Step::Skip, Step::Take)
+        (Step::Skip, Step::Apply)
     );
     assert_eq!(sequence.step(6, false), Step::Reconnect);
     assert_eq!(
         sequence.step(5, false),
-        Step::Take,
+        Step::Apply,
         "the missing event came"
     );
     assert_eq!(sequence.step(9, false), Step::Reconnect);
     assert_eq!(
         sequence.step(9, false),
-        Step::Take,
+        Step::Apply,
         "missing events that the coordinator does not have are not awaited"
     );
     assert_eq!(
         (sequence.step(20, true), sequence.last()),
-        (Step::Take, 20),
+        (Step::Apply, 20),
         "a complete list closes any gap"
     );
 }
--- a/crates/pipithub-node/tests/start_times.rs
+++ b/crates/pipithub-node/tests/start_times.rs
@@ -16,7 +16,7 @@
 const CALLS: u64 = 24;
 
 /// A complete list with one worker, which started at this time of the wall clock.
-fn only_worker(index: u64, started: Time) -> EndpointEvent {
+fn list_with_one_worker(index: u64, started: Time) -> EndpointEvent {
     let born_ms = started / MS;
     let text = format!(
         r#"{{"index":{index},"endpoints":{{"seq":{index},"whole":true,"hosts":[{{"host":"w9","dial":"10.0.0.1:9","site":"a",
@@ -30,7 +30,7 @@
     let mut harness = CoreHarness::new();
     harness
         .core
-        .update_endpoints_at(harness.now, wall, &only_worker(2, wall - age));
+        .update_endpoints_at(harness.now, wall, &list_with_one_worker(2, wall - age));
     let client = harness.connect_client();
     (1..=CALLS).for_each(|id| harness.call(client, id, "view"));
     harness
--- a/crates/pipithub-node/tests/unread_answers.rs
+++ b/crates/pipithub-node/tests/unread_answers.rs
@@ -17,12 +17,12 @@
 }
 
 /// A client that reads and only asks for the front end's health: its answer comes after all earlier input is handled.
-struct Watcher {
+struct HealthChecker {
     peer: Peer,
     last_id: u64,
 }
 
-impl Watcher {
+impl HealthChecker {
     async fn is_healthy(&mut self) -> bool {
         self.last_id += 1;
         self.peer.is_healthy(self.last_id).await
@@ -40,12 +40,14 @@
         let mut at_worker = front_end.accept_at_worker().await;
         at_worker.serve_next().await;
         peer.expect_message().await;
-        let mut watcher = Watcher { peer, last_id: 1 };
+        let mut health_checker = HealthChecker { peer, last_id: 1 };
         let mut clients = Vec::new();
         for number in 1..=4u64 {
             let peer = front_end.connect_client().await;
             let first_id = 1000 * number;
-            clients.push(fill(peer, first_id, &mut at_worker, &mut watcher).await);
+            clients.push(
+                fill_answer_buffer(peer, first_id, &mut at_worker, &mut health_checker).await,
+            );
         }
         let mut complete = 0;
         for client in &mut clients {
@@ -55,17 +57,17 @@
             (1..4).contains(&complete),
             "{complete} of 4 clients have all their answers"
         );
-        assert!(watcher.is_healthy().await);
+        assert!(health_checker.is_healthy().await);
     })
     .await;
 }
 
 /// Sends calls, which are served, until the front end holds [`UNREAD_BYTES_PER_CLIENT`] for the client or disconnects it.
-async fn fill(
+async fn fill_answer_buffer(
     peer: Peer,
     first_id: u64,
     at_worker: &mut Peer,
-    watcher: &mut Watcher,
+    health_checker: &mut HealthChecker,
 ) -> UnreadClient {
     let body = long_body();
     let (port, _) = peer.ports();
@@ -79,7 +81,7 @@
         }
         sent += 1;
         // One call after the other, so that the module admits each of them.
-        watcher.is_healthy().await;
+        health_checker.is_healthy().await;
         let request = tokio::select! {
             biased;
             request = at_worker.expect_message() => request,
@@ -87,7 +89,7 @@
             () = disconnected(&peer) => break,
         };
         at_worker.send_without_waiting(&served_line(&request));
-        watcher.is_healthy().await;
+        health_checker.is_healthy().await;
     }
     UnreadClient { peer, sent }
 }
--- a/crates/pipithub-node/tests/unread_calls.rs
+++ b/crates/pipithub-node/tests/unread_calls.rs
@@ -29,7 +29,7 @@
     front_end: FrontEnd,
     /// The worker's end of the connection that it does not read.
     at_worker: Peer,
-    watcher: Peer,
+    health_checker: Peer,
     clients: Vec<Peer>,
 }
 
@@ -67,22 +67,22 @@
     async fn start(effect: &str) -> Self {
         let worker = small_listener(16, Some(4096));
         let list = endpoint_list(worker.local_addr().expect("bound"));
-        let front_end = FrontEnd::start_before(worker, |config| {
+        let front_end = FrontEnd::start_with_worker(worker, |config| {
             config["known"] = json!({"index": 1, "updates": [list]});
             config["settings"]["Grades"] = classes(effect);
         })
         .await;
-        let mut watcher = front_end.connect_client().await;
-        let at_worker = warm_up(&front_end, &mut watcher).await;
+        let mut health_checker = front_end.connect_client().await;
+        let at_worker = warm_up(&front_end, &mut health_checker).await;
         let mut clients = Vec::new();
         for number in 0..CLIENTS {
             clients.push(client_with_calls(&front_end, number).await);
         }
-        watcher.is_healthy(1).await;
+        health_checker.is_healthy(1).await;
         UnreadCalls {
             front_end,
             at_worker,
-            watcher,
+            health_checker,
             clients,
         }
     }
@@ -120,12 +120,12 @@
         let UnreadCalls {
             front_end: _front_end,
             mut at_worker,
-            mut watcher,
+            mut health_checker,
             clients,
         } = UnreadCalls::start("read_like").await;
         drop(clients);
-        watcher.is_healthy(2).await;
-        watcher.is_healthy(3).await;
+        health_checker.is_healthy(2).await;
+        health_checker.is_healthy(3).await;
         let (worker_port, front_end_port) = at_worker.ports();
         let accepted = bytes_between(worker_port, front_end_port);
         let running = read_run_bytes_to_the_end(&mut at_worker).await;
@@ -224,7 +224,7 @@
         let UnreadCalls {
             front_end,
             at_worker,
-            mut watcher,
+            mut health_checker,
             mut clients,
         } = UnreadCalls::start("non_idempotent").await;
         // The client whose line is accepted in part leaves: its later calls can be withdrawn.
@@ -233,7 +233,7 @@
         let leaving = accepted_lines / CALLS_PER_CLIENT as usize;
         drop(clients.remove(leaving));
         let read = read_without_waiting(&at_worker);
-        watcher.is_healthy(5).await;
+        health_checker.is_healthy(5).await;
         let ran = Rc::new(RefCell::new(Vec::new()));
         let answers = tokio::select! {
             answers = read_final_answers(clients) => answers,
--- a/crates/pipithub-node/tests/worker_faults.rs
+++ b/crates/pipithub-node/tests/worker_faults.rs
@@ -21,7 +21,7 @@
 }
 
 /// Has one client call and injects the fault; returns how long after it each call was answered, in milliseconds.
-fn answers(class: &str, max_pending_requests: usize, fault: Fault) -> BTreeMap<u64, u64> {
+fn answer_times(class: &str, max_pending_requests: usize, fault: Fault) -> BTreeMap<u64, u64> {
     let mut config = config();
     config.site.transport.max_pending_requests = max_pending_requests;
     // One connection to each worker.
@@ -30,7 +30,7 @@
     let client = harness.connect_client();
     let mut answers = BTreeMap::new();
     let mut forwarded: BTreeMap<ConnectionId, Vec<String>> = BTreeMap::new();
-    let mut note =
+    let mut record =
         |written: Vec<(ConnectionId, String)>, at: u64, answers: &mut BTreeMap<u64, u64>| {
             for (connection, line) in written {
                 if connection != client {
@@ -47,11 +47,11 @@
         harness.send_line(client, &call_line(id, class));
     }
     let written = harness.written();
-    let forwarded = note(written, 0, &mut answers);
+    let forwarded = record(written, 0, &mut answers);
     fault(&mut harness, &forwarded);
     for at in 0..160 {
         let written = harness.written();
-        note(written, 10 * at, &mut answers);
+        record(written, 10 * at, &mut answers);
         harness.advance(10 * MS);
     }
     assert_eq!(harness.core.pending_requests(), 0);
@@ -132,7 +132,7 @@
     ];
     for (name, max_pending_requests, fault) in faults {
         for class in ["view", "assign"] {
-            let answers = answers(class, max_pending_requests, fault);
+            let answers = answer_times(class, max_pending_requests, fault);
             let missing: Vec<u64> = (1..=CALLS).filter(|id| !answers.contains_key(id)).collect();
             assert!(
                 missing.is_empty(),
@@ -148,8 +148,8 @@
 }
 
 #[test]
-fn non_idempotent_calls_fail_at_once_when_their_shared_connection_is_malformed() {
-    let answers = answers("assign", 20_000, send_malformed_answers);
+fn non_idempotent_calls_fail_at_once_after_a_malformed_answer_on_their_shared_connection() {
+    let answers = answer_times("assign", 20_000, send_malformed_answers);
     let at_once = answers.values().filter(|at| **at == 0).count();
     assert_eq!(at_once, CALLS as usize, "{answers:?}");
 }
