--- a/crates/pipithub-consumer/src/message.rs
+++ b/crates/pipithub-consumer/src/message.rs
@@ -174,7 +174,7 @@
             .unwrap_or(route.memory_mb),
         replica_concurrency,
         load_time: headers.span("pipithub-load-ms")?.or(route.load_time),
-        label: message_id
+        message_id: message_id
             .or(properties.correlation_id.as_deref())
             .map(Into::into),
         idempotency_key: key,
--- a/crates/pipithub-consumer/tests/with_broker/front_end.rs
+++ b/crates/pipithub-consumer/tests/with_broker/front_end.rs
@@ -38,7 +38,7 @@
     fn new(id: AttemptId, call: &Call) -> Self {
         RunningAttempt {
             id,
-            label: call.label.as_deref().unwrap_or("?").to_string(),
+            label: call.message_id.as_deref().unwrap_or("?").to_string(),
         }
     }
 }
@@ -141,7 +141,7 @@
         match output {
             Output::Forward { id, call, .. } => self.attempts.push(RunningAttempt::new(id, &call)),
             Output::Answer { ticket, reply } => self.consumer.answer(now, ticket, reply),
-            Output::Forget(ticket) => self.consumer.acknowledge(now, ticket),
+            Output::Settle(ticket) => self.consumer.acknowledge(now, ticket),
             Output::Cancel(id) => {
                 self.attempts.retain(|attempt| attempt.id != id);
                 let cancelled = Input::AttemptFinished(attempt_result(id, Outcome::Cancelled));
--- a/crates/pipithub-emulator/src/worker/inference.rs
+++ b/crates/pipithub-emulator/src/worker/inference.rs
@@ -134,7 +134,7 @@
             .header(header::REPLICAS, replicas)
             .header(header::HAS_RUN, "no");
         if result == Err(Rejection::LoadFailed) {
-            response = response.header(header::REPLICA, "failed");
+            response = response.header(header::REPLICA_STATUS, "failed");
         }
         Ok(finish(response, Bytes::new()))
     }
@@ -143,7 +143,7 @@
         let Some(model) = unescape(escaped_model) else {
             return Ok(self.empty_response(StatusCode::BAD_REQUEST));
         };
-        let request = self.text(header::REQUEST).unwrap_or_default();
+        let request = self.text(header::REQUEST_ID).unwrap_or_default();
         let key = self.text(header::IDEMPOTENCY_KEY);
         let attempt = self.number(header::ATTEMPT) as u32;
         self.shared.record(Seen::Call {
@@ -248,7 +248,7 @@
             .response(status)
             .header(header::FUNCTION_CONCURRENCY, concurrency);
         if let Some(placement) = placement_header(result) {
-            response = response.header(header::REPLICA, placement);
+            response = response.header(header::REPLICA_STATUS, placement);
         }
         let content_type = self.headers.get("content-type");
         if let Some(content_type) = content_type.filter(|_| result.is_ok()) {
--- a/crates/pipithub-engine/src/call.rs
+++ b/crates/pipithub-engine/src/call.rs
@@ -65,7 +65,7 @@
     /// The usual time to load a replica, in nanoseconds, if the client states it.
     pub load_time: Option<Time>,
     /// The id of the message, if it has one. It identifies the call to workers and in logs.
-    pub label: Option<Arc<str>>,
+    pub message_id: Option<Arc<str>>,
     /// The key by which workers deduplicate the call; `None` if they cannot.
     pub idempotency_key: Option<Arc<str>>,
     /// MIME type of the body.
--- a/crates/pipithub-engine/src/engine.rs
+++ b/crates/pipithub-engine/src/engine.rs
@@ -54,18 +54,21 @@
     /// settings and seeds give equal outputs for equal inputs.
     pub fn new(settings: EngineSettings, seed: u64) -> Self {
         let module = FrontEnd::new(settings.policy.clone(), seed);
-        Self::deciding_by(Box::new(module), settings)
+        Self::with_decider(Box::new(module), settings)
     }
 
     /// Creates an engine whose decisions are made by another policy than the decision module, for comparisons.
-    pub fn deciding_by(decider: Box<dyn Decide>, mut settings: EngineSettings) -> Self {
+    pub fn with_decider(decider: Box<dyn Decide>, mut settings: EngineSettings) -> Self {
         if settings.policy.classes.is_empty() {
             settings.policy.classes.push(Class::default());
         }
         Engine {
             decisions: DecisionQueue::new(decider),
             timers: Timers::default(),
-            pending: PendingRequests::new(settings.remembered_messages, settings.remember_for),
+            pending: PendingRequests::new(
+                settings.max_settled_messages,
+                settings.settled_retention,
+            ),
             attempts_in_flight: BTreeMap::new(),
             function_names: FunctionNames::new(settings.max_function_names),
             ready_workers: ReadyWorkers::default(),
@@ -130,16 +133,16 @@
 
     /// Whether a message with this identity is pending here or was settled here recently. If so, that alone decides
     /// what happens to a redelivery of it.
-    pub fn knows(&self, identity: &Arc<str>, now: Time) -> bool {
+    pub fn knows_message(&self, identity: &Arc<str>, now: Time) -> bool {
         self.pending.decide_redelivery(identity, now).is_some()
     }
 
     /// Handles one input and appends to `out` what is to be done about it. Timers that are due are handled first.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
-        self.outputs.write_to(out);
+        self.outputs.attach_buffer(out);
         self.run_due_timers(now);
         self.handle_input(now, input);
-        self.outputs.give_back(out);
+        self.outputs.detach_buffer(out);
     }
 
     fn run_due_timers(&mut self, now: Time) {
@@ -160,10 +163,7 @@
                 let rejection = FinalAnswer::rejected_with_retry_after(cause, retry_after);
                 self.receive(now, trigger, Some(rejection));
             }
-            Input::UserMigrated {
-                user,
-                now: successor,
-            } => self.user_migrated(now, &user, successor),
+            Input::UserMigrated { user, successor } => self.user_migrated(now, &user, successor),
             Input::SourceLost(source) => self.source_lost(now, source),
             Input::Settled(ticket) => self.pending.settle(ticket, now),
             Input::CallerCancelled(ticket) => self.caller_cancelled(now, ticket),
--- a/crates/pipithub-engine/src/engine/admission.rs
+++ b/crates/pipithub-engine/src/engine/admission.rs
@@ -22,7 +22,7 @@
     /// Let the trigger take the place of an earlier delivery, whose request is pending.
     Join(RequestId),
     /// Settle the trigger without an answer, because its message was answered before.
-    Forget,
+    Settle,
 }
 
 /// The state of the engine that admission depends on. It decides and changes nothing.
@@ -47,7 +47,7 @@
     ) -> AdmissionDecision {
         let run_within = match self.decide_redelivery(now, trigger) {
             RedeliveryDecision::Join(request) => return AdmissionDecision::Join(request),
-            RedeliveryDecision::Forget => return AdmissionDecision::Forget,
+            RedeliveryDecision::Settle => return AdmissionDecision::Settle,
             RedeliveryDecision::Fail => {
                 return AdmissionDecision::Answer(FinalAnswer::failed(Cause::MayHaveRunBefore));
             }
@@ -105,8 +105,11 @@
     /// its queue counts, whether the client or the class states the timeout.
     fn time_to_answer(&self, call: &Call, run_within: Option<Time>) -> Option<Time> {
         let class = &self.settings.policy.classes[call.class];
-        let rest_of_class = class.client_timeout.saturating_sub(call.waited);
-        let mut timeout = call.timeout.unwrap_or(rest_of_class).min(rest_of_class);
+        let remaining_class_timeout = class.client_timeout.saturating_sub(call.waited);
+        let mut timeout = call
+            .timeout
+            .unwrap_or(remaining_class_timeout)
+            .min(remaining_class_timeout);
         if let Some(run_within) = run_within {
             timeout = timeout.min(run_within);
         }
--- a/crates/pipithub-engine/src/engine/arrivals.rs
+++ b/crates/pipithub-engine/src/engine/arrivals.rs
@@ -29,7 +29,7 @@
             AdmissionDecision::Start { timeout } => self.start_request(now, trigger, timeout),
             AdmissionDecision::Answer(answer) => self.answer_at_once(now, trigger, answer),
             AdmissionDecision::Join(request) => self.join(request, trigger.ticket),
-            AdmissionDecision::Forget => self.outputs.push(Output::Forget(trigger.ticket)),
+            AdmissionDecision::Settle => self.outputs.push(Output::Settle(trigger.ticket)),
         }
     }
 
--- a/crates/pipithub-engine/src/engine/output_queue.rs
+++ b/crates/pipithub-engine/src/engine/output_queue.rs
@@ -12,7 +12,7 @@
 
 /// The outputs of the input that is being handled, in order, and the counters of the engine.
 ///
-/// Between [`write_to`](Self::write_to) and [`give_back`](Self::give_back) it writes to the buffer of the engine's
+/// Between [`attach_buffer`](Self::attach_buffer) and [`detach_buffer`](Self::detach_buffer) it writes to the buffer of the engine's
 /// caller, so that no outputs are copied or allocated twice.
 #[derive(Debug, Default)]
 pub(super) struct OutputQueue {
@@ -22,12 +22,12 @@
 
 impl OutputQueue {
     /// Takes the caller's buffer; outputs are appended to what it holds.
-    pub(super) fn write_to(&mut self, buffer: &mut Vec<Output>) {
+    pub(super) fn attach_buffer(&mut self, buffer: &mut Vec<Output>) {
         self.outputs = std::mem::take(buffer);
     }
 
     /// Returns the buffer to the caller.
-    pub(super) fn give_back(&mut self, buffer: &mut Vec<Output>) {
+    pub(super) fn detach_buffer(&mut self, buffer: &mut Vec<Output>) {
         *buffer = std::mem::take(&mut self.outputs);
     }
 
@@ -56,7 +56,7 @@
             Output::CheckHealth(_) => self.stats.health_checks += 1,
             Output::EvictFunction { .. }
             | Output::Answer { .. }
-            | Output::Forget(_)
+            | Output::Settle(_)
             | Output::WatchEndpoints => {}
         }
         self.outputs.push(output);
--- a/crates/pipithub-engine/src/input.rs
+++ b/crates/pipithub-engine/src/input.rs
@@ -111,7 +111,7 @@
         /// The name of the user.
         user: Arc<str>,
         /// The user who has the name now; `None` if no tenant has such a user any more.
-        now: Option<TenantUser>,
+        successor: Option<TenantUser>,
     },
     /// Graceful shutdown begins: new calls are rejected from now on, and pending requests are finished.
     Drain,
--- a/crates/pipithub-engine/src/output.rs
+++ b/crates/pipithub-engine/src/output.rs
@@ -56,7 +56,7 @@
         reply: Arc<Reply>,
     },
     /// Settle a trigger that was answered before, without another answer.
-    Forget(Ticket),
+    Settle(Ticket),
     /// Start to watch the endpoint list. Its state must be reported as [`Endpoints`](crate::Input::Endpoints).
     WatchEndpoints,
 }
--- a/crates/pipithub-engine/src/redelivery.rs
+++ b/crates/pipithub-engine/src/redelivery.rs
@@ -15,7 +15,7 @@
     /// The message is pending here, and this delivery takes the place of the earlier one.
     Join(RequestId),
     /// The message was answered and its answer is safe: settle the delivery without another answer.
-    Forget,
+    Settle,
     /// The call may have run elsewhere, and running it again is harmless.
     Run {
         /// The time from now, in nanoseconds, in which the call must be answered; `None` if there is no bound.
@@ -40,8 +40,10 @@
     match (class.idempotency, class.deduplication_scope) {
         (Idempotency::Idempotent, _) => RedeliveryDecision::Run { within: None },
         (Idempotency::WithKey, DeduplicationScope::All) if has_key => {
-            match rest_of_window(class, age, margin) {
-                Some(rest) => RedeliveryDecision::Run { within: Some(rest) },
+            match remaining_window(class, age, margin) {
+                Some(remaining) => RedeliveryDecision::Run {
+                    within: Some(remaining),
+                },
                 None => RedeliveryDecision::Fail,
             }
         }
@@ -50,12 +52,12 @@
 }
 
 /// How long from now all workers still deduplicate a call of this age; `None` if they may not or the age is unknown.
-fn rest_of_window(class: &Class, age: Option<Time>, margin: Time) -> Option<Time> {
+fn remaining_window(class: &Class, age: Option<Time>, margin: Time) -> Option<Time> {
     let used = age?.saturating_add(margin);
     class
         .deduplication_window
         .checked_sub(used)
-        .filter(|rest| *rest > 0)
+        .filter(|remaining| *remaining > 0)
 }
 
 #[derive(Debug)]
@@ -106,10 +108,10 @@
             identity: identity.clone(),
             settled_at: now,
         });
-        self.forget_old(now);
+        self.evict_old(now);
     }
 
-    fn forget_old(&mut self, now: Time) {
+    fn evict_old(&mut self, now: Time) {
         while let Some(oldest) = self.settled_by_age.front() {
             let expired = oldest.settled_at + self.retention < now;
             if !expired && self.settled_by_age.len() <= self.max_settled {
@@ -138,6 +140,6 @@
         self.settled
             .get(identity)
             .filter(|settled_at| **settled_at + self.retention >= now)
-            .map(|_| RedeliveryDecision::Forget)
+            .map(|_| RedeliveryDecision::Settle)
     }
 }
--- a/crates/pipithub-engine/src/settings.rs
+++ b/crates/pipithub-engine/src/settings.rs
@@ -22,9 +22,9 @@
     /// How long before the client's timeout the final answer is given, so that it arrives in time; in nanoseconds.
     pub answer_margin: Time,
     /// The number of settled messages that are remembered in order to recognize redeliveries.
-    pub remembered_messages: usize,
+    pub max_settled_messages: usize,
     /// How long a settled message is remembered, in nanoseconds.
-    pub remember_for: Time,
+    pub settled_retention: Time,
     /// A message with more earlier deliveries than this fails, because it may be what crashes front ends.
     pub max_deliveries: u32,
     /// The maximum number of functions whose names are kept for load commands.
@@ -40,8 +40,8 @@
             max_pending: 4_096,
             max_body_bytes: 256 * MEBIBYTE,
             answer_margin: 5 * MILLISECOND,
-            remembered_messages: 65_536,
-            remember_for: 600 * SECOND,
+            max_settled_messages: 65_536,
+            settled_retention: 600 * SECOND,
             max_deliveries: 20,
             max_function_names: 16_384,
             owners: Arc::default(),
--- a/crates/pipithub-engine/tests/engine/redelivery.rs
+++ b/crates/pipithub-engine/tests/engine/redelivery.rs
@@ -37,7 +37,7 @@
     harness.input(Input::Settled(again));
     // A broker without transactions may lose the acknowledgement of an answer that is safe. It gets no second answer.
     let (third, out) = harness.trigger(NON_IDEMPOTENT, |trigger| trigger.redelivered = true);
-    assert_eq!(out, [Output::Forget(third)]);
+    assert_eq!(out, [Output::Settle(third)]);
 }
 
 /// Found by a scenario: a front end whose connection was cut retried a call after another front end had answered it.
--- a/crates/pipithub-engine/tests/engine/tenants.rs
+++ b/crates/pipithub-engine/tests/engine/tenants.rs
@@ -64,7 +64,7 @@
     only_forwarded(&new);
     let out = harness.input(Input::UserMigrated {
         user: "mai".into(),
-        now: Some(TenantUser {
+        successor: Some(TenantUser {
             tenant: Tenant(1),
             person: 0,
         }),
@@ -93,7 +93,7 @@
     let attempt = only_forwarded(&out);
     harness.lose_source();
     let identity: Arc<str> = "north-map-0-mai".into();
-    assert!(harness.engine.knows(&identity, harness.now));
+    assert!(harness.engine.knows_message(&identity, harness.now));
     let (ticket, out) = harness.reject(IDEMPOTENT, |trigger| {
         call_of("north-map", 0, "mai")(trigger);
         trigger.redelivered = true;
--- a/crates/pipithub-engine/tests/random_faults/simulation.rs
+++ b/crates/pipithub-engine/tests/random_faults/simulation.rs
@@ -199,7 +199,7 @@
                 };
                 self.schedule.add(at, event);
             }
-            Output::Forget(ticket) => {
+            Output::Settle(ticket) => {
                 self.broker.acknowledge(ticket);
                 self.input(front_end, Input::Settled(ticket));
             }
--- a/crates/pipithub-gateway/src/cron.rs
+++ b/crates/pipithub-gateway/src/cron.rs
@@ -155,7 +155,7 @@
         memory_mb: route.memory_mb,
         replica_concurrency: route.lanes.max(1),
         load_time: route.load_time,
-        label: Some(name.clone()),
+        message_id: Some(name.clone()),
         idempotency_key: Some(name.clone()),
         content_type: Some("application/json".into()),
         body: Bytes::from(config.body.clone()),
--- a/crates/pipithub-gateway/src/front_end.rs
+++ b/crates/pipithub-gateway/src/front_end.rs
@@ -58,7 +58,7 @@
         None => Engine::new(settings, seed),
         Some(policy) => {
             let baseline = Baseline::new(policy, settings.policy.clone());
-            Engine::deciding_by(Box::new(baseline), settings)
+            Engine::with_decider(Box::new(baseline), settings)
         }
     }
 }
@@ -282,6 +282,6 @@
 /// Whether a trigger is a redelivery of a request that the engine knows. Such a request bypasses admission, which must
 /// not reject what is running already.
 fn is_known_redelivery(engine: &Engine, trigger: &Trigger, now: Time) -> bool {
-    let is_known = |identity| engine.knows(identity, now);
+    let is_known = |identity| engine.knows_message(identity, now);
     trigger.redelivered && trigger.identity.as_ref().is_some_and(is_known)
 }
--- a/crates/pipithub-gateway/src/front_end/outputs.rs
+++ b/crates/pipithub-gateway/src/front_end/outputs.rs
@@ -49,7 +49,7 @@
             Output::PollLoad(worker) => self.poll_load(worker),
             Output::CheckHealth(worker) => self.check_health(worker),
             Output::Answer { ticket, reply } => self.answer(ticket, reply),
-            Output::Forget(ticket) => self.settle(ticket),
+            Output::Settle(ticket) => self.settle(ticket),
             // The gateway watches the endpoint list from its start.
             Output::WatchEndpoints => {}
         }
@@ -60,7 +60,7 @@
         debug!(
             front_end = self.name,
             request = id.request.0,
-            label = call.label.as_deref(),
+            label = call.message_id.as_deref(),
             class = self
                 .classes
                 .get(call.class)
--- a/crates/pipithub-gateway/src/tenancy.rs
+++ b/crates/pipithub-gateway/src/tenancy.rs
@@ -216,7 +216,7 @@
                 let tenant_user = self.tenant_user(&user, now);
                 inputs.push(Input::UserMigrated {
                     user,
-                    now: tenant_user,
+                    successor: tenant_user,
                 });
             }
         }
@@ -305,7 +305,7 @@
     fn reject(&self, trigger: Trigger, reason: RejectReason, retry_after: Time) -> Input {
         debug!(
             front_end = self.front_end,
-            request = trigger.call.label.as_deref(),
+            request = trigger.call.message_id.as_deref(),
             user = trigger.call.user.as_deref(),
             why = ?reason,
             "request rejected by admission"
--- a/crates/pipithub-gateway/src/workers/connections.rs
+++ b/crates/pipithub-gateway/src/workers/connections.rs
@@ -229,7 +229,7 @@
     body: Bytes,
 ) -> Result<Request<Full<Bytes>>, ExchangeError> {
     let mut builder = Request::builder()
-        .method(if request.get { "GET" } else { "POST" })
+        .method(if request.is_get { "GET" } else { "POST" })
         .uri(&request.path)
         .header("host", &*worker.0);
     for (name, value) in &request.headers {
--- a/crates/pipithub-inference/src/escape.rs
+++ b/crates/pipithub-inference/src/escape.rs
@@ -3,7 +3,7 @@
 use std::borrow::Cow;
 
 /// Escapes the name of a model as a path segment.
-pub(crate) fn segment(name: &str) -> Cow<'_, str> {
+pub(crate) fn path_segment(name: &str) -> Cow<'_, str> {
     let is_plain = |b: u8| b.is_ascii_alphanumeric() || b"-._~".contains(&b);
     if !name.is_empty() && name.bytes().all(is_plain) && !matches!(name, "." | "..") {
         return Cow::Borrowed(name);
@@ -40,14 +40,14 @@
     if text.bytes().all(|b| (0x21..0x7f).contains(&b) && b != b'%') {
         text.to_string()
     } else {
-        segment(text).into_owned()
+        path_segment(text).into_owned()
     }
 }
 
 /// The content type as a header value; one that is not printable ASCII is replaced by a general one.
-pub(crate) fn content_type(kind: &str) -> String {
-    if kind.bytes().all(|b| (0x20..0x7f).contains(&b)) {
-        kind.to_string()
+pub(crate) fn content_type(mime_type: &str) -> String {
+    if mime_type.bytes().all(|b| (0x20..0x7f).contains(&b)) {
+        mime_type.to_string()
     } else {
         "application/octet-stream".into()
     }
--- a/crates/pipithub-inference/src/header.rs
+++ b/crates/pipithub-inference/src/header.rs
@@ -7,7 +7,7 @@
 /// To the worker: the front end that sends the request.
 pub const FRONT_END: &str = "pipithub-front-end";
 /// To the worker: the id of the request in logs.
-pub const REQUEST: &str = "x-request-id";
+pub const REQUEST_ID: &str = "x-request-id";
 /// To the worker: the idempotency key, by which it deduplicates calls (the header of the IETF draft).
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// To the worker: the memory that one replica of the model takes, in MB.
@@ -17,7 +17,7 @@
 /// From the worker: `no` states that the request did not run.
 pub const HAS_RUN: &str = "pipithub-ran";
 /// From the worker: the state in which the request found its replica: `warm`, `began`, `waited` or `failed`.
-pub const REPLICA: &str = "pipithub-copy";
+pub const REPLICA_STATUS: &str = "pipithub-copy";
 /// From the worker: the number of requests of the same model that were in flight when this one arrived.
 pub const FUNCTION_CONCURRENCY: &str = "pipithub-alike";
 /// From the worker: the number of replicas that are loaded after a load command.
--- a/crates/pipithub-inference/src/orca.rs
+++ b/crates/pipithub-inference/src/orca.rs
@@ -16,7 +16,7 @@
 /// A load report that cannot be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the load report is not in a supported format")]
-pub struct Unreadable;
+pub struct InvalidReport;
 
 /// A load report: numbers by their full names, such as `named_metrics.inflight`.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -44,7 +44,7 @@
     let parsed: Result<Vec<Metric<'_>>, _> =
         delimited(space0, separated(0..=MAX_METRICS, metric, comma), space0)
             .parse(input)
-            .map_err(|_| Unreadable);
+            .map_err(|_| InvalidReport);
     parsed.ok()
 }
 
@@ -67,17 +67,17 @@
     /// # Errors
     ///
     /// Fails if the format is not supported, the text does not follow it, or there are too many metrics.
-    pub fn parse(value: &str) -> std::result::Result<Self, Unreadable> {
+    pub fn parse(value: &str) -> std::result::Result<Self, InvalidReport> {
         let (format, rest) = value.trim().split_once(' ').unwrap_or((value.trim(), ""));
         match format {
             "TEXT" => Self::parse_text(rest),
             "JSON" => Self::parse_json(rest),
-            _ => Err(Unreadable),
+            _ => Err(InvalidReport),
         }
     }
 
-    fn parse_text(text: &str) -> std::result::Result<Self, Unreadable> {
-        let metrics = text_metrics(text).ok_or(Unreadable)?;
+    fn parse_text(text: &str) -> std::result::Result<Self, InvalidReport> {
+        let metrics = text_metrics(text).ok_or(InvalidReport)?;
         let metrics = metrics.into_iter();
         Ok(Report(
             metrics
@@ -86,14 +86,14 @@
         ))
     }
 
-    fn parse_json(text: &str) -> std::result::Result<Self, Unreadable> {
+    fn parse_json(text: &str) -> std::result::Result<Self, InvalidReport> {
         let members: serde_json::Map<String, serde_json::Value> =
-            serde_json::from_str(text).map_err(|_| Unreadable)?;
+            serde_json::from_str(text).map_err(|_| InvalidReport)?;
         let mut report = Report::default();
         for (name, value) in members {
             report.add_member(name, &value)?;
             if report.0.len() > MAX_METRICS {
-                return Err(Unreadable);
+                return Err(InvalidReport);
             }
         }
         Ok(report)
@@ -105,10 +105,10 @@
         &mut self,
         name: String,
         value: &serde_json::Value,
-    ) -> std::result::Result<(), Unreadable> {
+    ) -> std::result::Result<(), InvalidReport> {
         match value {
             serde_json::Value::Number(number) => {
-                self.0.insert(name, number.as_f64().ok_or(Unreadable)?);
+                self.0.insert(name, number.as_f64().ok_or(InvalidReport)?);
             }
             serde_json::Value::Object(inner) => {
                 for (key, value) in inner {
--- a/crates/pipithub-inference/src/reply.rs
+++ b/crates/pipithub-inference/src/reply.rs
@@ -40,7 +40,7 @@
 /// | 400, 405 to 407, 410 to 422, 431 | served: the answer to the request itself, which no other worker would change |
 /// | everything else | an error; it may have run |
 pub fn attempt_reply<'a>(status: u16, headers: impl Fn(&str) -> Option<&'a str>) -> AttemptReply {
-    let replica_status = match headers(header::REPLICA) {
+    let replica_status = match headers(header::REPLICA_STATUS) {
         Some("warm") => Some(ReplicaStatus::Warm),
         Some("began") => Some(ReplicaStatus::LoadStarted),
         Some("waited") => Some(ReplicaStatus::LoadAwaited),
@@ -89,7 +89,7 @@
     let outcome = match status {
         200..=299 => Outcome::Served,
         429 => Outcome::Rejected,
-        _ if headers(header::REPLICA) == Some("failed") => Outcome::Error,
+        _ if headers(header::REPLICA_STATUS) == Some("failed") => Outcome::Error,
         _ if headers(header::HAS_RUN) == Some("no") => Outcome::Rejected,
         _ => Outcome::Error,
     };
--- a/crates/pipithub-inference/src/request.rs
+++ b/crates/pipithub-inference/src/request.rs
@@ -2,7 +2,7 @@
 
 use pipithub_engine::{AttemptId, Call, Time};
 
-use crate::escape::{content_type, header_value, segment};
+use crate::escape::{content_type, header_value, path_segment};
 use crate::header;
 
 const NANOSECONDS_PER_MILLISECOND: Time = 1_000_000;
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerRequest {
     /// Whether the method is `GET`, as for a poll of the load; otherwise it is `POST`.
-    pub get: bool,
+    pub is_get: bool,
     /// The path, percent-encoded.
     pub path: String,
     /// The names and values of the headers, without the host and the content length.
@@ -59,10 +59,10 @@
                 .map_or("application/json".into(), content_type),
         ),
     ];
-    match &call.label {
-        Some(label) => headers.push((header::REQUEST, header_value(label))),
+    match &call.message_id {
+        Some(message_id) => headers.push((header::REQUEST_ID, header_value(message_id))),
         None => headers.push((
-            header::REQUEST,
+            header::REQUEST_ID,
             format!("{}-{}", header_value(front_end), id.request),
         )),
     }
@@ -72,8 +72,8 @@
             .map(|key| (header::IDEMPOTENCY_KEY, header_value(key))),
     );
     WorkerRequest {
-        get: false,
-        path: format!("/v2/models/{}/infer", segment(&call.function)),
+        is_get: false,
+        path: format!("/v2/models/{}/infer", path_segment(&call.function)),
         headers,
     }
 }
@@ -82,8 +82,8 @@
 pub fn load_command(model: &str, replicas: u32, front_end: &str) -> WorkerRequest {
     let verb = if replicas > 0 { "load" } else { "unload" };
     WorkerRequest {
-        get: false,
-        path: format!("/v2/repository/models/{}/{verb}", segment(model)),
+        is_get: false,
+        path: format!("/v2/repository/models/{}/{verb}", path_segment(model)),
         headers: vec![
             (header::FRONT_END, header_value(front_end)),
             (header::REPLICAS, replicas.to_string()),
@@ -96,7 +96,7 @@
 pub fn load_poll(front_end: &str) -> WorkerRequest {
     let headers = vec![(header::FRONT_END, header_value(front_end))];
     WorkerRequest {
-        get: true,
+        is_get: true,
         path: "/v2/health/ready".into(),
         headers,
     }
--- a/crates/pipithub-inference/tests/orca.rs
+++ b/crates/pipithub-inference/tests/orca.rs
@@ -1,6 +1,6 @@
 //! Load reports in both of their forms.
 
-use pipithub_inference::orca::{Report, Unreadable};
+use pipithub_inference::orca::{InvalidReport, Report};
 
 #[test]
 fn text_and_json_reports_are_read() {
@@ -33,7 +33,7 @@
         "cpu=1",
         "TEXT a=1 b",
     ] {
-        assert_eq!(Report::parse(bad), Err(Unreadable), "{bad}");
+        assert_eq!(Report::parse(bad), Err(InvalidReport), "{bad}");
     }
     let odd = Report::parse("TEXT a=-1,b=1e999").expect("numbers");
     assert_eq!((odd.get("a"), odd.get("b")), (None, None));
@@ -41,5 +41,5 @@
         .map(|n| format!("m{n}=1"))
         .collect::<Vec<_>>()
         .join(",");
-    assert_eq!(Report::parse(&format!("TEXT {many}")), Err(Unreadable));
+    assert_eq!(Report::parse(&format!("TEXT {many}")), Err(InvalidReport));
 }
--- a/crates/pipithub-inference/tests/reply.rs
+++ b/crates/pipithub-inference/tests/reply.rs
@@ -30,7 +30,7 @@
     );
     assert_eq!(reply(503, &[not_run]).outcome, Outcome::Rejected);
     assert_eq!(
-        reply(503, &[not_run, (header::REPLICA, "failed")]).outcome,
+        reply(503, &[not_run, (header::REPLICA_STATUS, "failed")]).outcome,
         Outcome::NotLoaded
     );
     assert_eq!(reply(502, &[]).outcome, Outcome::Error);
@@ -60,7 +60,7 @@
     );
     assert_eq!(reply(503, &[not_run]), expected(Outcome::Rejected, 0));
     assert_eq!(
-        reply(503, &[not_run, (header::REPLICA, "failed")]),
+        reply(503, &[not_run, (header::REPLICA_STATUS, "failed")]),
         expected(Outcome::Error, 0)
     );
     assert_eq!(reply(500, &[]), expected(Outcome::Error, 0));
@@ -71,7 +71,7 @@
     let reply = reply(
         200,
         &[
-            (header::REPLICA, "began"),
+            (header::REPLICA_STATUS, "began"),
             (header::FUNCTION_CONCURRENCY, "3"),
             (
                 header::LOAD_REPORT,
--- a/crates/pipithub-inference/tests/request.rs
+++ b/crates/pipithub-inference/tests/request.rs
@@ -9,7 +9,7 @@
     for name in ["resnet", "../admin", "a b/ü%", "", ".", "x?y#z"] {
         let call = Call {
             function: name.into(),
-            label: Some("ü\r\nx: y".into()),
+            message_id: Some("ü\r\nx: y".into()),
             ..Call::default()
         };
         let mut request = infer(
--- a/crates/pipithub-node/src/core/calls.rs
+++ b/crates/pipithub-node/src/core/calls.rs
@@ -184,7 +184,7 @@
         memory_mb: call.memory_mb,
         replica_concurrency: call.replica_concurrency,
         load_time: call.load_time,
-        label: Some(Arc::from(call.name)),
+        message_id: Some(Arc::from(call.name)),
         idempotency_key: call.idempotency_key.map(Arc::from),
         body: call.body,
         ..Call::default()
--- a/crates/pipithub-node/src/core/clients.rs
+++ b/crates/pipithub-node/src/core/clients.rs
@@ -2,7 +2,7 @@
 
 use crate::client_sessions::ClientSession;
 use pipithub_platform::client::ClientCall;
-use pipithub_platform::line::TooLong;
+use pipithub_platform::line::LineTooLong;
 use pipithub_platform::settings::SiteSettings;
 use std::collections::BTreeSet;
 
@@ -98,7 +98,7 @@
     }
 
     /// Answers a line that is too long; nothing behind it can be read.
-    fn end_of_readable_lines(&mut self, connection: ConnectionId, error: TooLong) {
+    fn end_of_readable_lines(&mut self, connection: ConnectionId, error: LineTooLong) {
         let Some(client) = self.client_sessions.client(connection) else {
             return;
         };
@@ -224,7 +224,7 @@
 struct ReceivedLines {
     lines: Vec<Result<ClientLine, RequestError>>,
     /// Why what follows them cannot be read; `None` if it can.
-    error: Option<TooLong>,
+    error: Option<LineTooLong>,
 }
 
 /// Divides what a client has sent into lines and parses them.
@@ -243,7 +243,7 @@
             Err(error) => break Some(error),
         }
     };
-    client.partial_line_since = if client.framer.partial() {
+    client.partial_line_since = if client.framer.has_partial_line() {
         client
             .partial_line_since
             .filter(|_| lines.is_empty())
--- a/crates/pipithub-node/src/core/outputs.rs
+++ b/crates/pipithub-node/src/core/outputs.rs
@@ -42,7 +42,7 @@
                 self.inputs.push_back(Input::Settled(ticket));
             }
             // Clients' calls are never redelivered, and the endpoint list is watched from the start.
-            Output::Forget(_) | Output::WatchEndpoints => {}
+            Output::Settle(_) | Output::WatchEndpoints => {}
         }
     }
 
@@ -117,7 +117,7 @@
     }
 
     fn forward(&mut self, now: Time, id: AttemptId, worker: WorkerId, call: &Call, deadline: Time) {
-        let name = call.label.as_deref().unwrap_or_default();
+        let name = call.message_id.as_deref().unwrap_or_default();
         let class = self
             .site
             .names
--- a/crates/pipithub-node/src/core/workers.rs
+++ b/crates/pipithub-node/src/core/workers.rs
@@ -4,7 +4,7 @@
 use pipithub_engine::{
     AttemptId, AttemptResult, Input, LoadCommandResult, LoadPollResult, Served, Time,
 };
-use pipithub_platform::line::{LineFramer, TooLong};
+use pipithub_platform::line::{LineFramer, LineTooLong};
 use pipithub_platform::worker::MalformedAnswer;
 use pipithub_platform::worker::{self, Answer, AnswerStatus};
 use tracing::{debug, info};
@@ -218,7 +218,7 @@
 enum AnswerError {
     /// A line is longer than any answer.
     #[error(transparent)]
-    TooLong(#[from] TooLong),
+    TooLong(#[from] LineTooLong),
     /// A line is no answer of the protocol.
     #[error(transparent)]
     Malformed(#[from] MalformedAnswer),
--- a/crates/pipithub-platform/src/client.rs
+++ b/crates/pipithub-platform/src/client.rs
@@ -26,11 +26,11 @@
 /// The longest load time that a call may state, in milliseconds.
 const MAX_LOAD_MS: f64 = 3_600_000.0;
 /// The method that cancels a call.
-const FORGET: &str = "forget";
+const CANCEL_METHOD: &str = "forget";
 /// The method of a health check.
-const IS_WELL: &str = "isWell";
+const HEALTH_CHECK_METHOD: &str = "isWell";
 /// The methods that are no classes; no class may have these names.
-pub const METHODS: [&str; 2] = [FORGET, IS_WELL];
+pub const RESERVED_METHODS: [&str; 2] = [CANCEL_METHOD, HEALTH_CHECK_METHOD];
 /// The error code of a rejection: the call did not run and may be retried.
 pub const REJECTED: i64 = -32050;
 /// The error code of a failure: the call may have run.
@@ -116,36 +116,36 @@
 /// [`RequestError`] if it is no valid request. If the error has no id, it is unknown what the client sends, and its
 /// further lines should not be read.
 pub fn read_line(line: &[u8], site: &SiteSettings) -> Result<ClientLine, RequestError> {
-    let all: Value = serde_json::from_slice(line)
+    let root: Value = serde_json::from_slice(line)
         .map_err(|error| RequestError::new(None, PARSE_ERROR, format!("line: {error}")))?;
-    if !all.is_object() {
+    if !root.is_object() {
         let message = "line: not an object";
         return Err(RequestError::new(None, INVALID_REQUEST, message));
     }
-    let id = request_id(&all)?;
+    let id = request_id(&root)?;
     let invalid = |message: &str| RequestError::new(id, INVALID_REQUEST, message);
-    if all["jsonrpc"].as_str() != Some("2.0") {
+    if root["jsonrpc"].as_str() != Some("2.0") {
         return Err(invalid("jsonrpc: not 2.0"));
     }
-    let method = all["method"]
+    let method = root["method"]
         .as_str()
         .ok_or_else(|| invalid("method: missing"))?;
-    let params = &all["params"];
-    if method == FORGET {
+    let params = &root["params"];
+    if method == CANCEL_METHOD {
         return cancel(id, params);
     }
     let Some(id) = id else {
         return Err(invalid("id: missing"));
     };
-    if method == IS_WELL {
+    if method == HEALTH_CHECK_METHOD {
         return Ok(ClientLine::HealthCheck { id });
     }
     let call = call(id, method, params, site)?;
     Ok(ClientLine::Call(Box::new(call)))
 }
 
-fn request_id(all: &Value) -> Result<Option<u64>, RequestError> {
-    let Some(value) = all.get("id") else {
+fn request_id(root: &Value) -> Result<Option<u64>, RequestError> {
+    let Some(value) = root.get("id") else {
         return Ok(None);
     };
     match value.as_u64() {
@@ -238,7 +238,7 @@
 fn hex_name(params: &Value, field: &str) -> Result<String, ParamError> {
     params[field]
         .as_str()
-        .filter(|text| is_name(text))
+        .filter(|text| is_hex_name(text))
         .map(str::to_string)
         .ok_or_else(|| ParamError(format!("{field}: not 16 hex digits")))
 }
@@ -333,7 +333,7 @@
 }
 
 /// Whether a text is a name in the sense of this protocol: 16 hexadecimal digits.
-pub fn is_name(text: &str) -> bool {
+pub fn is_hex_name(text: &str) -> bool {
     text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit())
 }
 
--- a/crates/pipithub-platform/src/config.rs
+++ b/crates/pipithub-platform/src/config.rs
@@ -6,7 +6,7 @@
 
 use serde_json::Value;
 
-use crate::client::METHODS;
+use crate::client::RESERVED_METHODS;
 use crate::list::{self, EndpointEvent, EndpointEventError};
 use crate::settings::{self, Names, SettingsError, SiteSettings};
 
@@ -107,7 +107,7 @@
     }
     let duplicate = first_duplicate(names);
     for (index, (name, class)) in names.iter().zip(&site.policy.classes).enumerate() {
-        if name.is_empty() || METHODS.contains(&name.as_str()) {
+        if name.is_empty() || RESERVED_METHODS.contains(&name.as_str()) {
             let name = name.clone();
             return Err(ConfigError::ClassName { index, name });
         }
@@ -128,27 +128,27 @@
     /// # Errors
     /// [`ConfigError`] tells the place and the reason of the first thing that is wrong.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
-        let all: Value = serde_json::from_str(text)?;
-        let site = settings::read(&all["settings"])?;
-        let seed = seed(&all["seed"])?;
-        let known_updates = known_updates(&all["known"]["updates"], &site.names)?;
+        let root: Value = serde_json::from_str(text)?;
+        let site = settings::read(&root["settings"])?;
+        let seed = seed(&root["seed"])?;
+        let known_updates = known_updates(&root["known"]["updates"], &site.names)?;
         check_classes(&site)?;
-        let limits = &all["limits"];
+        let limits = &root["limits"];
         Ok(NodeConfig {
-            name: required(&all, "name")?,
-            listen: required(&all, "listen")?,
+            name: required(&root, "name")?,
+            listen: required(&root, "listen")?,
             seed,
             memory_mb: limit(limits, "memory_mb", DEFAULT_MEMORY_MB)?,
             max_descriptors: limit(limits, "sockets", DEFAULT_MAX_DESCRIPTORS)? as usize,
-            coordinator: required(&all, "coordinator")?,
+            coordinator: required(&root, "coordinator")?,
             known_updates,
             site,
         })
     }
 }
 
-fn required(all: &Value, field: &'static str) -> Result<String, ConfigError> {
-    all[field]
+fn required(root: &Value, field: &'static str) -> Result<String, ConfigError> {
+    root[field]
         .as_str()
         .filter(|text| !text.is_empty())
         .map(str::to_string)
--- a/crates/pipithub-platform/src/line.rs
+++ b/crates/pipithub-platform/src/line.rs
@@ -8,7 +8,7 @@
 /// A line is longer than allowed; nothing more can be read from its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line of more than {max_bytes} bytes")]
-pub struct TooLong {
+pub struct LineTooLong {
     /// The bound, in bytes.
     pub max_bytes: usize,
 }
@@ -40,8 +40,8 @@
     /// The next complete line, without its line feed and a carriage return before it; `None` if none is complete.
     ///
     /// # Errors
-    /// [`TooLong`] if a line, complete or not, is longer than the bound.
-    pub fn next_line(&mut self) -> Result<Option<Bytes>, TooLong> {
+    /// [`LineTooLong`] if a line, complete or not, is longer than the bound.
+    pub fn next_line(&mut self) -> Result<Option<Bytes>, LineTooLong> {
         let found = self.buffer[self.scanned..]
             .iter()
             .position(|b| *b == b'\n')
@@ -52,7 +52,7 @@
                 self.buffer = BytesMut::new();
             }
             return if self.scanned > self.max_bytes {
-                Err(TooLong {
+                Err(LineTooLong {
                     max_bytes: self.max_bytes,
                 })
             } else {
@@ -60,7 +60,7 @@
             };
         };
         if end > self.max_bytes {
-            return Err(TooLong {
+            return Err(LineTooLong {
                 max_bytes: self.max_bytes,
             });
         }
@@ -74,7 +74,7 @@
     }
 
     /// Whether the last line is incomplete.
-    pub fn partial(&self) -> bool {
+    pub fn has_partial_line(&self) -> bool {
         !self.buffer.is_empty()
     }
 }
--- a/crates/pipithub-platform/src/settings.rs
+++ b/crates/pipithub-platform/src/settings.rs
@@ -104,40 +104,40 @@
 ///
 /// # Errors
 /// [`SettingsError`] says what is wrong.
-pub fn read(all: &Value) -> Result<SiteSettings, SettingsError> {
-    if !all.is_object() {
+pub fn read(root: &Value) -> Result<SiteSettings, SettingsError> {
+    if !root.is_object() {
         return Err(SettingsError::NotAnObject);
     }
     Ok(SiteSettings {
-        policy: policy(all)?,
-        names: names(all),
-        transport: transport(all),
+        policy: policy(root)?,
+        names: names(root),
+        transport: transport(root),
     })
 }
 
-fn policy(all: &Value) -> Result<Settings, SettingsError> {
+fn policy(root: &Value) -> Result<Settings, SettingsError> {
     Ok(Settings {
-        front_ends: time(&all["PeersTotal"]).clamp(1, u64::from(u32::MAX)) as u32,
-        tick: time(&all["Granularity"]),
-        classes: array(&all["Grades"])
+        front_ends: time(&root["PeersTotal"]).clamp(1, u64::from(u32::MAX)) as u32,
+        tick: time(&root["Granularity"]),
+        classes: array(&root["Grades"])
             .iter()
             .map(class)
             .collect::<Result<_, _>>()?,
-        limits: limits(all),
-        slow_start: slow_start(&all["Rules"]),
-        loading: loading(&all["FamilyInfo"]),
+        limits: limits(root),
+        slow_start: slow_start(&root["Rules"]),
+        loading: loading(&root["FamilyInfo"]),
         costs: Costs {
-            load_poll: number(&all["Prices"]["Probe"]).max(0.0),
+            load_poll: number(&root["Prices"]["Probe"]).max(0.0),
         },
-        zone: string(&all["Zone"]),
-        drain_grace: Some(time(&all["Rules"]["DrainGrace"])).filter(|grace| *grace > 0),
-        watch_on_request: all["RegistryMode"].as_str() == Some("on_request"),
+        zone: string(&root["Zone"]),
+        drain_grace: Some(time(&root["Rules"]["DrainGrace"])).filter(|grace| *grace > 0),
+        watch_on_request: root["RegistryMode"].as_str() == Some("on_request"),
     })
 }
 
-fn limits(all: &Value) -> Limits {
-    let limits = &all["Limits"];
-    let workers_report_load = all["Report"]["How"]
+fn limits(root: &Value) -> Limits {
+    let limits = &root["Limits"];
+    let workers_report_load = root["Report"]["How"]
         .as_str()
         .is_some_and(|how| how != "none");
     Limits {
@@ -175,18 +175,18 @@
     }
 }
 
-fn names(all: &Value) -> Names {
-    let memory_mb = &all["FamilyInfo"]["KindMemoryMb"];
+fn names(root: &Value) -> Names {
+    let memory_mb = &root["FamilyInfo"]["KindMemoryMb"];
     let machine_kind = |(index, name): (usize, &Value)| MachineKind {
         name: string(name),
         memory_mb: number(&memory_mb[index]).max(0.0),
     };
     Names {
-        classes: array(&all["Grades"])
+        classes: array(&root["Grades"])
             .iter()
             .map(|class| string(&class["Name"]))
             .collect(),
-        machine_kinds: array(&all["Models"])
+        machine_kinds: array(&root["Models"])
             .iter()
             .enumerate()
             .map(machine_kind)
@@ -194,8 +194,8 @@
     }
 }
 
-fn transport(all: &Value) -> Transport {
-    let limits = &all["Limits"];
+fn transport(root: &Value) -> Transport {
+    let limits = &root["Limits"];
     let positive = |value: &Value, default: Time| match time(value) {
         0 => default,
         stated => stated,
@@ -206,7 +206,7 @@
         max_requests_per_connection: positive(&limits["StreamsPerConn"], 1) as usize,
         max_pending_requests: positive(&limits["OpenCap"], DEFAULT_MAX_PENDING_REQUESTS) as usize,
         load_command_timeout: positive(
-            &all["FamilyInfo"]["OrderTimeout"],
+            &root["FamilyInfo"]["OrderTimeout"],
             DEFAULT_LOAD_COMMAND_TIMEOUT,
         ),
     }
--- a/crates/pipithub-platform/src/worker.rs
+++ b/crates/pipithub-platform/src/worker.rs
@@ -11,12 +11,13 @@
 /// The most bytes of an answer's line: well beyond any body that clients may send, far below a front end's memory.
 pub const MAX_LINE_BYTES: usize = 128 << 10;
 
-/// The line that asks for a run; `patience` is how long the front end will wait, `key` the call's idempotency key.
+/// The line that asks a worker to run a call. `timeout` is how long the front end will await the answer, in nanoseconds,
+/// and `key` the idempotency key of the call.
 pub fn run_line(
     call: &str,
     class: &str,
     function: &str,
-    patience: Time,
+    timeout: Time,
     key: Option<&str>,
     body: &[u8],
 ) -> Bytes {
@@ -24,7 +25,7 @@
     let mut line = format!(
         "{{\"cmd\":\"DO\",\"ref\":\"{call}\",\"opts\":{{\"sort\":{},\"asset\":\"{function}\",\"patience\":{}{key}}},\"payload\":\"",
         Value::from(class),
-        (patience / 1_000_000).max(1),
+        (timeout / 1_000_000).max(1),
     );
     STANDARD.encode_string(body, &mut line);
     line.push_str("\"}\n");
@@ -47,13 +48,13 @@
 }
 
 impl RunRequest {
-    /// The line to write. `patience` is how long the front end will await the answer, in nanoseconds.
-    pub fn line(&self, patience: Time) -> Bytes {
+    /// The line to write. `timeout` is how long the front end will await the answer, in nanoseconds.
+    pub fn line(&self, timeout: Time) -> Bytes {
         run_line(
             &self.call,
             &self.class,
             &self.function,
-            patience,
+            timeout,
             self.key.as_deref(),
             &self.body,
         )
@@ -76,8 +77,8 @@
 }
 
 /// The line of a load command for this number of replicas; 0 only asks how many are loaded.
-pub fn load_function_line(tag: &str, function: &str, copies: u32) -> Bytes {
-    format!("{{\"cmd\":\"PIN\",\"ref\":\"{tag}\",\"opts\":{{\"asset\":\"{function}\",\"n\":{copies}}}}}\n")
+pub fn load_function_line(tag: &str, function: &str, replicas: u32) -> Bytes {
+    format!("{{\"cmd\":\"PIN\",\"ref\":\"{tag}\",\"opts\":{{\"asset\":\"{function}\",\"n\":{replicas}}}}}\n")
         .into()
 }
 
@@ -147,8 +148,8 @@
 /// # Errors
 /// [`MalformedAnswer`] if it is not a complete answer of this protocol.
 pub fn read_answer(line: &[u8]) -> Result<Answer, MalformedAnswer> {
-    let all: Value = serde_json::from_slice(line)?;
-    let status = match all.get("cmd").and_then(Value::as_str) {
+    let root: Value = serde_json::from_slice(line)?;
+    let status = match root.get("cmd").and_then(Value::as_str) {
         Some("ACK") => AnswerStatus::Served,
         Some("NOENT") => AnswerStatus::NotLoaded,
         Some("AGAIN") => AnswerStatus::Rejected,
@@ -158,14 +159,14 @@
         Some("AILING") => AnswerStatus::Unhealthy,
         _ => return Err(MalformedAnswer::UnknownStatus),
     };
-    let reference = match all.get("ref") {
+    let reference = match root.get("ref") {
         Some(Value::String(text)) => text.clone(),
         Some(Value::Number(number)) => number.to_string(),
         _ => return Err(MalformedAnswer::MissingReference),
     };
-    let opts = all.get("opts");
+    let opts = root.get("opts");
     let option = |name: &str| opts.and_then(|o| o.get(name));
-    let body = match all.get("payload") {
+    let body = match root.get("payload") {
         None | Some(Value::Null) => Bytes::new(),
         Some(Value::String(text)) => STANDARD.decode(text)?.into(),
         Some(_) => return Err(MalformedAnswer::BodyNotText),
@@ -173,20 +174,20 @@
     Ok(Answer {
         reference,
         status,
-        function_concurrency: option("same").and_then(figure).unwrap_or(0.0) as u32,
+        function_concurrency: option("same").and_then(finite_number).unwrap_or(0.0) as u32,
         load_report: option("l")
             .and_then(Value::as_str)
             .map(read_load_report)
             .unwrap_or_default(),
-        replicas: option("n").and_then(figure).unwrap_or(0.0) as u32,
+        replicas: option("n").and_then(finite_number).unwrap_or(0.0) as u32,
         body,
     })
 }
 
 /// A finite number, which may be stated as a JSON number or as text.
-fn figure(value: &Value) -> Option<f64> {
-    let figure = value.as_f64().or_else(|| value.as_str()?.parse().ok())?;
-    Some(figure).filter(|f| f.is_finite())
+fn finite_number(value: &Value) -> Option<f64> {
+    let number = value.as_f64().or_else(|| value.as_str()?.parse().ok())?;
+    Some(number).filter(|number| number.is_finite())
 }
 
 /// Reads a load report: `name:number` pairs separated by semicolons, with the short names or those of the settings. A
--- a/crates/pipithub-settings/src/policy.rs
+++ b/crates/pipithub-settings/src/policy.rs
@@ -204,10 +204,10 @@
         max_pending: count("max-open", defaults.max_pending, 1..=1_000_000),
         max_body_bytes: count("max-mb", 256, 1..=65_536) * MEBIBYTE,
         answer_margin: node.duration("answer-margin", defaults.answer_margin, 0..=10 * SECOND),
-        remembered_messages: count("remember", defaults.remembered_messages, 0..=10_000_000),
-        remember_for: node.duration(
+        max_settled_messages: count("remember", defaults.max_settled_messages, 0..=10_000_000),
+        settled_retention: node.duration(
             "remember-for",
-            defaults.remember_for,
+            defaults.settled_retention,
             max_client_timeout..=DAY,
         ),
         max_deliveries: node.integer("max-deliveries", default_deliveries, 1..=1_000_000) as u32,
