--- a/crates/pipithub-engine/benches/engine.rs
+++ b/crates/pipithub-engine/benches/engine.rs
@@ -1,4 +1,4 @@
-//! The time of one call in the engine, and of the decision module alone.
+//! Measures the time of one call in the engine, and in the decision module alone.
 #![allow(missing_docs, reason = "criterion's macros make public functions")]
 
 use std::time::Duration;
--- a/crates/pipithub-engine/src/call.rs
+++ b/crates/pipithub-engine/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls, and the triggers that bring them.
+//! Calls and the triggers that deliver them.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SourceId(pub u32);
 
-/// What a source needs in order to settle a trigger. A source never uses a ticket twice.
+/// Identifies a trigger to its source, which needs it to settle the trigger. A source never uses a ticket twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket {
     /// The source that issued the ticket.
@@ -41,42 +41,42 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Tenant(pub u16);
 
-/// A call, with what its trigger states about it.
+/// A call, with the parameters that its trigger states.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Call {
     /// The function or model to run.
     pub function: Arc<str>,
     /// The class of the call, as an index into the classes of the settings.
     pub class: usize,
-    /// What is left of the client's timeout, in nanoseconds; `None` if the client states none, and then the class's
-    /// timeout applies.
+    /// What is left of the client's timeout, in nanoseconds; `None` if the client states none, so that the timeout of
+    /// the class applies.
     pub timeout: Option<Time>,
-    /// The minimum time that the message has waited already, in nanoseconds. It counts towards the class's timeout;
-    /// [`Call::timeout`] is what is left after it.
+    /// The minimum time that the message has already waited, in nanoseconds. It counts towards the timeout of the class
+    /// and is already subtracted from [`Call::timeout`].
     pub waited: Time,
     /// The maximum age of the message, in nanoseconds; `None` if its source knows no bound.
     pub age: Option<Time>,
-    /// The expected run time of the call, in nanoseconds, if the client states it.
+    /// The expected run time of the call, in nanoseconds; `None` if it is not stated.
     pub expected_work: Option<Time>,
     /// The memory that one loaded replica of the function takes, in MB.
     pub memory_mb: f64,
     /// The number of calls that one replica runs at a time.
     pub replica_concurrency: u32,
-    /// The usual time to load a replica, in nanoseconds, if the client states it.
+    /// The usual time to load a replica, in nanoseconds; `None` if it is not stated.
     pub load_time: Option<Time>,
-    /// The id of the message, if it has one. It identifies the call to workers and in logs.
+    /// The id of the message, which identifies the call to workers and in logs; `None` if it has none.
     pub message_id: Option<Arc<str>>,
-    /// The key by which workers deduplicate the call; `None` if they cannot.
+    /// The key by which workers deduplicate the call; `None` if the call has none.
     pub idempotency_key: Option<Arc<str>>,
-    /// MIME type of the body.
+    /// The MIME type of the body; `None` if it is not stated.
     pub content_type: Option<Arc<str>>,
     /// The body, which is passed to the worker unchanged.
     pub body: Bytes,
-    /// The tenant that the call belongs to; `None` if it belongs to none, as where no tenants are configured.
+    /// The tenant that the call belongs to; `None` if it belongs to none, as when no tenants are configured.
     pub tenant: Option<Tenant>,
-    /// The user who made the call; `None` if no user did.
+    /// The name of the user who made the call; `None` if no user is known.
     pub user: Option<Arc<str>>,
-    /// Distinguishes the user from other persons of the same name; 0 if that is not known.
+    /// Distinguishes the user from other persons with the same user name; 0 if that is not known.
     pub person: u64,
 }
 
@@ -85,7 +85,7 @@
 pub struct Trigger {
     /// The ticket by which the trigger is settled.
     pub ticket: Ticket,
-    /// Identifies the message across its deliveries; `None` if its source cannot tell.
+    /// Identifies the message across its deliveries; `None` if its source cannot identify it.
     pub identity: Option<Arc<str>>,
     /// Whether the message may have been delivered before, here or to another front end.
     pub redelivered: bool,
--- a/crates/pipithub-engine/src/engine.rs
+++ b/crates/pipithub-engine/src/engine.rs
@@ -1,9 +1,9 @@
-//! The engine: it ties the decision module to the pending requests and gives each of them one final answer.
+//! The engine, which connects the decision module to the pending requests and gives each request one final answer.
 //!
-//! Each part of the state has an owner: [`PendingRequests`] the requests and what is remembered of their messages,
-//! [`DecisionQueue`] the decision module and the events that it has not seen yet, [`Timers`] the times at which it is
-//! due, and [`OutputQueue`] what the engine asks for and has counted. The `impl` blocks of [`Engine`] hold only the
-//! steps that need several of these owners.
+//! Each part of the state has an owner: [`PendingRequests`] holds the requests and the history of their messages,
+//! [`DecisionQueue`] the decision module and the events that it has not handled yet, [`Timers`] the timers that are
+//! set, and [`OutputQueue`] the outputs and the counters. The `impl` blocks of [`Engine`] hold only the steps that need
+//! several of these owners.
 
 mod actions;
 mod admission;
@@ -33,15 +33,15 @@
 use decision_queue::DecisionQueue;
 use output_queue::OutputQueue;
 
-/// A front end without I/O: it takes [`Input`]s and asks for [`Output`]s.
+/// A front end without I/O: it handles [`Input`]s and returns [`Output`]s.
 #[derive(Debug)]
 pub struct Engine {
     settings: EngineSettings,
     decisions: DecisionQueue,
     timers: Timers,
     pending: PendingRequests,
-    /// Attempts that have no result yet, with their workers. They outlive their request, because the decision module
-    /// must learn how every attempt ended.
+    /// Attempts that have no result yet, with their workers. They may outlive their request, because the decision
+    /// module must be told how every attempt ended.
     attempts_in_flight: BTreeMap<AttemptId, WorkerId>,
     function_names: FunctionNames,
     ready_workers: ReadyWorkers,
@@ -50,14 +50,14 @@
 }
 
 impl Engine {
-    /// Creates an engine that knows no worker yet. The seed is its only source of randomness: engines with equal
+    /// Creates an engine that knows no workers yet. The seed is its only source of randomness: engines with equal
     /// settings and seeds give equal outputs for equal inputs.
     pub fn new(settings: EngineSettings, seed: u64) -> Self {
         let module = FrontEnd::new(settings.policy.clone(), seed);
         Self::with_decider(Box::new(module), settings)
     }
 
-    /// Creates an engine whose decisions are made by another policy than the decision module, for comparisons.
+    /// Creates an engine whose decisions are made by `decider` instead of the decision module, to compare policies.
     pub fn with_decider(decider: Box<dyn Decide>, mut settings: EngineSettings) -> Self {
         if settings.policy.classes.is_empty() {
             settings.policy.classes.push(Class::default());
@@ -78,14 +78,15 @@
         }
     }
 
-    /// When [`Input::Tick`] is due next; `None` if no timer is set.
+    /// The time at which the next [`Input::Tick`] is due; `None` if no timer is set.
     pub fn next_due(&self) -> Option<Time> {
         self.timers.next_due()
     }
 
-    /// The number of triggers that may be handed in now. A source that can hold its triggers back should do so beyond
-    /// it. It is 0 before the first endpoint list, because a front end that knows no worker yet would reject calls that
-    /// another front end could serve; 0 while the engine drains; and 0 while bodies take all the memory that they may.
+    /// The number of further triggers that the engine can accept now. A source that can hold back triggers should not
+    /// hand in more. The capacity is 0 before the first endpoint list, because a front end that knows no workers would
+    /// reject calls that another front end could serve; while the engine drains; and while the bodies in memory have
+    /// reached their maximum size.
     pub fn capacity(&self) -> usize {
         let no_list = !self.ready_workers.list_received();
         let no_memory = self.pending.body_bytes() >= self.settings.max_body_bytes;
@@ -120,8 +121,8 @@
         self.outputs.stats()
     }
 
-    /// When work for a worker must have been written to it: what waits for a connection until then must not be sent any more.
-    /// [`Time::MAX`] where nothing limits that.
+    /// The time by which work for a worker must have been written to its connection; work that still waits for a
+    /// connection at that time must not be sent. [`Time::MAX`] if there is no limit.
     pub fn lease_end(&self, worker: &WorkerId) -> Time {
         self.decisions.lease_end(worker)
     }
@@ -132,12 +133,12 @@
     }
 
     /// Whether a message with this identity is pending here or was settled here recently. If so, that alone decides
-    /// what happens to a redelivery of it.
+    /// what happens to a redelivery of the message.
     pub fn knows_message(&self, identity: &Arc<str>, now: Time) -> bool {
         self.pending.decide_redelivery(identity, now).is_some()
     }
 
-    /// Handles one input and appends to `out` what is to be done about it. Timers that are due are handled first.
+    /// Handles one input and appends the resulting outputs to `out`. Timers that are due are handled first.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         self.outputs.attach_buffer(out);
         self.run_due_timers(now);
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Gives the final answer of a request, unless it has one already.
+    /// Gives a request its final answer, unless it has one already.
     fn answer(&mut self, request: RequestId, answer: FinalAnswer) {
         if let Some(answered) = self.pending.answer(request, answer) {
             self.outputs.answer(answered);
--- a/crates/pipithub-engine/src/engine/actions.rs
+++ b/crates/pipithub-engine/src/engine/actions.rs
@@ -1,4 +1,4 @@
-//! Events go to the decision module, and its actions are carried out.
+//! Passes events to the decision module and carries out its actions.
 
 use pipithub_policy::api::{
     Action, Event, FunctionId, LoadFinished, Outcome, RequestId, Time, WorkerId,
@@ -9,11 +9,11 @@
 use crate::output::Output;
 use crate::reply::{Cause, FinalAnswer};
 
-/// How many ticks before its deadline the timer of a request may expire and still count as its end.
+/// A request timer that expires at most this many ticks before the deadline of its request still ends the request.
 const TICKS_BEFORE_DEADLINE: Time = 2;
 
 impl Engine {
-    /// Has the decision module handle an event, and all events that follow from its actions.
+    /// Has the decision module handle an event, carries out its actions, and repeats this for all events that result.
     pub(super) fn decide(&mut self, now: Time, event: Event) {
         self.decisions.push(event);
         while let Some(mut decision) = self.decisions.decide_next(now) {
@@ -21,7 +21,7 @@
                 self.carry_out(now, action);
             }
             self.decisions.recycle(decision.actions);
-            // The token of a request's own timer is its id; tokens of maintenance timers name no request.
+            // The token of a request's deadline timer is the request id; tokens of other timers match no request id.
             if let Some(token) = decision.expired_timer {
                 self.request_timer_expired(now, RequestId(token));
             }
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The cause that the client is given when the decision module ends a request.
+    /// The cause to report to the client when the decision module ends a request.
     fn cause_of_end(&self, request: RequestId) -> Cause {
         match self.pending.get(request) {
             Some(pending) if pending.attempts() > 0 => Cause::AttemptsEnded,
@@ -74,7 +74,7 @@
 
     fn load_function(&mut self, worker: WorkerId, function: FunctionId, replicas: u32) {
         let Some(name) = self.function_names.get(function) else {
-            // The name was evicted, so the command cannot be given. The decision module still awaits its end.
+            // The name was evicted, so the command cannot be sent. The decision module still expects its result.
             self.decisions.push(Event::LoadFinished(LoadFinished {
                 worker,
                 function,
@@ -101,8 +101,8 @@
         }
     }
 
-    /// Ends a request that the decision module has not answered by the time of its timer, so that it cannot stay
-    /// pending forever. An answered request whose message was not redelivered in time is forgotten.
+    /// Fails a request that still has no answer when its timer expires at its deadline, so that it cannot stay pending
+    /// forever. Releases an answered request whose message was not redelivered here by the deadline.
     fn request_timer_expired(&mut self, now: Time, request: RequestId) {
         let Some(pending) = self.pending.get(request) else {
             return;
--- a/crates/pipithub-engine/src/engine/admission.rs
+++ b/crates/pipithub-engine/src/engine/admission.rs
@@ -8,24 +8,24 @@
 use crate::reply::{Cause, FinalAnswer};
 use crate::settings::EngineSettings;
 
-/// How many ticks of the decision module may pass until the last attempt of a request has left. Workers must still
-/// deduplicate it then.
+/// The number of ticks of the decision module that may pass until the last attempt of a request is sent. Workers must
+/// still deduplicate the call at that time.
 const TICKS_UNTIL_LAST_ATTEMPT: Time = 4;
 
 /// What to do with a trigger.
 #[derive(Debug)]
 pub(super) enum AdmissionDecision {
-    /// Start a request that must be answered within `timeout`.
+    /// Start a request that must be answered within `timeout`, in nanoseconds.
     Start { timeout: Time },
     /// Give this final answer without starting a request.
     Answer(FinalAnswer),
-    /// Let the trigger take the place of an earlier delivery, whose request is pending.
+    /// Join the trigger to the pending request of an earlier delivery, whose ticket it replaces.
     Join(RequestId),
     /// Settle the trigger without an answer, because its message was answered before.
     Settle,
 }
 
-/// The state of the engine that admission depends on. It decides and changes nothing.
+/// The state of the engine that admission decisions depend on. Making a decision does not change it.
 #[derive(Debug)]
 pub(super) struct Admission<'a> {
     pub(super) settings: &'a EngineSettings,
@@ -34,11 +34,11 @@
 }
 
 impl Admission<'_> {
-    /// Decides what to do with a trigger. `rejection` is given where the call is not to run.
+    /// Decides what to do with a trigger. `rejection` is the answer to a call that must not run; `None` if it may run.
     ///
-    /// What is known of the message is looked up first even then: a call that runs here or was answered must not be
-    /// rejected as well, and a rejection tells the client that a retry is harmless, which must not be said of a call
-    /// that may have run elsewhere.
+    /// Earlier deliveries of the message are looked up first even if there is a rejection. A call that is running here
+    /// or was answered here must not be rejected as well. A rejection also tells the client that a retry is harmless,
+    /// which is not true of a call that may have run elsewhere.
     pub(super) fn decide(
         &self,
         now: Time,
@@ -82,7 +82,7 @@
         })
     }
 
-    /// The rejection of a call that this engine may not or cannot run.
+    /// The rejection of a call that this engine must not or cannot run; `None` if it can run.
     fn reject(&self, call: &Call) -> Option<FinalAnswer> {
         let cause = if !self.settings.owners.allow(call.tenant, &call.function) {
             Cause::OtherTenant
@@ -101,8 +101,8 @@
             && self.pending.body_bytes() + body_bytes <= self.settings.max_body_bytes
     }
 
-    /// The time from now in which a call must be answered; `None` if none is left. The time that a message waited in
-    /// its queue counts, whether the client or the class states the timeout.
+    /// The time from now within which a call must be answered, in nanoseconds; `None` if none is left. The time that
+    /// the message waited in its queue counts, whether the client or the class states the timeout.
     fn time_to_answer(&self, call: &Call, run_within: Option<Time>) -> Option<Time> {
         let class = &self.settings.policy.classes[call.class];
         let remaining_class_timeout = class.client_timeout.saturating_sub(call.waited);
--- a/crates/pipithub-engine/src/engine/arrivals.rs
+++ b/crates/pipithub-engine/src/engine/arrivals.rs
@@ -1,4 +1,4 @@
-//! Calls that arrive: admission decides what becomes of them, and that is done here.
+//! Handles arriving calls and carries out the decisions of admission.
 
 use pipithub_policy::api::{Event, Request, RequestId, Time};
 
@@ -9,8 +9,8 @@
 use crate::reply::FinalAnswer;
 
 impl Engine {
-    /// Starts a request for a call, joins the call to an earlier delivery of its message, or answers it at once.
-    /// `rejection` is given where the call is not to run.
+    /// Starts a request for a call, joins the call to an earlier delivery of its message, answers it at once, or
+    /// settles it without another answer. `rejection` is the answer to a call that must not run; `None` if it may run.
     pub(super) fn receive(
         &mut self,
         now: Time,
@@ -53,8 +53,8 @@
         self.decide(now, Event::Arrived(request));
     }
 
-    /// Gives a final answer to a trigger that the decision module never sees. Its body is dropped at once: what is
-    /// rejected for want of memory must not take any.
+    /// Gives a final answer to a trigger that the decision module never sees. Its body is dropped at once, so that a
+    /// call that is rejected for lack of memory takes none.
     fn answer_at_once(&mut self, now: Time, trigger: Trigger, answer: FinalAnswer) {
         let without_body = Call::default();
         let request = self
@@ -63,7 +63,7 @@
         self.answer(request, answer);
     }
 
-    /// Lets a delivery take the place of an earlier one of the same message.
+    /// Replaces the earlier delivery of a pending message by a new one.
     fn join(&mut self, request: RequestId, ticket: Ticket) {
         let Some(pending) = self.pending.replace_ticket(request, ticket) else {
             return;
--- a/crates/pipithub-engine/src/engine/attempts.rs
+++ b/crates/pipithub-engine/src/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: from the decision to forward a request until the result.
+//! Attempts, from the decision to forward a request to the result.
 
 use pipithub_policy::api::{
     AttemptFinished, Event, LoadReport, Outcome, RequestId, Time, WorkerId,
@@ -24,8 +24,9 @@
             return;
         };
         if pending.ticket().is_none() {
-            // The message may be at another front end by now, and an attempt from here could run after that one's
-            // answer. Attempts in flight may end, for the message may still be redelivered here.
+            // The message may have been redelivered to another front end, and a new attempt from here could run after
+            // that front end has answered. Only new attempts release the request: attempts in flight may still be
+            // served, and the message may still be redelivered here.
             let unsent = pending.next_attempt_id(request);
             self.pending.release(request);
             self.decisions.push(attempt_not_sent(unsent, worker));
@@ -33,8 +34,8 @@
         }
         let owners = &self.settings.owners;
         if !owners.allow(pending.call().tenant, &pending.call().function) {
-            // This was checked on arrival. It is checked again here, where the call would leave the process, so that
-            // tenancy does not depend on what happened in between.
+            // The owner was checked on arrival. It is checked again before the call leaves the process, so that the
+            // separation of tenants does not depend on what happened in between.
             let unsent = pending.next_attempt_id(request);
             let answer = FinalAnswer::interrupted(pending.attempts(), Cause::OtherTenant);
             self.answer(request, answer);
@@ -55,8 +56,8 @@
         });
     }
 
-    /// Handles the result of an attempt: the first that was served gives the request its answer. A result for an
-    /// attempt that is not in flight is ignored.
+    /// Handles the result of an attempt. The first attempt that is served gives the request its final answer. A result
+    /// for an attempt that is not in flight is ignored.
     pub(super) fn attempt_finished(&mut self, now: Time, result: AttemptResult) {
         let Some(worker) = self.attempts_in_flight.remove(&result.id) else {
             return;
@@ -86,7 +87,7 @@
     }
 }
 
-/// The event for an attempt that the decision module asked for and that was not made; its request is over.
+/// The event for an attempt that the decision module asked for but that was not sent, because its request has ended.
 fn attempt_not_sent(id: AttemptId, worker: WorkerId) -> Event {
     Event::AttemptFinished(AttemptFinished {
         request: id.request,
--- a/crates/pipithub-engine/src/engine/cancellation.rs
+++ b/crates/pipithub-engine/src/engine/cancellation.rs
@@ -1,5 +1,5 @@
-//! Requests that end early: the caller left, the source lost its connection, the user migrated, or the engine shuts
-//! down.
+//! Requests that end early because the caller left, the source lost its connection, the user migrated, or the engine
+//! shuts down.
 
 use pipithub_policy::api::{Event, RequestId, Time};
 
@@ -34,7 +34,7 @@
     }
 
     /// Voids the tickets of a source. A request with an identity stays pending until its deadline, because its message
-    /// may be redelivered here. One without is cancelled, because its answer could not be delivered.
+    /// may be redelivered here. A request without an identity is cancelled, because its answer could not be delivered.
     pub(super) fn source_lost(&mut self, now: Time, source: SourceId) {
         for ticket in self.pending.tickets_of(source) {
             let Some(request) = self.pending.void_ticket(ticket) else {
@@ -49,8 +49,9 @@
         }
     }
 
-    /// Ends the requests that a user made before `successor` took over the name. What was never forwarded is rejected.
-    /// The rest fails, because it may have run for the former tenant, whose answer must not reach the user any more.
+    /// Ends the requests that a user made before `successor` took over the name. Requests that were never forwarded are
+    /// rejected. The others fail, because they may have run for the former tenant, whose answers must no longer reach
+    /// the user.
     pub(super) fn user_migrated(&mut self, now: Time, user: &str, successor: Option<TenantUser>) {
         for request in self.pending.requests_of_former_user(user, successor) {
             self.end_for_former_user(now, request);
@@ -66,7 +67,7 @@
                 let end = EarlyEnd::new(request, pending, Cause::UserMigrated);
                 self.end_early(now, end);
             }
-            // The answer was not delivered yet and waits for a redelivery of its message.
+            // The answer is not delivered yet and waits for a redelivery of its message.
             Some(reply) if reply.verdict == Verdict::Served && pending.ticket().is_none() => {
                 self.abandon(now, request);
             }
@@ -74,8 +75,8 @@
         }
     }
 
-    /// Ends a graceful shutdown: answers all that is pending. What was never forwarded is rejected; the rest fails,
-    /// because it may have run.
+    /// Ends a graceful shutdown: answers all pending requests. Requests that were never forwarded are rejected; the
+    /// others fail, because they may have run.
     pub(super) fn answer_all(&mut self, now: Time) {
         self.draining = true;
         let unanswered: Vec<EarlyEnd> = self
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Gives the final answer of a request that the decision module still works on, and has that stop.
+    /// Gives a request its final answer and has the decision module stop working on it.
     fn end_early(&mut self, now: Time, end: EarlyEnd) {
         self.answer(end.request, end.answer);
         self.decide(
@@ -99,7 +100,7 @@
         );
     }
 
-    /// Ends a request that needs no answer any more.
+    /// Ends a request that no longer needs an answer.
     fn abandon(&mut self, now: Time, request: RequestId) {
         let Some(pending) = self.pending.release(request) else {
             return;
--- a/crates/pipithub-engine/src/engine/decision_queue.rs
+++ b/crates/pipithub-engine/src/engine/decision_queue.rs
@@ -1,4 +1,4 @@
-//! The decision module and the events that it has not seen yet.
+//! The decision module and the events that it has not handled yet.
 
 use std::collections::VecDeque;
 
@@ -6,12 +6,12 @@
 
 use crate::decide::Decide;
 
-/// What the decision module answers to one event.
+/// The response of the decision module to one event.
 #[derive(Debug)]
 pub(super) struct Decision {
-    /// What to do, in order.
+    /// The actions to carry out, in order.
     pub(super) actions: Vec<Action>,
-    /// The token of the timer whose expiry the event was, if it was one.
+    /// The token of the timer that expired; `None` if the event was not the expiry of a timer.
     pub(super) expired_timer: Option<u64>,
 }
 
@@ -21,7 +21,7 @@
 pub(super) struct DecisionQueue {
     decider: Box<dyn Decide>,
     events: VecDeque<Event>,
-    /// The empty buffer of the last decision, kept so that the next one need not allocate.
+    /// The empty buffer of the last decision, kept so that the next decision need not allocate one.
     spare_actions: Vec<Action>,
 }
 
@@ -53,7 +53,7 @@
         })
     }
 
-    /// Until when new work may be written to a worker; see [`Decide::lease_end`].
+    /// The time until which work may be written to a worker; see [`Decide::lease_end`].
     pub(super) fn lease_end(&self, worker: &WorkerId) -> Time {
         self.decider.lease_end(worker)
     }
--- a/crates/pipithub-engine/src/engine/output_queue.rs
+++ b/crates/pipithub-engine/src/engine/output_queue.rs
@@ -1,4 +1,4 @@
-//! What the engine asks for while it handles one input, and the counters of all that it asked for.
+//! The outputs of the engine while it handles one input, and the engine's counters.
 
 use std::sync::Arc;
 
@@ -12,8 +12,8 @@
 
 /// The outputs of the input that is being handled, in order, and the counters of the engine.
 ///
-/// Between [`attach_buffer`](Self::attach_buffer) and [`detach_buffer`](Self::detach_buffer) it writes to the buffer of the engine's
-/// caller, so that no outputs are copied or allocated twice.
+/// Between [`attach_buffer`](Self::attach_buffer) and [`detach_buffer`](Self::detach_buffer), outputs are appended to
+/// the buffer of the engine's caller, so that they are not copied or allocated twice.
 #[derive(Debug, Default)]
 pub(super) struct OutputQueue {
     outputs: Vec<Output>,
@@ -21,7 +21,7 @@
 }
 
 impl OutputQueue {
-    /// Takes the caller's buffer; outputs are appended to what it holds.
+    /// Takes the caller's buffer; outputs are appended to its contents.
     pub(super) fn attach_buffer(&mut self, buffer: &mut Vec<Output>) {
         self.outputs = std::mem::take(buffer);
     }
@@ -35,7 +35,7 @@
         self.stats
     }
 
-    /// Counts the end of a health check.
+    /// Counts a health check that failed or was not answered.
     pub(super) fn count_health_check(&mut self, outcome: HealthCheckOutcome) {
         match outcome {
             HealthCheckOutcome::Healthy => {}
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Asks for something, and counts it if there is a counter for it.
+    /// Appends an output, and counts it if there is a counter for its kind.
     pub(super) fn push(&mut self, output: Output) {
         match &output {
             Output::Forward { .. } => self.stats.attempts += 1,
@@ -62,8 +62,8 @@
         self.outputs.push(output);
     }
 
-    /// Counts the final answer of a request and asks to deliver it. An answer without a ticket is only counted: it
-    /// waits for a redelivery of its message.
+    /// Counts the final answer of a request and appends the output that delivers it. An answer without a ticket is only
+    /// counted: it waits for a redelivery of its message.
     pub(super) fn answer(&mut self, answered: AnsweredRequest) {
         match answered.reply.verdict {
             Verdict::Served => self.stats.served += 1,
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Counts a redelivery that joined a pending request. If that request has its answer, it is delivered again, to the
-    /// new ticket; it is not counted a second time.
+    /// Counts a redelivery that joined a pending request. If that request has its final answer, the answer is delivered
+    /// to the new ticket and not counted a second time.
     pub(super) fn joined(&mut self, ticket: Ticket, reply: Option<Arc<Reply>>) {
         self.stats.joined += 1;
         if let Some(reply) = reply {
--- a/crates/pipithub-engine/src/function_names.rs
+++ b/crates/pipithub-engine/src/function_names.rs
@@ -1,6 +1,6 @@
-//! The names of functions, for load commands.
+//! The names of functions, for load and evict commands.
 //!
-//! The decision module knows a function only by its id, but load commands to workers need its name.
+//! The decision module knows a function only by its id, but commands to workers need its name.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -48,8 +48,8 @@
         self.functions.insert(function, known);
     }
 
-    /// Forgets the half that was not called for the longest time. Evicting half of them at a time keeps the cost of a
-    /// call low when most functions are called only once.
+    /// Evicts the half of the functions that were called least recently. Evicting half of them at a time keeps the cost
+    /// of a call low when most functions are called only once.
     fn evict_older_half(&mut self) {
         let mut times: Vec<Time> = self
             .functions
--- a/crates/pipithub-engine/src/input.rs
+++ b/crates/pipithub-engine/src/input.rs
@@ -55,25 +55,25 @@
     pub replicas: u32,
 }
 
-/// A user as a tenant's directory knows them.
+/// A user, as listed in the directory of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TenantUser {
     /// The tenant that the user belongs to.
     pub tenant: Tenant,
-    /// Distinguishes the user from other persons of the same name; 0 if that is not known.
+    /// Distinguishes the user from other persons with the same user name; 0 if that is not known.
     pub person: u64,
 }
 
-/// What happened since the last input.
+/// An input of the engine: something that has happened since the last input.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// Only time has passed. Timers that are due expire, as they do before every other input.
     Tick,
-    /// A call arrived and is to run.
+    /// A call arrived that is to run.
     Trigger(Trigger),
     /// A source lost its connection. Its pending tickets are void, and their messages may be redelivered.
     SourceLost(SourceId),
-    /// The answer to a ticket is safe at its source, so the request can be forgotten.
+    /// The answer to a ticket is safe at its source, so the request can be removed.
     Settled(Ticket),
     /// The client of a ticket has left. It gets no answer, and the attempts for it are cancelled.
     CallerCancelled(Ticket),
@@ -83,9 +83,10 @@
     LoadPolled(LoadPollResult),
     /// A load command has its result. Every [`Output::LoadFunction`](crate::Output::LoadFunction) gets exactly one.
     LoadCommandFinished(LoadCommandResult),
-    /// The source of the endpoint list has shown something of itself.
+    /// The front end began to follow the endpoint list, or the source of the list gave a sign of life.
     EndpointListContact(EndpointListContact),
-    /// A health check of a worker has its result. Every [`Output::CheckHealth`](crate::Output::CheckHealth) gets exactly one.
+    /// A health check of a worker has its result. Every [`Output::CheckHealth`](crate::Output::CheckHealth) gets
+    /// exactly one.
     HealthChecked(HealthChecked),
     /// A worker has closed or reset a connection on which nothing was in flight.
     WorkerDisconnected(WorkerId),
@@ -96,8 +97,9 @@
         /// The endpoints that the update names.
         endpoints: Vec<Endpoint>,
     },
-    /// A call arrived that is not to run. It gets one final answer like any other call. If its message is pending here
-    /// or was answered here, that decides instead, as for any redelivery.
+    /// A call arrived that must not run. It gets one final answer like any other call. A redelivered message is still
+    /// handled as a redelivery: it joins a pending request, is settled if it was answered here, and fails if the call
+    /// may have run elsewhere and must not run again.
     Reject {
         /// The trigger of the call.
         trigger: Trigger,
@@ -106,11 +108,11 @@
         /// How long the client should wait before it retries, in nanoseconds; `None` if the answer does not say.
         retry_after: Option<Time>,
     },
-    /// A user name now belongs to another tenant or another person. What is pending for the former user ends now.
+    /// A user name now belongs to another tenant or another person. The pending requests of the former user end now.
     UserMigrated {
         /// The name of the user.
         user: Arc<str>,
-        /// The user who has the name now; `None` if no tenant has such a user any more.
+        /// The user who has the name now; `None` if the name no longer belongs to exactly one tenant.
         successor: Option<TenantUser>,
     },
     /// Graceful shutdown begins: new calls are rejected from now on, and pending requests are finished.
--- a/crates/pipithub-engine/src/lib.rs
+++ b/crates/pipithub-engine/src/lib.rs
@@ -1,13 +1,13 @@
 //! One front end without I/O.
 //!
-//! The [`Engine`] owns the front end of the decision module. Triggers, results of attempts, endpoint lists and the time
-//! go in as [`Input`]s; attempts, load commands, polls and final answers come out as [`Output`]s. It uses no socket,
-//! clock, thread or protocol: a source of triggers is identified by a number, and each trigger carries a ticket that
-//! only its source interprets. Equal inputs give equal outputs, so that sockets, an emulator and a replay can drive the
-//! same engine.
+//! The [`Engine`] owns the front end of the decision module. It takes triggers, results of attempts, endpoint lists and
+//! the time as [`Input`]s, and returns attempts, load commands, polls and final answers as [`Output`]s. It uses no
+//! socket, clock, thread or protocol: a source of triggers is identified by a number, and each trigger carries a ticket
+//! that only its source interprets. Equal inputs give equal outputs, so that sockets, an emulator and a replay can
+//! drive the same engine.
 //!
-//! The engine is responsible for what the decision module does not see: redelivered triggers ([`redelivery`]), exactly
-//! one final answer for each ticket, and the limits on the number and size of pending requests.
+//! The engine handles what the decision module does not see: redelivered triggers ([`redelivery`]), exactly one final
+//! answer for each ticket, and the limits on the number and size of pending requests.
 
 mod call;
 mod decide;
--- a/crates/pipithub-engine/src/output.rs
+++ b/crates/pipithub-engine/src/output.rs
@@ -7,7 +7,7 @@
 use crate::call::{AttemptId, Call, Ticket};
 use crate::reply::Reply;
 
-/// What the engine's caller is to do.
+/// An action that the engine's caller must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Start an attempt. Its result must be reported once, as [`AttemptFinished`](crate::Input::AttemptFinished).
@@ -18,7 +18,7 @@
         worker: WorkerId,
         /// The call to run.
         call: Arc<Call>,
-        /// When the attempt must end as timed out, on the clock of [`handle`](crate::Engine::handle).
+        /// The time at which the attempt must end as timed out, on the clock of [`handle`](crate::Engine::handle).
         deadline: Time,
     },
     /// Cancel an attempt. Its result must still be reported, as [`AttemptFinished`](crate::Input::AttemptFinished).
@@ -55,7 +55,7 @@
         /// The final answer.
         reply: Arc<Reply>,
     },
-    /// Settle a trigger that was answered before, without another answer.
+    /// Settle a trigger whose message was already answered, without another answer.
     Settle(Ticket),
     /// Start to watch the endpoint list. Its state must be reported as [`Endpoints`](crate::Input::Endpoints).
     WatchEndpoints,
--- a/crates/pipithub-engine/src/owners.rs
+++ b/crates/pipithub-engine/src/owners.rs
@@ -13,8 +13,8 @@
     Shared,
 }
 
-/// The owners of functions, by name and by prefix of names. Without any entry there are no tenants, and every call may
-/// run every function. As soon as there is an entry, functions that no entry covers cannot be called.
+/// The owners of functions, by name and by name prefix. Without any entry there are no tenants, and every call may run
+/// every function. As soon as there is an entry, functions that no entry covers cannot be called.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Owners {
     by_name: BTreeMap<String, Owner>,
@@ -22,8 +22,8 @@
 }
 
 impl Owners {
-    /// Adds an entry. A pattern that ends in `*` covers every name with that prefix. Returns the owner that the pattern
-    /// had before, if that was a different one.
+    /// Adds an entry. A pattern that ends in `*` covers every name with that prefix. Returns the former owner of the
+    /// pattern if it was a different one, else `None`.
     pub fn insert(&mut self, pattern: &str, owner: Owner) -> Option<Owner> {
         let before = match pattern.strip_suffix('*') {
             Some(prefix) => self.by_prefix.insert(prefix.to_string(), owner),
@@ -32,7 +32,7 @@
         before.filter(|former| *former != owner)
     }
 
-    /// The owner of a function: by its name, else by the longest prefix that covers it; `None` if no entry does.
+    /// The owner of a function: by its name, else by the longest prefix that covers it; `None` if no entry covers it.
     pub fn of(&self, function: &str) -> Option<Owner> {
         if let Some(owner) = self.by_name.get(function) {
             return Some(*owner);
--- a/crates/pipithub-engine/src/pending.rs
+++ b/crates/pipithub-engine/src/pending.rs
@@ -14,14 +14,14 @@
 
 pub(crate) use request::{EndedAttempt, PendingRequest};
 
-/// A final answer and the ticket that it goes to; without a ticket it waits for a redelivery of its message.
+/// A final answer and the ticket that it goes to; without a ticket, the answer waits for a redelivery of the message.
 #[derive(Debug)]
 pub(crate) struct AnsweredRequest {
     pub(crate) ticket: Option<Ticket>,
     pub(crate) reply: Arc<Reply>,
 }
 
-/// The requests that are not settled, and what is remembered of the messages that brought them.
+/// The requests that are not settled, and the history of the messages that started them.
 #[derive(Debug)]
 pub(crate) struct PendingRequests {
     requests: BTreeMap<RequestId, PendingRequest>,
@@ -32,7 +32,7 @@
 }
 
 impl PendingRequests {
-    /// Remembers up to `max_settled` settled messages, each for `retention`.
+    /// Creates an empty table that remembers up to `max_settled` settled messages, each for `retention` nanoseconds.
     pub(crate) fn new(max_settled: usize, retention: Time) -> Self {
         PendingRequests {
             requests: BTreeMap::new(),
@@ -47,7 +47,7 @@
         self.requests.len()
     }
 
-    /// The size of all bodies, of calls and of answers.
+    /// The size of all bodies, of calls and of answers, in bytes.
     pub(crate) fn body_bytes(&self) -> usize {
         self.body_bytes
     }
@@ -57,7 +57,8 @@
         self.next_id
     }
 
-    /// What this front end itself knows of a redelivered message; `None` if nothing.
+    /// What to do with a redelivered message that is pending here or was settled here recently; `None` if the message
+    /// is unknown.
     pub(crate) fn decide_redelivery(
         &self,
         identity: &Arc<str>,
@@ -68,8 +69,8 @@
 
     /// Adds the request of a new message and returns its id.
     ///
-    /// If another request with the same identity is pending, a client used the identity for two calls. That request
-    /// keeps its answer and loses the identity to the new one.
+    /// If another request with the same identity is pending, a client used the identity for two calls. The earlier
+    /// request still gets its own answer and loses the identity to the new request.
     pub(crate) fn insert(
         &mut self,
         ticket: Ticket,
@@ -151,14 +152,14 @@
         Some(request)
     }
 
-    /// Takes a ticket from its request, which stays pending without one.
+    /// Removes a ticket from its request, which stays pending without one; `None` if no request has the ticket.
     pub(crate) fn void_ticket(&mut self, ticket: Ticket) -> Option<RequestId> {
         let id = self.by_ticket.remove(&ticket)?;
         self.requests.get_mut(&id)?.replace_ticket(None);
         Some(id)
     }
 
-    /// Records how an attempt ended. Returns whether its request is over: it has its final answer or is settled.
+    /// Records how an attempt ended. Returns whether its request has ended: it has its final answer or was removed.
     pub(crate) fn record_ended_attempt(&mut self, id: RequestId, attempt: EndedAttempt) -> bool {
         let Some(request) = self.requests.get_mut(&id) else {
             return true;
@@ -167,7 +168,7 @@
         request.is_answered()
     }
 
-    /// Records the final answer of a request; `None` if the request has one already or is settled.
+    /// Records the final answer of a request; `None` if the request has one already or was removed.
     pub(crate) fn answer(&mut self, id: RequestId, answer: FinalAnswer) -> Option<AnsweredRequest> {
         let request = self.get_unanswered_mut(id)?;
         let body_bytes_before = request.body_bytes();
@@ -178,7 +179,7 @@
         Some(AnsweredRequest { ticket, reply })
     }
 
-    /// Forgets the request of a ticket, whose answer is safe at its source, and remembers its message as settled.
+    /// Removes the request of a ticket whose answer is safe at its source, and records its message as settled.
     pub(crate) fn settle(&mut self, ticket: Ticket, now: Time) {
         let Some(id) = self.of_ticket(ticket) else {
             return;
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Forgets a request whose answer is not known to be safe.
+    /// Removes a request whose answer is not known to be safe at its source.
     pub(crate) fn release(&mut self, id: RequestId) -> Option<PendingRequest> {
         let request = self.remove(id)?;
         if let Some(identity) = request.identity() {
@@ -200,7 +201,8 @@
         Some(request)
     }
 
-    /// Forgets an answered request whose message was not redelivered here until its deadline: it went elsewhere.
+    /// Removes an answered request whose message was not redelivered here by the deadline, because it must have been
+    /// redelivered elsewhere.
     pub(crate) fn release_if_abandoned(&mut self, id: RequestId, now: Time) {
         if self
             .get(id)
--- a/crates/pipithub-engine/src/pending/request.rs
+++ b/crates/pipithub-engine/src/pending/request.rs
@@ -9,7 +9,7 @@
 use crate::input::TenantUser;
 use crate::reply::{FinalAnswer, Reply};
 
-/// An attempt of a request that has ended.
+/// An attempt that has ended.
 #[derive(Clone, Debug)]
 pub(crate) struct EndedAttempt {
     pub(crate) outcome: Outcome,
@@ -18,7 +18,8 @@
 
 /// A request that is not settled: its answer is not known yet, or not yet known to be safe at its source.
 ///
-/// What the table of requests depends on (ticket, identity, the size of the body) changes only through the table.
+/// The fields that the table of pending requests depends on (ticket, identity, size of the body) change only through
+/// the table.
 #[derive(Debug)]
 pub(crate) struct PendingRequest {
     ticket: Option<Ticket>,
@@ -50,8 +51,8 @@
         }
     }
 
-    /// The ticket of the latest delivery; `None` once its source is lost: the answer then waits for a redelivery of the
-    /// message.
+    /// The ticket of the latest delivery; `None` once its source has lost its connection, so that the answer waits for
+    /// a redelivery of the message.
     pub(crate) fn ticket(&self) -> Option<Ticket> {
         self.ticket
     }
@@ -100,18 +101,20 @@
         id
     }
 
-    /// The size of the body that is in memory for the request: of its call until it has an answer, then of the answer.
+    /// The size in bytes of the body that is in memory for the request: the body of the call until the request has its
+    /// answer, then the body of the answer.
     pub(super) fn body_bytes(&self) -> usize {
         self.body_bytes
     }
 
-    /// Whether the answer waited for a redelivery until the deadline: the message was redelivered elsewhere.
+    /// Whether the answer has waited for a redelivery until the deadline, which means that the message was redelivered
+    /// elsewhere.
     pub(super) fn is_abandoned(&self, now: Time) -> bool {
         self.ticket.is_none() && self.is_answered() && now >= self.deadline
     }
 
     /// Whether the request was made by a user before `successor` took over the name. Calls of the successor may have
-    /// arrived before the engine learnt of the migration.
+    /// arrived before the engine was told of the migration.
     pub(super) fn is_of_former_user(&self, user: &str, successor: Option<TenantUser>) -> bool {
         if self.call.user.as_deref() != Some(user) {
             return false;
--- a/crates/pipithub-engine/src/redelivery.rs
+++ b/crates/pipithub-engine/src/redelivery.rs
@@ -9,28 +9,28 @@
 
 use pipithub_policy::api::{Class, DeduplicationScope, Idempotency, RequestId, Time};
 
-/// What to do with a message that was redelivered.
+/// What to do with a redelivered message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RedeliveryDecision {
-    /// The message is pending here, and this delivery takes the place of the earlier one.
+    /// The message is pending here, and this delivery replaces the earlier one.
     Join(RequestId),
-    /// The message was answered and its answer is safe: settle the delivery without another answer.
+    /// The message was answered and its answer is safe at its source: settle the delivery without another answer.
     Settle,
     /// The call may have run elsewhere, and running it again is harmless.
     Run {
-        /// The time from now, in nanoseconds, in which the call must be answered; `None` if there is no bound.
+        /// The time from now within which the call must be answered, in nanoseconds; `None` if there is no bound.
         within: Option<Time>,
     },
     /// The call may have run elsewhere and must not run again.
     Fail,
 }
 
-/// Decides on a message whose earlier deliveries are not known here, by what its class allows.
+/// Decides on a redelivered message whose earlier deliveries are not known here, by what its class allows.
 ///
-/// Every earlier delivery may have been forwarded to a worker at any time since the message was made. An idempotent
+/// Every earlier delivery may have been forwarded to a worker at any time since the message was created. An idempotent
 /// call may run again. A call with an idempotency key may run again only if all workers deduplicate it and the oldest
 /// possible attempt is still within their deduplication window. The age of the message must be known for that. `margin`
-/// is the time that the last attempt may need until it arrives.
+/// is the time that the last attempt may need until it arrives, in nanoseconds.
 pub fn decide_unknown(
     class: &Class,
     age: Option<Time>,
@@ -51,7 +51,8 @@
     }
 }
 
-/// How long from now all workers still deduplicate a call of this age; `None` if they may not or the age is unknown.
+/// How long from now all workers are sure to deduplicate a call of this age, in nanoseconds; `None` if they may not do
+/// so any longer or the age is unknown.
 fn remaining_window(class: &Class, age: Option<Time>, margin: Time) -> Option<Time> {
     let used = age?.saturating_add(margin);
     class
@@ -66,8 +67,8 @@
     settled_at: Time,
 }
 
-/// The messages that are pending or were settled recently, by identity. Their number and age are bounded. A message
-/// that was forgotten counts as unknown, which is safe: it runs again only if its class allows that.
+/// The messages that are pending or were settled recently, by identity. The number and age of settled messages are
+/// bounded. A message that was evicted counts as unknown, which is safe: it runs again only if its class allows that.
 #[derive(Debug)]
 pub(crate) struct DeliveryHistory {
     max_settled: usize,
@@ -78,7 +79,7 @@
 }
 
 impl DeliveryHistory {
-    /// Remembers up to `max_settled` settled messages, each for `retention`.
+    /// Creates an empty history that holds up to `max_settled` settled messages, each for `retention` nanoseconds.
     pub(crate) fn new(max_settled: usize, retention: Time) -> Self {
         DeliveryHistory {
             max_settled,
@@ -89,15 +90,15 @@
         }
     }
 
-    /// Records a new message and returns the request that had its identity until now, if one is pending. What was known
-    /// of an earlier message with the same identity is void: a client may use an identity again, and the new message
-    /// must not be settled by the answer of the old one.
+    /// Records a new message. Returns the pending request that had its identity until now; `None` if there is none.
+    /// The record of an earlier message with the same identity is dropped: a client may use an identity again, and the
+    /// new message must not be settled by the answer to the old one.
     pub(crate) fn begin(&mut self, identity: &Arc<str>, request: RequestId) -> Option<RequestId> {
         self.settled.remove(identity);
         self.pending.insert(identity.clone(), request)
     }
 
-    /// Records that the answer of a request is safe.
+    /// Records that the answer of a request is safe at its source.
     pub(crate) fn settle(&mut self, identity: &Arc<str>, request: RequestId, now: Time) {
         if self.pending.get(identity) != Some(&request) {
             return;
@@ -117,7 +118,7 @@
             if !expired && self.settled_by_age.len() <= self.max_settled {
                 return;
             }
-            // If the same identity was settled again since then, the later entry keeps it.
+            // If the same identity was settled again later, the later entry keeps the record.
             if self.settled.get(&oldest.identity) == Some(&oldest.settled_at) {
                 self.settled.remove(&oldest.identity);
             }
@@ -132,7 +133,8 @@
         }
     }
 
-    /// What this front end itself knows of a redelivered message; `None` if nothing.
+    /// What to do with a redelivered message that is pending here or was settled here recently; `None` if the message
+    /// is unknown.
     pub(crate) fn decide(&self, identity: &Arc<str>, now: Time) -> Option<RedeliveryDecision> {
         if let Some(request) = self.pending.get(identity) {
             return Some(RedeliveryDecision::Join(*request));
--- a/crates/pipithub-engine/src/reply.rs
+++ b/crates/pipithub-engine/src/reply.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// Why a final answer is what it is.
+/// The reason for the verdict of a final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Cause {
     /// A worker ran the call and answered.
@@ -38,7 +38,7 @@
     AttemptsEnded,
     /// The client's timeout had passed when the call arrived.
     TooLate,
-    /// The message was redelivered and may have run before, where it must not run twice.
+    /// The message was redelivered, its call may have run before, and the call must not run twice.
     MayHaveRunBefore,
     /// The message was redelivered more often than is allowed.
     TooManyDeliveries,
@@ -48,7 +48,7 @@
     Draining,
     /// The call does not state its user.
     NoUser,
-    /// No directory answered in time which tenant the user belongs to.
+    /// No directory stated in time which tenant the user belongs to.
     UserUnknown,
     /// The user belongs to no tenant.
     NoTenant,
@@ -94,7 +94,7 @@
     /// The HTTP status of the answer: 200 if the call succeeded, another if the worker reports a fault of the call
     /// itself.
     pub status: u16,
-    /// MIME type of the body; `None` if the worker states none.
+    /// The MIME type of the body; `None` if the worker states none.
     pub content_type: Option<Arc<str>>,
     /// The body of the answer, unchanged.
     pub body: Bytes,
--- a/crates/pipithub-engine/src/settings.rs
+++ b/crates/pipithub-engine/src/settings.rs
@@ -13,21 +13,21 @@
 /// The settings of an engine, which do not change while it runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineSettings {
-    /// Settings of the decision module.
+    /// The settings of the decision module.
     pub policy: Settings,
     /// The maximum number of pending requests, including those whose answer is not settled yet.
     pub max_pending: usize,
     /// The maximum size of all bodies in memory, of calls and of answers, in bytes.
     pub max_body_bytes: usize,
-    /// How long before the client's timeout the final answer is given, so that it arrives in time; in nanoseconds.
+    /// How long before the client's timeout the final answer is given, so that it arrives in time, in nanoseconds.
     pub answer_margin: Time,
-    /// The number of settled messages that are remembered in order to recognize redeliveries.
+    /// The maximum number of settled messages that are remembered in order to recognize redeliveries.
     pub max_settled_messages: usize,
     /// How long a settled message is remembered, in nanoseconds.
     pub settled_retention: Time,
-    /// A message with more earlier deliveries than this fails, because it may be what crashes front ends.
+    /// A message with more earlier deliveries than this fails, because it may be the cause of crashes of front ends.
     pub max_deliveries: u32,
-    /// The maximum number of functions whose names are kept for load commands.
+    /// The maximum number of functions whose names are kept for load and evict commands.
     pub max_function_names: usize,
     /// The owners of functions.
     pub owners: Arc<Owners>,
--- a/crates/pipithub-engine/src/stats.rs
+++ b/crates/pipithub-engine/src/stats.rs
@@ -15,13 +15,13 @@
     pub cancelled_attempts: u64,
     /// Load commands given to workers.
     pub load_commands: u64,
-    /// Polls of the load of workers.
+    /// Load polls sent to workers.
     pub load_polls: u64,
     /// Health checks of workers, sent while the endpoint list was out of reach.
     pub health_checks: u64,
-    /// Health checks by which a worker told that it is not in service.
+    /// Health checks in whose answer a worker reported that it is not in service.
     pub failed_health_checks: u64,
-    /// Health checks that got no answer.
+    /// Health checks that got no answer, including those without a connection.
     pub unanswered_health_checks: u64,
     /// Final answers with the verdict [`Served`](crate::Verdict::Served).
     pub served: u64,
--- a/crates/pipithub-engine/tests/engine/admission.rs
+++ b/crates/pipithub-engine/tests/engine/admission.rs
@@ -20,8 +20,8 @@
     }
 }
 
-/// Found by a scenario: a call that had waited in its queue was given the complete timeout of its class again, and was
-/// answered long after its client had left.
+/// Guards against a fault found by a scenario: a call that had waited in its queue was given the full timeout of its
+/// class again, and was answered long after its client had left.
 #[test]
 fn time_waited_in_the_queue_counts_towards_the_client_timeout() {
     let mut harness = Harness::new(settings());
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn calls_of_more_functions_than_names_are_kept_for_are_still_taken() {
+fn calls_are_accepted_beyond_max_function_names() {
     let mut harness = Harness::new(EngineSettings {
         max_function_names: 10,
         ..settings()
--- a/crates/pipithub-engine/tests/engine/answers.rs
+++ b/crates/pipithub-engine/tests/engine/answers.rs
@@ -1,4 +1,4 @@
-//! Calls that are forwarded, and their one final answer.
+//! Forwarded calls and their one final answer.
 
 use pipithub_engine::policy::{Outcome, RequestId};
 use pipithub_engine::{AttemptId, Input, Output, Verdict};
--- a/crates/pipithub-engine/tests/engine/harness.rs
+++ b/crates/pipithub-engine/tests/engine/harness.rs
@@ -16,7 +16,7 @@
 /// The source of all triggers.
 pub(crate) const SOURCE: SourceId = SourceId(1);
 
-/// The numbers of the classes.
+/// The indexes of the classes in [`settings`].
 pub(crate) const IDEMPOTENT: usize = 0;
 pub(crate) const WITH_KEY: usize = 1;
 pub(crate) const NON_IDEMPOTENT: usize = 2;
@@ -79,7 +79,7 @@
         std::mem::take(&mut self.out)
     }
 
-    /// A call of a class arrives; `change` makes its trigger another than the usual one.
+    /// A call of a class arrives; `change` adjusts its default trigger.
     pub(crate) fn trigger(
         &mut self,
         class: usize,
@@ -89,7 +89,7 @@
         (trigger.ticket, self.input(Input::Trigger(trigger)))
     }
 
-    /// A call of a class arrives that is not to run, because its tenant has used up its quota.
+    /// A call of a class arrives that must not run, because its tenant has used up its quota.
     pub(crate) fn reject(
         &mut self,
         class: usize,
@@ -130,12 +130,12 @@
         trigger
     }
 
-    /// The source loses its connection, which makes its tickets void.
+    /// The source loses its connection, which voids its tickets.
     pub(crate) fn lose_source(&mut self) -> Vec<Output> {
         self.input(Input::SourceLost(SOURCE))
     }
 
-    /// An attempt has its result.
+    /// An attempt ends with this outcome.
     pub(crate) fn finish_attempt(&mut self, id: AttemptId, outcome: Outcome) -> Vec<Output> {
         let served = (outcome == Outcome::Served).then(|| Served {
             status: 200,
@@ -154,7 +154,7 @@
         self.input(Input::AttemptFinished(result))
     }
 
-    /// Advances the clock; timers expire when they are due.
+    /// Advances the clock and returns the outputs of the timers that expire when they are due.
     pub(crate) fn advance(&mut self, length: Time) -> Vec<Output> {
         let until = self.now + length;
         let mut all = Vec::new();
@@ -166,7 +166,7 @@
         all
     }
 
-    /// The engine has forgotten every request and attempt.
+    /// Asserts that the engine holds no request, body or attempt any more.
     pub(crate) fn assert_nothing_left(&self) {
         assert_eq!(self.engine.pending_requests(), 0);
         assert_eq!(self.engine.body_bytes(), 0);
--- a/crates/pipithub-engine/tests/engine/main.rs
+++ b/crates/pipithub-engine/tests/engine/main.rs
@@ -1,4 +1,4 @@
-//! The engine against scripted sources and workers.
+//! Tests of the engine with scripted sources and workers.
 
 mod admission;
 mod answers;
--- a/crates/pipithub-engine/tests/engine/redelivery.rs
+++ b/crates/pipithub-engine/tests/engine/redelivery.rs
@@ -1,4 +1,4 @@
-//! Messages that are delivered again, and requests whose source is lost.
+//! Messages that are redelivered, and requests whose source is lost.
 
 use pipithub_engine::policy::{Class, DeduplicationScope, Idempotency, Outcome};
 use pipithub_engine::redelivery::{RedeliveryDecision, decide_unknown};
@@ -35,12 +35,14 @@
     let (to, reply) = only_answer(&out);
     assert_eq!((to, reply.verdict), (again, Verdict::Served));
     harness.input(Input::Settled(again));
-    // A broker without transactions may lose the acknowledgement of an answer that is safe. It gets no second answer.
+    // A broker without transactions may lose the acknowledgement although the answer is safe. The redelivery gets no
+    // second answer.
     let (third, out) = harness.trigger(NON_IDEMPOTENT, |trigger| trigger.redelivered = true);
     assert_eq!(out, [Output::Settle(third)]);
 }
 
-/// Found by a scenario: a front end whose connection was cut retried a call after another front end had answered it.
+/// Guards against a fault found by a scenario: a front end whose connection was cut retried a call after another front
+/// end had answered it.
 #[test]
 fn request_without_its_source_is_not_retried() {
     let mut harness = Harness::new(settings());
@@ -51,12 +53,12 @@
         []
     );
     harness.assert_nothing_left();
-    // A redelivery to this front end after all is decided like that of an unknown message.
+    // If the message is redelivered to this front end after all, it is treated as unknown.
     let (_, out) = harness.trigger(IDEMPOTENT, |trigger| trigger.redelivered = true);
     assert_eq!(forwarded(&out).len(), 1);
 }
 
-/// A client that reuses an identity must not have its call settled by the answer of an earlier one.
+/// A client that reuses an identity must not have its call settled by the answer to an earlier call.
 #[test]
 fn message_that_reuses_an_identity_is_a_new_message() {
     let mut harness = Harness::new(settings());
@@ -104,13 +106,13 @@
     assert_eq!(
         answer_to(WITH_KEY, None),
         failed,
-        "its first attempt may be of any age"
+        "its first attempt may have any age"
     );
     assert_eq!(answer_to(WITH_KEY, Some(500 * MS)), None);
     assert_eq!(
         answer_to(WITH_KEY, Some(2_999 * MS)),
         failed,
-        "workers may forget its key while it is on its way"
+        "workers may drop its key while it is on its way"
     );
 }
 
@@ -180,7 +182,7 @@
     assert_eq!(harness.engine.attempts_in_flight(), 0);
 }
 
-/// A message that was redelivered elsewhere after a lost connection must not stay pending forever.
+/// A request whose message was redelivered elsewhere after a lost connection must not stay pending forever.
 #[test]
 fn answered_request_without_its_source_is_released_at_its_deadline() {
     let mut harness = Harness::new(settings());
@@ -192,7 +194,8 @@
     harness.assert_nothing_left();
 }
 
-/// A redelivery of its message would join the later request with the same identity, so its answer could not be delivered.
+/// A redelivery of the message would join the later request with the same identity, so the answer of the earlier
+/// request could not be delivered.
 #[test]
 fn request_whose_identity_was_reused_is_cancelled_when_its_source_is_lost() {
     let mut harness = Harness::new(settings());
--- a/crates/pipithub-engine/tests/engine/tenants.rs
+++ b/crates/pipithub-engine/tests/engine/tenants.rs
@@ -1,4 +1,4 @@
-//! Functions and users of tenants.
+//! Calls of tenants: function owners, migrated users and rejected redeliveries.
 
 use std::sync::Arc;
 
@@ -85,7 +85,7 @@
     );
 }
 
-/// A pending message is redelivered while its tenant is over its quota. Its request goes on and is answered once.
+/// A pending message is redelivered while its tenant is over its quota. Its request continues and is answered once.
 #[test]
 fn rejected_redelivery_of_a_pending_message_only_replaces_its_ticket() {
     let mut harness = Harness::new(settings_with_owners());
--- a/crates/pipithub-engine/tests/owners.rs
+++ b/crates/pipithub-engine/tests/owners.rs
@@ -1,4 +1,4 @@
-//! The owners of functions.
+//! Which tenant owns which function, by name and by prefix.
 
 use pipithub_engine::{Owner, Owners, Tenant};
 
--- a/crates/pipithub-engine/tests/random_faults/broker.rs
+++ b/crates/pipithub-engine/tests/random_faults/broker.rs
@@ -1,4 +1,4 @@
-//! A broker with one queue, which redelivers what a lost connection has not acknowledged.
+//! A broker with one queue, which redelivers the messages that were not acknowledged before their connection was lost.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,18 +13,18 @@
     pub(crate) at: Time,
 }
 
-/// A message with all that became of it.
+/// A message with its answers and its effects.
 #[derive(Clone, Debug)]
 pub(crate) struct Message {
     pub(crate) class: usize,
     pub(crate) published: Time,
     pub(crate) redelivered: bool,
     pub(crate) answers: Vec<Answer>,
-    /// When the call took effect at a worker.
+    /// The times at which the call took effect at a worker.
     pub(crate) effects: Vec<Time>,
 }
 
-/// A delivery that is not acknowledged.
+/// A delivery that is not acknowledged yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Delivery {
     front_end: usize,
@@ -83,7 +83,7 @@
             .any(|delivery| *delivery == expected)
     }
 
-    /// Takes the answer to a delivery and its acknowledgement, which take effect together.
+    /// Records the answer to a delivery and acknowledges the delivery in one step, as a transaction does.
     pub(crate) fn commit(&mut self, ticket: Ticket, verdict: Verdict, now: Time) {
         let delivery = self
             .unacknowledged
@@ -102,7 +102,7 @@
         self.messages[message].effects.push(now);
     }
 
-    /// Returns what a front end has not acknowledged to the head of the queue, in its order.
+    /// Returns the messages that a front end has not acknowledged to the head of the queue, in order of delivery.
     pub(crate) fn requeue(&mut self, front_end: usize) {
         let lost: Vec<(Ticket, usize)> = self
             .unacknowledged
--- a/crates/pipithub-engine/tests/random_faults/events.rs
+++ b/crates/pipithub-engine/tests/random_faults/events.rs
@@ -1,11 +1,11 @@
-//! What happens in the simulation, in the order of simulated time.
+//! The events of the simulation, in the order of simulated time.
 
 use std::collections::BTreeMap;
 
 use pipithub_engine::policy::Outcome;
 use pipithub_engine::{AttemptId, Ticket, Time, Verdict};
 
-/// An attempt of one incarnation of a front end. What belongs to an earlier incarnation is void.
+/// An attempt of one incarnation of a front end. The results of attempts of earlier incarnations are ignored.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct SimulatedAttempt {
     pub(crate) front_end: usize,
@@ -18,7 +18,7 @@
     MessagePublished {
         class: usize,
     },
-    /// A call reaches its worker, whose answer will be this outcome.
+    /// A call reaches its worker; its attempt will end with this outcome.
     CallArrived {
         attempt: SimulatedAttempt,
         message: usize,
@@ -57,7 +57,7 @@
         self.events.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Takes the next event if its time has come.
+    /// Removes and returns the next event if it is due.
     pub(crate) fn take_due(&mut self, now: Time) -> Option<Event> {
         self.next_at().filter(|at| *at <= now)?;
         self.events.pop_first().map(|(_, event)| event)
--- a/crates/pipithub-engine/tests/random_faults/main.rs
+++ b/crates/pipithub-engine/tests/random_faults/main.rs
@@ -1,5 +1,6 @@
-//! Two engines, a broker and workers under random faults. What is checked is seen from outside: each message gets
-//! exactly one final answer within its client's time, and no call takes effect more often than its class allows.
+//! Two engines, a broker and workers under random faults. The checks use only what is visible from outside: each
+//! message gets exactly one final answer within its client's timeout, and no call takes effect more often than its
+//! class allows.
 
 mod broker;
 mod events;
@@ -33,7 +34,7 @@
             message
         );
     }
-    // A message that lost its connection may come back too late, but is answered at once then.
+    // A message whose connection was lost may be redelivered too late; it is then answered at once.
     if !message.redelivered {
         prop_assert!(
             answer.at <= message.published + CLIENT_TIMEOUT,
--- a/crates/pipithub-engine/tests/random_faults/simulation.rs
+++ b/crates/pipithub-engine/tests/random_faults/simulation.rs
@@ -21,7 +21,7 @@
 const WORKERS: usize = 4;
 pub(crate) const MESSAGES: usize = 60;
 
-/// The numbers of the classes.
+/// The indexes of the classes in [`settings`].
 pub(crate) const IDEMPOTENT: usize = 0;
 pub(crate) const WITH_KEY: usize = 1;
 const CLASSES: u64 = 3;
@@ -84,9 +84,9 @@
 
 struct FrontEnd {
     engine: Engine,
-    /// How often the engine was restarted.
+    /// The number of restarts of the engine.
     incarnation: u32,
-    /// The number of its connection to the broker.
+    /// The number of the current connection to the broker, from 0.
     connection: u32,
 }
 
@@ -126,7 +126,7 @@
         self.front_ends.iter().map(|front_end| &front_end.engine)
     }
 
-    /// Publishes all messages, lets the faults happen, and runs until everything is settled.
+    /// Publishes all messages, injects the faults, and runs until no event or timer is left before [`END`].
     pub(crate) fn run(mut self) -> Self {
         self.schedule_messages();
         self.schedule_faults();
@@ -182,7 +182,7 @@
                 id, call, deadline, ..
             } => self.forward(front_end, id, &call, deadline),
             Output::Cancel(id) => {
-                // What has reached the worker runs all the same.
+                // A call that was sent still runs at the worker.
                 let attempt = self.attempt(front_end, id);
                 let outcome = Outcome::Cancelled;
                 self.schedule
@@ -293,7 +293,8 @@
         }
     }
 
-    /// A worker runs a call, unless the outcome says that it never ran. Workers deduplicate calls with a key.
+    /// A worker runs a call, unless the outcome means that the call never ran. With a lost connection, it runs in half
+    /// of the cases. Workers deduplicate calls of the class with keys.
     fn run_call(&mut self, attempt: SimulatedAttempt, message: usize, outcome: Outcome) {
         let runs = !outcome.never_ran()
             && (outcome != Outcome::ConnectionLost || self.random.below(2) == 0);
@@ -312,7 +313,7 @@
         }
     }
 
-    /// Reports the result of an attempt once, unless the front end was restarted since.
+    /// Reports the result of an attempt once, unless the front end was restarted in the meantime.
     fn end_attempt(&mut self, attempt: SimulatedAttempt, outcome: Outcome) {
         let current = self.front_ends[attempt.front_end].incarnation;
         if attempt.incarnation != current || self.ended_attempts.contains(&attempt) {
@@ -336,7 +337,7 @@
         self.broker.requeue(front_end);
     }
 
-    /// Delivers queued messages, each to a random front end that has capacity.
+    /// Delivers the queued messages, each to a random front end that has capacity, until none has.
     fn deliver(&mut self) {
         while self.broker.has_queued() {
             let first = self.random.below(FRONT_ENDS as u64) as usize;
@@ -382,5 +383,5 @@
     call.idempotency_key
         .as_deref()
         .and_then(|key| key.parse().ok())
-        .expect("every call here has its number as key")
+        .expect("the idempotency key of each call is the number of its message")
 }
