--- a/crates/pipithub-inference/src/escape.rs
+++ b/crates/pipithub-inference/src/escape.rs
@@ -1,4 +1,4 @@
-//! Escapes names for paths and headers, so that no name can end the path segment or header that it stands in.
+//! Escapes names for paths and headers, so that no name can end the path segment or header that contains it.
 
 use std::borrow::Cow;
 
@@ -18,7 +18,7 @@
     Cow::Owned(escaped)
 }
 
-/// The name in a path segment; `None` if its escapes are invalid or do not give UTF-8.
+/// The name in a path segment; `None` if its escapes are invalid or do not decode to UTF-8.
 pub fn unescape(segment: &str) -> Option<String> {
     let mut unescaped = Vec::with_capacity(segment.len());
     let mut bytes = segment.bytes();
@@ -35,7 +35,7 @@
     String::from_utf8(unescaped).ok()
 }
 
-/// Escapes a text as a header value. A text that is not all visible ASCII is escaped as in a path.
+/// Escapes a text as a header value. A text that contains `%` or anything but visible ASCII is escaped as in a path.
 pub(crate) fn header_value(text: &str) -> String {
     if text.bytes().all(|b| (0x21..0x7f).contains(&b) && b != b'%') {
         text.to_string()
@@ -44,7 +44,7 @@
     }
 }
 
-/// The content type as a header value; one that is not printable ASCII is replaced by a general one.
+/// The content type as a header value. One that is not printable ASCII is replaced by `application/octet-stream`.
 pub(crate) fn content_type(mime_type: &str) -> String {
     if mime_type.bytes().all(|b| (0x20..0x7f).contains(&b)) {
         mime_type.to_string()
--- a/crates/pipithub-inference/src/header.rs
+++ b/crates/pipithub-inference/src/header.rs
@@ -8,7 +8,7 @@
 pub const FRONT_END: &str = "pipithub-front-end";
 /// To the worker: the id of the request in logs.
 pub const REQUEST_ID: &str = "x-request-id";
-/// To the worker: the idempotency key, by which it deduplicates calls (the header of the IETF draft).
+/// To the worker: the key by which it deduplicates calls (the `Idempotency-Key` header of the IETF draft).
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// To the worker: the memory that one replica of the model takes, in MB.
 pub const REPLICA_MEMORY: &str = "pipithub-model-memory-mb";
@@ -16,7 +16,8 @@
 pub const REPLICA_CONCURRENCY: &str = "pipithub-model-lanes";
 /// From the worker: `no` states that the request did not run.
 pub const HAS_RUN: &str = "pipithub-ran";
-/// From the worker: the state in which the request found its replica: `warm`, `began`, `waited` or `failed`.
+/// From the worker: the state in which the request found its replica. `warm`: loaded; `began`: the request started a
+/// load; `waited`: the request waited for a load that another one had started; `failed`: the load failed.
 pub const REPLICA_STATUS: &str = "pipithub-copy";
 /// From the worker: the number of requests of the same model that were in flight when this one arrived.
 pub const FUNCTION_CONCURRENCY: &str = "pipithub-alike";
--- a/crates/pipithub-inference/src/lib.rs
+++ b/crates/pipithub-inference/src/lib.rs
@@ -2,7 +2,8 @@
 //!
 //! Requests follow the Open Inference Protocol (V2), load commands follow its model repository extension, and load
 //! reports come in the ORCA header `endpoint-load-metrics`. [`header`] lists the headers. [`attempt_reply`] turns a
-//! reply into an outcome of the decision module. It reports that a request did not run only if the worker said so.
+//! reply into an outcome of the decision module. It reports that a request did not run only if the worker states so,
+//! by a header or by the status 429.
 
 mod escape;
 pub mod header;
--- a/crates/pipithub-inference/src/orca.rs
+++ b/crates/pipithub-inference/src/orca.rs
@@ -13,12 +13,12 @@
 /// The maximum number of metrics in a report.
 const MAX_METRICS: usize = 64;
 
-/// A load report that cannot be read.
+/// The text is not a load report in a supported format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the load report is not in a supported format")]
 pub struct InvalidReport;
 
-/// A load report: numbers by their full names, such as `named_metrics.inflight`.
+/// A load report: the values of metrics by their full names, such as `named_metrics.inflight`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report(BTreeMap<String, f64>);
 
@@ -62,7 +62,7 @@
         self.0.insert(name.to_string(), value);
     }
 
-    /// Reads the value of the header.
+    /// Parses the value of the header.
     ///
     /// # Errors
     ///
@@ -99,8 +99,8 @@
         Ok(report)
     }
 
-    /// Adds a number, or an object of numbers, which are named after the object and their own names. Other values are
-    /// ignored.
+    /// Adds a number, or the numbers in an object, each under the name of the object, a dot and its own name. Other
+    /// values are ignored.
     fn add_member(
         &mut self,
         name: String,
--- a/crates/pipithub-inference/src/reply.rs
+++ b/crates/pipithub-inference/src/reply.rs
@@ -1,4 +1,4 @@
-//! Replies of workers, in the terms of the decision module.
+//! Translates replies of workers into the terms of the decision module.
 
 use pipithub_engine::policy::{LoadReport, Outcome, ReplicaStatus};
 use serde::{Deserialize, Serialize};
@@ -12,12 +12,12 @@
     pub name: String,
     /// The state of the model: `READY`, `LOADING` or `UNAVAILABLE`.
     pub state: String,
-    /// The reason why it is not ready; empty if there is none.
+    /// The reason why the model is not ready; empty if there is none.
     #[serde(default)]
     pub reason: String,
 }
 
-/// What the status and headers of a reply report of an attempt.
+/// What the status and headers of a reply report about an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptReply {
     /// The way in which the attempt ended.
@@ -30,15 +30,16 @@
     pub load_report: LoadReport,
 }
 
-/// Reads the status and headers of a reply to a request.
+/// Reads the status and headers of the reply to an attempt. The first row that matches applies.
 ///
 /// | reply | outcome |
 /// | --- | --- |
 /// | 2xx | served |
-/// | 404 with `pipithub-ran: no` | the model is not loaded: never ran |
-/// | 429, or any error with `pipithub-ran: no` | rejected: never ran |
-/// | 400, 405 to 407, 410 to 422, 431 | served: the answer to the request itself, which no other worker would change |
-/// | everything else | an error; it may have run |
+/// | 404 with `pipithub-ran: no` | the model is not loaded: the request never ran |
+/// | 5xx with `pipithub-ran: no` and `pipithub-copy: failed` | the model is not loaded: the request never ran |
+/// | 429, or any other status with `pipithub-ran: no` | rejected: the request never ran |
+/// | 400, 405 to 407, 410 to 422, 431 | served: the answer concerns the request itself, so every worker would give it |
+/// | everything else | an error: the request may have run |
 pub fn attempt_reply<'a>(status: u16, headers: impl Fn(&str) -> Option<&'a str>) -> AttemptReply {
     let replica_status = match headers(header::REPLICA_STATUS) {
         Some("warm") => Some(ReplicaStatus::Warm),
@@ -51,7 +52,7 @@
     let outcome = match status {
         200..=299 => Outcome::Served,
         404 if not_run => Outcome::NotLoaded,
-        // The load that the request waited for failed, so it never ran and the replica is not loaded.
+        // The load that the request waited for failed, so the request never ran and the replica is not loaded.
         500..=599 if not_run && replica_status == Some(ReplicaStatus::LoadFailed) => {
             Outcome::NotLoaded
         }
@@ -70,7 +71,7 @@
     }
 }
 
-/// What the status and headers of a reply report of a load or evict command.
+/// What the status and headers of a reply report about a load or evict command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadCommandReply {
     /// The way in which the command ended.
@@ -79,8 +80,8 @@
     pub replicas: u32,
 }
 
-/// Reads the status and headers of a reply to a load command. Only a load that failed counts as an error, because the
-/// decision module stops loading a function after errors, and a worker at capacity must not cause that.
+/// Reads the status and headers of a reply to a load or evict command. A worker at capacity rejects the command, which
+/// does not count as an error, because the decision module stops loading a function after errors.
 pub fn load_command_reply<'a>(
     status: u16,
     headers: impl Fn(&str) -> Option<&'a str>,
@@ -93,7 +94,7 @@
         _ if headers(header::HAS_RUN) == Some("no") => Outcome::Rejected,
         _ => Outcome::Error,
     };
-    // The protocol extension itself reports no number, but after a successful load there is at least one replica.
+    // The protocol extension itself states no number of replicas, but after a successful load there is at least one.
     let at_least = u32::from(outcome == Outcome::Served);
     LoadCommandReply {
         outcome,
@@ -101,7 +102,7 @@
     }
 }
 
-/// Reads an ORCA load report for the decision module. What cannot be read counts as not reported.
+/// Reads an ORCA load report for the decision module. Metrics that cannot be read count as not reported.
 pub fn parse_load_report(report: &str) -> LoadReport {
     let Ok(report) = orca::Report::parse(report) else {
         return LoadReport::default();
--- a/crates/pipithub-inference/src/request.rs
+++ b/crates/pipithub-inference/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests to workers: attempts, load and evict commands, and polls of their load.
+//! Requests to workers: attempts, load and evict commands, and load polls.
 
 use pipithub_engine::{AttemptId, Call, Time};
 
@@ -10,7 +10,7 @@
 /// The head of a request to a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerRequest {
-    /// Whether the method is `GET`, as for a poll of the load; otherwise it is `POST`.
+    /// Whether the method is `GET`, as for a load poll; otherwise it is `POST`.
     pub is_get: bool,
     /// The path, percent-encoded.
     pub path: String,
@@ -42,7 +42,8 @@
     }
 }
 
-/// The request of an attempt, without its timeout: [`WorkerRequest::set_timeout`] must be called before it is written.
+/// The request of an attempt, without its timeout: [`WorkerRequest::set_timeout`] must be called before the request is
+/// written.
 pub fn infer(call: &Call, id: AttemptId, front_end: &str) -> WorkerRequest {
     let mut headers = vec![
         (header::ATTEMPT, id.number.to_string()),
@@ -78,7 +79,7 @@
     }
 }
 
-/// The request of a load command; with 0 replicas it is an evict command, which unloads idle replicas.
+/// The request of a load command. With 0 replicas it is an evict command, which unloads the idle replicas.
 pub fn load_command(model: &str, replicas: u32, front_end: &str) -> WorkerRequest {
     let verb = if replicas > 0 { "load" } else { "unload" };
     WorkerRequest {
@@ -92,7 +93,7 @@
     }
 }
 
-/// The request of a poll of the load.
+/// The request of a load poll.
 pub fn load_poll(front_end: &str) -> WorkerRequest {
     let headers = vec![(header::FRONT_END, header_value(front_end))];
     WorkerRequest {
--- a/crates/pipithub-inference/tests/orca.rs
+++ b/crates/pipithub-inference/tests/orca.rs
@@ -1,4 +1,4 @@
-//! Load reports in both of their forms.
+//! Load reports in the formats `TEXT` and `JSON`.
 
 use pipithub_inference::orca::{InvalidReport, Report};
 
--- a/crates/pipithub-inference/tests/reply.rs
+++ b/crates/pipithub-inference/tests/reply.rs
@@ -1,4 +1,4 @@
-//! Replies as outcomes.
+//! The translation of replies into outcomes.
 
 use pipithub_engine::policy::{LoadReport, Outcome, ReplicaStatus};
 use pipithub_inference::{
@@ -19,7 +19,7 @@
     assert_eq!(
         reply(404, &[]).outcome,
         Outcome::Error,
-        "what answered may not be the worker"
+        "the answer may come from something other than the worker"
     );
     assert_eq!(reply(404, &[not_run]).outcome, Outcome::NotLoaded);
     assert_eq!(reply(429, &[]).outcome, Outcome::Rejected);
--- a/crates/pipithub-inference/tests/timeout.rs
+++ b/crates/pipithub-inference/tests/timeout.rs
@@ -37,7 +37,7 @@
     assert_eq!(
         timeouts(&request),
         ["1260"],
-        "told once, with the newer figure"
+        "the header occurs once, with the newer value"
     );
     assert_eq!(request.set_timeout(900 * MILLISECOND + 999_999), Ok(()));
     assert_eq!(timeouts(&request), ["900"], "never more than is left");
