--- a/crates/pipithub-engine/tests/random_faults/events.rs
+++ b/crates/pipithub-engine/tests/random_faults/events.rs
@@ -18,7 +18,7 @@
     MessagePublished {
         class: usize,
     },
-    /// A call reaches its worker; its attempt will end with this outcome.
+    /// A call reaches its worker; its attempt ends with this outcome unless it is cancelled.
     CallArrived {
         attempt: SimulatedAttempt,
         message: usize,
--- a/crates/pipithub-inference/src/reply.rs
+++ b/crates/pipithub-inference/src/reply.rs
@@ -71,7 +71,7 @@
     }
 }
 
-/// What the status and headers of a reply report about a load or evict command.
+/// What the status and headers of a reply report about a load command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadCommandReply {
     /// The way in which the command ended.
@@ -80,8 +80,8 @@
     pub replicas: u32,
 }
 
-/// Reads the status and headers of a reply to a load or evict command. A worker at capacity rejects the command, which
-/// does not count as an error, because the decision module stops loading a function after errors.
+/// Reads the status and headers of a reply to a load command. A worker at capacity rejects the command, which does not
+/// count as an error, because the decision module stops loading a function after errors.
 pub fn load_command_reply<'a>(
     status: u16,
     headers: impl Fn(&str) -> Option<&'a str>,
--- a/crates/pipithub-platform/src/client.rs
+++ b/crates/pipithub-platform/src/client.rs
@@ -1,5 +1,5 @@
-//! JSON-RPC 2.0 lines of clients. Every value is checked here: an invalid one must reach neither a worker, which would
-//! close its connection because of it, nor the decision module.
+//! JSON-RPC 2.0 lines of clients. Every value is checked here, because an invalid value must reach neither the decision
+//! module nor a worker, which would close its connection because of it.
 
 use std::fmt::Write;
 
@@ -12,13 +12,13 @@
 
 use crate::settings::SiteSettings;
 
-/// The most bytes of a call's body.
+/// The maximum size of a call's body, in bytes.
 pub const MAX_BODY_BYTES: usize = 16 << 10;
-/// The most bytes of a line: enough for the body in base64 and all other fields.
+/// The maximum size of a line, in bytes: enough for the body in base64 and all other fields.
 pub const MAX_LINE_BYTES: usize = 32 << 10;
-/// The most bytes of an idempotency key.
+/// The maximum size of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 256;
-/// A call is invalid if it states a timeout of more than this many times that of its class.
+/// A call is invalid if it states a timeout of more than this many times the client timeout of its class.
 const MAX_TTL_FACTOR: f64 = 2.0;
 const NANOSECONDS_PER_MILLISECOND: f64 = 1e6;
 /// The highest concurrency of a replica that a call may state.
@@ -29,7 +29,7 @@
 const CANCEL_METHOD: &str = "forget";
 /// The method of a health check.
 const HEALTH_CHECK_METHOD: &str = "isWell";
-/// The methods that are no classes; no class may have these names.
+/// The methods that do not name a class; no class may have these names.
 pub const RESERVED_METHODS: [&str; 2] = [CANCEL_METHOD, HEALTH_CHECK_METHOD];
 /// The error code of a rejection: the call did not run and may be retried.
 pub const REJECTED: i64 = -32050;
@@ -37,7 +37,7 @@
 pub const FAILED: i64 = -32000;
 /// The error code of a line that is not JSON or too long.
 pub const PARSE_ERROR: i64 = -32700;
-/// The error code of a line that is JSON but no valid request.
+/// The error code of a line that is JSON but not a valid request.
 pub const INVALID_REQUEST: i64 = -32600;
 /// The error code of a request whose method is unknown.
 pub const METHOD_NOT_FOUND: i64 = -32601;
@@ -47,25 +47,25 @@
 /// A valid call of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientCall {
-    /// Its JSON-RPC id, which the answer repeats.
+    /// The JSON-RPC id of the call, which the answer repeats.
     pub id: u64,
-    /// Its name, by which workers identify it: 16 hexadecimal digits, exactly as sent.
+    /// The name by which workers identify the call: 16 hexadecimal digits, exactly as sent.
     pub name: String,
-    /// Its class, as an index into the settings.
+    /// The class of the call, as an index into the classes of the settings.
     pub class: usize,
-    /// How long the client waits for the answer: at most the client timeout of its class.
+    /// How long the client waits for the answer, in nanoseconds: at most the client timeout of the class.
     pub client_timeout: Time,
     /// The name of the function: 16 hexadecimal digits, exactly as sent.
     pub function: String,
     /// The memory that a replica of the function takes, in MB; 0 if not stated.
     pub memory_mb: f64,
-    /// How many calls a replica of the function runs at the same time; 1 if not stated.
+    /// The number of calls that a replica of the function runs at the same time; 1 if not stated.
     pub replica_concurrency: u32,
-    /// The usual time to load the function; `None` if not stated.
+    /// The usual time to load the function, in nanoseconds; `None` if not stated.
     pub load_time: Option<Time>,
-    /// The idempotency key, exactly as sent, by which workers recognize retries.
+    /// The idempotency key, exactly as sent, by which workers recognize retries; `None` if not stated.
     pub idempotency_key: Option<String>,
-    /// The decoded body, of [`MAX_BODY_BYTES`] at most.
+    /// The decoded body, of at most [`MAX_BODY_BYTES`].
     pub body: Bytes,
 }
 
@@ -74,21 +74,21 @@
 pub enum ClientLine {
     /// A call to run.
     Call(Box<ClientCall>),
-    /// The client no longer awaits a call, which is named by at least one of the two.
+    /// The client no longer waits for a call. At least one of the two fields is given.
     Cancel {
-        /// The JSON-RPC id of the call, if stated.
+        /// The JSON-RPC id of the call; `None` if not stated.
         id: Option<u64>,
-        /// The name of the call, if stated.
+        /// The name of the call; `None` if not stated.
         call: Option<String>,
     },
-    /// The question whether this front end accepts calls.
+    /// A health check, which asks whether this front end accepts calls.
     HealthCheck {
-        /// Its JSON-RPC id, which the answer repeats.
+        /// The JSON-RPC id of the health check, which the answer repeats.
         id: u64,
     },
 }
 
-/// Why a line of a client is no valid request; this is what the client is answered.
+/// The reason why a line of a client is not a valid request, with the contents of the answer to the client.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{message} ({code})")]
 pub struct RequestError {
@@ -110,11 +110,11 @@
     }
 }
 
-/// Reads one line.
+/// Parses one line of a client.
 ///
 /// # Errors
-/// [`RequestError`] if it is no valid request. If the error has no id, it is unknown what the client sends, and its
-/// further lines should not be read.
+/// Returns a [`RequestError`] if the line is not a valid request. If the error has no id, the client may not speak this
+/// protocol, and its further lines should not be read.
 pub fn read_line(line: &[u8], site: &SiteSettings) -> Result<ClientLine, RequestError> {
     let root: Value = serde_json::from_slice(line)
         .map_err(|error| RequestError::new(None, PARSE_ERROR, format!("line: {error}")))?;
@@ -181,7 +181,7 @@
         .map_err(|message| RequestError::new(Some(id), INVALID_PARAMS, message.0))
 }
 
-/// What is wrong with the parameters of a call: place and reason.
+/// An error in the parameters of a call, as a text that names the field and the reason.
 struct ParamError(String);
 
 impl From<&str> for ParamError {
@@ -221,13 +221,13 @@
     })
 }
 
-/// The client timeout that a call states, limited by that of its class.
+/// The client timeout that a call states, in nanoseconds, limited by the client timeout of its class.
 fn client_timeout(params: &Value, class: Option<&Class>) -> Result<Time, ParamError> {
     let class_timeout = class.map_or(0, |class| class.client_timeout);
     let class_ms = class_timeout as f64 / NANOSECONDS_PER_MILLISECOND;
     let ttl = params["ttl"].as_f64().ok_or("ttl: not a number")?;
     // A client that is late itself may state slightly more than the timeout of its class. Such a call is valid, and the
-    // class's timeout applies; much larger values are faults.
+    // timeout of the class applies; much larger values are client errors.
     if !(ttl > 0.0 && ttl <= MAX_TTL_FACTOR * class_timeout as f64 / NANOSECONDS_PER_MILLISECOND) {
         let message = format!("ttl: {ttl} is not above 0 and near {class_ms} at most");
         return Err(ParamError(message));
@@ -243,8 +243,8 @@
         .ok_or_else(|| ParamError(format!("{field}: not 16 hex digits")))
 }
 
-/// The idempotency key of a call. A class with keys requires one, as its calls are retried, and a retry without a key
-/// would take effect again.
+/// The idempotency key of a call; `None` if it has none. A class with keys requires one, because its calls are retried,
+/// and a retry without a key would take effect again.
 fn idempotency_key(params: &Value, class: Option<&Class>) -> Result<Option<String>, ParamError> {
     let needs_key = class.is_some_and(|class| class.idempotency == Idempotency::WithKey);
     match &params["dedupe"] {
@@ -272,7 +272,7 @@
     Ok(body.into())
 }
 
-/// What a call states of its function.
+/// The properties of its function that a call states.
 struct Props {
     memory_mb: f64,
     replica_concurrency: u32,
@@ -289,7 +289,8 @@
     }
 }
 
-/// Reads `name:number` pairs that are separated by semicolons. Unknown names are ignored, as new ones may be added.
+/// Parses `name:number` pairs that are separated by semicolons. Unknown names are ignored, because new ones may be
+/// added.
 fn props(pairs: &str, max_memory_mb: f64) -> Result<Props, ParamError> {
     let mut props = Props::default();
     for pair in pairs.split(';').filter(|pair| !pair.is_empty()) {
@@ -332,7 +333,7 @@
     Ok((stated_ms * NANOSECONDS_PER_MILLISECOND) as Time)
 }
 
-/// Whether a text is a name in the sense of this protocol: 16 hexadecimal digits.
+/// Whether a text is a valid name of a call or function in this protocol: 16 hexadecimal digits.
 pub fn is_hex_name(text: &str) -> bool {
     text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit())
 }
@@ -345,7 +346,8 @@
     line.into()
 }
 
-/// The line of an error. `pushback` is the Retry-After in milliseconds, which only rejections have.
+/// The line of an error. `id` is `None` if the id of the request could not be read. `pushback` is the time after which
+/// the client may retry, in milliseconds; only rejections state it.
 pub fn error_line(id: Option<u64>, code: i64, message: &str, pushback: Option<u64>) -> Bytes {
     let id = id.map_or_else(|| "null".to_string(), |id| id.to_string());
     let mut line =
--- a/crates/pipithub-platform/src/config.rs
+++ b/crates/pipithub-platform/src/config.rs
@@ -10,69 +10,69 @@
 use crate::list::{self, EndpointEvent, EndpointEventError};
 use crate::settings::{self, Names, SettingsError, SiteSettings};
 
-/// The memory that a node may use if the configuration does not state it.
+/// The memory that a node may use if the configuration does not state it, in MB.
 const DEFAULT_MEMORY_MB: u64 = 128;
-/// The number of descriptors that a node may use if the configuration does not state it.
+/// The number of file descriptors that a node may use if the configuration does not state it.
 const DEFAULT_MAX_DESCRIPTORS: u64 = 256;
 
-/// One front end's configuration.
+/// The configuration of one front end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeConfig {
     /// The name of the front end, which stays the same after a restart.
     pub name: String,
-    /// The address at which it listens for clients.
+    /// The address at which the front end listens for clients.
     pub listen: String,
-    /// The seed of its random numbers; it differs at each start.
+    /// The seed of the random numbers, which differs at each start.
     pub seed: u64,
-    /// The memory that it may use, in MB.
+    /// The memory that the front end may use, in MB.
     pub memory_mb: u64,
-    /// The number of file descriptors that it may use.
+    /// The number of file descriptors that the front end may use.
     pub max_descriptors: usize,
     /// The address of the coordinator.
     pub coordinator: String,
-    /// The events of the endpoint list up to the start, in order.
+    /// The events of the endpoint list up to the start of the front end, in order.
     pub known_updates: Vec<EndpointEvent>,
     /// The settings of the decision module and the transport.
     pub site: SiteSettings,
 }
 
-/// The index of the first name that occurs at a lower index too. This takes linear time: comparing each name with all
-/// before it would delay the calls of a front end that reads a long configuration again.
+/// The index of the first name that also occurs at a lower index; `None` if all names differ. It takes linear time:
+/// comparing each name with all names before it would delay the calls of a front end that reloads a long configuration.
 pub fn first_duplicate<T: Eq + Hash>(names: &[T]) -> Option<usize> {
     let mut seen = HashSet::with_capacity(names.len());
     names.iter().position(|name| !seen.insert(name))
 }
 
-/// Why a configuration cannot be used.
+/// The reason why a configuration cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// It is not JSON.
+    /// The text is not JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A text is missing or empty.
+    /// A required text field is missing or empty.
     #[error("{0}: missing")]
     Missing(&'static str),
-    /// The seed is a text of other than hex digits.
+    /// The seed is a text but not a hexadecimal number of 64 bits.
     #[error("seed: {0}")]
     SeedDigits(#[from] ParseIntError),
     /// The seed is neither a text nor a number.
     #[error("seed: neither hex digits nor a number")]
     Seed,
-    /// An update of the endpoint list up to the start cannot be used.
+    /// An event of the endpoint list up to the start cannot be used.
     #[error("known.updates[{index}]: {error}")]
     KnownUpdate {
-        /// The index of the update.
+        /// The index of the event in the configuration.
         index: usize,
-        /// What is wrong with it.
+        /// The reason why the event cannot be used.
         error: EndpointEventError,
     },
-    /// A limit is no positive number.
-    #[error("limits.{0}: not a figure from 1 on")]
+    /// A limit is not a number of at least 1.
+    #[error("limits.{0}: not a number of at least 1")]
     Limit(&'static str),
     /// The settings cannot be read.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The settings have no class, so that every call would be rejected.
+    /// The settings have no class, so every call would be rejected.
     #[error("settings.Grades: no class")]
     NoClass,
     /// A class has a name that no client can use.
@@ -86,7 +86,7 @@
     /// Two classes have the same name.
     #[error("settings.Grades[{index}].Name: {name:?} names an earlier class too")]
     DuplicateClass {
-        /// The index of the second class of that name.
+        /// The index of the second class with that name.
         index: usize,
         /// The name of both classes.
         name: String,
@@ -99,7 +99,7 @@
     },
 }
 
-/// Checks that a node can serve with these settings: it must not start and then reject every call.
+/// Checks that the classes can be used, so that a node does not start and then reject every call.
 fn check_classes(site: &SiteSettings) -> Result<(), ConfigError> {
     let names = &site.names.classes;
     if names.is_empty() {
@@ -123,10 +123,10 @@
 }
 
 impl NodeConfig {
-    /// Reads it.
+    /// Parses the text of a configuration.
     ///
     /// # Errors
-    /// [`ConfigError`] tells the place and the reason of the first thing that is wrong.
+    /// Returns a [`ConfigError`] with the place and the reason of the first error found.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let root: Value = serde_json::from_str(text)?;
         let site = settings::read(&root["settings"])?;
--- a/crates/pipithub-platform/src/line.rs
+++ b/crates/pipithub-platform/src/line.rs
@@ -1,15 +1,16 @@
-//! Lines of bounded length: a peer that writes without end must not exhaust the memory.
+//! Lines of bounded length, so that a peer that sends an endless line cannot exhaust the memory.
 
 use bytes::{Bytes, BytesMut};
 
-/// A buffer that has grown beyond this is freed once it is empty, so that one long line does not keep its memory.
+/// A buffer that has grown beyond this size, in bytes, is freed once it is empty, so that one long line does not hold
+/// memory forever.
 const MAX_IDLE_BUFFER: usize = 8 << 10;
 
 /// A line is longer than allowed; nothing more can be read from its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line of more than {max_bytes} bytes")]
 pub struct LineTooLong {
-    /// The bound, in bytes.
+    /// The maximum length of a line, in bytes.
     pub max_bytes: usize,
 }
 
@@ -17,13 +18,13 @@
 #[derive(Debug)]
 pub struct LineFramer {
     buffer: BytesMut,
-    /// Bytes at the front of the buffer that hold no line feed.
+    /// The number of bytes at the front of the buffer that are known to contain no line feed.
     scanned: usize,
     max_bytes: usize,
 }
 
 impl LineFramer {
-    /// A framer for lines of `max_bytes` at most, not counting the line feed.
+    /// Creates a framer for lines of at most `max_bytes`, not counting the line feed.
     pub fn new(max_bytes: usize) -> Self {
         LineFramer {
             buffer: BytesMut::new(),
@@ -32,15 +33,17 @@
         }
     }
 
-    /// Appends bytes that were read. To keep the bound, call [`LineFramer::next_line`] after that until it returns `None`.
+    /// Appends bytes that were read. To bound the buffer, call [`LineFramer::next_line`] afterwards until it returns
+    /// `None`.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next complete line, without its line feed and a carriage return before it; `None` if none is complete.
+    /// Removes and returns the next complete line, without its line feed and a carriage return before it; `None` if no
+    /// line is complete.
     ///
     /// # Errors
-    /// [`LineTooLong`] if a line, complete or not, is longer than the bound.
+    /// Returns [`LineTooLong`] if a line, complete or not, is longer than the maximum.
     pub fn next_line(&mut self) -> Result<Option<Bytes>, LineTooLong> {
         let found = self.buffer[self.scanned..]
             .iter()
@@ -73,7 +76,7 @@
         Ok(Some(line))
     }
 
-    /// Whether the last line is incomplete.
+    /// Whether part of a line is buffered, once [`LineFramer::next_line`] has returned `None`.
     pub fn has_partial_line(&self) -> bool {
         !self.buffer.is_empty()
     }
--- a/crates/pipithub-platform/src/list.rs
+++ b/crates/pipithub-platform/src/list.rs
@@ -7,10 +7,10 @@
 
 const NANOSECONDS_PER_MILLISECOND: u64 = 1_000_000;
 
-/// The most workers in one event: twice the 16,000 of the largest planned site, so that all of them may be replaced at the
-/// same time.
+/// The maximum number of workers in one event: twice the 16,000 of the largest planned site, so that all of them may be
+/// replaced at the same time.
 pub const MAX_ENDPOINTS: usize = 32_000;
-/// The most bytes of an event for each worker in it, on average: a worker with a name and an address of 60 bytes each
+/// The maximum average size of a worker in an event, in bytes: a worker with a name and an address of 60 bytes each
 /// takes about 200.
 pub const MAX_ENDPOINT_BYTES: usize = 256;
 
@@ -19,61 +19,61 @@
 pub struct ListedEndpoint {
     /// The worker and its state.
     pub endpoint: Endpoint,
-    /// The address that it listens at; may be empty if the worker has been removed.
+    /// The address at which the worker listens; may be empty if the worker has been removed.
     pub address: String,
 }
 
 /// One event of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEvent {
-    /// Its index in the order of all events.
+    /// The index of the event in the order of all events.
     pub index: u64,
-    /// Whether it lists all workers or only those that changed.
+    /// Whether the event lists all workers or only those that changed.
     pub update: EndpointUpdate,
-    /// The workers in it.
+    /// The workers that the event lists.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// Why an event cannot be used.
+/// The reason why an event cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointEventError {
-    /// It is not JSON.
+    /// The text is not JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// It has no index.
+    /// The event has no index.
     #[error("index: not a whole number")]
     MissingIndex,
-    /// It has no list of workers.
+    /// The event has no list of workers.
     #[error("endpoints.hosts: not a list")]
     MissingHosts,
-    /// It has more than [`MAX_ENDPOINTS`] workers.
+    /// The event has more than [`MAX_ENDPOINTS`] workers.
     #[error("endpoints.hosts: more than {MAX_ENDPOINTS}")]
     TooManyEndpoints,
-    /// One of its workers cannot be used.
+    /// A worker in the event cannot be used.
     #[error("endpoints.hosts[{index}].{error}")]
     InvalidEndpoint {
         /// The index of the worker in the event.
         index: usize,
-        /// What is wrong with it.
+        /// The reason why the worker cannot be used.
         error: EndpointError,
     },
 }
 
-/// Why a worker in an event cannot be used.
+/// The reason why a worker in an event cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EndpointError {
     /// A field is missing or empty.
     #[error("{0}: missing")]
     Missing(&'static str),
-    /// Its `health` is missing or unknown.
+    /// The field `health` is missing or its value is unknown.
     #[error("health: unknown {0:?}")]
     UnknownHealth(Option<String>),
 }
 
-/// Reads one event.
+/// Reads one event from its JSON value.
 ///
 /// # Errors
-/// [`EndpointEventError`] where it cannot be used; nothing of it may be used then.
+/// Returns an [`EndpointEventError`] if any part of the event is invalid; no part of it may be used then.
 pub fn read(value: &Value, names: &Names) -> Result<EndpointEvent, EndpointEventError> {
     let index = value["index"]
         .as_u64()
@@ -103,10 +103,10 @@
     })
 }
 
-/// Reads one event from its text.
+/// Parses one event from its text.
 ///
 /// # Errors
-/// As [`read`].
+/// Returns an [`EndpointEventError`] if the text is not JSON, and otherwise as [`read`] does.
 pub fn parse(text: &str, names: &Names) -> Result<EndpointEvent, EndpointEventError> {
     let value: Value = serde_json::from_str(text)?;
     read(&value, names)
@@ -119,7 +119,7 @@
         Some("DELETED") => EndpointState::Removed,
         other => return Err(EndpointError::UnknownHealth(other.map(str::to_string))),
     };
-    // One that has been removed needs no address any more.
+    // A worker that has been removed needs no address.
     let address = if state == EndpointState::Removed {
         host["dial"].as_str().unwrap_or_default()
     } else {
--- a/crates/pipithub-platform/src/settings.rs
+++ b/crates/pipithub-platform/src/settings.rs
@@ -1,4 +1,4 @@
-//! Reads the settings that a front end is given at its start, in the simulator and in service alike.
+//! Reads the settings that a front end is given at its start, both in the simulator and in service.
 
 use pipithub_policy::api::{
     Class, Costs, DeduplicationScope, FunctionLoading, Idempotency, Limits, LoadRateLimit,
@@ -6,17 +6,17 @@
 };
 use serde_json::Value;
 
-/// How long a connection may take to be established where the settings do not say.
+/// The time in which a connection must be established if the settings do not state it, in nanoseconds.
 const DEFAULT_CONNECT_TIMEOUT: Time = 250_000_000;
-/// Requests that may be pending where the settings do not say.
+/// The maximum number of pending requests if the settings do not state it.
 const DEFAULT_MAX_PENDING_REQUESTS: u64 = 4096;
-/// How long a load command may take where the settings do not say.
+/// The time that a load command may take if the settings do not state it, in nanoseconds.
 const DEFAULT_LOAD_COMMAND_TIMEOUT: Time = 10_000_000_000;
 
-/// The names that the lines of one front end use.
+/// The names that lines and events refer to.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
-    /// The classes, in the settings' order.
+    /// The names of the classes, in the order of the settings.
     pub classes: Vec<String>,
     /// The kinds of machines that workers run on.
     pub machine_kinds: Vec<MachineKind>,
@@ -25,14 +25,14 @@
 /// A kind of machine.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MachineKind {
-    /// Its name in the endpoint list.
+    /// The name of the kind in the endpoint list.
     pub name: String,
-    /// Its memory, in MB.
+    /// The memory of a machine of this kind, in MB.
     pub memory_mb: f64,
 }
 
 impl Names {
-    /// The memory of a kind of machine in MB; 0 where the kind is unknown.
+    /// The memory of a kind of machine, in MB; 0 if the kind is unknown.
     pub fn memory_mb(&self, kind: &str) -> f64 {
         self.machine_kinds
             .iter()
@@ -40,7 +40,7 @@
             .map_or(0.0, |machine| machine.memory_mb)
     }
 
-    /// The memory of the largest kind of machine in MB; 0 if none is known.
+    /// The memory of the largest kind of machine, in MB; 0 if no kind is known.
     pub fn max_memory_mb(&self) -> f64 {
         self.machine_kinds
             .iter()
@@ -54,56 +54,56 @@
 pub struct Transport {
     /// A connection that is not established within this time has failed.
     pub connect_timeout: Time,
-    /// Workers close connections that are idle for this long; 0: never.
+    /// Workers close connections that are idle for this long; 0 if they never do.
     pub idle_timeout: Time,
-    /// The most requests in flight on one connection.
+    /// The maximum number of requests in flight on one connection.
     pub max_requests_per_connection: usize,
-    /// The most pending requests of a front end.
+    /// The maximum number of pending requests of a front end.
     pub max_pending_requests: usize,
-    /// A load command without an answer within this time has failed.
+    /// A load command that is not answered within this time has failed.
     pub load_command_timeout: Time,
 }
 
 /// All settings of a site.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SiteSettings {
-    /// Settings of the decision module.
+    /// The settings of the decision module.
     pub policy: Settings,
-    /// Names that are needed to read lines and events.
+    /// The names that are needed to read lines and events.
     pub names: Names,
-    /// Settings of the transport.
+    /// The settings of the transport.
     pub transport: Transport,
 }
 
-/// Reads the settings from their text.
+/// Parses the settings from their text.
 ///
 /// # Errors
-/// [`SettingsError`] says what is wrong.
+/// Returns a [`SettingsError`] if the text is not JSON, and otherwise as [`read`] does.
 pub fn parse(text: &str) -> Result<SiteSettings, SettingsError> {
     read(&serde_json::from_str(text)?)
 }
 
-/// Why settings cannot be used.
+/// The reason why settings cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// They are not JSON.
+    /// The text is not JSON.
     #[error("settings: {0}")]
     Json(#[from] serde_json::Error),
-    /// They are no JSON object.
+    /// The settings are not a JSON object.
     #[error("settings: not an object")]
     NotAnObject,
-    /// A class's `Effect` is none that is known.
+    /// The `Effect` of a class is missing or unknown.
     #[error("settings: unknown Effect {0:?}")]
     UnknownEffect(Option<String>),
-    /// A class's `Group` is none that is known.
+    /// The `Group` of a class is unknown.
     #[error("settings: unknown Group {0:?}")]
     UnknownGroup(Option<String>),
 }
 
-/// Reads the settings.
+/// Reads the settings from their JSON value.
 ///
 /// # Errors
-/// [`SettingsError`] says what is wrong.
+/// Returns a [`SettingsError`] if the value is not an object, or if the `Effect` or `Group` of a class is unknown.
 pub fn read(root: &Value) -> Result<SiteSettings, SettingsError> {
     if !root.is_object() {
         return Err(SettingsError::NotAnObject);
--- a/crates/pipithub-platform/src/sse.rs
+++ b/crates/pipithub-platform/src/sse.rs
@@ -5,10 +5,10 @@
 use crate::line::LineFramer;
 use crate::list::{MAX_ENDPOINT_BYTES, MAX_ENDPOINTS};
 
-/// The most bytes of one event's data: the largest event that [`crate::list`] accepts. A reader holds them twice at most,
-/// in its buffer and in the event.
+/// The maximum size of the data of one event, in bytes: the largest event that [`crate::list`] accepts. A reader holds
+/// the data at most twice, in its buffer and in the event.
 pub const MAX_DATA_BYTES: usize = MAX_ENDPOINTS * MAX_ENDPOINT_BYTES;
-/// The length of the field name before the data on its line.
+/// The length of the field name and the separator before the data on a line.
 const FIELD_NAME_BYTES: usize = "data: ".len();
 
 /// An event is longer than allowed; nothing more can be read from its stream.
@@ -18,28 +18,28 @@
     id.as_deref().unwrap_or("without an id")
 )]
 pub struct EventTooLong {
-    /// Its `id`; `None` if that did not come before the data.
+    /// The `id` of the event; `None` if it was not received before the data.
     pub id: Option<String>,
 }
 
 /// A complete event of a stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SseEvent {
-    /// Its `id`; `None` if it has none.
+    /// The `id` of the event; `None` if it has none.
     pub id: Option<String>,
-    /// Its `data`; several lines are joined by line feeds.
+    /// The `data` of the event; several lines are joined by line feeds.
     pub data: String,
 }
 
-/// Reads events from a stream of bytes. An event is complete once the empty line after it has come; an event that breaks
-/// off before that is never returned.
+/// Reads events from a stream of bytes. An event is complete once the empty line after it is received; an event that
+/// breaks off before that is never returned.
 #[derive(Debug)]
 pub struct SseReader {
     lines: LineFramer,
     event: SseEvent,
     /// Whether the event has a `data` field so far.
     has_data: bool,
-    /// Whether a comment or an event was completed since [`SseReader::take_completed`] was called last.
+    /// Whether a comment or an event was completed since the last call of [`SseReader::take_completed`].
     has_completed: bool,
 }
 
@@ -55,10 +55,11 @@
 }
 
 impl SseReader {
-    /// Reads bytes; returns the events that they complete, in order.
+    /// Reads bytes and returns the events that they complete, in order.
     ///
     /// # Errors
-    /// [`EventTooLong`] if an event is longer than [`MAX_DATA_BYTES`]. Events that were completed by the same bytes are lost then.
+    /// Returns [`EventTooLong`] if an event is longer than [`MAX_DATA_BYTES`]. Events that were completed by the same
+    /// bytes are lost then.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<SseEvent>, EventTooLong> {
         self.lines.push(bytes);
         let mut events = Vec::new();
@@ -68,13 +69,13 @@
         Ok(events)
     }
 
-    /// Whether a comment or an event was completed since the last call. Half an event does not count: its sender may have
-    /// stopped in the middle of it.
+    /// Whether a comment or an event was completed since the last call of this method. An incomplete event does not
+    /// count, because its sender may have stopped in the middle of it.
     pub fn take_completed(&mut self) -> bool {
         std::mem::take(&mut self.has_completed)
     }
 
-    /// Reads one line; returns the event that it completes, if it does.
+    /// Reads one line and returns the event that it completes; `None` if it completes none.
     fn read_line(&mut self, line: &Bytes) -> Result<Option<SseEvent>, EventTooLong> {
         let text = String::from_utf8_lossy(line);
         if text.is_empty() {
@@ -97,9 +98,9 @@
                 self.event.data.push_str(value);
                 self.has_data = true;
             }
-            // A comment begins with a colon.
+            // A line that begins with a colon is a comment.
             "" => self.has_completed = true,
-            // Fields without a meaning here.
+            // Other fields are ignored.
             _ => {}
         }
         Ok(None)
--- a/crates/pipithub-platform/src/worker.rs
+++ b/crates/pipithub-platform/src/worker.rs
@@ -8,11 +8,13 @@
 use pipithub_policy::api::{LoadReport, Time};
 use serde_json::Value;
 
-/// The most bytes of an answer's line: well beyond any body that clients may send, far below a front end's memory.
+/// The maximum size of an answer line, in bytes: well beyond any body that clients may send, far below the memory of a
+/// front end.
 pub const MAX_LINE_BYTES: usize = 128 << 10;
 
-/// The line that asks a worker to run a call. `timeout` is how long the front end will await the answer, in nanoseconds,
-/// and `key` the idempotency key of the call.
+/// The line that asks a worker to run a call. `timeout` is how long the front end will wait for the answer, in
+/// nanoseconds; the line states it in milliseconds, at least 1. `key` is the idempotency key of the call; `None` if it
+/// has none.
 pub fn run_line(
     call: &str,
     class: &str,
@@ -32,23 +34,23 @@
     line.into()
 }
 
-/// A request to run a call. Its line is made when it is written, as it states the remaining time.
+/// A request to run a call. Its line is built only when it is written, because it states the remaining time.
 #[derive(Clone, Debug)]
 pub struct RunRequest {
     /// The name of the call, which the answer repeats.
     pub call: String,
-    /// The name of its class.
+    /// The name of the class of the call.
     pub class: String,
-    /// The name of its function.
+    /// The name of the function to run.
     pub function: Arc<str>,
-    /// Its idempotency key; `None` if it has none.
+    /// The idempotency key of the call; `None` if it has none.
     pub key: Option<Arc<str>>,
-    /// Its body, not encoded.
+    /// The body of the call, not encoded.
     pub body: Bytes,
 }
 
 impl RunRequest {
-    /// The line to write. `timeout` is how long the front end will await the answer, in nanoseconds.
+    /// The line to write. `timeout` is how long the front end will wait for the answer, in nanoseconds.
     pub fn line(&self, timeout: Time) -> Bytes {
         run_line(
             &self.call,
@@ -71,18 +73,18 @@
     format!("{{\"cmd\":\"METER\",\"ref\":\"{tag}\"}}\n").into()
 }
 
-/// The line of a health check; the answer repeats `tag`. Unlike a load poll it brings no load report.
+/// The line of a health check; the answer repeats `tag`. Unlike the answer to a load poll, it has no load report.
 pub fn health_check_line(tag: &str) -> Bytes {
     format!("{{\"cmd\":\"ECHO\",\"ref\":\"{tag}\"}}\n").into()
 }
 
-/// The line of a load command for this number of replicas; 0 only asks how many are loaded.
+/// The line of a load command for this number of replicas; 0 only asks how many are loaded. The answer repeats `tag`.
 pub fn load_function_line(tag: &str, function: &str, replicas: u32) -> Bytes {
     format!("{{\"cmd\":\"PIN\",\"ref\":\"{tag}\",\"opts\":{{\"asset\":\"{function}\",\"n\":{replicas}}}}}\n")
         .into()
 }
 
-/// The line of an evict command for the idle replicas of a function; no answer comes.
+/// The line of an evict command for the idle replicas of a function; workers do not answer it.
 pub fn evict_function_line(function: &str) -> Bytes {
     format!("{{\"cmd\":\"UNPIN\",\"ref\":\"{function}\"}}\n").into()
 }
@@ -98,7 +100,7 @@
     Rejected,
     /// An error: the call may have run.
     Failed,
-    /// Its time had passed: the call did not run.
+    /// The timeout of the call had passed: the call did not run.
     Expired,
     /// The worker is healthy.
     Healthy,
@@ -109,44 +111,44 @@
 /// An answer of a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
-    /// What it answers: the name of a call, or the tag of another request.
+    /// The request that is answered: the name of a call, or the tag of another request.
     pub reference: String,
     /// The result of the request.
     pub status: AnswerStatus,
-    /// How many calls of the function the worker had in flight when this one came; 0 if not stated.
+    /// The number of calls of the function that the worker had in flight when this call arrived; 0 if not stated.
     pub function_concurrency: u32,
     /// The load report of the worker.
     pub load_report: LoadReport,
-    /// How many replicas are loaded, in answers to load commands; else 0.
+    /// The number of loaded replicas, in answers to load commands; 0 if not stated.
     pub replicas: u32,
     /// The decoded body; empty unless the call was served.
     pub body: Bytes,
 }
 
-/// Why an answer cannot be read. Its connection should be closed, as further answers may be lost on it.
+/// The reason why an answer cannot be read. Its connection should be closed, because further answers on it may be lost.
 #[derive(Debug, thiserror::Error)]
 pub enum MalformedAnswer {
-    /// It is not JSON.
+    /// The line is not JSON.
     #[error("answer: {0}")]
     Json(#[from] serde_json::Error),
-    /// Its status is missing or unknown.
-    #[error("answer: cmd: no word of an answer")]
+    /// The status is missing or unknown.
+    #[error("answer: cmd: missing or unknown")]
     UnknownStatus,
-    /// It does not name the request that it answers.
+    /// The answer does not name the request that it answers.
     #[error("answer: ref: missing")]
     MissingReference,
-    /// Its body is not text.
+    /// The body is not a string.
     #[error("answer: payload: not a string")]
     BodyNotText,
-    /// Its body is not base64.
+    /// The body is not base64.
     #[error("answer: payload: {0}")]
     BodyNotBase64(#[from] base64::DecodeError),
 }
 
-/// Reads one line.
+/// Parses the line of an answer.
 ///
 /// # Errors
-/// [`MalformedAnswer`] if it is not a complete answer of this protocol.
+/// Returns a [`MalformedAnswer`] if the line is not a complete answer of this protocol.
 pub fn read_answer(line: &[u8]) -> Result<Answer, MalformedAnswer> {
     let root: Value = serde_json::from_slice(line)?;
     let status = match root.get("cmd").and_then(Value::as_str) {
@@ -184,14 +186,14 @@
     })
 }
 
-/// A finite number, which may be stated as a JSON number or as text.
+/// The finite number that a value states as a JSON number or as text; `None` if it states none.
 fn finite_number(value: &Value) -> Option<f64> {
     let number = value.as_f64().or_else(|| value.as_str()?.parse().ok())?;
     Some(number).filter(|number| number.is_finite())
 }
 
-/// Reads a load report: `name:number` pairs separated by semicolons, with the short names or those of the settings. A
-/// value that cannot be read counts as not stated.
+/// Parses a load report: `name:number` pairs separated by semicolons, with the short names or those of the settings. A
+/// value that cannot be read counts as not stated, and unknown names are ignored.
 pub fn read_load_report(text: &str) -> LoadReport {
     let mut load = LoadReport::default();
     for (name, value) in text.split(';').filter_map(|pair| pair.split_once(':')) {
--- a/crates/pipithub-platform/tests/growth.rs
+++ b/crates/pipithub-platform/tests/growth.rs
@@ -1,4 +1,5 @@
-//! The cost of reading a configuration grows linearly with it; the cost is counted and not timed.
+//! The cost of reading a configuration grows linearly with its size. The cost is counted, in bytes and operations, and
+//! not timed.
 
 use std::cell::Cell;
 use std::hash::{Hash, Hasher};
@@ -7,7 +8,8 @@
 use pipithub_platform::config::{NodeConfig, first_duplicate};
 use serde_json::{Value, json};
 
-/// The most by which the cost may grow with four times as many entries: quadratic growth is by a factor of sixteen.
+/// The maximum factor by which the cost may grow with four times as many entries; quadratic growth has a factor of
+/// sixteen.
 const MAX_GROWTH: f64 = 5.0;
 const SIZES: [usize; 3] = [500, 2_000, 8_000];
 
@@ -35,7 +37,7 @@
 fn allocated(text: &str) -> Allocated {
     let mut config = None;
     let counted = allocation_counter::measure(|| config = Some(NodeConfig::parse(text)));
-    config.expect("read").expect("a good one");
+    config.expect("parsed").expect("a valid configuration");
     Allocated {
         total: counted.bytes_total as f64,
         peak: counted.bytes_max as f64,
@@ -45,7 +47,7 @@
 fn assert_linear(what: &str, figures: &[f64]) {
     assert!(
         figures.iter().all(|f| *f > 0.0),
-        "{what}: nothing was counted: {figures:?}"
+        "{what}: a count is zero: {figures:?}"
     );
     for pair in figures.windows(2) {
         assert!(
@@ -110,7 +112,7 @@
     assert_eq!(first_duplicate::<&str>(&[]), None);
     assert_eq!(first_duplicate(&["a", "b", "a", "b"]), Some(2));
     let error = NodeConfig::parse(&configuration(1, 3).replace("c00002", "c00000"))
-        .expect_err("it names one twice");
+        .expect_err("two classes have the same name");
     assert_eq!(
         error.to_string(),
         "settings.Grades[2].Name: \"c00000\" names an earlier class too"
--- a/crates/pipithub-platform/tests/protocol.rs
+++ b/crates/pipithub-platform/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! Framing, lines and events, valid and invalid.
+//! Framing and parsing of lines, events and settings, valid and invalid.
 
 use pipithub_platform::client::{self, ClientLine};
 use pipithub_platform::line::LineFramer;
@@ -19,7 +19,7 @@
     site
 }
 
-/// The lines of a stream that comes in pieces, and whether one exceeded the bound.
+/// The lines of a stream that arrives in pieces, and whether a line exceeded the maximum.
 fn lines(pieces: &[&[u8]], max_bytes: usize) -> (Vec<Vec<u8>>, bool) {
     let (mut framer, mut lines) = (LineFramer::new(max_bytes), Vec::new());
     for piece in pieces {
@@ -275,7 +275,7 @@
     assert_eq!(MAX_DATA_BYTES, MAX_ENDPOINTS * MAX_ENDPOINT_BYTES);
     let read = |text: &str| {
         let mut events = Vec::new();
-        // In pieces, as a stream is read.
+        // The text is pushed in pieces, as a stream is read.
         let (mut reader, text) = (SseReader::default(), format!("id: 7\ndata: {text}\n\n"));
         text.as_bytes()
             .chunks(65_536)
@@ -298,13 +298,13 @@
         expected,
         "several lines count together"
     );
-    // A hundred thousand workers of few bytes each fit into an event, and exceed the bound on workers.
+    // 100,000 workers of few bytes each fit into the data of an event, but exceed the maximum number of workers.
     assert!(complete_list(100_000).len() < MAX_DATA_BYTES);
     let fault = list::parse(&complete_list(100_000), &site().names).expect_err("beyond the bound");
     assert_eq!(fault.to_string(), "endpoints.hosts: more than 32000");
 }
 
-/// A coordinator that stops in the middle of an event has not confirmed anything by its first half.
+/// A coordinator that stops in the middle of an event has not confirmed anything by the part that it sent.
 #[test]
 fn complete_comments_and_events_count_as_completed_and_parts_of_them_do_not() {
     let mut reader = SseReader::default();
@@ -323,6 +323,6 @@
     for (text, completes) in cases {
         reader.push(text.as_bytes()).expect("short");
         assert_eq!(reader.take_completed(), completes, "{text:?}");
-        assert!(!reader.take_completed(), "it is told once");
+        assert!(!reader.take_completed(), "it is reported once");
     }
 }
