--- a/crates/pipithub-inference/src/orca.rs
+++ b/crates/pipithub-inference/src/orca.rs
@@ -13,12 +13,12 @@
 /// The maximum number of metrics in a report.
 const MAX_METRICS: usize = 64;
 
-/// A load report that cannot be read.
+/// The text is not a load report in a supported format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the load report is not in a supported format")]
-pub struct Unreadable;
+pub struct InvalidReport;
 
-/// A load report: numbers by their full names, such as `named_metrics.inflight`.
+/// A load report: the values of metrics by their full names, such as `named_metrics.inflight`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report(BTreeMap<String, f64>);
 
@@ -44,7 +44,7 @@
     let parsed: Result<Vec<Metric<'_>>, _> =
         delimited(space0, separated(0..=MAX_METRICS, metric, comma), space0)
             .parse(input)
-            .map_err(|_| Unreadable);
+            .map_err(|_| InvalidReport);
     parsed.ok()
 }
 
@@ -62,22 +62,22 @@
         self.0.insert(name.to_string(), value);
     }
 
-    /// Reads the value of the header.
+    /// Parses the value of the header.
     ///
     /// # Errors
     ///
     /// Fails if the format is not supported, the text does not follow it, or there are too many metrics.
-    pub fn parse(value: &str) -> std::result::Result<Self, Unreadable> {
+    pub fn parse(value: &str) -> std::result::Result<Self, InvalidReport> {
         let (format, rest) = value.trim().split_once(' ').unwrap_or((value.trim(), ""));
         match format {
             "TEXT" => Self::parse_text(rest),
             "JSON" => Self::parse_json(rest),
-            _ => Err(Unreadable),
+            _ => Err(InvalidReport),
         }
     }
 
-    fn parse_text(text: &str) -> std::result::Result<Self, Unreadable> {
-        let metrics = text_metrics(text).ok_or(Unreadable)?;
+    fn parse_text(text: &str) -> std::result::Result<Self, InvalidReport> {
+        let metrics = text_metrics(text).ok_or(InvalidReport)?;
         let metrics = metrics.into_iter();
         Ok(Report(
             metrics
@@ -86,29 +86,29 @@
         ))
     }
 
-    fn parse_json(text: &str) -> std::result::Result<Self, Unreadable> {
+    fn parse_json(text: &str) -> std::result::Result<Self, InvalidReport> {
         let members: serde_json::Map<String, serde_json::Value> =
-            serde_json::from_str(text).map_err(|_| Unreadable)?;
+            serde_json::from_str(text).map_err(|_| InvalidReport)?;
         let mut report = Report::default();
         for (name, value) in members {
             report.add_member(name, &value)?;
             if report.0.len() > MAX_METRICS {
-                return Err(Unreadable);
+                return Err(InvalidReport);
             }
         }
         Ok(report)
     }
 
-    /// Adds a number, or an object of numbers, which are named after the object and their own names. Other values are
-    /// ignored.
+    /// Adds a number, or the numbers in an object, each under the name of the object, a dot and its own name. Other
+    /// values are ignored.
     fn add_member(
         &mut self,
         name: String,
         value: &serde_json::Value,
-    ) -> std::result::Result<(), Unreadable> {
+    ) -> std::result::Result<(), InvalidReport> {
         match value {
             serde_json::Value::Number(number) => {
-                self.0.insert(name, number.as_f64().ok_or(Unreadable)?);
+                self.0.insert(name, number.as_f64().ok_or(InvalidReport)?);
             }
             serde_json::Value::Object(inner) => {
                 for (key, value) in inner {
--- a/crates/pipithub-inference/src/request.rs
+++ b/crates/pipithub-inference/src/request.rs
@@ -1,8 +1,8 @@
-//! Requests to workers: attempts, load and evict commands, and polls of their load.
+//! Requests to workers: attempts, load and evict commands, and load polls.
 
 use pipithub_engine::{AttemptId, Call, Time};
 
-use crate::escape::{content_type, header_value, segment};
+use crate::escape::{content_type, header_value, path_segment};
 use crate::header;
 
 const NANOSECONDS_PER_MILLISECOND: Time = 1_000_000;
@@ -10,8 +10,8 @@
 /// The head of a request to a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerRequest {
-    /// Whether the method is `GET`, as for a poll of the load; otherwise it is `POST`.
-    pub get: bool,
+    /// Whether the method is `GET`, as for a load poll; otherwise it is `POST`.
+    pub is_get: bool,
     /// The path, percent-encoded.
     pub path: String,
     /// The names and values of the headers, without the host and the content length.
@@ -42,7 +42,8 @@
     }
 }
 
-/// The request of an attempt, without its timeout: [`WorkerRequest::set_timeout`] must be called before it is written.
+/// The request of an attempt, without its timeout: [`WorkerRequest::set_timeout`] must be called before the request is
+/// written.
 pub fn infer(call: &Call, id: AttemptId, front_end: &str) -> WorkerRequest {
     let mut headers = vec![
         (header::ATTEMPT, id.number.to_string()),
@@ -59,10 +60,10 @@
                 .map_or("application/json".into(), content_type),
         ),
     ];
-    match &call.label {
-        Some(label) => headers.push((header::REQUEST, header_value(label))),
+    match &call.message_id {
+        Some(message_id) => headers.push((header::REQUEST_ID, header_value(message_id))),
         None => headers.push((
-            header::REQUEST,
+            header::REQUEST_ID,
             format!("{}-{}", header_value(front_end), id.request),
         )),
     }
@@ -72,18 +73,18 @@
             .map(|key| (header::IDEMPOTENCY_KEY, header_value(key))),
     );
     WorkerRequest {
-        get: false,
-        path: format!("/v2/models/{}/infer", segment(&call.function)),
+        is_get: false,
+        path: format!("/v2/models/{}/infer", path_segment(&call.function)),
         headers,
     }
 }
 
-/// The request of a load command; with 0 replicas it is an evict command, which unloads idle replicas.
+/// The request of a load command. With 0 replicas it is an evict command, which unloads the idle replicas.
 pub fn load_command(model: &str, replicas: u32, front_end: &str) -> WorkerRequest {
     let verb = if replicas > 0 { "load" } else { "unload" };
     WorkerRequest {
-        get: false,
-        path: format!("/v2/repository/models/{}/{verb}", segment(model)),
+        is_get: false,
+        path: format!("/v2/repository/models/{}/{verb}", path_segment(model)),
         headers: vec![
             (header::FRONT_END, header_value(front_end)),
             (header::REPLICAS, replicas.to_string()),
@@ -92,11 +93,11 @@
     }
 }
 
-/// The request of a poll of the load.
+/// The request of a load poll.
 pub fn load_poll(front_end: &str) -> WorkerRequest {
     let headers = vec![(header::FRONT_END, header_value(front_end))];
     WorkerRequest {
-        get: true,
+        is_get: true,
         path: "/v2/health/ready".into(),
         headers,
     }
--- a/crates/pipithub-platform/src/line.rs
+++ b/crates/pipithub-platform/src/line.rs
@@ -1,15 +1,16 @@
-//! Lines of bounded length: a peer that writes without end must not exhaust the memory.
+//! Lines of bounded length, so that a peer that sends an endless line cannot exhaust the memory.
 
 use bytes::{Bytes, BytesMut};
 
-/// A buffer that has grown beyond this is freed once it is empty, so that one long line does not keep its memory.
+/// A buffer that has grown beyond this size, in bytes, is freed once it is empty, so that one long line does not hold
+/// memory forever.
 const MAX_IDLE_BUFFER: usize = 8 << 10;
 
 /// A line is longer than allowed; nothing more can be read from its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line of more than {max_bytes} bytes")]
-pub struct TooLong {
-    /// The bound, in bytes.
+pub struct LineTooLong {
+    /// The maximum length of a line, in bytes.
     pub max_bytes: usize,
 }
 
@@ -17,13 +18,13 @@
 #[derive(Debug)]
 pub struct LineFramer {
     buffer: BytesMut,
-    /// Bytes at the front of the buffer that hold no line feed.
+    /// The number of bytes at the front of the buffer that are known to contain no line feed.
     scanned: usize,
     max_bytes: usize,
 }
 
 impl LineFramer {
-    /// A framer for lines of `max_bytes` at most, not counting the line feed.
+    /// Creates a framer for lines of at most `max_bytes`, not counting the line feed.
     pub fn new(max_bytes: usize) -> Self {
         LineFramer {
             buffer: BytesMut::new(),
@@ -32,16 +33,18 @@
         }
     }
 
-    /// Appends bytes that were read. To keep the bound, call [`LineFramer::next_line`] after that until it returns `None`.
+    /// Appends bytes that were read. To bound the buffer, call [`LineFramer::next_line`] afterwards until it returns
+    /// `None`.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next complete line, without its line feed and a carriage return before it; `None` if none is complete.
+    /// Removes and returns the next complete line, without its line feed and a carriage return before it; `None` if no
+    /// line is complete.
     ///
     /// # Errors
-    /// [`TooLong`] if a line, complete or not, is longer than the bound.
-    pub fn next_line(&mut self) -> Result<Option<Bytes>, TooLong> {
+    /// Returns [`LineTooLong`] if a line, complete or not, is longer than the maximum.
+    pub fn next_line(&mut self) -> Result<Option<Bytes>, LineTooLong> {
         let found = self.buffer[self.scanned..]
             .iter()
             .position(|b| *b == b'\n')
@@ -52,7 +55,7 @@
                 self.buffer = BytesMut::new();
             }
             return if self.scanned > self.max_bytes {
-                Err(TooLong {
+                Err(LineTooLong {
                     max_bytes: self.max_bytes,
                 })
             } else {
@@ -60,7 +63,7 @@
             };
         };
         if end > self.max_bytes {
-            return Err(TooLong {
+            return Err(LineTooLong {
                 max_bytes: self.max_bytes,
             });
         }
@@ -73,8 +76,8 @@
         Ok(Some(line))
     }
 
-    /// Whether the last line is incomplete.
-    pub fn partial(&self) -> bool {
+    /// Whether part of a line is buffered, once [`LineFramer::next_line`] has returned `None`.
+    pub fn has_partial_line(&self) -> bool {
         !self.buffer.is_empty()
     }
 }
