--- a/crates/pipithub-scenario/src/outage/client.rs
+++ b/crates/pipithub-scenario/src/outage/client.rs
@@ -12,6 +12,7 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
+use tokio::task::JoinHandle;
 
 use super::history::{AnswerKind, CallRecord, ClientEnd, Recorder};
 use super::plan::Rates;
@@ -47,14 +48,15 @@
 }
 
 impl Clients {
-    /// Starts the clients of a front end; they connect as soon as it listens.
+    /// Starts the clients of a front end; they connect as soon as it listens. Each task ends once the load has ended and
+    /// its connection is closed, and has recorded its calls by then.
     pub(super) fn start(
         node: usize,
         address: SocketAddr,
         seed: u64,
         load: Arc<Load>,
         recorder: Arc<Recorder>,
-    ) {
+    ) -> Vec<JoinHandle<()>> {
         let clients = Arc::new(Clients {
             node,
             address,
@@ -62,9 +64,9 @@
             recorder,
             random: Mutex::new(SplitMix64::new(seed ^ (node as u64) << 32)),
         });
-        for _ in 0..CONNECTIONS {
-            tokio::spawn(clients.clone().reconnect_until_end());
-        }
+        (0..CONNECTIONS)
+            .map(|_| tokio::spawn(clients.clone().reconnect_until_end()))
+            .collect()
     }
 
     fn random(&self) -> MutexGuard<'_, SplitMix64> {
--- a/crates/pipithub-scenario/src/outage/run.rs
+++ b/crates/pipithub-scenario/src/outage/run.rs
@@ -8,6 +8,7 @@
 
 use pipithub_clock::wall_ns;
 use serde_json::{Value, json};
+use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
 use super::client::{Clients, Load, function_name};
@@ -77,6 +78,8 @@
     workers: Vec<Arc<Worker>>,
     /// The endpoint list of each front end: it reaches the workers at addresses of its own.
     lists: Vec<Arc<EndpointList>>,
+    /// The tasks of all clients.
+    clients: Vec<JoinHandle<()>>,
     load: Arc<Load>,
     recorder: Arc<Recorder>,
     restarts: Vec<Restart>,
@@ -96,6 +99,7 @@
             nodes: Vec::new(),
             workers: Vec::new(),
             lists: Vec::new(),
+            clients: Vec::new(),
             load: Arc::new(load),
             recorder,
             restarts: Vec::new(),
@@ -148,16 +152,17 @@
         Ok(())
     }
 
-    fn start_load(&self, plan: &Plan) {
+    fn start_load(&mut self, plan: &Plan) {
         for node in 0..plan.nodes {
             let at = address(NODE_NETWORK, 0, node, self.port);
-            Clients::start(
+            let clients = Clients::start(
                 node,
                 at,
                 plan.seed,
                 self.load.clone(),
                 self.recorder.clone(),
             );
+            self.clients.extend(clients);
         }
     }
 
@@ -285,6 +290,10 @@
         if !crashed.is_empty() {
             return Err(RunError::FrontEndsEnded(crashed));
         }
+        // Clients record the calls of a connection when it is closed, which the end of the front ends causes.
+        for client in self.clients {
+            client.await.map_err(std::io::Error::from)?;
+        }
         Ok(self.recorder.take())
     }
 }
