--- a/crates/pipithub-policy/tests/simulated_fleet/scenario.rs
+++ b/crates/pipithub-policy/tests/simulated_fleet/scenario.rs
@@ -42,7 +42,7 @@
     pub zones: usize,
     /// The share of workers that have just started.
     pub just_started: f64,
-    /// Requests in flight at a worker beyond which it rejects.
+    /// The number of requests in flight at a worker beyond which it rejects further ones.
     pub concurrency_limit: f64,
 }
 
@@ -59,7 +59,7 @@
     pub load_time: (Time, Time),
     /// The share of functions whose requests state the load time.
     pub load_time_known: f64,
-    /// The probability that a worker has a replica before this front end's first request for it.
+    /// The probability that a worker has a replica of a function before this front end's first request for it there.
     pub loaded_before: f64,
 }
 
@@ -70,8 +70,9 @@
     pub mean_gap: Time,
     /// The number of requests that arrive at the same time.
     pub burst: u64,
-    /// The probability that a client cancels, and the time within which it does.
+    /// The probability that a client cancels.
     pub cancels: f64,
+    /// The longest time after which a client cancels.
     pub cancels_within: Time,
     /// The probability that an answer is streamed.
     pub streams: f64,
