--- a/crates/pipithub-node/src/client_sessions.rs
+++ b/crates/pipithub-node/src/client_sessions.rs
@@ -9,36 +9,40 @@
 use crate::effect::ConnectionId;
 use crate::executed_calls::ExecutedCalls;
 
-/// The most calls that may be pending on one connection.
+/// The maximum number of pending calls on one connection.
 pub const MAX_PENDING_CALLS: usize = 32;
-/// Once the scores of consecutive faults reach this, a connection is no longer read and is closed after its last answer.
-/// A valid call resets the score: a connection may be open for days, and occasional faults must not accumulate.
+/// Once the fault score of a connection reaches this value, further calls on it are rejected, and it is closed after
+/// its last answer. A valid call resets the score: a connection may be open for days, and occasional faults must not
+/// accumulate.
 const MAX_FAULT_SCORE: u32 = 32;
-/// What a line that is no valid request adds to the fault score.
+/// What a line that is not a valid request adds to the fault score.
 pub const MALFORMED_LINE_SCORE: u32 = 8;
-/// What a call beyond [`MAX_PENDING_CALLS`] adds to the fault score: little, as client and front end may briefly differ
-/// on which calls have ended.
+/// What a call beyond [`MAX_PENDING_CALLS`] adds to the fault score. It is small, because client and front end may
+/// briefly disagree on which calls have ended.
 pub const EXCESS_CALL_SCORE: u32 = 1;
-/// A connection without a complete line for this long after it was made, or with an incomplete line for this long, is
-/// closed: silent connections would otherwise use up all descriptors. The platform allows 3 s for that.
+/// A connection without pending calls is closed if no request comes on it for this long after it was established, or if
+/// a line stays incomplete for this long, in nanoseconds: silent connections would otherwise use up all file
+/// descriptors. The platform allows 3 s for this.
 const SILENCE_TIMEOUT: Time = 2_000_000_000;
 
 /// The state of one client's connection.
 #[derive(Debug)]
 pub struct ClientSession {
-    /// Divides what the client sends into lines.
+    /// Splits the received bytes into lines.
     pub framer: LineFramer,
-    /// The JSON-RPC ids of its pending calls, with the ticket of each.
+    /// The JSON-RPC ids of the pending calls, each with the call's ticket.
     pub pending_calls: BTreeMap<u64, u64>,
-    /// Whether it has sent a valid call or health check.
+    /// Whether the client has sent a valid call or health check.
     pub has_sent_request: bool,
-    /// When a complete request last came from it, or a call of it last ended.
+    /// When the client connected, last sent an admitted call, a cancel or a health check, or last had a call end: the
+    /// latest of these.
     pub last_active: Time,
-    /// Since when it has sent an incomplete line; `None` if the last line is complete.
+    /// Since when the last line has been incomplete; `None` if it is complete.
     pub partial_line_since: Option<Time>,
-    /// Further calls are rejected, and the connection is closed once its pending calls are answered.
+    /// Whether further calls are rejected and the connection is closed once its pending calls are answered. Cancels and
+    /// health checks are still handled.
     pub is_closing: bool,
-    /// What it sends can no longer be divided into lines and is ignored.
+    /// Whether a line was too long. What follows it cannot be split into lines and is ignored.
     pub unreadable: bool,
     fault_score: u32,
 }
@@ -46,35 +50,36 @@
 /// A call that has no final answer yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingCall {
-    /// The connection that it came on.
+    /// The connection on which the call came.
     pub connection: ConnectionId,
-    /// Its JSON-RPC id on that connection.
+    /// The call's JSON-RPC id on that connection.
     pub id: u64,
-    /// Its name, which is unique among all pending calls.
+    /// The call's name, which is unique among all pending calls.
     pub name: String,
-    /// Whether running it twice does harm.
+    /// Whether running the call twice does harm.
     pub non_idempotent: bool,
 }
 
 /// Why a call is rejected without an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum CallRejection {
-    /// The connection has ended meanwhile; no answer is needed.
+    /// The connection has ended in the meantime; no answer is needed.
     #[error("the connection has ended")]
     Disconnected,
-    /// Another call with its id is pending on the connection.
+    /// Another call with the same id is pending on the connection.
     #[error("id: in use")]
     IdInUse,
-    /// Another call with its name is pending and may be running, so the answer must not say that it did not run.
+    /// Another call with the same name is pending and may be running, so the answer must not say that the call did not
+    /// run.
     #[error("call: open already")]
     AlreadyPending,
-    /// It is not idempotent, and an earlier call of its name may have run.
+    /// An earlier call of the same name is not idempotent and may have run.
     #[error("call: has ended, and may have run")]
     MayHaveExecuted,
     /// The connection has [`MAX_PENDING_CALLS`] pending calls; this one has not run.
     #[error("too many calls open on this connection")]
     TooManyPending,
-    /// The connection has had too many faults in a row and is about to be closed; this call has not run.
+    /// The connection is about to be closed because of faulty lines; this call has not run.
     #[error("this connection is about to be closed")]
     Closing,
 }
@@ -91,7 +96,8 @@
 }
 
 impl ClientSessions {
-    /// No client is connected yet. `max_connections` may be connected at the same time, at least one.
+    /// Creates the state of a front end without clients. At most `max_connections` may be connected at the same time; 0
+    /// counts as 1.
     pub fn new(max_connections: usize) -> Self {
         ClientSessions {
             max_connections: max_connections.max(1),
@@ -103,9 +109,9 @@
         }
     }
 
-    /// Adds a connection. If there are too many then, returns the one to close: of those without pending calls, first
-    /// one that never sent a request, then the one that is idle for longest; the new one if all others have pending
-    /// calls.
+    /// Adds a connection. If this exceeds the limit, returns the connection to close: among the other connections
+    /// without pending calls, one that never sent a request if there is one, and the longest idle of these; the new
+    /// connection if all others have pending calls.
     pub fn connected(&mut self, now: Time, connection: ConnectionId) -> Option<ConnectionId> {
         let client = ClientSession {
             framer: LineFramer::new(MAX_LINE_BYTES),
@@ -130,7 +136,7 @@
             .or(Some(connection))
     }
 
-    /// The most connections at the same time.
+    /// The maximum number of connections at the same time.
     pub fn max_connections(&self) -> usize {
         self.max_connections
     }
@@ -155,7 +161,7 @@
         self.sessions.is_empty()
     }
 
-    /// Remembers until the given time that a call may have run and must not run again.
+    /// Remembers until `expires_at` that the call of this name may have run and must not run again.
     pub(crate) fn record_executed(&mut self, expires_at: Time, call: &str) {
         self.executed_calls.record(expires_at, call);
     }
@@ -163,7 +169,7 @@
     /// Checks whether a call with this id and name is admitted on a connection.
     ///
     /// # Errors
-    /// [`CallRejection`] says why not.
+    /// [`CallRejection`] if the call is not admitted.
     pub(crate) fn check_call(
         &mut self,
         now: Time,
@@ -193,7 +199,7 @@
         Ok(())
     }
 
-    /// Records a pending call and returns its ticket.
+    /// Records a pending call, resets the fault score of its connection, and returns the call's ticket.
     pub fn begin_call(&mut self, pending: PendingCall) -> u64 {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
@@ -206,7 +212,7 @@
         ticket
     }
 
-    /// Removes a call that is answered or cancelled; `None` if it is not pending.
+    /// Removes and returns a call that was answered or cancelled; `None` if it is not pending.
     pub fn end_call(&mut self, now: Time, ticket: u64) -> Option<PendingCall> {
         let pending = self.pending_calls.remove(&ticket)?;
         if self.tickets.get(&pending.name) == Some(&ticket) {
@@ -219,7 +225,8 @@
         Some(pending)
     }
 
-    /// The ticket of a call that is pending on a connection, by its name or else by its id.
+    /// The ticket of a call that is pending on a connection, found by its name or else by its id; `None` if there is
+    /// none.
     pub fn find_ticket(
         &self,
         connection: ConnectionId,
@@ -241,7 +248,8 @@
         })
     }
 
-    /// Adds to a connection's fault score; returns whether the connection must no longer be read.
+    /// Adds to a connection's fault score; returns whether the connection must be closed, which is also the result if
+    /// the connection has ended.
     pub fn add_fault_score(&mut self, connection: ConnectionId, score: u32) -> bool {
         self.sessions.get_mut(&connection).is_none_or(|client| {
             client.fault_score += score;
@@ -249,8 +257,8 @@
         })
     }
 
-    /// Removes a connection that has ended, with its pending calls; returns their tickets. Calls that are not idempotent
-    /// are remembered until the given time as calls that may have run.
+    /// Removes a connection that has ended, with its pending calls; returns their tickets. Calls that are not
+    /// idempotent are remembered until `expires_at` as calls that may have run.
     pub fn disconnected(&mut self, connection: ConnectionId, expires_at: Time) -> Vec<u64> {
         let Some(client) = self.sessions.remove(&connection) else {
             return Vec::new();
@@ -270,7 +278,7 @@
         tickets
     }
 
-    /// Connections without pending calls that have sent no request, or no complete line, for [`SILENCE_TIMEOUT`].
+    /// The connections without pending calls that have exceeded the [`SILENCE_TIMEOUT`].
     pub fn silent_connections(&self, now: Time) -> Vec<ConnectionId> {
         let has_timed_out = |since: Time| now >= since + SILENCE_TIMEOUT;
         let silent = |c: &ClientSession| {
--- a/crates/pipithub-node/src/connection_pool.rs
+++ b/crates/pipithub-node/src/connection_pool.rs
@@ -1,8 +1,9 @@
-//! The pool of connections to workers: on which connection a request is sent, and what becomes of it when that ends.
+//! The pool of connections to workers. It decides on which connection a request is sent, and what happens to the
+//! request when that connection ends.
 //!
-//! Workers are identified by their id, as a new one may have the address of a removed one. A connection may carry many
-//! requests, but all of them are lost when it breaks; so an idle connection is used first, then a new one while
-//! descriptors last, and only then one that carries other requests already.
+//! Workers are identified by their ids, because a new worker may have the address of a removed one. A connection may
+//! carry many requests, but all of them are lost when it breaks. So an idle connection is used first, then a new one
+//! while file descriptors last, and only then a connection that already carries other requests.
 
 mod connection;
 mod endings;
@@ -25,20 +26,21 @@
 use crate::effect::{ConnectionId, Effect};
 use crate::idle_timeout::IdleTimeout;
 
-/// The most requests that may wait for a connection to one worker.
+/// The maximum number of requests that wait for a connection to one worker.
 const MAX_WAITING: usize = 256;
 
+/// A worker, the connections to it, and the requests that wait for one.
 #[derive(Debug, Default)]
 struct WorkerConnections {
     address: String,
     removed: bool,
-    /// New work must have been written by then; `None`: nothing limits that.
+    /// The time from which no new work may be written to the worker; `None` if there is no such limit.
     lease_end: Option<Time>,
     connections: Vec<ConnectionId>,
     waiting: VecDeque<WorkerRequest>,
 }
 
-/// Allocates connection ids, of which none is used twice.
+/// Allocates connection ids; no id is used twice.
 #[derive(Debug, Default)]
 struct ConnectionIds {
     last: u64,
@@ -51,16 +53,17 @@
     }
 }
 
-/// The bounds of a [`ConnectionPool`] and the times of its connections.
+/// The limits and timeouts of a [`ConnectionPool`].
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionPoolSettings {
-    /// The most connections to all workers together, connections being made included; 0 counts as 1.
+    /// The maximum number of connections to all workers together, including those being established; 0 counts as 1.
     pub max_connections: usize,
-    /// The most requests in flight on one connection; 0 counts as 1.
+    /// The maximum number of requests in flight on one connection; 0 counts as 1.
     pub max_requests_per_connection: usize,
     /// How long it may take to establish a connection, in nanoseconds.
     pub connect_timeout: Time,
-    /// After how long workers close idle connections, in nanoseconds; the pool closes them after half of it. 0: never.
+    /// After how long workers close idle connections, in nanoseconds; 0 if they never do. The pool closes idle
+    /// connections after half of that time.
     pub worker_idle_timeout: Time,
     /// Whether workers may be asked to cancel attempts.
     pub cancel: bool,
@@ -76,10 +79,10 @@
     /// Whether workers may be asked to cancel attempts.
     cancel: bool,
     workers: BTreeMap<WorkerId, WorkerConnections>,
-    /// How many workers have not been removed. It is kept up to date, as neither a request nor a sweep may iterate over
-    /// all workers.
+    /// The number of workers that have not been removed. It is stored because neither a request nor a sweep may iterate
+    /// over all workers to count them.
     listed: usize,
-    /// The workers that a sweep looks at: those with waiting requests, and removed ones.
+    /// The workers that a sweep visits: those with waiting requests, and removed ones.
     sweep_set: BTreeSet<WorkerId>,
     connections: BTreeMap<ConnectionId, Connection>,
     connection_ids: ConnectionIds,
@@ -89,7 +92,7 @@
 }
 
 impl ConnectionPool {
-    /// A pool without workers and connections.
+    /// Creates a pool without workers and connections.
     pub fn new(settings: ConnectionPoolSettings) -> Self {
         ConnectionPool {
             max_connections: settings.max_connections.max(1),
@@ -108,7 +111,7 @@
         }
     }
 
-    /// Returns an id for a connection of either side; no id is returned twice.
+    /// Returns an id for a connection to a client or a worker; no id is returned twice.
     pub fn next_connection_id(&mut self) -> ConnectionId {
         self.connection_ids.allocate()
     }
@@ -124,17 +127,17 @@
         std::mem::take(&mut self.failures)
     }
 
-    /// The number of connections, those being made included.
+    /// The number of connections, including those being established.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// The most connections, those being made included.
+    /// The maximum number of connections, including those being established.
     pub fn max_connections(&self) -> usize {
         self.max_connections
     }
 
-    /// How many workers a sweep looks at: those with waiting requests, and removed ones.
+    /// The number of workers that a sweep visits: those with waiting requests, and removed ones.
     pub fn sweep_set_len(&self) -> usize {
         self.sweep_set.len()
     }
@@ -144,8 +147,8 @@
         self.connections.is_empty()
     }
 
-    /// Adds a worker or changes its address; an empty `address` leaves it as it is. `removed`: whether the worker has been
-    /// removed from the endpoint list.
+    /// Adds a worker or changes its address; an empty `address` keeps the current one. `removed` tells whether the
+    /// worker has been removed from the endpoint list.
     pub fn set_address(&mut self, worker: &WorkerId, address: &str, removed: bool) {
         let new = || WorkerConnections {
             removed: true,
@@ -192,8 +195,8 @@
         });
     }
 
-    /// Sends a request to a worker as soon as there is a connection for it. It fails at once if the worker is not known or
-    /// too many requests wait for it.
+    /// Sends a request to a worker as soon as there is a connection for it. The request fails at once if the worker or
+    /// its address is not known or too many requests wait for the worker.
     pub fn submit(&mut self, now: Time, worker: &WorkerId, request: WorkerRequest) {
         match self.workers.get_mut(worker) {
             Some(entry) if !entry.address.is_empty() && entry.waiting.len() < MAX_WAITING => {
@@ -205,14 +208,14 @@
         }
     }
 
-    /// Sets until when new work may be written to a worker.
+    /// Sets the time until which new work may be written to a worker; `Time::MAX` means that there is no limit.
     pub fn set_lease_end(&mut self, worker: &WorkerId, lease_end: Time) {
         if let Some(entry) = self.workers.get_mut(worker) {
             entry.lease_end = Some(lease_end).filter(|end| *end < Time::MAX);
         }
     }
 
-    /// Sets until when new work may be written to each worker with requests that are not written yet.
+    /// Updates, for each worker that may have unwritten requests, the time until which new work may be written to it.
     pub fn renew_leases(&mut self, lease_end: impl Fn(&WorkerId) -> Time) {
         let blocked = self
             .connections
@@ -241,7 +244,7 @@
                 continue;
             }
             let Some(line) = request.line(now) else {
-                // Its deadline passed between two sweeps.
+                // The deadline has passed since the last sweep, or is too near.
                 self.fail(worker, request, SendFailure::Unreachable);
                 continue;
             };
@@ -256,7 +259,7 @@
     /// Records that a connection is established.
     pub fn connected(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else {
-            // The pool has given it up meanwhile.
+            // The pool has given the connection up in the meantime.
             return self.effects.push(Effect::Close { connection: id });
         };
         connection.establish(now);
@@ -264,8 +267,9 @@
         self.dispatch(now, &worker);
     }
 
-    /// Records that the worker behind a connection does not read, with the number of bytes that the system has accepted
-    /// on the connection so far; with `None`, that it has accepted all. Nothing is written on a blocked connection.
+    /// Records that the worker at the other end of a connection does not read: `accepted` is the number of bytes that
+    /// the operating system has accepted on the connection so far, or `None` if it has accepted all. No request is
+    /// written on a blocked connection.
     pub fn set_blocked(&mut self, now: Time, id: ConnectionId, accepted: Option<u64>) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -276,7 +280,7 @@
         }
     }
 
-    /// The framer that cuts what comes on a connection into lines; `None` if the connection has ended.
+    /// The framer that splits the bytes received on a connection into lines; `None` if the connection has ended.
     pub fn framer(&mut self, id: ConnectionId) -> Option<&mut LineFramer> {
         self.connections.get_mut(&id).map(Connection::framer)
     }
--- a/crates/pipithub-node/src/connection_pool/connection.rs
+++ b/crates/pipithub-node/src/connection_pool/connection.rs
@@ -12,19 +12,20 @@
 use super::request::{RequestKind, WorkerRequest};
 use crate::effect::{ConnectionId, Effect};
 
-/// How many references a connection remembers as used. Duplicate answers come within moments, so few suffice.
+/// How many used references a connection remembers. Duplicate answers come shortly after the first, so a few suffice.
 const MAX_RECENT_REFERENCES: usize = 16;
 
-/// A request that was written on a connection and is not answered.
+/// A request that was written on a connection and is not answered yet.
 #[derive(Debug)]
 pub(super) struct InFlight {
     request: WorkerRequest,
-    /// Where its line begins and ends, in bytes from the connection's first.
+    /// Where the request's line begins and ends, in bytes from the first one written on the connection.
     start_offset: u64,
     end_offset: u64,
-    /// When its line was queued for writing.
+    /// When the request's line was queued for writing.
     queued_at: Time,
-    /// How long the connection had been idle before it; `None` if the connection was new or carried other requests.
+    /// How long the connection had been idle before the request, in nanoseconds; `None` if the connection was new or
+    /// carried other requests.
     idle_before: Option<Time>,
 }
 
@@ -53,18 +54,19 @@
     Complete,
 }
 
-/// A request that was taken off its connection.
+/// A request that was removed from its connection.
 pub(super) struct Withdrawn {
     pub(super) request: WorkerRequest,
-    /// It is certain that it did not arrive completely.
+    /// Whether it is certain that the request did not arrive completely.
     pub(super) not_sent: bool,
     /// Requests queued behind a partially written line. They were not sent and need another connection.
     pub(super) displaced: Vec<WorkerRequest>,
-    /// What must be done on the connection for it.
+    /// Withdraws the request's line or asks the worker to cancel the request; `None` if neither is done.
     pub(super) effect: Option<Effect>,
 }
 
-/// A request on a connection that is past its deadline or was not written in time.
+/// A request in flight that must end because its deadline has passed, because it was not written in time, or because it
+/// was not written before the lease on its worker ended.
 pub(super) struct OverdueRequest {
     pub(super) connection: ConnectionId,
     pub(super) worker: WorkerId,
@@ -72,7 +74,7 @@
     pub(super) start_offset: u64,
 }
 
-/// The references that were used last on a connection. An answer may come twice, and the second one must not be taken
+/// The most recently used references of a connection. An answer may come twice, and the second one must not be taken
 /// for the answer to another request with the same reference.
 #[derive(Debug, Default)]
 struct RecentReferences(VecDeque<String>);
@@ -90,14 +92,15 @@
     }
 }
 
-/// The bytes written on a connection, counted from its first.
+/// How far the lines of a connection are written, in bytes from the first one written on it.
 #[derive(Debug, Default)]
 struct WritePosition {
     /// Bytes that were handed to the shell and not withdrawn.
     queued: u64,
-    /// While the worker does not read: how many of them the system has accepted. `None` if it has accepted all.
+    /// How many of the queued bytes the operating system has accepted while the worker does not read; `None` if the
+    /// system has accepted all.
     accepted: Option<u64>,
-    /// The last line was written in part only and must never be completed: nothing may follow it.
+    /// Whether the last line was written only in part. It must never be completed, so nothing may follow it.
     sealed: bool,
 }
 
@@ -111,24 +114,25 @@
     }
 }
 
-/// A connection that is being made or is established.
+/// A connection to a worker that is being established or is established.
 #[derive(Debug)]
 pub(super) struct Connection {
     id: ConnectionId,
     worker: WorkerId,
     address: String,
+    /// `None` while the connection is being established.
     established_at: Option<Time>,
     framer: LineFramer,
     in_flight: BTreeMap<String, InFlight>,
     recent_references: RecentReferences,
     position: WritePosition,
-    /// How many requests were written on it.
+    /// How many requests were written on the connection.
     uses: u64,
     last_used: Time,
 }
 
 impl Connection {
-    /// A connection that is being made.
+    /// Creates a connection that is being established.
     pub(super) fn new(id: ConnectionId, worker: &WorkerId, address: &str, now: Time) -> Self {
         Connection {
             id,
@@ -156,12 +160,12 @@
         self.established_at.is_some()
     }
 
-    /// When it was established; 0 as long as it is being made.
+    /// When the connection was established; 0 while it is being established.
     pub(super) fn established_at(&self) -> Time {
         self.established_at.unwrap_or(0)
     }
 
-    /// Whether lines on it wait to be accepted by the system, as the worker does not read.
+    /// Whether lines wait for the operating system to accept them, because the worker does not read.
     pub(super) fn is_blocked(&self) -> bool {
         self.position.accepted.is_some()
     }
@@ -184,12 +188,12 @@
         self.in_flight.len()
     }
 
-    /// Whether it is established and carries no request.
+    /// Whether the connection is established and carries no request.
     pub(super) fn is_idle(&self) -> bool {
         self.is_established() && self.in_flight.is_empty()
     }
 
-    /// Whether it must be closed now, as nothing more may be written and no answer is missing.
+    /// Whether the connection must be closed now: nothing more may be written on it, and no request awaits an answer.
     pub(super) fn is_finished(&self) -> bool {
         self.position.sealed && self.in_flight.is_empty()
     }
@@ -202,8 +206,8 @@
         self.recent_references.contains(reference)
     }
 
-    /// Whether a request with this reference may be written now. A connection that was idle for `idle_limit` or longer
-    /// is not used again.
+    /// Whether a request with this reference may be written now. A connection that has been idle for `idle_limit`
+    /// nanoseconds or longer is not used again; `None` means no limit.
     pub(super) fn can_carry(
         &self,
         now: Time,
@@ -240,7 +244,7 @@
         self.last_used = now;
         let start_offset = self.position.queued;
         let effect = self.queue(line);
-        // No answer comes to an evict command.
+        // Workers do not answer evict commands.
         if request.kind != RequestKind::EvictFunction {
             let reference = request.reference.clone();
             let in_flight = InFlight {
@@ -263,7 +267,8 @@
         }
     }
 
-    /// Ends the request that an answer with this reference belongs to; `None` if there is none, as for a duplicate.
+    /// Removes and returns the request that an answer with this reference ends; `None` if there is none, as with a
+    /// duplicate answer.
     pub(super) fn answered(&mut self, now: Time, reference: &str) -> Option<InFlight> {
         let in_flight = self.in_flight.remove(reference)?;
         self.last_used = now;
@@ -273,15 +278,16 @@
         Some(in_flight)
     }
 
-    /// Records how many bytes the system has accepted while the worker does not read, or with `None` that it has
-    /// accepted all; returns whether the worker reads again.
+    /// Records how many bytes the operating system has accepted while the worker does not read, or `None` once the
+    /// system has accepted all; returns whether the connection was blocked and is not any more.
     pub(super) fn set_blocked(&mut self, accepted: Option<u64>) -> bool {
         let was_blocked = self.position.accepted.is_some();
         self.position.accepted = accepted;
         was_blocked && accepted.is_none()
     }
 
-    /// The reference under which an attempt is in flight on this connection.
+    /// The reference under which an attempt is in flight on this connection; `None` if the attempt is not in flight
+    /// here.
     pub(super) fn reference_of(&self, attempt: AttemptId) -> Option<&str> {
         self.in_flight
             .iter()
@@ -299,8 +305,8 @@
         !matches!(self.position.progress(in_flight), WriteProgress::Complete)
     }
 
-    /// The requests whose deadline has passed, and those whose line the system has not accepted completely within
-    /// `write_timeout`.
+    /// The requests whose deadline has passed, and those whose line the operating system has not accepted completely
+    /// within `write_timeout` nanoseconds.
     pub(super) fn overdue_requests(
         &self,
         now: Time,
@@ -318,7 +324,8 @@
             .map(|(reference, in_flight)| self.overdue(reference, in_flight))
     }
 
-    /// The requests of which nothing was written yet and that must not be written any more, as the lease on the worker ends.
+    /// The requests of which nothing was written yet, and that must not be written any more because the lease on the
+    /// worker has ended.
     pub(super) fn requests_without_lease(
         &self,
         now: Time,
@@ -343,9 +350,10 @@
         }
     }
 
-    /// Takes off a request whose answer is no longer awaited. A line that was not written completely is withdrawn: a
-    /// cancel message behind it would not keep the request from running once the worker reads again. Otherwise the
-    /// worker is asked to cancel an attempt if `cancel` allows it.
+    /// Removes a request whose answer is no longer awaited; `None` if it is not in flight. A line that was not written
+    /// completely is withdrawn: a cancel message behind the line would not keep the request from running once the
+    /// worker reads again. Otherwise, if `cancel` is set and the request is an attempt, the worker is asked to cancel
+    /// it.
     pub(super) fn withdraw(&mut self, reference: &str, cancel: bool) -> Option<Withdrawn> {
         let in_flight = self.in_flight.remove(reference)?;
         let withdrawn = match self.position.progress(&in_flight) {
@@ -371,7 +379,7 @@
         Some(withdrawn)
     }
 
-    /// Withdraws a line of which the system has accepted nothing; the lines behind it move up.
+    /// Withdraws a line of which the operating system has accepted nothing; the lines behind it move up.
     fn withdraw_line(&mut self, withdrawn: &InFlight) -> Effect {
         let length = withdrawn.end_offset - withdrawn.start_offset;
         self.position.queued -= length;
@@ -390,7 +398,8 @@
         }
     }
 
-    /// Withdraws all that the system has not accepted, from the middle of a line: nothing may be written after it.
+    /// Withdraws all bytes that the operating system has not accepted, which begin in the middle of a line: nothing may
+    /// be written on the connection after that.
     fn seal(&mut self, written: u64) -> Effect {
         let length = self.position.queued - written;
         self.position.sealed = true;
@@ -402,7 +411,7 @@
         }
     }
 
-    /// Takes off the requests whose lines do not lie completely within the first `written` bytes.
+    /// Removes and returns the requests whose lines do not lie completely within the first `written` bytes.
     fn take_requests_behind(&mut self, written: u64) -> Vec<WorkerRequest> {
         let (kept, behind): (BTreeMap<_, _>, BTreeMap<_, _>) = std::mem::take(&mut self.in_flight)
             .into_iter()
@@ -411,8 +420,8 @@
         behind.into_values().map(InFlight::into_request).collect()
     }
 
-    /// Ends a request that was sent. The answer to an attempt may still come; returns the cancel message for it, if the
-    /// worker may be asked to cancel it.
+    /// Ends a request that was sent. The answer to an attempt may still come, so its reference is remembered as used.
+    /// Returns the cancel message for an attempt if the worker may be asked to cancel it.
     fn end_sent(&mut self, request: &WorkerRequest, cancel: bool) -> Option<Effect> {
         if !matches!(request.kind, RequestKind::Attempt(_)) {
             return None;
--- a/crates/pipithub-node/src/connection_pool/endings.rs
+++ b/crates/pipithub-node/src/connection_pool/endings.rs
@@ -1,4 +1,4 @@
-//! Ends of connections and of requests: failures, answers, cancellation and withdrawal.
+//! How connections and requests end: by failures, answers, cancellation and withdrawal.
 
 use pipithub_engine::policy::WorkerId;
 use pipithub_engine::{AttemptId, Time};
@@ -8,18 +8,18 @@
 use super::{ConnectionPool, MAX_WAITING};
 use crate::effect::{ConnectionId, Effect};
 
-/// How often a request that did not arrive completely is written again, on another connection.
+/// How many times a request that did not arrive completely is written again, on another connection.
 const MAX_REWRITES: u32 = 2;
 
-/// Where an attempt is in flight.
+/// The connection on which an attempt is in flight, and the reference of the attempt's request there.
 struct SentAttempt {
     connection: ConnectionId,
     reference: String,
 }
 
 impl ConnectionPool {
-    /// A connection could not be established: the requests that waited for it were not sent. `local_fault` means that
-    /// this machine lacked a resource, so that the worker is not at fault.
+    /// Records that a connection could not be established, and fails the requests that waited for it; they were not
+    /// sent. `local_fault` means that this machine lacked a resource, so that the worker is not at fault.
     pub fn connect_failed(&mut self, id: ConnectionId, local_fault: bool) {
         let Some(worker) = self
             .remove_connection(id)
@@ -37,12 +37,13 @@
         }
     }
 
-    /// Takes out the waiting requests for which no connection is being made any more, the oldest first.
+    /// Removes and returns the waiting requests for which no connection is being established any more, the oldest
+    /// first.
     fn take_excess_waiting(&mut self, worker: &WorkerId) -> Vec<WorkerRequest> {
         let Some(entry) = self.workers.get_mut(worker) else {
             return Vec::new();
         };
-        // Each connection that is being made serves one waiting request.
+        // Each connection that is being established serves one waiting request.
         let connecting = entry
             .connections
             .iter()
@@ -53,7 +54,7 @@
         entry.waiting.drain(..excess).collect()
     }
 
-    /// Takes a connection out of the pool and off its worker; `None` if it or its worker is not known.
+    /// Removes a connection from the pool and from its worker; `None` if the connection or the worker is not known.
     fn remove_connection(&mut self, id: ConnectionId) -> Option<Connection> {
         let connection = self.connections.remove(&id)?;
         let entry = self.workers.get_mut(connection.worker())?;
@@ -61,8 +62,8 @@
         Some(connection)
     }
 
-    /// An answer came; returns the request that it ends. `None` if no request with this reference is in flight, as for
-    /// a duplicate answer.
+    /// Records an answer and returns the request that it ends; `None` if no request with this reference is in flight,
+    /// as with a duplicate answer.
     pub fn answered(
         &mut self,
         now: Time,
@@ -85,15 +86,16 @@
         })
     }
 
-    /// The worker of a connection on which nothing is in flight; `None` if something is, or the connection has ended.
+    /// The worker of an established connection without requests in flight; `None` if a request is in flight, or if the
+    /// connection is not established or has ended.
     pub fn worker_of_idle(&self, id: ConnectionId) -> Option<WorkerId> {
         let connection = self.connections.get(&id)?;
         connection.is_idle().then(|| connection.worker().clone())
     }
 
-    /// A connection has ended, or is ended because of what came on it. `written` counts the bytes that the system has
-    /// accepted on it: a request that was not written completely never arrived and is sent again on another connection,
-    /// the others fail with `failure`.
+    /// Records that a connection has ended or is being closed. `written` is the number of bytes that the operating
+    /// system has accepted on it: a request that was not written completely never arrived and is sent again on another
+    /// connection; the other requests fail with `failure`.
     pub fn closed(&mut self, now: Time, id: ConnectionId, written: u64, failure: SendFailure) {
         let Some(connection) = self.remove_connection(id) else {
             return;
@@ -133,7 +135,7 @@
         self.dispatch(now, worker);
     }
 
-    /// Takes a request off its connection; see [`Connection::withdraw`].
+    /// Removes a request from its connection; see [`Connection::withdraw`].
     pub(super) fn withdraw(
         &mut self,
         now: Time,
@@ -175,7 +177,7 @@
     }
 
     /// Closes a connection on which a malformed answer came. Lines that the shell has not taken yet were not sent and
-    /// must not count as run: a non-idempotent call would fail without need.
+    /// must not count as run: non-idempotent calls would fail needlessly.
     pub fn close_malformed(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(&id) else {
             return;
@@ -212,8 +214,9 @@
         self.withdraw(now, worker, sent.connection, &sent.reference, self.cancel)
     }
 
-    /// The answer to an attempt is no longer awaited, whether or not workers may be asked to cancel. Returns its request
-    /// if it was not sent completely; otherwise the attempt goes on, but is not sent again if its connection ends.
+    /// Records that the answer to an attempt is no longer awaited; the worker is not asked to cancel it. Returns the
+    /// request of the attempt if it was not sent completely; otherwise `None`: the attempt goes on, but is not sent
+    /// again if its connection ends.
     pub fn abandon(
         &mut self,
         now: Time,
--- a/crates/pipithub-node/src/connection_pool/request.rs
+++ b/crates/pipithub-node/src/connection_pool/request.rs
@@ -5,21 +5,21 @@
 use pipithub_engine::{AttemptId, Time};
 use pipithub_platform::worker::RunRequest;
 
-/// A run with less time left is not sent: its line states the time in milliseconds.
+/// A run with less time left than this, in nanoseconds, is not sent: its line states the time left in milliseconds.
 const MIN_TIMEOUT: Time = 1_000_000;
 
-/// What a worker is requested to do.
+/// What a worker is asked to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestKind {
     /// Run a call.
     Attempt(AttemptId),
     /// Load replicas of a function.
     LoadFunction(FunctionId),
-    /// Report its load.
+    /// Report the worker's load.
     PollLoad,
-    /// Tell whether it is in service.
+    /// Report whether the worker is in service.
     CheckHealth,
-    /// Evict idle replicas of a function. There is no answer to this.
+    /// Evict idle replicas of a function. Workers do not answer this.
     EvictFunction,
 }
 
@@ -28,7 +28,7 @@
 pub enum Payload {
     /// A line that does not depend on the time.
     Line(Bytes),
-    /// A run: its line states how much time is left when it is written.
+    /// A run, whose line states how much time is left when the line is written.
     Run(RunRequest),
 }
 
@@ -41,24 +41,25 @@
 /// A request to a worker that has not ended.
 #[derive(Clone, Debug)]
 pub struct WorkerRequest {
-    /// What the worker is requested to do.
+    /// What the worker is asked to do.
     pub kind: RequestKind,
-    /// What the answer names: the name of the call, or a tag that is unique for other requests.
+    /// The reference that the answer repeats: the call's name for an attempt, the function's name for an evict command,
+    /// a unique tag for any other request.
     pub reference: String,
-    /// What is written on a connection for it.
+    /// What is written on a connection for the request.
     pub payload: Payload,
-    /// When it was submitted.
+    /// When the request was submitted.
     pub began: Time,
-    /// It fails as timed out if there is no answer by this time.
+    /// The request fails if there is no answer by this time.
     pub deadline: Time,
-    /// How often it was written again after its connection ended.
+    /// How often the request was queued again for another connection because it had not arrived completely.
     pub(super) rewrites: u32,
-    /// Its answer is no longer awaited: it must not be written again.
+    /// Whether the answer is no longer awaited: the request must not be written again.
     pub(super) abandoned: bool,
 }
 
 impl WorkerRequest {
-    /// A request that was not sent yet.
+    /// Creates a request that has not been sent.
     pub fn new(
         kind: RequestKind,
         reference: String,
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Whether it must not be written any more: it is new work, and the lease on its worker ends here.
+    /// Whether the request must not be written any more because it is new work and the lease on its worker has ended.
     pub(super) fn has_lost_lease(&self, lease_end: Option<Time>, now: Time) -> bool {
         let is_new_work = matches!(
             self.kind,
@@ -101,16 +102,16 @@
 /// Why a request ended without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendFailure {
-    /// The worker could not be reached, or the request did not arrive completely: it did not run.
+    /// The worker could not be reached, or the request did not arrive completely: the request did not run.
     Unreachable,
-    /// It was not sent, because of a fault of this machine, because its answer was no longer awaited, or because the lease on
-    /// its worker had ended: it did not run, and the worker is not at fault.
+    /// The request was not sent, because of a fault of this machine, because its answer was no longer awaited, or
+    /// because the lease on its worker had ended: the request did not run, and the worker is not at fault.
     NeverSent,
-    /// Its connection ended after it was sent: it may have run.
+    /// The connection ended after the request was sent: the request may have run.
     ConnectionLost,
-    /// A malformed answer came on its connection: the worker is alive, and it may have run.
+    /// A malformed answer came on the request's connection: the worker is alive, and the request may have run.
     Malformed,
-    /// There was no answer before its deadline: it may have run.
+    /// There was no answer before the deadline: the request may have run.
     TimedOut,
 }
 
@@ -121,7 +122,7 @@
     pub worker: WorkerId,
     /// The request.
     pub request: WorkerRequest,
-    /// Why it ended.
+    /// Why the request ended.
     pub failure: SendFailure,
 }
 
@@ -130,7 +131,7 @@
 pub struct CancelledRequest {
     /// The request.
     pub request: WorkerRequest,
-    /// Whether it is certain that it did not arrive completely.
+    /// Whether it is certain that the request did not arrive completely.
     pub not_sent: bool,
 }
 
@@ -141,6 +142,6 @@
     pub worker: WorkerId,
     /// The request.
     pub request: WorkerRequest,
-    /// When the connection was established on which the answer came.
+    /// When the connection on which the answer came was established.
     pub connected_at: Time,
 }
--- a/crates/pipithub-node/src/connection_pool/selection.rs
+++ b/crates/pipithub-node/src/connection_pool/selection.rs
@@ -1,4 +1,4 @@
-//! Which connection the next waiting request goes to, and when new ones are opened.
+//! Selects the connection for the next waiting request, and opens new connections.
 
 use pipithub_engine::Time;
 use pipithub_engine::policy::WorkerId;
@@ -8,9 +8,10 @@
 use crate::effect::{ConnectionId, Effect};
 
 impl ConnectionPool {
-    /// The connection for the first request that waits for a worker: the idle one that was used last, so that the
-    /// others may be closed as idle. If there is none, each waiting request gets a new connection as far as the limits
-    /// allow, and the rest go to the connection with the fewest requests in flight.
+    /// The connection for the first request that waits for a worker: the idle connection that was used last, so that
+    /// the others may be closed as idle. If no connection is idle, each waiting request gets a new connection as far as
+    /// the limits allow, and the rest go to the connection with the fewest requests in flight. `None` if the request
+    /// must wait.
     pub(super) fn select_connection(
         &mut self,
         now: Time,
@@ -43,8 +44,8 @@
         least_loaded.filter(|_| connecting < waiting)
     }
 
-    /// Opens a connection for each waiting request for which none is being made, as far as the limits allow; returns
-    /// how many are being made then.
+    /// Opens a connection for each waiting request for which none is being established, as far as the limits allow;
+    /// returns how many are being established after that.
     fn open_connections(&mut self, now: Time, worker: &WorkerId) -> usize {
         let fair_share = (self.max_connections / self.listed.max(1)).max(1);
         let Some(entry) = self.workers.get_mut(worker) else {
@@ -65,7 +66,8 @@
         let mut established = current
             .filter(|connection| connection.is_established())
             .peekable();
-        // If every established connection has carried this reference before, one connection more is allowed.
+        // If every established connection has carried this reference before, none of them may carry it again: one
+        // connection more is allowed.
         let reference_used_on_all = established.peek().is_some()
             && established.all(|connection| connection.was_used_for(&first.reference));
         let max_here = fair_share + usize::from(reference_used_on_all);
--- a/crates/pipithub-node/src/connection_pool/sweep.rs
+++ b/crates/pipithub-node/src/connection_pool/sweep.rs
@@ -8,8 +8,9 @@
 use super::connection::{Connection, OverdueRequest};
 use super::request::{CancelledRequest, FailedRequest, SendFailure};
 
-/// A line that the system has not accepted within this time is withdrawn. A line states how much time its client had
-/// left when it was made, and that figure may be 150 ms too large at most when the worker reads it.
+/// A line that the operating system has not accepted within this time, in nanoseconds, is withdrawn. A line states how
+/// much time its client had left when the line was made, and when the worker reads it, that figure may be at most 150
+/// ms too large.
 const WRITE_TIMEOUT: Time = 100_000_000;
 
 impl ConnectionPool {
@@ -22,19 +23,21 @@
         self.forget_removed_workers();
     }
 
-    /// Ends requests whose deadline has passed, and withdraws those that a worker has not read for too long.
+    /// Ends requests whose deadline has passed, and those whose line was not written within [`WRITE_TIMEOUT`].
     fn end_overdue(&mut self, now: Time) {
         let overdue_on = |connection| Connection::overdue_requests(connection, now, WRITE_TIMEOUT);
         let mut overdue: Vec<OverdueRequest> =
             self.connections.values().flat_map(overdue_on).collect();
-        // From the last to the first: what is queued behind a partially written line is withdrawn before that line.
+        // From the last line to the first, so that what is queued behind a partially written line is withdrawn before
+        // it.
         overdue.sort_unstable_by_key(|request| Reverse(request.start_offset));
         for request in overdue {
             self.end_overdue_request(now, &request);
         }
     }
 
-    /// Withdraws new work that stands behind other lines when the lease on its worker ends: a send counts from its first byte.
+    /// Withdraws new work of which nothing was written when the lease on its worker ended. Work whose first byte was
+    /// written counts as sent.
     fn withdraw_without_lease(&mut self, now: Time) {
         let mut lost = Vec::new();
         for connection in self.connections.values().filter(|c| c.is_blocked()) {
@@ -78,8 +81,8 @@
         self.fail(worker, request, failure);
     }
 
-    /// Fails requests that have waited too long for a connection, early enough for an attempt at another worker. They
-    /// were not sent.
+    /// Fails waiting requests that must not or cannot be sent any more. Those that have waited too long for a
+    /// connection fail early enough for an attempt at another worker.
     fn expire_waiting(&mut self, now: Time) {
         for worker in &self.sweep_set {
             let Some(entry) = self.workers.get_mut(worker) else {
@@ -113,7 +116,7 @@
             let entry = self.workers.get(connection.worker());
             let is_outdated =
                 entry.is_none_or(|entry| entry.removed || entry.address != connection.address());
-            // Well before the worker would close it: a line that crosses the worker's close might be lost.
+            // Well before the worker would close the connection: a line that crosses the worker's close might be lost.
             let is_expired = self.worker_idle_timeout > 0
                 && now >= connection.last_used() + self.worker_idle_timeout / 2
                 || idle_limit.is_some_and(|limit| now >= connection.last_used() + limit);
@@ -126,7 +129,8 @@
         }
     }
 
-    /// Forgets removed workers without requests and connections, and stops watching those that need no further sweep.
+    /// Forgets removed workers without requests and connections, and takes those that need no further sweep out of the
+    /// sweep set.
     fn forget_removed_workers(&mut self) {
         let workers = &mut self.workers;
         self.sweep_set.retain(|worker| {
--- a/crates/pipithub-node/src/coordinator.rs
+++ b/crates/pipithub-node/src/coordinator.rs
@@ -1,6 +1,6 @@
-//! Follows the coordinator's event stream: the response to a GET request that does not end. The stream may break off in
-//! the middle of an event, fall silent while it stays open, repeat events or move to another address; the front end
-//! then reconnects and requests the events after the last one that it applied.
+//! Follows the coordinator's event stream: a response without end to a GET request. The stream may break off in the
+//! middle of an event, leave events out, fall silent while it stays open, or move to another address; the front end
+//! then reconnects and requests the events after the last one that it applied. Repeated events are ignored.
 
 mod sequence;
 mod stream;
@@ -18,16 +18,16 @@
 
 use self::stream::{StreamError, follow_stream};
 
-/// Each backoff is multiplied by a random factor in this range, so that front ends that lose their coordinator at the same
-/// time do not reconnect in step.
+/// Each backoff is multiplied by a random factor in this range, so that front ends that lose their coordinator at the
+/// same time do not all reconnect at the same time.
 const JITTER: std::ops::Range<f64> = 0.5..1.5;
-/// The backoff before a reconnect doubles each time, up to the maximum. Together with the silence timeout that stays well
-/// within the 4 s after which an update counts as delivered.
+/// The backoff before a reconnect doubles each time, up to the maximum. Silence timeout and backoff together stay well
+/// below the 4 s after which an update counts as delivered.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// Follows the coordinator until the sender of `address` is dropped. Passes to `on_update` each event after the event `last`, once
-/// and in order, and each sign of life of the coordinator. `seed` determines the jitter of the backoff.
+/// Follows the coordinator until the sender of `address` is dropped. Passes to `on_update` each event after the event
+/// `last`, once and in order, and each sign that the coordinator is alive. `seed` determines the jitter of the backoff.
 pub async fn follow(
     mut address: watch::Receiver<String>,
     last: u64,
@@ -37,7 +37,7 @@
 ) {
     let mut sequence = Sequence::after(last);
     let (mut backoff, mut rng) = (MIN_BACKOFF, StdRng::seed_from_u64(seed));
-    // How often an unusable event has come since the start; the same event counts each time.
+    // How many unusable events have come since the start; an event counts each time that it comes.
     let mut unusable = 0u64;
     loop {
         let current_address = address.borrow_and_update().clone();
@@ -71,7 +71,8 @@
     }
 }
 
-/// Logs why a stream ended. `unusable`: how often the reason was an unusable event since the start.
+/// Logs why a stream ended. `unusable` is the number of streams since the start that ended because of an unusable
+/// event.
 fn log_stream_end(error: &StreamError, coordinator: &str, last: u64, unusable: u64) {
     if error.is_unusable_event() {
         error!(
--- a/crates/pipithub-node/src/coordinator/stream.rs
+++ b/crates/pipithub-node/src/coordinator/stream.rs
@@ -18,22 +18,23 @@
 
 use super::sequence::{Sequence, Step};
 
-/// A comment comes each second: a stream without a byte for this long is dead, even if its connection is open. An update
-/// counts as delivered 4 s after it was published, which leaves time for two reconnects.
+/// The coordinator sends a comment each second: a stream without a byte for this long is dead, even if its connection
+/// is open. An update counts as delivered 4 s after it was published, which leaves time for two reconnects.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_600);
-/// Connecting and receiving the head of the response must take less than this: many round trips, and a small part of
-/// those 4 s.
+/// Connecting and receiving the head of the response must take less than this together: it allows for many round trips,
+/// and is a small part of the 4 s after which an update counts as delivered.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the coordinator's stream brings.
+/// What the front end learns from the coordinator's stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StreamUpdate {
-    /// The head of a response: the coordinator has answered a request for the stream. It says nothing about the list.
+    /// The head of a response came: the coordinator has accepted a request for the stream. This says nothing about the
+    /// list.
     Answered,
     /// The next event.
     Event(EndpointEvent),
-    /// A comment or an event was received completely, and all events before it were passed on: the list was current when
-    /// it was sent.
+    /// A comment or an event was received completely, and all events before it were passed on: the list was current
+    /// when the coordinator sent that comment or event.
     Current,
 }
 
@@ -46,16 +47,16 @@
     /// The HTTP handshake failed.
     #[error("handshake: {0}")]
     Handshake(hyper::Error),
-    /// No request can be made for the address.
+    /// No request can be created for the address.
     #[error("request: {0}")]
     InvalidRequest(#[from] hyper::http::Error),
     /// The request failed.
     #[error("request: {0}")]
     Request(hyper::Error),
-    /// The head of the response did not come in time.
+    /// The connection or the head of the response did not come within [`CONNECT_TIMEOUT`].
     #[error("no answer")]
     NoAnswer,
-    /// The response has no success status.
+    /// The status of the response is not a success.
     #[error("status {0}")]
     Status(StatusCode),
     /// Nothing came for [`SILENCE_TIMEOUT`].
@@ -65,26 +66,26 @@
     #[error("closed")]
     Closed,
     /// The connection failed in the middle of the stream.
-    #[error("broke off: {0}")]
+    #[error("stream failed: {0}")]
     Broken(hyper::Error),
-    /// Events are missing: those after `last` and before `next`.
+    /// The events after `last` and before `next` are missing.
     #[error("events between {last} and {next} are missing")]
     MissingEvents {
-        /// The last event that was applied.
+        /// The index of the last event that was applied.
         last: u64,
-        /// The event that came instead of the one after it.
+        /// The index of the event that came instead of the one after `last`.
         next: u64,
     },
     /// An event exceeds the length limit.
     #[error(transparent)]
     EventTooLong(#[from] EventTooLong),
-    /// An event cannot be read.
+    /// An event is not valid.
     #[error("event cannot be read: {0}")]
     InvalidEvent(EndpointEventError),
 }
 
 impl StreamError {
-    /// Whether the stream ended because of an event that cannot be used; no part of such an event is applied.
+    /// Whether the stream ended because of an event that cannot be used. No part of such an event is applied.
     pub(super) fn is_unusable_event(&self) -> bool {
         matches!(
             self,
@@ -93,7 +94,7 @@
     }
 }
 
-/// Follows one connection until it ends; returns why it ended.
+/// Connects to the coordinator and follows the stream until it ends; returns why it ended.
 pub(super) async fn follow_stream(
     address: &str,
     sequence: &mut Sequence,
@@ -128,7 +129,8 @@
             match sequence.step(event.index, is_complete) {
                 Step::Apply => {
                     on_update(StreamUpdate::Event(event));
-                    // Calls and closes of clients are handled between any two events, however many come at once.
+                    // Lets other tasks run after each event, so that calls and closes of clients do not wait for many
+                    // events.
                     tokio::task::yield_now().await;
                 }
                 Step::Skip => {}
@@ -146,15 +148,15 @@
     }
 }
 
-/// A stream after the head of its response. It is closed when this is dropped.
+/// A stream of which the head of the response was received. Dropping it closes the connection.
 struct OpenStream {
     response: Response<Incoming>,
-    /// The request ends with its sender.
+    /// Kept because the request ends when its sender is dropped.
     _sender: SendRequest<Empty<Bytes>>,
     _connection: ConnectionTask,
 }
 
-/// Requests the events after the last one that was applied.
+/// Connects to the coordinator and requests the events after the event `last`.
 async fn open(address: &str, last: u64) -> Result<OpenStream, StreamError> {
     let stream = TcpStream::connect(address)
         .await
@@ -181,7 +183,7 @@
     })
 }
 
-/// The next bytes of a stream.
+/// Waits for the next bytes of a stream.
 async fn next_data(body: &mut Incoming) -> Result<Bytes, StreamError> {
     loop {
         let frame = match tokio::time::timeout(SILENCE_TIMEOUT, body.frame()).await {
@@ -196,7 +198,7 @@
     }
 }
 
-/// The task that drives a connection; it is aborted when this is dropped, so that the socket is closed.
+/// The task that drives a connection. Dropping this aborts the task, which closes the socket.
 struct ConnectionTask(tokio::task::JoinHandle<()>);
 
 impl Drop for ConnectionTask {
--- a/crates/pipithub-node/src/core.rs
+++ b/crates/pipithub-node/src/core.rs
@@ -25,20 +25,21 @@
 
 /// Messages to clients and workers state times in milliseconds.
 const NANOSECONDS_PER_MILLISECOND: Time = 1_000_000;
-/// How often the pool is searched for overdue requests and idle connections.
+/// How often the connection pool is swept for overdue requests and idle connections, in nanoseconds.
 const SWEEP_INTERVAL: Time = 10_000_000;
-/// How often the clients' connections are searched for silent ones.
+/// How often the clients' connections are searched for silent ones, in nanoseconds.
 const SILENCE_SWEEP_INTERVAL: Time = 100_000_000;
-/// Descriptors kept for the listener, logs, signals, the poller, the coordinator and connections that are closing.
+/// File descriptors reserved for the listener, logs, signals, the poller, the coordinator and connections that are
+/// closing.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// The bytes of each MB of the process's memory that the bodies of pending calls may take: a quarter.
+/// How many bytes the bodies of pending calls may take for each MB of the process's memory: a quarter of it.
 const BODY_BYTES_PER_MEMORY_MB: usize = (1 << 20) / 4;
-/// An answer is sent this long before the client's timeout, so that it arrives in time.
+/// An answer is sent this long before the client's timeout, in nanoseconds, so that it arrives in time.
 const ANSWER_MARGIN: Time = 5_000_000;
-/// Descriptors that are always left for connections, however low the configured limit is.
+/// File descriptors that are always left for connections, however low the configured limit is.
 const MIN_CONNECTION_DESCRIPTORS: usize = 8;
 
-/// How many connections a front end has, those being made included.
+/// How many connections a front end has, including those being established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionCounts {
     /// Connections from clients.
@@ -176,12 +177,12 @@
         }
     }
 
-    /// The most connections that clients may have at the same time.
+    /// The maximum number of connections from clients at the same time.
     pub fn max_client_connections(&self) -> usize {
         self.client_sessions.max_connections()
     }
 
-    /// The most connections to workers at the same time, connections being made included.
+    /// The maximum number of connections to workers at the same time, including those being established.
     pub fn max_worker_connections(&self) -> usize {
         self.connection_pool.max_connections()
     }
@@ -205,7 +206,7 @@
     }
 }
 
-/// The most connections that a front end may have to each side, connections being made included.
+/// The maximum numbers of connections from clients and to workers, including those being established.
 #[derive(Clone, Copy, Debug)]
 struct ConnectionLimits {
     clients: usize,
@@ -213,7 +214,8 @@
 }
 
 impl ConnectionLimits {
-    /// Divides the process's descriptors: three fifths of those that are not reserved go to clients, two to workers.
+    /// Divides the process's file descriptors: of those that are not reserved, three fifths go to clients and two
+    /// fifths to workers.
     fn from_descriptors(max_descriptors: usize) -> Self {
         let available = max_descriptors
             .saturating_sub(RESERVED_DESCRIPTORS)
@@ -225,7 +227,7 @@
     }
 }
 
-/// The last event of the endpoint list that the configuration holds; 0 if it holds none.
+/// The index of the last event of the endpoint list in the configuration; 0 if there is none.
 fn last_known_event(config: &NodeConfig) -> u64 {
     config.known_updates.last().map_or(0, |event| event.index)
 }
--- a/crates/pipithub-node/src/core/calls.rs
+++ b/crates/pipithub-node/src/core/calls.rs
@@ -14,12 +14,12 @@
 use crate::client_sessions::{EXCESS_CALL_SCORE, PendingCall};
 use crate::effect::ConnectionId;
 
-/// All clients together are one source of the engine; tickets distinguish their calls.
+/// To the engine, all clients together are one source of calls; tickets distinguish the calls.
 const CLIENT_SOURCE: SourceId = SourceId(1);
 
 impl Core {
-    /// A client no longer awaits a call. Attempts that were not sent yet are withdrawn even if the settings forbid
-    /// cancelling.
+    /// Cancels a call that its client no longer awaits. Attempts that were not sent completely are withdrawn even if
+    /// the settings forbid cancelling.
     pub(super) fn cancel_call(&mut self, now: Time, ticket: u64) {
         let ticket = Ticket {
             source: CLIENT_SOURCE,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Gives a call to the engine, or answers why it is not admitted.
+    /// Gives a call to the engine, or rejects the call if it is not admitted.
     pub(super) fn begin_call(&mut self, now: Time, connection: ConnectionId, call: ClientCall) {
         let checked = self
             .client_sessions
@@ -141,6 +141,7 @@
         }
     }
 
+    /// Sends a call's final answer to its client.
     pub(super) fn answer_client(&mut self, now: Time, ticket: u64, reply: &Arc<Reply>) {
         let Some(pending) = self.client_sessions.end_call(now, ticket) else {
             return;
@@ -175,7 +176,7 @@
     }
 }
 
-/// A client's call as the engine takes it.
+/// Converts a client's call to a call of the engine.
 fn engine_call(call: ClientCall) -> Call {
     Call {
         function: Arc::from(call.function),
--- a/crates/pipithub-node/src/core/clients.rs
+++ b/crates/pipithub-node/src/core/clients.rs
@@ -1,4 +1,4 @@
-//! The client side: connections, their lines, and faults in these.
+//! Clients: their connections, the lines that they send, and faults in these lines.
 
 use crate::client_sessions::ClientSession;
 use pipithub_platform::client::ClientCall;
@@ -16,7 +16,7 @@
 use crate::effect::{ConnectionId, Effect};
 
 impl Core {
-    /// A client has connected.
+    /// Records that a client has connected; if there are too many clients now, requests the close of one connection.
     pub fn client_connected(&mut self, now: Time, connection: ConnectionId) {
         if let Some(other) = self.client_sessions.connected(now, connection) {
             debug!(
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Closes a client's connection unless it has pending calls. The shell calls this after [`Effect::CloseIfIdle`], once it has
-    /// passed on all that the client has sent.
+    /// Closes a client's connection unless it has pending calls. The shell calls this after
+    /// [`Effect::CloseIfIdle`], once it has passed on all that the client has sent.
     pub fn close_client_if_idle(&mut self, now: Time, connection: ConnectionId) {
         if self
             .client_sessions
@@ -45,7 +45,7 @@
         }
     }
 
-    /// A client's connection has ended; its pending calls are cancelled.
+    /// Records that a client's connection has ended, and cancels its pending calls.
     pub fn client_closed(&mut self, now: Time, connection: ConnectionId) {
         let tickets = self
             .client_sessions
@@ -68,7 +68,7 @@
         self.client_closed(now, connection);
     }
 
-    /// Bytes came from a client.
+    /// Handles bytes that came from a client.
     pub fn client_bytes(&mut self, now: Time, connection: ConnectionId, bytes: &[u8]) {
         let Some(client) = self
             .client_sessions
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Answers a line that is too long; nothing behind it can be read.
+    /// Answers a line that is too long. Nothing behind it can be read.
     fn reject_too_long_line(&mut self, connection: ConnectionId, error: TooLong) {
         let Some(client) = self.client_sessions.client(connection) else {
             return;
@@ -132,13 +132,14 @@
                 let healthy = self.has_endpoint_list && !self.shutdown.is_requested();
                 self.write(connection, client::health_line(id, healthy));
             }
-            // A malformed line on a connection that is no longer read was answered once.
+            // The connection is about to be closed because of a fault that was answered: malformed lines are not any
+            // more.
             Err(error) if error.id.is_none() && client.is_closing => {}
             Err(error) => self.answer_fault(connection, &error),
         }
     }
 
-    /// A client has cancelled a call, which it names by its id or its name.
+    /// Cancels a call at the request of its client, which identifies the call by its id or its name.
     fn cancel_requested(
         &mut self,
         now: Time,
@@ -158,8 +159,8 @@
         self.close_if_answered(connection);
     }
 
-    /// Answers a line that is no valid request. If it has no id, nothing behind it is read, as it is unknown what the
-    /// client sends.
+    /// Answers a line that is not a valid request. If the answer has no id, the connection is closed once its pending
+    /// calls are answered, because it is unknown what the client sends.
     pub(super) fn answer_fault(&mut self, connection: ConnectionId, fault: &RequestError) {
         debug!(front_end = self.name, connection = connection.0, %fault, "request rejected");
         // An answer under the id of a pending call would be taken for the answer to that call.
@@ -204,7 +205,7 @@
         self.close_if_answered(connection);
     }
 
-    /// Requests a last read and the close of a connection that is no longer read, if it has no pending calls.
+    /// Requests a last read and the close of a connection that is about to be closed, if it has no pending calls.
     pub(super) fn close_if_answered(&mut self, connection: ConnectionId) {
         if self
             .client_sessions
@@ -223,11 +224,11 @@
 /// The lines that are complete after a read.
 struct ReceivedLines {
     lines: Vec<Result<ClientLine, RequestError>>,
-    /// Why what follows them cannot be read; `None` if it can.
+    /// Why what follows the lines cannot be read; `None` if it can.
     error: Option<TooLong>,
 }
 
-/// Divides what a client has sent into lines and parses them.
+/// Splits what a client has sent into lines and parses them.
 fn receive(
     client: &mut ClientSession,
     now: Time,
@@ -254,7 +255,7 @@
     ReceivedLines { lines, error }
 }
 
-/// The calls that are cancelled within the same read. If the call itself is in that read, it is not forwarded.
+/// The calls that are cancelled within one read. If the call itself came in that read, it is not forwarded.
 struct CancelledCalls {
     ids: BTreeSet<u64>,
     names: BTreeSet<String>,
--- a/crates/pipithub-node/src/core/discovery_log.rs
+++ b/crates/pipithub-node/src/core/discovery_log.rs
@@ -1,5 +1,5 @@
-//! What is logged of discovery: since when the endpoint list is out of reach, how old it is, which workers fail their health
-//! checks meanwhile, and what was missed.
+//! Logs outages of discovery: since when the endpoint list is out of reach, how old it is, which workers fail their
+//! health checks in the meantime, and how many events were missed.
 
 use std::collections::BTreeMap;
 
@@ -10,35 +10,37 @@
 use super::NANOSECONDS_PER_MILLISECOND;
 
 const NANOSECONDS_PER_MICROSECOND: Time = 1_000;
-/// The list is logged as out of reach once nothing has confirmed it for this long: two comments of the coordinator are
-/// overdue then.
+/// The list is logged as out of reach once nothing has confirmed it for this long, in nanoseconds: two comments of the
+/// coordinator are overdue then.
 const OUTAGE_THRESHOLD: Time = 2_000_000_000;
-/// How often the log repeats that the list is out of reach, with the counters of that time.
+/// How often the log repeats that the list is out of reach, with the counters at that time, in nanoseconds.
 const REPORT_INTERVAL: Time = 5_000_000_000;
 
 /// An outage of discovery, from the last confirmation of the list to the next one.
 #[derive(Clone, Copy, Debug)]
 struct Outage {
-    /// When the list was last confirmed, or the start of the front end.
+    /// When the list was last confirmed, or, if it never was, when the front end began to follow the coordinator.
     since: Time,
     last_report: Time,
-    /// The last event that was applied before it.
+    /// The index of the last event that was applied before the outage was logged.
     last_event: u64,
 }
 
-/// Logs each change between a list that is in reach and one that is not.
+/// Logs when the endpoint list gets out of reach and when it is in reach again.
 #[derive(Debug)]
 pub(super) struct DiscoveryLog {
     /// When the list was last known to be current; `None` as long as no coordinator is followed.
     current_at: Option<Time>,
+    /// The index of the last event that was applied.
     last_event: u64,
+    /// `None` while the list is in reach.
     outage: Option<Outage>,
-    /// The workers whose last health check failed, and how: a line is logged for each change alone.
+    /// The workers whose last health check failed, each with the outcome; only changes are logged.
     failing: BTreeMap<WorkerId, HealthCheckOutcome>,
 }
 
 impl DiscoveryLog {
-    /// A log of a front end that knows the events up to this one and follows no coordinator yet.
+    /// Creates the log of a front end that knows the events up to `last_event` and follows no coordinator yet.
     pub(super) fn new(last_event: u64) -> Self {
         DiscoveryLog {
             current_at: None,
@@ -73,7 +75,8 @@
         }
     }
 
-    /// Records the end of a health check; logs that a worker fails its checks, or does not any more.
+    /// Records the outcome of a health check; logs when a worker begins to fail its checks, fails them in another way,
+    /// or passes them again.
     pub(super) fn record_check(&mut self, checked: &HealthChecked, front_end: &str) {
         let HealthChecked {
             worker, outcome, ..
@@ -105,7 +108,7 @@
         Some(now.saturating_sub(self.current_at?))
     }
 
-    /// Logs the begin of an outage, and its age in intervals until it ends.
+    /// Logs the start of an outage, and again after each [`REPORT_INTERVAL`] until the outage ends.
     pub(super) fn report(&mut self, now: Time, front_end: &str, stats: &Stats) {
         let Some(current_at) = self.current_at else {
             return;
--- a/crates/pipithub-node/src/core/endpoint_list.rs
+++ b/crates/pipithub-node/src/core/endpoint_list.rs
@@ -13,14 +13,14 @@
 use crate::coordinator::StreamUpdate;
 
 impl Core {
-    /// The front end begins to follow the coordinator.
+    /// Records that the front end begins to follow the coordinator.
     pub fn follow_coordinator(&mut self, now: Time) {
         self.discovery_log.record_follow_start(now);
         self.report_contact(now, EndpointListContact::Sought);
     }
 
-    /// Applies what the coordinator's stream has brought. `wall` is the current wall clock in nanoseconds since the Unix
-    /// epoch.
+    /// Applies an update from the coordinator's stream. `wall` is the current wall-clock time in nanoseconds since the
+    /// Unix epoch.
     pub fn apply_stream_update(&mut self, now: Time, wall: Time, update: &StreamUpdate) {
         match update {
             StreamUpdate::Answered => self.report_contact(now, EndpointListContact::Answered),
@@ -42,13 +42,13 @@
         self.discovery_log.age(now)
     }
 
-    /// Applies an update of the endpoint list; the wall clock must agree with `now`.
+    /// Applies an update of the endpoint list, with `now` as the wall-clock time too: the two clocks must agree.
     pub fn update_endpoints(&mut self, now: Time, event: &EndpointEvent) {
         self.update_endpoints_at(now, now, event);
     }
 
-    /// Applies an update of the endpoint list. `wall` is the current wall clock in nanoseconds since the Unix epoch, by
-    /// which the list states when workers started.
+    /// Applies an update of the endpoint list. `wall` is the current wall-clock time in nanoseconds since the Unix
+    /// epoch; the list states the start times of workers by the wall clock.
     pub fn update_endpoints_at(&mut self, now: Time, wall: Time, event: &EndpointEvent) {
         if event.update != EndpointUpdate::Delta {
             let listed: BTreeSet<&WorkerId> = event
@@ -84,7 +84,7 @@
         );
     }
 
-    /// The endpoint with its start converted to this process's monotonic clock.
+    /// The endpoint with its start time converted to this process's monotonic clock.
     fn with_start_time(&mut self, endpoint: &Endpoint, now: Time, wall: Time) -> Endpoint {
         let resolve = |stamp| self.start_times.resolve(&endpoint.worker, stamp, now, wall);
         let started_at = endpoint.started_at.map(resolve);
--- a/crates/pipithub-node/src/core/outputs.rs
+++ b/crates/pipithub-node/src/core/outputs.rs
@@ -10,9 +10,10 @@
 use super::workers::unanswered_attempt;
 use crate::connection_pool::{CancelledRequest, Payload, RequestKind, WorkerRequest};
 
-/// A load poll without an answer within this time has failed.
+/// A load poll without an answer within this time, in nanoseconds, has failed.
 const LOAD_POLL_TIMEOUT: Time = 250_000_000;
-/// The same for a health check. No request waits that long for one, but a late answer still tells something.
+/// A health check without an answer within this time, in nanoseconds, has failed. No request waits that long for one,
+/// but a late answer still tells the state of the worker.
 const HEALTH_CHECK_TIMEOUT: Time = 250_000_000;
 
 impl Core {
--- a/crates/pipithub-node/src/core/shutdown.rs
+++ b/crates/pipithub-node/src/core/shutdown.rs
@@ -1,8 +1,10 @@
-//! Graceful shutdown: until when calls are admitted, when the remaining ones are answered, and when the process may end.
+//! Graceful shutdown: until when calls are admitted, when the remaining ones are answered, and when the process may
+//! end.
 //!
-//! A shutdown has four steps, each at a fixed time after SIGTERM: the health check fails ([`Core::begin_shutdown`]), new
-//! calls are rejected ([`Input::Drain`]), what is still pending is answered ([`Input::AnswerAll`]), and clients are
-//! closed ([`Core::close_clients`]).
+//! A shutdown has four steps. At SIGTERM, the health check begins to fail ([`Core::begin_shutdown`]). After
+//! [`ADMISSION_PERIOD`], new calls are rejected ([`Input::Drain`]). Shortly before SIGKILL may come, calls that are
+//! still pending are answered ([`Input::AnswerAll`]). Once no call is pending, clients are closed
+//! ([`Core::close_clients`]).
 
 use pipithub_engine::{Input, Time};
 use tracing::info;
@@ -10,33 +12,35 @@
 use super::Core;
 use crate::effect::Effect;
 
-/// Clients go on sending for up to 0.6 s after SIGTERM, as the platform states; calls that arrive later than this are
-/// rejected.
+/// Calls that arrive later than this after SIGTERM, in nanoseconds, are rejected. The platform states that clients go
+/// on sending for up to 0.6 s after SIGTERM.
 const ADMISSION_PERIOD: Time = 700_000_000;
-/// A shutdown takes at least this long: calls that clients send late must still be answered.
+/// A shutdown takes at least this long, in nanoseconds, unless SIGKILL may come earlier: calls that clients send late
+/// must still be answered.
 const MIN_SHUTDOWN_TIME: Time = 1_000_000_000;
-/// SIGKILL comes no earlier than the longest client timeout, of which at most this much counts, plus [`KILL_DELAY`]
-/// after SIGTERM.
+/// The earliest time of SIGKILL after SIGTERM is the longest client timeout, of which at most this much counts, plus
+/// [`KILL_DELAY`]; both in nanoseconds.
 const MAX_COUNTED_TIMEOUT: Time = 3_000_000_000;
 const KILL_DELAY: Time = 700_000_000;
-/// Pending calls are answered this long before SIGKILL may come.
+/// Pending calls are answered this long before SIGKILL may come, in nanoseconds.
 const KILL_MARGIN: Time = 50_000_000;
-/// The part of [`KILL_MARGIN`] in which clients may still read these answers and send more. The rest is for closing
-/// their connections and for one iteration of the event loop.
+/// The part of [`KILL_MARGIN`], in nanoseconds, in which clients may still read these answers and send more. The rest
+/// is for closing their connections and for one iteration of the event loop.
 const FINAL_READ_TIME: Time = 20_000_000;
 
 /// The progress of a graceful shutdown, if one was requested.
 #[derive(Debug)]
 pub(super) struct Shutdown {
-    /// When it was requested.
+    /// When the shutdown was requested; `None` if it was not.
     requested_at: Option<Time>,
     is_draining: bool,
-    /// From the request to the time at which pending calls are answered.
+    /// The time from the request until pending calls are answered, in nanoseconds.
     final_answer_delay: Time,
 }
 
 impl Shutdown {
-    /// No shutdown was requested. `max_client_timeout` is the longest client timeout of all classes.
+    /// Creates the state without a requested shutdown. `max_client_timeout` is the longest client timeout of all
+    /// classes.
     pub(super) fn new(max_client_timeout: Time) -> Self {
         let counted_timeout = max_client_timeout.min(MAX_COUNTED_TIMEOUT);
         Shutdown {
@@ -57,7 +61,7 @@
         is_first
     }
 
-    /// Returns whether draining must begin now; true once at most.
+    /// Returns whether draining must begin now; this is true once at most.
     fn begin_draining(&mut self, now: Time) -> bool {
         let is_due = self
             .requested_at
@@ -108,8 +112,8 @@
         self.shutdown.final_answers_at().is_some_and(|at| now >= at)
     }
 
-    /// Whether a shutdown was requested and every call that was read is answered. Answers may still be unwritten and
-    /// requests unread: the shell must check for these.
+    /// Whether a requested shutdown has lasted long enough and every call that was read is answered. Answers may still
+    /// be unwritten and requests unread: the shell must check for these.
     pub fn is_drained(&self, now: Time) -> bool {
         let may_end = self.shutdown.earliest_end().is_some_and(|at| now >= at);
         may_end && self.engine.pending_requests() == 0
@@ -122,7 +126,7 @@
             .is_some_and(|at| now >= at + FINAL_READ_TIME)
     }
 
-    /// Requests a last read and then a close for every client, as the process is about to end.
+    /// Requests a last read and then the close of every client's connection, as the process is about to end.
     pub fn close_clients(&mut self) {
         let connections = self.client_sessions.connections();
         let close_if_idle = |connection| Effect::CloseIfIdle { connection };
--- a/crates/pipithub-node/src/core/workers.rs
+++ b/crates/pipithub-node/src/core/workers.rs
@@ -1,4 +1,4 @@
-//! The worker side: connections, answers, and requests that end without one.
+//! Workers: their connections, their answers, and requests that end without an answer.
 
 use pipithub_engine::policy::{HealthCheckOutcome, HealthChecked, LoadReport, Outcome};
 use pipithub_engine::{
@@ -14,26 +14,27 @@
 use crate::effect::ConnectionId;
 
 impl Core {
-    /// A connection to a worker is established.
+    /// Records that a connection to a worker is established.
     pub fn worker_connected(&mut self, now: Time, connection: ConnectionId) {
         self.connection_pool.connected(now, connection);
         self.process_failures(now);
     }
 
-    /// A connection to a worker could not be established. `local_fault`: whether this machine lacked a resource for it.
+    /// Records that a connection to a worker could not be established. `local_fault` tells whether this machine lacked
+    /// a resource for it.
     pub fn worker_failed(&mut self, now: Time, connection: ConnectionId, local_fault: bool) {
         self.connection_pool.connect_failed(connection, local_fault);
         self.process_failures(now);
     }
 
-    /// A worker does not read, and the system has accepted `written` bytes on the connection so far; with `None`, it reads
-    /// again.
+    /// Records that a worker does not read, and that the operating system has accepted `written` bytes on the
+    /// connection so far; or, with `None`, that the system has accepted all bytes.
     pub fn worker_blocked(&mut self, now: Time, connection: ConnectionId, written: Option<u64>) {
         self.connection_pool.set_blocked(now, connection, written);
         self.process_failures(now);
     }
 
-    /// A connection to a worker has ended, after the system has accepted `written` bytes on it.
+    /// Records that a connection to a worker has ended, after the operating system has accepted `written` bytes on it.
     pub fn worker_closed(&mut self, now: Time, connection: ConnectionId, written: u64) {
         if let Some(worker) = self.connection_pool.worker_of_idle(connection) {
             self.inputs.push_back(Input::WorkerDisconnected(worker));
@@ -43,13 +44,13 @@
         self.process_failures(now);
     }
 
-    /// Bytes came from a worker.
+    /// Handles bytes that came from a worker.
     pub fn worker_bytes(&mut self, now: Time, connection: ConnectionId, bytes: &[u8]) {
         let Some(framer) = self.connection_pool.framer(connection) else {
             return;
         };
         framer.push(bytes);
-        // An answer may close its connection, and the framer is dropped with it.
+        // Handling an answer may close its connection, which drops the framer.
         while let Some(framer) = self.connection_pool.framer(connection) {
             match next_answer(framer) {
                 Ok(Some(answer)) => self.answer_received(now, connection, answer),
@@ -71,7 +72,7 @@
         self.process_failures(now);
     }
 
-    /// A worker has answered: its request has ended.
+    /// Ends the request that a worker has answered.
     fn answer_received(&mut self, now: Time, connection: ConnectionId, answer: Answer) {
         let answered = self
             .connection_pool
@@ -196,6 +197,7 @@
         }
     }
 
+    /// Reports the failures of requests to the engine.
     pub(super) fn process_failures(&mut self, now: Time) {
         self.record_failures(now);
         self.process_inputs(now);
@@ -221,7 +223,7 @@
     /// A line is longer than any answer.
     #[error(transparent)]
     TooLong(#[from] TooLong),
-    /// A line is no answer of the protocol.
+    /// A line is not an answer of the protocol.
     #[error(transparent)]
     Malformed(#[from] MalformedAnswer),
 }
@@ -234,7 +236,7 @@
     Ok(Some(worker::read_answer(&line)?))
 }
 
-/// What the answer to a health check tells.
+/// The outcome of a health check by its answer.
 fn health_check_outcome(status: AnswerStatus) -> HealthCheckOutcome {
     match status {
         AnswerStatus::Healthy => HealthCheckOutcome::Healthy,
@@ -266,7 +268,7 @@
 /// The result of an attempt that a worker has answered.
 fn attempt_result(id: AttemptId, elapsed: Time, answer: Answer) -> AttemptResult {
     let outcome = match answer.status {
-        // Only load polls are answered like this: it is unknown whether the call ran.
+        // Only load polls and health checks are answered with these statuses: it is unknown whether the call ran.
         AnswerStatus::Healthy | AnswerStatus::Unhealthy => Outcome::Error,
         status => answer_outcome(status),
     };
--- a/crates/pipithub-node/src/effect.rs
+++ b/crates/pipithub-node/src/effect.rs
@@ -10,31 +10,32 @@
 /// A request to the shell. Effects must be carried out in the order in which the core returns them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Write bytes on a connection, behind those of earlier writes. It is ignored if the connection has ended.
+    /// Write bytes on a connection, behind the bytes of earlier writes. The shell ignores this if the connection has
+    /// ended.
     Write {
         /// The connection to write on.
         connection: ConnectionId,
         /// One or more complete lines.
         bytes: Bytes,
     },
-    /// Close a connection: a client's once all is written, a worker's at once, as lines that are still unwritten must
-    /// not run there. The core has forgotten the connection.
+    /// Close a connection that the core has forgotten: a client's once all bytes are written, a worker's at once,
+    /// because lines that are still unwritten must not run there.
     Close {
         /// The connection to close.
         connection: ConnectionId,
     },
     /// Read what a client has sent by now, pass it to the core, then call
-    /// [`Core::close_client_if_idle`](crate::core::Core::close_client_if_idle): a request may come in the very moment
-    /// in which its connection is to be closed.
+    /// [`Core::close_client_if_idle`](crate::core::Core::close_client_if_idle): a request may come at the very moment
+    /// when its connection is to be closed.
     CloseIfIdle {
         /// The client's connection.
         connection: ConnectionId,
     },
-    /// Withdraw bytes of earlier writes that the system has not accepted yet; those behind them move up.
+    /// Withdraw bytes of earlier writes that the operating system has not accepted yet; the bytes behind them move up.
     CancelWrite {
-        /// The connection that they were written on.
+        /// The connection on which the bytes were written.
         connection: ConnectionId,
-        /// Where they begin, in bytes from the first ever written on the connection.
+        /// Where the bytes begin, counted from the first byte ever written on the connection.
         offset: u64,
         /// The number of bytes.
         length: u64,
@@ -47,7 +48,7 @@
         connection: ConnectionId,
         /// The worker's address, as the endpoint list states it.
         address: String,
-        /// The attempt has failed if the connection is not established within this time, in nanoseconds.
+        /// The time within which the connection must be established, in nanoseconds.
         timeout: Time,
     },
 }
--- a/crates/pipithub-node/src/executed_calls.rs
+++ b/crates/pipithub-node/src/executed_calls.rs
@@ -4,10 +4,10 @@
 
 use pipithub_engine::Time;
 
-/// The most calls that are remembered: as many as a node can serve in some seconds.
+/// The maximum number of remembered calls: as many as a front end can serve in some seconds.
 const MAX_EXECUTED_CALLS: usize = 4096;
 
-/// A remembered call and when it may be forgotten.
+/// A remembered call, and the time after which it may be forgotten.
 #[derive(Debug)]
 struct ExecutedCall {
     expires_at: Time,
@@ -22,7 +22,7 @@
 }
 
 impl ExecutedCalls {
-    /// Remembers a call that may have run until the given time.
+    /// Remembers until `expires_at` that the call of this name may have run.
     pub(crate) fn record(&mut self, expires_at: Time, name: &str) {
         if self.by_age.len() >= MAX_EXECUTED_CALLS {
             self.forget_oldest();
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Whether a call of this name may have run lately.
+    /// Whether a call of this name is remembered as one that may have run.
     pub(crate) fn contains(&mut self, now: Time, name: &str) -> bool {
         while self
             .by_age
--- a/crates/pipithub-node/src/idle_timeout.rs
+++ b/crates/pipithub-node/src/idle_timeout.rs
@@ -1,19 +1,20 @@
-//! How long an idle connection may be used again, learnt from those that broke when they were.
+//! Learns for how long an idle connection may be used again, from connections that broke when they were used again.
 //!
 //! A middlebox may drop an idle connection well before the time that the settings state, and reset it when the next
-//! line comes. It is unknown then whether the worker has read that line, so a non-idempotent call fails, and a healthy
-//! worker seems faulty. A new connection costs a round trip or two only.
+//! line comes. It is then unknown whether the worker has read that line, so a non-idempotent call fails, and a healthy
+//! worker seems faulty. A new connection only costs a round trip or two.
 
 use pipithub_engine::Time;
 
-/// The bounds of the buckets of idle times are powers of two times this, in nanoseconds.
+/// Idle times are counted in buckets, whose bounds are powers of two times this many nanoseconds.
 const BUCKET_UNIT: Time = 1_000_000;
 /// The number of buckets; the last one holds all longer times.
 const BUCKETS: usize = 18;
-/// An idle time is too long if at least this many connections broke after it, and at least this part of those used.
+/// An idle time is too long if at least this many connections broke after it, and at least this fraction of those that
+/// were used again after it.
 const MIN_BREAKS: f64 = 1.5;
 const MIN_BREAK_RATIO: f64 = 0.1;
-/// The weight of an observation halves in this time, as the cause of the breaks may have been removed.
+/// The weight of an observation halves in this time, in nanoseconds, as the cause of the breaks may have been removed.
 const HALF_LIFE: Time = 20_000_000_000;
 
 /// How often idle connections were used again and how often they broke, by idle time.
@@ -30,7 +31,8 @@
 }
 
 impl IdleTimeout {
-    /// Records that a connection was used after `idle` nanoseconds; `broke`: whether it ended before any answer.
+    /// Records that a connection was used again after `idle` nanoseconds. `broke` tells whether the connection ended
+    /// before the request was answered.
     pub fn record_use(&mut self, now: Time, idle: Time, broke: bool) {
         if now >= self.decayed_at + HALF_LIFE {
             let half_lives = (now - self.decayed_at) / HALF_LIFE;
@@ -46,7 +48,7 @@
         self.breaks[index] += f64::from(u8::from(broke));
     }
 
-    /// Connections that have been idle for this long or longer must not be used again; `None` if there is no limit.
+    /// The idle time, in nanoseconds, from which connections must not be used again; `None` if there is no limit.
     pub fn limit(&self) -> Option<Time> {
         // A connection that breaks after some idle time breaks after any longer one too.
         let index = (0..BUCKETS).find(|&i| {
--- a/crates/pipithub-node/src/shell.rs
+++ b/crates/pipithub-node/src/shell.rs
@@ -1,4 +1,4 @@
-//! The shell around the core: sockets, time and signals, on one thread.
+//! The shell around the core: sockets, timers and signals, on one thread.
 
 mod connection;
 mod listener;
@@ -29,10 +29,10 @@
 /// How many bytes are read at a time: more than a usual client sends at once, so that a close behind them is noticed in
 /// the same read.
 const READ_BUFFER_BYTES: usize = 64 << 10;
-/// A buffer that has grown beyond this is released once it is empty.
+/// A write buffer that has grown beyond this many bytes is released once it is empty.
 const MAX_IDLE_BUFFER: usize = 16 << 10;
-/// How many connections of clients may linger after their close, and how many connections to workers may be closing,
-/// beyond the core's limits. Their descriptors are among those that the core reserves.
+/// How many client connections may linger after their close, and how many connections to workers may be closing, in
+/// addition to the core's limits. Their descriptors are among those that the core reserves.
 const MAX_LINGERING: usize = 6;
 const MAX_CLOSING: usize = 3;
 
@@ -42,21 +42,22 @@
     sockets: RefCell<HashMap<ConnectionId, Rc<Socket>>>,
     clients: Rc<Slots>,
     workers: Rc<Slots>,
+    /// The number of client connections that linger after their close.
     lingering: Cell<usize>,
     local_faults: LocalFaults,
-    /// The process is about to end: every client may linger.
+    /// Whether the process is about to end, so that every client may linger.
     shutting_down: Cell<bool>,
-    /// When something was last read from a client or written to one, or a client came.
+    /// When bytes were last read from a client or written to one, or a client last connected.
     last_client_activity: Cell<Time>,
-    /// Connections to workers that were written on, and whose state must be reported to the core.
+    /// Connections to workers whose write buffers may have changed, and whose state must be reported to the core.
     written_workers: RefCell<Vec<ConnectionId>>,
-    /// Clients that are to be closed unless they have just sent a request.
+    /// Clients whose connections are to be closed unless they have just sent a request.
     closing_clients: RefCell<Vec<ConnectionId>>,
     clock: Clock,
     read_buffer: RefCell<Vec<u8>>,
     /// When the running timer expires.
     timer_due: Cell<Time>,
-    /// Wakes the timer if something is due earlier.
+    /// Wakes the timer when something is due earlier than `timer_due`.
     timer_changed: Notify,
 }
 
@@ -70,7 +71,7 @@
             for effect in effects {
                 self.execute(effect);
             }
-            // The state of the buffers is right only once all effects are carried out.
+            // The state of the write buffers is known only once all effects are carried out.
             let (written_workers, closing_clients) =
                 (self.written_workers.take(), self.closing_clients.take());
             if written_workers.is_empty() && closing_clients.is_empty() {
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Reports to the core whether a worker does not read, and how many bytes the system has accepted for it.
+    /// Reports to the core whether a worker does not read, and how many bytes the operating system has accepted for it.
     fn report_blocked(&self, now: Time, connection: ConnectionId) {
         let Some(socket) = self.sockets.borrow().get(&connection).cloned() else {
             return;
--- a/crates/pipithub-node/src/shell/connection.rs
+++ b/crates/pipithub-node/src/shell/connection.rs
@@ -11,8 +11,8 @@
 use crate::effect::ConnectionId;
 use crate::sockets::{LOCAL_RETRY_DELAY, Transfer, TransferEnd};
 
-/// How many full buffers are read at most from a client before its connection is closed: more than all pending calls
-/// that it may have.
+/// The maximum number of full buffers that are read from a client before its connection is closed: more than all its
+/// pending calls can take.
 const MAX_FINAL_READS: usize = 16;
 /// How long a client whose connection is being closed may take to read its last answers: some round trips of a slow
 /// network.
@@ -29,7 +29,7 @@
 }
 
 impl Shell {
-    /// Closes a client's connection, unless a request has come on it in this very moment.
+    /// Reads what a client has sent by now, and closes its connection unless it has pending calls after that.
     pub(super) fn close_client_if_idle(&self, now: Time, connection: ConnectionId) {
         let Some(socket) = self.sockets.borrow().get(&connection).cloned() else {
             return;
@@ -50,7 +50,7 @@
         core.close_client_if_idle(now, connection);
     }
 
-    /// Reads and writes a connection until it ends, and tells the core then.
+    /// Reads and writes a connection until it ends, and then reports its end to the core.
     pub(super) async fn serve_connection(
         self: &Rc<Self>,
         connection: ConnectionId,
@@ -58,7 +58,7 @@
     ) {
         self.transfer_until_end(connection, &socket).await;
         if socket.is_closing() {
-            // The core has removed it already.
+            // The core has already forgotten the connection.
             return self.linger_if_answered(&socket).await;
         }
         self.sockets.borrow_mut().remove(&connection);
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Writes what waits to be written.
+    /// Writes the waiting bytes, and records that the connection was written on.
     fn flush(self: &Rc<Self>, connection: ConnectionId, socket: &Socket) {
         socket.flush();
         match socket.peer_kind() {
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Waits before the next read or write if the last one failed because this machine lacked a resource: it is retried,
-    /// as the peer is not at fault.
+    /// Waits before the next read or write if the last one failed because this machine lacked a resource: it is
+    /// retried, as the peer is not at fault.
     async fn wait_for_local_resources(&self, socket: &Socket) {
         if socket.take_exhausted() {
             self.local_faults.increment();
@@ -146,10 +146,10 @@
         }
     }
 
-    /// Reads what there is, at most a buffer full, and gives it to the core.
+    /// Reads the available input, at most one full buffer, and passes it to the core.
     fn read(self: &Rc<Self>, connection: ConnectionId, socket: &Socket) -> Progress {
         if socket.peer_kind() == PeerKind::Client && socket.peer_closed() {
-            // What it sent before that and is still unread does not count any more.
+            // Input from before the close that is still unread is ignored: the client no longer waits for answers.
             return Progress::Ended;
         }
         let mut read_buffer = self.read_buffer.borrow_mut();
--- a/crates/pipithub-node/src/shell/listener.rs
+++ b/crates/pipithub-node/src/shell/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts clients.
+//! Accepts connections from clients.
 
 use std::rc::Rc;
 
@@ -9,7 +9,7 @@
 use crate::core::Core;
 use crate::sockets;
 
-/// How many clients may be connected beyond the limit, while others are being closed for them.
+/// How many clients may be connected beyond the limit, while other connections are being closed for them.
 const MAX_EXCESS_CLIENTS: usize = 3;
 
 impl Shell {
--- a/crates/pipithub-node/src/shell/reload.rs
+++ b/crates/pipithub-node/src/shell/reload.rs
@@ -10,8 +10,8 @@
 
 use super::runtime::StartError;
 
-/// A configuration that cannot be read is read again after this backoff, which doubles each time, as it may be in the
-/// middle of being written. All retries fall within the 4 s after SIGHUP in which a new coordinator must be followed.
+/// A configuration that cannot be read may just be being written, so it is read again after this backoff, which doubles
+/// each time. All retries come within 4 s of SIGHUP, by which time a new coordinator must be followed.
 const RELOAD_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_RELOAD_RETRIES: u32 = 6;
 
@@ -52,8 +52,8 @@
         self.read();
     }
 
-    /// Waits until a retry is due, forever if there is none, and reads the file then. Cancelling this future is safe, as it
-    /// does not wait after that.
+    /// Waits until a retry is due, forever if none is, and then reads the file. Cancelling this future is safe, because
+    /// it does not wait any more once the retry is due.
     pub(super) async fn retry(&mut self) {
         match self.retry_at {
             Some(time) => tokio::time::sleep_until(time).await,
@@ -79,7 +79,7 @@
 
     fn apply(&self, config: NodeConfig) {
         info!(coordinator = config.coordinator, "configuration read again");
-        // The stream is kept if the address is the same: each new request for the list is a load on the coordinator.
+        // The stream is kept if the address is the same, because each new request for the list puts load on the coordinator.
         self.coordinator.send_if_modified(|address| {
             let changed = *address != config.coordinator;
             *address = config.coordinator;
--- a/crates/pipithub-node/src/shell/runtime.rs
+++ b/crates/pipithub-node/src/shell/runtime.rs
@@ -23,10 +23,11 @@
 use crate::core::Core;
 use crate::sockets::LocalFaults;
 
-/// The bytes that wait to be written on all connections of one side may take at most this part of the memory, as many
-/// peers that do not read must not exhaust it.
+/// The bytes that wait to be written to all clients together, and those to all workers together, may each take at most
+/// the memory divided by this number: many peers that do not read must not exhaust it.
 const UNWRITTEN_MEMORY_DIVISOR: usize = 8;
-/// The process ends only once clients have been silent for this long: long beside one iteration of the event loop.
+/// The process ends only once clients have been silent for this long, in nanoseconds, which is long compared with one
+/// iteration of the event loop.
 const QUIET_TIME: Time = 20_000_000;
 /// The most time that clients have to close their connections once the process is about to end.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(15);
@@ -34,7 +35,7 @@
 /// Why a front end could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The configuration's file cannot be read.
+    /// The configuration file cannot be read.
     #[error("configuration {path}: {error}")]
     ReadConfig {
         /// The path of the file.
@@ -50,7 +51,7 @@
         /// Where in the file the fault is, and what it is.
         error: ConfigError,
     },
-    /// It is not possible to listen at the address.
+    /// The front end cannot listen at the address.
     #[error("cannot listen at {address}: {reason}")]
     Listen {
         /// The address that was given or configured.
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Starts to follow the coordinator and to pass its events to the core; a new address of the coordinator may be sent
-    /// on the returned channel.
+    /// Starts to follow the coordinator and to pass its events to the core; a new address of the coordinator may be
+    /// sent on the returned channel.
     fn follow_coordinator(self: &Rc<Self>, config: &NodeConfig) -> watch::Sender<String> {
         let last = config.known_updates.last().map_or(0, |event| event.index);
         let (sender, address) = watch::channel(config.coordinator.clone());
@@ -113,8 +114,8 @@
         );
     }
 
-    /// Whether the process may end: all requests are answered, all answers written, and clients have been silent for
-    /// [`QUIET_TIME`], so that the system holds no unread request.
+    /// Whether the process may end: the shutdown is overdue, or all requests are answered, all answers are written, and
+    /// clients have been silent for [`QUIET_TIME`], so that the operating system holds no unread request.
     fn is_finished(&self) -> bool {
         let (now, core) = (self.clock.now(), self.core.borrow());
         let written = || {
@@ -128,8 +129,8 @@
         core.shutdown_overdue(now) || core.is_drained(now) && quiet() && written()
     }
 
-    /// Answers what clients have sent by now and closes their connections, so that they get these answers and a clean end:
-    /// the end of the process would reset every connection with unread input.
+    /// Answers what clients have sent by now and closes their connections, so that they get these answers and a clean
+    /// end: the end of the process would reset every connection with unread input.
     async fn close_clients(self: &Rc<Self>) {
         self.shutting_down.set(true);
         self.update_core(|core, _| core.close_clients());
@@ -154,7 +155,7 @@
     }
 }
 
-/// A front end that listens and does not serve yet.
+/// A front end that listens but does not serve yet.
 pub struct Node {
     config: NodeConfig,
     path: PathBuf,
@@ -170,7 +171,7 @@
     /// # Errors
     /// [`StartError`] if the file cannot be read or used, or the system refuses the listener or the signal handlers.
     pub async fn bind(path: &Path, listen: Option<String>) -> Result<Self, StartError> {
-        // Signals are handled before the file is read: if it is replaced after that, the SIGHUP is not lost.
+        // Signals are handled before the file is read, so that SIGHUP is not lost if the file is replaced after that.
         let (terminate, interrupt) = (
             signal(SignalKind::terminate())?,
             signal(SignalKind::interrupt())?,
@@ -190,10 +191,10 @@
         })
     }
 
-    /// The address that it listens at.
+    /// The address that the front end listens at.
     ///
     /// # Errors
-    /// The system's error if it does not state the address.
+    /// The operating system's error if the address cannot be determined.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
@@ -204,7 +205,7 @@
         self.serve_sharing(|_| {}).await;
     }
 
-    /// As [`Node::serve`], and passes the core to `share` first, for tests that compare its state.
+    /// Like [`Node::serve`], but first passes the core to `share`, for tests that compare its state.
     pub async fn serve_sharing(self, share: impl FnOnce(Rc<RefCell<Core>>)) {
         let Node {
             config,
--- a/crates/pipithub-node/src/shell/slots.rs
+++ b/crates/pipithub-node/src/shell/slots.rs
@@ -1,11 +1,12 @@
-//! Counts the descriptors and the unwritten bytes of one side, clients or workers.
+//! Counts the file descriptors and the unwritten bytes of all connections from clients, or of all connections to
+//! workers.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use tokio::sync::Notify;
 
-/// What all connections of one side use together, those that are being made or closed included.
+/// What all connections to peers of one kind use together, including connections that are being established or closed.
 #[derive(Default)]
 pub(super) struct Slots {
     descriptors: Cell<usize>,
@@ -14,11 +15,12 @@
     max_unwritten_bytes: usize,
 }
 
-/// One descriptor in use; it is free again when this is dropped.
+/// One file descriptor in use. Dropping this frees it.
 pub(super) struct Slot(Rc<Slots>);
 
 impl Slots {
-    /// Nothing is in use. `max_unwritten_bytes` may wait to be written on all connections together.
+    /// Creates slots of which none is in use. At most `max_unwritten_bytes` may wait to be written on all connections
+    /// together.
     pub(super) fn new(max_unwritten_bytes: usize) -> Rc<Self> {
         Rc::new(Slots {
             max_unwritten_bytes,
@@ -26,6 +28,7 @@
         })
     }
 
+    /// Counts a descriptor as in use until the returned slot is dropped.
     pub(super) fn take(self: &Rc<Self>) -> Slot {
         self.descriptors.set(self.descriptors.get() + 1);
         Slot(self.clone())
@@ -44,19 +47,19 @@
 }
 
 impl Slot {
-    /// Counts bytes that begin to wait to be written.
+    /// Adds to the bytes that wait to be written.
     pub(super) fn add_unwritten(&self, bytes: usize) {
         let unwritten = &self.0.unwritten_bytes;
         unwritten.set(unwritten.get() + bytes);
     }
 
-    /// Counts bytes that no longer wait to be written.
+    /// Subtracts from the bytes that wait to be written.
     pub(super) fn subtract_unwritten(&self, bytes: usize) {
         let unwritten = &self.0.unwritten_bytes;
         unwritten.set(unwritten.get() - bytes);
     }
 
-    /// Whether more bytes wait on all connections of this side than may.
+    /// Whether more bytes wait on all connections to peers of this kind than are allowed.
     pub(super) fn exceeds_unwritten_limit(&self) -> bool {
         self.0.unwritten_bytes.get() > self.0.max_unwritten_bytes
     }
--- a/crates/pipithub-node/src/shell/socket.rs
+++ b/crates/pipithub-node/src/shell/socket.rs
@@ -1,4 +1,4 @@
-//! One socket and the bytes that wait to be written on it.
+//! A connected socket, and the bytes that wait to be written on it.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -17,12 +17,12 @@
 use super::slots::Slot;
 use crate::sockets::{self, Transfer, TransferEnd};
 
-/// The most bytes that may wait to be written on one connection: a peer that does not read is disconnected beyond it. A
-/// peer with more than [`MAX_IDLE_BUFFER`] waiting is disconnected too while all connections of its side together exceed
-/// their part of the memory.
+/// The maximum number of bytes that may wait to be written on one connection; a peer that does not read is disconnected
+/// beyond it. While all connections to peers of one kind together exceed their part of the memory, those peers are
+/// disconnected beyond [`MAX_IDLE_BUFFER`] already.
 const MAX_UNWRITTEN: usize = 1 << 20;
 
-/// Which side a connection is of.
+/// The kind of peer that a connection leads to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PeerKind {
     Client,
@@ -34,15 +34,15 @@
     peer_kind: PeerKind,
     stream: TcpStream,
     unwritten: RefCell<BytesMut>,
-    /// Bytes that the system has accepted so far.
+    /// The number of bytes that the operating system has accepted so far.
     written: Cell<u64>,
-    /// Nothing more is read; the connection ends once all is written.
+    /// Whether the connection is to end. Nothing more is read; a client may still be sent the waiting bytes.
     closing: Cell<bool>,
-    /// Nothing more can be written.
+    /// Whether nothing more can be written.
     broken: Cell<bool>,
-    /// The last read or write failed because this machine lacked a resource.
+    /// Whether the last read or write failed because this machine lacked a resource.
     exhausted: Cell<bool>,
-    /// What was last reported to the core of a worker that does not read.
+    /// The result of [`Socket::blocked_at`] that was last reported to the core.
     reported_blocked: Cell<Option<u64>>,
     wake: Notify,
     slot: Slot,
@@ -56,7 +56,7 @@
 
 impl Socket {
     pub(super) fn new(stream: TcpStream, peer_kind: PeerKind, slot: Slot) -> Rc<Self> {
-        // Without this option answers come later, and nothing else changes.
+        // A failure is harmless: without this option, answers only come later.
         let _ = stream.set_nodelay(true);
         Rc::new(Socket {
             peer_kind,
@@ -76,7 +76,7 @@
         self.peer_kind
     }
 
-    /// How many bytes the system has accepted since the connection was made.
+    /// The number of bytes that the operating system has accepted since the connection was established.
     pub(super) fn written(&self) -> u64 {
         self.written.get()
     }
@@ -93,7 +93,7 @@
         self.broken.get()
     }
 
-    /// Ends the connection once all is written; nothing more is read.
+    /// Requests the end of the connection. Nothing more is read; a client may still be sent the waiting bytes.
     pub(super) fn close(&self) {
         self.closing.set(true);
         self.wake.notify_one();
@@ -109,17 +109,20 @@
         self.exhausted.take()
     }
 
-    /// How many bytes the system has accepted, if the peer does not read and further bytes wait; `None` if none wait.
+    /// How many bytes the operating system has accepted, if further bytes wait because the peer does not read; `None`
+    /// if none wait.
     pub(super) fn blocked_at(&self) -> Option<u64> {
         self.has_unwritten().then(|| self.written.get())
     }
 
-    /// Records what is reported to the core as [`Socket::blocked_at`]; returns whether it differs from the last report.
+    /// Records the result of [`Socket::blocked_at`] that is reported to the core; returns whether it differs from the
+    /// last report.
     pub(super) fn record_blocked_report(&self, blocked: Option<u64>) -> bool {
         self.reported_blocked.replace(blocked) != blocked
     }
 
-    /// Whether the peer is known to have closed its side, even if input before that is unread.
+    /// Whether the peer is known to have closed its end of the connection, even if input from before the close is
+    /// unread.
     pub(super) fn peer_closed(&self) -> bool {
         let ready = std::pin::pin!(self.stream.ready(Interest::READABLE));
         let ready = ready.poll(&mut Context::from_waker(Waker::noop()));
@@ -131,12 +134,13 @@
         self.stream.ready(interest).await
     }
 
-    /// Waits until something was queued for writing, or the connection is to be closed.
+    /// Waits until bytes wait to be written, or the connection is to end.
     pub(super) async fn woken(&self) {
         self.wake.notified().await;
     }
 
-    /// Withdraws bytes that the system has not accepted; `offset` counts from the first byte ever written.
+    /// Withdraws bytes that the operating system has not accepted; `offset` counts from the first byte ever written. If
+    /// the system has accepted a part of them, nothing is withdrawn.
     pub(super) fn cancel_write(&self, offset: u64, length: u64) {
         let mut unwritten = self.unwritten.borrow_mut();
         let Some(start) = offset.checked_sub(self.written.get()) else {
@@ -151,8 +155,9 @@
         }
     }
 
-    /// Writes as much as the system accepts now, and keeps the rest. If bytes were kept before, nothing is written here:
-    /// the core withdraws lines by the last report of these, and a line written meanwhile would count as never sent.
+    /// Writes as many bytes as the operating system accepts now, and keeps the rest. If bytes are already waiting,
+    /// nothing is written here: the core withdraws lines according to the last report of the waiting bytes, and a line
+    /// that was written since then would count as never sent.
     pub(super) fn write(&self, bytes: &[u8]) {
         let mut unwritten = self.unwritten.borrow_mut();
         let was_empty = unwritten.is_empty();
@@ -171,7 +176,7 @@
         }
     }
 
-    /// Writes as many of the waiting bytes as the system accepts now.
+    /// Writes as many of the waiting bytes as the operating system accepts now.
     pub(super) fn flush(&self) {
         self.flush_buffer(&mut self.unwritten.borrow_mut());
     }
@@ -195,7 +200,7 @@
         }
     }
 
-    /// Reads what there is, as far as it fits.
+    /// Reads the available bytes, as far as they fit into the buffer.
     pub(super) fn read(&self, buffer: &mut [u8]) -> Transfer {
         let transfer = sockets::read_now(buffer, |buffer| self.stream.try_read(buffer));
         if transfer.end == TransferEnd::Exhausted {
@@ -204,7 +209,8 @@
         transfer
     }
 
-    /// Reads what there is from the system itself, as the poller may not have reported the last bytes yet.
+    /// Reads the available bytes directly from the operating system, as the poller may not have reported the last ones
+    /// yet.
     pub(super) fn read_unpolled(&self, buffer: &mut [u8]) -> Transfer {
         let system = SockRef::from(&self.stream);
         sockets::read_now(buffer, |buffer| io::Read::read(&mut &*system, buffer))
@@ -215,7 +221,7 @@
         SockRef::from(&self.stream).shutdown(Shutdown::Write)
     }
 
-    /// Reads and discards until the peer has closed its side or the connection fails.
+    /// Reads and discards input until the peer has closed its end of the connection or the connection fails.
     pub(super) async fn discard_input(&self) {
         let mut discarded = vec![0; MAX_IDLE_BUFFER];
         while self.stream.readable().await.is_ok() {
@@ -229,7 +235,7 @@
     }
 }
 
-/// Whether a read that failed so may be repeated.
+/// Whether a read that failed with this error may be repeated.
 fn is_transient(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/crates/pipithub-node/src/sockets.rs
+++ b/crates/pipithub-node/src/sockets.rs
@@ -1,5 +1,5 @@
-//! Accepts, makes, reads and writes connections. Errors are distinguished by whose fault they are: a local lack of
-//! resources is retried and does not count against the peer.
+//! Accepts, establishes, reads and writes connections. Errors are distinguished by their origin: what fails because
+//! this machine lacks a resource is retried and does not count against the peer.
 
 use std::cell::Cell;
 use std::io;
@@ -9,7 +9,7 @@
 use tokio::time::{sleep, timeout};
 use tracing::{debug, error, warn};
 
-/// How long to wait before retrying what failed because this machine lacked a resource.
+/// How long to wait before an operation is retried that failed because this machine lacked a resource.
 pub const LOCAL_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// Counts the system calls that failed because this machine lacked a resource.
@@ -28,7 +28,7 @@
     }
 }
 
-/// Accepts connections until the listener fails for good, and passes each to `take`.
+/// Accepts connections until the listener fails permanently, and passes each to `on_connection`.
 pub async fn accept_all<T>(
     mut accept: impl AsyncFnMut() -> io::Result<T>,
     mut on_connection: impl FnMut(T),
@@ -58,28 +58,28 @@
 /// Why a connection could not be established.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// The peer refused it or cannot be reached.
+    /// The peer refused the connection or cannot be reached.
     #[error("{0}")]
     Peer(io::Error),
     /// The peer did not answer in time.
-    #[error("not up in time")]
+    #[error("timed out")]
     TimedOut,
-    /// This machine lacked a resource all the time.
-    #[error("not tried in time for want of something here")]
+    /// This machine lacked a resource until the timeout.
+    #[error("timed out waiting for local resources")]
     Local,
 }
 
-/// Establishes a connection within a time. A local failure is retried, a failure of the peer is not. `dial` sets its
-/// argument once it has sent a request to the peer.
+/// Establishes a connection within `connect_timeout`. A local failure is retried, a failure of the peer is not. `dial`
+/// sets its argument when it begins to contact the peer.
 ///
 /// # Errors
-/// [`ConnectError`] says whose fault it is.
+/// [`ConnectError`] distinguishes failures of the peer from local ones.
 pub async fn connect<T>(
     connect_timeout: Duration,
     mut dial: impl AsyncFnMut(&Cell<bool>) -> io::Result<T>,
     faults: &LocalFaults,
 ) -> Result<T, ConnectError> {
-    // Whether the peer was contacted and nothing failed locally since.
+    // Whether the peer was contacted and no local failure has occurred since.
     let dialled = Cell::new(false);
     let attempts = async {
         loop {
@@ -109,9 +109,9 @@
 /// What ended a series of reads or writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransferEnd {
-    /// All bytes are written, or the buffer is full.
+    /// All bytes were written, or the read buffer is full.
     Complete,
-    /// The system accepts or has no more bytes for now.
+    /// The operating system accepts no more bytes, or has no more to read, for now.
     Blocked,
     /// This machine lacked a resource: the transfer may be retried soon.
     Exhausted,
@@ -128,7 +128,7 @@
     pub end: TransferEnd,
 }
 
-/// Writes as many bytes as the system accepts without waiting.
+/// Writes as many bytes as the operating system accepts without waiting.
 pub fn write_now(bytes: &[u8], mut write: impl FnMut(&[u8]) -> io::Result<usize>) -> Transfer {
     let mut written = 0;
     while written < bytes.len() {
@@ -166,7 +166,7 @@
     }
 }
 
-/// The number of bytes that one call has moved, 0 if it was interrupted; or what ends the series.
+/// The number of bytes that one system call has read or written, 0 if it was interrupted; or what ends the series.
 fn transferred(result: io::Result<usize>) -> Result<usize, TransferEnd> {
     match result {
         Ok(0) => Err(TransferEnd::Ended),
