--- a/crates/pipithub-node/src/client_sessions.rs
+++ b/crates/pipithub-node/src/client_sessions.rs
@@ -79,7 +79,7 @@
     /// The connection has [`MAX_PENDING_CALLS`] pending calls; this one has not run.
     #[error("too many calls open on this connection")]
     TooManyPending,
-    /// The connection is about to be closed because of faulty lines; this call has not run.
+    /// The connection is about to be closed because of earlier faults on it; this call has not run.
     #[error("this connection is about to be closed")]
     Closing,
 }
@@ -109,9 +109,9 @@
         }
     }
 
-    /// Adds a connection. If this exceeds the limit, returns the connection to close: among the other connections
-    /// without pending calls, one that never sent a request if there is one, and the longest idle of these; the new
-    /// connection if all others have pending calls.
+    /// Adds a connection. If this exceeds the limit, returns the connection to close: the longest idle of the other
+    /// connections that never sent a request; else the longest idle of the other connections without pending calls;
+    /// else the new connection.
     pub fn connected(&mut self, now: Time, connection: ConnectionId) -> Option<ConnectionId> {
         let client = ClientSession {
             framer: LineFramer::new(MAX_LINE_BYTES),
--- a/crates/pipithub-node/src/connection_pool.rs
+++ b/crates/pipithub-node/src/connection_pool.rs
@@ -267,7 +267,7 @@
         self.dispatch(now, &worker);
     }
 
-    /// Records that the worker at the other end of a connection does not read: `accepted` is the number of bytes that
+    /// Records whether a connection is blocked because its worker does not read: `accepted` is the number of bytes that
     /// the operating system has accepted on the connection so far, or `None` if it has accepted all. No request is
     /// written on a blocked connection.
     pub fn set_blocked(&mut self, now: Time, id: ConnectionId, accepted: Option<u64>) {
--- a/crates/pipithub-node/src/connection_pool/connection.rs
+++ b/crates/pipithub-node/src/connection_pool/connection.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// How much of a request's line the system has accepted.
+/// How much of a request's line the operating system has accepted.
 enum WriteProgress {
     Nothing,
     /// A part of the line; `written` counts all accepted bytes of the connection.
--- a/crates/pipithub-node/src/coordinator/sequence.rs
+++ b/crates/pipithub-node/src/coordinator/sequence.rs
@@ -14,7 +14,7 @@
 /// What to do with an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Apply the event: none is missing before it, or the missing ones are not needed or cannot be had.
+    /// Apply the event: no event is missing before it, or the missing ones are not needed or not available.
     Apply,
     /// Ignore the event: it was applied before.
     Skip,
--- a/crates/pipithub-node/src/core/clients.rs
+++ b/crates/pipithub-node/src/core/clients.rs
@@ -132,8 +132,8 @@
                 let healthy = self.has_endpoint_list && !self.shutdown.is_requested();
                 self.write(connection, client::health_line(id, healthy));
             }
-            // The connection is about to be closed because of a fault that was answered: malformed lines are not any
-            // more.
+            // The connection is about to be closed because of a fault that was answered: malformed lines are no longer
+            // answered.
             Err(error) if error.id.is_none() && client.is_closing => {}
             Err(error) => self.answer_fault(connection, &error),
         }
--- a/crates/pipithub-node/src/core/shutdown.rs
+++ b/crates/pipithub-node/src/core/shutdown.rs
@@ -15,8 +15,8 @@
 /// Calls that arrive later than this after SIGTERM, in nanoseconds, are rejected. The platform states that clients go
 /// on sending for up to 0.6 s after SIGTERM.
 const ADMISSION_PERIOD: Time = 700_000_000;
-/// A shutdown takes at least this long, in nanoseconds, unless SIGKILL may come earlier: calls that clients send late
-/// must still be answered.
+/// A shutdown takes at least this long, in nanoseconds, unless pending calls must be answered earlier: calls that
+/// clients send late must still be answered.
 const MIN_SHUTDOWN_TIME: Time = 1_000_000_000;
 /// The earliest time of SIGKILL after SIGTERM is the longest client timeout, of which at most this much counts, plus
 /// [`KILL_DELAY`]; both in nanoseconds.
--- a/crates/pipithub-node/src/shell/reload.rs
+++ b/crates/pipithub-node/src/shell/reload.rs
@@ -79,7 +79,8 @@
 
     fn apply(&self, config: NodeConfig) {
         info!(coordinator = config.coordinator, "configuration read again");
-        // The stream is kept if the address is the same, because each new request for the list puts load on the coordinator.
+        // The stream is kept if the address is the same, because each new request for the list puts load on the
+        // coordinator.
         self.coordinator.send_if_modified(|address| {
             let changed = *address != config.coordinator;
             *address = config.coordinator;
--- a/crates/pipithub-node/src/shell/runtime.rs
+++ b/crates/pipithub-node/src/shell/runtime.rs
@@ -40,7 +40,7 @@
     ReadConfig {
         /// The path of the file.
         path: PathBuf,
-        /// The system's error.
+        /// The operating system's error.
         error: io::Error,
     },
     /// The configuration cannot be used.
@@ -56,7 +56,7 @@
     Listen {
         /// The address that was given or configured.
         address: String,
-        /// The system's error.
+        /// The operating system's error.
         reason: io::Error,
     },
     /// Signal handlers cannot be installed.
@@ -129,8 +129,8 @@
         core.shutdown_overdue(now) || core.is_drained(now) && quiet() && written()
     }
 
-    /// Answers what clients have sent by now and closes their connections, so that they get these answers and a clean
-    /// end: the end of the process would reset every connection with unread input.
+    /// Answers what clients have sent by now and closes their connections, so that they get these answers and no
+    /// reset: the end of the process would reset every connection with unread input.
     async fn close_clients(self: &Rc<Self>) {
         self.shutting_down.set(true);
         self.update_core(|core, _| core.close_clients());
@@ -169,7 +169,8 @@
     /// Reads the configuration file at `path` and listens at its address, or at `listen` if that is given.
     ///
     /// # Errors
-    /// [`StartError`] if the file cannot be read or used, or the system refuses the listener or the signal handlers.
+    /// [`StartError`] if the file cannot be read or used, or the operating system refuses the listener or the signal
+    /// handlers.
     pub async fn bind(path: &Path, listen: Option<String>) -> Result<Self, StartError> {
         // Signals are handled before the file is read, so that SIGHUP is not lost if the file is replaced after that.
         let (terminate, interrupt) = (
--- a/crates/pipithub-node/src/shell/socket.rs
+++ b/crates/pipithub-node/src/shell/socket.rs
@@ -157,7 +157,7 @@
 
     /// Writes as many bytes as the operating system accepts now, and keeps the rest. If bytes are already waiting,
     /// nothing is written here: the core withdraws lines according to the last report of the waiting bytes, and a line
-    /// that was written since then would count as never sent.
+    /// that was written since that report would count as never sent.
     pub(super) fn write(&self, bytes: &[u8]) {
         let mut unwritten = self.unwritten.borrow_mut();
         let was_empty = unwritten.is_empty();
--- a/crates/pipithub-node/tests/closes.rs
+++ b/crates/pipithub-node/tests/closes.rs
@@ -109,7 +109,7 @@
             .windows(2)
             .map(|pair| pair[0].saturating_sub(pair[1]))
             .max()
-            .expect("some");
+            .expect("at least two counts");
         // The front end's task may be polled more than once between two counts, as above.
         assert!(
             max_read <= 4 * READ_BUFFER_BYTES,
--- a/crates/pipithub-node/tests/coordinator.rs
+++ b/crates/pipithub-node/tests/coordinator.rs
@@ -29,7 +29,10 @@
     fn record(&self, _: &Id, _: &Record<'_>) {}
     fn record_follows_from(&self, _: &Id, _: &Id) {}
     fn event(&self, _: &Event<'_>) {
-        self.0.lock().expect("one thread").push(Instant::now());
+        self.0
+            .lock()
+            .expect("lock not poisoned")
+            .push(Instant::now());
     }
     fn enter(&self, _: &Id) {}
     fn exit(&self, _: &Id) {}
@@ -49,7 +52,7 @@
         LocalSet::new().run_until(following),
     )
     .await;
-    let times = times.0.lock().expect("one thread");
+    let times = times.0.lock().expect("lock not poisoned");
     times.windows(2).map(|pair| pair[1] - pair[0]).collect()
 }
 
@@ -89,7 +92,7 @@
 
 impl Visit for ErrorRecorder {
     fn record_debug(&mut self, field: &Field, value: &dyn Debug) {
-        if let Some(last) = self.0.lock().expect("one thread").last_mut() {
+        if let Some(last) = self.0.lock().expect("lock not poisoned").last_mut() {
             last.push_str(&format!("{}={value:?} ", field.name()));
         }
     }
@@ -105,7 +108,10 @@
     fn record(&self, _: &Id, _: &Record<'_>) {}
     fn record_follows_from(&self, _: &Id, _: &Id) {}
     fn event(&self, event: &Event<'_>) {
-        self.0.lock().expect("one thread").push(String::new());
+        self.0
+            .lock()
+            .expect("lock not poisoned")
+            .push(String::new());
         event.record(&mut self.clone());
     }
     fn enter(&self, _: &Id) {}
@@ -134,7 +140,7 @@
         );
         let _guard = tracing::subscriber::set_default(errors.clone());
         let (_address_sender, followed) = watch::channel(coordinator.address().to_string());
-        let logged = || errors.0.lock().expect("one thread").clone();
+        let logged = || errors.0.lock().expect("lock not poisoned").clone();
         let following = follow(followed, 0, Names::default(), 1, |update| {
             let StreamUpdate::Event(event) = update else {
                 return;
--- a/crates/pipithub-node/tests/core.rs
+++ b/crates/pipithub-node/tests/core.rs
@@ -124,7 +124,7 @@
         let text = format!(
             r#"{{"index":2,"endpoints":{{"seq":2,"whole":false,"hosts":[{{"host":"{id}","dial":"10.0.0.1:9","health":"DRAINING"}}]}}}}"#
         );
-        list::parse(&text, &config().site.names).expect("event")
+        list::parse(&text, &config().site.names).expect("a valid event")
     };
     ["w1", "w2"]
         .iter()
--- a/crates/pipithub-node/tests/core_clients.rs
+++ b/crates/pipithub-node/tests/core_clients.rs
@@ -156,7 +156,7 @@
         .collect();
     let event =
         serde_json::json!({"index": 2, "endpoints": {"seq": 2, "whole": false, "hosts": hosts}});
-    let event = list::parse(&event.to_string(), &config().site.names).expect("event");
+    let event = list::parse(&event.to_string(), &config().site.names).expect("a valid event");
     harness.core.update_endpoints(harness.now, &event);
     let client = harness.connect_client();
     // The connection stays open, as client and front end may briefly differ on which calls have ended.
--- a/crates/pipithub-node/tests/core_harness/mod.rs
+++ b/crates/pipithub-node/tests/core_harness/mod.rs
@@ -43,7 +43,7 @@
             "Rules": {"ColdFrom": 0.2, "RampTime": 5_000_000_000u64, "FallMultiple": 3.0, "OverloadFor": 2_000_000_000u64}
         }
     });
-    NodeConfig::parse(&all.to_string()).expect("configuration")
+    NodeConfig::parse(&all.to_string()).expect("a valid configuration")
 }
 
 pub(crate) struct CoreHarness {
@@ -104,8 +104,10 @@
                         self.core.worker_connected(self.now, connection);
                     }
                     Effect::Write { connection, bytes } => {
-                        written
-                            .push((connection, String::from_utf8(bytes.to_vec()).expect("text")));
+                        written.push((
+                            connection,
+                            String::from_utf8(bytes.to_vec()).expect("UTF-8"),
+                        ));
                     }
                     Effect::Close { connection } => {
                         written.push((connection, "closed".to_string()));
@@ -143,7 +145,7 @@
         let client = self.connect_client();
         self.call(client, 7, class);
         let written = self.written();
-        let (worker, line) = written.last().expect("sent");
+        let (worker, line) = written.last().expect("a written line");
         assert!(
             line.starts_with(r#"{"cmd":"DO","ref":"0000000000000007","opts":{"sort":""#),
             "{line}"
--- a/crates/pipithub-node/tests/core_leases.rs
+++ b/crates/pipithub-node/tests/core_leases.rs
@@ -31,7 +31,7 @@
 
 fn answer_check(harness: &mut CoreHarness, check: &(ConnectionId, String), status: &str) {
     let (_, rest) = check.1.split_once(r#""ref":""#).expect("a reference");
-    let (reference, _) = rest.split_once('"').expect("its end");
+    let (reference, _) = rest.split_once('"').expect("the end of the reference");
     let line = format!("{{\"cmd\":\"{status}\",\"ref\":\"{reference}\",\"payload\":\"\"}}\n");
     harness
         .core
@@ -47,7 +47,10 @@
         match effect {
             Effect::Connect { connection, .. } => connecting.push(connection),
             Effect::Write { connection, bytes } => {
-                written.push((connection, String::from_utf8(bytes.to_vec()).expect("text")));
+                written.push((
+                    connection,
+                    String::from_utf8(bytes.to_vec()).expect("UTF-8"),
+                ));
             }
             _ => {}
         }
--- a/crates/pipithub-node/tests/core_remaining_time.rs
+++ b/crates/pipithub-node/tests/core_remaining_time.rs
@@ -50,7 +50,7 @@
                     requested.runs.push(Run {
                         connection,
                         length: bytes.len() as u64,
-                        time_left: line["opts"]["patience"].as_u64().expect("a figure"),
+                        time_left: line["opts"]["patience"].as_u64().expect("a number"),
                     });
                 }
                 _ => {}
--- a/crates/pipithub-node/tests/discovery_log.rs
+++ b/crates/pipithub-node/tests/discovery_log.rs
@@ -21,7 +21,7 @@
 
 impl Visit for LogRecorder {
     fn record_debug(&mut self, field: &Field, value: &dyn Debug) {
-        if let Some(last) = self.0.lock().expect("one thread").last_mut() {
+        if let Some(last) = self.0.lock().expect("lock not poisoned").last_mut() {
             last.push_str(&format!("{}={value:?} ", field.name()));
         }
     }
@@ -37,7 +37,10 @@
     fn record(&self, _: &Id, _: &Record<'_>) {}
     fn record_follows_from(&self, _: &Id, _: &Id) {}
     fn event(&self, event: &Event<'_>) {
-        self.0.lock().expect("one thread").push(String::new());
+        self.0
+            .lock()
+            .expect("lock not poisoned")
+            .push(String::new());
         event.record(&mut self.clone());
     }
     fn enter(&self, _: &Id) {}
@@ -46,7 +49,7 @@
 
 impl LogRecorder {
     fn take(&self) -> Vec<String> {
-        std::mem::take(&mut self.0.lock().expect("one thread"))
+        std::mem::take(&mut self.0.lock().expect("lock not poisoned"))
     }
 }
 
@@ -84,7 +87,8 @@
     // Neither the head of a response ends an outage, nor do events before the stream has caught up.
     let host = json!({"host": "w1", "dial": "10.0.0.1:1", "site": "a", "health": "DRAINING"});
     let text = event(4, false, &[host]);
-    let missed = list::parse(&text, &pipithub_platform::settings::Names::default()).expect("read");
+    let missed =
+        list::parse(&text, &pipithub_platform::settings::Names::default()).expect("a valid event");
     for update in [StreamUpdate::Answered, StreamUpdate::Event(missed)] {
         harness
             .core
--- a/crates/pipithub-node/tests/graceful_shutdown.rs
+++ b/crates/pipithub-node/tests/graceful_shutdown.rs
@@ -20,7 +20,7 @@
     let status = Command::new("kill")
         .args(["-TERM", &std::process::id().to_string()])
         .status();
-    assert!(status.expect("sent").success());
+    assert!(status.expect("kill runs").success());
 }
 
 /// Sends two calls in one write, which the operating system does not split; returns the ids of the answers. There are
--- a/crates/pipithub-node/tests/pool_harness/mod.rs
+++ b/crates/pipithub-node/tests/pool_harness/mod.rs
@@ -1,5 +1,5 @@
 //! A connection pool without sockets and with one worker. The test decides when connections are established, how many
-//! bytes the system accepts, and what the worker answers.
+//! bytes the operating system accepts, and what the worker answers.
 #![allow(dead_code)]
 
 use bytes::Bytes;
--- a/crates/pipithub-node/tests/races.rs
+++ b/crates/pipithub-node/tests/races.rs
@@ -127,7 +127,9 @@
         // once the worker accepts.
         let worker = small_listener(0, None);
         let address = worker.local_addr().expect("bound");
-        let filler = TcpStream::connect(address).await.expect("the one place");
+        let filler = TcpStream::connect(address)
+            .await
+            .expect("the only place in the queue");
         let set_timeout = |config: &mut serde_json::Value| {
             config["settings"]["Limits"]["ConnectTimeout"] = 250_000_000u64.into();
         };
@@ -137,7 +139,13 @@
         let answer = client.expect_message().await;
         assert_eq!(answer["error"]["code"], -32050, "never sent: {answer}");
         drop(filler);
-        drop(front_end.worker.accept().await.expect("the filler"));
+        drop(
+            front_end
+                .worker
+                .accept()
+                .await
+                .expect("the connection that fills the queue"),
+        );
         let late_call_ran = Rc::new(Cell::new(false));
         tokio::select! {
             () = call_until_served(&mut client, 8) => {}
--- a/crates/pipithub-node/tests/socket_harness/mod.rs
+++ b/crates/pipithub-node/tests/socket_harness/mod.rs
@@ -47,12 +47,16 @@
 pub(crate) fn small_listener(backlog: i32, receive_buffer: Option<usize>) -> TcpListener {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     if let Some(bytes) = receive_buffer {
-        socket.set_recv_buffer_size(bytes).expect("set");
+        socket
+            .set_recv_buffer_size(bytes)
+            .expect("the socket option is set");
     }
     let address: SocketAddr = "127.0.0.1:0".parse().expect("an address");
     socket.bind(&address.into()).expect("bound");
     socket.listen(backlog).expect("listens");
-    socket.set_nonblocking(true).expect("set");
+    socket
+        .set_nonblocking(true)
+        .expect("the socket option is set");
     TcpListener::from_std(socket.into()).expect("listens")
 }
 
@@ -186,7 +190,10 @@
 
     /// Writes without waiting, so that the front end has not run when this returns.
     pub(crate) fn send_without_waiting(&mut self, text: &str) {
-        let written = self.write.try_write(text.as_bytes()).expect("room");
+        let written = self
+            .write
+            .try_write(text.as_bytes())
+            .expect("room in the send buffer");
         assert_eq!(written, text.len());
     }
 
@@ -214,14 +221,15 @@
 
     pub(crate) fn into_stream(self) -> TcpStream {
         let read = self.lines.into_inner().into_inner();
-        read.reunite(self.write).expect("both halves")
+        read.reunite(self.write)
+            .expect("both halves are of one stream")
     }
 
     pub(crate) fn close_with_reset(self) {
         let stream = self.into_stream();
         SockRef::from(&stream)
             .set_linger(Some(Duration::ZERO))
-            .expect("set");
+            .expect("the socket option is set");
         drop(stream);
     }
 }
--- a/crates/pipithub-node/tests/socket_harness/system_queues.rs
+++ b/crates/pipithub-node/tests/socket_harness/system_queues.rs
@@ -44,7 +44,7 @@
 }
 
 fn connection_ends() -> Vec<ConnectionEnd> {
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("the table");
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("the table of connections");
     table.lines().filter_map(connection_end).collect()
 }
 
--- a/crates/pipithub-node/tests/start_times.rs
+++ b/crates/pipithub-node/tests/start_times.rs
@@ -22,7 +22,7 @@
         r#"{{"index":{index},"endpoints":{{"seq":{index},"whole":true,"hosts":[{{"host":"w9","dial":"10.0.0.1:9","site":"a",
         "class":"big","block":0,"health":"SERVING","share":1,"born_ms":{born_ms}}}]}}}}"#
     );
-    list::parse(&text, &Names::default()).expect("an event")
+    list::parse(&text, &Names::default()).expect("a valid event")
 }
 
 /// How many calls of a burst are forwarded to a worker that started `age` nanoseconds ago, with the wall clock at
--- a/crates/pipithub-node/tests/unread_calls.rs
+++ b/crates/pipithub-node/tests/unread_calls.rs
@@ -190,7 +190,7 @@
     assert!(read > 40 * line_length, "room for some more lines: {read}");
     let last_line_feed = bytes.iter().rposition(|byte| *byte == b'\n');
     let incomplete = bytes.split_off(last_line_feed.map_or(0, |at| at + 1));
-    let text = |bytes| String::from_utf8(bytes).expect("text");
+    let text = |bytes| String::from_utf8(bytes).expect("UTF-8");
     ReadLines {
         complete: text(bytes),
         incomplete: text(incomplete),
@@ -222,8 +222,8 @@
 }
 
 /// The worker reads a part just before a client leaves, so that the front end learns at the same time that it can write
-/// again and that the client has closed. A line that it withdraws then must not have been written in the meantime: a
-/// call that runs would count as never sent.
+/// again and that the client has closed. A line that it withdraws then must not have been written in the meantime:
+/// otherwise a call that runs would count as never sent.
 #[tokio::test]
 async fn withdrawn_calls_have_not_been_written_as_the_worker_begins_to_read_again() {
     run_test(async {
--- a/crates/pipithub-node/tests/worker_faults.rs
+++ b/crates/pipithub-node/tests/worker_faults.rs
@@ -140,7 +140,7 @@
                 missing.is_empty(),
                 "{name}, {class}: no answer to {missing:?}"
             );
-            let latest = answers.values().max().expect("some");
+            let latest = answers.values().max().expect("at least one answer");
             assert!(
                 *latest <= 1_500,
                 "{name}, {class}: an answer after {latest} ms"
