--- a/crates/pipithub-node/tests/coordinator.rs
+++ b/crates/pipithub-node/tests/coordinator.rs
@@ -1,4 +1,4 @@
-//! Reconnects to the coordinator, in time that the test drives, and what is logged of them.
+//! Reconnects to the coordinator, partly in simulated time, and what is logged about them.
 
 use std::fmt::Debug;
 use std::sync::{Arc, Mutex};
@@ -15,7 +15,7 @@
 use tracing::span::{Attributes, Id, Record};
 use tracing::{Event, Level, Metadata, Subscriber};
 
-/// Records when something was logged: each attempt to connect ends with a log line.
+/// Records when a line was logged: each attempt to connect ends with one.
 #[derive(Clone, Default)]
 struct LogTimeRecorder(Arc<Mutex<Vec<Instant>>>);
 
@@ -29,13 +29,16 @@
     fn record(&self, _: &Id, _: &Record<'_>) {}
     fn record_follows_from(&self, _: &Id, _: &Id) {}
     fn event(&self, _: &Event<'_>) {
-        self.0.lock().expect("one thread").push(Instant::now());
+        self.0
+            .lock()
+            .expect("lock not poisoned")
+            .push(Instant::now());
     }
     fn enter(&self, _: &Id) {}
     fn exit(&self, _: &Id) {}
 }
 
-/// The times between the attempts of one front end to connect, while nobody listens.
+/// The times between one front end's attempts to connect, while nothing listens at the address.
 async fn reconnect_delays(seed: u64) -> Vec<Duration> {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bound");
     let address = listener.local_addr().expect("bound").to_string();
@@ -49,11 +52,11 @@
         LocalSet::new().run_until(following),
     )
     .await;
-    let times = times.0.lock().expect("one thread");
+    let times = times.0.lock().expect("lock not poisoned");
     times.windows(2).map(|pair| pair[1] - pair[0]).collect()
 }
 
-/// Hundreds of front ends lose their coordinator at the same time; they must not reconnect in step.
+/// Hundreds of front ends may lose their coordinator at the same time; they must not all reconnect at the same time.
 #[tokio::test(start_paused = true)]
 async fn reconnect_backoff_is_jittered_by_each_front_ends_seed() {
     let (first, second) = (reconnect_delays(1).await, reconnect_delays(2).await);
@@ -83,13 +86,13 @@
     assert_eq!(first, reconnect_delays(1).await, "the seed determines them");
 }
 
-/// Records the fields of each error that is logged.
+/// Records the fields of each log line of level ERROR.
 #[derive(Clone, Default)]
 struct ErrorRecorder(Arc<Mutex<Vec<String>>>);
 
 impl Visit for ErrorRecorder {
     fn record_debug(&mut self, field: &Field, value: &dyn Debug) {
-        if let Some(last) = self.0.lock().expect("one thread").last_mut() {
+        if let Some(last) = self.0.lock().expect("lock not poisoned").last_mut() {
             last.push_str(&format!("{}={value:?} ", field.name()));
         }
     }
@@ -105,7 +108,10 @@
     fn record(&self, _: &Id, _: &Record<'_>) {}
     fn record_follows_from(&self, _: &Id, _: &Id) {}
     fn event(&self, event: &Event<'_>) {
-        self.0.lock().expect("one thread").push(String::new());
+        self.0
+            .lock()
+            .expect("lock not poisoned")
+            .push(String::new());
         event.record(&mut self.clone());
     }
     fn enter(&self, _: &Id) {}
@@ -134,7 +140,7 @@
         );
         let _guard = tracing::subscriber::set_default(errors.clone());
         let (_address_sender, followed) = watch::channel(coordinator.address().to_string());
-        let logged = || errors.0.lock().expect("one thread").clone();
+        let logged = || errors.0.lock().expect("lock not poisoned").clone();
         let following = follow(followed, 0, Names::default(), 1, |update| {
             let StreamUpdate::Event(event) = update else {
                 return;
--- a/crates/pipithub-node/tests/core_harness/mod.rs
+++ b/crates/pipithub-node/tests/core_harness/mod.rs
@@ -1,4 +1,4 @@
-//! A front end without sockets. The test plays clients and workers, and moves the clock.
+//! A front end without sockets. The test acts as its clients and workers, and advances the clock.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -43,13 +43,13 @@
             "Rules": {"ColdFrom": 0.2, "RampTime": 5_000_000_000u64, "FallMultiple": 3.0, "OverloadFor": 2_000_000_000u64}
         }
     });
-    NodeConfig::parse(&all.to_string()).expect("configuration")
+    NodeConfig::parse(&all.to_string()).expect("a valid configuration")
 }
 
 pub(crate) struct CoreHarness {
     pub core: Core,
     pub now: Time,
-    /// What each client has sent and the shell has not read: it is read when the connection is to be closed.
+    /// What each client has sent without the shell having read it; it is read when the connection is to be closed.
     pub unread: BTreeMap<ConnectionId, Vec<u8>>,
 }
 
@@ -88,8 +88,9 @@
         self.send_line(connection, &line);
     }
 
-    /// Establishes all requested connections; returns each line that is written with its connection, and `closed` for
-    /// a connection that is closed.
+    /// Carries out all effects: establishes the requested connections and reads `unread` input of clients that are to
+    /// be closed. Returns each written line with its connection, `closed` for each closed connection, and a note for
+    /// each withdrawal of bytes.
     pub(crate) fn written(&mut self) -> Vec<(ConnectionId, String)> {
         let mut written = Vec::new();
         loop {
@@ -103,8 +104,10 @@
                         self.core.worker_connected(self.now, connection);
                     }
                     Effect::Write { connection, bytes } => {
-                        written
-                            .push((connection, String::from_utf8(bytes.to_vec()).expect("text")));
+                        written.push((
+                            connection,
+                            String::from_utf8(bytes.to_vec()).expect("UTF-8"),
+                        ));
                     }
                     Effect::Close { connection } => {
                         written.push((connection, "closed".to_string()));
@@ -136,12 +139,13 @@
         self.now = until;
     }
 
-    /// Has a client make call 7; returns the client and the connection on which a worker was asked to run it.
+    /// Connects a client that sends call 7; returns the client's connection, and the one on which a worker was asked to
+    /// run the call.
     pub(crate) fn start_call(&mut self, class: &str) -> (ConnectionId, ConnectionId) {
         let client = self.connect_client();
         self.call(client, 7, class);
         let written = self.written();
-        let (worker, line) = written.last().expect("sent");
+        let (worker, line) = written.last().expect("a written line");
         assert!(
             line.starts_with(r#"{"cmd":"DO","ref":"0000000000000007","opts":{"sort":""#),
             "{line}"
