--- a/crates/pipithub-bench/src/membership.rs
+++ b/crates/pipithub-bench/src/membership.rs
@@ -252,7 +252,8 @@
         let dead: Vec<usize> = (0..self.size).filter(|member| self.dies(*member)).collect();
         dead.iter().for_each(|member| fleet.kill(*member));
         let first = meter.until(fleet, |fleet| {
-            dead.iter().any(|member| fleet.opinions(*member).down > 0)
+            dead.iter()
+                .any(|member| fleet.state_counts(*member).down > 0)
         });
         let all = meter.until(fleet, Fleet::has_converged);
         let all = if all < 0.0 || first < 0.0 {
--- a/crates/pipithub-characterization/tests/file_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/file_driver/mod.rs
@@ -72,14 +72,19 @@
 
 // ---- membership report ----
 
-fn member(name: &str, address: &str, state: &str, heard_ms: Option<u64>) -> MemberReport {
+fn member(
+    name: &str,
+    address: &str,
+    state: &str,
+    last_message_age_ms: Option<u64>,
+) -> MemberReport {
     MemberReport {
         name: name.into(),
         address: address.into(),
         zone: "east".into(),
         state: state.into(),
-        for_ms: 1_500,
-        heard_ms,
+        state_age_ms: 1_500,
+        last_message_age_ms,
         generation: 41,
         disk: "kept".into(),
     }
@@ -87,24 +92,24 @@
 
 /// Writes a membership report into a data folder.
 pub(crate) fn save_report(folder: &Path) {
-    let happening = |member: &str, what: &str| ReportedEvent {
+    let happening = |member: &str, description: &str| ReportedEvent {
         at_ms: 1_800_000_000_000,
         member: member.into(),
-        what: what.into(),
+        description: description.into(),
     };
     let report = Report {
         at_ms: 1_800_000_000_123,
         cluster: "campus".into(),
-        process: 4_242,
+        process_id: 4_242,
         listen: "10.0.0.1:7400".into(),
-        me: member("front-1", "10.0.0.1:7400", "joined", None),
-        doubt: 2,
+        local: member("front-1", "10.0.0.1:7400", "joined", None),
+        health_score: 2,
         age_ms: Some(75),
         members: vec![
             member("front-2", "10.0.0.2:7400", "alive", Some(75)),
             member("front-3", "10.0.0.3:7400", "suspect", None),
         ],
-        happenings: [
+        events: [
             happening("front-2", "there"),
             happening("front-1", "stands joined"),
         ]
@@ -121,18 +126,30 @@
     let member = |m: &MemberReport| {
         format!(
             "{} {} {} {} for {} heard {:?} generation {} disk {}",
-            m.name, m.address, m.zone, m.state, m.for_ms, m.heard_ms, m.generation, m.disk
+            m.name,
+            m.address,
+            m.zone,
+            m.state,
+            m.state_age_ms,
+            m.last_message_age_ms,
+            m.generation,
+            m.disk
         )
     };
     let head = format!(
         "{} {} process {} at {} doubt {} age {:?}",
-        report.cluster, report.listen, report.process, report.at_ms, report.doubt, report.age_ms
+        report.cluster,
+        report.listen,
+        report.process_id,
+        report.at_ms,
+        report.health_score,
+        report.age_ms
     );
     let happenings = report
-        .happenings
+        .events
         .iter()
-        .map(|h| format!("{} {} {}", h.at_ms, h.member, h.what));
-    [head, member(&report.me)]
+        .map(|h| format!("{} {} {}", h.at_ms, h.member, h.description));
+    [head, member(&report.local)]
         .into_iter()
         .chain(report.members.iter().map(member))
         .chain(happenings)
--- a/crates/pipithub-clock/src/lib.rs
+++ b/crates/pipithub-clock/src/lib.rs
@@ -33,8 +33,8 @@
     /// The monotonic time of a wall-clock timestamp (Unix milliseconds), according to this reading. A timestamp in the
     /// future gives the current time, one before the origin of monotonic time gives 1. Later steps of the wall clock do
     /// not affect the result.
-    pub fn time_of_stamp(&self, stamp_ms: u64) -> Time {
-        let age_ms = self.wall_ms.saturating_sub(stamp_ms);
+    pub fn time_of_timestamp(&self, timestamp_ms: u64) -> Time {
+        let age_ms = self.wall_ms.saturating_sub(timestamp_ms);
         self.now
             .saturating_sub(age_ms.saturating_mul(NANOS_PER_MS))
             .max(1)
--- a/crates/pipithub-clock/src/manual.rs
+++ b/crates/pipithub-clock/src/manual.rs
@@ -18,10 +18,10 @@
         }
     }
 
-    /// Advances both clocks by `span` nanoseconds, as when time passes.
-    pub fn advance(&mut self, span: Time) {
-        self.now = self.now.saturating_add(span);
-        self.wall_ns = self.wall_ns.saturating_add(span);
+    /// Advances both clocks by `duration` nanoseconds, as when time passes.
+    pub fn advance(&mut self, duration: Time) {
+        self.now = self.now.saturating_add(duration);
+        self.wall_ns = self.wall_ns.saturating_add(duration);
     }
 
     /// Steps the wall clock forward or back by `step_ms` milliseconds. The monotonic time stays.
--- a/crates/pipithub-clock/tests/clocks.rs
+++ b/crates/pipithub-clock/tests/clocks.rs
@@ -51,20 +51,20 @@
 #[test]
 fn timestamp_has_the_same_monotonic_time_after_a_step_of_the_wall_clock() {
     let mut clock = ManualClock::new(100 * SECOND, 1_000_000);
-    assert_eq!(clock.read().time_of_stamp(995_000), 95 * SECOND);
+    assert_eq!(clock.read().time_of_timestamp(995_000), 95 * SECOND);
     clock.step_wall_ms(HOUR_MS);
     // The age is still five seconds, by a timestamp of the stepped clock.
     assert_eq!(
-        clock.read().time_of_stamp(995_000 + HOUR_MS as u64),
+        clock.read().time_of_timestamp(995_000 + HOUR_MS as u64),
         95 * SECOND
     );
     assert_eq!(
-        clock.read().time_of_stamp(u64::MAX),
+        clock.read().time_of_timestamp(u64::MAX),
         100 * SECOND,
         "a timestamp in the future"
     );
     assert_eq!(
-        clock.read().time_of_stamp(0),
+        clock.read().time_of_timestamp(0),
         1,
         "a timestamp before the origin gives 1, because 0 means unknown"
     );
--- a/crates/pipithub-endpoints/src/lib.rs
+++ b/crates/pipithub-endpoints/src/lib.rs
@@ -296,7 +296,7 @@
         // A start in the future, by a clock that was stepped back, counts as now. The worker is then considered to be
         // warming up for one slow-start window at most.
         let annotated =
-            number(STARTED_ANNOTATION).map(|stamp_ms| reading.time_of_stamp(stamp_ms as u64));
+            number(STARTED_ANNOTATION).map(|stamp_ms| reading.time_of_timestamp(stamp_ms as u64));
         let started = match before {
             // The first start time is retained, so that a clock that drifts or is stepped does not look like a restart.
             Some(known) => known.started,
--- a/crates/pipithub-membership-runtime/src/driver.rs
+++ b/crates/pipithub-membership-runtime/src/driver.rs
@@ -157,7 +157,7 @@
 
     fn record_event(&mut self, event: &Event) {
         let reported = reported_event(event, self.name(), wall_ms(), self.clock.now());
-        log_event(self.name(), event, &reported.member, &reported.what);
+        log_event(self.name(), event, &reported.member, &reported.description);
         self.events.push(reported);
         self.changed_since_report = true;
     }
--- a/crates/pipithub-membership-runtime/src/event_text.rs
+++ b/crates/pipithub-membership-runtime/src/event_text.rs
@@ -40,7 +40,7 @@
     ReportedEvent {
         at_ms,
         member: subject(event, own_name),
-        what: description(event, now),
+        description: description(event, now),
     }
 }
 
@@ -50,12 +50,12 @@
         Event::Up(member) | Event::Suspected(member) | Event::Down { member, .. } => {
             member.identity.name.clone()
         }
-        Event::Replaced { now, .. } => now.name.clone(),
+        Event::Replaced { current, .. } => current.name.clone(),
         Event::JoinStateChanged(_) | Event::Stalled { .. } | Event::StaleDisk { .. } => {
             own_name.to_string()
         }
         Event::DatagramsRejected { from, .. } => from.to_string(),
-        Event::MemberLimitReached(newcomer) => newcomer.name.clone(),
+        Event::MemberLimitReached(requester) => requester.name.clone(),
     }
 }
 
@@ -80,21 +80,26 @@
                 format!("down: it left, or other members declared it dead; {last_heard}")
             }
         }
-        Event::Replaced { before, now } => {
+        Event::Replaced { previous, current } => {
             format!(
                 "replaced by another run: generation {} after {}, disk {}",
-                now.generation,
-                before.generation,
-                disk_text(now.disk)
+                current.generation,
+                previous.generation,
+                disk_text(current.disk)
             )
         }
         Event::JoinStateChanged(state) => format!("join state: {}", join_state_text(state)),
-        Event::Stalled { by } => {
-            let by = milliseconds(*by);
-            format!("stalled for {by} ms: its view is older by that time")
+        Event::Stalled { delay } => {
+            let delay_ms = milliseconds(*delay);
+            format!("stalled for {delay_ms} ms: its view is older by that time")
         }
-        Event::StaleDisk { disk, seen } => {
-            format!("stale disk: it has generation {disk}, the fleet has seen {seen}")
+        Event::StaleDisk {
+            disk_generation,
+            seen_generation,
+        } => {
+            format!(
+                "stale disk: it has generation {disk_generation}, the fleet has seen {seen_generation}"
+            )
         }
         Event::DatagramsRejected { reason, count, .. } => {
             format!("{count} datagrams rejected: {reason}")
--- a/crates/pipithub-membership-runtime/src/report.rs
+++ b/crates/pipithub-membership-runtime/src/report.rs
@@ -1,6 +1,6 @@
 //! The report for operators, `members.json`: the current view and the latest events. Its size is bounded.
 //!
-//! The field names are the keys of the JSON text, which other programs read.
+//! Other programs read the JSON text. Fields whose names differ from its keys are renamed by serde.
 
 use std::collections::VecDeque;
 
@@ -22,7 +22,8 @@
     /// datagrams were rejected.
     pub member: String,
     /// Description of the event for operators.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
 }
 
 /// A member, or the reporting process itself, as the report shows it.
@@ -37,9 +38,11 @@
     /// `alive`, `suspect` or `down`; for the reporting process, its join state.
     pub state: String,
     /// Time that it has been in that state, in milliseconds; 0 for the reporting process.
-    pub for_ms: u64,
+    #[serde(rename = "for_ms")]
+    pub state_age_ms: u64,
     /// Time since its last message to the reporting process, in milliseconds; `None` if there was none.
-    pub heard_ms: Option<u64>,
+    #[serde(rename = "heard_ms")]
+    pub last_message_age_ms: Option<u64>,
     /// Number of the start under this name, from 1.
     pub generation: u64,
     /// State of its disk: `kept`, `empty` or `old`.
@@ -54,19 +57,23 @@
     /// Name of the cluster.
     pub cluster: String,
     /// Process id of the process that wrote it.
-    pub process: u32,
+    #[serde(rename = "process")]
+    pub process_id: u32,
     /// UDP address that the process listens on.
     pub listen: String,
     /// The process that wrote the report.
-    pub me: MemberReport,
+    #[serde(rename = "me")]
+    pub local: MemberReport,
     /// Local health score: 0 is healthy, 8 the worst.
-    pub doubt: u32,
+    #[serde(rename = "doubt")]
+    pub health_score: u32,
     /// Time since the last message from any member, in milliseconds; `None` if there was none.
     pub age_ms: Option<u64>,
     /// The other members, in the order of their names.
     pub members: Vec<MemberReport>,
     /// The latest events, oldest first.
-    pub happenings: VecDeque<ReportedEvent>,
+    #[serde(rename = "happenings")]
+    pub events: VecDeque<ReportedEvent>,
 }
 
 /// Converts nanoseconds to milliseconds, rounded down.
@@ -76,15 +83,15 @@
 
 impl MemberReport {
     fn of_member(member: &Member, now: Time) -> MemberReport {
-        let ago = |at: Time| milliseconds(now.saturating_sub(at));
+        let age_ms = |at: Time| milliseconds(now.saturating_sub(at));
         let state = match member.state {
             MemberState::Alive => "alive",
             MemberState::Suspect => "suspect",
             MemberState::Down => "down",
         };
         MemberReport {
-            for_ms: ago(member.since),
-            heard_ms: member.last_heard.map(ago),
+            state_age_ms: age_ms(member.since),
+            last_message_age_ms: member.last_heard.map(age_ms),
             ..MemberReport::of_identity(&member.identity, state.to_string())
         }
     }
@@ -95,8 +102,8 @@
             address: identity.address.to_string(),
             zone: identity.zone.clone(),
             state,
-            for_ms: 0,
-            heard_ms: None,
+            state_age_ms: 0,
+            last_message_age_ms: None,
             generation: identity.generation,
             disk: disk_text(identity.disk).to_string(),
         }
@@ -122,15 +129,15 @@
         Report {
             at_ms,
             cluster: cluster.to_string(),
-            process: std::process::id(),
+            process_id: std::process::id(),
             listen: listen.to_string(),
-            me: MemberReport::of_identity(&view.local, join_state_text(&view.join_state)),
-            doubt: view.health_score,
+            local: MemberReport::of_identity(&view.local, join_state_text(&view.join_state)),
+            health_score: view.health_score,
             age_ms: view.age().map(milliseconds),
             members: members
                 .map(|member| MemberReport::of_member(member, view.taken_at))
                 .collect(),
-            happenings: self.0.clone(),
+            events: self.0.clone(),
         }
     }
 }
--- a/crates/pipithub-membership-runtime/tests/failing_disk.rs
+++ b/crates/pipithub-membership-runtime/tests/failing_disk.rs
@@ -83,7 +83,7 @@
 }
 
 /// Panics if the event does not occur, so that a broken process fails the test and does not block it.
-async fn in_time<T>(event: impl Future<Output = T>) -> T {
+async fn within_timeout<T>(event: impl Future<Output = T>) -> T {
     tokio::time::timeout(EVENT_TIMEOUT, event)
         .await
         .expect("the event did not occur")
@@ -122,7 +122,7 @@
         generation: 4,
     };
     std::fs::write(root.path().join("generation"), former.encode()).expect("written");
-    let (heal, healthy) = watch::channel(false);
+    let (set_healthy, healthy) = watch::channel(false);
     let (failures, mut failed) = mpsc::unbounded_channel();
     let files = Arc::new(FailingFiles {
         step,
@@ -134,7 +134,9 @@
         .await
         .expect("started");
     for _ in 0..3 {
-        in_time(failed.recv()).await.expect("saving is retried");
+        within_timeout(failed.recv())
+            .await
+            .expect("saving is retried");
         let generation = generation_on_disk(root.path());
         // The new record is visible after the rename, but does not count as saved until the folder is synced.
         let renamed = step == Step::SyncFolder && generation == Some(5);
@@ -153,8 +155,8 @@
         join_state.is_none_or(|state| state == JoinState::SavingGeneration),
         "{step:?}"
     );
-    heal.send(true).expect("the membership runs");
-    in_time(seed.recv(&mut buffer))
+    set_healthy.send(true).expect("the membership runs");
+    within_timeout(seed.recv(&mut buffer))
         .await
         .expect("a join request");
     assert_eq!(
--- a/crates/pipithub-membership-sim/src/fleet.rs
+++ b/crates/pipithub-membership-sim/src/fleet.rs
@@ -39,7 +39,7 @@
 
 /// How many of the other running processes consider a process to be in which state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Opinions {
+pub struct StateCounts {
     /// Number of processes that consider it down.
     pub down: usize,
     /// Number of processes that consider it alive or suspect.
@@ -181,9 +181,9 @@
     pub fn handle(&mut self, process: usize, input: Input<'_>) {
         let now = self.network.now();
         if let Some(membership) = &mut self.processes[process].membership {
-            let begun = Instant::now();
+            let started = Instant::now();
             membership.handle(now, input, &mut self.outputs);
-            self.membership_time += begun.elapsed();
+            self.membership_time += started.elapsed();
         }
         self.apply_outputs(process);
     }
@@ -268,28 +268,31 @@
         let running = self.processes.iter().filter(|p| p.membership.is_some());
         let mut names: Vec<&str> = running.map(|process| process.name.as_str()).collect();
         names.sort_unstable();
-        !names.is_empty() && self.running().all(|m| knows_exactly(m, &names))
+        !names.is_empty()
+            && self
+                .running()
+                .all(|m| has_exactly_active_members(m, &names))
     }
 
-    /// The opinions of the other running processes about a process.
-    pub fn opinions(&self, of: usize) -> Opinions {
+    /// The states of a process at the other running processes.
+    pub fn state_counts(&self, of: usize) -> StateCounts {
         let name = &self.processes[of].name;
         let others = self.processes.iter().enumerate();
         let others = others.filter(|(index, _)| *index != of);
-        let mut opinions = Opinions { down: 0, active: 0 };
+        let mut state_counts = StateCounts { down: 0, active: 0 };
         for membership in others.filter_map(|(_, process)| process.membership.as_ref()) {
             match membership.member(name).map(|member| member.state) {
-                Some(MemberState::Down) => opinions.down += 1,
-                Some(_) => opinions.active += 1,
+                Some(MemberState::Down) => state_counts.down += 1,
+                Some(_) => state_counts.active += 1,
                 None => {}
             }
         }
-        opinions
+        state_counts
     }
 }
 
 /// Whether a process has joined and considers exactly the processes of these names active. `names` must be sorted.
-fn knows_exactly(membership: &Membership, names: &[&str]) -> bool {
+fn has_exactly_active_members(membership: &Membership, names: &[&str]) -> bool {
     let active = membership
         .members()
         .filter(|member| member.state != MemberState::Down)
--- a/crates/pipithub-membership-sim/src/lib.rs
+++ b/crates/pipithub-membership-sim/src/lib.rs
@@ -7,4 +7,4 @@
 mod fleet;
 
 pub use address::address;
-pub use fleet::{Fleet, ObservedEvent, Opinions};
+pub use fleet::{Fleet, ObservedEvent, StateCounts};
--- a/crates/pipithub-membership/src/event.rs
+++ b/crates/pipithub-membership/src/event.rs
@@ -60,24 +60,24 @@
     /// Another run uses the name of a known member: it was restarted, or is a duplicate.
     Replaced {
         /// The run that used the name until now.
-        before: Identity,
+        previous: Identity,
         /// The run that uses the name from now on.
-        now: Identity,
+        current: Identity,
     },
     /// The join state of this process changed.
     JoinStateChanged(JoinState),
     /// This process was not scheduled in time, so that its knowledge of the members is older than usual.
     Stalled {
         /// How late a due timer was handled.
-        by: Time,
+        delay: Time,
     },
     /// The cluster knows a later generation of this name than the local disk: the disk was emptied or restored from an
     /// old copy.
     StaleDisk {
         /// Generation that this process took from its disk.
-        disk: u64,
+        disk_generation: u64,
         /// Latest generation that the cluster has seen.
-        seen: u64,
+        seen_generation: u64,
     },
     /// Datagrams were rejected. There is at most one such event in a second.
     DatagramsRejected {
--- a/crates/pipithub-membership/src/generation.rs
+++ b/crates/pipithub-membership/src/generation.rs
@@ -102,8 +102,8 @@
     pub fn decode(text: &str) -> Result<GenerationRecord, RecordError> {
         let text = text.strip_suffix('\n').ok_or(RecordDamage::Truncated)?;
         let body_length = text.rfind('\n').ok_or(RecordDamage::Truncated)? + 1;
-        let (body, sum) = text.split_at(body_length);
-        if checksum(body) != sum {
+        let (body, stored_checksum) = text.split_at(body_length);
+        if checksum(body) != stored_checksum {
             return Err(RecordDamage::ChecksumMismatch.into());
         }
         let mut lines = body.lines();
--- a/crates/pipithub-membership/src/membership.rs
+++ b/crates/pipithub-membership/src/membership.rs
@@ -29,9 +29,9 @@
 use swim::{Engine, EngineEffects};
 
 /// How often members that are down are checked for removal within one retention period.
-const EXPIRIES_PER_RETENTION: u64 = 8;
+const EXPIRY_CHECKS_PER_RETENTION: u64 = 8;
 /// Probe periods by which a timer must be late for the process to count as stalled.
-const STALL_PERIODS: u64 = 2;
+const STALL_THRESHOLD_PERIODS: u64 = 2;
 /// Longest name of a member, in bytes.
 const MAX_NAME_BYTES: usize = 200;
 
@@ -196,18 +196,18 @@
     /// first would declare every other member dead, so all timers are postponed by the duration of the stall.
     fn postpone_timers_after_stall(&mut self, now: Time, out: &mut Vec<Output>) {
         let Some(due) = self.next_due() else { return };
-        let by = now.saturating_sub(due);
-        if by < STALL_PERIODS * self.settings.probe_period {
+        let delay = now.saturating_sub(due);
+        if delay < STALL_THRESHOLD_PERIODS * self.settings.probe_period {
             return;
         }
         self.health.stalled();
-        out.push(Output::Event(Event::Stalled { by }));
-        self.timers.postpone_all(by);
+        out.push(Output::Event(Event::Stalled { delay }));
+        self.timers.postpone_all(delay);
     }
 
     fn on_envelope(&mut self, envelope: Envelope, out: &mut Vec<Output>) {
         match envelope {
-            Envelope::JoinRequest(newcomer) => self.on_join_request(newcomer, out),
+            Envelope::JoinRequest(requester) => self.on_join_request(requester, out),
             Envelope::JoinAccepted(member) => self.on_join_accepted(member, out),
             Envelope::NameTaken { known, active } => self.on_name_taken(known, active, out),
             Envelope::Swim(data) => {
@@ -269,7 +269,7 @@
     }
 
     fn schedule_expiry(&mut self) {
-        let due = self.now + self.settings.dead_retention / EXPIRIES_PER_RETENTION;
+        let due = self.now + self.settings.dead_retention / EXPIRY_CHECKS_PER_RETENTION;
         self.timers.schedule(due, Timer::ExpireDead);
     }
 
--- a/crates/pipithub-membership/src/membership/join.rs
+++ b/crates/pipithub-membership/src/membership/join.rs
@@ -31,25 +31,25 @@
 const MAX_ASKED_MEMBERS: usize = 4;
 /// Consecutive rounds without a new member after which discovery ends. An answer holds some 25 members; in a large
 /// cluster that starts at once, gossip alone would take minutes to spread the others.
-const MAX_FRUITLESS_ROUNDS: u32 = 5;
+const MAX_ROUNDS_WITHOUT_NEW_MEMBER: u32 = 5;
 /// Upper bound of [`Membership::admitted`]; the oldest names are forgotten.
 const MAX_ADMITTED: usize = 32;
 /// Probe periods after the last message from another member during which the member table counts as current.
-const CURRENT_PERIODS: u64 = 4;
+const MAX_TABLE_AGE_PERIODS: u64 = 4;
 
 /// Progress of the discovery of further members.
 #[derive(Debug, Default)]
 pub(super) struct Discovery {
     known_members: usize,
-    fruitless_rounds: u32,
+    rounds_without_new_member: u32,
 }
 
 impl Discovery {
     fn record_round(&mut self, known_members: usize) {
-        self.fruitless_rounds = if known_members > self.known_members {
+        self.rounds_without_new_member = if known_members > self.known_members {
             0
         } else {
-            self.fruitless_rounds + 1
+            self.rounds_without_new_member + 1
         };
         self.known_members = known_members;
     }
@@ -107,20 +107,20 @@
     }
 
     /// Answers a join request, unless this process is itself not a member yet.
-    pub(super) fn on_join_request(&mut self, newcomer: Identity, out: &mut Vec<Output>) {
+    pub(super) fn on_join_request(&mut self, requester: Identity, out: &mut Vec<Output>) {
         if !matches!(self.join_state, JoinState::Alone | JoinState::Joined) {
             return;
         }
-        let Some(answer) = self.answer_to(&newcomer) else {
-            out.push(Output::Event(Event::MemberLimitReached(newcomer)));
+        let Some(answer) = self.answer_to(&requester) else {
+            out.push(Output::Event(Event::MemberLimitReached(requester)));
             return;
         };
         let accepted = matches!(answer, Envelope::JoinAccepted(_));
         if accepted && !self.name_confirmed {
-            self.remember_admitted(&newcomer.name);
+            self.remember_admitted(&requester.name);
         }
         // The answer goes to the address in the identity: the source address may be that of a relay.
-        self.send_envelope(newcomer.address, &answer, out);
+        self.send_envelope(requester.address, &answer, out);
     }
 
     /// Remembers the name of an admitted process. Each name is kept once, so that repeated requests of one process do
@@ -164,14 +164,14 @@
         let member = self.table.get(name)?;
         Some(KnownRun {
             identity: member.identity.clone(),
-            active: member.state != MemberState::Down && self.is_current(),
+            active: member.state != MemberState::Down && self.is_table_current(),
         })
     }
 
     /// Whether the table reflects recent messages. Otherwise two processes that were both stalled would reject each
     /// other's next runs because of former runs that are dead by now.
-    fn is_current(&self) -> bool {
-        let limit = CURRENT_PERIODS * self.settings.probe_period;
+    fn is_table_current(&self) -> bool {
+        let limit = MAX_TABLE_AGE_PERIODS * self.settings.probe_period;
         let last_heard = self.table.last_heard();
         self.join_state == JoinState::Joined
             && last_heard.is_some_and(|at| self.now.saturating_sub(at) < limit)
@@ -232,7 +232,7 @@
     /// Asks a random member that is alive for its members. Rounds are repeated until several bring no new member.
     pub(super) fn discover_members(&mut self, out: &mut Vec<Output>) {
         self.discovery.record_round(self.table.len());
-        if self.discovery.fruitless_rounds >= MAX_FRUITLESS_ROUNDS
+        if self.discovery.rounds_without_new_member >= MAX_ROUNDS_WITHOUT_NEW_MEMBER
             || !matches!(self.join_state, JoinState::Alone | JoinState::Joined)
         {
             return;
@@ -292,16 +292,16 @@
 
     /// Takes the generation after the latest that the cluster has seen, because the disk of this process is stale, and
     /// requests that it be saved.
-    fn advance_generation_past(&mut self, seen: u64, out: &mut Vec<Output>) {
+    fn advance_generation_past(&mut self, seen_generation: u64, out: &mut Vec<Output>) {
         if self.join_state == JoinState::SavingGeneration {
             return;
         }
-        let Some(next) = seen.checked_add(1) else {
+        let Some(next) = seen_generation.checked_add(1) else {
             return;
         };
         out.push(Output::Event(Event::StaleDisk {
-            disk: self.identity.generation,
-            seen,
+            disk_generation: self.identity.generation,
+            seen_generation,
         }));
         self.identity.generation = next;
         self.identity.renewal = 0;
--- a/crates/pipithub-membership/src/membership/reconcile.rs
+++ b/crates/pipithub-membership/src/membership/reconcile.rs
@@ -38,8 +38,8 @@
             };
             if let Some(before) = change.replaced_run() {
                 out.push(Output::Event(Event::Replaced {
-                    before: before.clone(),
-                    now: identity.clone(),
+                    previous: before.clone(),
+                    current: identity.clone(),
                 }));
             }
             if let Some(event) = change_event(change.previous_state(), change.after) {
--- a/crates/pipithub-membership/src/timers.rs
+++ b/crates/pipithub-membership/src/timers.rs
@@ -70,10 +70,10 @@
     }
 
     /// Postpones all timers by the same time, which leaves their order unchanged.
-    pub(crate) fn postpone_all(&mut self, by: Time) {
+    pub(crate) fn postpone_all(&mut self, delay: Time) {
         let pending = std::mem::take(&mut self.pending);
         let postponed = |(key, timer): (TimerKey, Timer)| {
-            let due = key.due + by;
+            let due = key.due + delay;
             (TimerKey { due, ..key }, timer)
         };
         self.pending = pending.into_iter().map(postponed).collect();
--- a/crates/pipithub-membership/tests/cluster/failure_detection.rs
+++ b/crates/pipithub-membership/tests/cluster/failure_detection.rs
@@ -4,14 +4,14 @@
 use pipithub_membership_sim::Fleet;
 use pipithub_simnet::Link;
 
-use super::{SECOND, down_events, joined_fleet, opinions};
+use super::{SECOND, down_events, joined_fleet, state_counts};
 
 #[test]
 fn cluster_started_at_once_converges_and_detects_a_killed_member() {
     let mut fleet = joined_fleet(12, 1, Link::default());
     fleet.kill(5);
     fleet.run_for(30 * SECOND);
-    assert_eq!(fleet.opinions(5), opinions(11, 0));
+    assert_eq!(fleet.state_counts(5), state_counts(11, 0));
     assert!(fleet.has_converged());
     let mut others = (0..12).filter(|process| *process != 5);
     assert!(
@@ -25,7 +25,7 @@
     let mut fleet = joined_fleet(9, 2, Link::default());
     fleet.leave(4);
     fleet.run_for(3 * SECOND);
-    assert_eq!(fleet.opinions(4), opinions(8, 0));
+    assert_eq!(fleet.state_counts(4), state_counts(8, 0));
     let suspected = |event: &Event| {
         matches!(
             event,
@@ -50,8 +50,8 @@
         fleet.network.set_paused(2, true);
         fleet.run_for(40 * SECOND);
         assert_eq!(
-            fleet.opinions(2),
-            opinions(7, 0),
+            fleet.state_counts(2),
+            state_counts(7, 0),
             "the others did not declare it dead"
         );
         let resumed_at = fleet.network.now();
--- a/crates/pipithub-membership/tests/cluster/joining.rs
+++ b/crates/pipithub-membership/tests/cluster/joining.rs
@@ -4,7 +4,7 @@
 use pipithub_membership_sim::Fleet;
 use pipithub_simnet::{Link, NetworkEvent};
 
-use super::{SECOND, fleet, joined_fleet, opinions, settings};
+use super::{SECOND, fleet, joined_fleet, settings, state_counts};
 
 /// The datagrams that a process of another cluster sends to a seed within a second.
 fn join_requests_of_another_cluster() -> Vec<Vec<u8>> {
@@ -78,5 +78,5 @@
         fleet.view(3).unwrap().join_state,
         JoinState::SavingGeneration
     );
-    assert_eq!(fleet.opinions(3), opinions(0, 0));
+    assert_eq!(fleet.state_counts(3), state_counts(0, 0));
 }
--- a/crates/pipithub-membership/tests/cluster/main.rs
+++ b/crates/pipithub-membership/tests/cluster/main.rs
@@ -6,7 +6,7 @@
 mod restarts;
 
 use pipithub_membership::{Event, Settings, Time};
-use pipithub_membership_sim::{Fleet, Opinions};
+use pipithub_membership_sim::{Fleet, StateCounts};
 use pipithub_simnet::Link;
 
 const SECOND: Time = 1_000_000_000;
@@ -35,8 +35,8 @@
     fleet
 }
 
-fn opinions(down: usize, active: usize) -> Opinions {
-    Opinions { down, active }
+fn state_counts(down: usize, active: usize) -> StateCounts {
+    StateCounts { down, active }
 }
 
 /// How often a process was declared dead, over all observers.
--- a/crates/pipithub-membership/tests/cluster/restarts.rs
+++ b/crates/pipithub-membership/tests/cluster/restarts.rs
@@ -53,8 +53,8 @@
         (last_generation + 1, DiskState::Stale)
     );
     let stale_disk = Event::StaleDisk {
-        disk: 2,
-        seen: last_generation,
+        disk_generation: 2,
+        seen_generation: last_generation,
     };
     assert!(
         fleet
--- a/crates/pipithub-membership/tests/growth.rs
+++ b/crates/pipithub-membership/tests/growth.rs
@@ -16,7 +16,7 @@
     bytes: f64,
     datagrams: f64,
     /// Bytes of the member that sent most.
-    most_bytes: f64,
+    max_bytes: f64,
     comparisons: f64,
     /// Simulated seconds until every member had declared a killed member dead.
     detection_seconds: f64,
@@ -45,7 +45,7 @@
     fleet.kill(killed);
     let killed_at = fleet.network.now();
     let limit = killed_at + 120 * SECOND;
-    while fleet.opinions(killed).active > 0 && fleet.network.now() < limit {
+    while fleet.state_counts(killed).active > 0 && fleet.network.now() < limit {
         fleet.run_for(SECOND / 10);
     }
     (fleet.network.now() - killed_at) as f64 / SECOND as f64
@@ -68,7 +68,7 @@
     Cost {
         bytes: bytes.iter().sum::<u64>() as f64 / member_seconds,
         datagrams: datagrams.iter().sum::<u64>() as f64 / member_seconds,
-        most_bytes: bytes.iter().max().copied().unwrap_or(0) as f64 / MEASURED_SECONDS as f64,
+        max_bytes: bytes.iter().max().copied().unwrap_or(0) as f64 / MEASURED_SECONDS as f64,
         comparisons: comparisons as f64 / member_seconds,
         detection_seconds: detection_seconds(&mut fleet),
     }
@@ -92,10 +92,10 @@
         large.bytes
     );
     assert!(
-        large.most_bytes < small.most_bytes * 1.8,
+        large.max_bytes < small.max_bytes * 1.8,
         "bytes of the member that sent most: {} and {}",
-        small.most_bytes,
-        large.most_bytes
+        small.max_bytes,
+        large.max_bytes
     );
     assert!(
         large.datagrams < small.datagrams * 1.15,
--- a/crates/pipithub-scenario/src/fleet/run/claims.rs
+++ b/crates/pipithub-scenario/src/fleet/run/claims.rs
@@ -43,7 +43,7 @@
         }
         let bytes = DataFolder::read_report(&data).ok()?;
         let report: Report = serde_json::from_slice(&bytes).ok()?;
-        (process.id() == Some(report.process)).then_some(report)
+        (process.id() == Some(report.process_id)).then_some(report)
     }
 
     /// Whether the process of a slot has made a claim since the end of the history.
@@ -64,9 +64,9 @@
     Claim {
         at,
         run,
-        joined: report.me.state == "joined",
-        generation: report.me.generation,
-        disk: report.me.disk,
+        joined: report.local.state == "joined",
+        generation: report.local.generation,
+        disk: report.local.disk,
         others: members
             .map(|member| (member.name, belief_in(&member.state)))
             .collect(),
--- a/crates/pipithub/src/membership.rs
+++ b/crates/pipithub/src/membership.rs
@@ -96,7 +96,7 @@
     } else {
         print_status(latest);
     }
-    if latest.running && latest.report.me.state == "joined" {
+    if latest.running && latest.report.local.state == "joined" {
         Ok(ExitCode::SUCCESS)
     } else {
         Ok(ExitCode::FAILURE)
@@ -120,12 +120,12 @@
     };
     println!(
         "{} in fleet {}: {}{not_running}; generation {}, disk {}, local health score (doubt) {} of 8",
-        report.me.name,
+        report.local.name,
         report.cluster,
-        report.me.state,
-        report.me.generation,
-        report.me.disk,
-        report.doubt
+        report.local.state,
+        report.local.generation,
+        report.local.disk,
+        report.health_score
     );
     println!("report written {age} ago; last message from another member: {last_gossip}");
     println!(
@@ -141,8 +141,10 @@
         member.name,
         member.zone,
         member.state,
-        seconds(member.for_ms),
-        member.heard_ms.map_or("never".to_string(), seconds),
+        seconds(member.state_age_ms),
+        member
+            .last_message_age_ms
+            .map_or("never".to_string(), seconds),
         member.generation,
         member.disk,
         member.address
@@ -152,7 +154,7 @@
 /// Shows the events of one member, or of all.
 fn explain(report: &Report, member: Option<&str>, json: bool) -> Result<ExitCode> {
     let seen: Vec<_> = report
-        .happenings
+        .events
         .iter()
         .filter(|event| member.is_none_or(|name| name == event.member))
         .collect();
@@ -165,11 +167,11 @@
         let seconds_ago = now.saturating_sub(event.at_ms) as f64 / 1e3;
         println!(
             "{seconds_ago:>9.1} s ago  {:<20} {}",
-            event.member, event.what
+            event.member, event.description
         );
     }
     if seen.is_empty() {
-        println!("no such event among the last {}", report.happenings.len());
+        println!("no such event among the last {}", report.events.len());
     }
     Ok(ExitCode::SUCCESS)
 }
