--- a/crates/pipithub-clock/src/manual.rs
+++ b/crates/pipithub-clock/src/manual.rs
@@ -1,8 +1,8 @@
-//! A clock for tests, whose monotonic time advances and whose wall time is stepped only by the test.
+//! A clock for tests: only the test advances its monotonic time and steps its wall time.
 
 use crate::{NANOS_PER_MS, Reading, Time};
 
-/// A monotonic clock and a wall clock that are set by the test. No operation overflows.
+/// A monotonic clock and a wall clock that are set by the test. Times saturate instead of overflowing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ManualClock {
     now: Time,
--- a/crates/pipithub-membership-runtime/src/data_folder.rs
+++ b/crates/pipithub-membership-runtime/src/data_folder.rs
@@ -10,7 +10,8 @@
 pub(crate) const GENERATION_FILE: &str = "generation";
 const REPORT_FILE: &str = "members.json";
 const LOCK_FILE: &str = "lock";
-/// Bytes of a generation record that are read at most. A record has a few lines, so that a longer one is damaged.
+/// Largest number of bytes that are read from the generation record. A record has a few lines, so a longer one is
+/// damaged.
 const MAX_RECORD_BYTES: u64 = 4 << 10;
 
 /// Why a data folder, or a file in it, cannot be used.
@@ -80,8 +81,8 @@
         &self.path
     }
 
-    /// The text of the generation record; `None` if there is none. Bytes that are not UTF-8 are replaced, which makes
-    /// the record a damaged one; it must not count as missing.
+    /// The text of the generation record; `None` if there is none. Bytes that are not UTF-8 are replaced, so that
+    /// the record counts as damaged and not as missing.
     ///
     /// # Errors
     /// The file exists but cannot be read.
--- a/crates/pipithub-membership-runtime/src/driver.rs
+++ b/crates/pipithub-membership-runtime/src/driver.rs
@@ -15,9 +15,9 @@
 use crate::event_text::reported_event;
 use crate::report::{EventHistory, Report};
 
-/// Time between two reports while the view changes.
+/// Time between two reports if an event occurred after the first one.
 const MIN_REPORT_INTERVAL: Time = 200_000_000;
-/// Time between two reports while nothing changes.
+/// Time between two reports if no event occurred after the first one.
 const MAX_REPORT_INTERVAL: Time = 1_000_000_000;
 /// Size of the receive buffer, larger than any datagram of the protocol. Longer datagrams are truncated and then
 /// rejected.
@@ -103,7 +103,7 @@
                         let bytes = &buffer[..count];
                         self.handle(Input::Datagram { from, bytes });
                     }
-                    // Reports that an earlier datagram was sent to a closed port; this socket is not affected.
+                    // The error means that an earlier datagram was sent to a closed port; this socket is not affected.
                     Err(error) => debug!(front_end = self.name(), %error, "failed to receive datagram"),
                 },
                 Ok(()) = saved.changed() => {
@@ -145,8 +145,8 @@
                         debug!(front_end = self.name(), %to, %error, "failed to send datagram");
                     }
                 }
-                // Another task saves it, with retries: a full disk keeps this process out of the cluster, but does not
-                // block this loop.
+                // Another task saves the record, with retries: a full disk keeps this process out of the cluster, but
+                // does not block this loop.
                 Output::SaveGeneration(record) => self
                     .generation_saver
                     .save(record.generation, record.encode().into_bytes()),
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Publishes the view and starts writing the report if they are due and the last report is written.
+    /// Publishes the view and starts to write the report, if both are due and no earlier report is still being written.
     async fn report_if_due(&mut self) {
         let now = self.clock.now();
         let due = self.last_report.saturating_add(self.report_interval());
--- a/crates/pipithub-membership-runtime/src/event_text.rs
+++ b/crates/pipithub-membership-runtime/src/event_text.rs
@@ -29,8 +29,8 @@
     }
 }
 
-/// An event for the report. `own_name` is the name of this process, `at_ms` the Unix time and `now` the monotonic time
-/// at which it was reported.
+/// An event as the report shows it. `own_name` is the name of this process. The event is reported at the Unix time
+/// `at_ms` (milliseconds) and the monotonic time `now` (nanoseconds).
 pub(crate) fn reported_event(
     event: &Event,
     own_name: &str,
--- a/crates/pipithub-membership-runtime/src/report.rs
+++ b/crates/pipithub-membership-runtime/src/report.rs
@@ -1,6 +1,7 @@
 //! The report for operators, `members.json`: the current view and the latest events. Its size is bounded.
 //!
-//! Other programs read the JSON text. Fields whose names differ from its keys are renamed by serde.
+//! Other programs read the JSON text, so its keys must not change. `serde(rename)` gives the key of a field whose name
+//! differs from it.
 
 use std::collections::VecDeque;
 
@@ -123,7 +124,7 @@
         self.0.push_back(event);
     }
 
-    /// Creates the report of a view, with these events. `at_ms` is the Unix time.
+    /// Creates the report of a view, with these events. `at_ms` is the current Unix time in milliseconds.
     pub(crate) fn report(&self, cluster: &str, listen: &str, view: &View, at_ms: u64) -> Report {
         let members = view.members.iter();
         Report {
--- a/crates/pipithub-membership-runtime/src/runtime.rs
+++ b/crates/pipithub-membership-runtime/src/runtime.rs
@@ -1,4 +1,4 @@
-//! Start and stop of the membership of this process.
+//! Starts and stops the membership of this process.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/pipithub-membership-runtime/tests/data_folder.rs
+++ b/crates/pipithub-membership-runtime/tests/data_folder.rs
@@ -7,22 +7,27 @@
 use pipithub_storage::SystemFiles;
 
 async fn save(path: &Path, text: &str) {
-    let folder = DataFolder::lock(path).expect("free");
+    let folder = DataFolder::lock(path).expect("failed to lock the data folder");
     let saver = folder.start_generation_saver(Arc::new(SystemFiles));
     let mut saved = saver.saved();
     saver.save(1, text.as_bytes());
     saved
         .wait_for(|version| *version == Some(1))
         .await
-        .expect("saved");
+        .expect("the saver has ended");
 }
 
 #[tokio::test]
 async fn folder_can_be_locked_once_at_a_time_and_keeps_its_record() {
-    let root = tempfile::tempdir().expect("a folder");
+    let root = tempfile::tempdir().expect("failed to create a temporary folder");
     let path = root.path().join("front-1");
-    let folder = DataFolder::lock(&path).expect("free");
-    assert!(folder.read_generation().expect("readable").is_none());
+    let folder = DataFolder::lock(&path).expect("failed to lock the data folder");
+    assert!(
+        folder
+            .read_generation()
+            .expect("failed to read the generation record")
+            .is_none()
+    );
     assert!(matches!(
         DataFolder::lock(&path),
         Err(DataFolderError::InUse(_))
@@ -33,9 +38,9 @@
     save(&path, "one").await;
     assert_eq!(
         DataFolder::lock(&path)
-            .expect("free")
+            .expect("failed to lock the data folder")
             .read_generation()
-            .expect("readable")
+            .expect("failed to read the generation record")
             .as_deref(),
         Some("one")
     );
@@ -43,14 +48,15 @@
 
 #[tokio::test]
 async fn incomplete_temporary_file_beside_the_record_is_ignored() {
-    let root = tempfile::tempdir().expect("a folder");
+    let root = tempfile::tempdir().expect("failed to create a temporary folder");
     save(root.path(), "good").await;
-    std::fs::write(root.path().join("generation.new"), "ha").expect("written");
+    std::fs::write(root.path().join("generation.new"), "ha")
+        .expect("failed to write the temporary file");
     let read = || {
         DataFolder::lock(root.path())
-            .expect("free")
+            .expect("failed to lock the data folder")
             .read_generation()
-            .expect("readable")
+            .expect("failed to read the generation record")
     };
     assert_eq!(read().as_deref(), Some("good"));
     save(root.path(), "better").await;
@@ -63,11 +69,11 @@
 
 #[test]
 fn saved_report_replaces_the_former_one_and_needs_an_existing_folder() {
-    let root = tempfile::tempdir().expect("a folder");
+    let root = tempfile::tempdir().expect("failed to create a temporary folder");
     for text in [&b"one"[..], b"two"] {
-        DataFolder::save_report(root.path(), text).expect("saved");
+        DataFolder::save_report(root.path(), text).expect("failed to save the report");
         assert_eq!(
-            DataFolder::read_report(root.path()).expect("readable"),
+            DataFolder::read_report(root.path()).expect("failed to read the report"),
             text
         );
     }
--- a/crates/pipithub-membership-runtime/tests/failing_disk.rs
+++ b/crates/pipithub-membership-runtime/tests/failing_disk.rs
@@ -34,7 +34,8 @@
     }
 }
 
-/// A file whose next write or sync has the result given here, if that is an error; a failed write writes half.
+/// A file whose next write fails if `write` is an error, and whose next sync fails if `sync` is one. A write that fails
+/// still writes half of the bytes.
 struct FailingFile {
     file: Box<dyn WritableFile>,
     write: io::Result<()>,
@@ -82,11 +83,12 @@
     }
 }
 
-/// Panics if the event does not occur, so that a broken process fails the test and does not block it.
+/// Panics if the event does not occur within [`EVENT_TIMEOUT`], so that a broken process fails the test instead of
+/// blocking it.
 async fn within_timeout<T>(event: impl Future<Output = T>) -> T {
     tokio::time::timeout(EVENT_TIMEOUT, event)
         .await
-        .expect("the event did not occur")
+        .expect("the event did not occur in time")
 }
 
 fn settings(data: &Path, seed: SocketAddr) -> FleetSettings {
@@ -108,20 +110,23 @@
     let text = std::fs::read_to_string(data.join("generation")).ok()?;
     Some(
         GenerationRecord::decode(&text)
-            .expect("a complete record")
+            .expect("failed to decode the generation record")
             .generation,
     )
 }
 
 async fn check_nothing_is_sent_while_step_fails(step: Step) {
-    let root = tempfile::tempdir().expect("a folder");
-    let seed = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
+    let root = tempfile::tempdir().expect("failed to create a temporary folder");
+    let seed = UdpSocket::bind("127.0.0.1:0")
+        .await
+        .expect("failed to open the seed's socket");
     let former = GenerationRecord {
         cluster: "campus".into(),
         name: "front-1".into(),
         generation: 4,
     };
-    std::fs::write(root.path().join("generation"), former.encode()).expect("written");
+    std::fs::write(root.path().join("generation"), former.encode())
+        .expect("failed to write the former record");
     let (set_healthy, healthy) = watch::channel(false);
     let (failures, mut failed) = mpsc::unbounded_channel();
     let files = Arc::new(FailingFiles {
@@ -129,14 +134,17 @@
         healthy,
         failures,
     });
-    let config = settings(root.path(), seed.local_addr().expect("an address"));
+    let config = settings(
+        root.path(),
+        seed.local_addr().expect("failed to get the seed's address"),
+    );
     let membership = MembershipRuntime::start_with_files("front-1", config, files)
         .await
-        .expect("started");
+        .expect("failed to start the membership");
     for _ in 0..3 {
         within_timeout(failed.recv())
             .await
-            .expect("saving is retried");
+            .expect("the saver has ended");
         let generation = generation_on_disk(root.path());
         // The new record is visible after the rename, but does not count as saved until the folder is synced.
         let renamed = step == Step::SyncFolder && generation == Some(5);
@@ -155,18 +163,23 @@
         join_state.is_none_or(|state| state == JoinState::SavingGeneration),
         "{step:?}"
     );
-    set_healthy.send(true).expect("the membership runs");
+    set_healthy.send(true).expect("the saver has ended");
     within_timeout(seed.recv(&mut buffer))
         .await
-        .expect("a join request");
+        .expect("failed to receive a join request");
     assert_eq!(
         generation_on_disk(root.path()),
         Some(5),
         "{step:?}: sent before the generation was saved"
     );
     membership.shutdown().await;
-    let folder = DataFolder::lock(root.path()).expect("unlocked");
-    assert!(folder.read_generation().expect("readable").is_some());
+    let folder = DataFolder::lock(root.path()).expect("failed to lock the data folder");
+    assert!(
+        folder
+            .read_generation()
+            .expect("failed to read the generation record")
+            .is_some()
+    );
 }
 
 #[tokio::test]
--- a/crates/pipithub-membership-sim/src/address.rs
+++ b/crates/pipithub-membership-sim/src/address.rs
@@ -13,7 +13,7 @@
     SocketAddr::from(([10, 0, subnet, host], PORT))
 }
 
-/// The number of the process with this address.
+/// The number of the process with this address; `None` for an IPv6 address, or if the last two octets are 0.
 pub(crate) fn process_at(address: SocketAddr) -> Option<usize> {
     let SocketAddr::V4(address) = address else {
         return None;
--- a/crates/pipithub-membership-sim/src/fleet.rs
+++ b/crates/pipithub-membership-sim/src/fleet.rs
@@ -37,7 +37,7 @@
     pub event: Event,
 }
 
-/// How many of the other running processes consider a process to be in which state.
+/// How many of the other running processes consider a process down, and how many consider it active.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StateCounts {
     /// Number of processes that consider it down.
@@ -274,7 +274,7 @@
                 .all(|m| has_exactly_active_members(m, &names))
     }
 
-    /// The states of a process at the other running processes.
+    /// In which states the other running processes consider the process `of` to be.
     pub fn state_counts(&self, of: usize) -> StateCounts {
         let name = &self.processes[of].name;
         let others = self.processes.iter().enumerate();
--- a/crates/pipithub-membership/src/envelope.rs
+++ b/crates/pipithub-membership/src/envelope.rs
@@ -27,11 +27,11 @@
 /// The message in a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Envelope {
-    /// A process asks to join, and whether a run that is at least as recent already uses its name.
+    /// A process asks to join, and whether another run of its name with the same or a later generation is known.
     JoinRequest(Identity),
     /// A member accepts the process and states its own identity.
     JoinAccepted(Identity),
-    /// A member rejects the process, because it knows a run of that name which is not older.
+    /// A member rejects the process, because it knows another run of that name with the same or a later generation.
     NameTaken {
         /// The run that is known.
         known: Identity,
@@ -48,7 +48,7 @@
     /// It does not begin with the header of this protocol.
     #[error("not a membership datagram")]
     ForeignProtocol,
-    /// Its cluster tag is another cluster's.
+    /// Its cluster tag belongs to another cluster.
     #[error("of another cluster")]
     OtherCluster,
     /// Its format version is not supported.
@@ -68,7 +68,7 @@
 }
 
 impl Envelope {
-    /// Encodes a datagram. Returns `None` if the serializer fails, which no value of this type makes it do.
+    /// Encodes a datagram. Returns `None` if the serializer fails, which does not happen for values of this type.
     pub(crate) fn encode(&self, tag: ClusterTag) -> Option<Vec<u8>> {
         let mut bytes = Vec::with_capacity(INITIAL_CAPACITY);
         bytes.extend(MAGIC);
@@ -89,7 +89,8 @@
         if !(MIN_WIRE_VERSION..=MAX_WIRE_VERSION).contains(&version) {
             return Err(RejectReason::UnsupportedVersion(version));
         }
-        // A newer version may add fields at the end, which are ignored, or kinds of messages, which are malformed here.
+        // A newer version may add fields at the end, which are ignored, or message types, which are rejected as
+        // malformed.
         postcard::take_from_bytes(&bytes[HEADER_LENGTH..])
             .map(|(envelope, _)| envelope)
             .map_err(|_| RejectReason::Malformed)
--- a/crates/pipithub-membership/src/event.rs
+++ b/crates/pipithub-membership/src/event.rs
@@ -18,7 +18,7 @@
         /// Content of the datagram.
         bytes: &'a [u8],
     },
-    /// The record of this generation is on disk and synced. Any other generation than the current one is ignored.
+    /// The record of this generation is on disk and synced. Ignored unless it is the current generation.
     GenerationSaved(u64),
     /// Nothing but time has passed; timers that are due are handled.
     Tick,
@@ -29,7 +29,7 @@
 /// An effect for the caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send a datagram, on which nothing depends: datagrams may be lost.
+    /// Send a datagram. It may be lost: the protocol does not rely on the delivery of any datagram.
     Send {
         /// Address of the receiver.
         to: SocketAddr,
@@ -43,10 +43,11 @@
     Event(Event),
 }
 
-/// A change that an operator may want to know of. None of them requires an action by the caller.
+/// A change that an operator may want to know about. No event requires an action by the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A member is alive that was unknown, suspected or down before, or that is a new run of its name.
+    /// A member is alive that was unknown or down before, or that is a new run of its name. A refuted suspicion is not
+    /// reported.
     Up(Member),
     /// A member is suspected of having failed and may still refute it.
     Suspected(Member),
@@ -68,18 +69,18 @@
     JoinStateChanged(JoinState),
     /// This process was not scheduled in time, so that its knowledge of the members is older than usual.
     Stalled {
-        /// How late a due timer was handled.
+        /// How late the earliest due timer was handled, in nanoseconds.
         delay: Time,
     },
-    /// The cluster knows a later generation of this name than the local disk: the disk was emptied or restored from an
-    /// old copy.
+    /// The cluster has already seen the generation that this process took, or a later one: the disk was emptied or
+    /// restored from an old copy.
     StaleDisk {
-        /// Generation that this process took from its disk.
+        /// Generation that this process took, based on the record on its disk.
         disk_generation: u64,
         /// Latest generation that the cluster has seen.
         seen_generation: u64,
     },
-    /// Datagrams were rejected. There is at most one such event in a second.
+    /// Datagrams were rejected. There is at most one such event per second.
     DatagramsRejected {
         /// Source of the last of them.
         from: SocketAddr,
@@ -88,7 +89,7 @@
         /// How many were rejected since the last such event, this one included.
         count: u64,
     },
-    /// This process was not admitted: as many members are known as
-    /// [`Settings::max_members`](crate::Settings::max_members) allows.
+    /// The process with this identity asked to join and was not admitted, because the number of known members has
+    /// reached [`Settings::max_members`](crate::Settings::max_members).
     MemberLimitReached(Identity),
 }
--- a/crates/pipithub-membership/src/generation.rs
+++ b/crates/pipithub-membership/src/generation.rs
@@ -7,7 +7,7 @@
 
 /// First line of the text, which includes the version of the format.
 const HEADER: &str = "pipithub generation 1";
-/// Bytes of the SHA-256 digest that the checksum consists of.
+/// Number of leading bytes of the SHA-256 digest that form the checksum.
 const CHECKSUM_BYTES: usize = 8;
 
 /// The last generation that a front end took, as stored in its data folder.
@@ -33,9 +33,9 @@
 /// Why a record cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// Its text is damaged. It is not treated as empty, because generations would then be used twice.
+    /// Its text is damaged. It is not treated as missing, because generations would then be used twice.
     #[error(
-        "the generation record is damaged ({0}); put back a good copy, or remove it to start as an empty disk"
+        "the generation record is damaged ({0}); restore an intact copy, or remove it to start with an empty disk"
     )]
     Malformed(RecordDamage),
     /// It belongs to another front end or cluster.
@@ -46,8 +46,8 @@
         /// Cluster in the record.
         cluster: String,
     },
-    /// The generation in the record is the largest that there is.
-    #[error("generation {0} has no successor")]
+    /// The generation in the record is the largest possible one.
+    #[error("generation {0} is the largest possible one and has no next generation")]
     Exhausted(u64),
 }
 
@@ -86,7 +86,7 @@
 }
 
 impl GenerationRecord {
-    /// Encodes the record as text: header, cluster, name, generation and checksum, one a line.
+    /// Encodes the record as text: header, cluster, name, generation and checksum, one per line.
     pub fn encode(&self) -> String {
         let body = format!(
             "{HEADER}\n{}\n{}\n{}\n",
@@ -95,10 +95,10 @@
         format!("{body}{}\n", checksum(&body))
     }
 
-    /// Decodes a text of [`GenerationRecord::encode`].
+    /// Decodes a record that [`GenerationRecord::encode`] encoded.
     ///
     /// # Errors
-    /// [`RecordError::Malformed`] if the text is truncated, altered or of another version.
+    /// [`RecordError::Malformed`] if the text is not a complete and unaltered record of this format version.
     pub fn decode(text: &str) -> Result<GenerationRecord, RecordError> {
         let text = text.strip_suffix('\n').ok_or(RecordDamage::Truncated)?;
         let body_length = text.rfind('\n').ok_or(RecordDamage::Truncated)? + 1;
@@ -124,8 +124,8 @@
         })
     }
 
-    /// The generation that a process takes which starts as `name` and found `text` in its data folder; `None` if the
-    /// folder holds no record.
+    /// The generation that a process takes when it starts as `name` and finds the record `text` in its data folder.
+    /// `text` is `None` if the folder holds no record.
     ///
     /// # Errors
     /// The record is malformed, belongs to another front end or cluster, or has no next generation.
--- a/crates/pipithub-membership/src/health.rs
+++ b/crates/pipithub-membership/src/health.rs
@@ -1,5 +1,5 @@
-//! Local health, as in Lifeguard: a process whose probes all fail, or that is scheduled late, probes with longer
-//! timeouts, since the fault may be its own.
+//! Local health, as in Lifeguard: a process whose probes fail, or that is scheduled late, probes with longer
+//! timeouts, because the fault may be in the process itself.
 
 use crate::Time;
 
--- a/crates/pipithub-membership/src/identity.rs
+++ b/crates/pipithub-membership/src/identity.rs
@@ -12,7 +12,7 @@
     Intact,
     /// It held no generation record: whatever former runs stored is lost.
     Empty,
-    /// It is an old copy, because the cluster has seen a later generation. Nothing on it may be relied on.
+    /// It is an old copy, because the cluster has seen a later generation. Its content must not be relied on.
     Stale,
 }
 
@@ -30,7 +30,8 @@
     pub generation: u64,
     /// Random number, drawn at the start.
     pub boot_id: u64,
-    /// How often this run took a new identity after other members declared it dead.
+    /// How often this run took a new identity to become a member again, for example after other members declared it
+    /// dead.
     pub renewal: u32,
     /// State of the data folder that it started with.
     pub disk: DiskState,
@@ -45,8 +46,8 @@
 }
 
 impl Identity {
-    /// Rank among the runs of one name: of two runs that are both members, the higher one stays. Renewals count least,
-    /// because two runs of one name would otherwise displace each other for ever.
+    /// Rank among the runs of one name: of two runs that are both members, the one of higher rank stays. Renewals count
+    /// least, because two runs of one name would otherwise displace each other forever.
     pub(crate) fn rank(&self) -> Rank {
         Rank {
             generation: self.generation,
@@ -64,8 +65,8 @@
 }
 
 impl foca::Identity for Identity {
-    // The engine calls `addr` for every member that it compares in a search; names of up to 24 bytes need no
-    // allocation.
+    // The engine calls `addr` for every member that it compares in a search. `CompactString` holds names of up to 24
+    // bytes without an allocation.
     type Addr = CompactString;
 
     fn renew(&self) -> Option<Self> {
--- a/crates/pipithub-membership/src/lib.rs
+++ b/crates/pipithub-membership/src/lib.rs
@@ -1,12 +1,12 @@
-//! Cluster membership without I/O: the SWIM failure detector with suspicion, incarnations that survive restarts, and
-//! views that state how old they are.
+//! Cluster membership without I/O: the SWIM failure detector with suspicion, generations that survive restarts, and
+//! views that state their age.
 //!
-//! [`Membership`] takes datagrams, time and the confirmation that a generation is on disk. It returns datagrams to
-//! send, records to save and events. To the SWIM engine of the `foca` crate it adds a cluster tag that rejects
-//! datagrams of other clusters, joining through several seeds, a *generation* on disk that distinguishes a restarted
-//! process from its former run, local health as in Lifeguard, detection of stale disks and of duplicate identities, and
-//! the time of the last contact with each member. A view is information about the cluster; no decision about requests
-//! is derived from it.
+//! [`Membership`] takes datagrams, the time and confirmations that a generation is on disk. It returns datagrams to
+//! send, generation records to save, and events. To the SWIM engine of the `foca` crate it adds a cluster tag that
+//! rejects datagrams of other clusters, joining through several seeds, a *generation* on disk that distinguishes a
+//! restarted process from its former run, local health as in Lifeguard, detection of stale disks and of duplicate
+//! identities, and the time of the last message from each member. A view is only information about the cluster; no
+//! decision about requests depends on it.
 //!
 //! Sources: Das, Gupta, Motivala, *SWIM* (DSN 2002); Dadgar, Phillips, Currey, *Lifeguard* (DSN-W 2018). The options
 //! that were considered are listed in `docs/membership.md`.
--- a/crates/pipithub-membership/src/membership.rs
+++ b/crates/pipithub-membership/src/membership.rs
@@ -53,10 +53,12 @@
     now: Time,
     /// Rounds of join requests in the current series, from which the backoff is computed.
     join_attempts: u32,
-    /// Whether a member accepted this run, or there is no seed to ask. Until then SWIM messages are ignored: other
-    /// members still send them to the former run at this address, and would make a run from a stale disk a member.
+    /// Whether a member accepted this run, or there is no seed to ask. Until then SWIM messages are ignored, except
+    /// those of admitted processes: other members still send messages to the former run at this address, which would
+    /// make a run from a stale disk a member.
     name_confirmed: bool,
-    /// Whether this process is a member but no member has yet accepted its join request.
+    /// Whether this process sends join requests even while it is a member. Set if it became a member before its name
+    /// was confirmed, or was declared dead while it ran; never cleared.
     needs_confirmation: bool,
     discovery: Discovery,
     /// Names of processes that were admitted before this run's own name was confirmed; their SWIM messages are
@@ -192,8 +194,8 @@
         }
     }
 
-    /// After a stall (SIGSTOP, swapping, a starved core) the answers to probes are still unread. Timers that fired
-    /// first would declare every other member dead, so all timers are postponed by the duration of the stall.
+    /// After a stall (SIGSTOP, swapping, CPU starvation) the answers to probes are still unread. If the timers fired
+    /// first, they would declare every other member dead, so all timers are postponed by the duration of the stall.
     fn postpone_timers_after_stall(&mut self, now: Time, out: &mut Vec<Output>) {
         let Some(due) = self.next_due() else { return };
         let delay = now.saturating_sub(due);
--- a/crates/pipithub-membership/src/membership/join.rs
+++ b/crates/pipithub-membership/src/membership/join.rs
@@ -1,9 +1,9 @@
 //! The join protocol: how a process enters the cluster, and how members answer it.
 //!
 //! A process sends join requests to its seeds and to some members that it knows. A member accepts the process, or
-//! answers that it knows a run of the same name which is not older. In the second case the process waits until the
-//! other run is dead. If the other run is dead already, the disk of this process is stale, and it takes the generation
-//! after that run's.
+//! answers that it knows another run of the same name with the same or a later generation. In the second case the
+//! process waits until the other run is dead. If the other run is dead already, the disk of this process is stale, and
+//! it takes the generation after that run's.
 
 use std::net::SocketAddr;
 
@@ -23,14 +23,14 @@
 const MAX_JOIN_BACKOFF: Time = 5_000 * MS;
 /// Bound on the exponent of the backoff, which keeps the shift within range.
 const MAX_BACKOFF_DOUBLINGS: u32 = 10;
-/// How long further answers are awaited after the first acceptance. A seed that was just started knows nothing of
-/// earlier runs; a member that knows one may answer some milliseconds later.
+/// How long to wait for further answers after the first acceptance. A seed that was just started knows nothing of
+/// earlier runs; a member that knows one may answer a few milliseconds later.
 const JOIN_ANSWER_WINDOW: Time = 200 * MS;
-/// Number of known members that join requests are sent to beside the seeds, because no seed may know the current
-/// members.
+/// Largest number of known members to which join requests are sent in addition to the seeds, because possibly no seed
+/// knows the current members.
 const MAX_ASKED_MEMBERS: usize = 4;
-/// Consecutive rounds without a new member after which discovery ends. An answer holds some 25 members; in a large
-/// cluster that starts at once, gossip alone would take minutes to spread the others.
+/// Consecutive rounds without a new member after which discovery ends. An answer holds about 25 members; in a large
+/// cluster whose processes all start at once, gossip alone would take minutes to spread the others.
 const MAX_ROUNDS_WITHOUT_NEW_MEMBER: u32 = 5;
 /// Upper bound of [`Membership::admitted`]; the oldest names are forgotten.
 const MAX_ADMITTED: usize = 32;
@@ -85,8 +85,8 @@
             .schedule(self.now + backoff, Timer::SendJoinRequests);
     }
 
-    /// The time until the next round. Half of it is random, so that the members of a cluster that was restarted at once
-    /// do not send their requests at the same times.
+    /// The time until the next round: half of the backoff, plus a random time up to the other half, so that processes
+    /// that were restarted together do not send their requests at the same times.
     fn next_join_backoff(&mut self) -> Time {
         let doublings = self.join_attempts.min(MAX_BACKOFF_DOUBLINGS);
         let backoff = (MIN_JOIN_BACKOFF << doublings).min(MAX_JOIN_BACKOFF);
@@ -106,7 +106,8 @@
             .schedule(self.now + MIN_JOIN_BACKOFF, Timer::SendJoinRequests);
     }
 
-    /// Answers a join request, unless this process is itself not a member yet.
+    /// Answers a join request, unless this process is saving its generation, waits for the death of a duplicate, or has
+    /// left.
     pub(super) fn on_join_request(&mut self, requester: Identity, out: &mut Vec<Output>) {
         if !matches!(self.join_state, JoinState::Alone | JoinState::Joined) {
             return;
@@ -168,8 +169,8 @@
         })
     }
 
-    /// Whether the table reflects recent messages. Otherwise two processes that were both stalled would reject each
-    /// other's next runs because of former runs that are dead by now.
+    /// Whether the table reflects recent messages. Without this check, two processes that were both stalled would
+    /// reject each other's next runs because of former runs that are dead by now.
     fn is_table_current(&self) -> bool {
         let limit = MAX_TABLE_AGE_PERIODS * self.settings.probe_period;
         let last_heard = self.table.last_heard();
@@ -195,7 +196,8 @@
         if member.name == self.identity.name || !self.is_joining() {
             return;
         }
-        // This process may know a later generation of that member than the member's own disk had.
+        // The member may itself run from a stale disk: then this process knows another run of it with the same or a
+        // later generation.
         if let Some(taken @ Envelope::NameTaken { .. }) = self.answer_to(&member) {
             self.send_envelope(member.address, &taken, out);
             return;
@@ -209,7 +211,8 @@
         }
     }
 
-    /// Joins through the members that accepted this process, none of the answers having stated that its name is taken.
+    /// Joins through the members that accepted this process. Does nothing if there are none any more, because another
+    /// answer stated that the name is taken.
     pub(super) fn complete_join(&mut self, out: &mut Vec<Output>) {
         let accepted_by = std::mem::take(&mut self.accepted_by);
         if accepted_by.is_empty() || !self.is_joining() {
@@ -229,7 +232,8 @@
         self.schedule_discovery();
     }
 
-    /// Asks a random member that is alive for its members. Rounds are repeated until several bring no new member.
+    /// Asks a random member that is alive for its members. The rounds end once [`MAX_ROUNDS_WITHOUT_NEW_MEMBER`]
+    /// consecutive ones have brought no new member.
     pub(super) fn discover_members(&mut self, out: &mut Vec<Output>) {
         self.discovery.record_round(self.table.len());
         if self.discovery.rounds_without_new_member >= MAX_ROUNDS_WITHOUT_NEW_MEMBER
@@ -255,7 +259,7 @@
         self.timers.schedule(due, Timer::Discover);
     }
 
-    /// Handles the answer that another run of this process's name is known, which is not older.
+    /// Handles the answer that another run of this process's name is known. Runs of an earlier generation are ignored.
     pub(super) fn on_name_taken(&mut self, known: Identity, active: bool, out: &mut Vec<Output>) {
         let other_run = known.name == self.identity.name && !known.same_run(&self.identity);
         if !other_run
@@ -290,8 +294,8 @@
         self.set_join_state(JoinState::DuplicateIdentity(other), out);
     }
 
-    /// Takes the generation after the latest that the cluster has seen, because the disk of this process is stale, and
-    /// requests that it be saved.
+    /// Takes the generation after `seen_generation`, which the cluster has already seen, and requests that it be saved.
+    /// The disk of this process is stale or empty.
     fn advance_generation_past(&mut self, seen_generation: u64, out: &mut Vec<Output>) {
         if self.join_state == JoinState::SavingGeneration {
             return;
--- a/crates/pipithub-membership/src/membership/reconcile.rs
+++ b/crates/pipithub-membership/src/membership/reconcile.rs
@@ -21,8 +21,8 @@
     /// Compares the engine's members with the table, and reports what changed.
     pub(super) fn reconcile_members(&mut self, out: &mut Vec<Output>) {
         let Some(engine) = &self.engine else { return };
-        // Most messages change nothing. Looking up every member by name after each message took most of the CPU time
-        // and grew faster than the cluster, so a checksum over all members is compared first.
+        // Most messages change no member. Looking up every member by name after each message took most of the CPU
+        // time, and its cost grew faster than the cluster, so a checksum over all members is compared first.
         let checksum = engine
             .iter_membership_state()
             .fold(0u64, |sum, member| sum.wrapping_add(member_hash(member)));
@@ -49,8 +49,8 @@
     }
 }
 
-/// The event for a member whose run was in the state `previous` before, or unknown; `None` if the state did not change
-/// in a way that is reported.
+/// The event for a member whose run was in the state `previous` before; `previous` is `None` if the run was unknown.
+/// Returns `None` if the change is not reported.
 fn change_event(previous: Option<MemberState>, member: &Member) -> Option<Event> {
     match (previous, member.state) {
         (Some(MemberState::Suspect | MemberState::Alive), MemberState::Alive) => None,
--- a/crates/pipithub-membership/src/membership/swim.rs
+++ b/crates/pipithub-membership/src/membership/swim.rs
@@ -27,20 +27,20 @@
 /// Probe periods between two announcements to members that are down, by which the halves of a cluster find each other
 /// after a network partition.
 const ANNOUNCE_TO_DOWN_PERIODS: u32 = 10;
-/// Number of members that are down to which each such announcement goes.
+/// Number of down members to which each of these announcements goes.
 const ANNOUNCED_DOWN_MEMBERS: usize = 2;
 /// Number of gossip rounds in a probe period.
 const GOSSIP_ROUNDS_PER_PERIOD: u32 = 4;
 
 pub(super) type Engine = Foca<Identity, PostcardCodec, SmallRng, NoCustomBroadcast>;
 
-/// A message that the engine wants sent.
+/// A message that the engine asks to send.
 struct EngineMessage {
     to: SocketAddr,
     data: Vec<u8>,
 }
 
-/// A timer that the engine wants set.
+/// A timer that the engine asks to set.
 struct EngineTimer {
     after: Time,
     timer: foca::Timer<Identity>,
@@ -124,7 +124,7 @@
         self.timers.cancel(|timer| matches!(timer, Timer::Swim(_)));
     }
 
-    /// Calls the engine, applies its effects and takes over the changes of its members.
+    /// Calls the engine, applies its effects and copies the changes of its members into the member table.
     pub(super) fn drive_engine<T>(
         &mut self,
         out: &mut Vec<Output>,
@@ -158,8 +158,8 @@
     }
 
     /// The delay after which a timer of the engine fires. Suspicions last longer in a large cluster, because gossip
-    /// spreads in logarithmic time. Probes last longer while the local health is bad; suspicions do not, because the
-    /// first failed probe of a dead member would already double them.
+    /// spreads in logarithmic time. Probes last longer while the local health score is above 0; suspicions do not,
+    /// because the first failed probe of a dead member would already double them.
     fn adjusted_delay(&self, after: Time, timer: &foca::Timer<Identity>) -> Time {
         match timer {
             foca::Timer::ChangeSuspectToDown { .. } => {
@@ -187,8 +187,8 @@
             OwnedNotification::ProbeFailed(..) => self.health.probe_failed(),
             OwnedNotification::Active => self.on_active(out),
             OwnedNotification::Idle => {
-                // All other members are dead, or this process is partitioned from them: it sends join requests until
-                // one answers.
+                // All other members are dead, or this process is partitioned from them: it sends join requests
+                // until a member answers.
                 self.set_join_state(JoinState::Alone, out);
                 self.restart_join_requests();
             }
@@ -214,8 +214,8 @@
     }
 
     fn on_active(&mut self, out: &mut Vec<Output>) {
-        // A process that was admitted before this one was confirmed may have made it a member, without knowing earlier
-        // runs of its name. So it takes part, but continues to send join requests.
+        // A process that this one admitted before its own name was confirmed may have made it a member, without knowing
+        // earlier runs of that name. So this process takes part, but continues to send join requests.
         if !self.name_confirmed {
             self.needs_confirmation = true;
         }
@@ -231,7 +231,7 @@
         self.identity = identity;
         self.health.declared_dead();
         // The engine is idle until a member answers it, but the members that it knew may all have been restarted.
-        // Without join requests, a run that was stalled meanwhile would stay alone for ever. Another run of its name
+        // Without join requests, a run that was stalled meanwhile would stay alone forever. Another run of its name
         // may also have a higher rank, which no renewal exceeds.
         self.needs_confirmation = true;
         self.set_join_state(JoinState::Alone, out);
--- a/crates/pipithub-membership/src/settings.rs
+++ b/crates/pipithub-membership/src/settings.rs
@@ -20,20 +20,22 @@
 pub struct Settings {
     /// Name of the cluster, 1 to 100 bytes without line break. Datagrams of other clusters are rejected.
     pub cluster: String,
-    /// Addresses of members that join requests are sent to; one that answers is enough. Without seeds the process waits
-    /// until another one contacts it.
+    /// Addresses of members to which join requests are sent; one answer is enough. Without seeds the process waits
+    /// until another process contacts it.
     pub seeds: Vec<SocketAddr>,
     /// Interval of the probes: one member is probed in each period. 1 ms to 10 minutes.
     pub probe_period: Time,
-    /// How long a direct answer to a probe is awaited before other members probe as well; under half of the period.
+    /// How long to wait for a direct answer to a probe before other members are asked to probe as well. Above 0 and
+    /// under half of the probe period.
     pub probe_timeout: Time,
     /// How long a suspected member may refute the suspicion, in probe periods; the time is multiplied by the decimal
-    /// logarithm of the cluster's size, or by 1 in clusters of up to ten.
+    /// logarithm of the cluster's size, or by 1 in clusters of up to ten. 1 to 100.
     pub suspicion_multiplier: u32,
-    /// Largest number of members, this process and dead ones included. Further processes are not admitted, with an
-    /// event.
+    /// Largest number of members, including this process and dead members. Further processes are not admitted, and each
+    /// refusal is reported as an event. 2 to 10,000.
     pub max_members: usize,
-    /// How long members that are down stay in the table. A stale disk is recognised for as long.
+    /// How long members that are down stay in the table, at least one probe period. The stale disk of such a member is
+    /// detected only during this time.
     pub dead_retention: Time,
 }
 
@@ -55,7 +57,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// The cluster's name is empty, too long or has a line break.
-    #[error("the cluster has no name, or one over 100 bytes")]
+    #[error("the cluster's name is empty, over 100 bytes or has a line break")]
     InvalidClusterName,
     /// The member's name is empty, too long or has a line break.
     #[error("the front end's name is empty, over 200 bytes or has a line break")]
@@ -63,14 +65,14 @@
     /// A seed is listed twice.
     #[error("seed {0} is given twice")]
     DuplicateSeed(SocketAddr),
-    /// There are more than 32 seeds; their number.
-    #[error("{0} seeds; 32 at most")]
+    /// There are this many seeds, more than 32.
+    #[error("{0} seeds are given; at most 32 are allowed")]
     TooManySeeds(usize),
     /// The probe timeout leaves no time for other members to probe.
     #[error("probe-wait must be over 0 and under half of probe-period")]
     InvalidProbeTimeout,
     /// The setting of this name is outside its range.
-    #[error("'{0}' is out of its range")]
+    #[error("'{0}' is out of range")]
     OutOfRange(&'static str),
 }
 
--- a/crates/pipithub-membership/src/timers.rs
+++ b/crates/pipithub-membership/src/timers.rs
@@ -14,9 +14,9 @@
     SendJoinRequests,
     /// Join through the members that accepted the join request.
     CompleteJoin,
-    /// Ask a member for members that are unknown here.
+    /// Ask a member for members that this process does not know yet.
     Discover,
-    /// Remove members whose retention is over from the table.
+    /// Remove the members from the table that have been down for the retention period.
     ExpireDead,
 }
 
@@ -69,7 +69,7 @@
         self.pending.clear();
     }
 
-    /// Postpones all timers by the same time, which leaves their order unchanged.
+    /// Postpones all timers by `delay` nanoseconds, which leaves their order unchanged.
     pub(crate) fn postpone_all(&mut self, delay: Time) {
         let pending = std::mem::take(&mut self.pending);
         let postponed = |(key, timer): (TimerKey, Timer)| {
--- a/crates/pipithub-membership/src/view.rs
+++ b/crates/pipithub-membership/src/view.rs
@@ -37,8 +37,8 @@
     Alone,
     /// It is a member of the cluster.
     Joined,
-    /// This other run of its name is a member, so this one stays out and keeps sending join requests. The other run is
-    /// a duplicate, or the former run of this process, not yet declared dead.
+    /// The given other run of its name is a member, so this process stays out and keeps sending join requests. The
+    /// other run is a duplicate, or the former run of this process that has not been declared dead yet.
     DuplicateIdentity(Identity),
     /// It left the cluster on request.
     Left,
@@ -54,7 +54,7 @@
     /// How far that process has joined.
     pub join_state: JoinState,
     /// When the last message from any other member was received; `None` if none was. The view is only as recent as
-    /// that.
+    /// that message.
     pub last_heard: Option<Time>,
     /// Local health score of the process, 0 (healthy) to 8.
     pub health_score: u32,
--- a/crates/pipithub-membership/tests/cluster/joining.rs
+++ b/crates/pipithub-membership/tests/cluster/joining.rs
@@ -1,4 +1,5 @@
-//! How processes join: through which seeds, under which generation, and past datagrams of another cluster.
+//! How processes join: through which seeds, and only after their generation is saved. Datagrams of another cluster are
+//! rejected.
 
 use pipithub_membership::{Event, Input, JoinState, RejectReason};
 use pipithub_membership_sim::Fleet;
--- a/crates/pipithub-membership/tests/cluster/main.rs
+++ b/crates/pipithub-membership/tests/cluster/main.rs
@@ -1,5 +1,5 @@
-//! Simulated clusters whose processes crash, stall and lose their disks, and whose links fail. The checks use the true
-//! state, which the simulation knows, beside what the processes under test report.
+//! Simulated clusters whose processes crash, stall and lose their disks, and whose links fail. The checks compare
+//! the reports of the processes with the true state, which the simulation knows.
 
 mod failure_detection;
 mod joining;
--- a/crates/pipithub-membership/tests/cluster/restarts.rs
+++ b/crates/pipithub-membership/tests/cluster/restarts.rs
@@ -70,8 +70,9 @@
     }));
 }
 
-/// Found by seed 5 of `scenarios/members.kdl`: the members still sent to the address of the dead run, and the run from
-/// the stale disk, which listened there, became a member before any seed could answer that its generation was used.
+/// The members still sent messages to the address of the dead run. The run from the stale disk listened there and
+/// became a member before any seed could answer that its generation had been used. Found by seed 5 of
+/// `scenarios/members.kdl`.
 #[test]
 fn run_from_a_stale_disk_does_not_join_through_messages_to_its_former_run() {
     let stale_record = GenerationRecord {
@@ -85,7 +86,7 @@
         fleet.kill(4);
         fleet.run_for(40 * SECOND);
         *fleet.disk(4) = Some(stale_record.encode());
-        // Its join requests are lost; what the others send to its former run is not.
+        // The join requests of the new run are lost; the messages that the others send to its former run are delivered.
         (0..5).for_each(|process| fleet.network.link(4, process).cut = true);
         fleet.start(4).unwrap();
         fleet.run_for(30 * SECOND);
@@ -126,7 +127,7 @@
         fleet.rename(6, "front-1");
         (0..6).for_each(|process| fleet.start(process).unwrap());
         fleet.run_for(20 * SECOND);
-        // Its folder is a copy from before the first start of the name, so that both take the same generation.
+        // The disk is a copy from before the first start of this name, so that both processes take the same generation.
         *fleet.disk(6) = None;
         fleet.start(6).unwrap();
         fleet.run_for(60 * SECOND);
@@ -172,8 +173,8 @@
         let mut fleet = joined_fleet(6, seed, Link::default());
         fleet.network.set_paused(5, true);
         fleet.run_for(8 * SECOND);
-        // It resumes, learns that it was declared dead and renews its identity, but the runs that it announces itself
-        // to are dead.
+        // Process 5 resumes, learns that it was declared dead and renews its identity, but the runs to which it
+        // announces itself are dead.
         (0..5).for_each(|process| fleet.kill(process));
         (0..5).for_each(|process| *fleet.disk(process) = None);
         fleet.network.set_paused(5, false);
--- a/crates/pipithub-membership/tests/growth.rs
+++ b/crates/pipithub-membership/tests/growth.rs
@@ -11,7 +11,8 @@
 /// Duration of the measurement without faults.
 const MEASURED_SECONDS: u64 = 20;
 
-/// The cost of one cluster. All but the last are per member and second, in a cluster without faults.
+/// The cost of one cluster. All fields except `detection_seconds` are per member and second, in a cluster without
+/// faults.
 struct Cost {
     bytes: f64,
     datagrams: f64,
@@ -39,7 +40,7 @@
     fleet
 }
 
-/// Kills the last process, and returns the simulated seconds until no other process takes it for active.
+/// Kills the last process, and returns the simulated seconds until no other process considers it active.
 fn detection_seconds(fleet: &mut Fleet) -> f64 {
     let killed = fleet.size() - 1;
     fleet.kill(killed);
@@ -103,10 +104,10 @@
         small.datagrams,
         large.datagrams
     );
-    // A member handles some six inputs a second, none of which changes a member.
+    // A member handles about six inputs per second, none of which changes a member.
     assert!(
         large.comparisons < 0.1,
-        "comparisons a member and second: {}",
+        "comparisons per member and second: {}",
         large.comparisons
     );
     assert!(
--- a/crates/pipithub-membership/tests/random_faults.rs
+++ b/crates/pipithub-membership/tests/random_faults.rs
@@ -8,7 +8,7 @@
 const SECOND: Time = 1_000_000_000;
 const SIZE: usize = 7;
 const FAULTS: usize = 25;
-/// Number of seeds of the long run, unless `PIPITHUB_SEEDS` gives another.
+/// Number of seeds of the long run, unless `PIPITHUB_SEEDS` sets another number.
 const DEFAULT_LONG_RUN_SEEDS: u64 = 1_000;
 
 /// A cluster under random faults, with the copies of disks that processes may be started from.
@@ -36,7 +36,8 @@
         }
     }
 
-    /// Cuts a link, pauses, kills or restarts a process, with its own disk or an old copy of it, or ends such a fault.
+    /// Cuts a link, pauses or kills a process, starts it with its own disk or an old copy of it, copies a disk, or ends
+    /// a fault.
     fn inject_random_fault(&mut self) {
         let fleet = &mut self.fleet;
         let rng = &mut fleet.network.rng;
@@ -88,7 +89,7 @@
         Ok(())
     }
 
-    /// No process may be known by a former run of its name.
+    /// No process may consider a former run of a member active.
     fn check_current_runs(&self) -> Result<(), String> {
         let views: Vec<View> = (0..SIZE).filter_map(|n| self.fleet.view(n)).collect();
         for process in 0..SIZE {
@@ -99,7 +100,9 @@
                 member.identity.name == local.name && !member.identity.same_run(&local)
             });
             if is_former_run {
-                return Err(format!("process {process} is known by a former run"));
+                return Err(format!(
+                    "a former run of process {process} is still considered active"
+                ));
             }
         }
         Ok(())
@@ -127,9 +130,9 @@
     }
 }
 
-/// A long run, by hand: `PIPITHUB_SEEDS=1000 cargo test --release -p pipithub-membership -- --ignored`.
+/// A long run, started by hand: `PIPITHUB_SEEDS=1000 cargo test --release -p pipithub-membership -- --ignored`.
 #[test]
-#[ignore = "long: a command, not part of CI"]
+#[ignore = "takes long; run by hand, not in CI"]
 fn cluster_converges_after_random_faults_on_many_seeds() {
     let seeds = std::env::var("PIPITHUB_SEEDS")
         .ok()
--- a/crates/pipithub-os-error/tests/classes.rs
+++ b/crates/pipithub-os-error/tests/classes.rs
@@ -45,10 +45,12 @@
 
 #[test]
 fn connection_to_a_closed_port_fails_with_the_peer_as_origin() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("listens");
-    let address = listener.local_addr().expect("has an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("failed to listen on loopback");
+    let address = listener
+        .local_addr()
+        .expect("failed to get the listener's address");
     drop(listener);
-    let refused = TcpStream::connect(address).expect_err("the port is closed");
+    let refused = TcpStream::connect(address).expect_err("connected to a closed port");
     assert_eq!(fault_origin(&refused), FaultOrigin::Peer);
 }
 
@@ -91,7 +93,7 @@
 #[test]
 fn unlisted_accept_error_number_counts_as_exhaustion() {
     // Every call of a listener that does not support `accept` fails with this error, so there must be a pause between
-    // them.
+    // the calls.
     assert_eq!(
         accept_failure(&error(Errno::OPNOTSUPP)),
         AcceptFailure::Exhausted
--- a/crates/pipithub-simnet/src/network.rs
+++ b/crates/pipithub-simnet/src/network.rs
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Drops all pending events of a process, as after a crash, and ends its pause.
+    /// Drops all pending events for a process, as after a crash, and ends its pause.
     pub fn crash(&mut self, process: usize) {
         self.queue.retain(|_, event| event.process() != process);
         self.buffered.retain(|event| event.process() != process);
