--- a/crates/pipithub-clock/src/manual.rs
+++ b/crates/pipithub-clock/src/manual.rs
@@ -1,8 +1,8 @@
-//! A clock for tests, whose monotonic time advances and whose wall time is stepped only by the test.
+//! A clock for tests: only the test advances its monotonic time and steps its wall time.
 
 use crate::{NANOS_PER_MS, Reading, Time};
 
-/// A monotonic clock and a wall clock that are set by the test. No operation overflows.
+/// A monotonic clock and a wall clock that are set by the test. Times saturate instead of overflowing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ManualClock {
     now: Time,
@@ -18,10 +18,10 @@
         }
     }
 
-    /// Advances both clocks by `span` nanoseconds, as when time passes.
-    pub fn advance(&mut self, span: Time) {
-        self.now = self.now.saturating_add(span);
-        self.wall_ns = self.wall_ns.saturating_add(span);
+    /// Advances both clocks by `duration` nanoseconds, as when time passes.
+    pub fn advance(&mut self, duration: Time) {
+        self.now = self.now.saturating_add(duration);
+        self.wall_ns = self.wall_ns.saturating_add(duration);
     }
 
     /// Steps the wall clock forward or back by `step_ms` milliseconds. The monotonic time stays.
--- a/crates/pipithub-membership/src/membership.rs
+++ b/crates/pipithub-membership/src/membership.rs
@@ -29,9 +29,9 @@
 use swim::{Engine, EngineEffects};
 
 /// How often members that are down are checked for removal within one retention period.
-const EXPIRIES_PER_RETENTION: u64 = 8;
+const EXPIRY_CHECKS_PER_RETENTION: u64 = 8;
 /// Probe periods by which a timer must be late for the process to count as stalled.
-const STALL_PERIODS: u64 = 2;
+const STALL_THRESHOLD_PERIODS: u64 = 2;
 /// Longest name of a member, in bytes.
 const MAX_NAME_BYTES: usize = 200;
 
@@ -53,10 +53,12 @@
     now: Time,
     /// Rounds of join requests in the current series, from which the backoff is computed.
     join_attempts: u32,
-    /// Whether a member accepted this run, or there is no seed to ask. Until then SWIM messages are ignored: other
-    /// members still send them to the former run at this address, and would make a run from a stale disk a member.
+    /// Whether a member accepted this run, or there is no seed to ask. Until then SWIM messages are ignored, except
+    /// those of admitted processes: other members still send messages to the former run at this address, which would
+    /// make a run from a stale disk a member.
     name_confirmed: bool,
-    /// Whether this process is a member but no member has yet accepted its join request.
+    /// Whether this process sends join requests even while it is a member. Set if it became a member before its name
+    /// was confirmed, or was declared dead while it ran; never cleared.
     needs_confirmation: bool,
     discovery: Discovery,
     /// Names of processes that were admitted before this run's own name was confirmed; their SWIM messages are
@@ -192,22 +194,22 @@
         }
     }
 
-    /// After a stall (SIGSTOP, swapping, a starved core) the answers to probes are still unread. Timers that fired
-    /// first would declare every other member dead, so all timers are postponed by the duration of the stall.
+    /// After a stall (SIGSTOP, swapping, CPU starvation) the answers to probes are still unread. If the timers fired
+    /// first, they would declare every other member dead, so all timers are postponed by the duration of the stall.
     fn postpone_timers_after_stall(&mut self, now: Time, out: &mut Vec<Output>) {
         let Some(due) = self.next_due() else { return };
-        let by = now.saturating_sub(due);
-        if by < STALL_PERIODS * self.settings.probe_period {
+        let delay = now.saturating_sub(due);
+        if delay < STALL_THRESHOLD_PERIODS * self.settings.probe_period {
             return;
         }
         self.health.stalled();
-        out.push(Output::Event(Event::Stalled { by }));
-        self.timers.postpone_all(by);
+        out.push(Output::Event(Event::Stalled { delay }));
+        self.timers.postpone_all(delay);
     }
 
     fn on_envelope(&mut self, envelope: Envelope, out: &mut Vec<Output>) {
         match envelope {
-            Envelope::JoinRequest(newcomer) => self.on_join_request(newcomer, out),
+            Envelope::JoinRequest(requester) => self.on_join_request(requester, out),
             Envelope::JoinAccepted(member) => self.on_join_accepted(member, out),
             Envelope::NameTaken { known, active } => self.on_name_taken(known, active, out),
             Envelope::Swim(data) => {
@@ -269,7 +271,7 @@
     }
 
     fn schedule_expiry(&mut self) {
-        let due = self.now + self.settings.dead_retention / EXPIRIES_PER_RETENTION;
+        let due = self.now + self.settings.dead_retention / EXPIRY_CHECKS_PER_RETENTION;
         self.timers.schedule(due, Timer::ExpireDead);
     }
 
