--- a/crates/pipithub-bench/src/hollow.rs
+++ b/crates/pipithub-bench/src/hollow.rs
@@ -6,7 +6,7 @@
 
 use clap::Args;
 use pipithub_clock::wall_ns;
-use pipithub_hollow_node::Hollow;
+use pipithub_hollow_node::HollowFrontEnd;
 use pipithub_platform::config::NodeConfig;
 use serde_json::{Value, json};
 use tokio::io::{AsyncBufReadExt, BufReader};
@@ -68,9 +68,9 @@
     }
 
     /// Waits until all front ends have received an event.
-    async fn wait(&self, index: u64, front_ends: &[Hollow]) {
+    async fn wait(&self, index: u64, front_ends: &[HollowFrontEnd]) {
         self.index.set(index);
-        let behind = front_ends.iter().filter(|f| f.last() < index).count();
+        let behind = front_ends.iter().filter(|f| f.last_event() < index).count();
         self.behind.set(behind);
         self.at.set(wall_ns());
         while self.behind.get() > 0 {
@@ -82,7 +82,7 @@
 
 async fn serve(config: &NodeConfig, count: usize, first: usize) -> Result<()> {
     let awaited = Rc::new(AwaitedEvent::default());
-    let front_ends: Vec<Hollow> = (first..first + count)
+    let front_ends: Vec<HollowFrontEnd> = (first..first + count)
         .map(|number| start(config, number, awaited.clone()))
         .collect();
     println!("{}", json!({"front_ends": count}));
@@ -99,23 +99,23 @@
     Ok(())
 }
 
-fn start(config: &NodeConfig, number: usize, awaited: Rc<AwaitedEvent>) -> Hollow {
+fn start(config: &NodeConfig, number: usize, awaited: Rc<AwaitedEvent>) -> HollowFrontEnd {
     let config = NodeConfig {
         name: format!("{}-{number}", config.name),
         seed: config.seed.wrapping_add(number as u64),
         ..config.clone()
     };
     let latest = Cell::new(0);
-    Hollow::start(&config, move |index| {
+    HollowFrontEnd::start(&config, move |index| {
         awaited.advanced(latest.replace(index), index);
     })
 }
 
-fn state(at: u64, front_ends: &[Hollow]) -> Value {
+fn state(at: u64, front_ends: &[HollowFrontEnd]) -> Value {
     json!({
         "at": at,
-        "events": front_ends.iter().map(Hollow::events).sum::<u64>(),
-        "least": front_ends.iter().map(Hollow::last).min(),
-        "wanted": front_ends.iter().map(Hollow::wanted).sum::<u64>(),
+        "events": front_ends.iter().map(HollowFrontEnd::applied_events).sum::<u64>(),
+        "least": front_ends.iter().map(HollowFrontEnd::last_event).min(),
+        "wanted": front_ends.iter().map(HollowFrontEnd::requested_effects).sum::<u64>(),
     })
 }
--- a/crates/pipithub-characterization/tests/file_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/file_driver/mod.rs
@@ -145,10 +145,10 @@
 pub(crate) fn cached_list(now: u64, wall_ms: u64, list: &str, change: &str) -> String {
     let mut watcher = Watcher::new(None);
     watcher
-        .list(now, wall_ms, list.as_bytes())
+        .apply_list(now, wall_ms, list.as_bytes())
         .expect("the list is read");
     let step = watcher
-        .line(now, wall_ms, change.as_bytes())
+        .apply_watch_line(now, wall_ms, change.as_bytes())
         .expect("the change is read");
     assert!(
         matches!(step, WatchStep::Changes(_)),
--- a/crates/pipithub-consensus/src/voter.rs
+++ b/crates/pipithub-consensus/src/voter.rs
@@ -31,7 +31,7 @@
 /// Largest number of proposals in flight at a leader; further ones are rejected.
 const MAX_PROPOSALS_IN_FLIGHT: usize = 4_096;
 /// Ticks without a proposal after which a leader proposes an advance of the log's time.
-const CLOCK_TICKS: u32 = 10;
+const CLOCK_ADVANCE_TICKS: u32 = 10;
 /// A new election timeout is drawn every 2 to the power of this many ticks.
 const REDRAW_TICKS_LOG2: u32 = 6;
 
@@ -256,7 +256,7 @@
             && *entry.key() <= number
         {
             for message in entry.remove() {
-                out.push(ready::send(&message));
+                out.push(ready::send_output(&message));
             }
         }
     }
@@ -271,7 +271,7 @@
         self.ticks += 1;
         self.node.tick();
         self.ticks_since_proposal += 1;
-        if self.is_leader && self.ticks_since_proposal >= CLOCK_TICKS {
+        if self.is_leader && self.ticks_since_proposal >= CLOCK_ADVANCE_TICKS {
             self.propose(Request {
                 client: String::new(),
                 boot_id: 0,
--- a/crates/pipithub-consensus/src/voter/ready.rs
+++ b/crates/pipithub-consensus/src/voter/ready.rs
@@ -13,7 +13,7 @@
 const COMPACTION_ENTRIES: u64 = 1_000;
 
 /// The output that sends a message of the engine.
-pub(super) fn send(message: &Message) -> Output {
+pub(super) fn send_output(message: &Message) -> Output {
     Output::Send {
         to: message.to,
         bytes: encode(message),
@@ -34,7 +34,7 @@
         while self.node.has_ready() {
             let mut ready = self.node.ready();
             for message in ready.take_messages() {
-                out.push(send(&message));
+                out.push(send_output(&message));
             }
             let batch = self.apply_ready(&mut ready, out);
             // Empty batches are persisted too, because the engine waits for the number of each.
--- a/crates/pipithub-consensus/tests/random_faults.rs
+++ b/crates/pipithub-consensus/tests/random_faults.rs
@@ -50,7 +50,7 @@
 }
 
 /// Whether a scenario with this injected fault has a violation with this text, or makes the engine panic.
-fn finds(injected: InjectedFault, violation: &str) -> bool {
+fn finds_violation(injected: InjectedFault, violation: &str) -> bool {
     (0..60).any(|seed| {
         // The engine itself panics where it detects an impossible state.
         let run = std::panic::catch_unwind(|| run_scenario(seed, injected).violations);
@@ -74,17 +74,20 @@
 
 #[test]
 fn checks_find_forgotten_votes() {
-    assert!(finds(InjectedFault::ForgottenVotes, "both lead in term"));
+    assert!(finds_violation(
+        InjectedFault::ForgottenVotes,
+        "both lead in term"
+    ));
 }
 
 #[test]
 fn checks_find_lost_entries() {
-    assert!(finds(InjectedFault::LostEntries, "and, at voter"));
+    assert!(finds_violation(InjectedFault::LostEntries, "and, at voter"));
 }
 
 #[test]
 fn checks_find_leases_that_are_relied_on_after_their_expiry() {
-    assert!(finds(InjectedFault::ExtendedLeases, "is held by"));
+    assert!(finds_violation(InjectedFault::ExtendedLeases, "is held by"));
 }
 
 #[test]
--- a/crates/pipithub-endpoints/src/cache.rs
+++ b/crates/pipithub-endpoints/src/cache.rs
@@ -8,7 +8,7 @@
 use crate::{EndpointListError, MAX_ENDPOINTS, NANOS_PER_MS};
 
 /// The version of the file format.
-pub(crate) const FORMAT: u32 = 1;
+pub(crate) const FORMAT_VERSION: u32 = 1;
 
 /// The contents of the file. The field names are the keys of its JSON.
 #[derive(Debug, Serialize, Deserialize)]
--- a/crates/pipithub-endpoints/src/lib.rs
+++ b/crates/pipithub-endpoints/src/lib.rs
@@ -20,10 +20,10 @@
 use pipithub_engine::Time;
 use pipithub_engine::policy::{Endpoint, EndpointState, WorkerId};
 
-use crate::cache::{CachedList, CachedWorker, FORMAT};
+use crate::cache::{CachedList, CachedWorker, FORMAT_VERSION};
 
 /// The API group and version of the slices.
-pub const API: &str = "discovery.k8s.io/v1";
+pub const API_VERSION: &str = "discovery.k8s.io/v1";
 /// The annotation with the start times of endpoints in Unix milliseconds, by uid.
 pub const STARTED_ANNOTATION: &str = "pipithub.dev/started-ms";
 /// The annotation with the memory of endpoints in MB, by uid.
@@ -117,7 +117,7 @@
     /// # Errors
     ///
     /// Fails if the body is no list or has too many endpoints. The state is then unchanged.
-    pub fn list(
+    pub fn apply_list(
         &mut self,
         now: Time,
         wall_ms: u64,
@@ -153,7 +153,7 @@
     ///
     /// Fails if the line is no watch event, if the list would have too many endpoints, or if the server reports an error
     /// other than an expired version. The endpoints are then unchanged.
-    pub fn line(
+    pub fn apply_watch_line(
         &mut self,
         now: Time,
         wall_ms: u64,
@@ -240,7 +240,7 @@
                 let Some(address) = endpoint.address(port) else {
                     continue;
                 };
-                let found = self.describe(slice, endpoint, &address, reading);
+                let found = self.known_endpoint(slice, endpoint, &address, reading);
                 // While an endpoint is moved between slices, it may be in two of them. It drains if one of them says so.
                 let is_draining = next
                     .get(&address)
@@ -272,7 +272,7 @@
         removed.chain(changed).collect()
     }
 
-    fn describe(
+    fn known_endpoint(
         &self,
         slice: &EndpointSlice,
         endpoint: &SliceEndpoint,
@@ -284,8 +284,8 @@
             .as_ref()
             .map(|target| target.uid.clone())
             .unwrap_or_default();
-        let before = self.known.get(address).filter(|known| known.uid == uid);
-        let number = |name: &str| -> Option<f64> {
+        let previous = self.known.get(address).filter(|known| known.uid == uid);
+        let annotated_number = |name: &str| -> Option<f64> {
             let text = slice.metadata.annotations.as_ref()?.get(name)?;
             let by_uid: BTreeMap<String, f64> = serde_json::from_str(text).ok()?;
             by_uid
@@ -295,14 +295,14 @@
         };
         // A start in the future, by a clock that was stepped back, counts as now. The worker is then considered to be
         // warming up for one slow-start window at most.
-        let annotated =
-            number(STARTED_ANNOTATION).map(|stamp_ms| reading.time_of_stamp(stamp_ms as u64));
-        let started = match before {
+        let annotated_start = annotated_number(STARTED_ANNOTATION)
+            .map(|stamp_ms| reading.time_of_stamp(stamp_ms as u64));
+        let started = match previous {
             // The first start time is retained, so that a clock that drifts or is stepped does not look like a restart.
             Some(known) => known.started,
-            None => annotated.or(self.listed.then_some(reading.now.max(1))),
+            None => annotated_start.or(self.listed.then_some(reading.now.max(1))),
         };
-        let memory_mb = number(MEMORY_ANNOTATION).unwrap_or(0.0);
+        let memory_mb = annotated_number(MEMORY_ANNOTATION).unwrap_or(0.0);
         KnownEndpoint {
             state: endpoint.state(),
             uid,
@@ -338,7 +338,7 @@
                 started_ms: known.started.map(started_ms),
             });
         let cached = CachedList {
-            format: FORMAT,
+            format: FORMAT_VERSION,
             wall_ms,
             workers: workers.collect(),
         };
--- a/crates/pipithub-endpoints/tests/watch.rs
+++ b/crates/pipithub-endpoints/tests/watch.rs
@@ -7,7 +7,7 @@
 
 const SECOND: Time = 1_000_000_000;
 /// The wall time of the tests, in Unix milliseconds.
-const WALL: u64 = 1_800_000_000_000;
+const WALL_MS: u64 = 1_800_000_000_000;
 
 fn endpoint(number: u8, uid: &str, conditions: Value) -> Value {
     json!({"addresses": [format!("10.0.0.{number}")], "conditions": conditions, "zone": "a", "nodeName": "x",
@@ -47,7 +47,7 @@
 
 /// Passes a line to the watcher, and returns the changes, which there must be.
 fn changes(watcher: &mut Watcher, now: Time, line: &[u8]) -> Vec<Endpoint> {
-    match watcher.line(now, WALL, line) {
+    match watcher.apply_watch_line(now, WALL_MS, line) {
         Ok(WatchStep::Changes(changes)) => changes,
         other => panic!("no changes: {other:?}"),
     }
@@ -72,7 +72,7 @@
         )],
     );
     let mut watcher = watcher();
-    let all = watcher.list(SECOND, WALL, &body).expect("a list");
+    let all = watcher.apply_list(SECOND, WALL_MS, &body).expect("a list");
     let address = |number: u8| format!("10.0.0.{number}:80");
     assert_eq!(
         states(&all),
@@ -96,9 +96,9 @@
     let ready = || json!({"ready": true});
     let mut watcher = watcher();
     watcher
-        .list(
+        .apply_list(
             0,
-            WALL,
+            WALL_MS,
             &list("5", vec![slice("s", "4", vec![endpoint(1, "a", ready())])]),
         )
         .expect("a list");
@@ -122,7 +122,7 @@
     );
     assert_eq!(watcher.version(), Some("6"));
     assert!(matches!(
-        watcher.line(4 * SECOND, WALL, &line),
+        watcher.apply_watch_line(4 * SECOND, WALL_MS, &line),
         Ok(WatchStep::Nothing)
     ));
     let deleted = event("DELETED", slice("s", "7", vec![]));
@@ -139,15 +139,20 @@
 #[test]
 fn different_uid_at_the_same_address_is_a_restart() {
     let mut watcher = watcher();
-    let one = |uid: &str| slice("s", "4", vec![endpoint(1, uid, json!({"ready": true}))]);
+    let slice_with_uid =
+        |uid: &str| slice("s", "4", vec![endpoint(1, uid, json!({"ready": true}))]);
     watcher
-        .list(0, WALL, &list("5", vec![one("a")]))
+        .apply_list(0, WALL_MS, &list("5", vec![slice_with_uid("a")]))
         .expect("a list");
-    let changed = changes(&mut watcher, 9 * SECOND, &event("MODIFIED", one("b")));
+    let changed = changes(
+        &mut watcher,
+        9 * SECOND,
+        &event("MODIFIED", slice_with_uid("b")),
+    );
     assert_eq!(changed[0].started_at, Some(9 * SECOND));
     // A later list with the same pod does not change its start.
     let all = watcher
-        .list(20 * SECOND, WALL, &list("9", vec![one("b")]))
+        .apply_list(20 * SECOND, WALL_MS, &list("9", vec![slice_with_uid("b")]))
         .expect("a list");
     assert_eq!(all[0].started_at, Some(9 * SECOND));
 }
@@ -166,7 +171,7 @@
     );
     let b = slice("b", "4", vec![endpoint(1, "a", json!({"ready": true}))]);
     let all = watcher
-        .list(0, WALL, &list("5", vec![a, b]))
+        .apply_list(0, WALL_MS, &list("5", vec![a, b]))
         .expect("a list");
     assert_eq!(
         states(&all),
@@ -177,10 +182,12 @@
 #[test]
 fn bookmark_advances_the_version_and_410_discards_it() {
     let mut watcher = watcher();
-    watcher.list(0, WALL, &list("5", vec![])).expect("a list");
+    watcher
+        .apply_list(0, WALL_MS, &list("5", vec![]))
+        .expect("a list");
     let bookmark = event("BOOKMARK", json!({"metadata": {"resourceVersion": "77"}}));
     assert!(matches!(
-        watcher.line(0, WALL, &bookmark),
+        watcher.apply_watch_line(0, WALL_MS, &bookmark),
         Ok(WatchStep::Nothing)
     ));
     assert_eq!(watcher.version(), Some("77"));
@@ -189,7 +196,7 @@
         json!({"kind": "Status", "code": 410, "reason": "Expired", "message": "too old"}),
     );
     assert!(matches!(
-        watcher.line(0, WALL, &expired),
+        watcher.apply_watch_line(0, WALL_MS, &expired),
         Ok(WatchStep::Expired)
     ));
     assert_eq!(watcher.version(), None);
@@ -199,7 +206,7 @@
     );
     assert!(
         watcher
-            .line(0, WALL, &other)
+            .apply_watch_line(0, WALL_MS, &other)
             .expect_err("an error")
             .to_string()
             .contains("500: etcd")
@@ -211,7 +218,7 @@
     let mut watcher = watcher();
     let ready = slice("s", "4", vec![endpoint(1, "a", json!({"ready": true}))]);
     watcher
-        .list(0, WALL, &list("5", vec![ready]))
+        .apply_list(0, WALL_MS, &list("5", vec![ready]))
         .expect("a list");
     for invalid in [
         "",
@@ -221,11 +228,13 @@
         "{\"items\": [{\"metadata\": {}, \"endpoints\": [{}]}]}",
     ] {
         assert!(
-            watcher.list(0, WALL, invalid.as_bytes()).is_err(),
+            watcher.apply_list(0, WALL_MS, invalid.as_bytes()).is_err(),
             "{invalid}"
         );
         assert!(
-            watcher.line(0, WALL, invalid.as_bytes()).is_err(),
+            watcher
+                .apply_watch_line(0, WALL_MS, invalid.as_bytes())
+                .is_err(),
             "{invalid}"
         );
         assert_eq!((watcher.ready_count(), watcher.version()), (1, Some("5")));
@@ -233,14 +242,14 @@
     let many = vec![endpoint(1, "a", json!({})); pipithub_endpoints::MAX_ENDPOINTS + 1];
     assert!(
         watcher
-            .list(0, WALL, &list("6", vec![slice("s", "6", many)]))
+            .apply_list(0, WALL_MS, &list("6", vec![slice("s", "6", many)]))
             .is_err()
     );
     // An API server sends null for an empty list.
     let null = json!({"metadata": {"name": "s"}, "endpoints": null, "ports": null});
     assert_eq!(
         watcher
-            .list(0, WALL, &list("7", vec![null]))
+            .apply_list(0, WALL_MS, &list("7", vec![null]))
             .expect("empty"),
         []
     );
@@ -260,17 +269,17 @@
             ],
         )],
     );
-    watcher.list(0, WALL, &body).expect("a list");
+    watcher.apply_list(0, WALL_MS, &body).expect("a list");
     let line = event(
         "ADDED",
         slice("t", "6", vec![endpoint(3, "c", json!({"ready": true}))]),
     );
     watcher
-        .line(10 * SECOND, WALL + 10_000, &line)
+        .apply_watch_line(10 * SECOND, WALL_MS + 10_000, &line)
         .expect("changes");
-    let text = watcher.to_cached_list(20 * SECOND, WALL + 20_000);
+    let text = watcher.to_cached_list(20 * SECOND, WALL_MS + 20_000);
     // The new process has another clock, and reads the list 5 s after it was written.
-    let cached = read_cached_list(&text, 60 * SECOND, WALL + 25_000).expect("a cached list");
+    let cached = read_cached_list(&text, 60 * SECOND, WALL_MS + 25_000).expect("a cached list");
     assert_eq!(cached.update, EndpointUpdate::Cached);
     let endpoints = cached.endpoints;
     assert_eq!(states(&endpoints)[1].1, EndpointState::Draining);
@@ -298,15 +307,17 @@
 #[test]
 fn restart_does_not_make_workers_younger() {
     let mut watcher = watcher();
-    watcher.list(0, WALL, &list("5", vec![])).expect("a list");
+    watcher
+        .apply_list(0, WALL_MS, &list("5", vec![]))
+        .expect("a list");
     let line = event(
         "ADDED",
         slice("t", "6", vec![endpoint(3, "c", json!({"ready": true}))]),
     );
     watcher
-        .line(10 * SECOND, WALL + 10_000, &line)
+        .apply_watch_line(10 * SECOND, WALL_MS + 10_000, &line)
         .expect("changes");
-    let written_ms = WALL + 10_000 + HOUR_MS;
+    let written_ms = WALL_MS + 10_000 + HOUR_MS;
     let text = watcher.to_cached_list(10 * SECOND + 3_600 * SECOND, written_ms);
     let age = 3_600 * SECOND;
     assert_eq!(
@@ -343,7 +354,7 @@
                             "started_ms": started_ms});
         json!({"format": 1, "wall_ms": wall_ms, "workers": [worker]}).to_string()
     };
-    assert_eq!(cached_age(&text(WALL, WALL + 1), WALL + 10), None);
+    assert_eq!(cached_age(&text(WALL_MS, WALL_MS + 1), WALL_MS + 10), None);
     assert_eq!(
         cached_age(&text(u64::MAX, 0), u64::MAX),
         Some(3 * 3_600 * SECOND - 1)
@@ -353,28 +364,36 @@
 /// The start of a known endpoint is stored in monotonic time, which steps of the wall clock do not change.
 #[test]
 fn step_of_the_wall_clock_does_not_change_start_times() {
-    let stamped = |version: &str| {
+    let slice_with_start = |version: &str| {
         let mut slice = slice("s", version, vec![endpoint(1, "a", json!({"ready": true}))]);
         slice["metadata"]["annotations"]["pipithub.dev/started-ms"] =
-            json!(format!("{{\"a\": {}}}", WALL - 30_000));
+            json!(format!("{{\"a\": {}}}", WALL_MS - 30_000));
         slice
     };
     let mut watcher = watcher();
     let all = watcher
-        .list(60 * SECOND, WALL, &list("5", vec![stamped("4")]))
+        .apply_list(
+            60 * SECOND,
+            WALL_MS,
+            &list("5", vec![slice_with_start("4")]),
+        )
         .expect("a list");
     assert_eq!(all[0].started_at, Some(30 * SECOND));
-    for wall_ms in [WALL + HOUR_MS, WALL - HOUR_MS] {
-        let line = event("MODIFIED", stamped("6"));
+    for wall_ms in [WALL_MS + HOUR_MS, WALL_MS - HOUR_MS] {
+        let line = event("MODIFIED", slice_with_start("6"));
         assert!(
             matches!(
-                watcher.line(61 * SECOND, wall_ms, &line),
+                watcher.apply_watch_line(61 * SECOND, wall_ms, &line),
                 Ok(WatchStep::Nothing)
             ),
             "{wall_ms}"
         );
         let all = watcher
-            .list(62 * SECOND, wall_ms, &list("7", vec![stamped("6")]))
+            .apply_list(
+                62 * SECOND,
+                wall_ms,
+                &list("7", vec![slice_with_start("6")]),
+            )
             .expect("a list");
         assert_eq!(all[0].started_at, Some(30 * SECOND), "{wall_ms}");
     }
--- a/crates/pipithub-gateway/src/endpoint_list.rs
+++ b/crates/pipithub-gateway/src/endpoint_list.rs
@@ -120,7 +120,9 @@
 
     async fn fetch_endpoints(&mut self) -> Result<(), WatchError> {
         let body = api::get_list(&self.settings).await?;
-        let endpoints = self.watcher.list(self.clock.now(), wall_ms(), &body)?;
+        let endpoints = self
+            .watcher
+            .apply_list(self.clock.now(), wall_ms(), &body)?;
         if self.watcher.version().is_none() {
             return Err(WatchError::NoVersion);
         }
@@ -167,7 +169,10 @@
         if line.iter().all(u8::is_ascii_whitespace) {
             return Ok(ControlFlow::Continue(()));
         }
-        match self.watcher.line(self.clock.now(), wall_ms(), line) {
+        match self
+            .watcher
+            .apply_watch_line(self.clock.now(), wall_ms(), line)
+        {
             Ok(WatchStep::Changes(changes)) => self.publish(EndpointUpdate::Delta, changes).await,
             Ok(WatchStep::Nothing) => {}
             Ok(WatchStep::Expired) => return Ok(ControlFlow::Break(())),
--- a/crates/pipithub-hollow-node/src/lib.rs
+++ b/crates/pipithub-hollow-node/src/lib.rs
@@ -17,7 +17,7 @@
 use tokio::task::JoinHandle;
 
 /// One hollow front end; it ends when dropped.
-pub struct Hollow {
+pub struct HollowFrontEnd {
     inner: Rc<Inner>,
     /// Sends the coordinator's address; the task that follows the coordinator ends when this is dropped.
     _coordinator: watch::Sender<String>,
@@ -37,7 +37,7 @@
     on_event: Box<dyn Fn(u64)>,
 }
 
-impl Hollow {
+impl HollowFrontEnd {
     /// Starts a front end with this configuration; `on_event` is called with the index of each endpoint event once the core
     /// has applied it. Must be called within a [`tokio::task::LocalSet`].
     pub fn start(config: &NodeConfig, on_event: impl Fn(u64) + 'static) -> Self {
@@ -71,7 +71,7 @@
             tokio::task::spawn_local(follow),
             tokio::task::spawn_local(inner.clone().run_timer()),
         ];
-        Hollow {
+        HollowFrontEnd {
             inner,
             _coordinator: coordinator,
             tasks,
@@ -79,28 +79,28 @@
     }
 
     /// The index of the last endpoint event that the core has applied.
-    pub fn last(&self) -> u64 {
+    pub fn last_event(&self) -> u64 {
         self.inner.last_event.get()
     }
 
     /// The number of endpoint events that were applied since the start.
-    pub fn events(&self) -> u64 {
+    pub fn applied_events(&self) -> u64 {
         self.inner.applied_events.get()
     }
 
     /// The number of effects that the core has requested. They are not carried out here, so a hollow front end is a valid
     /// model of a real one only as long as this is 0.
-    pub fn wanted(&self) -> u64 {
+    pub fn requested_effects(&self) -> u64 {
         self.inner.requested_effects.get()
     }
 
     /// The complete state of the core, as its `Debug` text.
-    pub fn show(&self) -> String {
+    pub fn core_state(&self) -> String {
         format!("{:?}", self.inner.core.borrow())
     }
 }
 
-impl Drop for Hollow {
+impl Drop for HollowFrontEnd {
     fn drop(&mut self) {
         self.tasks.iter().for_each(JoinHandle::abort);
     }
@@ -108,10 +108,10 @@
 
 impl Inner {
     /// Calls the core. A connection that it requests to a worker fails at once, so that nothing waits for it.
-    fn update_core(&self, act: impl FnOnce(&mut Core, Time)) {
+    fn update_core(&self, update: impl FnOnce(&mut Core, Time)) {
         let now = self.clock.now();
         let mut core = self.core.borrow_mut();
-        act(&mut core, now);
+        update(&mut core, now);
         loop {
             let effects = core.take_effects();
             if effects.is_empty() {
--- a/crates/pipithub-hollow-node/tests/growth.rs
+++ b/crates/pipithub-hollow-node/tests/growth.rs
@@ -3,7 +3,7 @@
 mod harness;
 
 use pipithub_emulator::coordinator::{Counts, Tier};
-use pipithub_hollow_node::Hollow;
+use pipithub_hollow_node::HollowFrontEnd;
 use pipithub_platform::list::MAX_ENDPOINTS;
 use tokio::task::LocalSet;
 
@@ -28,7 +28,7 @@
 /// A minute has sixty comments; they come at once here.
 #[tokio::test]
 async fn idle_front_end_sends_the_same_bytes_whatever_the_number_of_workers() {
-    let mut seen = Vec::new();
+    let mut measured = Vec::new();
     for workers in SIZES {
         let local = LocalSet::new();
         let counted = local.run_until(async {
@@ -44,7 +44,8 @@
             let changed = tier.replace(0);
             let index = coordinator.publish(false, &changed, &tier);
             harness::wait_until(|| {
-                front_end.last() == index && coordinator.counts().comments >= start.comments + 60
+                front_end.last_event() == index
+                    && coordinator.counts().comments >= start.comments + 60
             })
             .await;
             (
@@ -52,25 +53,25 @@
                 Sent::between(start, coordinator.counts()),
             )
         });
-        seen.push(counted.await);
+        measured.push(counted.await);
     }
     // One connection with one request of the same length, and nothing after that.
-    let (first, _) = seen[0];
-    assert!(first.connections == 1 && first.bytes > 0, "{seen:?}");
+    let (first, _) = measured[0];
+    assert!(first.connections == 1 && first.bytes > 0, "{measured:?}");
     let nothing = Sent {
         connections: 0,
         bytes: 0,
     };
     assert!(
-        seen.iter().all(|sent| *sent == (first, nothing)),
-        "{seen:?}"
+        measured.iter().all(|sent| *sent == (first, nothing)),
+        "{measured:?}"
     );
 }
 
 /// A front end states its last event when it reconnects, so that the complete list is not sent again.
 #[tokio::test]
 async fn events_sent_after_a_reconnect_grow_with_the_changes_only() {
-    let mut seen = Vec::new();
+    let mut measured = Vec::new();
     for workers in SIZES {
         for changes in [1, 10] {
             let local = LocalSet::new();
@@ -83,28 +84,30 @@
                 harness::wait_until(|| coordinator.counts().open == 0).await;
                 let start = coordinator.counts();
                 let mut index = 0;
-                for at in 0..changes {
-                    let changed = tier.replace(at);
+                for worker in 0..changes {
+                    let changed = tier.replace(worker);
                     index = coordinator.publish(false, &changed, &tier);
                 }
                 coordinator.behave(|b| b.cut = false);
-                harness::wait_until(|| front_end.last() == index).await;
+                harness::wait_until(|| front_end.last_event() == index).await;
                 let end = coordinator.counts();
                 (end.sent_bytes - 3 * end.comments) - (start.sent_bytes - 3 * start.comments)
             });
-            seen.push((changes, sent.await));
+            measured.push((changes, sent.await));
         }
     }
     // Only the number of digits in some fields depends on the number of workers.
     let max_bytes = |n| {
-        seen.iter()
+        measured
+            .iter()
             .filter(|s| s.0 == n)
             .map(|s| s.1)
             .max()
             .unwrap_or(0)
     };
     let min_bytes = |n| {
-        seen.iter()
+        measured
+            .iter()
             .filter(|s| s.0 == n)
             .map(|s| s.1)
             .min()
@@ -112,18 +115,18 @@
     };
     assert!(
         max_bytes(1) <= min_bytes(1) + 64 && max_bytes(10) <= min_bytes(10) + 10 * 64,
-        "{seen:?}"
+        "{measured:?}"
     );
     assert!(
         min_bytes(10) > 5 * min_bytes(1) / 2,
-        "events are counted at all: {seen:?}"
+        "events are counted at all: {measured:?}"
     );
 }
 
 /// Workers are replaced each day: the state of a front end must not grow from day to day.
 #[tokio::test]
 async fn core_forgets_replaced_workers() {
-    let entries = |front_end: &Hollow| front_end.show().matches("worker-").count();
+    let entries = |front_end: &HollowFrontEnd| front_end.core_state().matches("worker-").count();
     for replaced in [1, 200] {
         LocalSet::new()
             .run_until(async {
@@ -134,11 +137,11 @@
                 let fresh = entries(&front_end);
                 assert!(fresh >= 50, "{fresh}");
                 let mut index = 0;
-                for at in 0..replaced {
-                    let changed = tier.replace(at % 50);
+                for worker in 0..replaced {
+                    let changed = tier.replace(worker % 50);
                     index = coordinator.publish(false, &changed, &tier);
                 }
-                harness::wait_until(|| front_end.last() == index).await;
+                harness::wait_until(|| front_end.last_event() == index).await;
                 // The next sweep forgets the last of them.
                 harness::wait_until(|| entries(&front_end) == fresh).await;
             })
@@ -148,16 +151,16 @@
 
 #[tokio::test]
 async fn too_long_list_leaves_the_previous_one_and_the_next_event_is_applied() {
-    for beyond in [MAX_ENDPOINTS + 1, 100_000] {
+    for workers in [MAX_ENDPOINTS + 1, 100_000] {
         LocalSet::new()
             .run_until(async {
                 let coordinator = harness::start_coordinator();
                 let front_end = harness::start_hollow(&coordinator);
                 let mut tier = Tier::new(10, 7);
                 harness::publish_all(&coordinator, &front_end, &tier).await;
-                let before = front_end.show().matches("worker-").count();
-                let long = Tier::new(beyond, 7);
-                coordinator.publish(true, long.hosts(), &long);
+                let before = front_end.core_state().matches("worker-").count();
+                let too_long = Tier::new(workers, 7);
+                coordinator.publish(true, too_long.hosts(), &too_long);
                 // It reconnects with the last event that it could apply.
                 harness::wait_until(|| coordinator.counts().connections >= 3).await;
                 let requests = coordinator.requests();
@@ -169,16 +172,17 @@
                 );
                 assert_eq!(
                     (
-                        front_end.last(),
-                        front_end.show().matches("worker-").count()
+                        front_end.last_event(),
+                        front_end.core_state().matches("worker-").count()
                     ),
                     (1, before)
                 );
                 let changed = tier.replace(0);
                 coordinator.forget();
                 let index = coordinator.publish(false, &changed, &tier);
-                harness::wait_until(|| front_end.last() == index).await;
-                harness::wait_until(|| front_end.show().matches("worker-").count() == before).await;
+                harness::wait_until(|| front_end.last_event() == index).await;
+                harness::wait_until(|| front_end.core_state().matches("worker-").count() == before)
+                    .await;
             })
             .await;
     }
--- a/crates/pipithub-hollow-node/tests/harness/mod.rs
+++ b/crates/pipithub-hollow-node/tests/harness/mod.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use pipithub_emulator::coordinator::{Behaviour, Coordinator, Tier};
-use pipithub_hollow_node::Hollow;
+use pipithub_hollow_node::HollowFrontEnd;
 use pipithub_platform::config::NodeConfig;
 use serde_json::{Value, json};
 
@@ -33,26 +33,30 @@
 }
 
 /// A hollow front end that follows this coordinator.
-pub(crate) fn start_hollow(coordinator: &Coordinator) -> Hollow {
+pub(crate) fn start_hollow(coordinator: &Coordinator) -> HollowFrontEnd {
     let config = NodeConfig::parse(&config(coordinator.address()).to_string()).expect("good");
-    Hollow::start(&config, |_| {})
+    HollowFrontEnd::start(&config, |_| {})
 }
 
 /// Waits until a condition holds; fails after a minute.
-pub(crate) async fn wait_until(mut holds: impl FnMut() -> bool) {
-    let turns = async {
-        while !holds() {
+pub(crate) async fn wait_until(mut condition: impl FnMut() -> bool) {
+    let poll = async {
+        while !condition() {
             // The coordinator runs on its own thread and cannot wake this task.
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
-    tokio::time::timeout(Duration::from_secs(60), turns)
+    tokio::time::timeout(Duration::from_secs(60), poll)
         .await
         .expect("the condition holds in time");
 }
 
 /// Publishes a complete list of this tier's workers, and waits until the front end has applied it.
-pub(crate) async fn publish_all(coordinator: &Coordinator, hollow: &Hollow, tier: &Tier) {
+pub(crate) async fn publish_all(
+    coordinator: &Coordinator,
+    front_end: &HollowFrontEnd,
+    tier: &Tier,
+) {
     let index = coordinator.publish(true, tier.hosts(), tier);
-    wait_until(|| hollow.last() == index).await;
+    wait_until(|| front_end.last_event() == index).await;
 }
--- a/crates/pipithub-storage/src/saver.rs
+++ b/crates/pipithub-storage/src/saver.rs
@@ -32,13 +32,13 @@
     pub fn start(files: Arc<dyn FileSystem>, target: Target) -> Self {
         let (newest, newest_receiver) = watch::channel(None);
         let (saved_sender, saved) = watch::channel(None);
-        let worker = Worker {
+        let task = SaveTask {
             files,
             target,
             newest: newest_receiver,
             saved: saved_sender,
         };
-        tokio::spawn(worker.run());
+        tokio::spawn(task.run());
         Saver { newest, saved }
     }
 
@@ -59,14 +59,14 @@
     }
 }
 
-struct Worker {
+struct SaveTask {
     files: Arc<dyn FileSystem>,
     target: Target,
     newest: watch::Receiver<Option<Version>>,
     saved: watch::Sender<Option<u64>>,
 }
 
-impl Worker {
+impl SaveTask {
     async fn run(mut self) {
         let mut backoff = Backoff::default();
         while self.newest.changed().await.is_ok() {
--- a/crates/pipithub-storage/tests/storage/disk.rs
+++ b/crates/pipithub-storage/tests/storage/disk.rs
@@ -80,7 +80,7 @@
 
 impl Disk {
     /// A disk with one file, whose content and name are synced.
-    pub(crate) fn with(path: &Path, content: &[u8]) -> Self {
+    pub(crate) fn with_file(path: &Path, content: &[u8]) -> Self {
         let inode = Inode {
             cached: content.into(),
             durable: content.into(),
--- a/crates/pipithub-storage/tests/storage/replace.rs
+++ b/crates/pipithub-storage/tests/storage/replace.rs
@@ -63,7 +63,7 @@
 
 #[test]
 fn without_faults_the_new_content_survives_a_power_failure() {
-    let disk = Disk::with(&path(), OLD);
+    let disk = Disk::with_file(&path(), OLD);
     replace(&disk, &target(), NEW).expect("no fault");
     assert_saved(&disk, "no fault");
     let operations = disk.operations();
@@ -87,7 +87,7 @@
     for operation in 0..OPERATIONS {
         for fault in faults() {
             let context = format!("{fault:?} of operation {operation}");
-            let disk = Disk::with(&path(), OLD);
+            let disk = Disk::with_file(&path(), OLD);
             disk.plan(move |n| (n == operation).then_some(fault));
             match replace(&disk, &target(), NEW) {
                 Ok(()) => assert_saved(&disk, &context),
@@ -117,7 +117,7 @@
                 .filter(|fault| !matches!(fault, Fault::KilledAfter(_) | Fault::ShortWrite(1..)))
             {
                 let context = format!("{fault:?} of {length} operations from {first}");
-                let disk = Disk::with(&path(), OLD);
+                let disk = Disk::with_file(&path(), OLD);
                 disk.plan(move |n| (first..first + length).contains(&n).then_some(fault));
                 let mut failures = 0;
                 while replace(&disk, &target(), NEW).is_err() {
@@ -146,7 +146,7 @@
                 ] {
                     let context =
                         format!("{first_fault:?} of {first}, {second_fault:?} of {second}");
-                    let disk = Disk::with(&path(), OLD);
+                    let disk = Disk::with_file(&path(), OLD);
                     disk.plan(move |n| match n {
                         n if n == first => Some(first_fault),
                         n if n == second => Some(second_fault),
@@ -167,7 +167,7 @@
 
 #[test]
 fn short_and_interrupted_writes_are_continued() {
-    let disk = Disk::with(&path(), OLD);
+    let disk = Disk::with_file(&path(), OLD);
     let interrupted = Fault::Fails(ErrorKind::Interrupted);
     disk.plan(move |n| match n {
         2.. if n < 2 + 2 * NEW.len() => Some(if n % 2 == 0 {
@@ -195,7 +195,7 @@
         Step::SyncFolder,
     ];
     for (operation, step) in steps.into_iter().enumerate() {
-        let disk = Disk::with(&path(), OLD);
+        let disk = Disk::with_file(&path(), OLD);
         disk.plan(move |n| (n == operation).then_some(Fault::Fails(ErrorKind::StorageFull)));
         let error = replace(&disk, &target(), NEW).expect_err("a fault");
         assert_eq!(
@@ -210,7 +210,7 @@
 fn unsynced_replacement_is_atomic_for_readers() {
     for operation in 0..OPERATIONS {
         for fault in faults() {
-            let disk = Disk::with(&path(), OLD);
+            let disk = Disk::with_file(&path(), OLD);
             disk.plan(move |n| (n == operation).then_some(fault));
             let _ = replace(&disk, &Target::new(path(), Durability::Unsynced), NEW);
             let content = disk.read(&path());
@@ -232,7 +232,7 @@
         Target::shared(path(), "fe-1", Durability::Synced),
     );
     for cut in 0..=NEW.len() {
-        let disk = Disk::with(&path(), OLD);
+        let disk = Disk::with_file(&path(), OLD);
         disk.plan(move |n| (n == 2).then_some(Fault::KilledAfter(cut)));
         replace(&disk, &other, NEW).expect_err("killed");
         disk.plan(|_| None);
@@ -249,7 +249,7 @@
 
 #[test]
 fn files_that_differ_only_in_their_extension_have_their_own_temporary_files() {
-    let disk = Disk::with(Path::new("/data/snapshot.fe-0"), OLD);
+    let disk = Disk::with_file(Path::new("/data/snapshot.fe-0"), OLD);
     for name in ["/data/snapshot.fe-0", "/data/snapshot.fe-1"] {
         disk.plan(|n| (n == 2).then_some(Fault::KilledAfter(1)));
         replace(&disk, &Target::new(name, Durability::Synced), NEW).expect_err("killed");
--- a/crates/pipithub-storage/tests/storage/saver.rs
+++ b/crates/pipithub-storage/tests/storage/saver.rs
@@ -16,7 +16,7 @@
 }
 
 fn disk() -> Disk {
-    Disk::with(&path(), OLD)
+    Disk::with_file(&path(), OLD)
 }
 
 fn saver(disk: &Disk) -> Saver {
