--- a/crates/pipithub-hollow-node/src/lib.rs
+++ b/crates/pipithub-hollow-node/src/lib.rs
@@ -1,9 +1,10 @@
-//! Hollow front ends, as the hollow nodes in scale tests of cluster managers: the core, the list reader and the settings
-//! of `pipithub node` as they are, without clients and without connections to workers, many in one process.
+//! Hollow front ends for scale tests, named after the hollow nodes with which Kubernetes is tested at scale. Each runs the
+//! core, the list reader and the settings of `pipithub node` unchanged, without clients and without connections to
+//! workers. Many of them run in one process.
 //!
-//! A coordinator sees the same requests from one as from a real front end, and its core has the same state after the same
-//! events; a test of this crate compares both. What it does not show: the sockets of clients and workers, the memory of a
-//! process, and what the system spends on as many processes.
+//! A coordinator receives the same requests from a hollow front end as from a real one, and the core has the same state
+//! after the same events; a test of this crate compares both. Hollow front ends do not model the sockets of clients and
+//! workers, the memory of a process, or the cost to the operating system of that many processes.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -16,10 +17,11 @@
 use tokio::sync::{Notify, watch};
 use tokio::task::JoinHandle;
 
-/// One hollow front end; it ends when dropped.
+/// A hollow front end. Its tasks are aborted when it is dropped.
 pub struct HollowFrontEnd {
     inner: Rc<Inner>,
-    /// Sends the coordinator's address; the task that follows the coordinator ends when this is dropped.
+    /// The sender of the coordinator's address. It is held because the task that follows the coordinator ends when the
+    /// sender is dropped.
     _coordinator: watch::Sender<String>,
     tasks: [JoinHandle<()>; 2],
 }
@@ -30,16 +32,16 @@
     last_event: Cell<u64>,
     applied_events: Cell<u64>,
     requested_effects: Cell<u64>,
-    /// When the running timer expires.
+    /// When the running timer expires; `Time::MAX` if no timer is running.
     timer_due: Cell<Time>,
-    /// Wakes the timer if something is due earlier.
+    /// Wakes the timer task when the core is due earlier than the running timer expires.
     timer_changed: Notify,
     on_event: Box<dyn Fn(u64)>,
 }
 
 impl HollowFrontEnd {
-    /// Starts a front end with this configuration; `on_event` is called with the index of each endpoint event once the core
-    /// has applied it. Must be called within a [`tokio::task::LocalSet`].
+    /// Starts a front end with this configuration. `on_event` is called with the index of each endpoint event once the
+    /// core has applied the event. Must be called within a [`tokio::task::LocalSet`].
     pub fn start(config: &NodeConfig, on_event: impl Fn(u64) + 'static) -> Self {
         let clock = Clock::unix();
         let last = config.known_updates.last().map_or(0, |e| e.index);
@@ -78,12 +80,12 @@
         }
     }
 
-    /// The index of the last endpoint event that the core has applied.
+    /// The index of the last endpoint event that the core has applied; 0 if it has none.
     pub fn last_event(&self) -> u64 {
         self.inner.last_event.get()
     }
 
-    /// The number of endpoint events that were applied since the start.
+    /// The number of endpoint events that the core has applied since the start.
     pub fn applied_events(&self) -> u64 {
         self.inner.applied_events.get()
     }
@@ -107,7 +109,8 @@
 }
 
 impl Inner {
-    /// Calls the core. A connection that it requests to a worker fails at once, so that nothing waits for it.
+    /// Calls the core, and counts the effects that the core requests instead of carrying them out. Each requested
+    /// connection to a worker fails at once, so that nothing waits for the connection.
     fn update_core(&self, update: impl FnOnce(&mut Core, Time)) {
         let now = self.clock.now();
         let mut core = self.core.borrow_mut();
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Calls [`Core::tick`] whenever it is due, as the real shell does.
+    /// Calls [`Core::tick`] whenever it is due, as the shell of a real front end does.
     async fn run_timer(self: Rc<Self>) {
         loop {
             let due = self.core.borrow().next_due();
--- a/crates/pipithub-hollow-node/tests/growth.rs
+++ b/crates/pipithub-hollow-node/tests/growth.rs
@@ -1,4 +1,4 @@
-//! How traffic and state of a front end grow with the number of workers, by counted bytes and entries.
+//! How the traffic and the state of a front end grow with the number of workers, in counted bytes and entries.
 
 mod harness;
 
@@ -9,7 +9,7 @@
 
 const SIZES: [usize; 3] = [10, 100, 1_000];
 
-/// What a front end has sent to its coordinator.
+/// The connections and bytes that a coordinator has received from its front end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Sent {
     connections: u64,
@@ -25,7 +25,7 @@
     }
 }
 
-/// A minute has sixty comments; they come at once here.
+/// Simulates an idle minute: a coordinator sends sixty comments in a minute, and here sends them at once.
 #[tokio::test]
 async fn idle_front_end_sends_the_same_bytes_whatever_the_number_of_workers() {
     let mut measured = Vec::new();
@@ -40,7 +40,7 @@
             for _ in 0..60 {
                 coordinator.comment();
             }
-            // Once the event behind them is applied, they have been read.
+            // Once the front end has applied the event that follows the comments, it has read the comments.
             let changed = tier.replace(0);
             let index = coordinator.publish(false, &changed, &tier);
             harness::wait_until(|| {
@@ -55,7 +55,8 @@
         });
         measured.push(counted.await);
     }
-    // One connection with one request of the same length, and nothing after that.
+    // With any number of workers, there is one connection with one request of the same length, and nothing is sent after
+    // that.
     let (first, _) = measured[0];
     assert!(first.connections == 1 && first.bytes > 0, "{measured:?}");
     let nothing = Sent {
@@ -91,6 +92,7 @@
                 coordinator.behave(|b| b.cut = false);
                 harness::wait_until(|| front_end.last_event() == index).await;
                 let end = coordinator.counts();
+                // Does not count the comments, of 3 bytes each, because their number depends on the time taken.
                 (end.sent_bytes - 3 * end.comments) - (start.sent_bytes - 3 * start.comments)
             });
             measured.push((changes, sent.await));
@@ -119,11 +121,11 @@
     );
     assert!(
         min_bytes(10) > 5 * min_bytes(1) / 2,
-        "events are counted at all: {measured:?}"
+        "10 events should take far more bytes than 1: {measured:?}"
     );
 }
 
-/// Workers are replaced each day: the state of a front end must not grow from day to day.
+/// Workers are replaced every day, so the state of a front end must not grow with the number of replacements.
 #[tokio::test]
 async fn core_forgets_replaced_workers() {
     let entries = |front_end: &HollowFrontEnd| front_end.core_state().matches("worker-").count();
@@ -142,7 +144,7 @@
                     index = coordinator.publish(false, &changed, &tier);
                 }
                 harness::wait_until(|| front_end.last_event() == index).await;
-                // The next sweep forgets the last of them.
+                // The next sweep removes the last of the replaced workers.
                 harness::wait_until(|| entries(&front_end) == fresh).await;
             })
             .await;
@@ -161,7 +163,7 @@
                 let before = front_end.core_state().matches("worker-").count();
                 let too_long = Tier::new(workers, 7);
                 coordinator.publish(true, too_long.hosts(), &too_long);
-                // It reconnects with the last event that it could apply.
+                // The front end reconnects and states the last event that it could apply.
                 harness::wait_until(|| coordinator.counts().connections >= 3).await;
                 let requests = coordinator.requests();
                 assert!(
--- a/crates/pipithub-hollow-node/tests/harness/mod.rs
+++ b/crates/pipithub-hollow-node/tests/harness/mod.rs
@@ -1,4 +1,6 @@
 //! Starts coordinators and front ends, and waits for their state.
+
+// Each test binary uses only some of the functions.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -22,33 +24,35 @@
     })
 }
 
-/// A coordinator that sends comments often, so that its stream is not taken for dead on a busy machine.
+/// Starts a coordinator that sends a comment every 200 ms, so that front ends do not consider its stream dead on a busy
+/// machine.
 pub(crate) fn start_coordinator() -> Coordinator {
     let comments = Some(Duration::from_millis(200));
     Coordinator::start(Behaviour {
         comments,
         ..Behaviour::default()
     })
-    .expect("listens")
+    .expect("the coordinator starts")
 }
 
-/// A hollow front end that follows this coordinator.
+/// Starts a hollow front end that follows this coordinator.
 pub(crate) fn start_hollow(coordinator: &Coordinator) -> HollowFrontEnd {
-    let config = NodeConfig::parse(&config(coordinator.address()).to_string()).expect("good");
+    let config = NodeConfig::parse(&config(coordinator.address()).to_string())
+        .expect("the configuration is valid");
     HollowFrontEnd::start(&config, |_| {})
 }
 
-/// Waits until a condition holds; fails after a minute.
+/// Waits until a condition holds; panics after a minute.
 pub(crate) async fn wait_until(mut condition: impl FnMut() -> bool) {
     let poll = async {
         while !condition() {
-            // The coordinator runs on its own thread and cannot wake this task.
+            // Polls, because the coordinator runs on its own thread and cannot wake this task.
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
     tokio::time::timeout(Duration::from_secs(60), poll)
         .await
-        .expect("the condition holds in time");
+        .expect("the condition holds within a minute");
 }
 
 /// Publishes a complete list of this tier's workers, and waits until the front end has applied it.
--- a/crates/pipithub-hollow-node/tests/same.rs
+++ b/crates/pipithub-hollow-node/tests/same.rs
@@ -12,20 +12,24 @@
 use pipithub_platform::config::NodeConfig;
 use tokio::task::{LocalSet, spawn_local};
 
-/// The worker index in Debug text once a round of maintenance has pruned its starts; all of this tier's are long past.
+/// A part of the worker index's Debug text once maintenance has removed all start times, which are long past for the
+/// workers of these tests.
 const PRUNED_STARTS: &str = "started: {}, reported_in_flight";
 
-/// The text without what only tells how long a front end has run, which two cannot share: points in Unix time, and how
-/// often the core's own timer has been set anew. That they are there counts, and not which they are.
+/// Replaces the numbers that depend on how long a front end has run, and therefore differ between two front ends, by
+/// placeholders: Unix times, the sequence number of the last timer, and the number of samples in a mean. Only their
+/// presence is compared.
 fn without_run_dependent_numbers(text: &str) -> String {
     let text = &without_sample_count(text);
     let (before, timers) = text
         .split_once("timers: Timers {")
-        .expect("the engine has timers");
+        .expect("the text has the engine's timers");
     let (timers, after) = timers
         .split_once("last_sequence: ")
-        .expect("the number of the last timer");
-    let (last, after) = after.split_once(' ').expect("it ends");
+        .expect("the timers have a last sequence number");
+    let (last, after) = after
+        .split_once(' ')
+        .expect("the last sequence number has an end");
     let heap = without_unix_times(timers).replace(&format!("sequence: {last},"), "sequence: N,");
     format!(
         "{}timers: Timers {{{heap}last_sequence: N {}",
@@ -34,17 +38,21 @@
     )
 }
 
-/// The text without the number of rounds of maintenance that a mean is over: it follows the time that the story took.
+/// Replaces the number of samples in the mean rate of warm workers by a placeholder. Each maintenance run may add a sample,
+/// so the number depends on how long the scenario took.
 fn without_sample_count(text: &str) -> String {
     let (before, rest) = text
         .split_once("mean_warm_rate: ")
-        .expect("the module keeps a usual rate");
-    let (mean, rest) = rest.split_once("samples: ").expect("a mean over samples");
+        .expect("the text has the mean rate of warm workers");
+    let (mean, rest) = rest
+        .split_once("samples: ")
+        .expect("the mean has a number of samples");
     let after = rest.trim_start_matches(|c: char| c.is_ascii_digit());
     format!("{before}mean_warm_rate: {mean}samples: N{after}")
 }
 
-/// Points in Unix time have 19 digits and begin so until the year 2033; a hash rarely does, and is then not compared.
+/// Replaces Unix times in nanoseconds by a placeholder. Until the year 2033 they have 19 digits and begin with 17, 18 or
+/// 19. A hash rarely has this form; if it does, it is not compared.
 fn without_unix_times(text: &str) -> String {
     let mut out = String::new();
     for piece in text.split_inclusive(|c: char| !c.is_ascii_digit()) {
@@ -57,7 +65,9 @@
     out
 }
 
-/// Ordinary replacements, a lost zone, a stream that breaks off inside an event, a cut, and every worker anew.
+/// Publishes all workers, replaces some and removes a zone. Then cuts the streams while events are published, and breaks
+/// the next stream off within one of them. Then cuts the streams again, and publishes all workers anew without a history.
+/// `wait_until_caught_up` is called whenever the front end can receive everything that was published.
 async fn run_scenario(
     coordinator: &Coordinator,
     tier: &mut Tier,
@@ -65,8 +75,8 @@
 ) {
     coordinator.publish(true, tier.hosts(), tier);
     wait_until_caught_up(tier).await;
-    for at in 0..5 {
-        let changed = tier.replace(at);
+    for worker in 0..5 {
+        let changed = tier.replace(worker);
         coordinator.publish(false, &changed, tier);
         wait_until_caught_up(tier).await;
     }
@@ -74,11 +84,11 @@
     coordinator.publish(false, &lost, tier);
     wait_until_caught_up(tier).await;
     cut_streams(coordinator).await;
-    for at in 5..9 {
-        let changed = tier.replace(at);
+    for worker in 5..9 {
+        let changed = tier.replace(worker);
         coordinator.publish(false, &changed, tier);
     }
-    // In the middle of the third event that was missed.
+    // Breaks the stream off in the middle of the third missed event.
     coordinator.break_off(1_200);
     coordinator.behave(|b| b.cut = false);
     wait_until_caught_up(tier).await;
@@ -91,12 +101,13 @@
     wait_until_caught_up(tier).await;
 }
 
+/// Makes the coordinator end all streams and reject connections, and waits until no stream is open.
 async fn cut_streams(coordinator: &Coordinator) {
     coordinator.behave(|b| b.cut = true);
     harness::wait_until(|| coordinator.counts().open == 0).await;
 }
 
-/// The names of the workers that the core knows, by the Debug text of its connections' table, sorted.
+/// The names of the workers that the core knows, in sorted order, from the Debug text of its connection pool.
 fn known_workers(text: &str) -> Vec<String> {
     let pool = text
         .split_once("ConnectionPool { max_connections")
@@ -112,9 +123,8 @@
     names.collect()
 }
 
-/// Waits until the core knows the tier's workers and no others, which each event of the story changes, and until a
-/// round of maintenance after that has pruned the starts that are long past: between the two a state depends on the
-/// moment at which it is read.
+/// Waits until the core knows exactly the workers of `tier`, and until maintenance has then removed the start times that
+/// are long past. Between the two, the state depends on the moment at which it is read.
 async fn wait_until_caught_up(text: impl Fn() -> String, tier: &Tier) {
     let mut names: Vec<String> = tier
         .hosts()
@@ -129,13 +139,17 @@
     .await;
 }
 
-/// The requests and the core's state after the story, of the real shell or of a hollow front end.
+/// Runs the scenario with a hollow or a real front end, and returns the requests that the coordinator received and the
+/// final state of the core.
 async fn run_front_end(is_hollow: bool) -> (Vec<String>, String) {
     let coordinator = harness::start_coordinator();
     let text = harness::config(coordinator.address()).to_string();
     let mut tier = Tier::new(210, 7);
     let state = if is_hollow {
-        let front_end = HollowFrontEnd::start(&NodeConfig::parse(&text).expect("good"), |_| {});
+        let front_end = HollowFrontEnd::start(
+            &NodeConfig::parse(&text).expect("the configuration is valid"),
+            |_| {},
+        );
         run_scenario(&coordinator, &mut tier, async |tier| {
             wait_until_caught_up(|| front_end.core_state(), tier).await;
         })
@@ -143,21 +157,21 @@
         assert_eq!(
             front_end.requested_effects(),
             0,
-            "the core wanted nothing that nobody does here"
+            "the core requested effects, which a hollow front end does not carry out"
         );
         front_end.core_state()
     } else {
-        let folder = tempfile::tempdir().expect("a folder");
+        let folder = tempfile::tempdir().expect("a temporary folder");
         let path = folder.path().join("node.json");
-        std::fs::write(&path, text).expect("written");
-        let node = Node::bind(&path, None).await.expect("starts");
+        std::fs::write(&path, text).expect("the configuration is written");
+        let node = Node::bind(&path, None).await.expect("the front end starts");
         let shared_core = Rc::new(RefCell::new(None));
         let core_slot = shared_core.clone();
         spawn_local(
             node.serve_sharing(move |core: Rc<RefCell<Core>>| *core_slot.borrow_mut() = Some(core)),
         );
         harness::wait_until(|| shared_core.borrow().is_some()).await;
-        let core = shared_core.borrow_mut().take().expect("shown");
+        let core = shared_core.borrow_mut().take().expect("the core is shared");
         run_scenario(&coordinator, &mut tier, async |tier| {
             wait_until_caught_up(|| format!("{:?}", core.borrow()), tier).await;
         })
@@ -165,7 +179,7 @@
         let state = format!("{:?}", core.borrow());
         state
     };
-    // Each has a coordinator of its own, whose port is all that may differ.
+    // Each front end has its own coordinator, and the requests may differ only in its port.
     let address = coordinator.address().to_string();
     let requests = coordinator
         .requests()
@@ -183,7 +197,7 @@
     assert_eq!(hollow.0, real.0);
     assert!(
         hollow.0.len() >= 4,
-        "the first, after the cut, after the break, and for every worker: {:?}",
+        "expected requests at the start, after each of two cuts and after the stream broke off: {:?}",
         hollow.0
     );
     assert_eq!(known_workers(&hollow.1).len(), 180);
@@ -194,7 +208,7 @@
     );
 }
 
-/// Where two texts part, with what stands around.
+/// The position of the first difference between two texts, with the text around it.
 fn first_difference(a: &str, b: &str) -> String {
     let at = a.bytes().zip(b.bytes()).take_while(|(x, y)| x == y).count();
     let around = |t: &str| {
