--- a/crates/pipithub-consensus/src/client.rs
+++ b/crates/pipithub-consensus/src/client.rs
@@ -147,7 +147,7 @@
         let first_sent = match self.in_flight {
             Some(request) if now < request.retry_at => return None,
             Some(request) => {
-                // This voter did not answer; another one may be the leader or know it.
+                // The voter did not answer; another voter may be the leader or know the leader.
                 self.target = (self.target + 1) % self.voters.len().max(1);
                 request.first_sent
             }
@@ -170,7 +170,7 @@
         })
     }
 
-    /// Handles a message of a voter. Messages to other clients and to former runs are ignored.
+    /// Handles a message of a voter. Messages to other clients and responses to other runs are ignored.
     pub fn handle_message(&mut self, now: Time, message: WireMessage) -> Option<Notification> {
         match message {
             WireMessage::Response {
@@ -193,7 +193,8 @@
         }
     }
 
-    /// Makes the next attempt due at once, at the leader if the voter knows it.
+    /// If the voter knows the leader, makes the next attempt due at once and sends it there. Otherwise the next attempt
+    /// waits for the retry interval.
     fn on_not_leader(&mut self, now: Time, sequence: u64, leader: Option<u64>) {
         if self.pending.front().map(|request| request.sequence) != Some(sequence) {
             return;
@@ -248,7 +249,8 @@
     /// Records a granted lease. Its duration starts when the request was first sent, the earliest time at which the log
     /// can have applied it.
     fn record_lease(&mut self, lease: String, epoch: u64, first_sent: Time, duration: Time) {
-        // The log may grant a lease whose release is pending to another front end before this run has the response.
+        // If a release of this lease is pending, the log may grant the lease to another front end before this run has
+        // the response to the release.
         if self.is_release_pending(&lease) {
             return;
         }
--- a/crates/pipithub-consensus/src/command.rs
+++ b/crates/pipithub-consensus/src/command.rs
@@ -15,8 +15,8 @@
         lease: String,
         /// Epoch of the sender.
         epoch: u64,
-        /// Duration of the lease in nanoseconds, from when the log applies the command; longer ones than ten minutes
-        /// are shortened.
+        /// Duration of the lease in nanoseconds, from when the log applies the command. A duration over ten minutes is
+        /// shortened to ten minutes.
         duration: Time,
     },
     /// Releases a lease before it expires.
@@ -43,11 +43,11 @@
 pub struct Request {
     /// Name of the front end.
     pub client: String,
-    /// Id of the front end's run, different for each run of the name.
+    /// Id of the run of the front end. Each start under the same name is a run with its own id.
     pub boot_id: u64,
     /// Number of the command within the run, from 1.
     pub sequence: u64,
-    /// What is to be changed.
+    /// The command to execute.
     pub command: Command,
 }
 
@@ -56,7 +56,7 @@
 pub struct TimestampedRequest {
     /// The log's time in nanoseconds, as stamped by the leader that proposed the entry.
     pub at: Time,
-    /// The request that is applied.
+    /// The request to apply.
     pub request: Request,
 }
 
@@ -74,9 +74,9 @@
         /// Time until the lease expires unless it is extended, in nanoseconds.
         remaining: Time,
     },
-    /// The epoch of the command is not the current one of this name.
+    /// The epoch in the command is not the current epoch of the front end.
     Fenced {
-        /// The current epoch; 0 if the name has none.
+        /// The current epoch; 0 if the front end has none.
         epoch: u64,
     },
     /// The command was carried out.
--- a/crates/pipithub-consensus/src/log.rs
+++ b/crates/pipithub-consensus/src/log.rs
@@ -6,7 +6,7 @@
 
 use crate::storage::{LogEntry, StoredLog};
 
-/// Index and term of the empty snapshot that all voters start from, so that their logs begin at one place.
+/// Index and term of the empty snapshot that all voters start from, so that their logs begin at the same index.
 const FIRST_SNAPSHOT_INDEX: u64 = 1;
 const FIRST_SNAPSHOT_TERM: u64 = 1;
 
@@ -62,7 +62,7 @@
 }
 
 impl Log {
-    /// Loads a stored log. An empty one starts with these voters.
+    /// Loads a stored log. A log without a snapshot starts with `voters`.
     pub(crate) fn load(stored: &StoredLog, voters: &[u64]) -> Result<Log, LogError> {
         let mut log = Log::default();
         log.load_snapshot(stored, voters)?;
--- a/crates/pipithub-consensus/src/message.rs
+++ b/crates/pipithub-consensus/src/message.rs
@@ -16,7 +16,7 @@
     Response {
         /// Name of the client.
         client: String,
-        /// Id of the client's run, different for each run of the name.
+        /// Id of the client's run, as in the request.
         boot_id: u64,
         /// Sequence number of the request.
         sequence: u64,
@@ -47,7 +47,7 @@
     Tick,
 }
 
-/// An effect for the caller to carry out.
+/// An action for the caller to carry out, or a change of the voter's state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send an encoded message to another voter.
@@ -72,7 +72,7 @@
         index: u64,
         /// Term in which it was proposed.
         term: u64,
-        /// The request in it; `None` for an entry of the engine itself.
+        /// The request in it; `None` for an entry of the engine itself, or one that cannot be decoded.
         request: Option<TimestampedRequest>,
     },
     /// The state was replaced by another voter's snapshot.
--- a/crates/pipithub-consensus/src/state.rs
+++ b/crates/pipithub-consensus/src/state.rs
@@ -11,7 +11,7 @@
 const MAX_CLIENTS: usize = 10_000;
 /// Largest number of leases.
 const MAX_LEASES: usize = 100_000;
-/// Longest duration of a lease: ten minutes. A holder that crashes blocks others for that long.
+/// Longest duration of a lease: ten minutes. A crashed holder blocks other front ends for at most this long.
 const MAX_LEASE_DURATION: Time = 600_000_000_000;
 
 /// A lease in the replicated state.
--- a/crates/pipithub-consensus/src/storage.rs
+++ b/crates/pipithub-consensus/src/storage.rs
@@ -39,7 +39,7 @@
 }
 
 impl StoredLog {
-    /// Changes the content as the batch prescribes.
+    /// Applies a batch to the content.
     pub fn apply(&mut self, batch: &WriteBatch) {
         if let Some(snapshot) = &batch.snapshot {
             self.snapshot = Some(snapshot.clone());
--- a/crates/pipithub-consensus/src/voter.rs
+++ b/crates/pipithub-consensus/src/voter.rs
@@ -32,7 +32,7 @@
 const MAX_PROPOSALS_IN_FLIGHT: usize = 4_096;
 /// Ticks without a proposal after which a leader proposes an advance of the log's time.
 const CLOCK_ADVANCE_TICKS: u32 = 10;
-/// A new election timeout is drawn every 2 to the power of this many ticks.
+/// Base-2 logarithm of the number of ticks after which a new election timeout is drawn: 64 ticks.
 const REDRAW_TICKS_LOG2: u32 = 6;
 
 /// Configuration of a voter.
@@ -105,17 +105,17 @@
     node: RawNode<Log>,
     state: State,
     applied: u64,
-    /// Messages that may be sent only when the batch of that number is on disk.
+    /// Messages that may be sent only once a batch is on disk, by the number of the batch.
     awaiting_persistence: BTreeMap<u64, Vec<Message>>,
-    /// Number of the batch with a received snapshot. Until it is on disk, the engine must not count the snapshot as
-    /// applied.
+    /// Number of the batch with a received snapshot; `None` if no such batch is pending. Until the batch is on disk, the
+    /// engine must not count the snapshot as applied.
     restoring_batch: Option<u64>,
     seed: u64,
     ticks: u64,
     is_leader: bool,
     last_tick: Time,
     now: Time,
-    /// The log's time when this voter last became the leader or a follower.
+    /// The log's time when this voter last became the leader or ceased to be the leader.
     clock_base: ClockBase,
     ticks_since_proposal: u32,
     proposals_in_flight: usize,
@@ -197,8 +197,8 @@
     }
 
     /// The log's time, as this leader computes it: the latest timestamp in the log at its election, plus the time since
-    /// then by its own clock. So the log's time never advances faster than real time, also across changes of the
-    /// leader.
+    /// then by its own clock. The log's time therefore never advances faster than real time, even across changes
+    /// of the leader.
     fn log_time(&self) -> Time {
         let elapsed = self.now.saturating_sub(self.clock_base.local_time);
         self.clock_base.log_time + elapsed
@@ -217,7 +217,7 @@
         self.process_ready(out);
     }
 
-    /// Passes a message to the engine. One that cannot be decoded or is for another voter is ignored, as if it were
+    /// Passes a message to the engine. A message that cannot be decoded or is for another voter is ignored, as if it were
     /// lost.
     fn on_raft_message(&mut self, bytes: &[u8]) {
         if let Ok(message) = decode::<Message>(bytes)
--- a/crates/pipithub-consensus/src/voter/ready.rs
+++ b/crates/pipithub-consensus/src/voter/ready.rs
@@ -114,7 +114,7 @@
         out.push(Output::SnapshotRestored { index });
     }
 
-    /// Reports a change of leadership, and computes the log's time from the current log from now on.
+    /// Reports a change of leadership, and bases the log's time on the latest timestamp in the log from now on.
     fn update_leadership(&mut self, out: &mut Vec<Output>) {
         let is_leader = self.node.raft.state == StateRole::Leader;
         if is_leader == self.is_leader {
@@ -132,8 +132,8 @@
         });
     }
 
-    /// The latest timestamp in the log or the state. An entry with a later one that is not in the log of a leader
-    /// cannot be committed any more.
+    /// The latest timestamp in the log or the state. If this voter is the leader, an entry with a later timestamp cannot
+    /// be committed any more, because it is not in the leader's log.
     fn latest_log_time(&self) -> u64 {
         let timestamp = |entry: &Entry| {
             postcard::from_bytes::<TimestampedRequest>(&entry.data).map_or(0, |request| request.at)
--- a/crates/pipithub-consensus/tests/client.rs
+++ b/crates/pipithub-consensus/tests/client.rs
@@ -44,7 +44,7 @@
     assert_eq!(
         client.next_message(1_100).unwrap().voter,
         2,
-        "without a response the next voter is asked"
+        "without a response, the request is sent to the next voter"
     );
     assert!(client.held_lease("lease", 1_100).is_none());
     respond(&mut client, 2_000, sequence, Response::Granted);
--- a/crates/pipithub-consensus/tests/growth.rs
+++ b/crates/pipithub-consensus/tests/growth.rs
@@ -20,7 +20,7 @@
     input: Input,
 }
 
-/// Three voters whose messages arrive in order and whose disks store at once.
+/// Three voters whose messages arrive in order and whose disks store each batch at once.
 struct Group {
     voters: Vec<Voter>,
     now: u64,
@@ -114,7 +114,7 @@
         })
     }
 
-    /// Commits entries of ten front ends and returns their cost.
+    /// Commits this number of entries from ten front ends and returns the cost of an entry.
     fn commit(&mut self, entries: u64) -> EntryCost {
         let (messages, bytes, responses) = (self.messages, self.bytes, self.responses);
         for _ in 0..entries {
@@ -134,7 +134,7 @@
         assert_eq!(
             self.responses - responses,
             entries,
-            "not every request has a response"
+            "each request has one response"
         );
         EntryCost {
             messages: (self.messages - messages) as f64 / entries as f64,
@@ -153,7 +153,7 @@
     let first_snapshot = group.snapshot_bytes;
     assert!(
         first_snapshot > 100 && early.messages >= 2.0 && early.bytes > 50.0,
-        "{first_snapshot} {} {}",
+        "{first_snapshot} bytes in a snapshot, {} messages and {} bytes per entry",
         early.messages,
         early.bytes
     );
@@ -161,20 +161,20 @@
     let late = group.commit(200);
     assert!(
         late.messages <= early.messages * 1.01,
-        "messages an entry: {} and {}",
+        "messages per entry: {} early, {} late",
         early.messages,
         late.messages
     );
-    // Larger numbers take more bytes.
+    // Larger indexes and sequence numbers take more bytes.
     assert!(
         late.bytes <= early.bytes * 1.1,
-        "bytes an entry: {} and {}",
+        "bytes per entry: {} early, {} late",
         early.bytes,
         late.bytes
     );
     assert!(
         group.snapshot_bytes <= first_snapshot + first_snapshot / 5,
-        "bytes of a snapshot: {first_snapshot} and {}",
+        "bytes of a snapshot: {first_snapshot} for the first, {} for the last",
         group.snapshot_bytes
     );
 }
--- a/crates/pipithub-consensus/tests/random_faults.rs
+++ b/crates/pipithub-consensus/tests/random_faults.rs
@@ -10,11 +10,12 @@
 
 const CLIENTS: usize = 4;
 const FAULTS: usize = 30;
-/// By how many entries a voter may be behind the others once all faults are over.
+/// Largest number of entries by which a voter may be behind the others once all faults are over.
 const MAX_LAG: u64 = 50;
 /// Number of seeds of the long run, unless `PIPITHUB_SEEDS` gives another.
 const DEFAULT_LONG_RUN_SEEDS: u64 = 1_000;
 
+/// The number of entries by which the slowest running voter is behind the fastest one.
 fn lag(simulation: &Simulation) -> u64 {
     let applied = simulation.applied_indexes();
     let first = applied.iter().min().copied().unwrap_or(0);
@@ -22,7 +23,8 @@
     last - first
 }
 
-/// Runs a scenario of random faults. Its violations include those of the state after all faults are over.
+/// Runs a scenario of random faults. A failure to recover is also a violation: after all faults are over, no lease is
+/// granted or a voter does not catch up.
 fn run_scenario(seed: u64, injected: InjectedFault) -> Simulation {
     let voters = if seed.is_multiple_of(2) { 3 } else { 5 };
     let mut simulation = Simulation::new(seed, voters, CLIENTS, injected);
@@ -49,7 +51,7 @@
     simulation
 }
 
-/// Whether a scenario with this injected fault has a violation with this text, or makes the engine panic.
+/// Whether any of 60 scenarios with this injected fault has a violation with this text, or makes the engine panic.
 fn finds_violation(injected: InjectedFault, violation: &str) -> bool {
     (0..60).any(|seed| {
         // The engine itself panics where it detects an impossible state.
@@ -156,9 +158,9 @@
     );
 }
 
-/// A long run, by hand: `PIPITHUB_SEEDS=1000 cargo test --release -p pipithub-consensus -- --ignored`.
+/// A long run, to be started by hand: `PIPITHUB_SEEDS=1000 cargo test --release -p pipithub-consensus -- --ignored`.
 #[test]
-#[ignore = "long: a command, not part of CI"]
+#[ignore = "takes long; run by hand, not in CI"]
 fn random_faults_on_many_seeds_cause_no_violation() {
     let seeds = std::env::var("PIPITHUB_SEEDS")
         .ok()
--- a/crates/pipithub-consensus/tests/simulation/mod.rs
+++ b/crates/pipithub-consensus/tests/simulation/mod.rs
@@ -23,7 +23,7 @@
 const DISK_LATENCY: Time = 2 * MS;
 /// Largest number of requests that a client has pending.
 const MAX_PENDING: usize = 3;
-/// Violations of leases that are recorded; further ones say nothing new.
+/// Violations of leases are recorded only up to this number of violations, because further ones add no information.
 const MAX_VIOLATIONS: usize = 50;
 
 #[derive(Clone)]
@@ -41,7 +41,7 @@
     /// `None` while the process is crashed.
     pub(crate) core: Option<Voter>,
     pub(crate) disk: StoredLog,
-    /// Number of starts.
+    /// Number of starts of the process, which is also the number of the current run.
     run: u64,
 }
 
@@ -57,7 +57,7 @@
     rate: f64,
 }
 
-/// Processes are numbered: first the voters, then the clients.
+/// A simulated consensus group with its clients. Processes are numbered: first the voters, then the clients.
 pub(crate) struct Simulation {
     pub(crate) network: Network<Message>,
     pub(crate) voters: Vec<VoterProcess>,
@@ -68,7 +68,7 @@
     leaders: BTreeMap<u64, usize>,
     /// Each committed entry by its index, as the first voter applied it.
     pub(crate) committed: BTreeMap<u64, String>,
-    /// Number of entries that voters applied.
+    /// Number of entries that voters applied, summed over all voters.
     pub(crate) applied: u64,
     /// Number of leases that were granted or extended.
     pub(crate) granted: u64,
@@ -296,7 +296,7 @@
         };
     }
 
-    /// No two clients may hold one lease at the same time.
+    /// Records a violation for each lease that two or more clients hold at the same time.
     fn check_leases(&mut self) {
         for lease in LEASES {
             let holds_lease = |client: &usize| {
--- a/crates/pipithub-endpoints/src/cache.rs
+++ b/crates/pipithub-endpoints/src/cache.rs
@@ -95,7 +95,7 @@
 /// A worker's present age in milliseconds: its age when the list was written, plus the wall time since then.
 ///
 /// If the list was written in the future, the wall clock was stepped back by an unknown time, and nothing is added.
-/// Returns `None` if the start lies after the writing of the list; such a worker counts as started long ago.
+/// Returns `None` if the worker started after the list was written; such a worker counts as started long ago.
 fn age_across_restart(started_ms: u64, written_ms: u64, wall_ms: u64) -> Option<u64> {
     let age_then = written_ms.checked_sub(started_ms)?;
     Some(age_then.saturating_add(wall_ms.saturating_sub(written_ms)))
--- a/crates/pipithub-endpoints/src/lib.rs
+++ b/crates/pipithub-endpoints/src/lib.rs
@@ -6,8 +6,8 @@
 //!
 //! Two annotations of a slice hold what Kubernetes has no fields for. Both map the `targetRef.uid` of an endpoint to a
 //! number: `pipithub.dev/started-ms` to the Unix time of its start in milliseconds, and `pipithub.dev/memory-mb` to its
-//! memory in MB. Without the first one, an endpoint that a watch event adds counts as started at that time, and an
-//! endpoint of the first list as started long ago.
+//! memory in MB. Without the first one, an endpoint of the first list counts as started long ago, and an endpoint that
+//! a later list or a watch event adds counts as started at that time.
 
 mod cache;
 pub mod object;
@@ -45,7 +45,7 @@
         /// The position and the cause of the error.
         source: serde_json::Error,
     },
-    /// The list has more endpoints than [`MAX_ENDPOINTS`]; this many.
+    /// The list has this many endpoints, which is more than [`MAX_ENDPOINTS`].
     #[error("{0} endpoints exceed the maximum of {MAX_ENDPOINTS}")]
     TooMany(usize),
     /// The server sent a `Status` object with an error.
@@ -76,7 +76,7 @@
     uid: String,
     zone: String,
     memory_mb: f64,
-    /// When the endpoint started, on the caller's clock; `None` if that was long ago.
+    /// When the endpoint started, on the caller's clock; `None` if it counts as started long ago.
     started: Option<Time>,
 }
 
@@ -89,7 +89,8 @@
     slices: BTreeMap<String, EndpointSlice>,
     /// The endpoints by their addresses.
     known: BTreeMap<String, KnownEndpoint>,
-    /// Whether a list was read, so that a new endpoint has just started.
+    /// Whether a list was read before. An endpoint that is added after that counts as just started if it has
+    /// no annotation with its start time.
     listed: bool,
 }
 
@@ -241,7 +242,8 @@
                     continue;
                 };
                 let found = self.known_endpoint(slice, endpoint, &address, reading);
-                // While an endpoint is moved between slices, it may be in two of them. It drains if one of them says so.
+                // While an endpoint is moved between slices, it may be in two of them. It counts as draining if one of
+                // them says so.
                 let is_draining = next
                     .get(&address)
                     .is_some_and(|known| known.state == EndpointState::Draining);
@@ -272,6 +274,7 @@
         removed.chain(changed).collect()
     }
 
+    /// Derives an endpoint from its entry in a slice, its annotations, and what is known of it.
     fn known_endpoint(
         &self,
         slice: &EndpointSlice,
@@ -293,7 +296,7 @@
                 .copied()
                 .filter(|number| number.is_finite() && *number >= 0.0)
         };
-        // A start in the future, by a clock that was stepped back, counts as now. The worker is then considered to be
+        // A start in the future, because the clock was stepped back, counts as now. The worker is then considered to be
         // warming up for one slow-start window at most.
         let annotated_start = annotated_number(STARTED_ANNOTATION)
             .map(|stamp_ms| reading.time_of_stamp(stamp_ms as u64));
--- a/crates/pipithub-endpoints/src/object.rs
+++ b/crates/pipithub-endpoints/src/object.rs
@@ -1,4 +1,4 @@
-//! The parts of Kubernetes objects that are used. All other fields are ignored.
+//! The fields of Kubernetes objects that are used here. All other fields are ignored.
 
 use std::collections::BTreeMap;
 
@@ -119,10 +119,10 @@
     /// The conditions, from which the endpoint's state is derived.
     #[serde(default)]
     pub conditions: Conditions,
-    /// The zone in which the endpoint runs.
+    /// The zone in which the endpoint runs; `None` if it is unknown.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// The pod behind the endpoint.
+    /// The pod behind the endpoint; `None` if it is not stated.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub target_ref: Option<TargetRef>,
 }
--- a/crates/pipithub-endpoints/tests/watch.rs
+++ b/crates/pipithub-endpoints/tests/watch.rs
@@ -45,11 +45,11 @@
         .collect()
 }
 
-/// Passes a line to the watcher, and returns the changes, which there must be.
+/// Passes a line to the watcher and returns the changes. Panics if there are none.
 fn changes(watcher: &mut Watcher, now: Time, line: &[u8]) -> Vec<Endpoint> {
     match watcher.apply_watch_line(now, WALL_MS, line) {
         Ok(WatchStep::Changes(changes)) => changes,
-        other => panic!("no changes: {other:?}"),
+        other => panic!("expected changes, got {other:?}"),
     }
 }
 
@@ -250,7 +250,7 @@
     assert_eq!(
         watcher
             .apply_list(0, WALL_MS, &list("7", vec![null]))
-            .expect("empty"),
+            .expect("an empty list"),
         []
     );
 }
@@ -346,7 +346,8 @@
     );
 }
 
-/// A file that was edited by hand or damaged may have a start after its writing, or extreme numbers.
+/// A file that was edited by hand or damaged may have a start time after the time at which it was written, or extreme
+/// numbers.
 #[test]
 fn cached_start_in_the_future_counts_as_long_ago() {
     let text = |wall_ms: u64, started_ms: u64| {
--- a/crates/pipithub-storage/src/replace.rs
+++ b/crates/pipithub-storage/src/replace.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// A replacement failed. After a power failure the file may hold either content.
+/// A replacement failed. The file holds either the old or the complete new content; a power failure may change which.
 #[derive(Debug, thiserror::Error)]
 #[error("{step} {}: {source}", path.display())]
 pub struct ReplaceError {
@@ -147,7 +147,7 @@
         .rename(temporary, path)
         .map_err(failed(Step::Rename, path))?;
     if *durability == Durability::Synced {
-        // Without this, the old file could be there again after a power failure.
+        // Without this, the path could refer to the old file again after a power failure.
         files
             .sync_folder(target.folder())
             .map_err(failed(Step::SyncFolder, target.folder()))?;
--- a/crates/pipithub-storage/src/saver.rs
+++ b/crates/pipithub-storage/src/saver.rs
@@ -42,7 +42,7 @@
         Saver { newest, saved }
     }
 
-    /// Requests that this content be saved. [`Saver::saved`] then reports its number.
+    /// Requests that this content be saved. Once it is, [`Saver::saved`] reports `number`.
     pub fn save(&self, number: u64, content: impl Into<Arc<[u8]>>) {
         self.newest.send_replace(Some(Version {
             number,
@@ -50,8 +50,8 @@
         }));
     }
 
-    /// A receiver of the number of the content that was saved last; `None` until then. With [`Durability::Synced`],
-    /// that content is on disk. The channel is closed once the task has ended.
+    /// A receiver of the number of the content that was saved last; `None` until content has been saved. With
+    /// [`Durability::Synced`], that content is on disk. The channel is closed once the task has ended.
     ///
     /// [`Durability::Synced`]: crate::Durability::Synced
     pub fn saved(&self) -> watch::Receiver<Option<u64>> {
--- a/crates/pipithub-storage/tests/storage/disk.rs
+++ b/crates/pipithub-storage/tests/storage/disk.rs
@@ -14,9 +14,10 @@
     Fails(ErrorKind),
     /// It has its effect, but reports a failure.
     FailsAfterEffect,
-    /// A write succeeds with so many bytes at most. Other operations are not affected.
+    /// A write succeeds, but writes at most this many bytes. Other operations are not affected.
     ShortWrite(usize),
-    /// The process is killed: a write has written so many bytes, and all later operations fail without an effect.
+    /// The process is killed: a write has written at most this many bytes, a sync has no effect, and another operation has
+    /// its whole effect. All later operations fail without an effect.
     KilledAfter(usize),
 }
 
@@ -79,7 +80,7 @@
 pub(crate) struct Disk(Arc<Mutex<State>>);
 
 impl Disk {
-    /// A disk with one file, whose content and name are synced.
+    /// Creates a disk with one file, whose content and name are synced.
     pub(crate) fn with_file(path: &Path, content: &[u8]) -> Self {
         let inode = Inode {
             cached: content.into(),
@@ -99,7 +100,9 @@
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.0.lock().expect("no test panics with the lock")
+        self.0
+            .lock()
+            .expect("no test panics while it holds the lock")
     }
 
     /// Sets the plan for the operations from now on, which are counted from 0. A killed process runs again.
@@ -128,8 +131,8 @@
         self.state().names.keys().cloned().collect()
     }
 
-    /// All contents that may be read after a power failure: any number of unsynced changes of names may be on disk, and
-    /// any number of unsynced bytes.
+    /// All contents that may be read after a power failure: any number of unsynced changes of names and any number of
+    /// unsynced bytes may have reached the disk.
     pub(crate) fn after_power_failure(&self, path: &Path) -> Vec<Option<Vec<u8>>> {
         let state = self.state();
         let mut contents = Vec::new();
--- a/crates/pipithub-storage/tests/storage/replace.rs
+++ b/crates/pipithub-storage/tests/storage/replace.rs
@@ -96,7 +96,7 @@
             assert_complete(&disk, &context);
             disk.plan(|_| None);
             replace(&disk, &target(), NEW)
-                .unwrap_or_else(|error| panic!("{context}, then none: {error}"));
+                .unwrap_or_else(|error| panic!("{context}, then a retry without faults: {error}"));
             assert_saved(&disk, &context);
             assert_eq!(
                 disk.names(),
@@ -205,7 +205,7 @@
     }
 }
 
-/// A report need not survive a power failure, but no reader may see a part of it.
+/// Unsynced content need not survive a power failure, but no reader may see only a part of it.
 #[test]
 fn unsynced_replacement_is_atomic_for_readers() {
     for operation in 0..OPERATIONS {
@@ -224,7 +224,7 @@
     }
 }
 
-/// One of two writers is killed at each byte of its content while the other one replaces the file.
+/// One of two writers is killed at any byte of its content, and the other one then replaces the file.
 #[test]
 fn writers_of_one_file_have_their_own_temporary_files() {
     let (one, other) = (
@@ -238,7 +238,7 @@
         disk.plan(|_| None);
         let names = disk.names();
         replace(&disk, &one, NEW).expect("no fault");
-        assert_saved(&disk, "beside a killed writer");
+        assert_saved(&disk, "after the other writer was killed");
         assert_eq!(
             disk.names().len(),
             names.len(),
@@ -259,7 +259,7 @@
 
 #[test]
 fn system_files_are_replaced_and_temporary_files_removed() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let target = Target::new(folder.path().join("record"), Durability::Synced);
     std::fs::write(
         folder.path().join("record.new"),
--- a/crates/pipithub-storage/tests/storage/saver.rs
+++ b/crates/pipithub-storage/tests/storage/saver.rs
@@ -35,7 +35,7 @@
 
 fn assert_on_disk(disk: &Disk, content: &[u8]) {
     for read in disk.after_power_failure(Path::new("/data/record")) {
-        assert_eq!(read.as_deref(), Some(content), "reported as saved");
+        assert_eq!(read.as_deref(), Some(content), "after a power failure");
     }
 }
 
