--- a/crates/pipithub-consensus/src/voter.rs
+++ b/crates/pipithub-consensus/src/voter.rs
@@ -107,8 +107,8 @@
     applied: u64,
     /// Messages that may be sent only once a batch is on disk, by the number of the batch.
     awaiting_persistence: BTreeMap<u64, Vec<Message>>,
-    /// Number of the batch with a received snapshot; `None` if no such batch is pending. Until the batch is on disk, the
-    /// engine must not count the snapshot as applied.
+    /// Number of the batch with a received snapshot; `None` if no such batch is pending. Until the batch is on disk,
+    /// the engine must not count the snapshot as applied.
     restoring_batch: Option<u64>,
     seed: u64,
     ticks: u64,
@@ -217,8 +217,8 @@
         self.process_ready(out);
     }
 
-    /// Passes a message to the engine. A message that cannot be decoded or is for another voter is ignored, as if it were
-    /// lost.
+    /// Passes a message to the engine. A message that cannot be decoded or is for another voter is ignored, as if it
+    /// were lost.
     fn on_raft_message(&mut self, bytes: &[u8]) {
         if let Ok(message) = decode::<Message>(bytes)
             && message.to == self.settings.id
--- a/crates/pipithub-consensus/src/voter/ready.rs
+++ b/crates/pipithub-consensus/src/voter/ready.rs
@@ -132,8 +132,8 @@
         });
     }
 
-    /// The latest timestamp in the log or the state. If this voter is the leader, an entry with a later timestamp cannot
-    /// be committed any more, because it is not in the leader's log.
+    /// The latest timestamp in the log or the state. If this voter is the leader, an entry with a later timestamp
+    /// cannot be committed any more, because it is not in the leader's log.
     fn latest_log_time(&self) -> u64 {
         let timestamp = |entry: &Entry| {
             postcard::from_bytes::<TimestampedRequest>(&entry.data).map_or(0, |request| request.at)
--- a/crates/pipithub-consensus/tests/simulation/faults.rs
+++ b/crates/pipithub-consensus/tests/simulation/faults.rs
@@ -51,8 +51,8 @@
         self.network.set_paused(process, paused);
     }
 
-    /// Injects or ends a fault at random: crashes or starts a voter, restarts a client, pauses or resumes a process, cuts
-    /// or restores links.
+    /// Injects or ends a fault at random: crashes or starts a voter, restarts a client, pauses or resumes a process,
+    /// cuts or restores links.
     pub(crate) fn inject_random_fault(&mut self) {
         let (voters, size) = (self.voters.len(), self.clocks.len());
         let rng = &mut self.network.rng;
--- a/crates/pipithub-hollow-node/src/lib.rs
+++ b/crates/pipithub-hollow-node/src/lib.rs
@@ -1,5 +1,5 @@
-//! Hollow front ends for scale tests, named after the hollow nodes with which Kubernetes is tested at scale. Each runs the
-//! core, the list reader and the settings of `pipithub node` unchanged, without clients and without connections to
+//! Hollow front ends for scale tests, named after the hollow nodes with which Kubernetes is tested at scale. Each runs
+//! the core, the list reader and the settings of `pipithub node` unchanged, without clients and without connections to
 //! workers. Many of them run in one process.
 //!
 //! A coordinator receives the same requests from a hollow front end as from a real one, and the core has the same state
--- a/crates/pipithub-hollow-node/tests/growth.rs
+++ b/crates/pipithub-hollow-node/tests/growth.rs
@@ -25,7 +25,7 @@
     }
 }
 
-/// Simulates an idle minute: a coordinator sends sixty comments in a minute, and here sends them at once.
+/// The coordinator sends the sixty comments of an idle minute at once.
 #[tokio::test]
 async fn idle_front_end_sends_the_same_bytes_whatever_the_number_of_workers() {
     let mut measured = Vec::new();
@@ -55,8 +55,8 @@
         });
         measured.push(counted.await);
     }
-    // With any number of workers, there is one connection with one request of the same length, and nothing is sent after
-    // that.
+    // With any number of workers, there is one connection with one request of the same length, and nothing is sent
+    // after that.
     let (first, _) = measured[0];
     assert!(first.connections == 1 && first.bytes > 0, "{measured:?}");
     let nothing = Sent {
--- a/crates/pipithub-hollow-node/tests/same.rs
+++ b/crates/pipithub-hollow-node/tests/same.rs
@@ -17,8 +17,8 @@
 const PRUNED_STARTS: &str = "started: {}, reported_in_flight";
 
 /// Replaces the numbers that depend on how long a front end has run, and therefore differ between two front ends, by
-/// placeholders: Unix times, the sequence number of the last timer, and the number of samples in a mean. Only their
-/// presence is compared.
+/// placeholders: Unix times, the sequence number of the last timer, which counts how often a timer was set, and the number
+/// of samples in a mean. Only the presence of these numbers is compared.
 fn without_run_dependent_numbers(text: &str) -> String {
     let text = &without_sample_count(text);
     let (before, timers) = text
@@ -38,8 +38,8 @@
     )
 }
 
-/// Replaces the number of samples in the mean rate of warm workers by a placeholder. Each maintenance run may add a sample,
-/// so the number depends on how long the scenario took.
+/// Replaces the number of samples in the mean rate of warm workers by a placeholder. Each round of maintenance may add a
+/// sample, so the number depends on how long the scenario took.
 fn without_sample_count(text: &str) -> String {
     let (before, rest) = text
         .split_once("mean_warm_rate: ")
@@ -51,8 +51,8 @@
     format!("{before}mean_warm_rate: {mean}samples: N{after}")
 }
 
-/// Replaces Unix times in nanoseconds by a placeholder. Until the year 2033 they have 19 digits and begin with 17, 18 or
-/// 19. A hash rarely has this form; if it does, it is not compared.
+/// Replaces Unix times in nanoseconds by a placeholder. Until the year 2033 they have 19 digits and begin with 17, 18
+/// or 19. A hash rarely has this form; if it does, it is not compared.
 fn without_unix_times(text: &str) -> String {
     let mut out = String::new();
     for piece in text.split_inclusive(|c: char| !c.is_ascii_digit()) {
@@ -65,8 +65,10 @@
     out
 }
 
-/// Publishes all workers, replaces some and removes a zone. Then cuts the streams while events are published, and breaks
-/// the next stream off within one of them. Then cuts the streams again, and publishes all workers anew without a history.
+/// Publishes all workers, replaces some and removes a zone. Then cuts the streams while events are published, and
+/// breaks the next stream off within one of them. Then cuts the streams again, and publishes all workers anew without a
+/// history.
+///
 /// `wait_until_caught_up` is called whenever the front end can receive everything that was published.
 async fn run_scenario(
     coordinator: &Coordinator,
@@ -123,8 +125,9 @@
     names.collect()
 }
 
-/// Waits until the core knows exactly the workers of `tier`, and until maintenance has then removed the start times that
-/// are long past. Between the two, the state depends on the moment at which it is read.
+/// Waits until the core knows exactly the workers of `tier`, which each event of the scenario changes, and until
+/// maintenance has then removed the start times that are long past. Between the two, the state depends on the moment at
+/// which it is read.
 async fn wait_until_caught_up(text: impl Fn() -> String, tier: &Tier) {
     let mut names: Vec<String> = tier
         .hosts()
--- a/crates/pipithub-storage/tests/storage/disk.rs
+++ b/crates/pipithub-storage/tests/storage/disk.rs
@@ -16,8 +16,8 @@
     FailsAfterEffect,
     /// A write succeeds, but writes at most this many bytes. Other operations are not affected.
     ShortWrite(usize),
-    /// The process is killed: a write has written at most this many bytes, a sync has no effect, and another operation has
-    /// its whole effect. All later operations fail without an effect.
+    /// The process is killed: a write has written at most this many bytes, a sync has no effect, and another operation
+    /// has its whole effect. All later operations fail without an effect.
     KilledAfter(usize),
 }
 
