--- a/crates/pipithub-hollow-node/tests/same.rs
+++ b/crates/pipithub-hollow-node/tests/same.rs
@@ -17,8 +17,8 @@
 const PRUNED_STARTS: &str = "started: {}, reported_in_flight";
 
 /// Replaces the numbers that depend on how long a front end has run, and therefore differ between two front ends, by
-/// placeholders: Unix times, the sequence number of the last timer, which counts how often a timer was set, and the number
-/// of samples in a mean. Only the presence of these numbers is compared.
+/// placeholders: Unix times, the sequence number of the last timer, which counts how often a timer was set, and the
+/// number of samples in a mean. Only the presence of these numbers is compared.
 fn without_run_dependent_numbers(text: &str) -> String {
     let text = &without_sample_count(text);
     let (before, timers) = text
