--- a/crates/pipithub-consensus/src/voter/ready.rs
+++ b/crates/pipithub-consensus/src/voter/ready.rs
@@ -13,7 +13,7 @@
 const COMPACTION_ENTRIES: u64 = 1_000;
 
 /// The output that sends a message of the engine.
-pub(super) fn send(message: &Message) -> Output {
+pub(super) fn send_output(message: &Message) -> Output {
     Output::Send {
         to: message.to,
         bytes: encode(message),
@@ -34,7 +34,7 @@
         while self.node.has_ready() {
             let mut ready = self.node.ready();
             for message in ready.take_messages() {
-                out.push(send(&message));
+                out.push(send_output(&message));
             }
             let batch = self.apply_ready(&mut ready, out);
             // Empty batches are persisted too, because the engine waits for the number of each.
@@ -114,7 +114,7 @@
         out.push(Output::SnapshotRestored { index });
     }
 
-    /// Reports a change of leadership, and computes the log's time from the current log from now on.
+    /// Reports a change of leadership, and bases the log's time on the latest timestamp in the log from now on.
     fn update_leadership(&mut self, out: &mut Vec<Output>) {
         let is_leader = self.node.raft.state == StateRole::Leader;
         if is_leader == self.is_leader {
@@ -132,8 +132,8 @@
         });
     }
 
-    /// The latest timestamp in the log or the state. An entry with a later one that is not in the log of a leader
-    /// cannot be committed any more.
+    /// The latest timestamp in the log or the state. If this voter is the leader, an entry with a later timestamp
+    /// cannot be committed any more, because it is not in the leader's log.
     fn latest_log_time(&self) -> u64 {
         let timestamp = |entry: &Entry| {
             postcard::from_bytes::<TimestampedRequest>(&entry.data).map_or(0, |request| request.at)
--- a/crates/pipithub-endpoints/src/lib.rs
+++ b/crates/pipithub-endpoints/src/lib.rs
@@ -6,8 +6,8 @@
 //!
 //! Two annotations of a slice hold what Kubernetes has no fields for. Both map the `targetRef.uid` of an endpoint to a
 //! number: `pipithub.dev/started-ms` to the Unix time of its start in milliseconds, and `pipithub.dev/memory-mb` to its
-//! memory in MB. Without the first one, an endpoint that a watch event adds counts as started at that time, and an
-//! endpoint of the first list as started long ago.
+//! memory in MB. Without the first one, an endpoint of the first list counts as started long ago, and an endpoint that
+//! a later list or a watch event adds counts as started at that time.
 
 mod cache;
 pub mod object;
@@ -20,10 +20,10 @@
 use pipithub_engine::Time;
 use pipithub_engine::policy::{Endpoint, EndpointState, WorkerId};
 
-use crate::cache::{CachedList, CachedWorker, FORMAT};
+use crate::cache::{CachedList, CachedWorker, FORMAT_VERSION};
 
 /// The API group and version of the slices.
-pub const API: &str = "discovery.k8s.io/v1";
+pub const API_VERSION: &str = "discovery.k8s.io/v1";
 /// The annotation with the start times of endpoints in Unix milliseconds, by uid.
 pub const STARTED_ANNOTATION: &str = "pipithub.dev/started-ms";
 /// The annotation with the memory of endpoints in MB, by uid.
@@ -45,7 +45,7 @@
         /// The position and the cause of the error.
         source: serde_json::Error,
     },
-    /// The list has more endpoints than [`MAX_ENDPOINTS`]; this many.
+    /// The list has this many endpoints, which is more than [`MAX_ENDPOINTS`].
     #[error("{0} endpoints exceed the maximum of {MAX_ENDPOINTS}")]
     TooMany(usize),
     /// The server sent a `Status` object with an error.
@@ -76,7 +76,7 @@
     uid: String,
     zone: String,
     memory_mb: f64,
-    /// When the endpoint started, on the caller's clock; `None` if that was long ago.
+    /// When the endpoint started, on the caller's clock; `None` if it counts as started long ago.
     started: Option<Time>,
 }
 
@@ -89,7 +89,8 @@
     slices: BTreeMap<String, EndpointSlice>,
     /// The endpoints by their addresses.
     known: BTreeMap<String, KnownEndpoint>,
-    /// Whether a list was read, so that a new endpoint has just started.
+    /// Whether a list was read before. An endpoint that is added after that counts as just started if it has
+    /// no annotation with its start time.
     listed: bool,
 }
 
@@ -117,7 +118,7 @@
     /// # Errors
     ///
     /// Fails if the body is no list or has too many endpoints. The state is then unchanged.
-    pub fn list(
+    pub fn apply_list(
         &mut self,
         now: Time,
         wall_ms: u64,
@@ -153,7 +154,7 @@
     ///
     /// Fails if the line is no watch event, if the list would have too many endpoints, or if the server reports an error
     /// other than an expired version. The endpoints are then unchanged.
-    pub fn line(
+    pub fn apply_watch_line(
         &mut self,
         now: Time,
         wall_ms: u64,
@@ -240,8 +241,9 @@
                 let Some(address) = endpoint.address(port) else {
                     continue;
                 };
-                let found = self.describe(slice, endpoint, &address, reading);
-                // While an endpoint is moved between slices, it may be in two of them. It drains if one of them says so.
+                let found = self.known_endpoint(slice, endpoint, &address, reading);
+                // While an endpoint is moved between slices, it may be in two of them. It counts as draining if one of
+                // them says so.
                 let is_draining = next
                     .get(&address)
                     .is_some_and(|known| known.state == EndpointState::Draining);
@@ -272,7 +274,8 @@
         removed.chain(changed).collect()
     }
 
-    fn describe(
+    /// Derives an endpoint from its entry in a slice, its annotations, and what is known of it.
+    fn known_endpoint(
         &self,
         slice: &EndpointSlice,
         endpoint: &SliceEndpoint,
@@ -284,8 +287,8 @@
             .as_ref()
             .map(|target| target.uid.clone())
             .unwrap_or_default();
-        let before = self.known.get(address).filter(|known| known.uid == uid);
-        let number = |name: &str| -> Option<f64> {
+        let previous = self.known.get(address).filter(|known| known.uid == uid);
+        let annotated_number = |name: &str| -> Option<f64> {
             let text = slice.metadata.annotations.as_ref()?.get(name)?;
             let by_uid: BTreeMap<String, f64> = serde_json::from_str(text).ok()?;
             by_uid
@@ -293,16 +296,16 @@
                 .copied()
                 .filter(|number| number.is_finite() && *number >= 0.0)
         };
-        // A start in the future, by a clock that was stepped back, counts as now. The worker is then considered to be
+        // A start in the future, because the clock was stepped back, counts as now. The worker is then considered to be
         // warming up for one slow-start window at most.
-        let annotated =
-            number(STARTED_ANNOTATION).map(|stamp_ms| reading.time_of_timestamp(stamp_ms as u64));
-        let started = match before {
+        let annotated_start = annotated_number(STARTED_ANNOTATION)
+            .map(|stamp_ms| reading.time_of_timestamp(stamp_ms as u64));
+        let started = match previous {
             // The first start time is retained, so that a clock that drifts or is stepped does not look like a restart.
             Some(known) => known.started,
-            None => annotated.or(self.listed.then_some(reading.now.max(1))),
+            None => annotated_start.or(self.listed.then_some(reading.now.max(1))),
         };
-        let memory_mb = number(MEMORY_ANNOTATION).unwrap_or(0.0);
+        let memory_mb = annotated_number(MEMORY_ANNOTATION).unwrap_or(0.0);
         KnownEndpoint {
             state: endpoint.state(),
             uid,
@@ -338,7 +341,7 @@
                 started_ms: known.started.map(started_ms),
             });
         let cached = CachedList {
-            format: FORMAT,
+            format: FORMAT_VERSION,
             wall_ms,
             workers: workers.collect(),
         };
--- a/crates/pipithub-hollow-node/tests/harness/mod.rs
+++ b/crates/pipithub-hollow-node/tests/harness/mod.rs
@@ -1,11 +1,13 @@
 //! Starts coordinators and front ends, and waits for their state.
+
+// Each test binary uses only some of the functions.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use pipithub_emulator::coordinator::{Behaviour, Coordinator, Tier};
-use pipithub_hollow_node::Hollow;
+use pipithub_hollow_node::HollowFrontEnd;
 use pipithub_platform::config::NodeConfig;
 use serde_json::{Value, json};
 
@@ -22,37 +24,43 @@
     })
 }
 
-/// A coordinator that sends comments often, so that its stream is not taken for dead on a busy machine.
+/// Starts a coordinator that sends a comment every 200 ms, so that front ends do not consider its stream dead on a busy
+/// machine.
 pub(crate) fn start_coordinator() -> Coordinator {
     let comments = Some(Duration::from_millis(200));
     Coordinator::start(Behaviour {
         comments,
         ..Behaviour::default()
     })
-    .expect("listens")
+    .expect("the coordinator starts")
 }
 
-/// A hollow front end that follows this coordinator.
-pub(crate) fn start_hollow(coordinator: &Coordinator) -> Hollow {
-    let config = NodeConfig::parse(&config(coordinator.address()).to_string()).expect("good");
-    Hollow::start(&config, |_| {})
+/// Starts a hollow front end that follows this coordinator.
+pub(crate) fn start_hollow(coordinator: &Coordinator) -> HollowFrontEnd {
+    let config = NodeConfig::parse(&config(coordinator.address()).to_string())
+        .expect("the configuration is valid");
+    HollowFrontEnd::start(&config, |_| {})
 }
 
-/// Waits until a condition holds; fails after a minute.
-pub(crate) async fn wait_until(mut holds: impl FnMut() -> bool) {
-    let turns = async {
-        while !holds() {
-            // The coordinator runs on its own thread and cannot wake this task.
+/// Waits until a condition holds; panics after a minute.
+pub(crate) async fn wait_until(mut condition: impl FnMut() -> bool) {
+    let poll = async {
+        while !condition() {
+            // Polls, because the coordinator runs on its own thread and cannot wake this task.
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
-    tokio::time::timeout(Duration::from_secs(60), turns)
+    tokio::time::timeout(Duration::from_secs(60), poll)
         .await
-        .expect("the condition holds in time");
+        .expect("the condition holds within a minute");
 }
 
 /// Publishes a complete list of this tier's workers, and waits until the front end has applied it.
-pub(crate) async fn publish_all(coordinator: &Coordinator, hollow: &Hollow, tier: &Tier) {
+pub(crate) async fn publish_all(
+    coordinator: &Coordinator,
+    front_end: &HollowFrontEnd,
+    tier: &Tier,
+) {
     let index = coordinator.publish(true, tier.hosts(), tier);
-    wait_until(|| hollow.last() == index).await;
+    wait_until(|| front_end.last_event() == index).await;
 }
--- a/crates/pipithub-storage/src/saver.rs
+++ b/crates/pipithub-storage/src/saver.rs
@@ -32,17 +32,17 @@
     pub fn start(files: Arc<dyn FileSystem>, target: Target) -> Self {
         let (newest, newest_receiver) = watch::channel(None);
         let (saved_sender, saved) = watch::channel(None);
-        let worker = Worker {
+        let task = SaveTask {
             files,
             target,
             newest: newest_receiver,
             saved: saved_sender,
         };
-        tokio::spawn(worker.run());
+        tokio::spawn(task.run());
         Saver { newest, saved }
     }
 
-    /// Requests that this content be saved. [`Saver::saved`] then reports its number.
+    /// Requests that this content be saved. Once it is, [`Saver::saved`] reports `number`.
     pub fn save(&self, number: u64, content: impl Into<Arc<[u8]>>) {
         self.newest.send_replace(Some(Version {
             number,
@@ -50,8 +50,8 @@
         }));
     }
 
-    /// A receiver of the number of the content that was saved last; `None` until then. With [`Durability::Synced`],
-    /// that content is on disk. The channel is closed once the task has ended.
+    /// A receiver of the number of the content that was saved last; `None` until content has been saved. With
+    /// [`Durability::Synced`], that content is on disk. The channel is closed once the task has ended.
     ///
     /// [`Durability::Synced`]: crate::Durability::Synced
     pub fn saved(&self) -> watch::Receiver<Option<u64>> {
@@ -59,14 +59,14 @@
     }
 }
 
-struct Worker {
+struct SaveTask {
     files: Arc<dyn FileSystem>,
     target: Target,
     newest: watch::Receiver<Option<Version>>,
     saved: watch::Sender<Option<u64>>,
 }
 
-impl Worker {
+impl SaveTask {
     async fn run(mut self) {
         let mut backoff = Backoff::default();
         while self.newest.changed().await.is_ok() {
