--- a/crates/pipithub-bench/src/roster.rs
+++ b/crates/pipithub-bench/src/roster.rs
@@ -70,7 +70,7 @@
             confirmed_at_ms: 0,
             change_number: 1,
             refresh_jitter: number as u8,
-            last_wanted_day: 0,
+            last_lookup_day: 0,
         },
     }
 }
--- a/crates/pipithub-characterization/tests/file_driver/mod.rs
+++ b/crates/pipithub-characterization/tests/file_driver/mod.rs
@@ -227,7 +227,7 @@
             confirmed_at_ms: *confirmed,
             change_number: *mark,
             refresh_jitter: 0,
-            last_wanted_day: 0,
+            last_lookup_day: 0,
         };
         StoredRecord {
             user: user.as_str().into(),
--- a/crates/pipithub-directory/src/directory.rs
+++ b/crates/pipithub-directory/src/directory.rs
@@ -29,7 +29,7 @@
 use self::wall_clock::WallClock;
 
 /// The maximum number of users that are checked, or removed after a full refresh, in one turn.
-const MAX_USERS_PER_TURN: usize = 2_048;
+const MAX_USERS_PER_TICK: usize = 2_048;
 
 /// The directories of a front end, with the cached results of their look-ups.
 pub struct Directory {
@@ -55,7 +55,7 @@
             .directories
             .iter()
             .enumerate()
-            .map(|(number, directory)| DirectoryState::new(number, directory, settings.seed));
+            .map(|(index, directory)| DirectoryState::new(index, directory, settings.seed));
         Directory {
             directories: directories.collect(),
             roster: Roster::new(&settings.directories),
@@ -101,7 +101,7 @@
             let is_known_directory = record.directory_index() < self.directories.len();
             if is_known_directory && self.roster.len() < self.max_users {
                 let record = LookupRecord {
-                    last_wanted_day: today,
+                    last_lookup_day: today,
                     ..record
                 };
                 self.store(now, &user, record);
--- a/crates/pipithub-directory/src/directory/followed.rs
+++ b/crates/pipithub-directory/src/directory/followed.rs
@@ -110,8 +110,8 @@
         person: PersonId,
         outputs: &mut Vec<Output>,
     ) {
-        let known = self.roster.record(user, directory);
-        let change_number = known.map_or(0, |record| record.change_number);
+        let cached = self.roster.record(user, directory);
+        let change_number = cached.map_or(0, |record| record.change_number);
         let observation = Observation {
             directory,
             user,
--- a/crates/pipithub-directory/src/directory/lookups.rs
+++ b/crates/pipithub-directory/src/directory/lookups.rs
@@ -23,7 +23,7 @@
         if relevant.is_empty() || user.is_empty() || user.len() > MAX_NAME_LENGTH {
             return outputs.push(Output::LookupFinished(user));
         }
-        self.mark_wanted(now, &user);
+        self.record_lookup_day(now, &user);
         let priority = if !urgent {
             Priority::Background
         } else if self.roster.resolve(&user, now) == Resolution::Unknown {
@@ -42,17 +42,17 @@
     }
 
     /// Records that a user has requests today.
-    fn mark_wanted(&mut self, now: Time, user: &User) {
+    fn record_lookup_day(&mut self, now: Time, user: &User) {
         let today = self.wall_clock.day(now);
         let Some(records) = self.roster.users.get(&**user) else {
             return;
         };
         let first = records.as_slice().first().copied();
-        let Some(record) = first.filter(|record| record.last_wanted_day != today) else {
+        let Some(record) = first.filter(|record| record.last_lookup_day != today) else {
             return;
         };
         let updated = records.with(LookupRecord {
-            last_wanted_day: today,
+            last_lookup_day: today,
             ..record
         });
         self.roster.users.insert((&**user).into(), updated);
--- a/crates/pipithub-directory/src/directory/records.rs
+++ b/crates/pipithub-directory/src/directory/records.rs
@@ -48,12 +48,12 @@
     ) {
         let user = observation.user;
         let refresh_jitter = (self.jitter.next_fraction() * 256.0) as u8;
-        let known = self.roster.record(user, observation.directory).copied();
-        if known.is_some_and(|known| !self.supersedes(now, observation, &known)) {
+        let cached = self.roster.record(user, observation.directory).copied();
+        if cached.is_some_and(|cached| !self.supersedes(now, observation, &cached)) {
             return;
         }
-        let last_wanted_day =
-            known.map_or_else(|| self.wall_clock.day(now), |known| known.last_wanted_day);
+        let last_lookup_day =
+            cached.map_or_else(|| self.wall_clock.day(now), |cached| cached.last_lookup_day);
         let record = LookupRecord {
             directory: observation.directory as u16,
             result: observation.result,
@@ -61,7 +61,7 @@
             confirmed_at_ms: observation.confirmed_at_ms,
             change_number: observation.change_number.unwrap_or(0),
             refresh_jitter,
-            last_wanted_day,
+            last_lookup_day,
         };
         let before = self.roster.resolve(user, now).identity();
         self.store(now, user, record);
@@ -77,23 +77,23 @@
         &mut self,
         now: Time,
         observation: &Observation<'_>,
-        known: &LookupRecord,
+        cached: &LookupRecord,
     ) -> bool {
         let change_number = observation.change_number.unwrap_or(0);
-        if change_number < known.change_number
-            || observation.confirmed_at_ms < known.confirmed_at_ms
+        if change_number < cached.change_number
+            || observation.confirmed_at_ms < cached.confirmed_at_ms
         {
             // The server's copy lags behind the one that the record came from, or a later response arrived first.
             self.stats.outdated_results += 1;
             return false;
         }
         let state = &mut self.directories[observation.directory];
-        if !observation.differs_from(known) {
+        if !observation.differs_from(cached) {
             state.unconfirmed.discard(observation.user);
             return true;
         }
         let max_age_ms = to_ms(state.settings.lifetimes.max_stale);
-        let is_valid_tenant = known.result.is_tenant() && known.age_ms(now) < max_age_ms;
+        let is_valid_tenant = cached.result.is_tenant() && cached.age_ms(now) < max_age_ms;
         if !is_valid_tenant || observation.change_number.is_some() {
             return true;
         }
--- a/crates/pipithub-directory/src/directory/refresh.rs
+++ b/crates/pipithub-directory/src/directory/refresh.rs
@@ -1,6 +1,6 @@
 //! Checks cached users when they are due: they are refreshed ahead of the daily peak, or removed.
 
-use crate::directory::{Directory, MAX_USERS_PER_TURN};
+use crate::directory::{Directory, MAX_USERS_PER_TICK};
 use crate::jitter::stable_fraction;
 use crate::record::{LookupRecord, LookupRecords};
 use crate::refresh_wheel::WheelSecond;
@@ -8,7 +8,7 @@
 use crate::time::{Time, to_ms};
 
 /// Users without requests for more days than this are not refreshed ahead of a peak.
-const MAX_UNWANTED_DAYS: u8 = 14;
+const MAX_DAYS_WITHOUT_LOOKUP: u8 = 14;
 /// The shortest time until the next check of a user, in milliseconds.
 const MIN_CHECK_DELAY_MS: i64 = 1_000;
 /// A record that expires within this time does not determine the next check of its user, which would be too soon.
@@ -17,10 +17,10 @@
 const DEFAULT_CHECK_SECONDS: i64 = 60;
 
 impl Directory {
-    /// Checks the users that are due, at most [`MAX_USERS_PER_TURN`] of them.
+    /// Checks the users that are due, at most [`MAX_USERS_PER_TICK`] of them.
     pub(super) fn check_due_users(&mut self, now: Time) {
         let second = WheelSecond::of_ms(to_ms(now));
-        for _ in 0..MAX_USERS_PER_TURN {
+        for _ in 0..MAX_USERS_PER_TICK {
             let Some(user) = self.wheel.pop_due(second) else {
                 return;
             };
@@ -37,7 +37,7 @@
         if !records.iter().any(|record| self.is_valid(now, record)) {
             return self.remove_user(user);
         }
-        if self.was_wanted_recently(now, &records) {
+        if self.was_looked_up_recently(now, &records) {
             self.refresh_ahead_of_peak(now, user, &records);
         }
         let second = WheelSecond::of_ms(to_ms(now));
@@ -65,11 +65,11 @@
             .is_some()
     }
 
-    fn was_wanted_recently(&self, now: Time, records: &[LookupRecord]) -> bool {
+    fn was_looked_up_recently(&self, now: Time, records: &[LookupRecord]) -> bool {
         let today = self.wall_clock.day(now);
         records
             .iter()
-            .any(|record| today.wrapping_sub(record.last_wanted_day) <= MAX_UNWANTED_DAYS)
+            .any(|record| today.wrapping_sub(record.last_lookup_day) <= MAX_DAYS_WITHOUT_LOOKUP)
     }
 
     /// Queues a user in those directories that have a daily peak and whose record is no longer fresh.
@@ -77,11 +77,11 @@
         for record in records {
             let directory = record.directory_index();
             let settings = &self.directories[directory].settings;
-            let is_refreshed = settings.daily_peak.is_some()
+            let needs_refresh = settings.daily_peak.is_some()
                 && record.result.is_tenant()
                 && record.age_ms(now) >= to_ms(settings.lifetimes.fresh)
                 && !self.is_followed(record);
-            if is_refreshed {
+            if needs_refresh {
                 self.enqueue(now, directory, user.into(), Priority::Background);
             }
         }
--- a/crates/pipithub-directory/src/directory/removal_sweep.rs
+++ b/crates/pipithub-directory/src/directory/removal_sweep.rs
@@ -4,7 +4,7 @@
 
 use compact_str::CompactString;
 
-use crate::directory::{Directory, MAX_USERS_PER_TURN};
+use crate::directory::{Directory, MAX_USERS_PER_TICK};
 use crate::messages::Output;
 use crate::persistent_map::PersistentMap;
 use crate::record::{LookupRecord, LookupRecords, User};
@@ -54,7 +54,7 @@
 
     /// Takes the users of one turn.
     fn take_users(&mut self) -> Vec<User> {
-        let rest = self.to_remove.len().saturating_sub(MAX_USERS_PER_TURN);
+        let rest = self.to_remove.len().saturating_sub(MAX_USERS_PER_TICK);
         self.to_remove.split_off(rest)
     }
 }
--- a/crates/pipithub-directory/src/directory/results.rs
+++ b/crates/pipithub-directory/src/directory/results.rs
@@ -12,7 +12,7 @@
 
 /// How current a response is.
 #[derive(Clone, Copy)]
-struct Validity {
+struct Freshness {
     /// When the response is known to have been true, in milliseconds on the caller's clock.
     confirmed_at_ms: i64,
     change_number: Option<u64>,
@@ -110,7 +110,7 @@
             self.stats.outdated_results += 1;
         }
         // A response is confirmed as of the start of its search, or as of the time since when the copy is outdated.
-        let validity = Validity {
+        let freshness = Freshness {
             confirmed_at_ms: outdated_since.unwrap_or(to_ms(search.started_at)),
             change_number: response.change_number,
             is_outdated: outdated_since.is_some(),
@@ -118,7 +118,7 @@
         match search.request.query {
             Query::ServerState => {}
             Query::ChangedSince(_) => {
-                self.apply_changes(now, directory, response, validity, outputs);
+                self.apply_changes(now, directory, response, freshness, outputs);
             }
             Query::Users(users) => {
                 self.cancel_hedge_partner(search.hedge_partner, outputs);
@@ -126,7 +126,7 @@
                     users,
                     attempts: search.request.attempts,
                 };
-                self.apply_users(now, directory, batch, &response.entries, validity, outputs);
+                self.apply_users(now, directory, batch, &response.entries, freshness, outputs);
             }
         }
     }
@@ -137,7 +137,7 @@
         now: Time,
         directory: usize,
         response: SearchResponse,
-        validity: Validity,
+        freshness: Freshness,
         outputs: &mut Vec<Output>,
     ) {
         for entry in response.entries {
@@ -149,8 +149,8 @@
                     user: &entry.user,
                     result,
                     person: entry.person,
-                    confirmed_at_ms: validity.confirmed_at_ms,
-                    change_number: validity.change_number,
+                    confirmed_at_ms: freshness.confirmed_at_ms,
+                    change_number: freshness.change_number,
                 };
                 self.observe(now, &observation, outputs);
             }
@@ -176,7 +176,7 @@
         directory: usize,
         batch: Batch,
         entries: &[DirectoryEntry],
-        validity: Validity,
+        freshness: Freshness,
         outputs: &mut Vec<Output>,
     ) {
         let mut entries_of: HashMap<&User, Vec<&DirectoryEntry>> = HashMap::new();
@@ -187,7 +187,7 @@
         for user in batch.users {
             let entries = entries_of.get(&user).map_or(&[][..], Vec::as_slice);
             let UserResult { result, person } = self.user_result(directory, entries);
-            if validity.is_outdated && result == LookupResult::Absent {
+            if freshness.is_outdated && result == LookupResult::Absent {
                 // An outdated copy without an entry does not prove that there is none now.
                 undecided.push(user);
                 continue;
@@ -198,8 +198,8 @@
                 user: &user,
                 result,
                 person,
-                confirmed_at_ms: validity.confirmed_at_ms,
-                change_number: validity.change_number,
+                confirmed_at_ms: freshness.confirmed_at_ms,
+                change_number: freshness.change_number,
             };
             self.observe(now, &observation, outputs);
             self.finish_lookup(user, outputs);
--- a/crates/pipithub-directory/src/directory/tenant_bases.rs
+++ b/crates/pipithub-directory/src/directory/tenant_bases.rs
@@ -24,7 +24,7 @@
             .filter(|(_, tenant)| tenant.directory == directory && dn.is_within(&tenant.base))
             .max_by_key(|(_, tenant)| tenant.base.depth());
         match innermost {
-            Some((number, _)) => LookupResult::Tenant(TenantId(number as u16)),
+            Some((index, _)) => LookupResult::Tenant(TenantId(index as u16)),
             None => LookupResult::Absent,
         }
     }
--- a/crates/pipithub-directory/src/directory/wall_clock.rs
+++ b/crates/pipithub-directory/src/directory/wall_clock.rs
@@ -4,7 +4,7 @@
 use crate::time::{Time, to_ms};
 
 /// Records store days modulo this.
-const RECORDED_DAYS: i64 = 256;
+const DAY_MODULUS: i64 = 256;
 
 /// The offset of wall time from the caller's clock, which changes when the wall clock is stepped.
 pub(super) struct WallClock {
@@ -36,6 +36,6 @@
     pub(super) fn day(&self, now: Time) -> u8 {
         self.to_wall_ms(to_ms(now))
             .div_euclid(DAY_MS)
-            .rem_euclid(RECORDED_DAYS) as u8
+            .rem_euclid(DAY_MODULUS) as u8
     }
 }
--- a/crates/pipithub-directory/src/record.rs
+++ b/crates/pipithub-directory/src/record.rs
@@ -66,7 +66,7 @@
     /// A random number, by which records that were confirmed together are refreshed at different times.
     pub refresh_jitter: u8,
     /// The day of the latest request of the user, as days since the Unix epoch modulo 256.
-    pub last_wanted_day: u8,
+    pub last_lookup_day: u8,
 }
 
 impl LookupRecord {
--- a/crates/pipithub-directory/src/roster.rs
+++ b/crates/pipithub-directory/src/roster.rs
@@ -97,8 +97,8 @@
     /// quarter of the fresh time.
     fn refresh(&self, age: Time, jitter: u8) -> Refresh {
         let fresh = self.lifetimes.fresh;
-        let used_as_it_is = fresh / 4 * 3 + fresh / 1024 * u64::from(jitter);
-        if age < used_as_it_is {
+        let refresh_age = fresh / 4 * 3 + fresh / 1024 * u64::from(jitter);
+        if age < refresh_age {
             Refresh::NotNeeded
         } else if age < fresh.saturating_mul(2) || self.is_slow {
             Refresh::InBackground
@@ -126,7 +126,7 @@
 }
 
 /// The combined result of a user's valid records, which do not contradict each other.
-struct Evidence {
+struct CombinedRecords {
     /// The newest valid record that names a tenant.
     tenant: Option<ValidRecord>,
     /// The number of directories with a valid record that the user is absent.
@@ -167,10 +167,10 @@
     pub fn resolve(&self, user: &str, now: Time) -> Resolution {
         let now_ms = to_ms(now);
         let records = self.records(user);
-        let Some(evidence) = self.weigh(records, now_ms) else {
+        let Some(combined) = self.combine(records, now_ms) else {
             return Resolution::Ambiguous;
         };
-        if let Some(record) = evidence.tenant {
+        if let Some(record) = combined.tenant {
             return Resolution::Tenant {
                 tenant: record.tenant,
                 person: record.person,
@@ -179,10 +179,10 @@
             };
         }
         let relevant = self.directories_for(user);
-        let implied = relevant
+        let implied_absent = relevant
             .iter()
             .filter(|directory| self.implies_absence(usize::from(**directory), records, now_ms));
-        if evidence.absent + implied.count() >= relevant.len() {
+        if combined.absent + implied_absent.count() >= relevant.len() {
             Resolution::NoTenant
         } else {
             Resolution::Unknown
@@ -214,7 +214,7 @@
     }
 
     /// Combines the valid records of a user; `None` if they are ambiguous.
-    fn weigh(&self, records: &[LookupRecord], now_ms: i64) -> Option<Evidence> {
+    fn combine(&self, records: &[LookupRecord], now_ms: i64) -> Option<CombinedRecords> {
         let mut tenant: Option<ValidRecord> = None;
         let mut absent = 0;
         for record in records {
@@ -242,7 +242,7 @@
                 },
             }
         }
-        Some(Evidence { tenant, absent })
+        Some(CombinedRecords { tenant, absent })
     }
 
     /// Whether the user is absent from a directory because it has no record of them: that is so if the directory is
--- a/crates/pipithub-directory/src/roster/realms.rs
+++ b/crates/pipithub-directory/src/roster/realms.rs
@@ -16,14 +16,14 @@
     pub(crate) fn new(settings: &[DirectorySettings]) -> Self {
         let mut directories: HashMap<Box<str>, Vec<u16>> = HashMap::new();
         let mut without_realm = Vec::new();
-        for (number, directory) in settings.iter().enumerate() {
-            let number = number as u16;
+        for (index, directory) in settings.iter().enumerate() {
+            let index = index as u16;
             if directory.realms.is_empty() {
-                without_realm.push(number);
+                without_realm.push(index);
             }
             for realm in &directory.realms {
                 let realm = pipithub_ldap::dn::fold(realm);
-                directories.entry(realm.into()).or_default().push(number);
+                directories.entry(realm.into()).or_default().push(index);
             }
         }
         Realms {
--- a/crates/pipithub-directory/src/snapshot.rs
+++ b/crates/pipithub-directory/src/snapshot.rs
@@ -25,7 +25,7 @@
 
 const MAGIC: &[u8; 8] = b"pphroste";
 const VERSION: u16 = 1;
-const SEAL_LENGTH: usize = 32;
+const MAC_LENGTH: usize = 32;
 const FINGERPRINT_LENGTH: usize = 32;
 /// The magic and the version.
 const PREFIX_LENGTH: usize = 8 + 2;
@@ -54,7 +54,7 @@
     NotASnapshot,
     /// The seal does not match the contents and the key.
     #[error("its seal does not fit: it was changed, cut off, or written under another key")]
-    SealMismatch,
+    MacMismatch,
     /// The snapshot belongs to other directories or tenants.
     #[error("it was written for other directories or tenants")]
     OtherDirectories,
@@ -81,7 +81,7 @@
     fingerprint: [u8; FINGERPRINT_LENGTH],
     key: &[u8],
 ) -> Vec<u8> {
-    let expected_length = HEADER_LENGTH + roster.len() * TYPICAL_RECORD_LENGTH + SEAL_LENGTH;
+    let expected_length = HEADER_LENGTH + roster.len() * TYPICAL_RECORD_LENGTH + MAC_LENGTH;
     let mut bytes = Vec::with_capacity(expected_length);
     bytes.extend(MAGIC);
     bytes.extend(VERSION.to_be_bytes());
@@ -98,8 +98,8 @@
         }
     }
     bytes[COUNT_OFFSET..HEADER_LENGTH].copy_from_slice(&count.to_be_bytes());
-    let seal = seal(key, &bytes).finalize().into_bytes();
-    bytes.extend(seal);
+    let mac = compute_mac(key, &bytes).finalize().into_bytes();
+    bytes.extend(mac);
     bytes
 }
 
@@ -163,7 +163,7 @@
                     confirmed_at_ms: to_ms(now).saturating_sub(age_ms),
                     change_number: written.change_number,
                     refresh_jitter: number as u8,
-                    last_wanted_day: 0,
+                    last_lookup_day: 0,
                 },
                 user: written.user,
             });
@@ -176,17 +176,17 @@
 fn verify<'a>(bytes: &'a [u8], key: &[u8]) -> Result<&'a [u8], SnapshotError> {
     let has_prefix =
         bytes.starts_with(MAGIC) && bytes[MAGIC.len()..].starts_with(&VERSION.to_be_bytes());
-    if bytes.len() < HEADER_LENGTH + SEAL_LENGTH || !has_prefix {
+    if bytes.len() < HEADER_LENGTH + MAC_LENGTH || !has_prefix {
         return Err(SnapshotError::NotASnapshot);
     }
-    let (sealed, expected) = bytes.split_at(bytes.len() - SEAL_LENGTH);
-    seal(key, sealed)
+    let (authenticated, expected) = bytes.split_at(bytes.len() - MAC_LENGTH);
+    compute_mac(key, authenticated)
         .verify_slice(expected)
-        .map_err(|_| SnapshotError::SealMismatch)?;
-    Ok(&sealed[PREFIX_LENGTH..])
+        .map_err(|_| SnapshotError::MacMismatch)?;
+    Ok(&authenticated[PREFIX_LENGTH..])
 }
 
-fn seal(key: &[u8], bytes: &[u8]) -> Hmac<Sha256> {
+fn compute_mac(key: &[u8], bytes: &[u8]) -> Hmac<Sha256> {
     // HMAC accepts keys of any length (RFC 2104), so this never fails.
     let mut mac =
         Hmac::<Sha256>::new_from_slice(key).unwrap_or_else(|_| Hmac::new(&Default::default()));
--- a/crates/pipithub-directory/src/state.rs
+++ b/crates/pipithub-directory/src/state.rs
@@ -24,12 +24,12 @@
 pub(crate) use self::unconfirmed_changes::{ObservedChange, UnconfirmedChanges};
 
 /// The number of servers of a directory whose jitter is guaranteed to have different seeds.
-const SEEDED_SERVERS: usize = 64;
+const SEEDS_PER_DIRECTORY: usize = 64;
 
 /// The state of one directory.
 pub(crate) struct DirectoryState {
     /// The directory's index in the settings.
-    number: usize,
+    index: usize,
     pub(crate) settings: DirectorySettings,
     pub(crate) servers: Vec<Server>,
     pub(crate) queues: LookupQueues,
@@ -53,20 +53,20 @@
 
 impl DirectoryState {
     /// Creates the state of the directory with this index in the settings.
-    pub(crate) fn new(number: usize, settings: &DirectorySettings, seed: u64) -> Self {
+    pub(crate) fn new(index: usize, settings: &DirectorySettings, seed: u64) -> Self {
         let server_count = settings.server_count.max(1);
         let state_check_interval = settings.state_check_interval() as f64;
         let first_state_check = |server: usize| {
-            let server_seed = seed ^ (number * SEEDED_SERVERS + server) as u64;
+            let server_seed = seed ^ (index * SEEDS_PER_DIRECTORY + server) as u64;
             (state_check_interval * stable_fraction("state", server_seed)) as Time
         };
         // Front ends that start at the same time must not poll at the same time.
         let first_poll = || {
-            let fraction = stable_fraction("poll", seed ^ number as u64);
+            let fraction = stable_fraction("poll", seed ^ index as u64);
             (settings.poll_interval as f64 * fraction) as Time
         };
         DirectoryState {
-            number,
+            index,
             servers: vec![Server::new(); server_count],
             queues: LookupQueues::default(),
             deferred: HashSet::new(),
@@ -115,9 +115,9 @@
         self.servers
             .iter()
             .enumerate()
-            .filter(|(number, server)| Some(*number) != except && server.has_capacity(&limits))
+            .filter(|(index, server)| Some(*index) != except && server.has_capacity(&limits))
             .min_by(|(_, left), (_, right)| left.cost().total_cmp(&right.cost()))
-            .map(|(number, _)| number)
+            .map(|(index, _)| index)
     }
 
     /// Whether queued users are due to be searched for.
@@ -136,7 +136,7 @@
         self.search_tokens.take();
         self.hedge_budget.add_search();
         Some(SearchRequest {
-            directory: self.number,
+            directory: self.index,
             server,
             query: Query::Users(batch.users),
             attempts: batch.attempts,
@@ -161,11 +161,11 @@
         let server = &mut self.servers[request.server];
         server.in_flight += 1;
         let hedge_delay = server.hedge_delay(self.settings.hedge_after, self.settings.timeout);
-        let is_hedged = matches!(request.query, Query::Users(_));
+        let may_be_hedged = matches!(request.query, Query::Users(_));
         SearchInFlight {
             started_at: now,
             deadline: now.saturating_add(self.settings.timeout),
-            hedge_at: is_hedged.then_some(now.saturating_add(hedge_delay)),
+            hedge_at: may_be_hedged.then_some(now.saturating_add(hedge_delay)),
             hedge_partner: None,
             request,
         }
@@ -210,7 +210,7 @@
     /// The search that checks a server's state.
     pub(crate) fn state_check(&self, server: usize) -> SearchRequest {
         SearchRequest {
-            directory: self.number,
+            directory: self.index,
             server,
             query: Query::ServerState,
             attempts: 0,
@@ -224,7 +224,7 @@
         self.poll_due = Some(now + self.settings.poll_interval);
         let server = self.choose_server()?;
         Some(SearchRequest {
-            directory: self.number,
+            directory: self.index,
             server,
             query: Query::ChangedSince(self.newest_modify_timestamp.clone()),
             attempts: 0,
--- a/crates/pipithub-directory/src/state/server.rs
+++ b/crates/pipithub-directory/src/state/server.rs
@@ -10,9 +10,9 @@
 /// Added to the cost of a server whose copy lags behind, so that all other servers are preferred.
 const LAGGING_COST: f64 = 1e18;
 /// The minimum delay of a hedge in mean response times. A server that is always slow is no reason to hedge.
-const HEDGE_RESPONSE_TIMES: Time = 3;
+const HEDGE_DELAY_MULTIPLE: Time = 3;
 /// The smallest jitter of a backoff, as a fraction of it; the largest is greater by one.
-const MIN_BACKOFF_FRACTION: f64 = 0.5;
+const MIN_BACKOFF_FACTOR: f64 = 0.5;
 
 /// The state of a server's circuit breaker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -103,8 +103,8 @@
 
     /// How long a search waits for a response before it is hedged, at most half of the timeout or `hedge_after`.
     pub(crate) fn hedge_delay(&self, hedge_after: Time, timeout: Time) -> Time {
-        let usual = self.mean_response_time().unwrap_or(0);
-        let slow_response = usual.saturating_mul(HEDGE_RESPONSE_TIMES);
+        let mean = self.mean_response_time().unwrap_or(0);
+        let slow_response = mean.saturating_mul(HEDGE_DELAY_MULTIPLE);
         hedge_after.max(slow_response.min(timeout / 2))
     }
 
@@ -167,9 +167,9 @@
 
     fn open(&mut self, now: Time, backoff: Time, jitter: f64, limits: &ServerLimits) {
         let backoff = backoff.clamp(limits.backoff.initial, limits.backoff.max);
-        let spread = MIN_BACKOFF_FRACTION + jitter.clamp(0.0, 1.0);
+        let jitter_factor = MIN_BACKOFF_FACTOR + jitter.clamp(0.0, 1.0);
         self.breaker = Breaker::Open {
-            until: now.saturating_add((backoff as f64 * spread) as Time),
+            until: now.saturating_add((backoff as f64 * jitter_factor) as Time),
             backoff,
         };
         self.concurrency_limit = 1.0;
--- a/crates/pipithub-directory/tests/directory/snapshots.rs
+++ b/crates/pipithub-directory/tests/directory/snapshots.rs
@@ -20,7 +20,7 @@
             confirmed_at_ms,
             change_number: 3,
             refresh_jitter: 0,
-            last_wanted_day: 0,
+            last_lookup_day: 0,
         },
     }
 }
@@ -68,7 +68,7 @@
     );
     assert_eq!(
         read(&bytes, WALL_MS, FINGERPRINT, b"another key......"),
-        Err(SnapshotError::SealMismatch)
+        Err(SnapshotError::MacMismatch)
     );
     assert!(matches!(
         read(&bytes, WALL_MS - 100_000, FINGERPRINT, KEY),
--- a/crates/pipithub-directory/tests/directory/support.rs
+++ b/crates/pipithub-directory/tests/directory/support.rs
@@ -75,7 +75,7 @@
 }
 
 /// Ticks the core until nothing more is due at this time.
-pub(crate) fn settle(core: &mut Directory, now: Time, outputs: &mut Vec<Output>) {
+pub(crate) fn tick_until_idle(core: &mut Directory, now: Time, outputs: &mut Vec<Output>) {
     while core.next_due(now).is_some_and(|due| due <= now) {
         core.handle(now, Input::Tick, outputs);
     }
--- a/crates/pipithub-directory/tests/directory/synchronization.rs
+++ b/crates/pipithub-directory/tests/directory/synchronization.rs
@@ -5,8 +5,8 @@
 };
 
 use crate::support::{
-    HOUR, SECOND, directory_settings, directory_with, entry, numbered_user, settle, synchronize,
-    tenant, tenant_base,
+    HOUR, SECOND, directory_settings, directory_with, entry, numbered_user, synchronize, tenant,
+    tenant_base, tick_until_idle,
 };
 
 /// Reports the entries of these users in a refresh of a directory.
@@ -86,7 +86,7 @@
     report_entries(&mut core, second_refresh, 0, 0..100, north);
     let done = 21 * SECOND;
     let mut outputs = synchronize(&mut core, done, 0, SyncEvent::RefreshDone);
-    settle(&mut core, done, &mut outputs);
+    tick_until_idle(&mut core, done, &mut outputs);
     let remaining = (0..5_000)
         .filter(|number| tenant(&core, &numbered_user(*number), done).is_some())
         .count();
@@ -139,7 +139,7 @@
     for unit in &units {
         synchronize(&mut core, done, unit.directory, SyncEvent::RefreshDone);
     }
-    settle(&mut core, done, &mut Vec::new());
+    tick_until_idle(&mut core, done, &mut Vec::new());
     let remaining = units.each_ref().map(|unit| {
         (0..5_000)
             .filter(|number| tenant(&core, &format!("{}{number}", unit.prefix), done).is_some())
--- a/crates/pipithub-emulator/src/directory/tree.rs
+++ b/crates/pipithub-emulator/src/directory/tree.rs
@@ -80,7 +80,7 @@
             .collect();
         let entry = Entry {
             uuid: entry_uuid(self.inserted, &record.dn),
-            written_dn: record.written,
+            written_dn: record.dn_text,
             attributes,
             modified: timestamp(),
         };
--- a/crates/pipithub-ldap/src/client.rs
+++ b/crates/pipithub-ldap/src/client.rs
@@ -88,7 +88,7 @@
 /// An event of a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The server accepted `StartTLS`. The caller must do the TLS handshake and then call [`Client::secured`].
+    /// The server accepted `StartTLS`. The caller must do the TLS handshake and then call [`Client::handshake_completed`].
     BeginTls,
     /// The bind has succeeded, or none is needed: searches may be sent.
     Ready,
@@ -198,7 +198,7 @@
     }
 
     /// Reports that the TLS handshake has succeeded, after [`Event::BeginTls`]. The bind request is sent next.
-    pub fn secured(&mut self) {
+    pub fn handshake_completed(&mut self) {
         if self.phase == Phase::Handshake {
             self.bind();
         }
@@ -271,7 +271,7 @@
         self.framer.push(bytes);
         while self.phase != Phase::Closed {
             if self.phase == Phase::Handshake {
-                if self.framer.waiting() > 0 {
+                if self.framer.buffered_len() > 0 {
                     self.close(
                         "received bytes between the response to StartTLS and the TLS handshake",
                     );
--- a/crates/pipithub-ldap/src/frame.rs
+++ b/crates/pipithub-ldap/src/frame.rs
@@ -137,7 +137,7 @@
     }
 
     /// Number of buffered bytes.
-    pub fn waiting(&self) -> usize {
+    pub fn buffered_len(&self) -> usize {
         self.buffer.len()
     }
 
--- a/crates/pipithub-ldap/src/ldif.rs
+++ b/crates/pipithub-ldap/src/ldif.rs
@@ -65,7 +65,7 @@
     /// The distinguished name in normalised form.
     pub dn: Dn,
     /// The distinguished name as in the file.
-    pub written: String,
+    pub dn_text: String,
     /// The attribute values, in the order of the file.
     pub attributes: Vec<Attribute>,
 }
@@ -196,12 +196,12 @@
         if !name.eq_ignore_ascii_case("dn") {
             return Err(line.invalid(InvalidLdifReason::MissingDn(name)));
         }
-        let written =
+        let dn_text =
             String::from_utf8(value).map_err(|_| line.invalid(InvalidLdifReason::DnNotUtf8))?;
-        let dn = Dn::parse(&written).map_err(|error| line.invalid(error.into()))?;
+        let dn = Dn::parse(&dn_text).map_err(|error| line.invalid(error.into()))?;
         self.records.push(Record {
             dn,
-            written,
+            dn_text,
             attributes: Vec::new(),
         });
         self.in_record = true;
--- a/crates/pipithub-ldap/tests/connection.rs
+++ b/crates/pipithub-ldap/tests/connection.rs
@@ -147,7 +147,7 @@
         client.take_output().is_empty(),
         "the bind was sent before the handshake"
     );
-    client.secured();
+    client.handshake_completed();
     assert!(matches!(
         sent_messages(&mut client)[0].protocol_op,
         ProtocolOp::BindRequest(_)
