--- a/crates/pipithub-directory/src/daily_peak.rs
+++ b/crates/pipithub-directory/src/daily_peak.rs
@@ -16,7 +16,7 @@
     /// When a record that was confirmed at `confirmed_at_ms` is to be refreshed, both in Unix milliseconds.
     ///
     /// The time is in the first refresh window that begins after the confirmation. `fraction`, from 0 to 1, is the
-    /// position in the window.
+    /// position of the time in the window.
     pub fn refresh_time(self, confirmed_at_ms: i64, fraction: f64) -> i64 {
         let lead_ms = self.lead_ms.clamp(1, DAY_MS - 1);
         let first_window = self.starts_at_ms - lead_ms;
--- a/crates/pipithub-directory/src/directory.rs
+++ b/crates/pipithub-directory/src/directory.rs
@@ -1,4 +1,4 @@
-//! The core of a front end's look-ups: it decides which server is searched for what, and which results are cached.
+//! The directory core: decides which searches are made at which server, and which results are cached.
 
 mod checks;
 mod dispatch;
@@ -28,10 +28,11 @@
 use self::tenant_bases::TenantBases;
 use self::wall_clock::WallClock;
 
-/// The maximum number of users that are checked, or removed after a full refresh, in one turn.
+/// The maximum number of users that are checked, and of users that are removed after a full refresh, in one tick. Every
+/// call of [`Directory::handle`] is a tick.
 const MAX_USERS_PER_TICK: usize = 2_048;
 
-/// The directories of a front end, with the cached results of their look-ups.
+/// The directories of a front end, with the cached results of look-ups in them.
 pub struct Directory {
     tenants: TenantBases,
     max_users: usize,
@@ -44,6 +45,7 @@
     jitter: Jitter,
     /// When each cached user is checked next.
     wheel: RefreshWheel,
+    /// The sweeps that are not complete, at most one for each directory.
     sweeps: Vec<RemovalSweep>,
     stats: Stats,
 }
@@ -77,7 +79,7 @@
         &self.roster
     }
 
-    /// Counters since the start.
+    /// Counters since the core was created.
     pub fn stats(&self) -> Stats {
         self.stats
     }
@@ -94,7 +96,7 @@
         self.searches.len()
     }
 
-    /// Caches the records of a snapshot, up to the maximum number of users. Their users are not looked up now.
+    /// Caches the records of a snapshot, up to the maximum number of users. This starts no look-ups.
     pub fn restore(&mut self, now: Time, stored: Vec<StoredRecord>) {
         let today = self.wall_clock.day(now);
         for StoredRecord { user, record } in stored {
@@ -152,7 +154,8 @@
     /// Sets the wall time (Unix milliseconds) at `now`, as the wall clock may have been stepped.
     ///
     /// Only days and daily peaks depend on wall time; the ages of records are measured in monotonic time. Checks that are
-    /// planned already keep their times, so a step shifts the refreshes ahead of the next peak but no later ones.
+    /// already scheduled keep their times, so a step of the wall clock shifts the refreshes ahead of the next peak but no
+    /// later ones.
     pub fn set_wall_clock(&mut self, now: Time, wall_ms: i64) {
         self.wall_clock.set(now, wall_ms);
     }
--- a/crates/pipithub-directory/src/directory/dispatch.rs
+++ b/crates/pipithub-directory/src/directory/dispatch.rs
@@ -1,4 +1,4 @@
-//! Starts searches for queued users, and handles searches that are not answered in time.
+//! Starts searches for queued users, and hedges or ends searches that are not answered in time.
 
 use crate::directory::Directory;
 use crate::messages::Output;
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Defers all queued look-ups of a directory that has no reachable server. They are reported as finished, because no
-    /// request should wait for them, and their users are searched for when a server is back.
+    /// Defers all queued look-ups of a directory that has no reachable server. The look-ups are reported as finished,
+    /// because no request should wait for them, and their users are searched for when a server is back.
     fn defer_lookups(&mut self, directory: usize, outputs: &mut Vec<Output>) {
         let state = &mut self.directories[directory];
         let users = state.queues.drain();
@@ -45,8 +45,8 @@
         self.finish_lookups(users, outputs);
     }
 
-    /// Queues the users whose look-ups were deferred, so that they are searched for together, and not one by one at their
-    /// next requests.
+    /// Queues the users whose look-ups were deferred, so that they are searched for together now, and not one by one at
+    /// their next requests.
     fn resume_deferred_lookups(&mut self, now: Time, directory: usize) {
         for user in std::mem::take(&mut self.directories[directory].deferred) {
             self.enqueue(now, directory, user, Priority::Background);
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Hedges the searches that take longer than usual.
+    /// Hedges the searches whose hedge delay has passed.
     pub(super) fn hedge_searches(&mut self, now: Time, outputs: &mut Vec<Output>) {
         for id in self.searches.due_for_hedge(now) {
             self.hedge_search(now, id, outputs);
--- a/crates/pipithub-directory/src/directory/followed.rs
+++ b/crates/pipithub-directory/src/directory/followed.rs
@@ -40,13 +40,13 @@
                 }
             }
             SyncEvent::ConnectionLost => {
-                // Records stay confirmed as of the last heartbeat, and age from then on.
+                // The records stay confirmed as of the last heartbeat, and age from then on.
                 self.directories[directory].sync.refresh = None;
             }
         }
     }
 
-    /// Caches the record of an existing entry. If the user is not cached yet and the cache is full, it is ignored.
+    /// Caches the record of an existing entry. If the user is not cached yet and the cache is full, the entry is ignored.
     fn apply_entry(
         &mut self,
         now: Time,
@@ -78,7 +78,7 @@
         self.report(now, directory, &entry.user, result, entry.person, outputs);
     }
 
-    /// The user whose entry belongs to a person; `None` if it is not cached.
+    /// The user whose entry belongs to a person; `None` if no such user is cached.
     fn followed_user(&self, directory: usize, person: PersonId) -> Option<User> {
         self.directories[directory].sync.users.get(&person).cloned()
     }
@@ -99,8 +99,9 @@
         self.report(now, directory, user, result, person, outputs);
     }
 
-    /// Records the present result of a followed directory for a user. The events of a followed directory come in order, so
-    /// that a change needs no confirmation: the observation carries the change number of the cached record.
+    /// Records the present result of a followed directory for a user. The events of a followed directory come in order,
+    /// so a change needs no confirmation: the observation carries the change number of the cached record, and is therefore
+    /// accepted at once.
     fn report(
         &mut self,
         now: Time,
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Ends a refresh stage. After a full one, users that it did not report have no entry any more and are removed.
+    /// Ends a refresh stage. Users that a full stage did not report have no entry any more, and a sweep removes them.
     fn finish_refresh(&mut self, now: Time, directory: usize) {
         let refresh = self.directories[directory].sync.refresh.take();
         if let Some(full) = refresh.filter(|refresh| refresh.is_full) {
--- a/crates/pipithub-directory/src/directory/lookups.rs
+++ b/crates/pipithub-directory/src/directory/lookups.rs
@@ -1,4 +1,4 @@
-//! Look-ups of users: the queue that each goes to, and when it is reported as finished.
+//! Look-ups of users: which queue each user is added to, and when a look-up is reported as finished.
 
 use crate::directory::Directory;
 use crate::messages::Output;
@@ -11,7 +11,7 @@
 const MAX_NAME_LENGTH: usize = 256;
 
 impl Directory {
-    /// Looks a user up in all directories that may know them.
+    /// Looks a user up in all directories that may contain the user.
     pub(super) fn look_up(
         &mut self,
         now: Time,
@@ -36,12 +36,12 @@
             is_pending |= self.enqueue(now, usize::from(directory), user.clone(), priority);
         }
         if !is_pending {
-            // All queues are full, so that no result will come for which a request could wait.
+            // All queues are full, so there will be no result for which a request could wait.
             outputs.push(Output::LookupFinished(user));
         }
     }
 
-    /// Records that a user has requests today.
+    /// Records in one of the user's records that the user was looked up today.
     fn record_lookup_day(&mut self, now: Time, user: &User) {
         let today = self.wall_clock.day(now);
         let Some(records) = self.roster.users.get(&**user) else {
--- a/crates/pipithub-directory/src/directory/records.rs
+++ b/crates/pipithub-directory/src/directory/records.rs
@@ -16,8 +16,7 @@
     pub(super) person: PersonId,
     /// When the result is known to have been true, in milliseconds on the caller's clock.
     pub(super) confirmed_at_ms: i64,
-    /// The change number of the server's copy; `None` if the server reports none, so that a lagging copy cannot be
-    /// detected.
+    /// The change number of the server's copy; `None` if the server reports none. A lagging copy cannot be detected then.
     pub(super) change_number: Option<u64>,
 }
 
@@ -118,8 +117,8 @@
         self.roster.users.insert((&**user).into(), records);
     }
 
-    /// Removes the user who would be checked next, whose records are the oldest or name no tenant. Returns whether there
-    /// was one.
+    /// Removes the user who would be checked next, who usually has the oldest records or records that name no tenant.
+    /// Returns whether there was such a user.
     fn evict_user(&mut self) -> bool {
         let Some(user) = self.wheel.pop_first() else {
             return false;
@@ -128,7 +127,7 @@
         true
     }
 
-    /// Removes all records of a user.
+    /// Removes all records of a user from the cache.
     pub(super) fn remove_user(&mut self, user: &str) {
         let Some(records) = self.roster.users.remove(user) else {
             return;
--- a/crates/pipithub-directory/src/directory/refresh.rs
+++ b/crates/pipithub-directory/src/directory/refresh.rs
@@ -1,4 +1,4 @@
-//! Checks cached users when they are due: they are refreshed ahead of the daily peak, or removed.
+//! Checks of cached users when they are due: the users are refreshed ahead of the daily peak, or removed.
 
 use crate::directory::{Directory, MAX_USERS_PER_TICK};
 use crate::jitter::stable_fraction;
@@ -7,11 +7,12 @@
 use crate::state::Priority;
 use crate::time::{Time, to_ms};
 
-/// Users without requests for more days than this are not refreshed ahead of a peak.
+/// Users who were not looked up for a request for more days than this are not refreshed ahead of a peak.
 const MAX_DAYS_WITHOUT_LOOKUP: u8 = 14;
 /// The shortest time until the next check of a user, in milliseconds.
 const MIN_CHECK_DELAY_MS: i64 = 1_000;
-/// A record that expires within this time does not determine the next check of its user, which would be too soon.
+/// A check that a record requires within this time does not determine the next check of its user, as it would be too
+/// soon.
 const IMMINENT_EXPIRY_SECONDS: i64 = 2;
 /// The time until the next check of a user if no record determines it.
 const DEFAULT_CHECK_SECONDS: i64 = 60;
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Removes a user without valid records. Other users are refreshed if that is due, and their next check is planned.
+    /// Removes a user without valid records. Another user is refreshed if that is due, and the next check is scheduled.
     fn check_user(&mut self, now: Time, user: &str) {
         let records = self.roster.users.get(user).map(LookupRecords::as_slice);
         let Some(records) = records.map(<[LookupRecord]>::to_vec) else {
@@ -50,7 +51,7 @@
         self.wheel.schedule(next_check, user.into());
     }
 
-    /// Whether a record has not expired. Records of followed directories do not expire here.
+    /// Whether a record has not expired. Records of followed directories count as valid here, whatever their age.
     fn is_valid(&self, now: Time, record: &LookupRecord) -> bool {
         let max_age = self.directories[record.directory_index()]
             .settings
@@ -87,7 +88,8 @@
         }
     }
 
-    /// The second in which a record requires a check of its user, to refresh it ahead of the peak or to remove it.
+    /// The second in which a record requires a check of its user: when the record is to be refreshed ahead of the peak, or
+    /// when it expires.
     pub(super) fn next_check(&self, now: Time, user: &str, record: &LookupRecord) -> WheelSecond {
         let settings = &self.directories[record.directory_index()].settings;
         let max_age = settings.lifetimes.max_age(record.result);
@@ -106,8 +108,9 @@
         WheelSecond::after_ms(due_ms.max(soonest_ms))
     }
 
-    /// The second of the next check for a record whose refresh was due just now. The record is treated as confirmed now,
-    /// which places the next refresh into the next window, unless the record expires before.
+    /// The second of the next check that a record requires after its user was checked just now. The record is treated as
+    /// refreshed now, so the next refresh is in the next window. The check that the record itself requires counts only if
+    /// it comes first and is not imminent.
     fn next_check_after_refresh(
         &self,
         now: Time,
--- a/crates/pipithub-directory/src/directory/removal_sweep.rs
+++ b/crates/pipithub-directory/src/directory/removal_sweep.rs
@@ -1,6 +1,6 @@
 //! Removes users that were not part of a full refresh of a followed directory, as they have no entry any more.
 //!
-//! A sweep removes a limited number of users in each turn. Until its turn, a user keeps the old record.
+//! A sweep removes a limited number of users in each tick. Until then, a user keeps the old record.
 
 use compact_str::CompactString;
 
@@ -11,12 +11,14 @@
 use crate::roster::Roster;
 use crate::time::Time;
 
-/// A sweep of one directory that is not complete yet.
+/// The removal of missing users from one directory that is not complete yet.
 pub(super) struct RemovalSweep {
     pub(super) directory: usize,
+    /// When the refresh started, in milliseconds on the caller's clock.
     refresh_started_ms: i64,
-    /// All users as of the end of the refresh; `None` once the users to remove were selected from them.
+    /// All cached users as of the end of the refresh; `None` once the users to remove were selected from them.
     candidates: Option<PersistentMap<CompactString, LookupRecords>>,
+    /// The selected users that were not removed yet.
     to_remove: Vec<User>,
 }
 
@@ -52,7 +54,7 @@
             .collect();
     }
 
-    /// Takes the users of one turn.
+    /// Takes the users to remove in one tick.
     fn take_users(&mut self) -> Vec<User> {
         let rest = self.to_remove.len().saturating_sub(MAX_USERS_PER_TICK);
         self.to_remove.split_off(rest)
@@ -60,7 +62,7 @@
 }
 
 impl Directory {
-    /// Continues the latest sweep, for one turn.
+    /// Continues the latest sweep, for one tick.
     pub(super) fn continue_sweep(&mut self, now: Time, outputs: &mut Vec<Output>) {
         let Some(mut sweep) = self.sweeps.pop() else {
             return;
--- a/crates/pipithub-directory/src/directory/results.rs
+++ b/crates/pipithub-directory/src/directory/results.rs
@@ -1,4 +1,4 @@
-//! Handles searches that have ended: applies their responses, and retries after failures.
+//! Handles searches that have ended: applies their responses, and retries failed searches.
 
 use std::collections::HashMap;
 
@@ -10,11 +10,12 @@
 use crate::state::Batch;
 use crate::time::{Time, to_ms};
 
-/// How current a response is.
+/// How fresh a response is.
 #[derive(Clone, Copy)]
 struct Freshness {
     /// When the response is known to have been true, in milliseconds on the caller's clock.
     confirmed_at_ms: i64,
+    /// The change number of the server's copy; `None` if the server reports none.
     change_number: Option<u64>,
     /// Whether the copy that responded lags behind another server's.
     is_outdated: bool,
@@ -27,7 +28,7 @@
 }
 
 impl Directory {
-    /// Ends a search. A search that was cancelled has ended before and is ignored.
+    /// Ends a search. A search that was cancelled has ended before, so its outcome is ignored.
     pub(super) fn end_search(
         &mut self,
         now: Time,
@@ -59,7 +60,7 @@
             return Err(SearchError::Unavailable);
         }
         if !query.is_answered_by(&response) {
-            // A server that returns entries nobody searched for cannot be trusted with the others.
+            // If a server returns entries that were not searched for, the other entries cannot be trusted either.
             self.stats.unexpected_entries += 1;
             return Err(SearchError::InvalidResponse);
         }
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Retries the search for users without a result, and ends the look-ups of those who had their last attempt.
+    /// Retries the search for users without a result, and ends the look-ups of the users who had their last attempt.
     fn retry(&mut self, directory: usize, batch: Batch, outputs: &mut Vec<Output>) {
         let given_up = self.directories[directory].queues.retry(batch);
         self.finish_lookups(given_up, outputs);
@@ -109,7 +110,7 @@
         if outdated_since.is_some() {
             self.stats.outdated_results += 1;
         }
-        // A response is confirmed as of the start of its search, or as of the time since when the copy is outdated.
+        // A response is confirmed as of the start of its search, or as of the time at which the copy became outdated.
         let freshness = Freshness {
             confirmed_at_ms: outdated_since.unwrap_or(to_ms(search.started_at)),
             change_number: response.change_number,
@@ -158,7 +159,7 @@
         self.directories[directory].record_poll(response.newest_modify_timestamp);
     }
 
-    /// Cancels the other search for the same users, if there is one.
+    /// Cancels the other search for the same users, if it is in flight.
     fn cancel_hedge_partner(&mut self, partner: Option<SearchId>, outputs: &mut Vec<Output>) {
         let Some(id) = partner else { return };
         let Some(search) = self.searches.remove(id) else {
--- a/crates/pipithub-directory/src/directory/searches_in_flight.rs
+++ b/crates/pipithub-directory/src/directory/searches_in_flight.rs
@@ -26,7 +26,7 @@
         id
     }
 
-    /// Removes a search; `None` if it has ended before.
+    /// Removes and returns a search; `None` if it has ended before.
     pub(super) fn remove(&mut self, id: SearchId) -> Option<SearchInFlight> {
         self.searches.remove(&id)
     }
@@ -41,14 +41,15 @@
         self.ids_where(|search| search.hedge_at.is_some_and(|at| at <= now))
     }
 
-    /// Marks a search as hedged, whether a hedge is started or not, and returns what it searches for.
+    /// Marks a search as hedged, whether or not a hedge is then started, and returns its request; `None` if the search has
+    /// ended before.
     pub(super) fn take_hedge_due(&mut self, id: SearchId) -> Option<&SearchRequest> {
         let search = self.searches.get_mut(&id)?;
         search.hedge_at = None;
         Some(&search.request)
     }
 
-    /// Makes a search and its hedge partners of each other. A hedge is not hedged itself.
+    /// Makes a search and its hedge each other's partner. The hedge itself is not hedged.
     pub(super) fn link_hedge(&mut self, id: SearchId, hedge_id: SearchId) {
         if let Some(hedge) = self.searches.get_mut(&hedge_id) {
             hedge.hedge_at = None;
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Makes a search the only one for its users, as its partner has failed. Returns whether the search is in flight.
+    /// Removes the link from a search to its partner, as the partner has failed. Returns whether the search is in flight.
     pub(super) fn unlink_partner(&mut self, id: SearchId) -> bool {
         let Some(search) = self.searches.get_mut(&id) else {
             return false;
@@ -68,7 +69,7 @@
         true
     }
 
-    /// When the next search is to be hedged or its deadline passes.
+    /// The next time at which a search is to be hedged or its deadline passes; `None` if no search is in flight.
     pub(super) fn next_due(&self) -> Option<Time> {
         self.searches
             .values()
--- a/crates/pipithub-directory/src/directory/tenant_bases.rs
+++ b/crates/pipithub-directory/src/directory/tenant_bases.rs
@@ -15,7 +15,8 @@
         TenantBases { bases }
     }
 
-    /// The tenant of an entry: of all tenants whose base contains it, the one with the innermost base.
+    /// The tenant of an entry: of all tenants whose base contains the entry, the one with the innermost base. The result is
+    /// [`LookupResult::Absent`] if there is none.
     pub(super) fn find(&self, directory: usize, dn: &Dn) -> LookupResult {
         let innermost = self
             .bases
--- a/crates/pipithub-directory/src/jitter.rs
+++ b/crates/pipithub-directory/src/jitter.rs
@@ -1,8 +1,9 @@
-//! Jitter, which spreads in time what many front ends would otherwise do at the same moment.
+//! Jitter, which spreads over time what many front ends would otherwise do simultaneously.
 
 use std::hash::{BuildHasher, DefaultHasher};
 
-/// A fraction from 0 to 1 that depends on the key and the seed alone. Front ends differ by their seeds.
+/// A fraction from 0 to 1 that depends on the key and the seed alone. Front ends have different seeds and so get
+/// different fractions.
 pub(crate) fn stable_fraction(key: &str, seed: u64) -> f64 {
     struct UnkeyedHasher;
     impl BuildHasher for UnkeyedHasher {
@@ -15,7 +16,8 @@
     to_fraction(UnkeyedHasher.hash_one((key, seed)))
 }
 
-/// A sequence of pseudo-random fractions (xorshift64*). Its quality is not important, as long as front ends differ.
+/// A sequence of pseudo-random fractions (xorshift64*). Its statistical quality is not important, as long as the
+/// sequences of front ends differ.
 #[derive(Debug)]
 pub(crate) struct Jitter {
     state: u64,
--- a/crates/pipithub-directory/src/messages.rs
+++ b/crates/pipithub-directory/src/messages.rs
@@ -10,7 +10,7 @@
     Tick,
     /// The user of a request is to be looked up, or their records are to be refreshed.
     LookUp {
-        /// The user's name, folded.
+        /// The user's name, normalized as by [`pipithub_ldap::dn::fold`].
         user: User,
         /// Whether a request waits for the result.
         urgent: bool,
@@ -47,7 +47,7 @@
     Unchanged(PersonId),
     /// The refresh stage is done, and the connection works.
     RefreshDone,
-    /// The server has answered on the connection, which confirms all records.
+    /// The server has answered on the connection, which confirms all records of the directory.
     Heartbeat,
     /// The connection is lost.
     ConnectionLost,
@@ -69,7 +69,7 @@
     },
     /// Abandon a search, as its response is no longer needed.
     CancelSearch(SearchId),
-    /// The look-up of a user has finished. The roster holds the result; without a result there, none was obtained.
+    /// The look-up of a user has finished. The result is in the roster; if the roster has none, none was obtained.
     LookupFinished(User),
     /// A user now belongs to another tenant or to none, or the name belongs to another person. Requests that run for the
     /// user must end.
--- a/crates/pipithub-directory/src/pending_lookups.rs
+++ b/crates/pipithub-directory/src/pending_lookups.rs
@@ -49,8 +49,9 @@
 #[derive(Debug)]
 pub struct PendingLookups<T> {
     max_pending: usize,
-    /// The waiting requests, by consecutive numbers.
+    /// The waiting requests, by the consecutive numbers that [`PendingLookups::add`] assigns.
     lookups: BTreeMap<u64, PendingLookup<T>>,
+    /// The numbers of the requests that wait for each user.
     by_user: HashMap<User, Vec<u64>>,
     deadlines: BTreeSet<Deadline>,
     next_number: u64,
@@ -78,7 +79,7 @@
         self.lookups.is_empty()
     }
 
-    /// The earliest deadline.
+    /// The earliest deadline; `None` if no request is waiting.
     pub fn next_due(&self) -> Option<Time> {
         self.deadlines.first().map(|deadline| deadline.at)
     }
@@ -132,7 +133,7 @@
         ended
     }
 
-    /// Drops all requests for which `is_cancelled` is true.
+    /// Drops all requests for which `is_cancelled` returns true.
     pub fn cancel(&mut self, mut is_cancelled: impl FnMut(&T) -> bool) {
         let numbers: Vec<u64> = self
             .lookups
--- a/crates/pipithub-directory/src/persistent_map.rs
+++ b/crates/pipithub-directory/src/persistent_map.rs
@@ -1,10 +1,10 @@
-//! A persistent hash map: clones share their tables, and a change copies only the tables that it touches.
+//! A persistent hash map: clones share their tables, and a change copies only the tables that it modifies.
 //!
-//! The entries are distributed over a fixed number of tables, which are listed on two levels. A change copies one small
-//! table, and each of the two lists once for each version that is shared. The alternatives were measured with a million
-//! users: the hash trie of `imbl` took 301 bytes an entry and 698 ns a look-up, as its nodes have capacity for many more
-//! entries than they hold; with a single list of 4,096 larger tables a refresh of all users took 32 s, nearly all of it
-//! for copies. See `docs/measurements.md`.
+//! The entries are distributed over a fixed number of tables, which are listed on two levels. After a clone, the first
+//! change of a table copies this small table, and also the list of its table and the list of lists if no earlier change
+//! has copied them. The alternatives were measured with a million users: the hash trie of `imbl` took 301 bytes an entry
+//! and 698 ns a look-up, as its nodes have capacity for many more entries than they hold; with a single list of 4,096
+//! larger tables a refresh of all users took 32 s, nearly all of it for copies. See `docs/measurements.md`.
 
 use std::borrow::Borrow;
 use std::collections::HashMap;
@@ -31,7 +31,7 @@
 pub(crate) struct PersistentMap<K, V> {
     lists: Arc<[TableList<K, V>]>,
     len: usize,
-    /// Has random keys, so that a client cannot choose names that all fall into one table.
+    /// Its keys are random, so that a client cannot choose names that all fall into one table.
     hasher: RandomState,
 }
 
@@ -48,7 +48,8 @@
     }
 
     fn position<Q: Hash + ?Sized>(&self, key: &Q) -> Position {
-        // The tables use the same hash. They place entries by its highest and lowest bits, so other bits choose the table.
+        // The tables use the same hash. They place entries by its highest and lowest bits, so other bits choose the
+        // table.
         let hash = self.hasher.hash_one(key) >> 24;
         Position {
             list: hash as usize % LISTS,
--- a/crates/pipithub-directory/src/persistent_map/tests.rs
+++ b/crates/pipithub-directory/src/persistent_map/tests.rs
@@ -1,4 +1,4 @@
-//! Compares the persistent map with a `BTreeMap`, over many versions.
+//! Compares many versions of the persistent map with those of a `BTreeMap`.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// Each version equals the model as of when it was cloned.
+    /// Each version equals the `BTreeMap` that was cloned together with it.
     #[test]
     fn cloned_versions_do_not_see_later_changes(steps in proptest::collection::vec((0u16..300, any::<Option<u8>>()), 0..400)) {
         let (mut map, mut model) = (PersistentMap::new(), BTreeMap::new());
--- a/crates/pipithub-directory/src/publisher.rs
+++ b/crates/pipithub-directory/src/publisher.rs
@@ -7,7 +7,7 @@
 
 use crate::roster::Roster;
 
-/// The maximum number of replaced versions that are retained.
+/// The maximum number of replaced versions that are retained, even if readers still use them.
 const MAX_RETIRED: usize = 1_024;
 
 /// Publishes the newest version of a roster, and frees the versions that were replaced.
@@ -22,7 +22,7 @@
 }
 
 impl Publisher {
-    /// Creates a publisher with a first version.
+    /// Creates a publisher whose newest version is this roster.
     pub fn new(roster: &Roster) -> Self {
         Publisher {
             newest: Arc::new(ArcSwap::from_pointee(roster.clone())),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The shared cell from which readers load the newest version.
+    /// The shared pointer from which readers load the newest version.
     pub fn newest(&self) -> Arc<ArcSwap<Roster>> {
         self.newest.clone()
     }
--- a/crates/pipithub-directory/src/record.rs
+++ b/crates/pipithub-directory/src/record.rs
@@ -8,11 +8,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub u16);
 
-/// A user's name as requests give it, folded to one case.
+/// A user's name as requests give it, normalized as by [`pipithub_ldap::dn::fold`].
 pub type User = Arc<str>;
 
-/// Distinguishes people who have the same name over time: the hash of their entry's `entryUUID`. 0 means that it is not
-/// known.
+/// Distinguishes people who have the same user name at different times: the hash of the `entryUUID` of the person's
+/// entry. 0 means that the person is not known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PersonId(pub u64);
 
@@ -34,11 +34,11 @@
 /// The result of looking a user up in a directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LookupResult {
-    /// The directory has one entry of the name, below this tenant's base.
+    /// The directory has one entry with the name, below this tenant's base.
     Tenant(TenantId),
-    /// The directory has no entry of the name below any tenant's base.
+    /// The directory has no entry with the name below any tenant's base.
     Absent,
-    /// The directory has several entries of the name.
+    /// The directory has several entries with the name.
     Ambiguous,
 }
 
@@ -56,16 +56,17 @@
     pub directory: u16,
     /// The result that the directory reported.
     pub result: LookupResult,
-    /// The person that the entry belongs to; unknown if there is no single entry.
+    /// The person that the entry belongs to; [`PersonId::default`] if there is no single entry.
     pub person: PersonId,
     /// The time at which the result is known to have been true, in milliseconds on the caller's clock. It is negative if
     /// that was before the start of the process.
     pub confirmed_at_ms: i64,
-    /// The newest change that the server's copy contained; 0 if the server does not report it.
+    /// The number of the newest change in the server's copy; 0 if the server does not report it.
     pub change_number: u64,
-    /// A random number, by which records that were confirmed together are refreshed at different times.
+    /// A random number, so that records that were confirmed together are refreshed at different times.
     pub refresh_jitter: u8,
-    /// The day of the latest request of the user, as days since the Unix epoch modulo 256.
+    /// The day of the user's latest look-up for a request, as days since the Unix epoch modulo 256. Only one of the
+    /// user's records is sure to hold the latest day.
     pub last_lookup_day: u8,
 }
 
@@ -86,6 +87,7 @@
 pub(crate) enum LookupRecords {
     /// The record of a user who is in one directory only, as nearly all users are. It needs no allocation.
     One(LookupRecord),
+    /// The records of a user from several directories.
     Several(Box<[LookupRecord]>),
 }
 
@@ -97,14 +99,14 @@
         }
     }
 
-    /// The record from one directory.
+    /// The record from one directory; `None` if there is none.
     pub(crate) fn of_directory(&self, directory: usize) -> Option<&LookupRecord> {
         self.as_slice()
             .iter()
             .find(|record| record.directory_index() == directory)
     }
 
-    /// A copy of the records with this record in place of the earlier one from the same directory.
+    /// A copy of the records with this record added, in place of an earlier one from the same directory.
     pub(crate) fn with(&self, record: LookupRecord) -> LookupRecords {
         match self {
             LookupRecords::One(earlier) if earlier.directory == record.directory => {
--- a/crates/pipithub-directory/src/refresh_wheel.rs
+++ b/crates/pipithub-directory/src/refresh_wheel.rs
@@ -1,4 +1,5 @@
-//! A timer wheel of the times at which cached users are checked: refreshed ahead of a peak, or removed.
+//! The times, with a resolution of one second, at which cached users are checked: they are refreshed ahead of a peak, or
+//! removed.
 
 use std::collections::BTreeMap;
 
@@ -29,7 +30,7 @@
     }
 }
 
-/// Users by the second in which they are checked. Each cached user is in it once.
+/// Users by the second in which they are checked. Each cached user is scheduled once.
 #[derive(Debug, Default)]
 pub(crate) struct RefreshWheel {
     seconds: BTreeMap<WheelSecond, Vec<CompactString>>,
@@ -40,7 +41,7 @@
         self.seconds.entry(second).or_default().push(user);
     }
 
-    /// Removes and returns a user of the earliest second.
+    /// Removes and returns a user of the earliest second; `None` if no user is scheduled.
     pub(crate) fn pop_first(&mut self) -> Option<CompactString> {
         let mut first = self.seconds.first_entry()?;
         let user = first.get_mut().pop();
@@ -50,7 +51,7 @@
         user
     }
 
-    /// Removes and returns a user who is due in this second or was due earlier.
+    /// Removes and returns a user who is due in this second or was due earlier; `None` if there is none.
     pub(crate) fn pop_due(&mut self, second: WheelSecond) -> Option<CompactString> {
         let first = self.seconds.keys().next()?;
         if *first > second {
@@ -59,7 +60,7 @@
         self.pop_first()
     }
 
-    /// When the next user is due.
+    /// When the next user is due; `None` if no user is scheduled.
     pub(crate) fn next_due(&self) -> Option<Time> {
         let first = self.seconds.keys().next()?;
         Some(from_ms(first.0.saturating_mul(SECOND_MS)))
--- a/crates/pipithub-directory/src/refresh_wheel/tests.rs
+++ b/crates/pipithub-directory/src/refresh_wheel/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of when users are due on the wheel.
+//! Tests of when scheduled users are due.
 
 use super::{RefreshWheel, WheelSecond};
 use crate::time::SECOND;
--- a/crates/pipithub-directory/src/roster.rs
+++ b/crates/pipithub-directory/src/roster.rs
@@ -1,4 +1,4 @@
-//! The cached records of all users, and how a user is resolved to a tenant by them.
+//! The cached records of all users, which resolve a user to a tenant.
 
 mod realms;
 
@@ -16,7 +16,7 @@
 /// Whether a record that is used should be refreshed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refresh {
-    /// The record is fresh and is used as it is.
+    /// The record is fresh and is used without a refresh.
     NotNeeded,
     /// Use the record now, and look the user up again in the background.
     InBackground,
@@ -33,21 +33,21 @@
         tenant: TenantId,
         /// The person that the name refers to.
         person: PersonId,
-        /// The age of the record that decides, in nanoseconds.
+        /// The age of the newest record that names the tenant, in nanoseconds.
         age: Time,
         /// Whether that record should be refreshed.
         refresh: Refresh,
     },
     /// The user belongs to no tenant.
     NoTenant,
-    /// Several tenants or several people claim the name. There is no safe choice between them, so the user's requests are
-    /// rejected.
+    /// The valid records name several tenants, or a directory has several entries of the name. No choice between them
+    /// is safe, so the user's requests are rejected.
     Ambiguous,
-    /// There is no valid record: the user is to be looked up.
+    /// No valid record names a tenant, but a directory may still contain the user, who is to be looked up.
     Unknown,
 }
 
-/// The tenant that a user belongs to, and the person that they are.
+/// A user's tenant and person. If it changes, requests that run for the user must end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Identity {
     tenant: TenantId,
@@ -67,14 +67,14 @@
     }
 }
 
-/// The status of a directory as a roster holds it.
+/// The properties of a directory on which the validity of its records depends.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DirectoryStatus {
     pub(crate) lifetimes: Lifetimes,
     /// When the records of a followed directory were last known to be complete, in milliseconds on the caller's clock;
     /// `None` if the directory is not followed or was never complete.
     pub(crate) synchronized_at_ms: Option<i64>,
-    /// Whether no server is expected to respond while a request waits.
+    /// Whether no server of the directory is expected to respond while a request waits.
     pub(crate) is_slow: bool,
 }
 
@@ -111,7 +111,8 @@
 /// A version of all cached records. Cloning shares the records and is cheap.
 #[derive(Clone, Debug)]
 pub struct Roster {
-    /// Names of up to 24 bytes are stored inline, which saves a memory access in each look-up.
+    /// The records by the user's name. Names of up to 24 bytes are stored inline, which saves a memory access in each
+    /// look-up.
     pub(crate) users: PersistentMap<CompactString, LookupRecords>,
     pub(crate) directories: Arc<[DirectoryStatus]>,
     realms: Arc<Realms>,
@@ -152,7 +153,7 @@
         self.users.is_empty()
     }
 
-    /// The directories that may know a user, by their indexes in the settings: those of the name's realm if it has one
+    /// The directories that may contain a user, by their indexes in the settings: those of the name's realm if it has one
     /// (`mai@north.example`), otherwise those for names without a realm.
     pub fn directories_for(&self, user: &str) -> &[u16] {
         self.realms.directories_for(user)
@@ -160,10 +161,11 @@
 
     /// Resolves a user by the records that are valid now.
     ///
-    /// A single tenant's valid record decides, even if other directories have not responded yet: a directory that is down
-    /// must not delay the users of others. If valid records name two tenants, the user is ambiguous, however old one of
-    /// the records is. Its directory may only be unreachable, and choosing the newer record would let anyone who can
-    /// create an entry in the other directory take over the user's requests.
+    /// If the valid records name a single tenant, the user belongs to it, even if other directories have not responded
+    /// yet: a directory that is down must not delay the users of others. If valid records name two tenants, the user is
+    /// ambiguous, however old one of the records is. The directory of the older record may only be unreachable, and
+    /// choosing the newer record would let anyone who can create an entry in the other directory take over the user's
+    /// requests.
     pub fn resolve(&self, user: &str, now: Time) -> Resolution {
         let now_ms = to_ms(now);
         let records = self.records(user);
@@ -189,7 +191,7 @@
         }
     }
 
-    /// The record of a user from one directory.
+    /// The record of a user from one directory; `None` if there is none.
     pub(crate) fn record(&self, user: &str, directory: usize) -> Option<&LookupRecord> {
         self.users
             .get(user)
@@ -213,7 +215,7 @@
             .map_or(&[][..], LookupRecords::as_slice)
     }
 
-    /// Combines the valid records of a user; `None` if they are ambiguous.
+    /// Combines the valid records of a user; `None` if they make the user ambiguous.
     fn combine(&self, records: &[LookupRecord], now_ms: i64) -> Option<CombinedRecords> {
         let mut tenant: Option<ValidRecord> = None;
         let mut absent = 0;
@@ -245,8 +247,8 @@
         Some(CombinedRecords { tenant, absent })
     }
 
-    /// Whether the user is absent from a directory because it has no record of them: that is so if the directory is
-    /// followed and was complete recently, as then all of its entries have records.
+    /// Whether a user without a record from a directory is known to be absent from it. This is so if the directory is
+    /// followed and its records were complete recently, as then all of its entries have records.
     fn implies_absence(&self, directory: usize, records: &[LookupRecord], now_ms: i64) -> bool {
         let status = &self.directories[directory];
         let is_complete = status
--- a/crates/pipithub-directory/src/roster/realms.rs
+++ b/crates/pipithub-directory/src/roster/realms.rs
@@ -1,10 +1,10 @@
-//! The directories that are responsible for each realm.
+//! The directories that contain the users of each realm.
 
 use std::collections::HashMap;
 
 use crate::settings::DirectorySettings;
 
-/// The directories, by the realms of the users that they know.
+/// The directories, by the realms of the users that they contain.
 #[derive(Debug)]
 pub(crate) struct Realms {
     directories: HashMap<Box<str>, Vec<u16>>,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The directories that may know a user, by their indexes in the settings.
+    /// The directories that may contain a user, by their indexes in the settings.
     pub(crate) fn directories_for(&self, user: &str) -> &[u16] {
         let Some((_, realm)) = user.rsplit_once('@') else {
             return &self.without_realm;
--- a/crates/pipithub-directory/src/search.rs
+++ b/crates/pipithub-directory/src/search.rs
@@ -16,15 +16,15 @@
 pub enum Query {
     /// The entries of these users. The server's change number must be read before them, on the same connection.
     Users(Vec<User>),
-    /// The server's state: whether the base of its tree exists, and its change number.
+    /// The state of the server: whether the base of its tree exists, and its change number.
     ServerState,
-    /// The entries that were changed since this `modifyTimestamp`. `None` requests no entries, only a timestamp to
-    /// continue from.
+    /// The entries that were changed since this `modifyTimestamp`. `None` requests no entries, only a timestamp from which
+    /// the next poll continues.
     ChangedSince(Option<String>),
 }
 
 impl Query {
-    /// Whether the response contains only entries that were searched for.
+    /// Whether the response contains only entries of users that were searched for. True for other queries.
     pub(crate) fn is_answered_by(&self, response: &SearchResponse) -> bool {
         let Query::Users(users) = self else {
             return true;
@@ -40,7 +40,7 @@
 /// A user's entry in a directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DirectoryEntry {
-    /// The user's name, folded, with the realm as users give it.
+    /// The user's name, normalized as by [`pipithub_ldap::dn::fold`], with the realm as users give it.
     pub user: User,
     /// The entry's distinguished name, which determines the tenant.
     pub dn: Dn,
@@ -53,9 +53,9 @@
 pub struct SearchResponse {
     /// The entries that were found.
     pub entries: Vec<DirectoryEntry>,
-    /// The newest change that the server's copy contained before the search; `None` if the server does not report it.
+    /// The number of the newest change in the server's copy before the search; `None` if the server does not report it.
     pub change_number: Option<u64>,
-    /// Whether the base of the tree exists. Without it the server may still be loading, and responds that no user exists.
+    /// Whether the base of the tree exists. If not, the server may still be loading, and responds that no user exists.
     pub base_exists: bool,
     /// The newest `modifyTimestamp` of the entries, for the next poll; `None` if no entry has one.
     pub newest_modify_timestamp: Option<String>,
@@ -80,13 +80,14 @@
     #[error("Nonsense")]
     InvalidResponse,
     /// The server refers to another server: the directory's server with this index, or `None` if the settings do not have
-    /// it.
+    /// that server.
     #[error("Elsewhere({0:?})")]
     Referral(Option<usize>),
 }
 
 impl SearchError {
-    /// Whether the circuit breaker opens at the first such error, as the server itself shows that it cannot be used.
+    /// Whether the circuit breaker opens at the first such error, because the server's own response shows that it cannot
+    /// be used.
     pub(crate) fn opens_breaker(self) -> bool {
         match self {
             SearchError::TimedOut | SearchError::ConnectionLost => false,
@@ -104,7 +105,7 @@
     pub(crate) directory: usize,
     pub(crate) server: usize,
     pub(crate) query: Query,
-    /// The number of earlier searches for its users that had no result.
+    /// The number of earlier searches for the same users that had no result.
     pub(crate) attempts: u8,
 }
 
--- a/crates/pipithub-directory/src/settings.rs
+++ b/crates/pipithub-directory/src/settings.rs
@@ -6,7 +6,7 @@
 use crate::record::LookupResult;
 use crate::time::{MILLISECOND, SECOND, Time};
 
-/// The longest time for which users without a waiting request are collected into one search.
+/// The longest time for which users without a waiting request are collected for one search.
 const MAX_BACKGROUND_DELAY: Time = 30 * SECOND;
 /// The bounds of the interval at which a server's state is checked.
 const MIN_STATE_CHECK_INTERVAL: Time = 50 * MILLISECOND;
@@ -43,13 +43,14 @@
 pub struct DirectorySettings {
     /// The number of servers; 0 is treated as 1.
     pub server_count: usize,
-    /// The realms of the users that the directory knows. If there are none, it knows users without a realm.
+    /// The realms of the users that the directory contains. If there are none, it contains the users without a realm.
     pub realms: Vec<String>,
     /// How long the directory's results are valid.
     pub lifetimes: Lifetimes,
     /// The time, in nanoseconds, after which a search without a response has failed.
     pub timeout: Time,
-    /// The time, in nanoseconds, after which a search without a response is hedged at a second server.
+    /// The shortest time, in nanoseconds, after which a search without a response is hedged at a second server. It is
+    /// longer for servers that usually respond slowly.
     pub hedge_after: Time,
     /// The maximum number of users in one search.
     pub max_users_per_search: usize,
@@ -61,22 +62,22 @@
     pub failure_threshold: u32,
     /// How long the circuit breaker stays open.
     pub backoff: Backoff,
-    /// How long after its first report, in nanoseconds, a change is accepted that servers without change numbers report
-    /// again.
+    /// The time, in nanoseconds, after which a second report confirms a change that a server without change numbers has
+    /// reported.
     pub change_confirmation_delay: Time,
-    /// The daily peak ahead of which records are refreshed; `None` refreshes none.
+    /// The daily peak ahead of which records are refreshed; `None` if there is no such peak.
     pub daily_peak: Option<DailyPeak>,
     /// The interval in nanoseconds at which the directory is polled for changes; 0 disables polls.
     pub poll_interval: Time,
 }
 
 impl DirectorySettings {
-    /// How long users without a waiting request are collected into one search.
+    /// How long users without a waiting request are collected for one search.
     pub(crate) fn background_delay(&self) -> Time {
         (self.lifetimes.fresh / 16).min(MAX_BACKGROUND_DELAY)
     }
 
-    /// The interval at which the state of a server is checked that receives no other searches.
+    /// The interval at which the state of a server without other searches is checked.
     pub(crate) fn state_check_interval(&self) -> Time {
         (self.lifetimes.fresh / 2).clamp(MIN_STATE_CHECK_INTERVAL, MAX_STATE_CHECK_INTERVAL)
     }
@@ -109,8 +110,8 @@
     }
 }
 
-/// The exponential backoff during which a failing server is not used: it doubles with each failure. Jitter is added to
-/// these times.
+/// The exponential backoff during which a failing server is not used: it doubles with each failure. Jitter multiplies
+/// each backoff by a factor from 0.5 to 1.5.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backoff {
     /// The backoff after the first failure, in nanoseconds.
@@ -122,14 +123,14 @@
 /// How long a directory's results are valid, in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lifetimes {
-    /// The age up to which a record of a tenant is fresh. Up to three quarters of it the record is used as it is. From a
-    /// random age between that and this age on it is used and refreshed in the background, and from twice this age on a
-    /// request waits for the refresh for a bounded time.
+    /// The age up to which a record that names a tenant is fresh. Up to three quarters of this age the record is used
+    /// without a refresh. From a random age between these two on it is used and refreshed in the background. From twice
+    /// this age on a request waits for the refresh for a bounded time, unless all servers are slow or unreachable.
     pub fresh: Time,
-    /// The age from which on a record of a tenant is no longer valid.
+    /// The age from which on a record that names a tenant is no longer valid.
     pub max_stale: Time,
-    /// The age from which on results that name no tenant, absent and ambiguous ones, are no longer valid. They are not
-    /// refreshed before.
+    /// The age from which on results that name no tenant, absent and ambiguous ones, are no longer valid. Such results
+    /// are not refreshed before they expire.
     pub negative: Time,
 }
 
--- a/crates/pipithub-directory/src/snapshot.rs
+++ b/crates/pipithub-directory/src/snapshot.rs
@@ -1,16 +1,17 @@
 //! Snapshots of the cached records, which preserve them across a restart.
 //!
-//! A snapshot is sealed with HMAC-SHA256 over all its bytes. A snapshot that was changed, was written under another key
-//! or belongs to other directories is rejected completely. Records are stored with their age, and the time since the
-//! snapshot was written is added when it is read, so that a restart does not make records younger. That time is measured
-//! in wall time, the only time that outlives a process; if the wall clock was stepped meanwhile, it is wrong by the step.
-//! A snapshot from the future shows that the clock was stepped back: if it is ahead by up to a minute, it is taken to be
-//! a minute old, otherwise it is rejected.
+//! A snapshot ends with a message authentication code (HMAC-SHA256) over all bytes before it. A snapshot that was
+//! changed, was written with another key or belongs to other directories is rejected completely. Records are stored with
+//! their age, and the time since the snapshot was written is added when it is read, so that a restart does not make
+//! records younger. That time is measured in wall time, as the monotonic clock is not comparable between processes; if
+//! the wall clock was stepped meanwhile, the measured time is wrong by the step. A snapshot from the future shows that
+//! the wall clock was stepped back: if the snapshot is ahead by up to a minute, it is treated as a minute old, otherwise
+//! it is rejected.
 //!
-//! All numbers are big-endian. The header is the magic, the version, the fingerprint of the directories, the Unix
-//! milliseconds at which it was written, and the number of records. Each record is the length of the user's name in two
-//! bytes, the name, directory and tenant in two bytes each, then person, change number and age in milliseconds in eight
-//! bytes each. The seal is at the end.
+//! All numbers are big-endian. The header consists of the magic bytes, the version (two bytes), the fingerprint of the
+//! directories (32 bytes), the Unix milliseconds at which the snapshot was written, and the number of records (eight
+//! bytes each). Each record consists of the length of the user's name in two bytes, the name, directory and tenant in two
+//! bytes each, then person, change number and age in milliseconds in eight bytes each.
 
 mod reader;
 
@@ -27,22 +28,22 @@
 const VERSION: u16 = 1;
 const MAC_LENGTH: usize = 32;
 const FINGERPRINT_LENGTH: usize = 32;
-/// The magic and the version.
+/// The length of the magic bytes and the version.
 const PREFIX_LENGTH: usize = 8 + 2;
 /// The offset of the number of records in the header.
 const COUNT_OFFSET: usize = PREFIX_LENGTH + FINGERPRINT_LENGTH + 8;
 const HEADER_LENGTH: usize = COUNT_OFFSET + 8;
-/// The estimated length of a record, so that nearly all snapshots need a single allocation.
+/// The estimated length of a record, chosen so that nearly all snapshots need a single allocation.
 const TYPICAL_RECORD_LENGTH: usize = 64;
-/// How far in the future a snapshot may have been written; one that was is taken to be this old.
+/// How far in the future a snapshot may have been written. A snapshot from the future is treated as this old.
 const MAX_AHEAD_MS: i64 = 60_000;
 
 /// A user's record from a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredRecord {
-    /// The user's name, folded.
+    /// The user's name, normalized as by [`pipithub_ldap::dn::fold`].
     pub user: User,
-    /// The record, with its age at the time of reading.
+    /// The record, whose age includes the time from the writing to the reading of the snapshot.
     pub record: LookupRecord,
 }
 
@@ -50,13 +51,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
     /// The bytes are not a snapshot of the supported version.
-    #[error("this is no snapshot of version {VERSION}")]
+    #[error("the data is not a snapshot of version {VERSION}")]
     NotASnapshot,
-    /// The seal does not match the contents and the key.
-    #[error("its seal does not fit: it was changed, cut off, or written under another key")]
+    /// The message authentication code does not match the contents and the key.
+    #[error(
+        "the authentication code does not match: the snapshot was changed, cut off, or written with another key"
+    )]
     MacMismatch,
     /// The snapshot belongs to other directories or tenants.
-    #[error("it was written for other directories or tenants")]
+    #[error("the snapshot was written for other directories or tenants")]
     OtherDirectories,
     /// The snapshot was written this many milliseconds in the future.
     #[error("it was written {0} ms ahead of now: a clock was set")]
@@ -73,7 +76,7 @@
     hash.finalize().into()
 }
 
-/// Writes a snapshot of all valid records that name a tenant.
+/// Encodes a snapshot of all valid records that name a tenant. `wall_ms` is the present wall time in Unix milliseconds.
 pub fn write(
     roster: &Roster,
     now: Time,
@@ -128,12 +131,14 @@
     true
 }
 
-/// Reads a snapshot, with the records' ages as of now. `max_age` returns the age from which on a directory's records are
-/// no longer valid, and `None` if the settings do not have the directory; such records are left out.
+/// Reads a snapshot, with the records' ages as of now. `wall_ms` is the present wall time in Unix milliseconds. `max_age`
+/// returns the age from which on a directory's records are no longer valid, and `None` if the settings do not have the
+/// directory. Records that are no longer valid or have no directory are left out.
 ///
 /// # Errors
 ///
-/// Fails if the bytes are no valid snapshot under this key, for these directories and of this time.
+/// Fails if the bytes are not a snapshot, were not written with this key and for these directories, or are from the
+/// future.
 pub fn read(
     bytes: &[u8],
     now: Time,
@@ -172,7 +177,7 @@
     Ok(stored)
 }
 
-/// Verifies the prefix and the seal, and returns the bytes between them.
+/// Verifies the prefix and the authentication code, and returns the bytes between them.
 fn verify<'a>(bytes: &'a [u8], key: &[u8]) -> Result<&'a [u8], SnapshotError> {
     let has_prefix =
         bytes.starts_with(MAGIC) && bytes[MAGIC.len()..].starts_with(&VERSION.to_be_bytes());
@@ -194,7 +199,7 @@
     mac
 }
 
-/// The milliseconds since a snapshot was written.
+/// The milliseconds since a snapshot was written; [`MAX_AHEAD_MS`] if it is slightly ahead of the wall clock.
 fn elapsed_ms(written_at_ms: i64, wall_ms: i64) -> Result<i64, SnapshotError> {
     let elapsed_ms = wall_ms.saturating_sub(written_at_ms);
     if elapsed_ms < -MAX_AHEAD_MS {
--- a/crates/pipithub-directory/src/snapshot/reader.rs
+++ b/crates/pipithub-directory/src/snapshot/reader.rs
@@ -1,4 +1,4 @@
-//! Parses the header and the records of a snapshot whose seal was verified before.
+//! Parses the header and the records of a snapshot whose authentication code has been verified.
 
 use crate::record::{PersonId, TenantId, User};
 use crate::snapshot::FINGERPRINT_LENGTH;
@@ -17,11 +17,12 @@
     pub(super) tenant: TenantId,
     pub(super) person: PersonId,
     pub(super) change_number: u64,
-    /// The record's age when the snapshot was written.
+    /// The record's age in milliseconds when the snapshot was written.
     pub(super) age_ms: i64,
 }
 
-/// Reads a snapshot's contents from front to back. All methods return `None` if the contents end too early.
+/// Reads a snapshot's contents from front to back. All methods return `None` if the contents end too early or a name is
+/// not UTF-8.
 pub(super) struct SnapshotReader<'a> {
     rest: &'a [u8],
 }
--- a/crates/pipithub-directory/src/state.rs
+++ b/crates/pipithub-directory/src/state.rs
@@ -23,7 +23,8 @@
 pub(crate) use self::synchronization::{RefreshStage, SyncState};
 pub(crate) use self::unconfirmed_changes::{ObservedChange, UnconfirmedChanges};
 
-/// The number of servers of a directory whose jitter is guaranteed to have different seeds.
+/// The number of consecutive seeds that each directory uses for the jitter of its servers. The seeds of a directory with
+/// more servers overlap with those of the next directory.
 const SEEDS_PER_DIRECTORY: usize = 64;
 
 /// The state of one directory.
@@ -33,7 +34,7 @@
     pub(crate) settings: DirectorySettings,
     pub(crate) servers: Vec<Server>,
     pub(crate) queues: LookupQueues,
-    /// Users looked up while no server was reachable. They are searched for together when a server is back.
+    /// Users who were looked up while no server was reachable. They are searched for together when a server is back.
     pub(crate) deferred: HashSet<User>,
     pub(crate) search_tokens: TokenBucket,
     hedge_budget: HedgeBudget,
@@ -42,12 +43,13 @@
     pub(crate) unconfirmed: UnconfirmedChanges,
     /// When the next poll for changes is due; `None` if the directory is not polled.
     poll_due: Option<Time>,
-    /// When each server's state is checked, unless it has responded to another search by then. Servers that are never
-    /// chosen are checked too, as a lagging copy is only detected by comparing the change numbers of all servers.
+    /// When the state of each server is checked, unless the server has responded to another search by then. Servers that
+    /// are never chosen are checked too, as a lagging copy is only detected by comparing the change numbers of all
+    /// servers.
     state_check_due: Vec<Time>,
-    /// The newest `modifyTimestamp` that a poll has returned.
+    /// The newest `modifyTimestamp` that a poll has returned; `None` before the first one.
     newest_modify_timestamp: Option<String>,
-    /// Content synchronization, where the directory is followed.
+    /// The state of content synchronization; unused if the directory is not followed.
     pub(crate) sync: SyncState,
 }
 
@@ -60,7 +62,7 @@
             let server_seed = seed ^ (index * SEEDS_PER_DIRECTORY + server) as u64;
             (state_check_interval * stable_fraction("state", server_seed)) as Time
         };
-        // Front ends that start at the same time must not poll at the same time.
+        // Front ends that start at the same time must not poll the directory at the same time.
         let first_poll = || {
             let fraction = stable_fraction("poll", seed ^ index as u64);
             (settings.poll_interval as f64 * fraction) as Time
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Whether at least one server is in use, which means that its circuit breaker is closed.
+    /// Whether at least one server is in use, that is, has a closed circuit breaker.
     pub(crate) fn is_reachable(&self) -> bool {
         self.servers.iter().any(Server::is_closed)
     }
@@ -104,12 +106,13 @@
             .any(|server| server.is_closed() && server.usually_responds_within(hedge_after))
     }
 
-    /// The server for the next search: the one of the lowest cost among those with capacity.
+    /// The server for the next search: the one with the lowest cost among those with capacity; `None` if no server has
+    /// capacity.
     fn choose_server(&self) -> Option<usize> {
         self.choose_server_except(None)
     }
 
-    /// The server for the next search, with one server excluded.
+    /// The server for the next search, as for [`DirectoryState::choose_server`], with the server `except` left out.
     fn choose_server_except(&self, except: Option<usize>) -> Option<usize> {
         let limits = self.server_limits();
         self.servers
@@ -143,7 +146,8 @@
         })
     }
 
-    /// A hedge of the search at another server; `None` if the hedge budget is used up or no other server has capacity.
+    /// Takes a hedge of the search, at another server; `None` if the hedge budget is used up or no other server has
+    /// capacity.
     pub(crate) fn take_hedge(&mut self, search: &SearchRequest) -> Option<SearchRequest> {
         if !self.hedge_budget.allows_hedge() {
             return None;
@@ -171,8 +175,8 @@
         }
     }
 
-    /// Records the response to a search. If the server's copy lags behind another one, returns the time since when it is
-    /// outdated, in milliseconds on the caller's clock.
+    /// Records the response to a search. If the server's copy lags behind another server's, returns the time from which
+    /// on the copy has been outdated, in milliseconds on the caller's clock.
     pub(crate) fn record_response(
         &mut self,
         now: Time,
@@ -190,8 +194,8 @@
         outdated_since
     }
 
-    /// Whether a server's state is to be checked now. If the check is due, the next one is planned, also if this one is
-    /// skipped.
+    /// Whether a server's state is to be checked now. If the check is due, the next one is scheduled, even if this one is
+    /// not needed and skipped.
     pub(crate) fn take_due_state_check(&mut self, now: Time, server: usize) -> bool {
         if now < self.state_check_due[server] {
             return false;
@@ -237,7 +241,7 @@
             newest_modify_timestamp.max(self.newest_modify_timestamp.take());
     }
 
-    /// The next time at which a tick has an effect on this directory.
+    /// The next time at which a tick has an effect on this directory; `None` if there is none.
     pub(crate) fn next_due(&self, now: Time) -> Option<Time> {
         let breakers = self.servers.iter().filter_map(Server::probe_due);
         let state_check = self.state_check_due.iter().min().copied();
@@ -254,7 +258,7 @@
             .min()
     }
 
-    /// When the rate limit allows the next search, if a search waits for nothing else.
+    /// When the rate limit allows the next search; `None` if no search waits for the rate limit alone.
     fn next_token_due(&self, now: Time) -> Option<Time> {
         let limits = self.server_limits();
         let has_capacity = self
--- a/crates/pipithub-directory/src/state/lookup_queues.rs
+++ b/crates/pipithub-directory/src/state/lookup_queues.rs
@@ -5,13 +5,13 @@
 use crate::record::User;
 use crate::time::Time;
 
-/// The number of searches for a user in one look-up, including the first.
+/// The maximum number of searches for a user in one look-up, including the first.
 const MAX_ATTEMPTS: u8 = 2;
-/// How many users of the background queue are examined to find one for whom a request waits now. It bounds the cost of
-/// a look-up.
+/// How many users of the background queue are examined to find one for whom a request waits now. This bounds the cost
+/// of a look-up.
 const MAX_PROMOTION_DEPTH: usize = 256;
 
-/// The priority of a user in the queues, the highest first.
+/// The priority of a user in the queues. The variants are ordered from the highest to the lowest priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Priority {
     /// A request waits, and the user has no valid record.
@@ -52,9 +52,11 @@
     unknown: VecDeque<QueuedUser>,
     confirmation: VecDeque<QueuedUser>,
     background: VecDeque<QueuedUser>,
-    /// When the users of the background queue are searched for at the latest. Only valid while that queue has users.
+    /// The latest time at which the users of the background queue are searched for. Only valid while that queue has
+    /// users.
     background_due: Time,
-    /// The users that are queued or part of a search in flight, so that no user is searched for twice at the same time.
+    /// The users that are queued or part of a search in flight. No such user is queued again, so that no user is searched
+    /// for twice at the same time.
     pending: HashSet<User>,
 }
 
@@ -112,8 +114,8 @@
         self.queue_mut(priority).extend(promoted);
     }
 
-    /// Whether queued users are due to be searched for: at once if a request waits, and otherwise when they fill a search
-    /// or have waited long enough.
+    /// Whether queued users are due to be searched for: at once if a request waits for one of them, and otherwise when
+    /// there are enough for a full search (`max_users`) or the background queue is due.
     pub(crate) fn has_due(&self, now: Time, max_users: usize) -> bool {
         let fills_search = self.background.len() >= max_users;
         let is_background_due = !self.background.is_empty() && now >= self.background_due;
@@ -121,13 +123,13 @@
         is_request_waiting || fills_search || is_background_due
     }
 
-    /// When the users of the background queue are searched for at the latest; `None` if it is empty.
+    /// The latest time at which the users of the background queue are searched for; `None` if the queue is empty.
     pub(crate) fn background_due(&self) -> Option<Time> {
         (!self.background.is_empty()).then_some(self.background_due)
     }
 
-    /// Takes the users of one search, by priority. Users of a retry are not combined with others, because they may be the
-    /// reason why their search failed.
+    /// Takes the users of one search, by priority. Users who are retried are not combined with others, because they may be
+    /// the reason why their search failed.
     pub(crate) fn take_batch(&mut self, max_users: usize) -> Batch {
         let mut batch = Batch {
             users: Vec::new(),
@@ -147,7 +149,7 @@
         batch
     }
 
-    /// The queue with the highest priority that is not empty.
+    /// The queue with the highest priority that is not empty; `None` if all are empty.
     fn first_queue(&mut self) -> Option<&mut VecDeque<QueuedUser>> {
         [
             &mut self.unknown,
@@ -158,7 +160,8 @@
         .find(|queue| !queue.is_empty())
     }
 
-    /// Queues users whose search had no result again, ahead of all others. Returns those who had their last attempt.
+    /// Puts users whose search had no result back into the queue, ahead of all others. Returns the users who had their
+    /// last attempt and are no longer pending.
     pub(crate) fn retry(&mut self, batch: Batch) -> Vec<User> {
         let attempts = batch.attempts + 1;
         let mut given_up = Vec::new();
@@ -173,7 +176,7 @@
         given_up
     }
 
-    /// Removes a user from the pending ones, as the search for them has a result.
+    /// Removes a user from the pending ones, as the search for the user has a result.
     pub(crate) fn finish(&mut self, user: &User) {
         self.pending.remove(user);
     }
--- a/crates/pipithub-directory/src/state/rate_limit.rs
+++ b/crates/pipithub-directory/src/state/rate_limit.rs
@@ -2,13 +2,13 @@
 
 use crate::time::{MILLISECOND, SECOND, Time};
 
-/// The capacity of a bucket is its rate a second divided by this, but at least one token.
+/// The capacity of a bucket is its rate in tokens a second divided by this, but at least one token.
 const BURST_DIVISOR: f64 = 4.0;
 /// The lowest rate, in tokens a second, that is assumed when the time of the next token is computed.
 const MIN_RATE: f64 = 0.01;
 /// The fraction of all searches that may be hedged.
 const HEDGED_FRACTION: f64 = 0.1;
-/// The maximum number of hedges that may be saved up.
+/// The maximum number of unused hedges in the budget.
 const MAX_SAVED_HEDGES: f64 = 4.0;
 
 /// A token bucket. Each search takes a token, and tokens are refilled at a constant rate.
@@ -60,8 +60,9 @@
     }
 }
 
-/// Limits hedges to a fraction of all searches.
+/// Limits hedges to a fraction of all searches ([`HEDGED_FRACTION`]).
 pub(crate) struct HedgeBudget {
+    /// The number of hedges that are allowed now.
     hedges: f64,
 }
 
--- a/crates/pipithub-directory/src/state/rate_limit/tests.rs
+++ b/crates/pipithub-directory/src/state/rate_limit/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of the refill of tokens and hedges.
+//! Tests of how tokens and hedges are refilled.
 
 use super::{HedgeBudget, TokenBucket};
 use crate::time::{MILLISECOND, SECOND};
 
 #[test]
 fn tokens_refill_at_the_rate_up_to_the_burst() {
-    // The capacity is the tokens of a quarter of a second, which are two.
+    // The capacity is the tokens of a quarter of a second: two.
     let mut bucket = TokenBucket::new(8.0);
     bucket.take();
     assert!(bucket.has_token());
@@ -40,7 +40,7 @@
             budget.add_search();
             budget.allows_hedge()
         })
-        .expect("a hedge is allowed again");
+        .expect("a hedge is allowed again within 100 searches");
     // Ten additions of 0.1 may fall short of 1 by a rounding error.
     assert!((10..=11).contains(&searches), "{searches} searches");
 }
--- a/crates/pipithub-directory/src/state/server.rs
+++ b/crates/pipithub-directory/src/state/server.rs
@@ -3,23 +3,24 @@
 use crate::settings::Backoff;
 use crate::time::Time;
 
-/// The part of its mean response time by which each search in flight raises a server's cost.
+/// How much each search in flight raises a server's cost, as a fraction of its mean response time.
 const IN_FLIGHT_WEIGHT: f64 = 1.0;
 /// The weight of the newest response in the mean response time.
 const NEWEST_WEIGHT: f64 = 0.2;
 /// Added to the cost of a server whose copy lags behind, so that all other servers are preferred.
 const LAGGING_COST: f64 = 1e18;
-/// The minimum delay of a hedge in mean response times. A server that is always slow is no reason to hedge.
+/// The minimum delay of a hedge as a multiple of the server's mean response time, so that searches at a server that is
+/// always slow are not all hedged.
 const HEDGE_DELAY_MULTIPLE: Time = 3;
-/// The smallest jitter of a backoff, as a fraction of it; the largest is greater by one.
+/// The smallest factor by which jitter multiplies a backoff; the largest is greater by one.
 const MIN_BACKOFF_FACTOR: f64 = 0.5;
 
 /// The state of a server's circuit breaker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Breaker {
-    /// The server is in use.
+    /// Searches are sent to the server.
     Closed,
-    /// The server is not used until the given time. The next failure doubles the backoff.
+    /// The server is not used until the given time. If the probe after that time fails, the backoff doubles.
     Open { until: Time, backoff: Time },
     /// One probe is in flight, and nothing else is sent to the server.
     HalfOpen { backoff: Time },
@@ -45,8 +46,8 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Server {
     breaker: Breaker,
-    /// The maximum number of searches in flight. It starts at one, also after an outage, and rises by one with each
-    /// response, so that all front ends together do not overload a server that is back.
+    /// The maximum number of searches in flight. It starts at one, also after an outage, rises by one with each response
+    /// and halves with each failure, so that all front ends together do not overload a server that is back.
     concurrency_limit: f64,
     /// The number of searches in flight.
     pub(crate) in_flight: usize,
@@ -55,6 +56,7 @@
     consecutive_failures: u32,
     /// Whether the server's copy lags behind another server's.
     pub(crate) is_lagging: bool,
+    /// When the server last responded; `None` before the first response.
     pub(crate) last_response_at: Option<Time>,
 }
 
@@ -81,7 +83,7 @@
         self.is_closed() && self.in_flight < limit
     }
 
-    /// The cost of another search; the server with the lowest cost is chosen.
+    /// The cost of a further search at the server; the server with the lowest cost is chosen.
     pub(crate) fn cost(&self) -> f64 {
         let response_time = self.mean_response_time.unwrap_or(0.0);
         let cost = response_time * (1.0 + IN_FLIGHT_WEIGHT * self.in_flight as f64);
@@ -101,7 +103,8 @@
         self.mean_response_time().is_none_or(|mean| mean <= limit)
     }
 
-    /// How long a search waits for a response before it is hedged, at most half of the timeout or `hedge_after`.
+    /// How long a search waits for a response before it is hedged: several mean response times, at most half of the
+    /// timeout, but at least `hedge_after`.
     pub(crate) fn hedge_delay(&self, hedge_after: Time, timeout: Time) -> Time {
         let mean = self.mean_response_time().unwrap_or(0);
         let slow_response = mean.saturating_mul(HEDGE_DELAY_MULTIPLE);
@@ -113,7 +116,7 @@
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// When a probe is due; `None` unless the circuit breaker is open.
+    /// When a probe is due; `None` if the circuit breaker is not open.
     pub(crate) fn probe_due(&self) -> Option<Time> {
         match self.breaker {
             Breaker::Open { until, .. } => Some(until),
@@ -121,7 +124,7 @@
         }
     }
 
-    /// Half-opens the circuit breaker, as a probe was started.
+    /// Half-opens an open circuit breaker, as a probe was started.
     pub(crate) fn half_open(&mut self) {
         if let Breaker::Open { backoff, .. } = self.breaker {
             self.breaker = Breaker::HalfOpen { backoff };
@@ -143,8 +146,8 @@
         self.mean_response_time = Some(mean + NEWEST_WEIGHT * (newest - mean));
     }
 
-    /// Records a failed search. `opens_breaker` opens the circuit breaker even if the failure threshold is not reached.
-    /// `jitter`, from 0 to 1, spreads the backoffs of many front ends.
+    /// Records a failed search. With `opens_breaker` the circuit breaker opens even if the failure threshold is not
+    /// reached. `jitter`, from 0 to 1, varies the backoff, so that front ends do not probe the server simultaneously.
     pub(crate) fn record_failure(
         &mut self,
         now: Time,
--- a/crates/pipithub-directory/src/state/server/tests.rs
+++ b/crates/pipithub-directory/src/state/server/tests.rs
@@ -54,7 +54,7 @@
     server.record_failure(0, true, 0.0, &limits);
     assert!(
         matches!(server.breaker, Breaker::Open { .. }),
-        "an error that shows the server's own state opens the breaker at once"
+        "a failure with `opens_breaker` opens the breaker at once"
     );
     server.record_response(0, 1, &limits);
     server.in_flight = 2;
--- a/crates/pipithub-directory/src/state/unconfirmed_changes.rs
+++ b/crates/pipithub-directory/src/state/unconfirmed_changes.rs
@@ -1,7 +1,7 @@
 //! Changes that servers without change numbers have reported once.
 //!
-//! Without change numbers an outdated copy cannot be detected, so a change is accepted only when it is reported a second
-//! time, after a delay.
+//! Without change numbers an outdated copy cannot be detected. A change is therefore accepted only when it is reported a
+//! second time, after a delay.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -60,7 +60,8 @@
             return true;
         }
         if self.changes.len() >= max_changes {
-            // There is no capacity to confirm the change, and a new result is preferred to an old one.
+            // There is no capacity to store the change until it is confirmed, and a new result is preferred to an old
+            // one.
             return true;
         }
         self.add(now, change);
@@ -79,12 +80,13 @@
         });
     }
 
-    /// Discards the unconfirmed change of a user, as the cached record was reported again.
+    /// Discards the unconfirmed change of a user, because the cached result was reported again or the change was
+    /// accepted.
     pub(crate) fn discard(&mut self, user: &User) {
         self.changes.remove(user);
     }
 
-    /// Removes and returns a user whose recheck is due.
+    /// Removes and returns a user whose recheck is due; `None` if there is none.
     pub(crate) fn pop_due_recheck(&mut self, now: Time) -> Option<User> {
         if self.next_due()? > now {
             return None;
@@ -92,7 +94,7 @@
         self.rechecks.pop_first().map(|recheck| recheck.user)
     }
 
-    /// When the next recheck is due.
+    /// When the next recheck is due; `None` if there is none.
     pub(crate) fn next_due(&self) -> Option<Time> {
         self.rechecks.first().map(|recheck| recheck.due)
     }
--- a/crates/pipithub-directory/src/state/unconfirmed_changes/tests.rs
+++ b/crates/pipithub-directory/src/state/unconfirmed_changes/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of when a change without a change number is accepted.
+//! Tests of when a change from a server without change numbers is accepted.
 
 use super::{ObservedChange, UnconfirmedChanges};
 use crate::record::{LookupResult, TenantId, User};
--- a/crates/pipithub-directory/tests/directory/bounds.rs
+++ b/crates/pipithub-directory/tests/directory/bounds.rs
@@ -11,7 +11,7 @@
     }
     responder.run(200 * SECOND);
     assert_eq!(responder.core.roster().len(), 50);
-    // Users who are not looked up again are removed.
+    // Users who are not looked up again are removed when their records expire.
     responder.run(40 * HOUR);
     assert_eq!(responder.core.roster().len(), 0);
 }
--- a/crates/pipithub-directory/tests/directory/daily_peak.rs
+++ b/crates/pipithub-directory/tests/directory/daily_peak.rs
@@ -27,7 +27,7 @@
     let day = 20_000 * DAY_MS;
     assert_eq!(peak.refresh_time(day + HOUR_MS, 0.0), day + 4 * HOUR_MS);
     assert_eq!(peak.refresh_time(day + HOUR_MS, 0.5), day + 5 * HOUR_MS);
-    // Records that were confirmed within the window or during the peak are refreshed on the next day.
+    // Records that were confirmed in the window, or later on the day, are refreshed on the next day.
     let next_day = day + DAY_MS;
     assert_eq!(
         peak.refresh_time(day + 5 * HOUR_MS, 0.0),
@@ -83,7 +83,7 @@
     assert!((0..500).filter(is_fresh).count() >= 490);
 }
 
-/// The peak is in wall time, so that its time on the core's clock changes when the wall clock is stepped.
+/// The peak is at a wall time, so its time on the core's clock changes when the wall clock is stepped.
 #[test]
 fn refreshes_follow_the_wall_clock_after_it_is_stepped() {
     let mut core = directory_with_peak();
--- a/crates/pipithub-directory/tests/directory/main.rs
+++ b/crates/pipithub-directory/tests/directory/main.rs
@@ -1,4 +1,5 @@
-//! Tests of the directory core: followed directories, refreshes ahead of peaks, limits, snapshots, pending look-ups.
+//! Tests of the directory core: followed directories, refreshes ahead of peaks, the limit on cached users, snapshots and
+//! pending look-ups.
 
 mod bounds;
 mod daily_peak;
--- a/crates/pipithub-directory/tests/directory/snapshots.rs
+++ b/crates/pipithub-directory/tests/directory/snapshots.rs
@@ -1,4 +1,4 @@
-//! Tests of snapshots: what they preserve, and which of them are rejected.
+//! Tests of snapshots: what they preserve, and when they are rejected.
 
 use pipithub_directory::snapshot::{self, SnapshotError, StoredRecord};
 use pipithub_directory::{Directory, LookupRecord, LookupResult, PersonId, TenantId, Time};
@@ -60,7 +60,7 @@
     assert_eq!(
         later[0].record.confirmed_at_ms,
         -2 * HOUR_MS - 1_000,
-        "the age includes the time since the snapshot"
+        "the age includes the time since the snapshot was written"
     );
     assert_eq!(
         read(&bytes, WALL_MS, [2; 32], KEY),
@@ -84,7 +84,8 @@
     }
 }
 
-/// If the wall clock is stepped back between the snapshot and the restart, records must not appear fresher than they are.
+/// If the wall clock is stepped back between the writing and the reading of a snapshot, records must not appear fresher
+/// than they are.
 #[test]
 fn snapshot_from_the_future_is_aged_by_a_minute_or_rejected() {
     let core = restored(vec![stored("mai", 0)]);
--- a/crates/pipithub-directory/tests/directory/support.rs
+++ b/crates/pipithub-directory/tests/directory/support.rs
@@ -74,14 +74,14 @@
     outputs
 }
 
-/// Ticks the core until nothing more is due at this time.
+/// Ticks the core, without advancing time, until nothing more is due.
 pub(crate) fn tick_until_idle(core: &mut Directory, now: Time, outputs: &mut Vec<Output>) {
     while core.next_due(now).is_some_and(|due| due <= now) {
         core.handle(now, Input::Tick, outputs);
     }
 }
 
-/// The number of the tenant that a user resolves to.
+/// The index of the tenant that a user resolves to; `None` if the user does not resolve to one tenant.
 pub(crate) fn tenant(core: &Directory, user: &str, now: Time) -> Option<u16> {
     match core.roster().resolve(user, now) {
         Resolution::Tenant { tenant, .. } => Some(tenant.0),
@@ -94,14 +94,15 @@
     format!("u{number}")
 }
 
-/// A search that the core has made.
+/// A search that the core has started.
 #[derive(Debug)]
 pub(crate) struct RecordedSearch {
     pub(crate) at: Time,
+    /// The number of users that it searches for; 0 for searches of other kinds.
     pub(crate) users: usize,
 }
 
-/// A core whose servers respond at once, and report that every user belongs to the tenant "north".
+/// A core with simulated servers, which respond at once that every user belongs to the tenant "north".
 pub(crate) struct Responder {
     pub(crate) core: Directory,
     pub(crate) now: Time,
@@ -126,7 +127,7 @@
         self.core.handle(self.now, input, &mut self.outputs);
     }
 
-    /// Advances time, and returns the searches that were made meanwhile.
+    /// Advances time to `until`, and returns the searches that were made meanwhile.
     pub(crate) fn run(&mut self, until: Time) -> Vec<RecordedSearch> {
         let mut searches = Vec::new();
         loop {
--- a/crates/pipithub-directory/tests/directory/synchronization.rs
+++ b/crates/pipithub-directory/tests/directory/synchronization.rs
@@ -9,7 +9,7 @@
     tenant_base, tick_until_idle,
 };
 
-/// Reports the entries of these users in a refresh of a directory.
+/// Passes the entries of these users to the core, as events of a followed directory.
 fn report_entries(
     core: &mut Directory,
     now: Time,
@@ -31,7 +31,7 @@
     assert_eq!(
         core.roster().resolve("nobody", SECOND),
         Resolution::Unknown,
-        "not complete yet"
+        "the first refresh is not complete"
     );
     synchronize(&mut core, SECOND, 0, SyncEvent::RefreshDone);
     assert_eq!(
@@ -48,13 +48,17 @@
         tenant(&core, "mai", 3 * SECOND),
         tenant(&core, "may", 3 * SECOND),
     );
-    assert_eq!((old_name, new_name), (None, Some(1)), "renamed");
+    assert_eq!(
+        (old_name, new_name),
+        (None, Some(1)),
+        "the user was renamed"
+    );
     synchronize(&mut core, 4 * SECOND, 0, SyncEvent::Deleted(PersonId(2)));
     assert_eq!(
         core.roster().resolve("lan", 4 * SECOND),
         Resolution::NoTenant
     );
-    // Heartbeats confirm all records. After the connection is lost they age from the last heartbeat.
+    // Heartbeats confirm all records. After the connection is lost, the records age from the last heartbeat on.
     synchronize(&mut core, 20 * HOUR, 0, SyncEvent::Heartbeat);
     assert_eq!(tenant(&core, "may", 20 * HOUR), Some(1));
     synchronize(&mut core, 21 * HOUR, 0, SyncEvent::ConnectionLost);
@@ -63,11 +67,11 @@
     assert_eq!(
         core.roster().resolve("newcomer", 33 * HOUR),
         Resolution::Unknown,
-        "no longer complete"
+        "the records are no longer known to be complete"
     );
 }
 
-/// A user that is not part of a full refresh has no entry any more, although no event reports the deletion.
+/// A user that a full refresh does not report has no entry any more, although no event reports the deletion.
 #[test]
 fn users_missing_from_a_full_refresh_are_removed() {
     let north = |number| entry(&numbered_user(number), "north", number + 1);
@@ -105,8 +109,8 @@
     prefix: &'static str,
 }
 
-/// When full refreshes of two followed directories end at the same time, the sweep of one must not replace the sweep of
-/// the other. Otherwise users that were deleted from the first directory would stay valid.
+/// When full refreshes of two followed directories end at the same time, the sweep of one directory must not replace the
+/// sweep of the other. Otherwise users that were deleted from the first directory would stay valid.
 #[test]
 fn simultaneous_full_refreshes_of_two_directories_both_remove_missing_users() {
     let mut core = Directory::new(Settings {
--- a/crates/pipithub-ldap/src/client.rs
+++ b/crates/pipithub-ldap/src/client.rs
@@ -1,6 +1,6 @@
 //! The state machine of one client connection: `StartTLS`, simple bind, searches and their cancellation.
 //!
-//! No search is sent before the bind has succeeded, and no password before the TLS handshake if TLS is required. Bytes
+//! No search is sent before the bind has succeeded, and, if TLS is requested, no password before the TLS handshake. Bytes
 //! that arrive between the response to `StartTLS` and the handshake close the connection, since an attacker on the path
 //! could have inserted them.
 
@@ -34,20 +34,21 @@
 pub struct SimpleBind {
     /// The distinguished name to bind as.
     pub name: String,
-    /// The password, which `Debug` does not show. It must not be empty: that would be an anonymous bind.
+    /// The password, which `Debug` does not show. It must not be empty: the server would treat the bind as
+    /// unauthenticated (RFC 4513, 5.1.2).
     pub password: SecretString,
 }
 
-/// Settings of a connection.
+/// The settings of a connection.
 #[derive(Clone, Debug)]
 pub struct ClientSettings {
     /// Whether to request TLS with `StartTLS` before the bind.
     pub start_tls: bool,
     /// The credentials; `None` for an anonymous connection without a bind request.
     pub bind: Option<SimpleBind>,
-    /// Largest content of a message that is accepted, in bytes.
+    /// The largest content of a message that is accepted, in bytes.
     pub max_message: usize,
-    /// Largest number of pending searches; further ones are rejected.
+    /// The maximum number of pending searches; further ones are rejected.
     pub max_searches: usize,
 }
 
@@ -71,24 +72,25 @@
 pub struct Search {
     /// The distinguished name of the base entry.
     pub base: String,
-    /// Whether only the base, its children or its subtree is searched.
+    /// Whether the base entry, its children or its whole subtree is searched.
     pub scope: SearchRequestScope,
     /// The filter that entries must match.
     pub filter: Filter,
-    /// Names of the attributes to return.
+    /// The names of the attributes to return.
     pub attributes: Vec<String>,
-    /// Largest number of entries to return; 0 for no limit.
+    /// The maximum number of entries to return; 0 for no limit.
     pub size_limit: u32,
-    /// Longest duration of the search at the server, in seconds; 0 for no limit.
+    /// The maximum duration of the search at the server, in seconds; 0 for no limit.
     pub time_limit: u32,
-    /// Controls that are sent with the request.
+    /// The controls that are sent with the request.
     pub controls: Vec<Control>,
 }
 
 /// An event of a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The server accepted `StartTLS`. The caller must do the TLS handshake and then call [`Client::handshake_completed`].
+    /// The server accepted `StartTLS`. The caller must do the TLS handshake and then call
+    /// [`Client::handshake_completed`].
     BeginTls,
     /// The bind has succeeded, or none is needed: searches may be sent.
     Ready,
@@ -96,7 +98,7 @@
     Entry(SearchId, Box<Entry>),
     /// A search returned the URLs of a continuation reference, which the client does not follow.
     Reference(SearchId, Vec<String>),
-    /// A synchronisation returned a sync info message.
+    /// A search with content synchronization returned a sync info message.
     Info(SearchId, Info),
     /// A search has ended. No further event has its id.
     Done(SearchId, Outcome),
@@ -104,7 +106,7 @@
     Closed(String),
 }
 
-/// The state of a connection. Its debug representation is part of error messages.
+/// The state of a connection. Its `Debug` representation is part of error messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     /// The response to the `StartTLS` request with this message id is expected.
@@ -113,7 +115,9 @@
     Handshake,
     /// The response to the bind request with this message id is expected.
     Binding(u32),
+    /// Searches may be sent.
     Ready,
+    /// The connection was closed by either side, or failed.
     Closed,
 }
 
@@ -128,7 +132,7 @@
     next_message_id: u32,
 }
 
-/// The buffers are left out, since the output may hold a bind request with the password.
+/// The buffers are left out, since the output may contain a bind request with the password.
 impl fmt::Debug for Client {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Client")
@@ -168,7 +172,7 @@
 
     fn send(&mut self, op: ProtocolOp, controls: Vec<Control>) -> u32 {
         let id = self.next_message_id;
-        // Id 0 is reserved for unsolicited notifications. Ids repeat only after all others were used.
+        // Id 0 is reserved for unsolicited notifications. An id is used again only after all others were used.
         self.next_message_id = if id >= i32::MAX as u32 { 1 } else { id + 1 };
         let mut message = LdapMessage::new(id, op);
         message.controls = (!controls.is_empty()).then_some(controls);
@@ -209,7 +213,7 @@
         self.phase == Phase::Ready
     }
 
-    /// Number of searches that have not ended.
+    /// The number of searches that have not ended.
     pub fn pending_searches(&self) -> usize {
         self.pending_searches.len()
     }
@@ -258,12 +262,12 @@
         self.output.split().freeze()
     }
 
-    /// Removes and returns the oldest event.
+    /// Removes and returns the oldest event; `None` if there is none.
     pub fn poll(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
 
-    /// Handles bytes from the transport. The resulting events are returned by [`Client::poll`].
+    /// Handles bytes from the transport. [`Client::poll`] returns the resulting events.
     pub fn receive(&mut self, bytes: &[u8]) {
         if self.phase == Phase::Closed {
             return;
@@ -405,7 +409,7 @@
     }
 }
 
-/// The name of an operation. Its fields are left out, because they may hold a user's data.
+/// The name of an operation, without its fields, which may contain a user's data.
 fn operation_name(operation: &ProtocolOp) -> String {
     let text = format!("{operation:?}");
     text.split('(').next().unwrap_or_default().to_string()
--- a/crates/pipithub-ldap/src/client/results.rs
+++ b/crates/pipithub-ldap/src/client/results.rs
@@ -1,4 +1,4 @@
-//! The results of searches, and their conversion from the messages of the server.
+//! The results of searches, and their conversion from the server's messages.
 
 use bytes::Bytes;
 use rasn_ldap::{Control, LdapResult, PartialAttribute, ResultCode, SearchResultEntry};
@@ -7,9 +7,9 @@
 use crate::dn::InvalidDn;
 use crate::sync::{self, DoneValue, StateValue};
 
-/// Longest part of a server's diagnostic message that is kept, in characters.
+/// The maximum length of a server's diagnostic message, in characters; the rest is cut off.
 const MAX_DIAGNOSTIC_LENGTH: usize = 200;
-/// Largest number of referrals of a result that are kept.
+/// The maximum number of referrals of a result; further ones are dropped.
 const MAX_REFERRALS: usize = 16;
 
 /// An attribute of an entry with its values.
@@ -28,12 +28,13 @@
     pub dn: Dn,
     /// The requested attributes that the entry has.
     pub attributes: Vec<Attribute>,
-    /// The sync state control: how the entry differs from what the client has. `None` outside a synchronisation.
+    /// The sync state control: how the entry differs from the client's copy. `None` if the search is not a content
+    /// synchronization.
     pub state: Option<StateValue>,
 }
 
 impl Entry {
-    /// The values of the attribute of this name. Upper and lower case are not distinguished.
+    /// The values of the attribute of this name, which is compared without regard to case.
     pub fn values(&self, name: &str) -> impl Iterator<Item = &[u8]> {
         self.attributes
             .iter()
@@ -41,7 +42,7 @@
             .flat_map(|attribute| attribute.values.iter().map(|value| &value[..]))
     }
 
-    /// The first value of the attribute of this name that is UTF-8.
+    /// The first value of the attribute of this name that is UTF-8; `None` if there is none.
     pub fn text(&self, name: &str) -> Option<&str> {
         self.values(name)
             .find_map(|value| std::str::from_utf8(value).ok())
@@ -51,15 +52,15 @@
 /// The result of a search.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// Result code of the server.
+    /// The result code that the server sent.
     pub code: ResultCode,
-    /// Diagnostic message of the server, cut to 200 characters.
+    /// The server's diagnostic message, cut to 200 characters.
     pub message: String,
-    /// URLs of other servers that have the entries, at most 16.
+    /// The URLs of other servers that have the entries, at most 16.
     pub referrals: Vec<String>,
-    /// Cookie of the next page: empty after the last page, `None` if the results are not paged.
+    /// The cookie of the next page: empty after the last page, `None` if the results are not paged.
     pub page: Option<Bytes>,
-    /// The sync done control, if the search was a synchronisation.
+    /// The sync done control; `None` if the search was not a content synchronization.
     pub sync: Option<DoneValue>,
 }
 
--- a/crates/pipithub-ldap/src/dn.rs
+++ b/crates/pipithub-ldap/src/dn.rs
@@ -1,4 +1,4 @@
-//! Distinguished names (RFC 4514) in a normalised form, in which equal names are equal strings.
+//! Distinguished names (RFC 4514) in a normalized form, in which equal names are equal strings.
 
 use std::fmt;
 
@@ -7,20 +7,20 @@
 use winnow::prelude::*;
 use winnow::token::{any, one_of, take_while};
 
-/// Longest text of a name, in bytes.
+/// The maximum length of the text of a name, in bytes.
 pub const MAX_LENGTH: usize = 8192;
-/// Largest number of relative distinguished names in a name.
+/// The maximum number of relative distinguished names in a name.
 pub const MAX_RDNS: usize = 128;
-/// Largest number of attributes in a relative distinguished name.
+/// The maximum number of attributes in a relative distinguished name.
 const MAX_RDN_ATTRIBUTES: usize = 16;
-/// Longest part of an invalid text that the error quotes, in characters.
+/// The maximum length of the part of an invalid text that the error quotes, in characters.
 const MAX_QUOTED_LENGTH: usize = 80;
 
 /// The text is not a distinguished name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("'{text}' is not a distinguished name: {reason}")]
 pub struct InvalidDn {
-    /// Beginning of the text.
+    /// The beginning of the text.
     pub text: String,
     /// The error in it.
     pub reason: InvalidDnReason,
@@ -40,9 +40,9 @@
     Syntax,
 }
 
-/// A distinguished name: a list of relative distinguished names (RDNs), from that of the entry to that next to the
-/// root. Each RDN is normalised: its `type=value` pairs are sorted and in lower case, with single spaces, which is how
-/// `caseIgnoreMatch` compares (RFC 4518, with simple case folding).
+/// A distinguished name: a list of relative distinguished names (RDNs), from the RDN of the entry to the one next to the
+/// root. Each RDN is normalized: its `type=value` pairs are sorted and in lower case, with single spaces, as
+/// `caseIgnoreMatch` compares values (RFC 4518, with simple case folding).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Dn(Vec<Box<str>>);
 
@@ -68,7 +68,7 @@
         if rdns.len() > MAX_RDNS {
             return Err(invalid(InvalidDnReason::TooManyRdns));
         }
-        Ok(Dn(rdns.iter().map(|rdn| normalise_rdn(rdn)).collect()))
+        Ok(Dn(rdns.iter().map(|rdn| normalize_rdn(rdn)).collect()))
     }
 
     /// Whether the entry is `base` itself or in its subtree.
@@ -76,7 +76,7 @@
         self.0.len() >= base.0.len() && self.0[self.0.len() - base.0.len()..] == base.0[..]
     }
 
-    /// Number of relative distinguished names; 0 for the root.
+    /// The number of relative distinguished names; 0 for the root.
     pub fn depth(&self) -> usize {
         self.0.len()
     }
@@ -113,7 +113,7 @@
     }
 }
 
-/// Normalises a value: lower case, single spaces, and none at the beginning and the end.
+/// Normalizes a value: lower case, single spaces, and no spaces at the beginning and the end.
 pub fn fold(text: &str) -> String {
     let mut folded = String::with_capacity(text.len());
     for word in text.split(' ').filter(|word| !word.is_empty()) {
@@ -147,7 +147,8 @@
     value: String,
 }
 
-fn normalise_rdn(attributes: &[Attribute]) -> Box<str> {
+/// The normalized text of a relative distinguished name.
+fn normalize_rdn(attributes: &[Attribute]) -> Box<str> {
     let mut pairs: Vec<String> = attributes
         .iter()
         .map(|attribute| {
@@ -159,7 +160,7 @@
     pairs.join("+").into_boxed_str()
 }
 
-/// A separator with optional spaces around it, as some older software writes names.
+/// Parses a separator with optional spaces around it, which some older software writes in names.
 fn separator(c: char) -> impl FnMut(&mut &str) -> Result<(), ContextError> {
     move |input| {
         (take_while(0.., ' '), c, take_while(0.., ' '))
@@ -185,7 +186,7 @@
     })
 }
 
-/// A value in the form `#` with its BER encoding in hexadecimal digits, which is not decoded.
+/// Parses a value in the form of `#` and its BER encoding in hexadecimal digits, which is not decoded.
 fn hex_string(input: &mut &str) -> Result<String, ContextError> {
     ('#', take_while(2.., |c: char| c.is_ascii_hexdigit()))
         .take()
@@ -193,7 +194,7 @@
         .parse_next(input)
 }
 
-/// A value, with its escapes decoded.
+/// Parses a value and decodes its escapes.
 fn value(input: &mut &str) -> Result<String, ContextError> {
     let mut bytes: Vec<u8> = repeat(0.., character)
         .fold(Vec::new, |mut all: Vec<u8>, character: Vec<u8>| {
@@ -201,14 +202,14 @@
             all
         })
         .parse_next(input)?;
-    // Trailing spaces are not part of the value. The parser knows only now which spaces are trailing ones.
+    // Trailing spaces are not part of the value. Only at its end is it clear which spaces are trailing.
     while bytes.last() == Some(&b' ') {
         bytes.pop();
     }
     String::from_utf8(bytes).map_err(|_| ContextError::new())
 }
 
-/// The bytes of a character of a value, which may be escaped.
+/// Parses a character of a value, which may be escaped, into its bytes.
 fn character(input: &mut &str) -> Result<Vec<u8>, ContextError> {
     let escape = ('\\', alt((hex_pair, special)));
     let plain =
--- a/crates/pipithub-ldap/src/filter.rs
+++ b/crates/pipithub-ldap/src/filter.rs
@@ -1,7 +1,7 @@
-//! Search filters (RFC 4515): built from values for searches, and parsed from text for settings.
+//! Search filters (RFC 4515): built from values for searches, and parsed from the text in settings.
 //!
-//! The name of a user is put into a filter as an assertion value and never into filter text, so that no characters in
-//! it can change the filter.
+//! The name of a user is put into a filter as an assertion value and never into filter text, so that no characters of
+//! the name can change the filter.
 
 use bytes::Bytes;
 use rasn::types::SetOf;
@@ -11,18 +11,18 @@
 use winnow::prelude::*;
 use winnow::token::{any, take_while};
 
-/// Deepest nesting of filters in a text.
+/// The maximum nesting of filters in a text.
 const MAX_DEPTH: usize = 16;
-/// Longest text, in bytes.
+/// The maximum length of a text, in bytes.
 const MAX_LENGTH: usize = 8192;
-/// Largest number of operands of an `and` or `or`.
+/// The maximum number of operands of an `and` or `or`.
 const MAX_OPERANDS: usize = 256;
-/// Largest number of segments, separated by asterisks, of an assertion value.
+/// The maximum number of segments, separated by asterisks, of an assertion value.
 const MAX_SEGMENTS: usize = 64;
-/// Longest part of an invalid text that the error quotes, in characters.
+/// The maximum length of the part of an invalid text that the error quotes, in characters.
 const MAX_QUOTED_LENGTH: usize = 80;
 
-/// The text is not a supported filter. Holds its beginning.
+/// The text is not a supported filter. The field holds the beginning of the text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("'{0}' is not a filter according to RFC 4515 of up to {MAX_DEPTH} levels")]
 pub struct InvalidFilter(pub String);
@@ -37,7 +37,7 @@
     Filter::GreaterOrEqual(assertion(attribute, value.as_bytes()))
 }
 
-/// A filter that matches every entry, since each has an object class.
+/// A filter that matches every entry, since every entry has an object class.
 pub fn all() -> Filter {
     Filter::Present("objectClass".into())
 }
@@ -47,7 +47,8 @@
     Filter::And(SetOf::from_vec(filters))
 }
 
-/// A filter for entries that have any of `names` as a value of `attribute` and that match `extra`, if it is given.
+/// A filter for entries that have any of `names` as a value of `attribute` and that match the filter `extra`, if there is
+/// one.
 pub fn any_of<'a>(
     attribute: &str,
     names: impl Iterator<Item = &'a str>,
@@ -83,7 +84,7 @@
         .map_err(|_| invalid())
 }
 
-/// The rule `filter` of RFC 4515.
+/// Parses the rule `filter` of RFC 4515, with at most `depth` levels of nesting.
 fn filter(input: &mut &str, depth: usize) -> Result<Filter, ContextError> {
     if depth == 0 {
         return Err(ContextError::new());
@@ -96,7 +97,7 @@
     .parse_next(input)
 }
 
-/// The rule `filtercomp` of RFC 4515.
+/// Parses the rule `filtercomp` of RFC 4515. Its operands have at most `depth` levels of nesting.
 fn filter_component(input: &mut &str, depth: usize) -> Result<Filter, ContextError> {
     let list = |input: &mut &str| -> Result<Vec<Filter>, ContextError> {
         repeat(1..=MAX_OPERANDS, |input: &mut &str| filter(input, depth)).parse_next(input)
@@ -118,7 +119,7 @@
     }
 }
 
-/// The rule `item` of RFC 4515, without extensible matches.
+/// Parses the rule `item` of RFC 4515, without extensible matches.
 fn item(input: &mut &str) -> Result<Filter, ContextError> {
     let is_attribute = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '.' | ';');
     let attribute: &str = take_while(1.., is_attribute).parse_next(input)?;
@@ -147,7 +148,7 @@
     }
 }
 
-/// A substring filter of the segments between asterisks. The first or last segment is empty if the value begins or ends
+/// A substring filter with the segments between asterisks. The first or last segment is empty if the value begins or ends
 /// with an asterisk.
 fn substrings(attribute: &str, segments: Vec<Vec<u8>>) -> Filter {
     let last = segments.len() - 1;
@@ -165,7 +166,7 @@
     Filter::Substrings(SubstringFilter::new(attribute.into(), choices))
 }
 
-/// An assertion value, with its escapes decoded.
+/// Parses an assertion value, or a segment of one, and decodes its escapes.
 fn value(input: &mut &str) -> Result<Vec<u8>, ContextError> {
     let escape = ('\\', take_while(2..=2, |c: char| c.is_ascii_hexdigit())).verify_map(
         |(_, hex): (char, &str)| u8::from_str_radix(hex, 16).ok().map(|byte| vec![byte]),
--- a/crates/pipithub-ldap/src/frame.rs
+++ b/crates/pipithub-ldap/src/frame.rs
@@ -1,10 +1,10 @@
-//! Splits a byte stream into messages. Their size and nesting are checked before they are decoded.
+//! Splits a byte stream into messages, whose size and nesting are checked before they are decoded.
 
 use bytes::{Buf, BytesMut};
 use rasn_ldap::LdapMessage;
 
-/// Deepest nesting of constructed values in a message. The decoder is recursive, so that without this limit a message
-/// of nested tags could overflow the stack. The deepest filter that is sent has six levels.
+/// The maximum nesting of constructed values in a message. The decoder is recursive, so without this limit a message of
+/// nested tags could overflow the stack. The deepest filter that is sent has six levels.
 pub const MAX_DEPTH: usize = 48;
 
 /// Why bytes cannot be decoded as a message.
@@ -19,9 +19,9 @@
     /// The length in the message's header exceeds the limit.
     #[error("a message of {claimed} bytes exceeds the limit of {limit}")]
     TooLong {
-        /// Length in the header, in bytes.
+        /// The length in the header, in bytes.
         claimed: usize,
-        /// Largest length that is accepted, in bytes.
+        /// The largest length that is accepted, in bytes.
         limit: usize,
     },
     /// Values are nested too deeply.
@@ -37,9 +37,9 @@
 
 /// The decoded tag and length of a value.
 struct Header {
-    /// Number of bytes of the tag and the length.
+    /// The number of bytes of the tag and the length.
     header_length: usize,
-    /// Number of bytes of the content.
+    /// The number of bytes of the content.
     content_length: usize,
     /// Whether the content consists of further values.
     constructed: bool,
@@ -52,7 +52,7 @@
     };
     let mut position = 1;
     if first & 0x1f == 0x1f {
-        // The long form of a tag. No tag of LDAP has more than one further byte.
+        // The long form of a tag. No tag of LDAP has more than one byte after the first.
         match bytes.get(1) {
             None => return Ok(None),
             Some(byte) if byte & 0x80 != 0 => return Err(Malformed::Length),
@@ -119,6 +119,7 @@
 #[derive(Debug)]
 pub struct Framer {
     buffer: BytesMut,
+    /// The largest accepted content of a message, in bytes.
     limit: usize,
 }
 
@@ -136,7 +137,7 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Number of buffered bytes.
+    /// The number of buffered bytes.
     pub fn buffered_len(&self) -> usize {
         self.buffer.len()
     }
@@ -155,7 +156,8 @@
         let Some(header) = read_header(&self.buffer)? else {
             return Ok(None);
         };
-        // Checked before the message has arrived, so that no peer can make this end buffer more than the limit.
+        // Checked before the whole message has arrived, so that no peer can make this side buffer a message beyond the
+        // limit.
         if header.content_length > self.limit {
             return Err(Malformed::TooLong {
                 claimed: header.content_length,
@@ -175,7 +177,8 @@
     }
 }
 
-/// Encodes a message. The result is empty if the encoder fails, which no message that this crate creates makes it do.
+/// Encodes a message. The result is empty if the encoder fails, which does not happen for messages that this crate
+/// creates.
 pub fn encode(message: &LdapMessage) -> Vec<u8> {
     rasn::ber::encode(message).unwrap_or_default()
 }
--- a/crates/pipithub-ldap/src/ldif.rs
+++ b/crates/pipithub-ldap/src/ldif.rs
@@ -1,15 +1,15 @@
-//! Reader of LDIF content records (RFC 2849), the format of the emulator's directory trees.
+//! Reads LDIF content records (RFC 2849), the format of the emulator's directory trees.
 
 use crate::dn::{Dn, InvalidDn};
 
-/// Largest text that is read, in bytes.
+/// The maximum length of a text, in bytes.
 const MAX_LENGTH: usize = 256 << 20;
 
 /// A line is not valid LDIF.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {reason}")]
 pub struct InvalidLdif {
-    /// Number of the line, from 1.
+    /// The number of the line, counted from 1.
     pub line: usize,
     /// The error in it.
     pub reason: InvalidLdifReason,
@@ -27,7 +27,7 @@
     /// The value after `::` is not base64.
     #[error("invalid base64")]
     InvalidBase64,
-    /// The value is given by a URL (`:<`).
+    /// The value is given as a URL (`:<`).
     #[error("values by URL are not supported")]
     ValueByUrl,
     /// A continuation line follows an empty line or is the first one.
@@ -62,19 +62,19 @@
 /// An entry of the directory tree.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// The distinguished name in normalised form.
+    /// The distinguished name in normalized form.
     pub dn: Dn,
-    /// The distinguished name as in the file.
+    /// The text of the distinguished name, as in the file.
     pub dn_text: String,
     /// The attribute values, in the order of the file.
     pub attributes: Vec<Attribute>,
 }
 
-/// Reads all entries of an LDIF text. Change records are rejected, and so are values by URL (`:<`), which would make
-/// this process read other files.
+/// Reads all entries of an LDIF text. Change records are rejected, and so are values that are given as a URL (`:<`),
+/// which would make this process read other files.
 ///
 /// # Errors
-/// The first line that is not valid LDIF.
+/// Fails at the first line that is not valid LDIF, or if the text is too large.
 pub fn read(text: &str) -> Result<Vec<Record>, InvalidLdif> {
     if text.len() > MAX_LENGTH {
         return Err(InvalidLdif {
@@ -130,8 +130,7 @@
     }
 }
 
-/// Joins continuation lines, which begin with a space, to the line before them. Comments may have continuation lines
-/// too.
+/// Joins continuation lines, which begin with a space, to the line before them. Comments may have continuation lines too.
 fn unfold(text: &str) -> Result<Vec<Line>, InvalidLdif> {
     let mut lines: Vec<Line> = Vec::new();
     for (index, line) in text.lines().enumerate() {
@@ -157,11 +156,11 @@
     Ok(lines)
 }
 
-/// The parser, with the records that were read.
+/// The state of the parser, with the records that were read so far.
 #[derive(Default)]
 struct Parser {
     records: Vec<Record>,
-    /// Whether attributes belong to the last record, which ends with an empty line.
+    /// Whether further attributes belong to the last record. An empty line ends the record.
     in_record: bool,
 }
 
--- a/crates/pipithub-ldap/src/lib.rs
+++ b/crates/pipithub-ldap/src/lib.rs
@@ -1,10 +1,10 @@
 //! LDAP v3 without I/O (RFC 4511), for gateways that search directories and for the emulator that serves one.
 //!
-//! The message types are those of `rasn-ldap`. This crate adds the parts around them: [`frame`] splits a byte stream
-//! into messages, and checks their size and nesting before they are decoded; [`Dn`] compares distinguished names (RFC
-//! 4514); [`filter`] builds search filters from values, which cannot become filter syntax (RFC 4515); [`Client`] is the
-//! state machine of one connection; [`sync`] encodes and decodes the controls of paged results (RFC 2696) and content
-//! synchronisation (RFC 4533); [`ldif`] reads directory trees (RFC 2849).
+//! The message types are those of `rasn-ldap`. This crate adds the following parts: [`frame`] splits a byte stream into
+//! messages, and checks their size and nesting before they are decoded; [`Dn`] compares distinguished names (RFC 4514);
+//! [`filter`] builds search filters from values, which cannot become filter syntax (RFC 4515); [`Client`] is the state
+//! machine of one connection; [`sync`] encodes and decodes the controls of paged results (RFC 2696) and content
+//! synchronization (RFC 4533); [`ldif`] reads directory trees (RFC 2849).
 
 pub mod client;
 pub mod dn;
--- a/crates/pipithub-ldap/src/sync.rs
+++ b/crates/pipithub-ldap/src/sync.rs
@@ -1,4 +1,4 @@
-//! Encoding and decoding of the controls for paged results (RFC 2696) and content synchronisation (RFC 4533).
+//! Encoding and decoding of the controls for paged results (RFC 2696) and content synchronization (RFC 4533).
 
 use bytes::Bytes;
 use rasn::prelude::*;
@@ -8,6 +8,7 @@
 
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq, Eq)]
 struct PagedValue {
+    /// The page size in requests; an estimate of the number of all entries, or 0, in responses.
     size: u32,
     cookie: OctetString,
 }
@@ -27,7 +28,7 @@
     reload_hint: bool,
 }
 
-/// How an entry in a synchronisation differs from the client's copy.
+/// How an entry in a synchronization differs from the client's copy.
 #[derive(AsnType, Encode, Decode, Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[rasn(enumerated)]
 pub enum State {
@@ -49,7 +50,7 @@
     pub state: State,
     /// The `entryUUID` of the entry.
     pub uuid: OctetString,
-    /// Cookie of the synchronisation after this entry.
+    /// The cookie of the synchronization after this entry; `None` if the server sent none.
     pub cookie: Option<OctetString>,
 }
 
@@ -57,10 +58,10 @@
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq, Eq)]
 #[non_exhaustive]
 pub struct DoneValue {
-    /// Cookie of the synchronisation, if the server sent one.
+    /// The cookie of the synchronization; `None` if the server sent none.
     pub cookie: Option<OctetString>,
-    /// True if the server sent all deletions, so that entries that it did not mention are present; false if entries
-    /// that it did not mention are deleted.
+    /// True if the server reported all deletions, so that entries that it did not report are present; false if entries
+    /// that it did not report are deleted.
     #[rasn(default)]
     pub refresh_deletes: bool,
 }
@@ -73,9 +74,9 @@
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq, Eq)]
 #[non_exhaustive]
 pub struct PhaseValue {
-    /// Cookie of the synchronisation, if the server sent one.
+    /// The cookie of the synchronization; `None` if the server sent none.
     pub cookie: Option<OctetString>,
-    /// Whether the refresh is complete. Later messages report changes when they happen.
+    /// Whether the refresh is complete. Messages after it report changes when they happen.
     #[rasn(default = "default_true")]
     pub refresh_done: bool,
 }
@@ -84,7 +85,7 @@
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq, Eq)]
 #[non_exhaustive]
 pub struct IdSet {
-    /// Cookie of the synchronisation, if the server sent one.
+    /// The cookie of the synchronization; `None` if the server sent none.
     pub cookie: Option<OctetString>,
     /// Whether the entries were deleted; otherwise they are present.
     #[rasn(default)]
@@ -98,13 +99,13 @@
 #[rasn(choice)]
 #[non_exhaustive]
 pub enum Info {
-    /// A new cookie of the synchronisation.
+    /// A new cookie of the synchronization.
     #[rasn(tag(0))]
     Cookie(OctetString),
     /// The end of a delete phase.
     #[rasn(tag(1))]
     RefreshDelete(PhaseValue),
-    /// The end of a present phase: entries that the server did not mention are deleted.
+    /// The end of a present phase: entries that the server did not report are deleted.
     #[rasn(tag(2))]
     RefreshPresent(PhaseValue),
     /// Entries that are present or deleted, without their content.
@@ -133,7 +134,7 @@
 pub struct PagedResults {
     /// The page size in requests; an estimate of the number of all entries, or 0, in responses.
     pub size: u32,
-    /// Position in the results, as the server encodes it; empty before the first page and after the last.
+    /// The position in the results, as the server encodes it; empty before the first page and after the last.
     pub cookie: Bytes,
 }
 
@@ -159,13 +160,13 @@
 /// The value of a sync request control (RFC 4533, 2.2).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SyncRequest {
-    /// Cookie of the last synchronisation; `None` for an initial one.
+    /// The cookie of the last synchronization; `None` for the first one.
     pub cookie: Option<Bytes>,
     /// Whether the search continues after the refresh, so that changes are sent when they happen.
     pub persist: bool,
 }
 
-/// Creates a sync request control of a search that continues after the refresh, so that changes are sent when they
+/// Creates the sync request control of a search that continues after the refresh, so that changes are sent when they
 /// happen.
 pub fn request(cookie: Option<Bytes>) -> Control {
     let value = RequestValue {
--- a/crates/pipithub-ldap/tests/connection.rs
+++ b/crates/pipithub-ldap/tests/connection.rs
@@ -1,4 +1,4 @@
-//! The client with a scripted server: the order of its requests, unexpected responses and malformed bytes.
+//! Tests of the client with a simulated server: the order of requests, unexpected responses and malformed bytes.
 
 use pipithub_ldap::frame::{Framer, encode};
 use pipithub_ldap::message::{
@@ -27,7 +27,7 @@
     std::iter::from_fn(|| framer.take().expect("a well-formed message")).collect()
 }
 
-/// Sends a message of the server to the client.
+/// Passes a message from the server to the client.
 fn respond(client: &mut Client, id: u32, op: ProtocolOp) {
     client.receive(&encode(&LdapMessage::new(id, op)));
 }
@@ -116,7 +116,7 @@
     encode(&LdapMessage::new(id, ProtocolOp::ExtendedResp(response)))
 }
 
-/// An attacker on the path could insert bytes that the client would handle as if they had come over TLS (as in
+/// An attacker on the path could insert bytes that the client would handle as if they had arrived over TLS (as in
 /// CVE-2011-0411, the same fault in SMTP).
 #[test]
 fn bytes_between_start_tls_response_and_handshake_close_the_connection() {
--- a/crates/pipithub-ldap/tests/dn.rs
+++ b/crates/pipithub-ldap/tests/dn.rs
@@ -1,4 +1,4 @@
-//! Distinguished names: equality, containment, malformed names and renaming.
+//! Tests of distinguished names: equality, containment, malformed names and renaming.
 
 use pipithub_ldap::Dn;
 use pipithub_ldap::dn::MAX_LENGTH;
--- a/crates/pipithub-ldap/tests/filter.rs
+++ b/crates/pipithub-ldap/tests/filter.rs
@@ -1,4 +1,4 @@
-//! Parsing of filters, and names of users as assertion values.
+//! Tests of the parsing of filters, and of users' names as assertion values.
 
 use pipithub_ldap::filter::{all, any_of, equal, parse};
 use pipithub_ldap::message::Filter;
--- a/crates/pipithub-ldap/tests/frame.rs
+++ b/crates/pipithub-ldap/tests/frame.rs
@@ -1,4 +1,4 @@
-//! The limits on size and nesting, which are checked before a message is decoded.
+//! Tests of the limits on size and nesting, which are checked before a message is decoded.
 
 use pipithub_ldap::frame::{Framer, Malformed};
 
@@ -15,7 +15,7 @@
 /// The decoder is recursive for filters: without the check, a message of 200 kB overflowed the stack.
 #[test]
 fn deep_nesting_is_rejected_before_it_is_decoded() {
-    // Nested `not` filters, thousands of levels deep, with valid lengths.
+    // Nested `not` filters, over 3,000 levels deep, with valid lengths.
     let mut filter = vec![0x87, 1, b'x'];
     for _ in 0..100_000 {
         let length = filter.len() as u32;
--- a/crates/pipithub-ldap/tests/ldif.rs
+++ b/crates/pipithub-ldap/tests/ldif.rs
@@ -1,4 +1,4 @@
-//! Reading of LDIF content records, and errors in them.
+//! Tests of the reading of LDIF content records, and of the errors in them.
 
 use pipithub_ldap::Dn;
 use pipithub_ldap::ldif::{InvalidLdifReason, read};
@@ -10,11 +10,11 @@
         "dn: uid=mai,\n dc=example\r\nuid: mai\nsn:: TMO8\ncn:\n\n\n",
         "dn: dc=example\n"
     );
-    let records = read(text).expect("LDIF");
+    let records = read(text).expect("valid LDIF");
     assert_eq!(records.len(), 2);
     assert_eq!(
         records[0].dn,
-        Dn::parse("uid=mai,dc=example").expect("a name")
+        Dn::parse("uid=mai,dc=example").expect("a valid name")
     );
     let [uid, sn, cn] = &records[0].attributes[..] else {
         panic!("{records:?}")
--- a/crates/pipithub-ldap/tests/sync.rs
+++ b/crates/pipithub-ldap/tests/sync.rs
@@ -1,4 +1,4 @@
-//! Encoding and decoding of the controls for paged results and content synchronisation.
+//! Tests of the encoding and decoding of the controls for paged results and content synchronization.
 
 use bytes::Bytes;
 use pipithub_ldap::sync::{
@@ -40,7 +40,7 @@
     assert_eq!(read_info(b"\x30\x00"), None);
 }
 
-/// The bytes follow from the ASN.1 in RFC 4533: the mode refreshAndPersist (3) without a cookie.
+/// The bytes are those of the ASN.1 definition in RFC 4533: the mode refreshAndPersist (3) without a cookie.
 #[test]
 fn sync_request_is_encoded_as_in_rfc_4533() {
     let control = request(None);
